--- a/coordination/steward.go
+++ b/coordination/steward.go
@@ -40,6 +40,7 @@
 			if known.Founding == "" {
 				if !c.opt.Joins {
 					c.found(ctx, met)
+					idle = c.opt.Host.Clock.Now() // it may have led all the while
 				}
 			} else if c.named(known) {
 				c.adopt(known)
