--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,3 @@
-MODULES := $(shell grep -o '\./[a-z]*' go.work | cut -c3-)
-
 .PHONY: build test lines names tools format vet lint staticcheck exported funclength sweep gen tidy up ablate compare
 
 build:
@@ -8,7 +6,7 @@
 # The whole check, the same as CI runs. It passes over the tests in KNOWN-RED.txt alone.
 test: format lines names vet tools lint
 	go run ./tools/suite KNOWN-RED.txt \
-		-- go test -json -race -count=1 -timeout 600s $(foreach m,$(MODULES),./$(m)/...) \
+		-- go test -json -race -count=1 -timeout 600s ./... \
 		-- go test -json -count=1 -timeout 600s ./simulation/... ./proxy/...
 
 # Many seeds over every script: make sweep SEEDS=200 FROM=0
@@ -32,16 +30,16 @@
 	go test -count=1 ./tools/...
 
 vet:
-	go vet $(foreach m,$(MODULES),./$(m)/...)
+	go vet ./...
 
 # Checks beyond go vet, each with a checked-in list of what it passes over or holds.
 lint: staticcheck exported funclength
 
-# staticcheck at the version in tools/staticcheck/go.mod, which stands outside the workspace
+# staticcheck at the version in tools/staticcheck/go.mod, a module of its own
 # so that its dependencies are not the product's; its checks are named in staticcheck.conf.
 staticcheck:
 	@go run ./tools/findings tools/findings/known.txt -- \
-		$$(GOWORK=off go tool -C tools/staticcheck -n staticcheck) -f json $(foreach m,$(MODULES),./$(m)/...)
+		$$(go tool -C tools/staticcheck -n staticcheck) -f json ./...
 
 # Exported items without a doc comment.
 exported:
@@ -52,10 +50,10 @@
 	@go run ./tools/funclength tools/funclength/long.txt
 
 gen:
-	$(foreach m,$(MODULES),(cd $(m) && go generate ./...) &&) true
+	go generate ./...
 
 tidy:
-	tools/mods.sh
+	go mod tidy
 
 # A fleet of real processes on loopback, until interrupted.
 up: build
