--- /dev/null
+++ b/simulation/release_test.go
@@ -0,0 +1,176 @@
+// Data directories of an earlier release, opened by this one.
+
+package simulation
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"keelstair.example/api"
+	"keelstair.example/fleetstate"
+	"keelstair.example/seam"
+	"keelstair.example/standin"
+)
+
+const (
+	releaseFolder = "testdata/release-1"
+	releaseKeys   = 30 // keyed calls that the earlier release answered
+	releaseDepth  = 4  // answers that it kept; older keys stand in sealed chunks
+)
+
+// writeRelease is the environment variable that makes TestWriteRelease record the folder.
+const writeRelease = "KEELSTAIR_RELEASE_WRITE"
+
+// releaseState is what an operator read from the earlier release, kept beside its folders.
+type releaseState struct {
+	Version   uint64          `json:"version"`
+	Policy    json.RawMessage `json:"policy"`
+	Evacuated []string        `json:"evacuated"`
+	Tokens    []int32         `json:"tokens"` // of the newest keyed call
+}
+
+func releaseAsk(i int) api.Ask {
+	ask := verdict
+	ask.Key = fmt.Sprint("release-", i)
+	return ask
+}
+
+// answer asks the nodes in turn until a key is answered or refused for good.
+func (c *Cluster) answer(t *testing.T, i int, ask api.Ask) ([]api.Line, *api.Fault) {
+	t.Helper()
+	var lines []api.Line
+	var refusal *api.Fault
+	nodes := c.Of("verge")
+	attempt := i
+	require.True(t, c.Until(8*time.Second, func() bool {
+		got, err := c.stream(nodes[attempt%len(nodes)], ask)
+		attempt++ // a node of an evacuated zone refuses
+		lines = got
+		if errors.As(err, &refusal) {
+			return refusal.Code < 500
+		}
+		refusal = nil
+		return err == nil && got[len(got)-1].End == api.Complete
+	}), "key %d: %v", i, refusal)
+	return lines, refusal
+}
+
+func withReleaseDepth(c *Cluster) { c.Depth = fleetstate.Depth{Full: releaseDepth, Leaf: 8} }
+
+// TestWriteRelease records the data directories of the running code. It does so on request
+// only: the recorded ones are those of a release, and later code has to open them.
+func TestWriteRelease(t *testing.T) {
+	if os.Getenv(writeRelease) == "" {
+		t.Skip("records " + releaseFolder + " where " + writeRelease + " is set")
+	}
+	inBubble(t, "vatuloa", withReleaseDepth, func(t *testing.T, c *Cluster) {
+		var newest []api.Line
+		for i := range releaseKeys {
+			newest, _ = c.answer(t, i, releaseAsk(i))
+		}
+		shownAtFirst := shown(c)
+		_, err := c.Apply(&api.Apply{Op: "release", Base: shownAtFirst.Version, Partial: true, Source: "{limits: queue: 12}"})
+		require.NoError(t, err)
+		require.NoError(t, c.Mark("/v1/zones/"+string(c.Site.Zones[0]), "release-zone", true))
+		time.Sleep(2 * time.Second)
+		state := shown(c)
+		record := releaseState{Version: state.Version, Policy: state.Policy, Evacuated: state.Zones}
+		for _, line := range newest[:len(newest)-1] {
+			record.Tokens = append(record.Tokens, line.Token)
+		}
+		require.NoError(t, os.RemoveAll(releaseFolder))
+		for _, box := range c.Of("tenet") {
+			c.Kill(box)
+		}
+		for _, box := range c.Of("tenet") {
+			folder := filepath.Join(releaseFolder, box.Name)
+			to, err := seam.OpenDisk(folder)
+			require.NoError(t, err)
+			copyDisk(t, box.Machine.Start().Host().Disk, to)
+			require.NoError(t, os.Remove(filepath.Join(folder, "lock")))
+		}
+		body, err := json.MarshalIndent(record, "", "\t")
+		require.NoError(t, err)
+		require.NoError(t, os.WriteFile(filepath.Join(releaseFolder, "state.json"), append(body, '\n'), 0o644))
+	})
+}
+
+// copyDisk copies every file and every log of one disk to another.
+func copyDisk(t *testing.T, from, to seam.Disk) {
+	t.Helper()
+	names, err := from.List()
+	require.NoError(t, err)
+	require.NotEmpty(t, names)
+	for _, name := range names {
+		if strings.HasPrefix(name, "lock") {
+			continue
+		}
+		body, err := from.Load(name)
+		if err == nil {
+			require.NoError(t, to.Save(name, body))
+			continue
+		}
+		_, rows, err := from.Open(name)
+		require.NoError(t, err, name)
+		log, err := to.Create(name)
+		require.NoError(t, err, name)
+		require.NoError(t, log.Append(rows), name)
+		require.NoError(t, log.Close(), name)
+	}
+}
+
+// TestOpensRelease: three replicas start on the data directories of an earlier release. One
+// leads; the configuration, the evacuation and the newest answer are those that were read from
+// that release; older keys are known to have been answered; and new calls are served.
+func TestOpensRelease(t *testing.T) {
+	unraced(t)
+	body, err := os.ReadFile(filepath.Join(releaseFolder, "state.json"))
+	require.NoError(t, err)
+	var record releaseState
+	require.NoError(t, json.Unmarshal(body, &record))
+	folders := t.TempDir()
+	require.NoError(t, os.CopyFS(folders, os.DirFS(releaseFolder)))
+	tune := func(c *Cluster) {
+		withReleaseDepth(c)
+		for i := range 3 {
+			disk, err := seam.OpenDisk(filepath.Join(folders, fmt.Sprintf("tenet-%d", i+1)))
+			require.NoError(t, err)
+			process := c.World.Machine(fmt.Sprintf("10.1.0.%d", i+1)).Start()
+			copyDisk(t, disk, process.Host().Disk)
+			process.Kill()
+		}
+	}
+	synctest.Test(t, func(t *testing.T) {
+		c := Build(2, standin.Sites["vatuloa"], tune)
+		defer c.Close()
+		require.True(t, c.Until(10*time.Second, func() bool { return c.Leader() != nil }))
+		require.True(t, c.Until(10*time.Second, func() bool { return shown(c).Version == record.Version }))
+		state := shown(c)
+		require.JSONEq(t, string(record.Policy), string(state.Policy))
+		require.Equal(t, record.Evacuated, state.Zones)
+		newest, refusal := c.answer(t, 1, releaseAsk(releaseKeys-1))
+		require.Nil(t, refusal)
+		for i, token := range record.Tokens {
+			require.Equal(t, token, newest[i].Token)
+			require.True(t, newest[i].Replay)
+		}
+		for i := range releaseKeys - releaseDepth {
+			_, refusal := c.answer(t, i, releaseAsk(i))
+			require.NotNil(t, refusal, "key %d", i)
+			require.Equal(t, "answer-aged", refusal.Name, "key %d", i)
+		}
+		fresh := verdict
+		fresh.Key = "after the release"
+		_, refusal = c.answer(t, 2, fresh)
+		require.Nil(t, refusal)
+	})
+}
