--- a/certification/certification.go
+++ b/certification/certification.go
@@ -35,7 +35,7 @@
 // ends just before Until.
 type Certificate struct {
 	Serial    string       `json:"serial"`
-	Worker    ids.WorkerId `json:"worker,omitempty"`
+	Worker    ids.WorkerID `json:"worker,omitempty"`
 	Node      string       `json:"node,omitempty"`
 	Regime    string       `json:"regime"`
 	Parts     []ids.Part   `json:"parts,omitempty"`
@@ -47,7 +47,7 @@
 
 // Subject is who a certificate speaks of; one of the two is set.
 type Subject struct {
-	Worker ids.WorkerId
+	Worker ids.WorkerID
 	Node   string
 }
 
--- a/certification/register.go
+++ b/certification/register.go
@@ -171,7 +171,7 @@
 
 // Keeps is the share of a worker's room, in percent, that is kept free for governed
 // work: the largest of the regimes that it may serve now in a part.
-func (r *Register) Keeps(w ids.WorkerId, part ids.Part, now Now) int {
+func (r *Register) Keeps(w ids.WorkerID, part ids.Part, now Now) int {
 	most := 0
 	if r != nil {
 		for name, g := range r.regimes {
--- a/certification/writ_test.go
+++ b/certification/writ_test.go
@@ -172,7 +172,7 @@
 			require.Equal(t, one.path, strings.Join(f.Path, "."))
 			require.NotContains(t, f.Reason, "\n")
 			if strings.HasPrefix(one.path, "certificates.1") || strings.HasPrefix(one.path, "issuers") {
-				for _, w := range []ids.WorkerId{"p1", "p2"} {
+				for _, w := range []ids.WorkerID{"p1", "p2"} {
 					_, ok := r.Clears("chair", Subject{Worker: w}, ids.Prefill, on(2))
 					require.False(t, ok)
 				}
--- a/cmd/edict/writ.go
+++ b/cmd/edict/writ.go
@@ -119,7 +119,7 @@
 		out[one.Serial] = one
 	}
 	for _, w := range c.Worker {
-		put(certification.Certificate{Worker: ids.WorkerId(w), Parts: parts})
+		put(certification.Certificate{Worker: ids.WorkerID(w), Parts: parts})
 	}
 	for _, n := range c.Node {
 		put(certification.Certificate{Node: n})
--- a/cmd/gauge/fleet.go
+++ b/cmd/gauge/fleet.go
@@ -166,7 +166,7 @@
 	if f.size.Sort == "verge" {
 		rows := []workerclient.Listed{}
 		for _, w := range list {
-			rows = append(rows, workerclient.Listed{Id: w.Id, Addr: w.Addr, Zone: w.Zone})
+			rows = append(rows, workerclient.Listed{ID: w.ID, Addr: w.Addr, Zone: w.Zone})
 		}
 		body, err := json.Marshal(rows)
 		if err != nil {
@@ -347,7 +347,7 @@
 		return 0, err
 	}
 	from := time.Now()
-	v, err := fleetstate.Put(cx, f.call, f.book, ids.OpId("gauge/"+coordination.Name()), f.version, 0, body)
+	v, err := fleetstate.Put(cx, f.call, f.book, ids.OpID("gauge/"+coordination.Name()), f.version, 0, body)
 	if err != nil {
 		return 0, err
 	}
--- a/cmd/gauge/gauge_test.go
+++ b/cmd/gauge/gauge_test.go
@@ -157,7 +157,7 @@
 	stand := func(renews, workers int64) *Stand {
 		return &Stand{Flows: map[string]Flow{"crux/renew@c": {Asked: renews, In: 100 * renews, Out: 300 * renews}, "workers": {Asked: workers, In: 1000 * workers}}, Heap: 3 << 20}
 	}
-	look := func(at time.Time, cpu time.Duration, rss int64) Use { return Use{At: at, Cpu: cpu, Rss: rss << 20} }
+	look := func(at time.Time, cpu time.Duration, rss int64) Use { return Use{At: at, CPU: cpu, Rss: rss << 20} }
 	later := now.Add(10 * time.Second)
 	a := &glance{at: now, use: map[*proc]Use{core: look(now, 0, 40), empty: look(now, 0, 17), one: look(now, 0, 25), three: look(now, 0, 30), asks: look(now, 0, 30)},
 		stands: map[*proc]*Stand{one: stand(0, 0), three: stand(0, 0), asks: stand(0, 0)}}
@@ -166,13 +166,13 @@
 		stands: map[*proc]*Stand{one: stand(20, 0), three: stand(60, 0), asks: stand(40, 10)}}
 	pt := &Point{}
 	pt.between(a, b, []*proc{core}, []*proc{asks, one, three}, empty)
-	require.InDelta(t, 10, pt.Cores[0].Cpu, 1e-9)
+	require.InDelta(t, 10, pt.Cores[0].CPU, 1e-9)
 	require.InDelta(t, 12, pt.Cores[0].Served, 1e-9, "the core's requests are the sum of the nodes'")
 	require.InDelta(t, 3600, pt.Cores[0].Flows["crux/renew"].In, 1e-9)
-	require.InDelta(t, 1, pt.Plain.Cpu, 1e-9, "an empty process's time is taken off")
+	require.InDelta(t, 1, pt.Plain.CPU, 1e-9, "an empty process's time is taken off")
 	require.InDelta(t, 2, pt.Plain.Asked, 1e-9)
 	require.InDelta(t, 800, pt.Plain.In+pt.Plain.Out, 1e-9)
-	require.InDelta(t, 5, pt.Lister.Cpu, 1e-9)
+	require.InDelta(t, 5, pt.Lister.CPU, 1e-9)
 	require.InDelta(t, 1000, pt.Lister.Flows["workers"].In, 1e-9)
 	require.InDelta(t, 2, pt.Lister.Flows["crux/renew"].Asked, 1e-9)
 	require.InDelta(t, 26, pt.Alone.Rss, 1e-9)
--- a/cmd/gauge/harm.go
+++ b/cmd/gauge/harm.go
@@ -66,7 +66,7 @@
 type Tool struct {
 	Name  string  `json:"name"`
 	Ms    float64 `json:"ms"`
-	CpuMs float64 `json:"cpuMs"`
+	CPUMs float64 `json:"cpuMs"`
 	In    float64 `json:"in"`  // bytes that the door answered
 	Out   float64 `json:"out"` // bytes that the door was sent
 }
@@ -98,7 +98,7 @@
 				return failure.New(failure.Bad, "run program", row, "%v: %s", err, strings.TrimSpace(said.String()))
 			}
 			t := Tool{Name: words[0] + " " + words[1], Ms: float64(time.Since(from).Microseconds()) / 1000,
-				CpuMs: float64((cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Microseconds()) / 1000}
+				CPUMs: float64((cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Microseconds()) / 1000}
 			after, err := f.stand(f.holders[0], "")
 			if err != nil {
 				return err
--- a/cmd/gauge/hollow.go
+++ b/cmd/gauge/hollow.go
@@ -100,10 +100,10 @@
 	}
 	p.Routes[turn%len(p.Routes)].DeadlineMs += turn
 	if s.Duties > 0 {
-		p.Workers = map[ids.WorkerId]fleetstate.Worker{}
+		p.Workers = map[ids.WorkerID]fleetstate.Worker{}
 	}
 	for i := range s.Duties {
-		p.Workers[ids.WorkerId(fmt.Sprintf("w-%05d", i))] = fleetstate.Worker{Part: s.part(i), Model: s.model(i), Weights: "w1", Adapters: []string{}, Room: 400_000, Block: 16, Zone: halls[i%len(halls)]}
+		p.Workers[ids.WorkerID(fmt.Sprintf("w-%05d", i))] = fleetstate.Worker{Part: s.part(i), Model: s.model(i), Weights: "w1", Adapters: []string{}, Room: 400_000, Block: 16, Zone: halls[i%len(halls)]}
 	}
 	return p
 }
@@ -126,7 +126,7 @@
 func (s *Size) workers(at map[ids.Part]string) []proxy.Worker {
 	out := make([]proxy.Worker, s.Workers)
 	for i := range out {
-		out[i] = proxy.Worker{Id: ids.WorkerId(fmt.Sprintf("w-%05d-%s", i, coordination.Short(fmt.Sprint("w", i))[:8])), Service: s.model(i), Addr: at[s.part(i)],
+		out[i] = proxy.Worker{ID: ids.WorkerID(fmt.Sprintf("w-%05d-%s", i, coordination.Short(fmt.Sprint("w", i))[:8])), Service: s.model(i), Addr: at[s.part(i)],
 			Zone: halls[i%len(halls)], Part: s.part(i), Slots: 48}
 		if out[i].Addr == "" {
 			out[i].Addr = fmt.Sprintf("127.1.%d.%d:9", i/250, 1+i%250)
--- a/cmd/gauge/main.go
+++ b/cmd/gauge/main.go
@@ -19,12 +19,12 @@
 	Bin     string   `arg:"--bin" default:"bin" help:"folder with the programs"`
 	Dir     string   `arg:"--dir" help:"folder for data and logs; a new one that is removed afterwards, if none is named"`
 	Seconds int      `arg:"--seconds" default:"8" help:"of measuring at each point"`
-	Json    string   `arg:"--json" default:"docs/capacity.json" help:"where the figures go; points of sweeps that are not run stay"`
+	JSON    string   `arg:"--json" default:"docs/capacity.json" help:"where the figures go; points of sweeps that are not run stay"`
 	Page    string   `arg:"--page" help:"rewrite the tables of this page"`
 }
 
 type pageCmd struct {
-	Json string `arg:"--json" default:"docs/capacity.json"`
+	JSON string `arg:"--json" default:"docs/capacity.json"`
 	Page string `arg:"--page" default:"docs/CAPACITY.md"`
 }
 
@@ -80,7 +80,7 @@
 	case s.Run != nil:
 		err = run(ctx, s.Run)
 	default:
-		err = render(s.Page.Json, s.Page.Page)
+		err = render(s.Page.JSON, s.Page.Page)
 	}
 	if err != nil {
 		stop()
--- a/cmd/gauge/measure.go
+++ b/cmd/gauge/measure.go
@@ -119,7 +119,7 @@
 	const mb = 1 << 20
 	u, v := a.use[p], b.use[p]
 	s := v.At.Sub(u.At).Seconds()
-	return Role{Cpu: 100 * (v.Cpu - u.Cpu).Seconds() / s, Rss: float64(v.Rss) / mb, Memory: float64(v.Rss) / mb,
+	return Role{CPU: 100 * (v.CPU - u.CPU).Seconds() / s, Rss: float64(v.Rss) / mb, Memory: float64(v.Rss) / mb,
 		Files: float64(v.Files), Sockets: float64(v.Sockets), Flows: map[string]PerSpan{}}, s
 }
 
@@ -149,7 +149,7 @@
 func (pt *Point) holder(a, b *glance, p *proc, cores map[string]*Role) *Role {
 	const mb = 1 << 20
 	r, s := usage(a, b, p)
-	r.Cpu -= pt.Empty.Cpu
+	r.CPU -= pt.Empty.CPU
 	r.Memory = float64(b.stands[p].Heap+b.stands[p].Stack) / mb
 	for name, f := range b.stands[p].Flows {
 		f.add(a.stands[p].Flows[name], -1)
--- a/cmd/gauge/page.go
+++ b/cmd/gauge/page.go
@@ -91,8 +91,8 @@
 }
 
 var (
-	nodeCpu     = quantity{"node: processor, % of a core", func(p *Point) float64 { return p.Plain.Cpu }}
-	aloneCpu    = quantity{"node alone in a process: processor, % of a core", func(p *Point) float64 { return p.alone(p.Alone.Cpu) }}
+	nodeCPU     = quantity{"node: processor, % of a core", func(p *Point) float64 { return p.Plain.CPU }}
+	aloneCPU    = quantity{"node alone in a process: processor, % of a core", func(p *Point) float64 { return p.alone(p.Alone.CPU) }}
 	nodeHeap    = quantity{"node alone: heap and stacks, MB", func(p *Point) float64 { return p.alone(p.Alone.Memory) }}
 	nodeRss     = quantity{"node alone in a process: resident, MB", func(p *Point) float64 { return p.alone(p.Alone.Rss) }}
 	nodeBytes   = quantity{"node: bytes/s, both ways", func(p *Point) float64 { return p.Plain.In + p.Plain.Out }}
@@ -107,22 +107,22 @@
 	nodeSockets = quantity{"node: sockets", func(p *Point) float64 { return p.Plain.Sockets }}
 	nodeFiles   = quantity{"node alone: files that are no sockets", func(p *Point) float64 { return p.Alone.Files - p.Alone.Sockets }}
 	askList     = quantity{"asker of the list: bytes/s from the platform", func(p *Point) float64 { return p.Lister.Flows["workers"].In }}
-	askCpu      = quantity{"asker of the list: processor, % of a core", func(p *Point) float64 { return p.Lister.Cpu }}
+	askCPU      = quantity{"asker of the list: processor, % of a core", func(p *Point) float64 { return p.Lister.CPU }}
 	askSockets  = quantity{"asker of the list: sockets", func(p *Point) float64 { return p.Lister.Sockets }}
 	askCalls    = quantity{"asker of the list: askings a second, all nodes together", func(p *Point) float64 { return p.Node.Flows["workers"].Asked * float64(p.Size.Nodes) }}
 	giveList    = quantity{"asker of the list: requests of nodes a second", func(p *Point) float64 { return p.Lister.Flows["relay/list"].Served }}
 	giveBytes   = quantity{"asker of the list: bytes/s sent on", func(p *Point) float64 { return p.Lister.Flows["relay/list"].Out }}
-	coreCpu     = quantity{"primary: processor, % of a core", func(p *Point) float64 { return p.Cores[0].Cpu }}
+	coreCPU     = quantity{"primary: processor, % of a core", func(p *Point) float64 { return p.Cores[0].CPU }}
 	coreRss     = quantity{"primary: resident, MB", func(p *Point) float64 { return p.Cores[0].Rss }}
 	coreIn      = quantity{"primary: bytes/s read", func(p *Point) float64 { return p.Cores[0].In }}
 	coreOut     = quantity{"primary: bytes/s written", func(p *Point) float64 { return p.Cores[0].Out }}
 	coreServed  = quantity{"primary: requests of nodes a second", func(p *Point) float64 { return p.Cores[0].Served }}
 	coreSockets = quantity{"primary: sockets", func(p *Point) float64 { return p.Cores[0].Sockets }}
 	coreFiles   = quantity{"primary: files that are no sockets", func(p *Point) float64 { return p.Cores[0].Files - p.Cores[0].Sockets }}
-	sideCpu     = quantity{"backup: processor, % of a core", func(p *Point) float64 { return p.Cores[1].Cpu }}
+	sideCPU     = quantity{"backup: processor, % of a core", func(p *Point) float64 { return p.Cores[1].CPU }}
 	sideRss     = quantity{"backup: resident, MB", func(p *Point) float64 { return p.Cores[1].Rss }}
 	sideBytes   = quantity{"backup: bytes/s, both ways", func(p *Point) float64 { return p.Cores[1].In + p.Cores[1].Out }}
-	thirdCpu    = quantity{"third core: processor, % of a core", func(p *Point) float64 { return p.Cores[2].Cpu }}
+	thirdCPU    = quantity{"third core: processor, % of a core", func(p *Point) float64 { return p.Cores[2].CPU }}
 	reachMean   = quantity{"in force at the last node, mean, ms", func(p *Point) float64 { return p.Last.some(p.Last.Mean) }}
 	reachWorst  = quantity{"in force at the last node, worst, ms", func(p *Point) float64 { return p.Last.some(p.Last.Worst) }}
 	ackMean     = quantity{"taken by the core, mean, ms", func(p *Point) float64 { return p.Ack.some(p.Ack.Mean) }}
@@ -164,21 +164,21 @@
 	sweep, what string
 	row         []quantity
 }{
-	{"nodes", "nodes, nothing changes", []quantity{aloneCpu, nodeCpu, nodeHeap, nodeRss, nodeBytes, nodeWhere, nodeList, nodeSockets, askCalls, askCpu, giveList, askSockets, coreCpu, coreRss, coreIn, coreOut, coreServed, coreSockets, sideCpu, sideBytes}},
-	{"reach", "nodes, one change a second of 200 routes", []quantity{ackMean, reachMean, reachWorst, nodeCpu, nodeNews, coreCpu, coreIn, coreOut}},
-	{"routes", "routes, one change a second", []quantity{textBytes, ackMean, reachMean, reachWorst, nodeCpu, nodeHeap, nodeRss, nodeNews, coreCpu, coreRss, coreOut, sideCpu}},
-	{"changes", "changes a second of 50 routes", []quantity{ackMean, reachMean, reachWorst, nodeCpu, nodeNews, nodeLease, coreCpu, coreOut}},
-	{"workers", "workers listed, one of them changing every two seconds", []quantity{nodeCpu, nodeHeap, nodeRss, nodeList, askList, giveBytes, askCpu, coreCpu}},
-	{"duties", "workers named in the configuration, each a key", []quantity{nodeCpu, nodeHeap, nodeBytes, coreCpu, coreRss, sideCpu}},
-	{"holder", "workers under one node's duties", []quantity{nodeCpu, nodeRss, nodeBytes, nodeAsked, nodeSockets}},
-	{"beats", "verges, 150 ms between beats", []quantity{nodeCpu, nodeHeap, nodeBeat, nodeBeats, nodeSockets, coreCpu}},
+	{"nodes", "nodes, nothing changes", []quantity{aloneCPU, nodeCPU, nodeHeap, nodeRss, nodeBytes, nodeWhere, nodeList, nodeSockets, askCalls, askCPU, giveList, askSockets, coreCPU, coreRss, coreIn, coreOut, coreServed, coreSockets, sideCPU, sideBytes}},
+	{"reach", "nodes, one change a second of 200 routes", []quantity{ackMean, reachMean, reachWorst, nodeCPU, nodeNews, coreCPU, coreIn, coreOut}},
+	{"routes", "routes, one change a second", []quantity{textBytes, ackMean, reachMean, reachWorst, nodeCPU, nodeHeap, nodeRss, nodeNews, coreCPU, coreRss, coreOut, sideCPU}},
+	{"changes", "changes a second of 50 routes", []quantity{ackMean, reachMean, reachWorst, nodeCPU, nodeNews, nodeLease, coreCPU, coreOut}},
+	{"workers", "workers listed, one of them changing every two seconds", []quantity{nodeCPU, nodeHeap, nodeRss, nodeList, askList, giveBytes, askCPU, coreCPU}},
+	{"duties", "workers named in the configuration, each a key", []quantity{nodeCPU, nodeHeap, nodeBytes, coreCPU, coreRss, sideCPU}},
+	{"holder", "workers under one node's duties", []quantity{nodeCPU, nodeRss, nodeBytes, nodeAsked, nodeSockets}},
+	{"beats", "verges, 150 ms between beats", []quantity{nodeCPU, nodeHeap, nodeBeat, nodeBeats, nodeSockets, coreCPU}},
 	{"losses", "nodes of 64 killed together and replaced", []quantity{known, mended}},
 	{"takeover", "nodes, the primary killed", []quantity{known, mended}},
 	{"picks", "workers listed, requests at one node", []quantity{pickMicros}},
 	{"tools", "workers named in the configuration", []quantity{
-		tool("edict apply", "ms", func(t Tool) float64 { return t.Ms }), tool("edict apply", "ms of processor", func(t Tool) float64 { return t.CpuMs }),
+		tool("edict apply", "ms", func(t Tool) float64 { return t.Ms }), tool("edict apply", "ms of processor", func(t Tool) float64 { return t.CPUMs }),
 		tool("edict apply", "bytes", func(t Tool) float64 { return t.In + t.Out }),
-		tool("omen drain", "ms", func(t Tool) float64 { return t.Ms }), tool("omen drain", "ms of processor", func(t Tool) float64 { return t.CpuMs }),
+		tool("omen drain", "ms", func(t Tool) float64 { return t.Ms }), tool("omen drain", "ms of processor", func(t Tool) float64 { return t.CPUMs }),
 		tool("omen drain", "bytes", func(t Tool) float64 { return t.In + t.Out })}},
 }
 
--- a/cmd/gauge/picks.go
+++ b/cmd/gauge/picks.go
@@ -69,9 +69,9 @@
 	var before, after runtime.MemStats
 	run := func(i int) error {
 		route := i % 50
-		return n.Carry(ctx, &proxy.Request{Id: fmt.Sprint("r-", i), Method: http.MethodPost, Path: fmt.Sprintf("/v1/%05d/chat", route), Target: "/",
+		return n.Carry(ctx, &proxy.Request{ID: fmt.Sprint("r-", i), Method: http.MethodPost, Path: fmt.Sprintf("/v1/%05d/chat", route), Target: "/",
 			Host: fmt.Sprintf("tenant-%03d.example", route%330), Header: http.Header{}, Body: make([]byte, 4096), Model: s.model(route),
-			Parts:  []proxy.Part{{Id: fmt.Sprint("system-", route), Tokens: 600}, {Id: fmt.Sprint("turn-", i%400), Tokens: 900}, {Id: fmt.Sprint("last-", i), Tokens: 100}},
+			Parts:  []proxy.Part{{ID: fmt.Sprint("system-", route), Tokens: 600}, {ID: fmt.Sprint("turn-", i%400), Tokens: 900}, {ID: fmt.Sprint("last-", i), Tokens: 100}},
 			Prompt: 1600, Most: 200, At: host.Clock.Now()}, sink{})
 	}
 	for i := range count / 10 {
--- a/cmd/gauge/proc.go
+++ b/cmd/gauge/proc.go
@@ -17,7 +17,7 @@
 // Use is a process's use of the machine up to a moment.
 type Use struct {
 	At      time.Time
-	Cpu     time.Duration
+	CPU     time.Duration
 	Rss     int64 // bytes
 	Read    int64 // bytes by read calls, sockets and files
 	Written int64 // bytes by write calls
@@ -44,7 +44,7 @@
 	fmt.Sscan(f[11], &user)
 	fmt.Sscan(f[12], &sys)
 	fmt.Sscan(f[21], &pages)
-	u.Cpu = time.Duration(user+sys) * time.Second / hertz
+	u.CPU = time.Duration(user+sys) * time.Second / hertz
 	u.Rss = pages * int64(os.Getpagesize())
 	if io, err := os.ReadFile(at + "io"); err == nil {
 		for row := range strings.Lines(string(io)) {
--- a/cmd/gauge/role.go
+++ b/cmd/gauge/role.go
@@ -4,7 +4,7 @@
 
 // Role is what one process, or one node of several in a process, spends.
 type Role struct {
-	Cpu     float64            `json:"cpu"`     // % of one core
+	CPU     float64            `json:"cpu"`     // % of one core
 	Memory  float64            `json:"memory"`  // MB: resident, or of a node its part of heap and stacks
 	Rss     float64            `json:"rss"`     // MB resident, of a node its part of its process
 	In      float64            `json:"in"`      // bytes a second
@@ -35,7 +35,7 @@
 }
 
 func (r *Role) add(o *Role) {
-	r.Cpu, r.Memory, r.Rss = r.Cpu+o.Cpu, r.Memory+o.Memory, r.Rss+o.Rss
+	r.CPU, r.Memory, r.Rss = r.CPU+o.CPU, r.Memory+o.Memory, r.Rss+o.Rss
 	r.Files, r.Sockets = r.Files+o.Files, r.Sockets+o.Sockets
 	for name, q := range o.Flows {
 		r.flow(name, q)
@@ -43,7 +43,7 @@
 }
 
 func (r *Role) scale(x float64) {
-	for _, v := range []*float64{&r.Cpu, &r.Memory, &r.Rss, &r.In, &r.Out, &r.Asked, &r.Served, &r.Files, &r.Sockets} {
+	for _, v := range []*float64{&r.CPU, &r.Memory, &r.Rss, &r.In, &r.Out, &r.Asked, &r.Served, &r.Files, &r.Sockets} {
 		*v *= x
 	}
 	for name, q := range r.Flows {
--- a/cmd/gauge/run.go
+++ b/cmd/gauge/run.go
@@ -108,7 +108,7 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	book, err := load(c.Json)
+	book, err := load(c.JSON)
 	if err != nil {
 		return err
 	}
@@ -133,13 +133,13 @@
 		}
 		p.Commit = source
 		book.put(*p)
-		if err := book.save(c.Json); err != nil {
+		if err := book.save(c.JSON); err != nil {
 			return err
 		}
 		fmt.Println(p.row())
 	}
 	if c.Page != "" {
-		failed = failure.Join(failed, render(c.Json, c.Page))
+		failed = failure.Join(failed, render(c.JSON, c.Page))
 	}
 	return failed
 }
@@ -149,7 +149,7 @@
 func (pt *Point) row() string {
 	n, l := pt.Node, pt.Cores[0]
 	row := fmt.Sprintf("%-8s %4v | %.2f %.2f %.1f %.1f %.1f %.1f %.1f | %.1f %.1f %.1f %.1f %.0f | %.0f %.0f %.0f | %.1f",
-		pt.Sweep, pt.X, n.Cpu, n.Memory, n.In/1000, n.Out/1000, n.Asked, n.Served, n.Sockets, l.Cpu, l.Rss, l.In/1000, l.Out/1000, l.Sockets, pt.Last.Mean, pt.Last.P99, pt.Last.Worst, pt.Load)
+		pt.Sweep, pt.X, n.CPU, n.Memory, n.In/1000, n.Out/1000, n.Asked, n.Served, n.Sockets, l.CPU, l.Rss, l.In/1000, l.Out/1000, l.Sockets, pt.Last.Mean, pt.Last.P99, pt.Last.Worst, pt.Load)
 	if pt.Known > 0 {
 		row += fmt.Sprintf(" | known after %.2f s, replaced in %.2f s", pt.Known, pt.Mended)
 	}
--- a/cmd/gauge/target.go
+++ b/cmd/gauge/target.go
@@ -18,7 +18,7 @@
 	tReplaced = 2_300.0 / 86_400
 	tShare    = 0.32
 	tForce    = 6000.0 // ms
-	tCpu      = 1.5    // % of a core, a node for control
+	tCPU      = 1.5    // % of a core, a node for control
 	tMemory   = 32.0   // MB
 	tBytes    = 4096.0 // a second
 	tSpare    = 24.0   // machines set aside for control
@@ -67,13 +67,13 @@
 	}
 }
 
-// nodeCpuParts are % of a core.
-func (b *Book) nodeCpuParts() []spent {
+// nodeCPUParts are % of a core.
+func (b *Book) nodeCPUParts() []spent {
 	return []spent{
-		{"leases, news, whereabouts, list, while nothing changes", "nodes", "nodes", b.at("nodes", aloneCpu, tNodes)},
-		{"changes of 200 routes", "changes × nodes", "reach", max(0, b.at("reach", nodeCpu, tNodes)-b.at("nodes", nodeCpu, tNodes)) * tChanges},
-		{"for more routes than 200", "changes × routes", "routes", b.slope("routes", nodeCpu) * (aRoutes - reachSize) * tChanges},
-		{"the list at each change", "workers × changes of the list", "workers", b.slope("workers", nodeCpu) / churnRate * tWorkers * aListed},
+		{"leases, news, whereabouts, list, while nothing changes", "nodes", "nodes", b.at("nodes", aloneCPU, tNodes)},
+		{"changes of 200 routes", "changes × nodes", "reach", max(0, b.at("reach", nodeCPU, tNodes)-b.at("nodes", nodeCPU, tNodes)) * tChanges},
+		{"for more routes than 200", "changes × routes", "routes", b.slope("routes", nodeCPU) * (aRoutes - reachSize) * tChanges},
+		{"the list at each change", "workers × changes of the list", "workers", b.slope("workers", nodeCPU) / churnRate * tWorkers * aListed},
 	}
 }
 
@@ -121,7 +121,7 @@
 		g.row("**"+what+"**", "", "", "**"+num(y)+" "+unit+"**", fmt.Sprintf("%s, %s %s", within(y, bound), num(bound), unit))
 	}
 	add("bytes", "B/s", b.nodeBytesParts(), tBytes)
-	add("processor", "% of a core", b.nodeCpuParts(), tCpu)
+	add("processor", "% of a core", b.nodeCPUParts(), tCPU)
 	add("memory", "MB", b.nodeMemoryParts(), tMemory)
 	return g.b.String()
 }
@@ -137,21 +137,21 @@
 	at := func(sweep string, q quantity, x float64) string { return num(b.at(sweep, q, x)) }
 	parts := b.nodeBytesParts()
 	g.row("node", "configuration, members, grants, the list of all workers", at("nodes", nodeServed, tNodes)+", "+at("nodes", nodeAsked, tNodes),
-		kb(total(parts))+" both ways", num(total(b.nodeCpuParts())), num(total(b.nodeMemoryParts())), at("nodes", nodeSockets, tNodes)+" ("+at("nodes", nodeFiles, tNodes)+")")
+		kb(total(parts))+" both ways", num(total(b.nodeCPUParts())), num(total(b.nodeMemoryParts())), at("nodes", nodeSockets, tNodes)+" ("+at("nodes", nodeFiles, tNodes)+")")
 	g.row("core, primary", "the log, configuration, members, grants, deeds", at("nodes", coreServed, tNodes)+" of nodes, as many answers",
-		kb(b.coreAt(coreIn))+", "+kb(b.coreAt(coreOut)), num(b.coreAt(coreCpu)), num(b.at("nodes", coreRss, tNodes)+b.slope("routes", coreRss)*aRoutes),
+		kb(b.coreAt(coreIn))+", "+kb(b.coreAt(coreOut)), num(b.coreAt(coreCPU)), num(b.at("nodes", coreRss, tNodes)+b.slope("routes", coreRss)*aRoutes),
 		at("nodes", coreSockets, tNodes)+" ("+at("nodes", coreFiles, tNodes)+")")
-	g.row("core, backup", "the same", "entries of each commit; not counted", kb(b.at("nodes", sideBytes, tNodes))+" both ways while nothing changes", num(b.coreAt(sideCpu)), at("nodes", sideRss, tNodes), "as the primary towards nodes, fewer")
-	g.row("core, third", "a register", "5 signs of life; not counted", "-", at("nodes", thirdCpu, tNodes), "-", "-")
+	g.row("core, backup", "the same", "entries of each commit; not counted", kb(b.at("nodes", sideBytes, tNodes))+" both ways while nothing changes", num(b.coreAt(sideCPU)), at("nodes", sideRss, tNodes), "as the primary towards nodes, fewer")
+	g.row("core, third", "a register", "5 signs of life; not counted", "-", at("nodes", thirdCPU, tNodes), "-", "-")
 	sent := b.slope("workers", giveBytes) / churnRate * tWorkers * aListed * tNodes / float64(usual.Nodes)
 	g.row("holder of the list's duty, which asks for the list", "the list", at("nodes", giveList, tNodes)+" of nodes, as many answers; "+at("workers", askCalls, tWorkers)+" to the platform",
 		kb(b.at("workers", askList, tWorkers))+" in, "+kb(sent)+" sent on for changes alone",
-		num(b.at("nodes", askCpu, tNodes)+max(0, b.at("workers", askCpu, tWorkers)-b.at("workers", askCpu, float64(usual.Workers))))+" (at 16 nodes for the list's size)", "as a node", at("nodes", askSockets, tNodes))
+		num(b.at("nodes", askCPU, tNodes)+max(0, b.at("workers", askCPU, tWorkers)-b.at("workers", askCPU, float64(usual.Workers))))+" (at 16 nodes for the list's size)", "as a node", at("nodes", askSockets, tNodes))
 	g.row("holder of a service's duty", fmt.Sprintf("reports of its workers, %.0f at the target", held), "0, "+at("holder", nodeAsked, held),
-		kb(b.at("holder", nodeBytes, held))+" both ways", at("holder", nodeCpu, held), at("holder", nodeRss, held), at("holder", nodeSockets, held))
+		kb(b.at("holder", nodeBytes, held))+" both ways", at("holder", nodeCPU, held), at("holder", nodeRss, held), at("holder", nodeSockets, held))
 	g.row("planner (`omen drain`)", "nothing; 2000 workers named, the most that was run", "2 askings", at("tools", tool("omen drain", "bytes", func(t Tool) float64 { return t.In + t.Out }), 2000)+" B in all",
-		at("tools", tool("omen drain", "cpu", func(t Tool) float64 { return t.CpuMs }), 2000)+" ms in all", "not measured", "1")
+		at("tools", tool("omen drain", "cpu", func(t Tool) float64 { return t.CPUMs }), 2000)+" ms in all", "not measured", "1")
 	g.row("operators' command (`edict apply`)", "the same", "2 askings", at("tools", tool("edict apply", "bytes", func(t Tool) float64 { return t.In + t.Out }), 2000)+" B in all",
-		at("tools", tool("edict apply", "cpu", func(t Tool) float64 { return t.CpuMs }), 2000)+" ms in all", "not measured", "1")
+		at("tools", tool("edict apply", "cpu", func(t Tool) float64 { return t.CPUMs }), 2000)+" ms in all", "not measured", "1")
 	return g.b.String()
 }
--- a/cmd/guise/main.go
+++ b/cmd/guise/main.go
@@ -19,7 +19,7 @@
 )
 
 type workerCmd struct {
-	Id      string   `arg:"--id,required" help:"the worker's name"`
+	ID      string   `arg:"--id,required" help:"the worker's name"`
 	Addr    string   `arg:"--addr,required" help:"IP number and port"`
 	Part    string   `arg:"--part" default:"prefill" help:"prefill or decode"`
 	Model   string   `arg:"--model,required"`
@@ -84,7 +84,7 @@
 	switch {
 	case s.Worker != nil:
 		c := s.Worker
-		w := standin.NewWorker(standin.WorkerOptions{Id: ids.WorkerId(c.Id), Addr: c.Addr, Part: ids.Part(c.Part), Room: c.Room, Block: c.Block,
+		w := standin.NewWorker(standin.WorkerOptions{ID: ids.WorkerID(c.ID), Addr: c.Addr, Part: ids.Part(c.Part), Room: c.Room, Block: c.Block,
 			Model: workerclient.Model{Name: c.Model, Weights: c.Weights, Adapters: c.Adapter}, Host: host})
 		mux := http.NewServeMux()
 		mux.Handle("/", w.Handler())
--- a/cmd/omen/main.go
+++ b/cmd/omen/main.go
@@ -31,7 +31,7 @@
 
 type settings struct {
 	Doors    []string   `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
-	Json     bool       `arg:"--json" help:"print JSON"`
+	JSON     bool       `arg:"--json" help:"print JSON"`
 	Policy   *policyCmd `arg:"subcommand:apply" help:"a configuration"`
 	Evacuate *nameCmd   `arg:"subcommand:evacuate" help:"the evacuation of a zone"`
 	Zone     *nameCmd   `arg:"subcommand:lose-zone" help:"the loss of a zone"`
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	if s.Json {
+	if s.JSON {
 		b, err := json.MarshalIndent(f, "", "  ")
 		fmt.Println(string(b))
 		return err
@@ -99,7 +99,7 @@
 	case s.Machine != nil:
 		return augur.Change{LoseAddr: s.Machine.Name}, nil
 	case s.Drain != nil:
-		return augur.Change{Drain: ids.WorkerId(s.Drain.Name)}, nil
+		return augur.Change{Drain: ids.WorkerID(s.Drain.Name)}, nil
 	case s.Revoke != nil:
 		return augur.Change{Revoke: s.Revoke.Name}, nil
 	case s.Expire != nil:
--- a/cmd/realm/fleet.go
+++ b/cmd/realm/fleet.go
@@ -175,10 +175,10 @@
 
 // settle lists all at the platform, applies the configuration, and waits until
 // every node is ready.
-func (f *fleet) settle(ctx context.Context, names []ids.WorkerId) error {
+func (f *fleet) settle(ctx context.Context, names []ids.WorkerID) error {
 	begun := time.Now()
 	for _, p := range f.of("worker-") {
-		l := workerclient.Listed{Id: ids.WorkerId(strings.TrimPrefix(p.Name, "worker-")), Addr: p.Addr, Zone: p.Zone}
+		l := workerclient.Listed{ID: ids.WorkerID(strings.TrimPrefix(p.Name, "worker-")), Addr: p.Addr, Zone: p.Zone}
 		if err := f.until(ctx, 10*time.Second, func() error { return post(f.platform, "/workers", l, nil) }); err != nil {
 			return err
 		}
--- a/coordination/asks.go
+++ b/coordination/asks.go
@@ -6,13 +6,13 @@
 import "keelstair.example/ids"
 
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file asks.go
-//msgp:shim ids.OpId as:string using:string/ids.OpId
+//msgp:shim ids.OpID as:string using:string/ids.OpID
 //msgp:shim ids.Seq as:uint64 using:uint64/ids.Seq
 
 // SubmitAsk asks for one command. Asking again with the same Op gives the
 // outcome that the first asking had.
 type SubmitAsk struct {
-	Op   ids.OpId
+	Op   ids.OpID
 	Kind string
 	Body []byte
 }
--- a/coordination/asks_gen.go
+++ b/coordination/asks_gen.go
@@ -94,7 +94,7 @@
 					err = msgp.WrapError(err, "Op")
 					return
 				}
-				z.Op = ids.OpId(zb0002)
+				z.Op = ids.OpID(zb0002)
 			}
 		case "Kind":
 			z.Kind, bts, err = msgp.ReadStringBytes(bts)
--- a/coordination/ballot_note.go
+++ b/coordination/ballot_note.go
@@ -7,7 +7,7 @@
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file ballot_note.go
 //msgp:shim ids.Epoch as:uint64 using:uint64/ids.Epoch
 //msgp:shim ids.Seq as:uint64 using:uint64/ids.Seq
-//msgp:shim ids.DiskId as:string using:string/ids.DiskId
+//msgp:shim ids.DiskID as:string using:string/ids.DiskID
 
 // BallotAsk is either round: promise, or accept of Record.
 type BallotAsk struct {
@@ -25,5 +25,5 @@
 	Promised   ids.Epoch
 	Accepted   Record
 	Why        string
-	PromisedTo ids.DiskId `msg:"PromisedTo,omitempty"` // the replica that the promise was given to
+	PromisedTo ids.DiskID `msg:"PromisedTo,omitempty"` // the replica that the promise was given to
 }
--- a/coordination/ballot_note_gen.go
+++ b/coordination/ballot_note_gen.go
@@ -202,7 +202,7 @@
 					err = msgp.WrapError(err, "PromisedTo")
 					return
 				}
-				z.PromisedTo = ids.DiskId(zb0003)
+				z.PromisedTo = ids.DiskID(zb0003)
 			}
 		default:
 			bts, err = msgp.Skip(bts)
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -64,7 +64,7 @@
 
 	regMu seam.Latch
 	reg   register
-	heard map[ids.DiskId]ids.Tick
+	heard map[ids.DiskID]ids.Tick
 
 	dataMu     seam.Latch
 	state      *replicatedState
@@ -83,7 +83,7 @@
 // New opens the disk and reads what it holds. It starts nothing.
 func New(opt Options) (*Core, error) {
 	opt.fill()
-	c := &Core{opt: opt, regMu: seam.NewLatch(), dataMu: seam.NewLatch(), feed: newFeed(), heard: map[ids.DiskId]ids.Tick{}, wake: make(chan struct{}, 1), fatal: make(chan error, 1)}
+	c := &Core{opt: opt, regMu: seam.NewLatch(), dataMu: seam.NewLatch(), feed: newFeed(), heard: map[ids.DiskID]ids.Tick{}, wake: make(chan struct{}, 1), fatal: make(chan error, 1)}
 	c.store = &store{disk: opt.Host.Disk, stall: opt.Stall}
 	id, err := opt.Host.Disk.Load(identityFile)
 	if errors.Is(err, seam.ErrGone) {
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, failure.Wrap(err, "open identity", "disk")
 	}
-	c.me = Replica{Disk: ids.DiskId(id), Addr: opt.Addr, Zone: opt.Zone}
+	c.me = Replica{Disk: ids.DiskID(id), Addr: opt.Addr, Zone: opt.Zone}
 	if c.reg, err = c.store.loadRegister(); err != nil {
 		return nil, err
 	}
@@ -205,7 +205,7 @@
 	}
 }
 
-func holds(list []Replica, d ids.DiskId) bool {
+func holds(list []Replica, d ids.DiskID) bool {
 	for _, s := range list {
 		if s.Disk == d {
 			return true
--- a/coordination/cutoff_test.go
+++ b/coordination/cutoff_test.go
@@ -52,7 +52,7 @@
 	defer caller.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 900*time.Millisecond)
 	defer stop()
-	ask := &coordination.SubmitAsk{Op: ids.OpId(op), Kind: "add", Body: []byte("0")}
+	ask := &coordination.SubmitAsk{Op: ids.OpID(op), Kind: "add", Body: []byte("0")}
 	_, submitted = rpc.Call[coordination.SubmitAsk, coordination.SubmitReply](ctx, caller, ip+":1", "crux/submit", ask)
 	_, read = rpc.Call[coordination.NewsAsk, coordination.NewsReply](ctx, caller, ip+":1", "crux/news", &coordination.NewsAsk{})
 	return submitted, read
--- a/coordination/directory.go
+++ b/coordination/directory.go
@@ -32,7 +32,7 @@
 	seeds   []string
 	me      WhereAsk
 	record  Record
-	seats   map[ids.DiskId]replicaSeen
+	seats   map[ids.DiskID]replicaSeen
 	members []Member
 	seq     ids.Seq // of the log, that the members are as of
 	call    *rpc.Caller
@@ -44,7 +44,7 @@
 // NewDirectory makes the directory of a process: me is its own replica, or only its address. It knows no
 // more than the seeds, until it asks.
 func NewDirectory(host seam.Host, call *rpc.Caller, seeds []string, me Replica) *Directory {
-	return &Directory{host: host, call: call, seeds: seeds, me: WhereAsk{Me: me}, seats: map[ids.DiskId]replicaSeen{}, grown: make(chan struct{})}
+	return &Directory{host: host, call: call, seeds: seeds, me: WhereAsk{Me: me}, seats: map[ids.DiskID]replicaSeen{}, grown: make(chan struct{})}
 }
 
 // Page is what the directory would tell another process now.
@@ -193,7 +193,7 @@
 }
 
 // leaving tells whether a replica said that it is about to end.
-func (b *Directory) leaving(d ids.DiskId) bool {
+func (b *Directory) leaving(d ids.DiskID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.seats[d].leaving
--- a/coordination/directory_test.go
+++ b/coordination/directory_test.go
@@ -15,7 +15,7 @@
 // members are, whichever comes last; so does one that tells of none left.
 func TestStalePage(t *testing.T) {
 	rec := Record{Epoch: 3, Founding: "f"}
-	page := func(epoch ids.Epoch, seq ids.Seq, names ...ids.NodeId) *WhereAsk {
+	page := func(epoch ids.Epoch, seq ids.Seq, names ...ids.NodeID) *WhereAsk {
 		p := &WhereAsk{Record: rec, Seq: seq}
 		p.Record.Epoch = epoch
 		for _, n := range names {
@@ -23,9 +23,9 @@
 		}
 		return p
 	}
-	has := func(b *Directory, names ...ids.NodeId) {
+	has := func(b *Directory, names ...ids.NodeID) {
 		t.Helper()
-		var got []ids.NodeId
+		var got []ids.NodeID
 		for _, m := range b.Page().Members {
 			got = append(got, m.Node)
 		}
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -25,9 +25,9 @@
 type proposal struct {
 	held  ids.Epoch  // the epoch in which the proposer leads already, or 0 for a takeover
 	asked bool       // the primary has asked the proposer to take over
-	out   ids.DiskId // a holder that is replaced
+	out   ids.DiskID // a holder that is replaced
 	in    Replica    // by this one
-	avoid ids.DiskId // no backup, if another can be
+	avoid ids.DiskID // no backup, if another can be
 }
 
 // raise notes an epoch that is used, so that the next ballot is above it.
--- a/coordination/entry.go
+++ b/coordination/entry.go
@@ -7,8 +7,8 @@
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file entry.go
 //msgp:shim ids.Epoch as:uint64 using:uint64/ids.Epoch
 //msgp:shim ids.Seq as:uint64 using:uint64/ids.Seq
-//msgp:shim ids.DiskId as:string using:string/ids.DiskId
-//msgp:shim ids.OpId as:string using:string/ids.OpId
+//msgp:shim ids.DiskID as:string using:string/ids.DiskID
+//msgp:shim ids.OpID as:string using:string/ids.OpID
 
 // Entry is one command in the log. Open entries are also news for followers;
 // a closed one shows there as its number only.
@@ -16,7 +16,7 @@
 	Seq  ids.Seq
 	Open bool
 	Kind string
-	Op   ids.OpId
+	Op   ids.OpID
 	Body []byte
 }
 
@@ -31,7 +31,7 @@
 
 // AppendReply tells how far a replica's log reaches, and the epoch that it has promised.
 type AppendReply struct {
-	Disk     ids.DiskId // who answers a beat
+	Disk     ids.DiskID // who answers a beat
 	Ok       bool
 	Last     ids.Seq
 	Promised ids.Epoch
--- a/coordination/entry_gen.go
+++ b/coordination/entry_gen.go
@@ -199,7 +199,7 @@
 					err = msgp.WrapError(err, "Disk")
 					return
 				}
-				z.Disk = ids.DiskId(zb0002)
+				z.Disk = ids.DiskID(zb0002)
 			}
 		case "Ok":
 			z.Ok, bts, err = msgp.ReadBoolBytes(bts)
@@ -350,7 +350,7 @@
 					err = msgp.WrapError(err, "Op")
 					return
 				}
-				z.Op = ids.OpId(zb0003)
+				z.Op = ids.OpID(zb0003)
 			}
 		case "Body":
 			z.Body, bts, err = msgp.ReadBytesBytes(bts, z.Body)
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -97,7 +97,7 @@
 func (f *fleet) agent(ip string) (*coordination.Agent, *echo) {
 	v := &echo{}
 	p := f.w.Machine(ip).Start()
-	a := coordination.NewAgent(coordination.AgentOptions{Me: coordination.Member{Node: ids.NodeId(ip), Addr: ip + ":1"}, Host: p.Host(), Seeds: f.seeds, View: v})
+	a := coordination.NewAgent(coordination.AgentOptions{Me: coordination.Member{Node: ids.NodeID(ip), Addr: ip + ":1"}, Host: p.Host(), Seeds: f.seeds, View: v})
 	f.run(ip, ip+":1", p, a.Mount, a.Run)
 	return a, v
 }
@@ -157,7 +157,7 @@
 func (f *fleet) add(n int, op string, span time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), span)
 	defer stop()
-	_, err := f.agents[0].Submit(ctx, ids.OpId(op), "add", []byte(strconv.Itoa(n)))
+	_, err := f.agents[0].Submit(ctx, ids.OpID(op), "add", []byte(strconv.Itoa(n)))
 	return err
 }
 
--- a/coordination/follow.go
+++ b/coordination/follow.go
@@ -158,6 +158,6 @@
 // Submit asks the core for a command until the context ends. The same op is
 // asked with throughout, so whichever asking is taken, the outcome is one. An
 // error of kind Unknown means that it may have been done.
-func (a *Agent) Submit(ctx context.Context, op ids.OpId, kind string, body []byte) (*SubmitReply, error) {
+func (a *Agent) Submit(ctx context.Context, op ids.OpID, kind string, body []byte) (*SubmitReply, error) {
 	return SubmitWithin(ctx, a.call, a.directory, submitAttempt, &SubmitAsk{Op: op, Kind: kind, Body: body})
 }
--- a/coordination/image_note.go
+++ b/coordination/image_note.go
@@ -6,7 +6,7 @@
 
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file image_note.go
 //msgp:shim ids.Seq as:uint64 using:uint64/ids.Seq
-//msgp:shim ids.OpId as:string using:string/ids.OpId
+//msgp:shim ids.OpID as:string using:string/ids.OpID
 //msgp:shim ids.Fence as:uint64 using:uint64/ids.Fence
 
 // Image is a snapshot of all that the core holds.
@@ -24,7 +24,7 @@
 
 // Past is the outcome an operation had.
 type Past struct {
-	Op   ids.OpId
+	Op   ids.OpID
 	Seq  ids.Seq
 	Body []byte
 }
--- a/coordination/image_note_gen.go
+++ b/coordination/image_note_gen.go
@@ -202,7 +202,7 @@
 								err = msgp.WrapError(err, "Ops", za0003, "Op")
 								return
 							}
-							z.Ops[za0003].Op = ids.OpId(zb0008)
+							z.Ops[za0003].Op = ids.OpID(zb0008)
 						}
 					case "Seq":
 						{
@@ -336,7 +336,7 @@
 					err = msgp.WrapError(err, "Op")
 					return
 				}
-				z.Op = ids.OpId(zb0002)
+				z.Op = ids.OpID(zb0002)
 			}
 		case "Seq":
 			{
--- a/coordination/lead.go
+++ b/coordination/lead.go
@@ -40,7 +40,7 @@
 	since   ids.Tick
 	changed ids.Tick // when the membership was changed last
 	deals   ids.Tick
-	nodes   map[ids.NodeId]*leaseHolder
+	nodes   map[ids.NodeID]*leaseHolder
 	asked   ids.Tick
 }
 
@@ -70,7 +70,7 @@
 func (c *Core) serve(ctx context.Context, rec Record) {
 	now := c.opt.Host.Clock.Now()
 	l := &leader{c: c, rec: rec, founded: rec.Epoch, jobs: make(chan *job, 256), end: make(chan struct{}), since: now,
-		deals: now.Add(c.opt.Lease + c.opt.Lease/10), nodes: map[ids.NodeId]*leaseHolder{}}
+		deals: now.Add(c.opt.Lease + c.opt.Lease/10), nodes: map[ids.NodeID]*leaseHolder{}}
 	c.dataMu.Lock()
 	for n, m := range c.state.members {
 		l.nodes[n] = &leaseHolder{Member: m, last: now}
--- a/coordination/lease.go
+++ b/coordination/lease.go
@@ -19,8 +19,8 @@
 
 // Owner is the node that a key falls to: the highest hash of key and node (rendezvous
 // hashing).
-func Owner(key ids.Key, nodes []ids.NodeId) ids.NodeId {
-	var top ids.NodeId
+func Owner(key ids.Key, nodes []ids.NodeID) ids.NodeID {
+	var top ids.NodeID
 	for _, n := range nodes {
 		if top == "" || before(key, n, top) {
 			top = n
@@ -30,7 +30,7 @@
 }
 
 // Rank is the place of a node, from 0 on, among those that a key falls to in turn.
-func Rank(key ids.Key, node ids.NodeId, nodes []Member) int {
+func Rank(key ids.Key, node ids.NodeID, nodes []Member) int {
 	rank := 0
 	for _, m := range nodes {
 		if m.Node != node && before(key, m.Node, node) {
@@ -41,12 +41,12 @@
 }
 
 // before tells whether a key falls to a rather than to b.
-func before(key ids.Key, a, b ids.NodeId) bool {
+func before(key ids.Key, a, b ids.NodeID) bool {
 	x, y := weight(key, a), weight(key, b)
 	return x > y || x == y && a < b
 }
 
-func weight(key ids.Key, n ids.NodeId) uint64 {
+func weight(key ids.Key, n ids.NodeID) uint64 {
 	return ids.Mix(ids.Hash(string(n) + "\x00" + string(key)))
 }
 
@@ -105,7 +105,7 @@
 	}
 	span := c.opt.Lease + c.opt.Lease/10
 	late, seen := 0, c.state.seq
-	var live []ids.NodeId
+	var live []ids.NodeID
 	for n, t := range l.nodes {
 		if now.Past(t.last, span) {
 			late++
@@ -138,12 +138,12 @@
 
 // among keeps of the live nodes those that a key may fall to. If none may, all do: a key
 // without a holder would help nobody.
-func among(app Machine, k ids.Key, live []ids.NodeId) []ids.NodeId {
+func among(app Machine, k ids.Key, live []ids.NodeID) []ids.NodeID {
 	p, ok := app.(Placer)
 	if !ok {
 		return live
 	}
-	var out []ids.NodeId
+	var out []ids.NodeID
 	for _, n := range live {
 		if p.May(k, n) {
 			out = append(out, n)
@@ -156,7 +156,7 @@
 }
 
 // plan deals the free keys and marks the held ones that should move.
-func (l *leader) plan(now ids.Tick, live []ids.NodeId) Deal {
+func (l *leader) plan(now ids.Tick, live []ids.NodeID) Deal {
 	var d Deal
 	if now.Before(l.deals) && l.rec.Epoch > 1 || len(live) == 0 {
 		return d
--- a/coordination/lease_note.go
+++ b/coordination/lease_note.go
@@ -7,7 +7,7 @@
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file lease_note.go
 //msgp:shim ids.Seq as:uint64 using:uint64/ids.Seq
 //msgp:shim ids.Fence as:uint64 using:uint64/ids.Fence
-//msgp:shim ids.NodeId as:string using:string/ids.NodeId
+//msgp:shim ids.NodeID as:string using:string/ids.NodeID
 //msgp:shim ids.Zone as:string using:string/ids.Zone
 //msgp:shim ids.Key as:string using:string/ids.Key
 
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -62,7 +62,7 @@
 }
 
 // zonesOf counts replicas by zone, but for one.
-func zonesOf(list []Replica, without ids.DiskId) map[ids.Zone]int {
+func zonesOf(list []Replica, without ids.DiskID) map[ids.Zone]int {
 	perZone := map[ids.Zone]int{}
 	for _, s := range list {
 		if s.Disk != without {
@@ -250,7 +250,7 @@
 
 // enough tells whether so many holders are heard beside this one and the leaver that the data
 // can have its backups there.
-func (l *leader) enough(leaver ids.DiskId) bool {
+func (l *leader) enough(leaver ids.DiskID) bool {
 	c := l.c
 	now := c.opt.Host.Clock.Now()
 	c.regMu.Lock()
--- a/coordination/note_gen.go
+++ b/coordination/note_gen.go
@@ -49,7 +49,7 @@
 					err = msgp.WrapError(err, "Disk")
 					return
 				}
-				z.Disk = ids.DiskId(zb0002)
+				z.Disk = ids.DiskID(zb0002)
 			}
 		case "Addr":
 			z.Addr, bts, err = msgp.ReadStringBytes(bts)
--- a/coordination/primary_call_test.go
+++ b/coordination/primary_call_test.go
@@ -26,7 +26,7 @@
 func submitOne(call *rpc.Caller, directory *coordination.Directory, span, attempt time.Duration, op string) error {
 	ctx, stop := context.WithTimeout(context.Background(), span)
 	defer stop()
-	q := &coordination.SubmitAsk{Op: ids.OpId("test/" + op), Kind: "add", Body: []byte("1")}
+	q := &coordination.SubmitAsk{Op: ids.OpID("test/" + op), Kind: "add", Body: []byte("1")}
 	_, err := coordination.SubmitWithin(ctx, call, directory, attempt, q)
 	return err
 }
--- a/coordination/record.go
+++ b/coordination/record.go
@@ -26,7 +26,7 @@
 }
 
 // rank is the place of a backup, from 0 on, or -1.
-func (r Record) rank(d ids.DiskId) int {
+func (r Record) rank(d ids.DiskID) int {
 	for i, s := range r.backups() {
 		if s.Disk == d {
 			return i
--- a/coordination/register.go
+++ b/coordination/register.go
@@ -17,7 +17,7 @@
 // register is what a replica has promised and accepted.
 type register struct {
 	Promised   ids.Epoch
-	PromisedTo ids.DiskId
+	PromisedTo ids.DiskID
 	Accepted   Record
 }
 
@@ -106,7 +106,7 @@
 // settle notes that the record of an epoch is decided: its primary leads, which it does only
 // then. A change of holders is over with that, and the holders before it have no say any
 // more. The caller holds regMu. A disk that refuses is asked again at the next heartbeat.
-func (c *Core) settle(epoch ids.Epoch, primary ids.DiskId) {
+func (c *Core) settle(epoch ids.Epoch, primary ids.DiskID) {
 	if c.reg.Accepted.Epoch != epoch || c.reg.Accepted.Primary.Disk != primary || len(c.reg.Accepted.Before) == 0 {
 		return
 	}
@@ -132,17 +132,17 @@
 }
 
 // hear notes a sign of life of another replica. The caller holds regMu.
-func (c *Core) hear(d ids.DiskId) { c.heard[d] = c.opt.Host.Clock.Now() }
+func (c *Core) hear(d ids.DiskID) { c.heard[d] = c.opt.Host.Clock.Now() }
 
 // heardFrom notes a sign of life of another replica.
-func (c *Core) heardFrom(d ids.DiskId) {
+func (c *Core) heardFrom(d ids.DiskID) {
 	c.regMu.Lock()
 	defer c.regMu.Unlock()
 	c.hear(d)
 }
 
 // alive tells whether a replica was heard lately. The caller holds regMu.
-func (c *Core) alive(d ids.DiskId, now ids.Tick) bool {
+func (c *Core) alive(d ids.DiskID, now ids.Tick) bool {
 	if d == c.me.Disk {
 		return c.Leads()
 	}
--- a/coordination/register_test.go
+++ b/coordination/register_test.go
@@ -82,7 +82,7 @@
 // it is as long; entries that do not go on from its log are not taken for its missing ones.
 func TestSamePlace(t *testing.T) {
 	inRegister(t, func(c *Core, record Record) {
-		entry := func(body string) Entry { return Entry{Kind: joinKind, Body: Pack(&Member{Node: ids.NodeId(body)})} }
+		entry := func(body string) Entry { return Entry{Kind: joinKind, Body: Pack(&Member{Node: ids.NodeID(body)})} }
 		mine, theirs := []Entry{entry("a"), entry("b")}, newReplicatedState(nil)
 		require.NoError(t, c.applyAll(mine))
 		for _, e := range []Entry{entry("a"), entry("c")} {
--- a/coordination/state.go
+++ b/coordination/state.go
@@ -38,7 +38,7 @@
 
 // Placer is a Machine that says which nodes a key may fall to.
 type Placer interface {
-	May(key ids.Key, node ids.NodeId) bool
+	May(key ids.Key, node ids.NodeID) bool
 }
 
 // ErrUnchanged is what Apply gives, with an answer, when there is nothing to write.
@@ -60,17 +60,17 @@
 type replicatedState struct {
 	seq     ids.Seq
 	fence   ids.Fence
-	members map[ids.NodeId]Member
+	members map[ids.NodeID]Member
 	grants  map[ids.Key]Grant
-	past    map[ids.OpId]Past
-	order   map[string][]ids.OpId
+	past    map[ids.OpID]Past
+	order   map[string][]ids.OpID
 	app     Machine
 	digest  []byte // of the log up to seq
 	history history
 }
 
 func newReplicatedState(app Machine) *replicatedState {
-	return &replicatedState{members: map[ids.NodeId]Member{}, grants: map[ids.Key]Grant{}, past: map[ids.OpId]Past{}, order: map[string][]ids.OpId{}, app: app, digest: make([]byte, digestBytes)}
+	return &replicatedState{members: map[ids.NodeID]Member{}, grants: map[ids.Key]Grant{}, past: map[ids.OpID]Past{}, order: map[string][]ids.OpID{}, app: app, digest: make([]byte, digestBytes)}
 }
 
 type command interface{ apply(*replicatedState) }
--- a/coordination/state_note_gen.go
+++ b/coordination/state_note_gen.go
@@ -59,7 +59,7 @@
 					err = msgp.WrapError(err, "Node")
 					return
 				}
-				z.Node = ids.NodeId(zb0003)
+				z.Node = ids.NodeID(zb0003)
 			}
 		case "Fence":
 			{
@@ -131,7 +131,7 @@
 					err = msgp.WrapError(err, "Node")
 					return
 				}
-				z.Node = ids.NodeId(zb0002)
+				z.Node = ids.NodeID(zb0002)
 			}
 		case "Addr":
 			z.Addr, bts, err = msgp.ReadStringBytes(bts)
--- a/coordination/state_test.go
+++ b/coordination/state_test.go
@@ -17,10 +17,10 @@
 	r := newReplicatedState(nil)
 	r.keep(Past{Op: "op/first", Seq: 1})
 	for i := range 3 * maxPast {
-		r.keep(Past{Op: ids.OpId(fmt.Sprintf("claim/%d", i)), Seq: ids.Seq(i + 2)})
+		r.keep(Past{Op: ids.OpID(fmt.Sprintf("claim/%d", i)), Seq: ids.Seq(i + 2)})
 	}
-	require.Contains(t, r.past, ids.OpId("op/first"))
+	require.Contains(t, r.past, ids.OpID("op/first"))
 	require.Len(t, r.past, maxPast+1)
-	require.NotContains(t, r.past, ids.OpId("claim/0"))
-	require.Contains(t, r.past, ids.OpId(fmt.Sprintf("claim/%d", 3*maxPast-1)))
+	require.NotContains(t, r.past, ids.OpID("claim/0"))
+	require.Contains(t, r.past, ids.OpID(fmt.Sprintf("claim/%d", 3*maxPast-1)))
 }
--- a/coordination/store_test.go
+++ b/coordination/store_test.go
@@ -86,7 +86,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), span)
 	defer stop()
 	number := strconv.Itoa(n)
-	_, err := f.agents[0].Submit(ctx, ids.OpId(op), "add", []byte(strings.Repeat("0", size-len(number))+number))
+	_, err := f.agents[0].Submit(ctx, ids.OpID(op), "add", []byte(strings.Repeat("0", size-len(number))+number))
 	return err
 }
 
--- a/coordination/times_test.go
+++ b/coordination/times_test.go
@@ -79,7 +79,7 @@
 	began := time.Now()
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
-	_, err := f.agents[0].Submit(ctx, ids.OpId("timed"), "add", []byte("1"))
+	_, err := f.agents[0].Submit(ctx, ids.OpID("timed"), "add", []byte("1"))
 	require.NoError(t, err)
 	return time.Since(began)
 }
--- a/coordination/walk_test.go
+++ b/coordination/walk_test.go
@@ -194,7 +194,7 @@
 func (w *walk) command(a *coordination.Agent, op string) int {
 	for began := time.Now(); ; {
 		ctx, stop := context.WithTimeout(context.Background(), 3*time.Second)
-		r, err := a.Submit(ctx, ids.OpId(op), "add", []byte("1"))
+		r, err := a.Submit(ctx, ids.OpID(op), "add", []byte("1"))
 		stop()
 		if err == nil {
 			sum, err := strconv.Atoi(string(r.Body))
--- a/coordination/word_test.go
+++ b/coordination/word_test.go
@@ -83,9 +83,9 @@
 	})
 }
 
-type placed map[ids.NodeId]bool
+type placed map[ids.NodeID]bool
 
-func (p placed) May(_ ids.Key, n ids.NodeId) bool { return p[n] }
+func (p placed) May(_ ids.Key, n ids.NodeID) bool { return p[n] }
 
 // TestAmong: a key falls to those that may have it, or, if none may, to any.
 func TestAmong(t *testing.T) {
@@ -93,8 +93,8 @@
 		Machine
 		placed
 	}
-	live := []ids.NodeId{"a", "b", "c"}
+	live := []ids.NodeID{"a", "b", "c"}
 	require.Equal(t, live, among(struct{ Machine }{}, "k", live))
-	require.Equal(t, []ids.NodeId{"b", "c"}, among(&app{placed: placed{"b": true, "c": true, "d": true}}, "k", live))
+	require.Equal(t, []ids.NodeID{"b", "c"}, among(&app{placed: placed{"b": true, "c": true, "d": true}}, "k", live))
 	require.Equal(t, live, among(&app{placed: placed{}}, "k", live))
 }
--- a/fleetstate/decree.go
+++ b/fleetstate/decree.go
@@ -7,7 +7,7 @@
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file decree.go
 //msgp:shim ids.Version as:uint64 using:uint64/ids.Version
 //msgp:shim ids.Zone as:string using:string/ids.Zone
-//msgp:shim ids.WorkerId as:string using:string/ids.WorkerId
+//msgp:shim ids.WorkerID as:string using:string/ids.WorkerID
 
 // Vacate empties a zone, or takes that back. With Compare it is refused as stale unless the
 // zone has changed Base times so far; without, its operation's id alone tells a repetition.
@@ -20,7 +20,7 @@
 
 // Drain keeps new work from a worker, or takes that back.
 type Drain struct {
-	Worker ids.WorkerId
+	Worker ids.WorkerID
 	Out    bool
 }
 
--- a/fleetstate/decree_gen.go
+++ b/fleetstate/decree_gen.go
@@ -46,7 +46,7 @@
 					err = msgp.WrapError(err, "Worker")
 					return
 				}
-				z.Worker = ids.WorkerId(zb0002)
+				z.Worker = ids.WorkerID(zb0002)
 			}
 		case "Out":
 			z.Out, bts, err = msgp.ReadBoolBytes(bts)
--- a/fleetstate/deed.go
+++ b/fleetstate/deed.go
@@ -5,16 +5,16 @@
 import "keelstair.example/ids"
 
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file deed.go
-//msgp:shim ids.NodeId as:string using:string/ids.NodeId
-//msgp:shim ids.WorkerId as:string using:string/ids.WorkerId
+//msgp:shim ids.NodeID as:string using:string/ids.NodeID
+//msgp:shim ids.WorkerID as:string using:string/ids.WorkerID
 //msgp:shim ids.Life as:string using:string/ids.Life
 
 // Deed is one ruling or verdict by its caller's key. It runs at no other worker, and
 // in no other life of that one, than it names.
 type Deed struct {
 	Key    string
-	Owner  ids.NodeId
-	Worker ids.WorkerId
+	Owner  ids.NodeID
+	Worker ids.WorkerID
 	Life   ids.Life
 	Digest string
 	Fate   string
@@ -35,8 +35,8 @@
 // deed as it stands.
 type Claim struct {
 	Key    string
-	Owner  ids.NodeId
-	Worker ids.WorkerId
+	Owner  ids.NodeID
+	Worker ids.WorkerID
 	Life   ids.Life
 	Digest string
 }
--- a/fleetstate/deed_gen.go
+++ b/fleetstate/deed_gen.go
@@ -61,7 +61,7 @@
 					err = msgp.WrapError(err, "Owner")
 					return
 				}
-				z.Owner = ids.NodeId(zb0002)
+				z.Owner = ids.NodeID(zb0002)
 			}
 		case "Worker":
 			{
@@ -71,7 +71,7 @@
 					err = msgp.WrapError(err, "Worker")
 					return
 				}
-				z.Worker = ids.WorkerId(zb0003)
+				z.Worker = ids.WorkerID(zb0003)
 			}
 		case "Life":
 			{
@@ -235,7 +235,7 @@
 					err = msgp.WrapError(err, "Owner")
 					return
 				}
-				z.Owner = ids.NodeId(zb0002)
+				z.Owner = ids.NodeID(zb0002)
 			}
 		case "Worker":
 			{
@@ -245,7 +245,7 @@
 					err = msgp.WrapError(err, "Worker")
 					return
 				}
-				z.Worker = ids.WorkerId(zb0003)
+				z.Worker = ids.WorkerID(zb0003)
 			}
 		case "Life":
 			{
--- a/fleetstate/machine.go
+++ b/fleetstate/machine.go
@@ -18,7 +18,7 @@
 	SettleKey ids.Key = "settle"
 )
 
-func WorkerKey(id ids.WorkerId) ids.Key { return ids.Key("worker/" + string(id)) }
+func WorkerKey(id ids.WorkerID) ids.Key { return ids.Key("worker/" + string(id)) }
 func PoolKey(model string) ids.Key      { return ids.Key("pool/" + model) }
 
 type stagedAt struct {
--- a/fleetstate/policy.go
+++ b/fleetstate/policy.go
@@ -76,7 +76,7 @@
 func (l Limits) GiveUp() time.Duration { return time.Duration(l.GiveUpMs) * time.Millisecond }
 
 type Policy struct {
-	Workers  map[ids.WorkerId]Worker `json:"workers"`
+	Workers  map[ids.WorkerID]Worker `json:"workers"`
 	Zones    []ids.Zone              `json:"zones"`
 	Kinds    map[string]Kind         `json:"kinds"`
 	Programs map[string]Program      `json:"programs"`
--- a/fleetstate/programs.go
+++ b/fleetstate/programs.go
@@ -126,7 +126,7 @@
 
 // PutPrograms asks the core for a program set, as JSON, made over the version base. Its
 // errors are those of Put.
-func PutPrograms(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpId, base ids.Version, text []byte) (ids.Version, error) {
+func PutPrograms(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpID, base ids.Version, text []byte) (ids.Version, error) {
 	return decide(ctx, call, book, &coordination.SubmitAsk{Op: op, Kind: StageProgramsKind, Body: coordination.Pack(&Stage{Base: base, Text: pack(text)})})
 }
 
--- a/fleetstate/read.go
+++ b/fleetstate/read.go
@@ -67,7 +67,7 @@
 // another version is the newest, Bad where the number is too low, Unknown where it may
 // have been taken, Away where it was not. A large text that differs little from the one
 // it was made over goes as a delta.
-func Put(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpId, base, next ids.Version, text []byte) (ids.Version, error) {
+func Put(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpID, base, next ids.Version, text []byte) (ids.Version, error) {
 	var newest Ruled
 	if base > 0 && len(text) >= deltaFrom {
 		var err error
@@ -79,7 +79,7 @@
 }
 
 // PutOver is Put for a caller that has read the newest version already.
-func PutOver(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpId, base, next ids.Version, text []byte, newest Ruled) (ids.Version, error) {
+func PutOver(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpID, base, next ids.Version, text []byte, newest Ruled) (ids.Version, error) {
 	c := &Stage{Base: base, Text: pack(text), Next: next}
 	if base > 0 && len(text) >= deltaFrom && newest.Version == base {
 		c.Shorten(newest.Text, text)
@@ -101,7 +101,7 @@
 
 // Outcome tells the version that an operation made. Errors: Stale where none was taken,
 // Unknown where one may have been, too long ago to tell.
-func Outcome(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpId, q OutcomeAsk) (ids.Version, error) {
+func Outcome(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpID, q OutcomeAsk) (ids.Version, error) {
 	return decide(ctx, call, book, &coordination.SubmitAsk{Op: op, Kind: AskKind, Body: coordination.Pack(&q)})
 }
 
@@ -116,18 +116,18 @@
 }
 
 // Mark empties a zone of new work, or takes that back, once for an operation's id.
-func Mark(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpId, zone ids.Zone, out bool) error {
+func Mark(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpID, zone ids.Zone, out bool) error {
 	return vacate(ctx, call, book, op, &Vacate{Zone: zone, Out: out})
 }
 
 // MarkOver empties a zone of new work, or takes that back, if the zone has changed so many
 // times as revision says. Else it is Stale, unless the zone already is as asked.
 func MarkOver(ctx context.Context, call *rpc.Caller, book *coordination.Directory, zone ids.Zone, out bool, revision uint64) error {
-	op := ids.OpId("mark/" + coordination.Name())
+	op := ids.OpID("mark/" + coordination.Name())
 	return vacate(ctx, call, book, op, &Vacate{Zone: zone, Out: out, Compare: true, Base: revision})
 }
 
-func vacate(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpId, c *Vacate) error {
+func vacate(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpID, c *Vacate) error {
 	_, err := decide(ctx, call, book, &coordination.SubmitAsk{Op: op, Kind: VacateKind, Body: coordination.Pack(c)})
 	return err
 }
--- a/fleetstate/regime.go
+++ b/fleetstate/regime.go
@@ -167,7 +167,7 @@
 
 // NodeName is the name that a node's certificate bears: its id without the part that
 // changes at each start.
-func NodeName(id ids.NodeId) string {
+func NodeName(id ids.NodeID) string {
 	if i := strings.LastIndexByte(string(id), '-'); i > 0 {
 		return string(id)[:i]
 	}
@@ -177,7 +177,7 @@
 // May: a certified worker's key falls to nodes that are certified for every regime that
 // it may serve, since its holder hands on what is governed; and settling, which reads
 // outcomes, to those certified for all.
-func (m *Machine) May(key ids.Key, node ids.NodeId) bool {
+func (m *Machine) May(key ids.Key, node ids.NodeID) bool {
 	id, worker := strings.CutPrefix(string(key), string(WorkerKey("")))
 	if m.bare == nil || !worker && key != SettleKey {
 		return true
@@ -186,7 +186,7 @@
 	now := certification.Now{Low: m.time - int64(clockLead), High: m.time}
 	for _, g := range register.Regimes() {
 		for _, part := range []ids.Part{ids.Prefill, ids.Decode} {
-			if _, ok := register.Clears(g, certification.Subject{Worker: ids.WorkerId(id)}, part, now); !ok && worker {
+			if _, ok := register.Clears(g, certification.Subject{Worker: ids.WorkerID(id)}, part, now); !ok && worker {
 				continue
 			}
 			if _, ok := register.Clears(g, certification.Subject{Node: NodeName(node)}, "", now); !ok {
--- a/fleetstate/settle.go
+++ b/fleetstate/settle.go
@@ -5,15 +5,15 @@
 import "keelstair.example/ids"
 
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file settle.go
-//msgp:shim ids.NodeId as:string using:string/ids.NodeId
-//msgp:shim ids.WorkerId as:string using:string/ids.WorkerId
+//msgp:shim ids.NodeID as:string using:string/ids.NodeID
+//msgp:shim ids.WorkerID as:string using:string/ids.WorkerID
 //msgp:shim ids.Life as:string using:string/ids.Life
 //msgp:shim ids.Fence as:uint64 using:uint64/ids.Fence
 
 // Settle records the one outcome, and of governed work its audit record.
 type Settle struct {
 	Key   string
-	Owner ids.NodeId
+	Owner ids.NodeID
 	Fate  string
 	Out   []byte
 	Audit []byte `msg:"Audit,omitempty"`
@@ -22,15 +22,15 @@
 // Bind has an open claim run elsewhere, before it is resumed there.
 type Bind struct {
 	Key    string
-	Owner  ids.NodeId
-	Worker ids.WorkerId
+	Owner  ids.NodeID
+	Worker ids.WorkerID
 	Life   ids.Life
 }
 
 // Seize passes a dead node's claim to the holder of the settling duty.
 type Seize struct {
 	Key   string
-	From  ids.NodeId
-	To    ids.NodeId
+	From  ids.NodeID
+	To    ids.NodeID
 	Fence ids.Fence
 }
--- a/fleetstate/settle_gen.go
+++ b/fleetstate/settle_gen.go
@@ -58,7 +58,7 @@
 					err = msgp.WrapError(err, "Owner")
 					return
 				}
-				z.Owner = ids.NodeId(zb0002)
+				z.Owner = ids.NodeID(zb0002)
 			}
 		case "Worker":
 			{
@@ -68,7 +68,7 @@
 					err = msgp.WrapError(err, "Worker")
 					return
 				}
-				z.Worker = ids.WorkerId(zb0003)
+				z.Worker = ids.WorkerID(zb0003)
 			}
 		case "Life":
 			{
@@ -149,7 +149,7 @@
 					err = msgp.WrapError(err, "From")
 					return
 				}
-				z.From = ids.NodeId(zb0002)
+				z.From = ids.NodeID(zb0002)
 			}
 		case "To":
 			{
@@ -159,7 +159,7 @@
 					err = msgp.WrapError(err, "To")
 					return
 				}
-				z.To = ids.NodeId(zb0003)
+				z.To = ids.NodeID(zb0003)
 			}
 		case "Fence":
 			{
@@ -258,7 +258,7 @@
 					err = msgp.WrapError(err, "Owner")
 					return
 				}
-				z.Owner = ids.NodeId(zb0002)
+				z.Owner = ids.NodeID(zb0002)
 			}
 		case "Fate":
 			z.Fate, bts, err = msgp.ReadStringBytes(bts)
--- a/fleetstate/state.go
+++ b/fleetstate/state.go
@@ -36,8 +36,8 @@
 	lean          bool
 	zones         map[ids.Zone]bool
 	zoneRevisions map[ids.Zone]uint64
-	drained       map[ids.WorkerId]bool
-	turning       map[ids.WorkerId]ids.Part
+	drained       map[ids.WorkerID]bool
+	turning       map[ids.WorkerID]ids.Part
 	failbacks     map[ids.Zone]Failback
 	returns       uint64
 	fence         ids.Fence
@@ -53,7 +53,7 @@
 }
 
 func newState(lean bool, d Depth) *State {
-	return &State{lean: lean, zones: map[ids.Zone]bool{}, zoneRevisions: map[ids.Zone]uint64{}, drained: map[ids.WorkerId]bool{}, failbacks: map[ids.Zone]Failback{}, turning: map[ids.WorkerId]ids.Part{}, deeds: map[string]Deed{}, shelf: newShelf(d), revoked: map[string]bool{}}
+	return &State{lean: lean, zones: map[ids.Zone]bool{}, zoneRevisions: map[ids.Zone]uint64{}, drained: map[ids.WorkerID]bool{}, failbacks: map[ids.Zone]Failback{}, turning: map[ids.WorkerID]ids.Part{}, deeds: map[string]Deed{}, shelf: newShelf(d), revoked: map[string]bool{}}
 }
 
 // rule puts a version in force. A lean state has no need of its bounds.
@@ -311,7 +311,7 @@
 		next.failbacks[f.Zone] = f
 	}
 	for _, w := range img.Drained {
-		next.drained[ids.WorkerId(w)] = true
+		next.drained[ids.WorkerID(w)] = true
 	}
 	for _, t := range img.Turning {
 		next.turning[t.Worker] = t.To
--- a/fleetstate/turn.go
+++ b/fleetstate/turn.go
@@ -10,7 +10,7 @@
 )
 
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file turn.go
-//msgp:shim ids.WorkerId as:string using:string/ids.WorkerId
+//msgp:shim ids.WorkerID as:string using:string/ids.WorkerID
 //msgp:shim ids.Part as:string using:string/ids.Part
 
 // TurnKind is the name of Turn in the log.
@@ -19,7 +19,7 @@
 // Turn says that a worker is about to play another part, or, with Done, that the turn
 // is over, however it went.
 type Turn struct {
-	Worker ids.WorkerId
+	Worker ids.WorkerID
 	To     ids.Part
 	Done   bool
 }
--- a/fleetstate/turn_gen.go
+++ b/fleetstate/turn_gen.go
@@ -49,7 +49,7 @@
 					err = msgp.WrapError(err, "Worker")
 					return
 				}
-				z.Worker = ids.WorkerId(zb0002)
+				z.Worker = ids.WorkerID(zb0002)
 			}
 		case "To":
 			{
--- a/fleetstate/turn_test.go
+++ b/fleetstate/turn_test.go
@@ -22,9 +22,9 @@
 	require.ErrorIs(t, do(t, s, TurnKind, &Turn{Worker: "w", To: ids.Decode}), coordination.ErrUnchanged)
 	require.NoError(t, do(t, s, TurnKind, &Turn{Worker: "w", To: ids.Prefill}))
 	require.NoError(t, do(t, s, TurnKind, &Turn{Worker: "v", To: ids.Decode}))
-	require.Equal(t, map[ids.WorkerId]ids.Part{"w": ids.Prefill, "v": ids.Decode}, s.turning)
+	require.Equal(t, map[ids.WorkerID]ids.Part{"w": ids.Prefill, "v": ids.Decode}, s.turning)
 	require.NoError(t, do(t, s, TurnKind, &Turn{Worker: "w", Done: true}))
-	require.Equal(t, map[ids.WorkerId]ids.Part{"v": ids.Decode}, s.turning)
+	require.Equal(t, map[ids.WorkerID]ids.Part{"v": ids.Decode}, s.turning)
 	require.Equal(t, ids.Key("service/x"), ServiceKey("x"))
 }
 
@@ -32,7 +32,7 @@
 // pictures of equal states are equal bytes.
 func TestTurnInPicture(t *testing.T) {
 	m := NewMachine(MachineOptions{})
-	for _, w := range []ids.WorkerId{"c", "a", "b"} {
+	for _, w := range []ids.WorkerID{"c", "a", "b"} {
 		require.NoError(t, do(t, m.State, TurnKind, &Turn{Worker: w, To: ids.Prefill}))
 	}
 	for _, open := range []bool{false, true} {
@@ -51,7 +51,7 @@
 	v := NewView(logging.Mute())
 	require.True(t, v.Fold(1, TurnKind, coordination.Pack(&Turn{Worker: "w", To: ids.Decode})))
 	first := v.Sight()
-	require.Equal(t, map[ids.WorkerId]ids.Part{"w": ids.Decode}, first.Turning)
+	require.Equal(t, map[ids.WorkerID]ids.Part{"w": ids.Decode}, first.Turning)
 	other := NewView(logging.Mute())
 	require.NoError(t, other.Restore(v.Snapshot()))
 	require.Equal(t, first.Turning, other.Sight().Turning)
--- a/fleetstate/view.go
+++ b/fleetstate/view.go
@@ -24,8 +24,8 @@
 	Text      []byte
 	Newest    ids.Version
 	Zones     map[ids.Zone]bool
-	Drained   map[ids.WorkerId]bool
-	Turning   map[ids.WorkerId]ids.Part
+	Drained   map[ids.WorkerID]bool
+	Turning   map[ids.WorkerID]ids.Part
 	Failbacks map[ids.Zone]Failback
 	Set       *Deal // the program set in force, if the core has one
 	// Register says who is cleared for governed work; nil without regimes. Bare is the
@@ -67,7 +67,7 @@
 
 func NewView(ring *logging.Ring) *View {
 	v := &View{Ring: ring, state: newState(true, Depth{}), kept: map[ids.Version]kept{}, sets: map[ids.Version]*Deal{}}
-	v.sight.Store(&Sight{Policy: &Policy{}, Table: NewTable(&Policy{}), Zones: map[ids.Zone]bool{}, Drained: map[ids.WorkerId]bool{}})
+	v.sight.Store(&Sight{Policy: &Policy{}, Table: NewTable(&Policy{}), Zones: map[ids.Zone]bool{}, Drained: map[ids.WorkerID]bool{}})
 	return v
 }
 
@@ -184,7 +184,7 @@
 		k.text = unpack(now.Text)
 	}
 	s := &Sight{Version: now.Version, Policy: k.policy, Text: k.text, Newest: all[len(all)-1].Version,
-		Zones: map[ids.Zone]bool{}, Drained: map[ids.WorkerId]bool{}, Turning: maps.Clone(v.state.turning), Failbacks: maps.Clone(v.state.failbacks), Set: v.deal()}
+		Zones: map[ids.Zone]bool{}, Drained: map[ids.WorkerID]bool{}, Turning: maps.Clone(v.state.turning), Failbacks: maps.Clone(v.state.failbacks), Set: v.deal()}
 	if s.Policy == nil {
 		s.Policy = &Policy{}
 	}
--- a/handoff/clean.go
+++ b/handoff/clean.go
@@ -17,7 +17,7 @@
 // Stopper is what clean needs of Hands; settling a dead node's claims uses it
 // too.
 type Stopper interface {
-	Cancel(ctx context.Context, w ids.WorkerId, id workerclient.Id) (*workerclient.Answer, error)
+	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error)
 }
 
 // clean ends the attempt at both workers. It tells the task's final error if
@@ -58,7 +58,7 @@
 
 // stop cancels at one worker, trying a few times. A worker that has begun a new
 // life has lost the attempt; what came of it is not known.
-func (f *flight) stop(ctx context.Context, w ids.WorkerId) (*workerclient.Answer, error) {
+func (f *flight) stop(ctx context.Context, w ids.WorkerID) (*workerclient.Answer, error) {
 	var err error
 	for n := range 3 {
 		if n > 0 && !seam.Sleep(ctx, 150*time.Millisecond) {
--- a/handoff/controller.go
+++ b/handoff/controller.go
@@ -19,18 +19,18 @@
 // Hands give the controller its reach: every order goes through the worker's
 // one duty holder.
 type Hands interface {
-	Pick(q *whim.Question, on workerclient.Model, shun map[ids.WorkerId]bool) []Picked
-	Reserve(ctx context.Context, w ids.WorkerId, id workerclient.Id, blocks int) error
-	Prefill(ctx context.Context, w ids.WorkerId, m workerclient.Identity) (*workerclient.Answer, error)
-	Export(ctx context.Context, w ids.WorkerId, id workerclient.Id) (*workerclient.Answer, error)
-	Import(ctx context.Context, w ids.WorkerId, m workerclient.Identity, source ids.WorkerId) (*workerclient.Answer, error)
-	Resume(ctx context.Context, w ids.WorkerId, id workerclient.Id) (*workerclient.Answer, error)
-	Cancel(ctx context.Context, w ids.WorkerId, id workerclient.Id) (*workerclient.Answer, error)
-	Done(w ids.WorkerId, id workerclient.Id, sure bool)
-	Stream(ctx context.Context, w ids.WorkerId, id workerclient.Id, from int, put func(workerclient.Piece) error) error
+	Pick(q *whim.Question, on workerclient.Model, shun map[ids.WorkerID]bool) []Picked
+	Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error
+	Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.Answer, error)
+	Export(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error)
+	Import(ctx context.Context, w ids.WorkerID, m workerclient.Identity, source ids.WorkerID) (*workerclient.Answer, error)
+	Resume(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error)
+	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error)
+	Done(w ids.WorkerID, id workerclient.ID, sure bool)
+	Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.Piece) error) error
 	// Spend asks for one recompute, waiting a while for it if need be.
 	Spend(ctx context.Context, wait time.Duration) bool
-	Blame(w ids.WorkerId)
+	Blame(w ids.WorkerID)
 	// Stale tells that what was picked last was picked under a version which may be
 	// no longer in force.
 	Stale() bool
@@ -38,7 +38,7 @@
 
 // Picked is a cleared worker with what it runs on.
 type Picked struct {
-	Id    ids.WorkerId
+	ID    ids.WorkerID
 	Model workerclient.Model
 	Block int
 	Life  ids.Life
@@ -59,9 +59,9 @@
 
 // Event is one step of one hand-over.
 type Event struct {
-	Id     workerclient.Id
+	ID     workerclient.ID
 	Stage  Stage
-	Worker ids.WorkerId
+	Worker ids.WorkerID
 	At     ids.Tick
 	Why    string
 	Regime string // that the task is bound to, if any
@@ -80,7 +80,7 @@
 	// to either, with the decode worker and its life; its error then ends the task
 	// with nothing run. It is called again before a resume at another worker or life
 	// than it was last told, so that it is known where a run may have begun.
-	Claim func(w ids.WorkerId, life ids.Life) error
+	Claim func(w ids.WorkerID, life ids.Life) error
 }
 
 // Controller runs tasks.
@@ -96,7 +96,7 @@
 type Put func(index int, tok int32, text string) error
 
 type seat struct {
-	worker ids.WorkerId
+	worker ids.WorkerID
 	life   ids.Life
 }
 
@@ -104,22 +104,22 @@
 type flight struct {
 	*Controller
 	t    *Task
-	id   workerclient.Id
+	id   workerclient.ID
 	sent []int32
 	put  Put
-	from ids.WorkerId
-	to   ids.WorkerId
+	from ids.WorkerID
+	to   ids.WorkerID
 	life ids.Life
 	runs bool // resume was ordered
 	open bool // Claim was called
 	seat seat // what it was told last
 }
 
-func (f *flight) tell(s Stage, w ids.WorkerId, why error) {
+func (f *flight) tell(s Stage, w ids.WorkerID, why error) {
 	if f.Tell == nil {
 		return
 	}
-	e := Event{Id: f.id, Stage: s, Worker: w, At: f.Clock.Now(), Regime: f.t.Regime}
+	e := Event{ID: f.id, Stage: s, Worker: w, At: f.Clock.Now(), Regime: f.t.Regime}
 	if why != nil {
 		e.Why = why.Error()
 	}
@@ -132,10 +132,10 @@
 func (c *Controller) Run(ctx context.Context, t *Task, put Put) error {
 	f := &flight{Controller: c, t: t, put: put}
 	start := c.Clock.Now()
-	shun := map[ids.WorkerId]bool{}
+	shun := map[ids.WorkerID]bool{}
 	tries, since := 0, ids.Tick(0)
 	for n := 1; ; n++ {
-		f.id = workerclient.Id{Request: t.Identity.Id.Request, Attempt: n}
+		f.id = workerclient.ID{Request: t.Identity.ID.Request, Attempt: n}
 		f.from, f.to, f.life, f.runs = "", "", "", false
 		err := f.try(ctx, shun)
 		// Picked under a version that is no longer in force: picked anew, once the
@@ -176,7 +176,7 @@
 		case f.from == "":
 			seam.Sleep(ctx, 100*time.Millisecond)
 		}
-		for _, w := range []ids.WorkerId{f.from, f.to} {
+		for _, w := range []ids.WorkerID{f.from, f.to} {
 			if w != "" {
 				c.Hands.Blame(w)
 				shun[w] = failure.Is(err, failure.Lost) || failure.Is(err, failure.Unknown)
@@ -205,11 +205,11 @@
 }
 
 // try goes once through all the stages.
-func (f *flight) try(ctx context.Context, shun map[ids.WorkerId]bool) error {
+func (f *flight) try(ctx context.Context, shun map[ids.WorkerID]bool) error {
 	t, h := f.t, f.Hands
 	m := t.Identity
-	m.Id, m.Output = f.id, append([]int32(nil), f.sent...)
-	ask := &whim.Question{Request: m.Id.Request, Kind: t.Kind, Model: m.Model.Name, Adapters: m.Model.Adapters, Zone: t.Zone,
+	m.ID, m.Output = f.id, append([]int32(nil), f.sent...)
+	ask := &whim.Question{Request: m.ID.Request, Kind: t.Kind, Model: m.Model.Name, Adapters: m.Model.Adapters, Zone: t.Zone,
 		Prompt: len(m.Prompt), Max: m.Params.MaxTokens, Part: ids.Decode}
 	whole := len(m.Prompt) + m.Params.MaxTokens
 	to, err := f.book(ctx, ask, m.Model, whole, shun)
@@ -219,43 +219,43 @@
 	m.Model.Weights = to.Model.Weights
 	t.Identity.Model.Weights = to.Model.Weights
 	ended := false // the worker's own word that the run came to its end
-	defer func(w ids.WorkerId) { h.Done(w, f.id, ended) }(to.Id)
+	defer func(w ids.WorkerID) { h.Done(w, f.id, ended) }(to.ID)
 	ask.Part = ids.Prefill
 	from, err := f.book(ctx, ask, m.Model, len(m.Prompt)+len(m.Output)+1, shun)
 	if err != nil {
 		return err
 	}
-	defer h.Done(from.Id, f.id, false)
+	defer h.Done(from.ID, f.id, false)
 	if !f.open && t.Claim != nil {
-		f.open, f.seat = true, seat{to.Id, to.Life}
-		if err := t.Claim(to.Id, to.Life); err != nil {
-			return failure.As(err, failure.Bad, "claim", m.Id.Request)
+		f.open, f.seat = true, seat{to.ID, to.Life}
+		if err := t.Claim(to.ID, to.Life); err != nil {
+			return failure.As(err, failure.Bad, "claim", m.ID.Request)
 		}
 	}
 	// A claim may take long.
 	if h.Stale() {
-		return failure.New(failure.Stale, "pick", m.Id.Request, "a newer version may be in force")
+		return failure.New(failure.Stale, "pick", m.ID.Request, "a newer version may be in force")
 	}
-	f.from = from.Id
-	f.tell(Granted, from.Id, nil)
-	if _, err = h.Prefill(ctx, from.Id, m); err != nil {
+	f.from = from.ID
+	f.tell(Granted, from.ID, nil)
+	if _, err = h.Prefill(ctx, from.ID, m); err != nil {
 		return err
 	}
-	f.tell(Prefilled, from.Id, nil)
-	a, err := h.Export(ctx, from.Id, f.id)
+	f.tell(Prefilled, from.ID, nil)
+	a, err := h.Export(ctx, from.ID, f.id)
 	if err != nil {
 		return err
 	}
-	f.tell(Exported, from.Id, nil)
+	f.tell(Exported, from.ID, nil)
 	got, texts := a.Identity, a.Texts
 	if got == nil || !f.fits(&m, got) {
-		return failure.New(failure.Lost, "export", string(from.Id), "what came back is not what went in")
+		return failure.New(failure.Lost, "export", string(from.ID), "what came back is not what went in")
 	}
-	h.Done(from.Id, f.id, true)
-	full := map[ids.WorkerId]bool{}
+	h.Done(from.ID, f.id, true)
+	full := map[ids.WorkerID]bool{}
 	for {
-		f.to = to.Id
-		if a, err = h.Import(ctx, to.Id, *got, from.Id); err == nil {
+		f.to = to.ID
+		if a, err = h.Import(ctx, to.ID, *got, from.ID); err == nil {
 			break
 		}
 		if !failure.Is(err, failure.Bounced) {
@@ -263,49 +263,49 @@
 		}
 		// Refused before any token of the decode side: the next one is tried.
 		f.to = ""
-		shun[to.Id], full[to.Id] = true, true
-		h.Done(to.Id, f.id, true)
+		shun[to.ID], full[to.ID] = true, true
+		h.Done(to.ID, f.id, true)
 		ask.Part = ids.Decode
 		why := err
 		if to, err = f.book(ctx, ask, m.Model, whole, shun); err != nil {
 			return err
 		}
-		defer func(w ids.WorkerId) { h.Done(w, f.id, ended) }(to.Id)
+		defer func(w ids.WorkerID) { h.Done(w, f.id, ended) }(to.ID)
 		// Where all are shunned they are picked all the same, but none twice in an attempt.
-		if full[to.Id] {
+		if full[to.ID] {
 			return why
 		}
 	}
 	f.life = a.Life
-	f.tell(Imported, to.Id, nil)
-	if now := (seat{to.Id, a.Life}); t.Claim != nil && f.seat != now {
-		if err := t.Claim(to.Id, a.Life); err != nil {
-			return failure.As(err, failure.Bounced, "claim anew", m.Id.Request)
+	f.tell(Imported, to.ID, nil)
+	if now := (seat{to.ID, a.Life}); t.Claim != nil && f.seat != now {
+		if err := t.Claim(to.ID, a.Life); err != nil {
+			return failure.As(err, failure.Bounced, "claim anew", m.ID.Request)
 		}
 		f.seat = now
 	}
 	f.runs = true
-	if _, err = h.Resume(ctx, to.Id, f.id); err != nil {
+	if _, err = h.Resume(ctx, to.ID, f.id); err != nil {
 		return err
 	}
-	f.tell(Resumed, to.Id, nil)
+	f.tell(Resumed, to.ID, nil)
 	if t.Regime != "" {
 		// What lies staged is of no more use, and may not outlive the source's certificate.
-		go h.Cancel(context.WithoutCancel(ctx), from.Id, f.id)
+		go h.Cancel(context.WithoutCancel(ctx), from.ID, f.id)
 	}
 	// Only now, with every byte in and the digest right, does the origin get
 	// the first piece: a lost transfer is a bounce, not a broken stream.
 	if err := f.hand(got.Output, texts); err != nil {
 		return err
 	}
-	err = h.Stream(ctx, to.Id, f.id, len(f.sent), f.piece)
+	err = h.Stream(ctx, to.ID, f.id, len(f.sent), f.piece)
 	ended = err == nil
 	return err
 }
 
 // fits checks that the identity which travels on is the one that was sent in.
 func (f *flight) fits(in, out *workerclient.Identity) bool {
-	if out.Id != in.Id || len(out.Prompt) != len(in.Prompt) || len(out.Output) < len(in.Output) ||
+	if out.ID != in.ID || len(out.Prompt) != len(in.Prompt) || len(out.Output) < len(in.Output) ||
 		!in.Model.Offers(out.Model) || out.Params != in.Params || out.Computed < len(in.Prompt) {
 		return false
 	}
@@ -323,12 +323,12 @@
 }
 
 // book reserves room on the first worker that has it, in the program's order.
-func (f *flight) book(ctx context.Context, ask *whim.Question, on workerclient.Model, toks int, shun map[ids.WorkerId]bool) (Picked, error) {
+func (f *flight) book(ctx context.Context, ask *whim.Question, on workerclient.Model, toks int, shun map[ids.WorkerID]bool) (Picked, error) {
 	ask.Need = toks
 	list := f.Hands.Pick(ask, on, shun)
 	err := failure.New(failure.Bounced, "pick "+string(ask.Part), "", "no worker is cleared")
 	for _, c := range list {
-		if err = f.Hands.Reserve(ctx, c.Id, f.id, ids.Blocks(toks, c.Block)); err == nil {
+		if err = f.Hands.Reserve(ctx, c.ID, f.id, ids.Blocks(toks, c.Block)); err == nil {
 			return c, nil
 		}
 		if failure.Is(err, failure.Stale) {
--- a/handoff/controller_test.go
+++ b/handoff/controller_test.go
@@ -23,7 +23,7 @@
 // script is a fake fleet of two prefill and two decode workers that does what
 // a test says.
 type script struct {
-	full    map[ids.WorkerId]bool // bounces imports
+	full    map[ids.WorkerID]bool // bounces imports
 	spoil   func(m *workerclient.Identity)
 	resume  func(n int) error
 	stream  func(n, from int, put func(workerclient.Piece) error) error
@@ -32,9 +32,9 @@
 	resumes int
 	cancels int
 	tries   int
-	imports []ids.WorkerId
+	imports []ids.WorkerID
 	loose   map[string]int
-	claim   func(w ids.WorkerId, life ids.Life) error
+	claim   func(w ids.WorkerID, life ids.Life) error
 	stale   int // so often what was picked is outdated
 	picks   int
 	regime  string
@@ -45,17 +45,17 @@
 func lost() error    { return failure.New(failure.Lost, "test", "w", "lost") }
 func bounced() error { return failure.New(failure.Bounced, "test", "w", "bounced") }
 
-func (s *script) Pick(q *whim.Question, _ workerclient.Model, shun map[ids.WorkerId]bool) []Picked {
+func (s *script) Pick(q *whim.Question, _ workerclient.Model, shun map[ids.WorkerID]bool) []Picked {
 	s.picks++
 	if s.none > 0 && s.resumes > 0 {
 		s.none--
 		return nil
 	}
 	var out []Picked
-	for _, id := range []ids.WorkerId{"1", "2"} {
-		w := ids.WorkerId(q.Part[:1]) + id
+	for _, id := range []ids.WorkerID{"1", "2"} {
+		w := ids.WorkerID(q.Part[:1]) + id
 		if !shun[w] {
-			out = append(out, Picked{Id: w, Model: workerclient.Model{Name: "m", Weights: "w1"}, Block: 16})
+			out = append(out, Picked{ID: w, Model: workerclient.Model{Name: "m", Weights: "w1"}, Block: 16})
 		}
 	}
 	if len(out) == 0 && s.last {
@@ -64,12 +64,12 @@
 	return out
 }
 
-func (s *script) Reserve(_ context.Context, w ids.WorkerId, id workerclient.Id, _ int) error {
+func (s *script) Reserve(_ context.Context, w ids.WorkerID, id workerclient.ID, _ int) error {
 	s.loose[string(w)+id.Request]++
 	return nil
 }
 
-func (s *script) Prefill(_ context.Context, _ ids.WorkerId, m workerclient.Identity) (*workerclient.Answer, error) {
+func (s *script) Prefill(_ context.Context, _ ids.WorkerID, m workerclient.Identity) (*workerclient.Answer, error) {
 	s.tries++
 	m.Computed = len(m.Prompt)
 	if len(m.Output) == 0 {
@@ -78,9 +78,9 @@
 	return &workerclient.Answer{Identity: &m}, nil
 }
 
-func (s *script) Export(_ context.Context, _ ids.WorkerId, id workerclient.Id) (*workerclient.Answer, error) {
+func (s *script) Export(_ context.Context, _ ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error) {
 	m := ident()
-	m.Id, m.Output, m.Computed = id, answer[:1], len(m.Prompt)
+	m.ID, m.Output, m.Computed = id, answer[:1], len(m.Prompt)
 	m.Model.Weights = "w1"
 	if s.spoil != nil {
 		s.spoil(&m)
@@ -88,7 +88,7 @@
 	return &workerclient.Answer{Identity: &m}, nil
 }
 
-func (s *script) Import(_ context.Context, w ids.WorkerId, _ workerclient.Identity, _ ids.WorkerId) (*workerclient.Answer, error) {
+func (s *script) Import(_ context.Context, w ids.WorkerID, _ workerclient.Identity, _ ids.WorkerID) (*workerclient.Answer, error) {
 	s.imports = append(s.imports, w)
 	if len(s.imports) > 100 {
 		panic("it asks the same workers for ever")
@@ -99,7 +99,7 @@
 	return &workerclient.Answer{Life: "one"}, nil
 }
 
-func (s *script) Resume(context.Context, ids.WorkerId, workerclient.Id) (*workerclient.Answer, error) {
+func (s *script) Resume(context.Context, ids.WorkerID, workerclient.ID) (*workerclient.Answer, error) {
 	s.resumes++
 	if s.resume != nil {
 		if err := s.resume(s.resumes); err != nil {
@@ -109,7 +109,7 @@
 	return &workerclient.Answer{}, nil
 }
 
-func (s *script) Cancel(_ context.Context, w ids.WorkerId, _ workerclient.Id) (*workerclient.Answer, error) {
+func (s *script) Cancel(_ context.Context, w ids.WorkerID, _ workerclient.ID) (*workerclient.Answer, error) {
 	if w[0] == 'p' {
 		return &workerclient.Answer{Fate: workerclient.FateNever}, nil
 	}
@@ -120,11 +120,11 @@
 	return &workerclient.Answer{Fate: workerclient.FateNever, Life: "one"}, nil
 }
 
-func (s *script) Done(w ids.WorkerId, id workerclient.Id, _ bool) { s.loose[string(w)+id.Request] = 0 }
-func (s *script) Blame(ids.WorkerId)                              {}
+func (s *script) Done(w ids.WorkerID, id workerclient.ID, _ bool) { s.loose[string(w)+id.Request] = 0 }
+func (s *script) Blame(ids.WorkerID)                              {}
 func (s *script) Stale() bool                                     { s.stale--; return s.stale >= 0 }
 
-func (s *script) Stream(_ context.Context, _ ids.WorkerId, _ workerclient.Id, from int, put func(workerclient.Piece) error) error {
+func (s *script) Stream(_ context.Context, _ ids.WorkerID, _ workerclient.ID, from int, put func(workerclient.Piece) error) error {
 	if s.stream != nil {
 		return s.stream(s.resumes, from, put)
 	}
@@ -146,7 +146,7 @@
 }
 
 func ident() workerclient.Identity {
-	return workerclient.Identity{Id: workerclient.Id{Request: "r"}, Prompt: []int32{1, 2, 3}, Params: workerclient.Params{MaxTokens: 5}, Model: workerclient.Model{Name: "m"}}
+	return workerclient.Identity{ID: workerclient.ID{Request: "r"}, Prompt: []int32{1, 2, 3}, Params: workerclient.Params{MaxTokens: 5}, Model: workerclient.Model{Name: "m"}}
 }
 
 func play(t *testing.T, s *script, claimed bool) (got []int32, took time.Duration, err error) {
@@ -179,12 +179,12 @@
 // TestBouncedImport: a refusal goes to the next worker before any piece; where
 // nobody has room the call is bounced at once, and nothing was put.
 func TestBouncedImport(t *testing.T) {
-	s := &script{full: map[ids.WorkerId]bool{"d1": true}}
+	s := &script{full: map[ids.WorkerID]bool{"d1": true}}
 	got, _, err := play(t, s, false)
 	require.NoError(t, err)
 	require.Equal(t, answer, got)
-	require.Equal(t, []ids.WorkerId{"d1", "d2"}, s.imports)
-	s = &script{full: map[ids.WorkerId]bool{"d1": true, "d2": true}}
+	require.Equal(t, []ids.WorkerID{"d1", "d2"}, s.imports)
+	s = &script{full: map[ids.WorkerID]bool{"d1": true, "d2": true}}
 	got, took, err := play(t, s, false)
 	require.True(t, failure.Is(err, failure.Bounced), "%v", err)
 	require.Empty(t, got)
@@ -194,7 +194,7 @@
 // TestAllFull: where every decode worker refuses the import, and the node picks shunned ones
 // as a last resort, each is asked once in an attempt and the task ends bounced.
 func TestAllFull(t *testing.T) {
-	s := &script{full: map[ids.WorkerId]bool{"d1": true, "d2": true}, last: true, coins: 5}
+	s := &script{full: map[ids.WorkerID]bool{"d1": true, "d2": true}, last: true, coins: 5}
 	got, _, err := play(t, s, false)
 	require.True(t, failure.Is(err, failure.Bounced), "%v", err)
 	require.Empty(t, got)
@@ -220,7 +220,7 @@
 				return send(put, from, len(answer), true)
 			}}
 			s.spoil = func(m *workerclient.Identity) {
-				if m.Id.Attempt > 1 {
+				if m.ID.Attempt > 1 {
 					m.Output = answer[:max(1, map[string]int{"cut": 3}[name])]
 				}
 			}
@@ -240,8 +240,8 @@
 func TestForeignIdentity(t *testing.T) {
 	for name, spoil := range map[string]func(m *workerclient.Identity){
 		"other prompt":  func(m *workerclient.Identity) { m.Prompt = []int32{1, 2, 4} },
-		"other request": func(m *workerclient.Identity) { m.Id.Request = "x" },
-		"other attempt": func(m *workerclient.Identity) { m.Id.Attempt++ },
+		"other request": func(m *workerclient.Identity) { m.ID.Request = "x" },
+		"other attempt": func(m *workerclient.Identity) { m.ID.Attempt++ },
 		"other seed":    func(m *workerclient.Identity) { m.Params.Seed++ },
 		"other weights": func(m *workerclient.Identity) { m.Model.Weights = "w2" },
 		"too little":    func(m *workerclient.Identity) { m.Computed = 1 },
@@ -302,8 +302,8 @@
 // in another life than was known. What cannot be told is not resumed.
 func TestClaimedWhere(t *testing.T) {
 	var told []string
-	s := &script{coins: 5, full: map[ids.WorkerId]bool{"d1": true}}
-	s.claim = func(w ids.WorkerId, life ids.Life) error {
+	s := &script{coins: 5, full: map[ids.WorkerID]bool{"d1": true}}
+	s.claim = func(w ids.WorkerID, life ids.Life) error {
 		require.Zero(t, s.resumes)
 		told = append(told, string(w)+"/"+string(life))
 		return nil
@@ -313,7 +313,7 @@
 	require.Equal(t, []string{"d1/", "d2/one"}, told)
 	s = &script{coins: 5}
 	n := 0
-	s.claim = func(ids.WorkerId, ids.Life) error {
+	s.claim = func(ids.WorkerID, ids.Life) error {
 		if n++; n > 1 {
 			return lost()
 		}
@@ -328,7 +328,7 @@
 // are picked anew and the key is not claimed again; nothing was sent before.
 func TestStaleAfterClaim(t *testing.T) {
 	claims := 0
-	s := &script{stale: 2, claim: func(ids.WorkerId, ids.Life) error { claims++; return nil }}
+	s := &script{stale: 2, claim: func(ids.WorkerID, ids.Life) error { claims++; return nil }}
 	got, _, err := play(t, s, true)
 	require.NoError(t, err)
 	require.Equal(t, answer, got)
@@ -366,7 +366,7 @@
 		return send(put, from, len(answer), true)
 	}
 	spoil := func(m *workerclient.Identity) {
-		if m.Id.Attempt > 1 {
+		if m.ID.Attempt > 1 {
 			m.Output = answer[:3]
 		}
 	}
--- a/handoff/ledger.go
+++ b/handoff/ledger.go
@@ -34,14 +34,14 @@
 	part   ids.Part
 	report *workerclient.Report
 	asked  ids.Tick
-	holds  map[workerclient.Id]*hold
+	holds  map[workerclient.ID]*hold
 	misses int
 	held   bool
 }
 
 // NewLedger begins with nothing known, and is of no use before Begin.
 func NewLedger(lag, ramp time.Duration, limit int) *Ledger {
-	return &Ledger{since: math.MaxInt64, lag: lag, ramp: ramp, cap: limit, holds: map[workerclient.Id]*hold{}}
+	return &Ledger{since: math.MaxInt64, lag: lag, ramp: ramp, cap: limit, holds: map[workerclient.ID]*hold{}}
 }
 
 // Begin notes from when on the worker obeys this holder alone: what an earlier
@@ -67,9 +67,9 @@
 		l.fresh = asked
 	}
 	l.report, l.asked, l.part, l.misses = r, asked, r.Part, 0
-	on := map[workerclient.Id]bool{}
+	on := map[workerclient.ID]bool{}
 	for _, v := range r.Running {
-		on[v.Id] = true
+		on[v.ID] = true
 	}
 	for id, h := range l.holds {
 		switch {
@@ -143,7 +143,7 @@
 	s.Ready = !l.held && l.misses < 3 && !now.Past(l.asked, 2*time.Second) && !l.asked.Before(l.since.Add(l.lag))
 	used := 0
 	for _, v := range r.Running {
-		if l.holds[v.Id] == nil {
+		if l.holds[v.ID] == nil {
 			used += v.Blocks + v.Room
 			s.Work++
 			s.Used += v.Blocks + v.Room
@@ -188,7 +188,7 @@
 }
 
 // Reserve books room for a hand-over, or says at once that there is none.
-func (l *Ledger) Reserve(id workerclient.Id, blocks int, now ids.Tick) error {
+func (l *Ledger) Reserve(id workerclient.ID, blocks int, now ids.Tick) error {
 	return l.ReserveBeside(id, blocks, 0, now)
 }
 
@@ -196,7 +196,7 @@
 func Beside(most, keep int) int { return max(1, most*(100-keep)/100) }
 
 // ReserveBeside books room that leaves so many percent of all room and starts free.
-func (l *Ledger) ReserveBeside(id workerclient.Id, blocks, keep int, now ids.Tick) error {
+func (l *Ledger) ReserveBeside(id workerclient.ID, blocks, keep int, now ids.Tick) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.holds[id] != nil {
@@ -220,7 +220,7 @@
 }
 
 // Reserved tells whether a hand-over has its room booked.
-func (l *Ledger) Reserved(id workerclient.Id) bool {
+func (l *Ledger) Reserved(id workerclient.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.holds[id]
@@ -228,7 +228,7 @@
 }
 
 // Moved notes that the worker took the request in.
-func (l *Ledger) Moved(id workerclient.Id, now ids.Tick) {
+func (l *Ledger) Moved(id workerclient.ID, now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if h := l.holds[id]; h != nil && h.moved == 0 {
@@ -239,7 +239,7 @@
 // Ended notes that the request is done here. If the worker itself said so, its
 // room is free at once, and a late report that still lists it is not believed;
 // else the room counts as taken until a report shows it free.
-func (l *Ledger) Ended(id workerclient.Id, sure bool, now ids.Tick) {
+func (l *Ledger) Ended(id workerclient.ID, sure bool, now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.holds[id]
--- a/handoff/ledger_test.go
+++ b/handoff/ledger_test.go
@@ -27,7 +27,7 @@
 	return l
 }
 
-func one(n int) workerclient.Id { return workerclient.Id{Request: string(rune('a' + n)), Attempt: 1} }
+func one(n int) workerclient.ID { return workerclient.ID{Request: string(rune('a' + n)), Attempt: 1} }
 
 // TestLedgerWaits: a new holder books nothing before a report that surely shows
 // all that the one before it ordered.
@@ -35,7 +35,7 @@
 	l := begun(1000, 0, 8)
 	l.Report(report(0), at(1100))
 	require.Error(t, l.Reserve(one(0), 1, at(1110)))
-	l.Report(report(30, workerclient.Running{Id: one(9), Blocks: 30, Room: 60}), at(1500))
+	l.Report(report(30, workerclient.Running{ID: one(9), Blocks: 30, Room: 60}), at(1500))
 	require.NoError(t, l.Reserve(one(0), 10, at(1510)))
 	require.Error(t, l.Reserve(one(1), 1, at(1511)))
 }
@@ -49,16 +49,16 @@
 	l.Moved(one(0), at(620))
 	l.Report(report(0), at(800))
 	require.Equal(t, 40, l.State(at(800)).Free, "the import is not in the report")
-	l.Report(report(50, workerclient.Running{Id: one(0), Blocks: 50, Room: 10}), at(1300))
+	l.Report(report(50, workerclient.Running{ID: one(0), Blocks: 50, Room: 10}), at(1300))
 	require.Equal(t, 40, l.State(at(1300)).Free, "counted once")
 	l.Ended(one(0), false, at(1310))
-	l.Report(report(50, workerclient.Running{Id: one(0), Blocks: 50, Room: 10}), at(1500))
+	l.Report(report(50, workerclient.Running{ID: one(0), Blocks: 50, Room: 10}), at(1500))
 	require.Equal(t, 40, l.State(at(1500)).Free, "the completion is not in the report")
 	l.Report(report(0), at(1900))
 	require.Equal(t, 100, l.State(at(1900)).Free)
 	require.NoError(t, l.Reserve(one(1), 60, at(1910)))
 	l.Moved(one(1), at(1920))
-	l.Report(report(50, workerclient.Running{Id: one(1), Blocks: 50, Room: 10}), at(2500))
+	l.Report(report(50, workerclient.Running{ID: one(1), Blocks: 50, Room: 10}), at(2500))
 	l.Ended(one(1), true, at(2510))
 	require.Equal(t, 100, l.State(at(2520)).Free, "the worker said so itself; the old report is not believed")
 }
@@ -70,7 +70,7 @@
 		r := rand.New(rand.NewPCG(seed, 3))
 		l := begun(0, 0, 1000)
 		type run struct{ blocks, start, end int }
-		truth := map[workerclient.Id]run{}
+		truth := map[workerclient.ID]run{}
 		var history []*workerclient.Report
 		taken := 0
 		for now := 0; now < 8000; now += 10 {
@@ -83,7 +83,7 @@
 					continue
 				}
 				used += v.blocks
-				rep.Running = append(rep.Running, workerclient.Running{Id: id, Blocks: v.blocks})
+				rep.Running = append(rep.Running, workerclient.Running{ID: id, Blocks: v.blocks})
 			}
 			require.LessOrEqual(t, used, 100, "seed %d at %d ms", seed, now)
 			rep.Used = used
@@ -92,7 +92,7 @@
 				l.Report(history[max(0, len(history)-1-r.IntN(49))], at(now))
 			}
 			if r.IntN(4) == 0 {
-				id := workerclient.Id{Request: string(rune(now)), Attempt: int(seed)}
+				id := workerclient.ID{Request: string(rune(now)), Attempt: int(seed)}
 				n := 1 + r.IntN(30)
 				if l.Reserve(id, n, at(now)) == nil {
 					l.Moved(id, at(now))
--- a/ids/ids.go
+++ b/ids/ids.go
@@ -15,16 +15,16 @@
 // Version numbers the configurations of the fleet in the order in which they were staged.
 type Version uint64
 
-// NodeId names one run of a node's process: its configured name and a random part that is
+// NodeID names one run of a node's process: its configured name and a random part that is
 // drawn at each start.
-type NodeId string
+type NodeID string
 
-// DiskId names the disk of a machine of the core. It is drawn when the disk is first used
+// DiskID names the disk of a machine of the core. It is drawn when the disk is first used
 // and stored there, so it stays the same over restarts and changes of address.
-type DiskId string
+type DiskID string
 
-// WorkerId names a worker, as the platform lists it.
-type WorkerId string
+// WorkerID names a worker, as the platform lists it.
+type WorkerID string
 
 // Life names one run of a worker's process; it is another one after every start.
 type Life string
@@ -35,9 +35,9 @@
 // Key names a duty of which the core leases at most one holder at a time.
 type Key string
 
-// OpId names an operation on the core's state. An operation that is submitted again under
+// OpID names an operation on the core's state. An operation that is submitted again under
 // the same id is applied once, as long as the core remembers the id.
-type OpId string
+type OpID string
 
 // Part is the part that a worker plays in serving requests.
 type Part string
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -74,7 +74,7 @@
 		h.Write([]byte{0})
 	}
 	if k := len(r.Parts); k > 0 {
-		h.Write([]byte(r.Parts[k-1].Id))
+		h.Write([]byte(r.Parts[k-1].ID))
 	} else {
 		h.Write(r.Body[:min(len(r.Body), 1024)])
 	}
--- a/proxy/admit_test.go
+++ b/proxy/admit_test.go
@@ -97,7 +97,7 @@
 			return
 		}
 		r := f.req(fmt.Sprintf("r%d-%d", i, k), path, w.prompt, w.most)
-		r.Parts = []Part{{Id: fmt.Sprint("system-", i%30), Tokens: w.prompt / 8}, {Id: fmt.Sprint("own-", i), Tokens: w.prompt - w.prompt/8}}
+		r.Parts = []Part{{ID: fmt.Sprint("system-", i%30), Tokens: w.prompt / 8}, {ID: fmt.Sprint("own-", i), Tokens: w.prompt - w.prompt/8}}
 		r.Wait = left
 		began := time.Now()
 		nodes := f.up()
@@ -183,7 +183,7 @@
 	var out []string
 	for _, a := range ends {
 		if no, ok := a.err.(*Refusal); ok && (no.After <= 0 || no.Early && no.After > max(admitLeast, a.Wait/3)) {
-			out = append(out, fmt.Sprintf("%s is told to come back after %s, and waits %s", a.Id, no.After, a.Wait))
+			out = append(out, fmt.Sprintf("%s is told to come back after %s, and waits %s", a.ID, no.After, a.Wait))
 		}
 	}
 	return out
@@ -215,7 +215,7 @@
 	require.NotEmpty(t, fair(append(row(true, false, true, false), row(true, true, true, true)...), 0.2))
 	require.NotEmpty(t, fair(append(row(false, false, false, false), row(false, true, true, false)...), 0.2))
 	end := func(after time.Duration, early bool) []*asked {
-		return []*asked{{Request: &Request{Id: "r", Wait: 3 * time.Second}, err: &Refusal{Code: 503, After: after, Early: early}}}
+		return []*asked{{Request: &Request{ID: "r", Wait: 3 * time.Second}, err: &Refusal{Code: 503, After: after, Early: early}}}
 	}
 	require.Empty(t, toldWhen(end(time.Second, true)))
 	require.NotEmpty(t, toldWhen(end(0, false)))
@@ -267,7 +267,7 @@
 							sent[r.Req] = true
 						}
 						for _, a := range early(ends) {
-							require.False(t, sent[a.Id] || a.end-a.at > time.Millisecond, "%s is refused at once, before anything is offered", a.Id)
+							require.False(t, sent[a.ID] || a.end-a.at > time.Millisecond, "%s is refused at once, before anything is offered", a.ID)
 						}
 					} else {
 						require.Empty(t, early(ends))
@@ -326,10 +326,10 @@
 func (g *gated) stand(running, tokens int, age time.Duration) {
 	now := g.n.now()
 	for _, w := range g.list {
-		st := g.n.state(w.Id)
+		st := g.n.state(w.ID)
 		st.mu.Lock()
 		st.mem.stood, st.mem.at = stood{Room: 1000, Running: running}, now.Add(-age)
-		st.other, st.otherAt = Reads{w.Id, tokens, 1}, now
+		st.other, st.otherAt = Reads{w.ID, tokens, 1}, now
 		st.mu.Unlock()
 	}
 	g.n.gate.views.Clear()
@@ -341,7 +341,7 @@
 	out := 0
 	for i := range count {
 		svc := g.s.Policy.Services["s"]
-		r := &Request{Id: fmt.Sprint("r", i), Prompt: 1000, Most: 4, At: g.n.now(), Parts: []Part{{fmt.Sprint("own", i), 1000}}}
+		r := &Request{ID: fmt.Sprint("r", i), Prompt: 1000, Most: 4, At: g.n.now(), Parts: []Part{{fmt.Sprint("own", i), 1000}}}
 		t := &trip{n: g.n, r: r, route: &g.s.Policy.Routes[route], svc: &svc, end: g.n.now().Add(3 * time.Second)}
 		if form != nil {
 			form(t)
@@ -391,7 +391,7 @@
 		g.stand(13, over(20), 0)
 		require.Equal(t, 200, g.asks(200, patient, nil))
 		for _, w := range g.list {
-			g.n.state(w.Id).full(g.n.now())
+			g.n.state(w.ID).full(g.n.now())
 		}
 		g.stand(13, over(20), 0)
 		require.Equal(t, 200, g.asks(200, patient, nil), "all have turned something away just now")
@@ -420,7 +420,7 @@
 			g.stand(13, 60_000, 0)
 			var fate []bool
 			for i := range 40 {
-				fate = append(fate, g.asks(1, 1, func(t *trip) { t.r.Parts[0].Id = fmt.Sprint("own", i) }) == 1)
+				fate = append(fate, g.asks(1, 1, func(t *trip) { t.r.Parts[0].ID = fmt.Sprint("own", i) }) == 1)
 			}
 			if node == 0 {
 				first = fate
@@ -448,9 +448,9 @@
 		}
 		require.NotZero(t, c.early(100+9_999, ms(1000)), "the newest are kept")
 
-		one := &Request{Id: "first", Target: "/x", Prompt: 9, Parts: []Part{{"shared", 5}, {"own", 4}}}
+		one := &Request{ID: "first", Target: "/x", Prompt: 9, Parts: []Part{{"shared", 5}, {"own", 4}}}
 		again, other := *one, *one
-		again.Id = "second"
+		again.ID = "second"
 		other.Parts = []Part{{"shared", 5}, {"another", 4}}
 		require.Equal(t, caller(one), caller(&again))
 		require.NotEqual(t, caller(one), caller(&other))
--- a/proxy/alarm.go
+++ b/proxy/alarm.go
@@ -54,7 +54,7 @@
 
 // suspect asks a worker for its report, unless that is under way.
 func (n *Node) suspect(w Worker, warn bool) {
-	st := n.state(w.Id)
+	st := n.state(w.ID)
 	if !st.watched.CompareAndSwap(false, true) {
 		return
 	}
@@ -92,10 +92,10 @@
 		n.fell(st)
 		st.sinks(n.now().Add(2 * (probeWait + probePause)))
 		if warn {
-			n.warn(w.Id)
+			n.warn(w.ID)
 			warn = false
 		}
-		if n.roster.Load().find(w.Id) == nil || !seam.Sleep(ctx, probePause) {
+		if n.roster.Load().find(w.ID) == nil || !seam.Sleep(ctx, probePause) {
 			return
 		}
 	}
@@ -108,7 +108,7 @@
 	s.down = false
 }
 
-func (n *Node) warn(id ids.WorkerId) {
+func (n *Node) warn(id ids.WorkerID) {
 	for _, m := range n.agent.Members() {
 		if m.Node != n.me.Node {
 			go rpc.Call[Alarm, Heard](n.inner, n.agent.Caller(), m.Addr, "relay/alarm", &Alarm{id})
--- a/proxy/alarm_note_gen.go
+++ b/proxy/alarm_note_gen.go
@@ -43,7 +43,7 @@
 					err = msgp.WrapError(err, "Worker")
 					return
 				}
-				z.Worker = ids.WorkerId(zb0002)
+				z.Worker = ids.WorkerID(zb0002)
 			}
 		default:
 			bts, err = msgp.Skip(bts)
--- a/proxy/alarm_test.go
+++ b/proxy/alarm_test.go
@@ -42,11 +42,11 @@
 		require.Empty(t, answers(all))
 		for _, a := range all {
 			if a.resume {
-				require.NoError(t, a.err, a.Id)
+				require.NoError(t, a.err, a.ID)
 				require.Less(t, a.end-a.at, 3*time.Second, "it does not wait for the deadline")
 			}
 			if a.at > dark+1500*time.Millisecond {
-				require.NoError(t, a.err, a.Id)
+				require.NoError(t, a.err, a.ID)
 			}
 		}
 		asks := map[string]int{}
@@ -80,8 +80,8 @@
 		require.Empty(t, answers(all))
 		require.NotEmpty(t, sentTo(y.book(), "svc-prefill-0.1", 0, 3*time.Second))
 		for _, a := range all {
-			require.NoError(t, a.err, a.Id)
-			require.Less(t, a.end-a.at, 2500*time.Millisecond, a.Id)
+			require.NoError(t, a.err, a.ID)
+			require.Less(t, a.end-a.at, 2500*time.Millisecond, a.ID)
 		}
 		require.Empty(t, sentTo(y.book(), "svc-prefill-0.1", 4*time.Second, time.Hour))
 	})
@@ -103,7 +103,7 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 		})
-		shunned := map[ids.WorkerId]bool{}
+		shunned := map[ids.WorkerID]bool{}
 		over := make(chan bool)
 		f.wg.Go(func() {
 			for {
@@ -113,7 +113,7 @@
 						st.mu.Lock()
 						defer st.mu.Unlock()
 						if b.now().Before(st.shun) {
-							shunned[k.(ids.WorkerId)] = true
+							shunned[k.(ids.WorkerID)] = true
 						}
 						return true
 					})
@@ -169,7 +169,7 @@
 		time.Sleep(time.Second)
 		from := y.now()
 		f.load(40, 2*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 4) })
-		for _, id := range []ids.WorkerId{"svc-decode-0.1", "svc-decode-1.1"} {
+		for _, id := range []ids.WorkerID{"svc-decode-0.1", "svc-decode-1.1"} {
 			require.NotEmpty(t, sentTo(y.book(), id, from, time.Hour), id)
 		}
 		time.Sleep(4 * time.Second)
@@ -220,8 +220,8 @@
 		all := f.load(60, 250*time.Millisecond, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/again/x", 400, 20) })
 		require.NotEmpty(t, sentTo(y.book(), "svc-decode-0.1", 0, time.Hour))
 		for _, a := range all {
-			require.NoError(t, a.err, a.Id)
-			require.Less(t, a.end-a.at, 2*time.Second, a.Id)
+			require.NoError(t, a.err, a.ID)
+			require.Less(t, a.end-a.at, 2*time.Second, a.ID)
 		}
 		require.Empty(t, answers(all))
 	})
--- a/proxy/board.go
+++ b/proxy/board.go
@@ -36,7 +36,7 @@
 type look struct {
 	at   ids.Tick // when they were asked for
 	seq  uint64
-	rows map[ids.WorkerId]posted
+	rows map[ids.WorkerID]posted
 }
 
 type board struct {
@@ -47,7 +47,7 @@
 
 // post takes a round of reports. Workers that it does not name told nothing if the round is
 // whole, and are as before if it has only changes.
-func (b *board) post(service string, at ids.Tick, rows map[ids.WorkerId]stood, whole bool) *look {
+func (b *board) post(service string, at ids.Tick, rows map[ids.WorkerID]stood, whole bool) *look {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.looks == nil {
@@ -55,7 +55,7 @@
 	}
 	l := b.looks[service]
 	if l == nil {
-		l = &look{rows: map[ids.WorkerId]posted{}}
+		l = &look{rows: map[ids.WorkerID]posted{}}
 		b.looks[service] = l
 	}
 	if !at.Past(l.at, roundLeast) {
@@ -73,7 +73,7 @@
 			l.rows[id] = posted{stood{}, b.seq}
 		}
 	}
-	out := &look{at: at, rows: make(map[ids.WorkerId]posted, len(l.rows))}
+	out := &look{at: at, rows: make(map[ids.WorkerID]posted, len(l.rows))}
 	for id, p := range l.rows {
 		out.rows[id] = p
 	}
@@ -81,7 +81,7 @@
 }
 
 // prune forgets workers that are not listed any more.
-func (b *board) prune(on map[ids.WorkerId]bool) {
+func (b *board) prune(on map[ids.WorkerID]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, l := range b.looks {
@@ -104,7 +104,7 @@
 		}
 		s := Stands{Service: service, Age: int(now.Since(l.at) / time.Millisecond)}
 		for i := range list {
-			if p, ok := l.rows[list[i].Id]; ok && p.seq > from {
+			if p, ok := l.rows[list[i].ID]; ok && p.seq > from {
 				s.Rows = append(s.Rows, Stand{i, p.Used, p.Room, p.Running, p.Waiting})
 			}
 		}
@@ -114,7 +114,7 @@
 }
 
 // stands takes a round of reports into the ledgers.
-func (n *Node) stands(service string, at ids.Tick, rows map[ids.WorkerId]stood, whole bool) {
+func (n *Node) stands(service string, at ids.Tick, rows map[ids.WorkerID]stood, whole bool) {
 	l := n.board.post(service, at, rows, whole)
 	if l == nil {
 		return
@@ -142,10 +142,10 @@
 		if n.mine(s.Service) {
 			continue
 		}
-		rows := make(map[ids.WorkerId]stood, len(s.Rows))
+		rows := make(map[ids.WorkerID]stood, len(s.Rows))
 		for _, r := range s.Rows {
 			if r.Place >= 0 && r.Place < len(list) {
-				rows[list[r.Place].Id] = stood{r.Used, r.Room, r.Running, r.Waiting}
+				rows[list[r.Place].ID] = stood{r.Used, r.Room, r.Running, r.Waiting}
 			}
 		}
 		n.stands(s.Service, now.Add(-time.Duration(s.Age)*time.Millisecond), rows, false)
@@ -154,9 +154,9 @@
 
 // reported posts a round that this node asked for as the holder of a service's duty.
 func (n *Node) reported(service string, at ids.Tick, all []report) {
-	rows := make(map[ids.WorkerId]stood, len(all))
+	rows := make(map[ids.WorkerID]stood, len(all))
 	for _, r := range all {
-		rows[r.w.Id] = stood{ids.Blocks(r.Used, blockSize), r.Room / blockSize, r.Running, r.Waiting}
+		rows[r.w.ID] = stood{ids.Blocks(r.Used, blockSize), r.Room / blockSize, r.Running, r.Waiting}
 	}
 	n.stands(service, at, rows, true)
 }
--- a/proxy/budget.go
+++ b/proxy/budget.go
@@ -84,13 +84,13 @@
 // warm spaces what this node sends to each cold worker.
 type warm struct {
 	mu   sync.Mutex
-	last map[ids.WorkerId]ids.Tick
+	last map[ids.WorkerID]ids.Tick
 }
 
-func newWarm() warm { return warm{last: map[ids.WorkerId]ids.Tick{}} }
+func newWarm() warm { return warm{last: map[ids.WorkerID]ids.Tick{}} }
 
 // may tells whether the gap since the last request to a cold worker went by.
-func (w *warm) may(id ids.WorkerId, gap time.Duration, now ids.Tick) bool {
+func (w *warm) may(id ids.WorkerID, gap time.Duration, now ids.Tick) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at, ok := w.last[id]
@@ -98,7 +98,7 @@
 }
 
 // book notes a request to a cold worker, if it may be sent.
-func (w *warm) book(id ids.WorkerId, gap time.Duration, now ids.Tick) bool {
+func (w *warm) book(id ids.WorkerID, gap time.Duration, now ids.Tick) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if at, ok := w.last[id]; ok && !now.Past(at, gap) {
--- a/proxy/carry.go
+++ b/proxy/carry.go
@@ -23,7 +23,7 @@
 type Event struct {
 	Request string
 	Stage   handoff.Stage
-	Worker  ids.WorkerId
+	Worker  ids.WorkerID
 	At      ids.Tick
 	Why     string
 }
@@ -37,7 +37,7 @@
 	sink  Sink
 	end   ids.Tick
 	marks []uint64
-	tried map[ids.WorkerId]bool
+	tried map[ids.WorkerID]bool
 
 	kept  *choice // the worker whose memory of the prompt is yet to be fetched
 	extra bool    // a reading that failed is yet to be counted
@@ -47,9 +47,9 @@
 	last  string  // id of the last event that the caller has
 }
 
-func (t *trip) tell(stage handoff.Stage, w ids.WorkerId, why string) {
+func (t *trip) tell(stage handoff.Stage, w ids.WorkerID, why string) {
 	if t.n.opt.Trace != nil {
-		t.n.opt.Trace(Event{t.r.Id, stage, w, t.n.now(), why})
+		t.n.opt.Trace(Event{t.r.ID, stage, w, t.n.now(), why})
 	}
 }
 
@@ -69,7 +69,7 @@
 	if route == nil {
 		return n.refuse(http.StatusNotFound, 0, "no route")
 	}
-	svc, ok := s.Policy.Services[route.Pick(r.Id)]
+	svc, ok := s.Policy.Services[route.Pick(r.ID)]
 	if !ok {
 		return n.refuse(http.StatusNotFound, 0, "no service")
 	}
@@ -77,7 +77,7 @@
 	if r.Wait > 0 {
 		wait = min(wait, r.Wait)
 	}
-	t := &trip{n: n, r: r, route: route, svc: &svc, deck: n.deal(s).Deck, sink: sink, end: r.At.Add(wait), tried: map[ids.WorkerId]bool{}, last: r.From}
+	t := &trip{n: n, r: r, route: route, svc: &svc, deck: n.deal(s).Deck, sink: sink, end: r.At.Add(wait), tried: map[ids.WorkerID]bool{}, last: r.From}
 	t.marks, _ = marks(r)
 	n.budget.ask(n.now())
 	cx, stop := context.WithTimeout(ctx, wait)
@@ -203,8 +203,8 @@
 // send books a worker for one sending; false if it may get nothing new by now, or is cold
 // and was sent enough.
 func (t *trip) send(c *choice, reads int) bool {
-	gap, ok := t.n.open(c.w.Id, t.svc)
-	if !ok || gap > 0 && !t.n.warm.book(c.w.Id, gap, t.n.now()) {
+	gap, ok := t.n.open(c.w.ID, t.svc)
+	if !ok || gap > 0 && !t.n.warm.book(c.w.ID, gap, t.n.now()) {
 		return false
 	}
 	var ms []uint64
@@ -235,7 +235,7 @@
 			if dialled {
 				return src, err
 			}
-			t.tried[c.w.Id] = true
+			t.tried[c.w.ID] = true
 			if ctx.Err() != nil {
 				return nil, err
 			}
@@ -249,7 +249,7 @@
 
 // readAt has one worker read the prompt; false if no connection to it came up.
 func (t *trip) readAt(ctx context.Context, c *choice) (*Source, bool, error) {
-	t.tell(handoff.Granted, c.w.Id, "")
+	t.tell(handoff.Granted, c.w.ID, "")
 	span := min(t.n.opt.Silence+time.Duration(c.cost*2)*time.Millisecond, t.left())
 	cx, stop := context.WithTimeout(ctx, span)
 	cx, take := context.WithCancelCause(cx)
@@ -267,12 +267,12 @@
 		c.st.well(memo.Load, now)
 		t.n.outcome(c, true)
 		t.kept = c
-		t.tell(handoff.Prefilled, c.w.Id, "")
+		t.tell(handoff.Prefilled, c.w.ID, "")
 		return &Source{Worker: *c.w, Handle: memo.Handle}, true, nil
 	}
 	c.release(failure.Is(err, failure.Unknown), now)
 	t.blame(ctx, c, err, now)
-	t.tell(handoff.Dropped, c.w.Id, err.Error())
+	t.tell(handoff.Dropped, c.w.ID, err.Error())
 	if failure.Is(err, failure.Bounced) && failure.Step(err) == dialStep {
 		return nil, false, err
 	}
@@ -297,7 +297,7 @@
 	switch {
 	case failure.Is(err, failure.Lost):
 	case failure.Is(err, failure.Stale):
-		t.tried[c.w.Id] = true
+		t.tried[c.w.ID] = true
 		c.st.gone()
 	case failure.Is(err, failure.Bounced) && failure.Step(err) != dialStep:
 		c.st.full(now)
@@ -340,10 +340,10 @@
 			c.st.end(0)
 			c.release(failure.Is(err, failure.Unknown), t.n.now())
 			t.blame(ctx, &c, err, t.n.now())
-			t.tell(handoff.Dropped, c.w.Id, err.Error())
+			t.tell(handoff.Dropped, c.w.ID, err.Error())
 			if failure.Is(err, failure.Bounced) && failure.Step(err) == dialStep {
 				t.sends--
-				t.tried[c.w.Id] = true
+				t.tried[c.w.ID] = true
 				if again = t.n.now().Past(picked, pickOld); again {
 					break
 				}
--- a/proxy/carry_test.go
+++ b/proxy/carry_test.go
@@ -44,8 +44,8 @@
 		}
 		for _, a := range all {
 			require.NoError(t, a.err)
-			require.Equal(t, 1, reads[a.Id], a.Id)
-			require.Equal(t, 1, emits[a.Id], a.Id)
+			require.Equal(t, 1, reads[a.ID], a.ID)
+			require.Equal(t, 1, emits[a.ID], a.ID)
 		}
 		for name, h := range y.handles {
 			require.Equal(t, 1, h.had, name)
@@ -62,20 +62,20 @@
 		defer f.close()
 		all := f.load(12, 10*time.Second, func(i int) *Request {
 			r := f.req(fmt.Sprint("r", i), "/once/x", 8000, 2)
-			r.Parts = []Part{{Id: fmt.Sprint("system-", i/3%4), Tokens: 7900}, {Id: "last-" + r.Id, Tokens: 100}}
+			r.Parts = []Part{{ID: fmt.Sprint("system-", i/3%4), Tokens: 7900}, {ID: "last-" + r.ID, Tokens: 100}}
 			return r
 		})
-		at, used := map[string]map[ids.WorkerId]int{}, map[ids.WorkerId]bool{}
+		at, used := map[string]map[ids.WorkerID]int{}, map[ids.WorkerID]bool{}
 		begin := map[string]string{}
 		for _, a := range all {
 			require.NoError(t, a.err)
-			begin[a.Id] = a.Parts[0].Id
+			begin[a.ID] = a.Parts[0].ID
 		}
 		for _, k := range y.book() {
 			if k.Kind == "read" {
 				b := begin[k.Req]
 				if at[b] == nil {
-					at[b] = map[ids.WorkerId]int{}
+					at[b] = map[ids.WorkerID]int{}
 				}
 				at[b][k.Worker]++
 				used[k.Worker] = true
@@ -209,7 +209,7 @@
 				a := f.ask(f.nodes[0], f.req("r", "/sresume/x", 500, 60))
 				require.NoError(t, a.err)
 				require.Empty(t, answers([]*asked{a}))
-				from, workers := "", map[ids.WorkerId]bool{}
+				from, workers := "", map[ids.WorkerID]bool{}
 				for _, k := range y.book() {
 					if k.Kind == "emit" {
 						from = k.From
--- a/proxy/check_test.go
+++ b/proxy/check_test.go
@@ -29,16 +29,16 @@
 		}
 	}
 	for _, a := range ends {
-		if !a.again && ran[a.Id] > 1 {
-			out = append(out, fmt.Sprintf("%s ran %d times", a.Id, ran[a.Id]))
+		if !a.again && ran[a.ID] > 1 {
+			out = append(out, fmt.Sprintf("%s ran %d times", a.ID, ran[a.ID]))
 		}
-		if _, no := a.err.(*Refusal); no && ran[a.Id] > 0 {
-			out = append(out, fmt.Sprintf("%s was refused, and ran", a.Id))
-		} else if no && !a.again && took[a.Id] > 0 {
-			out = append(out, fmt.Sprintf("%s was refused, and was offered", a.Id))
+		if _, no := a.err.(*Refusal); no && ran[a.ID] > 0 {
+			out = append(out, fmt.Sprintf("%s was refused, and ran", a.ID))
+		} else if no && !a.again && took[a.ID] > 0 {
+			out = append(out, fmt.Sprintf("%s was refused, and was offered", a.ID))
 		}
-		if a.err == nil && ran[a.Id] == 0 {
-			out = append(out, fmt.Sprintf("%s is answered, and never ran", a.Id))
+		if a.err == nil && ran[a.ID] == 0 {
+			out = append(out, fmt.Sprintf("%s is answered, and never ran", a.ID))
 		}
 	}
 	return out
@@ -51,10 +51,10 @@
 		switch a.err.(type) {
 		case nil, *Refusal, *Broken:
 		default:
-			out = append(out, fmt.Sprintf("%s ends with %T", a.Id, a.err))
+			out = append(out, fmt.Sprintf("%s ends with %T", a.ID, a.err))
 		}
 		if !a.ended || a.end-a.at > most {
-			out = append(out, fmt.Sprintf("%s took %s", a.Id, a.end-a.at))
+			out = append(out, fmt.Sprintf("%s took %s", a.ID, a.end-a.at))
 		}
 	}
 	return out
@@ -69,13 +69,13 @@
 		got, first := a.sink.text(), 0
 		fmt.Sscan(a.From, &first)
 		if _, no := a.err.(*Refusal); no && (got != "" || a.sink.heads > 0) {
-			out = append(out, a.Id+" is refused and has bytes")
+			out = append(out, a.ID+" is refused and has bytes")
 		}
 		if b, no := a.err.(*Broken); no && b.Begun != (a.sink.heads > 0) {
-			out = append(out, a.Id+" does not tell whether it began")
+			out = append(out, a.ID+" does not tell whether it began")
 		}
 		if a.sink.heads > 1 {
-			out = append(out, a.Id+" has two heads")
+			out = append(out, a.ID+" has two heads")
 		}
 		if a.sink.heads > 0 && a.sink.status != 200 {
 			continue
@@ -83,25 +83,25 @@
 		if !a.stream {
 			want := ""
 			for i := 1; i <= a.Most; i++ {
-				want += fmt.Sprintf("word-%d of %s;", i, a.Id)
+				want += fmt.Sprintf("word-%d of %s;", i, a.ID)
 			}
 			if a.err == nil && got != want || !strings.HasPrefix(want, got) {
-				out = append(out, a.Id+" has another answer")
+				out = append(out, a.ID+" has another answer")
 			}
 			continue
 		}
 		n := first
 		for got != "" {
 			n++
-			event := fmt.Sprintf("id: %d\ndata: word-%d of %s\n\n", n, n, a.Id)
+			event := fmt.Sprintf("id: %d\ndata: word-%d of %s\n\n", n, n, a.ID)
 			if !strings.HasPrefix(got, event) {
-				out = append(out, fmt.Sprintf("%s has %q where event %d should stand", a.Id, got[:min(len(got), 40)], n))
+				out = append(out, fmt.Sprintf("%s has %q where event %d should stand", a.ID, got[:min(len(got), 40)], n))
 				break
 			}
 			got = got[len(event):]
 		}
 		if a.err == nil && got == "" && n != a.Most {
-			out = append(out, fmt.Sprintf("%s completed after event %d of %d", a.Id, n, a.Most))
+			out = append(out, fmt.Sprintf("%s completed after event %d of %d", a.ID, n, a.Most))
 		}
 	}
 	return out
@@ -155,7 +155,7 @@
 // coldRate: in no second do more than so many arrivals come to one cold worker.
 func coldRate(rows []row, most int) []string {
 	var out []string
-	by := map[ids.WorkerId][]time.Duration{}
+	by := map[ids.WorkerID][]time.Duration{}
 	for _, k := range rows {
 		if !k.Cold || k.Kind != "read" && k.Kind != "emit" {
 			continue
@@ -182,7 +182,7 @@
 }
 
 // sentTo lists arrivals at a worker within a span.
-func sentTo(rows []row, id ids.WorkerId, from, to time.Duration) []string {
+func sentTo(rows []row, id ids.WorkerID, from, to time.Duration) []string {
 	var out []string
 	for _, k := range rows {
 		if (k.Kind == "read" || k.Kind == "emit") && k.Worker == id && k.At >= from && k.At < to {
@@ -196,7 +196,7 @@
 // fences never fall.
 func ordersApart(rows []row, lease time.Duration) []string {
 	var out []string
-	last := map[ids.WorkerId]row{}
+	last := map[ids.WorkerID]row{}
 	for _, k := range rows {
 		if k.Kind != "order" {
 			continue
@@ -216,9 +216,9 @@
 
 // thirds: each part keeps a third of the workers (rounded up, one at least), by what
 // orders make of them.
-func thirds(rows []row, parts map[ids.WorkerId]ids.Part) []string {
+func thirds(rows []row, parts map[ids.WorkerID]ids.Part) []string {
 	var out []string
-	now := map[ids.WorkerId]ids.Part{}
+	now := map[ids.WorkerID]ids.Part{}
 	for id, p := range parts {
 		now[id] = p
 	}
@@ -260,7 +260,7 @@
 		if got != "" {
 			s.heads, s.status = 1, 200
 		}
-		return []*asked{{Request: &Request{Id: "r", Path: path, Most: 2}, err: err, sink: s, stream: strings.HasPrefix(path, "/s"), ended: true, at: time.Second, end: 2 * time.Second}}
+		return []*asked{{Request: &Request{ID: "r", Path: path, Most: 2}, err: err, sink: s, stream: strings.HasPrefix(path, "/s"), ended: true, at: time.Second, end: 2 * time.Second}}
 	}
 	emit := row{Kind: "emit", Req: "r", Took: true, Ran: true, Worker: "w"}
 	silent := emit
@@ -306,15 +306,15 @@
 	require.Empty(t, sentTo([]row{second}, "w", 0, time.Second))
 	require.NotEmpty(t, sentTo([]row{second}, "w", 3*time.Second, 4*time.Second))
 
-	order := func(at time.Duration, owner ids.NodeId, fence ids.Fence) row {
+	order := func(at time.Duration, owner ids.NodeID, fence ids.Fence) row {
 		return row{Kind: "order", At: at, Worker: "w", Owner: owner, Fence: fence, To: ids.Decode, Took: true}
 	}
 	require.Empty(t, ordersApart([]row{order(0, "a", 1), order(1, "a", 1), order(4*time.Second, "b", 2)}, 3*time.Second))
 	require.NotEmpty(t, ordersApart([]row{order(0, "a", 1), order(2*time.Second, "b", 2)}, 3*time.Second), "too close")
 	require.NotEmpty(t, ordersApart([]row{order(0, "a", 2), order(4*time.Second, "b", 1)}, 3*time.Second), "a lower fence")
-	parts := map[ids.WorkerId]ids.Part{"v": ids.Prefill, "w": ids.Prefill, "x": ids.Decode}
+	parts := map[ids.WorkerID]ids.Part{"v": ids.Prefill, "w": ids.Prefill, "x": ids.Decode}
 	require.Empty(t, thirds([]row{order(0, "a", 1)}, parts))
-	require.NotEmpty(t, thirds([]row{order(0, "a", 1)}, map[ids.WorkerId]ids.Part{"w": ids.Prefill, "x": ids.Decode}))
+	require.NotEmpty(t, thirds([]row{order(0, "a", 1)}, map[ids.WorkerID]ids.Part{"w": ids.Prefill, "x": ids.Decode}))
 
 	y := newYard()
 	y.handles["h"] = &handle{had: 1}
--- a/proxy/config_test.go
+++ b/proxy/config_test.go
@@ -44,12 +44,12 @@
 		f := build(t, 71, 2, y, plain(), nil)
 		defer f.close()
 		b := f.nodes[0]
-		put := func(op ids.OpId, base, next ids.Version, text string) (ids.Version, error) {
+		put := func(op ids.OpID, base, next ids.Version, text string) (ids.Version, error) {
 			ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 			defer stop()
 			return fleetstate.Put(ctx, b.agent.Caller(), b.Directory(), op, base, next, []byte(text))
 		}
-		outcome := func(op ids.OpId, base ids.Version) (ids.Version, error) {
+		outcome := func(op ids.OpID, base ids.Version) (ids.Version, error) {
 			ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 			defer stop()
 			return fleetstate.Outcome(ctx, b.agent.Caller(), b.Directory(), op, fleetstate.OutcomeAsk{Base: base})
@@ -62,7 +62,7 @@
 		_, err = put("stale", 1, 9, `{}`)
 		require.True(t, failure.Is(err, failure.Stale), "%v", err)
 		for _, low := range []ids.Version{3, 7} {
-			_, err = put(ids.OpId(fmt.Sprint("low", low)), 7, low, `{}`)
+			_, err = put(ids.OpID(fmt.Sprint("low", low)), 7, low, `{}`)
 			require.True(t, failure.Is(err, failure.Bad), "%v", err)
 		}
 		v, err = put("twelve", 7, 12, `{"zones":["twelve"]}`)
@@ -164,7 +164,7 @@
 		v := ids.Version(1)
 		for i := range 8 {
 			n := (int(seed) + i) % 3
-			ip := []string{nodeIp(n)}
+			ip := []string{nodeIP(n)}
 			switch (int(seed) + i) % 4 {
 			case 0:
 				if l := f.leader(); l != "" {
@@ -180,7 +180,7 @@
 			next := v + ids.Version(1+i%3)
 			var err error
 			f.until(20*time.Second, func() bool {
-				err = f.putAt(f.nodes[(n+1)%3], ids.OpId(fmt.Sprint("op", i)), v, next, policy(append(ways(), fleetstate.Route{Name: fmt.Sprint("x", next), Host: "x", Prefix: "/", Service: "svc"}), fleetstate.Service{Name: "svc"}))
+				err = f.putAt(f.nodes[(n+1)%3], ids.OpID(fmt.Sprint("op", i)), v, next, policy(append(ways(), fleetstate.Route{Name: fmt.Sprint("x", next), Host: "x", Prefix: "/", Service: "svc"}), fleetstate.Service{Name: "svc"}))
 				return err == nil
 			})
 			require.NoError(t, err)
@@ -274,7 +274,7 @@
 				}
 				require.NoError(t, a.err)
 				for _, k := range y.book() {
-					if k.Kind == "emit" && k.Req == a.Id {
+					if k.Kind == "emit" && k.Req == a.ID {
 						out = append(out, string(k.Worker[:3]))
 					}
 				}
--- a/proxy/delta_test.go
+++ b/proxy/delta_test.go
@@ -41,7 +41,7 @@
 				f.kill(2)
 			}
 			v := ids.Version(i + 1)
-			require.True(t, f.until(20*time.Second, func() bool { return f.put(ids.OpId(fmt.Sprint("op", i)), v, v+1, text(i)) == nil }))
+			require.True(t, f.until(20*time.Second, func() bool { return f.put(ids.OpID(fmt.Sprint("op", i)), v, v+1, text(i)) == nil }))
 			require.True(t, f.until(2*time.Second, func() bool { return f.inForce(v + 1) }))
 			if !f.nodes[2].up {
 				f.node(2)
--- a/proxy/eject.go
+++ b/proxy/eject.go
@@ -196,7 +196,7 @@
 	ros := n.roster.Load()
 	for i := range ros.all {
 		w := &ros.all[i]
-		a := &accused{w: w, st: n.state(w.Id)}
+		a := &accused{w: w, st: n.state(w.ID)}
 		a.st.mu.Lock()
 		a.failed, a.sent = a.st.verdict.odds(now)
 		a.st.mu.Unlock()
@@ -298,7 +298,7 @@
 	v.phase, v.since, v.until, v.flaps = ejected, now, now.Add(span), false
 	v.ill = a.rate()
 	n.counts.Ejected.Add(1)
-	n.opt.Ring.Info().Str("worker", string(a.w.Id)).Float64("failed", a.failed).Float64("sent", a.sent).Dur("span", span).Msg("ejects a worker")
+	n.opt.Ring.Info().Str("worker", string(a.w.ID)).Float64("failed", a.failed).Float64("sent", a.sent).Dur("span", span).Msg("ejects a worker")
 }
 
 func (n *Node) readmit(a *accused, now ids.Tick, why string) {
@@ -310,11 +310,11 @@
 	}
 	v.phase, v.since, v.ill = serving, now, 0
 	n.counts.Readmitted.Add(1)
-	n.opt.Ring.Info().Str("worker", string(a.w.Id)).Str("why", why).Msg("readmits a worker")
+	n.opt.Ring.Info().Str("worker", string(a.w.ID)).Str("why", why).Msg("readmits a worker")
 }
 
 // out tells whether a worker is ejected or on probation.
-func (n *Node) out(id ids.WorkerId) bool {
+func (n *Node) out(id ids.WorkerID) bool {
 	if n.outs.Load() == 0 {
 		return false
 	}
--- a/proxy/eject_note_gen.go
+++ b/proxy/eject_note_gen.go
@@ -12,7 +12,7 @@
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 4
 	o = append(o, 0x94)
-	o = msgp.AppendString(o, string(z.Id))
+	o = msgp.AppendString(o, string(z.ID))
 	o = msgp.AppendInt(o, z.Sent)
 	o = msgp.AppendInt(o, z.Failed)
 	o = msgp.AppendInt(o, z.Nodes)
@@ -35,10 +35,10 @@
 		var zb0002 string
 		zb0002, bts, err = msgp.ReadStringBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Id")
+			err = msgp.WrapError(err, "ID")
 			return
 		}
-		z.Id = ids.WorkerId(zb0002)
+		z.ID = ids.WorkerID(zb0002)
 	}
 	z.Sent, bts, err = msgp.ReadIntBytes(bts)
 	if err != nil {
@@ -61,6 +61,6 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Outcomes) Msgsize() (s int) {
-	s = 1 + msgp.StringPrefixSize + len(string(z.Id)) + msgp.IntSize + msgp.IntSize + msgp.IntSize
+	s = 1 + msgp.StringPrefixSize + len(string(z.ID)) + msgp.IntSize + msgp.IntSize + msgp.IntSize
 	return
 }
--- a/proxy/eject_test.go
+++ b/proxy/eject_test.go
@@ -110,7 +110,7 @@
 				by[k] = &standing{at: now, node: b.ip, group: k}
 			}
 			by[k].all++
-			if b.out(x.Id) {
+			if b.out(x.ID) {
 				by[k].out++
 			}
 		}
@@ -163,7 +163,7 @@
 }
 
 // share is the part of a span's sendings that goes to some workers.
-func share(rows []row, sick map[ids.WorkerId]bool, from, to time.Duration) float64 {
+func share(rows []row, sick map[ids.WorkerID]bool, from, to time.Duration) float64 {
 	hit, all := 0, 0
 	for _, k := range rows {
 		if (k.Kind == "read" || k.Kind == "emit") && k.At >= from && k.At < to {
@@ -177,7 +177,7 @@
 }
 
 // falls: the sick workers' share of sendings falls to the part given of what is fair.
-func falls(rows []row, sick map[ids.WorkerId]bool, fair, part float64, from, to time.Duration) []string {
+func falls(rows []row, sick map[ids.WorkerID]bool, fair, part float64, from, to time.Duration) []string {
 	if s := share(rows, sick, from, to); s > part*fair {
 		return []string{fmt.Sprintf("%.3f of the sendings go to sick workers, whose fair share is %.3f", s, fair)}
 	}
@@ -189,9 +189,9 @@
 	require.Empty(t, outBound([]standing{{out: 2, all: 6}, {out: 1, all: 2}}, 0.34))
 	require.NotEmpty(t, outBound([]standing{{out: 3, all: 6}}, 0.34), "over the bound")
 	require.NotEmpty(t, outBound([]standing{{out: 1, all: 1}}, 0.34), "the last")
-	k := func(id ids.WorkerId, at time.Duration) row { return row{Kind: "emit", Worker: id, At: at} }
+	k := func(id ids.WorkerID, at time.Duration) row { return row{Kind: "emit", Worker: id, At: at} }
 	rows := []row{k("w", 0), k("w", 1), k("v", 5), k("w", 6), k("v", 7), k("v", 8)}
-	sick := map[ids.WorkerId]bool{"w": true}
+	sick := map[ids.WorkerID]bool{"w": true}
 	require.Empty(t, falls(rows, sick, 0.5, 0.6, 5, 9))
 	require.NotEmpty(t, falls(rows, sick, 0.5, 0.4, 5, 9), "one of four")
 	require.NotEmpty(t, falls(rows, sick, 0.5, 0.6, 0, 9), "half")
@@ -205,7 +205,7 @@
 	eachSeed(t, 4, func(t *testing.T, seed uint64) {
 		x := []float64{0.3, 0.4, 0.5, 0.6}[seed%4]
 		hit := some(seed, x)
-		sick := map[ids.WorkerId]bool{"svc-prefill-1.1": true, "svc-decode-2.1": true}
+		sick := map[ids.WorkerID]bool{"svc-prefill-1.1": true, "svc-decode-2.1": true}
 		grey := func(k row) fate {
 			if sick[k.Worker] && k.At > 3*time.Second && k.At < 13*time.Second && hit(k) {
 				if k.Kind == "read" {
@@ -238,7 +238,7 @@
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
 		hit := some(seed, 0.6)
 		w := (&ward{seed: seed, nodes: 4, parts: 5, rate: 100, span: 12 * time.Second, sick: func(k row) fate {
-			if k.Worker == "svc-decode-1.1" && k.Node == nodeIp(1) && k.At > 3*time.Second && hit(k) {
+			if k.Worker == "svc-decode-1.1" && k.Node == nodeIP(1) && k.At > 3*time.Second && hit(k) {
 				return ranReset
 			}
 			return fine
@@ -250,9 +250,9 @@
 				from[k.Node]++
 			}
 		}
-		require.Greater(t, from[nodeIp(3)], 4*from[nodeIp(1)], "the other node of its zone")
+		require.Greater(t, from[nodeIP(3)], 4*from[nodeIP(1)], "the other node of its zone")
 		for _, s := range w.standing {
-			require.Equal(t, nodeIp(1), s.node, "at %s", s.at)
+			require.Equal(t, nodeIP(1), s.node, "at %s", s.at)
 		}
 	})
 }
@@ -280,7 +280,7 @@
 						time.Sleep(2 * time.Second)
 						y.at(func() {
 							y.health = func(node string, s *stand) error {
-								if s.name == "svc-decode-1" && (!some || node == nodeIp(1)) {
+								if s.name == "svc-decode-1" && (!some || node == nodeIP(1)) {
 									return bad
 								}
 								return nil
@@ -292,7 +292,7 @@
 						}
 					}}).run(t)
 				}
-				well := map[ids.WorkerId]bool{"svc-decode-1.1": true}
+				well := map[ids.WorkerID]bool{"svc-decode-1.1": true}
 				w := lies(true)
 				w.sound(t)
 				got := share(w.rows, well, 3*time.Second, 14*time.Second)
@@ -326,7 +326,7 @@
 				}
 			}}).run(t)
 		}
-		flapper, once := map[ids.WorkerId]bool{"svc-decode-1.1": true}, map[ids.WorkerId]bool{"svc-decode-3.1": true}
+		flapper, once := map[ids.WorkerID]bool{"svc-decode-1.1": true}, map[ids.WorkerID]bool{"svc-decode-3.1": true}
 		on, off := run(nil), run(func(o *Options) { o.Eject = -1 })
 		on.sound(t)
 		from, to := 6*time.Second, 14*time.Second
@@ -384,7 +384,7 @@
 		defer f.close()
 		n := f.nodes[0]
 		for i, ill := range []float64{0.9, 0.3, 0.6} {
-			st := n.state(ids.WorkerId(fmt.Sprintf("svc-decode-%d.1", i)))
+			st := n.state(ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", i)))
 			st.mu.Lock()
 			st.verdict.phase, st.verdict.until, st.verdict.ill = ejected, n.now().Add(time.Hour), ill
 			st.mu.Unlock()
@@ -407,7 +407,7 @@
 	for _, one := range []bool{false, true} {
 		t.Run(fmt.Sprint(one), func(t *testing.T) {
 			eachSeed(t, 2, func(t *testing.T, seed uint64) {
-				off := func(node string) bool { return !one || node == nodeIp(1) }
+				off := func(node string) bool { return !one || node == nodeIP(1) }
 				w := (&ward{seed: seed, nodes: 3, parts: 4, rate: 60, span: 18 * time.Second, sick: func(k row) fate {
 					if k.Worker == "svc-decode-1.1" && k.At > 3*time.Second && k.At < 8*time.Second && off(k.Node) {
 						return idleSilent
@@ -428,7 +428,7 @@
 					y.at(func() { y.health = nil })
 				}}).run(t)
 				w.sound(t)
-				sick := map[ids.WorkerId]bool{"svc-decode-1.1": true}
+				sick := map[ids.WorkerID]bool{"svc-decode-1.1": true}
 				var mine, rest []row
 				for _, k := range w.rows {
 					if off(k.Node) {
@@ -452,21 +452,21 @@
 func TestCutTeller(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := (&ward{seed: 7, nodes: 5, parts: 4, rate: 60, span: 10 * time.Second, sick: func(k row) fate {
-			if k.Node == nodeIp(0) && k.At > 2*time.Second {
+			if k.Node == nodeIP(0) && k.At > 2*time.Second {
 				return ranReset
 			}
 			return fine
 		}, act: func(f *fleet, y *yard) {
 			for range 80 {
 				for _, b := range f.up()[2:] {
-					b.told.Store(ids.NodeId("liar"), told{at: b.now(), outcomes: []Outcomes{{"svc-decode-1.1", 1 << 20, 1 << 20, 90}}})
+					b.told.Store(ids.NodeID("liar"), told{at: b.now(), outcomes: []Outcomes{{"svc-decode-1.1", 1 << 20, 1 << 20, 90}}})
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
 		}}).run(t)
 		w.sound(t)
 		for _, s := range w.standing {
-			require.Equal(t, nodeIp(0), s.node, "at %s", s.at)
+			require.Equal(t, nodeIP(0), s.node, "at %s", s.at)
 		}
 	})
 }
@@ -477,7 +477,7 @@
 	n := &Node{opt: Options{Out: 0.34, Say: 4}}
 	var list []Worker
 	for i := range 6 {
-		list = append(list, Worker{Id: ids.WorkerId(fmt.Sprint("w", i)), Service: "svc"})
+		list = append(list, Worker{ID: ids.WorkerID(fmt.Sprint("w", i)), Service: "svc"})
 	}
 	n.roster.Store(&roster{all: list})
 	require.Equal(t, []Outcomes{{"w0", 40, 20, 1}, {"w1", 30, 0, 0}}, n.weighed([]Outcomes{{"w0", 400, 200, 9}, {"w1", 30, 0, 0}}))
@@ -533,10 +533,10 @@
 		if large { // as many as the largest site has
 			nodes, parts, rate = 72, 70, 605
 		}
-		sick := map[ids.WorkerId]bool{}
+		sick := map[ids.WorkerID]bool{}
 		for i := range max(2, parts*14/100) {
-			sick[ids.WorkerId(fmt.Sprintf("svc-prefill-%d.1", 3*i))] = true
-			sick[ids.WorkerId(fmt.Sprintf("svc-decode-%d.1", 3*i+1))] = true
+			sick[ids.WorkerID(fmt.Sprintf("svc-prefill-%d.1", 3*i))] = true
+			sick[ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", 3*i+1))] = true
 		}
 		run := func(o func(*Options)) *ward {
 			w := (&ward{seed: seed, nodes: nodes, parts: parts, rate: rate, span: 11 * time.Second, tune: o, sick: func(k row) fate {
@@ -569,7 +569,7 @@
 // it, and what it is sent meanwhile is a trickle.
 func TestProbation(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		sick := map[ids.WorkerId]bool{"svc-decode-2.1": true}
+		sick := map[ids.WorkerID]bool{"svc-decode-2.1": true}
 		w := (&ward{seed: 8, nodes: 1, parts: 4, rate: 60, span: 40 * time.Second, sick: func(k row) fate {
 			if sick[k.Worker] && k.At > 2*time.Second && k.At < 30*time.Second {
 				return ranReset
@@ -595,12 +595,12 @@
 // get their share again at once: what they failed is explained.
 func TestOneFall(t *testing.T) {
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
-		cut := map[ids.WorkerId]bool{"svc-decode-0.1": true, "svc-decode-3.1": true}
+		cut := map[ids.WorkerID]bool{"svc-decode-0.1": true, "svc-decode-3.1": true}
 		w := (&ward{seed: seed, nodes: 16, parts: 6, rate: 160, span: 9 * time.Second, act: func(f *fleet, y *yard) {
 			dark := func(on bool) {
 				y.at(func() {
 					for _, s := range y.all {
-						if cut[s.Id] {
+						if cut[s.ID] {
 							s.dark = on
 						}
 					}
--- a/proxy/fleet_test.go
+++ b/proxy/fleet_test.go
@@ -111,11 +111,11 @@
 	return ""
 }
 
-func nodeIp(i int) string { return fmt.Sprintf("10.0.1.%d", i+1) }
+func nodeIP(i int) string { return fmt.Sprintf("10.0.1.%d", i+1) }
 
 // node starts the node of a number, again if it was there before.
 func (f *fleet) node(i int) *berth {
-	ip := nodeIp(i)
+	ip := nodeIP(i)
 	p := f.w.Machine(ip).Start()
 	opt := Options{Name: fmt.Sprint("n", i), Addr: ip + ":2", Zone: ids.Zone([]string{"a", "b"}[i%2]), Seeds: f.seeds, Host: p.Host(), Back: &back{f.y, ip}, Turn: -1}
 	if f.tune != nil {
@@ -128,7 +128,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	b := &berth{Node: n, ip: ip, proc: p, stop: stop, done: make(chan struct{}), up: true}
-	f.y.at(func() { f.y.known[ip] = func(id ids.WorkerId) bool { return b.offs()[id] } })
+	f.y.at(func() { f.y.known[ip] = func(id ids.WorkerID) bool { return b.offs()[id] } })
 	l, err := p.Host().Net.Listen(ip + ":2")
 	require.NoError(f.t, err)
 	mux := http.NewServeMux()
@@ -161,8 +161,8 @@
 
 // freeze stops or wakes a node at its next step on the network.
 func (f *fleet) freeze(i int, on bool) {
-	f.w.Machine(nodeIp(i)).Freeze(on)
-	f.y.at(func() { f.y.frozen[nodeIp(i)] = on })
+	f.w.Machine(nodeIP(i)).Freeze(on)
+	f.y.at(func() { f.y.frozen[nodeIP(i)] = on })
 }
 
 func (f *fleet) up() []*berth {
@@ -178,12 +178,12 @@
 }
 
 // offs tells of each worker on the node's list whether it is to get nothing new.
-func (b *berth) offs() map[ids.WorkerId]bool {
+func (b *berth) offs() map[ids.WorkerID]bool {
 	s := b.view.Sight()
-	off := map[ids.WorkerId]bool{}
+	off := map[ids.WorkerID]bool{}
 	for _, w := range b.roster.Load().all {
-		_, turns := s.Turning[w.Id]
-		off[w.Id] = w.Leaving || turns || s.Drained[w.Id] || s.Zones[w.Zone]
+		_, turns := s.Turning[w.ID]
+		off[w.ID] = w.Leaving || turns || s.Drained[w.ID] || s.Zones[w.Zone]
 	}
 	return off
 }
@@ -196,7 +196,7 @@
 			f.y.at(func() {
 				m := f.y.off[b.ip]
 				if m == nil {
-					m = map[ids.WorkerId]time.Time{}
+					m = map[ids.WorkerID]time.Time{}
 					f.y.off[b.ip] = m
 				}
 				for id, on := range off {
@@ -248,11 +248,11 @@
 }
 
 // put stages a text by way of the first node that is up.
-func (f *fleet) put(op ids.OpId, base, next ids.Version, text []byte) error {
+func (f *fleet) put(op ids.OpID, base, next ids.Version, text []byte) error {
 	return f.putAt(f.up()[0], op, base, next, text)
 }
 
-func (f *fleet) putAt(n *berth, op ids.OpId, base, next ids.Version, text []byte) error {
+func (f *fleet) putAt(n *berth, op ids.OpID, base, next ids.Version, text []byte) error {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
 	_, err := fleetstate.Put(ctx, n.agent.Caller(), n.Directory(), op, base, next, text)
@@ -263,7 +263,7 @@
 func (f *fleet) submit(kind string, c msgp.Marshaler) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
-	_, err := f.up()[0].agent.Submit(ctx, ids.OpId("op/"+coordination.Name()), kind, coordination.Pack(c))
+	_, err := f.up()[0].agent.Submit(ctx, ids.OpID("op/"+coordination.Name()), kind, coordination.Pack(c))
 	require.NoError(f.t, err)
 }
 
@@ -318,8 +318,8 @@
 
 // req makes a request for a path; it asks for events if its path begins with /s.
 func (f *fleet) req(id, path string, prompt, most int) *Request {
-	r := &Request{Id: id, Method: "POST", Target: path, Path: path, Host: host, Header: http.Header{}, Body: []byte("{}"), Model: "m", Prompt: prompt, Most: most,
-		Parts: []Part{{Id: "system-" + id[len(id)-1:], Tokens: prompt / 2}, {Id: "last-" + id, Tokens: prompt - prompt/2}}}
+	r := &Request{ID: id, Method: "POST", Target: path, Path: path, Host: host, Header: http.Header{}, Body: []byte("{}"), Model: "m", Prompt: prompt, Most: most,
+		Parts: []Part{{ID: "system-" + id[len(id)-1:], Tokens: prompt / 2}, {ID: "last-" + id, Tokens: prompt - prompt/2}}}
 	if strings.HasPrefix(path, "/s") {
 		r.Header.Set("Accept", "text/event-stream")
 	}
--- a/proxy/hearsay.go
+++ b/proxy/hearsay.go
@@ -17,7 +17,7 @@
 	rowsMost  = 64 // that a node tells
 	askSpan   = time.Second
 	tallySpan = 100 * time.Millisecond
-	fromAbove = ids.NodeId("above") // in whose name a tally has what came from above
+	fromAbove = ids.NodeID("above") // in whose name a tally has what came from above
 )
 
 // myOutcomes lists what this node saw of workers that failed here, or that others name.
@@ -37,7 +37,7 @@
 		}
 		r.fade(now, recall)
 		if r.sent > 0.1 && (r.failed > 0.1 || st.verdict.heard.Nodes > 0 && !now.Past(st.verdict.heardAt, askSpan)) {
-			out = append(out, Outcomes{Id: k.(ids.WorkerId), Sent: int(10*r.sent + 0.5), Failed: int(10*r.failed + 0.5)})
+			out = append(out, Outcomes{ID: k.(ids.WorkerID), Sent: int(10*r.sent + 0.5), Failed: int(10*r.failed + 0.5)})
 		}
 		return true
 	})
@@ -56,7 +56,7 @@
 	now := n.now()
 	n.toldAt.Store(int64(now))
 	for _, r := range row {
-		st := n.state(r.Id)
+		st := n.state(r.ID)
 		st.mu.Lock()
 		st.verdict.heard, st.verdict.heardAt = r, now
 		st.mu.Unlock()
@@ -68,12 +68,12 @@
 type tally struct {
 	mu    sync.Mutex
 	at    ids.Tick
-	total map[ids.WorkerId]Outcomes
-	by    map[ids.NodeId][]Outcomes
+	total map[ids.WorkerID]Outcomes
+	by    map[ids.NodeID][]Outcomes
 }
 
 // rest is the sum without one node's part.
-func (n *Node) rest(but ids.NodeId) []Outcomes {
+func (n *Node) rest(but ids.NodeID) []Outcomes {
 	t := &n.tally
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,25 +96,25 @@
 	if t.total != nil && !now.Past(t.at, tallySpan) {
 		return
 	}
-	t.at, t.total, t.by = now, map[ids.WorkerId]Outcomes{}, map[ids.NodeId][]Outcomes{}
+	t.at, t.total, t.by = now, map[ids.WorkerID]Outcomes{}, map[ids.NodeID][]Outcomes{}
 	t.add(n.me.Node, n.weighed(n.myOutcomes()))
 	t.add(fromAbove, n.heardAbove(now).outcomes)
 	holder, _, _ := n.agent.Holder(fleetstate.RosterKey)
 	counts := n.tree().tellersTo(n.me, holder, n.agent.Members())
 	n.told.Range(func(k, v any) bool {
-		if o := v.(told); counts(k.(ids.NodeId)) && !now.Past(o.at, 2*readSpan) && len(o.outcomes)+len(o.below) > 0 {
-			t.add(k.(ids.NodeId), append(n.weighed(o.outcomes), o.below...))
+		if o := v.(told); counts(k.(ids.NodeID)) && !now.Past(o.at, 2*readSpan) && len(o.outcomes)+len(o.below) > 0 {
+			t.add(k.(ids.NodeID), append(n.weighed(o.outcomes), o.below...))
 		}
 		return true
 	})
 }
 
 // without is the sum without some nodes' parts.
-func (t *tally) without(but ...ids.NodeId) []Outcomes {
-	own := map[ids.WorkerId]Outcomes{}
+func (t *tally) without(but ...ids.NodeID) []Outcomes {
+	own := map[ids.WorkerID]Outcomes{}
 	for _, node := range but {
 		for _, r := range t.by[node] {
-			own[r.Id] = own[r.Id].and(r)
+			own[r.ID] = own[r.ID].and(r)
 		}
 	}
 	var out []Outcomes
@@ -127,15 +127,15 @@
 	return out
 }
 
-func (t *tally) add(node ids.NodeId, row []Outcomes) {
+func (t *tally) add(node ids.NodeID, row []Outcomes) {
 	t.by[node] = row
 	for _, r := range row {
-		t.total[r.Id] = t.total[r.Id].and(r)
+		t.total[r.ID] = t.total[r.ID].and(r)
 	}
 }
 
 func (o Outcomes) and(r Outcomes) Outcomes {
-	return Outcomes{r.Id, o.Sent + r.Sent, o.Failed + r.Failed, o.Nodes + r.Nodes}
+	return Outcomes{r.ID, o.Sent + r.Sent, o.Failed + r.Failed, o.Nodes + r.Nodes}
 }
 
 // weighed bounds a node's say: of each worker to so many sendings, and to nothing if it
@@ -144,15 +144,15 @@
 	if len(row) == 0 {
 		return nil
 	}
-	accuses := map[ids.WorkerId]bool{}
+	accuses := map[ids.WorkerID]bool{}
 	for _, r := range row {
-		accuses[r.Id] = r.Failed > 3
+		accuses[r.ID] = r.Failed > 3
 	}
 	all, bad := map[group]int{}, map[group]int{}
 	for _, w := range n.roster.Load().all {
 		k := group{w.Service, w.Part}
 		all[k]++
-		if accuses[w.Id] {
+		if accuses[w.ID] {
 			bad[k]++
 		}
 	}
@@ -166,8 +166,8 @@
 		sent := max(1, r.Sent)
 		failed := min(sent, max(0, r.Failed))
 		f := min(1, 10*n.opt.Say/float64(sent))
-		o := Outcomes{Id: r.Id, Sent: int(f * float64(sent)), Failed: int(f * float64(failed))}
-		if accuses[r.Id] {
+		o := Outcomes{ID: r.ID, Sent: int(f * float64(sent)), Failed: int(f * float64(failed))}
+		if accuses[r.ID] {
 			o.Nodes = 1
 		}
 		out = append(out, o)
--- a/proxy/ledger_test.go
+++ b/proxy/ledger_test.go
@@ -85,15 +85,15 @@
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 	require.NoError(t, err)
 	now := n.now()
-	old := []Worker{{Id: "w.1", Service: "s", Zone: "a", Part: ids.Decode, Slots: 8}}
+	old := []Worker{{ID: "w.1", Service: "s", Zone: "a", Part: ids.Decode, Slots: 8}}
 	n.take(old, now, now)
-	n.stands("s", now, map[ids.WorkerId]stood{"w.1": {Used: 999, Room: 1000, Running: 5}}, true)
-	r := &Request{Id: "r", Prompt: 800, Most: 16}
+	n.stands("s", now, map[ids.WorkerID]stood{"w.1": {Used: 999, Room: 1000, Running: 5}}, true)
+	r := &Request{ID: "r", Prompt: 800, Most: 16}
 	row := n.emitters(n.first.Deck, n.view.Sight(), service("s"), r, nil, nil)
 	require.Equal(t, 1, row[0].free)
 	require.Greater(t, row[0].cost, n.opt.NoRoom)
 	row[0].take(r, r.Most, now)
-	n.take([]Worker{{Id: "w.2", Service: "s", Zone: "a", Part: ids.Decode, Slots: 8}}, now, now)
+	n.take([]Worker{{ID: "w.2", Service: "s", Zone: "a", Part: ids.Decode, Slots: 8}}, now, now)
 	row = n.emitters(n.first.Deck, n.view.Sight(), service("s"), r, nil, nil)
 	require.Zero(t, row[0].room, "nothing is known of the new life")
 	require.Less(t, row[0].cost, n.opt.NoRoom)
@@ -104,9 +104,9 @@
 // TestBoard: a node hears each change once, small ones and a round that it has not at all,
 // and of a worker that told nothing that it did.
 func TestBoard(t *testing.T) {
-	list := []Worker{{Id: "v"}, {Id: "w"}, {Id: "x"}}
-	rows := func(v, w int) map[ids.WorkerId]stood {
-		return map[ids.WorkerId]stood{"v": {Used: v, Room: 1000}, "w": {Used: w, Room: 1000}}
+	list := []Worker{{ID: "v"}, {ID: "w"}, {ID: "x"}}
+	rows := func(v, w int) map[ids.WorkerID]stood {
+		return map[ids.WorkerID]stood{"v": {Used: v, Room: 1000}, "w": {Used: w, Room: 1000}}
 	}
 	var b board
 	require.NotNil(t, b.post("s", ms(1000), rows(100, 200), true))
@@ -118,10 +118,10 @@
 	require.NotNil(t, b.post("s", ms(2000), rows(105, 300), true))
 	seq, got = b.since(seq, list, ms(2000), every)
 	require.Equal(t, []Stands{{"s", 0, []Stand{{1, 300, 1000, 0, 0}}}}, got, "only what changed, and that all were asked")
-	require.NotNil(t, b.post("s", ms(3000), map[ids.WorkerId]stood{"w": {Used: 300, Room: 1000}}, true))
+	require.NotNil(t, b.post("s", ms(3000), map[ids.WorkerID]stood{"w": {Used: 300, Room: 1000}}, true))
 	seq, got = b.since(seq, list, ms(3000), every)
 	require.Equal(t, []Stands{{"s", 0, []Stand{{0, 0, 0, 0, 0}}}}, got, "v told nothing")
-	require.NotNil(t, b.post("s", ms(4000), map[ids.WorkerId]stood{"v": {Used: 9, Room: 1000}}, false))
+	require.NotNil(t, b.post("s", ms(4000), map[ids.WorkerID]stood{"v": {Used: 9, Room: 1000}}, false))
 	_, got = b.since(seq, list, ms(4000), every)
 	require.Equal(t, []Stands{{"s", 0, []Stand{{0, 9, 1000, 0, 0}}}}, got, "w is as it was")
 	_, got = b.since(0, list, ms(4000).Add(reportOld+1), every)
@@ -139,7 +139,7 @@
 		y := newYard(all...)
 		f := build(t, seed, 4, y, plain(), turning)
 		defer f.close()
-		knows := func(b *berth, id ids.WorkerId, want int) bool {
+		knows := func(b *berth, id ids.WorkerID, want int) bool {
 			st := b.state(id)
 			st.mu.Lock()
 			defer st.mu.Unlock()
@@ -150,7 +150,7 @@
 			return func() bool {
 				for _, b := range f.up() {
 					for i, s := range all {
-						if !knows(b, s.Id, 10_000-used(i)) {
+						if !knows(b, s.ID, 10_000-used(i)) {
 							return false
 						}
 					}
@@ -182,7 +182,7 @@
 		require.True(t, f.until(6*time.Second, func() bool {
 			for _, b := range f.up() {
 				for _, s := range all {
-					st := b.state(s.Id)
+					st := b.state(s.ID)
 					st.mu.Lock()
 					_, ok := st.mem.free(b.now())
 					st.mu.Unlock()
@@ -224,7 +224,7 @@
 			}
 			for _, b := range f.up() {
 				for _, s := range all {
-					st := b.state(s.Id)
+					st := b.state(s.ID)
 					st.mu.Lock()
 					free, ok := st.mem.free(b.now())
 					st.mu.Unlock()
@@ -247,16 +247,16 @@
 	require.NoError(t, err)
 	now := n.now()
 	var list []Worker
-	rows := map[ids.WorkerId]stood{}
+	rows := map[ids.WorkerID]stood{}
 	for i := range 4 {
-		list = append(list, Worker{Id: wid(i), Service: "s", Zone: "a", Part: ids.Decode, Slots: 8})
+		list = append(list, Worker{ID: wid(i), Service: "s", Zone: "a", Part: ids.Decode, Slots: 8})
 		rows[wid(i)] = stood{Used: 1000 - 100*i, Room: 4000}
 	}
 	n.take(list, now, now)
 	n.stands("s", now, rows, true)
-	row := n.emitters(n.first.Deck, n.view.Sight(), service("s"), &Request{Id: "r", Prompt: 800, Most: 16}, nil, nil)
+	row := n.emitters(n.first.Deck, n.view.Sight(), service("s"), &Request{ID: "r", Prompt: 800, Most: 16}, nil, nil)
 	for i, c := range row {
-		require.Equal(t, wid(3-i), c.w.Id)
+		require.Equal(t, wid(3-i), c.w.ID)
 		require.Equal(t, 4000-1000+100*(3-i), c.free)
 	}
 }
@@ -334,14 +334,14 @@
 		for _, load := range []string{"no", "usual", "full"} {
 			list := make([]Worker, c.workers)
 			for i := range list {
-				list[i].Id = wid(i)
+				list[i].ID = wid(i)
 			}
 			rng := rand.New(rand.NewPCG(1, 2))
 			var b board
 			var seq uint64
 			added, rounds := 0, 20
 			for s := range rounds {
-				rows := map[ids.WorkerId]stood{}
+				rows := map[ids.WorkerID]stood{}
 				for i := range list {
 					at := stood{Room: 18_000}
 					switch load {
@@ -352,7 +352,7 @@
 						at.Waiting = rng.IntN(3)
 					}
 					at.Used = at.Running * (400 + rng.IntN(100))
-					rows[list[i].Id] = at
+					rows[list[i].ID] = at
 				}
 				now := ms(1000 * (s + 1))
 				b.post("minutes-llm", now, rows, true)
--- a/proxy/list_follow.go
+++ b/proxy/list_follow.go
@@ -17,8 +17,8 @@
 // follower is what a node keeps of those that it hears the list from.
 type follower struct {
 	n      *Node
-	failed map[ids.NodeId]ids.Tick // when a source last gave no answer
-	from   ids.NodeId
+	failed map[ids.NodeID]ids.Tick // when a source last gave no answer
+	from   ids.NodeID
 	since  ids.Tick // from when on that is so
 	known  bool     // it answered the last time
 	flat   bool     // all nodes ask the holder
@@ -75,7 +75,7 @@
 	defer stop()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var silent []ids.NodeId
+	var silent []ids.NodeID
 	for _, m := range f.unfailed(s) {
 		wg.Go(func() {
 			if _, err := rpc.Call[Heard, Heard](cx, f.n.agent.Caller(), m.Addr, "relay/alive", &Heard{}); err != nil {
@@ -150,7 +150,7 @@
 }
 
 // hasFailed tells whether a source gave no answer of late.
-func (f *follower) hasFailed(node ids.NodeId) bool {
+func (f *follower) hasFailed(node ids.NodeID) bool {
 	at, ok := f.failed[node]
 	if ok && f.n.now().Past(at, failedSpan) {
 		delete(f.failed, node)
@@ -248,7 +248,7 @@
 func listed(rows []Row) []Worker {
 	list := make([]Worker, len(rows))
 	for i, w := range rows {
-		list[i] = Worker{w.Id, w.Service, w.Addr, w.Zone, w.Part, w.Slots, w.Leaving, time.Duration(w.Cold)}
+		list[i] = Worker{w.ID, w.Service, w.Addr, w.Zone, w.Part, w.Slots, w.Leaving, time.Duration(w.Cold)}
 	}
 	return list
 }
--- a/proxy/list_note.go
+++ b/proxy/list_note.go
@@ -5,13 +5,13 @@
 import "keelstair.example/ids"
 
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file list_note.go
-//msgp:shim ids.WorkerId as:string using:string/ids.WorkerId
+//msgp:shim ids.WorkerID as:string using:string/ids.WorkerID
 //msgp:shim ids.Zone as:string using:string/ids.Zone
 //msgp:shim ids.Part as:string using:string/ids.Part
 
 // Row is one worker of the list; Cold is in nanoseconds from the asking on.
 type Row struct {
-	Id      ids.WorkerId
+	ID      ids.WorkerID `msg:"Id"`
 	Service string
 	Addr    string
 	Zone    ids.Zone
--- a/proxy/list_note_gen.go
+++ b/proxy/list_note_gen.go
@@ -13,7 +13,7 @@
 	// map header, size 8
 	// string "Id"
 	o = append(o, 0x88, 0xa2, 0x49, 0x64)
-	o = msgp.AppendString(o, string(z.Id))
+	o = msgp.AppendString(o, string(z.ID))
 	// string "Service"
 	o = append(o, 0xa7, 0x53, 0x65, 0x72, 0x76, 0x69, 0x63, 0x65)
 	o = msgp.AppendString(o, z.Service)
@@ -61,10 +61,10 @@
 				var zb0002 string
 				zb0002, bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Id")
+					err = msgp.WrapError(err, "ID")
 					return
 				}
-				z.Id = ids.WorkerId(zb0002)
+				z.ID = ids.WorkerID(zb0002)
 			}
 		case "Service":
 			z.Service, bts, err = msgp.ReadStringBytes(bts)
@@ -130,6 +130,6 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Row) Msgsize() (s int) {
-	s = 1 + 3 + msgp.StringPrefixSize + len(string(z.Id)) + 8 + msgp.StringPrefixSize + len(z.Service) + 5 + msgp.StringPrefixSize + len(z.Addr) + 5 + msgp.StringPrefixSize + len(string(z.Zone)) + 5 + msgp.StringPrefixSize + len(string(z.Part)) + 6 + msgp.IntSize + 8 + msgp.BoolSize + 5 + msgp.Int64Size
+	s = 1 + 3 + msgp.StringPrefixSize + len(string(z.ID)) + 8 + msgp.StringPrefixSize + len(z.Service) + 5 + msgp.StringPrefixSize + len(z.Addr) + 5 + msgp.StringPrefixSize + len(string(z.Zone)) + 5 + msgp.StringPrefixSize + len(string(z.Part)) + 6 + msgp.IntSize + 8 + msgp.BoolSize + 5 + msgp.Int64Size
 	return
 }
--- a/proxy/list_test.go
+++ b/proxy/list_test.go
@@ -36,7 +36,7 @@
 
 // heard tells whether all nodes that are up know that a worker leaves.
 func (f *fleet) heard(y *yard, name string) bool {
-	id := y.of(name).Id
+	id := y.of(name).ID
 	for _, b := range f.up() {
 		if w := b.roster.Load().find(id); w == nil || !w.Leaving {
 			return false
@@ -59,7 +59,7 @@
 		time.Sleep(10 * time.Second)
 		got := y.lists(from)
 		require.Len(t, got, 1, "%v", got)
-		require.InDelta(t, 14, got[nodeIp(h)], 4)
+		require.InDelta(t, 14, got[nodeIP(h)], 4)
 		y.at(func() { y.of("svc-decode-1").Leaving = true })
 		require.True(t, f.until(1500*time.Millisecond, func() bool { return f.heard(y, "svc-decode-1") }))
 		require.Len(t, y.lists(from), 1)
@@ -85,7 +85,7 @@
 				case "frozen":
 					f.freeze(h, true)
 				default:
-					y.at(func() { y.cut[nodeIp(h)] = true })
+					y.at(func() { y.cut[nodeIP(h)] = true })
 				}
 				f.at(func() { held.up = false })
 				defer func() {
--- a/proxy/list_tree.go
+++ b/proxy/list_tree.go
@@ -29,7 +29,7 @@
 // the workers, which all want to hear.
 type treeShape struct {
 	flat, width int
-	direct      map[ids.NodeId]bool
+	direct      map[ids.NodeID]bool
 }
 
 // listSources are those that a node may hear the list from.
@@ -89,17 +89,17 @@
 	return zones
 }
 
-func placeIn(tree []coordination.Member, node ids.NodeId) int {
+func placeIn(tree []coordination.Member, node ids.NodeID) int {
 	return slices.IndexFunc(tree, func(m coordination.Member) bool { return m.Node == node })
 }
 
 // tellersTo tells whose words of outcomes count at a node. Each node has one such place, so
 // that no word counts twice while a node asks several.
-func (t treeShape) tellersTo(me, holder coordination.Member, members []coordination.Member) func(ids.NodeId) bool {
+func (t treeShape) tellersTo(me, holder coordination.Member, members []coordination.Member) func(ids.NodeID) bool {
 	if len(members) <= t.flat {
-		return func(ids.NodeId) bool { return me.Node == holder.Node }
+		return func(ids.NodeID) bool { return me.Node == holder.Node }
 	}
-	children := map[ids.NodeId]bool{}
+	children := map[ids.NodeID]bool{}
 	tree := zoneTree(me.Zone, holder, members)
 	if at := placeIn(tree, me.Node); at >= 0 {
 		first := at*t.width + 1
@@ -117,12 +117,12 @@
 			}
 		}
 	}
-	return func(node ids.NodeId) bool { return children[node] }
+	return func(node ids.NodeID) bool { return children[node] }
 }
 
 // sortByWeight puts members into the order of rendezvous hashing.
 func sortByWeight(row []coordination.Member) {
-	weights := make(map[ids.NodeId]uint64, len(row))
+	weights := make(map[ids.NodeID]uint64, len(row))
 	for _, m := range row {
 		weights[m.Node] = ids.Mix(ids.Hash(string(m.Node)))
 	}
@@ -141,7 +141,7 @@
 }
 
 // standIn gives the first of the zone that has not failed of late.
-func (s *listSources) standIn(failed func(ids.NodeId) bool) (coordination.Member, bool) {
+func (s *listSources) standIn(failed func(ids.NodeID) bool) (coordination.Member, bool) {
 	for _, m := range s.zone {
 		if !failed(m.Node) {
 			return m, true
@@ -152,7 +152,7 @@
 
 // tree is the shape of the fleet's tree as this node knows it.
 func (n *Node) tree() treeShape {
-	t := treeShape{n.opt.Flat, n.opt.Width, map[ids.NodeId]bool{}}
+	t := treeShape{n.opt.Flat, n.opt.Width, map[ids.NodeID]bool{}}
 	for name := range n.sight().Policy.Services {
 		if m, _, ok := n.agent.Holder(fleetstate.ServiceKey(name)); ok {
 			t.direct[m.Node] = true
--- a/proxy/list_tree_test.go
+++ b/proxy/list_tree_test.go
@@ -19,7 +19,7 @@
 func manyMembers(n int) []coordination.Member {
 	out := make([]coordination.Member, n)
 	for i := range out {
-		out[i] = coordination.Member{Node: ids.NodeId(fmt.Sprintf("node-%03d", i)), Addr: fmt.Sprint(i), Zone: ids.Zone(fmt.Sprint("z", i%4))}
+		out[i] = coordination.Member{Node: ids.NodeID(fmt.Sprintf("node-%03d", i)), Addr: fmt.Sprint(i), Zone: ids.Zone(fmt.Sprint("z", i%4))}
 	}
 	return out
 }
@@ -28,12 +28,12 @@
 // holder in few steps, one node of each other zone crosses to the holder's, and each node's
 // word of outcomes counts at its own parent and nowhere else.
 func TestListTree(t *testing.T) {
-	shape := treeShape{flat: 96, width: 12, direct: map[ids.NodeId]bool{"node-040": true, "node-041": true}}
+	shape := treeShape{flat: 96, width: 12, direct: map[ids.NodeID]bool{"node-040": true, "node-041": true}}
 	for _, size := range []int{97, 300, 651} {
 		members := manyMembers(size)
 		holder := members[5]
-		asked := map[ids.NodeId]int{}
-		parent := map[ids.NodeId]ids.NodeId{}
+		asked := map[ids.NodeID]int{}
+		parent := map[ids.NodeID]ids.NodeID{}
 		crossing := 0
 		for _, m := range members {
 			if m.Node == holder.Node {
@@ -152,7 +152,7 @@
 		list = append(list[:i], list[i+1:]...)
 	}
 	w := list[0]
-	w.Id = ids.WorkerId(fmt.Sprintf("new-%d-%d", round, rng.IntN(1<<30)))
+	w.ID = ids.WorkerID(fmt.Sprintf("new-%d-%d", round, rng.IntN(1<<30)))
 	return append(list, w)
 }
 
@@ -171,9 +171,9 @@
 	delta := len(coordination.Pack(n.listSince(&ListAsk{Version: version, Deltas: true})))
 	var row []Reads
 	for i := range 1000 {
-		row = append(row, Reads{list[i].Id, 1000 + i, 1})
+		row = append(row, Reads{list[i].ID, 1000 + i, 1})
 	}
-	n.told.Store(ids.NodeId("other"), told{at: n.now(), reads: row})
+	n.told.Store(ids.NodeID("other"), told{at: n.now(), reads: row})
 	reads := len(coordination.Pack(&ListReply{Reads: n.sum("none", true)}))
 	t.Logf("whole %d, delta %d, readings %d bytes", whole, delta, reads)
 	require.Less(t, delta, 400)
@@ -194,7 +194,7 @@
 				late := time.Duration(0)
 				for _, name := range []string{"svc-decode-0", "svc-decode-1", "svc-decode-2", "svc-prefill-0", "svc-prefill-1"} {
 					h := f.nodes[f.lister()]
-					id := y.of(name).Id
+					id := y.of(name).ID
 					time.Sleep(370 * time.Millisecond)
 					y.at(func() { y.of(name).Leaving = true })
 					require.True(t, f.until(2*time.Second, func() bool { w := h.roster.Load().find(id); return w != nil && w.Leaving }))
@@ -286,7 +286,7 @@
 	}
 	asked := y.lists(from)
 	for _, i := range out { // what a process does as it is killed is not meant
-		delete(asked, nodeIp(i))
+		delete(asked, nodeIP(i))
 	}
 	most := 4
 	if lost == "top" { // its children hear from the holder
@@ -355,7 +355,7 @@
 		f := build(t, 66, 12, y, plain(), treed(1))
 		defer f.close()
 		time.Sleep(8 * time.Second)
-		id := y.of("svc-prefill-0").Id
+		id := y.of("svc-prefill-0").ID
 		for i, b := range f.nodes {
 			st := b.state(id)
 			st.begin(100+i, nil, b.now())
@@ -383,7 +383,7 @@
 		})
 		defer f.close()
 		time.Sleep(8 * time.Second)
-		sick, alone := y.of("svc-decode-1").Id, y.of("svc-decode-2").Id
+		sick, alone := y.of("svc-decode-1").ID, y.of("svc-decode-2").ID
 		stop := time.Now().Add(2 * time.Second)
 		for time.Now().Before(stop) {
 			for i, b := range f.nodes {
@@ -397,7 +397,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		for i, b := range f.nodes {
-			heard := func(id ids.WorkerId) int {
+			heard := func(id ids.WorkerID) int {
 				st := b.state(id)
 				st.mu.Lock()
 				defer st.mu.Unlock()
@@ -416,7 +416,7 @@
 }
 
 // sawFail has a node note one sending that failed.
-func (b *berth) sawFail(id ids.WorkerId) {
+func (b *berth) sawFail(id ids.WorkerID) {
 	st := b.state(id)
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/proxy/list_version.go
+++ b/proxy/list_version.go
@@ -33,13 +33,13 @@
 // listChange is the step from one version to the next.
 type listChange struct {
 	from, to uint64
-	workers  []ids.WorkerId
+	workers  []ids.WorkerID
 }
 
 // find gives the line of a life, if it is listed.
-func (r *roster) find(id ids.WorkerId) *Worker {
+func (r *roster) find(id ids.WorkerID) *Worker {
 	for i := range r.all {
-		if r.all[i].Id == id {
+		if r.all[i].ID == id {
 			return &r.all[i]
 		}
 	}
@@ -48,8 +48,8 @@
 
 // changedSince names the workers that changed after a version; false if that version is not
 // among the latest ones.
-func (r *roster) changedSince(version uint64) (map[ids.WorkerId]bool, bool) {
-	changed := map[ids.WorkerId]bool{}
+func (r *roster) changedSince(version uint64) (map[ids.WorkerID]bool, bool) {
+	changed := map[ids.WorkerID]bool{}
 	at := r.version
 	for i := len(r.changes) - 1; i >= 0 && at != version; i-- {
 		step := &r.changes[i]
@@ -66,7 +66,7 @@
 
 // next makes the roster that follows. A version of 0 stands for one that this node finds.
 func (r *roster) next(list []Worker, version uint64, asked, got ids.Tick) *roster {
-	list = sortedById(list)
+	list = sortedByID(list)
 	out := &roster{all: list, at: asked, got: got, seq: r.seq, version: r.version, changes: r.changes}
 	changed := differing(cooled(r.all, got.Since(r.got)), list)
 	if r.seq > 0 && len(changed) == 0 && (version == 0 || version == r.version) {
@@ -91,7 +91,7 @@
 	for i := range list {
 		w := &list[i]
 		row = row[:0]
-		for _, field := range []string{string(w.Id), w.Service, w.Addr, string(w.Zone), string(w.Part)} {
+		for _, field := range []string{string(w.ID), w.Service, w.Addr, string(w.Zone), string(w.Part)} {
 			row = append(append(row, field...), 0)
 		}
 		row = strconv.AppendInt(row, int64(w.Slots), 10)
@@ -101,14 +101,14 @@
 	return version
 }
 
-func byId(a, b Worker) int { return cmp.Compare(a.Id, b.Id) }
+func byID(a, b Worker) int { return cmp.Compare(a.ID, b.ID) }
 
-func sortedById(list []Worker) []Worker {
-	if slices.IsSortedFunc(list, byId) {
+func sortedByID(list []Worker) []Worker {
+	if slices.IsSortedFunc(list, byID) {
 		return list
 	}
 	out := slices.Clone(list)
-	slices.SortStableFunc(out, byId)
+	slices.SortStableFunc(out, byID)
 	return out
 }
 
@@ -123,20 +123,20 @@
 
 // differing names the workers that two sorted lists do not agree on, but for cold times that
 // ran on.
-func differing(old, list []Worker) []ids.WorkerId {
-	var out []ids.WorkerId
+func differing(old, list []Worker) []ids.WorkerID {
+	var out []ids.WorkerID
 	i, j := 0, 0
 	for i < len(old) || j < len(list) {
 		switch {
-		case j == len(list) || i < len(old) && old[i].Id < list[j].Id:
-			out = append(out, old[i].Id)
+		case j == len(list) || i < len(old) && old[i].ID < list[j].ID:
+			out = append(out, old[i].ID)
 			i++
-		case i == len(old) || list[j].Id < old[i].Id:
-			out = append(out, list[j].Id)
+		case i == len(old) || list[j].ID < old[i].ID:
+			out = append(out, list[j].ID)
 			j++
 		default:
 			if !same(old[i], list[j]) {
-				out = append(out, list[j].Id)
+				out = append(out, list[j].ID)
 			}
 			i++
 			j++
@@ -153,22 +153,22 @@
 }
 
 // patched is a list with a delta put in: the rows that changed, without those that are gone.
-func patched(list []Worker, rows []Worker, gone []ids.WorkerId) []Worker {
-	replaced := make(map[ids.WorkerId]bool, len(rows)+len(gone))
+func patched(list []Worker, rows []Worker, gone []ids.WorkerID) []Worker {
+	replaced := make(map[ids.WorkerID]bool, len(rows)+len(gone))
 	for _, w := range rows {
-		replaced[w.Id] = true
+		replaced[w.ID] = true
 	}
 	for _, id := range gone {
 		replaced[id] = true
 	}
 	out := make([]Worker, 0, len(list)+len(rows))
 	for _, w := range list {
-		if !replaced[w.Id] {
+		if !replaced[w.ID] {
 			out = append(out, w)
 		}
 	}
 	out = append(out, rows...)
-	slices.SortStableFunc(out, byId)
+	slices.SortStableFunc(out, byID)
 	return out
 }
 
--- a/proxy/node.go
+++ b/proxy/node.go
@@ -131,9 +131,9 @@
 	scores      whim.Scores      // outlive the programs' sets
 	first       *fleetstate.Deal // rules until the core has a set
 	roster      atomic.Pointer[roster]
-	states      sync.Map // ids.WorkerId -> *state
+	states      sync.Map // ids.WorkerID -> *state
 	warm        warm
-	told        sync.Map // ids.NodeId -> told
+	told        sync.Map // ids.NodeID -> told
 	above       atomic.Pointer[above]
 	listTook    atomic.Int64 // ns that the platform took for the list, or for that of who gave it
 	listChanged signal
@@ -164,7 +164,7 @@
 		return nil, err
 	}
 	n.first = &fleetstate.Deal{Deck: deck}
-	n.me = coordination.Member{Node: ids.NodeId(opt.Name + "-" + coordination.Name()), Addr: opt.Addr, Zone: opt.Zone}
+	n.me = coordination.Member{Node: ids.NodeID(opt.Name + "-" + coordination.Name()), Addr: opt.Addr, Zone: opt.Zone}
 	n.view = fleetstate.NewView(opt.Ring)
 	n.view.Read, n.view.Scores = opt.Read, &n.scores
 	n.agent = coordination.NewAgent(coordination.AgentOptions{Me: n.me, Host: opt.Host, Seeds: opt.Seeds, View: n.view, Ring: opt.Ring, Lease: opt.Lease, Renew: opt.Renew})
--- a/proxy/operate.go
+++ b/proxy/operate.go
@@ -45,7 +45,7 @@
 func (o *Operator) Apply(ctx context.Context, a *api.Apply) (*api.Applied, error) {
 	cx, stop := context.WithTimeout(ctx, operatorWait)
 	defer stop()
-	op, name := ids.OpId(programOps+a.Op), cmp.Or(a.Name, "programs")
+	op, name := ids.OpID(programOps+a.Op), cmp.Or(a.Name, "programs")
 	text, err := fleetstate.Source(name, []byte(a.Source))
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 	}
 	cx, stop := context.WithTimeout(ctx, operatorWait)
 	defer stop()
-	if err := fleetstate.Mark(cx, o.Call, o.Directory, ids.OpId(zoneOps+m.Op), ids.Zone(zone), m.Out); err != nil {
+	if err := fleetstate.Mark(cx, o.Call, o.Directory, ids.OpID(zoneOps+m.Op), ids.Zone(zone), m.Out); err != nil {
 		return nil, api.Fate(err, comeBack)
 	}
 	return &api.Applied{Active: true}, nil
--- a/proxy/pass.go
+++ b/proxy/pass.go
@@ -94,7 +94,7 @@
 		c.st.fault(t.n.now())
 		return failure.New(failure.Unknown, "pass", c.w.Addr, "status %d", reply.Status)
 	}
-	t.tell(handoff.Resumed, c.w.Id, "")
+	t.tell(handoff.Resumed, c.w.ID, "")
 	var err error
 	if reply.Events {
 		err = t.events(c, reply)
--- a/proxy/pick.go
+++ b/proxy/pick.go
@@ -42,7 +42,7 @@
 	sum := 0
 	for i := 0; i+1 < len(r.Parts); i++ {
 		h.Write([]byte{0})
-		h.Write([]byte(r.Parts[i].Id))
+		h.Write([]byte(r.Parts[i].ID))
 		sum += r.Parts[i].Tokens
 		out, toks = append(out, h.Sum64()), append(toks, sum)
 	}
@@ -102,7 +102,7 @@
 
 // cleared lists the workers of a service that may get new work of a part now. Those that
 // are to be left alone come only if no other is there.
-func (n *Node) cleared(s *fleetstate.Sight, svc *fleetstate.Service, part ids.Part, tried map[ids.WorkerId]bool) []choice {
+func (n *Node) cleared(s *fleetstate.Sight, svc *fleetstate.Service, part ids.Part, tried map[ids.WorkerID]bool) []choice {
 	var good, out, shy []choice
 	now := n.now()
 	ros := n.roster.Load()
@@ -149,12 +149,12 @@
 	if n.coldFor(w, svc, got, now) <= 0 && (svc.WarmRate <= 0 || !n.unheard(now)) {
 		return 0, true
 	}
-	gap, ok := n.gap(w.Id, svc)
-	return gap, ok && n.warm.may(w.Id, gap, now)
+	gap, ok := n.gap(w.ID, svc)
+	return gap, ok && n.warm.may(w.ID, gap, now)
 }
 
 // open is the same of a worker that was chosen some time ago, before others were tried.
-func (n *Node) open(id ids.WorkerId, svc *fleetstate.Service) (time.Duration, bool) {
+func (n *Node) open(id ids.WorkerID, svc *fleetstate.Service) (time.Duration, bool) {
 	ros := n.roster.Load()
 	w := ros.find(id)
 	if w == nil || !fit(n.sight(), w) {
@@ -166,7 +166,7 @@
 // gap is the pause that this node keeps between requests to a cold worker, so that all
 // nodes together stay under what it bears; where there are more nodes than it bears
 // requests, only some may send.
-func (n *Node) gap(id ids.WorkerId, svc *fleetstate.Service) (time.Duration, bool) {
+func (n *Node) gap(id ids.WorkerID, svc *fleetstate.Service) (time.Duration, bool) {
 	bound := int(svc.WarmRate*n.opt.Over) + n.opt.Spare - 2
 	peers := int(math.Round(1 / n.share()))
 	if per := bound / peers; per > 1 {
@@ -186,11 +186,11 @@
 }
 
 // readers orders the workers that may read a prompt.
-func (n *Node) readers(deck *whim.Deck, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, tried map[ids.WorkerId]bool) []choice {
+func (n *Node) readers(deck *whim.Deck, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, tried map[ids.WorkerID]bool) []choice {
 	list := n.cleared(s, svc, ids.Prefill, tried)
 	ms, toks := marks(r)
 	row := n.tabled(n.roster.Load(), s).by[role{svc.Name, ids.Prefill}]
-	homes := make([]ids.WorkerId, len(ms))
+	homes := make([]ids.WorkerID, len(ms))
 	for i, m := range ms {
 		homes[i] = home(m, row, n.out)
 	}
@@ -200,7 +200,7 @@
 		c.need = r.Prompt
 		c.st.mu.Lock()
 		for k := len(ms) - 1; k >= 0; k-- {
-			if _, ok := c.st.cached[ms[k]]; ok || homes[k] == c.w.Id {
+			if _, ok := c.st.cached[ms[k]]; ok || homes[k] == c.w.ID {
 				c.need = max(1, r.Prompt-toks[k])
 				break
 			}
@@ -218,7 +218,7 @@
 }
 
 // emitters orders the workers that may emit the answer, near the memory and near here.
-func (n *Node) emitters(deck *whim.Deck, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, from *Worker, tried map[ids.WorkerId]bool) []choice {
+func (n *Node) emitters(deck *whim.Deck, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, from *Worker, tried map[ids.WorkerID]bool) []choice {
 	list := n.cleared(s, svc, ids.Decode, tried)
 	now := n.now()
 	for i := range list {
@@ -248,7 +248,7 @@
 // order asks the routing programs, cheapest first.
 func (n *Node) order(deck *whim.Deck, r *Request, part ids.Part, list []choice) []choice {
 	// Among equals the request decides, so that nodes that know little crowd no worker.
-	own := ids.Hash(r.Id)
+	own := ids.Hash(r.ID)
 	ranks := make([]place, len(list))
 	for i := range list {
 		list[i].cost += illCost * list[i].ill
@@ -264,19 +264,19 @@
 	if len(head) < 2 && !deck.Rules() {
 		return list
 	}
-	q := &whim.Question{Request: r.Id, Kind: r.Host, Model: r.Model, Part: part, Zone: n.me.Zone, Prompt: r.Prompt, Max: r.Most, Priced: true}
+	q := &whim.Question{Request: r.ID, Kind: r.Host, Model: r.Model, Part: part, Zone: n.me.Zone, Prompt: r.Prompt, Max: r.Most, Priced: true}
 	cands := make([]whim.Candidate, len(head))
 	told := true // room is told in blocks if it is known of all, else in places
 	for i := range head {
 		told = told && head[i].room > 0
 	}
-	by := make(map[ids.WorkerId]choice, len(head))
+	by := make(map[ids.WorkerID]choice, len(head))
 	for i, c := range head {
-		cands[i] = whim.Candidate{Id: c.w.Id, Zone: c.w.Zone, Room: c.w.Slots, Free: max(0, c.w.Slots-c.busy), Busy: c.busy, Cap: c.w.Slots, Affinity: c.aff, Cost: c.cost}
+		cands[i] = whim.Candidate{ID: c.w.ID, Zone: c.w.Zone, Room: c.w.Slots, Free: max(0, c.w.Slots-c.busy), Busy: c.busy, Cap: c.w.Slots, Affinity: c.aff, Cost: c.cost}
 		if told {
 			cands[i].Room, cands[i].Free = c.room, c.free
 		}
-		by[c.w.Id] = c
+		by[c.w.ID] = c
 	}
 	out := make([]choice, 0, len(list))
 	for _, id := range deck.Order(q, cands) {
--- a/proxy/pick_test.go
+++ b/proxy/pick_test.go
@@ -22,34 +22,34 @@
 	list := many(40)
 	list[7].Part = ""
 	list[9].Service = "other"
-	sights := []*fleetstate.Sight{{}, {Zones: map[ids.Zone]bool{"b": true}}, {Drained: map[ids.WorkerId]bool{list[2].Id: true}}, {Turning: map[ids.WorkerId]ids.Part{list[4].Id: ids.Decode}}}
+	sights := []*fleetstate.Sight{{}, {Zones: map[ids.Zone]bool{"b": true}}, {Drained: map[ids.WorkerID]bool{list[2].ID: true}}, {Turning: map[ids.WorkerID]ids.Part{list[4].ID: ids.Decode}}}
 	for k := range 6 {
 		now := n.now()
 		if k > 0 {
 			list = append([]Worker(nil), list...)
 			list[3*k].Leaving = true
 			list[5*k].Part = ids.Prefill
-			list = append(list[1:], Worker{Id: wid(k), Service: "s", Zone: "c", Part: ids.Decode, Slots: 8})
+			list = append(list[1:], Worker{ID: wid(k), Service: "s", Zone: "c", Part: ids.Decode, Slots: 8})
 		}
 		n.take(list, now, now)
 		for _, s := range sights {
 			for _, part := range []ids.Part{ids.Prefill, ids.Decode} {
-				var want, got []ids.WorkerId
-				var top ids.WorkerId
+				var want, got []ids.WorkerID
+				var top ids.WorkerID
 				best := -1.0
 				for i := range list {
 					w := &list[i]
 					if w.Service != "s" || !fit(s, w) || w.Part != part && w.Part != "" {
 						continue
 					}
-					want = append(want, w.Id)
-					if a := whim.Affinity(77, w.Id); w.Part == ids.Prefill && a > best {
-						best, top = a, w.Id
+					want = append(want, w.ID)
+					if a := whim.Affinity(77, w.ID); w.Part == ids.Prefill && a > best {
+						best, top = a, w.ID
 					}
 				}
 				for _, c := range n.cleared(s, service("s"), part, nil) {
-					got = append(got, c.w.Id)
-					require.Same(t, n.state(c.w.Id), c.st)
+					got = append(got, c.w.ID)
+					require.Same(t, n.state(c.w.ID), c.st)
 				}
 				require.Equal(t, want, got)
 				require.Equal(t, top, home(77, n.tabled(n.roster.Load(), s).by[role{"s", part}], n.out))
@@ -93,7 +93,7 @@
 			require.NoError(b, err)
 			n.take(many(workers), n.now(), n.now())
 			s, svc := n.view.Sight(), service("s")
-			r := &Request{Id: "9c41d07be2a35f68", Prompt: 9190, Most: 4, Body: make([]byte, 20_000),
+			r := &Request{ID: "9c41d07be2a35f68", Prompt: 9190, Most: 4, Body: make([]byte, 20_000),
 				Parts: []Part{{"5c1e07a2", 800}, {"91bd3f06", 5500}, {"e4402b7d", 2890}}}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -108,7 +108,7 @@
 func many(workers int) []Worker {
 	list := make([]Worker, workers)
 	for i := range list {
-		list[i] = Worker{Id: ids.WorkerId(fmt.Sprintf("i-7f3a%04d", i)), Service: "s", Zone: ids.Zone("abcd"[i%4:][:1]), Part: []ids.Part{ids.Prefill, ids.Decode}[i%2], Slots: 24}
+		list[i] = Worker{ID: ids.WorkerID(fmt.Sprintf("i-7f3a%04d", i)), Service: "s", Zone: ids.Zone("abcd"[i%4:][:1]), Part: []ids.Part{ids.Prefill, ids.Decode}[i%2], Slots: 24}
 	}
 	return list
 }
--- a/proxy/place_test.go
+++ b/proxy/place_test.go
@@ -24,14 +24,14 @@
 				y := newYard(both("svc", 4, 4)...)
 				f := build(t, 31, 3, y, plain(), nil)
 				defer f.close()
-				var gone []ids.WorkerId
+				var gone []ids.WorkerID
 				var at time.Duration
 				f.wg.Go(func() {
 					time.Sleep(2 * time.Second)
 					y.at(func() {
 						for _, w := range y.all {
 							if how == "evacuated" && w.Zone == "b" || how != "evacuated" && strings.HasSuffix(w.name, "-1") {
-								gone = append(gone, w.Id)
+								gone = append(gone, w.ID)
 								w.Leaving, w.hidden = how == "leaving", how == "unlisted"
 							}
 						}
@@ -99,8 +99,8 @@
 		y.restart("svc-decode-1")
 		n := f.nodes[0]
 		for _, w := range n.roster.Load().all {
-			if w.Id == "svc-decode-1.1" {
-				n.state(w.Id).gone()
+			if w.ID == "svc-decode-1.1" {
+				n.state(w.ID).gone()
 				n.suspect(w, false)
 			}
 		}
--- a/proxy/program_test.go
+++ b/proxy/program_test.go
@@ -78,13 +78,13 @@
 		f := build(t, 62, 2, y, plain(), func(o *Options) { o.Deck = deck })
 		defer f.close()
 		all := f.load(30, 3*1e9, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 2) })
-		at := map[ids.WorkerId]int{}
+		at := map[ids.WorkerID]int{}
 		for _, k := range y.book() {
 			if k.Kind == "emit" || k.Kind == "read" {
 				at[k.Worker]++
 			}
 		}
-		require.Equal(t, map[ids.WorkerId]int{"svc-prefill-0.1": len(all), "svc-decode-0.1": len(all)}, at)
+		require.Equal(t, map[ids.WorkerID]int{"svc-prefill-0.1": len(all), "svc-decode-0.1": len(all)}, at)
 	})
 }
 
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -15,13 +15,13 @@
 
 // Part is one piece of a prompt; requests that begin with the same parts share them.
 type Part struct {
-	Id     string
+	ID     string
 	Tokens int
 }
 
 // Request is one try of a caller's. The id is the try's own.
 type Request struct {
-	Id     string
+	ID     string
 	Method string
 	Target string // path and query as they came
 	Path   string
@@ -39,7 +39,7 @@
 
 // Worker is one line of the platform's list.
 type Worker struct {
-	Id      ids.WorkerId // of this life
+	ID      ids.WorkerID // of this life
 	Service string
 	Addr    string
 	Zone    ids.Zone
@@ -93,7 +93,7 @@
 // sends one.
 type Order struct {
 	To    ids.Part
-	Owner ids.NodeId
+	Owner ids.NodeID
 	Fence ids.Fence
 	After int // orders that the worker is expected to have taken
 }
--- a/proxy/rate_test.go
+++ b/proxy/rate_test.go
@@ -35,13 +35,13 @@
 	require.NoError(t, err)
 	list := make([]Worker, 60)
 	for i := range list {
-		list[i] = Worker{Id: wid(i), Service: "s", Zone: "a", Part: "decode", Slots: 8}
+		list[i] = Worker{ID: wid(i), Service: "s", Zone: "a", Part: "decode", Slots: 8}
 	}
 	n.take(list, 1, 1)
 	got := map[string]int{}
 	for i := range 3000 {
-		row := n.emitters(n.first.Deck, n.view.Sight(), service("s"), &Request{Id: string(wid(i)) + "q"}, nil, nil)
-		got[string(row[0].w.Id)]++
+		row := n.emitters(n.first.Deck, n.view.Sight(), service("s"), &Request{ID: string(wid(i)) + "q"}, nil, nil)
+		got[string(row[0].w.ID)]++
 	}
 	require.Len(t, got, 60)
 	for id, k := range got {
@@ -51,7 +51,7 @@
 
 func quietHost() seam.Host { return sham.NewWorld(1).Machine("10.0.0.9").Start().Host() }
 
-func wid(i int) ids.WorkerId { return ids.WorkerId("w" + strconv.Itoa(i)) }
+func wid(i int) ids.WorkerID { return ids.WorkerID("w" + strconv.Itoa(i)) }
 
 func service(name string) *fleetstate.Service { return &fleetstate.Service{Name: name} }
 
--- a/proxy/reads_note.go
+++ b/proxy/reads_note.go
@@ -5,11 +5,11 @@
 import "keelstair.example/ids"
 
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file reads_note.go
-//msgp:shim ids.WorkerId as:string using:string/ids.WorkerId
+//msgp:shim ids.WorkerID as:string using:string/ids.WorkerID
 
 // Reads is what a node, or all but the one that asks, have under way at a reading worker.
 type Reads struct {
-	Id     ids.WorkerId
+	ID     ids.WorkerID `msg:"Id"`
 	Tokens int
 	Count  int
 }
--- a/proxy/reads_note_gen.go
+++ b/proxy/reads_note_gen.go
@@ -13,7 +13,7 @@
 	// map header, size 3
 	// string "Id"
 	o = append(o, 0x83, 0xa2, 0x49, 0x64)
-	o = msgp.AppendString(o, string(z.Id))
+	o = msgp.AppendString(o, string(z.ID))
 	// string "Tokens"
 	o = append(o, 0xa6, 0x54, 0x6f, 0x6b, 0x65, 0x6e, 0x73)
 	o = msgp.AppendInt(o, z.Tokens)
@@ -46,10 +46,10 @@
 				var zb0002 string
 				zb0002, bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Id")
+					err = msgp.WrapError(err, "ID")
 					return
 				}
-				z.Id = ids.WorkerId(zb0002)
+				z.ID = ids.WorkerID(zb0002)
 			}
 		case "Tokens":
 			z.Tokens, bts, err = msgp.ReadIntBytes(bts)
@@ -77,6 +77,6 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z Reads) Msgsize() (s int) {
-	s = 1 + 3 + msgp.StringPrefixSize + len(string(z.Id)) + 7 + msgp.IntSize + 6 + msgp.IntSize
+	s = 1 + 3 + msgp.StringPrefixSize + len(string(z.ID)) + 7 + msgp.IntSize + 6 + msgp.IntSize
 	return
 }
--- a/proxy/roster.go
+++ b/proxy/roster.go
@@ -27,7 +27,7 @@
 
 // rosters keeps the list fresh. While it cannot be had, the last one is kept.
 func (n *Node) rosters(ctx context.Context) {
-	f := &follower{n: n, failed: map[ids.NodeId]ids.Tick{}}
+	f := &follower{n: n, failed: map[ids.NodeID]ids.Tick{}}
 	for ctx.Err() == nil {
 		wait := n.opt.Roster
 		holder, _, ok := n.agent.Holder(fleetstate.RosterKey)
@@ -87,7 +87,7 @@
 		st.mu.Lock()
 		defer st.mu.Unlock()
 		if st.readers > 0 {
-			out = append(out, Reads{k.(ids.WorkerId), st.reads, st.readers})
+			out = append(out, Reads{k.(ids.WorkerID), st.reads, st.readers})
 		}
 		return true
 	})
@@ -98,7 +98,7 @@
 func (n *Node) others(row []Reads) {
 	now := n.now()
 	for _, r := range row {
-		st := n.state(r.Id)
+		st := n.state(r.ID)
 		st.mu.Lock()
 		st.other, st.otherAt = r, now
 		st.mu.Unlock()
@@ -180,12 +180,12 @@
 	changed, ok := ros.changedSince(q.Version)
 	out.Delta = ok && q.Deltas
 	for _, w := range ros.all {
-		if out.Delta && !changed[w.Id] {
+		if out.Delta && !changed[w.ID] {
 			continue
 		}
-		delete(changed, w.Id)
+		delete(changed, w.ID)
 		cold := max(0, w.Cold-now.Since(ros.got))
-		out.Rows = append(out.Rows, Row{w.Id, w.Service, w.Addr, w.Zone, w.Part, w.Slots, w.Leaving, int64(cold)})
+		out.Rows = append(out.Rows, Row{w.ID, w.Service, w.Addr, w.Zone, w.Part, w.Slots, w.Leaving, int64(cold)})
 	}
 	if out.Delta {
 		for id := range changed {
@@ -197,16 +197,16 @@
 
 // sum adds up what all nodes but one have under way; without those above, it is what this
 // node and those below it have.
-func (n *Node) sum(but ids.NodeId, withAbove bool) []Reads {
+func (n *Node) sum(but ids.NodeID, withAbove bool) []Reads {
 	now := n.now()
-	at := map[ids.WorkerId]int{}
+	at := map[ids.WorkerID]int{}
 	var out []Reads
 	add := func(row []Reads) {
 		for _, r := range row {
-			i, ok := at[r.Id]
+			i, ok := at[r.ID]
 			if !ok {
-				i, at[r.Id] = len(out), len(out)
-				out = append(out, Reads{Id: r.Id})
+				i, at[r.ID] = len(out), len(out)
+				out = append(out, Reads{ID: r.ID})
 			}
 			out[i].Tokens, out[i].Count = out[i].Tokens+r.Tokens, out[i].Count+r.Count
 		}
@@ -221,7 +221,7 @@
 		switch t := v.(told); {
 		case now.Past(t.at, 4*readSpan):
 			n.told.Delete(k)
-		case k.(ids.NodeId) != but && !now.Past(t.at, 2*readSpan):
+		case k.(ids.NodeID) != but && !now.Past(t.at, 2*readSpan):
 			add(t.reads)
 		}
 		return true
@@ -247,12 +247,12 @@
 	old := n.roster.Load()
 	next := old.next(list, version, asked, got)
 	if next.seq != old.seq {
-		on := make(map[ids.WorkerId]bool, len(list))
+		on := make(map[ids.WorkerID]bool, len(list))
 		for _, w := range list {
-			on[w.Id] = true
+			on[w.ID] = true
 		}
 		n.states.Range(func(k, _ any) bool {
-			if !on[k.(ids.WorkerId)] {
+			if !on[k.(ids.WorkerID)] {
 				n.states.Delete(k)
 			}
 			return true
--- a/proxy/state.go
+++ b/proxy/state.go
@@ -33,7 +33,7 @@
 	mem     ledger
 }
 
-func (n *Node) state(id ids.WorkerId) *state {
+func (n *Node) state(id ids.WorkerID) *state {
 	if v, ok := n.states.Load(id); ok {
 		return v.(*state)
 	}
@@ -43,8 +43,8 @@
 
 // fit tells whether a worker may get new work under a sight.
 func fit(s *fleetstate.Sight, w *Worker) bool {
-	_, turning := s.Turning[w.Id]
-	return !w.Leaving && !turning && !s.Zones[w.Zone] && !s.Drained[w.Id]
+	_, turning := s.Turning[w.ID]
+	return !w.Leaving && !turning && !s.Zones[w.Zone] && !s.Drained[w.ID]
 }
 
 // failback is when a zone was taken back, at the latest, and which time that was.
--- a/proxy/swap_test.go
+++ b/proxy/swap_test.go
@@ -123,12 +123,12 @@
 		across, at := 0, firstEmits(y.book())
 		var old, new [4]float64
 		for _, a := range all {
-			require.NoError(t, a.err, a.Id)
+			require.NoError(t, a.err, a.ID)
 			switch {
 			case a.at < swapped:
-				old[at[a.Id]]++
+				old[at[a.ID]]++
 			case a.at > had:
-				new[at[a.Id]]++
+				new[at[a.ID]]++
 			}
 			if a.stream && a.at < swapped && a.end > had {
 				across++
@@ -162,13 +162,13 @@
 		a := <-long
 		require.NoError(t, a.err)
 		require.Empty(t, answers([]*asked{a}))
-		var at []ids.WorkerId
+		var at []ids.WorkerID
 		for _, k := range y.book() {
 			if k.Kind == "emit" {
 				at = append(at, k.Worker)
 			}
 		}
-		require.Equal(t, []ids.WorkerId{"svc-decode-0.1", "svc-decode-1.1"}, at)
+		require.Equal(t, []ids.WorkerID{"svc-decode-0.1", "svc-decode-1.1"}, at)
 	})
 }
 
@@ -336,7 +336,7 @@
 		var wg sync.WaitGroup
 		wg.Go(func() {
 			for v := ids.Version(1); v < 9; v++ {
-				require.NoError(t, f.put(ids.OpId(fmt.Sprint("doc", v)), v, v+1, plain()))
+				require.NoError(t, f.put(ids.OpID(fmt.Sprint("doc", v)), v, v+1, plain()))
 			}
 		})
 		wg.Go(func() {
@@ -421,7 +421,7 @@
 				all := f.load(20, 40*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
 				rows := y.book()
 				require.Greater(t, len(orders(rows)), c.some)
-				last, ends := map[ids.WorkerId]time.Duration{}, time.Duration(-time.Hour)
+				last, ends := map[ids.WorkerID]time.Duration{}, time.Duration(-time.Hour)
 				for _, k := range orders(rows) {
 					if at, ok := last[k.Worker]; ok {
 						require.Greater(t, k.At-at, 4*time.Second, "dwell of %s", k.Worker)
--- a/proxy/table.go
+++ b/proxy/table.go
@@ -14,7 +14,7 @@
 // entry is a worker's place in the list with what does not change with a request.
 type entry struct {
 	place int
-	id    ids.WorkerId
+	id    ids.WorkerID
 	part  ids.Part
 	hash  uint64
 	st    *state
@@ -41,7 +41,7 @@
 	t := &table{seq: ros.seq, sight: s, by: map[role][]entry{}, ranks: ranks(s)}
 	for i := range ros.all {
 		if w := &ros.all[i]; fit(s, w) {
-			e := entry{i, w.Id, w.Part, whim.Hash(w.Id), n.state(w.Id)}
+			e := entry{i, w.ID, w.Part, whim.Hash(w.ID), n.state(w.ID)}
 			for _, p := range []ids.Part{ids.Prefill, ids.Decode} {
 				if k := (role{w.Service, p}); w.Part == p || w.Part == "" {
 					t.by[k] = append(t.by[k], e)
@@ -77,8 +77,8 @@
 }
 
 // home is the reading worker that a beginning falls to, of those that are not out.
-func home(mark uint64, row []entry, out func(ids.WorkerId) bool) ids.WorkerId {
-	var top ids.WorkerId
+func home(mark uint64, row []entry, out func(ids.WorkerID) bool) ids.WorkerID {
+	var top ids.WorkerID
 	best := -1.0
 	for i := range row {
 		if row[i].part != ids.Prefill || out(row[i].id) {
--- a/proxy/tell_note_gen.go
+++ b/proxy/tell_note_gen.go
@@ -140,7 +140,7 @@
 					err = msgp.WrapError(err, "Node")
 					return
 				}
-				z.Node = ids.NodeId(zb0002)
+				z.Node = ids.NodeID(zb0002)
 			}
 		case "Seq":
 			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
--- a/proxy/told_note_gen.go
+++ b/proxy/told_note_gen.go
@@ -164,7 +164,7 @@
 					err = msgp.WrapError(err, "Node")
 					return
 				}
-				z.Node = ids.NodeId(zb0002)
+				z.Node = ids.NodeID(zb0002)
 			}
 		case "Seq":
 			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
@@ -219,7 +219,7 @@
 			if cap(z.Gone) >= int(zb0004) {
 				z.Gone = (z.Gone)[:zb0004]
 			} else {
-				z.Gone = make([]ids.WorkerId, zb0004)
+				z.Gone = make([]ids.WorkerID, zb0004)
 			}
 			for za0002 := range z.Gone {
 				{
@@ -229,7 +229,7 @@
 						err = msgp.WrapError(err, "Gone", za0002)
 						return
 					}
-					z.Gone[za0002] = ids.WorkerId(zb0005)
+					z.Gone[za0002] = ids.WorkerID(zb0005)
 				}
 			}
 		case "Reads":
--- a/proxy/turn.go
+++ b/proxy/turn.go
@@ -38,7 +38,7 @@
 	read   float64  // smoothed
 	emit   float64
 	looked ids.Tick
-	turned map[ids.WorkerId]ids.Tick // when a worker was last told to turn
+	turned map[ids.WorkerID]ids.Tick // when a worker was last told to turn
 }
 
 type turn struct {
@@ -53,7 +53,7 @@
 		return
 	}
 	duties := map[string]*duty{}
-	turns := map[ids.WorkerId]*turn{}
+	turns := map[ids.WorkerID]*turn{}
 	for seam.Sleep(ctx, n.opt.Turn) {
 		s := n.sight()
 		for name := range s.Policy.Services {
@@ -65,7 +65,7 @@
 			}
 			d := duties[name]
 			if d == nil || d.fence != fence {
-				d = &duty{fence: fence, since: n.now(), last: n.now(), read: 0.5, emit: 0.2, turned: map[ids.WorkerId]ids.Tick{}}
+				d = &duty{fence: fence, since: n.now(), last: n.now(), read: 0.5, emit: 0.2, turned: map[ids.WorkerID]ids.Tick{}}
 				duties[name] = d
 			}
 			if n.now().Past(d.since, n.opt.Lease+n.opt.Lease/5) {
@@ -79,7 +79,7 @@
 func (n *Node) submitTurn(ctx context.Context, t *fleetstate.Turn) bool {
 	cx, stop := context.WithTimeout(ctx, 700*time.Millisecond)
 	defer stop()
-	_, err := n.agent.Submit(cx, ids.OpId("turn/"+coordination.Name()), fleetstate.TurnKind, coordination.Pack(t))
+	_, err := n.agent.Submit(cx, ids.OpID("turn/"+coordination.Name()), fleetstate.TurnKind, coordination.Pack(t))
 	return err == nil
 }
 
@@ -89,14 +89,14 @@
 }
 
 // look asks the workers, ends turns that are over, and begins one where it helps.
-func (n *Node) look(ctx context.Context, s *fleetstate.Sight, svc *fleetstate.Service, key ids.Key, d *duty, turns map[ids.WorkerId]*turn) {
+func (n *Node) look(ctx context.Context, s *fleetstate.Sight, svc *fleetstate.Service, key ids.Key, d *duty, turns map[ids.WorkerID]*turn) {
 	ros := n.roster.Load()
-	listed := map[ids.WorkerId]*Worker{}
+	listed := map[ids.WorkerID]*Worker{}
 	mine := false
 	for i := range ros.all {
 		if w := &ros.all[i]; w.Service == svc.Name {
-			listed[w.Id] = w
-			if _, on := s.Turning[w.Id]; on {
+			listed[w.ID] = w
+			if _, on := s.Turning[w.ID]; on {
 				mine = true
 			}
 		}
@@ -139,16 +139,16 @@
 	some, to := choose(rows, read, emit, n.opt.Rest)
 	some, to = n.wish(n.deal(s), svc, d, rows, some, to)
 	for _, w := range some {
-		if n.submitTurn(ctx, &fleetstate.Turn{Worker: w.w.Id, To: to}) {
-			turns[w.w.Id] = &turn{began: n.now(), after: w.Orders}
-			d.turned[w.w.Id] = n.now()
-			n.opt.Ring.Info().Str("worker", string(w.w.Id)).Str("to", string(to)).Float64("read", read).Float64("emit", emit).Msg("turns a worker")
+		if n.submitTurn(ctx, &fleetstate.Turn{Worker: w.w.ID, To: to}) {
+			turns[w.w.ID] = &turn{began: n.now(), after: w.Orders}
+			d.turned[w.w.ID] = n.now()
+			n.opt.Ring.Info().Str("worker", string(w.w.ID)).Str("to", string(to)).Float64("read", read).Float64("emit", emit).Msg("turns a worker")
 		}
 	}
 }
 
 // elsewhere tells that another service's worker, or one whose list is not known, has it.
-func (n *Node) elsewhere(id ids.WorkerId) bool {
+func (n *Node) elsewhere(id ids.WorkerID) bool {
 	ros := n.roster.Load()
 	return len(ros.all) == 0 || ros.find(id) != nil
 }
@@ -178,7 +178,7 @@
 }
 
 // reports asks all workers that may be counted on, side by side.
-func (n *Node) reports(ctx context.Context, s *fleetstate.Sight, listed map[ids.WorkerId]*Worker) []report {
+func (n *Node) reports(ctx context.Context, s *fleetstate.Sight, listed map[ids.WorkerID]*Worker) []report {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var out []report
@@ -199,7 +199,7 @@
 		})
 	}
 	wg.Wait()
-	sort.Slice(out, func(i, j int) bool { return out[i].w.Id < out[j].w.Id })
+	sort.Slice(out, func(i, j int) bool { return out[i].w.ID < out[j].w.ID })
 	return out
 }
 
--- a/proxy/turn_test.go
+++ b/proxy/turn_test.go
@@ -31,12 +31,12 @@
 	})
 }
 
-func parts(y *yard) map[ids.WorkerId]ids.Part {
+func parts(y *yard) map[ids.WorkerID]ids.Part {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	out := map[ids.WorkerId]ids.Part{}
+	out := map[ids.WorkerID]ids.Part{}
 	for _, s := range y.all {
-		out[s.Id] = s.Part
+		out[s.ID] = s.Part
 	}
 	return out
 }
@@ -91,7 +91,7 @@
 		all := f.load(25, 50*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 6) })
 		rows := y.book()
 		to := map[ids.Part]int{}
-		by := map[ids.NodeId]bool{}
+		by := map[ids.NodeID]bool{}
 		var flips []ids.Part
 		for _, k := range orders(rows) {
 			to[k.To]++
@@ -143,7 +143,7 @@
 			if h < 0 {
 				continue
 			}
-			ip := []string{nodeIp(h)}
+			ip := []string{nodeIP(h)}
 			switch (int(seed) + i) % 4 {
 			case 0:
 				f.kill(h)
@@ -181,7 +181,7 @@
 		require.Greater(t, len(orders(rows)), 3)
 		require.Empty(t, ordersApart(rows, 3*time.Second))
 		require.Empty(t, thirds(rows, was))
-		owner, last := map[ids.Fence]ids.NodeId{}, ids.Fence(0)
+		owner, last := map[ids.Fence]ids.NodeID{}, ids.Fence(0)
 		for _, k := range orders(rows) {
 			if old, ok := owner[k.Fence]; ok {
 				require.Equal(t, old, k.Owner)
@@ -234,14 +234,14 @@
 		time.Sleep(3 * time.Second)
 		h := f.holder()
 		require.GreaterOrEqual(t, h, 0)
-		f.w.Sever([]string{nodeIp(h)}, coreIps, true)
+		f.w.Sever([]string{nodeIP(h)}, coreIps, true)
 		next := -1
 		require.True(t, f.until(20*time.Second, func() bool { next = f.holder(); return next >= 0 && next != h }))
 		since := y.now()
 		y.pressed(ids.Prefill, 6)
 		require.True(t, f.until(20*time.Second, func() bool { return len(orders(y.book())) > 0 }))
 		first := orders(y.book())[0]
-		require.Equal(t, nodeIp(next), first.Node)
+		require.Equal(t, nodeIP(next), first.Node)
 		require.Greater(t, first.At-since, 3*time.Second)
 	})
 }
--- a/proxy/wish.go
+++ b/proxy/wish.go
@@ -31,13 +31,13 @@
 	p := &whim.Pool{Model: svc.Name, Since: now.Since(d.last),
 		Press: map[ids.Part]float64{ids.Prefill: min(1, d.read*pressEmit/pressRead), ids.Decode: min(1, d.emit)}}
 	for _, r := range rows {
-		at, was := d.turned[r.w.Id]
-		p.Workers = append(p.Workers, whim.Turner{Id: r.w.Id, Zone: r.w.Zone, Part: r.Part, Home: r.Part, Busy: r.Running + r.Waiting, Work: r.Running,
+		at, was := d.turned[r.w.ID]
+		p.Workers = append(p.Workers, whim.Turner{ID: r.w.ID, Zone: r.w.Zone, Part: r.Part, Home: r.Part, Busy: r.Running + r.Waiting, Work: r.Running,
 			Cap: svc.Slots, Free: max(0, r.Room-r.Used), Room: r.Room, May: count[r.Part] > least(len(rows)) && (!was || now.Past(at, dwell))})
 	}
 	var own whim.Wish
 	if len(some) > 0 {
-		own = whim.Wish{Worker: some[0].w.Id, To: to}
+		own = whim.Wish{Worker: some[0].w.ID, To: to}
 	}
 	w, ok, ruled := deal.Deck.Wish(p, own, len(some) > 0)
 	switch {
@@ -47,7 +47,7 @@
 		return nil, ""
 	}
 	for i := range rows {
-		if rows[i].w.Id == w.Worker {
+		if rows[i].w.ID == w.Worker {
 			return []*report{&rows[i]}, w.To
 		}
 	}
--- a/proxy/yard_test.go
+++ b/proxy/yard_test.go
@@ -41,21 +41,21 @@
 	At     time.Duration
 	Kind   string // read, emit, free, order, report
 	Node   string
-	Worker ids.WorkerId
+	Worker ids.WorkerID
 	Req    string
 	From   string
 	Took   bool          // it was not turned away
 	Ran    bool          // an emission began, or a reading gave its memory
 	Cold   bool          // the worker was cold
 	Off    time.Duration // how long the node knew that the worker is to get nothing new
-	Owner  ids.NodeId
+	Owner  ids.NodeID
 	Fence  ids.Fence
 	To     ids.Part
 }
 
 // handle is memory that a worker keeps.
 type handle struct {
-	worker ids.WorkerId
+	worker ids.WorkerID
 	req    string
 	had    int
 	freed  bool
@@ -94,8 +94,8 @@
 	handles map[string]*handle
 	cut     map[string]bool // nodes that reach no worker
 	frozen  map[string]bool // nodes that stand still
-	off     map[string]map[ids.WorkerId]time.Time
-	known   map[string]func(id ids.WorkerId) bool // by node: whether it knows now that a worker is off
+	off     map[string]map[ids.WorkerID]time.Time
+	known   map[string]func(id ids.WorkerID) bool // by node: whether it knows now that a worker is off
 	fate    func(k row, w *stand) fate
 	listed  func() time.Duration // how long the asking for the list is under way
 	nolist  bool
@@ -116,7 +116,7 @@
 
 func newYard(all ...*stand) *yard {
 	return &yard{start: time.Now(), all: all, handles: map[string]*handle{}, cut: map[string]bool{}, frozen: map[string]bool{},
-		off: map[string]map[ids.WorkerId]time.Time{}, known: map[string]func(ids.WorkerId) bool{}, direct: 50, step: 20 * time.Millisecond, turn: time.Second}
+		off: map[string]map[ids.WorkerID]time.Time{}, known: map[string]func(ids.WorkerID) bool{}, direct: 50, step: 20 * time.Millisecond, turn: time.Second}
 }
 
 // stands makes so many workers of a part, by turns in two zones.
@@ -127,7 +127,7 @@
 		if part == "" {
 			name = fmt.Sprintf("%s-%d", service, i)
 		}
-		out = append(out, &stand{name: name, life: 1, Worker: Worker{Id: ids.WorkerId(name + ".1"), Service: service, Addr: name + ":90",
+		out = append(out, &stand{name: name, life: 1, Worker: Worker{ID: ids.WorkerID(name + ".1"), Service: service, Addr: name + ":90",
 			Zone: ids.Zone([]string{"a", "b"}[i%2]), Part: part, Slots: 16}})
 	}
 	return out
@@ -164,7 +164,7 @@
 		if w.name == name {
 			w.dead = true
 			next := &stand{Worker: w.Worker, name: name, life: w.life + 1}
-			next.Id = ids.WorkerId(fmt.Sprintf("%s.%d", name, next.life))
+			next.ID = ids.WorkerID(fmt.Sprintf("%s.%d", name, next.life))
 			y.all[i] = next
 		}
 	}
@@ -250,12 +250,12 @@
 	b.y.mu.Lock()
 	f := b.y.known[b.ip]
 	b.y.mu.Unlock()
-	if f == nil || !f(w.Id) {
+	if f == nil || !f(w.ID) {
 		return 0
 	}
 	b.y.mu.Lock()
 	defer b.y.mu.Unlock()
-	if at, ok := b.y.off[b.ip][w.Id]; ok {
+	if at, ok := b.y.off[b.ip][w.ID]; ok {
 		return time.Since(at)
 	}
 	return 0
@@ -267,7 +267,7 @@
 	if span, ok := y.chill[s.Zone]; ok && s.warm.IsZero() {
 		s.warm = time.Now().Add(span)
 	}
-	k.At, k.Node, k.Worker, k.Cold = y.now(), b.ip, w.Id, time.Now().Before(s.warm)
+	k.At, k.Node, k.Worker, k.Cold = y.now(), b.ip, w.ID, time.Now().Before(s.warm)
 	how := fine
 	if y.fate != nil {
 		how = y.fate(k, s)
@@ -278,7 +278,7 @@
 	y.rows = append(y.rows, k)
 	p := &y.rows[len(y.rows)-1]
 	switch {
-	case s.Id != w.Id:
+	case s.ID != w.ID:
 		return p, how, failure.New(failure.Stale, "ask worker", w.Addr, "another life has the address")
 	case s.dark && (how == fine || how == midReset):
 		how = idleSilent
@@ -399,7 +399,7 @@
 		return nil, err
 	}
 	y.mu.Lock()
-	_, how, err := b.arrive(row{Kind: "read", Req: r.Id, Off: off}, s, w)
+	_, how, err := b.arrive(row{Kind: "read", Req: r.ID, Off: off}, s, w)
 	at := len(y.rows) - 1
 	y.mu.Unlock()
 	if err != nil {
@@ -421,7 +421,7 @@
 	y.handle++
 	name := fmt.Sprint("kv-", y.handle)
 	if !s.dead {
-		y.handles[name] = &handle{worker: s.Id, req: r.Id, let: let}
+		y.handles[name] = &handle{worker: s.ID, req: r.ID, let: let}
 	}
 	hook := y.onRead
 	y.mu.Unlock()
@@ -442,7 +442,7 @@
 		return false
 	}
 	for _, s := range y.all {
-		if s.Id == h.worker && !s.dark && !s.dead {
+		if s.ID == h.worker && !s.dark && !s.dead {
 			h.had++
 			go h.let()
 			return true
@@ -458,7 +458,7 @@
 		return nil, err
 	}
 	y.mu.Lock()
-	p, how, err := b.arrive(row{Kind: "emit", Req: r.Id, From: from, Off: off}, s, w)
+	p, how, err := b.arrive(row{Kind: "emit", Req: r.ID, From: from, Off: off}, s, w)
 	if err == nil && src != nil && how != idleReset && how != idleSilent && (how == lostMemory || !y.fetch(src)) {
 		p.Took = false
 		err = failure.New(failure.Lost, "fetch memory", w.Addr, "it cannot be had")
@@ -487,7 +487,7 @@
 		return nil, err
 	}
 	a := &answer{ctx: ctx, b: b, s: s, leave: leave, cut: -1}
-	reply := &Reply{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.Id)}}, Whole: how != bare, Length: -1, Body: a, Load: y.load(s)}
+	reply := &Reply{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.ID)}}, Whole: how != bare, Length: -1, Body: a, Load: y.load(s)}
 	if how == failed {
 		reply.Status = http.StatusInternalServerError
 		a.rest = [][]byte{[]byte("failed")}
@@ -497,11 +497,11 @@
 		reply.Events = true
 		n, _ := strconv.Atoi(from)
 		for i := n + 1; i <= r.Most; i++ {
-			a.rest = append(a.rest, fmt.Appendf(nil, "id: %d\ndata: word-%d of %s\n\n", i, i, r.Id))
+			a.rest = append(a.rest, fmt.Appendf(nil, "id: %d\ndata: word-%d of %s\n\n", i, i, r.ID))
 		}
 	} else {
 		for i := 1; i <= r.Most; i++ {
-			a.rest = append(a.rest, fmt.Appendf(nil, "word-%d of %s;", i, r.Id))
+			a.rest = append(a.rest, fmt.Appendf(nil, "word-%d of %s;", i, r.ID))
 		}
 	}
 	if how == midReset {
@@ -567,8 +567,8 @@
 	}
 	b.y.mu.Lock()
 	defer b.y.mu.Unlock()
-	b.y.rows = append(b.y.rows, row{At: b.y.now(), Kind: "free", Node: b.ip, Worker: s.Id})
-	if h := b.y.handles[name]; h != nil && h.worker == s.Id {
+	b.y.rows = append(b.y.rows, row{At: b.y.now(), Kind: "free", Node: b.ip, Worker: s.ID})
+	if h := b.y.handles[name]; h != nil && h.worker == s.ID {
 		h.freed = true
 		go h.let()
 	}
@@ -581,7 +581,7 @@
 		return nil, err
 	}
 	b.y.at(func() {
-		b.y.rows = append(b.y.rows, row{At: b.y.now(), Kind: "report", Node: b.ip, Worker: s.Id})
+		b.y.rows = append(b.y.rows, row{At: b.y.now(), Kind: "report", Node: b.ip, Worker: s.ID})
 	})
 	if err := b.ok(ctx, s); err != nil {
 		return nil, err
@@ -615,8 +615,8 @@
 	}
 	y := b.y
 	y.mu.Lock()
-	k := row{At: y.now(), Kind: "order", Node: b.ip, Worker: w.Id, Owner: o.Owner, Fence: o.Fence, To: o.To}
-	if s.Id != w.Id || s.turning != "" || o.After != s.orders || s.dark {
+	k := row{At: y.now(), Kind: "order", Node: b.ip, Worker: w.ID, Owner: o.Owner, Fence: o.Fence, To: o.To}
+	if s.ID != w.ID || s.turning != "" || o.After != s.orders || s.dark {
 		y.rows = append(y.rows, k)
 		y.mu.Unlock()
 		return failure.New(failure.Bounced, "order", w.Addr, "refused")
--- a/router/audit.go
+++ b/router/audit.go
@@ -20,7 +20,7 @@
 )
 
 // saw notes a step that was cleared.
-func (h *hands) saw(verb string, w ids.WorkerId, id workerclient.Id, serial string) {
+func (h *hands) saw(verb string, w ids.WorkerID, id workerclient.ID, serial string) {
 	if serial == "" || verb == verbReserve {
 		return
 	}
@@ -39,12 +39,12 @@
 }
 
 // audit adds a row to the core's chain. The operation's id has it stand there once.
-func (n *Node) audit(ctx context.Context, op ids.OpId, record []byte) error {
+func (n *Node) audit(ctx context.Context, op ids.OpID, record []byte) error {
 	_, err := n.agent.Submit(ctx, op, fleetstate.AuditKind, coordination.Pack(&fleetstate.Audit{Record: record}))
 	return err
 }
 
-func auditOp(request, what string) ids.OpId { return ids.OpId("audit/" + request + "/" + what) }
+func auditOp(request, what string) ids.OpID { return ids.OpID("audit/" + request + "/" + what) }
 
 // begin records governed work that claims no key, before anything is sent to a worker.
 func (h *hands) begin(ctx context.Context, request string) error {
