--- a/router/augur/augur.go
+++ b/router/augur/augur.go
@@ -20,7 +20,7 @@
 	Evacuate ids.Zone
 	LoseZone ids.Zone
 	LoseAddr string // a machine, by any of its addresses
-	Drain    ids.WorkerId
+	Drain    ids.WorkerID
 	Revoke   string // a certificate's serial
 	At       int64  // the fleet's time moves on to this, in nanoseconds since 1970
 }
@@ -28,8 +28,8 @@
 // Move is a key that would change hands.
 type Move struct {
 	Key  ids.Key    `json:"key"`
-	From ids.NodeId `json:"from"`
-	To   ids.NodeId `json:"to"`
+	From ids.NodeID `json:"from"`
+	To   ids.NodeID `json:"to"`
 }
 
 // Room is what one part of a model can hold, in blocks.
@@ -109,15 +109,15 @@
 	return nil
 }
 
-func workerIds(a, b *fleetstate.Policy) []ids.WorkerId {
-	set := map[ids.WorkerId]bool{}
+func workerIds(a, b *fleetstate.Policy) []ids.WorkerID {
+	set := map[ids.WorkerID]bool{}
 	for id := range a.Workers {
 		set[id] = true
 	}
 	for id := range b.Workers {
 		set[id] = true
 	}
-	out := make([]ids.WorkerId, 0, len(set))
+	out := make([]ids.WorkerID, 0, len(set))
 	for id := range set {
 		out = append(out, id)
 	}
@@ -164,7 +164,7 @@
 }
 
 func (f *Forecast) keys(st *router.Standing, next *fleetstate.Policy, c Change) {
-	var was, is []ids.NodeId
+	var was, is []ids.NodeID
 	for _, m := range st.Members {
 		was = append(was, m.Node)
 		if !c.lost(m.Zone, m.Addr) {
@@ -199,9 +199,9 @@
 	}
 	rooms := map[group]*Room{}
 	zones := map[group][2]map[ids.Zone]bool{}
-	stands := map[ids.WorkerId]router.Stand{}
+	stands := map[ids.WorkerID]router.Stand{}
 	for _, s := range st.Workers {
-		stands[s.Id] = s
+		stands[s.ID] = s
 	}
 	out := map[string]bool{}
 	for _, z := range st.Evacuated {
--- a/router/augur/augur_test.go
+++ b/router/augur/augur_test.go
@@ -15,15 +15,15 @@
 
 func fixture() (*router.Standing, *fleetstate.Policy) {
 	st := &router.Standing{Version: 4}
-	p := &fleetstate.Policy{Zones: []ids.Zone{"a", "b"}, Workers: map[ids.WorkerId]fleetstate.Worker{}}
+	p := &fleetstate.Policy{Zones: []ids.Zone{"a", "b"}, Workers: map[ids.WorkerID]fleetstate.Worker{}}
 	for i, z := range []ids.Zone{"a", "b", "b"} {
 		n := string(rune('1' + i))
-		st.Members = append(st.Members, coordination.Member{Node: ids.NodeId("n" + n), Addr: "10.0.0." + n + ":1", Zone: z})
-		st.Core.Holders = append(st.Core.Holders, coordination.Replica{Disk: ids.DiskId(n), Addr: "10.0.1." + n + ":1", Zone: z})
+		st.Members = append(st.Members, coordination.Member{Node: ids.NodeID("n" + n), Addr: "10.0.0." + n + ":1", Zone: z})
+		st.Core.Holders = append(st.Core.Holders, coordination.Replica{Disk: ids.DiskID(n), Addr: "10.0.1." + n + ":1", Zone: z})
 		for _, part := range []ids.Part{ids.Prefill, ids.Decode} {
-			id := ids.WorkerId(string(part[0]) + n)
+			id := ids.WorkerID(string(part[0]) + n)
 			p.Workers[id] = fleetstate.Worker{Part: part, Model: "m", Weights: "w", Room: 100, Block: 16, Zone: z}
-			st.Workers = append(st.Workers, router.Stand{Id: id, Part: part, Ready: true, Free: 40, Room: 100})
+			st.Workers = append(st.Workers, router.Stand{ID: id, Part: part, Ready: true, Free: 40, Room: 100})
 		}
 	}
 	return st, p
@@ -38,8 +38,8 @@
 	require.Equal(t, [2]int{3, 1}, f.Nodes)
 	require.Equal(t, [2]int{3, 1}, f.Disks)
 	for _, m := range f.Keys {
-		require.Equal(t, ids.NodeId("n1"), m.To)
-		require.Equal(t, coordination.Owner(m.Key, []ids.NodeId{"n1", "n2", "n3"}), m.From)
+		require.Equal(t, ids.NodeID("n1"), m.To)
+		require.Equal(t, coordination.Owner(m.Key, []ids.NodeID{"n1", "n2", "n3"}), m.From)
 	}
 	require.Len(t, f.Rooms, 2)
 	require.Equal(t, [2]int{300, 100}, f.Rooms[0].Blocks)
@@ -54,7 +54,7 @@
 	require.Equal(t, [2]int{3, 2}, f.Disks)
 	require.Len(t, f.Warnings, 1)
 	next := *p
-	next.Workers = map[ids.WorkerId]fleetstate.Worker{"p1": p.Workers["p1"]}
+	next.Workers = map[ids.WorkerID]fleetstate.Worker{"p1": p.Workers["p1"]}
 	f, err = Foresee(st, p, Change{Policy: &next})
 	require.NoError(t, err)
 	require.Len(t, f.Workers, 5)
--- a/router/beat_note.go
+++ b/router/beat_note.go
@@ -6,8 +6,8 @@
 
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file beat_note.go
 //msgp:shim ids.Version as:uint64 using:uint64/ids.Version
-//msgp:shim ids.WorkerId as:string using:string/ids.WorkerId
-//msgp:shim ids.NodeId as:string using:string/ids.NodeId
+//msgp:shim ids.WorkerID as:string using:string/ids.WorkerID
+//msgp:shim ids.NodeID as:string using:string/ids.NodeID
 //msgp:shim ids.Fence as:uint64 using:uint64/ids.Fence
 //msgp:shim ids.Life as:string using:string/ids.Life
 //msgp:shim ids.Part as:string using:string/ids.Part
@@ -16,16 +16,16 @@
 // it, how the workers stand whose ledgers it keeps, and which workers leave by the
 // platform's list, if that was had lately.
 type Beat struct {
-	Node    ids.NodeId
+	Node    ids.NodeID
 	Version ids.Version
 	Fresh   int64
 	Workers []Stand
-	Leaving []ids.WorkerId
+	Leaving []ids.WorkerID
 }
 
 // Stand is one ledger's state.
 type Stand struct {
-	Id    ids.WorkerId
+	ID    ids.WorkerID `msg:"Id"`
 	Fence ids.Fence
 	Part  ids.Part
 	Ready bool
--- a/router/beat_note_gen.go
+++ b/router/beat_note_gen.go
@@ -65,7 +65,7 @@
 					err = msgp.WrapError(err, "Node")
 					return
 				}
-				z.Node = ids.NodeId(zb0002)
+				z.Node = ids.NodeID(zb0002)
 			}
 		case "Version":
 			{
@@ -112,7 +112,7 @@
 			if cap(z.Leaving) >= int(zb0005) {
 				z.Leaving = (z.Leaving)[:zb0005]
 			} else {
-				z.Leaving = make([]ids.WorkerId, zb0005)
+				z.Leaving = make([]ids.WorkerID, zb0005)
 			}
 			for za0002 := range z.Leaving {
 				{
@@ -122,7 +122,7 @@
 						err = msgp.WrapError(err, "Leaving", za0002)
 						return
 					}
-					z.Leaving[za0002] = ids.WorkerId(zb0006)
+					z.Leaving[za0002] = ids.WorkerID(zb0006)
 				}
 			}
 		default:
@@ -156,7 +156,7 @@
 	// map header, size 12
 	// string "Id"
 	o = append(o, 0x8c, 0xa2, 0x49, 0x64)
-	o = msgp.AppendString(o, string(z.Id))
+	o = msgp.AppendString(o, string(z.ID))
 	// string "Fence"
 	o = append(o, 0xa5, 0x46, 0x65, 0x6e, 0x63, 0x65)
 	o = msgp.AppendUint64(o, uint64(z.Fence))
@@ -216,10 +216,10 @@
 				var zb0002 string
 				zb0002, bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Id")
+					err = msgp.WrapError(err, "ID")
 					return
 				}
-				z.Id = ids.WorkerId(zb0002)
+				z.ID = ids.WorkerID(zb0002)
 			}
 		case "Fence":
 			{
@@ -313,6 +313,6 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Stand) Msgsize() (s int) {
-	s = 1 + 3 + msgp.StringPrefixSize + len(string(z.Id)) + 6 + msgp.Uint64Size + 5 + msgp.StringPrefixSize + len(string(z.Part)) + 6 + msgp.BoolSize + 5 + msgp.IntSize + 5 + msgp.IntSize + 5 + msgp.IntSize + 5 + msgp.IntSize + 5 + msgp.IntSize + 4 + msgp.IntSize + 6 + msgp.IntSize + 5 + msgp.StringPrefixSize + len(string(z.Life))
+	s = 1 + 3 + msgp.StringPrefixSize + len(string(z.ID)) + 6 + msgp.Uint64Size + 5 + msgp.StringPrefixSize + len(string(z.Part)) + 6 + msgp.BoolSize + 5 + msgp.IntSize + 5 + msgp.IntSize + 5 + msgp.IntSize + 5 + msgp.IntSize + 5 + msgp.IntSize + 4 + msgp.IntSize + 6 + msgp.IntSize + 5 + msgp.StringPrefixSize + len(string(z.Life))
 	return
 }
--- a/router/beats.go
+++ b/router/beats.go
@@ -27,7 +27,7 @@
 	told   ids.Tick // when it was asked what it then answered
 	fresh  time.Duration
 	stands []Stand
-	leave  []ids.WorkerId
+	leave  []ids.WorkerID
 }
 
 func (n *Node) beat() *Beat {
@@ -44,7 +44,7 @@
 		d := v.(*desk)
 		if f, ok := n.agent.Held(fleetstate.WorkerKey(d.id)); ok && f == d.fence {
 			st := d.ledger.State(now)
-			b.Workers = append(b.Workers, Stand{Id: d.id, Fence: f, Part: st.Part, Ready: st.Ready, Free: st.Free,
+			b.Workers = append(b.Workers, Stand{ID: d.id, Fence: f, Part: st.Part, Ready: st.Ready, Free: st.Free,
 				Room: st.Room, Busy: st.Busy, Work: st.Work, Used: st.Used, Cap: st.Cap, Block: st.Block, Life: st.Life})
 		}
 		return true
@@ -110,14 +110,14 @@
 // worker, and who leaves, since a node may be cut from the platform.
 func (n *Node) sum() {
 	now := n.now()
-	live := map[ids.NodeId]bool{}
+	live := map[ids.NodeID]bool{}
 	for _, m := range n.agent.Members() {
 		live[m.Node] = true
 	}
-	all, leave := map[ids.WorkerId]Stand{}, map[ids.WorkerId]bool{}
+	all, leave := map[ids.WorkerID]Stand{}, map[ids.WorkerID]bool{}
 	n.mates.Range(func(k, v any) bool {
 		m := v.(mate)
-		if now.Past(m.at, 5*time.Second) && !live[k.(ids.NodeId)] {
+		if now.Past(m.at, 5*time.Second) && !live[k.(ids.NodeID)] {
 			n.mates.Delete(k)
 		}
 		if now.Past(m.at, time.Second) {
@@ -127,8 +127,8 @@
 			leave[id] = true
 		}
 		for _, st := range m.stands {
-			if old, ok := all[st.Id]; !ok || old.Fence < st.Fence {
-				all[st.Id] = st
+			if old, ok := all[st.ID]; !ok || old.Fence < st.Fence {
+				all[st.ID] = st
 			}
 		}
 		return true
@@ -168,9 +168,9 @@
 func (n *Node) rosters(ctx context.Context) {
 	for {
 		if list, err := n.workerClient.Workers(ctx, n.opt.Platform); err == nil {
-			all := make(map[ids.WorkerId]workerclient.Listed, len(list))
+			all := make(map[ids.WorkerID]workerclient.Listed, len(list))
 			for _, l := range list {
-				all[l.Id] = l
+				all[l.ID] = l
 			}
 			n.roster.Store(&all)
 			n.listed.Store(int64(n.now()))
--- a/router/debt.go
+++ b/router/debt.go
@@ -18,7 +18,7 @@
 )
 
 type debt struct {
-	op     ids.OpId
+	op     ids.OpID
 	claim  *fleetstate.Claim
 	settle *fleetstate.Settle
 	audit  []byte
--- a/router/hands.go
+++ b/router/hands.go
@@ -29,12 +29,12 @@
 	kind   string
 	regime string       // that the request is bound to, if any
 	part   ids.Part     // that was picked for last
-	source ids.WorkerId // where the memory that moves lies staged
+	source ids.WorkerID // where the memory that moves lies staged
 	steps  []fleetstate.AuditStep
 	begun  bool // its first row stands
 }
 
-func (h *hands) Pick(q *whim.Question, on workerclient.Model, shun map[ids.WorkerId]bool) []handoff.Picked {
+func (h *hands) Pick(q *whim.Question, on workerclient.Model, shun map[ids.WorkerID]bool) []handoff.Picked {
 	n := h.n
 	// While a newer version is heard of and not had yet, or could not be heard of,
 	// picks are held.
@@ -50,10 +50,10 @@
 		if regime == "" {
 			return true
 		}
-		_, err := n.allows(regime, st.Id, st.Part)
+		_, err := n.allows(regime, st.ID, st.Part)
 		return err == nil
 	}
-	by := map[ids.WorkerId]handoff.Picked{}
+	by := map[ids.WorkerID]handoff.Picked{}
 	var list, last []whim.Candidate
 	both := map[string]map[ids.Part]bool{}
 	for id, st := range *n.stands.Load() {
@@ -78,8 +78,8 @@
 			!both[w.Weights][ids.Prefill] || !both[w.Weights][ids.Decode] || st.Free < need {
 			continue
 		}
-		by[id] = handoff.Picked{Id: id, Model: m, Block: st.Block, Life: st.Life}
-		c := whim.Candidate{Id: id, Zone: w.Zone, Weights: w.Weights, Adapters: w.Adapters, Free: st.Free, Room: st.Room, Busy: st.Busy, Cap: st.Cap, Affinity: whim.Affinity(h.prefix, id)}
+		by[id] = handoff.Picked{ID: id, Model: m, Block: st.Block, Life: st.Life}
+		c := whim.Candidate{ID: id, Zone: w.Zone, Weights: w.Weights, Adapters: w.Adapters, Free: st.Free, Room: st.Room, Busy: st.Busy, Cap: st.Cap, Affinity: whim.Affinity(h.prefix, id)}
 		if shun[id] || n.blamed(id) {
 			last = append(last, c)
 		} else {
@@ -96,7 +96,7 @@
 	return out
 }
 
-func (h *hands) ask(ctx context.Context, verb string, w ids.WorkerId, id workerclient.Id, q OrderAsk, m *workerclient.Identity, span time.Duration) (*workerclient.Answer, error) {
+func (h *hands) ask(ctx context.Context, verb string, w ids.WorkerID, id workerclient.ID, q OrderAsk, m *workerclient.Identity, span time.Duration) (*workerclient.Answer, error) {
 	cx, stop := context.WithTimeout(ctx, span)
 	defer stop()
 	q.Worker, q.Verb, q.Request, q.Attempt = w, verb, id.Request, id.Attempt
@@ -126,34 +126,34 @@
 	return a, end(err)
 }
 
-func (h *hands) Reserve(ctx context.Context, w ids.WorkerId, id workerclient.Id, blocks int) error {
+func (h *hands) Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error {
 	_, err := h.ask(ctx, verbReserve, w, id, OrderAsk{Need: blocks, Part: h.part}, nil, 400*time.Millisecond)
 	return err
 }
 
-func (h *hands) Prefill(ctx context.Context, w ids.WorkerId, m workerclient.Identity) (*workerclient.Answer, error) {
-	return h.ask(ctx, verbPrefill, w, m.Id, OrderAsk{Part: ids.Prefill}, &m, 6*time.Second)
+func (h *hands) Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.Answer, error) {
+	return h.ask(ctx, verbPrefill, w, m.ID, OrderAsk{Part: ids.Prefill}, &m, 6*time.Second)
 }
 
-func (h *hands) Export(ctx context.Context, w ids.WorkerId, id workerclient.Id) (*workerclient.Answer, error) {
+func (h *hands) Export(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error) {
 	return h.ask(ctx, verbExport, w, id, OrderAsk{Part: ids.Prefill}, nil, 1500*time.Millisecond)
 }
 
-func (h *hands) Import(ctx context.Context, w ids.WorkerId, m workerclient.Identity, src ids.WorkerId) (*workerclient.Answer, error) {
+func (h *hands) Import(ctx context.Context, w ids.WorkerID, m workerclient.Identity, src ids.WorkerID) (*workerclient.Answer, error) {
 	h.source = src
-	return h.ask(ctx, verbImport, w, m.Id, OrderAsk{Source: src, Part: ids.Decode}, &m, 1500*time.Millisecond)
+	return h.ask(ctx, verbImport, w, m.ID, OrderAsk{Source: src, Part: ids.Decode}, &m, 1500*time.Millisecond)
 }
 
-func (h *hands) Resume(ctx context.Context, w ids.WorkerId, id workerclient.Id) (*workerclient.Answer, error) {
+func (h *hands) Resume(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error) {
 	return h.ask(ctx, verbResume, w, id, OrderAsk{Part: ids.Decode}, nil, 3*time.Second)
 }
 
-func (h *hands) Cancel(ctx context.Context, w ids.WorkerId, id workerclient.Id) (*workerclient.Answer, error) {
+func (h *hands) Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error) {
 	return h.ask(ctx, verbCancel, w, id, OrderAsk{}, nil, time.Second)
 }
 
 // Done gives the room back without waiting; a lost one is found by reports.
-func (h *hands) Done(w ids.WorkerId, id workerclient.Id, sure bool) {
+func (h *hands) Done(w ids.WorkerID, id workerclient.ID, sure bool) {
 	q := OrderAsk{}
 	if sure {
 		q.Need = 1
@@ -161,7 +161,7 @@
 	go h.ask(context.Background(), verbDone, w, id, q, nil, time.Second)
 }
 
-func (h *hands) Stream(ctx context.Context, w ids.WorkerId, id workerclient.Id, from int, put func(workerclient.Piece) error) error {
+func (h *hands) Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.Piece) error) error {
 	l, ok := (*h.n.roster.Load())[w]
 	if !ok {
 		return failure.New(failure.Lost, "stream", string(w), "the platform does not list it")
@@ -209,7 +209,7 @@
 
 // Blame notes a lost hand-over. Which of its two workers was at fault is not
 // known; the one that is at fault again and again stands out.
-func (h *hands) Blame(w ids.WorkerId) {
+func (h *hands) Blame(w ids.WorkerID) {
 	n := h.n
 	now := n.now()
 	b := blame{1, now}
@@ -220,7 +220,7 @@
 }
 
 // blamed workers are picked last for a while.
-func (n *Node) blamed(w ids.WorkerId) bool {
+func (n *Node) blamed(w ids.WorkerID) bool {
 	v, ok := n.blames.Load(w)
 	return ok && v.(blame).count >= 2 && !n.now().Past(v.(blame).at, blameSpan)
 }
--- a/router/holder.go
+++ b/router/holder.go
@@ -21,7 +21,7 @@
 
 // desk is the duty for one worker under one grant.
 type desk struct {
-	id     ids.WorkerId
+	id     ids.WorkerID
 	fence  ids.Fence
 	ledger *handoff.Ledger
 	known  bool // the worker knows the fence; the poll alone reads and sets it
@@ -46,7 +46,7 @@
 	var wg sync.WaitGroup
 	for {
 		lim := n.view.Sight().Policy.Limits
-		mine := map[ids.WorkerId]bool{}
+		mine := map[ids.WorkerID]bool{}
 		for id := range n.view.Sight().Policy.Workers {
 			f, ok := n.agent.Held(fleetstate.WorkerKey(id))
 			if !ok {
@@ -66,7 +66,7 @@
 			wg.Go(func() { n.poll(cx, d) })
 		}
 		n.ledgers.Range(func(k, v any) bool {
-			if !mine[k.(ids.WorkerId)] {
+			if !mine[k.(ids.WorkerID)] {
 				v.(*desk).stop()
 				n.ledgers.Delete(k)
 			}
@@ -153,7 +153,7 @@
 	if _, err := n.check(q); err != nil {
 		return nil, err
 	}
-	id := workerclient.Id{Request: q.Request, Attempt: q.Attempt}
+	id := workerclient.ID{Request: q.Request, Attempt: q.Attempt}
 	l, ok := (*n.roster.Load())[q.Worker]
 	if !ok {
 		return nil, failure.New(failure.Lost, "find worker", string(q.Worker), "the platform does not list it")
@@ -189,7 +189,7 @@
 		led.Moved(id, n.now())
 		a, err = n.workerClient.Prefill(ctx, l.Addr, &workerclient.PrefillAsk{Lead: lead, Identity: in})
 	case verbExport:
-		a, err = n.workerClient.Export(ctx, l.Addr, &workerclient.ExportAsk{Lead: lead, Id: id})
+		a, err = n.workerClient.Export(ctx, l.Addr, &workerclient.ExportAsk{Lead: lead, ID: id})
 	case verbImport:
 		src, ok := (*n.roster.Load())[q.Source]
 		if !led.Reserved(id) || !ok {
@@ -198,9 +198,9 @@
 		led.Moved(id, n.now())
 		a, err = n.workerClient.Import(ctx, l.Addr, &workerclient.ImportAsk{Lead: lead, Identity: in, Source: src.Addr})
 	case verbResume:
-		a, err = n.workerClient.Resume(ctx, l.Addr, &workerclient.IdAsk{Lead: lead, Id: id})
+		a, err = n.workerClient.Resume(ctx, l.Addr, &workerclient.IDAsk{Lead: lead, ID: id})
 	case verbCancel:
-		a, err = n.workerClient.Cancel(ctx, l.Addr, &workerclient.IdAsk{Lead: lead, Id: id})
+		a, err = n.workerClient.Cancel(ctx, l.Addr, &workerclient.IDAsk{Lead: lead, ID: id})
 		led.Ended(id, err == nil, n.now())
 	case verbTurn:
 		return n.turnHere(ctx, v.(*desk), l.Addr, lead, ids.Part(q.Body))
--- a/router/node.go
+++ b/router/node.go
@@ -68,15 +68,15 @@
 	counts       Counts
 
 	decks    sync.Map // ids.Version -> *whim.Deck
-	roster   atomic.Pointer[map[ids.WorkerId]workerclient.Listed]
+	roster   atomic.Pointer[map[ids.WorkerID]workerclient.Listed]
 	listed   atomic.Int64 // when the roster was had
-	stands   atomic.Pointer[map[ids.WorkerId]Stand]
-	leave    atomic.Pointer[map[ids.WorkerId]bool]
-	mates    sync.Map // ids.NodeId -> mate
-	ledgers  sync.Map // ids.WorkerId -> *desk
-	blames   sync.Map // ids.WorkerId -> blame
+	stands   atomic.Pointer[map[ids.WorkerID]Stand]
+	leave    atomic.Pointer[map[ids.WorkerID]bool]
+	mates    sync.Map // ids.NodeID -> mate
+	ledgers  sync.Map // ids.WorkerID -> *desk
+	blames   sync.Map // ids.WorkerID -> blame
 	debts    debts
-	turned   sync.Map // ids.WorkerId -> ids.Tick
+	turned   sync.Map // ids.WorkerID -> ids.Tick
 	inflight atomic.Int64
 	kinds    sync.Map // kind -> *atomic.Int64
 	stopping atomic.Bool
@@ -94,7 +94,7 @@
 func New(opt Options) *Node {
 	opt.fill()
 	n := &Node{opt: opt, scores: &whim.Scores{}, journal: logging.NewJournal[handoff.Event](1024)}
-	n.me = coordination.Member{Node: ids.NodeId(opt.Name + "-" + coordination.Name()), Addr: opt.Addr, Zone: opt.Zone}
+	n.me = coordination.Member{Node: ids.NodeID(opt.Name + "-" + coordination.Name()), Addr: opt.Addr, Zone: opt.Zone}
 	n.view = fleetstate.NewView(opt.Ring)
 	n.view.Ready = n.compile
 	n.agent = coordination.NewAgent(coordination.AgentOptions{Me: n.me, Host: opt.Host, Seeds: opt.Seeds, View: n.view, Ring: opt.Ring,
@@ -102,9 +102,9 @@
 	n.call = n.agent.Caller()
 	n.workerClient = workerclient.New(opt.Host.Net)
 	n.web = rpc.Web(opt.Host.Net)
-	n.roster.Store(&map[ids.WorkerId]workerclient.Listed{})
-	n.stands.Store(&map[ids.WorkerId]Stand{})
-	n.leave.Store(&map[ids.WorkerId]bool{})
+	n.roster.Store(&map[ids.WorkerID]workerclient.Listed{})
+	n.stands.Store(&map[ids.WorkerID]Stand{})
+	n.leave.Store(&map[ids.WorkerID]bool{})
 	n.journal.View(n.fold)
 	if opt.Trace != nil {
 		n.journal.View(opt.Trace)
@@ -117,7 +117,7 @@
 	case handoff.Resumed:
 		n.counts.Moved.Add(1)
 	case handoff.Granted:
-		if e.Id.Attempt > 1 {
+		if e.ID.Attempt > 1 {
 			n.counts.Again.Add(1)
 		}
 	}
@@ -195,7 +195,7 @@
 	}
 	ready := map[ids.Part]bool{}
 	for _, st := range *n.stands.Load() {
-		if st.Ready && n.fit(s, st.Id) {
+		if st.Ready && n.fit(s, st.ID) {
 			ready[st.Part] = true
 		}
 	}
@@ -206,7 +206,7 @@
 }
 
 // fit tells whether a worker may get new work under a sight.
-func (n *Node) fit(s *fleetstate.Sight, id ids.WorkerId) bool {
+func (n *Node) fit(s *fleetstate.Sight, id ids.WorkerID) bool {
 	w, ok := s.Policy.Workers[id]
 	if !ok || s.Drained[id] || s.Zones[w.Zone] {
 		return false
--- a/router/operate.go
+++ b/router/operate.go
@@ -41,7 +41,7 @@
 			// The base has moved on, perhaps by this very operation.
 			cx, stop := context.WithTimeout(ctx, 5*time.Second)
 			defer stop()
-			r, err := n.agent.Submit(cx, ids.OpId("op/"+a.Op), fleetstate.AskKind, nil)
+			r, err := n.agent.Submit(cx, ids.OpID("op/"+a.Op), fleetstate.AskKind, nil)
 			if err == nil {
 				return n.ruled(ctx, r, true)
 			}
@@ -68,7 +68,7 @@
 	}
 	cx, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(cx, ids.OpId("op/"+a.Op), fleetstate.StageKind, coordination.Pack(&fleetstate.Stage{Base: ids.Version(a.Base), Text: whole}))
+	r, err := n.agent.Submit(cx, ids.OpID("op/"+a.Op), fleetstate.StageKind, coordination.Pack(&fleetstate.Stage{Base: ids.Version(a.Base), Text: whole}))
 	if err != nil {
 		if failure.Is(err, failure.Stale) {
 			return nil, n.stale(a.Base, n.view.Sight())
@@ -105,7 +105,7 @@
 func (n *Node) mark(ctx context.Context, op, kind string, body []byte) (*api.Applied, error) {
 	cx, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(cx, ids.OpId("op/"+op), kind, body)
+	r, err := n.agent.Submit(cx, ids.OpID("op/"+op), kind, body)
 	if err != nil {
 		return nil, n.fate(err)
 	}
@@ -126,10 +126,10 @@
 
 // Drain keeps new work from a worker, or takes that back.
 func (n *Node) Drain(ctx context.Context, worker string, m *api.Mark) (*api.Applied, error) {
-	if _, ok := n.view.Sight().Policy.Workers[ids.WorkerId(worker)]; !ok {
+	if _, ok := n.view.Sight().Policy.Workers[ids.WorkerID(worker)]; !ok {
 		return nil, api.No(http.StatusNotFound, "unknown", "worker", "there is no worker %q", worker)
 	}
-	return n.mark(ctx, m.Op, fleetstate.DrainKind, coordination.Pack(&fleetstate.Drain{Worker: ids.WorkerId(worker), Out: m.Out}))
+	return n.mark(ctx, m.Op, fleetstate.DrainKind, coordination.Pack(&fleetstate.Drain{Worker: ids.WorkerID(worker), Out: m.Out}))
 }
 
 // Shown gives operators what Show does.
@@ -155,7 +155,7 @@
 
 // Standing is the answer of status.
 type Standing struct {
-	Node      ids.NodeId                `json:"node"`
+	Node      ids.NodeID                `json:"node"`
 	Zone      ids.Zone                  `json:"zone"`
 	Ready     bool                      `json:"ready"`
 	Why       string                    `json:"why,omitempty"`
@@ -168,7 +168,7 @@
 	Counts    map[string]int64          `json:"counts"`
 	Programs  map[string]map[string]any `json:"programs"`
 	Last      []handoff.Event           `json:"last"`
-	Listed    map[ids.WorkerId]ids.Zone `json:"listed"`
+	Listed    map[ids.WorkerID]ids.Zone `json:"listed"`
 	Evacuated []string                  `json:"evacuated"`
 	Drained   []string                  `json:"drained"`
 	Deeds     [2]int                    `json:"deeds"` // claimed so far, and how many may ever be
@@ -182,7 +182,7 @@
 	sh := n.Show()
 	st := &Standing{Node: n.me.Node, Zone: n.me.Zone, Ready: ok, Why: why, Version: n.view.Sight().Version, Seq: n.agent.Seq(),
 		Core: n.agent.Directory().Record(), Members: n.agent.Members(), Programs: map[string]map[string]any{},
-		Listed: map[ids.WorkerId]ids.Zone{}, Evacuated: sh.Zones, Drained: sh.Drained, Workers: []Stand{}, Holds: []ids.Key{}}
+		Listed: map[ids.WorkerID]ids.Zone{}, Evacuated: sh.Zones, Drained: sh.Drained, Workers: []Stand{}, Holds: []ids.Key{}}
 	for _, g := range n.agent.Mine() {
 		st.Holds = append(st.Holds, g.Key)
 	}
@@ -190,7 +190,7 @@
 	for _, s := range *n.stands.Load() {
 		st.Workers = append(st.Workers, s)
 	}
-	sort.Slice(st.Workers, func(i, j int) bool { return st.Workers[i].Id < st.Workers[j].Id })
+	sort.Slice(st.Workers, func(i, j int) bool { return st.Workers[i].ID < st.Workers[j].ID })
 	for id, l := range *n.roster.Load() {
 		st.Listed[id] = l.Zone
 	}
--- a/router/order.go
+++ b/router/order.go
@@ -7,18 +7,18 @@
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file order.go
 //msgp:shim ids.Version as:uint64 using:uint64/ids.Version
 //msgp:shim ids.Part as:string using:string/ids.Part
-//msgp:shim ids.WorkerId as:string using:string/ids.WorkerId
+//msgp:shim ids.WorkerID as:string using:string/ids.WorkerID
 
 // OrderAsk is one order. Body is the identity, as the worker will read it. Regime and the
 // part that the worker plays are set for governed work alone.
 type OrderAsk struct {
-	Worker  ids.WorkerId
+	Worker  ids.WorkerID
 	Verb    string
 	Version ids.Version
 	Request string
 	Attempt int
 	Need    int
-	Source  ids.WorkerId
+	Source  ids.WorkerID
 	Body    []byte
 	Regime  string   `msg:"Regime,omitempty"`
 	Part    ids.Part `msg:"Part,omitempty"`
--- a/router/order_gen.go
+++ b/router/order_gen.go
@@ -91,7 +91,7 @@
 					err = msgp.WrapError(err, "Worker")
 					return
 				}
-				z.Worker = ids.WorkerId(zb0002)
+				z.Worker = ids.WorkerID(zb0002)
 			}
 		case "Verb":
 			z.Verb, bts, err = msgp.ReadStringBytes(bts)
@@ -135,7 +135,7 @@
 					err = msgp.WrapError(err, "Source")
 					return
 				}
-				z.Source = ids.WorkerId(zb0004)
+				z.Source = ids.WorkerID(zb0004)
 			}
 		case "Body":
 			z.Body, bts, err = msgp.ReadBytesBytes(bts, z.Body)
--- a/router/regime.go
+++ b/router/regime.go
@@ -46,7 +46,7 @@
 	}
 	cx, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(cx, ids.OpId("op/"+m.Op), fleetstate.RevokeKind, coordination.Pack(&fleetstate.Revoke{Serial: serial}))
+	r, err := n.agent.Submit(cx, ids.OpID("op/"+m.Op), fleetstate.RevokeKind, coordination.Pack(&fleetstate.Revoke{Serial: serial}))
 	if err != nil {
 		return nil, n.fate(err)
 	}
--- a/router/regime_test.go
+++ b/router/regime_test.go
@@ -21,7 +21,7 @@
 	now := time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC)
 	from, until := now.AddDate(0, 0, -1).Format(time.RFC3339), now.AddDate(0, 0, 1).Format(time.RFC3339)
 	certs := map[string]certification.Certificate{}
-	put := func(serial string, w ids.WorkerId) {
+	put := func(serial string, w ids.WorkerID) {
 		c := certification.Certificate{Serial: serial, Worker: w, Regime: "chair", Parts: []ids.Part{ids.Prefill}, From: from, Until: until, Issuer: "k"}
 		c.Sign(key)
 		certs[serial] = c
@@ -32,7 +32,7 @@
 		require.NoError(t, err)
 		return &fleetstate.Sight{Register: r.With(revoked)}
 	}
-	list := []Stand{{Id: "p1", Part: ids.Prefill}, {Id: "p2", Part: ids.Prefill}, {Id: "p3", Part: ids.Prefill}}
+	list := []Stand{{ID: "p1", Part: ids.Prefill}, {ID: "p2", Part: ids.Prefill}, {ID: "p3", Part: ids.Prefill}}
 	put("1", "p1")
 	at := certification.At(now)
 	require.False(t, covered(sight(nil), list, list[0], at))
--- a/router/serve.go
+++ b/router/serve.go
@@ -84,7 +84,7 @@
 	t := &handoff.Task{Kind: ask.Kind, Regime: s.Register.Governs(ask.Kind), Zone: n.me.Zone, Claimed: kind.Claimed, Tries: s.Policy.Limits.Attempts, GiveUp: s.Policy.Limits.GiveUp()}
 	t.Identity = workerclient.Identity{Prompt: ask.Tokens(), Model: workerclient.Model{Name: kind.Model, Adapters: ask.Adapters},
 		Params: workerclient.Params{MaxTokens: ask.MaxTokens, Temperature: ask.Temperature, Seed: ask.Seed}}
-	t.Identity.Id.Request = coordination.Name()
+	t.Identity.ID.Request = coordination.Name()
 	if !kind.Claimed {
 		return n.plain(ctx, s, t, out)
 	}
@@ -138,7 +138,7 @@
 	deck := n.deck(s)
 	h := &hands{n: n, sight: s, deck: deck, kind: t.Kind, regime: t.Regime, prefix: whim.Prefix(t.Identity.Prompt, s.Policy.Limits.PrefixTokens)}
 	return &handoff.Controller{Hands: h, Clock: n.opt.Host.Clock, Orphan: n.opt.Orphan, Pulse: n.opt.Pulse, Tell: n.journal.Append}, h,
-		n.scores.Of(deck.For(t.Identity.Id.Request))
+		n.scores.Of(deck.For(t.Identity.ID.Request))
 }
 
 // plain runs a request that needs no claim.
@@ -147,7 +147,7 @@
 	start, count := n.now(), 0
 	var known error
 	if t.Regime != "" {
-		t.Claim = func(ids.WorkerId, ids.Life) error { known = h.begin(ctx, t.Identity.Id.Request); return known }
+		t.Claim = func(ids.WorkerID, ids.Life) error { known = h.begin(ctx, t.Identity.ID.Request); return known }
 	}
 	err := c.Run(ctx, t, func(i int, tok int32, text string) error {
 		if count++; count == 1 {
@@ -158,7 +158,7 @@
 	if known != nil {
 		return known
 	}
-	h.end(t.Identity.Id.Request, err, count)
+	h.end(t.Identity.ID.Request, err, count)
 	return n.finish(err, count, score, out)
 }
 
@@ -188,11 +188,11 @@
 // answered from the record.
 func (n *Node) claimed(ctx context.Context, s *fleetstate.Sight, t *handoff.Task, ask *api.Ask, out api.Sink) error {
 	key := ask.Kind + "/" + ask.Key
-	t.Identity.Id.Request = Request(key)
+	t.Identity.ID.Request = Request(key)
 	c, h, score := n.controller(s, t)
 	start, deaf, fresh := n.now(), false, false
 	var known error
-	t.Claim = func(w ids.WorkerId, life ids.Life) error {
+	t.Claim = func(w ids.WorkerID, life ids.Life) error {
 		if fresh {
 			return n.bind(key, w, life)
 		}
@@ -242,7 +242,7 @@
 	if fate != fleetstate.Done {
 		body = nil
 	}
-	end := &fleetstate.Settle{Key: key, Owner: n.me.Node, Fate: fate, Out: body, Audit: h.record(t.Identity.Id.Request, key, fate)}
+	end := &fleetstate.Settle{Key: key, Owner: n.me.Node, Fate: fate, Out: body, Audit: h.record(t.Identity.ID.Request, key, fate)}
 	if e := n.settle(end); e != nil {
 		n.counts.Unsure.Add(1)
 		if !failure.Is(e, failure.Stale) {
@@ -281,11 +281,11 @@
 var errReplayed = errors.New("answered from the record")
 
 // claim takes the key; a deed is given if it was taken before.
-func (n *Node) claim(ctx context.Context, key string, ask *api.Ask, w ids.WorkerId, life ids.Life) (*fleetstate.Deed, error) {
+func (n *Node) claim(ctx context.Context, key string, ask *api.Ask, w ids.WorkerID, life ids.Life) (*fleetstate.Deed, error) {
 	cx, stop := context.WithTimeout(context.WithoutCancel(ctx), 1500*time.Millisecond)
 	defer stop()
 	claim := &fleetstate.Claim{Key: key, Owner: n.me.Node, Worker: w, Life: life, Digest: ask.Digest()}
-	op := ids.OpId("claim/" + coordination.Name())
+	op := ids.OpID("claim/" + coordination.Name())
 	r, err := n.agent.Submit(cx, op, fleetstate.ClaimKind, coordination.Pack(claim))
 	if err != nil {
 		if failure.Is(err, failure.Unknown) {
@@ -312,11 +312,11 @@
 }
 
 // bind has a claimed key run elsewhere than it was claimed for.
-func (n *Node) bind(key string, w ids.WorkerId, life ids.Life) error {
+func (n *Node) bind(key string, w ids.WorkerID, life ids.Life) error {
 	cx, stop := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer stop()
 	b := &fleetstate.Bind{Key: key, Owner: n.me.Node, Worker: w, Life: life}
-	_, err := n.agent.Submit(cx, ids.OpId("bind/"+coordination.Name()), fleetstate.BindKind, coordination.Pack(b))
+	_, err := n.agent.Submit(cx, ids.OpID("bind/"+coordination.Name()), fleetstate.BindKind, coordination.Pack(b))
 	return err
 }
 
@@ -331,7 +331,7 @@
 func (n *Node) settle(s *fleetstate.Settle) error {
 	cx, stop := context.WithTimeout(context.Background(), 4*time.Second)
 	defer stop()
-	_, err := n.agent.Submit(cx, ids.OpId("settle/"+s.Key+"/"+string(s.Owner)), fleetstate.SettleKind, coordination.Pack(s))
+	_, err := n.agent.Submit(cx, ids.OpID("settle/"+s.Key+"/"+string(s.Owner)), fleetstate.SettleKind, coordination.Pack(s))
 	return err
 }
 
--- a/router/settle.go
+++ b/router/settle.go
@@ -26,7 +26,7 @@
 		if !ok {
 			continue
 		}
-		live := map[ids.NodeId]bool{}
+		live := map[ids.NodeID]bool{}
 		for _, m := range n.agent.Members() {
 			live[m.Node] = true
 		}
@@ -67,7 +67,7 @@
 	}
 	h := &hands{n: n, sight: n.view.Sight()}
 	for range 4 {
-		a, err := h.Cancel(ctx, d.Worker, workerclient.Id{Request: Request(d.Key), Attempt: 1 << 20})
+		a, err := h.Cancel(ctx, d.Worker, workerclient.ID{Request: Request(d.Key), Attempt: 1 << 20})
 		switch {
 		case err != nil:
 			if !seam.Sleep(ctx, 500*time.Millisecond) {
--- a/router/span/span.go
+++ b/router/span/span.go
@@ -28,27 +28,27 @@
 	node  string
 	out   io.Writer
 	clock seam.Clock
-	open  map[workerclient.Id][]handoff.Event
+	open  map[workerclient.ID][]handoff.Event
 }
 
 // New returns a writer of traces for a node, by its name. Ticks become wall time by the clock.
 func New(out io.Writer, node string, clock seam.Clock) *Writer {
-	return &Writer{out: out, node: node, clock: clock, open: map[workerclient.Id][]handoff.Event{}}
+	return &Writer{out: out, node: node, clock: clock, open: map[workerclient.ID][]handoff.Event{}}
 }
 
 // Tell takes one event of the journal.
 func (w *Writer) Tell(e handoff.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	rows := append(w.open[e.Id], e)
+	rows := append(w.open[e.ID], e)
 	if e.Stage != handoff.Ended && e.Stage != handoff.Dropped {
 		if len(w.open) < most {
-			w.open[e.Id] = rows
+			w.open[e.ID] = rows
 		}
 		return
 	}
-	delete(w.open, e.Id)
-	if line, err := form(w.trace(e.Id, rows)); err == nil {
+	delete(w.open, e.ID)
+	if line, err := form(w.trace(e.ID, rows)); err == nil {
 		w.out.Write(append(line, '\n'))
 	}
 }
@@ -90,7 +90,7 @@
 	return &common.KeyValue{Key: key, Value: &common.AnyValue{Value: &common.AnyValue_StringValue{StringValue: v}}}
 }
 
-func (w *Writer) trace(id workerclient.Id, rows []handoff.Event) *trace.TracesData {
+func (w *Writer) trace(id workerclient.ID, rows []handoff.Event) *trace.TracesData {
 	scope := &trace.ScopeSpans{Scope: &common.InstrumentationScope{Name: "keelstair.example/handoff"}}
 	res := &trace.ResourceSpans{ScopeSpans: []*trace.ScopeSpans{scope},
 		Resource: &resource.Resource{Attributes: []*common.KeyValue{text("service.name", "keelstair"), text("service.instance.id", w.node)}}}
--- a/router/span/span_test.go
+++ b/router/span/span_test.go
@@ -21,16 +21,16 @@
 	var out bytes.Buffer
 	clock := sham.NewWorld(1).Machine("10.0.0.1").Start().Host().Clock
 	w := New(&out, "n1", clock)
-	id := workerclient.Id{Request: "r", Attempt: 2}
+	id := workerclient.ID{Request: "r", Attempt: 2}
 	for i, s := range []handoff.Stage{handoff.Granted, handoff.Prefilled, handoff.Exported, handoff.Imported, handoff.Dropped} {
 		require.Zero(t, out.Len())
-		w.Tell(handoff.Event{Id: id, Stage: s, Worker: "d1", At: clock.Now().Add(time.Duration(i) * time.Millisecond), Why: "lost"})
+		w.Tell(handoff.Event{ID: id, Stage: s, Worker: "d1", At: clock.Now().Add(time.Duration(i) * time.Millisecond), Why: "lost"})
 	}
 	var got struct {
 		ResourceSpans []struct {
 			ScopeSpans []struct {
 				Spans []struct {
-					Name, TraceId, SpanId, ParentSpanId, StartTimeUnixNano, EndTimeUnixNano string
+					Name, TraceID, SpanID, ParentSpanID, StartTimeUnixNano, EndTimeUnixNano string
 					Status                                                                  struct {
 						Code    int
 						Message string
@@ -46,8 +46,8 @@
 	require.Equal(t, 2, spans[0].Status.Code)
 	require.Equal(t, "lost", spans[0].Status.Message)
 	for _, s := range spans[1:] {
-		require.Equal(t, spans[0].SpanId, s.ParentSpanId)
-		require.Equal(t, spans[0].TraceId, s.TraceId)
+		require.Equal(t, spans[0].SpanID, s.ParentSpanID)
+		require.Equal(t, spans[0].TraceID, s.TraceID)
 		require.Less(t, s.StartTimeUnixNano, s.EndTimeUnixNano)
 	}
 	require.Empty(t, w.open)
--- a/router/switch.go
+++ b/router/switch.go
@@ -83,17 +83,17 @@
 	view := &whim.Pool{Model: model, Press: p.press, Since: now.Since(p.last)}
 	for _, part := range []ids.Part{ids.Prefill, ids.Decode} {
 		list := by[part]
-		sort.Slice(list, func(i, j int) bool { return list[i].Id < list[j].Id })
+		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 		p.press[part] += smooth * (press(list) - p.press[part])
 		rest := dwell / 2
 		if whim.Other(part) == p.to {
 			rest = dwell / 4
 		}
 		for _, st := range list {
-			w := s.Policy.Workers[st.Id]
-			view.Workers = append(view.Workers, whim.Turner{Id: st.Id, Zone: w.Zone, Part: part, Home: w.Part, Busy: st.Busy, Work: st.Work,
+			w := s.Policy.Workers[st.ID]
+			view.Workers = append(view.Workers, whim.Turner{ID: st.ID, Zone: w.Zone, Part: part, Home: w.Part, Busy: st.Busy, Work: st.Work,
 				Cap: st.Cap, Free: st.Free, Room: st.Room,
-				May: view.Since >= rest && spare(s, list, st.Id) && covered(s, list, st, n.clock()) && !n.turnedWithin(st.Id, dwell)})
+				May: view.Since >= rest && spare(s, list, st.ID) && covered(s, list, st, n.clock()) && !n.turnedWithin(st.ID, dwell)})
 		}
 	}
 	wish, ok := n.wish(s, view)
@@ -129,13 +129,13 @@
 
 // spare tells whether a part can do without one of its workers: one of the same
 // weights stays, and two zones still have one if they had before.
-func spare(s *fleetstate.Sight, list []Stand, id ids.WorkerId) bool {
+func spare(s *fleetstate.Sight, list []Stand, id ids.WorkerID) bool {
 	me := s.Policy.Workers[id]
 	before, after, same := map[ids.Zone]bool{}, map[ids.Zone]bool{}, 0
 	for _, st := range list {
-		w := s.Policy.Workers[st.Id]
+		w := s.Policy.Workers[st.ID]
 		before[w.Zone] = true
-		if st.Id == id {
+		if st.ID == id {
 			continue
 		}
 		after[w.Zone] = true
@@ -151,23 +151,23 @@
 func covered(s *fleetstate.Sight, list []Stand, me Stand, now certification.Now) bool {
 	for _, g := range s.Register.Regimes() {
 		clear := func(st Stand) bool {
-			_, ok := s.Register.Clears(g, certification.Subject{Worker: st.Id}, me.Part, now)
+			_, ok := s.Register.Clears(g, certification.Subject{Worker: st.ID}, me.Part, now)
 			return ok
 		}
-		if clear(me) && !slices.ContainsFunc(list, func(st Stand) bool { return st.Id != me.Id && clear(st) }) {
+		if clear(me) && !slices.ContainsFunc(list, func(st Stand) bool { return st.ID != me.ID && clear(st) }) {
 			return false
 		}
 	}
 	return true
 }
 
-func (n *Node) turnedWithin(id ids.WorkerId, dwell time.Duration) bool {
+func (n *Node) turnedWithin(id ids.WorkerID, dwell time.Duration) bool {
 	v, ok := n.turned.Load(id)
 	return ok && n.now().Since(v.(ids.Tick)) < dwell
 }
 
 // turn asks the worker's holder to drain it and change its part.
-func (n *Node) turn(ctx context.Context, id ids.WorkerId, to ids.Part) error {
+func (n *Node) turn(ctx context.Context, id ids.WorkerID, to ids.Part) error {
 	cx, stop := context.WithTimeout(ctx, turnMost+time.Second)
 	defer stop()
 	m, _, ok := n.agent.Holder(fleetstate.WorkerKey(id))
--- a/router/switch_test.go
+++ b/router/switch_test.go
@@ -19,17 +19,17 @@
 // stage sets up a node that sees so many workers of each part, this busy.
 func stage(reads, writes, readBusy, writeBusy int) (*Node, *fleetstate.Sight) {
 	n := New(Options{Name: "n", Host: sham.NewWorld(1).Machine("10.0.0.1").Start().Host()})
-	s := &fleetstate.Sight{Policy: &fleetstate.Policy{Switch: true, Workers: map[ids.WorkerId]fleetstate.Worker{}, Limits: fleetstate.Limits{DwellMs: 4000}}}
-	stands, roster := map[ids.WorkerId]Stand{}, map[ids.WorkerId]workerclient.Listed{}
+	s := &fleetstate.Sight{Policy: &fleetstate.Policy{Switch: true, Workers: map[ids.WorkerID]fleetstate.Worker{}, Limits: fleetstate.Limits{DwellMs: 4000}}}
+	stands, roster := map[ids.WorkerID]Stand{}, map[ids.WorkerID]workerclient.Listed{}
 	for i := range reads + writes {
 		part, busy := ids.Prefill, readBusy
 		if i >= reads {
 			part, busy = ids.Decode, writeBusy
 		}
-		id := ids.WorkerId(fmt.Sprintf("%s%d", part[:1], i))
+		id := ids.WorkerID(fmt.Sprintf("%s%d", part[:1], i))
 		s.Policy.Workers[id] = fleetstate.Worker{Part: part, Model: "m", Weights: "w", Zone: ids.Zone(fmt.Sprint(i % 3))}
-		stands[id] = Stand{Id: id, Part: part, Ready: true, Free: 90, Room: 100, Busy: busy, Work: busy, Cap: 16}
-		roster[id] = workerclient.Listed{Id: id}
+		stands[id] = Stand{ID: id, Part: part, Ready: true, Free: 90, Room: 100, Busy: busy, Work: busy, Cap: 16}
+		roster[id] = workerclient.Listed{ID: id}
 	}
 	n.stands.Store(&stands)
 	n.roster.Store(&roster)
--- a/rpc/callid.go
+++ b/rpc/callid.go
@@ -14,14 +14,14 @@
 	"keelstair.example/failure"
 )
 
-// callIdHeader carries the id of a call; the answer to it bears the same.
-const callIdHeader = "Call-Id"
+// callIDHeader carries the id of a call; the answer to it bears the same.
+const callIDHeader = "Call-Id"
 
-// callIdBytes is the length of an id before it is written in hex.
-const callIdBytes = 8
+// callIDBytes is the length of an id before it is written in hex.
+const callIDBytes = 8
 
-func newCallId() string {
-	var id [callIdBytes]byte
+func newCallID() string {
+	var id [callIDBytes]byte
 	rand.Read(id[:])
 	return hex.EncodeToString(id[:])
 }
@@ -51,19 +51,19 @@
 // RoundTrip sends one call. An answer that bears another id is an error, and its connection
 // is closed.
 func (t *idTransport) RoundTrip(q *http.Request) (*http.Response, error) {
-	id := newCallId()
+	id := newCallID()
 	var conn *callConn
 	trace := &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
 		conn = got.Conn.(*callConn)
 	}}
 	q = q.WithContext(httptrace.WithClientTrace(q.Context(), trace))
 	q.Header = q.Header.Clone()
-	q.Header.Set(callIdHeader, id)
+	q.Header.Set(callIDHeader, id)
 	a, err := t.base.RoundTrip(q)
 	if err != nil {
 		return nil, err
 	}
-	if !conn.answers(a.Header.Get(callIdHeader), id) {
+	if !conn.answers(a.Header.Get(callIDHeader), id) {
 		conn.Close()
 		a.Body.Close()
 		return nil, failure.New(failure.Unknown, "call", q.URL.Host, "the answer belongs to another call")
@@ -78,11 +78,11 @@
 	}
 }
 
-// echoCallId has answers bear the ids of their calls.
-func echoCallId(h http.Handler) http.Handler {
+// echoCallID has answers bear the ids of their calls.
+func echoCallID(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if id := q.Header.Get(callIdHeader); id != "" {
-			w.Header().Set(callIdHeader, id)
+		if id := q.Header.Get(callIDHeader); id != "" {
+			w.Header().Set(callIDHeader, id)
 		}
 		h.ServeHTTP(w, q)
 	})
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -77,7 +77,7 @@
 		}
 		return connect.NewResponse(a), nil
 	}, connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxBody), connect.WithCompressMinBytes(packFrom))
-	mux.Handle("/"+name, echoCallId(h))
+	mux.Handle("/"+name, echoCallID(h))
 }
 
 // Caller asks other processes; it keeps connections and typed clients. Each call is sent
@@ -181,7 +181,7 @@
 
 // Serve answers on a listener until the context ends.
 func Serve(ctx context.Context, l net.Listener, h http.Handler) error {
-	srv := &http.Server{Handler: echoCallId(h), ReadHeaderTimeout: headerWait}
+	srv := &http.Server{Handler: echoCallID(h), ReadHeaderTimeout: headerWait}
 	end := context.AfterFunc(ctx, func() { srv.Close() })
 	defer end()
 	err := srv.Serve(l)
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -121,7 +121,7 @@
 			return
 		}
 		text, _, _ := msgp.ReadStringBytes(body)
-		a := arrival{text, q.Header.Get(callIdHeader), p.no, q.Header}
+		a := arrival{text, q.Header.Get(callIDHeader), p.no, q.Header}
 		p.mu.Lock()
 		p.arrived = append(p.arrived, a)
 		fault := p.faults[text]
@@ -153,7 +153,7 @@
 	body, _ := (&note{"answer to " + text}).MarshalMsg(nil)
 	echo := ""
 	if id != "" && !o.mute {
-		echo = callIdHeader + ": " + id + "\r\n"
+		echo = callIDHeader + ": " + id + "\r\n"
 	}
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/msgp\r\n%sContent-Length: %d\r\n\r\n%s", echo, len(body), body)
 }
@@ -221,19 +221,19 @@
 func refusedOther(p *peer, a arrival) bool {
 	body := `{"code":"resource_exhausted","message":"not done"}`
 	p.say(fmt.Sprintf("HTTP/1.1 429 Too Many Requests\r\nContent-Type: application/json\r\n%s: 00000000deadbeef\r\nContent-Length: %d\r\n\r\n%s",
-		callIdHeader, len(body), body))
+		callIDHeader, len(body), body))
 	return answer(p, a)
 }
 
 // emptyOther sends the refusal of another call, which has no body, and nothing behind it.
 func emptyOther(p *peer, _ arrival) bool {
-	p.say("HTTP/1.1 503 Service Unavailable\r\n" + callIdHeader + ": 00000000deadbeef\r\nContent-Length: 0\r\n\r\n")
+	p.say("HTTP/1.1 503 Service Unavailable\r\n" + callIDHeader + ": 00000000deadbeef\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
 // elsewhere answers that the call is to be sent to another place.
 func elsewhere(p *peer, a arrival) bool {
-	p.say("HTTP/1.1 307 Temporary Redirect\r\nLocation: http://" + p.addr + "/elsewhere\r\n" + callIdHeader + ": " + a.id + "\r\nContent-Length: 0\r\n\r\n")
+	p.say("HTTP/1.1 307 Temporary Redirect\r\nLocation: http://" + p.addr + "/elsewhere\r\n" + callIDHeader + ": " + a.id + "\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
@@ -356,7 +356,7 @@
 	defer c.Close()
 	rest := make(chan string, 1)
 	o.early = func(p *peer, q *http.Request) bool {
-		p.say(p.reply("long", q.Header.Get(callIdHeader)))
+		p.say(p.reply("long", q.Header.Get(callIDHeader)))
 		time.Sleep(100 * time.Millisecond)
 		p.conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 		got, _ := io.ReadAll(p.in)
@@ -415,12 +415,12 @@
 		require.NoError(t, err)
 		q.Header.Set("Content-Type", "application/msgp")
 		if row.id != "" {
-			q.Header.Set(callIdHeader, row.id)
+			q.Header.Set(callIDHeader, row.id)
 		}
 		a, err := http.DefaultClient.Do(q)
 		require.NoError(t, err)
 		a.Body.Close()
-		require.Equal(t, row.id, a.Header.Get(callIdHeader))
+		require.Equal(t, row.id, a.Header.Get(callIDHeader))
 		require.Equal(t, row.path == "/test/note", a.StatusCode == http.StatusOK)
 	}
 	c.Close()
--- a/seam/sham/net.go
+++ b/seam/sham/net.go
@@ -64,8 +64,8 @@
 
 func (p *Proc) pair(q *Proc, near, far place) (*session, *session) {
 	w := p.at.world
-	a := &half{w: w, from: p.at.Ip, to: q.at.Ip, ring: make(chan struct{})}
-	b := &half{w: w, from: q.at.Ip, to: p.at.Ip, ring: make(chan struct{})}
+	a := &half{w: w, from: p.at.IP, to: q.at.IP, ring: make(chan struct{})}
+	b := &half{w: w, from: q.at.IP, to: p.at.IP, ring: make(chan struct{})}
 	p.cons[b], q.cons[a] = a, b
 	return &session{p, b, a, near, far}, &session{q, a, b, far, near}
 }
@@ -194,7 +194,7 @@
 		return nil, errReset
 	}
 	host, _, err := net.SplitHostPort(addr)
-	if err != nil || host != p.at.Ip || p.at.ears[addr] != nil {
+	if err != nil || host != p.at.IP || p.at.ears[addr] != nil {
 		return nil, &net.OpError{Op: "listen", Net: "sham", Err: syscall.EADDRINUSE}
 	}
 	e := &ear{proc: p, addr: place(addr), calls: make(chan *session, 1024), closed: make(chan struct{})}
@@ -238,7 +238,7 @@
 		return nil, dialFault(errors.New("this process is dead"))
 	}
 	w.mu.Lock()
-	there, back := w.link(p.at.Ip, host), w.link(host, p.at.Ip)
+	there, back := w.link(p.at.IP, host), w.link(host, p.at.IP)
 	m := w.machines[host]
 	silent := there.Cut || back.Cut || m == nil || m.dark
 	w.mu.Unlock()
@@ -263,7 +263,7 @@
 		w.mu.Unlock()
 		return nil, dialFault(syscall.ECONNREFUSED)
 	}
-	mine, theirs := p.pair(e.proc, place(p.at.Ip+":0"), place(addr))
+	mine, theirs := p.pair(e.proc, place(p.at.IP+":0"), place(addr))
 	select {
 	case e.calls <- theirs:
 	default:
--- a/seam/sham/world.go
+++ b/seam/sham/world.go
@@ -38,7 +38,7 @@
 
 // Machine is a place with an IP number and a disk that outlives its processes.
 type Machine struct {
-	Ip     string
+	IP     string
 	world  *World
 	frozen bool
 	dark   bool
@@ -68,7 +68,7 @@
 	defer w.mu.Unlock()
 	m := w.machines[ip]
 	if m == nil {
-		m = &Machine{Ip: ip, world: w, procs: map[*Proc]bool{}, ears: map[string]*ear{}}
+		m = &Machine{IP: ip, world: w, procs: map[*Proc]bool{}, ears: map[string]*ear{}}
 		m.disk = newDisk(w)
 		w.machines[ip] = m
 	}
--- a/simulation/book_test.go
+++ b/simulation/book_test.go
@@ -86,7 +86,7 @@
 	if e.Stage == handoff.Granted {
 		b.picks = append(b.picks, Pick{node, v, b.Now()})
 	}
-	if e.Stage == handoff.Granted && e.Id.Attempt > 1 {
+	if e.Stage == handoff.Granted && e.ID.Attempt > 1 {
 		b.again = append(b.again, b.Now())
 	}
 }
@@ -240,12 +240,12 @@
 // order: at each worker fences never go down, and no order carries a version
 // older than one the worker had seen a quarter second before.
 func (b *Book) order(f *finder) {
-	fence := map[ids.WorkerId]ids.Fence{}
+	fence := map[ids.WorkerID]ids.Fence{}
 	type since struct {
 		v  ids.Version
 		at time.Duration
 	}
-	seen := map[ids.WorkerId][]since{}
+	seen := map[ids.WorkerID][]since{}
 	for _, e := range b.rows {
 		if e.Fence == 0 {
 			continue
@@ -329,7 +329,7 @@
 func (b *Book) FellBack() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	first := map[ids.WorkerId]map[ids.Version]time.Duration{}
+	first := map[ids.WorkerID]map[ids.Version]time.Duration{}
 	most := time.Duration(0)
 	for _, e := range b.rows {
 		if e.Fence == 0 || e.What == "resumed" {
--- a/simulation/bureau_test.go
+++ b/simulation/bureau_test.go
@@ -69,7 +69,7 @@
 		if e.Regime != "" {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			b.work[e.Id.Request] = e.Regime
+			b.work[e.ID.Request] = e.Regime
 			b.steps = append(b.steps, e)
 		}
 	}
@@ -98,7 +98,7 @@
 		if w[0] == 'd' {
 			part = ids.Decode
 		}
-		b.sign("c-"+w, certification.Certificate{Worker: ids.WorkerId(w), Parts: []ids.Part{part}}, 24*time.Hour)
+		b.sign("c-"+w, certification.Certificate{Worker: ids.WorkerID(w), Parts: []ids.Part{part}}, 24*time.Hour)
 	}
 	for _, n := range nodes {
 		b.sign("c-"+n, certification.Certificate{Node: n}, 24*time.Hour)
@@ -154,7 +154,7 @@
 }
 
 // cleared tells whether a worker may be at governed work at a time.
-func (b *Bureau) cleared(w ids.WorkerId, at time.Duration) bool {
+func (b *Bureau) cleared(w ids.WorkerID, at time.Duration) bool {
 	for serial, g := range b.spans {
 		if b.certs[serial].Worker == w && at >= g.from && at <= g.until+grace {
 			return true
@@ -178,14 +178,14 @@
 	f := &finder{}
 	begun, staged := map[string]Seen{}, map[string]Seen{}
 	for _, e := range b.c.Book.rows {
-		if b.work[e.Id.Request] == "" {
+		if b.work[e.ID.Request] == "" {
 			continue
 		}
-		run := fmt.Sprint(e.Worker, e.Id)
+		run := fmt.Sprint(e.Worker, e.ID)
 		switch e.What {
 		case "prefill", "import", "export", "resume", "resumed", "record":
 			if !b.cleared(e.Worker, e.When) {
-				f.say(Uncertified, "%s had %s of %s at %s", e.Worker, e.What, e.Id.Request, e.When)
+				f.say(Uncertified, "%s had %s of %s at %s", e.Worker, e.What, e.ID.Request, e.When)
 			}
 		}
 		switch e.What {
@@ -193,7 +193,7 @@
 			begun[run] = e
 		case "export", "cancel", "record", "lost", "bounced", "orphan-run", "orphan-import":
 			if old, ok := begun[run]; ok && !b.cleared(e.Worker, e.When) {
-				f.say(Uncertified, "%s still held %s, begun at %s, at %s", e.Worker, e.Id.Request, old.When, e.When)
+				f.say(Uncertified, "%s still held %s, begun at %s, at %s", e.Worker, e.ID.Request, old.When, e.When)
 			}
 			delete(begun, run)
 		}
@@ -202,7 +202,7 @@
 			staged[run] = e
 		case "unstaged":
 			if !b.cleared(e.Worker, e.When) {
-				f.say(Uncertified, "%s had %s staged until %s", e.Worker, e.Id.Request, e.When)
+				f.say(Uncertified, "%s had %s staged until %s", e.Worker, e.ID.Request, e.When)
 			}
 			if old, ok := staged[run]; ok {
 				b.stays = append(b.stays, e.When-old.When)
--- a/simulation/chamber_test.go
+++ b/simulation/chamber_test.go
@@ -112,7 +112,7 @@
 			if w[0] == 'p' {
 				part = ids.Prefill
 			}
-			b.sign("short-"+w, certification.Certificate{Worker: ids.WorkerId(w), Parts: []ids.Part{part}}, 5*time.Second)
+			b.sign("short-"+w, certification.Certificate{Worker: ids.WorkerID(w), Parts: []ids.Part{part}}, 5*time.Second)
 		}
 		if err := alter(c, "short", partOf(map[string]any{"certificates": b.certs})); err != nil {
 			return err
@@ -212,7 +212,7 @@
 		"later":                         {[]Seen{row("import", "p1", 13)}, true},
 		"runs on":                       {[]Seen{row("import", "p1", 9), row("cancel", "p1", 13)}, true},
 		"ends in time":                  {[]Seen{row("import", "p1", 9), row("cancel", "p1", 11)}, false},
-		"not governed":                  {[]Seen{{standin.Event{What: "import", Worker: "d9", Id: workerclient.Id{Request: "free"}}, time.Second}}, false},
+		"not governed":                  {[]Seen{{standin.Event{What: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := NewBureau()
@@ -232,5 +232,5 @@
 }
 
 func row(what, worker string, second int) Seen {
-	return Seen{standin.Event{What: what, Worker: ids.WorkerId(worker), Id: workerclient.Id{Request: "r", Attempt: 1}}, time.Duration(second) * time.Second}
+	return Seen{standin.Event{What: what, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r", Attempt: 1}}, time.Duration(second) * time.Second}
 }
--- a/simulation/checker_test.go
+++ b/simulation/checker_test.go
@@ -22,7 +22,7 @@
 // its own name and no other.
 func TestCheckersCatch(t *testing.T) {
 	event := func(b *Book, what, worker string, fence ids.Fence, v ids.Version, at time.Duration) {
-		b.rows = append(b.rows, Seen{standin.Event{What: what, Worker: ids.WorkerId(worker), Id: workerclient.Id{Request: "r"}, Fence: fence, Version: v}, at})
+		b.rows = append(b.rows, Seen{standin.Event{What: what, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r"}, Fence: fence, Version: v}, at})
 	}
 	for line, plant := range map[string]func(b *Book) []standin.Outcome{
 		Twice: func(b *Book) []standin.Outcome {
--- a/simulation/cluster_test.go
+++ b/simulation/cluster_test.go
@@ -175,10 +175,10 @@
 }
 
 // Stand describes a stand-in worker.
-func (c *Cluster) Stand(id ids.WorkerId, w fleetstate.Worker, ip string) *Box {
+func (c *Cluster) Stand(id ids.WorkerID, w fleetstate.Worker, ip string) *Box {
 	return &Box{Name: string(id), Kind: "worker", Zone: w.Zone, Addr: ip + ":90", Machine: c.World.Machine(ip),
 		begin: func(b *Box, ctx context.Context, host seam.Host) error {
-			opt := standin.WorkerOptions{Id: id, Addr: b.Addr, Part: w.Part, Room: w.Room, Block: w.Block, Host: host,
+			opt := standin.WorkerOptions{ID: id, Addr: b.Addr, Part: w.Part, Room: w.Room, Block: w.Block, Host: host,
 				Model: workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters}}
 			// Slow enough that a breakdown finds work in flight.
 			opt.Step, opt.Read = 10*time.Millisecond, 80*time.Microsecond
@@ -190,7 +190,7 @@
 			b.Worker = k
 			c.Book.Life(k)
 			c.wg.Go(func() { k.Run(ctx) })
-			c.Platform.List(workerclient.Listed{Id: id, Addr: b.Addr, Zone: w.Zone})
+			c.Platform.List(workerclient.Listed{ID: id, Addr: b.Addr, Zone: w.Zone})
 			return c.serve(ctx, host, b.Addr, k.Handler())
 		}}
 }
--- a/simulation/duties_test.go
+++ b/simulation/duties_test.go
@@ -19,7 +19,7 @@
 )
 
 // holder is the node that holds the key of a worker.
-func holder(c *Cluster, id ids.WorkerId) *Box {
+func holder(c *Cluster, id ids.WorkerID) *Box {
 	for _, b := range c.Of("verge") {
 		if b.Up && slices.Contains(b.Node.Status().(*router.Standing).Holds, fleetstate.WorkerKey(id)) {
 			return b
@@ -140,7 +140,7 @@
 		// The node that is cut is also the one that the operator asks first.
 		w, b := hit(r, c.Of("worker")), c.Of("verge")[0]
 		for _, o := range c.Of("worker") {
-			if holder(c, ids.WorkerId(o.Name)) == b {
+			if holder(c, ids.WorkerID(o.Name)) == b {
 				w = o
 			}
 		}
@@ -152,10 +152,10 @@
 	}},
 	{Name: "worker-leaves-its-holder-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
 		w := hit(r, c.Of("worker"))
-		b := holder(c, ids.WorkerId(w.Name))
+		b := holder(c, ids.WorkerID(w.Name))
 		c.World.Sever(ips(b), []string{"10.8.0.1"}, true)
 		time.Sleep(time.Second)
-		c.Platform.Leave(ids.WorkerId(w.Name))
+		c.Platform.Leave(ids.WorkerID(w.Name))
 		c.Book.Mark("leave", w.Name)
 		// The platform hands nobody to this door now; who knows it still comes.
 		for i := range 40 {
@@ -167,8 +167,8 @@
 	}},
 	{Name: "workers-leave-while-leader-and-holder-die", Run: func(c *Cluster, r *rand.Rand) error {
 		w := hit(r, c.Of("worker"))
-		b, l := holder(c, ids.WorkerId(w.Name)), leader(c)
-		c.Platform.Leave(ids.WorkerId(w.Name))
+		b, l := holder(c, ids.WorkerID(w.Name)), leader(c)
+		c.Platform.Leave(ids.WorkerID(w.Name))
 		c.Book.Mark("leave", w.Name)
 		time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond)
 		c.Kill(l)
@@ -212,7 +212,7 @@
 			time.Sleep(2 * time.Second)
 		}
 		for _, b := range c.Of("worker") {
-			id := ids.WorkerId(b.Name)
+			id := ids.WorkerID(b.Name)
 			c.Platform.Leave(id)
 			c.Book.Mark("leave", b.Name)
 			if !c.Until(6*time.Second, func() bool { return b.Worker.Used() == 0 }) {
--- a/simulation/freight_test.go
+++ b/simulation/freight_test.go
@@ -33,7 +33,7 @@
 		t.Run(link.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
-				begun := map[workerclient.Id]ids.Tick{}
+				begun := map[workerclient.ID]ids.Tick{}
 				took := map[string]map[handoff.Stage][]time.Duration{"claimed": {}, "other": {}}
 				c := Build(3, standin.Sites["vatuloa"], func(c *Cluster) {
 					c.Tune = func(o *standin.WorkerOptions) { o.Weight, o.Speed = 128<<10, link.speed }
@@ -41,12 +41,12 @@
 						mu.Lock()
 						defer mu.Unlock()
 						kind := "other"
-						if strings.HasPrefix(e.Id.Request, "k-") {
+						if strings.HasPrefix(e.ID.Request, "k-") {
 							kind = "claimed"
 						}
 						if e.Stage == handoff.Granted {
-							begun[e.Id] = e.At
-						} else if at, ok := begun[e.Id]; ok {
+							begun[e.ID] = e.At
+						} else if at, ok := begun[e.ID]; ok {
 							took[kind][e.Stage] = append(took[kind][e.Stage], e.At.Since(at))
 						}
 					}
--- a/simulation/govern_test.go
+++ b/simulation/govern_test.go
@@ -27,7 +27,7 @@
 // none import from one, whoever asks; what ends work is always given.
 func TestHolderChecks(t *testing.T) {
 	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
-		for _, w := range []ids.WorkerId{"p4", "d4", "d1"} {
+		for _, w := range []ids.WorkerID{"p4", "d4", "d1"} {
 			require.True(t, c.Until(5*time.Second, func() bool { return slices.Contains(holds(holder(c, w)), ids.Key("worker/"+w)) }))
 		}
 		time.Sleep(2 * time.Second) // ledgers are open by then
--- a/simulation/history_test.go
+++ b/simulation/history_test.go
@@ -212,7 +212,7 @@
 // change makes one change of the document, every fifth of all of it, and every seventh time one of a zone.
 func (h *history) change() {
 	h.changes++
-	op := ids.OpId(fmt.Sprint("op/change-", h.changes))
+	op := ids.OpID(fmt.Sprint("op/change-", h.changes))
 	text := largeDocument(h.changes/changesPerGeneration, h.changes*131%historyRoutes, h.changes)
 	h.agree(func(ctx context.Context) error {
 		version, err := fleetstate.Put(ctx, h.operator.Caller(), h.operator.Directory(), op, h.newest, 0, text)
--- a/simulation/others_test.go
+++ b/simulation/others_test.go
@@ -16,7 +16,7 @@
 func ips(list ...*Box) []string {
 	var out []string
 	for _, b := range list {
-		out = append(out, b.Machine.Ip)
+		out = append(out, b.Machine.IP)
 	}
 	return out
 }
@@ -25,7 +25,7 @@
 	out := []string{"10.9.0.1"}
 	for _, o := range c.Boxes {
 		if o != b {
-			out = append(out, o.Machine.Ip)
+			out = append(out, o.Machine.IP)
 		}
 	}
 	return out
@@ -39,7 +39,7 @@
 		var rest []string
 		for _, o := range c.Of("tenet") {
 			if o != b {
-				rest = append(rest, o.Machine.Ip)
+				rest = append(rest, o.Machine.IP)
 			}
 		}
 		c.World.Sever(ips(b), rest, true)
@@ -156,7 +156,7 @@
 	{Name: "workers-leave", Run: func(c *Cluster, r *rand.Rand) error {
 		for _, id := range []string{"p1", "d1"} {
 			pause(r)
-			c.Platform.Leave(ids.WorkerId(id))
+			c.Platform.Leave(ids.WorkerID(id))
 			c.Book.Mark("leave", id)
 		}
 		time.Sleep(5 * time.Second)
--- a/simulation/program_test.go
+++ b/simulation/program_test.go
@@ -80,7 +80,7 @@
 			w := site.Worker(part)
 			w.Weights = "w2"
 			id := fmt.Sprintf("n%d", i+1)
-			b := c.add(c.Stand(ids.WorkerId(id), w, fmt.Sprintf("10.4.0.%d", i+1)))
+			b := c.add(c.Stand(ids.WorkerID(id), w, fmt.Sprintf("10.4.0.%d", i+1)))
 			require.True(t, b.Up)
 			news[id] = w
 		}
--- a/simulation/regime_test.go
+++ b/simulation/regime_test.go
@@ -73,7 +73,7 @@
 		require.Equal(t, len(all), sum.Ends[api.Complete], "%+v", sum)
 		require.Greater(t, b.governed(), 100)
 		require.Less(t, standin.Quantile(b.stays, 1), 200.0, "staged memory is freed once it is in")
-		used := map[ids.WorkerId]bool{}
+		used := map[ids.WorkerID]bool{}
 		for _, e := range c.Book.rows {
 			used[e.Worker] = true
 		}
@@ -315,7 +315,7 @@
 		require.Equal(t, len(all), sum.Ends[api.Complete]+sum.Ends[api.Unknown], "%+v", sum)
 		last := map[string]time.Duration{}
 		for _, e := range c.Book.rows {
-			if b.work[e.Id.Request] != "" && e.What == "resumed" || e.What == "import" {
+			if b.work[e.ID.Request] != "" && e.What == "resumed" || e.What == "import" {
 				last[string(e.Worker)] = e.When
 			}
 		}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -148,8 +148,8 @@
 	if n/w.pool.size >= len(r.tab) {
 		more := w.pool.take(1)
 		if more == nil {
-			w.count(r.ident.Id.Request).Starved++
-			w.tell("starved", r.ident.Id, workerclient.Lead{})
+			w.count(r.ident.ID.Request).Starved++
+			w.tell("starved", r.ident.ID, workerclient.Lead{})
 			w.drop(r, workerclient.FateStopped)
 			return
 		}
@@ -179,7 +179,7 @@
 
 func (w *Worker) end(r *run) {
 	r.ended = true
-	w.count(r.ident.Id.Request).Records++
-	w.tell("record", r.ident.Id, workerclient.Lead{})
+	w.count(r.ident.ID.Request).Records++
+	w.tell("record", r.ident.ID, workerclient.Lead{})
 	w.drop(r, workerclient.FateFinished)
 }
--- a/standin/move.go
+++ b/standin/move.go
@@ -22,10 +22,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := q.Identity
-	if err := w.heed("import", q.Lead, m.Id); err != nil {
+	if err := w.heed("import", q.Lead, m.ID); err != nil {
 		return nil, err
 	}
-	if w.live[m.Id] != nil {
+	if w.live[m.ID] != nil {
 		return &workerclient.Answer{}, nil
 	}
 	bill := ids.Blocks(m.Computed, w.pool.size)
@@ -38,13 +38,13 @@
 	case m.Length != int64(kvTokenBytes*m.Computed):
 		return nil, no(http.StatusUnprocessableEntity, "%d bytes for %d tokens", m.Length, m.Computed)
 	case !w.pool.fits(whole):
-		w.count(m.Id.Request).Bounced++
-		w.tell("bounced", m.Id, q.Lead)
+		w.count(m.ID.Request).Bounced++
+		w.tell("bounced", m.ID, q.Lead)
 		return nil, no(http.StatusInsufficientStorage, "no room for %d blocks", whole)
 	}
 	r := &run{ident: m, tab: w.pool.take(bill), pledge: whole - bill, touched: w.now(), news: make(chan struct{})}
 	w.pool.pledge += r.pledge
-	w.live[m.Id] = r
+	w.live[m.ID] = r
 	go w.fetch(r, q.Source)
 	return &workerclient.Answer{}, nil
 }
@@ -60,7 +60,7 @@
 	defer w.mu.Unlock()
 	if err != nil {
 		r.lost = true
-		w.tell("lost", r.ident.Id, workerclient.Lead{})
+		w.tell("lost", r.ident.ID, workerclient.Lead{})
 		if !r.arrived {
 			w.drop(r, workerclient.FateNever)
 		}
@@ -75,7 +75,7 @@
 // receive reads the KV of a run into its blocks, and holds its length and digest against
 // the identity.
 func (w *Worker) receive(r *run, source string) error {
-	id := r.ident.Id
+	id := r.ident.ID
 	cx, stop := context.WithTimeout(context.Background(), w.opt.Stage)
 	defer stop()
 	q, err := http.NewRequestWithContext(cx, http.MethodGet, fmt.Sprintf("http://%s/kv?request=%s&attempt=%d", source, id.Request, id.Attempt), nil)
@@ -140,15 +140,15 @@
 }
 
 // resume is the point of no return.
-func (w *Worker) resume(ctx context.Context, q *workerclient.IdAsk) (*workerclient.Answer, error) {
+func (w *Worker) resume(ctx context.Context, q *workerclient.IDAsk) (*workerclient.Answer, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := w.live[q.Id]
-	if err := w.heed("resume", q.Lead, q.Id); err != nil {
+	r := w.live[q.ID]
+	if err := w.heed("resume", q.Lead, q.ID); err != nil {
 		return nil, err
 	}
 	if r == nil {
-		if f := w.fates[q.Id.Request]; f != nil && f.Fate != workerclient.FateNever {
+		if f := w.fates[q.ID.Request]; f != nil && f.Fate != workerclient.FateNever {
 			return f, nil
 		}
 		return nil, no(http.StatusGone, "nothing to resume")
@@ -167,12 +167,12 @@
 	if r.stopped {
 		return nil, no(http.StatusGone, "the memory was lost")
 	}
-	if err := w.heed("resumed", q.Lead, q.Id); err != nil {
+	if err := w.heed("resumed", q.Lead, q.ID); err != nil {
 		return nil, err
 	}
 	if !r.resumed {
 		r.resumed = true
-		t := w.count(q.Id.Request)
+		t := w.count(q.ID.Request)
 		t.Runs++
 		t.First = append(t.First, len(r.ident.Output))
 	}
@@ -182,22 +182,22 @@
 }
 
 // cancel stops an attempt for good and tells what came of the request here.
-func (w *Worker) cancel(_ context.Context, q *workerclient.IdAsk) (*workerclient.Answer, error) {
+func (w *Worker) cancel(_ context.Context, q *workerclient.IDAsk) (*workerclient.Answer, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.heed("cancel", q.Lead, q.Id); err != nil {
+	if err := w.heed("cancel", q.Lead, q.ID); err != nil {
 		return nil, err
 	}
-	if n, ok := w.tomb[q.Id.Request]; !ok || q.Id.Attempt > n {
-		w.tomb[q.Id.Request] = q.Id.Attempt
+	if n, ok := w.tomb[q.ID.Request]; !ok || q.ID.Attempt > n {
+		w.tomb[q.ID.Request] = q.ID.Attempt
 	}
 	for id := range w.staged {
-		if id.Request == q.Id.Request && id.Attempt <= q.Id.Attempt {
+		if id.Request == q.ID.Request && id.Attempt <= q.ID.Attempt {
 			w.unstage(id)
 		}
 	}
 	for id, r := range w.live {
-		if id.Request != q.Id.Request || id.Attempt > q.Id.Attempt {
+		if id.Request != q.ID.Request || id.Attempt > q.ID.Attempt {
 			continue
 		}
 		if r.resumed {
@@ -206,7 +206,7 @@
 			w.drop(r, workerclient.FateNever)
 		}
 	}
-	if f := w.fates[q.Id.Request]; f != nil {
+	if f := w.fates[q.ID.Request]; f != nil {
 		cop := *f
 		cop.Texts = nil
 		return &cop, nil
@@ -219,7 +219,7 @@
 func (w *Worker) stream(rw http.ResponseWriter, q *http.Request) {
 	n, _ := strconv.Atoi(q.FormValue("attempt"))
 	at, _ := strconv.Atoi(q.FormValue("from"))
-	id := workerclient.Id{Request: q.FormValue("request"), Attempt: n}
+	id := workerclient.ID{Request: q.FormValue("request"), Attempt: n}
 	w.mu.Lock()
 	r := w.live[id]
 	f := w.fates[id.Request]
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -28,31 +28,31 @@
 type Platform struct {
 	mu      sync.Mutex
 	web     *http.Client
-	workers map[ids.WorkerId]workerclient.Listed
+	workers map[ids.WorkerID]workerclient.Listed
 	doors   map[string]*Door
 }
 
 // NewPlatform returns a platform without workers or nodes. It asks nodes over the host's network.
 func NewPlatform(host seam.Host) *Platform {
-	return &Platform{web: rpc.Web(host.Net), workers: map[ids.WorkerId]workerclient.Listed{}, doors: map[string]*Door{}}
+	return &Platform{web: rpc.Web(host.Net), workers: map[ids.WorkerID]workerclient.Listed{}, doors: map[string]*Door{}}
 }
 
 // List puts a worker on the list, or changes its line.
 func (p *Platform) List(l workerclient.Listed) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.workers[l.Id] = l
+	p.workers[l.ID] = l
 }
 
 // Strike takes a worker off the list.
-func (p *Platform) Strike(id ids.WorkerId) {
+func (p *Platform) Strike(id ids.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.workers, id)
 }
 
 // Leave marks a worker as leaving.
-func (p *Platform) Leave(id ids.WorkerId) {
+func (p *Platform) Leave(id ids.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l, ok := p.workers[id]; ok {
@@ -132,7 +132,7 @@
 	})
 	mux.HandleFunc("POST /workers", func(w http.ResponseWriter, r *http.Request) {
 		var l workerclient.Listed
-		if err := json.NewDecoder(r.Body).Decode(&l); err != nil || l.Id == "" {
+		if err := json.NewDecoder(r.Body).Decode(&l); err != nil || l.ID == "" {
 			reply(w, http.StatusBadRequest, workerclient.Bounce{Name: "malformed"})
 			return
 		}
@@ -140,11 +140,11 @@
 		reply(w, http.StatusOK, l)
 	})
 	mux.HandleFunc("POST /workers/{id}/leave", func(w http.ResponseWriter, r *http.Request) {
-		p.Leave(ids.WorkerId(r.PathValue("id")))
+		p.Leave(ids.WorkerID(r.PathValue("id")))
 		reply(w, http.StatusOK, "leaving")
 	})
 	mux.HandleFunc("DELETE /workers/{id}", func(w http.ResponseWriter, r *http.Request) {
-		p.Strike(ids.WorkerId(r.PathValue("id")))
+		p.Strike(ids.WorkerID(r.PathValue("id")))
 		reply(w, http.StatusOK, "gone")
 	})
 	mux.HandleFunc("POST /doors", func(w http.ResponseWriter, r *http.Request) {
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -111,7 +111,7 @@
 func say(t int32) string { return fmt.Sprintf("t%d ", t) }
 
 // heed checks the fence and notes the version. The caller holds mu.
-func (w *Worker) heed(what string, l workerclient.Lead, id workerclient.Id) error {
+func (w *Worker) heed(what string, l workerclient.Lead, id workerclient.ID) error {
 	if l.Fence < w.fence && !w.fault.Forget {
 		return no(http.StatusPreconditionFailed, "fence %d is older than %d", l.Fence, w.fence)
 	}
@@ -124,7 +124,7 @@
 }
 
 func (w *Worker) prefill(ctx context.Context, q *workerclient.PrefillAsk) (*workerclient.Answer, error) {
-	id := q.Identity.Id
+	id := q.Identity.ID
 	w.mu.Lock()
 	if err := w.heed("prefill", q.Lead, id); err != nil {
 		w.mu.Unlock()
@@ -176,20 +176,20 @@
 func (w *Worker) export(_ context.Context, q *workerclient.ExportAsk) (*workerclient.Answer, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.heed("export", q.Lead, q.Id); err != nil {
+	if err := w.heed("export", q.Lead, q.ID); err != nil {
 		return nil, err
 	}
-	if p, ok := w.staged[q.Id]; ok {
+	if p, ok := w.staged[q.ID]; ok {
 		got := p.ident
 		return &workerclient.Answer{Identity: &got}, nil
 	}
-	r := w.live[q.Id]
+	r := w.live[q.ID]
 	if r == nil || w.part == ids.Prefill && !r.read {
 		return nil, no(http.StatusNotFound, "nothing to export")
 	}
 	body, sum := w.pool.freight(r.tab, r.ident.Computed)
 	r.ident.Length, r.ident.Digest = int64(len(body)), sum
-	w.staged[q.Id] = &parcel{r.ident, body, w.now().Add(w.opt.Stage)}
+	w.staged[q.ID] = &parcel{r.ident, body, w.now().Add(w.opt.Stage)}
 	got := r.ident
 	w.drop(r, workerclient.FateNever)
 	return &workerclient.Answer{Identity: &got}, nil
@@ -197,7 +197,7 @@
 
 func (w *Worker) freight(rw http.ResponseWriter, q *http.Request) {
 	n, _ := strconv.Atoi(q.FormValue("attempt"))
-	id := workerclient.Id{Request: q.FormValue("request"), Attempt: n}
+	id := workerclient.ID{Request: q.FormValue("request"), Attempt: n}
 	w.mu.Lock()
 	p, ok := w.staged[id]
 	f, speed := w.fault, w.opt.Speed
@@ -233,7 +233,7 @@
 func (w *Worker) turnTo(_ context.Context, q *workerclient.PartAsk) (*workerclient.Answer, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.heed("part", q.Lead, workerclient.Id{}); err != nil {
+	if err := w.heed("part", q.Lead, workerclient.ID{}); err != nil {
 		return nil, err
 	}
 	if q.Part != ids.Prefill && q.Part != ids.Decode {
--- a/standin/site.go
+++ b/standin/site.go
@@ -18,8 +18,8 @@
 )
 
 // Names lists a site's workers, part by part, spread over its zones.
-func (s Site) Names() []ids.WorkerId {
-	var out []ids.WorkerId
+func (s Site) Names() []ids.WorkerID {
+	var out []ids.WorkerID
 	for i := range s.Prefill + s.Decode {
 		out = append(out, s.Name1(i))
 	}
@@ -27,11 +27,11 @@
 }
 
 // Name1 names the i-th worker.
-func (s Site) Name1(i int) ids.WorkerId {
+func (s Site) Name1(i int) ids.WorkerID {
 	if i < s.Prefill {
-		return ids.WorkerId(fmt.Sprintf("p%d", i+1))
+		return ids.WorkerID(fmt.Sprintf("p%d", i+1))
 	}
-	return ids.WorkerId(fmt.Sprintf("d%d", i-s.Prefill+1))
+	return ids.WorkerID(fmt.Sprintf("d%d", i-s.Prefill+1))
 }
 
 // Worker gives the i-th worker's catalogue line.
@@ -46,7 +46,7 @@
 
 // Policy is the whole configuration as JSON text.
 func (s Site) Policy(programs map[string]fleetstate.Program) string {
-	workers := map[ids.WorkerId]fleetstate.Worker{}
+	workers := map[ids.WorkerID]fleetstate.Worker{}
 	for i, id := range s.Names() {
 		workers[id] = s.Worker(i)
 	}
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -18,7 +18,7 @@
 
 // WorkerOptions set up a stand-in worker.
 type WorkerOptions struct {
-	Id     ids.WorkerId
+	ID     ids.WorkerID
 	Addr   string
 	Part   ids.Part
 	Model  workerclient.Model
@@ -78,8 +78,8 @@
 // Event is one line for a checker.
 type Event struct {
 	What    string
-	Worker  ids.WorkerId
-	Id      workerclient.Id
+	Worker  ids.WorkerID
+	ID      workerclient.ID
 	Fence   ids.Fence
 	Version ids.Version
 	At      ids.Tick
@@ -98,9 +98,9 @@
 	fence   ids.Fence
 	version ids.Version
 	fault   Faults
-	live    map[workerclient.Id]*run
+	live    map[workerclient.ID]*run
 	queue   []*run
-	staged  map[workerclient.Id]*parcel
+	staged  map[workerclient.ID]*parcel
 	tomb    map[string]int
 	fates   map[string]*workerclient.Answer
 	tally   map[string]*Tally
@@ -142,7 +142,7 @@
 func NewWorker(opt WorkerOptions) *Worker {
 	opt.fill()
 	return &Worker{opt: opt, life: ids.Life(rand.Text()), web: rpc.Web(opt.Host.Net), part: opt.Part, pool: newPool(opt.Room, opt.Block),
-		live: map[workerclient.Id]*run{}, staged: map[workerclient.Id]*parcel{}, tomb: map[string]int{}, tally: map[string]*Tally{},
+		live: map[workerclient.ID]*run{}, staged: map[workerclient.ID]*parcel{}, tomb: map[string]int{}, tally: map[string]*Tally{},
 		fates: map[string]*workerclient.Answer{}, warm: map[uint64]ids.Tick{}, wake: make(chan struct{}, 1)}
 }
 
@@ -161,9 +161,9 @@
 	w.web.CloseIdleConnections()
 }
 
-func (w *Worker) tell(what string, id workerclient.Id, l workerclient.Lead) {
+func (w *Worker) tell(what string, id workerclient.ID, l workerclient.Lead) {
 	if w.Tell != nil {
-		w.Tell(Event{what, w.opt.Id, id, l.Fence, l.Version, w.now()})
+		w.Tell(Event{what, w.opt.ID, id, l.Fence, l.Version, w.now()})
 	}
 }
 
@@ -217,10 +217,10 @@
 
 // drop frees all that a run holds. The caller holds mu.
 func (w *Worker) drop(r *run, fate string) {
-	if _, ok := w.live[r.ident.Id]; !ok {
+	if _, ok := w.live[r.ident.ID]; !ok {
 		return
 	}
-	delete(w.live, r.ident.Id)
+	delete(w.live, r.ident.ID)
 	for i, q := range w.queue {
 		if q == r {
 			w.queue = append(w.queue[:i:i], w.queue[i+1:]...)
@@ -230,8 +230,8 @@
 	w.pool.give(r.tab)
 	w.pool.pledge -= r.pledge
 	r.tab, r.pledge = nil, 0
-	if f := w.fates[r.ident.Id.Request]; f == nil || f.Fate == workerclient.FateNever || fate == workerclient.FateFinished {
-		w.fates[r.ident.Id.Request] = &workerclient.Answer{Fate: fate, Output: r.ident.Output, Done: fate == workerclient.FateFinished}
+	if f := w.fates[r.ident.ID.Request]; f == nil || f.Fate == workerclient.FateNever || fate == workerclient.FateFinished {
+		w.fates[r.ident.ID.Request] = &workerclient.Answer{Fate: fate, Output: r.ident.Output, Done: fate == workerclient.FateFinished}
 	}
 	if !r.ended {
 		r.stopped = true
@@ -246,7 +246,7 @@
 }
 
 // unstage frees outgoing KV. The caller holds mu.
-func (w *Worker) unstage(id workerclient.Id) {
+func (w *Worker) unstage(id workerclient.ID) {
 	delete(w.staged, id)
 	w.tell("unstaged", id, workerclient.Lead{})
 }
@@ -268,10 +268,10 @@
 		}
 		switch {
 		case r.resumed && !r.ended:
-			w.tell("orphan-run", r.ident.Id, workerclient.Lead{})
+			w.tell("orphan-run", r.ident.ID, workerclient.Lead{})
 			w.drop(r, workerclient.FateStopped)
 		case !r.resumed && (w.part == ids.Decode || r.read):
-			w.tell("orphan-import", r.ident.Id, workerclient.Lead{})
+			w.tell("orphan-import", r.ident.ID, workerclient.Lead{})
 			w.drop(r, workerclient.FateNever)
 		}
 	}
@@ -289,7 +289,7 @@
 	r := workerclient.Report{Part: w.part, Model: w.opt.Model, Used: w.pool.used(), Capacity: len(w.pool.cells),
 		Block: w.pool.size, Queue: len(w.queue), Version: w.version, Running: []workerclient.Running{}, Life: w.life}
 	for id, v := range w.live {
-		r.Running = append(r.Running, workerclient.Running{Id: id, Blocks: len(v.tab), Room: v.pledge})
+		r.Running = append(r.Running, workerclient.Running{ID: id, Blocks: len(v.tab), Room: v.pledge})
 	}
 	return r
 }
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -35,7 +35,7 @@
 		for i, part := range []ids.Part{ids.Prefill, ids.Decode} {
 			host := w.Machine(fmt.Sprintf("10.0.0.%d", i+1)).Start().Host()
 			addr := fmt.Sprintf("10.0.0.%d:90", i+1)
-			k := NewWorker(WorkerOptions{Id: ids.WorkerId(part), Addr: addr, Part: part, Room: room, Host: host, Model: workerclient.Model{Name: "m", Weights: "w1"}})
+			k := NewWorker(WorkerOptions{ID: ids.WorkerID(part), Addr: addr, Part: part, Room: room, Host: host, Model: workerclient.Model{Name: "m", Weights: "w1"}})
 			l, err := host.Net.Listen(addr)
 			require.NoError(t, err)
 			go rpc.Serve(ctx, l, k.Handler())
@@ -62,7 +62,7 @@
 }
 
 func (x *pairOf) identity(name string, prompt, max int) workerclient.Identity {
-	m := workerclient.Identity{Id: workerclient.Id{Request: name, Attempt: 1}, Params: workerclient.Params{MaxTokens: max, Seed: 7}, Model: workerclient.Model{Name: "m", Weights: "w1"}}
+	m := workerclient.Identity{ID: workerclient.ID{Request: name, Attempt: 1}, Params: workerclient.Params{MaxTokens: max, Seed: 7}, Model: workerclient.Model{Name: "m", Weights: "w1"}}
 	for i := range prompt {
 		m.Prompt = append(m.Prompt, int32(i*31%997+len(name)))
 	}
@@ -72,7 +72,7 @@
 func (x *pairOf) read(t *testing.T, m workerclient.Identity) workerclient.Identity {
 	_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillAsk{Lead: workerclient.Lead{Fence: 1}, Identity: m})
 	require.NoError(t, err)
-	a, err := x.r.Export(x.ctx, x.pa, &workerclient.ExportAsk{Lead: workerclient.Lead{Fence: 1}, Id: m.Id})
+	a, err := x.r.Export(x.ctx, x.pa, &workerclient.ExportAsk{Lead: workerclient.Lead{Fence: 1}, ID: m.ID})
 	require.NoError(t, err)
 	return *a.Identity
 }
@@ -83,13 +83,13 @@
 }
 
 func (x *pairOf) resume(m workerclient.Identity) error {
-	_, err := x.r.Resume(x.ctx, x.da, &workerclient.IdAsk{Lead: workerclient.Lead{Fence: 1}, Id: m.Id})
+	_, err := x.r.Resume(x.ctx, x.da, &workerclient.IDAsk{Lead: workerclient.Lead{Fence: 1}, ID: m.ID})
 	return err
 }
 
 func (x *pairOf) rest(t *testing.T, m workerclient.Identity) []int32 {
 	out := append([]int32(nil), m.Output...)
-	require.NoError(t, x.r.Stream(x.ctx, x.da, m.Id, len(out), time.Second, func(p workerclient.Piece) error {
+	require.NoError(t, x.r.Stream(x.ctx, x.da, m.ID, len(out), time.Second, func(p workerclient.Piece) error {
 		if p.End == "" {
 			out = append(out, p.Token)
 		}
@@ -179,7 +179,7 @@
 		require.Zero(t, x.d.Used())
 		require.True(t, failure.Is(x.resume(m), failure.Lost))
 		m = x.read(t, x.identity("stopped", 100, 8))
-		a, err := x.r.Cancel(x.ctx, x.da, &workerclient.IdAsk{Lead: workerclient.Lead{Fence: 1}, Id: m.Id})
+		a, err := x.r.Cancel(x.ctx, x.da, &workerclient.IDAsk{Lead: workerclient.Lead{Fence: 1}, ID: m.ID})
 		require.NoError(t, err)
 		require.Equal(t, workerclient.FateNever, a.Fate)
 		require.True(t, failure.Is(x.move(m), failure.Lost))
--- a/whim/deck.go
+++ b/whim/deck.go
@@ -131,7 +131,7 @@
 func (d *Deck) Rules() bool { return len(d.slots) > 0 }
 
 // route gives the candidates that a program matches, in its order.
-func route(p Program, q *Question, list []Candidate) ([]ids.WorkerId, error) {
+func route(p Program, q *Question, list []Candidate) ([]ids.WorkerID, error) {
 	some, err := p.Match(q, list)
 	if err != nil {
 		return nil, err
@@ -145,10 +145,10 @@
 
 // Order asks the request's program, and in its shadow the shadow programs,
 // whose choices are only counted.
-func (d *Deck) Order(q *Question, list []Candidate) []ids.WorkerId {
+func (d *Deck) Order(q *Question, list []Candidate) []ids.WorkerID {
 	name := d.For(q.Request)
 	plain, _ := Plain{}.Order(q, list)
-	out, firsts := plain, map[string]ids.WorkerId{}
+	out, firsts := plain, map[string]ids.WorkerID{}
 	for _, s := range d.slots {
 		if s.name != name && !s.shadow {
 			continue
--- a/whim/star.go
+++ b/whim/star.go
@@ -98,7 +98,7 @@
 
 func candidate(c *Candidate) starlark.Value {
 	return starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
-		"id": starlark.String(c.Id), "zone": starlark.String(c.Zone), "weights": starlark.String(c.Weights),
+		"id": starlark.String(c.ID), "zone": starlark.String(c.Zone), "weights": starlark.String(c.Weights),
 		"adapters": names(c.Adapters), "free": starlark.MakeInt(c.Free), "room": starlark.MakeInt(c.Room),
 		"busy": starlark.MakeInt(c.Busy), "cap": starlark.MakeInt(c.Cap), "affinity": starlark.Float(c.Affinity), "cost": starlark.Float(c.Cost),
 	})
@@ -127,7 +127,7 @@
 	return out, nil
 }
 
-func (s *star) Order(q *Question, list []Candidate) ([]ids.WorkerId, error) {
+func (s *star) Order(q *Question, list []Candidate) ([]ids.WorkerID, error) {
 	if s.order == nil {
 		return Plain{}.Order(q, list)
 	}
@@ -145,14 +145,14 @@
 	}
 	it := seq.Iterate()
 	defer it.Done()
-	var out []ids.WorkerId
+	var out []ids.WorkerID
 	var e starlark.Value
 	for it.Next(&e) {
 		id, ok := starlark.AsString(e)
 		if !ok || len(out) > len(list) {
 			return nil, failure.New(failure.Bad, "run program", s.name, "order gave a list that is not ids of candidates")
 		}
-		out = append(out, ids.WorkerId(id))
+		out = append(out, ids.WorkerID(id))
 	}
 	return out, nil
 }
@@ -164,7 +164,7 @@
 	row := make([]starlark.Value, len(p.Workers))
 	for i, w := range p.Workers {
 		row[i] = starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
-			"id": starlark.String(w.Id), "zone": starlark.String(w.Zone), "part": starlark.String(w.Part), "home": starlark.String(w.Home),
+			"id": starlark.String(w.ID), "zone": starlark.String(w.Zone), "part": starlark.String(w.Part), "home": starlark.String(w.Home),
 			"busy": starlark.MakeInt(w.Busy), "work": starlark.MakeInt(w.Work), "cap": starlark.MakeInt(w.Cap),
 			"free": starlark.MakeInt(w.Free), "room": starlark.MakeInt(w.Room), "may": starlark.Bool(w.May),
 		})
@@ -184,7 +184,7 @@
 		id, a := starlark.AsString(pair.Index(0))
 		to, b := starlark.AsString(pair.Index(1))
 		if a && b {
-			return Wish{ids.WorkerId(id), ids.Part(to)}, true, nil
+			return Wish{ids.WorkerID(id), ids.Part(to)}, true, nil
 		}
 	}
 	return Wish{}, false, failure.New(failure.Bad, "run program", s.name, "turn gave %s, not None or (id, part)", v)
--- a/whim/turn.go
+++ b/whim/turn.go
@@ -13,7 +13,7 @@
 
 // Turner is a worker of a pool as a program sees it.
 type Turner struct {
-	Id   ids.WorkerId
+	ID   ids.WorkerID
 	Zone ids.Zone
 	Part ids.Part
 	Home ids.Part // the part that the catalogue gives it
@@ -37,7 +37,7 @@
 
 // Wish is for a worker to change to a part.
 type Wish struct {
-	Worker ids.WorkerId
+	Worker ids.WorkerID
 	To     ids.Part
 }
 
@@ -89,13 +89,13 @@
 	if best == nil {
 		return Wish{}, false
 	}
-	return Wish{best.Id, to}, true
+	return Wish{best.ID, to}, true
 }
 
 // clearWish holds a program's wish against those that may turn.
 func clearWish(p *Pool, w Wish) error {
 	for _, t := range p.Workers {
-		if t.Id == w.Worker && t.May && t.Part == Other(w.To) {
+		if t.ID == w.Worker && t.May && t.Part == Other(w.To) {
 			return nil
 		}
 	}
--- a/whim/turn_test.go
+++ b/whim/turn_test.go
@@ -26,7 +26,7 @@
 	q := &Question{Part: ids.Decode, Request: "r", Kind: "ruling"}
 	text := "def match(ask, worker):\n    return ask.kind != 'ruling' or 'legal' in worker.adapters\n"
 	d := deckOf(t, &Scores{}, Source{Name: "legal", Text: text, Share: 100})
-	require.Equal(t, []ids.WorkerId{"w5", "w3", "w1"}, d.Order(q, list), "in the built-in order")
+	require.Equal(t, []ids.WorkerID{"w5", "w3", "w1"}, d.Order(q, list), "in the built-in order")
 	require.Len(t, d.Order(&Question{Part: ids.Decode, Request: "r", Kind: "rider"}, list), 6)
 	none := deckOf(t, &Scores{}, Source{Name: "none", Text: "def match(ask, worker):\n    return False\n", Share: 100})
 	require.Empty(t, none.Order(q, list), "matched by nobody")
@@ -42,8 +42,8 @@
 
 func pressedPool() *Pool {
 	p := &Pool{Model: "m", Press: map[ids.Part]float64{ids.Prefill: 0.9, ids.Decode: 0.1}}
-	for i, id := range []ids.WorkerId{"p1", "p2", "d1", "d2", "d3"} {
-		w := Turner{Id: id, Part: ids.Prefill, Home: ids.Prefill, Busy: 10 - i, Cap: 16, May: id != "d3"}
+	for i, id := range []ids.WorkerID{"p1", "p2", "d1", "d2", "d3"} {
+		w := Turner{ID: id, Part: ids.Prefill, Home: ids.Prefill, Busy: 10 - i, Cap: 16, May: id != "d3"}
 		if i >= 2 {
 			w.Part, w.Home = ids.Decode, ids.Decode
 		}
--- a/whim/whim.go
+++ b/whim/whim.go
@@ -28,7 +28,7 @@
 // Candidate is a worker that may take it. Affinity, from 0 to 1, is the same on
 // every node for the same prompt prefix and worker.
 type Candidate struct {
-	Id       ids.WorkerId
+	ID       ids.WorkerID
 	Zone     ids.Zone
 	Weights  string
 	Adapters []string
@@ -45,16 +45,16 @@
 // worker should change its part. It need not have an idea of each.
 type Program interface {
 	Match(q *Question, list []Candidate) ([]Candidate, error)
-	Order(q *Question, list []Candidate) ([]ids.WorkerId, error)
+	Order(q *Question, list []Candidate) ([]ids.WorkerID, error)
 	Turn(p *Pool) (Wish, bool, error)
 	Turns() bool
 }
 
 // Affinity is high for the worker that a prefix falls to.
-func Affinity(prefix uint64, id ids.WorkerId) float64 { return Mix(prefix, Hash(id)) }
+func Affinity(prefix uint64, id ids.WorkerID) float64 { return Mix(prefix, Hash(id)) }
 
 // Hash is what Affinity makes of a worker's id.
-func Hash(id ids.WorkerId) uint64 { return ids.Hash(string(id)) }
+func Hash(id ids.WorkerID) uint64 { return ids.Hash(string(id)) }
 
 // Mix is the Affinity of a worker by its id's Hash, from 0 to 1.
 func Mix(prefix, hash uint64) float64 {
@@ -82,7 +82,7 @@
 func (Plain) Turns() bool { return true }
 
 // Order returns the candidates in the built-in order; it never fails.
-func (Plain) Order(q *Question, list []Candidate) ([]ids.WorkerId, error) {
+func (Plain) Order(q *Question, list []Candidate) ([]ids.WorkerID, error) {
 	score := func(c Candidate) float64 {
 		if q.Priced {
 			return c.Cost
@@ -99,23 +99,23 @@
 		if a != b {
 			return a < b
 		}
-		return Affinity(own, row[i].Id) > Affinity(own, row[j].Id)
+		return Affinity(own, row[i].ID) > Affinity(own, row[j].ID)
 	})
-	out := make([]ids.WorkerId, len(row))
+	out := make([]ids.WorkerID, len(row))
 	for i, c := range row {
-		out[i] = c.Id
+		out[i] = c.ID
 	}
 	return out, nil
 }
 
 // clear holds a program's order against the candidates: strangers and repeats
 // are an error, and whoever was left out comes last in the plain order.
-func clear(q *Question, list []Candidate, got []ids.WorkerId) ([]ids.WorkerId, error) {
-	left := make(map[ids.WorkerId]bool, len(list))
+func clear(q *Question, list []Candidate, got []ids.WorkerID) ([]ids.WorkerID, error) {
+	left := make(map[ids.WorkerID]bool, len(list))
 	for _, c := range list {
-		left[c.Id] = true
+		left[c.ID] = true
 	}
-	out := make([]ids.WorkerId, 0, len(list))
+	out := make([]ids.WorkerID, 0, len(list))
 	for _, id := range got {
 		if !left[id] {
 			return nil, failure.New(failure.Bad, "order workers", string(id), "the program names a worker that is no candidate, or names it twice")
--- a/whim/whim_test.go
+++ b/whim/whim_test.go
@@ -15,14 +15,14 @@
 func some(n int) []Candidate {
 	var out []Candidate
 	for i := range n {
-		out = append(out, Candidate{Id: ids.WorkerId(fmt.Sprintf("w%d", i)), Free: 100 + i, Room: 200, Busy: n - i, Cap: 16, Affinity: Affinity(7, ids.WorkerId(fmt.Sprintf("w%d", i)))})
+		out = append(out, Candidate{ID: ids.WorkerID(fmt.Sprintf("w%d", i)), Free: 100 + i, Room: 200, Busy: n - i, Cap: 16, Affinity: Affinity(7, ids.WorkerID(fmt.Sprintf("w%d", i)))})
 	}
 	return out
 }
 
 // TestShippedOrder: the shipped programs compile and order by what they say.
 func TestShippedOrder(t *testing.T) {
-	for name, first := range map[string]ids.WorkerId{"free": "w5", "short": "w5"} {
+	for name, first := range map[string]ids.WorkerID{"free": "w5", "short": "w5"} {
 		p, err := Compile(name, Shipped(name), 20000)
 		require.NoError(t, err)
 		got, err := p.Order(&Question{Part: ids.Decode}, some(6))
@@ -42,7 +42,7 @@
 	}
 	got, err := p.Order(&Question{Part: ids.Prefill}, level)
 	require.NoError(t, err)
-	require.Equal(t, best.Id, got[0])
+	require.Equal(t, best.ID, got[0])
 }
 
 // TestHostile: a program that never ends, fails, names a stranger, names one
@@ -73,7 +73,7 @@
 	require.NoError(t, err)
 	got := deck.Order(&Question{Part: ids.Decode, Request: "r"}, some(4))
 	require.Len(t, got, 4)
-	require.Equal(t, ids.WorkerId("w2"), got[0])
+	require.Equal(t, ids.WorkerID("w2"), got[0])
 }
 
 // TestShares: traffic falls to programs by their shares, a shadow only counts.
--- a/workerclient/client.go
+++ b/workerclient/client.go
@@ -144,7 +144,7 @@
 }
 
 // Resume has a worker run an attempt that was imported, once its KV has arrived whole.
-func (c *Client) Resume(ctx context.Context, addr string, q *IdAsk) (*Answer, error) {
+func (c *Client) Resume(ctx context.Context, addr string, q *IDAsk) (*Answer, error) {
 	return c.order(ctx, addr, "/resume", q, resumeTimeout)
 }
 
@@ -152,7 +152,7 @@
 // afterwards. The answer has the request's fate at this worker.
 // Where the connection is refused no process is left that could go on with it, so the kind is
 // Lost, which says more than Bounced.
-func (c *Client) Cancel(ctx context.Context, addr string, q *IdAsk) (*Answer, error) {
+func (c *Client) Cancel(ctx context.Context, addr string, q *IDAsk) (*Answer, error) {
 	a, err := c.order(ctx, addr, "/cancel", q, shortTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		err = failure.As(err, failure.Lost, "cancel", addr)
@@ -181,7 +181,7 @@
 // ended; an error of put ends it, and is returned as it is. Other errors are mostly of kind
 // Lost. The worker writes at least once every pulse, if only an empty line; a longer silence
 // counts as its loss.
-func (c *Client) Stream(ctx context.Context, addr string, id Id, from int, pulse time.Duration, put func(Piece) error) error {
+func (c *Client) Stream(ctx context.Context, addr string, id ID, from int, pulse time.Duration, put func(Piece) error) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	path := fmt.Sprintf("/stream?request=%s&attempt=%d&from=%d", id.Request, id.Attempt, from)
--- a/workerclient/client_test.go
+++ b/workerclient/client_test.go
@@ -94,7 +94,7 @@
 	if _, err := c.Part(context.Background(), addr, &PartAsk{}); !failure.Is(err, failure.Bounced) {
 		t.Errorf("kind %s of %v, not bounced", failure.KindOf(err), err)
 	}
-	if _, err := c.Cancel(context.Background(), addr, &IdAsk{}); !failure.Is(err, failure.Lost) {
+	if _, err := c.Cancel(context.Background(), addr, &IDAsk{}); !failure.Is(err, failure.Lost) {
 		t.Errorf("kind %s of %v, not lost", failure.KindOf(err), err)
 	}
 }
--- a/workerclient/messages.go
+++ b/workerclient/messages.go
@@ -6,8 +6,8 @@
 	"keelstair.example/ids"
 )
 
-// Id names one attempt at handing one request over to a decode worker. Attempts count from 1.
-type Id struct {
+// ID names one attempt at handing one request over to a decode worker. Attempts count from 1.
+type ID struct {
 	Request string `json:"request"`
 	Attempt int    `json:"attempt"`
 }
@@ -43,7 +43,7 @@
 // counts the tokens whose KV is there; Length (bytes) and Digest are those of that KV.
 // The ids of cache blocks are local to a worker and no part of it.
 type Identity struct {
-	Id       Id      `json:"id"`
+	ID       ID      `json:"id"`
 	Prompt   []int32 `json:"prompt"`
 	Output   []int32 `json:"output"`
 	Computed int     `json:"numComputedTokens"`
@@ -69,7 +69,7 @@
 // ExportAsk orders a prefill worker to keep a request's KV ready for the decode worker.
 type ExportAsk struct {
 	Lead
-	Id Id `json:"id"`
+	ID ID `json:"id"`
 }
 
 // ImportAsk orders a decode worker to reserve room for a request and to fetch its KV from the
@@ -80,10 +80,10 @@
 	Source   string   `json:"source"`
 }
 
-// IdAsk orders a worker to resume or to cancel one attempt.
-type IdAsk struct {
+// IDAsk orders a worker to resume or to cancel one attempt.
+type IDAsk struct {
 	Lead
-	Id Id `json:"id"`
+	ID ID `json:"id"`
 }
 
 // PartAsk orders a worker to change its part.
@@ -116,7 +116,7 @@
 // Running is one request on a worker: the cache blocks that it holds, and Room, how many more
 // it may come to need.
 type Running struct {
-	Id     Id  `json:"id"`
+	ID     ID  `json:"id"`
 	Blocks int `json:"blocks"`
 	Room   int `json:"room"`
 }
@@ -147,7 +147,7 @@
 
 // Listed is one worker on the platform's list. Leaving tells that it ends soon.
 type Listed struct {
-	Id      ids.WorkerId `json:"id"`
+	ID      ids.WorkerID `json:"id"`
 	Addr    string       `json:"addr"`
 	Zone    ids.Zone     `json:"zone"`
 	Leaving bool         `json:"leaving,omitempty"`
