--- a/Makefile
+++ b/Makefile
@@ -57,7 +57,7 @@
 
 # A fleet of real processes on loopback, until interrupted.
 up: build
-	bin/realm up
+	bin/keelstair-testbed up
 
 # Takes each mechanism away in a copy and sees its test fail.
 ablate:
--- a/cmd/tenet/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -1,4 +1,4 @@
-// Tenet is the control plane: on a disk machine it holds a register and is the
+// Keelstair-controller is the control plane: on a disk machine it holds a register and is the
 // primary, the backup or a spare.
 package main
 
@@ -7,16 +7,16 @@
 	"os"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/cmd/boot"
 	"keelstair.example/coordination"
-	"keelstair.example/creed"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/cli"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/settings"
 )
 
-type settings struct {
+type options struct {
 	Settings  string   `arg:"--settings" help:"a JSON file with these same settings; flags stand over it" json:"-"`
 	Addr      string   `arg:"--addr" help:"IP number and port to listen on" json:"addr"`
 	Zone      string   `arg:"--zone" help:"the hall or district this machine stands in" json:"zone"`
@@ -31,42 +31,42 @@
 	ReplaceMs int      `arg:"--replace-ms" default:"4000" help:"a register holder silent so long may be replaced by a spare" json:"replaceMs"`
 }
 
-func (s *settings) File() string { return s.Settings }
+func (s *options) File() string { return s.Settings }
 
-func (s *settings) Check() error {
+func (s *options) Check() error {
 	span := func(field string, ms, least, most int) error {
 		if ms < least || ms > most {
-			return creed.Fault(field, "%d ms is not from %d to %d", ms, least, most)
+			return settings.Fault(field, "%d ms is not from %d to %d", ms, least, most)
 		}
 		return nil
 	}
 	if s.Data == "" {
-		return creed.Fault("data", "it is missing")
+		return settings.Fault("data", "it is missing")
 	}
 	if s.Zone == "" {
-		return creed.Fault("zone", "it is missing")
+		return settings.Fault("zone", "it is missing")
 	}
-	return creed.First(creed.Addr("addr", s.Addr), creed.Seeds("seeds", s.Seeds),
+	return settings.First(settings.Addr("addr", s.Addr), settings.Seeds("seeds", s.Seeds),
 		span("beatMs", s.BeatMs, 20, 1000), span("silenceMs", s.SilenceMs, 4*s.BeatMs, 30000),
 		span("leaseMs", s.LeaseMs, 2*s.SilenceMs, 60000), span("stallMs", s.StallMs, 50, 30000), span("graceMs", s.GraceMs, 0, 600000), span("replaceMs", s.ReplaceMs, s.SilenceMs, 600000))
 }
 
 func main() {
-	s := &settings{}
-	creed.Read(s, "tenet", "Tenet is keelstair's control plane.", os.Args[1:])
-	host, err := seam.Real(s.Data)
-	boot.Fail("tenet", err)
-	ring := boot.Ring("tenet " + s.Addr)
+	s := &options{}
+	settings.Read(s, "keelstair-controller", "Keelstair-controller is keelstair's control plane.", os.Args[1:])
+	host, err := host.Real(s.Data)
+	cli.Fail("keelstair-controller", err)
+	ring := cli.Ring("controller " + s.Addr)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	core, err := coordination.New(coordination.Options{Addr: s.Addr, Zone: ids.Zone(s.Zone), Host: host, Seeds: s.Seeds, Ring: ring,
 		Machine: func() coordination.Machine {
 			return fleetstate.NewMachine(fleetstate.MachineOptions{Wall: host.Clock.Wall})
 		},
 		Beat: ms(s.BeatMs), Silence: ms(s.SilenceMs), Lease: ms(s.LeaseMs), Stall: ms(s.StallMs), Replace: ms(s.ReplaceMs), Anew: s.FoundAnew})
-	boot.Fail("tenet", err)
-	asked, stop := boot.Signals()
+	cli.Fail("keelstair-controller", err)
+	asked, stop := cli.Signals()
 	defer stop()
-	ctx := boot.HandOver(asked, core, ms(s.GraceMs))
+	ctx := cli.HandOver(asked, core, ms(s.GraceMs))
 	mux := http.NewServeMux()
 	core.Mount(mux)
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -80,6 +80,6 @@
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		api.Write(w, http.StatusOK, map[string]any{"leads": core.Leads(), "page": core.Directory().Page()})
 	})
-	boot.Serve(ctx, host, s.Addr, mux, func(err error) { boot.Fail("tenet", err) })
-	boot.Fail("tenet", core.Run(ctx))
+	cli.Serve(ctx, host, s.Addr, mux, func(err error) { cli.Fail("keelstair-controller", err) })
+	cli.Fail("keelstair-controller", core.Run(ctx))
 }
--- a/cmd/gauge/count.go
+++ b/cmd/keelstair-measure/count.go
@@ -1,4 +1,4 @@
-// Counting what goes over a node's network: the product's code runs over this seam as
+// Counting what goes over a node's network: the product's code runs over this network as
 // over any other. A request's first write tells its name, so that bytes and requests are
 // counted for each kind of message, at the asking and at the answering end.
 
@@ -12,7 +12,7 @@
 	"strings"
 	"sync"
 
-	"keelstair.example/seam"
+	"keelstair.example/host"
 )
 
 // Flow is what went by under one name.
@@ -32,15 +32,15 @@
 	f.Dialled += sign * g.Dialled
 }
 
-// Meter is a seam.Net that counts.
+// Meter is a host.Net that counts.
 type Meter struct {
-	seam.Net
+	host.Net
 	mark []string // peers whose flows are kept apart, as name@peer
 	mu   sync.Mutex
 	flow map[string]Flow
 }
 
-func newMeter(n seam.Net, mark []string) *Meter {
+func newMeter(n host.Net, mark []string) *Meter {
 	return &Meter{Net: n, mark: mark, flow: map[string]Flow{}}
 }
 
--- a/cmd/gauge/fleet.go
+++ b/cmd/keelstair-measure/fleet.go
@@ -1,4 +1,4 @@
-// The fleet of one point: three tenets, processes that hold hollow nodes, and a stand-in
+// The fleet of one point: three controllers, processes that hold hollow nodes, and a stand-in
 // for the platform's list. Every process is ended by its own id.
 
 package main
@@ -21,18 +21,18 @@
 
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/proxy"
+	"keelstair.example/internal/workerclient"
 	"keelstair.example/platform"
-	"keelstair.example/proxy"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
-	"keelstair.example/workerclient"
 )
 
 type proc struct {
 	name  string
-	addr  string // tenets: where it answers; holders: where they are asked
+	addr  string // controllers: where it answers; holders: where they are asked
 	nodes int
 	lost  bool // to be killed in the middle
 	cmd   *exec.Cmd
@@ -41,21 +41,21 @@
 }
 
 type fleet struct {
-	size    Size
-	bin     string
-	dir     string
-	host    seam.Host
-	call    *rpc.Caller
-	book    *coordination.Directory
-	tenets  []*proc
-	holders []*proc
-	empty   *proc // holds no node: what the looking costs
-	seeds   []string
-	list    string
-	shut    func()
-	version ids.Version
-	turn    int
-	next    int
+	size        Size
+	bin         string
+	dir         string
+	host        host.Host
+	call        *rpc.Caller
+	book        *coordination.Directory
+	controllers []*proc
+	holders     []*proc
+	empty       *proc // holds no node: what the looking costs
+	seeds       []string
+	list        string
+	shut        func()
+	version     ids.Version
+	turn        int
+	next        int
 }
 
 var web = &http.Client{Timeout: 20 * time.Second}
@@ -103,7 +103,7 @@
 }
 
 func (f *fleet) stop() {
-	for _, p := range append(append(f.holders, f.tenets...), f.empties()...) {
+	for _, p := range append(append(f.holders, f.controllers...), f.empties()...) {
 		p.end()
 	}
 	if f.call != nil {
@@ -163,7 +163,7 @@
 		return err
 	}
 	swap := &swapped{}
-	if f.size.Sort == "verge" {
+	if f.size.Sort == "router" {
 		rows := []workerclient.Listed{}
 		for _, w := range list {
 			rows = append(rows, workerclient.Listed{ID: w.ID, Addr: w.Addr, Zone: w.Zone})
@@ -197,7 +197,7 @@
 
 // churn lets one worker after the other be marked as leaving, or not any more.
 func (f *fleet) churn(ctx context.Context, to *swapped, list []proxy.Worker) {
-	for i := 0; f.size.Churn > 0 && seam.Sleep(ctx, time.Duration(float64(time.Second)/f.size.Churn)); i++ {
+	for i := 0; f.size.Churn > 0 && host.Sleep(ctx, time.Duration(float64(time.Second)/f.size.Churn)); i++ {
 		w := &list[i*7919%len(list)]
 		w.Leaving = !w.Leaving
 		h, err := platform.Lister(list)
@@ -250,7 +250,7 @@
 func raiseFleet(ctx context.Context, c *runCmd, dir string, size Size) (*fleet, error) {
 	f := &fleet{size: size, bin: c.Bin, dir: dir}
 	var err error
-	if f.host, err = seam.Real(""); err != nil {
+	if f.host, err = host.Real(""); err != nil {
 		return f, err
 	}
 	if f.seeds, err = free(cores); err != nil {
@@ -262,10 +262,10 @@
 		return f, err
 	}
 	for i, a := range f.seeds {
-		p := &proc{name: fmt.Sprintf("tenet-%d", i), addr: a}
-		f.tenets = append(f.tenets, p)
+		p := &proc{name: fmt.Sprintf("controller-%d", i), addr: a}
+		f.controllers = append(f.controllers, p)
 		args := append([]string{"--addr", a, "--zone", string(halls[2*i]), "--data", filepath.Join(dir, p.name), "--seeds"}, f.seeds...)
-		out, err := f.begin(p, filepath.Join(c.Bin, "tenet"), args...)
+		out, err := f.begin(p, filepath.Join(c.Bin, "keelstair-controller"), args...)
 		if err != nil {
 			return f, err
 		}
@@ -331,7 +331,7 @@
 		if time.Now().After(end) {
 			return failure.New(failure.Away, "wait until "+what, "fleet", "not after %s: %s", span, at)
 		}
-		if !seam.Sleep(ctx, 50*time.Millisecond) {
+		if !host.Sleep(ctx, 50*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
@@ -347,7 +347,7 @@
 		return 0, err
 	}
 	from := time.Now()
-	v, err := fleetstate.Put(cx, f.call, f.book, ids.OpID("gauge/"+coordination.Name()), f.version, 0, body)
+	v, err := fleetstate.Put(cx, f.call, f.book, ids.OpID("keelstair-measure/"+coordination.Name()), f.version, 0, body)
 	if err != nil {
 		return 0, err
 	}
--- a/cmd/gauge/harm.go
+++ b/cmd/keelstair-measure/harm.go
@@ -79,7 +79,7 @@
 	}
 	door := s.Doors[0]
 	part := filepath.Join(f.dir, "part.json")
-	for _, row := range []string{"edict show", "edict apply --partial " + part, "edict status", "omen drain w-00001", "omen evacuate " + string(halls[0])} {
+	for _, row := range []string{"keelstairctl show", "keelstairctl apply --partial " + part, "keelstairctl status", "keelstair-plan drain w-00001", "keelstair-plan evacuate " + string(halls[0])} {
 		words := strings.Fields(row)
 		for k := range 3 {
 			if err := os.WriteFile(part, fmt.Appendf(nil, `{"limits":{"retryAfterMs":%d}}`, 1000+len(pt.Tools)*3+k), 0o644); err != nil {
--- a/cmd/gauge/hold.go
+++ b/cmd/keelstair-measure/hold.go
@@ -14,10 +14,10 @@
 	"sync"
 	"time"
 
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/proxy"
+	"keelstair.example/internal/proxy"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 type holdCmd struct {
@@ -42,7 +42,7 @@
 	Stack   uint64          `json:"stack"`   // bytes
 	Threads int             `json:"threads"` // of the language's own
 	Forces  []Force         `json:"forces"`  // since the last asking
-	Doors   []string        `json:"doors"`   // of verges
+	Doors   []string        `json:"doors"`   // of routers
 }
 
 // Force says when a version came in force at one node.
@@ -62,7 +62,7 @@
 // watch notes when versions come in force.
 func (h *holder) watch(ctx context.Context) {
 	seen := make([]ids.Version, len(h.nodes))
-	for seam.Sleep(ctx, 10*time.Millisecond) {
+	for host.Sleep(ctx, 10*time.Millisecond) {
 		for i, n := range h.nodes {
 			v := n.view.Sight().Version
 			if v == seen[i] {
@@ -118,7 +118,7 @@
 		io.Copy(io.Discard, os.Stdin)
 		stop()
 	}()
-	host, err := seam.Real("")
+	host, err := host.Real("")
 	if err != nil {
 		return err
 	}
--- a/cmd/gauge/hollow.go
+++ b/cmd/keelstair-measure/hollow.go
@@ -9,16 +9,16 @@
 	"net/http"
 	"time"
 
-	"keelstair.example/api"
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/proxy"
+	"keelstair.example/internal/router"
 	"keelstair.example/platform"
-	"keelstair.example/proxy"
-	"keelstair.example/router"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 // halls are zones as the target has them: 3 regions with 7 zones.
@@ -48,7 +48,7 @@
 }
 
 // raise makes a node and has it listen; run must still be called.
-func raise(ctx context.Context, host seam.Host, c *holdCmd, name string, zone ids.Zone, back proxy.Backend) (*hollow, error) {
+func raise(ctx context.Context, host host.Host, c *holdCmd, name string, zone ids.Zone, back proxy.Backend) (*hollow, error) {
 	l, err := host.Net.Listen("127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 	mux := http.NewServeMux()
 	h := &hollow{addr: l.Addr().String()}
 	switch c.Sort {
-	case "verge":
+	case "router":
 		n := router.New(router.Options{Name: name, Addr: l.Addr().String(), Zone: zone, Seeds: c.Seeds, Platform: c.List, Host: host})
 		n.Mount(mux)
 		api.Mount(mux, n)
@@ -146,6 +146,6 @@
 	if err != nil {
 		return nil, err
 	}
-	_, whole, err := fleetstate.Whole("gauge", part)
+	_, whole, err := fleetstate.Whole("keelstair-measure", part)
 	return whole, err
 }
--- a/cmd/gauge/main.go
+++ b/cmd/keelstair-measure/main.go
@@ -1,4 +1,4 @@
-// Gauge is the scale run: it starts real cores and many hollow nodes on loopback, turns
+// Keelstair-measure is the scale run: it starts real cores and many hollow nodes on loopback, turns
 // one size at a time, and writes what each role costs. A hollow node is the product's own
 // node without traffic: membership, lease, feed, beats, list of workers. The tables of the
 // capacity page are made from its figures.
@@ -8,8 +8,8 @@
 	"os"
 	"runtime"
 
-	"keelstair.example/cmd/boot"
-	"keelstair.example/creed"
+	"keelstair.example/internal/cli"
+	"keelstair.example/internal/settings"
 )
 
 type runCmd struct {
@@ -28,19 +28,19 @@
 	Page string `arg:"--page" default:"docs/CAPACITY.md"`
 }
 
-type settings struct {
+type options struct {
 	Run  *runCmd  `arg:"subcommand:run" help:"measure"`
 	Page *pageCmd `arg:"subcommand:page" help:"rewrite the tables of the page from figures that were kept"`
-	Hold *holdCmd `arg:"subcommand:hold" help:"hold hollow nodes; gauge starts this itself"`
+	Hold *holdCmd `arg:"subcommand:hold" help:"hold hollow nodes; keelstair-measure starts this itself"`
 }
 
-func (s *settings) File() string { return "" }
+func (s *options) File() string { return "" }
 
-func (s *settings) Check() error {
+func (s *options) Check() error {
 	switch {
 	case s.Run != nil:
 		if s.Run.Seconds < 1 || s.Run.Seconds > 120 {
-			return creed.Fault("seconds", "%d is not from 1 to 120", s.Run.Seconds)
+			return settings.Fault("seconds", "%d is not from 1 to 120", s.Run.Seconds)
 		}
 		machine, err := thisMachine()
 		if err != nil {
@@ -57,10 +57,10 @@
 		}
 	case s.Hold != nil:
 		if s.Hold.Nodes < 0 || s.Hold.Nodes > 1000 {
-			return creed.Fault("nodes", "%d is not from 0 to 1000", s.Hold.Nodes)
+			return settings.Fault("nodes", "%d is not from 0 to 1000", s.Hold.Nodes)
 		}
 	case s.Page == nil:
-		return creed.Fault("command", "one of run, page is needed")
+		return settings.Fault("command", "one of run, page is needed")
 	}
 	return nil
 }
@@ -69,9 +69,9 @@
 	// Processes are told to end when the thread that started them does, so that nothing
 	// is left if this program is killed outright.
 	runtime.LockOSThread()
-	s := &settings{}
-	creed.Read(s, "gauge", "Gauge measures what each role costs at several sizes of fleet.", os.Args[1:])
-	ctx, stop := boot.Signals()
+	s := &options{}
+	settings.Read(s, "keelstair-measure", "Keelstair-measure measures what each role costs at several sizes of fleet.", os.Args[1:])
+	ctx, stop := cli.Signals()
 	defer stop()
 	var err error
 	switch {
@@ -84,6 +84,6 @@
 	}
 	if err != nil {
 		stop()
-		boot.Fail("gauge", err)
+		cli.Fail("keelstair-measure", err)
 	}
 }
--- a/cmd/gauge/gauge_test.go
+++ b/cmd/keelstair-measure/main_test.go
@@ -23,11 +23,11 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/failure"
+	"keelstair.example/host"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
-// TestMain lets the test's own program stand in for gauge.
+// TestMain lets the test's own program stand in for keelstair-measure.
 func TestMain(m *testing.M) {
 	if os.Getenv("GAUGE_MAIN") != "" {
 		main()
@@ -105,7 +105,7 @@
 }
 
 func TestMeter(t *testing.T) {
-	host, err := seam.Real("")
+	host, err := host.Real("")
 	require.NoError(t, err)
 	served, err := host.Net.Listen("127.0.0.1:0")
 	require.NoError(t, err)
@@ -182,7 +182,7 @@
 	b := &Book{Command: "c", Machine: machine{Cores: 8, Memory: 24 << 30}, Points: []Point{{Sweep: "nodes", X: 8, Commit: "abc"}}}
 	text := "before\n"
 	for name := range b.tables() {
-		text += "<!-- gauge:" + name + " -->what stood before<!-- /gauge:" + name + " -->\n"
+		text += "<!-- measure:" + name + " -->what stood before<!-- /measure:" + name + " -->\n"
 	}
 	out, err := fill(text+"after\n", b.tables())
 	require.NoError(t, err)
@@ -215,16 +215,16 @@
 	}
 }
 
-// tenet builds the control plane's program for a run.
-func tenet(t *testing.T) string {
+// controller builds the control plane's program for a run.
+func controller(t *testing.T) string {
 	dir := t.TempDir()
-	out, err := exec.Command("go", "build", "-o", dir, "keelstair.example/cmd/tenet").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir, "keelstair.example/cmd/keelstair-controller").CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	return dir
 }
 
 func TestTinyRun(t *testing.T) {
-	bin := tenet(t)
+	bin := controller(t)
 	t.Setenv("GAUGE_MAIN", "1")
 	// Children end with the thread that started them.
 	runtime.LockOSThread()
@@ -269,7 +269,7 @@
 
 // TestInterrupt: a run that is told to stop, or is killed outright, leaves nothing behind.
 func TestInterrupt(t *testing.T) {
-	bin := tenet(t)
+	bin := controller(t)
 	me, err := os.Executable()
 	require.NoError(t, err)
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
@@ -277,7 +277,7 @@
 		cmd.Env = append(os.Environ(), "GAUGE_MAIN=1")
 		require.NoError(t, cmd.Start())
 		var kids []int
-		require.Eventually(t, func() bool { kids = children(cmd.Process.Pid); return len(kids) == 9 }, 30*time.Second, 50*time.Millisecond, "three tenets, an empty process and five with nodes")
+		require.Eventually(t, func() bool { kids = children(cmd.Process.Pid); return len(kids) == 9 }, 30*time.Second, 50*time.Millisecond, "three controllers, an empty process and five with nodes")
 		require.NoError(t, cmd.Process.Signal(sig))
 		require.Error(t, cmd.Wait(), "%s: it does not look like a run that ended well", sig)
 		require.Eventually(t, func() bool {
--- a/cmd/gauge/measure.go
+++ b/cmd/keelstair-measure/measure.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
 )
 
 // Spread sums up times, in ms.
@@ -80,7 +80,7 @@
 
 func (f *fleet) glance(query string) (*glance, error) {
 	g := &glance{at: time.Now(), use: map[*proc]Use{}, stands: map[*proc]*Stand{}}
-	for _, p := range append(append(f.empties(), f.tenets...), f.holders...) {
+	for _, p := range append(append(f.empties(), f.controllers...), f.holders...) {
 		var err error
 		if g.use[p], err = look(p.cmd.Process.Pid); err != nil {
 			return nil, err
@@ -96,11 +96,11 @@
 	return g, nil
 }
 
-// byCore orders the tenets: primary, backup, the third.
+// byCore orders the controllers: primary, backup, the third.
 func (f *fleet) byCore(ctx context.Context) []*proc {
 	f.book.Ask(ctx, 3)
 	rec := f.book.Record()
-	out := append([]*proc(nil), f.tenets...)
+	out := append([]*proc(nil), f.controllers...)
 	rank := func(p *proc) int {
 		switch p.addr {
 		case rec.Primary.Addr:
@@ -124,9 +124,9 @@
 }
 
 // between works out the roles from two glances.
-func (pt *Point) between(a, b *glance, tenets, holders []*proc, empty *proc) {
+func (pt *Point) between(a, b *glance, controllers, holders []*proc, empty *proc) {
 	cores := map[string]*Role{}
-	for i, p := range tenets {
+	for i, p := range controllers {
 		r, s := usage(a, b, p)
 		r.In, r.Out = float64(b.use[p].Read-a.use[p].Read)/s, float64(b.use[p].Written-a.use[p].Written)/s
 		pt.Cores[i] = r
@@ -204,7 +204,7 @@
 	begun := time.Now()
 	for i := 0; ; i++ {
 		due := begun.Add(time.Duration(float64(i) / f.size.Rate * float64(time.Second)))
-		if due.Sub(begun) >= span || !seam.Sleep(ctx, time.Until(due)) {
+		if due.Sub(begun) >= span || !host.Sleep(ctx, time.Until(due)) {
 			break
 		}
 		// A change that is late counts from when it was due.
@@ -217,7 +217,7 @@
 		acks = append(acks, float64(took.Microseconds())/1000)
 	}
 	pt.Ack = spread(acks)
-	seam.Sleep(ctx, time.Until(begun.Add(span)))
+	host.Sleep(ctx, time.Until(begun.Add(span)))
 	return asked
 }
 
@@ -257,10 +257,10 @@
 	pt.Start = time.Since(begun).Seconds()
 	pt.Text = textSize(&spot.Size)
 	// A lease and its deal go by before anything is counted.
-	if !seam.Sleep(ctx, 4*time.Second) {
+	if !host.Sleep(ctx, 4*time.Second) {
 		return nil, ctx.Err()
 	}
-	tenets := f.byCore(ctx)
+	controllers := f.byCore(ctx)
 	if _, err := f.glance("?whole"); err != nil {
 		return nil, err
 	}
@@ -274,7 +274,7 @@
 	if spot.Size.Rate > 0 {
 		asked = f.change(ctx, pt, span)
 	} else {
-		seam.Sleep(ctx, span)
+		host.Sleep(ctx, span)
 	}
 	b, err := f.glance("")
 	if err != nil {
@@ -287,7 +287,7 @@
 		}
 	}
 	note(b)
-	seam.Sleep(ctx, time.Second)
+	host.Sleep(ctx, time.Second)
 	whole, err := f.glance("?whole")
 	if err != nil {
 		return nil, err
@@ -297,7 +297,7 @@
 		b.stands[p].Heap, b.stands[p].Stack = s.Heap, s.Stack
 	}
 	pt.Seconds = b.at.Sub(a.at).Seconds()
-	pt.between(a, b, tenets, f.holders, f.empty)
+	pt.between(a, b, controllers, f.holders, f.empty)
 	if asked != nil {
 		f.forces(pt, asked, seen)
 	}
@@ -307,7 +307,7 @@
 		}
 	}
 	if spot.Size.Leader {
-		if err := f.behead(ctx, pt, tenets[0]); err != nil {
+		if err := f.behead(ctx, pt, controllers[0]); err != nil {
 			return nil, err
 		}
 	}
--- a/cmd/gauge/page.go
+++ b/cmd/keelstair-measure/page.go
@@ -37,7 +37,7 @@
 
 const aside = `# Capacity: the points
 
-Made by "gauge", all of it; what the words mean and what follows stands on the page beside
+Made by "keelstair-measure", all of it; what the words mean and what follows stands on the page beside
 it. A sweep turns the size in its head; *off* is what a fit leaves, of the span of y.
 `
 
@@ -49,7 +49,7 @@
 // fill puts each table between its marks; all must be there.
 func fill(text string, tables map[string]string) (string, error) {
 	for name, table := range tables {
-		from, to := "<!-- gauge:"+name+" -->", "<!-- /gauge:"+name+" -->"
+		from, to := "<!-- measure:"+name+" -->", "<!-- /measure:"+name+" -->"
 		i, j := strings.Index(text, from), strings.Index(text, to)
 		if i < 0 || j < i {
 			return "", failure.New(failure.Bad, "make page", name, "the marks %s and %s are not there in this order", from, to)
@@ -171,15 +171,15 @@
 	{"workers", "workers listed, one of them changing every two seconds", []quantity{nodeCPU, nodeHeap, nodeRss, nodeList, askList, giveBytes, askCPU, coreCPU}},
 	{"duties", "workers named in the configuration, each a key", []quantity{nodeCPU, nodeHeap, nodeBytes, coreCPU, coreRss, sideCPU}},
 	{"holder", "workers under one node's duties", []quantity{nodeCPU, nodeRss, nodeBytes, nodeAsked, nodeSockets}},
-	{"beats", "verges, 150 ms between beats", []quantity{nodeCPU, nodeHeap, nodeBeat, nodeBeats, nodeSockets, coreCPU}},
+	{"beats", "routers, 150 ms between beats", []quantity{nodeCPU, nodeHeap, nodeBeat, nodeBeats, nodeSockets, coreCPU}},
 	{"losses", "nodes of 64 killed together and replaced", []quantity{known, mended}},
 	{"takeover", "nodes, the primary killed", []quantity{known, mended}},
 	{"picks", "workers listed, requests at one node", []quantity{pickMicros}},
 	{"tools", "workers named in the configuration", []quantity{
-		tool("edict apply", "ms", func(t Tool) float64 { return t.Ms }), tool("edict apply", "ms of processor", func(t Tool) float64 { return t.CPUMs }),
-		tool("edict apply", "bytes", func(t Tool) float64 { return t.In + t.Out }),
-		tool("omen drain", "ms", func(t Tool) float64 { return t.Ms }), tool("omen drain", "ms of processor", func(t Tool) float64 { return t.CPUMs }),
-		tool("omen drain", "bytes", func(t Tool) float64 { return t.In + t.Out })}},
+		tool("keelstairctl apply", "ms", func(t Tool) float64 { return t.Ms }), tool("keelstairctl apply", "ms of processor", func(t Tool) float64 { return t.CPUMs }),
+		tool("keelstairctl apply", "bytes", func(t Tool) float64 { return t.In + t.Out }),
+		tool("keelstair-plan drain", "ms", func(t Tool) float64 { return t.Ms }), tool("keelstair-plan drain", "ms of processor", func(t Tool) float64 { return t.CPUMs }),
+		tool("keelstair-plan drain", "bytes", func(t Tool) float64 { return t.In + t.Out })}},
 }
 
 func (b *Book) runTable() string {
--- a/cmd/gauge/picks.go
+++ b/cmd/keelstair-measure/picks.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"keelstair.example/failure"
-	"keelstair.example/proxy"
-	"keelstair.example/seam"
+	"keelstair.example/host"
+	"keelstair.example/internal/proxy"
 )
 
 // Picked is what a run of requests cost.
@@ -61,7 +61,7 @@
 // pickMany carries so many requests, one after the other. Each shares its beginning with
 // others of its tenant.
 func (s *Size) pickMany(ctx context.Context, n *proxy.Node, count int) *Picked {
-	host, err := seam.Real("")
+	host, err := host.Real("")
 	if err != nil || n == nil {
 		return &Picked{Why: "there is no such node"}
 	}
--- a/cmd/gauge/run.go
+++ b/cmd/keelstair-measure/run.go
@@ -103,7 +103,7 @@
 	}
 	dir := c.Dir
 	if dir == "" {
-		if dir, err = os.MkdirTemp("", "gauge-"); err != nil {
+		if dir, err = os.MkdirTemp("", "keelstair-measure-"); err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
@@ -115,7 +115,7 @@
 	if book.Machine, err = thisMachine(); err != nil {
 		return err
 	}
-	book.Command = "make build && bin/gauge run --page docs/CAPACITY.md"
+	book.Command = "make build && bin/keelstair-measure run --page docs/CAPACITY.md"
 	source := commit()
 	var failed error
 	fmt.Printf("%d points; %d cores, %d MB\n", len(points), book.Machine.Cores, book.Machine.Memory>>20)
--- a/cmd/gauge/size.go
+++ b/cmd/keelstair-measure/size.go
@@ -10,13 +10,13 @@
 	"strconv"
 	"strings"
 
-	"keelstair.example/creed"
 	"keelstair.example/failure"
+	"keelstair.example/internal/settings"
 )
 
 // Size is what a point is measured at.
 type Size struct {
-	Sort    string  `json:"sort"` // relay or verge: whose nodes they are
+	Sort    string  `json:"sort"` // relay or router: whose nodes they are
 	Nodes   int     `json:"nodes"`
 	Workers int     `json:"workers"` // that the platform lists
 	Routes  int     `json:"routes"`
@@ -97,11 +97,11 @@
 func (s *Size) check(m machine) error {
 	switch {
 	case s.Nodes < 1 || s.Workers < 0 || s.Routes < 1 || s.Duties < 0 || s.Rate < 0 || s.Lost < 0 || s.Lost >= s.Nodes:
-		return creed.Fault("size", "%+v cannot be", *s)
+		return settings.Fault("size", "%+v cannot be", *s)
 	case s.processes() > mostProcs:
-		return creed.Fault("nodes", "%d nodes take %d processes, over %d", s.Nodes, s.processes(), mostProcs)
+		return settings.Fault("nodes", "%d nodes take %d processes, over %d", s.Nodes, s.processes(), mostProcs)
 	case s.memory() > m.Memory/2:
-		return creed.Fault("size", "%d nodes, %d workers and %d routes may take %d MB; half of this machine's memory is %d MB",
+		return settings.Fault("size", "%d nodes, %d workers and %d routes may take %d MB; half of this machine's memory is %d MB",
 			s.Nodes, s.Workers, s.Routes, s.memory()>>20, m.Memory>>21)
 	}
 	return nil
@@ -128,9 +128,11 @@
 	add("duties", func(s *Size, x float64) { s.Duties = int(x) }, 12, 140, 500, 2000)
 	add("losses", func(s *Size, x float64) { s.Nodes, s.Lost = 64, int(x) }, 2, 8, 16, 32)
 	add("takeover", func(s *Size, x float64) { s.Nodes, s.Leader = int(x), true }, 8, 32, 64, 128)
-	add("beats", func(s *Size, x float64) { s.Sort, s.Nodes, s.Workers = "verge", int(x), 12 }, 4, 8, 16, 32)
+	add("beats", func(s *Size, x float64) { s.Sort, s.Nodes, s.Workers = "router", int(x), 12 }, 4, 8, 16, 32)
 	add("holder", func(s *Size, x float64) { s.Nodes, s.Workers, s.Turns = 1, int(x), true }, 12, 60, 140, 500, 1000)
-	add("tools", func(s *Size, x float64) { s.Sort, s.Nodes, s.Workers, s.Duties, s.Tools = "verge", 2, 12, int(x), true }, 12, 140, 500, 2000)
+	add("tools", func(s *Size, x float64) {
+		s.Sort, s.Nodes, s.Workers, s.Duties, s.Tools = "router", 2, 12, int(x), true
+	}, 12, 140, 500, 2000)
 	add("picks", func(s *Size, x float64) { s.Nodes, s.Workers, s.Picks = 1, int(x), 2000 }, 12, 140, 500, 2000, 12000)
 	return out
 }
@@ -144,7 +146,7 @@
 		name, text, _ := strings.Cut(a, "=")
 		x, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(x >= 0 && x <= 1e9) {
-			return nil, creed.Fault("at", "%q is not a sweep and a size, such as nodes=400", a)
+			return nil, settings.Fault("at", "%q is not a sweep and a size, such as nodes=400", a)
 		}
 		more[name] = append(more[name], x)
 	}
@@ -161,11 +163,11 @@
 	}
 	for _, n := range only {
 		if !slices.Contains(names, n) {
-			return nil, creed.Fault("only", "there is no sweep %q; there are %s", n, strings.Join(names, ", "))
+			return nil, settings.Fault("only", "there is no sweep %q; there are %s", n, strings.Join(names, ", "))
 		}
 	}
 	if len(out) == 0 {
-		return nil, creed.Fault("only", "no point is left")
+		return nil, settings.Fault("only", "no point is left")
 	}
 	return out, nil
 }
--- a/cmd/gauge/target.go
+++ b/cmd/keelstair-measure/target.go
@@ -149,9 +149,9 @@
 		num(b.at("nodes", askCPU, tNodes)+max(0, b.at("workers", askCPU, tWorkers)-b.at("workers", askCPU, float64(usual.Workers))))+" (at 16 nodes for the list's size)", "as a node", at("nodes", askSockets, tNodes))
 	g.row("holder of a service's duty", fmt.Sprintf("reports of its workers, %.0f at the target", held), "0, "+at("holder", nodeAsked, held),
 		kb(b.at("holder", nodeBytes, held))+" both ways", at("holder", nodeCPU, held), at("holder", nodeRss, held), at("holder", nodeSockets, held))
-	g.row("planner (`omen drain`)", "nothing; 2000 workers named, the most that was run", "2 askings", at("tools", tool("omen drain", "bytes", func(t Tool) float64 { return t.In + t.Out }), 2000)+" B in all",
-		at("tools", tool("omen drain", "cpu", func(t Tool) float64 { return t.CPUMs }), 2000)+" ms in all", "not measured", "1")
-	g.row("operators' command (`edict apply`)", "the same", "2 askings", at("tools", tool("edict apply", "bytes", func(t Tool) float64 { return t.In + t.Out }), 2000)+" B in all",
-		at("tools", tool("edict apply", "cpu", func(t Tool) float64 { return t.CPUMs }), 2000)+" ms in all", "not measured", "1")
+	g.row("planner (`keelstair-plan drain`)", "nothing; 2000 workers named, the most that was run", "2 askings", at("tools", tool("keelstair-plan drain", "bytes", func(t Tool) float64 { return t.In + t.Out }), 2000)+" B in all",
+		at("tools", tool("keelstair-plan drain", "cpu", func(t Tool) float64 { return t.CPUMs }), 2000)+" ms in all", "not measured", "1")
+	g.row("operators' command (`keelstairctl apply`)", "the same", "2 askings", at("tools", tool("keelstairctl apply", "bytes", func(t Tool) float64 { return t.In + t.Out }), 2000)+" B in all",
+		at("tools", tool("keelstairctl apply", "cpu", func(t Tool) float64 { return t.CPUMs }), 2000)+" ms in all", "not measured", "1")
 	return g.b.String()
 }
--- a/cmd/omen/main.go
+++ b/cmd/keelstair-plan/main.go
@@ -1,4 +1,4 @@
-// Omen is the planner: it shows what a change would move before it is applied.
+// Keelstair-plan is the planner: it shows what a change would move before it is applied.
 package main
 
 import (
@@ -9,14 +9,14 @@
 	"text/tabwriter"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/cmd/boot"
-	"keelstair.example/creed"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/router"
-	"keelstair.example/router/augur"
-	"keelstair.example/whim"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/cli"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/router/forecast"
+	"keelstair.example/internal/routing"
+	"keelstair.example/internal/settings"
 )
 
 type policyCmd struct {
@@ -29,7 +29,7 @@
 	Name string `arg:"positional,required"`
 }
 
-type settings struct {
+type options struct {
 	Doors    []string   `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
 	JSON     bool       `arg:"--json" help:"print JSON"`
 	Policy   *policyCmd `arg:"subcommand:apply" help:"a configuration"`
@@ -41,26 +41,26 @@
 	Expire   *nameCmd   `arg:"subcommand:expire" help:"the end of certificates up to a time, in RFC 3339"`
 }
 
-func (s *settings) File() string { return "" }
+func (s *options) File() string { return "" }
 
-func (s *settings) Check() error {
+func (s *options) Check() error {
 	if s.Policy == nil && s.Evacuate == nil && s.Zone == nil && s.Machine == nil && s.Drain == nil && s.Revoke == nil && s.Expire == nil {
-		return creed.Fault("command", "one is needed; see omen --help")
+		return settings.Fault("command", "one is needed; see keelstair-plan --help")
 	}
-	return boot.Doors(&s.Doors)
+	return cli.Doors(&s.Doors)
 }
 
 func main() {
-	s := &settings{}
-	creed.Read(s, "omen", "Omen shows what a change would move.", os.Args[1:])
-	boot.Fail("omen", s.run())
+	s := &options{}
+	settings.Read(s, "keelstair-plan", "Keelstair-plan shows what a change would move.", os.Args[1:])
+	cli.Fail("keelstair-plan", s.run())
 }
 
-func (s *settings) get(path string, into any) error {
-	return boot.Ask(s.Doors, http.MethodGet, path, nil, into)
+func (s *options) get(path string, into any) error {
+	return cli.Ask(s.Doors, http.MethodGet, path, nil, into)
 }
 
-func (s *settings) run() error {
+func (s *options) run() error {
 	var st router.Standing
 	var sh api.Shown
 	if err := s.get("/v1/status", &st); err != nil {
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := augur.Foresee(&st, now, c)
+	f, err := forecast.Foresee(&st, now, c)
 	if err != nil {
 		return err
 	}
@@ -90,48 +90,48 @@
 	return nil
 }
 
-func (s *settings) change(sh *api.Shown) (augur.Change, error) {
+func (s *options) change(sh *api.Shown) (forecast.Change, error) {
 	switch {
 	case s.Evacuate != nil:
-		return augur.Change{Evacuate: ids.Zone(s.Evacuate.Name)}, nil
+		return forecast.Change{Evacuate: ids.Zone(s.Evacuate.Name)}, nil
 	case s.Zone != nil:
-		return augur.Change{LoseZone: ids.Zone(s.Zone.Name)}, nil
+		return forecast.Change{LoseZone: ids.Zone(s.Zone.Name)}, nil
 	case s.Machine != nil:
-		return augur.Change{LoseAddr: s.Machine.Name}, nil
+		return forecast.Change{LoseAddr: s.Machine.Name}, nil
 	case s.Drain != nil:
-		return augur.Change{Drain: ids.WorkerID(s.Drain.Name)}, nil
+		return forecast.Change{Drain: ids.WorkerID(s.Drain.Name)}, nil
 	case s.Revoke != nil:
-		return augur.Change{Revoke: s.Revoke.Name}, nil
+		return forecast.Change{Revoke: s.Revoke.Name}, nil
 	case s.Expire != nil:
 		at, err := time.Parse(time.RFC3339, s.Expire.Name)
 		if err != nil {
-			return augur.Change{}, creed.Fault("time", "%q is no time such as 2026-12-31T00:00:00Z", s.Expire.Name)
+			return forecast.Change{}, settings.Fault("time", "%q is no time such as 2026-12-31T00:00:00Z", s.Expire.Name)
 		}
-		return augur.Change{At: at.UnixNano()}, nil
+		return forecast.Change{At: at.UnixNano()}, nil
 	}
 	if s.Policy.Base != nil && *s.Policy.Base != sh.Newest {
-		return augur.Change{}, fmt.Errorf("the plan was made over version %d; the newest is %d", *s.Policy.Base, sh.Newest)
+		return forecast.Change{}, fmt.Errorf("the plan was made over version %d; the newest is %d", *s.Policy.Base, sh.Newest)
 	}
 	text, err := os.ReadFile(s.Policy.File)
 	if err != nil {
-		return augur.Change{}, err
+		return forecast.Change{}, err
 	}
 	body, err := fleetstate.Source(s.Policy.File, text)
 	if err == nil && s.Policy.Partial {
 		body, err = fleetstate.Merge(sh.Policy, body)
 	}
 	if err != nil {
-		return augur.Change{}, err
+		return forecast.Change{}, err
 	}
 	p, err := fleetstate.Check(s.Policy.File, body)
 	if err != nil {
-		return augur.Change{}, err
+		return forecast.Change{}, err
 	}
-	_, err = p.Deck(&whim.Scores{})
-	return augur.Change{Policy: p}, err
+	_, err = p.Deck(&routing.Scores{})
+	return forecast.Change{Policy: p}, err
 }
 
-func tell(f *augur.Forecast) {
+func tell(f *forecast.Forecast) {
 	fmt.Printf("over version %d\n\nworkers\n", f.Version)
 	for _, w := range f.Workers {
 		fmt.Println("  " + w)
--- a/cmd/berth/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -1,5 +1,5 @@
-// Berth runs keelstair on the users' platform: "berth core" is a control process with a
-// disk, "berth node" a router node. What it is told stands in the platform's settings
+// Keelstair-platform runs keelstair on the users' platform: "keelstair-platform controller" is a control process with a
+// disk, "keelstair-platform router" a router node. What it is told stands in the platform's settings
 // file; the options are those of the product's own programs.
 package main
 
@@ -14,36 +14,36 @@
 	"syscall"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/cmd/boot"
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/cli"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/proxy"
+	"keelstair.example/internal/routing"
 	"keelstair.example/logging"
 	"keelstair.example/platform"
-	"keelstair.example/proxy"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
-	"keelstair.example/whim"
 )
 
 func main() {
 	role := ""
-	if len(os.Args) == 2 || len(os.Args) == 3 && os.Args[1] == "node" {
+	if len(os.Args) == 2 || len(os.Args) == 3 && os.Args[1] == "router" {
 		role = os.Args[1]
 	}
-	run, ok := map[string]func(*platform.Settings) error{"core": core, "node": node}[role]
+	run, ok := map[string]func(*platform.Settings) error{"controller": runController, "router": runRouter}[role]
 	if !ok {
-		fmt.Fprintln(os.Stderr, "usage: berth core | berth node [POLICY]\nPOLICY is a file of the product's own configuration, in plain JSON; its programs route, by their shares, until the core has a set (edict apply).\nThe settings file is named by the variable "+platform.BootVar+".")
+		fmt.Fprintln(os.Stderr, "usage: keelstair-platform controller | keelstair-platform router [POLICY]\nPOLICY is a file of the product's own configuration, in plain JSON; its programs route, by their shares, until the core has a set (keelstairctl apply).\nThe settings file is named by the variable "+platform.BootVar+".")
 		os.Exit(2)
 	}
 	s, err := platform.Load()
-	boot.Fail("berth "+role, err)
+	cli.Fail("keelstair-platform "+role, err)
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(s.Memory * 3 / 4)
 	}
-	boot.Fail("berth "+role, run(s))
+	cli.Fail("keelstair-platform "+role, run(s))
 }
 
 // watch reads the settings again at a hang-up, for the seeds they name.
@@ -71,15 +71,15 @@
 	handOverSpare = 2500 * time.Millisecond
 )
 
-func core(s *platform.Settings) error {
+func runController(s *platform.Settings) error {
 	if err := s.ForCore(); err != nil {
 		return err
 	}
-	host, err := seam.Real(s.Dir)
+	host, err := host.Real(s.Dir)
 	if err != nil {
 		return err
 	}
-	ring := boot.Ring("core " + s.Name)
+	ring := cli.Ring("core " + s.Name)
 	log.SetOutput(ring)
 	if s.Dir == "" {
 		return desk(s, host, ring)
@@ -91,14 +91,14 @@
 	if err != nil {
 		return err
 	}
-	asked, stop := boot.Signals()
+	asked, stop := cli.Signals()
 	defer stop()
-	ctx := boot.HandOver(asked, c, min(handOverMost, s.Grace-handOverSpare))
+	ctx := cli.HandOver(asked, c, min(handOverMost, s.Grace-handOverSpare))
 	watch(ctx, c.Directory())
 	mux := http.NewServeMux()
 	c.Mount(mux)
 	operate(mux, s, c.Caller(), c.Directory(), ring)
-	boot.Serve(ctx, host, s.Control, mux, func(err error) { boot.Fail("berth core", err) })
+	cli.Serve(ctx, host, s.Control, mux, func(err error) { cli.Fail("keelstair-platform controller", err) })
 	return c.Run(ctx)
 }
 
@@ -110,8 +110,8 @@
 }
 
 // desk serves the operator on a machine without a disk: it holds nothing and asks the core.
-func desk(s *platform.Settings, host seam.Host, ring *logging.Ring) error {
-	ctx, stop := boot.Signals()
+func desk(s *platform.Settings, host host.Host, ring *logging.Ring) error {
+	ctx, stop := cli.Signals()
 	defer stop()
 	call := rpc.NewCaller(host.Net)
 	defer call.Close()
@@ -120,13 +120,13 @@
 	mux := http.NewServeMux()
 	book.Serve(mux)
 	operate(mux, s, call, book, ring)
-	boot.Serve(ctx, host, s.Control, mux, func(err error) { boot.Fail("berth core", err) })
+	cli.Serve(ctx, host, s.Control, mux, func(err error) { cli.Fail("keelstair-platform controller", err) })
 	book.Keep(ctx, func() bool { return false })
 	return nil
 }
 
 // programs are those of the policy that the command line names.
-func programs() ([]whim.Source, error) {
+func programs() ([]routing.Source, error) {
 	if len(os.Args) < 3 {
 		return nil, nil
 	}
@@ -141,11 +141,11 @@
 	return p.Sources(), failure.As(err, failure.Bad, "read policy", os.Args[2])
 }
 
-func node(s *platform.Settings) error {
+func runRouter(s *platform.Settings) error {
 	if err := s.ForNode(); err != nil {
 		return err
 	}
-	host, err := seam.Real("")
+	host, err := host.Real("")
 	if err != nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	ring := boot.Ring(s.Name)
+	ring := cli.Ring(s.Name)
 	log.SetOutput(ring)
 	door := &http.Server{ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 20 * time.Second, MaxHeaderBytes: 64 << 10}
 	n, err := proxy.New(proxy.Options{Name: s.Name, Addr: s.Peer(), Zone: ids.Zone(s.Zone), Seeds: s.Seeds, Host: host, Ring: ring,
@@ -162,18 +162,18 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := boot.Signals()
+	ctx, stop := cli.Signals()
 	defer stop()
 	listen, shut := context.WithCancel(context.Background())
 	defer shut()
 	watch(listen, n.Directory())
-	fail := func(err error) { boot.Fail("berth node", err) }
+	fail := func(err error) { cli.Fail("keelstair-platform router", err) }
 	peers := http.NewServeMux()
 	n.Mount(peers)
-	boot.Serve(listen, host, s.Peer(), peers, fail)
+	cli.Serve(listen, host, s.Peer(), peers, fail)
 	ready := http.NewServeMux()
 	ready.Handle("GET /readiness", platform.Readiness(n))
-	boot.Serve(listen, host, s.Readiness, ready, fail)
+	cli.Serve(listen, host, s.Readiness, ready, fail)
 	door.Handler = &platform.Door{Node: n, Clock: host.Clock}
 	l, err := host.Net.Listen(s.Front)
 	if err != nil {
--- a/cmd/berth/main_test.go
+++ b/cmd/keelstair-platform/main_test.go
@@ -16,7 +16,7 @@
 	old := os.Args
 	defer func() { os.Args = old }()
 	at := filepath.Join(t.TempDir(), "policy.json")
-	os.Args = []string{"berth", "node"}
+	os.Args = []string{"keelstair-platform", "router"}
 	got, err := programs()
 	require.NoError(t, err)
 	require.Empty(t, got)
--- a/cmd/guise/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -1,4 +1,4 @@
-// Guise runs the stand-ins: a worker, the platform, or a load of callers.
+// Keelstair-standin runs the stand-ins: a worker, the platform, or a load of callers.
 package main
 
 import (
@@ -10,12 +10,12 @@
 	"strings"
 	"time"
 
-	"keelstair.example/cmd/boot"
-	"keelstair.example/creed"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
-	"keelstair.example/standin"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/cli"
+	"keelstair.example/internal/settings"
+	"keelstair.example/internal/standin"
+	"keelstair.example/internal/workerclient"
 )
 
 type workerCmd struct {
@@ -44,43 +44,43 @@
 	Weights  string  `arg:"--weights" default:"w1" help:"comma-separated weight versions that may answer"`
 }
 
-type settings struct {
+type options struct {
 	Worker   *workerCmd   `arg:"subcommand:worker" help:"a stand-in model worker"`
 	Platform *platformCmd `arg:"subcommand:platform" help:"a stand-in platform"`
 	Load     *loadCmd     `arg:"subcommand:load" help:"stand-in callers, an open loop"`
 }
 
-func (s *settings) File() string { return "" }
+func (s *options) File() string { return "" }
 
-func (s *settings) Check() error {
+func (s *options) Check() error {
 	switch {
 	case s.Worker != nil:
 		if s.Worker.Part != string(ids.Prefill) && s.Worker.Part != string(ids.Decode) {
-			return creed.Fault("part", "%q is neither prefill nor decode", s.Worker.Part)
+			return settings.Fault("part", "%q is neither prefill nor decode", s.Worker.Part)
 		}
-		return creed.Addr("addr", s.Worker.Addr)
+		return settings.Addr("addr", s.Worker.Addr)
 	case s.Platform != nil:
-		return creed.Addr("addr", s.Platform.Addr)
+		return settings.Addr("addr", s.Platform.Addr)
 	case s.Load != nil:
 		if _, ok := standin.Sites[s.Load.Site]; !ok {
-			return creed.Fault("site", "there is no site %q", s.Load.Site)
+			return settings.Fault("site", "there is no site %q", s.Load.Site)
 		}
 		if s.Load.Rate <= 0 || s.Load.Seconds <= 0 {
-			return creed.Fault("rate, seconds", "above 0 they must be")
+			return settings.Fault("rate, seconds", "above 0 they must be")
 		}
 		return nil
 	}
-	return creed.Fault("command", "one of worker, platform, load is needed")
+	return settings.Fault("command", "one of worker, platform, load is needed")
 }
 
 func main() {
-	s := &settings{}
-	creed.Read(s, "guise", "Guise runs keelstair's stand-ins.", os.Args[1:])
-	host, err := seam.Real("")
-	boot.Fail("guise", err)
-	ctx, stop := boot.Signals()
+	s := &options{}
+	settings.Read(s, "standin", "Keelstair-standin runs keelstair's stand-ins.", os.Args[1:])
+	host, err := host.Real("")
+	cli.Fail("standin", err)
+	ctx, stop := cli.Signals()
 	defer stop()
-	fail := func(err error) { boot.Fail("guise", err) }
+	fail := func(err error) { cli.Fail("standin", err) }
 	switch {
 	case s.Worker != nil:
 		c := s.Worker
@@ -88,20 +88,20 @@
 			Model: workerclient.Model{Name: c.Model, Weights: c.Weights, Adapters: c.Adapter}, Host: host})
 		mux := http.NewServeMux()
 		mux.Handle("/", w.Handler())
-		boot.Serve(ctx, host, c.Addr, mux, fail)
+		cli.Serve(ctx, host, c.Addr, mux, fail)
 		w.Run(ctx)
 	case s.Platform != nil:
 		p := standin.NewPlatform(host)
 		mux := http.NewServeMux()
 		mux.Handle("/", p.Handler())
-		boot.Serve(ctx, host, s.Platform.Addr, mux, fail)
+		cli.Serve(ctx, host, s.Platform.Addr, mux, fail)
 		p.Run(ctx)
 	case s.Load != nil:
 		load(ctx, host, s.Load)
 	}
 }
 
-func load(ctx context.Context, host seam.Host, c *loadCmd) {
+func load(ctx context.Context, host host.Host, c *loadCmd) {
 	site := standin.Sites[c.Site]
 	doors := func(ids.Zone) []string { return strings.Split(c.Doors, ",") }
 	if c.Doors == "" {
--- a/cmd/realm/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -1,4 +1,4 @@
-// A fleet of real processes: tenets with data folders, verges over the zones,
+// A fleet of real processes: controllers with data folders, routers over the zones,
 // stand-in workers and a platform.
 
 package main
@@ -19,8 +19,8 @@
 	"time"
 
 	"keelstair.example/ids"
-	"keelstair.example/standin"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/standin"
+	"keelstair.example/internal/workerclient"
 )
 
 type proc struct {
@@ -53,7 +53,7 @@
 		return err
 	}
 	defer log.Close()
-	p.cmd = exec.Command(filepath.Join(f.opt.Bin, p.Kind), p.args...)
+	p.cmd = exec.Command(filepath.Join(f.opt.Bin, "keelstair-"+p.Kind), p.args...)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
@@ -113,15 +113,15 @@
 
 func (f *fleet) doors() []string {
 	var out []string
-	for _, p := range f.of("verge") {
+	for _, p := range f.of("router") {
 		out = append(out, p.Door)
 	}
 	return out
 }
 
-func (f *fleet) tenet(name, addr string, zone ids.Zone) *proc {
+func (f *fleet) controller(name, addr string, zone ids.Zone) *proc {
 	data := filepath.Join(f.opt.Dir, name)
-	return &proc{Name: name, Kind: "tenet", Zone: zone, Addr: addr, Data: data,
+	return &proc{Name: name, Kind: "controller", Zone: zone, Addr: addr, Data: data,
 		args: append([]string{"--addr", addr, "--zone", string(zone), "--data", data, "--seeds"}, f.seeds...)}
 }
 
@@ -141,20 +141,20 @@
 	}
 	next := func() string { a := free[0]; free = free[1:]; return a }
 	f.platform = next()
-	f.procs = append(f.procs, &proc{Name: "platform", Kind: "guise", Addr: f.platform, args: []string{"platform", "--addr", f.platform}})
+	f.procs = append(f.procs, &proc{Name: "platform", Kind: "standin", Addr: f.platform, args: []string{"platform", "--addr", f.platform}})
 	addrs := []string{next(), next(), next()}
 	f.seeds = addrs
 	for i, a := range addrs {
-		f.procs = append(f.procs, f.tenet(fmt.Sprintf("tenet-%d", i+1), a, site.Zones[i%len(site.Zones)]))
+		f.procs = append(f.procs, f.controller(fmt.Sprintf("controller-%d", i+1), a, site.Zones[i%len(site.Zones)]))
 	}
 	for i := range site.Nodes {
-		p := &proc{Name: fmt.Sprintf("verge-%d", i+1), Kind: "verge", Zone: site.Zones[i%len(site.Zones)], Addr: next(), Door: next()}
+		p := &proc{Name: fmt.Sprintf("router-%d", i+1), Kind: "router", Zone: site.Zones[i%len(site.Zones)], Addr: next(), Door: next()}
 		p.args = append([]string{"--name", p.Name, "--addr", p.Addr, "--door", p.Door, "--zone", string(p.Zone), "--platform", f.platform, "--seeds"}, f.seeds...)
 		f.procs = append(f.procs, p)
 	}
 	for i, id := range names {
 		w := site.Worker(i)
-		p := &proc{Name: "worker-" + string(id), Kind: "guise", Zone: w.Zone, Addr: next()}
+		p := &proc{Name: "worker-" + string(id), Kind: "standin", Zone: w.Zone, Addr: next()}
 		p.args = []string{"worker", "--id", string(id), "--addr", p.Addr, "--part", string(w.Part), "--model", w.Model, "--weights", w.Weights,
 			"--room", fmt.Sprint(w.Room), "--block", fmt.Sprint(w.Block)}
 		f.procs = append(f.procs, p)
@@ -164,7 +164,7 @@
 			return f, err
 		}
 	}
-	if err := save(opt.Dir, "realm.json", f.procs); err != nil {
+	if err := save(opt.Dir, "keelstair-testbed.json", f.procs); err != nil {
 		return f, err
 	}
 	if err := f.settle(ctx, names); err != nil || !opt.Regimes {
@@ -183,7 +183,7 @@
 			return err
 		}
 	}
-	for _, p := range f.of("verge") {
+	for _, p := range f.of("router") {
 		if err := post(f.platform, "/doors", standin.Door{Addr: p.Door, Zone: p.Zone}, nil); err != nil {
 			return err
 		}
@@ -194,7 +194,7 @@
 		return err
 	}
 	err := f.until(ctx, 20*time.Second, func() error {
-		return post(f.doors()[0], "/v1/policy", map[string]any{"op": "realm-first", "base": 0, "source": text}, nil)
+		return post(f.doors()[0], "/v1/policy", map[string]any{"op": "keelstair-testbed-first", "base": 0, "source": text}, nil)
 	})
 	if err != nil {
 		return err
@@ -267,7 +267,7 @@
 func (f *fleet) describe(w io.Writer) {
 	fmt.Fprintf(w, "platform   %s\n", f.platform)
 	for _, p := range f.procs {
-		if p.Kind == "verge" || p.Kind == "tenet" {
+		if p.Kind == "router" || p.Kind == "controller" {
 			fmt.Fprintf(w, "%-10s %s pid %d zone %s door %s\n", p.Name, p.Addr, p.Pid, p.Zone, p.Door)
 		}
 	}
--- a/cmd/realm/harm.go
+++ b/cmd/keelstair-testbed/harm.go
@@ -12,24 +12,24 @@
 	"syscall"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/cmd/boot"
 	"keelstair.example/coordination"
-	"keelstair.example/seam"
-	"keelstair.example/standin"
+	"keelstair.example/host"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/cli"
+	"keelstair.example/internal/standin"
 )
 
-// change applies a part over what is in force, as edict does, and tells how long it
+// change applies a part over what is in force, as keelstairctl does, and tells how long it
 // took until it was in force.
 func (f *fleet) change(ctx context.Context, name, part string) error {
 	var sh api.Shown
-	if err := boot.Ask(f.doors(), http.MethodGet, "/v1/policy", nil, &sh); err != nil {
+	if err := cli.Ask(f.doors(), http.MethodGet, "/v1/policy", nil, &sh); err != nil {
 		return err
 	}
 	begun := time.Now()
 	var got api.Applied
 	a := api.Apply{Op: coordination.Name(), Base: sh.Newest, Partial: true, Name: name, Source: part}
-	if err := boot.Ask(f.doors(), http.MethodPost, "/v1/policy", a, &got); err != nil {
+	if err := cli.Ask(f.doors(), http.MethodPost, "/v1/policy", a, &got); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	logf("%s: version %d, in force %v after %.2f s", name, got.Version, got.Active, time.Since(begun).Seconds())
@@ -38,10 +38,10 @@
 
 // expect looks at every node for a limit that was acknowledged.
 func (f *fleet) expect(what string, want int) {
-	for _, p := range f.of("verge") {
+	for _, p := range f.of("router") {
 		var sh api.Shown
 		var v struct{ Limits struct{ RetryAfterMs int } }
-		err := boot.Ask([]string{p.Door}, http.MethodGet, "/v1/policy", nil, &sh)
+		err := cli.Ask([]string{p.Door}, http.MethodGet, "/v1/policy", nil, &sh)
 		if err == nil {
 			err = json.Unmarshal(sh.Policy, &v)
 		}
@@ -71,7 +71,7 @@
 		}
 		wg.Wait()
 		logf("round %d: %d won", n, won)
-		if !seam.Sleep(ctx, 500*time.Millisecond) {
+		if !host.Sleep(ctx, 500*time.Millisecond) {
 			return
 		}
 	}
@@ -82,7 +82,7 @@
 	z := f.site.Zones[1]
 	path := "/v1/zones/" + string(z)
 	begun := time.Now()
-	if err := boot.Ask(f.doors(), http.MethodPost, path, api.Mark{Op: coordination.Name(), Out: true}, nil); err != nil {
+	if err := cli.Ask(f.doors(), http.MethodPost, path, api.Mark{Op: coordination.Name(), Out: true}, nil); err != nil {
 		logf("%v", err)
 	}
 	reads := func() (n int) {
@@ -98,21 +98,21 @@
 		return n
 	}
 	last, at := reads(), time.Since(begun)
-	for time.Since(begun) < 6*time.Second && seam.Sleep(ctx, 100*time.Millisecond) {
+	for time.Since(begun) < 6*time.Second && host.Sleep(ctx, 100*time.Millisecond) {
 		if n := reads(); n > last {
 			last, at = n, time.Since(begun)
 		}
 	}
 	logf("the zone's workers last began something %.2f s after the asking", at.Seconds())
-	if err := boot.Ask(f.doors(), http.MethodPost, path, api.Mark{Op: coordination.Name()}, nil); err != nil {
+	if err := cli.Ask(f.doors(), http.MethodPost, path, api.Mark{Op: coordination.Name()}, nil); err != nil {
 		logf("%v", err)
 	}
 }
 
-// roll replaces each tenet by an empty one at a new address, and looks for what was
+// roll replaces each controller by an empty one at a new address, and looks for what was
 // acknowledged before.
 func (f *fleet) roll(ctx context.Context) {
-	for i, old := range f.of("tenet") {
+	for i, old := range f.of("controller") {
 		want := 1300 + i
 		if err := f.change(ctx, fmt.Sprint("roll ", i), fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, want)); err != nil {
 			logf("%v", err)
@@ -124,7 +124,7 @@
 			logf("%v", err)
 			return
 		}
-		p := f.tenet(fmt.Sprintf("tenet-new-%d", i), free[0], old.Zone)
+		p := f.controller(fmt.Sprintf("controller-new-%d", i), free[0], old.Zone)
 		if err := f.begin(p); err != nil {
 			logf("%v", err)
 			return
@@ -132,7 +132,7 @@
 		f.mu.Lock()
 		f.procs = append(f.procs, p)
 		f.mu.Unlock()
-		if !seam.Sleep(ctx, 8*time.Second) {
+		if !host.Sleep(ctx, 8*time.Second) {
 			return
 		}
 		f.expect("limits.retryAfterMs", want)
@@ -144,14 +144,14 @@
 	lead := f.tenetThatLeads()
 	logf("breaking: %s", how)
 	back := func(p *proc, wait time.Duration) {
-		if seam.Sleep(ctx, wait) {
+		if host.Sleep(ctx, wait) {
 			if err := f.begin(p); err != nil {
 				logf("%v", err)
 			}
 		}
 	}
 	switch how {
-	case "tenet":
+	case "controller":
 		lead.kill()
 		back(lead, 5*time.Second)
 	case "wipe":
@@ -159,21 +159,21 @@
 		os.RemoveAll(lead.Data)
 		back(lead, 2*time.Second)
 	case "core":
-		for _, p := range f.of("tenet") {
+		for _, p := range f.of("controller") {
 			p.kill()
 		}
-		for _, p := range f.of("tenet") {
+		for _, p := range f.of("controller") {
 			back(p, 300*time.Millisecond)
 		}
-	case "verge":
-		f.of("verge")[0].kill()
+	case "router":
+		f.of("router")[0].kill()
 	case "worker":
 		f.of("worker-d")[0].kill()
 	case "freeze":
 		lead.signal(syscall.SIGSTOP)
-		v := f.of("verge")[0]
+		v := f.of("router")[0]
 		v.signal(syscall.SIGSTOP)
-		seam.Sleep(ctx, 6*time.Second)
+		host.Sleep(ctx, 6*time.Second)
 		lead.signal(syscall.SIGCONT)
 		v.signal(syscall.SIGCONT)
 	case "ack":
@@ -183,7 +183,7 @@
 		}
 		lead.kill()
 		os.RemoveAll(lead.Data)
-		seam.Sleep(ctx, 3*time.Second)
+		host.Sleep(ctx, 3*time.Second)
 		f.expect("limits.retryAfterMs", 1234)
 		back(lead, 0)
 	case "race":
@@ -195,7 +195,7 @@
 	case "revoke":
 		f.revoke(ctx)
 	case "stop":
-		for _, p := range f.of("verge") {
+		for _, p := range f.of("router") {
 			p.signal(syscall.SIGTERM)
 			select {
 			case <-p.gone:
@@ -212,10 +212,10 @@
 			}
 		}
 	case "all":
-		for _, p := range append(f.of("tenet"), f.of("verge")...) {
+		for _, p := range append(f.of("controller"), f.of("router")...) {
 			p.signal(syscall.SIGKILL)
 		}
-		for _, p := range append(f.of("tenet"), f.of("verge")...) {
+		for _, p := range append(f.of("controller"), f.of("router")...) {
 			<-p.gone
 			back(p, 0)
 		}
--- a/cmd/realm/main.go
+++ b/cmd/keelstair-testbed/main.go
@@ -1,4 +1,4 @@
-// Realm is the test tool that starts a whole fleet of real processes on
+// Keelstair-testbed is the test tool that starts a whole fleet of real processes on
 // loopback and breaks it. It alone may start processes; no product does.
 package main
 
@@ -10,14 +10,14 @@
 	"path/filepath"
 	"time"
 
-	"keelstair.example/cmd/boot"
-	"keelstair.example/creed"
-	"keelstair.example/standin"
+	"keelstair.example/internal/cli"
+	"keelstair.example/internal/settings"
+	"keelstair.example/internal/standin"
 )
 
 type upCmd struct {
 	Site    string `arg:"--site" default:"vatuloa" help:"vatuloa or almaty"`
-	Dir     string `arg:"--dir" default:"realm-data" help:"folder for data, logs and realm.json"`
+	Dir     string `arg:"--dir" default:"testbed-data" help:"folder for data, logs and keelstair-testbed.json"`
 	Bin     string `arg:"--bin" default:"bin" help:"folder with the programs"`
 	Regimes bool   `arg:"--regimes" help:"certify all but one of each sort for the kinds with claims"`
 	Seconds int    `arg:"--seconds" default:"0" help:"end by itself after so long; 0 for a signal"`
@@ -28,17 +28,17 @@
 	Rate  float64 `arg:"--rate" default:"40" help:"arrivals a second"`
 	Load  int     `arg:"--load" default:"30" help:"seconds of load"`
 	Seed  uint64  `arg:"--seed" default:"1"`
-	Break string  `arg:"--break" default:"none" help:"none, tenet, wipe, ack, core, roll, verge, stop, worker, freeze, hall, all, race, evacuate or revoke"`
+	Break string  `arg:"--break" default:"none" help:"none, controller, wipe, ack, core, roll, router, stop, worker, freeze, hall, all, race, evacuate or revoke"`
 }
 
-type settings struct {
+type options struct {
 	Up  *upCmd  `arg:"subcommand:up" help:"start a fleet, apply its configuration, and keep it"`
 	Run *runCmd `arg:"subcommand:run" help:"start a fleet, load it, break it, and report"`
 }
 
-func (s *settings) File() string { return "" }
+func (s *options) File() string { return "" }
 
-func (s *settings) Check() error {
+func (s *options) Check() error {
 	site := ""
 	switch {
 	case s.Up != nil:
@@ -47,26 +47,26 @@
 		site = s.Run.Site
 		s.Run.Regimes = s.Run.Regimes || s.Run.Break == "revoke"
 	default:
-		return creed.Fault("command", "one of up, run is needed")
+		return settings.Fault("command", "one of up, run is needed")
 	}
 	if _, ok := standin.Sites[site]; !ok {
-		return creed.Fault("site", "there is no site %q", site)
+		return settings.Fault("site", "there is no site %q", site)
 	}
 	return nil
 }
 
 func main() {
-	s := &settings{}
-	creed.Read(s, "realm", "Realm starts and breaks a fleet on this machine.", os.Args[1:])
-	ctx, stop := boot.Signals()
+	s := &options{}
+	settings.Read(s, "keelstair-testbed", "Keelstair-testbed starts and breaks a fleet on this machine.", os.Args[1:])
+	ctx, stop := cli.Signals()
 	defer stop()
 	if s.Run != nil {
-		boot.Fail("realm", run(ctx, s.Run))
+		cli.Fail("keelstair-testbed", run(ctx, s.Run))
 		return
 	}
 	f, err := start(ctx, s.Up)
 	defer f.stop()
-	boot.Fail("realm", err)
+	cli.Fail("keelstair-testbed", err)
 	f.describe(os.Stdout)
 	if s.Up.Seconds > 0 {
 		select {
--- a/cmd/realm/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -14,13 +14,13 @@
 	"strings"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
-	"keelstair.example/cmd/boot"
 	"keelstair.example/coordination"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
-	"keelstair.example/standin"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/cli"
+	"keelstair.example/internal/standin"
 )
 
 const regime = "chair"
@@ -47,7 +47,7 @@
 		}
 	}
 	for i := range f.site.Nodes - 1 {
-		put(certification.Certificate{Node: fmt.Sprintf("verge-%d", i+1)}, fmt.Sprintf("verge-%d", i+1))
+		put(certification.Certificate{Node: fmt.Sprintf("router-%d", i+1)}, fmt.Sprintf("router-%d", i+1))
 	}
 	var kinds []string
 	for _, sh := range f.site.Shapes {
@@ -66,7 +66,7 @@
 	for _, d := range f.doors() {
 		if err := f.until(ctx, 10*time.Second, func() error {
 			var g api.Regimes
-			err := boot.Ask([]string{d}, http.MethodGet, "/v1/regimes", nil, &g)
+			err := cli.Ask([]string{d}, http.MethodGet, "/v1/regimes", nil, &g)
 			if err == nil && (g.High == 0 || len(g.Regimes) == 0 || len(g.Regimes[0].Short) > 0) {
 				err = fmt.Errorf("%s does not clear all yet", d)
 			}
@@ -108,21 +108,21 @@
 			lead := f.tenetThatLeads()
 			go func() {
 				lead.kill()
-				if seam.Sleep(ctx, 2*time.Second) {
+				if host.Sleep(ctx, 2*time.Second) {
 					f.begin(lead)
 				}
 			}()
 		}
 		begun, op := time.Now(), coordination.Name()
 		err := f.until(ctx, 20*time.Second, func() error {
-			return boot.Ask(f.doors(), http.MethodPost, "/v1/certificates/c-"+name, api.Mark{Op: op, Out: true}, nil)
+			return cli.Ask(f.doors(), http.MethodPost, "/v1/certificates/c-"+name, api.Mark{Op: op, Out: true}, nil)
 		})
 		took := time.Since(begun)
 		if err != nil {
 			logf("%s was not revoked: %v", name, err)
 			return
 		}
-		if !seam.Sleep(ctx, 2*time.Second) {
+		if !host.Sleep(ctx, 2*time.Second) {
 			return
 		}
 		had := f.governed()[name]
--- a/cmd/realm/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"keelstair.example/seam"
-	"keelstair.example/standin"
+	"keelstair.example/host"
+	"keelstair.example/internal/standin"
 )
 
 func run(ctx context.Context, c *runCmd) error {
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	host, err := seam.Real("")
+	machine, err := host.Real("")
 	if err != nil {
 		return err
 	}
@@ -27,12 +27,12 @@
 	defer stop()
 	span := time.Duration(c.Load) * time.Second
 	go func() {
-		if seam.Sleep(cx, span/3) {
+		if host.Sleep(cx, span/3) {
 			f.harm(cx, c.Break)
 		}
 	}()
 	begun := time.Now()
-	all := standin.Load(ctx, standin.LoadOptions{Host: host, Doors: standin.Asked(cx, host, f.platform, f.site.Zones), Zones: f.site.Zones, Shapes: f.site.Shapes, Rate: c.Rate, Span: span,
+	all := standin.Load(ctx, standin.LoadOptions{Host: machine, Doors: standin.Asked(cx, machine, f.platform, f.site.Zones), Zones: f.site.Zones, Shapes: f.site.Shapes, Rate: c.Rate, Span: span,
 		Seed: c.Seed, Model: f.site.Model, Weights: []string{standin.SiteWeights}, Retries: 8})
 	b, err := json.MarshalIndent(standin.Sum(all), "", "  ")
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	for _, z := range f.site.Zones {
 		doors := map[string]bool{}
-		for _, p := range f.of("verge") {
+		for _, p := range f.of("router") {
 			if p.Zone == z && p.up() {
 				doors[p.Door] = true
 			}
@@ -93,12 +93,12 @@
 }
 
 func (f *fleet) tenetThatLeads() *proc {
-	for _, p := range f.of("tenet") {
+	for _, p := range f.of("controller") {
 		var st struct{ Leads bool }
 		r, err := web.Get("http://" + p.Addr + "/v1/status")
 		if read(r, err, &st) == nil && st.Leads {
 			return p
 		}
 	}
-	return f.of("tenet")[0]
+	return f.of("controller")[0]
 }
--- a/cmd/edict/audit.go
+++ b/cmd/keelstairctl/audit.go
@@ -1,4 +1,4 @@
-// Edict's reading of the audit record: rows as JSON lines, each held against the one
+// Keelstairctl's reading of the audit record: rows as JSON lines, each held against the one
 // before, also over what an earlier export has.
 
 package main
@@ -12,9 +12,9 @@
 	"net/http"
 	"os"
 
-	"keelstair.example/api"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/fleetstate"
 )
 
 type auditCmd struct {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (s *settings) audit(c *auditCmd) error {
+func (s *options) audit(c *auditCmd) error {
 	var last *fleetstate.AuditRow
 	var out io.Writer = os.Stdout
 	if c.File != "" {
--- a/cmd/edict/main.go
+++ b/cmd/keelstairctl/main.go
@@ -1,4 +1,4 @@
-// Edict is the operators' command line. It speaks to any node's door.
+// Keelstairctl is the operators' command line. It speaks to any node's door.
 package main
 
 import (
@@ -10,11 +10,11 @@
 	"net/http"
 	"os"
 
-	"keelstair.example/api"
-	"keelstair.example/cmd/boot"
 	"keelstair.example/coordination"
-	"keelstair.example/creed"
-	"keelstair.example/fleetstate"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/cli"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/settings"
 )
 
 type applyCmd struct {
@@ -39,7 +39,7 @@
 	Op   string `arg:"--op" help:"ask again for the outcome of this operation"`
 }
 
-type settings struct {
+type options struct {
 	Doors    []string    `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
 	Apply    *applyCmd   `arg:"subcommand:apply" help:"apply a whole or partial configuration"`
 	Show     *showCmd    `arg:"subcommand:show" help:"show the configuration in force"`
@@ -56,21 +56,21 @@
 	Status   *struct{}   `arg:"subcommand:status" help:"how the fleet stands, as one node sees it"`
 }
 
-func (s *settings) File() string { return "" }
+func (s *options) File() string { return "" }
 
-func (s *settings) Check() error {
+func (s *options) Check() error {
 	if s.Key != nil || s.Certify != nil && !s.Certify.Apply {
 		return nil // nobody is asked
 	}
-	return boot.Doors(&s.Doors)
+	return cli.Doors(&s.Doors)
 }
 
 func main() {
-	s := &settings{}
-	creed.Read(s, "edict", "Edict is keelstair's operators' command line.", os.Args[1:])
+	s := &options{}
+	settings.Read(s, "keelstairctl", "Keelstairctl is keelstair's operators' command line.", os.Args[1:])
 	if err := s.run(); err != nil {
-		fmt.Fprintf(os.Stderr, "edict: %v\n", err)
-		var t *boot.Told
+		fmt.Fprintf(os.Stderr, "keelstairctl: %v\n", err)
+		var t *cli.Told
 		if errors.As(err, &t) {
 			os.Exit(t.Exit)
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-func (s *settings) run() error {
+func (s *options) run() error {
 	switch {
 	case s.Apply != nil:
 		return s.apply(s.Apply)
@@ -111,7 +111,7 @@
 		}
 		return print(v)
 	}
-	return creed.Fault("command", "one is needed; see edict --help")
+	return settings.Fault("command", "one is needed; see keelstairctl --help")
 }
 
 func print(v any) error {
@@ -120,8 +120,8 @@
 	return err
 }
 
-func (s *settings) ask(method, path string, in, out any) error {
-	return boot.Ask(s.Doors, method, path, in, out)
+func (s *options) ask(method, path string, in, out any) error {
+	return cli.Ask(s.Doors, method, path, in, out)
 }
 
 func read(file string) (string, string, error) {
@@ -133,12 +133,12 @@
 	return file, string(b), err
 }
 
-func (s *settings) now() (*api.Shown, error) {
+func (s *options) now() (*api.Shown, error) {
 	var out api.Shown
 	return &out, s.ask(http.MethodGet, "/v1/policy", nil, &out)
 }
 
-func (s *settings) apply(c *applyCmd) error {
+func (s *options) apply(c *applyCmd) error {
 	name, text, err := read(c.File)
 	if err != nil {
 		return err
@@ -146,7 +146,7 @@
 	return s.put(c, name, text)
 }
 
-func (s *settings) put(c *applyCmd, name, text string) error {
+func (s *options) put(c *applyCmd, name, text string) error {
 	a := api.Apply{Op: c.Op, Partial: c.Partial, Name: name, Source: text, Dry: c.Dry}
 	if a.Op == "" {
 		a.Op = coordination.Name()
@@ -176,7 +176,7 @@
 	return nil
 }
 
-func (s *settings) show(file string) error {
+func (s *options) show(file string) error {
 	sh, err := s.now()
 	if err != nil {
 		return err
@@ -192,7 +192,7 @@
 	return os.WriteFile(file, append(whole.Bytes(), '\n'), 0o644)
 }
 
-func (s *settings) diff(c *diffCmd) error {
+func (s *options) diff(c *diffCmd) error {
 	name, text, err := read(c.File)
 	if err != nil {
 		return err
@@ -219,7 +219,7 @@
 	return nil
 }
 
-func (s *settings) mark(what string, c *nameCmd, out bool) error {
+func (s *options) mark(what string, c *nameCmd, out bool) error {
 	m := api.Mark{Op: c.Op, Out: out}
 	if m.Op == "" {
 		m.Op = coordination.Name()
--- a/cmd/edict/edict_test.go
+++ b/cmd/keelstairctl/main_test.go
@@ -1,4 +1,4 @@
-// What edict does with certificates and with the audit record.
+// What keelstairctl does with certificates and with the audit record.
 
 package main
 
@@ -16,9 +16,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
-	"keelstair.example/fleetstate"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
 )
 
 func lines(n int, tag string) (out []json.RawMessage) {
@@ -94,7 +94,7 @@
 	require.ErrorContains(t, err, "line 1")
 }
 
-// TestSigned: certificates that edict signs hold under the issuer that edict key prints;
+// TestSigned: certificates that keelstairctl signs hold under the issuer that keelstairctl key prints;
 // what cannot be meant is refused before anything is signed.
 func TestSigned(t *testing.T) {
 	private, text, err := certification.NewKey()
--- a/cmd/edict/writ.go
+++ b/cmd/keelstairctl/writ.go
@@ -1,4 +1,4 @@
-// What edict does with certificates: keys, signing, revoking, and who is certified.
+// What keelstairctl does with certificates: keys, signing, revoking, and who is certified.
 
 package main
 
@@ -12,11 +12,11 @@
 	"text/tabwriter"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
-	"keelstair.example/creed"
 	"keelstair.example/ids"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/settings"
 )
 
 type keyCmd struct {
@@ -47,13 +47,13 @@
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return t, creed.Fault(field, "%q is no time such as 2026-12-31T00:00:00Z", text)
+		return t, settings.Fault(field, "%q is no time such as 2026-12-31T00:00:00Z", text)
 	}
 	return t, nil
 }
 
 // key writes a fresh key file, unless one is there, and prints the issuer's part.
-func (s *settings) key(c *keyCmd) error {
+func (s *options) key(c *keyCmd) error {
 	from, err := start("from", c.From, time.Now().Add(-time.Hour))
 	if err != nil {
 		return err
@@ -99,17 +99,17 @@
 	}
 	for _, p := range c.Parts {
 		if p != string(ids.Prefill) && p != string(ids.Decode) {
-			return nil, creed.Fault("parts", "%q is neither prefill nor decode", p)
+			return nil, settings.Fault("parts", "%q is neither prefill nor decode", p)
 		}
 		parts = append(parts, ids.Part(p))
 	}
 	switch {
 	case len(c.Worker)+len(c.Node) == 0:
-		return nil, creed.Fault("worker, node", "at least one is needed")
+		return nil, settings.Fault("worker, node", "at least one is needed")
 	case !from.Before(until):
-		return nil, creed.Fault("until", "the end %s is not after the start %s", until.Format(time.RFC3339), from.Format(time.RFC3339))
+		return nil, settings.Fault("until", "the end %s is not after the start %s", until.Format(time.RFC3339), from.Format(time.RFC3339))
 	case !now.Before(until):
-		return nil, creed.Fault("until", "the end %s is past", until.Format(time.RFC3339))
+		return nil, settings.Fault("until", "the end %s is past", until.Format(time.RFC3339))
 	}
 	out := map[string]certification.Certificate{}
 	put := func(one certification.Certificate) {
@@ -127,7 +127,7 @@
 	return out, nil
 }
 
-func (s *settings) certify(c *certifyCmd) error {
+func (s *options) certify(c *certifyCmd) error {
 	certs, err := c.signed(time.Now())
 	if err != nil {
 		return err
@@ -146,7 +146,7 @@
 	return s.put(&applyCmd{Partial: true, Op: c.Op}, "certify", string(text))
 }
 
-func (s *settings) revoke(c *nameCmd) error {
+func (s *options) revoke(c *nameCmd) error {
 	m := api.Mark{Op: c.Op, Out: true}
 	if m.Op == "" {
 		m.Op = coordination.Name()
@@ -161,7 +161,7 @@
 
 func day(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339) }
 
-func (s *settings) regimes() error {
+func (s *options) regimes() error {
 	var g api.Regimes
 	if err := s.ask(http.MethodGet, "/v1/regimes", nil, &g); err != nil {
 		return err
--- a/coordination/agent.go
+++ b/coordination/agent.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"keelstair.example/failure"
+	"keelstair.example/host"
 	"keelstair.example/ids"
 	"keelstair.example/logging"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 // Follower is the embedder's view, folded from the open part of the log. Fold
@@ -30,7 +30,7 @@
 // AgentOptions name a node to the core.
 type AgentOptions struct {
 	Me     Member
-	Host   seam.Host
+	Host   host.Host
 	Seeds  []string
 	View   Follower
 	Ring   *logging.Ring
@@ -132,7 +132,7 @@
 	wg.Go(func() { a.follow(ctx) })
 	wg.Go(func() { a.keep(ctx) })
 	wg.Go(func() {
-		for seam.Sleep(ctx, a.opt.Gap/8) {
+		for host.Sleep(ctx, a.opt.Gap/8) {
 			a.Awake()
 		}
 	})
--- a/coordination/agent_test.go
+++ b/coordination/agent_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
 	"keelstair.example/rpc"
-	"keelstair.example/seam/sham"
 )
 
 type blank struct{}
@@ -26,7 +26,7 @@
 // news up to the renewal is folded, since the key may have gone elsewhere.
 func TestLateNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := sham.NewWorld(1)
+		w := simulated.NewWorld(1)
 		core, node := w.Machine("10.0.0.1").Start(), w.Machine("10.0.0.2").Start()
 		ctx, stop := context.WithCancel(context.Background())
 		defer func() { stop(); core.Kill(); node.Kill(); time.Sleep(10 * time.Second) }()
--- a/coordination/anew.go
+++ b/coordination/anew.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"keelstair.example/failure"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
 )
 
 const (
@@ -78,7 +78,7 @@
 		if now.Past(from, anewWait) {
 			return nil, c.notAnew("%d empty machines were met, %d are needed", len(all), need)
 		}
-		if !seam.Sleep(ctx, 200*time.Millisecond) {
+		if !host.Sleep(ctx, 200*time.Millisecond) {
 			return nil, ctx.Err()
 		}
 	}
--- a/coordination/bad_message_test.go
+++ b/coordination/bad_message_test.go
@@ -12,15 +12,15 @@
 
 	"github.com/stretchr/testify/require"
 
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
-	"keelstair.example/seam/sham"
 )
 
 // withMember runs f with a member that holds two entries and has promised epoch 2 to
 // the proposer of the founding "f".
 func withMember(t *testing.T, f func(c *Core, proposer Replica)) {
 	synctest.Test(t, func(t *testing.T) {
-		machine := sham.NewWorld(1).Machine("10.0.0.1")
+		machine := simulated.NewWorld(1).Machine("10.0.0.1")
 		c, err := New(Options{Addr: "10.0.0.1:1", Host: machine.Start().Host(), Machine: func() Machine { return &listMachine{} }})
 		require.NoError(t, err)
 		proposer := Replica{Disk: "proposer", Addr: "10.0.0.2:1"}
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -16,17 +16,17 @@
 	"time"
 
 	"keelstair.example/failure"
+	"keelstair.example/host"
 	"keelstair.example/ids"
 	"keelstair.example/logging"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 // Options of a core; zero spans take the defaults named beside them.
 type Options struct {
 	Addr    string
 	Zone    ids.Zone
-	Host    seam.Host
+	Host    host.Host
 	Seeds   []string
 	Machine func() Machine
 	Ring    *logging.Ring
@@ -62,11 +62,11 @@
 	store     *store
 	feed      *feed
 
-	regMu seam.Latch
+	regMu host.Latch
 	reg   register
 	heard map[ids.DiskID]ids.Tick
 
-	dataMu     seam.Latch
+	dataMu     host.Latch
 	state      *replicatedState
 	ready      atomic.Uint64
 	mustReload bool
@@ -83,10 +83,10 @@
 // New opens the disk and reads what it holds. It starts nothing.
 func New(opt Options) (*Core, error) {
 	opt.fill()
-	c := &Core{opt: opt, regMu: seam.NewLatch(), dataMu: seam.NewLatch(), feed: newFeed(), heard: map[ids.DiskID]ids.Tick{}, wake: make(chan struct{}, 1), fatal: make(chan error, 1)}
+	c := &Core{opt: opt, regMu: host.NewLatch(), dataMu: host.NewLatch(), feed: newFeed(), heard: map[ids.DiskID]ids.Tick{}, wake: make(chan struct{}, 1), fatal: make(chan error, 1)}
 	c.store = &store{disk: opt.Host.Disk, stall: opt.Stall}
 	id, err := opt.Host.Disk.Load(identityFile)
-	if errors.Is(err, seam.ErrGone) {
+	if errors.Is(err, host.ErrGone) {
 		id = []byte(Name())
 		err = opt.Host.Disk.Save(identityFile, id)
 	}
@@ -193,7 +193,7 @@
 // even when every seed has gone.
 func (c *Core) keepDirectory(ctx context.Context) {
 	var old string
-	for seam.Sleep(ctx, 2*time.Second) {
+	for host.Sleep(ctx, 2*time.Second) {
 		p := c.directory.Page()
 		body := string(Pack(p))
 		if body == old || len(p.Seats)+len(p.Members) == 0 || c.store.busy.Load() > 0 {
--- a/coordination/directory.go
+++ b/coordination/directory.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
+	"keelstair.example/host"
 	"keelstair.example/ids"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 type replicaSeen struct {
@@ -28,7 +28,7 @@
 // Directory is safe for use by many threads.
 type Directory struct {
 	mu      sync.Mutex
-	host    seam.Host
+	host    host.Host
 	seeds   []string
 	me      WhereAsk
 	record  Record
@@ -43,7 +43,7 @@
 
 // NewDirectory makes the directory of a process: me is its own replica, or only its address. It knows no
 // more than the seeds, until it asks.
-func NewDirectory(host seam.Host, call *rpc.Caller, seeds []string, me Replica) *Directory {
+func NewDirectory(host host.Host, call *rpc.Caller, seeds []string, me Replica) *Directory {
 	return &Directory{host: host, call: call, seeds: seeds, me: WhereAsk{Me: me}, seats: map[ids.DiskID]replicaSeen{}, grown: make(chan struct{})}
 }
 
@@ -260,7 +260,7 @@
 			most, wait = 1, 4*time.Second
 		}
 		b.Ask(ctx, most)
-		if !seam.Sleep(ctx, wait/2+rand.N(wait)) {
+		if !host.Sleep(ctx, wait/2+rand.N(wait)) {
 			return
 		}
 	}
--- a/coordination/directory_test.go
+++ b/coordination/directory_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
-	"keelstair.example/seam/sham"
 )
 
 // TestStalePage: of two pages of one epoch the one that has more of the log tells who the
@@ -31,7 +31,7 @@
 		}
 		require.Equal(t, names, got)
 	}
-	p := sham.NewWorld(1).Machine("10.0.0.1").Start()
+	p := simulated.NewWorld(1).Machine("10.0.0.1").Start()
 	defer p.Kill()
 	b := NewDirectory(p.Host(), nil, nil, Replica{Disk: "d", Addr: "d:1"})
 	b.Learn(page(3, 5, "a", "b"))
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -17,9 +17,9 @@
 
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
 	"keelstair.example/rpc"
-	"keelstair.example/seam/sham"
 )
 
 // tally is the smallest machine an embedder may bring: a sum, and two duties.
@@ -59,8 +59,8 @@
 
 // fleet is three cores and two agents on simulated machines.
 type fleet struct {
-	w      *sham.World
-	procs  map[string]*sham.Proc
+	w      *simulated.World
+	procs  map[string]*simulated.Proc
 	stops  map[string]context.CancelFunc
 	cores  map[string]*coordination.Core
 	agents []*coordination.Agent
@@ -77,7 +77,7 @@
 
 // buildIn spreads the cores over zones, one after the other.
 func buildIn(seed uint64, cores, losses int, zones ...ids.Zone) *fleet {
-	f := &fleet{losses: losses, zones: map[string]ids.Zone{}, w: sham.NewWorld(seed), procs: map[string]*sham.Proc{}, stops: map[string]context.CancelFunc{}, cores: map[string]*coordination.Core{}}
+	f := &fleet{losses: losses, zones: map[string]ids.Zone{}, w: simulated.NewWorld(seed), procs: map[string]*simulated.Proc{}, stops: map[string]context.CancelFunc{}, cores: map[string]*coordination.Core{}}
 	for i := range cores {
 		f.seeds = append(f.seeds, fmt.Sprintf("10.0.0.%d:1", i+1))
 	}
@@ -102,7 +102,7 @@
 	return a, v
 }
 
-func (f *fleet) run(ip, addr string, p *sham.Proc, mount func(*http.ServeMux), run func(context.Context)) {
+func (f *fleet) run(ip, addr string, p *simulated.Proc, mount func(*http.ServeMux), run func(context.Context)) {
 	ctx, stop := context.WithCancel(context.Background())
 	f.procs[ip], f.stops[ip] = p, stop
 	l, err := p.Host().Net.Listen(addr)
--- a/coordination/follow.go
+++ b/coordination/follow.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"keelstair.example/failure"
+	"keelstair.example/host"
 	"keelstair.example/ids"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 // follow asks the core, and while that is away, neighbours.
@@ -28,7 +28,7 @@
 				}
 			}
 		}
-		seam.Sleep(ctx, 50*time.Millisecond+rand.N(100*time.Millisecond))
+		host.Sleep(ctx, 50*time.Millisecond+rand.N(100*time.Millisecond))
 	}
 }
 
--- a/coordination/late_snapshot_test.go
+++ b/coordination/late_snapshot_test.go
@@ -11,13 +11,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/seam"
-	"keelstair.example/seam/sham"
+	"keelstair.example/host"
+	"keelstair.example/host/simulated"
 )
 
 // slowDisk saves its snapshots late.
 type slowDisk struct {
-	seam.Disk
+	host.Disk
 	late time.Duration
 }
 
@@ -42,7 +42,7 @@
 // to the old log and acknowledges is gone at the next start.
 func TestLateSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machine := sham.NewWorld(1).Machine("10.0.0.1")
+		machine := simulated.NewWorld(1).Machine("10.0.0.1")
 		host := machine.Start().Host()
 		disk := &slowDisk{Disk: host.Disk}
 		host.Disk = disk
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"keelstair.example/failure"
+	"keelstair.example/host"
 	"keelstair.example/ids"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 const (
@@ -154,7 +154,7 @@
 			c.opt.Ring.Info().Msg("has handed over and may end")
 			return nil
 		}
-		if !seam.Sleep(ctx, leaveRetry) {
+		if !host.Sleep(ctx, leaveRetry) {
 			c.opt.Ring.Warn().AnErr("cause", err).Msg("ends without having handed over")
 			return failure.Wrap(err, "leave", c.me.Addr)
 		}
--- a/coordination/powerloss_test.go
+++ b/coordination/powerloss_test.go
@@ -20,9 +20,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"keelstair.example/host"
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
-	"keelstair.example/seam/sham"
 )
 
 // listMachine keeps all values it was given, the older ones on sheets.
@@ -79,10 +79,10 @@
 	next              int
 }
 
-func newStore(disk seam.Disk) *store { return &store{disk: disk, stall: 20 * time.Second} }
+func newStore(disk host.Disk) *store { return &store{disk: disk, stall: 20 * time.Second} }
 
 // check reads a store back and holds it against what was acknowledged.
-func (h *storeHistory) check(disk seam.Disk) error {
+func (h *storeHistory) check(disk host.Disk) error {
 	s, r := newStore(disk), newReplicatedState(&listMachine{})
 	if err := s.load(r); err != nil {
 		return err
@@ -148,13 +148,13 @@
 // startAgain starts from a state that a loss of power left, and loses power again
 // right before each sync of that start.
 func (h *storeHistory) startAgain(t *testing.T, dir string, seed uint64) {
-	loss, err := sham.NewPowerLoss(dir, seed)
+	loss, err := simulated.NewPowerLoss(dir, seed)
 	if err != nil {
 		t.Error(err)
 		return
 	}
 	defer loss.Close()
-	disk, err := seam.OpenWatchedDisk(dir, func(path string) {
+	disk, err := host.OpenWatchedDisk(dir, func(path string) {
 		if err := loss.BeforeSync(path, func(dir string) { h.start(t, dir) }); err != nil {
 			t.Error(err)
 		}
@@ -168,7 +168,7 @@
 }
 
 func (h *storeHistory) start(t *testing.T, dir string) {
-	disk, err := seam.OpenDisk(dir)
+	disk, err := host.OpenDisk(dir)
 	if err == nil {
 		err = h.check(disk)
 	}
@@ -195,13 +195,13 @@
 
 func storePowerLoss(t *testing.T, seed uint64) int {
 	dir := t.TempDir()
-	loss, err := sham.NewPowerLoss(dir, seed)
+	loss, err := simulated.NewPowerLoss(dir, seed)
 	require.NoError(t, err)
 	defer loss.Close()
 	random := rand.New(rand.NewPCG(seed, 1))
 	h := &storeHistory{}
 	states := 0
-	disk, err := seam.OpenWatchedDisk(dir, func(path string) {
+	disk, err := host.OpenWatchedDisk(dir, func(path string) {
 		err := loss.BeforeSync(path, func(dir string) {
 			states++
 			h.startAgain(t, dir, seed)
@@ -225,7 +225,7 @@
 
 // TestOldSheetsDropped: the disk keeps no sheet that the machine has let go of.
 func TestOldSheetsDropped(t *testing.T) {
-	disk, err := seam.OpenDisk(t.TempDir())
+	disk, err := host.OpenDisk(t.TempDir())
 	require.NoError(t, err)
 	h := &storeHistory{store: newStore(disk)}
 	require.NoError(t, h.reload())
@@ -281,7 +281,7 @@
 // damages are what may be wrong with a disk that fillStore made; sheet names its sheet's file.
 func damages(sheet string) []damage {
 	sealed := func(body []byte) func([]byte) []byte {
-		return func([]byte) []byte { return seam.Seal(body) }
+		return func([]byte) []byte { return host.Seal(body) }
 	}
 	half := func(b []byte) []byte { return b[:len(b)/2] }
 	none := func([]byte) []byte { return nil }
@@ -290,7 +290,7 @@
 	rows := func(bodies ...[]byte) func([]byte) []byte {
 		return func(all []byte) []byte {
 			for _, body := range bodies {
-				row := seam.Seal(body)
+				row := host.Seal(body)
 				all = append(append(all, byte(len(row))), row...)
 			}
 			return all
@@ -303,7 +303,7 @@
 		{"snapshot changed", "picture", flip, "counts as lost"},
 		{"snapshot of another kind", "picture", sealed([]byte{0x80}), "not that of a picture"},
 		{"snapshot no message", "picture", sealed([]byte("hello")), "read picture"},
-		{"snapshot with more behind", "picture", func(b []byte) []byte { return seam.Seal(append(b[4:len(b):len(b)], 0)) }, "not that of a picture"},
+		{"snapshot with more behind", "picture", func(b []byte) []byte { return host.Seal(append(b[4:len(b):len(b)], 0)) }, "not that of a picture"},
 		{"register cut short", "register", half, "counts as lost"},
 		{"register empty", "register", none, "counts as lost"},
 		{"register changed", "register", flip, "counts as lost"},
@@ -372,7 +372,7 @@
 
 // fillStore makes a disk with a sheet, a snapshot, and rows after it up to number 8.
 func fillStore(t *testing.T, dir string) {
-	disk, err := seam.OpenDisk(dir)
+	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
 	h := &storeHistory{store: newStore(disk)}
 	require.NoError(t, h.reload())
@@ -390,7 +390,7 @@
 }
 
 func requireRefused(t *testing.T, dir, why string) {
-	disk, err := seam.OpenDisk(dir)
+	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
 	s := newStore(disk)
 	if _, err = s.loadRegister(); err == nil {
@@ -406,7 +406,7 @@
 	const rows, rowSize, bound = 400, 50_000, 12_000_000
 	dir := t.TempDir()
 	most := int64(0)
-	disk, err := seam.OpenWatchedDisk(dir, func(string) {
+	disk, err := host.OpenWatchedDisk(dir, func(string) {
 		used := int64(0)
 		filepath.WalkDir(dir, func(_ string, entry os.DirEntry, err error) error {
 			if info, err := entry.Info(); err == nil && !entry.IsDir() {
--- a/coordination/read_bench_test.go
+++ b/coordination/read_bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/coordination"
+	"keelstair.example/host"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 // BenchmarkRead reads the whole state from a primary of three cores over loopback and real
@@ -29,20 +29,20 @@
 		require.NoError(b, err)
 		listeners, seeds = append(listeners, l), append(seeds, l.Addr().String())
 	}
-	var host seam.Host
+	var machine host.Host
 	for i, l := range listeners {
 		var err error
-		host, err = seam.Real(b.TempDir())
+		machine, err = host.Real(b.TempDir())
 		require.NoError(b, err)
-		core, err := coordination.New(coordination.Options{Addr: seeds[i], Host: host, Seeds: seeds, Machine: func() coordination.Machine { return &tally{} }})
+		core, err := coordination.New(coordination.Options{Addr: seeds[i], Host: machine, Seeds: seeds, Machine: func() coordination.Machine { return &tally{} }})
 		require.NoError(b, err)
 		mux := http.NewServeMux()
 		core.Mount(mux)
 		go rpc.Serve(ctx, l, mux)
 		go core.Run(ctx)
 	}
-	caller := rpc.NewCaller(host.Net)
-	directory := coordination.NewDirectory(host, caller, seeds, coordination.Replica{})
+	caller := rpc.NewCaller(machine.Net)
+	directory := coordination.NewDirectory(machine, caller, seeds, coordination.Replica{})
 	read := func() {
 		limit, end := context.WithTimeout(ctx, 20*time.Second)
 		defer end()
--- a/coordination/register_test.go
+++ b/coordination/register_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/stretchr/testify/require"
 
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
-	"keelstair.example/seam/sham"
 )
 
 // inRegister gives a core of a fleet of three, whose register has accepted epoch 1.
 func inRegister(t *testing.T, f func(c *Core, record Record)) {
 	synctest.Test(t, func(t *testing.T) {
-		p := sham.NewWorld(1).Machine("10.0.0.1").Start()
+		p := simulated.NewWorld(1).Machine("10.0.0.1").Start()
 		c, err := New(Options{Addr: "10.0.0.1:1", Host: p.Host(), Machine: func() Machine { return nil }})
 		require.NoError(t, err)
 		record := Record{Epoch: 1, Founding: "f", Primary: Replica{Disk: "x"}, Holders: []Replica{{Disk: "x"}, {Disk: "y"}, c.me}}
--- a/coordination/shelf.go
+++ b/coordination/shelf.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"keelstair.example/failure"
+	"keelstair.example/host"
 	"keelstair.example/ids"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 // Sheet is a sealed part of a machine's state. Its name is that of its content.
@@ -158,7 +158,7 @@
 // no data, one at a time.
 func (c *Core) collect(ctx context.Context) {
 	at, of := 0, ""
-	for wait := time.Second; seam.Sleep(ctx, wait); {
+	for wait := time.Second; host.Sleep(ctx, wait); {
 		wait = time.Second
 		rec, _ := c.accepted()
 		if rec.Founding == "" || c.named(rec) || !holds(rec.Holders, c.me.Disk) {
--- a/coordination/store.go
+++ b/coordination/store.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"keelstair.example/failure"
-	"keelstair.example/seam"
+	"keelstair.example/host"
 )
 
 const (
@@ -35,8 +35,8 @@
 )
 
 type store struct {
-	disk  seam.Disk
-	log   seam.Log
+	disk  host.Disk
+	log   host.Log
 	name  string
 	rows  int // in the log, see rowUnit
 	stall time.Duration
@@ -100,7 +100,7 @@
 // loadPicture gives the snapshot on disk, or nil if none was taken yet.
 func (s *store) loadSnapshot() (*Image, error) {
 	body, err := s.disk.Load(snapshotFile)
-	if errors.Is(err, seam.ErrGone) {
+	if errors.Is(err, host.ErrGone) {
 		return nil, nil
 	}
 	if err != nil {
@@ -125,7 +125,7 @@
 		name = img.Log
 	}
 	log, rows, err := s.disk.Open(name)
-	if errors.Is(err, seam.ErrGone) {
+	if errors.Is(err, host.ErrGone) {
 		if err := s.mustBeNew(img, name); err != nil {
 			return nil, err
 		}
@@ -143,7 +143,7 @@
 	switch {
 	case img != nil:
 		return failure.New(failure.Bad, "open log", "disk", "%s, which the picture names, is missing: the disk counts as lost", missing)
-	case errors.Is(err, seam.ErrGone):
+	case errors.Is(err, host.ErrGone):
 		return nil
 	case err != nil:
 		return err
@@ -250,13 +250,13 @@
 // swapLog makes a new log and saves the snapshot that names it. If that fails or
 // stalls, the disk may name either log from then on: the store must be loaded
 // again before it is used, and the new log is closed once the step has ended.
-func (s *store) swapLog(img *Image) (seam.Log, string, error) {
+func (s *store) swapLog(img *Image) (host.Log, string, error) {
 	var n int
 	fmt.Sscanf(s.name, logPrefix+"%d", &n)
 	name := fmt.Sprintf(logPrefix+"%d", n+1)
 	copied := *img
 	copied.Log = name
-	made := make(chan seam.Log, 1)
+	made := make(chan host.Log, 1)
 	// A snapshot is large, so it may take longer than a few rows may.
 	err := s.inside(4*s.stall, "save picture", func() error {
 		log, err := s.disk.Create(name)
@@ -273,7 +273,7 @@
 	return <-made, name, nil
 }
 
-func closeLog(made <-chan seam.Log) {
+func closeLog(made <-chan host.Log) {
 	if log := <-made; log != nil {
 		log.Close()
 	}
@@ -282,7 +282,7 @@
 func (s *store) loadRegister() (register, error) {
 	var b BallotReply
 	body, err := s.disk.Load(registerFile)
-	if errors.Is(err, seam.ErrGone) {
+	if errors.Is(err, host.ErrGone) {
 		return register{}, nil
 	}
 	if err != nil {
--- a/coordination/store_test.go
+++ b/coordination/store_test.go
@@ -16,13 +16,13 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/coordination"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
 )
 
 // lateDisk is a disk whose next snapshot is saved late, and which counts logs.
 type lateDisk struct {
-	seam.Disk
+	host.Disk
 	late            time.Duration // of the next snapshot, if any
 	snapshots, logs atomic.Int32  // saved; open
 }
@@ -37,12 +37,12 @@
 	return d.Disk.Save(name, body)
 }
 
-func (d *lateDisk) Create(name string) (seam.Log, error) {
+func (d *lateDisk) Create(name string) (host.Log, error) {
 	log, err := d.Disk.Create(name)
 	return d.counted(log), err
 }
 
-func (d *lateDisk) Open(name string) (seam.Log, [][]byte, error) {
+func (d *lateDisk) Open(name string) (host.Log, [][]byte, error) {
 	log, rows, err := d.Disk.Open(name)
 	if err != nil {
 		return nil, nil, err
@@ -50,13 +50,13 @@
 	return d.counted(log), rows, nil
 }
 
-func (d *lateDisk) counted(log seam.Log) seam.Log {
+func (d *lateDisk) counted(log host.Log) host.Log {
 	d.logs.Add(1)
 	return &countedLog{log, d}
 }
 
 type countedLog struct {
-	seam.Log
+	host.Log
 	disk *lateDisk
 }
 
--- a/coordination/word_test.go
+++ b/coordination/word_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
 	"keelstair.example/rpc"
-	"keelstair.example/seam/sham"
 )
 
 // TestWord: the bounds of the told time hold whenever it was told between asking and
@@ -21,7 +21,7 @@
 // only once the news up to the renewal is folded.
 func TestWord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := sham.NewWorld(1)
+		w := simulated.NewWorld(1)
 		core, node := w.Machine("10.0.0.1").Start(), w.Machine("10.0.0.2").Start()
 		ctx, stop := context.WithCancel(context.Background())
 		defer func() { stop(); core.Kill(); node.Kill(); time.Sleep(10 * time.Second) }()
--- a/seam/disk.go
+++ b/host/disk.go
@@ -3,7 +3,7 @@
 // sync of its folder may be kept or lost by itself, so whatever must be there is
 // synced together with the folder that names it. Logs are in log.go.
 
-package seam
+package host
 
 import (
 	"encoding/binary"
--- a/seam/disk_test.go
+++ b/host/disk_test.go
@@ -1,6 +1,6 @@
 // The real disk: torn tails, damage, and files that are whole or not there.
 
-package seam
+package host
 
 import (
 	"errors"
--- a/seam/seam.go
+++ b/host/host.go
@@ -1,8 +1,8 @@
-// Package seam holds the three edges at which a process meets its machine: the
+// Package host holds the three edges at which a process meets its machine: the
 // clock, the network and the disk. Real ones stand beside this file; their
-// simulated twins live in package sham. All code above takes a Host and never
+// simulated twins live in package simulated. All code above takes a Host and never
 // asks the machine itself.
-package seam
+package host
 
 import (
 	"context"
--- a/seam/log.go
+++ b/host/log.go
@@ -5,7 +5,7 @@
 // cut off; a bad record before good ones is damage to acknowledged data, and the
 // disk then counts as lost.
 
-package seam
+package host
 
 import (
 	"encoding/binary"
--- a/seam/powerloss_test.go
+++ b/host/powerloss_test.go
@@ -1,7 +1,7 @@
 // The real disk under a loss of power right before each of its syncs, with every
 // state that may be left of what was not synced.
 
-package seam_test
+package host_test
 
 import (
 	"errors"
@@ -12,8 +12,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/seam"
-	"keelstair.example/seam/sham"
+	"keelstair.example/host"
+	"keelstair.example/host/simulated"
 )
 
 // written is what the test knows of the disk: the last content of a file or log
@@ -24,14 +24,14 @@
 
 // readBack opens a disk after a loss of power and reads its file and its log.
 func readBack(t *testing.T, dir string) (file, rows string) {
-	disk, err := seam.OpenDisk(dir)
+	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
 	body, err := disk.Load("register")
-	if !errors.Is(err, seam.ErrGone) {
+	if !errors.Is(err, host.ErrGone) {
 		require.NoError(t, err)
 	}
 	log, all, err := disk.Open("log-0")
-	if errors.Is(err, seam.ErrGone) {
+	if errors.Is(err, host.ErrGone) {
 		return string(body), ""
 	}
 	require.NoError(t, err)
@@ -48,12 +48,12 @@
 func TestPowerLossAtEachSync(t *testing.T) {
 	root := filepath.Join(t.TempDir(), "data")
 	require.NoError(t, os.Mkdir(root, 0o755))
-	loss, err := sham.NewPowerLoss(root, 1)
+	loss, err := simulated.NewPowerLoss(root, 1)
 	require.NoError(t, err)
 	defer loss.Close()
 	var file, rows written
 	states := 0
-	disk, err := seam.OpenWatchedDisk(root, func(path string) {
+	disk, err := host.OpenWatchedDisk(root, func(path string) {
 		require.NoError(t, loss.BeforeSync(path, func(dir string) {
 			states++
 			gotFile, gotRows := readBack(t, dir)
@@ -92,16 +92,16 @@
 // its rows, and an older one of its name never shows.
 func TestPowerLossAfterCreate(t *testing.T) {
 	root := t.TempDir()
-	loss, err := sham.NewPowerLoss(root, 1)
+	loss, err := simulated.NewPowerLoss(root, 1)
 	require.NoError(t, err)
 	defer loss.Close()
 	acked := ""
-	disk, err := seam.OpenWatchedDisk(root, func(path string) {
+	disk, err := host.OpenWatchedDisk(root, func(path string) {
 		require.NoError(t, loss.BeforeSync(path, func(dir string) {
 			if acked == "" {
 				return
 			}
-			disk, err := seam.OpenDisk(dir)
+			disk, err := host.OpenDisk(dir)
 			require.NoError(t, err)
 			_, rows, err := disk.Open("log-0")
 			require.NoError(t, err)
@@ -127,7 +127,7 @@
 func TestDataFolderSynced(t *testing.T) {
 	root := t.TempDir()
 	var synced []string
-	_, err := seam.OpenWatchedDisk(filepath.Join(root, "above", "data"), func(path string) { synced = append(synced, path) })
+	_, err := host.OpenWatchedDisk(filepath.Join(root, "above", "data"), func(path string) { synced = append(synced, path) })
 	require.NoError(t, err)
 	require.Equal(t, []string{root, filepath.Join(root, "above")}, synced)
 }
@@ -137,7 +137,7 @@
 func TestRowMissing(t *testing.T) {
 	make := func() string {
 		dir := t.TempDir()
-		disk, err := seam.OpenDisk(dir)
+		disk, err := host.OpenDisk(dir)
 		require.NoError(t, err)
 		log, err := disk.Create("log-0")
 		require.NoError(t, err)
@@ -166,14 +166,14 @@
 
 	dir = make()
 	require.NoError(t, os.Remove(filepath.Join(dir, segment(1))))
-	require.ErrorIs(t, reopen(dir), seam.ErrGone)
+	require.ErrorIs(t, reopen(dir), host.ErrGone)
 }
 
 // TestRowsTogetherTornApart: of rows appended together and never acknowledged, the
 // later ones may reach the disk first. They are cut off; the disk isn't called lost.
 func TestRowsTogetherTornApart(t *testing.T) {
 	dir := t.TempDir()
-	disk, err := seam.OpenDisk(dir)
+	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
 	log, err := disk.Create("log-0")
 	require.NoError(t, err)
@@ -193,10 +193,10 @@
 }
 
 // openCopy opens a copy of a folder whose own disk is still locked.
-func openCopy(t *testing.T, dir string) seam.Disk {
+func openCopy(t *testing.T, dir string) host.Disk {
 	copied := t.TempDir()
 	require.NoError(t, os.CopyFS(copied, os.DirFS(dir)))
-	disk, err := seam.OpenDisk(copied)
+	disk, err := host.OpenDisk(copied)
 	require.NoError(t, err)
 	return disk
 }
--- a/seam/sham/disk.go
+++ b/host/simulated/disk.go
@@ -2,7 +2,7 @@
 // process that dies within a step leaves all, part or none of it behind, as
 // chance has it. A disk can be slow, stall, or be lost.
 
-package sham
+package simulated
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"time"
 
 	"keelstair.example/failure"
-	"keelstair.example/seam"
+	"keelstair.example/host"
 )
 
 type disk struct {
@@ -127,7 +127,7 @@
 	ok := false
 	err := h.step("load "+name, false, func(d *disk) { out, ok = d.files[name] }, nil)
 	if err == nil && !ok {
-		err = failure.As(seam.ErrGone, failure.Lost, "load "+name, "disk")
+		err = failure.As(host.ErrGone, failure.Lost, "load "+name, "disk")
 	}
 	return slices.Clone(out), err
 }
@@ -155,13 +155,13 @@
 	name string
 }
 
-func (h *handle) Create(name string) (seam.Log, error) {
+func (h *handle) Create(name string) (host.Log, error) {
 	put := func(d *disk) { d.logs[name] = nil }
 	err := h.step("create "+name, true, put, put)
 	return &rowLog{h, name}, err
 }
 
-func (h *handle) Open(name string) (seam.Log, [][]byte, error) {
+func (h *handle) Open(name string) (host.Log, [][]byte, error) {
 	var rows [][]byte
 	ok := false
 	err := h.step("open "+name, false, func(d *disk) {
@@ -169,7 +169,7 @@
 		rows = slices.Clone(rows)
 	}, nil)
 	if err == nil && !ok {
-		err = failure.As(seam.ErrGone, failure.Lost, "open "+name, "disk")
+		err = failure.As(host.ErrGone, failure.Lost, "open "+name, "disk")
 	}
 	return &rowLog{h, name}, rows, err
 }
--- a/seam/sham/net.go
+++ b/host/simulated/net.go
@@ -1,7 +1,7 @@
 // The simulated network: byte streams that keep their order, take their time,
 // wait out a cut as TCP would, and break when an end dies.
 
-package sham
+package simulated
 
 import (
 	"context"
@@ -15,13 +15,13 @@
 	"github.com/gammazero/deque"
 )
 
-var errReset = &net.OpError{Op: "read", Net: "sham", Err: syscall.ECONNRESET}
+var errReset = &net.OpError{Op: "read", Net: "simulated", Err: syscall.ECONNRESET}
 
-func dialFault(err error) error { return &net.OpError{Op: "dial", Net: "sham", Err: err} }
+func dialFault(err error) error { return &net.OpError{Op: "dial", Net: "simulated", Err: err} }
 
 type place string
 
-func (p place) Network() string { return "sham" }
+func (p place) Network() string { return "simulated" }
 func (p place) String() string  { return string(p) }
 
 type chunk struct {
@@ -129,7 +129,7 @@
 	defer w.mu.Unlock()
 	h := c.out
 	if h.end != nil {
-		return 0, &net.OpError{Op: "write", Net: "sham", Err: syscall.EPIPE}
+		return 0, &net.OpError{Op: "write", Net: "simulated", Err: syscall.EPIPE}
 	}
 	l := w.link(h.from, h.to)
 	at := time.Now().Add(l.Delay)
@@ -195,7 +195,7 @@
 	}
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil || host != p.at.IP || p.at.ears[addr] != nil {
-		return nil, &net.OpError{Op: "listen", Net: "sham", Err: syscall.EADDRINUSE}
+		return nil, &net.OpError{Op: "listen", Net: "simulated", Err: syscall.EADDRINUSE}
 	}
 	e := &ear{proc: p, addr: place(addr), calls: make(chan *session, 1024), closed: make(chan struct{})}
 	p.at.ears[addr] = e
--- a/seam/sham/powerloss.go
+++ b/host/simulated/powerloss.go
@@ -4,7 +4,7 @@
 // itself, and the content of each file that wasn't synced is old, new, torn, or
 // has a hole of zeros.
 
-package sham
+package simulated
 
 import (
 	"bytes"
--- a/seam/sham/world.go
+++ b/host/simulated/world.go
@@ -1,9 +1,9 @@
-// Package sham is the simulated twin of the seam: machines with clocks, disks
+// Package simulated is the simulated twin of package host: machines with clocks, disks
 // and a network, all within one process and meant for a testing/synctest
 // bubble, where time is free. Links slow down, are cut one way or both, and
 // heal; machines freeze and wake, lose power, or lose their disks. Nothing here
 // uses a socket or a file.
-package sham
+package simulated
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
 )
 
 // Link is how one machine reaches another.
@@ -154,8 +154,8 @@
 }
 
 // Host is what the process sees.
-func (p *Proc) Host() seam.Host {
-	return seam.Host{Clock: clock{p}, Net: network{p}, Disk: &handle{p}}
+func (p *Proc) Host() host.Host {
+	return host.Host{Clock: clock{p}, Net: network{p}, Disk: &handle{p}}
 }
 
 // Done is closed when the process is killed.
--- a/api/fault.go
+++ b/internal/api/fault.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"keelstair.example/failure"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/workerclient"
 )
 
 // Fault is a refusal that an origin or an operator gets, with its HTTP status.
--- a/api/operator.go
+++ b/internal/api/operator.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"time"
 
-	"keelstair.example/certification"
 	"keelstair.example/failure"
+	"keelstair.example/internal/certification"
 )
 
 // Apply is an order for a whole or partial configuration. Source is CUE or JSON text, Name what
--- a/api/streams.go
+++ b/internal/api/streams.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"strings"
 
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/workerclient"
 )
 
 // Bounds on an origin's request.
--- a/cmd/boot/ask.go
+++ b/internal/cli/ask.go
@@ -1,7 +1,7 @@
 // How operators' programs ask a door: any of several, until one answers for
 // good; each kind of no has an exit code of its own.
 
-package boot
+package cli
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/creed"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/settings"
 	"keelstair.example/rpc"
 )
 
@@ -30,10 +30,10 @@
 		*list = strings.Split((*list)[0], ",")
 	}
 	if len(*list) == 0 {
-		return creed.Fault("doors", "at least one is needed (--doors or KEELSTAIR_DOORS)")
+		return settings.Fault("doors", "at least one is needed (--doors or KEELSTAIR_DOORS)")
 	}
 	for _, d := range *list {
-		if err := creed.Addr("doors", d); err != nil {
+		if err := settings.Addr("doors", d); err != nil {
 			return err
 		}
 	}
--- a/cmd/boot/boot.go
+++ b/internal/cli/serve.go
@@ -1,5 +1,5 @@
-// Package boot is what the thin programs share: signals, listeners, the ring.
-package boot
+// Package cli is what the thin programs share: signals, listeners, the ring.
+package cli
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
+	"keelstair.example/host"
 	"keelstair.example/logging"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 // Signals ends the context on SIGTERM or an interrupt.
@@ -49,7 +49,7 @@
 
 // Serve listens and answers in the background until the context ends; fail gets
 // what goes wrong.
-func Serve(ctx context.Context, host seam.Host, addr string, mux *http.ServeMux, fail func(error)) {
+func Serve(ctx context.Context, host host.Host, addr string, mux *http.ServeMux, fail func(error)) {
 	l, err := host.Net.Listen(addr)
 	if err != nil {
 		fail(err)
--- a/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -7,9 +7,9 @@
 	"sort"
 	"time"
 
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
 	"keelstair.example/ids"
+	"keelstair.example/internal/certification"
 )
 
 // The keys of duties that do not hang on a worker.
@@ -33,7 +33,7 @@
 	due             map[ids.Version]stagedAt
 }
 
-// Machine is what tenets run over the core.
+// Machine is what controllers run over the core.
 type Machine struct {
 	*State
 	wait  time.Duration
--- a/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -15,8 +15,8 @@
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
 	"keelstair.example/ids"
+	"keelstair.example/internal/routing"
 	"keelstair.example/rpc"
-	"keelstair.example/whim"
 )
 
 // Kinds of command for program sets.
@@ -44,18 +44,18 @@
 )
 
 // Sources lists a policy's programs.
-func (p *Policy) Sources() []whim.Source {
-	var out []whim.Source
+func (p *Policy) Sources() []routing.Source {
+	var out []routing.Source
 	for _, name := range p.Names() {
 		g := p.Programs[name]
-		out = append(out, whim.Source{Name: name, Text: g.Source, Share: g.Share, Shadow: g.Shadow, Turns: g.Turns})
+		out = append(out, routing.Source{Name: name, Text: g.Source, Share: g.Share, Shadow: g.Shadow, Turns: g.Turns})
 	}
 	return out
 }
 
 // Deck compiles a policy's programs. Faults have file, line and reason.
-func (p *Policy) Deck(scores *whim.Scores) (*whim.Deck, error) {
-	return whim.NewDeck(p.Sources(), p.Limits.Steps, scores)
+func (p *Policy) Deck(scores *routing.Scores) (*routing.Deck, error) {
+	return routing.NewDeck(p.Sources(), p.Limits.Steps, scores)
 }
 
 // Draft makes a checked policy of a text that Source gave, whole or, with partial, over
@@ -71,7 +71,7 @@
 		p, whole, err = Whole(name, text)
 	}
 	if err == nil {
-		_, err = p.Deck(&whim.Scores{})
+		_, err = p.Deck(&routing.Scores{})
 	} else if e := Fault(name, []byte(source), !partial); e != nil {
 		err = e
 	} else {
@@ -115,7 +115,7 @@
 }
 
 // Set reads the text of a program set and compiles it.
-func Set(text []byte, scores *whim.Scores) (*Policy, *whim.Deck, error) {
+func Set(text []byte, scores *routing.Scores) (*Policy, *routing.Deck, error) {
 	p, err := Plain(unpack(text))
 	if err != nil {
 		return nil, nil, failure.As(err, failure.Bad, "read programs", "")
--- a/fleetstate/programs_test.go
+++ b/internal/fleetstate/programs_test.go
@@ -14,15 +14,15 @@
 
 	"keelstair.example/coordination"
 	"keelstair.example/ids"
+	"keelstair.example/internal/routing"
 	"keelstair.example/logging"
-	"keelstair.example/whim"
 )
 
 // setOf is a set of so many programs, each filled up to a size.
 func setOf(count, size int) []byte {
 	p := map[string]Program{}
 	for i := range count {
-		text := whim.Shipped("prefix")
+		text := routing.Shipped("prefix")
 		for n := 0; len(text) < size; n++ {
 			text += fmt.Sprintf("def f%d(w):\n    return w.busy * %d + len(w.id) if w.zone else -w.free\n", n, n)
 		}
@@ -58,7 +58,7 @@
 		require.Equal(t, m.Snapshot(open), copied.Snapshot(open))
 		require.Len(t, copied.Due(ids.Tick(1), 6, 6), 2, "the copy is due by itself")
 		v := NewView(logging.Mute())
-		v.Scores = &whim.Scores{}
+		v.Scores = &routing.Scores{}
 		require.NoError(t, v.Restore(copied.Snapshot(true)))
 		require.EqualValues(t, 1, v.Sight().Set.Version)
 		require.True(t, v.Fold(9, ActivateProgramsKind, coordination.Pack(&Activate{2})))
@@ -76,10 +76,10 @@
 			var was, is runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&was)
-			var deck *whim.Deck
+			var deck *routing.Deck
 			for b.Loop() {
 				var err error
-				if _, deck, err = Set(text, &whim.Scores{}); err != nil {
+				if _, deck, err = Set(text, &routing.Scores{}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -14,9 +14,9 @@
 	"cuelang.org/go/cue/parser"
 	"cuelang.org/go/cue/token"
 
-	"keelstair.example/certification"
 	"keelstair.example/failure"
 	"keelstair.example/ids"
+	"keelstair.example/internal/certification"
 )
 
 // Certified is the part of a policy that certified nodes are for.
--- a/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
 	"keelstair.example/ids"
+	"keelstair.example/internal/certification"
 	"keelstair.example/logging"
 )
 
--- a/fleetstate/shelf_test.go
+++ b/internal/fleetstate/shelf_test.go
@@ -82,7 +82,7 @@
 func full(n int) *Machine {
 	m := NewMachine(MachineOptions{})
 	for i := range n {
-		d := Deed{Key: fmt.Sprintf("verdict/call-%08d", i), Owner: "verge-1-0123456789abcdef", Digest: "0123456789abcdef01234567", Fate: Done, Out: make([]byte, 60)}
+		d := Deed{Key: fmt.Sprintf("verdict/call-%08d", i), Owner: "router-1-0123456789abcdef", Digest: "0123456789abcdef01234567", Fate: Done, Out: make([]byte, 60)}
 		m.deeds[d.Key] = d
 		m.order = append(m.order, d.Key)
 		m.age()
--- a/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -9,11 +9,11 @@
 	"sync"
 	"sync/atomic"
 
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
 	"keelstair.example/ids"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/routing"
 	"keelstair.example/logging"
-	"keelstair.example/whim"
 )
 
 // Sight is one frozen state of the view.
@@ -45,7 +45,7 @@
 type Deal struct {
 	Version ids.Version
 	Policy  *Policy
-	Deck    *whim.Deck
+	Deck    *routing.Deck
 }
 
 // View is a coordination.Follower. Ready is called with every policy as it is staged,
@@ -55,7 +55,7 @@
 	Ring  *logging.Ring
 	Read  Reader // Plain, if it is not set: makes a policy of a text
 	// Scores of programs; where it is not set, program sets are not compiled.
-	Scores *whim.Scores
+	Scores *routing.Scores
 
 	mu    sync.Mutex
 	state *State
--- a/handoff/clean.go
+++ b/internal/handoff/clean.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"keelstair.example/failure"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/workerclient"
 )
 
 // Stopper is what clean needs of Hands; settling a dead node's claims uses it
@@ -40,7 +40,7 @@
 		// The worker cannot be asked. Once the orphan's time is over it has
 		// dropped the import, or stopped the run that nobody reads.
 		if !failure.Is(err, failure.Lost) {
-			seam.Sleep(ctx, f.Orphan+300*time.Millisecond)
+			host.Sleep(ctx, f.Orphan+300*time.Millisecond)
 		}
 		return nil, true
 	case err != nil:
@@ -61,7 +61,7 @@
 func (f *flight) stop(ctx context.Context, w ids.WorkerID) (*workerclient.Answer, error) {
 	var err error
 	for n := range 3 {
-		if n > 0 && !seam.Sleep(ctx, 150*time.Millisecond) {
+		if n > 0 && !host.Sleep(ctx, 150*time.Millisecond) {
 			break
 		}
 		cx, end := context.WithTimeout(ctx, 900*time.Millisecond)
--- a/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -10,16 +10,16 @@
 	"time"
 
 	"keelstair.example/failure"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
-	"keelstair.example/whim"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/routing"
+	"keelstair.example/internal/workerclient"
 )
 
 // Hands give the controller its reach: every order goes through the worker's
 // one duty holder.
 type Hands interface {
-	Pick(q *whim.Question, on workerclient.Model, shun map[ids.WorkerID]bool) []Picked
+	Pick(q *routing.Question, on workerclient.Model, shun map[ids.WorkerID]bool) []Picked
 	Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error
 	Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.Answer, error)
 	Export(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error)
@@ -86,7 +86,7 @@
 // Controller runs tasks.
 type Controller struct {
 	Hands  Hands
-	Clock  seam.Clock
+	Clock  host.Clock
 	Orphan time.Duration // after so long an attempt without a controller is surely over
 	Pulse  time.Duration // a worker silent for so long within a stream is lost
 	Tell   func(Event)
@@ -140,7 +140,7 @@
 		err := f.try(ctx, shun)
 		// Picked under a version that is no longer in force: picked anew, once the
 		// newer one is here.
-		for failure.Is(err, failure.Stale) && f.from == "" && !c.Clock.Now().Past(start, t.GiveUp) && seam.Sleep(ctx, 30*time.Millisecond) {
+		for failure.Is(err, failure.Stale) && f.from == "" && !c.Clock.Now().Past(start, t.GiveUp) && host.Sleep(ctx, 30*time.Millisecond) {
 			err = f.try(ctx, shun)
 		}
 		if err == nil {
@@ -174,7 +174,7 @@
 		case f.from != "" && !c.Hands.Spend(ctx, f.patience()):
 			return f.verdict(failure.As(err, failure.KindOf(err), "retry budget is spent", ""))
 		case f.from == "":
-			seam.Sleep(ctx, 100*time.Millisecond)
+			host.Sleep(ctx, 100*time.Millisecond)
 		}
 		for _, w := range []ids.WorkerID{f.from, f.to} {
 			if w != "" {
@@ -209,7 +209,7 @@
 	t, h := f.t, f.Hands
 	m := t.Identity
 	m.ID, m.Output = f.id, append([]int32(nil), f.sent...)
-	ask := &whim.Question{Request: m.ID.Request, Kind: t.Kind, Model: m.Model.Name, Adapters: m.Model.Adapters, Zone: t.Zone,
+	ask := &routing.Question{Request: m.ID.Request, Kind: t.Kind, Model: m.Model.Name, Adapters: m.Model.Adapters, Zone: t.Zone,
 		Prompt: len(m.Prompt), Max: m.Params.MaxTokens, Part: ids.Decode}
 	whole := len(m.Prompt) + m.Params.MaxTokens
 	to, err := f.book(ctx, ask, m.Model, whole, shun)
@@ -323,7 +323,7 @@
 }
 
 // book reserves room on the first worker that has it, in the program's order.
-func (f *flight) book(ctx context.Context, ask *whim.Question, on workerclient.Model, toks int, shun map[ids.WorkerID]bool) (Picked, error) {
+func (f *flight) book(ctx context.Context, ask *routing.Question, on workerclient.Model, toks int, shun map[ids.WorkerID]bool) (Picked, error) {
 	ask.Need = toks
 	list := f.Hands.Pick(ask, on, shun)
 	err := failure.New(failure.Bounced, "pick "+string(ask.Part), "", "no worker is cleared")
--- a/handoff/controller_test.go
+++ b/internal/handoff/controller_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/failure"
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
-	"keelstair.example/seam/sham"
-	"keelstair.example/whim"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/routing"
+	"keelstair.example/internal/workerclient"
 )
 
 var answer = []int32{11, 12, 13, 14, 15}
@@ -45,7 +45,7 @@
 func lost() error    { return failure.New(failure.Lost, "test", "w", "lost") }
 func bounced() error { return failure.New(failure.Bounced, "test", "w", "bounced") }
 
-func (s *script) Pick(q *whim.Question, _ workerclient.Model, shun map[ids.WorkerID]bool) []Picked {
+func (s *script) Pick(q *routing.Question, _ workerclient.Model, shun map[ids.WorkerID]bool) []Picked {
 	s.picks++
 	if s.none > 0 && s.resumes > 0 {
 		s.none--
@@ -152,7 +152,7 @@
 func play(t *testing.T, s *script, claimed bool) (got []int32, took time.Duration, err error) {
 	s.loose = map[string]int{}
 	synctest.Test(t, func(t *testing.T) {
-		c := &Controller{Hands: s, Clock: sham.NewWorld(1).Machine("10.0.0.1").Start().Host().Clock, Orphan: 2 * time.Second, Pulse: time.Second}
+		c := &Controller{Hands: s, Clock: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host().Clock, Orphan: 2 * time.Second, Pulse: time.Second}
 		begun := time.Now()
 		err = c.Run(context.Background(), &Task{Identity: ident(), Claimed: claimed, Regime: s.regime, Claim: s.claim, Tries: 3, GiveUp: 10 * time.Second}, func(i int, tok int32, _ string) error {
 			require.Equal(t, len(got), i)
--- a/handoff/ledger.go
+++ b/internal/handoff/ledger.go
@@ -12,7 +12,7 @@
 
 	"keelstair.example/failure"
 	"keelstair.example/ids"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/workerclient"
 )
 
 type hold struct {
--- a/handoff/ledger_test.go
+++ b/internal/handoff/ledger_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/ids"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/workerclient"
 )
 
 const lag = 500 * time.Millisecond
--- a/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 )
 
 const (
--- a/proxy/admit_test.go
+++ b/internal/proxy/admit_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 )
 
 // client is one caller with all its tries.
@@ -41,7 +41,7 @@
 
 func (c crowd) policy() []byte {
 	route := func(name, prefix string, urgency int) fleetstate.Route {
-		return fleetstate.Route{Name: name, Host: host, Prefix: prefix, Service: "svc", Apart: true, Stream: true, Tries: 2, DeadlineMs: 3000, AimMs: int(crowdAim / time.Millisecond), GapMs: 200, Urgency: urgency}
+		return fleetstate.Route{Name: name, Host: routeHost, Prefix: prefix, Service: "svc", Apart: true, Stream: true, Tries: 2, DeadlineMs: 3000, AimMs: int(crowdAim / time.Millisecond), GapMs: 200, Urgency: urgency}
 	}
 	return policy([]fleetstate.Route{route("urgent", "/stream/now/", 0), route("patient", "/stream/then/", 7)}, fleetstate.Service{Name: "svc", Slots: 8, TurnMs: 1000})
 }
@@ -315,7 +315,7 @@
 	g := &gated{t: t, n: n, list: many(8)}
 	p := &fleetstate.Policy{Services: map[string]fleetstate.Service{"s": {Name: "s"}}}
 	for _, u := range []int{0, 7} {
-		p.Routes = append(p.Routes, fleetstate.Route{Name: fmt.Sprint("u", u), Host: host, Prefix: fmt.Sprintf("/u%d/", u), Service: "s", Apart: true, DeadlineMs: 3000, AimMs: 500, Urgency: u})
+		p.Routes = append(p.Routes, fleetstate.Route{Name: fmt.Sprint("u", u), Host: routeHost, Prefix: fmt.Sprintf("/u%d/", u), Service: "s", Apart: true, DeadlineMs: 3000, AimMs: 500, Urgency: u})
 	}
 	g.s = &fleetstate.Sight{Policy: p}
 	n.take(g.list, n.now(), n.now())
--- a/proxy/alarm.go
+++ b/internal/proxy/alarm.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"keelstair.example/failure"
+	"keelstair.example/host"
 	"keelstair.example/ids"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 const (
@@ -86,7 +86,7 @@
 			return
 		}
 		if n.opt.Eject >= 0 && st.alive.Load() >= int64(began) {
-			seam.Sleep(ctx, probePause/4)
+			host.Sleep(ctx, probePause/4)
 			continue
 		}
 		n.fell(st)
@@ -95,7 +95,7 @@
 			n.warn(w.ID)
 			warn = false
 		}
-		if n.roster.Load().find(w.ID) == nil || !seam.Sleep(ctx, probePause) {
+		if n.roster.Load().find(w.ID) == nil || !host.Sleep(ctx, probePause) {
 			return
 		}
 	}
--- a/proxy/alarm_test.go
+++ b/internal/proxy/alarm_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 )
 
 // TestDark: an emitting worker goes silent: soon no node sends there, also those that had
--- a/proxy/board.go
+++ b/internal/proxy/board.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 )
 
 const (
--- a/proxy/budget_test.go
+++ b/internal/proxy/budget_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 )
 
 const window = 10 * time.Second
--- a/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
-	"keelstair.example/handoff"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
-	"keelstair.example/whim"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/routing"
 )
 
 // Event is one step of one request.
@@ -33,7 +33,7 @@
 	r     *Request
 	route *fleetstate.Route
 	svc   *fleetstate.Service
-	deck  *whim.Deck // it keeps to the one it began with
+	deck  *routing.Deck // it keeps to the one it began with
 	sink  Sink
 	end   ids.Tick
 	marks []uint64
@@ -358,7 +358,7 @@
 		if t.sends >= max(1, t.route.Tries) {
 			return nil, nil, failure.New(failure.Away, "emit", t.svc.Name, "no try is left")
 		}
-		if round > 2 || !seam.Sleep(ctx, 30*time.Millisecond) {
+		if round > 2 || !host.Sleep(ctx, 30*time.Millisecond) {
 			return nil, nil, failure.New(failure.Away, "emit", t.svc.Name, "no worker may take it")
 		}
 	}
--- a/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 )
 
 func (f *fleet) inForce(v ids.Version) bool {
@@ -283,8 +283,8 @@
 		}
 		require.Equal(t, []string{"404", "404", "404"}, try("a", "/new/x"))
 		require.Equal(t, []string{"svc", "svc", "svc"}, try("b", "/once/deep/x"))
-		routes := append(ways()[1:], fleetstate.Route{Name: "new", Host: host, Prefix: "/new/", Service: "svc", Apart: true, Tries: 1, DeadlineMs: 3000, AimMs: 100},
-			fleetstate.Route{Name: "deep", Host: host, Prefix: "/again/deep/", Service: "other", Apart: true, Tries: 1, DeadlineMs: 3000, AimMs: 100})
+		routes := append(ways()[1:], fleetstate.Route{Name: "new", Host: routeHost, Prefix: "/new/", Service: "svc", Apart: true, Tries: 1, DeadlineMs: 3000, AimMs: 100},
+			fleetstate.Route{Name: "deep", Host: routeHost, Prefix: "/again/deep/", Service: "other", Apart: true, Tries: 1, DeadlineMs: 3000, AimMs: 100})
 		require.NoError(t, f.put("two", 1, 2, policy(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})))
 		require.True(t, f.until(2*time.Second, func() bool { return f.inForce(2) }))
 		require.Equal(t, []string{"svc", "svc", "svc"}, try("c", "/new/x"))
@@ -299,7 +299,7 @@
 func TestSplit(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(append(both("svc", 2, 3), both("other", 2, 3)...)...)
-		split := fleetstate.Route{Name: "r", Host: host, Prefix: "/once/", Split: []fleetstate.Share{{Service: "svc", Weight: 3}, {Service: "other", Weight: 1}, {Service: "svc", Weight: 0}}, Apart: true, Tries: 2, DeadlineMs: 4000, AimMs: 400}
+		split := fleetstate.Route{Name: "r", Host: routeHost, Prefix: "/once/", Split: []fleetstate.Share{{Service: "svc", Weight: 3}, {Service: "other", Weight: 1}, {Service: "svc", Weight: 0}}, Apart: true, Tries: 2, DeadlineMs: 4000, AimMs: 400}
 		f := build(t, 75, 2, y, policy([]fleetstate.Route{split}, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"}), nil)
 		defer f.close()
 		all := f.load(80, 5*time.Second, func(i int) *Request { return f.req(fmt.Sprint("try-", i/2), "/once/x", 200, 2) })
--- a/proxy/delta_test.go
+++ b/internal/proxy/delta_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 )
 
 // TestLargeChanges: a configuration of many routes changes by one of them, again and again,
--- a/proxy/eject.go
+++ b/internal/proxy/eject.go
@@ -11,9 +11,9 @@
 	"sort"
 	"time"
 
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
+	"keelstair.example/internal/fleetstate"
 )
 
 const (
@@ -178,7 +178,7 @@
 	if n.opt.Eject < 0 {
 		return
 	}
-	for seam.Sleep(ctx, judgePause) {
+	for host.Sleep(ctx, judgePause) {
 		if n.stir.Swap(false) || n.outs.Load() > 0 {
 			n.judge(n.sight())
 		}
--- a/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -18,17 +18,17 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 	"keelstair.example/rpc"
-	"keelstair.example/seam/sham"
 )
 
-// berth is one node of a fleet with its process.
-type berth struct {
+// testNode is one node of a fleet with its process.
+type testNode struct {
 	*Node
 	ip   string
-	proc *sham.Proc
+	proc *simulated.Proc
 	stop context.CancelFunc
 	done chan struct{}
 	up   bool
@@ -36,16 +36,16 @@
 
 type fleet struct {
 	t     *testing.T
-	w     *sham.World
+	w     *simulated.World
 	y     *yard
 	seeds []string
 	cores map[string]*coordination.Core
-	procs map[string]*sham.Proc
+	procs map[string]*simulated.Proc
 	stops map[string]context.CancelFunc
 	tune  func(*Options)
 
 	mu    sync.Mutex
-	nodes []*berth
+	nodes []*testNode
 	asks  []*asked
 	over  chan struct{}
 	wg    sync.WaitGroup
@@ -55,7 +55,7 @@
 
 // build starts a fleet and puts a policy in force.
 func build(t *testing.T, seed uint64, nodes int, y *yard, text []byte, tune func(*Options)) *fleet {
-	f := &fleet{t: t, w: sham.NewWorld(seed), y: y, tune: tune, cores: map[string]*coordination.Core{}, procs: map[string]*sham.Proc{}, stops: map[string]context.CancelFunc{}, over: make(chan struct{})}
+	f := &fleet{t: t, w: simulated.NewWorld(seed), y: y, tune: tune, cores: map[string]*coordination.Core{}, procs: map[string]*simulated.Proc{}, stops: map[string]context.CancelFunc{}, over: make(chan struct{})}
 	for _, ip := range coreIps {
 		f.seeds = append(f.seeds, ip+":1")
 	}
@@ -114,7 +114,7 @@
 func nodeIP(i int) string { return fmt.Sprintf("10.0.1.%d", i+1) }
 
 // node starts the node of a number, again if it was there before.
-func (f *fleet) node(i int) *berth {
+func (f *fleet) node(i int) *testNode {
 	ip := nodeIP(i)
 	p := f.w.Machine(ip).Start()
 	opt := Options{Name: fmt.Sprint("n", i), Addr: ip + ":2", Zone: ids.Zone([]string{"a", "b"}[i%2]), Seeds: f.seeds, Host: p.Host(), Back: &back{f.y, ip}, Turn: -1}
@@ -127,7 +127,7 @@
 		f.y.prep(n)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	b := &berth{Node: n, ip: ip, proc: p, stop: stop, done: make(chan struct{}), up: true}
+	b := &testNode{Node: n, ip: ip, proc: p, stop: stop, done: make(chan struct{}), up: true}
 	f.y.at(func() { f.y.known[ip] = func(id ids.WorkerID) bool { return b.offs()[id] } })
 	l, err := p.Host().Net.Listen(ip + ":2")
 	require.NoError(f.t, err)
@@ -165,10 +165,10 @@
 	f.y.at(func() { f.y.frozen[nodeIP(i)] = on })
 }
 
-func (f *fleet) up() []*berth {
+func (f *fleet) up() []*testNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []*berth
+	var out []*testNode
 	for _, b := range f.nodes {
 		if b.up {
 			out = append(out, b)
@@ -178,7 +178,7 @@
 }
 
 // offs tells of each worker on the node's list whether it is to get nothing new.
-func (b *berth) offs() map[ids.WorkerID]bool {
+func (b *testNode) offs() map[ids.WorkerID]bool {
 	s := b.view.Sight()
 	off := map[ids.WorkerID]bool{}
 	for _, w := range b.roster.Load().all {
@@ -252,7 +252,7 @@
 	return f.putAt(f.up()[0], op, base, next, text)
 }
 
-func (f *fleet) putAt(n *berth, op ids.OpID, base, next ids.Version, text []byte) error {
+func (f *fleet) putAt(n *testNode, op ids.OpID, base, next ids.Version, text []byte) error {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
 	_, err := fleetstate.Put(ctx, n.agent.Caller(), n.Directory(), op, base, next, text)
@@ -313,12 +313,12 @@
 	return string(s.got)
 }
 
-// host is what requests name.
-const host = "models.example"
+// routeHost is what requests name.
+const routeHost = "models.example"
 
 // req makes a request for a path; it asks for events if its path begins with /s.
 func (f *fleet) req(id, path string, prompt, most int) *Request {
-	r := &Request{ID: id, Method: "POST", Target: path, Path: path, Host: host, Header: http.Header{}, Body: []byte("{}"), Model: "m", Prompt: prompt, Most: most,
+	r := &Request{ID: id, Method: "POST", Target: path, Path: path, Host: routeHost, Header: http.Header{}, Body: []byte("{}"), Model: "m", Prompt: prompt, Most: most,
 		Parts: []Part{{ID: "system-" + id[len(id)-1:], Tokens: prompt / 2}, {ID: "last-" + id, Tokens: prompt - prompt/2}}}
 	if strings.HasPrefix(path, "/s") {
 		r.Header.Set("Accept", "text/event-stream")
@@ -327,9 +327,11 @@
 }
 
 // ask carries a request at a node to its end.
-func (f *fleet) ask(b *berth, r *Request) *asked { return f.askAs(context.Background(), b, r, &sink{}) }
+func (f *fleet) ask(b *testNode, r *Request) *asked {
+	return f.askAs(context.Background(), b, r, &sink{})
+}
 
-func (f *fleet) askAs(ctx context.Context, b *berth, r *Request, s *sink) *asked {
+func (f *fleet) askAs(ctx context.Context, b *testNode, r *Request, s *sink) *asked {
 	r.At = b.now()
 	s.start = time.Now()
 	a := &asked{Request: r, at: f.y.now(), sink: s}
@@ -372,10 +374,10 @@
 // ways are the routes that most tests use.
 func ways() []fleetstate.Route {
 	return []fleetstate.Route{
-		{Name: "once", Host: host, Prefix: "/once/", Service: "svc", Apart: true, Tries: 3, DeadlineMs: 4000, AimMs: 400, Urgency: 5},
-		{Name: "again", Host: host, Prefix: "/again/", Service: "svc", Apart: true, Repeatable: true, Tries: 3, DeadlineMs: 4000, AimMs: 400, Urgency: 5},
-		{Name: "stream", Host: host, Prefix: "/stream/", Service: "svc", Apart: true, Stream: true, Tries: 3, DeadlineMs: 8000, AimMs: 400, GapMs: 60, Urgency: 5},
-		{Name: "sresume", Host: host, Prefix: "/sresume/", Service: "svc", Apart: true, Stream: true, Resumable: true, Tries: 4, DeadlineMs: 8000, AimMs: 400, GapMs: 60, Urgency: 5},
+		{Name: "once", Host: routeHost, Prefix: "/once/", Service: "svc", Apart: true, Tries: 3, DeadlineMs: 4000, AimMs: 400, Urgency: 5},
+		{Name: "again", Host: routeHost, Prefix: "/again/", Service: "svc", Apart: true, Repeatable: true, Tries: 3, DeadlineMs: 4000, AimMs: 400, Urgency: 5},
+		{Name: "stream", Host: routeHost, Prefix: "/stream/", Service: "svc", Apart: true, Stream: true, Tries: 3, DeadlineMs: 8000, AimMs: 400, GapMs: 60, Urgency: 5},
+		{Name: "sresume", Host: routeHost, Prefix: "/sresume/", Service: "svc", Apart: true, Stream: true, Resumable: true, Tries: 4, DeadlineMs: 8000, AimMs: 400, GapMs: 60, Urgency: 5},
 	}
 }
 
--- a/proxy/ledger_test.go
+++ b/internal/proxy/ledger_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/whim"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/routing"
 )
 
 func ms(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
@@ -139,7 +139,7 @@
 		y := newYard(all...)
 		f := build(t, seed, 4, y, plain(), turning)
 		defer f.close()
-		knows := func(b *berth, id ids.WorkerID, want int) bool {
+		knows := func(b *testNode, id ids.WorkerID, want int) bool {
 			st := b.state(id)
 			st.mu.Lock()
 			defer st.mu.Unlock()
@@ -243,7 +243,7 @@
 // TestProgramsSeeRoom: routing programs see what is free in blocks.
 func TestProgramsSeeRoom(t *testing.T) {
 	text := "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: -w.free)]\n"
-	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost(), Deck: []whim.Source{{Name: "roomy", Share: 100, Text: text}}})
+	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost(), Deck: []routing.Source{{Name: "roomy", Share: 100, Text: text}}})
 	require.NoError(t, err)
 	now := n.now()
 	var list []Worker
--- a/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"keelstair.example/coordination"
+	"keelstair.example/host"
 	"keelstair.example/ids"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 // follower is what a node keeps of those that it hears the list from.
@@ -51,13 +51,13 @@
 			if f.n.now().Past(f.since, listOld) {
 				continue
 			}
-			seam.Sleep(ctx, f.n.opt.Share/2) // its first one is under way
+			host.Sleep(ctx, f.n.opt.Share/2) // its first one is under way
 			return true
 		case listStale:
 			if i+1 == len(s.parents) || f.n.now().Past(f.n.roster.Load().at, listLost) {
 				continue
 			}
-			seam.Sleep(ctx, f.n.opt.Share/2) // it is looking for a fresh list itself
+			host.Sleep(ctx, f.n.opt.Share/2) // it is looking for a fresh list itself
 			return true
 		case listFailed:
 			f.probe(ctx, s)
@@ -127,7 +127,7 @@
 		return false
 	}
 	if !f.n.now().Past(f.n.roster.Load().at, listLost) || !f.n.now().Past(f.since, listLost) {
-		seam.Sleep(ctx, f.n.opt.Share/2)
+		host.Sleep(ctx, f.n.opt.Share/2)
 		return false
 	}
 	f.n.restAsHolder(ctx, rand.N(f.pause(s)))
@@ -190,7 +190,7 @@
 		return listStale
 	}
 	if !r.Early {
-		seam.Sleep(ctx, span-n.now().Since(began))
+		host.Sleep(ctx, span-n.now().Since(began))
 	}
 	return listFresh
 }
--- a/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/fleetstate"
+	"keelstair.example/internal/fleetstate"
 )
 
 // lists counts the askings for the list by node since a time.
--- a/proxy/list_tree.go
+++ b/internal/proxy/list_tree.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 )
 
 const (
--- a/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -416,7 +416,7 @@
 }
 
 // sawFail has a node note one sending that failed.
-func (b *berth) sawFail(id ids.WorkerID) {
+func (b *testNode) sawFail(id ids.WorkerID) {
 	st := b.state(id)
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/proxy/node.go
+++ b/internal/proxy/node.go
@@ -11,13 +11,13 @@
 	"time"
 
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
-	"keelstair.example/handoff"
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/routing"
 	"keelstair.example/logging"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
-	"keelstair.example/whim"
 )
 
 // Options of a node; zero spans and numbers take the defaults named beside them.
@@ -26,11 +26,11 @@
 	Addr    string
 	Zone    ids.Zone
 	Seeds   []string
-	Host    seam.Host
+	Host    host.Host
 	Ring    *logging.Ring
 	Back    Backend
 	Read    fleetstate.Reader // of the operators' text; fleetstate.Plain
-	Deck    []whim.Source     // routing programs until the core has a set, beside the built-in order
+	Deck    []routing.Source  // routing programs until the core has a set, beside the built-in order
 	Steps   uint64            // 20000: that one of these may take for one request
 	Lease   time.Duration     // 3s
 	Renew   time.Duration     // 500ms
@@ -128,7 +128,7 @@
 	view        *fleetstate.View
 	counts      Counts
 	budget      budget
-	scores      whim.Scores      // outlive the programs' sets
+	scores      routing.Scores   // outlive the programs' sets
 	first       *fleetstate.Deal // rules until the core has a set
 	roster      atomic.Pointer[roster]
 	states      sync.Map // ids.WorkerID -> *state
@@ -159,7 +159,7 @@
 func New(opt Options) (*Node, error) {
 	opt.fill()
 	n := &Node{opt: opt, budget: newBudget(opt.Window), warm: newWarm(), tide: handoff.Tide{Least: 2}}
-	deck, err := whim.NewDeck(opt.Deck, opt.Steps, &n.scores)
+	deck, err := routing.NewDeck(opt.Deck, opt.Steps, &n.scores)
 	if err != nil {
 		return nil, err
 	}
@@ -207,7 +207,7 @@
 	<-ctx.Done()
 	n.leaving.Store(true)
 	began := n.now()
-	seam.Sleep(inner, linger)
+	host.Sleep(inner, linger)
 	if n.opt.Drain != nil {
 		cx, stop := context.WithTimeout(inner, max(0, grace-n.now().Since(began)))
 		if err := n.opt.Drain(cx); err != nil {
@@ -216,7 +216,7 @@
 		stop()
 	}
 	for !n.now().Past(began, grace) && n.inflight.Load() > 0 {
-		seam.Sleep(inner, 50*time.Millisecond)
+		host.Sleep(inner, 50*time.Millisecond)
 	}
 	n.agent.Leave()
 	n.stop()
@@ -249,7 +249,7 @@
 }
 
 // Scores tell how the programs fare at this node since it started, by name.
-func (n *Node) Scores() *whim.Scores { return &n.scores }
+func (n *Node) Scores() *routing.Scores { return &n.scores }
 
 // share is one over the number of nodes that there may be.
 func (n *Node) share() float64 {
@@ -277,7 +277,7 @@
 // watch logs when the node turns ready or not.
 func (n *Node) watch(ctx context.Context) {
 	last := "-"
-	for seam.Sleep(ctx, 100*time.Millisecond) {
+	for host.Sleep(ctx, 100*time.Millisecond) {
 		n.unheard(n.now())
 		if _, why := n.Ready(); why != last {
 			last = why
--- a/proxy/operate.go
+++ b/internal/proxy/operate.go
@@ -11,13 +11,13 @@
 	"slices"
 	"time"
 
-	"keelstair.example/api"
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/fleetstate"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 // Operator is a api.Operator over the core that the book knows.
@@ -92,7 +92,7 @@
 		if img, err := fleetstate.Look(cx, o.Call, o.Directory); err == nil && img.Programs.Version >= v {
 			return &api.Applied{Version: uint64(v), Active: true}, nil
 		}
-		if !seam.Sleep(cx, 50*time.Millisecond) {
+		if !host.Sleep(cx, 50*time.Millisecond) {
 			return &api.Applied{Version: uint64(v)}, nil
 		}
 	}
--- a/proxy/pass.go
+++ b/internal/proxy/pass.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"keelstair.example/failure"
-	"keelstair.example/handoff"
+	"keelstair.example/internal/handoff"
 )
 
 var errSilent = errors.New("the worker says nothing")
--- a/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/whim"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/routing"
 )
 
 const (
@@ -186,7 +186,7 @@
 }
 
 // readers orders the workers that may read a prompt.
-func (n *Node) readers(deck *whim.Deck, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, tried map[ids.WorkerID]bool) []choice {
+func (n *Node) readers(deck *routing.Deck, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, tried map[ids.WorkerID]bool) []choice {
 	list := n.cleared(s, svc, ids.Prefill, tried)
 	ms, toks := marks(r)
 	row := n.tabled(n.roster.Load(), s).by[role{svc.Name, ids.Prefill}]
@@ -211,14 +211,14 @@
 		c.busy = count
 		c.cost += (readAnew*float64(c.need)+float64(ahead))/n.opt.Pace + readFirst*float64(count) + n.far(c.w, len(r.Body))
 		if len(ms) > 0 {
-			c.aff = whim.Mix(ms[len(ms)-1], c.hash)
+			c.aff = routing.Mix(ms[len(ms)-1], c.hash)
 		}
 	}
 	return n.order(deck, r, ids.Prefill, list)
 }
 
 // emitters orders the workers that may emit the answer, near the memory and near here.
-func (n *Node) emitters(deck *whim.Deck, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, from *Worker, tried map[ids.WorkerID]bool) []choice {
+func (n *Node) emitters(deck *routing.Deck, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, from *Worker, tried map[ids.WorkerID]bool) []choice {
 	list := n.cleared(s, svc, ids.Decode, tried)
 	now := n.now()
 	for i := range list {
@@ -246,13 +246,13 @@
 }
 
 // order asks the routing programs, cheapest first.
-func (n *Node) order(deck *whim.Deck, r *Request, part ids.Part, list []choice) []choice {
+func (n *Node) order(deck *routing.Deck, r *Request, part ids.Part, list []choice) []choice {
 	// Among equals the request decides, so that nodes that know little crowd no worker.
 	own := ids.Hash(r.ID)
 	ranks := make([]place, len(list))
 	for i := range list {
 		list[i].cost += illCost * list[i].ill
-		ranks[i] = place{list[i].cost, whim.Mix(own, list[i].hash), i}
+		ranks[i] = place{list[i].cost, routing.Mix(own, list[i].hash), i}
 	}
 	slices.SortFunc(ranks, func(a, b place) int { return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.tie, a.tie)) })
 	sorted := make([]choice, len(list))
@@ -264,15 +264,15 @@
 	if len(head) < 2 && !deck.Rules() {
 		return list
 	}
-	q := &whim.Question{Request: r.ID, Kind: r.Host, Model: r.Model, Part: part, Zone: n.me.Zone, Prompt: r.Prompt, Max: r.Most, Priced: true}
-	cands := make([]whim.Candidate, len(head))
+	q := &routing.Question{Request: r.ID, Kind: r.Host, Model: r.Model, Part: part, Zone: n.me.Zone, Prompt: r.Prompt, Max: r.Most, Priced: true}
+	cands := make([]routing.Candidate, len(head))
 	told := true // room is told in blocks if it is known of all, else in places
 	for i := range head {
 		told = told && head[i].room > 0
 	}
 	by := make(map[ids.WorkerID]choice, len(head))
 	for i, c := range head {
-		cands[i] = whim.Candidate{ID: c.w.ID, Zone: c.w.Zone, Room: c.w.Slots, Free: max(0, c.w.Slots-c.busy), Busy: c.busy, Cap: c.w.Slots, Affinity: c.aff, Cost: c.cost}
+		cands[i] = routing.Candidate{ID: c.w.ID, Zone: c.w.Zone, Room: c.w.Slots, Free: max(0, c.w.Slots-c.busy), Busy: c.busy, Cap: c.w.Slots, Affinity: c.aff, Cost: c.cost}
 		if told {
 			cands[i].Room, cands[i].Free = c.room, c.free
 		}
--- a/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/whim"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/routing"
 )
 
 // TestTable: the table gives the same workers and homes as the whole list does, under each
@@ -43,7 +43,7 @@
 						continue
 					}
 					want = append(want, w.ID)
-					if a := whim.Affinity(77, w.ID); w.Part == ids.Prefill && a > best {
+					if a := routing.Affinity(77, w.ID); w.Part == ids.Prefill && a > best {
 						best, top = a, w.ID
 					}
 				}
--- a/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 )
 
 // TestOff: a worker that is drained, in an evacuated zone, leaving or off the list gets
--- a/proxy/program_test.go
+++ b/internal/proxy/program_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/ids"
-	"keelstair.example/whim"
+	"keelstair.example/internal/routing"
 )
 
-var programs = []whim.Source{
+var programs = []routing.Source{
 	{Name: "dear", Share: 40, Text: "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: -w.cost)]\n"},
 	{Name: "idle", Share: 30, Text: "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.busy)]\n"},
 	{Name: "endless", Share: 10, Text: "def order(ask, workers):\n    n = 0\n    for i in range(1000000000):\n        n += i\n    return []\n"},
@@ -26,9 +26,9 @@
 func TestPrograms(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 3, 4)...)
-		scores := &whim.Scores{}
+		scores := &routing.Scores{}
 		y.prep = func(n *Node) {
-			deck, err := whim.NewDeck(n.opt.Deck, n.opt.Steps, scores)
+			deck, err := routing.NewDeck(n.opt.Deck, n.opt.Steps, scores)
 			require.NoError(t, err)
 			n.first.Deck = deck
 		}
@@ -51,7 +51,7 @@
 		require.Empty(t, leftAlone(rows, 0))
 		require.Empty(t, extras(rows, all, 0.2, 40, window))
 		picks := map[string]int64{}
-		scores.Each(func(name string, s *whim.Score) {
+		scores.Each(func(name string, s *routing.Score) {
 			picks[name] = s.Picks.Load()
 			switch name {
 			case "endless", "stranger":
@@ -65,7 +65,7 @@
 		for _, p := range programs[:4] {
 			require.InDelta(t, float64(p.Share)/100, float64(picks[p.Name])/float64(total), 0.08, p.Name)
 		}
-		require.Zero(t, picks[whim.PlainName], "the shares add up to all")
+		require.Zero(t, picks[routing.PlainName], "the shares add up to all")
 	})
 }
 
@@ -74,7 +74,7 @@
 func TestProgramRules(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 3, 4)...)
-		deck := []whim.Source{{Name: "fixed", Share: 100, Text: "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.id)]\n"}}
+		deck := []routing.Source{{Name: "fixed", Share: 100, Text: "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.id)]\n"}}
 		f := build(t, 62, 2, y, plain(), func(o *Options) { o.Deck = deck })
 		defer f.close()
 		all := f.load(30, 3*1e9, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 2) })
@@ -95,7 +95,7 @@
 		t.Run(fmt.Sprint(workers), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				y := newYard(both("svc", workers, workers)...)
-				deck := []whim.Source{{Name: "nobody", Share: 100, Text: "def match(ask, worker):\n    return False\n"}}
+				deck := []routing.Source{{Name: "nobody", Share: 100, Text: "def match(ask, worker):\n    return False\n"}}
 				f := build(t, 63, 1, y, plain(), func(o *Options) { o.Deck = deck })
 				defer f.close()
 				a := f.ask(f.nodes[0], f.req("r", "/once/x", 400, 2))
@@ -109,7 +109,7 @@
 // TestBadProgram: a deck with a program that does not compile makes no node.
 func TestBadProgram(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		_, err := New(Options{Name: "n", Deck: []whim.Source{{Name: "x", Share: 100, Text: "def order(ask"}}})
+		_, err := New(Options{Name: "n", Deck: []routing.Source{{Name: "x", Share: 100, Text: "def order(ask"}}})
 		require.ErrorContains(t, err, "x.star")
 	})
 }
--- a/proxy/rate_test.go
+++ b/internal/proxy/rate_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
-	"keelstair.example/seam/sham"
+	"keelstair.example/internal/fleetstate"
 )
 
 // TestListPause: however many nodes ask by themselves, all together stay within the rate;
@@ -49,7 +49,7 @@
 	}
 }
 
-func quietHost() seam.Host { return sham.NewWorld(1).Machine("10.0.0.9").Start().Host() }
+func quietHost() host.Host { return simulated.NewWorld(1).Machine("10.0.0.9").Start().Host() }
 
 func wid(i int) ids.WorkerID { return ids.WorkerID("w" + strconv.Itoa(i)) }
 
--- a/proxy/roster.go
+++ b/internal/proxy/roster.go
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
+	"keelstair.example/internal/fleetstate"
 )
 
 const (
@@ -35,7 +35,7 @@
 		case ok && holder.Node == n.me.Node:
 			n.above.Store(nil)
 		case !ok && n.sight().Version == 0: // nothing can be served yet, and many nodes may start together
-			seam.Sleep(ctx, startPause)
+			host.Sleep(ctx, startPause)
 			continue
 		default:
 			sources := n.tree().sourcesOf(n.me, holder, n.agent.Members())
@@ -73,7 +73,7 @@
 
 // restAsHolder waits, and meanwhile keeps the sum of the readings fresh.
 func (n *Node) restAsHolder(ctx context.Context, wait time.Duration) {
-	for end := n.now().Add(wait); n.now().Before(end) && seam.Sleep(ctx, min(n.opt.Share, wait)); {
+	for end := n.now().Add(wait); n.now().Before(end) && host.Sleep(ctx, min(n.opt.Share, wait)); {
 		n.others(n.sum(n.me.Node, true))
 		n.hearsay(n.rest(n.me.Node))
 	}
--- a/proxy/state.go
+++ b/internal/proxy/state.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 )
 
 // state is what this node knows of one life of a worker.
--- a/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -14,12 +14,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/api"
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/whim"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/routing"
 )
 
 // sorted is a program that prefers workers by a key.
@@ -33,7 +33,7 @@
 }
 
 // setOf writes a program set.
-func setOf(list ...whim.Source) string {
+func setOf(list ...routing.Source) string {
 	p := map[string]fleetstate.Program{}
 	for _, s := range list {
 		p[s.Name] = fleetstate.Program{Source: s.Text, Share: s.Share, Shadow: s.Shadow, Turns: s.Turns}
@@ -43,7 +43,7 @@
 }
 
 // operator speaks to the core by way of a node.
-func (f *fleet) operator(b *berth) *Operator {
+func (f *fleet) operator(b *testNode) *Operator {
 	return &Operator{Call: b.agent.Caller(), Directory: b.Directory(), Zones: []string{"a", "b"}}
 }
 
@@ -92,20 +92,20 @@
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 3, 4)...)
 		f := build(t, 81, 3, y, plain(), func(o *Options) {
-			o.Deck = []whim.Source{{Name: "start", Share: 100, Text: first(3)}}
+			o.Deck = []routing.Source{{Name: "start", Share: 100, Text: first(3)}}
 		})
 		defer f.close()
 		a := f.ask(f.nodes[0], f.req("before", "/once/x", 400, 3))
 		require.NoError(t, a.err)
 		require.Equal(t, 3, firstEmits(y.book())["before"])
-		_, err := f.apply("one", 0, setOf(whim.Source{Name: "low", Share: 30, Text: first(0)}, whim.Source{Name: "high", Share: 70, Text: first(2)}))
+		_, err := f.apply("one", 0, setOf(routing.Source{Name: "low", Share: 30, Text: first(0)}, routing.Source{Name: "high", Share: 70, Text: first(2)}))
 		require.NoError(t, err)
 		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(1) }))
 		var swapped, had time.Duration
 		f.wg.Go(func() {
 			time.Sleep(8 * time.Second)
 			swapped = y.now()
-			got, err := f.apply("two", 1, setOf(whim.Source{Name: "mid", Share: 60, Text: first(1)}, whim.Source{Name: "low", Share: 40, Text: first(0)}))
+			got, err := f.apply("two", 1, setOf(routing.Source{Name: "mid", Share: 60, Text: first(1)}, routing.Source{Name: "low", Share: 40, Text: first(0)}))
 			require.NoError(t, err)
 			require.Equal(t, &api.Applied{Version: 2, Active: true}, got)
 			f.until(5*time.Second, func() bool { return f.dealt(2) })
@@ -149,13 +149,13 @@
 		y := newYard(both("svc", 2, 4)...)
 		f := build(t, 82, 2, y, plain(), func(o *Options) { o.Allow = 10 })
 		defer f.close()
-		_, err := f.apply("one", 0, setOf(whim.Source{Name: "up", Share: 100, Text: sorted("w.id")}))
+		_, err := f.apply("one", 0, setOf(routing.Source{Name: "up", Share: 100, Text: sorted("w.id")}))
 		require.NoError(t, err)
 		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(1) }))
 		long := make(chan *asked, 1)
 		f.wg.Go(func() { long <- f.ask(f.nodes[0], f.req("long", "/sresume/x", 400, 150)) })
 		time.Sleep(500 * time.Millisecond)
-		_, err = f.apply("two", 1, setOf(whim.Source{Name: "last", Share: 100, Text: first(3)}))
+		_, err = f.apply("two", 1, setOf(routing.Source{Name: "last", Share: 100, Text: first(3)}))
 		require.NoError(t, err)
 		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(2) }))
 		y.restart("svc-decode-0")
@@ -175,19 +175,19 @@
 // TestBadSets: a set with a fault is refused with its place and reason, and one over a
 // stale base with the newest version; nothing changes, and nothing is staged.
 func TestBadSets(t *testing.T) {
-	ok := whim.Source{Name: "ok", Share: 100, Text: sorted("w.id")}
-	var many []whim.Source
+	ok := routing.Source{Name: "ok", Share: 100, Text: sorted("w.id")}
+	var many []routing.Source
 	for i := range 17 {
-		many = append(many, whim.Source{Name: fmt.Sprint("p", i), Shadow: true, Text: ok.Text})
+		many = append(many, routing.Source{Name: fmt.Sprint("p", i), Shadow: true, Text: ok.Text})
 	}
 	bad := map[string]string{
-		"x.star:3:1":               setOf(whim.Source{Name: "x", Share: 100, Text: "def order(ask, workers):\n    return [w.id for\n"}),
-		"must define":              setOf(whim.Source{Name: "x", Share: 100, Text: "a = 1\n"}),
-		"has no turn":              setOf(whim.Source{Name: "x", Share: 100, Turns: true, Text: ok.Text}),
-		"too many steps":           setOf(whim.Source{Name: "x", Share: 100, Text: "a = [i for i in range(1000000000)]\n"}),
-		"add up to 90":             setOf(whim.Source{Name: "x", Share: 90, Text: ok.Text}),
+		"x.star:3:1":               setOf(routing.Source{Name: "x", Share: 100, Text: "def order(ask, workers):\n    return [w.id for\n"}),
+		"must define":              setOf(routing.Source{Name: "x", Share: 100, Text: "a = 1\n"}),
+		"has no turn":              setOf(routing.Source{Name: "x", Share: 100, Turns: true, Text: ok.Text}),
+		"too many steps":           setOf(routing.Source{Name: "x", Share: 100, Text: "a = [i for i in range(1000000000)]\n"}),
+		"add up to 90":             setOf(routing.Source{Name: "x", Share: 90, Text: ok.Text}),
 		"over 16":                  setOf(append(many, ok)...),
-		"bytes of source, over":    setOf(whim.Source{Name: "x", Share: 100, Text: ok.Text + "#" + strings.Repeat("x", 64<<10)}),
+		"bytes of source, over":    setOf(routing.Source{Name: "x", Share: 100, Text: ok.Text + "#" + strings.Repeat("x", 64<<10)}),
 		"set.cue:2:":               "{\n programs: a: {source: 5, share: 100}\n}",
 		"set.cue:3:":               "{\n programs: {}\n nonsense: 1\n}",
 		"set.cue:1:":               "{",
@@ -226,7 +226,7 @@
 func TestPartialSet(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 2, 2)...)
-		f := build(t, 84, 1, y, plain(), func(o *Options) { o.Deck = []whim.Source{{Name: "start", Share: 100, Text: first(1)}} })
+		f := build(t, 84, 1, y, plain(), func(o *Options) { o.Deck = []routing.Source{{Name: "start", Share: 100, Text: first(1)}} })
 		defer f.close()
 		o := f.operator(f.nodes[0])
 		apply := func(op string, base uint64, dry bool, text string) (*api.Applied, error) {
@@ -234,7 +234,7 @@
 			defer stop()
 			return o.Apply(ctx, &api.Apply{Op: op, Base: base, Partial: true, Dry: dry, Source: text})
 		}
-		got, err := apply("one", 0, false, setOf(whim.Source{Name: "a", Share: 100, Text: sorted("w.id")}))
+		got, err := apply("one", 0, false, setOf(routing.Source{Name: "a", Share: 100, Text: sorted("w.id")}))
 		require.NoError(t, err)
 		require.EqualValues(t, 1, got.Version)
 		half := `{"programs":{"a":{"share":50},"b":{"source":"def match(ask, worker):\n    return True\n","share":50}}}`
@@ -275,7 +275,7 @@
 			require.NoError(t, a.err)
 		}
 		require.Empty(t, answers(all))
-		f.nodes[0].Scores().Each(func(name string, s *whim.Score) {
+		f.nodes[0].Scores().Each(func(name string, s *routing.Score) {
 			if name == "endless" || name == "stranger" {
 				require.Equal(t, s.Picks.Load(), s.Fallbacks.Load(), name)
 				require.NotZero(t, s.Picks.Load(), name)
@@ -294,13 +294,13 @@
 		y := newYard(both("svc", 2, 2)...)
 		f := build(t, seed, 2, y, plain(), nil)
 		defer f.close()
-		_, err := f.apply("one", 0, setOf(whim.Source{Name: "one", Share: 100, Text: first(0)}))
+		_, err := f.apply("one", 0, setOf(routing.Source{Name: "one", Share: 100, Text: first(0)}))
 		require.NoError(t, err)
 		f.wg.Go(func() {
 			time.Sleep(time.Duration(seed*seed*3) * time.Millisecond)
 			f.offCore(f.leader())
 		})
-		set := setOf(whim.Source{Name: "two", Share: 100, Text: first(1)})
+		set := setOf(routing.Source{Name: "two", Share: 100, Text: first(1)})
 		require.True(t, f.until(30*time.Second, func() bool {
 			got, err := f.apply("two", 1, set)
 			return err == nil && got.Version == 2
@@ -341,7 +341,7 @@
 		})
 		wg.Go(func() {
 			for v := range uint64(8) {
-				_, err := f.apply(fmt.Sprint("set", v), v, setOf(whim.Source{Name: fmt.Sprint("p", v), Share: 100, Text: first(int(v % 2))}))
+				_, err := f.apply(fmt.Sprint("set", v), v, setOf(routing.Source{Name: fmt.Sprint("p", v), Share: 100, Text: first(int(v % 2))}))
 				require.NoError(t, err)
 			}
 		})
@@ -354,7 +354,7 @@
 		won := make([]error, 2)
 		for i := range won {
 			wg.Go(func() {
-				_, won[i] = f.apply(fmt.Sprint("rival", i), 8, setOf(whim.Source{Name: fmt.Sprint("rival", i), Share: 100, Text: first(0)}))
+				_, won[i] = f.apply(fmt.Sprint("rival", i), 8, setOf(routing.Source{Name: fmt.Sprint("rival", i), Share: 100, Text: first(0)}))
 			})
 		}
 		wg.Wait()
@@ -373,14 +373,14 @@
 		y := newYard(both("svc", 2, 2)...)
 		f := build(t, 86, 1, y, plain(), nil)
 		defer f.close()
-		_, err := f.apply("one", 0, setOf(whim.Source{Name: "one", Share: 100, Text: first(0)}))
+		_, err := f.apply("one", 0, setOf(routing.Source{Name: "one", Share: 100, Text: first(0)}))
 		require.NoError(t, err)
 		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(1) }))
-		f.submit(fleetstate.StageProgramsKind, &fleetstate.Stage{Base: 1, Text: []byte(setOf(whim.Source{Name: "x", Share: 100, Text: "def"}))})
+		f.submit(fleetstate.StageProgramsKind, &fleetstate.Stage{Base: 1, Text: []byte(setOf(routing.Source{Name: "x", Share: 100, Text: "def"}))})
 		time.Sleep(2 * time.Second)
 		require.True(t, f.dealt(1))
 		require.NoError(t, f.ask(f.nodes[0], f.req("r", "/once/x", 400, 2)).err)
-		_, err = f.apply("three", 2, setOf(whim.Source{Name: "three", Share: 100, Text: first(0)}))
+		_, err = f.apply("three", 2, setOf(routing.Source{Name: "three", Share: 100, Text: first(0)}))
 		require.NoError(t, err)
 		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(3) }))
 	})
@@ -416,7 +416,7 @@
 				f := build(t, 87, 2, y, plain(), turning)
 				defer f.close()
 				was := parts(y)
-				_, err := f.apply(name, 0, setOf(whim.Source{Name: name, Turns: true, Text: c.text}))
+				_, err := f.apply(name, 0, setOf(routing.Source{Name: name, Turns: true, Text: c.text}))
 				require.NoError(t, err)
 				all := f.load(20, 40*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
 				rows := y.book()
@@ -446,16 +446,16 @@
 // built-in choice; one that is not in charge is only counted.
 func TestTurnProgramSays(t *testing.T) {
 	for name, c := range map[string]struct {
-		p     whim.Source
+		p     routing.Source
 		turns bool
 	}{
-		"none":     {whim.Source{Turns: true, Text: "def turn(pool):\n    return None\n"}, false},
-		"fails":    {whim.Source{Turns: true, Text: "def turn(pool):\n    return pool.nothing\n"}, true},
-		"endless":  {whim.Source{Turns: true, Text: "def turn(pool):\n    n = 0\n    for i in range(1000000000):\n        n += i\n    return None\n"}, true},
-		"stranger": {whim.Source{Turns: true, Text: "def turn(pool):\n    return ('x', 'prefill')\n"}, true},
-		"same":     {whim.Source{Turns: true, Text: "def turn(pool):\n    return (pool.workers[0].id, pool.workers[0].part)\n"}, true},
-		"counted":  {whim.Source{Shadow: true, Text: "def turn(pool):\n    return None\n"}, true},
-		"press":    {whim.Source{Turns: true, Text: "def turn(pool):\n    ids = [w.id for w in pool.workers if w.may and w.part == 'decode']\n    if pool.prefill > 0.35 and ids:\n        return ids[0], 'prefill'\n    return None\n"}, true},
+		"none":     {routing.Source{Turns: true, Text: "def turn(pool):\n    return None\n"}, false},
+		"fails":    {routing.Source{Turns: true, Text: "def turn(pool):\n    return pool.nothing\n"}, true},
+		"endless":  {routing.Source{Turns: true, Text: "def turn(pool):\n    n = 0\n    for i in range(1000000000):\n        n += i\n    return None\n"}, true},
+		"stranger": {routing.Source{Turns: true, Text: "def turn(pool):\n    return ('x', 'prefill')\n"}, true},
+		"same":     {routing.Source{Turns: true, Text: "def turn(pool):\n    return (pool.workers[0].id, pool.workers[0].part)\n"}, true},
+		"counted":  {routing.Source{Shadow: true, Text: "def turn(pool):\n    return None\n"}, true},
+		"press":    {routing.Source{Turns: true, Text: "def turn(pool):\n    ids = [w.id for w in pool.workers if w.may and w.part == 'decode']\n    if pool.prefill > 0.35 and ids:\n        return ids[0], 'prefill'\n    return None\n"}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
--- a/proxy/table.go
+++ b/internal/proxy/table.go
@@ -6,9 +6,9 @@
 import (
 	"slices"
 
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/whim"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/routing"
 )
 
 // entry is a worker's place in the list with what does not change with a request.
@@ -41,7 +41,7 @@
 	t := &table{seq: ros.seq, sight: s, by: map[role][]entry{}, ranks: ranks(s)}
 	for i := range ros.all {
 		if w := &ros.all[i]; fit(s, w) {
-			e := entry{i, w.ID, w.Part, whim.Hash(w.ID), n.state(w.ID)}
+			e := entry{i, w.ID, w.Part, routing.Hash(w.ID), n.state(w.ID)}
 			for _, p := range []ids.Part{ids.Prefill, ids.Decode} {
 				if k := (role{w.Service, p}); w.Part == p || w.Part == "" {
 					t.by[k] = append(t.by[k], e)
@@ -84,7 +84,7 @@
 		if row[i].part != ids.Prefill || out(row[i].id) {
 			continue
 		}
-		if a := whim.Mix(mark, row[i].hash); a > best {
+		if a := routing.Mix(mark, row[i].hash); a > best {
 			best, top = a, row[i].id
 		}
 	}
--- a/proxy/turn.go
+++ b/internal/proxy/turn.go
@@ -14,9 +14,9 @@
 
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
+	"keelstair.example/internal/fleetstate"
 )
 
 const (
@@ -54,7 +54,7 @@
 	}
 	duties := map[string]*duty{}
 	turns := map[ids.WorkerID]*turn{}
-	for seam.Sleep(ctx, n.opt.Turn) {
+	for host.Sleep(ctx, n.opt.Turn) {
 		s := n.sight()
 		for name := range s.Policy.Services {
 			key := fleetstate.ServiceKey(name)
--- a/proxy/turn_test.go
+++ b/internal/proxy/turn_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/fleetstate"
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
-	"keelstair.example/seam/sham"
+	"keelstair.example/internal/fleetstate"
 )
 
 var svcKey = fleetstate.ServiceKey("svc")
@@ -118,7 +118,7 @@
 func TestNoTurnNeeded(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(append(both("svc", 3, 3), stands("free", "", 3)...)...)
-		text := policy(append(ways(), fleetstate.Route{Name: "f", Host: host, Prefix: "/free/", Service: "free", Tries: 2, DeadlineMs: 4000, AimMs: 400}), fleetstate.Service{Name: "svc", Slots: 16}, fleetstate.Service{Name: "free", Slots: 16})
+		text := policy(append(ways(), fleetstate.Route{Name: "f", Host: routeHost, Prefix: "/free/", Service: "free", Tries: 2, DeadlineMs: 4000, AimMs: 400}), fleetstate.Service{Name: "svc", Slots: 16}, fleetstate.Service{Name: "free", Slots: 16})
 		f := build(t, 42, 2, y, text, turning)
 		defer f.close()
 		f.load(20, 10*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), []string{"/once/x", "/free/x"}[i%2], 400, 4) })
@@ -256,7 +256,7 @@
 		require.True(t, f.until(10*time.Second, func() bool { return f.holder() >= 0 }))
 		late := f.nodes[(f.holder()+1)%3]
 		for _, ip := range coreIps {
-			f.w.Set(ip, late.ip, sham.Link{Delay: 200 * time.Millisecond})
+			f.w.Set(ip, late.ip, simulated.Link{Delay: 200 * time.Millisecond})
 		}
 		time.Sleep(4 * time.Second)
 		y.pressed(ids.Prefill, 6)
--- a/proxy/wish.go
+++ b/internal/proxy/wish.go
@@ -5,9 +5,9 @@
 package proxy
 
 import (
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/whim"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/routing"
 )
 
 // wish gives the workers that the program in charge has turned, else the built-in choice.
@@ -28,16 +28,16 @@
 	}
 	now := n.now()
 	// Both parts are pressed from the same press on.
-	p := &whim.Pool{Model: svc.Name, Since: now.Since(d.last),
+	p := &routing.Pool{Model: svc.Name, Since: now.Since(d.last),
 		Press: map[ids.Part]float64{ids.Prefill: min(1, d.read*pressEmit/pressRead), ids.Decode: min(1, d.emit)}}
 	for _, r := range rows {
 		at, was := d.turned[r.w.ID]
-		p.Workers = append(p.Workers, whim.Turner{ID: r.w.ID, Zone: r.w.Zone, Part: r.Part, Home: r.Part, Busy: r.Running + r.Waiting, Work: r.Running,
+		p.Workers = append(p.Workers, routing.Turner{ID: r.w.ID, Zone: r.w.Zone, Part: r.Part, Home: r.Part, Busy: r.Running + r.Waiting, Work: r.Running,
 			Cap: svc.Slots, Free: max(0, r.Room-r.Used), Room: r.Room, May: count[r.Part] > least(len(rows)) && (!was || now.Past(at, dwell))})
 	}
-	var own whim.Wish
+	var own routing.Wish
 	if len(some) > 0 {
-		own = whim.Wish{Worker: some[0].w.ID, To: to}
+		own = routing.Wish{Worker: some[0].w.ID, To: to}
 	}
 	w, ok, ruled := deal.Deck.Wish(p, own, len(some) > 0)
 	switch {
--- a/router/audit.go
+++ b/internal/router/audit.go
@@ -10,13 +10,13 @@
 	"strings"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/workerclient"
 )
 
 // saw notes a step that was cleared.
--- a/router/beats.go
+++ b/internal/router/beats.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/workerclient"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
-	"keelstair.example/workerclient"
 )
 
 // currentSpan is no more than the wait for silent nodes and the quarter second in
@@ -56,7 +56,7 @@
 // one that is silent keeps nobody from being asked.
 func (n *Node) beats(ctx context.Context) {
 	var rounds sync.WaitGroup
-	for seam.Sleep(ctx, n.opt.Beat) {
+	for host.Sleep(ctx, n.opt.Beat) {
 		b := n.beat()
 		n.note(b, 0)
 		asked := n.now()
@@ -175,7 +175,7 @@
 			n.roster.Store(&all)
 			n.listed.Store(int64(n.now()))
 		}
-		if !seam.Sleep(ctx, n.opt.Roster) {
+		if !host.Sleep(ctx, n.opt.Roster) {
 			return
 		}
 	}
--- a/router/beats_test.go
+++ b/internal/router/beats_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host/simulated"
+	"keelstair.example/internal/fleetstate"
 	"keelstair.example/logging"
 	"keelstair.example/rpc"
-	"keelstair.example/seam/sham"
 )
 
 // TestCurrentByAnswers: with the core away, a neighbour that beats by itself may tell of a
@@ -24,7 +24,7 @@
 func TestCurrentByAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		w := sham.NewWorld(1)
+		w := simulated.NewWorld(1)
 		near, at := w.Machine("10.0.0.1").Start(), w.Machine("10.0.0.2").Start()
 		defer func() { stop(); near.Kill(); at.Kill(); time.Sleep(10 * time.Second) }()
 		b := coordination.Member{Node: "b", Addr: "10.0.0.1:1"}
@@ -74,7 +74,7 @@
 		t.Run(slow.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(context.Background())
-				w := sham.NewWorld(1)
+				w := simulated.NewWorld(1)
 				near, at, away := w.Machine("10.0.0.1").Start(), w.Machine("10.0.0.2").Start(), w.Machine("10.0.0.3").Start()
 				defer func() { stop(); near.Kill(); at.Kill(); away.Kill(); time.Sleep(10 * time.Second) }()
 				b, c := coordination.Member{Node: "b", Addr: "10.0.0.1:1"}, coordination.Member{Node: "c", Addr: "10.0.0.3:1"}
--- a/router/debt.go
+++ b/internal/router/debt.go
@@ -12,9 +12,9 @@
 
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
+	"keelstair.example/internal/fleetstate"
 )
 
 type debt struct {
@@ -44,7 +44,7 @@
 }
 
 func (n *Node) payer(ctx context.Context) {
-	for seam.Sleep(ctx, 250*time.Millisecond) {
+	for host.Sleep(ctx, 250*time.Millisecond) {
 		for _, d := range n.debts.all() {
 			if !n.pay(ctx, d) {
 				n.debts.add(d)
--- a/router/augur/augur.go
+++ b/internal/router/forecast/forecast.go
@@ -1,7 +1,7 @@
-// Package augur works out what a change would move, before it is made: workers,
+// Package forecast works out what a change would move, before it is made: workers,
 // keys, room, shares of traffic, and whether the core still decides. It only
 // reads; the state it is given is the live one, as a node shows it.
-package augur
+package forecast
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/router"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/router"
 )
 
 // Change is what may be done; one of its fields is set.
--- a/router/augur/augur_test.go
+++ b/internal/router/forecast/forecast_test.go
@@ -1,6 +1,6 @@
 // The planner against a small fleet that is known by heart.
 
-package augur
+package forecast
 
 import (
 	"testing"
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/router"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/router"
 )
 
 func fixture() (*router.Standing, *fleetstate.Policy) {
--- a/router/augur/regimes.go
+++ b/internal/router/forecast/regimes.go
@@ -1,17 +1,17 @@
 // What a change would leave of the certified workers and nodes of each regime.
 
-package augur
+package forecast
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"keelstair.example/certification"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/router"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/router"
 )
 
 // soon is how far ahead ends of certificates are warned of with any plan.
--- a/router/augur/regimes_test.go
+++ b/internal/router/forecast/regimes_test.go
@@ -1,6 +1,6 @@
 // Plans that would leave a regime short.
 
-package augur
+package forecast
 
 import (
 	"slices"
@@ -9,9 +9,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
 	"keelstair.example/ids"
+	"keelstair.example/internal/certification"
 )
 
 // TestShort: before a drain, a revocation, an expiry, an evacuation or the loss of a
--- a/router/govern.go
+++ b/internal/router/govern.go
@@ -7,12 +7,12 @@
 	"context"
 	"time"
 
-	"keelstair.example/certification"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
-	"keelstair.example/handoff"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
 )
 
 // guardEvery is how often a running step is held against the register.
@@ -79,7 +79,7 @@
 	}
 	ctx, stop := context.WithCancelCause(ctx)
 	go func() {
-		for seam.Sleep(ctx, guardEvery) {
+		for host.Sleep(ctx, guardEvery) {
 			_, err := h.n.allows(h.regime, w, part)
 			if err == nil && source != "" {
 				_, err = h.n.allows(h.regime, source, ids.Prefill)
--- a/router/hands.go
+++ b/internal/router/hands.go
@@ -9,13 +9,13 @@
 
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
-	"keelstair.example/handoff"
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/routing"
+	"keelstair.example/internal/workerclient"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
-	"keelstair.example/whim"
-	"keelstair.example/workerclient"
 )
 
 // hands act for one request under the sight it began with; whether a worker may
@@ -23,7 +23,7 @@
 type hands struct {
 	n      *Node
 	sight  *fleetstate.Sight
-	deck   *whim.Deck
+	deck   *routing.Deck
 	prefix uint64
 	picked ids.Version
 	kind   string
@@ -34,12 +34,12 @@
 	begun  bool // its first row stands
 }
 
-func (h *hands) Pick(q *whim.Question, on workerclient.Model, shun map[ids.WorkerID]bool) []handoff.Picked {
+func (h *hands) Pick(q *routing.Question, on workerclient.Model, shun map[ids.WorkerID]bool) []handoff.Picked {
 	n := h.n
 	// While a newer version is heard of and not had yet, or could not be heard of,
 	// picks are held.
 	for end := n.now().Add(time.Second); !n.sure(); {
-		if !n.now().Before(end) || !seam.Sleep(context.Background(), 20*time.Millisecond) {
+		if !n.now().Before(end) || !host.Sleep(context.Background(), 20*time.Millisecond) {
 			return nil
 		}
 	}
@@ -54,7 +54,7 @@
 		return err == nil
 	}
 	by := map[ids.WorkerID]handoff.Picked{}
-	var list, last []whim.Candidate
+	var list, last []routing.Candidate
 	both := map[string]map[ids.Part]bool{}
 	for id, st := range *n.stands.Load() {
 		w, ok := s.Policy.Workers[id]
@@ -79,7 +79,7 @@
 			continue
 		}
 		by[id] = handoff.Picked{ID: id, Model: m, Block: st.Block, Life: st.Life}
-		c := whim.Candidate{ID: id, Zone: w.Zone, Weights: w.Weights, Adapters: w.Adapters, Free: st.Free, Room: st.Room, Busy: st.Busy, Cap: st.Cap, Affinity: whim.Affinity(h.prefix, id)}
+		c := routing.Candidate{ID: id, Zone: w.Zone, Weights: w.Weights, Adapters: w.Adapters, Free: st.Free, Room: st.Room, Busy: st.Busy, Cap: st.Cap, Affinity: routing.Affinity(h.prefix, id)}
 		if shun[id] || n.blamed(id) {
 			last = append(last, c)
 		} else {
@@ -188,7 +188,7 @@
 				return true
 			}
 		}
-		if !n.now().Before(end) || !seam.Sleep(ctx, 150*time.Millisecond) {
+		if !n.now().Before(end) || !host.Sleep(ctx, 150*time.Millisecond) {
 			return false
 		}
 	}
--- a/router/holder.go
+++ b/internal/router/holder.go
@@ -11,12 +11,12 @@
 	"time"
 
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
-	"keelstair.example/handoff"
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/workerclient"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
-	"keelstair.example/workerclient"
 )
 
 // desk is the duty for one worker under one grant.
@@ -72,7 +72,7 @@
 			}
 			return true
 		})
-		if !seam.Sleep(ctx, 50*time.Millisecond) {
+		if !host.Sleep(ctx, 50*time.Millisecond) {
 			break
 		}
 	}
@@ -95,7 +95,7 @@
 				d.ledger.Missed()
 			}
 		}
-		if !seam.Sleep(ctx, n.opt.Poll) {
+		if !host.Sleep(ctx, n.opt.Poll) {
 			return
 		}
 	}
@@ -226,7 +226,7 @@
 		if !failure.Is(err, failure.Away) {
 			return a, err
 		}
-		if q.Verb == verbReserve || q.Verb == verbDone || !seam.Sleep(ctx, 60*time.Millisecond) {
+		if q.Verb == verbReserve || q.Verb == verbDone || !host.Sleep(ctx, 60*time.Millisecond) {
 			return nil, failure.As(err, failure.Bounced, q.Verb, string(q.Worker))
 		}
 	}
--- a/router/node.go
+++ b/internal/router/node.go
@@ -10,16 +10,16 @@
 	"sync/atomic"
 	"time"
 
-	"keelstair.example/api"
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
-	"keelstair.example/handoff"
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/routing"
+	"keelstair.example/internal/workerclient"
 	"keelstair.example/logging"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
-	"keelstair.example/whim"
-	"keelstair.example/workerclient"
 )
 
 // Options of a node; zero spans take the defaults named beside them.
@@ -29,7 +29,7 @@
 	Zone     ids.Zone
 	Seeds    []string
 	Platform string
-	Host     seam.Host
+	Host     host.Host
 	Ring     *logging.Ring
 	Lease    time.Duration // 3s
 	Renew    time.Duration // 500ms
@@ -63,11 +63,11 @@
 	workerClient *workerclient.Client
 	call         *rpc.Caller
 	web          *http.Client // for what is passed on
-	scores       *whim.Scores
+	scores       *routing.Scores
 	journal      *logging.Journal[handoff.Event]
 	counts       Counts
 
-	decks    sync.Map // ids.Version -> *whim.Deck
+	decks    sync.Map // ids.Version -> *routing.Deck
 	roster   atomic.Pointer[map[ids.WorkerID]workerclient.Listed]
 	listed   atomic.Int64 // when the roster was had
 	stands   atomic.Pointer[map[ids.WorkerID]Stand]
@@ -93,7 +93,7 @@
 // It starts nothing.
 func New(opt Options) *Node {
 	opt.fill()
-	n := &Node{opt: opt, scores: &whim.Scores{}, journal: logging.NewJournal[handoff.Event](1024)}
+	n := &Node{opt: opt, scores: &routing.Scores{}, journal: logging.NewJournal[handoff.Event](1024)}
 	n.me = coordination.Member{Node: ids.NodeID(opt.Name + "-" + coordination.Name()), Addr: opt.Addr, Zone: opt.Zone}
 	n.view = fleetstate.NewView(opt.Ring)
 	n.view.Ready = n.compile
@@ -152,7 +152,7 @@
 	n.stopping.Store(true)
 	if drain > 0 {
 		for end := n.now().Add(drain); n.inflight.Load() > 0 && n.now().Before(end); {
-			seam.Sleep(inner, 50*time.Millisecond)
+			host.Sleep(inner, 50*time.Millisecond)
 		}
 		n.agent.Leave()
 	}
@@ -167,7 +167,7 @@
 	deck, err := p.Deck(n.scores)
 	if err != nil {
 		n.opt.Ring.Error().AnErr("cause", err).Uint64("version", uint64(v)).Msg("programs do not compile; the plain order serves")
-		deck, _ = whim.NewDeck(nil, 0, n.scores)
+		deck, _ = routing.NewDeck(nil, 0, n.scores)
 	}
 	n.decks.Store(v, deck)
 	n.decks.Range(func(k, _ any) bool {
--- a/router/operate.go
+++ b/internal/router/operate.go
@@ -12,15 +12,15 @@
 	"sort"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
-	"keelstair.example/handoff"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
-	"keelstair.example/whim"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/routing"
 )
 
 // Apply checks the whole configuration before anything is written; then the
@@ -34,7 +34,7 @@
 	}
 	if a.Partial {
 		s := n.view.Sight()
-		for wait := 0; uint64(s.Version) < a.Base && wait < 40 && seam.Sleep(ctx, 50*time.Millisecond); wait++ {
+		for wait := 0; uint64(s.Version) < a.Base && wait < 40 && host.Sleep(ctx, 50*time.Millisecond); wait++ {
 			s = n.view.Sight()
 		}
 		if uint64(s.Version) != a.Base {
@@ -95,7 +95,7 @@
 		if n.agent.Seq() >= r.Seq && (!wait || n.view.Sight().Version >= got.Version) {
 			return &api.Applied{Version: uint64(got.Version), Active: true}, nil
 		}
-		if !seam.Sleep(ctx, 25*time.Millisecond) {
+		if !host.Sleep(ctx, 25*time.Millisecond) {
 			break
 		}
 	}
@@ -197,7 +197,7 @@
 	c := &n.counts
 	st.Counts = map[string]int64{"asked": c.Asked.Load(), "done": c.Done.Load(), "bounced": c.Bounced.Load(), "broken": c.Broken.Load(),
 		"unsure": c.Unsure.Load(), "replayed": c.Replayed.Load(), "moved": c.Moved.Load(), "again": c.Again.Load(), "turned": c.Turned.Load(), "passed": c.Passed.Load(), "inflight": n.inflight.Load()}
-	n.scores.Each(func(name string, s *whim.Score) {
+	n.scores.Each(func(name string, s *routing.Score) {
 		st.Programs[name] = map[string]any{"picks": s.Picks.Load(), "fallbacks": s.Fallbacks.Load(), "agreed": s.Agreed.Load(), "turnsAsked": s.Asked.Load(), "turnsWished": s.Wishes.Load(),
 			"done": s.Done.Load(), "broken": s.Broken.Load(), "bounced": s.Bounced.Load(),
 			"firstP50Ms": float64(s.Quantile(0.5)) / 1e6, "firstP99Ms": float64(s.Quantile(0.99)) / 1e6}
--- a/router/pass.go
+++ b/internal/router/pass.go
@@ -9,16 +9,16 @@
 	"net/http"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/workerclient"
 	"keelstair.example/rpc"
-	"keelstair.example/workerclient"
 )
 
 const (
-	passPath   = "/verge/streams"
+	passPath   = "/router/streams"
 	passSilent = 10 * time.Second // no step of a stream is silent for so long
 )
 
--- a/router/regime.go
+++ b/internal/router/regime.go
@@ -8,13 +8,13 @@
 	"net/http"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
 )
 
 // clock gives what the fleet's time may be now.
@@ -51,7 +51,7 @@
 		return nil, n.fate(err)
 	}
 	for !n.view.Sight().Revoked[serial] {
-		if !seam.Sleep(cx, 10*time.Millisecond) {
+		if !host.Sleep(cx, 10*time.Millisecond) {
 			return nil, api.Later(http.StatusGatewayTimeout, "not-everywhere", n.after(), "the revocation is durable and not yet in force everywhere; ask again with the same op")
 		}
 	}
--- a/router/regime_test.go
+++ b/internal/router/regime_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/certification"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
 )
 
 // TestCovered: a worker that is the last of its part cleared for a regime does not turn;
--- a/router/serve.go
+++ b/internal/router/serve.go
@@ -12,15 +12,15 @@
 	"sync/atomic"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
-	"keelstair.example/handoff"
 	"keelstair.example/ids"
-	"keelstair.example/whim"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/routing"
+	"keelstair.example/internal/workerclient"
 )
 
 func (n *Node) after() time.Duration {
@@ -126,17 +126,17 @@
 }
 
 // deck gives the programs of a sight.
-func (n *Node) deck(s *fleetstate.Sight) *whim.Deck {
+func (n *Node) deck(s *fleetstate.Sight) *routing.Deck {
 	if v, ok := n.decks.Load(s.Version); ok {
-		return v.(*whim.Deck)
+		return v.(*routing.Deck)
 	}
-	d, _ := whim.NewDeck(nil, 0, n.scores)
+	d, _ := routing.NewDeck(nil, 0, n.scores)
 	return d
 }
 
-func (n *Node) controller(s *fleetstate.Sight, t *handoff.Task) (*handoff.Controller, *hands, *whim.Score) {
+func (n *Node) controller(s *fleetstate.Sight, t *handoff.Task) (*handoff.Controller, *hands, *routing.Score) {
 	deck := n.deck(s)
-	h := &hands{n: n, sight: s, deck: deck, kind: t.Kind, regime: t.Regime, prefix: whim.Prefix(t.Identity.Prompt, s.Policy.Limits.PrefixTokens)}
+	h := &hands{n: n, sight: s, deck: deck, kind: t.Kind, regime: t.Regime, prefix: routing.Prefix(t.Identity.Prompt, s.Policy.Limits.PrefixTokens)}
 	return &handoff.Controller{Hands: h, Clock: n.opt.Host.Clock, Orphan: n.opt.Orphan, Pulse: n.opt.Pulse, Tell: n.journal.Append}, h,
 		n.scores.Of(deck.For(t.Identity.ID.Request))
 }
@@ -163,7 +163,7 @@
 }
 
 // finish says how a stream ended; only a whole one looks complete.
-func (n *Node) finish(err error, count int, score *whim.Score, out api.Sink) error {
+func (n *Node) finish(err error, count int, score *routing.Score, out api.Sink) error {
 	switch {
 	case err == nil:
 		n.counts.Done.Add(1)
--- a/router/settle.go
+++ b/internal/router/settle.go
@@ -12,16 +12,16 @@
 	"sync"
 	"time"
 
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/workerclient"
 )
 
 func (n *Node) settler(ctx context.Context) {
-	for seam.Sleep(ctx, 300*time.Millisecond) {
+	for host.Sleep(ctx, 300*time.Millisecond) {
 		fence, end, ok := n.agent.Begin(fleetstate.SettleKey)
 		if !ok {
 			continue
@@ -70,7 +70,7 @@
 		a, err := h.Cancel(ctx, d.Worker, workerclient.ID{Request: Request(d.Key), Attempt: 1 << 20})
 		switch {
 		case err != nil:
-			if !seam.Sleep(ctx, 500*time.Millisecond) {
+			if !host.Sleep(ctx, 500*time.Millisecond) {
 				return fleetstate.Unsure, nil
 			}
 		case a.Life != d.Life:
--- a/router/switch.go
+++ b/internal/router/switch.go
@@ -15,14 +15,14 @@
 	"sort"
 	"time"
 
-	"keelstair.example/certification"
 	"keelstair.example/failure"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/routing"
+	"keelstair.example/internal/workerclient"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
-	"keelstair.example/whim"
-	"keelstair.example/workerclient"
 )
 
 const (
@@ -42,7 +42,7 @@
 
 func (n *Node) switcher(ctx context.Context) {
 	pools := map[string]*pool{}
-	for seam.Sleep(ctx, turnEvery) {
+	for host.Sleep(ctx, turnEvery) {
 		s := n.view.Sight()
 		models := map[string]bool{}
 		for _, w := range s.Policy.Workers {
@@ -72,7 +72,7 @@
 }
 
 // pickTurn names a worker that should turn now, if any.
-func (n *Node) pickTurn(s *fleetstate.Sight, model string, p *pool) (whim.Wish, bool) {
+func (n *Node) pickTurn(s *fleetstate.Sight, model string, p *pool) (routing.Wish, bool) {
 	now, dwell := n.now(), s.Policy.Limits.Dwell()
 	by := map[ids.Part][]Stand{}
 	for id, st := range *n.stands.Load() {
@@ -80,18 +80,18 @@
 			by[st.Part] = append(by[st.Part], st)
 		}
 	}
-	view := &whim.Pool{Model: model, Press: p.press, Since: now.Since(p.last)}
+	view := &routing.Pool{Model: model, Press: p.press, Since: now.Since(p.last)}
 	for _, part := range []ids.Part{ids.Prefill, ids.Decode} {
 		list := by[part]
 		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 		p.press[part] += smooth * (press(list) - p.press[part])
 		rest := dwell / 2
-		if whim.Other(part) == p.to {
+		if routing.Other(part) == p.to {
 			rest = dwell / 4
 		}
 		for _, st := range list {
 			w := s.Policy.Workers[st.ID]
-			view.Workers = append(view.Workers, whim.Turner{ID: st.ID, Zone: w.Zone, Part: part, Home: w.Part, Busy: st.Busy, Work: st.Work,
+			view.Workers = append(view.Workers, routing.Turner{ID: st.ID, Zone: w.Zone, Part: part, Home: w.Part, Busy: st.Busy, Work: st.Work,
 				Cap: st.Cap, Free: st.Free, Room: st.Room,
 				May: view.Since >= rest && spare(s, list, st.ID) && covered(s, list, st, n.clock()) && !n.turnedWithin(st.ID, dwell)})
 		}
@@ -105,16 +105,16 @@
 }
 
 // wish asks the programs; with turning off, workers go home one by one.
-func (n *Node) wish(s *fleetstate.Sight, view *whim.Pool) (whim.Wish, bool) {
+func (n *Node) wish(s *fleetstate.Sight, view *routing.Pool) (routing.Wish, bool) {
 	if s.Policy.Switch {
 		return n.deck(s).Turn(view)
 	}
 	for _, to := range []ids.Part{ids.Prefill, ids.Decode} {
-		if w, ok := whim.Idlest(view, to, func(t whim.Turner) bool { return t.Home == to }); ok {
+		if w, ok := routing.Idlest(view, to, func(t routing.Turner) bool { return t.Home == to }); ok {
 			return w, true
 		}
 	}
-	return whim.Wish{}, false
+	return routing.Wish{}, false
 }
 
 // press is the larger of the shares of starts and of room that are in use.
@@ -200,7 +200,7 @@
 				return a, err
 			}
 		}
-		if !seam.Sleep(cx, 100*time.Millisecond) {
+		if !host.Sleep(cx, 100*time.Millisecond) {
 			return nil, failure.New(failure.Bounced, "turn", string(d.id), "it did not drain in %s", turnMost)
 		}
 	}
--- a/router/switch_test.go
+++ b/internal/router/switch_test.go
@@ -10,15 +10,15 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/fleetstate"
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
-	"keelstair.example/seam/sham"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/workerclient"
 )
 
 // stage sets up a node that sees so many workers of each part, this busy.
 func stage(reads, writes, readBusy, writeBusy int) (*Node, *fleetstate.Sight) {
-	n := New(Options{Name: "n", Host: sham.NewWorld(1).Machine("10.0.0.1").Start().Host()})
+	n := New(Options{Name: "n", Host: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host()})
 	s := &fleetstate.Sight{Policy: &fleetstate.Policy{Switch: true, Workers: map[ids.WorkerID]fleetstate.Worker{}, Limits: fleetstate.Limits{DwellMs: 4000}}}
 	stands, roster := map[ids.WorkerID]Stand{}, map[ids.WorkerID]workerclient.Listed{}
 	for i := range reads + writes {
--- a/router/span/span.go
+++ b/internal/router/tracing/tracing.go
@@ -1,7 +1,7 @@
-// Package span writes hand-overs as traces in the OpenTelemetry JSON form, one
+// Package tracing writes hand-overs as traces in the OpenTelemetry JSON form, one
 // line each: a span for the whole hand-over and one for each of its steps. It
 // is a view folded from the node's journal, and off unless a writer is given.
-package span
+package tracing
 
 import (
 	"crypto/sha256"
@@ -15,9 +15,9 @@
 	trace "go.opentelemetry.io/proto/otlp/trace/v1"
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"keelstair.example/handoff"
-	"keelstair.example/seam"
-	"keelstair.example/workerclient"
+	"keelstair.example/host"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/workerclient"
 )
 
 const most = 4096
@@ -27,12 +27,12 @@
 	mu    sync.Mutex
 	node  string
 	out   io.Writer
-	clock seam.Clock
+	clock host.Clock
 	open  map[workerclient.ID][]handoff.Event
 }
 
 // New returns a writer of traces for a node, by its name. Ticks become wall time by the clock.
-func New(out io.Writer, node string, clock seam.Clock) *Writer {
+func New(out io.Writer, node string, clock host.Clock) *Writer {
 	return &Writer{out: out, node: node, clock: clock, open: map[workerclient.ID][]handoff.Event{}}
 }
 
@@ -91,7 +91,7 @@
 }
 
 func (w *Writer) trace(id workerclient.ID, rows []handoff.Event) *trace.TracesData {
-	scope := &trace.ScopeSpans{Scope: &common.InstrumentationScope{Name: "keelstair.example/handoff"}}
+	scope := &trace.ScopeSpans{Scope: &common.InstrumentationScope{Name: "keelstair.example/internal/handoff"}}
 	res := &trace.ResourceSpans{ScopeSpans: []*trace.ScopeSpans{scope},
 		Resource: &resource.Resource{Attributes: []*common.KeyValue{text("service.name", "keelstair"), text("service.instance.id", w.node)}}}
 	// Ticks become wall time by what the clocks show now.
--- a/router/span/span_test.go
+++ b/internal/router/tracing/tracing_test.go
@@ -1,6 +1,6 @@
 // The shape of a trace.
 
-package span
+package tracing
 
 import (
 	"bytes"
@@ -10,16 +10,16 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/handoff"
-	"keelstair.example/seam/sham"
-	"keelstair.example/workerclient"
+	"keelstair.example/host/simulated"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/workerclient"
 )
 
 // TestSpans: one line a hand-over, one span a step, all under one parent, and a
 // dropped one is marked with its reason.
 func TestSpans(t *testing.T) {
 	var out bytes.Buffer
-	clock := sham.NewWorld(1).Machine("10.0.0.1").Start().Host().Clock
+	clock := simulated.NewWorld(1).Machine("10.0.0.1").Start().Host().Clock
 	w := New(&out, "n1", clock)
 	id := workerclient.ID{Request: "r", Attempt: 2}
 	for i, s := range []handoff.Stage{handoff.Granted, handoff.Prefilled, handoff.Exported, handoff.Imported, handoff.Dropped} {
--- a/whim/deck.go
+++ b/internal/routing/deck.go
@@ -1,7 +1,7 @@
 // A deck is the programs of one version of the policy, with their shares. The
 // scores outlive decks, so that a program is compared across swaps.
 
-package whim
+package routing
 
 import (
 	"hash/fnv"
--- a/whim/programs.go
+++ b/internal/routing/programs.go
@@ -1,6 +1,6 @@
 // The programs that come with keelstair.
 
-package whim
+package routing
 
 import "embed"
 
--- a/whim/whim.go
+++ b/internal/routing/routing.go
@@ -1,8 +1,8 @@
-// Package whim runs routing programs: rival ideas of which worker should take a
+// Package routing runs routing programs: rival ideas of which worker should take a
 // piece of work. A program only orders candidates that the controller has
 // already cleared, so no program can break a promise; one that fails, runs too
 // long or names strangers falls back to the built-in order and is counted.
-package whim
+package routing
 
 import (
 	"sort"
--- a/whim/whim_test.go
+++ b/internal/routing/routing_test.go
@@ -1,6 +1,6 @@
 // Programs that ship, programs that are hostile, shares and shadows.
 
-package whim
+package routing
 
 import (
 	"fmt"
--- a/whim/star.go
+++ b/internal/routing/star.go
@@ -1,7 +1,7 @@
 // Starlark programs: short, without loops that never end (steps are counted),
 // without state between calls (globals are frozen), and deterministic.
 
-package whim
+package routing
 
 import (
 	"errors"
--- a/whim/turn.go
+++ b/internal/routing/turn.go
@@ -2,7 +2,7 @@
 // may turn at all (dwell, the last of a part or of its weights, a second zone) was
 // decided before, and only those that may can be named.
 
-package whim
+package routing
 
 import (
 	"time"
--- a/whim/turn_test.go
+++ b/internal/routing/turn_test.go
@@ -1,6 +1,6 @@
 // The matching and the turning part of programs, and what they cannot do.
 
-package whim
+package routing
 
 import (
 	"testing"
--- a/creed/creed.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package creed reads settings: a JSON file first, flags over it, and then a
+// Package settings reads settings: a JSON file first, flags over it, and then a
 // check that names the field that is off.
-package creed
+package settings
 
 import (
 	"encoding/json"
--- a/creed/creed_test.go
+++ b/internal/settings/settings_test.go
@@ -1,6 +1,6 @@
 // Settings: what stands over what, and that every fault names its field.
 
-package creed
+package settings
 
 import (
 	"os"
--- a/simulation/back_test.go
+++ b/internal/simulation/back_test.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"keelstair.example/coordination"
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/router"
-	"keelstair.example/seam"
-	"keelstair.example/standin"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/standin"
 )
 
 // backs gives the spans by kind and by zone of the door. Zones that were emptied, or
@@ -30,7 +30,7 @@
 	}
 	zones := map[string]ids.Zone{}
 	serves := map[ids.Zone]bool{}
-	for _, b := range c.Of("verge") {
+	for _, b := range c.Of("router") {
 		zones[b.Door] = b.Zone
 		serves[b.Zone] = serves[b.Zone] || b.Up
 	}
@@ -55,7 +55,7 @@
 // notes what the nodes have in force, until the context ends.
 func (c *Cluster) watch(ctx context.Context, most *time.Duration) {
 	last := time.Now()
-	for seam.Sleep(ctx, 20*time.Millisecond) {
+	for host.Sleep(ctx, 20*time.Millisecond) {
 		now := time.Now()
 		led := false
 		c.cores.Range(func(k, _ any) bool {
--- a/simulation/book_test.go
+++ b/internal/simulation/book_test.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"keelstair.example/handoff"
 	"keelstair.example/ids"
-	"keelstair.example/router"
-	"keelstair.example/standin"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/standin"
 )
 
 // Mark is a thing the script did, with when it was known to be done.
