--- a/simulation/bureau_test.go
+++ b/internal/simulation/bureau_test.go
@@ -10,13 +10,13 @@
 	"sync"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
-	"keelstair.example/handoff"
 	"keelstair.example/ids"
-	"keelstair.example/router"
-	"keelstair.example/standin"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/standin"
 )
 
 // Uncertified is the line of what must never happen to governed work.
@@ -119,7 +119,7 @@
 		return err
 	}
 	if !b.c.Until(10*time.Second, func() bool {
-		for _, box := range running(b.c, "verge") {
+		for _, box := range running(b.c, "router") {
 			if g := box.Node.Regimes(); g.High == 0 || len(g.Regimes) == 0 || len(g.Regimes[0].Short) > 0 {
 				return false
 			}
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// Revoke ends a certificate as edict does, until it is acknowledged.
+// Revoke ends a certificate as keelstairctl does, until it is acknowledged.
 func (b *Bureau) Revoke(serial string) error {
 	op, begun := coordination.Name(), b.c.Book.Now()
 	var err error
@@ -241,6 +241,6 @@
 }
 
 // usual certifies three of each part and four of the nodes.
-func (b *Bureau) usual() { b.certify(append(upTo("p", 3), upTo("d", 3)...), upTo("verge-", 4)) }
+func (b *Bureau) usual() { b.certify(append(upTo("p", 3), upTo("d", 3)...), upTo("router-", 4)) }
 
 func holds(b *Box) []ids.Key { return b.Node.Status().(*router.Standing).Holds }
--- a/simulation/chamber_test.go
+++ b/internal/simulation/chamber_test.go
@@ -15,11 +15,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
 	"keelstair.example/ids"
-	"keelstair.example/standin"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/standin"
+	"keelstair.example/internal/workerclient"
 )
 
 // Sitting is one script over the chamber.
@@ -67,7 +67,7 @@
 	}},
 	{"worker-joins", func(c *Cluster, b *Bureau, r *rand.Rand) error {
 		// The fourth pair, so far uncertified, is certified under load.
-		b.certify([]string{"p4", "d4"}, []string{"verge-5"})
+		b.certify([]string{"p4", "d4"}, []string{"router-5"})
 		return alter(c, "join", partOf(map[string]any{"certificates": b.certs}))
 	}},
 	{"zone-lost", func(c *Cluster, b *Bureau, r *rand.Rand) error {
@@ -93,11 +93,11 @@
 			}
 			pause(r)
 		}
-		return b.Revoke("c-verge-" + strconv.Itoa(1+r.IntN(4)))
+		return b.Revoke("c-router-" + strconv.Itoa(1+r.IntN(4)))
 	}},
 	{"revoked-while-cut", func(c *Cluster, b *Bureau, r *rand.Rand) error {
-		box := node(c, "verge-"+strconv.Itoa(1+r.IntN(4)))
-		mates := append(ips(c.Of("tenet")...), ips(c.Of("verge")...)...)
+		box := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
+		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 		c.World.Sever(ips(box), mates, true)
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
 		err := b.Revoke("c-" + certifiedBox(c, r, "d").Name)
@@ -120,8 +120,8 @@
 		if err := errors.Join(b.Revoke("c-d1"), b.Revoke("c-p1")); err != nil {
 			return err
 		}
-		box := node(c, "verge-"+strconv.Itoa(1+r.IntN(4)))
-		mates := append(ips(c.Of("tenet")...), ips(c.Of("verge")...)...)
+		box := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
+		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 		time.Sleep(time.Duration(1500+r.IntN(1000)) * time.Millisecond)
 		c.World.Sever(ips(box), mates, true)
 		time.Sleep(5 * time.Second)
@@ -141,7 +141,7 @@
 	{"operators-race", func(c *Cluster, b *Bureau, r *rand.Rand) error {
 		var wg sync.WaitGroup
 		errs := make([]error, 4)
-		for i, serial := range []string{"c-d1", "c-d1", "c-p1", "c-verge-1"} {
+		for i, serial := range []string{"c-d1", "c-d1", "c-p1", "c-router-1"} {
 			wg.Go(func() {
 				pause(r)
 				errs[i] = b.Revoke(serial)
@@ -154,7 +154,7 @@
 	}},
 	{"clocks-leap", func(c *Cluster, b *Bureau, r *rand.Rand) error {
 		for range 3 {
-			hit(r, append(c.Of("verge"), c.Of("tenet")...)).Machine.Leap(time.Duration(r.IntN(1000)) * time.Hour)
+			hit(r, append(c.Of("router"), c.Of("controller")...)).Machine.Leap(time.Duration(r.IntN(1000)) * time.Hour)
 			time.Sleep(2 * time.Second)
 		}
 		return nil
--- a/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/ids"
-	"keelstair.example/router"
-	"keelstair.example/standin"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/standin"
+	"keelstair.example/internal/workerclient"
 )
 
 type fake map[string]standin.Tally
--- a/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -1,5 +1,5 @@
 // Package simulation runs whole fleets in one process, on the simulated machines of
-// seam/sham and the real HTTP and connect-go stacks, breaks them as a seed says,
+// host/simulated and the real HTTP and connect-go stacks, breaks them as a seed says,
 // and holds what was recorded against every line of what must never happen.
 // This file builds a fleet; it is meant for a testing/synctest bubble.
 package simulation
@@ -13,18 +13,18 @@
 	"sync"
 	"time"
 
-	"keelstair.example/api"
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
-	"keelstair.example/handoff"
+	"keelstair.example/host"
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/standin"
+	"keelstair.example/internal/workerclient"
 	"keelstair.example/logging"
-	"keelstair.example/router"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
-	"keelstair.example/seam/sham"
-	"keelstair.example/standin"
-	"keelstair.example/workerclient"
 )
 
 // Box is one machine of the fleet with its process.
@@ -34,22 +34,22 @@
 	Zone    ids.Zone
 	Addr    string
 	Door    string
-	Machine *sham.Machine
+	Machine *simulated.Machine
 	Core    *coordination.Core
 	Node    *router.Node
 	Worker  *standin.Worker
 	Up      bool
 	Leave   context.CancelFunc // a node's SIGTERM
 
-	mu    seam.Latch // of what begins and ends it
-	proc  *sham.Proc
+	mu    host.Latch // of what begins and ends it
+	proc  *simulated.Proc
 	stop  context.CancelFunc
-	begin func(b *Box, ctx context.Context, host seam.Host) error
+	begin func(b *Box, ctx context.Context, host host.Host) error
 }
 
 // Cluster is a fleet.
 type Cluster struct {
-	World    *sham.World
+	World    *simulated.World
 	Site     standin.Site
 	Boxes    []*Box
 	Platform *standin.Platform
@@ -68,13 +68,13 @@
 	cores sync.Map   // *coordination.Core, every one that was started
 	nodes sync.Map   // *router.Node -> name, likewise
 	mu    sync.Mutex // of Boxes
-	out   *sham.Proc
+	out   *simulated.Proc
 	web   *http.Client
 }
 
 // Build sets up a site's fleet and starts all of it but the load.
 func Build(seed uint64, site standin.Site, tune func(*Cluster)) *Cluster {
-	c := &Cluster{World: sham.NewWorld(seed), Site: site, Book: NewBook()}
+	c := &Cluster{World: simulated.NewWorld(seed), Site: site, Book: NewBook()}
 	c.base, c.shut = context.WithCancel(context.Background())
 	if tune != nil {
 		tune(c)
@@ -89,10 +89,10 @@
 		c.Seeds = append(c.Seeds, fmt.Sprintf("10.1.0.%d:700", i+1))
 	}
 	for i, a := range c.Seeds {
-		c.add(c.Tenet(fmt.Sprintf("tenet-%d", i+1), a, site.Zones[i%len(site.Zones)]))
+		c.add(c.Tenet(fmt.Sprintf("controller-%d", i+1), a, site.Zones[i%len(site.Zones)]))
 	}
 	for i := range site.Nodes {
-		c.add(c.Verge(fmt.Sprintf("verge-%d", i+1), fmt.Sprintf("10.2.0.%d", i+1), site.Zones[i%len(site.Zones)]))
+		c.add(c.Verge(fmt.Sprintf("router-%d", i+1), fmt.Sprintf("10.2.0.%d", i+1), site.Zones[i%len(site.Zones)]))
 	}
 	for i, id := range site.Names() {
 		c.add(c.Stand(id, site.Worker(i), fmt.Sprintf("10.3.0.%d", i+1)))
@@ -101,7 +101,7 @@
 }
 
 func (c *Cluster) add(b *Box) *Box {
-	b.mu = seam.NewLatch()
+	b.mu = host.NewLatch()
 	c.mu.Lock()
 	c.Boxes = append(c.Boxes, b)
 	c.mu.Unlock()
@@ -109,7 +109,7 @@
 	return b
 }
 
-func (c *Cluster) serve(ctx context.Context, host seam.Host, addr string, h http.Handler) error {
+func (c *Cluster) serve(ctx context.Context, host host.Host, addr string, h http.Handler) error {
 	l, err := host.Net.Listen(addr)
 	if err != nil {
 		return err
@@ -128,8 +128,8 @@
 // Tenet describes a disk machine.
 func (c *Cluster) Tenet(name, addr string, zone ids.Zone) *Box {
 	ip := addr[:len(addr)-4]
-	return &Box{Name: name, Kind: "tenet", Zone: zone, Addr: addr, Machine: c.World.Machine(ip),
-		begin: func(b *Box, ctx context.Context, host seam.Host) error {
+	return &Box{Name: name, Kind: "controller", Zone: zone, Addr: addr, Machine: c.World.Machine(ip),
+		begin: func(b *Box, ctx context.Context, host host.Host) error {
 			core, err := coordination.New(coordination.Options{Addr: addr, Zone: zone, Host: host, Seeds: c.Seeds, Ring: c.ring(name),
 				Machine: func() coordination.Machine {
 					return fleetstate.NewMachine(fleetstate.MachineOptions{Depth: c.Depth, Wall: host.Clock.Wall})
@@ -148,8 +148,8 @@
 
 // Verge describes a router node.
 func (c *Cluster) Verge(name, ip string, zone ids.Zone) *Box {
-	return &Box{Name: name, Kind: "verge", Zone: zone, Addr: ip + ":701", Door: ip + ":80", Machine: c.World.Machine(ip),
-		begin: func(b *Box, ctx context.Context, host seam.Host) error {
+	return &Box{Name: name, Kind: "router", Zone: zone, Addr: ip + ":701", Door: ip + ":80", Machine: c.World.Machine(ip),
+		begin: func(b *Box, ctx context.Context, host host.Host) error {
 			n := router.New(router.Options{Name: name, Addr: b.Addr, Zone: zone, Seeds: c.Seeds, Platform: "10.8.0.1:80", Host: host,
 				Ring: c.ring(name), Trace: func(e handoff.Event) {
 					c.Book.Step(name, e, b.Node.View().Sight().Version)
@@ -177,7 +177,7 @@
 // Stand describes a stand-in worker.
 func (c *Cluster) Stand(id ids.WorkerID, w fleetstate.Worker, ip string) *Box {
 	return &Box{Name: string(id), Kind: "worker", Zone: w.Zone, Addr: ip + ":90", Machine: c.World.Machine(ip),
-		begin: func(b *Box, ctx context.Context, host seam.Host) error {
+		begin: func(b *Box, ctx context.Context, host host.Host) error {
 			opt := standin.WorkerOptions{ID: id, Addr: b.Addr, Part: w.Part, Room: w.Room, Block: w.Block, Host: host,
 				Model: workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters}}
 			// Slow enough that a breakdown finds work in flight.
@@ -251,9 +251,9 @@
 	return out
 }
 
-// Leader is the tenet that leads, or nil.
+// Leader is the controller that leads, or nil.
 func (c *Cluster) Leader() *Box {
-	for _, b := range c.Of("tenet") {
+	for _, b := range c.Of("controller") {
 		if b.Up && b.Core.Leads() {
 			return b
 		}
@@ -291,7 +291,7 @@
 		return err
 	}
 	if !c.Until(10*time.Second, func() bool {
-		for _, b := range c.Of("verge") {
+		for _, b := range c.Of("router") {
 			if ok, _ := b.Node.Ready(); b.Up && !ok {
 				return false
 			}
@@ -314,10 +314,10 @@
 	return c.Operate(path, &api.Mark{Op: op, Out: out}, nil)
 }
 
-// Operate asks the doors of the nodes that are up, as edict does.
+// Operate asks the doors of the nodes that are up, as keelstairctl does.
 func (c *Cluster) Operate(path string, in, out any) error {
 	var doors []string
-	for _, b := range running(c, "verge") {
+	for _, b := range running(c, "router") {
 		doors = append(doors, b.Door)
 	}
 	cx, stop := context.WithTimeout(c.base, 8*time.Second)
--- a/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -14,9 +14,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/fleetstate"
-	"keelstair.example/standin"
-	"keelstair.example/whim"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/routing"
+	"keelstair.example/internal/standin"
 )
 
 // compared are the programs named in KEELSTAIR_COMPARE, or all.
@@ -24,7 +24,7 @@
 	if list := os.Getenv("KEELSTAIR_COMPARE"); list != "1" {
 		return strings.Split(list, ",")
 	}
-	return []string{whim.PlainName, "free", "prefix", "short"}
+	return []string{routing.PlainName, "free", "prefix", "short"}
 }
 
 // TestCompare measures the routing programs against each other: each alone, on
@@ -41,8 +41,8 @@
 					synctest.Test(t, func(t *testing.T) {
 						site := standin.Sites[name]
 						c := Build(seed, site, func(c *Cluster) {
-							if prog != whim.PlainName {
-								c.Programs = map[string]fleetstate.Program{prog: {Source: whim.Shipped(prog), Share: 100}}
+							if prog != routing.PlainName {
+								c.Programs = map[string]fleetstate.Program{prog: {Source: routing.Shipped(prog), Share: 100}}
 							}
 						})
 						defer c.Close()
--- a/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
+	"keelstair.example/host"
 	"keelstair.example/ids"
-	"keelstair.example/seam"
-	"keelstair.example/standin"
+	"keelstair.example/internal/standin"
 )
 
 // act is one thing that happens. Acts of the same turn wait for one another.
@@ -60,8 +60,8 @@
 	{"leader killed", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		return cycle(c, leader(c), span(r, 200, 4000), false)
 	}},
-	{"a tenet's power lost", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
-		return cycle(c, hit(r, running(c, "tenet")), span(r, 500, 5000), true)
+	{"a controller's power lost", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+		return cycle(c, hit(r, running(c, "controller")), span(r, 500, 5000), true)
 	}},
 	{"leader lost in mid-takeover", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		b := leader(c)
@@ -83,12 +83,12 @@
 		c.PowerOff(b)
 		b.Machine.Wipe()
 		time.Sleep(span(r, 100, 1500))
-		c.add(c.Tenet("tenet-"+op, fmt.Sprintf("10.1.%d.%d:700", 1+r.IntN(200), 1+r.IntN(200)), b.Zone))
+		c.add(c.Tenet("controller-"+op, fmt.Sprintf("10.1.%d.%d:700", 1+r.IntN(200), 1+r.IntN(200)), b.Zone))
 		time.Sleep(9 * time.Second)
 		return nil
 	}},
-	{"every tenet killed at once", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
-		list := running(c, "tenet")
+	{"every controller killed at once", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+		list := running(c, "controller")
 		for _, b := range list {
 			c.Kill(b)
 		}
@@ -101,14 +101,14 @@
 		return nil
 	}},
 	{"a disk stalls", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
-		b := hit(r, running(c, "tenet"))
+		b := hit(r, running(c, "controller"))
 		b.Machine.Stall(true)
 		time.Sleep(span(r, 500, 5000))
 		b.Machine.Stall(false)
 		return nil
 	}},
-	{"a tenet freezes and wakes", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
-		b := hit(r, running(c, "tenet"))
+	{"a controller freezes and wakes", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+		b := hit(r, running(c, "controller"))
 		b.Machine.Freeze(true)
 		time.Sleep(span(r, 500, 5000))
 		b.Machine.Freeze(false)
@@ -117,7 +117,7 @@
 	{"the core is split", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		b := leader(c)
 		var rest []*Box
-		for _, o := range c.Of("tenet") {
+		for _, o := range c.Of("controller") {
 			if o != b {
 				rest = append(rest, o)
 			}
@@ -128,25 +128,25 @@
 		return nil
 	}},
 	{"slow disks", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		for _, b := range c.Of("tenet") {
+		for _, b := range c.Of("controller") {
 			b.Machine.Disk(span(r, 10, 120))
 		}
 		time.Sleep(span(r, 2000, 6000))
-		for _, b := range c.Of("tenet") {
+		for _, b := range c.Of("controller") {
 			b.Machine.Disk(time.Millisecond)
 		}
 		return nil
 	}},
 	{"nodes killed one by one", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 1 + r.IntN(3) {
-			if err := cycle(c, hit(r, c.Of("verge")), span(r, 100, 2500), false); err != nil {
+			if err := cycle(c, hit(r, c.Of("router")), span(r, 100, 2500), false); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
 	{"a node freezes and wakes after its keys went elsewhere", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		b := hit(r, c.Of("verge"))
+		b := hit(r, c.Of("router"))
 		b.Machine.Freeze(true)
 		time.Sleep(span(r, 3500, 6500))
 		b.Machine.Freeze(false)
@@ -154,14 +154,14 @@
 	}},
 	{"clocks leap", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 3 {
-			hit(r, append(c.Of("verge"), c.Of("tenet")...)).Machine.Leap(span(r, 500, 20000))
+			hit(r, append(c.Of("router"), c.Of("controller")...)).Machine.Leap(span(r, 500, 20000))
 			time.Sleep(span(r, 0, 900))
 		}
 		return nil
 	}},
 	{"a node cut from its kind", "links", func(c *Cluster, r *rand.Rand, _ string) error {
-		b := hit(r, c.Of("verge"))
-		mates := append(ips(c.Of("tenet")...), ips(c.Of("verge")...)...)
+		b := hit(r, c.Of("router"))
+		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 		c.World.Sever(ips(b), mates, true)
 		time.Sleep(span(r, 1000, 6000))
 		c.World.Sever(ips(b), mates, false)
@@ -186,7 +186,7 @@
 			b.Worker.Order(standin.Faults{Speed: 60_000 + r.IntN(300_000)})
 		}
 		time.Sleep(span(r, 300, 1200))
-		err := cycle(c, hit(r, c.Of("verge")), span(r, 200, 2500), false)
+		err := cycle(c, hit(r, c.Of("router")), span(r, 200, 2500), false)
 		for _, b := range c.Of("worker") {
 			b.Worker.Order(standin.Faults{})
 		}
@@ -228,7 +228,7 @@
 	{"a zone loses power", "zone", func(c *Cluster, r *rand.Rand, _ string) error {
 		z := hit(r, c.Site.Zones)
 		var gone []*Box
-		for _, b := range append(append(c.Of("tenet"), c.Of("verge")...), c.Of("worker")...) {
+		for _, b := range append(append(c.Of("controller"), c.Of("router")...), c.Of("worker")...) {
 			if b.Zone == z && b.Up {
 				gone = append(gone, b)
 				c.PowerOff(b)
@@ -279,9 +279,9 @@
 		names = append(names, acts[i].name)
 	}
 	return Script{Name: strings.Join(names, " + "), Tune: func(c *Cluster) { c.Slack = 2 * time.Second }, Run: func(c *Cluster, _ *rand.Rand) error {
-		turns := map[string]seam.Latch{}
+		turns := map[string]host.Latch{}
 		for _, a := range acts {
-			turns[a.turn] = seam.NewLatch()
+			turns[a.turn] = host.NewLatch()
 		}
 		done := make(chan error, len(list))
 		for n, i := range list {
--- a/simulation/crowd_test.go
+++ b/internal/simulation/crowd_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/api"
-	"keelstair.example/standin"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/standin"
 )
 
 // TestCrowd: far more callers than the fleet can carry come at once. Whoever is
@@ -46,16 +46,16 @@
 func TestSeedsGone(t *testing.T) {
 	unraced(t)
 	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		for i, b := range append([]*Box(nil), c.Of("tenet")...) {
+		for i, b := range append([]*Box(nil), c.Of("controller")...) {
 			c.PowerOff(b)
 			b.Machine.Wipe()
-			c.add(c.Tenet("tenet-"+string(rune('x'+i)), "10.1.0.3"+string(rune('0'+i))+":700", b.Zone))
+			c.add(c.Tenet("controller-"+string(rune('x'+i)), "10.1.0.3"+string(rune('0'+i))+":700", b.Zone))
 			time.Sleep(9 * time.Second)
 		}
 		require.True(t, c.Until(5*time.Second, func() bool { return c.Leader() != nil }))
-		c.Kill(c.Of("verge")[0])
-		c.Seeds = []string{c.Of("verge")[1].Addr, "10.1.0.1:700", "10.1.0.2:700"}
-		late := c.add(c.Verge("verge-late", "10.2.0.40", c.Site.Zones[0]))
+		c.Kill(c.Of("router")[0])
+		c.Seeds = []string{c.Of("router")[1].Addr, "10.1.0.1:700", "10.1.0.2:700"}
+		late := c.add(c.Verge("router-late", "10.2.0.40", c.Site.Zones[0]))
 		require.True(t, c.Until(6*time.Second, func() bool { ok, _ := late.Node.Ready(); return ok }))
 		require.NoError(t, change(c, "seedless", 2300))
 		all := c.Load(30, 4*time.Second, 9)
--- a/simulation/decree_test.go
+++ b/internal/simulation/decree_test.go
@@ -11,9 +11,9 @@
 	"net/http"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/fleetstate"
 )
 
 // shown gives the newest that any node has in force, once nothing newer is on its way
@@ -21,7 +21,7 @@
 func shown(c *Cluster) *api.Shown {
 	sh := &api.Shown{}
 	c.Until(3*time.Second, func() bool {
-		for _, b := range running(c, "verge") {
+		for _, b := range running(c, "router") {
 			if s := b.Node.Show(); s.Version >= sh.Version {
 				sh = s
 			}
@@ -109,7 +109,7 @@
 // Apart cuts the core from all nodes, or joins them again.
 func (c *Cluster) Apart(on bool) {
 	c.Book.Mark(map[bool]string{true: "apart", false: "joined"}[on], "core")
-	c.World.Sever(ips(c.Of("tenet")...), ips(c.Of("verge")...), on)
+	c.World.Sever(ips(c.Of("controller")...), ips(c.Of("router")...), on)
 }
 
 // apart tells whether the core was cut from all nodes at any time since a moment.
@@ -179,7 +179,7 @@
 		}
 	}
 	c.Book.mu.Unlock()
-	for _, b := range c.Of("verge") {
+	for _, b := range c.Of("router") {
 		if b.Up && !c.Until(5*time.Second, func() bool { return ids.Version(b.Node.Show().Version) >= last }) {
 			f.say(LostLaw, "%s has version %d, version %d was acknowledged", b.Name, b.Node.Show().Version, last)
 		}
--- a/simulation/deed_test.go
+++ b/internal/simulation/deed_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/api"
-	"keelstair.example/router"
-	"keelstair.example/standin"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/standin"
 )
 
 func runsOf(c *Cluster, key string) (runs, records int) {
@@ -35,7 +35,7 @@
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		whole, running := 0, 0
-		for _, b := range c.Of("verge") {
+		for _, b := range c.Of("router") {
 			wg.Go(func() {
 				got, err := c.stream(b, verdict)
 				mu.Lock()
@@ -48,9 +48,9 @@
 			})
 		}
 		wg.Wait()
-		require.Equal(t, len(c.Of("verge")), whole+running)
+		require.Equal(t, len(c.Of("router")), whole+running)
 		require.Positive(t, whole)
-		first, err := c.stream(c.Of("verge")[0], verdict)
+		first, err := c.stream(c.Of("router")[0], verdict)
 		require.NoError(t, err)
 		solo := standin.Solo(verdict.Tokens(), 3, 5, 0, c.Site.Model, standin.SiteWeights, nil)
 		require.Len(t, first, len(solo)+1)
@@ -62,7 +62,7 @@
 		require.Equal(t, []int{1, 1}, []int{runs, records})
 		other := verdict
 		other.Seed++
-		_, err = c.stream(c.Of("verge")[1], other)
+		_, err = c.stream(c.Of("router")[1], other)
 		require.Equal(t, "key-reused", err.(*api.Fault).Name)
 	})
 }
@@ -77,7 +77,7 @@
 		for i := range 12 {
 			ask := verdict
 			ask.Kind, ask.Key = "ruling", "dead"+string(rune('a'+i))
-			b := c.Of("verge")[i%len(c.Of("verge"))]
+			b := c.Of("router")[i%len(c.Of("router"))]
 			done := make(chan struct{})
 			go func() { c.stream(b, ask); close(done) }()
 			time.Sleep(time.Duration(2+i*4) * time.Millisecond)
@@ -86,7 +86,7 @@
 			require.NoError(t, c.Start(b))
 			var last string
 			ok := c.Until(12*time.Second, func() bool {
-				for _, o := range c.Of("verge") {
+				for _, o := range c.Of("router") {
 					if o == b {
 						continue
 					}
@@ -122,7 +122,7 @@
 	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		ask := verdict
 		ask.MaxTokens = 60
-		b := c.Of("verge")[2]
+		b := c.Of("router")[2]
 		go c.stream(b, ask)
 		var w *Box
 		require.True(t, c.Until(3*time.Second, func() bool {
@@ -138,7 +138,7 @@
 		require.NoError(t, c.Start(w))
 		var last string
 		require.True(t, c.Until(12*time.Second, func() bool {
-			_, err := c.stream(c.Of("verge")[0], ask)
+			_, err := c.stream(c.Of("router")[0], ask)
 			if r, ok := err.(*api.Fault); ok {
 				last = r.Name
 			}
--- a/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -12,25 +12,25 @@
 	"sync"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/router"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/router"
 )
 
 // holder is the node that holds the key of a worker.
 func holder(c *Cluster, id ids.WorkerID) *Box {
-	for _, b := range c.Of("verge") {
+	for _, b := range c.Of("router") {
 		if b.Up && slices.Contains(b.Node.Status().(*router.Standing).Holds, fleetstate.WorkerKey(id)) {
 			return b
 		}
 	}
-	return c.Of("verge")[0]
+	return c.Of("router")[0]
 }
 
 // able is a node that holds keys of both parts, so that it could carry a call alone.
 func able(c *Cluster) *Box {
-	for _, b := range c.Of("verge") {
+	for _, b := range c.Of("router") {
 		has := map[byte]bool{}
 		for _, k := range b.Node.Status().(*router.Standing).Holds {
 			if id, ok := strings.CutPrefix(string(k), "worker/"); ok {
@@ -41,7 +41,7 @@
 			return b
 		}
 	}
-	return c.Of("verge")[3]
+	return c.Of("router")[3]
 }
 
 // insist keeps calling at one node's door for three seconds.
@@ -93,7 +93,7 @@
 			kinds[fmt.Sprintf("kind-%d-7", n-3)], workers[fmt.Sprintf("ghost-%d-7", n-3)] = nil, nil
 		}
 		sh := shown(c)
-		b := hit(r, c.Of("verge"))
+		b := hit(r, c.Of("router"))
 		bad := &api.Apply{Op: fmt.Sprint("bad-", n), Base: sh.Version, Partial: true, Source: `{"workers":{"p1":{"room":0}}}`}
 		if err := c.At(b, "/v1/policy", bad, nil); err == nil {
 			return fmt.Errorf("round %d: a bad part was taken", n)
@@ -102,7 +102,7 @@
 			return err
 		}
 		late := &api.Apply{Op: fmt.Sprint("late-", n), Base: sh.Version, Partial: true, Source: `{"limits":{"queue":3}}`}
-		if err := c.At(hit(r, c.Of("verge")), "/v1/policy", late, nil); err == nil {
+		if err := c.At(hit(r, c.Of("router")), "/v1/policy", late, nil); err == nil {
 			return fmt.Errorf("round %d: a part over an old version was taken", n)
 		}
 	}
@@ -138,13 +138,13 @@
 	{Name: "zone-emptied-with-a-holder-cut", Run: func(c *Cluster, r *rand.Rand) error {
 		pause(r)
 		// The node that is cut is also the one that the operator asks first.
-		w, b := hit(r, c.Of("worker")), c.Of("verge")[0]
+		w, b := hit(r, c.Of("worker")), c.Of("router")[0]
 		for _, o := range c.Of("worker") {
 			if holder(c, ids.WorkerID(o.Name)) == b {
 				w = o
 			}
 		}
-		mates := append(ips(c.Of("tenet")...), ips(c.Of("verge")...)...)
+		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 		c.World.Sever(ips(b), mates, true)
 		err := emptied(c, w.Zone, "cut", 7*time.Second)
 		c.World.Sever(ips(b), mates, false)
@@ -179,7 +179,7 @@
 	{Name: "storm-with-a-node-cut-from-its-kind", Run: func(c *Cluster, r *rand.Rand) error {
 		// Callers and workers still reach it; nobody tells it what is new.
 		b := able(c)
-		mates := append(ips(c.Of("tenet")...), ips(c.Of("verge")...)...)
+		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 		for n := range 3 {
 			c.World.Sever(ips(b), mates, true)
 			insist(c, b)
@@ -197,15 +197,15 @@
 	}},
 	{Name: "configuration-grows", Run: grow, Calm: true},
 	{Name: "nodes-stopped-one-by-one", Span: 38 * time.Second, Calm: true, Run: func(c *Cluster, _ *rand.Rand) error {
-		for _, b := range c.Of("verge") {
+		for _, b := range c.Of("router") {
 			if err := stopped(c, b); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
-	{Name: "workers-and-tenets-stopped-one-by-one", Span: 45 * time.Second, Calm: true, Run: func(c *Cluster, r *rand.Rand) error {
-		for _, b := range c.Of("tenet") {
+	{Name: "workers-and-controllers-stopped-one-by-one", Span: 45 * time.Second, Calm: true, Run: func(c *Cluster, r *rand.Rand) error {
+		for _, b := range c.Of("controller") {
 			if err := cycle(c, b, 2*time.Second, false); err != nil {
 				return err
 			}
--- a/simulation/freight_test.go
+++ b/internal/simulation/freight_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/handoff"
 	"keelstair.example/ids"
-	"keelstair.example/standin"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/standin"
+	"keelstair.example/internal/workerclient"
 )
 
 // TestFreight measures, with the size that the design names (256 MiB for 2048 tokens)
--- a/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -12,15 +12,15 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
-	"keelstair.example/handoff"
 	"keelstair.example/ids"
-	"keelstair.example/router"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/standin"
 	"keelstair.example/rpc"
-	"keelstair.example/standin"
 )
 
 // TestHolderChecks: a holder gives no governed order to an uncertified worker, and lets
@@ -33,7 +33,7 @@
 		time.Sleep(2 * time.Second) // ledgers are open by then
 		ask := func(q router.OrderAsk) error {
 			q.Request, q.Attempt, q.Regime = "x", 1, "chair"
-			q.Version = c.Of("verge")[0].Node.View().Sight().Version
+			q.Version = c.Of("router")[0].Node.View().Sight().Version
 			if q.Body == nil {
 				q.Body, _ = json.Marshal(map[string]any{})
 			}
@@ -68,7 +68,7 @@
 		}
 		done := make(chan []api.Line, 1)
 		go func() {
-			got, _ := c.stream(node(c, "verge-1"), ask)
+			got, _ := c.stream(node(c, "router-1"), ask)
 			done <- got
 		}()
 		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Granted)) == 1 }))
@@ -90,7 +90,7 @@
 // first one after the revocation was folded already comes from a certified worker.
 func TestNextPiece(t *testing.T) {
 	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
-		ask, n := long(speech), node(c, "verge-1")
+		ask, n := long(speech), node(c, "router-1")
 		done := make(chan []api.Line, 1)
 		go func() {
 			got, _ := c.stream(n, ask)
@@ -122,9 +122,9 @@
 	inBubble(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		all := c.Load(20, 4*time.Second, 1)
 		require.Equal(t, len(all), standin.Sum(all).Ends[api.Complete])
-		st := c.Of("verge")[0].Node.Status().(*router.Standing)
+		st := c.Of("router")[0].Node.Status().(*router.Standing)
 		require.Zero(t, st.Time)
-		got, err := c.Of("verge")[0].Node.Audits(c.base, 1, 10)
+		got, err := c.Of("router")[0].Node.Audits(c.base, 1, 10)
 		require.NoError(t, err)
 		require.Zero(t, got.Count)
 	})
@@ -153,11 +153,11 @@
 		ask := speech
 		for i := range 20 {
 			ask.Seed = uint64(i)
-			got, err := c.stream(node(c, "verge-1"), ask)
+			got, err := c.stream(node(c, "router-1"), ask)
 			require.NoError(t, err)
 			require.Equal(t, api.Complete, got[len(got)-1].End)
 		}
-		score := node(c, "verge-1").Node.Status().(*router.Standing).Programs["spy"]
+		score := node(c, "router-1").Node.Status().(*router.Standing).Programs["spy"]
 		require.GreaterOrEqual(t, score["picks"], int64(20), "%v", score)
 		require.Zero(t, score["fallbacks"], "%v", score)
 	})
@@ -178,7 +178,7 @@
 		}
 		done := make(chan []api.Line, 1)
 		go func() {
-			got, _ := c.stream(node(c, "verge-1"), ask)
+			got, _ := c.stream(node(c, "router-1"), ask)
 			done <- got
 		}()
 		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Imported)) == 1 }))
@@ -276,7 +276,7 @@
 			require.Contains(t, detail, "certificates.c-p1.")
 			b.certs["c-p1"] = good
 		}
-		require.Empty(t, c.Of("verge")[0].Node.Regimes().Regimes)
+		require.Empty(t, c.Of("router")[0].Node.Regimes().Regimes)
 		n, _, _ := code(t, c.Operate("/v1/certificates/c-p1", &api.Mark{Op: "x", Out: true}, nil))
 		require.Equal(t, http.StatusNotFound, n)
 		require.NoError(t, b.Open())
@@ -289,7 +289,7 @@
 	call := rpc.NewCaller(c.out.Host().Net)
 	defer call.Close()
 	spend := func() bool {
-		for _, b := range c.Of("verge") {
+		for _, b := range c.Of("router") {
 			if r, err := rpc.Call[coordination.Empty, router.Spent](c.base, call, b.Addr, "verge/spend", &coordination.Empty{}); err == nil && r.Ok {
 				return true
 			}
--- a/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -21,11 +21,11 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
+	"keelstair.example/host"
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
-	"keelstair.example/seam/sham"
 )
 
 const (
@@ -39,8 +39,8 @@
 
 // ratedNet is a network whose machine sends at a limited rate, and counts.
 type ratedNet struct {
-	seam.Net
-	latch seam.Latch
+	host.Net
+	latch host.Latch
 	sent  *int
 }
 
@@ -117,9 +117,9 @@
 // history is a core with its operator.
 type history struct {
 	t         *testing.T
-	world     *sham.World
+	world     *simulated.World
 	seeds     []string
-	procs     map[string]*sham.Proc
+	procs     map[string]*simulated.Proc
 	cores     map[string]*coordination.Core
 	stops     map[string]context.CancelFunc
 	operator  *coordination.Agent
@@ -132,20 +132,20 @@
 }
 
 func newHistory(t *testing.T) *history {
-	h := &history{t: t, world: sham.NewWorld(1), procs: map[string]*sham.Proc{}, cores: map[string]*coordination.Core{}, stops: map[string]context.CancelFunc{}}
+	h := &history{t: t, world: simulated.NewWorld(1), procs: map[string]*simulated.Proc{}, cores: map[string]*coordination.Core{}, stops: map[string]context.CancelFunc{}}
 	for i := range 3 {
 		h.seeds = append(h.seeds, fmt.Sprintf("10.0.0.%d:1", i+1))
 	}
 	for _, addr := range h.seeds {
 		h.start(addr)
 	}
-	host := h.world.Machine("10.0.1.1").Start()
-	h.operator = coordination.NewAgent(coordination.AgentOptions{Me: coordination.Member{Node: "node-1", Addr: "10.0.1.1:1"}, Host: host.Host(), Seeds: h.seeds, View: counter{}})
-	h.run("10.0.1.1:1", host, host.Host().Net, h.operator.Mount, h.operator.Run)
+	process := h.world.Machine("10.0.1.1").Start()
+	h.operator = coordination.NewAgent(coordination.AgentOptions{Me: coordination.Member{Node: "node-1", Addr: "10.0.1.1:1"}, Host: process.Host(), Seeds: h.seeds, View: counter{}})
+	h.run("10.0.1.1:1", process, process.Host().Net, h.operator.Mount, h.operator.Run)
 	return h
 }
 
-func (h *history) run(addr string, p *sham.Proc, net seam.Net, mount func(*http.ServeMux), run func(context.Context)) {
+func (h *history) run(addr string, p *simulated.Proc, net host.Net, mount func(*http.ServeMux), run func(context.Context)) {
 	ctx, stop := context.WithCancel(context.Background())
 	h.procs[addr], h.stops[addr] = p, stop
 	l, err := net.Listen(addr)
@@ -158,14 +158,14 @@
 
 func (h *history) start(addr string) {
 	p := h.world.Machine(addr[:len(addr)-2]).Start()
-	host := p.Host()
-	host.Net = &ratedNet{host.Net, seam.NewLatch(), &h.sent}
-	core, err := coordination.New(coordination.Options{Addr: addr, Host: host, Seeds: h.seeds, Machine: func() coordination.Machine {
-		return fleetstate.NewMachine(fleetstate.MachineOptions{Wall: host.Clock.Wall})
+	machine := p.Host()
+	machine.Net = &ratedNet{machine.Net, host.NewLatch(), &h.sent}
+	core, err := coordination.New(coordination.Options{Addr: addr, Host: machine, Seeds: h.seeds, Machine: func() coordination.Machine {
+		return fleetstate.NewMachine(fleetstate.MachineOptions{Wall: machine.Clock.Wall})
 	}})
 	require.NoError(h.t, err)
 	h.cores[addr] = core
-	h.run(addr, p, host.Net, core.Mount, func(ctx context.Context) { core.Run(ctx) })
+	h.run(addr, p, machine.Net, core.Mount, func(ctx context.Context) { core.Run(ctx) })
 }
 
 func (h *history) stop(addr string) {
--- a/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/api"
-	"keelstair.example/router"
-	"keelstair.example/standin"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/standin"
 )
 
 // inBubble runs a founded fleet of a site.
@@ -58,7 +58,7 @@
 			{api.Ask{Kind: "clarification", PromptIds: big}, http.StatusRequestEntityTooLarge, "too-large"},
 			{api.Ask{Kind: "clarification", Prompt: strings.Repeat("a ", 3<<20)}, http.StatusRequestEntityTooLarge, "too-large"},
 		} {
-			got, name, _ := code(t, c.At(c.Of("verge")[0], "/v1/streams", k.ask, nil))
+			got, name, _ := code(t, c.At(c.Of("router")[0], "/v1/streams", k.ask, nil))
 			require.Equal(t, k.code, got, "%v", k.name)
 			require.Equal(t, k.name, name)
 		}
@@ -93,7 +93,7 @@
 			require.Equal(t, k.code, got, "%s %s %s", k.a.Op, name, text)
 			require.Contains(t, text, k.says, k.a.Op)
 		}
-		require.Equal(t, uint64(1), c.Of("verge")[0].Node.Show().Newest)
+		require.Equal(t, uint64(1), c.Of("router")[0].Node.Show().Newest)
 		got, _, _ := code(t, c.Mark("/v1/zones/moon", "z", true))
 		require.Equal(t, 404, got)
 	})
@@ -112,7 +112,7 @@
 		two, err := c.Apply(a)
 		require.NoError(t, err, "the base has moved on by this very operation")
 		require.Equal(t, one.Version, two.Version)
-		a.Partial, a.Source = false, string(c.Of("verge")[0].Node.Show().Policy)
+		a.Partial, a.Source = false, string(c.Of("router")[0].Node.Show().Policy)
 		two, err = c.Apply(a)
 		require.NoError(t, err, "and so for a whole one")
 		require.Equal(t, one.Version, two.Version)
@@ -121,7 +121,7 @@
 			got, _, _ := code(t, err)
 			require.Equal(t, 409, got)
 		}
-		require.Equal(t, one.Version, c.Of("verge")[0].Node.Show().Newest)
+		require.Equal(t, one.Version, c.Of("router")[0].Node.Show().Newest)
 	})
 }
 
@@ -130,7 +130,7 @@
 func TestReady(t *testing.T) {
 	unraced(t)
 	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		b := c.Of("verge")[0]
+		b := c.Of("router")[0]
 		ready := func(want bool) func() bool {
 			return func() bool { ok, _ := b.Node.Ready(); return ok == want }
 		}
@@ -153,7 +153,7 @@
 		// Its keys pass on by its goodbye, sooner than a lease would lapse.
 		me := b.Node.Me().Node
 		require.True(t, c.Until(1500*time.Millisecond, func() bool {
-			for _, m := range c.Of("verge")[1].Node.Status().(*router.Standing).Members {
+			for _, m := range c.Of("router")[1].Node.Status().(*router.Standing).Members {
 				if m.Node == me {
 					return false
 				}
--- a/simulation/large_test.go
+++ b/internal/simulation/large_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/coordination"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 )
 
 const (
--- a/simulation/machines_test.go
+++ b/internal/simulation/machines_test.go
@@ -25,10 +25,10 @@
 
 func pause(r *rand.Rand) { time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond) }
 
-// follower is a tenet that does not lead.
+// follower is a controller that does not lead.
 func follower(c *Cluster, r *rand.Rand) *Box {
 	var rest []*Box
-	for _, b := range c.Of("tenet") {
+	for _, b := range c.Of("controller") {
 		if b.Up && !b.Core.Leads() {
 			rest = append(rest, b)
 		}
@@ -41,7 +41,7 @@
 	if b := c.Leader(); b != nil {
 		return b
 	}
-	return c.Of("tenet")[0]
+	return c.Of("controller")[0]
 }
 
 // Machines are the scripts of killed, lost and replaced machines.
@@ -84,12 +84,12 @@
 		c.PowerOff(b)
 		b.Machine.Wipe()
 		time.Sleep(time.Second)
-		c.add(c.Tenet("tenet-new", "10.1.0.9:700", b.Zone))
+		c.add(c.Tenet("controller-new", "10.1.0.9:700", b.Zone))
 		time.Sleep(7 * time.Second)
 		return change(c, "after-wipe", 1500)
 	}},
 	{Name: "rolling-replacement", Bound: 12 * time.Second, Run: func(c *Cluster, r *rand.Rand) error {
-		old := append([]*Box(nil), c.Of("tenet")...)
+		old := append([]*Box(nil), c.Of("controller")...)
 		r.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
 		for i, b := range old {
 			if err := change(c, fmt.Sprintf("roll-%d", i), 1600+i); err != nil {
@@ -97,7 +97,7 @@
 			}
 			c.PowerOff(b)
 			b.Machine.Wipe()
-			c.add(c.Tenet(fmt.Sprintf("tenet-r%d", i), fmt.Sprintf("10.1.0.%d:700", 20+i), b.Zone))
+			c.add(c.Tenet(fmt.Sprintf("controller-r%d", i), fmt.Sprintf("10.1.0.%d:700", 20+i), b.Zone))
 			time.Sleep(9 * time.Second)
 		}
 		if err := change(c, "roll-last", 1700); err != nil {
@@ -110,11 +110,11 @@
 		if err := change(c, "before-total", 1800); err != nil {
 			return err
 		}
-		for _, b := range c.Of("tenet") {
+		for _, b := range c.Of("controller") {
 			c.PowerOff(b)
 		}
 		time.Sleep(time.Duration(300+r.IntN(1500)) * time.Millisecond)
-		for _, b := range c.Of("tenet") {
+		for _, b := range c.Of("controller") {
 			if err := c.Start(b); err != nil {
 				return err
 			}
@@ -133,10 +133,10 @@
 		}
 		return nil
 	}},
-	{Name: "verges-killed", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "routers-killed", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 3 {
 			pause(r)
-			b := hit(r, c.Of("verge"))
+			b := hit(r, c.Of("router"))
 			c.Kill(b)
 			time.Sleep(1500 * time.Millisecond)
 			if err := c.Start(b); err != nil {
@@ -146,20 +146,20 @@
 		return nil
 	}},
 	{Name: "everything-but-workers-killed", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, b := range append(c.Of("tenet"), c.Of("verge")...) {
+		for _, b := range append(c.Of("controller"), c.Of("router")...) {
 			c.Kill(b)
 		}
 		time.Sleep(200 * time.Millisecond)
-		for _, b := range append(c.Of("tenet"), c.Of("verge")...) {
+		for _, b := range append(c.Of("controller"), c.Of("router")...) {
 			if err := c.Start(b); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
-	{Name: "leader-and-verge-freeze", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "leader-and-router-freeze", Run: func(c *Cluster, r *rand.Rand) error {
 		pause(r)
-		b, v := leader(c), hit(r, c.Of("verge"))
+		b, v := leader(c), hit(r, c.Of("router"))
 		b.Machine.Freeze(true)
 		v.Machine.Freeze(true)
 		time.Sleep(time.Duration(2000+r.IntN(5000)) * time.Millisecond)
@@ -169,7 +169,7 @@
 	}},
 	{Name: "disk-stalls", Run: func(c *Cluster, r *rand.Rand) error {
 		pause(r)
-		b := hit(r, c.Of("tenet"))
+		b := hit(r, c.Of("controller"))
 		b.Machine.Stall(true)
 		time.Sleep(6 * time.Second)
 		b.Machine.Stall(false)
@@ -177,7 +177,7 @@
 		return change(c, "after-stall", 2000)
 	}},
 	{Name: "slow-disks", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, b := range c.Of("tenet") {
+		for _, b := range c.Of("controller") {
 			b.Machine.Disk(time.Duration(20+r.IntN(120)) * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
@@ -186,7 +186,7 @@
 	{Name: "closing-fault", Run: func(c *Cluster, r *rand.Rand) error {
 		time.Sleep(9 * time.Second)
 		c.PowerOff(leader(c))
-		c.Kill(hit(r, c.Of("verge")))
+		c.Kill(hit(r, c.Of("router")))
 		c.Kill(hit(r, c.Of("worker")))
 		return nil
 	}},
--- a/simulation/others_test.go
+++ b/internal/simulation/others_test.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"keelstair.example/api"
 	"keelstair.example/ids"
-	"keelstair.example/standin"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/standin"
 )
 
 func ips(list ...*Box) []string {
@@ -37,7 +37,7 @@
 		pause(r)
 		b := leader(c)
 		var rest []string
-		for _, o := range c.Of("tenet") {
+		for _, o := range c.Of("controller") {
 			if o != b {
 				rest = append(rest, o.Machine.IP)
 			}
@@ -61,11 +61,11 @@
 		c.World.Sever(ips(b), rest, false)
 		return nil
 	}},
-	{Name: "lone-verge-cut", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "lone-router-cut", Run: func(c *Cluster, r *rand.Rand) error {
 		pause(r)
-		b := hit(r, c.Of("verge"))
+		b := hit(r, c.Of("router"))
 		// Its workers and callers still reach it: only its own kind does not.
-		mates := append(ips(c.Of("tenet")...), ips(c.Of("verge")...)...)
+		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 		c.World.Sever(ips(b), mates, true)
 		time.Sleep(7 * time.Second)
 		c.World.Sever(ips(b), mates, false)
@@ -81,7 +81,7 @@
 	{Name: "clocks-leap", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 6 {
 			pause(r)
-			hit(r, append(c.Of("verge"), c.Of("tenet")...)).Machine.Leap(time.Duration(1+r.IntN(20)) * time.Second)
+			hit(r, append(c.Of("router"), c.Of("controller")...)).Machine.Leap(time.Duration(1+r.IntN(20)) * time.Second)
 		}
 		return nil
 	}},
@@ -182,7 +182,7 @@
 					part := fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, 3000+10*n+k)
 					text, _ := expected(sh, part)
 					got := &api.Applied{}
-					b := c.Of("verge")[k]
+					b := c.Of("router")[k]
 					err := c.At(b, "/v1/policy", &api.Apply{Op: fmt.Sprintf("race-%d-%d", n, k), Base: sh.Version, Partial: true, Source: part}, got)
 					if err != nil {
 						c.Book.Refuse(text)
@@ -198,7 +198,7 @@
 			if won != 1 {
 				return fmt.Errorf("round %d: %d of two racing operators won", n, won)
 			}
-			c.Until(3*time.Second, func() bool { return c.Of("verge")[0].Node.Show().Version > sh.Version })
+			c.Until(3*time.Second, func() bool { return c.Of("router")[0].Node.Show().Version > sh.Version })
 		}
 		return nil
 	}, Calm: true},
@@ -212,7 +212,7 @@
 	}, Calm: true},
 	{Name: "storm-with-a-node-cut-from-the-core", Run: func(c *Cluster, r *rand.Rand) error {
 		b := able(c)
-		core := ips(c.Of("tenet")...)
+		core := ips(c.Of("controller")...)
 		c.World.Sever(ips(b), core, true)
 		insist(c, b)
 		for n := range 4 {
--- a/simulation/plain_test.go
+++ b/internal/simulation/plain_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/standin"
+	"keelstair.example/internal/standin"
 )
 
 // TestTenthSecond: callers come in the tenth second after the machines were started,
@@ -21,10 +21,10 @@
 		begun := time.Now()
 		c := Build(7, standin.Sites["vatuloa"], nil)
 		defer c.Close()
-		for _, b := range c.Of("tenet") {
+		for _, b := range c.Of("controller") {
 			b.Machine.Disk(60 * time.Millisecond)
 		}
-		late := []*Box{c.Of("tenet")[1], c.Of("verge")[4]}
+		late := []*Box{c.Of("controller")[1], c.Of("router")[4]}
 		for _, b := range late {
 			c.Kill(b)
 		}
--- a/simulation/price_test.go
+++ b/internal/simulation/price_test.go
@@ -12,10 +12,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
 	"keelstair.example/ids"
-	"keelstair.example/standin"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/standin"
 )
 
 func measured(t *testing.T) {
@@ -37,7 +37,7 @@
 				require.NoError(t, c.Found())
 				switch way {
 				case "all certified":
-					b.certify(append(upTo("p", 4), upTo("d", 4)...), upTo("verge-", 5))
+					b.certify(append(upTo("p", 4), upTo("d", 4)...), upTo("router-", 5))
 				case "some certified":
 					b.usual()
 				}
@@ -78,8 +78,8 @@
 				}
 				require.NoError(t, b.Open())
 				for i := range n {
-					cut, lead := node(c, "verge-2"), leader(c)
-					mates := append(ips(c.Of("tenet")...), ips(c.Of("verge")...)...)
+					cut, lead := node(c, "router-2"), leader(c)
+					mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 					switch way {
 					case "a node cut off":
 						c.World.Sever(ips(cut), mates, true)
--- a/simulation/program_test.go
+++ b/internal/simulation/program_test.go
@@ -10,12 +10,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/api"
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
-	"keelstair.example/router"
-	"keelstair.example/standin"
-	"keelstair.example/whim"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/routing"
+	"keelstair.example/internal/standin"
 )
 
 func programs(t *testing.T, list map[string]fleetstate.Program) string {
@@ -32,9 +32,9 @@
 	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		hostile := "def order(ask, workers):\n    return ['p1']\n"
 		rounds := []string{
-			programs(t, map[string]fleetstate.Program{"free": {Source: whim.Shipped("free"), Share: 50}, "prefix": {Source: whim.Shipped("prefix"), Share: 50}}),
-			programs(t, map[string]fleetstate.Program{"free": {Source: whim.Shipped("free"), Share: 20}, "prefix": {Source: whim.Shipped("prefix"), Share: 30}, "hostile": {Source: hostile, Share: 50}}),
-			programs(t, map[string]fleetstate.Program{"free": {Source: whim.Shipped("free"), Share: 0, Shadow: true}, "prefix": {Source: whim.Shipped("prefix"), Share: 0, Shadow: true},
+			programs(t, map[string]fleetstate.Program{"free": {Source: routing.Shipped("free"), Share: 50}, "prefix": {Source: routing.Shipped("prefix"), Share: 50}}),
+			programs(t, map[string]fleetstate.Program{"free": {Source: routing.Shipped("free"), Share: 20}, "prefix": {Source: routing.Shipped("prefix"), Share: 30}, "hostile": {Source: hostile, Share: 50}}),
+			programs(t, map[string]fleetstate.Program{"free": {Source: routing.Shipped("free"), Share: 0, Shadow: true}, "prefix": {Source: routing.Shipped("prefix"), Share: 0, Shadow: true},
 				"hostile": {Source: "def order(ask, workers):\n    return workers[7]\n", Share: 100}}),
 			`{"programs": {"hostile": null, "free": null, "prefix": {"share": 100, "shadow": false}}}`,
 		}
@@ -55,7 +55,7 @@
 		require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
 		require.Empty(t, c.Book.Check(all))
 		picks, falls := map[string]int64{}, map[string]int64{}
-		for _, b := range c.Of("verge") {
+		for _, b := range c.Of("router") {
 			for name, p := range b.Node.Status().(*router.Standing).Programs {
 				picks[name] += p["picks"].(int64)
 				falls[name] += p["fallbacks"].(int64)
--- a/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -12,13 +12,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/api"
-	"keelstair.example/certification"
-	"keelstair.example/fleetstate"
-	"keelstair.example/handoff"
 	"keelstair.example/ids"
-	"keelstair.example/router"
-	"keelstair.example/standin"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/standin"
 )
 
 // inChamber runs a fleet with a regime in force.
@@ -36,7 +36,7 @@
 }
 
 func node(c *Cluster, name string) *Box {
-	list := c.Of("verge")
+	list := c.Of("router")
 	return list[slices.IndexFunc(list, func(b *Box) bool { return b.Name == name })]
 }
 
@@ -79,18 +79,18 @@
 		}
 		require.Len(t, used, 8, "other work goes everywhere")
 		passed := int64(0)
-		for _, box := range c.Of("verge") {
+		for _, box := range c.Of("router") {
 			passed += box.Node.Passed()
 		}
 		require.Positive(t, passed)
 	})
 }
 
-// audited reads the whole audit record as edict does, checked.
+// audited reads the whole audit record as keelstairctl does, checked.
 func audited(t *testing.T, c *Cluster) []fleetstate.AuditRecord {
 	var rows []fleetstate.AuditRow
 	for {
-		got, err := c.Of("verge")[0].Node.Audits(c.base, len(rows)+1, 500)
+		got, err := c.Of("router")[0].Node.Audits(c.base, len(rows)+1, 500)
 		require.NoError(t, err)
 		if len(got.Rows) == 0 {
 			break
@@ -169,7 +169,7 @@
 // certified worker.
 func TestPassed(t *testing.T) {
 	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
-		lone := node(c, "verge-5")
+		lone := node(c, "router-5")
 		got, err := c.stream(lone, speech)
 		require.NoError(t, err)
 		whole(t, c, speech, got)
@@ -192,7 +192,7 @@
 			}
 			return true
 		}), "%v", holds(lone))
-		for _, n := range upTo("verge-", 4) {
+		for _, n := range upTo("router-", 4) {
 			require.NoError(t, b.Revoke("c-"+n))
 		}
 		begun := time.Now()
@@ -214,7 +214,7 @@
 		ask := long(speech)
 		done := make(chan []api.Line, 1)
 		go func() {
-			got, _ := c.stream(node(c, "verge-1"), ask)
+			got, _ := c.stream(node(c, "router-1"), ask)
 			done <- got
 		}()
 		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Resumed)) == 1 }))
@@ -238,7 +238,7 @@
 		ask := long(verdict)
 		done := make(chan []api.Line, 1)
 		go func() {
-			got, _ := c.stream(node(c, "verge-1"), ask)
+			got, _ := c.stream(node(c, "router-1"), ask)
 			done <- got
 		}()
 		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Resumed)) == 1 }))
@@ -249,7 +249,7 @@
 		// A key between two hands has it bounced at first; the caller comes back.
 		name := ""
 		c.Until(5*time.Second, func() bool {
-			_, err := c.stream(node(c, "verge-2"), ask)
+			_, err := c.stream(node(c, "router-2"), ask)
 			name = err.(*api.Fault).Name
 			return name != "bounced"
 		})
@@ -265,8 +265,8 @@
 // of it may still act on its word; that node's own governed work is over by then.
 func TestRevokedWhileCut(t *testing.T) {
 	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
-		cut := node(c, "verge-1")
-		mates := append(ips(c.Of("tenet")...), ips(c.Of("verge")...)...)
+		cut := node(c, "router-1")
+		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 		ask := long(speech)
 		go func() {
 			for range 40 {
@@ -303,7 +303,7 @@
 		b.sign("c-p2", certification.Certificate{Worker: "p2", Parts: []ids.Part{ids.Prefill}}, 20*time.Second)
 	}, func(t *testing.T, c *Cluster, b *Bureau) {
 		go func() {
-			for _, box := range []*Box{node(c, "verge-1"), node(c, "verge-2"), leader(c)} {
+			for _, box := range []*Box{node(c, "router-1"), node(c, "router-2"), leader(c)} {
 				time.Sleep(4 * time.Second)
 				box.Machine.Leap(48 * time.Hour)
 			}
--- a/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/api"
-	"keelstair.example/fleetstate"
-	"keelstair.example/seam"
-	"keelstair.example/standin"
+	"keelstair.example/host"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/standin"
 )
 
 const (
@@ -49,7 +49,7 @@
 	t.Helper()
 	var lines []api.Line
 	var refusal *api.Fault
-	nodes := c.Of("verge")
+	nodes := c.Of("router")
 	attempt := i
 	require.True(t, c.Until(8*time.Second, func() bool {
 		got, err := c.stream(nodes[attempt%len(nodes)], ask)
@@ -88,12 +88,12 @@
 			record.Tokens = append(record.Tokens, line.Token)
 		}
 		require.NoError(t, os.RemoveAll(releaseFolder))
-		for _, box := range c.Of("tenet") {
+		for _, box := range c.Of("controller") {
 			c.Kill(box)
 		}
-		for _, box := range c.Of("tenet") {
+		for _, box := range c.Of("controller") {
 			folder := filepath.Join(releaseFolder, box.Name)
-			to, err := seam.OpenDisk(folder)
+			to, err := host.OpenDisk(folder)
 			require.NoError(t, err)
 			copyDisk(t, box.Machine.Start().Host().Disk, to)
 			require.NoError(t, os.Remove(filepath.Join(folder, "lock")))
@@ -105,7 +105,7 @@
 }
 
 // copyDisk copies every file and every log of one disk to another.
-func copyDisk(t *testing.T, from, to seam.Disk) {
+func copyDisk(t *testing.T, from, to host.Disk) {
 	t.Helper()
 	names, err := from.List()
 	require.NoError(t, err)
@@ -142,7 +142,7 @@
 	tune := func(c *Cluster) {
 		withReleaseDepth(c)
 		for i := range 3 {
-			disk, err := seam.OpenDisk(filepath.Join(folders, fmt.Sprintf("tenet-%d", i+1)))
+			disk, err := host.OpenDisk(filepath.Join(folders, fmt.Sprintf("controller-%d", i+1)))
 			require.NoError(t, err)
 			process := c.World.Machine(fmt.Sprintf("10.1.0.%d", i+1)).Start()
 			copyDisk(t, disk, process.Host().Disk)
--- a/simulation/script_test.go
+++ b/internal/simulation/script_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"keelstair.example/ids"
-	"keelstair.example/standin"
+	"keelstair.example/internal/standin"
 )
 
 // seeds gives the fixed handful, or as many as KEELSTAIR_SEEDS asks for.
--- a/simulation/shelf_test.go
+++ b/internal/simulation/shelf_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"keelstair.example/api"
-	"keelstair.example/fleetstate"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/fleetstate"
 )
 
 // TestOldKeys: long after its answer was forgotten, a key is still known: at the
@@ -19,7 +19,7 @@
 func TestOldKeys(t *testing.T) {
 	unraced(t)
 	inBubble(t, "vatuloa", func(c *Cluster) { c.Depth = fleetstate.Depth{Full: 4, Leaf: 8} }, func(t *testing.T, c *Cluster) {
-		node := func(i int) *Box { return c.Of("verge")[i%len(c.Of("verge"))] }
+		node := func(i int) *Box { return c.Of("router")[i%len(c.Of("router"))] }
 		ask := func(i int) api.Ask {
 			a := verdict
 			a.Key = fmt.Sprint("old-", i)
@@ -54,7 +54,7 @@
 		b := c.Leader()
 		c.PowerOff(b)
 		b.Machine.Wipe()
-		c.add(c.Tenet("tenet-new", "10.1.0.9:700", b.Zone))
+		c.add(c.Tenet("controller-new", "10.1.0.9:700", b.Zone))
 		time.Sleep(9 * time.Second)
 		serve(20)
 		old()
@@ -63,10 +63,10 @@
 		require.True(t, c.Until(8*time.Second, func() bool { l := c.Leader(); return l != nil && l != b }))
 		time.Sleep(time.Second)
 		old()
-		for _, b := range c.Of("tenet") {
+		for _, b := range c.Of("controller") {
 			c.PowerOff(b)
 		}
-		for _, b := range c.Of("tenet")[1:] {
+		for _, b := range c.Of("controller")[1:] {
 			require.NoError(t, c.Start(b))
 		}
 		require.True(t, c.Until(8*time.Second, func() bool { return c.Leader() != nil }))
--- a/simulation/stream_test.go
+++ b/internal/simulation/stream_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"keelstair.example/api"
+	"keelstair.example/internal/api"
 )
 
 // stream asks one door and gives the lines, or the refusal.
--- a/simulation/swing_test.go
+++ b/internal/simulation/swing_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/ids"
-	"keelstair.example/standin"
+	"keelstair.example/internal/standin"
 )
 
 // swung is what came of one swing.
@@ -43,7 +43,7 @@
 		read := c.Mix([]standin.Shape{{Kind: "clarification", Share: 100, Own: 400, Max: 2, Long: 1400}}, 14.5, span, seed)
 		write := c.Mix([]standin.Shape{{Kind: "clarification", Share: 100, Own: 40, Max: 64, Long: 10}}, 75, span, seed+100)
 		out.read, out.write = standin.Sum(read), standin.Sum(write)
-		for _, b := range c.Of("verge") {
+		for _, b := range c.Of("router") {
 			out.turns += b.Node.Turned()
 		}
 		for _, b := range c.Of("worker") {
--- a/simulation/trial_test.go
+++ b/internal/simulation/trial_test.go
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"time"
 
-	"keelstair.example/api"
-	"keelstair.example/standin"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/standin"
 )
 
 // Verdict of a trial.
--- a/standin/back.go
+++ b/internal/standin/back.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"keelstair.example/api"
+	"keelstair.example/internal/api"
 )
 
 // Back tells the longest span after a moment without a completed call among those
--- a/standin/engine.go
+++ b/internal/standin/engine.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"keelstair.example/ids"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/workerclient"
 )
 
 func (w *Worker) engine(ctx context.Context) {
--- a/standin/load.go
+++ b/internal/standin/load.go
@@ -16,10 +16,10 @@
 	"sync"
 	"time"
 
-	"keelstair.example/api"
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/api"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 // Shape is one kind of stream as callers send it.
@@ -36,7 +36,7 @@
 
 // LoadOptions say what to send.
 type LoadOptions struct {
-	Host    seam.Host
+	Host    host.Host
 	Doors   func(zone ids.Zone) []string // ready ones, those of the caller's zone if it has any
 	Zones   []ids.Zone                   // where callers are; none: anywhere
 	Shapes  []Shape
@@ -135,7 +135,7 @@
 	start := time.Now()
 	var wg sync.WaitGroup
 	for i, c := range calls {
-		if !seam.Sleep(ctx, time.Until(start.Add(c.at))) {
+		if !host.Sleep(ctx, time.Until(start.Add(c.at))) {
 			out = out[:i]
 			break
 		}
@@ -158,7 +158,7 @@
 	for {
 		r.Tries++
 		again := knock(cx, o, web, c, &r, due, rng, zone)
-		if again <= 0 || r.Tries > o.Retries || !seam.Sleep(cx, again) {
+		if again <= 0 || r.Tries > o.Retries || !host.Sleep(cx, again) {
 			break
 		}
 	}
--- a/standin/move.go
+++ b/internal/standin/move.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"keelstair.example/ids"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/workerclient"
 )
 
 func (w *Worker) take(_ context.Context, q *workerclient.ImportAsk) (*workerclient.Answer, error) {
--- a/standin/platform.go
+++ b/internal/standin/platform.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/workerclient"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
-	"keelstair.example/workerclient"
 )
 
 // Door is a node as the platform knows it.
@@ -33,7 +33,7 @@
 }
 
 // NewPlatform returns a platform without workers or nodes. It asks nodes over the host's network.
-func NewPlatform(host seam.Host) *Platform {
+func NewPlatform(host host.Host) *Platform {
 	return &Platform{web: rpc.Web(host.Net), workers: map[ids.WorkerID]workerclient.Listed{}, doors: map[string]*Door{}}
 }
 
@@ -90,7 +90,7 @@
 
 // Run checks readiness every second until the context ends.
 func (p *Platform) Run(ctx context.Context) {
-	for seam.Sleep(ctx, time.Second) {
+	for host.Sleep(ctx, time.Second) {
 		p.mu.Lock()
 		var all []string
 		for a := range p.doors {
@@ -168,8 +168,8 @@
 
 // Asked gives the doors that a platform names ready for a zone, asked anew twice a
 // second.
-func Asked(ctx context.Context, host seam.Host, addr string, zones []ids.Zone) func(ids.Zone) []string {
-	web := rpc.Web(host.Net)
+func Asked(ctx context.Context, machine host.Host, addr string, zones []ids.Zone) func(ids.Zone) []string {
+	web := rpc.Web(machine.Net)
 	var mu sync.Mutex
 	kept := map[ids.Zone][]string{}
 	ask := func(zone ids.Zone) {
@@ -198,7 +198,7 @@
 	}
 	every()
 	go func() {
-		for seam.Sleep(ctx, 500*time.Millisecond) {
+		for host.Sleep(ctx, 500*time.Millisecond) {
 			every()
 		}
 		web.CloseIdleConnections()
--- a/standin/serve.go
+++ b/internal/standin/serve.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"keelstair.example/ids"
-	"keelstair.example/workerclient"
+	"keelstair.example/internal/workerclient"
 )
 
 // Handler serves the worker's interface over HTTP, with POST /fault and GET /tally for tests.
--- a/standin/site.go
+++ b/internal/standin/site.go
@@ -6,8 +6,8 @@
 	"encoding/json"
 	"fmt"
 
-	"keelstair.example/fleetstate"
 	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
 )
 
 // Room and Block of every stand-in worker.
--- a/standin/worker.go
+++ b/internal/standin/worker.go
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
+	"keelstair.example/host"
 	"keelstair.example/ids"
+	"keelstair.example/internal/workerclient"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
-	"keelstair.example/workerclient"
 )
 
 // WorkerOptions set up a stand-in worker.
@@ -32,7 +32,7 @@
 	Orphan time.Duration // import without resume, or run without reader, 2s
 	Weight int           // bytes a token's KV weighs on the wire, 64
 	Speed  int           // bytes a second between workers, 64 MB
-	Host   seam.Host
+	Host   host.Host
 }
 
 func (o *WorkerOptions) fill() {
@@ -153,7 +153,7 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { w.engine(ctx) })
 	wg.Go(func() {
-		for seam.Sleep(ctx, 50*time.Millisecond) {
+		for host.Sleep(ctx, 50*time.Millisecond) {
 			w.sweep()
 		}
 	})
--- a/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -13,10 +13,10 @@
 	"github.com/stretchr/testify/require"
 
 	"keelstair.example/failure"
+	"keelstair.example/host/simulated"
 	"keelstair.example/ids"
+	"keelstair.example/internal/workerclient"
 	"keelstair.example/rpc"
-	"keelstair.example/seam/sham"
-	"keelstair.example/workerclient"
 )
 
 // pairOf runs a prefill and a decode worker and gives a client to drive them.
@@ -29,7 +29,7 @@
 
 func twin(t *testing.T, room int, f func(*pairOf)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := sham.NewWorld(1)
+		w := simulated.NewWorld(1)
 		ctx, stop := context.WithCancel(context.Background())
 		x := &pairOf{pa: "10.0.0.1:90", da: "10.0.0.2:90", ctx: ctx}
 		for i, part := range []ids.Part{ids.Prefill, ids.Decode} {
--- a/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"keelstair.example/failure"
+	"keelstair.example/host"
 	"keelstair.example/rpc"
-	"keelstair.example/seam"
 )
 
 // Time limits of the calls, where the caller's context has no deadline. Prefill computes
@@ -38,7 +38,7 @@
 type Client struct{ web *http.Client }
 
 // New returns a client that dials through the host's network.
-func New(n seam.Net) *Client { return &Client{web: rpc.Web(n)} }
+func New(n host.Net) *Client { return &Client{web: rpc.Web(n)} }
 
 // Close closes the connections that are idle. Calls under way are not affected.
 func (c *Client) Close() { c.web.CloseIdleConnections() }
--- a/rpc/dial.go
+++ b/rpc/dial.go
@@ -9,7 +9,7 @@
 	"net"
 	"time"
 
-	"keelstair.example/seam"
+	"keelstair.example/host"
 )
 
 const (
@@ -18,7 +18,7 @@
 )
 
 // dial opens a connection, trying once more every while beside what is under way.
-func dial(ctx context.Context, n seam.Net, addr string) (net.Conn, error) {
+func dial(ctx context.Context, n host.Net, addr string) (net.Conn, error) {
 	ctx, stop := context.WithTimeout(ctx, dialWait)
 	defer stop()
 	type outcome struct {
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -17,7 +17,7 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"keelstair.example/failure"
-	"keelstair.example/seam"
+	"keelstair.example/host"
 )
 
 // codec is connect's codec for msgp messages.
@@ -87,8 +87,8 @@
 	kept sync.Map
 }
 
-// NewCaller makes a caller over the seam's network.
-func NewCaller(n seam.Net) *Caller {
+// NewCaller makes a caller over the host's network.
+func NewCaller(n host.Net) *Caller {
 	base := newTransport(func(ctx context.Context, _, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, n, addr)
 		if err != nil {
@@ -102,8 +102,8 @@
 // noRedirect keeps a client from sending a call to another address by itself.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Web is an HTTP client over the seam's network.
-func Web(n seam.Net) *http.Client {
+// Web is an HTTP client over the host's network.
+func Web(n host.Net) *http.Client {
 	return &http.Client{Transport: newTransport(func(ctx context.Context, _, addr string) (net.Conn, error) {
 		return dial(ctx, n, addr)
 	})}
@@ -195,7 +195,7 @@
 // answered. It looks twice, since a connection that was just let in is not known at first.
 func Drain(ctx context.Context, s *http.Server) error {
 	err := s.Shutdown(ctx)
-	if err == nil && seam.Sleep(ctx, drainAgain) {
+	if err == nil && host.Sleep(ctx, drainAgain) {
 		err = s.Shutdown(ctx)
 	}
 	return err
--- a/tools/names/main.go
+++ b/tools/names/main.go
@@ -40,7 +40,7 @@
 
 // free may hold any word: what is deployed and written about the platform, and what is
 // built or run here.
-var free = []string{"deploy", "docs", "journal", "bin", "realm-data"}
+var free = []string{"deploy", "docs", "journal", "bin", "testbed-data"}
 
 // scan gives each line of a source file outside home that holds a word; a file that
 // cannot be read counts as a hit.
--- a/tools/source/source.go
+++ b/tools/source/source.go
@@ -20,7 +20,7 @@
 }
 
 // skipped are directories without source of the project: what is built or run here.
-var skipped = []string{"bin", "realm-data", "target", "testdata"}
+var skipped = []string{"bin", "testbed-data", "target", "testdata"}
 
 // Files parses every Go file of the tree but generated ones, in the order of their paths;
 // positions are those of the file set. A file that cannot be read or parsed is an error.
