--- a/tools/names/names_test.go
+++ b/tools/names/names_test.go
@@ -21,8 +21,8 @@
 		"door/a.go":          file("package door\n\nvar x = \"fooBar\" // Foo-Bar\n"),
 		"door/platform/b.go": file("fooBar"),
 		"door/c.go":          file("xfooBar fooBarx foobar fooBar2 foo_fooBar"),
-		"state/a.cue":         file("a: 1\nfooBars: 2\n"),
-		"routing/a.star":        file("get(\"/x/foo/y\")\n"),
+		"state/a.cue":        file("a: 1\nfooBars: 2\n"),
+		"routing/a.star":     file("get(\"/x/foo/y\")\n"),
 	}
 	require.ElementsMatch(t, []string{
 		"door/a.go:3: fooBar", "door/a.go:3: Foo-Bar", "door/platform/b.go:1: fooBar", "state/a.cue:2: fooBars", "routing/a.star:1: /foo/",
