--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -59,10 +59,10 @@
 	ring := cli.Ring("controller " + s.Addr)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	core, err := coordination.New(coordination.Options{Addr: s.Addr, Zone: ids.Zone(s.Zone), Host: host, Seeds: s.Seeds, Ring: ring,
-		Machine: func() coordination.Machine {
+		Machine: func() coordination.StateMachine {
 			return fleetstate.NewMachine(fleetstate.MachineOptions{Wall: host.Clock.Wall})
 		},
-		Beat: ms(s.BeatMs), Silence: ms(s.SilenceMs), Lease: ms(s.LeaseMs), Stall: ms(s.StallMs), Replace: ms(s.ReplaceMs), Anew: s.FoundAnew})
+		HeartbeatInterval: ms(s.BeatMs), ElectionTimeout: ms(s.SilenceMs), LeaseDuration: ms(s.LeaseMs), DiskTimeout: ms(s.StallMs), ReplaceAfter: ms(s.ReplaceMs), ForceNewCluster: s.FoundAnew})
 	cli.Fail("keelstair-controller", err)
 	asked, stop := cli.Signals()
 	defer stop()
@@ -70,7 +70,7 @@
 	mux := http.NewServeMux()
 	core.Mount(mux)
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
-		ok := core.Directory().Record().Founding != ""
+		ok := core.Directory().Record().ClusterID != ""
 		code := http.StatusOK
 		if !ok {
 			code = http.StatusServiceUnavailable
@@ -78,7 +78,7 @@
 		api.Write(w, code, map[string]any{"ready": ok, "leads": core.Leads()})
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
-		api.Write(w, http.StatusOK, map[string]any{"leads": core.Leads(), "page": core.Directory().Page()})
+		api.Write(w, http.StatusOK, map[string]any{"leads": core.Leads(), "page": core.Directory().Exchange()})
 	})
 	cli.Serve(ctx, host, s.Addr, mux, func(err error) { cli.Fail("keelstair-controller", err) })
 	cli.Fail("keelstair-controller", core.Run(ctx))
--- a/cmd/keelstair-measure/fleet.go
+++ b/cmd/keelstair-measure/fleet.go
@@ -272,7 +272,7 @@
 		out.Close()
 	}
 	if err := f.until(ctx, 15*time.Second, "a core leads", func() (bool, string) {
-		f.book.Ask(ctx, 3)
+		f.book.Query(ctx, 3)
 		return f.book.Record().Primary.Addr != "", "none does"
 	}); err != nil {
 		return f, err
@@ -347,7 +347,7 @@
 		return 0, err
 	}
 	from := time.Now()
-	v, err := fleetstate.Put(cx, f.call, f.book, ids.OpID("keelstair-measure/"+coordination.Name()), f.version, 0, body)
+	v, err := fleetstate.Put(cx, f.call, f.book, ids.OpID("keelstair-measure/"+coordination.NewID()), f.version, 0, body)
 	if err != nil {
 		return 0, err
 	}
--- a/cmd/keelstair-measure/hollow.go
+++ b/cmd/keelstair-measure/hollow.go
@@ -36,11 +36,11 @@
 // members asks the node, as a neighbour would, how many members it knows; -1 if it has
 // no news yet.
 func (h *hollow) members(ctx context.Context, call *rpc.Caller) int {
-	r, err := rpc.Call[coordination.NewsAsk, coordination.NewsReply](ctx, call, h.addr, "crux/news", &coordination.NewsAsk{})
+	r, err := rpc.Call[coordination.WatchRequest, coordination.WatchResponse](ctx, call, h.addr, coordination.WatchMethod, &coordination.WatchRequest{})
 	if err != nil {
 		return -1
 	}
-	var img coordination.Image
+	var img coordination.Snapshot
 	if _, err := img.UnmarshalMsg(r.Snapshot); err != nil {
 		return -1
 	}
@@ -95,7 +95,7 @@
 	}
 	for i := range s.Routes {
 		// Names that are not all alike, since messages are packed on their way.
-		p.Routes = append(p.Routes, fleetstate.Route{Name: fmt.Sprintf("route-%05d-%s", i, coordination.Short(fmt.Sprint(i))[:8]), Host: fmt.Sprintf("tenant-%03d.example", i%330), Prefix: fmt.Sprintf("/v1/%05d/", i),
+		p.Routes = append(p.Routes, fleetstate.Route{Name: fmt.Sprintf("route-%05d-%s", i, coordination.ShortHash(fmt.Sprint(i))[:8]), Host: fmt.Sprintf("tenant-%03d.example", i%330), Prefix: fmt.Sprintf("/v1/%05d/", i),
 			Split: []fleetstate.Share{{Service: s.model(i), Weight: 900}, {Service: s.model(i + 1), Weight: 100}}, Stream: true, Resumable: true, Tries: 3, DeadlineMs: 30000, AimMs: 740, GapMs: 64, Urgency: 5})
 	}
 	p.Routes[turn%len(p.Routes)].DeadlineMs += turn
@@ -126,7 +126,7 @@
 func (s *Size) workers(at map[ids.Part]string) []proxy.Worker {
 	out := make([]proxy.Worker, s.Workers)
 	for i := range out {
-		out[i] = proxy.Worker{ID: ids.WorkerID(fmt.Sprintf("w-%05d-%s", i, coordination.Short(fmt.Sprint("w", i))[:8])), Service: s.model(i), Addr: at[s.part(i)],
+		out[i] = proxy.Worker{ID: ids.WorkerID(fmt.Sprintf("w-%05d-%s", i, coordination.ShortHash(fmt.Sprint("w", i))[:8])), Service: s.model(i), Addr: at[s.part(i)],
 			Zone: halls[i%len(halls)], Part: s.part(i), Slots: 48}
 		if out[i].Addr == "" {
 			out[i].Addr = fmt.Sprintf("127.1.%d.%d:9", i/250, 1+i%250)
--- a/cmd/keelstair-measure/measure.go
+++ b/cmd/keelstair-measure/measure.go
@@ -98,7 +98,7 @@
 
 // byCore orders the controllers: primary, backup, the third.
 func (f *fleet) byCore(ctx context.Context) []*proc {
-	f.book.Ask(ctx, 3)
+	f.book.Query(ctx, 3)
 	rec := f.book.Record()
 	out := append([]*proc(nil), f.controllers...)
 	rank := func(p *proc) int {
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -57,7 +57,7 @@
 				return
 			case <-hup:
 				if s, err := platform.Load(); err == nil {
-					book.Reseed(s.Seeds)
+					book.SetSeeds(s.Seeds)
 				}
 			}
 		}
@@ -84,8 +84,8 @@
 	if s.Dir == "" {
 		return desk(s, host, ring)
 	}
-	c, err := coordination.New(coordination.Options{Addr: s.Control, Zone: ids.Zone(s.Zone), Host: host, Seeds: s.Seeds, Ring: ring, Lease: s.Lease, Joins: !s.Founds, Losses: s.Losses,
-		Machine: func() coordination.Machine {
+	c, err := coordination.New(coordination.Options{Addr: s.Control, Zone: ids.Zone(s.Zone), Host: host, Seeds: s.Seeds, Ring: ring, LeaseDuration: s.Lease, JoinOnly: !s.Founds, FaultTolerance: s.Losses,
+		Machine: func() coordination.StateMachine {
 			return fleetstate.NewMachine(fleetstate.MachineOptions{Read: platform.Policy})
 		}})
 	if err != nil {
@@ -121,7 +121,7 @@
 	book.Serve(mux)
 	operate(mux, s, call, book, ring)
 	cli.Serve(ctx, host, s.Control, mux, func(err error) { cli.Fail("keelstair-platform controller", err) })
-	book.Keep(ctx, func() bool { return false })
+	book.Run(ctx, func() bool { return false })
 	return nil
 }
 
--- a/cmd/keelstair-testbed/harm.go
+++ b/cmd/keelstair-testbed/harm.go
@@ -28,7 +28,7 @@
 	}
 	begun := time.Now()
 	var got api.Applied
-	a := api.Apply{Op: coordination.Name(), Base: sh.Newest, Partial: true, Name: name, Source: part}
+	a := api.Apply{Op: coordination.NewID(), Base: sh.Newest, Partial: true, Name: name, Source: part}
 	if err := cli.Ask(f.doors(), http.MethodPost, "/v1/policy", a, &got); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
@@ -82,7 +82,7 @@
 	z := f.site.Zones[1]
 	path := "/v1/zones/" + string(z)
 	begun := time.Now()
-	if err := cli.Ask(f.doors(), http.MethodPost, path, api.Mark{Op: coordination.Name(), Out: true}, nil); err != nil {
+	if err := cli.Ask(f.doors(), http.MethodPost, path, api.Mark{Op: coordination.NewID(), Out: true}, nil); err != nil {
 		logf("%v", err)
 	}
 	reads := func() (n int) {
@@ -104,7 +104,7 @@
 		}
 	}
 	logf("the zone's workers last began something %.2f s after the asking", at.Seconds())
-	if err := cli.Ask(f.doors(), http.MethodPost, path, api.Mark{Op: coordination.Name()}, nil); err != nil {
+	if err := cli.Ask(f.doors(), http.MethodPost, path, api.Mark{Op: coordination.NewID()}, nil); err != nil {
 		logf("%v", err)
 	}
 }
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -149,7 +149,7 @@
 func (s *options) put(c *applyCmd, name, text string) error {
 	a := api.Apply{Op: c.Op, Partial: c.Partial, Name: name, Source: text, Dry: c.Dry}
 	if a.Op == "" {
-		a.Op = coordination.Name()
+		a.Op = coordination.NewID()
 	}
 	if c.Base != nil {
 		a.Base = *c.Base
@@ -202,7 +202,7 @@
 		return err
 	}
 	var out api.Applied
-	a := api.Apply{Op: coordination.Name(), Base: sh.Newest, Partial: c.Partial, Name: name, Source: text, Dry: true}
+	a := api.Apply{Op: coordination.NewID(), Base: sh.Newest, Partial: c.Partial, Name: name, Source: text, Dry: true}
 	if err := s.ask(http.MethodPost, "/v1/policy", a, &out); err != nil {
 		return err
 	}
@@ -222,7 +222,7 @@
 func (s *options) mark(what string, c *nameCmd, out bool) error {
 	m := api.Mark{Op: c.Op, Out: out}
 	if m.Op == "" {
-		m.Op = coordination.Name()
+		m.Op = coordination.NewID()
 	}
 	fmt.Printf("operation %s\n", m.Op)
 	var got api.Applied
--- a/cmd/keelstairctl/writ.go
+++ b/cmd/keelstairctl/writ.go
@@ -113,7 +113,7 @@
 	}
 	out := map[string]certification.Certificate{}
 	put := func(one certification.Certificate) {
-		one.Serial, one.Regime, one.Issuer = coordination.Name(), c.Regime, c.Issuer
+		one.Serial, one.Regime, one.Issuer = coordination.NewID(), c.Regime, c.Issuer
 		one.From, one.Until = from.Format(time.RFC3339), until.Format(time.RFC3339)
 		one.Sign(private)
 		out[one.Serial] = one
@@ -149,7 +149,7 @@
 func (s *options) revoke(c *nameCmd) error {
 	m := api.Mark{Op: c.Op, Out: true}
 	if m.Op == "" {
-		m.Op = coordination.Name()
+		m.Op = coordination.NewID()
 	}
 	fmt.Printf("operation %s\n", m.Op)
 	if err := s.ask(http.MethodPost, "/v1/certificates/"+c.Name, m, nil); err != nil {
--- a/coordination/word_test.go
+++ b/coordination/agent_clock_test.go
@@ -27,24 +27,24 @@
 		defer func() { stop(); core.Kill(); node.Kill(); time.Sleep(10 * time.Second) }()
 		mux := http.NewServeMux()
 		told := int64(0)
-		rpc.Handle(mux, "crux/renew", func(context.Context, *RenewAsk) (*RenewReply, error) {
+		rpc.Handle(mux, RenewMethod, func(context.Context, *RenewRequest) (*RenewResponse, error) {
 			time.Sleep(100 * time.Millisecond)
-			return &RenewReply{Seq: 9, Time: told}, nil
+			return &RenewResponse{Seq: 9, Time: told}, nil
 		})
 		l, err := core.Host().Net.Listen("10.0.0.1:1")
 		require.NoError(t, err)
 		go rpc.Serve(ctx, l, mux)
-		a := NewAgent(AgentOptions{Me: Member{Node: "n", Addr: "10.0.0.2:1"}, Host: node.Host(), View: blank{}})
-		defer a.call.Close()
-		a.directory.Learn(&WhereAsk{Record: Record{Epoch: 1, Founding: "f", Primary: Replica{Disk: "d", Addr: "10.0.0.1:1"}}})
-		a.sight.Store(&sight{seq: 5, grants: map[ids.Key]Grant{}})
-		require.False(t, a.Word(), "no lease yet")
+		a := NewAgent(AgentOptions{Self: Member{Node: "n", Addr: "10.0.0.2:1"}, Host: node.Host(), Watcher: nullWatcher{}})
+		defer a.caller.Close()
+		a.directory.Merge(&PeerExchange{Record: Record{Epoch: 1, ClusterID: "f", Primary: Replica{Disk: "d", Addr: "10.0.0.1:1"}}})
+		a.view.Store(&clusterView{seq: 5, grants: map[ids.Key]Grant{}})
+		require.False(t, a.Current(), "no lease yet")
 		require.NoError(t, a.renew(ctx))
 		low, high := a.Time()
 		require.Zero(t, low+high, "none was told")
-		require.False(t, a.Word(), "news 6 to 9 may be a revocation")
-		a.sight.Store(&sight{seq: 9, grants: map[ids.Key]Grant{}})
-		require.True(t, a.Word())
+		require.False(t, a.Current(), "news 6 to 9 may be a revocation")
+		a.view.Store(&clusterView{seq: 9, grants: map[ids.Key]Grant{}})
+		require.True(t, a.Current())
 		told = int64(time.Hour)
 		require.NoError(t, a.renew(ctx))
 		low, high = a.Time()
@@ -54,7 +54,7 @@
 		begun := time.Now()
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
-			a.Awake()
+			a.LeaseValid()
 			low, high = a.Time()
 			require.LessOrEqual(t, low, told+int64(time.Since(begun)))
 			require.GreaterOrEqual(t, high, told+int64(time.Since(begun)))
@@ -65,36 +65,36 @@
 		_, again := a.Time()
 		require.GreaterOrEqual(t, again, high)
 		w.Machine("10.0.0.2").Leap(time.Hour)
-		a.Awake()
+		a.LeaseValid()
 		low, high = a.Time()
 		require.Zero(t, low+high, "its clock leapt: what was told says nothing")
 		require.NoError(t, a.renew(ctx))
 		_, high = a.Time()
 		require.Less(t, high, told+int64(time.Second))
 		for range 40 {
-			require.True(t, a.Word() || a.Fresh() > 2900*time.Millisecond)
+			require.True(t, a.Current() || a.SinceConfirmed() > 2900*time.Millisecond)
 			time.Sleep(100 * time.Millisecond)
-			a.Awake()
+			a.LeaseValid()
 		}
-		require.False(t, a.Word(), "the lease has lapsed")
-		a.sight.Store(&sight{seq: 8, grants: map[ids.Key]Grant{}})
+		require.False(t, a.Current(), "the lease has lapsed")
+		a.view.Store(&clusterView{seq: 8, grants: map[ids.Key]Grant{}})
 		require.NoError(t, a.renew(ctx))
-		require.False(t, a.Word(), "what came meanwhile is not folded")
+		require.False(t, a.Current(), "what came meanwhile is not folded")
 	})
 }
 
 type placed map[ids.NodeID]bool
 
-func (p placed) May(_ ids.Key, n ids.NodeID) bool { return p[n] }
+func (p placed) Eligible(_ ids.Key, n ids.NodeID) bool { return p[n] }
 
 // TestAmong: a key falls to those that may have it, or, if none may, to any.
 func TestAmong(t *testing.T) {
 	type app struct {
-		Machine
+		StateMachine
 		placed
 	}
 	live := []ids.NodeID{"a", "b", "c"}
-	require.Equal(t, live, among(struct{ Machine }{}, "k", live))
-	require.Equal(t, []ids.NodeID{"b", "c"}, among(&app{placed: placed{"b": true, "c": true, "d": true}}, "k", live))
-	require.Equal(t, live, among(&app{placed: placed{}}, "k", live))
+	require.Equal(t, live, eligibleNodes(struct{ StateMachine }{}, "k", live))
+	require.Equal(t, []ids.NodeID{"b", "c"}, eligibleNodes(&app{placed: placed{"b": true, "c": true, "d": true}}, "k", live))
+	require.Equal(t, live, eligibleNodes(&app{placed: placed{}}, "k", live))
 }
--- a/coordination/bad_append_test.go
+++ b/coordination/bad_append_test.go
@@ -13,10 +13,10 @@
 // such as that of another fleet at an equal epoch, change nothing.
 func TestStrangerAppend(t *testing.T) {
 	withMember(t, func(c *Core, _ Replica) {
-		c.reg.Accepted.Epoch = 2
-		ask := &AppendAsk{Epoch: 2, From: Replica{Disk: "stranger", Addr: "10.0.0.3:1"}, Prev: 2, Entries: []Entry{{Seq: 3, Kind: "put", Body: []byte("three")}}}
-		r, err := c.append(context.Background(), ask)
-		require.True(t, err != nil || !r.Ok)
+		c.register.Accepted.Epoch = 2
+		request := &AppendRequest{Epoch: 2, From: Replica{Disk: "stranger", Addr: "10.0.0.3:1"}, Prev: 2, Entries: []Entry{{Seq: 3, Kind: "put", Body: []byte("three")}}}
+		r, err := c.handleAppend(context.Background(), request)
+		require.True(t, err != nil || !r.OK)
 		requireOld(t, c)
 	})
 }
@@ -25,10 +25,10 @@
 // written, or the disk couldn't be read back.
 func TestWrongNumber(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
-		c.reg.Accepted.Epoch = 2
-		ask := &AppendAsk{Epoch: 2, From: proposer, Prev: 2, Entries: []Entry{{Seq: 7, Kind: "put", Body: []byte("three")}}}
-		r, err := c.append(context.Background(), ask)
-		require.True(t, err != nil || !r.Ok)
+		c.register.Accepted.Epoch = 2
+		request := &AppendRequest{Epoch: 2, From: proposer, Prev: 2, Entries: []Entry{{Seq: 7, Kind: "put", Body: []byte("three")}}}
+		r, err := c.handleAppend(context.Background(), request)
+		require.True(t, err != nil || !r.OK)
 		requireOld(t, c)
 		require.NoError(t, c.store.load(newReplicatedState(&listMachine{})))
 	})
--- a/coordination/bad_message_test.go
+++ b/coordination/bad_message_test.go
@@ -21,7 +21,7 @@
 func withMember(t *testing.T, f func(c *Core, proposer Replica)) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := simulated.NewWorld(1).Machine("10.0.0.1")
-		c, err := New(Options{Addr: "10.0.0.1:1", Host: machine.Start().Host(), Machine: func() Machine { return &listMachine{} }})
+		c, err := New(Options{Addr: "10.0.0.1:1", Host: machine.Start().Host(), Machine: func() StateMachine { return &listMachine{} }})
 		require.NoError(t, err)
 		proposer := Replica{Disk: "proposer", Addr: "10.0.0.2:1"}
 		for _, body := range []string{"one", "two"} {
@@ -30,7 +30,7 @@
 			require.NoError(t, err)
 			require.NoError(t, c.store.append([]Entry{e}))
 		}
-		c.reg = register{Promised: 2, Accepted: Record{Epoch: 1, Founding: "f", Primary: proposer, Backup: c.me, Holders: []Replica{proposer, c.me}}}
+		c.register = register{Promised: 2, Accepted: Record{Epoch: 1, ClusterID: "f", Primary: proposer, Backup: c.self, Voters: []Replica{proposer, c.self}}}
 		f(c, proposer)
 		machine.PowerOff()
 		time.Sleep(time.Minute)
@@ -38,19 +38,19 @@
 }
 
 // snapshotOf gives a snapshot of a machine with seven other values.
-func snapshotOf(t *testing.T) (body []byte, all []Sheet) {
+func snapshotOf(t *testing.T) (body []byte, all []Chunk) {
 	r := newReplicatedState(&listMachine{})
 	for range 7 {
 		_, err := r.apply(&Entry{Kind: "put", Op: "op", Body: []byte("other")})
 		require.NoError(t, err)
 	}
-	return Pack(r.snapshot(false)), sheets(r.app)
+	return MustMarshal(r.snapshot(false)), chunksOf(r.machine)
 }
 
 func requireOld(t *testing.T, c *Core) {
-	require.Equal(t, "one,two", c.state.app.(*listMachine).all())
+	require.Equal(t, "one,two", c.state.machine.(*listMachine).all())
 	require.EqualValues(t, 2, c.state.seq)
-	require.Zero(t, c.ready.Load())
+	require.Zero(t, c.readyEpoch.Load())
 }
 
 // TestCutSnapshot: a snapshot that a proposer sent and that was cut short anywhere is
@@ -59,34 +59,34 @@
 	withMember(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
 		for _, one := range all {
-			require.NoError(t, c.store.keepSheet(one))
+			require.NoError(t, c.store.saveChunk(one))
 		}
 		for size := range body {
-			r, err := c.snapshot(context.Background(), &SnapshotAsk{Epoch: 2, From: proposer, Body: body[:size]})
-			require.True(t, err != nil || !r.Ok, "cut to %d of %d bytes", size, len(body))
+			r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{Epoch: 2, From: proposer, State: body[:size]})
+			require.True(t, err != nil || !r.OK, "cut to %d of %d bytes", size, len(body))
 			if err != nil {
 				require.NotContains(t, err.Error(), "\n")
 			}
 			requireOld(t, c)
 		}
-		r, err := c.snapshot(context.Background(), &SnapshotAsk{Epoch: 2, From: proposer, Body: body})
+		r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{Epoch: 2, From: proposer, State: body})
 		require.NoError(t, err)
-		require.True(t, r.Ok)
-		require.Equal(t, strings.Repeat("other,", 6)+"other", c.state.app.(*listMachine).all())
+		require.True(t, r.OK)
+		require.Equal(t, strings.Repeat("other,", 6)+"other", c.state.machine.(*listMachine).all())
 	})
 }
 
-// TestWrongSheet: a sheet whose content doesn't fit its name is refused, in a message
+// TestWrongChunk: a chunk whose content doesn't fit its name is refused, in a message
 // as well as in a snapshot.
-func TestWrongSheet(t *testing.T) {
+func TestWrongChunk(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
 		changed := bytes.ToUpper(all[0].Body)
-		_, err := c.sheet(context.Background(), &SheetAsk{Epoch: 2, Name: all[0].Name, Body: changed})
+		_, err := c.handleChunk(context.Background(), &ChunkRequest{Epoch: 2, Name: all[0].Name, Body: changed})
 		require.ErrorContains(t, err, "does not fit its name")
-		r, err := c.snapshot(context.Background(), &SnapshotAsk{Epoch: 2, From: proposer, Body: body})
+		r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{Epoch: 2, From: proposer, State: body})
 		require.NoError(t, err)
-		require.Equal(t, []string{all[0].Name}, r.Lacks)
+		require.Equal(t, []string{all[0].Name}, r.MissingChunks)
 		requireOld(t, c)
 	})
 }
@@ -96,35 +96,35 @@
 func TestOtherEpoch(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
-		require.NoError(t, c.store.keepSheet(all[0]))
+		require.NoError(t, c.store.saveChunk(all[0]))
 		for _, epoch := range []ids.Epoch{0, 1, 3} {
-			r, err := c.snapshot(context.Background(), &SnapshotAsk{Epoch: epoch, From: proposer, Body: body})
+			r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{Epoch: epoch, From: proposer, State: body})
 			require.NoError(t, err)
-			require.False(t, r.Ok, "epoch %d", epoch)
+			require.False(t, r.OK, "epoch %d", epoch)
 			requireOld(t, c)
 		}
-		ballot, err := c.ballot(context.Background(), &BallotAsk{Epoch: 9, From: proposer, Record: Record{Epoch: 9, Founding: "another", Primary: proposer, Holders: []Replica{c.me}}})
+		ballot, err := c.handleBallot(context.Background(), &BallotRequest{Epoch: 9, From: proposer, Record: Record{Epoch: 9, ClusterID: "another", Primary: proposer, Voters: []Replica{c.self}}})
 		require.NoError(t, err)
-		require.False(t, ballot.Ok)
-		require.Equal(t, "another founding", ballot.Why)
-		require.EqualValues(t, 2, c.reg.Promised)
+		require.False(t, ballot.OK)
+		require.Equal(t, "another founding", ballot.Reason)
+		require.EqualValues(t, 2, c.register.Promised)
 	})
 }
 
 // TestOtherAppend: entries that don't follow, or of another epoch, change nothing.
 func TestOtherAppend(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
-		c.reg.Accepted.Epoch = 2
+		c.register.Accepted.Epoch = 2
 		entry := Entry{Seq: 3, Kind: "put", Body: []byte("three")}
-		for name, ask := range map[string]*AppendAsk{
+		for name, request := range map[string]*AppendRequest{
 			"gap":         {Epoch: 2, From: proposer, Prev: 3, Entries: []Entry{entry}},
 			"repeat":      {Epoch: 2, From: proposer, Prev: 1, Entries: []Entry{entry}},
 			"older epoch": {Epoch: 1, From: proposer, Prev: 2, Entries: []Entry{entry}},
 			"newer epoch": {Epoch: 3, From: proposer, Prev: 2, Entries: []Entry{entry}},
 		} {
-			r, err := c.append(context.Background(), ask)
+			r, err := c.handleAppend(context.Background(), request)
 			require.NoError(t, err, name)
-			require.False(t, r.Ok, name)
+			require.False(t, r.OK, name)
 			requireOld(t, c)
 		}
 	})
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -1,6 +1,6 @@
 // A Core is one disk machine's part in the control plane: holder of a register,
 // and primary, backup or spare as the newest record says. This file joins its
-// pieces and answers its neighbours.
+// pieces and answers its peers.
 
 package coordination
 
@@ -24,29 +24,29 @@
 
 // Options of a core; zero spans take the defaults named beside them.
 type Options struct {
-	Addr    string
-	Zone    ids.Zone
-	Host    host.Host
-	Seeds   []string
-	Machine func() Machine
-	Ring    *logging.Ring
-	Beat    time.Duration // 200ms: primary to backup and witnesses
-	Silence time.Duration // 900ms: then the backup takes over
-	Lease   time.Duration // 3s: of every node
-	Stall   time.Duration // 1s: a disk step that takes longer
-	Replace time.Duration // 2s: a register holder silent so long may be replaced, at once if another disk has its address
-	Losses  int           // 1: machines that may be lost at once; counts when the core is founded
-	Joins   bool          // it founds nothing and waits for a core that stands
-	Anew    bool          // an operator orders the core founded anew from this disk
+	Addr              string
+	Zone              ids.Zone
+	Host              host.Host
+	Seeds             []string
+	Machine           func() StateMachine
+	Ring              *logging.Ring
+	HeartbeatInterval time.Duration // 200ms: primary to backup and witnesses
+	ElectionTimeout   time.Duration // 900ms: then the backup takes over
+	LeaseDuration     time.Duration // 3s: of every node
+	DiskTimeout       time.Duration // 1s: a disk step that takes longer
+	ReplaceAfter      time.Duration // 2s: a register holder silent so long may be replaced, at once if another disk has its address
+	FaultTolerance    int           // 1: machines that may be lost at once; counts when the core is founded
+	JoinOnly          bool          // it founds nothing and waits for a core that stands
+	ForceNewCluster   bool          // an operator orders the core founded anew from this disk
 }
 
-func (o *Options) fill() {
-	ids.Or(&o.Beat, 200*time.Millisecond)
-	ids.Or(&o.Silence, 900*time.Millisecond)
-	ids.Or(&o.Lease, 3*time.Second)
-	ids.Or(&o.Stall, time.Second)
-	ids.Or(&o.Replace, 2*time.Second)
-	o.Losses = max(1, o.Losses)
+func (o *Options) setDefaults() {
+	ids.Or(&o.HeartbeatInterval, 200*time.Millisecond)
+	ids.Or(&o.ElectionTimeout, 900*time.Millisecond)
+	ids.Or(&o.LeaseDuration, 3*time.Second)
+	ids.Or(&o.DiskTimeout, time.Second)
+	ids.Or(&o.ReplaceAfter, 2*time.Second)
+	o.FaultTolerance = max(1, o.FaultTolerance)
 	if o.Ring == nil {
 		o.Ring = logging.Mute()
 	}
@@ -55,75 +55,75 @@
 // Core is safe for use by many threads. New makes one, Mount and Run start it, Leave prepares
 // its end.
 type Core struct {
-	opt       Options
-	me        Replica
-	call      *rpc.Caller
+	options   Options
+	self      Replica
+	caller    *rpc.Caller
 	directory *Directory
 	store     *store
 	feed      *feed
 
-	regMu host.Latch
-	reg   register
-	heard map[ids.DiskID]ids.Tick
+	registerMu host.Latch
+	register   register
+	lastHeard  map[ids.DiskID]ids.Tick
 
-	dataMu     host.Latch
-	state      *replicatedState
-	ready      atomic.Uint64
-	mustReload bool
+	dataMu       host.Latch
+	state        *replicatedState
+	readyEpoch   atomic.Uint64
+	reloadNeeded bool
 
-	lead    atomic.Pointer[leader]
-	top     atomic.Uint64
-	leaving atomic.Bool
-	asked   atomic.Uint64 // the epoch whose primary has asked this backup to take over
-	wake    chan struct{} // the steward's
-	copies  atomic.Uint64 // whole states sent to others
-	fatal   chan error
+	leader        atomic.Pointer[leader]
+	highestEpoch  atomic.Uint64
+	leaving       atomic.Bool
+	transferEpoch atomic.Uint64 // the epoch whose primary has asked this backup to take over
+	wakeElection  chan struct{} // the election loop's
+	snapshotsSent atomic.Uint64 // whole states sent to others
+	fatal         chan error
 }
 
 // New opens the disk and reads what it holds. It starts nothing.
 func New(opt Options) (*Core, error) {
-	opt.fill()
-	c := &Core{opt: opt, regMu: host.NewLatch(), dataMu: host.NewLatch(), feed: newFeed(), heard: map[ids.DiskID]ids.Tick{}, wake: make(chan struct{}, 1), fatal: make(chan error, 1)}
-	c.store = &store{disk: opt.Host.Disk, stall: opt.Stall}
+	opt.setDefaults()
+	c := &Core{options: opt, registerMu: host.NewLatch(), dataMu: host.NewLatch(), feed: newFeed(), lastHeard: map[ids.DiskID]ids.Tick{}, wakeElection: make(chan struct{}, 1), fatal: make(chan error, 1)}
+	c.store = &store{disk: opt.Host.Disk, timeout: opt.DiskTimeout}
 	id, err := opt.Host.Disk.Load(identityFile)
 	if errors.Is(err, host.ErrGone) {
-		id = []byte(Name())
+		id = []byte(NewID())
 		err = opt.Host.Disk.Save(identityFile, id)
 	}
 	if err != nil {
 		return nil, failure.Wrap(err, "open identity", "disk")
 	}
-	c.me = Replica{Disk: ids.DiskID(id), Addr: opt.Addr, Zone: opt.Zone}
-	if c.reg, err = c.store.loadRegister(); err != nil {
+	c.self = Replica{Disk: ids.DiskID(id), Addr: opt.Addr, Zone: opt.Zone}
+	if c.register, err = c.store.loadRegister(); err != nil {
 		return nil, err
 	}
 	c.state = newReplicatedState(opt.Machine())
 	if err := c.store.load(c.state); err != nil {
 		return nil, err
 	}
-	c.call = rpc.NewCaller(opt.Host.Net)
-	c.directory = NewDirectory(opt.Host, c.call, opt.Seeds, c.me)
-	c.directory.me.Blank = c.reg.Accepted.Founding == ""
-	c.directory.Learn(&WhereAsk{Record: c.reg.Accepted})
+	c.caller = rpc.NewCaller(opt.Host.Net)
+	c.directory = NewDirectory(opt.Host, c.caller, opt.Seeds, c.self)
+	c.directory.self.Empty = c.register.Accepted.ClusterID == ""
+	c.directory.Merge(&PeerExchange{Record: c.register.Accepted})
 	if body, err := opt.Host.Disk.Load(directoryFile); err == nil {
-		var p WhereAsk
+		var p PeerExchange
 		if _, err := p.UnmarshalMsg(body); err == nil {
-			p.Me = Replica{}
-			c.directory.Learn(&p)
+			p.Self = Replica{}
+			c.directory.Merge(&p)
 		}
 	}
 	return c, nil
 }
 
-// Name makes a fresh random id.
-func Name() string {
+// NewID makes a fresh random id.
+func NewID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// Short is a fixed short name for a longer one.
-func Short(long string) string {
+// ShortHash is a fixed short name for a longer one.
+func ShortHash(long string) string {
 	sum := sha256.Sum256([]byte(long))
 	return hex.EncodeToString(sum[:12])
 }
@@ -132,24 +132,24 @@
 func (c *Core) Directory() *Directory { return c.directory }
 
 // Caller asks other processes over the core's network.
-func (c *Core) Caller() *rpc.Caller { return c.call }
+func (c *Core) Caller() *rpc.Caller { return c.caller }
 
 // Leads tells whether this core is the primary now.
-func (c *Core) Leads() bool { return c.lead.Load() != nil }
+func (c *Core) Leads() bool { return c.leader.Load() != nil }
 
 // Mount puts the core's answers on a mux.
 func (c *Core) Mount(mux *http.ServeMux) {
 	c.directory.Serve(mux)
-	rpc.Handle(mux, "crux/ballot", c.ballot)
-	rpc.Handle(mux, "crux/append", c.append)
-	rpc.Handle(mux, "crux/picture", c.snapshot)
-	rpc.Handle(mux, "crux/sheet", c.sheet)
-	rpc.Handle(mux, "crux/submit", c.submit)
-	rpc.Handle(mux, "crux/renew", c.renew)
-	rpc.Handle(mux, "crux/news", c.news)
-	rpc.Handle(mux, "crux/beat", c.beat)
-	rpc.Handle(mux, "crux/leave", c.leave)
-	rpc.Handle(mux, "crux/lead", c.takeOver)
+	rpc.Handle(mux, ballotMethod, c.handleBallot)
+	rpc.Handle(mux, appendMethod, c.handleAppend)
+	rpc.Handle(mux, snapshotMethod, c.handleSnapshot)
+	rpc.Handle(mux, chunkMethod, c.handleChunk)
+	rpc.Handle(mux, SubmitMethod, c.handleSubmit)
+	rpc.Handle(mux, RenewMethod, c.handleRenew)
+	rpc.Handle(mux, WatchMethod, c.handleWatch)
+	rpc.Handle(mux, heartbeatMethod, c.handleHeartbeat)
+	rpc.Handle(mux, leaveMethod, c.handleLeave)
+	rpc.Handle(mux, transferMethod, c.handleTransfer)
 }
 
 // Run takes part until the context ends. It returns early only on a breakdown
@@ -158,18 +158,18 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
-	wg.Go(func() { c.directory.Keep(ctx, c.calm) })
+	wg.Go(func() { c.directory.Run(ctx, c.inContact) })
 	wg.Go(func() {
-		if c.opt.Anew {
-			if err := c.anew(ctx); err != nil {
+		if c.options.ForceNewCluster {
+			if err := c.forceNewCluster(ctx); err != nil {
 				c.fatal <- err
 				return
 			}
 		}
-		c.steward(ctx)
+		c.electionLoop(ctx)
 	})
-	wg.Go(func() { c.keepDirectory(ctx) })
-	wg.Go(func() { c.collect(ctx) })
+	wg.Go(func() { c.saveDirectory(ctx) })
+	wg.Go(func() { c.prefetchChunks(ctx) })
 	var err error
 	select {
 	case <-ctx.Done():
@@ -177,35 +177,35 @@
 	}
 	stop()
 	wg.Wait()
-	c.call.Close()
+	c.caller.Close()
 	return err
 }
 
-// calm tells that this core is a holder that leads, or hears the one that does.
-func (c *Core) calm() bool {
-	rec, _ := c.accepted()
-	c.regMu.Lock()
-	defer c.regMu.Unlock()
-	return holds(rec.Holders, c.me.Disk) && c.alive(rec.Primary.Disk, c.opt.Host.Clock.Now())
+// inContact tells that this core is a holder that leads, or hears the one that does.
+func (c *Core) inContact() bool {
+	record, _ := c.accepted()
+	c.registerMu.Lock()
+	defer c.registerMu.Unlock()
+	return containsDisk(record.Voters, c.self.Disk) && c.recentlyHeard(record.Primary.Disk, c.options.Host.Clock.Now())
 }
 
-// keepBook saves the whereabouts now and then, so that a restart finds others
+// saveDirectory saves the whereabouts now and then, so that a restart finds others
 // even when every seed has gone.
-func (c *Core) keepDirectory(ctx context.Context) {
-	var old string
+func (c *Core) saveDirectory(ctx context.Context) {
+	var previous string
 	for host.Sleep(ctx, 2*time.Second) {
-		p := c.directory.Page()
-		body := string(Pack(p))
-		if body == old || len(p.Seats)+len(p.Members) == 0 || c.store.busy.Load() > 0 {
+		p := c.directory.Exchange()
+		body := string(MustMarshal(p))
+		if body == previous || len(p.Replicas)+len(p.Members) == 0 || c.store.pending.Load() > 0 {
 			continue
 		}
-		if c.store.within("save book", func() error { return c.opt.Host.Disk.Save(directoryFile, []byte(body)) }) == nil {
-			old = body
+		if c.store.timed("save directory", func() error { return c.options.Host.Disk.Save(directoryFile, []byte(body)) }) == nil {
+			previous = body
 		}
 	}
 }
 
-func holds(list []Replica, d ids.DiskID) bool {
+func containsDisk(list []Replica, d ids.DiskID) bool {
 	for _, s := range list {
 		if s.Disk == d {
 			return true
@@ -214,83 +214,83 @@
 	return false
 }
 
-// append takes entries as the backup; they are synced before the answer. An
+// handleAppend takes entries as the backup; they are synced before the answer. An
 // older epoch is refused, so a deposed primary can acknowledge nothing.
-func (c *Core) append(_ context.Context, q *AppendAsk) (*AppendReply, error) {
+func (c *Core) handleAppend(_ context.Context, request *AppendRequest) (*AppendResponse, error) {
 	c.dataMu.Lock()
 	defer c.dataMu.Unlock()
-	rec, promised := c.accepted()
-	r := &AppendReply{Promised: promised, Last: c.state.seq}
-	if q.Epoch < promised || rec.Epoch != q.Epoch || rec.Primary.Disk != q.From.Disk || rec.rank(c.me.Disk) < 0 {
+	record, promised := c.accepted()
+	r := &AppendResponse{Promised: promised, LastSeq: c.state.seq}
+	if request.Epoch < promised || record.Epoch != request.Epoch || record.Primary.Disk != request.From.Disk || record.backupRank(c.self.Disk) < 0 {
 		return r, nil
 	}
-	if c.mustReload || q.Prev != c.state.seq || !follow(q.Entries, q.Prev) {
+	if c.reloadNeeded || request.Prev != c.state.seq || !consecutive(request.Entries, request.Prev) {
 		return r, nil
 	}
-	c.regMu.Lock()
-	c.hear(q.From.Disk)
-	c.settle(q.Epoch, q.From.Disk)
-	c.regMu.Unlock()
-	if err := c.store.append(q.Entries); err != nil {
-		c.mustReload = true
+	c.registerMu.Lock()
+	c.noteContact(request.From.Disk)
+	c.markDecided(request.Epoch, request.From.Disk)
+	c.registerMu.Unlock()
+	if err := c.store.append(request.Entries); err != nil {
+		c.reloadNeeded = true
 		return nil, err
 	}
-	if err := c.applyAll(q.Entries); err != nil {
-		return nil, failure.Wrap(err, "apply entry", q.From.Addr)
+	if err := c.applyAll(request.Entries); err != nil {
+		return nil, failure.Wrap(err, "apply entry", request.From.Addr)
 	}
-	if _, promised = c.accepted(); promised > q.Epoch {
-		return &AppendReply{Promised: promised}, nil
+	if _, promised = c.accepted(); promised > request.Epoch {
+		return &AppendResponse{Promised: promised}, nil
 	}
 	if c.store.rows > rowsPerLog {
-		if err := c.store.reset(c.state.snapshot(false), sheets(c.state.app)); err != nil {
-			c.mustReload = true
+		if err := c.store.compact(c.state.snapshot(false), chunksOf(c.state.machine)); err != nil {
+			c.reloadNeeded = true
 			return nil, err
 		}
 	}
-	return &AppendReply{Ok: true, Last: c.state.seq, Promised: promised}, nil
+	return &AppendResponse{OK: true, LastSeq: c.state.seq, Promised: promised}, nil
 }
 
-func (c *Core) submit(ctx context.Context, q *SubmitAsk) (*SubmitReply, error) {
-	l := c.lead.Load()
+func (c *Core) handleSubmit(ctx context.Context, request *SubmitRequest) (*SubmitResponse, error) {
+	l := c.leader.Load()
 	if l == nil {
-		return nil, failure.New(failure.Away, "submit", c.me.Addr, "not the primary")
+		return nil, failure.New(failure.Away, "submit", c.self.Addr, "not the primary")
 	}
-	j := &job{ent: &Entry{Kind: q.Kind, Body: q.Body, Op: q.Op}, done: make(chan struct{})}
-	if err := l.ask(ctx, j); err != nil {
+	op := &operation{entry: &Entry{Kind: request.Kind, Body: request.Body, Op: request.Op}, done: make(chan struct{})}
+	if err := l.submit(ctx, op); err != nil {
 		return nil, err
 	}
-	if j.err != nil {
-		return nil, j.err
+	if op.err != nil {
+		return nil, op.err
 	}
-	return &SubmitReply{Seq: j.ent.Seq, Body: j.out}, nil
+	return &SubmitResponse{Seq: op.entry.Seq, Body: op.result}, nil
 }
 
-func (c *Core) renew(ctx context.Context, q *RenewAsk) (*RenewReply, error) {
-	l := c.lead.Load()
+func (c *Core) handleRenew(ctx context.Context, request *RenewRequest) (*RenewResponse, error) {
+	l := c.leader.Load()
 	if l == nil {
-		return nil, failure.New(failure.Away, "renew", c.me.Addr, "not the primary")
+		return nil, failure.New(failure.Away, "renew", c.self.Addr, "not the primary")
 	}
-	j := &job{renew: q, done: make(chan struct{})}
-	if err := l.ask(ctx, j); err != nil {
+	op := &operation{renew: request, done: make(chan struct{})}
+	if err := l.submit(ctx, op); err != nil {
 		return nil, err
 	}
-	return j.lease, j.err
+	return op.renewal, op.err
 }
 
-func (c *Core) news(ctx context.Context, q *NewsAsk) (*NewsReply, error) {
-	l := c.lead.Load()
+func (c *Core) handleWatch(ctx context.Context, request *WatchRequest) (*WatchResponse, error) {
+	l := c.leader.Load()
 	if l == nil {
-		return nil, failure.New(failure.Away, "news", c.me.Addr, "not the primary")
+		return nil, failure.New(failure.Away, "news", c.self.Addr, "not the primary")
 	}
-	r, err := c.feed.news(ctx, q, func() (*Image, error) {
-		j := &job{peek: true, done: make(chan struct{})}
-		if err := l.ask(ctx, j); err != nil {
+	r, err := c.feed.watch(ctx, request, func() (*Snapshot, error) {
+		op := &operation{readState: true, done: make(chan struct{})}
+		if err := l.submit(ctx, op); err != nil {
 			return nil, err
 		}
-		return j.img, j.err
+		return op.snapshot, op.err
 	})
 	if err == nil {
-		r.Epoch = l.founded
+		r.Epoch = l.startEpoch
 	}
 	return r, err
 }
--- a/coordination/cutoff_test.go
+++ b/coordination/cutoff_test.go
@@ -37,10 +37,10 @@
 	}
 	for _, ip := range group {
 		if how != reachesNone {
-			f.w.Cut(rest, []string{ip}, cut)
+			f.world.Cut(rest, []string{ip}, cut)
 		}
 		if how != hearsNone {
-			f.w.Cut([]string{ip}, rest, cut)
+			f.world.Cut([]string{ip}, rest, cut)
 		}
 	}
 }
@@ -48,13 +48,13 @@
 // askCore asks one core for a command that changes nothing of the sum, and for all there is,
 // whoever leads.
 func (f *fleet) askCore(ip, op string) (submitted, read error) {
-	caller := rpc.NewCaller(f.procs["10.0.1.1"].Host().Net)
+	caller := rpc.NewCaller(f.processes["10.0.1.1"].Host().Net)
 	defer caller.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 900*time.Millisecond)
 	defer stop()
-	ask := &coordination.SubmitAsk{Op: ids.OpID(op), Kind: "add", Body: []byte("0")}
-	_, submitted = rpc.Call[coordination.SubmitAsk, coordination.SubmitReply](ctx, caller, ip+":1", "crux/submit", ask)
-	_, read = rpc.Call[coordination.NewsAsk, coordination.NewsReply](ctx, caller, ip+":1", "crux/news", &coordination.NewsAsk{})
+	request := &coordination.SubmitRequest{Op: ids.OpID(op), Kind: "add", Body: []byte("0")}
+	_, submitted = rpc.Call[coordination.SubmitRequest, coordination.SubmitResponse](ctx, caller, ip+":1", coordination.SubmitMethod, request)
+	_, read = rpc.Call[coordination.WatchRequest, coordination.WatchResponse](ctx, caller, ip+":1", coordination.WatchMethod, &coordination.WatchRequest{})
 	return submitted, read
 }
 
@@ -82,14 +82,14 @@
 	}
 }
 
-// places are the machines of the record: the primary, its backups, then a holder without data.
-func (f *fleet) places(t *testing.T) []string {
+// voters are the machines of the record: the primary, its backups, then a holder without data.
+func (f *fleet) voters(t *testing.T) []string {
 	record := f.cores[f.leader()].Directory().Record()
 	out := []string{machineOf(record.Primary.Addr), machineOf(record.Backup.Addr)}
-	for _, b := range record.Also {
+	for _, b := range record.MoreBackups {
 		out = append(out, machineOf(b.Addr))
 	}
-	for _, h := range record.Holders {
+	for _, h := range record.Voters {
 		if ip := machineOf(h.Addr); !slices.Contains(out, ip) {
 			return append(out, ip)
 		}
@@ -98,12 +98,12 @@
 	return nil
 }
 
-func cutOff(t *testing.T, machines, losses, first, second int, how direction) {
-	f := buildOf(uint64(first*7+second+1), machines, losses)
+func cutOff(t *testing.T, machines, faultTolerance, first, second int, how direction) {
+	f := buildOf(uint64(first*7+second+1), machines, faultTolerance)
 	defer f.close()
-	require.NoError(t, f.add(1, "a", 10*time.Second))
+	require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 	time.Sleep(2 * time.Second)
-	place := f.places(t)
+	place := f.voters(t)
 	group := []string{place[first]}
 	if second != first {
 		group = append(group, place[second])
@@ -112,7 +112,7 @@
 	began := time.Now()
 	sum := 1
 	for n := 0; time.Since(began) < cutOffSpan; n++ {
-		require.NoError(t, f.add(1, fmt.Sprint("during", n), 8*time.Second))
+		require.NoError(t, f.submitNumber(1, fmt.Sprint("during", n), 8*time.Second))
 		sum++
 		for _, ip := range group {
 			submitted, read := f.askCore(ip, fmt.Sprint(ip, "/", n))
@@ -126,11 +126,11 @@
 	}
 	f.cutFrom(group, how, false)
 	time.Sleep(4 * time.Second)
-	require.NoError(t, f.add(1, "after", 5*time.Second))
-	f.off(f.leader())
-	require.NoError(t, f.add(1, "without the primary", 8*time.Second))
+	require.NoError(t, f.submitNumber(1, "after", 5*time.Second))
+	f.powerOff(f.leader())
+	require.NoError(t, f.submitNumber(1, "without the primary", 8*time.Second))
 	time.Sleep(time.Second)
-	for _, v := range f.views {
+	for _, v := range f.watchers {
 		require.EqualValues(t, sum+2, v.sum.Load())
 	}
 }
--- a/coordination/directory.go
+++ b/coordination/directory.go
@@ -18,167 +18,167 @@
 	"keelstair.example/rpc"
 )
 
-type replicaSeen struct {
+type replicaContact struct {
 	Replica
-	blank   bool
+	empty   bool
 	leaving bool
-	at      ids.Tick
+	heardAt ids.Tick
 }
 
 // Directory is safe for use by many threads.
 type Directory struct {
-	mu      sync.Mutex
-	host    host.Host
-	seeds   []string
-	me      WhereAsk
-	record  Record
-	seats   map[ids.DiskID]replicaSeen
-	members []Member
-	seq     ids.Seq // of the log, that the members are as of
-	call    *rpc.Caller
-	foreign string
-	grown   chan struct{} // closed when a newer record is learnt
-	heardAt ids.Tick      // when any other process was heard last
+	mu             sync.Mutex
+	host           host.Host
+	seeds          []string
+	self           PeerExchange
+	record         Record
+	replicas       map[ids.DiskID]replicaContact
+	members        []Member
+	seq            ids.Seq // of the log, that the members are as of
+	caller         *rpc.Caller
+	foreignCluster string
+	recordChanged  chan struct{} // closed when a newer record is learnt
+	lastContact    ids.Tick      // when any other process was heard last
 }
 
 // NewDirectory makes the directory of a process: me is its own replica, or only its address. It knows no
 // more than the seeds, until it asks.
 func NewDirectory(host host.Host, call *rpc.Caller, seeds []string, me Replica) *Directory {
-	return &Directory{host: host, call: call, seeds: seeds, me: WhereAsk{Me: me}, seats: map[ids.DiskID]replicaSeen{}, grown: make(chan struct{})}
+	return &Directory{host: host, caller: call, seeds: seeds, self: PeerExchange{Self: me}, replicas: map[ids.DiskID]replicaContact{}, recordChanged: make(chan struct{})}
 }
 
-// Page is what the directory would tell another process now.
-func (b *Directory) Page() *WhereAsk {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.me
-	p.Blank = p.Blank && b.record.Founding == ""
-	p.Record, p.Members, p.Seq = b.record, b.members, b.seq
-	now := b.host.Clock.Now()
-	for _, s := range b.seats {
-		if !now.Past(s.at, 10*time.Second) {
-			p.Seats = append(p.Seats, s.Replica)
+// Exchange is what the directory would tell another process now.
+func (d *Directory) Exchange() *PeerExchange {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	p := d.self
+	p.Empty = p.Empty && d.record.ClusterID == ""
+	p.Record, p.Members, p.Seq = d.record, d.members, d.seq
+	now := d.host.Clock.Now()
+	for _, s := range d.replicas {
+		if !now.Past(s.heardAt, 10*time.Second) {
+			p.Replicas = append(p.Replicas, s.Replica)
 		}
 	}
-	sort.Slice(p.Seats, func(i, j int) bool { return p.Seats[i].Disk < p.Seats[j].Disk })
+	sort.Slice(p.Replicas, func(i, op int) bool { return p.Replicas[i].Disk < p.Replicas[op].Disk })
 	return &p
 }
 
-// Learn takes in another's page. Only what the speaker says of itself is dated.
-func (b *Directory) Learn(p *WhereAsk) {
-	b.mu.Lock()
-	if b.record.Founding != "" && p.Record.Founding != "" && p.Record.Founding != b.record.Founding {
-		b.foreign = p.Record.Founding
-		b.mu.Unlock()
+// Merge takes in another's page. Only what the speaker says of itself is dated.
+func (d *Directory) Merge(p *PeerExchange) {
+	d.mu.Lock()
+	if d.record.ClusterID != "" && p.Record.ClusterID != "" && p.Record.ClusterID != d.record.ClusterID {
+		d.foreignCluster = p.Record.ClusterID
+		d.mu.Unlock()
 		return
 	}
-	grown := p.Record.Epoch > b.record.Epoch
+	grown := p.Record.Epoch > d.record.Epoch
 	if grown {
-		b.record = p.Record
+		d.record = p.Record
 	}
-	if p.Me.Addr != "" && p.Me.Addr != b.me.Me.Addr {
-		b.heardAt = b.host.Clock.Now()
+	if p.Self.Addr != "" && p.Self.Addr != d.self.Self.Addr {
+		d.lastContact = d.host.Clock.Now()
 	}
-	if p.Me.Disk != "" && p.Me.Disk != b.me.Me.Disk {
-		b.seats[p.Me.Disk] = replicaSeen{p.Me, p.Blank, p.Leaving, b.host.Clock.Now()}
+	if p.Self.Disk != "" && p.Self.Disk != d.self.Self.Disk {
+		d.replicas[p.Self.Disk] = replicaContact{p.Self, p.Empty, p.Leaving, d.host.Clock.Now()}
 	}
-	for _, s := range p.Seats {
-		if _, ok := b.seats[s.Disk]; !ok && s.Disk != b.me.Me.Disk {
-			b.seats[s.Disk] = replicaSeen{Replica: s, at: b.host.Clock.Now().Add(-5 * time.Second)}
+	for _, s := range p.Replicas {
+		if _, ok := d.replicas[s.Disk]; !ok && s.Disk != d.self.Self.Disk {
+			d.replicas[s.Disk] = replicaContact{Replica: s, heardAt: d.host.Clock.Now().Add(-5 * time.Second)}
 		}
 	}
-	b.enlist(p.Seq, p.Members)
+	d.updateMembers(p.Seq, p.Members)
 	if grown {
-		close(b.grown)
-		b.grown = make(chan struct{})
+		close(d.recordChanged)
+		d.recordChanged = make(chan struct{})
 	}
-	b.mu.Unlock()
+	d.mu.Unlock()
 }
 
-// Heard tells when any other process was heard last.
-func (b *Directory) Heard() ids.Tick {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.heardAt
+// LastContact tells when any other process was heard last.
+func (d *Directory) LastContact() ids.Tick {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.lastContact
 }
 
-// Reseed takes the seeds that changed settings name.
-func (b *Directory) Reseed(seeds []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.seeds = seeds
+// SetSeeds takes the seeds that changed settings name.
+func (d *Directory) SetSeeds(seeds []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.seeds = seeds
 }
 
 // SetMembers is called by those who follow the news themselves; seq is the number of the
 // log up to which they have.
-func (b *Directory) SetMembers(seq ids.Seq, ms []Member) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.enlist(seq, ms)
+func (d *Directory) SetMembers(seq ids.Seq, ms []Member) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.updateMembers(seq, ms)
 }
 
-// enlist takes members that are newer than those known. Epochs do not tell: whoever hears
+// updateMembers takes members that are newer than those known. Epochs do not tell: whoever hears
 // of a newer one may know members of long ago.
-func (b *Directory) enlist(seq ids.Seq, ms []Member) {
-	if seq > b.seq {
-		b.seq, b.members = seq, ms
+func (d *Directory) updateMembers(seq ids.Seq, ms []Member) {
+	if seq > d.seq {
+		d.seq, d.members = seq, ms
 	}
 }
 
 // Record is the newest record that was heard of.
-func (b *Directory) Record() Record {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.record
+func (d *Directory) Record() Record {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.record
 }
 
-// Grown is closed when a newer record than that of now is learnt.
-func (b *Directory) Grown() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.grown
+// RecordChanged is closed when a newer record than that of now is learnt.
+func (d *Directory) RecordChanged() <-chan struct{} {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.recordChanged
 }
 
-// Tell gives everyone known this page, so that they need not find out by themselves.
-func (b *Directory) Tell(ctx context.Context) {
-	p := b.Page()
-	for _, a := range b.whom() {
+// Broadcast gives everyone known this page, so that they need not find out by themselves.
+func (d *Directory) Broadcast(ctx context.Context) {
+	p := d.Exchange()
+	for _, a := range d.addresses() {
 		go func() {
-			cx, stop := context.WithTimeout(ctx, 700*time.Millisecond)
+			callContext, stop := context.WithTimeout(ctx, 700*time.Millisecond)
 			defer stop()
-			rpc.Call[WhereAsk, WhereAsk](cx, b.call, a, "crux/where", p)
+			rpc.Call[PeerExchange, PeerExchange](callContext, d.caller, a, ExchangeMethod, p)
 		}()
 	}
 }
 
-// Foreign is the founding id of another fleet that was met, if any.
-func (b *Directory) Foreign() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.foreign
+// ForeignCluster is the founding id of another fleet that was met, if any.
+func (d *Directory) ForeignCluster() string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.foreignCluster
 }
 
 // Addr gives the freshest address of a replica.
-func (b *Directory) Addr(s Replica) string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if got, ok := b.seats[s.Disk]; ok {
+func (d *Directory) Addr(s Replica) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if got, ok := d.replicas[s.Disk]; ok {
 		return got.Addr
 	}
 	return s.Addr
 }
 
-// heard gives the replicas that spoke for themselves within the span.
-func (b *Directory) heard(span time.Duration) (all []Replica, blank []Replica) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.host.Clock.Now()
-	for _, s := range b.seats {
-		if now.Past(s.at, span) {
+// recentReplicas gives the replicas that spoke for themselves within the span.
+func (d *Directory) recentReplicas(span time.Duration) (all []Replica, blank []Replica) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.host.Clock.Now()
+	for _, s := range d.replicas {
+		if now.Past(s.heardAt, span) {
 			continue
 		}
 		all = append(all, s.Replica)
-		if s.blank {
+		if s.empty {
 			blank = append(blank, s.Replica)
 		}
 	}
@@ -186,37 +186,37 @@
 }
 
 // setLeaving has all pages tell from now on that this process is about to end.
-func (b *Directory) setLeaving() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.me.Leaving = true
+func (d *Directory) setLeaving() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.self.Leaving = true
 }
 
 // leaving tells whether a replica said that it is about to end.
-func (b *Directory) leaving(d ids.DiskID) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.seats[d].leaving
+func (d *Directory) leaving(disk ids.DiskID) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.replicas[disk].leaving
 }
 
-// whom lists every address worth asking.
-func (b *Directory) whom() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// addresses lists every address worth asking.
+func (d *Directory) addresses() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	set := map[string]bool{}
-	for _, a := range b.seeds {
+	for _, a := range d.seeds {
 		set[a] = true
 	}
-	for _, s := range b.seats {
+	for _, s := range d.replicas {
 		set[s.Addr] = true
 	}
-	for _, m := range b.members {
+	for _, m := range d.members {
 		set[m.Addr] = true
 	}
-	for _, s := range b.record.voters() {
+	for _, s := range d.record.allVoters() {
 		set[s.Addr] = true
 	}
-	delete(set, b.me.Me.Addr)
+	delete(set, d.self.Self.Addr)
 	var out []string
 	for a := range set {
 		out = append(out, a)
@@ -225,41 +225,41 @@
 	return out
 }
 
-// Ask asks so many of the known, in a random order, and learns.
-func (b *Directory) Ask(ctx context.Context, most int) {
-	list := b.whom()
-	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	if len(list) > most {
-		list = list[:most]
+// Query asks so many of the known, in a random order, and learns.
+func (d *Directory) Query(ctx context.Context, limit int) {
+	list := d.addresses()
+	rand.Shuffle(len(list), func(i, op int) { list[i], list[op] = list[op], list[i] })
+	if len(list) > limit {
+		list = list[:limit]
 	}
-	if p := b.Record().Primary; p.Disk != "" && p.Disk != b.me.Me.Disk {
-		list = append(list, b.Addr(p))
+	if p := d.Record().Primary; p.Disk != "" && p.Disk != d.self.Self.Disk {
+		list = append(list, d.Addr(p))
 	}
 	var wg sync.WaitGroup
 	for _, a := range list {
 		wg.Go(func() {
 			c, stop := context.WithTimeout(ctx, 700*time.Millisecond)
 			defer stop()
-			if p, err := rpc.Call[WhereAsk, WhereAsk](c, b.call, a, "crux/where", b.Page()); err == nil {
-				b.Learn(p)
+			if p, err := rpc.Call[PeerExchange, PeerExchange](c, d.caller, a, ExchangeMethod, d.Exchange()); err == nil {
+				d.Merge(p)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// Keep asks for ever: often while the core is unknown, seldom afterwards, and hardly
+// Run asks for ever: often while the core is unknown, seldom afterwards, and hardly
 // while all is calm, since whoever moves asks the others.
-func (b *Directory) Keep(ctx context.Context, calm func() bool) {
+func (d *Directory) Run(ctx context.Context, calm func() bool) {
 	for {
-		most, wait := 4, time.Second
+		limit, wait := 4, time.Second
 		switch {
-		case b.Record().Founding == "":
+		case d.Record().ClusterID == "":
 			wait = 200 * time.Millisecond
 		case calm():
-			most, wait = 1, 4*time.Second
+			limit, wait = 1, 4*time.Second
 		}
-		b.Ask(ctx, most)
+		d.Query(ctx, limit)
 		if !host.Sleep(ctx, wait/2+rand.N(wait)) {
 			return
 		}
@@ -267,9 +267,9 @@
 }
 
 // Serve answers others from the directory.
-func (b *Directory) Serve(mux *http.ServeMux) {
-	rpc.Handle(mux, "crux/where", func(_ context.Context, q *WhereAsk) (*WhereAsk, error) {
-		b.Learn(q)
-		return b.Page(), nil
+func (d *Directory) Serve(mux *http.ServeMux) {
+	rpc.Handle(mux, ExchangeMethod, func(_ context.Context, request *PeerExchange) (*PeerExchange, error) {
+		d.Merge(request)
+		return d.Exchange(), nil
 	})
 }
--- a/coordination/pages_test.go
+++ b/coordination/directory_exchange_test.go
@@ -22,14 +22,14 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(1, "first", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		books := func() map[string]*coordination.Directory {
 			out := map[string]*coordination.Directory{}
 			for ip, c := range f.cores {
 				out[ip] = c.Directory()
 			}
 			for _, a := range f.agents {
-				out[string(a.Me().Node)] = a.Directory()
+				out[string(a.Self().Node)] = a.Directory()
 			}
 			return out
 		}
@@ -37,9 +37,9 @@
 			if f.leader() == "" {
 				return "nobody leads"
 			}
-			want := f.cores[f.leader()].Directory().Page()
+			want := f.cores[f.leader()].Directory().Exchange()
 			for ip, b := range books() {
-				p := b.Page()
+				p := b.Exchange()
 				if p.Record.Epoch != want.Record.Epoch || fmt.Sprint(p.Members) != fmt.Sprint(want.Members) {
 					return fmt.Sprintf("%s has %v in epoch %d, the leader %v in %d", ip, p.Members, p.Record.Epoch, want.Members, want.Record.Epoch)
 				}
@@ -57,15 +57,15 @@
 			}
 			require.Empty(t, apart(), what)
 		}
-		teller := f.w.Machine("10.0.2.1").Start()
+		teller := f.world.Machine("10.0.2.1").Start()
 		call := rpc.NewCaller(teller.Host().Net)
 		defer func() { call.Close(); teller.Kill() }()
-		var old []*coordination.WhereAsk
+		var previous []*coordination.PeerExchange
 		tell := func() {
-			for _, p := range old {
+			for _, p := range previous {
 				for ip := range books() {
 					ctx, stop := context.WithTimeout(context.Background(), time.Second)
-					rpc.Call[coordination.WhereAsk, coordination.WhereAsk](ctx, call, ip+":1", "crux/where", p)
+					rpc.Call[coordination.PeerExchange, coordination.PeerExchange](ctx, call, ip+":1", coordination.ExchangeMethod, p)
 					stop()
 					require.Empty(t, apart(), "told by a page of epoch %d", p.Record.Epoch)
 				}
@@ -74,32 +74,32 @@
 		agree("at the start")
 		for i := range 3 {
 			for _, b := range books() {
-				p := b.Page()
-				p.Me = coordination.Replica{}
-				old = append(old, p)
+				p := b.Exchange()
+				p.Self = coordination.Replica{}
+				previous = append(previous, p)
 			}
 			switch k := (int(seed) + i) % 3; k {
 			case 0: // a node leaves, another joins elsewhere
 				f.agents[1].Leave()
-				f.stops[string(f.agents[1].Me().Node)]()
+				f.stops[string(f.agents[1].Self().Node)]()
 				time.Sleep(time.Second)
-				f.agents[1], f.views[1] = f.agent(fmt.Sprintf("10.0.1.%d", 7+i))
+				f.agents[1], f.watchers[1] = f.agent(fmt.Sprintf("10.0.1.%d", 7+i))
 			case 1: // one more node
 				a, v := f.agent(fmt.Sprintf("10.0.1.%d", 7+i))
-				f.agents, f.views = append(f.agents, a), append(f.views, v)
+				f.agents, f.watchers = append(f.agents, a), append(f.watchers, v)
 			case 2: // a seed is exchanged
 				out := f.seeds[i][:8]
-				f.off(out)
-				f.w.Machine(out).Wipe()
+				f.powerOff(out)
+				f.world.Machine(out).Wipe()
 				f.seeds[i] = fmt.Sprintf("10.0.0.%d:1", 7+i)
 				f.core(f.seeds[i])
 				for _, b := range books() {
-					b.Reseed(f.seeds)
+					b.SetSeeds(f.seeds)
 				}
 				end := time.Now().Add(40 * time.Second)
 				for held := false; !held && time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 					if l := f.leader(); l != "" {
-						for _, s := range f.cores[l].Directory().Record().Holders {
+						for _, s := range f.cores[l].Directory().Record().Voters {
 							held = held || s.Addr == f.seeds[i]
 						}
 					}
@@ -109,14 +109,14 @@
 			tell()
 			time.Sleep(6 * time.Second)
 			require.Empty(t, apart(), "later")
-			require.NoError(t, f.add(1, fmt.Sprint("op", i), 10*time.Second))
+			require.NoError(t, f.submitNumber(1, fmt.Sprint("op", i), 10*time.Second))
 			agree("once more")
-			for _, s := range f.cores[f.leader()].Directory().Record().Holders {
+			for _, s := range f.cores[f.leader()].Directory().Record().Voters {
 				require.NotNil(t, f.cores[s.Addr[:8]], "%s holds a register", s.Addr)
 			}
 		}
 		time.Sleep(time.Second)
-		for _, v := range f.views {
+		for _, v := range f.watchers {
 			require.EqualValues(t, 4, v.sum.Load())
 		}
 	})
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -22,10 +22,10 @@
 	"keelstair.example/rpc"
 )
 
-// tally is the smallest machine an embedder may bring: a sum, and two duties.
-type tally struct{ sum int }
+// sumMachine is the smallest machine an embedder may bring: a sum, and two duties.
+type sumMachine struct{ sum int }
 
-func (t *tally) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
+func (t *sumMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
 	n, err := strconv.Atoi(string(body))
 	if err != nil || kind != "add" {
 		return nil, failure.New(failure.Bad, "apply", kind, "it adds numbers only")
@@ -34,50 +34,52 @@
 	return []byte(strconv.Itoa(t.sum)), nil
 }
 
-func (t *tally) Open(string) bool                                  { return true }
-func (t *tally) Snapshot(bool) []byte                              { return []byte(strconv.Itoa(t.sum)) }
-func (t *tally) Restore(b []byte) (err error)                      { t.sum, err = strconv.Atoi(string(b)); return err }
-func (t *tally) Keys() []ids.Key                                   { return []ids.Key{"left", "right"} }
-func (t *tally) Due(ids.Tick, ids.Seq, ids.Seq) []coordination.Cmd { return nil }
+func (t *sumMachine) Published(string) bool                                 { return true }
+func (t *sumMachine) Snapshot(bool) []byte                                  { return []byte(strconv.Itoa(t.sum)) }
+func (t *sumMachine) Restore(b []byte) (err error)                          { t.sum, err = strconv.Atoi(string(b)); return err }
+func (t *sumMachine) Keys() []ids.Key                                       { return []ids.Key{"left", "right"} }
+func (t *sumMachine) Due(ids.Tick, ids.Seq, ids.Seq) []coordination.Command { return nil }
 
-// echo is a follower's view of it.
-type echo struct{ sum atomic.Int64 }
+// sumWatcher is a follower's view of it.
+type sumWatcher struct{ sum atomic.Int64 }
 
-func (e *echo) Restore(b []byte) error {
+func (e *sumWatcher) Restore(b []byte) error {
 	n, err := strconv.Atoi(string(b))
 	e.sum.Store(int64(n))
 	return err
 }
 
-func (e *echo) Fold(_ ids.Seq, _ string, body []byte) bool {
+func (e *sumWatcher) Observe(_ ids.Seq, _ string, body []byte) bool {
 	n, _ := strconv.Atoi(string(body))
 	e.sum.Add(int64(n))
 	return false
 }
 
-func (e *echo) Snapshot() []byte { return []byte(strconv.FormatInt(e.sum.Load(), 10)) }
+func (e *sumWatcher) Snapshot() []byte { return []byte(strconv.FormatInt(e.sum.Load(), 10)) }
 
 // fleet is three cores and two agents on simulated machines.
 type fleet struct {
-	w      *simulated.World
-	procs  map[string]*simulated.Proc
-	stops  map[string]context.CancelFunc
-	cores  map[string]*coordination.Core
-	agents []*coordination.Agent
-	views  []*echo
-	seeds  []string
-	losses int
-	zones  map[string]ids.Zone // by the IP number of a core
+	world          *simulated.World
+	processes      map[string]*simulated.Proc
+	stops          map[string]context.CancelFunc
+	cores          map[string]*coordination.Core
+	agents         []*coordination.Agent
+	watchers       []*sumWatcher
+	seeds          []string
+	faultTolerance int
+	zones          map[string]ids.Zone // by the IP number of a core
 }
 
 func build(seed uint64) *fleet { return buildOf(seed, 3, 1) }
 
 // buildOf is a fleet of so many cores that bears so many losses at once.
-func buildOf(seed uint64, cores, losses int) *fleet { return buildIn(seed, cores, losses) }
+func buildOf(seed uint64, cores, faultTolerance int) *fleet {
+	return buildIn(seed, cores, faultTolerance)
+}
 
 // buildIn spreads the cores over zones, one after the other.
-func buildIn(seed uint64, cores, losses int, zones ...ids.Zone) *fleet {
-	f := &fleet{losses: losses, zones: map[string]ids.Zone{}, w: simulated.NewWorld(seed), procs: map[string]*simulated.Proc{}, stops: map[string]context.CancelFunc{}, cores: map[string]*coordination.Core{}}
+func buildIn(seed uint64, cores, faultTolerance int, zones ...ids.Zone) *fleet {
+	f := &fleet{faultTolerance: faultTolerance, zones: map[string]ids.Zone{}, world: simulated.NewWorld(seed), processes: map[string]*simulated.Proc{}, stops: map[string]context.CancelFunc{}, cores: map[string]*coordination.Core{}}
 	for i := range cores {
 		f.seeds = append(f.seeds, fmt.Sprintf("10.0.0.%d:1", i+1))
 	}
@@ -89,22 +91,22 @@
 	}
 	for i := range 2 {
 		a, v := f.agent(fmt.Sprintf("10.0.1.%d", i+1))
-		f.agents, f.views = append(f.agents, a), append(f.views, v)
+		f.agents, f.watchers = append(f.agents, a), append(f.watchers, v)
 	}
 	return f
 }
 
-func (f *fleet) agent(ip string) (*coordination.Agent, *echo) {
-	v := &echo{}
-	p := f.w.Machine(ip).Start()
-	a := coordination.NewAgent(coordination.AgentOptions{Me: coordination.Member{Node: ids.NodeID(ip), Addr: ip + ":1"}, Host: p.Host(), Seeds: f.seeds, View: v})
+func (f *fleet) agent(ip string) (*coordination.Agent, *sumWatcher) {
+	v := &sumWatcher{}
+	p := f.world.Machine(ip).Start()
+	a := coordination.NewAgent(coordination.AgentOptions{Self: coordination.Member{Node: ids.NodeID(ip), Addr: ip + ":1"}, Host: p.Host(), Seeds: f.seeds, Watcher: v})
 	f.run(ip, ip+":1", p, a.Mount, a.Run)
 	return a, v
 }
 
 func (f *fleet) run(ip, addr string, p *simulated.Proc, mount func(*http.ServeMux), run func(context.Context)) {
 	ctx, stop := context.WithCancel(context.Background())
-	f.procs[ip], f.stops[ip] = p, stop
+	f.processes[ip], f.stops[ip] = p, stop
 	l, err := p.Host().Net.Listen(addr)
 	if err != nil {
 		panic(err)
@@ -115,12 +117,12 @@
 	go run(ctx)
 }
 
-func (f *fleet) core(addr string) { f.coreAs(addr, false) }
+func (f *fleet) core(addr string) { f.startCore(addr, false) }
 
-func (f *fleet) coreAs(addr string, anew bool) chan error {
+func (f *fleet) startCore(addr string, anew bool) chan error {
 	ip := addr[:len(addr)-2]
-	p := f.w.Machine(ip).Start()
-	c, err := coordination.New(coordination.Options{Addr: addr, Zone: f.zones[ip], Host: p.Host(), Seeds: f.seeds, Machine: func() coordination.Machine { return &tally{} }, Anew: anew, Losses: f.losses})
+	p := f.world.Machine(ip).Start()
+	c, err := coordination.New(coordination.Options{Addr: addr, Zone: f.zones[ip], Host: p.Host(), Seeds: f.seeds, Machine: func() coordination.StateMachine { return &sumMachine{} }, ForceNewCluster: anew, FaultTolerance: f.faultTolerance})
 	if err != nil {
 		panic(err)
 	}
@@ -130,8 +132,8 @@
 	return end
 }
 
-func (f *fleet) off(ip string) {
-	f.w.Machine(ip).PowerOff()
+func (f *fleet) powerOff(ip string) {
+	f.world.Machine(ip).PowerOff()
 	f.stops[ip]()
 	delete(f.cores, ip)
 }
@@ -146,15 +148,15 @@
 }
 
 func (f *fleet) close() {
-	for ip := range f.procs {
-		f.w.Machine(ip).Freeze(false)
-		f.w.Machine(ip).Stall(false)
-		f.off(ip)
+	for ip := range f.processes {
+		f.world.Machine(ip).Freeze(false)
+		f.world.Machine(ip).Stall(false)
+		f.powerOff(ip)
 	}
 	time.Sleep(30 * time.Second)
 }
 
-func (f *fleet) add(n int, op string, span time.Duration) error {
+func (f *fleet) submitNumber(n int, op string, span time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), span)
 	defer stop()
 	_, err := f.agents[0].Submit(ctx, ids.OpID(op), "add", []byte(strconv.Itoa(n)))
@@ -166,10 +168,10 @@
 	synctest.Test(new(testing.T), func(*testing.T) {
 		f := build(1)
 		defer f.close()
-		fmt.Println(f.add(40, "a", 10*time.Second), f.add(2, "b", time.Second), f.add(2, "b", time.Second))
+		fmt.Println(f.submitNumber(40, "a", 10*time.Second), f.submitNumber(2, "b", time.Second), f.submitNumber(2, "b", time.Second))
 		time.Sleep(time.Second)
-		fmt.Println("the followers have", f.views[0].sum.Load(), f.views[1].sum.Load())
-		_, _, left := f.agents[0].Holder("left")
+		fmt.Println("the followers have", f.watchers[0].sum.Load(), f.watchers[1].sum.Load())
+		_, _, left := f.agents[0].KeyOwner("left")
 		fmt.Println("a duty is held:", left)
 	})
 	// Output:
@@ -196,21 +198,21 @@
 		f := build(seed)
 		defer f.close()
 		want := 0
-		require.NoError(t, f.add(1, "first", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		want++
 		for i := range 6 {
 			op := fmt.Sprint("op", i)
 			got := make(chan error, 1)
-			go func() { got <- f.add(1<<(4*i+4), op, 8*time.Second) }()
+			go func() { got <- f.submitNumber(1<<(4*i+4), op, 8*time.Second) }()
 			time.Sleep(time.Duration(seed*37%23) * 100 * time.Microsecond)
 			ip := f.leader()
 			if ip == "" || int(seed)%2 == i%2 {
 				ip = f.seeds[(int(seed)+i)%3][:8]
 			}
-			f.off(ip)
+			f.powerOff(ip)
 			err := <-got
 			if err != nil {
-				err = f.add(1<<(4*i+4), op, 8*time.Second)
+				err = f.submitNumber(1<<(4*i+4), op, 8*time.Second)
 			}
 			require.NoError(t, err, "seed %d round %d", seed, i)
 			want += 1 << (4*i + 4)
@@ -218,8 +220,8 @@
 			time.Sleep(2 * time.Second)
 		}
 		time.Sleep(3 * time.Second)
-		require.EqualValues(t, want, f.views[0].sum.Load(), "seed %d", seed)
-		require.EqualValues(t, want, f.views[1].sum.Load(), "seed %d", seed)
+		require.EqualValues(t, want, f.watchers[0].sum.Load(), "seed %d", seed)
+		require.EqualValues(t, want, f.watchers[1].sum.Load(), "seed %d", seed)
 	})
 }
 
@@ -229,7 +231,7 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(1, "first", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		held := [2]int{}
 		stop := make(chan struct{})
 		go func() {
@@ -238,30 +240,30 @@
 				ip := fmt.Sprintf("10.0.1.%d", (int(seed)+i)%2+1)
 				switch (int(seed) + i) % 4 {
 				case 0:
-					f.w.Cut([]string{ip}, []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, true)
+					f.world.Cut([]string{ip}, []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, true)
 					time.Sleep(5 * time.Second)
-					f.w.Cut([]string{ip}, []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, false)
+					f.world.Cut([]string{ip}, []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, false)
 				case 1:
-					f.w.Machine(ip).Freeze(true)
+					f.world.Machine(ip).Freeze(true)
 					time.Sleep(4 * time.Second)
-					f.w.Machine(ip).Freeze(false)
+					f.world.Machine(ip).Freeze(false)
 				case 2:
 					l := f.leader()
 					if l != "" {
-						f.off(l)
+						f.powerOff(l)
 						time.Sleep(4 * time.Second)
 						f.core(l + ":1")
 					}
 				case 3:
-					f.w.Machine(ip).Leap(7 * time.Second)
+					f.world.Machine(ip).Leap(7 * time.Second)
 				}
 				time.Sleep(2 * time.Second)
 			}
 		}()
 		for {
 			for _, k := range []ids.Key{"left", "right"} {
-				_, a := f.agents[0].Held(k)
-				_, b := f.agents[1].Held(k)
+				_, a := f.agents[0].OwnsKey(k)
+				_, b := f.agents[1].OwnsKey(k)
 				require.False(t, a && b, "seed %d: both hold %s", seed, k)
 				if a || b {
 					held[1]++
@@ -285,7 +287,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := build(3)
 		defer f.close()
-		require.NoError(t, f.add(1, "first", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		var other []string
 		for i := range 3 {
 			other = append(other, fmt.Sprintf("10.7.0.%d:1", i+1))
@@ -297,15 +299,15 @@
 		}
 		time.Sleep(3 * time.Second)
 		for _, a := range other {
-			f.off(a[:8])
+			f.powerOff(a[:8])
 		}
-		p := f.w.Machine("10.7.0.1").Start()
-		c, err := coordination.New(coordination.Options{Addr: "10.7.0.1:1", Host: p.Host(), Seeds: mine, Machine: func() coordination.Machine { return &tally{} }})
+		p := f.world.Machine("10.7.0.1").Start()
+		c, err := coordination.New(coordination.Options{Addr: "10.7.0.1:1", Host: p.Host(), Seeds: mine, Machine: func() coordination.StateMachine { return &sumMachine{} }})
 		require.NoError(t, err)
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
 		require.ErrorContains(t, c.Run(ctx), "belongs to founding")
-		require.NoError(t, f.add(2, "second", 5*time.Second))
+		require.NoError(t, f.submitNumber(2, "second", 5*time.Second))
 		p.Kill()
 	})
 }
--- a/coordination/export_test.go
+++ b/coordination/export_test.go
@@ -2,5 +2,5 @@
 
 package coordination
 
-// WholeCopies counts the whole states that this core has sent to others.
-func (c *Core) WholeCopies() uint64 { return c.copies.Load() }
+// SnapshotsSent counts the whole states that this core has sent to others.
+func (c *Core) SnapshotsSent() uint64 { return c.snapshotsSent.Load() }
--- a/coordination/feed.go
+++ b/coordination/feed.go
@@ -13,82 +13,82 @@
 	"keelstair.example/ids"
 )
 
-const keepNews = 2048
+const feedCapacity = 2048
 
 type feed struct {
-	mu   sync.Mutex
-	row  deque.Deque[Entry]
-	last ids.Seq
-	ring chan struct{}
+	mu      sync.Mutex
+	entries deque.Deque[Entry]
+	last    ids.Seq
+	changed chan struct{}
 }
 
-func newFeed() *feed { return &feed{ring: make(chan struct{})} }
+func newFeed() *feed { return &feed{changed: make(chan struct{})} }
 
 // start forgets all and begins after a number.
 func (f *feed) start(at ids.Seq) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.row.Clear()
+	f.entries.Clear()
 	f.last = at
-	close(f.ring)
-	f.ring = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
-func (f *feed) push(ents []Entry) {
-	if len(ents) == 0 {
+func (f *feed) push(entries []Entry) {
+	if len(entries) == 0 {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, e := range ents {
-		if !e.Open {
+	for _, e := range entries {
+		if !e.Published {
 			e = Entry{Seq: e.Seq}
 		}
-		f.row.PushBack(e)
+		f.entries.PushBack(e)
 		f.last = e.Seq
-		if f.row.Len() > keepNews {
-			f.row.PopFront()
+		if f.entries.Len() > feedCapacity {
+			f.entries.PopFront()
 		}
 	}
-	close(f.ring)
-	f.ring = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
-// from gives what followed a place; ok is false when a snapshot is needed.
-func (f *feed) from(at ids.Seq) (ents []Entry, last ids.Seq, ok bool, ring chan struct{}) {
+// since gives what followed a place; ok is false when a snapshot is needed.
+func (f *feed) since(at ids.Seq) (entries []Entry, last ids.Seq, ok bool, ring chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	first := f.last - ids.Seq(f.row.Len())
+	first := f.last - ids.Seq(f.entries.Len())
 	if at < first || at > f.last {
-		return nil, f.last, false, f.ring
+		return nil, f.last, false, f.changed
 	}
-	for i := int(at - first); i < f.row.Len(); i++ {
-		ents = append(ents, f.row.At(i))
+	for i := int(at - first); i < f.entries.Len(); i++ {
+		entries = append(entries, f.entries.At(i))
 	}
-	return ents, f.last, true, f.ring
+	return entries, f.last, true, f.changed
 }
 
-// news answers an asking, waiting a while for the first entry if need be.
-func (f *feed) news(ctx context.Context, q *NewsAsk, snapshot func() (*Image, error)) (*NewsReply, error) {
-	wait := min(time.Duration(q.Wait), 5*time.Second)
+// watch answers an asking, waiting a while for the first entry if need be.
+func (f *feed) watch(ctx context.Context, request *WatchRequest, snapshot func() (*Snapshot, error)) (*WatchResponse, error) {
+	wait := min(time.Duration(request.Wait), 5*time.Second)
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for {
-		ents, last, ok, ring := f.from(q.From)
-		if !ok || q.From == 0 {
-			img, err := snapshot()
+		entries, last, ok, ring := f.since(request.From)
+		if !ok || request.From == 0 {
+			snapshot, err := snapshot()
 			if err != nil {
 				return nil, err
 			}
-			return &NewsReply{Seq: img.Seq, Snapshot: Pack(img)}, nil
+			return &WatchResponse{Seq: snapshot.Seq, Snapshot: MustMarshal(snapshot)}, nil
 		}
-		if len(ents) > 0 || wait <= 0 {
-			return &NewsReply{Seq: last, Entries: ents}, nil
+		if len(entries) > 0 || wait <= 0 {
+			return &WatchResponse{Seq: last, Entries: entries}, nil
 		}
 		select {
 		case <-ring:
 		case <-t.C:
-			return &NewsReply{Seq: last}, nil
+			return &WatchResponse{Seq: last}, nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
--- a/coordination/anew_test.go
+++ b/coordination/force_new_cluster_test.go
@@ -17,9 +17,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := build(3)
 		defer f.close()
-		require.NoError(t, f.add(7, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(7, "a", 10*time.Second))
 		time.Sleep(2 * time.Second)
-		_, before, _ := f.agents[0].Holder("left")
+		_, before, _ := f.agents[0].KeyOwner("left")
 		lead := f.leader()
 		var data string
 		for ip, c := range f.cores {
@@ -29,21 +29,21 @@
 		}
 		require.NotEmpty(t, data)
 		for _, a := range f.seeds {
-			f.off(a[:8])
+			f.powerOff(a[:8])
 			if a[:8] != data {
-				f.w.Machine(a[:8]).Wipe()
+				f.world.Machine(a[:8]).Wipe()
 			}
 		}
 		require.NotEqual(t, lead, data)
-		end := f.coreAs(data+":1", true)
+		end := f.startCore(data+":1", true)
 		f.core("10.0.0.8:1")
 		f.core("10.0.0.9:1")
-		require.NoError(t, f.add(7, "a", 20*time.Second), "the same operation again")
-		require.NoError(t, f.add(2, "b", 5*time.Second))
+		require.NoError(t, f.submitNumber(7, "a", 20*time.Second), "the same operation again")
+		require.NoError(t, f.submitNumber(2, "b", 5*time.Second))
 		time.Sleep(5 * time.Second)
-		require.EqualValues(t, 9, f.views[0].sum.Load())
-		require.EqualValues(t, 9, f.views[1].sum.Load())
-		_, after, ok := f.agents[0].Holder("left")
+		require.EqualValues(t, 9, f.watchers[0].sum.Load())
+		require.EqualValues(t, 9, f.watchers[1].sum.Load())
+		_, after, ok := f.agents[0].KeyOwner("left")
 		require.True(t, ok)
 		require.Greater(t, after, before)
 		select {
@@ -54,9 +54,9 @@
 		// What was lost comes back after all: it joins as a spare, and nothing changes.
 		f.core("10.0.0.7:1")
 		time.Sleep(2 * time.Second)
-		require.NoError(t, f.add(1, "c", 5*time.Second))
+		require.NoError(t, f.submitNumber(1, "c", 5*time.Second))
 		time.Sleep(time.Second)
-		require.EqualValues(t, 10, f.views[0].sum.Load())
+		require.EqualValues(t, 10, f.watchers[0].sum.Load())
 	})
 }
 
@@ -66,13 +66,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := build(4)
 		defer f.close()
-		require.NoError(t, f.add(7, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(7, "a", 10*time.Second))
 		time.Sleep(2 * time.Second)
-		rec := f.cores[f.leader()].Directory().Record()
+		record := f.cores[f.leader()].Directory().Record()
 		at := func(addr string) string { return addr[:8] }
 		var witness string
-		for _, s := range rec.Holders {
-			if s.Disk != rec.Primary.Disk && s.Disk != rec.Backup.Disk {
+		for _, s := range record.Voters {
+			if s.Disk != record.Primary.Disk && s.Disk != record.Backup.Disk {
 				witness = at(s.Addr)
 			}
 		}
@@ -84,23 +84,23 @@
 				t.Fatal("it was not refused: " + part)
 			}
 		}
-		f.off(at(rec.Backup.Addr))
-		says(f.coreAs(rec.Backup.Addr, true), "lives")
-		f.off(at(rec.Backup.Addr))
-		f.off(witness)
-		says(f.coreAs(witness+":1", true), "no data")
-		says(f.coreAs("10.0.0.6:1", true), "no fleet")
-		f.off(witness)
-		f.off("10.0.0.6")
+		f.powerOff(at(record.Backup.Addr))
+		says(f.startCore(record.Backup.Addr, true), "lives")
+		f.powerOff(at(record.Backup.Addr))
+		f.powerOff(witness)
+		says(f.startCore(witness+":1", true), "no data")
+		says(f.startCore("10.0.0.6:1", true), "no fleet")
+		f.powerOff(witness)
+		f.powerOff("10.0.0.6")
 		f.core(witness + ":1")
-		f.core(rec.Backup.Addr)
+		f.core(record.Backup.Addr)
 		time.Sleep(4 * time.Second)
 		// The old primary is gone a while, the others go on: its disk is behind then.
-		f.off(at(rec.Primary.Addr))
+		f.powerOff(at(record.Primary.Addr))
 		time.Sleep(4 * time.Second)
-		require.NoError(t, f.add(1, "b", 8*time.Second))
-		says(f.coreAs(rec.Primary.Addr, true), "")
+		require.NoError(t, f.submitNumber(1, "b", 8*time.Second))
+		says(f.startCore(record.Primary.Addr, true), "")
 		time.Sleep(time.Second)
-		require.NoError(t, f.add(1, "c", 8*time.Second))
+		require.NoError(t, f.submitNumber(1, "c", 8*time.Second))
 	})
 }
--- a/coordination/late_snapshot_test.go
+++ b/coordination/late_snapshot_test.go
@@ -31,10 +31,10 @@
 // commitOne has a primary without backups write one entry; it gives the error that
 // its client sees, and the one that makes the primary stand down.
 func commitOne(l *leader, body string) (answer, standDown error) {
-	j := &job{ent: &Entry{Kind: "put", Body: []byte(body)}, done: make(chan struct{})}
-	standDown = l.commit(context.Background(), []*job{j})
-	<-j.done
-	return j.err, standDown
+	op := &operation{entry: &Entry{Kind: "put", Body: []byte(body)}, done: make(chan struct{})}
+	standDown = l.commit(context.Background(), []*operation{op})
+	<-op.done
+	return op.err, standDown
 }
 
 // TestLateSnapshot: the snapshot on disk may name the new log once the step ends, so
@@ -46,9 +46,9 @@
 		host := machine.Start().Host()
 		disk := &slowDisk{Disk: host.Disk}
 		host.Disk = disk
-		c, err := New(Options{Addr: "10.0.0.1:1", Host: host, Machine: func() Machine { return &listMachine{} }})
+		c, err := New(Options{Addr: "10.0.0.1:1", Host: host, Machine: func() StateMachine { return &listMachine{} }})
 		require.NoError(t, err)
-		l := &leader{c: c}
+		l := &leader{core: c}
 		disk.late = 10 * time.Second
 		var standDown error
 		for i := 0; standDown == nil; i++ {
@@ -59,14 +59,14 @@
 		}
 		require.ErrorContains(t, standDown, "stalled")
 		time.Sleep(20 * time.Second)
-		require.False(t, c.reloaded(), "the disk can be read again")
+		require.False(t, c.reloadPending(), "the disk can be read again")
 		answer, _ := commitOne(l, "after")
 		require.NoError(t, answer)
 		machine.PowerOff()
 
 		r := newReplicatedState(&listMachine{})
 		require.NoError(t, newStore(machine.Start().Host().Disk).load(r))
-		require.True(t, strings.HasSuffix(r.app.(*listMachine).all(), "after"), "the acknowledged entry is lost")
+		require.True(t, strings.HasSuffix(r.machine.(*listMachine).all(), "after"), "the acknowledged entry is lost")
 		machine.PowerOff()
 		time.Sleep(time.Minute)
 	})
--- a/coordination/lease.go
+++ b/coordination/lease.go
@@ -10,11 +10,11 @@
 	"keelstair.example/ids"
 )
 
-type leaseHolder struct {
+type nodeLease struct {
 	Member
-	last ids.Tick
-	seen ids.Seq
-	drop []Grant
+	renewedAt  ids.Tick
+	appliedSeq ids.Seq
+	revoked    []Grant
 }
 
 // Owner is the node that a key falls to: the highest hash of key and node (rendezvous
@@ -22,7 +22,7 @@
 func Owner(key ids.Key, nodes []ids.NodeID) ids.NodeID {
 	var top ids.NodeID
 	for _, n := range nodes {
-		if top == "" || before(key, n, top) {
+		if top == "" || ranksBefore(key, n, top) {
 			top = n
 		}
 	}
@@ -33,15 +33,15 @@
 func Rank(key ids.Key, node ids.NodeID, nodes []Member) int {
 	rank := 0
 	for _, m := range nodes {
-		if m.Node != node && before(key, m.Node, node) {
+		if m.Node != node && ranksBefore(key, m.Node, node) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// before tells whether a key falls to a rather than to b.
-func before(key ids.Key, a, b ids.NodeID) bool {
+// ranksBefore tells whether a key falls to a rather than to b.
+func ranksBefore(key ids.Key, a, b ids.NodeID) bool {
 	x, y := weight(key, a), weight(key, b)
 	return x > y || x == y && a < b
 }
@@ -50,102 +50,102 @@
 	return ids.Mix(ids.Hash(string(n) + "\x00" + string(key)))
 }
 
-// hear turns a renewal into the entries it needs, before it is confirmed.
-func (l *leader) hear(q *RenewAsk) []*Entry {
+// renewalEntries turns a renewal into the entries it needs, before it is confirmed.
+func (l *leader) renewalEntries(request *RenewRequest) []*Entry {
 	var out []*Entry
-	old, ok := l.c.state.members[q.Me.Node]
+	previous, ok := l.core.state.members[request.Self.Node]
 	switch {
-	case q.Bye && ok:
-		out = append(out, &Entry{Kind: leaveKind, Body: Pack(&q.Me)})
-	case q.Bye:
-	case !ok || old != q.Me:
-		out = append(out, &Entry{Kind: joinKind, Body: Pack(&q.Me)})
-	}
-	var back Deal
-	for _, g := range q.Done {
-		if cur := l.c.state.grants[g.Key]; cur == g && g.Node == q.Me.Node {
+	case request.Leaving && ok:
+		out = append(out, &Entry{Kind: leaveKind, Body: MustMarshal(&request.Self)})
+	case request.Leaving:
+	case !ok || previous != request.Self:
+		out = append(out, &Entry{Kind: joinKind, Body: MustMarshal(&request.Self)})
+	}
+	var back Assignment
+	for _, g := range request.Released {
+		if cur := l.core.state.grants[g.Key]; cur == g && g.Node == request.Self.Node {
 			back.Grants = append(back.Grants, Grant{Key: g.Key})
 		}
 	}
-	if len(back.Grants) > 0 && !q.Bye {
-		out = append(out, &Entry{Kind: dealKind, Body: Pack(&back)})
+	if len(back.Grants) > 0 && !request.Leaving {
+		out = append(out, &Entry{Kind: assignKind, Body: MustMarshal(&back)})
 	}
 	return out
 }
 
-// extend lengthens the lease once the beat behind it was confirmed.
-func (l *leader) extend(q *RenewAsk, now ids.Tick, r *replicatedState) *RenewReply {
-	if q.Bye {
-		delete(l.nodes, q.Me.Node)
-		return &RenewReply{Seq: r.seq}
+// extendLease lengthens the lease once the beat behind it was confirmed.
+func (l *leader) extendLease(request *RenewRequest, now ids.Tick, r *replicatedState) *RenewResponse {
+	if request.Leaving {
+		delete(l.leases, request.Self.Node)
+		return &RenewResponse{Seq: r.seq}
 	}
-	t := l.nodes[q.Me.Node]
+	t := l.leases[request.Self.Node]
 	if t == nil {
-		t = &leaseHolder{}
-		l.nodes[q.Me.Node] = t
+		t = &nodeLease{}
+		l.leases[request.Self.Node] = t
 	}
-	t.Member, t.last, t.seen = q.Me, now, max(t.seen, q.Seen)
-	out := &RenewReply{Seq: r.seq, Drop: t.drop}
-	if k, ok := r.app.(Timekeeper); ok {
-		k.Hear(now, q.Time)
+	t.Member, t.renewedAt, t.appliedSeq = request.Self, now, max(t.appliedSeq, request.Applied)
+	out := &RenewResponse{Seq: r.seq, Revoked: t.revoked}
+	if k, ok := r.machine.(Timekeeper); ok {
+		k.Observe(now, request.Time)
 		out.Time = k.Time(now)
 	}
 	return out
 }
 
-// duty makes the jobs that the primary gives itself at each beat.
-func (l *leader) duty() []*job {
-	c := l.c
-	now := c.opt.Host.Clock.Now()
+// periodicOperations makes the jobs that the primary gives itself at each beat.
+func (l *leader) periodicOperations() []*operation {
+	c := l.core
+	now := c.options.Host.Clock.Now()
 	c.dataMu.Lock()
 	defer c.dataMu.Unlock()
-	var out []*job
+	var out []*operation
 	put := func(kind string, body []byte) {
-		out = append(out, &job{ent: &Entry{Kind: kind, Body: body}, done: make(chan struct{})})
+		out = append(out, &operation{entry: &Entry{Kind: kind, Body: body}, done: make(chan struct{})})
 	}
-	span := c.opt.Lease + c.opt.Lease/10
+	span := c.options.LeaseDuration + c.options.LeaseDuration/10
 	late, seen := 0, c.state.seq
 	var live []ids.NodeID
-	for n, t := range l.nodes {
-		if now.Past(t.last, span) {
+	for n, t := range l.leases {
+		if now.Past(t.renewedAt, span) {
 			late++
 			continue
 		}
 		live = append(live, n)
-		seen = min(seen, t.seen)
+		seen = min(seen, t.appliedSeq)
 	}
-	sort.Slice(live, func(i, j int) bool { return live[i] < live[j] })
+	sort.Slice(live, func(i, op int) bool { return live[i] < live[op] })
 	// Most leases lapsing together is taken as the core's own trouble for one
 	// more lease: the last view is kept.
 	grace := span
-	if late > 1 && late*2 > len(l.nodes) {
+	if late > 1 && late*2 > len(l.leases) {
 		grace = 2 * span
 	}
-	for n, t := range l.nodes {
-		if now.Past(t.last, grace) {
-			put(leaveKind, Pack(&t.Member))
-			delete(l.nodes, n)
+	for n, t := range l.leases {
+		if now.Past(t.renewedAt, grace) {
+			put(leaveKind, MustMarshal(&t.Member))
+			delete(l.leases, n)
 		}
 	}
-	for _, cmd := range c.state.app.Due(now, c.state.seq, seen) {
+	for _, cmd := range c.state.machine.Due(now, c.state.seq, seen) {
 		put(cmd.Kind, cmd.Body)
 	}
-	if d := l.plan(now, live); len(d.Grants) > 0 {
-		put(dealKind, Pack(&d))
+	if d := l.assignKeys(now, live); len(d.Grants) > 0 {
+		put(assignKind, MustMarshal(&d))
 	}
 	return out
 }
 
-// among keeps of the live nodes those that a key may fall to. If none may, all do: a key
+// eligibleNodes keeps of the live nodes those that a key may fall to. If none may, all do: a key
 // without a holder would help nobody.
-func among(app Machine, k ids.Key, live []ids.NodeID) []ids.NodeID {
+func eligibleNodes(app StateMachine, k ids.Key, live []ids.NodeID) []ids.NodeID {
 	p, ok := app.(Placer)
 	if !ok {
 		return live
 	}
 	var out []ids.NodeID
 	for _, n := range live {
-		if p.May(k, n) {
+		if p.Eligible(k, n) {
 			out = append(out, n)
 		}
 	}
@@ -155,30 +155,30 @@
 	return out
 }
 
-// plan deals the free keys and marks the held ones that should move.
-func (l *leader) plan(now ids.Tick, live []ids.NodeID) Deal {
-	var d Deal
-	if now.Before(l.deals) && l.rec.Epoch > 1 || len(live) == 0 {
+// assignKeys deals the free keys and marks the held ones that should move.
+func (l *leader) assignKeys(now ids.Tick, live []ids.NodeID) Assignment {
+	var d Assignment
+	if now.Before(l.assignAfter) && l.record.Epoch > 1 || len(live) == 0 {
 		return d
 	}
-	for _, t := range l.nodes {
-		t.drop = nil
+	for _, t := range l.leases {
+		t.revoked = nil
 	}
 	want := map[ids.Key]bool{}
-	for _, k := range l.c.state.app.Keys() {
+	for _, k := range l.core.state.machine.Keys() {
 		want[k] = true
-		to := Owner(k, among(l.c.state.app, k, live))
-		cur, ok := l.c.state.grants[k]
-		switch t := l.nodes[cur.Node]; {
+		to := Owner(k, eligibleNodes(l.core.state.machine, k, live))
+		cur, ok := l.core.state.grants[k]
+		switch t := l.leases[cur.Node]; {
 		case !ok:
 			d.Grants = append(d.Grants, Grant{Key: k, Node: to})
 		case cur.Node != to && t != nil:
-			t.drop = append(t.drop, cur)
+			t.revoked = append(t.revoked, cur)
 		}
 	}
-	for k, g := range l.c.state.grants {
-		if t := l.nodes[g.Node]; !want[k] && t != nil {
-			t.drop = append(t.drop, g)
+	for k, g := range l.core.state.grants {
+		if t := l.leases[g.Node]; !want[k] && t != nil {
+			t.revoked = append(t.revoked, g)
 		}
 	}
 	return d
--- a/coordination/losses_test.go
+++ b/coordination/losses_test.go
@@ -22,16 +22,16 @@
 		r := rand.New(rand.NewPCG(seed, 1))
 		want := int64(0)
 		for i := range 3 {
-			require.NoError(t, f.add(1, fmt.Sprint("op", i), 10*time.Second), "round %d", i)
+			require.NoError(t, f.submitNumber(1, fmt.Sprint("op", i), 10*time.Second), "round %d", i)
 			want++
 			lead := f.leader()
 			ips := []string{lead}
-			rec := f.cores[lead].Directory().Record()
+			record := f.cores[lead].Directory().Record()
 			switch r.IntN(3) {
 			case 0:
-				ips = append(ips, rec.Backup.Addr[:8])
+				ips = append(ips, record.Backup.Addr[:8])
 			case 1:
-				ips = []string{rec.Backup.Addr[:8], rec.Also[0].Addr[:8]}
+				ips = []string{record.Backup.Addr[:8], record.MoreBackups[0].Addr[:8]}
 			default:
 				for len(ips) < 2 {
 					if ip := f.seeds[r.IntN(len(f.seeds))][:8]; ip != lead {
@@ -40,26 +40,26 @@
 				}
 			}
 			for _, ip := range ips {
-				f.off(ip)
+				f.powerOff(ip)
 				if r.IntN(2) == 0 {
-					f.w.Machine(ip).Wipe()
+					f.world.Machine(ip).Wipe()
 				}
 			}
-			require.NoError(t, f.add(1, fmt.Sprint("then", i), 10*time.Second), "round %d without %v", i, ips)
+			require.NoError(t, f.submitNumber(1, fmt.Sprint("then", i), 10*time.Second), "round %d without %v", i, ips)
 			want++
 			for _, ip := range ips {
 				f.core(ip + ":1")
 			}
 			time.Sleep(14 * time.Second) // lost registers pass on to machines that are heard
-			for _, v := range f.views {
+			for _, v := range f.watchers {
 				require.Equal(t, want, v.sum.Load())
 			}
 		}
 		all := 0
 		for _, c := range f.cores {
-			rec := c.Directory().Record()
-			require.Len(t, rec.Holders, 5)
-			require.Len(t, rec.Also, 1)
+			record := c.Directory().Record()
+			require.Len(t, record.Voters, 5)
+			require.Len(t, record.MoreBackups, 1)
 			all++
 		}
 		require.Equal(t, 6, all)
@@ -73,19 +73,19 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 6, 2)
 		defer f.close()
-		require.NoError(t, f.add(1, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Duration(seed%5) * 300 * time.Millisecond)
 		lead := f.leader()
-		rec := f.cores[lead].Directory().Record()
-		away, other := rec.Also[0].Addr[:8], rec.Backup.Addr[:8]
+		record := f.cores[lead].Directory().Record()
+		away, other := record.MoreBackups[0].Addr[:8], record.Backup.Addr[:8]
 		if seed%2 == 0 {
 			away, other = other, away
 		}
-		f.off(away)
-		require.NoError(t, f.add(2, "b", 10*time.Second))
+		f.powerOff(away)
+		require.NoError(t, f.submitNumber(2, "b", 10*time.Second))
 		for _, ip := range []string{lead, other} {
-			f.off(ip)
-			f.w.Machine(ip).Wipe()
+			f.powerOff(ip)
+			f.world.Machine(ip).Wipe()
 		}
 		f.core(away + ":1")
 		ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -29,7 +29,7 @@
 	record := f.cores[primary].Directory().Record()
 	backup = machineOf(record.Backup.Addr)
 	holder := map[string]bool{}
-	for _, h := range record.Holders {
+	for _, h := range record.Voters {
 		holder[machineOf(h.Addr)] = true
 	}
 	for ip := range f.cores {
@@ -64,32 +64,32 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 4, 1)
 		defer f.close()
-		require.NoError(t, f.add(1, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
 		primary, backup, witness, spare := f.roles(t)
 		all := []string{primary, backup, witness, spare}
 		before := f.cores[primary].Directory().Record().Epoch
-		f.w.Machine(primary).Disk(200 * time.Millisecond)
-		f.w.Sever([]string{witness}, all, true)
+		f.world.Machine(primary).Disk(200 * time.Millisecond)
+		f.world.Sever([]string{witness}, all, true)
 		accepted := func() bool { return f.cores[backup].Directory().Record().Epoch > before }
 		require.True(t, await(20*time.Second, accepted), "the change begins")
-		f.off(primary)
-		f.w.Machine(primary).Disk(time.Millisecond)
+		f.powerOff(primary)
+		f.world.Machine(primary).Disk(time.Millisecond)
 		f.isolate([]string{backup}, true)
 		f.isolate([]string{spare}, true)
-		f.w.Sever([]string{witness}, []string{primary}, false)
+		f.world.Sever([]string{witness}, []string{primary}, false)
 		f.core(primary + ":1")
-		err := f.add(2, "b", 6*time.Second)
+		err := f.submitNumber(2, "b", 6*time.Second)
 		if err != nil {
 			return // the primary had accepted the new record itself: there is no split to see
 		}
-		f.off(primary)
+		f.powerOff(primary)
 		f.isolate([]string{backup}, false)
 		f.isolate([]string{spare}, false)
-		f.w.Sever([]string{witness}, []string{backup, spare}, true)
+		f.world.Sever([]string{witness}, []string{backup, spare}, true)
 		time.Sleep(5 * time.Second)
 		require.False(t, f.cores[backup].Leads(), "it leads without an acknowledged command")
-		f.w.Sever([]string{witness}, []string{backup, spare}, false)
+		f.world.Sever([]string{witness}, []string{backup, spare}, false)
 		ctx, stop := context.WithTimeout(context.Background(), 15*time.Second)
 		defer stop()
 		r, err := f.agents[1].Submit(ctx, "c", "add", []byte("4"))
@@ -101,12 +101,12 @@
 // isolate cuts a group of machines off from all others, or joins them again.
 func (f *fleet) isolate(group []string, cut bool) {
 	var rest []string
-	for ip := range f.procs {
+	for ip := range f.processes {
 		if !slices.Contains(group, ip) {
 			rest = append(rest, ip)
 		}
 	}
-	f.w.Sever(group, rest, cut)
+	f.world.Sever(group, rest, cut)
 }
 
 // leave has a core hand over and then ends its process; its disk stays.
@@ -114,7 +114,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), span)
 	defer stop()
 	err := f.cores[ip].Leave(ctx)
-	f.off(ip)
+	f.powerOff(ip)
 	return err
 }
 
@@ -128,17 +128,17 @@
 				eachSeed(t, func(t *testing.T, seed uint64) {
 					f := buildOf(seed, 4, 1)
 					defer f.close()
-					require.NoError(t, f.add(1, "a", 10*time.Second))
+					require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 					time.Sleep(time.Duration(seed) * 100 * time.Millisecond)
 					primary, backup, witness, _ := f.roles(t)
 					leaver := []string{primary, backup, witness}[role]
 					require.NoError(t, f.leave(leaver, 5*time.Second))
-					f.w.Machine(leaver).Wipe()
-					require.NoError(t, f.add(2, "b", 2*time.Second), "orders are taken at once")
+					f.world.Machine(leaver).Wipe()
+					require.NoError(t, f.submitNumber(2, "b", 2*time.Second), "orders are taken at once")
 					record := f.cores[f.leader()].Directory().Record()
 					lost := []string{machineOf(record.Primary.Addr), machineOf(record.Backup.Addr)}[next]
-					f.off(lost)
-					f.w.Machine(lost).Wipe()
+					f.powerOff(lost)
+					f.world.Machine(lost).Wipe()
 					ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 					defer stop()
 					r, err := f.agents[1].Submit(ctx, "c", "add", []byte("4"))
@@ -156,21 +156,21 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(1, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		want := int64(1)
 		for i, a := range f.seeds {
 			ip := machineOf(a)
 			time.Sleep(time.Second)
 			require.NoError(t, f.leave(ip, 5*time.Second))
 			began := time.Now()
-			require.NoError(t, f.add(1, "op"+a, 5*time.Second))
+			require.NoError(t, f.submitNumber(1, "op"+a, 5*time.Second))
 			require.Less(t, time.Since(began), 700*time.Millisecond, "machine %d left", i)
 			want++
 			time.Sleep(time.Second)
 			f.core(a)
 		}
 		time.Sleep(2 * time.Second)
-		require.EqualValues(t, want, f.views[0].sum.Load())
+		require.EqualValues(t, want, f.watchers[0].sum.Load())
 	})
 }
 
@@ -180,18 +180,18 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 4, 1)
 		defer f.close()
-		require.NoError(t, f.add(1, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
 		primary, backup, witness, _ := f.roles(t)
-		copies := f.cores[primary].WholeCopies()
+		copies := f.cores[primary].SnapshotsSent()
 		for _, ip := range []string{witness, backup} {
-			f.off(ip)
+			f.powerOff(ip)
 			f.core(ip + ":1")
-			require.NoError(t, f.add(1, "b"+ip, 5*time.Second))
+			require.NoError(t, f.submitNumber(1, "b"+ip, 5*time.Second))
 			time.Sleep(2 * time.Second)
 		}
 		require.Equal(t, primary, f.leader())
-		require.Equal(t, copies, f.cores[primary].WholeCopies())
+		require.Equal(t, copies, f.cores[primary].SnapshotsSent())
 	})
 }
 
@@ -201,15 +201,15 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 4, 1)
 		defer f.close()
-		require.NoError(t, f.add(1, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
 		primary, _, witness, _ := f.roles(t)
-		copies := f.cores[primary].WholeCopies()
+		copies := f.cores[primary].SnapshotsSent()
 		epoch := f.cores[primary].Directory().Record().Epoch
-		f.off(witness)
+		f.powerOff(witness)
 		time.Sleep(5 * time.Second)
 		require.Greater(t, f.cores[primary].Directory().Record().Epoch, epoch, "the holder is replaced")
-		require.Equal(t, copies, f.cores[primary].WholeCopies())
+		require.Equal(t, copies, f.cores[primary].SnapshotsSent())
 	})
 }
 
@@ -219,25 +219,25 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(1, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
 		primary := f.leader()
 		record := f.cores[primary].Directory().Record()
 		backup := machineOf(record.Backup.Addr)
 		f.isolate([]string{backup}, true)
-		require.NoError(t, f.add(2, "b", 5*time.Second))
+		require.NoError(t, f.submitNumber(2, "b", 5*time.Second))
 		other := machineOf(f.cores[primary].Directory().Record().Backup.Addr)
 		require.NotEqual(t, backup, other)
 		f.isolate([]string{backup}, false)
 		time.Sleep(time.Second)
-		copies := f.cores[primary].WholeCopies()
-		f.off(other)
-		f.w.Machine(other).Wipe()
-		require.NoError(t, f.add(4, "c", 5*time.Second))
-		require.Equal(t, copies, f.cores[primary].WholeCopies())
+		copies := f.cores[primary].SnapshotsSent()
+		f.powerOff(other)
+		f.world.Machine(other).Wipe()
+		require.NoError(t, f.submitNumber(4, "c", 5*time.Second))
+		require.Equal(t, copies, f.cores[primary].SnapshotsSent())
 		f.core(other + ":1")
 		time.Sleep(3 * time.Second) // its register passes on to the empty disk
-		f.off(primary)
+		f.powerOff(primary)
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 		defer stop()
 		r, err := f.agents[1].Submit(ctx, "d", "add", []byte("8"))
@@ -252,7 +252,7 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(1, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
 		primary := f.leader()
 		var others []string
@@ -261,14 +261,14 @@
 				others = append(others, ip)
 			}
 		}
-		caller := rpc.NewCaller(f.procs["10.0.1.1"].Host().Net)
-		ask := &coordination.SubmitAsk{Op: "b", Kind: "add", Body: []byte("no number")}
-		_, err := rpc.Call[coordination.SubmitAsk, coordination.SubmitReply](t.Context(), caller, primary+":1", "crux/submit", ask)
+		caller := rpc.NewCaller(f.processes["10.0.1.1"].Host().Net)
+		request := &coordination.SubmitRequest{Op: "b", Kind: "add", Body: []byte("no number")}
+		_, err := rpc.Call[coordination.SubmitRequest, coordination.SubmitResponse](t.Context(), caller, primary+":1", coordination.SubmitMethod, request)
 		require.True(t, failure.Is(err, failure.Bad), "while it leads: %v", err)
-		f.w.Sever([]string{primary}, others, true)
+		f.world.Sever([]string{primary}, others, true)
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
-		_, err = rpc.Call[coordination.SubmitAsk, coordination.SubmitReply](ctx, caller, primary+":1", "crux/submit", ask)
+		_, err = rpc.Call[coordination.SubmitRequest, coordination.SubmitResponse](ctx, caller, primary+":1", coordination.SubmitMethod, request)
 		require.Error(t, err)
 		require.False(t, failure.Is(err, failure.Bad) || failure.Is(err, failure.Stale), "it refused from a state that may be old: %v", err)
 	})
@@ -281,28 +281,28 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(1, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(2 * time.Second)
-		old := f.leader()
-		record := f.cores[old].Directory().Record()
+		previous := f.leader()
+		record := f.cores[previous].Directory().Record()
 		backup := machineOf(record.Backup.Addr)
 		var witness string
 		for ip := range f.cores {
-			if ip != old && ip != backup {
+			if ip != previous && ip != backup {
 				witness = ip
 			}
 		}
-		f.w.Sever([]string{old}, []string{backup, witness}, true)
-		caller := rpc.NewCaller(f.procs["10.0.1.2"].Host().Net)
-		ask := &coordination.SubmitAsk{Op: "lost", Kind: "add", Body: []byte("100")}
-		_, err := rpc.Call[coordination.SubmitAsk, coordination.SubmitReply](t.Context(), caller, old+":1", "crux/submit", ask)
+		f.world.Sever([]string{previous}, []string{backup, witness}, true)
+		caller := rpc.NewCaller(f.processes["10.0.1.2"].Host().Net)
+		request := &coordination.SubmitRequest{Op: "lost", Kind: "add", Body: []byte("100")}
+		_, err := rpc.Call[coordination.SubmitRequest, coordination.SubmitResponse](t.Context(), caller, previous+":1", coordination.SubmitMethod, request)
 		require.Error(t, err)
-		f.w.Sever([]string{"10.0.1.1", "10.0.1.2"}, []string{old}, true)
-		require.NoError(t, f.add(2, "b", 10*time.Second))
-		f.off(witness)
-		f.w.Sever([]string{old}, []string{backup, witness, "10.0.1.1", "10.0.1.2"}, false)
-		require.NoError(t, f.add(4, "c", 10*time.Second))
-		f.off(backup)
+		f.world.Sever([]string{"10.0.1.1", "10.0.1.2"}, []string{previous}, true)
+		require.NoError(t, f.submitNumber(2, "b", 10*time.Second))
+		f.powerOff(witness)
+		f.world.Sever([]string{previous}, []string{backup, witness, "10.0.1.1", "10.0.1.2"}, false)
+		require.NoError(t, f.submitNumber(4, "c", 10*time.Second))
+		f.powerOff(backup)
 		f.core(witness + ":1")
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 		defer stop()
@@ -318,19 +318,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := build(1)
 		defer f.close()
-		require.NoError(t, f.add(1, "a", 10*time.Second))
-		f.off(f.leader())
-		require.NoError(t, f.add(2, "b", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
+		f.powerOff(f.leader())
+		require.NoError(t, f.submitNumber(2, "b", 10*time.Second))
 		time.Sleep(time.Second)
-		old := coordination.Image{Seq: 9999, App: []byte("77")}
-		p := f.w.Machine("10.0.2.1").Start()
+		previous := coordination.Snapshot{Seq: 9999, State: []byte("77")}
+		p := f.world.Machine("10.0.2.1").Start()
 		f.run("10.0.2.1", "10.0.2.1:1", p, func(mux *http.ServeMux) {
-			rpc.Handle(mux, "crux/news", func(context.Context, *coordination.NewsAsk) (*coordination.NewsReply, error) {
-				return &coordination.NewsReply{Seq: old.Seq, Snapshot: coordination.Pack(&old), Epoch: 1}, nil
+			rpc.Handle(mux, coordination.WatchMethod, func(context.Context, *coordination.WatchRequest) (*coordination.WatchResponse, error) {
+				return &coordination.WatchResponse{Seq: previous.Seq, Snapshot: coordination.MustMarshal(&previous), Epoch: 1}, nil
 			})
 		}, func(context.Context) {})
 		require.Error(t, f.agents[0].Fetch(t.Context(), "10.0.2.1:1"))
-		require.EqualValues(t, 3, f.views[0].sum.Load())
+		require.EqualValues(t, 3, f.watchers[0].sum.Load())
 	})
 }
 
@@ -340,7 +340,7 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(1, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
 		primary := f.leader()
 		backup := machineOf(f.cores[primary].Directory().Record().Backup.Addr)
@@ -359,10 +359,10 @@
 		require.NoError(t, f.leave(next, 6*time.Second))
 		require.LessOrEqual(t, f.cores[f.leader()].Directory().Record().Epoch, epoch+3, "no ballots are begun while they can't succeed")
 		require.Greater(t, time.Since(began), 700*time.Millisecond, "the other one was not back yet")
-		f.w.Machine(next).Wipe()
-		require.NoError(t, f.add(2, "b", 2*time.Second))
+		f.world.Machine(next).Wipe()
+		require.NoError(t, f.submitNumber(2, "b", 2*time.Second))
 		time.Sleep(time.Second)
-		require.EqualValues(t, 3, f.views[0].sum.Load())
+		require.EqualValues(t, 3, f.watchers[0].sum.Load())
 	})
 }
 
@@ -373,12 +373,12 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildIn(seed, 6, 1, "a", "b", "c")
 		defer f.close()
-		require.NoError(t, f.add(1, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		for i := range f.seeds {
 			ip := machineOf(f.seeds[(i+int(seed))%len(f.seeds)])
 			require.NoError(t, f.leave(ip, 5*time.Second))
 			if i == 3 {
-				f.w.Machine(ip).Wipe()
+				f.world.Machine(ip).Wipe()
 			}
 			time.Sleep(time.Second)
 			f.core(ip + ":1")
@@ -387,16 +387,16 @@
 		time.Sleep(40 * time.Second)
 		record := f.cores[f.leader()].Directory().Record()
 		zones := map[ids.Zone]bool{}
-		for _, h := range record.Holders {
+		for _, h := range record.Voters {
 			zones[h.Zone] = true
 		}
-		require.Len(t, zones, 3, "%v", record.Holders)
+		require.Len(t, zones, 3, "%v", record.Voters)
 		lost := record.Primary.Zone
 		for ip, zone := range f.zones {
 			if zone == lost {
-				f.off(ip)
+				f.powerOff(ip)
 			}
 		}
-		require.NoError(t, f.add(2, "b", 10*time.Second))
+		require.NoError(t, f.submitNumber(2, "b", 10*time.Second))
 	})
 }
--- a/coordination/powerloss_test.go
+++ b/coordination/powerloss_test.go
@@ -25,21 +25,21 @@
 	"keelstair.example/ids"
 )
 
-// listMachine keeps all values it was given, the older ones on sheets.
+// listMachine keeps all values it was given, the older ones on chunks.
 type listMachine struct {
-	sealed []Sheet
+	sealed []Chunk
 	values []string
 }
 
-const valuesPerSheet = 5
+const valuesPerChunk = 5
 
 func (m *listMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
 	if kind != "put" {
 		return nil, errors.New("unknown kind")
 	}
 	m.values = append(m.values, string(body))
-	if len(m.values) == valuesPerSheet {
-		m.sealed = append(m.sealed, Seal([]byte(strings.Join(m.values, ","))))
+	if len(m.values) == valuesPerChunk {
+		m.sealed = append(m.sealed, NewChunk([]byte(strings.Join(m.values, ","))))
 		m.values = nil
 	}
 	return nil, nil
@@ -53,7 +53,7 @@
 	return strings.Join(append(parts, m.values...), ",")
 }
 
-func (m *listMachine) Open(string) bool { return true }
+func (m *listMachine) Published(string) bool { return true }
 
 func (m *listMachine) Snapshot(bool) []byte { return []byte(strings.Join(m.values, ",")) }
 
@@ -65,21 +65,21 @@
 	return nil
 }
 
-func (m *listMachine) Keys() []ids.Key                      { return nil }
-func (m *listMachine) Due(ids.Tick, ids.Seq, ids.Seq) []Cmd { return nil }
-func (m *listMachine) Sheets() []Sheet                      { return m.sealed }
-func (m *listMachine) Shelve(all []Sheet)                   { m.sealed = all }
+func (m *listMachine) Keys() []ids.Key                          { return nil }
+func (m *listMachine) Due(ids.Tick, ids.Seq, ids.Seq) []Command { return nil }
+func (m *listMachine) Chunks() []Chunk                          { return m.sealed }
+func (m *listMachine) RestoreChunks(all []Chunk)                { m.sealed = all }
 
 // storeHistory is a store at work, and what it has acknowledged.
 type storeHistory struct {
-	store             *store
-	state             *replicatedState
-	acked, asked      string
-	register, written register
-	next              int
+	store                   *store
+	state                   *replicatedState
+	acknowledged, requested string
+	register, written       register
+	next                    int
 }
 
-func newStore(disk host.Disk) *store { return &store{disk: disk, stall: 20 * time.Second} }
+func newStore(disk host.Disk) *store { return &store{disk: disk, timeout: 20 * time.Second} }
 
 // check reads a store back and holds it against what was acknowledged.
 func (h *storeHistory) check(disk host.Disk) error {
@@ -88,8 +88,8 @@
 		return err
 	}
 	defer s.log.Close()
-	if got := r.app.(*listMachine).all(); got != h.acked && got != h.asked {
-		return fmt.Errorf("the state is %q, neither %q nor %q", got, h.acked, h.asked)
+	if got := r.machine.(*listMachine).all(); got != h.acknowledged && got != h.requested {
+		return fmt.Errorf("the state is %q, neither %q nor %q", got, h.acknowledged, h.requested)
 	}
 	reg, err := s.loadRegister()
 	if err != nil {
@@ -111,9 +111,9 @@
 		}
 		entries = append(entries, e)
 	}
-	h.asked = h.state.app.(*listMachine).all()
+	h.requested = h.state.machine.(*listMachine).all()
 	err := h.store.append(entries)
-	h.acked = h.asked
+	h.acknowledged = h.requested
 	return err
 }
 
@@ -125,7 +125,7 @@
 }
 
 func (h *storeHistory) reset() error {
-	return h.store.reset(h.state.snapshot(false), sheets(h.state.app))
+	return h.store.compact(h.state.snapshot(false), chunksOf(h.state.machine))
 }
 
 func (h *storeHistory) reload() error {
@@ -178,7 +178,7 @@
 }
 
 // TestStorePowerLoss: at whatever disk step of appending, saving the register, taking
-// a snapshot, dropping sheets and starting power is lost, and whichever unsynced files
+// a snapshot, dropping chunks and starting power is lost, and whichever unsynced files
 // are lost, what is read back holds every acknowledged row and is the state before or
 // after the step.
 func TestStorePowerLoss(t *testing.T) {
@@ -223,8 +223,8 @@
 	return states
 }
 
-// TestOldSheetsDropped: the disk keeps no sheet that the machine has let go of.
-func TestOldSheetsDropped(t *testing.T) {
+// TestOldChunksDropped: the disk keeps no chunk that the machine has let go of.
+func TestOldChunksDropped(t *testing.T) {
 	disk, err := host.OpenDisk(t.TempDir())
 	require.NoError(t, err)
 	h := &storeHistory{store: newStore(disk)}
@@ -233,20 +233,20 @@
 		names, err := disk.List()
 		require.NoError(t, err)
 		for _, name := range names {
-			if strings.HasPrefix(name, sheetFile) {
+			if strings.HasPrefix(name, chunkPrefix) {
 				count++
 			}
 		}
 		return count
 	}
-	for range 3 * valuesPerSheet {
+	for range 3 * valuesPerChunk {
 		_, err := h.state.apply(&Entry{Kind: "put", Body: []byte("x")})
 		require.NoError(t, err)
 		require.NoError(t, h.reset())
 	}
-	machine := h.state.app.(*listMachine)
-	require.Equal(t, 1, kept(), "sheets of one content are one file")
-	machine.sealed = []Sheet{Seal([]byte("another"))}
+	machine := h.state.machine.(*listMachine)
+	require.Equal(t, 1, kept(), "chunks of one content are one file")
+	machine.sealed = []Chunk{NewChunk([]byte("another"))}
 	require.NoError(t, h.reset())
 	require.Equal(t, 1, kept())
 }
@@ -260,8 +260,8 @@
 		wg.Go(func() {
 			s := newStore(nil)
 			for range 8_000 {
-				s.within("no step", func() error { return nil })
-				late.Add(s.busy.Load())
+				s.timed("no step", func() error { return nil })
+				late.Add(s.pending.Load())
 			}
 		})
 	}
@@ -273,13 +273,13 @@
 type damage struct {
 	name, file string
 	change     func([]byte) []byte
-	why        string
+	reason     string
 }
 
 const filledLog = "log-1/00000000000000000001" // the log's file on a disk that fillStore made
 
-// damages are what may be wrong with a disk that fillStore made; sheet names its sheet's file.
-func damages(sheet string) []damage {
+// damages are what may be wrong with a disk that fillStore made; chunk names its chunk's file.
+func damages(chunk string) []damage {
 	sealed := func(body []byte) func([]byte) []byte {
 		return func([]byte) []byte { return host.Seal(body) }
 	}
@@ -290,8 +290,8 @@
 	rows := func(bodies ...[]byte) func([]byte) []byte {
 		return func(all []byte) []byte {
 			for _, body := range bodies {
-				row := host.Seal(body)
-				all = append(append(all, byte(len(row))), row...)
+				list := host.Seal(body)
+				all = append(append(all, byte(len(list))), list...)
 			}
 			return all
 		}
@@ -301,65 +301,65 @@
 		{"snapshot cut short", "picture", half, "counts as lost"},
 		{"snapshot empty", "picture", none, "counts as lost"},
 		{"snapshot changed", "picture", flip, "counts as lost"},
-		{"snapshot of another kind", "picture", sealed([]byte{0x80}), "not that of a picture"},
-		{"snapshot no message", "picture", sealed([]byte("hello")), "read picture"},
-		{"snapshot with more behind", "picture", func(b []byte) []byte { return host.Seal(append(b[4:len(b):len(b)], 0)) }, "not that of a picture"},
+		{"snapshot of another kind", "picture", sealed([]byte{0x80}), "not that of a snapshot"},
+		{"snapshot no message", "picture", sealed([]byte("hello")), "read snapshot"},
+		{"snapshot with more behind", "picture", func(b []byte) []byte { return host.Seal(append(b[4:len(b):len(b)], 0)) }, "not that of a snapshot"},
 		{"register cut short", "register", half, "counts as lost"},
 		{"register empty", "register", none, "counts as lost"},
 		{"register changed", "register", flip, "counts as lost"},
 		{"register of another kind", "register", sealed([]byte{0x80}), "not that of a register"},
 		{"register no message", "register", sealed([]byte("hello")), "read register"},
-		{"register that accepts more than it promises", "register", sealed(Pack(&BallotReply{Promised: 1, Accepted: Record{Epoch: 2, Founding: "f"}})), "not that of a register"},
+		{"register that accepts more than it promises", "register", sealed(MustMarshal(&BallotResponse{Promised: 1, Accepted: Record{Epoch: 2, ClusterID: "f"}})), "not that of a register"},
 		{"log changed in the middle", filledLog, func(b []byte) []byte { b = bytes.Clone(b); b[8] ^= 8; return b }, "counts as lost"},
-		{"log lacks rows", filledLog, rows(Pack(&entry)), "follows"},
+		{"log lacks rows", filledLog, rows(MustMarshal(&entry)), "follows"},
 		{"log with a row of another kind", filledLog, rows([]byte{0x80}), "follows"},
 		{"log with a row that is no message", filledLog, rows([]byte("hello")), "read log"},
-		{"log with a row and more behind", filledLog, rows(append(Pack(&after), 0)), "stand behind"},
-		{"log with an unknown command", filledLog, rows(Pack(&Entry{Seq: 9, Kind: "newer"})), "replay log"},
-		{"sheet cut short", sheet, half, "read sheet"},
-		{"sheet changed", sheet, flip, "read sheet"},
-		{"sheet of another name", sheet, sealed([]byte("other")), "its content is that of"},
+		{"log with a row and more behind", filledLog, rows(append(MustMarshal(&after), 0)), "stand behind"},
+		{"log with an unknown command", filledLog, rows(MustMarshal(&Entry{Seq: 9, Kind: "newer"})), "replay log"},
+		{"chunk cut short", chunk, half, "read chunk"},
+		{"chunk changed", chunk, flip, "read chunk"},
+		{"chunk of another name", chunk, sealed([]byte("other")), "its content is that of"},
 	}
 }
 
-// filledDisk gives the folder of a disk that fillStore made, and its sheet's file.
-func filledDisk(t *testing.T) (dir, sheet string) {
+// filledDisk gives the folder of a disk that fillStore made, and its chunk's file.
+func filledDisk(t *testing.T) (dir, chunk string) {
 	dir = t.TempDir()
 	fillStore(t, dir)
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	for _, entry := range entries {
-		if strings.HasPrefix(entry.Name(), sheetFile) {
-			sheet = entry.Name()
+		if strings.HasPrefix(entry.Name(), chunkPrefix) {
+			chunk = entry.Name()
 		}
 	}
-	return dir, sheet
+	return dir, chunk
 }
 
-// TestDamagedDisk: a snapshot, register, log or sheet that is cut short, changed, or
+// TestDamagedDisk: a snapshot, register, log or chunk that is cut short, changed, or
 // of another kind or version ends in one clear line and is never taken for state.
 func TestDamagedDisk(t *testing.T) {
-	healthy, sheet := filledDisk(t)
-	for _, c := range damages(sheet) {
+	healthy, chunk := filledDisk(t)
+	for _, c := range damages(chunk) {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			require.NoError(t, os.CopyFS(dir, os.DirFS(healthy)))
 			body, err := os.ReadFile(dir + "/" + c.file)
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(dir+"/"+c.file, c.change(body), 0o644))
-			requireRefused(t, dir, c.why)
+			requireRefused(t, dir, c.reason)
 		})
 	}
 }
 
 // TestLostFile: the same, where a file is gone.
 func TestLostFile(t *testing.T) {
-	healthy, sheet := filledDisk(t)
+	healthy, chunk := filledDisk(t)
 	for _, c := range []struct{ file, why string }{
-		{"picture", "there is a register, but neither a picture nor log-0"},
-		{"log-1", "log-1, which the picture names, is missing"},
-		{filledLog, "log-1, which the picture names, is missing"},
-		{sheet, "read sheet"},
+		{"picture", "there is a register, but neither a snapshot nor log-0"},
+		{"log-1", "log-1, which the snapshot names, is missing"},
+		{filledLog, "log-1, which the snapshot names, is missing"},
+		{chunk, "read chunk"},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			dir := t.TempDir()
@@ -370,7 +370,7 @@
 	}
 }
 
-// fillStore makes a disk with a sheet, a snapshot, and rows after it up to number 8.
+// fillStore makes a disk with a chunk, a snapshot, and rows after it up to number 8.
 func fillStore(t *testing.T, dir string) {
 	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
@@ -389,23 +389,23 @@
 	require.NoError(t, h.store.log.Close())
 }
 
-func requireRefused(t *testing.T, dir, why string) {
+func requireRefused(t *testing.T, dir, reason string) {
 	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
 	s := newStore(disk)
 	if _, err = s.loadRegister(); err == nil {
 		err = s.load(newReplicatedState(&listMachine{}))
 	}
-	require.ErrorContains(t, err, why)
+	require.ErrorContains(t, err, reason)
 	require.NotContains(t, err.Error(), "\n")
 }
 
 // TestDiskBound: with rows of 50 KB, as whole texts of a large document are, old and new
-// log, snapshots and sheets stay far below the 64 MB of a disk.
+// log, snapshots and chunks stay far below the 64 MB of a disk.
 func TestDiskBound(t *testing.T) {
 	const rows, rowSize, bound = 400, 50_000, 12_000_000
 	dir := t.TempDir()
-	most := int64(0)
+	limit := int64(0)
 	disk, err := host.OpenWatchedDisk(dir, func(string) {
 		used := int64(0)
 		filepath.WalkDir(dir, func(_ string, entry os.DirEntry, err error) error {
@@ -414,12 +414,12 @@
 			}
 			return err
 		})
-		most = max(most, used)
+		limit = max(limit, used)
 	})
 	require.NoError(t, err)
 	h := &storeHistory{store: newStore(disk)}
 	require.NoError(t, h.reload())
-	machine := h.state.app.(*listMachine)
+	machine := h.state.machine.(*listMachine)
 	resets := 0
 	for range rows {
 		e := Entry{Kind: "put", Body: bytes.Repeat([]byte("x"), rowSize)}
@@ -434,7 +434,7 @@
 			resets++
 		}
 	}
-	t.Logf("%d bytes at most, %d snapshots", most, resets)
+	t.Logf("%d bytes at most, %d snapshots", limit, resets)
 	require.Positive(t, resets)
-	require.Less(t, most, int64(bound))
+	require.Less(t, limit, int64(bound))
 }
--- a/coordination/primary_call.go
+++ b/coordination/primary_call.go
@@ -24,10 +24,10 @@
 // address asked last comes with it. No attempt lasts longer than the given time. An attempt
 // is left when a newer record is learnt: a deposed primary that is frozen or cut off would
 // take all the time there is. No error is final if final is nil.
-func CallPrimary[Q, R any](ctx context.Context, call *rpc.Caller, directory *Directory, attempt time.Duration, name string, q *Q, final func(error) bool) (*R, string, error) {
+func CallPrimary[Q, R any](ctx context.Context, call *rpc.Caller, directory *Directory, attempt time.Duration, name string, request *Q, final func(error) bool) (*R, string, error) {
 	var find search
 	for {
-		r, addr, err := callOnce[Q, R](ctx, call, directory, attempt, name, q)
+		r, addr, err := callOnce[Q, R](ctx, call, directory, attempt, name, request)
 		if err == nil || final != nil && final(err) {
 			return r, addr, err
 		}
@@ -39,7 +39,7 @@
 
 // SubmitWithin submits a command by attempts of bounded length under its one operation id,
 // so that it is applied once at most. Errors are those of Submit.
-func SubmitWithin(ctx context.Context, call *rpc.Caller, directory *Directory, attempt time.Duration, q *SubmitAsk) (*SubmitReply, error) {
+func SubmitWithin(ctx context.Context, call *rpc.Caller, directory *Directory, attempt time.Duration, request *SubmitRequest) (*SubmitResponse, error) {
 	var doubt error
 	final := func(err error) bool {
 		if failure.Is(err, failure.Unknown) {
@@ -47,7 +47,7 @@
 		}
 		return failure.Is(err, failure.Stale) || failure.Is(err, failure.Bad)
 	}
-	r, addr, err := CallPrimary[SubmitAsk, SubmitReply](ctx, call, directory, attempt, "crux/submit", q, final)
+	r, addr, err := CallPrimary[SubmitRequest, SubmitResponse](ctx, call, directory, attempt, SubmitMethod, request, final)
 	switch {
 	case err == nil:
 		return r, nil
@@ -60,19 +60,19 @@
 }
 
 // callOnce makes one attempt.
-func callOnce[Q, R any](ctx context.Context, call *rpc.Caller, directory *Directory, attempt time.Duration, name string, q *Q) (*R, string, error) {
-	cx, stop := context.WithTimeout(ctx, attempt)
+func callOnce[Q, R any](ctx context.Context, call *rpc.Caller, directory *Directory, attempt time.Duration, name string, request *Q) (*R, string, error) {
+	callContext, stop := context.WithTimeout(ctx, attempt)
 	defer stop()
-	grown := directory.Grown()
+	grown := directory.RecordChanged()
 	go func() {
 		select {
 		case <-grown:
 			stop()
-		case <-cx.Done():
+		case <-callContext.Done():
 		}
 	}()
 	addr := directory.Addr(directory.Record().Primary)
-	r, err := rpc.Call[Q, R](cx, call, addr, name, q)
+	r, err := rpc.Call[Q, R](callContext, call, addr, name, request)
 	return r, addr, err
 }
 
@@ -81,10 +81,10 @@
 
 // pause waits for a newer record or a short while, and tells whether the context still runs.
 func (s *search) pause(ctx context.Context, directory *Directory) bool {
-	grown := directory.Grown()
+	grown := directory.RecordChanged()
 	if s.asking.CompareAndSwap(false, true) {
 		go func() {
-			directory.Ask(ctx, searchWidth)
+			directory.Query(ctx, searchWidth)
 			s.asking.Store(false)
 		}()
 	}
--- a/coordination/primary_call_test.go
+++ b/coordination/primary_call_test.go
@@ -16,8 +16,8 @@
 
 // stranger is a process that knows nothing but the seeds.
 func (f *fleet) stranger(ip string) (*rpc.Caller, *coordination.Directory) {
-	p := f.w.Machine(ip).Start()
-	f.procs[ip], f.stops[ip] = p, func() {}
+	p := f.world.Machine(ip).Start()
+	f.processes[ip], f.stops[ip] = p, func() {}
 	call := rpc.NewCaller(p.Host().Net)
 	return call, coordination.NewDirectory(p.Host(), call, f.seeds, coordination.Replica{Addr: ip + ":1"})
 }
@@ -26,8 +26,8 @@
 func submitOne(call *rpc.Caller, directory *coordination.Directory, span, attempt time.Duration, op string) error {
 	ctx, stop := context.WithTimeout(context.Background(), span)
 	defer stop()
-	q := &coordination.SubmitAsk{Op: ids.OpID("test/" + op), Kind: "add", Body: []byte("1")}
-	_, err := coordination.SubmitWithin(ctx, call, directory, attempt, q)
+	request := &coordination.SubmitRequest{Op: ids.OpID("test/" + op), Kind: "add", Body: []byte("1")}
+	_, err := coordination.SubmitWithin(ctx, call, directory, attempt, request)
 	return err
 }
 
@@ -37,11 +37,11 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(1, "first", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		top := f.leader()
 		for _, a := range f.seeds {
 			if ip := a[:len(a)-2]; ip != top {
-				f.off(ip)
+				f.powerOff(ip)
 				break
 			}
 		}
@@ -59,22 +59,22 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(1, "first", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		call, directory := f.stranger("10.0.2.9")
 		defer call.Close()
 		require.NoError(t, submitOne(call, directory, 5*time.Second, time.Second, "known"))
 		top := f.leader()
-		f.w.Machine(top).Freeze(true)
+		f.world.Machine(top).Freeze(true)
 		began := time.Now()
 		go func() {
 			time.Sleep(2 * time.Second)
-			directory.Ask(context.Background(), 3)
+			directory.Query(context.Background(), 3)
 		}()
 		require.NoError(t, submitOne(call, directory, 20*time.Second, 15*time.Second, "left"))
 		require.Less(t, time.Since(began), 5*time.Second)
-		f.w.Machine(top).Freeze(false)
+		f.world.Machine(top).Freeze(false)
 		time.Sleep(4 * time.Second)
-		require.EqualValues(t, 3, f.views[0].sum.Load())
+		require.EqualValues(t, 3, f.watchers[0].sum.Load())
 	})
 }
 
@@ -84,16 +84,16 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(1, "first", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		call, directory := f.stranger("10.0.2.9")
 		defer call.Close()
 		require.NoError(t, submitOne(call, directory, 5*time.Second, time.Second, "known"))
 		top := f.leader()
-		f.w.Machine(top).Freeze(true)
+		f.world.Machine(top).Freeze(true)
 		began := time.Now()
 		require.NoError(t, submitOne(call, directory, 20*time.Second, 420*time.Millisecond, "given-up"))
 		require.Less(t, time.Since(began), 5*time.Second)
-		f.w.Machine(top).Freeze(false)
+		f.world.Machine(top).Freeze(false)
 	})
 }
 
@@ -103,21 +103,21 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(1, "first", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		call, directory := f.stranger("10.0.2.9")
 		defer call.Close()
 		require.NoError(t, submitOne(call, directory, 5*time.Second, time.Second, "known"))
 		time.Sleep(25 * time.Second) // idle connections are closed by then, and nothing is under way
 		cores := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
-		f.w.Sever([]string{"10.0.2.9"}, cores, true)
+		f.world.Sever([]string{"10.0.2.9"}, cores, true)
 		ctx, stop := context.WithCancel(context.Background())
 		time.AfterFunc(500*time.Millisecond, stop)
 		began := time.Now()
-		_, err := coordination.SubmitWithin(ctx, call, directory, 5*time.Second, &coordination.SubmitAsk{Op: "test/gone", Kind: "add", Body: []byte("5")})
+		_, err := coordination.SubmitWithin(ctx, call, directory, 5*time.Second, &coordination.SubmitRequest{Op: "test/gone", Kind: "add", Body: []byte("5")})
 		require.Error(t, err)
 		require.Less(t, time.Since(began), 600*time.Millisecond)
-		f.w.Sever([]string{"10.0.2.9"}, cores, false)
+		f.world.Sever([]string{"10.0.2.9"}, cores, false)
 		time.Sleep(3 * time.Second)
-		require.EqualValues(t, 2, f.views[0].sum.Load())
+		require.EqualValues(t, 2, f.watchers[0].sum.Load())
 	})
 }
--- a/coordination/record.go
+++ b/coordination/record.go
@@ -6,27 +6,27 @@
 
 import "keelstair.example/ids"
 
-// losses is how many machines may be lost at once.
-func (r Record) losses() int { return max(1, (len(r.Holders)-1)/2) }
+// faultTolerance is how many machines may be lost at once.
+func (r Record) faultTolerance() int { return max(1, (len(r.Voters)-1)/2) }
 
 // backups are all that take every entry before it is answered.
 func (r Record) backups() []Replica {
 	if r.Backup.Disk == "" {
 		return nil
 	}
-	return append([]Replica{r.Backup}, r.Also...)
+	return append([]Replica{r.Backup}, r.MoreBackups...)
 }
 
-// follow names the backups.
-func (r *Record) follow(list []Replica) {
-	r.Backup, r.Also = Replica{}, nil
+// setBackups names the backups.
+func (r *Record) setBackups(list []Replica) {
+	r.Backup, r.MoreBackups = Replica{}, nil
 	if len(list) > 0 {
-		r.Backup, r.Also = list[0], append([]Replica(nil), list[1:]...)
+		r.Backup, r.MoreBackups = list[0], append([]Replica(nil), list[1:]...)
 	}
 }
 
-// rank is the place of a backup, from 0 on, or -1.
-func (r Record) rank(d ids.DiskID) int {
+// backupRank is the place of a backup, from 0 on, or -1.
+func (r Record) backupRank(d ids.DiskID) int {
 	for i, s := range r.backups() {
 		if s.Disk == d {
 			return i
@@ -39,17 +39,17 @@
 // them: the holders, and while a change of the holders is not known to be decided, those
 // before it (joint consensus). So two ballots always share a register.
 func (r Record) quorums() [][]Replica {
-	if len(r.Before) == 0 {
-		return [][]Replica{r.Holders}
+	if len(r.OutgoingVoters) == 0 {
+		return [][]Replica{r.Voters}
 	}
-	return [][]Replica{r.Holders, r.Before}
+	return [][]Replica{r.Voters, r.OutgoingVoters}
 }
 
-// voters are the replicas of all its quorums, each once.
-func (r Record) voters() []Replica {
-	out := append([]Replica(nil), r.Holders...)
-	for _, s := range r.Before {
-		if !holds(out, s.Disk) {
+// allVoters are the replicas of all its quorums, each once.
+func (r Record) allVoters() []Replica {
+	out := append([]Replica(nil), r.Voters...)
+	for _, s := range r.OutgoingVoters {
+		if !containsDisk(out, s.Disk) {
 			out = append(out, s)
 		}
 	}
@@ -59,20 +59,20 @@
 // decidedBy tells whether these replicas are a majority of each quorum.
 func (r Record) decidedBy(yes []Replica) bool {
 	for _, set := range r.quorums() {
-		if !most(set, yes) {
+		if !isMajority(set, yes) {
 			return false
 		}
 	}
 	return true
 }
 
-// spread takes n of the replicas, as evenly from the zones as may be, in the order given.
-func spread(row []Replica, n int) []Replica {
+// spreadOverZones takes n of the replicas, as evenly from the zones as may be, in the order given.
+func spreadOverZones(list []Replica, n int) []Replica {
 	var out []Replica
 	per := map[ids.Zone]int{}
-	for most := 1; len(out) < n; most++ {
-		for _, s := range row {
-			if len(out) < n && per[s.Zone] < most && !holds(out, s.Disk) {
+	for limit := 1; len(out) < n; limit++ {
+		for _, s := range list {
+			if len(out) < n && per[s.Zone] < limit && !containsDisk(out, s.Disk) {
 				per[s.Zone]++
 				out = append(out, s)
 			}
--- a/coordination/register.go
+++ b/coordination/register.go
@@ -34,7 +34,7 @@
 
 // accept is the register once it has accepted a record.
 func (r register) accept(record Record) register {
-	if record.Epoch == r.Accepted.Epoch && r.Accepted.Founding != "" {
+	if record.Epoch == r.Accepted.Epoch && r.Accepted.ClusterID != "" {
 		return r // it came again; the change of holders may be known to be decided by now
 	}
 	return register{Promised: record.Epoch, PromisedTo: record.Primary.Disk, Accepted: record}
@@ -42,110 +42,110 @@
 
 // accepted gives the register's record and the epoch that it has promised.
 func (c *Core) accepted() (Record, ids.Epoch) {
-	c.regMu.Lock()
-	defer c.regMu.Unlock()
-	return c.reg.Accepted, c.reg.Promised
+	c.registerMu.Lock()
+	defer c.registerMu.Unlock()
+	return c.register.Accepted, c.register.Promised
 }
 
-// ballot answers either round of a ballot, synced before the answer.
-func (c *Core) ballot(_ context.Context, q *BallotAsk) (*BallotReply, error) {
-	ready := ids.Epoch(c.ready.Load())
-	c.regMu.Lock()
-	defer c.regMu.Unlock()
-	now := c.opt.Host.Clock.Now()
-	answer := func(why string) (*BallotReply, error) {
-		return &BallotReply{Ok: why == "", Promised: c.reg.Promised, Accepted: c.reg.Accepted, Why: why}, nil
+// handleBallot answers either round of a ballot, synced before the answer.
+func (c *Core) handleBallot(_ context.Context, request *BallotRequest) (*BallotResponse, error) {
+	ready := ids.Epoch(c.readyEpoch.Load())
+	c.registerMu.Lock()
+	defer c.registerMu.Unlock()
+	now := c.options.Host.Clock.Now()
+	answer := func(reason string) (*BallotResponse, error) {
+		return &BallotResponse{OK: reason == "", Promised: c.register.Promised, Accepted: c.register.Accepted, Reason: reason}, nil
 	}
-	next := c.reg
-	switch primary := c.reg.Accepted.Primary.Disk; {
-	case c.reg.Accepted.Founding != "" && c.reg.Accepted.Founding != q.Record.Founding:
+	next := c.register
+	switch primary := c.register.Accepted.Primary.Disk; {
+	case c.register.Accepted.ClusterID != "" && c.register.Accepted.ClusterID != request.Record.ClusterID:
 		return answer("another founding")
-	case !holds(q.Record.voters(), c.me.Disk):
+	case !containsDisk(request.Record.allVoters(), c.self.Disk):
 		return answer("not a holder")
-	case !q.Accept && q.Epoch <= c.reg.Promised:
+	case !request.Accept && request.Epoch <= c.register.Promised:
 		return answer("a newer epoch is promised")
-	case q.Accept && c.reg.refuses(q.Record) != "":
-		return answer(c.reg.refuses(q.Record))
-	case q.Takeover && q.From.Disk != primary && c.alive(primary, now):
+	case request.Accept && c.register.refuses(request.Record) != "":
+		return answer(c.register.refuses(request.Record))
+	case request.Takeover && request.From.Disk != primary && c.recentlyHeard(primary, now):
 		return answer("the primary is heard")
-	case q.Accept && q.Record.rank(c.me.Disk) >= 0 && ready != q.Epoch:
-		return answer("the picture of this epoch is missing")
-	case q.Accept:
-		next = c.reg.accept(q.Record)
+	case request.Accept && request.Record.backupRank(c.self.Disk) >= 0 && ready != request.Epoch:
+		return answer("the snapshot of this epoch is missing")
+	case request.Accept:
+		next = c.register.accept(request.Record)
 	default:
-		next.Promised, next.PromisedTo = q.Epoch, q.From.Disk
+		next.Promised, next.PromisedTo = request.Epoch, request.From.Disk
 	}
 	if err := c.store.saveRegister(next); err != nil {
 		return nil, err
 	}
-	c.reg = next
-	if q.Accept {
-		c.heard[q.From.Disk] = now
-		c.directory.Learn(&WhereAsk{Record: q.Record})
+	c.register = next
+	if request.Accept {
+		c.lastHeard[request.From.Disk] = now
+		c.directory.Merge(&PeerExchange{Record: request.Record})
 	}
 	return answer("")
 }
 
-// adopt takes over a newer record that others have accepted.
+// adoptRecord takes over a newer record that others have accepted.
 // It counts as an accept that came late by another way, so a promise to a newer
 // epoch forbids it; and a backup accepts only what it holds the snapshot of.
-func (c *Core) adopt(r Record) bool {
-	c.regMu.Lock()
-	defer c.regMu.Unlock()
-	if r.Epoch <= c.reg.Accepted.Epoch || !holds(r.voters(), c.me.Disk) || c.reg.refuses(r) != "" || r.rank(c.me.Disk) >= 0 {
+func (c *Core) adoptRecord(r Record) bool {
+	c.registerMu.Lock()
+	defer c.registerMu.Unlock()
+	if r.Epoch <= c.register.Accepted.Epoch || !containsDisk(r.allVoters(), c.self.Disk) || c.register.refuses(r) != "" || r.backupRank(c.self.Disk) >= 0 {
 		return false
 	}
-	next := c.reg.accept(r)
+	next := c.register.accept(r)
 	if err := c.store.saveRegister(next); err != nil {
 		return false
 	}
-	c.reg = next
+	c.register = next
 	return true
 }
 
-// settle notes that the record of an epoch is decided: its primary leads, which it does only
+// markDecided notes that the record of an epoch is decided: its primary leads, which it does only
 // then. A change of holders is over with that, and the holders before it have no say any
-// more. The caller holds regMu. A disk that refuses is asked again at the next heartbeat.
-func (c *Core) settle(epoch ids.Epoch, primary ids.DiskID) {
-	if c.reg.Accepted.Epoch != epoch || c.reg.Accepted.Primary.Disk != primary || len(c.reg.Accepted.Before) == 0 {
+// more. The caller holds registerMu. A disk that refuses is asked again at the next heartbeat.
+func (c *Core) markDecided(epoch ids.Epoch, primary ids.DiskID) {
+	if c.register.Accepted.Epoch != epoch || c.register.Accepted.Primary.Disk != primary || len(c.register.Accepted.OutgoingVoters) == 0 {
 		return
 	}
-	next := c.reg
-	next.Accepted.Before = nil
+	next := c.register
+	next.Accepted.OutgoingVoters = nil
 	if err := c.store.saveRegister(next); err != nil {
-		c.opt.Ring.Warn().AnErr("cause", err).Msg("a decided change of holders is not noted yet")
+		c.options.Ring.Warn().AnErr("cause", err).Msg("a decided change of holders is not noted yet")
 		return
 	}
-	c.reg = next
+	c.register = next
 }
 
-// beat is the primary's sign of life to those it sends no entries.
-func (c *Core) beat(_ context.Context, q *AppendAsk) (*AppendReply, error) {
-	c.regMu.Lock()
-	defer c.regMu.Unlock()
-	if q.Epoch < c.reg.Accepted.Epoch || q.Epoch < c.reg.Promised {
-		return &AppendReply{Disk: c.me.Disk, Promised: c.reg.Promised}, nil
+// handleHeartbeat is the primary's sign of life to those it sends no entries.
+func (c *Core) handleHeartbeat(_ context.Context, request *AppendRequest) (*AppendResponse, error) {
+	c.registerMu.Lock()
+	defer c.registerMu.Unlock()
+	if request.Epoch < c.register.Accepted.Epoch || request.Epoch < c.register.Promised {
+		return &AppendResponse{Disk: c.self.Disk, Promised: c.register.Promised}, nil
 	}
-	c.hear(q.From.Disk)
-	c.settle(q.Epoch, q.From.Disk)
-	return &AppendReply{Disk: c.me.Disk, Ok: true, Promised: c.reg.Promised}, nil
+	c.noteContact(request.From.Disk)
+	c.markDecided(request.Epoch, request.From.Disk)
+	return &AppendResponse{Disk: c.self.Disk, OK: true, Promised: c.register.Promised}, nil
 }
 
-// hear notes a sign of life of another replica. The caller holds regMu.
-func (c *Core) hear(d ids.DiskID) { c.heard[d] = c.opt.Host.Clock.Now() }
+// noteContact notes a sign of life of another replica. The caller holds registerMu.
+func (c *Core) noteContact(d ids.DiskID) { c.lastHeard[d] = c.options.Host.Clock.Now() }
 
-// heardFrom notes a sign of life of another replica.
-func (c *Core) heardFrom(d ids.DiskID) {
-	c.regMu.Lock()
-	defer c.regMu.Unlock()
-	c.hear(d)
+// contactFrom notes a sign of life of another replica.
+func (c *Core) contactFrom(d ids.DiskID) {
+	c.registerMu.Lock()
+	defer c.registerMu.Unlock()
+	c.noteContact(d)
 }
 
-// alive tells whether a replica was heard lately. The caller holds regMu.
-func (c *Core) alive(d ids.DiskID, now ids.Tick) bool {
-	if d == c.me.Disk {
+// recentlyHeard tells whether a replica was heard lately. The caller holds registerMu.
+func (c *Core) recentlyHeard(d ids.DiskID, now ids.Tick) bool {
+	if d == c.self.Disk {
 		return c.Leads()
 	}
-	at, ok := c.heard[d]
-	return ok && !now.Past(at, c.opt.Silence*2/3)
+	at, ok := c.lastHeard[d]
+	return ok && !now.Past(at, c.options.ElectionTimeout*2/3)
 }
--- a/coordination/register_test.go
+++ b/coordination/register_test.go
@@ -16,13 +16,13 @@
 func inRegister(t *testing.T, f func(c *Core, record Record)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := simulated.NewWorld(1).Machine("10.0.0.1").Start()
-		c, err := New(Options{Addr: "10.0.0.1:1", Host: p.Host(), Machine: func() Machine { return nil }})
+		c, err := New(Options{Addr: "10.0.0.1:1", Host: p.Host(), Machine: func() StateMachine { return nil }})
 		require.NoError(t, err)
-		record := Record{Epoch: 1, Founding: "f", Primary: Replica{Disk: "x"}, Holders: []Replica{{Disk: "x"}, {Disk: "y"}, c.me}}
-		record.follow([]Replica{{Disk: "y"}})
-		r, err := c.ballot(t.Context(), &BallotAsk{Epoch: 1, From: record.Primary, Accept: true, Record: record})
+		record := Record{Epoch: 1, ClusterID: "f", Primary: Replica{Disk: "x"}, Voters: []Replica{{Disk: "x"}, {Disk: "y"}, c.self}}
+		record.setBackups([]Replica{{Disk: "y"}})
+		r, err := c.handleBallot(t.Context(), &BallotRequest{Epoch: 1, From: record.Primary, Accept: true, Record: record})
 		require.NoError(t, err)
-		require.True(t, r.Ok, r.Why)
+		require.True(t, r.OK, r.Reason)
 		f(c, record)
 		p.Kill()
 	})
@@ -32,23 +32,23 @@
 // whichever way it comes; the promise outlives a restart.
 func TestPromiseToOne(t *testing.T) {
 	inRegister(t, func(c *Core, record Record) {
-		r, err := c.ballot(t.Context(), &BallotAsk{Epoch: 2, From: Replica{Disk: "x"}, Record: record})
+		r, err := c.handleBallot(t.Context(), &BallotRequest{Epoch: 2, From: Replica{Disk: "x"}, Record: record})
 		require.NoError(t, err)
-		require.True(t, r.Ok, r.Why)
-		c.reg, err = c.store.loadRegister()
+		require.True(t, r.OK, r.Reason)
+		c.register, err = c.store.loadRegister()
 		require.NoError(t, err)
 		other := record
 		other.Epoch, other.Primary = 2, Replica{Disk: "y"}
-		other.follow([]Replica{{Disk: "x"}})
-		r, err = c.ballot(t.Context(), &BallotAsk{Epoch: 2, From: other.Primary, Accept: true, Record: other})
+		other.setBackups([]Replica{{Disk: "x"}})
+		r, err = c.handleBallot(t.Context(), &BallotRequest{Epoch: 2, From: other.Primary, Accept: true, Record: other})
 		require.NoError(t, err)
-		require.False(t, r.Ok)
-		require.False(t, c.adopt(other))
+		require.False(t, r.OK)
+		require.False(t, c.adoptRecord(other))
 		mine := record
 		mine.Epoch = 2
-		r, err = c.ballot(t.Context(), &BallotAsk{Epoch: 2, From: mine.Primary, Accept: true, Record: mine})
+		r, err = c.handleBallot(t.Context(), &BallotRequest{Epoch: 2, From: mine.Primary, Accept: true, Record: mine})
 		require.NoError(t, err)
-		require.True(t, r.Ok, r.Why)
+		require.True(t, r.OK, r.Reason)
 	})
 }
 
@@ -58,23 +58,23 @@
 	inRegister(t, func(c *Core, record Record) {
 		change := record
 		change.Epoch = 2
-		change.Before = record.Holders
-		change.Holders = []Replica{{Disk: "x"}, {Disk: "y"}, {Disk: "z"}}
-		r, err := c.ballot(t.Context(), &BallotAsk{Epoch: 2, From: change.Primary, Accept: true, Record: change})
+		change.OutgoingVoters = record.Voters
+		change.Voters = []Replica{{Disk: "x"}, {Disk: "y"}, {Disk: "z"}}
+		r, err := c.handleBallot(t.Context(), &BallotRequest{Epoch: 2, From: change.Primary, Accept: true, Record: change})
 		require.NoError(t, err)
-		require.True(t, r.Ok, "a holder that is replaced has a say in it: %s", r.Why)
-		require.Len(t, c.reg.Accepted.voters(), 4)
+		require.True(t, r.OK, "a holder that is replaced has a say in it: %s", r.Reason)
+		require.Len(t, c.register.Accepted.allVoters(), 4)
 		require.False(t, change.decidedBy([]Replica{{Disk: "y"}, {Disk: "z"}}))
 		require.True(t, change.decidedBy([]Replica{{Disk: "y"}, {Disk: "x"}}))
-		_, err = c.beat(t.Context(), &AppendAsk{Epoch: 2, From: Replica{Disk: "y"}})
+		_, err = c.handleHeartbeat(t.Context(), &AppendRequest{Epoch: 2, From: Replica{Disk: "y"}})
 		require.NoError(t, err)
-		require.NotEmpty(t, c.reg.Accepted.Before, "only its primary tells that it is decided")
-		_, err = c.beat(t.Context(), &AppendAsk{Epoch: 2, From: change.Primary})
+		require.NotEmpty(t, c.register.Accepted.OutgoingVoters, "only its primary tells that it is decided")
+		_, err = c.handleHeartbeat(t.Context(), &AppendRequest{Epoch: 2, From: change.Primary})
 		require.NoError(t, err)
-		require.Empty(t, c.reg.Accepted.Before)
+		require.Empty(t, c.register.Accepted.OutgoingVoters)
 		kept, err := c.store.loadRegister()
 		require.NoError(t, err)
-		require.Equal(t, c.reg, kept)
+		require.Equal(t, c.register, kept)
 	})
 }
 
@@ -82,30 +82,32 @@
 // it is as long; entries that do not go on from its log are not taken for its missing ones.
 func TestSamePlace(t *testing.T) {
 	inRegister(t, func(c *Core, record Record) {
-		entry := func(body string) Entry { return Entry{Kind: joinKind, Body: Pack(&Member{Node: ids.NodeID(body)})} }
+		entry := func(body string) Entry {
+			return Entry{Kind: joinKind, Body: MustMarshal(&Member{Node: ids.NodeID(body)})}
+		}
 		mine, theirs := []Entry{entry("a"), entry("b")}, newReplicatedState(nil)
 		require.NoError(t, c.applyAll(mine))
 		for _, e := range []Entry{entry("a"), entry("c")} {
 			_, err := theirs.apply(&e)
 			require.NoError(t, err)
 		}
-		_, err := c.ballot(t.Context(), &BallotAsk{Epoch: 2, From: record.Primary, Record: record})
+		_, err := c.handleBallot(t.Context(), &BallotRequest{Epoch: 2, From: record.Primary, Record: record})
 		require.NoError(t, err)
-		ask := &SnapshotAsk{Epoch: 2, From: record.Primary, Seq: theirs.seq, Digest: theirs.digest}
-		r, err := c.snapshot(t.Context(), ask)
+		request := &SnapshotRequest{Epoch: 2, From: record.Primary, Seq: theirs.seq, Digest: theirs.digest}
+		r, err := c.handleSnapshot(t.Context(), request)
 		require.NoError(t, err)
-		require.True(t, r.Behind && !r.Ok)
-		_, ok := theirs.history.after(r.Last, r.Digest)
+		require.True(t, r.Behind && !r.OK)
+		_, ok := theirs.history.after(r.LastSeq, r.Digest)
 		require.False(t, ok, "the log differs at that place")
-		require.NotEqual(t, ids.Epoch(c.ready.Load()), ids.Epoch(2))
-		ask.Digest = c.state.digest
-		r, err = c.snapshot(t.Context(), ask)
+		require.NotEqual(t, ids.Epoch(c.readyEpoch.Load()), ids.Epoch(2))
+		request.Digest = c.state.digest
+		r, err = c.handleSnapshot(t.Context(), request)
 		require.NoError(t, err)
-		require.True(t, r.Ok)
-		other := *ask
+		require.True(t, r.OK)
+		other := *request
 		other.From = Replica{Disk: "y"}
-		r, err = c.snapshot(t.Context(), &other)
+		r, err = c.handleSnapshot(t.Context(), &other)
 		require.NoError(t, err)
-		require.False(t, r.Ok, "only the proposer that the epoch is promised to readies it")
+		require.False(t, r.OK, "only the proposer that the epoch is promised to readies it")
 	})
 }
--- a/coordination/restart_test.go
+++ b/coordination/restart_test.go
@@ -17,18 +17,18 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(7, "before", 10*time.Second))
-		row := []string{f.leader()}
+		require.NoError(t, f.submitNumber(7, "before", 10*time.Second))
+		list := []string{f.leader()}
 		for _, a := range f.seeds {
-			if ip := a[:len(a)-2]; ip != row[0] {
-				row = append(row, ip)
+			if ip := a[:len(a)-2]; ip != list[0] {
+				list = append(list, ip)
 			}
 		}
-		for _, ip := range row {
-			f.off(ip)
+		for _, ip := range list {
+			f.powerOff(ip)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		for i, ip := range row {
+		for i, ip := range list {
 			time.Sleep(time.Duration(i) * 100 * time.Millisecond)
 			f.core(ip + ":1")
 		}
@@ -39,8 +39,8 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		require.Less(t, time.Since(last), 400*time.Millisecond)
-		require.NoError(t, f.add(1, "after", 10*time.Second))
+		require.NoError(t, f.submitNumber(1, "after", 10*time.Second))
 		time.Sleep(time.Second)
-		require.EqualValues(t, 8, f.views[0].sum.Load())
+		require.EqualValues(t, 8, f.watchers[0].sum.Load())
 	})
 }
--- a/coordination/state.go
+++ b/coordination/state.go
@@ -16,16 +16,16 @@
 	"keelstair.example/ids"
 )
 
-// Machine is the embedder's state. Apply must be deterministic, and must change
+// StateMachine is the embedder's state. Apply must be deterministic, and must change
 // nothing when it gives an error; seq is the number that the entry gets. Open
 // tells whether followers see a kind.
-type Machine interface {
+type StateMachine interface {
 	Apply(seq ids.Seq, kind string, body []byte) ([]byte, error)
-	Open(kind string) bool
+	Published(kind string) bool
 	Snapshot(open bool) []byte
 	Restore(body []byte) error
 	Keys() []ids.Key
-	Due(now ids.Tick, seq, seen ids.Seq) []Cmd
+	Due(now ids.Tick, seq, seen ids.Seq) []Command
 }
 
 // Timekeeper is a Machine that keeps a time of its own for the fleet. The primary asks
@@ -33,51 +33,51 @@
 // told, and tell what it cannot be lower than by now, which a new primary needs.
 type Timekeeper interface {
 	Time(now ids.Tick) int64
-	Hear(now ids.Tick, least int64)
+	Observe(now ids.Tick, least int64)
 }
 
 // Placer is a Machine that says which nodes a key may fall to.
 type Placer interface {
-	May(key ids.Key, node ids.NodeID) bool
+	Eligible(key ids.Key, node ids.NodeID) bool
 }
 
 // ErrUnchanged is what Apply gives, with an answer, when there is nothing to write.
 var ErrUnchanged = errors.New("nothing to write")
 
-// Cmd is a command of the embedder's, by name and body.
-type Cmd struct {
+// Command is a command of the embedder's, by name and body.
+type Command struct {
 	Kind string
 	Body []byte
 }
 
 const (
-	joinKind  = "crux.join"
-	leaveKind = "crux.leave"
-	dealKind  = "crux.deal"
-	maxPast   = 2048 // of each class of operations
+	joinKind    = "crux.join"
+	leaveKind   = "crux.leave"
+	assignKind  = "crux.deal"
+	maxOutcomes = 2048 // of each class of operations
 )
 
 type replicatedState struct {
-	seq     ids.Seq
-	fence   ids.Fence
-	members map[ids.NodeID]Member
-	grants  map[ids.Key]Grant
-	past    map[ids.OpID]Past
-	order   map[string][]ids.OpID
-	app     Machine
-	digest  []byte // of the log up to seq
-	history history
+	seq          ids.Seq
+	fence        ids.Fence
+	members      map[ids.NodeID]Member
+	grants       map[ids.Key]Grant
+	outcomes     map[ids.OpID]Outcome
+	outcomeOrder map[string][]ids.OpID
+	machine      StateMachine
+	digest       []byte // of the log up to seq
+	history      history
 }
 
-func newReplicatedState(app Machine) *replicatedState {
-	return &replicatedState{members: map[ids.NodeID]Member{}, grants: map[ids.Key]Grant{}, past: map[ids.OpID]Past{}, order: map[string][]ids.OpID{}, app: app, digest: make([]byte, digestBytes)}
+func newReplicatedState(app StateMachine) *replicatedState {
+	return &replicatedState{members: map[ids.NodeID]Member{}, grants: map[ids.Key]Grant{}, outcomes: map[ids.OpID]Outcome{}, outcomeOrder: map[string][]ids.OpID{}, machine: app, digest: make([]byte, digestBytes)}
 }
 
 type command interface{ apply(*replicatedState) }
 
 type join struct{ Member }
 type leave struct{ Member }
-type deal struct{ Deal }
+type assign struct{ Assignment }
 
 func (c join) apply(r *replicatedState) { r.members[c.Node] = c.Member }
 
@@ -90,7 +90,7 @@
 	}
 }
 
-func (c deal) apply(r *replicatedState) {
+func (c assign) apply(r *replicatedState) {
 	for _, g := range c.Grants {
 		if g.Node == "" {
 			delete(r.grants, g.Key)
@@ -112,10 +112,10 @@
 		if c = (join{m}); kind == leaveKind {
 			c = leave{m}
 		}
-	case dealKind:
-		var d Deal
+	case assignKind:
+		var d Assignment
 		_, err = d.UnmarshalMsg(body)
-		c = deal{d}
+		c = assign{d}
 	default:
 		return nil, nil
 	}
@@ -131,86 +131,86 @@
 	var out []byte
 	if c != nil {
 		c.apply(r)
-	} else if out, err = r.app.Apply(r.seq+1, e.Kind, e.Body); err != nil {
+	} else if out, err = r.machine.Apply(r.seq+1, e.Kind, e.Body); err != nil {
 		return out, err
 	}
 	r.seq++
 	e.Seq = r.seq
-	e.Open = c != nil || r.app.Open(e.Kind)
+	e.Published = c != nil || r.machine.Published(e.Kind)
 	if e.Op != "" {
-		r.keep(Past{Op: e.Op, Seq: e.Seq, Body: out})
+		r.remember(Outcome{Op: e.Op, Seq: e.Seq, Body: out})
 	}
 	r.digest = logDigest(r.digest, e)
 	r.history.add(e, r.digest)
 	return out, nil
 }
 
-// keep remembers an operation's outcome. Operations are classed by what stands
+// remember remembers an operation's outcome. Operations are classed by what stands
 // before the first slash, so that many of one class push out none of another.
-func (r *replicatedState) keep(p Past) {
+func (r *replicatedState) remember(p Outcome) {
 	class, _, _ := strings.Cut(string(p.Op), "/")
-	r.past[p.Op] = p
-	row := append(r.order[class], p.Op)
-	if len(row) > maxPast {
-		delete(r.past, row[0])
-		row = row[1:]
+	r.outcomes[p.Op] = p
+	list := append(r.outcomeOrder[class], p.Op)
+	if len(list) > maxOutcomes {
+		delete(r.outcomes, list[0])
+		list = list[1:]
 	}
-	r.order[class] = row
+	r.outcomeOrder[class] = list
 }
 
-// list gives the members by name.
-func (r *replicatedState) list() []Member {
+// memberList gives the members by name.
+func (r *replicatedState) memberList() []Member {
 	var out []Member
 	for _, m := range r.members {
 		out = append(out, m)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Node < out[j].Node })
+	sort.Slice(out, func(i, op int) bool { return out[i].Node < out[op].Node })
 	return out
 }
 
-func (r *replicatedState) snapshot(open bool) *Image {
-	img := &Image{Seq: r.seq, Fence: r.fence, App: r.app.Snapshot(open), Members: r.list()}
+func (r *replicatedState) snapshot(open bool) *Snapshot {
+	snapshot := &Snapshot{Seq: r.seq, Fence: r.fence, State: r.machine.Snapshot(open), Members: r.memberList()}
 	for _, g := range r.grants {
-		img.Grants = append(img.Grants, g)
+		snapshot.Grants = append(snapshot.Grants, g)
 	}
-	sort.Slice(img.Grants, func(i, j int) bool { return img.Grants[i].Key < img.Grants[j].Key })
+	sort.Slice(snapshot.Grants, func(i, op int) bool { return snapshot.Grants[i].Key < snapshot.Grants[op].Key })
 	if !open {
-		img.Digest = r.digest
-		for _, one := range sheets(r.app) {
-			img.Sheets = append(img.Sheets, one.Name)
+		snapshot.Digest = r.digest
+		for _, one := range chunksOf(r.machine) {
+			snapshot.Chunks = append(snapshot.Chunks, one.Name)
 		}
-		for _, p := range r.past {
-			img.Ops = append(img.Ops, p)
+		for _, p := range r.outcomes {
+			snapshot.Outcomes = append(snapshot.Outcomes, p)
 		}
-		sort.Slice(img.Ops, func(i, j int) bool { return img.Ops[i].Seq < img.Ops[j].Seq })
+		sort.Slice(snapshot.Outcomes, func(i, op int) bool { return snapshot.Outcomes[i].Seq < snapshot.Outcomes[op].Seq })
 	}
-	return img
+	return snapshot
 }
 
-func (r *replicatedState) restore(img *Image) error {
-	if err := r.app.Restore(img.App); err != nil {
-		return failure.As(err, failure.Bad, "restore picture", "")
+func (r *replicatedState) restore(snapshot *Snapshot) error {
+	if err := r.machine.Restore(snapshot.State); err != nil {
+		return failure.As(err, failure.Bad, "restore snapshot", "")
 	}
-	fresh := newReplicatedState(r.app)
-	fresh.seq, fresh.fence, fresh.digest = img.Seq, img.Fence, img.Digest
+	fresh := newReplicatedState(r.machine)
+	fresh.seq, fresh.fence, fresh.digest = snapshot.Seq, snapshot.Fence, snapshot.Digest
 	if len(fresh.digest) == 0 {
-		fresh.digest = stateDigest(img.Seq, img.App)
+		fresh.digest = stateDigest(snapshot.Seq, snapshot.State)
 	}
-	for _, m := range img.Members {
+	for _, m := range snapshot.Members {
 		fresh.members[m.Node] = m
 	}
-	for _, g := range img.Grants {
+	for _, g := range snapshot.Grants {
 		fresh.grants[g.Key] = g
 	}
-	for _, p := range img.Ops {
-		fresh.keep(p)
+	for _, p := range snapshot.Outcomes {
+		fresh.remember(p)
 	}
 	*r = *fresh
 	return nil
 }
 
-// Pack turns a message into bytes; it cannot fail for messages of ours.
-func Pack(m msgp.Marshaler) []byte {
+// MustMarshal turns a message into bytes; it cannot fail for messages of ours.
+func MustMarshal(m msgp.Marshaler) []byte {
 	b, err := m.MarshalMsg(nil)
 	if err != nil {
 		panic(err)
--- a/coordination/state_test.go
+++ b/coordination/state_test.go
@@ -15,12 +15,12 @@
 // only, and a snapshot brings all of them over.
 func TestPastByClass(t *testing.T) {
 	r := newReplicatedState(nil)
-	r.keep(Past{Op: "op/first", Seq: 1})
-	for i := range 3 * maxPast {
-		r.keep(Past{Op: ids.OpID(fmt.Sprintf("claim/%d", i)), Seq: ids.Seq(i + 2)})
+	r.remember(Outcome{Op: "op/first", Seq: 1})
+	for i := range 3 * maxOutcomes {
+		r.remember(Outcome{Op: ids.OpID(fmt.Sprintf("claim/%d", i)), Seq: ids.Seq(i + 2)})
 	}
-	require.Contains(t, r.past, ids.OpID("op/first"))
-	require.Len(t, r.past, maxPast+1)
-	require.NotContains(t, r.past, ids.OpID("claim/0"))
-	require.Contains(t, r.past, ids.OpID(fmt.Sprintf("claim/%d", 3*maxPast-1)))
+	require.Contains(t, r.outcomes, ids.OpID("op/first"))
+	require.Len(t, r.outcomes, maxOutcomes+1)
+	require.NotContains(t, r.outcomes, ids.OpID("claim/0"))
+	require.Contains(t, r.outcomes, ids.OpID(fmt.Sprintf("claim/%d", 3*maxOutcomes-1)))
 }
--- a/coordination/store.go
+++ b/coordination/store.go
@@ -23,48 +23,48 @@
 	registerFile  = "register"
 	identityFile  = "identity"
 	directoryFile = "book"
-	firstLog      = "log-0"
+	firstLogName  = "log-0"
 	logPrefix     = "log-"
 
 	// A log counts its rows, a long one as several of rowUnit bytes. One that counts
 	// over rowsPerLog gives way to a new snapshot. So a log takes about 4 MiB on disk
 	// and as much in memory, however long its rows are: a disk of 64 MB has room for
-	// the old log, two snapshots and their sheets, and a restart reads it in a moment.
+	// the old log, two snapshots and their chunks, and a restart reads it in a moment.
 	rowsPerLog = 8192
 	rowUnit    = 512
 )
 
 type store struct {
-	disk  host.Disk
-	log   host.Log
-	name  string
-	rows  int // in the log, see rowUnit
-	stall time.Duration
-	busy  atomic.Int32
-	saves atomic.Int32
-	// The names of the sheets on disk.
-	sheets sync.Map
+	disk         host.Disk
+	log          host.Log
+	logName      string
+	rows         int // in the log, see rowUnit
+	timeout      time.Duration
+	pending      atomic.Int32
+	pendingSaves atomic.Int32
+	// The names of the chunks on disk.
+	chunks sync.Map
 }
 
-// within runs one disk step and gives up waiting, not the step, when it stalls.
-func (s *store) within(step string, f func() error) error { return s.inside(s.stall, step, f) }
+// timed runs one disk step and gives up waiting, not the step, when it stalls.
+func (s *store) timed(step string, f func() error) error { return s.timedWithin(s.timeout, step, f) }
 
-func (s *store) inside(most time.Duration, step string, f func() error) error {
+func (s *store) timedWithin(limit time.Duration, step string, f func() error) error {
 	done := make(chan error, 1)
-	s.busy.Add(1)
+	s.pending.Add(1)
 	go func() {
 		err := f()
 		// Before the answer, so that the next step doesn't take this one for stalled.
-		s.busy.Add(-1)
+		s.pending.Add(-1)
 		done <- err
 	}()
-	t := time.NewTimer(most)
+	t := time.NewTimer(limit)
 	defer t.Stop()
 	select {
 	case err := <-done:
 		return err
 	case <-t.C:
-		return failure.New(failure.Lost, step, "disk", "stalled for over %s", most)
+		return failure.New(failure.Lost, step, "disk", "stalled for over %s", limit)
 	}
 }
 
@@ -74,19 +74,19 @@
 		s.log.Close()
 		s.log = nil
 	}
-	if err := s.listSheets(); err != nil {
+	if err := s.listChunks(); err != nil {
 		return err
 	}
-	img, err := s.loadSnapshot()
+	snapshot, err := s.loadSnapshot()
 	if err != nil {
 		return err
 	}
-	if img != nil {
-		if err := s.restore(r, img, nil); err != nil {
+	if snapshot != nil {
+		if err := s.restore(r, snapshot, nil); err != nil {
 			return err
 		}
 	}
-	rows, err := s.openLog(img)
+	rows, err := s.openLog(snapshot)
 	if err != nil {
 		return err
 	}
@@ -94,11 +94,11 @@
 		return err
 	}
 	s.rows = countRows(rows)
-	return s.sweep()
+	return s.removeOldLogs()
 }
 
-// loadPicture gives the snapshot on disk, or nil if none was taken yet.
-func (s *store) loadSnapshot() (*Image, error) {
+// loadSnapshot gives the snapshot on disk, or nil if none was taken yet.
+func (s *store) loadSnapshot() (*Snapshot, error) {
 	body, err := s.disk.Load(snapshotFile)
 	if errors.Is(err, host.ErrGone) {
 		return nil, nil
@@ -106,27 +106,27 @@
 	if err != nil {
 		return nil, err
 	}
-	img := &Image{}
-	rest, err := img.UnmarshalMsg(body)
+	snapshot := &Snapshot{}
+	rest, err := snapshot.UnmarshalMsg(body)
 	if err != nil {
-		return nil, failure.As(err, failure.Bad, "read picture", "disk")
+		return nil, failure.As(err, failure.Bad, "read snapshot", "disk")
 	}
-	if len(rest) > 0 || !strings.HasPrefix(img.Log, logPrefix) {
-		return nil, failure.New(failure.Bad, "read picture", "disk", "its content is not that of a picture of this version")
+	if len(rest) > 0 || !strings.HasPrefix(snapshot.LogName, logPrefix) {
+		return nil, failure.New(failure.Bad, "read snapshot", "disk", "its content is not that of a snapshot of this version")
 	}
-	return img, nil
+	return snapshot, nil
 }
 
 // openLog opens the log that belongs to a snapshot. Only a disk with neither
 // snapshot nor register may lack it: it is new, and its first log is made.
-func (s *store) openLog(img *Image) ([][]byte, error) {
-	name := firstLog
-	if img != nil {
-		name = img.Log
+func (s *store) openLog(snapshot *Snapshot) ([][]byte, error) {
+	name := firstLogName
+	if snapshot != nil {
+		name = snapshot.LogName
 	}
 	log, rows, err := s.disk.Open(name)
 	if errors.Is(err, host.ErrGone) {
-		if err := s.mustBeNew(img, name); err != nil {
+		if err := s.checkNew(snapshot, name); err != nil {
 			return nil, err
 		}
 		log, err = s.disk.Create(name)
@@ -134,28 +134,28 @@
 	if err != nil {
 		return nil, err
 	}
-	s.log, s.name = log, name
+	s.log, s.logName = log, name
 	return rows, nil
 }
 
-func (s *store) mustBeNew(img *Image, missing string) error {
+func (s *store) checkNew(snapshot *Snapshot, missing string) error {
 	_, err := s.disk.Load(registerFile)
 	switch {
-	case img != nil:
-		return failure.New(failure.Bad, "open log", "disk", "%s, which the picture names, is missing: the disk counts as lost", missing)
+	case snapshot != nil:
+		return failure.New(failure.Bad, "open log", "disk", "%s, which the snapshot names, is missing: the disk counts as lost", missing)
 	case errors.Is(err, host.ErrGone):
 		return nil
 	case err != nil:
 		return err
 	}
-	return failure.New(failure.Bad, "open log", "disk", "there is a register, but neither a picture nor %s: the disk counts as lost", missing)
+	return failure.New(failure.Bad, "open log", "disk", "there is a register, but neither a snapshot nor %s: the disk counts as lost", missing)
 }
 
 // replay applies the rows of a log to the state before it.
 func replay(r *replicatedState, rows [][]byte) error {
-	for _, row := range rows {
+	for _, list := range rows {
 		var e Entry
-		rest, err := e.UnmarshalMsg(row)
+		rest, err := e.UnmarshalMsg(list)
 		if err != nil {
 			return failure.As(err, failure.Bad, "read log", "disk")
 		}
@@ -175,19 +175,19 @@
 // countRows counts rows for the bound of a log, long ones as several.
 func countRows(rows [][]byte) int {
 	count := 0
-	for _, row := range rows {
-		count += 1 + len(row)/rowUnit
+	for _, list := range rows {
+		count += 1 + len(list)/rowUnit
 	}
 	return count
 }
 
-func (s *store) sweep() error {
+func (s *store) removeOldLogs() error {
 	names, err := s.disk.List()
 	if err != nil {
 		return err
 	}
 	for _, n := range names {
-		if strings.HasPrefix(n, logPrefix) && n != s.name {
+		if strings.HasPrefix(n, logPrefix) && n != s.logName {
 			if err := s.disk.Drop(n); err != nil {
 				return err
 			}
@@ -196,53 +196,53 @@
 	return nil
 }
 
-func (s *store) append(ents []Entry) error {
-	if len(ents) == 0 {
+func (s *store) append(entries []Entry) error {
+	if len(entries) == 0 {
 		return nil
 	}
-	rows := make([][]byte, len(ents))
-	for i := range ents {
-		rows[i] = Pack(&ents[i])
+	rows := make([][]byte, len(entries))
+	for i := range entries {
+		rows[i] = MustMarshal(&entries[i])
 	}
 	s.rows += countRows(rows)
 	log := s.log
-	return s.within("append log", func() error { return log.Append(rows) })
+	return s.timed("append log", func() error { return log.Append(rows) })
 }
 
-// restore makes a state from a snapshot and the sheets that it names.
-func (s *store) restore(r *replicatedState, img *Image, near []Sheet) error {
-	if shelf, ok := r.app.(Shelf); ok {
-		all, err := s.findSheets(img.Sheets, near)
+// restore makes a state from a snapshot and the chunks that it names.
+func (s *store) restore(r *replicatedState, snapshot *Snapshot, near []Chunk) error {
+	if shelf, ok := r.machine.(ChunkStore); ok {
+		all, err := s.loadChunks(snapshot.Chunks, near)
 		if err != nil {
 			return err
 		}
-		shelf.Shelve(all)
+		shelf.RestoreChunks(all)
 	}
-	return r.restore(img)
+	return r.restore(snapshot)
 }
 
-// reset puts a snapshot in place of all that was, with a new empty log. Sheets
+// compact puts a snapshot in place of all that was, with a new empty log. Sheets
 // that the snapshot names are on disk before it.
-func (s *store) reset(img *Image, all []Sheet) error {
-	if s.busy.Load() > 0 {
-		return failure.New(failure.Lost, "save picture", "disk", "an earlier step still stalls")
+func (s *store) compact(snapshot *Snapshot, all []Chunk) error {
+	if s.pending.Load() > 0 {
+		return failure.New(failure.Lost, "save snapshot", "disk", "an earlier step still stalls")
 	}
 	for _, one := range all {
-		if err := s.keepSheet(one); err != nil {
+		if err := s.saveChunk(one); err != nil {
 			return err
 		}
 	}
-	log, name, err := s.swapLog(img)
+	log, name, err := s.swapLog(snapshot)
 	if err != nil {
 		return err
 	}
-	old, oldName := s.log, s.name
-	s.log, s.name, s.rows = log, name, 0
-	if old != nil {
-		old.Close()
+	previous, oldName := s.log, s.logName
+	s.log, s.logName, s.rows = log, name, 0
+	if previous != nil {
+		previous.Close()
 	}
-	return s.within("drop what the picture replaces", func() error {
-		s.dropSheets(img)
+	return s.timed("drop what the snapshot replaces", func() error {
+		s.dropChunks(snapshot)
 		return s.disk.Drop(oldName)
 	})
 }
@@ -250,21 +250,21 @@
 // swapLog makes a new log and saves the snapshot that names it. If that fails or
 // stalls, the disk may name either log from then on: the store must be loaded
 // again before it is used, and the new log is closed once the step has ended.
-func (s *store) swapLog(img *Image) (host.Log, string, error) {
+func (s *store) swapLog(snapshot *Snapshot) (host.Log, string, error) {
 	var n int
-	fmt.Sscanf(s.name, logPrefix+"%d", &n)
+	fmt.Sscanf(s.logName, logPrefix+"%d", &n)
 	name := fmt.Sprintf(logPrefix+"%d", n+1)
-	copied := *img
-	copied.Log = name
+	copied := *snapshot
+	copied.LogName = name
 	made := make(chan host.Log, 1)
 	// A snapshot is large, so it may take longer than a few rows may.
-	err := s.inside(4*s.stall, "save picture", func() error {
+	err := s.timedWithin(4*s.timeout, "save snapshot", func() error {
 		log, err := s.disk.Create(name)
 		made <- log
 		if err != nil {
 			return err
 		}
-		return s.disk.Save(snapshotFile, Pack(&copied))
+		return s.disk.Save(snapshotFile, MustMarshal(&copied))
 	})
 	if err != nil {
 		go closeLog(made)
@@ -280,7 +280,7 @@
 }
 
 func (s *store) loadRegister() (register, error) {
-	var b BallotReply
+	var b BallotResponse
 	body, err := s.disk.Load(registerFile)
 	if errors.Is(err, host.ErrGone) {
 		return register{}, nil
@@ -300,13 +300,13 @@
 }
 
 func (s *store) saveRegister(r register) error {
-	if s.saves.Load() > 0 {
+	if s.pendingSaves.Load() > 0 {
 		return failure.New(failure.Lost, "save register", "disk", "an earlier save still stalls")
 	}
-	b := BallotReply{Promised: r.Promised, PromisedTo: r.PromisedTo, Accepted: r.Accepted}
-	s.saves.Add(1)
-	return s.within("save register", func() error {
-		defer s.saves.Add(-1)
-		return s.disk.Save(registerFile, Pack(&b))
+	b := BallotResponse{Promised: r.Promised, PromisedTo: r.PromisedTo, Accepted: r.Accepted}
+	s.pendingSaves.Add(1)
+	return s.timed("save register", func() error {
+		defer s.pendingSaves.Add(-1)
+		return s.disk.Save(registerFile, MustMarshal(&b))
 	})
 }
--- a/coordination/store_test.go
+++ b/coordination/store_test.go
@@ -68,11 +68,11 @@
 // coreOn starts a core on a disk that counts and may be late.
 func (f *fleet) coreOn(addr string) *lateDisk {
 	ip := addr[:len(addr)-2]
-	p := f.w.Machine(ip).Start()
+	p := f.world.Machine(ip).Start()
 	host := p.Host()
 	late := &lateDisk{Disk: host.Disk}
 	host.Disk = late
-	c, err := coordination.New(coordination.Options{Addr: addr, Host: host, Seeds: f.seeds, Machine: func() coordination.Machine { return &tally{} }, Losses: f.losses})
+	c, err := coordination.New(coordination.Options{Addr: addr, Host: host, Seeds: f.seeds, Machine: func() coordination.StateMachine { return &sumMachine{} }, FaultTolerance: f.faultTolerance})
 	if err != nil {
 		panic(err)
 	}
@@ -95,11 +95,11 @@
 	f := build(seed)
 	disks := map[string]*lateDisk{}
 	for _, addr := range f.seeds {
-		f.off(addr[:8])
-		f.w.Machine(addr[:8]).Wipe()
+		f.powerOff(addr[:8])
+		f.world.Machine(addr[:8]).Wipe()
 		disks[addr[:8]] = f.coreOn(addr)
 	}
-	require.NoError(t, f.add(1, "first", 20*time.Second))
+	require.NoError(t, f.submitNumber(1, "first", 20*time.Second))
 	return f, disks
 }
 
--- a/coordination/times_test.go
+++ b/coordination/times_test.go
@@ -26,35 +26,35 @@
 
 var times = []timed{
 	{"primary loses power, until a command is answered", func(t *testing.T, f *fleet, seed uint64) time.Duration {
-		f.off(f.leader())
-		return f.answered(t)
+		f.powerOff(f.leader())
+		return f.waitForAnswer(t)
 	}},
 	{"primary is cut off from the other machines for 20 s, until a command is answered", func(t *testing.T, f *fleet, seed uint64) time.Duration {
 		f.isolate([]string{f.leader()}, true)
-		return f.answered(t)
+		return f.waitForAnswer(t)
 	}},
 	{"the same, one way: it hears nothing", func(t *testing.T, f *fleet, seed uint64) time.Duration {
 		lead := f.leader()
 		var rest []string
-		for ip := range f.procs {
+		for ip := range f.processes {
 			if ip != lead {
 				rest = append(rest, ip)
 			}
 		}
-		f.w.Cut(rest, []string{lead}, true)
-		return f.answered(t)
+		f.world.Cut(rest, []string{lead}, true)
+		return f.waitForAnswer(t)
 	}},
 	{"backup loses power, until a command is answered", func(t *testing.T, f *fleet, seed uint64) time.Duration {
 		_, backup, _, _ := f.roles(t)
-		f.off(backup)
-		return f.answered(t)
+		f.powerOff(backup)
+		return f.waitForAnswer(t)
 	}},
 	{"holder lost for good, until a spare has its register", func(t *testing.T, f *fleet, seed uint64) time.Duration {
 		primary, _, witness, spare := f.roles(t)
-		f.off(witness)
+		f.powerOff(witness)
 		began := time.Now()
 		require.True(t, await(20*time.Second, func() bool {
-			for _, h := range f.cores[primary].Directory().Record().Holders {
+			for _, h := range f.cores[primary].Directory().Record().Voters {
 				if machineOf(h.Addr) == spare {
 					return true
 				}
@@ -68,14 +68,14 @@
 // join heals every cut.
 func (f *fleet) join() {
 	var all []string
-	for ip := range f.procs {
+	for ip := range f.processes {
 		all = append(all, ip)
 	}
-	f.w.Sever(all, all, false)
+	f.world.Sever(all, all, false)
 }
 
-// answered is the time until a new command is answered.
-func (f *fleet) answered(t *testing.T) time.Duration {
+// waitForAnswer is the time until a new command is answered.
+func (f *fleet) waitForAnswer(t *testing.T) time.Duration {
 	began := time.Now()
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
@@ -91,19 +91,19 @@
 		t.Skip("a measurement: KEELSTAIR_TIMES says over how many seeds")
 	}
 	for _, one := range times {
-		var row []time.Duration
+		var list []time.Duration
 		for seed := range uint64(seeds) {
 			synctest.Test(t, func(t *testing.T) {
 				f := buildOf(seed+1, 4, 1)
 				defer f.close()
-				require.NoError(t, f.add(1, "a", 10*time.Second))
+				require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 				time.Sleep(2*time.Second + time.Duration(seed%10)*37*time.Millisecond)
-				row = append(row, one.run(t, f, seed))
+				list = append(list, one.run(t, f, seed))
 				f.join()
 			})
 		}
-		slices.Sort(row)
-		ms := func(part float64) int64 { return row[int(part*float64(len(row)-1))].Milliseconds() }
+		slices.Sort(list)
+		ms := func(part float64) int64 { return list[int(part*float64(len(list)-1))].Milliseconds() }
 		fmt.Printf("| %s | %d | %d | %d | %d |\n", one.name, ms(0), ms(0.5), ms(0.95), ms(1))
 	}
 }
--- a/coordination/walk_test.go
+++ b/coordination/walk_test.go
@@ -93,7 +93,7 @@
 	span := time.Duration(50+w.randN(2500)) * time.Millisecond
 	switch kind := w.randN(8); kind {
 	case 0, 1:
-		w.powerOff(ip, span, kind == 1)
+		w.cyclePower(ip, span, kind == 1)
 	case 2:
 		var group []string
 		for _, a := range w.seeds {
@@ -108,14 +108,14 @@
 	case 3:
 		other := machineOf(w.seeds[w.randN(len(w.seeds))])
 		w.say("one way %s to %s for %s", ip, other, span)
-		w.w.Cut([]string{ip}, []string{other}, true)
+		w.world.Cut([]string{ip}, []string{other}, true)
 		time.Sleep(span)
-		w.w.Cut([]string{ip}, []string{other}, false)
+		w.world.Cut([]string{ip}, []string{other}, false)
 	case 4:
 		w.say("slow disk %s for %s", ip, span)
-		w.w.Machine(ip).Disk(time.Duration(20+w.randN(300)) * time.Millisecond)
+		w.world.Machine(ip).Disk(time.Duration(20+w.randN(300)) * time.Millisecond)
 		time.Sleep(span)
-		w.w.Machine(ip).Disk(time.Millisecond)
+		w.world.Machine(ip).Disk(time.Millisecond)
 	case 5:
 		if w.cores[ip] == nil {
 			return
@@ -126,21 +126,21 @@
 		w.core(ip + ":1")
 	case 6:
 		w.say("freeze %s for %s", ip, span)
-		w.w.Machine(ip).Freeze(true)
+		w.world.Machine(ip).Freeze(true)
 		time.Sleep(span)
-		w.w.Machine(ip).Freeze(false)
+		w.world.Machine(ip).Freeze(false)
 	default:
 		w.say("stall %s for %s", ip, span)
-		w.w.Machine(ip).Stall(true)
+		w.world.Machine(ip).Stall(true)
 		time.Sleep(span)
-		w.w.Machine(ip).Stall(false)
+		w.world.Machine(ip).Stall(false)
 	}
 	time.Sleep(time.Duration(w.randN(1500)) * time.Millisecond)
 }
 
-// powerOff has a machine lose its power, and its disk if that is borne: only once the core
+// cyclePower has a machine lose its power, and its disk if that is borne: only once the core
 // had time to heal since the last one.
-func (w *walk) powerOff(ip string, span time.Duration, disk bool) {
+func (w *walk) cyclePower(ip string, span time.Duration, disk bool) {
 	if w.cores[ip] == nil {
 		return
 	}
@@ -148,9 +148,9 @@
 		time.Sleep(6 * time.Second) // nothing else is lost meanwhile
 	}
 	w.say("off %s for %s, disk lost %t", ip, span, disk)
-	w.off(ip)
+	w.powerOff(ip)
 	if disk {
-		w.w.Machine(ip).Wipe()
+		w.world.Machine(ip).Wipe()
 		w.wipe = time.Now()
 	}
 	time.Sleep(span)
@@ -171,7 +171,7 @@
 				size := sizes[seed%uint64(len(sizes))]
 				w := &walk{fleet: buildOf(seed, size.machines, size.losses), t: t, rng: rand.New(rand.NewPCG(seed, 5)), sums: map[int]string{}}
 				defer w.close()
-				require.NoError(t, w.add(0, "first", 10*time.Second))
+				require.NoError(t, w.submitNumber(0, "first", 10*time.Second))
 				end := make(chan struct{})
 				var clients sync.WaitGroup
 				for n := range walkClients {
--- a/coordination/wipe_test.go
+++ b/coordination/wipe_test.go
@@ -18,20 +18,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := build(5)
 		defer f.close()
-		require.NoError(t, f.add(7, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(7, "a", 10*time.Second))
 		time.Sleep(2 * time.Second)
 		wipe := func(ip string) {
-			f.off(ip)
-			f.w.Machine(ip).Wipe()
+			f.powerOff(ip)
+			f.world.Machine(ip).Wipe()
 			time.Sleep(time.Second)
 			f.core(ip + ":1")
 			time.Sleep(12 * time.Second)
 		}
 		for i, op := range []string{"b", "c", "d"} {
 			wipe(f.leader())
-			require.NoError(t, f.add(1, op, 8*time.Second))
+			require.NoError(t, f.submitNumber(1, op, 8*time.Second))
 			time.Sleep(time.Second)
-			require.EqualValues(t, 8+i, f.views[0].sum.Load())
+			require.EqualValues(t, 8+i, f.watchers[0].sum.Load())
 		}
 	})
 }
@@ -44,23 +44,23 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(7, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(7, "a", 10*time.Second))
 		time.Sleep(time.Second)
 		for i := range 4 {
 			ip := f.leader()
 			require.NotEmpty(t, ip)
-			f.off(ip)
-			f.w.Machine(ip).Wipe()
+			f.powerOff(ip)
+			f.world.Machine(ip).Wipe()
 			if (uint64(i)+seed)%2 == 0 {
 				ip = fmt.Sprintf("10.0.0.%d", 4+i)
 			}
 			time.Sleep(300 * time.Millisecond)
 			f.core(ip + ":1")
 			time.Sleep(4 * time.Second)
-			require.NoError(t, f.add(1, fmt.Sprint("then", i), 500*time.Millisecond), "loss %d", i)
+			require.NoError(t, f.submitNumber(1, fmt.Sprint("then", i), 500*time.Millisecond), "loss %d", i)
 		}
 		time.Sleep(time.Second)
-		require.EqualValues(t, 11, f.views[0].sum.Load())
+		require.EqualValues(t, 11, f.watchers[0].sum.Load())
 	})
 }
 
@@ -70,21 +70,21 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
-		require.NoError(t, f.add(7, "a", 10*time.Second))
+		require.NoError(t, f.submitNumber(7, "a", 10*time.Second))
 		time.Sleep(2*time.Second + time.Duration(seed)*150*time.Millisecond)
-		old := f.leader()
+		previous := f.leader()
 		var rest []string
 		for _, a := range f.seeds {
-			if ip := a[:8]; ip != old {
+			if ip := a[:8]; ip != previous {
 				rest = append(rest, ip)
 			}
 		}
-		f.w.Sever([]string{old}, rest, true)
-		require.NoError(t, f.add(1, "b", 8*time.Second))
+		f.world.Sever([]string{previous}, rest, true)
+		require.NoError(t, f.submitNumber(1, "b", 8*time.Second))
 		time.Sleep(300 * time.Millisecond)
-		for _, v := range f.views {
+		for _, v := range f.watchers {
 			require.EqualValues(t, 8, v.sum.Load())
 		}
-		f.w.Sever([]string{old}, rest, false)
+		f.world.Sever([]string{previous}, rest, false)
 	})
 }
--- a/coordination/wire_test.go
+++ b/coordination/wire_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"github.com/stretchr/testify/require"
+
 	"keelstair.example/internal/golden"
 )
 
@@ -10,32 +12,43 @@
 // in the first release with a rolling upgrade. The names on file are those of that release.
 func TestEncodings(t *testing.T) {
 	golden.Check(t, "testdata/encodings.txt", map[string]golden.Message{
-		"AppendAsk":   &AppendAsk{},
-		"AppendReply": &AppendReply{},
-		"BallotAsk":   &BallotAsk{},
-		"BallotReply": &BallotReply{},
-		"Deal":        &Deal{},
+		"AppendAsk":   &AppendRequest{},
+		"AppendReply": &AppendResponse{},
+		"BallotAsk":   &BallotRequest{},
+		"BallotReply": &BallotResponse{},
+		"Deal":        &Assignment{},
 		"Empty":       &Empty{},
 		"Entry":       &Entry{},
 		"Grant":       &Grant{},
-		"Image":       &Image{},
-		"LeadAsk":     &LeadAsk{},
-		"LeadReply":   &LeadReply{},
-		"LeaveAsk":    &LeaveAsk{},
-		"LeaveReply":  &LeaveReply{},
+		"Image":       &Snapshot{},
+		"LeadAsk":     &TransferRequest{},
+		"LeadReply":   &TransferResponse{},
+		"LeaveAsk":    &LeaveRequest{},
+		"LeaveReply":  &LeaveResponse{},
 		"Member":      &Member{},
-		"NewsAsk":     &NewsAsk{},
-		"NewsReply":   &NewsReply{},
-		"Past":        &Past{},
+		"NewsAsk":     &WatchRequest{},
+		"NewsReply":   &WatchResponse{},
+		"Past":        &Outcome{},
 		"Record":      &Record{},
-		"RenewAsk":    &RenewAsk{},
-		"RenewReply":  &RenewReply{},
+		"RenewAsk":    &RenewRequest{},
+		"RenewReply":  &RenewResponse{},
 		"Replica":     &Replica{},
-		"SheetAsk":    &SheetAsk{},
-		"SheetReply":  &SheetReply{},
-		"SnapshotAsk": &SnapshotAsk{},
-		"SubmitAsk":   &SubmitAsk{},
-		"SubmitReply": &SubmitReply{},
-		"WhereAsk":    &WhereAsk{},
+		"SheetAsk":    &ChunkRequest{},
+		"SheetReply":  &ChunkResponse{},
+		"SnapshotAsk": &SnapshotRequest{},
+		"SubmitAsk":   &SubmitRequest{},
+		"SubmitReply": &SubmitResponse{},
+		"WhereAsk":    &PeerExchange{},
+	})
+}
+
+// TestMethodNames: the names of the RPC methods are those of earlier releases.
+func TestMethodNames(t *testing.T) {
+	require.Equal(t, []string{
+		"crux/ballot", "crux/append", "crux/beat", "crux/picture", "crux/sheet", "crux/lead", "crux/leave",
+		"crux/submit", "crux/renew", "crux/news", "crux/where",
+	}, []string{
+		ballotMethod, appendMethod, heartbeatMethod, snapshotMethod, chunkMethod, transferMethod, leaveMethod,
+		SubmitMethod, RenewMethod, WatchMethod, ExchangeMethod,
 	})
 }
--- a/internal/fleetstate/audit.go
+++ b/internal/fleetstate/audit.go
@@ -116,7 +116,7 @@
 	count  int
 	head   string
 	open   [][]byte
-	sealed []coordination.Sheet
+	sealed []coordination.Chunk
 }
 
 func (a *audit) add(record []byte) {
@@ -132,7 +132,7 @@
 		return
 	}
 	body := append([]byte(auditMagic), bytes.Join(a.open, []byte{'\n'})...)
-	a.sealed = append(a.sealed[:len(a.sealed):len(a.sealed)], coordination.Seal(body))
+	a.sealed = append(a.sealed[:len(a.sealed):len(a.sealed)], coordination.NewChunk(body))
 	a.open = nil
 	if n := len(a.sealed) - auditLeaves; n > 0 {
 		a.sealed = a.sealed[n:]
--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -14,7 +14,7 @@
 )
 
 func audits(t *testing.T, m *Machine, from, most int) (AuditsReply, []AuditRow) {
-	out, err := m.State.Apply(AuditsKind, coordination.Pack(&Audits{From: from, Most: most}))
+	out, err := m.State.Apply(AuditsKind, coordination.MustMarshal(&Audits{From: from, Most: most}))
 	require.ErrorIs(t, err, coordination.ErrUnchanged, "reading writes nothing")
 	var got AuditsReply
 	_, err = got.UnmarshalMsg(out)
@@ -35,17 +35,17 @@
 		body, err := json.Marshal(&AuditRecord{Request: fmt.Sprint("<r&", i), Kind: "verdict", Regime: "chair", Outcome: Done})
 		require.NoError(t, err)
 		for _, x := range []*Machine{m, copied} {
-			_, err = x.Apply(1, AuditKind, coordination.Pack(&Audit{body}))
+			_, err = x.Apply(1, AuditKind, coordination.MustMarshal(&Audit{body}))
 			require.NoError(t, err)
 		}
 		if i == auditLeaf+7 {
 			copied = NewMachine(MachineOptions{})
-			copied.Shelve(m.Sheets())
+			copied.RestoreChunks(m.Chunks())
 			require.NoError(t, copied.Restore(m.Snapshot(false)))
 		}
 	}
-	require.Equal(t, m.Sheets(), copied.Sheets())
-	require.Len(t, m.Sheets(), 2)
+	require.Equal(t, m.Chunks(), copied.Chunks())
+	require.Len(t, m.Chunks(), 2)
 	var all []AuditRow
 	for from := 1; from <= n; from += 700 {
 		got, rows := audits(t, copied, from, 700)
@@ -61,7 +61,7 @@
 	require.NoError(t, json.Unmarshal(all[1500].Record, &r))
 	require.Equal(t, "<r&1500", r.Request)
 	for _, text := range []string{"{} ", `{"a":"<"}`, "{", ""} {
-		_, err := m.Apply(1, AuditKind, coordination.Pack(&Audit{[]byte(text)}))
+		_, err := m.Apply(1, AuditKind, coordination.MustMarshal(&Audit{[]byte(text)}))
 		require.True(t, failure.Is(err, failure.Bad), text)
 	}
 	for range auditLeaf * auditLeaves {
@@ -70,7 +70,7 @@
 	got, rows := audits(t, m, 1, 3)
 	require.Equal(t, got.First, rows[0].Index)
 	require.Equal(t, 2*auditLeaf+1, got.First)
-	require.Len(t, m.Sheets(), auditLeaves)
+	require.Len(t, m.Chunks(), auditLeaves)
 }
 
 // TestChain: a row that was removed, changed, replaced or moved shows.
--- a/internal/fleetstate/clock.go
+++ b/internal/fleetstate/clock.go
@@ -37,7 +37,7 @@
 }
 
 // tick makes the command that moves the bound on, where one is due.
-func (m *Machine) tick(now ids.Tick) []coordination.Cmd {
+func (m *Machine) tick(now ids.Tick) []coordination.Command {
 	c := &m.clock
 	if m.time == 0 && !m.governed {
 		return nil
@@ -54,7 +54,7 @@
 		return nil
 	}
 	c.ours = here + int64(clockLead)
-	return []coordination.Cmd{{Kind: ClockKind, Body: coordination.Pack(&Clock{c.ours})}}
+	return []coordination.Command{{Kind: ClockKind, Body: coordination.MustMarshal(&Clock{c.ours})}}
 }
 
 // Time gives the fleet's time, in nanoseconds since 1970; 0 while it is not known.
@@ -65,9 +65,9 @@
 	return min(m.clock.base+int64(now.Since(m.clock.at)), m.time)
 }
 
-// Hear takes a node's word of what the time is not below. It counts only while this
+// Observe takes a node's word of what the time is not below. It counts only while this
 // machine has led for a short while, and only so far: one whose clock leapt moves little.
-func (m *Machine) Hear(now ids.Tick, least int64) {
+func (m *Machine) Observe(now ids.Tick, least int64) {
 	c := &m.clock
 	if !c.steady(now, m.time) || now.Past(c.at, clockHears) {
 		return
--- a/internal/fleetstate/delta_test.go
+++ b/internal/fleetstate/delta_test.go
@@ -65,7 +65,7 @@
 	}
 	good := diff(texts[5], texts[6])
 	for range 300 {
-		body := coordination.Pack(good)
+		body := coordination.MustMarshal(good)
 		body[r.IntN(len(body))] ^= byte(1 + r.IntN(255))
 		var d Delta
 		if _, err := d.UnmarshalMsg(body); err != nil {
@@ -97,19 +97,19 @@
 	m, v := NewMachine(MachineOptions{}), NewView(logging.Mute())
 	both := func(kind string, body []byte) error {
 		_, err := m.Apply(1, kind, body)
-		v.Fold(1, kind, body)
+		v.Observe(1, kind, body)
 		return err
 	}
-	require.NoError(t, both(StageKind, coordination.Pack(&Stage{Text: pack(one)})))
+	require.NoError(t, both(StageKind, coordination.MustMarshal(&Stage{Text: pack(one)})))
 	wrong := &Stage{Base: 1, Text: pack(two)}
 	wrong.Shorten(routesText(1400, 4), two)
 	require.True(t, wrong.Delta)
-	err := both(StageKind, coordination.Pack(wrong))
+	err := both(StageKind, coordination.MustMarshal(wrong))
 	require.True(t, failure.Is(err, failure.Bad), "%v", err)
-	require.True(t, failure.Is(both(StageKind, coordination.Pack(&Stage{Base: 1, Delta: true, Text: []byte("x")})), failure.Bad))
+	require.True(t, failure.Is(both(StageKind, coordination.MustMarshal(&Stage{Base: 1, Delta: true, Text: []byte("x")})), failure.Bad))
 	require.EqualValues(t, 1, m.newest())
-	require.NoError(t, both(StageKind, coordination.Pack(c)))
-	require.NoError(t, both(ActivateKind, coordination.Pack(&Activate{2})))
+	require.NoError(t, both(StageKind, coordination.MustMarshal(c)))
+	require.NoError(t, both(ActivateKind, coordination.MustMarshal(&Activate{2})))
 	require.EqualValues(t, 2, v.Sight().Version)
 	require.Equal(t, string(two), string(v.Sight().Text))
 	require.Len(t, v.Sight().Policy.Routes, 1401)
@@ -121,8 +121,8 @@
 	back := &Stage{Base: 2, Text: pack(one)}
 	back.Shorten(two, one)
 	for _, w := range []*View{v, late} {
-		require.True(t, w.Fold(3, StageKind, coordination.Pack(back)))
-		w.Fold(4, ActivateKind, coordination.Pack(&Activate{3}))
+		require.True(t, w.Observe(3, StageKind, coordination.MustMarshal(back)))
+		w.Observe(4, ActivateKind, coordination.MustMarshal(&Activate{3}))
 		require.Equal(t, string(one), string(w.Sight().Text), "also over a packed one")
 		require.EqualValues(t, ids.Version(3), w.Sight().Version)
 	}
--- a/internal/fleetstate/failback.go
+++ b/internal/fleetstate/failback.go
@@ -59,20 +59,20 @@
 }
 
 // warmed names the zones whose workers are warm by now.
-func (m *Machine) warmed(now ids.Tick) []coordination.Cmd {
+func (m *Machine) warmed(now ids.Tick) []coordination.Command {
 	m.now = now
 	if len(m.failbacks) == 0 {
 		clear(m.back)
 		return nil
 	}
 	m.Keys()
-	var out []coordination.Cmd
+	var out []coordination.Command
 	for z, f := range m.failbacks {
 		if _, ok := m.back[f.No]; !ok {
 			m.back[f.No] = now
 		}
 		if m.ago(f) > m.warm {
-			out = append(out, coordination.Cmd{Kind: WarmedKind, Body: coordination.Pack(&Warmed{z, f.No})})
+			out = append(out, coordination.Command{Kind: WarmedKind, Body: coordination.MustMarshal(&Warmed{z, f.No})})
 		}
 	}
 	return out
--- a/internal/fleetstate/failback_test.go
+++ b/internal/fleetstate/failback_test.go
@@ -28,7 +28,9 @@
 			require.NoError(t, err)
 		}
 	}
-	vacate := func(out bool, ms ...*Machine) { do(VacateKind, coordination.Pack(&Vacate{Zone: "z", Out: out}), ms...) }
+	vacate := func(out bool, ms ...*Machine) {
+		do(VacateKind, coordination.MustMarshal(&Vacate{Zone: "z", Out: out}), ms...)
+	}
 	tells := func(m *Machine) Failback {
 		t.Helper()
 		v := NewView(nil)
@@ -36,8 +38,8 @@
 		return v.Sight().Failbacks["z"]
 	}
 	lead, backup := fresh(), fresh()
-	do(StageKind, coordination.Pack(&Stage{Text: text}), lead, backup)
-	do(ActivateKind, coordination.Pack(&Activate{1}), lead, backup)
+	do(StageKind, coordination.MustMarshal(&Stage{Text: text}), lead, backup)
+	do(ActivateKind, coordination.MustMarshal(&Activate{1}), lead, backup)
 	vacate(true, lead, backup)
 	require.Zero(t, tells(lead))
 	vacate(false, lead, backup)
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -78,7 +78,7 @@
 	require.NoError(t, do(t, s, SettleKind, &Settle{Key: "k", Owner: "n3", Fate: NotRun}))
 	require.Error(t, do(t, s, SettleKind, &Settle{Key: "k", Owner: "n3", Fate: Done}), "a tombstone stays")
 	copied := newState(false, Depth{})
-	require.NoError(t, copied.load(coordination.Pack(s.image(false))))
+	require.NoError(t, copied.load(coordination.MustMarshal(s.image(false))))
 	require.Equal(t, s.deeds, copied.deeds)
 }
 
@@ -86,7 +86,7 @@
 // what came after it, at most the wait; a storm cannot put it off for ever.
 func TestActivation(t *testing.T) {
 	stage := func(m *Machine, seq ids.Seq, base ids.Version) error {
-		_, err := m.Apply(seq, StageKind, coordination.Pack(&Stage{Base: base, Text: []byte(`{}`)}))
+		_, err := m.Apply(seq, StageKind, coordination.MustMarshal(&Stage{Base: base, Text: []byte(`{}`)}))
 		return err
 	}
 	ms := func(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
@@ -101,7 +101,7 @@
 		m.Due(ms(1+v*400), ids.Seq(v+1), 0)
 	}
 	got := m.Due(ms(1100), 4, 0)
-	require.Equal(t, []coordination.Cmd{{Kind: ActivateKind, Body: coordination.Pack(&Activate{1})}}, got)
+	require.Equal(t, []coordination.Command{{Kind: ActivateKind, Body: coordination.MustMarshal(&Activate{1})}}, got)
 }
 
 // TestHeard: a version heard of is put in force if it is staged here; else the
@@ -110,7 +110,7 @@
 	v := NewView(logging.Mute())
 	fold := func(kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) {
 		b, _ := c.MarshalMsg(nil)
-		v.Fold(0, kind, b)
+		v.Observe(0, kind, b)
 	}
 	fold(StageKind, &Stage{Base: 0, Text: []byte(`{"zones":["a"]}`)})
 	require.Zero(t, v.Sight().Version)
@@ -135,13 +135,13 @@
 		_, err := m.Apply(seq, kind, body)
 		require.NoError(t, err)
 		for _, w := range views {
-			w.Fold(seq, kind, body)
+			w.Observe(seq, kind, body)
 		}
 	}
 	rule := func(base, next ids.Version, text string, views ...*View) {
 		t.Helper()
-		do(StageKind, coordination.Pack(&Stage{Base: base, Text: []byte(text), Next: next}), views...)
-		do(ActivateKind, coordination.Pack(&Activate{next}), views...)
+		do(StageKind, coordination.MustMarshal(&Stage{Base: base, Text: []byte(text), Next: next}), views...)
+		do(ActivateKind, coordination.MustMarshal(&Activate{next}), views...)
 	}
 	rule(0, 1, `{"zones":["one"]}`, v)
 	old := m.Snapshot(false)
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -90,16 +90,16 @@
 	return out, err
 }
 
-// Open: nodes hear of the time by their leases, and of the audit record when they ask.
-func (m *Machine) Open(kind string) bool     { return kind != ClockKind && kind != AuditKind }
-func (m *Machine) Restore(body []byte) error { m.of = 0; m.keys = nil; return m.load(body) }
+// Published: nodes hear of the time by their leases, and of the audit record when they ask.
+func (m *Machine) Published(kind string) bool { return kind != ClockKind && kind != AuditKind }
+func (m *Machine) Restore(body []byte) error  { m.of = 0; m.keys = nil; return m.load(body) }
 
 func (m *Machine) Snapshot(open bool) []byte {
 	img := m.image(open)
 	for i, f := range img.Failbacks {
 		img.Failbacks[i].Ago = int64(m.ago(f))
 	}
-	return coordination.Pack(img)
+	return coordination.MustMarshal(img)
 }
 
 // Keys names a duty for each worker and each model of the active policy.
@@ -133,11 +133,11 @@
 
 // Due moves the fleet's time on, seals revocations that every node with a lease has
 // seen, names zones that are warm again, and activates what may be.
-func (m *Machine) Due(now ids.Tick, seq, seen ids.Seq) []coordination.Cmd {
+func (m *Machine) Due(now ids.Tick, seq, seen ids.Seq) []coordination.Command {
 	out := append(append(m.tick(now), m.seal(seq, seen)...), m.warmed(now)...)
 	for _, w := range m.waits {
 		if top := w.ripe(now, seq, seen, m.wait); top != 0 {
-			out = append(out, coordination.Cmd{Kind: w.activate, Body: coordination.Pack(&Activate{top})})
+			out = append(out, coordination.Command{Kind: w.activate, Body: coordination.MustMarshal(&Activate{top})})
 		}
 	}
 	return out
@@ -155,8 +155,8 @@
 	return out
 }
 
-func (m *Machine) seal(seq, seen ids.Seq) []coordination.Cmd {
-	var out []coordination.Cmd
+func (m *Machine) seal(seq, seen ids.Seq) []coordination.Command {
+	var out []coordination.Command
 	for _, r := range m.waiting() {
 		at, ok := m.seals[r]
 		if !ok {
@@ -165,7 +165,7 @@
 		}
 		if seen >= at {
 			delete(m.seals, r)
-			out = append(out, coordination.Cmd{Kind: SealKind, Body: coordination.Pack(&Seal{r})})
+			out = append(out, coordination.Command{Kind: SealKind, Body: coordination.MustMarshal(&Seal{r})})
 		}
 	}
 	return out
--- a/internal/fleetstate/orders_test.go
+++ b/internal/fleetstate/orders_test.go
@@ -28,9 +28,9 @@
 func (r *replicas) apply(kind string, c msgp.Marshaler) error {
 	r.Helper()
 	r.seq++
-	_, first := r.all[0].Apply(r.seq, kind, coordination.Pack(c))
+	_, first := r.all[0].Apply(r.seq, kind, coordination.MustMarshal(c))
 	for _, m := range r.all[1:] {
-		_, err := m.Apply(r.seq, kind, coordination.Pack(c))
+		_, err := m.Apply(r.seq, kind, coordination.MustMarshal(c))
 		require.Equal(r, failure.KindOf(first), failure.KindOf(err))
 		require.Equal(r, first == nil, err == nil)
 	}
@@ -86,7 +86,7 @@
 
 	img := m.image(false)
 	img.OrderMemory = OrderMemory{}
-	require.NoError(t, m.Restore(coordination.Pack(img)))
+	require.NoError(t, m.Restore(coordination.MustMarshal(img)))
 	revision, out = m.image(true).ZoneRevision("z")
 	require.Zero(t, revision)
 	require.True(t, out)
@@ -157,7 +157,7 @@
 func TestHistoryOfEarlierReleases(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	img := &Image{Active: Ruled{Version: 7, Text: []byte(`{}`)}}
-	require.NoError(t, m.Restore(coordination.Pack(img)))
+	require.NoError(t, m.Restore(coordination.MustMarshal(img)))
 	r := &replicas{T: t, all: []*Machine{m}}
 	require.Equal(t, failure.Unknown, failure.KindOf(r.stage(StageKind, 5, 0)))
 	require.NoError(t, r.stage(StageKind, 7, 9))
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -127,7 +127,7 @@
 // PutPrograms asks the core for a program set, as JSON, made over the version base. Its
 // errors are those of Put.
 func PutPrograms(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpID, base ids.Version, text []byte) (ids.Version, error) {
-	return decide(ctx, call, book, &coordination.SubmitAsk{Op: op, Kind: StageProgramsKind, Body: coordination.Pack(&Stage{Base: base, Text: pack(text)})})
+	return decide(ctx, call, book, &coordination.SubmitRequest{Op: op, Kind: StageProgramsKind, Body: coordination.MustMarshal(&Stage{Base: base, Text: pack(text)})})
 }
 
 // SetText is a set as JSON; for none it is the empty one.
--- a/internal/fleetstate/programs_test.go
+++ b/internal/fleetstate/programs_test.go
@@ -45,8 +45,8 @@
 	require.NoError(t, apply(1, StageProgramsKind, &Stage{Text: setOf(1, 0)}))
 	require.NoError(t, apply(2, StageKind, &Stage{Text: []byte(`{}`), Next: 7}))
 	require.Error(t, apply(3, StageProgramsKind, &Stage{Text: setOf(2, 0)}), "the loser of two")
-	require.Equal(t, []coordination.Cmd{{Kind: ActivateProgramsKind, Body: coordination.Pack(&Activate{1})}}, m.Due(1, 3, 1))
-	require.Equal(t, []coordination.Cmd{{Kind: ActivateKind, Body: coordination.Pack(&Activate{7})}}, m.Due(1, 3, 2))
+	require.Equal(t, []coordination.Command{{Kind: ActivateProgramsKind, Body: coordination.MustMarshal(&Activate{1})}}, m.Due(1, 3, 1))
+	require.Equal(t, []coordination.Command{{Kind: ActivateKind, Body: coordination.MustMarshal(&Activate{7})}}, m.Due(1, 3, 2))
 	require.NoError(t, apply(4, ActivateProgramsKind, &Activate{1}))
 	require.Error(t, apply(5, ActivateProgramsKind, &Activate{1}))
 	require.NoError(t, apply(6, StageProgramsKind, &Stage{Base: 1, Text: setOf(2, 0)}))
@@ -61,7 +61,7 @@
 		v.Scores = &routing.Scores{}
 		require.NoError(t, v.Restore(copied.Snapshot(true)))
 		require.EqualValues(t, 1, v.Sight().Set.Version)
-		require.True(t, v.Fold(9, ActivateProgramsKind, coordination.Pack(&Activate{2})))
+		require.True(t, v.Observe(9, ActivateProgramsKind, coordination.MustMarshal(&Activate{2})))
 		require.EqualValues(t, 2, v.Sight().Set.Version)
 		require.Equal(t, []string{"p0", "p1"}, v.Sight().Set.Policy.Names())
 	}
--- a/internal/fleetstate/read.go
+++ b/internal/fleetstate/read.go
@@ -25,16 +25,16 @@
 
 // Look asks the core for all that is agreed on, until the context ends.
 func Look(ctx context.Context, call *rpc.Caller, book *coordination.Directory) (*Image, error) {
-	r, addr, err := coordination.CallPrimary[coordination.NewsAsk, coordination.NewsReply](ctx, call, book, attemptTimeout, "crux/news", &coordination.NewsAsk{}, nil)
+	r, addr, err := coordination.CallPrimary[coordination.WatchRequest, coordination.WatchResponse](ctx, call, book, attemptTimeout, coordination.WatchMethod, &coordination.WatchRequest{}, nil)
 	if err != nil {
 		return nil, failure.As(err, failure.Away, "read newest", addr)
 	}
-	var img coordination.Image
+	var img coordination.Snapshot
 	own := &Image{}
 	if _, err := img.UnmarshalMsg(r.Snapshot); err != nil {
 		return nil, failure.As(err, failure.Bad, "read picture", addr)
 	}
-	if _, err := own.UnmarshalMsg(img.App); err != nil {
+	if _, err := own.UnmarshalMsg(img.State); err != nil {
 		return nil, failure.As(err, failure.Bad, "read picture", addr)
 	}
 	return own, nil
@@ -84,13 +84,13 @@
 	if base > 0 && len(text) >= deltaFrom && newest.Version == base {
 		c.Shorten(newest.Text, text)
 	}
-	return decide(ctx, call, book, &coordination.SubmitAsk{Op: op, Kind: StageKind, Body: coordination.Pack(c)})
+	return decide(ctx, call, book, &coordination.SubmitRequest{Op: op, Kind: StageKind, Body: coordination.MustMarshal(c)})
 }
 
 // Shorten makes it a delta where that is half as long at most, and gives the same text.
 func (c *Stage) Shorten(old, text []byte) {
 	d := diff(old, text)
-	body := coordination.Pack(d)
+	body := coordination.MustMarshal(d)
 	if 2*len(body) > len(c.Text) {
 		return
 	}
@@ -102,7 +102,7 @@
 // Outcome tells the version that an operation made. Errors: Stale where none was taken,
 // Unknown where one may have been, too long ago to tell.
 func Outcome(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpID, q OutcomeAsk) (ids.Version, error) {
-	return decide(ctx, call, book, &coordination.SubmitAsk{Op: op, Kind: AskKind, Body: coordination.Pack(&q)})
+	return decide(ctx, call, book, &coordination.SubmitRequest{Op: op, Kind: AskKind, Body: coordination.MustMarshal(&q)})
 }
 
 // ZoneRevision tells how often a zone has changed, and whether it is evacuated.
@@ -123,17 +123,17 @@
 // MarkOver empties a zone of new work, or takes that back, if the zone has changed so many
 // times as revision says. Else it is Stale, unless the zone already is as asked.
 func MarkOver(ctx context.Context, call *rpc.Caller, book *coordination.Directory, zone ids.Zone, out bool, revision uint64) error {
-	op := ids.OpID("mark/" + coordination.Name())
+	op := ids.OpID("mark/" + coordination.NewID())
 	return vacate(ctx, call, book, op, &Vacate{Zone: zone, Out: out, Compare: true, Base: revision})
 }
 
 func vacate(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpID, c *Vacate) error {
-	_, err := decide(ctx, call, book, &coordination.SubmitAsk{Op: op, Kind: VacateKind, Body: coordination.Pack(c)})
+	_, err := decide(ctx, call, book, &coordination.SubmitRequest{Op: op, Kind: VacateKind, Body: coordination.MustMarshal(c)})
 	return err
 }
 
 // decide submits a decree, and gives the version that it ruled.
-func decide(ctx context.Context, call *rpc.Caller, book *coordination.Directory, q *coordination.SubmitAsk) (ids.Version, error) {
+func decide(ctx context.Context, call *rpc.Caller, book *coordination.Directory, q *coordination.SubmitRequest) (ids.Version, error) {
 	attempt := attemptTimeout + time.Duration(len(q.Body)/1024)*attemptPerKB
 	r, err := coordination.SubmitWithin(ctx, call, book, attempt, q)
 	if err != nil {
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -174,10 +174,10 @@
 	return string(id)
 }
 
-// May: a certified worker's key falls to nodes that are certified for every regime that
+// Eligible: a certified worker's key falls to nodes that are certified for every regime that
 // it may serve, since its holder hands on what is governed; and settling, which reads
 // outcomes, to those certified for all.
-func (m *Machine) May(key ids.Key, node ids.NodeID) bool {
+func (m *Machine) Eligible(key ids.Key, node ids.NodeID) bool {
 	id, worker := strings.CutPrefix(string(key), string(WorkerKey("")))
 	if m.bare == nil || !worker && key != SettleKey {
 		return true
