--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -160,7 +160,7 @@
 	require.NoError(t, err)
 }
 
-func run(t *testing.T, m *Machine, list []coordination.Cmd) (out []string) {
+func run(t *testing.T, m *Machine, list []coordination.Command) (out []string) {
 	for _, c := range list {
 		_, err := m.Apply(9, c.Kind, c.Body)
 		require.NoError(t, err)
@@ -173,9 +173,9 @@
 // primary that did not take it; it outlives pictures.
 func TestSeal(t *testing.T) {
 	m := NewMachine(MachineOptions{})
-	_, err := m.Apply(7, RevokeKind, coordination.Pack(&Revoke{"s1"}))
+	_, err := m.Apply(7, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
 	require.NoError(t, err)
-	_, err = m.Apply(8, RevokeKind, coordination.Pack(&Revoke{"s1"}))
+	_, err = m.Apply(8, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
 	require.ErrorIs(t, err, coordination.ErrUnchanged)
 	require.Empty(t, m.Due(1, 9, 6))
 	other := NewMachine(MachineOptions{})
@@ -184,20 +184,20 @@
 	require.Equal(t, []string{SealKind}, run(t, m, m.Due(1, 9, 7)))
 	require.Equal(t, []string{SealKind}, run(t, other, other.Due(1, 12, 9)))
 	require.Empty(t, m.Due(1, 10, 10))
-	_, err = m.Apply(11, SealKind, coordination.Pack(&Seal{"s1"}))
+	_, err = m.Apply(11, SealKind, coordination.MustMarshal(&Seal{"s1"}))
 	require.True(t, failure.Is(err, failure.Stale))
 	v := NewView(logging.Mute())
-	v.Fold(1, StageKind, coordination.Pack(&Stage{Text: charter(t, nil)}))
+	v.Observe(1, StageKind, coordination.MustMarshal(&Stage{Text: charter(t, nil)}))
 	v.Heard(1)
 	require.Empty(t, v.Sight().Revoked)
-	v.Fold(2, RevokeKind, coordination.Pack(&Revoke{"s1"}))
+	v.Observe(2, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
 	now := certification.At(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
 	_, ok := v.Sight().Register.Clears("chair", certification.Subject{Worker: "p1"}, ids.Prefill, now)
 	require.False(t, ok)
 	_, ok = v.Sight().Register.Clears("chair", certification.Subject{Worker: "d1"}, ids.Decode, now)
 	require.True(t, ok)
 	require.Equal(t, map[string]bool{"s1": false}, v.Sight().Revoked)
-	v.Fold(3, SealKind, coordination.Pack(&Seal{"s1"}))
+	v.Observe(3, SealKind, coordination.MustMarshal(&Seal{"s1"}))
 	require.Equal(t, map[string]bool{"s1": true}, v.Sight().Revoked)
 }
 
@@ -218,8 +218,8 @@
 			require.NoError(t, err)
 		}
 	}
-	apply(StageKind, coordination.Pack(&Stage{Text: charter(t, nil)}))
-	apply(ActivateKind, coordination.Pack(&Activate{1}))
+	apply(StageKind, coordination.MustMarshal(&Stage{Text: charter(t, nil)}))
+	apply(ActivateKind, coordination.MustMarshal(&Activate{1}))
 	writes, least := 0, int64(0)
 	lead := func(m *Machine, from, to int) int64 {
 		var now int64
@@ -251,23 +251,23 @@
 	require.NoError(t, c.Restore(a.Snapshot(false)))
 	least, all = back, append(all, c)
 	require.Greater(t, lead(c, 10, 1000), back)
-	require.False(t, a.Open(ClockKind), "nodes hear of it by their leases")
+	require.False(t, a.Published(ClockKind), "nodes hear of it by their leases")
 	// What passed while nobody led is made up for by nodes, at first and up to a bound.
 	d := build()
 	require.NoError(t, d.Restore(c.Snapshot(false)))
 	all = append(all, d)
 	least = 0
 	was := lead(d, 1000, 1200)
-	d.Hear(ms(1200), was+int64(12*time.Second))
+	d.Observe(ms(1200), was+int64(12*time.Second))
 	require.Equal(t, was, lead(d, 1200, 1201)-int64(200*time.Millisecond), "a clock that leapt")
-	d.Hear(ms(1400), was+int64(6*time.Second))
+	d.Observe(ms(1400), was+int64(6*time.Second))
 	later := lead(d, 1400, 2600)
 	require.InDelta(t, 7, time.Duration(later-was).Seconds(), 0.5)
-	d.Hear(ms(2600), later+int64(6*time.Second))
-	d.Hear(ms(2600), later-int64(6*time.Second))
+	d.Observe(ms(2600), later+int64(6*time.Second))
+	d.Observe(ms(2600), later-int64(6*time.Second))
 	require.InDelta(t, 1, time.Duration(lead(d, 2600, 3800)-later).Seconds(), 0.5)
 	later = lead(d, 3800, 6200)
-	d.Hear(ms(6200), later+int64(2*time.Second))
+	d.Observe(ms(6200), later+int64(2*time.Second))
 	require.Equal(t, later+int64(200*time.Millisecond), lead(d, 6200, 6201), "it has led for long")
 	// A machine that slept for a while as the primary jumps no further than the bound.
 	before := least
@@ -277,22 +277,22 @@
 // TestMay: a certified worker's key falls to certified nodes alone.
 func TestMay(t *testing.T) {
 	m := NewMachine(MachineOptions{Wall: func() time.Time { return time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC) }})
-	require.True(t, m.May(WorkerKey("p1"), "v2-aa"))
-	for kind, body := range map[string][]byte{StageKind: coordination.Pack(&Stage{Text: charter(t, nil)})} {
+	require.True(t, m.Eligible(WorkerKey("p1"), "v2-aa"))
+	for kind, body := range map[string][]byte{StageKind: coordination.MustMarshal(&Stage{Text: charter(t, nil)})} {
 		_, err := m.Apply(1, kind, body)
 		require.NoError(t, err)
 	}
-	_, err := m.Apply(1, ActivateKind, coordination.Pack(&Activate{1}))
+	_, err := m.Apply(1, ActivateKind, coordination.MustMarshal(&Activate{1}))
 	require.NoError(t, err)
 	run(t, m, m.Due(1, 1, 1))
 	m.Keys()
-	require.True(t, m.May(WorkerKey("p1"), "v1-0123456789abcdef"))
-	require.False(t, m.May(WorkerKey("p1"), "v2-0123456789abcdef"))
-	require.True(t, m.May(BudgetKey, "v2-0123456789abcdef"))
-	_, err = m.Apply(2, RevokeKind, coordination.Pack(&Revoke{"s3"}))
+	require.True(t, m.Eligible(WorkerKey("p1"), "v1-0123456789abcdef"))
+	require.False(t, m.Eligible(WorkerKey("p1"), "v2-0123456789abcdef"))
+	require.True(t, m.Eligible(BudgetKey, "v2-0123456789abcdef"))
+	_, err = m.Apply(2, RevokeKind, coordination.MustMarshal(&Revoke{"s3"}))
 	require.NoError(t, err)
-	require.False(t, m.May(WorkerKey("p1"), "v1-0123456789abcdef"))
-	_, err = m.Apply(3, RevokeKind, coordination.Pack(&Revoke{"s1"}))
+	require.False(t, m.Eligible(WorkerKey("p1"), "v1-0123456789abcdef"))
+	_, err = m.Apply(3, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
 	require.NoError(t, err)
-	require.True(t, m.May(WorkerKey("p1"), "v2-0123456789abcdef"), "nothing governed runs there")
+	require.True(t, m.Eligible(WorkerKey("p1"), "v2-0123456789abcdef"), "nothing governed runs there")
 }
--- a/internal/fleetstate/shelf.go
+++ b/internal/fleetstate/shelf.go
@@ -31,7 +31,7 @@
 
 type shelf struct {
 	Depth
-	sealed []coordination.Sheet
+	sealed []coordination.Chunk
 	open   map[[keyPart]byte][rowSize]byte
 	row    [][rowSize]byte // the open leaf, in order of coming
 }
@@ -81,7 +81,7 @@
 	for _, r := range s.row {
 		body = append(body, r[:]...)
 	}
-	s.sealed = append(s.sealed[:len(s.sealed):len(s.sealed)], coordination.Seal(body))
+	s.sealed = append(s.sealed[:len(s.sealed):len(s.sealed)], coordination.NewChunk(body))
 	s.open, s.row = map[[keyPart]byte][rowSize]byte{}, nil
 }
 
@@ -125,16 +125,16 @@
 // count of the rows on the shelf.
 func (s *shelf) count() int { return len(s.sealed)*s.Leaf + len(s.row) }
 
-// Sheets and Shelve make the machine a coordination.Shelf: leaves of old deeds, and of the audit
+// Chunks and Shelve make the machine a coordination.Shelf: leaves of old deeds, and of the audit
 // record, which are told by how they begin.
-func (m *Machine) Sheets() []coordination.Sheet {
+func (m *Machine) Chunks() []coordination.Chunk {
 	if len(m.audit.sealed) == 0 {
 		return m.shelf.sealed
 	}
 	return slices.Concat(m.shelf.sealed, m.audit.sealed)
 }
 
-func (m *Machine) Shelve(sheets []coordination.Sheet) {
+func (m *Machine) RestoreChunks(sheets []coordination.Chunk) {
 	m.shelf.sealed, m.audit.sealed = nil, nil
 	for _, one := range sheets {
 		if bytes.HasPrefix(one.Body, []byte(auditMagic)) {
--- a/internal/fleetstate/shelf_test.go
+++ b/internal/fleetstate/shelf_test.go
@@ -13,7 +13,7 @@
 )
 
 func claim(t testing.TB, s *State, key, digest string) (ClaimReply, error) {
-	out, err := s.Apply(ClaimKind, coordination.Pack(&Claim{Key: key, Owner: "n1", Digest: digest}))
+	out, err := s.Apply(ClaimKind, coordination.MustMarshal(&Claim{Key: key, Owner: "n1", Digest: digest}))
 	var got ClaimReply
 	if out != nil {
 		_, e := got.UnmarshalMsg(out)
@@ -39,12 +39,12 @@
 		}
 		if i == 50 {
 			copied = NewMachine(MachineOptions{Depth: Depth{Full: 4, Leaf: 8}})
-			copied.Shelve(m.Sheets())
+			copied.RestoreChunks(m.Chunks())
 			require.NoError(t, copied.Restore(m.Snapshot(false)))
 		}
 	}
-	require.Equal(t, m.Sheets(), copied.Sheets())
-	require.Len(t, m.Sheets(), 12)
+	require.Equal(t, m.Chunks(), copied.Chunks())
+	require.Len(t, m.Chunks(), 12)
 	require.Equal(t, m.Snapshot(false), copied.Snapshot(false))
 	for i := range 100 {
 		got, err := claim(t, copied.State, key(i), fmt.Sprint("body", i))
@@ -99,12 +99,12 @@
 	for b.Loop() {
 		body := m.Snapshot(false)
 		next := NewMachine(MachineOptions{})
-		next.Shelve(m.Sheets())
+		next.RestoreChunks(m.Chunks())
 		if err := next.Restore(body); err != nil {
 			b.Fatal(err)
 		}
 		b.ReportMetric(float64(len(body))/1e6, "picture-MB")
-		b.ReportMetric(float64(len(m.Sheets())*m.shelf.Leaf*rowSize)/1e6, "sheets-MB")
+		b.ReportMetric(float64(len(m.Chunks())*m.shelf.Leaf*rowSize)/1e6, "sheets-MB")
 	}
 }
 
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -130,7 +130,7 @@
 	if err != nil && err != coordination.ErrUnchanged || out == nil {
 		return nil, err
 	}
-	return coordination.Pack(out), err
+	return coordination.MustMarshal(out), err
 }
 
 func (c *Stage) apply(s *State) (msgp.Marshaler, error) { return s.stage(c) }
--- a/internal/fleetstate/turn_test.go
+++ b/internal/fleetstate/turn_test.go
@@ -49,13 +49,13 @@
 // news or in a picture, and no longer once it is done; an older sight stays as it was.
 func TestTurnInNews(t *testing.T) {
 	v := NewView(logging.Mute())
-	require.True(t, v.Fold(1, TurnKind, coordination.Pack(&Turn{Worker: "w", To: ids.Decode})))
+	require.True(t, v.Observe(1, TurnKind, coordination.MustMarshal(&Turn{Worker: "w", To: ids.Decode})))
 	first := v.Sight()
 	require.Equal(t, map[ids.WorkerID]ids.Part{"w": ids.Decode}, first.Turning)
 	other := NewView(logging.Mute())
 	require.NoError(t, other.Restore(v.Snapshot()))
 	require.Equal(t, first.Turning, other.Sight().Turning)
-	require.True(t, v.Fold(2, TurnKind, coordination.Pack(&Turn{Worker: "w", Done: true})))
+	require.True(t, v.Observe(2, TurnKind, coordination.MustMarshal(&Turn{Worker: "w", Done: true})))
 	require.Empty(t, v.Sight().Turning)
 	require.Len(t, first.Turning, 1)
 	require.NoError(t, other.Restore(v.Snapshot()))
@@ -67,7 +67,7 @@
 func TestNext(t *testing.T) {
 	s := newState(false, Depth{})
 	stage := func(base, next ids.Version) (ids.Version, error) {
-		out, err := s.Apply(StageKind, coordination.Pack(&Stage{Base: base, Next: next, Text: []byte(`{}`)}))
+		out, err := s.Apply(StageKind, coordination.MustMarshal(&Stage{Base: base, Next: next, Text: []byte(`{}`)}))
 		var got Ruling
 		if err == nil {
 			_, err = got.UnmarshalMsg(out)
@@ -104,9 +104,9 @@
 func TestServiceKeys(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	require.NotContains(t, m.Keys(), RosterKey)
-	_, err := m.Apply(1, StageKind, coordination.Pack(&Stage{Text: []byte(`{"services":{"s":{"name":"s"},"t":{"name":"t"}}}`)}))
+	_, err := m.Apply(1, StageKind, coordination.MustMarshal(&Stage{Text: []byte(`{"services":{"s":{"name":"s"},"t":{"name":"t"}}}`)}))
 	require.NoError(t, err)
-	_, err = m.Apply(2, ActivateKind, coordination.Pack(&Activate{1}))
+	_, err = m.Apply(2, ActivateKind, coordination.MustMarshal(&Activate{1}))
 	require.NoError(t, err)
 	require.Equal(t, []ids.Key{BudgetKey, RosterKey, ServiceKey("s"), ServiceKey("t"), SettleKey}, m.Keys())
 }
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func (v *View) Fold(_ ids.Seq, kind string, body []byte) bool {
+func (v *View) Observe(_ ids.Seq, kind string, body []byte) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if _, err := v.state.Apply(kind, body); err != nil && err != coordination.ErrUnchanged {
@@ -125,7 +125,7 @@
 func (v *View) Snapshot() []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return coordination.Pack(v.state.image(true))
+	return coordination.MustMarshal(v.state.image(true))
 }
 
 // Claims lists the open claims by owner.
--- a/internal/proxy/board.go
+++ b/internal/proxy/board.go
@@ -129,7 +129,7 @@
 
 // mine tells whether this node itself asks a service's workers for reports.
 func (n *Node) mine(service string) bool {
-	_, ok := n.agent.Held(fleetstate.ServiceKey(service))
+	_, ok := n.agent.OwnsKey(fleetstate.ServiceKey(service))
 	return ok && n.opt.Turn >= 0
 }
 
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -82,7 +82,7 @@
 func (f *fleet) core(ip string) {
 	ctx, stop := context.WithCancel(context.Background())
 	p := f.w.Machine(ip).Start()
-	c, err := coordination.New(coordination.Options{Addr: ip + ":1", Host: p.Host(), Seeds: f.seeds, Machine: func() coordination.Machine { return fleetstate.NewMachine(fleetstate.MachineOptions{}) }})
+	c, err := coordination.New(coordination.Options{Addr: ip + ":1", Host: p.Host(), Seeds: f.seeds, Machine: func() coordination.StateMachine { return fleetstate.NewMachine(fleetstate.MachineOptions{}) }})
 	require.NoError(f.t, err)
 	f.cores[ip], f.procs[ip], f.stops[ip] = c, p, stop
 	l, err := p.Host().Net.Listen(ip + ":1")
@@ -263,7 +263,7 @@
 func (f *fleet) submit(kind string, c msgp.Marshaler) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
-	_, err := f.up()[0].agent.Submit(ctx, ids.OpID("op/"+coordination.Name()), kind, coordination.Pack(c))
+	_, err := f.up()[0].agent.Submit(ctx, ids.OpID("op/"+coordination.NewID()), kind, coordination.MustMarshal(c))
 	require.NoError(f.t, err)
 }
 
--- a/internal/proxy/ledger_test.go
+++ b/internal/proxy/ledger_test.go
@@ -199,7 +199,7 @@
 // listHolder gives the number of the node that holds the list's duty, or -1.
 func (f *fleet) listHolder() int {
 	for i, b := range f.nodes {
-		if _, ok := b.agent.Held(fleetstate.RosterKey); ok && b.up {
+		if _, ok := b.agent.OwnsKey(fleetstate.RosterKey); ok && b.up {
 			return i
 		}
 	}
@@ -362,7 +362,7 @@
 					ask := &ListAsk{Node: "n", Version: 7, Stood: seq}
 					full.Stood, full.Stands = b.since(seq, list, now.Add(time.Duration(250*k)*time.Millisecond), every)
 					seq = full.Stood
-					added += len(coordination.Pack(full)) - len(coordination.Pack(plain)) + len(coordination.Pack(ask)) - len(coordination.Pack(&ListAsk{Node: "n", Version: 7}))
+					added += len(coordination.MustMarshal(full)) - len(coordination.MustMarshal(plain)) + len(coordination.MustMarshal(ask)) - len(coordination.MustMarshal(&ListAsk{Node: "n", Version: 7}))
 				}
 			}
 			node := added / rounds
--- a/internal/proxy/list_tree.go
+++ b/internal/proxy/list_tree.go
@@ -154,7 +154,7 @@
 func (n *Node) tree() treeShape {
 	t := treeShape{n.opt.Flat, n.opt.Width, map[ids.NodeID]bool{}}
 	for name := range n.sight().Policy.Services {
-		if m, _, ok := n.agent.Holder(fleetstate.ServiceKey(name)); ok {
+		if m, _, ok := n.agent.KeyOwner(fleetstate.ServiceKey(name)); ok {
 			t.direct[m.Node] = true
 		}
 	}
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -167,14 +167,14 @@
 	list = append([]Worker(nil), list...)
 	list[7].Leaving = true
 	n.take(list, n.now(), n.now())
-	whole := len(coordination.Pack(n.listSince(&ListAsk{Deltas: true})))
-	delta := len(coordination.Pack(n.listSince(&ListAsk{Version: version, Deltas: true})))
+	whole := len(coordination.MustMarshal(n.listSince(&ListAsk{Deltas: true})))
+	delta := len(coordination.MustMarshal(n.listSince(&ListAsk{Version: version, Deltas: true})))
 	var row []Reads
 	for i := range 1000 {
 		row = append(row, Reads{list[i].ID, 1000 + i, 1})
 	}
 	n.told.Store(ids.NodeID("other"), told{at: n.now(), reads: row})
-	reads := len(coordination.Pack(&ListReply{Reads: n.sum("none", true)}))
+	reads := len(coordination.MustMarshal(&ListReply{Reads: n.sum("none", true)}))
 	t.Logf("whole %d, delta %d, readings %d bytes", whole, delta, reads)
 	require.Less(t, delta, 400)
 	require.Less(t, reads, 12_000)
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -164,10 +164,10 @@
 		return nil, err
 	}
 	n.first = &fleetstate.Deal{Deck: deck}
-	n.me = coordination.Member{Node: ids.NodeID(opt.Name + "-" + coordination.Name()), Addr: opt.Addr, Zone: opt.Zone}
+	n.me = coordination.Member{Node: ids.NodeID(opt.Name + "-" + coordination.NewID()), Addr: opt.Addr, Zone: opt.Zone}
 	n.view = fleetstate.NewView(opt.Ring)
 	n.view.Read, n.view.Scores = opt.Read, &n.scores
-	n.agent = coordination.NewAgent(coordination.AgentOptions{Me: n.me, Host: opt.Host, Seeds: opt.Seeds, View: n.view, Ring: opt.Ring, Lease: opt.Lease, Renew: opt.Renew})
+	n.agent = coordination.NewAgent(coordination.AgentOptions{Self: n.me, Host: opt.Host, Seeds: opt.Seeds, Watcher: n.view, Ring: opt.Ring, LeaseDuration: opt.Lease, RenewInterval: opt.Renew})
 	n.roster.Store(&roster{})
 	n.inner, n.stop = context.WithCancel(context.Background())
 	return n, nil
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -68,10 +68,10 @@
 // neither the core confirmed it nor did any other process speak to it for a while, or
 // they do so again for too short a time to have told the news.
 func (n *Node) unheard(now ids.Tick) bool {
-	if n.agent.Caught(deafSpan) {
+	if n.agent.CaughtUp(deafSpan) {
 		return false
 	}
-	if now.Past(n.agent.Directory().Heard(), deafSpan) {
+	if now.Past(n.agent.Directory().LastContact(), deafSpan) {
 		n.deaf.Store(int64(now))
 		return true
 	}
--- a/internal/proxy/turn.go
+++ b/internal/proxy/turn.go
@@ -58,7 +58,7 @@
 		s := n.sight()
 		for name := range s.Policy.Services {
 			key := fleetstate.ServiceKey(name)
-			fence, ok := n.agent.Held(key)
+			fence, ok := n.agent.OwnsKey(key)
 			if !ok {
 				delete(duties, name)
 				continue
@@ -79,7 +79,7 @@
 func (n *Node) submitTurn(ctx context.Context, t *fleetstate.Turn) bool {
 	cx, stop := context.WithTimeout(ctx, 700*time.Millisecond)
 	defer stop()
-	_, err := n.agent.Submit(cx, ids.OpID("turn/"+coordination.Name()), fleetstate.TurnKind, coordination.Pack(t))
+	_, err := n.agent.Submit(cx, ids.OpID("turn/"+coordination.NewID()), fleetstate.TurnKind, coordination.MustMarshal(t))
 	return err == nil
 }
 
@@ -163,7 +163,7 @@
 		return false
 	}
 	t.sent = true
-	fence, end, ok := n.agent.Begin(key)
+	fence, end, ok := n.agent.BeginOperation(key)
 	if !ok || fence != d.fence {
 		if ok {
 			end()
--- a/internal/proxy/turn_test.go
+++ b/internal/proxy/turn_test.go
@@ -44,7 +44,7 @@
 // holder gives the number of the node that holds the duty, or -1.
 func (f *fleet) holder() int {
 	for i, b := range f.nodes {
-		if _, ok := b.agent.Held(svcKey); ok && b.up {
+		if _, ok := b.agent.OwnsKey(svcKey); ok && b.up {
 			return i
 		}
 	}
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -40,7 +40,7 @@
 
 // audit adds a row to the core's chain. The operation's id has it stand there once.
 func (n *Node) audit(ctx context.Context, op ids.OpID, record []byte) error {
-	_, err := n.agent.Submit(ctx, op, fleetstate.AuditKind, coordination.Pack(&fleetstate.Audit{Record: record}))
+	_, err := n.agent.Submit(ctx, op, fleetstate.AuditKind, coordination.MustMarshal(&fleetstate.Audit{Record: record}))
 	return err
 }
 
@@ -94,7 +94,7 @@
 func (n *Node) Audits(ctx context.Context, from, most int) (*api.Audits, error) {
 	cx, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(cx, "", fleetstate.AuditsKind, coordination.Pack(&fleetstate.Audits{From: from, Most: most}))
+	r, err := n.agent.Submit(cx, "", fleetstate.AuditsKind, coordination.MustMarshal(&fleetstate.Audits{From: from, Most: most}))
 	if err != nil {
 		return nil, n.fate(err)
 	}
--- a/internal/router/beats.go
+++ b/internal/router/beats.go
@@ -31,7 +31,7 @@
 }
 
 func (n *Node) beat() *Beat {
-	b := &Beat{Node: n.me.Node, Version: n.view.Known(), Fresh: int64(n.agent.Fresh())}
+	b := &Beat{Node: n.me.Node, Version: n.view.Known(), Fresh: int64(n.agent.SinceConfirmed())}
 	now := n.now()
 	if !now.Past(ids.Tick(n.listed.Load()), time.Second) {
 		for id, l := range *n.roster.Load() {
@@ -42,7 +42,7 @@
 	}
 	n.ledgers.Range(func(k, v any) bool {
 		d := v.(*desk)
-		if f, ok := n.agent.Held(fleetstate.WorkerKey(d.id)); ok && f == d.fence {
+		if f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id)); ok && f == d.fence {
 			st := d.ledger.State(now)
 			b.Workers = append(b.Workers, Stand{ID: d.id, Fence: f, Part: st.Part, Ready: st.Ready, Free: st.Free,
 				Room: st.Room, Busy: st.Busy, Work: st.Work, Used: st.Used, Cap: st.Cap, Block: st.Block, Life: st.Life})
@@ -191,7 +191,7 @@
 // waited behind a cut and tell of the time before it.) A staged
 // version waits for silent nodes nearly as long before it is in force anywhere.
 func (n *Node) current() bool {
-	if n.agent.Caught(currentSpan) {
+	if n.agent.CaughtUp(currentSpan) {
 		return true
 	}
 	ms := n.agent.Members()
--- a/internal/router/beats_test.go
+++ b/internal/router/beats_test.go
@@ -29,10 +29,10 @@
 		defer func() { stop(); near.Kill(); at.Kill(); time.Sleep(10 * time.Second) }()
 		b := coordination.Member{Node: "b", Addr: "10.0.0.1:1"}
 		n := New(Options{Name: "n", Addr: "10.0.0.2:1", Host: at.Host()})
-		img := &coordination.Image{Seq: 1, Members: []coordination.Member{n.me, b, {Node: "c"}}, App: fleetstate.NewView(logging.Mute()).Snapshot()}
+		img := &coordination.Snapshot{Seq: 1, Members: []coordination.Member{n.me, b, {Node: "c"}}, State: fleetstate.NewView(logging.Mute()).Snapshot()}
 		mux := http.NewServeMux()
-		rpc.Handle(mux, "crux/news", func(context.Context, *coordination.NewsAsk) (*coordination.NewsReply, error) {
-			return &coordination.NewsReply{Seq: 1, Snapshot: coordination.Pack(img)}, nil
+		rpc.Handle(mux, coordination.WatchMethod, func(context.Context, *coordination.WatchRequest) (*coordination.WatchResponse, error) {
+			return &coordination.WatchResponse{Seq: 1, Snapshot: coordination.MustMarshal(img)}, nil
 		})
 		l, err := near.Host().Net.Listen(b.Addr)
 		require.NoError(t, err)
@@ -79,10 +79,10 @@
 				defer func() { stop(); near.Kill(); at.Kill(); away.Kill(); time.Sleep(10 * time.Second) }()
 				b, c := coordination.Member{Node: "b", Addr: "10.0.0.1:1"}, coordination.Member{Node: "c", Addr: "10.0.0.3:1"}
 				n := New(Options{Name: "n", Addr: "10.0.0.2:1", Host: at.Host()})
-				img := &coordination.Image{Seq: 1, Members: []coordination.Member{n.me, b, c}, App: fleetstate.NewView(logging.Mute()).Snapshot()}
+				img := &coordination.Snapshot{Seq: 1, Members: []coordination.Member{n.me, b, c}, State: fleetstate.NewView(logging.Mute()).Snapshot()}
 				mux := http.NewServeMux()
-				rpc.Handle(mux, "crux/news", func(context.Context, *coordination.NewsAsk) (*coordination.NewsReply, error) {
-					return &coordination.NewsReply{Seq: 1, Snapshot: coordination.Pack(img)}, nil
+				rpc.Handle(mux, coordination.WatchMethod, func(context.Context, *coordination.WatchRequest) (*coordination.WatchResponse, error) {
+					return &coordination.WatchResponse{Seq: 1, Snapshot: coordination.MustMarshal(img)}, nil
 				})
 				rpc.Handle(mux, "verge/beat", func(context.Context, *Beat) (*Beat, error) { time.Sleep(slow); return &Beat{Node: "b"}, nil })
 				l, err := near.Host().Net.Listen(b.Addr)
--- a/internal/router/debt.go
+++ b/internal/router/debt.go
@@ -64,7 +64,7 @@
 	if d.settle == nil {
 		cx, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 		defer stop()
-		r, err := n.agent.Submit(cx, d.op, fleetstate.ClaimKind, coordination.Pack(d.claim))
+		r, err := n.agent.Submit(cx, d.op, fleetstate.ClaimKind, coordination.MustMarshal(d.claim))
 		if err != nil {
 			return failure.Is(err, failure.Stale) || failure.Is(err, failure.Bad)
 		}
--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -99,7 +99,7 @@
 				return nil
 			}
 		}
-		for _, s := range st.Core.Holders {
+		for _, s := range st.Core.Voters {
 			if s.Addr == c.LoseAddr {
 				return nil
 			}
@@ -266,8 +266,8 @@
 }
 
 func (f *Forecast) core(st *router.Standing, c Change) {
-	f.Disks[0] = len(st.Core.Holders)
-	for _, s := range st.Core.Holders {
+	f.Disks[0] = len(st.Core.Voters)
+	for _, s := range st.Core.Voters {
 		if !c.lost(s.Zone, s.Addr) {
 			f.Disks[1]++
 		}
--- a/internal/router/forecast/forecast_test.go
+++ b/internal/router/forecast/forecast_test.go
@@ -19,7 +19,7 @@
 	for i, z := range []ids.Zone{"a", "b", "b"} {
 		n := string(rune('1' + i))
 		st.Members = append(st.Members, coordination.Member{Node: ids.NodeID("n" + n), Addr: "10.0.0." + n + ":1", Zone: z})
-		st.Core.Holders = append(st.Core.Holders, coordination.Replica{Disk: ids.DiskID(n), Addr: "10.0.1." + n + ":1", Zone: z})
+		st.Core.Voters = append(st.Core.Voters, coordination.Replica{Disk: ids.DiskID(n), Addr: "10.0.1." + n + ":1", Zone: z})
 		for _, part := range []ids.Part{ids.Prefill, ids.Decode} {
 			id := ids.WorkerID(string(part[0]) + n)
 			p.Workers[id] = fleetstate.Worker{Part: part, Model: "m", Weights: "w", Room: 100, Block: 16, Zone: z}
--- a/internal/router/hands.go
+++ b/internal/router/hands.go
@@ -180,7 +180,7 @@
 func (h *hands) Spend(ctx context.Context, wait time.Duration) bool {
 	n := h.n
 	for end := n.now().Add(wait); ; {
-		if m, _, ok := n.agent.Holder(fleetstate.BudgetKey); ok {
+		if m, _, ok := n.agent.KeyOwner(fleetstate.BudgetKey); ok {
 			cx, stop := context.WithTimeout(ctx, 400*time.Millisecond)
 			r, err := rpc.Call[coordination.Empty, Spent](cx, n.call, m.Addr, "verge/spend", &coordination.Empty{})
 			stop()
--- a/internal/router/holder.go
+++ b/internal/router/holder.go
@@ -48,7 +48,7 @@
 		lim := n.view.Sight().Policy.Limits
 		mine := map[ids.WorkerID]bool{}
 		for id := range n.view.Sight().Policy.Workers {
-			f, ok := n.agent.Held(fleetstate.WorkerKey(id))
+			f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(id))
 			if !ok {
 				continue
 			}
@@ -105,7 +105,7 @@
 // then on it obeys no earlier holder, and only from then on is the time counted
 // after which a report surely shows all that the earlier one had ordered.
 func (n *Node) firstOrder(ctx context.Context, d *desk, addr string, part ids.Part) error {
-	f, ok := n.agent.Held(fleetstate.WorkerKey(d.id))
+	f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id))
 	if !ok || f != d.fence {
 		return failure.New(failure.Away, "first order", n.me.Addr, "the key of %s went to other hands", d.id)
 	}
@@ -140,7 +140,7 @@
 }
 
 func (n *Node) act(ctx context.Context, q *OrderAsk) (*workerclient.Answer, error) {
-	fence, end, ok := n.agent.Begin(fleetstate.WorkerKey(q.Worker))
+	fence, end, ok := n.agent.BeginOperation(fleetstate.WorkerKey(q.Worker))
 	if !ok {
 		return nil, failure.New(failure.Away, "hold key", n.me.Addr, "not the holder of %s", q.Worker)
 	}
@@ -236,7 +236,7 @@
 	if q.Version = n.view.Known(); q.Verb == verbReserve {
 		q.Version = n.view.Sight().Version
 	}
-	m, _, ok := n.agent.Holder(fleetstate.WorkerKey(q.Worker))
+	m, _, ok := n.agent.KeyOwner(fleetstate.WorkerKey(q.Worker))
 	if !ok {
 		return nil, failure.New(failure.Away, q.Verb, string(q.Worker), "nobody holds its key now")
 	}
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -94,11 +94,11 @@
 func New(opt Options) *Node {
 	opt.fill()
 	n := &Node{opt: opt, scores: &routing.Scores{}, journal: logging.NewJournal[handoff.Event](1024)}
-	n.me = coordination.Member{Node: ids.NodeID(opt.Name + "-" + coordination.Name()), Addr: opt.Addr, Zone: opt.Zone}
+	n.me = coordination.Member{Node: ids.NodeID(opt.Name + "-" + coordination.NewID()), Addr: opt.Addr, Zone: opt.Zone}
 	n.view = fleetstate.NewView(opt.Ring)
 	n.view.Ready = n.compile
-	n.agent = coordination.NewAgent(coordination.AgentOptions{Me: n.me, Host: opt.Host, Seeds: opt.Seeds, View: n.view, Ring: opt.Ring,
-		Lease: opt.Lease, Renew: opt.Renew, Lonely: n.lonely})
+	n.agent = coordination.NewAgent(coordination.AgentOptions{Self: n.me, Host: opt.Host, Seeds: opt.Seeds, Watcher: n.view, Ring: opt.Ring,
+		LeaseDuration: opt.Lease, RenewInterval: opt.Renew, CoreUnreachable: n.lonely})
 	n.call = n.agent.Caller()
 	n.workerClient = workerclient.New(opt.Host.Net)
 	n.web = rpc.Web(opt.Host.Net)
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -68,7 +68,7 @@
 	}
 	cx, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(cx, ids.OpID("op/"+a.Op), fleetstate.StageKind, coordination.Pack(&fleetstate.Stage{Base: ids.Version(a.Base), Text: whole}))
+	r, err := n.agent.Submit(cx, ids.OpID("op/"+a.Op), fleetstate.StageKind, coordination.MustMarshal(&fleetstate.Stage{Base: ids.Version(a.Base), Text: whole}))
 	if err != nil {
 		if failure.Is(err, failure.Stale) {
 			return nil, n.stale(a.Base, n.view.Sight())
@@ -86,7 +86,7 @@
 func (n *Node) fate(err error) error { return api.Fate(err, n.after()) }
 
 // ruled waits a while until this node has put the answer's version in force.
-func (n *Node) ruled(ctx context.Context, r *coordination.SubmitReply, wait bool) (*api.Applied, error) {
+func (n *Node) ruled(ctx context.Context, r *coordination.SubmitResponse, wait bool) (*api.Applied, error) {
 	var got fleetstate.Ruling
 	if _, err := got.UnmarshalMsg(r.Body); err != nil {
 		return nil, failure.As(err, failure.Unknown, "read ruling", "core")
@@ -121,7 +121,7 @@
 	if !known {
 		return nil, api.No(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
 	}
-	return n.mark(ctx, m.Op, fleetstate.VacateKind, coordination.Pack(&fleetstate.Vacate{Zone: ids.Zone(zone), Out: m.Out}))
+	return n.mark(ctx, m.Op, fleetstate.VacateKind, coordination.MustMarshal(&fleetstate.Vacate{Zone: ids.Zone(zone), Out: m.Out}))
 }
 
 // Drain keeps new work from a worker, or takes that back.
@@ -129,7 +129,7 @@
 	if _, ok := n.view.Sight().Policy.Workers[ids.WorkerID(worker)]; !ok {
 		return nil, api.No(http.StatusNotFound, "unknown", "worker", "there is no worker %q", worker)
 	}
-	return n.mark(ctx, m.Op, fleetstate.DrainKind, coordination.Pack(&fleetstate.Drain{Worker: ids.WorkerID(worker), Out: m.Out}))
+	return n.mark(ctx, m.Op, fleetstate.DrainKind, coordination.MustMarshal(&fleetstate.Drain{Worker: ids.WorkerID(worker), Out: m.Out}))
 }
 
 // Shown gives operators what Show does.
@@ -183,7 +183,7 @@
 	st := &Standing{Node: n.me.Node, Zone: n.me.Zone, Ready: ok, Why: why, Version: n.view.Sight().Version, Seq: n.agent.Seq(),
 		Core: n.agent.Directory().Record(), Members: n.agent.Members(), Programs: map[string]map[string]any{},
 		Listed: map[ids.WorkerID]ids.Zone{}, Evacuated: sh.Zones, Drained: sh.Drained, Workers: []Stand{}, Holds: []ids.Key{}}
-	for _, g := range n.agent.Mine() {
+	for _, g := range n.agent.OwnedKeys() {
 		st.Holds = append(st.Holds, g.Key)
 	}
 	sort.Slice(st.Holds, func(i, j int) bool { return st.Holds[i] < st.Holds[j] })
--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -26,7 +26,7 @@
 // clears gives the serial by which a subject may handle a regime's work now. Nobody may
 // while this node's word is too old to know of revocations and of the time.
 func (n *Node) clears(regime string, s certification.Subject, part ids.Part) (string, error) {
-	if !n.agent.Word() {
+	if !n.agent.Current() {
 		return "", failure.New(failure.Bounced, "clear", s.String(), "this node's word from the core is too old for regime %q", regime)
 	}
 	serial, ok := n.view.Sight().Register.Clears(regime, s, part, n.clock())
@@ -46,7 +46,7 @@
 	}
 	cx, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(cx, ids.OpID("op/"+m.Op), fleetstate.RevokeKind, coordination.Pack(&fleetstate.Revoke{Serial: serial}))
+	r, err := n.agent.Submit(cx, ids.OpID("op/"+m.Op), fleetstate.RevokeKind, coordination.MustMarshal(&fleetstate.Revoke{Serial: serial}))
 	if err != nil {
 		return nil, n.fate(err)
 	}
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -84,7 +84,7 @@
 	t := &handoff.Task{Kind: ask.Kind, Regime: s.Register.Governs(ask.Kind), Zone: n.me.Zone, Claimed: kind.Claimed, Tries: s.Policy.Limits.Attempts, GiveUp: s.Policy.Limits.GiveUp()}
 	t.Identity = workerclient.Identity{Prompt: ask.Tokens(), Model: workerclient.Model{Name: kind.Model, Adapters: ask.Adapters},
 		Params: workerclient.Params{MaxTokens: ask.MaxTokens, Temperature: ask.Temperature, Seed: ask.Seed}}
-	t.Identity.ID.Request = coordination.Name()
+	t.Identity.ID.Request = coordination.NewID()
 	if !kind.Claimed {
 		return n.plain(ctx, s, t, out)
 	}
@@ -285,8 +285,8 @@
 	cx, stop := context.WithTimeout(context.WithoutCancel(ctx), 1500*time.Millisecond)
 	defer stop()
 	claim := &fleetstate.Claim{Key: key, Owner: n.me.Node, Worker: w, Life: life, Digest: ask.Digest()}
-	op := ids.OpID("claim/" + coordination.Name())
-	r, err := n.agent.Submit(cx, op, fleetstate.ClaimKind, coordination.Pack(claim))
+	op := ids.OpID("claim/" + coordination.NewID())
+	r, err := n.agent.Submit(cx, op, fleetstate.ClaimKind, coordination.MustMarshal(claim))
 	if err != nil {
 		if failure.Is(err, failure.Unknown) {
 			n.debts.add(debt{op: op, claim: claim})
@@ -316,7 +316,7 @@
 	cx, stop := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer stop()
 	b := &fleetstate.Bind{Key: key, Owner: n.me.Node, Worker: w, Life: life}
-	_, err := n.agent.Submit(cx, ids.OpID("bind/"+coordination.Name()), fleetstate.BindKind, coordination.Pack(b))
+	_, err := n.agent.Submit(cx, ids.OpID("bind/"+coordination.NewID()), fleetstate.BindKind, coordination.MustMarshal(b))
 	return err
 }
 
@@ -326,12 +326,12 @@
 }
 
 // Request is the request id that a key always has.
-func Request(key string) string { return "k-" + coordination.Short(key) }
+func Request(key string) string { return "k-" + coordination.ShortHash(key) }
 
 func (n *Node) settle(s *fleetstate.Settle) error {
 	cx, stop := context.WithTimeout(context.Background(), 4*time.Second)
 	defer stop()
-	_, err := n.agent.Submit(cx, ids.OpID("settle/"+s.Key+"/"+string(s.Owner)), fleetstate.SettleKind, coordination.Pack(s))
+	_, err := n.agent.Submit(cx, ids.OpID("settle/"+s.Key+"/"+string(s.Owner)), fleetstate.SettleKind, coordination.MustMarshal(s))
 	return err
 }
 
--- a/internal/router/settle.go
+++ b/internal/router/settle.go
@@ -22,7 +22,7 @@
 
 func (n *Node) settler(ctx context.Context) {
 	for host.Sleep(ctx, 300*time.Millisecond) {
-		fence, end, ok := n.agent.Begin(fleetstate.SettleKey)
+		fence, end, ok := n.agent.BeginOperation(fleetstate.SettleKey)
 		if !ok {
 			continue
 		}
@@ -43,7 +43,7 @@
 	cx, stop := context.WithTimeout(ctx, 2*time.Second)
 	defer stop()
 	seize := &fleetstate.Seize{Key: d.Key, From: d.Owner, To: n.me.Node, Fence: fence}
-	r, err := n.agent.Submit(cx, "", fleetstate.SeizeKind, coordination.Pack(seize))
+	r, err := n.agent.Submit(cx, "", fleetstate.SeizeKind, coordination.MustMarshal(seize))
 	if err != nil {
 		return
 	}
@@ -110,7 +110,7 @@
 }
 
 func (n *Node) spendHere(_ context.Context, _ *coordination.Empty) (*Spent, error) {
-	fence, end, ok := n.agent.Begin(fleetstate.BudgetKey)
+	fence, end, ok := n.agent.BeginOperation(fleetstate.BudgetKey)
 	if !ok {
 		return &Spent{}, nil
 	}
--- a/internal/router/switch.go
+++ b/internal/router/switch.go
@@ -49,7 +49,7 @@
 			models[w.Model] = true
 		}
 		for m := range models {
-			fence, end, ok := n.agent.Begin(fleetstate.PoolKey(m))
+			fence, end, ok := n.agent.BeginOperation(fleetstate.PoolKey(m))
 			if !ok {
 				delete(pools, m)
 				continue
@@ -170,7 +170,7 @@
 func (n *Node) turn(ctx context.Context, id ids.WorkerID, to ids.Part) error {
 	cx, stop := context.WithTimeout(ctx, turnMost+time.Second)
 	defer stop()
-	m, _, ok := n.agent.Holder(fleetstate.WorkerKey(id))
+	m, _, ok := n.agent.KeyOwner(fleetstate.WorkerKey(id))
 	if !ok {
 		return failure.New(failure.Away, "turn", string(id), "nobody holds its key now")
 	}
@@ -190,7 +190,7 @@
 	cx, stop := context.WithTimeout(ctx, turnMost)
 	defer stop()
 	for {
-		if f, ok := n.agent.Held(fleetstate.WorkerKey(d.id)); !ok || f != d.fence {
+		if f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id)); !ok || f != d.fence {
 			return nil, failure.New(failure.Away, "turn", n.me.Addr, "the key of %s went to other hands", d.id)
 		}
 		lead.Version = n.view.Sight().Version
--- a/internal/simulation/bureau_test.go
+++ b/internal/simulation/bureau_test.go
@@ -133,7 +133,7 @@
 
 // Revoke ends a certificate as keelstairctl does, until it is acknowledged.
 func (b *Bureau) Revoke(serial string) error {
-	op, begun := coordination.Name(), b.c.Book.Now()
+	op, begun := coordination.NewID(), b.c.Book.Now()
 	var err error
 	b.c.Until(20*time.Second, func() bool {
 		err = b.c.Operate("/v1/certificates/"+serial, &api.Mark{Op: op, Out: true}, nil)
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -131,7 +131,7 @@
 	return &Box{Name: name, Kind: "controller", Zone: zone, Addr: addr, Machine: c.World.Machine(ip),
 		begin: func(b *Box, ctx context.Context, host host.Host) error {
 			core, err := coordination.New(coordination.Options{Addr: addr, Zone: zone, Host: host, Seeds: c.Seeds, Ring: c.ring(name),
-				Machine: func() coordination.Machine {
+				Machine: func() coordination.StateMachine {
 					return fleetstate.NewMachine(fleetstate.MachineOptions{Depth: c.Depth, Wall: host.Clock.Wall})
 				}})
 			if err != nil {
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -268,7 +268,7 @@
 			one := good
 			spoil(&one)
 			b.certs["c-p1"] = one
-			err := c.Operate("/v1/policy", &api.Apply{Op: coordination.Name(), Base: shown(c).Version, Partial: true, Name: "regimes.json", Source: b.part()}, nil)
+			err := c.Operate("/v1/policy", &api.Apply{Op: coordination.NewID(), Base: shown(c).Version, Partial: true, Name: "regimes.json", Source: b.part()}, nil)
 			n, name, detail := code(t, err)
 			require.Equal(t, http.StatusBadRequest, n, detail)
 			require.Equal(t, "bad", name)
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -110,9 +110,9 @@
 // counter is a follower that wants the numbers only.
 type counter struct{}
 
-func (counter) Restore([]byte) error              { return nil }
-func (counter) Fold(ids.Seq, string, []byte) bool { return false }
-func (counter) Snapshot() []byte                  { return nil }
+func (counter) Restore([]byte) error                 { return nil }
+func (counter) Observe(ids.Seq, string, []byte) bool { return false }
+func (counter) Snapshot() []byte                     { return nil }
 
 // history is a core with its operator.
 type history struct {
@@ -140,7 +140,7 @@
 		h.start(addr)
 	}
 	process := h.world.Machine("10.0.1.1").Start()
-	h.operator = coordination.NewAgent(coordination.AgentOptions{Me: coordination.Member{Node: "node-1", Addr: "10.0.1.1:1"}, Host: process.Host(), Seeds: h.seeds, View: counter{}})
+	h.operator = coordination.NewAgent(coordination.AgentOptions{Self: coordination.Member{Node: "node-1", Addr: "10.0.1.1:1"}, Host: process.Host(), Seeds: h.seeds, Watcher: counter{}})
 	h.run("10.0.1.1:1", process, process.Host().Net, h.operator.Mount, h.operator.Run)
 	return h
 }
@@ -160,7 +160,7 @@
 	p := h.world.Machine(addr[:len(addr)-2]).Start()
 	machine := p.Host()
 	machine.Net = &ratedNet{machine.Net, host.NewLatch(), &h.sent}
-	core, err := coordination.New(coordination.Options{Addr: addr, Host: machine, Seeds: h.seeds, Machine: func() coordination.Machine {
+	core, err := coordination.New(coordination.Options{Addr: addr, Host: machine, Seeds: h.seeds, Machine: func() coordination.StateMachine {
 		return fleetstate.NewMachine(fleetstate.MachineOptions{Wall: machine.Clock.Wall})
 	}})
 	require.NoError(h.t, err)
