--- a/coordination/agent.go
+++ b/coordination/agent.go
@@ -174,8 +174,8 @@
 
 // CaughtUp tells that the core confirmed this node within a span, and that the news up
 // to that confirmation is folded here.
-func (a *Agent) CaughtUp(span time.Duration) bool {
-	return a.SinceConfirmed() <= span && uint64(a.Seq()) >= a.confirmedSeq.Load()
+func (a *Agent) CaughtUp(duration time.Duration) bool {
+	return a.SinceConfirmed() <= duration && uint64(a.Seq()) >= a.confirmedSeq.Load()
 }
 
 // OwnsKey gives the fence of a key if this node may act under it now. While the
--- a/coordination/agent_clock_test.go
+++ b/coordination/agent_clock_test.go
@@ -16,20 +16,20 @@
 	"keelstair.example/rpc"
 )
 
-// TestWord: the bounds of the told time hold whenever it was told between asking and
+// TestCurrent: the bounds of the told time hold whenever it was told between asking and
 // answer, and the upper never goes back; the word ends with the lease, and comes back
 // only once the news up to the renewal is folded.
-func TestWord(t *testing.T) {
+func TestCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated.NewWorld(1)
 		core, node := w.Machine("10.0.0.1").Start(), w.Machine("10.0.0.2").Start()
 		ctx, stop := context.WithCancel(context.Background())
 		defer func() { stop(); core.Kill(); node.Kill(); time.Sleep(10 * time.Second) }()
 		mux := http.NewServeMux()
-		told := int64(0)
+		samples := int64(0)
 		rpc.Handle(mux, RenewMethod, func(context.Context, *RenewRequest) (*RenewResponse, error) {
 			time.Sleep(100 * time.Millisecond)
-			return &RenewResponse{Seq: 9, Time: told}, nil
+			return &RenewResponse{Seq: 9, Time: samples}, nil
 		})
 		l, err := core.Host().Net.Listen("10.0.0.1:1")
 		require.NoError(t, err)
@@ -45,32 +45,32 @@
 		require.False(t, a.Current(), "news 6 to 9 may be a revocation")
 		a.view.Store(&clusterView{seq: 9, grants: map[ids.Key]Grant{}})
 		require.True(t, a.Current())
-		told = int64(time.Hour)
+		samples = int64(time.Hour)
 		require.NoError(t, a.renew(ctx))
 		low, high = a.Time()
-		require.GreaterOrEqual(t, low, told)
-		require.GreaterOrEqual(t, high, told+int64(100*time.Millisecond), "it may have been told at once")
-		require.Less(t, high, told+int64(time.Second))
+		require.GreaterOrEqual(t, low, samples)
+		require.GreaterOrEqual(t, high, samples+int64(100*time.Millisecond), "it may have been told at once")
+		require.Less(t, high, samples+int64(time.Second))
 		begun := time.Now()
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
 			a.LeaseValid()
 			low, high = a.Time()
-			require.LessOrEqual(t, low, told+int64(time.Since(begun)))
-			require.GreaterOrEqual(t, high, told+int64(time.Since(begun)))
+			require.LessOrEqual(t, low, samples+int64(time.Since(begun)))
+			require.GreaterOrEqual(t, high, samples+int64(time.Since(begun)))
 		}
 		// A primary that knows of an earlier time moves nothing back.
-		told -= int64(time.Minute)
+		samples -= int64(time.Minute)
 		require.NoError(t, a.renew(ctx))
 		_, again := a.Time()
 		require.GreaterOrEqual(t, again, high)
-		w.Machine("10.0.0.2").Leap(time.Hour)
+		w.Machine("10.0.0.2").JumpClock(time.Hour)
 		a.LeaseValid()
 		low, high = a.Time()
 		require.Zero(t, low+high, "its clock leapt: what was told says nothing")
 		require.NoError(t, a.renew(ctx))
 		_, high = a.Time()
-		require.Less(t, high, told+int64(time.Second))
+		require.Less(t, high, samples+int64(time.Second))
 		for range 40 {
 			require.True(t, a.Current() || a.SinceConfirmed() > 2900*time.Millisecond)
 			time.Sleep(100 * time.Millisecond)
--- a/coordination/agent_test.go
+++ b/coordination/agent_test.go
@@ -22,9 +22,9 @@
 func (nullWatcher) Observe(ids.Seq, string, []byte) bool { return false }
 func (nullWatcher) Snapshot() []byte                     { return nil }
 
-// TestLateNews: a lease that lapsed and is renewed gives back no key before the
+// TestLateFeed: a lease that lapsed and is renewed gives back no key before the
 // news up to the renewal is folded, since the key may have gone elsewhere.
-func TestLateNews(t *testing.T) {
+func TestLateFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated.NewWorld(1)
 		core, node := w.Machine("10.0.0.1").Start(), w.Machine("10.0.0.2").Start()
--- a/coordination/bad_append_test.go
+++ b/coordination/bad_append_test.go
@@ -17,7 +17,7 @@
 		request := &AppendRequest{Epoch: 2, From: Replica{Disk: "stranger", Addr: "10.0.0.3:1"}, Prev: 2, Entries: []Entry{{Seq: 3, Kind: "put", Body: []byte("three")}}}
 		r, err := c.handleAppend(context.Background(), request)
 		require.True(t, err != nil || !r.OK)
-		requireOld(t, c)
+		requireUnchanged(t, c)
 	})
 }
 
@@ -29,7 +29,7 @@
 		request := &AppendRequest{Epoch: 2, From: proposer, Prev: 2, Entries: []Entry{{Seq: 7, Kind: "put", Body: []byte("three")}}}
 		r, err := c.handleAppend(context.Background(), request)
 		require.True(t, err != nil || !r.OK)
-		requireOld(t, c)
+		requireUnchanged(t, c)
 		require.NoError(t, c.store.load(newReplicatedState(&listMachine{})))
 	})
 }
--- a/coordination/bad_message_test.go
+++ b/coordination/bad_message_test.go
@@ -47,15 +47,15 @@
 	return MustMarshal(r.snapshot(false)), chunksOf(r.machine)
 }
 
-func requireOld(t *testing.T, c *Core) {
+func requireUnchanged(t *testing.T, c *Core) {
 	require.Equal(t, "one,two", c.state.machine.(*listMachine).all())
 	require.EqualValues(t, 2, c.state.seq)
 	require.Zero(t, c.readyEpoch.Load())
 }
 
-// TestCutSnapshot: a snapshot that a proposer sent and that was cut short anywhere is
+// TestTruncatedSnapshot: a snapshot that a proposer sent and that was cut short anywhere is
 // refused, and the data stays as it was; whole, it is taken.
-func TestCutSnapshot(t *testing.T) {
+func TestTruncatedSnapshot(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
 		for _, one := range all {
@@ -67,7 +67,7 @@
 			if err != nil {
 				require.NotContains(t, err.Error(), "\n")
 			}
-			requireOld(t, c)
+			requireUnchanged(t, c)
 		}
 		r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{Epoch: 2, From: proposer, State: body})
 		require.NoError(t, err)
@@ -87,7 +87,7 @@
 		r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{Epoch: 2, From: proposer, State: body})
 		require.NoError(t, err)
 		require.Equal(t, []string{all[0].Name}, r.MissingChunks)
-		requireOld(t, c)
+		requireUnchanged(t, c)
 	})
 }
 
@@ -101,7 +101,7 @@
 			r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{Epoch: epoch, From: proposer, State: body})
 			require.NoError(t, err)
 			require.False(t, r.OK, "epoch %d", epoch)
-			requireOld(t, c)
+			requireUnchanged(t, c)
 		}
 		ballot, err := c.handleBallot(context.Background(), &BallotRequest{Epoch: 9, From: proposer, Record: Record{Epoch: 9, ClusterID: "another", Primary: proposer, Voters: []Replica{c.self}}})
 		require.NoError(t, err)
@@ -125,7 +125,7 @@
 			r, err := c.handleAppend(context.Background(), request)
 			require.NoError(t, err, name)
 			require.False(t, r.OK, name)
-			requireOld(t, c)
+			requireUnchanged(t, c)
 		}
 	})
 }
--- a/coordination/catch_up.go
+++ b/coordination/catch_up.go
@@ -26,9 +26,9 @@
 	return catchUpWait + time.Duration(bytes)*time.Second/slowLinkRate
 }
 
-// stateCopy is a proposer's state at one place in the log. The whole of it is packed only if
+// stateAtSeq is a proposer's state at one place in the log. The whole of it is packed only if
 // some backup needs it.
-type stateCopy struct {
+type stateAtSeq struct {
 	core   *Core
 	locked bool // the caller holds dataMu
 	state  *replicatedState
@@ -38,17 +38,17 @@
 	chunks []Chunk
 }
 
-// copyState notes the state as of now. Nothing changes it from here on but a newer epoch.
-func (c *Core) copyState(locked bool) *stateCopy {
+// captureState notes the state as of now. Nothing changes it from here on but a newer epoch.
+func (c *Core) captureState(locked bool) *stateAtSeq {
 	if !locked {
 		c.dataMu.Lock()
 		defer c.dataMu.Unlock()
 	}
-	return &stateCopy{core: c, locked: locked, state: c.state, seq: c.state.seq, digest: c.state.digest}
+	return &stateAtSeq{core: c, locked: locked, state: c.state, seq: c.state.seq, digest: c.state.digest}
 }
 
 // withState runs a function on the state, unless that has changed.
-func (s *stateCopy) withState(f func()) error {
+func (s *stateAtSeq) withState(f func()) error {
 	if !s.locked {
 		s.core.dataMu.Lock()
 		defer s.core.dataMu.Unlock()
@@ -61,13 +61,13 @@
 }
 
 // entriesAfter gives the entries that a replica at this place lacks.
-func (s *stateCopy) entriesAfter(seq ids.Seq, digest []byte) (entries []Entry, ok bool) {
+func (s *stateAtSeq) entriesAfter(seq ids.Seq, digest []byte) (entries []Entry, ok bool) {
 	err := s.withState(func() { entries, ok = s.state.history.after(seq, digest) })
 	return entries, ok && err == nil
 }
 
 // full gives all of the state.
-func (s *stateCopy) full() ([]byte, []Chunk, error) {
+func (s *stateAtSeq) full() ([]byte, []Chunk, error) {
 	if s.body != nil {
 		return s.body, s.chunks, nil
 	}
@@ -76,7 +76,7 @@
 }
 
 // catchUp makes a backup-to-be ready for an epoch.
-func (c *Core) catchUp(ctx context.Context, e ids.Epoch, to Replica, state *stateCopy) error {
+func (c *Core) catchUp(ctx context.Context, e ids.Epoch, to Replica, state *stateAtSeq) error {
 	request := &SnapshotRequest{Epoch: e, From: c.self, Seq: state.seq, Digest: state.digest}
 	r, err := c.sendCatchUp(ctx, to, request)
 	if err == nil && r.Behind {
--- a/coordination/chunks.go
+++ b/coordination/chunks.go
@@ -98,7 +98,7 @@
 		named[n] = true
 	}
 	s.chunks.Range(func(k, _ any) bool {
-		if n := k.(string); !named[n] && s.disk.Drop(chunkPrefix+n) == nil {
+		if n := k.(string); !named[n] && s.disk.Remove(chunkPrefix+n) == nil {
 			s.chunks.Delete(n)
 		}
 		return true
@@ -161,7 +161,7 @@
 	for wait := time.Second; host.Sleep(ctx, wait); {
 		wait = time.Second
 		record, _ := c.accepted()
-		if record.ClusterID == "" || c.holdsData(record) || !containsDisk(record.Voters, c.self.Disk) {
+		if record.ClusterID == "" || c.isDataReplica(record) || !containsDisk(record.Voters, c.self.Disk) {
 			continue
 		}
 		if of != record.ClusterID {
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -62,11 +62,11 @@
 	store     *store
 	feed      *feed
 
-	registerMu host.Latch
+	registerMu host.ChannelMutex
 	register   register
 	lastHeard  map[ids.DiskID]ids.Tick
 
-	dataMu       host.Latch
+	dataMu       host.ChannelMutex
 	state        *replicatedState
 	readyEpoch   atomic.Uint64
 	reloadNeeded bool
@@ -83,10 +83,10 @@
 // New opens the disk and reads what it holds. It starts nothing.
 func New(opt Options) (*Core, error) {
 	opt.setDefaults()
-	c := &Core{options: opt, registerMu: host.NewLatch(), dataMu: host.NewLatch(), feed: newFeed(), lastHeard: map[ids.DiskID]ids.Tick{}, wakeElection: make(chan struct{}, 1), fatal: make(chan error, 1)}
+	c := &Core{options: opt, registerMu: host.NewChannelMutex(), dataMu: host.NewChannelMutex(), feed: newFeed(), lastHeard: map[ids.DiskID]ids.Tick{}, wakeElection: make(chan struct{}, 1), fatal: make(chan error, 1)}
 	c.store = &store{disk: opt.Host.Disk, timeout: opt.DiskTimeout}
 	id, err := opt.Host.Disk.Load(identityFile)
-	if errors.Is(err, host.ErrGone) {
+	if errors.Is(err, host.ErrNotExist) {
 		id = []byte(NewID())
 		err = opt.Host.Disk.Save(identityFile, id)
 	}
@@ -228,7 +228,7 @@
 		return r, nil
 	}
 	c.registerMu.Lock()
-	c.noteContact(request.From.Disk)
+	c.recordContact(request.From.Disk)
 	c.markDecided(request.Epoch, request.From.Disk)
 	c.registerMu.Unlock()
 	if err := c.store.append(request.Entries); err != nil {
--- a/coordination/cutoff_test.go
+++ b/coordination/cutoff_test.go
@@ -18,7 +18,7 @@
 	"keelstair.example/rpc"
 )
 
-const cutOffSpan = 20 * time.Second
+const partitionDuration = 20 * time.Second
 
 // direction is which way packets between a machine and the other cores are lost.
 type direction string
@@ -29,18 +29,18 @@
 	reachesNone direction = "it reaches nobody"
 )
 
-// cutFrom cuts machines off from the other cores, or joins them again. Nodes reach them.
-func (f *fleet) cutFrom(group []string, how direction, cut bool) {
+// partitionFrom cuts machines off from the other cores, or joins them again. Nodes reach them.
+func (f *fleet) partitionFrom(group []string, how direction, partitioned bool) {
 	var rest []string
 	for ip := range f.cores {
 		rest = append(rest, ip)
 	}
 	for _, ip := range group {
 		if how != reachesNone {
-			f.world.Cut(rest, []string{ip}, cut)
+			f.world.Block(rest, []string{ip}, partitioned)
 		}
 		if how != hearsNone {
-			f.world.Cut([]string{ip}, rest, cut)
+			f.world.Block([]string{ip}, rest, partitioned)
 		}
 	}
 }
@@ -58,12 +58,12 @@
 	return submitted, read
 }
 
-// TestCutOff: the primary, the backup or a holder without data, or two of them where two
+// TestPartition: the primary, the backup or a holder without data, or two of them where two
 // losses are borne, are cut off from the other cores for 20 s, both ways or one way. Commands
 // are answered all the while. A machine that is cut off both ways takes no order, confirms
 // none, refuses none and tells nothing of its state. Afterwards all have all, and the next
 // loss is borne.
-func TestCutOff(t *testing.T) {
+func TestPartition(t *testing.T) {
 	sizes := []struct{ machines, losses int }{{3, 1}, {6, 2}}
 	for _, size := range sizes {
 		for _, how := range []direction{bothWays, hearsNone, reachesNone} {
@@ -103,15 +103,15 @@
 	defer f.close()
 	require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 	time.Sleep(2 * time.Second)
-	place := f.voters(t)
-	group := []string{place[first]}
+	addr := f.voters(t)
+	group := []string{addr[first]}
 	if second != first {
-		group = append(group, place[second])
+		group = append(group, addr[second])
 	}
-	f.cutFrom(group, how, true)
+	f.partitionFrom(group, how, true)
 	began := time.Now()
 	sum := 1
-	for n := 0; time.Since(began) < cutOffSpan; n++ {
+	for n := 0; time.Since(began) < partitionDuration; n++ {
 		require.NoError(t, f.submitNumber(1, fmt.Sprint("during", n), 8*time.Second))
 		sum++
 		for _, ip := range group {
@@ -124,7 +124,7 @@
 		}
 		time.Sleep(time.Second)
 	}
-	f.cutFrom(group, how, false)
+	f.partitionFrom(group, how, false)
 	time.Sleep(4 * time.Second)
 	require.NoError(t, f.submitNumber(1, "after", 5*time.Second))
 	f.powerOff(f.leader())
--- a/coordination/directory.go
+++ b/coordination/directory.go
@@ -169,12 +169,12 @@
 }
 
 // recentReplicas gives the replicas that spoke for themselves within the span.
-func (d *Directory) recentReplicas(span time.Duration) (all []Replica, blank []Replica) {
+func (d *Directory) recentReplicas(duration time.Duration) (all []Replica, blank []Replica) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.host.Clock.Now()
 	for _, s := range d.replicas {
-		if now.Past(s.heardAt, span) {
+		if now.Past(s.heardAt, duration) {
 			continue
 		}
 		all = append(all, s.Replica)
--- a/coordination/directory_exchange_test.go
+++ b/coordination/directory_exchange_test.go
@@ -14,11 +14,11 @@
 	"keelstair.example/rpc"
 )
 
-// TestOldPages: the seeds are exchanged one by one for empty machines at new addresses,
+// TestStaleExchanges: the seeds are exchanged one by one for empty machines at new addresses,
 // nodes leave and others join at new addresses, and at each step everyone is told the
 // pages that were true before. Nobody goes back to them: all name the members that the
 // log has, and the disk machines that hold the core. Many seeds.
-func TestOldPages(t *testing.T) {
+func TestStaleExchanges(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
@@ -90,7 +90,7 @@
 			case 2: // a seed is exchanged
 				out := f.seeds[i][:8]
 				f.powerOff(out)
-				f.world.Machine(out).Wipe()
+				f.world.Machine(out).WipeDisk()
 				f.seeds[i] = fmt.Sprintf("10.0.0.%d:1", 7+i)
 				f.core(f.seeds[i])
 				for _, b := range books() {
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// vote is one replica's answer in a round.
-type vote struct {
+// ballotVote is one replica's answer in a round.
+type ballotVote struct {
 	from     Replica
 	response *BallotResponse
 }
@@ -52,9 +52,9 @@
 func (c *Core) collectVotes(ctx context.Context, request *BallotRequest, whom []Replica, enough func(yes []Replica) bool) (Record, []Replica) {
 	ctx, stop := context.WithTimeout(ctx, voteWait)
 	defer stop()
-	votes := make(chan vote, len(whom))
+	votes := make(chan ballotVote, len(whom))
 	for _, s := range whom {
-		go func() { votes <- vote{s, c.requestVote(ctx, s, request)} }()
+		go func() { votes <- ballotVote{s, c.requestVote(ctx, s, request)} }()
 	}
 	var newest Record
 	var yes []Replica
@@ -117,7 +117,7 @@
 func (c *Core) campaign(ctx context.Context, p ballot) (Record, error) {
 	current, promised := c.accepted()
 	c.observeEpoch(promised)
-	if !c.holdsData(current) || p.leadingEpoch != 0 && current.Epoch != p.leadingEpoch {
+	if !c.isDataReplica(current) || p.leadingEpoch != 0 && current.Epoch != p.leadingEpoch {
 		return current, failure.New(failure.Stale, "ascend", c.self.Addr, "the newest record names others")
 	}
 	next := c.draftRecord(current, p)
@@ -196,13 +196,13 @@
 		switch {
 		case s.Disk == p.notBackup || c.directory.leaving(s.Disk):
 			return 2
-		case hadData(current, s):
+		case isDataReplicaOf(current, s):
 			return 0
 		}
 		return 1
 	}
 	sort.SliceStable(yes, func(i, op int) bool { return order(yes[i]) < order(yes[op]) })
-	state := c.copyState(p.leadingEpoch != 0)
+	state := c.captureState(p.leadingEpoch != 0)
 	var ready []Replica
 	for _, s := range yes {
 		if len(ready) < next.faultTolerance() && s.Disk != c.self.Disk && s.Disk != p.notBackup && containsDisk(next.Voters, s.Disk) && c.catchUp(ctx, next.Epoch, s, state) == nil {
@@ -236,4 +236,6 @@
 	return nil
 }
 
-func hadData(r Record, s Replica) bool { return s.Disk == r.Primary.Disk || r.backupRank(s.Disk) >= 0 }
+func isDataReplicaOf(r Record, s Replica) bool {
+	return s.Disk == r.Primary.Disk || r.backupRank(s.Disk) >= 0
+}
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -42,16 +42,16 @@
 					c.bootstrap(ctx, met)
 					idle = c.options.Host.Clock.Now() // it may have led all the while
 				}
-			} else if c.holdsData(known) {
+			} else if c.isDataReplica(known) {
 				c.adoptRecord(known)
 			}
 			continue
 		}
-		if known.Epoch > record.Epoch && (c.adoptRecord(known) || !c.holdsData(known)) {
+		if known.Epoch > record.Epoch && (c.adoptRecord(known) || !c.isDataReplica(known)) {
 			idle = now
 			continue
 		}
-		if c.store.pending.Load() > 0 || !c.holdsData(record) || c.reloadPending() {
+		if c.store.pending.Load() > 0 || !c.isDataReplica(record) || c.reloadPending() {
 			continue
 		}
 		wait := time.Duration(0)
@@ -112,7 +112,7 @@
 	return true
 }
 
-func (c *Core) holdsData(r Record) bool {
+func (c *Core) isDataReplica(r Record) bool {
 	return r.Primary.Disk == c.self.Disk || r.backupRank(c.self.Disk) >= 0
 }
 
@@ -152,9 +152,9 @@
 	record := Record{Epoch: 1, ClusterID: "f-" + string(c.self.Disk), Primary: c.self, Voters: list}
 	record.setBackups(list[1 : 1+c.options.FaultTolerance])
 	c.dataMu.Lock()
-	body, shelf := MustMarshal(c.state.snapshot(false)), chunksOf(c.state.machine)
+	body, chunks := MustMarshal(c.state.snapshot(false)), chunksOf(c.state.machine)
 	c.dataMu.Unlock()
-	if c.bootstrapRecord(ctx, record, body, shelf) {
+	if c.bootstrapRecord(ctx, record, body, chunks) {
 		c.lead(ctx, record)
 	}
 }
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -60,7 +60,7 @@
 // fleet is three cores and two agents on simulated machines.
 type fleet struct {
 	world          *simulated.World
-	processes      map[string]*simulated.Proc
+	processes      map[string]*simulated.Process
 	stops          map[string]context.CancelFunc
 	cores          map[string]*coordination.Core
 	agents         []*coordination.Agent
@@ -79,7 +79,7 @@
 
 // buildIn spreads the cores over zones, one after the other.
 func buildIn(seed uint64, cores, faultTolerance int, zones ...ids.Zone) *fleet {
-	f := &fleet{faultTolerance: faultTolerance, zones: map[string]ids.Zone{}, world: simulated.NewWorld(seed), processes: map[string]*simulated.Proc{}, stops: map[string]context.CancelFunc{}, cores: map[string]*coordination.Core{}}
+	f := &fleet{faultTolerance: faultTolerance, zones: map[string]ids.Zone{}, world: simulated.NewWorld(seed), processes: map[string]*simulated.Process{}, stops: map[string]context.CancelFunc{}, cores: map[string]*coordination.Core{}}
 	for i := range cores {
 		f.seeds = append(f.seeds, fmt.Sprintf("10.0.0.%d:1", i+1))
 	}
@@ -104,7 +104,7 @@
 	return a, v
 }
 
-func (f *fleet) run(ip, addr string, p *simulated.Proc, mount func(*http.ServeMux), run func(context.Context)) {
+func (f *fleet) run(ip, addr string, p *simulated.Process, mount func(*http.ServeMux), run func(context.Context)) {
 	ctx, stop := context.WithCancel(context.Background())
 	f.processes[ip], f.stops[ip] = p, stop
 	l, err := p.Host().Net.Listen(addr)
@@ -119,10 +119,10 @@
 
 func (f *fleet) core(addr string) { f.startCore(addr, false) }
 
-func (f *fleet) startCore(addr string, anew bool) chan error {
+func (f *fleet) startCore(addr string, force bool) chan error {
 	ip := addr[:len(addr)-2]
 	p := f.world.Machine(ip).Start()
-	c, err := coordination.New(coordination.Options{Addr: addr, Zone: f.zones[ip], Host: p.Host(), Seeds: f.seeds, Machine: func() coordination.StateMachine { return &sumMachine{} }, ForceNewCluster: anew, FaultTolerance: f.faultTolerance})
+	c, err := coordination.New(coordination.Options{Addr: addr, Zone: f.zones[ip], Host: p.Host(), Seeds: f.seeds, Machine: func() coordination.StateMachine { return &sumMachine{} }, ForceNewCluster: force, FaultTolerance: f.faultTolerance})
 	if err != nil {
 		panic(err)
 	}
@@ -150,14 +150,14 @@
 func (f *fleet) close() {
 	for ip := range f.processes {
 		f.world.Machine(ip).Freeze(false)
-		f.world.Machine(ip).Stall(false)
+		f.world.Machine(ip).StallDisk(false)
 		f.powerOff(ip)
 	}
 	time.Sleep(30 * time.Second)
 }
 
-func (f *fleet) submitNumber(n int, op string, span time.Duration) error {
-	ctx, stop := context.WithTimeout(context.Background(), span)
+func (f *fleet) submitNumber(n int, op string, duration time.Duration) error {
+	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	_, err := f.agents[0].Submit(ctx, ids.OpID(op), "add", []byte(strconv.Itoa(n)))
 	return err
@@ -225,9 +225,9 @@
 	})
 }
 
-// TestOneHolder: two agents never both hold a key, however leases lapse, cuts
+// TestOneOwner: two agents never both hold a key, however leases lapse, cuts
 // come and go, machines freeze, and leaders change. Many seeds.
-func TestOneHolder(t *testing.T) {
+func TestOneOwner(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
@@ -240,9 +240,9 @@
 				ip := fmt.Sprintf("10.0.1.%d", (int(seed)+i)%2+1)
 				switch (int(seed) + i) % 4 {
 				case 0:
-					f.world.Cut([]string{ip}, []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, true)
+					f.world.Block([]string{ip}, []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, true)
 					time.Sleep(5 * time.Second)
-					f.world.Cut([]string{ip}, []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, false)
+					f.world.Block([]string{ip}, []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, false)
 				case 1:
 					f.world.Machine(ip).Freeze(true)
 					time.Sleep(4 * time.Second)
@@ -255,7 +255,7 @@
 						f.core(l + ":1")
 					}
 				case 3:
-					f.world.Machine(ip).Leap(7 * time.Second)
+					f.world.Machine(ip).JumpClock(7 * time.Second)
 				}
 				time.Sleep(2 * time.Second)
 			}
--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -25,14 +25,14 @@
 	switch {
 	case record.ClusterID == "":
 		return c.refuseNewCluster("this disk belongs to no fleet")
-	case !c.holdsData(record):
+	case !c.isDataReplica(record):
 		return c.refuseNewCluster("this disk holds a register and no data; one of %s and %s has it", record.Primary.Addr, record.Backup.Addr)
 	}
 	spare, err := c.awaitSpares(ctx, record)
 	if err != nil {
 		return err
 	}
-	seq, snapshot, shelf, err := c.skipAhead()
+	seq, snapshot, chunks, err := c.skipAhead()
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 	next.OutgoingVoters = nil
 	next.Primary, next.Voters = c.self, append([]Replica{c.self}, spare...)
 	next.setBackups(spare[:record.faultTolerance()])
-	if !c.bootstrapRecord(ctx, next, MustMarshal(snapshot), shelf) {
+	if !c.bootstrapRecord(ctx, next, MustMarshal(snapshot), chunks) {
 		return c.refuseNewCluster("the empty machines at %s and %s did not agree; order it again", spare[0].Addr, spare[1].Addr)
 	}
 	c.options.Ring.Warn().Uint64("epoch", uint64(next.Epoch)).Uint64("seq", uint64(seq)).
@@ -95,13 +95,13 @@
 	// Who holds what may have changed beyond this disk's knowledge: all is dealt anew.
 	c.state.grants = map[ids.Key]Grant{}
 	c.state.digest, c.state.history = stateDigest(c.state.seq, []byte(NewID())), history{}
-	snapshot, shelf := c.state.snapshot(false), chunksOf(c.state.machine)
-	return seq, snapshot, shelf, c.store.compact(snapshot, shelf)
+	snapshot, chunks := c.state.snapshot(false), chunksOf(c.state.machine)
+	return seq, snapshot, chunks, c.store.compact(snapshot, chunks)
 }
 
 // bootstrapRecord makes a first record with those who hold nothing yet: all promise, the
 // backup takes the snapshot, and the backup accepts first.
-func (c *Core) bootstrapRecord(ctx context.Context, record Record, body []byte, shelf []Chunk) bool {
+func (c *Core) bootstrapRecord(ctx context.Context, record Record, body []byte, chunks []Chunk) bool {
 	request := &BallotRequest{Epoch: record.Epoch, From: c.self, Record: record}
 	if _, yes := c.collectVotes(ctx, request, record.Voters, nil); len(yes) < len(record.Voters) {
 		if _, promised := c.accepted(); promised != record.Epoch {
@@ -110,7 +110,7 @@
 	}
 	order := record.backups()
 	for _, s := range order {
-		if c.sendSnapshot(ctx, record.Epoch, s, body, shelf) != nil {
+		if c.sendSnapshot(ctx, record.Epoch, s, body, chunks) != nil {
 			return false
 		}
 	}
--- a/coordination/force_new_cluster_test.go
+++ b/coordination/force_new_cluster_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFoundAnew: from one surviving copy and two empty machines the core goes on with
+// TestForceNewCluster: from one surviving copy and two empty machines the core goes on with
 // all that was acknowledged, operations keep their outcomes, and the followers go on
 // as they were; keys are dealt under higher fences.
-func TestFoundAnew(t *testing.T) {
+func TestForceNewCluster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := build(3)
 		defer f.close()
@@ -31,7 +31,7 @@
 		for _, a := range f.seeds {
 			f.powerOff(a[:8])
 			if a[:8] != data {
-				f.world.Machine(a[:8]).Wipe()
+				f.world.Machine(a[:8]).WipeDisk()
 			}
 		}
 		require.NotEqual(t, lead, data)
@@ -60,9 +60,9 @@
 	})
 }
 
-// TestFoundAnewBounced: it is refused, in one clear line, while another holder lives,
+// TestForceNewClusterRefused: it is refused, in one clear line, while another holder lives,
 // on a disk without data, on an empty one, and on one that is behind.
-func TestFoundAnewBounced(t *testing.T) {
+func TestForceNewClusterRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := build(4)
 		defer f.close()
--- a/coordination/leader.go
+++ b/coordination/leader.go
@@ -103,14 +103,14 @@
 }
 
 func (l *leader) loop(ctx context.Context) error {
-	beat := time.NewTicker(l.core.options.HeartbeatInterval)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(l.core.options.HeartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		var batch []*operation
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-beat.C:
+		case <-heartbeat.C:
 			if err := l.reconcileMembership(ctx); err != nil {
 				return err
 			}
@@ -252,7 +252,7 @@
 		}
 		return failure.New(failure.Stale, "append", s.Addr, "refused, promised %d", r.Promised)
 	}
-	l.core.contactFrom(s.Disk)
+	l.core.recordContactFrom(s.Disk)
 	return nil
 }
 
@@ -272,7 +272,7 @@
 				r, err := rpc.Call[AppendRequest, AppendResponse](callContext, c.caller, c.directory.Addr(s), heartbeatMethod, &AppendRequest{Epoch: record.Epoch, From: c.self})
 				// An empty disk may answer at the address of one that is lost.
 				if err == nil && r.OK && r.Disk == s.Disk {
-					c.contactFrom(s.Disk)
+					c.recordContactFrom(s.Disk)
 				}
 			}()
 		}
--- a/coordination/lease.go
+++ b/coordination/lease.go
@@ -103,11 +103,11 @@
 	put := func(kind string, body []byte) {
 		out = append(out, &operation{entry: &Entry{Kind: kind, Body: body}, done: make(chan struct{})})
 	}
-	span := c.options.LeaseDuration + c.options.LeaseDuration/10
+	duration := c.options.LeaseDuration + c.options.LeaseDuration/10
 	late, seen := 0, c.state.seq
 	var live []ids.NodeID
 	for n, t := range l.leases {
-		if now.Past(t.renewedAt, span) {
+		if now.Past(t.renewedAt, duration) {
 			late++
 			continue
 		}
@@ -117,9 +117,9 @@
 	sort.Slice(live, func(i, op int) bool { return live[i] < live[op] })
 	// Most leases lapsing together is taken as the core's own trouble for one
 	// more lease: the last view is kept.
-	grace := span
+	grace := duration
 	if late > 1 && late*2 > len(l.leases) {
-		grace = 2 * span
+		grace = 2 * duration
 	}
 	for n, t := range l.leases {
 		if now.Past(t.renewedAt, grace) {
--- a/coordination/losses_test.go
+++ b/coordination/losses_test.go
@@ -42,7 +42,7 @@
 			for _, ip := range ips {
 				f.powerOff(ip)
 				if r.IntN(2) == 0 {
-					f.world.Machine(ip).Wipe()
+					f.world.Machine(ip).WipeDisk()
 				}
 			}
 			require.NoError(t, f.submitNumber(1, fmt.Sprint("then", i), 10*time.Second), "round %d without %v", i, ips)
@@ -85,7 +85,7 @@
 		require.NoError(t, f.submitNumber(2, "b", 10*time.Second))
 		for _, ip := range []string{lead, other} {
 			f.powerOff(ip)
-			f.world.Machine(ip).Wipe()
+			f.world.Machine(ip).WipeDisk()
 		}
 		f.core(away + ":1")
 		ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -51,7 +51,7 @@
 		return Replica{}, Replica{}, false
 	}
 	perZone := countByZone(l.record.Voters, "")
-	in = leastLoadedZone(all, perZone)
+	in = inSmallestZone(all, perZone)
 	for _, s := range l.record.Voters {
 		better := perZone[in.Zone]+2 <= perZone[s.Zone]
 		if better && s.Disk != l.core.self.Disk && (out.Disk == "" || l.record.backupRank(out.Disk) >= 0) {
@@ -72,8 +72,8 @@
 	return perZone
 }
 
-// leastLoadedZone gives the spare whose zone has the fewest holders; the lowest identity of several.
-func leastLoadedZone(all []Replica, perZone map[ids.Zone]int) Replica {
+// inSmallestZone gives the spare whose zone has the fewest holders; the lowest identity of several.
+func inSmallestZone(all []Replica, perZone map[ids.Zone]int) Replica {
 	return slices.MinFunc(all, func(a, b Replica) int {
 		return cmp.Or(cmp.Compare(perZone[a.Zone], perZone[b.Zone]), cmp.Compare(a.Disk, b.Disk))
 	})
@@ -128,16 +128,16 @@
 	if s.Disk == c.self.Disk || !now.Past(at, c.options.ElectionTimeout) {
 		return Replica{}, false
 	}
-	place := c.directory.Addr(s)
+	addr := c.directory.Addr(s)
 	for i := range all {
-		if all[i].Addr == place {
+		if all[i].Addr == addr {
 			return all[i], true
 		}
 	}
 	if len(all) == 0 || !now.Past(at, c.options.ReplaceAfter) {
 		return Replica{}, false
 	}
-	return leastLoadedZone(all, countByZone(l.record.Voters, s.Disk)), true
+	return inSmallestZone(all, countByZone(l.record.Voters, s.Disk)), true
 }
 
 // Leave hands over what this core has, so that it can end: the lead to a backup that is up to
@@ -233,7 +233,7 @@
 	}
 	p := ballot{leadingEpoch: l.record.Epoch, notBackup: leaver.Disk}
 	if all := c.spareReplicas(l.record); len(all) > 0 {
-		p.removed, p.added = leaver.Disk, leastLoadedZone(all, countByZone(l.record.Voters, leaver.Disk))
+		p.removed, p.added = leaver.Disk, inSmallestZone(all, countByZone(l.record.Voters, leaver.Disk))
 	} else if l.record.backupRank(leaver.Disk) < 0 {
 		return nil
 	}
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -28,14 +28,14 @@
 	require.NotEmpty(t, primary)
 	record := f.cores[primary].Directory().Record()
 	backup = machineOf(record.Backup.Addr)
-	holder := map[string]bool{}
+	isVoter := map[string]bool{}
 	for _, h := range record.Voters {
-		holder[machineOf(h.Addr)] = true
+		isVoter[machineOf(h.Addr)] = true
 	}
 	for ip := range f.cores {
 		switch {
 		case ip == primary || ip == backup:
-		case holder[ip]:
+		case isVoter[ip]:
 			witness = ip
 		default:
 			spare = ip
@@ -47,13 +47,13 @@
 }
 
 // await waits until a condition holds, for a span at most.
-func await(span time.Duration, holds func() bool) bool {
-	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(200 * time.Microsecond) {
-		if holds() {
+func await(duration time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(200 * time.Microsecond) {
+		if condition() {
 			return true
 		}
 	}
-	return holds()
+	return condition()
 }
 
 // TestBegunChange: the primary replaces a silent holder by a spare, and loses power when
@@ -69,15 +69,15 @@
 		primary, backup, witness, spare := f.roles(t)
 		all := []string{primary, backup, witness, spare}
 		before := f.cores[primary].Directory().Record().Epoch
-		f.world.Machine(primary).Disk(200 * time.Millisecond)
-		f.world.Sever([]string{witness}, all, true)
+		f.world.Machine(primary).SetDiskDelay(200 * time.Millisecond)
+		f.world.Partition([]string{witness}, all, true)
 		accepted := func() bool { return f.cores[backup].Directory().Record().Epoch > before }
 		require.True(t, await(20*time.Second, accepted), "the change begins")
 		f.powerOff(primary)
-		f.world.Machine(primary).Disk(time.Millisecond)
+		f.world.Machine(primary).SetDiskDelay(time.Millisecond)
 		f.isolate([]string{backup}, true)
 		f.isolate([]string{spare}, true)
-		f.world.Sever([]string{witness}, []string{primary}, false)
+		f.world.Partition([]string{witness}, []string{primary}, false)
 		f.core(primary + ":1")
 		err := f.submitNumber(2, "b", 6*time.Second)
 		if err != nil {
@@ -86,10 +86,10 @@
 		f.powerOff(primary)
 		f.isolate([]string{backup}, false)
 		f.isolate([]string{spare}, false)
-		f.world.Sever([]string{witness}, []string{backup, spare}, true)
+		f.world.Partition([]string{witness}, []string{backup, spare}, true)
 		time.Sleep(5 * time.Second)
 		require.False(t, f.cores[backup].Leads(), "it leads without an acknowledged command")
-		f.world.Sever([]string{witness}, []string{backup, spare}, false)
+		f.world.Partition([]string{witness}, []string{backup, spare}, false)
 		ctx, stop := context.WithTimeout(context.Background(), 15*time.Second)
 		defer stop()
 		r, err := f.agents[1].Submit(ctx, "c", "add", []byte("4"))
@@ -99,19 +99,19 @@
 }
 
 // isolate cuts a group of machines off from all others, or joins them again.
-func (f *fleet) isolate(group []string, cut bool) {
+func (f *fleet) isolate(group []string, partitioned bool) {
 	var rest []string
 	for ip := range f.processes {
 		if !slices.Contains(group, ip) {
 			rest = append(rest, ip)
 		}
 	}
-	f.world.Sever(group, rest, cut)
+	f.world.Partition(group, rest, partitioned)
 }
 
 // leave has a core hand over and then ends its process; its disk stays.
-func (f *fleet) leave(ip string, span time.Duration) error {
-	ctx, stop := context.WithTimeout(context.Background(), span)
+func (f *fleet) leave(ip string, duration time.Duration) error {
+	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	err := f.cores[ip].Leave(ctx)
 	f.powerOff(ip)
@@ -133,12 +133,12 @@
 					primary, backup, witness, _ := f.roles(t)
 					leaver := []string{primary, backup, witness}[role]
 					require.NoError(t, f.leave(leaver, 5*time.Second))
-					f.world.Machine(leaver).Wipe()
+					f.world.Machine(leaver).WipeDisk()
 					require.NoError(t, f.submitNumber(2, "b", 2*time.Second), "orders are taken at once")
 					record := f.cores[f.leader()].Directory().Record()
 					lost := []string{machineOf(record.Primary.Addr), machineOf(record.Backup.Addr)}[next]
 					f.powerOff(lost)
-					f.world.Machine(lost).Wipe()
+					f.world.Machine(lost).WipeDisk()
 					ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 					defer stop()
 					r, err := f.agents[1].Submit(ctx, "c", "add", []byte("4"))
@@ -174,16 +174,16 @@
 	})
 }
 
-// TestRestartCopiesNothing: a holder without data, and then the backup, start again at once on
+// TestRestartSendsNoSnapshot: a holder without data, and then the backup, start again at once on
 // the same disk. No whole state is sent to anyone.
-func TestRestartCopiesNothing(t *testing.T) {
+func TestRestartSendsNoSnapshot(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 4, 1)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
 		primary, backup, witness, _ := f.roles(t)
-		copies := f.cores[primary].SnapshotsSent()
+		sent := f.cores[primary].SnapshotsSent()
 		for _, ip := range []string{witness, backup} {
 			f.powerOff(ip)
 			f.core(ip + ":1")
@@ -191,25 +191,25 @@
 			time.Sleep(2 * time.Second)
 		}
 		require.Equal(t, primary, f.leader())
-		require.Equal(t, copies, f.cores[primary].SnapshotsSent())
+		require.Equal(t, sent, f.cores[primary].SnapshotsSent())
 	})
 }
 
-// TestChangeCopiesNothing: a holder without data is lost and replaced by a spare. The backup,
+// TestChangeSendsNoSnapshot: a holder without data is lost and replaced by a spare. The backup,
 // which stays, is not sent the state that it has.
-func TestChangeCopiesNothing(t *testing.T) {
+func TestChangeSendsNoSnapshot(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 4, 1)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
 		primary, _, witness, _ := f.roles(t)
-		copies := f.cores[primary].SnapshotsSent()
+		sent := f.cores[primary].SnapshotsSent()
 		epoch := f.cores[primary].Directory().Record().Epoch
 		f.powerOff(witness)
 		time.Sleep(5 * time.Second)
 		require.Greater(t, f.cores[primary].Directory().Record().Epoch, epoch, "the holder is replaced")
-		require.Equal(t, copies, f.cores[primary].SnapshotsSent())
+		require.Equal(t, sent, f.cores[primary].SnapshotsSent())
 	})
 }
 
@@ -230,11 +230,11 @@
 		require.NotEqual(t, backup, other)
 		f.isolate([]string{backup}, false)
 		time.Sleep(time.Second)
-		copies := f.cores[primary].SnapshotsSent()
+		sent := f.cores[primary].SnapshotsSent()
 		f.powerOff(other)
-		f.world.Machine(other).Wipe()
+		f.world.Machine(other).WipeDisk()
 		require.NoError(t, f.submitNumber(4, "c", 5*time.Second))
-		require.Equal(t, copies, f.cores[primary].SnapshotsSent())
+		require.Equal(t, sent, f.cores[primary].SnapshotsSent())
 		f.core(other + ":1")
 		time.Sleep(3 * time.Second) // its register passes on to the empty disk
 		f.powerOff(primary)
@@ -265,7 +265,7 @@
 		request := &coordination.SubmitRequest{Op: "b", Kind: "add", Body: []byte("no number")}
 		_, err := rpc.Call[coordination.SubmitRequest, coordination.SubmitResponse](t.Context(), caller, primary+":1", coordination.SubmitMethod, request)
 		require.True(t, failure.Is(err, failure.Bad), "while it leads: %v", err)
-		f.world.Sever([]string{primary}, others, true)
+		f.world.Partition([]string{primary}, others, true)
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
 		_, err = rpc.Call[coordination.SubmitRequest, coordination.SubmitResponse](ctx, caller, primary+":1", coordination.SubmitMethod, request)
@@ -292,15 +292,15 @@
 				witness = ip
 			}
 		}
-		f.world.Sever([]string{previous}, []string{backup, witness}, true)
+		f.world.Partition([]string{previous}, []string{backup, witness}, true)
 		caller := rpc.NewCaller(f.processes["10.0.1.2"].Host().Net)
 		request := &coordination.SubmitRequest{Op: "lost", Kind: "add", Body: []byte("100")}
 		_, err := rpc.Call[coordination.SubmitRequest, coordination.SubmitResponse](t.Context(), caller, previous+":1", coordination.SubmitMethod, request)
 		require.Error(t, err)
-		f.world.Sever([]string{"10.0.1.1", "10.0.1.2"}, []string{previous}, true)
+		f.world.Partition([]string{"10.0.1.1", "10.0.1.2"}, []string{previous}, true)
 		require.NoError(t, f.submitNumber(2, "b", 10*time.Second))
 		f.powerOff(witness)
-		f.world.Sever([]string{previous}, []string{backup, witness, "10.0.1.1", "10.0.1.2"}, false)
+		f.world.Partition([]string{previous}, []string{backup, witness, "10.0.1.1", "10.0.1.2"}, false)
 		require.NoError(t, f.submitNumber(4, "c", 10*time.Second))
 		f.powerOff(backup)
 		f.core(witness + ":1")
@@ -312,9 +312,9 @@
 	})
 }
 
-// TestNewsOfDeposed: a node that has news of an epoch takes none of an older one, however new
+// TestFeedOfDeposed: a node that has news of an epoch takes none of an older one, however new
 // its number.
-func TestNewsOfDeposed(t *testing.T) {
+func TestFeedOfDeposed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := build(1)
 		defer f.close()
@@ -359,7 +359,7 @@
 		require.NoError(t, f.leave(next, 6*time.Second))
 		require.LessOrEqual(t, f.cores[f.leader()].Directory().Record().Epoch, epoch+3, "no ballots are begun while they can't succeed")
 		require.Greater(t, time.Since(began), 700*time.Millisecond, "the other one was not back yet")
-		f.world.Machine(next).Wipe()
+		f.world.Machine(next).WipeDisk()
 		require.NoError(t, f.submitNumber(2, "b", 2*time.Second))
 		time.Sleep(time.Second)
 		require.EqualValues(t, 3, f.watchers[0].sum.Load())
@@ -378,7 +378,7 @@
 			ip := machineOf(f.seeds[(i+int(seed))%len(f.seeds)])
 			require.NoError(t, f.leave(ip, 5*time.Second))
 			if i == 3 {
-				f.world.Machine(ip).Wipe()
+				f.world.Machine(ip).WipeDisk()
 			}
 			time.Sleep(time.Second)
 			f.core(ip + ":1")
--- a/coordination/powerloss_test.go
+++ b/coordination/powerloss_test.go
@@ -154,7 +154,7 @@
 		return
 	}
 	defer loss.Close()
-	disk, err := host.OpenWatchedDisk(dir, func(path string) {
+	disk, err := host.OpenObservedDisk(dir, func(path string) {
 		if err := loss.BeforeSync(path, func(dir string) { h.start(t, dir) }); err != nil {
 			t.Error(err)
 		}
@@ -201,7 +201,7 @@
 	random := rand.New(rand.NewPCG(seed, 1))
 	h := &storeHistory{}
 	states := 0
-	disk, err := host.OpenWatchedDisk(dir, func(path string) {
+	disk, err := host.OpenObservedDisk(dir, func(path string) {
 		err := loss.BeforeSync(path, func(dir string) {
 			states++
 			h.startAgain(t, dir, seed)
@@ -223,8 +223,8 @@
 	return states
 }
 
-// TestOldChunksDropped: the disk keeps no chunk that the machine has let go of.
-func TestOldChunksDropped(t *testing.T) {
+// TestUnusedChunksDropped: the disk keeps no chunk that the machine has let go of.
+func TestUnusedChunksDropped(t *testing.T) {
 	disk, err := host.OpenDisk(t.TempDir())
 	require.NoError(t, err)
 	h := &storeHistory{store: newStore(disk)}
@@ -406,7 +406,7 @@
 	const rows, rowSize, bound = 400, 50_000, 12_000_000
 	dir := t.TempDir()
 	limit := int64(0)
-	disk, err := host.OpenWatchedDisk(dir, func(string) {
+	disk, err := host.OpenObservedDisk(dir, func(string) {
 		used := int64(0)
 		filepath.WalkDir(dir, func(_ string, entry os.DirEntry, err error) error {
 			if info, err := entry.Info(); err == nil && !entry.IsDir() {
--- a/coordination/primary_call.go
+++ b/coordination/primary_call.go
@@ -17,7 +17,7 @@
 	submitAttempt = 1500 * time.Millisecond // of an agent, which has time
 
 	searchWidth = 3                     // processes asked at once where the primary is
-	minPause    = 40 * time.Millisecond // between attempts, at random up to twice as long
+	minBackoff  = 40 * time.Millisecond // between attempts, at random up to twice as long
 )
 
 // CallPrimary asks the primary until it answers, an error is final, or the context ends; the
@@ -31,7 +31,7 @@
 		if err == nil || final != nil && final(err) {
 			return r, addr, err
 		}
-		if !find.pause(ctx, directory) {
+		if !find.backoff(ctx, directory) {
 			return nil, addr, err
 		}
 	}
@@ -79,8 +79,8 @@
 // search looks for the primary, with one round of questions at a time.
 type search struct{ asking atomic.Bool }
 
-// pause waits for a newer record or a short while, and tells whether the context still runs.
-func (s *search) pause(ctx context.Context, directory *Directory) bool {
+// backoff waits for a newer record or a short while, and tells whether the context still runs.
+func (s *search) backoff(ctx context.Context, directory *Directory) bool {
 	grown := directory.RecordChanged()
 	if s.asking.CompareAndSwap(false, true) {
 		go func() {
@@ -88,7 +88,7 @@
 			s.asking.Store(false)
 		}()
 	}
-	timer := time.NewTimer(minPause + rand.N(minPause))
+	timer := time.NewTimer(minBackoff + rand.N(minBackoff))
 	defer timer.Stop()
 	select {
 	case <-grown:
--- a/coordination/primary_call_test.go
+++ b/coordination/primary_call_test.go
@@ -23,8 +23,8 @@
 }
 
 // submitOne submits one addition under an id, within a span and by attempts of a length.
-func submitOne(call *rpc.Caller, directory *coordination.Directory, span, attempt time.Duration, op string) error {
-	ctx, stop := context.WithTimeout(context.Background(), span)
+func submitOne(call *rpc.Caller, directory *coordination.Directory, duration, attempt time.Duration, op string) error {
+	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	request := &coordination.SubmitRequest{Op: ids.OpID("test/" + op), Kind: "add", Body: []byte("1")}
 	_, err := coordination.SubmitWithin(ctx, call, directory, attempt, request)
@@ -109,14 +109,14 @@
 		require.NoError(t, submitOne(call, directory, 5*time.Second, time.Second, "known"))
 		time.Sleep(25 * time.Second) // idle connections are closed by then, and nothing is under way
 		cores := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
-		f.world.Sever([]string{"10.0.2.9"}, cores, true)
+		f.world.Partition([]string{"10.0.2.9"}, cores, true)
 		ctx, stop := context.WithCancel(context.Background())
 		time.AfterFunc(500*time.Millisecond, stop)
 		began := time.Now()
 		_, err := coordination.SubmitWithin(ctx, call, directory, 5*time.Second, &coordination.SubmitRequest{Op: "test/gone", Kind: "add", Body: []byte("5")})
 		require.Error(t, err)
 		require.Less(t, time.Since(began), 600*time.Millisecond)
-		f.world.Sever([]string{"10.0.2.9"}, cores, false)
+		f.world.Partition([]string{"10.0.2.9"}, cores, false)
 		time.Sleep(3 * time.Second)
 		require.EqualValues(t, 2, f.watchers[0].sum.Load())
 	})
--- a/coordination/register.go
+++ b/coordination/register.go
@@ -126,19 +126,19 @@
 	if request.Epoch < c.register.Accepted.Epoch || request.Epoch < c.register.Promised {
 		return &AppendResponse{Disk: c.self.Disk, Promised: c.register.Promised}, nil
 	}
-	c.noteContact(request.From.Disk)
+	c.recordContact(request.From.Disk)
 	c.markDecided(request.Epoch, request.From.Disk)
 	return &AppendResponse{Disk: c.self.Disk, OK: true, Promised: c.register.Promised}, nil
 }
 
-// noteContact notes a sign of life of another replica. The caller holds registerMu.
-func (c *Core) noteContact(d ids.DiskID) { c.lastHeard[d] = c.options.Host.Clock.Now() }
+// recordContact notes a sign of life of another replica. The caller holds registerMu.
+func (c *Core) recordContact(d ids.DiskID) { c.lastHeard[d] = c.options.Host.Clock.Now() }
 
-// contactFrom notes a sign of life of another replica.
-func (c *Core) contactFrom(d ids.DiskID) {
+// recordContactFrom notes a sign of life of another replica.
+func (c *Core) recordContactFrom(d ids.DiskID) {
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
-	c.noteContact(d)
+	c.recordContact(d)
 }
 
 // recentlyHeard tells whether a replica was heard lately. The caller holds registerMu.
--- a/coordination/register_test.go
+++ b/coordination/register_test.go
@@ -78,9 +78,9 @@
 	})
 }
 
-// TestSamePlace: a backup-to-be counts as up to date only if its log is the proposer's, not if
+// TestSameOffset: a backup-to-be counts as up to date only if its log is the proposer's, not if
 // it is as long; entries that do not go on from its log are not taken for its missing ones.
-func TestSamePlace(t *testing.T) {
+func TestSameOffset(t *testing.T) {
 	inRegister(t, func(c *Core, record Record) {
 		entry := func(body string) Entry {
 			return Entry{Kind: joinKind, Body: MustMarshal(&Member{Node: ids.NodeID(body)})}
--- a/coordination/state.go
+++ b/coordination/state.go
@@ -33,7 +33,7 @@
 // told, and tell what it cannot be lower than by now, which a new primary needs.
 type Timekeeper interface {
 	Time(now ids.Tick) int64
-	Observe(now ids.Tick, least int64)
+	Observe(now ids.Tick, minTime int64)
 }
 
 // Placer is a Machine that says which nodes a key may fall to.
--- a/coordination/store.go
+++ b/coordination/store.go
@@ -94,13 +94,13 @@
 		return err
 	}
 	s.rows = countRows(rows)
-	return s.removeOldLogs()
+	return s.removeUnusedLogs()
 }
 
 // loadSnapshot gives the snapshot on disk, or nil if none was taken yet.
 func (s *store) loadSnapshot() (*Snapshot, error) {
 	body, err := s.disk.Load(snapshotFile)
-	if errors.Is(err, host.ErrGone) {
+	if errors.Is(err, host.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
@@ -125,7 +125,7 @@
 		name = snapshot.LogName
 	}
 	log, rows, err := s.disk.Open(name)
-	if errors.Is(err, host.ErrGone) {
+	if errors.Is(err, host.ErrNotExist) {
 		if err := s.checkNew(snapshot, name); err != nil {
 			return nil, err
 		}
@@ -143,7 +143,7 @@
 	switch {
 	case snapshot != nil:
 		return failure.New(failure.Bad, "open log", "disk", "%s, which the snapshot names, is missing: the disk counts as lost", missing)
-	case errors.Is(err, host.ErrGone):
+	case errors.Is(err, host.ErrNotExist):
 		return nil
 	case err != nil:
 		return err
@@ -181,14 +181,14 @@
 	return count
 }
 
-func (s *store) removeOldLogs() error {
+func (s *store) removeUnusedLogs() error {
 	names, err := s.disk.List()
 	if err != nil {
 		return err
 	}
 	for _, n := range names {
 		if strings.HasPrefix(n, logPrefix) && n != s.logName {
-			if err := s.disk.Drop(n); err != nil {
+			if err := s.disk.Remove(n); err != nil {
 				return err
 			}
 		}
@@ -211,12 +211,12 @@
 
 // restore makes a state from a snapshot and the chunks that it names.
 func (s *store) restore(r *replicatedState, snapshot *Snapshot, near []Chunk) error {
-	if shelf, ok := r.machine.(ChunkStore); ok {
+	if chunks, ok := r.machine.(ChunkStore); ok {
 		all, err := s.loadChunks(snapshot.Chunks, near)
 		if err != nil {
 			return err
 		}
-		shelf.RestoreChunks(all)
+		chunks.RestoreChunks(all)
 	}
 	return r.restore(snapshot)
 }
@@ -236,14 +236,14 @@
 	if err != nil {
 		return err
 	}
-	previous, oldName := s.log, s.logName
+	previous, previousName := s.log, s.logName
 	s.log, s.logName, s.rows = log, name, 0
 	if previous != nil {
 		previous.Close()
 	}
 	return s.timed("drop what the snapshot replaces", func() error {
 		s.dropChunks(snapshot)
-		return s.disk.Drop(oldName)
+		return s.disk.Remove(previousName)
 	})
 }
 
@@ -254,8 +254,8 @@
 	var n int
 	fmt.Sscanf(s.logName, logPrefix+"%d", &n)
 	name := fmt.Sprintf(logPrefix+"%d", n+1)
-	copied := *snapshot
-	copied.LogName = name
+	named := *snapshot
+	named.LogName = name
 	made := make(chan host.Log, 1)
 	// A snapshot is large, so it may take longer than a few rows may.
 	err := s.timedWithin(4*s.timeout, "save snapshot", func() error {
@@ -264,7 +264,7 @@
 		if err != nil {
 			return err
 		}
-		return s.disk.Save(snapshotFile, MustMarshal(&copied))
+		return s.disk.Save(snapshotFile, MustMarshal(&named))
 	})
 	if err != nil {
 		go closeLog(made)
@@ -282,7 +282,7 @@
 func (s *store) loadRegister() (register, error) {
 	var b BallotResponse
 	body, err := s.disk.Load(registerFile)
-	if errors.Is(err, host.ErrGone) {
+	if errors.Is(err, host.ErrNotExist) {
 		return register{}, nil
 	}
 	if err != nil {
--- a/coordination/store_test.go
+++ b/coordination/store_test.go
@@ -82,8 +82,8 @@
 }
 
 // addLong adds n by a command of so many bytes.
-func (f *fleet) addLong(n int, op string, size int, span time.Duration) error {
-	ctx, stop := context.WithTimeout(context.Background(), span)
+func (f *fleet) addLong(n int, op string, size int, duration time.Duration) error {
+	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	number := strconv.Itoa(n)
 	_, err := f.agents[0].Submit(ctx, ids.OpID(op), "add", []byte(strings.Repeat("0", size-len(number))+number))
@@ -96,7 +96,7 @@
 	disks := map[string]*lateDisk{}
 	for _, addr := range f.seeds {
 		f.powerOff(addr[:8])
-		f.world.Machine(addr[:8]).Wipe()
+		f.world.Machine(addr[:8]).WipeDisk()
 		disks[addr[:8]] = f.coreOn(addr)
 	}
 	require.NoError(t, f.submitNumber(1, "first", 20*time.Second))
@@ -135,12 +135,12 @@
 		for i := range rows {
 			require.NoError(t, f.addLong(1, fmt.Sprint("long", i), longRow, 20*time.Second))
 		}
-		copies := 0
+		sent := 0
 		for _, d := range disks {
 			if d.snapshots.Load() >= rows*longRow/(5<<20) {
-				copies++
+				sent++
 			}
 		}
-		require.GreaterOrEqual(t, copies, 2, "both copies of the data took snapshots")
+		require.GreaterOrEqual(t, sent, 2, "both copies of the data took snapshots")
 	})
 }
--- a/coordination/times_test.go
+++ b/coordination/times_test.go
@@ -41,7 +41,7 @@
 				rest = append(rest, ip)
 			}
 		}
-		f.world.Cut(rest, []string{lead}, true)
+		f.world.Block(rest, []string{lead}, true)
 		return f.waitForAnswer(t)
 	}},
 	{"backup loses power, until a command is answered", func(t *testing.T, f *fleet, seed uint64) time.Duration {
@@ -71,7 +71,7 @@
 	for ip := range f.processes {
 		all = append(all, ip)
 	}
-	f.world.Sever(all, all, false)
+	f.world.Partition(all, all, false)
 }
 
 // waitForAnswer is the time until a new command is answered.
--- a/coordination/walk_test.go
+++ b/coordination/walk_test.go
@@ -40,17 +40,17 @@
 // walk is one run.
 type walk struct {
 	*fleet
-	t    *testing.T
-	rng  *rand.Rand
-	note []string
-	wipe time.Time // when a disk was lost last
-	mu   sync.Mutex
-	sums map[int]string // by an answer's sum, the command that it was given to
-	want int
+	t     *testing.T
+	rng   *rand.Rand
+	trace []string
+	wipe  time.Time // when a disk was lost last
+	mu    sync.Mutex
+	sums  map[int]string // by an answer's sum, the command that it was given to
+	want  int
 }
 
 func (w *walk) say(form string, args ...any) {
-	w.note = append(w.note, fmt.Sprintf(form, args...))
+	w.trace = append(w.trace, fmt.Sprintf(form, args...))
 }
 
 // client sends commands one after the other, each again until it is answered. Each adds one,
@@ -68,7 +68,7 @@
 		sum := w.command(w.agents[n%len(w.agents)], op)
 		w.mu.Lock()
 		if other, ok := w.sums[sum]; ok || sum <= last {
-			w.t.Errorf("%s and %s were both answered %d, after %d: %v", op, other, sum, last, w.note)
+			w.t.Errorf("%s and %s were both answered %d, after %d: %v", op, other, sum, last, w.trace)
 		}
 		w.sums[sum] = op
 		w.want++
@@ -90,10 +90,10 @@
 	if lead := w.leader(); lead != "" && w.randN(3) == 0 {
 		ip = lead
 	}
-	span := time.Duration(50+w.randN(2500)) * time.Millisecond
+	duration := time.Duration(50+w.randN(2500)) * time.Millisecond
 	switch kind := w.randN(8); kind {
 	case 0, 1:
-		w.cyclePower(ip, span, kind == 1)
+		w.cyclePower(ip, duration, kind == 1)
 	case 2:
 		var group []string
 		for _, a := range w.seeds {
@@ -101,59 +101,59 @@
 				group = append(group, machineOf(a))
 			}
 		}
-		w.say("cut %v for %s", group, span)
+		w.say("cut %v for %s", group, duration)
 		w.isolate(group, true)
-		time.Sleep(span)
+		time.Sleep(duration)
 		w.isolate(group, false)
 	case 3:
 		other := machineOf(w.seeds[w.randN(len(w.seeds))])
-		w.say("one way %s to %s for %s", ip, other, span)
-		w.world.Cut([]string{ip}, []string{other}, true)
-		time.Sleep(span)
-		w.world.Cut([]string{ip}, []string{other}, false)
+		w.say("one way %s to %s for %s", ip, other, duration)
+		w.world.Block([]string{ip}, []string{other}, true)
+		time.Sleep(duration)
+		w.world.Block([]string{ip}, []string{other}, false)
 	case 4:
-		w.say("slow disk %s for %s", ip, span)
-		w.world.Machine(ip).Disk(time.Duration(20+w.randN(300)) * time.Millisecond)
-		time.Sleep(span)
-		w.world.Machine(ip).Disk(time.Millisecond)
+		w.say("slow disk %s for %s", ip, duration)
+		w.world.Machine(ip).SetDiskDelay(time.Duration(20+w.randN(300)) * time.Millisecond)
+		time.Sleep(duration)
+		w.world.Machine(ip).SetDiskDelay(time.Millisecond)
 	case 5:
 		if w.cores[ip] == nil {
 			return
 		}
 		w.say("leave %s", ip)
 		w.leave(ip, 3*time.Second)
-		time.Sleep(span / 4)
+		time.Sleep(duration / 4)
 		w.core(ip + ":1")
 	case 6:
-		w.say("freeze %s for %s", ip, span)
+		w.say("freeze %s for %s", ip, duration)
 		w.world.Machine(ip).Freeze(true)
-		time.Sleep(span)
+		time.Sleep(duration)
 		w.world.Machine(ip).Freeze(false)
 	default:
-		w.say("stall %s for %s", ip, span)
-		w.world.Machine(ip).Stall(true)
-		time.Sleep(span)
-		w.world.Machine(ip).Stall(false)
+		w.say("stall %s for %s", ip, duration)
+		w.world.Machine(ip).StallDisk(true)
+		time.Sleep(duration)
+		w.world.Machine(ip).StallDisk(false)
 	}
 	time.Sleep(time.Duration(w.randN(1500)) * time.Millisecond)
 }
 
 // cyclePower has a machine lose its power, and its disk if that is borne: only once the core
 // had time to heal since the last one.
-func (w *walk) cyclePower(ip string, span time.Duration, disk bool) {
+func (w *walk) cyclePower(ip string, duration time.Duration, disk bool) {
 	if w.cores[ip] == nil {
 		return
 	}
 	if disk = disk && time.Since(w.wipe) > 12*time.Second; disk {
 		time.Sleep(6 * time.Second) // nothing else is lost meanwhile
 	}
-	w.say("off %s for %s, disk lost %t", ip, span, disk)
+	w.say("off %s for %s, disk lost %t", ip, duration, disk)
 	w.powerOff(ip)
 	if disk {
-		w.world.Machine(ip).Wipe()
+		w.world.Machine(ip).WipeDisk()
 		w.wipe = time.Now()
 	}
-	time.Sleep(span)
+	time.Sleep(duration)
 	w.core(ip + ":1")
 	if disk {
 		time.Sleep(6 * time.Second)
@@ -184,7 +184,7 @@
 				close(end)
 				clients.Wait()
 				sum := w.command(w.agents[0], "w/last")
-				require.Equal(t, w.want+1, sum, "%d machines, %d losses: %v", size.machines, size.losses, w.note)
+				require.Equal(t, w.want+1, sum, "%d machines, %d losses: %v", size.machines, size.losses, w.trace)
 			})
 		})
 	}
@@ -202,7 +202,7 @@
 			return sum
 		}
 		if time.Since(began) > 90*time.Second {
-			w.t.Errorf("%s is not answered for 90 s: %v: %v", op, err, w.note)
+			w.t.Errorf("%s is not answered for 90 s: %v: %v", op, err, w.trace)
 			return -1
 		}
 	}
--- a/coordination/wipe_test.go
+++ b/coordination/wipe_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWipedInPlace: a machine comes back at its address with an empty disk. It is not
+// TestWipedAtSameAddress: a machine comes back at its address with an empty disk. It is not
 // taken for the disk that is lost: its own takes over that register, so that another
 // lost disk can be borne later.
-func TestWipedInPlace(t *testing.T) {
+func TestWipedAtSameAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := build(5)
 		defer f.close()
@@ -22,7 +22,7 @@
 		time.Sleep(2 * time.Second)
 		wipe := func(ip string) {
 			f.powerOff(ip)
-			f.world.Machine(ip).Wipe()
+			f.world.Machine(ip).WipeDisk()
 			time.Sleep(time.Second)
 			f.core(ip + ":1")
 			time.Sleep(12 * time.Second)
@@ -50,7 +50,7 @@
 			ip := f.leader()
 			require.NotEmpty(t, ip)
 			f.powerOff(ip)
-			f.world.Machine(ip).Wipe()
+			f.world.Machine(ip).WipeDisk()
 			if (uint64(i)+seed)%2 == 0 {
 				ip = fmt.Sprintf("10.0.0.%d", 4+i)
 			}
@@ -79,12 +79,12 @@
 				rest = append(rest, ip)
 			}
 		}
-		f.world.Sever([]string{previous}, rest, true)
+		f.world.Partition([]string{previous}, rest, true)
 		require.NoError(t, f.submitNumber(1, "b", 8*time.Second))
 		time.Sleep(300 * time.Millisecond)
 		for _, v := range f.watchers {
 			require.EqualValues(t, 8, v.sum.Load())
 		}
-		f.world.Sever([]string{previous}, rest, false)
+		f.world.Partition([]string{previous}, rest, false)
 	})
 }
--- a/host/disk.go
+++ b/host/disk.go
@@ -18,10 +18,10 @@
 	"keelstair.example/failure"
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrGone says that a file is not there.
-var ErrGone = fs.ErrNotExist
+// ErrNotExist says that a file is not there.
+var ErrNotExist = fs.ErrNotExist
 
 // unfinishedSuffix marks a file that is being written and has not been renamed yet.
 const unfinishedSuffix = ".new"
@@ -34,11 +34,11 @@
 
 // OpenDisk makes the folder if need be, locks it against a second process, and
 // removes the unfinished files that an earlier process left there.
-func OpenDisk(dir string) (Disk, error) { return OpenWatchedDisk(dir, func(string) {}) }
+func OpenDisk(dir string) (Disk, error) { return OpenObservedDisk(dir, func(string) {}) }
 
-// OpenWatchedDisk is OpenDisk for tests of lost power: beforeSync is called with
+// OpenObservedDisk is OpenDisk for tests of lost power: beforeSync is called with
 // the path of each file or folder right before it is synced.
-func OpenWatchedDisk(dir string, beforeSync func(path string)) (Disk, error) {
+func OpenObservedDisk(dir string, beforeSync func(path string)) (Disk, error) {
 	if err := makeFolder(dir, beforeSync); err != nil {
 		return nil, failure.As(err, failure.Bad, "open data folder", dir)
 	}
@@ -94,7 +94,7 @@
 // Seal puts a checksum before a body; Unseal checks and strips it.
 func Seal(body []byte) []byte {
 	out := make([]byte, 4, 4+len(body))
-	binary.LittleEndian.PutUint32(out, crc32.Checksum(body, table))
+	binary.LittleEndian.PutUint32(out, crc32.Checksum(body, castagnoli))
 	return append(out, body...)
 }
 
@@ -103,7 +103,7 @@
 		return nil, false
 	}
 	body := row[4:]
-	return body, binary.LittleEndian.Uint32(row) == crc32.Checksum(body, table)
+	return body, binary.LittleEndian.Uint32(row) == crc32.Checksum(body, castagnoli)
 }
 
 func (d *realDisk) Save(name string, body []byte) error {
@@ -155,10 +155,10 @@
 	return body, nil
 }
 
-// Drop removes a file or log without a sync, so it may come back after a loss of
+// Remove removes a file or log without a sync, so it may come back after a loss of
 // power, a log also in part. Callers drop only what nothing names any more, and
 // drop it again at the next start.
-func (d *realDisk) Drop(name string) error {
+func (d *realDisk) Remove(name string) error {
 	if err := os.RemoveAll(filepath.Join(d.dir, name)); err != nil {
 		return failure.As(err, failure.Lost, "drop", name)
 	}
--- a/host/disk_test.go
+++ b/host/disk_test.go
@@ -31,7 +31,7 @@
 	require.NoError(t, err)
 	defer d.(*realDisk).lock.Close()
 	l, _, err := d.Open("log-0")
-	if errors.Is(err, ErrGone) {
+	if errors.Is(err, ErrNotExist) {
 		l, err = d.Create("log-0")
 	}
 	require.NoError(t, err)
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestSpoiltTail: the last row's bytes are there but wrong, as after a torn
+// TestCorruptTail: the last row's bytes are there but wrong, as after a torn
 // write of a whole sector; it is cut as well.
-func TestSpoiltTail(t *testing.T) {
+func TestCorruptTail(t *testing.T) {
 	dir := t.TempDir()
 	fill(t, dir, "first", "second")
 	path := segment(t, dir)
@@ -112,7 +112,7 @@
 	_, err = OpenDisk(dir)
 	require.Error(t, err, "a second process must not share the folder")
 	_, err = d.Load("register")
-	require.ErrorIs(t, err, ErrGone)
+	require.ErrorIs(t, err, ErrNotExist)
 	require.NoError(t, d.Save("register", []byte("one")))
 	require.NoError(t, d.Save("register", []byte("two")))
 	got, err := d.Load("register")
--- a/host/host.go
+++ b/host/host.go
@@ -31,9 +31,9 @@
 	Load(name string) ([]byte, error)
 	// Create makes an empty log, in place of any of that name.
 	Create(name string) (Log, error)
-	// Open gives a log that is there and the rows it holds, else ErrGone.
+	// Open gives a log that is there and the rows it holds, else ErrNotExist.
 	Open(name string) (Log, [][]byte, error)
-	Drop(name string) error
+	Remove(name string) error
 	List() ([]string, error)
 }
 
@@ -95,11 +95,11 @@
 	return host, err
 }
 
-// Latch is a lock that may be held across the edges of the machine. Waiting for
+// ChannelMutex is a lock that may be held across the edges of the machine. Waiting for
 // it is waiting on a channel, so simulated time goes on meanwhile.
-type Latch chan struct{}
+type ChannelMutex chan struct{}
 
-func NewLatch() Latch { return make(Latch, 1) }
+func NewChannelMutex() ChannelMutex { return make(ChannelMutex, 1) }
 
-func (l Latch) Lock()   { l <- struct{}{} }
-func (l Latch) Unlock() { <-l }
+func (l ChannelMutex) Lock()   { l <- struct{}{} }
+func (l ChannelMutex) Unlock() { <-l }
--- a/host/log.go
+++ b/host/log.go
@@ -141,7 +141,7 @@
 	if row, ok := Unseal(record); ok {
 		return [][]byte{row}, true
 	}
-	if len(record) < 4 || binary.LittleEndian.Uint32(record) != ^crc32.Checksum(record[4:], table) {
+	if len(record) < 4 || binary.LittleEndian.Uint32(record) != ^crc32.Checksum(record[4:], castagnoli) {
 		return nil, false
 	}
 	var rows [][]byte
@@ -172,7 +172,7 @@
 		}
 	}
 	if len(names) == 0 {
-		return 0, failure.As(ErrGone, failure.Lost, "open log", dir)
+		return 0, failure.As(ErrNotExist, failure.Lost, "open log", dir)
 	}
 	sort.Strings(names)
 	records := uint64(0)
@@ -220,10 +220,10 @@
 	if !newest {
 		return 0, failure.New(failure.Bad, "check log", path, "an older segment is cut short: the disk counts as lost")
 	}
-	return records, d.cut(path, int64(good))
+	return records, d.truncate(path, int64(good))
 }
 
-func (d *realDisk) cut(path string, size int64) error {
+func (d *realDisk) truncate(path string, size int64) error {
 	f, err := os.OpenFile(path, os.O_RDWR, 0o644)
 	if err != nil {
 		return failure.As(err, failure.Lost, "cut log tail", path)
--- a/host/powerloss_test.go
+++ b/host/powerloss_test.go
@@ -18,20 +18,20 @@
 
 // written is what the test knows of the disk: the last content of a file or log
 // that was acknowledged, and what is being written.
-type written struct{ acked, asked string }
+type written struct{ acknowledged, requested string }
 
-func (w written) allows(got string) bool { return got == w.acked || got == w.asked }
+func (w written) allows(got string) bool { return got == w.acknowledged || got == w.requested }
 
 // readBack opens a disk after a loss of power and reads its file and its log.
 func readBack(t *testing.T, dir string) (file, rows string) {
 	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
 	body, err := disk.Load("register")
-	if !errors.Is(err, host.ErrGone) {
+	if !errors.Is(err, host.ErrNotExist) {
 		require.NoError(t, err)
 	}
 	log, all, err := disk.Open("log-0")
-	if errors.Is(err, host.ErrGone) {
+	if errors.Is(err, host.ErrNotExist) {
 		return string(body), ""
 	}
 	require.NoError(t, err)
@@ -53,7 +53,7 @@
 	defer loss.Close()
 	var file, rows written
 	states := 0
-	disk, err := host.OpenWatchedDisk(root, func(path string) {
+	disk, err := host.OpenObservedDisk(root, func(path string) {
 		require.NoError(t, loss.BeforeSync(path, func(dir string) {
 			states++
 			gotFile, gotRows := readBack(t, dir)
@@ -63,15 +63,15 @@
 	})
 	require.NoError(t, err)
 	save := func(body string) {
-		file.asked = body
+		file.requested = body
 		require.NoError(t, disk.Save("register", []byte(body)))
-		file.acked = body
+		file.acknowledged = body
 	}
 	save("one")
-	rows.acked, rows.asked = "", "[]"
+	rows.acknowledged, rows.requested = "", "[]"
 	log, err := disk.Create("log-0")
 	require.NoError(t, err)
-	rows.acked = "[]"
+	rows.acknowledged = "[]"
 	var all [][]byte
 	for i := range 12 {
 		var batch [][]byte
@@ -79,9 +79,9 @@
 			batch = append(batch, fmt.Appendf(nil, "row %d of batch %d", j, i))
 		}
 		all = append(all, batch...)
-		rows.asked = fmt.Sprintf("%s", all)
+		rows.requested = fmt.Sprintf("%s", all)
 		require.NoError(t, log.Append(batch))
-		rows.acked = rows.asked
+		rows.acknowledged = rows.requested
 		save(fmt.Sprint("file ", i))
 	}
 	require.Greater(t, states, 100)
@@ -96,7 +96,7 @@
 	require.NoError(t, err)
 	defer loss.Close()
 	acked := ""
-	disk, err := host.OpenWatchedDisk(root, func(path string) {
+	disk, err := host.OpenObservedDisk(root, func(path string) {
 		require.NoError(t, loss.BeforeSync(path, func(dir string) {
 			if acked == "" {
 				return
@@ -127,7 +127,7 @@
 func TestDataFolderSynced(t *testing.T) {
 	root := t.TempDir()
 	var synced []string
-	_, err := host.OpenWatchedDisk(filepath.Join(root, "above", "data"), func(path string) { synced = append(synced, path) })
+	_, err := host.OpenObservedDisk(filepath.Join(root, "above", "data"), func(path string) { synced = append(synced, path) })
 	require.NoError(t, err)
 	require.Equal(t, []string{root, filepath.Join(root, "above")}, synced)
 }
@@ -149,7 +149,7 @@
 	}
 	segment := func(first int) string { return fmt.Sprintf("%020d", first) }
 	reopen := func(dir string) error {
-		_, _, err := openCopy(t, filepath.Dir(dir)).Open("log-0")
+		_, _, err := reopen(t, filepath.Dir(dir)).Open("log-0")
 		return err
 	}
 	dir := make()
@@ -166,12 +166,12 @@
 
 	dir = make()
 	require.NoError(t, os.Remove(filepath.Join(dir, segment(1))))
-	require.ErrorIs(t, reopen(dir), host.ErrGone)
+	require.ErrorIs(t, reopen(dir), host.ErrNotExist)
 }
 
-// TestRowsTogetherTornApart: of rows appended together and never acknowledged, the
+// TestBatchTornApart: of rows appended together and never acknowledged, the
 // later ones may reach the disk first. They are cut off; the disk isn't called lost.
-func TestRowsTogetherTornApart(t *testing.T) {
+func TestBatchTornApart(t *testing.T) {
 	dir := t.TempDir()
 	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
@@ -187,13 +187,13 @@
 	require.NoError(t, err)
 	clear(body[before.Size():][:4096])
 	require.NoError(t, os.WriteFile(path, body, 0o644))
-	_, rows, err := openCopy(t, dir).Open("log-0")
+	_, rows, err := reopen(t, dir).Open("log-0")
 	require.NoError(t, err)
 	require.Equal(t, "[acknowledged]", fmt.Sprintf("%s", rows))
 }
 
-// openCopy opens a copy of a folder whose own disk is still locked.
-func openCopy(t *testing.T, dir string) host.Disk {
+// reopen opens a copy of a folder whose own disk is still locked.
+func reopen(t *testing.T, dir string) host.Disk {
 	copied := t.TempDir()
 	require.NoError(t, os.CopyFS(copied, os.DirFS(dir)))
 	disk, err := host.OpenDisk(copied)
--- a/host/simulated/disk.go
+++ b/host/simulated/disk.go
@@ -14,51 +14,51 @@
 )
 
 type disk struct {
-	w     *World
-	files map[string][]byte
-	logs  map[string][][]byte
-	delay time.Duration
-	stall bool
-	count int
+	world   *World
+	files   map[string][]byte
+	logs    map[string][][]byte
+	delay   time.Duration
+	stalled bool
+	syncs   int
 }
 
 func newDisk(w *World) *disk {
-	return &disk{w: w, files: map[string][]byte{}, logs: map[string][][]byte{}, delay: time.Millisecond}
+	return &disk{world: w, files: map[string][]byte{}, logs: map[string][][]byte{}, delay: time.Millisecond}
 }
 
-// Disk sets how long a step takes.
-func (m *Machine) Disk(delay time.Duration) {
+// SetDiskDelay sets how long a step takes.
+func (m *Machine) SetDiskDelay(delay time.Duration) {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
 	m.disk.delay = delay
 }
 
-// Stall stops or wakes the disk.
-func (m *Machine) Stall(on bool) {
+// StallDisk stops or wakes the disk.
+func (m *Machine) StallDisk(on bool) {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
-	m.disk.stall = on
-	m.world.shake()
+	m.disk.stalled = on
+	m.world.notify()
 }
 
-// Wipe loses all that the disk held, and what a dying process was still writing.
-func (m *Machine) Wipe() {
+// WipeDisk loses all that the disk held, and what a dying process was still writing.
+func (m *Machine) WipeDisk() {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
 	next := newDisk(m.world)
-	next.delay, next.stall, next.count = m.disk.delay, m.disk.stall, m.disk.count
+	next.delay, next.stalled, next.syncs = m.disk.delay, m.disk.stalled, m.disk.syncs
 	m.disk = next
 }
 
-// Syncs counts the steps that were made durable.
-func (m *Machine) Syncs() int {
+// SyncCount counts the steps that were made durable.
+func (m *Machine) SyncCount() int {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
-	return m.disk.count
+	return m.disk.syncs
 }
 
-// Stored counts the bytes that the disk holds.
-func (m *Machine) Stored() int {
+// StoredBytes counts the bytes that the disk holds.
+func (m *Machine) StoredBytes() int {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
 	total := 0
@@ -73,23 +73,23 @@
 	return total
 }
 
-type handle struct{ p *Proc }
+type processDisk struct{ process *Process }
 
 var errDead = errors.New("the process is dead")
 
 // step waits as the disk makes it wait, then runs f under the world's lock. If
 // the process dies meanwhile, torn decides with chance what was left.
-func (h *handle) step(name string, write bool, f, torn func(d *disk)) error {
-	w := h.p.at.world
-	if !h.p.gate() {
+func (h *processDisk) step(name string, write bool, f, torn func(d *disk)) error {
+	w := h.process.machine.world
+	if !h.process.awaitThaw() {
 		return failure.As(errDead, failure.Lost, name, "disk")
 	}
 	w.mu.Lock()
-	d := h.p.at.disk
-	for d.stall && !h.p.dead {
-		ring := w.ring
+	d := h.process.machine.disk
+	for d.stalled && !h.process.dead {
+		changed := w.changed
 		w.mu.Unlock()
-		<-ring
+		<-changed
 		w.mu.Lock()
 	}
 	wait := d.delay
@@ -98,45 +98,45 @@
 		t := time.NewTimer(wait)
 		select {
 		case <-t.C:
-		case <-h.p.done:
+		case <-h.process.done:
 			t.Stop()
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if h.p.dead {
-		if torn != nil && w.rng.IntN(2) == 0 {
+	if h.process.dead {
+		if torn != nil && w.random.IntN(2) == 0 {
 			torn(d)
 		}
 		return failure.As(errDead, failure.Lost, name, "disk")
 	}
 	if write {
-		d.count++
+		d.syncs++
 	}
 	f(d)
 	return nil
 }
 
-func (h *handle) Save(name string, body []byte) error {
+func (h *processDisk) Save(name string, body []byte) error {
 	put := func(d *disk) { d.files[name] = slices.Clone(body) }
 	return h.step("save "+name, true, put, put)
 }
 
-func (h *handle) Load(name string) ([]byte, error) {
+func (h *processDisk) Load(name string) ([]byte, error) {
 	var out []byte
 	ok := false
 	err := h.step("load "+name, false, func(d *disk) { out, ok = d.files[name] }, nil)
 	if err == nil && !ok {
-		err = failure.As(host.ErrGone, failure.Lost, "load "+name, "disk")
+		err = failure.As(host.ErrNotExist, failure.Lost, "load "+name, "disk")
 	}
 	return slices.Clone(out), err
 }
 
-func (h *handle) Drop(name string) error {
+func (h *processDisk) Remove(name string) error {
 	return h.step("drop "+name, true, func(d *disk) { delete(d.files, name); delete(d.logs, name) }, nil)
 }
 
-func (h *handle) List() ([]string, error) {
+func (h *processDisk) List() ([]string, error) {
 	var out []string
 	err := h.step("list", false, func(d *disk) {
 		for n := range d.files {
@@ -150,18 +150,18 @@
 	return out, err
 }
 
-type rowLog struct {
-	h    *handle
+type processLog struct {
+	disk *processDisk
 	name string
 }
 
-func (h *handle) Create(name string) (host.Log, error) {
+func (h *processDisk) Create(name string) (host.Log, error) {
 	put := func(d *disk) { d.logs[name] = nil }
 	err := h.step("create "+name, true, put, put)
-	return &rowLog{h, name}, err
+	return &processLog{h, name}, err
 }
 
-func (h *handle) Open(name string) (host.Log, [][]byte, error) {
+func (h *processDisk) Open(name string) (host.Log, [][]byte, error) {
 	var rows [][]byte
 	ok := false
 	err := h.step("open "+name, false, func(d *disk) {
@@ -169,19 +169,19 @@
 		rows = slices.Clone(rows)
 	}, nil)
 	if err == nil && !ok {
-		err = failure.As(host.ErrGone, failure.Lost, "open "+name, "disk")
+		err = failure.As(host.ErrNotExist, failure.Lost, "open "+name, "disk")
 	}
-	return &rowLog{h, name}, rows, err
+	return &processLog{h, name}, rows, err
 }
 
-func (l *rowLog) Append(rows [][]byte) error {
+func (l *processLog) Append(rows [][]byte) error {
 	add := func(d *disk, n int) {
 		for _, r := range rows[:n] {
 			d.logs[l.name] = append(d.logs[l.name], slices.Clone(r))
 		}
 	}
-	return l.h.step("append "+l.name, true, func(d *disk) { add(d, len(rows)) },
-		func(d *disk) { add(d, d.w.rng.IntN(len(rows)+1)) })
+	return l.disk.step("append "+l.name, true, func(d *disk) { add(d, len(rows)) },
+		func(d *disk) { add(d, d.world.random.IntN(len(rows)+1)) })
 }
 
-func (l *rowLog) Close() error { return nil }
+func (l *processLog) Close() error { return nil }
--- a/host/simulated/net.go
+++ b/host/simulated/net.go
@@ -19,96 +19,96 @@
 
 func dialFault(err error) error { return &net.OpError{Op: "dial", Net: "simulated", Err: err} }
 
-type place string
+type address string
 
-func (p place) Network() string { return "simulated" }
-func (p place) String() string  { return string(p) }
+func (p address) Network() string { return "simulated" }
+func (p address) String() string  { return string(p) }
 
 type chunk struct {
 	at   time.Time
 	body []byte
 }
 
-// half is one direction of a connection.
-type half struct {
-	w        *World
-	from, to string
-	row      deque.Deque[chunk]
-	next     time.Time
-	end      error
-	due      time.Time
-	ring     chan struct{}
+// pipe is one direction of a connection.
+type pipe struct {
+	world       *World
+	from, to    string
+	chunks      deque.Deque[chunk]
+	nextArrival time.Time
+	err         error
+	deadline    time.Time
+	changed     chan struct{}
 }
 
-func (h *half) shake() {
-	close(h.ring)
-	h.ring = make(chan struct{})
+func (h *pipe) notify() {
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
 
-func (h *half) fail(err error) {
-	if h.end == nil || err == errReset {
-		h.end = err
+func (h *pipe) fail(err error) {
+	if h.err == nil || err == errReset {
+		h.err = err
 		if err == errReset {
-			h.row.Clear()
+			h.chunks.Clear()
 		}
-		h.shake()
+		h.notify()
 	}
 }
 
-type session struct {
-	p       *Proc
-	in, out *half
-	near    place
-	far     place
+type connection struct {
+	process *Process
+	in, out *pipe
+	local   address
+	remote  address
 }
 
-func (p *Proc) pair(q *Proc, near, far place) (*session, *session) {
-	w := p.at.world
-	a := &half{w: w, from: p.at.IP, to: q.at.IP, ring: make(chan struct{})}
-	b := &half{w: w, from: q.at.IP, to: p.at.IP, ring: make(chan struct{})}
-	p.cons[b], q.cons[a] = a, b
-	return &session{p, b, a, near, far}, &session{q, a, b, far, near}
+func (p *Process) connect(q *Process, local, remote address) (*connection, *connection) {
+	w := p.machine.world
+	a := &pipe{world: w, from: p.machine.IP, to: q.machine.IP, changed: make(chan struct{})}
+	b := &pipe{world: w, from: q.machine.IP, to: p.machine.IP, changed: make(chan struct{})}
+	p.connections[b], q.connections[a] = a, b
+	return &connection{p, b, a, local, remote}, &connection{q, a, b, remote, local}
 }
 
-func (c *session) Read(b []byte) (int, error) {
-	w := c.p.at.world
+func (c *connection) Read(b []byte) (int, error) {
+	w := c.process.machine.world
 	h := c.in
 	for {
-		if !c.p.gate() {
+		if !c.process.awaitThaw() {
 			return 0, errReset
 		}
 		w.mu.Lock()
 		now := time.Now()
-		cut := w.link(h.from, h.to).Cut
-		if h.row.Len() > 0 && !cut {
-			if f := h.row.Front(); !f.at.After(now) {
+		blocked := w.link(h.from, h.to).Blocked
+		if h.chunks.Len() > 0 && !blocked {
+			if f := h.chunks.Front(); !f.at.After(now) {
 				n := copy(b, f.body)
 				if n == len(f.body) {
-					h.row.PopFront()
+					h.chunks.PopFront()
 				} else {
-					h.row.Set(0, chunk{f.at, f.body[n:]})
+					h.chunks.Set(0, chunk{f.at, f.body[n:]})
 				}
 				w.mu.Unlock()
 				return n, nil
 			}
 		}
-		if h.end != nil && (h.row.Len() == 0 || h.end == errReset) {
-			end := h.end
+		if h.err != nil && (h.chunks.Len() == 0 || h.err == errReset) {
+			end := h.err
 			w.mu.Unlock()
 			return 0, end
 		}
-		if !h.due.IsZero() && !h.due.After(now) {
+		if !h.deadline.IsZero() && !h.deadline.After(now) {
 			w.mu.Unlock()
 			return 0, os.ErrDeadlineExceeded
 		}
 		wait := time.Hour
-		if h.row.Len() > 0 && !cut {
-			wait = h.row.Front().at.Sub(now)
+		if h.chunks.Len() > 0 && !blocked {
+			wait = h.chunks.Front().at.Sub(now)
 		}
-		if !h.due.IsZero() {
-			wait = min(wait, h.due.Sub(now))
+		if !h.deadline.IsZero() {
+			wait = min(wait, h.deadline.Sub(now))
 		}
-		mine, all := h.ring, w.ring
+		mine, all := h.changed, w.changed
 		w.mu.Unlock()
 		t := time.NewTimer(wait)
 		select {
@@ -120,127 +120,127 @@
 	}
 }
 
-func (c *session) Write(b []byte) (int, error) {
-	if !c.p.gate() {
+func (c *connection) Write(b []byte) (int, error) {
+	if !c.process.awaitThaw() {
 		return 0, errReset
 	}
-	w := c.p.at.world
+	w := c.process.machine.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	h := c.out
-	if h.end != nil {
+	if h.err != nil {
 		return 0, &net.OpError{Op: "write", Net: "simulated", Err: syscall.EPIPE}
 	}
 	l := w.link(h.from, h.to)
 	at := time.Now().Add(l.Delay)
-	if at.Before(h.next) {
-		at = h.next
+	if at.Before(h.nextArrival) {
+		at = h.nextArrival
 	}
-	if l.Speed > 0 {
-		at = at.Add(time.Duration(len(b)) * time.Second / time.Duration(l.Speed))
+	if l.BytesPerSecond > 0 {
+		at = at.Add(time.Duration(len(b)) * time.Second / time.Duration(l.BytesPerSecond))
 	}
-	h.next = at
-	h.row.PushBack(chunk{at, append([]byte(nil), b...)})
-	h.shake()
+	h.nextArrival = at
+	h.chunks.PushBack(chunk{at, append([]byte(nil), b...)})
+	h.notify()
 	return len(b), nil
 }
 
-func (c *session) Close() error {
-	w := c.p.at.world
+func (c *connection) Close() error {
+	w := c.process.machine.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c.out.fail(io.EOF)
 	c.in.fail(net.ErrClosed)
-	delete(c.p.cons, c.in)
+	delete(c.process.connections, c.in)
 	return nil
 }
 
-func (c *session) LocalAddr() net.Addr  { return c.near }
-func (c *session) RemoteAddr() net.Addr { return c.far }
+func (c *connection) LocalAddr() net.Addr  { return c.local }
+func (c *connection) RemoteAddr() net.Addr { return c.remote }
 
-func (c *session) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
+func (c *connection) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-func (c *session) SetReadDeadline(t time.Time) error {
-	c.p.at.world.mu.Lock()
-	defer c.p.at.world.mu.Unlock()
-	c.in.due = t
-	c.in.shake()
+func (c *connection) SetReadDeadline(t time.Time) error {
+	c.process.machine.world.mu.Lock()
+	defer c.process.machine.world.mu.Unlock()
+	c.in.deadline = t
+	c.in.notify()
 	return nil
 }
 
-func (c *session) SetWriteDeadline(time.Time) error { return nil }
+func (c *connection) SetWriteDeadline(time.Time) error { return nil }
 
-// ear is a listener.
-type ear struct {
-	proc   *Proc
-	addr   place
-	calls  chan *session
-	closed chan struct{}
-	over   bool
+// listener is a listener.
+type listener struct {
+	proc     *Process
+	addr     address
+	backlog  chan *connection
+	closed   chan struct{}
+	shutDown bool
 }
 
-func (e *ear) shut() {
-	if !e.over {
-		e.over = true
+func (e *listener) shutdown() {
+	if !e.shutDown {
+		e.shutDown = true
 		close(e.closed)
 	}
 }
 
-func (p *Proc) listen(addr string) (net.Listener, error) {
-	w := p.at.world
+func (p *Process) listen(addr string) (net.Listener, error) {
+	w := p.machine.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if p.dead {
 		return nil, errReset
 	}
 	host, _, err := net.SplitHostPort(addr)
-	if err != nil || host != p.at.IP || p.at.ears[addr] != nil {
+	if err != nil || host != p.machine.IP || p.machine.listeners[addr] != nil {
 		return nil, &net.OpError{Op: "listen", Net: "simulated", Err: syscall.EADDRINUSE}
 	}
-	e := &ear{proc: p, addr: place(addr), calls: make(chan *session, 1024), closed: make(chan struct{})}
-	p.at.ears[addr] = e
+	e := &listener{proc: p, addr: address(addr), backlog: make(chan *connection, 1024), closed: make(chan struct{})}
+	p.machine.listeners[addr] = e
 	return e, nil
 }
 
-func (e *ear) Accept() (net.Conn, error) {
+func (e *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-e.calls:
+	case c := <-e.backlog:
 		return c, nil
 	case <-e.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (e *ear) Close() error {
-	w := e.proc.at.world
+func (e *listener) Close() error {
+	w := e.proc.machine.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if e.proc.at.ears[string(e.addr)] == e {
-		delete(e.proc.at.ears, string(e.addr))
+	if e.proc.machine.listeners[string(e.addr)] == e {
+		delete(e.proc.machine.listeners, string(e.addr))
 	}
-	e.shut()
+	e.shutdown()
 	return nil
 }
 
-func (e *ear) Addr() net.Addr { return e.addr }
+func (e *listener) Addr() net.Addr { return e.addr }
 
 // dial takes a round trip. A cut link or a machine without power says nothing
 // until the caller's patience ends; a machine where nobody listens refuses.
-func (p *Proc) dial(ctx context.Context, addr string) (net.Conn, error) {
+func (p *Process) dial(ctx context.Context, addr string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return nil, dialFault(err)
 	}
-	w := p.at.world
+	w := p.machine.world
 	patience := time.NewTimer(time.Second)
 	defer patience.Stop()
-	if !p.gate() {
+	if !p.awaitThaw() {
 		return nil, dialFault(errors.New("this process is dead"))
 	}
 	w.mu.Lock()
-	there, back := w.link(p.at.IP, host), w.link(host, p.at.IP)
+	there, back := w.link(p.machine.IP, host), w.link(host, p.machine.IP)
 	m := w.machines[host]
-	silent := there.Cut || back.Cut || m == nil || m.dark
+	silent := there.Blocked || back.Blocked || m == nil || m.poweredOff
 	w.mu.Unlock()
 	if silent { // the opening packet is lost, and sent again too late
 		select {
@@ -258,14 +258,14 @@
 		return nil, dialFault(ctx.Err())
 	}
 	w.mu.Lock()
-	e := m.ears[addr]
+	e := m.listeners[addr]
 	if e == nil || p.dead {
 		w.mu.Unlock()
 		return nil, dialFault(syscall.ECONNREFUSED)
 	}
-	mine, theirs := p.pair(e.proc, place(p.at.IP+":0"), place(addr))
+	mine, theirs := p.connect(e.proc, address(p.machine.IP+":0"), address(addr))
 	select {
-	case e.calls <- theirs:
+	case e.backlog <- theirs:
 	default:
 		w.mu.Unlock()
 		return nil, dialFault(syscall.ECONNREFUSED)
--- a/host/simulated/powerloss.go
+++ b/host/simulated/powerloss.go
@@ -27,17 +27,17 @@
 
 // PowerLoss follows one folder.
 type PowerLoss struct {
-	root    string
-	top     inode
-	durable map[inode]fileState
+	root      string
+	rootInode inode
+	durable   map[inode]fileState
 	// Every file seen is held open, so that no inode is used again for another.
-	held   map[inode]*os.File
-	random *rand.Rand
+	openFiles map[inode]*os.File
+	random    *rand.Rand
 }
 
 // NewPowerLoss takes all that the folder holds now as durable.
 func NewPowerLoss(root string, seed uint64) (*PowerLoss, error) {
-	p := &PowerLoss{root: root, held: map[inode]*os.File{}, random: rand.New(rand.NewPCG(seed, 0))}
+	p := &PowerLoss{root: root, openFiles: map[inode]*os.File{}, random: rand.New(rand.NewPCG(seed, 0))}
 	var err error
 	p.durable, err = p.scan()
 	return p, err
@@ -45,7 +45,7 @@
 
 // Close lets go of the files that were seen.
 func (p *PowerLoss) Close() {
-	for _, f := range p.held {
+	for _, f := range p.openFiles {
 		f.Close()
 	}
 }
@@ -54,7 +54,7 @@
 func (p *PowerLoss) scan() (map[inode]fileState, error) {
 	live := map[inode]fileState{}
 	top, err := p.scanPath(p.root, live)
-	p.top = top
+	p.rootInode = top
 	return live, err
 }
 
@@ -64,8 +64,8 @@
 		return 0, err
 	}
 	number := inode(info.Sys().(*syscall.Stat_t).Ino)
-	if p.held[number] == nil {
-		if p.held[number], err = os.Open(path); err != nil {
+	if p.openFiles[number] == nil {
+		if p.openFiles[number], err = os.Open(path); err != nil {
 			return 0, err
 		}
 	}
@@ -90,8 +90,8 @@
 	return number, nil
 }
 
-// choose picks one of n ways; 0 is always what was synced, n-1 what is there now.
-type choose func(n int) int
+// chooser picks one of n ways; 0 is always what was synced, n-1 what is there now.
+type chooser func(n int) int
 
 const (
 	statesInOrder = 48 // of one moment, counted through
@@ -149,13 +149,13 @@
 	return nil
 }
 
-func (p *PowerLoss) visitState(live map[inode]fileState, visit func(dir string), choose choose) error {
+func (p *PowerLoss) visitState(live map[inode]fileState, visit func(dir string), choose chooser) error {
 	dir, err := os.MkdirTemp("", "powerloss")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	if err := p.write(dir, p.top, live, choose); err != nil {
+	if err := p.write(dir, p.rootInode, live, choose); err != nil {
 		return err
 	}
 	visit(dir)
@@ -163,10 +163,10 @@
 }
 
 // write makes a state of one folder and all below it.
-func (p *PowerLoss) write(dir string, number inode, live map[inode]fileState, choose choose) error {
-	old, now := p.durable[number].names, live[number].names
-	for _, name := range unionOf(old, now) {
-		child := old[name]
+func (p *PowerLoss) write(dir string, number inode, live map[inode]fileState, choose chooser) error {
+	previous, now := p.durable[number].names, live[number].names
+	for _, name := range unionOf(previous, now) {
+		child := previous[name]
 		if after := now[name]; after != child && choose(2) == 1 {
 			child = after
 		}
@@ -194,25 +194,25 @@
 	return p.durable[number].folder || live[number].folder
 }
 
-func (p *PowerLoss) body(number inode, live map[inode]fileState, choose choose) []byte {
-	old := p.durable[number].body
+func (p *PowerLoss) body(number inode, live map[inode]fileState, choose chooser) []byte {
+	previous := p.durable[number].body
 	state, there := live[number]
-	if now := state.body; there && !bytes.Equal(old, now) {
-		return chooseBody(old, now, choose)
+	if now := state.body; there && !bytes.Equal(previous, now) {
+		return chooseBody(previous, now, choose)
 	}
-	return old
+	return previous
 }
 
 // chooseBody gives a content between that which was synced and that which is there.
-func chooseBody(old, now []byte, choose choose) []byte {
+func chooseBody(previous, now []byte, choose chooser) []byte {
 	same := 0
-	for same < min(len(old), len(now)) && old[same] == now[same] {
+	for same < min(len(previous), len(now)) && previous[same] == now[same] {
 		same++
 	}
 	middle := (same + len(now)) / 2
 	switch choose(4) {
 	case 0:
-		return old
+		return previous
 	case 1:
 		return now[:middle]
 	case 2:
--- a/host/simulated/world.go
+++ b/host/simulated/world.go
@@ -18,48 +18,48 @@
 
 // Link is how one machine reaches another.
 type Link struct {
-	Delay time.Duration
-	Speed int // bytes a second; 0 is no bound
-	Cut   bool
+	Delay          time.Duration
+	BytesPerSecond int // bytes a second; 0 is no bound
+	Blocked        bool
 }
 
-type pair struct{ from, to string }
+type linkKey struct{ from, to string }
 
 // World holds all machines.
 type World struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	start    time.Time
-	machines map[string]*Machine
-	links    map[pair]Link
-	Plain    Link
-	ring     chan struct{}
+	mu          sync.Mutex
+	random      *rand.Rand
+	start       time.Time
+	machines    map[string]*Machine
+	links       map[linkKey]Link
+	DefaultLink Link
+	changed     chan struct{}
 }
 
 // Machine is a place with an IP number and a disk that outlives its processes.
 type Machine struct {
-	IP     string
-	world  *World
-	frozen bool
-	dark   bool
-	ahead  time.Duration
-	disk   *disk
-	procs  map[*Proc]bool
-	ears   map[string]*ear
+	IP         string
+	world      *World
+	frozen     bool
+	poweredOff bool
+	clockSkew  time.Duration
+	disk       *disk
+	processes  map[*Process]bool
+	listeners  map[string]*listener
 }
 
-// Proc is one process on a machine; it ends when killed.
-type Proc struct {
-	at   *Machine
-	dead bool
-	done chan struct{}
-	cons map[*half]*half
+// Process is one process on a machine; it ends when killed.
+type Process struct {
+	machine     *Machine
+	dead        bool
+	done        chan struct{}
+	connections map[*pipe]*pipe
 }
 
 // NewWorld makes an empty world; the seed decides what chance decides.
 func NewWorld(seed uint64) *World {
-	return &World{rng: rand.New(rand.NewPCG(seed, 11)), start: time.Now(), machines: map[string]*Machine{}, links: map[pair]Link{},
-		Plain: Link{Delay: 500 * time.Microsecond}, ring: make(chan struct{})}
+	return &World{random: rand.New(rand.NewPCG(seed, 11)), start: time.Now(), machines: map[string]*Machine{}, links: map[linkKey]Link{},
+		DefaultLink: Link{Delay: 500 * time.Microsecond}, changed: make(chan struct{})}
 }
 
 // Machine gives the machine of an IP number, made at first use.
@@ -68,29 +68,29 @@
 	defer w.mu.Unlock()
 	m := w.machines[ip]
 	if m == nil {
-		m = &Machine{IP: ip, world: w, procs: map[*Proc]bool{}, ears: map[string]*ear{}}
+		m = &Machine{IP: ip, world: w, processes: map[*Process]bool{}, listeners: map[string]*listener{}}
 		m.disk = newDisk(w)
 		w.machines[ip] = m
 	}
 	return m
 }
 
-// shake wakes everyone who waits on the state of the world. The caller holds mu.
-func (w *World) shake() {
-	close(w.ring)
-	w.ring = make(chan struct{})
+// notify wakes everyone who waits on the state of the world. The caller holds mu.
+func (w *World) notify() {
+	close(w.changed)
+	w.changed = make(chan struct{})
 }
 
-// Set changes the link from one machine to another.
-func (w *World) Set(from, to string, l Link) {
+// SetLink changes the link from one machine to another.
+func (w *World) SetLink(from, to string, l Link) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.links[pair{from, to}] = l
-	w.shake()
+	w.links[linkKey{from, to}] = l
+	w.notify()
 }
 
-// Cut cuts or heals all links from one group to another, one way.
-func (w *World) Cut(from, to []string, cut bool) {
+// Block cuts or heals all links from one group to another, one way.
+func (w *World) Block(from, to []string, blocked bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range from {
@@ -98,21 +98,21 @@
 			if a == b {
 				continue
 			}
-			l, ok := w.links[pair{a, b}]
+			l, ok := w.links[linkKey{a, b}]
 			if !ok {
-				l = w.Plain
+				l = w.DefaultLink
 			}
-			l.Cut = cut
-			w.links[pair{a, b}] = l
+			l.Blocked = blocked
+			w.links[linkKey{a, b}] = l
 		}
 	}
-	w.shake()
+	w.notify()
 }
 
-// Sever cuts or heals all links between two groups, both ways.
-func (w *World) Sever(a, b []string, cut bool) {
-	w.Cut(a, b, cut)
-	w.Cut(b, a, cut)
+// Partition cuts or heals all links between two groups, both ways.
+func (w *World) Partition(a, b []string, blocked bool) {
+	w.Block(a, b, blocked)
+	w.Block(b, a, blocked)
 }
 
 // Slow sets the speed of all links into and out of a machine; 0 heals.
@@ -120,72 +120,72 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for other := range w.machines {
-		for _, p := range []pair{{ip, other}, {other, ip}} {
+		for _, p := range []linkKey{{ip, other}, {other, ip}} {
 			l, ok := w.links[p]
 			if !ok {
-				l = w.Plain
+				l = w.DefaultLink
 			}
-			l.Speed, l.Delay = speed, delay
+			l.BytesPerSecond, l.Delay = speed, delay
 			if speed == 0 && delay == 0 {
-				l.Delay = w.Plain.Delay
+				l.Delay = w.DefaultLink.Delay
 			}
 			w.links[p] = l
 		}
 	}
-	w.shake()
+	w.notify()
 }
 
 func (w *World) link(from, to string) Link {
-	if l, ok := w.links[pair{from, to}]; ok {
+	if l, ok := w.links[linkKey{from, to}]; ok {
 		return l
 	}
-	return w.Plain
+	return w.DefaultLink
 }
 
 // Start begins a process; Host is its edge to the world.
-func (m *Machine) Start() *Proc {
+func (m *Machine) Start() *Process {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
-	p := &Proc{at: m, done: make(chan struct{}), cons: map[*half]*half{}}
-	m.procs[p] = true
-	m.dark = false
-	m.world.shake()
+	p := &Process{machine: m, done: make(chan struct{}), connections: map[*pipe]*pipe{}}
+	m.processes[p] = true
+	m.poweredOff = false
+	m.world.notify()
 	return p
 }
 
 // Host is what the process sees.
-func (p *Proc) Host() host.Host {
-	return host.Host{Clock: clock{p}, Net: network{p}, Disk: &handle{p}}
+func (p *Process) Host() host.Host {
+	return host.Host{Clock: processClock{p}, Net: processNet{p}, Disk: &processDisk{p}}
 }
 
 // Done is closed when the process is killed.
-func (p *Proc) Done() <-chan struct{} { return p.done }
+func (p *Process) Done() <-chan struct{} { return p.done }
 
 // Kill ends the process at once; its neighbours see their connections reset.
-func (p *Proc) Kill() {
-	w := p.at.world
+func (p *Process) Kill() {
+	w := p.machine.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p.kill(true)
-	w.shake()
+	w.notify()
 }
 
-func (p *Proc) kill(loud bool) {
+func (p *Process) kill(reset bool) {
 	if p.dead {
 		return
 	}
 	p.dead = true
 	close(p.done)
-	delete(p.at.procs, p)
-	for a, e := range p.at.ears {
+	delete(p.machine.processes, p)
+	for a, e := range p.machine.listeners {
 		if e.proc == p {
-			delete(p.at.ears, a)
-			e.shut()
+			delete(p.machine.listeners, a)
+			e.shutdown()
 		}
 	}
-	for in, out := range p.cons {
+	for in, out := range p.connections {
 		in.fail(errReset)
-		if loud {
+		if reset {
 			out.fail(errReset)
 		}
 	}
@@ -196,11 +196,11 @@
 func (m *Machine) PowerOff() {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
-	m.dark = true
-	for p := range m.procs {
+	m.poweredOff = true
+	for p := range m.processes {
 		p.kill(false)
 	}
-	m.world.shake()
+	m.world.notify()
 }
 
 // Freeze stops or wakes every process of the machine. Its clock goes on.
@@ -208,45 +208,47 @@
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
 	m.frozen = on
-	m.world.shake()
+	m.world.notify()
 }
 
-// Leap moves the machine's clock ahead.
-func (m *Machine) Leap(d time.Duration) {
+// JumpClock moves the machine's clock ahead.
+func (m *Machine) JumpClock(d time.Duration) {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
-	m.ahead += d
+	m.clockSkew += d
 }
 
-// gate waits while the process is frozen; it is false once the process is dead.
-func (p *Proc) gate() bool {
-	w := p.at.world
+// awaitThaw waits while the process is frozen; it is false once the process is dead.
+func (p *Process) awaitThaw() bool {
+	w := p.machine.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for p.at.frozen && !p.dead {
-		ring := w.ring
+	for p.machine.frozen && !p.dead {
+		changed := w.changed
 		w.mu.Unlock()
-		<-ring
+		<-changed
 		w.mu.Lock()
 	}
 	return !p.dead
 }
 
-type clock struct{ p *Proc }
+type processClock struct{ process *Process }
 
 // Now does not wait for a frozen machine to wake: it is asked under locks. A
 // frozen process is held at its next step on the network or the disk instead,
 // which is the harsher case: what it had checked before is old by then.
-func (c clock) Now() ids.Tick {
-	c.p.at.world.mu.Lock()
-	defer c.p.at.world.mu.Unlock()
-	return ids.Tick(time.Since(c.p.at.world.start) + c.p.at.ahead + time.Hour)
+func (c processClock) Now() ids.Tick {
+	c.process.machine.world.mu.Lock()
+	defer c.process.machine.world.mu.Unlock()
+	return ids.Tick(time.Since(c.process.machine.world.start) + c.process.machine.clockSkew + time.Hour)
 }
 
-func (c clock) Wall() time.Time { return time.Now() }
+func (c processClock) Wall() time.Time { return time.Now() }
 
-type network struct{ p *Proc }
+type processNet struct{ process *Process }
 
-func (n network) Listen(addr string) (net.Listener, error) { return n.p.listen(addr) }
+func (n processNet) Listen(addr string) (net.Listener, error) { return n.process.listen(addr) }
 
-func (n network) Dial(ctx context.Context, addr string) (net.Conn, error) { return n.p.dial(ctx, addr) }
+func (n processNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
+	return n.process.dial(ctx, addr)
+}
--- a/internal/proxy/budget_test.go
+++ b/internal/proxy/budget_test.go
@@ -170,7 +170,7 @@
 				f := build(t, 30, 2, y, plain(), func(o *Options) { o.Allow = allow })
 				defer f.close()
 				time.Sleep(time.Second)
-				f.w.Sever([]string{nodeIP(0)}, append([]string{nodeIP(1)}, coreIps...), true)
+				f.w.Partition([]string{nodeIP(0)}, append([]string{nodeIP(1)}, coreIps...), true)
 				require.True(t, f.until(10*time.Second, func() bool { return len(f.nodes[1].agent.Members()) == 1 }))
 				time.Sleep(after)
 				all := f.load(30, 9*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/again/x", 400, 4) })
@@ -344,7 +344,7 @@
 		time.Sleep(2 * time.Second)
 		rest := append([]string{nodeIP(0), nodeIP(2)}, coreIps...)
 		cut := func(on bool) {
-			f.w.Sever([]string{nodeIP(1)}, rest, on)
+			f.w.Partition([]string{nodeIP(1)}, rest, on)
 			y.at(func() { y.cut[nodeIP(1)] = on })
 		}
 		cut(true)
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -171,7 +171,7 @@
 					f.offCore(l)
 				}
 			case 1:
-				f.w.Sever(ip, coreIps, true)
+				f.w.Partition(ip, coreIps, true)
 			case 2:
 				f.freeze(n, true)
 			case 3:
@@ -186,7 +186,7 @@
 			require.NoError(t, err)
 			v = next
 			time.Sleep(2 * time.Second)
-			f.w.Sever(ip, coreIps, false)
+			f.w.Partition(ip, coreIps, false)
 			f.freeze(n, false)
 			if !f.nodes[n].up {
 				f.node(n)
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -28,7 +28,7 @@
 type testNode struct {
 	*Node
 	ip   string
-	proc *simulated.Proc
+	proc *simulated.Process
 	stop context.CancelFunc
 	done chan struct{}
 	up   bool
@@ -40,7 +40,7 @@
 	y     *yard
 	seeds []string
 	cores map[string]*coordination.Core
-	procs map[string]*simulated.Proc
+	procs map[string]*simulated.Process
 	stops map[string]context.CancelFunc
 	tune  func(*Options)
 
@@ -55,7 +55,7 @@
 
 // build starts a fleet and puts a policy in force.
 func build(t *testing.T, seed uint64, nodes int, y *yard, text []byte, tune func(*Options)) *fleet {
-	f := &fleet{t: t, w: simulated.NewWorld(seed), y: y, tune: tune, cores: map[string]*coordination.Core{}, procs: map[string]*simulated.Proc{}, stops: map[string]context.CancelFunc{}, over: make(chan struct{})}
+	f := &fleet{t: t, w: simulated.NewWorld(seed), y: y, tune: tune, cores: map[string]*coordination.Core{}, procs: map[string]*simulated.Process{}, stops: map[string]context.CancelFunc{}, over: make(chan struct{})}
 	for _, ip := range coreIps {
 		f.seeds = append(f.seeds, ip+":1")
 	}
--- a/internal/proxy/turn_test.go
+++ b/internal/proxy/turn_test.go
@@ -154,9 +154,9 @@
 				time.Sleep(5 * time.Second)
 				f.freeze(h, false)
 			case 2:
-				f.w.Sever(ip, coreIps, true)
+				f.w.Partition(ip, coreIps, true)
 				time.Sleep(6 * time.Second)
-				f.w.Sever(ip, coreIps, false)
+				f.w.Partition(ip, coreIps, false)
 			case 3:
 				f.freeze(h, true)
 				time.Sleep(2 * time.Second)
@@ -234,7 +234,7 @@
 		time.Sleep(3 * time.Second)
 		h := f.holder()
 		require.GreaterOrEqual(t, h, 0)
-		f.w.Sever([]string{nodeIP(h)}, coreIps, true)
+		f.w.Partition([]string{nodeIP(h)}, coreIps, true)
 		next := -1
 		require.True(t, f.until(20*time.Second, func() bool { next = f.holder(); return next >= 0 && next != h }))
 		since := y.now()
@@ -256,7 +256,7 @@
 		require.True(t, f.until(10*time.Second, func() bool { return f.holder() >= 0 }))
 		late := f.nodes[(f.holder()+1)%3]
 		for _, ip := range coreIps {
-			f.w.Set(ip, late.ip, simulated.Link{Delay: 200 * time.Millisecond})
+			f.w.SetLink(ip, late.ip, simulated.Link{Delay: 200 * time.Millisecond})
 		}
 		time.Sleep(4 * time.Second)
 		y.pressed(ids.Prefill, 6)
--- a/internal/simulation/chamber_test.go
+++ b/internal/simulation/chamber_test.go
@@ -98,11 +98,11 @@
 	{"revoked-while-cut", func(c *Cluster, b *Bureau, r *rand.Rand) error {
 		box := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
 		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
-		c.World.Sever(ips(box), mates, true)
+		c.World.Partition(ips(box), mates, true)
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
 		err := b.Revoke("c-" + certifiedBox(c, r, "d").Name)
 		time.Sleep(time.Second)
-		c.World.Sever(ips(box), mates, false)
+		c.World.Partition(ips(box), mates, false)
 		return err
 	}},
 	{"expiry-while-cut", func(c *Cluster, b *Bureau, r *rand.Rand) error {
@@ -123,9 +123,9 @@
 		box := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
 		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 		time.Sleep(time.Duration(1500+r.IntN(1000)) * time.Millisecond)
-		c.World.Sever(ips(box), mates, true)
+		c.World.Partition(ips(box), mates, true)
 		time.Sleep(5 * time.Second)
-		c.World.Sever(ips(box), mates, false)
+		c.World.Partition(ips(box), mates, false)
 		return nil
 	}},
 	{"leader-dies-in-a-revocation", func(c *Cluster, b *Bureau, r *rand.Rand) error {
@@ -154,7 +154,7 @@
 	}},
 	{"clocks-leap", func(c *Cluster, b *Bureau, r *rand.Rand) error {
 		for range 3 {
-			hit(r, append(c.Of("router"), c.Of("controller")...)).Machine.Leap(time.Duration(r.IntN(1000)) * time.Hour)
+			hit(r, append(c.Of("router"), c.Of("controller")...)).Machine.JumpClock(time.Duration(r.IntN(1000)) * time.Hour)
 			time.Sleep(2 * time.Second)
 		}
 		return nil
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -41,8 +41,8 @@
 	Up      bool
 	Leave   context.CancelFunc // a node's SIGTERM
 
-	mu    host.Latch // of what begins and ends it
-	proc  *simulated.Proc
+	mu    host.ChannelMutex // of what begins and ends it
+	proc  *simulated.Process
 	stop  context.CancelFunc
 	begin func(b *Box, ctx context.Context, host host.Host) error
 }
@@ -68,7 +68,7 @@
 	cores sync.Map   // *coordination.Core, every one that was started
 	nodes sync.Map   // *router.Node -> name, likewise
 	mu    sync.Mutex // of Boxes
-	out   *simulated.Proc
+	out   *simulated.Process
 	web   *http.Client
 }
 
@@ -101,7 +101,7 @@
 }
 
 func (c *Cluster) add(b *Box) *Box {
-	b.mu = host.NewLatch()
+	b.mu = host.NewChannelMutex()
 	c.mu.Lock()
 	c.Boxes = append(c.Boxes, b)
 	c.mu.Unlock()
@@ -347,7 +347,7 @@
 func (c *Cluster) Close() {
 	for _, b := range c.Boxes {
 		b.Machine.Freeze(false)
-		b.Machine.Stall(false)
+		b.Machine.StallDisk(false)
 		c.Kill(b)
 	}
 	c.shut()
--- a/internal/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -81,7 +81,7 @@
 		}
 		b := leader(c)
 		c.PowerOff(b)
-		b.Machine.Wipe()
+		b.Machine.WipeDisk()
 		time.Sleep(span(r, 100, 1500))
 		c.add(c.Tenet("controller-"+op, fmt.Sprintf("10.1.%d.%d:700", 1+r.IntN(200), 1+r.IntN(200)), b.Zone))
 		time.Sleep(9 * time.Second)
@@ -102,9 +102,9 @@
 	}},
 	{"a disk stalls", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		b := hit(r, running(c, "controller"))
-		b.Machine.Stall(true)
+		b.Machine.StallDisk(true)
 		time.Sleep(span(r, 500, 5000))
-		b.Machine.Stall(false)
+		b.Machine.StallDisk(false)
 		return nil
 	}},
 	{"a controller freezes and wakes", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
@@ -122,18 +122,18 @@
 				rest = append(rest, o)
 			}
 		}
-		c.World.Sever(ips(b), ips(rest...), true)
+		c.World.Partition(ips(b), ips(rest...), true)
 		time.Sleep(span(r, 1000, 5000))
-		c.World.Sever(ips(b), ips(rest...), false)
+		c.World.Partition(ips(b), ips(rest...), false)
 		return nil
 	}},
 	{"slow disks", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for _, b := range c.Of("controller") {
-			b.Machine.Disk(span(r, 10, 120))
+			b.Machine.SetDiskDelay(span(r, 10, 120))
 		}
 		time.Sleep(span(r, 2000, 6000))
 		for _, b := range c.Of("controller") {
-			b.Machine.Disk(time.Millisecond)
+			b.Machine.SetDiskDelay(time.Millisecond)
 		}
 		return nil
 	}},
@@ -154,7 +154,7 @@
 	}},
 	{"clocks leap", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 3 {
-			hit(r, append(c.Of("router"), c.Of("controller")...)).Machine.Leap(span(r, 500, 20000))
+			hit(r, append(c.Of("router"), c.Of("controller")...)).Machine.JumpClock(span(r, 500, 20000))
 			time.Sleep(span(r, 0, 900))
 		}
 		return nil
@@ -162,9 +162,9 @@
 	{"a node cut from its kind", "links", func(c *Cluster, r *rand.Rand, _ string) error {
 		b := hit(r, c.Of("router"))
 		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
-		c.World.Sever(ips(b), mates, true)
+		c.World.Partition(ips(b), mates, true)
 		time.Sleep(span(r, 1000, 6000))
-		c.World.Sever(ips(b), mates, false)
+		c.World.Partition(ips(b), mates, false)
 		return nil
 	}},
 	{"all leases lapse", "links", func(c *Cluster, r *rand.Rand, _ string) error {
@@ -279,9 +279,9 @@
 		names = append(names, acts[i].name)
 	}
 	return Script{Name: strings.Join(names, " + "), Tune: func(c *Cluster) { c.Slack = 2 * time.Second }, Run: func(c *Cluster, _ *rand.Rand) error {
-		turns := map[string]host.Latch{}
+		turns := map[string]host.ChannelMutex{}
 		for _, a := range acts {
-			turns[a.turn] = host.NewLatch()
+			turns[a.turn] = host.NewChannelMutex()
 		}
 		done := make(chan error, len(list))
 		for n, i := range list {
--- a/internal/simulation/crowd_test.go
+++ b/internal/simulation/crowd_test.go
@@ -48,7 +48,7 @@
 	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		for i, b := range append([]*Box(nil), c.Of("controller")...) {
 			c.PowerOff(b)
-			b.Machine.Wipe()
+			b.Machine.WipeDisk()
 			c.add(c.Tenet("controller-"+string(rune('x'+i)), "10.1.0.3"+string(rune('0'+i))+":700", b.Zone))
 			time.Sleep(9 * time.Second)
 		}
--- a/internal/simulation/decree_test.go
+++ b/internal/simulation/decree_test.go
@@ -109,7 +109,7 @@
 // Apart cuts the core from all nodes, or joins them again.
 func (c *Cluster) Apart(on bool) {
 	c.Book.Mark(map[bool]string{true: "apart", false: "joined"}[on], "core")
-	c.World.Sever(ips(c.Of("controller")...), ips(c.Of("router")...), on)
+	c.World.Partition(ips(c.Of("controller")...), ips(c.Of("router")...), on)
 }
 
 // apart tells whether the core was cut from all nodes at any time since a moment.
--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -145,15 +145,15 @@
 			}
 		}
 		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
-		c.World.Sever(ips(b), mates, true)
+		c.World.Partition(ips(b), mates, true)
 		err := emptied(c, w.Zone, "cut", 7*time.Second)
-		c.World.Sever(ips(b), mates, false)
+		c.World.Partition(ips(b), mates, false)
 		return err
 	}},
 	{Name: "worker-leaves-its-holder-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
 		w := hit(r, c.Of("worker"))
 		b := holder(c, ids.WorkerID(w.Name))
-		c.World.Sever(ips(b), []string{"10.8.0.1"}, true)
+		c.World.Partition(ips(b), []string{"10.8.0.1"}, true)
 		time.Sleep(time.Second)
 		c.Platform.Leave(ids.WorkerID(w.Name))
 		c.Book.Mark("leave", w.Name)
@@ -162,7 +162,7 @@
 			c.stream(b, api.Ask{Kind: c.Site.Shapes[1].Kind, Prompt: fmt.Sprint("who still comes here ", i), MaxTokens: 4})
 			time.Sleep(100 * time.Millisecond)
 		}
-		c.World.Sever(ips(b), []string{"10.8.0.1"}, false)
+		c.World.Partition(ips(b), []string{"10.8.0.1"}, false)
 		return nil
 	}},
 	{Name: "workers-leave-while-leader-and-holder-die", Run: func(c *Cluster, r *rand.Rand) error {
@@ -181,7 +181,7 @@
 		b := able(c)
 		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 		for n := range 3 {
-			c.World.Sever(ips(b), mates, true)
+			c.World.Partition(ips(b), mates, true)
 			insist(c, b)
 			pause(r)
 			for k := range 3 {
@@ -190,7 +190,7 @@
 				}
 			}
 			time.Sleep(time.Second)
-			c.World.Sever(ips(b), mates, false)
+			c.World.Partition(ips(b), mates, false)
 			time.Sleep(time.Second)
 		}
 		return nil
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -40,7 +40,7 @@
 // ratedNet is a network whose machine sends at a limited rate, and counts.
 type ratedNet struct {
 	host.Net
-	latch host.Latch
+	latch host.ChannelMutex
 	sent  *int
 }
 
@@ -119,7 +119,7 @@
 	t         *testing.T
 	world     *simulated.World
 	seeds     []string
-	procs     map[string]*simulated.Proc
+	procs     map[string]*simulated.Process
 	cores     map[string]*coordination.Core
 	stops     map[string]context.CancelFunc
 	operator  *coordination.Agent
@@ -132,7 +132,7 @@
 }
 
 func newHistory(t *testing.T) *history {
-	h := &history{t: t, world: simulated.NewWorld(1), procs: map[string]*simulated.Proc{}, cores: map[string]*coordination.Core{}, stops: map[string]context.CancelFunc{}}
+	h := &history{t: t, world: simulated.NewWorld(1), procs: map[string]*simulated.Process{}, cores: map[string]*coordination.Core{}, stops: map[string]context.CancelFunc{}}
 	for i := range 3 {
 		h.seeds = append(h.seeds, fmt.Sprintf("10.0.0.%d:1", i+1))
 	}
@@ -145,7 +145,7 @@
 	return h
 }
 
-func (h *history) run(addr string, p *simulated.Proc, net host.Net, mount func(*http.ServeMux), run func(context.Context)) {
+func (h *history) run(addr string, p *simulated.Process, net host.Net, mount func(*http.ServeMux), run func(context.Context)) {
 	ctx, stop := context.WithCancel(context.Background())
 	h.procs[addr], h.stops[addr] = p, stop
 	l, err := net.Listen(addr)
@@ -159,7 +159,7 @@
 func (h *history) start(addr string) {
 	p := h.world.Machine(addr[:len(addr)-2]).Start()
 	machine := p.Host()
-	machine.Net = &ratedNet{machine.Net, host.NewLatch(), &h.sent}
+	machine.Net = &ratedNet{machine.Net, host.NewChannelMutex(), &h.sent}
 	core, err := coordination.New(coordination.Options{Addr: addr, Host: machine, Seeds: h.seeds, Machine: func() coordination.StateMachine {
 		return fleetstate.NewMachine(fleetstate.MachineOptions{Wall: machine.Clock.Wall})
 	}})
@@ -228,7 +228,7 @@
 		})
 	}
 	for _, addr := range h.seeds {
-		h.disk = max(h.disk, h.world.Machine(addr[:len(addr)-2]).Stored())
+		h.disk = max(h.disk, h.world.Machine(addr[:len(addr)-2]).StoredBytes())
 	}
 }
 
@@ -255,7 +255,7 @@
 	in := out
 	switch kind {
 	case "wiped":
-		h.world.Machine(out[:len(out)-2]).Wipe()
+		h.world.Machine(out[:len(out)-2]).WipeDisk()
 	case "new":
 		in = fmt.Sprintf("10.0.2.%d:1", h.changes%200+1)
 		for i := range h.seeds {
--- a/internal/simulation/machines_test.go
+++ b/internal/simulation/machines_test.go
@@ -82,7 +82,7 @@
 		}
 		b := leader(c)
 		c.PowerOff(b)
-		b.Machine.Wipe()
+		b.Machine.WipeDisk()
 		time.Sleep(time.Second)
 		c.add(c.Tenet("controller-new", "10.1.0.9:700", b.Zone))
 		time.Sleep(7 * time.Second)
@@ -96,7 +96,7 @@
 				return fmt.Errorf("before round %d: %w", i, err)
 			}
 			c.PowerOff(b)
-			b.Machine.Wipe()
+			b.Machine.WipeDisk()
 			c.add(c.Tenet(fmt.Sprintf("controller-r%d", i), fmt.Sprintf("10.1.0.%d:700", 20+i), b.Zone))
 			time.Sleep(9 * time.Second)
 		}
@@ -170,15 +170,15 @@
 	{Name: "disk-stalls", Run: func(c *Cluster, r *rand.Rand) error {
 		pause(r)
 		b := hit(r, c.Of("controller"))
-		b.Machine.Stall(true)
+		b.Machine.StallDisk(true)
 		time.Sleep(6 * time.Second)
-		b.Machine.Stall(false)
+		b.Machine.StallDisk(false)
 		time.Sleep(3 * time.Second)
 		return change(c, "after-stall", 2000)
 	}},
 	{Name: "slow-disks", Run: func(c *Cluster, r *rand.Rand) error {
 		for _, b := range c.Of("controller") {
-			b.Machine.Disk(time.Duration(20+r.IntN(120)) * time.Millisecond)
+			b.Machine.SetDiskDelay(time.Duration(20+r.IntN(120)) * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
 		return change(c, "slow-disk", 2100)
--- a/internal/simulation/others_test.go
+++ b/internal/simulation/others_test.go
@@ -42,9 +42,9 @@
 				rest = append(rest, o.Machine.IP)
 			}
 		}
-		c.World.Sever(ips(b), rest, true)
+		c.World.Partition(ips(b), rest, true)
 		time.Sleep(6 * time.Second)
-		c.World.Sever(ips(b), rest, false)
+		c.World.Partition(ips(b), rest, false)
 		time.Sleep(2 * time.Second)
 		return change(c, "after-split", 2200)
 	}},
@@ -53,12 +53,12 @@
 		b := leader(c)
 		rest := c.others(b)
 		if r.IntN(2) == 0 {
-			c.World.Cut(ips(b), rest, true)
+			c.World.Block(ips(b), rest, true)
 		} else {
-			c.World.Cut(rest, ips(b), true)
+			c.World.Block(rest, ips(b), true)
 		}
 		time.Sleep(6 * time.Second)
-		c.World.Sever(ips(b), rest, false)
+		c.World.Partition(ips(b), rest, false)
 		return nil
 	}},
 	{Name: "lone-router-cut", Run: func(c *Cluster, r *rand.Rand) error {
@@ -66,9 +66,9 @@
 		b := hit(r, c.Of("router"))
 		// Its workers and callers still reach it: only its own kind does not.
 		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
-		c.World.Sever(ips(b), mates, true)
+		c.World.Partition(ips(b), mates, true)
 		time.Sleep(7 * time.Second)
-		c.World.Sever(ips(b), mates, false)
+		c.World.Partition(ips(b), mates, false)
 		return nil
 	}},
 	{Name: "all-leases-lapse", Run: func(c *Cluster, r *rand.Rand) error {
@@ -81,7 +81,7 @@
 	{Name: "clocks-leap", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 6 {
 			pause(r)
-			hit(r, append(c.Of("router"), c.Of("controller")...)).Machine.Leap(time.Duration(1+r.IntN(20)) * time.Second)
+			hit(r, append(c.Of("router"), c.Of("controller")...)).Machine.JumpClock(time.Duration(1+r.IntN(20)) * time.Second)
 		}
 		return nil
 	}},
@@ -213,14 +213,14 @@
 	{Name: "storm-with-a-node-cut-from-the-core", Run: func(c *Cluster, r *rand.Rand) error {
 		b := able(c)
 		core := ips(c.Of("controller")...)
-		c.World.Sever(ips(b), core, true)
+		c.World.Partition(ips(b), core, true)
 		insist(c, b)
 		for n := range 4 {
 			if err := change(c, fmt.Sprintf("cut-%d", n), 5000+n); err != nil {
 				return err
 			}
 		}
-		c.World.Sever(ips(b), core, false)
+		c.World.Partition(ips(b), core, false)
 		return nil
 	}},
 }
--- a/internal/simulation/plain_test.go
+++ b/internal/simulation/plain_test.go
@@ -22,7 +22,7 @@
 		c := Build(7, standin.Sites["vatuloa"], nil)
 		defer c.Close()
 		for _, b := range c.Of("controller") {
-			b.Machine.Disk(60 * time.Millisecond)
+			b.Machine.SetDiskDelay(60 * time.Millisecond)
 		}
 		late := []*Box{c.Of("controller")[1], c.Of("router")[4]}
 		for _, b := range late {
--- a/internal/simulation/price_test.go
+++ b/internal/simulation/price_test.go
@@ -82,7 +82,7 @@
 					mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 					switch way {
 					case "a node cut off":
-						c.World.Sever(ips(cut), mates, true)
+						c.World.Partition(ips(cut), mates, true)
 					case "the leader killed":
 						go func() {
 							time.Sleep(time.Duration(i) * 3 * time.Millisecond)
@@ -90,7 +90,7 @@
 						}()
 					}
 					require.NoError(t, b.Revoke(fmt.Sprint("x", i)))
-					c.World.Sever(ips(cut), mates, false)
+					c.World.Partition(ips(cut), mates, false)
 					time.Sleep(2 * time.Second)
 					require.NoError(t, c.Start(lead))
 					time.Sleep(4*time.Second + time.Duration(i)*7*time.Millisecond)
--- a/internal/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -275,7 +275,7 @@
 			}
 		}()
 		time.Sleep(time.Second)
-		c.World.Sever(ips(cut), mates, true)
+		c.World.Partition(ips(cut), mates, true)
 		time.Sleep(50 * time.Millisecond)
 		require.NoError(t, b.Revoke("c-d1"))
 		require.NoError(t, b.Revoke("c-d2"))
@@ -285,7 +285,7 @@
 		require.Error(t, err, "its word is too old for anybody")
 		time.Sleep(4 * time.Second)
 		require.Empty(t, b.Check(nil))
-		c.World.Sever(ips(cut), mates, false)
+		c.World.Partition(ips(cut), mates, false)
 		require.True(t, c.Until(8*time.Second, func() bool {
 			got, err := c.stream(cut, speech)
 			return err == nil && got[len(got)-1].End == api.Complete
@@ -305,7 +305,7 @@
 		go func() {
 			for _, box := range []*Box{node(c, "router-1"), node(c, "router-2"), leader(c)} {
 				time.Sleep(4 * time.Second)
-				box.Machine.Leap(48 * time.Hour)
+				box.Machine.JumpClock(48 * time.Hour)
 			}
 		}()
 		all := c.Load(30, 24*time.Second, 1)
--- a/internal/simulation/shelf_test.go
+++ b/internal/simulation/shelf_test.go
@@ -53,7 +53,7 @@
 		old()
 		b := c.Leader()
 		c.PowerOff(b)
-		b.Machine.Wipe()
+		b.Machine.WipeDisk()
 		c.add(c.Tenet("controller-new", "10.1.0.9:700", b.Zone))
 		time.Sleep(9 * time.Second)
 		serve(20)
