--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -36,17 +36,17 @@
 func (s *options) Check() error {
 	span := func(field string, ms, least, most int) error {
 		if ms < least || ms > most {
-			return settings.Fault(field, "%d ms is not from %d to %d", ms, least, most)
+			return settings.Invalid(field, "%d ms is not from %d to %d", ms, least, most)
 		}
 		return nil
 	}
 	if s.Data == "" {
-		return settings.Fault("data", "it is missing")
+		return settings.Invalid("data", "it is missing")
 	}
 	if s.Zone == "" {
-		return settings.Fault("zone", "it is missing")
+		return settings.Invalid("zone", "it is missing")
 	}
-	return settings.First(settings.Addr("addr", s.Addr), settings.Seeds("seeds", s.Seeds),
+	return settings.FirstError(settings.Addr("addr", s.Addr), settings.Seeds("seeds", s.Seeds),
 		span("beatMs", s.BeatMs, 20, 1000), span("silenceMs", s.SilenceMs, 4*s.BeatMs, 30000),
 		span("leaseMs", s.LeaseMs, 2*s.SilenceMs, 60000), span("stallMs", s.StallMs, 50, 30000), span("graceMs", s.GraceMs, 0, 600000), span("replaceMs", s.ReplaceMs, s.SilenceMs, 600000))
 }
--- a/cmd/keelstair-measure/fleet.go
+++ b/cmd/keelstair-measure/fleet.go
@@ -81,7 +81,7 @@
 	p.cmd.Stdout = in
 	if err := p.cmd.Start(); err != nil {
 		out.Close()
-		return nil, failure.As(err, failure.Lost, "start process", p.name)
+		return nil, failure.As(err, failure.DataLost, "start process", p.name)
 	}
 	p.gone = make(chan struct{})
 	go func() { p.cmd.Wait(); close(p.gone) }()
@@ -142,9 +142,9 @@
 	}
 	f.list = l.Addr().String()
 	mux := http.NewServeMux()
-	at := map[ids.Part]string{}
+	at := map[ids.Role]string{}
 	var ends []func() error
-	for _, p := range []ids.Part{ids.Prefill, ids.Decode} {
+	for _, p := range []ids.Role{ids.Prefill, ids.Decode} {
 		if !f.size.Turns {
 			break
 		}
@@ -164,9 +164,9 @@
 	}
 	swap := &swapped{}
 	if f.size.Sort == "router" {
-		rows := []workerclient.Listed{}
+		rows := []workerclient.ListedWorker{}
 		for _, w := range list {
-			rows = append(rows, workerclient.Listed{ID: w.ID, Addr: w.Addr, Zone: w.Zone})
+			rows = append(rows, workerclient.ListedWorker{ID: w.ID, Addr: w.Addr, Zone: w.Zone})
 		}
 		body, err := json.Marshal(rows)
 		if err != nil {
@@ -239,7 +239,7 @@
 	defer context.AfterFunc(ctx, func() { p.cmd.Process.Signal(syscall.SIGKILL) })()
 	row, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
-		return failure.As(err, failure.Lost, "hear from process", p.name)
+		return failure.As(err, failure.DataLost, "hear from process", p.name)
 	}
 	p.addr = strings.TrimSpace(row)
 	return nil
@@ -329,7 +329,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return failure.New(failure.Away, "wait until "+what, "fleet", "not after %s: %s", span, at)
+			return failure.New(failure.Unavailable, "wait until "+what, "fleet", "not after %s: %s", span, at)
 		}
 		if !host.Sleep(ctx, 50*time.Millisecond) {
 			return ctx.Err()
--- a/cmd/keelstair-measure/harm.go
+++ b/cmd/keelstair-measure/harm.go
@@ -95,7 +95,7 @@
 			cmd.Stderr = &said
 			from := time.Now()
 			if err := cmd.Run(); err != nil {
-				return failure.New(failure.Bad, "run program", row, "%v: %s", err, strings.TrimSpace(said.String()))
+				return failure.New(failure.InvalidArgument, "run program", row, "%v: %s", err, strings.TrimSpace(said.String()))
 			}
 			t := Tool{Name: words[0] + " " + words[1], Ms: float64(time.Since(from).Microseconds()) / 1000,
 				CPUMs: float64((cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Microseconds()) / 1000}
--- a/cmd/keelstair-measure/hollow.go
+++ b/cmd/keelstair-measure/hollow.go
@@ -80,7 +80,7 @@
 		h.view, h.relay, h.run = n.View(), n, func(ctx context.Context) { n.Run(ctx, 0, 0) }
 	default:
 		l.Close()
-		return nil, failure.New(failure.Bad, "make node", name, "there is no sort %q", c.Sort)
+		return nil, failure.New(failure.InvalidArgument, "make node", name, "there is no sort %q", c.Sort)
 	}
 	go rpc.Serve(ctx, l, mux)
 	return h, nil
@@ -114,7 +114,7 @@
 func (s *Size) model(i int) string { return fmt.Sprintf("model-%02d", i%s.models()) }
 
 // part has 32 of 100 workers of each model read prompts.
-func (s *Size) part(i int) ids.Part {
+func (s *Size) part(i int) ids.Role {
 	if i/s.models()*8%25 < 8 {
 		return ids.Prefill
 	}
@@ -123,7 +123,7 @@
 
 // workers is a platform's list of a size. Those of a part answer at one address, if any
 // does: else nobody is there, and it is on this machine all the same.
-func (s *Size) workers(at map[ids.Part]string) []proxy.Worker {
+func (s *Size) workers(at map[ids.Role]string) []proxy.Worker {
 	out := make([]proxy.Worker, s.Workers)
 	for i := range out {
 		out[i] = proxy.Worker{ID: ids.WorkerID(fmt.Sprintf("w-%05d-%s", i, coordination.ShortHash(fmt.Sprint("w", i))[:8])), Service: s.model(i), Addr: at[s.part(i)],
--- a/cmd/keelstair-measure/main.go
+++ b/cmd/keelstair-measure/main.go
@@ -40,7 +40,7 @@
 	switch {
 	case s.Run != nil:
 		if s.Run.Seconds < 1 || s.Run.Seconds > 120 {
-			return settings.Fault("seconds", "%d is not from 1 to 120", s.Run.Seconds)
+			return settings.Invalid("seconds", "%d is not from 1 to 120", s.Run.Seconds)
 		}
 		machine, err := thisMachine()
 		if err != nil {
@@ -57,10 +57,10 @@
 		}
 	case s.Hold != nil:
 		if s.Hold.Nodes < 0 || s.Hold.Nodes > 1000 {
-			return settings.Fault("nodes", "%d is not from 0 to 1000", s.Hold.Nodes)
+			return settings.Invalid("nodes", "%d is not from 0 to 1000", s.Hold.Nodes)
 		}
 	case s.Page == nil:
-		return settings.Fault("command", "one of run, page is needed")
+		return settings.Invalid("command", "one of run, page is needed")
 	}
 	return nil
 }
--- a/cmd/keelstair-measure/main_test.go
+++ b/cmd/keelstair-measure/main_test.go
@@ -79,7 +79,7 @@
 	many := usual
 	many.Nodes = 5000
 	err := many.check(m)
-	require.True(t, failure.Is(err, failure.Bad))
+	require.True(t, failure.Is(err, failure.InvalidArgument))
 	require.ErrorContains(t, err, "5000 nodes take 162 processes, over 100")
 	wide := usual
 	wide.Workers = 2_000_000
@@ -100,7 +100,7 @@
 	require.Len(t, with, len(all)+1)
 	for _, at := range []string{"nodes", "nodes=many", "nodes=-1", "nodes=NaN", "weather=3"} {
 		_, err = choose(nil, 0, at)
-		require.True(t, failure.Is(err, failure.Bad), at)
+		require.True(t, failure.Is(err, failure.InvalidArgument), at)
 	}
 }
 
@@ -122,7 +122,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go rpc.Serve(ctx, l, mux)
-	web := rpc.Web(near)
+	web := rpc.NewHTTPClient(near)
 	body := strings.Repeat("x", 100_000)
 	for range 20 {
 		r, err := web.Post("http://"+at+"/echo", "text/plain", strings.NewReader(body))
--- a/cmd/keelstair-measure/page.go
+++ b/cmd/keelstair-measure/page.go
@@ -19,7 +19,7 @@
 		return err
 	}
 	if len(book.Points) == 0 {
-		return failure.New(failure.Bad, "make page", from, "it holds no point; run first")
+		return failure.New(failure.InvalidArgument, "make page", from, "it holds no point; run first")
 	}
 	body, err := os.ReadFile(page)
 	if err != nil {
@@ -52,7 +52,7 @@
 		from, to := "<!-- measure:"+name+" -->", "<!-- /measure:"+name+" -->"
 		i, j := strings.Index(text, from), strings.Index(text, to)
 		if i < 0 || j < i {
-			return "", failure.New(failure.Bad, "make page", name, "the marks %s and %s are not there in this order", from, to)
+			return "", failure.New(failure.InvalidArgument, "make page", name, "the marks %s and %s are not there in this order", from, to)
 		}
 		text = text[:i+len(from)] + "\n" + table + text[j:]
 	}
--- a/cmd/keelstair-measure/picks.go
+++ b/cmd/keelstair-measure/picks.go
@@ -44,11 +44,11 @@
 func (s *still) Free(context.Context, proxy.Worker, string) error { return nil }
 
 func (s *still) Report(context.Context, proxy.Worker) (*proxy.Report, error) {
-	return nil, failure.New(failure.Away, "report", "", "none is given")
+	return nil, failure.New(failure.Unavailable, "report", "", "none is given")
 }
 
 func (s *still) Order(context.Context, proxy.Worker, *proxy.Order) error {
-	return failure.New(failure.Bounced, "order", "", "none is taken")
+	return failure.New(failure.NotExecuted, "order", "", "none is taken")
 }
 
 func (s *still) Close() {}
--- a/cmd/keelstair-measure/proc.go
+++ b/cmd/keelstair-measure/proc.go
@@ -38,7 +38,7 @@
 	// The name may hold blanks; the rest follows its last bracket.
 	f := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	if len(f) < 22 {
-		return u, failure.New(failure.Bad, "read process", at, "%d fields", len(f))
+		return u, failure.New(failure.InvalidArgument, "read process", at, "%d fields", len(f))
 	}
 	var user, sys, pages int64
 	fmt.Sscan(f[11], &user)
--- a/cmd/keelstair-measure/size.go
+++ b/cmd/keelstair-measure/size.go
@@ -64,7 +64,7 @@
 			return m, nil
 		}
 	}
-	return m, failure.New(failure.Bad, "read memory", "/proc/meminfo", "it does not tell")
+	return m, failure.New(failure.InvalidArgument, "read memory", "/proc/meminfo", "it does not tell")
 }
 
 // processes tells how many a size takes, with an empty one to compare with.
@@ -97,11 +97,11 @@
 func (s *Size) check(m machine) error {
 	switch {
 	case s.Nodes < 1 || s.Workers < 0 || s.Routes < 1 || s.Duties < 0 || s.Rate < 0 || s.Lost < 0 || s.Lost >= s.Nodes:
-		return settings.Fault("size", "%+v cannot be", *s)
+		return settings.Invalid("size", "%+v cannot be", *s)
 	case s.processes() > mostProcs:
-		return settings.Fault("nodes", "%d nodes take %d processes, over %d", s.Nodes, s.processes(), mostProcs)
+		return settings.Invalid("nodes", "%d nodes take %d processes, over %d", s.Nodes, s.processes(), mostProcs)
 	case s.memory() > m.Memory/2:
-		return settings.Fault("size", "%d nodes, %d workers and %d routes may take %d MB; half of this machine's memory is %d MB",
+		return settings.Invalid("size", "%d nodes, %d workers and %d routes may take %d MB; half of this machine's memory is %d MB",
 			s.Nodes, s.Workers, s.Routes, s.memory()>>20, m.Memory>>21)
 	}
 	return nil
@@ -146,7 +146,7 @@
 		name, text, _ := strings.Cut(a, "=")
 		x, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(x >= 0 && x <= 1e9) {
-			return nil, settings.Fault("at", "%q is not a sweep and a size, such as nodes=400", a)
+			return nil, settings.Invalid("at", "%q is not a sweep and a size, such as nodes=400", a)
 		}
 		more[name] = append(more[name], x)
 	}
@@ -163,11 +163,11 @@
 	}
 	for _, n := range only {
 		if !slices.Contains(names, n) {
-			return nil, settings.Fault("only", "there is no sweep %q; there are %s", n, strings.Join(names, ", "))
+			return nil, settings.Invalid("only", "there is no sweep %q; there are %s", n, strings.Join(names, ", "))
 		}
 	}
 	if len(out) == 0 {
-		return nil, settings.Fault("only", "no point is left")
+		return nil, settings.Invalid("only", "no point is left")
 	}
 	return out, nil
 }
--- a/cmd/keelstair-plan/main.go
+++ b/cmd/keelstair-plan/main.go
@@ -45,9 +45,9 @@
 
 func (s *options) Check() error {
 	if s.Policy == nil && s.Evacuate == nil && s.Zone == nil && s.Machine == nil && s.Drain == nil && s.Revoke == nil && s.Expire == nil {
-		return settings.Fault("command", "one is needed; see keelstair-plan --help")
+		return settings.Invalid("command", "one is needed; see keelstair-plan --help")
 	}
-	return cli.Doors(&s.Doors)
+	return cli.CheckEndpoints(&s.Doors)
 }
 
 func main() {
@@ -105,7 +105,7 @@
 	case s.Expire != nil:
 		at, err := time.Parse(time.RFC3339, s.Expire.Name)
 		if err != nil {
-			return forecast.Change{}, settings.Fault("time", "%q is no time such as 2026-12-31T00:00:00Z", s.Expire.Name)
+			return forecast.Change{}, settings.Invalid("time", "%q is no time such as 2026-12-31T00:00:00Z", s.Expire.Name)
 		}
 		return forecast.Change{At: at.UnixNano()}, nil
 	}
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -132,13 +132,13 @@
 	}
 	text, err := os.ReadFile(os.Args[2])
 	if err != nil {
-		return nil, failure.As(err, failure.Bad, "read policy", os.Args[2])
+		return nil, failure.As(err, failure.InvalidArgument, "read policy", os.Args[2])
 	}
 	p, err := fleetstate.Plain(text)
 	if err == nil {
 		err = p.CheckPrograms()
 	}
-	return p.Sources(), failure.As(err, failure.Bad, "read policy", os.Args[2])
+	return p.Sources(), failure.As(err, failure.InvalidArgument, "read policy", os.Args[2])
 }
 
 func runRouter(s *platform.Settings) error {
--- a/cmd/keelstair-router/main.go
+++ b/cmd/keelstair-router/main.go
@@ -37,15 +37,15 @@
 func (s *options) Check() error {
 	switch {
 	case s.Zone == "":
-		return settings.Fault("zone", "it is missing")
+		return settings.Invalid("zone", "it is missing")
 	case s.LeaseMs < 500 || s.LeaseMs > 60000:
-		return settings.Fault("leaseMs", "%d ms is not from 500 to 60000", s.LeaseMs)
+		return settings.Invalid("leaseMs", "%d ms is not from 500 to 60000", s.LeaseMs)
 	case s.OrphanMs < 100 || s.PulseMs < 500:
-		return settings.Fault("orphanMs, pulseMs", "too short to be of use")
+		return settings.Invalid("orphanMs, pulseMs", "too short to be of use")
 	case s.DrainMs < 0:
-		return settings.Fault("drainMs", "it is below 0")
+		return settings.Invalid("drainMs", "it is below 0")
 	}
-	return settings.First(settings.Addr("addr", s.Addr), settings.Addr("door", s.Door), settings.Addr("platform", s.Platform), settings.Seeds("seeds", s.Seeds))
+	return settings.FirstError(settings.Addr("addr", s.Addr), settings.Addr("door", s.Door), settings.Addr("platform", s.Platform), settings.Seeds("seeds", s.Seeds))
 }
 
 func main() {
--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -19,14 +19,14 @@
 )
 
 type workerCmd struct {
-	ID      string   `arg:"--id,required" help:"the worker's name"`
-	Addr    string   `arg:"--addr,required" help:"IP number and port"`
-	Part    string   `arg:"--part" default:"prefill" help:"prefill or decode"`
-	Model   string   `arg:"--model,required"`
-	Weights string   `arg:"--weights" default:"w1"`
-	Adapter []string `arg:"--adapter,separate"`
-	Room    int      `arg:"--room" default:"2048" help:"blocks of KV"`
-	Block   int      `arg:"--block" default:"16" help:"tokens a block"`
+	ID       string   `arg:"--id,required" help:"the worker's name"`
+	Addr     string   `arg:"--addr,required" help:"IP number and port"`
+	Role     string   `arg:"--part" default:"prefill" help:"prefill or decode"`
+	Model    string   `arg:"--model,required"`
+	Weights  string   `arg:"--weights" default:"w1"`
+	Adapter  []string `arg:"--adapter,separate"`
+	Capacity int      `arg:"--room" default:"2048" help:"blocks of KV"`
+	Block    int      `arg:"--block" default:"16" help:"tokens a block"`
 }
 
 type platformCmd struct {
@@ -55,22 +55,22 @@
 func (s *options) Check() error {
 	switch {
 	case s.Worker != nil:
-		if s.Worker.Part != string(ids.Prefill) && s.Worker.Part != string(ids.Decode) {
-			return settings.Fault("part", "%q is neither prefill nor decode", s.Worker.Part)
+		if s.Worker.Role != string(ids.Prefill) && s.Worker.Role != string(ids.Decode) {
+			return settings.Invalid("part", "%q is neither prefill nor decode", s.Worker.Role)
 		}
 		return settings.Addr("addr", s.Worker.Addr)
 	case s.Platform != nil:
 		return settings.Addr("addr", s.Platform.Addr)
 	case s.Load != nil:
 		if _, ok := standin.Sites[s.Load.Site]; !ok {
-			return settings.Fault("site", "there is no site %q", s.Load.Site)
+			return settings.Invalid("site", "there is no site %q", s.Load.Site)
 		}
 		if s.Load.Rate <= 0 || s.Load.Seconds <= 0 {
-			return settings.Fault("rate, seconds", "above 0 they must be")
+			return settings.Invalid("rate, seconds", "above 0 they must be")
 		}
 		return nil
 	}
-	return settings.Fault("command", "one of worker, platform, load is needed")
+	return settings.Invalid("command", "one of worker, platform, load is needed")
 }
 
 func main() {
@@ -84,7 +84,7 @@
 	switch {
 	case s.Worker != nil:
 		c := s.Worker
-		w := standin.NewWorker(standin.WorkerOptions{ID: ids.WorkerID(c.ID), Addr: c.Addr, Part: ids.Part(c.Part), Room: c.Room, Block: c.Block,
+		w := standin.NewWorker(standin.WorkerOptions{ID: ids.WorkerID(c.ID), Addr: c.Addr, Part: ids.Role(c.Role), Room: c.Capacity, Block: c.Block,
 			Model: workerclient.Model{Name: c.Model, Weights: c.Weights, Adapters: c.Adapter}, Host: host})
 		mux := http.NewServeMux()
 		mux.Handle("/", w.Handler())
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -178,7 +178,7 @@
 func (f *fleet) settle(ctx context.Context, names []ids.WorkerID) error {
 	begun := time.Now()
 	for _, p := range f.of("worker-") {
-		l := workerclient.Listed{ID: ids.WorkerID(strings.TrimPrefix(p.Name, "worker-")), Addr: p.Addr, Zone: p.Zone}
+		l := workerclient.ListedWorker{ID: ids.WorkerID(strings.TrimPrefix(p.Name, "worker-")), Addr: p.Addr, Zone: p.Zone}
 		if err := f.until(ctx, 10*time.Second, func() error { return post(f.platform, "/workers", l, nil) }); err != nil {
 			return err
 		}
--- a/cmd/keelstair-testbed/main.go
+++ b/cmd/keelstair-testbed/main.go
@@ -47,10 +47,10 @@
 		site = s.Run.Site
 		s.Run.Regimes = s.Run.Regimes || s.Run.Break == "revoke"
 	default:
-		return settings.Fault("command", "one of up, run is needed")
+		return settings.Invalid("command", "one of up, run is needed")
 	}
 	if _, ok := standin.Sites[site]; !ok {
-		return settings.Fault("site", "there is no site %q", site)
+		return settings.Invalid("site", "there is no site %q", site)
 	}
 	return nil
 }
--- a/cmd/keelstairctl/audit.go
+++ b/cmd/keelstairctl/audit.go
@@ -29,7 +29,7 @@
 	for n := 1; lines.Scan(); n++ {
 		row := &fleetstate.AuditRow{}
 		if err := json.Unmarshal(lines.Bytes(), row); err != nil {
-			return nil, failure.As(err, failure.Bad, "check audit", fmt.Sprint("line ", n))
+			return nil, failure.As(err, failure.InvalidArgument, "check audit", fmt.Sprint("line ", n))
 		}
 		if err := fleetstate.ChainCheck(last, []fleetstate.AuditRow{*row}); err != nil {
 			return nil, err
@@ -43,7 +43,7 @@
 // it is checked. It gives how many there were.
 func follow(last *fleetstate.AuditRow, ask func(from int) (*api.Audits, error), out io.Writer) (int, error) {
 	bad := func(form string, args ...any) error {
-		return failure.New(failure.Bad, "check audit", "", form, args...)
+		return failure.New(failure.InvalidArgument, "check audit", "", form, args...)
 	}
 	next := 1
 	if last != nil {
@@ -68,7 +68,7 @@
 		for _, line := range got.Rows {
 			row := &fleetstate.AuditRow{}
 			if err := json.Unmarshal(line, row); err != nil {
-				return wrote, failure.As(err, failure.Bad, "check audit", "")
+				return wrote, failure.As(err, failure.InvalidArgument, "check audit", "")
 			}
 			if err := fleetstate.ChainCheck(last, []fleetstate.AuditRow{*row}); err != nil {
 				return wrote, err
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -62,7 +62,7 @@
 	if s.Key != nil || s.Certify != nil && !s.Certify.Apply {
 		return nil // nobody is asked
 	}
-	return cli.Doors(&s.Doors)
+	return cli.CheckEndpoints(&s.Doors)
 }
 
 func main() {
@@ -70,9 +70,9 @@
 	settings.Read(s, "keelstairctl", "Keelstairctl is keelstair's operators' command line.", os.Args[1:])
 	if err := s.run(); err != nil {
 		fmt.Fprintf(os.Stderr, "keelstairctl: %v\n", err)
-		var t *cli.Told
+		var t *cli.ExitError
 		if errors.As(err, &t) {
-			os.Exit(t.Exit)
+			os.Exit(t.Code)
 		}
 		os.Exit(1)
 	}
@@ -111,7 +111,7 @@
 		}
 		return print(v)
 	}
-	return settings.Fault("command", "one is needed; see keelstairctl --help")
+	return settings.Invalid("command", "one is needed; see keelstairctl --help")
 }
 
 func print(v any) error {
--- a/cmd/keelstairctl/main_test.go
+++ b/cmd/keelstairctl/main_test.go
@@ -109,9 +109,9 @@
 	r, err := certification.Compile(map[string]certification.Regime{"chair": {Kinds: []string{"verdict"}}}, map[string]certification.Issuer{"k1": {Key: certification.Public(private),
 		From: "2026-01-01T00:00:00Z", Until: "2028-01-01T00:00:00Z"}}, certs)
 	require.NoError(t, err)
-	require.Empty(t, r.Short("chair", 1, certification.At(now), nil))
+	require.Empty(t, r.Shortage("chair", 1, certification.At(now), nil))
 	for says, spoil := range map[string]func(c *certifyCmd){
-		"is neither":          func(c *certifyCmd) { c.Parts = []string{"both"} },
+		"is neither":          func(c *certifyCmd) { c.Roles = []string{"both"} },
 		"at least one":        func(c *certifyCmd) { c.Worker, c.Node = nil, nil },
 		"not after the start": func(c *certifyCmd) { c.Until = "2026-01-01T00:00:00Z" },
 		"is past":             func(c *certifyCmd) { c.From, c.Until = "2025-01-01T00:00:00Z", "2026-01-01T00:00:00Z" },
--- a/cmd/keelstairctl/writ.go
+++ b/cmd/keelstairctl/writ.go
@@ -32,7 +32,7 @@
 	Regime string   `arg:"--regime,required"`
 	Worker []string `arg:"--worker" help:"workers, each with a certificate of its own"`
 	Node   []string `arg:"--node" help:"router nodes by name"`
-	Parts  []string `arg:"--parts" help:"of workers: prefill, decode or both, which is the default"`
+	Roles  []string `arg:"--parts" help:"of workers: prefill, decode or both, which is the default"`
 	From   string   `arg:"--from" help:"RFC 3339; else an hour ago"`
 	Until  string   `arg:"--until" help:"RFC 3339; else --days from the start"`
 	Days   int      `arg:"--days" default:"30"`
@@ -47,7 +47,7 @@
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return t, settings.Fault(field, "%q is no time such as 2026-12-31T00:00:00Z", text)
+		return t, settings.Invalid(field, "%q is no time such as 2026-12-31T00:00:00Z", text)
 	}
 	return t, nil
 }
@@ -93,23 +93,23 @@
 	if err != nil {
 		return nil, err
 	}
-	parts := []ids.Part{ids.Prefill, ids.Decode}
-	if len(c.Parts) > 0 {
+	parts := []ids.Role{ids.Prefill, ids.Decode}
+	if len(c.Roles) > 0 {
 		parts = nil
 	}
-	for _, p := range c.Parts {
+	for _, p := range c.Roles {
 		if p != string(ids.Prefill) && p != string(ids.Decode) {
-			return nil, settings.Fault("parts", "%q is neither prefill nor decode", p)
+			return nil, settings.Invalid("parts", "%q is neither prefill nor decode", p)
 		}
-		parts = append(parts, ids.Part(p))
+		parts = append(parts, ids.Role(p))
 	}
 	switch {
 	case len(c.Worker)+len(c.Node) == 0:
-		return nil, settings.Fault("worker, node", "at least one is needed")
+		return nil, settings.Invalid("worker, node", "at least one is needed")
 	case !from.Before(until):
-		return nil, settings.Fault("until", "the end %s is not after the start %s", until.Format(time.RFC3339), from.Format(time.RFC3339))
+		return nil, settings.Invalid("until", "the end %s is not after the start %s", until.Format(time.RFC3339), from.Format(time.RFC3339))
 	case !now.Before(until):
-		return nil, settings.Fault("until", "the end %s is past", until.Format(time.RFC3339))
+		return nil, settings.Invalid("until", "the end %s is past", until.Format(time.RFC3339))
 	}
 	out := map[string]certification.Certificate{}
 	put := func(one certification.Certificate) {
@@ -119,7 +119,7 @@
 		out[one.Serial] = one
 	}
 	for _, w := range c.Worker {
-		put(certification.Certificate{Worker: ids.WorkerID(w), Parts: parts})
+		put(certification.Certificate{Worker: ids.WorkerID(w), Roles: parts})
 	}
 	for _, n := range c.Node {
 		put(certification.Certificate{Node: n})
@@ -176,7 +176,7 @@
 		fmt.Fprintf(out, "\n%s governs %s, keeps %d%% free\n", one.Name, strings.Join(one.Kinds, ", "), one.Keep)
 		for _, r := range one.Rows {
 			who := r.Subject().String()
-			for _, p := range r.Parts {
+			for _, p := range r.Roles {
 				who += " " + string(p)
 			}
 			fmt.Fprintf(out, "  %s\t%s\tuntil %s\t%s\tby %s\n", r.Serial, who, day(r.Ends), r.State, r.Issuer)
--- a/coordination/agent.go
+++ b/coordination/agent.go
@@ -74,11 +74,11 @@
 
 // NewAgent makes an agent; zero spans of its options take their defaults. It starts nothing.
 func NewAgent(opt AgentOptions) *Agent {
-	ids.Or(&opt.LeaseDuration, 3*time.Second)
-	ids.Or(&opt.RenewInterval, 500*time.Millisecond)
-	ids.Or(&opt.MaxTickGap, time.Second)
+	ids.SetDefault(&opt.LeaseDuration, 3*time.Second)
+	ids.SetDefault(&opt.RenewInterval, 500*time.Millisecond)
+	ids.SetDefault(&opt.MaxTickGap, time.Second)
 	if opt.Ring == nil {
-		opt.Ring = logging.Mute()
+		opt.Ring = logging.Discard()
 	}
 	a := &Agent{options: opt, caller: rpc.NewCaller(opt.Host.Net), feed: newFeed(), renewNow: make(chan struct{}, 1)}
 	a.directory = NewDirectory(opt.Host, a.caller, opt.Seeds, Replica{Addr: opt.Self.Addr})
@@ -101,7 +101,7 @@
 	a.directory.Serve(mux)
 	rpc.Handle(mux, WatchMethod, func(ctx context.Context, request *WatchRequest) (*WatchResponse, error) {
 		if a.view.Load().seq == 0 {
-			return nil, failure.New(failure.Away, "news", a.options.Self.Addr, "nothing is known yet")
+			return nil, failure.New(failure.Unavailable, "news", a.options.Self.Addr, "nothing is known yet")
 		}
 		r, err := a.feed.watch(ctx, request, func() (*Snapshot, error) { return a.snapshot(), nil })
 		if err == nil {
--- a/coordination/catch_up.go
+++ b/coordination/catch_up.go
@@ -85,7 +85,7 @@
 			r, err = c.sendCatchUp(ctx, to, request)
 		}
 	}
-	if err == nil && !r.Behind || err != nil && !failure.Is(err, failure.Bad) {
+	if err == nil && !r.Behind || err != nil && !failure.Is(err, failure.InvalidArgument) {
 		return refusalError(r, err, to)
 	}
 	body, all, err := state.full()
@@ -187,7 +187,7 @@
 func (c *Core) restore(request *SnapshotRequest, promised ids.Epoch) (*AppendResponse, error) {
 	var snapshot Snapshot
 	if _, err := snapshot.UnmarshalMsg(request.State); err != nil {
-		return nil, failure.As(err, failure.Bad, "read snapshot", request.From.Addr)
+		return nil, failure.As(err, failure.InvalidArgument, "read snapshot", request.From.Addr)
 	}
 	near := chunksOf(c.state.machine)
 	known := map[string]bool{}
--- a/coordination/chunks.go
+++ b/coordination/chunks.go
@@ -71,10 +71,10 @@
 		}
 		body, err := s.disk.Load(chunkPrefix + n)
 		if err != nil {
-			return nil, failure.As(err, failure.Bad, "read chunk "+n, "disk")
+			return nil, failure.As(err, failure.InvalidArgument, "read chunk "+n, "disk")
 		}
 		if out[i] = NewChunk(body); out[i].Name != n {
-			return nil, failure.New(failure.Bad, "read chunk "+n, "disk", "its content is that of %s", out[i].Name)
+			return nil, failure.New(failure.InvalidArgument, "read chunk "+n, "disk", "its content is that of %s", out[i].Name)
 		}
 	}
 	return out, nil
@@ -126,7 +126,7 @@
 
 func (c *Core) saveChunk(one Chunk, near string) error {
 	if NewChunk(one.Body).Name != one.Name {
-		return failure.New(failure.Bad, "take chunk", near, "the content of %s does not fit its name", one.Name)
+		return failure.New(failure.InvalidArgument, "take chunk", near, "the content of %s does not fit its name", one.Name)
 	}
 	return c.store.saveChunk(one)
 }
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -41,14 +41,14 @@
 }
 
 func (o *Options) setDefaults() {
-	ids.Or(&o.HeartbeatInterval, 200*time.Millisecond)
-	ids.Or(&o.ElectionTimeout, 900*time.Millisecond)
-	ids.Or(&o.LeaseDuration, 3*time.Second)
-	ids.Or(&o.DiskTimeout, time.Second)
-	ids.Or(&o.ReplaceAfter, 2*time.Second)
+	ids.SetDefault(&o.HeartbeatInterval, 200*time.Millisecond)
+	ids.SetDefault(&o.ElectionTimeout, 900*time.Millisecond)
+	ids.SetDefault(&o.LeaseDuration, 3*time.Second)
+	ids.SetDefault(&o.DiskTimeout, time.Second)
+	ids.SetDefault(&o.ReplaceAfter, 2*time.Second)
 	o.FaultTolerance = max(1, o.FaultTolerance)
 	if o.Ring == nil {
-		o.Ring = logging.Mute()
+		o.Ring = logging.Discard()
 	}
 }
 
@@ -253,7 +253,7 @@
 func (c *Core) handleSubmit(ctx context.Context, request *SubmitRequest) (*SubmitResponse, error) {
 	l := c.leader.Load()
 	if l == nil {
-		return nil, failure.New(failure.Away, "submit", c.self.Addr, "not the primary")
+		return nil, failure.New(failure.Unavailable, "submit", c.self.Addr, "not the primary")
 	}
 	op := &operation{entry: &Entry{Kind: request.Kind, Body: request.Body, Op: request.Op}, done: make(chan struct{})}
 	if err := l.submit(ctx, op); err != nil {
@@ -268,7 +268,7 @@
 func (c *Core) handleRenew(ctx context.Context, request *RenewRequest) (*RenewResponse, error) {
 	l := c.leader.Load()
 	if l == nil {
-		return nil, failure.New(failure.Away, "renew", c.self.Addr, "not the primary")
+		return nil, failure.New(failure.Unavailable, "renew", c.self.Addr, "not the primary")
 	}
 	op := &operation{renew: request, done: make(chan struct{})}
 	if err := l.submit(ctx, op); err != nil {
@@ -280,7 +280,7 @@
 func (c *Core) handleWatch(ctx context.Context, request *WatchRequest) (*WatchResponse, error) {
 	l := c.leader.Load()
 	if l == nil {
-		return nil, failure.New(failure.Away, "news", c.self.Addr, "not the primary")
+		return nil, failure.New(failure.Unavailable, "news", c.self.Addr, "not the primary")
 	}
 	r, err := c.feed.watch(ctx, request, func() (*Snapshot, error) {
 		op := &operation{readState: true, done: make(chan struct{})}
--- a/coordination/cutoff_test.go
+++ b/coordination/cutoff_test.go
@@ -118,7 +118,7 @@
 			submitted, read := f.askCore(ip, fmt.Sprint(ip, "/", n))
 			if how == bothWays {
 				require.Error(t, submitted, "an order was confirmed")
-				require.False(t, failure.Is(submitted, failure.Stale) || failure.Is(submitted, failure.Bad), "an order was refused: %v", submitted)
+				require.False(t, failure.Is(submitted, failure.Stale) || failure.Is(submitted, failure.InvalidArgument), "an order was refused: %v", submitted)
 				require.Error(t, read, "it told a state that may be old")
 			}
 		}
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -183,7 +183,7 @@
 		next.OutgoingVoters = nil
 	}
 	if !enough(yes) {
-		return nil, failure.New(failure.Away, "ascend", c.self.Addr, "%d of %d registers promised", len(yes), len(next.allVoters()))
+		return nil, failure.New(failure.Unavailable, "ascend", c.self.Addr, "%d of %d registers promised", len(yes), len(next.allVoters()))
 	}
 	return yes, nil
 }
@@ -210,7 +210,7 @@
 		}
 	}
 	if len(ready) < next.faultTolerance() {
-		return nil, failure.New(failure.Away, "ascend", c.self.Addr, "%d of %d backups took the state", len(ready), next.faultTolerance())
+		return nil, failure.New(failure.Unavailable, "ascend", c.self.Addr, "%d of %d backups took the state", len(ready), next.faultTolerance())
 	}
 	return ready, nil
 }
@@ -219,7 +219,7 @@
 func (c *Core) commitRecord(ctx context.Context, next Record, ready []Replica) error {
 	request := &BallotRequest{Epoch: next.Epoch, From: c.self, Accept: true, Record: next}
 	if _, yes := c.collectVotes(ctx, request, ready, nil); len(yes) < len(ready) {
-		return failure.New(failure.Unknown, "ascend", next.Backup.Addr, "%d of %d backups accepted", len(yes), len(ready))
+		return failure.New(failure.OutcomeUnknown, "ascend", next.Backup.Addr, "%d of %d backups accepted", len(yes), len(ready))
 	}
 	var rest []Replica
 	for _, s := range next.allVoters() {
@@ -231,7 +231,7 @@
 		return containsDisk(yes, c.self.Disk) && next.decidedBy(append(slices.Clone(yes), ready...))
 	}
 	if _, yes := c.collectVotes(ctx, request, rest, enough); !enough(yes) {
-		return failure.New(failure.Unknown, "ascend", c.self.Addr, "only %d registers accepted", len(yes)+len(ready))
+		return failure.New(failure.OutcomeUnknown, "ascend", c.self.Addr, "only %d registers accepted", len(yes)+len(ready))
 	}
 	return nil
 }
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -33,7 +33,7 @@
 		record, _ := c.accepted()
 		known := c.directory.Record()
 		if f := c.directory.ForeignCluster(); f != "" && record.ClusterID != "" && c.orphaned(now, record) {
-			c.fatal <- failure.New(failure.Bad, "meet peers", f, "this disk belongs to founding %s; the seeds to another", record.ClusterID)
+			c.fatal <- failure.New(failure.InvalidArgument, "meet peers", f, "this disk belongs to founding %s; the seeds to another", record.ClusterID)
 			return
 		}
 		if record.ClusterID == "" {
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -28,7 +28,7 @@
 func (t *sumMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
 	n, err := strconv.Atoi(string(body))
 	if err != nil || kind != "add" {
-		return nil, failure.New(failure.Bad, "apply", kind, "it adds numbers only")
+		return nil, failure.New(failure.InvalidArgument, "apply", kind, "it adds numbers only")
 	}
 	t.sum += n
 	return []byte(strconv.Itoa(t.sum)), nil
--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -50,7 +50,7 @@
 }
 
 func (c *Core) refuseNewCluster(form string, args ...any) error {
-	return failure.New(failure.Bad, "found anew", c.self.Addr, form, args...)
+	return failure.New(failure.InvalidArgument, "found anew", c.self.Addr, form, args...)
 }
 
 // awaitSpares waits for empty machines, as many as are needed, and for holders that may live after
--- a/coordination/leader.go
+++ b/coordination/leader.go
@@ -45,7 +45,7 @@
 }
 
 func (l *leader) submit(ctx context.Context, op *operation) error {
-	away := failure.New(failure.Bounced, "ask primary", l.core.self.Addr, "it has stood down")
+	away := failure.New(failure.NotExecuted, "ask primary", l.core.self.Addr, "it has stood down")
 	select {
 	case <-l.stopped:
 		return away
@@ -56,13 +56,13 @@
 	case <-l.stopped:
 		return away
 	case <-ctx.Done():
-		return failure.As(ctx.Err(), failure.Bounced, "ask primary", l.core.self.Addr)
+		return failure.As(ctx.Err(), failure.NotExecuted, "ask primary", l.core.self.Addr)
 	}
 	select {
 	case <-op.done:
 		return nil
 	case <-ctx.Done():
-		return failure.As(ctx.Err(), failure.Unknown, "ask primary", l.core.self.Addr)
+		return failure.As(ctx.Err(), failure.OutcomeUnknown, "ask primary", l.core.self.Addr)
 	}
 }
 
@@ -88,7 +88,7 @@
 	for {
 		select {
 		case op := <-l.operations:
-			l.finish(op, failure.New(failure.Bounced, "write", c.self.Addr, "stood down before it was taken"))
+			l.finish(op, failure.New(failure.NotExecuted, "write", c.self.Addr, "stood down before it was taken"))
 		default:
 			return
 		}
@@ -129,7 +129,7 @@
 		}
 		if err := l.applyMembership(ctx, batch); err != nil {
 			for _, op := range batch {
-				l.finish(op, failure.New(failure.Bounced, "write", l.core.self.Addr, "stood down before it was taken"))
+				l.finish(op, failure.New(failure.NotExecuted, "write", l.core.self.Addr, "stood down before it was taken"))
 			}
 			return err
 		}
@@ -171,7 +171,7 @@
 	err := l.replicate(ctx, prev, entries)
 	if err != nil {
 		c.reloadNeeded = true
-		err = failure.As(err, failure.Unknown, "write", c.self.Addr)
+		err = failure.As(err, failure.OutcomeUnknown, "write", c.self.Addr)
 		for _, op := range batch {
 			op.err = err // a refusal, too, came from a state that may be old
 			l.finish(op, err)
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -193,7 +193,7 @@
 func (c *Core) handleLeave(ctx context.Context, request *LeaveRequest) (*LeaveResponse, error) {
 	l := c.leader.Load()
 	if l == nil {
-		return nil, failure.New(failure.Away, "leave", c.self.Addr, "not the primary")
+		return nil, failure.New(failure.Unavailable, "leave", c.self.Addr, "not the primary")
 	}
 	op := &operation{leaver: &request.Self, done: make(chan struct{})}
 	if err := l.submit(ctx, op); err != nil {
@@ -238,7 +238,7 @@
 		return nil
 	}
 	if !l.canRelease(leaver.Disk) {
-		op.err = failure.New(failure.Away, "leave", c.self.Addr, "too few other replicas are heard to hold the data")
+		op.err = failure.New(failure.Unavailable, "leave", c.self.Addr, "too few other replicas are heard to hold the data")
 		return nil
 	}
 	err := l.replace(ctx, p, "lets a replica leave")
@@ -267,7 +267,7 @@
 // transfer asks a backup, which has all that was ever acknowledged, to take over at once.
 func (l *leader) transfer(ctx context.Context) error {
 	c := l.core
-	err := failure.New(failure.Away, "hand over", c.self.Addr, "no backup may take over")
+	err := failure.New(failure.Unavailable, "hand over", c.self.Addr, "no backup may take over")
 	for _, s := range l.record.backups() {
 		if c.directory.leaving(s.Disk) {
 			continue
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -264,13 +264,13 @@
 		caller := rpc.NewCaller(f.processes["10.0.1.1"].Host().Net)
 		request := &coordination.SubmitRequest{Op: "b", Kind: "add", Body: []byte("no number")}
 		_, err := rpc.Call[coordination.SubmitRequest, coordination.SubmitResponse](t.Context(), caller, primary+":1", coordination.SubmitMethod, request)
-		require.True(t, failure.Is(err, failure.Bad), "while it leads: %v", err)
+		require.True(t, failure.Is(err, failure.InvalidArgument), "while it leads: %v", err)
 		f.world.Partition([]string{primary}, others, true)
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
 		_, err = rpc.Call[coordination.SubmitRequest, coordination.SubmitResponse](ctx, caller, primary+":1", coordination.SubmitMethod, request)
 		require.Error(t, err)
-		require.False(t, failure.Is(err, failure.Bad) || failure.Is(err, failure.Stale), "it refused from a state that may be old: %v", err)
+		require.False(t, failure.Is(err, failure.InvalidArgument) || failure.Is(err, failure.Stale), "it refused from a state that may be old: %v", err)
 	})
 }
 
--- a/coordination/primary_call.go
+++ b/coordination/primary_call.go
@@ -42,10 +42,10 @@
 func SubmitWithin(ctx context.Context, call *rpc.Caller, directory *Directory, attempt time.Duration, request *SubmitRequest) (*SubmitResponse, error) {
 	var doubt error
 	final := func(err error) bool {
-		if failure.Is(err, failure.Unknown) {
+		if failure.Is(err, failure.OutcomeUnknown) {
 			doubt = err
 		}
-		return failure.Is(err, failure.Stale) || failure.Is(err, failure.Bad)
+		return failure.Is(err, failure.Stale) || failure.Is(err, failure.InvalidArgument)
 	}
 	r, addr, err := CallPrimary[SubmitRequest, SubmitResponse](ctx, call, directory, attempt, SubmitMethod, request, final)
 	switch {
@@ -54,9 +54,9 @@
 	case final(err):
 		return nil, err
 	case doubt != nil:
-		return nil, failure.As(doubt, failure.Unknown, "submit", addr)
+		return nil, failure.As(doubt, failure.OutcomeUnknown, "submit", addr)
 	}
-	return nil, failure.As(err, failure.Away, "submit", addr)
+	return nil, failure.As(err, failure.Unavailable, "submit", addr)
 }
 
 // callOnce makes one attempt.
--- a/coordination/state.go
+++ b/coordination/state.go
@@ -119,7 +119,7 @@
 	default:
 		return nil, nil
 	}
-	return c, failure.As(err, failure.Bad, "read command", kind)
+	return c, failure.As(err, failure.InvalidArgument, "read command", kind)
 }
 
 // apply takes the next entry. An error means that nothing changed.
@@ -189,7 +189,7 @@
 
 func (r *replicatedState) restore(snapshot *Snapshot) error {
 	if err := r.machine.Restore(snapshot.State); err != nil {
-		return failure.As(err, failure.Bad, "restore snapshot", "")
+		return failure.As(err, failure.InvalidArgument, "restore snapshot", "")
 	}
 	fresh := newReplicatedState(r.machine)
 	fresh.seq, fresh.fence, fresh.digest = snapshot.Seq, snapshot.Fence, snapshot.Digest
--- a/coordination/store.go
+++ b/coordination/store.go
@@ -64,7 +64,7 @@
 	case err := <-done:
 		return err
 	case <-t.C:
-		return failure.New(failure.Lost, step, "disk", "stalled for over %s", limit)
+		return failure.New(failure.DataLost, step, "disk", "stalled for over %s", limit)
 	}
 }
 
@@ -109,10 +109,10 @@
 	snapshot := &Snapshot{}
 	rest, err := snapshot.UnmarshalMsg(body)
 	if err != nil {
-		return nil, failure.As(err, failure.Bad, "read snapshot", "disk")
+		return nil, failure.As(err, failure.InvalidArgument, "read snapshot", "disk")
 	}
 	if len(rest) > 0 || !strings.HasPrefix(snapshot.LogName, logPrefix) {
-		return nil, failure.New(failure.Bad, "read snapshot", "disk", "its content is not that of a snapshot of this version")
+		return nil, failure.New(failure.InvalidArgument, "read snapshot", "disk", "its content is not that of a snapshot of this version")
 	}
 	return snapshot, nil
 }
@@ -142,13 +142,13 @@
 	_, err := s.disk.Load(registerFile)
 	switch {
 	case snapshot != nil:
-		return failure.New(failure.Bad, "open log", "disk", "%s, which the snapshot names, is missing: the disk counts as lost", missing)
+		return failure.New(failure.InvalidArgument, "open log", "disk", "%s, which the snapshot names, is missing: the disk counts as lost", missing)
 	case errors.Is(err, host.ErrNotExist):
 		return nil
 	case err != nil:
 		return err
 	}
-	return failure.New(failure.Bad, "open log", "disk", "there is a register, but neither a snapshot nor %s: the disk counts as lost", missing)
+	return failure.New(failure.InvalidArgument, "open log", "disk", "there is a register, but neither a snapshot nor %s: the disk counts as lost", missing)
 }
 
 // replay applies the rows of a log to the state before it.
@@ -157,13 +157,13 @@
 		var e Entry
 		rest, err := e.UnmarshalMsg(list)
 		if err != nil {
-			return failure.As(err, failure.Bad, "read log", "disk")
+			return failure.As(err, failure.InvalidArgument, "read log", "disk")
 		}
 		if len(rest) > 0 {
-			return failure.New(failure.Bad, "read log", "disk", "%d bytes stand behind entry %d", len(rest), e.Seq)
+			return failure.New(failure.InvalidArgument, "read log", "disk", "%d bytes stand behind entry %d", len(rest), e.Seq)
 		}
 		if e.Seq != r.seq+1 {
-			return failure.New(failure.Bad, "read log", "disk", "row %d follows %d", e.Seq, r.seq)
+			return failure.New(failure.InvalidArgument, "read log", "disk", "row %d follows %d", e.Seq, r.seq)
 		}
 		if _, err := r.apply(&e); err != nil {
 			return failure.Wrap(err, "replay log", "disk")
@@ -225,7 +225,7 @@
 // that the snapshot names are on disk before it.
 func (s *store) compact(snapshot *Snapshot, all []Chunk) error {
 	if s.pending.Load() > 0 {
-		return failure.New(failure.Lost, "save snapshot", "disk", "an earlier step still stalls")
+		return failure.New(failure.DataLost, "save snapshot", "disk", "an earlier step still stalls")
 	}
 	for _, one := range all {
 		if err := s.saveChunk(one); err != nil {
@@ -290,18 +290,18 @@
 	}
 	rest, err := b.UnmarshalMsg(body)
 	if err != nil {
-		return register{}, failure.As(err, failure.Bad, "read register", "disk")
+		return register{}, failure.As(err, failure.InvalidArgument, "read register", "disk")
 	}
 	// What is accepted was promised before, and only what was promised is saved.
 	if len(rest) > 0 || b.Promised == 0 || b.Promised < b.Accepted.Epoch {
-		return register{}, failure.New(failure.Bad, "read register", "disk", "its content is not that of a register: the disk counts as lost")
+		return register{}, failure.New(failure.InvalidArgument, "read register", "disk", "its content is not that of a register: the disk counts as lost")
 	}
 	return register{Promised: b.Promised, PromisedTo: b.PromisedTo, Accepted: b.Accepted}, nil
 }
 
 func (s *store) saveRegister(r register) error {
 	if s.pendingSaves.Load() > 0 {
-		return failure.New(failure.Lost, "save register", "disk", "an earlier save still stalls")
+		return failure.New(failure.DataLost, "save register", "disk", "an earlier save still stalls")
 	}
 	b := BallotResponse{Promised: r.Promised, PromisedTo: r.PromisedTo, Accepted: r.Accepted}
 	s.pendingSaves.Add(1)
--- a/coordination/watch.go
+++ b/coordination/watch.go
@@ -95,7 +95,7 @@
 func (a *Agent) acceptSnapshot(previous *clusterView, encoded []byte) (*replicatedState, error) {
 	var snapshot Snapshot
 	if _, err := snapshot.UnmarshalMsg(encoded); err != nil {
-		return nil, failure.As(err, failure.Bad, "read snapshot", "news")
+		return nil, failure.As(err, failure.InvalidArgument, "read snapshot", "news")
 	}
 	if snapshot.Seq <= previous.seq {
 		return nil, nil
@@ -125,7 +125,7 @@
 	maps.Copy(next.grants, previous.grants)
 	for _, e := range entries {
 		if e.Seq != next.seq+1 {
-			return nil, false, failure.New(failure.Bad, "fold news", "news", "entry %d follows %d", e.Seq, next.seq)
+			return nil, false, failure.New(failure.InvalidArgument, "fold news", "news", "entry %d follows %d", e.Seq, next.seq)
 		}
 		next.seq = e.Seq
 		c, err := parse(e.Kind, e.Body)
--- a/failure/failure.go
+++ b/failure/failure.go
@@ -1,101 +1,107 @@
-// Package failure makes and wraps the errors of all parts of keelstair. An error carries a
-// kind that callers may branch on, the step at which it arose, the peer that was spoken to,
-// and its cause.
+// Package failure is the typed error of all parts of keelstair. An Error carries a kind that
+// callers may branch on, the step at which it arose, the peer that was spoken to, and its
+// cause. errors.As finds the outermost one, errors.Is its cause.
 //
-// Kinds are few on purpose. Each states what has happened, above all whether what was asked
-// for may have been done, and so whether it may be sent again. An error of another source
-// has the kind Unknown until it is given one with As.
+// Kinds are few on purpose. Each states what has happened, above all whether the operation may
+// have been executed, and so whether it may be retried. An error of another source has the
+// kind OutcomeUnknown until it is given one with As.
 package failure
 
 import (
 	"errors"
 	"fmt"
-
-	"github.com/ansel1/merry/v2"
 )
 
 // Kind classifies an error by what is known of the operation that failed.
 type Kind string
 
-// The kinds of errors.
+// The kinds of errors. Their values are part of the protocol between processes.
 const (
-	// Bounced: it was certainly not done; it may be sent again, also elsewhere.
-	Bounced Kind = "bounced"
-	// Unknown: it may have been done. Only what is idempotent may be sent again.
-	Unknown Kind = "unknown"
-	// Stale: it was not done, since a newer version, fence or epoch is in force.
+	// NotExecuted: it was certainly not done; it may be retried, also elsewhere.
+	NotExecuted Kind = "bounced"
+	// OutcomeUnknown: it may have been done. Only what is idempotent may be retried.
+	OutcomeUnknown Kind = "unknown"
+	// Stale: it was not done, since a newer version, fencing token or epoch is in force.
 	Stale Kind = "stale"
-	// Lost: the peer, or the memory that the operation needs, is gone for good.
-	Lost Kind = "lost"
-	// Bad: the request is wrong and fails wherever it is sent.
-	Bad Kind = "bad"
-	// Away: nobody can serve it at this time.
-	Away Kind = "away"
+	// DataLost: the peer, or the memory that the operation needs, is gone for good.
+	DataLost Kind = "lost"
+	// InvalidArgument: the request is wrong and fails wherever it is sent.
+	InvalidArgument Kind = "bad"
+	// Unavailable: nobody can serve it at this time.
+	Unavailable Kind = "away"
 )
 
-// key is the type of the keys under which an error carries its values.
-type key int
+// Error is an error of a kind.
+type Error struct {
+	Kind Kind
+	Step string // at which it arose
+	Peer string // that was spoken to, by address or id; may be empty
+	Err  error  // the cause; never nil
+}
 
-const (
-	stepKey key = iota
-	nearKey
-	kindKey
-)
+// Error returns the step, the peer in brackets, and the cause.
+func (e *Error) Error() string {
+	if e.Peer == "" {
+		return e.Step + ": " + e.Err.Error()
+	}
+	return e.Step + " [" + e.Peer + "]: " + e.Err.Error()
+}
+
+// Unwrap returns the cause.
+func (e *Error) Unwrap() error { return e.Err }
 
-// New returns an error of a kind that arose at a step. near names the peer, by address or
-// id, and may be empty. The message is the step, the peer, and the formatted text.
-func New(kind Kind, step, near, form string, args ...any) error {
-	return merry.Wrap(merry.Errorf(form, args...), merry.WithValue(kindKey, kind),
-		merry.WithValue(stepKey, step), merry.WithValue(nearKey, near),
-		merry.PrependMessage(name(step, near)))
+// New returns an Error of a kind that arose at a step. The peer may be empty. The cause is the
+// formatted text.
+func New(kind Kind, step, peer, format string, args ...any) error {
+	return &Error{Kind: kind, Step: step, Peer: peer, Err: fmt.Errorf(format, args...)}
 }
 
 // Wrap adds the step and the peer at which err arose, and keeps its kind. It returns nil for
 // nil.
-func Wrap(err error, step, near string) error {
-	if err == nil {
-		return nil
-	}
-	return merry.Wrap(err, merry.WithValue(kindKey, KindOf(err)), merry.WithValue(stepKey, step),
-		merry.WithValue(nearKey, near), merry.PrependMessage(name(step, near)))
+func Wrap(err error, step, peer string) error {
+	return As(err, KindOf(err), step, peer)
 }
 
 // As returns err with the given kind instead of its own, and adds the step and the peer. It
 // returns nil for nil.
-func As(err error, kind Kind, step, near string) error {
+func As(err error, kind Kind, step, peer string) error {
 	if err == nil {
 		return nil
 	}
-	return merry.Wrap(err, merry.WithValue(kindKey, kind), merry.WithValue(stepKey, step),
-		merry.WithValue(nearKey, near), merry.PrependMessage(name(step, near)))
-}
-
-func name(step, near string) string {
-	if near == "" {
-		return step
-	}
-	return fmt.Sprintf("%s [%s]", step, near)
+	return &Error{Kind: kind, Step: step, Peer: peer, Err: err}
 }
 
-// KindOf returns the kind of err, or Unknown where it has none. Of several kinds in a chain of
-// wrapped errors it is the outermost.
+// KindOf returns the kind of err, or OutcomeUnknown where it has none. Of several kinds in a
+// chain of wrapped errors it is the outermost.
 func KindOf(err error) Kind {
-	if k, ok := merry.Value(err, kindKey).(Kind); ok {
-		return k
+	if e := outermost(err); e != nil {
+		return e.Kind
 	}
-	return Unknown
+	return OutcomeUnknown
 }
 
 // Step returns the outermost step at which err arose, or "" where it carries none.
 func Step(err error) string {
-	step, _ := merry.Value(err, stepKey).(string)
-	return step
+	if e := outermost(err); e != nil {
+		return e.Step
+	}
+	return ""
+}
+
+// Peer returns the outermost peer that err names, or "" where it carries none.
+func Peer(err error) string {
+	if e := outermost(err); e != nil {
+		return e.Peer
+	}
+	return ""
 }
 
-// Neighbour returns the outermost peer that err names, or "" where it carries none.
-func Neighbour(err error) string {
-	near, _ := merry.Value(err, nearKey).(string)
-	return near
+// outermost returns the first Error in a chain of wrapped errors, or nil; of joined errors the
+// first one counts.
+func outermost(err error) *Error {
+	var e *Error
+	errors.As(err, &e)
+	return e
 }
 
 // Is reports whether err is an error of the kind. It is false for nil.
--- a/host/disk.go
+++ b/host/disk.go
@@ -40,20 +40,20 @@
 // the path of each file or folder right before it is synced.
 func OpenObservedDisk(dir string, beforeSync func(path string)) (Disk, error) {
 	if err := makeFolder(dir, beforeSync); err != nil {
-		return nil, failure.As(err, failure.Bad, "open data folder", dir)
+		return nil, failure.As(err, failure.InvalidArgument, "open data folder", dir)
 	}
 	f, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
-		return nil, failure.As(err, failure.Bad, "open data folder", dir)
+		return nil, failure.As(err, failure.InvalidArgument, "open data folder", dir)
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.Close()
-		return nil, failure.As(err, failure.Bad, "lock data folder, is another process using it?", dir)
+		return nil, failure.As(err, failure.InvalidArgument, "lock data folder, is another process using it?", dir)
 	}
 	d := &realDisk{dir: dir, lock: f, beforeSync: beforeSync}
 	if err := d.removeUnfinished(); err != nil {
 		f.Close()
-		return nil, failure.As(err, failure.Lost, "remove unfinished files", dir)
+		return nil, failure.As(err, failure.DataLost, "remove unfinished files", dir)
 	}
 	return d, nil
 }
@@ -110,7 +110,7 @@
 	path := filepath.Join(d.dir, name)
 	f, err := os.OpenFile(path+unfinishedSuffix, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
 	if err != nil {
-		return failure.As(err, failure.Lost, "save file", name)
+		return failure.As(err, failure.DataLost, "save file", name)
 	}
 	_, err = f.Write(Seal(body))
 	if err == nil {
@@ -126,7 +126,7 @@
 	if err == nil {
 		err = d.syncFolder(d.dir)
 	}
-	return failure.As(err, failure.Lost, "save file", name)
+	return failure.As(err, failure.DataLost, "save file", name)
 }
 
 func (d *realDisk) syncFolder(dir string) error {
@@ -146,11 +146,11 @@
 func (d *realDisk) Load(name string) ([]byte, error) {
 	row, err := os.ReadFile(filepath.Join(d.dir, name))
 	if err != nil {
-		return nil, failure.As(err, failure.Lost, "load file", name)
+		return nil, failure.As(err, failure.DataLost, "load file", name)
 	}
 	body, ok := Unseal(row)
 	if !ok {
-		return nil, failure.New(failure.Bad, "load file", name, "checksum does not fit: the disk counts as lost")
+		return nil, failure.New(failure.InvalidArgument, "load file", name, "checksum does not fit: the disk counts as lost")
 	}
 	return body, nil
 }
@@ -160,7 +160,7 @@
 // drop it again at the next start.
 func (d *realDisk) Remove(name string) error {
 	if err := os.RemoveAll(filepath.Join(d.dir, name)); err != nil {
-		return failure.As(err, failure.Lost, "drop", name)
+		return failure.As(err, failure.DataLost, "drop", name)
 	}
 	return nil
 }
@@ -168,7 +168,7 @@
 func (d *realDisk) List() ([]string, error) {
 	ents, err := os.ReadDir(d.dir)
 	if err != nil {
-		return nil, failure.As(err, failure.Lost, "list", d.dir)
+		return nil, failure.As(err, failure.DataLost, "list", d.dir)
 	}
 	var out []string
 	for _, e := range ents {
--- a/host/disk_test.go
+++ b/host/disk_test.go
@@ -100,7 +100,7 @@
 	require.NoError(t, os.WriteFile(path, body, 0o644))
 	_, err = open(t, dir)
 	require.Error(t, err)
-	require.True(t, failure.Is(err, failure.Bad), "%v", err)
+	require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
 	require.Contains(t, err.Error(), "counts as lost")
 }
 
@@ -120,5 +120,5 @@
 	require.Equal(t, "two", string(got))
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "register"), []byte("xxxxtwo"), 0o644))
 	_, err = d.Load("register")
-	require.True(t, failure.Is(err, failure.Bad), "%v", err)
+	require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
 }
--- a/host/log.go
+++ b/host/log.go
@@ -43,16 +43,16 @@
 func (d *realDisk) Create(name string) (Log, error) {
 	dir := filepath.Join(d.dir, name)
 	if err := os.RemoveAll(dir); err != nil {
-		return nil, failure.As(err, failure.Lost, "create log", name)
+		return nil, failure.As(err, failure.DataLost, "create log", name)
 	}
 	log, err := openWAL(dir)
 	if err != nil {
-		return nil, failure.As(err, failure.Lost, "create log", name)
+		return nil, failure.As(err, failure.DataLost, "create log", name)
 	}
 	for _, folder := range []string{dir, d.dir} {
 		if err := d.syncFolder(folder); err != nil {
 			log.Close()
-			return nil, failure.As(err, failure.Lost, "create log", name)
+			return nil, failure.As(err, failure.DataLost, "create log", name)
 		}
 	}
 	return &realLog{disk: d, dir: dir, log: log, next: 1}, nil
@@ -67,7 +67,7 @@
 	}
 	log, err := openWAL(dir)
 	if err != nil {
-		return nil, nil, failure.As(err, failure.Lost, "open log", name)
+		return nil, nil, failure.As(err, failure.DataLost, "open log", name)
 	}
 	rows, err := readRows(log, records)
 	if err != nil {
@@ -80,20 +80,20 @@
 func readRows(log *wal.Log, records uint64) ([][]byte, error) {
 	last, err := log.LastIndex()
 	if err != nil {
-		return nil, failure.As(err, failure.Lost, "read log", "disk")
+		return nil, failure.As(err, failure.DataLost, "read log", "disk")
 	}
 	if last != records {
-		return nil, failure.New(failure.Bad, "read log", "disk", "it ends at record %d instead of %d: the disk counts as lost", last, records)
+		return nil, failure.New(failure.InvalidArgument, "read log", "disk", "it ends at record %d instead of %d: the disk counts as lost", last, records)
 	}
 	var rows [][]byte
 	for i := uint64(1); i <= last; i++ {
 		record, err := log.Read(i)
 		if err != nil {
-			return nil, failure.As(err, failure.Lost, "read log", "disk")
+			return nil, failure.As(err, failure.DataLost, "read log", "disk")
 		}
 		some, ok := openRecord(record)
 		if !ok {
-			return nil, failure.New(failure.Bad, "read log", "disk", "record %d of %d is damaged: the disk counts as lost", i, last)
+			return nil, failure.New(failure.InvalidArgument, "read log", "disk", "record %d of %d is damaged: the disk counts as lost", i, last)
 		}
 		rows = append(rows, some...)
 	}
@@ -106,11 +106,11 @@
 		return nil
 	}
 	if err := l.log.Write(l.next, makeRecord(rows)); err != nil {
-		return failure.As(err, failure.Lost, "append log", "disk")
+		return failure.As(err, failure.DataLost, "append log", "disk")
 	}
 	l.next++
 	l.disk.beforeSync(filepath.Join(l.dir, segmentName(1)))
-	return failure.As(l.log.Sync(), failure.Lost, "append log", "disk")
+	return failure.As(l.log.Sync(), failure.DataLost, "append log", "disk")
 }
 
 func (l *realLog) Close() error { return l.log.Close() }
@@ -163,7 +163,7 @@
 func (d *realDisk) checkSegments(dir string) (uint64, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
-		return 0, failure.As(err, failure.Lost, "open log", dir)
+		return 0, failure.As(err, failure.DataLost, "open log", dir)
 	}
 	var names []string
 	for _, entry := range entries {
@@ -172,13 +172,13 @@
 		}
 	}
 	if len(names) == 0 {
-		return 0, failure.As(ErrNotExist, failure.Lost, "open log", dir)
+		return 0, failure.As(ErrNotExist, failure.DataLost, "open log", dir)
 	}
 	sort.Strings(names)
 	records := uint64(0)
 	for i, name := range names {
 		if name != segmentName(records+1) {
-			return 0, failure.New(failure.Bad, "check log", dir, "segment %s stands where record %d is due: the disk counts as lost", name, records+1)
+			return 0, failure.New(failure.InvalidArgument, "check log", dir, "segment %s stands where record %d is due: the disk counts as lost", name, records+1)
 		}
 		count, err := d.checkSegment(filepath.Join(dir, name), i == len(names)-1)
 		if err != nil {
@@ -194,7 +194,7 @@
 func (d *realDisk) checkSegment(path string, newest bool) (uint64, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
-		return 0, failure.As(err, failure.Lost, "read log segment", path)
+		return 0, failure.As(err, failure.DataLost, "read log segment", path)
 	}
 	records, good, bad := uint64(0), 0, false
 	for at := 0; at < len(body); {
@@ -209,7 +209,7 @@
 			continue
 		}
 		if bad {
-			return 0, failure.New(failure.Bad, "check log", path, "a damaged record stands before good ones: the disk counts as lost")
+			return 0, failure.New(failure.InvalidArgument, "check log", path, "a damaged record stands before good ones: the disk counts as lost")
 		}
 		good = at
 		records++
@@ -218,7 +218,7 @@
 		return records, nil
 	}
 	if !newest {
-		return 0, failure.New(failure.Bad, "check log", path, "an older segment is cut short: the disk counts as lost")
+		return 0, failure.New(failure.InvalidArgument, "check log", path, "an older segment is cut short: the disk counts as lost")
 	}
 	return records, d.truncate(path, int64(good))
 }
@@ -226,12 +226,12 @@
 func (d *realDisk) truncate(path string, size int64) error {
 	f, err := os.OpenFile(path, os.O_RDWR, 0o644)
 	if err != nil {
-		return failure.As(err, failure.Lost, "cut log tail", path)
+		return failure.As(err, failure.DataLost, "cut log tail", path)
 	}
 	defer f.Close()
 	if err := f.Truncate(size); err != nil {
-		return failure.As(err, failure.Lost, "cut log tail", path)
+		return failure.As(err, failure.DataLost, "cut log tail", path)
 	}
 	d.beforeSync(path)
-	return failure.As(f.Sync(), failure.Lost, "cut log tail", path)
+	return failure.As(f.Sync(), failure.DataLost, "cut log tail", path)
 }
--- a/host/simulated/disk.go
+++ b/host/simulated/disk.go
@@ -82,7 +82,7 @@
 func (h *processDisk) step(name string, write bool, f, torn func(d *disk)) error {
 	w := h.process.machine.world
 	if !h.process.awaitThaw() {
-		return failure.As(errDead, failure.Lost, name, "disk")
+		return failure.As(errDead, failure.DataLost, name, "disk")
 	}
 	w.mu.Lock()
 	d := h.process.machine.disk
@@ -108,7 +108,7 @@
 		if torn != nil && w.random.IntN(2) == 0 {
 			torn(d)
 		}
-		return failure.As(errDead, failure.Lost, name, "disk")
+		return failure.As(errDead, failure.DataLost, name, "disk")
 	}
 	if write {
 		d.syncs++
@@ -127,7 +127,7 @@
 	ok := false
 	err := h.step("load "+name, false, func(d *disk) { out, ok = d.files[name] }, nil)
 	if err == nil && !ok {
-		err = failure.As(host.ErrNotExist, failure.Lost, "load "+name, "disk")
+		err = failure.As(host.ErrNotExist, failure.DataLost, "load "+name, "disk")
 	}
 	return slices.Clone(out), err
 }
@@ -169,7 +169,7 @@
 		rows = slices.Clone(rows)
 	}, nil)
 	if err == nil && !ok {
-		err = failure.As(host.ErrNotExist, failure.Lost, "open "+name, "disk")
+		err = failure.As(host.ErrNotExist, failure.DataLost, "open "+name, "disk")
 	}
 	return &processLog{h, name}, rows, err
 }
--- a/ids/ids.go
+++ b/ids/ids.go
@@ -26,8 +26,8 @@
 // WorkerID names a worker, as the platform lists it.
 type WorkerID string
 
-// Life names one run of a worker's process; it is another one after every start.
-type Life string
+// Incarnation names one run of a worker's process; it is another one after every start.
+type Incarnation string
 
 // Zone names a failure domain of the platform.
 type Zone string
@@ -39,26 +39,26 @@
 // the same id is applied once, as long as the core remembers the id.
 type OpID string
 
-// Part is the part that a worker plays in serving requests.
-type Part string
+// Role is the part that a worker plays in serving requests.
+type Role string
 
 // The parts of workers.
 const (
-	Prefill Part = "prefill" // reads prompts into KV cache
-	Decode  Part = "decode"  // generates tokens
+	Prefill Role = "prefill" // reads prompts into KV cache
+	Decode  Role = "decode"  // generates tokens
 )
 
 // Blocks returns how many KV cache blocks of size tokens each are needed for so many
 // tokens. It is 0 where size isn't positive.
-func Blocks(toks, size int) int {
+func Blocks(tokens, size int) int {
 	if size <= 0 {
 		return 0
 	}
-	return (toks + size - 1) / size
+	return (tokens + size - 1) / size
 }
 
-// Or sets a duration that was left at zero to its default v.
-func Or(d *time.Duration, v time.Duration) {
+// SetDefault sets a duration that was left at zero to its default v.
+func SetDefault(d *time.Duration, v time.Duration) {
 	if *d == 0 {
 		*d = v
 	}
--- a/internal/api/client.go
+++ b/internal/api/client.go
@@ -51,7 +51,7 @@
 		err  error
 	}
 	got := make(chan told, len(doors))
-	last := failure.New(failure.Away, "ask doors", "", "no door is known")
+	last := failure.New(failure.Unavailable, "ask doors", "", "no door is known")
 	next, open := 0, 0
 	for {
 		if next < len(doors) {
--- a/internal/api/fault.go
+++ b/internal/api/fault.go
@@ -14,7 +14,7 @@
 // Fault is a refusal that an origin or an operator gets, with its HTTP status.
 type Fault struct {
 	Code int
-	workerclient.Bounce
+	workerclient.Rejection
 }
 
 // Error returns the refusal's name, field and text.
@@ -23,7 +23,7 @@
 // No returns a refusal with a status. name is for programs, field the one at fault or "", and
 // the formatted text for people.
 func No(code int, name, field, form string, args ...any) *Fault {
-	return &Fault{code, workerclient.Bounce{Name: name, Field: field, Detail: fmt.Sprintf(form, args...)}}
+	return &Fault{code, workerclient.Rejection{Name: name, Field: field, Detail: fmt.Sprintf(form, args...)}}
 }
 
 // Later returns a refusal that also says after how long to come back.
@@ -35,7 +35,7 @@
 
 // refusal is the body of an answer other than 200.
 type refusal struct {
-	Error workerclient.Bounce `json:"error"`
+	Error workerclient.Rejection `json:"error"`
 }
 
 // retryUnavailable is when to come back where an error doesn't say it.
@@ -47,11 +47,11 @@
 	var f *Fault
 	if !errors.As(err, &f) {
 		switch failure.KindOf(err) {
-		case failure.Bad:
+		case failure.InvalidArgument:
 			f = No(http.StatusBadRequest, "bad", "", "%v", err)
 		case failure.Stale:
 			f = No(http.StatusConflict, "stale", "", "%v", err)
-		case failure.Unknown:
+		case failure.OutcomeUnknown:
 			f = No(http.StatusGatewayTimeout, "unknown-fate", "", "%v", err)
 		default:
 			f = Later(http.StatusServiceUnavailable, "away", retryUnavailable, "%v", err)
@@ -60,5 +60,5 @@
 	if f.After > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((f.After+999)/1000, 10))
 	}
-	Write(w, f.Code, refusal{f.Bounce})
+	Write(w, f.Code, refusal{f.Rejection})
 }
--- a/internal/api/fault_test.go
+++ b/internal/api/fault_test.go
@@ -23,10 +23,10 @@
 	}{
 		{"fault", No(http.StatusNotFound, "unknown", "zone", "no %s", "a"), 404, "", `{"error":{"name":"unknown","field":"zone","detail":"no a"}}`},
 		{"later", Later(http.StatusServiceUnavailable, "full", 1500*time.Millisecond, "wait"), 503, "2", `{"error":{"name":"full","detail":"wait","retryAfterMs":1500}}`},
-		{"bad", failure.New(failure.Bad, "check", "", "wrong"), 400, "", `{"error":{"name":"bad","detail":"check: wrong"}}`},
+		{"bad", failure.New(failure.InvalidArgument, "check", "", "wrong"), 400, "", `{"error":{"name":"bad","detail":"check: wrong"}}`},
 		{"stale", failure.New(failure.Stale, "check", "", "old"), 409, "", `{"error":{"name":"stale","detail":"check: old"}}`},
 		{"foreign", errors.New("cut"), 504, "", `{"error":{"name":"unknown-fate","detail":"cut"}}`},
-		{"away", failure.New(failure.Away, "ask", "", "none"), 503, "1", `{"error":{"name":"away","detail":"ask: none","retryAfterMs":1000}}`},
+		{"away", failure.New(failure.Unavailable, "ask", "", "none"), 503, "1", `{"error":{"name":"away","detail":"ask: none","retryAfterMs":1000}}`},
 	} {
 		w := httptest.NewRecorder()
 		Bounce(w, c.err)
@@ -38,13 +38,13 @@
 
 // TestFate: an order that may have been carried out is never told as one that was not.
 func TestFate(t *testing.T) {
-	for kind, code := range map[failure.Kind]int{failure.Unknown: 504, failure.Bounced: 503, failure.Away: 503, failure.Lost: 503} {
+	for kind, code := range map[failure.Kind]int{failure.OutcomeUnknown: 504, failure.NotExecuted: 503, failure.Unavailable: 503, failure.DataLost: 503} {
 		var f *Fault
 		if err := Fate(failure.New(kind, "submit", "", "x"), time.Second); !errors.As(err, &f) || f.Code != code || f.After != 1000 {
 			t.Errorf("%s: %v", kind, err)
 		}
 	}
-	for _, kind := range []failure.Kind{failure.Bad, failure.Stale} {
+	for _, kind := range []failure.Kind{failure.InvalidArgument, failure.Stale} {
 		if err := failure.New(kind, "submit", "", "x"); Fate(err, time.Second) != err {
 			t.Errorf("%s is changed", kind)
 		}
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -19,25 +19,25 @@
 func Pass(ctx context.Context, web *http.Client, addr, path string, ask *Ask, silent time.Duration, out Sink) (int, error) {
 	body, err := json.Marshal(ask)
 	if err != nil {
-		return 0, failure.As(err, failure.Bad, "pass on", addr)
+		return 0, failure.As(err, failure.InvalidArgument, "pass on", addr)
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
-		return 0, failure.As(err, failure.Bad, "pass on", addr)
+		return 0, failure.As(err, failure.InvalidArgument, "pass on", addr)
 	}
 	watch := time.AfterFunc(silent, stop)
 	defer watch.Stop()
 	r, err := web.Do(q)
 	if err != nil {
-		return 0, failure.As(err, failure.Unknown, "pass on", addr)
+		return 0, failure.As(err, failure.OutcomeUnknown, "pass on", addr)
 	}
 	defer r.Body.Close()
 	if r.StatusCode != http.StatusOK {
 		b, err := io.ReadAll(r.Body)
 		if err != nil {
-			return 0, failure.As(err, failure.Unknown, "pass on", addr)
+			return 0, failure.As(err, failure.OutcomeUnknown, "pass on", addr)
 		}
 		return 0, Refusal(r.StatusCode, b)
 	}
@@ -46,9 +46,9 @@
 		var l Line
 		if err := rows.Decode(&l); err != nil {
 			if errors.Is(err, io.EOF) {
-				err = failure.New(failure.Lost, "pass on", addr, "it stopped without an end")
+				err = failure.New(failure.DataLost, "pass on", addr, "it stopped without an end")
 			}
-			return n, failure.As(err, failure.Lost, "pass on", addr)
+			return n, failure.As(err, failure.DataLost, "pass on", addr)
 		}
 		watch.Reset(silent)
 		if err := out.Put(l); err != nil || l.End != "" {
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -108,9 +108,9 @@
 // Stale stay as they are.
 func Fate(err error, after time.Duration) error {
 	switch failure.KindOf(err) {
-	case failure.Unknown:
+	case failure.OutcomeUnknown:
 		return Later(http.StatusGatewayTimeout, "unknown-fate", after, "it may have been taken; ask again with the same op: %v", err)
-	case failure.Bad, failure.Stale:
+	case failure.InvalidArgument, failure.Stale:
 		return err
 	}
 	return Later(http.StatusServiceUnavailable, "core-away", after, "it was not taken: %v", err)
--- a/internal/api/streams.go
+++ b/internal/api/streams.go
@@ -67,13 +67,13 @@
 // the end of the stream after Count tokens. Replay marks a line that comes from the record of
 // an earlier request with the same key.
 type Line struct {
-	Index  int                  `json:"index"`
-	Token  int32                `json:"token,omitempty"`
-	Text   string               `json:"text,omitempty"`
-	End    string               `json:"end,omitempty"`
-	Count  int                  `json:"count,omitempty"`
-	Error  *workerclient.Bounce `json:"error,omitempty"`
-	Replay bool                 `json:"replay,omitempty"`
+	Index  int                     `json:"index"`
+	Token  int32                   `json:"token,omitempty"`
+	Text   string                  `json:"text,omitempty"`
+	End    string                  `json:"end,omitempty"`
+	Count  int                     `json:"count,omitempty"`
+	Error  *workerclient.Rejection `json:"error,omitempty"`
+	Replay bool                    `json:"replay,omitempty"`
 }
 
 // Ends of a stream.
--- a/internal/certification/certification.go
+++ b/internal/certification/certification.go
@@ -38,7 +38,7 @@
 	Worker    ids.WorkerID `json:"worker,omitempty"`
 	Node      string       `json:"node,omitempty"`
 	Regime    string       `json:"regime"`
-	Parts     []ids.Part   `json:"parts,omitempty"`
+	Roles     []ids.Role   `json:"parts,omitempty"`
 	From      string       `json:"from"`
 	Until     string       `json:"until"`
 	Issuer    string       `json:"issuer"`
@@ -91,22 +91,22 @@
 // Error returns the reason alone; where it applies is in Path.
 func (f *Fault) Error() string { return f.Reason }
 
-func fault(path []string, form string, args ...any) error {
-	return failure.As(&Fault{path, fmt.Sprintf(form, args...)}, failure.Bad, "check regimes", "")
+func invalid(path []string, form string, args ...any) error {
+	return failure.As(&Fault{path, fmt.Sprintf(form, args...)}, failure.InvalidArgument, "check regimes", "")
 }
 
-// span reads the two ends of a validity, in nanoseconds since 1970.
-func span(path []string, from, until string) (a, b int64, err error) {
+// parseValidity reads the two ends of a validity, in nanoseconds since 1970.
+func parseValidity(path []string, from, until string) (a, b int64, err error) {
 	x, e := time.Parse(time.RFC3339, from)
 	if e != nil {
-		return 0, 0, fault(append(path, "from"), "%q is no time such as 2026-12-31T00:00:00Z", from)
+		return 0, 0, invalid(append(path, "from"), "%q is no time such as 2026-12-31T00:00:00Z", from)
 	}
 	y, e := time.Parse(time.RFC3339, until)
 	if e != nil {
-		return 0, 0, fault(append(path, "until"), "%q is no time such as 2026-12-31T00:00:00Z", until)
+		return 0, 0, invalid(append(path, "until"), "%q is no time such as 2026-12-31T00:00:00Z", until)
 	}
 	if !x.Before(y) {
-		return 0, 0, fault(append(path, "until"), "its end %s is not after its start %s", until, from)
+		return 0, 0, invalid(append(path, "until"), "its end %s is not after its start %s", until, from)
 	}
 	return x.UnixNano(), y.UnixNano(), nil
 }
@@ -119,34 +119,34 @@
 func (i Issuer) read(path []string) (*key, error) {
 	raw, err := base64.StdEncoding.DecodeString(i.Key)
 	if err != nil || len(raw) != ed25519.PublicKeySize {
-		return nil, fault(append(path, "key"), "it is no Ed25519 public key: base64 of %d bytes is needed", ed25519.PublicKeySize)
+		return nil, invalid(append(path, "key"), "it is no Ed25519 public key: base64 of %d bytes is needed", ed25519.PublicKeySize)
 	}
-	from, until, err := span(path, i.From, i.Until)
+	from, until, err := parseValidity(path, i.From, i.Until)
 	return &key{raw, from, until}, err
 }
 
 // verify holds a certificate against the issuers; the span that it gives is cut to
 // its issuer's.
 func (c *Certificate) verify(path []string, keys map[string]*key) (from, until int64, err error) {
-	if from, until, err = span(path, c.From, c.Until); err != nil {
+	if from, until, err = parseValidity(path, c.From, c.Until); err != nil {
 		return 0, 0, err
 	}
 	k := keys[c.Issuer]
 	if k == nil {
-		return 0, 0, fault(append(path, "issuer"), "issuer %q is foreign: it is none of the configuration's issuers", c.Issuer)
+		return 0, 0, invalid(append(path, "issuer"), "issuer %q is foreign: it is none of the configuration's issuers", c.Issuer)
 	}
 	sig, err := base64.StdEncoding.DecodeString(c.Signature)
 	switch {
 	case err != nil:
-		return 0, 0, fault(append(path, "signature"), "it is no base64 text")
+		return 0, 0, invalid(append(path, "signature"), "it is no base64 text")
 	case len(sig) != ed25519.SignatureSize:
-		return 0, 0, fault(append(path, "signature"), "it is truncated: %d bytes of %d", len(sig), ed25519.SignatureSize)
+		return 0, 0, invalid(append(path, "signature"), "it is truncated: %d bytes of %d", len(sig), ed25519.SignatureSize)
 	case !ed25519.Verify(k.public, c.text(), sig):
-		return 0, 0, fault(append(path, "signature"), "the signature of issuer %q does not fit this certificate of %s: it was forged, altered, copied from another subject, or signed by another key", c.Issuer, c.Subject())
+		return 0, 0, invalid(append(path, "signature"), "the signature of issuer %q does not fit this certificate of %s: it was forged, altered, copied from another subject, or signed by another key", c.Issuer, c.Subject())
 	}
 	from, until = max(from, k.from), min(until, k.until)
 	if from >= until {
-		return 0, 0, fault(append(path, "issuer"), "it is never in force: issuer %q is valid only from %s to %s", c.Issuer, time.Unix(0, k.from).UTC().Format(time.RFC3339), time.Unix(0, k.until).UTC().Format(time.RFC3339))
+		return 0, 0, invalid(append(path, "issuer"), "it is never in force: issuer %q is valid only from %s to %s", c.Issuer, time.Unix(0, k.from).UTC().Format(time.RFC3339), time.Unix(0, k.until).UTC().Format(time.RFC3339))
 	}
 	return from, until, nil
 }
--- a/internal/certification/key.go
+++ b/internal/certification/key.go
@@ -16,11 +16,11 @@
 func NewKey() (ed25519.PrivateKey, []byte, error) {
 	_, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, nil, failure.As(err, failure.Bad, "make key", "")
+		return nil, nil, failure.As(err, failure.InvalidArgument, "make key", "")
 	}
 	der, err := x509.MarshalPKCS8PrivateKey(private)
 	if err != nil {
-		return nil, nil, failure.As(err, failure.Bad, "make key", "")
+		return nil, nil, failure.As(err, failure.InvalidArgument, "make key", "")
 	}
 	return private, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
@@ -29,15 +29,15 @@
 func ReadKey(text []byte) (ed25519.PrivateKey, error) {
 	block, _ := pem.Decode(text)
 	if block == nil || block.Type != "PRIVATE KEY" {
-		return nil, failure.New(failure.Bad, "read key", "", "it is no PEM file with a PRIVATE KEY")
+		return nil, failure.New(failure.InvalidArgument, "read key", "", "it is no PEM file with a PRIVATE KEY")
 	}
 	any, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
-		return nil, failure.As(err, failure.Bad, "read key", "")
+		return nil, failure.As(err, failure.InvalidArgument, "read key", "")
 	}
 	private, ok := any.(ed25519.PrivateKey)
 	if !ok {
-		return nil, failure.New(failure.Bad, "read key", "", "it is a key of another sort; an Ed25519 key is needed")
+		return nil, failure.New(failure.InvalidArgument, "read key", "", "it is a key of another sort; an Ed25519 key is needed")
 	}
 	return private, nil
 }
--- a/internal/certification/register.go
+++ b/internal/certification/register.go
@@ -19,10 +19,10 @@
 // At is a time that is known exactly.
 func At(t time.Time) Now { return Now{t.UnixNano(), t.UnixNano()} }
 
-type seat struct {
+type coverage struct {
 	regime  string
 	subject Subject
-	part    ids.Part
+	role    ids.Role
 }
 
 type entry struct {
@@ -32,12 +32,12 @@
 
 // Register is immutable; a nil one governs nothing.
 type Register struct {
-	regimes map[string]Regime
-	kinds   map[string]string
-	seats   map[seat][]entry
-	all     map[string]*Certificate
-	spans   map[string]entry
-	revoked map[string]bool // by their presence
+	regimes  map[string]Regime
+	kinds    map[string]string
+	coverage map[coverage][]entry
+	all      map[string]*Certificate
+	validity map[string]entry
+	revoked  map[string]bool // by their presence
 }
 
 // Compile makes a register. Every certificate that does not hold is left out of it and
@@ -46,15 +46,15 @@
 	var bad []error
 	if len(regimes) == 0 {
 		if len(certs) > 0 {
-			return nil, fault([]string{"certificates"}, "there are certificates and no regime")
+			return nil, invalid([]string{"certificates"}, "there are certificates and no regime")
 		}
 		return nil, nil
 	}
-	r := &Register{regimes: regimes, kinds: map[string]string{}, seats: map[seat][]entry{}, all: map[string]*Certificate{}, spans: map[string]entry{}}
+	r := &Register{regimes: regimes, kinds: map[string]string{}, coverage: map[coverage][]entry{}, all: map[string]*Certificate{}, validity: map[string]entry{}}
 	for _, name := range sorted(regimes) {
 		for _, k := range regimes[name].Kinds {
 			if other, ok := r.kinds[k]; ok {
-				bad = append(bad, fault([]string{"regimes", name, "kinds"}, "kind %q is governed by %q already", k, other))
+				bad = append(bad, invalid([]string{"regimes", name, "kinds"}, "kind %q is governed by %q already", k, other))
 				continue
 			}
 			r.kinds[k] = name
@@ -83,32 +83,32 @@
 	path := []string{"certificates", serial}
 	switch other, twice := signed[c.Signature]; {
 	case c.Serial != serial:
-		return fault(path, "serial %q stands under the name %q: each serial stands once", c.Serial, serial)
+		return invalid(path, "serial %q stands under the name %q: each serial stands once", c.Serial, serial)
 	case twice:
-		return fault(append(path, "signature"), "it is replayed: serial %q has the same signature", other)
+		return invalid(append(path, "signature"), "it is replayed: serial %q has the same signature", other)
 	case (c.Worker == "") == (c.Node == ""):
-		return fault(path, "its subject is one worker or one node")
-	case (c.Worker == "") != (len(c.Parts) == 0):
-		return fault(path, "a worker's certificate names its parts, and a node's has none")
+		return invalid(path, "its subject is one worker or one node")
+	case (c.Worker == "") != (len(c.Roles) == 0):
+		return invalid(path, "a worker's certificate names its parts, and a node's has none")
 	}
 	if _, ok := r.regimes[c.Regime]; !ok {
-		return fault(append(path, "regime"), "unknown regime %q", c.Regime)
+		return invalid(append(path, "regime"), "unknown regime %q", c.Regime)
 	}
 	signed[c.Signature] = serial
 	from, until, err := c.verify(path, keys)
 	if err != nil {
 		return err
 	}
-	parts := c.Parts
+	roles := c.Roles
 	if c.Node != "" {
-		parts = []ids.Part{""}
+		roles = []ids.Role{""}
 	}
 	e := entry{serial, from, until}
-	for _, p := range parts {
-		at := seat{c.Regime, c.Subject(), p}
-		r.seats[at] = append(r.seats[at], e)
+	for _, p := range roles {
+		at := coverage{c.Regime, c.Subject(), p}
+		r.coverage[at] = append(r.coverage[at], e)
 	}
-	r.all[serial], r.spans[serial] = c, e
+	r.all[serial], r.validity[serial] = c, e
 	return nil
 }
 
@@ -121,9 +121,9 @@
 	return out
 }
 
-// With gives the register under another set of revoked serials: those that the map has,
+// WithRevoked gives the register under another set of revoked serials: those that the map has,
 // whatever it says of them.
-func (r *Register) With(revoked map[string]bool) *Register {
+func (r *Register) WithRevoked(revoked map[string]bool) *Register {
 	if r == nil {
 		return nil
 	}
@@ -140,7 +140,7 @@
 	return r.kinds[kind]
 }
 
-func (r *Register) gone(serial string) bool {
+func (r *Register) isRevoked(serial string) bool {
 	_, ok := r.revoked[serial]
 	return ok
 }
@@ -156,26 +156,26 @@
 
 // Clears tells whether a subject may play a part (none for a node) in a regime now, and
 // by which serial: of several the one that ends last.
-func (r *Register) Clears(regime string, s Subject, part ids.Part, now Now) (serial string, ok bool) {
+func (r *Register) Clears(regime string, s Subject, role ids.Role, now Now) (serial string, ok bool) {
 	if r == nil || now.High == 0 {
 		return "", false
 	}
 	var last int64
-	for _, e := range r.seats[seat{regime, s, part}] {
-		if e.from <= now.Low && now.High < e.until && !r.gone(e.serial) && e.until > last {
+	for _, e := range r.coverage[coverage{regime, s, role}] {
+		if e.from <= now.Low && now.High < e.until && !r.isRevoked(e.serial) && e.until > last {
 			serial, last, ok = e.serial, e.until, true
 		}
 	}
 	return serial, ok
 }
 
-// Keeps is the share of a worker's room, in percent, that is kept free for governed
+// RetentionOf is the share of a worker's room, in percent, that is kept free for governed
 // work: the largest of the regimes that it may serve now in a part.
-func (r *Register) Keeps(w ids.WorkerID, part ids.Part, now Now) int {
+func (r *Register) RetentionOf(w ids.WorkerID, role ids.Role, now Now) int {
 	most := 0
 	if r != nil {
 		for name, g := range r.regimes {
-			if _, ok := r.Clears(name, Subject{Worker: w}, part, now); ok {
+			if _, ok := r.Clears(name, Subject{Worker: w}, role, now); ok {
 				most = max(most, g.Keep)
 			}
 		}
@@ -215,13 +215,13 @@
 		return out
 	}
 	for serial, c := range r.all {
-		e := r.spans[serial]
+		e := r.validity[serial]
 		if c.Regime != regime {
 			continue
 		}
 		row := Row{Certificate: *c, State: Valid, Ends: e.until}
 		switch {
-		case r.gone(serial):
+		case r.isRevoked(serial):
 			row.State = Revoked
 		case now.High >= e.until:
 			row.State = Expired
@@ -250,10 +250,10 @@
 	return *r.all[serial], true
 }
 
-// Short lists what a regime lacks at a time, among the workers that can be picked:
+// Shortage lists what a regime lacks at a time, among the workers that can be picked:
 // fewer than want of a part, or no node. A nil alive counts all.
-func (r *Register) Short(regime string, want int, now Now, alive func(Subject) bool) []string {
-	count := map[ids.Part]map[Subject]bool{ids.Prefill: {}, ids.Decode: {}, "": {}}
+func (r *Register) Shortage(regime string, want int, now Now, alive func(Subject) bool) []string {
+	count := map[ids.Role]map[Subject]bool{ids.Prefill: {}, ids.Decode: {}, "": {}}
 	for _, row := range r.Rows(regime, now) {
 		if row.State != Valid || alive != nil && !alive(row.Subject()) {
 			continue
@@ -261,12 +261,12 @@
 		if row.Node != "" {
 			count[""][row.Subject()] = true
 		}
-		for _, p := range row.Parts {
+		for _, p := range row.Roles {
 			count[p][row.Subject()] = true
 		}
 	}
 	var out []string
-	for _, p := range []ids.Part{ids.Prefill, ids.Decode} {
+	for _, p := range []ids.Role{ids.Prefill, ids.Decode} {
 		if n := len(count[p]); n < want {
 			out = append(out, string(p)+" workers")
 		}
--- a/internal/certification/writ_test.go
+++ b/internal/certification/writ_test.go
@@ -21,7 +21,7 @@
 
 var (
 	day0 = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
-	both = []ids.Part{ids.Prefill, ids.Decode}
+	both = []ids.Role{ids.Prefill, ids.Decode}
 )
 
 func day(n int) string { return day0.AddDate(0, 0, n).Format(time.RFC3339) }
@@ -47,7 +47,7 @@
 		o.issuers[id] = Issuer{Key: Public(key), From: day(days[0]), Until: day(days[1])}
 		o.sign[id] = func(c *Certificate) { c.Issuer = id; c.Sign(key) }
 	}
-	o.put("k1", Certificate{Serial: "1", Worker: "p1", Regime: "chair", Parts: both, From: day(1), Until: day(10)})
+	o.put("k1", Certificate{Serial: "1", Worker: "p1", Regime: "chair", Roles: both, From: day(1), Until: day(10)})
 	o.put("k1", Certificate{Serial: "2", Node: "v1", Regime: "chair", From: day(1), Until: day(50)})
 	return o
 }
@@ -63,8 +63,8 @@
 // start by the lower; revoked at once; the key that signed must be in force too.
 func TestClears(t *testing.T) {
 	o := open(t)
-	o.put("k1", Certificate{Serial: "3", Worker: "p1", Regime: "chair", Parts: []ids.Part{ids.Prefill}, From: day(5), Until: day(150)})
-	o.put("k2", Certificate{Serial: "4", Worker: "d1", Regime: "chair", Parts: []ids.Part{ids.Decode}, From: day(80), Until: day(150)})
+	o.put("k1", Certificate{Serial: "3", Worker: "p1", Regime: "chair", Roles: []ids.Role{ids.Prefill}, From: day(5), Until: day(150)})
+	o.put("k2", Certificate{Serial: "4", Worker: "d1", Regime: "chair", Roles: []ids.Role{ids.Decode}, From: day(80), Until: day(150)})
 	r, err := o.compile()
 	require.NoError(t, err)
 	require.Equal(t, "chair", r.Governs("verdict"))
@@ -73,7 +73,7 @@
 	for _, one := range []struct {
 		regime  string
 		subject Subject
-		part    ids.Part
+		part    ids.Role
 		now     Now
 		serial  string
 	}{
@@ -98,15 +98,15 @@
 		require.Equal(t, one.serial, serial, "%+v", one)
 		require.Equal(t, one.serial != "", ok)
 	}
-	cut := r.With(map[string]bool{"3": true})
+	cut := r.WithRevoked(map[string]bool{"3": true})
 	serial, _ := cut.Clears("chair", p1, ids.Prefill, on(6))
 	require.Equal(t, "1", serial, "the other certificate still holds")
-	_, ok := r.With(map[string]bool{"1": true, "3": true}).Clears("chair", p1, ids.Prefill, on(6))
+	_, ok := r.WithRevoked(map[string]bool{"1": true, "3": true}).Clears("chair", p1, ids.Prefill, on(6))
 	require.False(t, ok)
-	require.Equal(t, 20, r.Keeps("p1", ids.Decode, on(2)))
-	require.Zero(t, r.Keeps("d1", ids.Decode, on(2)))
-	require.Equal(t, []string{"decode workers"}, r.Short("chair", 1, on(20), nil))
-	require.Equal(t, []string{"prefill workers", "decode workers", "router nodes"}, r.Short("fines", 1, on(20), nil))
+	require.Equal(t, 20, r.RetentionOf("p1", ids.Decode, on(2)))
+	require.Zero(t, r.RetentionOf("d1", ids.Decode, on(2)))
+	require.Equal(t, []string{"decode workers"}, r.Shortage("chair", 1, on(20), nil))
+	require.Equal(t, []string{"prefill workers", "decode workers", "router nodes"}, r.Shortage("fines", 1, on(20), nil))
 	states := map[string]State{}
 	for _, row := range cut.Rows("chair", on(20)) {
 		states[row.Serial] = row.State
@@ -120,8 +120,8 @@
 	require.NoError(t, err)
 	require.Nil(t, r)
 	require.Empty(t, r.Governs("verdict"))
-	require.Nil(t, r.With(map[string]bool{"1": true}))
-	require.Zero(t, r.Keeps("p1", ids.Decode, on(1)))
+	require.Nil(t, r.WithRevoked(map[string]bool{"1": true}))
+	require.Zero(t, r.RetentionOf("p1", ids.Decode, on(1)))
 	require.Empty(t, r.Regimes())
 }
 
@@ -138,7 +138,7 @@
 	}{
 		"forged":         {alter(func(c *Certificate) { c.Until = day(99) }), "certificates.1.signature", "forged, altered"},
 		"other subject":  {alter(func(c *Certificate) { c.Worker = "p2" }), "certificates.1.signature", "worker p2"},
-		"other parts":    {alter(func(c *Certificate) { c.Parts = both[:1] }), "certificates.1.signature", "forged, altered"},
+		"other parts":    {alter(func(c *Certificate) { c.Roles = both[:1] }), "certificates.1.signature", "forged, altered"},
 		"other regime":   {alter(func(c *Certificate) { c.Regime = "fines" }), "certificates.1.signature", "forged, altered"},
 		"truncated":      {alter(func(c *Certificate) { c.Signature = c.Signature[:40] }), "certificates.1.signature", "truncated: 30 bytes of 64"},
 		"no base64":      {alter(func(c *Certificate) { c.Signature = "§" }), "certificates.1.signature", "base64"},
@@ -150,7 +150,7 @@
 		"unknown regime": {alter(func(c *Certificate) { c.Regime = "x" }), "certificates.1.regime", `unknown regime "x"`},
 		"no subject":     {alter(func(c *Certificate) { c.Worker = "" }), "certificates.1", "one worker or one node"},
 		"two subjects":   {alter(func(c *Certificate) { c.Node = "v" }), "certificates.1", "one worker or one node"},
-		"no parts":       {alter(func(c *Certificate) { c.Parts = nil }), "certificates.1", "names its parts"},
+		"no parts":       {alter(func(c *Certificate) { c.Roles = nil }), "certificates.1", "names its parts"},
 		"two serials":    {func(o *office) { o.certs["7"] = o.certs["1"] }, "certificates.7", "each serial stands once"},
 		"replayed": {func(o *office) { c := o.certs["1"]; c.Serial, c.Worker = "7", "p7"; o.certs["7"] = c },
 			"certificates.7.signature", `replayed: serial "1"`},
@@ -166,7 +166,7 @@
 			one.do(o)
 			r, err := o.compile()
 			require.ErrorContains(t, err, one.says)
-			require.True(t, failure.Is(first(err), failure.Bad))
+			require.True(t, failure.Is(first(err), failure.InvalidArgument))
 			var f *Fault
 			require.ErrorAs(t, err, &f)
 			require.Equal(t, one.path, strings.Join(f.Path, "."))
@@ -203,6 +203,6 @@
 	} {
 		_, err := ReadKey(text)
 		require.ErrorContains(t, err, says)
-		require.True(t, failure.Is(err, failure.Bad))
+		require.True(t, failure.Is(err, failure.InvalidArgument))
 	}
 }
--- a/internal/cli/ask.go
+++ b/internal/cli/ask.go
@@ -15,22 +15,22 @@
 	"keelstair.example/rpc"
 )
 
-// Told is a door's no; its number is the exit code that operators know.
-type Told struct {
-	Exit int
+// ExitError is a door's no; its number is the exit code that operators know.
+type ExitError struct {
+	Code int
 	text string
 }
 
 // Error returns the text that operators read.
-func (t *Told) Error() string { return t.text }
+func (t *ExitError) Error() string { return t.text }
 
-// Doors checks a list of doors, given one by one or with commas.
-func Doors(list *[]string) error {
+// CheckEndpoints checks a list of doors, given one by one or with commas.
+func CheckEndpoints(list *[]string) error {
 	if len(*list) == 1 {
 		*list = strings.Split((*list)[0], ",")
 	}
 	if len(*list) == 0 {
-		return settings.Fault("doors", "at least one is needed (--doors or KEELSTAIR_DOORS)")
+		return settings.Invalid("doors", "at least one is needed (--doors or KEELSTAIR_DOORS)")
 	}
 	for _, d := range *list {
 		if err := settings.Addr("doors", d); err != nil {
@@ -41,25 +41,25 @@
 }
 
 // Ask asks doors until one answers for good; a no carries its exit code.
-func Ask(doors []string, method, path string, in, out any) error {
+func Ask(endpoints []string, method, path string, in, out any) error {
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	err := api.Put(ctx, &http.Client{}, doors, method, path, in, out)
+	err := api.Put(ctx, &http.Client{}, endpoints, method, path, in, out)
 	var f *api.Fault
 	if !errors.As(err, &f) {
-		if err != nil && method == http.MethodPost && !rpc.Undialled(err) {
-			return &Told{5, err.Error()}
+		if err != nil && method == http.MethodPost && !rpc.IsDialError(err) {
+			return &ExitError{5, err.Error()}
 		}
 		return err
 	}
-	t := &Told{2, strings.TrimSpace(f.Name + " " + f.Field + ": " + f.Detail)}
+	t := &ExitError{2, strings.TrimSpace(f.Name + " " + f.Field + ": " + f.Detail)}
 	switch f.Code {
 	case http.StatusServiceUnavailable:
-		t.Exit = 4
+		t.Code = 4
 	case http.StatusConflict:
-		t.Exit = 3
+		t.Code = 3
 	case http.StatusGatewayTimeout:
-		t.Exit = 5
+		t.Code = 5
 	}
 	return t
 }
--- a/internal/fleetstate/audit.go
+++ b/internal/fleetstate/audit.go
@@ -75,11 +75,11 @@
 		r := &rows[i]
 		switch {
 		case before != nil && r.Index != before.Index+1:
-			return failure.New(failure.Bad, "check audit", "", "row %d follows row %d: rows were removed", r.Index, before.Index)
+			return failure.New(failure.InvalidArgument, "check audit", "", "row %d follows row %d: rows were removed", r.Index, before.Index)
 		case before != nil && r.Prev != before.Hash:
-			return failure.New(failure.Bad, "check audit", "", "row %d does not follow row %d: one was changed or replaced", r.Index, before.Index)
+			return failure.New(failure.InvalidArgument, "check audit", "", "row %d does not follow row %d: one was changed or replaced", r.Index, before.Index)
 		case r.Hash != r.sum():
-			return failure.New(failure.Bad, "check audit", "", "row %d was changed: its hash is not that of its text", r.Index)
+			return failure.New(failure.InvalidArgument, "check audit", "", "row %d was changed: its hash is not that of its text", r.Index)
 		}
 		before = r
 	}
@@ -163,7 +163,7 @@
 func (c *Audit) apply(s *State) (msgp.Marshaler, error) {
 	// The text stands in a line as it is, so it must be as the encoder writes it.
 	if tight, err := json.Marshal(json.RawMessage(c.Record)); err != nil || !bytes.Equal(tight, c.Record) {
-		return nil, failure.New(failure.Bad, "audit", "", "a record must be compact JSON")
+		return nil, failure.New(failure.InvalidArgument, "audit", "", "a record must be compact JSON")
 	}
 	s.audit.add(c.Record)
 	return nil, nil
--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -62,7 +62,7 @@
 	require.Equal(t, "<r&1500", r.Request)
 	for _, text := range []string{"{} ", `{"a":"<"}`, "{", ""} {
 		_, err := m.Apply(1, AuditKind, coordination.MustMarshal(&Audit{[]byte(text)}))
-		require.True(t, failure.Is(err, failure.Bad), text)
+		require.True(t, failure.Is(err, failure.InvalidArgument), text)
 	}
 	for range auditLeaf * auditLeaves {
 		m.audit.add([]byte("{}"))
--- a/internal/fleetstate/deed.go
+++ b/internal/fleetstate/deed.go
@@ -15,7 +15,7 @@
 	Key    string
 	Owner  ids.NodeID
 	Worker ids.WorkerID
-	Life   ids.Life
+	Life   ids.Incarnation
 	Digest string
 	Fate   string
 	Out    []byte
@@ -37,7 +37,7 @@
 	Key    string
 	Owner  ids.NodeID
 	Worker ids.WorkerID
-	Life   ids.Life
+	Life   ids.Incarnation
 	Digest string
 }
 
--- a/internal/fleetstate/deed_gen.go
+++ b/internal/fleetstate/deed_gen.go
@@ -81,7 +81,7 @@
 					err = msgp.WrapError(err, "Life")
 					return
 				}
-				z.Life = ids.Life(zb0004)
+				z.Life = ids.Incarnation(zb0004)
 			}
 		case "Digest":
 			z.Digest, bts, err = msgp.ReadStringBytes(bts)
@@ -255,7 +255,7 @@
 					err = msgp.WrapError(err, "Life")
 					return
 				}
-				z.Life = ids.Life(zb0004)
+				z.Life = ids.Incarnation(zb0004)
 			}
 		case "Digest":
 			z.Digest, bts, err = msgp.ReadStringBytes(bts)
--- a/internal/fleetstate/delta.go
+++ b/internal/fleetstate/delta.go
@@ -66,7 +66,7 @@
 // patch makes the text that a delta stands for, or fails with Bad.
 func (d *Delta) patch(old []byte) ([]byte, error) {
 	fault := func(why string) error {
-		return failure.New(failure.Bad, "apply delta", "", "%s", why)
+		return failure.New(failure.InvalidArgument, "apply delta", "", "%s", why)
 	}
 	if d.Size < 0 || d.Size > maxText {
 		return nil, fault("its size is out of bounds")
--- a/internal/fleetstate/delta_test.go
+++ b/internal/fleetstate/delta_test.go
@@ -59,7 +59,7 @@
 			require.Equal(t, string(text), string(got))
 			if string(old) != string(text) && len(d.Hunks) > 1 {
 				_, err = d.patch(append([]byte("x"), old...))
-				require.True(t, failure.Is(err, failure.Bad), "%v", err)
+				require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 	}
 	for _, d := range []Delta{{Size: -1}, {Size: maxText + 1}, {Size: 5, Hunks: []Hunk{{From: -1, Len: 2}}}, {Size: 5, Hunks: []Hunk{{From: 1, Len: 1 << 62}}}, {Size: 1, Hunks: []Hunk{{Text: []byte("long")}}}} {
 		_, err := d.patch([]byte("abc"))
-		require.True(t, failure.Is(err, failure.Bad), "%+v", d)
+		require.True(t, failure.Is(err, failure.InvalidArgument), "%+v", d)
 	}
 }
 
@@ -94,7 +94,7 @@
 	far := &Stage{Base: 1, Text: pack(two)}
 	far.Shorten([]byte(`{}`), two)
 	require.False(t, far.Delta)
-	m, v := NewMachine(MachineOptions{}), NewView(logging.Mute())
+	m, v := NewMachine(MachineOptions{}), NewView(logging.Discard())
 	both := func(kind string, body []byte) error {
 		_, err := m.Apply(1, kind, body)
 		v.Observe(1, kind, body)
@@ -105,8 +105,8 @@
 	wrong.Shorten(routesText(1400, 4), two)
 	require.True(t, wrong.Delta)
 	err := both(StageKind, coordination.MustMarshal(wrong))
-	require.True(t, failure.Is(err, failure.Bad), "%v", err)
-	require.True(t, failure.Is(both(StageKind, coordination.MustMarshal(&Stage{Base: 1, Delta: true, Text: []byte("x")})), failure.Bad))
+	require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
+	require.True(t, failure.Is(both(StageKind, coordination.MustMarshal(&Stage{Base: 1, Delta: true, Text: []byte("x")})), failure.InvalidArgument))
 	require.EqualValues(t, 1, m.newest())
 	require.NoError(t, both(StageKind, coordination.MustMarshal(c)))
 	require.NoError(t, both(ActivateKind, coordination.MustMarshal(&Activate{2})))
@@ -115,7 +115,7 @@
 	require.Len(t, v.Sight().Policy.Routes, 1401)
 	require.Less(t, len(m.Snapshot(true)), len(two)/5)
 	require.Equal(t, string(two), string(unpack(m.active.Text)))
-	late := NewView(logging.Mute())
+	late := NewView(logging.Discard())
 	require.NoError(t, late.Restore(v.Snapshot()))
 	require.Equal(t, string(two), string(late.Sight().Text))
 	back := &Stage{Base: 2, Text: pack(one)}
--- a/internal/fleetstate/diff.go
+++ b/internal/fleetstate/diff.go
@@ -14,10 +14,10 @@
 func Diff(old, new []byte) ([]string, error) {
 	var a, b any
 	if err := json.Unmarshal(old, &a); err != nil {
-		return nil, failure.As(err, failure.Bad, "diff policies", "old")
+		return nil, failure.As(err, failure.InvalidArgument, "diff policies", "old")
 	}
 	if err := json.Unmarshal(new, &b); err != nil {
-		return nil, failure.As(err, failure.Bad, "diff policies", "new")
+		return nil, failure.As(err, failure.InvalidArgument, "diff policies", "new")
 	}
 	var out []string
 	walk("", a, b, &out)
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -50,7 +50,7 @@
 		require.NoError(t, err)
 		_, err = Check("part.cue", merged)
 		require.ErrorContains(t, err, says, part)
-		require.True(t, failure.Is(err, failure.Bad))
+		require.True(t, failure.Is(err, failure.InvalidArgument))
 	}
 	rows, err := Diff(whole, []byte(`{}`))
 	require.NoError(t, err)
@@ -107,7 +107,7 @@
 // TestHeard: a version heard of is put in force if it is staged here; else the
 // node holds its picks.
 func TestHeard(t *testing.T) {
-	v := NewView(logging.Mute())
+	v := NewView(logging.Discard())
 	fold := func(kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) {
 		b, _ := c.MarshalMsg(nil)
 		v.Observe(0, kind, b)
@@ -127,7 +127,7 @@
 // TestSightPinned: the core is founded anew from a copy that lacks the newest version: a
 // node that has served it does not go back, and takes the next one that is above it.
 func TestSightPinned(t *testing.T) {
-	m, v := NewMachine(MachineOptions{}), NewView(logging.Mute())
+	m, v := NewMachine(MachineOptions{}), NewView(logging.Discard())
 	seq := ids.Seq(0)
 	do := func(kind string, body []byte, views ...*View) {
 		t.Helper()
--- a/internal/fleetstate/line.go
+++ b/internal/fleetstate/line.go
@@ -44,14 +44,14 @@
 	}
 	v := l.newest() + 1
 	if c.Next != 0 && c.Next < v {
-		return nil, failure.New(failure.Bad, "apply policy", "", "version %d is not above the current one, %d", c.Next, l.newest())
+		return nil, failure.New(failure.InvalidArgument, "apply policy", "", "version %d is not above the current one, %d", c.Next, l.newest())
 	}
 	v = max(v, c.Next)
 	text := c.Text
 	if c.Delta {
 		var d Delta
 		if _, err := d.UnmarshalMsg(c.Text); err != nil {
-			return nil, failure.As(err, failure.Bad, "apply delta", "")
+			return nil, failure.As(err, failure.InvalidArgument, "apply delta", "")
 		}
 		var err error
 		if text, err = d.patch(unpack(l.top().Text)); err != nil {
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -58,7 +58,7 @@
 }
 
 func NewMachine(opt MachineOptions) *Machine {
-	ids.Or(&opt.Wait, 300*time.Millisecond)
+	ids.SetDefault(&opt.Wait, 300*time.Millisecond)
 	if opt.Read == nil {
 		opt.Read = Plain
 	}
--- a/internal/fleetstate/orders.go
+++ b/internal/fleetstate/orders.go
@@ -64,7 +64,7 @@
 	case base == l.newest():
 		return nil
 	case base < reach:
-		return failure.New(failure.Unknown, "apply policy", "", "it was made over version %d; what was made over versions below %d is not remembered", base, reach)
+		return failure.New(failure.OutcomeUnknown, "apply policy", "", "it was made over version %d; what was made over versions below %d is not remembered", base, reach)
 	}
 	return failure.New(failure.Stale, "apply policy", "", "it was made over version %d, the current one is %d", base, l.newest())
 }
@@ -77,7 +77,7 @@
 	}
 	var q OutcomeAsk
 	if _, err := q.UnmarshalMsg(body); err != nil {
-		return failure.As(err, failure.Bad, "ask for an outcome", "")
+		return failure.As(err, failure.InvalidArgument, "ask for an outcome", "")
 	}
 	of := &s.line
 	if q.Programs {
@@ -86,7 +86,7 @@
 	if err := of.checkBase(q.Base); err != nil {
 		return err
 	}
-	return failure.New(failure.Bounced, "ask for an outcome", "", "version %d is the newest; nothing was made over it", q.Base)
+	return failure.New(failure.NotExecuted, "ask for an outcome", "", "version %d is the newest; nothing was made over it", q.Base)
 }
 
 // checkZone refuses a compared evacuation if the zone changed since its base was read.
--- a/internal/fleetstate/orders_test.go
+++ b/internal/fleetstate/orders_test.go
@@ -126,7 +126,7 @@
 		newest := ids.Version(2 * (maxSuperseded + 100))
 		oldest := newest - 2*maxSuperseded
 		for base, want := range map[ids.Version]failure.Kind{
-			0: failure.Unknown, oldest - 2: failure.Unknown, oldest - 1: failure.Unknown,
+			0: failure.OutcomeUnknown, oldest - 2: failure.OutcomeUnknown, oldest - 1: failure.OutcomeUnknown,
 			oldest: failure.Stale, oldest + 1: failure.Stale, newest - 2: failure.Stale, newest + 2: failure.Stale,
 		} {
 			ask := &OutcomeAsk{Base: base, Programs: kind == StageProgramsKind}
@@ -134,7 +134,7 @@
 			require.Equal(t, want, failure.KindOf(r.apply(AskKind, ask)), "base %d", base)
 		}
 		ask := &OutcomeAsk{Base: newest, Programs: kind == StageProgramsKind}
-		require.Equal(t, failure.Bounced, failure.KindOf(r.apply(AskKind, ask)), "it is still to be done")
+		require.Equal(t, failure.NotExecuted, failure.KindOf(r.apply(AskKind, ask)), "it is still to be done")
 		require.NoError(t, r.stage(kind, newest, 0))
 	}
 }
@@ -159,9 +159,9 @@
 	img := &Image{Active: Ruled{Version: 7, Text: []byte(`{}`)}}
 	require.NoError(t, m.Restore(coordination.MustMarshal(img)))
 	r := &replicas{T: t, all: []*Machine{m}}
-	require.Equal(t, failure.Unknown, failure.KindOf(r.stage(StageKind, 5, 0)))
+	require.Equal(t, failure.OutcomeUnknown, failure.KindOf(r.stage(StageKind, 5, 0)))
 	require.NoError(t, r.stage(StageKind, 7, 9))
-	require.Equal(t, failure.Unknown, failure.KindOf(r.stage(StageKind, 5, 0)))
+	require.Equal(t, failure.OutcomeUnknown, failure.KindOf(r.stage(StageKind, 5, 0)))
 	require.Equal(t, failure.Stale, failure.KindOf(r.stage(StageKind, 7, 0)))
 	require.Equal(t, failure.Stale, failure.KindOf(r.apply(AskKind, &OutcomeAsk{Base: 7})))
 }
--- a/internal/fleetstate/over.go
+++ b/internal/fleetstate/over.go
@@ -58,12 +58,12 @@
 			}
 		}
 		if sub[sec], err = json.Marshal(some); err != nil {
-			return nil, nil, failure.As(err, failure.Bad, "check policy", name)
+			return nil, nil, failure.As(err, failure.InvalidArgument, "check policy", name)
 		}
 	}
 	text, err := json.Marshal(sub)
 	if err != nil {
-		return nil, nil, failure.As(err, failure.Bad, "check policy", name)
+		return nil, nil, failure.As(err, failure.InvalidArgument, "check policy", name)
 	}
 	q, err := shape(name, text)
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	p := &Policy{}
 	if err := json.Unmarshal(whole, p); err != nil {
-		return nil, nil, failure.As(err, failure.Bad, "read policy", name)
+		return nil, nil, failure.As(err, failure.InvalidArgument, "read policy", name)
 	}
 	lap(p.Workers, q.Workers, gone["workers"])
 	lap(p.Kinds, q.Kinds, gone["kinds"])
@@ -93,5 +93,5 @@
 		return nil, nil, err
 	}
 	b, err := json.Marshal(p)
-	return p, b, failure.As(err, failure.Bad, "check policy", "")
+	return p, b, failure.As(err, failure.InvalidArgument, "check policy", "")
 }
--- a/internal/fleetstate/over_test.go
+++ b/internal/fleetstate/over_test.go
@@ -60,7 +60,7 @@
 	require.ErrorContains(t, err, "3001 entries")
 	_, err = Source("huge", big(20000))
 	require.ErrorContains(t, err, "over 3000 entries")
-	require.True(t, failure.Is(err, failure.Bad))
+	require.True(t, failure.Is(err, failure.InvalidArgument))
 }
 
 // BenchmarkOver and BenchmarkWhole apply one small change to a large policy.
--- a/internal/fleetstate/policy.go
+++ b/internal/fleetstate/policy.go
@@ -27,7 +27,7 @@
 
 // Worker is one line of the catalogue.
 type Worker struct {
-	Part     ids.Part `json:"part"`
+	Part     ids.Role `json:"part"`
 	Model    string   `json:"model"`
 	Weights  string   `json:"weights"`
 	Adapters []string `json:"adapters"`
@@ -125,7 +125,7 @@
 			break
 		}
 	}
-	return failure.New(failure.Bad, "check policy", "", "%s", strings.Join(rows, "; "))
+	return failure.New(failure.InvalidArgument, "check policy", "", "%s", strings.Join(rows, "; "))
 }
 
 // twice finds an entry, such as a worker, that is listed two times; CUE alone
@@ -160,10 +160,10 @@
 			}
 			key := strings.Join(at, ".")
 			if pos := fd.Pos(); seen[key] {
-				return failure.New(failure.Bad, "check policy", "", "%s:%d:%d: %s stands twice", pos.Filename(), pos.Line(), pos.Column(), key)
+				return failure.New(failure.InvalidArgument, "check policy", "", "%s:%d:%d: %s stands twice", pos.Filename(), pos.Line(), pos.Column(), key)
 			}
 			if seen[key] = true; len(seen) > maxEntries+100 {
-				return failure.New(failure.Bad, "check policy", "", "%s: over %d entries; a policy may have no more", fd.Pos().Filename(), maxEntries)
+				return failure.New(failure.InvalidArgument, "check policy", "", "%s: over %d entries; a policy may have no more", fd.Pos().Filename(), maxEntries)
 			}
 		}
 		return nil
@@ -256,7 +256,7 @@
 // sane checks what spans several fields.
 func (p *Policy) sane() error {
 	fault := func(field, form string, args ...any) error {
-		return failure.New(failure.Bad, "check policy", "", field+": "+form, args...)
+		return failure.New(failure.InvalidArgument, "check policy", "", field+": "+form, args...)
 	}
 	if n := len(p.Workers) + len(p.Kinds) + len(p.Programs) + len(p.Certificates); n > maxEntries {
 		return fault("workers, kinds, programs, certificates", "%d entries in all, over %d", n, maxEntries)
@@ -268,13 +268,13 @@
 		}
 		zones[z] = true
 	}
-	models := map[string]map[ids.Part]bool{}
+	models := map[string]map[ids.Role]bool{}
 	for id, w := range p.Workers {
 		if !zones[w.Zone] {
 			return fault(fmt.Sprintf("workers.%s.zone", id), "unknown zone %q", w.Zone)
 		}
 		if models[w.Model] == nil {
-			models[w.Model] = map[ids.Part]bool{}
+			models[w.Model] = map[ids.Role]bool{}
 		}
 		models[w.Model][w.Part] = true
 	}
@@ -295,7 +295,7 @@
 // CheckPrograms checks that the shares add up and that one program at most turns workers.
 func (p *Policy) CheckPrograms() error {
 	fault := func(form string, args ...any) error {
-		return failure.New(failure.Bad, "check policy", "", "programs: "+form, args...)
+		return failure.New(failure.InvalidArgument, "check policy", "", "programs: "+form, args...)
 	}
 	sum, shares, turners := 0, 0, 0
 	for _, g := range p.Programs {
@@ -323,10 +323,10 @@
 		whole = []byte("{}")
 	}
 	if err := json.Unmarshal(whole, &a); err != nil {
-		return nil, failure.As(err, failure.Bad, "merge policy", "")
+		return nil, failure.As(err, failure.InvalidArgument, "merge policy", "")
 	}
 	if err := json.Unmarshal(part, &b); err != nil {
-		return nil, failure.As(err, failure.Bad, "merge policy", "")
+		return nil, failure.As(err, failure.InvalidArgument, "merge policy", "")
 	}
 	return json.Marshal(lay(a, b))
 }
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -48,14 +48,14 @@
 	var out []routing.Source
 	for _, name := range p.Names() {
 		g := p.Programs[name]
-		out = append(out, routing.Source{Name: name, Text: g.Source, Share: g.Share, Shadow: g.Shadow, Turns: g.Turns})
+		out = append(out, routing.Source{Name: name, Text: g.Source, Share: g.Share, Shadow: g.Shadow, ChangesRoles: g.Turns})
 	}
 	return out
 }
 
 // Deck compiles a policy's programs. Faults have file, line and reason.
-func (p *Policy) Deck(scores *routing.Scores) (*routing.Deck, error) {
-	return routing.NewDeck(p.Sources(), p.Limits.Steps, scores)
+func (p *Policy) Deck(scores *routing.Scores) (*routing.ProgramSet, error) {
+	return routing.NewProgramSet(p.Sources(), p.Limits.Steps, scores)
 }
 
 // Draft makes a checked policy of a text that Source gave, whole or, with partial, over
@@ -86,7 +86,7 @@
 // CheckSet checks that a policy is a program set and within its bounds.
 func (p *Policy) CheckSet() error {
 	fault := func(form string, args ...any) error {
-		return failure.New(failure.Bad, "check programs", "", form, args...)
+		return failure.New(failure.InvalidArgument, "check programs", "", form, args...)
 	}
 	size := 0
 	for _, g := range p.Programs {
@@ -115,10 +115,10 @@
 }
 
 // Set reads the text of a program set and compiles it.
-func Set(text []byte, scores *routing.Scores) (*Policy, *routing.Deck, error) {
+func Set(text []byte, scores *routing.Scores) (*Policy, *routing.ProgramSet, error) {
 	p, err := Plain(unpack(text))
 	if err != nil {
-		return nil, nil, failure.As(err, failure.Bad, "read programs", "")
+		return nil, nil, failure.As(err, failure.InvalidArgument, "read programs", "")
 	}
 	d, err := p.Deck(scores)
 	return p, d, err
--- a/internal/fleetstate/programs_test.go
+++ b/internal/fleetstate/programs_test.go
@@ -22,7 +22,7 @@
 func setOf(count, size int) []byte {
 	p := map[string]Program{}
 	for i := range count {
-		text := routing.Shipped("prefix")
+		text := routing.ShippedProgram("prefix")
 		for n := 0; len(text) < size; n++ {
 			text += fmt.Sprintf("def f%d(w):\n    return w.busy * %d + len(w.id) if w.zone else -w.free\n", n, n)
 		}
@@ -57,7 +57,7 @@
 		require.Equal(t, m.programs, copied.programs)
 		require.Equal(t, m.Snapshot(open), copied.Snapshot(open))
 		require.Len(t, copied.Due(ids.Tick(1), 6, 6), 2, "the copy is due by itself")
-		v := NewView(logging.Mute())
+		v := NewView(logging.Discard())
 		v.Scores = &routing.Scores{}
 		require.NoError(t, v.Restore(copied.Snapshot(true)))
 		require.EqualValues(t, 1, v.Sight().Set.Version)
@@ -76,7 +76,7 @@
 			var was, is runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&was)
-			var deck *routing.Deck
+			var deck *routing.ProgramSet
 			for b.Loop() {
 				var err error
 				if _, deck, err = Set(text, &routing.Scores{}); err != nil {
--- a/internal/fleetstate/read.go
+++ b/internal/fleetstate/read.go
@@ -27,15 +27,15 @@
 func Look(ctx context.Context, call *rpc.Caller, book *coordination.Directory) (*Image, error) {
 	r, addr, err := coordination.CallPrimary[coordination.WatchRequest, coordination.WatchResponse](ctx, call, book, attemptTimeout, coordination.WatchMethod, &coordination.WatchRequest{}, nil)
 	if err != nil {
-		return nil, failure.As(err, failure.Away, "read newest", addr)
+		return nil, failure.As(err, failure.Unavailable, "read newest", addr)
 	}
 	var img coordination.Snapshot
 	own := &Image{}
 	if _, err := img.UnmarshalMsg(r.Snapshot); err != nil {
-		return nil, failure.As(err, failure.Bad, "read picture", addr)
+		return nil, failure.As(err, failure.InvalidArgument, "read picture", addr)
 	}
 	if _, err := own.UnmarshalMsg(img.State); err != nil {
-		return nil, failure.As(err, failure.Bad, "read picture", addr)
+		return nil, failure.As(err, failure.InvalidArgument, "read picture", addr)
 	}
 	return own, nil
 }
@@ -141,5 +141,5 @@
 	}
 	var got Ruling
 	_, err = got.UnmarshalMsg(r.Body)
-	return got.Version, failure.As(err, failure.Unknown, "read ruling", "core")
+	return got.Version, failure.As(err, failure.OutcomeUnknown, "read ruling", "core")
 }
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -32,7 +32,7 @@
 }
 
 func regimeFault(path []string, reason string) error {
-	return failure.As(&certification.Fault{Path: path, Reason: reason}, failure.Bad, "check regimes", strings.Join(path, "."))
+	return failure.As(&certification.Fault{Path: path, Reason: reason}, failure.InvalidArgument, "check regimes", strings.Join(path, "."))
 }
 
 // checkRegimes: every certificate holds, every governed kind exists, and each regime has
@@ -57,7 +57,7 @@
 			if !ok {
 				return regimeFault([]string{"regimes", name, "kinds"}, "unknown kind "+quote(kind))
 			}
-			for _, part := range []ids.Part{ids.Prefill, ids.Decode} {
+			for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 				if !p.certified(name, k.Model, part) {
 					return regimeFault([]string{"regimes", name}, "no certified "+string(part)+" worker offers "+quote(k.Model)+" for kind "+quote(kind))
 				}
@@ -77,9 +77,9 @@
 func quote(s string) string { return `"` + s + `"` }
 
 // certified tells whether a worker of the catalogue, in its own part, has a certificate.
-func (p *Policy) certified(regime, model string, part ids.Part) bool {
+func (p *Policy) certified(regime, model string, part ids.Role) bool {
 	for _, c := range p.Certificates {
-		if w, ok := p.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Part == part && slices.Contains(c.Parts, part) {
+		if w, ok := p.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Part == part && slices.Contains(c.Roles, part) {
 			return true
 		}
 	}
@@ -127,7 +127,7 @@
 	if pos, _ := place(f.Decls, at.Path); pos.IsValid() {
 		where = pos.Position().String()
 	}
-	return failure.New(failure.Bad, "check policy", "", "%s: %s: %s", where, strings.Join(at.Path, "."), at.Reason)
+	return failure.New(failure.InvalidArgument, "check policy", "", "%s: %s: %s", where, strings.Join(at.Path, "."), at.Reason)
 }
 
 // place finds the deepest field along a path, and how deep it is.
@@ -182,10 +182,10 @@
 	if m.bare == nil || !worker && key != SettleKey {
 		return true
 	}
-	register := m.bare.With(m.revoked)
+	register := m.bare.WithRevoked(m.revoked)
 	now := certification.Now{Low: m.time - int64(clockLead), High: m.time}
 	for _, g := range register.Regimes() {
-		for _, part := range []ids.Part{ids.Prefill, ids.Decode} {
+		for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 			if _, ok := register.Clears(g, certification.Subject{Worker: ids.WorkerID(id)}, part, now); !ok && worker {
 				continue
 			}
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -24,7 +24,7 @@
 	require.NoError(t, err)
 	day := func(n int) string { return time.Date(2026, 12, 1+n, 0, 0, 0, 0, time.UTC).Format(time.RFC3339) }
 	certs := map[string]certification.Certificate{}
-	for serial, c := range map[string]certification.Certificate{"s1": {Worker: "p1", Parts: []ids.Part{ids.Prefill}}, "s2": {Worker: "d1", Parts: []ids.Part{ids.Decode}}, "s3": {Node: "v1"}} {
+	for serial, c := range map[string]certification.Certificate{"s1": {Worker: "p1", Roles: []ids.Role{ids.Prefill}}, "s2": {Worker: "d1", Roles: []ids.Role{ids.Decode}}, "s3": {Node: "v1"}} {
 		c.Serial, c.Regime, c.From, c.Until, c.Issuer = serial, "chair", day(0), day(30), "k1"
 		c.Sign(key)
 		certs[serial] = c
@@ -104,7 +104,7 @@
 			text := charter(t, one.change)
 			_, _, err := Whole("f.cue", text)
 			require.Error(t, err)
-			require.True(t, failure.Is(err, failure.Bad))
+			require.True(t, failure.Is(err, failure.InvalidArgument))
 			if e := Fault("f.cue", text, true); e != nil {
 				err = e
 			}
@@ -186,7 +186,7 @@
 	require.Empty(t, m.Due(1, 10, 10))
 	_, err = m.Apply(11, SealKind, coordination.MustMarshal(&Seal{"s1"}))
 	require.True(t, failure.Is(err, failure.Stale))
-	v := NewView(logging.Mute())
+	v := NewView(logging.Discard())
 	v.Observe(1, StageKind, coordination.MustMarshal(&Stage{Text: charter(t, nil)}))
 	v.Heard(1)
 	require.Empty(t, v.Sight().Revoked)
--- a/internal/fleetstate/route.go
+++ b/internal/fleetstate/route.go
@@ -92,7 +92,7 @@
 // once, weights, times.
 func (p *Policy) CheckRoutes() error {
 	fault := func(r *Route, form string, args ...any) error {
-		return failure.New(failure.Bad, "check routes", "", "routes."+r.Name+": "+form, args...)
+		return failure.New(failure.InvalidArgument, "check routes", "", "routes."+r.Name+": "+form, args...)
 	}
 	names, places := map[string]bool{}, map[string]bool{}
 	for i := range p.Routes {
--- a/internal/fleetstate/route_test.go
+++ b/internal/fleetstate/route_test.go
@@ -116,7 +116,7 @@
 		f(&p.Routes[1])
 		err := p.CheckRoutes()
 		require.ErrorContains(t, err, says)
-		require.True(t, failure.Is(err, failure.Bad), says)
+		require.True(t, failure.Is(err, failure.InvalidArgument), says)
 	}
 	same := sound()
 	same.Routes[1].Host, same.Routes[1].Prefix = "b.example", "/"
@@ -200,7 +200,7 @@
 		require.NoError(t, err)
 		_, _, err = Whole("part.cue", merged)
 		require.ErrorContains(t, err, says, part)
-		require.True(t, failure.Is(err, failure.Bad), part)
+		require.True(t, failure.Is(err, failure.InvalidArgument), part)
 	}
 }
 
--- a/internal/fleetstate/settle.go
+++ b/internal/fleetstate/settle.go
@@ -24,7 +24,7 @@
 	Key    string
 	Owner  ids.NodeID
 	Worker ids.WorkerID
-	Life   ids.Life
+	Life   ids.Incarnation
 }
 
 // Seize passes a dead node's claim to the holder of the settling duty.
--- a/internal/fleetstate/settle_gen.go
+++ b/internal/fleetstate/settle_gen.go
@@ -78,7 +78,7 @@
 					err = msgp.WrapError(err, "Life")
 					return
 				}
-				z.Life = ids.Life(zb0004)
+				z.Life = ids.Incarnation(zb0004)
 			}
 		default:
 			bts, err = msgp.Skip(bts)
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -37,7 +37,7 @@
 	zones         map[ids.Zone]bool
 	zoneRevisions map[ids.Zone]uint64
 	drained       map[ids.WorkerID]bool
-	turning       map[ids.WorkerID]ids.Part
+	turning       map[ids.WorkerID]ids.Role
 	failbacks     map[ids.Zone]Failback
 	returns       uint64
 	fence         ids.Fence
@@ -53,7 +53,7 @@
 }
 
 func newState(lean bool, d Depth) *State {
-	return &State{lean: lean, zones: map[ids.Zone]bool{}, zoneRevisions: map[ids.Zone]uint64{}, drained: map[ids.WorkerID]bool{}, failbacks: map[ids.Zone]Failback{}, turning: map[ids.WorkerID]ids.Part{}, deeds: map[string]Deed{}, shelf: newShelf(d), revoked: map[string]bool{}}
+	return &State{lean: lean, zones: map[ids.Zone]bool{}, zoneRevisions: map[ids.Zone]uint64{}, drained: map[ids.WorkerID]bool{}, failbacks: map[ids.Zone]Failback{}, turning: map[ids.WorkerID]ids.Role{}, deeds: map[string]Deed{}, shelf: newShelf(d), revoked: map[string]bool{}}
 }
 
 // rule puts a version in force. A lean state has no need of its bounds.
@@ -121,10 +121,10 @@
 	}
 	c := parse(kind)
 	if c == nil {
-		return nil, failure.New(failure.Bad, "apply", kind, "no such command")
+		return nil, failure.New(failure.InvalidArgument, "apply", kind, "no such command")
 	}
 	if _, err := c.UnmarshalMsg(body); err != nil {
-		return nil, failure.As(err, failure.Bad, "apply", kind)
+		return nil, failure.As(err, failure.InvalidArgument, "apply", kind)
 	}
 	out, err := c.apply(s)
 	if err != nil && err != coordination.ErrUnchanged || out == nil {
@@ -296,7 +296,7 @@
 func (s *State) load(body []byte) error {
 	var img Image
 	if _, err := img.UnmarshalMsg(body); err != nil {
-		return failure.As(err, failure.Bad, "restore lore", "")
+		return failure.As(err, failure.InvalidArgument, "restore lore", "")
 	}
 	next := newState(s.lean, s.shelf.Depth)
 	next.rule(img.Active)
--- a/internal/fleetstate/turn.go
+++ b/internal/fleetstate/turn.go
@@ -20,7 +20,7 @@
 // is over, however it went.
 type Turn struct {
 	Worker ids.WorkerID
-	To     ids.Part
+	To     ids.Role
 	Done   bool
 }
 
--- a/internal/fleetstate/turn_gen.go
+++ b/internal/fleetstate/turn_gen.go
@@ -59,7 +59,7 @@
 					err = msgp.WrapError(err, "To")
 					return
 				}
-				z.To = ids.Part(zb0003)
+				z.To = ids.Role(zb0003)
 			}
 		case "Done":
 			z.Done, bts, err = msgp.ReadBoolBytes(bts)
--- a/internal/fleetstate/turn_test.go
+++ b/internal/fleetstate/turn_test.go
@@ -22,9 +22,9 @@
 	require.ErrorIs(t, do(t, s, TurnKind, &Turn{Worker: "w", To: ids.Decode}), coordination.ErrUnchanged)
 	require.NoError(t, do(t, s, TurnKind, &Turn{Worker: "w", To: ids.Prefill}))
 	require.NoError(t, do(t, s, TurnKind, &Turn{Worker: "v", To: ids.Decode}))
-	require.Equal(t, map[ids.WorkerID]ids.Part{"w": ids.Prefill, "v": ids.Decode}, s.turning)
+	require.Equal(t, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "v": ids.Decode}, s.turning)
 	require.NoError(t, do(t, s, TurnKind, &Turn{Worker: "w", Done: true}))
-	require.Equal(t, map[ids.WorkerID]ids.Part{"v": ids.Decode}, s.turning)
+	require.Equal(t, map[ids.WorkerID]ids.Role{"v": ids.Decode}, s.turning)
 	require.Equal(t, ids.Key("service/x"), ServiceKey("x"))
 }
 
@@ -48,11 +48,11 @@
 // TestTurnInNews: a view shows a turn as soon as it is folded, loudly, whether it came as
 // news or in a picture, and no longer once it is done; an older sight stays as it was.
 func TestTurnInNews(t *testing.T) {
-	v := NewView(logging.Mute())
+	v := NewView(logging.Discard())
 	require.True(t, v.Observe(1, TurnKind, coordination.MustMarshal(&Turn{Worker: "w", To: ids.Decode})))
 	first := v.Sight()
-	require.Equal(t, map[ids.WorkerID]ids.Part{"w": ids.Decode}, first.Turning)
-	other := NewView(logging.Mute())
+	require.Equal(t, map[ids.WorkerID]ids.Role{"w": ids.Decode}, first.Turning)
+	other := NewView(logging.Discard())
 	require.NoError(t, other.Restore(v.Snapshot()))
 	require.Equal(t, first.Turning, other.Sight().Turning)
 	require.True(t, v.Observe(2, TurnKind, coordination.MustMarshal(&Turn{Worker: "w", Done: true})))
@@ -82,7 +82,7 @@
 	require.True(t, failure.Is(err, failure.Stale))
 	for _, low := range []ids.Version{1, 4, 5} {
 		_, err = stage(5, low)
-		require.True(t, failure.Is(err, failure.Bad), low)
+		require.True(t, failure.Is(err, failure.InvalidArgument), low)
 	}
 	v, err = stage(5, 6)
 	require.NoError(t, err)
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -25,7 +25,7 @@
 	Newest    ids.Version
 	Zones     map[ids.Zone]bool
 	Drained   map[ids.WorkerID]bool
-	Turning   map[ids.WorkerID]ids.Part
+	Turning   map[ids.WorkerID]ids.Role
 	Failbacks map[ids.Zone]Failback
 	Set       *Deal // the program set in force, if the core has one
 	// Register says who is cleared for governed work; nil without regimes. Bare is the
@@ -45,7 +45,7 @@
 type Deal struct {
 	Version ids.Version
 	Policy  *Policy
-	Deck    *routing.Deck
+	Deck    *routing.ProgramSet
 }
 
 // View is a coordination.Follower. Ready is called with every policy as it is staged,
@@ -199,7 +199,7 @@
 	}
 	if s.Bare != nil {
 		s.Revoked = maps.Clone(v.state.revoked)
-		s.Register = s.Bare.With(s.Revoked)
+		s.Register = s.Bare.WithRevoked(s.Revoked)
 	}
 	for z := range v.state.zones {
 		s.Zones[z] = true
--- a/internal/handoff/clean.go
+++ b/internal/handoff/clean.go
@@ -17,7 +17,7 @@
 // Stopper is what clean needs of Hands; settling a dead node's claims uses it
 // too.
 type Stopper interface {
-	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error)
+	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
 }
 
 // clean ends the attempt at both workers. It tells the task's final error if
@@ -35,11 +35,11 @@
 	a, err := f.stop(ctx, f.to)
 	switch {
 	case err != nil && f.t.Claimed && f.runs:
-		return failure.As(cause, failure.Unknown, "hand-over", f.id.Request), false
+		return failure.As(cause, failure.OutcomeUnknown, "hand-over", f.id.Request), false
 	case err != nil && !gone:
 		// The worker cannot be asked. Once the orphan's time is over it has
 		// dropped the import, or stopped the run that nobody reads.
-		if !failure.Is(err, failure.Lost) {
+		if !failure.Is(err, failure.DataLost) {
 			host.Sleep(ctx, f.Orphan+300*time.Millisecond)
 		}
 		return nil, true
@@ -51,30 +51,30 @@
 		}
 		return nil, false
 	case f.t.Claimed && f.runs && a.Fate != workerclient.FateNever:
-		return failure.As(cause, failure.Unknown, "hand-over", f.id.Request), false
+		return failure.As(cause, failure.OutcomeUnknown, "hand-over", f.id.Request), false
 	}
 	return nil, true
 }
 
 // stop cancels at one worker, trying a few times. A worker that has begun a new
 // life has lost the attempt; what came of it is not known.
-func (f *flight) stop(ctx context.Context, w ids.WorkerID) (*workerclient.Answer, error) {
+func (f *flight) stop(ctx context.Context, w ids.WorkerID) (*workerclient.OrderResponse, error) {
 	var err error
 	for n := range 3 {
 		if n > 0 && !host.Sleep(ctx, 150*time.Millisecond) {
 			break
 		}
 		cx, end := context.WithTimeout(ctx, 900*time.Millisecond)
-		var a *workerclient.Answer
+		var a *workerclient.OrderResponse
 		a, err = f.Hands.Cancel(cx, w, f.id)
 		end()
-		if err == nil && w == f.to && f.life != "" && a.Life != f.life {
-			return nil, failure.New(failure.Lost, "cancel", string(w), "the worker began a new life")
+		if err == nil && w == f.to && f.life != "" && a.Incarnation != f.life {
+			return nil, failure.New(failure.DataLost, "cancel", string(w), "the worker began a new life")
 		}
 		if err == nil {
 			return a, nil
 		}
-		if failure.Is(err, failure.Lost) {
+		if failure.Is(err, failure.DataLost) {
 			break
 		}
 	}
--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -19,15 +19,15 @@
 // Hands give the controller its reach: every order goes through the worker's
 // one duty holder.
 type Hands interface {
-	Pick(q *routing.Question, on workerclient.Model, shun map[ids.WorkerID]bool) []Picked
+	Pick(q *routing.PickRequest, on workerclient.Model, shun map[ids.WorkerID]bool) []Picked
 	Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error
-	Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.Answer, error)
-	Export(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error)
-	Import(ctx context.Context, w ids.WorkerID, m workerclient.Identity, source ids.WorkerID) (*workerclient.Answer, error)
-	Resume(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error)
-	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error)
+	Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.OrderResponse, error)
+	Export(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
+	Import(ctx context.Context, w ids.WorkerID, m workerclient.Identity, source ids.WorkerID) (*workerclient.OrderResponse, error)
+	Resume(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
+	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
 	Done(w ids.WorkerID, id workerclient.ID, sure bool)
-	Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.Piece) error) error
+	Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.TokenEvent) error) error
 	// Spend asks for one recompute, waiting a while for it if need be.
 	Spend(ctx context.Context, wait time.Duration) bool
 	Blame(w ids.WorkerID)
@@ -41,7 +41,7 @@
 	ID    ids.WorkerID
 	Model workerclient.Model
 	Block int
-	Life  ids.Life
+	Life  ids.Incarnation
 }
 
 // Stage is how far a hand-over has come.
@@ -80,7 +80,7 @@
 	// to either, with the decode worker and its life; its error then ends the task
 	// with nothing run. It is called again before a resume at another worker or life
 	// than it was last told, so that it is known where a run may have begun.
-	Claim func(w ids.WorkerID, life ids.Life) error
+	Claim func(w ids.WorkerID, life ids.Incarnation) error
 }
 
 // Controller runs tasks.
@@ -97,7 +97,7 @@
 
 type seat struct {
 	worker ids.WorkerID
-	life   ids.Life
+	life   ids.Incarnation
 }
 
 // flight is a task on its way.
@@ -109,7 +109,7 @@
 	put  Put
 	from ids.WorkerID
 	to   ids.WorkerID
-	life ids.Life
+	life ids.Incarnation
 	runs bool // resume was ordered
 	open bool // Claim was called
 	seat seat // what it was told last
@@ -164,8 +164,8 @@
 		}
 		switch {
 		case gone:
-			return f.verdict(failure.As(ctx.Err(), failure.Lost, "origin went away", ""))
-		case failure.Is(err, failure.Bad):
+			return f.verdict(failure.As(ctx.Err(), failure.DataLost, "origin went away", ""))
+		case failure.Is(err, failure.InvalidArgument):
 			return err
 		case tries >= t.Tries || late:
 			return f.verdict(err)
@@ -179,7 +179,7 @@
 		for _, w := range []ids.WorkerID{f.from, f.to} {
 			if w != "" {
 				c.Hands.Blame(w)
-				shun[w] = failure.Is(err, failure.Lost) || failure.Is(err, failure.Unknown)
+				shun[w] = failure.Is(err, failure.DataLost) || failure.Is(err, failure.OutcomeUnknown)
 			}
 		}
 	}
@@ -197,9 +197,9 @@
 
 // verdict names a failed task by what its origin has seen of it.
 func (f *flight) verdict(err error) error {
-	kind := failure.Bounced
+	kind := failure.NotExecuted
 	if len(f.sent) > 0 {
-		kind = failure.Lost
+		kind = failure.DataLost
 	}
 	return failure.As(err, kind, "hand-over", f.id.Request)
 }
@@ -209,8 +209,8 @@
 	t, h := f.t, f.Hands
 	m := t.Identity
 	m.ID, m.Output = f.id, append([]int32(nil), f.sent...)
-	ask := &routing.Question{Request: m.ID.Request, Kind: t.Kind, Model: m.Model.Name, Adapters: m.Model.Adapters, Zone: t.Zone,
-		Prompt: len(m.Prompt), Max: m.Params.MaxTokens, Part: ids.Decode}
+	ask := &routing.PickRequest{Request: m.ID.Request, Kind: t.Kind, Model: m.Model.Name, Adapters: m.Model.Adapters, Zone: t.Zone,
+		Prompt: len(m.Prompt), Max: m.Params.MaxTokens, Role: ids.Decode}
 	whole := len(m.Prompt) + m.Params.MaxTokens
 	to, err := f.book(ctx, ask, m.Model, whole, shun)
 	if err != nil {
@@ -220,7 +220,7 @@
 	t.Identity.Model.Weights = to.Model.Weights
 	ended := false // the worker's own word that the run came to its end
 	defer func(w ids.WorkerID) { h.Done(w, f.id, ended) }(to.ID)
-	ask.Part = ids.Prefill
+	ask.Role = ids.Prefill
 	from, err := f.book(ctx, ask, m.Model, len(m.Prompt)+len(m.Output)+1, shun)
 	if err != nil {
 		return err
@@ -229,7 +229,7 @@
 	if !f.open && t.Claim != nil {
 		f.open, f.seat = true, seat{to.ID, to.Life}
 		if err := t.Claim(to.ID, to.Life); err != nil {
-			return failure.As(err, failure.Bad, "claim", m.ID.Request)
+			return failure.As(err, failure.InvalidArgument, "claim", m.ID.Request)
 		}
 	}
 	// A claim may take long.
@@ -249,7 +249,7 @@
 	f.tell(Exported, from.ID, nil)
 	got, texts := a.Identity, a.Texts
 	if got == nil || !f.fits(&m, got) {
-		return failure.New(failure.Lost, "export", string(from.ID), "what came back is not what went in")
+		return failure.New(failure.DataLost, "export", string(from.ID), "what came back is not what went in")
 	}
 	h.Done(from.ID, f.id, true)
 	full := map[ids.WorkerID]bool{}
@@ -258,14 +258,14 @@
 		if a, err = h.Import(ctx, to.ID, *got, from.ID); err == nil {
 			break
 		}
-		if !failure.Is(err, failure.Bounced) {
+		if !failure.Is(err, failure.NotExecuted) {
 			return err
 		}
 		// Refused before any token of the decode side: the next one is tried.
 		f.to = ""
 		shun[to.ID], full[to.ID] = true, true
 		h.Done(to.ID, f.id, true)
-		ask.Part = ids.Decode
+		ask.Role = ids.Decode
 		why := err
 		if to, err = f.book(ctx, ask, m.Model, whole, shun); err != nil {
 			return err
@@ -276,11 +276,11 @@
 			return why
 		}
 	}
-	f.life = a.Life
+	f.life = a.Incarnation
 	f.tell(Imported, to.ID, nil)
-	if now := (seat{to.ID, a.Life}); t.Claim != nil && f.seat != now {
-		if err := t.Claim(to.ID, a.Life); err != nil {
-			return failure.As(err, failure.Bounced, "claim anew", m.ID.Request)
+	if now := (seat{to.ID, a.Incarnation}); t.Claim != nil && f.seat != now {
+		if err := t.Claim(to.ID, a.Incarnation); err != nil {
+			return failure.As(err, failure.NotExecuted, "claim anew", m.ID.Request)
 		}
 		f.seat = now
 	}
@@ -323,10 +323,10 @@
 }
 
 // book reserves room on the first worker that has it, in the program's order.
-func (f *flight) book(ctx context.Context, ask *routing.Question, on workerclient.Model, toks int, shun map[ids.WorkerID]bool) (Picked, error) {
+func (f *flight) book(ctx context.Context, ask *routing.PickRequest, on workerclient.Model, toks int, shun map[ids.WorkerID]bool) (Picked, error) {
 	ask.Need = toks
 	list := f.Hands.Pick(ask, on, shun)
-	err := failure.New(failure.Bounced, "pick "+string(ask.Part), "", "no worker is cleared")
+	err := failure.New(failure.NotExecuted, "pick "+string(ask.Role), "", "no worker is cleared")
 	for _, c := range list {
 		if err = f.Hands.Reserve(ctx, c.ID, f.id, ids.Blocks(toks, c.Block)); err == nil {
 			return c, nil
@@ -338,13 +338,13 @@
 			break
 		}
 	}
-	return Picked{}, failure.As(err, failure.Bounced, "book "+string(ask.Part), "")
+	return Picked{}, failure.As(err, failure.NotExecuted, "book "+string(ask.Role), "")
 }
 
 // hand puts all tokens that the origin has not had yet.
 func (f *flight) hand(out []int32, texts []string) error {
 	for i := len(f.sent); i < len(out); i++ {
-		p := workerclient.Piece{Index: i, Token: out[i]}
+		p := workerclient.TokenEvent{Index: i, Token: out[i]}
 		if i < len(texts) {
 			p.Text = texts[i]
 		}
@@ -356,18 +356,18 @@
 }
 
 // piece passes on index = last+1 only.
-func (f *flight) piece(p workerclient.Piece) error {
+func (f *flight) piece(p workerclient.TokenEvent) error {
 	if p.Index != len(f.sent) {
-		return failure.New(failure.Lost, "stream", string(f.to), "piece %d came where %d was due", p.Index, len(f.sent))
+		return failure.New(failure.DataLost, "stream", string(f.to), "piece %d came where %d was due", p.Index, len(f.sent))
 	}
 	if p.End != "" {
 		if p.Count != len(f.sent) {
-			return failure.New(failure.Lost, "stream", string(f.to), "an end after %d of %d pieces", len(f.sent), p.Count)
+			return failure.New(failure.DataLost, "stream", string(f.to), "an end after %d of %d pieces", len(f.sent), p.Count)
 		}
 		return nil
 	}
 	if err := f.put(p.Index, p.Token, p.Text); err != nil {
-		return failure.As(err, failure.Lost, "write to origin", "")
+		return failure.As(err, failure.DataLost, "write to origin", "")
 	}
 	f.sent = append(f.sent, p.Token)
 	return nil
--- a/internal/handoff/controller_test.go
+++ b/internal/handoff/controller_test.go
@@ -26,15 +26,15 @@
 	full    map[ids.WorkerID]bool // bounces imports
 	spoil   func(m *workerclient.Identity)
 	resume  func(n int) error
-	stream  func(n, from int, put func(workerclient.Piece) error) error
-	fate    func(n int) (*workerclient.Answer, error)
+	stream  func(n, from int, put func(workerclient.TokenEvent) error) error
+	fate    func(n int) (*workerclient.OrderResponse, error)
 	coins   int
 	resumes int
 	cancels int
 	tries   int
 	imports []ids.WorkerID
 	loose   map[string]int
-	claim   func(w ids.WorkerID, life ids.Life) error
+	claim   func(w ids.WorkerID, life ids.Incarnation) error
 	stale   int // so often what was picked is outdated
 	picks   int
 	regime  string
@@ -42,10 +42,10 @@
 	last    bool // where all are shunned they are picked all the same
 }
 
-func lost() error    { return failure.New(failure.Lost, "test", "w", "lost") }
-func bounced() error { return failure.New(failure.Bounced, "test", "w", "bounced") }
+func lost() error    { return failure.New(failure.DataLost, "test", "w", "lost") }
+func bounced() error { return failure.New(failure.NotExecuted, "test", "w", "bounced") }
 
-func (s *script) Pick(q *routing.Question, _ workerclient.Model, shun map[ids.WorkerID]bool) []Picked {
+func (s *script) Pick(q *routing.PickRequest, _ workerclient.Model, shun map[ids.WorkerID]bool) []Picked {
 	s.picks++
 	if s.none > 0 && s.resumes > 0 {
 		s.none--
@@ -53,7 +53,7 @@
 	}
 	var out []Picked
 	for _, id := range []ids.WorkerID{"1", "2"} {
-		w := ids.WorkerID(q.Part[:1]) + id
+		w := ids.WorkerID(q.Role[:1]) + id
 		if !shun[w] {
 			out = append(out, Picked{ID: w, Model: workerclient.Model{Name: "m", Weights: "w1"}, Block: 16})
 		}
@@ -69,26 +69,26 @@
 	return nil
 }
 
-func (s *script) Prefill(_ context.Context, _ ids.WorkerID, m workerclient.Identity) (*workerclient.Answer, error) {
+func (s *script) Prefill(_ context.Context, _ ids.WorkerID, m workerclient.Identity) (*workerclient.OrderResponse, error) {
 	s.tries++
 	m.Computed = len(m.Prompt)
 	if len(m.Output) == 0 {
 		m.Output = answer[:1]
 	}
-	return &workerclient.Answer{Identity: &m}, nil
+	return &workerclient.OrderResponse{Identity: &m}, nil
 }
 
-func (s *script) Export(_ context.Context, _ ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error) {
+func (s *script) Export(_ context.Context, _ ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error) {
 	m := ident()
 	m.ID, m.Output, m.Computed = id, answer[:1], len(m.Prompt)
 	m.Model.Weights = "w1"
 	if s.spoil != nil {
 		s.spoil(&m)
 	}
-	return &workerclient.Answer{Identity: &m}, nil
+	return &workerclient.OrderResponse{Identity: &m}, nil
 }
 
-func (s *script) Import(_ context.Context, w ids.WorkerID, _ workerclient.Identity, _ ids.WorkerID) (*workerclient.Answer, error) {
+func (s *script) Import(_ context.Context, w ids.WorkerID, _ workerclient.Identity, _ ids.WorkerID) (*workerclient.OrderResponse, error) {
 	s.imports = append(s.imports, w)
 	if len(s.imports) > 100 {
 		panic("it asks the same workers for ever")
@@ -96,35 +96,35 @@
 	if s.full[w] {
 		return nil, bounced()
 	}
-	return &workerclient.Answer{Life: "one"}, nil
+	return &workerclient.OrderResponse{Incarnation: "one"}, nil
 }
 
-func (s *script) Resume(context.Context, ids.WorkerID, workerclient.ID) (*workerclient.Answer, error) {
+func (s *script) Resume(context.Context, ids.WorkerID, workerclient.ID) (*workerclient.OrderResponse, error) {
 	s.resumes++
 	if s.resume != nil {
 		if err := s.resume(s.resumes); err != nil {
 			return nil, err
 		}
 	}
-	return &workerclient.Answer{}, nil
+	return &workerclient.OrderResponse{}, nil
 }
 
-func (s *script) Cancel(_ context.Context, w ids.WorkerID, _ workerclient.ID) (*workerclient.Answer, error) {
+func (s *script) Cancel(_ context.Context, w ids.WorkerID, _ workerclient.ID) (*workerclient.OrderResponse, error) {
 	if w[0] == 'p' {
-		return &workerclient.Answer{Fate: workerclient.FateNever}, nil
+		return &workerclient.OrderResponse{Fate: workerclient.FateNever}, nil
 	}
 	s.cancels++
 	if s.fate != nil {
 		return s.fate(s.cancels)
 	}
-	return &workerclient.Answer{Fate: workerclient.FateNever, Life: "one"}, nil
+	return &workerclient.OrderResponse{Fate: workerclient.FateNever, Incarnation: "one"}, nil
 }
 
 func (s *script) Done(w ids.WorkerID, id workerclient.ID, _ bool) { s.loose[string(w)+id.Request] = 0 }
 func (s *script) Blame(ids.WorkerID)                              {}
 func (s *script) Stale() bool                                     { s.stale--; return s.stale >= 0 }
 
-func (s *script) Stream(_ context.Context, _ ids.WorkerID, _ workerclient.ID, from int, put func(workerclient.Piece) error) error {
+func (s *script) Stream(_ context.Context, _ ids.WorkerID, _ workerclient.ID, from int, put func(workerclient.TokenEvent) error) error {
 	if s.stream != nil {
 		return s.stream(s.resumes, from, put)
 	}
@@ -133,14 +133,14 @@
 
 func (s *script) Spend(context.Context, time.Duration) bool { s.coins--; return s.coins >= 0 }
 
-func send(put func(workerclient.Piece) error, from, to int, end bool) error {
+func send(put func(workerclient.TokenEvent) error, from, to int, end bool) error {
 	for i := from; i < to; i++ {
-		if err := put(workerclient.Piece{Index: i, Token: answer[i]}); err != nil {
+		if err := put(workerclient.TokenEvent{Index: i, Token: answer[i]}); err != nil {
 			return err
 		}
 	}
 	if end {
-		return put(workerclient.Piece{Index: to, End: "stop", Count: to})
+		return put(workerclient.TokenEvent{Index: to, End: "stop", Count: to})
 	}
 	return lost()
 }
@@ -186,7 +186,7 @@
 	require.Equal(t, []ids.WorkerID{"d1", "d2"}, s.imports)
 	s = &script{full: map[ids.WorkerID]bool{"d1": true, "d2": true}}
 	got, took, err := play(t, s, false)
-	require.True(t, failure.Is(err, failure.Bounced), "%v", err)
+	require.True(t, failure.Is(err, failure.NotExecuted), "%v", err)
 	require.Empty(t, got)
 	require.Less(t, took, time.Second, "given up means answered at once")
 }
@@ -196,7 +196,7 @@
 func TestAllFull(t *testing.T) {
 	s := &script{full: map[ids.WorkerID]bool{"d1": true, "d2": true}, last: true, coins: 5}
 	got, _, err := play(t, s, false)
-	require.True(t, failure.Is(err, failure.Bounced), "%v", err)
+	require.True(t, failure.Is(err, failure.NotExecuted), "%v", err)
 	require.Empty(t, got)
 	require.LessOrEqual(t, len(s.imports), 2*3)
 }
@@ -204,16 +204,20 @@
 // TestBadPieces: a gap, a repeat, and an end that comes too early never reach
 // the caller as a whole answer; with a coin the rest is recomputed.
 func TestBadPieces(t *testing.T) {
-	for name, bad := range map[string]func(put func(workerclient.Piece) error) error{
-		"gap":    func(put func(workerclient.Piece) error) error { return put(workerclient.Piece{Index: 3, Token: 14}) },
-		"repeat": func(put func(workerclient.Piece) error) error { return put(workerclient.Piece{Index: 0, Token: 11}) },
-		"early end": func(put func(workerclient.Piece) error) error {
-			return put(workerclient.Piece{Index: 1, End: "stop", Count: 5})
+	for name, bad := range map[string]func(put func(workerclient.TokenEvent) error) error{
+		"gap": func(put func(workerclient.TokenEvent) error) error {
+			return put(workerclient.TokenEvent{Index: 3, Token: 14})
 		},
-		"cut": func(put func(workerclient.Piece) error) error { return send(put, 1, 3, false) },
+		"repeat": func(put func(workerclient.TokenEvent) error) error {
+			return put(workerclient.TokenEvent{Index: 0, Token: 11})
+		},
+		"early end": func(put func(workerclient.TokenEvent) error) error {
+			return put(workerclient.TokenEvent{Index: 1, End: "stop", Count: 5})
+		},
+		"cut": func(put func(workerclient.TokenEvent) error) error { return send(put, 1, 3, false) },
 	} {
 		for coins := range 2 {
-			s := &script{coins: coins, stream: func(n, from int, put func(workerclient.Piece) error) error {
+			s := &script{coins: coins, stream: func(n, from int, put func(workerclient.TokenEvent) error) error {
 				if n == 1 {
 					return bad(put)
 				}
@@ -226,7 +230,7 @@
 			}
 			got, _, err := play(t, s, false)
 			if coins == 0 {
-				require.True(t, failure.Is(err, failure.Lost), "%s: %v", name, err)
+				require.True(t, failure.Is(err, failure.DataLost), "%s: %v", name, err)
 				require.Equal(t, 1, s.tries, "%s: no coin, no recompute", name)
 				continue
 			}
@@ -258,25 +262,25 @@
 // when its worker cannot be asked, nor when it began a new life, nor when it was
 // stopped midway. One that surely never began is tried again.
 func TestClaimedOnce(t *testing.T) {
-	cut := func(n, from int, put func(workerclient.Piece) error) error {
+	cut := func(n, from int, put func(workerclient.TokenEvent) error) error {
 		if n == 1 {
 			return lost()
 		}
 		return send(put, from, len(answer), true)
 	}
-	for name, fate := range map[string]func(int) (*workerclient.Answer, error){
-		"cannot be asked": func(int) (*workerclient.Answer, error) { return nil, bounced() },
-		"nobody listens":  func(int) (*workerclient.Answer, error) { return nil, lost() },
-		"new life": func(int) (*workerclient.Answer, error) {
-			return &workerclient.Answer{Fate: workerclient.FateNever, Life: "two"}, nil
+	for name, fate := range map[string]func(int) (*workerclient.OrderResponse, error){
+		"cannot be asked": func(int) (*workerclient.OrderResponse, error) { return nil, bounced() },
+		"nobody listens":  func(int) (*workerclient.OrderResponse, error) { return nil, lost() },
+		"new life": func(int) (*workerclient.OrderResponse, error) {
+			return &workerclient.OrderResponse{Fate: workerclient.FateNever, Incarnation: "two"}, nil
 		},
-		"stopped midway": func(int) (*workerclient.Answer, error) {
-			return &workerclient.Answer{Fate: workerclient.FateStopped, Life: "one"}, nil
+		"stopped midway": func(int) (*workerclient.OrderResponse, error) {
+			return &workerclient.OrderResponse{Fate: workerclient.FateStopped, Incarnation: "one"}, nil
 		},
 	} {
 		s := &script{coins: 5, stream: cut, fate: fate}
 		_, _, err := play(t, s, true)
-		require.True(t, failure.Is(err, failure.Unknown), "%s: %v", name, err)
+		require.True(t, failure.Is(err, failure.OutcomeUnknown), "%s: %v", name, err)
 		require.Equal(t, 1, s.resumes, name)
 	}
 	s := &script{coins: 5, resume: func(n int) error {
@@ -288,8 +292,8 @@
 	got, _, err := play(t, s, true)
 	require.NoError(t, err)
 	require.Equal(t, answer, got)
-	s = &script{stream: cut, fate: func(int) (*workerclient.Answer, error) {
-		return &workerclient.Answer{Fate: workerclient.FateFinished, Done: true, Output: answer, Life: "one"}, nil
+	s = &script{stream: cut, fate: func(int) (*workerclient.OrderResponse, error) {
+		return &workerclient.OrderResponse{Fate: workerclient.FateFinished, Done: true, Output: answer, Incarnation: "one"}, nil
 	}}
 	got, _, err = play(t, s, true)
 	require.NoError(t, err, "it had finished: its own output is handed on")
@@ -303,7 +307,7 @@
 func TestClaimedWhere(t *testing.T) {
 	var told []string
 	s := &script{coins: 5, full: map[ids.WorkerID]bool{"d1": true}}
-	s.claim = func(w ids.WorkerID, life ids.Life) error {
+	s.claim = func(w ids.WorkerID, life ids.Incarnation) error {
 		require.Zero(t, s.resumes)
 		told = append(told, string(w)+"/"+string(life))
 		return nil
@@ -313,14 +317,14 @@
 	require.Equal(t, []string{"d1/", "d2/one"}, told)
 	s = &script{coins: 5}
 	n := 0
-	s.claim = func(ids.WorkerID, ids.Life) error {
+	s.claim = func(ids.WorkerID, ids.Incarnation) error {
 		if n++; n > 1 {
 			return lost()
 		}
 		return nil
 	}
 	_, _, err = play(t, s, true)
-	require.True(t, failure.Is(err, failure.Bounced), "%v", err)
+	require.True(t, failure.Is(err, failure.NotExecuted), "%v", err)
 	require.Zero(t, s.resumes)
 }
 
@@ -328,7 +332,7 @@
 // are picked anew and the key is not claimed again; nothing was sent before.
 func TestStaleAfterClaim(t *testing.T) {
 	claims := 0
-	s := &script{stale: 2, claim: func(ids.WorkerID, ids.Life) error { claims++; return nil }}
+	s := &script{stale: 2, claim: func(ids.WorkerID, ids.Incarnation) error { claims++; return nil }}
 	got, _, err := play(t, s, true)
 	require.NoError(t, err)
 	require.Equal(t, answer, got)
@@ -342,8 +346,8 @@
 func TestOrphanWait(t *testing.T) {
 	var again time.Time
 	begun := time.Now()
-	s := &script{coins: 5, fate: func(int) (*workerclient.Answer, error) { return nil, bounced() }}
-	s.stream = func(n, from int, put func(workerclient.Piece) error) error {
+	s := &script{coins: 5, fate: func(int) (*workerclient.OrderResponse, error) { return nil, bounced() }}
+	s.stream = func(n, from int, put func(workerclient.TokenEvent) error) error {
 		if n == 1 {
 			begun = time.Now()
 			return lost()
@@ -359,7 +363,7 @@
 // TestGovernedWaits: a governed stream that has begun and finds nobody cleared waits for
 // one that is, within its patience; another one is given up after its tries.
 func TestGovernedWaits(t *testing.T) {
-	whole := func(n, from int, put func(workerclient.Piece) error) error {
+	whole := func(n, from int, put func(workerclient.TokenEvent) error) error {
 		if n == 1 {
 			return send(put, from, 3, false)
 		}
@@ -375,9 +379,9 @@
 	require.Equal(t, answer, got)
 	require.Greater(t, took, time.Second)
 	got, _, err = play(t, &script{stream: whole, spoil: spoil, coins: 5, none: 20}, false)
-	require.True(t, failure.Is(err, failure.Lost), "%v", err)
+	require.True(t, failure.Is(err, failure.DataLost), "%v", err)
 	require.Len(t, got, 3)
 	_, took, err = play(t, &script{stream: whole, spoil: spoil, coins: 5, regime: "chair", none: 1 << 20}, false)
-	require.True(t, failure.Is(err, failure.Lost), "%v", err)
+	require.True(t, failure.Is(err, failure.DataLost), "%v", err)
 	require.Less(t, took, 10*time.Second)
 }
--- a/internal/handoff/ledger.go
+++ b/internal/handoff/ledger.go
@@ -31,7 +31,7 @@
 	lag    time.Duration
 	ramp   time.Duration
 	cap    int
-	part   ids.Part
+	part   ids.Role
 	report *workerclient.Report
 	asked  ids.Tick
 	holds  map[workerclient.ID]*hold
@@ -63,10 +63,10 @@
 func (l *Ledger) Report(r *workerclient.Report, asked ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.report != nil && (r.Part != l.part || l.misses > 5) {
+	if l.report != nil && (r.Role != l.part || l.misses > 5) {
 		l.fresh = asked
 	}
-	l.report, l.asked, l.part, l.misses = r, asked, r.Part, 0
+	l.report, l.asked, l.part, l.misses = r, asked, r.Role, 0
 	on := map[workerclient.ID]bool{}
 	for _, v := range r.Running {
 		on[v.ID] = true
@@ -111,7 +111,7 @@
 
 // State is what the ledger says of its worker now.
 type State struct {
-	Part  ids.Part
+	Part  ids.Role
 	Ready bool
 	Free  int
 	Room  int
@@ -121,7 +121,7 @@
 	Cap   int
 	Block int
 	Model workerclient.Model
-	Life  ids.Life
+	Life  ids.Incarnation
 }
 
 // State returns what the ledger says of its worker at a time.
@@ -137,16 +137,16 @@
 	if r == nil || l.since == math.MaxInt64 {
 		return s
 	}
-	s.Part, s.Room, s.Block, s.Model, s.Life = r.Part, r.Capacity, r.Block, r.Model, r.Life
+	s.Part, s.Room, s.Block, s.Model, s.Life = r.Role, r.Capacity, r.Block, r.Model, r.Incarnation
 	// The first report that shows all of an earlier holder's orders was asked
 	// for one lag after the worker knew this holder's fence.
 	s.Ready = !l.held && l.misses < 3 && !now.Past(l.asked, 2*time.Second) && !l.asked.Before(l.since.Add(l.lag))
 	used := 0
 	for _, v := range r.Running {
 		if l.holds[v.ID] == nil {
-			used += v.Blocks + v.Room
+			used += v.Blocks + v.Reserved
 			s.Work++
-			s.Used += v.Blocks + v.Room
+			s.Used += v.Blocks + v.Reserved
 		}
 	}
 	shown := 0
@@ -181,7 +181,7 @@
 }
 
 // Part is what the worker plays by its newest report.
-func (l *Ledger) Part() ids.Part {
+func (l *Ledger) Part() ids.Role {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.part
@@ -209,11 +209,11 @@
 	}
 	switch {
 	case !s.Ready:
-		return failure.New(failure.Bounced, "reserve", "", "no report young enough")
+		return failure.New(failure.NotExecuted, "reserve", "", "no report young enough")
 	case s.Busy >= s.Cap:
-		return failure.New(failure.Bounced, "reserve", "", "%d starts are under way, the cap is %d", s.Busy, s.Cap)
+		return failure.New(failure.NotExecuted, "reserve", "", "%d starts are under way, the cap is %d", s.Busy, s.Cap)
 	case s.Free < blocks:
-		return failure.New(failure.Bounced, "reserve", "", "%d blocks free, %d needed", s.Free, blocks)
+		return failure.New(failure.NotExecuted, "reserve", "", "%d blocks free, %d needed", s.Free, blocks)
 	}
 	l.holds[id] = &hold{blocks: blocks, at: now}
 	return nil
--- a/internal/handoff/ledger_test.go
+++ b/internal/handoff/ledger_test.go
@@ -18,7 +18,7 @@
 func at(ms int) ids.Tick { return ids.Tick(time.Duration(ms) * time.Millisecond) }
 
 func report(used int, on ...workerclient.Running) *workerclient.Report {
-	return &workerclient.Report{Part: ids.Decode, Used: used, Capacity: 100, Block: 16, Running: on}
+	return &workerclient.Report{Role: ids.Decode, Used: used, Capacity: 100, Block: 16, Running: on}
 }
 
 func begun(ms int, ramp time.Duration, limit int) *Ledger {
@@ -35,7 +35,7 @@
 	l := begun(1000, 0, 8)
 	l.Report(report(0), at(1100))
 	require.Error(t, l.Reserve(one(0), 1, at(1110)))
-	l.Report(report(30, workerclient.Running{ID: one(9), Blocks: 30, Room: 60}), at(1500))
+	l.Report(report(30, workerclient.Running{ID: one(9), Blocks: 30, Reserved: 60}), at(1500))
 	require.NoError(t, l.Reserve(one(0), 10, at(1510)))
 	require.Error(t, l.Reserve(one(1), 1, at(1511)))
 }
@@ -49,16 +49,16 @@
 	l.Moved(one(0), at(620))
 	l.Report(report(0), at(800))
 	require.Equal(t, 40, l.State(at(800)).Free, "the import is not in the report")
-	l.Report(report(50, workerclient.Running{ID: one(0), Blocks: 50, Room: 10}), at(1300))
+	l.Report(report(50, workerclient.Running{ID: one(0), Blocks: 50, Reserved: 10}), at(1300))
 	require.Equal(t, 40, l.State(at(1300)).Free, "counted once")
 	l.Ended(one(0), false, at(1310))
-	l.Report(report(50, workerclient.Running{ID: one(0), Blocks: 50, Room: 10}), at(1500))
+	l.Report(report(50, workerclient.Running{ID: one(0), Blocks: 50, Reserved: 10}), at(1500))
 	require.Equal(t, 40, l.State(at(1500)).Free, "the completion is not in the report")
 	l.Report(report(0), at(1900))
 	require.Equal(t, 100, l.State(at(1900)).Free)
 	require.NoError(t, l.Reserve(one(1), 60, at(1910)))
 	l.Moved(one(1), at(1920))
-	l.Report(report(50, workerclient.Running{ID: one(1), Blocks: 50, Room: 10}), at(2500))
+	l.Report(report(50, workerclient.Running{ID: one(1), Blocks: 50, Reserved: 10}), at(2500))
 	l.Ended(one(1), true, at(2510))
 	require.Equal(t, 100, l.State(at(2520)).Free, "the worker said so itself; the old report is not believed")
 }
@@ -116,7 +116,7 @@
 	require.Error(t, l.Reserve(one(5), 1, at(600)))
 	require.Equal(t, 16, l.State(at(2100)).Cap)
 	back := report(0)
-	back.Part = ids.Prefill
+	back.Role = ids.Prefill
 	l.Report(back, at(3000))
 	require.Equal(t, 4, l.State(at(3500)).Cap, "a switched worker is cold again")
 }
--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -100,7 +100,7 @@
 	shy := -1.0 // ahead at the best of those that turned something away just now
 	t := n.tabled(ros, s)
 	var taken, seen, slots int
-	for _, part := range []ids.Part{ids.Prefill, ids.Decode} {
+	for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 		for _, e := range t.by[role{svc.Name, part}] {
 			if part == ids.Decode && e.part == "" && len(t.by[role{svc.Name, ids.Prefill}]) > 0 {
 				continue // counted
--- a/internal/proxy/alarm.go
+++ b/internal/proxy/alarm.go
@@ -81,7 +81,7 @@
 			return
 		}
 		// Whoever says that it is ill, or answers requests meanwhile, is there: outcomes decide.
-		if n.opt.Eject >= 0 && failure.Is(err, failure.Bad) {
+		if n.opt.Eject >= 0 && failure.Is(err, failure.InvalidArgument) {
 			n.rose(st)
 			return
 		}
--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -33,7 +33,7 @@
 	r     *Request
 	route *fleetstate.Route
 	svc   *fleetstate.Service
-	deck  *routing.Deck // it keeps to the one it began with
+	deck  *routing.ProgramSet // it keeps to the one it began with
 	sink  Sink
 	end   ids.Tick
 	marks []uint64
@@ -127,7 +127,7 @@
 		}
 		why = err
 		switch failure.KindOf(err) {
-		case failure.Unknown:
+		case failure.OutcomeUnknown:
 			// Whoever is silent has perhaps not fetched the memory.
 			t.ran = true
 			t.drop(src)
@@ -135,10 +135,10 @@
 			if !t.route.Again() || t.begun && !t.route.Resumable || errors.Is(err, errCaller) {
 				return t.giveUp(err, http.StatusBadGateway)
 			}
-		case failure.Lost:
+		case failure.DataLost:
 			src = nil
 			t.fetched()
-		case failure.Away:
+		case failure.Unavailable:
 			t.drop(src)
 			return t.giveUp(err, http.StatusGatewayTimeout)
 		}
@@ -270,16 +270,16 @@
 		t.tell(handoff.Prefilled, c.w.ID, "")
 		return &Source{Worker: *c.w, Handle: memo.Handle}, true, nil
 	}
-	c.release(failure.Is(err, failure.Unknown), now)
+	c.release(failure.Is(err, failure.OutcomeUnknown), now)
 	t.blame(ctx, c, err, now)
 	t.tell(handoff.Dropped, c.w.ID, err.Error())
-	if failure.Is(err, failure.Bounced) && failure.Step(err) == dialStep {
+	if failure.Is(err, failure.NotExecuted) && failure.Step(err) == dialStep {
 		return nil, false, err
 	}
-	t.ran = t.ran || failure.Is(err, failure.Bad)
+	t.ran = t.ran || failure.Is(err, failure.InvalidArgument)
 	// It may not have been taken up, and then counts like any other sending.
 	t.extra = true
-	if failure.Is(err, failure.Bounced) || failure.Is(err, failure.Stale) {
+	if failure.Is(err, failure.NotExecuted) || failure.Is(err, failure.Stale) {
 		t.sends++
 	}
 	return nil, true, err
@@ -290,16 +290,16 @@
 
 // Undialled makes the breakdown of a request that never left.
 func Undialled(err error, near string) error {
-	return failure.As(err, failure.Bounced, dialStep, near)
+	return failure.As(err, failure.NotExecuted, dialStep, near)
 }
 
 func (t *trip) blame(ctx context.Context, c *choice, err error, now ids.Tick) {
 	switch {
-	case failure.Is(err, failure.Lost):
+	case failure.Is(err, failure.DataLost):
 	case failure.Is(err, failure.Stale):
 		t.tried[c.w.ID] = true
 		c.st.gone()
-	case failure.Is(err, failure.Bounced) && failure.Step(err) != dialStep:
+	case failure.Is(err, failure.NotExecuted) && failure.Step(err) != dialStep:
 		c.st.full(now)
 	case ctx.Err() == nil:
 		c.st.fault(now)
@@ -338,10 +338,10 @@
 				return &c, reply, nil
 			}
 			c.st.end(0)
-			c.release(failure.Is(err, failure.Unknown), t.n.now())
+			c.release(failure.Is(err, failure.OutcomeUnknown), t.n.now())
 			t.blame(ctx, &c, err, t.n.now())
 			t.tell(handoff.Dropped, c.w.ID, err.Error())
-			if failure.Is(err, failure.Bounced) && failure.Step(err) == dialStep {
+			if failure.Is(err, failure.NotExecuted) && failure.Step(err) == dialStep {
 				t.sends--
 				t.tried[c.w.ID] = true
 				if again = t.n.now().Past(picked, pickOld); again {
@@ -356,10 +356,10 @@
 			continue
 		}
 		if t.sends >= max(1, t.route.Tries) {
-			return nil, nil, failure.New(failure.Away, "emit", t.svc.Name, "no try is left")
+			return nil, nil, failure.New(failure.Unavailable, "emit", t.svc.Name, "no try is left")
 		}
 		if round > 2 || !host.Sleep(ctx, 30*time.Millisecond) {
-			return nil, nil, failure.New(failure.Away, "emit", t.svc.Name, "no worker may take it")
+			return nil, nil, failure.New(failure.Unavailable, "emit", t.svc.Name, "no worker may take it")
 		}
 	}
 }
--- a/internal/proxy/check_test.go
+++ b/internal/proxy/check_test.go
@@ -216,9 +216,9 @@
 
 // thirds: each part keeps a third of the workers (rounded up, one at least), by what
 // orders make of them.
-func thirds(rows []row, parts map[ids.WorkerID]ids.Part) []string {
+func thirds(rows []row, parts map[ids.WorkerID]ids.Role) []string {
 	var out []string
-	now := map[ids.WorkerID]ids.Part{}
+	now := map[ids.WorkerID]ids.Role{}
 	for id, p := range parts {
 		now[id] = p
 	}
@@ -228,7 +228,7 @@
 			continue
 		}
 		now[k.Worker] = k.To
-		count := map[ids.Part]int{}
+		count := map[ids.Role]int{}
 		for _, p := range now {
 			count[p]++
 		}
@@ -312,9 +312,9 @@
 	require.Empty(t, ordersApart([]row{order(0, "a", 1), order(1, "a", 1), order(4*time.Second, "b", 2)}, 3*time.Second))
 	require.NotEmpty(t, ordersApart([]row{order(0, "a", 1), order(2*time.Second, "b", 2)}, 3*time.Second), "too close")
 	require.NotEmpty(t, ordersApart([]row{order(0, "a", 2), order(4*time.Second, "b", 1)}, 3*time.Second), "a lower fence")
-	parts := map[ids.WorkerID]ids.Part{"v": ids.Prefill, "w": ids.Prefill, "x": ids.Decode}
+	parts := map[ids.WorkerID]ids.Role{"v": ids.Prefill, "w": ids.Prefill, "x": ids.Decode}
 	require.Empty(t, thirds([]row{order(0, "a", 1)}, parts))
-	require.NotEmpty(t, thirds([]row{order(0, "a", 1)}, map[ids.WorkerID]ids.Part{"w": ids.Prefill, "x": ids.Decode}))
+	require.NotEmpty(t, thirds([]row{order(0, "a", 1)}, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "x": ids.Decode}))
 
 	y := newYard()
 	y.handles["h"] = &handle{had: 1}
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -63,7 +63,7 @@
 		require.True(t, failure.Is(err, failure.Stale), "%v", err)
 		for _, low := range []ids.Version{3, 7} {
 			_, err = put(ids.OpID(fmt.Sprint("low", low)), 7, low, `{}`)
-			require.True(t, failure.Is(err, failure.Bad), "%v", err)
+			require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
 		}
 		v, err = put("twelve", 7, 12, `{"zones":["twelve"]}`)
 		require.NoError(t, err)
--- a/internal/proxy/eject.go
+++ b/internal/proxy/eject.go
@@ -187,7 +187,7 @@
 
 type group struct {
 	service string
-	part    ids.Part
+	part    ids.Role
 }
 
 func (n *Node) judge(s *fleetstate.Sight) {
--- a/internal/proxy/eject_test.go
+++ b/internal/proxy/eject_test.go
@@ -264,7 +264,7 @@
 	for _, some := range []bool{false, true} {
 		t.Run(fmt.Sprint(some), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				bad := failure.New(failure.Bad, "report", "", "status 503")
+				bad := failure.New(failure.InvalidArgument, "report", "", "status 503")
 				mute := 0
 				lies := func(on bool) *ward {
 					return (&ward{seed: 3, nodes: 3, parts: 3, rate: 60, span: 14 * time.Second, sick: func(k row) fate {
@@ -414,7 +414,7 @@
 					}
 					return fine
 				}, act: func(f *fleet, y *yard) {
-					lost := failure.New(failure.Away, "report", "", "no answer")
+					lost := failure.New(failure.Unavailable, "report", "", "no answer")
 					time.Sleep(3 * time.Second)
 					y.at(func() {
 						y.health = func(node string, s *stand) error {
--- a/internal/proxy/list_note.go
+++ b/internal/proxy/list_note.go
@@ -15,7 +15,7 @@
 	Service string
 	Addr    string
 	Zone    ids.Zone
-	Part    ids.Part
+	Part    ids.Role
 	Slots   int
 	Leaving bool
 	Cold    int64
--- a/internal/proxy/list_note_gen.go
+++ b/internal/proxy/list_note_gen.go
@@ -96,7 +96,7 @@
 					err = msgp.WrapError(err, "Part")
 					return
 				}
-				z.Part = ids.Part(zb0004)
+				z.Part = ids.Role(zb0004)
 			}
 		case "Slots":
 			z.Slots, bts, err = msgp.ReadIntBytes(bts)
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -62,14 +62,14 @@
 }
 
 func (o *Options) fill() {
-	ids.Or(&o.Lease, 3*time.Second)
-	ids.Or(&o.Renew, 500*time.Millisecond)
-	ids.Or(&o.Share, 250*time.Millisecond)
-	ids.Or(&o.Roster, 700*time.Millisecond)
-	ids.Or(&o.Window, 10*time.Second)
-	ids.Or(&o.Turn, 500*time.Millisecond)
-	ids.Or(&o.Silence, 900*time.Millisecond)
-	ids.Or(&o.Eject, 2*time.Second)
+	ids.SetDefault(&o.Lease, 3*time.Second)
+	ids.SetDefault(&o.Renew, 500*time.Millisecond)
+	ids.SetDefault(&o.Share, 250*time.Millisecond)
+	ids.SetDefault(&o.Roster, 700*time.Millisecond)
+	ids.SetDefault(&o.Window, 10*time.Second)
+	ids.SetDefault(&o.Turn, 500*time.Millisecond)
+	ids.SetDefault(&o.Silence, 900*time.Millisecond)
+	ids.SetDefault(&o.Eject, 2*time.Second)
 	if o.Ratio == 0 {
 		o.Ratio = 0.2
 	}
@@ -91,7 +91,7 @@
 	if o.Say == 0 {
 		o.Say = 4
 	}
-	ids.Or(&o.Fresh, time.Second)
+	ids.SetDefault(&o.Fresh, time.Second)
 	if o.Admit == 0 {
 		o.Admit = 3
 	}
@@ -111,7 +111,7 @@
 		o.Steps = 20000
 	}
 	if o.Ring == nil {
-		o.Ring = logging.Mute()
+		o.Ring = logging.Discard()
 	}
 }
 
@@ -159,7 +159,7 @@
 func New(opt Options) (*Node, error) {
 	opt.fill()
 	n := &Node{opt: opt, budget: newBudget(opt.Window), warm: newWarm(), tide: handoff.Tide{Least: 2}}
-	deck, err := routing.NewDeck(opt.Deck, opt.Steps, &n.scores)
+	deck, err := routing.NewProgramSet(opt.Deck, opt.Steps, &n.scores)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/proxy/pass.go
+++ b/internal/proxy/pass.go
@@ -78,21 +78,21 @@
 	t.ran = true
 	if reply.Status/100 == 2 && !reply.Whole {
 		t.n.outcome(c, false)
-		return failure.New(failure.Unknown, "pass", c.w.Addr, "a success without the worker's stamp")
+		return failure.New(failure.OutcomeUnknown, "pass", c.w.Addr, "a success without the worker's stamp")
 	}
 	if promisesNotRun(reply.Status) {
 		t.n.outcome(c, false)
-		return failure.New(failure.Unknown, "pass", c.w.Addr, "status %d without word that it was not run", reply.Status)
+		return failure.New(failure.OutcomeUnknown, "pass", c.w.Addr, "status %d without word that it was not run", reply.Status)
 	}
 	if t.begun && (reply.Status != http.StatusOK || !reply.Events) {
-		return failure.New(failure.Unknown, "resume", c.w.Addr, "status %d", reply.Status)
+		return failure.New(failure.OutcomeUnknown, "resume", c.w.Addr, "status %d", reply.Status)
 	}
 	if reply.Status/100 == 5 {
 		t.n.outcome(c, false)
 	}
 	if reply.Status/100 == 5 && t.route.Again() && t.sends < t.route.Tries {
 		c.st.fault(t.n.now())
-		return failure.New(failure.Unknown, "pass", c.w.Addr, "status %d", reply.Status)
+		return failure.New(failure.OutcomeUnknown, "pass", c.w.Addr, "status %d", reply.Status)
 	}
 	t.tell(handoff.Resumed, c.w.ID, "")
 	var err error
@@ -134,7 +134,7 @@
 
 func (t *trip) write(p []byte) error {
 	if err := t.sink.Write(p); err != nil {
-		return failure.As(errors.Join(errCaller, err), failure.Unknown, "pass", "caller")
+		return failure.As(errors.Join(errCaller, err), failure.OutcomeUnknown, "pass", "caller")
 	}
 	return nil
 }
@@ -146,11 +146,11 @@
 	for {
 		k, err := reply.Body.Read(buf)
 		if err != nil && err != io.EOF {
-			return failure.As(err, failure.Unknown, "pass", "worker")
+			return failure.As(err, failure.OutcomeUnknown, "pass", "worker")
 		}
 		if k > 0 || err == io.EOF {
 			if err := t.head(reply, reply.Length); err != nil {
-				return failure.As(errors.Join(errCaller, err), failure.Unknown, "pass", "caller")
+				return failure.As(errors.Join(errCaller, err), failure.OutcomeUnknown, "pass", "caller")
 			}
 		}
 		if k > 0 {
@@ -182,7 +182,7 @@
 			return t.finish(reply, held)
 		}
 		if err != nil {
-			return failure.As(err, failure.Unknown, "pass", c.w.Addr)
+			return failure.As(err, failure.OutcomeUnknown, "pass", c.w.Addr)
 		}
 	}
 }
@@ -192,10 +192,10 @@
 func (t *trip) forward(c *choice, reply *Reply, events []byte, resumed bool) error {
 	first, last := eventIds(events)
 	if resumed && !follows(first, t.last) {
-		return failure.New(failure.Unknown, "resume", c.w.Addr, "event %s comes after %s", first, t.last)
+		return failure.New(failure.OutcomeUnknown, "resume", c.w.Addr, "event %s comes after %s", first, t.last)
 	}
 	if err := t.head(reply, -1); err != nil {
-		return failure.As(errors.Join(errCaller, err), failure.Unknown, "pass", "caller")
+		return failure.As(errors.Join(errCaller, err), failure.OutcomeUnknown, "pass", "caller")
 	}
 	if err := t.write(events); err != nil {
 		return err
@@ -210,7 +210,7 @@
 // passed on as it is.
 func (t *trip) finish(reply *Reply, rest []byte) error {
 	if err := t.head(reply, -1); err != nil {
-		return failure.As(errors.Join(errCaller, err), failure.Unknown, "pass", "caller")
+		return failure.As(errors.Join(errCaller, err), failure.OutcomeUnknown, "pass", "caller")
 	}
 	if len(rest) > 0 {
 		return t.write(rest)
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -102,7 +102,7 @@
 
 // cleared lists the workers of a service that may get new work of a part now. Those that
 // are to be left alone come only if no other is there.
-func (n *Node) cleared(s *fleetstate.Sight, svc *fleetstate.Service, part ids.Part, tried map[ids.WorkerID]bool) []choice {
+func (n *Node) cleared(s *fleetstate.Sight, svc *fleetstate.Service, part ids.Role, tried map[ids.WorkerID]bool) []choice {
 	var good, out, shy []choice
 	now := n.now()
 	ros := n.roster.Load()
@@ -186,7 +186,7 @@
 }
 
 // readers orders the workers that may read a prompt.
-func (n *Node) readers(deck *routing.Deck, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, tried map[ids.WorkerID]bool) []choice {
+func (n *Node) readers(deck *routing.ProgramSet, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, tried map[ids.WorkerID]bool) []choice {
 	list := n.cleared(s, svc, ids.Prefill, tried)
 	ms, toks := marks(r)
 	row := n.tabled(n.roster.Load(), s).by[role{svc.Name, ids.Prefill}]
@@ -218,7 +218,7 @@
 }
 
 // emitters orders the workers that may emit the answer, near the memory and near here.
-func (n *Node) emitters(deck *routing.Deck, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, from *Worker, tried map[ids.WorkerID]bool) []choice {
+func (n *Node) emitters(deck *routing.ProgramSet, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, from *Worker, tried map[ids.WorkerID]bool) []choice {
 	list := n.cleared(s, svc, ids.Decode, tried)
 	now := n.now()
 	for i := range list {
@@ -246,7 +246,7 @@
 }
 
 // order asks the routing programs, cheapest first.
-func (n *Node) order(deck *routing.Deck, r *Request, part ids.Part, list []choice) []choice {
+func (n *Node) order(deck *routing.ProgramSet, r *Request, part ids.Role, list []choice) []choice {
 	// Among equals the request decides, so that nodes that know little crowd no worker.
 	own := ids.Hash(r.ID)
 	ranks := make([]place, len(list))
@@ -261,10 +261,10 @@
 	}
 	list = sorted
 	head := list[:min(most, len(list))]
-	if len(head) < 2 && !deck.Rules() {
+	if len(head) < 2 && !deck.HasPrograms() {
 		return list
 	}
-	q := &routing.Question{Request: r.ID, Kind: r.Host, Model: r.Model, Part: part, Zone: n.me.Zone, Prompt: r.Prompt, Max: r.Most, Priced: true}
+	q := &routing.PickRequest{Request: r.ID, Kind: r.Host, Model: r.Model, Role: part, Zone: n.me.Zone, Prompt: r.Prompt, Max: r.Most, Priced: true}
 	cands := make([]routing.Candidate, len(head))
 	told := true // room is told in blocks if it is known of all, else in places
 	for i := range head {
@@ -272,9 +272,9 @@
 	}
 	by := make(map[ids.WorkerID]choice, len(head))
 	for i, c := range head {
-		cands[i] = routing.Candidate{ID: c.w.ID, Zone: c.w.Zone, Room: c.w.Slots, Free: max(0, c.w.Slots-c.busy), Busy: c.busy, Cap: c.w.Slots, Affinity: c.aff, Cost: c.cost}
+		cands[i] = routing.Candidate{ID: c.w.ID, Zone: c.w.Zone, Capacity: c.w.Slots, Free: max(0, c.w.Slots-c.busy), Busy: c.busy, MaxConcurrent: c.w.Slots, Affinity: c.aff, Cost: c.cost}
 		if told {
-			cands[i].Room, cands[i].Free = c.room, c.free
+			cands[i].Capacity, cands[i].Free = c.room, c.free
 		}
 		by[c.w.ID] = c
 	}
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -22,7 +22,7 @@
 	list := many(40)
 	list[7].Part = ""
 	list[9].Service = "other"
-	sights := []*fleetstate.Sight{{}, {Zones: map[ids.Zone]bool{"b": true}}, {Drained: map[ids.WorkerID]bool{list[2].ID: true}}, {Turning: map[ids.WorkerID]ids.Part{list[4].ID: ids.Decode}}}
+	sights := []*fleetstate.Sight{{}, {Zones: map[ids.Zone]bool{"b": true}}, {Drained: map[ids.WorkerID]bool{list[2].ID: true}}, {Turning: map[ids.WorkerID]ids.Role{list[4].ID: ids.Decode}}}
 	for k := range 6 {
 		now := n.now()
 		if k > 0 {
@@ -33,7 +33,7 @@
 		}
 		n.take(list, now, now)
 		for _, s := range sights {
-			for _, part := range []ids.Part{ids.Prefill, ids.Decode} {
+			for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 				var want, got []ids.WorkerID
 				var top ids.WorkerID
 				best := -1.0
@@ -61,7 +61,7 @@
 // TestPickedAnew: after a dial that took long nothing goes to a worker of which the node has
 // heard meanwhile that it leaves, nor does the request end while another worker is there.
 func TestPickedAnew(t *testing.T) {
-	for _, part := range []ids.Part{ids.Prefill, ids.Decode} {
+	for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 		eachSeed(t, 3, func(t *testing.T, seed uint64) {
 			y := newYard(both("svc", 3, 3)...)
 			f := build(t, seed, 2, y, plain(), func(o *Options) { o.Allow, o.Roster, o.Share = 60, 100*time.Millisecond, 50*time.Millisecond })
@@ -108,7 +108,7 @@
 func many(workers int) []Worker {
 	list := make([]Worker, workers)
 	for i := range list {
-		list[i] = Worker{ID: ids.WorkerID(fmt.Sprintf("i-7f3a%04d", i)), Service: "s", Zone: ids.Zone("abcd"[i%4:][:1]), Part: []ids.Part{ids.Prefill, ids.Decode}[i%2], Slots: 24}
+		list[i] = Worker{ID: ids.WorkerID(fmt.Sprintf("i-7f3a%04d", i)), Service: "s", Zone: ids.Zone("abcd"[i%4:][:1]), Part: []ids.Role{ids.Prefill, ids.Decode}[i%2], Slots: 24}
 	}
 	return list
 }
--- a/internal/proxy/program_test.go
+++ b/internal/proxy/program_test.go
@@ -28,7 +28,7 @@
 		y := newYard(both("svc", 3, 4)...)
 		scores := &routing.Scores{}
 		y.prep = func(n *Node) {
-			deck, err := routing.NewDeck(n.opt.Deck, n.opt.Steps, scores)
+			deck, err := routing.NewProgramSet(n.opt.Deck, n.opt.Steps, scores)
 			require.NoError(t, err)
 			n.first.Deck = deck
 		}
@@ -65,7 +65,7 @@
 		for _, p := range programs[:4] {
 			require.InDelta(t, float64(p.Share)/100, float64(picks[p.Name])/float64(total), 0.08, p.Name)
 		}
-		require.Zero(t, picks[routing.PlainName], "the shares add up to all")
+		require.Zero(t, picks[routing.BuiltInName], "the shares add up to all")
 	})
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -43,7 +43,7 @@
 	Service string
 	Addr    string
 	Zone    ids.Zone
-	Part    ids.Part // Prefill, Decode, or empty where the service knows no parts
+	Part    ids.Role // Prefill, Decode, or empty where the service knows no parts
 	Slots   int
 	Leaving bool
 	Cold    time.Duration // how much longer it is cold
@@ -80,7 +80,7 @@
 
 // Report is what a worker tells of itself when asked, some moments old.
 type Report struct {
-	Part    ids.Part
+	Part    ids.Role
 	Turning bool // an order is under way
 	Orders  int  // taken in this life
 	Waiting int
@@ -92,7 +92,7 @@
 // Order changes the part that a worker plays. Only the holder of the service's duty
 // sends one.
 type Order struct {
-	To    ids.Part
+	To    ids.Role
 	Owner ids.NodeID
 	Fence ids.Fence
 	After int // orders that the worker is expected to have taken
--- a/internal/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -36,7 +36,7 @@
 func setOf(list ...routing.Source) string {
 	p := map[string]fleetstate.Program{}
 	for _, s := range list {
-		p[s.Name] = fleetstate.Program{Source: s.Text, Share: s.Share, Shadow: s.Shadow, Turns: s.Turns}
+		p[s.Name] = fleetstate.Program{Source: s.Text, Share: s.Share, Shadow: s.Shadow, Turns: s.ChangesRoles}
 	}
 	b, _ := json.Marshal(map[string]any{"programs": p})
 	return string(b)
@@ -183,7 +183,7 @@
 	bad := map[string]string{
 		"x.star:3:1":               setOf(routing.Source{Name: "x", Share: 100, Text: "def order(ask, workers):\n    return [w.id for\n"}),
 		"must define":              setOf(routing.Source{Name: "x", Share: 100, Text: "a = 1\n"}),
-		"has no turn":              setOf(routing.Source{Name: "x", Share: 100, Turns: true, Text: ok.Text}),
+		"has no turn":              setOf(routing.Source{Name: "x", Share: 100, ChangesRoles: true, Text: ok.Text}),
 		"too many steps":           setOf(routing.Source{Name: "x", Share: 100, Text: "a = [i for i in range(1000000000)]\n"}),
 		"add up to 90":             setOf(routing.Source{Name: "x", Share: 90, Text: ok.Text}),
 		"over 16":                  setOf(append(many, ok)...),
@@ -207,7 +207,7 @@
 		for why, text := range bad {
 			_, err := f.apply("op "+why, 1, text)
 			require.ErrorContains(t, err, why)
-			require.True(t, failure.Is(err, failure.Bad), "%v", err)
+			require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
 		}
 		_, err = f.apply("stale", 0, setOf(ok))
 		require.ErrorContains(t, err, "the current one is 1")
@@ -254,7 +254,7 @@
 		_, err = f.apply("none", 2, `{"programs":{}}`)
 		require.NoError(t, err)
 		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(3) }))
-		require.False(t, f.nodes[0].deal(f.nodes[0].sight()).Deck.Rules())
+		require.False(t, f.nodes[0].deal(f.nodes[0].sight()).Deck.HasPrograms())
 	})
 }
 
@@ -321,7 +321,7 @@
 		require.EqualValues(t, 2, sh.Newest)
 		require.Contains(t, string(sh.Policy), `"two"`)
 		for _, b := range f.up() {
-			require.Equal(t, "two", b.deal(b.sight()).Deck.For("x"))
+			require.Equal(t, "two", b.deal(b.sight()).Deck.ProgramFor("x"))
 		}
 	})
 }
@@ -416,7 +416,7 @@
 				f := build(t, 87, 2, y, plain(), turning)
 				defer f.close()
 				was := parts(y)
-				_, err := f.apply(name, 0, setOf(routing.Source{Name: name, Turns: true, Text: c.text}))
+				_, err := f.apply(name, 0, setOf(routing.Source{Name: name, ChangesRoles: true, Text: c.text}))
 				require.NoError(t, err)
 				all := f.load(20, 40*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
 				rows := y.book()
@@ -449,13 +449,13 @@
 		p     routing.Source
 		turns bool
 	}{
-		"none":     {routing.Source{Turns: true, Text: "def turn(pool):\n    return None\n"}, false},
-		"fails":    {routing.Source{Turns: true, Text: "def turn(pool):\n    return pool.nothing\n"}, true},
-		"endless":  {routing.Source{Turns: true, Text: "def turn(pool):\n    n = 0\n    for i in range(1000000000):\n        n += i\n    return None\n"}, true},
-		"stranger": {routing.Source{Turns: true, Text: "def turn(pool):\n    return ('x', 'prefill')\n"}, true},
-		"same":     {routing.Source{Turns: true, Text: "def turn(pool):\n    return (pool.workers[0].id, pool.workers[0].part)\n"}, true},
+		"none":     {routing.Source{ChangesRoles: true, Text: "def turn(pool):\n    return None\n"}, false},
+		"fails":    {routing.Source{ChangesRoles: true, Text: "def turn(pool):\n    return pool.nothing\n"}, true},
+		"endless":  {routing.Source{ChangesRoles: true, Text: "def turn(pool):\n    n = 0\n    for i in range(1000000000):\n        n += i\n    return None\n"}, true},
+		"stranger": {routing.Source{ChangesRoles: true, Text: "def turn(pool):\n    return ('x', 'prefill')\n"}, true},
+		"same":     {routing.Source{ChangesRoles: true, Text: "def turn(pool):\n    return (pool.workers[0].id, pool.workers[0].part)\n"}, true},
 		"counted":  {routing.Source{Shadow: true, Text: "def turn(pool):\n    return None\n"}, true},
-		"press":    {routing.Source{Turns: true, Text: "def turn(pool):\n    ids = [w.id for w in pool.workers if w.may and w.part == 'decode']\n    if pool.prefill > 0.35 and ids:\n        return ids[0], 'prefill'\n    return None\n"}, true},
+		"press":    {routing.Source{ChangesRoles: true, Text: "def turn(pool):\n    ids = [w.id for w in pool.workers if w.may and w.part == 'decode']\n    if pool.prefill > 0.35 and ids:\n        return ids[0], 'prefill'\n    return None\n"}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
@@ -474,7 +474,7 @@
 				}
 				h := f.nodes[max(0, f.holder())]
 				score := h.Scores().Of(name)
-				require.NotZero(t, score.Asked.Load())
+				require.NotZero(t, score.ProposalsAsked.Load())
 				require.Equal(t, name == "fails" || name == "endless" || name == "stranger" || name == "same", score.Fallbacks.Load() > 0)
 			})
 		})
--- a/internal/proxy/table.go
+++ b/internal/proxy/table.go
@@ -15,7 +15,7 @@
 type entry struct {
 	place int
 	id    ids.WorkerID
-	part  ids.Part
+	part  ids.Role
 	hash  uint64
 	st    *state
 }
@@ -23,7 +23,7 @@
 // role is a part that a service's workers can play; one that knows no parts plays both.
 type role struct {
 	service string
-	part    ids.Part
+	part    ids.Role
 }
 
 type table struct {
@@ -42,7 +42,7 @@
 	for i := range ros.all {
 		if w := &ros.all[i]; fit(s, w) {
 			e := entry{i, w.ID, w.Part, routing.Hash(w.ID), n.state(w.ID)}
-			for _, p := range []ids.Part{ids.Prefill, ids.Decode} {
+			for _, p := range []ids.Role{ids.Prefill, ids.Decode} {
 				if k := (role{w.Service, p}); w.Part == p || w.Part == "" {
 					t.by[k] = append(t.by[k], e)
 				}
--- a/internal/proxy/turn.go
+++ b/internal/proxy/turn.go
@@ -154,7 +154,7 @@
 }
 
 // over sends the order of a turn once all have heard of it, and tells when it is done.
-func (n *Node) over(ctx context.Context, w *Worker, to ids.Part, key ids.Key, d *duty, t *turn) bool {
+func (n *Node) over(ctx context.Context, w *Worker, to ids.Role, key ids.Key, d *duty, t *turn) bool {
 	now := n.now()
 	switch {
 	case w.Part == to, now.Past(t.began, turnWait), w.Leaving:
@@ -174,7 +174,7 @@
 	cx, stop := context.WithTimeout(ctx, 600*time.Millisecond)
 	defer stop()
 	err := n.opt.Back.Order(cx, *w, &Order{To: to, Owner: n.me.Node, Fence: fence, After: t.after})
-	return failure.Is(err, failure.Bounced)
+	return failure.Is(err, failure.NotExecuted)
 }
 
 // reports asks all workers that may be counted on, side by side.
@@ -230,7 +230,7 @@
 // choose names the workers that should turn: more at once where there are many, the least
 // busy of the part that can spare them, from the zones that have the most of it. While
 // nothing is under way, rest is the part of the workers that reads.
-func choose(rows []report, read, emit, rest float64) ([]*report, ids.Part) {
+func choose(rows []report, read, emit, rest float64) ([]*report, ids.Role) {
 	var readers, emitters, busy int
 	zones := map[ids.Zone]int{}
 	for _, r := range rows {
--- a/internal/proxy/turn_test.go
+++ b/internal/proxy/turn_test.go
@@ -20,7 +20,7 @@
 func turning(o *Options) { o.Turn, o.Allow = 500*time.Millisecond, 20 }
 
 // pressed makes the workers of a part busy by their reports.
-func (y *yard) pressed(part ids.Part, by int) {
+func (y *yard) pressed(part ids.Role, by int) {
 	y.at(func() {
 		y.lean = func(s *stand) int {
 			if s.Part == part {
@@ -31,10 +31,10 @@
 	})
 }
 
-func parts(y *yard) map[ids.WorkerID]ids.Part {
+func parts(y *yard) map[ids.WorkerID]ids.Role {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	out := map[ids.WorkerID]ids.Part{}
+	out := map[ids.WorkerID]ids.Role{}
 	for _, s := range y.all {
 		out[s.ID] = s.Part
 	}
@@ -90,9 +90,9 @@
 		})
 		all := f.load(25, 50*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 6) })
 		rows := y.book()
-		to := map[ids.Part]int{}
+		to := map[ids.Role]int{}
 		by := map[ids.NodeID]bool{}
-		var flips []ids.Part
+		var flips []ids.Role
 		for _, k := range orders(rows) {
 			to[k.To]++
 			by[k.Owner] = true
@@ -100,7 +100,7 @@
 				flips = append(flips, k.To)
 			}
 		}
-		require.Equal(t, []ids.Part{ids.Prefill, ids.Decode, ids.Prefill}, flips, "%v", orders(rows))
+		require.Equal(t, []ids.Role{ids.Prefill, ids.Decode, ids.Prefill}, flips, "%v", orders(rows))
 		require.Len(t, by, 1, "one node orders")
 		require.Empty(t, thirds(rows, was))
 		require.Empty(t, leftAlone(rows, 100*time.Millisecond))
@@ -136,7 +136,7 @@
 		defer f.close()
 		was := parts(y)
 		for i := range 7 {
-			y.pressed([]ids.Part{ids.Prefill, ids.Decode}[i%2], []int{6, 14}[i%2])
+			y.pressed([]ids.Role{ids.Prefill, ids.Decode}[i%2], []int{6, 14}[i%2])
 			f.until(12*time.Second, func() bool { return f.holder() >= 0 && len(orders(y.book())) > i })
 			time.Sleep(time.Duration(seed*131%17+uint64(i)*7%5) * 100 * time.Millisecond)
 			h := f.holder()
--- a/internal/proxy/wish.go
+++ b/internal/proxy/wish.go
@@ -11,11 +11,11 @@
 )
 
 // wish gives the workers that the program in charge has turned, else the built-in choice.
-func (n *Node) wish(deal *fleetstate.Deal, svc *fleetstate.Service, d *duty, rows []report, some []*report, to ids.Part) ([]*report, ids.Part) {
-	if !deal.Deck.Rules() {
+func (n *Node) wish(deal *fleetstate.Deal, svc *fleetstate.Service, d *duty, rows []report, some []*report, to ids.Role) ([]*report, ids.Role) {
+	if !deal.Deck.HasPrograms() {
 		return some, to
 	}
-	count := map[ids.Part]int{}
+	count := map[ids.Role]int{}
 	for _, r := range rows {
 		count[r.Part]++
 	}
@@ -29,17 +29,17 @@
 	now := n.now()
 	// Both parts are pressed from the same press on.
 	p := &routing.Pool{Model: svc.Name, Since: now.Since(d.last),
-		Press: map[ids.Part]float64{ids.Prefill: min(1, d.read*pressEmit/pressRead), ids.Decode: min(1, d.emit)}}
+		Pressure: map[ids.Role]float64{ids.Prefill: min(1, d.read*pressEmit/pressRead), ids.Decode: min(1, d.emit)}}
 	for _, r := range rows {
 		at, was := d.turned[r.w.ID]
-		p.Workers = append(p.Workers, routing.Turner{ID: r.w.ID, Zone: r.w.Zone, Part: r.Part, Home: r.Part, Busy: r.Running + r.Waiting, Work: r.Running,
-			Cap: svc.Slots, Free: max(0, r.Room-r.Used), Room: r.Room, May: count[r.Part] > least(len(rows)) && (!was || now.Past(at, dwell))})
+		p.Workers = append(p.Workers, routing.RoleCandidate{ID: r.w.ID, Zone: r.w.Zone, Role: r.Part, HomeRole: r.Part, Busy: r.Running + r.Waiting, Work: r.Running,
+			MaxConcurrent: svc.Slots, Free: max(0, r.Room-r.Used), Capacity: r.Room, Allowed: count[r.Part] > least(len(rows)) && (!was || now.Past(at, dwell))})
 	}
-	var own routing.Wish
+	var own routing.RoleChange
 	if len(some) > 0 {
-		own = routing.Wish{Worker: some[0].w.ID, To: to}
+		own = routing.RoleChange{Worker: some[0].w.ID, To: to}
 	}
-	w, ok, ruled := deal.Deck.Wish(p, own, len(some) > 0)
+	w, ok, ruled := deal.Deck.ResolveRoleChange(p, own, len(some) > 0)
 	switch {
 	case !ruled:
 		return some, to
--- a/internal/proxy/yard_test.go
+++ b/internal/proxy/yard_test.go
@@ -50,7 +50,7 @@
 	Off    time.Duration // how long the node knew that the worker is to get nothing new
 	Owner  ids.NodeID
 	Fence  ids.Fence
-	To     ids.Part
+	To     ids.Role
 }
 
 // handle is memory that a worker keeps.
@@ -72,7 +72,7 @@
 	hidden           bool // not listed
 	warm             time.Time
 	orders           int
-	turning          ids.Part
+	turning          ids.Role
 	running, waiting int
 	memory           int // tokens; 0 is without end
 	used             int
@@ -120,7 +120,7 @@
 }
 
 // stands makes so many workers of a part, by turns in two zones.
-func stands(service string, part ids.Part, n int) []*stand {
+func stands(service string, part ids.Role, n int) []*stand {
 	var out []*stand
 	for i := range n {
 		name := fmt.Sprintf("%s-%s-%d", service, part, i)
@@ -185,7 +185,7 @@
 var errReset = errors.New("connection reset")
 
 func unknown(w Worker, why string) error {
-	return failure.New(failure.Unknown, "ask worker", w.Addr, "%s", why)
+	return failure.New(failure.OutcomeUnknown, "ask worker", w.Addr, "%s", why)
 }
 
 // gate holds a frozen node at its next step on the network.
@@ -283,7 +283,7 @@
 	case s.dark && (how == fine || how == midReset):
 		how = idleSilent
 	case how == turnedAway, s.turning != "", s.waiting >= y.most(s), k.Kind == "read" && s.Part == ids.Decode:
-		return p, how, failure.New(failure.Bounced, "ask worker", w.Addr, "turned away")
+		return p, how, failure.New(failure.NotExecuted, "ask worker", w.Addr, "turned away")
 	}
 	p.Took = true
 	return p, how, nil
@@ -461,7 +461,7 @@
 	p, how, err := b.arrive(row{Kind: "emit", Req: r.ID, From: from, Off: off}, s, w)
 	if err == nil && src != nil && how != idleReset && how != idleSilent && (how == lostMemory || !y.fetch(src)) {
 		p.Took = false
-		err = failure.New(failure.Lost, "fetch memory", w.Addr, "it cannot be had")
+		err = failure.New(failure.DataLost, "fetch memory", w.Addr, "it cannot be had")
 	}
 	if err == nil && how != idleReset && how != idleSilent {
 		p.Ran = true
@@ -619,7 +619,7 @@
 	if s.ID != w.ID || s.turning != "" || o.After != s.orders || s.dark {
 		y.rows = append(y.rows, k)
 		y.mu.Unlock()
-		return failure.New(failure.Bounced, "order", w.Addr, "refused")
+		return failure.New(failure.NotExecuted, "order", w.Addr, "refused")
 	}
 	k.Took = true
 	y.rows = append(y.rows, k)
@@ -642,7 +642,7 @@
 	y.asked = append(y.asked, row{At: y.now(), Node: b.ip})
 	y.mu.Unlock()
 	if no || !nap(ctx, lag) {
-		return nil, failure.New(failure.Away, "list", "", "no list")
+		return nil, failure.New(failure.Unavailable, "list", "", "no list")
 	}
 	y.mu.Lock()
 	defer y.mu.Unlock()
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -100,7 +100,7 @@
 	}
 	var got fleetstate.AuditsReply
 	if _, err := got.UnmarshalMsg(r.Body); err != nil {
-		return nil, failure.As(err, failure.Unknown, "read audit", "core")
+		return nil, failure.As(err, failure.OutcomeUnknown, "read audit", "core")
 	}
 	out := &api.Audits{First: got.First, Count: got.Count, Head: got.Head, Rows: []json.RawMessage{}}
 	for _, l := range got.Lines {
--- a/internal/router/beat_note.go
+++ b/internal/router/beat_note.go
@@ -27,7 +27,7 @@
 type Stand struct {
 	ID    ids.WorkerID `msg:"Id"`
 	Fence ids.Fence
-	Part  ids.Part
+	Part  ids.Role
 	Ready bool
 	Free  int
 	Room  int
@@ -36,5 +36,5 @@
 	Used  int
 	Cap   int
 	Block int
-	Life  ids.Life
+	Life  ids.Incarnation
 }
--- a/internal/router/beat_note_gen.go
+++ b/internal/router/beat_note_gen.go
@@ -239,7 +239,7 @@
 					err = msgp.WrapError(err, "Part")
 					return
 				}
-				z.Part = ids.Part(zb0004)
+				z.Part = ids.Role(zb0004)
 			}
 		case "Ready":
 			z.Ready, bts, err = msgp.ReadBoolBytes(bts)
@@ -297,7 +297,7 @@
 					err = msgp.WrapError(err, "Life")
 					return
 				}
-				z.Life = ids.Life(zb0005)
+				z.Life = ids.Incarnation(zb0005)
 			}
 		default:
 			bts, err = msgp.Skip(bts)
--- a/internal/router/beats.go
+++ b/internal/router/beats.go
@@ -168,7 +168,7 @@
 func (n *Node) rosters(ctx context.Context) {
 	for {
 		if list, err := n.workerClient.Workers(ctx, n.opt.Platform); err == nil {
-			all := make(map[ids.WorkerID]workerclient.Listed, len(list))
+			all := make(map[ids.WorkerID]workerclient.ListedWorker, len(list))
 			for _, l := range list {
 				all[l.ID] = l
 			}
--- a/internal/router/beats_test.go
+++ b/internal/router/beats_test.go
@@ -29,7 +29,7 @@
 		defer func() { stop(); near.Kill(); at.Kill(); time.Sleep(10 * time.Second) }()
 		b := coordination.Member{Node: "b", Addr: "10.0.0.1:1"}
 		n := New(Options{Name: "n", Addr: "10.0.0.2:1", Host: at.Host()})
-		img := &coordination.Snapshot{Seq: 1, Members: []coordination.Member{n.me, b, {Node: "c"}}, State: fleetstate.NewView(logging.Mute()).Snapshot()}
+		img := &coordination.Snapshot{Seq: 1, Members: []coordination.Member{n.me, b, {Node: "c"}}, State: fleetstate.NewView(logging.Discard()).Snapshot()}
 		mux := http.NewServeMux()
 		rpc.Handle(mux, coordination.WatchMethod, func(context.Context, *coordination.WatchRequest) (*coordination.WatchResponse, error) {
 			return &coordination.WatchResponse{Seq: 1, Snapshot: coordination.MustMarshal(img)}, nil
@@ -79,7 +79,7 @@
 				defer func() { stop(); near.Kill(); at.Kill(); away.Kill(); time.Sleep(10 * time.Second) }()
 				b, c := coordination.Member{Node: "b", Addr: "10.0.0.1:1"}, coordination.Member{Node: "c", Addr: "10.0.0.3:1"}
 				n := New(Options{Name: "n", Addr: "10.0.0.2:1", Host: at.Host()})
-				img := &coordination.Snapshot{Seq: 1, Members: []coordination.Member{n.me, b, c}, State: fleetstate.NewView(logging.Mute()).Snapshot()}
+				img := &coordination.Snapshot{Seq: 1, Members: []coordination.Member{n.me, b, c}, State: fleetstate.NewView(logging.Discard()).Snapshot()}
 				mux := http.NewServeMux()
 				rpc.Handle(mux, coordination.WatchMethod, func(context.Context, *coordination.WatchRequest) (*coordination.WatchResponse, error) {
 					return &coordination.WatchResponse{Seq: 1, Snapshot: coordination.MustMarshal(img)}, nil
--- a/internal/router/debt.go
+++ b/internal/router/debt.go
@@ -59,14 +59,14 @@
 		cx, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 		defer stop()
 		err := n.audit(cx, d.op, d.audit)
-		return err == nil || failure.Is(err, failure.Bad)
+		return err == nil || failure.Is(err, failure.InvalidArgument)
 	}
 	if d.settle == nil {
 		cx, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 		defer stop()
 		r, err := n.agent.Submit(cx, d.op, fleetstate.ClaimKind, coordination.MustMarshal(d.claim))
 		if err != nil {
-			return failure.Is(err, failure.Stale) || failure.Is(err, failure.Bad)
+			return failure.Is(err, failure.Stale) || failure.Is(err, failure.InvalidArgument)
 		}
 		var got fleetstate.ClaimReply
 		if _, err := got.UnmarshalMsg(r.Body); err != nil || !got.Fresh {
--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -35,7 +35,7 @@
 // Room is what one part of a model can hold, in blocks.
 type Room struct {
 	Model   string   `json:"model"`
-	Part    ids.Part `json:"part"`
+	Part    ids.Role `json:"part"`
 	Workers [2]int   `json:"workers"`
 	Blocks  [2]int   `json:"blocks"`
 	Used    int      `json:"used"`
@@ -87,11 +87,11 @@
 			ok = ok || have == z
 		}
 		if !ok {
-			return failure.New(failure.Bad, "plan", string(z), "there is no such zone")
+			return failure.New(failure.InvalidArgument, "plan", string(z), "there is no such zone")
 		}
 	}
 	if _, ok := p.Workers[c.Drain]; !ok && c.Drain != "" {
-		return failure.New(failure.Bad, "plan", string(c.Drain), "there is no such worker")
+		return failure.New(failure.InvalidArgument, "plan", string(c.Drain), "there is no such worker")
 	}
 	if c.LoseAddr != "" {
 		for _, m := range st.Members {
@@ -104,7 +104,7 @@
 				return nil
 			}
 		}
-		return failure.New(failure.Bad, "plan", c.LoseAddr, "no node and no disk machine has this address")
+		return failure.New(failure.InvalidArgument, "plan", c.LoseAddr, "no node and no disk machine has this address")
 	}
 	return nil
 }
@@ -195,7 +195,7 @@
 func (f *Forecast) rooms(st *router.Standing, now, next *fleetstate.Policy, c Change) {
 	type group struct {
 		model string
-		part  ids.Part
+		part  ids.Role
 	}
 	rooms := map[group]*Room{}
 	zones := map[group][2]map[ids.Zone]bool{}
--- a/internal/router/forecast/regimes.go
+++ b/internal/router/forecast/regimes.go
@@ -43,16 +43,16 @@
 	after, _ := next.Register()
 	if c.Revoke != "" {
 		if _, ok := before.Find(c.Revoke); !ok {
-			return failure.New(failure.Bad, "plan", c.Revoke, "there is no such certificate")
+			return failure.New(failure.InvalidArgument, "plan", c.Revoke, "there is no such certificate")
 		}
 	}
 	revoked := map[string]bool{}
 	for _, serial := range st.Revoked {
 		revoked[serial] = true
 	}
-	before = before.With(maps.Clone(revoked))
+	before = before.WithRevoked(maps.Clone(revoked))
 	revoked[c.Revoke] = true
-	after = after.With(revoked)
+	after = after.WithRevoked(revoked)
 	then := st.Time
 	if c.At > 0 {
 		then = certification.Now{Low: max(c.At, then.Low), High: max(c.At, then.High)}
@@ -63,16 +63,16 @@
 		return func(s certification.Subject) bool { return !f(s) }
 	}
 	for _, g := range after.Regimes() {
-		short := after.Short(g, 1, then, there(is))
+		short := after.Shortage(g, 1, then, there(is))
 		for _, what := range short {
 			f.warn("regime %s would have no certified %s: its work would be bounced", g, what)
 		}
-		for _, what := range after.Short(g, 2, then, there(is)) {
-			if !slices.Contains(short, what) && !slices.Contains(before.Short(g, 2, st.Time, there(was)), what) {
+		for _, what := range after.Shortage(g, 2, then, there(is)) {
+			if !slices.Contains(short, what) && !slices.Contains(before.Shortage(g, 2, st.Time, there(was)), what) {
 				f.warn("regime %s would have one left of its certified %s", g, what)
 			}
 		}
-		for _, what := range after.Short(g, 1, late, there(is)) {
+		for _, what := range after.Shortage(g, 1, late, there(is)) {
 			if !slices.Contains(short, what) {
 				f.warn("regime %s would have no certified %s within %d days, as certificates end", g, what, soon/(24*time.Hour))
 			}
--- a/internal/router/forecast/regimes_test.go
+++ b/internal/router/forecast/regimes_test.go
@@ -33,10 +33,10 @@
 		c.Sign(key)
 		p.Certificates[serial] = c
 	}
-	put("p1", certification.Certificate{Worker: "p1", Parts: []ids.Part{ids.Prefill}}, 50)
-	put("p2", certification.Certificate{Worker: "p2", Parts: []ids.Part{ids.Prefill}}, 50)
-	put("d2", certification.Certificate{Worker: "d2", Parts: []ids.Part{ids.Decode}}, 50)
-	put("d3", certification.Certificate{Worker: "d3", Parts: []ids.Part{ids.Decode}}, 30)
+	put("p1", certification.Certificate{Worker: "p1", Roles: []ids.Role{ids.Prefill}}, 50)
+	put("p2", certification.Certificate{Worker: "p2", Roles: []ids.Role{ids.Prefill}}, 50)
+	put("d2", certification.Certificate{Worker: "d2", Roles: []ids.Role{ids.Decode}}, 50)
+	put("d3", certification.Certificate{Worker: "d3", Roles: []ids.Role{ids.Decode}}, 30)
 	put("n1", certification.Certificate{Node: "n1"}, 50)
 	put("n2", certification.Certificate{Node: "n2"}, 50)
 	st.Time = certification.At(now)
--- a/internal/router/govern.go
+++ b/internal/router/govern.go
@@ -20,7 +20,7 @@
 
 // allows tells whether this node, and then a worker in a part, may handle a regime's
 // work now, and gives the worker's serial. What no regime governs (any more) is allowed.
-func (n *Node) allows(regime string, w ids.WorkerID, part ids.Part) (string, error) {
+func (n *Node) allows(regime string, w ids.WorkerID, part ids.Role) (string, error) {
 	if regime == "" || !n.view.Sight().Register.Has(regime) {
 		return "", nil
 	}
@@ -45,7 +45,7 @@
 	if s.Register == nil {
 		return true
 	}
-	keep := s.Register.Keeps(st.ID, st.Part, n.clock())
+	keep := s.Register.RetentionOf(st.ID, st.Part, n.clock())
 	return st.Free-need >= st.Room*keep/100 && (keep == 0 || st.Busy < handoff.Beside(st.Cap, keep))
 }
 
@@ -64,7 +64,7 @@
 	}
 	if q.Verb == verbImport {
 		if _, err := n.allows(q.Regime, q.Source, ids.Prefill); err != nil {
-			return "", failure.As(err, failure.Lost, q.Verb, string(q.Source))
+			return "", failure.As(err, failure.DataLost, q.Verb, string(q.Source))
 		}
 	}
 	return serial, nil
@@ -73,7 +73,7 @@
 // guard ends a step's context once the worker, or the one that memory comes from, is not
 // cleared any more. The function that it gives names the cause over an error that came of
 // it.
-func (h *hands) guard(ctx context.Context, w ids.WorkerID, part ids.Part, source ids.WorkerID) (context.Context, func(error) error) {
+func (h *hands) guard(ctx context.Context, w ids.WorkerID, part ids.Role, source ids.WorkerID) (context.Context, func(error) error) {
 	if h.regime == "" {
 		return ctx, func(err error) error { return err }
 	}
@@ -94,14 +94,14 @@
 		cause := context.Cause(ctx)
 		stop(nil)
 		if err != nil && cause != nil && failure.Step(cause) == "clear" {
-			return failure.As(cause, failure.Lost, "governed step", string(w))
+			return failure.As(cause, failure.DataLost, "governed step", string(w))
 		}
 		return err
 	}
 }
 
 // Clears is the register's answer at this node now, for those who look on.
-func (n *Node) Clears(regime string, s certification.Subject, part ids.Part) (string, error) {
+func (n *Node) Clears(regime string, s certification.Subject, part ids.Role) (string, error) {
 	return n.clears(regime, s, part)
 }
 
