--- a/internal/router/hands.go
+++ b/internal/router/hands.go
@@ -23,18 +23,18 @@
 type hands struct {
 	n      *Node
 	sight  *fleetstate.Sight
-	deck   *routing.Deck
+	deck   *routing.ProgramSet
 	prefix uint64
 	picked ids.Version
 	kind   string
 	regime string       // that the request is bound to, if any
-	part   ids.Part     // that was picked for last
+	part   ids.Role     // that was picked for last
 	source ids.WorkerID // where the memory that moves lies staged
 	steps  []fleetstate.AuditStep
 	begun  bool // its first row stands
 }
 
-func (h *hands) Pick(q *routing.Question, on workerclient.Model, shun map[ids.WorkerID]bool) []handoff.Picked {
+func (h *hands) Pick(q *routing.PickRequest, on workerclient.Model, shun map[ids.WorkerID]bool) []handoff.Picked {
 	n := h.n
 	// While a newer version is heard of and not had yet, or could not be heard of,
 	// picks are held.
@@ -44,7 +44,7 @@
 		}
 	}
 	s := n.view.Sight()
-	h.picked, h.part = s.Version, q.Part
+	h.picked, h.part = s.Version, q.Role
 	regime := h.bound(s)
 	cleared := func(st Stand) bool {
 		if regime == "" {
@@ -55,14 +55,14 @@
 	}
 	by := map[ids.WorkerID]handoff.Picked{}
 	var list, last []routing.Candidate
-	both := map[string]map[ids.Part]bool{}
+	both := map[string]map[ids.Role]bool{}
 	for id, st := range *n.stands.Load() {
 		w, ok := s.Policy.Workers[id]
 		if !ok || !st.Ready || !n.fit(s, id) || !cleared(st) {
 			continue
 		}
 		if both[w.Weights] == nil {
-			both[w.Weights] = map[ids.Part]bool{}
+			both[w.Weights] = map[ids.Role]bool{}
 		}
 		both[w.Weights][st.Part] = true
 	}
@@ -74,12 +74,12 @@
 			want.Weights = w.Weights
 		}
 		need := ids.Blocks(q.Need, st.Block)
-		if !ok || st.Part != q.Part || !st.Ready || !n.fit(s, id) || !cleared(st) || regime == "" && !n.free(s, st, need) || !m.Offers(want) || st.Busy >= st.Cap ||
+		if !ok || st.Part != q.Role || !st.Ready || !n.fit(s, id) || !cleared(st) || regime == "" && !n.free(s, st, need) || !m.Offers(want) || st.Busy >= st.Cap ||
 			!both[w.Weights][ids.Prefill] || !both[w.Weights][ids.Decode] || st.Free < need {
 			continue
 		}
 		by[id] = handoff.Picked{ID: id, Model: m, Block: st.Block, Life: st.Life}
-		c := routing.Candidate{ID: id, Zone: w.Zone, Weights: w.Weights, Adapters: w.Adapters, Free: st.Free, Room: st.Room, Busy: st.Busy, Cap: st.Cap, Affinity: routing.Affinity(h.prefix, id)}
+		c := routing.Candidate{ID: id, Zone: w.Zone, Weights: w.Weights, Adapters: w.Adapters, Free: st.Free, Capacity: st.Room, Busy: st.Busy, MaxConcurrent: st.Cap, Affinity: routing.Affinity(h.prefix, id)}
 		if shun[id] || n.blamed(id) {
 			last = append(last, c)
 		} else {
@@ -96,14 +96,14 @@
 	return out
 }
 
-func (h *hands) ask(ctx context.Context, verb string, w ids.WorkerID, id workerclient.ID, q OrderAsk, m *workerclient.Identity, span time.Duration) (*workerclient.Answer, error) {
+func (h *hands) ask(ctx context.Context, verb string, w ids.WorkerID, id workerclient.ID, q OrderAsk, m *workerclient.Identity, span time.Duration) (*workerclient.OrderResponse, error) {
 	cx, stop := context.WithTimeout(ctx, span)
 	defer stop()
 	q.Worker, q.Verb, q.Request, q.Attempt = w, verb, id.Request, id.Attempt
 	if m != nil {
 		var err error
 		if q.Body, err = json.Marshal(m); err != nil {
-			return nil, failure.As(err, failure.Bad, verb, string(w))
+			return nil, failure.As(err, failure.InvalidArgument, verb, string(w))
 		}
 	}
 	// Cancelling and freeing may go on beside the next attempt, and need no regime.
@@ -131,24 +131,24 @@
 	return err
 }
 
-func (h *hands) Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.Answer, error) {
+func (h *hands) Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.OrderResponse, error) {
 	return h.ask(ctx, verbPrefill, w, m.ID, OrderAsk{Part: ids.Prefill}, &m, 6*time.Second)
 }
 
-func (h *hands) Export(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error) {
+func (h *hands) Export(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error) {
 	return h.ask(ctx, verbExport, w, id, OrderAsk{Part: ids.Prefill}, nil, 1500*time.Millisecond)
 }
 
-func (h *hands) Import(ctx context.Context, w ids.WorkerID, m workerclient.Identity, src ids.WorkerID) (*workerclient.Answer, error) {
+func (h *hands) Import(ctx context.Context, w ids.WorkerID, m workerclient.Identity, src ids.WorkerID) (*workerclient.OrderResponse, error) {
 	h.source = src
 	return h.ask(ctx, verbImport, w, m.ID, OrderAsk{Source: src, Part: ids.Decode}, &m, 1500*time.Millisecond)
 }
 
-func (h *hands) Resume(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error) {
+func (h *hands) Resume(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error) {
 	return h.ask(ctx, verbResume, w, id, OrderAsk{Part: ids.Decode}, nil, 3*time.Second)
 }
 
-func (h *hands) Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.Answer, error) {
+func (h *hands) Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error) {
 	return h.ask(ctx, verbCancel, w, id, OrderAsk{}, nil, time.Second)
 }
 
@@ -161,15 +161,15 @@
 	go h.ask(context.Background(), verbDone, w, id, q, nil, time.Second)
 }
 
-func (h *hands) Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.Piece) error) error {
+func (h *hands) Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.TokenEvent) error) error {
 	l, ok := (*h.n.roster.Load())[w]
 	if !ok {
-		return failure.New(failure.Lost, "stream", string(w), "the platform does not list it")
+		return failure.New(failure.DataLost, "stream", string(w), "the platform does not list it")
 	}
 	ctx, end := h.guard(ctx, w, ids.Decode, "")
-	return end(h.n.workerClient.Stream(ctx, l.Addr, id, from, h.n.opt.Pulse, func(p workerclient.Piece) error {
+	return end(h.n.workerClient.Stream(ctx, l.Addr, id, from, h.n.opt.Pulse, func(p workerclient.TokenEvent) error {
 		if _, err := h.n.allows(h.regime, w, ids.Decode); err != nil {
-			return failure.As(err, failure.Lost, "stream", string(w))
+			return failure.As(err, failure.DataLost, "stream", string(w))
 		}
 		return put(p)
 	}))
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -42,15 +42,15 @@
 }
 
 func (o *Options) fill() {
-	ids.Or(&o.Lease, 3*time.Second)
-	ids.Or(&o.Renew, 500*time.Millisecond)
-	ids.Or(&o.Beat, 150*time.Millisecond)
-	ids.Or(&o.Poll, 200*time.Millisecond)
-	ids.Or(&o.Roster, 400*time.Millisecond)
-	ids.Or(&o.Orphan, 2*time.Second)
-	ids.Or(&o.Pulse, 1200*time.Millisecond)
+	ids.SetDefault(&o.Lease, 3*time.Second)
+	ids.SetDefault(&o.Renew, 500*time.Millisecond)
+	ids.SetDefault(&o.Beat, 150*time.Millisecond)
+	ids.SetDefault(&o.Poll, 200*time.Millisecond)
+	ids.SetDefault(&o.Roster, 400*time.Millisecond)
+	ids.SetDefault(&o.Orphan, 2*time.Second)
+	ids.SetDefault(&o.Pulse, 1200*time.Millisecond)
 	if o.Ring == nil {
-		o.Ring = logging.Mute()
+		o.Ring = logging.Discard()
 	}
 }
 
@@ -68,7 +68,7 @@
 	counts       Counts
 
 	decks    sync.Map // ids.Version -> *routing.Deck
-	roster   atomic.Pointer[map[ids.WorkerID]workerclient.Listed]
+	roster   atomic.Pointer[map[ids.WorkerID]workerclient.ListedWorker]
 	listed   atomic.Int64 // when the roster was had
 	stands   atomic.Pointer[map[ids.WorkerID]Stand]
 	leave    atomic.Pointer[map[ids.WorkerID]bool]
@@ -101,13 +101,13 @@
 		LeaseDuration: opt.Lease, RenewInterval: opt.Renew, CoreUnreachable: n.lonely})
 	n.call = n.agent.Caller()
 	n.workerClient = workerclient.New(opt.Host.Net)
-	n.web = rpc.Web(opt.Host.Net)
-	n.roster.Store(&map[ids.WorkerID]workerclient.Listed{})
+	n.web = rpc.NewHTTPClient(opt.Host.Net)
+	n.roster.Store(&map[ids.WorkerID]workerclient.ListedWorker{})
 	n.stands.Store(&map[ids.WorkerID]Stand{})
 	n.leave.Store(&map[ids.WorkerID]bool{})
-	n.journal.View(n.fold)
+	n.journal.Subscribe(n.fold)
 	if opt.Trace != nil {
-		n.journal.View(opt.Trace)
+		n.journal.Subscribe(opt.Trace)
 	}
 	return n
 }
@@ -167,7 +167,7 @@
 	deck, err := p.Deck(n.scores)
 	if err != nil {
 		n.opt.Ring.Error().AnErr("cause", err).Uint64("version", uint64(v)).Msg("programs do not compile; the plain order serves")
-		deck, _ = routing.NewDeck(nil, 0, n.scores)
+		deck, _ = routing.NewProgramSet(nil, 0, n.scores)
 	}
 	n.decks.Store(v, deck)
 	n.decks.Range(func(k, _ any) bool {
@@ -193,7 +193,7 @@
 	case !n.agent.Leased() && !n.lonely():
 		return false, "the lease has lapsed"
 	}
-	ready := map[ids.Part]bool{}
+	ready := map[ids.Role]bool{}
 	for _, st := range *n.stands.Load() {
 		if st.Ready && n.fit(s, st.ID) {
 			ready[st.Part] = true
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -89,7 +89,7 @@
 func (n *Node) ruled(ctx context.Context, r *coordination.SubmitResponse, wait bool) (*api.Applied, error) {
 	var got fleetstate.Ruling
 	if _, err := got.UnmarshalMsg(r.Body); err != nil {
-		return nil, failure.As(err, failure.Unknown, "read ruling", "core")
+		return nil, failure.As(err, failure.OutcomeUnknown, "read ruling", "core")
 	}
 	for range 80 {
 		if n.agent.Seq() >= r.Seq && (!wait || n.view.Sight().Version >= got.Version) {
@@ -198,7 +198,7 @@
 	st.Counts = map[string]int64{"asked": c.Asked.Load(), "done": c.Done.Load(), "bounced": c.Bounced.Load(), "broken": c.Broken.Load(),
 		"unsure": c.Unsure.Load(), "replayed": c.Replayed.Load(), "moved": c.Moved.Load(), "again": c.Again.Load(), "turned": c.Turned.Load(), "passed": c.Passed.Load(), "inflight": n.inflight.Load()}
 	n.scores.Each(func(name string, s *routing.Score) {
-		st.Programs[name] = map[string]any{"picks": s.Picks.Load(), "fallbacks": s.Fallbacks.Load(), "agreed": s.Agreed.Load(), "turnsAsked": s.Asked.Load(), "turnsWished": s.Wishes.Load(),
+		st.Programs[name] = map[string]any{"picks": s.Picks.Load(), "fallbacks": s.Fallbacks.Load(), "agreed": s.Agreed.Load(), "turnsAsked": s.ProposalsAsked.Load(), "turnsWished": s.Proposals.Load(),
 			"done": s.Done.Load(), "broken": s.Broken.Load(), "bounced": s.Bounced.Load(),
 			"firstP50Ms": float64(s.Quantile(0.5)) / 1e6, "firstP99Ms": float64(s.Quantile(0.99)) / 1e6}
 	})
--- a/internal/router/order.go
+++ b/internal/router/order.go
@@ -21,7 +21,7 @@
 	Source  ids.WorkerID
 	Body    []byte
 	Regime  string   `msg:"Regime,omitempty"`
-	Part    ids.Part `msg:"Part,omitempty"`
+	Part    ids.Role `msg:"Part,omitempty"`
 }
 
 // OrderReply is the worker's answer.
--- a/internal/router/order_gen.go
+++ b/internal/router/order_gen.go
@@ -157,7 +157,7 @@
 					err = msgp.WrapError(err, "Part")
 					return
 				}
-				z.Part = ids.Part(zb0005)
+				z.Part = ids.Role(zb0005)
 			}
 		default:
 			bts, err = msgp.Skip(bts)
--- a/internal/router/pass.go
+++ b/internal/router/pass.go
@@ -51,7 +51,7 @@
 		}
 		f, refused := err.(*api.Fault)
 		switch {
-		case refused && (f.Name == "not-ready" || f.Name == "not-certified"), count == 0 && rpc.Undialled(err):
+		case refused && (f.Name == "not-ready" || f.Name == "not-certified"), count == 0 && rpc.IsDialError(err):
 			continue
 		case refused:
 			n.counts.Passed.Add(1)
@@ -67,7 +67,7 @@
 		}
 		n.counts.Broken.Add(1)
 		return out.Put(api.Line{Index: count, End: end, Count: count,
-			Error: &workerclient.Bounce{Name: "broken", Detail: err.Error(), After: n.after().Milliseconds()}})
+			Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), After: n.after().Milliseconds()}})
 	}
 	return n.later(http.StatusServiceUnavailable, "not-certified", "this node is not certified for regime %q now, and reaches none that is", regime)
 }
--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -25,13 +25,13 @@
 
 // clears gives the serial by which a subject may handle a regime's work now. Nobody may
 // while this node's word is too old to know of revocations and of the time.
-func (n *Node) clears(regime string, s certification.Subject, part ids.Part) (string, error) {
+func (n *Node) clears(regime string, s certification.Subject, part ids.Role) (string, error) {
 	if !n.agent.Current() {
-		return "", failure.New(failure.Bounced, "clear", s.String(), "this node's word from the core is too old for regime %q", regime)
+		return "", failure.New(failure.NotExecuted, "clear", s.String(), "this node's word from the core is too old for regime %q", regime)
 	}
 	serial, ok := n.view.Sight().Register.Clears(regime, s, part, n.clock())
 	if !ok {
-		return "", failure.New(failure.Bounced, "clear", s.String(), "no certificate in force clears it for regime %q", regime)
+		return "", failure.New(failure.NotExecuted, "clear", s.String(), "no certificate in force clears it for regime %q", regime)
 	}
 	return serial, nil
 }
@@ -65,7 +65,7 @@
 	for _, name := range s.Register.Regimes() {
 		g := s.Policy.Regimes[name]
 		out.Regimes = append(out.Regimes, api.Regime{Name: name, Kinds: g.Kinds, Keep: g.Keep, Rows: s.Register.Rows(name, now),
-			Short: s.Register.Short(name, 1, now, n.able(s))})
+			Short: s.Register.Shortage(name, 1, now, n.able(s))})
 	}
 	return out
 }
--- a/internal/router/regime_test.go
+++ b/internal/router/regime_test.go
@@ -22,7 +22,7 @@
 	from, until := now.AddDate(0, 0, -1).Format(time.RFC3339), now.AddDate(0, 0, 1).Format(time.RFC3339)
 	certs := map[string]certification.Certificate{}
 	put := func(serial string, w ids.WorkerID) {
-		c := certification.Certificate{Serial: serial, Worker: w, Regime: "chair", Parts: []ids.Part{ids.Prefill}, From: from, Until: until, Issuer: "k"}
+		c := certification.Certificate{Serial: serial, Worker: w, Regime: "chair", Roles: []ids.Role{ids.Prefill}, From: from, Until: until, Issuer: "k"}
 		c.Sign(key)
 		certs[serial] = c
 	}
@@ -30,7 +30,7 @@
 		r, err := certification.Compile(map[string]certification.Regime{"chair": {Kinds: []string{"verdict"}}},
 			map[string]certification.Issuer{"k": {Key: certification.Public(key), From: from, Until: until}}, certs)
 		require.NoError(t, err)
-		return &fleetstate.Sight{Register: r.With(revoked)}
+		return &fleetstate.Sight{Register: r.WithRevoked(revoked)}
 	}
 	list := []Stand{{ID: "p1", Part: ids.Prefill}, {ID: "p2", Part: ids.Prefill}, {ID: "p3", Part: ids.Prefill}}
 	put("1", "p1")
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -126,11 +126,11 @@
 }
 
 // deck gives the programs of a sight.
-func (n *Node) deck(s *fleetstate.Sight) *routing.Deck {
+func (n *Node) deck(s *fleetstate.Sight) *routing.ProgramSet {
 	if v, ok := n.decks.Load(s.Version); ok {
-		return v.(*routing.Deck)
+		return v.(*routing.ProgramSet)
 	}
-	d, _ := routing.NewDeck(nil, 0, n.scores)
+	d, _ := routing.NewProgramSet(nil, 0, n.scores)
 	return d
 }
 
@@ -138,7 +138,7 @@
 	deck := n.deck(s)
 	h := &hands{n: n, sight: s, deck: deck, kind: t.Kind, regime: t.Regime, prefix: routing.Prefix(t.Identity.Prompt, s.Policy.Limits.PrefixTokens)}
 	return &handoff.Controller{Hands: h, Clock: n.opt.Host.Clock, Orphan: n.opt.Orphan, Pulse: n.opt.Pulse, Tell: n.journal.Append}, h,
-		n.scores.Of(deck.For(t.Identity.ID.Request))
+		n.scores.Of(deck.ProgramFor(t.Identity.ID.Request))
 }
 
 // plain runs a request that needs no claim.
@@ -147,11 +147,11 @@
 	start, count := n.now(), 0
 	var known error
 	if t.Regime != "" {
-		t.Claim = func(ids.WorkerID, ids.Life) error { known = h.begin(ctx, t.Identity.ID.Request); return known }
+		t.Claim = func(ids.WorkerID, ids.Incarnation) error { known = h.begin(ctx, t.Identity.ID.Request); return known }
 	}
 	err := c.Run(ctx, t, func(i int, tok int32, text string) error {
 		if count++; count == 1 {
-			score.First(n.now().Since(start))
+			score.ObserveFirstToken(n.now().Since(start))
 		}
 		return out.Put(api.Line{Index: i, Token: tok, Text: text})
 	})
@@ -169,7 +169,7 @@
 		n.counts.Done.Add(1)
 		score.Done.Add(1)
 		return out.Put(api.Line{Index: count, End: api.Complete, Count: count})
-	case failure.Is(err, failure.Bad):
+	case failure.Is(err, failure.InvalidArgument):
 		return api.No(http.StatusBadRequest, "refused", "", "%v", err)
 	case count == 0:
 		score.Bounced.Add(1)
@@ -179,7 +179,7 @@
 	score.Broken.Add(1)
 	n.opt.Ring.Info().AnErr("cause", err).Int("pieces", count).Msg("a stream broke")
 	return out.Put(api.Line{Index: count, End: api.Broken, Count: count,
-		Error: &workerclient.Bounce{Name: "broken", Detail: err.Error(), After: n.after().Milliseconds()}})
+		Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), After: n.after().Milliseconds()}})
 }
 
 // claimed runs a ruling or verdict: once room is booked its key is claimed, before
@@ -192,7 +192,7 @@
 	c, h, score := n.controller(s, t)
 	start, deaf, fresh := n.now(), false, false
 	var known error
-	t.Claim = func(w ids.WorkerID, life ids.Life) error {
+	t.Claim = func(w ids.WorkerID, life ids.Incarnation) error {
 		if fresh {
 			return n.bind(key, w, life)
 		}
@@ -212,7 +212,7 @@
 	defer halt()
 	err := c.Run(run, t, func(i int, tok int32, text string) error {
 		if toks, texts = append(toks, tok), append(texts, text); len(toks) == 1 {
-			score.First(n.now().Since(start))
+			score.ObserveFirstToken(n.now().Since(start))
 		}
 		if !deaf && out.Put(api.Line{Index: i, Token: tok, Text: text}) != nil {
 			deaf = true
@@ -231,7 +231,7 @@
 	fate := fleetstate.Done
 	switch {
 	case err == nil:
-	case failure.Is(err, failure.Unknown):
+	case failure.Is(err, failure.OutcomeUnknown):
 		fate = fleetstate.Unsure
 	case len(toks) > 0:
 		fate = fleetstate.Unsure
@@ -252,13 +252,13 @@
 			return n.later(http.StatusServiceUnavailable, "outcome-pending", "%v", e)
 		}
 		return out.Put(api.Line{Index: len(toks), End: api.Unknown, Count: len(toks),
-			Error: &workerclient.Bounce{Name: "unrecorded", Detail: "the outcome is not on record yet; ask again with the same key", After: n.after().Milliseconds()}})
+			Error: &workerclient.Rejection{Name: "unrecorded", Detail: "the outcome is not on record yet; ask again with the same key", After: n.after().Milliseconds()}})
 	}
 	switch fate {
 	case fleetstate.Unsure:
 		n.counts.Unsure.Add(1)
 		return out.Put(api.Line{Index: len(toks), End: api.Unknown, Count: len(toks),
-			Error: &workerclient.Bounce{Name: "may-have-run", Detail: err.Error()}})
+			Error: &workerclient.Rejection{Name: "may-have-run", Detail: err.Error()}})
 	case fleetstate.NotRun:
 		score.Bounced.Add(1)
 		return n.gone(len(toks), out)
@@ -269,10 +269,10 @@
 // gone answers for a key that ends as not run: no late copy of it can run, so
 // the caller comes back with a new key.
 func (n *Node) gone(count int, out api.Sink) error {
-	no := workerclient.Bounce{Name: "not-run", Field: "key", Detail: "it was not run and never will be; ask anew with another key", After: n.after().Milliseconds()}
+	no := workerclient.Rejection{Name: "not-run", Field: "key", Detail: "it was not run and never will be; ask anew with another key", After: n.after().Milliseconds()}
 	n.counts.Bounced.Add(1)
 	if count == 0 {
-		return &api.Fault{Code: http.StatusServiceUnavailable, Bounce: no}
+		return &api.Fault{Code: http.StatusServiceUnavailable, Rejection: no}
 	}
 	return out.Put(api.Line{Index: count, End: api.Broken, Count: count, Error: &no})
 }
@@ -281,14 +281,14 @@
 var errReplayed = errors.New("answered from the record")
 
 // claim takes the key; a deed is given if it was taken before.
-func (n *Node) claim(ctx context.Context, key string, ask *api.Ask, w ids.WorkerID, life ids.Life) (*fleetstate.Deed, error) {
+func (n *Node) claim(ctx context.Context, key string, ask *api.Ask, w ids.WorkerID, life ids.Incarnation) (*fleetstate.Deed, error) {
 	cx, stop := context.WithTimeout(context.WithoutCancel(ctx), 1500*time.Millisecond)
 	defer stop()
 	claim := &fleetstate.Claim{Key: key, Owner: n.me.Node, Worker: w, Life: life, Digest: ask.Digest()}
 	op := ids.OpID("claim/" + coordination.NewID())
 	r, err := n.agent.Submit(cx, op, fleetstate.ClaimKind, coordination.MustMarshal(claim))
 	if err != nil {
-		if failure.Is(err, failure.Unknown) {
+		if failure.Is(err, failure.OutcomeUnknown) {
 			n.debts.add(debt{op: op, claim: claim})
 			return nil, n.later(http.StatusServiceUnavailable, "claim-unknown", "whether the key was claimed is not known; nothing runs on it: %v", err)
 		}
@@ -312,7 +312,7 @@
 }
 
 // bind has a claimed key run elsewhere than it was claimed for.
-func (n *Node) bind(key string, w ids.WorkerID, life ids.Life) error {
+func (n *Node) bind(key string, w ids.WorkerID, life ids.Incarnation) error {
 	cx, stop := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer stop()
 	b := &fleetstate.Bind{Key: key, Owner: n.me.Node, Worker: w, Life: life}
@@ -352,7 +352,7 @@
 	}
 	var r record
 	if err := json.Unmarshal(d.Out, &r); err != nil {
-		return failure.As(err, failure.Bad, "replay", d.Key)
+		return failure.As(err, failure.InvalidArgument, "replay", d.Key)
 	}
 	for i, t := range r.Tokens {
 		if err := out.Put(api.Line{Index: i, Token: t, Text: r.Texts[i], Replay: true}); err != nil {
--- a/internal/router/settle.go
+++ b/internal/router/settle.go
@@ -73,7 +73,7 @@
 			if !host.Sleep(ctx, 500*time.Millisecond) {
 				return fleetstate.Unsure, nil
 			}
-		case a.Life != d.Life:
+		case a.Incarnation != d.Life:
 			return fleetstate.Unsure, nil
 		case a.Done && !n.mayRead(d.Key):
 			return fleetstate.Unsure, nil
--- a/internal/router/switch.go
+++ b/internal/router/switch.go
@@ -36,8 +36,8 @@
 type pool struct {
 	fence ids.Fence
 	last  ids.Tick
-	to    ids.Part
-	press map[ids.Part]float64
+	to    ids.Role
+	press map[ids.Role]float64
 }
 
 func (n *Node) switcher(ctx context.Context) {
@@ -56,7 +56,7 @@
 			}
 			p := pools[m]
 			if p == nil || p.fence != fence {
-				p = &pool{fence: fence, last: n.now(), press: map[ids.Part]float64{}}
+				p = &pool{fence: fence, last: n.now(), press: map[ids.Role]float64{}}
 				pools[m] = p
 			}
 			if w, ok := n.pickTurn(s, m, p); ok {
@@ -72,28 +72,28 @@
 }
 
 // pickTurn names a worker that should turn now, if any.
-func (n *Node) pickTurn(s *fleetstate.Sight, model string, p *pool) (routing.Wish, bool) {
+func (n *Node) pickTurn(s *fleetstate.Sight, model string, p *pool) (routing.RoleChange, bool) {
 	now, dwell := n.now(), s.Policy.Limits.Dwell()
-	by := map[ids.Part][]Stand{}
+	by := map[ids.Role][]Stand{}
 	for id, st := range *n.stands.Load() {
 		if w, ok := s.Policy.Workers[id]; ok && w.Model == model && st.Ready && n.fit(s, id) {
 			by[st.Part] = append(by[st.Part], st)
 		}
 	}
-	view := &routing.Pool{Model: model, Press: p.press, Since: now.Since(p.last)}
-	for _, part := range []ids.Part{ids.Prefill, ids.Decode} {
+	view := &routing.Pool{Model: model, Pressure: p.press, Since: now.Since(p.last)}
+	for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 		list := by[part]
 		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 		p.press[part] += smooth * (press(list) - p.press[part])
 		rest := dwell / 2
-		if routing.Other(part) == p.to {
+		if routing.OtherRole(part) == p.to {
 			rest = dwell / 4
 		}
 		for _, st := range list {
 			w := s.Policy.Workers[st.ID]
-			view.Workers = append(view.Workers, routing.Turner{ID: st.ID, Zone: w.Zone, Part: part, Home: w.Part, Busy: st.Busy, Work: st.Work,
-				Cap: st.Cap, Free: st.Free, Room: st.Room,
-				May: view.Since >= rest && spare(s, list, st.ID) && covered(s, list, st, n.clock()) && !n.turnedWithin(st.ID, dwell)})
+			view.Workers = append(view.Workers, routing.RoleCandidate{ID: st.ID, Zone: w.Zone, Role: part, HomeRole: w.Part, Busy: st.Busy, Work: st.Work,
+				MaxConcurrent: st.Cap, Free: st.Free, Capacity: st.Room,
+				Allowed: view.Since >= rest && spare(s, list, st.ID) && covered(s, list, st, n.clock()) && !n.turnedWithin(st.ID, dwell)})
 		}
 	}
 	wish, ok := n.wish(s, view)
@@ -105,16 +105,16 @@
 }
 
 // wish asks the programs; with turning off, workers go home one by one.
-func (n *Node) wish(s *fleetstate.Sight, view *routing.Pool) (routing.Wish, bool) {
+func (n *Node) wish(s *fleetstate.Sight, view *routing.Pool) (routing.RoleChange, bool) {
 	if s.Policy.Switch {
-		return n.deck(s).Turn(view)
+		return n.deck(s).ProposeRoleChange(view)
 	}
-	for _, to := range []ids.Part{ids.Prefill, ids.Decode} {
-		if w, ok := routing.Idlest(view, to, func(t routing.Turner) bool { return t.Home == to }); ok {
+	for _, to := range []ids.Role{ids.Prefill, ids.Decode} {
+		if w, ok := routing.Idlest(view, to, func(t routing.RoleCandidate) bool { return t.HomeRole == to }); ok {
 			return w, true
 		}
 	}
-	return routing.Wish{}, false
+	return routing.RoleChange{}, false
 }
 
 // press is the larger of the shares of starts and of room that are in use.
@@ -167,12 +167,12 @@
 }
 
 // turn asks the worker's holder to drain it and change its part.
-func (n *Node) turn(ctx context.Context, id ids.WorkerID, to ids.Part) error {
+func (n *Node) turn(ctx context.Context, id ids.WorkerID, to ids.Role) error {
 	cx, stop := context.WithTimeout(ctx, turnMost+time.Second)
 	defer stop()
 	m, _, ok := n.agent.KeyOwner(fleetstate.WorkerKey(id))
 	if !ok {
-		return failure.New(failure.Away, "turn", string(id), "nobody holds its key now")
+		return failure.New(failure.Unavailable, "turn", string(id), "nobody holds its key now")
 	}
 	q := &OrderAsk{Worker: id, Verb: verbTurn, Body: []byte(to)}
 	if m.Node == n.me.Node {
@@ -184,24 +184,24 @@
 }
 
 // turnHere is the holder's side: no new work, wait until it is empty, order it.
-func (n *Node) turnHere(ctx context.Context, d *desk, addr string, lead workerclient.Lead, to ids.Part) (*workerclient.Answer, error) {
+func (n *Node) turnHere(ctx context.Context, d *desk, addr string, lead workerclient.OrderHeader, to ids.Role) (*workerclient.OrderResponse, error) {
 	d.ledger.Hold(true)
 	defer d.ledger.Hold(false)
 	cx, stop := context.WithTimeout(ctx, turnMost)
 	defer stop()
 	for {
 		if f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id)); !ok || f != d.fence {
-			return nil, failure.New(failure.Away, "turn", n.me.Addr, "the key of %s went to other hands", d.id)
+			return nil, failure.New(failure.Unavailable, "turn", n.me.Addr, "the key of %s went to other hands", d.id)
 		}
 		lead.Version = n.view.Sight().Version
 		if n.sure() && d.ledger.Empty() {
-			a, err := n.workerClient.Part(cx, addr, &workerclient.PartAsk{Lead: lead, Part: to})
-			if !failure.Is(err, failure.Bounced) {
+			a, err := n.workerClient.SetRole(cx, addr, &workerclient.RoleRequest{OrderHeader: lead, Role: to})
+			if !failure.Is(err, failure.NotExecuted) {
 				return a, err
 			}
 		}
 		if !host.Sleep(cx, 100*time.Millisecond) {
-			return nil, failure.New(failure.Bounced, "turn", string(d.id), "it did not drain in %s", turnMost)
+			return nil, failure.New(failure.NotExecuted, "turn", string(d.id), "it did not drain in %s", turnMost)
 		}
 	}
 }
--- a/internal/router/switch_test.go
+++ b/internal/router/switch_test.go
@@ -20,7 +20,7 @@
 func stage(reads, writes, readBusy, writeBusy int) (*Node, *fleetstate.Sight) {
 	n := New(Options{Name: "n", Host: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host()})
 	s := &fleetstate.Sight{Policy: &fleetstate.Policy{Switch: true, Workers: map[ids.WorkerID]fleetstate.Worker{}, Limits: fleetstate.Limits{DwellMs: 4000}}}
-	stands, roster := map[ids.WorkerID]Stand{}, map[ids.WorkerID]workerclient.Listed{}
+	stands, roster := map[ids.WorkerID]Stand{}, map[ids.WorkerID]workerclient.ListedWorker{}
 	for i := range reads + writes {
 		part, busy := ids.Prefill, readBusy
 		if i >= reads {
@@ -29,7 +29,7 @@
 		id := ids.WorkerID(fmt.Sprintf("%s%d", part[:1], i))
 		s.Policy.Workers[id] = fleetstate.Worker{Part: part, Model: "m", Weights: "w", Zone: ids.Zone(fmt.Sprint(i % 3))}
 		stands[id] = Stand{ID: id, Part: part, Ready: true, Free: 90, Room: 100, Busy: busy, Work: busy, Cap: 16}
-		roster[id] = workerclient.Listed{ID: id}
+		roster[id] = workerclient.ListedWorker{ID: id}
 	}
 	n.stands.Store(&stands)
 	n.roster.Store(&roster)
@@ -37,9 +37,9 @@
 }
 
 // turns asks the switcher twice a second for so long.
-func turns(n *Node, s *fleetstate.Sight, span time.Duration) []ids.Part {
-	p := &pool{last: n.now(), press: map[ids.Part]float64{}}
-	var out []ids.Part
+func turns(n *Node, s *fleetstate.Sight, span time.Duration) []ids.Role {
+	p := &pool{last: n.now(), press: map[ids.Role]float64{}}
+	var out []ids.Role
 	for end := n.now().Add(span); n.now().Before(end); time.Sleep(turnEvery) {
 		if w, ok := n.pickTurn(s, "m", p); ok {
 			out = append(out, w.To)
@@ -58,7 +58,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n, s := stage(4, 4, 14, 0)
 		got := turns(n, s, 60*time.Second)
-		require.Equal(t, []ids.Part{ids.Prefill, ids.Prefill}, got, "two zones keep a decode worker")
+		require.Equal(t, []ids.Role{ids.Prefill, ids.Prefill}, got, "two zones keep a decode worker")
 		n, s = stage(4, 4, 14, 0)
 		require.Len(t, turns(n, s, 2900*time.Millisecond), 1, "half a dwell first, and a quarter between two")
 		n, s = stage(4, 4, 14, 0)
--- a/internal/routing/deck.go
+++ b/internal/routing/deck.go
@@ -18,24 +18,24 @@
 // Score counts how a program fares. All is atomic: it is on the request path.
 type Score struct {
 	Picks, Fallbacks, Agreed, Done, Broken, Bounced atomic.Int64
-	Asked, Wishes                                   atomic.Int64 // of turning
+	ProposalsAsked, Proposals                       atomic.Int64 // of turning
 
-	mu    sync.Mutex
-	first []time.Duration
-	at    int
+	mu          sync.Mutex
+	firstTokens []time.Duration
+	at          int
 }
 
-const keepFirst = 2048
+const firstTokenSamples = 2048
 
-// First notes the time to a first piece.
-func (s *Score) First(d time.Duration) {
+// ObserveFirstToken notes the time to a first piece.
+func (s *Score) ObserveFirstToken(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.first) < keepFirst {
-		s.first = append(s.first, d)
+	if len(s.firstTokens) < firstTokenSamples {
+		s.firstTokens = append(s.firstTokens, d)
 		return
 	}
-	s.first[s.at%keepFirst] = d
+	s.firstTokens[s.at%firstTokenSamples] = d
 	s.at++
 }
 
@@ -43,7 +43,7 @@
 // without any.
 func (s *Score) Quantile(q float64) time.Duration {
 	s.mu.Lock()
-	row := slices.Clone(s.first)
+	row := slices.Clone(s.firstTokens)
 	s.mu.Unlock()
 	if len(row) == 0 {
 		return 0
@@ -71,48 +71,48 @@
 
 // Source is a program as the policy has it.
 type Source struct {
-	Name   string
-	Text   string
-	Share  int
-	Shadow bool
-	Turns  bool // it is in charge of turning
+	Name         string
+	Text         string
+	Share        int
+	Shadow       bool
+	ChangesRoles bool // it is in charge of turning
 }
 
 type slot struct {
-	name   string
-	share  int
-	shadow bool
-	turns  bool
-	prog   Program
+	name         string
+	share        int
+	shadow       bool
+	changesRoles bool
+	program      Program
 }
 
-// PlainName is what the built-in order is called in the scores.
-const PlainName = "plain"
+// BuiltInName is what the built-in order is called in the scores.
+const BuiltInName = "plain"
 
-// Deck is the programs of one version of the configuration, with their shares.
-type Deck struct {
+// ProgramSet is the programs of one version of the configuration, with their shares.
+type ProgramSet struct {
 	slots  []slot
 	scores *Scores
 }
 
-// NewDeck compiles all sources; any fault refuses the whole deck.
-func NewDeck(list []Source, steps uint64, scores *Scores) (*Deck, error) {
-	d := &Deck{scores: scores}
+// NewProgramSet compiles all sources; any fault refuses the whole deck.
+func NewProgramSet(list []Source, steps uint64, scores *Scores) (*ProgramSet, error) {
+	d := &ProgramSet{scores: scores}
 	for _, s := range list {
 		p, err := Compile(s.Name, s.Text, steps)
-		if err == nil && s.Turns && !p.Turns() {
-			err = failure.New(failure.Bad, "compile program", s.Name, "%s.star:1: it is to be in charge of turning and has no turn(pool)", s.Name)
+		if err == nil && s.ChangesRoles && !p.ProposesRoleChanges() {
+			err = failure.New(failure.InvalidArgument, "compile program", s.Name, "%s.star:1: it is to be in charge of turning and has no turn(pool)", s.Name)
 		}
 		if err != nil {
 			return nil, failure.Wrap(err, "check programs", "")
 		}
-		d.slots = append(d.slots, slot{s.Name, s.Share, s.Shadow, s.Turns, p})
+		d.slots = append(d.slots, slot{s.Name, s.Share, s.Shadow, s.ChangesRoles, p})
 	}
 	return d, nil
 }
 
-// For gives the name of the program that a request falls to.
-func (d *Deck) For(request string) string {
+// ProgramFor gives the name of the program that a request falls to.
+func (d *ProgramSet) ProgramFor(request string) string {
 	h := fnv.New32a()
 	h.Write([]byte(request))
 	at := int(h.Sum32() % 100)
@@ -124,14 +124,14 @@
 			return s.name
 		}
 	}
-	return PlainName
+	return BuiltInName
 }
 
-// Rules tells whether any program stands beside the built-in order.
-func (d *Deck) Rules() bool { return len(d.slots) > 0 }
+// HasPrograms tells whether any program stands beside the built-in order.
+func (d *ProgramSet) HasPrograms() bool { return len(d.slots) > 0 }
 
 // route gives the candidates that a program matches, in its order.
-func route(p Program, q *Question, list []Candidate) ([]ids.WorkerID, error) {
+func route(p Program, q *PickRequest, list []Candidate) ([]ids.WorkerID, error) {
 	some, err := p.Match(q, list)
 	if err != nil {
 		return nil, err
@@ -140,20 +140,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return clear(q, some, got)
+	return checkOrder(q, some, got)
 }
 
 // Order asks the request's program, and in its shadow the shadow programs,
 // whose choices are only counted.
-func (d *Deck) Order(q *Question, list []Candidate) []ids.WorkerID {
-	name := d.For(q.Request)
-	plain, _ := Plain{}.Order(q, list)
+func (d *ProgramSet) Order(q *PickRequest, list []Candidate) []ids.WorkerID {
+	name := d.ProgramFor(q.Request)
+	plain, _ := BuiltIn{}.Order(q, list)
 	out, firsts := plain, map[string]ids.WorkerID{}
 	for _, s := range d.slots {
 		if s.name != name && !s.shadow {
 			continue
 		}
-		got, err := route(s.prog, q, list)
+		got, err := route(s.program, q, list)
 		score := d.scores.Of(s.name)
 		if score.Picks.Add(1); err != nil {
 			score.Fallbacks.Add(1)
@@ -170,7 +170,7 @@
 			d.scores.Of(name).Agreed.Add(1)
 		}
 	}
-	if name == PlainName {
+	if name == BuiltInName {
 		d.scores.Of(name).Picks.Add(1)
 	}
 	return out
--- a/internal/routing/programs.go
+++ b/internal/routing/programs.go
@@ -7,9 +7,9 @@
 //go:embed programs/*.star
 var shipped embed.FS
 
-// Shipped gives the text of a program that comes with keelstair: free, prefix
+// ShippedProgram gives the text of a program that comes with keelstair: free, prefix
 // or short.
-func Shipped(name string) string {
+func ShippedProgram(name string) string {
 	b, err := shipped.ReadFile("programs/" + name + ".star")
 	if err != nil {
 		return ""
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -11,13 +11,13 @@
 	"keelstair.example/ids"
 )
 
-// Question is what a program may know of the work.
-type Question struct {
+// PickRequest is what a program may know of the work.
+type PickRequest struct {
 	Request  string
 	Kind     string
 	Model    string
 	Adapters []string
-	Part     ids.Part
+	Role     ids.Role
 	Zone     ids.Zone
 	Prompt   int
 	Max      int
@@ -28,26 +28,26 @@
 // Candidate is a worker that may take it. Affinity, from 0 to 1, is the same on
 // every node for the same prompt prefix and worker.
 type Candidate struct {
-	ID       ids.WorkerID
-	Zone     ids.Zone
-	Weights  string
-	Adapters []string
-	Free     int
-	Room     int
-	Busy     int
-	Cap      int
-	Affinity float64
-	Cost     float64 // ms that the node reckons it takes there, if the question is priced
+	ID            ids.WorkerID
+	Zone          ids.Zone
+	Weights       string
+	Adapters      []string
+	Free          int
+	Capacity      int
+	Busy          int
+	MaxConcurrent int
+	Affinity      float64
+	Cost          float64 // ms that the node reckons it takes there, if the question is priced
 }
 
 // Program is a routing policy: which of the cleared workers a request matches, in
 // which order they are tried (best first, those it leaves out last), and when a
 // worker should change its part. It need not have an idea of each.
 type Program interface {
-	Match(q *Question, list []Candidate) ([]Candidate, error)
-	Order(q *Question, list []Candidate) ([]ids.WorkerID, error)
-	Turn(p *Pool) (Wish, bool, error)
-	Turns() bool
+	Match(q *PickRequest, list []Candidate) ([]Candidate, error)
+	Order(q *PickRequest, list []Candidate) ([]ids.WorkerID, error)
+	ProposeRoleChange(p *Pool) (RoleChange, bool, error)
+	ProposesRoleChanges() bool
 }
 
 // Affinity is high for the worker that a prefix falls to.
@@ -70,27 +70,27 @@
 	return v
 }
 
-// Plain is the built-in order: for prefill the least busy, for decode the most
+// BuiltIn is the built-in order: for prefill the least busy, for decode the most
 // free blocks, and where a cost was reckoned, the cheapest; among equals the request decides, so that calls which come between
 // two beats do not all fall to one worker.
-type Plain struct{}
+type BuiltIn struct{}
 
 // Match returns all candidates.
-func (Plain) Match(_ *Question, list []Candidate) ([]Candidate, error) { return list, nil }
+func (BuiltIn) Match(_ *PickRequest, list []Candidate) ([]Candidate, error) { return list, nil }
 
-// Turns reports that the built-in order also says when workers change their part.
-func (Plain) Turns() bool { return true }
+// ProposesRoleChanges reports that the built-in order also says when workers change their part.
+func (BuiltIn) ProposesRoleChanges() bool { return true }
 
 // Order returns the candidates in the built-in order; it never fails.
-func (Plain) Order(q *Question, list []Candidate) ([]ids.WorkerID, error) {
+func (BuiltIn) Order(q *PickRequest, list []Candidate) ([]ids.WorkerID, error) {
 	score := func(c Candidate) float64 {
 		if q.Priced {
 			return c.Cost
 		}
-		if q.Part == ids.Prefill {
+		if q.Role == ids.Prefill {
 			return float64(c.Busy)
 		}
-		return -float64(c.Free) / float64(max(c.Room, 1))
+		return -float64(c.Free) / float64(max(c.Capacity, 1))
 	}
 	row := append([]Candidate(nil), list...)
 	own := ids.Hash(q.Request)
@@ -108,9 +108,9 @@
 	return out, nil
 }
 
-// clear holds a program's order against the candidates: strangers and repeats
+// checkOrder holds a program's order against the candidates: strangers and repeats
 // are an error, and whoever was left out comes last in the plain order.
-func clear(q *Question, list []Candidate, got []ids.WorkerID) ([]ids.WorkerID, error) {
+func checkOrder(q *PickRequest, list []Candidate, got []ids.WorkerID) ([]ids.WorkerID, error) {
 	left := make(map[ids.WorkerID]bool, len(list))
 	for _, c := range list {
 		left[c.ID] = true
@@ -118,13 +118,13 @@
 	out := make([]ids.WorkerID, 0, len(list))
 	for _, id := range got {
 		if !left[id] {
-			return nil, failure.New(failure.Bad, "order workers", string(id), "the program names a worker that is no candidate, or names it twice")
+			return nil, failure.New(failure.InvalidArgument, "order workers", string(id), "the program names a worker that is no candidate, or names it twice")
 		}
 		delete(left, id)
 		out = append(out, id)
 	}
 	if len(left) > 0 {
-		rest, _ := Plain{}.Order(q, list)
+		rest, _ := BuiltIn{}.Order(q, list)
 		for _, id := range rest {
 			if left[id] {
 				out = append(out, id)
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -15,7 +15,7 @@
 func some(n int) []Candidate {
 	var out []Candidate
 	for i := range n {
-		out = append(out, Candidate{ID: ids.WorkerID(fmt.Sprintf("w%d", i)), Free: 100 + i, Room: 200, Busy: n - i, Cap: 16, Affinity: Affinity(7, ids.WorkerID(fmt.Sprintf("w%d", i)))})
+		out = append(out, Candidate{ID: ids.WorkerID(fmt.Sprintf("w%d", i)), Free: 100 + i, Capacity: 200, Busy: n - i, MaxConcurrent: 16, Affinity: Affinity(7, ids.WorkerID(fmt.Sprintf("w%d", i)))})
 	}
 	return out
 }
@@ -23,14 +23,14 @@
 // TestShippedOrder: the shipped programs compile and order by what they say.
 func TestShippedOrder(t *testing.T) {
 	for name, first := range map[string]ids.WorkerID{"free": "w5", "short": "w5"} {
-		p, err := Compile(name, Shipped(name), 20000)
+		p, err := Compile(name, ShippedProgram(name), 20000)
 		require.NoError(t, err)
-		got, err := p.Order(&Question{Part: ids.Decode}, some(6))
+		got, err := p.Order(&PickRequest{Role: ids.Decode}, some(6))
 		require.NoError(t, err)
 		require.Len(t, got, 6)
 		require.Equal(t, first, got[0], name)
 	}
-	p, err := Compile("prefix", Shipped("prefix"), 20000)
+	p, err := Compile("prefix", ShippedProgram("prefix"), 20000)
 	require.NoError(t, err)
 	level := some(6)
 	best := level[0]
@@ -40,7 +40,7 @@
 			best = level[i]
 		}
 	}
-	got, err := p.Order(&Question{Part: ids.Prefill}, level)
+	got, err := p.Order(&PickRequest{Role: ids.Prefill}, level)
 	require.NoError(t, err)
 	require.Equal(t, best.ID, got[0])
 }
@@ -48,7 +48,7 @@
 // TestHostile: a program that never ends, fails, names a stranger, names one
 // twice or gives nonsense falls back to the built-in order, and is counted.
 func TestHostile(t *testing.T) {
-	plain, _ := Plain{}.Order(&Question{Part: ids.Decode}, some(4))
+	plain, _ := BuiltIn{}.Order(&PickRequest{Role: ids.Decode}, some(4))
 	for name, body := range map[string]string{
 		"endless":  "    x = 0\n    for i in range(1000000000):\n        x += i\n    return [w.id for w in workers]",
 		"failing":  "    return [w.id for w in workers][99]",
@@ -60,18 +60,18 @@
 		"mutating": "    workers.clear()\n    seen.append(1)\n    return []",
 	} {
 		scores := &Scores{}
-		deck, err := NewDeck([]Source{{Name: name, Text: "seen = []\ndef order(ask, workers):\n" + body, Share: 100}}, 20000, scores)
+		set, err := NewProgramSet([]Source{{Name: name, Text: "seen = []\ndef order(ask, workers):\n" + body, Share: 100}}, 20000, scores)
 		require.NoError(t, err, name)
-		require.Equal(t, plain, deck.Order(&Question{Part: ids.Decode, Request: "r"}, some(4)), name)
+		require.Equal(t, plain, set.Order(&PickRequest{Role: ids.Decode, Request: "r"}, some(4)), name)
 		require.EqualValues(t, 1, scores.Of(name).Fallbacks.Load(), name)
 	}
 }
 
 // TestLeftOut: whom a program leaves out comes last, so it cannot starve a call.
 func TestLeftOut(t *testing.T) {
-	deck, err := NewDeck([]Source{{Name: "one", Text: "def order(ask, workers):\n    return ['w2']", Share: 100}}, 20000, &Scores{})
+	set, err := NewProgramSet([]Source{{Name: "one", Text: "def order(ask, workers):\n    return ['w2']", Share: 100}}, 20000, &Scores{})
 	require.NoError(t, err)
-	got := deck.Order(&Question{Part: ids.Decode, Request: "r"}, some(4))
+	got := set.Order(&PickRequest{Role: ids.Decode, Request: "r"}, some(4))
 	require.Len(t, got, 4)
 	require.Equal(t, ids.WorkerID("w2"), got[0])
 }
@@ -79,11 +79,11 @@
 // TestShares: traffic falls to programs by their shares, a shadow only counts.
 func TestShares(t *testing.T) {
 	scores := &Scores{}
-	deck, err := NewDeck([]Source{{Name: "a", Text: Shipped("free"), Share: 30}, {Name: "b", Text: Shipped("short"), Share: 70},
-		{Name: "c", Text: Shipped("prefix"), Shadow: true}}, 20000, scores)
+	set, err := NewProgramSet([]Source{{Name: "a", Text: ShippedProgram("free"), Share: 30}, {Name: "b", Text: ShippedProgram("short"), Share: 70},
+		{Name: "c", Text: ShippedProgram("prefix"), Shadow: true}}, 20000, scores)
 	require.NoError(t, err)
 	for i := range 2000 {
-		deck.Order(&Question{Part: ids.Decode, Request: fmt.Sprint("r", i)}, some(3))
+		set.Order(&PickRequest{Role: ids.Decode, Request: fmt.Sprint("r", i)}, some(3))
 	}
 	a, b, c := scores.Of("a").Picks.Load(), scores.Of("b").Picks.Load(), scores.Of("c").Picks.Load()
 	require.EqualValues(t, 2000, a+b)
@@ -99,8 +99,8 @@
 		"load('x', 'y')\ndef order(a, b):\n    return b": "bad.star:1",
 		"while True:\n    pass":                          "bad.star:1",
 	} {
-		_, err := NewDeck([]Source{{Name: "bad", Text: text}}, 20000, &Scores{})
-		require.True(t, failure.Is(err, failure.Bad), text)
+		_, err := NewProgramSet([]Source{{Name: "bad", Text: text}}, 20000, &Scores{})
+		require.True(t, failure.Is(err, failure.InvalidArgument), text)
 		require.ErrorContains(t, err, says)
 	}
 }
@@ -108,14 +108,14 @@
 func BenchmarkPlain(b *testing.B) {
 	list := some(12)
 	for b.Loop() {
-		Plain{}.Order(&Question{Part: ids.Prefill}, list)
+		BuiltIn{}.Order(&PickRequest{Role: ids.Prefill}, list)
 	}
 }
 
 func BenchmarkStar(b *testing.B) {
-	p, _ := Compile("prefix", Shipped("prefix"), 20000)
+	p, _ := Compile("prefix", ShippedProgram("prefix"), 20000)
 	list := some(12)
 	for b.Loop() {
-		p.Order(&Question{Part: ids.Prefill}, list)
+		p.Order(&PickRequest{Role: ids.Prefill}, list)
 	}
 }
--- a/internal/routing/star.go
+++ b/internal/routing/star.go
@@ -15,12 +15,12 @@
 	"keelstair.example/ids"
 )
 
-type star struct {
-	name  string
-	match *starlark.Function
-	order *starlark.Function
-	turn  *starlark.Function
-	steps uint64
+type starlarkProgram struct {
+	name        string
+	match       *starlark.Function
+	order       *starlark.Function
+	proposeRole *starlark.Function
+	steps       uint64
 }
 
 var dialect = &syntax.FileOptions{}
@@ -31,15 +31,15 @@
 	thread.SetMaxExecutionSteps(steps)
 	globals, err := starlark.ExecFileOptions(dialect, thread, name+".star", source, nil)
 	if err != nil {
-		return nil, fault(err, "compile program", name)
+		return nil, programError(err, "compile program", name)
 	}
 	globals.Freeze()
-	s := &star{name: name, steps: steps}
+	s := &starlarkProgram{name: name, steps: steps}
 	for _, part := range []struct {
 		form   string
 		params int
 		into   **starlark.Function
-	}{{"match(ask, worker)", 2, &s.match}, {"order(ask, workers)", 2, &s.order}, {"turn(pool)", 1, &s.turn}} {
+	}{{"match(ask, worker)", 2, &s.match}, {"order(ask, workers)", 2, &s.order}, {"turn(pool)", 1, &s.proposeRole}} {
 		word, _, _ := strings.Cut(part.form, "(")
 		v, there := globals[word]
 		if !there {
@@ -51,30 +51,30 @@
 			if ok {
 				line = f.Position().Line
 			}
-			return nil, failure.New(failure.Bad, "compile program", name, "%s.star:%d: it should be %s", name, line, part.form)
+			return nil, failure.New(failure.InvalidArgument, "compile program", name, "%s.star:%d: it should be %s", name, line, part.form)
 		}
 		*part.into = f
 	}
-	if s.match == nil && s.order == nil && s.turn == nil {
-		return nil, failure.New(failure.Bad, "compile program", name, "%s.star:1: it must define match(ask, worker), order(ask, workers) or turn(pool)", name)
+	if s.match == nil && s.order == nil && s.proposeRole == nil {
+		return nil, failure.New(failure.InvalidArgument, "compile program", name, "%s.star:1: it must define match(ask, worker), order(ask, workers) or turn(pool)", name)
 	}
 	return s, nil
 }
 
-// fault names the place at which a program failed while it ran.
-func fault(err error, step, name string) error {
+// programError names the place at which a program failed while it ran.
+func programError(err error, step, name string) error {
 	var ev *starlark.EvalError
 	if errors.As(err, &ev) {
 		for i := range ev.CallStack {
 			if pos := ev.CallStack.At(i).Pos; pos.Line > 0 {
-				return failure.New(failure.Bad, step, name, "%s: %s", pos, ev.Msg)
+				return failure.New(failure.InvalidArgument, step, name, "%s: %s", pos, ev.Msg)
 			}
 		}
 	}
-	return failure.As(err, failure.Bad, step, name)
+	return failure.As(err, failure.InvalidArgument, step, name)
 }
 
-func (s *star) thread() *starlark.Thread {
+func (s *starlarkProgram) thread() *starlark.Thread {
 	t := &starlark.Thread{Name: s.name, Print: func(*starlark.Thread, string) {}}
 	t.SetMaxExecutionSteps(s.steps)
 	return t
@@ -88,10 +88,10 @@
 	return starlark.NewList(row)
 }
 
-func question(q *Question) starlark.Value {
+func question(q *PickRequest) starlark.Value {
 	return starlarkstruct.FromStringDict(starlark.String("ask"), starlark.StringDict{
 		"request": starlark.String(q.Request), "kind": starlark.String(q.Kind), "model": starlark.String(q.Model),
-		"adapters": names(q.Adapters), "part": starlark.String(q.Part), "zone": starlark.String(q.Zone),
+		"adapters": names(q.Adapters), "part": starlark.String(q.Role), "zone": starlark.String(q.Zone),
 		"prompt": starlark.MakeInt(q.Prompt), "max": starlark.MakeInt(q.Max), "need": starlark.MakeInt(q.Need),
 	})
 }
@@ -99,13 +99,13 @@
 func candidate(c *Candidate) starlark.Value {
 	return starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
 		"id": starlark.String(c.ID), "zone": starlark.String(c.Zone), "weights": starlark.String(c.Weights),
-		"adapters": names(c.Adapters), "free": starlark.MakeInt(c.Free), "room": starlark.MakeInt(c.Room),
-		"busy": starlark.MakeInt(c.Busy), "cap": starlark.MakeInt(c.Cap), "affinity": starlark.Float(c.Affinity), "cost": starlark.Float(c.Cost),
+		"adapters": names(c.Adapters), "free": starlark.MakeInt(c.Free), "room": starlark.MakeInt(c.Capacity),
+		"busy": starlark.MakeInt(c.Busy), "cap": starlark.MakeInt(c.MaxConcurrent), "affinity": starlark.Float(c.Affinity), "cost": starlark.Float(c.Cost),
 	})
 }
 
 // Match keeps the candidates that the program says yes to.
-func (s *star) Match(q *Question, list []Candidate) ([]Candidate, error) {
+func (s *starlarkProgram) Match(q *PickRequest, list []Candidate) ([]Candidate, error) {
 	if s.match == nil {
 		return list, nil
 	}
@@ -114,11 +114,11 @@
 	for i := range list {
 		v, err := starlark.Call(thread, s.match, starlark.Tuple{ask, candidate(&list[i])}, nil)
 		if err != nil {
-			return nil, fault(err, "run program", s.name)
+			return nil, programError(err, "run program", s.name)
 		}
 		yes, ok := v.(starlark.Bool)
 		if !ok {
-			return nil, failure.New(failure.Bad, "run program", s.name, "match gave %s, not True or False", v.Type())
+			return nil, failure.New(failure.InvalidArgument, "run program", s.name, "match gave %s, not True or False", v.Type())
 		}
 		if yes {
 			out = append(out, list[i])
@@ -127,9 +127,9 @@
 	return out, nil
 }
 
-func (s *star) Order(q *Question, list []Candidate) ([]ids.WorkerID, error) {
+func (s *starlarkProgram) Order(q *PickRequest, list []Candidate) ([]ids.WorkerID, error) {
 	if s.order == nil {
-		return Plain{}.Order(q, list)
+		return BuiltIn{}.Order(q, list)
 	}
 	row := make([]starlark.Value, len(list))
 	for i := range list {
@@ -137,11 +137,11 @@
 	}
 	v, err := starlark.Call(s.thread(), s.order, starlark.Tuple{question(q), starlark.NewList(row)}, nil)
 	if err != nil {
-		return nil, fault(err, "run program", s.name)
+		return nil, programError(err, "run program", s.name)
 	}
 	seq, ok := v.(starlark.Iterable)
 	if !ok {
-		return nil, failure.New(failure.Bad, "run program", s.name, "order gave %s, not a list of ids", v.Type())
+		return nil, failure.New(failure.InvalidArgument, "run program", s.name, "order gave %s, not a list of ids", v.Type())
 	}
 	it := seq.Iterate()
 	defer it.Done()
@@ -150,42 +150,42 @@
 	for it.Next(&e) {
 		id, ok := starlark.AsString(e)
 		if !ok || len(out) > len(list) {
-			return nil, failure.New(failure.Bad, "run program", s.name, "order gave a list that is not ids of candidates")
+			return nil, failure.New(failure.InvalidArgument, "run program", s.name, "order gave a list that is not ids of candidates")
 		}
 		out = append(out, ids.WorkerID(id))
 	}
 	return out, nil
 }
 
-func (s *star) Turns() bool { return s.turn != nil }
+func (s *starlarkProgram) ProposesRoleChanges() bool { return s.proposeRole != nil }
 
-// Turn takes None, or a pair of a worker's id and the part that it should have.
-func (s *star) Turn(p *Pool) (Wish, bool, error) {
+// ProposeRoleChange takes None, or a pair of a worker's id and the part that it should have.
+func (s *starlarkProgram) ProposeRoleChange(p *Pool) (RoleChange, bool, error) {
 	row := make([]starlark.Value, len(p.Workers))
 	for i, w := range p.Workers {
 		row[i] = starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
-			"id": starlark.String(w.ID), "zone": starlark.String(w.Zone), "part": starlark.String(w.Part), "home": starlark.String(w.Home),
-			"busy": starlark.MakeInt(w.Busy), "work": starlark.MakeInt(w.Work), "cap": starlark.MakeInt(w.Cap),
-			"free": starlark.MakeInt(w.Free), "room": starlark.MakeInt(w.Room), "may": starlark.Bool(w.May),
+			"id": starlark.String(w.ID), "zone": starlark.String(w.Zone), "part": starlark.String(w.Role), "home": starlark.String(w.HomeRole),
+			"busy": starlark.MakeInt(w.Busy), "work": starlark.MakeInt(w.Work), "cap": starlark.MakeInt(w.MaxConcurrent),
+			"free": starlark.MakeInt(w.Free), "room": starlark.MakeInt(w.Capacity), "may": starlark.Bool(w.Allowed),
 		})
 	}
 	pool := starlarkstruct.FromStringDict(starlark.String("pool"), starlark.StringDict{
 		"model": starlark.String(p.Model), "since": starlark.Float(p.Since.Seconds()), "workers": starlark.NewList(row),
-		"prefill": starlark.Float(p.Press[ids.Prefill]), "decode": starlark.Float(p.Press[ids.Decode]),
+		"prefill": starlark.Float(p.Pressure[ids.Prefill]), "decode": starlark.Float(p.Pressure[ids.Decode]),
 	})
-	v, err := starlark.Call(s.thread(), s.turn, starlark.Tuple{pool}, nil)
+	v, err := starlark.Call(s.thread(), s.proposeRole, starlark.Tuple{pool}, nil)
 	if err != nil {
-		return Wish{}, false, fault(err, "run program", s.name)
+		return RoleChange{}, false, programError(err, "run program", s.name)
 	}
 	if v == starlark.None {
-		return Wish{}, false, nil
+		return RoleChange{}, false, nil
 	}
 	if pair, ok := v.(starlark.Indexable); ok && pair.Len() == 2 {
 		id, a := starlark.AsString(pair.Index(0))
 		to, b := starlark.AsString(pair.Index(1))
 		if a && b {
-			return Wish{ids.WorkerID(id), ids.Part(to)}, true, nil
+			return RoleChange{ids.WorkerID(id), ids.Role(to)}, true, nil
 		}
 	}
-	return Wish{}, false, failure.New(failure.Bad, "run program", s.name, "turn gave %s, not None or (id, part)", v)
+	return RoleChange{}, false, failure.New(failure.InvalidArgument, "run program", s.name, "turn gave %s, not None or (id, part)", v)
 }
--- a/internal/routing/turn.go
+++ b/internal/routing/turn.go
@@ -11,38 +11,38 @@
 	"keelstair.example/ids"
 )
 
-// Turner is a worker of a pool as a program sees it.
-type Turner struct {
-	ID   ids.WorkerID
-	Zone ids.Zone
-	Part ids.Part
-	Home ids.Part // the part that the catalogue gives it
-	Busy int      // starts booked or under way
-	Work int      // of these, begun at the worker
-	Cap  int
-	Free int
-	Room int
-	May  bool // it may turn now
+// RoleCandidate is a worker of a pool as a program sees it.
+type RoleCandidate struct {
+	ID            ids.WorkerID
+	Zone          ids.Zone
+	Role          ids.Role
+	HomeRole      ids.Role // the part that the catalogue gives it
+	Busy          int      // starts booked or under way
+	Work          int      // of these, begun at the worker
+	MaxConcurrent int
+	Free          int
+	Capacity      int
+	Allowed       bool // it may turn now
 }
 
 // Pool is all workers of one model. Press, from 0 to 1, is how much of a part's
 // starts or room is in use, smoothed over seconds; what is only booked, and waits
 // for another worker, does not count.
 type Pool struct {
-	Model   string
-	Press   map[ids.Part]float64
-	Workers []Turner
-	Since   time.Duration // since the pool's last turn
+	Model    string
+	Pressure map[ids.Role]float64
+	Workers  []RoleCandidate
+	Since    time.Duration // since the pool's last turn
 }
 
-// Wish is for a worker to change to a part.
-type Wish struct {
+// RoleChange is for a worker to change to a part.
+type RoleChange struct {
 	Worker ids.WorkerID
-	To     ids.Part
+	To     ids.Role
 }
 
-// Other is the part that a worker changes from when it changes to one.
-func Other(p ids.Part) ids.Part {
+// OtherRole is the part that a worker changes from when it changes to one.
+func OtherRole(p ids.Role) ids.Role {
 	if p == ids.Prefill {
 		return ids.Decode
 	}
@@ -50,99 +50,99 @@
 }
 
 const (
-	pressed = 0.35 // a part is hard pressed above this
-	apart   = 2.0  // and so many times more than the other would then be
+	highPressure = 0.35 // a part is hard pressed above this
+	pressureGap  = 2.0  // and so many times more than the other would then be
 )
 
-// Turn of the built-in program: a hard pressed part gets the least busy worker of
+// ProposeRoleChange of the built-in program: a hard pressed part gets the least busy worker of
 // the other, if that one is not pressed too, without it.
-func (Plain) Turn(p *Pool) (Wish, bool, error) {
-	count := map[ids.Part]int{}
+func (BuiltIn) ProposeRoleChange(p *Pool) (RoleChange, bool, error) {
+	count := map[ids.Role]int{}
 	for _, w := range p.Workers {
-		count[w.Part]++
+		count[w.Role]++
 	}
-	for _, to := range []ids.Part{ids.Prefill, ids.Decode} {
-		from := Other(to)
-		rest := p.Press[from] * float64(count[from]) / float64(max(count[from]-1, 1))
-		if p.Press[to] <= pressed || p.Press[to] <= apart*rest {
+	for _, to := range []ids.Role{ids.Prefill, ids.Decode} {
+		from := OtherRole(to)
+		rest := p.Pressure[from] * float64(count[from]) / float64(max(count[from]-1, 1))
+		if p.Pressure[to] <= highPressure || p.Pressure[to] <= pressureGap*rest {
 			continue
 		}
-		if w, ok := Idlest(p, to, func(Turner) bool { return true }); ok {
+		if w, ok := Idlest(p, to, func(RoleCandidate) bool { return true }); ok {
 			return w, true, nil
 		}
 	}
-	return Wish{}, false, nil
+	return RoleChange{}, false, nil
 }
 
 // Idlest names the least busy worker that may change to a part, one that comes home
 // by it before others.
-func Idlest(p *Pool, to ids.Part, counts func(Turner) bool) (Wish, bool) {
-	var best *Turner
+func Idlest(p *Pool, to ids.Role, counts func(RoleCandidate) bool) (RoleChange, bool) {
+	var best *RoleCandidate
 	for i, w := range p.Workers {
-		if w.Part == to || !w.May || !counts(w) {
+		if w.Role == to || !w.Allowed || !counts(w) {
 			continue
 		}
-		if best == nil || w.Busy < best.Busy || w.Busy == best.Busy && w.Home == to && best.Home != to {
+		if best == nil || w.Busy < best.Busy || w.Busy == best.Busy && w.HomeRole == to && best.HomeRole != to {
 			best = &p.Workers[i]
 		}
 	}
 	if best == nil {
-		return Wish{}, false
+		return RoleChange{}, false
 	}
-	return Wish{best.ID, to}, true
+	return RoleChange{best.ID, to}, true
 }
 
-// clearWish holds a program's wish against those that may turn.
-func clearWish(p *Pool, w Wish) error {
+// checkRoleChange holds a program's wish against those that may turn.
+func checkRoleChange(p *Pool, w RoleChange) error {
 	for _, t := range p.Workers {
-		if t.ID == w.Worker && t.May && t.Part == Other(w.To) {
+		if t.ID == w.Worker && t.Allowed && t.Role == OtherRole(w.To) {
 			return nil
 		}
 	}
-	return failure.New(failure.Bad, "turn worker", string(w.Worker), "the program names a worker that may not turn to %q", w.To)
+	return failure.New(failure.InvalidArgument, "turn worker", string(w.Worker), "the program names a worker that may not turn to %q", w.To)
 }
 
-// Turn asks the program in charge, else the built-in one.
-func (d *Deck) Turn(p *Pool) (Wish, bool) {
-	out, ok, _ := Plain{}.Turn(p)
-	out, ok, _ = d.Wish(p, out, ok)
+// ProposeRoleChange asks the program in charge, else the built-in one.
+func (d *ProgramSet) ProposeRoleChange(p *Pool) (RoleChange, bool) {
+	out, ok, _ := BuiltIn{}.ProposeRoleChange(p)
+	out, ok, _ = d.ResolveRoleChange(p, out, ok)
 	return out, ok
 }
 
-// Wish asks the program in charge; where there is none, or it fails, what the built-in
+// ResolveRoleChange asks the program in charge; where there is none, or it fails, what the built-in
 // one gave stays, and it is not ruled. The others that have a turning part are only
 // counted.
-func (d *Deck) Wish(p *Pool, out Wish, ok bool) (_ Wish, is, ruled bool) {
+func (d *ProgramSet) ResolveRoleChange(p *Pool, out RoleChange, ok bool) (_ RoleChange, is, ruled bool) {
 	type said struct {
-		score *Score
-		wish  Wish
-		ok    bool
+		score  *Score
+		change RoleChange
+		ok     bool
 	}
 	var others []said
 	for _, s := range d.slots {
-		if !s.prog.Turns() {
+		if !s.program.ProposesRoleChanges() {
 			continue
 		}
-		w, is, err := s.prog.Turn(p)
+		w, is, err := s.program.ProposeRoleChange(p)
 		if err == nil && is {
-			err = clearWish(p, w)
+			err = checkRoleChange(p, w)
 		}
 		score := d.scores.Of(s.name)
-		score.Asked.Add(1)
+		score.ProposalsAsked.Add(1)
 		switch {
 		case err != nil:
 			score.Fallbacks.Add(1)
-		case s.turns:
+		case s.changesRoles:
 			out, ok, ruled = w, is, true
 		default:
 			others = append(others, said{score, w, is})
 		}
 		if err == nil && is {
-			score.Wishes.Add(1)
+			score.Proposals.Add(1)
 		}
 	}
 	for _, o := range others {
-		if o.ok == ok && (!ok || o.wish.To == out.To) {
+		if o.ok == ok && (!ok || o.change.To == out.To) {
 			o.score.Agreed.Add(1)
 		}
 	}
--- a/internal/routing/turn_test.go
+++ b/internal/routing/turn_test.go
@@ -10,8 +10,8 @@
 	"keelstair.example/ids"
 )
 
-func deckOf(t *testing.T, scores *Scores, list ...Source) *Deck {
-	d, err := NewDeck(list, 20000, scores)
+func deckOf(t *testing.T, scores *Scores, list ...Source) *ProgramSet {
+	d, err := NewProgramSet(list, 20000, scores)
 	require.NoError(t, err)
 	return d
 }
@@ -23,11 +23,11 @@
 	for i := range list {
 		list[i].Adapters = []string{"legal"}[:i%2]
 	}
-	q := &Question{Part: ids.Decode, Request: "r", Kind: "ruling"}
+	q := &PickRequest{Role: ids.Decode, Request: "r", Kind: "ruling"}
 	text := "def match(ask, worker):\n    return ask.kind != 'ruling' or 'legal' in worker.adapters\n"
 	d := deckOf(t, &Scores{}, Source{Name: "legal", Text: text, Share: 100})
 	require.Equal(t, []ids.WorkerID{"w5", "w3", "w1"}, d.Order(q, list), "in the built-in order")
-	require.Len(t, d.Order(&Question{Part: ids.Decode, Request: "r", Kind: "rider"}, list), 6)
+	require.Len(t, d.Order(&PickRequest{Role: ids.Decode, Request: "r", Kind: "rider"}, list), 6)
 	none := deckOf(t, &Scores{}, Source{Name: "none", Text: "def match(ask, worker):\n    return False\n", Share: 100})
 	require.Empty(t, none.Order(q, list), "matched by nobody")
 	for name, body := range map[string]string{"endless": "[i for i in range(1 << 40)]", "failing": "worker.nothing", "nonsense": "3"} {
@@ -41,11 +41,11 @@
 }
 
 func pressedPool() *Pool {
-	p := &Pool{Model: "m", Press: map[ids.Part]float64{ids.Prefill: 0.9, ids.Decode: 0.1}}
+	p := &Pool{Model: "m", Pressure: map[ids.Role]float64{ids.Prefill: 0.9, ids.Decode: 0.1}}
 	for i, id := range []ids.WorkerID{"p1", "p2", "d1", "d2", "d3"} {
-		w := Turner{ID: id, Part: ids.Prefill, Home: ids.Prefill, Busy: 10 - i, Cap: 16, May: id != "d3"}
+		w := RoleCandidate{ID: id, Role: ids.Prefill, HomeRole: ids.Prefill, Busy: 10 - i, MaxConcurrent: 16, Allowed: id != "d3"}
 		if i >= 2 {
-			w.Part, w.Home = ids.Decode, ids.Decode
+			w.Role, w.HomeRole = ids.Decode, ids.Decode
 		}
 		p.Workers = append(p.Workers, w)
 	}
@@ -55,15 +55,15 @@
 // TestTurnPrograms: the program in charge decides, one that is not only is counted,
 // and whatever it wishes for that may not be falls back to the built-in wish.
 func TestTurnPrograms(t *testing.T) {
-	plain := Wish{"d2", ids.Prefill}
+	plain := RoleChange{"d2", ids.Prefill}
 	for name, k := range map[string]struct {
 		body  string
-		wish  Wish
+		wish  RoleChange
 		ok    bool
 		falls int64
 	}{
-		"own":      {"('d1', 'prefill') if pool.prefill > 0.8 else None", Wish{"d1", ids.Prefill}, true, 0},
-		"calm":     {"None", Wish{}, false, 0},
+		"own":      {"('d1', 'prefill') if pool.prefill > 0.8 else None", RoleChange{"d1", ids.Prefill}, true, 0},
+		"calm":     {"None", RoleChange{}, false, 0},
 		"may not":  {"('d3', 'prefill')", plain, true, 1},
 		"stranger": {"('d9', 'prefill')", plain, true, 1},
 		"same":     {"('p1', 'prefill')", plain, true, 1},
@@ -74,14 +74,14 @@
 	} {
 		scores := &Scores{}
 		text := "def turn(pool):\n    return " + k.body
-		d := deckOf(t, scores, Source{Name: name, Text: text, Turns: true}, Source{Name: "rival", Text: "def turn(pool):\n    return ('d2', 'prefill')"})
-		w, ok := d.Turn(pressedPool())
+		d := deckOf(t, scores, Source{Name: name, Text: text, ChangesRoles: true}, Source{Name: "rival", Text: "def turn(pool):\n    return ('d2', 'prefill')"})
+		w, ok := d.ProposeRoleChange(pressedPool())
 		require.Equal(t, k.ok, ok, name)
 		require.Equal(t, k.wish, w, name)
 		require.EqualValues(t, k.falls, scores.Of(name).Fallbacks.Load(), name)
-		require.EqualValues(t, 1, scores.Of("rival").Wishes.Load(), name)
+		require.EqualValues(t, 1, scores.Of("rival").Proposals.Load(), name)
 		require.Equal(t, k.ok, scores.Of("rival").Agreed.Load() == 1, name)
 	}
-	_, err := NewDeck([]Source{{Name: "x", Text: Shipped("free"), Turns: true}}, 20000, &Scores{})
+	_, err := NewProgramSet([]Source{{Name: "x", Text: ShippedProgram("free"), ChangesRoles: true}}, 20000, &Scores{})
 	require.ErrorContains(t, err, "has no turn(pool)")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,7 +39,7 @@
 func Parse(s Settings, program, about string, args []string) error {
 	p, err := arg.NewParser(arg.Config{Program: program}, s)
 	if err != nil {
-		return failure.As(err, failure.Bad, "read flags", program)
+		return failure.As(err, failure.InvalidArgument, "read flags", program)
 	}
 	switch err := p.Parse(args); {
 	case errors.Is(err, arg.ErrHelp):
@@ -47,7 +47,7 @@
 		p.WriteHelp(os.Stdout)
 		return errHelp
 	case err != nil:
-		return failure.As(err, failure.Bad, "read flags", program)
+		return failure.As(err, failure.InvalidArgument, "read flags", program)
 	}
 	if f := s.File(); f != "" {
 		if err := load(f, s); err != nil {
@@ -55,10 +55,10 @@
 		}
 		// Flags stand over the file, and the file over the defaults.
 		if p, err = arg.NewParser(arg.Config{Program: program, IgnoreDefault: true}, s); err != nil {
-			return failure.As(err, failure.Bad, "read flags", program)
+			return failure.As(err, failure.InvalidArgument, "read flags", program)
 		}
 		if err := p.Parse(args); err != nil {
-			return failure.As(err, failure.Bad, "read flags", program)
+			return failure.As(err, failure.InvalidArgument, "read flags", program)
 		}
 	}
 	return s.Check()
@@ -67,25 +67,25 @@
 func load(path string, s Settings) error {
 	body, err := os.ReadFile(path)
 	if err != nil {
-		return failure.As(err, failure.Bad, "read settings", path)
+		return failure.As(err, failure.InvalidArgument, "read settings", path)
 	}
 	rows := json.NewDecoder(strings.NewReader(string(body)))
 	rows.DisallowUnknownFields()
-	return failure.As(rows.Decode(s), failure.Bad, "read settings", path)
+	return failure.As(rows.Decode(s), failure.InvalidArgument, "read settings", path)
 }
 
-// Fault names a field that is off.
-func Fault(field, form string, args ...any) error {
-	return failure.New(failure.Bad, "check settings", field, form, args...)
+// Invalid names a field that is off.
+func Invalid(field, form string, args ...any) error {
+	return failure.New(failure.InvalidArgument, "check settings", field, form, args...)
 }
 
 // Addr checks an address by IP number and port.
 func Addr(field, addr string) error {
 	if addr == "" {
-		return Fault(field, "it is missing")
+		return Invalid(field, "it is missing")
 	}
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		return Fault(field, "%q is no IP number with a port", addr)
+		return Invalid(field, "%q is no IP number with a port", addr)
 	}
 	return nil
 }
@@ -93,7 +93,7 @@
 // Seeds checks the three seed addresses.
 func Seeds(field string, list []string) error {
 	if len(list) != 3 {
-		return Fault(field, "three are needed, %d given", len(list))
+		return Invalid(field, "three are needed, %d given", len(list))
 	}
 	for i, a := range list {
 		if err := Addr(fmt.Sprintf("%s[%d]", field, i), a); err != nil {
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// First gives the first error of several checks.
-func First(errs ...error) error {
+// FirstError gives the first error of several checks.
+func FirstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,7 +20,7 @@
 }
 
 func (s *sample) File() string { return s.Settings }
-func (s *sample) Check() error { return First(Addr("addr", s.Addr), Seeds("seeds", s.Seeds)) }
+func (s *sample) Check() error { return FirstError(Addr("addr", s.Addr), Seeds("seeds", s.Seeds)) }
 
 // TestSettings: a file, flags over it, and a fault that names its field.
 func TestSettings(t *testing.T) {
@@ -42,7 +42,7 @@
 		put(text)
 		err := Parse(&sample{}, "x", "", []string{"--settings", path})
 		require.ErrorContains(t, err, field)
-		require.True(t, failure.Is(err, failure.Bad), text)
+		require.True(t, failure.Is(err, failure.InvalidArgument), text)
 	}
 	require.Error(t, Parse(&sample{}, "x", "", []string{"--colour"}))
 	require.Error(t, Parse(&sample{}, "x", "", []string{"--settings", path + "gone"}))
--- a/internal/simulation/bureau_test.go
+++ b/internal/simulation/bureau_test.go
@@ -98,7 +98,7 @@
 		if w[0] == 'd' {
 			part = ids.Decode
 		}
-		b.sign("c-"+w, certification.Certificate{Worker: ids.WorkerID(w), Parts: []ids.Part{part}}, 24*time.Hour)
+		b.sign("c-"+w, certification.Certificate{Worker: ids.WorkerID(w), Roles: []ids.Role{part}}, 24*time.Hour)
 	}
 	for _, n := range nodes {
 		b.sign("c-"+n, certification.Certificate{Node: n}, 24*time.Hour)
--- a/internal/simulation/chamber_test.go
+++ b/internal/simulation/chamber_test.go
@@ -112,7 +112,7 @@
 			if w[0] == 'p' {
 				part = ids.Prefill
 			}
-			b.sign("short-"+w, certification.Certificate{Worker: ids.WorkerID(w), Parts: []ids.Part{part}}, 5*time.Second)
+			b.sign("short-"+w, certification.Certificate{Worker: ids.WorkerID(w), Roles: []ids.Role{part}}, 5*time.Second)
 		}
 		if err := alter(c, "short", partOf(map[string]any{"certificates": b.certs})); err != nil {
 			return err
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -84,7 +84,7 @@
 	c.serve(c.base, p.Host(), "10.8.0.1:80", c.Platform.Handler())
 	c.wg.Go(func() { c.Platform.Run(c.base) })
 	c.out = c.World.Machine("10.9.0.1").Start()
-	c.web = rpc.Web(c.out.Host().Net)
+	c.web = rpc.NewHTTPClient(c.out.Host().Net)
 	for i := range 3 {
 		c.Seeds = append(c.Seeds, fmt.Sprintf("10.1.0.%d:700", i+1))
 	}
@@ -122,7 +122,7 @@
 	if os.Getenv("KEELSTAIR_TALK") != "" {
 		return logging.NewRing(64, os.Stderr, name)
 	}
-	return logging.Mute()
+	return logging.Discard()
 }
 
 // Tenet describes a disk machine.
@@ -190,7 +190,7 @@
 			b.Worker = k
 			c.Book.Life(k)
 			c.wg.Go(func() { k.Run(ctx) })
-			c.Platform.List(workerclient.Listed{ID: id, Addr: b.Addr, Zone: w.Zone})
+			c.Platform.List(workerclient.ListedWorker{ID: id, Addr: b.Addr, Zone: w.Zone})
 			return c.serve(ctx, host, b.Addr, k.Handler())
 		}}
 }
--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -24,7 +24,7 @@
 	if list := os.Getenv("KEELSTAIR_COMPARE"); list != "1" {
 		return strings.Split(list, ",")
 	}
-	return []string{routing.PlainName, "free", "prefix", "short"}
+	return []string{routing.BuiltInName, "free", "prefix", "short"}
 }
 
 // TestCompare measures the routing programs against each other: each alone, on
@@ -41,8 +41,8 @@
 					synctest.Test(t, func(t *testing.T) {
 						site := standin.Sites[name]
 						c := Build(seed, site, func(c *Cluster) {
-							if prog != routing.PlainName {
-								c.Programs = map[string]fleetstate.Program{prog: {Source: routing.Shipped(prog), Share: 100}}
+							if prog != routing.BuiltInName {
+								c.Programs = map[string]fleetstate.Program{prog: {Source: routing.ShippedProgram(prog), Share: 100}}
 							}
 						})
 						defer c.Close()
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -261,7 +261,7 @@
 			"regimes.json:1:": func(one *certification.Certificate) { one.Worker = "p4" },
 			"another subject": func(one *certification.Certificate) { one.Worker = "p4" },
 			"it has expired": func(one *certification.Certificate) {
-				*one = b.sign("c-p1", certification.Certificate{Worker: "p1", Parts: one.Parts}, -time.Minute)
+				*one = b.sign("c-p1", certification.Certificate{Worker: "p1", Roles: one.Roles}, -time.Minute)
 			},
 		} {
 			good := b.certs["c-p1"]
--- a/internal/simulation/price_test.go
+++ b/internal/simulation/price_test.go
@@ -74,7 +74,7 @@
 				require.NoError(t, c.Found())
 				b.usual()
 				for i := range n {
-					b.sign(fmt.Sprint("x", i), certification.Certificate{Worker: "d3", Parts: []ids.Part{ids.Decode}}, 24*time.Hour)
+					b.sign(fmt.Sprint("x", i), certification.Certificate{Worker: "d3", Roles: []ids.Role{ids.Decode}}, 24*time.Hour)
 				}
 				require.NoError(t, b.Open())
 				for i := range n {
--- a/internal/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -299,8 +299,8 @@
 func TestExpired(t *testing.T) {
 	inChamber(t, func(b *Bureau) {
 		b.usual()
-		b.sign("c-d1", certification.Certificate{Worker: "d1", Parts: []ids.Part{ids.Decode}}, 20*time.Second)
-		b.sign("c-p2", certification.Certificate{Worker: "p2", Parts: []ids.Part{ids.Prefill}}, 20*time.Second)
+		b.sign("c-d1", certification.Certificate{Worker: "d1", Roles: []ids.Role{ids.Decode}}, 20*time.Second)
+		b.sign("c-p2", certification.Certificate{Worker: "p2", Roles: []ids.Role{ids.Prefill}}, 20*time.Second)
 	}, func(t *testing.T, c *Cluster, b *Bureau) {
 		go func() {
 			for _, box := range []*Box{node(c, "router-1"), node(c, "router-2"), leader(c)} {
--- a/internal/simulation/swing_test.go
+++ b/internal/simulation/swing_test.go
@@ -19,7 +19,7 @@
 type swung struct {
 	read, write standin.Summary
 	turns       int64
-	parts       map[ids.Part]int
+	parts       map[ids.Role]int
 }
 
 func (s swung) String() string {
@@ -31,7 +31,7 @@
 // swing sends long prompts that six prefill workers cannot read, then long answers
 // that six decode workers cannot make, and counts.
 func swing(t *testing.T, turn bool, seed uint64, span time.Duration) swung {
-	out := swung{parts: map[ids.Part]int{}}
+	out := swung{parts: map[ids.Role]int{}}
 	synctest.Test(t, func(t *testing.T) {
 		c := Build(seed, standin.Sites["vatuloa"], func(c *Cluster) {
 			c.Fixed = !turn
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -149,7 +149,7 @@
 		more := w.pool.take(1)
 		if more == nil {
 			w.count(r.ident.ID.Request).Starved++
-			w.tell("starved", r.ident.ID, workerclient.Lead{})
+			w.tell("starved", r.ident.ID, workerclient.OrderHeader{})
 			w.drop(r, workerclient.FateStopped)
 			return
 		}
@@ -180,6 +180,6 @@
 func (w *Worker) end(r *run) {
 	r.ended = true
 	w.count(r.ident.ID.Request).Records++
-	w.tell("record", r.ident.ID, workerclient.Lead{})
+	w.tell("record", r.ident.ID, workerclient.OrderHeader{})
 	w.drop(r, workerclient.FateFinished)
 }
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -125,7 +125,7 @@
 
 // Load sends it all and waits for every answer.
 func Load(ctx context.Context, o LoadOptions) []Outcome {
-	web := rpc.Web(o.Host.Net)
+	web := rpc.NewHTTPClient(o.Host.Net)
 	defer web.CloseIdleConnections()
 	if o.Patient == 0 {
 		o.Patient = 20 * time.Second
@@ -218,7 +218,7 @@
 
 // unanswered notes that a call had no answer at all.
 func (r *Outcome) unanswered(err error, c *call) time.Duration {
-	if rpc.Undialled(err) {
+	if rpc.IsDialError(err) {
 		r.End, r.Detail = "bounced", "door is shut"
 		return pauseUndialled
 	}
--- a/internal/standin/move.go
+++ b/internal/standin/move.go
@@ -18,15 +18,15 @@
 	"keelstair.example/internal/workerclient"
 )
 
-func (w *Worker) take(_ context.Context, q *workerclient.ImportAsk) (*workerclient.Answer, error) {
+func (w *Worker) take(_ context.Context, q *workerclient.ImportRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := q.Identity
-	if err := w.heed("import", q.Lead, m.ID); err != nil {
+	if err := w.heed("import", q.OrderHeader, m.ID); err != nil {
 		return nil, err
 	}
 	if w.live[m.ID] != nil {
-		return &workerclient.Answer{}, nil
+		return &workerclient.OrderResponse{}, nil
 	}
 	bill := ids.Blocks(m.Computed, w.pool.size)
 	whole := max(bill, ids.Blocks(len(m.Prompt)+m.Params.MaxTokens, w.pool.size))
@@ -39,14 +39,14 @@
 		return nil, no(http.StatusUnprocessableEntity, "%d bytes for %d tokens", m.Length, m.Computed)
 	case !w.pool.fits(whole):
 		w.count(m.ID.Request).Bounced++
-		w.tell("bounced", m.ID, q.Lead)
+		w.tell("bounced", m.ID, q.OrderHeader)
 		return nil, no(http.StatusInsufficientStorage, "no room for %d blocks", whole)
 	}
 	r := &run{ident: m, tab: w.pool.take(bill), pledge: whole - bill, touched: w.now(), news: make(chan struct{})}
 	w.pool.pledge += r.pledge
 	w.live[m.ID] = r
 	go w.fetch(r, q.Source)
-	return &workerclient.Answer{}, nil
+	return &workerclient.OrderResponse{}, nil
 }
 
 // kvTokenBytes is how many bytes of KV the stand-in keeps for a token.
@@ -60,7 +60,7 @@
 	defer w.mu.Unlock()
 	if err != nil {
 		r.lost = true
-		w.tell("lost", r.ident.ID, workerclient.Lead{})
+		w.tell("lost", r.ident.ID, workerclient.OrderHeader{})
 		if !r.arrived {
 			w.drop(r, workerclient.FateNever)
 		}
@@ -140,11 +140,11 @@
 }
 
 // resume is the point of no return.
-func (w *Worker) resume(ctx context.Context, q *workerclient.IDAsk) (*workerclient.Answer, error) {
+func (w *Worker) resume(ctx context.Context, q *workerclient.IDRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.live[q.ID]
-	if err := w.heed("resume", q.Lead, q.ID); err != nil {
+	if err := w.heed("resume", q.OrderHeader, q.ID); err != nil {
 		return nil, err
 	}
 	if r == nil {
@@ -167,7 +167,7 @@
 	if r.stopped {
 		return nil, no(http.StatusGone, "the memory was lost")
 	}
-	if err := w.heed("resumed", q.Lead, q.ID); err != nil {
+	if err := w.heed("resumed", q.OrderHeader, q.ID); err != nil {
 		return nil, err
 	}
 	if !r.resumed {
@@ -178,14 +178,14 @@
 	}
 	r.touched = w.now()
 	w.kick()
-	return &workerclient.Answer{Fate: workerclient.FateRunning}, nil
+	return &workerclient.OrderResponse{Fate: workerclient.FateRunning}, nil
 }
 
 // cancel stops an attempt for good and tells what came of the request here.
-func (w *Worker) cancel(_ context.Context, q *workerclient.IDAsk) (*workerclient.Answer, error) {
+func (w *Worker) cancel(_ context.Context, q *workerclient.IDRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.heed("cancel", q.Lead, q.ID); err != nil {
+	if err := w.heed("cancel", q.OrderHeader, q.ID); err != nil {
 		return nil, err
 	}
 	if n, ok := w.tomb[q.ID.Request]; !ok || q.ID.Attempt > n {
@@ -211,7 +211,7 @@
 		cop.Texts = nil
 		return &cop, nil
 	}
-	return &workerclient.Answer{Fate: workerclient.FateNever}, nil
+	return &workerclient.OrderResponse{Fate: workerclient.FateNever}, nil
 }
 
 // stream hands out pieces from an index on. A line goes out at least every
@@ -225,16 +225,16 @@
 	f := w.fates[id.Request]
 	w.mu.Unlock()
 	if r == nil && (f == nil || !f.Done) {
-		reply(rw, http.StatusGone, workerclient.Bounce{Name: "no such run"})
+		reply(rw, http.StatusGone, workerclient.Rejection{Name: "no such run"})
 		return
 	}
 	rows := json.NewEncoder(rw)
 	put := func(out []int32, ended bool) {
 		for ; at < len(out); at++ {
-			rows.Encode(workerclient.Piece{Index: at, Token: out[at], Text: say(out[at])})
+			rows.Encode(workerclient.TokenEvent{Index: at, Token: out[at], Text: say(out[at])})
 		}
 		if ended {
-			rows.Encode(workerclient.Piece{Index: at, End: "stop", Count: len(out)})
+			rows.Encode(workerclient.TokenEvent{Index: at, End: "stop", Count: len(out)})
 		}
 		rw.(http.Flusher).Flush()
 	}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -28,17 +28,17 @@
 type Platform struct {
 	mu      sync.Mutex
 	web     *http.Client
-	workers map[ids.WorkerID]workerclient.Listed
+	workers map[ids.WorkerID]workerclient.ListedWorker
 	doors   map[string]*Door
 }
 
 // NewPlatform returns a platform without workers or nodes. It asks nodes over the host's network.
 func NewPlatform(host host.Host) *Platform {
-	return &Platform{web: rpc.Web(host.Net), workers: map[ids.WorkerID]workerclient.Listed{}, doors: map[string]*Door{}}
+	return &Platform{web: rpc.NewHTTPClient(host.Net), workers: map[ids.WorkerID]workerclient.ListedWorker{}, doors: map[string]*Door{}}
 }
 
 // List puts a worker on the list, or changes its line.
-func (p *Platform) List(l workerclient.Listed) {
+func (p *Platform) List(l workerclient.ListedWorker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.workers[l.ID] = l
@@ -123,7 +123,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /workers", func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
-		out := []workerclient.Listed{}
+		out := []workerclient.ListedWorker{}
 		for _, l := range p.workers {
 			out = append(out, l)
 		}
@@ -131,9 +131,9 @@
 		reply(w, http.StatusOK, out)
 	})
 	mux.HandleFunc("POST /workers", func(w http.ResponseWriter, r *http.Request) {
-		var l workerclient.Listed
+		var l workerclient.ListedWorker
 		if err := json.NewDecoder(r.Body).Decode(&l); err != nil || l.ID == "" {
-			reply(w, http.StatusBadRequest, workerclient.Bounce{Name: "malformed"})
+			reply(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
 			return
 		}
 		p.List(l)
@@ -150,7 +150,7 @@
 	mux.HandleFunc("POST /doors", func(w http.ResponseWriter, r *http.Request) {
 		var d Door
 		if err := json.NewDecoder(r.Body).Decode(&d); err != nil || d.Addr == "" {
-			reply(w, http.StatusBadRequest, workerclient.Bounce{Name: "malformed"})
+			reply(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
 			return
 		}
 		p.Door(d.Addr, d.Zone)
@@ -169,7 +169,7 @@
 // Asked gives the doors that a platform names ready for a zone, asked anew twice a
 // second.
 func Asked(ctx context.Context, machine host.Host, addr string, zones []ids.Zone) func(ids.Zone) []string {
-	web := rpc.Web(machine.Net)
+	web := rpc.NewHTTPClient(machine.Net)
 	var mu sync.Mutex
 	kept := map[ids.Zone][]string{}
 	ask := func(zone ids.Zone) {
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -81,20 +81,20 @@
 func no(code int, form string, args ...any) error { return &refusal{code, fmt.Sprintf(form, args...)} }
 
 // order reads an order and turns a refusal into its code.
-func order[Q any](w *Worker, f func(context.Context, *Q) (*workerclient.Answer, error)) http.HandlerFunc {
+func order[Q any](w *Worker, f func(context.Context, *Q) (*workerclient.OrderResponse, error)) http.HandlerFunc {
 	return func(rw http.ResponseWriter, q *http.Request) {
 		var in Q
 		if err := json.NewDecoder(io.LimitReader(q.Body, 16<<20)).Decode(&in); err != nil {
-			reply(rw, http.StatusBadRequest, workerclient.Bounce{Name: "malformed", Detail: err.Error()})
+			reply(rw, http.StatusBadRequest, workerclient.Rejection{Name: "malformed", Detail: err.Error()})
 			return
 		}
 		a, err := f(q.Context(), &in)
 		if r, ok := err.(*refusal); ok {
-			reply(rw, r.code, workerclient.Bounce{Name: r.name})
+			reply(rw, r.code, workerclient.Rejection{Name: r.name})
 			return
 		}
 		w.mu.Lock()
-		a.Version, a.Life = w.version, w.life
+		a.Version, a.Incarnation = w.version, w.life
 		toks := a.Output
 		if a.Identity != nil {
 			toks = a.Identity.Output
@@ -111,7 +111,7 @@
 func say(t int32) string { return fmt.Sprintf("t%d ", t) }
 
 // heed checks the fence and notes the version. The caller holds mu.
-func (w *Worker) heed(what string, l workerclient.Lead, id workerclient.ID) error {
+func (w *Worker) heed(what string, l workerclient.OrderHeader, id workerclient.ID) error {
 	if l.Fence < w.fence && !w.fault.Forget {
 		return no(http.StatusPreconditionFailed, "fence %d is older than %d", l.Fence, w.fence)
 	}
@@ -123,10 +123,10 @@
 	return nil
 }
 
-func (w *Worker) prefill(ctx context.Context, q *workerclient.PrefillAsk) (*workerclient.Answer, error) {
+func (w *Worker) prefill(ctx context.Context, q *workerclient.PrefillRequest) (*workerclient.OrderResponse, error) {
 	id := q.Identity.ID
 	w.mu.Lock()
-	if err := w.heed("prefill", q.Lead, id); err != nil {
+	if err := w.heed("prefill", q.OrderHeader, id); err != nil {
 		w.mu.Unlock()
 		return nil, err
 	}
@@ -168,20 +168,20 @@
 		return nil, no(http.StatusGone, "stopped while reading")
 	}
 	got := r.ident
-	return &workerclient.Answer{Identity: &got}, nil
+	return &workerclient.OrderResponse{Identity: &got}, nil
 }
 
 // export snapshots the token state, takes the request off the schedule and
 // frees all its blocks; the bytes wait in the staging buffer for a while.
-func (w *Worker) export(_ context.Context, q *workerclient.ExportAsk) (*workerclient.Answer, error) {
+func (w *Worker) export(_ context.Context, q *workerclient.ExportRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.heed("export", q.Lead, q.ID); err != nil {
+	if err := w.heed("export", q.OrderHeader, q.ID); err != nil {
 		return nil, err
 	}
 	if p, ok := w.staged[q.ID]; ok {
 		got := p.ident
-		return &workerclient.Answer{Identity: &got}, nil
+		return &workerclient.OrderResponse{Identity: &got}, nil
 	}
 	r := w.live[q.ID]
 	if r == nil || w.part == ids.Prefill && !r.read {
@@ -192,7 +192,7 @@
 	w.staged[q.ID] = &parcel{r.ident, body, w.now().Add(w.opt.Stage)}
 	got := r.ident
 	w.drop(r, workerclient.FateNever)
-	return &workerclient.Answer{Identity: &got}, nil
+	return &workerclient.OrderResponse{Identity: &got}, nil
 }
 
 func (w *Worker) freight(rw http.ResponseWriter, q *http.Request) {
@@ -203,7 +203,7 @@
 	f, speed := w.fault, w.opt.Speed
 	w.mu.Unlock()
 	if !ok {
-		reply(rw, http.StatusGone, workerclient.Bounce{Name: "not staged"})
+		reply(rw, http.StatusGone, workerclient.Rejection{Name: "not staged"})
 		return
 	}
 	if f.Speed > 0 {
@@ -230,18 +230,18 @@
 	}
 }
 
-func (w *Worker) turnTo(_ context.Context, q *workerclient.PartAsk) (*workerclient.Answer, error) {
+func (w *Worker) turnTo(_ context.Context, q *workerclient.RoleRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.heed("part", q.Lead, workerclient.ID{}); err != nil {
+	if err := w.heed("part", q.OrderHeader, workerclient.ID{}); err != nil {
 		return nil, err
 	}
-	if q.Part != ids.Prefill && q.Part != ids.Decode {
+	if q.Role != ids.Prefill && q.Role != ids.Decode {
 		return nil, no(http.StatusBadRequest, "no such part")
 	}
-	if q.Part != w.part && len(w.live) > 0 {
+	if q.Role != w.part && len(w.live) > 0 {
 		return nil, no(http.StatusConflict, "%d requests are still here", len(w.live))
 	}
-	w.part = q.Part
-	return &workerclient.Answer{}, nil
+	w.part = q.Role
+	return &workerclient.OrderResponse{}, nil
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -20,7 +20,7 @@
 type WorkerOptions struct {
 	ID     ids.WorkerID
 	Addr   string
-	Part   ids.Part
+	Part   ids.Role
 	Model  workerclient.Model
 	Room   int           // blocks
 	Block  int           // tokens a block
@@ -36,12 +36,12 @@
 }
 
 func (o *WorkerOptions) fill() {
-	ids.Or(&o.Read, 40*time.Microsecond)
-	ids.Or(&o.Step, 4*time.Millisecond)
-	ids.Or(&o.Each, 200*time.Microsecond)
-	ids.Or(&o.Lag, 300*time.Millisecond)
-	ids.Or(&o.Stage, 5*time.Second)
-	ids.Or(&o.Orphan, 2*time.Second)
+	ids.SetDefault(&o.Read, 40*time.Microsecond)
+	ids.SetDefault(&o.Step, 4*time.Millisecond)
+	ids.SetDefault(&o.Each, 200*time.Microsecond)
+	ids.SetDefault(&o.Lag, 300*time.Millisecond)
+	ids.SetDefault(&o.Stage, 5*time.Second)
+	ids.SetDefault(&o.Orphan, 2*time.Second)
 	if o.Block == 0 {
 		o.Block = 16
 	}
@@ -89,11 +89,11 @@
 type Worker struct {
 	opt  WorkerOptions
 	web  *http.Client
-	life ids.Life
+	life ids.Incarnation
 	Tell func(Event)
 
 	mu      sync.Mutex
-	part    ids.Part
+	part    ids.Role
 	pool    *pool
 	fence   ids.Fence
 	version ids.Version
@@ -102,7 +102,7 @@
 	queue   []*run
 	staged  map[workerclient.ID]*parcel
 	tomb    map[string]int
-	fates   map[string]*workerclient.Answer
+	fates   map[string]*workerclient.OrderResponse
 	tally   map[string]*Tally
 	warm    map[uint64]ids.Tick
 	hits    [2]int // prompt tokens that were warm, and all
@@ -141,9 +141,9 @@
 // zero. It runs nothing before Run.
 func NewWorker(opt WorkerOptions) *Worker {
 	opt.fill()
-	return &Worker{opt: opt, life: ids.Life(rand.Text()), web: rpc.Web(opt.Host.Net), part: opt.Part, pool: newPool(opt.Room, opt.Block),
+	return &Worker{opt: opt, life: ids.Incarnation(rand.Text()), web: rpc.NewHTTPClient(opt.Host.Net), part: opt.Part, pool: newPool(opt.Room, opt.Block),
 		live: map[workerclient.ID]*run{}, staged: map[workerclient.ID]*parcel{}, tomb: map[string]int{}, tally: map[string]*Tally{},
-		fates: map[string]*workerclient.Answer{}, warm: map[uint64]ids.Tick{}, wake: make(chan struct{}, 1)}
+		fates: map[string]*workerclient.OrderResponse{}, warm: map[uint64]ids.Tick{}, wake: make(chan struct{}, 1)}
 }
 
 func (w *Worker) now() ids.Tick { return w.opt.Host.Clock.Now() }
@@ -161,7 +161,7 @@
 	w.web.CloseIdleConnections()
 }
 
-func (w *Worker) tell(what string, id workerclient.ID, l workerclient.Lead) {
+func (w *Worker) tell(what string, id workerclient.ID, l workerclient.OrderHeader) {
 	if w.Tell != nil {
 		w.Tell(Event{what, w.opt.ID, id, l.Fence, l.Version, w.now()})
 	}
@@ -231,7 +231,7 @@
 	w.pool.pledge -= r.pledge
 	r.tab, r.pledge = nil, 0
 	if f := w.fates[r.ident.ID.Request]; f == nil || f.Fate == workerclient.FateNever || fate == workerclient.FateFinished {
-		w.fates[r.ident.ID.Request] = &workerclient.Answer{Fate: fate, Output: r.ident.Output, Done: fate == workerclient.FateFinished}
+		w.fates[r.ident.ID.Request] = &workerclient.OrderResponse{Fate: fate, Output: r.ident.Output, Done: fate == workerclient.FateFinished}
 	}
 	if !r.ended {
 		r.stopped = true
@@ -248,7 +248,7 @@
 // unstage frees outgoing KV. The caller holds mu.
 func (w *Worker) unstage(id workerclient.ID) {
 	delete(w.staged, id)
-	w.tell("unstaged", id, workerclient.Lead{})
+	w.tell("unstaged", id, workerclient.OrderHeader{})
 }
 
 // sweep ends what nobody came for: staged KV, imports never resumed, runs that
@@ -268,10 +268,10 @@
 		}
 		switch {
 		case r.resumed && !r.ended:
-			w.tell("orphan-run", r.ident.ID, workerclient.Lead{})
+			w.tell("orphan-run", r.ident.ID, workerclient.OrderHeader{})
 			w.drop(r, workerclient.FateStopped)
 		case !r.resumed && (w.part == ids.Decode || r.read):
-			w.tell("orphan-import", r.ident.ID, workerclient.Lead{})
+			w.tell("orphan-import", r.ident.ID, workerclient.OrderHeader{})
 			w.drop(r, workerclient.FateNever)
 		}
 	}
@@ -286,16 +286,16 @@
 }
 
 func (w *Worker) report() workerclient.Report {
-	r := workerclient.Report{Part: w.part, Model: w.opt.Model, Used: w.pool.used(), Capacity: len(w.pool.cells),
-		Block: w.pool.size, Queue: len(w.queue), Version: w.version, Running: []workerclient.Running{}, Life: w.life}
+	r := workerclient.Report{Role: w.part, Model: w.opt.Model, Used: w.pool.used(), Capacity: len(w.pool.cells),
+		Block: w.pool.size, Queue: len(w.queue), Version: w.version, Running: []workerclient.Running{}, Incarnation: w.life}
 	for id, v := range w.live {
-		r.Running = append(r.Running, workerclient.Running{ID: id, Blocks: len(v.tab), Room: v.pledge})
+		r.Running = append(r.Running, workerclient.Running{ID: id, Blocks: len(v.tab), Reserved: v.pledge})
 	}
 	return r
 }
 
 // Part tells what the worker does now.
-func (w *Worker) Part() ids.Part {
+func (w *Worker) Part() ids.Role {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.part
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -32,7 +32,7 @@
 		w := simulated.NewWorld(1)
 		ctx, stop := context.WithCancel(context.Background())
 		x := &pairOf{pa: "10.0.0.1:90", da: "10.0.0.2:90", ctx: ctx}
-		for i, part := range []ids.Part{ids.Prefill, ids.Decode} {
+		for i, part := range []ids.Role{ids.Prefill, ids.Decode} {
 			host := w.Machine(fmt.Sprintf("10.0.0.%d", i+1)).Start().Host()
 			addr := fmt.Sprintf("10.0.0.%d:90", i+1)
 			k := NewWorker(WorkerOptions{ID: ids.WorkerID(part), Addr: addr, Part: part, Room: room, Host: host, Model: workerclient.Model{Name: "m", Weights: "w1"}})
@@ -70,26 +70,26 @@
 }
 
 func (x *pairOf) read(t *testing.T, m workerclient.Identity) workerclient.Identity {
-	_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillAsk{Lead: workerclient.Lead{Fence: 1}, Identity: m})
+	_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillRequest{OrderHeader: workerclient.OrderHeader{Fence: 1}, Identity: m})
 	require.NoError(t, err)
-	a, err := x.r.Export(x.ctx, x.pa, &workerclient.ExportAsk{Lead: workerclient.Lead{Fence: 1}, ID: m.ID})
+	a, err := x.r.Export(x.ctx, x.pa, &workerclient.ExportRequest{OrderHeader: workerclient.OrderHeader{Fence: 1}, ID: m.ID})
 	require.NoError(t, err)
 	return *a.Identity
 }
 
 func (x *pairOf) move(m workerclient.Identity) error {
-	_, err := x.r.Import(x.ctx, x.da, &workerclient.ImportAsk{Lead: workerclient.Lead{Fence: 1}, Identity: m, Source: x.pa})
+	_, err := x.r.Import(x.ctx, x.da, &workerclient.ImportRequest{OrderHeader: workerclient.OrderHeader{Fence: 1}, Identity: m, Source: x.pa})
 	return err
 }
 
 func (x *pairOf) resume(m workerclient.Identity) error {
-	_, err := x.r.Resume(x.ctx, x.da, &workerclient.IDAsk{Lead: workerclient.Lead{Fence: 1}, ID: m.ID})
+	_, err := x.r.Resume(x.ctx, x.da, &workerclient.IDRequest{OrderHeader: workerclient.OrderHeader{Fence: 1}, ID: m.ID})
 	return err
 }
 
 func (x *pairOf) rest(t *testing.T, m workerclient.Identity) []int32 {
 	out := append([]int32(nil), m.Output...)
-	require.NoError(t, x.r.Stream(x.ctx, x.da, m.ID, len(out), time.Second, func(p workerclient.Piece) error {
+	require.NoError(t, x.r.Stream(x.ctx, x.da, m.ID, len(out), time.Second, func(p workerclient.TokenEvent) error {
 		if p.End == "" {
 			out = append(out, p.Token)
 		}
@@ -130,7 +130,7 @@
 		m := x.identity("big", 100, 40)
 		got := x.read(t, m)
 		err := x.move(got)
-		require.True(t, failure.Is(err, failure.Bounced), "%v", err)
+		require.True(t, failure.Is(err, failure.NotExecuted), "%v", err)
 		require.Zero(t, x.d.Used())
 		require.Equal(t, 1, x.d.Tallies()["big"].Bounced)
 		fit := x.read(t, x.identity("fits", 100, 20))
@@ -162,7 +162,7 @@
 			x.p.Order(f)
 			m := x.read(t, x.identity("spoilt", 100, 8))
 			require.NoError(t, x.move(m))
-			require.True(t, failure.Is(x.resume(m), failure.Lost))
+			require.True(t, failure.Is(x.resume(m), failure.DataLost))
 			require.Zero(t, x.d.Used())
 			require.Zero(t, x.d.Tallies()["spoilt"].Runs)
 		})
@@ -177,19 +177,19 @@
 		require.NoError(t, x.move(m))
 		time.Sleep(3 * time.Second)
 		require.Zero(t, x.d.Used())
-		require.True(t, failure.Is(x.resume(m), failure.Lost))
+		require.True(t, failure.Is(x.resume(m), failure.DataLost))
 		m = x.read(t, x.identity("stopped", 100, 8))
-		a, err := x.r.Cancel(x.ctx, x.da, &workerclient.IDAsk{Lead: workerclient.Lead{Fence: 1}, ID: m.ID})
+		a, err := x.r.Cancel(x.ctx, x.da, &workerclient.IDRequest{OrderHeader: workerclient.OrderHeader{Fence: 1}, ID: m.ID})
 		require.NoError(t, err)
 		require.Equal(t, workerclient.FateNever, a.Fate)
-		require.True(t, failure.Is(x.move(m), failure.Lost))
+		require.True(t, failure.Is(x.move(m), failure.DataLost))
 	})
 }
 
 // TestFence: an order under an older fence is refused and changes nothing.
 func TestFence(t *testing.T) {
 	twin(t, 64, func(x *pairOf) {
-		_, err := x.r.Part(x.ctx, x.da, &workerclient.PartAsk{Lead: workerclient.Lead{Fence: 5}, Part: ids.Decode})
+		_, err := x.r.SetRole(x.ctx, x.da, &workerclient.RoleRequest{OrderHeader: workerclient.OrderHeader{Fence: 5}, Role: ids.Decode})
 		require.NoError(t, err)
 		m := x.read(t, x.identity("old", 100, 8))
 		require.True(t, failure.Is(x.move(m), failure.Stale))
@@ -202,11 +202,11 @@
 	twin(t, 64, func(x *pairOf) {
 		m := x.identity("other", 10, 4)
 		m.Model.Weights = "w9"
-		_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillAsk{Lead: workerclient.Lead{Fence: 1}, Identity: m})
-		require.True(t, failure.Is(err, failure.Bad), "%v", err)
+		_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillRequest{OrderHeader: workerclient.OrderHeader{Fence: 1}, Identity: m})
+		require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
 		x.d.Order(Faults{Garbage: true})
 		_, err = x.r.Report(x.ctx, x.da)
 		require.ErrorContains(t, err, "garbage")
-		require.Equal(t, x.da, failure.Neighbour(err))
+		require.Equal(t, x.da, failure.Peer(err))
 	})
 }
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -29,43 +29,43 @@
 
 // Bounds on what is read of an answer, in bytes.
 const (
-	maxAnswer   = 32 << 20
-	maxLine     = 1 << 20 // one line of a stream
-	firstBuffer = 4096    // of a line, grown as needed
+	maxResponseBytes = 32 << 20
+	maxEventBytes    = 1 << 20 // one line of a stream
+	firstBuffer      = 4096    // of a line, grown as needed
 )
 
 // Client calls workers and the platform. It is safe for concurrent use.
 type Client struct{ web *http.Client }
 
 // New returns a client that dials through the host's network.
-func New(n host.Net) *Client { return &Client{web: rpc.Web(n)} }
+func New(n host.Net) *Client { return &Client{web: rpc.NewHTTPClient(n)} }
 
 // Close closes the connections that are idle. Calls under way are not affected.
 func (c *Client) Close() { c.web.CloseIdleConnections() }
 
-// Bounce is the body of a refusal, of a worker or of a node: a name for programs, the field
+// Rejection is the body of a refusal, of a worker or of a node: a name for programs, the field
 // that is at fault if any, a text for people, and After, in how many milliseconds to come
 // back (0: not said).
-type Bounce struct {
+type Rejection struct {
 	Name   string `json:"name"`
 	Field  string `json:"field,omitempty"`
 	Detail string `json:"detail,omitempty"`
 	After  int64  `json:"retryAfterMs,omitempty"`
 }
 
-// kind returns what a worker's HTTP status tells of the order.
-func kind(code int) failure.Kind {
+// statusKind returns what a worker's HTTP status tells of the order.
+func statusKind(code int) failure.Kind {
 	switch code {
 	case http.StatusPreconditionFailed:
 		return failure.Stale
 	case http.StatusInsufficientStorage, http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusConflict:
-		return failure.Bounced
+		return failure.NotExecuted
 	case http.StatusGone, http.StatusNotFound:
-		return failure.Lost
+		return failure.DataLost
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
-		return failure.Bad
+		return failure.InvalidArgument
 	}
-	return failure.Unknown
+	return failure.OutcomeUnknown
 }
 
 // ask makes one call and decodes its answer into out, unless that is nil. timeout counts
@@ -80,71 +80,71 @@
 	if in != nil {
 		b, err := json.Marshal(in)
 		if err != nil {
-			return failure.As(err, failure.Bad, path, addr)
+			return failure.As(err, failure.InvalidArgument, path, addr)
 		}
 		body = bytes.NewReader(b)
 	}
 	q, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
 	if err != nil {
-		return failure.As(err, failure.Bad, path, addr)
+		return failure.As(err, failure.InvalidArgument, path, addr)
 	}
 	q.Header.Set("Content-Type", "application/json")
 	a, err := c.web.Do(q)
 	if err != nil {
-		return failure.As(err, unsent(err), path, addr)
+		return failure.As(err, sendErrorKind(err), path, addr)
 	}
 	defer a.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
 	if err != nil {
-		return failure.As(err, failure.Unknown, path, addr)
+		return failure.As(err, failure.OutcomeUnknown, path, addr)
 	}
 	if a.StatusCode != http.StatusOK {
-		var no Bounce
+		var no Rejection
 		json.Unmarshal(b, &no)
-		return failure.New(kind(a.StatusCode), path, addr, "%d %s %s", a.StatusCode, no.Name, no.Detail)
+		return failure.New(statusKind(a.StatusCode), path, addr, "%d %s %s", a.StatusCode, no.Name, no.Detail)
 	}
 	if out == nil {
 		return nil
 	}
 	if err := json.Unmarshal(b, out); err != nil {
-		return failure.As(err, failure.Unknown, path+" gave garbage", addr)
+		return failure.As(err, failure.OutcomeUnknown, path+" gave garbage", addr)
 	}
 	return nil
 }
 
-// unsent returns the kind of an error of the transport: an order for which no connection was
+// sendErrorKind returns the kind of an error of the transport: an order for which no connection was
 // made was certainly not taken.
-func unsent(err error) failure.Kind {
-	if rpc.Undialled(err) {
-		return failure.Bounced
+func sendErrorKind(err error) failure.Kind {
+	if rpc.IsDialError(err) {
+		return failure.NotExecuted
 	}
-	return failure.Unknown
+	return failure.OutcomeUnknown
 }
 
-func (c *Client) order(ctx context.Context, addr, path string, in any, timeout time.Duration) (*Answer, error) {
-	out := &Answer{}
+func (c *Client) order(ctx context.Context, addr, path string, in any, timeout time.Duration) (*OrderResponse, error) {
+	out := &OrderResponse{}
 	return out, c.ask(ctx, http.MethodPost, addr, path, in, out, timeout)
 }
 
 // Prefill has a worker compute the KV of a request. It returns after the computation.
-func (c *Client) Prefill(ctx context.Context, addr string, q *PrefillAsk) (*Answer, error) {
+func (c *Client) Prefill(ctx context.Context, addr string, q *PrefillRequest) (*OrderResponse, error) {
 	return c.order(ctx, addr, "/prefill", q, prefillTimeout)
 }
 
 // Export has a worker keep the KV of an attempt ready to be fetched. Its answer has the
 // request's identity with the length and digest of that KV, and the tokens made so far.
-func (c *Client) Export(ctx context.Context, addr string, q *ExportAsk) (*Answer, error) {
+func (c *Client) Export(ctx context.Context, addr string, q *ExportRequest) (*OrderResponse, error) {
 	return c.order(ctx, addr, "/export", q, moveTimeout)
 }
 
 // Import has a worker reserve room and begin to fetch the KV. Without room it is refused with
 // kind Bounced.
-func (c *Client) Import(ctx context.Context, addr string, q *ImportAsk) (*Answer, error) {
+func (c *Client) Import(ctx context.Context, addr string, q *ImportRequest) (*OrderResponse, error) {
 	return c.order(ctx, addr, "/import", q, moveTimeout)
 }
 
 // Resume has a worker run an attempt that was imported, once its KV has arrived whole.
-func (c *Client) Resume(ctx context.Context, addr string, q *IDAsk) (*Answer, error) {
+func (c *Client) Resume(ctx context.Context, addr string, q *IDRequest) (*OrderResponse, error) {
 	return c.order(ctx, addr, "/resume", q, resumeTimeout)
 }
 
@@ -152,16 +152,16 @@
 // afterwards. The answer has the request's fate at this worker.
 // Where the connection is refused no process is left that could go on with it, so the kind is
 // Lost, which says more than Bounced.
-func (c *Client) Cancel(ctx context.Context, addr string, q *IDAsk) (*Answer, error) {
+func (c *Client) Cancel(ctx context.Context, addr string, q *IDRequest) (*OrderResponse, error) {
 	a, err := c.order(ctx, addr, "/cancel", q, shortTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		err = failure.As(err, failure.Lost, "cancel", addr)
+		err = failure.As(err, failure.DataLost, "cancel", addr)
 	}
 	return a, err
 }
 
-// Part has a worker change its part.
-func (c *Client) Part(ctx context.Context, addr string, q *PartAsk) (*Answer, error) {
+// SetRole has a worker change its part.
+func (c *Client) SetRole(ctx context.Context, addr string, q *RoleRequest) (*OrderResponse, error) {
 	return c.order(ctx, addr, "/part", q, shortTimeout)
 }
 
@@ -172,8 +172,8 @@
 }
 
 // Workers asks the platform for its list of workers.
-func (c *Client) Workers(ctx context.Context, addr string) ([]Listed, error) {
-	var out []Listed
+func (c *Client) Workers(ctx context.Context, addr string) ([]ListedWorker, error) {
+	var out []ListedWorker
 	return out, c.ask(ctx, http.MethodGet, addr, "/workers", nil, &out, readTimeout)
 }
 
@@ -181,34 +181,34 @@
 // ended; an error of put ends it, and is returned as it is. Other errors are mostly of kind
 // Lost. The worker writes at least once every pulse, if only an empty line; a longer silence
 // counts as its loss.
-func (c *Client) Stream(ctx context.Context, addr string, id ID, from int, pulse time.Duration, put func(Piece) error) error {
+func (c *Client) Stream(ctx context.Context, addr string, id ID, from int, pulse time.Duration, put func(TokenEvent) error) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	path := fmt.Sprintf("/stream?request=%s&attempt=%d&from=%d", id.Request, id.Attempt, from)
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
-		return failure.As(err, failure.Bad, "stream", addr)
+		return failure.As(err, failure.InvalidArgument, "stream", addr)
 	}
 	watch := time.AfterFunc(pulse, stop)
 	defer watch.Stop()
 	a, err := c.web.Do(q)
 	if err != nil {
-		return failure.As(err, failure.Lost, "stream", addr)
+		return failure.As(err, failure.DataLost, "stream", addr)
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
-		return failure.New(kind(a.StatusCode), "stream", addr, "%d", a.StatusCode)
+		return failure.New(statusKind(a.StatusCode), "stream", addr, "%d", a.StatusCode)
 	}
 	rows := bufio.NewScanner(a.Body)
-	rows.Buffer(make([]byte, firstBuffer), maxLine)
+	rows.Buffer(make([]byte, firstBuffer), maxEventBytes)
 	for rows.Scan() {
 		watch.Reset(pulse)
 		if len(rows.Bytes()) == 0 {
 			continue
 		}
-		var p Piece
+		var p TokenEvent
 		if err := json.Unmarshal(rows.Bytes(), &p); err != nil {
-			return failure.As(err, failure.Lost, "stream gave garbage", addr)
+			return failure.As(err, failure.DataLost, "stream gave garbage", addr)
 		}
 		if err := put(p); err != nil {
 			return err
@@ -218,7 +218,7 @@
 		}
 	}
 	if err := rows.Err(); err != nil {
-		return failure.As(err, failure.Lost, "stream", addr)
+		return failure.As(err, failure.DataLost, "stream", addr)
 	}
-	return failure.New(failure.Lost, "stream", addr, "it stopped without an end")
+	return failure.New(failure.DataLost, "stream", addr, "it stopped without an end")
 }
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -69,11 +69,11 @@
 	defer c.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	if _, err := c.Part(ctx, addr, &PartAsk{Part: ids.Decode}); err != nil {
+	if _, err := c.SetRole(ctx, addr, &RoleRequest{Role: ids.Decode}); err != nil {
 		t.Fatal(err)
 	}
-	_, err := c.Part(ctx, addr, &PartAsk{Part: ids.Decode})
-	if !failure.Is(err, failure.Unknown) {
+	_, err := c.SetRole(ctx, addr, &RoleRequest{Role: ids.Decode})
+	if !failure.Is(err, failure.OutcomeUnknown) {
 		t.Errorf("kind %s of %v, not unknown", failure.KindOf(err), err)
 	}
 	if n := cut.Load(); n != 1 {
@@ -91,10 +91,10 @@
 	listener.Close()
 	c := New(loopback{})
 	defer c.Close()
-	if _, err := c.Part(context.Background(), addr, &PartAsk{}); !failure.Is(err, failure.Bounced) {
+	if _, err := c.SetRole(context.Background(), addr, &RoleRequest{}); !failure.Is(err, failure.NotExecuted) {
 		t.Errorf("kind %s of %v, not bounced", failure.KindOf(err), err)
 	}
-	if _, err := c.Cancel(context.Background(), addr, &IDAsk{}); !failure.Is(err, failure.Lost) {
+	if _, err := c.Cancel(context.Background(), addr, &IDRequest{}); !failure.Is(err, failure.DataLost) {
 		t.Errorf("kind %s of %v, not lost", failure.KindOf(err), err)
 	}
 }
--- a/internal/workerclient/messages.go
+++ b/internal/workerclient/messages.go
@@ -53,56 +53,56 @@
 	Digest   string  `json:"kvDigest"`
 }
 
-// Lead is part of every order: the fence of the lease under which it is given, and the newest
+// OrderHeader is part of every order: the fence of the lease under which it is given, and the newest
 // configuration that its giver knows. A worker refuses a smaller fence than it has seen.
-type Lead struct {
+type OrderHeader struct {
 	Fence   ids.Fence   `json:"fence"`
 	Version ids.Version `json:"version"`
 }
 
-// PrefillAsk orders a prefill worker to read a request's prompt and output so far.
-type PrefillAsk struct {
-	Lead
+// PrefillRequest orders a prefill worker to read a request's prompt and output so far.
+type PrefillRequest struct {
+	OrderHeader
 	Identity Identity `json:"identity"`
 }
 
-// ExportAsk orders a prefill worker to keep a request's KV ready for the decode worker.
-type ExportAsk struct {
-	Lead
+// ExportRequest orders a prefill worker to keep a request's KV ready for the decode worker.
+type ExportRequest struct {
+	OrderHeader
 	ID ID `json:"id"`
 }
 
-// ImportAsk orders a decode worker to reserve room for a request and to fetch its KV from the
+// ImportRequest orders a decode worker to reserve room for a request and to fetch its KV from the
 // worker at address Source.
-type ImportAsk struct {
-	Lead
+type ImportRequest struct {
+	OrderHeader
 	Identity Identity `json:"identity"`
 	Source   string   `json:"source"`
 }
 
-// IDAsk orders a worker to resume or to cancel one attempt.
-type IDAsk struct {
-	Lead
+// IDRequest orders a worker to resume or to cancel one attempt.
+type IDRequest struct {
+	OrderHeader
 	ID ID `json:"id"`
 }
 
-// PartAsk orders a worker to change its part.
-type PartAsk struct {
-	Lead
-	Part ids.Part `json:"part"`
+// RoleRequest orders a worker to change its part.
+type RoleRequest struct {
+	OrderHeader
+	Role ids.Role `json:"part"`
 }
 
-// Answer is a worker's answer to any order. Texts are those of the tokens in Output, and Fate
+// OrderResponse is a worker's answer to any order. Texts are those of the tokens in Output, and Fate
 // is one of the constants below. Life is another one after every start of the worker, so
 // that a fresh process is not taken for one that remembers.
-type Answer struct {
-	Version  ids.Version `json:"version"`
-	Identity *Identity   `json:"identity,omitempty"`
-	Fate     string      `json:"fate,omitempty"`
-	Output   []int32     `json:"output,omitempty"`
-	Texts    []string    `json:"texts,omitempty"`
-	Done     bool        `json:"done,omitempty"`
-	Life     ids.Life    `json:"life"`
+type OrderResponse struct {
+	Version     ids.Version     `json:"version"`
+	Identity    *Identity       `json:"identity,omitempty"`
+	Fate        string          `json:"fate,omitempty"`
+	Output      []int32         `json:"output,omitempty"`
+	Texts       []string        `json:"texts,omitempty"`
+	Done        bool            `json:"done,omitempty"`
+	Incarnation ids.Incarnation `json:"life"`
 }
 
 // The fates of an attempt, as its decode worker knows them.
@@ -116,28 +116,28 @@
 // Running is one request on a worker: the cache blocks that it holds, and Room, how many more
 // it may come to need.
 type Running struct {
-	ID     ID  `json:"id"`
-	Blocks int `json:"blocks"`
-	Room   int `json:"room"`
+	ID       ID  `json:"id"`
+	Blocks   int `json:"blocks"`
+	Reserved int `json:"room"`
 }
 
 // Report is a worker's account of itself, which may lag behind its state. Used and Capacity
 // count cache blocks of Block tokens each; Queue counts requests that wait.
 type Report struct {
-	Part     ids.Part    `json:"part"`
-	Model    Model       `json:"on"`
-	Used     int         `json:"cacheUsed"`
-	Capacity int         `json:"cacheCapacity"`
-	Block    int         `json:"blockSize"`
-	Queue    int         `json:"queue"`
-	Version  ids.Version `json:"version"`
-	Running  []Running   `json:"running"`
-	Life     ids.Life    `json:"life"`
-}
-
-// Piece is one line of a worker's stream: the token at Index of the output or, where End is
+	Role        ids.Role        `json:"part"`
+	Model       Model           `json:"on"`
+	Used        int             `json:"cacheUsed"`
+	Capacity    int             `json:"cacheCapacity"`
+	Block       int             `json:"blockSize"`
+	Queue       int             `json:"queue"`
+	Version     ids.Version     `json:"version"`
+	Running     []Running       `json:"running"`
+	Incarnation ids.Incarnation `json:"life"`
+}
+
+// TokenEvent is one line of a worker's stream: the token at Index of the output or, where End is
 // set, the end of the stream after Count tokens.
-type Piece struct {
+type TokenEvent struct {
 	Index int    `json:"index"`
 	Token int32  `json:"token"`
 	Text  string `json:"text,omitempty"`
@@ -145,8 +145,8 @@
 	Count int    `json:"count,omitempty"`
 }
 
-// Listed is one worker on the platform's list. Leaving tells that it ends soon.
-type Listed struct {
+// ListedWorker is one worker on the platform's list. Leaving tells that it ends soon.
+type ListedWorker struct {
 	ID      ids.WorkerID `json:"id"`
 	Addr    string       `json:"addr"`
 	Zone    ids.Zone     `json:"zone"`
--- a/logging/journal.go
+++ b/logging/journal.go
@@ -6,23 +6,23 @@
 // keeps the newest events only, and the views keep what they need. It is safe for
 // concurrent use.
 type Journal[E any] struct {
-	mu    sync.Mutex
-	keep  int
-	count uint64
-	row   []E
-	views []func(E)
+	mu          sync.Mutex
+	capacity    int
+	count       uint64
+	events      []E
+	subscribers []func(E)
 }
 
 // NewJournal returns an empty journal that keeps at least the newest keep events, and fewer
 // than twice as many.
-func NewJournal[E any](keep int) *Journal[E] { return &Journal[E]{keep: keep} }
+func NewJournal[E any](keep int) *Journal[E] { return &Journal[E]{capacity: keep} }
 
-// View adds a function that is called with every event from now on, in order and one at a
+// Subscribe adds a function that is called with every event from now on, in order and one at a
 // time. It must not use the journal.
-func (j *Journal[E]) View(fold func(E)) {
+func (j *Journal[E]) Subscribe(fold func(E)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.views = append(j.views, fold)
+	j.subscribers = append(j.subscribers, fold)
 }
 
 // Append adds an event, and returns once every view has seen it.
@@ -30,11 +30,11 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.count++
-	j.row = append(j.row, e)
-	if len(j.row) >= 2*j.keep {
-		j.row = append([]E(nil), j.row[j.keep:]...)
+	j.events = append(j.events, e)
+	if len(j.events) >= 2*j.capacity {
+		j.events = append([]E(nil), j.events[j.capacity:]...)
 	}
-	for _, f := range j.views {
+	for _, f := range j.subscribers {
 		f(e)
 	}
 }
@@ -44,8 +44,8 @@
 func (j *Journal[E]) Last(n int) ([]E, uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if n > len(j.row) {
-		n = len(j.row)
+	if n > len(j.events) {
+		n = len(j.events)
 	}
-	return append([]E(nil), j.row[len(j.row)-n:]...), j.count
+	return append([]E(nil), j.events[len(j.events)-n:]...), j.count
 }
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -37,7 +37,7 @@
 	const keep, events = 4, 50
 	j := NewJournal[int](keep)
 	var seen []int
-	j.View(func(e int) { seen = append(seen, e) })
+	j.Subscribe(func(e int) { seen = append(seen, e) })
 	for i := range events {
 		j.Append(i)
 		kept, count := j.Last(events)
--- a/logging/ring.go
+++ b/logging/ring.go
@@ -7,15 +7,15 @@
 	"github.com/rs/zerolog"
 )
 
-// muteSize is how many lines the ring of Mute holds.
-const muteSize = 8
+// discardSize is how many lines the ring of Mute holds.
+const discardSize = 8
 
 // Ring is a logger that holds the newest lines in memory. A line of level error or above
 // writes them all out, oldest first, and empties the ring. It is safe for concurrent use.
 type Ring struct {
 	mu    sync.Mutex
 	lines [][]byte
-	at    int
+	next  int
 	out   io.Writer
 	zerolog.Logger
 }
@@ -28,8 +28,8 @@
 	return r
 }
 
-// Mute returns a ring that never writes anything out.
-func Mute() *Ring { return NewRing(muteSize, io.Discard, "") }
+// Discard returns a ring that never writes anything out.
+func Discard() *Ring { return NewRing(discardSize, io.Discard, "") }
 
 // Write keeps a line of unknown level, as io.Writer. It never fails.
 func (r *Ring) Write(p []byte) (int, error) { return r.WriteLevel(zerolog.InfoLevel, p) }
@@ -39,17 +39,17 @@
 func (r *Ring) WriteLevel(level zerolog.Level, p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lines[r.at%len(r.lines)] = append([]byte(nil), p...)
-	r.at++
+	r.lines[r.next%len(r.lines)] = append([]byte(nil), p...)
+	r.next++
 	if level >= zerolog.ErrorLevel {
-		r.pour()
+		r.flush()
 	}
 	return len(p), nil
 }
 
-func (r *Ring) pour() {
+func (r *Ring) flush() {
 	for i := range r.lines {
-		n := (r.at + i) % len(r.lines)
+		n := (r.next + i) % len(r.lines)
 		if r.lines[n] != nil {
 			r.out.Write(r.lines[n])
 			r.lines[n] = nil
--- a/rpc/callid.go
+++ b/rpc/callid.go
@@ -66,7 +66,7 @@
 	if !conn.answers(a.Header.Get(callIDHeader), id) {
 		conn.Close()
 		a.Body.Close()
-		return nil, failure.New(failure.Unknown, "call", q.URL.Host, "the answer belongs to another call")
+		return nil, failure.New(failure.OutcomeUnknown, "call", q.URL.Host, "the answer belongs to another call")
 	}
 	return a, nil
 }
--- a/rpc/dial.go
+++ b/rpc/dial.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	redialEvery = 200 * time.Millisecond
-	dialWait    = time.Second
+	redialInterval = 200 * time.Millisecond
+	dialTimeout    = time.Second
 )
 
 // dial opens a connection, trying once more every while beside what is under way.
 func dial(ctx context.Context, n host.Net, addr string) (net.Conn, error) {
-	ctx, stop := context.WithTimeout(ctx, dialWait)
+	ctx, stop := context.WithTimeout(ctx, dialTimeout)
 	defer stop()
 	type outcome struct {
 		conn net.Conn
@@ -37,7 +37,7 @@
 		}
 	}
 	go try()
-	again := time.NewTicker(redialEvery)
+	again := time.NewTicker(redialInterval)
 	defer again.Stop()
 	for {
 		select {
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -50,22 +50,22 @@
 }
 
 const (
-	maxBody  = 64 << 20
-	packFrom = 1024 // bytes; shorter answers go as they are
+	maxBody      = 64 << 20
+	compressFrom = 1024 // bytes; shorter answers go as they are
 
-	defaultWait = time.Second // for an answer, where the context has no deadline
-	headerWait  = 5 * time.Second
-	drainAgain  = 50 * time.Millisecond
+	defaultTimeout = time.Second // for an answer, where the context has no deadline
+	headerTimeout  = 5 * time.Second
+	drainInterval  = 50 * time.Millisecond
 )
 
 // codes carry the kinds of errors across the wire.
 var codes = map[failure.Kind]connect.Code{
-	failure.Bounced: connect.CodeResourceExhausted,
-	failure.Stale:   connect.CodeAborted,
-	failure.Lost:    connect.CodeDataLoss,
-	failure.Bad:     connect.CodeInvalidArgument,
-	failure.Away:    connect.CodeFailedPrecondition,
-	failure.Unknown: connect.CodeUnknown,
+	failure.NotExecuted:     connect.CodeResourceExhausted,
+	failure.Stale:           connect.CodeAborted,
+	failure.DataLost:        connect.CodeDataLoss,
+	failure.InvalidArgument: connect.CodeInvalidArgument,
+	failure.Unavailable:     connect.CodeFailedPrecondition,
+	failure.OutcomeUnknown:  connect.CodeUnknown,
 }
 
 // Handle serves f under a name such as "crux/append".
@@ -76,15 +76,15 @@
 			return nil, connect.NewError(codes[failure.KindOf(err)], err)
 		}
 		return connect.NewResponse(a), nil
-	}, connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxBody), connect.WithCompressMinBytes(packFrom))
+	}, connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxBody), connect.WithCompressMinBytes(compressFrom))
 	mux.Handle("/"+name, echoCallID(h))
 }
 
 // Caller asks other processes; it keeps connections and typed clients. Each call is sent
 // once: nothing repeats it where any part of it may have arrived.
 type Caller struct {
-	web  *http.Client
-	kept sync.Map
+	httpClient *http.Client
+	clients    sync.Map
 }
 
 // NewCaller makes a caller over the host's network.
@@ -96,14 +96,14 @@
 		}
 		return &callConn{Conn: conn}, nil
 	})
-	return &Caller{web: &http.Client{Transport: &idTransport{base}, CheckRedirect: noRedirect}}
+	return &Caller{httpClient: &http.Client{Transport: &idTransport{base}, CheckRedirect: noRedirect}}
 }
 
 // noRedirect keeps a client from sending a call to another address by itself.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Web is an HTTP client over the host's network.
-func Web(n host.Net) *http.Client {
+// NewHTTPClient is an HTTP client over the host's network.
+func NewHTTPClient(n host.Net) *http.Client {
 	return &http.Client{Transport: newTransport(func(ctx context.Context, _, addr string) (net.Conn, error) {
 		return dial(ctx, n, addr)
 	})}
@@ -111,30 +111,30 @@
 
 const (
 	maxIdlePerHost = 64
-	idleFor        = 20 * time.Second
+	idleTimeout    = 20 * time.Second
 )
 
 func newTransport(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *http.Transport {
 	return &http.Transport{
 		DialContext:         dial,
 		MaxIdleConnsPerHost: maxIdlePerHost,
-		IdleConnTimeout:     idleFor,
+		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
 }
 
 // Close closes the connections on which no call waits.
-func (c *Caller) Close() { c.web.CloseIdleConnections() }
+func (c *Caller) Close() { c.httpClient.CloseIdleConnections() }
 
 // Call asks the process at addr. Without a deadline of the context it waits
 // one second.
 func Call[Q, A any](ctx context.Context, c *Caller, addr, name string, q *Q) (*A, error) {
 	if addr == "" {
-		return nil, failure.New(failure.Bounced, name, "nobody", "no address is known")
+		return nil, failure.New(failure.NotExecuted, name, "nobody", "no address is known")
 	}
 	if _, ok := ctx.Deadline(); !ok {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, defaultWait)
+		ctx, stop = context.WithTimeout(ctx, defaultTimeout)
 		defer stop()
 	}
 	a, err := client[Q, A](c, addr, name).CallUnary(ctx, connect.NewRequest(q))
@@ -147,9 +147,9 @@
 // client gives the typed client of a name at an address.
 func client[Q, A any](c *Caller, addr, name string) *connect.Client[Q, A] {
 	key := addr + "/" + name
-	got, ok := c.kept.Load(key)
+	got, ok := c.clients.Load(key)
 	if !ok {
-		got, _ = c.kept.LoadOrStore(key, connect.NewClient[Q, A](c.web, "http://"+key,
+		got, _ = c.clients.LoadOrStore(key, connect.NewClient[Q, A](c.httpClient, "http://"+key,
 			connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxBody)))
 	}
 	return got.(*connect.Client[Q, A])
@@ -158,30 +158,30 @@
 // kindOf is what an error promises: a kind that the other process gave, Bounced where the
 // call never left, else Unknown.
 func kindOf(err error) failure.Kind {
-	if Undialled(err) {
-		return failure.Bounced
+	if IsDialError(err) {
+		return failure.NotExecuted
 	}
 	var remote *connect.Error
 	if !errors.As(err, &remote) || !connect.IsWireError(err) {
-		return failure.Unknown
+		return failure.OutcomeUnknown
 	}
 	for kind, code := range codes {
 		if code == remote.Code() {
 			return kind
 		}
 	}
-	return failure.Unknown
+	return failure.OutcomeUnknown
 }
 
-// Undialled tells that an asking never left, since nobody could be reached.
-func Undialled(err error) bool {
+// IsDialError tells that an asking never left, since nobody could be reached.
+func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
 // Serve answers on a listener until the context ends.
 func Serve(ctx context.Context, l net.Listener, h http.Handler) error {
-	srv := &http.Server{Handler: echoCallID(h), ReadHeaderTimeout: headerWait}
+	srv := &http.Server{Handler: echoCallID(h), ReadHeaderTimeout: headerTimeout}
 	end := context.AfterFunc(ctx, func() { srv.Close() })
 	defer end()
 	err := srv.Serve(l)
@@ -195,7 +195,7 @@
 // answered. It looks twice, since a connection that was just let in is not known at first.
 func Drain(ctx context.Context, s *http.Server) error {
 	err := s.Shutdown(ctx)
-	if err == nil && host.Sleep(ctx, drainAgain) {
+	if err == nil && host.Sleep(ctx, drainInterval) {
 		err = s.Shutdown(ctx)
 	}
 	return err
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -270,7 +270,7 @@
 				}
 				o.faults["this"] = fault
 				_, err := call(c, o.addr, "this")
-				require.True(t, failure.Is(err, failure.Unknown), "%v", err)
+				require.True(t, failure.Is(err, failure.OutcomeUnknown), "%v", err)
 				for i := range 3 {
 					text := fmt.Sprint("after", i)
 					got, err := call(c, o.addr, text)
@@ -302,7 +302,7 @@
 		return answer(p, a)
 	}
 	got, err := call(c, o.addr, "second")
-	require.True(t, failure.Is(err, failure.Unknown), "%q %v", got, err)
+	require.True(t, failure.Is(err, failure.OutcomeUnknown), "%q %v", got, err)
 	require.Len(t, o.of("second"), 1)
 	got, err = call(c, o.addr, "third")
 	require.NoError(t, err)
@@ -320,10 +320,10 @@
 	}
 	for i := range 20 {
 		got, err := call(c, o.addr, "twice")
-		require.True(t, err == nil && got == "answer to twice" || failure.Is(err, failure.Unknown), "%q %v", got, err)
+		require.True(t, err == nil && got == "answer to twice" || failure.Is(err, failure.OutcomeUnknown), "%q %v", got, err)
 		text := fmt.Sprint("next", i)
 		got, err = call(c, o.addr, text)
-		require.True(t, err == nil && got == "answer to "+text || failure.Is(err, failure.Unknown), "%q %v", got, err)
+		require.True(t, err == nil && got == "answer to "+text || failure.Is(err, failure.OutcomeUnknown), "%q %v", got, err)
 		require.LessOrEqual(t, len(o.of(text)), 1)
 	}
 }
