--- a/cmd/keelstair-measure/hold.go
+++ b/cmd/keelstair-measure/hold.go
@@ -64,7 +64,7 @@
 	seen := make([]ids.Version, len(h.nodes))
 	for host.Sleep(ctx, 10*time.Millisecond) {
 		for i, n := range h.nodes {
-			v := n.view.Sight().Version
+			v := n.view.Current().Version
 			if v == seen[i] {
 				continue
 			}
@@ -85,7 +85,7 @@
 		if n.door != "" {
 			s.Doors = append(s.Doors, n.door)
 		}
-		v, m := n.view.Sight().Version, 0
+		v, m := n.view.Current().Version, 0
 		if members {
 			m = n.members(ctx, h.call)
 		}
--- a/cmd/keelstair-measure/hollow.go
+++ b/cmd/keelstair-measure/hollow.go
@@ -87,23 +87,23 @@
 }
 
 // text is a configuration of a size; turn changes one route's deadline.
-func (s *Size) text(turn int) *fleetstate.Policy {
-	p := &fleetstate.Policy{Services: map[string]fleetstate.Service{}, Zones: halls, Limits: fleetstate.Limits{Deeds: 20_000_000}}
+func (s *Size) text(turn int) *fleetstate.Configuration {
+	p := &fleetstate.Configuration{Services: map[string]fleetstate.Service{}, Zones: halls, Limits: fleetstate.Limits{MaxRecords: 20_000_000}}
 	for i := range s.models() {
 		n := s.model(i)
-		p.Services[n] = fleetstate.Service{Name: n, Probe: "/health", Conns: 64, WarmMs: 20000, WarmRate: 3, Slots: 48, Memory: 400_000, TokenSize: 131072, HoldMs: 30000, TurnMs: 4000, Models: []string{n}}
+		p.Services[n] = fleetstate.Service{Name: n, HealthCheckPath: "/health", MaxConnections: 64, SlowStartMs: 20000, SlowStartRate: 3, Concurrency: 48, Memory: 400_000, TokenSize: 131072, RetentionMs: 30000, RoleChangeMs: 4000, Models: []string{n}}
 	}
 	for i := range s.Routes {
 		// Names that are not all alike, since messages are packed on their way.
 		p.Routes = append(p.Routes, fleetstate.Route{Name: fmt.Sprintf("route-%05d-%s", i, coordination.ShortHash(fmt.Sprint(i))[:8]), Host: fmt.Sprintf("tenant-%03d.example", i%330), Prefix: fmt.Sprintf("/v1/%05d/", i),
-			Split: []fleetstate.Share{{Service: s.model(i), Weight: 900}, {Service: s.model(i + 1), Weight: 100}}, Stream: true, Resumable: true, Tries: 3, DeadlineMs: 30000, AimMs: 740, GapMs: 64, Urgency: 5})
+			Split: []fleetstate.Share{{Service: s.model(i), Weight: 900}, {Service: s.model(i + 1), Weight: 100}}, Stream: true, Resumable: true, MaxAttempts: 3, DeadlineMs: 30000, LatencyTargetMs: 740, TokenIntervalMs: 64, Urgency: 5})
 	}
 	p.Routes[turn%len(p.Routes)].DeadlineMs += turn
 	if s.Duties > 0 {
 		p.Workers = map[ids.WorkerID]fleetstate.Worker{}
 	}
 	for i := range s.Duties {
-		p.Workers[ids.WorkerID(fmt.Sprintf("w-%05d", i))] = fleetstate.Worker{Part: s.part(i), Model: s.model(i), Weights: "w1", Adapters: []string{}, Room: 400_000, Block: 16, Zone: halls[i%len(halls)]}
+		p.Workers[ids.WorkerID(fmt.Sprintf("w-%05d", i))] = fleetstate.Worker{Role: s.part(i), Model: s.model(i), Weights: "w1", Adapters: []string{}, Capacity: 400_000, Block: 16, Zone: halls[i%len(halls)]}
 	}
 	return p
 }
@@ -146,6 +146,6 @@
 	if err != nil {
 		return nil, err
 	}
-	_, whole, err := fleetstate.Whole("keelstair-measure", part)
+	_, whole, err := fleetstate.ParseComplete("keelstair-measure", part)
 	return whole, err
 }
--- a/cmd/keelstair-plan/main.go
+++ b/cmd/keelstair-plan/main.go
@@ -69,7 +69,7 @@
 	if err := s.get("/v1/policy", &sh); err != nil {
 		return err
 	}
-	now := &fleetstate.Policy{}
+	now := &fleetstate.Configuration{}
 	if err := json.Unmarshal(sh.Policy, now); err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return forecast.Change{}, err
 	}
-	_, err = p.Deck(&routing.Scores{})
+	_, err = p.CompileSet(&routing.Scores{})
 	return forecast.Change{Policy: p}, err
 }
 
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "read policy", os.Args[2])
 	}
-	p, err := fleetstate.Plain(text)
+	p, err := fleetstate.ReadPlain(text)
 	if err == nil {
 		err = p.CheckPrograms()
 	}
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -155,8 +155,8 @@
 	for i, id := range names {
 		w := site.Worker(i)
 		p := &proc{Name: "worker-" + string(id), Kind: "standin", Zone: w.Zone, Addr: next()}
-		p.args = []string{"worker", "--id", string(id), "--addr", p.Addr, "--part", string(w.Part), "--model", w.Model, "--weights", w.Weights,
-			"--room", fmt.Sprint(w.Room), "--block", fmt.Sprint(w.Block)}
+		p.args = []string{"worker", "--id", string(id), "--addr", p.Addr, "--part", string(w.Role), "--model", w.Model, "--weights", w.Weights,
+			"--room", fmt.Sprint(w.Capacity), "--block", fmt.Sprint(w.Block)}
 		f.procs = append(f.procs, p)
 	}
 	for _, p := range f.procs {
--- a/cmd/keelstair-testbed/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -43,7 +43,7 @@
 	}
 	for i, id := range f.site.Names() {
 		if i != f.site.Prefill-1 && i != f.site.Prefill+f.site.Decode-1 {
-			put(certification.Certificate{Worker: id, Roles: []ids.Role{f.site.Worker(i).Part}}, string(id))
+			put(certification.Certificate{Worker: id, Roles: []ids.Role{f.site.Worker(i).Role}}, string(id))
 		}
 	}
 	for i := range f.site.Nodes - 1 {
--- a/internal/fleetstate/shelf_test.go
+++ b/internal/fleetstate/aged_keys_test.go
@@ -26,19 +26,19 @@
 // after it, on the copy that wrote it and on one made from a picture; both seal
 // the same leaves.
 func TestOldKeys(t *testing.T) {
-	m := NewMachine(MachineOptions{Depth: Depth{Full: 4, Leaf: 8}})
+	m := NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
 	key := func(i int) string { return fmt.Sprintf("verdict/%d", i) }
-	fate := []string{Done, NotRun, Unsure}
-	copied := NewMachine(MachineOptions{Depth: Depth{Full: 4, Leaf: 8}})
+	fate := []string{Done, NotRun, MayHaveRun}
+	copied := NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
 	for i := range 100 {
 		for _, x := range []*Machine{m, copied} {
 			got, err := claim(t, x.State, key(i), fmt.Sprint("body", i))
 			require.NoError(t, err)
 			require.True(t, got.Fresh)
-			require.NoError(t, do(t, x.State, SettleKind, &Settle{Key: key(i), Owner: "n1", Fate: fate[i%3], Out: []byte("answer")}))
+			require.NoError(t, do(t, x.State, ResolveKind, &Resolve{Key: key(i), Owner: "n1", Outcome: fate[i%3], Answer: []byte("answer")}))
 		}
 		if i == 50 {
-			copied = NewMachine(MachineOptions{Depth: Depth{Full: 4, Leaf: 8}})
+			copied = NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
 			copied.RestoreChunks(m.Chunks())
 			require.NoError(t, copied.Restore(m.Snapshot(false)))
 		}
@@ -50,42 +50,42 @@
 		got, err := claim(t, copied.State, key(i), fmt.Sprint("body", i))
 		require.ErrorIs(t, err, coordination.ErrUnchanged)
 		require.False(t, got.Fresh)
-		require.Equal(t, fate[i%3], got.Deed.Fate)
-		require.Equal(t, fmt.Sprint("body", i), got.Deed.Digest)
-		require.Equal(t, i < 96, got.Deed.Aged)
+		require.Equal(t, fate[i%3], got.Record.Outcome)
+		require.Equal(t, fmt.Sprint("body", i), got.Record.Digest)
+		require.Equal(t, i < 96, got.Record.Aged)
 		got, err = claim(t, copied.State, key(i), "another body")
 		require.ErrorIs(t, err, coordination.ErrUnchanged)
-		require.NotEqual(t, "another body", got.Deed.Digest, "the key stands for another request")
+		require.NotEqual(t, "another body", got.Record.Digest, "the key stands for another request")
 	}
-	_, ok := copied.shelf.find("verdict/never", "x")
+	_, ok := copied.aged.find("verdict/never", "x")
 	require.False(t, ok)
 }
 
 // TestFullStore: a full store refuses fresh keys, and still knows the old ones.
 func TestFullStore(t *testing.T) {
-	s := newState(false, Depth{Full: 2, Leaf: 4})
-	s.most = 10
+	s := newState(false, Retention{Full: 2, ChunkRows: 4})
+	s.maxRecords = 10
 	for i := range 10 {
 		_, err := claim(t, s, fmt.Sprint(i), "b")
 		require.NoError(t, err)
-		require.NoError(t, do(t, s, SettleKind, &Settle{Key: fmt.Sprint(i), Owner: "n1", Fate: Done}))
+		require.NoError(t, do(t, s, ResolveKind, &Resolve{Key: fmt.Sprint(i), Owner: "n1", Outcome: Done}))
 	}
 	_, err := claim(t, s, "new", "b")
 	require.True(t, failure.Is(err, failure.Stale))
 	require.ErrorContains(t, err, "full")
 	got, err := claim(t, s, "0", "b")
 	require.ErrorIs(t, err, coordination.ErrUnchanged)
-	require.Equal(t, Done, got.Deed.Fate)
+	require.Equal(t, Done, got.Record.Outcome)
 }
 
 // full makes a state of so many deeds.
 func full(n int) *Machine {
 	m := NewMachine(MachineOptions{})
 	for i := range n {
-		d := Deed{Key: fmt.Sprintf("verdict/call-%08d", i), Owner: "router-1-0123456789abcdef", Digest: "0123456789abcdef01234567", Fate: Done, Out: make([]byte, 60)}
-		m.deeds[d.Key] = d
-		m.order = append(m.order, d.Key)
-		m.age()
+		d := IdempotencyRecord{Key: fmt.Sprintf("verdict/call-%08d", i), Owner: "router-1-0123456789abcdef", Digest: "0123456789abcdef01234567", Outcome: Done, Answer: make([]byte, 60)}
+		m.records[d.Key] = d
+		m.resolvedOrder = append(m.resolvedOrder, d.Key)
+		m.ageRecords()
 	}
 	return m
 }
@@ -104,7 +104,7 @@
 			b.Fatal(err)
 		}
 		b.ReportMetric(float64(len(body))/1e6, "picture-MB")
-		b.ReportMetric(float64(len(m.Chunks())*m.shelf.Leaf*rowSize)/1e6, "sheets-MB")
+		b.ReportMetric(float64(len(m.Chunks())*m.aged.ChunkRows*rowSize)/1e6, "sheets-MB")
 	}
 }
 
@@ -112,7 +112,7 @@
 func BenchmarkFresh(b *testing.B) {
 	m := full(5 * million)
 	for i := 0; b.Loop(); i++ {
-		if _, ok := m.shelf.find(fmt.Sprintf("ruling/%d", i), ""); ok {
+		if _, ok := m.aged.find(fmt.Sprintf("ruling/%d", i), ""); ok {
 			b.Fatal("found")
 		}
 	}
--- a/internal/fleetstate/audit.go
+++ b/internal/fleetstate/audit.go
@@ -17,15 +17,8 @@
 	"keelstair.example/failure"
 )
 
-//go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file audit.go
 //msgp:ignore AuditRow AuditRecord AuditStep audit
 
-// Names of these commands in the log. Reading writes nothing.
-const (
-	AuditKind  = "lore.audit"
-	AuditsKind = "lore.audits"
-)
-
 // AuditStep is one step of a request: what was done at whom, cleared by which serial,
 // at the fleet's time in nanoseconds since 1970.
 type AuditStep struct {
@@ -86,26 +79,6 @@
 	return nil
 }
 
-// Audit adds a record to the chain.
-type Audit struct {
-	Record []byte
-}
-
-// Audits reads so many rows from a number on.
-type Audits struct {
-	From int
-	Most int
-}
-
-// AuditsReply has the rows' lines, the number of the first row that is kept, how many
-// there ever were, and the newest row's hash.
-type AuditsReply struct {
-	First int
-	Count int
-	Head  string
-	Lines [][]byte
-}
-
 const (
 	auditLeaf   = 1024
 	auditLeaves = 100 // sealed ones that are kept
@@ -142,9 +115,9 @@
 // first is the number of the first row that is kept.
 func (a *audit) first() int { return a.count - len(a.open) - len(a.sealed)*auditLeaf + 1 }
 
-func (a *audit) read(from, most int) *AuditsReply {
-	out := &AuditsReply{First: a.first(), Count: a.count, Head: a.head}
-	for at := max(from, out.First); at <= a.count && len(out.Lines) < most; {
+func (a *audit) read(from, limit int) *AuditQueryReply {
+	out := &AuditQueryReply{First: a.first(), Count: a.count, Head: a.head}
+	for at := max(from, out.First); at <= a.count && len(out.Lines) < limit; {
 		i := at - out.First
 		leaf := a.open
 		if n := i / auditLeaf; n < len(a.sealed) {
@@ -153,7 +126,7 @@
 		} else {
 			i -= len(a.sealed) * auditLeaf
 		}
-		take := min(len(leaf)-i, most-len(out.Lines))
+		take := min(len(leaf)-i, limit-len(out.Lines))
 		out.Lines = append(out.Lines, leaf[i:i+take]...)
 		at += take
 	}
@@ -169,6 +142,6 @@
 	return nil, nil
 }
 
-func (c *Audits) apply(s *State) (msgp.Marshaler, error) {
-	return s.audit.read(c.From, min(max(c.Most, 1), auditLeaf)), coordination.ErrUnchanged
+func (c *AuditQuery) apply(s *State) (msgp.Marshaler, error) {
+	return s.audit.read(c.From, min(max(c.Limit, 1), auditLeaf)), coordination.ErrUnchanged
 }
--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -13,10 +13,10 @@
 	"keelstair.example/failure"
 )
 
-func audits(t *testing.T, m *Machine, from, most int) (AuditsReply, []AuditRow) {
-	out, err := m.State.Apply(AuditsKind, coordination.MustMarshal(&Audits{From: from, Most: most}))
+func audits(t *testing.T, m *Machine, from, limit int) (AuditQueryReply, []AuditRow) {
+	out, err := m.State.Apply(AuditQueryKind, coordination.MustMarshal(&AuditQuery{From: from, Limit: limit}))
 	require.ErrorIs(t, err, coordination.ErrUnchanged, "reading writes nothing")
-	var got AuditsReply
+	var got AuditQueryReply
 	_, err = got.UnmarshalMsg(out)
 	require.NoError(t, err)
 	rows := make([]AuditRow, len(got.Lines))
@@ -106,12 +106,12 @@
 // TestSettleAudits: an outcome and its audit record are one entry; a bad record leaves
 // the claim as it was.
 func TestSettleAudits(t *testing.T) {
-	s := newState(false, Depth{})
+	s := newState(false, Retention{})
 	_, err := claim(t, s, "verdict/1", "b")
 	require.NoError(t, err)
-	require.Error(t, do(t, s, SettleKind, &Settle{Key: "verdict/1", Owner: "n1", Fate: Done, Audit: []byte("{ }")}))
-	require.Equal(t, Claimed, s.deeds["verdict/1"].Fate)
-	require.NoError(t, do(t, s, SettleKind, &Settle{Key: "verdict/1", Owner: "n1", Fate: Done, Audit: []byte("{}")}))
-	require.Error(t, do(t, s, SettleKind, &Settle{Key: "verdict/1", Owner: "n1", Fate: Done, Audit: []byte("{}")}))
+	require.Error(t, do(t, s, ResolveKind, &Resolve{Key: "verdict/1", Owner: "n1", Outcome: Done, Audit: []byte("{ }")}))
+	require.Equal(t, Claimed, s.records["verdict/1"].Outcome)
+	require.NoError(t, do(t, s, ResolveKind, &Resolve{Key: "verdict/1", Owner: "n1", Outcome: Done, Audit: []byte("{}")}))
+	require.Error(t, do(t, s, ResolveKind, &Resolve{Key: "verdict/1", Owner: "n1", Outcome: Done, Audit: []byte("{}")}))
 	require.Equal(t, 1, s.audit.count)
 }
--- a/internal/fleetstate/clock.go
+++ b/internal/fleetstate/clock.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	clockLead   = 2 * time.Second  // how far the bound stands ahead
-	clockEvery  = time.Second      // how often it is moved on
-	clockMakeUp = 10 * time.Second // the most that nodes make up for
-	clockHears  = 4 * time.Second  // how long a new primary listens to them
+	clockLead     = 2 * time.Second  // how far the bound stands ahead
+	clockInterval = time.Second      // how often it is moved on
+	clockMakeUp   = 10 * time.Second // the most that nodes make up for
+	clockListen   = 4 * time.Second  // how long a new primary listens to them
 )
 
 // clock is what the primary remembers between beats.
 type clock struct {
-	wall func() time.Time
-	base int64    // the time at a tick
-	at   ids.Tick // the tick
-	last ids.Tick // the newest beat
-	ours int64    // the bound that base and at go with
-	made int64    // what nodes made up for since
+	wall    func() time.Time
+	base    int64    // the time at a tick
+	at      ids.Tick // the tick
+	last    ids.Tick // the newest beat
+	drift   int64    // the bound that base and at go with
+	catchUp int64    // what nodes made up for since
 }
 
 // steady tells that this machine has led without a break and nobody else moved the
 // time on.
 func (c *clock) steady(now ids.Tick, bound int64) bool {
-	return c.ours == bound && c.ours != 0 && !now.Past(c.last, time.Second)
+	return c.drift == bound && c.drift != 0 && !now.Past(c.last, time.Second)
 }
 
 // tick makes the command that moves the bound on, where one is due.
@@ -46,15 +46,15 @@
 		if c.base, c.at = m.time, now; m.time == 0 {
 			c.base = c.wall().UnixNano()
 		}
-		c.ours, c.made = m.time, 0
+		c.drift, c.catchUp = m.time, 0
 	}
 	c.last = now
 	here := c.base + int64(now.Since(c.at))
-	if m.time-here > int64(clockLead-clockEvery) {
+	if m.time-here > int64(clockLead-clockInterval) {
 		return nil
 	}
-	c.ours = here + int64(clockLead)
-	return []coordination.Command{{Kind: ClockKind, Body: coordination.MustMarshal(&Clock{c.ours})}}
+	c.drift = here + int64(clockLead)
+	return []coordination.Command{{Kind: ClockKind, Body: coordination.MustMarshal(&Clock{c.drift})}}
 }
 
 // Time gives the fleet's time, in nanoseconds since 1970; 0 while it is not known.
@@ -67,12 +67,12 @@
 
 // Observe takes a node's word of what the time is not below. It counts only while this
 // machine has led for a short while, and only so far: one whose clock leapt moves little.
-func (m *Machine) Observe(now ids.Tick, least int64) {
+func (m *Machine) Observe(now ids.Tick, minTime int64) {
 	c := &m.clock
-	if !c.steady(now, m.time) || now.Past(c.at, clockHears) {
+	if !c.steady(now, m.time) || now.Past(c.at, clockListen) {
 		return
 	}
-	if ahead := least - c.base - int64(now.Since(c.at)); ahead > 0 && c.made+ahead <= int64(clockMakeUp) {
-		c.base, c.made = c.base+ahead, c.made+ahead
+	if ahead := minTime - c.base - int64(now.Since(c.at)); ahead > 0 && c.catchUp+ahead <= int64(clockMakeUp) {
+		c.base, c.catchUp = c.base+ahead, c.catchUp+ahead
 	}
 }
--- a/internal/fleetstate/policy.go
+++ b/internal/fleetstate/configuration.go
@@ -27,11 +27,11 @@
 
 // Worker is one line of the catalogue.
 type Worker struct {
-	Part     ids.Role `json:"part"`
+	Role     ids.Role `json:"part"`
 	Model    string   `json:"model"`
 	Weights  string   `json:"weights"`
 	Adapters []string `json:"adapters"`
-	Room     int      `json:"room"`
+	Capacity int      `json:"room"`
 	Block    int      `json:"block"`
 	Zone     ids.Zone `json:"zone"`
 }
@@ -47,17 +47,17 @@
 
 // Program is a routing program and its share of the traffic.
 type Program struct {
-	Source string `json:"source"`
-	Share  int    `json:"share"`
-	Shadow bool   `json:"shadow"`
-	Turns  bool   `json:"turns"`
+	Source       string `json:"source"`
+	Share        int    `json:"share"`
+	Shadow       bool   `json:"shadow"`
+	ChangesRoles bool   `json:"turns"`
 }
 
 // Limits are the numbers that operators may set; the schema has the defaults.
 type Limits struct {
 	Inflight     int     `json:"inflight"`
 	Queue        int     `json:"queue"`
-	RampMs       int     `json:"rampMs"`
+	SlowStartMs  int     `json:"rampMs"`
 	LagMs        int     `json:"lagMs"`
 	RetryRate    float64 `json:"retryRate"`
 	RetryBurst   int     `json:"retryBurst"`
@@ -67,38 +67,38 @@
 	DwellMs      int     `json:"dwellMs"`
 	Steps        uint64  `json:"steps"`
 	GiveUpMs     int     `json:"giveUpMs"`
-	Deeds        int     `json:"deeds"`
+	MaxRecords   int     `json:"deeds"`
 }
 
-func (l Limits) Lag() time.Duration    { return time.Duration(l.LagMs) * time.Millisecond }
-func (l Limits) Ramp() time.Duration   { return time.Duration(l.RampMs) * time.Millisecond }
-func (l Limits) Dwell() time.Duration  { return time.Duration(l.DwellMs) * time.Millisecond }
-func (l Limits) GiveUp() time.Duration { return time.Duration(l.GiveUpMs) * time.Millisecond }
+func (l Limits) Lag() time.Duration       { return time.Duration(l.LagMs) * time.Millisecond }
+func (l Limits) SlowStart() time.Duration { return time.Duration(l.SlowStartMs) * time.Millisecond }
+func (l Limits) Dwell() time.Duration     { return time.Duration(l.DwellMs) * time.Millisecond }
+func (l Limits) GiveUp() time.Duration    { return time.Duration(l.GiveUpMs) * time.Millisecond }
 
-type Policy struct {
-	Workers  map[ids.WorkerID]Worker `json:"workers"`
-	Zones    []ids.Zone              `json:"zones"`
-	Kinds    map[string]Kind         `json:"kinds"`
-	Programs map[string]Program      `json:"programs"`
-	Limits   Limits                  `json:"limits"`
-	Switch   bool                    `json:"switch"`
-	Routes   []Route                 `json:"routes,omitempty"`
-	Services map[string]Service      `json:"services,omitempty"`
-	Intake   Intake                  `json:"intake,omitzero"`
+type Configuration struct {
+	Workers      map[ids.WorkerID]Worker `json:"workers"`
+	Zones        []ids.Zone              `json:"zones"`
+	Kinds        map[string]Kind         `json:"kinds"`
+	Programs     map[string]Program      `json:"programs"`
+	Limits       Limits                  `json:"limits"`
+	RoleChanges  bool                    `json:"switch"`
+	Routes       []Route                 `json:"routes,omitempty"`
+	Services     map[string]Service      `json:"services,omitempty"`
+	ClientLimits ClientLimits            `json:"intake,omitzero"`
 	Certified
 }
 
-// Reader makes a policy of an operator's text.
-type Reader func(text []byte) (*Policy, error)
+// ConfigurationReader makes a policy of an operator's text.
+type ConfigurationReader func(text []byte) (*Configuration, error)
 
-// Plain reads the product's own form, as Whole gives it.
-func Plain(text []byte) (*Policy, error) {
-	p := &Policy{}
+// ReadPlain reads the product's own form, as Whole gives it.
+func ReadPlain(text []byte) (*Configuration, error) {
+	p := &Configuration{}
 	return p, json.Unmarshal(text, p)
 }
 
 // Names lists the programs in a fixed order.
-func (p *Policy) Names() []string {
+func (p *Configuration) Names() []string {
 	var out []string
 	for n := range p.Programs {
 		out = append(out, n)
@@ -107,7 +107,7 @@
 	return out
 }
 
-func bad(err error) error {
+func invalid(err error) error {
 	var rows []string
 	for _, e := range errors.Errors(err) {
 		form, args := e.Msg()
@@ -128,9 +128,9 @@
 	return failure.New(failure.InvalidArgument, "check policy", "", "%s", strings.Join(rows, "; "))
 }
 
-// twice finds an entry, such as a worker, that is listed two times; CUE alone
+// checkDuplicates finds an entry, such as a worker, that is listed two times; CUE alone
 // would join equal or matching ones in silence.
-func twice(f *ast.File) error {
+func checkDuplicates(f *ast.File) error {
 	seen := map[string]bool{}
 	var look func(row []ast.Decl, path []string) error
 	look = func(row []ast.Decl, path []string) error {
@@ -175,86 +175,86 @@
 func Source(name string, text []byte) ([]byte, error) {
 	f, err := parser.ParseFile(name, text)
 	if err != nil {
-		return nil, bad(err)
+		return nil, invalid(err)
 	}
-	if err := twice(f); err != nil {
+	if err := checkDuplicates(f); err != nil {
 		return nil, err
 	}
 	v := cuecontext.New().BuildFile(f)
 	if v.Err() != nil {
-		return nil, bad(v.Err())
+		return nil, invalid(v.Err())
 	}
 	b, err := v.MarshalJSON()
 	if err != nil {
-		return nil, bad(err)
+		return nil, invalid(err)
 	}
 	return b, nil
 }
 
 // Check holds a policy, as JSON or CUE, against the schema and fills defaults.
-func Check(name string, text []byte) (*Policy, error) {
+func Check(name string, text []byte) (*Configuration, error) {
 	p, err := shape(name, text)
 	if err != nil {
 		return nil, err
 	}
-	return p, p.sane()
+	return p, p.validate()
 }
 
 // shape holds a text against the schema alone.
-func shape(name string, text []byte) (*Policy, error) {
+func shape(name string, text []byte) (*Configuration, error) {
 	f, err := parser.ParseFile(name, text)
 	if err != nil {
-		return nil, bad(err)
+		return nil, invalid(err)
 	}
-	if err := twice(f); err != nil {
+	if err := checkDuplicates(f); err != nil {
 		return nil, err
 	}
-	v, err := hold(f, true)
+	v, err := buildValue(f, true)
 	if err != nil {
 		return nil, err
 	}
-	p := &Policy{}
+	p := &Configuration{}
 	if err := v.Decode(p); err != nil {
-		return nil, bad(err)
+		return nil, invalid(err)
 	}
 	return p, nil
 }
 
-// hold unifies a text with the schema.
-func hold(f *ast.File, whole bool) (cue.Value, error) {
+// buildValue unifies a text with the schema.
+func buildValue(f *ast.File, complete bool) (cue.Value, error) {
 	cx := cuecontext.New()
 	law := cx.CompileString(schema, cue.Filename("schema"))
 	if law.Err() != nil {
-		return law, bad(law.Err())
+		return law, invalid(law.Err())
 	}
 	v := law.LookupPath(cue.ParsePath("#Policy")).Unify(cx.BuildFile(f))
-	if err := v.Validate(cue.Concrete(whole), cue.All()); err != nil {
-		return v, bad(err)
+	if err := v.Validate(cue.Concrete(complete), cue.All()); err != nil {
+		return v, invalid(err)
 	}
 	return v, nil
 }
 
-// Fault looks for the place of a fault in an operator's own text.
-func Fault(name string, text []byte, whole bool) error {
+// Explain looks for the place of a fault in an operator's own text.
+func Explain(name string, text []byte, complete bool) error {
 	f, err := parser.ParseFile(name, text)
 	if err != nil {
-		return bad(err)
+		return invalid(err)
 	}
-	_, err = hold(f, whole)
+	_, err = buildValue(f, complete)
 	return err
 }
 
-// Whole checks a policy and gives it back as plain JSON with all defaults.
-func Whole(name string, text []byte) (*Policy, []byte, error) {
+// ParseComplete checks a policy and gives it back as plain JSON with all defaults.
+func ParseComplete(name string, text []byte) (*Configuration, []byte, error) {
 	p, err := shape(name, text)
 	if err != nil {
 		return nil, nil, err
 	}
-	return p.done()
+	return p.finish()
 }
 
-// sane checks what spans several fields.
-func (p *Policy) sane() error {
+// validate checks what spans several fields.
+func (p *Configuration) validate() error {
 	fault := func(field, form string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check policy", "", field+": "+form, args...)
 	}
@@ -276,7 +276,7 @@
 		if models[w.Model] == nil {
 			models[w.Model] = map[ids.Role]bool{}
 		}
-		models[w.Model][w.Part] = true
+		models[w.Model][w.Role] = true
 	}
 	for name, k := range p.Kinds {
 		if m := models[k.Model]; !(m[ids.Prefill] && m[ids.Decode]) {
@@ -293,16 +293,16 @@
 }
 
 // CheckPrograms checks that the shares add up and that one program at most turns workers.
-func (p *Policy) CheckPrograms() error {
+func (p *Configuration) CheckPrograms() error {
 	fault := func(form string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check policy", "", "programs: "+form, args...)
 	}
 	sum, shares, turners := 0, 0, 0
 	for _, g := range p.Programs {
-		if g.Turns {
+		if g.ChangesRoles {
 			turners++
 		}
-		if !g.Shadow && (g.Share > 0 || !g.Turns) {
+		if !g.Shadow && (g.Share > 0 || !g.ChangesRoles) {
 			sum, shares = sum+g.Share, shares+1
 		}
 	}
@@ -317,21 +317,21 @@
 
 // Merge lays a partial policy over a whole one: fields replace fields, null
 // removes, all else stays.
-func Merge(whole, part []byte) ([]byte, error) {
+func Merge(complete, part []byte) ([]byte, error) {
 	var a, b any
-	if len(whole) == 0 {
-		whole = []byte("{}")
+	if len(complete) == 0 {
+		complete = []byte("{}")
 	}
-	if err := json.Unmarshal(whole, &a); err != nil {
+	if err := json.Unmarshal(complete, &a); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "merge policy", "")
 	}
 	if err := json.Unmarshal(part, &b); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "merge policy", "")
 	}
-	return json.Marshal(lay(a, b))
+	return json.Marshal(mergeValues(a, b))
 }
 
-func lay(a, b any) any {
+func mergeValues(a, b any) any {
 	over, ok := b.(map[string]any)
 	if !ok {
 		return b
@@ -344,7 +344,7 @@
 		if v == nil {
 			delete(under, k)
 		} else {
-			under[k] = lay(under[k], v)
+			under[k] = mergeValues(under[k], v)
 		}
 	}
 	return under
--- a/internal/fleetstate/delta.go
+++ b/internal/fleetstate/delta.go
@@ -11,46 +11,31 @@
 	"keelstair.example/failure"
 )
 
-//go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file delta.go
-
-// Delta makes a text from the one before it.
-type Delta struct {
-	Size  int
-	Sum   []byte
-	Hunks []Hunk
-}
-
-// Hunk is a piece of the older text, and what follows it.
-type Hunk struct {
-	From, Len int
-	Text      []byte
-}
-
 const (
 	deltaFrom = 16 << 10 // bytes; shorter texts go whole
 	maxText   = 16 << 20 // bytes that a delta may come to
 )
 
-// pieces cuts a text behind each closing brace.
-func pieces(text []byte) [][]byte { return bytes.SplitAfter(text, []byte("}")) }
+// splitSections cuts a text behind each closing brace.
+func splitSections(text []byte) [][]byte { return bytes.SplitAfter(text, []byte("}")) }
 
 // diff gives the delta from one text to another.
-func diff(old, text []byte) *Delta {
+func diff(previous, text []byte) *Delta {
 	sum := sha256.Sum256(text)
 	d := &Delta{Size: len(text), Sum: sum[:]}
 	at := map[string]int{}
 	pos := 0
-	for _, p := range pieces(old) {
+	for _, p := range splitSections(previous) {
 		if _, ok := at[string(p)]; !ok {
 			at[string(p)] = pos
 		}
 		pos += len(p)
 	}
 	h := Hunk{}
-	for _, p := range pieces(text) {
+	for _, p := range splitSections(text) {
 		from, known := at[string(p)]
 		switch {
-		case len(h.Text) == 0 && bytes.HasPrefix(old[h.From+h.Len:], p):
+		case len(h.Text) == 0 && bytes.HasPrefix(previous[h.From+h.Len:], p):
 			h.Len += len(p)
 		case known && len(p) > 0:
 			d.Hunks = append(d.Hunks, h)
@@ -64,7 +49,7 @@
 }
 
 // patch makes the text that a delta stands for, or fails with Bad.
-func (d *Delta) patch(old []byte) ([]byte, error) {
+func (d *Delta) patch(previous []byte) ([]byte, error) {
 	fault := func(why string) error {
 		return failure.New(failure.InvalidArgument, "apply delta", "", "%s", why)
 	}
@@ -73,10 +58,10 @@
 	}
 	out := make([]byte, 0, d.Size)
 	for _, h := range d.Hunks {
-		if h.From < 0 || h.Len < 0 || h.From > len(old) || h.Len > len(old)-h.From || h.Len+len(h.Text) > d.Size-len(out) {
+		if h.From < 0 || h.Len < 0 || h.From > len(previous) || h.Len > len(previous)-h.From || h.Len+len(h.Text) > d.Size-len(out) {
 			return nil, fault("it does not fit the text before it")
 		}
-		out = append(append(out, old[h.From:h.From+h.Len]...), h.Text...)
+		out = append(append(out, previous[h.From:h.From+h.Len]...), h.Text...)
 	}
 	if sum := sha256.Sum256(out); len(out) != d.Size || !bytes.Equal(sum[:], d.Sum) {
 		return nil, fault("it gives another text than it stands for")
--- a/internal/fleetstate/delta_test.go
+++ b/internal/fleetstate/delta_test.go
@@ -51,14 +51,14 @@
 		}
 		texts = append(texts, w)
 	}
-	for _, old := range texts {
+	for _, previous := range texts {
 		for _, text := range texts[:20] {
-			d := diff(old, text)
-			got, err := d.patch(old)
+			d := diff(previous, text)
+			got, err := d.patch(previous)
 			require.NoError(t, err)
 			require.Equal(t, string(text), string(got))
-			if string(old) != string(text) && len(d.Hunks) > 1 {
-				_, err = d.patch(append([]byte("x"), old...))
+			if string(previous) != string(text) && len(d.Hunks) > 1 {
+				_, err = d.patch(append([]byte("x"), previous...))
 				require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
 			}
 		}
@@ -87,11 +87,11 @@
 // much goes whole.
 func TestStageDelta(t *testing.T) {
 	one, two := routesText(1400, 3), routesText(1400, 900)
-	c := &Stage{Base: 1, Text: pack(two)}
+	c := &PrepareVersion{Base: 1, Text: compress(two)}
 	c.Shorten(one, two)
 	require.True(t, c.Delta)
 	require.Less(t, len(c.Text), 1000)
-	far := &Stage{Base: 1, Text: pack(two)}
+	far := &PrepareVersion{Base: 1, Text: compress(two)}
 	far.Shorten([]byte(`{}`), two)
 	require.False(t, far.Delta)
 	m, v := NewMachine(MachineOptions{}), NewView(logging.Discard())
@@ -100,30 +100,30 @@
 		v.Observe(1, kind, body)
 		return err
 	}
-	require.NoError(t, both(StageKind, coordination.MustMarshal(&Stage{Text: pack(one)})))
-	wrong := &Stage{Base: 1, Text: pack(two)}
+	require.NoError(t, both(PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: compress(one)})))
+	wrong := &PrepareVersion{Base: 1, Text: compress(two)}
 	wrong.Shorten(routesText(1400, 4), two)
 	require.True(t, wrong.Delta)
-	err := both(StageKind, coordination.MustMarshal(wrong))
+	err := both(PrepareKind, coordination.MustMarshal(wrong))
 	require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
-	require.True(t, failure.Is(both(StageKind, coordination.MustMarshal(&Stage{Base: 1, Delta: true, Text: []byte("x")})), failure.InvalidArgument))
+	require.True(t, failure.Is(both(PrepareKind, coordination.MustMarshal(&PrepareVersion{Base: 1, Delta: true, Text: []byte("x")})), failure.InvalidArgument))
 	require.EqualValues(t, 1, m.newest())
-	require.NoError(t, both(StageKind, coordination.MustMarshal(c)))
-	require.NoError(t, both(ActivateKind, coordination.MustMarshal(&Activate{2})))
-	require.EqualValues(t, 2, v.Sight().Version)
-	require.Equal(t, string(two), string(v.Sight().Text))
-	require.Len(t, v.Sight().Policy.Routes, 1401)
+	require.NoError(t, both(PrepareKind, coordination.MustMarshal(c)))
+	require.NoError(t, both(CommitKind, coordination.MustMarshal(&CommitVersion{2})))
+	require.EqualValues(t, 2, v.Current().Version)
+	require.Equal(t, string(two), string(v.Current().Text))
+	require.Len(t, v.Current().Configuration.Routes, 1401)
 	require.Less(t, len(m.Snapshot(true)), len(two)/5)
-	require.Equal(t, string(two), string(unpack(m.active.Text)))
+	require.Equal(t, string(two), string(decompress(m.active.Text)))
 	late := NewView(logging.Discard())
 	require.NoError(t, late.Restore(v.Snapshot()))
-	require.Equal(t, string(two), string(late.Sight().Text))
-	back := &Stage{Base: 2, Text: pack(one)}
+	require.Equal(t, string(two), string(late.Current().Text))
+	back := &PrepareVersion{Base: 2, Text: compress(one)}
 	back.Shorten(two, one)
 	for _, w := range []*View{v, late} {
-		require.True(t, w.Observe(3, StageKind, coordination.MustMarshal(back)))
-		w.Observe(4, ActivateKind, coordination.MustMarshal(&Activate{3}))
-		require.Equal(t, string(one), string(w.Sight().Text), "also over a packed one")
-		require.EqualValues(t, ids.Version(3), w.Sight().Version)
+		require.True(t, w.Observe(3, PrepareKind, coordination.MustMarshal(back)))
+		w.Observe(4, CommitKind, coordination.MustMarshal(&CommitVersion{3}))
+		require.Equal(t, string(one), string(w.Current().Text), "also over a packed one")
+		require.EqualValues(t, ids.Version(3), w.Current().Version)
 	}
 }
--- a/internal/fleetstate/diff.go
+++ b/internal/fleetstate/diff.go
@@ -11,9 +11,9 @@
 )
 
 // Diff lists the fields that differ: + comes, - goes, ~ changes.
-func Diff(old, new []byte) ([]string, error) {
+func Diff(previous, new []byte) ([]string, error) {
 	var a, b any
-	if err := json.Unmarshal(old, &a); err != nil {
+	if err := json.Unmarshal(previous, &a); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "diff policies", "old")
 	}
 	if err := json.Unmarshal(new, &b); err != nil {
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -27,11 +27,11 @@
 func TestCheck(t *testing.T) {
 	text, err := Source("f.cue", []byte(small))
 	require.NoError(t, err)
-	p, whole, err := Whole("f.cue", text)
+	p, complete, err := ParseComplete("f.cue", text)
 	require.NoError(t, err)
 	require.Equal(t, 16, p.Workers["p1"].Block)
 	require.Equal(t, 500*time.Millisecond, p.Limits.Lag())
-	again, _, err := Whole("f.cue", whole)
+	again, _, err := ParseComplete("f.cue", complete)
 	require.NoError(t, err)
 	require.Equal(t, p, again, "what was filled in checks to itself")
 	for part, says := range map[string]string{
@@ -46,13 +46,13 @@
 	} {
 		b, err := Source("part.cue", []byte(part))
 		require.NoError(t, err, part)
-		merged, err := Merge(whole, b)
+		merged, err := Merge(complete, b)
 		require.NoError(t, err)
 		_, err = Check("part.cue", merged)
 		require.ErrorContains(t, err, says, part)
 		require.True(t, failure.Is(err, failure.InvalidArgument))
 	}
-	rows, err := Diff(whole, []byte(`{}`))
+	rows, err := Diff(complete, []byte(`{}`))
 	require.NoError(t, err)
 	require.NotEmpty(t, rows)
 }
@@ -68,40 +68,40 @@
 // TestDeeds: one claim, one outcome; a seizure needs the newest fence; the one
 // it was seized from can record nothing any more.
 func TestDeeds(t *testing.T) {
-	s := newState(false, Depth{})
+	s := newState(false, Retention{})
 	require.NoError(t, do(t, s, ClaimKind, &Claim{Key: "k", Owner: "n1"}))
 	require.ErrorIs(t, do(t, s, ClaimKind, &Claim{Key: "k", Owner: "n2"}), coordination.ErrUnchanged)
-	require.Error(t, do(t, s, SettleKind, &Settle{Key: "k", Owner: "n2", Fate: Done}))
-	require.NoError(t, do(t, s, SeizeKind, &Seize{Key: "k", From: "n1", To: "n3", Fence: 7}))
-	require.Error(t, do(t, s, SeizeKind, &Seize{Key: "k", From: "n3", To: "n4", Fence: 6}), "an older settler")
-	require.Error(t, do(t, s, SettleKind, &Settle{Key: "k", Owner: "n1", Fate: Done}), "woken too late")
-	require.NoError(t, do(t, s, SettleKind, &Settle{Key: "k", Owner: "n3", Fate: NotRun}))
-	require.Error(t, do(t, s, SettleKind, &Settle{Key: "k", Owner: "n3", Fate: Done}), "a tombstone stays")
-	copied := newState(false, Depth{})
-	require.NoError(t, copied.load(coordination.MustMarshal(s.image(false))))
-	require.Equal(t, s.deeds, copied.deeds)
+	require.Error(t, do(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n2", Outcome: Done}))
+	require.NoError(t, do(t, s, TakeOverKind, &TakeOver{Key: "k", From: "n1", To: "n3", Fence: 7}))
+	require.Error(t, do(t, s, TakeOverKind, &TakeOver{Key: "k", From: "n3", To: "n4", Fence: 6}), "an older settler")
+	require.Error(t, do(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n1", Outcome: Done}), "woken too late")
+	require.NoError(t, do(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n3", Outcome: NotRun}))
+	require.Error(t, do(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n3", Outcome: Done}), "a tombstone stays")
+	copied := newState(false, Retention{})
+	require.NoError(t, copied.decode(coordination.MustMarshal(s.encode(false))))
+	require.Equal(t, s.records, copied.records)
 }
 
 // TestActivation: a staged version waits for all to have seen it, and not for
 // what came after it, at most the wait; a storm cannot put it off for ever.
 func TestActivation(t *testing.T) {
 	stage := func(m *Machine, seq ids.Seq, base ids.Version) error {
-		_, err := m.Apply(seq, StageKind, coordination.MustMarshal(&Stage{Base: base, Text: []byte(`{}`)}))
+		_, err := m.Apply(seq, PrepareKind, coordination.MustMarshal(&PrepareVersion{Base: base, Text: []byte(`{}`)}))
 		return err
 	}
 	ms := func(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
-	m := NewMachine(MachineOptions{Wait: time.Second})
+	m := NewMachine(MachineOptions{CommitTimeout: time.Second})
 	require.NoError(t, stage(m, 5, 0))
 	require.Error(t, stage(m, 6, 0), "the loser of two")
 	require.Empty(t, m.Due(ms(1), 9, 4))
 	require.Len(t, m.Due(ms(2), 9, 5), 1, "entries 6 to 9 need not be seen")
-	m = NewMachine(MachineOptions{Wait: time.Second})
+	m = NewMachine(MachineOptions{CommitTimeout: time.Second})
 	for v := range 3 {
 		require.NoError(t, stage(m, ids.Seq(v+1), ids.Version(v)))
 		m.Due(ms(1+v*400), ids.Seq(v+1), 0)
 	}
 	got := m.Due(ms(1100), 4, 0)
-	require.Equal(t, []coordination.Command{{Kind: ActivateKind, Body: coordination.MustMarshal(&Activate{1})}}, got)
+	require.Equal(t, []coordination.Command{{Kind: CommitKind, Body: coordination.MustMarshal(&CommitVersion{1})}}, got)
 }
 
 // TestHeard: a version heard of is put in force if it is staged here; else the
@@ -112,16 +112,16 @@
 		b, _ := c.MarshalMsg(nil)
 		v.Observe(0, kind, b)
 	}
-	fold(StageKind, &Stage{Base: 0, Text: []byte(`{"zones":["a"]}`)})
-	require.Zero(t, v.Sight().Version)
-	require.True(t, v.Heard(1), "staged, so it is in force now")
-	require.EqualValues(t, 1, v.Sight().Version)
-	require.False(t, v.Heard(2), "not known here: picks are held")
-	fold(ActivateKind, &Activate{1})
-	require.False(t, v.Settled())
-	fold(StageKind, &Stage{Base: 1, Text: []byte(`{"zones":["a","b"]}`)})
-	require.True(t, v.Settled())
-	require.Len(t, v.Sight().Policy.Zones, 2)
+	fold(PrepareKind, &PrepareVersion{Base: 0, Text: []byte(`{"zones":["a"]}`)})
+	require.Zero(t, v.Current().Version)
+	require.True(t, v.NoteVersion(1), "staged, so it is in force now")
+	require.EqualValues(t, 1, v.Current().Version)
+	require.False(t, v.NoteVersion(2), "not known here: picks are held")
+	fold(CommitKind, &CommitVersion{1})
+	require.False(t, v.UpToDate())
+	fold(PrepareKind, &PrepareVersion{Base: 1, Text: []byte(`{"zones":["a","b"]}`)})
+	require.True(t, v.UpToDate())
+	require.Len(t, v.Current().Configuration.Zones, 2)
 }
 
 // TestSightPinned: the core is founded anew from a copy that lacks the newest version: a
@@ -140,19 +140,19 @@
 	}
 	rule := func(base, next ids.Version, text string, views ...*View) {
 		t.Helper()
-		do(StageKind, coordination.MustMarshal(&Stage{Base: base, Text: []byte(text), Next: next}), views...)
-		do(ActivateKind, coordination.MustMarshal(&Activate{next}), views...)
+		do(PrepareKind, coordination.MustMarshal(&PrepareVersion{Base: base, Text: []byte(text), Next: next}), views...)
+		do(CommitKind, coordination.MustMarshal(&CommitVersion{next}), views...)
 	}
 	rule(0, 1, `{"zones":["one"]}`, v)
-	old := m.Snapshot(false)
+	previous := m.Snapshot(false)
 	rule(1, 2, `{"zones":["two"]}`, v)
-	require.EqualValues(t, 2, v.Sight().Version)
-	require.NoError(t, m.Restore(old))
+	require.EqualValues(t, 2, v.Current().Version)
+	require.NoError(t, m.Restore(previous))
 	require.NoError(t, v.Restore(m.Snapshot(true)))
-	require.EqualValues(t, 2, v.Sight().Version)
-	require.Equal(t, []ids.Zone{"two"}, v.Sight().Policy.Zones)
-	require.Equal(t, `{"zones":["two"]}`, string(v.Sight().Text))
+	require.EqualValues(t, 2, v.Current().Version)
+	require.Equal(t, []ids.Zone{"two"}, v.Current().Configuration.Zones)
+	require.Equal(t, `{"zones":["two"]}`, string(v.Current().Text))
 	rule(1, 3, `{"zones":["three"]}`, v)
-	require.EqualValues(t, 3, v.Sight().Version)
-	require.Equal(t, []ids.Zone{"three"}, v.Sight().Policy.Zones)
+	require.EqualValues(t, 3, v.Current().Version)
+	require.Equal(t, []ids.Zone{"three"}, v.Current().Configuration.Zones)
 }
--- a/internal/fleetstate/orders.go
+++ b/internal/fleetstate/order_memory.go
@@ -9,9 +9,6 @@
 	"keelstair.example/ids"
 )
 
-//go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file orders.go
-//msgp:shim ids.Version as:uint64 using:uint64/ids.Version
-//msgp:shim ids.Zone as:string using:string/ids.Zone
 //msgp:ignore supersededVersions
 
 // maxSuperseded is how many superseded versions a line remembers. The core remembers the
@@ -19,27 +16,6 @@
 // an order that was taken over a version remembered here is always answered by its id.
 const maxSuperseded = 1024
 
-// ZoneRevision is how often a zone was emptied or taken back in all.
-type ZoneRevision struct {
-	Zone  ids.Zone
-	Count uint64
-}
-
-// OrderMemory is the part of the image that tells late and repeated orders from new ones.
-// Images of earlier releases lack it.
-type OrderMemory struct {
-	ZoneRevisions      []ZoneRevision `msg:"ZoneRevisions,omitempty"`
-	Superseded         []ids.Version  `msg:"Superseded,omitempty"`
-	SupersededPrograms []ids.Version  `msg:"SupersededPrograms,omitempty"`
-}
-
-// OutcomeAsk is the body of an AskKind command: the version that the operation was made
-// over, and whether it was for the line of program sets.
-type OutcomeAsk struct {
-	Base     ids.Version
-	Programs bool
-}
-
 // supersededVersions are the newest versions that another one was staged over, oldest
 // first. A line that began empty starts with 0.
 type supersededVersions []ids.Version
@@ -55,7 +31,7 @@
 // checkBase tells what became of an order made over a base: nil if that is the newest
 // version, Unknown if the memory does not reach back to it, so that the order may have been
 // taken and its id forgotten, and else Stale, which says that it never was taken.
-func (l *line) checkBase(base ids.Version) error {
+func (l *versionHistory) checkBase(base ids.Version) error {
 	reach := l.newest()
 	if len(l.superseded) > 0 {
 		reach = l.superseded[0]
@@ -69,30 +45,30 @@
 	return failure.New(failure.Stale, "apply policy", "", "it was made over version %d, the current one is %d", base, l.newest())
 }
 
-// outcome answers AskKind for an operation whose id is not known.
+// outcome answers QueryKind for an operation whose id is not known.
 func (s *State) outcome(body []byte) error {
 	never := failure.New(failure.Stale, "ask for an outcome", "", "no operation of this id was taken")
 	if len(body) == 0 {
 		return never // asked by an earlier release
 	}
-	var q OutcomeAsk
-	if _, err := q.UnmarshalMsg(body); err != nil {
+	var request OutcomeQuery
+	if _, err := request.UnmarshalMsg(body); err != nil {
 		return failure.As(err, failure.InvalidArgument, "ask for an outcome", "")
 	}
-	of := &s.line
-	if q.Programs {
+	of := &s.versionHistory
+	if request.Programs {
 		of = &s.programs
 	}
-	if err := of.checkBase(q.Base); err != nil {
+	if err := of.checkBase(request.Base); err != nil {
 		return err
 	}
-	return failure.New(failure.NotExecuted, "ask for an outcome", "", "version %d is the newest; nothing was made over it", q.Base)
+	return failure.New(failure.NotExecuted, "ask for an outcome", "", "version %d is the newest; nothing was made over it", request.Base)
 }
 
 // checkZone refuses a compared evacuation if the zone changed since its base was read.
-func (s *State) checkZone(c *Vacate) error {
-	if now := s.zoneRevisions[c.Zone]; c.Compare && c.Base != now {
-		return failure.New(failure.Stale, "evacuate", string(c.Zone), "it was asked for at change %d of the zone, which is at %d", c.Base, now)
+func (s *State) checkZone(c *Evacuate) error {
+	if now := s.zoneRevisions[c.Zone]; c.Compare && c.BaseRevision != now {
+		return failure.New(failure.Stale, "evacuate", string(c.Zone), "it was asked for at change %d of the zone, which is at %d", c.BaseRevision, now)
 	}
 	return nil
 }
@@ -107,8 +83,8 @@
 	return out
 }
 
-// recall takes the part from an image.
-func (s *State) recall(m OrderMemory) {
+// restoreOrderMemory takes the part from an image.
+func (s *State) restoreOrderMemory(m OrderMemory) {
 	for _, z := range m.ZoneRevisions {
 		s.zoneRevisions[z.Zone] = z.Count
 	}
--- a/internal/fleetstate/orders_test.go
+++ b/internal/fleetstate/order_memory_test.go
@@ -45,7 +45,7 @@
 }
 
 func (r *replicas) zone(z ids.Zone) (revision uint64, out bool) {
-	return r.all[0].image(true).ZoneRevision(z)
+	return r.all[0].encode(true).ZoneRevision(z)
 }
 
 // TestVacateCompared: an evacuation over a revision of its zone is applied if the zone has
@@ -54,7 +54,7 @@
 func TestVacateCompared(t *testing.T) {
 	r := newReplicas(t)
 	over := func(base uint64, out bool) error {
-		return r.apply(VacateKind, &Vacate{Zone: "z", Out: out, Compare: true, Base: base})
+		return r.apply(EvacuateKind, &Evacuate{Zone: "z", Evacuated: out, Compare: true, BaseRevision: base})
 	}
 	require.NoError(t, over(0, true))
 	require.Equal(t, coordination.ErrUnchanged, over(0, true), "as asked already")
@@ -64,7 +64,7 @@
 	require.True(t, failure.Is(over(1, true), failure.Stale))
 	r.snapshot()
 	require.True(t, failure.Is(over(0, true), failure.Stale))
-	require.NoError(t, r.apply(VacateKind, &Vacate{Zone: "y", Out: true, Compare: true}))
+	require.NoError(t, r.apply(EvacuateKind, &Evacuate{Zone: "y", Evacuated: true, Compare: true}))
 	revision, out := r.zone("z")
 	require.EqualValues(t, 2, revision)
 	require.False(t, out)
@@ -74,20 +74,20 @@
 // TestVacateOfEarlierReleases: a log entry without a base is applied as it was when it was
 // written, and counts; an image without revisions is read.
 func TestVacateOfEarlierReleases(t *testing.T) {
-	old := msgp.AppendMapHeader(nil, 2)
-	old = msgp.AppendString(msgp.AppendString(old, "Zone"), "z")
-	old = msgp.AppendBool(msgp.AppendString(old, "Out"), true)
+	previous := msgp.AppendMapHeader(nil, 2)
+	previous = msgp.AppendString(msgp.AppendString(previous, "Zone"), "z")
+	previous = msgp.AppendBool(msgp.AppendString(previous, "Out"), true)
 	m := NewMachine(MachineOptions{})
-	_, err := m.Apply(1, VacateKind, old)
+	_, err := m.Apply(1, EvacuateKind, previous)
 	require.NoError(t, err)
-	revision, out := m.image(true).ZoneRevision("z")
+	revision, out := m.encode(true).ZoneRevision("z")
 	require.EqualValues(t, 1, revision)
 	require.True(t, out)
 
-	img := m.image(false)
-	img.OrderMemory = OrderMemory{}
-	require.NoError(t, m.Restore(coordination.MustMarshal(img)))
-	revision, out = m.image(true).ZoneRevision("z")
+	encoded := m.encode(false)
+	encoded.OrderMemory = OrderMemory{}
+	require.NoError(t, m.Restore(coordination.MustMarshal(encoded)))
+	revision, out = m.encode(true).ZoneRevision("z")
 	require.Zero(t, revision)
 	require.True(t, out)
 }
@@ -97,8 +97,8 @@
 func TestUnchangedIsWritten(t *testing.T) {
 	r := newReplicas(t)
 	for range 2 {
-		require.NoError(t, r.apply(VacateKind, &Vacate{Zone: "z", Out: true}))
-		require.NoError(t, r.apply(DrainKind, &Drain{Worker: "w", Out: true}))
+		require.NoError(t, r.apply(EvacuateKind, &Evacuate{Zone: "z", Evacuated: true}))
+		require.NoError(t, r.apply(DrainKind, &Drain{Worker: "w", Drained: true}))
 	}
 	revision, _ := r.zone("z")
 	require.EqualValues(t, 1, revision, "nothing changed the second time")
@@ -106,7 +106,7 @@
 
 // stage stages a document of the configuration's line or of the program sets'.
 func (r *replicas) stage(kind string, base, next ids.Version) error {
-	return r.apply(kind, &Stage{Base: base, Next: next, Text: []byte(`{}`)})
+	return r.apply(kind, &PrepareVersion{Base: base, Next: next, Text: []byte(`{}`)})
 }
 
 // TestForgottenBase: an order made over a version that is superseded is stale while the
@@ -114,7 +114,7 @@
 // for as an outcome too, also at a replica from a snapshot. One over a number that never
 // was a version is stale if it lies within what is remembered.
 func TestForgottenBase(t *testing.T) {
-	for _, kind := range []string{StageKind, StageProgramsKind} {
+	for _, kind := range []string{PrepareKind, PrepareProgramsKind} {
 		r := newReplicas(t)
 		for v := range ids.Version(maxSuperseded + 100) {
 			require.NoError(t, r.stage(kind, 2*v, 2*v+2))
@@ -129,12 +129,12 @@
 			0: failure.OutcomeUnknown, oldest - 2: failure.OutcomeUnknown, oldest - 1: failure.OutcomeUnknown,
 			oldest: failure.Stale, oldest + 1: failure.Stale, newest - 2: failure.Stale, newest + 2: failure.Stale,
 		} {
-			ask := &OutcomeAsk{Base: base, Programs: kind == StageProgramsKind}
+			ask := &OutcomeQuery{Base: base, Programs: kind == PrepareProgramsKind}
 			require.Equal(t, want, failure.KindOf(r.stage(kind, base, 0)), "base %d", base)
-			require.Equal(t, want, failure.KindOf(r.apply(AskKind, ask)), "base %d", base)
+			require.Equal(t, want, failure.KindOf(r.apply(QueryKind, ask)), "base %d", base)
 		}
-		ask := &OutcomeAsk{Base: newest, Programs: kind == StageProgramsKind}
-		require.Equal(t, failure.NotExecuted, failure.KindOf(r.apply(AskKind, ask)), "it is still to be done")
+		ask := &OutcomeQuery{Base: newest, Programs: kind == PrepareProgramsKind}
+		require.Equal(t, failure.NotExecuted, failure.KindOf(r.apply(QueryKind, ask)), "it is still to be done")
 		require.NoError(t, r.stage(kind, newest, 0))
 	}
 }
@@ -144,24 +144,24 @@
 func TestShortHistory(t *testing.T) {
 	r := newReplicas(t)
 	for v := range ids.Version(10) {
-		require.NoError(t, r.stage(StageKind, v, 0))
+		require.NoError(t, r.stage(PrepareKind, v, 0))
 	}
 	for v := range ids.Version(10) {
-		require.Equal(t, failure.Stale, failure.KindOf(r.stage(StageKind, v, 0)))
+		require.Equal(t, failure.Stale, failure.KindOf(r.stage(PrepareKind, v, 0)))
 	}
-	require.Equal(t, failure.Stale, failure.KindOf(r.stage(StageKind, 11, 0)))
+	require.Equal(t, failure.Stale, failure.KindOf(r.stage(PrepareKind, 11, 0)))
 }
 
 // TestHistoryOfEarlierReleases: an image without superseded versions tells nothing of what
 // was made over older ones than its newest.
 func TestHistoryOfEarlierReleases(t *testing.T) {
 	m := NewMachine(MachineOptions{})
-	img := &Image{Active: Ruled{Version: 7, Text: []byte(`{}`)}}
-	require.NoError(t, m.Restore(coordination.MustMarshal(img)))
+	encoded := &EncodedState{Active: VersionedText{Version: 7, Text: []byte(`{}`)}}
+	require.NoError(t, m.Restore(coordination.MustMarshal(encoded)))
 	r := &replicas{T: t, all: []*Machine{m}}
-	require.Equal(t, failure.OutcomeUnknown, failure.KindOf(r.stage(StageKind, 5, 0)))
-	require.NoError(t, r.stage(StageKind, 7, 9))
-	require.Equal(t, failure.OutcomeUnknown, failure.KindOf(r.stage(StageKind, 5, 0)))
-	require.Equal(t, failure.Stale, failure.KindOf(r.stage(StageKind, 7, 0)))
-	require.Equal(t, failure.Stale, failure.KindOf(r.apply(AskKind, &OutcomeAsk{Base: 7})))
+	require.Equal(t, failure.OutcomeUnknown, failure.KindOf(r.stage(PrepareKind, 5, 0)))
+	require.NoError(t, r.stage(PrepareKind, 7, 9))
+	require.Equal(t, failure.OutcomeUnknown, failure.KindOf(r.stage(PrepareKind, 5, 0)))
+	require.Equal(t, failure.Stale, failure.KindOf(r.stage(PrepareKind, 7, 0)))
+	require.Equal(t, failure.Stale, failure.KindOf(r.apply(QueryKind, &OutcomeQuery{Base: 7})))
 }
--- a/internal/fleetstate/over.go
+++ b/internal/fleetstate/overlay.go
@@ -17,19 +17,19 @@
 
 var sections = []string{"workers", "kinds", "programs"}
 
-// Over lays a part over a whole text and gives what Whole would give of both.
-func Over(name string, whole, part []byte) (*Policy, []byte, error) {
-	merged, err := Merge(whole, part)
+// Overlay lays a part over a whole text and gives what Whole would give of both.
+func Overlay(name string, complete, part []byte) (*Configuration, []byte, error) {
+	merged, err := Merge(complete, part)
 	if err != nil {
 		return nil, nil, err
 	}
 	var all, touch map[string]json.RawMessage
 	if json.Unmarshal(merged, &all) != nil || json.Unmarshal(part, &touch) != nil {
-		return Whole(name, merged)
+		return ParseComplete(name, merged)
 	}
 	for _, k := range []string{"routes", "services", "intake", "regimes", "issuers", "certificates"} {
 		if _, ok := touch[k]; ok {
-			return Whole(name, merged)
+			return ParseComplete(name, merged)
 		}
 	}
 	sub := maps.Clone(touch)
@@ -44,10 +44,10 @@
 	for _, sec := range sections {
 		var had, has map[string]json.RawMessage
 		if raw, ok := touch[sec]; ok && (json.Unmarshal(raw, &had) != nil || had == nil) {
-			return Whole(name, merged)
+			return ParseComplete(name, merged)
 		}
 		if json.Unmarshal(all[sec], &has) != nil {
-			return Whole(name, merged)
+			return ParseComplete(name, merged)
 		}
 		some := map[string]json.RawMessage{}
 		for id := range had {
@@ -65,31 +65,31 @@
 	if err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "check policy", name)
 	}
-	q, err := shape(name, text)
+	request, err := shape(name, text)
 	if err != nil {
 		return nil, nil, err
 	}
-	p := &Policy{}
-	if err := json.Unmarshal(whole, p); err != nil {
+	p := &Configuration{}
+	if err := json.Unmarshal(complete, p); err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "read policy", name)
 	}
-	lap(p.Workers, q.Workers, gone["workers"])
-	lap(p.Kinds, q.Kinds, gone["kinds"])
-	lap(p.Programs, q.Programs, gone["programs"])
-	p.Zones, p.Limits, p.Switch = q.Zones, q.Limits, q.Switch
-	return p.done()
+	overlayMap(p.Workers, request.Workers, gone["workers"])
+	overlayMap(p.Kinds, request.Kinds, gone["kinds"])
+	overlayMap(p.Programs, request.Programs, gone["programs"])
+	p.Zones, p.Limits, p.RoleChanges = request.Zones, request.Limits, request.RoleChanges
+	return p.finish()
 }
 
-func lap[K ~string, V any](into, from map[K]V, gone []string) {
+func overlayMap[K ~string, V any](into, from map[K]V, gone []string) {
 	maps.Copy(into, from)
 	for _, id := range gone {
 		delete(into, K(id))
 	}
 }
 
-// done checks what spans fields and writes the whole.
-func (p *Policy) done() (*Policy, []byte, error) {
-	if err := p.sane(); err != nil {
+// finish checks what spans fields and writes the whole.
+func (p *Configuration) finish() (*Configuration, []byte, error) {
+	if err := p.validate(); err != nil {
 		return nil, nil, err
 	}
 	b, err := json.Marshal(p)
--- a/internal/fleetstate/over_test.go
+++ b/internal/fleetstate/overlay_test.go
@@ -30,7 +30,7 @@
 // TestOver: a part laid over a checked whole comes to what checking all of it would
 // come to, the refusals included.
 func TestOver(t *testing.T) {
-	_, whole, err := Whole("w", big(20))
+	_, complete, err := ParseComplete("w", big(20))
 	require.NoError(t, err)
 	for _, part := range []string{
 		`{limits: queue: 9}`, `{workers: w3: room: 7}`, `{workers: w4: null}`, `{workers: new: {part: "decode", model: "m", weights: "w2", room: 5, zone: "b"}}`,
@@ -42,10 +42,10 @@
 	} {
 		src, err := Source("part", []byte(part))
 		require.NoError(t, err, part)
-		merged, err := Merge(whole, src)
+		merged, err := Merge(complete, src)
 		require.NoError(t, err, part)
-		_, want, e1 := Whole("part", merged)
-		_, got, e2 := Over("part", whole, src)
+		_, want, e1 := ParseComplete("part", merged)
+		_, got, e2 := Overlay("part", complete, src)
 		require.Equal(t, e1 == nil, e2 == nil, "%s: %v / %v", part, e1, e2)
 		require.Equal(t, string(want), string(got), part)
 	}
@@ -54,9 +54,9 @@
 // TestTooLarge: a policy with too many entries is refused by its count, before the
 // schema is held against all of them; one just below it is taken.
 func TestTooLarge(t *testing.T) {
-	_, whole, err := Whole("w", big(maxEntries/2))
+	_, complete, err := ParseComplete("w", big(maxEntries/2))
 	require.NoError(t, err)
-	_, _, err = Over("part", whole, []byte(`{"kinds":{"one-more":{"model":"m","maxTokens":3}}}`))
+	_, _, err = Overlay("part", complete, []byte(`{"kinds":{"one-more":{"model":"m","maxTokens":3}}}`))
 	require.ErrorContains(t, err, "3001 entries")
 	_, err = Source("huge", big(20000))
 	require.ErrorContains(t, err, "over 3000 entries")
@@ -65,16 +65,16 @@
 
 // BenchmarkOver and BenchmarkWhole apply one small change to a large policy.
 func BenchmarkOver(b *testing.B) {
-	_, whole, _ := Whole("w", big(maxEntries/2))
+	_, complete, _ := ParseComplete("w", big(maxEntries/2))
 	for b.Loop() {
-		Over("part", whole, []byte(`{"limits":{"queue":9}}`))
+		Overlay("part", complete, []byte(`{"limits":{"queue":9}}`))
 	}
 }
 
 func BenchmarkWhole(b *testing.B) {
-	_, whole, _ := Whole("w", big(maxEntries/2))
+	_, complete, _ := ParseComplete("w", big(maxEntries/2))
 	for b.Loop() {
-		merged, _ := Merge(whole, []byte(`{"limits":{"queue":9}}`))
-		Whole("part", merged)
+		merged, _ := Merge(complete, []byte(`{"limits":{"queue":9}}`))
+		ParseComplete("part", merged)
 	}
 }
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -19,21 +19,17 @@
 	"keelstair.example/rpc"
 )
 
-// Kinds of command for program sets.
-const (
-	StageProgramsKind    = "lore.programs.stage"
-	ActivateProgramsKind = "lore.programs.activate"
-)
+type preparePrograms struct{ PrepareVersion }
 
-type stagePrograms struct{ Stage }
-
-func (c *stagePrograms) apply(s *State) (msgp.Marshaler, error) { return s.programs.stage(&c.Stage) }
+func (c *preparePrograms) apply(s *State) (msgp.Marshaler, error) {
+	return s.programs.prepare(&c.PrepareVersion)
+}
 
-type activatePrograms struct{ Activate }
+type commitPrograms struct{ CommitVersion }
 
-func (c *activatePrograms) apply(s *State) (msgp.Marshaler, error) {
-	_, err := s.programs.activate(c.Version)
-	return &Ruling{c.Version}, err
+func (c *commitPrograms) apply(s *State) (msgp.Marshaler, error) {
+	_, err := s.programs.commit(c.Version)
+	return &VersionReply{c.Version}, err
 }
 
 // Bounds of a set: every node keeps and compiles it, small ones too.
@@ -44,35 +40,35 @@
 )
 
 // Sources lists a policy's programs.
-func (p *Policy) Sources() []routing.Source {
+func (p *Configuration) Sources() []routing.Source {
 	var out []routing.Source
 	for _, name := range p.Names() {
 		g := p.Programs[name]
-		out = append(out, routing.Source{Name: name, Text: g.Source, Share: g.Share, Shadow: g.Shadow, ChangesRoles: g.Turns})
+		out = append(out, routing.Source{Name: name, Text: g.Source, Share: g.Share, Shadow: g.Shadow, ChangesRoles: g.ChangesRoles})
 	}
 	return out
 }
 
-// Deck compiles a policy's programs. Faults have file, line and reason.
-func (p *Policy) Deck(scores *routing.Scores) (*routing.ProgramSet, error) {
+// CompileSet compiles a policy's programs. Faults have file, line and reason.
+func (p *Configuration) CompileSet(scores *routing.Scores) (*routing.ProgramSet, error) {
 	return routing.NewProgramSet(p.Sources(), p.Limits.Steps, scores)
 }
 
 // Draft makes a checked policy of a text that Source gave, whole or, with partial, over
 // base, and compiles its programs. Where a fault shows in the operator's own source, its
 // place is given. The policy also comes as JSON with all defaults.
-func Draft(name, source string, text, base []byte, partial bool) (*Policy, []byte, error) {
-	var p *Policy
-	var whole []byte
+func Draft(name, source string, text, base []byte, partial bool) (*Configuration, []byte, error) {
+	var p *Configuration
+	var complete []byte
 	var err error
 	if partial && len(base) > 0 {
-		p, whole, err = Over(name, base, text)
+		p, complete, err = Overlay(name, base, text)
 	} else {
-		p, whole, err = Whole(name, text)
+		p, complete, err = ParseComplete(name, text)
 	}
 	if err == nil {
-		_, err = p.Deck(&routing.Scores{})
-	} else if e := Fault(name, []byte(source), !partial); e != nil {
+		_, err = p.CompileSet(&routing.Scores{})
+	} else if e := Explain(name, []byte(source), !partial); e != nil {
 		err = e
 	} else {
 		err = Locate(name, []byte(source), err)
@@ -80,11 +76,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return p, whole, nil
+	return p, complete, nil
 }
 
 // CheckSet checks that a policy is a program set and within its bounds.
-func (p *Policy) CheckSet() error {
+func (p *Configuration) CheckSet() error {
 	fault := func(form string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check programs", "", form, args...)
 	}
@@ -100,7 +96,7 @@
 	case p.Limits.Steps > maxSteps:
 		return fault("limits.steps: %d, over %d", p.Limits.Steps, maxSteps)
 	}
-	none, _, err := Whole("set", []byte("{}"))
+	none, _, err := ParseComplete("set", []byte("{}"))
 	if err != nil {
 		return err
 	}
@@ -108,32 +104,32 @@
 	if !reflect.DeepEqual(none.Limits, p.Limits) {
 		return fault("limits: only steps and dwellMs rule here")
 	}
-	if len(p.Workers)+len(p.Zones)+len(p.Kinds)+len(p.Routes)+len(p.Services) > 0 || p.Switch != none.Switch || p.Intake != none.Intake {
+	if len(p.Workers)+len(p.Zones)+len(p.Kinds)+len(p.Routes)+len(p.Services) > 0 || p.RoleChanges != none.RoleChanges || p.ClientLimits != none.ClientLimits {
 		return fault("only programs, limits.steps and limits.dwellMs may be given here; the rest comes with the fleet's own document")
 	}
 	return p.CheckPrograms()
 }
 
-// Set reads the text of a program set and compiles it.
-func Set(text []byte, scores *routing.Scores) (*Policy, *routing.ProgramSet, error) {
-	p, err := Plain(unpack(text))
+// CompileProgramSet reads the text of a program set and compiles it.
+func CompileProgramSet(text []byte, scores *routing.Scores) (*Configuration, *routing.ProgramSet, error) {
+	p, err := ReadPlain(decompress(text))
 	if err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "read programs", "")
 	}
-	d, err := p.Deck(scores)
+	d, err := p.CompileSet(scores)
 	return p, d, err
 }
 
 // PutPrograms asks the core for a program set, as JSON, made over the version base. Its
 // errors are those of Put.
-func PutPrograms(ctx context.Context, call *rpc.Caller, book *coordination.Directory, op ids.OpID, base ids.Version, text []byte) (ids.Version, error) {
-	return decide(ctx, call, book, &coordination.SubmitRequest{Op: op, Kind: StageProgramsKind, Body: coordination.MustMarshal(&Stage{Base: base, Text: pack(text)})})
+func PutPrograms(ctx context.Context, caller *rpc.Caller, directory *coordination.Directory, op ids.OpID, base ids.Version, text []byte) (ids.Version, error) {
+	return submitForVersion(ctx, caller, directory, &coordination.SubmitRequest{Op: op, Kind: PrepareProgramsKind, Body: coordination.MustMarshal(&PrepareVersion{Base: base, Text: compress(text)})})
 }
 
 // SetText is a set as JSON; for none it is the empty one.
-func SetText(r Ruled) json.RawMessage {
+func SetText(r VersionedText) json.RawMessage {
 	if len(r.Text) == 0 {
 		return json.RawMessage("{}")
 	}
-	return unpack(r.Text)
+	return decompress(r.Text)
 }
--- a/internal/fleetstate/programs_test.go
+++ b/internal/fleetstate/programs_test.go
@@ -36,20 +36,20 @@
 // in force once they are seen, apart from the configuration's; a copy made from a picture,
 // whole or open, has them.
 func TestProgramsLine(t *testing.T) {
-	m := NewMachine(MachineOptions{Wait: time.Second})
+	m := NewMachine(MachineOptions{CommitTimeout: time.Second})
 	apply := func(seq ids.Seq, kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) error {
 		b, _ := c.MarshalMsg(nil)
 		_, err := m.Apply(seq, kind, b)
 		return err
 	}
-	require.NoError(t, apply(1, StageProgramsKind, &Stage{Text: setOf(1, 0)}))
-	require.NoError(t, apply(2, StageKind, &Stage{Text: []byte(`{}`), Next: 7}))
-	require.Error(t, apply(3, StageProgramsKind, &Stage{Text: setOf(2, 0)}), "the loser of two")
-	require.Equal(t, []coordination.Command{{Kind: ActivateProgramsKind, Body: coordination.MustMarshal(&Activate{1})}}, m.Due(1, 3, 1))
-	require.Equal(t, []coordination.Command{{Kind: ActivateKind, Body: coordination.MustMarshal(&Activate{7})}}, m.Due(1, 3, 2))
-	require.NoError(t, apply(4, ActivateProgramsKind, &Activate{1}))
-	require.Error(t, apply(5, ActivateProgramsKind, &Activate{1}))
-	require.NoError(t, apply(6, StageProgramsKind, &Stage{Base: 1, Text: setOf(2, 0)}))
+	require.NoError(t, apply(1, PrepareProgramsKind, &PrepareVersion{Text: setOf(1, 0)}))
+	require.NoError(t, apply(2, PrepareKind, &PrepareVersion{Text: []byte(`{}`), Next: 7}))
+	require.Error(t, apply(3, PrepareProgramsKind, &PrepareVersion{Text: setOf(2, 0)}), "the loser of two")
+	require.Equal(t, []coordination.Command{{Kind: CommitProgramsKind, Body: coordination.MustMarshal(&CommitVersion{1})}}, m.Due(1, 3, 1))
+	require.Equal(t, []coordination.Command{{Kind: CommitKind, Body: coordination.MustMarshal(&CommitVersion{7})}}, m.Due(1, 3, 2))
+	require.NoError(t, apply(4, CommitProgramsKind, &CommitVersion{1}))
+	require.Error(t, apply(5, CommitProgramsKind, &CommitVersion{1}))
+	require.NoError(t, apply(6, PrepareProgramsKind, &PrepareVersion{Base: 1, Text: setOf(2, 0)}))
 	require.EqualValues(t, 7, m.newest())
 	for _, open := range []bool{false, true} {
 		copied := NewMachine(MachineOptions{})
@@ -60,39 +60,39 @@
 		v := NewView(logging.Discard())
 		v.Scores = &routing.Scores{}
 		require.NoError(t, v.Restore(copied.Snapshot(true)))
-		require.EqualValues(t, 1, v.Sight().Set.Version)
-		require.True(t, v.Observe(9, ActivateProgramsKind, coordination.MustMarshal(&Activate{2})))
-		require.EqualValues(t, 2, v.Sight().Set.Version)
-		require.Equal(t, []string{"p0", "p1"}, v.Sight().Set.Policy.Names())
+		require.EqualValues(t, 1, v.Current().Programs.Version)
+		require.True(t, v.Observe(9, CommitProgramsKind, coordination.MustMarshal(&CommitVersion{2})))
+		require.EqualValues(t, 2, v.Current().Programs.Version)
+		require.Equal(t, []string{"p0", "p1"}, v.Current().Programs.Configuration.Names())
 	}
 }
 
 // BenchmarkSet compiles sets: the deployed one's size, and the largest that is taken.
 func BenchmarkSet(b *testing.B) {
 	for _, c := range [][2]int{{3, 0}, {maxPrograms, maxSources/maxPrograms - 100}} {
-		text := pack(setOf(c[0], c[1]))
+		text := compress(setOf(c[0], c[1]))
 		b.Run(fmt.Sprintf("programs=%d,source=%dKB", c[0], len(strings.Join(sources(text), ""))>>10), func(b *testing.B) {
 			b.ReportAllocs()
 			var was, is runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&was)
-			var deck *routing.ProgramSet
+			var set *routing.ProgramSet
 			for b.Loop() {
 				var err error
-				if _, deck, err = Set(text, &routing.Scores{}); err != nil {
+				if _, set, err = CompileProgramSet(text, &routing.Scores{}); err != nil {
 					b.Fatal(err)
 				}
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&is)
 			b.ReportMetric((float64(is.HeapAlloc)-float64(was.HeapAlloc))/1024, "keptKB")
-			runtime.KeepAlive(deck)
+			runtime.KeepAlive(set)
 		})
 	}
 }
 
 func sources(text []byte) []string {
-	p, _ := Plain(unpack(text))
+	p, _ := ReadPlain(decompress(text))
 	var out []string
 	for _, s := range p.Sources() {
 		out = append(out, s.Text)
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -31,35 +31,35 @@
 	return certification.Compile(c.Regimes, c.Issuers, c.Certificates)
 }
 
-func regimeFault(path []string, reason string) error {
+func invalidRegime(path []string, reason string) error {
 	return failure.As(&certification.Fault{Path: path, Reason: reason}, failure.InvalidArgument, "check regimes", strings.Join(path, "."))
 }
 
 // checkRegimes: every certificate holds, every governed kind exists, and each regime has
 // a certified worker of each part for each of its kinds, and a certified router node.
-func (p *Policy) checkRegimes() error {
+func (p *Configuration) checkRegimes() error {
 	if len(p.Regimes)+len(p.Certificates)+len(p.Issuers) == 0 {
 		return nil
 	}
 	if _, err := p.Register(); err != nil {
 		var f *certification.Fault
 		if errors.As(err, &f) {
-			return regimeFault(f.Path, f.Reason)
+			return invalidRegime(f.Path, f.Reason)
 		}
 		return err
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.Regimes)) {
 		if len(p.Regimes[name].Kinds) == 0 {
-			return regimeFault([]string{"regimes", name, "kinds"}, "it governs no kind")
+			return invalidRegime([]string{"regimes", name, "kinds"}, "it governs no kind")
 		}
 		for _, kind := range p.Regimes[name].Kinds {
 			k, ok := p.Kinds[kind]
 			if !ok {
-				return regimeFault([]string{"regimes", name, "kinds"}, "unknown kind "+quote(kind))
+				return invalidRegime([]string{"regimes", name, "kinds"}, "unknown kind "+quote(kind))
 			}
 			for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 				if !p.certified(name, k.Model, part) {
-					return regimeFault([]string{"regimes", name}, "no certified "+string(part)+" worker offers "+quote(k.Model)+" for kind "+quote(kind))
+					return invalidRegime([]string{"regimes", name}, "no certified "+string(part)+" worker offers "+quote(k.Model)+" for kind "+quote(kind))
 				}
 			}
 		}
@@ -68,7 +68,7 @@
 			node = node || c.Regime == name && c.Node != ""
 		}
 		if !node {
-			return regimeFault([]string{"regimes", name}, "no router node is certified")
+			return invalidRegime([]string{"regimes", name}, "no router node is certified")
 		}
 	}
 	return nil
@@ -77,9 +77,9 @@
 func quote(s string) string { return `"` + s + `"` }
 
 // certified tells whether a worker of the catalogue, in its own part, has a certificate.
-func (p *Policy) certified(regime, model string, part ids.Role) bool {
+func (p *Configuration) certified(regime, model string, part ids.Role) bool {
 	for _, c := range p.Certificates {
-		if w, ok := p.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Part == part && slices.Contains(c.Roles, part) {
+		if w, ok := p.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Role == part && slices.Contains(c.Roles, part) {
 			return true
 		}
 	}
@@ -88,21 +88,21 @@
 
 // Follows checks a policy against the one that it replaces: a serial never stands for
 // another certificate, and none comes in that has ended by now.
-func (p *Policy) Follows(old *Policy, now certification.Now) error {
+func (p *Configuration) Follows(previous *Configuration, now certification.Now) error {
 	for _, serial := range slices.Sorted(maps.Keys(p.Certificates)) {
 		c := p.Certificates[serial]
-		was, had := old.Certificates[serial]
+		was, had := previous.Certificates[serial]
 		switch {
 		case had && was.Signature != c.Signature:
-			return regimeFault([]string{"certificates", serial}, "serial "+quote(serial)+" stands for another certificate already; a new one needs a new serial")
+			return invalidRegime([]string{"certificates", serial}, "serial "+quote(serial)+" stands for another certificate already; a new one needs a new serial")
 		case !had && now.High > 0 && expired(p, serial, now):
-			return regimeFault([]string{"certificates", serial, "until"}, "it has expired: its end "+c.Until+" is past")
+			return invalidRegime([]string{"certificates", serial, "until"}, "it has expired: its end "+c.Until+" is past")
 		}
 	}
 	return nil
 }
 
-func expired(p *Policy, serial string, now certification.Now) bool {
+func expired(p *Configuration, serial string, now certification.Now) bool {
 	r, _ := p.Register()
 	for _, row := range r.Rows(p.Certificates[serial].Regime, now) {
 		if row.Serial == serial {
@@ -124,14 +124,14 @@
 		return err
 	}
 	where := name
-	if pos, _ := place(f.Decls, at.Path); pos.IsValid() {
+	if pos, _ := findPosition(f.Decls, at.Path); pos.IsValid() {
 		where = pos.Position().String()
 	}
 	return failure.New(failure.InvalidArgument, "check policy", "", "%s: %s: %s", where, strings.Join(at.Path, "."), at.Reason)
 }
 
-// place finds the deepest field along a path, and how deep it is.
-func place(row []ast.Decl, path []string) (pos token.Pos, depth int) {
+// findPosition finds the deepest field along a path, and how deep it is.
+func findPosition(row []ast.Decl, path []string) (pos token.Pos, depth int) {
 	type found struct {
 		pos   token.Pos
 		depth int
@@ -140,7 +140,7 @@
 	for _, d := range row {
 		if e, ok := d.(*ast.EmbedDecl); ok {
 			if lit, ok := e.Expr.(*ast.StructLit); ok {
-				p, n := place(lit.Elts, path)
+				p, n := findPosition(lit.Elts, path)
 				all = append(all, found{p, n})
 			}
 		}
@@ -153,7 +153,7 @@
 		}
 		all = append(all, found{f.Pos(), 1})
 		if lit, ok := f.Value.(*ast.StructLit); ok {
-			if p, n := place(lit.Elts, path[1:]); n > 0 {
+			if p, n := findPosition(lit.Elts, path[1:]); n > 0 {
 				all = append(all, found{p, n + 1})
 			}
 		}
@@ -179,10 +179,10 @@
 // outcomes, to those certified for all.
 func (m *Machine) Eligible(key ids.Key, node ids.NodeID) bool {
 	id, worker := strings.CutPrefix(string(key), string(WorkerKey("")))
-	if m.bare == nil || !worker && key != SettleKey {
+	if m.unrevoked == nil || !worker && key != ResolutionKey {
 		return true
 	}
-	register := m.bare.WithRevoked(m.revoked)
+	register := m.unrevoked.WithRevoked(m.revoked)
 	now := certification.Now{Low: m.time - int64(clockLead), High: m.time}
 	for _, g := range register.Regimes() {
 		for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -57,9 +57,9 @@
 // TestRegimes: a whole policy with regimes checks, checks to itself again, and compiles;
 // each fault is refused with file, line and reason.
 func TestRegimes(t *testing.T) {
-	p, whole, err := Whole("f.cue", charter(t, nil))
+	p, complete, err := ParseComplete("f.cue", charter(t, nil))
 	require.NoError(t, err)
-	again, _, err := Whole("f.cue", whole)
+	again, _, err := ParseComplete("f.cue", complete)
 	require.NoError(t, err)
 	require.Equal(t, p, again)
 	require.Equal(t, 20, p.Regimes["chair"].Keep)
@@ -102,10 +102,10 @@
 	} {
 		t.Run(says, func(t *testing.T) {
 			text := charter(t, one.change)
-			_, _, err := Whole("f.cue", text)
+			_, _, err := ParseComplete("f.cue", text)
 			require.Error(t, err)
 			require.True(t, failure.Is(err, failure.InvalidArgument))
-			if e := Fault("f.cue", text, true); e != nil {
+			if e := Explain("f.cue", text, true); e != nil {
 				err = e
 			}
 			err = Locate("f.cue", text, err)
@@ -125,7 +125,7 @@
 			require.NotContains(t, err.Error(), "\n")
 		})
 	}
-	_, _, err = Whole("f.cue", []byte(strings.Replace(string(charter(t, nil)), `"certificates": {`, `"certificates": {"s1": {}, `, 1)))
+	_, _, err = ParseComplete("f.cue", []byte(strings.Replace(string(charter(t, nil)), `"certificates": {`, `"certificates": {"s1": {}, `, 1)))
 	require.ErrorContains(t, err, "f.cue:3:")
 	require.ErrorContains(t, err, "certificates.s1 stands twice")
 }
@@ -133,30 +133,30 @@
 // TestFollows: a serial never stands for another certificate, and none comes in that has
 // ended; one that ends while it stands does not hinder a later change.
 func TestFollows(t *testing.T) {
-	old, _, err := Whole("f", charter(t, nil))
+	previous, _, err := ParseComplete("f", charter(t, nil))
 	require.NoError(t, err)
-	next, _, err := Whole("f", charter(t, nil)) // other keys, so other signatures
+	next, _, err := ParseComplete("f", charter(t, nil)) // other keys, so other signatures
 	require.NoError(t, err)
 	early := certification.At(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
 	late := certification.At(time.Date(2027, 1, 30, 0, 0, 0, 0, time.UTC))
-	require.NoError(t, old.Follows(old, late))
-	require.ErrorContains(t, next.Follows(old, early), "stands for another certificate")
-	require.NoError(t, old.Follows(&Policy{}, early))
-	require.ErrorContains(t, old.Follows(&Policy{}, late), "it has expired")
-	require.NoError(t, old.Follows(&Policy{}, certification.Now{}), "no word of the time")
+	require.NoError(t, previous.Follows(previous, late))
+	require.ErrorContains(t, next.Follows(previous, early), "stands for another certificate")
+	require.NoError(t, previous.Follows(&Configuration{}, early))
+	require.ErrorContains(t, previous.Follows(&Configuration{}, late), "it has expired")
+	require.NoError(t, previous.Follows(&Configuration{}, certification.Now{}), "no word of the time")
 }
 
 // TestOverCertificates: a part that touches something else leaves certificates alone,
 // and one that takes away a regime's last worker is refused.
 func TestOverCertificates(t *testing.T) {
-	_, whole, err := Whole("f", charter(t, nil))
+	_, complete, err := ParseComplete("f", charter(t, nil))
 	require.NoError(t, err)
-	p, _, err := Over("f", whole, []byte(`{"limits":{"queue":3}}`))
+	p, _, err := Overlay("f", complete, []byte(`{"limits":{"queue":3}}`))
 	require.NoError(t, err)
 	require.Len(t, p.Certificates, 3)
-	_, _, err = Over("f", whole, []byte(`{"certificates":{"s2":null}}`))
+	_, _, err = Overlay("f", complete, []byte(`{"certificates":{"s2":null}}`))
 	require.ErrorContains(t, err, "no certified decode worker")
-	_, _, err = Over("f", whole, []byte(`{"workers":{"d1":{"zone":"a","part":"decode","model":"m","weights":"w1","room":9},"d2":{"zone":"a","part":"decode","model":"m","weights":"w1","room":9}},"certificates":null,"regimes":null,"issuers":null}`))
+	_, _, err = Overlay("f", complete, []byte(`{"workers":{"d1":{"zone":"a","part":"decode","model":"m","weights":"w1","room":9},"d2":{"zone":"a","part":"decode","model":"m","weights":"w1","room":9}},"certificates":null,"regimes":null,"issuers":null}`))
 	require.NoError(t, err)
 }
 
@@ -181,24 +181,24 @@
 	other := NewMachine(MachineOptions{})
 	require.NoError(t, other.Restore(m.Snapshot(false)))
 	require.Empty(t, other.Due(1, 9, 8), "what the nodes saw before may have been anything")
-	require.Equal(t, []string{SealKind}, run(t, m, m.Due(1, 9, 7)))
-	require.Equal(t, []string{SealKind}, run(t, other, other.Due(1, 12, 9)))
+	require.Equal(t, []string{ConfirmRevocationKind}, run(t, m, m.Due(1, 9, 7)))
+	require.Equal(t, []string{ConfirmRevocationKind}, run(t, other, other.Due(1, 12, 9)))
 	require.Empty(t, m.Due(1, 10, 10))
-	_, err = m.Apply(11, SealKind, coordination.MustMarshal(&Seal{"s1"}))
+	_, err = m.Apply(11, ConfirmRevocationKind, coordination.MustMarshal(&ConfirmRevocation{"s1"}))
 	require.True(t, failure.Is(err, failure.Stale))
 	v := NewView(logging.Discard())
-	v.Observe(1, StageKind, coordination.MustMarshal(&Stage{Text: charter(t, nil)}))
-	v.Heard(1)
-	require.Empty(t, v.Sight().Revoked)
+	v.Observe(1, PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: charter(t, nil)}))
+	v.NoteVersion(1)
+	require.Empty(t, v.Current().Revoked)
 	v.Observe(2, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
 	now := certification.At(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
-	_, ok := v.Sight().Register.Clears("chair", certification.Subject{Worker: "p1"}, ids.Prefill, now)
+	_, ok := v.Current().Register.Clears("chair", certification.Subject{Worker: "p1"}, ids.Prefill, now)
 	require.False(t, ok)
-	_, ok = v.Sight().Register.Clears("chair", certification.Subject{Worker: "d1"}, ids.Decode, now)
+	_, ok = v.Current().Register.Clears("chair", certification.Subject{Worker: "d1"}, ids.Decode, now)
 	require.True(t, ok)
-	require.Equal(t, map[string]bool{"s1": false}, v.Sight().Revoked)
-	v.Observe(3, SealKind, coordination.MustMarshal(&Seal{"s1"}))
-	require.Equal(t, map[string]bool{"s1": true}, v.Sight().Revoked)
+	require.Equal(t, map[string]bool{"s1": false}, v.Current().Revoked)
+	v.Observe(3, ConfirmRevocationKind, coordination.MustMarshal(&ConfirmRevocation{"s1"}))
+	require.Equal(t, map[string]bool{"s1": true}, v.Current().Revoked)
 }
 
 // TestClock: the fleet's time runs with the primary's steady clock, whatever the wall
@@ -218,9 +218,9 @@
 			require.NoError(t, err)
 		}
 	}
-	apply(StageKind, coordination.MustMarshal(&Stage{Text: charter(t, nil)}))
-	apply(ActivateKind, coordination.MustMarshal(&Activate{1}))
-	writes, least := 0, int64(0)
+	apply(PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: charter(t, nil)}))
+	apply(CommitKind, coordination.MustMarshal(&CommitVersion{1}))
+	writes, minTime := 0, int64(0)
 	lead := func(m *Machine, from, to int) int64 {
 		var now int64
 		for at := from; at < to; at += 200 {
@@ -229,8 +229,8 @@
 				apply(c.Kind, c.Body)
 			}
 			now = m.Time(ms(at))
-			require.GreaterOrEqual(t, now, least, "at %d ms", at)
-			least = now
+			require.GreaterOrEqual(t, now, minTime, "at %d ms", at)
+			minTime = now
 		}
 		return now
 	}
@@ -249,14 +249,14 @@
 	require.LessOrEqual(t, time.Duration(back-next), 3200*time.Millisecond)
 	c := build()
 	require.NoError(t, c.Restore(a.Snapshot(false)))
-	least, all = back, append(all, c)
+	minTime, all = back, append(all, c)
 	require.Greater(t, lead(c, 10, 1000), back)
 	require.False(t, a.Published(ClockKind), "nodes hear of it by their leases")
 	// What passed while nobody led is made up for by nodes, at first and up to a bound.
 	d := build()
 	require.NoError(t, d.Restore(c.Snapshot(false)))
 	all = append(all, d)
-	least = 0
+	minTime = 0
 	was := lead(d, 1000, 1200)
 	d.Observe(ms(1200), was+int64(12*time.Second))
 	require.Equal(t, was, lead(d, 1200, 1201)-int64(200*time.Millisecond), "a clock that leapt")
@@ -270,7 +270,7 @@
 	d.Observe(ms(6200), later+int64(2*time.Second))
 	require.Equal(t, later+int64(200*time.Millisecond), lead(d, 6200, 6201), "it has led for long")
 	// A machine that slept for a while as the primary jumps no further than the bound.
-	before := least
+	before := minTime
 	require.LessOrEqual(t, time.Duration(lead(d, 90000, 90200)-before), 3*time.Second)
 }
 
@@ -278,17 +278,17 @@
 func TestMay(t *testing.T) {
 	m := NewMachine(MachineOptions{Wall: func() time.Time { return time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC) }})
 	require.True(t, m.Eligible(WorkerKey("p1"), "v2-aa"))
-	for kind, body := range map[string][]byte{StageKind: coordination.MustMarshal(&Stage{Text: charter(t, nil)})} {
+	for kind, body := range map[string][]byte{PrepareKind: coordination.MustMarshal(&PrepareVersion{Text: charter(t, nil)})} {
 		_, err := m.Apply(1, kind, body)
 		require.NoError(t, err)
 	}
-	_, err := m.Apply(1, ActivateKind, coordination.MustMarshal(&Activate{1}))
+	_, err := m.Apply(1, CommitKind, coordination.MustMarshal(&CommitVersion{1}))
 	require.NoError(t, err)
 	run(t, m, m.Due(1, 1, 1))
 	m.Keys()
 	require.True(t, m.Eligible(WorkerKey("p1"), "v1-0123456789abcdef"))
 	require.False(t, m.Eligible(WorkerKey("p1"), "v2-0123456789abcdef"))
-	require.True(t, m.Eligible(BudgetKey, "v2-0123456789abcdef"))
+	require.True(t, m.Eligible(RetryBudgetKey, "v2-0123456789abcdef"))
 	_, err = m.Apply(2, RevokeKind, coordination.MustMarshal(&Revoke{"s3"}))
 	require.NoError(t, err)
 	require.False(t, m.Eligible(WorkerKey("p1"), "v1-0123456789abcdef"))
--- /dev/null
+++ b/internal/fleetstate/revocation.go
@@ -0,0 +1,34 @@
+// The messages of revocations and of the fleet's time.
+
+package fleetstate
+
+import (
+	"github.com/tinylib/msgp/msgp"
+
+	"keelstair.example/coordination"
+	"keelstair.example/failure"
+)
+
+func (c *Revoke) apply(s *State) (msgp.Marshaler, error) {
+	if _, ok := s.revoked[c.Serial]; ok {
+		return &VersionReply{s.newest()}, coordination.ErrUnchanged
+	}
+	s.revoked[c.Serial] = false
+	return &VersionReply{s.newest()}, nil
+}
+
+func (c *ConfirmRevocation) apply(s *State) (msgp.Marshaler, error) {
+	if sure, ok := s.revoked[c.Serial]; !ok || sure {
+		return nil, failure.New(failure.Stale, "seal", c.Serial, "no revocation of it waits")
+	}
+	s.revoked[c.Serial] = true
+	return nil, nil
+}
+
+func (c *Clock) apply(s *State) (msgp.Marshaler, error) {
+	if c.At <= s.time {
+		return &VersionReply{s.newest()}, coordination.ErrUnchanged
+	}
+	s.time = c.At
+	return &VersionReply{s.newest()}, nil
+}
--- a/internal/fleetstate/turn_test.go
+++ b/internal/fleetstate/role_change_test.go
@@ -16,15 +16,15 @@
 // TestTurn: a turn stands until it is done; the same one again, or the end of none, changes
 // nothing and is no error to those who asked; another part replaces the first.
 func TestTurn(t *testing.T) {
-	s := newState(false, Depth{})
-	require.ErrorIs(t, do(t, s, TurnKind, &Turn{Worker: "w", Done: true}), coordination.ErrUnchanged)
-	require.NoError(t, do(t, s, TurnKind, &Turn{Worker: "w", To: ids.Decode}))
-	require.ErrorIs(t, do(t, s, TurnKind, &Turn{Worker: "w", To: ids.Decode}), coordination.ErrUnchanged)
-	require.NoError(t, do(t, s, TurnKind, &Turn{Worker: "w", To: ids.Prefill}))
-	require.NoError(t, do(t, s, TurnKind, &Turn{Worker: "v", To: ids.Decode}))
-	require.Equal(t, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "v": ids.Decode}, s.turning)
-	require.NoError(t, do(t, s, TurnKind, &Turn{Worker: "w", Done: true}))
-	require.Equal(t, map[ids.WorkerID]ids.Role{"v": ids.Decode}, s.turning)
+	s := newState(false, Retention{})
+	require.ErrorIs(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "w", Done: true}), coordination.ErrUnchanged)
+	require.NoError(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "w", To: ids.Decode}))
+	require.ErrorIs(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "w", To: ids.Decode}), coordination.ErrUnchanged)
+	require.NoError(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "w", To: ids.Prefill}))
+	require.NoError(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "v", To: ids.Decode}))
+	require.Equal(t, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "v": ids.Decode}, s.roleChanges)
+	require.NoError(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "w", Done: true}))
+	require.Equal(t, map[ids.WorkerID]ids.Role{"v": ids.Decode}, s.roleChanges)
 	require.Equal(t, ids.Key("service/x"), ServiceKey("x"))
 }
 
@@ -33,15 +33,15 @@
 func TestTurnInPicture(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	for _, w := range []ids.WorkerID{"c", "a", "b"} {
-		require.NoError(t, do(t, m.State, TurnKind, &Turn{Worker: w, To: ids.Prefill}))
+		require.NoError(t, do(t, m.State, RoleChangeKind, &RoleChange{Worker: w, To: ids.Prefill}))
 	}
 	for _, open := range []bool{false, true} {
 		copied := NewMachine(MachineOptions{})
 		require.NoError(t, copied.Restore(m.Snapshot(open)))
-		require.Equal(t, m.turning, copied.turning)
+		require.Equal(t, m.roleChanges, copied.roleChanges)
 		require.Equal(t, m.Snapshot(open), copied.Snapshot(open))
-		require.NoError(t, do(t, copied.State, TurnKind, &Turn{Worker: "a", Done: true}))
-		require.Len(t, m.turning, 3, "the copy is its own")
+		require.NoError(t, do(t, copied.State, RoleChangeKind, &RoleChange{Worker: "a", Done: true}))
+		require.Len(t, m.roleChanges, 3, "the copy is its own")
 	}
 }
 
@@ -49,26 +49,26 @@
 // news or in a picture, and no longer once it is done; an older sight stays as it was.
 func TestTurnInNews(t *testing.T) {
 	v := NewView(logging.Discard())
-	require.True(t, v.Observe(1, TurnKind, coordination.MustMarshal(&Turn{Worker: "w", To: ids.Decode})))
-	first := v.Sight()
-	require.Equal(t, map[ids.WorkerID]ids.Role{"w": ids.Decode}, first.Turning)
+	require.True(t, v.Observe(1, RoleChangeKind, coordination.MustMarshal(&RoleChange{Worker: "w", To: ids.Decode})))
+	first := v.Current()
+	require.Equal(t, map[ids.WorkerID]ids.Role{"w": ids.Decode}, first.RoleChanges)
 	other := NewView(logging.Discard())
 	require.NoError(t, other.Restore(v.Snapshot()))
-	require.Equal(t, first.Turning, other.Sight().Turning)
-	require.True(t, v.Observe(2, TurnKind, coordination.MustMarshal(&Turn{Worker: "w", Done: true})))
-	require.Empty(t, v.Sight().Turning)
-	require.Len(t, first.Turning, 1)
+	require.Equal(t, first.RoleChanges, other.Current().RoleChanges)
+	require.True(t, v.Observe(2, RoleChangeKind, coordination.MustMarshal(&RoleChange{Worker: "w", Done: true})))
+	require.Empty(t, v.Current().RoleChanges)
+	require.Len(t, first.RoleChanges, 1)
 	require.NoError(t, other.Restore(v.Snapshot()))
-	require.Empty(t, other.Sight().Turning)
+	require.Empty(t, other.Current().RoleChanges)
 }
 
 // TestNext: a version gets the number it asks for if that is above the newest, staged ones
 // included; else, or over another base, nothing changes.
 func TestNext(t *testing.T) {
-	s := newState(false, Depth{})
+	s := newState(false, Retention{})
 	stage := func(base, next ids.Version) (ids.Version, error) {
-		out, err := s.Apply(StageKind, coordination.MustMarshal(&Stage{Base: base, Next: next, Text: []byte(`{}`)}))
-		var got Ruling
+		out, err := s.Apply(PrepareKind, coordination.MustMarshal(&PrepareVersion{Base: base, Next: next, Text: []byte(`{}`)}))
+		var got VersionReply
 		if err == nil {
 			_, err = got.UnmarshalMsg(out)
 			require.NoError(t, err)
@@ -93,20 +93,20 @@
 	v, err = stage(1000, 0)
 	require.NoError(t, err)
 	require.EqualValues(t, 1001, v)
-	require.NoError(t, do(t, s, ActivateKind, &Activate{1000}))
+	require.NoError(t, do(t, s, CommitKind, &CommitVersion{1000}))
 	require.EqualValues(t, 1000, s.active.Version)
-	require.Len(t, s.staged, 1)
-	require.Error(t, do(t, s, ActivateKind, &Activate{6}), "an older one is not put in force any more")
+	require.Len(t, s.prepared, 1)
+	require.Error(t, do(t, s, CommitKind, &CommitVersion{6}), "an older one is not put in force any more")
 }
 
 // TestServiceKeys: each service of the policy in force has a duty of its own, and one more
 // stands for asking which workers there are; none where there is no service.
 func TestServiceKeys(t *testing.T) {
 	m := NewMachine(MachineOptions{})
-	require.NotContains(t, m.Keys(), RosterKey)
-	_, err := m.Apply(1, StageKind, coordination.MustMarshal(&Stage{Text: []byte(`{"services":{"s":{"name":"s"},"t":{"name":"t"}}}`)}))
+	require.NotContains(t, m.Keys(), WorkerListKey)
+	_, err := m.Apply(1, PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: []byte(`{"services":{"s":{"name":"s"},"t":{"name":"t"}}}`)}))
 	require.NoError(t, err)
-	_, err = m.Apply(2, ActivateKind, coordination.MustMarshal(&Activate{1}))
+	_, err = m.Apply(2, CommitKind, coordination.MustMarshal(&CommitVersion{1}))
 	require.NoError(t, err)
-	require.Equal(t, []ids.Key{BudgetKey, RosterKey, ServiceKey("s"), ServiceKey("t"), SettleKey}, m.Keys())
+	require.Equal(t, []ids.Key{RetryBudgetKey, WorkerListKey, ServiceKey("s"), ServiceKey("t"), ResolutionKey}, m.Keys())
 }
--- a/internal/fleetstate/route.go
+++ b/internal/fleetstate/route.go
@@ -22,30 +22,32 @@
 
 // Route says which service carries a request, and how. Times are in milliseconds.
 type Route struct {
-	Name       string  `json:"name"`
-	Host       string  `json:"host"`
-	Prefix     string  `json:"prefix"`
-	Service    string  `json:"service,omitempty"`
-	Split      []Share `json:"split,omitempty"`
-	Stream     bool    `json:"stream,omitempty"`
-	Repeatable bool    `json:"repeatable,omitempty"` // a try may run more than once
-	Resumable  bool    `json:"resumable,omitempty"`  // a stream may go on elsewhere
-	Apart      bool    `json:"apart,omitempty"`      // prompts are read at one worker and answered at another
-	Tries      int     `json:"tries"`
-	DeadlineMs int     `json:"deadlineMs"`
-	AimMs      int     `json:"aimMs"`
-	GapMs      int     `json:"gapMs,omitempty"`
-	Urgency    int     `json:"urgency"`
+	Name            string  `json:"name"`
+	Host            string  `json:"host"`
+	Prefix          string  `json:"prefix"`
+	Service         string  `json:"service,omitempty"`
+	Split           []Share `json:"split,omitempty"`
+	Stream          bool    `json:"stream,omitempty"`
+	Idempotent      bool    `json:"repeatable,omitempty"` // a try may run more than once
+	Resumable       bool    `json:"resumable,omitempty"`  // a stream may go on elsewhere
+	Disaggregated   bool    `json:"apart,omitempty"`      // prompts are read at one worker and answered at another
+	MaxAttempts     int     `json:"tries"`
+	DeadlineMs      int     `json:"deadlineMs"`
+	LatencyTargetMs int     `json:"aimMs"`
+	TokenIntervalMs int     `json:"gapMs,omitempty"`
+	Urgency         int     `json:"urgency"`
 }
 
-// Again tells whether a try that may have run may be sent once more.
-func (r *Route) Again() bool { return r.Repeatable || r.Stream && r.Resumable }
+// MayRetry tells whether a try that may have run may be sent once more.
+func (r *Route) MayRetry() bool { return r.Idempotent || r.Stream && r.Resumable }
 
 // Deadline is the longest that the operator wants a request held.
 func (r *Route) Deadline() time.Duration { return time.Duration(r.DeadlineMs) * time.Millisecond }
 
-// Aim is the time within which an answer earns its full worth.
-func (r *Route) Aim() time.Duration { return time.Duration(r.AimMs) * time.Millisecond }
+// LatencyTarget is the time within which an answer earns its full worth.
+func (r *Route) LatencyTarget() time.Duration {
+	return time.Duration(r.LatencyTargetMs) * time.Millisecond
+}
 
 // Pick gives the service that a request falls to; the same id always falls to the same.
 func (r *Route) Pick(id string) string {
@@ -67,21 +69,21 @@
 
 // Service is what the operators say of one service's workers.
 type Service struct {
-	Name      string   `json:"name"`
-	Probe     string   `json:"probe,omitempty"`
-	Conns     int      `json:"conns,omitempty"`     // connections that a worker accepts from all
-	WarmMs    int      `json:"warmMs,omitempty"`    // how long a worker that came up is cold
-	WarmRate  float64  `json:"warmRate,omitempty"`  // requests a second that a cold one bears
-	Slots     int      `json:"slots,omitempty"`     // requests worked on at once
-	Memory    int      `json:"memory,omitempty"`    // tokens
-	TokenSize int      `json:"tokenSize,omitempty"` // bytes
-	HoldMs    int      `json:"holdMs,omitempty"`    // how long a handle is kept
-	TurnMs    int      `json:"turnMs,omitempty"`    // how long a change of part takes
-	Models    []string `json:"models,omitempty"`
+	Name            string   `json:"name"`
+	HealthCheckPath string   `json:"probe,omitempty"`
+	MaxConnections  int      `json:"conns,omitempty"`     // connections that a worker accepts from all
+	SlowStartMs     int      `json:"warmMs,omitempty"`    // how long a worker that came up is cold
+	SlowStartRate   float64  `json:"warmRate,omitempty"`  // requests a second that a cold one bears
+	Concurrency     int      `json:"slots,omitempty"`     // requests worked on at once
+	Memory          int      `json:"memory,omitempty"`    // tokens
+	TokenSize       int      `json:"tokenSize,omitempty"` // bytes
+	RetentionMs     int      `json:"holdMs,omitempty"`    // how long a handle is kept
+	RoleChangeMs    int      `json:"turnMs,omitempty"`    // how long a change of part takes
+	Models          []string `json:"models,omitempty"`
 }
 
-// Intake bounds what callers may send.
-type Intake struct {
+// ClientLimits bounds what callers may send.
+type ClientLimits struct {
 	HeaderBytes  int `json:"headerBytes,omitempty"`
 	BodyBytes    int `json:"bodyBytes,omitempty"`
 	HeaderWaitMs int `json:"headerWaitMs,omitempty"`
@@ -90,7 +92,7 @@
 
 // CheckRoutes checks what spans several entries: services that exist, places that stand
 // once, weights, times.
-func (p *Policy) CheckRoutes() error {
+func (p *Configuration) CheckRoutes() error {
 	fault := func(r *Route, form string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check routes", "", "routes."+r.Name+": "+form, args...)
 	}
@@ -123,7 +125,7 @@
 			return fault(r, "unknown service %q", r.Service)
 		case r.DeadlineMs <= 0:
 			return fault(r, "deadlineMs must be above 0")
-		case r.Tries < 0:
+		case r.MaxAttempts < 0:
 			return fault(r, "tries is below 0")
 		}
 		names[r.Name], places[place] = true, true
@@ -137,7 +139,7 @@
 }
 
 // NewTable sorts a policy's routes for look-ups.
-func NewTable(p *Policy) *Table {
+func NewTable(p *Configuration) *Table {
 	t := &Table{hosts: map[string][]*Route{}}
 	for i := range p.Routes {
 		h := strings.ToLower(p.Routes[i].Host)
--- a/internal/fleetstate/route_test.go
+++ b/internal/fleetstate/route_test.go
@@ -17,7 +17,7 @@
 // its port and in any case; a path that only begins like a prefix without its slash, or
 // another host, finds nothing.
 func TestFind(t *testing.T) {
-	table := NewTable(&Policy{Routes: []Route{
+	table := NewTable(&Configuration{Routes: []Route{
 		{Name: "root", Host: "A.example", Prefix: "/"},
 		{Name: "deep", Host: "a.example", Prefix: "/v1/chat/long/"},
 		{Name: "chat", Host: "a.example", Prefix: "/v1/chat/"},
@@ -49,7 +49,7 @@
 		require.NotNil(t, got, "%v", at)
 		require.Equal(t, want, got.Name, "%v", at)
 	}
-	require.Nil(t, NewTable(&Policy{}).Find("a.example", "/"))
+	require.Nil(t, NewTable(&Configuration{}).Find("a.example", "/"))
 }
 
 // TestPick: requests fall to services by their weights, each id always to the same one, and
@@ -75,26 +75,26 @@
 // TestRouteTerms: only what is repeatable, or a stream that may go on elsewhere, may run
 // again; times are in milliseconds.
 func TestRouteTerms(t *testing.T) {
-	require.False(t, (&Route{}).Again())
-	require.False(t, (&Route{Stream: true}).Again())
-	require.False(t, (&Route{Resumable: true}).Again(), "no stream")
-	require.True(t, (&Route{Repeatable: true}).Again())
-	require.True(t, (&Route{Stream: true, Resumable: true}).Again())
+	require.False(t, (&Route{}).MayRetry())
+	require.False(t, (&Route{Stream: true}).MayRetry())
+	require.False(t, (&Route{Resumable: true}).MayRetry(), "no stream")
+	require.True(t, (&Route{Idempotent: true}).MayRetry())
+	require.True(t, (&Route{Stream: true, Resumable: true}).MayRetry())
 	require.Equal(t, 1500*time.Millisecond, (&Route{DeadlineMs: 1500}).Deadline())
-	require.Equal(t, 20*time.Millisecond, (&Route{AimMs: 20}).Aim())
+	require.Equal(t, 20*time.Millisecond, (&Route{LatencyTargetMs: 20}).LatencyTarget())
 }
 
 // TestCheckRoutes: a policy with sound routes passes; each fault alone is refused, by the
 // route's name and its cause.
 func TestCheckRoutes(t *testing.T) {
-	sound := func() *Policy {
-		return &Policy{Services: map[string]Service{"s": {Name: "s"}, "t": {Name: "t"}}, Routes: []Route{
+	sound := func() *Configuration {
+		return &Configuration{Services: map[string]Service{"s": {Name: "s"}, "t": {Name: "t"}}, Routes: []Route{
 			{Name: "one", Host: "a.example", Prefix: "/", Service: "s", DeadlineMs: 5},
-			{Name: "two", Host: "a.example", Prefix: "/x/", Split: []Share{{"s", 0}, {"t", 2}}, Tries: 2, DeadlineMs: 5},
+			{Name: "two", Host: "a.example", Prefix: "/x/", Split: []Share{{"s", 0}, {"t", 2}}, MaxAttempts: 2, DeadlineMs: 5},
 		}}
 	}
 	require.NoError(t, sound().CheckRoutes())
-	require.NoError(t, (&Policy{}).CheckRoutes())
+	require.NoError(t, (&Configuration{}).CheckRoutes())
 	for says, f := range map[string]func(r *Route){
 		`unknown service "gone"`:                 func(r *Route) { r.Split = []Share{{"gone", 1}} },
 		`a weight is below 0`:                    func(r *Route) { r.Split = []Share{{"s", 3}, {"t", -1}} },
@@ -110,7 +110,7 @@
 		`unknown service ""`:                     func(r *Route) { r.Split = nil },
 		`deadlineMs must be above 0`:             func(r *Route) { r.DeadlineMs = 0 },
 		`routes.two: deadlineMs must be above 0`: func(r *Route) { r.DeadlineMs = -3 },
-		`tries is below 0`:                       func(r *Route) { r.Tries = -1 },
+		`tries is below 0`:                       func(r *Route) { r.MaxAttempts = -1 },
 	} {
 		p := sound()
 		f(&p.Routes[1])
@@ -137,29 +137,29 @@
 // TestWholeRoutes: a CUE policy with routes and services is filled with the defaults, reads
 // back as itself, and keeps what was said; a policy without them stays without.
 func TestWholeRoutes(t *testing.T) {
-	p, text, err := Whole("r.cue", []byte(routed))
+	p, text, err := ParseComplete("r.cue", []byte(routed))
 	require.NoError(t, err)
 	one, two := p.Routes[0], p.Routes[1]
-	require.Equal(t, 1, one.Tries)
-	require.Equal(t, 4000, one.AimMs, "the deadline")
+	require.Equal(t, 1, one.MaxAttempts)
+	require.Equal(t, 4000, one.LatencyTargetMs, "the deadline")
 	require.Equal(t, 5, one.Urgency)
-	require.False(t, one.Stream || one.Repeatable || one.Resumable || one.Apart)
-	require.Equal(t, Route{Name: "two", Host: "a.example", Prefix: "/v1/", Split: []Share{{"s", 3}, {"t", 1}}, Stream: true, Resumable: true, Apart: true,
-		Tries: 4, DeadlineMs: 9000, AimMs: 300, GapMs: 40, Urgency: 8}, two)
+	require.False(t, one.Stream || one.Idempotent || one.Resumable || one.Disaggregated)
+	require.Equal(t, Route{Name: "two", Host: "a.example", Prefix: "/v1/", Split: []Share{{"s", 3}, {"t", 1}}, Stream: true, Resumable: true, Disaggregated: true,
+		MaxAttempts: 4, DeadlineMs: 9000, LatencyTargetMs: 300, TokenIntervalMs: 40, Urgency: 8}, two)
 	require.Equal(t, "s", p.Services["s"].Name, "named by its key")
-	require.Equal(t, 2.5, p.Services["t"].WarmRate)
+	require.Equal(t, 2.5, p.Services["t"].SlowStartRate)
 	require.Equal(t, []string{"m"}, p.Services["t"].Models)
-	require.Equal(t, Intake{HeaderBytes: 16384, BodyBytes: 4194304, HeaderWaitMs: 3000, IdleMs: 15000}, p.Intake)
-	again, second, err := Whole("r.json", text)
+	require.Equal(t, ClientLimits{HeaderBytes: 16384, BodyBytes: 4194304, HeaderWaitMs: 3000, IdleMs: 15000}, p.ClientLimits)
+	again, second, err := ParseComplete("r.json", text)
 	require.NoError(t, err)
 	require.JSONEq(t, string(text), string(second))
 	require.Equal(t, NewTable(p).Find("a.example", "/v1/x").Name, NewTable(again).Find("a.example", "/v1/x").Name)
-	read, err := Plain(text)
+	read, err := ReadPlain(text)
 	require.NoError(t, err)
 	require.NoError(t, read.CheckRoutes())
 	require.Equal(t, two, read.Routes[1])
 
-	bare, text, err := Whole("s.cue", []byte(small))
+	bare, text, err := ParseComplete("s.cue", []byte(small))
 	require.NoError(t, err)
 	require.Empty(t, bare.Routes)
 	var fields map[string]any
@@ -171,7 +171,7 @@
 // TestWholeRefuses: what the schema or the check over routes forbids is refused, with the
 // field in the error.
 func TestWholeRefuses(t *testing.T) {
-	_, whole, err := Whole("r.cue", []byte(routed))
+	_, complete, err := ParseComplete("r.cue", []byte(routed))
 	require.NoError(t, err)
 	for part, says := range map[string]string{
 		`{routes: [{name: "x", host: "h", prefix: "v1/", service: "s", deadlineMs: 5}]}`:                      "prefix",
@@ -196,9 +196,9 @@
 	} {
 		b, err := Source("part.cue", []byte(part))
 		require.NoError(t, err, part)
-		merged, err := Merge(whole, b)
+		merged, err := Merge(complete, b)
 		require.NoError(t, err)
-		_, _, err = Whole("part.cue", merged)
+		_, _, err = ParseComplete("part.cue", merged)
 		require.ErrorContains(t, err, says, part)
 		require.True(t, failure.Is(err, failure.InvalidArgument), part)
 	}
@@ -208,7 +208,7 @@
 // also where it touches routes, services or the intake: no change is lost in silence, and
 // none that is refused over all is taken.
 func TestOverRoutes(t *testing.T) {
-	_, whole, err := Whole("r.cue", []byte(routed))
+	_, complete, err := ParseComplete("r.cue", []byte(routed))
 	require.NoError(t, err)
 	for _, part := range []string{
 		`{limits: queue: 9}`, `{services: u: slots: 3}`, `{services: t: slots: 12}`, `{intake: bodyBytes: 77}`, `{zones: ["a", "b"]}`,
@@ -220,10 +220,10 @@
 	} {
 		src, err := Source("part", []byte(part))
 		require.NoError(t, err, part)
-		merged, err := Merge(whole, src)
+		merged, err := Merge(complete, src)
 		require.NoError(t, err, part)
-		_, want, e1 := Whole("part", merged)
-		_, got, e2 := Over("part", whole, src)
+		_, want, e1 := ParseComplete("part", merged)
+		_, got, e2 := Overlay("part", complete, src)
 		require.Equal(t, e1 == nil, e2 == nil, "%s: %v / %v", part, e1, e2)
 		require.Equal(t, string(want), string(got), part)
 	}
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -16,94 +16,94 @@
 	"keelstair.example/logging"
 )
 
-// Sight is one frozen state of the view.
-type Sight struct {
-	Version   ids.Version
-	Policy    *Policy
-	Table     *Table
-	Text      []byte
-	Newest    ids.Version
-	Zones     map[ids.Zone]bool
-	Drained   map[ids.WorkerID]bool
-	Turning   map[ids.WorkerID]ids.Role
-	Failbacks map[ids.Zone]Failback
-	Set       *Deal // the program set in force, if the core has one
+// Snapshot is one frozen state of the view.
+type Snapshot struct {
+	Version       ids.Version
+	Configuration *Configuration
+	Table         *Table
+	Text          []byte
+	Newest        ids.Version
+	Zones         map[ids.Zone]bool
+	Drained       map[ids.WorkerID]bool
+	RoleChanges   map[ids.WorkerID]ids.Role
+	Failbacks     map[ids.Zone]Failback
+	Programs      *CompiledPrograms // the program set in force, if the core has one
 	// Register says who is cleared for governed work; nil without regimes. Bare is the
 	// same without revocations. Revoked has their serials: true once in force everywhere.
-	Register *certification.Register
-	Bare     *certification.Register
-	Revoked  map[string]bool
+	Register  *certification.Register
+	Unrevoked *certification.Register
+	Revoked   map[string]bool
 }
 
-// kept is a version as it was read, once.
-type kept struct {
-	policy *Policy
-	text   []byte
+// parsedVersion is a version as it was read, once.
+type parsedVersion struct {
+	configuration *Configuration
+	text          []byte
 }
 
-// Deal is one program set, compiled.
-type Deal struct {
-	Version ids.Version
-	Policy  *Policy
-	Deck    *routing.ProgramSet
+// CompiledPrograms is one program set, compiled.
+type CompiledPrograms struct {
+	Version       ids.Version
+	Configuration *Configuration
+	Set           *routing.ProgramSet
 }
 
 // View is a coordination.Follower. Ready is called with every policy as it is staged,
 // so that programs are compiled before they are in force.
 type View struct {
-	Ready func(ids.Version, *Policy)
+	Ready func(ids.Version, *Configuration)
 	Ring  *logging.Ring
-	Read  Reader // Plain, if it is not set: makes a policy of a text
+	Read  ConfigurationReader // Plain, if it is not set: makes a policy of a text
 	// Scores of programs; where it is not set, program sets are not compiled.
 	Scores *routing.Scores
 
-	mu    sync.Mutex
-	state *State
-	kept  map[ids.Version]kept
-	sets  map[ids.Version]*Deal
-	sight atomic.Pointer[Sight]
-	heard atomic.Uint64
+	mu          sync.Mutex
+	state       *State
+	parsed      map[ids.Version]parsedVersion
+	programSets map[ids.Version]*CompiledPrograms
+	current     atomic.Pointer[Snapshot]
+	highest     atomic.Uint64
 }
 
 func NewView(ring *logging.Ring) *View {
-	v := &View{Ring: ring, state: newState(true, Depth{}), kept: map[ids.Version]kept{}, sets: map[ids.Version]*Deal{}}
-	v.sight.Store(&Sight{Policy: &Policy{}, Table: NewTable(&Policy{}), Zones: map[ids.Zone]bool{}, Drained: map[ids.WorkerID]bool{}})
+	v := &View{Ring: ring, state: newState(true, Retention{}), parsed: map[ids.Version]parsedVersion{}, programSets: map[ids.Version]*CompiledPrograms{}}
+	v.current.Store(&Snapshot{Configuration: &Configuration{}, Table: NewTable(&Configuration{}), Zones: map[ids.Zone]bool{}, Drained: map[ids.WorkerID]bool{}})
 	return v
 }
 
-func (v *View) Sight() *Sight { return v.sight.Load() }
+func (v *View) Current() *Snapshot { return v.current.Load() }
 
-// Heard notes a version that someone else knows. It tells whether this node
+// NoteVersion notes a version that someone else knows. It tells whether this node
 // may pick under what it has.
-func (v *View) Heard(n ids.Version) bool {
+func (v *View) NoteVersion(n ids.Version) bool {
 	for {
-		old := v.heard.Load()
-		if uint64(n) <= old {
+		previous := v.highest.Load()
+		if uint64(n) <= previous {
 			break
 		}
-		if v.heard.CompareAndSwap(old, uint64(n)) {
+		if v.highest.CompareAndSwap(previous, uint64(n)) {
 			v.mu.Lock()
-			v.show()
+			v.publish()
 			v.mu.Unlock()
 			break
 		}
 	}
-	return uint64(v.sight.Load().Version) >= v.heard.Load()
+	return uint64(v.current.Load().Version) >= v.highest.Load()
 }
 
-// Known is the newest version heard of.
-func (v *View) Known() ids.Version { return ids.Version(v.heard.Load()) }
+// HighestVersion is the newest version heard of.
+func (v *View) HighestVersion() ids.Version { return ids.Version(v.highest.Load()) }
 
-// Settled tells whether nothing newer than the version in force was heard of.
-func (v *View) Settled() bool { return uint64(v.sight.Load().Version) >= v.heard.Load() }
+// UpToDate tells whether nothing newer than the version in force was heard of.
+func (v *View) UpToDate() bool { return uint64(v.current.Load().Version) >= v.highest.Load() }
 
 func (v *View) Restore(open []byte) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if err := v.state.load(open); err != nil {
+	if err := v.state.decode(open); err != nil {
 		return err
 	}
-	v.show()
+	v.publish()
 	return nil
 }
 
@@ -113,93 +113,93 @@
 	if _, err := v.state.Apply(kind, body); err != nil && err != coordination.ErrUnchanged {
 		v.Ring.Error().AnErr("cause", err).Str("kind", kind).Msg("news does not fold")
 	}
-	loud := false
+	urgent := false
 	switch kind {
-	case StageKind, ActivateKind, StageProgramsKind, ActivateProgramsKind, VacateKind, DrainKind, TurnKind, RevokeKind, SealKind:
-		loud = true
-		v.show()
+	case PrepareKind, CommitKind, PrepareProgramsKind, CommitProgramsKind, EvacuateKind, DrainKind, RoleChangeKind, RevokeKind, ConfirmRevocationKind:
+		urgent = true
+		v.publish()
 	}
-	return loud
+	return urgent
 }
 
 func (v *View) Snapshot() []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return coordination.MustMarshal(v.state.image(true))
+	return coordination.MustMarshal(v.state.encode(true))
 }
 
-// Claims lists the open claims by owner.
-func (v *View) Claims() map[string]Deed {
+// OpenClaims lists the open claims by owner.
+func (v *View) OpenClaims() map[string]IdempotencyRecord {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	out := make(map[string]Deed, len(v.state.deeds))
-	for k, d := range v.state.deeds {
+	out := make(map[string]IdempotencyRecord, len(v.state.records))
+	for k, d := range v.state.records {
 		out[k] = d
 	}
 	return out
 }
 
-// Deeds tells how many deeds there are, and how many there may be.
-func (v *View) Deeds() (count, most int) {
+// RecordCount tells how many deeds there are, and how many there may be.
+func (v *View) RecordCount() (count, limit int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.state.count, v.sight.Load().Policy.Limits.Deeds
+	return v.state.recordCount, v.current.Load().Configuration.Limits.MaxRecords
 }
 
-// show swaps in the next sight. Old streams keep the sight they began with.
-func (v *View) show() {
+// publish swaps in the next sight. Old streams keep the sight they began with.
+func (v *View) publish() {
 	all := v.state.all()
 	now := v.state.active
 	for i, r := range all {
-		if _, ok := v.kept[r.Version]; !ok && len(r.Text) > 0 {
+		if _, ok := v.parsed[r.Version]; !ok && len(r.Text) > 0 {
 			read := v.Read
 			if read == nil {
-				read = Plain
+				read = ReadPlain
 			}
-			text := unpack(r.Text)
+			text := decompress(r.Text)
 			p, err := read(text)
 			if err != nil {
 				v.Ring.Error().AnErr("cause", err).Msg("policy cannot be read")
 				continue
 			}
-			v.kept[r.Version] = kept{p, text}
+			v.parsed[r.Version] = parsedVersion{p, text}
 			if v.Ready != nil {
 				v.Ready(r.Version, p)
 			}
 		}
-		if i > 0 && uint64(r.Version) <= v.heard.Load() {
+		if i > 0 && uint64(r.Version) <= v.highest.Load() {
 			now = r
 		}
 	}
-	if old := v.sight.Load(); old.Version > now.Version {
-		now = Ruled{old.Version, old.Text}
+	if previous := v.current.Load(); previous.Version > now.Version {
+		now = VersionedText{previous.Version, previous.Text}
 	}
-	for n := range v.kept {
+	for n := range v.parsed {
 		if n < now.Version {
-			delete(v.kept, n)
+			delete(v.parsed, n)
 		}
 	}
-	k := v.kept[now.Version]
-	if k.policy == nil {
-		k.text = unpack(now.Text)
+	k := v.parsed[now.Version]
+	if k.configuration == nil {
+		k.text = decompress(now.Text)
 	}
-	s := &Sight{Version: now.Version, Policy: k.policy, Text: k.text, Newest: all[len(all)-1].Version,
-		Zones: map[ids.Zone]bool{}, Drained: map[ids.WorkerID]bool{}, Turning: maps.Clone(v.state.turning), Failbacks: maps.Clone(v.state.failbacks), Set: v.deal()}
-	if s.Policy == nil {
-		s.Policy = &Policy{}
+	s := &Snapshot{Version: now.Version, Configuration: k.configuration, Text: k.text, Newest: all[len(all)-1].Version,
+		Zones: map[ids.Zone]bool{}, Drained: map[ids.WorkerID]bool{}, RoleChanges: maps.Clone(v.state.roleChanges), Failbacks: maps.Clone(v.state.failbacks), Programs: v.compilePrograms()}
+	if s.Configuration == nil {
+		s.Configuration = &Configuration{}
 	}
-	if old := v.sight.Load(); old.Policy == s.Policy && old.Table != nil {
-		s.Table, s.Bare = old.Table, old.Bare
+	if previous := v.current.Load(); previous.Configuration == s.Configuration && previous.Table != nil {
+		s.Table, s.Unrevoked = previous.Table, previous.Unrevoked
 	} else {
-		s.Table = NewTable(s.Policy)
+		s.Table = NewTable(s.Configuration)
 		var err error
-		if s.Bare, err = s.Policy.Register(); err != nil {
+		if s.Unrevoked, err = s.Configuration.Register(); err != nil {
 			v.Ring.Error().AnErr("cause", err).Msg("certificates that do not hold are left out")
 		}
 	}
-	if s.Bare != nil {
+	if s.Unrevoked != nil {
 		s.Revoked = maps.Clone(v.state.revoked)
-		s.Register = s.Bare.WithRevoked(s.Revoked)
+		s.Register = s.Unrevoked.WithRevoked(s.Revoked)
 	}
 	for z := range v.state.zones {
 		s.Zones[z] = true
@@ -207,39 +207,39 @@
 	for w := range v.state.drained {
 		s.Drained[w] = true
 	}
-	v.sight.Store(s)
-	if uint64(now.Version) > v.heard.Load() {
-		v.heard.Store(uint64(now.Version))
+	v.current.Store(s)
+	if uint64(now.Version) > v.highest.Load() {
+		v.highest.Store(uint64(now.Version))
 	}
 }
 
-// deal compiles the program sets as they are staged, and gives the one in force. One that
+// compilePrograms compiles the program sets as they are staged, and gives the one in force. One that
 // does not compile here leaves the one before it in force.
-func (v *View) deal() *Deal {
-	old := v.sight.Load().Set
+func (v *View) compilePrograms() *CompiledPrograms {
+	previous := v.current.Load().Programs
 	if v.Scores == nil {
 		return nil
 	}
 	for _, r := range v.state.programs.all() {
-		if _, ok := v.sets[r.Version]; ok || r.Version == 0 {
+		if _, ok := v.programSets[r.Version]; ok || r.Version == 0 {
 			continue
 		}
-		p, deck, err := Set(r.Text, v.Scores)
+		p, set, err := CompileProgramSet(r.Text, v.Scores)
 		if err != nil {
 			v.Ring.Error().AnErr("cause", err).Uint64("version", uint64(r.Version)).Msg("programs do not compile; those before them serve")
-			v.sets[r.Version] = nil
+			v.programSets[r.Version] = nil
 			continue
 		}
-		v.sets[r.Version] = &Deal{r.Version, p, deck}
+		v.programSets[r.Version] = &CompiledPrograms{r.Version, p, set}
 	}
 	now := v.state.programs.active.Version
-	for n := range v.sets {
+	for n := range v.programSets {
 		if n < now {
-			delete(v.sets, n)
+			delete(v.programSets, n)
 		}
 	}
-	if d := v.sets[now]; d != nil && (old == nil || d.Version > old.Version) {
+	if d := v.programSets[now]; d != nil && (previous == nil || d.Version > previous.Version) {
 		return d
 	}
-	return old
+	return previous
 }
--- a/internal/fleetstate/failback_test.go
+++ b/internal/fleetstate/zones_test.go
@@ -29,17 +29,17 @@
 		}
 	}
 	vacate := func(out bool, ms ...*Machine) {
-		do(VacateKind, coordination.MustMarshal(&Vacate{Zone: "z", Out: out}), ms...)
+		do(EvacuateKind, coordination.MustMarshal(&Evacuate{Zone: "z", Evacuated: out}), ms...)
 	}
 	tells := func(m *Machine) Failback {
 		t.Helper()
 		v := NewView(nil)
 		require.NoError(t, v.Restore(m.Snapshot(true)))
-		return v.Sight().Failbacks["z"]
+		return v.Current().Failbacks["z"]
 	}
 	lead, backup := fresh(), fresh()
-	do(StageKind, coordination.MustMarshal(&Stage{Text: text}), lead, backup)
-	do(ActivateKind, coordination.MustMarshal(&Activate{1}), lead, backup)
+	do(PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: text}), lead, backup)
+	do(CommitKind, coordination.MustMarshal(&CommitVersion{1}), lead, backup)
 	vacate(true, lead, backup)
 	require.Zero(t, tells(lead))
 	vacate(false, lead, backup)
@@ -61,7 +61,7 @@
 
 	due := lead.Due(at(107.1), seq, seq)
 	require.Len(t, due, 1)
-	require.Equal(t, WarmedKind, due[0].Kind)
+	require.Equal(t, SlowStartEndedKind, due[0].Kind)
 	vacate(true, lead, backup)
 	vacate(false, lead, backup)
 	require.Equal(t, coordination.ErrUnchanged, func() error { _, err := lead.Apply(seq+1, due[0].Kind, due[0].Body); return err }(), "it speaks of an earlier time")
--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -91,7 +91,7 @@
 }
 
 // pressed reckons how a service stands.
-func (n *Node) pressed(svc *fleetstate.Service, ros *roster, s *fleetstate.Sight) *pressure {
+func (n *Node) pressed(svc *fleetstate.Service, ros *roster, s *fleetstate.Snapshot) *pressure {
 	now := n.now()
 	if v, ok := n.gate.views.Load(svc.Name); ok && !now.Past(v.(*pressure).at, admitView) {
 		return v.(*pressure)
@@ -137,10 +137,10 @@
 }
 
 // admit refuses a request that would come late while places are short.
-func (t *trip) admit(s *fleetstate.Sight) error {
+func (t *trip) admit(s *fleetstate.Snapshot) error {
 	n, now := t.n, t.n.now()
 	ros := n.roster.Load()
-	if n.opt.Admit < 0 || !t.route.Apart || t.last != "" || now.Past(ros.at, listOld) {
+	if n.opt.Admit < 0 || !t.route.Disaggregated || t.last != "" || now.Past(ros.at, listOld) {
 		return nil
 	}
 	p := n.pressed(t.svc, ros, s)
@@ -148,7 +148,7 @@
 		return nil
 	}
 	due := p.ahead + float64(t.r.Prompt)/n.opt.Pace
-	aim := max(1, float64((t.route.Aim()-now.Since(t.r.At))/time.Millisecond))
+	aim := max(1, float64((t.route.LatencyTarget()-now.Since(t.r.At))/time.Millisecond))
 	rank := 0
 	for _, u := range n.tabled(ros, s).ranks[t.svc.Name] {
 		if u > t.route.Urgency {
--- a/internal/proxy/admit_test.go
+++ b/internal/proxy/admit_test.go
@@ -41,9 +41,9 @@
 
 func (c crowd) policy() []byte {
 	route := func(name, prefix string, urgency int) fleetstate.Route {
-		return fleetstate.Route{Name: name, Host: routeHost, Prefix: prefix, Service: "svc", Apart: true, Stream: true, Tries: 2, DeadlineMs: 3000, AimMs: int(crowdAim / time.Millisecond), GapMs: 200, Urgency: urgency}
+		return fleetstate.Route{Name: name, Host: routeHost, Prefix: prefix, Service: "svc", Disaggregated: true, Stream: true, MaxAttempts: 2, DeadlineMs: 3000, LatencyTargetMs: int(crowdAim / time.Millisecond), TokenIntervalMs: 200, Urgency: urgency}
 	}
-	return policy([]fleetstate.Route{route("urgent", "/stream/now/", 0), route("patient", "/stream/then/", 7)}, fleetstate.Service{Name: "svc", Slots: 8, TurnMs: 1000})
+	return policy([]fleetstate.Route{route("urgent", "/stream/now/", 0), route("patient", "/stream/then/", 7)}, fleetstate.Service{Name: "svc", Concurrency: 8, RoleChangeMs: 1000})
 }
 
 // run gives all callers with their ends, and the yard's book.
@@ -305,7 +305,7 @@
 	t    *testing.T
 	n    *Node
 	list []Worker
-	s    *fleetstate.Sight
+	s    *fleetstate.Snapshot
 }
 
 func newGated(t *testing.T) *gated {
@@ -313,11 +313,11 @@
 	require.NoError(t, err)
 	n.opt.Admit = 2
 	g := &gated{t: t, n: n, list: many(8)}
-	p := &fleetstate.Policy{Services: map[string]fleetstate.Service{"s": {Name: "s"}}}
+	p := &fleetstate.Configuration{Services: map[string]fleetstate.Service{"s": {Name: "s"}}}
 	for _, u := range []int{0, 7} {
-		p.Routes = append(p.Routes, fleetstate.Route{Name: fmt.Sprint("u", u), Host: routeHost, Prefix: fmt.Sprintf("/u%d/", u), Service: "s", Apart: true, DeadlineMs: 3000, AimMs: 500, Urgency: u})
+		p.Routes = append(p.Routes, fleetstate.Route{Name: fmt.Sprint("u", u), Host: routeHost, Prefix: fmt.Sprintf("/u%d/", u), Service: "s", Disaggregated: true, DeadlineMs: 3000, LatencyTargetMs: 500, Urgency: u})
 	}
-	g.s = &fleetstate.Sight{Policy: p}
+	g.s = &fleetstate.Snapshot{Configuration: p}
 	n.take(g.list, n.now(), n.now())
 	return g
 }
@@ -340,9 +340,9 @@
 func (g *gated) asks(count, route int, form func(t *trip)) int {
 	out := 0
 	for i := range count {
-		svc := g.s.Policy.Services["s"]
+		svc := g.s.Configuration.Services["s"]
 		r := &Request{ID: fmt.Sprint("r", i), Prompt: 1000, Most: 4, At: g.n.now(), Parts: []Part{{fmt.Sprint("own", i), 1000}}}
-		t := &trip{n: g.n, r: r, route: &g.s.Policy.Routes[route], svc: &svc, end: g.n.now().Add(3 * time.Second)}
+		t := &trip{n: g.n, r: r, route: &g.s.Configuration.Routes[route], svc: &svc, end: g.n.now().Add(3 * time.Second)}
 		if form != nil {
 			form(t)
 		}
@@ -397,7 +397,7 @@
 		require.Equal(t, 200, g.asks(200, patient, nil), "all have turned something away just now")
 		require.Greater(t, g.asks(200, urgent, nil), 0)
 		require.Zero(t, g.asks(200, patient, func(t *trip) { t.last = "7" }), "a stream goes on")
-		require.Zero(t, g.asks(200, patient, func(t *trip) { r := *t.route; r.Apart = false; t.route = &r }))
+		require.Zero(t, g.asks(200, patient, func(t *trip) { r := *t.route; r.Disaggregated = false; t.route = &r }))
 		old := *g.n.roster.Load()
 		old.at = g.n.now().Add(-listOld - time.Second)
 		g.n.roster.Store(&old)
--- a/internal/proxy/alarm_test.go
+++ b/internal/proxy/alarm_test.go
@@ -213,8 +213,8 @@
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 2, 2)...)
 		routes := ways()
-		routes[1].AimMs, routes[1].DeadlineMs = 3000, 9000
-		f := build(t, 56, 1, y, policy(routes, fleetstate.Service{Name: "svc", Slots: 16}), func(o *Options) { o.Allow = 60 })
+		routes[1].LatencyTargetMs, routes[1].DeadlineMs = 3000, 9000
+		f := build(t, 56, 1, y, policy(routes, fleetstate.Service{Name: "svc", Concurrency: 16}), func(o *Options) { o.Allow = 60 })
 		defer f.close()
 		y.at(func() { y.of("svc-decode-0").dark = true })
 		all := f.load(60, 250*time.Millisecond, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/again/x", 400, 20) })
--- a/internal/proxy/budget_test.go
+++ b/internal/proxy/budget_test.go
@@ -94,7 +94,7 @@
 
 // warming is a service whose cold workers bear four requests a second.
 func warming() []byte {
-	return policy(ways(), fleetstate.Service{Name: "svc", Slots: 16, WarmMs: 6000, WarmRate: 4})
+	return policy(ways(), fleetstate.Service{Name: "svc", Concurrency: 16, SlowStartMs: 6000, SlowStartRate: 4})
 }
 
 const coldMost = 11 // 1.5 x 4 + 5
@@ -132,7 +132,7 @@
 func TestColdManyNodes(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 3, 3)...)
-		f := build(t, 29, 9, y, policy(ways(), fleetstate.Service{Name: "svc", Slots: 16, WarmMs: 6000, WarmRate: 0.4}), nil)
+		f := build(t, 29, 9, y, policy(ways(), fleetstate.Service{Name: "svc", Concurrency: 16, SlowStartMs: 6000, SlowStartRate: 0.4}), nil)
 		defer f.close()
 		y.at(func() {
 			for _, name := range []string{"svc-decode-1", "svc-prefill-2"} {
@@ -225,7 +225,7 @@
 		y := newYard(both("svc", 4, 4)...)
 		f := build(t, 26, 2, y, warming(), nil)
 		defer f.close()
-		f.submit(fleetstate.VacateKind, &fleetstate.Vacate{Zone: "b", Out: true})
+		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 		time.Sleep(3 * time.Second)
 		f.wg.Go(func() {
 			time.Sleep(2 * time.Second)
@@ -236,7 +236,7 @@
 					}
 				}
 			})
-			f.submit(fleetstate.VacateKind, &fleetstate.Vacate{Zone: "b", Out: false})
+			f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: false})
 		})
 		f.load(400, 6*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 300, 2) })
 		require.Empty(t, coldRate(y.book(), coldMost))
@@ -246,7 +246,7 @@
 // chilled takes a zone back, of which all workers turn cold at their first request.
 func (f *fleet) chilled(z ids.Zone) {
 	f.y.at(func() { f.y.chill = map[ids.Zone]time.Duration{z: 6 * time.Second} })
-	f.submit(fleetstate.VacateKind, &fleetstate.Vacate{Zone: z, Out: false})
+	f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: z, Evacuated: false})
 }
 
 func (f *fleet) ready() bool {
@@ -269,7 +269,7 @@
 				y := newYard(both("svc", 4, 4)...)
 				f := build(t, 27, 3, y, warming(), nil)
 				defer f.close()
-				f.submit(fleetstate.VacateKind, &fleetstate.Vacate{Zone: "b", Out: true})
+				f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 				time.Sleep(3 * time.Second)
 				f.chilled("b")
 				anew := func() {
@@ -300,7 +300,7 @@
 				anew()
 				for _, n := range f.up() {
 					require.Empty(t, n.sight().Failbacks)
-					require.Zero(t, n.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{WarmMs: 6000}, n.now(), n.now()))
+					require.Zero(t, n.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{SlowStartMs: 6000}, n.now(), n.now()))
 				}
 			})
 		})
@@ -315,9 +315,9 @@
 		y := newYard(both("svc", 4, 4)...)
 		f := build(t, 28, 3, y, warming(), nil)
 		defer f.close()
-		f.submit(fleetstate.VacateKind, &fleetstate.Vacate{Zone: "b", Out: true})
+		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 		time.Sleep(3 * time.Second)
-		f.submit(fleetstate.VacateKind, &fleetstate.Vacate{Zone: "b", Out: false})
+		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: false})
 		from := time.Now()
 		time.Sleep(4 * time.Second)
 		left := func(i int) time.Duration {
@@ -325,7 +325,7 @@
 			n := f.node(i)
 			require.True(t, f.until(10*time.Second, f.ready))
 			n.sight()
-			return n.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{WarmMs: 6000}, n.now(), n.now())
+			return n.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{SlowStartMs: 6000}, n.now(), n.now())
 		}
 		got := left(0)
 		require.GreaterOrEqual(t, got, time.Until(from.Add(7*time.Second)))
@@ -349,7 +349,7 @@
 		}
 		cut(true)
 		time.Sleep(time.Second)
-		f.submit(fleetstate.VacateKind, &fleetstate.Vacate{Zone: "b", Out: true})
+		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 		time.Sleep(5*time.Second + time.Duration(seed)*270*time.Millisecond)
 		f.chilled("b")
 		time.Sleep(200 * time.Millisecond)
--- a/internal/proxy/carry.go
+++ b/internal/proxy/carry.go
@@ -69,7 +69,7 @@
 	if route == nil {
 		return n.refuse(http.StatusNotFound, 0, "no route")
 	}
-	svc, ok := s.Policy.Services[route.Pick(r.ID)]
+	svc, ok := s.Configuration.Services[route.Pick(r.ID)]
 	if !ok {
 		return n.refuse(http.StatusNotFound, 0, "no service")
 	}
@@ -77,7 +77,7 @@
 	if r.Wait > 0 {
 		wait = min(wait, r.Wait)
 	}
-	t := &trip{n: n, r: r, route: route, svc: &svc, deck: n.deal(s).Deck, sink: sink, end: r.At.Add(wait), tried: map[ids.WorkerID]bool{}, last: r.From}
+	t := &trip{n: n, r: r, route: route, svc: &svc, deck: n.deal(s).Set, sink: sink, end: r.At.Add(wait), tried: map[ids.WorkerID]bool{}, last: r.From}
 	t.marks, _ = marks(r)
 	n.budget.ask(n.now())
 	cx, stop := context.WithTimeout(ctx, wait)
@@ -109,11 +109,11 @@
 func (t *trip) run(ctx context.Context) error {
 	var src *Source
 	var why error
-	if t.route.Apart && t.last == "" {
+	if t.route.Disaggregated && t.last == "" {
 		src, why = t.read(ctx)
 	}
 	for {
-		if ctx.Err() != nil || t.ran && !t.route.Again() {
+		if ctx.Err() != nil || t.ran && !t.route.MayRetry() {
 			t.drop(src)
 			return t.giveUp(why, http.StatusGatewayTimeout)
 		}
@@ -132,7 +132,7 @@
 			t.ran = true
 			t.drop(src)
 			src = nil
-			if !t.route.Again() || t.begun && !t.route.Resumable || errors.Is(err, errCaller) {
+			if !t.route.MayRetry() || t.begun && !t.route.Resumable || errors.Is(err, errCaller) {
 				return t.giveUp(err, http.StatusBadGateway)
 			}
 		case failure.DataLost:
@@ -183,12 +183,12 @@
 }
 
 func (t *trip) after() time.Duration {
-	return min(max(150*time.Millisecond, t.route.Aim()/4), max(50*time.Millisecond, t.left()/4))
+	return min(max(150*time.Millisecond, t.route.LatencyTarget()/4), max(50*time.Millisecond, t.left()/4))
 }
 
 // pay counts one more sending, and takes it from the shared budget unless it is the first.
 func (t *trip) pay() bool {
-	if t.sends >= max(1, t.route.Tries) || (t.sends > 0 || t.extra) && !t.n.spend() {
+	if t.sends >= max(1, t.route.MaxAttempts) || (t.sends > 0 || t.extra) && !t.n.spend() {
 		return false
 	}
 	t.extra = false
@@ -319,7 +319,7 @@
 			from = &src.Worker
 		}
 		for _, c := range t.n.emitters(t.deck, t.n.sight(), t.svc, t.r, from, t.tried) {
-			if t.sends >= max(1, t.route.Tries) {
+			if t.sends >= max(1, t.route.MaxAttempts) {
 				break
 			}
 			if !t.send(&c, 0) {
@@ -355,7 +355,7 @@
 			round--
 			continue
 		}
-		if t.sends >= max(1, t.route.Tries) {
+		if t.sends >= max(1, t.route.MaxAttempts) {
 			return nil, nil, failure.New(failure.Unavailable, "emit", t.svc.Name, "no try is left")
 		}
 		if round > 2 || !host.Sleep(ctx, 30*time.Millisecond) {
@@ -387,10 +387,10 @@
 }
 
 // again tells whether this try may run once more.
-func (t *trip) again() bool { return t.route.Again() && t.sends < max(1, t.route.Tries) }
+func (t *trip) again() bool { return t.route.MayRetry() && t.sends < max(1, t.route.MaxAttempts) }
 
 // patience is how long an emitting worker may say nothing before a request that may run
 // again goes elsewhere.
 func (t *trip) patience() time.Duration {
-	return max(t.n.opt.Silence, 2*t.route.Aim())
+	return max(t.n.opt.Silence, 2*t.route.LatencyTarget())
 }
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -18,14 +18,14 @@
 
 func (f *fleet) inForce(v ids.Version) bool {
 	for _, b := range f.up() {
-		if b.view.Sight().Version != v {
+		if b.view.Current().Version != v {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *fleet) newest(t *testing.T) fleetstate.Ruled {
+func (f *fleet) newest(t *testing.T) fleetstate.VersionedText {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
 	b := f.up()[0]
@@ -52,13 +52,13 @@
 		outcome := func(op ids.OpID, base ids.Version) (ids.Version, error) {
 			ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 			defer stop()
-			return fleetstate.Outcome(ctx, b.agent.Caller(), b.Directory(), op, fleetstate.OutcomeAsk{Base: base})
+			return fleetstate.Outcome(ctx, b.agent.Caller(), b.Directory(), op, fleetstate.OutcomeQuery{Base: base})
 		}
 		require.True(t, f.until(3*time.Second, func() bool { return f.inForce(1) }))
 		v, err := put("seven", 1, 7, `{"zones":["seven"]}`)
 		require.NoError(t, err)
 		require.EqualValues(t, 7, v)
-		require.Equal(t, fleetstate.Ruled{Version: 7, Text: []byte(`{"zones":["seven"]}`)}, f.newest(t), "staged or in force, at once")
+		require.Equal(t, fleetstate.VersionedText{Version: 7, Text: []byte(`{"zones":["seven"]}`)}, f.newest(t), "staged or in force, at once")
 		_, err = put("stale", 1, 9, `{}`)
 		require.True(t, failure.Is(err, failure.Stale), "%v", err)
 		for _, low := range []ids.Version{3, 7} {
@@ -98,12 +98,12 @@
 		for i := range 1400 {
 			routes = append(routes, fleetstate.Route{Name: fmt.Sprint("x", i), Host: fmt.Sprintf("h%d.example", i), Prefix: "/", Service: "svc"})
 		}
-		text := policy(routes, fleetstate.Service{Name: "svc", Slots: 16})
+		text := policy(routes, fleetstate.Service{Name: "svc", Concurrency: 16})
 		require.NoError(t, f.put("large", 1, 2, text))
 		require.True(t, f.until(3*time.Second, func() bool { return f.inForce(2) }))
 		require.Equal(t, text, f.newest(t).Text)
 		for _, b := range f.nodes {
-			require.Equal(t, text, b.view.Sight().Text)
+			require.Equal(t, text, b.view.Current().Text)
 			require.Less(t, len(b.view.Snapshot()), len(text)/5)
 		}
 	})
@@ -119,7 +119,7 @@
 		f.freeze(2, true)
 		require.NoError(t, f.put("two", 1, 2, plain()))
 		require.EqualValues(t, 2, f.newest(t).Version)
-		require.EqualValues(t, 1, f.nodes[0].view.Sight().Version, "only staged yet")
+		require.EqualValues(t, 1, f.nodes[0].view.Current().Version, "only staged yet")
 		f.freeze(2, false)
 		require.True(t, f.until(3*time.Second, func() bool { return f.inForce(2) }))
 	})
@@ -144,7 +144,7 @@
 			for {
 				mu.Lock()
 				for _, b := range f.up() {
-					s := b.view.Sight()
+					s := b.view.Current()
 					if s.Version < last[b.Node] {
 						faults = append(faults, fmt.Sprintf("%s went from %d to %d", b.ip, last[b.Node], s.Version))
 					}
@@ -283,8 +283,8 @@
 		}
 		require.Equal(t, []string{"404", "404", "404"}, try("a", "/new/x"))
 		require.Equal(t, []string{"svc", "svc", "svc"}, try("b", "/once/deep/x"))
-		routes := append(ways()[1:], fleetstate.Route{Name: "new", Host: routeHost, Prefix: "/new/", Service: "svc", Apart: true, Tries: 1, DeadlineMs: 3000, AimMs: 100},
-			fleetstate.Route{Name: "deep", Host: routeHost, Prefix: "/again/deep/", Service: "other", Apart: true, Tries: 1, DeadlineMs: 3000, AimMs: 100})
+		routes := append(ways()[1:], fleetstate.Route{Name: "new", Host: routeHost, Prefix: "/new/", Service: "svc", Disaggregated: true, MaxAttempts: 1, DeadlineMs: 3000, LatencyTargetMs: 100},
+			fleetstate.Route{Name: "deep", Host: routeHost, Prefix: "/again/deep/", Service: "other", Disaggregated: true, MaxAttempts: 1, DeadlineMs: 3000, LatencyTargetMs: 100})
 		require.NoError(t, f.put("two", 1, 2, policy(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})))
 		require.True(t, f.until(2*time.Second, func() bool { return f.inForce(2) }))
 		require.Equal(t, []string{"svc", "svc", "svc"}, try("c", "/new/x"))
@@ -299,7 +299,7 @@
 func TestSplit(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(append(both("svc", 2, 3), both("other", 2, 3)...)...)
-		split := fleetstate.Route{Name: "r", Host: routeHost, Prefix: "/once/", Split: []fleetstate.Share{{Service: "svc", Weight: 3}, {Service: "other", Weight: 1}, {Service: "svc", Weight: 0}}, Apart: true, Tries: 2, DeadlineMs: 4000, AimMs: 400}
+		split := fleetstate.Route{Name: "r", Host: routeHost, Prefix: "/once/", Split: []fleetstate.Share{{Service: "svc", Weight: 3}, {Service: "other", Weight: 1}, {Service: "svc", Weight: 0}}, Disaggregated: true, MaxAttempts: 2, DeadlineMs: 4000, LatencyTargetMs: 400}
 		f := build(t, 75, 2, y, policy([]fleetstate.Route{split}, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"}), nil)
 		defer f.close()
 		all := f.load(80, 5*time.Second, func(i int) *Request { return f.req(fmt.Sprint("try-", i/2), "/once/x", 200, 2) })
--- a/internal/proxy/delta_test.go
+++ b/internal/proxy/delta_test.go
@@ -24,13 +24,13 @@
 		text := func(mark int) []byte {
 			rows := ways()
 			for i := range 300 {
-				r := fleetstate.Route{Name: fmt.Sprint("x", i), Host: fmt.Sprintf("h%d.example", i*7919), Prefix: "/", Service: "svc", Tries: 1, DeadlineMs: 900}
+				r := fleetstate.Route{Name: fmt.Sprint("x", i), Host: fmt.Sprintf("h%d.example", i*7919), Prefix: "/", Service: "svc", MaxAttempts: 1, DeadlineMs: 900}
 				if i == mark*37%300 {
 					r.DeadlineMs += mark
 				}
 				rows = append(rows, r)
 			}
-			return policy(rows, fleetstate.Service{Name: "svc", Slots: 16})
+			return policy(rows, fleetstate.Service{Name: "svc", Concurrency: 16})
 		}
 		require.NoError(t, f.put("large", 1, 2, text(0)))
 		for i := 1; i < 8; i++ {
@@ -53,7 +53,7 @@
 			}
 			require.True(t, f.until(10*time.Second, func() bool { return f.inForce(v + 1) }))
 			for _, b := range f.up() {
-				require.Equal(t, string(text(i)), string(b.view.Sight().Text))
+				require.Equal(t, string(text(i)), string(b.view.Current().Text))
 			}
 			require.Equal(t, string(text(i)), string(f.newest(t).Text))
 		}
--- a/internal/proxy/eject.go
+++ b/internal/proxy/eject.go
@@ -190,7 +190,7 @@
 	part    ids.Role
 }
 
-func (n *Node) judge(s *fleetstate.Sight) {
+func (n *Node) judge(s *fleetstate.Snapshot) {
 	now := n.now()
 	groups := map[group][]*accused{}
 	ros := n.roster.Load()
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -179,10 +179,10 @@
 
 // offs tells of each worker on the node's list whether it is to get nothing new.
 func (b *testNode) offs() map[ids.WorkerID]bool {
-	s := b.view.Sight()
+	s := b.view.Current()
 	off := map[ids.WorkerID]bool{}
 	for _, w := range b.roster.Load().all {
-		_, turns := s.Turning[w.ID]
+		_, turns := s.RoleChanges[w.ID]
 		off[w.ID] = w.Leaving || turns || s.Drained[w.ID] || s.Zones[w.Zone]
 	}
 	return off
@@ -337,7 +337,7 @@
 	a := &asked{Request: r, at: f.y.now(), sink: s}
 	for _, k := range ways() {
 		if strings.HasPrefix(r.Path, k.Prefix) {
-			a.again, a.stream, a.resume = k.Again(), k.Stream, k.Resumable
+			a.again, a.stream, a.resume = k.MayRetry(), k.Stream, k.Resumable
 		}
 	}
 	f.mu.Lock()
@@ -374,15 +374,15 @@
 // ways are the routes that most tests use.
 func ways() []fleetstate.Route {
 	return []fleetstate.Route{
-		{Name: "once", Host: routeHost, Prefix: "/once/", Service: "svc", Apart: true, Tries: 3, DeadlineMs: 4000, AimMs: 400, Urgency: 5},
-		{Name: "again", Host: routeHost, Prefix: "/again/", Service: "svc", Apart: true, Repeatable: true, Tries: 3, DeadlineMs: 4000, AimMs: 400, Urgency: 5},
-		{Name: "stream", Host: routeHost, Prefix: "/stream/", Service: "svc", Apart: true, Stream: true, Tries: 3, DeadlineMs: 8000, AimMs: 400, GapMs: 60, Urgency: 5},
-		{Name: "sresume", Host: routeHost, Prefix: "/sresume/", Service: "svc", Apart: true, Stream: true, Resumable: true, Tries: 4, DeadlineMs: 8000, AimMs: 400, GapMs: 60, Urgency: 5},
+		{Name: "once", Host: routeHost, Prefix: "/once/", Service: "svc", Disaggregated: true, MaxAttempts: 3, DeadlineMs: 4000, LatencyTargetMs: 400, Urgency: 5},
+		{Name: "again", Host: routeHost, Prefix: "/again/", Service: "svc", Disaggregated: true, Idempotent: true, MaxAttempts: 3, DeadlineMs: 4000, LatencyTargetMs: 400, Urgency: 5},
+		{Name: "stream", Host: routeHost, Prefix: "/stream/", Service: "svc", Disaggregated: true, Stream: true, MaxAttempts: 3, DeadlineMs: 8000, LatencyTargetMs: 400, TokenIntervalMs: 60, Urgency: 5},
+		{Name: "sresume", Host: routeHost, Prefix: "/sresume/", Service: "svc", Disaggregated: true, Stream: true, Resumable: true, MaxAttempts: 4, DeadlineMs: 8000, LatencyTargetMs: 400, TokenIntervalMs: 60, Urgency: 5},
 	}
 }
 
 func policy(routes []fleetstate.Route, services ...fleetstate.Service) []byte {
-	p := &fleetstate.Policy{Routes: routes, Services: map[string]fleetstate.Service{}}
+	p := &fleetstate.Configuration{Routes: routes, Services: map[string]fleetstate.Service{}}
 	for _, s := range services {
 		p.Services[s.Name] = s
 	}
@@ -390,7 +390,9 @@
 	return b
 }
 
-func plain() []byte { return policy(ways(), fleetstate.Service{Name: "svc", Slots: 16, TurnMs: 1000}) }
+func plain() []byte {
+	return policy(ways(), fleetstate.Service{Name: "svc", Concurrency: 16, RoleChangeMs: 1000})
+}
 
 // bubble runs a test in a bubble of its own, where time is free.
 func bubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
--- a/internal/proxy/hearsay.go
+++ b/internal/proxy/hearsay.go
@@ -99,7 +99,7 @@
 	t.at, t.total, t.by = now, map[ids.WorkerID]Outcomes{}, map[ids.NodeID][]Outcomes{}
 	t.add(n.me.Node, n.weighed(n.myOutcomes()))
 	t.add(fromAbove, n.heardAbove(now).outcomes)
-	holder, _, _ := n.agent.KeyOwner(fleetstate.RosterKey)
+	holder, _, _ := n.agent.KeyOwner(fleetstate.WorkerListKey)
 	counts := n.tree().tellersTo(n.me, holder, n.agent.Members())
 	n.told.Range(func(k, v any) bool {
 		if o := v.(told); counts(k.(ids.NodeID)) && !now.Past(o.at, 2*readSpan) && len(o.outcomes)+len(o.below) > 0 {
--- a/internal/proxy/ledger_test.go
+++ b/internal/proxy/ledger_test.go
@@ -89,12 +89,12 @@
 	n.take(old, now, now)
 	n.stands("s", now, map[ids.WorkerID]stood{"w.1": {Used: 999, Room: 1000, Running: 5}}, true)
 	r := &Request{ID: "r", Prompt: 800, Most: 16}
-	row := n.emitters(n.first.Deck, n.view.Sight(), service("s"), r, nil, nil)
+	row := n.emitters(n.first.Set, n.view.Current(), service("s"), r, nil, nil)
 	require.Equal(t, 1, row[0].free)
 	require.Greater(t, row[0].cost, n.opt.NoRoom)
 	row[0].take(r, r.Most, now)
 	n.take([]Worker{{ID: "w.2", Service: "s", Zone: "a", Part: ids.Decode, Slots: 8}}, now, now)
-	row = n.emitters(n.first.Deck, n.view.Sight(), service("s"), r, nil, nil)
+	row = n.emitters(n.first.Set, n.view.Current(), service("s"), r, nil, nil)
 	require.Zero(t, row[0].room, "nothing is known of the new life")
 	require.Less(t, row[0].cost, n.opt.NoRoom)
 	_, all := n.board.since(0, old, now, every)
@@ -199,7 +199,7 @@
 // listHolder gives the number of the node that holds the list's duty, or -1.
 func (f *fleet) listHolder() int {
 	for i, b := range f.nodes {
-		if _, ok := b.agent.OwnsKey(fleetstate.RosterKey); ok && b.up {
+		if _, ok := b.agent.OwnsKey(fleetstate.WorkerListKey); ok && b.up {
 			return i
 		}
 	}
@@ -254,7 +254,7 @@
 	}
 	n.take(list, now, now)
 	n.stands("s", now, rows, true)
-	row := n.emitters(n.first.Deck, n.view.Sight(), service("s"), &Request{ID: "r", Prompt: 800, Most: 16}, nil, nil)
+	row := n.emitters(n.first.Set, n.view.Current(), service("s"), &Request{ID: "r", Prompt: 800, Most: 16}, nil, nil)
 	for i, c := range row {
 		require.Equal(t, wid(3-i), c.w.ID)
 		require.Equal(t, 4000-1000+100*(3-i), c.free)
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -27,7 +27,7 @@
 
 func (f *fleet) lister() int {
 	for i, b := range f.nodes {
-		if _, ok := b.agent.OwnsKey(fleetstate.RosterKey); ok && b.up {
+		if _, ok := b.agent.OwnsKey(fleetstate.WorkerListKey); ok && b.up {
 			return i
 		}
 	}
--- a/internal/proxy/list_tree.go
+++ b/internal/proxy/list_tree.go
@@ -153,7 +153,7 @@
 // tree is the shape of the fleet's tree as this node knows it.
 func (n *Node) tree() treeShape {
 	t := treeShape{n.opt.Flat, n.opt.Width, map[ids.NodeID]bool{}}
-	for name := range n.sight().Policy.Services {
+	for name := range n.sight().Configuration.Services {
 		if m, _, ok := n.agent.KeyOwner(fleetstate.ServiceKey(name)); ok {
 			t.direct[m.Node] = true
 		}
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -29,32 +29,32 @@
 	Host    host.Host
 	Ring    *logging.Ring
 	Back    Backend
-	Read    fleetstate.Reader // of the operators' text; fleetstate.Plain
-	Deck    []routing.Source  // routing programs until the core has a set, beside the built-in order
-	Steps   uint64            // 20000: that one of these may take for one request
-	Lease   time.Duration     // 3s
-	Renew   time.Duration     // 500ms
-	Share   time.Duration     // 250ms between tellings of what is under way
-	Roster  time.Duration     // 700ms between askings of the list of workers
-	Rate    float64           // 0: askings of the list a second that all nodes have; 0 is no bound
-	Ratio   float64           // 0.2: repeats for each request
-	Window  time.Duration     // 10s over which repeats are counted
-	Allow   int               // 0: repeats that all nodes have besides
-	Over    float64           // 1.5: of a cold worker's rate
-	Spare   int               // 5: requests besides that in a second
-	Silence time.Duration     // 900ms: a reading worker that says nothing is left
-	Pace    float64           // 50: prompt tokens that a worker reads in a ms
-	Turn    time.Duration     // 500ms between looks at whether a worker should change its part; below 0 never
-	Rest    float64           // 0.55: of a service's workers read while nothing is under way; below 0 none is turned for it
-	Eject   time.Duration     // 2s: that a worker whose failures stand out is left out at first; below 0 never
-	Out     float64           // 0.34: of a service's part may be out at once, by failures
-	Say     float64           // 4: sendings that another node's word of a worker counts for; below 0 none is heard
-	NoRoom  float64           // 5: ms that a worker counts as farther that lacks all the memory needed; below 0 none
-	Admit   float64           // 3: times its aim that a request may be reckoned to take before some are refused early; below 0 none is
-	Fresh   time.Duration     // 1s: the age of what is known of workers beyond which none is refused early
-	Callers int               // 4096: refused callers that are remembered
-	Flat    int               // 96: nodes up to which all ask the holder of the list
-	Width   int               // 12: nodes that ask one other in a larger fleet
+	Read    fleetstate.ConfigurationReader // of the operators' text; fleetstate.Plain
+	Deck    []routing.Source               // routing programs until the core has a set, beside the built-in order
+	Steps   uint64                         // 20000: that one of these may take for one request
+	Lease   time.Duration                  // 3s
+	Renew   time.Duration                  // 500ms
+	Share   time.Duration                  // 250ms between tellings of what is under way
+	Roster  time.Duration                  // 700ms between askings of the list of workers
+	Rate    float64                        // 0: askings of the list a second that all nodes have; 0 is no bound
+	Ratio   float64                        // 0.2: repeats for each request
+	Window  time.Duration                  // 10s over which repeats are counted
+	Allow   int                            // 0: repeats that all nodes have besides
+	Over    float64                        // 1.5: of a cold worker's rate
+	Spare   int                            // 5: requests besides that in a second
+	Silence time.Duration                  // 900ms: a reading worker that says nothing is left
+	Pace    float64                        // 50: prompt tokens that a worker reads in a ms
+	Turn    time.Duration                  // 500ms between looks at whether a worker should change its part; below 0 never
+	Rest    float64                        // 0.55: of a service's workers read while nothing is under way; below 0 none is turned for it
+	Eject   time.Duration                  // 2s: that a worker whose failures stand out is left out at first; below 0 never
+	Out     float64                        // 0.34: of a service's part may be out at once, by failures
+	Say     float64                        // 4: sendings that another node's word of a worker counts for; below 0 none is heard
+	NoRoom  float64                        // 5: ms that a worker counts as farther that lacks all the memory needed; below 0 none
+	Admit   float64                        // 3: times its aim that a request may be reckoned to take before some are refused early; below 0 none is
+	Fresh   time.Duration                  // 1s: the age of what is known of workers beyond which none is refused early
+	Callers int                            // 4096: refused callers that are remembered
+	Flat    int                            // 96: nodes up to which all ask the holder of the list
+	Width   int                            // 12: nodes that ask one other in a larger fleet
 	// Drain is called once as the node leaves: it lets no caller in any more, and returns
 	// when those that are in were answered or the context ends.
 	Drain func(context.Context) error
@@ -128,8 +128,8 @@
 	view        *fleetstate.View
 	counts      Counts
 	budget      budget
-	scores      routing.Scores   // outlive the programs' sets
-	first       *fleetstate.Deal // rules until the core has a set
+	scores      routing.Scores               // outlive the programs' sets
+	first       *fleetstate.CompiledPrograms // rules until the core has a set
 	roster      atomic.Pointer[roster]
 	states      sync.Map // ids.WorkerID -> *state
 	warm        warm
@@ -147,7 +147,7 @@
 	table       atomic.Pointer[table]
 	gate        gate
 	tide        handoff.Tide
-	seen        atomic.Pointer[fleetstate.Sight]
+	seen        atomic.Pointer[fleetstate.Snapshot]
 	seeing      sync.Mutex
 	inflight    atomic.Int64
 	leaving     atomic.Bool
@@ -163,7 +163,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.first = &fleetstate.Deal{Deck: deck}
+	n.first = &fleetstate.CompiledPrograms{Set: deck}
 	n.me = coordination.Member{Node: ids.NodeID(opt.Name + "-" + coordination.NewID()), Addr: opt.Addr, Zone: opt.Zone}
 	n.view = fleetstate.NewView(opt.Ring)
 	n.view.Read, n.view.Scores = opt.Read, &n.scores
@@ -185,7 +185,7 @@
 func (n *Node) Counts() *Counts { return &n.counts }
 
 // Intake tells what callers may send under the version in force.
-func (n *Node) Intake() fleetstate.Intake { return n.sight().Policy.Intake }
+func (n *Node) Intake() fleetstate.ClientLimits { return n.sight().Configuration.ClientLimits }
 
 // Mount puts the node's answers to its peers on a mux.
 func (n *Node) Mount(mux *http.ServeMux) {
@@ -241,9 +241,9 @@
 }
 
 // deal is the program set that a sight has, else the one the node began with.
-func (n *Node) deal(s *fleetstate.Sight) *fleetstate.Deal {
-	if s.Set != nil {
-		return s.Set
+func (n *Node) deal(s *fleetstate.Snapshot) *fleetstate.CompiledPrograms {
+	if s.Programs != nil {
+		return s.Programs
 	}
 	return n.first
 }
@@ -258,16 +258,16 @@
 
 // sight is what is in force. A zone that was taken back is noted before anything is sent
 // there, since its workers may have turned cold.
-func (n *Node) sight() *fleetstate.Sight {
-	s := n.view.Sight()
+func (n *Node) sight() *fleetstate.Snapshot {
+	s := n.view.Current()
 	if n.seen.Load() == s {
 		return s
 	}
 	n.seeing.Lock()
 	defer n.seeing.Unlock()
 	for z, f := range s.Failbacks {
-		if v, ok := n.backs.Load(z); !ok || v.(failback).no != f.No {
-			n.backs.Store(z, failback{f.No, n.now().Add(-time.Duration(f.Ago))})
+		if v, ok := n.backs.Load(z); !ok || v.(failback).no != f.Number {
+			n.backs.Store(z, failback{f.Number, n.now().Add(-time.Duration(f.Ago))})
 		}
 	}
 	n.seen.Store(s)
--- a/internal/proxy/operate.go
+++ b/internal/proxy/operate.go
@@ -52,14 +52,14 @@
 	}
 	var base []byte
 	if a.Partial {
-		img, err := fleetstate.Look(cx, o.Call, o.Directory)
+		img, err := fleetstate.ReadState(cx, o.Call, o.Directory)
 		if err != nil {
 			return nil, api.Fate(err, comeBack)
 		}
-		top, _ := img.Set()
+		top, _ := img.ProgramSet()
 		if uint64(top.Version) != a.Base {
 			// The base has moved on, perhaps by this very operation.
-			v, err := fleetstate.Outcome(cx, o.Call, o.Directory, op, fleetstate.OutcomeAsk{Base: ids.Version(a.Base), Programs: true})
+			v, err := fleetstate.Outcome(cx, o.Call, o.Directory, op, fleetstate.OutcomeQuery{Base: ids.Version(a.Base), Programs: true})
 			if failure.Is(err, failure.Stale) {
 				return nil, api.Stale(a.Base, uint64(top.Version))
 			}
@@ -89,7 +89,7 @@
 	cx, stop := context.WithTimeout(ctx, forceWait)
 	defer stop()
 	for {
-		if img, err := fleetstate.Look(cx, o.Call, o.Directory); err == nil && img.Programs.Version >= v {
+		if img, err := fleetstate.ReadState(cx, o.Call, o.Directory); err == nil && img.Programs.Version >= v {
 			return &api.Applied{Version: uint64(v), Active: true}, nil
 		}
 		if !host.Sleep(cx, 50*time.Millisecond) {
@@ -105,7 +105,7 @@
 	}
 	cx, stop := context.WithTimeout(ctx, operatorWait)
 	defer stop()
-	if err := fleetstate.Mark(cx, o.Call, o.Directory, ids.OpID(zoneOps+m.Op), ids.Zone(zone), m.Out); err != nil {
+	if err := fleetstate.SetEvacuated(cx, o.Call, o.Directory, ids.OpID(zoneOps+m.Op), ids.Zone(zone), m.Out); err != nil {
 		return nil, api.Fate(err, comeBack)
 	}
 	return &api.Applied{Active: true}, nil
@@ -133,11 +133,11 @@
 func (o *Operator) Shown(ctx context.Context) (*api.Shown, error) {
 	cx, stop := context.WithTimeout(ctx, operatorWait)
 	defer stop()
-	img, err := fleetstate.Look(cx, o.Call, o.Directory)
+	img, err := fleetstate.ReadState(cx, o.Call, o.Directory)
 	if err != nil {
 		return nil, err
 	}
-	top, _ := img.Set()
+	top, _ := img.ProgramSet()
 	return &api.Shown{Version: uint64(img.Programs.Version), Newest: uint64(top.Version), Policy: fleetstate.SetText(img.Programs),
 		Zones: append([]string{}, img.Zones...), Drained: append([]string{}, img.Drained...)}, nil
 }
--- a/internal/proxy/pass.go
+++ b/internal/proxy/pass.go
@@ -39,9 +39,9 @@
 		if g.mute != nil {
 			g.mute.Stop()
 		}
-		g.ask.Reset(hush + time.Duration(g.t.route.GapMs)*time.Millisecond)
+		g.ask.Reset(hush + time.Duration(g.t.route.TokenIntervalMs)*time.Millisecond)
 		if g.give != nil {
-			g.give.Reset(max(600*time.Millisecond, 3*time.Duration(g.t.route.GapMs)*time.Millisecond))
+			g.give.Reset(max(600*time.Millisecond, 3*time.Duration(g.t.route.TokenIntervalMs)*time.Millisecond))
 		}
 	}
 	return k, err
@@ -90,7 +90,7 @@
 	if reply.Status/100 == 5 {
 		t.n.outcome(c, false)
 	}
-	if reply.Status/100 == 5 && t.route.Again() && t.sends < t.route.Tries {
+	if reply.Status/100 == 5 && t.route.MayRetry() && t.sends < t.route.MaxAttempts {
 		c.st.fault(t.n.now())
 		return failure.New(failure.OutcomeUnknown, "pass", c.w.Addr, "status %d", reply.Status)
 	}
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -102,7 +102,7 @@
 
 // cleared lists the workers of a service that may get new work of a part now. Those that
 // are to be left alone come only if no other is there.
-func (n *Node) cleared(s *fleetstate.Sight, svc *fleetstate.Service, part ids.Role, tried map[ids.WorkerID]bool) []choice {
+func (n *Node) cleared(s *fleetstate.Snapshot, svc *fleetstate.Service, part ids.Role, tried map[ids.WorkerID]bool) []choice {
 	var good, out, shy []choice
 	now := n.now()
 	ros := n.roster.Load()
@@ -146,7 +146,7 @@
 // bears tells whether a worker may get a request now, and the pause before another one if
 // it is cold. To a node that is cut off any may be cold.
 func (n *Node) bears(w *Worker, svc *fleetstate.Service, got, now ids.Tick) (time.Duration, bool) {
-	if n.coldFor(w, svc, got, now) <= 0 && (svc.WarmRate <= 0 || !n.unheard(now)) {
+	if n.coldFor(w, svc, got, now) <= 0 && (svc.SlowStartRate <= 0 || !n.unheard(now)) {
 		return 0, true
 	}
 	gap, ok := n.gap(w.ID, svc)
@@ -167,7 +167,7 @@
 // nodes together stay under what it bears; where there are more nodes than it bears
 // requests, only some may send.
 func (n *Node) gap(id ids.WorkerID, svc *fleetstate.Service) (time.Duration, bool) {
-	bound := int(svc.WarmRate*n.opt.Over) + n.opt.Spare - 2
+	bound := int(svc.SlowStartRate*n.opt.Over) + n.opt.Spare - 2
 	peers := int(math.Round(1 / n.share()))
 	if per := bound / peers; per > 1 {
 		return time.Second/time.Duration(per-1) + 20*time.Millisecond, true
@@ -186,7 +186,7 @@
 }
 
 // readers orders the workers that may read a prompt.
-func (n *Node) readers(deck *routing.ProgramSet, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, tried map[ids.WorkerID]bool) []choice {
+func (n *Node) readers(deck *routing.ProgramSet, s *fleetstate.Snapshot, svc *fleetstate.Service, r *Request, tried map[ids.WorkerID]bool) []choice {
 	list := n.cleared(s, svc, ids.Prefill, tried)
 	ms, toks := marks(r)
 	row := n.tabled(n.roster.Load(), s).by[role{svc.Name, ids.Prefill}]
@@ -218,7 +218,7 @@
 }
 
 // emitters orders the workers that may emit the answer, near the memory and near here.
-func (n *Node) emitters(deck *routing.ProgramSet, s *fleetstate.Sight, svc *fleetstate.Service, r *Request, from *Worker, tried map[ids.WorkerID]bool) []choice {
+func (n *Node) emitters(deck *routing.ProgramSet, s *fleetstate.Snapshot, svc *fleetstate.Service, r *Request, from *Worker, tried map[ids.WorkerID]bool) []choice {
 	list := n.cleared(s, svc, ids.Decode, tried)
 	now := n.now()
 	for i := range list {
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -22,7 +22,7 @@
 	list := many(40)
 	list[7].Part = ""
 	list[9].Service = "other"
-	sights := []*fleetstate.Sight{{}, {Zones: map[ids.Zone]bool{"b": true}}, {Drained: map[ids.WorkerID]bool{list[2].ID: true}}, {Turning: map[ids.WorkerID]ids.Role{list[4].ID: ids.Decode}}}
+	sights := []*fleetstate.Snapshot{{}, {Zones: map[ids.Zone]bool{"b": true}}, {Drained: map[ids.WorkerID]bool{list[2].ID: true}}, {RoleChanges: map[ids.WorkerID]ids.Role{list[4].ID: ids.Decode}}}
 	for k := range 6 {
 		now := n.now()
 		if k > 0 {
@@ -92,13 +92,13 @@
 			n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 			require.NoError(b, err)
 			n.take(many(workers), n.now(), n.now())
-			s, svc := n.view.Sight(), service("s")
+			s, svc := n.view.Current(), service("s")
 			r := &Request{ID: "9c41d07be2a35f68", Prompt: 9190, Most: 4, Body: make([]byte, 20_000),
 				Parts: []Part{{"5c1e07a2", 800}, {"91bd3f06", 5500}, {"e4402b7d", 2890}}}
 			b.ReportAllocs()
 			for b.Loop() {
-				n.readers(n.first.Deck, s, svc, r, nil)
-				n.emitters(n.first.Deck, s, svc, r, nil, nil)
+				n.readers(n.first.Set, s, svc, r, nil)
+				n.emitters(n.first.Set, s, svc, r, nil, nil)
 			}
 		})
 	}
--- a/internal/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -39,10 +39,10 @@
 					switch how {
 					case "drained":
 						for _, id := range gone {
-							f.submit(fleetstate.DrainKind, &fleetstate.Drain{Worker: id, Out: true})
+							f.submit(fleetstate.DrainKind, &fleetstate.Drain{Worker: id, Drained: true})
 						}
 					case "evacuated":
-						f.submit(fleetstate.VacateKind, &fleetstate.Vacate{Zone: "b", Out: true})
+						f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 					}
 					at = y.now()
 				})
--- a/internal/proxy/program_test.go
+++ b/internal/proxy/program_test.go
@@ -30,7 +30,7 @@
 		y.prep = func(n *Node) {
 			deck, err := routing.NewProgramSet(n.opt.Deck, n.opt.Steps, scores)
 			require.NoError(t, err)
-			n.first.Deck = deck
+			n.first.Set = deck
 		}
 		f := build(t, 61, 2, y, plain(), func(o *Options) { o.Deck = programs; o.Steps = 5000; o.Allow = 40 })
 		defer f.close()
--- a/internal/proxy/rate_test.go
+++ b/internal/proxy/rate_test.go
@@ -40,7 +40,7 @@
 	n.take(list, 1, 1)
 	got := map[string]int{}
 	for i := range 3000 {
-		row := n.emitters(n.first.Deck, n.view.Sight(), service("s"), &Request{ID: string(wid(i)) + "q"}, nil, nil)
+		row := n.emitters(n.first.Set, n.view.Current(), service("s"), &Request{ID: string(wid(i)) + "q"}, nil, nil)
 		got[string(row[0].w.ID)]++
 	}
 	require.Len(t, got, 60)
--- a/internal/proxy/roster.go
+++ b/internal/proxy/roster.go
@@ -30,7 +30,7 @@
 	f := &follower{n: n, failed: map[ids.NodeID]ids.Tick{}}
 	for ctx.Err() == nil {
 		wait := n.opt.Roster
-		holder, _, ok := n.agent.KeyOwner(fleetstate.RosterKey)
+		holder, _, ok := n.agent.KeyOwner(fleetstate.WorkerListKey)
 		switch {
 		case ok && holder.Node == n.me.Node:
 			n.above.Store(nil)
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -42,8 +42,8 @@
 }
 
 // fit tells whether a worker may get new work under a sight.
-func fit(s *fleetstate.Sight, w *Worker) bool {
-	_, turning := s.Turning[w.ID]
+func fit(s *fleetstate.Snapshot, w *Worker) bool {
+	_, turning := s.RoleChanges[w.ID]
 	return !w.Leaving && !turning && !s.Zones[w.Zone] && !s.Drained[w.ID]
 }
 
@@ -57,7 +57,7 @@
 func (n *Node) coldFor(w *Worker, svc *fleetstate.Service, got, now ids.Tick) time.Duration {
 	left := w.Cold - now.Since(got)
 	if v, ok := n.backs.Load(w.Zone); ok {
-		left = max(left, svc.WarmSpan()-now.Since(v.(failback).at))
+		left = max(left, svc.SlowStart()-now.Since(v.(failback).at))
 	}
 	return max(left, 0)
 }
--- a/internal/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -36,7 +36,7 @@
 func setOf(list ...routing.Source) string {
 	p := map[string]fleetstate.Program{}
 	for _, s := range list {
-		p[s.Name] = fleetstate.Program{Source: s.Text, Share: s.Share, Shadow: s.Shadow, Turns: s.ChangesRoles}
+		p[s.Name] = fleetstate.Program{Source: s.Text, Share: s.Share, Shadow: s.Shadow, ChangesRoles: s.ChangesRoles}
 	}
 	b, _ := json.Marshal(map[string]any{"programs": p})
 	return string(b)
@@ -64,7 +64,7 @@
 // dealt tells whether every node has a set in force.
 func (f *fleet) dealt(v ids.Version) bool {
 	for _, b := range f.up() {
-		if s := b.view.Sight().Set; s == nil || s.Version != v {
+		if s := b.view.Current().Programs; s == nil || s.Version != v {
 			return false
 		}
 	}
@@ -250,11 +250,11 @@
 		require.NoError(t, err, "again")
 		require.EqualValues(t, 2, got.Version)
 		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(2) }))
-		require.Equal(t, []string{"a", "b"}, f.nodes[0].view.Sight().Set.Policy.Names())
+		require.Equal(t, []string{"a", "b"}, f.nodes[0].view.Current().Programs.Configuration.Names())
 		_, err = f.apply("none", 2, `{"programs":{}}`)
 		require.NoError(t, err)
 		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(3) }))
-		require.False(t, f.nodes[0].deal(f.nodes[0].sight()).Deck.HasPrograms())
+		require.False(t, f.nodes[0].deal(f.nodes[0].sight()).Set.HasPrograms())
 	})
 }
 
@@ -321,7 +321,7 @@
 		require.EqualValues(t, 2, sh.Newest)
 		require.Contains(t, string(sh.Policy), `"two"`)
 		for _, b := range f.up() {
-			require.Equal(t, "two", b.deal(b.sight()).Deck.ProgramFor("x"))
+			require.Equal(t, "two", b.deal(b.sight()).Set.ProgramFor("x"))
 		}
 	})
 }
@@ -376,7 +376,7 @@
 		_, err := f.apply("one", 0, setOf(routing.Source{Name: "one", Share: 100, Text: first(0)}))
 		require.NoError(t, err)
 		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(1) }))
-		f.submit(fleetstate.StageProgramsKind, &fleetstate.Stage{Base: 1, Text: []byte(setOf(routing.Source{Name: "x", Share: 100, Text: "def"}))})
+		f.submit(fleetstate.PrepareProgramsKind, &fleetstate.PrepareVersion{Base: 1, Text: []byte(setOf(routing.Source{Name: "x", Share: 100, Text: "def"}))})
 		time.Sleep(2 * time.Second)
 		require.True(t, f.dealt(1))
 		require.NoError(t, f.ask(f.nodes[0], f.req("r", "/once/x", 400, 2)).err)
@@ -494,7 +494,7 @@
 		_, err := o.Evacuate(ctx, "b", &api.Mark{Op: coordination.NewID(), Out: true})
 		require.NoError(t, err)
 		require.Equal(t, []string{"b"}, f.shown().Zones)
-		require.True(t, f.until(2*time.Second, func() bool { return f.nodes[0].view.Sight().Zones["b"] }))
+		require.True(t, f.until(2*time.Second, func() bool { return f.nodes[0].view.Current().Zones["b"] }))
 		_, err = o.Evacuate(ctx, "b", &api.Mark{Op: coordination.NewID()})
 		require.NoError(t, err)
 		require.Equal(t, []string{}, f.shown().Zones)
--- a/internal/proxy/table.go
+++ b/internal/proxy/table.go
@@ -28,13 +28,13 @@
 
 type table struct {
 	seq   uint64
-	sight *fleetstate.Sight
+	sight *fleetstate.Snapshot
 	by    map[role][]entry
 	ranks map[string][]int // by service: the urgencies of its routes, least urgent first
 }
 
 // tabled gives the table of a list under a sight.
-func (n *Node) tabled(ros *roster, s *fleetstate.Sight) *table {
+func (n *Node) tabled(ros *roster, s *fleetstate.Snapshot) *table {
 	if t := n.table.Load(); t != nil && t.seq == ros.seq && t.sight == s {
 		return t
 	}
@@ -53,18 +53,18 @@
 	return t
 }
 
-func ranks(s *fleetstate.Sight) map[string][]int {
+func ranks(s *fleetstate.Snapshot) map[string][]int {
 	out := map[string][]int{}
 	add := func(service string, urgency int) {
 		if !slices.Contains(out[service], urgency) {
 			out[service] = append(out[service], urgency)
 		}
 	}
-	if s.Policy == nil {
+	if s.Configuration == nil {
 		return out
 	}
-	for i := range s.Policy.Routes {
-		r := &s.Policy.Routes[i]
+	for i := range s.Configuration.Routes {
+		r := &s.Configuration.Routes[i]
 		add(r.Service, r.Urgency)
 		for _, p := range r.Split {
 			add(p.Service, r.Urgency)
--- a/internal/proxy/turn.go
+++ b/internal/proxy/turn.go
@@ -56,7 +56,7 @@
 	turns := map[ids.WorkerID]*turn{}
 	for host.Sleep(ctx, n.opt.Turn) {
 		s := n.sight()
-		for name := range s.Policy.Services {
+		for name := range s.Configuration.Services {
 			key := fleetstate.ServiceKey(name)
 			fence, ok := n.agent.OwnsKey(key)
 			if !ok {
@@ -69,17 +69,17 @@
 				duties[name] = d
 			}
 			if n.now().Past(d.since, n.opt.Lease+n.opt.Lease/5) {
-				svc := s.Policy.Services[name]
+				svc := s.Configuration.Services[name]
 				n.look(ctx, s, &svc, key, d, turns)
 			}
 		}
 	}
 }
 
-func (n *Node) submitTurn(ctx context.Context, t *fleetstate.Turn) bool {
+func (n *Node) submitTurn(ctx context.Context, t *fleetstate.RoleChange) bool {
 	cx, stop := context.WithTimeout(ctx, 700*time.Millisecond)
 	defer stop()
-	_, err := n.agent.Submit(cx, ids.OpID("turn/"+coordination.NewID()), fleetstate.TurnKind, coordination.MustMarshal(t))
+	_, err := n.agent.Submit(cx, ids.OpID("turn/"+coordination.NewID()), fleetstate.RoleChangeKind, coordination.MustMarshal(t))
 	return err == nil
 }
 
@@ -89,21 +89,21 @@
 }
 
 // look asks the workers, ends turns that are over, and begins one where it helps.
-func (n *Node) look(ctx context.Context, s *fleetstate.Sight, svc *fleetstate.Service, key ids.Key, d *duty, turns map[ids.WorkerID]*turn) {
+func (n *Node) look(ctx context.Context, s *fleetstate.Snapshot, svc *fleetstate.Service, key ids.Key, d *duty, turns map[ids.WorkerID]*turn) {
 	ros := n.roster.Load()
 	listed := map[ids.WorkerID]*Worker{}
 	mine := false
 	for i := range ros.all {
 		if w := &ros.all[i]; w.Service == svc.Name {
 			listed[w.ID] = w
-			if _, on := s.Turning[w.ID]; on {
+			if _, on := s.RoleChanges[w.ID]; on {
 				mine = true
 			}
 		}
 	}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	for id, to := range s.Turning {
+	for id, to := range s.RoleChanges {
 		w, t := listed[id], turns[id]
 		if t == nil { // an earlier holder began it
 			t = &turn{began: n.now(), sent: true}
@@ -111,7 +111,7 @@
 		}
 		wg.Go(func() {
 			if w == nil && !n.elsewhere(id) || w != nil && n.over(ctx, w, to, key, d, t) {
-				if n.submitTurn(ctx, &fleetstate.Turn{Worker: id, Done: true}) {
+				if n.submitTurn(ctx, &fleetstate.RoleChange{Worker: id, Done: true}) {
 					mu.Lock()
 					defer mu.Unlock()
 					delete(turns, id)
@@ -139,7 +139,7 @@
 	some, to := choose(rows, read, emit, n.opt.Rest)
 	some, to = n.wish(n.deal(s), svc, d, rows, some, to)
 	for _, w := range some {
-		if n.submitTurn(ctx, &fleetstate.Turn{Worker: w.w.ID, To: to}) {
+		if n.submitTurn(ctx, &fleetstate.RoleChange{Worker: w.w.ID, To: to}) {
 			turns[w.w.ID] = &turn{began: n.now(), after: w.Orders}
 			d.turned[w.w.ID] = n.now()
 			n.opt.Ring.Info().Str("worker", string(w.w.ID)).Str("to", string(to)).Float64("read", read).Float64("emit", emit).Msg("turns a worker")
@@ -178,7 +178,7 @@
 }
 
 // reports asks all workers that may be counted on, side by side.
-func (n *Node) reports(ctx context.Context, s *fleetstate.Sight, listed map[ids.WorkerID]*Worker) []report {
+func (n *Node) reports(ctx context.Context, s *fleetstate.Snapshot, listed map[ids.WorkerID]*Worker) []report {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var out []report
@@ -218,7 +218,7 @@
 		d.read += 0.4 * (float64(prompts)/float64(readers) - d.read)
 	}
 	if emitters > 0 && room > 0 {
-		taken := max(float64(streams)/float64(emitters*max(1, svc.Slots)), float64(used)/float64(room))
+		taken := max(float64(streams)/float64(emitters*max(1, svc.Concurrency)), float64(used)/float64(room))
 		d.emit += 0.4 * (taken - d.emit)
 	}
 	return d.read, d.emit
--- a/internal/proxy/turn_test.go
+++ b/internal/proxy/turn_test.go
@@ -118,7 +118,7 @@
 func TestNoTurnNeeded(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(append(both("svc", 3, 3), stands("free", "", 3)...)...)
-		text := policy(append(ways(), fleetstate.Route{Name: "f", Host: routeHost, Prefix: "/free/", Service: "free", Tries: 2, DeadlineMs: 4000, AimMs: 400}), fleetstate.Service{Name: "svc", Slots: 16}, fleetstate.Service{Name: "free", Slots: 16})
+		text := policy(append(ways(), fleetstate.Route{Name: "f", Host: routeHost, Prefix: "/free/", Service: "free", MaxAttempts: 2, DeadlineMs: 4000, LatencyTargetMs: 400}), fleetstate.Service{Name: "svc", Concurrency: 16}, fleetstate.Service{Name: "free", Concurrency: 16})
 		f := build(t, 42, 2, y, text, turning)
 		defer f.close()
 		f.load(20, 10*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), []string{"/once/x", "/free/x"}[i%2], 400, 4) })
@@ -171,7 +171,7 @@
 		y.at(func() { y.lean = nil })
 		require.True(t, f.until(30*time.Second, func() bool {
 			for _, b := range f.up() {
-				if len(b.view.Sight().Turning) > 0 {
+				if len(b.view.Current().RoleChanges) > 0 {
 					return false
 				}
 			}
@@ -204,7 +204,7 @@
 				defer f.close()
 				y.pressed(ids.Prefill, 6)
 				require.True(t, f.until(15*time.Second, func() bool {
-					return len(f.nodes[0].view.Sight().Turning) > 0 && (!ordered || len(orders(y.book())) > 0)
+					return len(f.nodes[0].view.Current().RoleChanges) > 0 && (!ordered || len(orders(y.book())) > 0)
 				}))
 				h := f.holder()
 				require.GreaterOrEqual(t, h, 0)
@@ -212,7 +212,7 @@
 				y.at(func() { y.lean = nil })
 				all := f.load(20, 25*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
 				for _, b := range f.up() {
-					require.Empty(t, b.view.Sight().Turning, "the next holder ended it")
+					require.Empty(t, b.view.Current().RoleChanges, "the next holder ended it")
 				}
 				require.Empty(t, leftAlone(y.book(), 100*time.Millisecond))
 				require.Empty(t, onceOnly(y.book(), all))
--- a/internal/proxy/wish.go
+++ b/internal/proxy/wish.go
@@ -11,8 +11,8 @@
 )
 
 // wish gives the workers that the program in charge has turned, else the built-in choice.
-func (n *Node) wish(deal *fleetstate.Deal, svc *fleetstate.Service, d *duty, rows []report, some []*report, to ids.Role) ([]*report, ids.Role) {
-	if !deal.Deck.HasPrograms() {
+func (n *Node) wish(deal *fleetstate.CompiledPrograms, svc *fleetstate.Service, d *duty, rows []report, some []*report, to ids.Role) ([]*report, ids.Role) {
+	if !deal.Set.HasPrograms() {
 		return some, to
 	}
 	count := map[ids.Role]int{}
@@ -23,8 +23,8 @@
 		return some, to
 	}
 	dwell := turnDwell
-	if deal.Policy != nil {
-		dwell = max(dwell, deal.Policy.Limits.Dwell())
+	if deal.Configuration != nil {
+		dwell = max(dwell, deal.Configuration.Limits.Dwell())
 	}
 	now := n.now()
 	// Both parts are pressed from the same press on.
@@ -33,13 +33,13 @@
 	for _, r := range rows {
 		at, was := d.turned[r.w.ID]
 		p.Workers = append(p.Workers, routing.RoleCandidate{ID: r.w.ID, Zone: r.w.Zone, Role: r.Part, HomeRole: r.Part, Busy: r.Running + r.Waiting, Work: r.Running,
-			MaxConcurrent: svc.Slots, Free: max(0, r.Room-r.Used), Capacity: r.Room, Allowed: count[r.Part] > least(len(rows)) && (!was || now.Past(at, dwell))})
+			MaxConcurrent: svc.Concurrency, Free: max(0, r.Room-r.Used), Capacity: r.Room, Allowed: count[r.Part] > least(len(rows)) && (!was || now.Past(at, dwell))})
 	}
 	var own routing.RoleChange
 	if len(some) > 0 {
 		own = routing.RoleChange{Worker: some[0].w.ID, To: to}
 	}
-	w, ok, ruled := deal.Deck.ResolveRoleChange(p, own, len(some) > 0)
+	w, ok, ruled := deal.Set.ResolveRoleChange(p, own, len(some) > 0)
 	switch {
 	case !ruled:
 		return some, to
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -79,9 +79,9 @@
 }
 
 // seized is the record of a deed that is settled for a node that died.
-func (n *Node) seized(d *fleetstate.Deed, fate string) []byte {
+func (n *Node) seized(d *fleetstate.IdempotencyRecord, fate string) []byte {
 	kind, _, _ := strings.Cut(d.Key, "/")
-	h := &hands{n: n, kind: kind, regime: n.view.Sight().Register.Governs(kind)}
+	h := &hands{n: n, kind: kind, regime: n.view.Current().Register.Governs(kind)}
 	if h.regime == "" {
 		return nil
 	}
@@ -94,11 +94,11 @@
 func (n *Node) Audits(ctx context.Context, from, most int) (*api.Audits, error) {
 	cx, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(cx, "", fleetstate.AuditsKind, coordination.MustMarshal(&fleetstate.Audits{From: from, Most: most}))
+	r, err := n.agent.Submit(cx, "", fleetstate.AuditQueryKind, coordination.MustMarshal(&fleetstate.AuditQuery{From: from, Limit: most}))
 	if err != nil {
 		return nil, n.fate(err)
 	}
-	var got fleetstate.AuditsReply
+	var got fleetstate.AuditQueryReply
 	if _, err := got.UnmarshalMsg(r.Body); err != nil {
 		return nil, failure.As(err, failure.OutcomeUnknown, "read audit", "core")
 	}
--- a/internal/router/beat_note.go
+++ b/internal/router/beat_note.go
@@ -9,8 +9,8 @@
 //msgp:shim ids.WorkerID as:string using:string/ids.WorkerID
 //msgp:shim ids.NodeID as:string using:string/ids.NodeID
 //msgp:shim ids.Fence as:uint64 using:uint64/ids.Fence
-//msgp:shim ids.Life as:string using:string/ids.Life
-//msgp:shim ids.Part as:string using:string/ids.Part
+//msgp:shim ids.Incarnation as:string using:string/ids.Incarnation
+//msgp:shim ids.Role as:string using:string/ids.Role
 
 // Beat says which version a node has heard of, how long ago the core confirmed
 // it, how the workers stand whose ledgers it keeps, and which workers leave by the
--- a/internal/router/beats.go
+++ b/internal/router/beats.go
@@ -31,7 +31,7 @@
 }
 
 func (n *Node) beat() *Beat {
-	b := &Beat{Node: n.me.Node, Version: n.view.Known(), Fresh: int64(n.agent.SinceConfirmed())}
+	b := &Beat{Node: n.me.Node, Version: n.view.HighestVersion(), Fresh: int64(n.agent.SinceConfirmed())}
 	now := n.now()
 	if !now.Past(ids.Tick(n.listed.Load()), time.Second) {
 		for id, l := range *n.roster.Load() {
@@ -100,7 +100,7 @@
 // learn takes a neighbour's beat; it counts as heard once its version is noted. A newer version than is staged here is
 // fetched from that neighbour at once.
 func (n *Node) learn(ctx context.Context, m coordination.Member, b *Beat, told ids.Tick) {
-	if !n.view.Heard(b.Version) {
+	if !n.view.NoteVersion(b.Version) {
 		go n.agent.Fetch(ctx, m.Addr)
 	}
 	n.note(b, told)
@@ -183,7 +183,7 @@
 
 // sure tells that no newer version than the one in force here was heard of, and that
 // one would have been heard of.
-func (n *Node) sure() bool { return n.view.Settled() && n.current() }
+func (n *Node) sure() bool { return n.view.UpToDate() && n.current() }
 
 // current tells that this node would have heard of a newer version: within the last
 // half second the core confirmed it, with all news up to then folded, or most members,
--- a/internal/router/debt.go
+++ b/internal/router/debt.go
@@ -20,7 +20,7 @@
 type debt struct {
 	op     ids.OpID
 	claim  *fleetstate.Claim
-	settle *fleetstate.Settle
+	settle *fleetstate.Resolve
 	audit  []byte
 }
 
@@ -73,7 +73,7 @@
 			return true
 		}
 		// It was claimed for nothing: nothing ran, and now nothing can.
-		d.settle = &fleetstate.Settle{Key: d.claim.Key, Owner: n.me.Node, Fate: fleetstate.NotRun}
+		d.settle = &fleetstate.Resolve{Key: d.claim.Key, Owner: n.me.Node, Outcome: fleetstate.NotRun}
 	}
 	err := n.settle(d.settle)
 	return err == nil || failure.Is(err, failure.Stale)
--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -16,7 +16,7 @@
 
 // Change is what may be done; one of its fields is set.
 type Change struct {
-	Policy   *fleetstate.Policy // a whole new configuration
+	Policy   *fleetstate.Configuration // a whole new configuration
 	Evacuate ids.Zone
 	LoseZone ids.Zone
 	LoseAddr string // a machine, by any of its addresses
@@ -59,7 +59,7 @@
 }
 
 // Foresee holds a change against the live state.
-func Foresee(st *router.Standing, now *fleetstate.Policy, c Change) (*Forecast, error) {
+func Foresee(st *router.Standing, now *fleetstate.Configuration, c Change) (*Forecast, error) {
 	if err := known(st, now, c); err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 	return f, nil
 }
 
-func known(st *router.Standing, p *fleetstate.Policy, c Change) error {
+func known(st *router.Standing, p *fleetstate.Configuration, c Change) error {
 	for _, z := range []ids.Zone{c.Evacuate, c.LoseZone} {
 		ok := z == ""
 		for _, have := range p.Zones {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func workerIds(a, b *fleetstate.Policy) []ids.WorkerID {
+func workerIds(a, b *fleetstate.Configuration) []ids.WorkerID {
 	set := map[ids.WorkerID]bool{}
 	for id := range a.Workers {
 		set[id] = true
@@ -125,23 +125,23 @@
 	return out
 }
 
-func (f *Forecast) workers(a, b *fleetstate.Policy) {
+func (f *Forecast) workers(a, b *fleetstate.Configuration) {
 	for _, id := range workerIds(a, b) {
 		x, was := a.Workers[id]
 		y, is := b.Workers[id]
 		switch {
 		case !was:
-			f.Workers = append(f.Workers, fmt.Sprintf("+ %s: %s of %s %s in %s, %d blocks", id, y.Part, y.Model, y.Weights, y.Zone, y.Room))
+			f.Workers = append(f.Workers, fmt.Sprintf("+ %s: %s of %s %s in %s, %d blocks", id, y.Role, y.Model, y.Weights, y.Zone, y.Capacity))
 		case !is:
-			f.Workers = append(f.Workers, fmt.Sprintf("- %s: %s of %s %s in %s", id, x.Part, x.Model, x.Weights, x.Zone))
+			f.Workers = append(f.Workers, fmt.Sprintf("- %s: %s of %s %s in %s", id, x.Role, x.Model, x.Weights, x.Zone))
 		case fmt.Sprint(x) != fmt.Sprint(y):
 			f.Workers = append(f.Workers, fmt.Sprintf("~ %s: %v -> %v", id, x, y))
 		}
 	}
 }
 
-func (f *Forecast) shares(a, b *fleetstate.Policy) {
-	for i, p := range []*fleetstate.Policy{a, b} {
+func (f *Forecast) shares(a, b *fleetstate.Configuration) {
+	for i, p := range []*fleetstate.Configuration{a, b} {
 		plain := 100
 		put := func(name string, n int) {
 			pair := f.Shares[name]
@@ -163,7 +163,7 @@
 	return c.LoseZone != "" && c.LoseZone == zone || c.LoseAddr != "" && c.LoseAddr == addr
 }
 
-func (f *Forecast) keys(st *router.Standing, next *fleetstate.Policy, c Change) {
+func (f *Forecast) keys(st *router.Standing, next *fleetstate.Configuration, c Change) {
 	var was, is []ids.NodeID
 	for _, m := range st.Members {
 		was = append(was, m.Node)
@@ -175,7 +175,7 @@
 	if len(is) == 0 {
 		f.warn("no node would be left")
 	}
-	keys := []ids.Key{fleetstate.BudgetKey, fleetstate.SettleKey}
+	keys := []ids.Key{fleetstate.RetryBudgetKey, fleetstate.ResolutionKey}
 	pools := map[string]bool{}
 	for id, w := range next.Workers {
 		keys = append(keys, fleetstate.WorkerKey(id))
@@ -192,7 +192,7 @@
 	}
 }
 
-func (f *Forecast) rooms(st *router.Standing, now, next *fleetstate.Policy, c Change) {
+func (f *Forecast) rooms(st *router.Standing, now, next *fleetstate.Configuration, c Change) {
 	type group struct {
 		model string
 		part  ids.Role
@@ -210,9 +210,9 @@
 	for _, w := range st.Drained {
 		out[w] = true
 	}
-	for i, p := range []*fleetstate.Policy{now, next} {
+	for i, p := range []*fleetstate.Configuration{now, next} {
 		for id, w := range p.Workers {
-			part := w.Part
+			part := w.Role
 			s, live := stands[id]
 			if live && s.Part != "" {
 				part = s.Part
@@ -231,7 +231,7 @@
 				continue
 			}
 			rooms[g].Workers[i]++
-			rooms[g].Blocks[i] += w.Room
+			rooms[g].Blocks[i] += w.Capacity
 			zones[g][i][w.Zone] = true
 		}
 	}
@@ -259,8 +259,8 @@
 }
 
 // deeds warns early of a store that fills up.
-func (f *Forecast) deeds(st *router.Standing, next *fleetstate.Policy) {
-	if n, most := st.Deeds[0], next.Limits.Deeds; most > 0 && n*10 >= most*8 {
+func (f *Forecast) deeds(st *router.Standing, next *fleetstate.Configuration) {
+	if n, most := st.Deeds[0], next.Limits.MaxRecords; most > 0 && n*10 >= most*8 {
 		f.warn("%d of %d deeds are taken; at the last one new keys are bounced: raise limits.deeds", n, most)
 	}
 }
--- a/internal/router/govern.go
+++ b/internal/router/govern.go
@@ -21,7 +21,7 @@
 // allows tells whether this node, and then a worker in a part, may handle a regime's
 // work now, and gives the worker's serial. What no regime governs (any more) is allowed.
 func (n *Node) allows(regime string, w ids.WorkerID, part ids.Role) (string, error) {
-	if regime == "" || !n.view.Sight().Register.Has(regime) {
+	if regime == "" || !n.view.Current().Register.Has(regime) {
 		return "", nil
 	}
 	if _, err := n.clears(regime, certification.Subject{Node: n.opt.Name}, ""); err != nil {
@@ -32,7 +32,7 @@
 
 // bound gives the regime of a request now: the newest one that governs its kind, else
 // the one that it began under.
-func (h *hands) bound(s *fleetstate.Sight) string {
+func (h *hands) bound(s *fleetstate.Snapshot) string {
 	if g := s.Register.Governs(h.kind); g != "" {
 		h.regime = g
 	}
@@ -41,7 +41,7 @@
 
 // free tells whether a stand has room for so many blocks beside what its worker keeps
 // for governed work.
-func (n *Node) free(s *fleetstate.Sight, st Stand, need int) bool {
+func (n *Node) free(s *fleetstate.Snapshot, st Stand, need int) bool {
 	if s.Register == nil {
 		return true
 	}
--- a/internal/router/hands.go
+++ b/internal/router/hands.go
@@ -22,7 +22,7 @@
 // get new work is always asked of the newest.
 type hands struct {
 	n      *Node
-	sight  *fleetstate.Sight
+	sight  *fleetstate.Snapshot
 	deck   *routing.ProgramSet
 	prefix uint64
 	picked ids.Version
@@ -43,7 +43,7 @@
 			return nil
 		}
 	}
-	s := n.view.Sight()
+	s := n.view.Current()
 	h.picked, h.part = s.Version, q.Role
 	regime := h.bound(s)
 	cleared := func(st Stand) bool {
@@ -57,7 +57,7 @@
 	var list, last []routing.Candidate
 	both := map[string]map[ids.Role]bool{}
 	for id, st := range *n.stands.Load() {
-		w, ok := s.Policy.Workers[id]
+		w, ok := s.Configuration.Workers[id]
 		if !ok || !st.Ready || !n.fit(s, id) || !cleared(st) {
 			continue
 		}
@@ -67,7 +67,7 @@
 		both[w.Weights][st.Part] = true
 	}
 	for id, st := range *n.stands.Load() {
-		w, ok := s.Policy.Workers[id]
+		w, ok := s.Configuration.Workers[id]
 		m := workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters}
 		want := on
 		if want.Weights == "" {
@@ -180,7 +180,7 @@
 func (h *hands) Spend(ctx context.Context, wait time.Duration) bool {
 	n := h.n
 	for end := n.now().Add(wait); ; {
-		if m, _, ok := n.agent.KeyOwner(fleetstate.BudgetKey); ok {
+		if m, _, ok := n.agent.KeyOwner(fleetstate.RetryBudgetKey); ok {
 			cx, stop := context.WithTimeout(ctx, 400*time.Millisecond)
 			r, err := rpc.Call[coordination.Empty, Spent](cx, n.call, m.Addr, "verge/spend", &coordination.Empty{})
 			stop()
@@ -196,7 +196,7 @@
 
 // Stale: what was picked may be outdated by now.
 func (h *hands) Stale() bool {
-	return !h.n.sure() || h.n.view.Sight().Version != h.picked
+	return !h.n.sure() || h.n.view.Current().Version != h.picked
 }
 
 // blame is how often hand-overs were lost at a worker of late.
--- a/internal/router/holder.go
+++ b/internal/router/holder.go
@@ -45,9 +45,9 @@
 func (n *Node) desks(ctx context.Context) {
 	var wg sync.WaitGroup
 	for {
-		lim := n.view.Sight().Policy.Limits
+		lim := n.view.Current().Configuration.Limits
 		mine := map[ids.WorkerID]bool{}
-		for id := range n.view.Sight().Policy.Workers {
+		for id := range n.view.Current().Configuration.Workers {
 			f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(id))
 			if !ok {
 				continue
@@ -55,13 +55,13 @@
 			mine[id] = true
 			if old, ok := n.ledgers.Load(id); ok {
 				if d := old.(*desk); d.fence == f {
-					d.ledger.Tune(lim.Lag(), lim.Ramp(), lim.Queue)
+					d.ledger.Tune(lim.Lag(), lim.SlowStart(), lim.Queue)
 					continue
 				}
 				old.(*desk).stop()
 			}
 			cx, stop := context.WithCancel(ctx)
-			d := &desk{id: id, fence: f, stop: stop, ledger: handoff.NewLedger(lim.Lag(), lim.Ramp(), lim.Queue)}
+			d := &desk{id: id, fence: f, stop: stop, ledger: handoff.NewLedger(lim.Lag(), lim.SlowStart(), lim.Queue)}
 			n.ledgers.Store(id, d)
 			wg.Go(func() { n.poll(cx, d) })
 		}
@@ -90,7 +90,7 @@
 			}
 			if err == nil {
 				d.ledger.Report(r, asked)
-				n.view.Heard(r.Version)
+				n.view.NoteVersion(r.Version)
 			} else {
 				d.ledger.Missed()
 			}
@@ -114,7 +114,7 @@
 	}
 	cx, stop := context.WithTimeout(ctx, 800*time.Millisecond)
 	defer stop()
-	lead := workerclient.OrderHeader{Fence: f, Version: n.view.Sight().Version}
+	lead := workerclient.OrderHeader{Fence: f, Version: n.view.Current().Version}
 	if _, err := n.workerClient.SetRole(cx, addr, &workerclient.RoleRequest{OrderHeader: lead, Role: part}); err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, failure.Wrap(err, q.Verb, string(q.Worker))
 	}
-	r := &OrderReply{Version: n.view.Known()}
+	r := &OrderReply{Version: n.view.HighestVersion()}
 	if a != nil {
 		r.Version = max(r.Version, a.Version)
 		if r.Body, err = json.Marshal(a); err != nil {
@@ -158,8 +158,8 @@
 	if !ok {
 		return nil, failure.New(failure.DataLost, "find worker", string(q.Worker), "the platform does not list it")
 	}
-	settled := n.view.Heard(q.Version)
-	lead := workerclient.OrderHeader{Fence: fence, Version: n.view.Sight().Version}
+	settled := n.view.NoteVersion(q.Version)
+	lead := workerclient.OrderHeader{Fence: fence, Version: n.view.Current().Version}
 	var in workerclient.Identity
 	if len(q.Body) > 0 && q.Verb != verbTurn {
 		if err := json.Unmarshal(q.Body, &in); err != nil {
@@ -170,7 +170,7 @@
 	var err error
 	switch q.Verb {
 	case verbReserve:
-		s := n.view.Sight()
+		s := n.view.Current()
 		if q.Version < s.Version {
 			return nil, failure.New(failure.Stale, "reserve", string(q.Worker), "picked under version %d, %d is in force", q.Version, s.Version)
 		}
@@ -213,7 +213,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n.view.Heard(a.Version)
+	n.view.NoteVersion(a.Version)
 	return a, nil
 }
 
@@ -233,8 +233,8 @@
 }
 
 func (n *Node) ferry(ctx context.Context, q *OrderAsk) (*workerclient.OrderResponse, error) {
-	if q.Version = n.view.Known(); q.Verb == verbReserve {
-		q.Version = n.view.Sight().Version
+	if q.Version = n.view.HighestVersion(); q.Verb == verbReserve {
+		q.Version = n.view.Current().Version
 	}
 	m, _, ok := n.agent.KeyOwner(fleetstate.WorkerKey(q.Worker))
 	if !ok {
@@ -251,7 +251,7 @@
 	if err != nil {
 		return nil, failure.Wrap(err, q.Verb, string(q.Worker))
 	}
-	n.view.Heard(r.Version)
+	n.view.NoteVersion(r.Version)
 	a := &workerclient.OrderResponse{}
 	if len(r.Body) > 0 {
 		if err := json.Unmarshal(r.Body, a); err != nil {
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -163,8 +163,8 @@
 }
 
 // compile readies the programs of a version before it is in force.
-func (n *Node) compile(v ids.Version, p *fleetstate.Policy) {
-	deck, err := p.Deck(n.scores)
+func (n *Node) compile(v ids.Version, p *fleetstate.Configuration) {
+	deck, err := p.CompileSet(n.scores)
 	if err != nil {
 		n.opt.Ring.Error().AnErr("cause", err).Uint64("version", uint64(v)).Msg("programs do not compile; the plain order serves")
 		deck, _ = routing.NewProgramSet(nil, 0, n.scores)
@@ -180,7 +180,7 @@
 
 // Ready tells whether new work can be served here now, and if not, why.
 func (n *Node) Ready() (bool, string) {
-	s := n.view.Sight()
+	s := n.view.Current()
 	switch {
 	case n.stopping.Load():
 		return false, "draining"
@@ -206,8 +206,8 @@
 }
 
 // fit tells whether a worker may get new work under a sight.
-func (n *Node) fit(s *fleetstate.Sight, id ids.WorkerID) bool {
-	w, ok := s.Policy.Workers[id]
+func (n *Node) fit(s *fleetstate.Snapshot, id ids.WorkerID) bool {
+	w, ok := s.Configuration.Workers[id]
 	if !ok || s.Drained[id] || s.Zones[w.Zone] {
 		return false
 	}
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -33,15 +33,15 @@
 		return nil, err
 	}
 	if a.Partial {
-		s := n.view.Sight()
+		s := n.view.Current()
 		for wait := 0; uint64(s.Version) < a.Base && wait < 40 && host.Sleep(ctx, 50*time.Millisecond); wait++ {
-			s = n.view.Sight()
+			s = n.view.Current()
 		}
 		if uint64(s.Version) != a.Base {
 			// The base has moved on, perhaps by this very operation.
 			cx, stop := context.WithTimeout(ctx, 5*time.Second)
 			defer stop()
-			r, err := n.agent.Submit(cx, ids.OpID("op/"+a.Op), fleetstate.AskKind, nil)
+			r, err := n.agent.Submit(cx, ids.OpID("op/"+a.Op), fleetstate.QueryKind, nil)
 			if err == nil {
 				return n.ruled(ctx, r, true)
 			}
@@ -60,7 +60,7 @@
 	if now.High == 0 {
 		now = certification.At(n.opt.Host.Clock.Wall()) // where the fleet's time will begin
 	}
-	if err := p.Follows(n.view.Sight().Policy, now); err != nil {
+	if err := p.Follows(n.view.Current().Configuration, now); err != nil {
 		return nil, fleetstate.Locate(name, []byte(a.Source), err)
 	}
 	if a.Dry {
@@ -68,17 +68,17 @@
 	}
 	cx, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(cx, ids.OpID("op/"+a.Op), fleetstate.StageKind, coordination.MustMarshal(&fleetstate.Stage{Base: ids.Version(a.Base), Text: whole}))
+	r, err := n.agent.Submit(cx, ids.OpID("op/"+a.Op), fleetstate.PrepareKind, coordination.MustMarshal(&fleetstate.PrepareVersion{Base: ids.Version(a.Base), Text: whole}))
 	if err != nil {
 		if failure.Is(err, failure.Stale) {
-			return nil, n.stale(a.Base, n.view.Sight())
+			return nil, n.stale(a.Base, n.view.Current())
 		}
 		return nil, n.fate(err)
 	}
 	return n.ruled(ctx, r, true)
 }
 
-func (n *Node) stale(base uint64, s *fleetstate.Sight) error {
+func (n *Node) stale(base uint64, s *fleetstate.Snapshot) error {
 	return api.Stale(base, uint64(max(s.Newest, s.Version)))
 }
 
@@ -87,12 +87,12 @@
 
 // ruled waits a while until this node has put the answer's version in force.
 func (n *Node) ruled(ctx context.Context, r *coordination.SubmitResponse, wait bool) (*api.Applied, error) {
-	var got fleetstate.Ruling
+	var got fleetstate.VersionReply
 	if _, err := got.UnmarshalMsg(r.Body); err != nil {
 		return nil, failure.As(err, failure.OutcomeUnknown, "read ruling", "core")
 	}
 	for range 80 {
-		if n.agent.Seq() >= r.Seq && (!wait || n.view.Sight().Version >= got.Version) {
+		if n.agent.Seq() >= r.Seq && (!wait || n.view.Current().Version >= got.Version) {
 			return &api.Applied{Version: uint64(got.Version), Active: true}, nil
 		}
 		if !host.Sleep(ctx, 25*time.Millisecond) {
@@ -115,21 +115,21 @@
 // Evacuate empties a zone of new work, or takes that back.
 func (n *Node) Evacuate(ctx context.Context, zone string, m *api.Mark) (*api.Applied, error) {
 	known := false
-	for _, z := range n.view.Sight().Policy.Zones {
+	for _, z := range n.view.Current().Configuration.Zones {
 		known = known || string(z) == zone
 	}
 	if !known {
 		return nil, api.No(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
 	}
-	return n.mark(ctx, m.Op, fleetstate.VacateKind, coordination.MustMarshal(&fleetstate.Vacate{Zone: ids.Zone(zone), Out: m.Out}))
+	return n.mark(ctx, m.Op, fleetstate.EvacuateKind, coordination.MustMarshal(&fleetstate.Evacuate{Zone: ids.Zone(zone), Evacuated: m.Out}))
 }
 
 // Drain keeps new work from a worker, or takes that back.
 func (n *Node) Drain(ctx context.Context, worker string, m *api.Mark) (*api.Applied, error) {
-	if _, ok := n.view.Sight().Policy.Workers[ids.WorkerID(worker)]; !ok {
+	if _, ok := n.view.Current().Configuration.Workers[ids.WorkerID(worker)]; !ok {
 		return nil, api.No(http.StatusNotFound, "unknown", "worker", "there is no worker %q", worker)
 	}
-	return n.mark(ctx, m.Op, fleetstate.DrainKind, coordination.MustMarshal(&fleetstate.Drain{Worker: ids.WorkerID(worker), Out: m.Out}))
+	return n.mark(ctx, m.Op, fleetstate.DrainKind, coordination.MustMarshal(&fleetstate.Drain{Worker: ids.WorkerID(worker), Drained: m.Out}))
 }
 
 // Shown gives operators what Show does.
@@ -137,7 +137,7 @@
 
 // Show gives the configuration in force.
 func (n *Node) Show() *api.Shown {
-	s := n.view.Sight()
+	s := n.view.Current()
 	out := &api.Shown{Version: uint64(s.Version), Newest: uint64(max(s.Newest, s.Version)), Policy: s.Text, Zones: []string{}, Drained: []string{}}
 	if len(out.Policy) == 0 {
 		out.Policy = []byte("{}")
@@ -180,7 +180,7 @@
 func (n *Node) Status() any {
 	ok, why := n.Ready()
 	sh := n.Show()
-	st := &Standing{Node: n.me.Node, Zone: n.me.Zone, Ready: ok, Why: why, Version: n.view.Sight().Version, Seq: n.agent.Seq(),
+	st := &Standing{Node: n.me.Node, Zone: n.me.Zone, Ready: ok, Why: why, Version: n.view.Current().Version, Seq: n.agent.Seq(),
 		Core: n.agent.Directory().Record(), Members: n.agent.Members(), Programs: map[string]map[string]any{},
 		Listed: map[ids.WorkerID]ids.Zone{}, Evacuated: sh.Zones, Drained: sh.Drained, Workers: []Stand{}, Holds: []ids.Key{}}
 	for _, g := range n.agent.OwnedKeys() {
@@ -203,7 +203,7 @@
 			"firstP50Ms": float64(s.Quantile(0.5)) / 1e6, "firstP99Ms": float64(s.Quantile(0.99)) / 1e6}
 	})
 	st.Last, _ = n.journal.Last(8)
-	st.Deeds[0], st.Deeds[1] = n.view.Deeds()
-	st.Time, st.Revoked = n.clock(), slices.Sorted(maps.Keys(n.view.Sight().Revoked))
+	st.Deeds[0], st.Deeds[1] = n.view.RecordCount()
+	st.Time, st.Revoked = n.clock(), slices.Sorted(maps.Keys(n.view.Current().Revoked))
 	return st
 }
--- a/internal/router/order.go
+++ b/internal/router/order.go
@@ -6,7 +6,7 @@
 
 //go:generate go run github.com/tinylib/msgp@v1.6.5 -io=false -tests=false -file order.go
 //msgp:shim ids.Version as:uint64 using:uint64/ids.Version
-//msgp:shim ids.Part as:string using:string/ids.Part
+//msgp:shim ids.Role as:string using:string/ids.Role
 //msgp:shim ids.WorkerID as:string using:string/ids.WorkerID
 
 // OrderAsk is one order. Body is the identity, as the worker will read it. Regime and the
--- a/internal/router/pass.go
+++ b/internal/router/pass.go
@@ -24,7 +24,7 @@
 
 // fellows lists, in a random order, the nodes that were heard lately, stand in no
 // emptied zone, and are certified for a regime.
-func (n *Node) fellows(s *fleetstate.Sight, regime string) []coordination.Member {
+func (n *Node) fellows(s *fleetstate.Snapshot, regime string) []coordination.Member {
 	now := n.now()
 	var out []coordination.Member
 	for _, m := range n.agent.Members() {
@@ -42,7 +42,7 @@
 
 // pass has a certified node serve a request. The next one is asked only where the one
 // before surely did nothing.
-func (n *Node) pass(ctx context.Context, s *fleetstate.Sight, regime string, ask *api.Ask, out api.Sink) error {
+func (n *Node) pass(ctx context.Context, s *fleetstate.Snapshot, regime string, ask *api.Ask, out api.Sink) error {
 	for _, m := range n.fellows(s, regime) {
 		count, err := api.Pass(ctx, n.web, m.Addr, passPath, ask, passSilent, out)
 		if err == nil {
@@ -56,13 +56,13 @@
 		case refused:
 			n.counts.Passed.Add(1)
 			return f
-		case count == 0 && s.Policy.Kinds[ask.Kind].Claimed:
+		case count == 0 && s.Configuration.Kinds[ask.Kind].Claimed:
 			return n.later(http.StatusServiceUnavailable, "claim-unknown", "the node that it was passed to is lost; ask again with the same key: %v", err)
 		case count == 0:
 			return n.crowd(http.StatusServiceUnavailable, "bounced", "the node that it was passed to is lost: %v", err)
 		}
 		end := api.Broken
-		if s.Policy.Kinds[ask.Kind].Claimed {
+		if s.Configuration.Kinds[ask.Kind].Claimed {
 			end = api.Unknown
 		}
 		n.counts.Broken.Add(1)
--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -29,7 +29,7 @@
 	if !n.agent.Current() {
 		return "", failure.New(failure.NotExecuted, "clear", s.String(), "this node's word from the core is too old for regime %q", regime)
 	}
-	serial, ok := n.view.Sight().Register.Clears(regime, s, part, n.clock())
+	serial, ok := n.view.Current().Register.Clears(regime, s, part, n.clock())
 	if !ok {
 		return "", failure.New(failure.NotExecuted, "clear", s.String(), "no certificate in force clears it for regime %q", regime)
 	}
@@ -38,7 +38,7 @@
 
 // Revoke ends a certificate for good. It answers once that is in force everywhere.
 func (n *Node) Revoke(ctx context.Context, serial string, m *api.Mark) (*api.Applied, error) {
-	if _, ok := n.view.Sight().Register.Find(serial); !ok {
+	if _, ok := n.view.Current().Register.Find(serial); !ok {
 		return nil, api.No(http.StatusNotFound, "unknown", "serial", "there is no certificate %q", serial)
 	}
 	if !m.Out {
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, n.fate(err)
 	}
-	for !n.view.Sight().Revoked[serial] {
+	for !n.view.Current().Revoked[serial] {
 		if !host.Sleep(cx, 10*time.Millisecond) {
 			return nil, api.Later(http.StatusGatewayTimeout, "not-everywhere", n.after(), "the revocation is durable and not yet in force everywhere; ask again with the same op")
 		}
@@ -60,10 +60,10 @@
 
 // Regimes tells who is certified, until when, and what is short.
 func (n *Node) Regimes() *api.Regimes {
-	s, now := n.view.Sight(), n.clock()
+	s, now := n.view.Current(), n.clock()
 	out := &api.Regimes{Version: uint64(s.Version), Low: now.Low, High: now.High, Wall: n.opt.Host.Clock.Wall().UnixNano(), Regimes: []api.Regime{}}
 	for _, name := range s.Register.Regimes() {
-		g := s.Policy.Regimes[name]
+		g := s.Configuration.Regimes[name]
 		out.Regimes = append(out.Regimes, api.Regime{Name: name, Kinds: g.Kinds, Keep: g.Keep, Rows: s.Register.Rows(name, now),
 			Short: s.Register.Shortage(name, 1, now, n.able(s))})
 	}
@@ -71,7 +71,7 @@
 }
 
 // able tells whether a certificate's subject could be picked now.
-func (n *Node) able(s *fleetstate.Sight) func(certification.Subject) bool {
+func (n *Node) able(s *fleetstate.Snapshot) func(certification.Subject) bool {
 	names := map[string]bool{}
 	for _, m := range n.agent.Members() {
 		if !s.Zones[m.Zone] {
--- a/internal/router/regime_test.go
+++ b/internal/router/regime_test.go
@@ -26,18 +26,18 @@
 		c.Sign(key)
 		certs[serial] = c
 	}
-	sight := func(revoked map[string]bool) *fleetstate.Sight {
+	sight := func(revoked map[string]bool) *fleetstate.Snapshot {
 		r, err := certification.Compile(map[string]certification.Regime{"chair": {Kinds: []string{"verdict"}}},
 			map[string]certification.Issuer{"k": {Key: certification.Public(key), From: from, Until: until}}, certs)
 		require.NoError(t, err)
-		return &fleetstate.Sight{Register: r.WithRevoked(revoked)}
+		return &fleetstate.Snapshot{Register: r.WithRevoked(revoked)}
 	}
 	list := []Stand{{ID: "p1", Part: ids.Prefill}, {ID: "p2", Part: ids.Prefill}, {ID: "p3", Part: ids.Prefill}}
 	put("1", "p1")
 	at := certification.At(now)
 	require.False(t, covered(sight(nil), list, list[0], at))
 	require.True(t, covered(sight(nil), list, list[1], at), "it serves no regime")
-	require.True(t, covered(&fleetstate.Sight{}, list, list[0], at), "there is no regime")
+	require.True(t, covered(&fleetstate.Snapshot{}, list, list[0], at), "there is no regime")
 	put("2", "p2")
 	require.True(t, covered(sight(nil), list, list[0], at))
 	require.False(t, covered(sight(map[string]bool{"2": false}), list, list[0], at))
