--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -24,7 +24,7 @@
 )
 
 func (n *Node) after() time.Duration {
-	if ms := n.view.Sight().Policy.Limits.RetryAfterMs; ms > 0 {
+	if ms := n.view.Current().Configuration.Limits.RetryAfterMs; ms > 0 {
 		return time.Duration(ms) * time.Millisecond
 	}
 	return time.Second
@@ -53,8 +53,8 @@
 	if ok, why := n.Ready(); !ok {
 		return n.later(http.StatusServiceUnavailable, "not-ready", "%s", why)
 	}
-	s := n.view.Sight()
-	kind, ok := s.Policy.Kinds[ask.Kind]
+	s := n.view.Current()
+	kind, ok := s.Configuration.Kinds[ask.Kind]
 	switch {
 	case !ok:
 		return api.No(http.StatusBadRequest, "unknown", "kind", "there is no kind %q", ask.Kind)
@@ -81,7 +81,7 @@
 		return f
 	}
 	defer leave()
-	t := &handoff.Task{Kind: ask.Kind, Regime: s.Register.Governs(ask.Kind), Zone: n.me.Zone, Claimed: kind.Claimed, Tries: s.Policy.Limits.Attempts, GiveUp: s.Policy.Limits.GiveUp()}
+	t := &handoff.Task{Kind: ask.Kind, Regime: s.Register.Governs(ask.Kind), Zone: n.me.Zone, Claimed: kind.Claimed, Tries: s.Configuration.Limits.Attempts, GiveUp: s.Configuration.Limits.GiveUp()}
 	t.Identity = workerclient.Identity{Prompt: ask.Tokens(), Model: workerclient.Model{Name: kind.Model, Adapters: ask.Adapters},
 		Params: workerclient.Params{MaxTokens: ask.MaxTokens, Temperature: ask.Temperature, Seed: ask.Seed}}
 	t.Identity.ID.Request = coordination.NewID()
@@ -91,11 +91,11 @@
 	return n.claimed(ctx, s, t, ask, out)
 }
 
-func (n *Node) adapters(s *fleetstate.Sight, model string, want []string) bool {
+func (n *Node) adapters(s *fleetstate.Snapshot, model string, want []string) bool {
 	if len(want) == 0 {
 		return true
 	}
-	for _, w := range s.Policy.Workers {
+	for _, w := range s.Configuration.Workers {
 		m := workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters}
 		if m.Offers(workerclient.Model{Name: model, Weights: w.Weights, Adapters: want}) {
 			return true
@@ -107,17 +107,17 @@
 // grantEntry bounds the streams carried at once. Once a node is half full, a kind
 // may take no more than its share by weight, so a crowd of one cannot shut out
 // the other.
-func (n *Node) grantEntry(s *fleetstate.Sight, kind string) (func(), *api.Fault) {
+func (n *Node) grantEntry(s *fleetstate.Snapshot, kind string) (func(), *api.Fault) {
 	v, _ := n.kinds.LoadOrStore(kind, new(atomic.Int64))
 	mine := v.(*atomic.Int64)
-	most := int64(s.Policy.Limits.Inflight)
+	most := int64(s.Configuration.Limits.Inflight)
 	sum := int64(0)
-	for _, k := range s.Policy.Kinds {
+	for _, k := range s.Configuration.Kinds {
 		sum += int64(k.Weight)
 	}
 	all, own := n.inflight.Add(1), mine.Add(1)
 	leave := func() { n.inflight.Add(-1); mine.Add(-1) }
-	share := most * int64(s.Policy.Kinds[kind].Weight) / max(sum, 1)
+	share := most * int64(s.Configuration.Kinds[kind].Weight) / max(sum, 1)
 	if all > most || all > most/2 && own > max(share, 1) {
 		leave()
 		return nil, n.crowd(http.StatusTooManyRequests, "crowded", "%d streams are carried here", all-1)
@@ -126,7 +126,7 @@
 }
 
 // deck gives the programs of a sight.
-func (n *Node) deck(s *fleetstate.Sight) *routing.ProgramSet {
+func (n *Node) deck(s *fleetstate.Snapshot) *routing.ProgramSet {
 	if v, ok := n.decks.Load(s.Version); ok {
 		return v.(*routing.ProgramSet)
 	}
@@ -134,15 +134,15 @@
 	return d
 }
 
-func (n *Node) controller(s *fleetstate.Sight, t *handoff.Task) (*handoff.Controller, *hands, *routing.Score) {
+func (n *Node) controller(s *fleetstate.Snapshot, t *handoff.Task) (*handoff.Controller, *hands, *routing.Score) {
 	deck := n.deck(s)
-	h := &hands{n: n, sight: s, deck: deck, kind: t.Kind, regime: t.Regime, prefix: routing.Prefix(t.Identity.Prompt, s.Policy.Limits.PrefixTokens)}
+	h := &hands{n: n, sight: s, deck: deck, kind: t.Kind, regime: t.Regime, prefix: routing.Prefix(t.Identity.Prompt, s.Configuration.Limits.PrefixTokens)}
 	return &handoff.Controller{Hands: h, Clock: n.opt.Host.Clock, Orphan: n.opt.Orphan, Pulse: n.opt.Pulse, Tell: n.journal.Append}, h,
 		n.scores.Of(deck.ProgramFor(t.Identity.ID.Request))
 }
 
 // plain runs a request that needs no claim.
-func (n *Node) plain(ctx context.Context, s *fleetstate.Sight, t *handoff.Task, out api.Sink) error {
+func (n *Node) plain(ctx context.Context, s *fleetstate.Snapshot, t *handoff.Task, out api.Sink) error {
 	c, h, score := n.controller(s, t)
 	start, count := n.now(), 0
 	var known error
@@ -186,7 +186,7 @@
 // anything is sent to a worker, and the outcome is recorded before the end line
 // is sent. It runs on when the origin goes away: the same key asked again is then
 // answered from the record.
-func (n *Node) claimed(ctx context.Context, s *fleetstate.Sight, t *handoff.Task, ask *api.Ask, out api.Sink) error {
+func (n *Node) claimed(ctx context.Context, s *fleetstate.Snapshot, t *handoff.Task, ask *api.Ask, out api.Sink) error {
 	key := ask.Kind + "/" + ask.Key
 	t.Identity.ID.Request = Request(key)
 	c, h, score := n.controller(s, t)
@@ -232,9 +232,9 @@
 	switch {
 	case err == nil:
 	case failure.Is(err, failure.OutcomeUnknown):
-		fate = fleetstate.Unsure
+		fate = fleetstate.MayHaveRun
 	case len(toks) > 0:
-		fate = fleetstate.Unsure
+		fate = fleetstate.MayHaveRun
 	default:
 		fate = fleetstate.NotRun
 	}
@@ -242,7 +242,7 @@
 	if fate != fleetstate.Done {
 		body = nil
 	}
-	end := &fleetstate.Settle{Key: key, Owner: n.me.Node, Fate: fate, Out: body, Audit: h.record(t.Identity.ID.Request, key, fate)}
+	end := &fleetstate.Resolve{Key: key, Owner: n.me.Node, Outcome: fate, Answer: body, Audit: h.record(t.Identity.ID.Request, key, fate)}
 	if e := n.settle(end); e != nil {
 		n.counts.Unsure.Add(1)
 		if !failure.Is(e, failure.Stale) {
@@ -255,7 +255,7 @@
 			Error: &workerclient.Rejection{Name: "unrecorded", Detail: "the outcome is not on record yet; ask again with the same key", After: n.after().Milliseconds()}})
 	}
 	switch fate {
-	case fleetstate.Unsure:
+	case fleetstate.MayHaveRun:
 		n.counts.Unsure.Add(1)
 		return out.Put(api.Line{Index: len(toks), End: api.Unknown, Count: len(toks),
 			Error: &workerclient.Rejection{Name: "may-have-run", Detail: err.Error()}})
@@ -281,10 +281,10 @@
 var errReplayed = errors.New("answered from the record")
 
 // claim takes the key; a deed is given if it was taken before.
-func (n *Node) claim(ctx context.Context, key string, ask *api.Ask, w ids.WorkerID, life ids.Incarnation) (*fleetstate.Deed, error) {
+func (n *Node) claim(ctx context.Context, key string, ask *api.Ask, w ids.WorkerID, life ids.Incarnation) (*fleetstate.IdempotencyRecord, error) {
 	cx, stop := context.WithTimeout(context.WithoutCancel(ctx), 1500*time.Millisecond)
 	defer stop()
-	claim := &fleetstate.Claim{Key: key, Owner: n.me.Node, Worker: w, Life: life, Digest: ask.Digest()}
+	claim := &fleetstate.Claim{Key: key, Owner: n.me.Node, Worker: w, Incarnation: life, Digest: ask.Digest()}
 	op := ids.OpID("claim/" + coordination.NewID())
 	r, err := n.agent.Submit(cx, op, fleetstate.ClaimKind, coordination.MustMarshal(claim))
 	if err != nil {
@@ -303,10 +303,10 @@
 		return nil, n.later(http.StatusServiceUnavailable, "core-away", "%v", err)
 	}
 	switch {
-	case got.Deed.Digest != claim.Digest:
+	case got.Record.Digest != claim.Digest:
 		return nil, api.No(http.StatusUnprocessableEntity, "key-reused", "key", "the key stands for another request")
 	case !got.Fresh:
-		return &got.Deed, nil
+		return &got.Record, nil
 	}
 	return nil, nil
 }
@@ -315,8 +315,8 @@
 func (n *Node) bind(key string, w ids.WorkerID, life ids.Incarnation) error {
 	cx, stop := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer stop()
-	b := &fleetstate.Bind{Key: key, Owner: n.me.Node, Worker: w, Life: life}
-	_, err := n.agent.Submit(cx, ids.OpID("bind/"+coordination.NewID()), fleetstate.BindKind, coordination.MustMarshal(b))
+	b := &fleetstate.AssignWorker{Key: key, Owner: n.me.Node, Worker: w, Incarnation: life}
+	_, err := n.agent.Submit(cx, ids.OpID("bind/"+coordination.NewID()), fleetstate.AssignWorkerKind, coordination.MustMarshal(b))
 	return err
 }
 
@@ -328,17 +328,17 @@
 // Request is the request id that a key always has.
 func Request(key string) string { return "k-" + coordination.ShortHash(key) }
 
-func (n *Node) settle(s *fleetstate.Settle) error {
+func (n *Node) settle(s *fleetstate.Resolve) error {
 	cx, stop := context.WithTimeout(context.Background(), 4*time.Second)
 	defer stop()
-	_, err := n.agent.Submit(cx, ids.OpID("settle/"+s.Key+"/"+string(s.Owner)), fleetstate.SettleKind, coordination.MustMarshal(s))
+	_, err := n.agent.Submit(cx, ids.OpID("settle/"+s.Key+"/"+string(s.Owner)), fleetstate.ResolveKind, coordination.MustMarshal(s))
 	return err
 }
 
 // replay answers a key that is known already.
-func (n *Node) replay(d *fleetstate.Deed, out api.Sink) error {
+func (n *Node) replay(d *fleetstate.IdempotencyRecord, out api.Sink) error {
 	n.counts.Replayed.Add(1)
-	switch d.Fate {
+	switch d.Outcome {
 	case fleetstate.Claimed:
 		return n.later(http.StatusConflict, "running", "the key is being run")
 	case fleetstate.NotRun:
@@ -347,11 +347,11 @@
 		if d.Aged {
 			return api.No(http.StatusGone, "answer-aged", "key", "it ran and was answered; so old an answer is not kept, and it will not be run again")
 		}
-	case fleetstate.Unsure:
+	case fleetstate.MayHaveRun:
 		return api.No(http.StatusGone, "may-have-run", "key", "whether it ran is not known; it will not be run again")
 	}
 	var r record
-	if err := json.Unmarshal(d.Out, &r); err != nil {
+	if err := json.Unmarshal(d.Answer, &r); err != nil {
 		return failure.As(err, failure.InvalidArgument, "replay", d.Key)
 	}
 	for i, t := range r.Tokens {
--- a/internal/router/settle.go
+++ b/internal/router/settle.go
@@ -22,7 +22,7 @@
 
 func (n *Node) settler(ctx context.Context) {
 	for host.Sleep(ctx, 300*time.Millisecond) {
-		fence, end, ok := n.agent.BeginOperation(fleetstate.SettleKey)
+		fence, end, ok := n.agent.BeginOperation(fleetstate.ResolutionKey)
 		if !ok {
 			continue
 		}
@@ -30,7 +30,7 @@
 		for _, m := range n.agent.Members() {
 			live[m.Node] = true
 		}
-		for _, d := range n.view.Claims() {
+		for _, d := range n.view.OpenClaims() {
 			if !live[d.Owner] {
 				n.close(ctx, d, fence)
 			}
@@ -39,11 +39,11 @@
 	}
 }
 
-func (n *Node) close(ctx context.Context, d fleetstate.Deed, fence ids.Fence) {
+func (n *Node) close(ctx context.Context, d fleetstate.IdempotencyRecord, fence ids.Fence) {
 	cx, stop := context.WithTimeout(ctx, 2*time.Second)
 	defer stop()
-	seize := &fleetstate.Seize{Key: d.Key, From: d.Owner, To: n.me.Node, Fence: fence}
-	r, err := n.agent.Submit(cx, "", fleetstate.SeizeKind, coordination.MustMarshal(seize))
+	seize := &fleetstate.TakeOver{Key: d.Key, From: d.Owner, To: n.me.Node, Fence: fence}
+	r, err := n.agent.Submit(cx, "", fleetstate.TakeOverKind, coordination.MustMarshal(seize))
 	if err != nil {
 		return
 	}
@@ -52,7 +52,7 @@
 		return
 	}
 	fate, out := n.inquire(ctx, &d)
-	s := &fleetstate.Settle{Key: d.Key, Owner: n.me.Node, Fate: fate, Out: out, Audit: n.seized(&d, fate)}
+	s := &fleetstate.Resolve{Key: d.Key, Owner: n.me.Node, Outcome: fate, Answer: out, Audit: n.seized(&d, fate)}
 	if err := n.settle(s); err != nil {
 		n.opt.Ring.Warn().AnErr("cause", err).Str("key", d.Key).Msg("a dead node's claim is not settled yet")
 	}
@@ -61,22 +61,22 @@
 // inquire cancels a request for good at the one worker at which it may run, and
 // takes that worker's word. A worker that cannot be asked, or has begun a new life
 // since, may have run it.
-func (n *Node) inquire(ctx context.Context, d *fleetstate.Deed) (string, []byte) {
+func (n *Node) inquire(ctx context.Context, d *fleetstate.IdempotencyRecord) (string, []byte) {
 	if _, ok := (*n.roster.Load())[d.Worker]; !ok {
-		return fleetstate.Unsure, nil
+		return fleetstate.MayHaveRun, nil
 	}
-	h := &hands{n: n, sight: n.view.Sight()}
+	h := &hands{n: n, sight: n.view.Current()}
 	for range 4 {
 		a, err := h.Cancel(ctx, d.Worker, workerclient.ID{Request: Request(d.Key), Attempt: 1 << 20})
 		switch {
 		case err != nil:
 			if !host.Sleep(ctx, 500*time.Millisecond) {
-				return fleetstate.Unsure, nil
+				return fleetstate.MayHaveRun, nil
 			}
-		case a.Incarnation != d.Life:
-			return fleetstate.Unsure, nil
+		case a.Incarnation != d.Incarnation:
+			return fleetstate.MayHaveRun, nil
 		case a.Done && !n.mayRead(d.Key):
-			return fleetstate.Unsure, nil
+			return fleetstate.MayHaveRun, nil
 		case a.Done:
 			texts := append(a.Texts, make([]string, len(a.Output))...)
 			out, _ := json.Marshal(record{a.Output, texts[:len(a.Output)]})
@@ -84,17 +84,17 @@
 		case a.Fate == workerclient.FateNever:
 			return fleetstate.NotRun, nil
 		default:
-			return fleetstate.Unsure, nil
+			return fleetstate.MayHaveRun, nil
 		}
 	}
-	return fleetstate.Unsure, nil
+	return fleetstate.MayHaveRun, nil
 }
 
 // mayRead tells whether this node may read the outcome of a deed: of a governed one only
 // if it is certified.
 func (n *Node) mayRead(key string) bool {
 	kind, _, _ := strings.Cut(key, "/")
-	g := n.view.Sight().Register.Governs(kind)
+	g := n.view.Current().Register.Governs(kind)
 	if g == "" {
 		return true
 	}
@@ -110,12 +110,12 @@
 }
 
 func (n *Node) spendHere(_ context.Context, _ *coordination.Empty) (*Spent, error) {
-	fence, end, ok := n.agent.BeginOperation(fleetstate.BudgetKey)
+	fence, end, ok := n.agent.BeginOperation(fleetstate.RetryBudgetKey)
 	if !ok {
 		return &Spent{}, nil
 	}
 	defer end()
-	lim := n.view.Sight().Policy.Limits
+	lim := n.view.Current().Configuration.Limits
 	p := &n.purse
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/router/switch.go
+++ b/internal/router/switch.go
@@ -43,9 +43,9 @@
 func (n *Node) switcher(ctx context.Context) {
 	pools := map[string]*pool{}
 	for host.Sleep(ctx, turnEvery) {
-		s := n.view.Sight()
+		s := n.view.Current()
 		models := map[string]bool{}
-		for _, w := range s.Policy.Workers {
+		for _, w := range s.Configuration.Workers {
 			models[w.Model] = true
 		}
 		for m := range models {
@@ -72,11 +72,11 @@
 }
 
 // pickTurn names a worker that should turn now, if any.
-func (n *Node) pickTurn(s *fleetstate.Sight, model string, p *pool) (routing.RoleChange, bool) {
-	now, dwell := n.now(), s.Policy.Limits.Dwell()
+func (n *Node) pickTurn(s *fleetstate.Snapshot, model string, p *pool) (routing.RoleChange, bool) {
+	now, dwell := n.now(), s.Configuration.Limits.Dwell()
 	by := map[ids.Role][]Stand{}
 	for id, st := range *n.stands.Load() {
-		if w, ok := s.Policy.Workers[id]; ok && w.Model == model && st.Ready && n.fit(s, id) {
+		if w, ok := s.Configuration.Workers[id]; ok && w.Model == model && st.Ready && n.fit(s, id) {
 			by[st.Part] = append(by[st.Part], st)
 		}
 	}
@@ -90,8 +90,8 @@
 			rest = dwell / 4
 		}
 		for _, st := range list {
-			w := s.Policy.Workers[st.ID]
-			view.Workers = append(view.Workers, routing.RoleCandidate{ID: st.ID, Zone: w.Zone, Role: part, HomeRole: w.Part, Busy: st.Busy, Work: st.Work,
+			w := s.Configuration.Workers[st.ID]
+			view.Workers = append(view.Workers, routing.RoleCandidate{ID: st.ID, Zone: w.Zone, Role: part, HomeRole: w.Role, Busy: st.Busy, Work: st.Work,
 				MaxConcurrent: st.Cap, Free: st.Free, Capacity: st.Room,
 				Allowed: view.Since >= rest && spare(s, list, st.ID) && covered(s, list, st, n.clock()) && !n.turnedWithin(st.ID, dwell)})
 		}
@@ -105,8 +105,8 @@
 }
 
 // wish asks the programs; with turning off, workers go home one by one.
-func (n *Node) wish(s *fleetstate.Sight, view *routing.Pool) (routing.RoleChange, bool) {
-	if s.Policy.Switch {
+func (n *Node) wish(s *fleetstate.Snapshot, view *routing.Pool) (routing.RoleChange, bool) {
+	if s.Configuration.RoleChanges {
 		return n.deck(s).ProposeRoleChange(view)
 	}
 	for _, to := range []ids.Role{ids.Prefill, ids.Decode} {
@@ -129,11 +129,11 @@
 
 // spare tells whether a part can do without one of its workers: one of the same
 // weights stays, and two zones still have one if they had before.
-func spare(s *fleetstate.Sight, list []Stand, id ids.WorkerID) bool {
-	me := s.Policy.Workers[id]
+func spare(s *fleetstate.Snapshot, list []Stand, id ids.WorkerID) bool {
+	me := s.Configuration.Workers[id]
 	before, after, same := map[ids.Zone]bool{}, map[ids.Zone]bool{}, 0
 	for _, st := range list {
-		w := s.Policy.Workers[st.ID]
+		w := s.Configuration.Workers[st.ID]
 		before[w.Zone] = true
 		if st.ID == id {
 			continue
@@ -148,7 +148,7 @@
 
 // covered tells whether every regime that a worker serves in its part keeps another one
 // there that is cleared too.
-func covered(s *fleetstate.Sight, list []Stand, me Stand, now certification.Now) bool {
+func covered(s *fleetstate.Snapshot, list []Stand, me Stand, now certification.Now) bool {
 	for _, g := range s.Register.Regimes() {
 		clear := func(st Stand) bool {
 			_, ok := s.Register.Clears(g, certification.Subject{Worker: st.ID}, me.Part, now)
@@ -193,7 +193,7 @@
 		if f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id)); !ok || f != d.fence {
 			return nil, failure.New(failure.Unavailable, "turn", n.me.Addr, "the key of %s went to other hands", d.id)
 		}
-		lead.Version = n.view.Sight().Version
+		lead.Version = n.view.Current().Version
 		if n.sure() && d.ledger.Empty() {
 			a, err := n.workerClient.SetRole(cx, addr, &workerclient.RoleRequest{OrderHeader: lead, Role: to})
 			if !failure.Is(err, failure.NotExecuted) {
--- a/internal/router/switch_test.go
+++ b/internal/router/switch_test.go
@@ -17,9 +17,9 @@
 )
 
 // stage sets up a node that sees so many workers of each part, this busy.
-func stage(reads, writes, readBusy, writeBusy int) (*Node, *fleetstate.Sight) {
+func stage(reads, writes, readBusy, writeBusy int) (*Node, *fleetstate.Snapshot) {
 	n := New(Options{Name: "n", Host: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host()})
-	s := &fleetstate.Sight{Policy: &fleetstate.Policy{Switch: true, Workers: map[ids.WorkerID]fleetstate.Worker{}, Limits: fleetstate.Limits{DwellMs: 4000}}}
+	s := &fleetstate.Snapshot{Configuration: &fleetstate.Configuration{RoleChanges: true, Workers: map[ids.WorkerID]fleetstate.Worker{}, Limits: fleetstate.Limits{DwellMs: 4000}}}
 	stands, roster := map[ids.WorkerID]Stand{}, map[ids.WorkerID]workerclient.ListedWorker{}
 	for i := range reads + writes {
 		part, busy := ids.Prefill, readBusy
@@ -27,7 +27,7 @@
 			part, busy = ids.Decode, writeBusy
 		}
 		id := ids.WorkerID(fmt.Sprintf("%s%d", part[:1], i))
-		s.Policy.Workers[id] = fleetstate.Worker{Part: part, Model: "m", Weights: "w", Zone: ids.Zone(fmt.Sprint(i % 3))}
+		s.Configuration.Workers[id] = fleetstate.Worker{Role: part, Model: "m", Weights: "w", Zone: ids.Zone(fmt.Sprint(i % 3))}
 		stands[id] = Stand{ID: id, Part: part, Ready: true, Free: 90, Room: 100, Busy: busy, Work: busy, Cap: 16}
 		roster[id] = workerclient.ListedWorker{ID: id}
 	}
@@ -37,7 +37,7 @@
 }
 
 // turns asks the switcher twice a second for so long.
-func turns(n *Node, s *fleetstate.Sight, span time.Duration) []ids.Role {
+func turns(n *Node, s *fleetstate.Snapshot, span time.Duration) []ids.Role {
 	p := &pool{last: n.now(), press: map[ids.Role]float64{}}
 	var out []ids.Role
 	for end := n.now().Add(span); n.now().Before(end); time.Sleep(turnEvery) {
@@ -77,7 +77,7 @@
 		require.Empty(t, turns(n, s, 60*time.Second), "neither is pressed")
 		n, s = stage(4, 4, 0, 14)
 		require.Equal(t, ids.Decode, turns(n, s, 30*time.Second)[0])
-		s.Policy.Switch = false
+		s.Configuration.RoleChanges = false
 		for id, st := range *n.stands.Load() {
 			st.Busy = 0
 			(*n.stands.Load())[id] = st
@@ -86,7 +86,7 @@
 			require.Equal(t, ids.Prefill, to)
 		}
 		for id, st := range *n.stands.Load() {
-			require.Equal(t, s.Policy.Workers[id].Part, st.Part, "home again")
+			require.Equal(t, s.Configuration.Workers[id].Role, st.Part, "home again")
 		}
 	})
 }
--- a/internal/simulation/back_test.go
+++ b/internal/simulation/back_test.go
@@ -69,7 +69,7 @@
 		}
 		*most = max(*most, now.Sub(last))
 		c.nodes.Range(func(k, name any) bool {
-			if s := k.(*router.Node).View().Sight(); s.Version > 0 {
+			if s := k.(*router.Node).View().Current(); s.Version > 0 {
 				c.Book.Force(name.(string), s.Version, s.Text)
 			}
 			return true
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -60,7 +60,7 @@
 	Steps    func(handoff.Event) // told of every step of every hand-over
 	Fixed    bool                // workers keep their parts
 	Slack    time.Duration       // on top of the bound for an apply, where takeovers come between
-	Depth    fleetstate.Depth
+	Depth    fleetstate.Retention
 
 	base  context.Context
 	shut  context.CancelFunc
@@ -132,7 +132,7 @@
 		begin: func(b *Box, ctx context.Context, host host.Host) error {
 			core, err := coordination.New(coordination.Options{Addr: addr, Zone: zone, Host: host, Seeds: c.Seeds, Ring: c.ring(name),
 				Machine: func() coordination.StateMachine {
-					return fleetstate.NewMachine(fleetstate.MachineOptions{Depth: c.Depth, Wall: host.Clock.Wall})
+					return fleetstate.NewMachine(fleetstate.MachineOptions{Retention: c.Depth, Wall: host.Clock.Wall})
 				}})
 			if err != nil {
 				return err
@@ -152,7 +152,7 @@
 		begin: func(b *Box, ctx context.Context, host host.Host) error {
 			n := router.New(router.Options{Name: name, Addr: b.Addr, Zone: zone, Seeds: c.Seeds, Platform: "10.8.0.1:80", Host: host,
 				Ring: c.ring(name), Trace: func(e handoff.Event) {
-					c.Book.Step(name, e, b.Node.View().Sight().Version)
+					c.Book.Step(name, e, b.Node.View().Current().Version)
 					if c.Steps != nil {
 						c.Steps(e)
 					}
@@ -178,7 +178,7 @@
 func (c *Cluster) Stand(id ids.WorkerID, w fleetstate.Worker, ip string) *Box {
 	return &Box{Name: string(id), Kind: "worker", Zone: w.Zone, Addr: ip + ":90", Machine: c.World.Machine(ip),
 		begin: func(b *Box, ctx context.Context, host host.Host) error {
-			opt := standin.WorkerOptions{ID: id, Addr: b.Addr, Part: w.Part, Room: w.Room, Block: w.Block, Host: host,
+			opt := standin.WorkerOptions{ID: id, Addr: b.Addr, Part: w.Role, Room: w.Capacity, Block: w.Block, Host: host,
 				Model: workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters}}
 			// Slow enough that a breakdown finds work in flight.
 			opt.Step, opt.Read = 10*time.Millisecond, 80*time.Microsecond
--- a/internal/simulation/decree_test.go
+++ b/internal/simulation/decree_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return "", err
 	}
-	_, whole, err := fleetstate.Whole("part", text)
+	_, whole, err := fleetstate.ParseComplete("part", text)
 	return string(whole), err
 }
 
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -33,7 +33,7 @@
 		time.Sleep(2 * time.Second) // ledgers are open by then
 		ask := func(q router.OrderAsk) error {
 			q.Request, q.Attempt, q.Regime = "x", 1, "chair"
-			q.Version = c.Of("router")[0].Node.View().Sight().Version
+			q.Version = c.Of("router")[0].Node.View().Current().Version
 			if q.Body == nil {
 				q.Body, _ = json.Marshal(map[string]any{})
 			}
@@ -111,7 +111,7 @@
 }
 
 func seen(b *Box, serial string) bool {
-	_, ok := b.Node.View().Sight().Revoked[serial]
+	_, ok := b.Node.View().Current().Revoked[serial]
 	return ok
 }
 
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -224,7 +224,7 @@
 	if h.changes%7 == 0 {
 		h.evacuated = !h.evacuated
 		h.agree(func(ctx context.Context) error {
-			return fleetstate.Mark(ctx, h.operator.Caller(), h.operator.Directory(), op+"-zone", "zone-1", h.evacuated)
+			return fleetstate.SetEvacuated(ctx, h.operator.Caller(), h.operator.Directory(), op+"-zone", "zone-1", h.evacuated)
 		})
 	}
 	for _, addr := range h.seeds {
--- a/internal/simulation/large_test.go
+++ b/internal/simulation/large_test.go
@@ -37,7 +37,7 @@
 				name[j] = byte('a' + random.IntN(26))
 			}
 			h.agree(func(ctx context.Context) error {
-				body := coordination.MustMarshal(&fleetstate.Drain{Worker: ids.WorkerID(name), Out: true})
+				body := coordination.MustMarshal(&fleetstate.Drain{Worker: ids.WorkerID(name), Drained: true})
 				_, err := h.operator.Submit(ctx, ids.OpID(fmt.Sprint("drain/", i)), fleetstate.DrainKind, body)
 				return err
 			})
--- a/internal/simulation/shelf_test.go
+++ b/internal/simulation/shelf_test.go
@@ -18,7 +18,7 @@
 // empty one, and after the whole core lost power.
 func TestOldKeys(t *testing.T) {
 	unraced(t)
-	inBubble(t, "vatuloa", func(c *Cluster) { c.Depth = fleetstate.Depth{Full: 4, Leaf: 8} }, func(t *testing.T, c *Cluster) {
+	inBubble(t, "vatuloa", func(c *Cluster) { c.Depth = fleetstate.Retention{Full: 4, ChunkRows: 8} }, func(t *testing.T, c *Cluster) {
 		node := func(i int) *Box { return c.Of("router")[i%len(c.Of("router"))] }
 		ask := func(i int) api.Ask {
 			a := verdict
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -41,7 +41,7 @@
 	if i >= s.Prefill {
 		part, at = ids.Decode, i-s.Prefill
 	}
-	return fleetstate.Worker{Part: part, Model: s.Model, Weights: SiteWeights, Adapters: []string{}, Room: SiteRoom, Block: SiteBlock, Zone: s.Zones[at%len(s.Zones)]}
+	return fleetstate.Worker{Role: part, Model: s.Model, Weights: SiteWeights, Adapters: []string{}, Capacity: SiteRoom, Block: SiteBlock, Zone: s.Zones[at%len(s.Zones)]}
 }
 
 // Policy is the whole configuration as JSON text.
