--- a/Makefile
+++ b/Makefile
@@ -7,13 +7,13 @@
 test: format lines names vet tools lint
 	go run ./tools/suite KNOWN-RED.txt \
 		-- go test -json -race -count=1 -timeout 600s ./... \
-		-- go test -json -count=1 -timeout 600s ./simulation/... ./proxy/...
+		-- go test -json -count=1 -timeout 600s ./internal/simulation/... ./internal/proxy/...
 
 # Many seeds over every script: make sweep SEEDS=200 FROM=0
 SEEDS ?= 50
 FROM ?= 0
 sweep:
-	KEELSTAIR_SEEDS=$(SEEDS) KEELSTAIR_FROM=$(FROM) go test -count=1 -timeout 0 -run 'TestScripts|TestTogether' -v ./simulation | tee sweep.out | grep -E "^ +script_test|FAIL|^ok"
+	KEELSTAIR_SEEDS=$(SEEDS) KEELSTAIR_FROM=$(FROM) go test -count=1 -timeout 0 -run 'TestScripts|TestTogether' -v ./internal/simulation | tee sweep.out | grep -E "^ +script_test|FAIL|^ok"
 
 format:
 	@out=$$(gofmt -l .); if [ -n "$$out" ]; then echo "not gofmt's form: $$out"; exit 1; fi
@@ -66,4 +66,4 @@
 # The routing programs against each other, on simulated time; STEMS shared beginnings.
 STEMS ?= 1
 compare:
-	KEELSTAIR_COMPARE=1 KEELSTAIR_STEMS=$(STEMS) go test -count=1 -timeout 600s -run 'TestCompare|TestPrice|TestRevocationTimes' ./simulation -v | grep -E "^\||FAIL|^ok" | sort
+	KEELSTAIR_COMPARE=1 KEELSTAIR_STEMS=$(STEMS) go test -count=1 -timeout 600s -run 'TestCompare|TestPrice|TestRevocationTimes' ./internal/simulation -v | grep -E "^\||FAIL|^ok" | sort
--- a/cmd/keelstair-measure/hollow.go
+++ b/cmd/keelstair-measure/hollow.go
@@ -71,7 +71,7 @@
 		if c.Turns {
 			turn = 0 // the product's own
 		}
-		n, err := proxy.New(proxy.Options{Name: name, Addr: l.Addr().String(), Zone: zone, Seeds: c.Seeds, Host: host, Back: back, Turn: turn})
+		n, err := proxy.New(proxy.Options{Name: name, Addr: l.Addr().String(), Zone: zone, Seeds: c.Seeds, Host: host, Backend: back, RoleChangeInterval: turn})
 		if err != nil {
 			l.Close()
 			return nil, err
@@ -127,7 +127,7 @@
 	out := make([]proxy.Worker, s.Workers)
 	for i := range out {
 		out[i] = proxy.Worker{ID: ids.WorkerID(fmt.Sprintf("w-%05d-%s", i, coordination.ShortHash(fmt.Sprint("w", i))[:8])), Service: s.model(i), Addr: at[s.part(i)],
-			Zone: halls[i%len(halls)], Part: s.part(i), Slots: 48}
+			Zone: halls[i%len(halls)], Role: s.part(i), Concurrency: 48}
 		if out[i].Addr == "" {
 			out[i].Addr = fmt.Sprintf("127.1.%d.%d:9", i/250, 1+i%250)
 		}
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -106,7 +106,7 @@
 // the program set.
 func operate(mux *http.ServeMux, s *platform.Settings, call *rpc.Caller, book *coordination.Directory, ring *logging.Ring) {
 	(&platform.Operator{Call: call, Directory: book, Zones: s.Zones, Ring: ring}).Mount(mux)
-	api.MountOperator(mux, &proxy.Operator{Call: call, Directory: book, Zones: s.Zones})
+	api.MountOperator(mux, &proxy.Operator{Caller: call, Directory: book, Zones: s.Zones})
 }
 
 // desk serves the operator on a machine without a disk: it holds nothing and asks the core.
@@ -157,8 +157,8 @@
 	log.SetOutput(ring)
 	door := &http.Server{ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 20 * time.Second, MaxHeaderBytes: 64 << 10}
 	n, err := proxy.New(proxy.Options{Name: s.Name, Addr: s.Peer(), Zone: ids.Zone(s.Zone), Seeds: s.Seeds, Host: host, Ring: ring,
-		Back: platform.NewBack(host.Net, s.List), Read: platform.Policy, Deck: deck, Lease: s.Lease,
-		Rate: s.ListRate, Ratio: s.Ratio, Window: s.Window, Allow: s.Allow, Over: s.Over, Spare: s.Spare, Drain: func(ctx context.Context) error { return rpc.Drain(ctx, door) }})
+		Backend: platform.NewBack(host.Net, s.List), ReadConfiguration: platform.Policy, Programs: deck, LeaseDuration: s.Lease,
+		ListRate: s.ListRate, RetryRatio: s.Ratio, RetryWindow: s.Window, RetryAllowance: s.Allow, SlowStartOvershoot: s.Over, SlowStartAllowance: s.Spare, Drain: func(ctx context.Context) error { return rpc.Drain(ctx, door) }})
 	if err != nil {
 		return err
 	}
--- a/internal/proxy/admit_test.go
+++ b/internal/proxy/admission_test.go
@@ -50,8 +50,8 @@
 func (c crowd) run(t *testing.T, seed uint64) ([]*client, []row, []*asked) {
 	all := both("svc", 3, 4)
 	for _, s := range all {
-		if s.Slots = c.emit; s.Part == ids.Prefill {
-			s.Slots = c.readers
+		if s.Concurrency = c.emit; s.Role == ids.Prefill {
+			s.Concurrency = c.readers
 		}
 	}
 	y := newYard(all...)
@@ -60,7 +60,7 @@
 	}
 	y.lag, y.queue, y.direct = 300*time.Millisecond, 40, 25
 	f := build(t, seed, 4, y, c.policy(), func(o *Options) {
-		o.Turn, o.Rest, o.Allow, o.Admit, o.Pace = 500*time.Millisecond, -1, 60, c.admit, float64(50*c.readers)
+		o.RoleChangeInterval, o.IdlePrefillShare, o.RetryAllowance, o.AdmitFactor, o.PrefillTokensPerMs = 500*time.Millisecond, -1, 60, c.admit, float64(50*c.readers)
 	})
 	defer f.close()
 	time.Sleep(5 * time.Second)
@@ -97,18 +97,18 @@
 			return
 		}
 		r := f.req(fmt.Sprintf("r%d-%d", i, k), path, w.prompt, w.most)
-		r.Parts = []Part{{ID: fmt.Sprint("system-", i%30), Tokens: w.prompt / 8}, {ID: fmt.Sprint("own-", i), Tokens: w.prompt - w.prompt/8}}
-		r.Wait = left
+		r.Segments = []PromptSegment{{ID: fmt.Sprint("system-", i%30), Tokens: w.prompt / 8}, {ID: fmt.Sprint("own-", i), Tokens: w.prompt - w.prompt/8}}
+		r.Timeout = left
 		began := time.Now()
 		nodes := f.up()
 		a := f.ask(nodes[(at+k*by)%len(nodes)], r)
 		c.tries = append(c.tries, a)
 		if a.err == nil {
 			c.served = true
-			whole := a.sink.when[0]+began.Sub(first) <= crowdAim
+			complete := a.sink.when[0]+began.Sub(first) <= crowdAim
 			again := refused && a.sink.when[0] <= crowdAim
-			switch c.quick = whole || again; {
-			case whole:
+			switch c.quick = complete || again; {
+			case complete:
 				c.worth = 1
 			case again:
 				c.worth = 0.75
@@ -117,7 +117,7 @@
 			}
 			return
 		}
-		no, ok := a.err.(*Refusal)
+		no, ok := a.err.(*RejectedError)
 		if !ok {
 			return
 		}
@@ -129,7 +129,7 @@
 		if c.rude {
 			time.Sleep(10 * time.Millisecond)
 		} else {
-			time.Sleep(min(no.After, (crowdWait-time.Since(first))/3))
+			time.Sleep(min(no.RetryAfter, (crowdWait-time.Since(first))/3))
 		}
 	}
 	c.worth = -0.3
@@ -182,8 +182,8 @@
 func toldWhen(ends []*asked) []string {
 	var out []string
 	for _, a := range ends {
-		if no, ok := a.err.(*Refusal); ok && (no.After <= 0 || no.Early && no.After > max(admitLeast, a.Wait/3)) {
-			out = append(out, fmt.Sprintf("%s is told to come back after %s, and waits %s", a.ID, no.After, a.Wait))
+		if no, ok := a.err.(*RejectedError); ok && (no.RetryAfter <= 0 || no.Early && no.RetryAfter > max(minRetryAfter, a.Timeout/3)) {
+			out = append(out, fmt.Sprintf("%s is told to come back after %s, and waits %s", a.ID, no.RetryAfter, a.Timeout))
 		}
 	}
 	return out
@@ -193,7 +193,7 @@
 func early(ends []*asked) []*asked {
 	var out []*asked
 	for _, a := range ends {
-		if no, ok := a.err.(*Refusal); ok && no.Early {
+		if no, ok := a.err.(*RejectedError); ok && no.Early {
 			out = append(out, a)
 		}
 	}
@@ -202,20 +202,20 @@
 
 // TestPlantedCrowd: each checker keeps silent where all is well and catches its own violation.
 func TestPlantedCrowd(t *testing.T) {
-	row := func(urgent, rude bool, served ...bool) []*client {
+	rows := func(urgent, rude bool, served ...bool) []*client {
 		var out []*client
 		for _, s := range served {
 			out = append(out, &client{urgent: urgent, rude: rude, served: s})
 		}
 		return out
 	}
-	require.Empty(t, urgentFirst(append(row(true, false, true, true), row(false, false, true, false)...)))
-	require.NotEmpty(t, urgentFirst(append(row(true, false, true, false), row(false, false, true, true)...)))
-	require.Empty(t, fair(append(row(true, false, true, false), row(true, true, true, false)...), 0.2))
-	require.NotEmpty(t, fair(append(row(true, false, true, false), row(true, true, true, true)...), 0.2))
-	require.NotEmpty(t, fair(append(row(false, false, false, false), row(false, true, true, false)...), 0.2))
+	require.Empty(t, urgentFirst(append(rows(true, false, true, true), rows(false, false, true, false)...)))
+	require.NotEmpty(t, urgentFirst(append(rows(true, false, true, false), rows(false, false, true, true)...)))
+	require.Empty(t, fair(append(rows(true, false, true, false), rows(true, true, true, false)...), 0.2))
+	require.NotEmpty(t, fair(append(rows(true, false, true, false), rows(true, true, true, true)...), 0.2))
+	require.NotEmpty(t, fair(append(rows(false, false, false, false), rows(false, true, true, false)...), 0.2))
 	end := func(after time.Duration, early bool) []*asked {
-		return []*asked{{Request: &Request{ID: "r", Wait: 3 * time.Second}, err: &Refusal{Code: 503, After: after, Early: early}}}
+		return []*asked{{Request: &Request{ID: "r", Timeout: 3 * time.Second}, err: &RejectedError{Code: 503, RetryAfter: after, Early: early}}}
 	}
 	require.Empty(t, toldWhen(end(time.Second, true)))
 	require.NotEmpty(t, toldWhen(end(0, false)))
@@ -255,9 +255,9 @@
 					require.Empty(t, toldWhen(ends))
 					require.Empty(t, urgentFirst(all))
 					_, quick, served, n := outcomesOf(all, func(c *client) bool { return c.urgent })
-					_, quicks, most, _ := outcomesOf(all, func(c *client) bool { return !c.rude })
+					_, quicks, limit, _ := outcomesOf(all, func(c *client) bool { return !c.rude })
 					t.Logf("early refusals %t: %d callers, %d tries, %d refused early; of the urgent %.2f in time, %.2f served; of the polite %.2f and %.2f",
-						k == 1, len(all), len(ends), len(early(ends)), quick, served, quicks, most)
+						k == 1, len(all), len(ends), len(early(ends)), quick, served, quicks, limit)
 					require.Greater(t, n, 0)
 					urgent[k] += served
 					if k == 1 {
@@ -311,14 +311,14 @@
 func newGated(t *testing.T) *gated {
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 	require.NoError(t, err)
-	n.opt.Admit = 2
+	n.options.AdmitFactor = 2
 	g := &gated{t: t, n: n, list: many(8)}
 	p := &fleetstate.Configuration{Services: map[string]fleetstate.Service{"s": {Name: "s"}}}
 	for _, u := range []int{0, 7} {
 		p.Routes = append(p.Routes, fleetstate.Route{Name: fmt.Sprint("u", u), Host: routeHost, Prefix: fmt.Sprintf("/u%d/", u), Service: "s", Disaggregated: true, DeadlineMs: 3000, LatencyTargetMs: 500, Urgency: u})
 	}
 	g.s = &fleetstate.Snapshot{Configuration: p}
-	n.take(g.list, n.now(), n.now())
+	n.installList(g.list, n.now(), n.now())
 	return g
 }
 
@@ -328,27 +328,27 @@
 	for _, w := range g.list {
 		st := g.n.state(w.ID)
 		st.mu.Lock()
-		st.mem.stood, st.mem.at = stood{Room: 1000, Running: running}, now.Add(-age)
-		st.other, st.otherAt = Reads{w.ID, tokens, 1}, now
+		st.memory.reportedLoad, st.memory.at = reportedLoad{Capacity: 1000, Running: running}, now.Add(-age)
+		st.peerPrefills, st.peerPrefillsAt = PrefillLoad{w.ID, tokens, 1}, now
 		st.mu.Unlock()
 	}
-	g.n.gate.views.Clear()
-	g.n.gate.repeat.new = nil
+	g.n.admission.pressures.Clear()
+	g.n.admission.rejected.recent = nil
 }
 
 // asks gives how many of so many different requests of a route are refused.
-func (g *gated) asks(count, route int, form func(t *trip)) int {
+func (g *gated) asks(count, route int, form func(t *exchange)) int {
 	out := 0
 	for i := range count {
-		svc := g.s.Configuration.Services["s"]
-		r := &Request{ID: fmt.Sprint("r", i), Prompt: 1000, Most: 4, At: g.n.now(), Parts: []Part{{fmt.Sprint("own", i), 1000}}}
-		t := &trip{n: g.n, r: r, route: &g.s.Configuration.Routes[route], svc: &svc, end: g.n.now().Add(3 * time.Second)}
+		service := g.s.Configuration.Services["s"]
+		r := &Request{ID: fmt.Sprint("r", i), Prompt: 1000, MaxTokens: 4, At: g.n.now(), Segments: []PromptSegment{{fmt.Sprint("own", i), 1000}}}
+		t := &exchange{node: g.n, request: r, route: &g.s.Configuration.Routes[route], service: &service, deadline: g.n.now().Add(3 * time.Second)}
 		if form != nil {
 			form(t)
 		}
 		if err := t.admit(g.s); err != nil {
-			require.Equal(g.t, 503, err.(*Refusal).Code)
-			require.Greater(g.t, err.(*Refusal).After, time.Duration(0))
+			require.Equal(g.t, 503, err.(*RejectedError).Code)
+			require.Greater(g.t, err.(*RejectedError).RetryAfter, time.Duration(0))
 			out++
 		}
 	}
@@ -362,7 +362,7 @@
 func TestGate(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const urgent, patient = 0, 1
-		over := func(times float64) int { return int((times*500 - 20 - readFirst) * 50) } // tokens ahead
+		over := func(times float64) int { return int((times*500 - 20 - queuedPrefillCost) * 50) } // tokens ahead
 		g := newGated(t)
 		g.stand(11, over(5), 0)
 		require.Zero(t, g.asks(200, patient, nil), "half of the places are free")
@@ -391,20 +391,20 @@
 		g.stand(13, over(20), 0)
 		require.Equal(t, 200, g.asks(200, patient, nil))
 		for _, w := range g.list {
-			g.n.state(w.ID).full(g.n.now())
+			g.n.state(w.ID).recordFull(g.n.now())
 		}
 		g.stand(13, over(20), 0)
 		require.Equal(t, 200, g.asks(200, patient, nil), "all have turned something away just now")
 		require.Greater(t, g.asks(200, urgent, nil), 0)
-		require.Zero(t, g.asks(200, patient, func(t *trip) { t.last = "7" }), "a stream goes on")
-		require.Zero(t, g.asks(200, patient, func(t *trip) { r := *t.route; r.Disaggregated = false; t.route = &r }))
-		old := *g.n.roster.Load()
-		old.at = g.n.now().Add(-listOld - time.Second)
-		g.n.roster.Store(&old)
+		require.Zero(t, g.asks(200, patient, func(t *exchange) { t.lastEventID = "7" }), "a stream goes on")
+		require.Zero(t, g.asks(200, patient, func(t *exchange) { r := *t.route; r.Disaggregated = false; t.route = &r }))
+		previous := *g.n.workerList.Load()
+		previous.requestedAt = g.n.now().Add(-listMaxAge - time.Second)
+		g.n.workerList.Store(&previous)
 		require.Zero(t, g.asks(200, patient, nil), "the list is old")
 
 		off := newGated(t)
-		off.n.opt.Admit = -1
+		off.n.options.AdmitFactor = -1
 		off.stand(13, over(20), 0)
 		require.Zero(t, off.asks(200, patient, nil), "it is off")
 	})
@@ -420,7 +420,7 @@
 			g.stand(13, 60_000, 0)
 			var fate []bool
 			for i := range 40 {
-				fate = append(fate, g.asks(1, 1, func(t *trip) { t.r.Parts[0].ID = fmt.Sprint("own", i) }) == 1)
+				fate = append(fate, g.asks(1, 1, func(t *exchange) { t.request.Segments[0].ID = fmt.Sprint("own", i) }) == 1)
 			}
 			if node == 0 {
 				first = fate
@@ -437,33 +437,33 @@
 // request fare alike on all nodes for a moment; the table is bounded.
 func TestCallers(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		var c callers
-		c.note(7, ms(2000), 100)
-		require.Equal(t, time.Second, c.early(7, ms(1000)))
-		require.Zero(t, c.early(7, ms(2000)))
-		require.Zero(t, c.early(8, ms(1000)))
+		var c rejectedCallers
+		c.remember(7, ms(2000), 100)
+		require.Equal(t, time.Second, c.returnsEarly(7, ms(1000)))
+		require.Zero(t, c.returnsEarly(7, ms(2000)))
+		require.Zero(t, c.returnsEarly(8, ms(1000)))
 		for i := range uint64(10_000) {
-			c.note(100+i, ms(2000), 100)
-			require.LessOrEqual(t, len(c.new)+len(c.old), 100)
+			c.remember(100+i, ms(2000), 100)
+			require.LessOrEqual(t, len(c.recent)+len(c.earlier), 100)
 		}
-		require.NotZero(t, c.early(100+9_999, ms(1000)), "the newest are kept")
+		require.NotZero(t, c.returnsEarly(100+9_999, ms(1000)), "the newest are kept")
 
-		one := &Request{ID: "first", Target: "/x", Prompt: 9, Parts: []Part{{"shared", 5}, {"own", 4}}}
+		one := &Request{ID: "first", Target: "/x", Prompt: 9, Segments: []PromptSegment{{"shared", 5}, {"own", 4}}}
 		again, other := *one, *one
 		again.ID = "second"
-		other.Parts = []Part{{"shared", 5}, {"another", 4}}
-		require.Equal(t, caller(one), caller(&again))
-		require.NotEqual(t, caller(one), caller(&other))
-		require.NotEqual(t, caller(&Request{Body: []byte("a")}), caller(&Request{Body: []byte("b")}))
+		other.Segments = []PromptSegment{{"shared", 5}, {"another", 4}}
+		require.Equal(t, callerHash(one), callerHash(&again))
+		require.NotEqual(t, callerHash(one), callerHash(&other))
+		require.NotEqual(t, callerHash(&Request{Body: []byte("a")}), callerHash(&Request{Body: []byte("b")}))
 
 		wall := time.Unix(1000, 0)
 		low := 0
 		for i := range uint64(1000) {
 			who := i * 0x9e3779b97f4a7c15
-			require.Equal(t, draw(who, wall), draw(who, wall.Add(admitEpoch/100)))
-			if draw(who, wall) < 0.25 {
+			require.Equal(t, admitDraw(who, wall), admitDraw(who, wall.Add(admitEpoch/100)))
+			if admitDraw(who, wall) < 0.25 {
 				low++
-				if draw(who, wall.Add(admitEpoch)) < 0.25 {
+				if admitDraw(who, wall.Add(admitEpoch)) < 0.25 {
 					low--
 				}
 			}
@@ -473,12 +473,12 @@
 		g := newGated(t)
 		g.stand(13, 200_000, 0)
 		require.Equal(t, 1, g.asks(1, 1, nil))
-		kept := g.n.gate.repeat.new
+		kept := g.n.admission.rejected.recent
 		g.stand(13, 36_000, 0) // 1.5 times the aim: it has not eased, and few are refused
-		g.n.gate.repeat.new = kept
+		g.n.admission.rejected.recent = kept
 		require.Equal(t, 1, g.asks(1, 1, nil), "it came back too soon")
 		g.stand(13, 10_000, 0)
-		g.n.gate.repeat.new = kept
+		g.n.admission.rejected.recent = kept
 		require.Zero(t, g.asks(1, 1, nil), "it is pressed no more")
 	})
 }
--- a/internal/proxy/check_test.go
+++ b/internal/proxy/check_test.go
@@ -32,7 +32,7 @@
 		if !a.again && ran[a.ID] > 1 {
 			out = append(out, fmt.Sprintf("%s ran %d times", a.ID, ran[a.ID]))
 		}
-		if _, no := a.err.(*Refusal); no && ran[a.ID] > 0 {
+		if _, no := a.err.(*RejectedError); no && ran[a.ID] > 0 {
 			out = append(out, fmt.Sprintf("%s was refused, and ran", a.ID))
 		} else if no && !a.again && took[a.ID] > 0 {
 			out = append(out, fmt.Sprintf("%s was refused, and was offered", a.ID))
@@ -45,15 +45,15 @@
 }
 
 // ended: every request has an end, in time, of one of the three sorts.
-func ended(ends []*asked, most time.Duration) []string {
+func ended(ends []*asked, limit time.Duration) []string {
 	var out []string
 	for _, a := range ends {
 		switch a.err.(type) {
-		case nil, *Refusal, *Broken:
+		case nil, *RejectedError, *AbortedError:
 		default:
 			out = append(out, fmt.Sprintf("%s ends with %T", a.ID, a.err))
 		}
-		if !a.ended || a.end-a.at > most {
+		if !a.ended || a.end-a.at > limit {
 			out = append(out, fmt.Sprintf("%s took %s", a.ID, a.end-a.at))
 		}
 	}
@@ -67,11 +67,11 @@
 	var out []string
 	for _, a := range ends {
 		got, first := a.sink.text(), 0
-		fmt.Sscan(a.From, &first)
-		if _, no := a.err.(*Refusal); no && (got != "" || a.sink.heads > 0) {
+		fmt.Sscan(a.LastEventID, &first)
+		if _, no := a.err.(*RejectedError); no && (got != "" || a.sink.heads > 0) {
 			out = append(out, a.ID+" is refused and has bytes")
 		}
-		if b, no := a.err.(*Broken); no && b.Begun != (a.sink.heads > 0) {
+		if b, no := a.err.(*AbortedError); no && b.HeadSent != (a.sink.heads > 0) {
 			out = append(out, a.ID+" does not tell whether it began")
 		}
 		if a.sink.heads > 1 {
@@ -82,7 +82,7 @@
 		}
 		if !a.stream {
 			want := ""
-			for i := 1; i <= a.Most; i++ {
+			for i := 1; i <= a.MaxTokens; i++ {
 				want += fmt.Sprintf("word-%d of %s;", i, a.ID)
 			}
 			if a.err == nil && got != want || !strings.HasPrefix(want, got) {
@@ -100,8 +100,8 @@
 			}
 			got = got[len(event):]
 		}
-		if a.err == nil && got == "" && n != a.Most {
-			out = append(out, fmt.Sprintf("%s completed after event %d of %d", a.ID, n, a.Most))
+		if a.err == nil && got == "" && n != a.MaxTokens {
+			out = append(out, fmt.Sprintf("%s completed after event %d of %d", a.ID, n, a.MaxTokens))
 		}
 	}
 	return out
@@ -153,7 +153,7 @@
 }
 
 // coldRate: in no second do more than so many arrivals come to one cold worker.
-func coldRate(rows []row, most int) []string {
+func coldRate(rows []row, limit int) []string {
 	var out []string
 	by := map[ids.WorkerID][]time.Duration{}
 	for _, k := range rows {
@@ -162,8 +162,8 @@
 		}
 		at := append(by[k.Worker], k.At)
 		by[k.Worker] = at
-		if n := len(at); n > most && at[n-1]-at[n-1-most] < time.Second {
-			out = append(out, fmt.Sprintf("at %s: over %d in a second to %s", k.At, most, k.Worker))
+		if n := len(at); n > limit && at[n-1]-at[n-1-limit] < time.Second {
+			out = append(out, fmt.Sprintf("at %s: over %d in a second to %s", k.At, limit, k.Worker))
 		}
 	}
 	return out
@@ -201,12 +201,12 @@
 		if k.Kind != "order" {
 			continue
 		}
-		if old, ok := last[k.Worker]; ok {
-			if old.Owner != k.Owner && k.At-old.At < lease {
-				out = append(out, fmt.Sprintf("at %s: %s orders %s, %s after %s did", k.At, k.Owner, k.Worker, k.At-old.At, old.Owner))
+		if previous, ok := last[k.Worker]; ok {
+			if previous.Owner != k.Owner && k.At-previous.At < lease {
+				out = append(out, fmt.Sprintf("at %s: %s orders %s, %s after %s did", k.At, k.Owner, k.Worker, k.At-previous.At, previous.Owner))
 			}
-			if k.Fence < old.Fence {
-				out = append(out, fmt.Sprintf("at %s: fence %d after %d at %s", k.At, k.Fence, old.Fence, k.Worker))
+			if k.Fence < previous.Fence {
+				out = append(out, fmt.Sprintf("at %s: fence %d after %d at %s", k.At, k.Fence, previous.Fence, k.Worker))
 			}
 		}
 		last[k.Worker] = k
@@ -222,7 +222,7 @@
 	for id, p := range parts {
 		now[id] = p
 	}
-	least := (len(parts) + 2) / 3
+	minimum := (len(parts) + 2) / 3
 	for _, k := range rows {
 		if k.Kind != "order" || !k.Took {
 			continue
@@ -232,7 +232,7 @@
 		for _, p := range now {
 			count[p]++
 		}
-		if count[ids.Prefill] < least || count[ids.Decode] < least {
+		if count[ids.Prefill] < minimum || count[ids.Decode] < minimum {
 			out = append(out, fmt.Sprintf("at %s: %v are left", k.At, count))
 		}
 	}
@@ -260,7 +260,7 @@
 		if got != "" {
 			s.heads, s.status = 1, 200
 		}
-		return []*asked{{Request: &Request{ID: "r", Path: path, Most: 2}, err: err, sink: s, stream: strings.HasPrefix(path, "/s"), ended: true, at: time.Second, end: 2 * time.Second}}
+		return []*asked{{Request: &Request{ID: "r", Path: path, MaxTokens: 2}, err: err, sink: s, stream: strings.HasPrefix(path, "/s"), ended: true, at: time.Second, end: 2 * time.Second}}
 	}
 	emit := row{Kind: "emit", Req: "r", Took: true, Ran: true, Worker: "w"}
 	silent := emit
@@ -268,10 +268,10 @@
 	plainText := "word-1 of r;word-2 of r;"
 
 	require.Empty(t, onceOnly([]row{emit}, end(nil, "/once/", plainText)))
-	require.Empty(t, onceOnly([]row{{Kind: "emit", Req: "r"}}, end(&Refusal{}, "/once/", "")))
+	require.Empty(t, onceOnly([]row{{Kind: "emit", Req: "r"}}, end(&RejectedError{}, "/once/", "")))
 	require.NotEmpty(t, onceOnly([]row{emit, emit}, end(nil, "/once/", plainText)), "ran twice")
-	require.NotEmpty(t, onceOnly([]row{emit}, end(&Refusal{}, "/once/", "")), "ran and refused")
-	require.NotEmpty(t, onceOnly([]row{silent}, end(&Refusal{}, "/once/", "")), "offered and refused")
+	require.NotEmpty(t, onceOnly([]row{emit}, end(&RejectedError{}, "/once/", "")), "ran and refused")
+	require.NotEmpty(t, onceOnly([]row{silent}, end(&RejectedError{}, "/once/", "")), "offered and refused")
 	require.NotEmpty(t, onceOnly(nil, end(nil, "/once/", plainText)), "never ran")
 
 	require.Empty(t, ended(end(nil, "/once/", plainText), 2*time.Second))
@@ -279,15 +279,15 @@
 	require.NotEmpty(t, ended(end(errReset, "/once/", ""), 2*time.Second), "another sort of end")
 
 	require.Empty(t, answers(end(nil, "/once/", plainText)))
-	require.Empty(t, answers(end(&Broken{Begun: true}, "/stream/", event(1))))
+	require.Empty(t, answers(end(&AbortedError{HeadSent: true}, "/stream/", event(1))))
 	require.Empty(t, answers(end(nil, "/stream/", event(1)+event(2))))
 	require.NotEmpty(t, answers(end(nil, "/once/", "word-1 of r;")), "a part as a whole")
 	require.NotEmpty(t, answers(end(nil, "/stream/", event(1))), "a part as a whole")
 	require.NotEmpty(t, answers(end(nil, "/stream/", event(1)+event(1)+event(2))), "an event twice")
 	require.NotEmpty(t, answers(end(nil, "/stream/", event(2)+event(1))), "out of order")
-	require.NotEmpty(t, answers(end(&Broken{Begun: true}, "/stream/", event(1)+"id: 2\nda")), "a partial event")
-	require.NotEmpty(t, answers(end(&Refusal{}, "/stream/", event(1))), "a refusal with bytes")
-	require.NotEmpty(t, answers(end(&Broken{}, "/stream/", event(1))), "begun and not told")
+	require.NotEmpty(t, answers(end(&AbortedError{HeadSent: true}, "/stream/", event(1)+"id: 2\nda")), "a partial event")
+	require.NotEmpty(t, answers(end(&RejectedError{}, "/stream/", event(1))), "a refusal with bytes")
+	require.NotEmpty(t, answers(end(&AbortedError{}, "/stream/", event(1))), "begun and not told")
 
 	second := emit
 	second.At = 3 * time.Second
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -148,7 +148,7 @@
 					if s.Version < last[b.Node] {
 						faults = append(faults, fmt.Sprintf("%s went from %d to %d", b.ip, last[b.Node], s.Version))
 					}
-					if old, ok := texts[s.Version]; ok && old != string(s.Text) {
+					if previous, ok := texts[s.Version]; ok && previous != string(s.Text) {
 						faults = append(faults, fmt.Sprintf("two texts of %d", s.Version))
 					}
 					texts[s.Version], last[b.Node] = string(s.Text), s.Version
@@ -214,7 +214,7 @@
 		t.Run(fmt.Sprint("dropped-", dropped), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				y := newYard(append(both("svc", 2, 2), both("other", 2, 2)...)...)
-				f := build(t, 73, 2, y, plain(), func(o *Options) { o.Allow = 10 })
+				f := build(t, 73, 2, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
 				defer f.close()
 				long := make(chan *asked, 1)
 				f.wg.Go(func() { long <- f.ask(f.nodes[0], f.req("long", "/sresume/x", 400, 150)) })
@@ -247,7 +247,7 @@
 				}
 				require.Equal(t, 2, emits)
 				if dropped {
-					require.Equal(t, 404, late.err.(*Refusal).Code)
+					require.Equal(t, 404, late.err.(*RejectedError).Code)
 				} else {
 					require.NoError(t, late.err)
 				}
@@ -267,7 +267,7 @@
 			var out []string
 			for _, b := range f.nodes {
 				a := f.ask(b, f.req(id+b.ip, path, 400, 2))
-				if no, ok := a.err.(*Refusal); ok {
+				if no, ok := a.err.(*RejectedError); ok {
 					require.Equal(t, 404, no.Code)
 					out = append(out, "404")
 					continue
@@ -308,8 +308,8 @@
 		for _, k := range y.book() {
 			if k.Kind == "emit" {
 				to := string(k.Worker[:3])
-				if old, ok := at[k.Req]; ok {
-					require.Equal(t, old, to, k.Req)
+				if previous, ok := at[k.Req]; ok {
+					require.Equal(t, previous, to, k.Req)
 				}
 				at[k.Req] = to
 				count[to]++
@@ -339,10 +339,10 @@
 		f.kill(1)
 		b := f.node(0)
 		time.Sleep(2 * time.Second)
-		ok, why := b.Ready()
+		ok, reason := b.Ready()
 		require.False(t, ok)
-		require.NotEmpty(t, why)
+		require.NotEmpty(t, reason)
 		a := f.ask(b, f.req("late", "/once/x", 400, 3))
-		require.Equal(t, 503, a.err.(*Refusal).Code)
+		require.Equal(t, 503, a.err.(*RejectedError).Code)
 	})
 }
--- /dev/null
+++ b/internal/proxy/exchange.go
@@ -0,0 +1,398 @@
+// The way of one request: read at one worker, moved, emitted at another, passed on. The
+// node that took a try keeps its promise alone, since every try has an id of its own:
+// what was offered and not turned away may have run, and never ends in a refusal.
+
+package proxy
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"keelstair.example/failure"
+	"keelstair.example/host"
+	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/routing"
+)
+
+// Event is one step of one request.
+type Event struct {
+	Request string
+	Step    handoff.Stage
+	Worker  ids.WorkerID
+	At      ids.Tick
+	Reason  string
+}
+
+type exchange struct {
+	node     *Node
+	request  *Request
+	route    *fleetstate.Route
+	service  *fleetstate.Service
+	programs *routing.ProgramSet // it keeps to the one it began with
+	sink     Sink
+	deadline ids.Tick
+	prefixes []uint64
+	tried    map[ids.WorkerID]bool
+
+	prefilledAt   *pick  // the worker whose memory of the prompt is yet to be fetched
+	unpaidPrefill bool   // a reading that failed is yet to be counted
+	attemptsMade  int    // counted: emits, and readings turned away or repeated
+	mayHaveRun    bool   // it may have run
+	headSent      bool   // the caller has the head of an answer
+	lastEventID   string // id of the last event that the caller has
+}
+
+func (t *exchange) trace(stage handoff.Stage, w ids.WorkerID, reason string) {
+	if t.node.options.Trace != nil {
+		t.node.options.Trace(Event{t.request.ID, stage, w, t.node.now(), reason})
+	}
+}
+
+func (t *exchange) remaining() time.Duration { return t.deadline.Since(t.node.now()) }
+
+// Serve brings a request to its end. A nil error means that the sink has the whole
+// answer; a *Refusal, that it was not run; a *Broken, that it may have been.
+func (n *Node) Serve(ctx context.Context, r *Request, sink Sink) error {
+	n.counts.Requests.Add(1)
+	n.inflight.Add(1)
+	defer n.inflight.Add(-1)
+	s := n.snapshot()
+	if s.Version == 0 {
+		return n.reject(http.StatusServiceUnavailable, time.Second, "no configuration is in force")
+	}
+	route := s.Table.Find(r.Host, r.Path)
+	if route == nil {
+		return n.reject(http.StatusNotFound, 0, "no route")
+	}
+	service, ok := s.Configuration.Services[route.Pick(r.ID)]
+	if !ok {
+		return n.reject(http.StatusNotFound, 0, "no service")
+	}
+	wait := route.Deadline()
+	if r.Timeout > 0 {
+		wait = min(wait, r.Timeout)
+	}
+	t := &exchange{node: n, request: r, route: route, service: &service, programs: n.deal(s).Set, sink: sink, deadline: r.At.Add(wait), tried: map[ids.WorkerID]bool{}, lastEventID: r.LastEventID}
+	t.prefixes, _ = prefixHashes(r)
+	n.budget.countRequest(n.now())
+	callContext, stop := context.WithTimeout(ctx, wait)
+	defer stop()
+	err := t.admit(s)
+	if err == nil {
+		err = t.run(callContext)
+	}
+	switch err.(type) {
+	case nil:
+		n.counts.Completed.Add(1)
+		t.trace(handoff.Ended, "", "")
+	case *RejectedError:
+		n.counts.Rejected.Add(1)
+		t.trace(handoff.Dropped, "", err.Error())
+	default:
+		n.counts.Aborted.Add(1)
+		t.trace(handoff.Dropped, "", err.Error())
+	}
+	return err
+}
+
+func (n *Node) reject(code int, after time.Duration, reason string) error {
+	n.counts.Rejected.Add(1)
+	return &RejectedError{Code: code, RetryAfter: after, Reason: reason}
+}
+
+// run tries until the answer is whole, the tries are used up or the time is over.
+func (t *exchange) run(ctx context.Context) error {
+	var source *Source
+	var reason error
+	if t.route.Disaggregated && t.lastEventID == "" {
+		source, reason = t.prefill(ctx)
+	}
+	for {
+		if ctx.Err() != nil || t.mayHaveRun && !t.route.MayRetry() {
+			t.releaseSource(source)
+			return t.giveUp(reason, http.StatusGatewayTimeout)
+		}
+		w, reply, err := t.decode(ctx, source)
+		if err == nil {
+			source = nil
+			t.fetched()
+			if err = t.relay(ctx, w, reply); err == nil {
+				return nil
+			}
+		}
+		reason = err
+		switch failure.KindOf(err) {
+		case failure.OutcomeUnknown:
+			// Whoever is silent has perhaps not fetched the memory.
+			t.mayHaveRun = true
+			t.releaseSource(source)
+			source = nil
+			if !t.route.MayRetry() || t.headSent && !t.route.Resumable || errors.Is(err, errCallerGone) {
+				return t.giveUp(err, http.StatusBadGateway)
+			}
+		case failure.DataLost:
+			source = nil
+			t.fetched()
+		case failure.Unavailable:
+			t.releaseSource(source)
+			return t.giveUp(err, http.StatusGatewayTimeout)
+		}
+		t.node.counts.Retries.Add(1)
+	}
+}
+
+func (t *exchange) releaseSource(source *Source) {
+	if source != nil {
+		t.free(source)
+		t.fetched()
+	}
+}
+
+// fetched notes that a reading worker keeps nothing for this try any more.
+func (t *exchange) fetched() {
+	if t.prefilledAt != nil {
+		t.prefilledAt.release(true, t.node.now())
+		t.prefilledAt = nil
+	}
+}
+
+// free gives memory back that nobody will fetch.
+func (t *exchange) free(source *Source) {
+	go func() {
+		callContext, stop := context.WithTimeout(context.Background(), time.Second)
+		defer stop()
+		t.node.options.Backend.Free(callContext, source.Worker, source.Handle)
+	}()
+}
+
+// giveUp answers at once: a refusal with when to come back where nothing ran.
+func (t *exchange) giveUp(err error, code int) error {
+	reason := "given up"
+	if err != nil {
+		reason = err.Error()
+	}
+	if t.mayHaveRun || t.headSent {
+		return &AbortedError{Code: code, HeadSent: t.headSent, Reason: reason}
+	}
+	return &RejectedError{Code: http.StatusServiceUnavailable, RetryAfter: t.after(), Reason: reason}
+}
+
+func (t *exchange) after() time.Duration {
+	return min(max(150*time.Millisecond, t.route.LatencyTarget()/4), max(50*time.Millisecond, t.remaining()/4))
+}
+
+// payRetry counts one more sending, and takes it from the shared budget unless it is the first.
+func (t *exchange) payRetry() bool {
+	if t.attemptsMade >= max(1, t.route.MaxAttempts) || (t.attemptsMade > 0 || t.unpaidPrefill) && !t.node.spendRetry() {
+		return false
+	}
+	t.unpaidPrefill = false
+	t.attemptsMade++
+	return true
+}
+
+func (n *Node) spendRetry() bool {
+	return n.budget.spend(n.now(), 0.9*n.options.RetryRatio, 0.8*float64(n.options.RetryAllowance)*n.share())
+}
+
+// send books a worker for one sending; false if it may get nothing new by now, or is cold
+// and was sent enough.
+func (t *exchange) send(c *pick, reads int) bool {
+	gap, ok := t.node.slowStartDelay(c.worker.ID, t.service)
+	if !ok || gap > 0 && !t.node.slowStart.reserve(c.worker.ID, gap, t.node.now()) {
+		return false
+	}
+	var ms []uint64
+	if reads > 0 {
+		ms = t.prefixes
+	}
+	c.state.begin(reads, ms, t.node.now())
+	c.ended = new(atomic.Bool)
+	more := t.request.MaxTokens
+	if reads > 0 {
+		more = 0
+	}
+	c.reserve(t.request, more, t.node.now())
+	return true
+}
+
+// prefill has the prompt read. No source and no error means that the emitting worker is to
+// read by itself.
+func (t *exchange) prefill(ctx context.Context) (*Source, error) {
+	for again := true; again; {
+		again = false
+		picked := t.node.now()
+		for _, c := range t.node.prefillCandidates(t.programs, t.node.snapshot(), t.service, t.request, t.tried) {
+			if !t.send(&c, max(1, c.need)) {
+				continue
+			}
+			source, dialled, err := t.prefillAt(ctx, &c)
+			if dialled {
+				return source, err
+			}
+			t.tried[c.worker.ID] = true
+			if ctx.Err() != nil {
+				return nil, err
+			}
+			if again = t.node.now().Past(picked, pickMaxAge); again {
+				break
+			}
+		}
+	}
+	return nil, nil
+}
+
+// prefillAt has one worker read the prompt; false if no connection to it came up.
+func (t *exchange) prefillAt(ctx context.Context, c *pick) (*Source, bool, error) {
+	t.trace(handoff.Granted, c.worker.ID, "")
+	duration := min(t.node.options.PrefillSilence+time.Duration(c.cost*2)*time.Millisecond, t.remaining())
+	callContext, stop := context.WithTimeout(ctx, duration)
+	callContext, take := context.WithCancelCause(callContext)
+	f := &attempt{take}
+	c.state.addAttempt(f)
+	quiet := time.AfterFunc(alarmQuietPeriod+time.Duration(c.cost)*time.Millisecond, func() { t.node.suspect(*c.worker, true) })
+	memo, err := t.node.options.Backend.Read(callContext, *c.worker, t.request, duration, urgencyRank(t.route.Urgency, c.need))
+	quiet.Stop()
+	c.state.removeAttempt(f)
+	take(nil)
+	stop()
+	c.state.end(max(1, c.need))
+	now := t.node.now()
+	if err == nil {
+		c.state.recordSuccess(memo.Load, now)
+		t.node.recordOutcome(c, true)
+		t.prefilledAt = c
+		t.trace(handoff.Prefilled, c.worker.ID, "")
+		return &Source{Worker: *c.worker, Handle: memo.Handle}, true, nil
+	}
+	c.release(failure.Is(err, failure.OutcomeUnknown), now)
+	t.blame(ctx, c, err, now)
+	t.trace(handoff.Dropped, c.worker.ID, err.Error())
+	if failure.Is(err, failure.NotExecuted) && failure.Step(err) == dialStep {
+		return nil, false, err
+	}
+	t.mayHaveRun = t.mayHaveRun || failure.Is(err, failure.InvalidArgument)
+	// It may not have been taken up, and then counts like any other sending.
+	t.unpaidPrefill = true
+	if failure.Is(err, failure.NotExecuted) || failure.Is(err, failure.Stale) {
+		t.attemptsMade++
+	}
+	return nil, true, err
+}
+
+// dialStep names the step of breakdowns where no connection came up.
+const dialStep = "dial"
+
+// NotDialled makes the breakdown of a request that never left.
+func NotDialled(err error, near string) error {
+	return failure.As(err, failure.NotExecuted, dialStep, near)
+}
+
+func (t *exchange) blame(ctx context.Context, c *pick, err error, now ids.Tick) {
+	switch {
+	case failure.Is(err, failure.DataLost):
+	case failure.Is(err, failure.Stale):
+		t.tried[c.worker.ID] = true
+		c.state.markReplaced()
+	case failure.Is(err, failure.NotExecuted) && failure.Step(err) != dialStep:
+		c.state.recordFull(now)
+	case ctx.Err() == nil:
+		c.state.recordFailure(now)
+		if failure.Step(err) != dialStep {
+			t.node.recordOutcome(c, false)
+		}
+		t.node.suspect(*c.worker, true)
+	}
+}
+
+// decode offers the request to a worker. Away means that there is none or no try left.
+func (t *exchange) decode(ctx context.Context, source *Source) (*pick, *Response, error) {
+	for round := 0; ; round++ {
+		picked, again := t.node.now(), false
+		var from *Worker
+		if source != nil {
+			from = &source.Worker
+		}
+		for _, c := range t.node.emitters(t.programs, t.node.snapshot(), t.service, t.request, from, t.tried) {
+			if t.attemptsMade >= max(1, t.route.MaxAttempts) {
+				break
+			}
+			if !t.send(&c, 0) {
+				continue
+			}
+			if !t.payRetry() {
+				c.state.end(0)
+				c.release(false, t.node.now())
+				break
+			}
+			if source == nil {
+				t.node.counts.Direct.Add(1)
+			}
+			reply, err := t.offer(ctx, &c, source)
+			if err == nil {
+				return &c, reply, nil
+			}
+			c.state.end(0)
+			c.release(failure.Is(err, failure.OutcomeUnknown), t.node.now())
+			t.blame(ctx, &c, err, t.node.now())
+			t.trace(handoff.Dropped, c.worker.ID, err.Error())
+			if failure.Is(err, failure.NotExecuted) && failure.Step(err) == dialStep {
+				t.attemptsMade--
+				t.tried[c.worker.ID] = true
+				if again = t.node.now().Past(picked, pickMaxAge); again {
+					break
+				}
+				continue
+			}
+			return nil, nil, err
+		}
+		if again && ctx.Err() == nil {
+			round--
+			continue
+		}
+		if t.attemptsMade >= max(1, t.route.MaxAttempts) {
+			return nil, nil, failure.New(failure.Unavailable, "emit", t.service.Name, "no try is left")
+		}
+		if round > 2 || !host.Sleep(ctx, 30*time.Millisecond) {
+			return nil, nil, failure.New(failure.Unavailable, "emit", t.service.Name, "no worker may take it")
+		}
+	}
+}
+
+// offer sends to one worker. A silent one is left for another only where the request may
+// run again.
+func (t *exchange) offer(ctx context.Context, c *pick, source *Source) (*Response, error) {
+	callContext, stop := context.WithCancelCause(ctx)
+	g := &supervisedBody{exchange: t, pick: c, stop: stop}
+	if t.mayRetry() {
+		g.attempt = &attempt{stop}
+		c.state.addAttempt(g.attempt)
+		g.deadlineTimer = time.AfterFunc(t.patience(), func() { stop(errWorkerSilent) })
+	} else {
+		g.silenceTimer = time.AfterFunc(t.patience(), func() { t.node.recordOutcome(c, false) })
+	}
+	g.probeTimer = time.AfterFunc(alarmQuietPeriod, func() { t.node.suspect(*c.worker, true) })
+	reply, err := t.node.options.Backend.Emit(callContext, *c.worker, t.request, source, t.lastEventID, t.remaining(), t.route.Urgency)
+	if err != nil {
+		g.done()
+		return nil, err
+	}
+	g.ReadCloser, reply.Body = reply.Body, g
+	return reply, nil
+}
+
+// mayRetry tells whether this try may run once more.
+func (t *exchange) mayRetry() bool {
+	return t.route.MayRetry() && t.attemptsMade < max(1, t.route.MaxAttempts)
+}
+
+// patience is how long an emitting worker may say nothing before a request that may run
+// again goes elsewhere.
+func (t *exchange) patience() time.Duration {
+	return max(t.node.options.PrefillSilence, 2*t.route.LatencyTarget())
+}
--- a/internal/proxy/carry_test.go
+++ b/internal/proxy/exchange_test.go
@@ -62,14 +62,14 @@
 		defer f.close()
 		all := f.load(12, 10*time.Second, func(i int) *Request {
 			r := f.req(fmt.Sprint("r", i), "/once/x", 8000, 2)
-			r.Parts = []Part{{ID: fmt.Sprint("system-", i/3%4), Tokens: 7900}, {ID: "last-" + r.ID, Tokens: 100}}
+			r.Segments = []PromptSegment{{ID: fmt.Sprint("system-", i/3%4), Tokens: 7900}, {ID: "last-" + r.ID, Tokens: 100}}
 			return r
 		})
 		at, used := map[string]map[ids.WorkerID]int{}, map[ids.WorkerID]bool{}
 		begin := map[string]string{}
 		for _, a := range all {
 			require.NoError(t, a.err)
-			begin[a.ID] = a.Parts[0].ID
+			begin[a.ID] = a.Segments[0].ID
 		}
 		for _, k := range y.book() {
 			if k.Kind == "read" {
@@ -113,11 +113,11 @@
 				require.Empty(t, ended(all, 8500*time.Millisecond))
 				require.Empty(t, answers(all))
 				for _, a := range all {
-					if _, no := a.err.(*Refusal); no {
+					if _, no := a.err.(*RejectedError); no {
 						require.NotContains(t, []fate{ranReset, ranSilent, midReset, foreign, bare, failed}, how)
 					}
 					if !a.again && (how == ranReset || how == ranSilent || how == midReset || how == foreign || how == bare) {
-						require.IsType(t, &Broken{}, a.err, a.Path)
+						require.IsType(t, &AbortedError{}, a.err, a.Path)
 					}
 				}
 			})
@@ -132,7 +132,7 @@
 	eachSeed(t, 10, func(t *testing.T, seed uint64) {
 		all := both("svc", 3, 4)
 		for _, w := range all {
-			w.Slots = 6
+			w.Concurrency = 6
 		}
 		y := newYard(all...)
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -142,7 +142,7 @@
 			}
 			return []fate{unreached, turnedAway, ranReset, idleReset, ranSilent, idleSilent, midReset, foreign, bare, failed, lostMemory}[rng.IntN(11)]
 		}
-		f := build(t, seed, 3, y, plain(), func(o *Options) { o.Allow = 20 })
+		f := build(t, seed, 3, y, plain(), func(o *Options) { o.RetryAllowance = 20 })
 		defer f.close()
 		f.wg.Go(func() {
 			for i := range 5 {
@@ -189,7 +189,7 @@
 					}
 					return fine
 				}
-				f := build(t, 4, 2, y, plain(), func(o *Options) { o.Allow = 10 })
+				f := build(t, 4, 2, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
 				defer f.close()
 				if how != "cut" {
 					f.wg.Go(func() {
@@ -235,7 +235,7 @@
 		f := build(t, 5, 2, y, plain(), nil)
 		defer f.close()
 		r := f.req("r", "/sresume/x", 500, 12)
-		r.From = "7"
+		r.LastEventID = "7"
 		a := f.ask(f.nodes[0], r)
 		require.NoError(t, a.err)
 		require.Empty(t, answers([]*asked{a}))
@@ -259,8 +259,8 @@
 		f := build(t, 6, 2, y, plain(), nil)
 		defer f.close()
 		a := f.ask(f.nodes[0], f.req("r", "/stream/x", 500, 20))
-		require.IsType(t, &Broken{}, a.err)
-		require.True(t, a.err.(*Broken).Begun)
+		require.IsType(t, &AbortedError{}, a.err)
+		require.True(t, a.err.(*AbortedError).HeadSent)
 		require.Empty(t, answers([]*asked{a}))
 		require.Empty(t, onceOnly(y.book(), []*asked{a}))
 		require.Contains(t, a.sink.text(), "id: 10\n")
@@ -283,7 +283,7 @@
 		defer f.close()
 		for i, path := range paths {
 			a := f.ask(f.nodes[0], f.req(fmt.Sprint("r", i), path, 500, 6))
-			require.IsType(t, &Broken{}, a.err, path)
+			require.IsType(t, &AbortedError{}, a.err, path)
 			require.Zero(t, a.sink.heads, path)
 			require.Empty(t, a.sink.text(), path)
 		}
@@ -306,7 +306,7 @@
 			defer f.close()
 			for i, path := range paths {
 				a := f.ask(f.nodes[0], f.req(fmt.Sprint("r", i), path, 500, 6))
-				require.IsType(t, &Refusal{}, a.err)
+				require.IsType(t, &RejectedError{}, a.err)
 			}
 			time.Sleep(2 * time.Second)
 			require.Empty(t, kept(y))
@@ -332,9 +332,9 @@
 			}
 		})
 		r := f.req("r", "/once/x", 500, 6)
-		r.Wait = 40 * time.Millisecond
+		r.Timeout = 40 * time.Millisecond
 		a := f.ask(f.nodes[0], r)
-		require.IsType(t, &Refusal{}, a.err)
+		require.IsType(t, &RejectedError{}, a.err)
 		time.Sleep(2 * time.Second)
 		require.Empty(t, kept(y))
 	})
@@ -350,7 +350,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		y.at(func() { y.onRead = func(*Request) { stop() } })
 		a := f.askAs(ctx, f.nodes[0], f.req("r", "/once/x", 500, 6), &sink{})
-		require.IsType(t, &Refusal{}, a.err)
+		require.IsType(t, &RejectedError{}, a.err)
 		require.Empty(t, onceOnly(y.book(), []*asked{a}))
 		time.Sleep(2 * time.Second)
 		require.NotEmpty(t, y.handles)
@@ -371,7 +371,7 @@
 			}
 			return fine
 		}
-		f := build(t, 11, 1, y, plain(), func(o *Options) { o.Allow = 10 })
+		f := build(t, 11, 1, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
 		defer f.close()
 		for i, path := range []string{"/again/x", "/once/x"} {
 			f.ask(f.nodes[0], f.req(fmt.Sprint("r", i), path, 500, 6))
@@ -385,7 +385,7 @@
 func TestCallerGone(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 2, 3)...)
-		f := build(t, 12, 1, y, plain(), func(o *Options) { o.Allow = 10 })
+		f := build(t, 12, 1, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
 		defer f.close()
 		for i, path := range paths {
 			id := fmt.Sprint("r", i)
@@ -415,7 +415,7 @@
 			}
 			return fine
 		}
-		f := build(t, 13, 1, y, plain(), func(o *Options) { o.Allow = 20 })
+		f := build(t, 13, 1, y, plain(), func(o *Options) { o.RetryAllowance = 20 })
 		defer f.close()
 		a := f.ask(f.nodes[0], f.req("r0", "/once/x", 500, 6))
 		require.NoError(t, a.err)
--- /dev/null
+++ b/internal/proxy/fault_notice.go
@@ -0,0 +1,124 @@
+// Failure detection by requests: a worker that fails one, or is silent, is asked for its
+// report. If that does not come either, it counts as down: nothing new is sent, what may
+// run elsewhere is taken away from it at once, and the peers are warned. Each peer asks
+// for itself before it believes, so a node that is cut off puts nobody out.
+
+package proxy
+
+import (
+	"context"
+	"time"
+
+	"keelstair.example/failure"
+	"keelstair.example/host"
+	"keelstair.example/ids"
+	"keelstair.example/rpc"
+)
+
+const (
+	healthCheckTimeout  = 250 * time.Millisecond // for a report
+	healthCheckInterval = 400 * time.Millisecond // between two askings of a worker that is down
+	watchDuration       = 30 * time.Second       // then requests decide anew
+	alarmQuietPeriod    = 300 * time.Millisecond // silence after which a worker is asked for its report
+)
+
+// attempt is a request that may be taken away from a worker.
+type attempt struct{ cancel context.CancelCauseFunc }
+
+func (s *workerState) addAttempt(f *attempt) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.attempts == nil {
+		s.attempts = map[*attempt]bool{}
+	}
+	s.attempts[f] = true
+}
+
+func (s *workerState) removeAttempt(f *attempt) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.attempts, f)
+}
+
+// cancelAttempts marks the worker as down and takes away what may run elsewhere.
+func (s *workerState) cancelAttempts(until ids.Tick) {
+	s.mu.Lock()
+	s.avoidUntil = max(s.avoidUntil, until)
+	rows := s.attempts
+	s.attempts = nil
+	s.mu.Unlock()
+	for f := range rows {
+		f.cancel(errWorkerSilent)
+	}
+}
+
+// suspect asks a worker for its report, unless that is under way.
+func (n *Node) suspect(w Worker, warn bool) {
+	st := n.state(w.ID)
+	if !st.watched.CompareAndSwap(false, true) {
+		return
+	}
+	go func() {
+		defer st.watched.Store(false)
+		defer st.clearAvoid()
+		n.watchWorker(w, st, warn)
+	}()
+}
+
+func (n *Node) watchWorker(w Worker, st *workerState, warn bool) {
+	ctx := n.runContext
+	for end := n.now().Add(watchDuration); n.now().Before(end) && ctx.Err() == nil; {
+		began := n.now()
+		callContext, stop := context.WithTimeout(ctx, healthCheckTimeout)
+		_, err := n.options.Backend.Report(callContext, w)
+		stop()
+		if err == nil {
+			st.mu.Lock()
+			st.failures = 0
+			st.avoidUntil = min(st.avoidUntil, n.now().Add(healthCheckInterval/4))
+			st.mu.Unlock()
+			n.recordRecovery(st)
+			return
+		}
+		// Whoever says that it is ill, or answers requests meanwhile, is there: outcomes decide.
+		if n.options.BaseEjection >= 0 && failure.Is(err, failure.InvalidArgument) {
+			n.recordRecovery(st)
+			return
+		}
+		if n.options.BaseEjection >= 0 && st.lastSuccess.Load() >= int64(began) {
+			host.Sleep(ctx, healthCheckInterval/4)
+			continue
+		}
+		n.recordOutage(st)
+		st.cancelAttempts(n.now().Add(2 * (healthCheckTimeout + healthCheckInterval)))
+		if warn {
+			n.sendFaultNotice(w.ID)
+			warn = false
+		}
+		if n.workerList.Load().find(w.ID) == nil || !host.Sleep(ctx, healthCheckInterval) {
+			return
+		}
+	}
+}
+
+// clearAvoid ends the knowledge that a worker is down.
+func (s *workerState) clearAvoid() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.down = false
+}
+
+func (n *Node) sendFaultNotice(id ids.WorkerID) {
+	for _, m := range n.agent.Members() {
+		if m.Node != n.self.Node {
+			go rpc.Call[FaultNotice, Ack](n.runContext, n.agent.Caller(), m.Addr, faultMethod, &FaultNotice{id})
+		}
+	}
+}
+
+func (n *Node) hear(_ context.Context, a *FaultNotice) (*Ack, error) {
+	if w := n.workerList.Load().find(a.Worker); w != nil {
+		n.suspect(*w, false)
+	}
+	return &Ack{}, nil
+}
--- a/internal/proxy/alarm_test.go
+++ b/internal/proxy/fault_notice_test.go
@@ -19,7 +19,7 @@
 func TestDark(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 3, 4)...)
-		f := build(t, 51, 3, y, plain(), func(o *Options) { o.Allow = 40 })
+		f := build(t, 51, 3, y, plain(), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
 		// Only nodes 0 and 1 have traffic at first.
 		var all []*asked
@@ -69,7 +69,7 @@
 func TestDarkReader(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 3, 4)...)
-		f := build(t, 52, 2, y, plain(), func(o *Options) { o.Allow = 60 })
+		f := build(t, 52, 2, y, plain(), func(o *Options) { o.RetryAllowance = 60 })
 		defer f.close()
 		f.wg.Go(func() {
 			time.Sleep(2 * time.Second)
@@ -92,7 +92,7 @@
 func TestCutNode(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 3, 4)...)
-		f := build(t, 53, 3, y, plain(), func(o *Options) { o.Allow = 40 })
+		f := build(t, 53, 3, y, plain(), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
 		cut := f.nodes[0]
 		f.wg.Go(func() {
@@ -109,10 +109,10 @@
 			for {
 				for _, b := range f.nodes[1:3] {
 					b.states.Range(func(k, v any) bool {
-						st := v.(*state)
+						st := v.(*workerState)
 						st.mu.Lock()
 						defer st.mu.Unlock()
-						if b.now().Before(st.shun) {
+						if b.now().Before(st.avoidUntil) {
 							shunned[k.(ids.WorkerID)] = true
 						}
 						return true
@@ -184,7 +184,7 @@
 func TestReportClears(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 2, 2)...)
-		f := build(t, 55, 1, y, plain(), func(o *Options) { o.Allow = 40 })
+		f := build(t, 55, 1, y, plain(), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
 		y.at(func() {
 			y.fate = func(k row, s *stand) fate {
@@ -214,7 +214,7 @@
 		y := newYard(both("svc", 2, 2)...)
 		routes := ways()
 		routes[1].LatencyTargetMs, routes[1].DeadlineMs = 3000, 9000
-		f := build(t, 56, 1, y, policy(routes, fleetstate.Service{Name: "svc", Concurrency: 16}), func(o *Options) { o.Allow = 60 })
+		f := build(t, 56, 1, y, policy(routes, fleetstate.Service{Name: "svc", Concurrency: 16}), func(o *Options) { o.RetryAllowance = 60 })
 		defer f.close()
 		y.at(func() { y.of("svc-decode-0").dark = true })
 		all := f.load(60, 250*time.Millisecond, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/again/x", 400, 20) })
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -117,11 +117,11 @@
 func (f *fleet) node(i int) *testNode {
 	ip := nodeIP(i)
 	p := f.w.Machine(ip).Start()
-	opt := Options{Name: fmt.Sprint("n", i), Addr: ip + ":2", Zone: ids.Zone([]string{"a", "b"}[i%2]), Seeds: f.seeds, Host: p.Host(), Back: &back{f.y, ip}, Turn: -1}
+	options := Options{Name: fmt.Sprint("n", i), Addr: ip + ":2", Zone: ids.Zone([]string{"a", "b"}[i%2]), Seeds: f.seeds, Host: p.Host(), Backend: &back{f.y, ip}, RoleChangeInterval: -1}
 	if f.tune != nil {
-		f.tune(&opt)
+		f.tune(&options)
 	}
-	n, err := New(opt)
+	n, err := New(options)
 	require.NoError(f.t, err)
 	if f.y.prep != nil {
 		f.y.prep(n)
@@ -181,7 +181,7 @@
 func (b *testNode) offs() map[ids.WorkerID]bool {
 	s := b.view.Current()
 	off := map[ids.WorkerID]bool{}
-	for _, w := range b.roster.Load().all {
+	for _, w := range b.workerList.Load().workers {
 		_, turns := s.RoleChanges[w.ID]
 		off[w.ID] = w.Leaving || turns || s.Drained[w.ID] || s.Zones[w.Zone]
 	}
@@ -237,8 +237,8 @@
 	time.Sleep(40 * time.Second)
 }
 
-func (f *fleet) until(span time.Duration, ok func() bool) bool {
-	for end := time.Now().Add(span); !ok(); {
+func (f *fleet) until(duration time.Duration, ok func() bool) bool {
+	for end := time.Now().Add(duration); !ok(); {
 		if time.Now().After(end) {
 			return false
 		}
@@ -317,9 +317,9 @@
 const routeHost = "models.example"
 
 // req makes a request for a path; it asks for events if its path begins with /s.
-func (f *fleet) req(id, path string, prompt, most int) *Request {
-	r := &Request{ID: id, Method: "POST", Target: path, Path: path, Host: routeHost, Header: http.Header{}, Body: []byte("{}"), Model: "m", Prompt: prompt, Most: most,
-		Parts: []Part{{ID: "system-" + id[len(id)-1:], Tokens: prompt / 2}, {ID: "last-" + id, Tokens: prompt - prompt/2}}}
+func (f *fleet) req(id, path string, prompt, limit int) *Request {
+	r := &Request{ID: id, Method: "POST", Target: path, Path: path, Host: routeHost, Header: http.Header{}, Body: []byte("{}"), Model: "m", Prompt: prompt, MaxTokens: limit,
+		Segments: []PromptSegment{{ID: "system-" + id[len(id)-1:], Tokens: prompt / 2}, {ID: "last-" + id, Tokens: prompt - prompt/2}}}
 	if strings.HasPrefix(path, "/s") {
 		r.Header.Set("Accept", "text/event-stream")
 	}
@@ -343,7 +343,7 @@
 	f.mu.Lock()
 	f.asks = append(f.asks, a)
 	f.mu.Unlock()
-	err := b.Carry(ctx, r, s)
+	err := b.Serve(ctx, r, s)
 	f.mu.Lock()
 	a.err, a.end, a.ended = err, f.y.now(), true
 	f.mu.Unlock()
@@ -351,14 +351,14 @@
 }
 
 // load asks at the nodes by turns, at a rate, and waits for all ends.
-func (f *fleet) load(rate float64, span time.Duration, form func(i int) *Request) []*asked {
+func (f *fleet) load(rate float64, duration time.Duration, form func(i int) *Request) []*asked {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var out []*asked
 	gap := time.Duration(float64(time.Second) / rate)
-	for i, end := 0, time.Now().Add(span); time.Now().Before(end); i++ {
-		row := f.up()
-		b := row[i%len(row)]
+	for i, end := 0, time.Now().Add(duration); time.Now().Before(end); i++ {
+		rows := f.up()
+		b := rows[i%len(rows)]
 		wg.Go(func() {
 			a := f.ask(b, form(i))
 			mu.Lock()
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -14,16 +14,16 @@
 	"keelstair.example/rpc"
 )
 
-// follower is what a node keeps of those that it hears the list from.
-type follower struct {
-	n      *Node
-	failed map[ids.NodeID]ids.Tick // when a source last gave no answer
-	from   ids.NodeID
-	since  ids.Tick // from when on that is so
-	known  bool     // it answered the last time
-	flat   bool     // all nodes ask the holder
-	stood  uint64   // by the numbers of that source: up to where it told how workers stand
-	told   uint64   // by this node's own: up to where that source was told
+// listFollower is what a node keeps of those that it hears the list from.
+type listFollower struct {
+	node        *Node
+	failed      map[ids.NodeID]ids.Tick // when a source last gave no answer
+	from        ids.NodeID
+	since       ids.Tick // from when on that is so
+	known       bool     // it answered the last time
+	flat        bool     // all nodes ask the holder
+	loadSeq     uint64   // by the numbers of that source: up to where it told how workers stand
+	reportedSeq uint64   // by this node's own: up to where that source was told
 }
 
 // listAnswer is what came of asking a source.
@@ -38,7 +38,7 @@
 
 // follow has the list from the nearest source with a fresh one, and then waits until the next
 // asking is due. False if none has one.
-func (f *follower) follow(ctx context.Context, s *listSources) bool {
+func (f *listFollower) follow(ctx context.Context, s *listSources) bool {
 	f.flat = s.flat()
 	for i, parent := range s.parents {
 		if f.hasFailed(parent.Node) && !s.flat() {
@@ -48,16 +48,16 @@
 		case listFresh:
 			return true
 		case listNone:
-			if f.n.now().Past(f.since, listOld) {
+			if f.node.now().Past(f.since, listMaxAge) {
 				continue
 			}
-			host.Sleep(ctx, f.n.opt.Share/2) // its first one is under way
+			host.Sleep(ctx, f.node.options.ShareInterval/2) // its first one is under way
 			return true
 		case listStale:
-			if i+1 == len(s.parents) || f.n.now().Past(f.n.roster.Load().at, listLost) {
+			if i+1 == len(s.parents) || f.node.now().Past(f.node.workerList.Load().requestedAt, listLostAge) {
 				continue
 			}
-			host.Sleep(ctx, f.n.opt.Share/2) // it is looking for a fresh list itself
+			host.Sleep(ctx, f.node.options.ShareInterval/2) // it is looking for a fresh list itself
 			return true
 		case listFailed:
 			f.probe(ctx, s)
@@ -67,18 +67,18 @@
 }
 
 // probe finds out at once which of the sources answer, since many may be lost together.
-func (f *follower) probe(ctx context.Context, s *listSources) {
+func (f *listFollower) probe(ctx context.Context, s *listSources) {
 	if s.flat() {
 		return
 	}
-	cx, stop := context.WithTimeout(ctx, listWait)
+	callContext, stop := context.WithTimeout(ctx, listTimeout)
 	defer stop()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var silent []ids.NodeID
-	for _, m := range f.unfailed(s) {
+	for _, m := range f.healthySources(s) {
 		wg.Go(func() {
-			if _, err := rpc.Call[Heard, Heard](cx, f.n.agent.Caller(), m.Addr, "relay/alive", &Heard{}); err != nil {
+			if _, err := rpc.Call[Ack, Ack](callContext, f.node.agent.Caller(), m.Addr, pingMethod, &Ack{}); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
 				silent = append(silent, m.Node)
@@ -87,21 +87,21 @@
 	}
 	wg.Wait()
 	for _, node := range silent {
-		f.failed[node] = f.n.now()
+		f.failed[node] = f.node.now()
 	}
 }
 
-// unfailed lists the parents and the first ones of the zone that are not known to have failed.
-func (f *follower) unfailed(s *listSources) []coordination.Member {
+// healthySources lists the parents and the first ones of the zone that are not known to have failed.
+func (f *listFollower) healthySources(s *listSources) []coordination.Member {
 	var out []coordination.Member
 	for _, m := range s.parents {
 		if !f.hasFailed(m.Node) {
 			out = append(out, m)
 		}
 	}
-	most := len(out) + probeMost
+	limit := len(out) + maxProbes
 	for _, m := range s.zone {
-		if m.Node == f.n.me.Node || len(out) == most {
+		if m.Node == f.node.self.Node || len(out) == limit {
 			break
 		}
 		if !f.hasFailed(m.Node) {
@@ -114,45 +114,45 @@
 // mayAsk tells, where no source has a fresh list, whether this node asks the platform: if it
 // is the first of its zone that answers, or if its list is very old. Otherwise the first one
 // is asked.
-func (f *follower) mayAsk(ctx context.Context, s *listSources) bool {
-	if s.flat() || f.standsIn(s) {
+func (f *listFollower) mayAsk(ctx context.Context, s *listSources) bool {
+	if s.flat() || f.actsForOwner(s) {
 		return true
 	}
-	first, _ := s.standIn(f.hasFailed)
-	switch f.ask(ctx, first, listOld) {
+	first, _ := s.actingOwner(f.hasFailed)
+	switch f.ask(ctx, first, listMaxAge) {
 	case listFresh:
 		return false
 	case listFailed:
 		f.probe(ctx, s)
 		return false
 	}
-	if !f.n.now().Past(f.n.roster.Load().at, listLost) || !f.n.now().Past(f.since, listLost) {
-		host.Sleep(ctx, f.n.opt.Share/2)
+	if !f.node.now().Past(f.node.workerList.Load().requestedAt, listLostAge) || !f.node.now().Past(f.since, listLostAge) {
+		host.Sleep(ctx, f.node.options.ShareInterval/2)
 		return false
 	}
-	f.n.restAsHolder(ctx, rand.N(f.pause(s)))
+	f.node.waitAsOwner(ctx, rand.N(f.retryDelay(s)))
 	return true
 }
 
-// standsIn tells whether this node asks the platform in the holder's stead.
-func (f *follower) standsIn(s *listSources) bool {
-	first, ok := s.standIn(f.hasFailed)
-	return !ok || first.Node == f.n.me.Node
+// actsForOwner tells whether this node asks the platform in the holder's stead.
+func (f *listFollower) actsForOwner(s *listSources) bool {
+	first, ok := s.actingOwner(f.hasFailed)
+	return !ok || first.Node == f.node.self.Node
 }
 
-// pause is the time between two askings of the platform by one that is not the holder.
-func (f *follower) pause(s *listSources) time.Duration {
-	share := f.n.share()
-	if !s.flat() && f.standsIn(s) {
+// retryDelay is the time between two askings of the platform by one that is not the holder.
+func (f *listFollower) retryDelay(s *listSources) time.Duration {
+	share := f.node.share()
+	if !s.flat() && f.actsForOwner(s) {
 		share = 1 / float64(max(1, s.zones))
 	}
-	return listPause(f.n.opt.Roster, f.n.opt.Rate, share)
+	return listPause(f.node.options.ListInterval, f.node.options.ListRate, share)
 }
 
 // hasFailed tells whether a source gave no answer of late.
-func (f *follower) hasFailed(node ids.NodeID) bool {
+func (f *listFollower) hasFailed(node ids.NodeID) bool {
 	at, ok := f.failed[node]
-	if ok && f.n.now().Past(at, failedSpan) {
+	if ok && f.node.now().Past(at, sourceFailureTTL) {
 		delete(f.failed, node)
 		return false
 	}
@@ -160,14 +160,14 @@
 }
 
 // ask asks one source, whose list may be so old, and waits until the next asking is due.
-func (f *follower) ask(ctx context.Context, m coordination.Member, freshFor time.Duration) listAnswer {
-	n := f.n
+func (f *listFollower) ask(ctx context.Context, m coordination.Member, freshFor time.Duration) listAnswer {
+	n := f.node
 	if m.Node != f.from {
-		f.from, f.since, f.known, f.stood, f.told = m.Node, n.now(), false, 0, 0
+		f.from, f.since, f.known, f.loadSeq, f.reportedSeq = m.Node, n.now(), false, 0, 0
 	}
 	began := n.now()
-	span := n.opt.Share*4/5 + rand.N(n.opt.Share*2/5)
-	hold := span
+	duration := n.options.ShareInterval*4/5 + rand.N(n.options.ShareInterval*2/5)
+	hold := duration
 	// A source that may be gone shows it sooner by an answer at once. In a small fleet changes
 	// are few, and readings that come at once are worth more than changes that do.
 	if !f.known || f.flat {
@@ -183,72 +183,72 @@
 	if r.Version == 0 {
 		return listNone
 	}
-	if !n.now().Add(-time.Duration(r.Age)).Before(n.roster.Load().at) {
+	if !n.now().Add(-time.Duration(r.Age)).Before(n.workerList.Load().requestedAt) {
 		f.apply(r)
 	}
-	if r.Age > int64(freshFor+min(2*time.Duration(r.Took), tookMost)) {
+	if r.Age > int64(freshFor+min(2*time.Duration(r.Latency), maxListLatency)) {
 		return listStale
 	}
 	if !r.Early {
-		host.Sleep(ctx, span-n.now().Since(began))
+		host.Sleep(ctx, duration-n.now().Since(began))
 	}
 	return listFresh
 }
 
 // call sends what this node and those below it have to tell.
-func (f *follower) call(ctx context.Context, addr string, hold time.Duration) (*ListReply, error) {
-	n := f.n
-	cx, stop := context.WithTimeout(ctx, listWait+hold)
+func (f *listFollower) call(ctx context.Context, addr string, hold time.Duration) (*ListResponse, error) {
+	n := f.node
+	callContext, stop := context.WithTimeout(ctx, listTimeout+hold)
 	defer stop()
-	ros := n.roster.Load()
-	q := &ListAsk{Node: n.me.Node, Version: ros.version, Reads: n.sum("", false), Ends: n.myOutcomes(), Below: n.below(), Stood: f.stood, Deltas: true, Hold: int64(hold)}
-	var told uint64
-	told, q.Stands = n.board.since(f.told, ros.all, n.now(), n.mine)
-	r, err := rpc.Call[ListAsk, ListReply](cx, n.agent.Caller(), addr, "relay/list", q)
-	if err == nil && r.Version == q.Version {
-		f.told = told
+	list := n.workerList.Load()
+	request := &ListRequest{Node: n.self.Node, Version: list.version, Prefills: n.prefillsWithout("", false), Outcomes: n.localOutcomes(), SubtreeOutcomes: n.below(), LoadSeq: f.loadSeq, Deltas: true, MaxWait: int64(hold)}
+	var reports uint64
+	reports, request.Loads = n.loads.since(f.reportedSeq, list.workers, n.now(), n.ownsService)
+	r, err := rpc.Call[ListRequest, ListResponse](callContext, n.agent.Caller(), addr, listMethod, request)
+	if err == nil && r.Version == request.Version {
+		f.reportedSeq = reports
 	}
 	return r, err
 }
 
 // apply puts an answer into force.
-func (f *follower) apply(r *ListReply) {
-	n := f.n
+func (f *listFollower) apply(r *ListResponse) {
+	n := f.node
 	now := n.now()
 	at := now.Add(-time.Duration(r.Age))
-	n.listTook.Store(r.Took)
-	list := n.roster.Load().all
-	if old := n.roster.Load(); r.Version == old.version {
-		fresh := *old
-		fresh.at = at
-		n.roster.Store(&fresh)
+	n.listLatency.Store(r.Latency)
+	list := n.workerList.Load().workers
+	if previous := n.workerList.Load(); r.Version == previous.version {
+		fresh := *previous
+		fresh.requestedAt = at
+		n.workerList.Store(&fresh)
 	} else {
-		list = listed(r.Rows)
+		list = workersOf(r.Rows)
 		if r.Delta {
-			list = patched(cooled(old.all, now.Since(old.got)), list, r.Gone)
+			list = applyDelta(reduceSlowStart(previous.workers, now.Since(previous.receivedAt)), list, r.Removed)
 		}
 		n.adopt(list, r.Version, at, now)
 	}
-	f.stood = r.Stood
+	f.loadSeq = r.LoadSeq
 	if r.Early {
 		return
 	}
-	n.above.Store(&above{now, r.Reads, r.Ends})
+	n.parentSums.Store(&parentSums{now, r.Prefills, r.Outcomes})
 	if f.flat { // the answer has the sums of all; the tally of this node may be older
-		n.others(r.Reads)
-		n.hearsay(r.Ends)
+		n.recordPeerPrefills(r.Prefills)
+		n.recordPeerOutcomes(r.Outcomes)
 	} else {
-		n.others(n.sum(n.me.Node, true))
-		n.hearsay(n.rest(n.me.Node))
+		n.recordPeerPrefills(n.prefillsWithout(n.self.Node, true))
+		n.recordPeerOutcomes(n.outcomesWithout(n.self.Node))
 	}
-	n.heard(r.Stands, list)
+	n.heard(r.Loads, list)
 }
 
-// listed makes workers of rows, in their order, by which reports name them.
-func listed(rows []Row) []Worker {
+// workersOf makes workers of rows, in their order, by which reports name them.
+func workersOf(rows []WorkerRow) []Worker {
 	list := make([]Worker, len(rows))
 	for i, w := range rows {
-		list[i] = Worker{w.ID, w.Service, w.Addr, w.Zone, w.Part, w.Slots, w.Leaving, time.Duration(w.Cold)}
+		list[i] = Worker{w.ID, w.Service, w.Addr, w.Zone, w.Role, w.Concurrency, w.Leaving, time.Duration(w.SlowStart)}
 	}
 	return list
 }
--- a/internal/proxy/list_tree.go
+++ b/internal/proxy/list_tree.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	levelLag   = 300 * time.Millisecond
-	probeMost  = 8                       // nodes of the zone that are looked for at once
-	failedSpan = 4 * time.Second         // for which a source that did not answer is passed over
-	listLost   = 2500 * time.Millisecond // age of the list from which a node asks the platform though it stands in for nobody
+	levelDelay       = 300 * time.Millisecond
+	maxProbes        = 8                       // nodes of the zone that are looked for at once
+	sourceFailureTTL = 4 * time.Second         // for which a source that did not answer is passed over
+	listLostAge      = 2500 * time.Millisecond // age of the list from which a node asks the platform though it stands in for nobody
 )
 
 // treeShape tells up to how many nodes all ask the holder, and how many children a node has
@@ -40,48 +40,48 @@
 }
 
 // sourcesOf gives a node's sources under a holder, or while there is none.
-func (t treeShape) sourcesOf(me, holder coordination.Member, members []coordination.Member) listSources {
-	if len(members) <= t.flat && holder.Node == "" {
+func (t treeShape) sourcesOf(me, owner coordination.Member, members []coordination.Member) listSources {
+	if len(members) <= t.flat && owner.Node == "" {
 		return listSources{}
 	}
 	if len(members) <= t.flat {
-		return listSources{parents: []coordination.Member{holder}}
+		return listSources{parents: []coordination.Member{owner}}
 	}
-	tree := zoneTree(me.Zone, holder, members)
-	if placeIn(tree, me.Node) < 0 { // it is not a member yet, or not any more
+	tree := zoneTree(me.Zone, owner, members)
+	if indexIn(tree, me.Node) < 0 { // it is not a member yet, or not any more
 		tree = append(tree, me)
 	}
-	out := listSources{zone: tree, zones: len(zonesOf(members))}
-	if tree[0].Node == holder.Node {
+	out := listSources{zone: tree, zones: len(zoneSet(members))}
+	if tree[0].Node == owner.Node {
 		out.zone = tree[1:]
 	}
-	for at := placeIn(tree, me.Node); at > 0 && !t.direct[me.Node]; {
+	for at := indexIn(tree, me.Node); at > 0 && !t.direct[me.Node]; {
 		at = (at - 1) / t.width
 		out.parents = append(out.parents, tree[at])
 	}
-	if n := len(out.parents); holder.Node != "" && (n == 0 || out.parents[n-1].Node != holder.Node) {
-		out.parents = append(out.parents, holder)
+	if n := len(out.parents); owner.Node != "" && (n == 0 || out.parents[n-1].Node != owner.Node) {
+		out.parents = append(out.parents, owner)
 	}
 	return out
 }
 
 // zoneTree lists the nodes of a zone so that the parent of each stands at one less than its
 // place by the tree's width; the holder comes first in its own zone.
-func zoneTree(zone ids.Zone, holder coordination.Member, members []coordination.Member) []coordination.Member {
-	var row []coordination.Member
+func zoneTree(zone ids.Zone, owner coordination.Member, members []coordination.Member) []coordination.Member {
+	var rows []coordination.Member
 	for _, m := range members {
-		if m.Zone == zone && m.Node != holder.Node {
-			row = append(row, m)
+		if m.Zone == zone && m.Node != owner.Node {
+			rows = append(rows, m)
 		}
 	}
-	sortByWeight(row)
-	if holder.Zone == zone {
-		row = append([]coordination.Member{holder}, row...)
+	sortByWeight(rows)
+	if owner.Zone == zone {
+		rows = append([]coordination.Member{owner}, rows...)
 	}
-	return row
+	return rows
 }
 
-func zonesOf(members []coordination.Member) map[ids.Zone]bool {
+func zoneSet(members []coordination.Member) map[ids.Zone]bool {
 	zones := map[ids.Zone]bool{}
 	for _, m := range members {
 		zones[m.Zone] = true
@@ -89,31 +89,31 @@
 	return zones
 }
 
-func placeIn(tree []coordination.Member, node ids.NodeID) int {
+func indexIn(tree []coordination.Member, node ids.NodeID) int {
 	return slices.IndexFunc(tree, func(m coordination.Member) bool { return m.Node == node })
 }
 
 // tellersTo tells whose words of outcomes count at a node. Each node has one such place, so
 // that no word counts twice while a node asks several.
-func (t treeShape) tellersTo(me, holder coordination.Member, members []coordination.Member) func(ids.NodeID) bool {
+func (t treeShape) tellersTo(me, owner coordination.Member, members []coordination.Member) func(ids.NodeID) bool {
 	if len(members) <= t.flat {
-		return func(ids.NodeID) bool { return me.Node == holder.Node }
+		return func(ids.NodeID) bool { return me.Node == owner.Node }
 	}
 	children := map[ids.NodeID]bool{}
-	tree := zoneTree(me.Zone, holder, members)
-	if at := placeIn(tree, me.Node); at >= 0 {
+	tree := zoneTree(me.Zone, owner, members)
+	if at := indexIn(tree, me.Node); at >= 0 {
 		first := at*t.width + 1
 		for i := first; i < min(first+t.width, len(tree)); i++ {
 			children[tree[i].Node] = !t.direct[tree[i].Node]
 		}
 	}
-	if me.Node == holder.Node {
+	if me.Node == owner.Node {
 		for node := range t.direct {
 			children[node] = true
 		}
-		for zone := range zonesOf(members) {
+		for zone := range zoneSet(members) {
 			if zone != me.Zone {
-				children[zoneTree(zone, holder, members)[0].Node] = true
+				children[zoneTree(zone, owner, members)[0].Node] = true
 			}
 		}
 	}
@@ -121,12 +121,12 @@
 }
 
 // sortByWeight puts members into the order of rendezvous hashing.
-func sortByWeight(row []coordination.Member) {
-	weights := make(map[ids.NodeID]uint64, len(row))
-	for _, m := range row {
+func sortByWeight(rows []coordination.Member) {
+	weights := make(map[ids.NodeID]uint64, len(rows))
+	for _, m := range rows {
 		weights[m.Node] = ids.Mix(ids.Hash(string(m.Node)))
 	}
-	slices.SortFunc(row, func(a, b coordination.Member) int {
+	slices.SortFunc(rows, func(a, b coordination.Member) int {
 		return cmp.Or(cmp.Compare(weights[b.Node], weights[a.Node]), cmp.Compare(a.Node, b.Node))
 	})
 }
@@ -137,11 +137,11 @@
 // freshFor is how old the list of the parent of a number may be, besides what the asking of
 // the platform takes: each level below the holder adds to it.
 func (s *listSources) freshFor(parent int) time.Duration {
-	return listOld + time.Duration(len(s.parents)-1-parent)*levelLag
+	return listMaxAge + time.Duration(len(s.parents)-1-parent)*levelDelay
 }
 
-// standIn gives the first of the zone that has not failed of late.
-func (s *listSources) standIn(failed func(ids.NodeID) bool) (coordination.Member, bool) {
+// actingOwner gives the first of the zone that has not failed of late.
+func (s *listSources) actingOwner(failed func(ids.NodeID) bool) (coordination.Member, bool) {
 	for _, m := range s.zone {
 		if !failed(m.Node) {
 			return m, true
@@ -150,10 +150,10 @@
 	return coordination.Member{}, false
 }
 
-// tree is the shape of the fleet's tree as this node knows it.
-func (n *Node) tree() treeShape {
-	t := treeShape{n.opt.Flat, n.opt.Width, map[ids.NodeID]bool{}}
-	for name := range n.sight().Configuration.Services {
+// treeShape is the shape of the fleet's tree as this node knows it.
+func (n *Node) treeShape() treeShape {
+	t := treeShape{n.options.FlatListNodes, n.options.TreeWidth, map[ids.NodeID]bool{}}
+	for name := range n.snapshot().Configuration.Services {
 		if m, _, ok := n.agent.KeyOwner(fleetstate.ServiceKey(name)); ok {
 			t.direct[m.Node] = true
 		}
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -31,15 +31,15 @@
 	shape := treeShape{flat: 96, width: 12, direct: map[ids.NodeID]bool{"node-040": true, "node-041": true}}
 	for _, size := range []int{97, 300, 651} {
 		members := manyMembers(size)
-		holder := members[5]
+		owner := members[5]
 		asked := map[ids.NodeID]int{}
 		parent := map[ids.NodeID]ids.NodeID{}
 		crossing := 0
 		for _, m := range members {
-			if m.Node == holder.Node {
+			if m.Node == owner.Node {
 				continue
 			}
-			s := shape.sourcesOf(m, holder, members)
+			s := shape.sourcesOf(m, owner, members)
 			require.False(t, s.flat())
 			first := s.parents[0]
 			asked[first.Node]++
@@ -48,20 +48,20 @@
 				crossing++
 			}
 			require.LessOrEqual(t, len(s.parents), 4)
-			require.Equal(t, holder.Node, s.parents[len(s.parents)-1].Node)
+			require.Equal(t, owner.Node, s.parents[len(s.parents)-1].Node)
 		}
 		require.LessOrEqual(t, crossing, 3+len(shape.direct))
 		for node, count := range asked {
-			most := shape.width
-			if node == holder.Node {
-				most += 3 + len(shape.direct)
+			limit := shape.width
+			if node == owner.Node {
+				limit += 3 + len(shape.direct)
 			}
-			require.LessOrEqual(t, count, most)
+			require.LessOrEqual(t, count, limit)
 		}
 		for _, m := range members {
-			counts := shape.tellersTo(m, holder, members)
+			counts := shape.tellersTo(m, owner, members)
 			for _, other := range members {
-				require.Equal(t, parent[other.Node] == m.Node && other.Node != holder.Node, counts(other.Node))
+				require.Equal(t, parent[other.Node] == m.Node && other.Node != owner.Node, counts(other.Node))
 			}
 		}
 	}
@@ -86,32 +86,32 @@
 		require.NoError(t, err)
 		reader, err := New(Options{Name: "reader", Host: quietHost()})
 		require.NoError(t, err)
-		f := &follower{n: reader}
+		f := &listFollower{node: reader}
 		list := many(60)
 		for round := range 60 {
 			for range rng.IntN(4) {
 				list = changeOne(rng, list, round)
 			}
-			sender.take(list, sender.now(), sender.now())
+			sender.installList(list, sender.now(), sender.now())
 			if rng.IntN(3) > 0 {
 				continue
 			}
-			q := &ListAsk{Version: reader.roster.Load().version, Deltas: true}
-			r := sender.listSince(q)
-			require.Equal(t, q.Version != 0, r.Delta || r.Version == q.Version)
+			request := &ListRequest{Version: reader.workerList.Load().version, Deltas: true}
+			r := sender.listSince(request)
+			require.Equal(t, request.Version != 0, r.Delta || r.Version == request.Version)
 			f.apply(r)
-			require.Equal(t, sender.roster.Load().all, reader.roster.Load().all)
-			require.Equal(t, sender.roster.Load().version, reader.roster.Load().version)
+			require.Equal(t, sender.workerList.Load().workers, reader.workerList.Load().workers)
+			require.Equal(t, sender.workerList.Load().version, reader.workerList.Load().version)
 		}
-		old := reader.roster.Load().version
-		for round := range changesKept + 1 {
+		previous := reader.workerList.Load().version
+		for round := range changesRetained + 1 {
 			list = changeOne(rng, list, 100+round)
-			sender.take(list, sender.now(), sender.now())
+			sender.installList(list, sender.now(), sender.now())
 		}
-		r := sender.listSince(&ListAsk{Version: old, Deltas: true})
+		r := sender.listSince(&ListRequest{Version: previous, Deltas: true})
 		require.False(t, r.Delta)
 		require.Len(t, r.Rows, len(list))
-		require.False(t, sender.listSince(&ListAsk{Version: sender.roster.Load().changes[3].to}).Delta, "who does not know deltas gets none")
+		require.False(t, sender.listSince(&ListRequest{Version: sender.workerList.Load().changes[3].to}).Delta, "who does not know deltas gets none")
 	}
 }
 
@@ -123,22 +123,22 @@
 	b, err := New(Options{Name: "b", Host: quietHost()})
 	require.NoError(t, err)
 	list := many(20)
-	a.take(list, a.now(), a.now())
+	a.installList(list, a.now(), a.now())
 	list = slices.Clone(list)
 	slices.Reverse(list)
-	b.take(list, b.now(), b.now())
-	require.Equal(t, a.roster.Load().version, b.roster.Load().version)
+	b.installList(list, b.now(), b.now())
+	require.Equal(t, a.workerList.Load().version, b.workerList.Load().version)
 	list = append([]Worker(nil), list...)
 	list[3].Leaving = true
-	a.take(list, a.now(), a.now())
-	r := a.listSince(&ListAsk{Version: b.roster.Load().version, Deltas: true})
+	a.installList(list, a.now(), a.now())
+	r := a.listSince(&ListRequest{Version: b.workerList.Load().version, Deltas: true})
 	require.True(t, r.Delta)
 	require.Len(t, r.Rows, 1)
-	old := a.roster.Load().version
+	previous := a.workerList.Load().version
 	list = append([]Worker(nil), list...)
-	list[3].Cold = time.Second
-	a.take(list, a.now(), a.now())
-	require.NotEqual(t, old, a.roster.Load().version, "a cold time alone is news too")
+	list[3].SlowStart = time.Second
+	a.installList(list, a.now(), a.now())
+	require.NotEqual(t, previous, a.workerList.Load().version, "a cold time alone is news too")
 }
 
 // changeOne makes a worker leave, go or come.
@@ -162,20 +162,20 @@
 	n, err := New(Options{Name: "n", Host: quietHost()})
 	require.NoError(t, err)
 	list := many(3000)
-	n.take(list, n.now(), n.now())
-	version := n.roster.Load().version
+	n.installList(list, n.now(), n.now())
+	version := n.workerList.Load().version
 	list = append([]Worker(nil), list...)
 	list[7].Leaving = true
-	n.take(list, n.now(), n.now())
-	whole := len(coordination.MustMarshal(n.listSince(&ListAsk{Deltas: true})))
-	delta := len(coordination.MustMarshal(n.listSince(&ListAsk{Version: version, Deltas: true})))
-	var row []Reads
+	n.installList(list, n.now(), n.now())
+	complete := len(coordination.MustMarshal(n.listSince(&ListRequest{Deltas: true})))
+	delta := len(coordination.MustMarshal(n.listSince(&ListRequest{Version: version, Deltas: true})))
+	var rows []PrefillLoad
 	for i := range 1000 {
-		row = append(row, Reads{list[i].ID, 1000 + i, 1})
+		rows = append(rows, PrefillLoad{list[i].ID, 1000 + i, 1})
 	}
-	n.told.Store(ids.NodeID("other"), told{at: n.now(), reads: row})
-	reads := len(coordination.MustMarshal(&ListReply{Reads: n.sum("none", true)}))
-	t.Logf("whole %d, delta %d, readings %d bytes", whole, delta, reads)
+	n.peerReports.Store(ids.NodeID("other"), peerReport{at: n.now(), prefills: rows})
+	reads := len(coordination.MustMarshal(&ListResponse{Prefills: n.prefillsWithout("none", true)}))
+	t.Logf("whole %d, delta %d, readings %d bytes", complete, delta, reads)
 	require.Less(t, delta, 400)
 	require.Less(t, reads, 12_000)
 }
@@ -184,7 +184,7 @@
 // the list knows, in a flat fleet and down a tree of three levels.
 func TestLeavingPushed(t *testing.T) {
 	// Where all ask the holder they ask every 200 to 300 ms; in a tree an answer waits for the change.
-	for flat, most := range map[int]time.Duration{96: 350 * time.Millisecond, 1: 100 * time.Millisecond} {
+	for flat, limit := range map[int]time.Duration{96: 350 * time.Millisecond, 1: 100 * time.Millisecond} {
 		t.Run(fmt.Sprint(flat), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				y := newYard(both("svc", 6, 6)...)
@@ -197,12 +197,12 @@
 					id := y.of(name).ID
 					time.Sleep(370 * time.Millisecond)
 					y.at(func() { y.of(name).Leaving = true })
-					require.True(t, f.until(2*time.Second, func() bool { w := h.roster.Load().find(id); return w != nil && w.Leaving }))
+					require.True(t, f.until(2*time.Second, func() bool { w := h.workerList.Load().find(id); return w != nil && w.Leaving }))
 					from := time.Now()
 					require.True(t, f.until(2*time.Second, func() bool { return f.heard(y, name) }))
 					late = max(late, time.Since(from))
 				}
-				require.LessOrEqual(t, late, most)
+				require.LessOrEqual(t, late, limit)
 			})
 		})
 	}
@@ -210,7 +210,7 @@
 
 // treed has a tree of width 2 from so many nodes on.
 func treed(flat int) func(*Options) {
-	return func(o *Options) { o.Flat, o.Width = flat, 2 }
+	return func(o *Options) { o.FlatListNodes, o.TreeWidth = flat, 2 }
 }
 
 // TestTreeOneAsker: in a tree too the holder alone asks the platform.
@@ -228,10 +228,10 @@
 
 // top gives the node that stands first in the tree of the zone that the holder is not in.
 func (f *fleet) top() int {
-	holder := f.nodes[f.lister()]
-	members := holder.agent.Members()
+	owner := f.nodes[f.lister()]
+	members := owner.agent.Members()
 	for i, b := range f.nodes {
-		if b.up && b.me.Zone != holder.me.Zone && b.tree().sourcesOf(b.me, holder.me, members).parents[0].Node == holder.me.Node {
+		if b.up && b.self.Zone != owner.self.Zone && b.treeShape().sourcesOf(b.self, owner.self, members).parents[0].Node == owner.self.Node {
 			return i
 		}
 	}
@@ -288,11 +288,11 @@
 	for _, i := range out { // what a process does as it is killed is not meant
 		delete(asked, nodeIP(i))
 	}
-	most := 4
+	limit := 4
 	if lost == "top" { // its children hear from the holder
-		most = 1
+		limit = 1
 	}
-	require.LessOrEqual(t, len(asked), most, "%v", asked)
+	require.LessOrEqual(t, len(asked), limit, "%v", asked)
 	require.True(t, f.until(4*time.Second, func() bool { return f.lister() >= 0 }), "there is a holder again")
 }
 
@@ -307,7 +307,7 @@
 				f := build(t, seed, 30, y, plain(), treed(1))
 				defer f.close()
 				time.Sleep(8 * time.Second)
-				holder := f.lister()
+				owner := f.lister()
 				for _, ip := range coreIps {
 					if how == "killed" {
 						f.offCore(ip)
@@ -317,7 +317,7 @@
 				}
 				for i, b := range f.nodes {
 					switch {
-					case i != holder && i%5 > 2:
+					case i != owner && i%5 > 2:
 					case how == "killed":
 						f.kill(i)
 					default:
@@ -364,7 +364,7 @@
 		for i, b := range f.nodes {
 			st := b.state(id)
 			st.mu.Lock()
-			tokens, count := st.ahead(b.now())
+			tokens, count := st.queued(b.now())
 			st.mu.Unlock()
 			require.Equal(t, 12*100+66, tokens, "node %d", i)
 			require.Equal(t, 12, count)
@@ -379,16 +379,16 @@
 		y := newYard(both("svc", 3, 6)...)
 		f := build(t, 67, 12, y, plain(), func(o *Options) {
 			treed(1)(o)
-			o.Eject = time.Hour // an ejection's end would forget what was seen
+			o.BaseEjection = time.Hour // an ejection's end would forget what was seen
 		})
 		defer f.close()
 		time.Sleep(8 * time.Second)
-		sick, alone := y.of("svc-decode-1").ID, y.of("svc-decode-2").ID
+		unhealthy, alone := y.of("svc-decode-1").ID, y.of("svc-decode-2").ID
 		stop := time.Now().Add(2 * time.Second)
 		for time.Now().Before(stop) {
 			for i, b := range f.nodes {
 				if i%3 == 0 {
-					b.sawFail(sick)
+					b.sawFail(unhealthy)
 				}
 				if i == 1 {
 					b.sawFail(alone)
@@ -401,13 +401,13 @@
 				st := b.state(id)
 				st.mu.Lock()
 				defer st.mu.Unlock()
-				return st.verdict.heard.Nodes
+				return st.outlier.peers.Nodes
 			}
 			own := 0
 			if i%3 == 0 {
 				own = 1
 			}
-			require.Equal(t, 4-own, heard(sick), "node %d", i)
+			require.Equal(t, 4-own, heard(unhealthy), "node %d", i)
 			if i != 1 {
 				require.Equal(t, 1, heard(alone), "node %d", i)
 			}
@@ -420,7 +420,7 @@
 	st := b.state(id)
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.verdict.mine.fade(b.now(), recall)
-	st.verdict.mine.sent++
-	st.verdict.mine.failed++
+	st.outlier.local.decay(b.now(), outcomeHalfLife)
+	st.outlier.local.sent++
+	st.outlier.local.failed++
 }
--- a/internal/proxy/list_version.go
+++ b/internal/proxy/list_version.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	changesKept = 32                     // versions back from which a delta can be made
-	coldSlip    = 300 * time.Millisecond // by which a cold time may be off and is no change
+	changesRetained    = 32                     // versions back from which a delta can be made
+	slowStartTolerance = 300 * time.Millisecond // by which a cold time may be off and is no change
 )
 
-// roster is a list of workers, sorted by id, with the version that it is. It is not changed
+// workerList is a list of workers, sorted by id, with the version that it is. It is not changed
 // once it is published.
-type roster struct {
-	all     []Worker
-	at      ids.Tick // when it was asked for
-	got     ids.Tick // when the answer came, from which cold times count
-	seq     uint64   // rises when something changed
-	version uint64   // by what it says, so that nodes that asked the platform apart have the same
-	changes []listChange
+type workerList struct {
+	workers     []Worker
+	requestedAt ids.Tick // when it was asked for
+	receivedAt  ids.Tick // when the answer came, from which cold times count
+	seq         uint64   // rises when something changed
+	version     uint64   // by what it says, so that nodes that asked the platform apart have the same
+	changes     []listChange
 }
 
 // listChange is the step from one version to the next.
@@ -37,10 +37,10 @@
 }
 
 // find gives the line of a life, if it is listed.
-func (r *roster) find(id ids.WorkerID) *Worker {
-	for i := range r.all {
-		if r.all[i].ID == id {
-			return &r.all[i]
+func (r *workerList) find(id ids.WorkerID) *Worker {
+	for i := range r.workers {
+		if r.workers[i].ID == id {
+			return &r.workers[i]
 		}
 	}
 	return nil
@@ -48,7 +48,7 @@
 
 // changedSince names the workers that changed after a version; false if that version is not
 // among the latest ones.
-func (r *roster) changedSince(version uint64) (map[ids.WorkerID]bool, bool) {
+func (r *workerList) changedSince(version uint64) (map[ids.WorkerID]bool, bool) {
 	changed := map[ids.WorkerID]bool{}
 	at := r.version
 	for i := len(r.changes) - 1; i >= 0 && at != version; i-- {
@@ -65,10 +65,10 @@
 }
 
 // next makes the roster that follows. A version of 0 stands for one that this node finds.
-func (r *roster) next(list []Worker, version uint64, asked, got ids.Tick) *roster {
+func (r *workerList) next(list []Worker, version uint64, asked, got ids.Tick) *workerList {
 	list = sortedByID(list)
-	out := &roster{all: list, at: asked, got: got, seq: r.seq, version: r.version, changes: r.changes}
-	changed := differing(cooled(r.all, got.Since(r.got)), list)
+	out := &workerList{workers: list, requestedAt: asked, receivedAt: got, seq: r.seq, version: r.version, changes: r.changes}
+	changed := changedWorkers(reduceSlowStart(r.workers, got.Since(r.receivedAt)), list)
 	if r.seq > 0 && len(changed) == 0 && (version == 0 || version == r.version) {
 		return out
 	}
@@ -78,7 +78,7 @@
 	for version == r.version || version == 0 { // cold times alone changed
 		version = rand.Uint64()
 	}
-	kept := r.changes[max(0, len(r.changes)-changesKept+1):]
+	kept := r.changes[max(0, len(r.changes)-changesRetained+1):]
 	out.changes = append(slices.Clone(kept), listChange{r.version, version, changed})
 	out.seq, out.version = r.seq+1, version
 	return out
@@ -87,16 +87,16 @@
 // versionOf gives the version of a list by all that it says but cold times.
 func versionOf(list []Worker) uint64 {
 	version := uint64(len(list))
-	var row []byte
+	var rows []byte
 	for i := range list {
 		w := &list[i]
-		row = row[:0]
-		for _, field := range []string{string(w.ID), w.Service, w.Addr, string(w.Zone), string(w.Part)} {
-			row = append(append(row, field...), 0)
+		rows = rows[:0]
+		for _, field := range []string{string(w.ID), w.Service, w.Addr, string(w.Zone), string(w.Role)} {
+			rows = append(append(rows, field...), 0)
 		}
-		row = strconv.AppendInt(row, int64(w.Slots), 10)
-		row = strconv.AppendBool(row, w.Leaving)
-		version = ids.Mix(version ^ ids.Hash(string(row)))
+		rows = strconv.AppendInt(rows, int64(w.Concurrency), 10)
+		rows = strconv.AppendBool(rows, w.Leaving)
+		version = ids.Mix(version ^ ids.Hash(string(rows)))
 	}
 	return version
 }
@@ -112,30 +112,30 @@
 	return out
 }
 
-// cooled is a list as it is some time later.
-func cooled(list []Worker, by time.Duration) []Worker {
+// reduceSlowStart is a list as it is some time later.
+func reduceSlowStart(list []Worker, by time.Duration) []Worker {
 	out := append([]Worker(nil), list...)
 	for i := range out {
-		out[i].Cold = max(0, out[i].Cold-by)
+		out[i].SlowStart = max(0, out[i].SlowStart-by)
 	}
 	return out
 }
 
-// differing names the workers that two sorted lists do not agree on, but for cold times that
+// changedWorkers names the workers that two sorted lists do not agree on, but for cold times that
 // ran on.
-func differing(old, list []Worker) []ids.WorkerID {
+func changedWorkers(previous, list []Worker) []ids.WorkerID {
 	var out []ids.WorkerID
 	i, j := 0, 0
-	for i < len(old) || j < len(list) {
+	for i < len(previous) || j < len(list) {
 		switch {
-		case j == len(list) || i < len(old) && old[i].ID < list[j].ID:
-			out = append(out, old[i].ID)
+		case j == len(list) || i < len(previous) && previous[i].ID < list[j].ID:
+			out = append(out, previous[i].ID)
 			i++
-		case i == len(old) || list[j].ID < old[i].ID:
+		case i == len(previous) || list[j].ID < previous[i].ID:
 			out = append(out, list[j].ID)
 			j++
 		default:
-			if !same(old[i], list[j]) {
+			if !sameWorker(previous[i], list[j]) {
 				out = append(out, list[j].ID)
 			}
 			i++
@@ -145,15 +145,15 @@
 	return out
 }
 
-// same tells whether two lines say the same but for a cold time that ran on.
-func same(a, b Worker) bool {
-	slip := a.Cold - b.Cold
-	a.Cold, b.Cold = 0, 0
-	return a == b && slip <= coldSlip && slip >= -coldSlip
+// sameWorker tells whether two lines say the same but for a cold time that ran on.
+func sameWorker(a, b Worker) bool {
+	slip := a.SlowStart - b.SlowStart
+	a.SlowStart, b.SlowStart = 0, 0
+	return a == b && slip <= slowStartTolerance && slip >= -slowStartTolerance
 }
 
-// patched is a list with a delta put in: the rows that changed, without those that are gone.
-func patched(list []Worker, rows []Worker, gone []ids.WorkerID) []Worker {
+// applyDelta is a list with a delta put in: the rows that changed, without those that are gone.
+func applyDelta(list []Worker, rows []Worker, gone []ids.WorkerID) []Worker {
 	replaced := make(map[ids.WorkerID]bool, len(rows)+len(gone))
 	for _, w := range rows {
 		replaced[w.ID] = true
@@ -174,25 +174,25 @@
 
 // signal wakes all who wait for the next version of the list.
 type signal struct {
-	mu   sync.Mutex
-	wait chan struct{}
+	mu      sync.Mutex
+	changed chan struct{}
 }
 
 // next is closed when the next version comes.
 func (s *signal) next() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wait == nil {
-		s.wait = make(chan struct{})
+	if s.changed == nil {
+		s.changed = make(chan struct{})
 	}
-	return s.wait
+	return s.changed
 }
 
-func (s *signal) ring() {
+func (s *signal) notify() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wait != nil {
-		close(s.wait)
-		s.wait = nil
+	if s.changed != nil {
+		close(s.changed)
+		s.changed = nil
 	}
 }
--- a/internal/proxy/ledger_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -23,7 +23,7 @@
 // here is taken off as far as no other request shares it, and where both may be, the worker
 // looks fuller.
 func TestLedger(t *testing.T) {
-	full := stood{Used: 300, Room: 1000}
+	full := reportedLoad{Used: 300, Capacity: 1000}
 	at := 10_000
 	lag := int(reportLag / time.Millisecond)
 	for _, c := range []struct {
@@ -40,13 +40,13 @@
 		{"begun and ended after the report", at + 50, at + 100, 700},
 	} {
 		for _, late := range []bool{false, true} { // the report is heard of before or after the end
-			var l ledger
+			var l memoryAccount
 			if !late {
 				l.report(full, ms(at))
 			}
-			h := l.book(100, 40, ms(c.began))
+			h := l.reserve(100, 40, ms(c.began))
 			if c.ended > 0 {
-				l.end(h, true, ms(c.ended))
+				l.release(h, true, ms(c.ended))
 			}
 			if late {
 				l.report(full, ms(at))
@@ -57,26 +57,26 @@
 		}
 	}
 
-	var l ledger
+	var l memoryAccount
 	_, ok := l.free(ms(at))
 	require.False(t, ok, "no report yet")
 	l.report(full, ms(at))
-	l.end(l.book(100, 40, ms(at)), false, ms(at+10))
+	l.release(l.reserve(100, 40, ms(at)), false, ms(at+10))
 	free, ok := l.free(ms(at + 20))
 	require.True(t, ok)
 	require.Equal(t, 700, free, "turned away: it never was there")
-	l.report(stood{Used: 900, Room: 1000}, ms(at-1000))
+	l.report(reportedLoad{Used: 900, Capacity: 1000}, ms(at-1000))
 	free, _ = l.free(ms(at + 20))
 	require.Equal(t, 700, free, "an older report that comes late")
-	_, ok = l.free(ms(at).Add(reportOld + 1))
+	_, ok = l.free(ms(at).Add(reportMaxAge + 1))
 	require.False(t, ok, "the report is stale")
-	l.report(stood{}, ms(at+1000))
+	l.report(reportedLoad{}, ms(at+1000))
 	_, ok = l.free(ms(at + 1000))
 	require.False(t, ok, "the worker told nothing")
 	for i := range 10_000 {
-		l.end(l.book(1, 1, ms(at+10*i)), true, ms(at+10*i+5))
+		l.release(l.reserve(1, 1, ms(at+10*i)), true, ms(at+10*i+5))
 	}
-	require.Less(t, len(l.holds), 600, "what ended is forgotten without reports too")
+	require.Less(t, len(l.reservations), 600, "what ended is forgotten without reports too")
 }
 
 // TestLedgerNewLife: a new life of a worker begins with nothing known of it, and what the
@@ -85,19 +85,19 @@
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 	require.NoError(t, err)
 	now := n.now()
-	old := []Worker{{ID: "w.1", Service: "s", Zone: "a", Part: ids.Decode, Slots: 8}}
-	n.take(old, now, now)
-	n.stands("s", now, map[ids.WorkerID]stood{"w.1": {Used: 999, Room: 1000, Running: 5}}, true)
-	r := &Request{ID: "r", Prompt: 800, Most: 16}
-	row := n.emitters(n.first.Set, n.view.Current(), service("s"), r, nil, nil)
-	require.Equal(t, 1, row[0].free)
-	require.Greater(t, row[0].cost, n.opt.NoRoom)
-	row[0].take(r, r.Most, now)
-	n.take([]Worker{{ID: "w.2", Service: "s", Zone: "a", Part: ids.Decode, Slots: 8}}, now, now)
-	row = n.emitters(n.first.Set, n.view.Current(), service("s"), r, nil, nil)
-	require.Zero(t, row[0].room, "nothing is known of the new life")
-	require.Less(t, row[0].cost, n.opt.NoRoom)
-	_, all := n.board.since(0, old, now, every)
+	previous := []Worker{{ID: "w.1", Service: "s", Zone: "a", Role: ids.Decode, Concurrency: 8}}
+	n.installList(previous, now, now)
+	n.publishLoads("s", now, map[ids.WorkerID]reportedLoad{"w.1": {Used: 999, Capacity: 1000, Running: 5}}, true)
+	r := &Request{ID: "r", Prompt: 800, MaxTokens: 16}
+	picks := n.emitters(n.startupPrograms.Set, n.view.Current(), service("s"), r, nil, nil)
+	require.Equal(t, 1, picks[0].free)
+	require.Greater(t, picks[0].cost, n.options.NoCapacityCost)
+	picks[0].reserve(r, r.MaxTokens, now)
+	n.installList([]Worker{{ID: "w.2", Service: "s", Zone: "a", Role: ids.Decode, Concurrency: 8}}, now, now)
+	picks = n.emitters(n.startupPrograms.Set, n.view.Current(), service("s"), r, nil, nil)
+	require.Zero(t, picks[0].capacity, "nothing is known of the new life")
+	require.Less(t, picks[0].cost, n.options.NoCapacityCost)
+	_, all := n.loads.since(0, previous, now, everyService)
 	require.Empty(t, all[0].Rows, "the earlier life is told no more")
 }
 
@@ -105,26 +105,26 @@
 // and of a worker that told nothing that it did.
 func TestBoard(t *testing.T) {
 	list := []Worker{{ID: "v"}, {ID: "w"}, {ID: "x"}}
-	rows := func(v, w int) map[ids.WorkerID]stood {
-		return map[ids.WorkerID]stood{"v": {Used: v, Room: 1000}, "w": {Used: w, Room: 1000}}
+	rows := func(v, w int) map[ids.WorkerID]reportedLoad {
+		return map[ids.WorkerID]reportedLoad{"v": {Used: v, Capacity: 1000}, "w": {Used: w, Capacity: 1000}}
 	}
-	var b board
-	require.NotNil(t, b.post("s", ms(1000), rows(100, 200), true))
-	seq, got := b.since(0, list, ms(1300), every)
-	require.Equal(t, []Stands{{"s", 300, []Stand{{0, 100, 1000, 0, 0}, {1, 200, 1000, 0, 0}}}}, got)
-	_, got = b.since(seq, list, ms(1400), every)
+	var b loadBoard
+	require.NotNil(t, b.record("s", ms(1000), rows(100, 200), true))
+	seq, got := b.since(0, list, ms(1300), everyService)
+	require.Equal(t, []ServiceLoads{{"s", 300, []WorkerLoad{{0, 100, 1000, 0, 0}, {1, 200, 1000, 0, 0}}}}, got)
+	_, got = b.since(seq, list, ms(1400), everyService)
 	require.Empty(t, got, "nothing new")
-	require.Nil(t, b.post("s", ms(1050), rows(1, 1), true), "the same round, heard of again")
-	require.NotNil(t, b.post("s", ms(2000), rows(105, 300), true))
-	seq, got = b.since(seq, list, ms(2000), every)
-	require.Equal(t, []Stands{{"s", 0, []Stand{{1, 300, 1000, 0, 0}}}}, got, "only what changed, and that all were asked")
-	require.NotNil(t, b.post("s", ms(3000), map[ids.WorkerID]stood{"w": {Used: 300, Room: 1000}}, true))
-	seq, got = b.since(seq, list, ms(3000), every)
-	require.Equal(t, []Stands{{"s", 0, []Stand{{0, 0, 0, 0, 0}}}}, got, "v told nothing")
-	require.NotNil(t, b.post("s", ms(4000), map[ids.WorkerID]stood{"v": {Used: 9, Room: 1000}}, false))
-	_, got = b.since(seq, list, ms(4000), every)
-	require.Equal(t, []Stands{{"s", 0, []Stand{{0, 9, 1000, 0, 0}}}}, got, "w is as it was")
-	_, got = b.since(0, list, ms(4000).Add(reportOld+1), every)
+	require.Nil(t, b.record("s", ms(1050), rows(1, 1), true), "the same round, heard of again")
+	require.NotNil(t, b.record("s", ms(2000), rows(105, 300), true))
+	seq, got = b.since(seq, list, ms(2000), everyService)
+	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{1, 300, 1000, 0, 0}}}}, got, "only what changed, and that all were asked")
+	require.NotNil(t, b.record("s", ms(3000), map[ids.WorkerID]reportedLoad{"w": {Used: 300, Capacity: 1000}}, true))
+	seq, got = b.since(seq, list, ms(3000), everyService)
+	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{0, 0, 0, 0, 0}}}}, got, "v told nothing")
+	require.NotNil(t, b.record("s", ms(4000), map[ids.WorkerID]reportedLoad{"v": {Used: 9, Capacity: 1000}}, false))
+	_, got = b.since(seq, list, ms(4000), everyService)
+	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{0, 9, 1000, 0, 0}}}}, got, "w is as it was")
+	_, got = b.since(0, list, ms(4000).Add(reportMaxAge+1), everyService)
 	require.Empty(t, got, "an old round is not handed on")
 }
 
@@ -143,7 +143,7 @@
 			st := b.state(id)
 			st.mu.Lock()
 			defer st.mu.Unlock()
-			free, ok := st.mem.free(b.now())
+			free, ok := st.memory.free(b.now())
 			return ok && free == want
 		}
 		settled := func(used func(i int) int) func() bool {
@@ -184,7 +184,7 @@
 				for _, s := range all {
 					st := b.state(s.ID)
 					st.mu.Lock()
-					_, ok := st.mem.free(b.now())
+					_, ok := st.memory.free(b.now())
 					st.mu.Unlock()
 					if ok {
 						return false
@@ -226,7 +226,7 @@
 				for _, s := range all {
 					st := b.state(s.ID)
 					st.mu.Lock()
-					free, ok := st.mem.free(b.now())
+					free, ok := st.memory.free(b.now())
 					st.mu.Unlock()
 					require.True(t, ok)
 					require.Equal(t, 5000, free)
@@ -243,20 +243,20 @@
 // TestProgramsSeeRoom: routing programs see what is free in blocks.
 func TestProgramsSeeRoom(t *testing.T) {
 	text := "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: -w.free)]\n"
-	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost(), Deck: []routing.Source{{Name: "roomy", Share: 100, Text: text}}})
+	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost(), Programs: []routing.Source{{Name: "roomy", Share: 100, Text: text}}})
 	require.NoError(t, err)
 	now := n.now()
 	var list []Worker
-	rows := map[ids.WorkerID]stood{}
+	rows := map[ids.WorkerID]reportedLoad{}
 	for i := range 4 {
-		list = append(list, Worker{ID: wid(i), Service: "s", Zone: "a", Part: ids.Decode, Slots: 8})
-		rows[wid(i)] = stood{Used: 1000 - 100*i, Room: 4000}
+		list = append(list, Worker{ID: wid(i), Service: "s", Zone: "a", Role: ids.Decode, Concurrency: 8})
+		rows[wid(i)] = reportedLoad{Used: 1000 - 100*i, Capacity: 4000}
 	}
-	n.take(list, now, now)
-	n.stands("s", now, rows, true)
-	row := n.emitters(n.first.Set, n.view.Current(), service("s"), &Request{ID: "r", Prompt: 800, Most: 16}, nil, nil)
-	for i, c := range row {
-		require.Equal(t, wid(3-i), c.w.ID)
+	n.installList(list, now, now)
+	n.publishLoads("s", now, rows, true)
+	picks := n.emitters(n.startupPrograms.Set, n.view.Current(), service("s"), &Request{ID: "r", Prompt: 800, MaxTokens: 16}, nil, nil)
+	for i, c := range picks {
+		require.Equal(t, wid(3-i), c.worker.ID)
 		require.Equal(t, 4000-1000+100*(3-i), c.free)
 	}
 }
@@ -266,24 +266,24 @@
 func tight(t *testing.T, seed uint64, rate, noRoom float64) (away, done, all int, late time.Duration) {
 	ws := both("svc", 4, 6)
 	for i, s := range ws {
-		if s.memory = 400_000; s.Part == ids.Decode {
+		if s.memory = 400_000; s.Role == ids.Decode {
 			s.memory = 40_000 + 10_000*(i%3)
 		}
 	}
 	y := newYard(ws...)
 	y.lag, y.queue, y.step = 300*time.Millisecond, 2, 50*time.Millisecond
 	f := build(t, seed, 6, y, plain(), func(o *Options) {
-		o.Turn, o.Allow, o.NoRoom, o.Rest = 500*time.Millisecond, 60, noRoom, -1
+		o.RoleChangeInterval, o.RetryAllowance, o.NoCapacityCost, o.IdlePrefillShare = 500*time.Millisecond, 60, noRoom, -1
 	})
 	defer f.close()
 	time.Sleep(5 * time.Second)
 	rng := rand.New(rand.NewPCG(seed, 11))
 	ends := f.load(rate, 12*time.Second, func(i int) *Request {
-		prompt, most := 900, 10
+		prompt, limit := 900, 10
 		if rng.IntN(4) == 0 {
-			prompt, most = 9000, 24
+			prompt, limit = 9000, 24
 		}
-		return f.req(fmt.Sprint("r", i), paths[i%4], prompt, most)
+		return f.req(fmt.Sprint("r", i), paths[i%4], prompt, limit)
 	})
 	rows := y.book()
 	require.Empty(t, onceOnly(rows, ends))
@@ -337,13 +337,13 @@
 				list[i].ID = wid(i)
 			}
 			rng := rand.New(rand.NewPCG(1, 2))
-			var b board
+			var b loadBoard
 			var seq uint64
 			added, rounds := 0, 20
 			for s := range rounds {
-				rows := map[ids.WorkerID]stood{}
+				rows := map[ids.WorkerID]reportedLoad{}
 				for i := range list {
-					at := stood{Room: 18_000}
+					at := reportedLoad{Capacity: 18_000}
 					switch load {
 					case "usual":
 						at.Running = rng.IntN(4)
@@ -355,14 +355,14 @@
 					rows[list[i].ID] = at
 				}
 				now := ms(1000 * (s + 1))
-				b.post("minutes-llm", now, rows, true)
+				b.record("minutes-llm", now, rows, true)
 				for k := range 4 { // askings a second
-					plain := &ListReply{Version: 7, Age: 1 << 29}
-					full := &ListReply{Version: 7, Age: 1 << 29}
-					ask := &ListAsk{Node: "n", Version: 7, Stood: seq}
-					full.Stood, full.Stands = b.since(seq, list, now.Add(time.Duration(250*k)*time.Millisecond), every)
-					seq = full.Stood
-					added += len(coordination.MustMarshal(full)) - len(coordination.MustMarshal(plain)) + len(coordination.MustMarshal(ask)) - len(coordination.MustMarshal(&ListAsk{Node: "n", Version: 7}))
+					plain := &ListResponse{Version: 7, Age: 1 << 29}
+					full := &ListResponse{Version: 7, Age: 1 << 29}
+					ask := &ListRequest{Node: "n", Version: 7, LoadSeq: seq}
+					full.LoadSeq, full.Loads = b.since(seq, list, now.Add(time.Duration(250*k)*time.Millisecond), everyService)
+					seq = full.LoadSeq
+					added += len(coordination.MustMarshal(full)) - len(coordination.MustMarshal(plain)) + len(coordination.MustMarshal(ask)) - len(coordination.MustMarshal(&ListRequest{Node: "n", Version: 7}))
 				}
 			}
 			node := added / rounds
--- a/internal/proxy/operate.go
+++ b/internal/proxy/operator.go
@@ -22,15 +22,15 @@
 
 // Operator is a api.Operator over the core that the book knows.
 type Operator struct {
-	Call      *rpc.Caller
+	Caller    *rpc.Caller
 	Directory *coordination.Directory
 	Zones     []string // that there are
 }
 
 const (
-	operatorWait = 4 * time.Second        // for the core
-	forceWait    = 2 * time.Second        // for what was taken to be in force
-	comeBack     = 500 * time.Millisecond // what an operator is told
+	operatorTimeout    = 4 * time.Second        // for the core
+	forceWait          = 2 * time.Second        // for what was taken to be in force
+	operatorRetryAfter = 500 * time.Millisecond // what an operator is told
 )
 
 // Operation ids are remembered by class: however many evacuations there are, the ids of
@@ -43,7 +43,7 @@
 // Apply checks and compiles a program set before anything is written; the core takes it
 // if it was made over the newest one.
 func (o *Operator) Apply(ctx context.Context, a *api.Apply) (*api.Applied, error) {
-	cx, stop := context.WithTimeout(ctx, operatorWait)
+	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
 	op, name := ids.OpID(programOps+a.Op), cmp.Or(a.Name, "programs")
 	text, err := fleetstate.Source(name, []byte(a.Source))
@@ -52,22 +52,22 @@
 	}
 	var base []byte
 	if a.Partial {
-		img, err := fleetstate.ReadState(cx, o.Call, o.Directory)
+		img, err := fleetstate.ReadState(callContext, o.Caller, o.Directory)
 		if err != nil {
-			return nil, api.Fate(err, comeBack)
+			return nil, api.Fate(err, operatorRetryAfter)
 		}
 		top, _ := img.ProgramSet()
 		if uint64(top.Version) != a.Base {
 			// The base has moved on, perhaps by this very operation.
-			v, err := fleetstate.Outcome(cx, o.Call, o.Directory, op, fleetstate.OutcomeQuery{Base: ids.Version(a.Base), Programs: true})
+			v, err := fleetstate.Outcome(callContext, o.Caller, o.Directory, op, fleetstate.OutcomeQuery{Base: ids.Version(a.Base), Programs: true})
 			if failure.Is(err, failure.Stale) {
 				return nil, api.Stale(a.Base, uint64(top.Version))
 			}
-			return o.ruled(ctx, v, err)
+			return o.versionApplied(ctx, v, err)
 		}
 		base = fleetstate.SetText(top)
 	}
-	p, whole, err := fleetstate.Draft(name, a.Source, text, base, a.Partial)
+	p, complete, err := fleetstate.Draft(name, a.Source, text, base, a.Partial)
 	if err == nil {
 		err = p.CheckSet()
 	}
@@ -75,24 +75,24 @@
 		return nil, err
 	}
 	if a.Dry {
-		return &api.Applied{Version: a.Base, Policy: whole}, nil
+		return &api.Applied{Version: a.Base, Policy: complete}, nil
 	}
-	v, err := fleetstate.PutPrograms(cx, o.Call, o.Directory, op, ids.Version(a.Base), whole)
-	return o.ruled(ctx, v, err)
+	v, err := fleetstate.PutPrograms(callContext, o.Caller, o.Directory, op, ids.Version(a.Base), complete)
+	return o.versionApplied(ctx, v, err)
 }
 
-// ruled waits a while until the core has put a version in force.
-func (o *Operator) ruled(ctx context.Context, v ids.Version, err error) (*api.Applied, error) {
+// versionApplied waits a while until the core has put a version in force.
+func (o *Operator) versionApplied(ctx context.Context, v ids.Version, err error) (*api.Applied, error) {
 	if err != nil {
-		return nil, api.Fate(err, comeBack)
+		return nil, api.Fate(err, operatorRetryAfter)
 	}
-	cx, stop := context.WithTimeout(ctx, forceWait)
+	callContext, stop := context.WithTimeout(ctx, forceWait)
 	defer stop()
 	for {
-		if img, err := fleetstate.ReadState(cx, o.Call, o.Directory); err == nil && img.Programs.Version >= v {
+		if img, err := fleetstate.ReadState(callContext, o.Caller, o.Directory); err == nil && img.Programs.Version >= v {
 			return &api.Applied{Version: uint64(v), Active: true}, nil
 		}
-		if !host.Sleep(cx, 50*time.Millisecond) {
+		if !host.Sleep(callContext, 50*time.Millisecond) {
 			return &api.Applied{Version: uint64(v)}, nil
 		}
 	}
@@ -103,10 +103,10 @@
 	if !slices.Contains(o.Zones, zone) {
 		return nil, api.No(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
 	}
-	cx, stop := context.WithTimeout(ctx, operatorWait)
+	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
-	if err := fleetstate.SetEvacuated(cx, o.Call, o.Directory, ids.OpID(zoneOps+m.Op), ids.Zone(zone), m.Out); err != nil {
-		return nil, api.Fate(err, comeBack)
+	if err := fleetstate.SetEvacuated(callContext, o.Caller, o.Directory, ids.OpID(zoneOps+m.Op), ids.Zone(zone), m.Out); err != nil {
+		return nil, api.Fate(err, operatorRetryAfter)
 	}
 	return &api.Applied{Active: true}, nil
 }
@@ -131,9 +131,9 @@
 
 // Shown gives the program set in force.
 func (o *Operator) Shown(ctx context.Context) (*api.Shown, error) {
-	cx, stop := context.WithTimeout(ctx, operatorWait)
+	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
-	img, err := fleetstate.ReadState(cx, o.Call, o.Directory)
+	img, err := fleetstate.ReadState(callContext, o.Caller, o.Directory)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/proxy/eject_test.go
+++ b/internal/proxy/outlier_test.go
@@ -21,7 +21,7 @@
 type standing struct {
 	at       time.Duration
 	node     string
-	group    group
+	group    workerGroup
 	out, all int
 }
 
@@ -47,7 +47,7 @@
 func (w *ward) run(t *testing.T) *ward {
 	y := newYard(both("svc", w.parts, w.parts)...)
 	f := build(t, w.seed, w.nodes, y, plain(), func(o *Options) {
-		o.Allow = 60
+		o.RetryAllowance = 60
 		if w.tune != nil {
 			w.tune(o)
 		}
@@ -103,14 +103,14 @@
 
 func (w *ward) look(f *fleet, now time.Duration) {
 	for _, b := range f.up() {
-		by := map[group]*standing{}
-		for _, x := range b.roster.Load().all {
-			k := group{x.Service, x.Part}
+		by := map[workerGroup]*standing{}
+		for _, x := range b.workerList.Load().workers {
+			k := workerGroup{x.Service, x.Role}
 			if by[k] == nil {
 				by[k] = &standing{at: now, node: b.ip, group: k}
 			}
 			by[k].all++
-			if b.out(x.ID) {
+			if b.isEjected(x.ID) {
 				by[k].out++
 			}
 		}
@@ -152,10 +152,10 @@
 }
 
 // outBound: of no part does a node have more out at once than the bound, nor the last.
-func outBound(rows []standing, part float64) []string {
+func outBound(rows []standing, role float64) []string {
 	var out []string
 	for _, s := range rows {
-		if most := max(1, int(part*float64(s.all))); s.out > most || s.out >= s.all {
+		if limit := max(1, int(role*float64(s.all))); s.out > limit || s.out >= s.all {
 			out = append(out, fmt.Sprintf("at %s: %s has %d of %d out of %v", s.at, s.node, s.out, s.all, s.group))
 		}
 	}
@@ -163,12 +163,12 @@
 }
 
 // share is the part of a span's sendings that goes to some workers.
-func share(rows []row, sick map[ids.WorkerID]bool, from, to time.Duration) float64 {
+func share(rows []row, unhealthy map[ids.WorkerID]bool, from, to time.Duration) float64 {
 	hit, all := 0, 0
 	for _, k := range rows {
 		if (k.Kind == "read" || k.Kind == "emit") && k.At >= from && k.At < to {
 			all++
-			if sick[k.Worker] {
+			if unhealthy[k.Worker] {
 				hit++
 			}
 		}
@@ -177,8 +177,8 @@
 }
 
 // falls: the sick workers' share of sendings falls to the part given of what is fair.
-func falls(rows []row, sick map[ids.WorkerID]bool, fair, part float64, from, to time.Duration) []string {
-	if s := share(rows, sick, from, to); s > part*fair {
+func falls(rows []row, unhealthy map[ids.WorkerID]bool, fair, role float64, from, to time.Duration) []string {
+	if s := share(rows, unhealthy, from, to); s > role*fair {
 		return []string{fmt.Sprintf("%.3f of the sendings go to sick workers, whose fair share is %.3f", s, fair)}
 	}
 	return nil
@@ -191,10 +191,10 @@
 	require.NotEmpty(t, outBound([]standing{{out: 1, all: 1}}, 0.34), "the last")
 	k := func(id ids.WorkerID, at time.Duration) row { return row{Kind: "emit", Worker: id, At: at} }
 	rows := []row{k("w", 0), k("w", 1), k("v", 5), k("w", 6), k("v", 7), k("v", 8)}
-	sick := map[ids.WorkerID]bool{"w": true}
-	require.Empty(t, falls(rows, sick, 0.5, 0.6, 5, 9))
-	require.NotEmpty(t, falls(rows, sick, 0.5, 0.4, 5, 9), "one of four")
-	require.NotEmpty(t, falls(rows, sick, 0.5, 0.6, 0, 9), "half")
+	unhealthy := map[ids.WorkerID]bool{"w": true}
+	require.Empty(t, falls(rows, unhealthy, 0.5, 0.6, 5, 9))
+	require.NotEmpty(t, falls(rows, unhealthy, 0.5, 0.4, 5, 9), "one of four")
+	require.NotEmpty(t, falls(rows, unhealthy, 0.5, 0.6, 0, 9), "half")
 }
 
 // TestGrey: a reading and an emitting worker fail 30 to 60 % of their requests while their
@@ -205,9 +205,9 @@
 	eachSeed(t, 4, func(t *testing.T, seed uint64) {
 		x := []float64{0.3, 0.4, 0.5, 0.6}[seed%4]
 		hit := some(seed, x)
-		sick := map[ids.WorkerID]bool{"svc-prefill-1.1": true, "svc-decode-2.1": true}
+		unhealthy := map[ids.WorkerID]bool{"svc-prefill-1.1": true, "svc-decode-2.1": true}
 		grey := func(k row) fate {
-			if sick[k.Worker] && k.At > 3*time.Second && k.At < 13*time.Second && hit(k) {
+			if unhealthy[k.Worker] && k.At > 3*time.Second && k.At < 13*time.Second && hit(k) {
 				if k.Kind == "read" {
 					return ranReset
 				}
@@ -217,16 +217,16 @@
 		}
 		on := (&ward{seed: seed, nodes: 4, parts: 6, rate: 80, span: 30 * time.Second, sick: grey}).run(t)
 		on.sound(t)
-		off := (&ward{seed: seed, nodes: 4, parts: 6, rate: 80, span: 30 * time.Second, sick: grey, tune: func(o *Options) { o.Eject = -1 }}).run(t)
+		off := (&ward{seed: seed, nodes: 4, parts: 6, rate: 80, span: 30 * time.Second, sick: grey, tune: func(o *Options) { o.BaseEjection = -1 }}).run(t)
 		had, all := off.done(5*time.Second, 13*time.Second)
 		has, _ := on.done(5*time.Second, 13*time.Second)
-		t.Logf("x %.1f: share %.3f, without %.3f; answered %d, without %d, of %d; ejections %d", x, share(on.rows, sick, 5*time.Second, 13*time.Second),
-			share(off.rows, sick, 5*time.Second, 13*time.Second), has, had, all, on.ejects)
-		require.Empty(t, falls(on.rows, sick, 1.0/6, 0.6, 5*time.Second, 13*time.Second))
-		require.NotEmpty(t, falls(off.rows, sick, 1.0/6, 0.6, 5*time.Second, 13*time.Second), "without it they go on")
+		t.Logf("x %.1f: share %.3f, without %.3f; answered %d, without %d, of %d; ejections %d", x, share(on.rows, unhealthy, 5*time.Second, 13*time.Second),
+			share(off.rows, unhealthy, 5*time.Second, 13*time.Second), has, had, all, on.ejects)
+		require.Empty(t, falls(on.rows, unhealthy, 1.0/6, 0.6, 5*time.Second, 13*time.Second))
+		require.NotEmpty(t, falls(off.rows, unhealthy, 1.0/6, 0.6, 5*time.Second, 13*time.Second), "without it they go on")
 		require.Greater(t, has, had)
 		// A third ejection right before they are well lasts 8 s, and trials come after it.
-		require.Greater(t, share(on.rows, sick, 25*time.Second, 30*time.Second), 0.5/6, "they are used again")
+		require.Greater(t, share(on.rows, unhealthy, 25*time.Second, 30*time.Second), 0.5/6, "they are used again")
 		require.Zero(t, off.ejects)
 		require.Positive(t, on.readmits)
 	})
@@ -288,7 +288,7 @@
 						})
 					}, tune: func(o *Options) {
 						if !on {
-							o.Eject = -1
+							o.BaseEjection = -1
 						}
 					}}).run(t)
 				}
@@ -327,7 +327,7 @@
 			}}).run(t)
 		}
 		flapper, once := map[ids.WorkerID]bool{"svc-decode-1.1": true}, map[ids.WorkerID]bool{"svc-decode-3.1": true}
-		on, off := run(nil), run(func(o *Options) { o.Eject = -1 })
+		on, off := run(nil), run(func(o *Options) { o.BaseEjection = -1 })
 		on.sound(t)
 		from, to := 6*time.Second, 14*time.Second
 		has, all := on.done(from, to)
@@ -354,11 +354,11 @@
 						return fine
 					}}).run(t)
 				}
-				on, off := run(nil), run(func(o *Options) { o.Eject = -1 })
+				on, off := run(nil), run(func(o *Options) { o.BaseEjection = -1 })
 				on.sound(t)
 				refused := func(w *ward) (k int) {
 					for _, a := range w.asks {
-						if _, no := a.err.(*Refusal); no {
+						if _, no := a.err.(*RejectedError); no {
 							k++
 						}
 					}
@@ -386,7 +386,7 @@
 		for i, ill := range []float64{0.9, 0.3, 0.6} {
 			st := n.state(ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", i)))
 			st.mu.Lock()
-			st.verdict.phase, st.verdict.until, st.verdict.ill = ejected, n.now().Add(time.Hour), ill
+			st.outlier.phase, st.outlier.until, st.outlier.failureRate = ejected, n.now().Add(time.Hour), ill
 			st.mu.Unlock()
 		}
 		for i := range 6 {
@@ -428,20 +428,20 @@
 					y.at(func() { y.health = nil })
 				}}).run(t)
 				w.sound(t)
-				sick := map[ids.WorkerID]bool{"svc-decode-1.1": true}
-				var mine, rest []row
+				unhealthy := map[ids.WorkerID]bool{"svc-decode-1.1": true}
+				var own, rest []row
 				for _, k := range w.rows {
 					if off(k.Node) {
-						mine = append(mine, k)
+						own = append(own, k)
 					} else {
 						rest = append(rest, k)
 					}
 				}
-				require.Empty(t, falls(mine, sick, 1.0/8, 0.3, 5*time.Second, 8*time.Second))
+				require.Empty(t, falls(own, unhealthy, 1.0/8, 0.3, 5*time.Second, 8*time.Second))
 				if one {
-					require.Greater(t, share(rest, sick, 5*time.Second, 8*time.Second), 0.7/8)
+					require.Greater(t, share(rest, unhealthy, 5*time.Second, 8*time.Second), 0.7/8)
 				}
-				require.Greater(t, share(w.rows, sick, 13*time.Second, 18*time.Second), 0.5/8)
+				require.Greater(t, share(w.rows, unhealthy, 13*time.Second, 18*time.Second), 0.5/8)
 			})
 		})
 	}
@@ -459,7 +459,7 @@
 		}, act: func(f *fleet, y *yard) {
 			for range 80 {
 				for _, b := range f.up()[2:] {
-					b.told.Store(ids.NodeID("liar"), told{at: b.now(), outcomes: []Outcomes{{"svc-decode-1.1", 1 << 20, 1 << 20, 90}}})
+					b.peerReports.Store(ids.NodeID("liar"), peerReport{at: b.now(), outcomes: []Outcomes{{"svc-decode-1.1", 1 << 20, 1 << 20, 90}}})
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -474,16 +474,16 @@
 // TestWeighed: a node's say of a worker is bounded, and one that accuses more of a part than
 // may be out says nothing.
 func TestWeighed(t *testing.T) {
-	n := &Node{opt: Options{Out: 0.34, Say: 4}}
+	n := &Node{options: Options{MaxEjectedShare: 0.34, PeerWeight: 4}}
 	var list []Worker
 	for i := range 6 {
 		list = append(list, Worker{ID: ids.WorkerID(fmt.Sprint("w", i)), Service: "svc"})
 	}
-	n.roster.Store(&roster{all: list})
-	require.Equal(t, []Outcomes{{"w0", 40, 20, 1}, {"w1", 30, 0, 0}}, n.weighed([]Outcomes{{"w0", 400, 200, 9}, {"w1", 30, 0, 0}}))
-	require.Equal(t, []Outcomes{{"w0", 10, 10, 1}}, n.weighed([]Outcomes{{"w0", 10, 99, 1}}), "more failures than sendings")
-	require.Len(t, n.weighed([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}}), 2)
-	require.Empty(t, n.weighed([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}, {"w2", 10, 9, 1}}), "half of all")
+	n.workerList.Store(&workerList{workers: list})
+	require.Equal(t, []Outcomes{{"w0", 40, 20, 1}, {"w1", 30, 0, 0}}, n.capWeights([]Outcomes{{"w0", 400, 200, 9}, {"w1", 30, 0, 0}}))
+	require.Equal(t, []Outcomes{{"w0", 10, 10, 1}}, n.capWeights([]Outcomes{{"w0", 10, 99, 1}}), "more failures than sendings")
+	require.Len(t, n.capWeights([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}}), 2)
+	require.Empty(t, n.capWeights([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}, {"w2", 10, 9, 1}}), "half of all")
 }
 
 // TestNotCounted: a caller that went away, a deadline that was over, being turned away and
@@ -493,7 +493,7 @@
 		t.Run(how, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				y := newYard(both("svc", 2, 3)...)
-				f := build(t, 6, 1, y, plain(), func(o *Options) { o.Allow = 60 })
+				f := build(t, 6, 1, y, plain(), func(o *Options) { o.RetryAllowance = 60 })
 				defer f.close()
 				y.at(func() {
 					y.fate = func(k row, _ *stand) fate {
@@ -506,16 +506,16 @@
 				for i := range 20 {
 					r := f.req(fmt.Sprint("r", i), paths[i%4], 400, 6)
 					if how == "deadline" {
-						r.Wait = 200 * time.Millisecond
+						r.Timeout = 200 * time.Millisecond
 					}
 					f.askAs(t.Context(), f.nodes[0], r, &sink{broken: how == "caller"})
 				}
 				n := f.nodes[0]
 				n.states.Range(func(k, v any) bool {
-					st := v.(*state)
+					st := v.(*workerState)
 					st.mu.Lock()
 					defer st.mu.Unlock()
-					require.Zero(t, st.verdict.mine.failed, "%v", k)
+					require.Zero(t, st.outlier.local.failed, "%v", k)
 					return true
 				})
 			})
@@ -533,14 +533,14 @@
 		if large { // as many as the largest site has
 			nodes, parts, rate = 72, 70, 605
 		}
-		sick := map[ids.WorkerID]bool{}
+		unhealthy := map[ids.WorkerID]bool{}
 		for i := range max(2, parts*14/100) {
-			sick[ids.WorkerID(fmt.Sprintf("svc-prefill-%d.1", 3*i))] = true
-			sick[ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", 3*i+1))] = true
+			unhealthy[ids.WorkerID(fmt.Sprintf("svc-prefill-%d.1", 3*i))] = true
+			unhealthy[ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", 3*i+1))] = true
 		}
 		run := func(o func(*Options)) *ward {
 			w := (&ward{seed: seed, nodes: nodes, parts: parts, rate: rate, span: 11 * time.Second, tune: o, sick: func(k row) fate {
-				if sick[k.Worker] && k.At > 3*time.Second && k.At < 9500*time.Millisecond && hit(k) {
+				if unhealthy[k.Worker] && k.At > 3*time.Second && k.At < 9500*time.Millisecond && hit(k) {
 					return ranReset
 				}
 				return fine
@@ -549,18 +549,18 @@
 			return w
 		}
 		from, to := 4*time.Second, 9500*time.Millisecond
-		told, alone := run(nil), run(func(o *Options) { o.Say = -1 })
-		all := map[string]*ward{"told": told, "alone": alone}
+		reports, alone := run(nil), run(func(o *Options) { o.PeerWeight = -1 })
+		all := map[string]*ward{"told": reports, "alone": alone}
 		if large {
-			all["off"] = run(func(o *Options) { o.Eject = -1 })
+			all["off"] = run(func(o *Options) { o.BaseEjection = -1 })
 		}
 		for name, w := range all {
 			has, all := w.done(3*time.Second, to)
-			t.Logf("%s: share %.3f, answered %d of %d, ejections %d", name, share(w.rows, sick, from, to), has, all, w.ejects)
+			t.Logf("%s: share %.3f, answered %d of %d, ejections %d", name, share(w.rows, unhealthy, from, to), has, all, w.ejects)
 		}
-		fair := float64(len(sick)) / float64(2*parts)
-		require.Empty(t, falls(told.rows, sick, fair, 0.5, from, to))
-		require.NotEmpty(t, falls(alone.rows, sick, fair, 0.5, from, to))
+		fair := float64(len(unhealthy)) / float64(2*parts)
+		require.Empty(t, falls(reports.rows, unhealthy, fair, 0.5, from, to))
+		require.NotEmpty(t, falls(alone.rows, unhealthy, fair, 0.5, from, to))
 	})
 }
 
@@ -569,9 +569,9 @@
 // it, and what it is sent meanwhile is a trickle.
 func TestProbation(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		sick := map[ids.WorkerID]bool{"svc-decode-2.1": true}
+		unhealthy := map[ids.WorkerID]bool{"svc-decode-2.1": true}
 		w := (&ward{seed: 8, nodes: 1, parts: 4, rate: 60, span: 40 * time.Second, sick: func(k row) fate {
-			if sick[k.Worker] && k.At > 2*time.Second && k.At < 30*time.Second {
+			if unhealthy[k.Worker] && k.At > 2*time.Second && k.At < 30*time.Second {
 				return ranReset
 			}
 			return fine
@@ -579,7 +579,7 @@
 		w.sound(t)
 		hits := 0
 		for _, k := range w.rows {
-			if k.Kind == "emit" && sick[k.Worker] && k.At > 4*time.Second && k.At < 30*time.Second {
+			if k.Kind == "emit" && unhealthy[k.Worker] && k.At > 4*time.Second && k.At < 30*time.Second {
 				hits++
 			}
 		}
@@ -630,20 +630,20 @@
 		f := build(t, 9, 1, newYard(both("svc", 2, 3)...), plain(), nil)
 		defer f.close()
 		n := f.nodes[0]
-		for _, old := range []bool{false, true} {
-			st, now := &state{}, n.now()
-			st.verdict = verdict{mine: record{8, 7, now}, phase: ejected, since: now, until: now.Add(8 * time.Second)}
-			if old {
-				st.verdict.since = now.Add(-3 * time.Second)
+		for _, previous := range []bool{false, true} {
+			st, now := &workerState{}, n.now()
+			st.outlier = outlierState{local: decayingCount{8, 7, now}, phase: ejected, since: now, until: now.Add(8 * time.Second)}
+			if previous {
+				st.outlier.since = now.Add(-3 * time.Second)
 			}
-			n.fell(st)
-			require.Zero(t, st.verdict.mine.failed)
-			require.Equal(t, old, now.Before(st.verdict.until))
-			n.outcome(&choice{st: st, ended: new(atomic.Bool)}, false)
-			require.Zero(t, st.verdict.mine.failed, "while it is known to be down")
-			n.rose(st)
-			n.outcome(&choice{st: st, ended: new(atomic.Bool)}, false)
-			require.Positive(t, st.verdict.mine.failed)
+			n.recordOutage(st)
+			require.Zero(t, st.outlier.local.failed)
+			require.Equal(t, previous, now.Before(st.outlier.until))
+			n.recordOutcome(&pick{state: st, ended: new(atomic.Bool)}, false)
+			require.Zero(t, st.outlier.local.failed, "while it is known to be down")
+			n.recordRecovery(st)
+			n.recordOutcome(&pick{state: st, ended: new(atomic.Bool)}, false)
+			require.Positive(t, st.outlier.local.failed)
 		}
 	})
 }
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -20,7 +20,7 @@
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 	require.NoError(t, err)
 	list := many(40)
-	list[7].Part = ""
+	list[7].Role = ""
 	list[9].Service = "other"
 	sights := []*fleetstate.Snapshot{{}, {Zones: map[ids.Zone]bool{"b": true}}, {Drained: map[ids.WorkerID]bool{list[2].ID: true}}, {RoleChanges: map[ids.WorkerID]ids.Role{list[4].ID: ids.Decode}}}
 	for k := range 6 {
@@ -28,31 +28,31 @@
 		if k > 0 {
 			list = append([]Worker(nil), list...)
 			list[3*k].Leaving = true
-			list[5*k].Part = ids.Prefill
-			list = append(list[1:], Worker{ID: wid(k), Service: "s", Zone: "c", Part: ids.Decode, Slots: 8})
+			list[5*k].Role = ids.Prefill
+			list = append(list[1:], Worker{ID: wid(k), Service: "s", Zone: "c", Role: ids.Decode, Concurrency: 8})
 		}
-		n.take(list, now, now)
+		n.installList(list, now, now)
 		for _, s := range sights {
-			for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
+			for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
 				var want, got []ids.WorkerID
 				var top ids.WorkerID
 				best := -1.0
 				for i := range list {
 					w := &list[i]
-					if w.Service != "s" || !fit(s, w) || w.Part != part && w.Part != "" {
+					if w.Service != "s" || !acceptsWork(s, w) || w.Role != role && w.Role != "" {
 						continue
 					}
 					want = append(want, w.ID)
-					if a := routing.Affinity(77, w.ID); w.Part == ids.Prefill && a > best {
+					if a := routing.Affinity(77, w.ID); w.Role == ids.Prefill && a > best {
 						best, top = a, w.ID
 					}
 				}
-				for _, c := range n.cleared(s, service("s"), part, nil) {
-					got = append(got, c.w.ID)
-					require.Same(t, n.state(c.w.ID), c.st)
+				for _, c := range n.cleared(s, service("s"), role, nil) {
+					got = append(got, c.worker.ID)
+					require.Same(t, n.state(c.worker.ID), c.state)
 				}
 				require.Equal(t, want, got)
-				require.Equal(t, top, home(77, n.tabled(n.roster.Load(), s).by[role{"s", part}], n.out))
+				require.Equal(t, top, prefixHome(77, n.candidateIndexFor(n.workerList.Load(), s).byRole[serviceRole{"s", role}], n.isEjected))
 			}
 		}
 	}
@@ -61,15 +61,17 @@
 // TestPickedAnew: after a dial that took long nothing goes to a worker of which the node has
 // heard meanwhile that it leaves, nor does the request end while another worker is there.
 func TestPickedAnew(t *testing.T) {
-	for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
+	for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
 		eachSeed(t, 3, func(t *testing.T, seed uint64) {
 			y := newYard(both("svc", 3, 3)...)
-			f := build(t, seed, 2, y, plain(), func(o *Options) { o.Allow, o.Roster, o.Share = 60, 100*time.Millisecond, 50*time.Millisecond })
+			f := build(t, seed, 2, y, plain(), func(o *Options) {
+				o.RetryAllowance, o.ListInterval, o.ShareInterval = 60, 100*time.Millisecond, 50*time.Millisecond
+			})
 			defer f.close()
-			y.at(func() { y.dial = map[string]time.Duration{"svc-" + string(part) + "-0:90": 1400 * time.Millisecond} })
+			y.at(func() { y.dial = map[string]time.Duration{"svc-" + string(role) + "-0:90": 1400 * time.Millisecond} })
 			f.wg.Go(func() {
 				time.Sleep(150 * time.Millisecond)
-				y.at(func() { y.of("svc-" + string(part) + "-1").Leaving = true })
+				y.at(func() { y.of("svc-" + string(role) + "-1").Leaving = true })
 			})
 			all := f.load(200, 300*time.Millisecond, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
 			late := 0
@@ -91,14 +93,14 @@
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 			require.NoError(b, err)
-			n.take(many(workers), n.now(), n.now())
-			s, svc := n.view.Current(), service("s")
-			r := &Request{ID: "9c41d07be2a35f68", Prompt: 9190, Most: 4, Body: make([]byte, 20_000),
-				Parts: []Part{{"5c1e07a2", 800}, {"91bd3f06", 5500}, {"e4402b7d", 2890}}}
+			n.installList(many(workers), n.now(), n.now())
+			s, service := n.view.Current(), service("s")
+			r := &Request{ID: "9c41d07be2a35f68", Prompt: 9190, MaxTokens: 4, Body: make([]byte, 20_000),
+				Segments: []PromptSegment{{"5c1e07a2", 800}, {"91bd3f06", 5500}, {"e4402b7d", 2890}}}
 			b.ReportAllocs()
 			for b.Loop() {
-				n.readers(n.first.Set, s, svc, r, nil)
-				n.emitters(n.first.Set, s, svc, r, nil, nil)
+				n.prefillCandidates(n.startupPrograms.Set, s, service, r, nil)
+				n.emitters(n.startupPrograms.Set, s, service, r, nil, nil)
 			}
 		})
 	}
@@ -108,7 +110,7 @@
 func many(workers int) []Worker {
 	list := make([]Worker, workers)
 	for i := range list {
-		list[i] = Worker{ID: ids.WorkerID(fmt.Sprintf("i-7f3a%04d", i)), Service: "s", Zone: ids.Zone("abcd"[i%4:][:1]), Part: []ids.Role{ids.Prefill, ids.Decode}[i%2], Slots: 24}
+		list[i] = Worker{ID: ids.WorkerID(fmt.Sprintf("i-7f3a%04d", i)), Service: "s", Zone: ids.Zone("abcd"[i%4:][:1]), Role: []ids.Role{ids.Prefill, ids.Decode}[i%2], Concurrency: 24}
 	}
 	return list
 }
--- a/internal/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -68,7 +68,7 @@
 func TestStale(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 3, 3)...)
-		f := build(t, 32, 2, y, plain(), func(o *Options) { o.Allow = 50 })
+		f := build(t, 32, 2, y, plain(), func(o *Options) { o.RetryAllowance = 50 })
 		defer f.close()
 		y.at(func() { y.nolist = true })
 		y.restart("svc-decode-1")
@@ -98,9 +98,9 @@
 		y.at(func() { y.nolist = true })
 		y.restart("svc-decode-1")
 		n := f.nodes[0]
-		for _, w := range n.roster.Load().all {
+		for _, w := range n.workerList.Load().workers {
 			if w.ID == "svc-decode-1.1" {
-				n.state(w.ID).gone()
+				n.state(w.ID).markReplaced()
 				n.suspect(w, false)
 			}
 		}
--- a/internal/proxy/program_test.go
+++ b/internal/proxy/program_test.go
@@ -28,11 +28,11 @@
 		y := newYard(both("svc", 3, 4)...)
 		scores := &routing.Scores{}
 		y.prep = func(n *Node) {
-			deck, err := routing.NewProgramSet(n.opt.Deck, n.opt.Steps, scores)
+			programs, err := routing.NewProgramSet(n.options.Programs, n.options.ProgramSteps, scores)
 			require.NoError(t, err)
-			n.first.Set = deck
+			n.startupPrograms.Set = programs
 		}
-		f := build(t, 61, 2, y, plain(), func(o *Options) { o.Deck = programs; o.Steps = 5000; o.Allow = 40 })
+		f := build(t, 61, 2, y, plain(), func(o *Options) { o.Programs = programs; o.ProgramSteps = 5000; o.RetryAllowance = 40 })
 		defer f.close()
 		hit := map[string]bool{}
 		y.at(func() {
@@ -74,8 +74,8 @@
 func TestProgramRules(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 3, 4)...)
-		deck := []routing.Source{{Name: "fixed", Share: 100, Text: "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.id)]\n"}}
-		f := build(t, 62, 2, y, plain(), func(o *Options) { o.Deck = deck })
+		programs := []routing.Source{{Name: "fixed", Share: 100, Text: "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.id)]\n"}}
+		f := build(t, 62, 2, y, plain(), func(o *Options) { o.Programs = programs })
 		defer f.close()
 		all := f.load(30, 3*1e9, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 2) })
 		at := map[ids.WorkerID]int{}
@@ -95,11 +95,11 @@
 		t.Run(fmt.Sprint(workers), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				y := newYard(both("svc", workers, workers)...)
-				deck := []routing.Source{{Name: "nobody", Share: 100, Text: "def match(ask, worker):\n    return False\n"}}
-				f := build(t, 63, 1, y, plain(), func(o *Options) { o.Deck = deck })
+				programs := []routing.Source{{Name: "nobody", Share: 100, Text: "def match(ask, worker):\n    return False\n"}}
+				f := build(t, 63, 1, y, plain(), func(o *Options) { o.Programs = programs })
 				defer f.close()
 				a := f.ask(f.nodes[0], f.req("r", "/once/x", 400, 2))
-				require.IsType(t, &Refusal{}, a.err)
+				require.IsType(t, &RejectedError{}, a.err)
 				require.Empty(t, y.book())
 			})
 		})
@@ -109,7 +109,7 @@
 // TestBadProgram: a deck with a program that does not compile makes no node.
 func TestBadProgram(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		_, err := New(Options{Name: "n", Deck: []routing.Source{{Name: "x", Share: 100, Text: "def order(ask"}}})
+		_, err := New(Options{Name: "n", Programs: []routing.Source{{Name: "x", Share: 100, Text: "def order(ask"}}})
 		require.ErrorContains(t, err, "x.star")
 	})
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -13,49 +13,49 @@
 	"keelstair.example/ids"
 )
 
-// Part is one piece of a prompt; requests that begin with the same parts share them.
-type Part struct {
+// PromptSegment is one piece of a prompt; requests that begin with the same parts share them.
+type PromptSegment struct {
 	ID     string
 	Tokens int
 }
 
 // Request is one try of a caller's. The id is the try's own.
 type Request struct {
-	ID     string
-	Method string
-	Target string // path and query as they came
-	Path   string
-	Host   string
-	Header http.Header // what is passed on, without what concerns one connection
-	Body   []byte
-	From   string // the id of the last event that the caller has
-	Model  string
-	Parts  []Part
-	Prompt int           // tokens in
-	Most   int           // tokens out at most
-	Wait   time.Duration // how long the caller waits; 0 if it does not say
-	At     ids.Tick      // when it came
+	ID          string
+	Method      string
+	Target      string // path and query as they came
+	Path        string
+	Host        string
+	Header      http.Header // what is passed on, without what concerns one connection
+	Body        []byte
+	LastEventID string // the id of the last event that the caller has
+	Model       string
+	Segments    []PromptSegment
+	Prompt      int           // tokens in
+	MaxTokens   int           // tokens out at most
+	Timeout     time.Duration // how long the caller waits; 0 if it does not say
+	At          ids.Tick      // when it came
 }
 
 // Worker is one line of the platform's list.
 type Worker struct {
-	ID      ids.WorkerID // of this life
-	Service string
-	Addr    string
-	Zone    ids.Zone
-	Part    ids.Role // Prefill, Decode, or empty where the service knows no parts
-	Slots   int
-	Leaving bool
-	Cold    time.Duration // how much longer it is cold
+	ID          ids.WorkerID // of this life
+	Service     string
+	Addr        string
+	Zone        ids.Zone
+	Role        ids.Role // Prefill, Decode, or empty where the service knows no parts
+	Concurrency int
+	Leaving     bool
+	SlowStart   time.Duration // how much longer it is cold
 }
 
 // Load is what a worker says of itself with an answer.
 type Load struct {
-	Running, Waiting, Slots int
+	Running, Waiting, Concurrency int
 }
 
-// Memo is a worker's word that it has read a prompt and keeps the memory.
-type Memo struct {
+// PrefillResult is a worker's word that it has read a prompt and keeps the memory.
+type PrefillResult struct {
 	Handle string
 	Tokens int
 	Load   *Load
@@ -67,35 +67,35 @@
 	Handle string
 }
 
-// Reply is a worker's answer as it begins.
-type Reply struct {
-	Status int
-	Header http.Header // as it is passed to the caller
-	Whole  bool        // it carries the worker's own stamp
-	Events bool
-	Length int64 // -1 if it is not told
-	Body   io.ReadCloser
-	Load   *Load
+// Response is a worker's answer as it begins.
+type Response struct {
+	Status     int
+	Header     http.Header // as it is passed to the caller
+	FromWorker bool        // it carries the worker's own stamp
+	Events     bool
+	Length     int64 // -1 if it is not told
+	Body       io.ReadCloser
+	Load       *Load
 }
 
 // Report is what a worker tells of itself when asked, some moments old.
 type Report struct {
-	Part    ids.Role
-	Turning bool // an order is under way
-	Orders  int  // taken in this life
-	Waiting int
-	Running int
-	Used    int // tokens of memory that cannot give way
-	Room    int
+	Role         ids.Role
+	RoleChanging bool // an order is under way
+	Orders       int  // taken in this life
+	Waiting      int
+	Running      int
+	Used         int // tokens of memory that cannot give way
+	Capacity     int
 }
 
-// Order changes the part that a worker plays. Only the holder of the service's duty
+// RoleOrder changes the part that a worker plays. Only the holder of the service's duty
 // sends one.
-type Order struct {
-	To    ids.Role
-	Owner ids.NodeID
-	Fence ids.Fence
-	After int // orders that the worker is expected to have taken
+type RoleOrder struct {
+	To       ids.Role
+	Owner    ids.NodeID
+	Fence    ids.Fence
+	Expected int // orders that the worker is expected to have taken
 }
 
 // Backend reaches workers. Errors are breakdowns: Bounced where the request was surely
@@ -104,11 +104,11 @@
 // answered by running the request, or a report's asking by word that the worker is ill.
 type Backend interface {
 	List(ctx context.Context) ([]Worker, error)
-	Read(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*Memo, error)
-	Emit(ctx context.Context, w Worker, r *Request, src *Source, from string, left time.Duration, urgency int) (*Reply, error)
+	Read(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*PrefillResult, error)
+	Emit(ctx context.Context, w Worker, r *Request, source *Source, from string, left time.Duration, urgency int) (*Response, error)
 	Free(ctx context.Context, w Worker, handle string) error
 	Report(ctx context.Context, w Worker) (*Report, error)
-	Order(ctx context.Context, w Worker, o *Order) error
+	Order(ctx context.Context, w Worker, o *RoleOrder) error
 	Close()
 }
 
@@ -118,22 +118,22 @@
 	Write(p []byte) error // passed on at once
 }
 
-// Refusal ends a request that was not run and never will be.
-type Refusal struct {
-	Code  int
-	After time.Duration // when to come back
-	Early bool          // before it was offered to any worker, since it would have come late
-	Why   string
+// RejectedError ends a request that was not run and never will be.
+type RejectedError struct {
+	Code       int
+	RetryAfter time.Duration // when to come back
+	Early      bool          // before it was offered to any worker, since it would have come late
+	Reason     string
 }
 
-func (r *Refusal) Error() string { return r.Why }
+func (r *RejectedError) Error() string { return r.Reason }
 
-// Broken ends a request that may have been run. Begun tells that the caller has a part
+// AbortedError ends a request that may have been run. Begun tells that the caller has a part
 // of the answer, so that the connection must be cut.
-type Broken struct {
-	Code  int
-	Begun bool
-	Why   string
+type AbortedError struct {
+	Code     int
+	HeadSent bool
+	Reason   string
 }
 
-func (b *Broken) Error() string { return b.Why }
+func (b *AbortedError) Error() string { return b.Reason }
--- a/internal/proxy/yard_test.go
+++ b/internal/proxy/proxy_cluster_test.go
@@ -120,15 +120,15 @@
 }
 
 // stands makes so many workers of a part, by turns in two zones.
-func stands(service string, part ids.Role, n int) []*stand {
+func stands(service string, role ids.Role, n int) []*stand {
 	var out []*stand
 	for i := range n {
-		name := fmt.Sprintf("%s-%s-%d", service, part, i)
-		if part == "" {
+		name := fmt.Sprintf("%s-%s-%d", service, role, i)
+		if role == "" {
 			name = fmt.Sprintf("%s-%d", service, i)
 		}
 		out = append(out, &stand{name: name, life: 1, Worker: Worker{ID: ids.WorkerID(name + ".1"), Service: service, Addr: name + ":90",
-			Zone: ids.Zone([]string{"a", "b"}[i%2]), Part: part, Slots: 16}})
+			Zone: ids.Zone([]string{"a", "b"}[i%2]), Role: role, Concurrency: 16}})
 	}
 	return out
 }
@@ -184,8 +184,8 @@
 
 var errReset = errors.New("connection reset")
 
-func unknown(w Worker, why string) error {
-	return failure.New(failure.OutcomeUnknown, "ask worker", w.Addr, "%s", why)
+func unknown(w Worker, reason string) error {
+	return failure.New(failure.OutcomeUnknown, "ask worker", w.Addr, "%s", reason)
 }
 
 // gate holds a frozen node at its next step on the network.
@@ -216,21 +216,21 @@
 func (b *back) reach(ctx context.Context, w Worker) (*stand, error) {
 	b.gate()
 	if ctx.Err() != nil {
-		return nil, Undialled(ctx.Err(), w.Addr)
+		return nil, NotDialled(ctx.Err(), w.Addr)
 	}
 	b.y.mu.Lock()
 	cut := b.y.cut[b.ip]
 	b.y.mu.Unlock()
 	if cut {
 		nap(ctx, 400*time.Millisecond)
-		return nil, Undialled(errors.New("no answer"), w.Addr)
+		return nil, NotDialled(errors.New("no answer"), w.Addr)
 	}
 	b.y.mu.Lock()
 	long, no := b.y.dial[w.Addr]
 	b.y.mu.Unlock()
 	if no {
 		nap(ctx, long)
-		return nil, Undialled(errors.New("no answer"), w.Addr)
+		return nil, NotDialled(errors.New("no answer"), w.Addr)
 	}
 	if !nap(ctx, 500*time.Microsecond) {
 		return nil, unknown(w, "given up on the way")
@@ -242,7 +242,7 @@
 			return s, nil
 		}
 	}
-	return nil, Undialled(errors.New("refused"), w.Addr)
+	return nil, NotDialled(errors.New("refused"), w.Addr)
 }
 
 // knew is for how long the node has known, as it sends, that a worker is off.
@@ -264,8 +264,8 @@
 // arrive writes a call into the book and says what becomes of it. The yard is locked.
 func (b *back) arrive(k row, s *stand, w Worker) (*row, fate, error) {
 	y := b.y
-	if span, ok := y.chill[s.Zone]; ok && s.warm.IsZero() {
-		s.warm = time.Now().Add(span)
+	if duration, ok := y.chill[s.Zone]; ok && s.warm.IsZero() {
+		s.warm = time.Now().Add(duration)
 	}
 	k.At, k.Node, k.Worker, k.Cold = y.now(), b.ip, w.ID, time.Now().Before(s.warm)
 	how := fine
@@ -273,7 +273,7 @@
 		how = y.fate(k, s)
 	}
 	if how == unreached {
-		return nil, how, Undialled(errors.New("refused"), w.Addr)
+		return nil, how, NotDialled(errors.New("refused"), w.Addr)
 	}
 	y.rows = append(y.rows, k)
 	p := &y.rows[len(y.rows)-1]
@@ -282,7 +282,7 @@
 		return p, how, failure.New(failure.Stale, "ask worker", w.Addr, "another life has the address")
 	case s.dark && (how == fine || how == midReset):
 		how = idleSilent
-	case how == turnedAway, s.turning != "", s.waiting >= y.most(s), k.Kind == "read" && s.Part == ids.Decode:
+	case how == turnedAway, s.turning != "", s.waiting >= y.most(s), k.Kind == "read" && s.Role == ids.Decode:
 		return p, how, failure.New(failure.NotExecuted, "ask worker", w.Addr, "turned away")
 	}
 	p.Took = true
@@ -293,7 +293,7 @@
 	if y.queue > 0 {
 		return y.queue
 	}
-	return 2 * s.Slots
+	return 2 * s.Concurrency
 }
 
 // mark keeps how a worker stands for late reports. The yard is locked.
@@ -337,7 +337,7 @@
 	}
 	for {
 		y.mu.Lock()
-		if s.running < s.Slots && !s.dark && !s.dead && (s.memory == 0 || s.used+tokens <= s.memory) && first() {
+		if s.running < s.Concurrency && !s.dark && !s.dead && (s.memory == 0 || s.used+tokens <= s.memory) && first() {
 			s.wants[urgency]--
 			s.waiting, s.running, s.used = s.waiting-1, s.running+1, s.used+tokens
 			y.mark(s)
@@ -356,7 +356,7 @@
 func (y *yard) load(s *stand) *Load {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	return &Load{Running: s.running, Waiting: s.waiting, Slots: s.Slots}
+	return &Load{Running: s.running, Waiting: s.waiting, Concurrency: s.Concurrency}
 }
 
 // quiet is a fate by which nothing comes back.
@@ -392,7 +392,7 @@
 	return nil
 }
 
-func (b *back) Read(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*Memo, error) {
+func (b *back) Read(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*PrefillResult, error) {
 	y, off := b.y, b.knew(w)
 	s, err := b.reach(ctx, w)
 	if err != nil {
@@ -432,12 +432,12 @@
 		hook(r)
 	}
 	y.at(func() { y.rows[at].Ran = true })
-	return &Memo{Handle: name, Tokens: r.Prompt, Load: y.load(s)}, nil
+	return &PrefillResult{Handle: name, Tokens: r.Prompt, Load: y.load(s)}, nil
 }
 
 // fetch has memory of a source, once. The yard is locked.
-func (y *yard) fetch(src *Source) bool {
-	h := y.handles[src.Handle]
+func (y *yard) fetch(source *Source) bool {
+	h := y.handles[source.Handle]
 	if h == nil || h.had > 0 || h.freed {
 		return false
 	}
@@ -451,7 +451,7 @@
 	return false
 }
 
-func (b *back) Emit(ctx context.Context, w Worker, r *Request, src *Source, from string, left time.Duration, urgency int) (*Reply, error) {
+func (b *back) Emit(ctx context.Context, w Worker, r *Request, source *Source, from string, left time.Duration, urgency int) (*Response, error) {
 	y, off := b.y, b.knew(w)
 	s, err := b.reach(ctx, w)
 	if err != nil {
@@ -459,7 +459,7 @@
 	}
 	y.mu.Lock()
 	p, how, err := b.arrive(row{Kind: "emit", Req: r.ID, From: from, Off: off}, s, w)
-	if err == nil && src != nil && how != idleReset && how != idleSilent && (how == lostMemory || !y.fetch(src)) {
+	if err == nil && source != nil && how != idleReset && how != idleSilent && (how == lostMemory || !y.fetch(source)) {
 		p.Took = false
 		err = failure.New(failure.DataLost, "fetch memory", w.Addr, "it cannot be had")
 	}
@@ -473,12 +473,12 @@
 	if err, ended := quiet(ctx, how, w); ended {
 		return nil, err
 	}
-	out, let, err := y.place(ctx, s, r.Prompt+r.Most, urgency)
+	out, let, err := y.place(ctx, s, r.Prompt+r.MaxTokens, urgency)
 	if err != nil {
 		return nil, err
 	}
 	leave := func() { out(); let() }
-	if src == nil && from == "" && !nap(ctx, time.Duration(r.Prompt/y.direct)*time.Millisecond) {
+	if source == nil && from == "" && !nap(ctx, time.Duration(r.Prompt/y.direct)*time.Millisecond) {
 		leave()
 		return nil, unknown(w, "given up")
 	}
@@ -487,7 +487,7 @@
 		return nil, err
 	}
 	a := &answer{ctx: ctx, b: b, s: s, leave: leave, cut: -1}
-	reply := &Reply{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.ID)}}, Whole: how != bare, Length: -1, Body: a, Load: y.load(s)}
+	reply := &Response{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.ID)}}, FromWorker: how != bare, Length: -1, Body: a, Load: y.load(s)}
 	if how == failed {
 		reply.Status = http.StatusInternalServerError
 		a.rest = [][]byte{[]byte("failed")}
@@ -496,11 +496,11 @@
 	if r.Header.Get("Accept") == "text/event-stream" {
 		reply.Events = true
 		n, _ := strconv.Atoi(from)
-		for i := n + 1; i <= r.Most; i++ {
+		for i := n + 1; i <= r.MaxTokens; i++ {
 			a.rest = append(a.rest, fmt.Appendf(nil, "id: %d\ndata: word-%d of %s\n\n", i, i, r.ID))
 		}
 	} else {
-		for i := 1; i <= r.Most; i++ {
+		for i := 1; i <= r.MaxTokens; i++ {
 			a.rest = append(a.rest, fmt.Appendf(nil, "word-%d of %s;", i, r.ID))
 		}
 	}
@@ -601,14 +601,14 @@
 		more = b.y.lean(s)
 	}
 	was := b.y.shown(s)
-	r := &Report{Part: s.Part, Turning: s.turning != "", Orders: s.orders, Waiting: was.waiting, Running: was.running + more, Used: 10000 * was.running, Room: 10000 * s.Slots}
+	r := &Report{Role: s.Role, RoleChanging: s.turning != "", Orders: s.orders, Waiting: was.waiting, Running: was.running + more, Used: 10000 * was.running, Capacity: 10000 * s.Concurrency}
 	if s.memory > 0 {
-		r.Used, r.Room = was.used, s.memory
+		r.Used, r.Capacity = was.used, s.memory
 	}
 	return r, nil
 }
 
-func (b *back) Order(ctx context.Context, w Worker, o *Order) error {
+func (b *back) Order(ctx context.Context, w Worker, o *RoleOrder) error {
 	s, err := b.reach(ctx, w)
 	if err != nil {
 		return err
@@ -616,7 +616,7 @@
 	y := b.y
 	y.mu.Lock()
 	k := row{At: y.now(), Kind: "order", Node: b.ip, Worker: w.ID, Owner: o.Owner, Fence: o.Fence, To: o.To}
-	if s.ID != w.ID || s.turning != "" || o.After != s.orders || s.dark {
+	if s.ID != w.ID || s.turning != "" || o.Expected != s.orders || s.dark {
 		y.rows = append(y.rows, k)
 		y.mu.Unlock()
 		return failure.New(failure.NotExecuted, "order", w.Addr, "refused")
@@ -626,7 +626,7 @@
 	s.orders++
 	s.turning = o.To
 	y.mu.Unlock()
-	time.AfterFunc(y.turn, func() { y.at(func() { s.Part, s.turning = s.turning, "" }) })
+	time.AfterFunc(y.turn, func() { y.at(func() { s.Role, s.turning = s.turning, "" }) })
 	return b.ok(ctx, s)
 }
 
@@ -652,7 +652,7 @@
 			continue
 		}
 		w := s.Worker
-		w.Cold = max(0, time.Until(s.warm))
+		w.SlowStart = max(0, time.Until(s.warm))
 		out = append(out, w)
 	}
 	return out, nil
--- a/internal/proxy/rate_test.go
+++ b/internal/proxy/rate_test.go
@@ -18,12 +18,12 @@
 // TestListPause: however many nodes ask by themselves, all together stay within the rate;
 // without a rate, or with room, each asks as often as it likes.
 func TestListPause(t *testing.T) {
-	least := 700 * time.Millisecond
-	require.Equal(t, least, listPause(least, 0, 0.01))
-	require.Equal(t, least, listPause(least, 42, 0.1))
+	minimum := 700 * time.Millisecond
+	require.Equal(t, minimum, listPause(minimum, 0, 0.01))
+	require.Equal(t, minimum, listPause(minimum, 42, 0.1))
 	for _, nodes := range []float64{1, 10, 88, 650} {
 		for _, rate := range []float64{0.5, 5, 42, 310} {
-			require.LessOrEqual(t, nodes/listPause(least, rate, 1/nodes).Seconds(), rate+0.001)
+			require.LessOrEqual(t, nodes/listPause(minimum, rate, 1/nodes).Seconds(), rate+0.001)
 		}
 	}
 }
@@ -35,13 +35,13 @@
 	require.NoError(t, err)
 	list := make([]Worker, 60)
 	for i := range list {
-		list[i] = Worker{ID: wid(i), Service: "s", Zone: "a", Part: "decode", Slots: 8}
+		list[i] = Worker{ID: wid(i), Service: "s", Zone: "a", Role: "decode", Concurrency: 8}
 	}
-	n.take(list, 1, 1)
+	n.installList(list, 1, 1)
 	got := map[string]int{}
 	for i := range 3000 {
-		row := n.emitters(n.first.Set, n.view.Current(), service("s"), &Request{ID: string(wid(i)) + "q"}, nil, nil)
-		got[string(row[0].w.ID)]++
+		rows := n.emitters(n.startupPrograms.Set, n.view.Current(), service("s"), &Request{ID: string(wid(i)) + "q"}, nil, nil)
+		got[string(rows[0].worker.ID)]++
 	}
 	require.Len(t, got, 60)
 	for id, k := range got {
@@ -61,13 +61,13 @@
 	for urgency := range 10 {
 		last := urgency
 		for need := 1; need < 1<<20; need += 97 {
-			r := rank(urgency, need)
+			r := urgencyRank(urgency, need)
 			require.GreaterOrEqual(t, r, last)
 			require.LessOrEqual(t, r, 9)
 			last = r
 		}
-		require.Equal(t, urgency, rank(urgency, shortRead))
+		require.Equal(t, urgency, urgencyRank(urgency, shortPrompt))
 		require.Equal(t, min(9, urgency+6), last)
 	}
-	require.Less(t, rank(1, 633), rank(0, 4486), "a rider's question before a long ruling")
+	require.Less(t, urgencyRank(1, 633), urgencyRank(0, 4486), "a rider's question before a long ruling")
 }
--- /dev/null
+++ b/internal/proxy/relay.go
@@ -0,0 +1,252 @@
+// Passing the answer on: whole events as they come, each once. Where the stream may go on
+// elsewhere, what the first worker did not finish is asked of another one, from the last
+// event that the caller has.
+
+package proxy
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"keelstair.example/failure"
+	"keelstair.example/internal/handoff"
+)
+
+var errWorkerSilent = errors.New("the worker says nothing")
+
+// supervisedBody is an answer's body under watch: after a silence the worker is asked for its
+// report, and where the request may go elsewhere, a longer silence ends it.
+type supervisedBody struct {
+	io.ReadCloser
+	exchange      *exchange
+	pick          *pick
+	stop          context.CancelCauseFunc
+	attempt       *attempt
+	probeTimer    *time.Timer
+	deadlineTimer *time.Timer
+	silenceTimer  *time.Timer // until the first byte, where it cannot go elsewhere
+}
+
+func (g *supervisedBody) Read(p []byte) (int, error) {
+	k, err := g.ReadCloser.Read(p)
+	if k > 0 && err == nil {
+		g.pick.state.lastSuccess.Store(int64(g.exchange.node.now()))
+		if g.silenceTimer != nil {
+			g.silenceTimer.Stop()
+		}
+		g.probeTimer.Reset(alarmQuietPeriod + time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond)
+		if g.deadlineTimer != nil {
+			g.deadlineTimer.Reset(max(600*time.Millisecond, 3*time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond))
+		}
+	}
+	return k, err
+}
+
+func (g *supervisedBody) done() {
+	g.probeTimer.Stop()
+	if g.silenceTimer != nil {
+		g.silenceTimer.Stop()
+	}
+	if g.deadlineTimer != nil {
+		g.deadlineTimer.Stop()
+	}
+	if g.attempt != nil {
+		g.pick.state.removeAttempt(g.attempt)
+	}
+	g.stop(nil)
+}
+
+func (g *supervisedBody) Close() error {
+	err := g.ReadCloser.Close()
+	g.done()
+	return err
+}
+
+// relay copies an answer to the caller. Unknown means that it broke off.
+func (t *exchange) relay(ctx context.Context, c *pick, reply *Response) error {
+	defer reply.Body.Close()
+	defer func() {
+		c.state.end(0)
+		c.release(true, t.node.now())
+	}()
+	c.state.recordSuccess(reply.Load, t.node.now())
+	t.mayHaveRun = true
+	if reply.Status/100 == 2 && !reply.FromWorker {
+		t.node.recordOutcome(c, false)
+		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "a success without the worker's stamp")
+	}
+	if promisesNotRun(reply.Status) {
+		t.node.recordOutcome(c, false)
+		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "status %d without word that it was not run", reply.Status)
+	}
+	if t.headSent && (reply.Status != http.StatusOK || !reply.Events) {
+		return failure.New(failure.OutcomeUnknown, "resume", c.worker.Addr, "status %d", reply.Status)
+	}
+	if reply.Status/100 == 5 {
+		t.node.recordOutcome(c, false)
+	}
+	if reply.Status/100 == 5 && t.route.MayRetry() && t.attemptsMade < t.route.MaxAttempts {
+		c.state.recordFailure(t.node.now())
+		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "status %d", reply.Status)
+	}
+	t.trace(handoff.Resumed, c.worker.ID, "")
+	var err error
+	if reply.Events {
+		err = t.relayEvents(c, reply)
+	} else {
+		err = t.relayBody(reply)
+	}
+	if err != nil && ctx.Err() == nil && !errors.Is(err, errCallerGone) {
+		c.state.recordFailure(t.node.now())
+		t.node.recordOutcome(c, false)
+		t.node.suspect(*c.worker, true)
+	}
+	if err == nil {
+		t.node.recordOutcome(c, true)
+	}
+	return err
+}
+
+// promisesNotRun tells of the statuses by which a caller knows that its request has not run.
+// A worker that did not run one says so by other means, which the adapter reads.
+func promisesNotRun(status int) bool {
+	switch status {
+	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return true
+	}
+	return false
+}
+
+var errCallerGone = errors.New("the caller went away")
+
+func (t *exchange) writeHead(reply *Response, length int64) error {
+	if t.headSent {
+		return nil
+	}
+	t.headSent = true
+	return t.sink.Head(reply.Status, reply.Header, length)
+}
+
+func (t *exchange) write(p []byte) error {
+	if err := t.sink.Write(p); err != nil {
+		return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
+	}
+	return nil
+}
+
+// relayBody copies an answer without events. Its head goes out with its first bytes, so that
+// one which breaks off before them can still be asked of another.
+func (t *exchange) relayBody(reply *Response) error {
+	buf := make([]byte, 16<<10)
+	for {
+		k, err := reply.Body.Read(buf)
+		if err != nil && err != io.EOF {
+			return failure.As(err, failure.OutcomeUnknown, "pass", "worker")
+		}
+		if k > 0 || err == io.EOF {
+			if err := t.writeHead(reply, reply.Length); err != nil {
+				return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
+			}
+		}
+		if k > 0 {
+			if err := t.write(buf[:k]); err != nil {
+				return err
+			}
+		}
+		if err == io.EOF {
+			return nil
+		}
+	}
+}
+
+// relayEvents copies whole events.
+func (t *exchange) relayEvents(c *pick, reply *Response) error {
+	var held []byte
+	buf := make([]byte, 8<<10)
+	resumed := t.headSent
+	for {
+		k, err := reply.Body.Read(buf)
+		held = append(held, buf[:k]...)
+		if at := completeEvents(held); at > 0 {
+			if err := t.forward(c, reply, held[:at], resumed); err != nil {
+				return err
+			}
+			held = append(held[:0], held[at:]...)
+		}
+		if err == io.EOF {
+			return t.finish(reply, held)
+		}
+		if err != nil {
+			return failure.As(err, failure.OutcomeUnknown, "pass", c.worker.Addr)
+		}
+	}
+}
+
+// forward passes whole events on and notes the last one's id. A worker that takes a stream
+// up must not go back behind the last event that the caller has.
+func (t *exchange) forward(c *pick, reply *Response, events []byte, resumed bool) error {
+	first, last := eventIDs(events)
+	if resumed && !isLaterEvent(first, t.lastEventID) {
+		return failure.New(failure.OutcomeUnknown, "resume", c.worker.Addr, "event %s comes after %s", first, t.lastEventID)
+	}
+	if err := t.writeHead(reply, -1); err != nil {
+		return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
+	}
+	if err := t.write(events); err != nil {
+		return err
+	}
+	if last != "" {
+		t.lastEventID = last
+	}
+	return nil
+}
+
+// finish ends a stream that its worker has ended; what stands behind the last whole event is
+// passed on as it is.
+func (t *exchange) finish(reply *Response, rest []byte) error {
+	if err := t.writeHead(reply, -1); err != nil {
+		return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
+	}
+	if len(rest) > 0 {
+		return t.write(rest)
+	}
+	return nil
+}
+
+// completeEvents is the length of the whole events that bytes begin with.
+func completeEvents(p []byte) int {
+	at := 0
+	for _, end := range []string{"\n\n", "\r\n\r\n"} {
+		if i := bytes.LastIndex(p, []byte(end)); i >= 0 {
+			at = max(at, i+len(end))
+		}
+	}
+	return at
+}
+
+// eventIDs gives the ids of the first and the last event that have one.
+func eventIDs(events []byte) (first, last string) {
+	for line := range bytes.Lines(events) {
+		id, ok := bytes.CutPrefix(line, []byte("id:"))
+		if !ok {
+			continue
+		}
+		last = string(bytes.TrimSpace(id))
+		if first == "" {
+			first = last
+		}
+	}
+	return first, last
+}
+
+// isLaterEvent tells whether an event may come after another; ids that are no numbers tell nothing.
+func isLaterEvent(id, before string) bool {
+	n, err := strconv.ParseInt(id, 10, 64)
+	last, errLast := strconv.ParseInt(before, 10, 64)
+	return err != nil || errLast != nil || n > last
+}
--- a/internal/proxy/budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -33,7 +33,7 @@
 						}
 						return fine
 					}
-					f := build(t, 21, 3, y, plain(), func(o *Options) { o.Allow = 6 })
+					f := build(t, 21, 3, y, plain(), func(o *Options) { o.RetryAllowance = 6 })
 					defer f.close()
 					if away {
 						for _, ip := range coreIps {
@@ -62,7 +62,7 @@
 			bubble(t, func(t *testing.T) {
 				y := newYard(both("svc", 3, 4)...)
 				for _, w := range y.all {
-					w.Slots = 200
+					w.Concurrency = 200
 				}
 				routes := ways()
 				routes[3].DeadlineMs = 30000
@@ -167,7 +167,7 @@
 					}
 					return fine
 				}
-				f := build(t, 30, 2, y, plain(), func(o *Options) { o.Allow = allow })
+				f := build(t, 30, 2, y, plain(), func(o *Options) { o.RetryAllowance = allow })
 				defer f.close()
 				time.Sleep(time.Second)
 				f.w.Partition([]string{nodeIP(0)}, append([]string{nodeIP(1)}, coreIps...), true)
@@ -207,7 +207,7 @@
 		y.at(func() {
 			y.listed = func() time.Duration { return 400 * time.Millisecond }
 			for _, w := range y.all {
-				if w.Part == ids.Decode {
+				if w.Role == ids.Decode {
 					w.warm = time.Now().Add(5 * time.Second)
 				}
 			}
@@ -251,7 +251,7 @@
 
 func (f *fleet) ready() bool {
 	for _, n := range f.up() {
-		if ok, _ := n.Ready(); !ok || len(n.roster.Load().all) == 0 {
+		if ok, _ := n.Ready(); !ok || len(n.workerList.Load().workers) == 0 {
 			return false
 		}
 	}
@@ -299,7 +299,7 @@
 				time.Sleep(12 * time.Second)
 				anew()
 				for _, n := range f.up() {
-					require.Empty(t, n.sight().Failbacks)
+					require.Empty(t, n.snapshot().Failbacks)
 					require.Zero(t, n.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{SlowStartMs: 6000}, n.now(), n.now()))
 				}
 			})
@@ -324,7 +324,7 @@
 			f.kill(i)
 			n := f.node(i)
 			require.True(t, f.until(10*time.Second, f.ready))
-			n.sight()
+			n.snapshot()
 			return n.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{SlowStartMs: 6000}, n.now(), n.now())
 		}
 		got := left(0)
--- /dev/null
+++ b/internal/proxy/role_balance.go
@@ -0,0 +1,288 @@
+// Turning: the one holder of a service's duty looks at the workers' reports and has one
+// change its part when the other part is pressed. The workers need not check fences, so
+// the lease alone protects: a holder sends its first order only once any earlier one's
+// lease has surely lapsed. All nodes hear of a turn before the order goes out, so that
+// nothing new is sent to the worker meanwhile.
+
+package proxy
+
+import (
+	"context"
+	"sort"
+	"sync"
+	"time"
+
+	"keelstair.example/coordination"
+	"keelstair.example/failure"
+	"keelstair.example/host"
+	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
+)
+
+const (
+	roleChangeInterval   = 1200 * time.Millisecond // between two turns of a service
+	roleChangeTimeout    = 8 * time.Second         // then a turn that shows no end is given up
+	roleChangeNotice     = 350 * time.Millisecond  // for all nodes to hear of it
+	prefillPressureLimit = 1.3                     // prompts at each reading worker
+	decodePressureLimit  = 0.35                    // of the places of emitting workers
+	decodeRelaxed        = 0.25
+	decodeSaturated      = 0.6 // pressed beyond what readers may weigh against it
+	minRoleShare         = 3   // one of so many workers keeps each part
+	roleChangeShare      = 12  // one of so many workers turns at once
+)
+
+type roleBalance struct {
+	fence           ids.Fence
+	since           ids.Tick
+	lastChange      ids.Tick // when the last turn ended
+	prefillPressure float64  // smoothed
+	decodePressure  float64
+	lastReport      ids.Tick
+	changedAt       map[ids.WorkerID]ids.Tick // when a worker was last told to turn
+}
+
+type roleChange struct {
+	began    ids.Tick
+	sent     bool
+	expected int
+}
+
+// roleBalancer does the duties that are this node's.
+func (n *Node) roleBalancer(ctx context.Context) {
+	if n.options.RoleChangeInterval < 0 {
+		return
+	}
+	duties := map[string]*roleBalance{}
+	turns := map[ids.WorkerID]*roleChange{}
+	for host.Sleep(ctx, n.options.RoleChangeInterval) {
+		s := n.snapshot()
+		for name := range s.Configuration.Services {
+			key := fleetstate.ServiceKey(name)
+			fence, ok := n.agent.OwnsKey(key)
+			if !ok {
+				delete(duties, name)
+				continue
+			}
+			d := duties[name]
+			if d == nil || d.fence != fence {
+				d = &roleBalance{fence: fence, since: n.now(), lastChange: n.now(), prefillPressure: 0.5, decodePressure: 0.2, changedAt: map[ids.WorkerID]ids.Tick{}}
+				duties[name] = d
+			}
+			if n.now().Past(d.since, n.options.LeaseDuration+n.options.LeaseDuration/5) {
+				service := s.Configuration.Services[name]
+				n.balanceRoles(ctx, s, &service, key, d, turns)
+			}
+		}
+	}
+}
+
+func (n *Node) submitRoleChange(ctx context.Context, t *fleetstate.RoleChange) bool {
+	callContext, stop := context.WithTimeout(ctx, 700*time.Millisecond)
+	defer stop()
+	_, err := n.agent.Submit(callContext, ids.OpID("turn/"+coordination.NewID()), fleetstate.RoleChangeKind, coordination.MustMarshal(t))
+	return err == nil
+}
+
+type workerReport struct {
+	*Report
+	worker *Worker
+}
+
+// balanceRoles asks the workers, ends turns that are over, and begins one where it helps.
+func (n *Node) balanceRoles(ctx context.Context, s *fleetstate.Snapshot, service *fleetstate.Service, key ids.Key, d *roleBalance, turns map[ids.WorkerID]*roleChange) {
+	list := n.workerList.Load()
+	listed := map[ids.WorkerID]*Worker{}
+	own := false
+	for i := range list.workers {
+		if w := &list.workers[i]; w.Service == service.Name {
+			listed[w.ID] = w
+			if _, on := s.RoleChanges[w.ID]; on {
+				own = true
+			}
+		}
+	}
+	var wg sync.WaitGroup
+	var mu sync.Mutex
+	for id, to := range s.RoleChanges {
+		w, t := listed[id], turns[id]
+		if t == nil { // an earlier holder began it
+			t = &roleChange{began: n.now(), sent: true}
+			turns[id] = t
+		}
+		wg.Go(func() {
+			if w == nil && !n.elsewhere(id) || w != nil && n.finishRoleChange(ctx, w, to, key, d, t) {
+				if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: id, Done: true}) {
+					mu.Lock()
+					defer mu.Unlock()
+					delete(turns, id)
+					d.lastChange = n.now()
+				}
+			}
+		})
+	}
+	wg.Wait()
+	if own || !n.now().Past(d.lastReport, 2*n.options.RoleChangeInterval-50*time.Millisecond) {
+		return
+	}
+	d.lastReport = n.now()
+	rows := n.reports(ctx, s, listed)
+	n.recordReports(service.Name, d.lastReport, rows)
+	read, emit := d.smooth(rows, service)
+	if !n.now().Past(d.lastChange, roleChangeInterval) {
+		return
+	}
+	for id := range d.changedAt {
+		if listed[id] == nil {
+			delete(d.changedAt, id)
+		}
+	}
+	some, to := chooseRoleChange(rows, read, emit, n.options.IdlePrefillShare)
+	some, to = n.proposeRoleChange(n.deal(s), service, d, rows, some, to)
+	for _, w := range some {
+		if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: w.worker.ID, To: to}) {
+			turns[w.worker.ID] = &roleChange{began: n.now(), expected: w.Orders}
+			d.changedAt[w.worker.ID] = n.now()
+			n.options.Ring.Info().Str("worker", string(w.worker.ID)).Str("to", string(to)).Float64("read", read).Float64("emit", emit).Msg("turns a worker")
+		}
+	}
+}
+
+// elsewhere tells that another service's worker, or one whose list is not known, has it.
+func (n *Node) elsewhere(id ids.WorkerID) bool {
+	list := n.workerList.Load()
+	return len(list.workers) == 0 || list.find(id) != nil
+}
+
+// finishRoleChange sends the order of a turn once all have heard of it, and tells when it is done.
+func (n *Node) finishRoleChange(ctx context.Context, w *Worker, to ids.Role, key ids.Key, d *roleBalance, t *roleChange) bool {
+	now := n.now()
+	switch {
+	case w.Role == to, now.Past(t.began, roleChangeTimeout), w.Leaving:
+		return true
+	case t.sent || !now.Past(t.began, roleChangeNotice):
+		return false
+	}
+	t.sent = true
+	fence, end, ok := n.agent.BeginOperation(key)
+	if !ok || fence != d.fence {
+		if ok {
+			end()
+		}
+		return true
+	}
+	defer end()
+	callContext, stop := context.WithTimeout(ctx, 600*time.Millisecond)
+	defer stop()
+	err := n.options.Backend.Order(callContext, *w, &RoleOrder{To: to, Owner: n.self.Node, Fence: fence, Expected: t.expected})
+	return failure.Is(err, failure.NotExecuted)
+}
+
+// reports asks all workers that may be counted on, side by side.
+func (n *Node) reports(ctx context.Context, s *fleetstate.Snapshot, listed map[ids.WorkerID]*Worker) []workerReport {
+	var mu sync.Mutex
+	var wg sync.WaitGroup
+	var out []workerReport
+	for _, w := range listed {
+		if !acceptsWork(s, w) || w.Role == "" {
+			continue
+		}
+		wg.Go(func() {
+			callContext, stop := context.WithTimeout(ctx, 400*time.Millisecond)
+			defer stop()
+			r, err := n.options.Backend.Report(callContext, *w)
+			if err != nil || r.RoleChanging || r.Role != w.Role {
+				return
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			out = append(out, workerReport{r, w})
+		})
+	}
+	wg.Wait()
+	sort.Slice(out, func(i, j int) bool { return out[i].worker.ID < out[j].worker.ID })
+	return out
+}
+
+// smooth gives the smoothed prompts at each reading worker, and the part of the emitting
+// workers' places or memory that is taken.
+func (d *roleBalance) smooth(rows []workerReport, service *fleetstate.Service) (read, emit float64) {
+	var readers, emitters, prompts, streams, used, room int
+	for _, r := range rows {
+		if r.Role == ids.Prefill {
+			readers, prompts = readers+1, prompts+r.Running+r.Waiting
+		} else {
+			emitters, streams, used, room = emitters+1, streams+r.Running+r.Waiting, used+r.Used, room+r.Capacity
+		}
+	}
+	if readers > 0 {
+		d.prefillPressure += 0.4 * (float64(prompts)/float64(readers) - d.prefillPressure)
+	}
+	if emitters > 0 && room > 0 {
+		taken := max(float64(streams)/float64(emitters*max(1, service.Concurrency)), float64(used)/float64(room))
+		d.decodePressure += 0.4 * (taken - d.decodePressure)
+	}
+	return d.prefillPressure, d.decodePressure
+}
+
+// minPerRole is how many of so many workers keep each part.
+func minPerRole(all int) int { return max(1, (all+minRoleShare-1)/minRoleShare) }
+
+// chooseRoleChange names the workers that should turn: more at once where there are many, the least
+// busy of the part that can spare them, from the zones that have the most of it. While
+// nothing is under way, rest is the part of the workers that reads.
+func chooseRoleChange(rows []workerReport, read, emit, rest float64) ([]*workerReport, ids.Role) {
+	var readers, emitters, busy int
+	zones := map[ids.Zone]int{}
+	for _, r := range rows {
+		busy += r.Running + r.Waiting
+		if r.Role == ids.Prefill {
+			readers++
+		} else {
+			emitters++
+		}
+	}
+	all := readers + emitters
+	keep := minPerRole(all)
+	from, to, want := ids.Decode, ids.Prefill, max(1, all/roleChangeShare)
+	spare := func(load float64, have, by int) float64 { return load * float64(have) / float64(max(1, have-by)) }
+	switch {
+	case all < 2:
+		return nil, ""
+	case readers == 0:
+		want = min(want, emitters-1)
+	case emitters == 0:
+		from, to, want = ids.Prefill, ids.Decode, min(want, readers-1)
+	case busy == 0 && float64(readers+1) <= rest*float64(all):
+		want = min(want, int(rest*float64(all))-readers, emitters-keep)
+	case read > prefillPressureLimit:
+		for want = min(want, emitters-keep); want > 0 && spare(emit, emitters, want) >= decodeRelaxed; want-- {
+		}
+	case emit > decodePressureLimit:
+		from, to = ids.Prefill, ids.Decode
+		for want = min(want, readers-keep); want > 0 && emit <= decodeSaturated && spare(read, readers, want) >= prefillPressureLimit; want-- {
+		}
+	default:
+		return nil, ""
+	}
+	var some []*workerReport
+	for i := range rows {
+		if rows[i].Role == from {
+			some = append(some, &rows[i])
+			zones[rows[i].worker.Zone]++
+		}
+	}
+	var out []*workerReport
+	for len(out) < want && len(some) > 0 {
+		best := 0
+		for i, r := range some {
+			a, b := zones[r.worker.Zone], zones[some[best].worker.Zone]
+			if a > b || a == b && r.Running+r.Waiting < some[best].Running+some[best].Waiting {
+				best = i
+			}
+		}
+		zones[some[best].worker.Zone]--
+		out = append(out, some[best])
+		some = append(some[:best], some[best+1:]...)
+	}
+	return out, to
+}
--- a/internal/proxy/turn_test.go
+++ b/internal/proxy/role_balance_test.go
@@ -17,13 +17,13 @@
 var svcKey = fleetstate.ServiceKey("svc")
 
 // turning has nodes look at the workers' reports.
-func turning(o *Options) { o.Turn, o.Allow = 500*time.Millisecond, 20 }
+func turning(o *Options) { o.RoleChangeInterval, o.RetryAllowance = 500*time.Millisecond, 20 }
 
 // pressed makes the workers of a part busy by their reports.
-func (y *yard) pressed(part ids.Role, by int) {
+func (y *yard) pressed(role ids.Role, by int) {
 	y.at(func() {
 		y.lean = func(s *stand) int {
-			if s.Part == part {
+			if s.Role == role {
 				return by
 			}
 			return 0
@@ -36,7 +36,7 @@
 	defer y.mu.Unlock()
 	out := map[ids.WorkerID]ids.Role{}
 	for _, s := range y.all {
-		out[s.ID] = s.Part
+		out[s.ID] = s.Role
 	}
 	return out
 }
@@ -62,11 +62,11 @@
 }
 
 // untouched: nothing is sent to a worker from its order until its turn is over.
-func untouched(rows []row, span time.Duration) []string {
+func untouched(rows []row, duration time.Duration) []string {
 	var out []string
 	for _, k := range orders(rows) {
 		if k.Took {
-			out = append(out, sentTo(rows, k.Worker, k.At, k.At+span)...)
+			out = append(out, sentTo(rows, k.Worker, k.At, k.At+duration)...)
 		}
 	}
 	return out
@@ -183,8 +183,8 @@
 		require.Empty(t, thirds(rows, was))
 		owner, last := map[ids.Fence]ids.NodeID{}, ids.Fence(0)
 		for _, k := range orders(rows) {
-			if old, ok := owner[k.Fence]; ok {
-				require.Equal(t, old, k.Owner)
+			if previous, ok := owner[k.Fence]; ok {
+				require.Equal(t, previous, k.Owner)
 			}
 			owner[k.Fence] = k.Owner
 			require.GreaterOrEqual(t, k.Fence, last, "over all workers of the service")
@@ -251,7 +251,7 @@
 func TestTurnWarned(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 3, 4)...)
-		f := build(t, 45, 3, y, plain(), func(o *Options) { turning(o); o.Turn = 50 * time.Millisecond })
+		f := build(t, 45, 3, y, plain(), func(o *Options) { turning(o); o.RoleChangeInterval = 50 * time.Millisecond })
 		defer f.close()
 		require.True(t, f.until(10*time.Second, func() bool { return f.holder() >= 0 }))
 		late := f.nodes[(f.holder()+1)%3]
--- a/internal/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -44,7 +44,7 @@
 
 // operator speaks to the core by way of a node.
 func (f *fleet) operator(b *testNode) *Operator {
-	return &Operator{Call: b.agent.Caller(), Directory: b.Directory(), Zones: []string{"a", "b"}}
+	return &Operator{Caller: b.agent.Caller(), Directory: b.Directory(), Zones: []string{"a", "b"}}
 }
 
 func (f *fleet) apply(op string, base uint64, text string) (*api.Applied, error) {
@@ -92,7 +92,7 @@
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 3, 4)...)
 		f := build(t, 81, 3, y, plain(), func(o *Options) {
-			o.Deck = []routing.Source{{Name: "start", Share: 100, Text: first(3)}}
+			o.Programs = []routing.Source{{Name: "start", Share: 100, Text: first(3)}}
 		})
 		defer f.close()
 		a := f.ask(f.nodes[0], f.req("before", "/once/x", 400, 3))
@@ -121,12 +121,12 @@
 		require.Empty(t, onceOnly(y.book(), all))
 		require.Empty(t, answers(all))
 		across, at := 0, firstEmits(y.book())
-		var old, new [4]float64
+		var previous, new [4]float64
 		for _, a := range all {
 			require.NoError(t, a.err, a.ID)
 			switch {
 			case a.at < swapped:
-				old[at[a.ID]]++
+				previous[at[a.ID]]++
 			case a.at > had:
 				new[at[a.ID]]++
 			}
@@ -135,8 +135,8 @@
 			}
 		}
 		require.Greater(t, across, 3, "streams ran across")
-		require.InDelta(t, 0.3, old[0]/(old[0]+old[2]), 0.08, "%v", old)
-		require.Zero(t, old[1]+old[3])
+		require.InDelta(t, 0.3, previous[0]/(previous[0]+previous[2]), 0.08, "%v", previous)
+		require.Zero(t, previous[1]+previous[3])
 		require.InDelta(t, 0.6, new[1]/(new[0]+new[1]), 0.08, "%v", new)
 		require.Zero(t, new[2]+new[3])
 	})
@@ -147,7 +147,7 @@
 func TestKeepsDeck(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 2, 4)...)
-		f := build(t, 82, 2, y, plain(), func(o *Options) { o.Allow = 10 })
+		f := build(t, 82, 2, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
 		defer f.close()
 		_, err := f.apply("one", 0, setOf(routing.Source{Name: "up", Share: 100, Text: sorted("w.id")}))
 		require.NoError(t, err)
@@ -204,9 +204,9 @@
 		require.NoError(t, err)
 		was := f.shown()
 		require.EqualValues(t, 1, was.Version)
-		for why, text := range bad {
-			_, err := f.apply("op "+why, 1, text)
-			require.ErrorContains(t, err, why)
+		for reason, text := range bad {
+			_, err := f.apply("op "+reason, 1, text)
+			require.ErrorContains(t, err, reason)
 			require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
 		}
 		_, err = f.apply("stale", 0, setOf(ok))
@@ -226,7 +226,7 @@
 func TestPartialSet(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newYard(both("svc", 2, 2)...)
-		f := build(t, 84, 1, y, plain(), func(o *Options) { o.Deck = []routing.Source{{Name: "start", Share: 100, Text: first(1)}} })
+		f := build(t, 84, 1, y, plain(), func(o *Options) { o.Programs = []routing.Source{{Name: "start", Share: 100, Text: first(1)}} })
 		defer f.close()
 		o := f.operator(f.nodes[0])
 		apply := func(op string, base uint64, dry bool, text string) (*api.Applied, error) {
@@ -254,7 +254,7 @@
 		_, err = f.apply("none", 2, `{"programs":{}}`)
 		require.NoError(t, err)
 		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(3) }))
-		require.False(t, f.nodes[0].deal(f.nodes[0].sight()).Set.HasPrograms())
+		require.False(t, f.nodes[0].deal(f.nodes[0].snapshot()).Set.HasPrograms())
 	})
 }
 
@@ -321,7 +321,7 @@
 		require.EqualValues(t, 2, sh.Newest)
 		require.Contains(t, string(sh.Policy), `"two"`)
 		for _, b := range f.up() {
-			require.Equal(t, "two", b.deal(b.sight()).Set.ProgramFor("x"))
+			require.Equal(t, "two", b.deal(b.snapshot()).Set.ProgramFor("x"))
 		}
 	})
 }
@@ -426,7 +426,7 @@
 					if at, ok := last[k.Worker]; ok {
 						require.Greater(t, k.At-at, 4*time.Second, "dwell of %s", k.Worker)
 					}
-					require.Greater(t, k.At-ends, turnDwell, "between a service's turns")
+					require.Greater(t, k.At-ends, roleChangeInterval, "between a service's turns")
 					last[k.Worker], ends = k.At, k.At
 				}
 				require.Empty(t, thirds(rows, was))
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"github.com/stretchr/testify/require"
+
 	"keelstair.example/internal/golden"
 )
 
@@ -10,14 +12,19 @@
 // in the first release with a rolling upgrade. The names on file are those of that release.
 func TestEncodings(t *testing.T) {
 	golden.Check(t, "testdata/encodings.txt", map[string]golden.Message{
-		"Alarm":     &Alarm{},
-		"Heard":     &Heard{},
-		"ListAsk":   &ListAsk{},
-		"ListReply": &ListReply{},
+		"Alarm":     &FaultNotice{},
+		"Heard":     &Ack{},
+		"ListAsk":   &ListRequest{},
+		"ListReply": &ListResponse{},
 		"Outcomes":  &Outcomes{},
-		"Reads":     &Reads{},
-		"Row":       &Row{},
-		"Stand":     &Stand{},
-		"Stands":    &Stands{},
+		"Reads":     &PrefillLoad{},
+		"Row":       &WorkerRow{},
+		"Stand":     &WorkerLoad{},
+		"Stands":    &ServiceLoads{},
 	})
 }
+
+// TestMethodNames: the names of the RPC methods are those of earlier releases.
+func TestMethodNames(t *testing.T) {
+	require.Equal(t, []string{"relay/alarm", "relay/list", "relay/alive"}, []string{faultMethod, listMethod, pingMethod})
+}
