--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -34,7 +34,7 @@
 func (s *options) File() string { return s.Settings }
 
 func (s *options) Check() error {
-	span := func(field string, ms, least, most int) error {
+	duration := func(field string, ms, least, most int) error {
 		if ms < least || ms > most {
 			return settings.Invalid(field, "%d ms is not from %d to %d", ms, least, most)
 		}
@@ -47,8 +47,8 @@
 		return settings.Invalid("zone", "it is missing")
 	}
 	return settings.FirstError(settings.Addr("addr", s.Addr), settings.Seeds("seeds", s.Seeds),
-		span("beatMs", s.BeatMs, 20, 1000), span("silenceMs", s.SilenceMs, 4*s.BeatMs, 30000),
-		span("leaseMs", s.LeaseMs, 2*s.SilenceMs, 60000), span("stallMs", s.StallMs, 50, 30000), span("graceMs", s.GraceMs, 0, 600000), span("replaceMs", s.ReplaceMs, s.SilenceMs, 600000))
+		duration("beatMs", s.BeatMs, 20, 1000), duration("silenceMs", s.SilenceMs, 4*s.BeatMs, 30000),
+		duration("leaseMs", s.LeaseMs, 2*s.SilenceMs, 60000), duration("stallMs", s.StallMs, 50, 30000), duration("graceMs", s.GraceMs, 0, 600000), duration("replaceMs", s.ReplaceMs, s.SilenceMs, 600000))
 }
 
 func main() {
--- a/cmd/keelstair-measure/design.go
+++ b/cmd/keelstair-measure/design.go
@@ -10,7 +10,7 @@
 	partTold = 600.0            // a changed item of the configuration, the same way
 )
 
-func (b *Book) designTable() string {
+func (b *Results) designTable() string {
 	g := &grid{}
 	g.head("change", "lifts", "today, at the target", "then, reckoned")
 	near := tNodes / regions
--- a/cmd/keelstair-measure/fit.go
+++ b/cmd/keelstair-measure/fit.go
@@ -105,17 +105,17 @@
 		f.CurveOff = off(f.Parabola)
 	}
 	// What a line explains of the span, and what a parabola does besides.
-	span := xs[len(xs)-1] - xs[0]
-	grown := math.Abs(f.Line[1]) * span
+	duration := xs[len(xs)-1] - xs[0]
+	grown := math.Abs(f.Line[1]) * duration
 	// A parabola that turns within the points is a wave, not a growth.
 	turn := -f.Parabola[1] / (2 * f.Parabola[2])
-	turns := turn > xs[0]+0.1*span && turn < xs[len(xs)-1]-0.1*span
+	turns := turn > xs[0]+0.1*duration && turn < xs[len(xs)-1]-0.1*duration
 	switch {
 	case hi-lo < 0.15*math.Abs(mean), grown < 0.15*math.Abs(mean):
 		f.Shape = constant
-	case len(xs) >= 4 && f.CurveOff < 0.4*f.LineOff && math.Abs(f.Parabola[2])*span*span > 0.25*grown && f.Parabola[2] > 0 && !turns:
+	case len(xs) >= 4 && f.CurveOff < 0.4*f.LineOff && math.Abs(f.Parabola[2])*duration*duration > 0.25*grown && f.Parabola[2] > 0 && !turns:
 		f.Shape = quadratic
-	case len(xs) >= 4 && f.CurveOff < 0.6*f.LineOff && math.Abs(f.Parabola[2])*span*span > 0.25*grown && f.Parabola[2] < 0:
+	case len(xs) >= 4 && f.CurveOff < 0.6*f.LineOff && math.Abs(f.Parabola[2])*duration*duration > 0.25*grown && f.Parabola[2] < 0:
 		f.Shape = flattens
 	case f.LineOff < 0.12:
 		f.Shape = linear
--- a/cmd/keelstair-measure/fleet.go
+++ b/cmd/keelstair-measure/fleet.go
@@ -300,8 +300,8 @@
 }
 
 // settled waits until all nodes are in and know what there is.
-func (f *fleet) settled(ctx context.Context, span time.Duration, nodes int) error {
-	return f.until(ctx, span, "all nodes are in", func() (bool, string) {
+func (f *fleet) settled(ctx context.Context, duration time.Duration, nodes int) error {
+	return f.until(ctx, duration, "all nodes are in", func() (bool, string) {
 		// Members are asked for last, since that is a picture of each node.
 		for _, query := range []string{"", "?members"} {
 			in, ready, least, known := 0, 0, f.version, [2]int{nodes, nodes}
@@ -322,14 +322,14 @@
 	})
 }
 
-func (f *fleet) until(ctx context.Context, span time.Duration, what string, done func() (bool, string)) error {
-	for end := time.Now().Add(span); ; {
+func (f *fleet) until(ctx context.Context, duration time.Duration, what string, done func() (bool, string)) error {
+	for end := time.Now().Add(duration); ; {
 		ok, at := done()
 		if ok {
 			return nil
 		}
 		if time.Now().After(end) {
-			return failure.New(failure.Unavailable, "wait until "+what, "fleet", "not after %s: %s", span, at)
+			return failure.New(failure.Unavailable, "wait until "+what, "fleet", "not after %s: %s", duration, at)
 		}
 		if !host.Sleep(ctx, 50*time.Millisecond) {
 			return ctx.Err()
--- a/cmd/keelstair-measure/hold.go
+++ b/cmd/keelstair-measure/hold.go
@@ -51,7 +51,7 @@
 	At      int64       `json:"at"` // wall clock, ns
 }
 
-type holder struct {
+type nodeHolder struct {
 	meter  *Meter
 	call   *rpc.Caller // past the meter
 	nodes  []*hollow
@@ -60,7 +60,7 @@
 }
 
 // watch notes when versions come in force.
-func (h *holder) watch(ctx context.Context) {
+func (h *nodeHolder) watch(ctx context.Context) {
 	seen := make([]ids.Version, len(h.nodes))
 	for host.Sleep(ctx, 10*time.Millisecond) {
 		for i, n := range h.nodes {
@@ -79,7 +79,7 @@
 	}
 }
 
-func (h *holder) stand(ctx context.Context, whole, members bool) *Stand {
+func (h *nodeHolder) stand(ctx context.Context, whole, members bool) *Stand {
 	s := &Stand{Nodes: len(h.nodes), Flows: h.meter.Flows(), Threads: runtime.NumGoroutine()}
 	for i, n := range h.nodes {
 		if n.door != "" {
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	h := &holder{meter: newMeter(host.Net, c.Seeds), call: rpc.NewCaller(host.Net)}
+	h := &nodeHolder{meter: newMeter(host.Net, c.Seeds), call: rpc.NewCaller(host.Net)}
 	defer h.call.Close()
 	plain := host.Net
 	host.Net = h.meter
--- a/cmd/keelstair-measure/lines.go
+++ b/cmd/keelstair-measure/lines.go
@@ -28,7 +28,7 @@
 	return bound / slope
 }
 
-func (b *Book) crossTable() string {
+func (b *Results) crossTable() string {
 	g := &grid{}
 	g.head("who hears of what", "bound", "crossed at, all else being free", "target")
 	cross := func(sweep string, q quantity, bound float64, unit string) string {
@@ -79,7 +79,7 @@
 	return verdict(percent, 100)
 }
 
-func (b *Book) lineTable() string {
+func (b *Results) lineTable() string {
 	g := &grid{}
 	g.head("the target's line", "carried by", "at the target, by the slopes", "stands today")
 	bytes, cpu, mem := total(b.nodeBytesParts()), total(b.nodeCPUParts()), total(b.nodeMemoryParts())
@@ -110,7 +110,7 @@
 	return g.b.String()
 }
 
-func (b *Book) harmTable() string {
+func (b *Results) harmTable() string {
 	g := &grid{}
 	g.head("what is lost", "measured at", "known, s", "whole again, s", "shape over the sweep")
 	for _, p := range b.sweep("losses") {
--- a/cmd/keelstair-measure/main_test.go
+++ b/cmd/keelstair-measure/main_test.go
@@ -179,7 +179,7 @@
 }
 
 func TestPage(t *testing.T) {
-	b := &Book{Command: "c", Machine: machine{Cores: 8, Memory: 24 << 30}, Points: []Point{{Sweep: "nodes", X: 8, Commit: "abc"}}}
+	b := &Results{Command: "c", Machine: machine{Cores: 8, Memory: 24 << 30}, Points: []Point{{Sweep: "nodes", X: 8, Commit: "abc"}}}
 	text := "before\n"
 	for name := range b.tables() {
 		text += "<!-- measure:" + name + " -->what stood before<!-- /measure:" + name + " -->\n"
@@ -208,7 +208,7 @@
 
 // TestEveryLine: each of the target's lines has a row, also before anything is run.
 func TestEveryLine(t *testing.T) {
-	table := (&Book{}).lineTable()
+	table := (&Results{}).lineTable()
 	for _, line := range []string{"650 nodes", "12,000 workers", "24,000 accelerators", "24,000 requests", "4.9 million tokens", "0.74 s", "64 ms", "32 %", "half in a day",
 		"5,700 GB", "330 tenants", "17 models", "3 regions with 7 zones", "12,000 changes", "6 s", "1.5 %", "32 MB", "4 kB", "24 machines", "77 machines", "2,300", "rack or switch", "a zone", "regions lose each other"} {
 		require.Contains(t, table, line)
--- a/cmd/keelstair-measure/measure.go
+++ b/cmd/keelstair-measure/measure.go
@@ -198,13 +198,13 @@
 }
 
 // change applies at the rate, open loop by the clock, and notes when each was asked.
-func (f *fleet) change(ctx context.Context, pt *Point, span time.Duration) map[ids.Version]time.Time {
+func (f *fleet) change(ctx context.Context, pt *Point, duration time.Duration) map[ids.Version]time.Time {
 	asked := map[ids.Version]time.Time{}
 	var acks []float64
 	begun := time.Now()
 	for i := 0; ; i++ {
 		due := begun.Add(time.Duration(float64(i) / f.size.Rate * float64(time.Second)))
-		if due.Sub(begun) >= span || !host.Sleep(ctx, time.Until(due)) {
+		if due.Sub(begun) >= duration || !host.Sleep(ctx, time.Until(due)) {
 			break
 		}
 		// A change that is late counts from when it was due.
@@ -217,7 +217,7 @@
 		acks = append(acks, float64(took.Microseconds())/1000)
 	}
 	pt.Ack = spread(acks)
-	host.Sleep(ctx, time.Until(begun.Add(span)))
+	host.Sleep(ctx, time.Until(begun.Add(duration)))
 	return asked
 }
 
@@ -269,12 +269,12 @@
 	if err != nil {
 		return nil, err
 	}
-	span := time.Duration(c.Seconds) * time.Second
+	duration := time.Duration(c.Seconds) * time.Second
 	var asked map[ids.Version]time.Time
 	if spot.Size.Rate > 0 {
-		asked = f.change(ctx, pt, span)
+		asked = f.change(ctx, pt, duration)
 	} else {
-		host.Sleep(ctx, span)
+		host.Sleep(ctx, duration)
 	}
 	b, err := f.glance("")
 	if err != nil {
--- a/cmd/keelstair-measure/page.go
+++ b/cmd/keelstair-measure/page.go
@@ -14,25 +14,25 @@
 
 // render rewrites the tables of a page.
 func render(from, page string) error {
-	book, err := load(from)
+	results, err := load(from)
 	if err != nil {
 		return err
 	}
-	if len(book.Points) == 0 {
+	if len(results.Points) == 0 {
 		return failure.New(failure.InvalidArgument, "make page", from, "it holds no point; run first")
 	}
 	body, err := os.ReadFile(page)
 	if err != nil {
 		return err
 	}
-	out, err := fill(string(body), book.tables())
+	out, err := fill(string(body), results.tables())
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(page, []byte(out), 0o644); err != nil {
 		return err
 	}
-	return os.WriteFile(strings.TrimSuffix(page, ".md")+"-points.md", []byte(aside+book.pointTables()), 0o644)
+	return os.WriteFile(strings.TrimSuffix(page, ".md")+"-points.md", []byte(aside+results.pointTables()), 0o644)
 }
 
 const aside = `# Capacity: the points
@@ -41,7 +41,7 @@
 it. A sweep turns the size in its head; *off* is what a fit leaves, of the span of y.
 `
 
-func (b *Book) tables() map[string]string {
+func (b *Results) tables() map[string]string {
 	return map[string]string{"run": b.runTable(), "node": b.nodeTable(),
 		"roles": b.roleTable(), "crossings": b.crossTable(), "lines": b.lineTable(), "design": b.designTable(), "failures": b.harmTable()}
 }
@@ -149,7 +149,7 @@
 }
 
 // fit of a quantity over a sweep.
-func (b *Book) fit(sweep string, q quantity) Fit {
+func (b *Results) fit(sweep string, q quantity) Fit {
 	var xs, ys []float64
 	for _, p := range b.sweep(sweep) {
 		if y := q.of(&p); !math.IsNaN(y) {
@@ -182,7 +182,7 @@
 		tool("keelstair-plan drain", "bytes", func(t Tool) float64 { return t.In + t.Out })}},
 }
 
-func (b *Book) runTable() string {
+func (b *Results) runTable() string {
 	g := &grid{}
 	var commits []string
 	first, last, most := b.Points[0].When, b.Points[0].When, 0.0
@@ -205,7 +205,7 @@
 	return g.b.String()
 }
 
-func (b *Book) pointTables() string {
+func (b *Results) pointTables() string {
 	var out strings.Builder
 	for _, s := range shown {
 		pts := b.sweep(s.sweep)
--- a/cmd/keelstair-measure/picks.go
+++ b/cmd/keelstair-measure/picks.go
@@ -86,9 +86,9 @@
 			out.Why = err.Error()
 		}
 	}
-	span := time.Since(from)
+	duration := time.Since(from)
 	runtime.ReadMemStats(&after)
-	out.Micros = float64(span.Microseconds()) / float64(max(1, count))
+	out.Micros = float64(duration.Microseconds()) / float64(max(1, count))
 	out.Bytes = float64(after.TotalAlloc-before.TotalAlloc) / float64(max(1, count))
 	return out
 }
--- a/cmd/keelstair-measure/run.go
+++ b/cmd/keelstair-measure/run.go
@@ -19,15 +19,15 @@
 	"keelstair.example/failure"
 )
 
-// Book is the file of figures.
-type Book struct {
+// Results is the file of figures.
+type Results struct {
 	Command string  `json:"command"`
 	Machine machine `json:"machine"`
 	Points  []Point `json:"points"`
 }
 
-func load(path string) (*Book, error) {
-	b := &Book{}
+func load(path string) (*Results, error) {
+	b := &Results{}
 	body, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return b, nil
@@ -41,7 +41,7 @@
 // digits are figures with more of them than were measured.
 var digits = regexp.MustCompile(`(-?[0-9]+\.[0-9]{3})[0-9]+`)
 
-func (b *Book) save(path string) error {
+func (b *Results) save(path string) error {
 	body, err := json.MarshalIndent(b, "", " ")
 	if err != nil {
 		return err
@@ -51,7 +51,7 @@
 }
 
 // put keeps a point in place of an earlier one at its size.
-func (b *Book) put(p Point) {
+func (b *Results) put(p Point) {
 	for i := range b.Points {
 		if b.Points[i].Sweep == p.Sweep && b.Points[i].X == p.X {
 			b.Points[i] = p
@@ -61,7 +61,7 @@
 	b.Points = append(b.Points, p)
 }
 
-func (b *Book) sweep(name string) []Point {
+func (b *Results) sweep(name string) []Point {
 	var out []Point
 	for _, p := range b.Points {
 		if p.Sweep == name {
@@ -108,17 +108,17 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	book, err := load(c.JSON)
+	results, err := load(c.JSON)
 	if err != nil {
 		return err
 	}
-	if book.Machine, err = thisMachine(); err != nil {
+	if results.Machine, err = thisMachine(); err != nil {
 		return err
 	}
-	book.Command = "make build && bin/keelstair-measure run --page docs/CAPACITY.md"
+	results.Command = "make build && bin/keelstair-measure run --page docs/CAPACITY.md"
 	source := commit()
 	var failed error
-	fmt.Printf("%d points; %d cores, %d MB\n", len(points), book.Machine.Cores, book.Machine.Memory>>20)
+	fmt.Printf("%d points; %d cores, %d MB\n", len(points), results.Machine.Cores, results.Machine.Memory>>20)
 	fmt.Println(columns)
 	for _, s := range points {
 		p, err := measure(ctx, c, dir, s)
@@ -132,8 +132,8 @@
 			continue
 		}
 		p.Commit = source
-		book.put(*p)
-		if err := book.save(c.JSON); err != nil {
+		results.put(*p)
+		if err := results.save(c.JSON); err != nil {
 			return err
 		}
 		fmt.Println(p.row())
--- a/cmd/keelstair-measure/target.go
+++ b/cmd/keelstair-measure/target.go
@@ -35,12 +35,12 @@
 )
 
 // at carries a figure on to a size.
-func (b *Book) at(sweep string, q quantity, x float64) float64 {
+func (b *Results) at(sweep string, q quantity, x float64) float64 {
 	f := b.fit(sweep, q)
 	return f.At(x)
 }
 
-func (b *Book) slope(sweep string, q quantity) float64 {
+func (b *Results) slope(sweep string, q quantity) float64 {
 	f := b.fit(sweep, q)
 	if len(f.Xs) < 3 {
 		return math.NaN()
@@ -54,7 +54,7 @@
 }
 
 // nodeBytesParts are the bytes a second of a node's control at the target.
-func (b *Book) nodeBytesParts() []spent {
+func (b *Results) nodeBytesParts() []spent {
 	idle := b.at("changes", nodeNews, 0)
 	return []spent{
 		{"lease, twice a second", "-", "nodes", b.at("nodes", nodeLease, tNodes)},
@@ -68,7 +68,7 @@
 }
 
 // nodeCPUParts are % of a core.
-func (b *Book) nodeCPUParts() []spent {
+func (b *Results) nodeCPUParts() []spent {
 	return []spent{
 		{"leases, news, whereabouts, list, while nothing changes", "nodes", "nodes", b.at("nodes", aloneCPU, tNodes)},
 		{"changes of 200 routes", "changes × nodes", "reach", max(0, b.at("reach", nodeCPU, tNodes)-b.at("nodes", nodeCPU, tNodes)) * tChanges},
@@ -78,7 +78,7 @@
 }
 
 // nodeMemoryParts are MB resident of a process with one node.
-func (b *Book) nodeMemoryParts() []spent {
+func (b *Results) nodeMemoryParts() []spent {
 	return []spent{
 		{"the process, with what it knows of nodes", "nodes", "nodes", b.at("nodes", nodeRss, tNodes)},
 		{"routes", "routes", "routes", b.slope("routes", nodeRss) * aRoutes},
@@ -95,7 +95,7 @@
 
 // coreAt carries a figure of the primary to the target: what the nodes cost while nothing
 // changes, what a change costs all of them, and what more routes cost them.
-func (b *Book) coreAt(q quantity) float64 {
+func (b *Results) coreAt(q quantity) float64 {
 	idle := b.at("nodes", q, tNodes)
 	return idle + max(0, b.at("reach", q, tNodes)-idle)*tChanges + b.slope("routes", q)*(aRoutes-reachSize)*tNodes/float64(usual.Nodes)*tChanges
 }
@@ -110,7 +110,7 @@
 	return "**over**"
 }
 
-func (b *Book) nodeTable() string {
+func (b *Results) nodeTable() string {
 	g := &grid{}
 	g.head("part", "grows with", "sweep", "at the target", "of the bound")
 	add := func(what, unit string, parts []spent, bound float64) {
@@ -131,7 +131,7 @@
 
 func kb(v float64) string { return num(v/1000) + " kB/s" }
 
-func (b *Book) roleTable() string {
+func (b *Results) roleTable() string {
 	g := &grid{}
 	g.head("role", "state held", "messages/s in, out", "bytes/s in, out", "processor, % of a core", "resident, MB", "sockets (other files)")
 	at := func(sweep string, q quantity, x float64) string { return num(b.at(sweep, q, x)) }
--- a/cmd/keelstair-plan/main.go
+++ b/cmd/keelstair-plan/main.go
@@ -61,7 +61,7 @@
 }
 
 func (s *options) run() error {
-	var st router.Standing
+	var st router.NodeStatus
 	var sh api.Shown
 	if err := s.get("/v1/status", &st); err != nil {
 		return err
@@ -146,8 +146,8 @@
 		fmt.Fprintf(out, "  %s\t%s\t-> %s\n", m.Key, m.From, m.To)
 	}
 	fmt.Fprintf(out, "\nroom\tworkers\tblocks\ttaken now\tzones\n")
-	for _, r := range f.Rooms {
-		fmt.Fprintf(out, "  %s %s\t%d -> %d\t%d -> %d\t%d\t%d -> %d\n", r.Model, r.Part, r.Workers[0], r.Workers[1], r.Blocks[0], r.Blocks[1], r.Used, r.Zones[0], r.Zones[1])
+	for _, r := range f.Capacity {
+		fmt.Fprintf(out, "  %s %s\t%d -> %d\t%d -> %d\t%d\t%d -> %d\n", r.Model, r.Role, r.Workers[0], r.Workers[1], r.Blocks[0], r.Blocks[1], r.Used, r.Zones[0], r.Zones[1])
 	}
 	fmt.Fprintf(out, "\nshares\n")
 	for n, p := range f.Shares {
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -47,7 +47,7 @@
 }
 
 // watch reads the settings again at a hang-up, for the seeds they name.
-func watch(ctx context.Context, book *coordination.Directory) {
+func watch(ctx context.Context, directory *coordination.Directory) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	go func() {
@@ -57,7 +57,7 @@
 				return
 			case <-hup:
 				if s, err := platform.Load(); err == nil {
-					book.SetSeeds(s.Seeds)
+					directory.SetSeeds(s.Seeds)
 				}
 			}
 		}
@@ -67,8 +67,8 @@
 // A core process that is asked to end hands over within the first span, and keeps the second
 // of the platform's grace time for ending.
 const (
-	handOverMost  = 4 * time.Second
-	handOverSpare = 2500 * time.Millisecond
+	maxHandOver     = 4 * time.Second
+	handOverReserve = 2500 * time.Millisecond
 )
 
 func runController(s *platform.Settings) error {
@@ -93,7 +93,7 @@
 	}
 	asked, stop := cli.Signals()
 	defer stop()
-	ctx := cli.HandOver(asked, c, min(handOverMost, s.Grace-handOverSpare))
+	ctx := cli.HandOver(asked, c, min(maxHandOver, s.Grace-handOverReserve))
 	watch(ctx, c.Directory())
 	mux := http.NewServeMux()
 	c.Mount(mux)
@@ -104,9 +104,9 @@
 
 // operate puts the operators' calls on a mux: the platform's, and the product's own for
 // the program set.
-func operate(mux *http.ServeMux, s *platform.Settings, call *rpc.Caller, book *coordination.Directory, ring *logging.Ring) {
-	(&platform.Operator{Call: call, Directory: book, Zones: s.Zones, Ring: ring}).Mount(mux)
-	api.MountOperator(mux, &proxy.Operator{Caller: call, Directory: book, Zones: s.Zones})
+func operate(mux *http.ServeMux, s *platform.Settings, call *rpc.Caller, directory *coordination.Directory, ring *logging.Ring) {
+	(&platform.Operator{Call: call, Directory: directory, Zones: s.Zones, Ring: ring}).Mount(mux)
+	api.MountOperator(mux, &proxy.Operator{Caller: call, Directory: directory, Zones: s.Zones})
 }
 
 // desk serves the operator on a machine without a disk: it holds nothing and asks the core.
@@ -115,13 +115,13 @@
 	defer stop()
 	call := rpc.NewCaller(host.Net)
 	defer call.Close()
-	book := coordination.NewDirectory(host, call, s.Seeds, coordination.Replica{Addr: s.Control})
-	watch(ctx, book)
+	directory := coordination.NewDirectory(host, call, s.Seeds, coordination.Replica{Addr: s.Control})
+	watch(ctx, directory)
 	mux := http.NewServeMux()
-	book.Serve(mux)
-	operate(mux, s, call, book, ring)
+	directory.Serve(mux)
+	operate(mux, s, call, directory, ring)
 	cli.Serve(ctx, host, s.Control, mux, func(err error) { cli.Fail("keelstair-platform controller", err) })
-	book.Run(ctx, func() bool { return false })
+	directory.Run(ctx, func() bool { return false })
 	return nil
 }
 
@@ -149,16 +149,16 @@
 	if err != nil {
 		return err
 	}
-	deck, err := programs()
+	programs, err := programs()
 	if err != nil {
 		return err
 	}
 	ring := cli.Ring(s.Name)
 	log.SetOutput(ring)
-	door := &http.Server{ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 20 * time.Second, MaxHeaderBytes: 64 << 10}
+	server := &http.Server{ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 20 * time.Second, MaxHeaderBytes: 64 << 10}
 	n, err := proxy.New(proxy.Options{Name: s.Name, Addr: s.Peer(), Zone: ids.Zone(s.Zone), Seeds: s.Seeds, Host: host, Ring: ring,
-		Backend: platform.NewBack(host.Net, s.List), ReadConfiguration: platform.Policy, Programs: deck, LeaseDuration: s.Lease,
-		ListRate: s.ListRate, RetryRatio: s.Ratio, RetryWindow: s.Window, RetryAllowance: s.Allow, SlowStartOvershoot: s.Over, SlowStartAllowance: s.Spare, Drain: func(ctx context.Context) error { return rpc.Drain(ctx, door) }})
+		Backend: platform.NewBack(host.Net, s.List), ReadConfiguration: platform.Policy, Programs: programs, LeaseDuration: s.Lease,
+		ListRate: s.ListRate, RetryRatio: s.Ratio, RetryWindow: s.Window, RetryAllowance: s.Allow, SlowStartOvershoot: s.Over, SlowStartAllowance: s.Spare, Drain: func(ctx context.Context) error { return rpc.Drain(ctx, server) }})
 	if err != nil {
 		return err
 	}
@@ -174,12 +174,12 @@
 	ready := http.NewServeMux()
 	ready.Handle("GET /readiness", platform.Readiness(n))
 	cli.Serve(listen, host, s.Readiness, ready, fail)
-	door.Handler = &platform.Door{Node: n, Clock: host.Clock}
+	server.Handler = &platform.Door{Node: n, Clock: host.Clock}
 	l, err := host.Net.Listen(s.Front)
 	if err != nil {
 		return err
 	}
-	go door.Serve(l)
+	go server.Serve(l)
 	n.Run(ctx, 2500*time.Millisecond, s.Grace-1500*time.Millisecond)
 	return nil
 }
--- a/cmd/keelstair-router/main.go
+++ b/cmd/keelstair-router/main.go
@@ -58,7 +58,7 @@
 	cli.Fail("keelstair-router", err)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	opt := router.Options{Name: s.Name, Addr: s.Addr, Zone: ids.Zone(s.Zone), Seeds: s.Seeds, Platform: s.Platform,
-		Host: host, Ring: cli.Ring(s.Name), Lease: ms(s.LeaseMs), Orphan: ms(s.OrphanMs), Pulse: ms(s.PulseMs)}
+		Host: host, Ring: cli.Ring(s.Name), LeaseDuration: ms(s.LeaseMs), OrphanTimeout: ms(s.OrphanMs), StreamTimeout: ms(s.PulseMs)}
 	if s.Trace != "" {
 		file, err := os.OpenFile(s.Trace, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		cli.Fail("keelstair-router", err)
--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -84,7 +84,7 @@
 	switch {
 	case s.Worker != nil:
 		c := s.Worker
-		w := standin.NewWorker(standin.WorkerOptions{ID: ids.WorkerID(c.ID), Addr: c.Addr, Part: ids.Role(c.Role), Room: c.Capacity, Block: c.Block,
+		w := standin.NewWorker(standin.WorkerOptions{ID: ids.WorkerID(c.ID), Addr: c.Addr, Role: ids.Role(c.Role), Capacity: c.Capacity, Block: c.Block,
 			Model: workerclient.Model{Name: c.Model, Weights: c.Weights, Adapters: c.Adapter}, Host: host})
 		mux := http.NewServeMux()
 		mux.Handle("/", w.Handler())
--- a/cmd/keelstair-testbed/harm.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -27,8 +27,8 @@
 		return err
 	}
 	begun := time.Now()
-	var got api.Applied
-	a := api.Apply{Op: coordination.NewID(), Base: sh.Newest, Partial: true, Name: name, Source: part}
+	var got api.ApplyResponse
+	a := api.ApplyRequest{Op: coordination.NewID(), Base: sh.Newest, Partial: true, Name: name, Source: part}
 	if err := cli.Ask(f.doors(), http.MethodPost, "/v1/policy", a, &got); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
@@ -82,7 +82,7 @@
 	z := f.site.Zones[1]
 	path := "/v1/zones/" + string(z)
 	begun := time.Now()
-	if err := cli.Ask(f.doors(), http.MethodPost, path, api.Mark{Op: coordination.NewID(), Out: true}, nil); err != nil {
+	if err := cli.Ask(f.doors(), http.MethodPost, path, api.MarkRequest{Op: coordination.NewID(), Out: true}, nil); err != nil {
 		logf("%v", err)
 	}
 	reads := func() (n int) {
@@ -104,7 +104,7 @@
 		}
 	}
 	logf("the zone's workers last began something %.2f s after the asking", at.Seconds())
-	if err := cli.Ask(f.doors(), http.MethodPost, path, api.Mark{Op: coordination.NewID()}, nil); err != nil {
+	if err := cli.Ask(f.doors(), http.MethodPost, path, api.MarkRequest{Op: coordination.NewID()}, nil); err != nil {
 		logf("%v", err)
 	}
 }
@@ -112,19 +112,19 @@
 // roll replaces each controller by an empty one at a new address, and looks for what was
 // acknowledged before.
 func (f *fleet) roll(ctx context.Context) {
-	for i, old := range f.of("controller") {
+	for i, previous := range f.of("controller") {
 		want := 1300 + i
 		if err := f.change(ctx, fmt.Sprint("roll ", i), fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, want)); err != nil {
 			logf("%v", err)
 		}
-		old.kill()
-		os.RemoveAll(old.Data)
+		previous.kill()
+		os.RemoveAll(previous.Data)
 		free, err := ports(1)
 		if err != nil {
 			logf("%v", err)
 			return
 		}
-		p := f.controller(fmt.Sprintf("controller-new-%d", i), free[0], old.Zone)
+		p := f.controller(fmt.Sprintf("controller-new-%d", i), free[0], previous.Zone)
 		if err := f.begin(p); err != nil {
 			logf("%v", err)
 			return
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -219,8 +219,8 @@
 	return nil
 }
 
-func (f *fleet) until(ctx context.Context, span time.Duration, try func() error) error {
-	end := time.Now().Add(span)
+func (f *fleet) until(ctx context.Context, duration time.Duration, try func() error) error {
+	end := time.Now().Add(duration)
 	for {
 		err := try()
 		if err == nil || time.Now().After(end) || ctx.Err() != nil {
--- a/cmd/keelstair-testbed/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -115,7 +115,7 @@
 		}
 		begun, op := time.Now(), coordination.NewID()
 		err := f.until(ctx, 20*time.Second, func() error {
-			return cli.Ask(f.doors(), http.MethodPost, "/v1/certificates/c-"+name, api.Mark{Op: op, Out: true}, nil)
+			return cli.Ask(f.doors(), http.MethodPost, "/v1/certificates/c-"+name, api.MarkRequest{Op: op, Out: true}, nil)
 		})
 		took := time.Since(begun)
 		if err != nil {
--- a/cmd/keelstair-testbed/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -25,21 +25,21 @@
 	}
 	cx, stop := context.WithCancel(ctx)
 	defer stop()
-	span := time.Duration(c.Load) * time.Second
+	duration := time.Duration(c.Load) * time.Second
 	go func() {
-		if host.Sleep(cx, span/3) {
+		if host.Sleep(cx, duration/3) {
 			f.harm(cx, c.Break)
 		}
 	}()
 	begun := time.Now()
-	all := standin.Load(ctx, standin.LoadOptions{Host: machine, Doors: standin.Asked(cx, machine, f.platform, f.site.Zones), Zones: f.site.Zones, Shapes: f.site.Shapes, Rate: c.Rate, Span: span,
+	all := standin.Load(ctx, standin.LoadOptions{Host: machine, Doors: standin.Asked(cx, machine, f.platform, f.site.Zones), Zones: f.site.Zones, Shapes: f.site.Shapes, Rate: c.Rate, Span: duration,
 		Seed: c.Seed, Model: f.site.Model, Weights: []string{standin.SiteWeights}, Retries: 8})
 	b, err := json.MarshalIndent(standin.Sum(all), "", "  ")
 	if err != nil {
 		return err
 	}
 	fmt.Println(string(b))
-	logf("load took %.1f s; longest spans without a completed call from the breakdown on: %s", time.Since(begun).Seconds(), strings.Join(f.gaps(all, span/3, span), ", "))
+	logf("load took %.1f s; longest spans without a completed call from the breakdown on: %s", time.Since(begun).Seconds(), strings.Join(f.gaps(all, duration/3, duration), ", "))
 	runs, doubles := f.tallies()
 	logf("workers' own books: %d runs began, %d requests with two records", runs, doubles)
 	f.hold()
--- a/cmd/keelstairctl/writ.go
+++ b/cmd/keelstairctl/certificates.go
@@ -147,7 +147,7 @@
 }
 
 func (s *options) revoke(c *nameCmd) error {
-	m := api.Mark{Op: c.Op, Out: true}
+	m := api.MarkRequest{Op: c.Op, Out: true}
 	if m.Op == "" {
 		m.Op = coordination.NewID()
 	}
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -147,7 +147,7 @@
 }
 
 func (s *options) put(c *applyCmd, name, text string) error {
-	a := api.Apply{Op: c.Op, Partial: c.Partial, Name: name, Source: text, Dry: c.Dry}
+	a := api.ApplyRequest{Op: c.Op, Partial: c.Partial, Name: name, Source: text, Dry: c.Dry}
 	if a.Op == "" {
 		a.Op = coordination.NewID()
 	}
@@ -161,7 +161,7 @@
 		a.Base = sh.Newest
 	}
 	fmt.Printf("operation %s over version %d\n", a.Op, a.Base)
-	var out api.Applied
+	var out api.ApplyResponse
 	if err := s.ask(http.MethodPost, "/v1/policy", a, &out); err != nil {
 		return err
 	}
@@ -201,8 +201,8 @@
 	if err != nil {
 		return err
 	}
-	var out api.Applied
-	a := api.Apply{Op: coordination.NewID(), Base: sh.Newest, Partial: c.Partial, Name: name, Source: text, Dry: true}
+	var out api.ApplyResponse
+	a := api.ApplyRequest{Op: coordination.NewID(), Base: sh.Newest, Partial: c.Partial, Name: name, Source: text, Dry: true}
 	if err := s.ask(http.MethodPost, "/v1/policy", a, &out); err != nil {
 		return err
 	}
@@ -220,12 +220,12 @@
 }
 
 func (s *options) mark(what string, c *nameCmd, out bool) error {
-	m := api.Mark{Op: c.Op, Out: out}
+	m := api.MarkRequest{Op: c.Op, Out: out}
 	if m.Op == "" {
 		m.Op = coordination.NewID()
 	}
 	fmt.Printf("operation %s\n", m.Op)
-	var got api.Applied
+	var got api.ApplyResponse
 	if err := s.ask(http.MethodPost, "/v1/"+what+"/"+c.Name, m, &got); err != nil {
 		return err
 	}
--- a/internal/api/fault.go
+++ b/internal/api/fault.go
@@ -20,15 +20,15 @@
 // Error returns the refusal's name, field and text.
 func (f *Fault) Error() string { return f.Name + " " + f.Field + " " + f.Detail }
 
-// No returns a refusal with a status. name is for programs, field the one at fault or "", and
+// WriteFault returns a refusal with a status. name is for programs, field the one at fault or "", and
 // the formatted text for people.
-func No(code int, name, field, form string, args ...any) *Fault {
+func WriteFault(code int, name, field, form string, args ...any) *Fault {
 	return &Fault{code, workerclient.Rejection{Name: name, Field: field, Detail: fmt.Sprintf(form, args...)}}
 }
 
-// Later returns a refusal that also says after how long to come back.
-func Later(code int, name string, after time.Duration, form string, args ...any) *Fault {
-	f := No(code, name, "", form, args...)
+// RetryLater returns a refusal that also says after how long to come back.
+func RetryLater(code int, name string, after time.Duration, form string, args ...any) *Fault {
+	f := WriteFault(code, name, "", form, args...)
 	f.After = after.Milliseconds()
 	return f
 }
@@ -41,20 +41,20 @@
 // retryUnavailable is when to come back where an error doesn't say it.
 const retryUnavailable = time.Second
 
-// Bounce answers with an error: a Fault as it is, and others with the status for their kind of
+// NotExecuted answers with an error: a Fault as it is, and others with the status for their kind of
 // package failure. A time to come back is also given as Retry-After, in full seconds.
-func Bounce(w http.ResponseWriter, err error) {
+func NotExecuted(w http.ResponseWriter, err error) {
 	var f *Fault
 	if !errors.As(err, &f) {
 		switch failure.KindOf(err) {
 		case failure.InvalidArgument:
-			f = No(http.StatusBadRequest, "bad", "", "%v", err)
+			f = WriteFault(http.StatusBadRequest, "bad", "", "%v", err)
 		case failure.Stale:
-			f = No(http.StatusConflict, "stale", "", "%v", err)
+			f = WriteFault(http.StatusConflict, "stale", "", "%v", err)
 		case failure.OutcomeUnknown:
-			f = No(http.StatusGatewayTimeout, "unknown-fate", "", "%v", err)
+			f = WriteFault(http.StatusGatewayTimeout, "unknown-fate", "", "%v", err)
 		default:
-			f = Later(http.StatusServiceUnavailable, "away", retryUnavailable, "%v", err)
+			f = RetryLater(http.StatusServiceUnavailable, "away", retryUnavailable, "%v", err)
 		}
 	}
 	if f.After > 0 {
--- a/internal/api/fault_test.go
+++ b/internal/api/fault_test.go
@@ -21,15 +21,15 @@
 		after string
 		body  string
 	}{
-		{"fault", No(http.StatusNotFound, "unknown", "zone", "no %s", "a"), 404, "", `{"error":{"name":"unknown","field":"zone","detail":"no a"}}`},
-		{"later", Later(http.StatusServiceUnavailable, "full", 1500*time.Millisecond, "wait"), 503, "2", `{"error":{"name":"full","detail":"wait","retryAfterMs":1500}}`},
+		{"fault", WriteFault(http.StatusNotFound, "unknown", "zone", "no %s", "a"), 404, "", `{"error":{"name":"unknown","field":"zone","detail":"no a"}}`},
+		{"later", RetryLater(http.StatusServiceUnavailable, "full", 1500*time.Millisecond, "wait"), 503, "2", `{"error":{"name":"full","detail":"wait","retryAfterMs":1500}}`},
 		{"bad", failure.New(failure.InvalidArgument, "check", "", "wrong"), 400, "", `{"error":{"name":"bad","detail":"check: wrong"}}`},
 		{"stale", failure.New(failure.Stale, "check", "", "old"), 409, "", `{"error":{"name":"stale","detail":"check: old"}}`},
 		{"foreign", errors.New("cut"), 504, "", `{"error":{"name":"unknown-fate","detail":"cut"}}`},
 		{"away", failure.New(failure.Unavailable, "ask", "", "none"), 503, "1", `{"error":{"name":"away","detail":"ask: none","retryAfterMs":1000}}`},
 	} {
 		w := httptest.NewRecorder()
-		Bounce(w, c.err)
+		NotExecuted(w, c.err)
 		if w.Code != c.code || w.Header().Get("Retry-After") != c.after || strings.TrimSpace(w.Body.String()) != c.body {
 			t.Errorf("%s: %d, Retry-After %q, %s", c.name, w.Code, w.Header().Get("Retry-After"), w.Body)
 		}
@@ -40,12 +40,12 @@
 func TestFate(t *testing.T) {
 	for kind, code := range map[failure.Kind]int{failure.OutcomeUnknown: 504, failure.NotExecuted: 503, failure.Unavailable: 503, failure.DataLost: 503} {
 		var f *Fault
-		if err := Fate(failure.New(kind, "submit", "", "x"), time.Second); !errors.As(err, &f) || f.Code != code || f.After != 1000 {
+		if err := OutcomeEvent(failure.New(kind, "submit", "", "x"), time.Second); !errors.As(err, &f) || f.Code != code || f.After != 1000 {
 			t.Errorf("%s: %v", kind, err)
 		}
 	}
 	for _, kind := range []failure.Kind{failure.InvalidArgument, failure.Stale} {
-		if err := failure.New(kind, "submit", "", "x"); Fate(err, time.Second) != err {
+		if err := failure.New(kind, "submit", "", "x"); OutcomeEvent(err, time.Second) != err {
 			t.Errorf("%s is changed", kind)
 		}
 	}
@@ -61,7 +61,7 @@
 		`{"opp":"a"}`:                       "unknown-field opp",
 		`{"op":"` + strings.Repeat("a", 64): "too-large ",
 	} {
-		var m Mark
+		var m MarkRequest
 		got := ""
 		if f := Read(httptest.NewRequest(http.MethodPost, "/", strings.NewReader(body)), &m, 32); f != nil {
 			got = f.Name + " " + f.Field
--- a/internal/api/json.go
+++ b/internal/api/json.go
@@ -13,13 +13,13 @@
 
 // Read decodes a request's body into a value: one JSON value with known fields only, of at
 // most so many bytes. What is wrong with it comes back as a fault with status 400 or 413.
-func Read(r *http.Request, into any, most int64) *Fault {
-	body, err := io.ReadAll(io.LimitReader(r.Body, most+1))
+func Read(r *http.Request, into any, limit int64) *Fault {
+	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return No(http.StatusBadRequest, "unreadable", "", "%v", err)
+		return WriteFault(http.StatusBadRequest, "unreadable", "", "%v", err)
 	}
-	if int64(len(body)) > most {
-		return No(http.StatusRequestEntityTooLarge, "too-large", "", "a body may have %d bytes", most)
+	if int64(len(body)) > limit {
+		return WriteFault(http.StatusRequestEntityTooLarge, "too-large", "", "a body may have %d bytes", limit)
 	}
 	rows := json.NewDecoder(strings.NewReader(string(body)))
 	rows.DisallowUnknownFields()
@@ -27,15 +27,15 @@
 	var kind *json.UnmarshalTypeError
 	switch {
 	case err == nil && rows.More():
-		return No(http.StatusBadRequest, "malformed", "", "more than one value")
+		return WriteFault(http.StatusBadRequest, "malformed", "", "more than one value")
 	case err == nil:
 		return nil
 	case errors.As(err, &kind):
-		return No(http.StatusBadRequest, "wrong-type", kind.Field, "%s is no %s", kind.Value, kind.Type)
+		return WriteFault(http.StatusBadRequest, "wrong-type", kind.Field, "%s is no %s", kind.Value, kind.Type)
 	case strings.HasPrefix(err.Error(), unknownField):
-		return No(http.StatusBadRequest, "unknown-field", strings.Trim(strings.TrimPrefix(err.Error(), unknownField), `"`), "no such field")
+		return WriteFault(http.StatusBadRequest, "unknown-field", strings.Trim(strings.TrimPrefix(err.Error(), unknownField), `"`), "no such field")
 	}
-	return No(http.StatusBadRequest, "malformed", "", "%v", err)
+	return WriteFault(http.StatusBadRequest, "malformed", "", "%v", err)
 }
 
 // Write answers with a status and a JSON value.
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -11,11 +11,11 @@
 	"keelstair.example/internal/certification"
 )
 
-// Apply is an order for a whole or partial configuration. Source is CUE or JSON text, Name what
+// ApplyRequest is an order for a whole or partial configuration. Source is CUE or JSON text, Name what
 // it is called in errors, and Base the version that it builds on. Op is the operation's id, by
 // which an operator who got no answer may send it again and learns its one outcome. Dry only
 // checks it.
-type Apply struct {
+type ApplyRequest struct {
 	Op      string `json:"op"`
 	Base    uint64 `json:"base"`
 	Partial bool   `json:"partial,omitempty"`
@@ -24,17 +24,17 @@
 	Dry     bool   `json:"dry,omitempty"`
 }
 
-// Applied answers an order: the version that it led to, and whether that is in force at the
+// ApplyResponse answers an order: the version that it led to, and whether that is in force at the
 // node. Policy is the whole configuration, after a dry run only.
-type Applied struct {
+type ApplyResponse struct {
 	Version uint64          `json:"version"`
 	Active  bool            `json:"active"`
 	Policy  json.RawMessage `json:"policy,omitempty"`
 }
 
-// Mark is an order to take a zone, a worker or a certificate out of use or, with Out false,
+// MarkRequest is an order to take a zone, a worker or a certificate out of use or, with Out false,
 // to take that back (not of a certificate). Op is the operation's id, as in Apply.
-type Mark struct {
+type MarkRequest struct {
 	Op  string `json:"op"`
 	Out bool   `json:"out"`
 }
@@ -81,17 +81,17 @@
 // them where an order may have been carried out.
 type Operator interface {
 	// Apply checks a configuration and puts it in force.
-	Apply(ctx context.Context, a *Apply) (*Applied, error)
+	Apply(ctx context.Context, a *ApplyRequest) (*ApplyResponse, error)
 	// Evacuate keeps new work from a zone, or takes that back.
-	Evacuate(ctx context.Context, zone string, m *Mark) (*Applied, error)
+	Evacuate(ctx context.Context, zone string, m *MarkRequest) (*ApplyResponse, error)
 	// Drain keeps new work from a worker, or takes that back.
-	Drain(ctx context.Context, worker string, m *Mark) (*Applied, error)
+	Drain(ctx context.Context, worker string, m *MarkRequest) (*ApplyResponse, error)
 	// Revoke makes a certificate void for good.
-	Revoke(ctx context.Context, serial string, m *Mark) (*Applied, error)
+	Revoke(ctx context.Context, serial string, m *MarkRequest) (*ApplyResponse, error)
 	// Regimes lists the regimes and their certificates.
 	Regimes() *Regimes
 	// Audits returns at most so many rows of the audit record, from the one with number from on.
-	Audits(ctx context.Context, from, most int) (*Audits, error)
+	Audits(ctx context.Context, from, limit int) (*Audits, error)
 	// Shown returns the configuration in force.
 	Shown(ctx context.Context) (*Shown, error)
 	// Status returns the node's state, to be written as JSON.
@@ -100,20 +100,20 @@
 
 // Stale returns the refusal of a configuration that builds on another version than the newest.
 func Stale(base, newest uint64) error {
-	return No(http.StatusConflict, "stale", "base", "it was made over version %d; the newest is %d", base, newest)
+	return WriteFault(http.StatusConflict, "stale", "base", "it was made over version %d; the newest is %d", base, newest)
 }
 
-// Fate turns an error of package failure into the refusal of an order: 504 if it may have been
+// OutcomeEvent turns an error of package failure into the refusal of an order: 504 if it may have been
 // carried out, 503 if it was not, each with when to send it again. Errors of kind Bad and
 // Stale stay as they are.
-func Fate(err error, after time.Duration) error {
+func OutcomeEvent(err error, after time.Duration) error {
 	switch failure.KindOf(err) {
 	case failure.OutcomeUnknown:
-		return Later(http.StatusGatewayTimeout, "unknown-fate", after, "it may have been taken; ask again with the same op: %v", err)
+		return RetryLater(http.StatusGatewayTimeout, "unknown-fate", after, "it may have been taken; ask again with the same op: %v", err)
 	case failure.InvalidArgument, failure.Stale:
 		return err
 	}
-	return Later(http.StatusServiceUnavailable, "core-away", after, "it was not taken: %v", err)
+	return RetryLater(http.StatusServiceUnavailable, "core-away", after, "it was not taken: %v", err)
 }
 
 // Bounds on what operators send and get.
@@ -131,27 +131,27 @@
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { Write(w, http.StatusOK, o.Status()) })
 	mux.HandleFunc("POST /v1/policy", func(w http.ResponseWriter, r *http.Request) {
-		var a Apply
+		var a ApplyRequest
 		if f := Read(r, &a, maxPolicy); f != nil {
-			Bounce(w, f)
+			NotExecuted(w, f)
 			return
 		}
 		if a.Op == "" {
-			Bounce(w, No(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
+			NotExecuted(w, WriteFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
 			return
 		}
 		got, err := o.Apply(r.Context(), &a)
 		answer(w, got, err)
 	})
-	mark := func(f func(context.Context, string, *Mark) (*Applied, error)) http.HandlerFunc {
+	mark := func(f func(context.Context, string, *MarkRequest) (*ApplyResponse, error)) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			var m Mark
+			var m MarkRequest
 			if f := Read(r, &m, maxMark); f != nil {
-				Bounce(w, f)
+				NotExecuted(w, f)
 				return
 			}
 			if m.Op == "" {
-				Bounce(w, No(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
+				NotExecuted(w, WriteFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
 				return
 			}
 			got, err := f(r.Context(), r.PathValue("name"), &m)
@@ -165,12 +165,12 @@
 	mux.HandleFunc("GET /v1/audit", func(w http.ResponseWriter, r *http.Request) {
 		from, err := strconv.Atoi(r.FormValue("from"))
 		if err != nil || from < 1 {
-			Bounce(w, No(http.StatusBadRequest, "out-of-range", "from", "a row's number is needed, from 1 on"))
+			NotExecuted(w, WriteFault(http.StatusBadRequest, "out-of-range", "from", "a row's number is needed, from 1 on"))
 			return
 		}
 		got, err := o.Audits(r.Context(), from, maxAuditRows)
 		if err != nil {
-			Bounce(w, err)
+			NotExecuted(w, err)
 			return
 		}
 		Write(w, http.StatusOK, got)
@@ -180,7 +180,7 @@
 // answer writes the answer a, or the error.
 func answer(w http.ResponseWriter, a any, err error) {
 	if err != nil {
-		Bounce(w, err)
+		NotExecuted(w, err)
 		return
 	}
 	Write(w, http.StatusOK, a)
--- a/internal/api/streams.go
+++ b/internal/api/streams.go
@@ -14,9 +14,9 @@
 
 // Bounds on an origin's request.
 const (
-	maxAsk         = 4 << 20 // bytes of its body
-	maxKey         = 200     // bytes of its key
-	maxTemperature = 10
+	maxRequestBytes = 4 << 20 // bytes of its body
+	maxKey          = 200     // bytes of its key
+	maxTemperature  = 10
 )
 
 const (
@@ -24,10 +24,10 @@
 	digestBytes = 12    // of the SHA-256 hash of a request
 )
 
-// Ask is an origin's request. The prompt is given either as text or as token ids. Key, by
+// StreamRequest is an origin's request. The prompt is given either as text or as token ids. Key, by
 // which a repeat is recognized, is needed for the kinds that the configuration says; Adapters
 // are those that the worker must have.
-type Ask struct {
+type StreamRequest struct {
 	Kind        string   `json:"kind"`
 	Key         string   `json:"key,omitempty"`
 	Model       string   `json:"model,omitempty"`
@@ -41,7 +41,7 @@
 
 // Digest returns a hash of the whole request in hex. A request with the key of an earlier one
 // is its repeat only if the digests are equal.
-func (a *Ask) Digest() string {
+func (a *StreamRequest) Digest() string {
 	b, _ := json.Marshal(a)
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:digestBytes])
@@ -49,7 +49,7 @@
 
 // Tokens returns the ids of the prompt's tokens: those that were sent, or one for each word of
 // its text.
-func (a *Ask) Tokens() []int32 {
+func (a *StreamRequest) Tokens() []int32 {
 	if len(a.PromptIds) > 0 {
 		return a.PromptIds
 	}
@@ -63,10 +63,10 @@
 	return out
 }
 
-// Line is one line of the stream that an origin reads: the token at Index or, where End is set,
+// StreamEvent is one line of the stream that an origin reads: the token at Index or, where End is set,
 // the end of the stream after Count tokens. Replay marks a line that comes from the record of
 // an earlier request with the same key.
-type Line struct {
+type StreamEvent struct {
 	Index  int                     `json:"index"`
 	Token  int32                   `json:"token,omitempty"`
 	Text   string                  `json:"text,omitempty"`
@@ -86,14 +86,14 @@
 // Sink takes the lines of a stream.
 type Sink interface {
 	// Put writes a line out at once. After an error nobody reads the stream any more.
-	Put(Line) error
+	Put(StreamEvent) error
 }
 
 // Server serves origins' requests.
 type Server interface {
 	// Serve runs a request and puts its answer to out. An error before the first line becomes
 	// the HTTP status (see Bounce); after it, the last line says how the stream ended.
-	Serve(ctx context.Context, ask *Ask, out Sink) error
+	Serve(ctx context.Context, ask *StreamRequest, out Sink) error
 	// Ready reports whether the node can serve, and else why not.
 	Ready() (bool, string)
 }
@@ -105,16 +105,16 @@
 }
 
 // Streams registers a handler for origins' requests on a path.
-func Streams(mux *http.ServeMux, path string, serve func(context.Context, *Ask, Sink) error) {
+func Streams(mux *http.ServeMux, path string, serve func(context.Context, *StreamRequest, Sink) error) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-		var ask Ask
-		if f := Read(r, &ask, maxAsk); f != nil {
-			Bounce(w, f)
+		var ask StreamRequest
+		if f := Read(r, &ask, maxRequestBytes); f != nil {
+			NotExecuted(w, f)
 			return
 		}
-		out := &lines{w: w, rows: json.NewEncoder(w)}
+		out := &eventWriter{w: w, rows: json.NewEncoder(w)}
 		if err := serve(r.Context(), &ask, out); err != nil && !out.begun {
-			Bounce(w, err)
+			NotExecuted(w, err)
 		}
 	})
 }
@@ -132,20 +132,20 @@
 	})
 }
 
-// lines is the sink that writes to an origin, one line of JSON each.
-type lines struct {
+// eventWriter is the sink that writes to an origin, one line of JSON each.
+type eventWriter struct {
 	w     http.ResponseWriter
 	rows  *json.Encoder
 	begun bool // the status and headers are written
 }
 
-func (l *lines) Put(line Line) error {
+func (l *eventWriter) Put(event StreamEvent) error {
 	if !l.begun {
 		l.begun = true
 		l.w.Header().Set("Content-Type", "application/x-ndjson")
 		l.w.WriteHeader(http.StatusOK)
 	}
-	if err := l.rows.Encode(line); err != nil {
+	if err := l.rows.Encode(event); err != nil {
 		return err
 	}
 	if f, ok := l.w.(http.Flusher); ok {
@@ -156,26 +156,26 @@
 
 // Check returns what is wrong with a request, or nil. claimed tells that its kind needs a key;
 // maxTokens and maxPrompt bound the tokens of its answer and of its prompt.
-func (a *Ask) Check(claimed bool, maxTokens, maxPrompt int) *Fault {
+func (a *StreamRequest) Check(claimed bool, maxTokens, maxPrompt int) *Fault {
 	switch {
 	case a.Prompt != "" && len(a.PromptIds) > 0:
-		return No(http.StatusBadRequest, "both", "promptIds", "give prompt or promptIds, not both")
+		return WriteFault(http.StatusBadRequest, "both", "promptIds", "give prompt or promptIds, not both")
 	case len(a.Tokens()) == 0:
-		return No(http.StatusBadRequest, "missing", "prompt", "the prompt is empty")
+		return WriteFault(http.StatusBadRequest, "missing", "prompt", "the prompt is empty")
 	case len(a.Tokens()) > maxPrompt:
-		return No(http.StatusRequestEntityTooLarge, "too-large", "prompt", "%d tokens, at most %d", len(a.Tokens()), maxPrompt)
+		return WriteFault(http.StatusRequestEntityTooLarge, "too-large", "prompt", "%d tokens, at most %d", len(a.Tokens()), maxPrompt)
 	case a.MaxTokens < 0 || a.MaxTokens > maxTokens:
-		return No(http.StatusBadRequest, "out-of-range", "maxTokens", "at most %d", maxTokens)
+		return WriteFault(http.StatusBadRequest, "out-of-range", "maxTokens", "at most %d", maxTokens)
 	case a.Temperature < 0 || a.Temperature > maxTemperature:
-		return No(http.StatusBadRequest, "out-of-range", "temperature", "from 0 to %d", maxTemperature)
+		return WriteFault(http.StatusBadRequest, "out-of-range", "temperature", "from 0 to %d", maxTemperature)
 	case claimed && a.Key == "":
-		return No(http.StatusBadRequest, "missing", "key", "kind %q needs the caller's key", a.Kind)
+		return WriteFault(http.StatusBadRequest, "missing", "key", "kind %q needs the caller's key", a.Kind)
 	case len(a.Key) > maxKey:
-		return No(http.StatusBadRequest, "too-large", "key", "at most %d bytes", maxKey)
+		return WriteFault(http.StatusBadRequest, "too-large", "key", "at most %d bytes", maxKey)
 	}
 	for _, t := range a.PromptIds {
 		if t <= 0 {
-			return No(http.StatusBadRequest, "out-of-range", "promptIds", "ids are above 0")
+			return WriteFault(http.StatusBadRequest, "out-of-range", "promptIds", "ids are above 0")
 		}
 	}
 	return nil
--- a/internal/fleetstate/aged_keys.go
+++ b/internal/fleetstate/aged_keys.go
@@ -122,11 +122,8 @@
 	return [rowSize]byte(leaf[at*rowSize : (at+1)*rowSize]), true
 }
 
-// count of the rows on the shelf.
-func (s *agedKeys) count() int { return len(s.sealed)*s.ChunkRows + len(s.rows) }
-
-// Chunks and Shelve make the machine a coordination.Shelf: leaves of old deeds, and of the audit
-// record, which are told by how they begin.
+// Chunks and RestoreChunks make the machine a coordination.ChunkStore: chunks of aged keys, and of
+// the audit record, which are told by how they begin.
 func (m *Machine) Chunks() []coordination.Chunk {
 	if len(m.audit.sealed) == 0 {
 		return m.aged.sealed
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -174,8 +174,8 @@
 	return string(id)
 }
 
-// Eligible: a certified worker's key falls to nodes that are certified for every regime that
-// it may serve, since its holder hands on what is governed; and settling, which reads
+// Eligible reports whether a key may fall to a node. A certified worker's key falls to nodes
+// that are certified for every regime that it may serve, since its holder hands on what is governed; and settling, which reads
 // outcomes, to those certified for all.
 func (m *Machine) Eligible(key ids.Key, node ids.NodeID) bool {
 	id, worker := strings.CutPrefix(string(key), string(WorkerKey("")))
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -5,6 +5,7 @@
 
 import (
 	"encoding/hex"
+	"encoding/json"
 	"fmt"
 	"maps"
 	"os"
@@ -83,6 +84,20 @@
 	return recorded
 }
 
+// CheckJSON fills a value like Check and compares its JSON with a file.
+func CheckJSON(t *testing.T, file string, pointer any) {
+	t.Helper()
+	Fill(pointer)
+	encoded, err := json.MarshalIndent(pointer, "", "\t")
+	require.NoError(t, err)
+	if os.Getenv(writeVariable) != "" {
+		require.NoError(t, os.WriteFile(file, append(encoded, '\n'), 0o644))
+	}
+	recorded, err := os.ReadFile(file)
+	require.NoError(t, err)
+	require.Equal(t, string(recorded), string(encoded)+"\n")
+}
+
 // Fill sets every exported field that a pointer to a struct reaches: numbers count up in the
 // order of the fields, strings hold such a number, slices get two elements and maps one.
 func Fill(pointer any) {
@@ -103,6 +118,12 @@
 		value.Set(reflect.MakeSlice(value.Type(), 2, 2))
 		fill(value.Index(0), next)
 		fill(value.Index(1), next)
+	case reflect.Array:
+		for i := range value.Len() {
+			fill(value.Index(i), next)
+		}
+	case reflect.Interface:
+		value.Set(reflect.ValueOf("any"))
 	case reflect.Map:
 		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
 		fill(key, next)
--- a/internal/handoff/clean.go
+++ b/internal/handoff/clean.go
@@ -22,9 +22,9 @@
 
 // clean ends the attempt at both workers. It tells the task's final error if
 // there is nothing more to try; a nil one means that the answer is whole.
-func (f *flight) clean(cause error, gone bool) (error, bool) {
+func (f *inFlight) clean(cause error, gone bool) (error, bool) {
 	// The origin's context may be over; the attempt must be ended all the same.
-	ctx, stop := context.WithTimeout(context.Background(), f.Orphan+2*time.Second)
+	ctx, stop := context.WithTimeout(context.Background(), f.OrphanTimeout+2*time.Second)
 	defer stop()
 	if f.from != "" {
 		f.stop(ctx, f.from)
@@ -34,23 +34,23 @@
 	}
 	a, err := f.stop(ctx, f.to)
 	switch {
-	case err != nil && f.t.Claimed && f.runs:
+	case err != nil && f.task.Claimed && f.runs:
 		return failure.As(cause, failure.OutcomeUnknown, "hand-over", f.id.Request), false
 	case err != nil && !gone:
 		// The worker cannot be asked. Once the orphan's time is over it has
 		// dropped the import, or stopped the run that nobody reads.
 		if !failure.Is(err, failure.DataLost) {
-			host.Sleep(ctx, f.Orphan+300*time.Millisecond)
+			host.Sleep(ctx, f.OrphanTimeout+300*time.Millisecond)
 		}
 		return nil, true
 	case err != nil:
 		return nil, true
 	case a.Done && !gone:
-		if err := f.hand(a.Output, a.Texts); err != nil {
+		if err := f.handOver(a.Output, a.Texts); err != nil {
 			return f.verdict(err), false
 		}
 		return nil, false
-	case f.t.Claimed && f.runs && a.Fate != workerclient.FateNever:
+	case f.task.Claimed && f.runs && a.Fate != workerclient.FateNever:
 		return failure.As(cause, failure.OutcomeUnknown, "hand-over", f.id.Request), false
 	}
 	return nil, true
@@ -58,7 +58,7 @@
 
 // stop cancels at one worker, trying a few times. A worker that has begun a new
 // life has lost the attempt; what came of it is not known.
-func (f *flight) stop(ctx context.Context, w ids.WorkerID) (*workerclient.OrderResponse, error) {
+func (f *inFlight) stop(ctx context.Context, w ids.WorkerID) (*workerclient.OrderResponse, error) {
 	var err error
 	for n := range 3 {
 		if n > 0 && !host.Sleep(ctx, 150*time.Millisecond) {
@@ -66,9 +66,9 @@
 		}
 		cx, end := context.WithTimeout(ctx, 900*time.Millisecond)
 		var a *workerclient.OrderResponse
-		a, err = f.Hands.Cancel(cx, w, f.id)
+		a, err = f.Transport.Cancel(cx, w, f.id)
 		end()
-		if err == nil && w == f.to && f.life != "" && a.Incarnation != f.life {
+		if err == nil && w == f.to && f.incarnation != "" && a.Incarnation != f.incarnation {
 			return nil, failure.New(failure.DataLost, "cancel", string(w), "the worker began a new life")
 		}
 		if err == nil {
--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -16,10 +16,10 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// Hands give the controller its reach: every order goes through the worker's
+// Transport give the controller its reach: every order goes through the worker's
 // one duty holder.
-type Hands interface {
-	Pick(q *routing.PickRequest, on workerclient.Model, shun map[ids.WorkerID]bool) []Picked
+type Transport interface {
+	Pick(q *routing.PickRequest, on workerclient.Model, excluded map[ids.WorkerID]bool) []Picked
 	Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error
 	Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.OrderResponse, error)
 	Export(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
@@ -28,126 +28,126 @@
 	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
 	Done(w ids.WorkerID, id workerclient.ID, sure bool)
 	Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.TokenEvent) error) error
-	// Spend asks for one recompute, waiting a while for it if need be.
-	Spend(ctx context.Context, wait time.Duration) bool
-	Blame(w ids.WorkerID)
-	// Stale tells that what was picked last was picked under a version which may be
+	// SpendRetry asks for one recompute, waiting a while for it if need be.
+	SpendRetry(ctx context.Context, wait time.Duration) bool
+	ReportFault(w ids.WorkerID)
+	// PickedUnderStaleVersion tells that what was picked last was picked under a version which may be
 	// no longer in force.
-	Stale() bool
+	PickedUnderStaleVersion() bool
 }
 
 // Picked is a cleared worker with what it runs on.
 type Picked struct {
-	ID    ids.WorkerID
-	Model workerclient.Model
-	Block int
-	Life  ids.Incarnation
+	ID          ids.WorkerID
+	Model       workerclient.Model
+	Block       int
+	Incarnation ids.Incarnation
 }
 
-// Stage is how far a hand-over has come.
-type Stage string
+// Step is how far a hand-over has come.
+type Step string
 
 const (
-	Granted   Stage = "granted"   // a prefill worker is chosen
-	Prefilled Stage = "prefilled" // that has computed the KV
-	Exported  Stage = "exported"  // and keeps it ready to be fetched
-	Imported  Stage = "imported"  // the decode worker has reserved room for it
-	Resumed   Stage = "resumed"   // the decode worker has all of it, and runs
-	Ended     Stage = "ended"     // the stream came to its end
-	Dropped   Stage = "dropped"   // the attempt was given up
+	Granted   Step = "granted"   // a prefill worker is chosen
+	Prefilled Step = "prefilled" // that has computed the KV
+	Exported  Step = "exported"  // and keeps it ready to be fetched
+	Imported  Step = "imported"  // the decode worker has reserved room for it
+	Resumed   Step = "resumed"   // the decode worker has all of it, and runs
+	Ended     Step = "ended"     // the stream came to its end
+	Dropped   Step = "dropped"   // the attempt was given up
 )
 
 // Event is one step of one hand-over.
 type Event struct {
-	ID     workerclient.ID
-	Stage  Stage
+	ID     workerclient.ID `json:"Id"`
+	Step   Step            `json:"Stage"`
 	Worker ids.WorkerID
 	At     ids.Tick
-	Why    string
+	Reason string `json:"Why"`
 	Regime string // that the task is bound to, if any
 }
 
 // Task is one request.
 type Task struct {
-	Identity workerclient.Identity
-	Kind     string
-	Zone     ids.Zone
-	Claimed  bool
-	Regime   string
-	Tries    int
-	GiveUp   time.Duration
+	Identity    workerclient.Identity
+	Kind        string
+	Zone        ids.Zone
+	Claimed     bool
+	Regime      string
+	MaxAttempts int
+	GiveUp      time.Duration
 	// Claim is called when room is booked at both workers and nothing has been sent
 	// to either, with the decode worker and its life; its error then ends the task
 	// with nothing run. It is called again before a resume at another worker or life
 	// than it was last told, so that it is known where a run may have begun.
-	Claim func(w ids.WorkerID, life ids.Incarnation) error
+	Claim func(w ids.WorkerID, incarnation ids.Incarnation) error
 }
 
 // Controller runs tasks.
 type Controller struct {
-	Hands  Hands
-	Clock  host.Clock
-	Orphan time.Duration // after so long an attempt without a controller is surely over
-	Pulse  time.Duration // a worker silent for so long within a stream is lost
-	Tell   func(Event)
+	Transport     Transport
+	Clock         host.Clock
+	OrphanTimeout time.Duration // after so long an attempt without a controller is surely over
+	StreamTimeout time.Duration // a worker silent for so long within a stream is lost
+	Trace         func(Event)
 }
 
 // Put hands a piece to the origin. An error ends the task.
 type Put func(index int, tok int32, text string) error
 
-type seat struct {
-	worker ids.WorkerID
-	life   ids.Incarnation
+type decodeSlot struct {
+	worker      ids.WorkerID
+	incarnation ids.Incarnation
 }
 
-// flight is a task on its way.
-type flight struct {
+// inFlight is a task on its way.
+type inFlight struct {
 	*Controller
-	t    *Task
-	id   workerclient.ID
-	sent []int32
-	put  Put
-	from ids.WorkerID
-	to   ids.WorkerID
-	life ids.Incarnation
-	runs bool // resume was ordered
-	open bool // Claim was called
-	seat seat // what it was told last
+	task        *Task
+	id          workerclient.ID
+	sent        []int32
+	put         Put
+	from        ids.WorkerID
+	to          ids.WorkerID
+	incarnation ids.Incarnation
+	runs        bool       // resume was ordered
+	open        bool       // Claim was called
+	slot        decodeSlot // what it was told last
 }
 
-func (f *flight) tell(s Stage, w ids.WorkerID, why error) {
-	if f.Tell == nil {
+func (f *inFlight) trace(s Step, w ids.WorkerID, reason error) {
+	if f.Trace == nil {
 		return
 	}
-	e := Event{ID: f.id, Stage: s, Worker: w, At: f.Clock.Now(), Regime: f.t.Regime}
-	if why != nil {
-		e.Why = why.Error()
+	e := Event{ID: f.id, Step: s, Worker: w, At: f.Clock.Now(), Regime: f.task.Regime}
+	if reason != nil {
+		e.Reason = reason.Error()
 	}
-	f.Tell(e)
+	f.Trace(e)
 }
 
 // Run carries a task to its end. Nil means that every piece was put and the
 // answer is whole. Bounced: nothing was put, and nothing runs. Lost: some pieces
 // were put and the rest will not come. Unknown: a claimed task may have run.
 func (c *Controller) Run(ctx context.Context, t *Task, put Put) error {
-	f := &flight{Controller: c, t: t, put: put}
+	f := &inFlight{Controller: c, task: t, put: put}
 	start := c.Clock.Now()
-	shun := map[ids.WorkerID]bool{}
+	excluded := map[ids.WorkerID]bool{}
 	tries, since := 0, ids.Tick(0)
 	for n := 1; ; n++ {
 		f.id = workerclient.ID{Request: t.Identity.ID.Request, Attempt: n}
-		f.from, f.to, f.life, f.runs = "", "", "", false
-		err := f.try(ctx, shun)
+		f.from, f.to, f.incarnation, f.runs = "", "", "", false
+		err := f.attempt(ctx, excluded)
 		// Picked under a version that is no longer in force: picked anew, once the
 		// newer one is here.
 		for failure.Is(err, failure.Stale) && f.from == "" && !c.Clock.Now().Past(start, t.GiveUp) && host.Sleep(ctx, 30*time.Millisecond) {
-			err = f.try(ctx, shun)
+			err = f.attempt(ctx, excluded)
 		}
 		if err == nil {
-			f.tell(Ended, f.to, nil)
+			f.trace(Ended, f.to, nil)
 			return nil
 		}
-		f.tell(Dropped, f.to, err)
+		f.trace(Dropped, f.to, err)
 		gone := ctx.Err() != nil
 		if done, again := f.clean(err, gone); !again {
 			return done
@@ -159,7 +159,7 @@
 			since = 0
 		case since == 0:
 			since, tries = c.Clock.Now(), tries-1
-		case !c.Clock.Now().Past(since, f.patience()):
+		case !c.Clock.Now().Past(since, f.timeLeft()):
 			tries--
 		}
 		switch {
@@ -167,28 +167,28 @@
 			return f.verdict(failure.As(ctx.Err(), failure.DataLost, "origin went away", ""))
 		case failure.Is(err, failure.InvalidArgument):
 			return err
-		case tries >= t.Tries || late:
+		case tries >= t.MaxAttempts || late:
 			return f.verdict(err)
 		case f.from == "" && f.to == "" && len(f.sent) == 0 && n == 1:
 			return f.verdict(err)
-		case f.from != "" && !c.Hands.Spend(ctx, f.patience()):
+		case f.from != "" && !c.Transport.SpendRetry(ctx, f.timeLeft()):
 			return f.verdict(failure.As(err, failure.KindOf(err), "retry budget is spent", ""))
 		case f.from == "":
 			host.Sleep(ctx, 100*time.Millisecond)
 		}
 		for _, w := range []ids.WorkerID{f.from, f.to} {
 			if w != "" {
-				c.Hands.Blame(w)
-				shun[w] = failure.Is(err, failure.DataLost) || failure.Is(err, failure.OutcomeUnknown)
+				c.Transport.ReportFault(w)
+				excluded[w] = failure.Is(err, failure.DataLost) || failure.Is(err, failure.OutcomeUnknown)
 			}
 		}
 	}
 }
 
-// patience: a stream that has begun is better paused than broken, so it waits for
+// timeLeft: a stream that has begun is better paused than broken, so it waits for
 // the budget, even for one that is between two hands. Before the first piece the
 // origin is better told at once.
-func (f *flight) patience() time.Duration {
+func (f *inFlight) timeLeft() time.Duration {
 	if len(f.sent) > 0 {
 		return 6 * time.Second
 	}
@@ -196,7 +196,7 @@
 }
 
 // verdict names a failed task by what its origin has seen of it.
-func (f *flight) verdict(err error) error {
+func (f *inFlight) verdict(err error) error {
 	kind := failure.NotExecuted
 	if len(f.sent) > 0 {
 		kind = failure.DataLost
@@ -204,15 +204,15 @@
 	return failure.As(err, kind, "hand-over", f.id.Request)
 }
 
-// try goes once through all the stages.
-func (f *flight) try(ctx context.Context, shun map[ids.WorkerID]bool) error {
-	t, h := f.t, f.Hands
+// attempt goes once through all the stages.
+func (f *inFlight) attempt(ctx context.Context, excluded map[ids.WorkerID]bool) error {
+	t, h := f.task, f.Transport
 	m := t.Identity
 	m.ID, m.Output = f.id, append([]int32(nil), f.sent...)
 	ask := &routing.PickRequest{Request: m.ID.Request, Kind: t.Kind, Model: m.Model.Name, Adapters: m.Model.Adapters, Zone: t.Zone,
 		Prompt: len(m.Prompt), Max: m.Params.MaxTokens, Role: ids.Decode}
-	whole := len(m.Prompt) + m.Params.MaxTokens
-	to, err := f.book(ctx, ask, m.Model, whole, shun)
+	complete := len(m.Prompt) + m.Params.MaxTokens
+	to, err := f.reserve(ctx, ask, m.Model, complete, excluded)
 	if err != nil {
 		return err
 	}
@@ -221,32 +221,32 @@
 	ended := false // the worker's own word that the run came to its end
 	defer func(w ids.WorkerID) { h.Done(w, f.id, ended) }(to.ID)
 	ask.Role = ids.Prefill
-	from, err := f.book(ctx, ask, m.Model, len(m.Prompt)+len(m.Output)+1, shun)
+	from, err := f.reserve(ctx, ask, m.Model, len(m.Prompt)+len(m.Output)+1, excluded)
 	if err != nil {
 		return err
 	}
 	defer h.Done(from.ID, f.id, false)
 	if !f.open && t.Claim != nil {
-		f.open, f.seat = true, seat{to.ID, to.Life}
-		if err := t.Claim(to.ID, to.Life); err != nil {
+		f.open, f.slot = true, decodeSlot{to.ID, to.Incarnation}
+		if err := t.Claim(to.ID, to.Incarnation); err != nil {
 			return failure.As(err, failure.InvalidArgument, "claim", m.ID.Request)
 		}
 	}
 	// A claim may take long.
-	if h.Stale() {
+	if h.PickedUnderStaleVersion() {
 		return failure.New(failure.Stale, "pick", m.ID.Request, "a newer version may be in force")
 	}
 	f.from = from.ID
-	f.tell(Granted, from.ID, nil)
+	f.trace(Granted, from.ID, nil)
 	if _, err = h.Prefill(ctx, from.ID, m); err != nil {
 		return err
 	}
-	f.tell(Prefilled, from.ID, nil)
+	f.trace(Prefilled, from.ID, nil)
 	a, err := h.Export(ctx, from.ID, f.id)
 	if err != nil {
 		return err
 	}
-	f.tell(Exported, from.ID, nil)
+	f.trace(Exported, from.ID, nil)
 	got, texts := a.Identity, a.Texts
 	if got == nil || !f.fits(&m, got) {
 		return failure.New(failure.DataLost, "export", string(from.ID), "what came back is not what went in")
@@ -263,48 +263,48 @@
 		}
 		// Refused before any token of the decode side: the next one is tried.
 		f.to = ""
-		shun[to.ID], full[to.ID] = true, true
+		excluded[to.ID], full[to.ID] = true, true
 		h.Done(to.ID, f.id, true)
 		ask.Role = ids.Decode
-		why := err
-		if to, err = f.book(ctx, ask, m.Model, whole, shun); err != nil {
+		reason := err
+		if to, err = f.reserve(ctx, ask, m.Model, complete, excluded); err != nil {
 			return err
 		}
 		defer func(w ids.WorkerID) { h.Done(w, f.id, ended) }(to.ID)
 		// Where all are shunned they are picked all the same, but none twice in an attempt.
 		if full[to.ID] {
-			return why
+			return reason
 		}
 	}
-	f.life = a.Incarnation
-	f.tell(Imported, to.ID, nil)
-	if now := (seat{to.ID, a.Incarnation}); t.Claim != nil && f.seat != now {
+	f.incarnation = a.Incarnation
+	f.trace(Imported, to.ID, nil)
+	if now := (decodeSlot{to.ID, a.Incarnation}); t.Claim != nil && f.slot != now {
 		if err := t.Claim(to.ID, a.Incarnation); err != nil {
 			return failure.As(err, failure.NotExecuted, "claim anew", m.ID.Request)
 		}
-		f.seat = now
+		f.slot = now
 	}
 	f.runs = true
 	if _, err = h.Resume(ctx, to.ID, f.id); err != nil {
 		return err
 	}
-	f.tell(Resumed, to.ID, nil)
+	f.trace(Resumed, to.ID, nil)
 	if t.Regime != "" {
 		// What lies staged is of no more use, and may not outlive the source's certificate.
 		go h.Cancel(context.WithoutCancel(ctx), from.ID, f.id)
 	}
 	// Only now, with every byte in and the digest right, does the origin get
 	// the first piece: a lost transfer is a bounce, not a broken stream.
-	if err := f.hand(got.Output, texts); err != nil {
+	if err := f.handOver(got.Output, texts); err != nil {
 		return err
 	}
-	err = h.Stream(ctx, to.ID, f.id, len(f.sent), f.piece)
+	err = h.Stream(ctx, to.ID, f.id, len(f.sent), f.deliver)
 	ended = err == nil
 	return err
 }
 
 // fits checks that the identity which travels on is the one that was sent in.
-func (f *flight) fits(in, out *workerclient.Identity) bool {
+func (f *inFlight) fits(in, out *workerclient.Identity) bool {
 	if out.ID != in.ID || len(out.Prompt) != len(in.Prompt) || len(out.Output) < len(in.Output) ||
 		!in.Model.Offers(out.Model) || out.Params != in.Params || out.Computed < len(in.Prompt) {
 		return false
@@ -322,13 +322,13 @@
 	return true
 }
 
-// book reserves room on the first worker that has it, in the program's order.
-func (f *flight) book(ctx context.Context, ask *routing.PickRequest, on workerclient.Model, toks int, shun map[ids.WorkerID]bool) (Picked, error) {
+// reserve reserves room on the first worker that has it, in the program's order.
+func (f *inFlight) reserve(ctx context.Context, ask *routing.PickRequest, on workerclient.Model, toks int, excluded map[ids.WorkerID]bool) (Picked, error) {
 	ask.Need = toks
-	list := f.Hands.Pick(ask, on, shun)
+	list := f.Transport.Pick(ask, on, excluded)
 	err := failure.New(failure.NotExecuted, "pick "+string(ask.Role), "", "no worker is cleared")
 	for _, c := range list {
-		if err = f.Hands.Reserve(ctx, c.ID, f.id, ids.Blocks(toks, c.Block)); err == nil {
+		if err = f.Transport.Reserve(ctx, c.ID, f.id, ids.Blocks(toks, c.Block)); err == nil {
 			return c, nil
 		}
 		if failure.Is(err, failure.Stale) {
@@ -341,22 +341,22 @@
 	return Picked{}, failure.As(err, failure.NotExecuted, "book "+string(ask.Role), "")
 }
 
-// hand puts all tokens that the origin has not had yet.
-func (f *flight) hand(out []int32, texts []string) error {
+// handOver puts all tokens that the origin has not had yet.
+func (f *inFlight) handOver(out []int32, texts []string) error {
 	for i := len(f.sent); i < len(out); i++ {
 		p := workerclient.TokenEvent{Index: i, Token: out[i]}
 		if i < len(texts) {
 			p.Text = texts[i]
 		}
-		if err := f.piece(p); err != nil {
+		if err := f.deliver(p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// piece passes on index = last+1 only.
-func (f *flight) piece(p workerclient.TokenEvent) error {
+// deliver passes on index = last+1 only.
+func (f *inFlight) deliver(p workerclient.TokenEvent) error {
 	if p.Index != len(f.sent) {
 		return failure.New(failure.DataLost, "stream", string(f.to), "piece %d came where %d was due", p.Index, len(f.sent))
 	}
--- a/internal/handoff/controller_test.go
+++ b/internal/handoff/controller_test.go
@@ -34,7 +34,7 @@
 	tries   int
 	imports []ids.WorkerID
 	loose   map[string]int
-	claim   func(w ids.WorkerID, life ids.Incarnation) error
+	claim   func(w ids.WorkerID, incarnation ids.Incarnation) error
 	stale   int // so often what was picked is outdated
 	picks   int
 	regime  string
@@ -45,7 +45,7 @@
 func lost() error    { return failure.New(failure.DataLost, "test", "w", "lost") }
 func bounced() error { return failure.New(failure.NotExecuted, "test", "w", "bounced") }
 
-func (s *script) Pick(q *routing.PickRequest, _ workerclient.Model, shun map[ids.WorkerID]bool) []Picked {
+func (s *script) Pick(q *routing.PickRequest, _ workerclient.Model, excluded map[ids.WorkerID]bool) []Picked {
 	s.picks++
 	if s.none > 0 && s.resumes > 0 {
 		s.none--
@@ -54,7 +54,7 @@
 	var out []Picked
 	for _, id := range []ids.WorkerID{"1", "2"} {
 		w := ids.WorkerID(q.Role[:1]) + id
-		if !shun[w] {
+		if !excluded[w] {
 			out = append(out, Picked{ID: w, Model: workerclient.Model{Name: "m", Weights: "w1"}, Block: 16})
 		}
 	}
@@ -121,8 +121,8 @@
 }
 
 func (s *script) Done(w ids.WorkerID, id workerclient.ID, _ bool) { s.loose[string(w)+id.Request] = 0 }
-func (s *script) Blame(ids.WorkerID)                              {}
-func (s *script) Stale() bool                                     { s.stale--; return s.stale >= 0 }
+func (s *script) ReportFault(ids.WorkerID)                        {}
+func (s *script) PickedUnderStaleVersion() bool                   { s.stale--; return s.stale >= 0 }
 
 func (s *script) Stream(_ context.Context, _ ids.WorkerID, _ workerclient.ID, from int, put func(workerclient.TokenEvent) error) error {
 	if s.stream != nil {
@@ -131,7 +131,7 @@
 	return send(put, from, len(answer), true)
 }
 
-func (s *script) Spend(context.Context, time.Duration) bool { s.coins--; return s.coins >= 0 }
+func (s *script) SpendRetry(context.Context, time.Duration) bool { s.coins--; return s.coins >= 0 }
 
 func send(put func(workerclient.TokenEvent) error, from, to int, end bool) error {
 	for i := from; i < to; i++ {
@@ -152,9 +152,9 @@
 func play(t *testing.T, s *script, claimed bool) (got []int32, took time.Duration, err error) {
 	s.loose = map[string]int{}
 	synctest.Test(t, func(t *testing.T) {
-		c := &Controller{Hands: s, Clock: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host().Clock, Orphan: 2 * time.Second, Pulse: time.Second}
+		c := &Controller{Transport: s, Clock: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host().Clock, OrphanTimeout: 2 * time.Second, StreamTimeout: time.Second}
 		begun := time.Now()
-		err = c.Run(context.Background(), &Task{Identity: ident(), Claimed: claimed, Regime: s.regime, Claim: s.claim, Tries: 3, GiveUp: 10 * time.Second}, func(i int, tok int32, _ string) error {
+		err = c.Run(context.Background(), &Task{Identity: ident(), Claimed: claimed, Regime: s.regime, Claim: s.claim, MaxAttempts: 3, GiveUp: 10 * time.Second}, func(i int, tok int32, _ string) error {
 			require.Equal(t, len(got), i)
 			got = append(got, tok)
 			return nil
@@ -307,9 +307,9 @@
 func TestClaimedWhere(t *testing.T) {
 	var told []string
 	s := &script{coins: 5, full: map[ids.WorkerID]bool{"d1": true}}
-	s.claim = func(w ids.WorkerID, life ids.Incarnation) error {
+	s.claim = func(w ids.WorkerID, incarnation ids.Incarnation) error {
 		require.Zero(t, s.resumes)
-		told = append(told, string(w)+"/"+string(life))
+		told = append(told, string(w)+"/"+string(incarnation))
 		return nil
 	}
 	_, _, err := play(t, s, true)
@@ -363,7 +363,7 @@
 // TestGovernedWaits: a governed stream that has begun and finds nobody cleared waits for
 // one that is, within its patience; another one is given up after its tries.
 func TestGovernedWaits(t *testing.T) {
-	whole := func(n, from int, put func(workerclient.TokenEvent) error) error {
+	complete := func(n, from int, put func(workerclient.TokenEvent) error) error {
 		if n == 1 {
 			return send(put, from, 3, false)
 		}
@@ -374,14 +374,14 @@
 			m.Output = answer[:3]
 		}
 	}
-	got, took, err := play(t, &script{stream: whole, spoil: spoil, coins: 5, regime: "chair", none: 20}, false)
+	got, took, err := play(t, &script{stream: complete, spoil: spoil, coins: 5, regime: "chair", none: 20}, false)
 	require.NoError(t, err)
 	require.Equal(t, answer, got)
 	require.Greater(t, took, time.Second)
-	got, _, err = play(t, &script{stream: whole, spoil: spoil, coins: 5, none: 20}, false)
+	got, _, err = play(t, &script{stream: complete, spoil: spoil, coins: 5, none: 20}, false)
 	require.True(t, failure.Is(err, failure.DataLost), "%v", err)
 	require.Len(t, got, 3)
-	_, took, err = play(t, &script{stream: whole, spoil: spoil, coins: 5, regime: "chair", none: 1 << 20}, false)
+	_, took, err = play(t, &script{stream: complete, spoil: spoil, coins: 5, regime: "chair", none: 1 << 20}, false)
 	require.True(t, failure.Is(err, failure.DataLost), "%v", err)
 	require.Less(t, took, 10*time.Second)
 }
--- a/internal/handoff/ledger.go
+++ b/internal/handoff/memory_ledger.go
@@ -15,86 +15,86 @@
 	"keelstair.example/internal/workerclient"
 )
 
-type hold struct {
-	blocks int
-	at     ids.Tick // when it was reserved
-	moved  ids.Tick // when the worker took it
-	ended  ids.Tick
-	sure   bool // the worker itself said that it has freed it
+type reservation struct {
+	blocks  int
+	at      ids.Tick // when it was reserved
+	moved   ids.Tick // when the worker took it
+	ended   ids.Tick
+	certain bool // the worker itself said that it has freed it
 }
 
-// Ledger of one worker under one grant.
-type Ledger struct {
-	mu     sync.Mutex
-	since  ids.Tick
-	fresh  ids.Tick // when the worker was first seen ready, for the ramp
-	lag    time.Duration
-	ramp   time.Duration
-	cap    int
-	part   ids.Role
-	report *workerclient.Report
-	asked  ids.Tick
-	holds  map[workerclient.ID]*hold
-	misses int
-	held   bool
+// MemoryLedger of one worker under one grant.
+type MemoryLedger struct {
+	mu             sync.Mutex
+	since          ids.Tick
+	fresh          ids.Tick // when the worker was first seen ready, for the ramp
+	lag            time.Duration
+	slowStart      time.Duration
+	cap            int
+	role           ids.Role
+	report         *workerclient.Report
+	asked          ids.Tick
+	reservations   map[workerclient.ID]*reservation
+	misses         int
+	reservedBlocks bool
 }
 
-// NewLedger begins with nothing known, and is of no use before Begin.
-func NewLedger(lag, ramp time.Duration, limit int) *Ledger {
-	return &Ledger{since: math.MaxInt64, lag: lag, ramp: ramp, cap: limit, holds: map[workerclient.ID]*hold{}}
+// NewMemoryLedger begins with nothing known, and is of no use before Begin.
+func NewMemoryLedger(lag, ramp time.Duration, limit int) *MemoryLedger {
+	return &MemoryLedger{since: math.MaxInt64, lag: lag, slowStart: ramp, cap: limit, reservations: map[workerclient.ID]*reservation{}}
 }
 
 // Begin notes from when on the worker obeys this holder alone: what an earlier
 // one ordered shows in the first report that is surely younger.
-func (l *Ledger) Begin(now ids.Tick) {
+func (l *MemoryLedger) Begin(now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.since, l.fresh = now, now
 }
 
-// Tune takes limits that a newer policy sets.
-func (l *Ledger) Tune(lag, ramp time.Duration, limit int) {
+// Configure takes limits that a newer policy sets.
+func (l *MemoryLedger) Configure(lag, ramp time.Duration, limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lag, l.ramp, l.cap = lag, ramp, limit
+	l.lag, l.slowStart, l.cap = lag, ramp, limit
 }
 
 // Report takes a report that was asked for at a tick.
-func (l *Ledger) Report(r *workerclient.Report, asked ids.Tick) {
+func (l *MemoryLedger) Report(r *workerclient.Report, asked ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.report != nil && (r.Role != l.part || l.misses > 5) {
+	if l.report != nil && (r.Role != l.role || l.misses > 5) {
 		l.fresh = asked
 	}
-	l.report, l.asked, l.part, l.misses = r, asked, r.Role, 0
+	l.report, l.asked, l.role, l.misses = r, asked, r.Role, 0
 	on := map[workerclient.ID]bool{}
 	for _, v := range r.Running {
 		on[v.ID] = true
 	}
-	for id, h := range l.holds {
+	for id, h := range l.reservations {
 		switch {
 		case h.ended != 0 && h.ended.Before(asked.Add(-l.lag)):
-			delete(l.holds, id)
+			delete(l.reservations, id)
 		case h.ended == 0 && h.moved != 0 && h.moved.Before(asked.Add(-l.lag)) && !on[id]:
-			delete(l.holds, id)
+			delete(l.reservations, id)
 		case h.moved == 0 && asked.Past(h.at, 15*time.Second):
-			delete(l.holds, id)
+			delete(l.reservations, id)
 		}
 	}
 }
 
-// Hold keeps new work away, so that the worker drains; or lets it come again.
-func (l *Ledger) Hold(on bool) {
+// Reservation keeps new work away, so that the worker drains; or lets it come again.
+func (l *MemoryLedger) Reservation(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held = on
+	l.reservedBlocks = on
 }
 
 // Empty tells that nothing is booked and the last report shows nothing.
-func (l *Ledger) Empty() bool {
+func (l *MemoryLedger) Empty() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, h := range l.holds {
+	for _, h := range l.reservations {
 		if h.ended == 0 {
 			return false
 		}
@@ -103,7 +103,7 @@
 }
 
 // Missed notes that the worker did not answer.
-func (l *Ledger) Missed() {
+func (l *MemoryLedger) Missed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.misses++
@@ -111,39 +111,39 @@
 
 // State is what the ledger says of its worker now.
 type State struct {
-	Part  ids.Role
-	Ready bool
-	Free  int
-	Room  int
-	Busy  int
-	Work  int // of the busy, begun at the worker
-	Used  int // blocks that the begun ones hold or may grow by
-	Cap   int
-	Block int
-	Model workerclient.Model
-	Life  ids.Incarnation
+	Role          ids.Role
+	Ready         bool
+	Free          int
+	Capacity      int
+	Busy          int
+	Work          int // of the busy, begun at the worker
+	Used          int // blocks that the begun ones hold or may grow by
+	MaxConcurrent int
+	Block         int
+	Model         workerclient.Model
+	Incarnation   ids.Incarnation
 }
 
 // State returns what the ledger says of its worker at a time.
-func (l *Ledger) State(now ids.Tick) State {
+func (l *MemoryLedger) State(now ids.Tick) State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state(now)
 }
 
-func (l *Ledger) state(now ids.Tick) State {
-	s := State{Cap: l.limit(now)}
+func (l *MemoryLedger) state(now ids.Tick) State {
+	s := State{MaxConcurrent: l.limit(now)}
 	r := l.report
 	if r == nil || l.since == math.MaxInt64 {
 		return s
 	}
-	s.Part, s.Room, s.Block, s.Model, s.Life = r.Role, r.Capacity, r.Block, r.Model, r.Incarnation
+	s.Role, s.Capacity, s.Block, s.Model, s.Incarnation = r.Role, r.Capacity, r.Block, r.Model, r.Incarnation
 	// The first report that shows all of an earlier holder's orders was asked
 	// for one lag after the worker knew this holder's fence.
-	s.Ready = !l.held && l.misses < 3 && !now.Past(l.asked, 2*time.Second) && !l.asked.Before(l.since.Add(l.lag))
+	s.Ready = !l.reservedBlocks && l.misses < 3 && !now.Past(l.asked, 2*time.Second) && !l.asked.Before(l.since.Add(l.lag))
 	used := 0
 	for _, v := range r.Running {
-		if l.holds[v.ID] == nil {
+		if l.reservations[v.ID] == nil {
 			used += v.Blocks + v.Reserved
 			s.Work++
 			s.Used += v.Blocks + v.Reserved
@@ -154,8 +154,8 @@
 		shown += v.Blocks
 	}
 	used += max(0, r.Used-shown)
-	for _, h := range l.holds {
-		if !h.sure {
+	for _, h := range l.reservations {
+		if !h.certain {
 			used += h.blocks
 		}
 		if h.ended != 0 {
@@ -172,23 +172,23 @@
 }
 
 // limit ramps up: a cold worker takes few starts at once.
-func (l *Ledger) limit(now ids.Tick) int {
+func (l *MemoryLedger) limit(now ids.Tick) int {
 	age := now.Since(l.fresh)
-	if l.ramp <= 0 || age >= l.ramp {
+	if l.slowStart <= 0 || age >= l.slowStart {
 		return l.cap
 	}
-	return max(1, int(float64(l.cap)*float64(age)/float64(l.ramp)))
+	return max(1, int(float64(l.cap)*float64(age)/float64(l.slowStart)))
 }
 
-// Part is what the worker plays by its newest report.
-func (l *Ledger) Part() ids.Role {
+// Role is what the worker plays by its newest report.
+func (l *MemoryLedger) Role() ids.Role {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.part
+	return l.role
 }
 
 // Reserve books room for a hand-over, or says at once that there is none.
-func (l *Ledger) Reserve(id workerclient.ID, blocks int, now ids.Tick) error {
+func (l *MemoryLedger) Reserve(id workerclient.ID, blocks int, now ids.Tick) error {
 	return l.ReserveBeside(id, blocks, 0, now)
 }
 
@@ -196,42 +196,42 @@
 func Beside(most, keep int) int { return max(1, most*(100-keep)/100) }
 
 // ReserveBeside books room that leaves so many percent of all room and starts free.
-func (l *Ledger) ReserveBeside(id workerclient.ID, blocks, keep int, now ids.Tick) error {
+func (l *MemoryLedger) ReserveBeside(id workerclient.ID, blocks, keep int, now ids.Tick) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.holds[id] != nil {
+	if l.reservations[id] != nil {
 		return nil
 	}
 	s := l.state(now)
 	if keep > 0 {
-		s.Free -= s.Room * keep / 100
-		s.Cap = Beside(s.Cap, keep)
+		s.Free -= s.Capacity * keep / 100
+		s.MaxConcurrent = Beside(s.MaxConcurrent, keep)
 	}
 	switch {
 	case !s.Ready:
 		return failure.New(failure.NotExecuted, "reserve", "", "no report young enough")
-	case s.Busy >= s.Cap:
-		return failure.New(failure.NotExecuted, "reserve", "", "%d starts are under way, the cap is %d", s.Busy, s.Cap)
+	case s.Busy >= s.MaxConcurrent:
+		return failure.New(failure.NotExecuted, "reserve", "", "%d starts are under way, the cap is %d", s.Busy, s.MaxConcurrent)
 	case s.Free < blocks:
 		return failure.New(failure.NotExecuted, "reserve", "", "%d blocks free, %d needed", s.Free, blocks)
 	}
-	l.holds[id] = &hold{blocks: blocks, at: now}
+	l.reservations[id] = &reservation{blocks: blocks, at: now}
 	return nil
 }
 
 // Reserved tells whether a hand-over has its room booked.
-func (l *Ledger) Reserved(id workerclient.ID) bool {
+func (l *MemoryLedger) Reserved(id workerclient.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := l.holds[id]
+	h := l.reservations[id]
 	return h != nil && h.ended == 0
 }
 
 // Moved notes that the worker took the request in.
-func (l *Ledger) Moved(id workerclient.ID, now ids.Tick) {
+func (l *MemoryLedger) Moved(id workerclient.ID, now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if h := l.holds[id]; h != nil && h.moved == 0 {
+	if h := l.reservations[id]; h != nil && h.moved == 0 {
 		h.moved = now
 	}
 }
@@ -239,16 +239,16 @@
 // Ended notes that the request is done here. If the worker itself said so, its
 // room is free at once, and a late report that still lists it is not believed;
 // else the room counts as taken until a report shows it free.
-func (l *Ledger) Ended(id workerclient.ID, sure bool, now ids.Tick) {
+func (l *MemoryLedger) Ended(id workerclient.ID, sure bool, now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := l.holds[id]
+	h := l.reservations[id]
 	switch {
 	case h == nil:
 	case h.moved == 0:
-		delete(l.holds, id)
+		delete(l.reservations, id)
 	default:
-		h.sure = h.sure || sure
+		h.certain = h.certain || sure
 		if h.ended == 0 {
 			h.ended = now
 		}
--- a/internal/handoff/ledger_test.go
+++ b/internal/handoff/memory_ledger_test.go
@@ -21,8 +21,8 @@
 	return &workerclient.Report{Role: ids.Decode, Used: used, Capacity: 100, Block: 16, Running: on}
 }
 
-func begun(ms int, ramp time.Duration, limit int) *Ledger {
-	l := NewLedger(lag, ramp, limit)
+func begun(ms int, ramp time.Duration, limit int) *MemoryLedger {
+	l := NewMemoryLedger(lag, ramp, limit)
 	l.Begin(at(ms))
 	return l
 }
@@ -109,16 +109,16 @@
 func TestRamp(t *testing.T) {
 	l := begun(0, 2*time.Second, 16)
 	l.Report(report(0), at(600))
-	require.Equal(t, 4, l.State(at(600)).Cap)
+	require.Equal(t, 4, l.State(at(600)).MaxConcurrent)
 	for n := range 4 {
 		require.NoError(t, l.Reserve(one(n), 1, at(600)))
 	}
 	require.Error(t, l.Reserve(one(5), 1, at(600)))
-	require.Equal(t, 16, l.State(at(2100)).Cap)
+	require.Equal(t, 16, l.State(at(2100)).MaxConcurrent)
 	back := report(0)
 	back.Role = ids.Prefill
 	l.Report(back, at(3000))
-	require.Equal(t, 4, l.State(at(3500)).Cap, "a switched worker is cold again")
+	require.Equal(t, 4, l.State(at(3500)).MaxConcurrent, "a switched worker is cold again")
 }
 
 // TestBeside: work that must leave a share free finds neither its blocks nor its starts;
--- /dev/null
+++ b/internal/handoff/retry_after.go
@@ -0,0 +1,61 @@
+// When a bounced caller should come back. The node keeps a book of appointments: a
+// second has room for as many as it completed in one of late, and each bounced caller
+// is given the first second with room, somewhere within it. So a crowd comes back at
+// the rate at which it can be served, and not as one.
+
+package handoff
+
+import (
+	"cmp"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"keelstair.example/ids"
+)
+
+const (
+	bookableSeconds = 16  // seconds that may be booked ahead
+	overbooking     = 1.3 // of what was completed: some will find room sooner than was thought
+	minPerSecond    = 20  // and never less, unless the book says so
+)
+
+// RetryAfterScheduler is a book of appointments, ready for use. Least is how many a second has room for at
+// least; 0 is 20.
+type RetryAfterScheduler struct {
+	MinPerSecond int
+	mu           sync.Mutex
+	second       int64 // the second that the counts begin at
+	booked       [bookableSeconds]int
+	done         int64
+	rate         float64 // completions a second, smoothed
+}
+
+// roll moves the book on to a second. The caller holds mu.
+func (t *RetryAfterScheduler) roll(now ids.Tick, done int64) {
+	sec := int64(now) / int64(time.Second)
+	if t.second == 0 || sec-t.second > bookableSeconds {
+		t.second, t.booked, t.done = sec, [bookableSeconds]int{}, done
+		return
+	}
+	for ; t.second < sec; t.second++ {
+		t.rate += 0.5 * (float64(done-t.done) - t.rate)
+		t.done = done
+		copy(t.booked[:], t.booked[1:])
+		t.booked[bookableSeconds-1] = 0
+	}
+}
+
+// Next books an appointment no sooner than a span from now; done are completions so far.
+func (t *RetryAfterScheduler) Next(now ids.Tick, done int64, least time.Duration) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.roll(now, done)
+	room := max(cmp.Or(t.MinPerSecond, minPerSecond), int(t.rate*overbooking))
+	at := min(int(least/time.Second), bookableSeconds-1)
+	for at < bookableSeconds-1 && t.booked[at] >= room {
+		at++
+	}
+	t.booked[at]++
+	return max(least, time.Duration(at)*time.Second) + rand.N(time.Second)
+}
--- a/internal/handoff/tide_test.go
+++ b/internal/handoff/retry_after_test.go
@@ -16,7 +16,7 @@
 // come back soon; and seconds that went by are free again.
 func TestTide(t *testing.T) {
 	at := func(ms int) ids.Tick { return ids.Tick(time.Duration(100_000+ms) * time.Millisecond) }
-	var b Tide
+	var b RetryAfterScheduler
 	for s := range 6 {
 		b.roll(at(1000*s), int64(100*s))
 	}
@@ -25,7 +25,7 @@
 	for range 640 {
 		d := b.Next(at(5000), 500, time.Second)
 		require.GreaterOrEqual(t, d, time.Second)
-		require.Less(t, d, (tideSpan+1)*time.Second)
+		require.Less(t, d, (bookableSeconds+1)*time.Second)
 		by[int(d/time.Second)]++
 	}
 	require.GreaterOrEqual(t, len(by), 5, "some 125 a second: %v", by)
@@ -34,8 +34,8 @@
 	require.InDelta(t, 125, by[3], 8)
 	d := b.Next(at(14000), 1400, time.Second)
 	require.Less(t, d, 2*time.Second, "the crowd has had its time")
-	var idle Tide
+	var idle RetryAfterScheduler
 	for range 100 {
-		require.Less(t, idle.Next(at(0), 0, time.Second), (tideSpan+1)*time.Second)
+		require.Less(t, idle.Next(at(0), 0, time.Second), (bookableSeconds+1)*time.Second)
 	}
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -22,7 +22,7 @@
 // Event is one step of one request.
 type Event struct {
 	Request string
-	Step    handoff.Stage
+	Step    handoff.Step
 	Worker  ids.WorkerID
 	At      ids.Tick
 	Reason  string
@@ -47,7 +47,7 @@
 	lastEventID   string // id of the last event that the caller has
 }
 
-func (t *exchange) trace(stage handoff.Stage, w ids.WorkerID, reason string) {
+func (t *exchange) trace(stage handoff.Step, w ids.WorkerID, reason string) {
 	if t.node.options.Trace != nil {
 		t.node.options.Trace(Event{t.request.ID, stage, w, t.node.now(), reason})
 	}
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -146,7 +146,7 @@
 	loads           loadBoard
 	candidates      atomic.Pointer[candidateIndex]
 	admission       admission
-	retryAfter      handoff.Tide
+	retryAfter      handoff.RetryAfterScheduler
 	lastSnapshot    atomic.Pointer[fleetstate.Snapshot]
 	snapshotMu      sync.Mutex
 	inflight        atomic.Int64
@@ -158,7 +158,7 @@
 // New makes a node; it starts nothing.
 func New(options Options) (*Node, error) {
 	options.setDefaults()
-	n := &Node{options: options, budget: newRetryBudget(options.RetryWindow), slowStart: newSlowStart(), retryAfter: handoff.Tide{Least: 2}}
+	n := &Node{options: options, budget: newRetryBudget(options.RetryWindow), slowStart: newSlowStart(), retryAfter: handoff.RetryAfterScheduler{MinPerSecond: 2}}
 	programs, err := routing.NewProgramSet(options.Programs, options.ProgramSteps, &n.scores)
 	if err != nil {
 		return nil, err
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -42,7 +42,7 @@
 
 // Apply checks and compiles a program set before anything is written; the core takes it
 // if it was made over the newest one.
-func (o *Operator) Apply(ctx context.Context, a *api.Apply) (*api.Applied, error) {
+func (o *Operator) Apply(ctx context.Context, a *api.ApplyRequest) (*api.ApplyResponse, error) {
 	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
 	op, name := ids.OpID(programOps+a.Op), cmp.Or(a.Name, "programs")
@@ -54,7 +54,7 @@
 	if a.Partial {
 		img, err := fleetstate.ReadState(callContext, o.Caller, o.Directory)
 		if err != nil {
-			return nil, api.Fate(err, operatorRetryAfter)
+			return nil, api.OutcomeEvent(err, operatorRetryAfter)
 		}
 		top, _ := img.ProgramSet()
 		if uint64(top.Version) != a.Base {
@@ -75,50 +75,50 @@
 		return nil, err
 	}
 	if a.Dry {
-		return &api.Applied{Version: a.Base, Policy: complete}, nil
+		return &api.ApplyResponse{Version: a.Base, Policy: complete}, nil
 	}
 	v, err := fleetstate.PutPrograms(callContext, o.Caller, o.Directory, op, ids.Version(a.Base), complete)
 	return o.versionApplied(ctx, v, err)
 }
 
 // versionApplied waits a while until the core has put a version in force.
-func (o *Operator) versionApplied(ctx context.Context, v ids.Version, err error) (*api.Applied, error) {
+func (o *Operator) versionApplied(ctx context.Context, v ids.Version, err error) (*api.ApplyResponse, error) {
 	if err != nil {
-		return nil, api.Fate(err, operatorRetryAfter)
+		return nil, api.OutcomeEvent(err, operatorRetryAfter)
 	}
 	callContext, stop := context.WithTimeout(ctx, forceWait)
 	defer stop()
 	for {
 		if img, err := fleetstate.ReadState(callContext, o.Caller, o.Directory); err == nil && img.Programs.Version >= v {
-			return &api.Applied{Version: uint64(v), Active: true}, nil
+			return &api.ApplyResponse{Version: uint64(v), Active: true}, nil
 		}
 		if !host.Sleep(callContext, 50*time.Millisecond) {
-			return &api.Applied{Version: uint64(v)}, nil
+			return &api.ApplyResponse{Version: uint64(v)}, nil
 		}
 	}
 }
 
 // Evacuate empties a zone of new work, or takes that back.
-func (o *Operator) Evacuate(ctx context.Context, zone string, m *api.Mark) (*api.Applied, error) {
+func (o *Operator) Evacuate(ctx context.Context, zone string, m *api.MarkRequest) (*api.ApplyResponse, error) {
 	if !slices.Contains(o.Zones, zone) {
-		return nil, api.No(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
+		return nil, api.WriteFault(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
 	}
 	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
 	if err := fleetstate.SetEvacuated(callContext, o.Caller, o.Directory, ids.OpID(zoneOps+m.Op), ids.Zone(zone), m.Out); err != nil {
-		return nil, api.Fate(err, operatorRetryAfter)
+		return nil, api.OutcomeEvent(err, operatorRetryAfter)
 	}
-	return &api.Applied{Active: true}, nil
+	return &api.ApplyResponse{Active: true}, nil
 }
 
 // Drain is refused: which workers leave stands in the fleet's own list.
-func (o *Operator) Drain(_ context.Context, worker string, _ *api.Mark) (*api.Applied, error) {
-	return nil, api.No(http.StatusNotFound, "unknown", "worker", "%q is not drained here; which workers leave stands in the list of workers", worker)
+func (o *Operator) Drain(_ context.Context, worker string, _ *api.MarkRequest) (*api.ApplyResponse, error) {
+	return nil, api.WriteFault(http.StatusNotFound, "unknown", "worker", "%q is not drained here; which workers leave stands in the list of workers", worker)
 }
 
 // Revoke is refused: what runs over these routes is under no regime.
-func (o *Operator) Revoke(_ context.Context, serial string, _ *api.Mark) (*api.Applied, error) {
-	return nil, api.No(http.StatusNotFound, "unknown", "certificate", "%q is not known here; no regime governs these routes", serial)
+func (o *Operator) Revoke(_ context.Context, serial string, _ *api.MarkRequest) (*api.ApplyResponse, error) {
+	return nil, api.WriteFault(http.StatusNotFound, "unknown", "certificate", "%q is not known here; no regime governs these routes", serial)
 }
 
 // Regimes are none.
--- a/internal/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -47,10 +47,10 @@
 	return &Operator{Caller: b.agent.Caller(), Directory: b.Directory(), Zones: []string{"a", "b"}}
 }
 
-func (f *fleet) apply(op string, base uint64, text string) (*api.Applied, error) {
+func (f *fleet) apply(op string, base uint64, text string) (*api.ApplyResponse, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
-	return f.operator(f.up()[0]).Apply(ctx, &api.Apply{Op: op, Base: base, Name: "set.cue", Source: text})
+	return f.operator(f.up()[0]).Apply(ctx, &api.ApplyRequest{Op: op, Base: base, Name: "set.cue", Source: text})
 }
 
 func (f *fleet) shown() *api.Shown {
@@ -107,7 +107,7 @@
 			swapped = y.now()
 			got, err := f.apply("two", 1, setOf(routing.Source{Name: "mid", Share: 60, Text: first(1)}, routing.Source{Name: "low", Share: 40, Text: first(0)}))
 			require.NoError(t, err)
-			require.Equal(t, &api.Applied{Version: 2, Active: true}, got)
+			require.Equal(t, &api.ApplyResponse{Version: 2, Active: true}, got)
 			f.until(5*time.Second, func() bool { return f.dealt(2) })
 			had = y.now()
 		})
@@ -229,10 +229,10 @@
 		f := build(t, 84, 1, y, plain(), func(o *Options) { o.Programs = []routing.Source{{Name: "start", Share: 100, Text: first(1)}} })
 		defer f.close()
 		o := f.operator(f.nodes[0])
-		apply := func(op string, base uint64, dry bool, text string) (*api.Applied, error) {
+		apply := func(op string, base uint64, dry bool, text string) (*api.ApplyResponse, error) {
 			ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 			defer stop()
-			return o.Apply(ctx, &api.Apply{Op: op, Base: base, Partial: true, Dry: dry, Source: text})
+			return o.Apply(ctx, &api.ApplyRequest{Op: op, Base: base, Partial: true, Dry: dry, Source: text})
 		}
 		got, err := apply("one", 0, false, setOf(routing.Source{Name: "a", Share: 100, Text: sorted("w.id")}))
 		require.NoError(t, err)
@@ -491,16 +491,16 @@
 		o := f.operator(f.nodes[0])
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
-		_, err := o.Evacuate(ctx, "b", &api.Mark{Op: coordination.NewID(), Out: true})
+		_, err := o.Evacuate(ctx, "b", &api.MarkRequest{Op: coordination.NewID(), Out: true})
 		require.NoError(t, err)
 		require.Equal(t, []string{"b"}, f.shown().Zones)
 		require.True(t, f.until(2*time.Second, func() bool { return f.nodes[0].view.Current().Zones["b"] }))
-		_, err = o.Evacuate(ctx, "b", &api.Mark{Op: coordination.NewID()})
+		_, err = o.Evacuate(ctx, "b", &api.MarkRequest{Op: coordination.NewID()})
 		require.NoError(t, err)
 		require.Equal(t, []string{}, f.shown().Zones)
-		_, err = o.Evacuate(ctx, "z", &api.Mark{Op: coordination.NewID(), Out: true})
+		_, err = o.Evacuate(ctx, "z", &api.MarkRequest{Op: coordination.NewID(), Out: true})
 		require.ErrorContains(t, err, `no zone "z"`)
-		_, err = o.Drain(ctx, "svc-decode-0.1", &api.Mark{Op: coordination.NewID(), Out: true})
+		_, err = o.Drain(ctx, "svc-decode-0.1", &api.MarkRequest{Op: coordination.NewID(), Out: true})
 		require.ErrorContains(t, err, "list of workers")
 		require.NotNil(t, o.Status())
 	})
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -19,22 +19,22 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// saw notes a step that was cleared.
-func (h *hands) saw(verb string, w ids.WorkerID, id workerclient.ID, serial string) {
+// recordStep notes a step that was cleared.
+func (h *transport) recordStep(verb string, w ids.WorkerID, id workerclient.ID, serial string) {
 	if serial == "" || verb == verbReserve {
 		return
 	}
-	h.steps = append(h.steps, fleetstate.AuditStep{Attempt: id.Attempt, What: verb, Worker: string(w), Serial: serial, At: h.n.clock().High})
+	h.steps = append(h.steps, fleetstate.AuditStep{Attempt: id.Attempt, What: verb, Worker: string(w), Serial: serial, At: h.node.clock().High})
 }
 
 // record writes the row's text; nothing for work that is not governed.
-func (h *hands) record(request, key, outcome string) []byte {
+func (h *transport) record(request, key, outcome string) []byte {
 	if h.regime == "" {
 		return nil
 	}
-	serial, _ := h.n.clears(h.regime, certification.Subject{Node: h.n.opt.Name}, "")
+	serial, _ := h.node.clears(h.regime, certification.Subject{Node: h.node.options.Name}, "")
 	b, _ := json.Marshal(&fleetstate.AuditRecord{Request: request, Key: key, Kind: h.kind, Regime: h.regime,
-		Node: string(h.n.me.Node), Serial: serial, Steps: h.steps, Outcome: outcome})
+		Node: string(h.node.self.Node), Serial: serial, Steps: h.steps, Outcome: outcome})
 	return b
 }
 
@@ -47,21 +47,21 @@
 func auditOp(request, what string) ids.OpID { return ids.OpID("audit/" + request + "/" + what) }
 
 // begin records governed work that claims no key, before anything is sent to a worker.
-func (h *hands) begin(ctx context.Context, request string) error {
+func (h *transport) begin(ctx context.Context, request string) error {
 	if h.regime == "" || h.begun {
 		return nil
 	}
-	cx, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
+	callContext, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 	defer stop()
-	if err := h.n.audit(cx, auditOp(request, fleetstate.Begun), h.record(request, "", fleetstate.Begun)); err != nil {
-		return h.n.later(http.StatusServiceUnavailable, "core-away", "the request cannot be recorded: %v", err)
+	if err := h.node.audit(callContext, auditOp(request, fleetstate.Begun), h.record(request, "", fleetstate.Begun)); err != nil {
+		return h.node.later(http.StatusServiceUnavailable, "core-away", "the request cannot be recorded: %v", err)
 	}
 	h.begun = true
 	return nil
 }
 
 // end records the outcome; where the core is away it is owed.
-func (h *hands) end(request string, err error, count int) {
+func (h *transport) end(request string, err error, count int) {
 	if !h.begun {
 		return
 	}
@@ -72,16 +72,16 @@
 	case err != nil:
 		outcome = fleetstate.NotRun
 	}
-	d := debt{op: auditOp(request, "end"), audit: h.record(request, "", outcome)}
-	if !h.n.pay(context.Background(), d) {
-		h.n.debts.add(d)
+	d := unresolvedClaim{op: auditOp(request, "end"), audit: h.record(request, "", outcome)}
+	if !h.node.resolveClaim(context.Background(), d) {
+		h.node.unresolved.add(d)
 	}
 }
 
-// seized is the record of a deed that is settled for a node that died.
-func (n *Node) seized(d *fleetstate.IdempotencyRecord, fate string) []byte {
+// takenOver is the record of a deed that is settled for a node that died.
+func (n *Node) takenOver(d *fleetstate.IdempotencyRecord, fate string) []byte {
 	kind, _, _ := strings.Cut(d.Key, "/")
-	h := &hands{n: n, kind: kind, regime: n.view.Current().Register.Governs(kind)}
+	h := &transport{node: n, kind: kind, regime: n.view.Current().Register.Governs(kind)}
 	if h.regime == "" {
 		return nil
 	}
@@ -91,12 +91,12 @@
 }
 
 // Audits reads the core's chain.
-func (n *Node) Audits(ctx context.Context, from, most int) (*api.Audits, error) {
-	cx, stop := context.WithTimeout(ctx, 5*time.Second)
+func (n *Node) Audits(ctx context.Context, from, limit int) (*api.Audits, error) {
+	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(cx, "", fleetstate.AuditQueryKind, coordination.MustMarshal(&fleetstate.AuditQuery{From: from, Limit: most}))
+	r, err := n.agent.Submit(callContext, "", fleetstate.AuditQueryKind, coordination.MustMarshal(&fleetstate.AuditQuery{From: from, Limit: limit}))
 	if err != nil {
-		return nil, n.fate(err)
+		return nil, n.outcomeOf(err)
 	}
 	var got fleetstate.AuditQueryReply
 	if _, err := got.UnmarshalMsg(r.Body); err != nil {
--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -32,10 +32,10 @@
 	To   ids.NodeID `json:"to"`
 }
 
-// Room is what one part of a model can hold, in blocks.
-type Room struct {
+// PoolCapacity is what one part of a model can hold, in blocks.
+type PoolCapacity struct {
 	Model   string   `json:"model"`
-	Part    ids.Role `json:"part"`
+	Role    ids.Role `json:"part"`
 	Workers [2]int   `json:"workers"`
 	Blocks  [2]int   `json:"blocks"`
 	Used    int      `json:"used"`
@@ -47,7 +47,7 @@
 	Version  ids.Version       `json:"version"`
 	Workers  []string          `json:"workers"`
 	Keys     []Move            `json:"keys"`
-	Rooms    []Room            `json:"rooms"`
+	Capacity []PoolCapacity    `json:"rooms"`
 	Shares   map[string][2]int `json:"shares"`
 	Nodes    [2]int            `json:"nodes"`
 	Disks    [2]int            `json:"disks"`
@@ -59,11 +59,11 @@
 }
 
 // Foresee holds a change against the live state.
-func Foresee(st *router.Standing, now *fleetstate.Configuration, c Change) (*Forecast, error) {
+func Foresee(st *router.NodeStatus, now *fleetstate.Configuration, c Change) (*Forecast, error) {
 	if err := known(st, now, c); err != nil {
 		return nil, err
 	}
-	f := &Forecast{Version: st.Version, Workers: []string{}, Keys: []Move{}, Rooms: []Room{}, Shares: map[string][2]int{}, Warnings: []string{}}
+	f := &Forecast{Version: st.Version, Workers: []string{}, Keys: []Move{}, Capacity: []PoolCapacity{}, Shares: map[string][2]int{}, Warnings: []string{}}
 	next := now
 	if c.Policy != nil {
 		next = c.Policy
@@ -80,7 +80,7 @@
 	return f, nil
 }
 
-func known(st *router.Standing, p *fleetstate.Configuration, c Change) error {
+func known(st *router.NodeStatus, p *fleetstate.Configuration, c Change) error {
 	for _, z := range []ids.Zone{c.Evacuate, c.LoseZone} {
 		ok := z == ""
 		for _, have := range p.Zones {
@@ -163,7 +163,7 @@
 	return c.LoseZone != "" && c.LoseZone == zone || c.LoseAddr != "" && c.LoseAddr == addr
 }
 
-func (f *Forecast) keys(st *router.Standing, next *fleetstate.Configuration, c Change) {
+func (f *Forecast) keys(st *router.NodeStatus, next *fleetstate.Configuration, c Change) {
 	var was, is []ids.NodeID
 	for _, m := range st.Members {
 		was = append(was, m.Node)
@@ -192,14 +192,14 @@
 	}
 }
 
-func (f *Forecast) rooms(st *router.Standing, now, next *fleetstate.Configuration, c Change) {
+func (f *Forecast) rooms(st *router.NodeStatus, now, next *fleetstate.Configuration, c Change) {
 	type group struct {
 		model string
-		part  ids.Role
+		role  ids.Role
 	}
-	rooms := map[group]*Room{}
+	rooms := map[group]*PoolCapacity{}
 	zones := map[group][2]map[ids.Zone]bool{}
-	stands := map[ids.WorkerID]router.Stand{}
+	stands := map[ids.WorkerID]router.WorkerStatus{}
 	for _, s := range st.Workers {
 		stands[s.ID] = s
 	}
@@ -214,19 +214,19 @@
 		for id, w := range p.Workers {
 			part := w.Role
 			s, live := stands[id]
-			if live && s.Part != "" {
-				part = s.Part
+			if live && s.Role != "" {
+				part = s.Role
 			}
 			g := group{w.Model, part}
 			if rooms[g] == nil {
-				rooms[g] = &Room{Model: w.Model, Part: part}
+				rooms[g] = &PoolCapacity{Model: w.Model, Role: part}
 				zones[g] = [2]map[ids.Zone]bool{{}, {}}
 			}
 			if out[string(w.Zone)] || out[string(id)] {
 				continue
 			}
 			if i == 0 {
-				rooms[g].Used += max(0, s.Room-s.Free)
+				rooms[g].Used += max(0, s.Capacity-s.Free)
 			} else if c.lost(w.Zone, "") || c.Evacuate == w.Zone && w.Zone != "" || c.Drain == id {
 				continue
 			}
@@ -237,14 +237,14 @@
 	}
 	for g, r := range rooms {
 		r.Zones = [2]int{len(zones[g][0]), len(zones[g][1])}
-		f.Rooms = append(f.Rooms, *r)
+		f.Capacity = append(f.Capacity, *r)
 	}
-	sort.Slice(f.Rooms, func(i, j int) bool {
-		a, b := f.Rooms[i], f.Rooms[j]
-		return a.Model+string(a.Part) < b.Model+string(b.Part)
+	sort.Slice(f.Capacity, func(i, j int) bool {
+		a, b := f.Capacity[i], f.Capacity[j]
+		return a.Model+string(a.Role) < b.Model+string(b.Role)
 	})
-	for _, r := range f.Rooms {
-		who := fmt.Sprintf("%s of %s", r.Part, r.Model)
+	for _, r := range f.Capacity {
+		who := fmt.Sprintf("%s of %s", r.Role, r.Model)
 		switch {
 		case r.Workers[1] == 0 && r.Workers[0] > 0:
 			f.warn("no worker would be left for %s", who)
@@ -259,13 +259,13 @@
 }
 
 // deeds warns early of a store that fills up.
-func (f *Forecast) deeds(st *router.Standing, next *fleetstate.Configuration) {
-	if n, most := st.Deeds[0], next.Limits.MaxRecords; most > 0 && n*10 >= most*8 {
-		f.warn("%d of %d deeds are taken; at the last one new keys are bounced: raise limits.deeds", n, most)
+func (f *Forecast) deeds(st *router.NodeStatus, next *fleetstate.Configuration) {
+	if n, limit := st.Deeds[0], next.Limits.MaxRecords; limit > 0 && n*10 >= limit*8 {
+		f.warn("%d of %d deeds are taken; at the last one new keys are bounced: raise limits.deeds", n, limit)
 	}
 }
 
-func (f *Forecast) core(st *router.Standing, c Change) {
+func (f *Forecast) core(st *router.NodeStatus, c Change) {
 	f.Disks[0] = len(st.Core.Voters)
 	for _, s := range st.Core.Voters {
 		if !c.lost(s.Zone, s.Addr) {
--- a/internal/router/forecast/forecast_test.go
+++ b/internal/router/forecast/forecast_test.go
@@ -13,8 +13,8 @@
 	"keelstair.example/internal/router"
 )
 
-func fixture() (*router.Standing, *fleetstate.Configuration) {
-	st := &router.Standing{Version: 4}
+func fixture() (*router.NodeStatus, *fleetstate.Configuration) {
+	st := &router.NodeStatus{Version: 4}
 	p := &fleetstate.Configuration{Zones: []ids.Zone{"a", "b"}, Workers: map[ids.WorkerID]fleetstate.Worker{}}
 	for i, z := range []ids.Zone{"a", "b", "b"} {
 		n := string(rune('1' + i))
@@ -23,7 +23,7 @@
 		for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 			id := ids.WorkerID(string(part[0]) + n)
 			p.Workers[id] = fleetstate.Worker{Role: part, Model: "m", Weights: "w", Capacity: 100, Block: 16, Zone: z}
-			st.Workers = append(st.Workers, router.Stand{ID: id, Part: part, Ready: true, Free: 40, Room: 100})
+			st.Workers = append(st.Workers, router.WorkerStatus{ID: id, Role: part, Ready: true, Free: 40, Capacity: 100})
 		}
 	}
 	return st, p
@@ -41,8 +41,8 @@
 		require.Equal(t, ids.NodeID("n1"), m.To)
 		require.Equal(t, coordination.Owner(m.Key, []ids.NodeID{"n1", "n2", "n3"}), m.From)
 	}
-	require.Len(t, f.Rooms, 2)
-	require.Equal(t, [2]int{300, 100}, f.Rooms[0].Blocks)
+	require.Len(t, f.Capacity, 2)
+	require.Equal(t, [2]int{300, 100}, f.Capacity[0].Blocks)
 	require.Contains(t, f.Warnings, "the core could not decide: 1 of 3 disk machines would be left")
 	require.Contains(t, f.Warnings, "decode of m would have 100 blocks, 180 are taken now")
 	f, err = Foresee(st, p, Change{Evacuate: "a"})
--- a/internal/router/forecast/regimes.go
+++ b/internal/router/forecast/regimes.go
@@ -18,7 +18,7 @@
 const soon = 7 * 24 * time.Hour
 
 // gone tells which subjects a change, or what stands already, takes away.
-func gone(st *router.Standing, p *fleetstate.Configuration, c Change) func(certification.Subject) bool {
+func gone(st *router.NodeStatus, p *fleetstate.Configuration, c Change) func(certification.Subject) bool {
 	zones, nodes := map[ids.Zone]bool{}, map[string]bool{}
 	for _, z := range st.Evacuated {
 		zones[ids.Zone(z)] = true
@@ -38,7 +38,7 @@
 	}
 }
 
-func (f *Forecast) regimes(st *router.Standing, now, next *fleetstate.Configuration, c Change) error {
+func (f *Forecast) regimes(st *router.NodeStatus, now, next *fleetstate.Configuration, c Change) error {
 	before, _ := now.Register()
 	after, _ := next.Register()
 	if c.Revoke != "" {
--- a/internal/router/pass.go
+++ b/internal/router/forward.go
@@ -22,14 +22,14 @@
 	passSilent = 10 * time.Second // no step of a stream is silent for so long
 )
 
-// fellows lists, in a random order, the nodes that were heard lately, stand in no
+// peerMembers lists, in a random order, the nodes that were heard lately, stand in no
 // emptied zone, and are certified for a regime.
-func (n *Node) fellows(s *fleetstate.Snapshot, regime string) []coordination.Member {
+func (n *Node) peerMembers(s *fleetstate.Snapshot, regime string) []coordination.Member {
 	now := n.now()
 	var out []coordination.Member
 	for _, m := range n.agent.Members() {
-		v, ok := n.mates.Load(m.Node)
-		if m.Node == n.me.Node || !ok || now.Past(v.(mate).at, time.Second) || s.Zones[m.Zone] {
+		v, ok := n.peers.Load(m.Node)
+		if m.Node == n.self.Node || !ok || now.Past(v.(peerStatus).at, time.Second) || s.Zones[m.Zone] {
 			continue
 		}
 		if _, err := n.clears(regime, certification.Subject{Node: fleetstate.NodeName(m.Node)}, ""); err == nil {
@@ -42,9 +42,9 @@
 
 // pass has a certified node serve a request. The next one is asked only where the one
 // before surely did nothing.
-func (n *Node) pass(ctx context.Context, s *fleetstate.Snapshot, regime string, ask *api.Ask, out api.Sink) error {
-	for _, m := range n.fellows(s, regime) {
-		count, err := api.Pass(ctx, n.web, m.Addr, passPath, ask, passSilent, out)
+func (n *Node) pass(ctx context.Context, s *fleetstate.Snapshot, regime string, ask *api.StreamRequest, out api.Sink) error {
+	for _, m := range n.peerMembers(s, regime) {
+		count, err := api.Pass(ctx, n.httpClient, m.Addr, passPath, ask, passSilent, out)
 		if err == nil {
 			n.counts.Passed.Add(1)
 			return nil
@@ -59,20 +59,20 @@
 		case count == 0 && s.Configuration.Kinds[ask.Kind].Claimed:
 			return n.later(http.StatusServiceUnavailable, "claim-unknown", "the node that it was passed to is lost; ask again with the same key: %v", err)
 		case count == 0:
-			return n.crowd(http.StatusServiceUnavailable, "bounced", "the node that it was passed to is lost: %v", err)
+			return n.retryAfterHint(http.StatusServiceUnavailable, "bounced", "the node that it was passed to is lost: %v", err)
 		}
 		end := api.Broken
 		if s.Configuration.Kinds[ask.Kind].Claimed {
 			end = api.Unknown
 		}
 		n.counts.Broken.Add(1)
-		return out.Put(api.Line{Index: count, End: end, Count: count,
+		return out.Put(api.StreamEvent{Index: count, End: end, Count: count,
 			Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), After: n.after().Milliseconds()}})
 	}
 	return n.later(http.StatusServiceUnavailable, "not-certified", "this node is not certified for regime %q now, and reaches none that is", regime)
 }
 
 // servePassed answers what another node passed on; it is passed no further.
-func (n *Node) servePassed(ctx context.Context, ask *api.Ask, out api.Sink) error {
+func (n *Node) servePassed(ctx context.Context, ask *api.StreamRequest, out api.Sink) error {
 	return n.serve(ctx, ask, out, true)
 }
--- a/internal/router/govern.go
+++ b/internal/router/govern.go
@@ -15,8 +15,8 @@
 	"keelstair.example/internal/handoff"
 )
 
-// guardEvery is how often a running step is held against the register.
-const guardEvery = 50 * time.Millisecond
+// guardInterval is how often a running step is held against the register.
+const guardInterval = 50 * time.Millisecond
 
 // allows tells whether this node, and then a worker in a part, may handle a regime's
 // work now, and gives the worker's serial. What no regime governs (any more) is allowed.
@@ -24,7 +24,7 @@
 	if regime == "" || !n.view.Current().Register.Has(regime) {
 		return "", nil
 	}
-	if _, err := n.clears(regime, certification.Subject{Node: n.opt.Name}, ""); err != nil {
+	if _, err := n.clears(regime, certification.Subject{Node: n.options.Name}, ""); err != nil {
 		return "", err
 	}
 	return n.clears(regime, certification.Subject{Worker: w}, part)
@@ -32,39 +32,39 @@
 
 // bound gives the regime of a request now: the newest one that governs its kind, else
 // the one that it began under.
-func (h *hands) bound(s *fleetstate.Snapshot) string {
+func (h *transport) bound(s *fleetstate.Snapshot) string {
 	if g := s.Register.Governs(h.kind); g != "" {
 		h.regime = g
 	}
 	return h.regime
 }
 
-// free tells whether a stand has room for so many blocks beside what its worker keeps
+// idleWorkers tells whether a stand has room for so many blocks beside what its worker keeps
 // for governed work.
-func (n *Node) free(s *fleetstate.Snapshot, st Stand, need int) bool {
+func (n *Node) idleWorkers(s *fleetstate.Snapshot, st WorkerStatus, need int) bool {
 	if s.Register == nil {
 		return true
 	}
-	keep := s.Register.RetentionOf(st.ID, st.Part, n.clock())
-	return st.Free-need >= st.Room*keep/100 && (keep == 0 || st.Busy < handoff.Beside(st.Cap, keep))
+	keep := s.Register.RetentionOf(st.ID, st.Role, n.clock())
+	return st.Free-need >= st.Capacity*keep/100 && (keep == 0 || st.Busy < handoff.Beside(st.MaxConcurrent, keep))
 }
 
 // check is the holder's: an order for governed work is given only while the register
 // clears the holder itself, the worker, and where memory would move also its source. It
 // gives the worker's serial.
-func (n *Node) check(q *OrderAsk) (string, error) {
-	switch q.Verb {
+func (n *Node) check(request *OrderRequest) (string, error) {
+	switch request.Verb {
 	case verbReserve, verbPrefill, verbExport, verbImport, verbResume:
 	default:
 		return "", nil // cancelling and freeing are always right
 	}
-	serial, err := n.allows(q.Regime, q.Worker, q.Part)
+	serial, err := n.allows(request.Regime, request.Worker, request.Role)
 	if err != nil {
-		return "", failure.Wrap(err, q.Verb, string(q.Worker))
+		return "", failure.Wrap(err, request.Verb, string(request.Worker))
 	}
-	if q.Verb == verbImport {
-		if _, err := n.allows(q.Regime, q.Source, ids.Prefill); err != nil {
-			return "", failure.As(err, failure.DataLost, q.Verb, string(q.Source))
+	if request.Verb == verbImport {
+		if _, err := n.allows(request.Regime, request.Source, ids.Prefill); err != nil {
+			return "", failure.As(err, failure.DataLost, request.Verb, string(request.Source))
 		}
 	}
 	return serial, nil
@@ -73,16 +73,16 @@
 // guard ends a step's context once the worker, or the one that memory comes from, is not
 // cleared any more. The function that it gives names the cause over an error that came of
 // it.
-func (h *hands) guard(ctx context.Context, w ids.WorkerID, part ids.Role, source ids.WorkerID) (context.Context, func(error) error) {
+func (h *transport) guard(ctx context.Context, w ids.WorkerID, part ids.Role, source ids.WorkerID) (context.Context, func(error) error) {
 	if h.regime == "" {
 		return ctx, func(err error) error { return err }
 	}
 	ctx, stop := context.WithCancelCause(ctx)
 	go func() {
-		for host.Sleep(ctx, guardEvery) {
-			_, err := h.n.allows(h.regime, w, part)
+		for host.Sleep(ctx, guardInterval) {
+			_, err := h.node.allows(h.regime, w, part)
 			if err == nil && source != "" {
-				_, err = h.n.allows(h.regime, source, ids.Prefill)
+				_, err = h.node.allows(h.regime, source, ids.Prefill)
 			}
 			if err != nil {
 				stop(err)
--- a/internal/router/beats_test.go
+++ b/internal/router/heartbeat_test.go
@@ -29,7 +29,7 @@
 		defer func() { stop(); near.Kill(); at.Kill(); time.Sleep(10 * time.Second) }()
 		b := coordination.Member{Node: "b", Addr: "10.0.0.1:1"}
 		n := New(Options{Name: "n", Addr: "10.0.0.2:1", Host: at.Host()})
-		img := &coordination.Snapshot{Seq: 1, Members: []coordination.Member{n.me, b, {Node: "c"}}, State: fleetstate.NewView(logging.Discard()).Snapshot()}
+		img := &coordination.Snapshot{Seq: 1, Members: []coordination.Member{n.self, b, {Node: "c"}}, State: fleetstate.NewView(logging.Discard()).Snapshot()}
 		mux := http.NewServeMux()
 		rpc.Handle(mux, coordination.WatchMethod, func(context.Context, *coordination.WatchRequest) (*coordination.WatchResponse, error) {
 			return &coordination.WatchResponse{Seq: 1, Snapshot: coordination.MustMarshal(img)}, nil
@@ -39,30 +39,30 @@
 		go rpc.Serve(ctx, l, mux)
 		require.NoError(t, n.agent.Fetch(ctx, b.Addr))
 		require.Len(t, n.agent.Members(), 3)
-		beat, slow := &Beat{Node: "b"}, 200*time.Millisecond
-		rpc.Handle(mux, "verge/beat", func(context.Context, *Beat) (*Beat, error) { time.Sleep(slow); return beat, nil })
+		beat, slow := &Heartbeat{Node: "b"}, 200*time.Millisecond
+		rpc.Handle(mux, heartbeatMethod, func(context.Context, *Heartbeat) (*Heartbeat, error) { time.Sleep(slow); return beat, nil })
 		hear := func() {
-			_, err := n.hearBeat(ctx, beat)
+			_, err := n.handleHeartbeat(ctx, beat)
 			require.NoError(t, err)
 		}
 
 		hear()
-		require.False(t, n.current(), "it came by itself")
-		n.learn(ctx, b, beat, n.now().Add(-currentSpan-time.Millisecond))
-		require.False(t, n.current(), "asked too long ago")
+		require.False(t, n.knowsNewest(), "it came by itself")
+		n.learn(ctx, b, beat, n.now().Add(-currentTTL-time.Millisecond))
+		require.False(t, n.knowsNewest(), "asked too long ago")
 		n.learn(ctx, b, beat, n.now())
-		require.True(t, n.current())
+		require.True(t, n.knowsNewest())
 		hear()
-		require.True(t, n.current(), "the answer still counts")
-		time.Sleep(currentSpan + time.Millisecond)
+		require.True(t, n.knowsNewest(), "the answer still counts")
+		time.Sleep(currentTTL + time.Millisecond)
 		hear()
-		require.False(t, n.current(), "it was asked too long ago by now")
-		go n.beats(ctx)
-		time.Sleep(n.opt.Beat + slow + 50*time.Millisecond)
-		require.True(t, n.current(), "it asks by itself")
-		v, _ := n.mates.Load(b.Node)
-		require.GreaterOrEqual(t, v.(mate).at.Since(v.(mate).told), slow, "from the asking on, not from the answer")
-		n.call.Close()
+		require.False(t, n.knowsNewest(), "it was asked too long ago by now")
+		go n.heartbeatLoop(ctx)
+		time.Sleep(n.options.HeartbeatInterval + slow + 50*time.Millisecond)
+		require.True(t, n.knowsNewest(), "it asks by itself")
+		v, _ := n.peers.Load(b.Node)
+		require.GreaterOrEqual(t, v.(peerStatus).at.Since(v.(peerStatus).version), slow, "from the asking on, not from the answer")
+		n.caller.Close()
 	})
 }
 
@@ -79,47 +79,50 @@
 				defer func() { stop(); near.Kill(); at.Kill(); away.Kill(); time.Sleep(10 * time.Second) }()
 				b, c := coordination.Member{Node: "b", Addr: "10.0.0.1:1"}, coordination.Member{Node: "c", Addr: "10.0.0.3:1"}
 				n := New(Options{Name: "n", Addr: "10.0.0.2:1", Host: at.Host()})
-				img := &coordination.Snapshot{Seq: 1, Members: []coordination.Member{n.me, b, c}, State: fleetstate.NewView(logging.Discard()).Snapshot()}
+				img := &coordination.Snapshot{Seq: 1, Members: []coordination.Member{n.self, b, c}, State: fleetstate.NewView(logging.Discard()).Snapshot()}
 				mux := http.NewServeMux()
 				rpc.Handle(mux, coordination.WatchMethod, func(context.Context, *coordination.WatchRequest) (*coordination.WatchResponse, error) {
 					return &coordination.WatchResponse{Seq: 1, Snapshot: coordination.MustMarshal(img)}, nil
 				})
-				rpc.Handle(mux, "verge/beat", func(context.Context, *Beat) (*Beat, error) { time.Sleep(slow); return &Beat{Node: "b"}, nil })
+				rpc.Handle(mux, heartbeatMethod, func(context.Context, *Heartbeat) (*Heartbeat, error) {
+					time.Sleep(slow)
+					return &Heartbeat{Node: "b"}, nil
+				})
 				l, err := near.Host().Net.Listen(b.Addr)
 				require.NoError(t, err)
 				go rpc.Serve(ctx, l, mux)
 				require.NoError(t, n.agent.Fetch(ctx, b.Addr))
 				w.Partition([]string{"10.0.0.2"}, []string{"10.0.0.3"}, true)
-				go n.beats(ctx)
+				go n.heartbeatLoop(ctx)
 				time.Sleep(2 * time.Second)
-				longest := func(span time.Duration) (most time.Duration) {
+				longest := func(duration time.Duration) (limit time.Duration) {
 					var since time.Time
-					for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(time.Millisecond) {
+					for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(time.Millisecond) {
 						switch {
-						case n.current():
+						case n.knowsNewest():
 							since = time.Time{}
 						case since.IsZero():
 							since = time.Now()
 						default:
-							most = max(most, time.Since(since))
+							limit = max(limit, time.Since(since))
 						}
 					}
-					return most
+					return limit
 				}
-				require.True(t, n.current())
+				require.True(t, n.knowsNewest())
 				got := longest(20 * time.Second)
 				t.Log("the longest hold:", got)
 				require.Zero(t, got)
 				w.Partition([]string{"10.0.0.2"}, []string{"10.0.0.1"}, true)
-				time.Sleep(currentSpan + time.Millisecond)
-				require.False(t, n.current(), "it might not have heard")
+				time.Sleep(currentTTL + time.Millisecond)
+				require.False(t, n.knowsNewest(), "it might not have heard")
 				require.Greater(t, longest(3*time.Second), 2900*time.Millisecond)
 				w.Partition([]string{"10.0.0.2"}, []string{"10.0.0.1"}, false)
 				got = longest(5 * time.Second)
 				t.Log("after the cut:", got)
 				require.Less(t, got, time.Second)
-				require.True(t, n.current())
-				n.call.Close()
+				require.True(t, n.knowsNewest())
+				n.caller.Close()
 			})
 		})
 	}
--- a/internal/router/holder.go
+++ b/internal/router/holder.go
@@ -19,30 +19,30 @@
 	"keelstair.example/rpc"
 )
 
-// desk is the duty for one worker under one grant.
-type desk struct {
+// workerDuty is the duty for one worker under one grant.
+type workerDuty struct {
 	id     ids.WorkerID
 	fence  ids.Fence
-	ledger *handoff.Ledger
+	ledger *handoff.MemoryLedger
 	known  bool // the worker knows the fence; the poll alone reads and sets it
 	stop   context.CancelFunc
 }
 
 // Verbs of orders.
 const (
-	verbReserve = "reserve"
-	verbPrefill = "prefill"
-	verbExport  = "export"
-	verbImport  = "import"
-	verbResume  = "resume"
-	verbCancel  = "cancel"
-	verbDone    = "done"
-	verbTurn    = "turn"
+	verbReserve    = "reserve"
+	verbPrefill    = "prefill"
+	verbExport     = "export"
+	verbImport     = "import"
+	verbResume     = "resume"
+	verbCancel     = "cancel"
+	verbDone       = "done"
+	verbRoleChange = "turn"
 )
 
-// desks opens a desk for each worker whose key falls here and shuts those that
+// dutyLoop opens a desk for each worker whose key falls here and shuts those that
 // went elsewhere.
-func (n *Node) desks(ctx context.Context) {
+func (n *Node) dutyLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	for {
 		lim := n.view.Current().Configuration.Limits
@@ -53,22 +53,22 @@
 				continue
 			}
 			mine[id] = true
-			if old, ok := n.ledgers.Load(id); ok {
-				if d := old.(*desk); d.fence == f {
-					d.ledger.Tune(lim.Lag(), lim.SlowStart(), lim.Queue)
+			if previous, ok := n.duties.Load(id); ok {
+				if d := previous.(*workerDuty); d.fence == f {
+					d.ledger.Configure(lim.Lag(), lim.SlowStart(), lim.Queue)
 					continue
 				}
-				old.(*desk).stop()
+				previous.(*workerDuty).stop()
 			}
-			cx, stop := context.WithCancel(ctx)
-			d := &desk{id: id, fence: f, stop: stop, ledger: handoff.NewLedger(lim.Lag(), lim.SlowStart(), lim.Queue)}
-			n.ledgers.Store(id, d)
-			wg.Go(func() { n.poll(cx, d) })
+			callContext, stop := context.WithCancel(ctx)
+			d := &workerDuty{id: id, fence: f, stop: stop, ledger: handoff.NewMemoryLedger(lim.Lag(), lim.SlowStart(), lim.Queue)}
+			n.duties.Store(id, d)
+			wg.Go(func() { n.poll(callContext, d) })
 		}
-		n.ledgers.Range(func(k, v any) bool {
+		n.duties.Range(func(k, v any) bool {
 			if !mine[k.(ids.WorkerID)] {
-				v.(*desk).stop()
-				n.ledgers.Delete(k)
+				v.(*workerDuty).stop()
+				n.duties.Delete(k)
 			}
 			return true
 		})
@@ -76,13 +76,13 @@
 			break
 		}
 	}
-	n.ledgers.Range(func(_, v any) bool { v.(*desk).stop(); return true })
+	n.duties.Range(func(_, v any) bool { v.(*workerDuty).stop(); return true })
 	wg.Wait()
 }
 
-func (n *Node) poll(ctx context.Context, d *desk) {
+func (n *Node) poll(ctx context.Context, d *workerDuty) {
 	for {
-		if l, ok := (*n.roster.Load())[d.id]; ok {
+		if l, ok := (*n.workerList.Load())[d.id]; ok {
 			asked := n.now()
 			r, err := n.workerClient.Report(ctx, l.Addr)
 			if err == nil && !d.known {
@@ -95,7 +95,7 @@
 				d.ledger.Missed()
 			}
 		}
-		if !host.Sleep(ctx, n.opt.Poll) {
+		if !host.Sleep(ctx, n.options.PollInterval) {
 			return
 		}
 	}
@@ -104,18 +104,18 @@
 // firstOrder names the worker the part that it has, under the new fence. From
 // then on it obeys no earlier holder, and only from then on is the time counted
 // after which a report surely shows all that the earlier one had ordered.
-func (n *Node) firstOrder(ctx context.Context, d *desk, addr string, part ids.Role) error {
+func (n *Node) firstOrder(ctx context.Context, d *workerDuty, addr string, part ids.Role) error {
 	f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id))
 	if !ok || f != d.fence {
-		return failure.New(failure.Unavailable, "first order", n.me.Addr, "the key of %s went to other hands", d.id)
+		return failure.New(failure.Unavailable, "first order", n.self.Addr, "the key of %s went to other hands", d.id)
 	}
-	if !n.sure() {
-		return failure.New(failure.Unavailable, "first order", n.me.Addr, "a newer version may be in force")
+	if !n.current() {
+		return failure.New(failure.Unavailable, "first order", n.self.Addr, "a newer version may be in force")
 	}
-	cx, stop := context.WithTimeout(ctx, 800*time.Millisecond)
+	callContext, stop := context.WithTimeout(ctx, 800*time.Millisecond)
 	defer stop()
 	lead := workerclient.OrderHeader{Fence: f, Version: n.view.Current().Version}
-	if _, err := n.workerClient.SetRole(cx, addr, &workerclient.RoleRequest{OrderHeader: lead, Role: part}); err != nil {
+	if _, err := n.workerClient.SetRole(callContext, addr, &workerclient.RoleRequest{OrderHeader: lead, Role: part}); err != nil {
 		return err
 	}
 	d.known = true
@@ -123,77 +123,77 @@
 	return nil
 }
 
-// obey answers an order that another node (or this one) asks the holder for.
-func (n *Node) obey(ctx context.Context, q *OrderAsk) (*OrderReply, error) {
-	a, err := n.act(ctx, q)
+// handleOrder answers an order that another node (or this one) asks the holder for.
+func (n *Node) handleOrder(ctx context.Context, request *OrderRequest) (*OrderResponse, error) {
+	a, err := n.act(ctx, request)
 	if err != nil {
-		return nil, failure.Wrap(err, q.Verb, string(q.Worker))
+		return nil, failure.Wrap(err, request.Verb, string(request.Worker))
 	}
-	r := &OrderReply{Version: n.view.HighestVersion()}
+	r := &OrderResponse{Version: n.view.HighestVersion()}
 	if a != nil {
 		r.Version = max(r.Version, a.Version)
 		if r.Body, err = json.Marshal(a); err != nil {
-			return nil, failure.As(err, failure.InvalidArgument, q.Verb, string(q.Worker))
+			return nil, failure.As(err, failure.InvalidArgument, request.Verb, string(request.Worker))
 		}
 	}
 	return r, nil
 }
 
-func (n *Node) act(ctx context.Context, q *OrderAsk) (*workerclient.OrderResponse, error) {
-	fence, end, ok := n.agent.BeginOperation(fleetstate.WorkerKey(q.Worker))
+func (n *Node) act(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
+	fence, end, ok := n.agent.BeginOperation(fleetstate.WorkerKey(request.Worker))
 	if !ok {
-		return nil, failure.New(failure.Unavailable, "hold key", n.me.Addr, "not the holder of %s", q.Worker)
+		return nil, failure.New(failure.Unavailable, "hold key", n.self.Addr, "not the holder of %s", request.Worker)
 	}
 	defer end()
-	v, ok := n.ledgers.Load(q.Worker)
-	if !ok || v.(*desk).fence != fence {
-		return nil, failure.New(failure.Unavailable, "hold key", n.me.Addr, "the desk of %s is not open yet", q.Worker)
+	v, ok := n.duties.Load(request.Worker)
+	if !ok || v.(*workerDuty).fence != fence {
+		return nil, failure.New(failure.Unavailable, "hold key", n.self.Addr, "the desk of %s is not open yet", request.Worker)
 	}
-	led := v.(*desk).ledger
-	if _, err := n.check(q); err != nil {
+	led := v.(*workerDuty).ledger
+	if _, err := n.check(request); err != nil {
 		return nil, err
 	}
-	id := workerclient.ID{Request: q.Request, Attempt: q.Attempt}
-	l, ok := (*n.roster.Load())[q.Worker]
+	id := workerclient.ID{Request: request.Request, Attempt: request.Attempt}
+	l, ok := (*n.workerList.Load())[request.Worker]
 	if !ok {
-		return nil, failure.New(failure.DataLost, "find worker", string(q.Worker), "the platform does not list it")
+		return nil, failure.New(failure.DataLost, "find worker", string(request.Worker), "the platform does not list it")
 	}
-	settled := n.view.NoteVersion(q.Version)
+	settled := n.view.NoteVersion(request.Version)
 	lead := workerclient.OrderHeader{Fence: fence, Version: n.view.Current().Version}
 	var in workerclient.Identity
-	if len(q.Body) > 0 && q.Verb != verbTurn {
-		if err := json.Unmarshal(q.Body, &in); err != nil {
-			return nil, failure.As(err, failure.InvalidArgument, "read order", string(q.Worker))
+	if len(request.Body) > 0 && request.Verb != verbRoleChange {
+		if err := json.Unmarshal(request.Body, &in); err != nil {
+			return nil, failure.As(err, failure.InvalidArgument, "read order", string(request.Worker))
 		}
 	}
 	var a *workerclient.OrderResponse
 	var err error
-	switch q.Verb {
+	switch request.Verb {
 	case verbReserve:
 		s := n.view.Current()
-		if q.Version < s.Version {
-			return nil, failure.New(failure.Stale, "reserve", string(q.Worker), "picked under version %d, %d is in force", q.Version, s.Version)
+		if request.Version < s.Version {
+			return nil, failure.New(failure.Stale, "reserve", string(request.Worker), "picked under version %d, %d is in force", request.Version, s.Version)
 		}
-		if !n.fit(s, q.Worker) || !settled || !n.current() {
-			return nil, failure.New(failure.NotExecuted, "reserve", string(q.Worker), "it may get no new work")
+		if !n.fit(s, request.Worker) || !settled || !n.knowsNewest() {
+			return nil, failure.New(failure.NotExecuted, "reserve", string(request.Worker), "it may get no new work")
 		}
 		keep := 0
-		if q.Regime == "" {
-			keep = s.Register.RetentionOf(q.Worker, led.Part(), n.clock())
+		if request.Regime == "" {
+			keep = s.Register.RetentionOf(request.Worker, led.Role(), n.clock())
 		}
-		return nil, led.ReserveBeside(id, q.Need, keep, n.now())
+		return nil, led.ReserveBeside(id, request.Need, keep, n.now())
 	case verbPrefill:
 		if !led.Reserved(id) {
-			return nil, failure.New(failure.NotExecuted, "prefill", string(q.Worker), "no room is booked for %s", id.Request)
+			return nil, failure.New(failure.NotExecuted, "prefill", string(request.Worker), "no room is booked for %s", id.Request)
 		}
 		led.Moved(id, n.now())
 		a, err = n.workerClient.Prefill(ctx, l.Addr, &workerclient.PrefillRequest{OrderHeader: lead, Identity: in})
 	case verbExport:
 		a, err = n.workerClient.Export(ctx, l.Addr, &workerclient.ExportRequest{OrderHeader: lead, ID: id})
 	case verbImport:
-		src, ok := (*n.roster.Load())[q.Source]
+		src, ok := (*n.workerList.Load())[request.Source]
 		if !led.Reserved(id) || !ok {
-			return nil, failure.New(failure.NotExecuted, "import", string(q.Worker), "no room is booked for %s", id.Request)
+			return nil, failure.New(failure.NotExecuted, "import", string(request.Worker), "no room is booked for %s", id.Request)
 		}
 		led.Moved(id, n.now())
 		a, err = n.workerClient.Import(ctx, l.Addr, &workerclient.ImportRequest{OrderHeader: lead, Identity: in, Source: src.Addr})
@@ -202,13 +202,13 @@
 	case verbCancel:
 		a, err = n.workerClient.Cancel(ctx, l.Addr, &workerclient.IDRequest{OrderHeader: lead, ID: id})
 		led.Ended(id, err == nil, n.now())
-	case verbTurn:
-		return n.turnHere(ctx, v.(*desk), l.Addr, lead, ids.Role(q.Body))
+	case verbRoleChange:
+		return n.handleRoleChange(ctx, v.(*workerDuty), l.Addr, lead, ids.Role(request.Body))
 	case verbDone:
-		led.Ended(id, q.Need > 0, n.now())
+		led.Ended(id, request.Need > 0, n.now())
 		return nil, nil
 	default:
-		return nil, failure.New(failure.InvalidArgument, "read order", n.me.Addr, "no verb %q", q.Verb)
+		return nil, failure.New(failure.InvalidArgument, "read order", n.self.Addr, "no verb %q", request.Verb)
 	}
 	if err != nil {
 		return nil, err
@@ -220,42 +220,42 @@
 // order sends an order to the worker's holder, wherever that is now. While the
 // key is between two hands nothing was done, and it asks again until its time
 // is up; only a reservation is better made elsewhere.
-func (n *Node) order(ctx context.Context, q *OrderAsk) (*workerclient.OrderResponse, error) {
+func (n *Node) order(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
 	for {
-		a, err := n.ferry(ctx, q)
+		a, err := n.transferOrder(ctx, request)
 		if !failure.Is(err, failure.Unavailable) {
 			return a, err
 		}
-		if q.Verb == verbReserve || q.Verb == verbDone || !host.Sleep(ctx, 60*time.Millisecond) {
-			return nil, failure.As(err, failure.NotExecuted, q.Verb, string(q.Worker))
+		if request.Verb == verbReserve || request.Verb == verbDone || !host.Sleep(ctx, 60*time.Millisecond) {
+			return nil, failure.As(err, failure.NotExecuted, request.Verb, string(request.Worker))
 		}
 	}
 }
 
-func (n *Node) ferry(ctx context.Context, q *OrderAsk) (*workerclient.OrderResponse, error) {
-	if q.Version = n.view.HighestVersion(); q.Verb == verbReserve {
-		q.Version = n.view.Current().Version
+func (n *Node) transferOrder(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
+	if request.Version = n.view.HighestVersion(); request.Verb == verbReserve {
+		request.Version = n.view.Current().Version
 	}
-	m, _, ok := n.agent.KeyOwner(fleetstate.WorkerKey(q.Worker))
+	m, _, ok := n.agent.KeyOwner(fleetstate.WorkerKey(request.Worker))
 	if !ok {
-		return nil, failure.New(failure.Unavailable, q.Verb, string(q.Worker), "nobody holds its key now")
+		return nil, failure.New(failure.Unavailable, request.Verb, string(request.Worker), "nobody holds its key now")
 	}
-	if m.Node == n.me.Node {
-		a, err := n.act(ctx, q)
-		return a, failure.Wrap(err, q.Verb, string(q.Worker))
+	if m.Node == n.self.Node {
+		a, err := n.act(ctx, request)
+		return a, failure.Wrap(err, request.Verb, string(request.Worker))
 	}
-	r, err := rpc.Call[OrderAsk, OrderReply](ctx, n.call, m.Addr, "verge/order", q)
+	r, err := rpc.Call[OrderRequest, OrderResponse](ctx, n.caller, m.Addr, OrderMethod, request)
 	if rpc.IsDialError(err) {
-		return nil, failure.As(err, failure.Unavailable, q.Verb, string(q.Worker))
+		return nil, failure.As(err, failure.Unavailable, request.Verb, string(request.Worker))
 	}
 	if err != nil {
-		return nil, failure.Wrap(err, q.Verb, string(q.Worker))
+		return nil, failure.Wrap(err, request.Verb, string(request.Worker))
 	}
 	n.view.NoteVersion(r.Version)
 	a := &workerclient.OrderResponse{}
 	if len(r.Body) > 0 {
 		if err := json.Unmarshal(r.Body, a); err != nil {
-			return nil, failure.As(err, failure.OutcomeUnknown, q.Verb, m.Addr)
+			return nil, failure.As(err, failure.OutcomeUnknown, request.Verb, m.Addr)
 		}
 	}
 	return a, nil
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -24,31 +24,31 @@
 
 // Options of a node; zero spans take the defaults named beside them.
 type Options struct {
-	Name     string
-	Addr     string
-	Zone     ids.Zone
-	Seeds    []string
-	Platform string
-	Host     host.Host
-	Ring     *logging.Ring
-	Lease    time.Duration // 3s
-	Renew    time.Duration // 500ms
-	Beat     time.Duration // 150ms between neighbours
-	Poll     time.Duration // 200ms between reports of a worker
-	Roster   time.Duration // 400ms between askings of the platform's list
-	Orphan   time.Duration // 2s, the same as the workers'
-	Pulse    time.Duration // 1.2s of silence within a stream
-	Trace    func(handoff.Event)
+	Name              string
+	Addr              string
+	Zone              ids.Zone
+	Seeds             []string
+	Platform          string
+	Host              host.Host
+	Ring              *logging.Ring
+	LeaseDuration     time.Duration // 3s
+	RenewInterval     time.Duration // 500ms
+	HeartbeatInterval time.Duration // 150ms between neighbours
+	PollInterval      time.Duration // 200ms between reports of a worker
+	ListInterval      time.Duration // 400ms between askings of the platform's list
+	OrphanTimeout     time.Duration // 2s, the same as the workers'
+	StreamTimeout     time.Duration // 1.2s of silence within a stream
+	Trace             func(handoff.Event)
 }
 
-func (o *Options) fill() {
-	ids.SetDefault(&o.Lease, 3*time.Second)
-	ids.SetDefault(&o.Renew, 500*time.Millisecond)
-	ids.SetDefault(&o.Beat, 150*time.Millisecond)
-	ids.SetDefault(&o.Poll, 200*time.Millisecond)
-	ids.SetDefault(&o.Roster, 400*time.Millisecond)
-	ids.SetDefault(&o.Orphan, 2*time.Second)
-	ids.SetDefault(&o.Pulse, 1200*time.Millisecond)
+func (o *Options) setDefaults() {
+	ids.SetDefault(&o.LeaseDuration, 3*time.Second)
+	ids.SetDefault(&o.RenewInterval, 500*time.Millisecond)
+	ids.SetDefault(&o.HeartbeatInterval, 150*time.Millisecond)
+	ids.SetDefault(&o.PollInterval, 200*time.Millisecond)
+	ids.SetDefault(&o.ListInterval, 400*time.Millisecond)
+	ids.SetDefault(&o.OrphanTimeout, 2*time.Second)
+	ids.SetDefault(&o.StreamTimeout, 1200*time.Millisecond)
 	if o.Ring == nil {
 		o.Ring = logging.Discard()
 	}
@@ -56,32 +56,32 @@
 
 // Node is one router node.
 type Node struct {
-	opt          Options
-	me           coordination.Member
+	options      Options
+	self         coordination.Member
 	agent        *coordination.Agent
 	view         *fleetstate.View
 	workerClient *workerclient.Client
-	call         *rpc.Caller
-	web          *http.Client // for what is passed on
+	caller       *rpc.Caller
+	httpClient   *http.Client // for what is passed on
 	scores       *routing.Scores
 	journal      *logging.Journal[handoff.Event]
 	counts       Counts
 
-	decks    sync.Map // ids.Version -> *routing.Deck
-	roster   atomic.Pointer[map[ids.WorkerID]workerclient.ListedWorker]
-	listed   atomic.Int64 // when the roster was had
-	stands   atomic.Pointer[map[ids.WorkerID]Stand]
-	leave    atomic.Pointer[map[ids.WorkerID]bool]
-	mates    sync.Map // ids.NodeID -> mate
-	ledgers  sync.Map // ids.WorkerID -> *desk
-	blames   sync.Map // ids.WorkerID -> blame
-	debts    debts
-	turned   sync.Map // ids.WorkerID -> ids.Tick
-	inflight atomic.Int64
-	kinds    sync.Map // kind -> *atomic.Int64
-	stopping atomic.Bool
-	purse    purse
-	tide     handoff.Tide
+	programSets  sync.Map // ids.Version -> *routing.Deck
+	workerList   atomic.Pointer[map[ids.WorkerID]workerclient.ListedWorker]
+	listed       atomic.Int64 // when the roster was had
+	workerStatus atomic.Pointer[map[ids.WorkerID]WorkerStatus]
+	leave        atomic.Pointer[map[ids.WorkerID]bool]
+	peers        sync.Map // ids.NodeID -> mate
+	duties       sync.Map // ids.WorkerID -> *desk
+	faults       sync.Map // ids.WorkerID -> blame
+	unresolved   unresolvedClaims
+	roleChanges  sync.Map // ids.WorkerID -> ids.Tick
+	inflight     atomic.Int64
+	kinds        sync.Map // kind -> *atomic.Int64
+	stopping     atomic.Bool
+	retryTokens  retryTokens
+	retryAfter   handoff.RetryAfterScheduler
 }
 
 // Counts are the node's figures since it started.
@@ -92,28 +92,28 @@
 // New returns a node with the given options, and defaults for those that are left at zero.
 // It starts nothing.
 func New(opt Options) *Node {
-	opt.fill()
-	n := &Node{opt: opt, scores: &routing.Scores{}, journal: logging.NewJournal[handoff.Event](1024)}
-	n.me = coordination.Member{Node: ids.NodeID(opt.Name + "-" + coordination.NewID()), Addr: opt.Addr, Zone: opt.Zone}
+	opt.setDefaults()
+	n := &Node{options: opt, scores: &routing.Scores{}, journal: logging.NewJournal[handoff.Event](1024)}
+	n.self = coordination.Member{Node: ids.NodeID(opt.Name + "-" + coordination.NewID()), Addr: opt.Addr, Zone: opt.Zone}
 	n.view = fleetstate.NewView(opt.Ring)
 	n.view.Ready = n.compile
-	n.agent = coordination.NewAgent(coordination.AgentOptions{Self: n.me, Host: opt.Host, Seeds: opt.Seeds, Watcher: n.view, Ring: opt.Ring,
-		LeaseDuration: opt.Lease, RenewInterval: opt.Renew, CoreUnreachable: n.lonely})
-	n.call = n.agent.Caller()
+	n.agent = coordination.NewAgent(coordination.AgentOptions{Self: n.self, Host: opt.Host, Seeds: opt.Seeds, Watcher: n.view, Ring: opt.Ring,
+		LeaseDuration: opt.LeaseDuration, RenewInterval: opt.RenewInterval, CoreUnreachable: n.coreUnreachable})
+	n.caller = n.agent.Caller()
 	n.workerClient = workerclient.New(opt.Host.Net)
-	n.web = rpc.NewHTTPClient(opt.Host.Net)
-	n.roster.Store(&map[ids.WorkerID]workerclient.ListedWorker{})
-	n.stands.Store(&map[ids.WorkerID]Stand{})
+	n.httpClient = rpc.NewHTTPClient(opt.Host.Net)
+	n.workerList.Store(&map[ids.WorkerID]workerclient.ListedWorker{})
+	n.workerStatus.Store(&map[ids.WorkerID]WorkerStatus{})
 	n.leave.Store(&map[ids.WorkerID]bool{})
-	n.journal.Subscribe(n.fold)
+	n.journal.Subscribe(n.foldReport)
 	if opt.Trace != nil {
 		n.journal.Subscribe(opt.Trace)
 	}
 	return n
 }
 
-func (n *Node) fold(e handoff.Event) {
-	switch e.Stage {
+func (n *Node) foldReport(e handoff.Event) {
+	switch e.Step {
 	case handoff.Resumed:
 		n.counts.Moved.Add(1)
 	case handoff.Granted:
@@ -123,10 +123,10 @@
 	}
 }
 
-func (n *Node) now() ids.Tick { return n.opt.Host.Clock.Now() }
+func (n *Node) now() ids.Tick { return n.options.Host.Clock.Now() }
 
 // Me is how the core knows this node.
-func (n *Node) Me() coordination.Member { return n.me }
+func (n *Node) Me() coordination.Member { return n.self }
 
 // View shows what the node knows of the lore.
 func (n *Node) View() *fleetstate.View { return n.view }
@@ -134,9 +134,9 @@
 // Mount puts the node's answers to its neighbours on a mux.
 func (n *Node) Mount(mux *http.ServeMux) {
 	n.agent.Mount(mux)
-	rpc.Handle(mux, "verge/order", n.obey)
-	rpc.Handle(mux, "verge/beat", n.hearBeat)
-	rpc.Handle(mux, "verge/spend", n.spendHere)
+	rpc.Handle(mux, OrderMethod, n.handleOrder)
+	rpc.Handle(mux, heartbeatMethod, n.handleHeartbeat)
+	rpc.Handle(mux, SpendMethod, n.handleSpend)
 	api.Streams(mux, passPath, n.servePassed)
 }
 
@@ -145,7 +145,7 @@
 func (n *Node) Run(ctx context.Context, drain time.Duration) {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){n.agent.Run, n.beats, n.rosters, n.desks, n.settler, n.payer, n.switcher} {
+	for _, f := range []func(context.Context){n.agent.Run, n.heartbeatLoop, n.watchWorkerList, n.dutyLoop, n.resolutionLoop, n.resolveLoop, n.roleBalancer} {
 		wg.Go(func() { f(inner) })
 	}
 	<-ctx.Done()
@@ -159,20 +159,20 @@
 	stop()
 	wg.Wait()
 	n.workerClient.Close()
-	n.web.CloseIdleConnections()
+	n.httpClient.CloseIdleConnections()
 }
 
 // compile readies the programs of a version before it is in force.
 func (n *Node) compile(v ids.Version, p *fleetstate.Configuration) {
-	deck, err := p.CompileSet(n.scores)
+	programs, err := p.CompileSet(n.scores)
 	if err != nil {
-		n.opt.Ring.Error().AnErr("cause", err).Uint64("version", uint64(v)).Msg("programs do not compile; the plain order serves")
-		deck, _ = routing.NewProgramSet(nil, 0, n.scores)
+		n.options.Ring.Error().AnErr("cause", err).Uint64("version", uint64(v)).Msg("programs do not compile; the plain order serves")
+		programs, _ = routing.NewProgramSet(nil, 0, n.scores)
 	}
-	n.decks.Store(v, deck)
-	n.decks.Range(func(k, _ any) bool {
+	n.programSets.Store(v, programs)
+	n.programSets.Range(func(k, _ any) bool {
 		if k.(ids.Version)+8 < v {
-			n.decks.Delete(k)
+			n.programSets.Delete(k)
 		}
 		return true
 	})
@@ -188,15 +188,15 @@
 		return false, "the core has not been found yet"
 	case s.Version == 0:
 		return false, "no configuration is in force"
-	case s.Zones[n.me.Zone]:
+	case s.Zones[n.self.Zone]:
 		return false, "the zone is evacuated"
-	case !n.agent.Leased() && !n.lonely():
+	case !n.agent.Leased() && !n.coreUnreachable():
 		return false, "the lease has lapsed"
 	}
 	ready := map[ids.Role]bool{}
-	for _, st := range *n.stands.Load() {
+	for _, st := range *n.workerStatus.Load() {
 		if st.Ready && n.fit(s, st.ID) {
-			ready[st.Part] = true
+			ready[st.Role] = true
 		}
 	}
 	if !ready[ids.Prefill] || !ready[ids.Decode] {
@@ -211,6 +211,6 @@
 	if !ok || s.Drained[id] || s.Zones[w.Zone] {
 		return false
 	}
-	l, ok := (*n.roster.Load())[id]
+	l, ok := (*n.workerList.Load())[id]
 	return ok && !l.Leaving && !(*n.leave.Load())[id] && !s.Zones[l.Zone]
 }
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -25,7 +25,7 @@
 
 // Apply checks the whole configuration before anything is written; then the
 // core takes it if it was made over the newest version.
-func (n *Node) Apply(ctx context.Context, a *api.Apply) (*api.Applied, error) {
+func (n *Node) Apply(ctx context.Context, a *api.ApplyRequest) (*api.ApplyResponse, error) {
 	name := cmp.Or(a.Name, "policy")
 	var base []byte
 	text, err := fleetstate.Source(name, []byte(a.Source))
@@ -39,16 +39,16 @@
 		}
 		if uint64(s.Version) != a.Base {
 			// The base has moved on, perhaps by this very operation.
-			cx, stop := context.WithTimeout(ctx, 5*time.Second)
+			callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 			defer stop()
-			r, err := n.agent.Submit(cx, ids.OpID("op/"+a.Op), fleetstate.QueryKind, nil)
+			r, err := n.agent.Submit(callContext, ids.OpID("op/"+a.Op), fleetstate.QueryKind, nil)
 			if err == nil {
-				return n.ruled(ctx, r, true)
+				return n.versionApplied(ctx, r, true)
 			}
 			if !failure.Is(err, failure.Stale) {
-				return nil, n.fate(err)
+				return nil, n.outcomeOf(err)
 			}
-			return nil, n.stale(a.Base, s)
+			return nil, n.refuseStale(a.Base, s)
 		}
 		base = s.Text
 	}
@@ -58,76 +58,76 @@
 	}
 	now := n.clock()
 	if now.High == 0 {
-		now = certification.At(n.opt.Host.Clock.Wall()) // where the fleet's time will begin
+		now = certification.At(n.options.Host.Clock.Wall()) // where the fleet's time will begin
 	}
 	if err := p.Follows(n.view.Current().Configuration, now); err != nil {
 		return nil, fleetstate.Locate(name, []byte(a.Source), err)
 	}
 	if a.Dry {
-		return &api.Applied{Version: a.Base, Policy: whole}, nil
+		return &api.ApplyResponse{Version: a.Base, Policy: whole}, nil
 	}
-	cx, stop := context.WithTimeout(ctx, 5*time.Second)
+	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(cx, ids.OpID("op/"+a.Op), fleetstate.PrepareKind, coordination.MustMarshal(&fleetstate.PrepareVersion{Base: ids.Version(a.Base), Text: whole}))
+	r, err := n.agent.Submit(callContext, ids.OpID("op/"+a.Op), fleetstate.PrepareKind, coordination.MustMarshal(&fleetstate.PrepareVersion{Base: ids.Version(a.Base), Text: whole}))
 	if err != nil {
 		if failure.Is(err, failure.Stale) {
-			return nil, n.stale(a.Base, n.view.Current())
+			return nil, n.refuseStale(a.Base, n.view.Current())
 		}
-		return nil, n.fate(err)
+		return nil, n.outcomeOf(err)
 	}
-	return n.ruled(ctx, r, true)
+	return n.versionApplied(ctx, r, true)
 }
 
-func (n *Node) stale(base uint64, s *fleetstate.Snapshot) error {
+func (n *Node) refuseStale(base uint64, s *fleetstate.Snapshot) error {
 	return api.Stale(base, uint64(max(s.Newest, s.Version)))
 }
 
-// fate tells an operator whether a thing was surely not done.
-func (n *Node) fate(err error) error { return api.Fate(err, n.after()) }
+// outcomeOf tells an operator whether a thing was surely not done.
+func (n *Node) outcomeOf(err error) error { return api.OutcomeEvent(err, n.after()) }
 
-// ruled waits a while until this node has put the answer's version in force.
-func (n *Node) ruled(ctx context.Context, r *coordination.SubmitResponse, wait bool) (*api.Applied, error) {
+// versionApplied waits a while until this node has put the answer's version in force.
+func (n *Node) versionApplied(ctx context.Context, r *coordination.SubmitResponse, wait bool) (*api.ApplyResponse, error) {
 	var got fleetstate.VersionReply
 	if _, err := got.UnmarshalMsg(r.Body); err != nil {
 		return nil, failure.As(err, failure.OutcomeUnknown, "read ruling", "core")
 	}
 	for range 80 {
 		if n.agent.Seq() >= r.Seq && (!wait || n.view.Current().Version >= got.Version) {
-			return &api.Applied{Version: uint64(got.Version), Active: true}, nil
+			return &api.ApplyResponse{Version: uint64(got.Version), Active: true}, nil
 		}
 		if !host.Sleep(ctx, 25*time.Millisecond) {
 			break
 		}
 	}
-	return &api.Applied{Version: uint64(got.Version)}, nil
+	return &api.ApplyResponse{Version: uint64(got.Version)}, nil
 }
 
-func (n *Node) mark(ctx context.Context, op, kind string, body []byte) (*api.Applied, error) {
-	cx, stop := context.WithTimeout(ctx, 5*time.Second)
+func (n *Node) mark(ctx context.Context, op, kind string, body []byte) (*api.ApplyResponse, error) {
+	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(cx, ids.OpID("op/"+op), kind, body)
+	r, err := n.agent.Submit(callContext, ids.OpID("op/"+op), kind, body)
 	if err != nil {
-		return nil, n.fate(err)
+		return nil, n.outcomeOf(err)
 	}
-	return n.ruled(ctx, r, false)
+	return n.versionApplied(ctx, r, false)
 }
 
 // Evacuate empties a zone of new work, or takes that back.
-func (n *Node) Evacuate(ctx context.Context, zone string, m *api.Mark) (*api.Applied, error) {
+func (n *Node) Evacuate(ctx context.Context, zone string, m *api.MarkRequest) (*api.ApplyResponse, error) {
 	known := false
 	for _, z := range n.view.Current().Configuration.Zones {
 		known = known || string(z) == zone
 	}
 	if !known {
-		return nil, api.No(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
+		return nil, api.WriteFault(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
 	}
 	return n.mark(ctx, m.Op, fleetstate.EvacuateKind, coordination.MustMarshal(&fleetstate.Evacuate{Zone: ids.Zone(zone), Evacuated: m.Out}))
 }
 
 // Drain keeps new work from a worker, or takes that back.
-func (n *Node) Drain(ctx context.Context, worker string, m *api.Mark) (*api.Applied, error) {
+func (n *Node) Drain(ctx context.Context, worker string, m *api.MarkRequest) (*api.ApplyResponse, error) {
 	if _, ok := n.view.Current().Configuration.Workers[ids.WorkerID(worker)]; !ok {
-		return nil, api.No(http.StatusNotFound, "unknown", "worker", "there is no worker %q", worker)
+		return nil, api.WriteFault(http.StatusNotFound, "unknown", "worker", "there is no worker %q", worker)
 	}
 	return n.mark(ctx, m.Op, fleetstate.DrainKind, coordination.MustMarshal(&fleetstate.Drain{Worker: ids.WorkerID(worker), Drained: m.Out}))
 }
@@ -153,8 +153,8 @@
 	return out
 }
 
-// Standing is the answer of status.
-type Standing struct {
+// NodeStatus is the answer of status.
+type NodeStatus struct {
 	Node      ids.NodeID                `json:"node"`
 	Zone      ids.Zone                  `json:"zone"`
 	Ready     bool                      `json:"ready"`
@@ -164,7 +164,7 @@
 	Core      coordination.Record       `json:"core"`
 	Members   []coordination.Member     `json:"members"`
 	Holds     []ids.Key                 `json:"holds"`
-	Workers   []Stand                   `json:"workers"`
+	Workers   []WorkerStatus            `json:"workers"`
 	Counts    map[string]int64          `json:"counts"`
 	Programs  map[string]map[string]any `json:"programs"`
 	Last      []handoff.Event           `json:"last"`
@@ -178,20 +178,20 @@
 
 // Status tells how the node stands.
 func (n *Node) Status() any {
-	ok, why := n.Ready()
+	ok, reason := n.Ready()
 	sh := n.Show()
-	st := &Standing{Node: n.me.Node, Zone: n.me.Zone, Ready: ok, Why: why, Version: n.view.Current().Version, Seq: n.agent.Seq(),
+	st := &NodeStatus{Node: n.self.Node, Zone: n.self.Zone, Ready: ok, Why: reason, Version: n.view.Current().Version, Seq: n.agent.Seq(),
 		Core: n.agent.Directory().Record(), Members: n.agent.Members(), Programs: map[string]map[string]any{},
-		Listed: map[ids.WorkerID]ids.Zone{}, Evacuated: sh.Zones, Drained: sh.Drained, Workers: []Stand{}, Holds: []ids.Key{}}
+		Listed: map[ids.WorkerID]ids.Zone{}, Evacuated: sh.Zones, Drained: sh.Drained, Workers: []WorkerStatus{}, Holds: []ids.Key{}}
 	for _, g := range n.agent.OwnedKeys() {
 		st.Holds = append(st.Holds, g.Key)
 	}
 	sort.Slice(st.Holds, func(i, j int) bool { return st.Holds[i] < st.Holds[j] })
-	for _, s := range *n.stands.Load() {
+	for _, s := range *n.workerStatus.Load() {
 		st.Workers = append(st.Workers, s)
 	}
 	sort.Slice(st.Workers, func(i, j int) bool { return st.Workers[i].ID < st.Workers[j].ID })
-	for id, l := range *n.roster.Load() {
+	for id, l := range *n.workerList.Load() {
 		st.Listed[id] = l.Zone
 	}
 	c := &n.counts
--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -37,31 +37,31 @@
 }
 
 // Revoke ends a certificate for good. It answers once that is in force everywhere.
-func (n *Node) Revoke(ctx context.Context, serial string, m *api.Mark) (*api.Applied, error) {
+func (n *Node) Revoke(ctx context.Context, serial string, m *api.MarkRequest) (*api.ApplyResponse, error) {
 	if _, ok := n.view.Current().Register.Find(serial); !ok {
-		return nil, api.No(http.StatusNotFound, "unknown", "serial", "there is no certificate %q", serial)
+		return nil, api.WriteFault(http.StatusNotFound, "unknown", "serial", "there is no certificate %q", serial)
 	}
 	if !m.Out {
-		return nil, api.No(http.StatusBadRequest, "out-of-range", "out", "a revocation is for good")
+		return nil, api.WriteFault(http.StatusBadRequest, "out-of-range", "out", "a revocation is for good")
 	}
-	cx, stop := context.WithTimeout(ctx, 5*time.Second)
+	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(cx, ids.OpID("op/"+m.Op), fleetstate.RevokeKind, coordination.MustMarshal(&fleetstate.Revoke{Serial: serial}))
+	r, err := n.agent.Submit(callContext, ids.OpID("op/"+m.Op), fleetstate.RevokeKind, coordination.MustMarshal(&fleetstate.Revoke{Serial: serial}))
 	if err != nil {
-		return nil, n.fate(err)
+		return nil, n.outcomeOf(err)
 	}
 	for !n.view.Current().Revoked[serial] {
-		if !host.Sleep(cx, 10*time.Millisecond) {
-			return nil, api.Later(http.StatusGatewayTimeout, "not-everywhere", n.after(), "the revocation is durable and not yet in force everywhere; ask again with the same op")
+		if !host.Sleep(callContext, 10*time.Millisecond) {
+			return nil, api.RetryLater(http.StatusGatewayTimeout, "not-everywhere", n.after(), "the revocation is durable and not yet in force everywhere; ask again with the same op")
 		}
 	}
-	return n.ruled(ctx, r, false)
+	return n.versionApplied(ctx, r, false)
 }
 
 // Regimes tells who is certified, until when, and what is short.
 func (n *Node) Regimes() *api.Regimes {
 	s, now := n.view.Current(), n.clock()
-	out := &api.Regimes{Version: uint64(s.Version), Low: now.Low, High: now.High, Wall: n.opt.Host.Clock.Wall().UnixNano(), Regimes: []api.Regime{}}
+	out := &api.Regimes{Version: uint64(s.Version), Low: now.Low, High: now.High, Wall: n.options.Host.Clock.Wall().UnixNano(), Regimes: []api.Regime{}}
 	for _, name := range s.Register.Regimes() {
 		g := s.Configuration.Regimes[name]
 		out.Regimes = append(out.Regimes, api.Regime{Name: name, Kinds: g.Kinds, Keep: g.Keep, Rows: s.Register.Rows(name, now),
--- a/internal/router/regime_test.go
+++ b/internal/router/regime_test.go
@@ -32,7 +32,7 @@
 		require.NoError(t, err)
 		return &fleetstate.Snapshot{Register: r.WithRevoked(revoked)}
 	}
-	list := []Stand{{ID: "p1", Part: ids.Prefill}, {ID: "p2", Part: ids.Prefill}, {ID: "p3", Part: ids.Prefill}}
+	list := []WorkerStatus{{ID: "p1", Role: ids.Prefill}, {ID: "p2", Role: ids.Prefill}, {ID: "p3", Role: ids.Prefill}}
 	put("1", "p1")
 	at := certification.At(now)
 	require.False(t, covered(sight(nil), list, list[0], at))
@@ -41,5 +41,5 @@
 	put("2", "p2")
 	require.True(t, covered(sight(nil), list, list[0], at))
 	require.False(t, covered(sight(map[string]bool{"2": false}), list, list[0], at))
-	require.False(t, covered(sight(nil), []Stand{list[0], list[2]}, list[0], at), "the other one is not there")
+	require.False(t, covered(sight(nil), []WorkerStatus{list[0], list[2]}, list[0], at), "the other one is not there")
 }
--- a/internal/router/settle.go
+++ b/internal/router/resolve.go
@@ -20,7 +20,7 @@
 	"keelstair.example/internal/workerclient"
 )
 
-func (n *Node) settler(ctx context.Context) {
+func (n *Node) resolutionLoop(ctx context.Context) {
 	for host.Sleep(ctx, 300*time.Millisecond) {
 		fence, end, ok := n.agent.BeginOperation(fleetstate.ResolutionKey)
 		if !ok {
@@ -40,10 +40,10 @@
 }
 
 func (n *Node) close(ctx context.Context, d fleetstate.IdempotencyRecord, fence ids.Fence) {
-	cx, stop := context.WithTimeout(ctx, 2*time.Second)
+	callContext, stop := context.WithTimeout(ctx, 2*time.Second)
 	defer stop()
-	seize := &fleetstate.TakeOver{Key: d.Key, From: d.Owner, To: n.me.Node, Fence: fence}
-	r, err := n.agent.Submit(cx, "", fleetstate.TakeOverKind, coordination.MustMarshal(seize))
+	seize := &fleetstate.TakeOver{Key: d.Key, From: d.Owner, To: n.self.Node, Fence: fence}
+	r, err := n.agent.Submit(callContext, "", fleetstate.TakeOverKind, coordination.MustMarshal(seize))
 	if err != nil {
 		return
 	}
@@ -51,21 +51,21 @@
 	if _, err := d.UnmarshalMsg(r.Body); err != nil {
 		return
 	}
-	fate, out := n.inquire(ctx, &d)
-	s := &fleetstate.Resolve{Key: d.Key, Owner: n.me.Node, Outcome: fate, Answer: out, Audit: n.seized(&d, fate)}
-	if err := n.settle(s); err != nil {
-		n.opt.Ring.Warn().AnErr("cause", err).Str("key", d.Key).Msg("a dead node's claim is not settled yet")
+	fate, out := n.queryOutcome(ctx, &d)
+	s := &fleetstate.Resolve{Key: d.Key, Owner: n.self.Node, Outcome: fate, Answer: out, Audit: n.takenOver(&d, fate)}
+	if err := n.resolve(s); err != nil {
+		n.options.Ring.Warn().AnErr("cause", err).Str("key", d.Key).Msg("a dead node's claim is not settled yet")
 	}
 }
 
-// inquire cancels a request for good at the one worker at which it may run, and
+// queryOutcome cancels a request for good at the one worker at which it may run, and
 // takes that worker's word. A worker that cannot be asked, or has begun a new life
 // since, may have run it.
-func (n *Node) inquire(ctx context.Context, d *fleetstate.IdempotencyRecord) (string, []byte) {
-	if _, ok := (*n.roster.Load())[d.Worker]; !ok {
+func (n *Node) queryOutcome(ctx context.Context, d *fleetstate.IdempotencyRecord) (string, []byte) {
+	if _, ok := (*n.workerList.Load())[d.Worker]; !ok {
 		return fleetstate.MayHaveRun, nil
 	}
-	h := &hands{n: n, sight: n.view.Current()}
+	h := &transport{node: n, snapshot: n.view.Current()}
 	for range 4 {
 		a, err := h.Cancel(ctx, d.Worker, workerclient.ID{Request: Request(d.Key), Attempt: 1 << 20})
 		switch {
@@ -98,36 +98,36 @@
 	if g == "" {
 		return true
 	}
-	_, err := n.clears(g, certification.Subject{Node: n.opt.Name}, "")
+	_, err := n.clears(g, certification.Subject{Node: n.options.Name}, "")
 	return err == nil
 }
 
-type purse struct {
-	mu    sync.Mutex
-	fence ids.Fence
-	at    ids.Tick
-	coins float64
+type retryTokens struct {
+	mu     sync.Mutex
+	fence  ids.Fence
+	at     ids.Tick
+	tokens float64
 }
 
-func (n *Node) spendHere(_ context.Context, _ *coordination.Empty) (*Spent, error) {
+func (n *Node) handleSpend(_ context.Context, _ *coordination.Empty) (*RetrySpent, error) {
 	fence, end, ok := n.agent.BeginOperation(fleetstate.RetryBudgetKey)
 	if !ok {
-		return &Spent{}, nil
+		return &RetrySpent{}, nil
 	}
 	defer end()
 	lim := n.view.Current().Configuration.Limits
-	p := &n.purse
+	p := &n.retryTokens
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := n.now()
 	if p.fence != fence {
-		p.fence, p.at, p.coins = fence, now, 0
+		p.fence, p.at, p.tokens = fence, now, 0
 	}
-	p.coins = min(float64(lim.RetryBurst), p.coins+lim.RetryRate*now.Since(p.at).Seconds())
+	p.tokens = min(float64(lim.RetryBurst), p.tokens+lim.RetryRate*now.Since(p.at).Seconds())
 	p.at = now
-	if p.coins < 1 {
-		return &Spent{}, nil
+	if p.tokens < 1 {
+		return &RetrySpent{}, nil
 	}
-	p.coins--
-	return &Spent{Ok: true}, nil
+	p.tokens--
+	return &RetrySpent{OK: true}, nil
 }
--- a/internal/router/switch_test.go
+++ b/internal/router/role_balance_test.go
@@ -20,7 +20,7 @@
 func stage(reads, writes, readBusy, writeBusy int) (*Node, *fleetstate.Snapshot) {
 	n := New(Options{Name: "n", Host: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host()})
 	s := &fleetstate.Snapshot{Configuration: &fleetstate.Configuration{RoleChanges: true, Workers: map[ids.WorkerID]fleetstate.Worker{}, Limits: fleetstate.Limits{DwellMs: 4000}}}
-	stands, roster := map[ids.WorkerID]Stand{}, map[ids.WorkerID]workerclient.ListedWorker{}
+	stands, roster := map[ids.WorkerID]WorkerStatus{}, map[ids.WorkerID]workerclient.ListedWorker{}
 	for i := range reads + writes {
 		part, busy := ids.Prefill, readBusy
 		if i >= reads {
@@ -28,24 +28,24 @@
 		}
 		id := ids.WorkerID(fmt.Sprintf("%s%d", part[:1], i))
 		s.Configuration.Workers[id] = fleetstate.Worker{Role: part, Model: "m", Weights: "w", Zone: ids.Zone(fmt.Sprint(i % 3))}
-		stands[id] = Stand{ID: id, Part: part, Ready: true, Free: 90, Room: 100, Busy: busy, Work: busy, Cap: 16}
+		stands[id] = WorkerStatus{ID: id, Role: part, Ready: true, Free: 90, Capacity: 100, Busy: busy, Work: busy, MaxConcurrent: 16}
 		roster[id] = workerclient.ListedWorker{ID: id}
 	}
-	n.stands.Store(&stands)
-	n.roster.Store(&roster)
+	n.workerStatus.Store(&stands)
+	n.workerList.Store(&roster)
 	return n, s
 }
 
 // turns asks the switcher twice a second for so long.
-func turns(n *Node, s *fleetstate.Snapshot, span time.Duration) []ids.Role {
-	p := &pool{last: n.now(), press: map[ids.Role]float64{}}
+func turns(n *Node, s *fleetstate.Snapshot, duration time.Duration) []ids.Role {
+	p := &rolePool{last: n.now(), pressure: map[ids.Role]float64{}}
 	var out []ids.Role
-	for end := n.now().Add(span); n.now().Before(end); time.Sleep(turnEvery) {
-		if w, ok := n.pickTurn(s, "m", p); ok {
+	for end := n.now().Add(duration); n.now().Before(end); time.Sleep(roleChangeInterval) {
+		if w, ok := n.pickRoleChange(s, "m", p); ok {
 			out = append(out, w.To)
-			st := (*n.stands.Load())[w.Worker]
-			st.Part = w.To
-			(*n.stands.Load())[w.Worker] = st
+			st := (*n.workerStatus.Load())[w.Worker]
+			st.Role = w.To
+			(*n.workerStatus.Load())[w.Worker] = st
 		}
 	}
 	return out
@@ -62,10 +62,10 @@
 		n, s = stage(4, 4, 14, 0)
 		require.Len(t, turns(n, s, 2900*time.Millisecond), 1, "half a dwell first, and a quarter between two")
 		n, s = stage(4, 4, 14, 0)
-		for id, st := range *n.stands.Load() {
-			if st.Part == ids.Decode {
+		for id, st := range *n.workerStatus.Load() {
+			if st.Role == ids.Decode {
 				st.Busy = 14
-				(*n.stands.Load())[id] = st
+				(*n.workerStatus.Load())[id] = st
 			}
 		}
 		require.NotEmpty(t, turns(n, s, 10*time.Second), "what is only booked at decode is no pressure there")
@@ -78,15 +78,15 @@
 		n, s = stage(4, 4, 0, 14)
 		require.Equal(t, ids.Decode, turns(n, s, 30*time.Second)[0])
 		s.Configuration.RoleChanges = false
-		for id, st := range *n.stands.Load() {
+		for id, st := range *n.workerStatus.Load() {
 			st.Busy = 0
-			(*n.stands.Load())[id] = st
+			(*n.workerStatus.Load())[id] = st
 		}
 		for _, to := range turns(n, s, 60*time.Second) {
 			require.Equal(t, ids.Prefill, to)
 		}
-		for id, st := range *n.stands.Load() {
-			require.Equal(t, s.Configuration.Workers[id].Role, st.Part, "home again")
+		for id, st := range *n.workerStatus.Load() {
+			require.Equal(t, s.Configuration.Workers[id].Role, st.Role, "home again")
 		}
 	})
 }
--- a/internal/router/tracing/tracing.go
+++ b/internal/router/tracing/tracing.go
@@ -41,7 +41,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	rows := append(w.open[e.ID], e)
-	if e.Stage != handoff.Ended && e.Stage != handoff.Dropped {
+	if e.Step != handoff.Ended && e.Step != handoff.Dropped {
 		if len(w.open) < most {
 			w.open[e.ID] = rows
 		}
@@ -105,15 +105,15 @@
 		return s
 	}
 	last := rows[len(rows)-1]
-	whole := put("hand-over", 0, rows[0], last)
-	whole.Attributes = []*common.KeyValue{text("request", id.Request),
+	complete := put("hand-over", 0, rows[0], last)
+	complete.Attributes = []*common.KeyValue{text("request", id.Request),
 		{Key: "attempt", Value: &common.AnyValue{Value: &common.AnyValue_IntValue{IntValue: int64(id.Attempt)}}}}
-	if last.Stage == handoff.Dropped {
-		whole.Status = &trace.Status{Code: trace.Status_STATUS_CODE_ERROR, Message: last.Why}
+	if last.Step == handoff.Dropped {
+		complete.Status = &trace.Status{Code: trace.Status_STATUS_CODE_ERROR, Message: last.Reason}
 	}
 	for i := 1; i < len(rows); i++ {
-		s := put(string(rows[i].Stage), i, rows[i-1], rows[i])
-		s.ParentSpanId = whole.SpanId
+		s := put(string(rows[i].Step), i, rows[i-1], rows[i])
+		s.ParentSpanId = complete.SpanId
 		s.Attributes = []*common.KeyValue{text("worker", string(rows[i].Worker))}
 	}
 	return &trace.TracesData{ResourceSpans: []*trace.ResourceSpans{res}}
--- a/internal/router/debt.go
+++ b/internal/router/unresolved_claims.go
@@ -17,54 +17,54 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-type debt struct {
-	op     ids.OpID
-	claim  *fleetstate.Claim
-	settle *fleetstate.Resolve
-	audit  []byte
+type unresolvedClaim struct {
+	op      ids.OpID
+	claim   *fleetstate.Claim
+	resolve *fleetstate.Resolve
+	audit   []byte
 }
 
-type debts struct {
-	mu  sync.Mutex
-	row []debt
+type unresolvedClaims struct {
+	mu     sync.Mutex
+	claims []unresolvedClaim
 }
 
-func (d *debts) add(one debt) {
+func (d *unresolvedClaims) add(one unresolvedClaim) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.row = append(d.row, one)
+	d.claims = append(d.claims, one)
 }
 
-func (d *debts) all() []debt {
+func (d *unresolvedClaims) all() []unresolvedClaim {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := d.row
-	d.row = nil
+	out := d.claims
+	d.claims = nil
 	return out
 }
 
-func (n *Node) payer(ctx context.Context) {
+func (n *Node) resolveLoop(ctx context.Context) {
 	for host.Sleep(ctx, 250*time.Millisecond) {
-		for _, d := range n.debts.all() {
-			if !n.pay(ctx, d) {
-				n.debts.add(d)
+		for _, d := range n.unresolved.all() {
+			if !n.resolveClaim(ctx, d) {
+				n.unresolved.add(d)
 			}
 		}
 	}
 }
 
-// pay tells whether nothing more is owed.
-func (n *Node) pay(ctx context.Context, d debt) bool {
+// resolveClaim tells whether nothing more is owed.
+func (n *Node) resolveClaim(ctx context.Context, d unresolvedClaim) bool {
 	if d.audit != nil {
-		cx, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
+		callContext, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 		defer stop()
-		err := n.audit(cx, d.op, d.audit)
+		err := n.audit(callContext, d.op, d.audit)
 		return err == nil || failure.Is(err, failure.InvalidArgument)
 	}
-	if d.settle == nil {
-		cx, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
+	if d.resolve == nil {
+		callContext, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 		defer stop()
-		r, err := n.agent.Submit(cx, d.op, fleetstate.ClaimKind, coordination.MustMarshal(d.claim))
+		r, err := n.agent.Submit(callContext, d.op, fleetstate.ClaimKind, coordination.MustMarshal(d.claim))
 		if err != nil {
 			return failure.Is(err, failure.Stale) || failure.Is(err, failure.InvalidArgument)
 		}
@@ -73,8 +73,8 @@
 			return true
 		}
 		// It was claimed for nothing: nothing ran, and now nothing can.
-		d.settle = &fleetstate.Resolve{Key: d.claim.Key, Owner: n.me.Node, Outcome: fleetstate.NotRun}
+		d.resolve = &fleetstate.Resolve{Key: d.claim.Key, Owner: n.self.Node, Outcome: fleetstate.NotRun}
 	}
-	err := n.settle(d.settle)
+	err := n.resolve(d.resolve)
 	return err == nil || failure.Is(err, failure.Stale)
 }
--- a/internal/simulation/shelf_test.go
+++ b/internal/simulation/aged_keys_test.go
@@ -13,14 +13,14 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestOldKeys: long after its answer was forgotten, a key is still known: at the
+// TestAgedKeys: long after its answer was forgotten, a key is still known: at the
 // primary, after a takeover, after the machine that wrote it was replaced by an
 // empty one, and after the whole core lost power.
-func TestOldKeys(t *testing.T) {
+func TestAgedKeys(t *testing.T) {
 	unraced(t)
 	inBubble(t, "vatuloa", func(c *Cluster) { c.Depth = fleetstate.Retention{Full: 4, ChunkRows: 8} }, func(t *testing.T, c *Cluster) {
 		node := func(i int) *Box { return c.Of("router")[i%len(c.Of("router"))] }
-		ask := func(i int) api.Ask {
+		ask := func(i int) api.StreamRequest {
 			a := verdict
 			a.Key = fmt.Sprint("old-", i)
 			return a
@@ -34,7 +34,7 @@
 				}))
 			}
 		}
-		old := func() {
+		previous := func() {
 			for i := 0; i < next-4; i++ {
 				var last error
 				require.True(t, c.Until(8*time.Second, func() bool {
@@ -50,19 +50,19 @@
 			require.Equal(t, "key-reused", err.(*api.Fault).Name)
 		}
 		serve(30)
-		old()
+		previous()
 		b := c.Leader()
 		c.PowerOff(b)
 		b.Machine.WipeDisk()
-		c.add(c.Tenet("controller-new", "10.1.0.9:700", b.Zone))
+		c.add(c.Controller("controller-new", "10.1.0.9:700", b.Zone))
 		time.Sleep(9 * time.Second)
 		serve(20)
-		old()
+		previous()
 		b = c.Leader()
 		c.PowerOff(b)
 		require.True(t, c.Until(8*time.Second, func() bool { l := c.Leader(); return l != nil && l != b }))
 		time.Sleep(time.Second)
-		old()
+		previous()
 		for _, b := range c.Of("controller") {
 			c.PowerOff(b)
 		}
@@ -72,7 +72,7 @@
 		require.True(t, c.Until(8*time.Second, func() bool { return c.Leader() != nil }))
 		time.Sleep(2 * time.Second)
 		serve(4)
-		old()
+		previous()
 		for i := range next {
 			runs, records := runsOf(c, fmt.Sprint("verdict/old-", i))
 			require.Equal(t, []int{1, 1}, []int{runs, records}, "key %d", i)
--- a/internal/simulation/bureau_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -26,16 +26,16 @@
 // certificate, work may still be found at its worker.
 const grace = 2 * time.Second
 
-// chamber is a site with governed kinds of both sorts and machines to spare.
-var chamber = standin.Site{Name: "chamber", Zones: []ids.Zone{"a", "b", "c"}, Nodes: 5, Prefill: 4, Decode: 4, Model: "m",
+// governedWork is a site with governed kinds of both sorts and machines to spare.
+var governedWork = standin.Site{Name: "chamber", Zones: []ids.Zone{"a", "b", "c"}, Nodes: 5, Prefill: 4, Decode: 4, Model: "m",
 	Shapes: []standin.Shape{{Kind: "verdict", Claimed: true, Share: 30, Shared: 64, Own: 64, Max: 2},
 		{Kind: "speech", Share: 30, Shared: 64, Own: 32, Max: 40}, {Kind: "clarification", Share: 40, Shared: 64, Own: 16, Max: 16}}}
 
 // grant is a certificate's span at a worker, in the book's time.
 type grant struct{ from, until time.Duration }
 
-// Bureau signs for one regime that governs verdicts and speeches.
-type Bureau struct {
+// AuditModel signs for one regime that governs verdicts and speeches.
+type AuditModel struct {
 	c      *Cluster
 	key    ed25519.PrivateKey
 	issuer certification.Issuer
@@ -49,17 +49,17 @@
 	keep   int               // percent
 }
 
-// NewBureau must be made before the fleet is built, since it listens to its steps.
-func NewBureau() *Bureau {
+// NewAuditModel must be made before the fleet is built, since it listens to its steps.
+func NewAuditModel() *AuditModel {
 	key, _, err := certification.NewKey()
 	if err != nil {
 		panic(err)
 	}
-	return &Bureau{key: key, keep: 20, certs: map[string]certification.Certificate{}, spans: map[string]grant{}, work: map[string]string{}}
+	return &AuditModel{key: key, keep: 20, certs: map[string]certification.Certificate{}, spans: map[string]grant{}, work: map[string]string{}}
 }
 
 // tune hooks the bureau to a fleet.
-func (b *Bureau) tune(c *Cluster) {
+func (b *AuditModel) tune(c *Cluster) {
 	b.c, c.Fixed = c, true
 	// What nobody comes for lies staged no longer than an orphan runs.
 	c.Tune = func(o *standin.WorkerOptions) { o.Stage = 2 * time.Second }
@@ -76,7 +76,7 @@
 }
 
 // sign makes a certificate that holds from an hour ago on for a span.
-func (b *Bureau) sign(serial string, c certification.Certificate, span time.Duration) certification.Certificate {
+func (b *AuditModel) sign(serial string, c certification.Certificate, span time.Duration) certification.Certificate {
 	now := time.Now().UTC()
 	c.Serial, c.Regime, c.Issuer = serial, "chair", "k1"
 	c.From, c.Until = now.Add(-time.Hour).Format(time.RFC3339), now.Add(span).Format(time.RFC3339)
@@ -86,13 +86,13 @@
 	b.certs[serial] = c
 	if c.Worker != "" {
 		end, _ := time.Parse(time.RFC3339, c.Until)
-		b.spans[serial] = grant{b.c.Book.Now(), b.c.Book.Now() + end.Sub(now)}
+		b.spans[serial] = grant{b.c.Recorder.Now(), b.c.Recorder.Now() + end.Sub(now)}
 	}
 	return c
 }
 
 // certify gives all named a certificate for a day; the serial is c- and the name.
-func (b *Bureau) certify(workers, nodes []string) {
+func (b *AuditModel) certify(workers, nodes []string) {
 	for _, w := range workers {
 		part := ids.Prefill
 		if w[0] == 'd' {
@@ -106,7 +106,7 @@
 }
 
 // part is the operators' part of a configuration with all that was signed so far.
-func (b *Bureau) part() string {
+func (b *AuditModel) part() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return partOf(map[string]any{"issuers": map[string]any{"k1": b.issuer}, "certificates": maps.Clone(b.certs),
@@ -114,7 +114,7 @@
 }
 
 // Open applies the part and waits until every certified node clears somebody.
-func (b *Bureau) Open() error {
+func (b *AuditModel) Open() error {
 	if err := alter(b.c, "regimes", b.part()); err != nil {
 		return err
 	}
@@ -132,11 +132,11 @@
 }
 
 // Revoke ends a certificate as keelstairctl does, until it is acknowledged.
-func (b *Bureau) Revoke(serial string) error {
-	op, begun := coordination.NewID(), b.c.Book.Now()
+func (b *AuditModel) Revoke(serial string) error {
+	op, begun := coordination.NewID(), b.c.Recorder.Now()
 	var err error
 	b.c.Until(20*time.Second, func() bool {
-		err = b.c.Operate("/v1/certificates/"+serial, &api.Mark{Op: op, Out: true}, nil)
+		err = b.c.Operate("/v1/certificates/"+serial, &api.MarkRequest{Op: op, Out: true}, nil)
 		return err == nil
 	})
 	if err != nil {
@@ -144,7 +144,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := b.c.Book.Now()
+	now := b.c.Recorder.Now()
 	b.revoke = append(b.revoke, now-begun)
 	if g, ok := b.spans[serial]; ok && g.until > now {
 		g.until = now
@@ -154,7 +154,7 @@
 }
 
 // cleared tells whether a worker may be at governed work at a time.
-func (b *Bureau) cleared(w ids.WorkerID, at time.Duration) bool {
+func (b *AuditModel) cleared(w ids.WorkerID, at time.Duration) bool {
 	for serial, g := range b.spans {
 		if b.certs[serial].Worker == w && at >= g.from && at <= g.until+grace {
 			return true
@@ -165,7 +165,7 @@
 
 // Check holds the workers' books against the certificates: no order for governed work,
 // and no run of it, at a worker that was not certified then.
-func (b *Bureau) Check(all []standin.Outcome) []Fault {
+func (b *AuditModel) Check(all []standin.Outcome) []Fault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, o := range all {
@@ -173,11 +173,11 @@
 			b.work[router.Request(o.Kind+"/"+o.Key)] = "chair"
 		}
 	}
-	b.c.Book.mu.Lock()
-	defer b.c.Book.mu.Unlock()
+	b.c.Recorder.mu.Lock()
+	defer b.c.Recorder.mu.Unlock()
 	f := &finder{}
 	begun, staged := map[string]Seen{}, map[string]Seen{}
-	for _, e := range b.c.Book.rows {
+	for _, e := range b.c.Recorder.rows {
 		if b.work[e.ID.Request] == "" {
 			continue
 		}
@@ -192,8 +192,8 @@
 		case "prefill", "import":
 			begun[run] = e
 		case "export", "cancel", "record", "lost", "bounced", "orphan-run", "orphan-import":
-			if old, ok := begun[run]; ok && !b.cleared(e.Worker, e.When) {
-				f.say(Uncertified, "%s still held %s, begun at %s, at %s", e.Worker, e.ID.Request, old.When, e.When)
+			if previous, ok := begun[run]; ok && !b.cleared(e.Worker, e.When) {
+				f.say(Uncertified, "%s still held %s, begun at %s, at %s", e.Worker, e.ID.Request, previous.When, e.When)
 			}
 			delete(begun, run)
 		}
@@ -204,8 +204,8 @@
 			if !b.cleared(e.Worker, e.When) {
 				f.say(Uncertified, "%s had %s staged until %s", e.Worker, e.ID.Request, e.When)
 			}
-			if old, ok := staged[run]; ok {
-				b.stays = append(b.stays, e.When-old.When)
+			if previous, ok := staged[run]; ok {
+				b.stays = append(b.stays, e.When-previous.When)
 			}
 		}
 	}
@@ -213,19 +213,19 @@
 }
 
 // governed counts the requests that were found to be so.
-func (b *Bureau) governed() int {
+func (b *AuditModel) governed() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.work)
 }
 
 // serves lists the workers at which a request had governed steps.
-func (b *Bureau) serves(stage handoff.Stage) []string {
+func (b *AuditModel) serves(stage handoff.Step) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
 	for _, e := range b.steps {
-		if e.Stage == stage {
+		if e.Step == stage {
 			out = append(out, string(e.Worker))
 		}
 	}
@@ -241,6 +241,6 @@
 }
 
 // usual certifies three of each part and four of the nodes.
-func (b *Bureau) usual() { b.certify(append(upTo("p", 3), upTo("d", 3)...), upTo("router-", 4)) }
+func (b *AuditModel) usual() { b.certify(append(upTo("p", 3), upTo("d", 3)...), upTo("router-", 4)) }
 
-func holds(b *Box) []ids.Key { return b.Node.Status().(*router.Standing).Holds }
+func holds(b *Box) []ids.Key { return b.Node.Status().(*router.NodeStatus).Holds }
--- a/internal/simulation/back_test.go
+++ b/internal/simulation/back_test.go
@@ -34,7 +34,7 @@
 		zones[b.Door] = b.Zone
 		serves[b.Zone] = serves[b.Zone] || b.Up
 	}
-	for _, m := range c.Book.marks {
+	for _, m := range c.Recorder.marks {
 		if m.What == "evacuate" {
 			for _, b := range c.Boxes {
 				if b.Name == m.Name {
@@ -70,7 +70,7 @@
 		*most = max(*most, now.Sub(last))
 		c.nodes.Range(func(k, name any) bool {
 			if s := k.(*router.Node).View().Current(); s.Version > 0 {
-				c.Book.Force(name.(string), s.Version, s.Text)
+				c.Recorder.Force(name.(string), s.Version, s.Text)
 			}
 			return true
 		})
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -21,50 +21,50 @@
 // TestCheckersCatch plants one violation of each line and sees it caught, under
 // its own name and no other.
 func TestCheckersCatch(t *testing.T) {
-	event := func(b *Book, what, worker string, fence ids.Fence, v ids.Version, at time.Duration) {
+	event := func(b *Recorder, what, worker string, fence ids.Fence, v ids.Version, at time.Duration) {
 		b.rows = append(b.rows, Seen{standin.Event{What: what, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r"}, Fence: fence, Version: v}, at})
 	}
-	for line, plant := range map[string]func(b *Book) []standin.Outcome{
-		Twice: func(b *Book) []standin.Outcome {
+	for line, plant := range map[string]func(b *Recorder) []standin.Outcome{
+		Twice: func(b *Recorder) []standin.Outcome {
 			b.Life(fake{"k-1": {Runs: 1, Records: 1}})
 			b.Life(fake{"k-1": {Runs: 1}})
 			return nil
 		},
-		NotRun: func(b *Book) []standin.Outcome {
+		NotRun: func(b *Recorder) []standin.Outcome {
 			b.Life(fake{router.Request("verdict/c1"): {Runs: 1, Records: 1}})
 			return []standin.Outcome{{Kind: "verdict", Key: "c1+", End: "complete"}}
 		},
-		Torn: func(*Book) []standin.Outcome {
+		Torn: func(*Recorder) []standin.Outcome {
 			return []standin.Outcome{{Kind: "rider", End: "wrong", Detail: "piece 4 where 3 was due"}}
 		},
-		Differs: func(*Book) []standin.Outcome {
+		Differs: func(*Recorder) []standin.Outcome {
 			return []standin.Outcome{{Kind: "rider", End: "wrong", Detail: "tokens [1]"}}
 		},
-		Starved: func(b *Book) []standin.Outcome { b.Life(fake{"x": {Starved: 1}}); return nil },
-		LateLeave: func(b *Book) []standin.Outcome {
+		Starved: func(b *Recorder) []standin.Outcome { b.Life(fake{"x": {Starved: 1}}); return nil },
+		LateLeave: func(b *Recorder) []standin.Outcome {
 			b.marks = append(b.marks, Mark{"leave", "p1", time.Second})
 			event(b, "prefill", "p1", 1, 1, 3900*time.Millisecond)
 			event(b, "prefill", "p1", 1, 1, 4100*time.Millisecond)
 			return nil
 		},
-		LateZone: func(b *Book) []standin.Outcome {
+		LateZone: func(b *Recorder) []standin.Outcome {
 			b.marks = append(b.marks, Mark{"evacuate", "d1", time.Second}, Mark{"return", "d1", 8 * time.Second})
 			event(b, "import", "d1", 1, 1, 9*time.Second)
 			event(b, "import", "d1", 1, 1, 7*time.Second)
 			return nil
 		},
-		SlowLaw: func(b *Book) []standin.Outcome {
+		SlowLaw: func(b *Recorder) []standin.Outcome {
 			event(b, "import", "d1", 1, 5, time.Second)
 			event(b, "import", "d1", 1, 4, 1200*time.Millisecond)
 			event(b, "import", "d1", 1, 4, 1300*time.Millisecond)
 			return nil
 		},
-		Conflict: func(b *Book) []standin.Outcome {
+		Conflict: func(b *Recorder) []standin.Outcome {
 			event(b, "import", "d1", 7, 1, time.Second)
 			event(b, "import", "d1", 6, 1, 2*time.Second)
 			return nil
 		},
-		Overspent: func(b *Book) []standin.Outcome {
+		Overspent: func(b *Recorder) []standin.Outcome {
 			for i := range 20 {
 				b.again = append(b.again, time.Duration(i)*50*time.Millisecond)
 			}
@@ -72,13 +72,13 @@
 		},
 	} {
 		t.Run(line, func(t *testing.T) {
-			b := NewBook()
+			b := NewRecorder()
 			got := b.Check(plant(b))
 			require.Len(t, got, 1, "%v", got)
 			require.Equal(t, line, got[0].Line)
 		})
 	}
-	b := NewBook()
+	b := NewRecorder()
 	event(b, "import", "d1", 1, 5, time.Second)
 	b.picks = []Pick{{"n1", 4, 1200 * time.Millisecond}, {"n2", 4, 1300 * time.Millisecond}}
 	require.Equal(t, SlowLaw, b.Check(nil)[0].Line)
@@ -91,23 +91,23 @@
 
 // TestLawsCatch plants what must be caught of configurations, and what must not.
 func TestLawsCatch(t *testing.T) {
-	for name, plant := range map[string]func(b *Book){
-		"another text":        func(b *Book) { b.Ack(3, "a"); b.Force("n1", 3, []byte("b")) },
-		"two texts":           func(b *Book) { b.Force("n1", 3, []byte("a")); b.Force("n2", 3, []byte("b")) },
-		"a refused text":      func(b *Book) { b.Refuse("x"); b.Force("n1", 4, []byte("x")) },
-		"a slow apply":        func(b *Book) { b.Mark("slow-apply", "version 3") },
-		"":                    func(b *Book) { b.Ack(3, "a"); b.Force("n1", 3, []byte("a")); b.Refuse("b") },
-		"refused, then taken": func(b *Book) { b.Refuse("a"); b.Ack(4, "a"); b.Force("n1", 4, []byte("a")) },
+	for name, plant := range map[string]func(b *Recorder){
+		"another text":        func(b *Recorder) { b.Ack(3, "a"); b.Force("n1", 3, []byte("b")) },
+		"two texts":           func(b *Recorder) { b.Force("n1", 3, []byte("a")); b.Force("n2", 3, []byte("b")) },
+		"a refused text":      func(b *Recorder) { b.Refuse("x"); b.Force("n1", 4, []byte("x")) },
+		"a slow apply":        func(b *Recorder) { b.Mark("slow-apply", "version 3") },
+		"":                    func(b *Recorder) { b.Ack(3, "a"); b.Force("n1", 3, []byte("a")); b.Refuse("b") },
+		"refused, then taken": func(b *Recorder) { b.Refuse("a"); b.Ack(4, "a"); b.Force("n1", 4, []byte("a")) },
 	} {
-		c := &Cluster{Book: NewBook()}
-		plant(c.Book)
+		c := &Cluster{Recorder: NewRecorder()}
+		plant(c.Recorder)
 		if got := c.laws(); name == "" || name == "refused, then taken" {
 			require.Empty(t, got, name)
 		} else {
 			require.Len(t, got, 1, name)
 		}
 	}
-	b := NewBook()
+	b := NewRecorder()
 	require.False(t, b.apart(0))
 	b.marks = []Mark{{"apart", "core", 2}, {"joined", "core", 5}}
 	require.True(t, b.apart(3))
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -53,7 +53,7 @@
 	Site     standin.Site
 	Boxes    []*Box
 	Platform *standin.Platform
-	Book     *Book
+	Recorder *Recorder
 	Seeds    []string
 	Tune     func(*standin.WorkerOptions)
 	Programs map[string]fleetstate.Program
@@ -74,7 +74,7 @@
 
 // Build sets up a site's fleet and starts all of it but the load.
 func Build(seed uint64, site standin.Site, tune func(*Cluster)) *Cluster {
-	c := &Cluster{World: simulated.NewWorld(seed), Site: site, Book: NewBook()}
+	c := &Cluster{World: simulated.NewWorld(seed), Site: site, Recorder: NewRecorder()}
 	c.base, c.shut = context.WithCancel(context.Background())
 	if tune != nil {
 		tune(c)
@@ -89,13 +89,13 @@
 		c.Seeds = append(c.Seeds, fmt.Sprintf("10.1.0.%d:700", i+1))
 	}
 	for i, a := range c.Seeds {
-		c.add(c.Tenet(fmt.Sprintf("controller-%d", i+1), a, site.Zones[i%len(site.Zones)]))
+		c.add(c.Controller(fmt.Sprintf("controller-%d", i+1), a, site.Zones[i%len(site.Zones)]))
 	}
 	for i := range site.Nodes {
-		c.add(c.Verge(fmt.Sprintf("router-%d", i+1), fmt.Sprintf("10.2.0.%d", i+1), site.Zones[i%len(site.Zones)]))
+		c.add(c.Router(fmt.Sprintf("router-%d", i+1), fmt.Sprintf("10.2.0.%d", i+1), site.Zones[i%len(site.Zones)]))
 	}
 	for i, id := range site.Names() {
-		c.add(c.Stand(id, site.Worker(i), fmt.Sprintf("10.3.0.%d", i+1)))
+		c.add(c.Worker(id, site.Worker(i), fmt.Sprintf("10.3.0.%d", i+1)))
 	}
 	return c
 }
@@ -125,8 +125,8 @@
 	return logging.Discard()
 }
 
-// Tenet describes a disk machine.
-func (c *Cluster) Tenet(name, addr string, zone ids.Zone) *Box {
+// Controller describes a disk machine.
+func (c *Cluster) Controller(name, addr string, zone ids.Zone) *Box {
 	ip := addr[:len(addr)-4]
 	return &Box{Name: name, Kind: "controller", Zone: zone, Addr: addr, Machine: c.World.Machine(ip),
 		begin: func(b *Box, ctx context.Context, host host.Host) error {
@@ -146,13 +146,13 @@
 		}}
 }
 
-// Verge describes a router node.
-func (c *Cluster) Verge(name, ip string, zone ids.Zone) *Box {
+// Router describes a router node.
+func (c *Cluster) Router(name, ip string, zone ids.Zone) *Box {
 	return &Box{Name: name, Kind: "router", Zone: zone, Addr: ip + ":701", Door: ip + ":80", Machine: c.World.Machine(ip),
 		begin: func(b *Box, ctx context.Context, host host.Host) error {
 			n := router.New(router.Options{Name: name, Addr: b.Addr, Zone: zone, Seeds: c.Seeds, Platform: "10.8.0.1:80", Host: host,
 				Ring: c.ring(name), Trace: func(e handoff.Event) {
-					c.Book.Step(name, e, b.Node.View().Current().Version)
+					c.Recorder.Step(name, e, b.Node.View().Current().Version)
 					if c.Steps != nil {
 						c.Steps(e)
 					}
@@ -166,7 +166,7 @@
 			cx, leave := context.WithCancel(ctx)
 			b.Leave = leave
 			c.wg.Go(func() { n.Run(cx, 3*time.Second) })
-			c.Platform.Door(b.Door, zone)
+			c.Platform.AddNode(b.Door, zone)
 			if err := c.serve(ctx, host, b.Addr, in); err != nil {
 				return err
 			}
@@ -174,11 +174,11 @@
 		}}
 }
 
-// Stand describes a stand-in worker.
-func (c *Cluster) Stand(id ids.WorkerID, w fleetstate.Worker, ip string) *Box {
+// Worker describes a stand-in worker.
+func (c *Cluster) Worker(id ids.WorkerID, w fleetstate.Worker, ip string) *Box {
 	return &Box{Name: string(id), Kind: "worker", Zone: w.Zone, Addr: ip + ":90", Machine: c.World.Machine(ip),
 		begin: func(b *Box, ctx context.Context, host host.Host) error {
-			opt := standin.WorkerOptions{ID: id, Addr: b.Addr, Part: w.Role, Room: w.Capacity, Block: w.Block, Host: host,
+			opt := standin.WorkerOptions{ID: id, Addr: b.Addr, Role: w.Role, Capacity: w.Capacity, Block: w.Block, Host: host,
 				Model: workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters}}
 			// Slow enough that a breakdown finds work in flight.
 			opt.Step, opt.Read = 10*time.Millisecond, 80*time.Microsecond
@@ -186,9 +186,9 @@
 				c.Tune(&opt)
 			}
 			k := standin.NewWorker(opt)
-			k.Tell = c.Book.Worker
+			k.Tell = c.Recorder.Worker
 			b.Worker = k
-			c.Book.Life(k)
+			c.Recorder.Life(k)
 			c.wg.Go(func() { k.Run(ctx) })
 			c.Platform.List(workerclient.ListedWorker{ID: id, Addr: b.Addr, Zone: w.Zone})
 			return c.serve(ctx, host, b.Addr, k.Handler())
@@ -284,7 +284,7 @@
 	}
 	var err error
 	c.Until(10*time.Second, func() bool {
-		_, err = c.Apply(&api.Apply{Op: "first", Base: 0, Source: text})
+		_, err = c.Apply(&api.ApplyRequest{Op: "first", Base: 0, Source: text})
 		return err == nil
 	})
 	if err != nil {
@@ -296,7 +296,7 @@
 				return false
 			}
 		}
-		return len(c.Platform.Doors("")) > 0
+		return len(c.Platform.Nodes("")) > 0
 	}) {
 		return fmt.Errorf("the nodes did not become ready")
 	}
@@ -304,14 +304,14 @@
 }
 
 // Apply asks the first door that answers.
-func (c *Cluster) Apply(a *api.Apply) (*api.Applied, error) {
-	got := &api.Applied{}
+func (c *Cluster) Apply(a *api.ApplyRequest) (*api.ApplyResponse, error) {
+	got := &api.ApplyResponse{}
 	return got, c.Operate("/v1/policy", a, got)
 }
 
 // Mark evacuates, drains, or takes that back.
 func (c *Cluster) Mark(path, op string, out bool) error {
-	return c.Operate(path, &api.Mark{Op: op, Out: out}, nil)
+	return c.Operate(path, &api.MarkRequest{Op: op, Out: out}, nil)
 }
 
 // Operate asks the doors of the nodes that are up, as keelstairctl does.
@@ -339,7 +339,7 @@
 
 // Mix sends another mix of shapes.
 func (c *Cluster) Mix(shapes []standin.Shape, rate float64, span time.Duration, seed uint64) []standin.Outcome {
-	return standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Doors, Zones: c.Site.Zones, Shapes: shapes, Rate: rate, Span: span, Seed: seed,
+	return standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Nodes, Zones: c.Site.Zones, Shapes: shapes, Rate: rate, Span: span, Seed: seed,
 		Model: c.Site.Model, Weights: []string{standin.SiteWeights, "w2"}, Retries: 8})
 }
 
--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -61,7 +61,7 @@
 						}
 						a, b := sum.Kinds[site.Shapes[0].Kind], sum.Kinds[site.Shapes[1].Kind]
 						fmt.Printf("| %s | %s | %d | %d of %d | %.0f / %.0f | %.0f / %.0f | %.0f%% |\n", name, prog, seed, sum.Ends["complete"], sum.Sent, a.FirstP50, a.FirstP99, b.FirstP50, b.FirstP99, 100*float64(warm)/float64(max(read, 1)))
-						require.Empty(t, c.Book.Check(nil))
+						require.Empty(t, c.Recorder.Check(nil))
 					})
 				})
 			}
--- a/internal/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -83,7 +83,7 @@
 		c.PowerOff(b)
 		b.Machine.WipeDisk()
 		time.Sleep(span(r, 100, 1500))
-		c.add(c.Tenet("controller-"+op, fmt.Sprintf("10.1.%d.%d:700", 1+r.IntN(200), 1+r.IntN(200)), b.Zone))
+		c.add(c.Controller("controller-"+op, fmt.Sprintf("10.1.%d.%d:700", 1+r.IntN(200), 1+r.IntN(200)), b.Zone))
 		time.Sleep(9 * time.Second)
 		return nil
 	}},
@@ -161,10 +161,10 @@
 	}},
 	{"a node cut from its kind", "links", func(c *Cluster, r *rand.Rand, _ string) error {
 		b := hit(r, c.Of("router"))
-		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
-		c.World.Partition(ips(b), mates, true)
+		peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
+		c.World.Partition(ips(b), peers, true)
 		time.Sleep(span(r, 1000, 6000))
-		c.World.Partition(ips(b), mates, false)
+		c.World.Partition(ips(b), peers, false)
 		return nil
 	}},
 	{"all leases lapse", "links", func(c *Cluster, r *rand.Rand, _ string) error {
@@ -245,7 +245,7 @@
 	{"a worker leaves", "zone", func(c *Cluster, r *rand.Rand, _ string) error {
 		id := hit(r, c.Site.Names())
 		c.Platform.Leave(id)
-		c.Book.Mark("leave", string(id))
+		c.Recorder.Mark("leave", string(id))
 		time.Sleep(3 * time.Second)
 		return nil
 	}},
--- a/internal/simulation/swing_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -28,9 +28,9 @@
 		r.Complete, r.Sent, r.FirstP50, r.FirstP99, w.Complete, w.Sent, w.FirstP50, w.FirstP99, s.turns, s.parts)
 }
 
-// swing sends long prompts that six prefill workers cannot read, then long answers
+// demandShift sends long prompts that six prefill workers cannot read, then long answers
 // that six decode workers cannot make, and counts.
-func swing(t *testing.T, turn bool, seed uint64, span time.Duration) swung {
+func demandShift(t *testing.T, turn bool, seed uint64, span time.Duration) swung {
 	out := swung{parts: map[ids.Role]int{}}
 	synctest.Test(t, func(t *testing.T) {
 		c := Build(seed, standin.Sites["vatuloa"], func(c *Cluster) {
@@ -44,13 +44,13 @@
 		write := c.Mix([]standin.Shape{{Kind: "clarification", Share: 100, Own: 40, Max: 64, Long: 10}}, 75, span, seed+100)
 		out.read, out.write = standin.Sum(read), standin.Sum(write)
 		for _, b := range c.Of("router") {
-			out.turns += b.Node.Turned()
+			out.turns += b.Node.RoleChanges()
 		}
 		for _, b := range c.Of("worker") {
 			out.parts[b.Worker.Part()]++
 		}
 		all := append(read, write...)
-		require.Empty(t, c.Book.Check(all))
+		require.Empty(t, c.Recorder.Check(all))
 		for _, o := range all {
 			require.Contains(t, []string{"complete", "bounced", standin.Left}, o.End, "no stream breaks: %s", o.Detail)
 		}
@@ -70,8 +70,8 @@
 	fixed, moved := make([]swung, seeds), make([]swung, seeds)
 	t.Run("both", func(t *testing.T) {
 		for i := range seeds {
-			t.Run("fixed", func(t *testing.T) { t.Parallel(); fixed[i] = swing(t, false, uint64(i+1), span) })
-			t.Run("turning", func(t *testing.T) { t.Parallel(); moved[i] = swing(t, true, uint64(i+1), span) })
+			t.Run("fixed", func(t *testing.T) { t.Parallel(); fixed[i] = demandShift(t, false, uint64(i+1), span) })
+			t.Run("turning", func(t *testing.T) { t.Parallel(); moved[i] = demandShift(t, true, uint64(i+1), span) })
 		}
 	})
 	for i := range seeds {
