--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -21,7 +21,7 @@
 // holder is the node that holds the key of a worker.
 func holder(c *Cluster, id ids.WorkerID) *Box {
 	for _, b := range c.Of("router") {
-		if b.Up && slices.Contains(b.Node.Status().(*router.Standing).Holds, fleetstate.WorkerKey(id)) {
+		if b.Up && slices.Contains(b.Node.Status().(*router.NodeStatus).Holds, fleetstate.WorkerKey(id)) {
 			return b
 		}
 	}
@@ -32,7 +32,7 @@
 func able(c *Cluster) *Box {
 	for _, b := range c.Of("router") {
 		has := map[byte]bool{}
-		for _, k := range b.Node.Status().(*router.Standing).Holds {
+		for _, k := range b.Node.Status().(*router.NodeStatus).Holds {
 			if id, ok := strings.CutPrefix(string(k), "worker/"); ok {
 				has[id[0]] = true
 			}
@@ -49,7 +49,7 @@
 	for i := range 60 {
 		go func() {
 			time.Sleep(time.Duration(i) * 50 * time.Millisecond)
-			c.stream(b, api.Ask{Kind: c.Site.Shapes[1].Kind, Prompt: fmt.Sprint("is it still so ", i), MaxTokens: 2})
+			c.stream(b, api.StreamRequest{Kind: c.Site.Shapes[1].Kind, Prompt: fmt.Sprint("is it still so ", i), MaxTokens: 2})
 		}()
 	}
 }
@@ -94,14 +94,14 @@
 		}
 		sh := shown(c)
 		b := hit(r, c.Of("router"))
-		bad := &api.Apply{Op: fmt.Sprint("bad-", n), Base: sh.Version, Partial: true, Source: `{"workers":{"p1":{"room":0}}}`}
+		bad := &api.ApplyRequest{Op: fmt.Sprint("bad-", n), Base: sh.Version, Partial: true, Source: `{"workers":{"p1":{"room":0}}}`}
 		if err := c.At(b, "/v1/policy", bad, nil); err == nil {
 			return fmt.Errorf("round %d: a bad part was taken", n)
 		}
 		if err := alter(c, fmt.Sprint("grow-", n), partOf(map[string]any{"kinds": kinds, "workers": workers})); err != nil {
 			return err
 		}
-		late := &api.Apply{Op: fmt.Sprint("late-", n), Base: sh.Version, Partial: true, Source: `{"limits":{"queue":3}}`}
+		late := &api.ApplyRequest{Op: fmt.Sprint("late-", n), Base: sh.Version, Partial: true, Source: `{"limits":{"queue":3}}`}
 		if err := c.At(hit(r, c.Of("router")), "/v1/policy", late, nil); err == nil {
 			return fmt.Errorf("round %d: a part over an old version was taken", n)
 		}
@@ -144,10 +144,10 @@
 				w = o
 			}
 		}
-		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
-		c.World.Partition(ips(b), mates, true)
+		peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
+		c.World.Partition(ips(b), peers, true)
 		err := emptied(c, w.Zone, "cut", 7*time.Second)
-		c.World.Partition(ips(b), mates, false)
+		c.World.Partition(ips(b), peers, false)
 		return err
 	}},
 	{Name: "worker-leaves-its-holder-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
@@ -156,10 +156,10 @@
 		c.World.Partition(ips(b), []string{"10.8.0.1"}, true)
 		time.Sleep(time.Second)
 		c.Platform.Leave(ids.WorkerID(w.Name))
-		c.Book.Mark("leave", w.Name)
+		c.Recorder.Mark("leave", w.Name)
 		// The platform hands nobody to this door now; who knows it still comes.
 		for i := range 40 {
-			c.stream(b, api.Ask{Kind: c.Site.Shapes[1].Kind, Prompt: fmt.Sprint("who still comes here ", i), MaxTokens: 4})
+			c.stream(b, api.StreamRequest{Kind: c.Site.Shapes[1].Kind, Prompt: fmt.Sprint("who still comes here ", i), MaxTokens: 4})
 			time.Sleep(100 * time.Millisecond)
 		}
 		c.World.Partition(ips(b), []string{"10.8.0.1"}, false)
@@ -169,7 +169,7 @@
 		w := hit(r, c.Of("worker"))
 		b, l := holder(c, ids.WorkerID(w.Name)), leader(c)
 		c.Platform.Leave(ids.WorkerID(w.Name))
-		c.Book.Mark("leave", w.Name)
+		c.Recorder.Mark("leave", w.Name)
 		time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond)
 		c.Kill(l)
 		c.Kill(b)
@@ -179,9 +179,9 @@
 	{Name: "storm-with-a-node-cut-from-its-kind", Run: func(c *Cluster, r *rand.Rand) error {
 		// Callers and workers still reach it; nobody tells it what is new.
 		b := able(c)
-		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
+		peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 		for n := range 3 {
-			c.World.Partition(ips(b), mates, true)
+			c.World.Partition(ips(b), peers, true)
 			insist(c, b)
 			pause(r)
 			for k := range 3 {
@@ -190,7 +190,7 @@
 				}
 			}
 			time.Sleep(time.Second)
-			c.World.Partition(ips(b), mates, false)
+			c.World.Partition(ips(b), peers, false)
 			time.Sleep(time.Second)
 		}
 		return nil
@@ -214,13 +214,13 @@
 		for _, b := range c.Of("worker") {
 			id := ids.WorkerID(b.Name)
 			c.Platform.Leave(id)
-			c.Book.Mark("leave", b.Name)
+			c.Recorder.Mark("leave", b.Name)
 			if !c.Until(6*time.Second, func() bool { return b.Worker.Used() == 0 }) {
 				return fmt.Errorf("%s did not drain", b.Name)
 			}
 			time.Sleep(time.Second)
 			c.Kill(b)
-			c.Book.Mark("return", b.Name)
+			c.Recorder.Mark("return", b.Name)
 			c.Platform.Strike(id)
 			time.Sleep(500 * time.Millisecond)
 			if err := c.Start(b); err != nil {
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -23,15 +23,15 @@
 	"keelstair.example/rpc"
 )
 
-// TestHolderChecks: a holder gives no governed order to an uncertified worker, and lets
+// TestOwnerChecks: a holder gives no governed order to an uncertified worker, and lets
 // none import from one, whoever asks; what ends work is always given.
-func TestHolderChecks(t *testing.T) {
-	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
+func TestOwnerChecks(t *testing.T) {
+	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		for _, w := range []ids.WorkerID{"p4", "d4", "d1"} {
 			require.True(t, c.Until(5*time.Second, func() bool { return slices.Contains(holds(holder(c, w)), ids.Key("worker/"+w)) }))
 		}
 		time.Sleep(2 * time.Second) // ledgers are open by then
-		ask := func(q router.OrderAsk) error {
+		ask := func(q router.OrderRequest) error {
 			q.Request, q.Attempt, q.Regime = "x", 1, "chair"
 			q.Version = c.Of("router")[0].Node.View().Current().Version
 			if q.Body == nil {
@@ -39,34 +39,34 @@
 			}
 			call := rpc.NewCaller(c.out.Host().Net)
 			defer call.Close()
-			_, err := rpc.Call[router.OrderAsk, router.OrderReply](c.base, call, holder(c, q.Worker).Addr, "verge/order", &q)
+			_, err := rpc.Call[router.OrderRequest, router.OrderResponse](c.base, call, holder(c, q.Worker).Addr, router.OrderMethod, &q)
 			return err
 		}
 		for _, verb := range []string{"reserve", "prefill", "export"} {
-			require.ErrorContains(t, ask(router.OrderAsk{Worker: "p4", Verb: verb, Part: ids.Prefill, Need: 1}), "no certificate", verb)
+			require.ErrorContains(t, ask(router.OrderRequest{Worker: "p4", Verb: verb, Role: ids.Prefill, Need: 1}), "no certificate", verb)
 		}
 		for _, verb := range []string{"import", "resume"} {
-			require.ErrorContains(t, ask(router.OrderAsk{Worker: "d4", Verb: verb, Part: ids.Decode, Source: "p1"}), "no certificate", verb)
+			require.ErrorContains(t, ask(router.OrderRequest{Worker: "d4", Verb: verb, Role: ids.Decode, Source: "p1"}), "no certificate", verb)
 		}
-		require.ErrorContains(t, ask(router.OrderAsk{Worker: "d1", Verb: "import", Part: ids.Decode, Source: "p4"}), "worker p4", "its source")
-		require.ErrorContains(t, ask(router.OrderAsk{Worker: "d1", Verb: "reserve", Part: ids.Prefill, Need: 1}), "no certificate", "another part")
-		require.NoError(t, ask(router.OrderAsk{Worker: "d1", Verb: "reserve", Part: ids.Decode, Need: 1}))
-		require.NoError(t, ask(router.OrderAsk{Worker: "p4", Verb: "done"}))
-		require.NoError(t, ask(router.OrderAsk{Worker: "p4", Verb: "cancel"}))
+		require.ErrorContains(t, ask(router.OrderRequest{Worker: "d1", Verb: "import", Role: ids.Decode, Source: "p4"}), "worker p4", "its source")
+		require.ErrorContains(t, ask(router.OrderRequest{Worker: "d1", Verb: "reserve", Role: ids.Prefill, Need: 1}), "no certificate", "another part")
+		require.NoError(t, ask(router.OrderRequest{Worker: "d1", Verb: "reserve", Role: ids.Decode, Need: 1}))
+		require.NoError(t, ask(router.OrderRequest{Worker: "p4", Verb: "done"}))
+		require.NoError(t, ask(router.OrderRequest{Worker: "p4", Verb: "cancel"}))
 	})
 }
 
 // TestRevokedMidStep: a long prefill on a worker that is revoked is left at once, not
 // when it is done, and its memory freed.
 func TestRevokedMidStep(t *testing.T) {
-	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
+	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		rich(t, c)
 		ask := long(speech)
 		ask.Prompt, ask.PromptIds = "", make([]int32, 18000)
 		for i := range ask.PromptIds {
 			ask.PromptIds[i] = int32(i%4000) + 1
 		}
-		done := make(chan []api.Line, 1)
+		done := make(chan []api.StreamEvent, 1)
 		go func() {
 			got, _ := c.stream(node(c, "router-1"), ask)
 			done <- got
@@ -75,9 +75,9 @@
 		at := b.serves(handoff.Granted)[0]
 		time.Sleep(100 * time.Millisecond)
 		require.NoError(t, b.Revoke("c-"+at))
-		acked := c.Book.Now()
+		acked := c.Recorder.Now()
 		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Dropped)) >= 1 }))
-		require.Less(t, c.Book.Now()-acked, 300*time.Millisecond)
+		require.Less(t, c.Recorder.Now()-acked, 300*time.Millisecond)
 		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Granted)) >= 2 }))
 		require.NotEqual(t, at, b.serves(handoff.Granted)[1])
 		got := <-done
@@ -86,12 +86,12 @@
 	})
 }
 
-// TestNextPiece: with pieces that come faster than a running step is looked at, the
+// TestNextEvent: with pieces that come faster than a running step is looked at, the
 // first one after the revocation was folded already comes from a certified worker.
-func TestNextPiece(t *testing.T) {
-	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
+func TestNextEvent(t *testing.T) {
+	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		ask, n := long(speech), node(c, "router-1")
-		done := make(chan []api.Line, 1)
+		done := make(chan []api.StreamEvent, 1)
 		go func() {
 			got, _ := c.stream(n, ask)
 			done <- got
@@ -122,7 +122,7 @@
 	inBubble(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		all := c.Load(20, 4*time.Second, 1)
 		require.Equal(t, len(all), standin.Sum(all).Ends[api.Complete])
-		st := c.Of("router")[0].Node.Status().(*router.Standing)
+		st := c.Of("router")[0].Node.Status().(*router.NodeStatus)
 		require.Zero(t, st.Time)
 		got, err := c.Of("router")[0].Node.Audits(c.base, 1, 10)
 		require.NoError(t, err)
@@ -135,8 +135,8 @@
 func TestProgramsSeeCleared(t *testing.T) {
 	unraced(t)
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBureau()
-		c := Build(1, chamber, func(c *Cluster) {
+		b := NewAuditModel()
+		c := Build(1, governedWork, func(c *Cluster) {
 			b.tune(c)
 			c.Programs = map[string]fleetstate.Program{"spy": {Share: 100, Source: `
 def order(ask, workers):
@@ -157,7 +157,7 @@
 			require.NoError(t, err)
 			require.Equal(t, api.Complete, got[len(got)-1].End)
 		}
-		score := node(c, "router-1").Node.Status().(*router.Standing).Programs["spy"]
+		score := node(c, "router-1").Node.Status().(*router.NodeStatus).Programs["spy"]
 		require.GreaterOrEqual(t, score["picks"], int64(20), "%v", score)
 		require.Zero(t, score["fallbacks"], "%v", score)
 	})
@@ -166,17 +166,17 @@
 // TestStaging: a source that is revoked while its memory is on the way to another worker
 // keeps none of it: the attempt ends, the staging is freed, another source is taken.
 func TestStaging(t *testing.T) {
-	inChamber(t, func(b *Bureau) {
+	withGovernedWork(t, func(b *AuditModel) {
 		b.usual()
 		b.c.slow(40_000)
-	}, func(t *testing.T, c *Cluster, b *Bureau) {
+	}, func(t *testing.T, c *Cluster, b *AuditModel) {
 		rich(t, c)
 		ask := long(speech)
 		ask.Prompt, ask.PromptIds = "", make([]int32, 1000)
 		for i := range ask.PromptIds {
 			ask.PromptIds[i] = int32(i) + 1
 		}
-		done := make(chan []api.Line, 1)
+		done := make(chan []api.StreamEvent, 1)
 		go func() {
 			got, _ := c.stream(node(c, "router-1"), ask)
 			done <- got
@@ -184,16 +184,16 @@
 		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Imported)) == 1 }))
 		from := b.serves(handoff.Granted)[0]
 		require.NoError(t, b.Revoke("c-"+from))
-		acked := c.Book.Now()
+		acked := c.Recorder.Now()
 		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Dropped)) >= 1 }))
-		require.Less(t, c.Book.Now()-acked, 300*time.Millisecond)
+		require.Less(t, c.Recorder.Now()-acked, 300*time.Millisecond)
 		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Granted)) >= 2 }))
 		got := <-done
 		require.Equal(t, api.Complete, got[len(got)-1].End)
 		require.Empty(t, b.Check(nil))
-		c.Book.mu.Lock()
-		defer c.Book.mu.Unlock()
-		for _, e := range c.Book.rows {
+		c.Recorder.mu.Lock()
+		defer c.Recorder.mu.Unlock()
+		for _, e := range c.Recorder.rows {
 			if e.What == "unstaged" && string(e.Worker) == from {
 				require.Less(t, e.When-acked, time.Second)
 				return
@@ -210,18 +210,18 @@
 	}
 }
 
-// TestRoom: in a crowd of work that no regime governs, what a regime keeps free on its
+// TestCapacity: in a crowd of work that no regime governs, what a regime keeps free on its
 // workers carries the governed work; without it most of that is bounced.
-func TestRoom(t *testing.T) {
+func TestCapacity(t *testing.T) {
 	unraced(t)
 	served := map[int]float64{}
 	for _, keep := range []int{0, 50} {
 		synctest.Test(t, func(t *testing.T) {
-			b := NewBureau()
+			b := NewAuditModel()
 			b.keep = keep
-			c := Build(1, chamber, func(c *Cluster) {
+			c := Build(1, governedWork, func(c *Cluster) {
 				b.tune(c)
-				c.Tune = func(o *standin.WorkerOptions) { o.Room, o.Step, o.Stage = 220, 20*time.Millisecond, 2*time.Second }
+				c.Tune = func(o *standin.WorkerOptions) { o.Capacity, o.Step, o.Stage = 220, 20*time.Millisecond, 2*time.Second }
 			})
 			defer c.Close()
 			require.NoError(t, c.Found())
@@ -229,12 +229,12 @@
 			require.NoError(t, b.Open())
 			load := func(sh standin.Shape, rate float64, seed uint64) []standin.Outcome {
 				sh.Share = 100
-				return standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Doors, Zones: c.Site.Zones, Shapes: []standin.Shape{sh},
+				return standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Nodes, Zones: c.Site.Zones, Shapes: []standin.Shape{sh},
 					Rate: rate, Span: 4 * time.Second, Seed: seed, Model: c.Site.Model, Weights: []string{standin.SiteWeights}})
 			}
 			other := make(chan []standin.Outcome, 1)
-			go func() { other <- load(chamber.Shapes[2], 500, 2) }()
-			all := load(chamber.Shapes[0], 15, 3)
+			go func() { other <- load(governedWork.Shapes[2], 500, 2) }()
+			all := load(governedWork.Shapes[0], 15, 3)
 			crowd := standin.Sum(<-other)
 			require.Positive(t, crowd.Ends["bounced"], "it is a crowd")
 			require.Positive(t, crowd.Ends[api.Complete])
@@ -252,8 +252,8 @@
 func TestBadCertificates(t *testing.T) {
 	unraced(t)
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBureau()
-		c := Build(1, chamber, b.tune)
+		b := NewAuditModel()
+		c := Build(1, governedWork, b.tune)
 		defer c.Close()
 		require.NoError(t, c.Found())
 		b.usual()
@@ -268,7 +268,7 @@
 			one := good
 			spoil(&one)
 			b.certs["c-p1"] = one
-			err := c.Operate("/v1/policy", &api.Apply{Op: coordination.NewID(), Base: shown(c).Version, Partial: true, Name: "regimes.json", Source: b.part()}, nil)
+			err := c.Operate("/v1/policy", &api.ApplyRequest{Op: coordination.NewID(), Base: shown(c).Version, Partial: true, Name: "regimes.json", Source: b.part()}, nil)
 			n, name, detail := code(t, err)
 			require.Equal(t, http.StatusBadRequest, n, detail)
 			require.Equal(t, "bad", name)
@@ -277,7 +277,7 @@
 			b.certs["c-p1"] = good
 		}
 		require.Empty(t, c.Of("router")[0].Node.Regimes().Regimes)
-		n, _, _ := code(t, c.Operate("/v1/certificates/c-p1", &api.Mark{Op: "x", Out: true}, nil))
+		n, _, _ := code(t, c.Operate("/v1/certificates/c-p1", &api.MarkRequest{Op: "x", Out: true}, nil))
 		require.Equal(t, http.StatusNotFound, n)
 		require.NoError(t, b.Open())
 	})
@@ -290,7 +290,7 @@
 	defer call.Close()
 	spend := func() bool {
 		for _, b := range c.Of("router") {
-			if r, err := rpc.Call[coordination.Empty, router.Spent](c.base, call, b.Addr, "verge/spend", &coordination.Empty{}); err == nil && r.Ok {
+			if r, err := rpc.Call[coordination.Empty, router.RetrySpent](c.base, call, b.Addr, router.SpendMethod, &coordination.Empty{}); err == nil && r.OK {
 				return true
 			}
 		}
--- a/internal/simulation/chamber_test.go
+++ b/internal/simulation/governed_work_test.go
@@ -25,7 +25,7 @@
 // Sitting is one script over the chamber.
 type Sitting struct {
 	Name string
-	Run  func(c *Cluster, b *Bureau, r *rand.Rand) error
+	Run  func(c *Cluster, b *AuditModel, r *rand.Rand) error
 }
 
 func certifiedBox(c *Cluster, r *rand.Rand, sort string) *Box {
@@ -40,7 +40,7 @@
 
 // Sittings are what machines, operators and time do to governed work.
 var Sittings = []Sitting{
-	{"workers-crash", func(c *Cluster, b *Bureau, r *rand.Rand) error {
+	{"workers-crash", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		for _, sort := range []string{"d", "p"} {
 			w := certifiedBox(c, r, sort)
 			c.Kill(w)
@@ -52,7 +52,7 @@
 		}
 		return nil
 	}},
-	{"workers-drained", func(c *Cluster, b *Bureau, r *rand.Rand) error {
+	{"workers-drained", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		for i, sort := range []string{"d", "p"} {
 			w := certifiedBox(c, r, sort)
 			if err := c.Mark("/v1/workers/"+w.Name, fmt.Sprint("out", i), true); err != nil {
@@ -65,12 +65,12 @@
 		}
 		return nil
 	}},
-	{"worker-joins", func(c *Cluster, b *Bureau, r *rand.Rand) error {
+	{"worker-joins", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		// The fourth pair, so far uncertified, is certified under load.
 		b.certify([]string{"p4", "d4"}, []string{"router-5"})
 		return alter(c, "join", partOf(map[string]any{"certificates": b.certs}))
 	}},
-	{"zone-lost", func(c *Cluster, b *Bureau, r *rand.Rand) error {
+	{"zone-lost", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		z := hit(r, c.Site.Zones)
 		var down []*Box
 		for _, box := range c.Boxes {
@@ -86,7 +86,7 @@
 		}
 		return err
 	}},
-	{"revoked-mid-stream", func(c *Cluster, b *Bureau, r *rand.Rand) error {
+	{"revoked-mid-stream", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		for _, sort := range []string{"d", "p"} {
 			if err := b.Revoke("c-" + certifiedBox(c, r, sort).Name); err != nil {
 				return err
@@ -95,17 +95,17 @@
 		}
 		return b.Revoke("c-router-" + strconv.Itoa(1+r.IntN(4)))
 	}},
-	{"revoked-while-cut", func(c *Cluster, b *Bureau, r *rand.Rand) error {
+	{"revoked-while-cut", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		box := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
-		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
-		c.World.Partition(ips(box), mates, true)
+		peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
+		c.World.Partition(ips(box), peers, true)
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
 		err := b.Revoke("c-" + certifiedBox(c, r, "d").Name)
 		time.Sleep(time.Second)
-		c.World.Partition(ips(box), mates, false)
+		c.World.Partition(ips(box), peers, false)
 		return err
 	}},
-	{"expiry-while-cut", func(c *Cluster, b *Bureau, r *rand.Rand) error {
+	{"expiry-while-cut", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		// Two get other certificates, which end soon, and then their first are revoked.
 		for _, w := range []string{"d1", "p1"} {
 			part := ids.Decode
@@ -121,14 +121,14 @@
 			return err
 		}
 		box := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
-		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
+		peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 		time.Sleep(time.Duration(1500+r.IntN(1000)) * time.Millisecond)
-		c.World.Partition(ips(box), mates, true)
+		c.World.Partition(ips(box), peers, true)
 		time.Sleep(5 * time.Second)
-		c.World.Partition(ips(box), mates, false)
+		c.World.Partition(ips(box), peers, false)
 		return nil
 	}},
-	{"leader-dies-in-a-revocation", func(c *Cluster, b *Bureau, r *rand.Rand) error {
+	{"leader-dies-in-a-revocation", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		l := leader(c)
 		done := make(chan error, 1)
 		go func() { done <- b.Revoke("c-" + certifiedBox(c, r, "d").Name) }()
@@ -138,7 +138,7 @@
 		time.Sleep(2 * time.Second)
 		return errors.Join(err, c.Start(l))
 	}},
-	{"operators-race", func(c *Cluster, b *Bureau, r *rand.Rand) error {
+	{"operators-race", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		var wg sync.WaitGroup
 		errs := make([]error, 4)
 		for i, serial := range []string{"c-d1", "c-d1", "c-p1", "c-router-1"} {
@@ -152,7 +152,7 @@
 		wg.Wait()
 		return errors.Join(append(errs, err)...)
 	}},
-	{"clocks-leap", func(c *Cluster, b *Bureau, r *rand.Rand) error {
+	{"clocks-leap", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		for range 3 {
 			hit(r, append(c.Of("router"), c.Of("controller")...)).Machine.JumpClock(time.Duration(r.IntN(1000)) * time.Hour)
 			time.Sleep(2 * time.Second)
@@ -163,8 +163,8 @@
 
 // sit runs one script under load and gives what was wrong.
 func sit(t *testing.T, s Sitting, seed uint64) {
-	b := NewBureau()
-	c := Build(seed, chamber, b.tune)
+	b := NewAuditModel()
+	c := Build(seed, governedWork, b.tune)
 	defer c.Close()
 	require.NoError(t, c.Found())
 	b.usual()
@@ -179,7 +179,7 @@
 	then := c.Load(25, 6*time.Second, seed+1000)
 	time.Sleep(3 * time.Second)
 	require.Empty(t, b.Check(append(all, then...)))
-	require.Empty(t, c.Book.Check(append(all, then...)))
+	require.Empty(t, c.Recorder.Check(append(all, then...)))
 	sum := standin.Sum(then)
 	require.Equal(t, len(then), sum.Ends[api.Complete], "after the script: %+v", sum)
 	audited(t, c)
@@ -199,8 +199,8 @@
 	}
 }
 
-// TestBureauCatches plants violations of the line of certified nodes.
-func TestBureauCatches(t *testing.T) {
+// TestAuditModelCatches plants violations of the line of certified nodes.
+func TestAuditModelCatches(t *testing.T) {
 	for name, one := range map[string]struct {
 		rows  []Seen
 		wrong bool
@@ -215,12 +215,12 @@
 		"not governed":                  {[]Seen{{standin.Event{What: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewBureau()
-			b.c = &Cluster{Book: NewBook()}
+			b := NewAuditModel()
+			b.c = &Cluster{Recorder: NewRecorder()}
 			b.certs["s"] = certification.Certificate{Worker: "p1"}
 			b.spans["s"] = grant{2 * time.Second, 10 * time.Second}
 			b.work["r"] = "chair"
-			b.c.Book.rows = one.rows
+			b.c.Recorder.rows = one.rows
 			if got := b.Check(nil); one.wrong {
 				require.NotEmpty(t, got)
 				require.Equal(t, Uncertified, got[0].Line)
--- a/internal/simulation/deed_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -16,16 +16,16 @@
 )
 
 func runsOf(c *Cluster, key string) (runs, records int) {
-	c.Book.mu.Lock()
-	defer c.Book.mu.Unlock()
-	for _, w := range c.Book.lives {
+	c.Recorder.mu.Lock()
+	defer c.Recorder.mu.Unlock()
+	for _, w := range c.Recorder.lives {
 		t := w.Tallies()[router.Request(key)]
 		runs, records = runs+t.Runs, records+t.Records
 	}
 	return runs, records
 }
 
-var verdict = api.Ask{Kind: "verdict", Key: "q1", Prompt: "was the binding resolution carried by the chairs present", MaxTokens: 3, Seed: 5}
+var verdict = api.StreamRequest{Kind: "verdict", Key: "q1", Prompt: "was the binding resolution carried by the chairs present", MaxTokens: 3, Seed: 5}
 
 // TestSameKey: one key asked of every node at once, and again later, runs once
 // and gives one record; another body under the key is refused.
@@ -34,7 +34,7 @@
 	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		whole, running := 0, 0
+		complete, running := 0, 0
 		for _, b := range c.Of("router") {
 			wg.Go(func() {
 				got, err := c.stream(b, verdict)
@@ -43,13 +43,13 @@
 				if r, ok := err.(*api.Fault); ok && r.Name == "running" {
 					running++
 				} else if err == nil && got[len(got)-1].End == api.Complete {
-					whole++
+					complete++
 				}
 			})
 		}
 		wg.Wait()
-		require.Equal(t, len(c.Of("router")), whole+running)
-		require.Positive(t, whole)
+		require.Equal(t, len(c.Of("router")), complete+running)
+		require.Positive(t, complete)
 		first, err := c.stream(c.Of("router")[0], verdict)
 		require.NoError(t, err)
 		solo := standin.Solo(verdict.Tokens(), 3, 5, 0, c.Site.Model, standin.SiteWeights, nil)
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -49,14 +49,14 @@
 			{"text", http.StatusBadRequest, "wrong-type"},
 			{map[string]any{"kind": "clarification", "colour": 1}, http.StatusBadRequest, "unknown-field"},
 			{map[string]any{"kind": "clarification", "maxTokens": "x"}, http.StatusBadRequest, "wrong-type"},
-			{api.Ask{Kind: "sermon", Prompt: "a"}, http.StatusBadRequest, "unknown"},
-			{api.Ask{Kind: "clarification", Model: "other", Prompt: "a"}, http.StatusBadRequest, "unknown"},
-			{api.Ask{Kind: "clarification", Adapters: []string{"x"}, Prompt: "a"}, http.StatusBadRequest, "unknown"},
-			{api.Ask{Kind: "clarification"}, http.StatusBadRequest, "missing"},
-			{api.Ask{Kind: "verdict", Prompt: "a"}, http.StatusBadRequest, "missing"},
-			{api.Ask{Kind: "clarification", Prompt: "a", MaxTokens: 1000}, http.StatusBadRequest, "out-of-range"},
-			{api.Ask{Kind: "clarification", PromptIds: big}, http.StatusRequestEntityTooLarge, "too-large"},
-			{api.Ask{Kind: "clarification", Prompt: strings.Repeat("a ", 3<<20)}, http.StatusRequestEntityTooLarge, "too-large"},
+			{api.StreamRequest{Kind: "sermon", Prompt: "a"}, http.StatusBadRequest, "unknown"},
+			{api.StreamRequest{Kind: "clarification", Model: "other", Prompt: "a"}, http.StatusBadRequest, "unknown"},
+			{api.StreamRequest{Kind: "clarification", Adapters: []string{"x"}, Prompt: "a"}, http.StatusBadRequest, "unknown"},
+			{api.StreamRequest{Kind: "clarification"}, http.StatusBadRequest, "missing"},
+			{api.StreamRequest{Kind: "verdict", Prompt: "a"}, http.StatusBadRequest, "missing"},
+			{api.StreamRequest{Kind: "clarification", Prompt: "a", MaxTokens: 1000}, http.StatusBadRequest, "out-of-range"},
+			{api.StreamRequest{Kind: "clarification", PromptIds: big}, http.StatusRequestEntityTooLarge, "too-large"},
+			{api.StreamRequest{Kind: "clarification", Prompt: strings.Repeat("a ", 3<<20)}, http.StatusRequestEntityTooLarge, "too-large"},
 		} {
 			got, name, _ := code(t, c.At(c.Of("router")[0], "/v1/streams", k.ask, nil))
 			require.Equal(t, k.code, got, "%v", k.name)
@@ -73,20 +73,20 @@
 	unraced(t)
 	inBubble(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		for _, k := range []struct {
-			a    api.Apply
+			a    api.ApplyRequest
 			code int
 			says string
 		}{
-			{api.Apply{Op: "a", Base: 1, Source: "{workers: {"}, 400, "policy:1"},
-			{api.Apply{Op: "b", Base: 1, Partial: true, Source: "{workers: {\n  p1: {room: -4}}}"}, 400, "policy:2:14: workers.p1.room"},
-			{api.Apply{Op: "c", Base: 1, Partial: true, Source: `{workers: {p1: {zone: "moon"}}}`}, 400, "moon"},
-			{api.Apply{Op: "d", Base: 1, Source: "{\"workers\": {\"p1\": {},\n\"p1\": {}}}"}, 400, "p1 stands twice"},
-			{api.Apply{Op: "e", Base: 1, Partial: true, Source: `{colour: 3}`}, 400, "colour"},
-			{api.Apply{Op: "f", Base: 1, Partial: true, Source: `{programs: {x: {share: 100, source: "def order(a, b):\n  retrun b"}}}`}, 400, "x.star:2"},
-			{api.Apply{Op: "g", Base: 1, Partial: true, Source: `{programs: {x: {share: 40, source: "def order(a, b):\n  return []"}}}`}, 400, "40, not to 100"},
-			{api.Apply{Op: "h", Base: 1, Partial: true, Source: `{workers: null}`}, 400, ""},
-			{api.Apply{Op: "i", Base: 0, Partial: true, Source: `{limits: {queue: 3}}`}, 409, "newest is 1"},
-			{api.Apply{Op: "", Base: 1, Source: `{}`}, 400, "id of its own"},
+			{api.ApplyRequest{Op: "a", Base: 1, Source: "{workers: {"}, 400, "policy:1"},
+			{api.ApplyRequest{Op: "b", Base: 1, Partial: true, Source: "{workers: {\n  p1: {room: -4}}}"}, 400, "policy:2:14: workers.p1.room"},
+			{api.ApplyRequest{Op: "c", Base: 1, Partial: true, Source: `{workers: {p1: {zone: "moon"}}}`}, 400, "moon"},
+			{api.ApplyRequest{Op: "d", Base: 1, Source: "{\"workers\": {\"p1\": {},\n\"p1\": {}}}"}, 400, "p1 stands twice"},
+			{api.ApplyRequest{Op: "e", Base: 1, Partial: true, Source: `{colour: 3}`}, 400, "colour"},
+			{api.ApplyRequest{Op: "f", Base: 1, Partial: true, Source: `{programs: {x: {share: 100, source: "def order(a, b):\n  retrun b"}}}`}, 400, "x.star:2"},
+			{api.ApplyRequest{Op: "g", Base: 1, Partial: true, Source: `{programs: {x: {share: 40, source: "def order(a, b):\n  return []"}}}`}, 400, "40, not to 100"},
+			{api.ApplyRequest{Op: "h", Base: 1, Partial: true, Source: `{workers: null}`}, 400, ""},
+			{api.ApplyRequest{Op: "i", Base: 0, Partial: true, Source: `{limits: {queue: 3}}`}, 409, "newest is 1"},
+			{api.ApplyRequest{Op: "", Base: 1, Source: `{}`}, 400, "id of its own"},
 		} {
 			_, err := c.Apply(&k.a)
 			got, name, text := code(t, err)
@@ -104,7 +104,7 @@
 func TestOperationIds(t *testing.T) {
 	unraced(t)
 	inBubble(t, "almaty", nil, func(t *testing.T, c *Cluster) {
-		a := &api.Apply{Op: "once", Base: 1, Partial: true, Source: `{limits: {queue: 9}}`}
+		a := &api.ApplyRequest{Op: "once", Base: 1, Partial: true, Source: `{limits: {queue: 9}}`}
 		one, err := c.Apply(a)
 		require.NoError(t, err)
 		c.PowerOff(c.Leader())
@@ -117,7 +117,7 @@
 		require.NoError(t, err, "and so for a whole one")
 		require.Equal(t, one.Version, two.Version)
 		for _, partial := range []bool{true, false} {
-			_, err = c.Apply(&api.Apply{Op: "other", Base: 1, Partial: partial, Source: a.Source})
+			_, err = c.Apply(&api.ApplyRequest{Op: "other", Base: 1, Partial: partial, Source: a.Source})
 			got, _, _ := code(t, err)
 			require.Equal(t, 409, got)
 		}
@@ -141,8 +141,8 @@
 		require.Equal(t, []any{503, "not-ready"}, []any{got, name})
 		require.NoError(t, c.Mark("/v1/zones/"+string(b.Zone), "back", false))
 		require.True(t, c.Until(4*time.Second, ready(true)))
-		long := api.Ask{Kind: "clarification", Prompt: "what was the last point", MaxTokens: 40, Seed: 11}
-		lines := make(chan []api.Line, 1)
+		long := api.StreamRequest{Kind: "clarification", Prompt: "what was the last point", MaxTokens: 40, Seed: 11}
+		lines := make(chan []api.StreamEvent, 1)
 		go func() { l, _ := c.stream(b, long); lines <- l }()
 		time.Sleep(150 * time.Millisecond)
 		b.Leave()
@@ -153,7 +153,7 @@
 		// Its keys pass on by its goodbye, sooner than a lease would lapse.
 		me := b.Node.Me().Node
 		require.True(t, c.Until(1500*time.Millisecond, func() bool {
-			for _, m := range c.Of("router")[1].Node.Status().(*router.Standing).Members {
+			for _, m := range c.Of("router")[1].Node.Status().(*router.NodeStatus).Members {
 				if m.Node == me {
 					return false
 				}
--- a/internal/simulation/freight_test.go
+++ b/internal/simulation/kv_transfer_test.go
@@ -19,10 +19,10 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// TestFreight measures, with the size that the design names (256 MiB for 2048 tokens)
+// TestKVTransfer measures, with the size that the design names (256 MiB for 2048 tokens)
 // and links of 1 and 10 Gbit a second, when each step of a hand-over is done after it
 // was granted: the points at which a first piece could go out. Run by make compare.
-func TestFreight(t *testing.T) {
+func TestKVTransfer(t *testing.T) {
 	if os.Getenv("KEELSTAIR_COMPARE") == "" {
 		t.Skip("a measurement, run by make compare")
 	}
@@ -34,7 +34,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
 				begun := map[workerclient.ID]ids.Tick{}
-				took := map[string]map[handoff.Stage][]time.Duration{"claimed": {}, "other": {}}
+				took := map[string]map[handoff.Step][]time.Duration{"claimed": {}, "other": {}}
 				c := Build(3, standin.Sites["vatuloa"], func(c *Cluster) {
 					c.Tune = func(o *standin.WorkerOptions) { o.Weight, o.Speed = 128<<10, link.speed }
 					c.Steps = func(e handoff.Event) {
@@ -44,10 +44,10 @@
 						if strings.HasPrefix(e.ID.Request, "k-") {
 							kind = "claimed"
 						}
-						if e.Stage == handoff.Granted {
+						if e.Step == handoff.Granted {
 							begun[e.ID] = e.At
 						} else if at, ok := begun[e.ID]; ok {
-							took[kind][e.Stage] = append(took[kind][e.Stage], e.At.Since(at))
+							took[kind][e.Step] = append(took[kind][e.Step], e.At.Since(at))
 						}
 					}
 				})
@@ -59,7 +59,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				for kind, stages := range took {
-					for _, s := range []handoff.Stage{handoff.Prefilled, handoff.Imported, handoff.Resumed} {
+					for _, s := range []handoff.Step{handoff.Prefilled, handoff.Imported, handoff.Resumed} {
 						fmt.Printf("| %s | %s | %s | %.0f / %.0f |\n", link.name, kind, s, standin.Quantile(stages[s], 0.5), standin.Quantile(stages[s], 0.99))
 					}
 				}
--- a/internal/simulation/machines_test.go
+++ b/internal/simulation/machines_test.go
@@ -84,20 +84,20 @@
 		c.PowerOff(b)
 		b.Machine.WipeDisk()
 		time.Sleep(time.Second)
-		c.add(c.Tenet("controller-new", "10.1.0.9:700", b.Zone))
+		c.add(c.Controller("controller-new", "10.1.0.9:700", b.Zone))
 		time.Sleep(7 * time.Second)
 		return change(c, "after-wipe", 1500)
 	}},
 	{Name: "rolling-replacement", Bound: 12 * time.Second, Run: func(c *Cluster, r *rand.Rand) error {
-		old := append([]*Box(nil), c.Of("controller")...)
-		r.Shuffle(len(old), func(i, j int) { old[i], old[j] = old[j], old[i] })
-		for i, b := range old {
+		previous := append([]*Box(nil), c.Of("controller")...)
+		r.Shuffle(len(previous), func(i, j int) { previous[i], previous[j] = previous[j], previous[i] })
+		for i, b := range previous {
 			if err := change(c, fmt.Sprintf("roll-%d", i), 1600+i); err != nil {
 				return fmt.Errorf("before round %d: %w", i, err)
 			}
 			c.PowerOff(b)
 			b.Machine.WipeDisk()
-			c.add(c.Tenet(fmt.Sprintf("controller-r%d", i), fmt.Sprintf("10.1.0.%d:700", 20+i), b.Zone))
+			c.add(c.Controller(fmt.Sprintf("controller-r%d", i), fmt.Sprintf("10.1.0.%d:700", 20+i), b.Zone))
 			time.Sleep(9 * time.Second)
 		}
 		if err := change(c, "roll-last", 1700); err != nil {
--- a/internal/simulation/decree_test.go
+++ b/internal/simulation/operations_test.go
@@ -41,8 +41,8 @@
 	if err != nil {
 		return "", err
 	}
-	_, whole, err := fleetstate.ParseComplete("part", text)
-	return string(whole), err
+	_, complete, err := fleetstate.ParseComplete("part", text)
+	return string(complete), err
 }
 
 var errLost = errors.New("another operator was first")
@@ -55,10 +55,10 @@
 	if err != nil {
 		return err
 	}
-	begun := c.Book.Now()
-	var got *api.Applied
+	begun := c.Recorder.Now()
+	var got *api.ApplyResponse
 	c.Until(12*time.Second, func() bool {
-		got, err = c.Apply(&api.Apply{Op: op, Base: sh.Version, Partial: true, Source: part})
+		got, err = c.Apply(&api.ApplyRequest{Op: op, Base: sh.Version, Partial: true, Source: part})
 		var r *api.Fault
 		return err == nil || errors.As(err, &r) && r.Code < 500
 	})
@@ -66,17 +66,17 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &r) && r.Code == http.StatusConflict:
-		c.Book.Refuse(text)
+		c.Recorder.Refuse(text)
 		return errLost
 	default:
 		return err
 	}
-	c.Book.Ack(ids.Version(got.Version), text)
-	took := c.Book.Now() - begun
-	c.Book.Took(took)
+	c.Recorder.Ack(ids.Version(got.Version), text)
+	took := c.Recorder.Now() - begun
+	c.Recorder.Took(took)
 	// While no node can reach the core, none can learn what it took.
-	if (took > 2*time.Second+c.Slack || !got.Active && c.Slack == 0) && !c.Book.apart(begun) {
-		c.Book.Mark("slow-apply", fmt.Sprintf("version %d took %s, in force: %v", got.Version, took, got.Active))
+	if (took > 2*time.Second+c.Slack || !got.Active && c.Slack == 0) && !c.Recorder.apart(begun) {
+		c.Recorder.Mark("slow-apply", fmt.Sprintf("version %d took %s, in force: %v", got.Version, took, got.Active))
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 	}
 	for _, b := range c.Of("worker") {
 		if b.Zone == z {
-			c.Book.Mark(what, b.Name)
+			c.Recorder.Mark(what, b.Name)
 		}
 	}
 	var err error
@@ -108,12 +108,12 @@
 
 // Apart cuts the core from all nodes, or joins them again.
 func (c *Cluster) Apart(on bool) {
-	c.Book.Mark(map[bool]string{true: "apart", false: "joined"}[on], "core")
+	c.Recorder.Mark(map[bool]string{true: "apart", false: "joined"}[on], "core")
 	c.World.Partition(ips(c.Of("controller")...), ips(c.Of("router")...), on)
 }
 
 // apart tells whether the core was cut from all nodes at any time since a moment.
-func (b *Book) apart(since time.Duration) bool {
+func (b *Recorder) apart(since time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	on := false
@@ -132,14 +132,14 @@
 }
 
 // Refuse notes a text that an operator was told is not taken.
-func (b *Book) Refuse(text string) {
+func (b *Recorder) Refuse(text string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.nays = append(b.nays, text)
 }
 
 // Force notes what a node has in force.
-func (b *Book) Force(node string, v ids.Version, text []byte) {
+func (b *Recorder) Force(node string, v ids.Version, text []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.force[v] == nil {
@@ -155,30 +155,30 @@
 // that was refused; and at the end every node has the newest.
 func (c *Cluster) laws() []Fault {
 	f := &finder{}
-	c.Book.mu.Lock()
-	acks, marks := c.Book.acks, c.Book.marks
+	c.Recorder.mu.Lock()
+	acks, marks := c.Recorder.acks, c.Recorder.marks
 	taken := map[string]bool{}
 	var last ids.Version
 	for _, a := range acks {
 		taken[a.Text] = true
 		last = max(last, a.Version)
-		for text, node := range c.Book.force[a.Version] {
+		for text, node := range c.Recorder.force[a.Version] {
 			if text != a.Text {
 				f.say(LostLaw, "version %d was acknowledged, but %s had another text in force", a.Version, node)
 			}
 		}
 	}
-	for v, texts := range c.Book.force {
+	for v, texts := range c.Recorder.force {
 		if len(texts) > 1 {
 			f.say(LostLaw, "version %d had %d texts", v, len(texts))
 		}
-		for _, no := range c.Book.nays {
+		for _, no := range c.Recorder.nays {
 			if node, ok := texts[no]; ok && !taken[no] {
 				f.say(LostLaw, "%s had version %d in force, whose text was refused", node, v)
 			}
 		}
 	}
-	c.Book.mu.Unlock()
+	c.Recorder.mu.Unlock()
 	for _, b := range c.Of("router") {
 		if b.Up && !c.Until(5*time.Second, func() bool { return ids.Version(b.Node.Show().Version) >= last }) {
 			f.say(LostLaw, "%s has version %d, version %d was acknowledged", b.Name, b.Node.Show().Version, last)
--- a/internal/simulation/others_test.go
+++ b/internal/simulation/others_test.go
@@ -65,10 +65,10 @@
 		pause(r)
 		b := hit(r, c.Of("router"))
 		// Its workers and callers still reach it: only its own kind does not.
-		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
-		c.World.Partition(ips(b), mates, true)
+		peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
+		c.World.Partition(ips(b), peers, true)
 		time.Sleep(7 * time.Second)
-		c.World.Partition(ips(b), mates, false)
+		c.World.Partition(ips(b), peers, false)
 		return nil
 	}},
 	{Name: "all-leases-lapse", Run: func(c *Cluster, r *rand.Rand) error {
@@ -152,12 +152,12 @@
 		}
 		time.Sleep(5 * time.Second)
 		return nil
-	}, Tune: func(c *Cluster) { c.Tune = func(o *standin.WorkerOptions) { o.Room = 140 } }},
+	}, Tune: func(c *Cluster) { c.Tune = func(o *standin.WorkerOptions) { o.Capacity = 140 } }},
 	{Name: "workers-leave", Run: func(c *Cluster, r *rand.Rand) error {
 		for _, id := range []string{"p1", "d1"} {
 			pause(r)
 			c.Platform.Leave(ids.WorkerID(id))
-			c.Book.Mark("leave", id)
+			c.Recorder.Mark("leave", id)
 		}
 		time.Sleep(5 * time.Second)
 		return nil
@@ -181,14 +181,14 @@
 				wg.Go(func() {
 					part := fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, 3000+10*n+k)
 					text, _ := expected(sh, part)
-					got := &api.Applied{}
+					got := &api.ApplyResponse{}
 					b := c.Of("router")[k]
-					err := c.At(b, "/v1/policy", &api.Apply{Op: fmt.Sprintf("race-%d-%d", n, k), Base: sh.Version, Partial: true, Source: part}, got)
+					err := c.At(b, "/v1/policy", &api.ApplyRequest{Op: fmt.Sprintf("race-%d-%d", n, k), Base: sh.Version, Partial: true, Source: part}, got)
 					if err != nil {
-						c.Book.Refuse(text)
+						c.Recorder.Refuse(text)
 						return
 					}
-					c.Book.Ack(ids.Version(got.Version), text)
+					c.Recorder.Ack(ids.Version(got.Version), text)
 					mu.Lock()
 					won++
 					mu.Unlock()
--- a/internal/simulation/plain_test.go
+++ b/internal/simulation/plain_test.go
@@ -43,7 +43,7 @@
 		for _, o := range all {
 			require.Equal(t, 1, o.Tries, "nobody is sent away")
 		}
-		require.Empty(t, c.Book.Check(all))
+		require.Empty(t, c.Recorder.Check(all))
 	})
 }
 
@@ -60,7 +60,7 @@
 				all := c.Load(20, 10*time.Second, 1)
 				sum := standin.Sum(all)
 				require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
-				require.Empty(t, c.Book.Check(all))
+				require.Empty(t, c.Recorder.Check(all))
 				t.Logf("%+v", sum)
 			})
 		})
--- a/internal/simulation/price_test.go
+++ b/internal/simulation/price_test.go
@@ -31,8 +31,8 @@
 	for _, way := range []string{"no regime", "all certified", "some certified"} {
 		t.Run(way, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := NewBureau()
-				c := Build(4, chamber, b.tune)
+				b := NewAuditModel()
+				c := Build(4, governedWork, b.tune)
 				defer c.Close()
 				require.NoError(t, c.Found())
 				switch way {
@@ -48,7 +48,7 @@
 				all := c.Load(30, 30*time.Second, 4)
 				sum := standin.Sum(all)
 				require.Equal(t, len(all), sum.Ends[api.Complete])
-				for _, sh := range chamber.Shapes {
+				for _, sh := range governedWork.Shapes {
 					k := sum.Kinds[sh.Kind]
 					fmt.Printf("| first piece, ms | %s | %s | %.1f / %.1f | %d |\n", way, sh.Kind, k.FirstP50, k.FirstP99, k.Complete)
 				}
@@ -68,8 +68,8 @@
 				n = 20
 			}
 			synctest.Test(t, func(t *testing.T) {
-				b := NewBureau()
-				c := Build(5, chamber, b.tune)
+				b := NewAuditModel()
+				c := Build(5, governedWork, b.tune)
 				defer c.Close()
 				require.NoError(t, c.Found())
 				b.usual()
@@ -78,11 +78,11 @@
 				}
 				require.NoError(t, b.Open())
 				for i := range n {
-					cut, lead := node(c, "router-2"), leader(c)
-					mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
+					partitioned, lead := node(c, "router-2"), leader(c)
+					peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 					switch way {
 					case "a node cut off":
-						c.World.Partition(ips(cut), mates, true)
+						c.World.Partition(ips(partitioned), peers, true)
 					case "the leader killed":
 						go func() {
 							time.Sleep(time.Duration(i) * 3 * time.Millisecond)
@@ -90,7 +90,7 @@
 						}()
 					}
 					require.NoError(t, b.Revoke(fmt.Sprint("x", i)))
-					c.World.Partition(ips(cut), mates, false)
+					c.World.Partition(ips(partitioned), peers, false)
 					time.Sleep(2 * time.Second)
 					require.NoError(t, c.Start(lead))
 					time.Sleep(4*time.Second + time.Duration(i)*7*time.Millisecond)
--- a/internal/simulation/program_test.go
+++ b/internal/simulation/program_test.go
@@ -42,7 +42,7 @@
 		go func() {
 			for i, text := range rounds {
 				time.Sleep(1500 * time.Millisecond)
-				if _, err := c.Apply(&api.Apply{Op: fmt.Sprint("swap", i), Base: uint64(i + 1), Partial: true, Source: text}); err != nil {
+				if _, err := c.Apply(&api.ApplyRequest{Op: fmt.Sprint("swap", i), Base: uint64(i + 1), Partial: true, Source: text}); err != nil {
 					done <- fmt.Errorf("round %d: %w", i, err)
 					return
 				}
@@ -53,10 +53,10 @@
 		require.NoError(t, <-done)
 		sum := standin.Sum(all)
 		require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
-		require.Empty(t, c.Book.Check(all))
+		require.Empty(t, c.Recorder.Check(all))
 		picks, falls := map[string]int64{}, map[string]int64{}
 		for _, b := range c.Of("router") {
-			for name, p := range b.Node.Status().(*router.Standing).Programs {
+			for name, p := range b.Node.Status().(*router.NodeStatus).Programs {
 				picks[name] += p["picks"].(int64)
 				falls[name] += p["fallbacks"].(int64)
 			}
@@ -80,7 +80,7 @@
 			w := site.Worker(part)
 			w.Weights = "w2"
 			id := fmt.Sprintf("n%d", i+1)
-			b := c.add(c.Stand(ids.WorkerID(id), w, fmt.Sprintf("10.4.0.%d", i+1)))
+			b := c.add(c.Worker(ids.WorkerID(id), w, fmt.Sprintf("10.4.0.%d", i+1)))
 			require.True(t, b.Up)
 			news[id] = w
 		}
@@ -89,7 +89,7 @@
 		done := make(chan error, 1)
 		go func() {
 			time.Sleep(2 * time.Second)
-			_, err := c.Apply(&api.Apply{Op: "add", Base: 1, Partial: true, Source: string(add)})
+			_, err := c.Apply(&api.ApplyRequest{Op: "add", Base: 1, Partial: true, Source: string(add)})
 			time.Sleep(3 * time.Second)
 			for _, id := range site.Names() {
 				if err == nil {
@@ -102,7 +102,7 @@
 		require.NoError(t, <-done)
 		sum := standin.Sum(all)
 		require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
-		require.Empty(t, c.Book.Check(all))
+		require.Empty(t, c.Recorder.Check(all))
 		late := c.Load(40, 3*time.Second, 4)
 		require.Equal(t, len(late), standin.Sum(late).Ends["complete"])
 		runs := 0
--- a/internal/simulation/book_test.go
+++ b/internal/simulation/recorder_test.go
@@ -28,8 +28,8 @@
 	When time.Duration
 }
 
-// Book gathers it all.
-type Book struct {
+// Recorder gathers it all.
+type Recorder struct {
 	mu    sync.Mutex
 	start time.Time
 	rows  []Seen
@@ -62,49 +62,51 @@
 	At      time.Duration
 }
 
-func NewBook() *Book { return &Book{start: time.Now(), force: map[ids.Version]map[string]string{}} }
+func NewRecorder() *Recorder {
+	return &Recorder{start: time.Now(), force: map[ids.Version]map[string]string{}}
+}
 
 // Now is the time since the book was opened.
-func (b *Book) Now() time.Duration { return time.Since(b.start) }
+func (b *Recorder) Now() time.Duration { return time.Since(b.start) }
 
-func (b *Book) Worker(e standin.Event) {
+func (b *Recorder) Worker(e standin.Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.rows = append(b.rows, Seen{e, b.Now()})
 }
 
-func (b *Book) Life(w Teller) {
+func (b *Recorder) Life(w Teller) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lives = append(b.lives, w)
 }
 
 // Step takes a hand-over's event, with the version that its node has in force.
-func (b *Book) Step(node string, e handoff.Event, v ids.Version) {
+func (b *Recorder) Step(node string, e handoff.Event, v ids.Version) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if e.Stage == handoff.Granted {
+	if e.Step == handoff.Granted {
 		b.picks = append(b.picks, Pick{node, v, b.Now()})
 	}
-	if e.Stage == handoff.Granted && e.ID.Attempt > 1 {
+	if e.Step == handoff.Granted && e.ID.Attempt > 1 {
 		b.again = append(b.again, b.Now())
 	}
 }
 
-func (b *Book) Mark(what, name string) {
+func (b *Recorder) Mark(what, name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.marks = append(b.marks, Mark{what, name, b.Now()})
 }
 
-func (b *Book) Ack(v ids.Version, text string) {
+func (b *Recorder) Ack(v ids.Version, text string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.acks = append(b.acks, Acked{v, text, b.Now()})
 }
 
 // Took notes how long an apply was under way.
-func (b *Book) Took(d time.Duration) {
+func (b *Recorder) Took(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.laws = append(b.laws, d)
@@ -138,7 +140,7 @@
 )
 
 // Check reads the book and the callers' outcomes.
-func (b *Book) Check(all []standin.Outcome) []Fault {
+func (b *Recorder) Check(all []standin.Outcome) []Fault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f := &finder{}
@@ -161,7 +163,7 @@
 	return out
 }
 
-func (b *Book) twice(f *finder, all []standin.Outcome) {
+func (b *Recorder) twice(f *finder, all []standin.Outcome) {
 	runs, records, starved := map[string]int{}, map[string]int{}, 0
 	for _, w := range b.lives {
 		for id, t := range w.Tallies() {
@@ -206,7 +208,7 @@
 }
 
 // until tells when a mark was taken back.
-func (b *Book) until(m Mark) time.Duration {
+func (b *Recorder) until(m Mark) time.Duration {
 	end := time.Duration(1 << 62)
 	for _, r := range b.marks {
 		if r.What == "return" && r.Name == m.Name && r.At > m.At {
@@ -217,7 +219,7 @@
 }
 
 // places: no new work at a worker that leaves, or in a zone that was emptied.
-func (b *Book) places(f *finder) {
+func (b *Recorder) places(f *finder) {
 	for _, m := range b.marks {
 		bound, line := 3*time.Second, LateLeave
 		switch m.What {
@@ -239,7 +241,7 @@
 
 // order: at each worker fences never go down, and no order carries a version
 // older than one the worker had seen a quarter second before.
-func (b *Book) order(f *finder) {
+func (b *Recorder) order(f *finder) {
 	fence := map[ids.WorkerID]ids.Fence{}
 	type since struct {
 		v  ids.Version
@@ -272,7 +274,7 @@
 
 // behind: no node grants anything under a version older than one that some worker
 // had seen a quarter second before.
-func (b *Book) behind(f *finder) {
+func (b *Recorder) behind(f *finder) {
 	first := map[ids.Version]time.Duration{}
 	for _, e := range b.rows {
 		if at, ok := first[e.Version]; e.Version > 0 && (!ok || e.When < at) {
@@ -290,7 +292,7 @@
 }
 
 // spent holds recomputes against the bucket of the default budget.
-func (b *Book) spent(f *finder) {
+func (b *Recorder) spent(f *finder) {
 	const rate, burst = 4.0, 12
 	for i := range b.again {
 		for j := i; j < len(b.again); j++ {
@@ -304,7 +306,7 @@
 
 // Late tells how long after it was marked each leaving worker, and each worker of
 // an emptied zone, last got new work.
-func (b *Book) Late(what string) []time.Duration {
+func (b *Recorder) Late(what string) []time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []time.Duration
@@ -326,7 +328,7 @@
 
 // FellBack is the longest that any worker, having seen a version, still got an
 // order under an older one.
-func (b *Book) FellBack() time.Duration {
+func (b *Recorder) FellBack() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	first := map[ids.WorkerID]map[ids.Version]time.Duration{}
--- a/internal/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -21,12 +21,12 @@
 	"keelstair.example/internal/standin"
 )
 
-// inChamber runs a fleet with a regime in force.
-func inChamber(t *testing.T, prepare func(b *Bureau), f func(t *testing.T, c *Cluster, b *Bureau)) {
+// withGovernedWork runs a fleet with a regime in force.
+func withGovernedWork(t *testing.T, prepare func(b *AuditModel), f func(t *testing.T, c *Cluster, b *AuditModel)) {
 	unraced(t)
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBureau()
-		c := Build(1, chamber, b.tune)
+		b := NewAuditModel()
+		c := Build(1, governedWork, b.tune)
 		defer c.Close()
 		require.NoError(t, c.Found())
 		prepare(b)
@@ -40,19 +40,19 @@
 	return list[slices.IndexFunc(list, func(b *Box) bool { return b.Name == name })]
 }
 
-var speech = api.Ask{Kind: "speech", Prompt: "the chair gives the floor to the delegate of the fourth row", MaxTokens: 60, Seed: 9}
+var speech = api.StreamRequest{Kind: "speech", Prompt: "the chair gives the floor to the delegate of the fourth row", MaxTokens: 60, Seed: 9}
 
 // long gives an asking whose answer has fifty tokens or more.
-func long(ask api.Ask) api.Ask {
+func long(ask api.StreamRequest) api.StreamRequest {
 	ask.MaxTokens = 64
-	for len(standin.Solo(ask.Tokens(), ask.MaxTokens, ask.Seed, 0, chamber.Model, standin.SiteWeights, nil)) < 50 {
+	for len(standin.Solo(ask.Tokens(), ask.MaxTokens, ask.Seed, 0, governedWork.Model, standin.SiteWeights, nil)) < 50 {
 		ask.Seed++
 	}
 	return ask
 }
 
 // whole checks a stream against a run that never moved.
-func whole(t *testing.T, c *Cluster, ask api.Ask, got []api.Line) {
+func whole(t *testing.T, c *Cluster, ask api.StreamRequest, got []api.StreamEvent) {
 	t.Helper()
 	solo := standin.Solo(ask.Tokens(), ask.MaxTokens, ask.Seed, 0, c.Site.Model, standin.SiteWeights, nil)
 	require.Len(t, got, len(solo)+1, "%+v", got[len(got)-1].Error)
@@ -65,16 +65,16 @@
 // TestCertified: under a mixed load governed work is handled on certified nodes alone,
 // whichever door it came to, and all of it is answered; other work uses all workers.
 func TestCertified(t *testing.T) {
-	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
+	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		all := c.Load(30, 10*time.Second, 1)
 		require.Empty(t, b.Check(all))
-		require.Empty(t, c.Book.Check(all))
+		require.Empty(t, c.Recorder.Check(all))
 		sum := standin.Sum(all)
 		require.Equal(t, len(all), sum.Ends[api.Complete], "%+v", sum)
 		require.Greater(t, b.governed(), 100)
 		require.Less(t, standin.Quantile(b.stays, 1), 200.0, "staged memory is freed once it is in")
 		used := map[ids.WorkerID]bool{}
-		for _, e := range c.Book.rows {
+		for _, e := range c.Recorder.rows {
 			used[e.Worker] = true
 		}
 		require.Len(t, used, 8, "other work goes everywhere")
@@ -112,7 +112,7 @@
 // TestAudited: each governed request that ran has its record, with the serial of each
 // step, over a death of the leader; what is not governed has none.
 func TestAudited(t *testing.T) {
-	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
+	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		go func() {
 			time.Sleep(4 * time.Second)
 			l := leader(c)
@@ -168,7 +168,7 @@
 // where it reaches no certified one says at once when to come back; it holds no key of a
 // certified worker.
 func TestPassed(t *testing.T) {
-	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
+	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		lone := node(c, "router-5")
 		got, err := c.stream(lone, speech)
 		require.NoError(t, err)
@@ -180,7 +180,7 @@
 		require.NoError(t, err)
 		require.True(t, again[0].Replay)
 		require.Equal(t, first[0].Token, again[0].Token)
-		_, err = c.stream(lone, api.Ask{Kind: "verdict", Key: "q1", Prompt: "another body", MaxTokens: 2})
+		_, err = c.stream(lone, api.StreamRequest{Kind: "verdict", Key: "q1", Prompt: "another body", MaxTokens: 2})
 		require.Equal(t, "key-reused", err.(*api.Fault).Name, "a refusal comes back as it was")
 		require.True(t, c.Until(10*time.Second, func() bool {
 			for _, k := range holds(lone) {
@@ -202,7 +202,7 @@
 		require.Equal(t, "not-certified", f.Name)
 		require.Positive(t, f.After)
 		require.Less(t, time.Since(begun), 300*time.Millisecond)
-		_, err = c.stream(lone, api.Ask{Kind: "clarification", Prompt: "may I speak", MaxTokens: 3})
+		_, err = c.stream(lone, api.StreamRequest{Kind: "clarification", Prompt: "may I speak", MaxTokens: 3})
 		require.NoError(t, err, "other work goes on")
 	})
 }
@@ -210,9 +210,9 @@
 // TestRevokedMidStream: a speech whose decode worker is revoked goes on at a certified
 // one, each piece once; within two seconds of the acknowledgement the worker has none.
 func TestRevokedMidStream(t *testing.T) {
-	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
+	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		ask := long(speech)
-		done := make(chan []api.Line, 1)
+		done := make(chan []api.StreamEvent, 1)
 		go func() {
 			got, _ := c.stream(node(c, "router-1"), ask)
 			done <- got
@@ -234,9 +234,9 @@
 // TestRevokedVerdict: a claimed run on a worker that is revoked is never run again: it
 // ends whole, or as unknown, and its key says so later.
 func TestRevokedVerdict(t *testing.T) {
-	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
+	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		ask := long(verdict)
-		done := make(chan []api.Line, 1)
+		done := make(chan []api.StreamEvent, 1)
 		go func() {
 			got, _ := c.stream(node(c, "router-1"), ask)
 			done <- got
@@ -261,33 +261,33 @@
 	})
 }
 
-// TestRevokedWhileCut: a revocation is not acknowledged while a node that has not heard
+// TestRevokedWhilePartitioned: a revocation is not acknowledged while a node that has not heard
 // of it may still act on its word; that node's own governed work is over by then.
-func TestRevokedWhileCut(t *testing.T) {
-	inChamber(t, (*Bureau).usual, func(t *testing.T, c *Cluster, b *Bureau) {
-		cut := node(c, "router-1")
-		mates := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
+func TestRevokedWhilePartitioned(t *testing.T) {
+	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
+		partitioned := node(c, "router-1")
+		peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
 		ask := long(speech)
 		go func() {
 			for range 40 {
-				go c.stream(cut, ask)
+				go c.stream(partitioned, ask)
 				time.Sleep(150 * time.Millisecond)
 			}
 		}()
 		time.Sleep(time.Second)
-		c.World.Partition(ips(cut), mates, true)
+		c.World.Partition(ips(partitioned), peers, true)
 		time.Sleep(50 * time.Millisecond)
 		require.NoError(t, b.Revoke("c-d1"))
 		require.NoError(t, b.Revoke("c-d2"))
 		require.Greater(t, b.revoke[0], 2*time.Second, "it waited for the lease of the one cut off")
 		require.Less(t, b.revoke[0], 5*time.Second)
-		_, err := cut.Node.Clears("chair", certification.Subject{Worker: "d3"}, ids.Decode)
+		_, err := partitioned.Node.Clears("chair", certification.Subject{Worker: "d3"}, ids.Decode)
 		require.Error(t, err, "its word is too old for anybody")
 		time.Sleep(4 * time.Second)
 		require.Empty(t, b.Check(nil))
-		c.World.Partition(ips(cut), mates, false)
+		c.World.Partition(ips(partitioned), peers, false)
 		require.True(t, c.Until(8*time.Second, func() bool {
-			got, err := c.stream(cut, speech)
+			got, err := c.stream(partitioned, speech)
 			return err == nil && got[len(got)-1].End == api.Complete
 		}), "it serves again")
 		require.Empty(t, b.Check(nil))
@@ -297,11 +297,11 @@
 // TestExpired: certificates end by the fleet's time, without a message, also while
 // clocks of nodes and of the leader leap; streams move on in time.
 func TestExpired(t *testing.T) {
-	inChamber(t, func(b *Bureau) {
+	withGovernedWork(t, func(b *AuditModel) {
 		b.usual()
 		b.sign("c-d1", certification.Certificate{Worker: "d1", Roles: []ids.Role{ids.Decode}}, 20*time.Second)
 		b.sign("c-p2", certification.Certificate{Worker: "p2", Roles: []ids.Role{ids.Prefill}}, 20*time.Second)
-	}, func(t *testing.T, c *Cluster, b *Bureau) {
+	}, func(t *testing.T, c *Cluster, b *AuditModel) {
 		go func() {
 			for _, box := range []*Box{node(c, "router-1"), node(c, "router-2"), leader(c)} {
 				time.Sleep(4 * time.Second)
@@ -310,11 +310,11 @@
 		}()
 		all := c.Load(30, 24*time.Second, 1)
 		require.Empty(t, b.Check(all))
-		require.Empty(t, c.Book.Check(all))
+		require.Empty(t, c.Recorder.Check(all))
 		sum := standin.Sum(all)
 		require.Equal(t, len(all), sum.Ends[api.Complete]+sum.Ends[api.Unknown], "%+v", sum)
 		last := map[string]time.Duration{}
-		for _, e := range c.Book.rows {
+		for _, e := range c.Recorder.rows {
 			if b.work[e.ID.Request] != "" && e.What == "resumed" || e.What == "import" {
 				last[string(e.Worker)] = e.When
 			}
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -38,16 +38,16 @@
 	Tokens    []int32         `json:"tokens"` // of the newest keyed call
 }
 
-func releaseAsk(i int) api.Ask {
+func releaseAsk(i int) api.StreamRequest {
 	ask := verdict
 	ask.Key = fmt.Sprint("release-", i)
 	return ask
 }
 
 // answer asks the nodes in turn until a key is answered or refused for good.
-func (c *Cluster) answer(t *testing.T, i int, ask api.Ask) ([]api.Line, *api.Fault) {
+func (c *Cluster) answer(t *testing.T, i int, ask api.StreamRequest) ([]api.StreamEvent, *api.Fault) {
 	t.Helper()
-	var lines []api.Line
+	var lines []api.StreamEvent
 	var refusal *api.Fault
 	nodes := c.Of("router")
 	attempt := i
@@ -73,12 +73,12 @@
 		t.Skip("records " + releaseFolder + " where " + writeRelease + " is set")
 	}
 	inBubble(t, "vatuloa", withReleaseDepth, func(t *testing.T, c *Cluster) {
-		var newest []api.Line
+		var newest []api.StreamEvent
 		for i := range releaseKeys {
 			newest, _ = c.answer(t, i, releaseAsk(i))
 		}
 		shownAtFirst := shown(c)
-		_, err := c.Apply(&api.Apply{Op: "release", Base: shownAtFirst.Version, Partial: true, Source: "{limits: queue: 12}"})
+		_, err := c.Apply(&api.ApplyRequest{Op: "release", Base: shownAtFirst.Version, Partial: true, Source: "{limits: queue: 12}"})
 		require.NoError(t, err)
 		require.NoError(t, c.Mark("/v1/zones/"+string(c.Site.Zones[0]), "release-zone", true))
 		time.Sleep(2 * time.Second)
--- a/internal/simulation/crowd_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -12,21 +12,21 @@
 	"keelstair.example/internal/standin"
 )
 
-// TestCrowd: far more callers than the fleet can carry come at once. Whoever is
+// TestRetryStorm: far more callers than the fleet can carry come at once. Whoever is
 // given up is told at once, with when to come back; both kinds get their part;
 // what is carried is right; and when the crowd has gone all is as before.
-func TestCrowd(t *testing.T) {
+func TestRetryStorm(t *testing.T) {
 	unraced(t)
 	inBubble(t, "almaty", func(c *Cluster) {
-		c.Tune = func(o *standin.WorkerOptions) { o.Room = 220; o.Step = 20 * time.Millisecond }
+		c.Tune = func(o *standin.WorkerOptions) { o.Capacity = 220; o.Step = 20 * time.Millisecond }
 	}, func(t *testing.T, c *Cluster) {
 		before := c.Load(20, 2*time.Second, 1)
 		require.Equal(t, len(before), standin.Sum(before).Ends[api.Complete])
-		crowd := standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Doors, Zones: c.Site.Zones, Shapes: c.Site.Shapes,
+		crowd := standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Nodes, Zones: c.Site.Zones, Shapes: c.Site.Shapes,
 			Rate: 700, Span: 3 * time.Second, Seed: 2, Model: c.Site.Model, Weights: []string{standin.SiteWeights}, Retries: 0})
 		sum := standin.Sum(crowd)
 		t.Logf("%+v", sum)
-		require.Empty(t, c.Book.Check(crowd))
+		require.Empty(t, c.Recorder.Check(crowd))
 		require.Positive(t, sum.Ends["bounced"])
 		for kind, k := range sum.Kinds {
 			require.Greater(t, k.Complete*12, k.Sent, "%s gets its part", kind)
@@ -49,29 +49,29 @@
 		for i, b := range append([]*Box(nil), c.Of("controller")...) {
 			c.PowerOff(b)
 			b.Machine.WipeDisk()
-			c.add(c.Tenet("controller-"+string(rune('x'+i)), "10.1.0.3"+string(rune('0'+i))+":700", b.Zone))
+			c.add(c.Controller("controller-"+string(rune('x'+i)), "10.1.0.3"+string(rune('0'+i))+":700", b.Zone))
 			time.Sleep(9 * time.Second)
 		}
 		require.True(t, c.Until(5*time.Second, func() bool { return c.Leader() != nil }))
 		c.Kill(c.Of("router")[0])
 		c.Seeds = []string{c.Of("router")[1].Addr, "10.1.0.1:700", "10.1.0.2:700"}
-		late := c.add(c.Verge("router-late", "10.2.0.40", c.Site.Zones[0]))
+		late := c.add(c.Router("router-late", "10.2.0.40", c.Site.Zones[0]))
 		require.True(t, c.Until(6*time.Second, func() bool { ok, _ := late.Node.Ready(); return ok }))
 		require.NoError(t, change(c, "seedless", 2300))
 		all := c.Load(30, 4*time.Second, 9)
 		require.Equal(t, len(all), standin.Sum(all).Ends[api.Complete], "%+v", standin.Sum(all))
-		require.Empty(t, c.Book.Check(all))
+		require.Empty(t, c.Recorder.Check(all))
 		require.Empty(t, c.laws())
 	})
 }
 
-// TestCrowdReturns: a crowd that is bounced comes back when it was told, spread over
+// TestRetryStormReturns: a crowd that is bounced comes back when it was told, spread over
 // the seconds in which it can be served; nearly all are served in the end, and few
 // had to ask often.
-func TestCrowdReturns(t *testing.T) {
+func TestRetryStormReturns(t *testing.T) {
 	unraced(t)
 	inBubble(t, "almaty", func(c *Cluster) {
-		c.Tune = func(o *standin.WorkerOptions) { o.Room = 220; o.Step = 20 * time.Millisecond }
+		c.Tune = func(o *standin.WorkerOptions) { o.Capacity = 220; o.Step = 20 * time.Millisecond }
 	}, func(t *testing.T, c *Cluster) {
 		c.Load(20, 2*time.Second, 1)
 		all := c.Load(450, 3*time.Second, 2)
@@ -79,11 +79,11 @@
 		last := time.Duration(0)
 		for _, o := range all {
 			tries, most = tries+o.Tries, max(most, o.Tries)
-			last = max(last, o.At+o.Whole)
+			last = max(last, o.At+o.Complete)
 		}
 		sum := standin.Sum(all)
 		t.Logf("%d calls, %v, %d askings, at most %d by one, the last ended after %s; %+v", len(all), sum.Ends, tries, most, last, sum.Kinds)
-		require.Empty(t, c.Book.Check(all))
+		require.Empty(t, c.Recorder.Check(all))
 		require.Greater(t, sum.Ends[api.Complete]*100, len(all)*90)
 	})
 }
--- a/internal/simulation/stream_test.go
+++ b/internal/simulation/stream_test.go
@@ -14,7 +14,7 @@
 )
 
 // stream asks one door and gives the lines, or the refusal.
-func (c *Cluster) stream(b *Box, ask api.Ask) ([]api.Line, error) {
+func (c *Cluster) stream(b *Box, ask api.StreamRequest) ([]api.StreamEvent, error) {
 	body, err := json.Marshal(ask)
 	if err != nil {
 		return nil, err
@@ -34,9 +34,9 @@
 		b, _ := io.ReadAll(r.Body)
 		return nil, api.Refusal(r.StatusCode, b)
 	}
-	var out []api.Line
+	var out []api.StreamEvent
 	for rows := json.NewDecoder(r.Body); ; {
-		var l api.Line
+		var l api.StreamEvent
 		if rows.Decode(&l) != nil {
 			return out, nil
 		}
--- a/internal/simulation/trial_test.go
+++ b/internal/simulation/trial_test.go
@@ -75,9 +75,9 @@
 	if n := v.Sum.Ends[api.Complete]; s.Calm && n != len(all) {
 		v.Faults = append(v.Faults, Fault{NotBack, fmt.Sprintf("only %d of %d calls completed on a calm day: %v", n, len(all), v.Sum.Details)})
 	}
-	v.Faults = append(v.Faults, c.Book.Check(all)...)
+	v.Faults = append(v.Faults, c.Recorder.Check(all)...)
 	v.Faults = append(v.Faults, c.laws()...)
-	v.Again = len(c.Book.again)
-	v.Left, v.Out, v.Laws, v.Old = c.Book.Late("leave"), c.Book.Late("evacuate"), c.Book.laws, c.Book.FellBack()
+	v.Again = len(c.Recorder.again)
+	v.Left, v.Out, v.Laws, v.Old = c.Recorder.Late("leave"), c.Recorder.Late("evacuate"), c.Recorder.laws, c.Recorder.FellBack()
 	return v
 }
--- a/internal/standin/back.go
+++ b/internal/standin/back.go
@@ -14,14 +14,14 @@
 func Back(all []Outcome, from, to time.Duration, counts func(Outcome) bool) time.Duration {
 	var ends []time.Duration
 	for _, o := range all {
-		if at := o.At + o.Whole; o.End == api.Complete && at > from && at < to && (counts == nil || counts(o)) {
+		if at := o.At + o.Complete; o.End == api.Complete && at > from && at < to && (counts == nil || counts(o)) {
 			ends = append(ends, at)
 		}
 	}
 	slices.Sort(ends)
-	most := time.Duration(0)
+	limit := time.Duration(0)
 	for _, at := range append(ends, to) {
-		most, from = max(most, at-from), at
+		limit, from = max(limit, at-from), at
 	}
-	return most
+	return limit
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -97,14 +97,14 @@
 		w.warm[base] = w.now()
 	}
 	for len(w.warm) > 512 {
-		var old uint64
+		var previous uint64
 		at := ids.Tick(1 << 62)
 		for k, t := range w.warm {
 			if t < at {
-				old, at = k, t
+				previous, at = k, t
 			}
 		}
-		delete(w.warm, old)
+		delete(w.warm, previous)
 	}
 }
 
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -54,16 +54,16 @@
 
 // Outcome of one call.
 type Outcome struct {
-	Kind   string
-	Key    string
-	At     time.Duration
-	First  time.Duration
-	Whole  time.Duration
-	End    string // complete, broken, unknown, bounced, cut, left, wrong
-	Detail string
-	Tokens []int32
-	Tries  int
-	Door   string // the last that was asked
+	Kind     string
+	Key      string
+	At       time.Duration
+	First    time.Duration
+	Complete time.Duration
+	End      string // complete, broken, unknown, bounced, cut, left, wrong
+	Detail   string
+	Tokens   []int32
+	Tries    int
+	Door     string // the last that was asked
 }
 
 // Summary is what a load comes to.
@@ -87,7 +87,7 @@
 type call struct {
 	at    time.Duration
 	shape Shape
-	ask   api.Ask
+	ask   api.StreamRequest
 }
 
 func plan(o *LoadOptions) []call {
@@ -105,7 +105,7 @@
 				break
 			}
 		}
-		a := api.Ask{Kind: sh.Kind, MaxTokens: sh.Max, Seed: rng.Uint64() >> 12}
+		a := api.StreamRequest{Kind: sh.Kind, MaxTokens: sh.Max, Seed: rng.Uint64() >> 12}
 		base := int32(len(sh.Kind) * 1000)
 		if sh.Stems > 1 {
 			base += int32(rng.IntN(sh.Stems) * 7919)
@@ -258,7 +258,7 @@
 	r.Tokens, r.End, r.Detail = nil, "cut", "the stream stopped"
 	rows := bufio.NewScanner(body)
 	for rows.Scan() {
-		var l api.Line
+		var l api.StreamEvent
 		if err := json.Unmarshal(rows.Bytes(), &l); err != nil {
 			r.End, r.Detail = "wrong", "garbage"
 			return 0
@@ -268,7 +268,7 @@
 			return 0
 		}
 		if l.End != "" {
-			r.Whole = time.Since(due)
+			r.Complete = time.Since(due)
 			return r.finish(&l, c)
 		}
 		if len(r.Tokens) == 0 && r.First == 0 {
@@ -280,7 +280,7 @@
 }
 
 // finish takes the last line of a stream.
-func (r *Outcome) finish(last *api.Line, c *call) time.Duration {
+func (r *Outcome) finish(last *api.StreamEvent, c *call) time.Duration {
 	r.End, r.Detail = last.End, ""
 	if last.Error != nil {
 		r.Detail = last.Error.Name
@@ -297,7 +297,7 @@
 // Sum counts outcomes and gives percentiles by kind.
 func Sum(all []Outcome) Summary {
 	s := Summary{Sent: len(all), Ends: map[string]int{}, Kinds: map[string]KindSum{}, Details: map[string]int{}}
-	first, whole := map[string][]time.Duration{}, map[string][]time.Duration{}
+	first, complete := map[string][]time.Duration{}, map[string][]time.Duration{}
 	for _, o := range all {
 		s.Ends[o.End]++
 		if o.End != api.Complete {
@@ -308,12 +308,12 @@
 		if o.End == api.Complete {
 			k.Complete++
 			first[o.Kind] = append(first[o.Kind], o.First)
-			whole[o.Kind] = append(whole[o.Kind], o.Whole)
+			complete[o.Kind] = append(complete[o.Kind], o.Complete)
 		}
 		s.Kinds[o.Kind] = k
 	}
 	for n, k := range s.Kinds {
-		k.FirstP50, k.FirstP99, k.WholeP99 = Quantile(first[n], 0.5), Quantile(first[n], 0.99), Quantile(whole[n], 0.99)
+		k.FirstP50, k.FirstP99, k.WholeP99 = Quantile(first[n], 0.5), Quantile(first[n], 0.99), Quantile(complete[n], 0.99)
 		s.Kinds[n] = k
 	}
 	return s
--- a/internal/standin/move.go
+++ b/internal/standin/move.go
@@ -29,7 +29,7 @@
 		return &workerclient.OrderResponse{}, nil
 	}
 	bill := ids.Blocks(m.Computed, w.pool.size)
-	whole := max(bill, ids.Blocks(len(m.Prompt)+m.Params.MaxTokens, w.pool.size))
+	complete := max(bill, ids.Blocks(len(m.Prompt)+m.Params.MaxTokens, w.pool.size))
 	switch {
 	case w.part != ids.Decode:
 		return nil, no(http.StatusConflict, "this worker prefills")
@@ -37,12 +37,12 @@
 		return nil, no(http.StatusUnprocessableEntity, "another model")
 	case m.Length != int64(kvTokenBytes*m.Computed):
 		return nil, no(http.StatusUnprocessableEntity, "%d bytes for %d tokens", m.Length, m.Computed)
-	case !w.pool.fits(whole):
+	case !w.pool.fits(complete):
 		w.count(m.ID.Request).Bounced++
 		w.tell("bounced", m.ID, q.OrderHeader)
-		return nil, no(http.StatusInsufficientStorage, "no room for %d blocks", whole)
+		return nil, no(http.StatusInsufficientStorage, "no room for %d blocks", complete)
 	}
-	r := &run{ident: m, tab: w.pool.take(bill), pledge: whole - bill, touched: w.now(), news: make(chan struct{})}
+	r := &run{ident: m, tab: w.pool.take(bill), pledge: complete - bill, touched: w.now(), news: make(chan struct{})}
 	w.pool.pledge += r.pledge
 	w.live[m.ID] = r
 	go w.fetch(r, q.Source)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -61,15 +61,15 @@
 	}
 }
 
-// Door adds a node's door.
-func (p *Platform) Door(addr string, zone ids.Zone) {
+// AddNode adds a node's door.
+func (p *Platform) AddNode(addr string, zone ids.Zone) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.doors[addr] = &Door{Addr: addr, Zone: zone}
 }
 
-// Doors lists the doors that were ready when last asked.
-func (p *Platform) Doors(zone ids.Zone) []string {
+// Nodes lists the doors that were ready when last asked.
+func (p *Platform) Nodes(zone ids.Zone) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var near, far []string
@@ -153,11 +153,11 @@
 			reply(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
 			return
 		}
-		p.Door(d.Addr, d.Zone)
+		p.AddNode(d.Addr, d.Zone)
 		reply(w, http.StatusOK, d)
 	})
 	mux.HandleFunc("GET /doors", func(w http.ResponseWriter, r *http.Request) {
-		out := p.Doors(ids.Zone(r.FormValue("zone")))
+		out := p.Nodes(ids.Zone(r.FormValue("zone")))
 		if out == nil {
 			out = []string{}
 		}
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -214,14 +214,14 @@
 		body[len(body)/2] ^= 1
 	}
 	rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	span := time.Duration(len(body)/8*w.opt.Weight) * time.Second / time.Duration(speed)
+	duration := time.Duration(len(body)/8*w.opt.Weight) * time.Second / time.Duration(speed)
 	const parts = 4
 	for i := range parts {
 		if f.Drop && i == parts/2 {
 			panic(http.ErrAbortHandler)
 		}
 		select {
-		case <-time.After(span / parts):
+		case <-time.After(duration / parts):
 		case <-q.Context().Done():
 			return
 		}
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -12,9 +12,9 @@
 
 // Room and Block of every stand-in worker.
 const (
-	SiteRoom    = 2048
-	SiteBlock   = 16
-	SiteWeights = "w1"
+	SiteCapacity = 2048
+	SiteBlock    = 16
+	SiteWeights  = "w1"
 )
 
 // Names lists a site's workers, part by part, spread over its zones.
@@ -41,7 +41,7 @@
 	if i >= s.Prefill {
 		part, at = ids.Decode, i-s.Prefill
 	}
-	return fleetstate.Worker{Role: part, Model: s.Model, Weights: SiteWeights, Adapters: []string{}, Capacity: SiteRoom, Block: SiteBlock, Zone: s.Zones[at%len(s.Zones)]}
+	return fleetstate.Worker{Role: part, Model: s.Model, Weights: SiteWeights, Adapters: []string{}, Capacity: SiteCapacity, Block: SiteBlock, Zone: s.Zones[at%len(s.Zones)]}
 }
 
 // Policy is the whole configuration as JSON text.
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -18,21 +18,21 @@
 
 // WorkerOptions set up a stand-in worker.
 type WorkerOptions struct {
-	ID     ids.WorkerID
-	Addr   string
-	Part   ids.Role
-	Model  workerclient.Model
-	Room   int           // blocks
-	Block  int           // tokens a block
-	Read   time.Duration // a prompt token's prefill, 40us
-	Step   time.Duration // a decode step, 4ms
-	Each   time.Duration // what each run adds to a step, 200us
-	Lag    time.Duration // how old its reports are, 300ms
-	Stage  time.Duration // how long outgoing KV waits, 5s
-	Orphan time.Duration // import without resume, or run without reader, 2s
-	Weight int           // bytes a token's KV weighs on the wire, 64
-	Speed  int           // bytes a second between workers, 64 MB
-	Host   host.Host
+	ID       ids.WorkerID
+	Addr     string
+	Role     ids.Role
+	Model    workerclient.Model
+	Capacity int           // blocks
+	Block    int           // tokens a block
+	Read     time.Duration // a prompt token's prefill, 40us
+	Step     time.Duration // a decode step, 4ms
+	Each     time.Duration // what each run adds to a step, 200us
+	Lag      time.Duration // how old its reports are, 300ms
+	Stage    time.Duration // how long outgoing KV waits, 5s
+	Orphan   time.Duration // import without resume, or run without reader, 2s
+	Weight   int           // bytes a token's KV weighs on the wire, 64
+	Speed    int           // bytes a second between workers, 64 MB
+	Host     host.Host
 }
 
 func (o *WorkerOptions) fill() {
@@ -141,7 +141,7 @@
 // zero. It runs nothing before Run.
 func NewWorker(opt WorkerOptions) *Worker {
 	opt.fill()
-	return &Worker{opt: opt, life: ids.Incarnation(rand.Text()), web: rpc.NewHTTPClient(opt.Host.Net), part: opt.Part, pool: newPool(opt.Room, opt.Block),
+	return &Worker{opt: opt, life: ids.Incarnation(rand.Text()), web: rpc.NewHTTPClient(opt.Host.Net), part: opt.Role, pool: newPool(opt.Capacity, opt.Block),
 		live: map[workerclient.ID]*run{}, staged: map[workerclient.ID]*parcel{}, tomb: map[string]int{}, tally: map[string]*Tally{},
 		fates: map[string]*workerclient.OrderResponse{}, warm: map[uint64]ids.Tick{}, wake: make(chan struct{}, 1)}
 }
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -35,7 +35,7 @@
 		for i, part := range []ids.Role{ids.Prefill, ids.Decode} {
 			host := w.Machine(fmt.Sprintf("10.0.0.%d", i+1)).Start().Host()
 			addr := fmt.Sprintf("10.0.0.%d:90", i+1)
-			k := NewWorker(WorkerOptions{ID: ids.WorkerID(part), Addr: addr, Part: part, Room: room, Host: host, Model: workerclient.Model{Name: "m", Weights: "w1"}})
+			k := NewWorker(WorkerOptions{ID: ids.WorkerID(part), Addr: addr, Role: part, Capacity: room, Host: host, Model: workerclient.Model{Name: "m", Weights: "w1"}})
 			l, err := host.Net.Listen(addr)
 			require.NoError(t, err)
 			go rpc.Serve(ctx, l, k.Handler())
@@ -109,15 +109,15 @@
 	twin(t, 64, func(x *pairOf) {
 		for _, sent := range []int{0, 1, 3, 5} {
 			m := x.identity(fmt.Sprintf("r%d", sent), 100, 8)
-			whole := solo(m)
-			require.Greater(t, len(whole), sent)
-			m.Output = whole[:sent:sent]
+			complete := solo(m)
+			require.Greater(t, len(complete), sent)
+			m.Output = complete[:sent:sent]
 			got := x.read(t, m)
 			require.Zero(t, x.p.Used(), "the source must come back clean")
 			require.NoError(t, x.move(got))
 			require.Equal(t, ids.Blocks(got.Computed, 16), x.d.Used(), "the bill is ceil(computed / block size)")
 			require.NoError(t, x.resume(got))
-			require.Equal(t, whole, x.rest(t, got))
+			require.Equal(t, complete, x.rest(t, got))
 			require.Zero(t, x.d.Used())
 		}
 	})
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -437,7 +437,7 @@
 	for _, tail := range []string{"\x00", "this", string(spoilt)} {
 		require.Error(t, codec{}.Unmarshal(append(spoilt[:len(spoilt):len(spoilt)], tail...), &note{}), "%q", tail)
 	}
-	for cut := range spoilt {
-		require.Error(t, codec{}.Unmarshal(spoilt[:cut], &note{}), "%d bytes", cut)
+	for truncated := range spoilt {
+		require.Error(t, codec{}.Unmarshal(spoilt[:truncated], &note{}), "%d bytes", truncated)
 	}
 }
