--- a/cmd/keelstair-measure/hollow.go
+++ b/cmd/keelstair-measure/hollow.go
@@ -65,7 +65,7 @@
 		h.view, h.run = n.View(), func(ctx context.Context) { n.Run(ctx, time.Second) }
 	case "relay":
 		if back == nil {
-			back = platform.NewBack(host.Net, c.List)
+			back = platform.NewWorkerBackend(host.Net, c.List)
 		}
 		turn := time.Duration(-1)
 		if c.Turns {
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -35,7 +35,7 @@
 	}
 	run, ok := map[string]func(*platform.Settings) error{"controller": runController, "router": runRouter}[role]
 	if !ok {
-		fmt.Fprintln(os.Stderr, "usage: keelstair-platform controller | keelstair-platform router [POLICY]\nPOLICY is a file of the product's own configuration, in plain JSON; its programs route, by their shares, until the core has a set (keelstairctl apply).\nThe settings file is named by the variable "+platform.BootVar+".")
+		fmt.Fprintln(os.Stderr, "usage: keelstair-platform controller | keelstair-platform router [POLICY]\nPOLICY is a file of the product's own configuration, in plain JSON; its programs route, by their shares, until the core has a set (keelstairctl apply).\nThe settings file is named by the variable "+platform.SettingsVariable+".")
 		os.Exit(2)
 	}
 	s, err := platform.Load()
@@ -84,9 +84,9 @@
 	if s.Dir == "" {
 		return desk(s, host, ring)
 	}
-	c, err := coordination.New(coordination.Options{Addr: s.Control, Zone: ids.Zone(s.Zone), Host: host, Seeds: s.Seeds, Ring: ring, LeaseDuration: s.Lease, JoinOnly: !s.Founds, FaultTolerance: s.Losses,
+	c, err := coordination.New(coordination.Options{Addr: s.ControlAddr, Zone: ids.Zone(s.Zone), Host: host, Seeds: s.Seeds, Ring: ring, LeaseDuration: s.LeaseDuration, JoinOnly: !s.Bootstrap, FaultTolerance: s.FaultTolerance,
 		Machine: func() coordination.StateMachine {
-			return fleetstate.NewMachine(fleetstate.MachineOptions{Read: platform.Policy})
+			return fleetstate.NewMachine(fleetstate.MachineOptions{Read: platform.ReadDocument})
 		}})
 	if err != nil {
 		return err
@@ -98,14 +98,14 @@
 	mux := http.NewServeMux()
 	c.Mount(mux)
 	operate(mux, s, c.Caller(), c.Directory(), ring)
-	cli.Serve(ctx, host, s.Control, mux, func(err error) { cli.Fail("keelstair-platform controller", err) })
+	cli.Serve(ctx, host, s.ControlAddr, mux, func(err error) { cli.Fail("keelstair-platform controller", err) })
 	return c.Run(ctx)
 }
 
 // operate puts the operators' calls on a mux: the platform's, and the product's own for
 // the program set.
 func operate(mux *http.ServeMux, s *platform.Settings, call *rpc.Caller, directory *coordination.Directory, ring *logging.Ring) {
-	(&platform.Operator{Call: call, Directory: directory, Zones: s.Zones, Ring: ring}).Mount(mux)
+	(&platform.Operator{Caller: call, Directory: directory, Zones: s.Zones, Ring: ring}).Mount(mux)
 	api.MountOperator(mux, &proxy.Operator{Caller: call, Directory: directory, Zones: s.Zones})
 }
 
@@ -115,12 +115,12 @@
 	defer stop()
 	call := rpc.NewCaller(host.Net)
 	defer call.Close()
-	directory := coordination.NewDirectory(host, call, s.Seeds, coordination.Replica{Addr: s.Control})
+	directory := coordination.NewDirectory(host, call, s.Seeds, coordination.Replica{Addr: s.ControlAddr})
 	watch(ctx, directory)
 	mux := http.NewServeMux()
 	directory.Serve(mux)
 	operate(mux, s, call, directory, ring)
-	cli.Serve(ctx, host, s.Control, mux, func(err error) { cli.Fail("keelstair-platform controller", err) })
+	cli.Serve(ctx, host, s.ControlAddr, mux, func(err error) { cli.Fail("keelstair-platform controller", err) })
 	directory.Run(ctx, func() bool { return false })
 	return nil
 }
@@ -157,8 +157,8 @@
 	log.SetOutput(ring)
 	server := &http.Server{ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 20 * time.Second, MaxHeaderBytes: 64 << 10}
 	n, err := proxy.New(proxy.Options{Name: s.Name, Addr: s.Peer(), Zone: ids.Zone(s.Zone), Seeds: s.Seeds, Host: host, Ring: ring,
-		Backend: platform.NewBack(host.Net, s.List), ReadConfiguration: platform.Policy, Programs: programs, LeaseDuration: s.Lease,
-		ListRate: s.ListRate, RetryRatio: s.Ratio, RetryWindow: s.Window, RetryAllowance: s.Allow, SlowStartOvershoot: s.Over, SlowStartAllowance: s.Spare, Drain: func(ctx context.Context) error { return rpc.Drain(ctx, server) }})
+		Backend: platform.NewWorkerBackend(host.Net, s.CloudAddr), ReadConfiguration: platform.ReadDocument, Programs: programs, LeaseDuration: s.LeaseDuration,
+		ListRate: s.ListRate, RetryRatio: s.RetryRatio, RetryWindow: s.RetryWindow, RetryAllowance: s.RetryAllowance, SlowStartOvershoot: s.SlowStartOvershoot, SlowStartAllowance: s.SlowStartAllowance, Drain: func(ctx context.Context) error { return rpc.Drain(ctx, server) }})
 	if err != nil {
 		return err
 	}
@@ -173,9 +173,9 @@
 	cli.Serve(listen, host, s.Peer(), peers, fail)
 	ready := http.NewServeMux()
 	ready.Handle("GET /readiness", platform.Readiness(n))
-	cli.Serve(listen, host, s.Readiness, ready, fail)
-	server.Handler = &platform.Door{Node: n, Clock: host.Clock}
-	l, err := host.Net.Listen(s.Front)
+	cli.Serve(listen, host, s.ReadinessAddr, ready, fail)
+	server.Handler = &platform.Frontend{Node: n, Clock: host.Clock}
+	l, err := host.Net.Listen(s.FrontendAddr)
 	if err != nil {
 		return err
 	}
--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -108,7 +108,7 @@
 		doors = standin.Asked(ctx, host, c.Platform, site.Zones)
 	}
 	all := standin.Load(ctx, standin.LoadOptions{Host: host, Doors: doors, Zones: site.Zones, Shapes: site.Shapes, Rate: c.Rate,
-		Span: time.Duration(c.Seconds) * time.Second, Seed: c.Seed, Model: site.Model, Weights: strings.Split(c.Weights, ","), Retries: c.Retries})
+		Duration: time.Duration(c.Seconds) * time.Second, Seed: c.Seed, Model: site.Model, Weights: strings.Split(c.Weights, ","), Retries: c.Retries})
 	b, _ := json.MarshalIndent(standin.Sum(all), "", "  ")
 	fmt.Println(string(b))
 }
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -184,7 +184,7 @@
 		}
 	}
 	for _, p := range f.of("router") {
-		if err := post(f.platform, "/doors", standin.Door{Addr: p.Door, Zone: p.Zone}, nil); err != nil {
+		if err := post(f.platform, "/doors", standin.Node{Addr: p.Door, Zone: p.Zone}, nil); err != nil {
 			return err
 		}
 	}
--- a/cmd/keelstair-testbed/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -32,7 +32,7 @@
 		}
 	}()
 	begun := time.Now()
-	all := standin.Load(ctx, standin.LoadOptions{Host: machine, Doors: standin.Asked(cx, machine, f.platform, f.site.Zones), Zones: f.site.Zones, Shapes: f.site.Shapes, Rate: c.Rate, Span: duration,
+	all := standin.Load(ctx, standin.LoadOptions{Host: machine, Doors: standin.Asked(cx, machine, f.platform, f.site.Zones), Zones: f.site.Zones, Shapes: f.site.Shapes, Rate: c.Rate, Duration: duration,
 		Seed: c.Seed, Model: f.site.Model, Weights: []string{standin.SiteWeights}, Retries: 8})
 	b, err := json.MarshalIndent(standin.Sum(all), "", "  ")
 	if err != nil {
@@ -64,7 +64,7 @@
 			}
 		}
 		if len(doors) > 0 {
-			note("doors of "+string(z), func(o standin.Outcome) bool { return doors[o.Door] })
+			note("doors of "+string(z), func(o standin.Outcome) bool { return doors[o.Node] })
 		}
 	}
 	return out
--- a/coordination/messages.go
+++ b/coordination/messages.go
@@ -49,7 +49,7 @@
 	Primary        Replica
 	Backup         Replica
 	Voters         []Replica `msg:"Holders" json:"Holders"`
-	MoreBackups    []Replica `msg:"Also" json:"Also"`             // further backups, where more than one machine may be lost at once
+	MoreBackups    []Replica `msg:"Also" json:"Also"`               // further backups, where more than one machine may be lost at once
 	OutgoingVoters []Replica `msg:"Before,omitempty" json:"Before"` // the holders before a change of them that is not known to be decided
 }
 
--- a/internal/fleetstate/aged_keys_test.go
+++ b/internal/fleetstate/aged_keys_test.go
@@ -22,10 +22,10 @@
 	return got, err
 }
 
-// TestOldKeys: a key that was claimed once is never fresh again, however many came
+// TestAgedKeys: a key that was claimed once is never fresh again, however many came
 // after it, on the copy that wrote it and on one made from a picture; both seal
 // the same leaves.
-func TestOldKeys(t *testing.T) {
+func TestAgedKeys(t *testing.T) {
 	m := NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
 	key := func(i int) string { return fmt.Sprintf("verdict/%d", i) }
 	fate := []string{Done, NotRun, MayHaveRun}
@@ -92,9 +92,9 @@
 
 const million = 1_000_000
 
-// BenchmarkPicture makes and restores a picture over five million deeds; MB/s is
+// BenchmarkSnapshot makes and restores a picture over five million deeds; MB/s is
 // of the picture alone, whose size is given too.
-func BenchmarkPicture(b *testing.B) {
+func BenchmarkSnapshot(b *testing.B) {
 	m := full(5 * million)
 	for b.Loop() {
 		body := m.Snapshot(false)
--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// TestSettleAudits: an outcome and its audit record are one entry; a bad record leaves
+// TestResolveAudits: an outcome and its audit record are one entry; a bad record leaves
 // the claim as it was.
-func TestSettleAudits(t *testing.T) {
+func TestResolveAudits(t *testing.T) {
 	s := newState(false, Retention{})
 	_, err := claim(t, s, "verdict/1", "b")
 	require.NoError(t, err)
--- a/internal/fleetstate/compression_test.go
+++ b/internal/fleetstate/compression_test.go
@@ -20,8 +20,8 @@
 	short := []byte(`{"limits":{}}`)
 	require.Equal(t, short, compress(short))
 	require.Equal(t, short, decompress(short))
-	cut := compress(large)[:40]
-	require.True(t, bytes.Equal(cut, decompress(cut)))
+	truncated := compress(large)[:40]
+	require.True(t, bytes.Equal(truncated, decompress(truncated)))
 }
 
 // TestPackedRules: what a packed text says is in force like any other.
--- a/internal/fleetstate/delta_test.go
+++ b/internal/fleetstate/delta_test.go
@@ -21,11 +21,11 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"zones":["z%d"],"routes":[`, mark)
 	for i := range n {
-		tries := 1
+		attempts := 1
 		if i == mark {
-			tries = 7
+			attempts = 7
 		}
-		fmt.Fprintf(&b, `{"name":"r%d","host":"h%d.example","prefix":"/","service":"s","tries":%d,"deadlineMs":%d},`, i, i*7919, tries, 900+i%13)
+		fmt.Fprintf(&b, `{"name":"r%d","host":"h%d.example","prefix":"/","service":"s","tries":%d,"deadlineMs":%d},`, i, i*7919, attempts, 900+i%13)
 	}
 	return []byte(b.String() + `{"name":"last","prefix":"/"}]}`)
 }
@@ -81,11 +81,11 @@
 	}
 }
 
-// TestStageDelta: a small change of a large text goes as a delta of little more than the
+// TestPrepareDelta: a small change of a large text goes as a delta of little more than the
 // change; copies and nodes come to the whole text, from pictures too, and pictures are
 // packed. One that does not fit is refused and changes nothing, and a text that differs
 // much goes whole.
-func TestStageDelta(t *testing.T) {
+func TestPrepareDelta(t *testing.T) {
 	one, two := routesText(1400, 3), routesText(1400, 900)
 	c := &PrepareVersion{Base: 1, Text: compress(two)}
 	c.Shorten(one, two)
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -85,19 +85,19 @@
 // TestActivation: a staged version waits for all to have seen it, and not for
 // what came after it, at most the wait; a storm cannot put it off for ever.
 func TestActivation(t *testing.T) {
-	stage := func(m *Machine, seq ids.Seq, base ids.Version) error {
+	prepare := func(m *Machine, seq ids.Seq, base ids.Version) error {
 		_, err := m.Apply(seq, PrepareKind, coordination.MustMarshal(&PrepareVersion{Base: base, Text: []byte(`{}`)}))
 		return err
 	}
 	ms := func(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
 	m := NewMachine(MachineOptions{CommitTimeout: time.Second})
-	require.NoError(t, stage(m, 5, 0))
-	require.Error(t, stage(m, 6, 0), "the loser of two")
+	require.NoError(t, prepare(m, 5, 0))
+	require.Error(t, prepare(m, 6, 0), "the loser of two")
 	require.Empty(t, m.Due(ms(1), 9, 4))
 	require.Len(t, m.Due(ms(2), 9, 5), 1, "entries 6 to 9 need not be seen")
 	m = NewMachine(MachineOptions{CommitTimeout: time.Second})
 	for v := range 3 {
-		require.NoError(t, stage(m, ids.Seq(v+1), ids.Version(v)))
+		require.NoError(t, prepare(m, ids.Seq(v+1), ids.Version(v)))
 		m.Due(ms(1+v*400), ids.Seq(v+1), 0)
 	}
 	got := m.Due(ms(1100), 4, 0)
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -90,7 +90,8 @@
 	return out, err
 }
 
-// Published: nodes hear of the time by their leases, and of the audit record when they ask.
+// Published reports whether watchers see a command: nodes hear of the time by their leases, and
+// of the audit record when they ask.
 func (m *Machine) Published(kind string) bool { return kind != ClockKind && kind != AuditKind }
 func (m *Machine) Restore(body []byte) error  { m.keysVersion = 0; m.keys = nil; return m.decode(body) }
 
--- a/internal/fleetstate/overlay_test.go
+++ b/internal/fleetstate/overlay_test.go
@@ -63,7 +63,7 @@
 	require.True(t, failure.Is(err, failure.InvalidArgument))
 }
 
-// BenchmarkOver and BenchmarkWhole apply one small change to a large policy.
+// BenchmarkOver and BenchmarkParseComplete apply one small change to a large policy.
 func BenchmarkOver(b *testing.B) {
 	_, complete, _ := ParseComplete("w", big(maxEntries/2))
 	for b.Loop() {
@@ -71,7 +71,7 @@
 	}
 }
 
-func BenchmarkWhole(b *testing.B) {
+func BenchmarkParseComplete(b *testing.B) {
 	_, complete, _ := ParseComplete("w", big(maxEntries/2))
 	for b.Loop() {
 		merged, _ := Merge(complete, []byte(`{"limits":{"queue":9}}`))
--- a/internal/fleetstate/programs_test.go
+++ b/internal/fleetstate/programs_test.go
@@ -32,10 +32,10 @@
 	return b
 }
 
-// TestProgramsLine: sets are a line of versions of their own: staged over one another, put
+// TestProgramsHistory: sets are a line of versions of their own: staged over one another, put
 // in force once they are seen, apart from the configuration's; a copy made from a picture,
 // whole or open, has them.
-func TestProgramsLine(t *testing.T) {
+func TestProgramsHistory(t *testing.T) {
 	m := NewMachine(MachineOptions{CommitTimeout: time.Second})
 	apply := func(seq ids.Seq, kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) error {
 		b, _ := c.MarshalMsg(nil)
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -44,8 +44,8 @@
 	return out
 }
 
-// lineOf gives the first line of a text that has something.
-func lineOf(text []byte, has string) int {
+// lineNumberOf gives the first line of a text that has something.
+func lineNumberOf(text []byte, has string) int {
 	for i, row := range strings.Split(string(text), "\n") {
 		if strings.Contains(row, has) {
 			return i + 1
@@ -110,7 +110,7 @@
 			}
 			err = Locate("f.cue", text, err)
 			require.ErrorContains(t, err, says)
-			n := lineOf(text, one.at)
+			n := lineNumberOf(text, one.at)
 			if one.at == `"kinds": [` || one.at == `"signature"` {
 				n = strings.Count(string(text[:strings.LastIndex(string(text), one.at)]), "\n") + 1
 				if one.at == `"signature"` {
--- a/internal/fleetstate/role_change_test.go
+++ b/internal/fleetstate/role_change_test.go
@@ -13,9 +13,9 @@
 	"keelstair.example/logging"
 )
 
-// TestTurn: a turn stands until it is done; the same one again, or the end of none, changes
+// TestRoleChange: a turn stands until it is done; the same one again, or the end of none, changes
 // nothing and is no error to those who asked; another part replaces the first.
-func TestTurn(t *testing.T) {
+func TestRoleChange(t *testing.T) {
 	s := newState(false, Retention{})
 	require.ErrorIs(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "w", Done: true}), coordination.ErrUnchanged)
 	require.NoError(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "w", To: ids.Decode}))
@@ -28,9 +28,9 @@
 	require.Equal(t, ids.Key("service/x"), ServiceKey("x"))
 }
 
-// TestTurnInPicture: a copy made from a picture, whole or open, has the same turns, and
+// TestRoleChangeInSnapshot: a copy made from a picture, whole or open, has the same turns, and
 // pictures of equal states are equal bytes.
-func TestTurnInPicture(t *testing.T) {
+func TestRoleChangeInSnapshot(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	for _, w := range []ids.WorkerID{"c", "a", "b"} {
 		require.NoError(t, do(t, m.State, RoleChangeKind, &RoleChange{Worker: w, To: ids.Prefill}))
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestTurnInNews: a view shows a turn as soon as it is folded, loudly, whether it came as
+// TestRoleChangeInFeed: a view shows a turn as soon as it is folded, loudly, whether it came as
 // news or in a picture, and no longer once it is done; an older sight stays as it was.
-func TestTurnInNews(t *testing.T) {
+func TestRoleChangeInFeed(t *testing.T) {
 	v := NewView(logging.Discard())
 	require.True(t, v.Observe(1, RoleChangeKind, coordination.MustMarshal(&RoleChange{Worker: "w", To: ids.Decode})))
 	first := v.Current()
@@ -66,7 +66,7 @@
 // included; else, or over another base, nothing changes.
 func TestNext(t *testing.T) {
 	s := newState(false, Retention{})
-	stage := func(base, next ids.Version) (ids.Version, error) {
+	prepare := func(base, next ids.Version) (ids.Version, error) {
 		out, err := s.Apply(PrepareKind, coordination.MustMarshal(&PrepareVersion{Base: base, Next: next, Text: []byte(`{}`)}))
 		var got VersionReply
 		if err == nil {
@@ -75,22 +75,22 @@
 		}
 		return got.Version, err
 	}
-	v, err := stage(0, 5)
+	v, err := prepare(0, 5)
 	require.NoError(t, err)
 	require.EqualValues(t, 5, v)
-	_, err = stage(0, 9)
+	_, err = prepare(0, 9)
 	require.True(t, failure.Is(err, failure.Stale))
 	for _, low := range []ids.Version{1, 4, 5} {
-		_, err = stage(5, low)
+		_, err = prepare(5, low)
 		require.True(t, failure.Is(err, failure.InvalidArgument), low)
 	}
-	v, err = stage(5, 6)
+	v, err = prepare(5, 6)
 	require.NoError(t, err)
 	require.EqualValues(t, 6, v)
-	v, err = stage(6, 1000)
+	v, err = prepare(6, 1000)
 	require.NoError(t, err)
 	require.EqualValues(t, 1000, v)
-	v, err = stage(1000, 0)
+	v, err = prepare(1000, 0)
 	require.NoError(t, err)
 	require.EqualValues(t, 1001, v)
 	require.NoError(t, do(t, s, CommitKind, &CommitVersion{1000}))
--- a/internal/fleetstate/route_test.go
+++ b/internal/fleetstate/route_test.go
@@ -134,9 +134,9 @@
 	intake: {}
 }`
 
-// TestWholeRoutes: a CUE policy with routes and services is filled with the defaults, reads
+// TestCompleteRoutes: a CUE policy with routes and services is filled with the defaults, reads
 // back as itself, and keeps what was said; a policy without them stays without.
-func TestWholeRoutes(t *testing.T) {
+func TestCompleteRoutes(t *testing.T) {
 	p, text, err := ParseComplete("r.cue", []byte(routed))
 	require.NoError(t, err)
 	one, two := p.Routes[0], p.Routes[1]
@@ -168,9 +168,9 @@
 	require.NotContains(t, fields, "services")
 }
 
-// TestWholeRefuses: what the schema or the check over routes forbids is refused, with the
+// TestCompleteRefuses: what the schema or the check over routes forbids is refused, with the
 // field in the error.
-func TestWholeRefuses(t *testing.T) {
+func TestCompleteRefuses(t *testing.T) {
 	_, complete, err := ParseComplete("r.cue", []byte(routed))
 	require.NoError(t, err)
 	for part, says := range map[string]string{
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -54,7 +54,7 @@
 			s.Concurrency = c.readers
 		}
 	}
-	y := newYard(all...)
+	y := newCluster(all...)
 	if raced {
 		c.span /= 3
 	}
--- a/internal/proxy/check_test.go
+++ b/internal/proxy/check_test.go
@@ -240,7 +240,7 @@
 }
 
 // kept lists handles that were neither fetched nor freed.
-func kept(y *yard) []string {
+func kept(y *workerPool) []string {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	var out []string
@@ -316,7 +316,7 @@
 	require.Empty(t, thirds([]row{order(0, "a", 1)}, parts))
 	require.NotEmpty(t, thirds([]row{order(0, "a", 1)}, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "x": ids.Decode}))
 
-	y := newYard()
+	y := newCluster()
 	y.handles["h"] = &handle{had: 1}
 	y.handles["i"] = &handle{freed: true}
 	require.Empty(t, kept(y))
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -40,7 +40,7 @@
 // was staged at once, and the outcome of an operation can be asked for.
 func TestPut(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, 71, 2, y, plain(), nil)
 		defer f.close()
 		b := f.nodes[0]
@@ -90,7 +90,7 @@
 // for byte.
 func TestPutPacked(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, 74, 2, y, plain(), nil)
 		defer f.close()
 		require.True(t, f.until(3*time.Second, func() bool { return f.inForce(1) }))
@@ -113,7 +113,7 @@
 // already, though the nodes still serve the older one.
 func TestNewestReadsStaged(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, 72, 3, y, plain(), nil)
 		defer f.close()
 		f.freeze(2, true)
@@ -130,7 +130,7 @@
 // falls, the same number has the same text at all, and in the end all have the newest.
 func TestNeverBack(t *testing.T) {
 	eachSeed(t, 4, func(t *testing.T, seed uint64) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, seed, 3, y, plain(), nil)
 		defer f.close()
 		var mu sync.Mutex
@@ -213,7 +213,7 @@
 	for _, dropped := range []bool{false, true} {
 		t.Run(fmt.Sprint("dropped-", dropped), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(append(both("svc", 2, 2), both("other", 2, 2)...)...)
+				y := newCluster(append(both("svc", 2, 2), both("other", 2, 2)...)...)
 				f := build(t, 73, 2, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
 				defer f.close()
 				long := make(chan *asked, 1)
@@ -260,7 +260,7 @@
 // is not, and the longest prefix wins; a request without a route never reaches a worker.
 func TestRoutesComeAndGo(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(append(both("svc", 2, 2), both("other", 2, 2)...)...)
+		y := newCluster(append(both("svc", 2, 2), both("other", 2, 2)...)...)
 		f := build(t, 74, 3, y, plain(), nil)
 		defer f.close()
 		try := func(id, path string) []string {
@@ -298,7 +298,7 @@
 // that the same try falls to the same service on every node.
 func TestSplit(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(append(both("svc", 2, 3), both("other", 2, 3)...)...)
+		y := newCluster(append(both("svc", 2, 3), both("other", 2, 3)...)...)
 		split := fleetstate.Route{Name: "r", Host: routeHost, Prefix: "/once/", Split: []fleetstate.Share{{Service: "svc", Weight: 3}, {Service: "other", Weight: 1}, {Service: "svc", Weight: 0}}, Disaggregated: true, MaxAttempts: 2, DeadlineMs: 4000, LatencyTargetMs: 400}
 		f := build(t, 75, 2, y, policy([]fleetstate.Route{split}, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"}), nil)
 		defer f.close()
@@ -323,7 +323,7 @@
 // ready, and refuses without reaching any worker; a node that lost the core goes on.
 func TestNotReady(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, 76, 2, y, plain(), nil)
 		defer f.close()
 		for _, ip := range coreIps {
--- a/internal/proxy/delta_test.go
+++ b/internal/proxy/delta_test.go
@@ -18,7 +18,7 @@
 // in force at all nodes within two seconds, byte for byte, and reads back whole.
 func TestLargeChanges(t *testing.T) {
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, seed, 3, y, plain(), nil)
 		defer f.close()
 		text := func(mark int) []byte {
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -22,7 +22,7 @@
 // over, and nothing comes to any worker twice.
 func TestCalm(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 4, 4)...)
+		y := newCluster(both("svc", 4, 4)...)
 		f := build(t, 1, 3, y, plain(), nil)
 		defer f.close()
 		all := f.load(60, 8*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 1500, 8) })
@@ -57,7 +57,7 @@
 // as long as it is not much busier than the others.
 func TestSameReader(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 5, 3)...)
+		y := newCluster(both("svc", 5, 3)...)
 		f := build(t, 2, 3, y, plain(), nil)
 		defer f.close()
 		all := f.load(12, 10*time.Second, func(i int) *Request {
@@ -97,7 +97,7 @@
 		idleSilent: "silent-not-run", midReset: "reset-mid-answer", foreign: "another's-answer", bare: "no-stamp", failed: "failed", lostMemory: "memory-lost"} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 2, 3)...)
+				y := newCluster(both("svc", 2, 3)...)
 				hit := map[string]bool{}
 				y.fate = func(k row, _ *stand) fate {
 					if k.Kind == "emit" && !hit[k.Req] {
@@ -134,7 +134,7 @@
 		for _, w := range all {
 			w.Concurrency = 6
 		}
-		y := newYard(all...)
+		y := newCluster(all...)
 		rng := rand.New(rand.NewPCG(seed, 5))
 		y.fate = func(row, *stand) fate {
 			if rng.IntN(5) > 0 {
@@ -180,7 +180,7 @@
 	for _, how := range []string{"cut", "dark", "restart"} {
 		t.Run(how, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 2, 3)...)
+				y := newCluster(both("svc", 2, 3)...)
 				hit := map[string]bool{}
 				y.fate = func(k row, _ *stand) fate {
 					if k.Kind == "emit" && !hit[k.Req] && how == "cut" {
@@ -231,7 +231,7 @@
 // prompt is read for it.
 func TestFromCaller(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 3)...)
+		y := newCluster(both("svc", 2, 3)...)
 		f := build(t, 5, 2, y, plain(), nil)
 		defer f.close()
 		r := f.req("r", "/sresume/x", 500, 12)
@@ -249,7 +249,7 @@
 // completed from another worker, and no part of an event is passed on.
 func TestNoResume(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 3)...)
+		y := newCluster(both("svc", 2, 3)...)
 		y.fate = func(k row, _ *stand) fate {
 			if k.Kind == "emit" {
 				return midReset
@@ -272,7 +272,7 @@
 // the first byte of it, whether or not the request may run again.
 func TestNoStamp(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 3)...)
+		y := newCluster(both("svc", 2, 3)...)
 		y.fate = func(k row, _ *stand) fate {
 			if k.Kind == "emit" {
 				return bare
@@ -295,7 +295,7 @@
 func TestFreed(t *testing.T) {
 	for _, how := range []fate{turnedAway, unreached} {
 		bubble(t, func(t *testing.T) {
-			y := newYard(both("svc", 2, 3)...)
+			y := newCluster(both("svc", 2, 3)...)
 			y.fate = func(k row, _ *stand) fate {
 				if k.Kind == "emit" {
 					return how
@@ -320,7 +320,7 @@
 func TestFreedAtDeadline(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		all := both("svc", 1, 3)
-		y := newYard(all...)
+		y := newCluster(all...)
 		f := build(t, 9, 1, y, plain(), nil)
 		defer f.close()
 		y.at(func() {
@@ -344,7 +344,7 @@
 // read: nobody will fetch the memory, so it is given back.
 func TestFreedWhenCallerLeft(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, 10, 1, y, plain(), nil)
 		defer f.close()
 		ctx, stop := context.WithCancel(context.Background())
@@ -362,7 +362,7 @@
 // request is taken elsewhere or ended: the memory is given back.
 func TestFreedOnSilence(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 3)...)
+		y := newCluster(both("svc", 2, 3)...)
 		hit := map[string]bool{}
 		y.fate = func(k row, _ *stand) fate {
 			if k.Kind == "emit" && !hit[k.Req] {
@@ -384,7 +384,7 @@
 // TestCallerGone: an answer whose caller went away is not asked for at another worker.
 func TestCallerGone(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 3)...)
+		y := newCluster(both("svc", 2, 3)...)
 		f := build(t, 12, 1, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
 		defer f.close()
 		for i, path := range paths {
@@ -406,7 +406,7 @@
 // where it may, another worker is asked.
 func TestFailedStatus(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 3)...)
+		y := newCluster(both("svc", 2, 3)...)
 		hit := map[string]bool{}
 		y.fate = func(k row, _ *stand) fate {
 			if k.Kind == "emit" && !hit[k.Req] {
@@ -431,7 +431,7 @@
 // between them twice, and what may not be repeated runs once.
 func TestNoParts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(stands("svc", "", 3)...)
+		y := newCluster(stands("svc", "", 3)...)
 		f := build(t, 14, 2, y, plain(), nil)
 		defer f.close()
 		all := f.load(20, 4*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 500, 6) })
--- a/internal/proxy/fault_notice_test.go
+++ b/internal/proxy/fault_notice_test.go
@@ -18,7 +18,7 @@
 // and completes; what may not is neither repeated nor refused. Later it is used again.
 func TestDark(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 4)...)
+		y := newCluster(both("svc", 3, 4)...)
 		f := build(t, 51, 3, y, plain(), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
 		// Only nodes 0 and 1 have traffic at first.
@@ -68,7 +68,7 @@
 // answered all the same, soon, and nothing runs twice.
 func TestDarkReader(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 4)...)
+		y := newCluster(both("svc", 3, 4)...)
 		f := build(t, 52, 2, y, plain(), func(o *Options) { o.RetryAllowance = 60 })
 		defer f.close()
 		f.wg.Go(func() {
@@ -91,7 +91,7 @@
 // for themselves and leave no worker alone for it, at no moment.
 func TestCutNode(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 4)...)
+		y := newCluster(both("svc", 3, 4)...)
 		f := build(t, 53, 3, y, plain(), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
 		cut := f.nodes[0]
@@ -154,7 +154,7 @@
 // clears it, and others go on being sent there.
 func TestSilentCall(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, 54, 2, y, plain(), nil)
 		defer f.close()
 		y.at(func() {
@@ -183,7 +183,7 @@
 // that it is well: it is not left alone for longer than a moment.
 func TestReportClears(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, 55, 1, y, plain(), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
 		y.at(func() {
@@ -211,7 +211,7 @@
 // is taken there at once.
 func TestTakenFromSilent(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		routes := ways()
 		routes[1].LatencyTargetMs, routes[1].DeadlineMs = 3000, 9000
 		f := build(t, 56, 1, y, policy(routes, fleetstate.Service{Name: "svc", Concurrency: 16}), func(o *Options) { o.RetryAllowance = 60 })
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -37,7 +37,7 @@
 type fleet struct {
 	t     *testing.T
 	w     *simulated.World
-	y     *yard
+	y     *workerPool
 	seeds []string
 	cores map[string]*coordination.Core
 	procs map[string]*simulated.Process
@@ -54,7 +54,7 @@
 var coreIps = []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 
 // build starts a fleet and puts a policy in force.
-func build(t *testing.T, seed uint64, nodes int, y *yard, text []byte, tune func(*Options)) *fleet {
+func build(t *testing.T, seed uint64, nodes int, y *workerPool, text []byte, tune func(*Options)) *fleet {
 	f := &fleet{t: t, w: simulated.NewWorld(seed), y: y, tune: tune, cores: map[string]*coordination.Core{}, procs: map[string]*simulated.Process{}, stops: map[string]context.CancelFunc{}, over: make(chan struct{})}
 	for _, ip := range coreIps {
 		f.seeds = append(f.seeds, ip+":1")
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -13,7 +13,7 @@
 )
 
 // lists counts the askings for the list by node since a time.
-func (y *yard) lists(since time.Duration) map[string]int {
+func (y *workerPool) lists(since time.Duration) map[string]int {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	out := map[string]int{}
@@ -35,7 +35,7 @@
 }
 
 // heard tells whether all nodes that are up know that a worker leaves.
-func (f *fleet) heard(y *yard, name string) bool {
+func (f *fleet) heard(y *workerPool, name string) bool {
 	id := y.of(name).ID
 	for _, b := range f.up() {
 		if w := b.workerList.Load().find(id); w == nil || !w.Leaving {
@@ -49,7 +49,7 @@
 // of a change from it.
 func TestOneAsker(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 3)...)
+		y := newCluster(both("svc", 3, 3)...)
 		f := build(t, 61, 4, y, plain(), nil)
 		defer f.close()
 		time.Sleep(6 * time.Second)
@@ -72,7 +72,7 @@
 	for _, how := range []string{"killed", "frozen", "no list"} {
 		t.Run(how, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 3, 3)...)
+				y := newCluster(both("svc", 3, 3)...)
 				f := build(t, 62, 4, y, plain(), nil)
 				defer f.close()
 				time.Sleep(6 * time.Second)
@@ -113,7 +113,7 @@
 	for _, long := range []time.Duration{700 * time.Millisecond, time.Second} {
 		t.Run(long.String(), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 3, 3)...)
+				y := newCluster(both("svc", 3, 3)...)
 				y.listed = func() time.Duration { return long }
 				f := build(t, 63, 6, y, plain(), nil)
 				defer f.close()
@@ -133,7 +133,7 @@
 // list: each node has one soon all the same.
 func TestListAfterAllKilled(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 3)...)
+		y := newCluster(both("svc", 3, 3)...)
 		f := build(t, 69, 5, y, plain(), nil)
 		defer f.close()
 		time.Sleep(6 * time.Second)
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -187,7 +187,7 @@
 	for flat, limit := range map[int]time.Duration{96: 350 * time.Millisecond, 1: 100 * time.Millisecond} {
 		t.Run(fmt.Sprint(flat), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 6, 6)...)
+				y := newCluster(both("svc", 6, 6)...)
 				f := build(t, 64, 12, y, plain(), treed(flat))
 				defer f.close()
 				time.Sleep(6 * time.Second)
@@ -216,7 +216,7 @@
 // TestTreeOneAsker: in a tree too the holder alone asks the platform.
 func TestTreeOneAsker(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 3)...)
+		y := newCluster(both("svc", 3, 3)...)
 		f := build(t, 65, 12, y, plain(), treed(1))
 		defer f.close()
 		time.Sleep(8 * time.Second)
@@ -253,7 +253,7 @@
 }
 
 func loseInTree(t *testing.T, seed uint64, lost, how string) {
-	y := newYard(both("svc", 6, 6)...)
+	y := newCluster(both("svc", 6, 6)...)
 	f := build(t, seed, 14, y, plain(), treed(1))
 	defer f.close()
 	time.Sleep(8 * time.Second)
@@ -303,7 +303,7 @@
 	for _, how := range []string{"killed", "frozen"} {
 		t.Run(how, func(t *testing.T) {
 			eachSeed(t, 3, func(t *testing.T, seed uint64) {
-				y := newYard(both("svc", 6, 6)...)
+				y := newCluster(both("svc", 6, 6)...)
 				f := build(t, seed, 30, y, plain(), treed(1))
 				defer f.close()
 				time.Sleep(8 * time.Second)
@@ -340,7 +340,7 @@
 // know who holds the list.
 func TestStartTogether(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 3)...)
+		y := newCluster(both("svc", 3, 3)...)
 		f := build(t, 68, 12, y, plain(), treed(1))
 		defer f.close()
 		require.LessOrEqual(t, len(y.lists(0)), 3, "%v", y.lists(0))
@@ -351,7 +351,7 @@
 // through the tree, and counted once.
 func TestTreeSums(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 3)...)
+		y := newCluster(both("svc", 3, 3)...)
 		f := build(t, 66, 12, y, plain(), treed(1))
 		defer f.close()
 		time.Sleep(8 * time.Second)
@@ -376,7 +376,7 @@
 // what one node alone saw counts as one node's word.
 func TestTreeOutcomes(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 6)...)
+		y := newCluster(both("svc", 3, 6)...)
 		f := build(t, 67, 12, y, plain(), func(o *Options) {
 			treed(1)(o)
 			o.BaseEjection = time.Hour // an ejection's end would forget what was seen
--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -136,7 +136,7 @@
 		for i, s := range all {
 			s.memory, s.used = 160_000, 16_000*i
 		}
-		y := newYard(all...)
+		y := newCluster(all...)
 		f := build(t, seed, 4, y, plain(), turning)
 		defer f.close()
 		knows := func(b *testNode, id ids.WorkerID, want int) bool {
@@ -216,7 +216,7 @@
 			for _, s := range all {
 				s.memory, s.used = 160_000, 80_000
 			}
-			f := build(t, seed, 4, newYard(all...), plain(), turning)
+			f := build(t, seed, 4, newCluster(all...), plain(), turning)
 			defer f.close()
 			time.Sleep(8 * time.Second)
 			if apart = f.holder() >= 0 && f.listHolder() >= 0 && f.holder() != f.listHolder(); !apart {
@@ -270,7 +270,7 @@
 			s.memory = 40_000 + 10_000*(i%3)
 		}
 	}
-	y := newYard(ws...)
+	y := newCluster(ws...)
 	y.lag, y.queue, y.step = 300*time.Millisecond, 2, 50*time.Millisecond
 	f := build(t, seed, 6, y, plain(), func(o *Options) {
 		o.RoleChangeInterval, o.RetryAllowance, o.NoCapacityCost, o.IdlePrefillShare = 500*time.Millisecond, 60, noRoom, -1
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -34,7 +34,7 @@
 	span     time.Duration
 	sick     func(k row) fate // under the yard's lock
 	tune     func(*Options)
-	act      func(f *fleet, y *yard)
+	act      func(f *fleet, y *workerPool)
 	route    string // all four by turns if it is empty
 	prompt   int
 	standing []standing
@@ -45,7 +45,7 @@
 }
 
 func (w *ward) run(t *testing.T) *ward {
-	y := newYard(both("svc", w.parts, w.parts)...)
+	y := newCluster(both("svc", w.parts, w.parts)...)
 	f := build(t, w.seed, w.nodes, y, plain(), func(o *Options) {
 		o.RetryAllowance = 60
 		if w.tune != nil {
@@ -276,7 +276,7 @@
 							return idleSilent
 						}
 						return fine
-					}, act: func(f *fleet, y *yard) {
+					}, act: func(f *fleet, y *workerPool) {
 						time.Sleep(2 * time.Second)
 						y.at(func() {
 							y.health = func(node string, s *stand) error {
@@ -313,7 +313,7 @@
 func TestFlapping(t *testing.T) {
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
 		run := func(o func(*Options)) *ward {
-			return (&ward{seed: seed, nodes: 3, parts: 4, rate: 80, span: 20 * time.Second, tune: o, act: func(f *fleet, y *yard) {
+			return (&ward{seed: seed, nodes: 3, parts: 4, rate: 80, span: 20 * time.Second, tune: o, act: func(f *fleet, y *workerPool) {
 				time.Sleep(2 * time.Second)
 				y.at(func() { y.of("svc-decode-3").dark = true })
 				time.Sleep(1300 * time.Millisecond)
@@ -379,7 +379,7 @@
 // TestOnlyEjected: where only ejected workers are left they are used, the least bad first.
 func TestOnlyEjected(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 3)...)
+		y := newCluster(both("svc", 2, 3)...)
 		f := build(t, 5, 1, y, plain(), nil)
 		defer f.close()
 		n := f.nodes[0]
@@ -413,7 +413,7 @@
 						return idleSilent
 					}
 					return fine
-				}, act: func(f *fleet, y *yard) {
+				}, act: func(f *fleet, y *workerPool) {
 					lost := failure.New(failure.Unavailable, "report", "", "no answer")
 					time.Sleep(3 * time.Second)
 					y.at(func() {
@@ -456,7 +456,7 @@
 				return ranReset
 			}
 			return fine
-		}, act: func(f *fleet, y *yard) {
+		}, act: func(f *fleet, y *workerPool) {
 			for range 80 {
 				for _, b := range f.up()[2:] {
 					b.peerReports.Store(ids.NodeID("liar"), peerReport{at: b.now(), outcomes: []Outcomes{{"svc-decode-1.1", 1 << 20, 1 << 20, 90}}})
@@ -492,7 +492,7 @@
 	for _, how := range []string{"caller", "deadline", "full", "lost", "unreached"} {
 		t.Run(how, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 2, 3)...)
+				y := newCluster(both("svc", 2, 3)...)
 				f := build(t, 6, 1, y, plain(), func(o *Options) { o.RetryAllowance = 60 })
 				defer f.close()
 				y.at(func() {
@@ -596,7 +596,7 @@
 func TestOneFall(t *testing.T) {
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
 		cut := map[ids.WorkerID]bool{"svc-decode-0.1": true, "svc-decode-3.1": true}
-		w := (&ward{seed: seed, nodes: 16, parts: 6, rate: 160, span: 9 * time.Second, act: func(f *fleet, y *yard) {
+		w := (&ward{seed: seed, nodes: 16, parts: 6, rate: 160, span: 9 * time.Second, act: func(f *fleet, y *workerPool) {
 			dark := func(on bool) {
 				y.at(func() {
 					for _, s := range y.all {
@@ -627,7 +627,7 @@
 // and an ejection for it goes over into probation; an older one stands.
 func TestFallExplains(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		f := build(t, 9, 1, newYard(both("svc", 2, 3)...), plain(), nil)
+		f := build(t, 9, 1, newCluster(both("svc", 2, 3)...), plain(), nil)
 		defer f.close()
 		n := f.nodes[0]
 		for _, previous := range []bool{false, true} {
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -63,7 +63,7 @@
 func TestPickedAnew(t *testing.T) {
 	for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
 		eachSeed(t, 3, func(t *testing.T, seed uint64) {
-			y := newYard(both("svc", 3, 3)...)
+			y := newCluster(both("svc", 3, 3)...)
 			f := build(t, seed, 2, y, plain(), func(o *Options) {
 				o.RetryAllowance, o.ListInterval, o.ShareInterval = 60, 100*time.Millisecond, 50*time.Millisecond
 			})
--- a/internal/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -21,7 +21,7 @@
 	for _, how := range []string{"drained", "evacuated", "leaving", "unlisted"} {
 		t.Run(how, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 4, 4)...)
+				y := newCluster(both("svc", 4, 4)...)
 				f := build(t, 31, 3, y, plain(), nil)
 				defer f.close()
 				var gone []ids.WorkerID
@@ -67,7 +67,7 @@
 // long as another worker is there.
 func TestStale(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 3)...)
+		y := newCluster(both("svc", 3, 3)...)
 		f := build(t, 32, 2, y, plain(), func(o *Options) { o.RetryAllowance = 50 })
 		defer f.close()
 		y.at(func() { y.nolist = true })
@@ -92,7 +92,7 @@
 // address now answers with a report.
 func TestGoneStaysGone(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, 33, 1, y, plain(), nil)
 		defer f.close()
 		y.at(func() { y.nolist = true })
--- a/internal/proxy/program_test.go
+++ b/internal/proxy/program_test.go
@@ -25,7 +25,7 @@
 // shadow one is asked each time and has no say, and nothing that is promised is broken.
 func TestPrograms(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 4)...)
+		y := newCluster(both("svc", 3, 4)...)
 		scores := &routing.Scores{}
 		y.prep = func(n *Node) {
 			programs, err := routing.NewProgramSet(n.options.Programs, n.options.ProgramSteps, scores)
@@ -73,7 +73,7 @@
 // request to a worker that is drained.
 func TestProgramRules(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 4)...)
+		y := newCluster(both("svc", 3, 4)...)
 		programs := []routing.Source{{Name: "fixed", Share: 100, Text: "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.id)]\n"}}
 		f := build(t, 62, 2, y, plain(), func(o *Options) { o.Programs = programs })
 		defer f.close()
@@ -94,7 +94,7 @@
 	for _, workers := range []int{3, 1} {
 		t.Run(fmt.Sprint(workers), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", workers, workers)...)
+				y := newCluster(both("svc", workers, workers)...)
 				programs := []routing.Source{{Name: "nobody", Share: 100, Text: "def match(ask, worker):\n    return False\n"}}
 				f := build(t, 63, 1, y, plain(), func(o *Options) { o.Programs = programs })
 				defer f.close()
--- a/internal/proxy/proxy_cluster_test.go
+++ b/internal/proxy/proxy_cluster_test.go
@@ -86,7 +86,7 @@
 	running, waiting, used int
 }
 
-type yard struct {
+type workerPool struct {
 	mu      sync.Mutex
 	start   time.Time
 	all     []*stand
@@ -114,8 +114,8 @@
 	queue   int                               // requests that wait at a worker at most; 0: twice its places
 }
 
-func newYard(all ...*stand) *yard {
-	return &yard{start: time.Now(), all: all, handles: map[string]*handle{}, cut: map[string]bool{}, frozen: map[string]bool{},
+func newCluster(all ...*stand) *workerPool {
+	return &workerPool{start: time.Now(), all: all, handles: map[string]*handle{}, cut: map[string]bool{}, frozen: map[string]bool{},
 		off: map[string]map[ids.WorkerID]time.Time{}, known: map[string]func(ids.WorkerID) bool{}, direct: 50, step: 20 * time.Millisecond, turn: time.Second}
 }
 
@@ -138,16 +138,16 @@
 	return append(stands(service, ids.Prefill, readers), stands(service, ids.Decode, emitters)...)
 }
 
-func (y *yard) now() time.Duration { return time.Since(y.start) }
+func (y *workerPool) now() time.Duration { return time.Since(y.start) }
 
 // at changes the yard.
-func (y *yard) at(f func()) {
+func (y *workerPool) at(f func()) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	f()
 }
 
-func (y *yard) of(name string) *stand {
+func (y *workerPool) of(name string) *stand {
 	for _, w := range y.all {
 		if w.name == name {
 			return w
@@ -157,7 +157,7 @@
 }
 
 // restart ends a worker's life and begins another at the same address.
-func (y *yard) restart(name string) {
+func (y *workerPool) restart(name string) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	for i, w := range y.all {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (y *yard) book() []row {
+func (y *workerPool) book() []row {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return append([]row(nil), y.rows...)
@@ -178,7 +178,7 @@
 
 // back is one node's way to the workers.
 type back struct {
-	y  *yard
+	y  *workerPool
 	ip string
 }
 
@@ -289,7 +289,7 @@
 	return p, how, nil
 }
 
-func (y *yard) most(s *stand) int {
+func (y *workerPool) most(s *stand) int {
 	if y.queue > 0 {
 		return y.queue
 	}
@@ -297,7 +297,7 @@
 }
 
 // mark keeps how a worker stands for late reports. The yard is locked.
-func (y *yard) mark(s *stand) {
+func (y *workerPool) mark(s *stand) {
 	for y.lag > 0 && len(s.past) > 1 && time.Since(s.past[1].at) > y.lag {
 		s.past = s.past[1:]
 	}
@@ -305,7 +305,7 @@
 }
 
 // shown is how a worker stood a lag ago. The yard is locked.
-func (y *yard) shown(s *stand) snap {
+func (y *workerPool) shown(s *stand) snap {
 	out := snap{running: s.running, waiting: s.waiting, used: s.used}
 	for i := len(s.past) - 1; y.lag > 0 && i >= 0; i-- {
 		if out = s.past[i]; time.Since(out.at) >= y.lag {
@@ -317,7 +317,7 @@
 
 // place waits for one of the worker's places, with memory, behind the more urgent. It gives how to leave it, and
 // how to give the memory back.
-func (y *yard) place(ctx context.Context, s *stand, tokens, urgency int) (leave, let func(), err error) {
+func (y *workerPool) place(ctx context.Context, s *stand, tokens, urgency int) (leave, let func(), err error) {
 	tokens = (tokens + 15) / 16 * 16
 	y.at(func() {
 		if s.wants == nil {
@@ -353,7 +353,7 @@
 	}
 }
 
-func (y *yard) load(s *stand) *Load {
+func (y *workerPool) load(s *stand) *Load {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return &Load{Running: s.running, Waiting: s.waiting, Concurrency: s.Concurrency}
@@ -436,7 +436,7 @@
 }
 
 // fetch has memory of a source, once. The yard is locked.
-func (y *yard) fetch(source *Source) bool {
+func (y *workerPool) fetch(source *Source) bool {
 	h := y.handles[source.Handle]
 	if h == nil || h.had > 0 || h.freed {
 		return false
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -25,7 +25,7 @@
 		for _, away := range []bool{false, true} {
 			t.Run(fmt.Sprint(kind, " core-away-", away), func(t *testing.T) {
 				bubble(t, func(t *testing.T) {
-					y := newYard(both("svc", 3, 4)...)
+					y := newCluster(both("svc", 3, 4)...)
 					rng := rand.New(rand.NewPCG(1, 2))
 					y.fate = func(k row, _ *stand) fate {
 						if (kind == "any" || kind == k.Kind) && rng.IntN(10) < 6 {
@@ -60,7 +60,7 @@
 	for phase := range 2 {
 		t.Run(fmt.Sprint(phase), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 3, 4)...)
+				y := newCluster(both("svc", 3, 4)...)
 				for _, w := range y.all {
 					w.Concurrency = 200
 				}
@@ -105,7 +105,7 @@
 	for _, nodes := range []int{1, 2, 4} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 4, 4)...)
+				y := newCluster(both("svc", 4, 4)...)
 				f := build(t, 23, nodes, y, warming(), nil)
 				defer f.close()
 				y.restart("svc-decode-1")
@@ -131,7 +131,7 @@
 // there, so that all together stay within what it bears; the others serve elsewhere.
 func TestColdManyNodes(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 3)...)
+		y := newCluster(both("svc", 3, 3)...)
 		f := build(t, 29, 9, y, policy(ways(), fleetstate.Service{Name: "svc", Concurrency: 16, SlowStartMs: 6000, SlowStartRate: 0.4}), nil)
 		defer f.close()
 		y.at(func() {
@@ -159,7 +159,7 @@
 		t.Run(after.String(), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				const allow = 100
-				y := newYard(both("svc", 3, 4)...)
+				y := newCluster(both("svc", 3, 4)...)
 				rng := rand.New(rand.NewPCG(3, 4))
 				y.fate = func(k row, _ *stand) fate {
 					if k.Kind == "emit" && rng.IntN(10) < 9 {
@@ -186,7 +186,7 @@
 // at once with no history.
 func TestColdAllNodesStart(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		for _, w := range y.all {
 			w.warm = time.Now().Add(20 * time.Second)
 		}
@@ -201,7 +201,7 @@
 // not count as warm before it is.
 func TestColdSlowList(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 3)...)
+		y := newCluster(both("svc", 3, 3)...)
 		f := build(t, 25, 2, y, warming(), nil)
 		defer f.close()
 		y.at(func() {
@@ -222,7 +222,7 @@
 // request on.
 func TestColdZoneBack(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 4, 4)...)
+		y := newCluster(both("svc", 4, 4)...)
 		f := build(t, 26, 2, y, warming(), nil)
 		defer f.close()
 		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
@@ -266,7 +266,7 @@
 	for _, over := range []bool{false, true} {
 		t.Run(fmt.Sprint("takeover-", over), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 4, 4)...)
+				y := newCluster(both("svc", 4, 4)...)
 				f := build(t, 27, 3, y, warming(), nil)
 				defer f.close()
 				f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
@@ -312,7 +312,7 @@
 // is left of their time, not anew.
 func TestColdZoneBackLate(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 4, 4)...)
+		y := newCluster(both("svc", 4, 4)...)
 		f := build(t, 28, 3, y, warming(), nil)
 		defer f.close()
 		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
@@ -338,7 +338,7 @@
 // no more than cold ones bear, from the first request on. Many seeds.
 func TestColdZoneBackUnheard(t *testing.T) {
 	eachSeed(t, 6, func(t *testing.T, seed uint64) {
-		y := newYard(both("svc", 4, 4)...)
+		y := newCluster(both("svc", 4, 4)...)
 		f := build(t, seed, 3, y, warming(), nil)
 		defer f.close()
 		time.Sleep(2 * time.Second)
--- a/internal/proxy/role_balance_test.go
+++ b/internal/proxy/role_balance_test.go
@@ -20,7 +20,7 @@
 func turning(o *Options) { o.RoleChangeInterval, o.RetryAllowance = 500*time.Millisecond, 20 }
 
 // pressed makes the workers of a part busy by their reports.
-func (y *yard) pressed(role ids.Role, by int) {
+func (y *workerPool) pressed(role ids.Role, by int) {
 	y.at(func() {
 		y.lean = func(s *stand) int {
 			if s.Role == role {
@@ -31,7 +31,7 @@
 	})
 }
 
-func parts(y *yard) map[ids.WorkerID]ids.Role {
+func parts(y *workerPool) map[ids.WorkerID]ids.Role {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	out := map[ids.WorkerID]ids.Role{}
@@ -77,7 +77,7 @@
 // from one node, and callers notice nothing.
 func TestTurnBothWays(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 4, 5)...)
+		y := newCluster(both("svc", 4, 5)...)
 		f := build(t, 41, 3, y, plain(), turning)
 		defer f.close()
 		was := parts(y)
@@ -117,7 +117,7 @@
 // TestNoTurnNeeded: without pressure, and for workers without parts, nothing is ordered.
 func TestNoTurnNeeded(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(append(both("svc", 3, 3), stands("free", "", 3)...)...)
+		y := newCluster(append(both("svc", 3, 3), stands("free", "", 3)...)...)
 		text := policy(append(ways(), fleetstate.Route{Name: "f", Host: routeHost, Prefix: "/free/", Service: "free", MaxAttempts: 2, DeadlineMs: 4000, LatencyTargetMs: 400}), fleetstate.Service{Name: "svc", Concurrency: 16}, fleetstate.Service{Name: "free", Concurrency: 16})
 		f := build(t, 42, 2, y, text, turning)
 		defer f.close()
@@ -131,7 +131,7 @@
 // belongs to one owner, no part falls below a third, and every turn comes to an end.
 func TestOneOrders(t *testing.T) {
 	eachSeed(t, 8, func(t *testing.T, seed uint64) {
-		y := newYard(both("svc", 3, 4)...)
+		y := newCluster(both("svc", 3, 4)...)
 		f := build(t, seed, 3, y, plain(), turning)
 		defer f.close()
 		was := parts(y)
@@ -199,7 +199,7 @@
 	for _, ordered := range []bool{false, true} {
 		t.Run(fmt.Sprint("ordered-", ordered), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 3, 4)...)
+				y := newCluster(both("svc", 3, 4)...)
 				f := build(t, 43, 3, y, plain(), turning)
 				defer f.close()
 				y.pressed(ids.Prefill, 6)
@@ -228,7 +228,7 @@
 // was given the duty, also where the one before it is only cut off and goes on.
 func TestNewHolderWaits(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 4)...)
+		y := newCluster(both("svc", 3, 4)...)
 		f := build(t, 44, 3, y, plain(), turning)
 		defer f.close()
 		time.Sleep(3 * time.Second)
@@ -250,7 +250,7 @@
 // order only once that node knows of the turn too, and nothing is sent there meanwhile.
 func TestTurnWarned(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 4)...)
+		y := newCluster(both("svc", 3, 4)...)
 		f := build(t, 45, 3, y, plain(), func(o *Options) { turning(o); o.RoleChangeInterval = 50 * time.Millisecond })
 		defer f.close()
 		require.True(t, f.until(10*time.Second, func() bool { return f.holder() >= 0 }))
--- a/internal/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -90,7 +90,7 @@
 // start's programs rule until the core has a set.
 func TestSwapUnderLoad(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 4)...)
+		y := newCluster(both("svc", 3, 4)...)
 		f := build(t, 81, 3, y, plain(), func(o *Options) {
 			o.Programs = []routing.Source{{Name: "start", Share: 100, Text: first(3)}}
 		})
@@ -146,7 +146,7 @@
 // it began with.
 func TestKeepsDeck(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 4)...)
+		y := newCluster(both("svc", 2, 4)...)
 		f := build(t, 82, 2, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
 		defer f.close()
 		_, err := f.apply("one", 0, setOf(routing.Source{Name: "up", Share: 100, Text: sorted("w.id")}))
@@ -197,7 +197,7 @@
 		"the fleet's own document": `{"zones":["a"]}`,
 	}
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, 83, 1, y, plain(), nil)
 		defer f.close()
 		_, err := f.apply("one", 0, setOf(ok))
@@ -225,7 +225,7 @@
 // empty set leaves all to the built-in order, also where the node began with programs.
 func TestPartialSet(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, 84, 1, y, plain(), func(o *Options) { o.Programs = []routing.Source{{Name: "start", Share: 100, Text: first(1)}} })
 		defer f.close()
 		o := f.operator(f.nodes[0])
@@ -262,7 +262,7 @@
 // runs, fall back and are counted; every request is served.
 func TestHostileSet(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 3, 4)...)
+		y := newCluster(both("svc", 3, 4)...)
 		f := build(t, 85, 2, y, plain(), nil)
 		defer f.close()
 		f.wg.Go(func() {
@@ -291,7 +291,7 @@
 // power, at a node that joins late, and at one that was killed and rejoins.
 func TestSwapSurvives(t *testing.T) {
 	eachSeed(t, 6, func(t *testing.T, seed uint64) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, seed, 2, y, plain(), nil)
 		defer f.close()
 		_, err := f.apply("one", 0, setOf(routing.Source{Name: "one", Share: 100, Text: first(0)}))
@@ -330,7 +330,7 @@
 // over the same one, one wins, and the other learns of it.
 func TestSwapRaces(t *testing.T) {
 	eachSeed(t, 4, func(t *testing.T, seed uint64) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, seed, 3, y, plain(), nil)
 		defer f.close()
 		var wg sync.WaitGroup
@@ -370,7 +370,7 @@
 // one before it in force there, and the next one that compiles is taken.
 func TestSetNotCompiled(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, 86, 1, y, plain(), nil)
 		defer f.close()
 		_, err := f.apply("one", 0, setOf(routing.Source{Name: "one", Share: 100, Text: first(0)}))
@@ -412,7 +412,7 @@
 	}{"flap": {flap, 5}, "drain": {drain, 0}} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 5, 4)...)
+				y := newCluster(both("svc", 5, 4)...)
 				f := build(t, 87, 2, y, plain(), turning)
 				defer f.close()
 				was := parts(y)
@@ -459,7 +459,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				y := newYard(both("svc", 4, 5)...)
+				y := newCluster(both("svc", 4, 5)...)
 				f := build(t, 88, 2, y, plain(), turning)
 				defer f.close()
 				c.p.Name = name
@@ -485,7 +485,7 @@
 // evacuated, and nothing else.
 func TestOperatorsOther(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		y := newYard(both("svc", 2, 2)...)
+		y := newCluster(both("svc", 2, 2)...)
 		f := build(t, 89, 1, y, plain(), nil)
 		defer f.close()
 		o := f.operator(f.nodes[0])
--- a/internal/simulation/aged_keys_test.go
+++ b/internal/simulation/aged_keys_test.go
@@ -19,7 +19,7 @@
 func TestAgedKeys(t *testing.T) {
 	unraced(t)
 	inBubble(t, "vatuloa", func(c *Cluster) { c.Depth = fleetstate.Retention{Full: 4, ChunkRows: 8} }, func(t *testing.T, c *Cluster) {
-		node := func(i int) *Box { return c.Of("router")[i%len(c.Of("router"))] }
+		node := func(i int) *Process { return c.Of("router")[i%len(c.Of("router"))] }
 		ask := func(i int) api.StreamRequest {
 			a := verdict
 			a.Key = fmt.Sprint("old-", i)
--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -62,7 +62,7 @@
 func (b *AuditModel) tune(c *Cluster) {
 	b.c, c.Fixed = c, true
 	// What nobody comes for lies staged no longer than an orphan runs.
-	c.Tune = func(o *standin.WorkerOptions) { o.Stage = 2 * time.Second }
+	c.Tune = func(o *standin.WorkerOptions) { o.StagingTTL = 2 * time.Second }
 	now := time.Now().UTC()
 	b.issuer = certification.Issuer{Key: certification.Public(b.key), From: now.AddDate(0, 0, -1).Format(time.RFC3339), Until: now.AddDate(1, 0, 0).Format(time.RFC3339)}
 	c.Steps = func(e handoff.Event) {
@@ -243,4 +243,4 @@
 // usual certifies three of each part and four of the nodes.
 func (b *AuditModel) usual() { b.certify(append(upTo("p", 3), upTo("d", 3)...), upTo("router-", 4)) }
 
-func holds(b *Box) []ids.Key { return b.Node.Status().(*router.NodeStatus).Holds }
+func holds(b *Process) []ids.Key { return b.Node.Status().(*router.NodeStatus).Holds }
--- a/internal/simulation/back_test.go
+++ b/internal/simulation/back_test.go
@@ -31,12 +31,12 @@
 	zones := map[string]ids.Zone{}
 	serves := map[ids.Zone]bool{}
 	for _, b := range c.Of("router") {
-		zones[b.Door] = b.Zone
+		zones[b.FrontendAddr] = b.Zone
 		serves[b.Zone] = serves[b.Zone] || b.Up
 	}
 	for _, m := range c.Recorder.marks {
 		if m.What == "evacuate" {
-			for _, b := range c.Boxes {
+			for _, b := range c.Processes {
 				if b.Name == m.Name {
 					serves[b.Zone] = false
 				}
@@ -45,7 +45,7 @@
 	}
 	for z, ok := range serves {
 		if ok {
-			note("door of "+string(z), func(o standin.Outcome) bool { return zones[o.Door] == z })
+			note("door of "+string(z), func(o standin.Outcome) bool { return zones[o.Node] == z })
 		}
 	}
 	return out
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -27,40 +27,40 @@
 	"keelstair.example/rpc"
 )
 
-// Box is one machine of the fleet with its process.
-type Box struct {
-	Name    string
-	Kind    string
-	Zone    ids.Zone
-	Addr    string
-	Door    string
-	Machine *simulated.Machine
-	Core    *coordination.Core
-	Node    *router.Node
-	Worker  *standin.Worker
-	Up      bool
-	Leave   context.CancelFunc // a node's SIGTERM
+// Process is one machine of the fleet with its process.
+type Process struct {
+	Name         string
+	Kind         string
+	Zone         ids.Zone
+	Addr         string
+	FrontendAddr string
+	Machine      *simulated.Machine
+	Core         *coordination.Core
+	Node         *router.Node
+	Worker       *standin.Worker
+	Up           bool
+	Leave        context.CancelFunc // a node's SIGTERM
 
 	mu    host.ChannelMutex // of what begins and ends it
 	proc  *simulated.Process
 	stop  context.CancelFunc
-	begin func(b *Box, ctx context.Context, host host.Host) error
+	begin func(b *Process, ctx context.Context, host host.Host) error
 }
 
 // Cluster is a fleet.
 type Cluster struct {
-	World    *simulated.World
-	Site     standin.Site
-	Boxes    []*Box
-	Platform *standin.Platform
-	Recorder *Recorder
-	Seeds    []string
-	Tune     func(*standin.WorkerOptions)
-	Programs map[string]fleetstate.Program
-	Steps    func(handoff.Event) // told of every step of every hand-over
-	Fixed    bool                // workers keep their parts
-	Slack    time.Duration       // on top of the bound for an apply, where takeovers come between
-	Depth    fleetstate.Retention
+	World     *simulated.World
+	Site      standin.Site
+	Processes []*Process
+	Platform  *standin.Platform
+	Recorder  *Recorder
+	Seeds     []string
+	Tune      func(*standin.WorkerOptions)
+	Programs  map[string]fleetstate.Program
+	Steps     func(handoff.Event) // told of every step of every hand-over
+	Fixed     bool                // workers keep their parts
+	Slack     time.Duration       // on top of the bound for an apply, where takeovers come between
+	Depth     fleetstate.Retention
 
 	base  context.Context
 	shut  context.CancelFunc
@@ -100,10 +100,10 @@
 	return c
 }
 
-func (c *Cluster) add(b *Box) *Box {
+func (c *Cluster) add(b *Process) *Process {
 	b.mu = host.NewChannelMutex()
 	c.mu.Lock()
-	c.Boxes = append(c.Boxes, b)
+	c.Processes = append(c.Processes, b)
 	c.mu.Unlock()
 	c.Start(b)
 	return b
@@ -126,10 +126,10 @@
 }
 
 // Controller describes a disk machine.
-func (c *Cluster) Controller(name, addr string, zone ids.Zone) *Box {
+func (c *Cluster) Controller(name, addr string, zone ids.Zone) *Process {
 	ip := addr[:len(addr)-4]
-	return &Box{Name: name, Kind: "controller", Zone: zone, Addr: addr, Machine: c.World.Machine(ip),
-		begin: func(b *Box, ctx context.Context, host host.Host) error {
+	return &Process{Name: name, Kind: "controller", Zone: zone, Addr: addr, Machine: c.World.Machine(ip),
+		begin: func(b *Process, ctx context.Context, host host.Host) error {
 			core, err := coordination.New(coordination.Options{Addr: addr, Zone: zone, Host: host, Seeds: c.Seeds, Ring: c.ring(name),
 				Machine: func() coordination.StateMachine {
 					return fleetstate.NewMachine(fleetstate.MachineOptions{Retention: c.Depth, Wall: host.Clock.Wall})
@@ -147,9 +147,9 @@
 }
 
 // Router describes a router node.
-func (c *Cluster) Router(name, ip string, zone ids.Zone) *Box {
-	return &Box{Name: name, Kind: "router", Zone: zone, Addr: ip + ":701", Door: ip + ":80", Machine: c.World.Machine(ip),
-		begin: func(b *Box, ctx context.Context, host host.Host) error {
+func (c *Cluster) Router(name, ip string, zone ids.Zone) *Process {
+	return &Process{Name: name, Kind: "router", Zone: zone, Addr: ip + ":701", FrontendAddr: ip + ":80", Machine: c.World.Machine(ip),
+		begin: func(b *Process, ctx context.Context, host host.Host) error {
 			n := router.New(router.Options{Name: name, Addr: b.Addr, Zone: zone, Seeds: c.Seeds, Platform: "10.8.0.1:80", Host: host,
 				Ring: c.ring(name), Trace: func(e handoff.Event) {
 					c.Recorder.Step(name, e, b.Node.View().Current().Version)
@@ -166,18 +166,18 @@
 			cx, leave := context.WithCancel(ctx)
 			b.Leave = leave
 			c.wg.Go(func() { n.Run(cx, 3*time.Second) })
-			c.Platform.AddNode(b.Door, zone)
+			c.Platform.AddNode(b.FrontendAddr, zone)
 			if err := c.serve(ctx, host, b.Addr, in); err != nil {
 				return err
 			}
-			return c.serve(ctx, host, b.Door, out)
+			return c.serve(ctx, host, b.FrontendAddr, out)
 		}}
 }
 
 // Worker describes a stand-in worker.
-func (c *Cluster) Worker(id ids.WorkerID, w fleetstate.Worker, ip string) *Box {
-	return &Box{Name: string(id), Kind: "worker", Zone: w.Zone, Addr: ip + ":90", Machine: c.World.Machine(ip),
-		begin: func(b *Box, ctx context.Context, host host.Host) error {
+func (c *Cluster) Worker(id ids.WorkerID, w fleetstate.Worker, ip string) *Process {
+	return &Process{Name: string(id), Kind: "worker", Zone: w.Zone, Addr: ip + ":90", Machine: c.World.Machine(ip),
+		begin: func(b *Process, ctx context.Context, host host.Host) error {
 			opt := standin.WorkerOptions{ID: id, Addr: b.Addr, Role: w.Role, Capacity: w.Capacity, Block: w.Block, Host: host,
 				Model: workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters}}
 			// Slow enough that a breakdown finds work in flight.
@@ -196,7 +196,7 @@
 }
 
 // Start begins a box's process.
-func (c *Cluster) Start(b *Box) error {
+func (c *Cluster) Start(b *Process) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.Up {
@@ -212,13 +212,13 @@
 }
 
 // Kill ends a box's process at once, as kill -9 does.
-func (c *Cluster) Kill(b *Box) {
+func (c *Cluster) Kill(b *Process) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.kill()
 }
 
-func (b *Box) kill() {
+func (b *Process) kill() {
 	if b.Up {
 		b.Up = false
 		b.proc.Kill()
@@ -228,7 +228,7 @@
 
 // PowerOff takes a box's power: nobody is told, and a disk step that was under
 // way is left as chance has it.
-func (c *Cluster) PowerOff(b *Box) {
+func (c *Cluster) PowerOff(b *Process) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.Up {
@@ -239,11 +239,11 @@
 }
 
 // Of lists boxes of a kind.
-func (c *Cluster) Of(kind string) []*Box {
+func (c *Cluster) Of(kind string) []*Process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []*Box
-	for _, b := range c.Boxes {
+	var out []*Process
+	for _, b := range c.Processes {
 		if b.Kind == kind {
 			out = append(out, b)
 		}
@@ -252,7 +252,7 @@
 }
 
 // Leader is the controller that leads, or nil.
-func (c *Cluster) Leader() *Box {
+func (c *Cluster) Leader() *Process {
 	for _, b := range c.Of("controller") {
 		if b.Up && b.Core.Leads() {
 			return b
@@ -318,7 +318,7 @@
 func (c *Cluster) Operate(path string, in, out any) error {
 	var doors []string
 	for _, b := range running(c, "router") {
-		doors = append(doors, b.Door)
+		doors = append(doors, b.FrontendAddr)
 	}
 	cx, stop := context.WithTimeout(c.base, 8*time.Second)
 	defer stop()
@@ -326,10 +326,10 @@
 }
 
 // At asks one node's door.
-func (c *Cluster) At(b *Box, path string, in, out any) error {
+func (c *Cluster) At(b *Process, path string, in, out any) error {
 	cx, stop := context.WithTimeout(c.base, 6*time.Second)
 	defer stop()
-	return api.Put(cx, c.web, []string{b.Door}, http.MethodPost, path, in, out)
+	return api.Put(cx, c.web, []string{b.FrontendAddr}, http.MethodPost, path, in, out)
 }
 
 // Load sends the site's mix for a span and waits for every answer.
@@ -339,13 +339,13 @@
 
 // Mix sends another mix of shapes.
 func (c *Cluster) Mix(shapes []standin.Shape, rate float64, span time.Duration, seed uint64) []standin.Outcome {
-	return standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Nodes, Zones: c.Site.Zones, Shapes: shapes, Rate: rate, Span: span, Seed: seed,
+	return standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Nodes, Zones: c.Site.Zones, Shapes: shapes, Rate: rate, Duration: span, Seed: seed,
 		Model: c.Site.Model, Weights: []string{standin.SiteWeights, "w2"}, Retries: 8})
 }
 
 // Close ends the fleet and everything in it.
 func (c *Cluster) Close() {
-	for _, b := range c.Boxes {
+	for _, b := range c.Processes {
 		b.Machine.Freeze(false)
 		b.Machine.StallDisk(false)
 		c.Kill(b)
--- a/internal/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -28,7 +28,7 @@
 }
 
 // cycle takes a box away for a while and starts it again.
-func cycle(c *Cluster, b *Box, away time.Duration, power bool) error {
+func cycle(c *Cluster, b *Process, away time.Duration, power bool) error {
 	if power {
 		c.PowerOff(b)
 	} else {
@@ -38,8 +38,8 @@
 	return c.Start(b)
 }
 
-func running(c *Cluster, kind string) []*Box {
-	var out []*Box
+func running(c *Cluster, kind string) []*Process {
+	var out []*Process
 	for _, b := range c.Of(kind) {
 		if b.Up {
 			out = append(out, b)
@@ -116,7 +116,7 @@
 	}},
 	{"the core is split", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		b := leader(c)
-		var rest []*Box
+		var rest []*Process
 		for _, o := range c.Of("controller") {
 			if o != b {
 				rest = append(rest, o)
@@ -227,7 +227,7 @@
 	}},
 	{"a zone loses power", "zone", func(c *Cluster, r *rand.Rand, _ string) error {
 		z := hit(r, c.Site.Zones)
-		var gone []*Box
+		var gone []*Process
 		for _, b := range append(append(c.Of("controller"), c.Of("router")...), c.Of("worker")...) {
 			if b.Zone == z && b.Up {
 				gone = append(gone, b)
--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -19,7 +19,7 @@
 )
 
 // holder is the node that holds the key of a worker.
-func holder(c *Cluster, id ids.WorkerID) *Box {
+func holder(c *Cluster, id ids.WorkerID) *Process {
 	for _, b := range c.Of("router") {
 		if b.Up && slices.Contains(b.Node.Status().(*router.NodeStatus).Holds, fleetstate.WorkerKey(id)) {
 			return b
@@ -29,7 +29,7 @@
 }
 
 // able is a node that holds keys of both parts, so that it could carry a call alone.
-func able(c *Cluster) *Box {
+func able(c *Cluster) *Process {
 	for _, b := range c.Of("router") {
 		has := map[byte]bool{}
 		for _, k := range b.Node.Status().(*router.NodeStatus).Holds {
@@ -45,7 +45,7 @@
 }
 
 // insist keeps calling at one node's door for three seconds.
-func insist(c *Cluster, b *Box) {
+func insist(c *Cluster, b *Process) {
 	for i := range 60 {
 		go func() {
 			time.Sleep(time.Duration(i) * 50 * time.Millisecond)
@@ -65,7 +65,7 @@
 
 // stopped ends a node as the platform does: told first, killed when it had its time,
 // and started again.
-func stopped(c *Cluster, b *Box) error {
+func stopped(c *Cluster, b *Process) error {
 	b.Leave()
 	time.Sleep(3500 * time.Millisecond)
 	c.Kill(b)
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -110,7 +110,7 @@
 	})
 }
 
-func seen(b *Box, serial string) bool {
+func seen(b *Process, serial string) bool {
 	_, ok := b.Node.View().Current().Revoked[serial]
 	return ok
 }
@@ -221,7 +221,9 @@
 			b.keep = keep
 			c := Build(1, governedWork, func(c *Cluster) {
 				b.tune(c)
-				c.Tune = func(o *standin.WorkerOptions) { o.Capacity, o.Step, o.Stage = 220, 20*time.Millisecond, 2*time.Second }
+				c.Tune = func(o *standin.WorkerOptions) {
+					o.Capacity, o.Step, o.StagingTTL = 220, 20*time.Millisecond, 2*time.Second
+				}
 			})
 			defer c.Close()
 			require.NoError(t, c.Found())
@@ -230,7 +232,7 @@
 			load := func(sh standin.Shape, rate float64, seed uint64) []standin.Outcome {
 				sh.Share = 100
 				return standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Nodes, Zones: c.Site.Zones, Shapes: []standin.Shape{sh},
-					Rate: rate, Span: 4 * time.Second, Seed: seed, Model: c.Site.Model, Weights: []string{standin.SiteWeights}})
+					Rate: rate, Duration: 4 * time.Second, Seed: seed, Model: c.Site.Model, Weights: []string{standin.SiteWeights}})
 			}
 			other := make(chan []standin.Outcome, 1)
 			go func() { other <- load(governedWork.Shapes[2], 500, 2) }()
--- a/internal/simulation/governed_work_test.go
+++ b/internal/simulation/governed_work_test.go
@@ -28,7 +28,7 @@
 	Run  func(c *Cluster, b *AuditModel, r *rand.Rand) error
 }
 
-func certifiedBox(c *Cluster, r *rand.Rand, sort string) *Box {
+func certifiedBox(c *Cluster, r *rand.Rand, sort string) *Process {
 	name := sort + strconv.Itoa(1+r.IntN(3))
 	for _, b := range c.Of("worker") {
 		if b.Name == name {
@@ -72,8 +72,8 @@
 	}},
 	{"zone-lost", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		z := hit(r, c.Site.Zones)
-		var down []*Box
-		for _, box := range c.Boxes {
+		var down []*Process
+		for _, box := range c.Processes {
 			if box.Zone == z && box.Up {
 				c.PowerOff(box)
 				down = append(down, box)
--- a/internal/simulation/idempotency_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -124,7 +124,7 @@
 		ask.MaxTokens = 60
 		b := c.Of("router")[2]
 		go c.stream(b, ask)
-		var w *Box
+		var w *Process
 		require.True(t, c.Until(3*time.Second, func() bool {
 			for _, o := range c.Of("worker") {
 				if o.Worker.Tallies()[router.Request("verdict/q1")].Runs > 0 {
--- a/internal/simulation/machines_test.go
+++ b/internal/simulation/machines_test.go
@@ -26,8 +26,8 @@
 func pause(r *rand.Rand) { time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond) }
 
 // follower is a controller that does not lead.
-func follower(c *Cluster, r *rand.Rand) *Box {
-	var rest []*Box
+func follower(c *Cluster, r *rand.Rand) *Process {
+	var rest []*Process
 	for _, b := range c.Of("controller") {
 		if b.Up && !b.Core.Leads() {
 			rest = append(rest, b)
@@ -36,7 +36,7 @@
 	return hit(r, rest)
 }
 
-func leader(c *Cluster) *Box {
+func leader(c *Cluster) *Process {
 	c.Until(5*time.Second, func() bool { return c.Leader() != nil })
 	if b := c.Leader(); b != nil {
 		return b
@@ -89,7 +89,7 @@
 		return change(c, "after-wipe", 1500)
 	}},
 	{Name: "rolling-replacement", Bound: 12 * time.Second, Run: func(c *Cluster, r *rand.Rand) error {
-		previous := append([]*Box(nil), c.Of("controller")...)
+		previous := append([]*Process(nil), c.Of("controller")...)
 		r.Shuffle(len(previous), func(i, j int) { previous[i], previous[j] = previous[j], previous[i] })
 		for i, b := range previous {
 			if err := change(c, fmt.Sprintf("roll-%d", i), 1600+i); err != nil {
@@ -126,7 +126,7 @@
 	{Name: "zone-lost", Run: func(c *Cluster, r *rand.Rand) error {
 		pause(r)
 		z := hit(r, c.Site.Zones)
-		for _, b := range c.Boxes {
+		for _, b := range c.Processes {
 			if b.Zone == z {
 				c.PowerOff(b)
 			}
--- a/internal/simulation/others_test.go
+++ b/internal/simulation/others_test.go
@@ -13,7 +13,7 @@
 	"keelstair.example/internal/standin"
 )
 
-func ips(list ...*Box) []string {
+func ips(list ...*Process) []string {
 	var out []string
 	for _, b := range list {
 		out = append(out, b.Machine.IP)
@@ -21,9 +21,9 @@
 	return out
 }
 
-func (c *Cluster) others(b *Box) []string {
+func (c *Cluster) others(b *Process) []string {
 	out := []string{"10.9.0.1"}
-	for _, o := range c.Boxes {
+	for _, o := range c.Processes {
 		if o != b {
 			out = append(out, o.Machine.IP)
 		}
--- a/internal/simulation/plain_test.go
+++ b/internal/simulation/plain_test.go
@@ -24,7 +24,7 @@
 		for _, b := range c.Of("controller") {
 			b.Machine.SetDiskDelay(60 * time.Millisecond)
 		}
-		late := []*Box{c.Of("controller")[1], c.Of("router")[4]}
+		late := []*Process{c.Of("controller")[1], c.Of("router")[4]}
 		for _, b := range late {
 			c.Kill(b)
 		}
@@ -41,7 +41,7 @@
 		sum := standin.Sum(all)
 		require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
 		for _, o := range all {
-			require.Equal(t, 1, o.Tries, "nobody is sent away")
+			require.Equal(t, 1, o.Attempts, "nobody is sent away")
 		}
 		require.Empty(t, c.Recorder.Check(all))
 	})
--- a/internal/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -35,9 +35,9 @@
 	})
 }
 
-func node(c *Cluster, name string) *Box {
+func node(c *Cluster, name string) *Process {
 	list := c.Of("router")
-	return list[slices.IndexFunc(list, func(b *Box) bool { return b.Name == name })]
+	return list[slices.IndexFunc(list, func(b *Process) bool { return b.Name == name })]
 }
 
 var speech = api.StreamRequest{Kind: "speech", Prompt: "the chair gives the floor to the delegate of the fourth row", MaxTokens: 60, Seed: 9}
@@ -303,7 +303,7 @@
 		b.sign("c-p2", certification.Certificate{Worker: "p2", Roles: []ids.Role{ids.Prefill}}, 20*time.Second)
 	}, func(t *testing.T, c *Cluster, b *AuditModel) {
 		go func() {
-			for _, box := range []*Box{node(c, "router-1"), node(c, "router-2"), leader(c)} {
+			for _, box := range []*Process{node(c, "router-1"), node(c, "router-2"), leader(c)} {
 				time.Sleep(4 * time.Second)
 				box.Machine.JumpClock(48 * time.Hour)
 			}
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -23,7 +23,7 @@
 		before := c.Load(20, 2*time.Second, 1)
 		require.Equal(t, len(before), standin.Sum(before).Ends[api.Complete])
 		crowd := standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Nodes, Zones: c.Site.Zones, Shapes: c.Site.Shapes,
-			Rate: 700, Span: 3 * time.Second, Seed: 2, Model: c.Site.Model, Weights: []string{standin.SiteWeights}, Retries: 0})
+			Rate: 700, Duration: 3 * time.Second, Seed: 2, Model: c.Site.Model, Weights: []string{standin.SiteWeights}, Retries: 0})
 		sum := standin.Sum(crowd)
 		t.Logf("%+v", sum)
 		require.Empty(t, c.Recorder.Check(crowd))
@@ -46,7 +46,7 @@
 func TestSeedsGone(t *testing.T) {
 	unraced(t)
 	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		for i, b := range append([]*Box(nil), c.Of("controller")...) {
+		for i, b := range append([]*Process(nil), c.Of("controller")...) {
 			c.PowerOff(b)
 			b.Machine.WipeDisk()
 			c.add(c.Controller("controller-"+string(rune('x'+i)), "10.1.0.3"+string(rune('0'+i))+":700", b.Zone))
@@ -78,7 +78,7 @@
 		tries, most := 0, 0
 		last := time.Duration(0)
 		for _, o := range all {
-			tries, most = tries+o.Tries, max(most, o.Tries)
+			tries, most = tries+o.Attempts, max(most, o.Attempts)
 			last = max(last, o.At+o.Complete)
 		}
 		sum := standin.Sum(all)
--- a/internal/simulation/stream_test.go
+++ b/internal/simulation/stream_test.go
@@ -14,14 +14,14 @@
 )
 
 // stream asks one door and gives the lines, or the refusal.
-func (c *Cluster) stream(b *Box, ask api.StreamRequest) ([]api.StreamEvent, error) {
+func (c *Cluster) stream(b *Process, ask api.StreamRequest) ([]api.StreamEvent, error) {
 	body, err := json.Marshal(ask)
 	if err != nil {
 		return nil, err
 	}
 	cx, stop := context.WithTimeout(c.base, 20*time.Second)
 	defer stop()
-	q, err := http.NewRequestWithContext(cx, http.MethodPost, "http://"+b.Door+"/v1/streams", strings.NewReader(string(body)))
+	q, err := http.NewRequestWithContext(cx, http.MethodPost, "http://"+b.FrontendAddr+"/v1/streams", strings.NewReader(string(body)))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -14,7 +14,7 @@
 
 func (w *Worker) engine(ctx context.Context) {
 	for {
-		spent := w.turn()
+		spent := w.changeRole()
 		if spent == 0 {
 			select {
 			case <-ctx.Done():
@@ -30,12 +30,12 @@
 			return
 		case <-t.C:
 		}
-		w.settle()
+		w.recordOutcome()
 	}
 }
 
-// turn begins a step and tells how long it takes; settle shows its results.
-func (w *Worker) turn() time.Duration {
+// changeRole begins a step and tells how long it takes; settle shows its results.
+func (w *Worker) changeRole() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.queue) > 0 {
@@ -54,7 +54,7 @@
 	return w.opt.Step + time.Duration(n)*w.opt.Each
 }
 
-func (w *Worker) settle() {
+func (w *Worker) recordOutcome() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.queue) > 0 {
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -36,17 +36,17 @@
 
 // LoadOptions say what to send.
 type LoadOptions struct {
-	Host    host.Host
-	Doors   func(zone ids.Zone) []string // ready ones, those of the caller's zone if it has any
-	Zones   []ids.Zone                   // where callers are; none: anywhere
-	Shapes  []Shape
-	Rate    float64 // arrivals a second
-	Span    time.Duration
-	Seed    uint64
-	Model   string
-	Weights []string // any that may answer
-	Retries int      // how often a bounced caller comes back when told
-	Patient time.Duration
+	Host     host.Host
+	Doors    func(zone ids.Zone) []string // ready ones, those of the caller's zone if it has any
+	Zones    []ids.Zone                   // where callers are; none: anywhere
+	Shapes   []Shape
+	Rate     float64 // arrivals a second
+	Duration time.Duration
+	Seed     uint64
+	Model    string
+	Weights  []string // any that may answer
+	Retries  int      // how often a bounced caller comes back when told
+	Patient  time.Duration
 }
 
 // Left is the end of a call whose caller's own patience was over first.
@@ -62,8 +62,8 @@
 	End      string // complete, broken, unknown, bounced, cut, left, wrong
 	Detail   string
 	Tokens   []int32
-	Tries    int
-	Door     string // the last that was asked
+	Attempts int
+	Node     string // the last that was asked
 }
 
 // Summary is what a load comes to.
@@ -95,7 +95,7 @@
 	var out []call
 	for at, i := time.Duration(0), 0; ; i++ {
 		at += time.Duration(rng.ExpFloat64() / o.Rate * float64(time.Second))
-		if at >= o.Span {
+		if at >= o.Duration {
 			return out
 		}
 		n, sh := rng.IntN(100), o.Shapes[len(o.Shapes)-1]
@@ -156,23 +156,23 @@
 	defer stop()
 	due := start.Add(c.at)
 	for {
-		r.Tries++
+		r.Attempts++
 		again := knock(cx, o, web, c, &r, due, rng, zone)
-		if again <= 0 || r.Tries > o.Retries || !host.Sleep(cx, again) {
+		if again <= 0 || r.Attempts > o.Retries || !host.Sleep(cx, again) {
 			break
 		}
 	}
 	if r.End == "cut" && cx.Err() != nil && ctx.Err() == nil {
 		r.End = Left
 	}
-	if r.End == api.Complete && !o.whole(c, r.Tokens) {
+	if r.End == api.Complete && !o.complete(c, r.Tokens) {
 		r.End, r.Detail = "wrong", fmt.Sprintf("tokens %v", r.Tokens)
 	}
 	return r
 }
 
-// whole holds an answer against the run that never moved.
-func (o *LoadOptions) whole(c *call, toks []int32) bool {
+// complete holds an answer against the run that never moved.
+func (o *LoadOptions) complete(c *call, toks []int32) bool {
 	for _, w := range o.Weights {
 		solo := Solo(c.ask.PromptIds, c.ask.MaxTokens, c.ask.Seed, c.ask.Temperature, o.Model, w, c.ask.Adapters)
 		if len(solo) == len(toks) {
@@ -190,9 +190,9 @@
 
 // Pauses of a caller before it comes back, where no answer said how long.
 const (
-	pauseNoDoor    = 500 * time.Millisecond
-	pauseUndialled = 300 * time.Millisecond
-	pauseCut       = time.Second // claimed kinds only
+	delayNoNode     = 500 * time.Millisecond
+	delayNotDialled = 300 * time.Millisecond
+	delayAfterReset = time.Second // claimed kinds only
 )
 
 // knock asks once; it returns how long to wait before asking again, if at all.
@@ -200,11 +200,11 @@
 	doors := o.Doors(zone)
 	if len(doors) == 0 {
 		r.End, r.Detail = "bounced", "no door"
-		return pauseNoDoor
+		return delayNoNode
 	}
 	body, _ := json.Marshal(c.ask)
-	r.Door = doors[rng.IntN(len(doors))]
-	q, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Door+"/v1/streams", bytes.NewReader(body))
+	r.Node = doors[rng.IntN(len(doors))]
+	q, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Node+"/v1/streams", bytes.NewReader(body))
 	a, err := web.Do(q)
 	if err != nil {
 		return r.unanswered(err, c)
@@ -220,17 +220,17 @@
 func (r *Outcome) unanswered(err error, c *call) time.Duration {
 	if rpc.IsDialError(err) {
 		r.End, r.Detail = "bounced", "door is shut"
-		return pauseUndialled
+		return delayNotDialled
 	}
 	r.End, r.Detail = "cut", "no answer"
-	return c.afterCut()
+	return c.afterReset()
 }
 
-// afterCut is when a caller comes back after an answer that was cut: only a request with a
+// afterReset is when a caller comes back after an answer that was cut: only a request with a
 // key may be repeated.
-func (c *call) afterCut() time.Duration {
+func (c *call) afterReset() time.Duration {
 	if c.shape.Claimed {
-		return pauseCut
+		return delayAfterReset
 	}
 	return 0
 }
@@ -276,7 +276,7 @@
 		}
 		r.Tokens = append(r.Tokens, l.Token)
 	}
-	return c.afterCut()
+	return c.afterReset()
 }
 
 // finish takes the last line of a stream.
--- a/internal/standin/move.go
+++ b/internal/standin/move.go
@@ -42,7 +42,7 @@
 		w.tell("bounced", m.ID, q.OrderHeader)
 		return nil, no(http.StatusInsufficientStorage, "no room for %d blocks", complete)
 	}
-	r := &run{ident: m, tab: w.pool.take(bill), pledge: complete - bill, touched: w.now(), news: make(chan struct{})}
+	r := &run{ident: m, tab: w.pool.take(bill), pledge: complete - bill, touched: w.now(), changed: make(chan struct{})}
 	w.pool.pledge += r.pledge
 	w.live[m.ID] = r
 	go w.fetch(r, q.Source)
@@ -76,7 +76,7 @@
 // the identity.
 func (w *Worker) receive(r *run, source string) error {
 	id := r.ident.ID
-	cx, stop := context.WithTimeout(context.Background(), w.opt.Stage)
+	cx, stop := context.WithTimeout(context.Background(), w.opt.StagingTTL)
 	defer stop()
 	q, err := http.NewRequestWithContext(cx, http.MethodGet, fmt.Sprintf("http://%s/kv?request=%s&attempt=%d", source, id.Request, id.Attempt), nil)
 	if err != nil {
@@ -154,7 +154,7 @@
 		return nil, no(http.StatusGone, "nothing to resume")
 	}
 	for !r.arrived && !r.stopped {
-		news := r.news
+		news := r.changed
 		w.mu.Unlock()
 		select {
 		case <-news:
@@ -188,8 +188,8 @@
 	if err := w.heed("cancel", q.OrderHeader, q.ID); err != nil {
 		return nil, err
 	}
-	if n, ok := w.tomb[q.ID.Request]; !ok || q.ID.Attempt > n {
-		w.tomb[q.ID.Request] = q.ID.Attempt
+	if n, ok := w.tombstones[q.ID.Request]; !ok || q.ID.Attempt > n {
+		w.tombstones[q.ID.Request] = q.ID.Attempt
 	}
 	for id := range w.staged {
 		if id.Request == q.ID.Request && id.Attempt <= q.ID.Attempt {
@@ -244,7 +244,7 @@
 	}
 	for {
 		w.mu.Lock()
-		out, ended, stopped, news, now := r.ident.Output, r.ended, r.stopped, r.news, w.now()
+		out, ended, stopped, news, now := r.ident.Output, r.ended, r.stopped, r.changed, w.now()
 		r.touched = now
 		w.mu.Unlock()
 		put(out, ended)
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -17,8 +17,8 @@
 	"keelstair.example/rpc"
 )
 
-// Door is a node as the platform knows it.
-type Door struct {
+// Node is a node as the platform knows it.
+type Node struct {
 	Addr  string   `json:"addr"`
 	Zone  ids.Zone `json:"zone"`
 	Ready bool     `json:"ready"`
@@ -29,12 +29,12 @@
 	mu      sync.Mutex
 	web     *http.Client
 	workers map[ids.WorkerID]workerclient.ListedWorker
-	doors   map[string]*Door
+	nodes   map[string]*Node
 }
 
 // NewPlatform returns a platform without workers or nodes. It asks nodes over the host's network.
 func NewPlatform(host host.Host) *Platform {
-	return &Platform{web: rpc.NewHTTPClient(host.Net), workers: map[ids.WorkerID]workerclient.ListedWorker{}, doors: map[string]*Door{}}
+	return &Platform{web: rpc.NewHTTPClient(host.Net), workers: map[ids.WorkerID]workerclient.ListedWorker{}, nodes: map[string]*Node{}}
 }
 
 // List puts a worker on the list, or changes its line.
@@ -65,7 +65,7 @@
 func (p *Platform) AddNode(addr string, zone ids.Zone) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.doors[addr] = &Door{Addr: addr, Zone: zone}
+	p.nodes[addr] = &Node{Addr: addr, Zone: zone}
 }
 
 // Nodes lists the doors that were ready when last asked.
@@ -73,7 +73,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var near, far []string
-	for _, d := range p.doors {
+	for _, d := range p.nodes {
 		switch {
 		case !d.Ready:
 		case d.Zone == zone || zone == "":
@@ -93,7 +93,7 @@
 	for host.Sleep(ctx, time.Second) {
 		p.mu.Lock()
 		var all []string
-		for a := range p.doors {
+		for a := range p.nodes {
 			all = append(all, a)
 		}
 		p.mu.Unlock()
@@ -109,7 +109,7 @@
 					r.Body.Close()
 				}
 				p.mu.Lock()
-				p.doors[a].Ready = ok
+				p.nodes[a].Ready = ok
 				p.mu.Unlock()
 			})
 		}
@@ -148,7 +148,7 @@
 		reply(w, http.StatusOK, "gone")
 	})
 	mux.HandleFunc("POST /doors", func(w http.ResponseWriter, r *http.Request) {
-		var d Door
+		var d Node
 		if err := json.NewDecoder(r.Body).Decode(&d); err != nil || d.Addr == "" {
 			reply(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
 			return
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -89,8 +89,8 @@
 	return int32(v%50000) + 1
 }
 
-// freight is the KV as it crosses the wire.
-func (p *pool) freight(tab []int, n int) ([]byte, string) {
+// kvBytes is the KV as it crosses the wire.
+func (p *pool) kvBytes(tab []int, n int) ([]byte, string) {
 	out := make([]byte, 0, 8*n)
 	for i := range n {
 		out = binary.LittleEndian.AppendUint64(out, p.get(tab, i))
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -24,7 +24,7 @@
 	mux.HandleFunc("POST /import", order(w, w.take))
 	mux.HandleFunc("POST /resume", order(w, w.resume))
 	mux.HandleFunc("POST /cancel", order(w, w.cancel))
-	mux.HandleFunc("POST /part", order(w, w.turnTo))
+	mux.HandleFunc("POST /part", order(w, w.orderRole))
 	mux.HandleFunc("GET /report", func(rw http.ResponseWriter, _ *http.Request) {
 		w.mu.Lock()
 		var r workerclient.Report
@@ -38,7 +38,7 @@
 		reply(rw, http.StatusOK, r)
 	})
 	mux.HandleFunc("GET /stream", w.stream)
-	mux.HandleFunc("GET /kv", w.freight)
+	mux.HandleFunc("GET /kv", w.kvTransfer)
 	mux.HandleFunc("GET /tally", func(rw http.ResponseWriter, _ *http.Request) { reply(rw, http.StatusOK, w.Tallies()) })
 	mux.HandleFunc("POST /fault", func(rw http.ResponseWriter, q *http.Request) {
 		var f Faults
@@ -94,7 +94,7 @@
 			return
 		}
 		w.mu.Lock()
-		a.Version, a.Incarnation = w.version, w.life
+		a.Version, a.Incarnation = w.version, w.incarnation
 		toks := a.Output
 		if a.Identity != nil {
 			toks = a.Identity.Output
@@ -115,7 +115,7 @@
 	if l.Fence < w.fence && !w.fault.Forget {
 		return no(http.StatusPreconditionFailed, "fence %d is older than %d", l.Fence, w.fence)
 	}
-	if n, ok := w.tomb[id.Request]; ok && what != "cancel" && id.Attempt <= n && !w.fault.Forget {
+	if n, ok := w.tombstones[id.Request]; ok && what != "cancel" && id.Attempt <= n && !w.fault.Forget {
 		return no(http.StatusGone, "attempt %d was cancelled", id.Attempt)
 	}
 	w.fence, w.version = max(w.fence, l.Fence), max(w.version, l.Version)
@@ -144,14 +144,14 @@
 			w.mu.Unlock()
 			return nil, no(http.StatusInsufficientStorage, "no room for %d blocks", n)
 		}
-		r = &run{ident: q.Identity, tab: w.pool.take(n), touched: w.now(), news: make(chan struct{})}
+		r = &run{ident: q.Identity, tab: w.pool.take(n), touched: w.now(), changed: make(chan struct{})}
 		w.live[id] = r
 		w.queue = append(w.queue, r)
 		w.count(id.Request).Reads++
 		w.kick()
 	}
 	for !r.read && !r.stopped {
-		news := r.news
+		news := r.changed
 		w.mu.Unlock()
 		select {
 		case <-news:
@@ -187,15 +187,15 @@
 	if r == nil || w.part == ids.Prefill && !r.read {
 		return nil, no(http.StatusNotFound, "nothing to export")
 	}
-	body, sum := w.pool.freight(r.tab, r.ident.Computed)
+	body, sum := w.pool.kvBytes(r.tab, r.ident.Computed)
 	r.ident.Length, r.ident.Digest = int64(len(body)), sum
-	w.staged[q.ID] = &parcel{r.ident, body, w.now().Add(w.opt.Stage)}
+	w.staged[q.ID] = &parcel{r.ident, body, w.now().Add(w.opt.StagingTTL)}
 	got := r.ident
 	w.drop(r, workerclient.FateNever)
 	return &workerclient.OrderResponse{Identity: &got}, nil
 }
 
-func (w *Worker) freight(rw http.ResponseWriter, q *http.Request) {
+func (w *Worker) kvTransfer(rw http.ResponseWriter, q *http.Request) {
 	n, _ := strconv.Atoi(q.FormValue("attempt"))
 	id := workerclient.ID{Request: q.FormValue("request"), Attempt: n}
 	w.mu.Lock()
@@ -230,7 +230,7 @@
 	}
 }
 
-func (w *Worker) turnTo(_ context.Context, q *workerclient.RoleRequest) (*workerclient.OrderResponse, error) {
+func (w *Worker) orderRole(_ context.Context, q *workerclient.RoleRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err := w.heed("part", q.OrderHeader, workerclient.ID{}); err != nil {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -18,21 +18,21 @@
 
 // WorkerOptions set up a stand-in worker.
 type WorkerOptions struct {
-	ID       ids.WorkerID
-	Addr     string
-	Role     ids.Role
-	Model    workerclient.Model
-	Capacity int           // blocks
-	Block    int           // tokens a block
-	Read     time.Duration // a prompt token's prefill, 40us
-	Step     time.Duration // a decode step, 4ms
-	Each     time.Duration // what each run adds to a step, 200us
-	Lag      time.Duration // how old its reports are, 300ms
-	Stage    time.Duration // how long outgoing KV waits, 5s
-	Orphan   time.Duration // import without resume, or run without reader, 2s
-	Weight   int           // bytes a token's KV weighs on the wire, 64
-	Speed    int           // bytes a second between workers, 64 MB
-	Host     host.Host
+	ID         ids.WorkerID
+	Addr       string
+	Role       ids.Role
+	Model      workerclient.Model
+	Capacity   int           // blocks
+	Block      int           // tokens a block
+	Read       time.Duration // a prompt token's prefill, 40us
+	Step       time.Duration // a decode step, 4ms
+	Each       time.Duration // what each run adds to a step, 200us
+	Lag        time.Duration // how old its reports are, 300ms
+	StagingTTL time.Duration // how long outgoing KV waits, 5s
+	Orphan     time.Duration // import without resume, or run without reader, 2s
+	Weight     int           // bytes a token's KV weighs on the wire, 64
+	Speed      int           // bytes a second between workers, 64 MB
+	Host       host.Host
 }
 
 func (o *WorkerOptions) fill() {
@@ -40,7 +40,7 @@
 	ids.SetDefault(&o.Step, 4*time.Millisecond)
 	ids.SetDefault(&o.Each, 200*time.Microsecond)
 	ids.SetDefault(&o.Lag, 300*time.Millisecond)
-	ids.SetDefault(&o.Stage, 5*time.Second)
+	ids.SetDefault(&o.StagingTTL, 5*time.Second)
 	ids.SetDefault(&o.Orphan, 2*time.Second)
 	if o.Block == 0 {
 		o.Block = 16
@@ -87,27 +87,27 @@
 
 // Worker is one stand-in.
 type Worker struct {
-	opt  WorkerOptions
-	web  *http.Client
-	life ids.Incarnation
-	Tell func(Event)
+	opt         WorkerOptions
+	web         *http.Client
+	incarnation ids.Incarnation
+	Tell        func(Event)
 
-	mu      sync.Mutex
-	part    ids.Role
-	pool    *pool
-	fence   ids.Fence
-	version ids.Version
-	fault   Faults
-	live    map[workerclient.ID]*run
-	queue   []*run
-	staged  map[workerclient.ID]*parcel
-	tomb    map[string]int
-	fates   map[string]*workerclient.OrderResponse
-	tally   map[string]*Tally
-	warm    map[uint64]ids.Tick
-	hits    [2]int // prompt tokens that were warm, and all
-	late    []dated
-	wake    chan struct{}
+	mu         sync.Mutex
+	part       ids.Role
+	pool       *pool
+	fence      ids.Fence
+	version    ids.Version
+	fault      Faults
+	live       map[workerclient.ID]*run
+	queue      []*run
+	staged     map[workerclient.ID]*parcel
+	tombstones map[string]int
+	fates      map[string]*workerclient.OrderResponse
+	tally      map[string]*Tally
+	warm       map[uint64]ids.Tick
+	hits       [2]int // prompt tokens that were warm, and all
+	late       []dated
+	wake       chan struct{}
 }
 
 type dated struct {
@@ -134,15 +134,15 @@
 	ended   bool
 	stopped bool
 	touched ids.Tick
-	news    chan struct{}
+	changed chan struct{}
 }
 
 // NewWorker returns a worker with the given options, and defaults for those that are left at
 // zero. It runs nothing before Run.
 func NewWorker(opt WorkerOptions) *Worker {
 	opt.fill()
-	return &Worker{opt: opt, life: ids.Incarnation(rand.Text()), web: rpc.NewHTTPClient(opt.Host.Net), part: opt.Role, pool: newPool(opt.Capacity, opt.Block),
-		live: map[workerclient.ID]*run{}, staged: map[workerclient.ID]*parcel{}, tomb: map[string]int{}, tally: map[string]*Tally{},
+	return &Worker{opt: opt, incarnation: ids.Incarnation(rand.Text()), web: rpc.NewHTTPClient(opt.Host.Net), part: opt.Role, pool: newPool(opt.Capacity, opt.Block),
+		live: map[workerclient.ID]*run{}, staged: map[workerclient.ID]*parcel{}, tombstones: map[string]int{}, tally: map[string]*Tally{},
 		fates: map[string]*workerclient.OrderResponse{}, warm: map[uint64]ids.Tick{}, wake: make(chan struct{}, 1)}
 }
 
@@ -154,7 +154,7 @@
 	wg.Go(func() { w.engine(ctx) })
 	wg.Go(func() {
 		for host.Sleep(ctx, 50*time.Millisecond) {
-			w.sweep()
+			w.expireStaged()
 		}
 	})
 	wg.Wait()
@@ -241,8 +241,8 @@
 
 // flash tells the readers of a run that it went on.
 func (w *Worker) flash(r *run) {
-	close(r.news)
-	r.news = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 // unstage frees outgoing KV. The caller holds mu.
@@ -251,9 +251,9 @@
 	w.tell("unstaged", id, workerclient.OrderHeader{})
 }
 
-// sweep ends what nobody came for: staged KV, imports never resumed, runs that
+// expireStaged ends what nobody came for: staged KV, imports never resumed, runs that
 // nobody reads. It also keeps the late reports.
-func (w *Worker) sweep() {
+func (w *Worker) expireStaged() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.now()
@@ -287,7 +287,7 @@
 
 func (w *Worker) report() workerclient.Report {
 	r := workerclient.Report{Role: w.part, Model: w.opt.Model, Used: w.pool.used(), Capacity: len(w.pool.cells),
-		Block: w.pool.size, Queue: len(w.queue), Version: w.version, Running: []workerclient.Running{}, Incarnation: w.life}
+		Block: w.pool.size, Queue: len(w.queue), Version: w.version, Running: []workerclient.Running{}, Incarnation: w.incarnation}
 	for id, v := range w.live {
 		r.Running = append(r.Running, workerclient.Running{ID: id, Blocks: len(v.tab), Reserved: v.pledge})
 	}
