--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -91,7 +91,7 @@
 }
 
 // rolePressure reckons how a service stands.
-func (n *Node) rolePressure(service *fleetstate.Service, list *workerList, s *fleetstate.Snapshot) *servicePressure {
+func (n *Node) rolePressure(service *fleetstate.Service, list *endpointList, s *fleetstate.Snapshot) *servicePressure {
 	now := n.now()
 	if v, ok := n.admission.pressures.Load(service.Name); ok && !now.Past(v.(*servicePressure).at, admitViewTTL) {
 		return v.(*servicePressure)
@@ -139,7 +139,7 @@
 // admit refuses a request that would come late while places are short.
 func (t *exchange) admit(s *fleetstate.Snapshot) error {
 	n, now := t.node, t.node.now()
-	list := n.workerList.Load()
+	list := n.endpoints.Load()
 	if n.options.AdmitFactor < 0 || !t.route.Disaggregated || t.lastEventID != "" || now.Past(list.requestedAt, listMaxAge) {
 		return nil
 	}
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -398,9 +398,9 @@
 		require.Greater(t, g.asks(200, urgent, nil), 0)
 		require.Zero(t, g.asks(200, patient, func(t *exchange) { t.lastEventID = "7" }), "a stream goes on")
 		require.Zero(t, g.asks(200, patient, func(t *exchange) { r := *t.route; r.Disaggregated = false; t.route = &r }))
-		previous := *g.n.workerList.Load()
+		previous := *g.n.endpoints.Load()
 		previous.requestedAt = g.n.now().Add(-listMaxAge - time.Second)
-		g.n.workerList.Store(&previous)
+		g.n.endpoints.Store(&previous)
 		require.Zero(t, g.asks(200, patient, nil), "the list is old")
 
 		off := newGated(t)
--- a/internal/proxy/candidate_index.go
+++ b/internal/proxy/candidate_index.go
@@ -34,7 +34,7 @@
 }
 
 // candidateIndexFor gives the table of a list under a sight.
-func (n *Node) candidateIndexFor(list *workerList, s *fleetstate.Snapshot) *candidateIndex {
+func (n *Node) candidateIndexFor(list *endpointList, s *fleetstate.Snapshot) *candidateIndex {
 	if t := n.candidates.Load(); t != nil && t.seq == list.seq && t.snapshot == s {
 		return t
 	}
--- a/internal/proxy/worker_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -25,8 +25,8 @@
 	maxPrefillLoads = 256                     // workers whose readings are told at once
 )
 
-// maintainWorkerList keeps the list fresh. While it cannot be had, the last one is kept.
-func (n *Node) maintainWorkerList(ctx context.Context) {
+// maintainEndpoints keeps the list fresh. While it cannot be had, the last one is kept.
+func (n *Node) maintainEndpoints(ctx context.Context) {
 	f := &listFollower{node: n, failed: map[ids.NodeID]ids.Tick{}}
 	for ctx.Err() == nil {
 		wait := n.options.ListInterval
@@ -135,7 +135,7 @@
 	now := n.now()
 	n.peerReports.Store(request.Node, peerReport{now, request.Prefills, request.Outcomes, request.SubtreeOutcomes})
 	changed := n.listChanged.next()
-	list := n.workerList.Load()
+	list := n.endpoints.Load()
 	if list.version == request.Version {
 		n.heard(request.Loads, list.workers)
 		if now.Since(list.requestedAt) < listMaxAge && waitFor(ctx, changed, time.Duration(request.MaxWait)) {
@@ -149,7 +149,7 @@
 	out := n.listSince(request)
 	now = n.now()
 	out.Prefills, out.Outcomes = n.prefillsWithout(request.Node, true), n.outcomesWithout(request.Node)
-	out.LoadSeq, out.Loads = n.loads.since(request.LoadSeq, n.workerList.Load().workers, now, everyService)
+	out.LoadSeq, out.Loads = n.loads.since(request.LoadSeq, n.endpoints.Load().workers, now, everyService)
 	return out, nil
 }
 
@@ -172,7 +172,7 @@
 // listSince answers with what changed after the version that a node has, or with all.
 func (n *Node) listSince(request *ListRequest) *ListResponse {
 	now := n.now()
-	list := n.workerList.Load()
+	list := n.endpoints.Load()
 	out := &ListResponse{Node: n.self.Node, Version: list.version, Age: int64(now.Since(list.requestedAt)), Latency: n.listLatency.Load()}
 	if list.version == request.Version {
 		return out
@@ -244,7 +244,7 @@
 
 // adopt puts a list into force, of a version if another node gave it one.
 func (n *Node) adopt(list []Worker, version uint64, asked, got ids.Tick) {
-	previous := n.workerList.Load()
+	previous := n.endpoints.Load()
 	next := previous.next(list, version, asked, got)
 	if next.seq != previous.seq {
 		on := make(map[ids.WorkerID]bool, len(list))
@@ -259,7 +259,7 @@
 		})
 		n.loads.prune(on)
 	}
-	n.workerList.Store(next)
+	n.endpoints.Store(next)
 	if next.version != previous.version {
 		n.listChanged.notify()
 	}
--- a/internal/proxy/fault_notice.go
+++ b/internal/proxy/fault_notice.go
@@ -95,7 +95,7 @@
 			n.sendFaultNotice(w.ID)
 			warn = false
 		}
-		if n.workerList.Load().find(w.ID) == nil || !host.Sleep(ctx, healthCheckInterval) {
+		if n.endpoints.Load().find(w.ID) == nil || !host.Sleep(ctx, healthCheckInterval) {
 			return
 		}
 	}
@@ -117,7 +117,7 @@
 }
 
 func (n *Node) hear(_ context.Context, a *FaultNotice) (*Ack, error) {
-	if w := n.workerList.Load().find(a.Worker); w != nil {
+	if w := n.endpoints.Load().find(a.Worker); w != nil {
 		n.suspect(*w, false)
 	}
 	return &Ack{}, nil
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -181,7 +181,7 @@
 func (b *testNode) offs() map[ids.WorkerID]bool {
 	s := b.view.Current()
 	off := map[ids.WorkerID]bool{}
-	for _, w := range b.workerList.Load().workers {
+	for _, w := range b.endpoints.Load().workers {
 		_, turns := s.RoleChanges[w.ID]
 		off[w.ID] = w.Leaving || turns || s.Drained[w.ID] || s.Zones[w.Zone]
 	}
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -54,7 +54,7 @@
 			host.Sleep(ctx, f.node.options.ShareInterval/2) // its first one is under way
 			return true
 		case listStale:
-			if i+1 == len(s.parents) || f.node.now().Past(f.node.workerList.Load().requestedAt, listLostAge) {
+			if i+1 == len(s.parents) || f.node.now().Past(f.node.endpoints.Load().requestedAt, listLostAge) {
 				continue
 			}
 			host.Sleep(ctx, f.node.options.ShareInterval/2) // it is looking for a fresh list itself
@@ -126,7 +126,7 @@
 		f.probe(ctx, s)
 		return false
 	}
-	if !f.node.now().Past(f.node.workerList.Load().requestedAt, listLostAge) || !f.node.now().Past(f.since, listLostAge) {
+	if !f.node.now().Past(f.node.endpoints.Load().requestedAt, listLostAge) || !f.node.now().Past(f.since, listLostAge) {
 		host.Sleep(ctx, f.node.options.ShareInterval/2)
 		return false
 	}
@@ -183,7 +183,7 @@
 	if r.Version == 0 {
 		return listNone
 	}
-	if !n.now().Add(-time.Duration(r.Age)).Before(n.workerList.Load().requestedAt) {
+	if !n.now().Add(-time.Duration(r.Age)).Before(n.endpoints.Load().requestedAt) {
 		f.apply(r)
 	}
 	if r.Age > int64(freshFor+min(2*time.Duration(r.Latency), maxListLatency)) {
@@ -200,7 +200,7 @@
 	n := f.node
 	callContext, stop := context.WithTimeout(ctx, listTimeout+hold)
 	defer stop()
-	list := n.workerList.Load()
+	list := n.endpoints.Load()
 	request := &ListRequest{Node: n.self.Node, Version: list.version, Prefills: n.prefillsWithout("", false), Outcomes: n.localOutcomes(), SubtreeOutcomes: n.below(), LoadSeq: f.loadSeq, Deltas: true, MaxWait: int64(hold)}
 	var reports uint64
 	reports, request.Loads = n.loads.since(f.reportedSeq, list.workers, n.now(), n.ownsService)
@@ -217,11 +217,11 @@
 	now := n.now()
 	at := now.Add(-time.Duration(r.Age))
 	n.listLatency.Store(r.Latency)
-	list := n.workerList.Load().workers
-	if previous := n.workerList.Load(); r.Version == previous.version {
+	list := n.endpoints.Load().workers
+	if previous := n.endpoints.Load(); r.Version == previous.version {
 		fresh := *previous
 		fresh.requestedAt = at
-		n.workerList.Store(&fresh)
+		n.endpoints.Store(&fresh)
 	} else {
 		list = workersOf(r.Rows)
 		if r.Delta {
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -38,7 +38,7 @@
 func (f *fleet) heard(y *workerPool, name string) bool {
 	id := y.of(name).ID
 	for _, b := range f.up() {
-		if w := b.workerList.Load().find(id); w == nil || !w.Leaving {
+		if w := b.endpoints.Load().find(id); w == nil || !w.Leaving {
 			return false
 		}
 	}
@@ -100,7 +100,7 @@
 				}
 				require.GreaterOrEqual(t, len(y.lists(from)), 1)
 				for _, b := range f.up() {
-					require.Less(t, b.now().Since(b.workerList.Load().requestedAt), 3*time.Second, fmt.Sprint(b.ip))
+					require.Less(t, b.now().Since(b.endpoints.Load().requestedAt), 3*time.Second, fmt.Sprint(b.ip))
 				}
 			})
 		})
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -96,14 +96,14 @@
 			if rng.IntN(3) > 0 {
 				continue
 			}
-			request := &ListRequest{Version: reader.workerList.Load().version, Deltas: true}
+			request := &ListRequest{Version: reader.endpoints.Load().version, Deltas: true}
 			r := sender.listSince(request)
 			require.Equal(t, request.Version != 0, r.Delta || r.Version == request.Version)
 			f.apply(r)
-			require.Equal(t, sender.workerList.Load().workers, reader.workerList.Load().workers)
-			require.Equal(t, sender.workerList.Load().version, reader.workerList.Load().version)
+			require.Equal(t, sender.endpoints.Load().workers, reader.endpoints.Load().workers)
+			require.Equal(t, sender.endpoints.Load().version, reader.endpoints.Load().version)
 		}
-		previous := reader.workerList.Load().version
+		previous := reader.endpoints.Load().version
 		for round := range changesRetained + 1 {
 			list = changeOne(rng, list, 100+round)
 			sender.installList(list, sender.now(), sender.now())
@@ -111,7 +111,7 @@
 		r := sender.listSince(&ListRequest{Version: previous, Deltas: true})
 		require.False(t, r.Delta)
 		require.Len(t, r.Rows, len(list))
-		require.False(t, sender.listSince(&ListRequest{Version: sender.workerList.Load().changes[3].to}).Delta, "who does not know deltas gets none")
+		require.False(t, sender.listSince(&ListRequest{Version: sender.endpoints.Load().changes[3].to}).Delta, "who does not know deltas gets none")
 	}
 }
 
@@ -127,18 +127,18 @@
 	list = slices.Clone(list)
 	slices.Reverse(list)
 	b.installList(list, b.now(), b.now())
-	require.Equal(t, a.workerList.Load().version, b.workerList.Load().version)
+	require.Equal(t, a.endpoints.Load().version, b.endpoints.Load().version)
 	list = append([]Worker(nil), list...)
 	list[3].Leaving = true
 	a.installList(list, a.now(), a.now())
-	r := a.listSince(&ListRequest{Version: b.workerList.Load().version, Deltas: true})
+	r := a.listSince(&ListRequest{Version: b.endpoints.Load().version, Deltas: true})
 	require.True(t, r.Delta)
 	require.Len(t, r.Rows, 1)
-	previous := a.workerList.Load().version
+	previous := a.endpoints.Load().version
 	list = append([]Worker(nil), list...)
 	list[3].SlowStart = time.Second
 	a.installList(list, a.now(), a.now())
-	require.NotEqual(t, previous, a.workerList.Load().version, "a cold time alone is news too")
+	require.NotEqual(t, previous, a.endpoints.Load().version, "a cold time alone is news too")
 }
 
 // changeOne makes a worker leave, go or come.
@@ -163,7 +163,7 @@
 	require.NoError(t, err)
 	list := many(3000)
 	n.installList(list, n.now(), n.now())
-	version := n.workerList.Load().version
+	version := n.endpoints.Load().version
 	list = append([]Worker(nil), list...)
 	list[7].Leaving = true
 	n.installList(list, n.now(), n.now())
@@ -197,7 +197,7 @@
 					id := y.of(name).ID
 					time.Sleep(370 * time.Millisecond)
 					y.at(func() { y.of(name).Leaving = true })
-					require.True(t, f.until(2*time.Second, func() bool { w := h.workerList.Load().find(id); return w != nil && w.Leaving }))
+					require.True(t, f.until(2*time.Second, func() bool { w := h.endpoints.Load().find(id); return w != nil && w.Leaving }))
 					from := time.Now()
 					require.True(t, f.until(2*time.Second, func() bool { return f.heard(y, name) }))
 					late = max(late, time.Since(from))
--- a/internal/proxy/list_version.go
+++ b/internal/proxy/list_version.go
@@ -19,9 +19,9 @@
 	slowStartTolerance = 300 * time.Millisecond // by which a cold time may be off and is no change
 )
 
-// workerList is a list of workers, sorted by id, with the version that it is. It is not changed
+// endpointList is a list of workers, sorted by id, with the version that it is. It is not changed
 // once it is published.
-type workerList struct {
+type endpointList struct {
 	workers     []Worker
 	requestedAt ids.Tick // when it was asked for
 	receivedAt  ids.Tick // when the answer came, from which cold times count
@@ -37,7 +37,7 @@
 }
 
 // find gives the line of a life, if it is listed.
-func (r *workerList) find(id ids.WorkerID) *Worker {
+func (r *endpointList) find(id ids.WorkerID) *Worker {
 	for i := range r.workers {
 		if r.workers[i].ID == id {
 			return &r.workers[i]
@@ -48,7 +48,7 @@
 
 // changedSince names the workers that changed after a version; false if that version is not
 // among the latest ones.
-func (r *workerList) changedSince(version uint64) (map[ids.WorkerID]bool, bool) {
+func (r *endpointList) changedSince(version uint64) (map[ids.WorkerID]bool, bool) {
 	changed := map[ids.WorkerID]bool{}
 	at := r.version
 	for i := len(r.changes) - 1; i >= 0 && at != version; i-- {
@@ -65,9 +65,9 @@
 }
 
 // next makes the roster that follows. A version of 0 stands for one that this node finds.
-func (r *workerList) next(list []Worker, version uint64, asked, got ids.Tick) *workerList {
+func (r *endpointList) next(list []Worker, version uint64, asked, got ids.Tick) *endpointList {
 	list = sortedByID(list)
-	out := &workerList{workers: list, requestedAt: asked, receivedAt: got, seq: r.seq, version: r.version, changes: r.changes}
+	out := &endpointList{workers: list, requestedAt: asked, receivedAt: got, seq: r.seq, version: r.version, changes: r.changes}
 	changed := changedWorkers(reduceSlowStart(r.workers, got.Since(r.receivedAt)), list)
 	if r.seq > 0 && len(changed) == 0 && (version == 0 || version == r.version) {
 		return out
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -130,7 +130,7 @@
 	budget          retryBudget
 	scores          routing.Scores               // outlive the programs' sets
 	startupPrograms *fleetstate.CompiledPrograms // rules until the core has a set
-	workerList      atomic.Pointer[workerList]
+	endpoints       atomic.Pointer[endpointList]
 	states          sync.Map // ids.WorkerID -> *state
 	slowStart       slowStart
 	peerReports     sync.Map // ids.NodeID -> told
@@ -168,7 +168,7 @@
 	n.view = fleetstate.NewView(options.Ring)
 	n.view.Read, n.view.Scores = options.ReadConfiguration, &n.scores
 	n.agent = coordination.NewAgent(coordination.AgentOptions{Self: n.self, Host: options.Host, Seeds: options.Seeds, Watcher: n.view, Ring: options.Ring, LeaseDuration: options.LeaseDuration, RenewInterval: options.RenewInterval})
-	n.workerList.Store(&workerList{})
+	n.endpoints.Store(&endpointList{})
 	n.runContext, n.stop = context.WithCancel(context.Background())
 	return n, nil
 }
@@ -201,7 +201,7 @@
 func (n *Node) Run(ctx context.Context, linger, grace time.Duration) {
 	inner := n.runContext
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){n.agent.Run, n.maintainWorkerList, n.watch, n.roleBalancer, n.ejector} {
+	for _, f := range []func(context.Context){n.agent.Run, n.maintainEndpoints, n.watch, n.roleBalancer, n.ejector} {
 		wg.Go(func() { f(inner) })
 	}
 	<-ctx.Done()
@@ -234,7 +234,7 @@
 		return false, "draining"
 	case s.Version == 0:
 		return false, "no configuration is in force"
-	case len(n.workerList.Load().workers) == 0:
+	case len(n.endpoints.Load().workers) == 0:
 		return false, "no worker is listed"
 	}
 	return true, ""
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -104,7 +104,7 @@
 func (w *ward) look(f *fleet, now time.Duration) {
 	for _, b := range f.up() {
 		by := map[workerGroup]*standing{}
-		for _, x := range b.workerList.Load().workers {
+		for _, x := range b.endpoints.Load().workers {
 			k := workerGroup{x.Service, x.Role}
 			if by[k] == nil {
 				by[k] = &standing{at: now, node: b.ip, group: k}
@@ -479,7 +479,7 @@
 	for i := range 6 {
 		list = append(list, Worker{ID: ids.WorkerID(fmt.Sprint("w", i)), Service: "svc"})
 	}
-	n.workerList.Store(&workerList{workers: list})
+	n.endpoints.Store(&endpointList{workers: list})
 	require.Equal(t, []Outcomes{{"w0", 40, 20, 1}, {"w1", 30, 0, 0}}, n.capWeights([]Outcomes{{"w0", 400, 200, 9}, {"w1", 30, 0, 0}}))
 	require.Equal(t, []Outcomes{{"w0", 10, 10, 1}}, n.capWeights([]Outcomes{{"w0", 10, 99, 1}}), "more failures than sendings")
 	require.Len(t, n.capWeights([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}}), 2)
--- a/internal/proxy/peer_outcomes.go
+++ b/internal/proxy/peer_outcomes.go
@@ -149,7 +149,7 @@
 		accuses[r.ID] = r.Failed > 3
 	}
 	all, bad := map[workerGroup]int{}, map[workerGroup]int{}
-	for _, w := range n.workerList.Load().workers {
+	for _, w := range n.endpoints.Load().workers {
 		k := workerGroup{w.Service, w.Role}
 		all[k]++
 		if accuses[w.ID] {
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -105,7 +105,7 @@
 func (n *Node) cleared(s *fleetstate.Snapshot, service *fleetstate.Service, role ids.Role, tried map[ids.WorkerID]bool) []pick {
 	var good, out, shy []pick
 	now := n.now()
-	list := n.workerList.Load()
+	list := n.endpoints.Load()
 	rows := n.candidateIndexFor(list, s).byRole[serviceRole{service.Name, role}]
 	good = make([]pick, 0, len(rows))
 	for i := range rows {
@@ -155,7 +155,7 @@
 
 // slowStartDelay is the same of a worker that was chosen some time ago, before others were tried.
 func (n *Node) slowStartDelay(id ids.WorkerID, service *fleetstate.Service) (time.Duration, bool) {
-	list := n.workerList.Load()
+	list := n.endpoints.Load()
 	w := list.find(id)
 	if w == nil || !acceptsWork(n.snapshot(), w) {
 		return 0, false
@@ -189,7 +189,7 @@
 func (n *Node) prefillCandidates(programs *routing.ProgramSet, s *fleetstate.Snapshot, service *fleetstate.Service, r *Request, tried map[ids.WorkerID]bool) []pick {
 	list := n.cleared(s, service, ids.Prefill, tried)
 	ms, toks := prefixHashes(r)
-	rows := n.candidateIndexFor(n.workerList.Load(), s).byRole[serviceRole{service.Name, ids.Prefill}]
+	rows := n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{service.Name, ids.Prefill}]
 	homes := make([]ids.WorkerID, len(ms))
 	for i, m := range ms {
 		homes[i] = prefixHome(m, rows, n.isEjected)
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -52,7 +52,7 @@
 					require.Same(t, n.state(c.worker.ID), c.state)
 				}
 				require.Equal(t, want, got)
-				require.Equal(t, top, prefixHome(77, n.candidateIndexFor(n.workerList.Load(), s).byRole[serviceRole{"s", role}], n.isEjected))
+				require.Equal(t, top, prefixHome(77, n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{"s", role}], n.isEjected))
 			}
 		}
 	}
--- a/internal/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -98,7 +98,7 @@
 		y.at(func() { y.nolist = true })
 		y.restart("svc-decode-1")
 		n := f.nodes[0]
-		for _, w := range n.workerList.Load().workers {
+		for _, w := range n.endpoints.Load().workers {
 			if w.ID == "svc-decode-1.1" {
 				n.state(w.ID).markReplaced()
 				n.suspect(w, false)
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -251,7 +251,7 @@
 
 func (f *fleet) ready() bool {
 	for _, n := range f.up() {
-		if ok, _ := n.Ready(); !ok || len(n.workerList.Load().workers) == 0 {
+		if ok, _ := n.Ready(); !ok || len(n.endpoints.Load().workers) == 0 {
 			return false
 		}
 	}
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -90,7 +90,7 @@
 
 // balanceRoles asks the workers, ends turns that are over, and begins one where it helps.
 func (n *Node) balanceRoles(ctx context.Context, s *fleetstate.Snapshot, service *fleetstate.Service, key ids.Key, d *roleBalance, turns map[ids.WorkerID]*roleChange) {
-	list := n.workerList.Load()
+	list := n.endpoints.Load()
 	listed := map[ids.WorkerID]*Worker{}
 	own := false
 	for i := range list.workers {
@@ -149,7 +149,7 @@
 
 // elsewhere tells that another service's worker, or one whose list is not known, has it.
 func (n *Node) elsewhere(id ids.WorkerID) bool {
-	list := n.workerList.Load()
+	list := n.endpoints.Load()
 	return len(list.workers) == 0 || list.find(id) != nil
 }
 
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -34,7 +34,7 @@
 	b := &Heartbeat{Node: n.self.Node, Version: n.view.HighestVersion(), Fresh: int64(n.agent.SinceConfirmed())}
 	now := n.now()
 	if !now.Past(ids.Tick(n.listed.Load()), time.Second) {
-		for id, l := range *n.workerList.Load() {
+		for id, l := range *n.endpoints.Load() {
 			if l.Leaving {
 				b.Leaving = append(b.Leaving, id)
 			}
@@ -163,16 +163,16 @@
 	return len(ms) > 1 && (heard+1)*2 > len(ms)
 }
 
-// watchWorkerList keeps asking the platform which workers there are. While it does not
+// watchEndpoints keeps asking the platform which workers there are. While it does not
 // answer, the last list is kept.
-func (n *Node) watchWorkerList(ctx context.Context) {
+func (n *Node) watchEndpoints(ctx context.Context) {
 	for {
 		if list, err := n.workerClient.Workers(ctx, n.options.Platform); err == nil {
 			all := make(map[ids.WorkerID]workerclient.ListedWorker, len(list))
 			for _, l := range list {
 				all[l.ID] = l
 			}
-			n.workerList.Store(&all)
+			n.endpoints.Store(&all)
 			n.listed.Store(int64(n.now()))
 		}
 		if !host.Sleep(ctx, n.options.ListInterval) {
--- a/internal/router/holder.go
+++ b/internal/router/holder.go
@@ -82,7 +82,7 @@
 
 func (n *Node) poll(ctx context.Context, d *workerDuty) {
 	for {
-		if l, ok := (*n.workerList.Load())[d.id]; ok {
+		if l, ok := (*n.endpoints.Load())[d.id]; ok {
 			asked := n.now()
 			r, err := n.workerClient.Report(ctx, l.Addr)
 			if err == nil && !d.known {
@@ -154,7 +154,7 @@
 		return nil, err
 	}
 	id := workerclient.ID{Request: request.Request, Attempt: request.Attempt}
-	l, ok := (*n.workerList.Load())[request.Worker]
+	l, ok := (*n.endpoints.Load())[request.Worker]
 	if !ok {
 		return nil, failure.New(failure.DataLost, "find worker", string(request.Worker), "the platform does not list it")
 	}
@@ -191,7 +191,7 @@
 	case verbExport:
 		a, err = n.workerClient.Export(ctx, l.Addr, &workerclient.ExportRequest{OrderHeader: lead, ID: id})
 	case verbImport:
-		src, ok := (*n.workerList.Load())[request.Source]
+		src, ok := (*n.endpoints.Load())[request.Source]
 		if !led.Reserved(id) || !ok {
 			return nil, failure.New(failure.NotExecuted, "import", string(request.Worker), "no room is booked for %s", id.Request)
 		}
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -68,7 +68,7 @@
 	counts       Counts
 
 	programSets  sync.Map // ids.Version -> *routing.Deck
-	workerList   atomic.Pointer[map[ids.WorkerID]workerclient.ListedWorker]
+	endpoints    atomic.Pointer[map[ids.WorkerID]workerclient.ListedWorker]
 	listed       atomic.Int64 // when the roster was had
 	workerStatus atomic.Pointer[map[ids.WorkerID]WorkerStatus]
 	leave        atomic.Pointer[map[ids.WorkerID]bool]
@@ -102,7 +102,7 @@
 	n.caller = n.agent.Caller()
 	n.workerClient = workerclient.New(opt.Host.Net)
 	n.httpClient = rpc.NewHTTPClient(opt.Host.Net)
-	n.workerList.Store(&map[ids.WorkerID]workerclient.ListedWorker{})
+	n.endpoints.Store(&map[ids.WorkerID]workerclient.ListedWorker{})
 	n.workerStatus.Store(&map[ids.WorkerID]WorkerStatus{})
 	n.leave.Store(&map[ids.WorkerID]bool{})
 	n.journal.Subscribe(n.foldReport)
@@ -145,7 +145,7 @@
 func (n *Node) Run(ctx context.Context, drain time.Duration) {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){n.agent.Run, n.heartbeatLoop, n.watchWorkerList, n.dutyLoop, n.resolutionLoop, n.resolveLoop, n.roleBalancer} {
+	for _, f := range []func(context.Context){n.agent.Run, n.heartbeatLoop, n.watchEndpoints, n.dutyLoop, n.resolutionLoop, n.resolveLoop, n.roleBalancer} {
 		wg.Go(func() { f(inner) })
 	}
 	<-ctx.Done()
@@ -211,6 +211,6 @@
 	if !ok || s.Drained[id] || s.Zones[w.Zone] {
 		return false
 	}
-	l, ok := (*n.workerList.Load())[id]
+	l, ok := (*n.endpoints.Load())[id]
 	return ok && !l.Leaving && !(*n.leave.Load())[id] && !s.Zones[l.Zone]
 }
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -191,7 +191,7 @@
 		st.Workers = append(st.Workers, s)
 	}
 	sort.Slice(st.Workers, func(i, j int) bool { return st.Workers[i].ID < st.Workers[j].ID })
-	for id, l := range *n.workerList.Load() {
+	for id, l := range *n.endpoints.Load() {
 		st.Listed[id] = l.Zone
 	}
 	c := &n.counts
--- a/internal/router/resolve.go
+++ b/internal/router/resolve.go
@@ -62,7 +62,7 @@
 // takes that worker's word. A worker that cannot be asked, or has begun a new life
 // since, may have run it.
 func (n *Node) queryOutcome(ctx context.Context, d *fleetstate.IdempotencyRecord) (string, []byte) {
-	if _, ok := (*n.workerList.Load())[d.Worker]; !ok {
+	if _, ok := (*n.endpoints.Load())[d.Worker]; !ok {
 		return fleetstate.MayHaveRun, nil
 	}
 	h := &transport{node: n, snapshot: n.view.Current()}
--- a/internal/router/role_balance_test.go
+++ b/internal/router/role_balance_test.go
@@ -32,7 +32,7 @@
 		roster[id] = workerclient.ListedWorker{ID: id}
 	}
 	n.workerStatus.Store(&stands)
-	n.workerList.Store(&roster)
+	n.endpoints.Store(&roster)
 	return n, s
 }
 
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -162,7 +162,7 @@
 }
 
 func (h *transport) Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.TokenEvent) error) error {
-	l, ok := (*h.node.workerList.Load())[w]
+	l, ok := (*h.node.endpoints.Load())[w]
 	if !ok {
 		return failure.New(failure.DataLost, "stream", string(w), "the platform does not list it")
 	}
