--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -48,7 +48,11 @@
 	}
 	return settings.FirstError(settings.Addr("addr", s.Addr), settings.Seeds("seeds", s.Seeds),
 		duration("beatMs", s.BeatMs, 20, 1000), duration("silenceMs", s.SilenceMs, 4*s.BeatMs, 30000),
-		duration("leaseMs", s.LeaseMs, 2*s.SilenceMs, 60000), duration("stallMs", s.StallMs, 50, 30000), duration("graceMs", s.GraceMs, 0, 600000), duration("replaceMs", s.ReplaceMs, s.SilenceMs, 600000))
+		duration(
+			"leaseMs", s.LeaseMs, 2*s.SilenceMs, 60000,
+		), duration(
+			"stallMs", s.StallMs, 50, 30000,
+		), duration("graceMs", s.GraceMs, 0, 600000), duration("replaceMs", s.ReplaceMs, s.SilenceMs, 600000))
 }
 
 func main() {
@@ -58,11 +62,22 @@
 	cli.Fail("keelstair-controller", err)
 	ring := cli.Ring("controller " + s.Addr)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	core, err := coordination.New(coordination.Options{Addr: s.Addr, Zone: ids.Zone(s.Zone), Host: host, Seeds: s.Seeds, Ring: ring,
+	core, err := coordination.New(coordination.Options{
+		Addr:  s.Addr,
+		Zone:  ids.Zone(s.Zone),
+		Host:  host,
+		Seeds: s.Seeds,
+		Ring:  ring,
 		Machine: func() coordination.StateMachine {
 			return fleetstate.NewMachine(fleetstate.MachineOptions{Wall: host.Clock.Wall})
 		},
-		HeartbeatInterval: ms(s.BeatMs), ElectionTimeout: ms(s.SilenceMs), LeaseDuration: ms(s.LeaseMs), DiskTimeout: ms(s.StallMs), ReplaceAfter: ms(s.ReplaceMs), ForceNewCluster: s.FoundAnew})
+		HeartbeatInterval: ms(s.BeatMs),
+		ElectionTimeout:   ms(s.SilenceMs),
+		LeaseDuration:     ms(s.LeaseMs),
+		DiskTimeout:       ms(s.StallMs),
+		ReplaceAfter:      ms(s.ReplaceMs),
+		ForceNewCluster:   s.FoundAnew,
+	})
 	cli.Fail("keelstair-controller", err)
 	asked, stop := cli.Signals()
 	defer stop()
--- a/cmd/keelstair-measure/measure.go
+++ b/cmd/keelstair-measure/measure.go
@@ -119,8 +119,14 @@
 	const mb = 1 << 20
 	u, v := a.use[p], b.use[p]
 	s := v.At.Sub(u.At).Seconds()
-	return Role{CPU: 100 * (v.CPU - u.CPU).Seconds() / s, Rss: float64(v.Rss) / mb, Memory: float64(v.Rss) / mb,
-		Files: float64(v.Files), Sockets: float64(v.Sockets), Flows: map[string]PerSpan{}}, s
+	return Role{
+		CPU:     100 * (v.CPU - u.CPU).Seconds() / s,
+		Rss:     float64(v.Rss) / mb,
+		Memory:  float64(v.Rss) / mb,
+		Files:   float64(v.Files),
+		Sockets: float64(v.Sockets),
+		Flows:   map[string]PerSpan{},
+	}, s
 }
 
 // between works out the roles from two glances.
@@ -247,7 +253,14 @@
 	if err := os.MkdirAll(at, 0o755); err != nil {
 		return nil, err
 	}
-	pt := &Point{Sweep: spot.Sweep, X: spot.X, Size: spot.Size, List: spot.Size.Workers, When: time.Now().UTC().Round(time.Second), Load: loadNow()}
+	pt := &Point{
+		Sweep: spot.Sweep,
+		X:     spot.X,
+		Size:  spot.Size,
+		List:  spot.Size.Workers,
+		When:  time.Now().UTC().Round(time.Second),
+		Load:  loadNow(),
+	}
 	begun := time.Now()
 	f, err := raiseFleet(ctx, c, at, spot.Size)
 	defer f.stop()
--- a/cmd/keelstair-measure/picks.go
+++ b/cmd/keelstair-measure/picks.go
@@ -32,13 +32,34 @@
 
 func (s *still) List(context.Context) ([]proxy.Worker, error) { return s.list, nil }
 
-func (s *still) Read(_ context.Context, w proxy.Worker, r *proxy.Request, _ time.Duration, _ int) (*proxy.PrefillResult, error) {
+func (s *still) Read(
+	_ context.Context,
+	w proxy.Worker,
+	r *proxy.Request,
+	_ time.Duration,
+	_ int,
+) (*proxy.PrefillResult, error) {
 	return &proxy.PrefillResult{Handle: "h", Tokens: r.Prompt, Load: &proxy.Load{Concurrency: w.Concurrency}}, nil
 }
 
-func (s *still) Emit(_ context.Context, w proxy.Worker, _ *proxy.Request, _ *proxy.Source, _ string, _ time.Duration, _ int) (*proxy.Response, error) {
-	return &proxy.Response{Status: http.StatusOK, Header: http.Header{}, FromWorker: true, Events: true, Length: -1,
-		Body: io.NopCloser(strings.NewReader("id: 1\ndata: t\n\n")), Load: &proxy.Load{Concurrency: w.Concurrency}}, nil
+func (s *still) Emit(
+	_ context.Context,
+	w proxy.Worker,
+	_ *proxy.Request,
+	_ *proxy.Source,
+	_ string,
+	_ time.Duration,
+	_ int,
+) (*proxy.Response, error) {
+	return &proxy.Response{
+		Status:     http.StatusOK,
+		Header:     http.Header{},
+		FromWorker: true,
+		Events:     true,
+		Length:     -1,
+		Body:       io.NopCloser(strings.NewReader("id: 1\ndata: t\n\n")),
+		Load:       &proxy.Load{Concurrency: w.Concurrency},
+	}, nil
 }
 
 func (s *still) Free(context.Context, proxy.Worker, string) error { return nil }
@@ -69,10 +90,26 @@
 	var before, after runtime.MemStats
 	run := func(i int) error {
 		route := i % 50
-		return n.Serve(ctx, &proxy.Request{ID: fmt.Sprint("r-", i), Method: http.MethodPost, Path: fmt.Sprintf("/v1/%05d/chat", route), Target: "/",
-			Host: fmt.Sprintf("tenant-%03d.example", route%330), Header: http.Header{}, Body: make([]byte, 4096), Model: s.model(route),
-			Segments: []proxy.PromptSegment{{ID: fmt.Sprint("system-", route), Tokens: 600}, {ID: fmt.Sprint("turn-", i%400), Tokens: 900}, {ID: fmt.Sprint("last-", i), Tokens: 100}},
-			Prompt:   1600, MaxTokens: 200, At: host.Clock.Now()}, sink{})
+		return n.Serve(ctx, &proxy.Request{
+			ID:     fmt.Sprint("r-", i),
+			Method: http.MethodPost,
+			Path:   fmt.Sprintf("/v1/%05d/chat", route),
+			Target: "/",
+			Host: fmt.Sprintf(
+				"tenant-%03d.example", route%330,
+			),
+			Header: http.Header{},
+			Body:   make([]byte, 4096),
+			Model:  s.model(route),
+			Segments: []proxy.PromptSegment{
+				{ID: fmt.Sprint("system-", route), Tokens: 600},
+				{ID: fmt.Sprint("turn-", i%400), Tokens: 900},
+				{ID: fmt.Sprint("last-", i), Tokens: 100},
+			},
+			Prompt:    1600,
+			MaxTokens: 200,
+			At:        host.Clock.Now(),
+		}, sink{})
 	}
 	for i := range count / 10 {
 		run(i)
--- a/cmd/keelstair-measure/run.go
+++ b/cmd/keelstair-measure/run.go
@@ -148,13 +148,39 @@
 
 func (pt *Point) row() string {
 	n, l := pt.Node, pt.Cores[0]
-	row := fmt.Sprintf("%-8s %4v | %.2f %.2f %.1f %.1f %.1f %.1f %.1f | %.1f %.1f %.1f %.1f %.0f | %.0f %.0f %.0f | %.1f",
-		pt.Sweep, pt.X, n.CPU, n.Memory, n.In/1000, n.Out/1000, n.Asked, n.Served, n.Sockets, l.CPU, l.Rss, l.In/1000, l.Out/1000, l.Sockets, pt.Last.Mean, pt.Last.P99, pt.Last.Worst, pt.Load)
+	row := fmt.Sprintf(
+		"%-8s %4v | %.2f %.2f %.1f %.1f %.1f %.1f %.1f | %.1f %.1f %.1f %.1f %.0f | %.0f %.0f %.0f | %.1f",
+		pt.Sweep,
+		pt.X,
+		n.CPU,
+		n.Memory,
+		n.In/1000,
+		n.Out/1000,
+		n.Asked,
+		n.Served,
+		n.Sockets,
+		l.CPU,
+		l.Rss,
+		l.In/1000,
+		l.Out/1000,
+		l.Sockets,
+		pt.Last.Mean,
+		pt.Last.P99,
+		pt.Last.Worst,
+		pt.Load,
+	)
 	if pt.Known > 0 {
 		row += fmt.Sprintf(" | known after %.2f s, replaced in %.2f s", pt.Known, pt.Mended)
 	}
 	if pt.Picked != nil {
-		row += fmt.Sprintf(" | %.1f us and %.1f kB a request, %d of %d done %s", pt.Picked.Micros, pt.Picked.Bytes/1000, pt.Picked.Done, pt.Picked.Count, pt.Picked.Why)
+		row += fmt.Sprintf(
+			" | %.1f us and %.1f kB a request, %d of %d done %s",
+			pt.Picked.Micros,
+			pt.Picked.Bytes/1000,
+			pt.Picked.Done,
+			pt.Picked.Count,
+			pt.Picked.Why,
+		)
 	}
 	return row
 }
--- a/cmd/keelstair-measure/size.go
+++ b/cmd/keelstair-measure/size.go
@@ -101,8 +101,15 @@
 	case s.processes() > mostProcs:
 		return settings.Invalid("nodes", "%d nodes take %d processes, over %d", s.Nodes, s.processes(), mostProcs)
 	case s.memory() > m.Memory/2:
-		return settings.Invalid("size", "%d nodes, %d workers and %d routes may take %d MB; half of this machine's memory is %d MB",
-			s.Nodes, s.Workers, s.Routes, s.memory()>>20, m.Memory>>21)
+		return settings.Invalid(
+			"size",
+			"%d nodes, %d workers and %d routes may take %d MB; half of this machine's memory is %d MB",
+			s.Nodes,
+			s.Workers,
+			s.Routes,
+			s.memory()>>20,
+			m.Memory>>21,
+		)
 	}
 	return nil
 }
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -35,7 +35,10 @@
 	}
 	run, ok := map[string]func(*platform.Settings) error{"controller": runController, "router": runRouter}[role]
 	if !ok {
-		fmt.Fprintln(os.Stderr, "usage: keelstair-platform controller | keelstair-platform router [POLICY]\nPOLICY is a file of the product's own configuration, in plain JSON; its programs route, by their shares, until the core has a set (keelstairctl apply).\nThe settings file is named by the variable "+platform.SettingsVariable+".")
+		fmt.Fprintln(
+			os.Stderr,
+			"usage: keelstair-platform controller | keelstair-platform router [POLICY]\nPOLICY is a file of the product's own configuration, in plain JSON; its programs route, by their shares, until the core has a set (keelstairctl apply).\nThe settings file is named by the variable "+platform.SettingsVariable+".",
+		)
 		os.Exit(2)
 	}
 	s, err := platform.Load()
@@ -84,10 +87,19 @@
 	if s.Dir == "" {
 		return desk(s, host, ring)
 	}
-	c, err := coordination.New(coordination.Options{Addr: s.ControlAddr, Zone: ids.Zone(s.Zone), Host: host, Seeds: s.Seeds, Ring: ring, LeaseDuration: s.LeaseDuration, JoinOnly: !s.Bootstrap, FaultTolerance: s.FaultTolerance,
+	c, err := coordination.New(coordination.Options{
+		Addr:           s.ControlAddr,
+		Zone:           ids.Zone(s.Zone),
+		Host:           host,
+		Seeds:          s.Seeds,
+		Ring:           ring,
+		LeaseDuration:  s.LeaseDuration,
+		JoinOnly:       !s.Bootstrap,
+		FaultTolerance: s.FaultTolerance,
 		Machine: func() coordination.StateMachine {
 			return fleetstate.NewMachine(fleetstate.MachineOptions{Read: platform.ReadDocument})
-		}})
+		},
+	})
 	if err != nil {
 		return err
 	}
@@ -104,7 +116,13 @@
 
 // operate puts the operators' calls on a mux: the platform's, and the product's own for
 // the program set.
-func operate(mux *http.ServeMux, s *platform.Settings, call *rpc.Caller, directory *coordination.Directory, ring *logging.Ring) {
+func operate(
+	mux *http.ServeMux,
+	s *platform.Settings,
+	call *rpc.Caller,
+	directory *coordination.Directory,
+	ring *logging.Ring,
+) {
 	(&platform.Operator{Caller: call, Directory: directory, Zones: s.Zones, Ring: ring}).Mount(mux)
 	api.MountOperator(mux, &proxy.Operator{Caller: call, Directory: directory, Zones: s.Zones})
 }
@@ -156,9 +174,27 @@
 	ring := cli.Ring(s.Name)
 	log.SetOutput(ring)
 	server := &http.Server{ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 20 * time.Second, MaxHeaderBytes: 64 << 10}
-	n, err := proxy.New(proxy.Options{Name: s.Name, Addr: s.Peer(), Zone: ids.Zone(s.Zone), Seeds: s.Seeds, Host: host, Ring: ring,
-		Backend: platform.NewWorkerBackend(host.Net, s.CloudAddr), ReadConfiguration: platform.ReadDocument, Programs: programs, LeaseDuration: s.LeaseDuration,
-		ListRate: s.ListRate, RetryRatio: s.RetryRatio, RetryWindow: s.RetryWindow, RetryAllowance: s.RetryAllowance, SlowStartOvershoot: s.SlowStartOvershoot, SlowStartAllowance: s.SlowStartAllowance, Drain: func(ctx context.Context) error { return rpc.Drain(ctx, server) }})
+	n, err := proxy.New(proxy.Options{
+		Name:               s.Name,
+		Addr:               s.Peer(),
+		Zone:               ids.Zone(s.Zone),
+		Seeds:              s.Seeds,
+		Host:               host,
+		Ring:               ring,
+		Backend:            platform.NewWorkerBackend(host.Net, s.CloudAddr),
+		ReadConfiguration:  platform.ReadDocument,
+		Programs:           programs,
+		LeaseDuration:      s.LeaseDuration,
+		ListRate:           s.ListRate,
+		RetryRatio:         s.RetryRatio,
+		RetryWindow:        s.RetryWindow,
+		RetryAllowance:     s.RetryAllowance,
+		SlowStartOvershoot: s.SlowStartOvershoot,
+		SlowStartAllowance: s.SlowStartAllowance,
+		Drain: func(ctx context.Context) error {
+			return rpc.Drain(ctx, server)
+		},
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/keelstair-router/main.go
+++ b/cmd/keelstair-router/main.go
@@ -45,7 +45,12 @@
 	case s.DrainMs < 0:
 		return settings.Invalid("drainMs", "it is below 0")
 	}
-	return settings.FirstError(settings.Addr("addr", s.Addr), settings.Addr("door", s.Door), settings.Addr("platform", s.Platform), settings.Seeds("seeds", s.Seeds))
+	return settings.FirstError(
+		settings.Addr("addr", s.Addr),
+		settings.Addr("door", s.Door),
+		settings.Addr("platform", s.Platform),
+		settings.Seeds("seeds", s.Seeds),
+	)
 }
 
 func main() {
@@ -57,8 +62,18 @@
 	host, err := host.Real("")
 	cli.Fail("keelstair-router", err)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	opt := router.Options{Name: s.Name, Addr: s.Addr, Zone: ids.Zone(s.Zone), Seeds: s.Seeds, Platform: s.Platform,
-		Host: host, Ring: cli.Ring(s.Name), LeaseDuration: ms(s.LeaseMs), OrphanTimeout: ms(s.OrphanMs), StreamTimeout: ms(s.PulseMs)}
+	opt := router.Options{
+		Name:          s.Name,
+		Addr:          s.Addr,
+		Zone:          ids.Zone(s.Zone),
+		Seeds:         s.Seeds,
+		Platform:      s.Platform,
+		Host:          host,
+		Ring:          cli.Ring(s.Name),
+		LeaseDuration: ms(s.LeaseMs),
+		OrphanTimeout: ms(s.OrphanMs),
+		StreamTimeout: ms(s.PulseMs),
+	}
 	if s.Trace != "" {
 		file, err := os.OpenFile(s.Trace, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		cli.Fail("keelstair-router", err)
--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -84,8 +84,15 @@
 	switch {
 	case s.Worker != nil:
 		c := s.Worker
-		w := standin.NewWorker(standin.WorkerOptions{ID: ids.WorkerID(c.ID), Addr: c.Addr, Role: ids.Role(c.Role), Capacity: c.Capacity, Block: c.Block,
-			Model: workerclient.Model{Name: c.Model, Weights: c.Weights, Adapters: c.Adapter}, Host: host})
+		w := standin.NewWorker(standin.WorkerOptions{
+			ID:       ids.WorkerID(c.ID),
+			Addr:     c.Addr,
+			Role:     ids.Role(c.Role),
+			Capacity: c.Capacity,
+			Block:    c.Block,
+			Model:    workerclient.Model{Name: c.Model, Weights: c.Weights, Adapters: c.Adapter},
+			Host:     host,
+		})
 		mux := http.NewServeMux()
 		mux.Handle("/", w.Handler())
 		cli.Serve(ctx, host, c.Addr, mux, fail)
@@ -107,8 +114,18 @@
 	if c.Doors == "" {
 		doors = standin.Asked(ctx, host, c.Platform, site.Zones)
 	}
-	all := standin.Load(ctx, standin.LoadOptions{Host: host, Doors: doors, Zones: site.Zones, Shapes: site.Shapes, Rate: c.Rate,
-		Duration: time.Duration(c.Seconds) * time.Second, Seed: c.Seed, Model: site.Model, Weights: strings.Split(c.Weights, ","), Retries: c.Retries})
+	all := standin.Load(ctx, standin.LoadOptions{
+		Host:     host,
+		Doors:    doors,
+		Zones:    site.Zones,
+		Shapes:   site.Shapes,
+		Rate:     c.Rate,
+		Duration: time.Duration(c.Seconds) * time.Second,
+		Seed:     c.Seed,
+		Model:    site.Model,
+		Weights:  strings.Split(c.Weights, ","),
+		Retries:  c.Retries,
+	})
 	b, _ := json.MarshalIndent(standin.Sum(all), "", "  ")
 	fmt.Println(string(b))
 }
--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -61,7 +61,11 @@
 		won := 0
 		for k := range 2 {
 			wg.Go(func() {
-				err := f.change(ctx, fmt.Sprintf("race %d, operator %d", n, k), fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, 2000+10*n+k))
+				err := f.change(
+					ctx,
+					fmt.Sprintf("race %d, operator %d", n, k),
+					fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, 2000+10*n+k),
+				)
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
@@ -82,7 +86,10 @@
 	z := f.site.Zones[1]
 	path := "/v1/zones/" + string(z)
 	begun := time.Now()
-	if err := cli.Ask(f.doors(), http.MethodPost, path, api.MarkRequest{Op: coordination.NewID(), Out: true}, nil); err != nil {
+	if err := cli.Ask(f.doors(), http.MethodPost, path, api.MarkRequest{
+		Op:  coordination.NewID(),
+		Out: true,
+	}, nil); err != nil {
 		logf("%v", err)
 	}
 	reads := func() (n int) {
@@ -114,7 +121,9 @@
 func (f *fleet) roll(ctx context.Context) {
 	for i, previous := range f.of("controller") {
 		want := 1300 + i
-		if err := f.change(ctx, fmt.Sprint("roll ", i), fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, want)); err != nil {
+		if err := f.change(
+			ctx, fmt.Sprint("roll ", i), fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, want),
+		); err != nil {
 			logf("%v", err)
 		}
 		previous.kill()
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -121,8 +121,14 @@
 
 func (f *fleet) controller(name, addr string, zone ids.Zone) *proc {
 	data := filepath.Join(f.opt.Dir, name)
-	return &proc{Name: name, Kind: "controller", Zone: zone, Addr: addr, Data: data,
-		args: append([]string{"--addr", addr, "--zone", string(zone), "--data", data, "--seeds"}, f.seeds...)}
+	return &proc{
+		Name: name,
+		Kind: "controller",
+		Zone: zone,
+		Addr: addr,
+		Data: data,
+		args: append([]string{"--addr", addr, "--zone", string(zone), "--data", data, "--seeds"}, f.seeds...),
+	}
 }
 
 func start(ctx context.Context, opt *upCmd) (*fleet, error) {
@@ -141,24 +147,9 @@
 	}
 	next := func() string { a := free[0]; free = free[1:]; return a }
 	f.platform = next()
-	f.procs = append(f.procs, &proc{Name: "platform", Kind: "standin", Addr: f.platform, args: []string{"platform", "--addr", f.platform}})
-	addrs := []string{next(), next(), next()}
-	f.seeds = addrs
-	for i, a := range addrs {
-		f.procs = append(f.procs, f.controller(fmt.Sprintf("controller-%d", i+1), a, site.Zones[i%len(site.Zones)]))
-	}
-	for i := range site.Nodes {
-		p := &proc{Name: fmt.Sprintf("router-%d", i+1), Kind: "router", Zone: site.Zones[i%len(site.Zones)], Addr: next(), Door: next()}
-		p.args = append([]string{"--name", p.Name, "--addr", p.Addr, "--door", p.Door, "--zone", string(p.Zone), "--platform", f.platform, "--seeds"}, f.seeds...)
-		f.procs = append(f.procs, p)
-	}
-	for i, id := range names {
-		w := site.Worker(i)
-		p := &proc{Name: "worker-" + string(id), Kind: "standin", Zone: w.Zone, Addr: next()}
-		p.args = []string{"worker", "--id", string(id), "--addr", p.Addr, "--part", string(w.Role), "--model", w.Model, "--weights", w.Weights,
-			"--room", fmt.Sprint(w.Capacity), "--block", fmt.Sprint(w.Block)}
-		f.procs = append(f.procs, p)
-	}
+	f.planControllers(next)
+	f.planRouters(next)
+	f.planWorkers(next)
 	for _, p := range f.procs {
 		if err := f.begin(p); err != nil {
 			return f, err
@@ -173,13 +164,68 @@
 	return f, f.certify(ctx)
 }
 
+// planControllers describes the stand-in of the platform and three controllers.
+func (f *fleet) planControllers(next func() string) {
+	f.procs = append(f.procs, &proc{
+		Name: "platform",
+		Kind: "standin",
+		Addr: f.platform,
+		args: []string{"platform", "--addr", f.platform},
+	})
+	f.seeds = []string{next(), next(), next()}
+	zones := f.site.Zones
+	for i, a := range f.seeds {
+		f.procs = append(f.procs, f.controller(fmt.Sprintf("controller-%d", i+1), a, zones[i%len(zones)]))
+	}
+}
+
+// planRouters describes the site's router nodes.
+func (f *fleet) planRouters(next func() string) {
+	site := f.site
+	for i := range site.Nodes {
+		p := &proc{
+			Name: fmt.Sprintf("router-%d", i+1),
+			Kind: "router",
+			Zone: site.Zones[i%len(site.Zones)],
+			Addr: next(),
+			Door: next(),
+		}
+		p.args = append([]string{
+			"--name", p.Name, "--addr", p.Addr, "--door", p.Door, "--zone", string(p.Zone), "--platform",
+			f.platform, "--seeds",
+		}, f.seeds...)
+		f.procs = append(f.procs, p)
+	}
+}
+
+// planWorkers describes the site's stand-in workers.
+func (f *fleet) planWorkers(next func() string) {
+	site := f.site
+	for i, id := range site.Names() {
+		w := site.Worker(i)
+		p := &proc{Name: "worker-" + string(id), Kind: "standin", Zone: w.Zone, Addr: next()}
+		p.args = []string{
+			"worker", "--id", string(id), "--addr", p.Addr, "--part", string(w.Role), "--model", w.Model,
+			"--weights", w.Weights,
+			"--room", fmt.Sprint(w.Capacity), "--block", fmt.Sprint(w.Block),
+		}
+		f.procs = append(f.procs, p)
+	}
+}
+
 // settle lists all at the platform, applies the configuration, and waits until
 // every node is ready.
 func (f *fleet) settle(ctx context.Context, names []ids.WorkerID) error {
 	begun := time.Now()
 	for _, p := range f.of("worker-") {
-		l := workerclient.ListedWorker{ID: ids.WorkerID(strings.TrimPrefix(p.Name, "worker-")), Addr: p.Addr, Zone: p.Zone}
-		if err := f.until(ctx, 10*time.Second, func() error { return post(f.platform, "/workers", l, nil) }); err != nil {
+		l := workerclient.ListedWorker{
+			ID:   ids.WorkerID(strings.TrimPrefix(p.Name, "worker-")),
+			Addr: p.Addr,
+			Zone: p.Zone,
+		}
+		if err := f.until(ctx, 10*time.Second, func() error {
+			return post(f.platform, "/workers", l, nil)
+		}); err != nil {
 			return err
 		}
 	}
@@ -194,7 +240,11 @@
 		return err
 	}
 	err := f.until(ctx, 20*time.Second, func() error {
-		return post(f.doors()[0], "/v1/policy", map[string]any{"op": "keelstair-testbed-first", "base": 0, "source": text}, nil)
+		return post(f.doors()[0], "/v1/policy", map[string]any{
+			"op":     "keelstair-testbed-first",
+			"base":   0,
+			"source": text,
+		}, nil)
 	})
 	if err != nil {
 		return err
--- a/cmd/keelstair-testbed/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -34,7 +34,8 @@
 	if err := os.WriteFile(filepath.Join(f.opt.Dir, "issuer.pem"), text, 0o600); err != nil {
 		return err
 	}
-	from, until := time.Now().Add(-time.Hour).UTC().Format(time.RFC3339), time.Now().AddDate(0, 1, 0).UTC().Format(time.RFC3339)
+	from := time.Now().Add(-time.Hour).UTC().Format(time.RFC3339)
+	until := time.Now().AddDate(0, 1, 0).UTC().Format(time.RFC3339)
 	certs := map[string]certification.Certificate{}
 	put := func(c certification.Certificate, name string) {
 		c.Serial, c.Regime, c.Issuer, c.From, c.Until = "c-"+name, regime, "k1", from, until
@@ -55,14 +56,31 @@
 			kinds = append(kinds, sh.Kind)
 		}
 	}
-	part, err := json.Marshal(map[string]any{"switch": false, "certificates": certs, "regimes": map[string]any{regime: certification.Regime{Kinds: kinds, Keep: 20}},
-		"issuers": map[string]any{"k1": certification.Issuer{Key: certification.Public(key), From: from, Until: until}}})
+	part, err := json.Marshal(map[string]any{
+		"switch":       false,
+		"certificates": certs,
+		"regimes":      map[string]any{regime: certification.Regime{Kinds: kinds, Keep: 20}},
+		"issuers": map[string]any{"k1": certification.Issuer{
+			Key:   certification.Public(key),
+			From:  from,
+			Until: until,
+		}},
+	})
 	if err != nil {
 		return err
 	}
 	if err := f.change(ctx, "regimes", string(part)); err != nil {
 		return err
 	}
+	if err := f.awaitCertified(ctx); err != nil {
+		return err
+	}
+	logf("%d certificates are in force; %s governs %s", len(certs), regime, strings.Join(kinds, ", "))
+	return nil
+}
+
+// awaitCertified waits until every node clears all certified workers.
+func (f *fleet) awaitCertified(ctx context.Context) error {
 	for _, d := range f.doors() {
 		if err := f.until(ctx, 10*time.Second, func() error {
 			var g api.Regimes
@@ -75,7 +93,6 @@
 			return err
 		}
 	}
-	logf("%d certificates are in force; %s governs %s", len(certs), regime, strings.Join(kinds, ", "))
 	return nil
 }
 
@@ -115,7 +132,10 @@
 		}
 		begun, op := time.Now(), coordination.NewID()
 		err := f.until(ctx, 20*time.Second, func() error {
-			return cli.Ask(f.doors(), http.MethodPost, "/v1/certificates/c-"+name, api.MarkRequest{Op: op, Out: true}, nil)
+			return cli.Ask(f.doors(), http.MethodPost, "/v1/certificates/c-"+name, api.MarkRequest{
+				Op:  op,
+				Out: true,
+			}, nil)
 		})
 		took := time.Since(begun)
 		if err != nil {
--- a/cmd/keelstair-testbed/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -32,14 +32,28 @@
 		}
 	}()
 	begun := time.Now()
-	all := standin.Load(ctx, standin.LoadOptions{Host: machine, Doors: standin.Asked(cx, machine, f.platform, f.site.Zones), Zones: f.site.Zones, Shapes: f.site.Shapes, Rate: c.Rate, Duration: duration,
-		Seed: c.Seed, Model: f.site.Model, Weights: []string{standin.SiteWeights}, Retries: 8})
+	all := standin.Load(ctx, standin.LoadOptions{
+		Host:     machine,
+		Doors:    standin.Asked(cx, machine, f.platform, f.site.Zones),
+		Zones:    f.site.Zones,
+		Shapes:   f.site.Shapes,
+		Rate:     c.Rate,
+		Duration: duration,
+		Seed:     c.Seed,
+		Model:    f.site.Model,
+		Weights:  []string{standin.SiteWeights},
+		Retries:  8,
+	})
 	b, err := json.MarshalIndent(standin.Sum(all), "", "  ")
 	if err != nil {
 		return err
 	}
 	fmt.Println(string(b))
-	logf("load took %.1f s; longest spans without a completed call from the breakdown on: %s", time.Since(begun).Seconds(), strings.Join(f.gaps(all, duration/3, duration), ", "))
+	logf(
+		"load took %.1f s; longest spans without a completed call from the breakdown on: %s",
+		time.Since(begun).Seconds(),
+		strings.Join(f.gaps(all, duration/3, duration), ", "),
+	)
 	runs, doubles := f.tallies()
 	logf("workers' own books: %d runs began, %d requests with two records", runs, doubles)
 	f.hold()
--- a/cmd/keelstairctl/audit.go
+++ b/cmd/keelstairctl/audit.go
@@ -55,13 +55,24 @@
 		case err != nil:
 			return wrote, err
 		case last != nil && got.Count < last.Index:
-			return wrote, bad("the fleet's record ends at row %d, the export at row %d: rows were removed", got.Count, last.Index)
+			return wrote, bad(
+				"the fleet's record ends at row %d, the export at row %d: rows were removed",
+				got.Count,
+				last.Index,
+			)
 		case last != nil && got.First > next:
-			return wrote, bad("the fleet keeps rows from %d on, the export ends at row %d: what lies between is gone", got.First, last.Index)
+			return wrote, bad(
+				"the fleet keeps rows from %d on, the export ends at row %d: what lies between is gone",
+				got.First,
+				last.Index,
+			)
 		case got.Count >= next && len(got.Rows) == 0:
 			return wrote, bad("row %d is missing", next)
 		case len(got.Rows) == 0 && last != nil && got.Head != last.Hash:
-			return wrote, bad("the fleet's newest row %d is not the one that follows here: one was changed or replaced", got.Count)
+			return wrote, bad(
+				"the fleet's newest row %d is not the one that follows here: one was changed or replaced",
+				got.Count,
+			)
 		case len(got.Rows) == 0:
 			return wrote, nil
 		}
--- a/cmd/keelstairctl/certificates.go
+++ b/cmd/keelstairctl/certificates.go
@@ -71,8 +71,11 @@
 	if err != nil {
 		return err
 	}
-	return print(map[string]any{"issuers": map[string]certification.Issuer{c.Issuer: {Key: certification.Public(private),
-		From: from.Format(time.RFC3339), Until: from.AddDate(0, 0, c.Days).Format(time.RFC3339)}}})
+	return print(map[string]any{"issuers": map[string]certification.Issuer{c.Issuer: {
+		Key:   certification.Public(private),
+		From:  from.Format(time.RFC3339),
+		Until: from.AddDate(0, 0, c.Days).Format(time.RFC3339),
+	}}})
 }
 
 // signed makes the certificates that a command asks for.
@@ -107,7 +110,12 @@
 	case len(c.Worker)+len(c.Node) == 0:
 		return nil, settings.Invalid("worker, node", "at least one is needed")
 	case !from.Before(until):
-		return nil, settings.Invalid("until", "the end %s is not after the start %s", until.Format(time.RFC3339), from.Format(time.RFC3339))
+		return nil, settings.Invalid(
+			"until",
+			"the end %s is not after the start %s",
+			until.Format(time.RFC3339),
+			from.Format(time.RFC3339),
+		)
 	case !now.Before(until):
 		return nil, settings.Invalid("until", "the end %s is past", until.Format(time.RFC3339))
 	}
@@ -169,7 +177,11 @@
 	if g.High == 0 {
 		fmt.Println("the fleet's time is not known at this node: it clears nobody")
 	} else {
-		fmt.Printf("the fleet's time is %s; this node's own clock differs by %.1f s\n", day(g.High), math.Abs(float64(g.Wall-g.High))/1e9)
+		fmt.Printf(
+			"the fleet's time is %s; this node's own clock differs by %.1f s\n",
+			day(g.High),
+			math.Abs(float64(g.Wall-g.High))/1e9,
+		)
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	for _, one := range g.Regimes {
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -202,7 +202,14 @@
 		return err
 	}
 	var out api.ApplyResponse
-	a := api.ApplyRequest{Op: coordination.NewID(), Base: sh.Newest, Partial: c.Partial, Name: name, Source: text, Dry: true}
+	a := api.ApplyRequest{
+		Op:      coordination.NewID(),
+		Base:    sh.Newest,
+		Partial: c.Partial,
+		Name:    name,
+		Source:  text,
+		Dry:     true,
+	}
 	if err := s.ask(http.MethodPost, "/v1/policy", a, &out); err != nil {
 		return err
 	}
--- a/coordination/agent.go
+++ b/coordination/agent.go
@@ -129,7 +129,9 @@
 func (a *Agent) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		a.directory.Run(ctx, func() bool { return a.confirmedAt.Load() > 0 && a.SinceConfirmed() < 3*a.options.RenewInterval })
+		a.directory.Run(ctx, func() bool {
+			return a.confirmedAt.Load() > 0 && a.SinceConfirmed() < 3*a.options.RenewInterval
+		})
 	})
 	wg.Go(func() { a.follow(ctx) })
 	wg.Go(func() { a.renewLoop(ctx) })
@@ -285,7 +287,9 @@
 		}
 		return true
 	})
-	r, err := rpc.Call[RenewRequest, RenewResponse](ctx, a.caller, a.directory.Addr(a.directory.Record().Primary), RenewMethod, request)
+	r, err := rpc.Call[RenewRequest, RenewResponse](
+		ctx, a.caller, a.directory.Addr(a.directory.Record().Primary), RenewMethod, request,
+	)
 	if err != nil {
 		return err
 	}
--- a/coordination/catch_up.go
+++ b/coordination/catch_up.go
@@ -131,7 +131,8 @@
 	c.registerMu.Lock()
 	reg := c.register
 	c.registerMu.Unlock()
-	if reg.Promised != request.Epoch || reg.Accepted.Epoch >= request.Epoch || c.Leads() || reg.PromisedTo != "" && reg.PromisedTo != request.From.Disk && request.Epoch > firstEpoch {
+	if reg.Promised != request.Epoch || reg.Accepted.Epoch >= request.Epoch || c.Leads() ||
+		reg.PromisedTo != "" && reg.PromisedTo != request.From.Disk && request.Epoch > firstEpoch {
 		return &AppendResponse{Promised: reg.Promised}, nil
 	}
 	if len(request.State) == 0 && request.Digest != nil {
--- a/coordination/chunks.go
+++ b/coordination/chunks.go
@@ -74,7 +74,9 @@
 			return nil, failure.As(err, failure.InvalidArgument, "read chunk "+n, "disk")
 		}
 		if out[i] = NewChunk(body); out[i].Name != n {
-			return nil, failure.New(failure.InvalidArgument, "read chunk "+n, "disk", "its content is that of %s", out[i].Name)
+			return nil, failure.New(
+				failure.InvalidArgument, "read chunk "+n, "disk", "its content is that of %s", out[i].Name,
+			)
 		}
 	}
 	return out, nil
@@ -126,7 +128,9 @@
 
 func (c *Core) saveChunk(one Chunk, near string) error {
 	if NewChunk(one.Body).Name != one.Name {
-		return failure.New(failure.InvalidArgument, "take chunk", near, "the content of %s does not fit its name", one.Name)
+		return failure.New(
+			failure.InvalidArgument, "take chunk", near, "the content of %s does not fit its name", one.Name,
+		)
 	}
 	return c.store.saveChunk(one)
 }
@@ -142,7 +146,17 @@
 			continue
 		}
 		callContext, stop := context.WithTimeout(ctx, sendTime(len(one.Body)))
-		r, err := rpc.Call[ChunkRequest, ChunkResponse](callContext, c.caller, c.directory.Addr(to), chunkMethod, &ChunkRequest{Epoch: e, Name: one.Name, Body: one.Body})
+		r, err := rpc.Call[ChunkRequest, ChunkResponse](
+			callContext,
+			c.caller,
+			c.directory.Addr(to),
+			chunkMethod,
+			&ChunkRequest{
+				Epoch: e,
+				Name:  one.Name,
+				Body:  one.Body,
+			},
+		)
 		stop()
 		if err != nil {
 			return err
@@ -168,7 +182,9 @@
 			at, of = 0, record.ClusterID
 		}
 		callContext, stop := context.WithTimeout(ctx, 2*time.Second)
-		r, err := rpc.Call[ChunkRequest, ChunkResponse](callContext, c.caller, c.directory.Addr(record.Primary), chunkMethod, &ChunkRequest{Index: at})
+		r, err := rpc.Call[ChunkRequest, ChunkResponse](
+			callContext, c.caller, c.directory.Addr(record.Primary), chunkMethod, &ChunkRequest{Index: at},
+		)
 		stop()
 		if err != nil || !r.OK || r.Body == nil {
 			continue
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -34,10 +34,11 @@
 	ElectionTimeout   time.Duration // 900ms: then the backup takes over
 	LeaseDuration     time.Duration // 3s: of every node
 	DiskTimeout       time.Duration // 1s: a disk step that takes longer
-	ReplaceAfter      time.Duration // 2s: a register holder silent so long may be replaced, at once if another disk has its address
-	FaultTolerance    int           // 1: machines that may be lost at once; counts when the core is founded
-	JoinOnly          bool          // it founds nothing and waits for a core that stands
-	ForceNewCluster   bool          // an operator orders the core founded anew from this disk
+	// 2s: a register holder silent so long may be replaced, at once if another disk has its address
+	ReplaceAfter    time.Duration
+	FaultTolerance  int  // 1: machines that may be lost at once; counts when the core is founded
+	JoinOnly        bool // it founds nothing and waits for a core that stands
+	ForceNewCluster bool // an operator orders the core founded anew from this disk
 }
 
 func (o *Options) setDefaults() {
@@ -83,7 +84,15 @@
 // New opens the disk and reads what it holds. It starts nothing.
 func New(opt Options) (*Core, error) {
 	opt.setDefaults()
-	c := &Core{options: opt, registerMu: host.NewChannelMutex(), dataMu: host.NewChannelMutex(), feed: newFeed(), lastHeard: map[ids.DiskID]ids.Tick{}, wakeElection: make(chan struct{}, 1), fatal: make(chan error, 1)}
+	c := &Core{
+		options:      opt,
+		registerMu:   host.NewChannelMutex(),
+		dataMu:       host.NewChannelMutex(),
+		feed:         newFeed(),
+		lastHeard:    map[ids.DiskID]ids.Tick{},
+		wakeElection: make(chan struct{}, 1),
+		fatal:        make(chan error, 1),
+	}
 	c.store = &store{disk: opt.Host.Disk, timeout: opt.DiskTimeout}
 	id, err := opt.Host.Disk.Load(identityFile)
 	if errors.Is(err, host.ErrNotExist) {
@@ -199,7 +208,9 @@
 		if body == previous || len(p.Replicas)+len(p.Members) == 0 || c.store.pending.Load() > 0 {
 			continue
 		}
-		if c.store.timed("save directory", func() error { return c.options.Host.Disk.Save(directoryFile, []byte(body)) }) == nil {
+		if c.store.timed("save directory", func() error {
+			return c.options.Host.Disk.Save(directoryFile, []byte(body))
+		}) == nil {
 			previous = body
 		}
 	}
@@ -221,7 +232,8 @@
 	defer c.dataMu.Unlock()
 	record, promised := c.accepted()
 	r := &AppendResponse{Promised: promised, LastSeq: c.state.seq}
-	if request.Epoch < promised || record.Epoch != request.Epoch || record.Primary.Disk != request.From.Disk || record.backupRank(c.self.Disk) < 0 {
+	if request.Epoch < promised || record.Epoch != request.Epoch || record.Primary.Disk != request.From.Disk ||
+		record.backupRank(c.self.Disk) < 0 {
 		return r, nil
 	}
 	if c.reloadNeeded || request.Prev != c.state.seq || !consecutive(request.Entries, request.Prev) {
--- a/coordination/directory.go
+++ b/coordination/directory.go
@@ -44,7 +44,14 @@
 // NewDirectory makes the directory of a process: me is its own replica, or only its address. It knows no
 // more than the seeds, until it asks.
 func NewDirectory(host host.Host, call *rpc.Caller, seeds []string, me Replica) *Directory {
-	return &Directory{host: host, caller: call, seeds: seeds, self: PeerExchange{Self: me}, replicas: map[ids.DiskID]replicaContact{}, recordChanged: make(chan struct{})}
+	return &Directory{
+		host:          host,
+		caller:        call,
+		seeds:         seeds,
+		self:          PeerExchange{Self: me},
+		replicas:      map[ids.DiskID]replicaContact{},
+		recordChanged: make(chan struct{}),
+	}
 }
 
 // Exchange is what the directory would tell another process now.
@@ -240,7 +247,9 @@
 		wg.Go(func() {
 			c, stop := context.WithTimeout(ctx, 700*time.Millisecond)
 			defer stop()
-			if p, err := rpc.Call[PeerExchange, PeerExchange](c, d.caller, a, ExchangeMethod, d.Exchange()); err == nil {
+			if p, err := rpc.Call[PeerExchange, PeerExchange](
+				c, d.caller, a, ExchangeMethod, d.Exchange(),
+			); err == nil {
 				d.Merge(p)
 			}
 		})
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -49,7 +49,12 @@
 // collectVotes asks replicas in either round; it gives the newest record that was told and those who
 // said yes. Once these are enough, the rest get only a moment more; a nil function waits for
 // all of them.
-func (c *Core) collectVotes(ctx context.Context, request *BallotRequest, whom []Replica, enough func(yes []Replica) bool) (Record, []Replica) {
+func (c *Core) collectVotes(
+	ctx context.Context,
+	request *BallotRequest,
+	whom []Replica,
+	enough func(yes []Replica) bool,
+) (Record, []Replica) {
 	ctx, stop := context.WithTimeout(ctx, voteWait)
 	defer stop()
 	votes := make(chan ballotVote, len(whom))
@@ -171,7 +176,12 @@
 // prepare is the first round: every quorum and the proposer itself promise the epoch. The
 // proposer's own promise keeps the primary before it from acknowledging more.
 func (c *Core) prepare(ctx context.Context, current Record, next *Record, p ballot) ([]Replica, error) {
-	request := &BallotRequest{Epoch: next.Epoch, From: c.self, Takeover: p.leadingEpoch == 0 && !p.transfer, Record: *next}
+	request := &BallotRequest{
+		Epoch:    next.Epoch,
+		From:     c.self,
+		Takeover: p.leadingEpoch == 0 && !p.transfer,
+		Record:   *next,
+	}
 	enough := func(yes []Replica) bool { return containsDisk(yes, c.self.Disk) && next.decidedBy(yes) }
 	newest, yes := c.collectVotes(ctx, request, next.allVoters(), enough)
 	if newest.Epoch > current.Epoch {
@@ -183,7 +193,14 @@
 		next.OutgoingVoters = nil
 	}
 	if !enough(yes) {
-		return nil, failure.New(failure.Unavailable, "ascend", c.self.Addr, "%d of %d registers promised", len(yes), len(next.allVoters()))
+		return nil, failure.New(
+			failure.Unavailable,
+			"ascend",
+			c.self.Addr,
+			"%d of %d registers promised",
+			len(yes),
+			len(next.allVoters()),
+		)
 	}
 	return yes, nil
 }
@@ -205,12 +222,20 @@
 	state := c.captureState(p.leadingEpoch != 0)
 	var ready []Replica
 	for _, s := range yes {
-		if len(ready) < next.faultTolerance() && s.Disk != c.self.Disk && s.Disk != p.notBackup && containsDisk(next.Voters, s.Disk) && c.catchUp(ctx, next.Epoch, s, state) == nil {
+		if len(ready) < next.faultTolerance() && s.Disk != c.self.Disk && s.Disk != p.notBackup &&
+			containsDisk(next.Voters, s.Disk) && c.catchUp(ctx, next.Epoch, s, state) == nil {
 			ready = append(ready, s)
 		}
 	}
 	if len(ready) < next.faultTolerance() {
-		return nil, failure.New(failure.Unavailable, "ascend", c.self.Addr, "%d of %d backups took the state", len(ready), next.faultTolerance())
+		return nil, failure.New(
+			failure.Unavailable,
+			"ascend",
+			c.self.Addr,
+			"%d of %d backups took the state",
+			len(ready),
+			next.faultTolerance(),
+		)
 	}
 	return ready, nil
 }
@@ -219,7 +244,9 @@
 func (c *Core) commitRecord(ctx context.Context, next Record, ready []Replica) error {
 	request := &BallotRequest{Epoch: next.Epoch, From: c.self, Accept: true, Record: next}
 	if _, yes := c.collectVotes(ctx, request, ready, nil); len(yes) < len(ready) {
-		return failure.New(failure.OutcomeUnknown, "ascend", next.Backup.Addr, "%d of %d backups accepted", len(yes), len(ready))
+		return failure.New(
+			failure.OutcomeUnknown, "ascend", next.Backup.Addr, "%d of %d backups accepted", len(yes), len(ready),
+		)
 	}
 	var rest []Replica
 	for _, s := range next.allVoters() {
@@ -231,7 +258,9 @@
 		return containsDisk(yes, c.self.Disk) && next.decidedBy(append(slices.Clone(yes), ready...))
 	}
 	if _, yes := c.collectVotes(ctx, request, rest, enough); !enough(yes) {
-		return failure.New(failure.OutcomeUnknown, "ascend", c.self.Addr, "only %d registers accepted", len(yes)+len(ready))
+		return failure.New(
+			failure.OutcomeUnknown, "ascend", c.self.Addr, "only %d registers accepted", len(yes)+len(ready),
+		)
 	}
 	return nil
 }
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -15,8 +15,9 @@
 )
 
 const (
-	electionTick         = 60 * time.Millisecond // between two looks, and as much again by chance
-	leavingElectionDelay = 2 * time.Second       // longer than others wait, since a replica that is about to end leads only if nobody else does
+	electionTick = 60 * time.Millisecond // between two looks, and as much again by chance
+	// longer than others wait, since a replica that is about to end leads only if nobody else does
+	leavingElectionDelay = 2 * time.Second
 )
 
 // encounter is who was met last, and since when nobody else.
@@ -33,7 +34,13 @@
 		record, _ := c.accepted()
 		known := c.directory.Record()
 		if f := c.directory.ForeignCluster(); f != "" && record.ClusterID != "" && c.orphaned(now, record) {
-			c.fatal <- failure.New(failure.InvalidArgument, "meet peers", f, "this disk belongs to founding %s; the seeds to another", record.ClusterID)
+			c.fatal <- failure.New(
+				failure.InvalidArgument,
+				"meet peers",
+				f,
+				"this disk belongs to founding %s; the seeds to another",
+				record.ClusterID,
+			)
 			return
 		}
 		if record.ClusterID == "" {
@@ -146,7 +153,9 @@
 	if now := c.options.Host.Clock.Now(); !slices.Equal(met.replicas, list) {
 		met.replicas, met.since = list, now
 		return
-	} else if list = spreadOverZones(list, n); list[0].Disk != c.self.Disk || !now.Past(met.since, c.options.ElectionTimeout/2) {
+	} else if list = spreadOverZones(list, n); list[0].Disk != c.self.Disk || !now.Past(
+		met.since, c.options.ElectionTimeout/2,
+	) {
 		return
 	}
 	record := Record{Epoch: 1, ClusterID: "f-" + string(c.self.Disk), Primary: c.self, Voters: list}
--- a/coordination/feed.go
+++ b/coordination/feed.go
@@ -69,7 +69,11 @@
 }
 
 // watch answers an asking, waiting a while for the first entry if need be.
-func (f *feed) watch(ctx context.Context, request *WatchRequest, snapshot func() (*Snapshot, error)) (*WatchResponse, error) {
+func (f *feed) watch(
+	ctx context.Context,
+	request *WatchRequest,
+	snapshot func() (*Snapshot, error),
+) (*WatchResponse, error) {
 	wait := min(time.Duration(request.Wait), 5*time.Second)
 	t := time.NewTimer(wait)
 	defer t.Stop()
--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -26,7 +26,11 @@
 	case record.ClusterID == "":
 		return c.refuseNewCluster("this disk belongs to no fleet")
 	case !c.isDataReplica(record):
-		return c.refuseNewCluster("this disk holds a register and no data; one of %s and %s has it", record.Primary.Addr, record.Backup.Addr)
+		return c.refuseNewCluster(
+			"this disk holds a register and no data; one of %s and %s has it",
+			record.Primary.Addr,
+			record.Backup.Addr,
+		)
 	}
 	spare, err := c.awaitSpares(ctx, record)
 	if err != nil {
@@ -42,7 +46,9 @@
 	next.Primary, next.Voters = c.self, append([]Replica{c.self}, spare...)
 	next.setBackups(spare[:record.faultTolerance()])
 	if !c.bootstrapRecord(ctx, next, MustMarshal(snapshot), chunks) {
-		return c.refuseNewCluster("the empty machines at %s and %s did not agree; order it again", spare[0].Addr, spare[1].Addr)
+		return c.refuseNewCluster(
+			"the empty machines at %s and %s did not agree; order it again", spare[0].Addr, spare[1].Addr,
+		)
 	}
 	c.options.Ring.Warn().Uint64("epoch", uint64(next.Epoch)).Uint64("seq", uint64(seq)).
 		Msg("founded anew from this disk alone; what was acknowledged after this number, if anything, is lost")
@@ -64,12 +70,20 @@
 			return nil, c.refuseNewCluster("the seeds lead to another fleet, %s", f)
 		}
 		if known := c.directory.Record(); known.Epoch > record.Epoch {
-			return nil, c.refuseNewCluster("this disk is behind: it knows epoch %d, others know %d with the data at %s and %s", record.Epoch, known.Epoch, known.Primary.Addr, known.Backup.Addr)
+			return nil, c.refuseNewCluster(
+				"this disk is behind: it knows epoch %d, others know %d with the data at %s and %s",
+				record.Epoch,
+				known.Epoch,
+				known.Primary.Addr,
+				known.Backup.Addr,
+			)
 		}
 		all, _ := c.directory.recentReplicas(2 * time.Second)
 		for _, s := range all {
 			if containsDisk(record.Voters, s.Disk) {
-				return nil, c.refuseNewCluster("the holder at %s lives; the core will be back when two of three are", s.Addr)
+				return nil, c.refuseNewCluster(
+					"the holder at %s lives; the core will be back when two of three are", s.Addr,
+				)
 			}
 		}
 		if now.Past(from, newClusterListen) && len(all) >= need {
--- a/coordination/leader.go
+++ b/coordination/leader.go
@@ -69,8 +69,16 @@
 // lead leads until it must stand down.
 func (c *Core) lead(ctx context.Context, record Record) {
 	now := c.options.Host.Clock.Now()
-	l := &leader{core: c, record: record, startEpoch: record.Epoch, operations: make(chan *operation, 256), stopped: make(chan struct{}), ledSince: now,
-		assignAfter: now.Add(c.options.LeaseDuration + c.options.LeaseDuration/10), leases: map[ids.NodeID]*nodeLease{}}
+	l := &leader{
+		core:        c,
+		record:      record,
+		startEpoch:  record.Epoch,
+		operations:  make(chan *operation, 256),
+		stopped:     make(chan struct{}),
+		ledSince:    now,
+		assignAfter: now.Add(c.options.LeaseDuration + c.options.LeaseDuration/10),
+		leases:      map[ids.NodeID]*nodeLease{},
+	}
 	c.dataMu.Lock()
 	for n, m := range c.state.members {
 		l.leases[n] = &nodeLease{Member: m, renewedAt: now}
@@ -129,7 +137,10 @@
 		}
 		if err := l.applyMembership(ctx, batch); err != nil {
 			for _, op := range batch {
-				l.finish(op, failure.New(failure.NotExecuted, "write", l.core.self.Addr, "stood down before it was taken"))
+				l.finish(
+					op,
+					failure.New(failure.NotExecuted, "write", l.core.self.Addr, "stood down before it was taken"),
+				)
 			}
 			return err
 		}
@@ -242,7 +253,9 @@
 
 // replicateTo has one backup take a batch, synced.
 func (l *leader) replicateTo(ctx context.Context, s Replica, request *AppendRequest) error {
-	r, err := rpc.Call[AppendRequest, AppendResponse](ctx, l.core.caller, l.core.directory.Addr(s), appendMethod, request)
+	r, err := rpc.Call[AppendRequest, AppendResponse](
+		ctx, l.core.caller, l.core.directory.Addr(s), appendMethod, request,
+	)
 	switch {
 	case err != nil:
 		return err
@@ -269,7 +282,16 @@
 			go func() {
 				callContext, stop := context.WithTimeout(ctx, 500*time.Millisecond)
 				defer stop()
-				r, err := rpc.Call[AppendRequest, AppendResponse](callContext, c.caller, c.directory.Addr(s), heartbeatMethod, &AppendRequest{Epoch: record.Epoch, From: c.self})
+				r, err := rpc.Call[AppendRequest, AppendResponse](
+					callContext,
+					c.caller,
+					c.directory.Addr(s),
+					heartbeatMethod,
+					&AppendRequest{
+						Epoch: record.Epoch,
+						From:  c.self,
+					},
+				)
 				// An empty disk may answer at the address of one that is lost.
 				if err == nil && r.OK && r.Disk == s.Disk {
 					c.recordContactFrom(s.Disk)
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -34,11 +34,19 @@
 	all := l.core.spareReplicas(l.record)
 	for _, s := range l.record.Voters {
 		if spare, ok := l.replacementFor(s, all, now); ok {
-			return l.replace(ctx, ballot{leadingEpoch: l.record.Epoch, removed: s.Disk, added: spare}, "replaces a register holder")
+			return l.replace(ctx, ballot{
+				leadingEpoch: l.record.Epoch,
+				removed:      s.Disk,
+				added:        spare,
+			}, "replaces a register holder")
 		}
 	}
 	if out, in, ok := l.zoneImbalance(all, now); ok {
-		return l.replace(ctx, ballot{leadingEpoch: l.record.Epoch, removed: out.Disk, added: in}, "spreads the register holders over the zones")
+		return l.replace(ctx, ballot{
+			leadingEpoch: l.record.Epoch,
+			removed:      out.Disk,
+			added:        in,
+		}, "spreads the register holders over the zones")
 	}
 	return nil
 }
@@ -180,7 +188,9 @@
 		}
 		return false, err
 	}
-	r, err := rpc.Call[LeaveRequest, LeaveResponse](ctx, c.caller, c.directory.Addr(record.Primary), leaveMethod, &LeaveRequest{Self: c.self})
+	r, err := rpc.Call[LeaveRequest, LeaveResponse](
+		ctx, c.caller, c.directory.Addr(record.Primary), leaveMethod, &LeaveRequest{Self: c.self},
+	)
 	if err != nil {
 		c.directory.Query(ctx, 3)
 		return false, err
@@ -238,7 +248,9 @@
 		return nil
 	}
 	if !l.canRelease(leaver.Disk) {
-		op.err = failure.New(failure.Unavailable, "leave", c.self.Addr, "too few other replicas are heard to hold the data")
+		op.err = failure.New(
+			failure.Unavailable, "leave", c.self.Addr, "too few other replicas are heard to hold the data",
+		)
 		return nil
 	}
 	err := l.replace(ctx, p, "lets a replica leave")
@@ -273,7 +285,16 @@
 			continue
 		}
 		var r *TransferResponse
-		r, err = rpc.Call[TransferRequest, TransferResponse](ctx, c.caller, c.directory.Addr(s), transferMethod, &TransferRequest{Epoch: l.record.Epoch, From: c.self})
+		r, err = rpc.Call[TransferRequest, TransferResponse](
+			ctx,
+			c.caller,
+			c.directory.Addr(s),
+			transferMethod,
+			&TransferRequest{
+				Epoch: l.record.Epoch,
+				From:  c.self,
+			},
+		)
 		if err == nil && r.OK {
 			return nil
 		}
@@ -284,7 +305,8 @@
 // handleTransfer answers a primary that hands over: the election loop stands for election at once.
 func (c *Core) handleTransfer(_ context.Context, request *TransferRequest) (*TransferResponse, error) {
 	record, _ := c.accepted()
-	if record.Epoch != request.Epoch || record.Primary.Disk != request.From.Disk || record.backupRank(c.self.Disk) < 0 || c.leaving.Load() {
+	if record.Epoch != request.Epoch || record.Primary.Disk != request.From.Disk ||
+		record.backupRank(c.self.Disk) < 0 || c.leaving.Load() {
 		return &TransferResponse{}, nil
 	}
 	c.transferEpoch.Store(uint64(request.Epoch))
--- a/coordination/messages.go
+++ b/coordination/messages.go
@@ -44,13 +44,15 @@
 
 // Record is what the registers decide: who leads in an epoch.
 type Record struct {
-	Epoch          ids.Epoch
-	ClusterID      string `msg:"Founding" json:"Founding"`
-	Primary        Replica
-	Backup         Replica
-	Voters         []Replica `msg:"Holders" json:"Holders"`
-	MoreBackups    []Replica `msg:"Also" json:"Also"`               // further backups, where more than one machine may be lost at once
-	OutgoingVoters []Replica `msg:"Before,omitempty" json:"Before"` // the holders before a change of them that is not known to be decided
+	Epoch     ids.Epoch
+	ClusterID string `msg:"Founding" json:"Founding"`
+	Primary   Replica
+	Backup    Replica
+	Voters    []Replica `msg:"Holders" json:"Holders"`
+	// further backups, where more than one machine may be lost at once
+	MoreBackups []Replica `msg:"Also" json:"Also"`
+	// the holders before a change of them that is not known to be decided
+	OutgoingVoters []Replica `msg:"Before,omitempty" json:"Before"`
 }
 
 // BallotRequest is either round: promise, or accept of Record.
--- a/coordination/primary_call.go
+++ b/coordination/primary_call.go
@@ -24,7 +24,15 @@
 // address asked last comes with it. No attempt lasts longer than the given time. An attempt
 // is left when a newer record is learnt: a deposed primary that is frozen or cut off would
 // take all the time there is. No error is final if final is nil.
-func CallPrimary[Q, R any](ctx context.Context, call *rpc.Caller, directory *Directory, attempt time.Duration, name string, request *Q, final func(error) bool) (*R, string, error) {
+func CallPrimary[Q, R any](
+	ctx context.Context,
+	call *rpc.Caller,
+	directory *Directory,
+	attempt time.Duration,
+	name string,
+	request *Q,
+	final func(error) bool,
+) (*R, string, error) {
 	var find search
 	for {
 		r, addr, err := callOnce[Q, R](ctx, call, directory, attempt, name, request)
@@ -39,7 +47,13 @@
 
 // SubmitWithin submits a command by attempts of bounded length under its one operation id,
 // so that it is applied once at most. Errors are those of Submit.
-func SubmitWithin(ctx context.Context, call *rpc.Caller, directory *Directory, attempt time.Duration, request *SubmitRequest) (*SubmitResponse, error) {
+func SubmitWithin(
+	ctx context.Context,
+	call *rpc.Caller,
+	directory *Directory,
+	attempt time.Duration,
+	request *SubmitRequest,
+) (*SubmitResponse, error) {
 	var doubt error
 	final := func(err error) bool {
 		if failure.Is(err, failure.OutcomeUnknown) {
@@ -47,7 +61,9 @@
 		}
 		return failure.Is(err, failure.Stale) || failure.Is(err, failure.InvalidArgument)
 	}
-	r, addr, err := CallPrimary[SubmitRequest, SubmitResponse](ctx, call, directory, attempt, SubmitMethod, request, final)
+	r, addr, err := CallPrimary[SubmitRequest, SubmitResponse](
+		ctx, call, directory, attempt, SubmitMethod, request, final,
+	)
 	switch {
 	case err == nil:
 		return r, nil
@@ -60,7 +76,14 @@
 }
 
 // callOnce makes one attempt.
-func callOnce[Q, R any](ctx context.Context, call *rpc.Caller, directory *Directory, attempt time.Duration, name string, request *Q) (*R, string, error) {
+func callOnce[Q, R any](
+	ctx context.Context,
+	call *rpc.Caller,
+	directory *Directory,
+	attempt time.Duration,
+	name string,
+	request *Q,
+) (*R, string, error) {
 	callContext, stop := context.WithTimeout(ctx, attempt)
 	defer stop()
 	grown := directory.RecordChanged()
--- a/coordination/register.go
+++ b/coordination/register.go
@@ -26,7 +26,8 @@
 	switch {
 	case record.Epoch < r.Promised:
 		return "a newer epoch is promised"
-	case record.Epoch == r.Promised && record.Epoch > firstEpoch && r.PromisedTo != "" && r.PromisedTo != record.Primary.Disk:
+	case record.Epoch == r.Promised && record.Epoch > firstEpoch && r.PromisedTo != "" &&
+		r.PromisedTo != record.Primary.Disk:
 		return "the epoch is promised to another"
 	}
 	return ""
@@ -54,7 +55,12 @@
 	defer c.registerMu.Unlock()
 	now := c.options.Host.Clock.Now()
 	answer := func(reason string) (*BallotResponse, error) {
-		return &BallotResponse{OK: reason == "", Promised: c.register.Promised, Accepted: c.register.Accepted, Reason: reason}, nil
+		return &BallotResponse{
+			OK:       reason == "",
+			Promised: c.register.Promised,
+			Accepted: c.register.Accepted,
+			Reason:   reason,
+		}, nil
 	}
 	next := c.register
 	switch primary := c.register.Accepted.Primary.Disk; {
@@ -92,7 +98,8 @@
 func (c *Core) adoptRecord(r Record) bool {
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
-	if r.Epoch <= c.register.Accepted.Epoch || !containsDisk(r.allVoters(), c.self.Disk) || c.register.refuses(r) != "" || r.backupRank(c.self.Disk) >= 0 {
+	if r.Epoch <= c.register.Accepted.Epoch || !containsDisk(r.allVoters(), c.self.Disk) ||
+		c.register.refuses(r) != "" || r.backupRank(c.self.Disk) >= 0 {
 		return false
 	}
 	next := c.register.accept(r)
@@ -107,7 +114,8 @@
 // then. A change of holders is over with that, and the holders before it have no say any
 // more. The caller holds registerMu. A disk that refuses is asked again at the next heartbeat.
 func (c *Core) markDecided(epoch ids.Epoch, primary ids.DiskID) {
-	if c.register.Accepted.Epoch != epoch || c.register.Accepted.Primary.Disk != primary || len(c.register.Accepted.OutgoingVoters) == 0 {
+	if c.register.Accepted.Epoch != epoch || c.register.Accepted.Primary.Disk != primary ||
+		len(c.register.Accepted.OutgoingVoters) == 0 {
 		return
 	}
 	next := c.register
--- a/coordination/state.go
+++ b/coordination/state.go
@@ -70,7 +70,14 @@
 }
 
 func newReplicatedState(app StateMachine) *replicatedState {
-	return &replicatedState{members: map[ids.NodeID]Member{}, grants: map[ids.Key]Grant{}, outcomes: map[ids.OpID]Outcome{}, outcomeOrder: map[string][]ids.OpID{}, machine: app, digest: make([]byte, digestBytes)}
+	return &replicatedState{
+		members:      map[ids.NodeID]Member{},
+		grants:       map[ids.Key]Grant{},
+		outcomes:     map[ids.OpID]Outcome{},
+		outcomeOrder: map[string][]ids.OpID{},
+		machine:      app,
+		digest:       make([]byte, digestBytes),
+	}
 }
 
 type command interface{ apply(*replicatedState) }
@@ -182,7 +189,9 @@
 		for _, p := range r.outcomes {
 			snapshot.Outcomes = append(snapshot.Outcomes, p)
 		}
-		sort.Slice(snapshot.Outcomes, func(i, op int) bool { return snapshot.Outcomes[i].Seq < snapshot.Outcomes[op].Seq })
+		sort.Slice(snapshot.Outcomes, func(i, op int) bool {
+			return snapshot.Outcomes[i].Seq < snapshot.Outcomes[op].Seq
+		})
 	}
 	return snapshot
 }
--- a/coordination/store.go
+++ b/coordination/store.go
@@ -112,7 +112,12 @@
 		return nil, failure.As(err, failure.InvalidArgument, "read snapshot", "disk")
 	}
 	if len(rest) > 0 || !strings.HasPrefix(snapshot.LogName, logPrefix) {
-		return nil, failure.New(failure.InvalidArgument, "read snapshot", "disk", "its content is not that of a snapshot of this version")
+		return nil, failure.New(
+			failure.InvalidArgument,
+			"read snapshot",
+			"disk",
+			"its content is not that of a snapshot of this version",
+		)
 	}
 	return snapshot, nil
 }
@@ -142,13 +147,25 @@
 	_, err := s.disk.Load(registerFile)
 	switch {
 	case snapshot != nil:
-		return failure.New(failure.InvalidArgument, "open log", "disk", "%s, which the snapshot names, is missing: the disk counts as lost", missing)
+		return failure.New(
+			failure.InvalidArgument,
+			"open log",
+			"disk",
+			"%s, which the snapshot names, is missing: the disk counts as lost",
+			missing,
+		)
 	case errors.Is(err, host.ErrNotExist):
 		return nil
 	case err != nil:
 		return err
 	}
-	return failure.New(failure.InvalidArgument, "open log", "disk", "there is a register, but neither a snapshot nor %s: the disk counts as lost", missing)
+	return failure.New(
+		failure.InvalidArgument,
+		"open log",
+		"disk",
+		"there is a register, but neither a snapshot nor %s: the disk counts as lost",
+		missing,
+	)
 }
 
 // replay applies the rows of a log to the state before it.
@@ -160,7 +177,9 @@
 			return failure.As(err, failure.InvalidArgument, "read log", "disk")
 		}
 		if len(rest) > 0 {
-			return failure.New(failure.InvalidArgument, "read log", "disk", "%d bytes stand behind entry %d", len(rest), e.Seq)
+			return failure.New(
+				failure.InvalidArgument, "read log", "disk", "%d bytes stand behind entry %d", len(rest), e.Seq,
+			)
 		}
 		if e.Seq != r.seq+1 {
 			return failure.New(failure.InvalidArgument, "read log", "disk", "row %d follows %d", e.Seq, r.seq)
@@ -294,7 +313,12 @@
 	}
 	// What is accepted was promised before, and only what was promised is saved.
 	if len(rest) > 0 || b.Promised == 0 || b.Promised < b.Accepted.Epoch {
-		return register{}, failure.New(failure.InvalidArgument, "read register", "disk", "its content is not that of a register: the disk counts as lost")
+		return register{}, failure.New(
+			failure.InvalidArgument,
+			"read register",
+			"disk",
+			"its content is not that of a register: the disk counts as lost",
+		)
 	}
 	return register{Promised: b.Promised, PromisedTo: b.PromisedTo, Accepted: b.Accepted}, nil
 }
--- a/coordination/watch.go
+++ b/coordination/watch.go
@@ -67,7 +67,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r.Epoch < a.feedEpoch {
-		return failure.New(failure.Stale, "take news", "", "it is of epoch %d, epoch %d was heard", r.Epoch, a.feedEpoch)
+		return failure.New(
+			failure.Stale, "take news", "", "it is of epoch %d, epoch %d was heard", r.Epoch, a.feedEpoch,
+		)
 	}
 	previous := a.view.Load()
 	var next *replicatedState
@@ -125,7 +127,9 @@
 	maps.Copy(next.grants, previous.grants)
 	for _, e := range entries {
 		if e.Seq != next.seq+1 {
-			return nil, false, failure.New(failure.InvalidArgument, "fold news", "news", "entry %d follows %d", e.Seq, next.seq)
+			return nil, false, failure.New(
+				failure.InvalidArgument, "fold news", "news", "entry %d follows %d", e.Seq, next.seq,
+			)
 		}
 		next.seq = e.Seq
 		c, err := parse(e.Kind, e.Body)
--- a/host/disk.go
+++ b/host/disk.go
@@ -150,7 +150,9 @@
 	}
 	body, ok := Unseal(row)
 	if !ok {
-		return nil, failure.New(failure.InvalidArgument, "load file", name, "checksum does not fit: the disk counts as lost")
+		return nil, failure.New(
+			failure.InvalidArgument, "load file", name, "checksum does not fit: the disk counts as lost",
+		)
 	}
 	return body, nil
 }
--- a/host/log.go
+++ b/host/log.go
@@ -83,7 +83,14 @@
 		return nil, failure.As(err, failure.DataLost, "read log", "disk")
 	}
 	if last != records {
-		return nil, failure.New(failure.InvalidArgument, "read log", "disk", "it ends at record %d instead of %d: the disk counts as lost", last, records)
+		return nil, failure.New(
+			failure.InvalidArgument,
+			"read log",
+			"disk",
+			"it ends at record %d instead of %d: the disk counts as lost",
+			last,
+			records,
+		)
 	}
 	var rows [][]byte
 	for i := uint64(1); i <= last; i++ {
@@ -93,7 +100,14 @@
 		}
 		some, ok := openRecord(record)
 		if !ok {
-			return nil, failure.New(failure.InvalidArgument, "read log", "disk", "record %d of %d is damaged: the disk counts as lost", i, last)
+			return nil, failure.New(
+				failure.InvalidArgument,
+				"read log",
+				"disk",
+				"record %d of %d is damaged: the disk counts as lost",
+				i,
+				last,
+			)
 		}
 		rows = append(rows, some...)
 	}
@@ -178,7 +192,14 @@
 	records := uint64(0)
 	for i, name := range names {
 		if name != segmentName(records+1) {
-			return 0, failure.New(failure.InvalidArgument, "check log", dir, "segment %s stands where record %d is due: the disk counts as lost", name, records+1)
+			return 0, failure.New(
+				failure.InvalidArgument,
+				"check log",
+				dir,
+				"segment %s stands where record %d is due: the disk counts as lost",
+				name,
+				records+1,
+			)
 		}
 		count, err := d.checkSegment(filepath.Join(dir, name), i == len(names)-1)
 		if err != nil {
@@ -209,7 +230,12 @@
 			continue
 		}
 		if bad {
-			return 0, failure.New(failure.InvalidArgument, "check log", path, "a damaged record stands before good ones: the disk counts as lost")
+			return 0, failure.New(
+				failure.InvalidArgument,
+				"check log",
+				path,
+				"a damaged record stands before good ones: the disk counts as lost",
+			)
 		}
 		good = at
 		records++
@@ -218,7 +244,9 @@
 		return records, nil
 	}
 	if !newest {
-		return 0, failure.New(failure.InvalidArgument, "check log", path, "an older segment is cut short: the disk counts as lost")
+		return 0, failure.New(
+			failure.InvalidArgument, "check log", path, "an older segment is cut short: the disk counts as lost",
+		)
 	}
 	return records, d.truncate(path, int64(good))
 }
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -16,7 +16,14 @@
 // among themselves, and puts every line of its answer to out. It returns how many lines were
 // put. A refusal comes back as the Fault that the node answered with; a node that is silent
 // for the given time is given up. The request is sent once.
-func Pass(ctx context.Context, web *http.Client, addr, path string, ask *StreamRequest, silent time.Duration, out Sink) (int, error) {
+func Pass(
+	ctx context.Context,
+	web *http.Client,
+	addr, path string,
+	ask *StreamRequest,
+	silent time.Duration,
+	out Sink,
+) (int, error) {
 	body, err := json.Marshal(ask)
 	if err != nil {
 		return 0, failure.As(err, failure.InvalidArgument, "pass on", addr)
--- a/internal/api/json.go
+++ b/internal/api/json.go
@@ -33,7 +33,12 @@
 	case errors.As(err, &kind):
 		return WriteFault(http.StatusBadRequest, "wrong-type", kind.Field, "%s is no %s", kind.Value, kind.Type)
 	case strings.HasPrefix(err.Error(), unknownField):
-		return WriteFault(http.StatusBadRequest, "unknown-field", strings.Trim(strings.TrimPrefix(err.Error(), unknownField), `"`), "no such field")
+		return WriteFault(
+			http.StatusBadRequest,
+			"unknown-field",
+			strings.Trim(strings.TrimPrefix(err.Error(), unknownField), `"`),
+			"no such field",
+		)
 	}
 	return WriteFault(http.StatusBadRequest, "malformed", "", "%v", err)
 }
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -100,7 +100,9 @@
 
 // Stale returns the refusal of a configuration that builds on another version than the newest.
 func Stale(base, newest uint64) error {
-	return WriteFault(http.StatusConflict, "stale", "base", "it was made over version %d; the newest is %d", base, newest)
+	return WriteFault(
+		http.StatusConflict, "stale", "base", "it was made over version %d; the newest is %d", base, newest,
+	)
 }
 
 // OutcomeEvent turns an error of package failure into the refusal of an order: 504 if it may have been
@@ -109,7 +111,13 @@
 func OutcomeEvent(err error, after time.Duration) error {
 	switch failure.KindOf(err) {
 	case failure.OutcomeUnknown:
-		return RetryLater(http.StatusGatewayTimeout, "unknown-fate", after, "it may have been taken; ask again with the same op: %v", err)
+		return RetryLater(
+			http.StatusGatewayTimeout,
+			"unknown-fate",
+			after,
+			"it may have been taken; ask again with the same op: %v",
+			err,
+		)
 	case failure.InvalidArgument, failure.Stale:
 		return err
 	}
@@ -129,7 +137,9 @@
 		got, err := o.Shown(r.Context())
 		answer(w, got, err)
 	})
-	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { Write(w, http.StatusOK, o.Status()) })
+	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
+		Write(w, http.StatusOK, o.Status())
+	})
 	mux.HandleFunc("POST /v1/policy", func(w http.ResponseWriter, r *http.Request) {
 		var a ApplyRequest
 		if f := Read(r, &a, maxPolicy); f != nil {
@@ -143,29 +153,19 @@
 		got, err := o.Apply(r.Context(), &a)
 		answer(w, got, err)
 	})
-	mark := func(f func(context.Context, string, *MarkRequest) (*ApplyResponse, error)) http.HandlerFunc {
-		return func(w http.ResponseWriter, r *http.Request) {
-			var m MarkRequest
-			if f := Read(r, &m, maxMark); f != nil {
-				NotExecuted(w, f)
-				return
-			}
-			if m.Op == "" {
-				NotExecuted(w, WriteFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
-				return
-			}
-			got, err := f(r.Context(), r.PathValue("name"), &m)
-			answer(w, got, err)
-		}
-	}
-	mux.HandleFunc("POST /v1/zones/{name}", mark(o.Evacuate))
-	mux.HandleFunc("POST /v1/workers/{name}", mark(o.Drain))
-	mux.HandleFunc("POST /v1/certificates/{name}", mark(o.Revoke))
-	mux.HandleFunc("GET /v1/regimes", func(w http.ResponseWriter, _ *http.Request) { Write(w, http.StatusOK, o.Regimes()) })
+	mux.HandleFunc("POST /v1/zones/{name}", markHandler(o.Evacuate))
+	mux.HandleFunc("POST /v1/workers/{name}", markHandler(o.Drain))
+	mux.HandleFunc("POST /v1/certificates/{name}", markHandler(o.Revoke))
+	mux.HandleFunc("GET /v1/regimes", func(w http.ResponseWriter, _ *http.Request) {
+		Write(w, http.StatusOK, o.Regimes())
+	})
 	mux.HandleFunc("GET /v1/audit", func(w http.ResponseWriter, r *http.Request) {
 		from, err := strconv.Atoi(r.FormValue("from"))
 		if err != nil || from < 1 {
-			NotExecuted(w, WriteFault(http.StatusBadRequest, "out-of-range", "from", "a row's number is needed, from 1 on"))
+			NotExecuted(
+				w,
+				WriteFault(http.StatusBadRequest, "out-of-range", "from", "a row's number is needed, from 1 on"),
+			)
 			return
 		}
 		got, err := o.Audits(r.Context(), from, maxAuditRows)
@@ -177,6 +177,23 @@
 	})
 }
 
+// markHandler reads an order about one zone, worker or certificate and has f carry it out.
+func markHandler(f func(context.Context, string, *MarkRequest) (*ApplyResponse, error)) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		var m MarkRequest
+		if fault := Read(r, &m, maxMark); fault != nil {
+			NotExecuted(w, fault)
+			return
+		}
+		if m.Op == "" {
+			NotExecuted(w, WriteFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
+			return
+		}
+		got, err := f(r.Context(), r.PathValue("name"), &m)
+		answer(w, got, err)
+	}
+}
+
 // answer writes the answer a, or the error.
 func answer(w http.ResponseWriter, a any, err error) {
 	if err != nil {
--- a/internal/api/streams.go
+++ b/internal/api/streams.go
@@ -163,7 +163,14 @@
 	case len(a.Tokens()) == 0:
 		return WriteFault(http.StatusBadRequest, "missing", "prompt", "the prompt is empty")
 	case len(a.Tokens()) > maxPrompt:
-		return WriteFault(http.StatusRequestEntityTooLarge, "too-large", "prompt", "%d tokens, at most %d", len(a.Tokens()), maxPrompt)
+		return WriteFault(
+			http.StatusRequestEntityTooLarge,
+			"too-large",
+			"prompt",
+			"%d tokens, at most %d",
+			len(a.Tokens()),
+			maxPrompt,
+		)
 	case a.MaxTokens < 0 || a.MaxTokens > maxTokens:
 		return WriteFault(http.StatusBadRequest, "out-of-range", "maxTokens", "at most %d", maxTokens)
 	case a.Temperature < 0 || a.Temperature > maxTemperature:
--- a/internal/certification/certification.go
+++ b/internal/certification/certification.go
@@ -119,7 +119,11 @@
 func (i Issuer) read(path []string) (*key, error) {
 	raw, err := base64.StdEncoding.DecodeString(i.Key)
 	if err != nil || len(raw) != ed25519.PublicKeySize {
-		return nil, invalid(append(path, "key"), "it is no Ed25519 public key: base64 of %d bytes is needed", ed25519.PublicKeySize)
+		return nil, invalid(
+			append(path, "key"),
+			"it is no Ed25519 public key: base64 of %d bytes is needed",
+			ed25519.PublicKeySize,
+		)
 	}
 	from, until, err := parseValidity(path, i.From, i.Until)
 	return &key{raw, from, until}, err
@@ -133,20 +137,35 @@
 	}
 	k := keys[c.Issuer]
 	if k == nil {
-		return 0, 0, invalid(append(path, "issuer"), "issuer %q is foreign: it is none of the configuration's issuers", c.Issuer)
+		return 0, 0, invalid(
+			append(path, "issuer"), "issuer %q is foreign: it is none of the configuration's issuers", c.Issuer,
+		)
 	}
 	sig, err := base64.StdEncoding.DecodeString(c.Signature)
 	switch {
 	case err != nil:
 		return 0, 0, invalid(append(path, "signature"), "it is no base64 text")
 	case len(sig) != ed25519.SignatureSize:
-		return 0, 0, invalid(append(path, "signature"), "it is truncated: %d bytes of %d", len(sig), ed25519.SignatureSize)
+		return 0, 0, invalid(
+			append(path, "signature"), "it is truncated: %d bytes of %d", len(sig), ed25519.SignatureSize,
+		)
 	case !ed25519.Verify(k.public, c.text(), sig):
-		return 0, 0, invalid(append(path, "signature"), "the signature of issuer %q does not fit this certificate of %s: it was forged, altered, copied from another subject, or signed by another key", c.Issuer, c.Subject())
+		return 0, 0, invalid(
+			append(path, "signature"),
+			"the signature of issuer %q does not fit this certificate of %s: it was forged, altered, copied from another subject, or signed by another key",
+			c.Issuer,
+			c.Subject(),
+		)
 	}
 	from, until = max(from, k.from), min(until, k.until)
 	if from >= until {
-		return 0, 0, invalid(append(path, "issuer"), "it is never in force: issuer %q is valid only from %s to %s", c.Issuer, time.Unix(0, k.from).UTC().Format(time.RFC3339), time.Unix(0, k.until).UTC().Format(time.RFC3339))
+		return 0, 0, invalid(
+			append(path, "issuer"),
+			"it is never in force: issuer %q is valid only from %s to %s",
+			c.Issuer,
+			time.Unix(0, k.from).UTC().Format(time.RFC3339),
+			time.Unix(0, k.until).UTC().Format(time.RFC3339),
+		)
 	}
 	return from, until, nil
 }
--- a/internal/certification/key.go
+++ b/internal/certification/key.go
@@ -37,7 +37,9 @@
 	}
 	private, ok := any.(ed25519.PrivateKey)
 	if !ok {
-		return nil, failure.New(failure.InvalidArgument, "read key", "", "it is a key of another sort; an Ed25519 key is needed")
+		return nil, failure.New(
+			failure.InvalidArgument, "read key", "", "it is a key of another sort; an Ed25519 key is needed",
+		)
 	}
 	return private, nil
 }
--- a/internal/certification/register.go
+++ b/internal/certification/register.go
@@ -50,11 +50,19 @@
 		}
 		return nil, nil
 	}
-	r := &Register{regimes: regimes, kinds: map[string]string{}, coverage: map[coverage][]entry{}, all: map[string]*Certificate{}, validity: map[string]entry{}}
+	r := &Register{
+		regimes:  regimes,
+		kinds:    map[string]string{},
+		coverage: map[coverage][]entry{},
+		all:      map[string]*Certificate{},
+		validity: map[string]entry{},
+	}
 	for _, name := range sorted(regimes) {
 		for _, k := range regimes[name].Kinds {
 			if other, ok := r.kinds[k]; ok {
-				bad = append(bad, invalid([]string{"regimes", name, "kinds"}, "kind %q is governed by %q already", k, other))
+				bad = append(bad, invalid([]string{
+					"regimes", name, "kinds",
+				}, "kind %q is governed by %q already", k, other))
 				continue
 			}
 			r.kinds[k] = name
--- a/internal/fleetstate/client.go
+++ b/internal/fleetstate/client.go
@@ -25,7 +25,9 @@
 
 // ReadState asks the core for all that is agreed on, until the context ends.
 func ReadState(ctx context.Context, caller *rpc.Caller, directory *coordination.Directory) (*EncodedState, error) {
-	r, addr, err := coordination.CallPrimary[coordination.WatchRequest, coordination.WatchResponse](ctx, caller, directory, attemptTimeout, coordination.WatchMethod, &coordination.WatchRequest{}, nil)
+	r, addr, err := coordination.CallPrimary[coordination.WatchRequest, coordination.WatchResponse](
+		ctx, caller, directory, attemptTimeout, coordination.WatchMethod, &coordination.WatchRequest{}, nil,
+	)
 	if err != nil {
 		return nil, failure.As(err, failure.Unavailable, "read newest", addr)
 	}
@@ -42,7 +44,11 @@
 
 // Newest asks the core for the newest version, in force or staged, and for the zones
 // that are evacuated, until the context ends.
-func Newest(ctx context.Context, caller *rpc.Caller, directory *coordination.Directory) (VersionedText, []string, error) {
+func Newest(
+	ctx context.Context,
+	caller *rpc.Caller,
+	directory *coordination.Directory,
+) (VersionedText, []string, error) {
 	encoded, err := ReadState(ctx, caller, directory)
 	if err != nil {
 		return VersionedText{}, nil, err
@@ -59,7 +65,10 @@
 
 // ProgramSet gives the newest program set, in force or staged, and whether it is in force.
 func (encoded *EncodedState) ProgramSet() (VersionedText, bool) {
-	return (&versionHistory{active: encoded.Programs, prepared: encoded.ProgramsPrepared}).latest(), len(encoded.ProgramsPrepared) == 0
+	return (&versionHistory{
+		active:   encoded.Programs,
+		prepared: encoded.ProgramsPrepared,
+	}).latest(), len(encoded.ProgramsPrepared) == 0
 }
 
 // Put asks the core for a text as the version next (0: the one after base), made over
@@ -67,7 +76,14 @@
 // another version is the newest, Bad where the number is too low, Unknown where it may
 // have been taken, Away where it was not. A large text that differs little from the one
 // it was made over goes as a delta.
-func Put(ctx context.Context, caller *rpc.Caller, directory *coordination.Directory, op ids.OpID, base, next ids.Version, text []byte) (ids.Version, error) {
+func Put(
+	ctx context.Context,
+	caller *rpc.Caller,
+	directory *coordination.Directory,
+	op ids.OpID,
+	base, next ids.Version,
+	text []byte,
+) (ids.Version, error) {
 	var newest VersionedText
 	if base > 0 && len(text) >= deltaFrom {
 		var err error
@@ -79,12 +95,24 @@
 }
 
 // PutOver is Put for a caller that has read the newest version already.
-func PutOver(ctx context.Context, caller *rpc.Caller, directory *coordination.Directory, op ids.OpID, base, next ids.Version, text []byte, newest VersionedText) (ids.Version, error) {
+func PutOver(
+	ctx context.Context,
+	caller *rpc.Caller,
+	directory *coordination.Directory,
+	op ids.OpID,
+	base, next ids.Version,
+	text []byte,
+	newest VersionedText,
+) (ids.Version, error) {
 	c := &PrepareVersion{Base: base, Text: compress(text), Next: next}
 	if base > 0 && len(text) >= deltaFrom && newest.Version == base {
 		c.Shorten(newest.Text, text)
 	}
-	return submitForVersion(ctx, caller, directory, &coordination.SubmitRequest{Op: op, Kind: PrepareKind, Body: coordination.MustMarshal(c)})
+	return submitForVersion(ctx, caller, directory, &coordination.SubmitRequest{
+		Op:   op,
+		Kind: PrepareKind,
+		Body: coordination.MustMarshal(c),
+	})
 }
 
 // Shorten makes it a delta where that is half as long at most, and gives the same text.
@@ -101,8 +129,18 @@
 
 // Outcome tells the version that an operation made. Errors: Stale where none was taken,
 // Unknown where one may have been, too long ago to tell.
-func Outcome(ctx context.Context, caller *rpc.Caller, directory *coordination.Directory, op ids.OpID, request OutcomeQuery) (ids.Version, error) {
-	return submitForVersion(ctx, caller, directory, &coordination.SubmitRequest{Op: op, Kind: QueryKind, Body: coordination.MustMarshal(&request)})
+func Outcome(
+	ctx context.Context,
+	caller *rpc.Caller,
+	directory *coordination.Directory,
+	op ids.OpID,
+	request OutcomeQuery,
+) (ids.Version, error) {
+	return submitForVersion(ctx, caller, directory, &coordination.SubmitRequest{
+		Op:   op,
+		Kind: QueryKind,
+		Body: coordination.MustMarshal(&request),
+	})
 }
 
 // ZoneRevision tells how often a zone has changed, and whether it is evacuated.
@@ -116,24 +154,58 @@
 }
 
 // SetEvacuated empties a zone of new work, or takes that back, once for an operation's id.
-func SetEvacuated(ctx context.Context, caller *rpc.Caller, directory *coordination.Directory, op ids.OpID, zone ids.Zone, out bool) error {
+func SetEvacuated(
+	ctx context.Context,
+	caller *rpc.Caller,
+	directory *coordination.Directory,
+	op ids.OpID,
+	zone ids.Zone,
+	out bool,
+) error {
 	return submitEvacuate(ctx, caller, directory, op, &Evacuate{Zone: zone, Evacuated: out})
 }
 
 // CompareAndSetEvacuated empties a zone of new work, or takes that back, if the zone has changed so many
 // times as revision says. Else it is Stale, unless the zone already is as asked.
-func CompareAndSetEvacuated(ctx context.Context, caller *rpc.Caller, directory *coordination.Directory, zone ids.Zone, out bool, revision uint64) error {
+func CompareAndSetEvacuated(
+	ctx context.Context,
+	caller *rpc.Caller,
+	directory *coordination.Directory,
+	zone ids.Zone,
+	out bool,
+	revision uint64,
+) error {
 	op := ids.OpID("mark/" + coordination.NewID())
-	return submitEvacuate(ctx, caller, directory, op, &Evacuate{Zone: zone, Evacuated: out, Compare: true, BaseRevision: revision})
+	return submitEvacuate(ctx, caller, directory, op, &Evacuate{
+		Zone:         zone,
+		Evacuated:    out,
+		Compare:      true,
+		BaseRevision: revision,
+	})
 }
 
-func submitEvacuate(ctx context.Context, caller *rpc.Caller, directory *coordination.Directory, op ids.OpID, c *Evacuate) error {
-	_, err := submitForVersion(ctx, caller, directory, &coordination.SubmitRequest{Op: op, Kind: EvacuateKind, Body: coordination.MustMarshal(c)})
+func submitEvacuate(
+	ctx context.Context,
+	caller *rpc.Caller,
+	directory *coordination.Directory,
+	op ids.OpID,
+	c *Evacuate,
+) error {
+	_, err := submitForVersion(ctx, caller, directory, &coordination.SubmitRequest{
+		Op:   op,
+		Kind: EvacuateKind,
+		Body: coordination.MustMarshal(c),
+	})
 	return err
 }
 
 // submitForVersion submits a decree, and gives the version that it ruled.
-func submitForVersion(ctx context.Context, caller *rpc.Caller, directory *coordination.Directory, request *coordination.SubmitRequest) (ids.Version, error) {
+func submitForVersion(
+	ctx context.Context,
+	caller *rpc.Caller,
+	directory *coordination.Directory,
+	request *coordination.SubmitRequest,
+) (ids.Version, error) {
 	attempt := attemptTimeout + time.Duration(len(request.Body)/1024)*attemptPerKB
 	r, err := coordination.SubmitWithin(ctx, caller, directory, attempt, request)
 	if err != nil {
--- a/internal/fleetstate/configuration.go
+++ b/internal/fleetstate/configuration.go
@@ -160,10 +160,26 @@
 			}
 			key := strings.Join(at, ".")
 			if pos := fd.Pos(); seen[key] {
-				return failure.New(failure.InvalidArgument, "check policy", "", "%s:%d:%d: %s stands twice", pos.Filename(), pos.Line(), pos.Column(), key)
+				return failure.New(
+					failure.InvalidArgument,
+					"check policy",
+					"",
+					"%s:%d:%d: %s stands twice",
+					pos.Filename(),
+					pos.Line(),
+					pos.Column(),
+					key,
+				)
 			}
 			if seen[key] = true; len(seen) > maxEntries+100 {
-				return failure.New(failure.InvalidArgument, "check policy", "", "%s: over %d entries; a policy may have no more", fd.Pos().Filename(), maxEntries)
+				return failure.New(
+					failure.InvalidArgument,
+					"check policy",
+					"",
+					"%s: over %d entries; a policy may have no more",
+					fd.Pos().Filename(),
+					maxEntries,
+				)
 			}
 		}
 		return nil
--- a/internal/fleetstate/delta.go
+++ b/internal/fleetstate/delta.go
@@ -58,7 +58,8 @@
 	}
 	out := make([]byte, 0, d.Size)
 	for _, h := range d.Hunks {
-		if h.From < 0 || h.Len < 0 || h.From > len(previous) || h.Len > len(previous)-h.From || h.Len+len(h.Text) > d.Size-len(out) {
+		if h.From < 0 || h.Len < 0 || h.From > len(previous) || h.Len > len(previous)-h.From ||
+			h.Len+len(h.Text) > d.Size-len(out) {
 			return nil, fault("it does not fit the text before it")
 		}
 		out = append(append(out, previous[h.From:h.From+h.Len]...), h.Text...)
--- a/internal/fleetstate/idempotency.go
+++ b/internal/fleetstate/idempotency.go
@@ -20,7 +20,14 @@
 	if !s.claimsOnly && s.maxRecords > 0 && s.recordCount >= s.maxRecords {
 		return nil, failure.New(failure.Stale, "claim", c.Key, "the store of deeds is full: %d", s.recordCount)
 	}
-	d := IdempotencyRecord{Key: c.Key, Owner: c.Owner, Worker: c.Worker, Incarnation: c.Incarnation, Digest: c.Digest, Outcome: Claimed}
+	d := IdempotencyRecord{
+		Key:         c.Key,
+		Owner:       c.Owner,
+		Worker:      c.Worker,
+		Incarnation: c.Incarnation,
+		Digest:      c.Digest,
+		Outcome:     Claimed,
+	}
 	s.records[c.Key] = d
 	s.recordCount++
 	return &ClaimReply{Fresh: true, Record: d}, nil
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -65,10 +65,27 @@
 	if opt.Wall == nil {
 		opt.Wall = time.Now
 	}
-	m := &Machine{State: newState(false, opt.Retention), commitTimeout: opt.CommitTimeout, read: opt.Read, failbackSince: map[uint64]ids.Tick{}, pendingRevocations: map[string]ids.Seq{}, clock: clock{wall: opt.Wall}}
+	m := &Machine{
+		State:              newState(false, opt.Retention),
+		commitTimeout:      opt.CommitTimeout,
+		read:               opt.Read,
+		failbackSince:      map[uint64]ids.Tick{},
+		pendingRevocations: map[string]ids.Seq{},
+		clock:              clock{wall: opt.Wall},
+	}
 	m.pendingCommits = []*pendingCommit{
-		{versionHistory: &m.versionHistory, prepareKind: PrepareKind, commitKind: CommitKind, due: map[ids.Version]preparedAt{}},
-		{versionHistory: &m.programs, prepareKind: PrepareProgramsKind, commitKind: CommitProgramsKind, due: map[ids.Version]preparedAt{}},
+		{
+			versionHistory: &m.versionHistory,
+			prepareKind:    PrepareKind,
+			commitKind:     CommitKind,
+			due:            map[ids.Version]preparedAt{},
+		},
+		{
+			versionHistory: &m.programs,
+			prepareKind:    PrepareProgramsKind,
+			commitKind:     CommitProgramsKind,
+			due:            map[ids.Version]preparedAt{},
+		},
 	}
 	return m
 }
@@ -138,7 +155,10 @@
 	out := append(append(m.tick(now), m.confirmRevocations(seq, seen)...), m.endedSlowStarts(now)...)
 	for _, w := range m.pendingCommits {
 		if top := w.ready(now, seq, seen, m.commitTimeout); top != 0 {
-			out = append(out, coordination.Command{Kind: w.commitKind, Body: coordination.MustMarshal(&CommitVersion{top})})
+			out = append(out, coordination.Command{
+				Kind: w.commitKind,
+				Body: coordination.MustMarshal(&CommitVersion{top}),
+			})
 		}
 	}
 	return out
@@ -166,7 +186,10 @@
 		}
 		if seen >= at {
 			delete(m.pendingRevocations, r)
-			out = append(out, coordination.Command{Kind: ConfirmRevocationKind, Body: coordination.MustMarshal(&ConfirmRevocation{r})})
+			out = append(out, coordination.Command{
+				Kind: ConfirmRevocationKind,
+				Body: coordination.MustMarshal(&ConfirmRevocation{r}),
+			})
 		}
 	}
 	return out
--- a/internal/fleetstate/order_memory.go
+++ b/internal/fleetstate/order_memory.go
@@ -40,9 +40,18 @@
 	case base == l.newest():
 		return nil
 	case base < reach:
-		return failure.New(failure.OutcomeUnknown, "apply policy", "", "it was made over version %d; what was made over versions below %d is not remembered", base, reach)
+		return failure.New(
+			failure.OutcomeUnknown,
+			"apply policy",
+			"",
+			"it was made over version %d; what was made over versions below %d is not remembered",
+			base,
+			reach,
+		)
 	}
-	return failure.New(failure.Stale, "apply policy", "", "it was made over version %d, the current one is %d", base, l.newest())
+	return failure.New(
+		failure.Stale, "apply policy", "", "it was made over version %d, the current one is %d", base, l.newest(),
+	)
 }
 
 // outcome answers QueryKind for an operation whose id is not known.
@@ -62,13 +71,26 @@
 	if err := of.checkBase(request.Base); err != nil {
 		return err
 	}
-	return failure.New(failure.NotExecuted, "ask for an outcome", "", "version %d is the newest; nothing was made over it", request.Base)
+	return failure.New(
+		failure.NotExecuted,
+		"ask for an outcome",
+		"",
+		"version %d is the newest; nothing was made over it",
+		request.Base,
+	)
 }
 
 // checkZone refuses a compared evacuation if the zone changed since its base was read.
 func (s *State) checkZone(c *Evacuate) error {
 	if now := s.zoneRevisions[c.Zone]; c.Compare && c.BaseRevision != now {
-		return failure.New(failure.Stale, "evacuate", string(c.Zone), "it was asked for at change %d of the zone, which is at %d", c.BaseRevision, now)
+		return failure.New(
+			failure.Stale,
+			"evacuate",
+			string(c.Zone),
+			"it was asked for at change %d of the zone, which is at %d",
+			c.BaseRevision,
+			now,
+		)
 	}
 	return nil
 }
--- a/internal/fleetstate/overlay.go
+++ b/internal/fleetstate/overlay.go
@@ -41,23 +41,13 @@
 		}
 	}
 	gone := map[string][]string{}
-	for _, sec := range sections {
-		var had, has map[string]json.RawMessage
-		if raw, ok := touch[sec]; ok && (json.Unmarshal(raw, &had) != nil || had == nil) {
+	for _, section := range sections {
+		some, removed, ok := changedEntries(touch[section], all[section])
+		if !ok {
 			return ParseComplete(name, merged)
 		}
-		if json.Unmarshal(all[sec], &has) != nil {
-			return ParseComplete(name, merged)
-		}
-		some := map[string]json.RawMessage{}
-		for id := range had {
-			if v, ok := has[id]; ok {
-				some[id] = v
-			} else {
-				gone[sec] = append(gone[sec], id)
-			}
-		}
-		if sub[sec], err = json.Marshal(some); err != nil {
+		gone[section] = removed
+		if sub[section], err = json.Marshal(some); err != nil {
 			return nil, nil, failure.As(err, failure.InvalidArgument, "check policy", name)
 		}
 	}
@@ -80,6 +70,27 @@
 	return p.finish()
 }
 
+// changedEntries gives the entries of a section that a partial text names, as they are after the
+// merge, and those that it removes; ok is false where the section cannot be taken entry by entry.
+func changedEntries(touched, merged json.RawMessage) (some map[string]json.RawMessage, removed []string, ok bool) {
+	var named, after map[string]json.RawMessage
+	if touched != nil && (json.Unmarshal(touched, &named) != nil || named == nil) {
+		return nil, nil, false
+	}
+	if json.Unmarshal(merged, &after) != nil {
+		return nil, nil, false
+	}
+	some = map[string]json.RawMessage{}
+	for id := range named {
+		if entry, kept := after[id]; kept {
+			some[id] = entry
+		} else {
+			removed = append(removed, id)
+		}
+	}
+	return some, removed, true
+}
+
 func overlayMap[K ~string, V any](into, from map[K]V, gone []string) {
 	maps.Copy(into, from)
 	for _, id := range gone {
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -44,7 +44,13 @@
 	var out []routing.Source
 	for _, name := range p.Names() {
 		g := p.Programs[name]
-		out = append(out, routing.Source{Name: name, Text: g.Source, Share: g.Share, Shadow: g.Shadow, ChangesRoles: g.ChangesRoles})
+		out = append(out, routing.Source{
+			Name:         name,
+			Text:         g.Source,
+			Share:        g.Share,
+			Shadow:       g.Shadow,
+			ChangesRoles: g.ChangesRoles,
+		})
 	}
 	return out
 }
@@ -104,8 +110,11 @@
 	if !reflect.DeepEqual(none.Limits, p.Limits) {
 		return fault("limits: only steps and dwellMs rule here")
 	}
-	if len(p.Workers)+len(p.Zones)+len(p.Kinds)+len(p.Routes)+len(p.Services) > 0 || p.RoleChanges != none.RoleChanges || p.ClientLimits != none.ClientLimits {
-		return fault("only programs, limits.steps and limits.dwellMs may be given here; the rest comes with the fleet's own document")
+	if len(p.Workers)+len(p.Zones)+len(p.Kinds)+len(p.Routes)+len(p.Services) > 0 ||
+		p.RoleChanges != none.RoleChanges || p.ClientLimits != none.ClientLimits {
+		return fault(
+			"only programs, limits.steps and limits.dwellMs may be given here; the rest comes with the fleet's own document",
+		)
 	}
 	return p.CheckPrograms()
 }
@@ -122,8 +131,19 @@
 
 // PutPrograms asks the core for a program set, as JSON, made over the version base. Its
 // errors are those of Put.
-func PutPrograms(ctx context.Context, caller *rpc.Caller, directory *coordination.Directory, op ids.OpID, base ids.Version, text []byte) (ids.Version, error) {
-	return submitForVersion(ctx, caller, directory, &coordination.SubmitRequest{Op: op, Kind: PrepareProgramsKind, Body: coordination.MustMarshal(&PrepareVersion{Base: base, Text: compress(text)})})
+func PutPrograms(
+	ctx context.Context,
+	caller *rpc.Caller,
+	directory *coordination.Directory,
+	op ids.OpID,
+	base ids.Version,
+	text []byte,
+) (ids.Version, error) {
+	return submitForVersion(ctx, caller, directory, &coordination.SubmitRequest{
+		Op:   op,
+		Kind: PrepareProgramsKind,
+		Body: coordination.MustMarshal(&PrepareVersion{Base: base, Text: compress(text)}),
+	})
 }
 
 // SetText is a set as JSON; for none it is the empty one.
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -32,7 +32,10 @@
 }
 
 func invalidRegime(path []string, reason string) error {
-	return failure.As(&certification.Fault{Path: path, Reason: reason}, failure.InvalidArgument, "check regimes", strings.Join(path, "."))
+	return failure.As(&certification.Fault{
+		Path:   path,
+		Reason: reason,
+	}, failure.InvalidArgument, "check regimes", strings.Join(path, "."))
 }
 
 // checkRegimes: every certificate holds, every governed kind exists, and each regime has
@@ -59,7 +62,9 @@
 			}
 			for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 				if !p.certified(name, k.Model, part) {
-					return invalidRegime([]string{"regimes", name}, "no certified "+string(part)+" worker offers "+quote(k.Model)+" for kind "+quote(kind))
+					return invalidRegime([]string{
+						"regimes", name,
+					}, "no certified "+string(part)+" worker offers "+quote(k.Model)+" for kind "+quote(kind))
 				}
 			}
 		}
@@ -79,7 +84,8 @@
 // certified tells whether a worker of the catalogue, in its own part, has a certificate.
 func (p *Configuration) certified(regime, model string, part ids.Role) bool {
 	for _, c := range p.Certificates {
-		if w, ok := p.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Role == part && slices.Contains(c.Roles, part) {
+		if w, ok := p.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Role == part &&
+			slices.Contains(c.Roles, part) {
 			return true
 		}
 	}
@@ -94,9 +100,13 @@
 		was, had := previous.Certificates[serial]
 		switch {
 		case had && was.Signature != c.Signature:
-			return invalidRegime([]string{"certificates", serial}, "serial "+quote(serial)+" stands for another certificate already; a new one needs a new serial")
+			return invalidRegime([]string{
+				"certificates", serial,
+			}, "serial "+quote(serial)+" stands for another certificate already; a new one needs a new serial")
 		case !had && now.High > 0 && expired(p, serial, now):
-			return invalidRegime([]string{"certificates", serial, "until"}, "it has expired: its end "+c.Until+" is past")
+			return invalidRegime([]string{
+				"certificates", serial, "until",
+			}, "it has expired: its end "+c.Until+" is past")
 		}
 	}
 	return nil
@@ -127,7 +137,9 @@
 	if pos, _ := findPosition(f.Decls, at.Path); pos.IsValid() {
 		where = pos.Position().String()
 	}
-	return failure.New(failure.InvalidArgument, "check policy", "", "%s: %s: %s", where, strings.Join(at.Path, "."), at.Reason)
+	return failure.New(
+		failure.InvalidArgument, "check policy", "", "%s: %s: %s", where, strings.Join(at.Path, "."), at.Reason,
+	)
 }
 
 // findPosition finds the deepest field along a path, and how deep it is.
@@ -175,7 +187,8 @@
 }
 
 // Eligible reports whether a key may fall to a node. A certified worker's key falls to nodes
-// that are certified for every regime that it may serve, since its holder hands on what is governed; and settling, which reads
+// that are certified for every regime that it may serve, since its holder hands on what is
+// governed; and settling, which reads
 // outcomes, to those certified for all.
 func (m *Machine) Eligible(key ids.Key, node ids.NodeID) bool {
 	id, worker := strings.CutPrefix(string(key), string(WorkerKey("")))
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -37,7 +37,17 @@
 }
 
 func newState(lean bool, d Retention) *State {
-	return &State{claimsOnly: lean, zones: map[ids.Zone]bool{}, zoneRevisions: map[ids.Zone]uint64{}, drained: map[ids.WorkerID]bool{}, failbacks: map[ids.Zone]Failback{}, roleChanges: map[ids.WorkerID]ids.Role{}, records: map[string]IdempotencyRecord{}, aged: newAgedKeys(d), revoked: map[string]bool{}}
+	return &State{
+		claimsOnly:    lean,
+		zones:         map[ids.Zone]bool{},
+		zoneRevisions: map[ids.Zone]uint64{},
+		drained:       map[ids.WorkerID]bool{},
+		failbacks:     map[ids.Zone]Failback{},
+		roleChanges:   map[ids.WorkerID]ids.Role{},
+		records:       map[string]IdempotencyRecord{},
+		aged:          newAgedKeys(d),
+		revoked:       map[string]bool{},
+	}
 }
 
 // putInForce puts a version in force. A lean state has no need of its bounds.
--- a/internal/fleetstate/state_encoding.go
+++ b/internal/fleetstate/state_encoding.go
@@ -12,7 +12,14 @@
 func (s *State) encode(open bool) *EncodedState {
 	s.compress()
 	s.programs.compress()
-	encoded := &EncodedState{Active: s.active, Prepared: s.prepared, Programs: s.programs.active, ProgramsPrepared: s.programs.prepared, Fence: s.fence, RecordCount: s.recordCount}
+	encoded := &EncodedState{
+		Active:           s.active,
+		Prepared:         s.prepared,
+		Programs:         s.programs.active,
+		ProgramsPrepared: s.programs.prepared,
+		Fence:            s.fence,
+		RecordCount:      s.recordCount,
+	}
 	for z := range s.zones {
 		encoded.Zones = append(encoded.Zones, string(z))
 	}
@@ -21,7 +28,9 @@
 	for _, f := range s.failbacks {
 		encoded.Failbacks = append(encoded.Failbacks, f)
 	}
-	sort.Slice(encoded.Failbacks, func(i, j int) bool { return encoded.Failbacks[i].Number < encoded.Failbacks[j].Number })
+	sort.Slice(encoded.Failbacks, func(i, j int) bool {
+		return encoded.Failbacks[i].Number < encoded.Failbacks[j].Number
+	})
 	for w := range s.drained {
 		encoded.Drained = append(encoded.Drained, string(w))
 	}
@@ -34,7 +43,9 @@
 	}
 	sort.Slice(encoded.Revoked, func(i, j int) bool { return encoded.Revoked[i].Serial < encoded.Revoked[j].Serial })
 	encoded.Time = s.time
-	sort.Slice(encoded.RoleChanges, func(i, j int) bool { return encoded.RoleChanges[i].Worker < encoded.RoleChanges[j].Worker })
+	sort.Slice(encoded.RoleChanges, func(i, j int) bool {
+		return encoded.RoleChanges[i].Worker < encoded.RoleChanges[j].Worker
+	})
 	encoded.OrderMemory = s.orderMemory()
 	if !open && !s.claimsOnly {
 		for _, k := range s.resolvedOrder {
@@ -56,11 +67,14 @@
 func (s *State) decode(body []byte) error {
 	var encoded EncodedState
 	if _, err := encoded.UnmarshalMsg(body); err != nil {
-		return failure.As(err, failure.InvalidArgument, "restore lore", "")
+		return failure.As(err, failure.InvalidArgument, "restore state", "")
 	}
 	next := newState(s.claimsOnly, s.aged.Retention)
 	next.putInForce(encoded.Active)
-	next.prepared, next.fence, next.recordCount, next.aged.sealed = encoded.Prepared, encoded.Fence, encoded.RecordCount, s.aged.sealed
+	next.prepared = encoded.Prepared
+	next.fence = encoded.Fence
+	next.recordCount = encoded.RecordCount
+	next.aged.sealed = s.aged.sealed
 	next.programs = versionHistory{active: encoded.Programs, prepared: encoded.ProgramsPrepared}
 	next.restoreOrderMemory(encoded.OrderMemory)
 	for _, z := range encoded.Zones {
--- a/internal/fleetstate/version_history.go
+++ b/internal/fleetstate/version_history.go
@@ -46,7 +46,14 @@
 	}
 	v := l.newest() + 1
 	if c.Next != 0 && c.Next < v {
-		return nil, failure.New(failure.InvalidArgument, "apply policy", "", "version %d is not above the current one, %d", c.Next, l.newest())
+		return nil, failure.New(
+			failure.InvalidArgument,
+			"apply policy",
+			"",
+			"version %d is not above the current one, %d",
+			c.Next,
+			l.newest(),
+		)
 	}
 	v = max(v, c.Next)
 	text := c.Text
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -66,8 +66,18 @@
 }
 
 func NewView(ring *logging.Ring) *View {
-	v := &View{Ring: ring, state: newState(true, Retention{}), parsed: map[ids.Version]parsedVersion{}, programSets: map[ids.Version]*CompiledPrograms{}}
-	v.current.Store(&Snapshot{Configuration: &Configuration{}, Table: NewTable(&Configuration{}), Zones: map[ids.Zone]bool{}, Drained: map[ids.WorkerID]bool{}})
+	v := &View{
+		Ring:        ring,
+		state:       newState(true, Retention{}),
+		parsed:      map[ids.Version]parsedVersion{},
+		programSets: map[ids.Version]*CompiledPrograms{},
+	}
+	v.current.Store(&Snapshot{
+		Configuration: &Configuration{},
+		Table:         NewTable(&Configuration{}),
+		Zones:         map[ids.Zone]bool{},
+		Drained:       map[ids.WorkerID]bool{},
+	})
 	return v
 }
 
@@ -115,7 +125,8 @@
 	}
 	urgent := false
 	switch kind {
-	case PrepareKind, CommitKind, PrepareProgramsKind, CommitProgramsKind, EvacuateKind, DrainKind, RoleChangeKind, RevokeKind, ConfirmRevocationKind:
+	case PrepareKind, CommitKind, PrepareProgramsKind, CommitProgramsKind,
+		EvacuateKind, DrainKind, RoleChangeKind, RevokeKind, ConfirmRevocationKind:
 		urgent = true
 		v.publish()
 	}
@@ -149,28 +160,7 @@
 // publish swaps in the next sight. Old streams keep the sight they began with.
 func (v *View) publish() {
 	all := v.state.all()
-	now := v.state.active
-	for i, r := range all {
-		if _, ok := v.parsed[r.Version]; !ok && len(r.Text) > 0 {
-			read := v.Read
-			if read == nil {
-				read = ReadPlain
-			}
-			text := decompress(r.Text)
-			p, err := read(text)
-			if err != nil {
-				v.Ring.Error().AnErr("cause", err).Msg("policy cannot be read")
-				continue
-			}
-			v.parsed[r.Version] = parsedVersion{p, text}
-			if v.Ready != nil {
-				v.Ready(r.Version, p)
-			}
-		}
-		if i > 0 && uint64(r.Version) <= v.highest.Load() {
-			now = r
-		}
-	}
+	now := v.newestInForce(all)
 	if previous := v.current.Load(); previous.Version > now.Version {
 		now = VersionedText{previous.Version, previous.Text}
 	}
@@ -179,15 +169,80 @@
 			delete(v.parsed, n)
 		}
 	}
-	k := v.parsed[now.Version]
-	if k.configuration == nil {
-		k.text = decompress(now.Text)
+	next := v.snapshotOf(now)
+	next.Newest = all[len(all)-1].Version
+	v.current.Store(next)
+	if uint64(now.Version) > v.highest.Load() {
+		v.highest.Store(uint64(now.Version))
+	}
+}
+
+// newestInForce parses the versions that are new here and gives the one to put in force: the
+// newest that can be read of those committed or heard of.
+func (v *View) newestInForce(all []VersionedText) VersionedText {
+	now := v.state.active
+	for i, version := range all {
+		if !v.parse(version) {
+			continue
+		}
+		if i > 0 && uint64(version.Version) <= v.highest.Load() {
+			now = version
+		}
+	}
+	return now
+}
+
+// parse reads a version once, and reports whether that could be done.
+func (v *View) parse(version VersionedText) bool {
+	if _, ok := v.parsed[version.Version]; ok || len(version.Text) == 0 {
+		return true
+	}
+	read := v.Read
+	if read == nil {
+		read = ReadPlain
+	}
+	text := decompress(version.Text)
+	configuration, err := read(text)
+	if err != nil {
+		v.Ring.Error().AnErr("cause", err).Msg("configuration cannot be read")
+		return false
+	}
+	v.parsed[version.Version] = parsedVersion{configuration, text}
+	if v.Ready != nil {
+		v.Ready(version.Version, configuration)
 	}
-	s := &Snapshot{Version: now.Version, Configuration: k.configuration, Text: k.text, Newest: all[len(all)-1].Version,
-		Zones: map[ids.Zone]bool{}, Drained: map[ids.WorkerID]bool{}, RoleChanges: maps.Clone(v.state.roleChanges), Failbacks: maps.Clone(v.state.failbacks), Programs: v.compilePrograms()}
-	if s.Configuration == nil {
-		s.Configuration = &Configuration{}
+	return true
+}
+
+// snapshotOf is the state as it is now, with a version in force.
+func (v *View) snapshotOf(now VersionedText) *Snapshot {
+	parsed := v.parsed[now.Version]
+	if parsed.configuration == nil {
+		parsed.configuration, parsed.text = &Configuration{}, decompress(now.Text)
+	}
+	s := &Snapshot{
+		Version:       now.Version,
+		Configuration: parsed.configuration,
+		Text:          parsed.text,
+		Zones:         map[ids.Zone]bool{},
+		Drained:       map[ids.WorkerID]bool{},
+		RoleChanges:   maps.Clone(v.state.roleChanges),
+		Failbacks:     maps.Clone(v.state.failbacks),
+		Programs:      v.compilePrograms(),
+	}
+	v.indexConfiguration(s)
+	for z := range v.state.zones {
+		s.Zones[z] = true
 	}
+	for w := range v.state.drained {
+		s.Drained[w] = true
+	}
+	return s
+}
+
+// indexConfiguration sets what is derived from the configuration, or takes it from the snapshot
+// before if that has the same one.
+func (v *View) indexConfiguration(s *Snapshot) {
 	if previous := v.current.Load(); previous.Configuration == s.Configuration && previous.Table != nil {
 		s.Table, s.Unrevoked = previous.Table, previous.Unrevoked
 	} else {
@@ -201,16 +256,6 @@
 		s.Revoked = maps.Clone(v.state.revoked)
 		s.Register = s.Unrevoked.WithRevoked(s.Revoked)
 	}
-	for z := range v.state.zones {
-		s.Zones[z] = true
-	}
-	for w := range v.state.drained {
-		s.Drained[w] = true
-	}
-	v.current.Store(s)
-	if uint64(now.Version) > v.highest.Load() {
-		v.highest.Store(uint64(now.Version))
-	}
 }
 
 // compilePrograms compiles the program sets as they are staged, and gives the one in force. One that
@@ -226,7 +271,8 @@
 		}
 		p, set, err := CompileProgramSet(r.Text, v.Scores)
 		if err != nil {
-			v.Ring.Error().AnErr("cause", err).Uint64("version", uint64(r.Version)).Msg("programs do not compile; those before them serve")
+			v.Ring.Error().AnErr("cause", err).Uint64("version", uint64(r.Version)).
+				Msg("programs do not compile; those before them serve")
 			v.programSets[r.Version] = nil
 			continue
 		}
--- a/internal/fleetstate/zones.go
+++ b/internal/fleetstate/zones.go
@@ -89,7 +89,10 @@
 			m.failbackSince[f.Number] = now
 		}
 		if m.sinceFailback(f) > m.maxSlowStart {
-			out = append(out, coordination.Command{Kind: SlowStartEndedKind, Body: coordination.MustMarshal(&SlowStartEnded{z, f.Number})})
+			out = append(out, coordination.Command{
+				Kind: SlowStartEndedKind,
+				Body: coordination.MustMarshal(&SlowStartEnded{z, f.Number}),
+			})
 		}
 	}
 	return out
--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -140,7 +140,8 @@
 		err := f.attempt(ctx, excluded)
 		// Picked under a version that is no longer in force: picked anew, once the
 		// newer one is here.
-		for failure.Is(err, failure.Stale) && f.from == "" && !c.Clock.Now().Past(start, t.GiveUp) && host.Sleep(ctx, 30*time.Millisecond) {
+		for failure.Is(err, failure.Stale) && f.from == "" && !c.Clock.Now().Past(start, t.GiveUp) &&
+			host.Sleep(ctx, 30*time.Millisecond) {
 			err = f.attempt(ctx, excluded)
 		}
 		if err == nil {
@@ -209,8 +210,16 @@
 	t, h := f.task, f.Transport
 	m := t.Identity
 	m.ID, m.Output = f.id, append([]int32(nil), f.sent...)
-	ask := &routing.PickRequest{Request: m.ID.Request, Kind: t.Kind, Model: m.Model.Name, Adapters: m.Model.Adapters, Zone: t.Zone,
-		Prompt: len(m.Prompt), Max: m.Params.MaxTokens, Role: ids.Decode}
+	ask := &routing.PickRequest{
+		Request:  m.ID.Request,
+		Kind:     t.Kind,
+		Model:    m.Model.Name,
+		Adapters: m.Model.Adapters,
+		Zone:     t.Zone,
+		Prompt:   len(m.Prompt),
+		Max:      m.Params.MaxTokens,
+		Role:     ids.Decode,
+	}
 	complete := len(m.Prompt) + m.Params.MaxTokens
 	to, err := f.reserve(ctx, ask, m.Model, complete, excluded)
 	if err != nil {
@@ -323,7 +332,13 @@
 }
 
 // reserve reserves room on the first worker that has it, in the program's order.
-func (f *inFlight) reserve(ctx context.Context, ask *routing.PickRequest, on workerclient.Model, toks int, excluded map[ids.WorkerID]bool) (Picked, error) {
+func (f *inFlight) reserve(
+	ctx context.Context,
+	ask *routing.PickRequest,
+	on workerclient.Model,
+	toks int,
+	excluded map[ids.WorkerID]bool,
+) (Picked, error) {
 	ask.Need = toks
 	list := f.Transport.Pick(ask, on, excluded)
 	err := failure.New(failure.NotExecuted, "pick "+string(ask.Role), "", "no worker is cleared")
@@ -358,11 +373,15 @@
 // deliver passes on index = last+1 only.
 func (f *inFlight) deliver(p workerclient.TokenEvent) error {
 	if p.Index != len(f.sent) {
-		return failure.New(failure.DataLost, "stream", string(f.to), "piece %d came where %d was due", p.Index, len(f.sent))
+		return failure.New(
+			failure.DataLost, "stream", string(f.to), "piece %d came where %d was due", p.Index, len(f.sent),
+		)
 	}
 	if p.End != "" {
 		if p.Count != len(f.sent) {
-			return failure.New(failure.DataLost, "stream", string(f.to), "an end after %d of %d pieces", len(f.sent), p.Count)
+			return failure.New(
+				failure.DataLost, "stream", string(f.to), "an end after %d of %d pieces", len(f.sent), p.Count,
+			)
 		}
 		return nil
 	}
--- a/internal/handoff/memory_ledger.go
+++ b/internal/handoff/memory_ledger.go
@@ -41,7 +41,13 @@
 
 // NewMemoryLedger begins with nothing known, and is of no use before Begin.
 func NewMemoryLedger(lag, ramp time.Duration, limit int) *MemoryLedger {
-	return &MemoryLedger{since: math.MaxInt64, lag: lag, slowStart: ramp, cap: limit, reservations: map[workerclient.ID]*reservation{}}
+	return &MemoryLedger{
+		since:        math.MaxInt64,
+		lag:          lag,
+		slowStart:    ramp,
+		cap:          limit,
+		reservations: map[workerclient.ID]*reservation{},
+	}
 }
 
 // Begin notes from when on the worker obeys this holder alone: what an earlier
@@ -140,7 +146,8 @@
 	s.Role, s.Capacity, s.Block, s.Model, s.Incarnation = r.Role, r.Capacity, r.Block, r.Model, r.Incarnation
 	// The first report that shows all of an earlier holder's orders was asked
 	// for one lag after the worker knew this holder's fence.
-	s.Ready = !l.reservedBlocks && l.misses < 3 && !now.Past(l.asked, 2*time.Second) && !l.asked.Before(l.since.Add(l.lag))
+	s.Ready = !l.reservedBlocks && l.misses < 3 && !now.Past(l.asked, 2*time.Second) &&
+		!l.asked.Before(l.since.Add(l.lag))
 	used := 0
 	for _, v := range r.Running {
 		if l.reservations[v.ID] == nil {
@@ -211,7 +218,9 @@
 	case !s.Ready:
 		return failure.New(failure.NotExecuted, "reserve", "", "no report young enough")
 	case s.Busy >= s.MaxConcurrent:
-		return failure.New(failure.NotExecuted, "reserve", "", "%d starts are under way, the cap is %d", s.Busy, s.MaxConcurrent)
+		return failure.New(
+			failure.NotExecuted, "reserve", "", "%d starts are under way, the cap is %d", s.Busy, s.MaxConcurrent,
+		)
 	case s.Free < blocks:
 		return failure.New(failure.NotExecuted, "reserve", "", "%d blocks free, %d needed", s.Free, blocks)
 	}
