--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -20,8 +20,9 @@
 )
 
 const (
-	admitHysteresis  = 0.7                    // of where refusing began, it ends
-	admitClassFactor = 2.0                    // what is ahead counts less for each more urgent class, which overtakes it
+	admitHysteresis = 0.7 // of where refusing began, it ends
+	// what is ahead counts less for each more urgent class, which overtakes it
+	admitClassFactor = 2.0
 	admitViewTTL     = 25 * time.Millisecond  // how long one reckoning of a service serves
 	admitEpoch       = 700 * time.Millisecond // in which a request that is repeated fares alike on every node
 	minRetryAfter    = 20 * time.Millisecond  // before a caller is to come back
@@ -122,7 +123,8 @@
 			if off {
 				best = &shy
 			}
-			if ms := float64(ahead)/n.options.PrefillTokensPerMs + queuedPrefillCost*float64(count); *best < 0 || ms < *best {
+			if ms := float64(ahead)/n.options.PrefillTokensPerMs + queuedPrefillCost*float64(count); *best < 0 ||
+				ms < *best {
 				*best = ms
 			}
 		}
@@ -140,7 +142,8 @@
 func (t *exchange) admit(s *fleetstate.Snapshot) error {
 	n, now := t.node, t.node.now()
 	list := n.endpoints.Load()
-	if n.options.AdmitFactor < 0 || !t.route.Disaggregated || t.lastEventID != "" || now.Past(list.requestedAt, listMaxAge) {
+	if n.options.AdmitFactor < 0 || !t.route.Disaggregated || t.lastEventID != "" ||
+		now.Past(list.requestedAt, listMaxAge) {
 		return nil
 	}
 	p := n.rolePressure(t.service, list, s)
@@ -169,7 +172,9 @@
 	if early := n.admission.rejected.returnsEarly(who, now); early > 0 && over > floor {
 		return t.reject(early, "come back too soon")
 	}
-	if due < float64(t.remaining()/time.Millisecond) && admitDraw(who, n.options.Host.Clock.Wall()) >= (over-floor)/begin {
+	if due < float64(t.remaining()/time.Millisecond) && admitDraw(
+		who, n.options.Host.Clock.Wall(),
+	) >= (over-floor)/begin {
 		return nil
 	}
 	after := t.retryAfterHint()
@@ -179,7 +184,12 @@
 
 func (t *exchange) reject(after time.Duration, reason string) error {
 	t.node.counts.RejectedEarly.Add(1)
-	return &RejectedError{Code: http.StatusServiceUnavailable, RetryAfter: max(after, minRetryAfter), Early: true, Reason: reason}
+	return &RejectedError{
+		Code:       http.StatusServiceUnavailable,
+		RetryAfter: max(after, minRetryAfter),
+		Early:      true,
+		Reason:     reason,
+	}
 }
 
 // retryAfterHint books an appointment, within what the caller will wait.
--- a/internal/proxy/check_test.go
+++ b/internal/proxy/check_test.go
@@ -95,7 +95,9 @@
 			n++
 			event := fmt.Sprintf("id: %d\ndata: word-%d of %s\n\n", n, n, a.ID)
 			if !strings.HasPrefix(got, event) {
-				out = append(out, fmt.Sprintf("%s has %q where event %d should stand", a.ID, got[:min(len(got), 40)], n))
+				out = append(
+					out, fmt.Sprintf("%s has %q where event %d should stand", a.ID, got[:min(len(got), 40)], n),
+				)
 				break
 			}
 			got = got[len(event):]
@@ -175,7 +177,10 @@
 	var out []string
 	for _, k := range rows {
 		if (k.Kind == "read" || k.Kind == "emit") && k.Off > moment {
-			out = append(out, fmt.Sprintf("at %s: %s sends a %s to %s, known as off for %s", k.At, k.Node, k.Kind, k.Worker, k.Off))
+			out = append(
+				out,
+				fmt.Sprintf("at %s: %s sends a %s to %s, known as off for %s", k.At, k.Node, k.Kind, k.Worker, k.Off),
+			)
 		}
 	}
 	return out
@@ -203,10 +208,22 @@
 		}
 		if previous, ok := last[k.Worker]; ok {
 			if previous.Owner != k.Owner && k.At-previous.At < lease {
-				out = append(out, fmt.Sprintf("at %s: %s orders %s, %s after %s did", k.At, k.Owner, k.Worker, k.At-previous.At, previous.Owner))
+				out = append(
+					out,
+					fmt.Sprintf(
+						"at %s: %s orders %s, %s after %s did",
+						k.At,
+						k.Owner,
+						k.Worker,
+						k.At-previous.At,
+						previous.Owner,
+					),
+				)
 			}
 			if k.Fence < previous.Fence {
-				out = append(out, fmt.Sprintf("at %s: fence %d after %d at %s", k.At, k.Fence, previous.Fence, k.Worker))
+				out = append(
+					out, fmt.Sprintf("at %s: fence %d after %d at %s", k.At, k.Fence, previous.Fence, k.Worker),
+				)
 			}
 		}
 		last[k.Worker] = k
@@ -260,7 +277,15 @@
 		if got != "" {
 			s.heads, s.status = 1, 200
 		}
-		return []*asked{{Request: &Request{ID: "r", Path: path, MaxTokens: 2}, err: err, sink: s, stream: strings.HasPrefix(path, "/s"), ended: true, at: time.Second, end: 2 * time.Second}}
+		return []*asked{{
+			Request: &Request{ID: "r", Path: path, MaxTokens: 2},
+			err:     err,
+			sink:    s,
+			stream:  strings.HasPrefix(path, "/s"),
+			ended:   true,
+			at:      time.Second,
+			end:     2 * time.Second,
+		}}
 	}
 	emit := row{Kind: "emit", Req: "r", Took: true, Ran: true, Worker: "w"}
 	silent := emit
@@ -285,17 +310,29 @@
 	require.NotEmpty(t, answers(end(nil, "/stream/", event(1))), "a part as a whole")
 	require.NotEmpty(t, answers(end(nil, "/stream/", event(1)+event(1)+event(2))), "an event twice")
 	require.NotEmpty(t, answers(end(nil, "/stream/", event(2)+event(1))), "out of order")
-	require.NotEmpty(t, answers(end(&AbortedError{HeadSent: true}, "/stream/", event(1)+"id: 2\nda")), "a partial event")
+	require.NotEmpty(
+		t, answers(end(&AbortedError{HeadSent: true}, "/stream/", event(1)+"id: 2\nda")), "a partial event",
+	)
 	require.NotEmpty(t, answers(end(&RejectedError{}, "/stream/", event(1))), "a refusal with bytes")
 	require.NotEmpty(t, answers(end(&AbortedError{}, "/stream/", event(1))), "begun and not told")
 
 	second := emit
 	second.At = 3 * time.Second
 	require.Empty(t, extras([]row{emit, second}, end(nil, "/again/", plainText), 1, 0, 10*time.Second))
-	require.NotEmpty(t, extras([]row{emit, second}, end(nil, "/again/", plainText), 0.5, 0, 10*time.Second), "one extra for one request")
-	require.NotEmpty(t, extras([]row{emit, second}, end(nil, "/again/", plainText), 1, 0, time.Second), "the request is out of the window")
-	require.NotEmpty(t, extras([]row{{Kind: "read", Req: "r"}, second}, end(nil, "/again/", plainText), 0.5, 0, 10*time.Second), "a failed reading")
-	require.Empty(t, extras([]row{{Kind: "read", Req: "r", Ran: true}, second}, end(nil, "/again/", plainText), 0.5, 0, 10*time.Second))
+	require.NotEmpty(t, extras([]row{
+		emit, second,
+	}, end(nil, "/again/", plainText), 0.5, 0, 10*time.Second), "one extra for one request")
+	require.NotEmpty(t, extras([]row{
+		emit, second,
+	}, end(nil, "/again/", plainText), 1, 0, time.Second), "the request is out of the window")
+	require.NotEmpty(t, extras([]row{
+		{Kind: "read", Req: "r"},
+		second,
+	}, end(nil, "/again/", plainText), 0.5, 0, 10*time.Second), "a failed reading")
+	require.Empty(t, extras([]row{
+		{Kind: "read", Req: "r", Ran: true},
+		second,
+	}, end(nil, "/again/", plainText), 0.5, 0, 10*time.Second))
 
 	cold := row{Kind: "read", Worker: "w", Cold: true}
 	require.Empty(t, coldRate([]row{cold, cold}, 2))
@@ -309,9 +346,13 @@
 	order := func(at time.Duration, owner ids.NodeID, fence ids.Fence) row {
 		return row{Kind: "order", At: at, Worker: "w", Owner: owner, Fence: fence, To: ids.Decode, Took: true}
 	}
-	require.Empty(t, ordersApart([]row{order(0, "a", 1), order(1, "a", 1), order(4*time.Second, "b", 2)}, 3*time.Second))
+	require.Empty(t, ordersApart([]row{
+		order(0, "a", 1), order(1, "a", 1), order(4*time.Second, "b", 2),
+	}, 3*time.Second))
 	require.NotEmpty(t, ordersApart([]row{order(0, "a", 1), order(2*time.Second, "b", 2)}, 3*time.Second), "too close")
-	require.NotEmpty(t, ordersApart([]row{order(0, "a", 2), order(4*time.Second, "b", 1)}, 3*time.Second), "a lower fence")
+	require.NotEmpty(t, ordersApart([]row{
+		order(0, "a", 2), order(4*time.Second, "b", 1),
+	}, 3*time.Second), "a lower fence")
 	parts := map[ids.WorkerID]ids.Role{"v": ids.Prefill, "w": ids.Prefill, "x": ids.Decode}
 	require.Empty(t, thirds([]row{order(0, "a", 1)}, parts))
 	require.NotEmpty(t, thirds([]row{order(0, "a", 1)}, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "x": ids.Decode}))
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -58,7 +58,10 @@
 		v, err := put("seven", 1, 7, `{"zones":["seven"]}`)
 		require.NoError(t, err)
 		require.EqualValues(t, 7, v)
-		require.Equal(t, fleetstate.VersionedText{Version: 7, Text: []byte(`{"zones":["seven"]}`)}, f.newest(t), "staged or in force, at once")
+		require.Equal(t, fleetstate.VersionedText{
+			Version: 7,
+			Text:    []byte(`{"zones":["seven"]}`),
+		}, f.newest(t), "staged or in force, at once")
 		_, err = put("stale", 1, 9, `{}`)
 		require.True(t, failure.Is(err, failure.Stale), "%v", err)
 		for _, low := range []ids.Version{3, 7} {
@@ -96,7 +99,12 @@
 		require.True(t, f.until(3*time.Second, func() bool { return f.inForce(1) }))
 		routes := ways()
 		for i := range 1400 {
-			routes = append(routes, fleetstate.Route{Name: fmt.Sprint("x", i), Host: fmt.Sprintf("h%d.example", i), Prefix: "/", Service: "svc"})
+			routes = append(routes, fleetstate.Route{
+				Name:    fmt.Sprint("x", i),
+				Host:    fmt.Sprintf("h%d.example", i),
+				Prefix:  "/",
+				Service: "svc",
+			})
 		}
 		text := policy(routes, fleetstate.Service{Name: "svc", Concurrency: 16})
 		require.NoError(t, f.put("large", 1, 2, text))
@@ -180,7 +188,18 @@
 			next := v + ids.Version(1+i%3)
 			var err error
 			f.until(20*time.Second, func() bool {
-				err = f.putAt(f.nodes[(n+1)%3], ids.OpID(fmt.Sprint("op", i)), v, next, policy(append(ways(), fleetstate.Route{Name: fmt.Sprint("x", next), Host: "x", Prefix: "/", Service: "svc"}), fleetstate.Service{Name: "svc"}))
+				err = f.putAt(
+					f.nodes[(n+1)%3],
+					ids.OpID(fmt.Sprint("op", i)),
+					v,
+					next,
+					policy(append(ways(), fleetstate.Route{
+						Name:    fmt.Sprint("x", next),
+						Host:    "x",
+						Prefix:  "/",
+						Service: "svc",
+					}), fleetstate.Service{Name: "svc"}),
+				)
 				return err == nil
 			})
 			require.NoError(t, err)
@@ -224,7 +243,15 @@
 				if dropped {
 					routes = routes[:3]
 				}
-				require.NoError(t, f.put("two", 1, 2, policy(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})))
+				require.NoError(
+					t,
+					f.put(
+						"two",
+						1,
+						2,
+						policy(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"}),
+					),
+				)
 				require.True(t, f.until(2*time.Second, func() bool { return f.inForce(2) }))
 				late := f.ask(f.nodes[0], f.req("late", "/sresume/x", 400, 3))
 				for _, k := range y.book() {
@@ -283,9 +310,30 @@
 		}
 		require.Equal(t, []string{"404", "404", "404"}, try("a", "/new/x"))
 		require.Equal(t, []string{"svc", "svc", "svc"}, try("b", "/once/deep/x"))
-		routes := append(ways()[1:], fleetstate.Route{Name: "new", Host: routeHost, Prefix: "/new/", Service: "svc", Disaggregated: true, MaxAttempts: 1, DeadlineMs: 3000, LatencyTargetMs: 100},
-			fleetstate.Route{Name: "deep", Host: routeHost, Prefix: "/again/deep/", Service: "other", Disaggregated: true, MaxAttempts: 1, DeadlineMs: 3000, LatencyTargetMs: 100})
-		require.NoError(t, f.put("two", 1, 2, policy(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})))
+		routes := append(ways()[1:], fleetstate.Route{
+			Name:            "new",
+			Host:            routeHost,
+			Prefix:          "/new/",
+			Service:         "svc",
+			Disaggregated:   true,
+			MaxAttempts:     1,
+			DeadlineMs:      3000,
+			LatencyTargetMs: 100,
+		},
+			fleetstate.Route{
+				Name:            "deep",
+				Host:            routeHost,
+				Prefix:          "/again/deep/",
+				Service:         "other",
+				Disaggregated:   true,
+				MaxAttempts:     1,
+				DeadlineMs:      3000,
+				LatencyTargetMs: 100,
+			})
+		require.NoError(
+			t,
+			f.put("two", 1, 2, policy(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})),
+		)
 		require.True(t, f.until(2*time.Second, func() bool { return f.inForce(2) }))
 		require.Equal(t, []string{"svc", "svc", "svc"}, try("c", "/new/x"))
 		require.Equal(t, []string{"404", "404", "404"}, try("d", "/once/x"))
@@ -299,10 +347,32 @@
 func TestSplit(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newCluster(append(both("svc", 2, 3), both("other", 2, 3)...)...)
-		split := fleetstate.Route{Name: "r", Host: routeHost, Prefix: "/once/", Split: []fleetstate.Share{{Service: "svc", Weight: 3}, {Service: "other", Weight: 1}, {Service: "svc", Weight: 0}}, Disaggregated: true, MaxAttempts: 2, DeadlineMs: 4000, LatencyTargetMs: 400}
-		f := build(t, 75, 2, y, policy([]fleetstate.Route{split}, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"}), nil)
+		split := fleetstate.Route{
+			Name:   "r",
+			Host:   routeHost,
+			Prefix: "/once/",
+			Split: []fleetstate.Share{
+				{Service: "svc", Weight: 3},
+				{Service: "other", Weight: 1},
+				{Service: "svc", Weight: 0},
+			},
+			Disaggregated:   true,
+			MaxAttempts:     2,
+			DeadlineMs:      4000,
+			LatencyTargetMs: 400,
+		}
+		f := build(
+			t,
+			75,
+			2,
+			y,
+			policy([]fleetstate.Route{split}, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"}),
+			nil,
+		)
 		defer f.close()
-		all := f.load(80, 5*time.Second, func(i int) *Request { return f.req(fmt.Sprint("try-", i/2), "/once/x", 200, 2) })
+		all := f.load(80, 5*time.Second, func(i int) *Request {
+			return f.req(fmt.Sprint("try-", i/2), "/once/x", 200, 2)
+		})
 		at := map[string]string{}
 		count := map[string]int{}
 		for _, k := range y.book() {
--- a/internal/proxy/delta_test.go
+++ b/internal/proxy/delta_test.go
@@ -24,7 +24,14 @@
 		text := func(mark int) []byte {
 			rows := ways()
 			for i := range 300 {
-				r := fleetstate.Route{Name: fmt.Sprint("x", i), Host: fmt.Sprintf("h%d.example", i*7919), Prefix: "/", Service: "svc", MaxAttempts: 1, DeadlineMs: 900}
+				r := fleetstate.Route{
+					Name:        fmt.Sprint("x", i),
+					Host:        fmt.Sprintf("h%d.example", i*7919),
+					Prefix:      "/",
+					Service:     "svc",
+					MaxAttempts: 1,
+					DeadlineMs:  900,
+				}
 				if i == mark*37%300 {
 					r.DeadlineMs += mark
 				}
@@ -41,7 +48,9 @@
 				f.kill(2)
 			}
 			v := ids.Version(i + 1)
-			require.True(t, f.until(20*time.Second, func() bool { return f.put(ids.OpID(fmt.Sprint("op", i)), v, v+1, text(i)) == nil }))
+			require.True(t, f.until(20*time.Second, func() bool {
+				return f.put(ids.OpID(fmt.Sprint("op", i)), v, v+1, text(i)) == nil
+			}))
 			require.True(t, f.until(2*time.Second, func() bool { return f.inForce(v + 1) }))
 			if !f.nodes[2].up {
 				f.node(2)
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -173,7 +173,12 @@
 func (n *Node) listSince(request *ListRequest) *ListResponse {
 	now := n.now()
 	list := n.endpoints.Load()
-	out := &ListResponse{Node: n.self.Node, Version: list.version, Age: int64(now.Since(list.requestedAt)), Latency: n.listLatency.Load()}
+	out := &ListResponse{
+		Node:    n.self.Node,
+		Version: list.version,
+		Age:     int64(now.Since(list.requestedAt)),
+		Latency: n.listLatency.Load(),
+	}
 	if list.version == request.Version {
 		return out
 	}
@@ -185,7 +190,9 @@
 		}
 		delete(changed, w.ID)
 		cold := max(0, w.SlowStart-now.Since(list.receivedAt))
-		out.Rows = append(out.Rows, WorkerRow{w.ID, w.Service, w.Addr, w.Zone, w.Role, w.Concurrency, w.Leaving, int64(cold)})
+		out.Rows = append(out.Rows, WorkerRow{
+			w.ID, w.Service, w.Addr, w.Zone, w.Role, w.Concurrency, w.Leaving, int64(cold),
+		})
 	}
 	if out.Delta {
 		for id := range changed {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -77,7 +77,17 @@
 	if r.Timeout > 0 {
 		wait = min(wait, r.Timeout)
 	}
-	t := &exchange{node: n, request: r, route: route, service: &service, programs: n.deal(s).Set, sink: sink, deadline: r.At.Add(wait), tried: map[ids.WorkerID]bool{}, lastEventID: r.LastEventID}
+	t := &exchange{
+		node:        n,
+		request:     r,
+		route:       route,
+		service:     &service,
+		programs:    n.deal(s).Set,
+		sink:        sink,
+		deadline:    r.At.Add(wait),
+		tried:       map[ids.WorkerID]bool{},
+		lastEventID: r.LastEventID,
+	}
 	t.prefixes, _ = prefixHashes(r)
 	n.budget.countRequest(n.now())
 	callContext, stop := context.WithTimeout(ctx, wait)
@@ -188,7 +198,8 @@
 
 // payRetry counts one more sending, and takes it from the shared budget unless it is the first.
 func (t *exchange) payRetry() bool {
-	if t.attemptsMade >= max(1, t.route.MaxAttempts) || (t.attemptsMade > 0 || t.unpaidPrefill) && !t.node.spendRetry() {
+	if t.attemptsMade >= max(1, t.route.MaxAttempts) ||
+		(t.attemptsMade > 0 || t.unpaidPrefill) && !t.node.spendRetry() {
 		return false
 	}
 	t.unpaidPrefill = false
@@ -221,70 +232,6 @@
 	return true
 }
 
-// prefill has the prompt read. No source and no error means that the emitting worker is to
-// read by itself.
-func (t *exchange) prefill(ctx context.Context) (*Source, error) {
-	for again := true; again; {
-		again = false
-		picked := t.node.now()
-		for _, c := range t.node.prefillCandidates(t.programs, t.node.snapshot(), t.service, t.request, t.tried) {
-			if !t.send(&c, max(1, c.need)) {
-				continue
-			}
-			source, dialled, err := t.prefillAt(ctx, &c)
-			if dialled {
-				return source, err
-			}
-			t.tried[c.worker.ID] = true
-			if ctx.Err() != nil {
-				return nil, err
-			}
-			if again = t.node.now().Past(picked, pickMaxAge); again {
-				break
-			}
-		}
-	}
-	return nil, nil
-}
-
-// prefillAt has one worker read the prompt; false if no connection to it came up.
-func (t *exchange) prefillAt(ctx context.Context, c *pick) (*Source, bool, error) {
-	t.trace(handoff.Granted, c.worker.ID, "")
-	duration := min(t.node.options.PrefillSilence+time.Duration(c.cost*2)*time.Millisecond, t.remaining())
-	callContext, stop := context.WithTimeout(ctx, duration)
-	callContext, take := context.WithCancelCause(callContext)
-	f := &attempt{take}
-	c.state.addAttempt(f)
-	quiet := time.AfterFunc(alarmQuietPeriod+time.Duration(c.cost)*time.Millisecond, func() { t.node.suspect(*c.worker, true) })
-	memo, err := t.node.options.Backend.Read(callContext, *c.worker, t.request, duration, urgencyRank(t.route.Urgency, c.need))
-	quiet.Stop()
-	c.state.removeAttempt(f)
-	take(nil)
-	stop()
-	c.state.end(max(1, c.need))
-	now := t.node.now()
-	if err == nil {
-		c.state.recordSuccess(memo.Load, now)
-		t.node.recordOutcome(c, true)
-		t.prefilledAt = c
-		t.trace(handoff.Prefilled, c.worker.ID, "")
-		return &Source{Worker: *c.worker, Handle: memo.Handle}, true, nil
-	}
-	c.release(failure.Is(err, failure.OutcomeUnknown), now)
-	t.blame(ctx, c, err, now)
-	t.trace(handoff.Dropped, c.worker.ID, err.Error())
-	if failure.Is(err, failure.NotExecuted) && failure.Step(err) == dialStep {
-		return nil, false, err
-	}
-	t.mayHaveRun = t.mayHaveRun || failure.Is(err, failure.InvalidArgument)
-	// It may not have been taken up, and then counts like any other sending.
-	t.unpaidPrefill = true
-	if failure.Is(err, failure.NotExecuted) || failure.Is(err, failure.Stale) {
-		t.attemptsMade++
-	}
-	return nil, true, err
-}
-
 // dialStep names the step of breakdowns where no connection came up.
 const dialStep = "dial"
 
@@ -377,7 +324,9 @@
 		g.silenceTimer = time.AfterFunc(t.patience(), func() { t.node.recordOutcome(c, false) })
 	}
 	g.probeTimer = time.AfterFunc(alarmQuietPeriod, func() { t.node.suspect(*c.worker, true) })
-	reply, err := t.node.options.Backend.Emit(callContext, *c.worker, t.request, source, t.lastEventID, t.remaining(), t.route.Urgency)
+	reply, err := t.node.options.Backend.Emit(
+		callContext, *c.worker, t.request, source, t.lastEventID, t.remaining(), t.route.Urgency,
+	)
 	if err != nil {
 		g.done()
 		return nil, err
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -62,7 +62,10 @@
 		defer f.close()
 		all := f.load(12, 10*time.Second, func(i int) *Request {
 			r := f.req(fmt.Sprint("r", i), "/once/x", 8000, 2)
-			r.Segments = []PromptSegment{{ID: fmt.Sprint("system-", i/3%4), Tokens: 7900}, {ID: "last-" + r.ID, Tokens: 100}}
+			r.Segments = []PromptSegment{
+				{ID: fmt.Sprint("system-", i/3%4), Tokens: 7900},
+				{ID: "last-" + r.ID, Tokens: 100},
+			}
 			return r
 		})
 		at, used := map[string]map[ids.WorkerID]int{}, map[ids.WorkerID]bool{}
@@ -93,8 +96,19 @@
 // is lost, turning away, no connection), what may not be repeated never runs twice nor
 // ends in a refusal after it was offered; a refusal always means that nothing ran.
 func TestOnceOnly(t *testing.T) {
-	for how, name := range map[fate]string{unreached: "unreached", turnedAway: "turned-away", ranReset: "reset-before-answer", idleReset: "reset-not-run", ranSilent: "silent",
-		idleSilent: "silent-not-run", midReset: "reset-mid-answer", foreign: "another's-answer", bare: "no-stamp", failed: "failed", lostMemory: "memory-lost"} {
+	for how, name := range map[fate]string{
+		unreached:  "unreached",
+		turnedAway: "turned-away",
+		ranReset:   "reset-before-answer",
+		idleReset:  "reset-not-run",
+		ranSilent:  "silent",
+		idleSilent: "silent-not-run",
+		midReset:   "reset-mid-answer",
+		foreign:    "another's-answer",
+		bare:       "no-stamp",
+		failed:     "failed",
+		lostMemory: "memory-lost",
+	} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				y := newCluster(both("svc", 2, 3)...)
@@ -108,7 +122,9 @@
 				}
 				f := build(t, 3, 2, y, plain(), nil)
 				defer f.close()
-				all := f.load(4, 5*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 500, 8) })
+				all := f.load(4, 5*time.Second, func(i int) *Request {
+					return f.req(fmt.Sprint("r", i), paths[i%4], 500, 8)
+				})
 				require.Empty(t, onceOnly(y.book(), all))
 				require.Empty(t, ended(all, 8500*time.Millisecond))
 				require.Empty(t, answers(all))
@@ -116,7 +132,8 @@
 					if _, no := a.err.(*RejectedError); no {
 						require.NotContains(t, []fate{ranReset, ranSilent, midReset, foreign, bare, failed}, how)
 					}
-					if !a.again && (how == ranReset || how == ranSilent || how == midReset || how == foreign || how == bare) {
+					if !a.again && (how == ranReset || how == ranSilent || how == midReset || how == foreign ||
+						how == bare) {
 						require.IsType(t, &AbortedError{}, a.err, a.Path)
 					}
 				}
@@ -140,7 +157,10 @@
 			if rng.IntN(5) > 0 {
 				return fine
 			}
-			return []fate{unreached, turnedAway, ranReset, idleReset, ranSilent, idleSilent, midReset, foreign, bare, failed, lostMemory}[rng.IntN(11)]
+			return []fate{
+				unreached, turnedAway, ranReset, idleReset, ranSilent, idleSilent, midReset, foreign, bare,
+				failed, lostMemory,
+			}[rng.IntN(11)]
 		}
 		f := build(t, seed, 3, y, plain(), func(o *Options) { o.RetryAllowance = 20 })
 		defer f.close()
@@ -157,7 +177,9 @@
 				}
 			}
 		})
-		got := f.load(50, 10*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 800, 10) })
+		got := f.load(50, 10*time.Second, func(i int) *Request {
+			return f.req(fmt.Sprint("r", i), paths[i%4], 800, 10)
+		})
 		time.Sleep(15 * time.Second)
 		rows := y.book()
 		require.Empty(t, onceOnly(rows, got))
--- a/internal/proxy/fault_notice_test.go
+++ b/internal/proxy/fault_notice_test.go
@@ -30,7 +30,9 @@
 			time.Sleep(2 * time.Second)
 			y.at(func() { y.of("svc-decode-1").dark = true; dark = y.now() })
 		})
-		all = append(all, f.load(60, 4*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 15) })...)
+		all = append(all, f.load(60, 4*time.Second, func(i int) *Request {
+			return f.req(fmt.Sprint("r", i), paths[i%4], 400, 15)
+		})...)
 		for i := range 40 {
 			all = append(all, f.ask(quiet, f.req(fmt.Sprint("q", i), "/once/x", 400, 1)))
 		}
@@ -214,10 +216,15 @@
 		y := newCluster(both("svc", 2, 2)...)
 		routes := ways()
 		routes[1].LatencyTargetMs, routes[1].DeadlineMs = 3000, 9000
-		f := build(t, 56, 1, y, policy(routes, fleetstate.Service{Name: "svc", Concurrency: 16}), func(o *Options) { o.RetryAllowance = 60 })
+		f := build(t, 56, 1, y, policy(routes, fleetstate.Service{
+			Name:        "svc",
+			Concurrency: 16,
+		}), func(o *Options) { o.RetryAllowance = 60 })
 		defer f.close()
 		y.at(func() { y.of("svc-decode-0").dark = true })
-		all := f.load(60, 250*time.Millisecond, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/again/x", 400, 20) })
+		all := f.load(60, 250*time.Millisecond, func(i int) *Request {
+			return f.req(fmt.Sprint("r", i), "/again/x", 400, 20)
+		})
 		require.NotEmpty(t, sentTo(y.book(), "svc-decode-0.1", 0, time.Hour))
 		for _, a := range all {
 			require.NoError(t, a.err, a.ID)
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -55,7 +55,16 @@
 
 // build starts a fleet and puts a policy in force.
 func build(t *testing.T, seed uint64, nodes int, y *workerPool, text []byte, tune func(*Options)) *fleet {
-	f := &fleet{t: t, w: simulated.NewWorld(seed), y: y, tune: tune, cores: map[string]*coordination.Core{}, procs: map[string]*simulated.Process{}, stops: map[string]context.CancelFunc{}, over: make(chan struct{})}
+	f := &fleet{
+		t:     t,
+		w:     simulated.NewWorld(seed),
+		y:     y,
+		tune:  tune,
+		cores: map[string]*coordination.Core{},
+		procs: map[string]*simulated.Process{},
+		stops: map[string]context.CancelFunc{},
+		over:  make(chan struct{}),
+	}
 	for _, ip := range coreIps {
 		f.seeds = append(f.seeds, ip+":1")
 	}
@@ -82,7 +91,12 @@
 func (f *fleet) core(ip string) {
 	ctx, stop := context.WithCancel(context.Background())
 	p := f.w.Machine(ip).Start()
-	c, err := coordination.New(coordination.Options{Addr: ip + ":1", Host: p.Host(), Seeds: f.seeds, Machine: func() coordination.StateMachine { return fleetstate.NewMachine(fleetstate.MachineOptions{}) }})
+	c, err := coordination.New(coordination.Options{
+		Addr:    ip + ":1",
+		Host:    p.Host(),
+		Seeds:   f.seeds,
+		Machine: func() coordination.StateMachine { return fleetstate.NewMachine(fleetstate.MachineOptions{}) },
+	})
 	require.NoError(f.t, err)
 	f.cores[ip], f.procs[ip], f.stops[ip] = c, p, stop
 	l, err := p.Host().Net.Listen(ip + ":1")
@@ -117,7 +131,15 @@
 func (f *fleet) node(i int) *testNode {
 	ip := nodeIP(i)
 	p := f.w.Machine(ip).Start()
-	options := Options{Name: fmt.Sprint("n", i), Addr: ip + ":2", Zone: ids.Zone([]string{"a", "b"}[i%2]), Seeds: f.seeds, Host: p.Host(), Backend: &back{f.y, ip}, RoleChangeInterval: -1}
+	options := Options{
+		Name:               fmt.Sprint("n", i),
+		Addr:               ip + ":2",
+		Zone:               ids.Zone([]string{"a", "b"}[i%2]),
+		Seeds:              f.seeds,
+		Host:               p.Host(),
+		Backend:            &back{f.y, ip},
+		RoleChangeInterval: -1,
+	}
 	if f.tune != nil {
 		f.tune(&options)
 	}
@@ -318,8 +340,22 @@
 
 // req makes a request for a path; it asks for events if its path begins with /s.
 func (f *fleet) req(id, path string, prompt, limit int) *Request {
-	r := &Request{ID: id, Method: "POST", Target: path, Path: path, Host: routeHost, Header: http.Header{}, Body: []byte("{}"), Model: "m", Prompt: prompt, MaxTokens: limit,
-		Segments: []PromptSegment{{ID: "system-" + id[len(id)-1:], Tokens: prompt / 2}, {ID: "last-" + id, Tokens: prompt - prompt/2}}}
+	r := &Request{
+		ID:        id,
+		Method:    "POST",
+		Target:    path,
+		Path:      path,
+		Host:      routeHost,
+		Header:    http.Header{},
+		Body:      []byte("{}"),
+		Model:     "m",
+		Prompt:    prompt,
+		MaxTokens: limit,
+		Segments: []PromptSegment{
+			{ID: "system-" + id[len(id)-1:], Tokens: prompt / 2},
+			{ID: "last-" + id, Tokens: prompt - prompt/2},
+		},
+	}
 	if strings.HasPrefix(path, "/s") {
 		r.Header.Set("Accept", "text/event-stream")
 	}
@@ -374,10 +410,56 @@
 // ways are the routes that most tests use.
 func ways() []fleetstate.Route {
 	return []fleetstate.Route{
-		{Name: "once", Host: routeHost, Prefix: "/once/", Service: "svc", Disaggregated: true, MaxAttempts: 3, DeadlineMs: 4000, LatencyTargetMs: 400, Urgency: 5},
-		{Name: "again", Host: routeHost, Prefix: "/again/", Service: "svc", Disaggregated: true, Idempotent: true, MaxAttempts: 3, DeadlineMs: 4000, LatencyTargetMs: 400, Urgency: 5},
-		{Name: "stream", Host: routeHost, Prefix: "/stream/", Service: "svc", Disaggregated: true, Stream: true, MaxAttempts: 3, DeadlineMs: 8000, LatencyTargetMs: 400, TokenIntervalMs: 60, Urgency: 5},
-		{Name: "sresume", Host: routeHost, Prefix: "/sresume/", Service: "svc", Disaggregated: true, Stream: true, Resumable: true, MaxAttempts: 4, DeadlineMs: 8000, LatencyTargetMs: 400, TokenIntervalMs: 60, Urgency: 5},
+		{
+			Name:            "once",
+			Host:            routeHost,
+			Prefix:          "/once/",
+			Service:         "svc",
+			Disaggregated:   true,
+			MaxAttempts:     3,
+			DeadlineMs:      4000,
+			LatencyTargetMs: 400,
+			Urgency:         5,
+		},
+		{
+			Name:            "again",
+			Host:            routeHost,
+			Prefix:          "/again/",
+			Service:         "svc",
+			Disaggregated:   true,
+			Idempotent:      true,
+			MaxAttempts:     3,
+			DeadlineMs:      4000,
+			LatencyTargetMs: 400,
+			Urgency:         5,
+		},
+		{
+			Name:            "stream",
+			Host:            routeHost,
+			Prefix:          "/stream/",
+			Service:         "svc",
+			Disaggregated:   true,
+			Stream:          true,
+			MaxAttempts:     3,
+			DeadlineMs:      8000,
+			LatencyTargetMs: 400,
+			TokenIntervalMs: 60,
+			Urgency:         5,
+		},
+		{
+			Name:            "sresume",
+			Host:            routeHost,
+			Prefix:          "/sresume/",
+			Service:         "svc",
+			Disaggregated:   true,
+			Stream:          true,
+			Resumable:       true,
+			MaxAttempts:     4,
+			DeadlineMs:      8000,
+			LatencyTargetMs: 400,
+			TokenIntervalMs: 60,
+			Urgency:         5,
+		},
 	}
 }
 
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -78,7 +78,9 @@
 	var silent []ids.NodeID
 	for _, m := range f.healthySources(s) {
 		wg.Go(func() {
-			if _, err := rpc.Call[Ack, Ack](callContext, f.node.agent.Caller(), m.Addr, pingMethod, &Ack{}); err != nil {
+			if _, err := rpc.Call[Ack, Ack](
+				callContext, f.node.agent.Caller(), m.Addr, pingMethod, &Ack{},
+			); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
 				silent = append(silent, m.Node)
@@ -126,7 +128,9 @@
 		f.probe(ctx, s)
 		return false
 	}
-	if !f.node.now().Past(f.node.endpoints.Load().requestedAt, listLostAge) || !f.node.now().Past(f.since, listLostAge) {
+	if !f.node.now().Past(
+		f.node.endpoints.Load().requestedAt, listLostAge,
+	) || !f.node.now().Past(f.since, listLostAge) {
 		host.Sleep(ctx, f.node.options.ShareInterval/2)
 		return false
 	}
@@ -201,7 +205,16 @@
 	callContext, stop := context.WithTimeout(ctx, listTimeout+hold)
 	defer stop()
 	list := n.endpoints.Load()
-	request := &ListRequest{Node: n.self.Node, Version: list.version, Prefills: n.prefillsWithout("", false), Outcomes: n.localOutcomes(), SubtreeOutcomes: n.below(), LoadSeq: f.loadSeq, Deltas: true, MaxWait: int64(hold)}
+	request := &ListRequest{
+		Node:            n.self.Node,
+		Version:         list.version,
+		Prefills:        n.prefillsWithout("", false),
+		Outcomes:        n.localOutcomes(),
+		SubtreeOutcomes: n.below(),
+		LoadSeq:         f.loadSeq,
+		Deltas:          true,
+		MaxWait:         int64(hold),
+	}
 	var reports uint64
 	reports, request.Loads = n.loads.since(f.reportedSeq, list.workers, n.now(), n.ownsService)
 	r, err := rpc.Call[ListRequest, ListResponse](callContext, n.agent.Caller(), addr, listMethod, request)
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -122,7 +122,9 @@
 				time.Sleep(10 * time.Second)
 				require.Len(t, y.lists(from), 1, "%v", y.lists(from))
 				y.at(func() { y.of("svc-decode-1").Leaving = true })
-				require.True(t, f.until(2*long+1500*time.Millisecond, func() bool { return f.heard(y, "svc-decode-1") }))
+				require.True(t, f.until(2*long+1500*time.Millisecond, func() bool {
+					return f.heard(y, "svc-decode-1")
+				}))
 			})
 		})
 	}
--- a/internal/proxy/list_tree.go
+++ b/internal/proxy/list_tree.go
@@ -19,9 +19,10 @@
 
 const (
 	levelDelay       = 300 * time.Millisecond
-	maxProbes        = 8                       // nodes of the zone that are looked for at once
-	sourceFailureTTL = 4 * time.Second         // for which a source that did not answer is passed over
-	listLostAge      = 2500 * time.Millisecond // age of the list from which a node asks the platform though it stands in for nobody
+	maxProbes        = 8               // nodes of the zone that are looked for at once
+	sourceFailureTTL = 4 * time.Second // for which a source that did not answer is passed over
+	// age of the list from which a node asks the platform though it stands in for nobody
+	listLostAge = 2500 * time.Millisecond
 )
 
 // treeShape tells up to how many nodes all ask the holder, and how many children a node has
@@ -35,8 +36,9 @@
 // listSources are those that a node may hear the list from.
 type listSources struct {
 	parents []coordination.Member // nearest first, the holder last
-	zone    []coordination.Member // of this node, in the order in which they stand in for the holder; none if all ask it
-	zones   int
+	// of this node, in the order in which they stand in for the holder; none if all ask it
+	zone  []coordination.Member
+	zones int
 }
 
 // sourcesOf gives a node's sources under a holder, or while there is none.
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -19,7 +19,11 @@
 func manyMembers(n int) []coordination.Member {
 	out := make([]coordination.Member, n)
 	for i := range out {
-		out[i] = coordination.Member{Node: ids.NodeID(fmt.Sprintf("node-%03d", i)), Addr: fmt.Sprint(i), Zone: ids.Zone(fmt.Sprint("z", i%4))}
+		out[i] = coordination.Member{
+			Node: ids.NodeID(fmt.Sprintf("node-%03d", i)),
+			Addr: fmt.Sprint(i),
+			Zone: ids.Zone(fmt.Sprint("z", i%4)),
+		}
 	}
 	return out
 }
@@ -111,7 +115,11 @@
 		r := sender.listSince(&ListRequest{Version: previous, Deltas: true})
 		require.False(t, r.Delta)
 		require.Len(t, r.Rows, len(list))
-		require.False(t, sender.listSince(&ListRequest{Version: sender.endpoints.Load().changes[3].to}).Delta, "who does not know deltas gets none")
+		require.False(
+			t,
+			sender.listSince(&ListRequest{Version: sender.endpoints.Load().changes[3].to}).Delta,
+			"who does not know deltas gets none",
+		)
 	}
 }
 
@@ -192,12 +200,17 @@
 				defer f.close()
 				time.Sleep(6 * time.Second)
 				late := time.Duration(0)
-				for _, name := range []string{"svc-decode-0", "svc-decode-1", "svc-decode-2", "svc-prefill-0", "svc-prefill-1"} {
+				for _, name := range []string{
+					"svc-decode-0", "svc-decode-1", "svc-decode-2", "svc-prefill-0", "svc-prefill-1",
+				} {
 					h := f.nodes[f.lister()]
 					id := y.of(name).ID
 					time.Sleep(370 * time.Millisecond)
 					y.at(func() { y.of(name).Leaving = true })
-					require.True(t, f.until(2*time.Second, func() bool { w := h.endpoints.Load().find(id); return w != nil && w.Leaving }))
+					require.True(t, f.until(2*time.Second, func() bool {
+						w := h.endpoints.Load().find(id)
+						return w != nil && w.Leaving
+					}))
 					from := time.Now()
 					require.True(t, f.until(2*time.Second, func() bool { return f.heard(y, name) }))
 					late = max(late, time.Since(from))
@@ -231,7 +244,8 @@
 	owner := f.nodes[f.lister()]
 	members := owner.agent.Members()
 	for i, b := range f.nodes {
-		if b.up && b.self.Zone != owner.self.Zone && b.treeShape().sourcesOf(b.self, owner.self, members).parents[0].Node == owner.self.Node {
+		if b.up && b.self.Zone != owner.self.Zone &&
+			b.treeShape().sourcesOf(b.self, owner.self, members).parents[0].Node == owner.self.Node {
 			return i
 		}
 	}
--- a/internal/proxy/list_version.go
+++ b/internal/proxy/list_version.go
@@ -67,7 +67,14 @@
 // next makes the roster that follows. A version of 0 stands for one that this node finds.
 func (r *endpointList) next(list []Worker, version uint64, asked, got ids.Tick) *endpointList {
 	list = sortedByID(list)
-	out := &endpointList{workers: list, requestedAt: asked, receivedAt: got, seq: r.seq, version: r.version, changes: r.changes}
+	out := &endpointList{
+		workers:     list,
+		requestedAt: asked,
+		receivedAt:  got,
+		seq:         r.seq,
+		version:     r.version,
+		changes:     r.changes,
+	}
 	changed := changedWorkers(reduceSlowStart(r.workers, got.Since(r.receivedAt)), list)
 	if r.seq > 0 && len(changed) == 0 && (version == 0 || version == r.version) {
 		return out
--- a/internal/proxy/load_board.go
+++ b/internal/proxy/load_board.go
@@ -24,7 +24,11 @@
 func (s reportedLoad) similar(o reportedLoad) bool {
 	apart := func(a, b, by int) bool { return a-b > by || b-a > by }
 	by := max(s.Capacity/usedTolerance, (s.Capacity-max(s.Used, o.Used))/freeTolerance)
-	return s.Capacity == o.Capacity && !apart(s.Used, o.Used, by) && !apart(s.Running, o.Running, loadTolerance) && !apart(s.Waiting, o.Waiting, loadTolerance)
+	return s.Capacity == o.Capacity && !apart(s.Used, o.Used, by) && !apart(
+		s.Running, o.Running, loadTolerance,
+	) && !apart(
+		s.Waiting, o.Waiting, loadTolerance,
+	)
 }
 
 type recordedLoad struct {
@@ -47,7 +51,12 @@
 
 // record takes a round of reports. Workers that it does not name told nothing if the round is
 // whole, and are as before if it has only changes.
-func (b *loadBoard) record(service string, at ids.Tick, rows map[ids.WorkerID]reportedLoad, complete bool) *reportRound {
+func (b *loadBoard) record(
+	service string,
+	at ids.Tick,
+	rows map[ids.WorkerID]reportedLoad,
+	complete bool,
+) *reportRound {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.services == nil {
@@ -94,7 +103,12 @@
 }
 
 // since lists what changed after a number of the board's, by places in a list.
-func (b *loadBoard) since(from uint64, list []Worker, now ids.Tick, of func(service string) bool) (uint64, []ServiceLoads) {
+func (b *loadBoard) since(
+	from uint64,
+	list []Worker,
+	now ids.Tick,
+	of func(service string) bool,
+) (uint64, []ServiceLoads) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []ServiceLoads
--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -117,7 +117,9 @@
 	require.Nil(t, b.record("s", ms(1050), rows(1, 1), true), "the same round, heard of again")
 	require.NotNil(t, b.record("s", ms(2000), rows(105, 300), true))
 	seq, got = b.since(seq, list, ms(2000), everyService)
-	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{1, 300, 1000, 0, 0}}}}, got, "only what changed, and that all were asked")
+	require.Equal(t, []ServiceLoads{{
+		"s", 0, []WorkerLoad{{1, 300, 1000, 0, 0}},
+	}}, got, "only what changed, and that all were asked")
 	require.NotNil(t, b.record("s", ms(3000), map[ids.WorkerID]reportedLoad{"w": {Used: 300, Capacity: 1000}}, true))
 	seq, got = b.since(seq, list, ms(3000), everyService)
 	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{0, 0, 0, 0, 0}}}}, got, "v told nothing")
@@ -243,7 +245,12 @@
 // TestProgramsSeeRoom: routing programs see what is free in blocks.
 func TestProgramsSeeRoom(t *testing.T) {
 	text := "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: -w.free)]\n"
-	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost(), Programs: []routing.Source{{Name: "roomy", Share: 100, Text: text}}})
+	n, err := New(Options{
+		Name:     "n",
+		Zone:     "a",
+		Host:     quietHost(),
+		Programs: []routing.Source{{Name: "roomy", Share: 100, Text: text}},
+	})
 	require.NoError(t, err)
 	now := n.now()
 	var list []Worker
@@ -254,7 +261,11 @@
 	}
 	n.installList(list, now, now)
 	n.publishLoads("s", now, rows, true)
-	picks := n.emitters(n.startupPrograms.Set, n.view.Current(), service("s"), &Request{ID: "r", Prompt: 800, MaxTokens: 16}, nil, nil)
+	picks := n.emitters(n.startupPrograms.Set, n.view.Current(), service("s"), &Request{
+		ID:        "r",
+		Prompt:    800,
+		MaxTokens: 16,
+	}, nil, nil)
 	for i, c := range picks {
 		require.Equal(t, wid(3-i), c.worker.ID)
 		require.Equal(t, 4000-1000+100*(3-i), c.free)
@@ -317,7 +328,16 @@
 			for k, noRoom := range []float64{-1, 0} {
 				bubble(t, func(t *testing.T) {
 					a, d, all, late := tight(t, seed, rate, noRoom)
-					t.Logf("%.0f a second, seed %d, reckoned with room %t: %d turned away, %d of %d answered, first bytes after %s", rate, seed, k == 1, a, d, all, late)
+					t.Logf(
+						"%.0f a second, seed %d, reckoned with room %t: %d turned away, %d of %d answered, first bytes after %s",
+						rate,
+						seed,
+						k == 1,
+						a,
+						d,
+						all,
+						late,
+					)
 					away[k], done[k] = away[k]+a, done[k]+d
 				})
 			}
@@ -360,13 +380,26 @@
 					plain := &ListResponse{Version: 7, Age: 1 << 29}
 					full := &ListResponse{Version: 7, Age: 1 << 29}
 					ask := &ListRequest{Node: "n", Version: 7, LoadSeq: seq}
-					full.LoadSeq, full.Loads = b.since(seq, list, now.Add(time.Duration(250*k)*time.Millisecond), everyService)
+					full.LoadSeq, full.Loads = b.since(
+						seq, list, now.Add(time.Duration(250*k)*time.Millisecond), everyService,
+					)
 					seq = full.LoadSeq
-					added += len(coordination.MustMarshal(full)) - len(coordination.MustMarshal(plain)) + len(coordination.MustMarshal(ask)) - len(coordination.MustMarshal(&ListRequest{Node: "n", Version: 7}))
+					added += len(coordination.MustMarshal(full)) - len(coordination.MustMarshal(plain)) +
+						len(coordination.MustMarshal(ask)) - len(coordination.MustMarshal(&ListRequest{
+						Node:    "n",
+						Version: 7,
+					}))
 				}
 			}
 			node := added / rounds
-			t.Logf("%d nodes, %d workers, %s load: %d bytes a second for each node, %d for all", c.nodes, c.workers, load, node, node*(c.nodes-1))
+			t.Logf(
+				"%d nodes, %d workers, %s load: %d bytes a second for each node, %d for all",
+				c.nodes,
+				c.workers,
+				load,
+				node,
+				node*(c.nodes-1),
+			)
 			require.Less(t, node, 120+13*c.workers)
 			if load != "full" {
 				require.Less(t, node, 120+6*c.workers)
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -22,39 +22,48 @@
 
 // Options of a node; zero spans and numbers take the defaults named beside them.
 type Options struct {
-	Name               string
-	Addr               string
-	Zone               ids.Zone
-	Seeds              []string
-	Host               host.Host
-	Ring               *logging.Ring
-	Backend            Backend
-	ReadConfiguration  fleetstate.ConfigurationReader // of the operators' text; fleetstate.Plain
-	Programs           []routing.Source               // routing programs until the core has a set, beside the built-in order
-	ProgramSteps       uint64                         // 20000: that one of these may take for one request
-	LeaseDuration      time.Duration                  // 3s
-	RenewInterval      time.Duration                  // 500ms
-	ShareInterval      time.Duration                  // 250ms between tellings of what is under way
-	ListInterval       time.Duration                  // 700ms between askings of the list of workers
-	ListRate           float64                        // 0: askings of the list a second that all nodes have; 0 is no bound
-	RetryRatio         float64                        // 0.2: repeats for each request
-	RetryWindow        time.Duration                  // 10s over which repeats are counted
-	RetryAllowance     int                            // 0: repeats that all nodes have besides
-	SlowStartOvershoot float64                        // 1.5: of a cold worker's rate
-	SlowStartAllowance int                            // 5: requests besides that in a second
-	PrefillSilence     time.Duration                  // 900ms: a reading worker that says nothing is left
-	PrefillTokensPerMs float64                        // 50: prompt tokens that a worker reads in a ms
-	RoleChangeInterval time.Duration                  // 500ms between looks at whether a worker should change its part; below 0 never
-	IdlePrefillShare   float64                        // 0.55: of a service's workers read while nothing is under way; below 0 none is turned for it
-	BaseEjection       time.Duration                  // 2s: that a worker whose failures stand out is left out at first; below 0 never
-	MaxEjectedShare    float64                        // 0.34: of a service's part may be out at once, by failures
-	PeerWeight         float64                        // 4: sendings that another node's word of a worker counts for; below 0 none is heard
-	NoCapacityCost     float64                        // 5: ms that a worker counts as farther that lacks all the memory needed; below 0 none
-	AdmitFactor        float64                        // 3: times its aim that a request may be reckoned to take before some are refused early; below 0 none is
-	AdmitMaxAge        time.Duration                  // 1s: the age of what is known of workers beyond which none is refused early
-	MaxRejectedCallers int                            // 4096: refused callers that are remembered
-	FlatListNodes      int                            // 96: nodes up to which all ask the holder of the list
-	TreeWidth          int                            // 12: nodes that ask one other in a larger fleet
+	Name              string
+	Addr              string
+	Zone              ids.Zone
+	Seeds             []string
+	Host              host.Host
+	Ring              *logging.Ring
+	Backend           Backend
+	ReadConfiguration fleetstate.ConfigurationReader // of the operators' text; fleetstate.Plain
+	// routing programs until the core has a set, beside the built-in order
+	Programs      []routing.Source
+	ProgramSteps  uint64        // 20000: that one of these may take for one request
+	LeaseDuration time.Duration // 3s
+	RenewInterval time.Duration // 500ms
+	ShareInterval time.Duration // 250ms between tellings of what is under way
+	ListInterval  time.Duration // 700ms between askings of the list of workers
+	// 0: askings of the list a second that all nodes have; 0 is no bound
+	ListRate           float64
+	RetryRatio         float64       // 0.2: repeats for each request
+	RetryWindow        time.Duration // 10s over which repeats are counted
+	RetryAllowance     int           // 0: repeats that all nodes have besides
+	SlowStartOvershoot float64       // 1.5: of a cold worker's rate
+	SlowStartAllowance int           // 5: requests besides that in a second
+	PrefillSilence     time.Duration // 900ms: a reading worker that says nothing is left
+	PrefillTokensPerMs float64       // 50: prompt tokens that a worker reads in a ms
+	// 500ms between looks at whether a worker should change its part; below 0 never
+	RoleChangeInterval time.Duration
+	// 0.55: of a service's workers read while nothing is under way; below 0 none is turned for it
+	IdlePrefillShare float64
+	// 2s: that a worker whose failures stand out is left out at first; below 0 never
+	BaseEjection    time.Duration
+	MaxEjectedShare float64 // 0.34: of a service's part may be out at once, by failures
+	// 4: sendings that another node's word of a worker counts for; below 0 none is heard
+	PeerWeight float64
+	// 5: ms that a worker counts as farther that lacks all the memory needed; below 0 none
+	NoCapacityCost float64
+	// 3: times its aim that a request may be reckoned to take before some are refused early; below 0 none is
+	AdmitFactor float64
+	// 1s: the age of what is known of workers beyond which none is refused early
+	AdmitMaxAge        time.Duration
+	MaxRejectedCallers int // 4096: refused callers that are remembered
+	FlatListNodes      int // 96: nodes up to which all ask the holder of the list
+	TreeWidth          int // 12: nodes that ask one other in a larger fleet
 	// Drain is called once as the node leaves: it lets no caller in any more, and returns
 	// when those that are in were answered or the context ends.
 	Drain func(context.Context) error
@@ -158,16 +167,33 @@
 // New makes a node; it starts nothing.
 func New(options Options) (*Node, error) {
 	options.setDefaults()
-	n := &Node{options: options, budget: newRetryBudget(options.RetryWindow), slowStart: newSlowStart(), retryAfter: handoff.RetryAfterScheduler{MinPerSecond: 2}}
+	n := &Node{
+		options:    options,
+		budget:     newRetryBudget(options.RetryWindow),
+		slowStart:  newSlowStart(),
+		retryAfter: handoff.RetryAfterScheduler{MinPerSecond: 2},
+	}
 	programs, err := routing.NewProgramSet(options.Programs, options.ProgramSteps, &n.scores)
 	if err != nil {
 		return nil, err
 	}
 	n.startupPrograms = &fleetstate.CompiledPrograms{Set: programs}
-	n.self = coordination.Member{Node: ids.NodeID(options.Name + "-" + coordination.NewID()), Addr: options.Addr, Zone: options.Zone}
+	n.self = coordination.Member{
+		Node: ids.NodeID(options.Name + "-" + coordination.NewID()),
+		Addr: options.Addr,
+		Zone: options.Zone,
+	}
 	n.view = fleetstate.NewView(options.Ring)
 	n.view.Read, n.view.Scores = options.ReadConfiguration, &n.scores
-	n.agent = coordination.NewAgent(coordination.AgentOptions{Self: n.self, Host: options.Host, Seeds: options.Seeds, Watcher: n.view, Ring: options.Ring, LeaseDuration: options.LeaseDuration, RenewInterval: options.RenewInterval})
+	n.agent = coordination.NewAgent(coordination.AgentOptions{
+		Self:          n.self,
+		Host:          options.Host,
+		Seeds:         options.Seeds,
+		Watcher:       n.view,
+		Ring:          options.Ring,
+		LeaseDuration: options.LeaseDuration,
+		RenewInterval: options.RenewInterval,
+	})
 	n.endpoints.Store(&endpointList{})
 	n.runContext, n.stop = context.WithCancel(context.Background())
 	return n, nil
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -59,7 +59,10 @@
 		top, _ := img.ProgramSet()
 		if uint64(top.Version) != a.Base {
 			// The base has moved on, perhaps by this very operation.
-			v, err := fleetstate.Outcome(callContext, o.Caller, o.Directory, op, fleetstate.OutcomeQuery{Base: ids.Version(a.Base), Programs: true})
+			v, err := fleetstate.Outcome(callContext, o.Caller, o.Directory, op, fleetstate.OutcomeQuery{
+				Base:     ids.Version(a.Base),
+				Programs: true,
+			})
 			if failure.Is(err, failure.Stale) {
 				return nil, api.Stale(a.Base, uint64(top.Version))
 			}
@@ -89,7 +92,9 @@
 	callContext, stop := context.WithTimeout(ctx, forceWait)
 	defer stop()
 	for {
-		if img, err := fleetstate.ReadState(callContext, o.Caller, o.Directory); err == nil && img.Programs.Version >= v {
+		if img, err := fleetstate.ReadState(
+			callContext, o.Caller, o.Directory,
+		); err == nil && img.Programs.Version >= v {
 			return &api.ApplyResponse{Version: uint64(v), Active: true}, nil
 		}
 		if !host.Sleep(callContext, 50*time.Millisecond) {
@@ -105,7 +110,9 @@
 	}
 	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
-	if err := fleetstate.SetEvacuated(callContext, o.Caller, o.Directory, ids.OpID(zoneOps+m.Op), ids.Zone(zone), m.Out); err != nil {
+	if err := fleetstate.SetEvacuated(
+		callContext, o.Caller, o.Directory, ids.OpID(zoneOps+m.Op), ids.Zone(zone), m.Out,
+	); err != nil {
 		return nil, api.OutcomeEvent(err, operatorRetryAfter)
 	}
 	return &api.ApplyResponse{Active: true}, nil
@@ -113,12 +120,24 @@
 
 // Drain is refused: which workers leave stands in the fleet's own list.
 func (o *Operator) Drain(_ context.Context, worker string, _ *api.MarkRequest) (*api.ApplyResponse, error) {
-	return nil, api.WriteFault(http.StatusNotFound, "unknown", "worker", "%q is not drained here; which workers leave stands in the list of workers", worker)
+	return nil, api.WriteFault(
+		http.StatusNotFound,
+		"unknown",
+		"worker",
+		"%q is not drained here; which workers leave stands in the list of workers",
+		worker,
+	)
 }
 
 // Revoke is refused: what runs over these routes is under no regime.
 func (o *Operator) Revoke(_ context.Context, serial string, _ *api.MarkRequest) (*api.ApplyResponse, error) {
-	return nil, api.WriteFault(http.StatusNotFound, "unknown", "certificate", "%q is not known here; no regime governs these routes", serial)
+	return nil, api.WriteFault(
+		http.StatusNotFound,
+		"unknown",
+		"certificate",
+		"%q is not known here; no regime governs these routes",
+		serial,
+	)
 }
 
 // Regimes are none.
@@ -138,8 +157,13 @@
 		return nil, err
 	}
 	top, _ := img.ProgramSet()
-	return &api.Shown{Version: uint64(img.Programs.Version), Newest: uint64(top.Version), Policy: fleetstate.SetText(img.Programs),
-		Zones: append([]string{}, img.Zones...), Drained: append([]string{}, img.Drained...)}, nil
+	return &api.Shown{
+		Version: uint64(img.Programs.Version),
+		Newest:  uint64(top.Version),
+		Policy:  fleetstate.SetText(img.Programs),
+		Zones:   append([]string{}, img.Zones...),
+		Drained: append([]string{}, img.Drained...),
+	}, nil
 }
 
 // Status tells where this process believes the core to be.
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -170,7 +170,8 @@
 
 // isOutlier tells whether failures stand out against the mean rate of the rest, beyond chance.
 func (a *outlierCandidate) isOutlier(rest float64) bool {
-	return a.sent >= outlierMinRequests && a.failed > 1.5 && a.failed-0.8*math.Sqrt(a.failed) > (outlierMinRate+outlierRatio*rest)*a.sent
+	return a.sent >= outlierMinRequests && a.failed > 1.5 &&
+		a.failed-0.8*math.Sqrt(a.failed) > (outlierMinRate+outlierRatio*rest)*a.sent
 }
 
 // ejector judges while there is something to judge.
@@ -298,7 +299,8 @@
 	v.phase, v.since, v.until, v.flapping = ejected, now, now.Add(duration), false
 	v.failureRate = a.rate()
 	n.counts.Ejected.Add(1)
-	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Float64("failed", a.failed).Float64("sent", a.sent).Dur("span", duration).Msg("ejects a worker")
+	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Float64("failed", a.failed).Float64("sent", a.sent).
+		Dur("span", duration).Msg("ejects a worker")
 }
 
 func (n *Node) readmit(a *outlierCandidate, now ids.Tick, reason string) {
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -217,13 +217,31 @@
 		}
 		on := (&ward{seed: seed, nodes: 4, parts: 6, rate: 80, span: 30 * time.Second, sick: grey}).run(t)
 		on.sound(t)
-		off := (&ward{seed: seed, nodes: 4, parts: 6, rate: 80, span: 30 * time.Second, sick: grey, tune: func(o *Options) { o.BaseEjection = -1 }}).run(t)
+		off := (&ward{
+			seed:  seed,
+			nodes: 4,
+			parts: 6,
+			rate:  80,
+			span:  30 * time.Second,
+			sick:  grey,
+			tune:  func(o *Options) { o.BaseEjection = -1 },
+		}).run(t)
 		had, all := off.done(5*time.Second, 13*time.Second)
 		has, _ := on.done(5*time.Second, 13*time.Second)
-		t.Logf("x %.1f: share %.3f, without %.3f; answered %d, without %d, of %d; ejections %d", x, share(on.rows, unhealthy, 5*time.Second, 13*time.Second),
-			share(off.rows, unhealthy, 5*time.Second, 13*time.Second), has, had, all, on.ejects)
+		t.Logf(
+			"x %.1f: share %.3f, without %.3f; answered %d, without %d, of %d; ejections %d",
+			x,
+			share(on.rows, unhealthy, 5*time.Second, 13*time.Second),
+			share(off.rows, unhealthy, 5*time.Second, 13*time.Second),
+			has,
+			had,
+			all,
+			on.ejects,
+		)
 		require.Empty(t, falls(on.rows, unhealthy, 1.0/6, 0.6, 5*time.Second, 13*time.Second))
-		require.NotEmpty(t, falls(off.rows, unhealthy, 1.0/6, 0.6, 5*time.Second, 13*time.Second), "without it they go on")
+		require.NotEmpty(
+			t, falls(off.rows, unhealthy, 1.0/6, 0.6, 5*time.Second, 13*time.Second), "without it they go on",
+		)
 		require.Greater(t, has, had)
 		// A third ejection right before they are well lasts 8 s, and trials come after it.
 		require.Greater(t, share(on.rows, unhealthy, 25*time.Second, 30*time.Second), 0.5/6, "they are used again")
@@ -237,12 +255,19 @@
 func TestGreyForSome(t *testing.T) {
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
 		hit := some(seed, 0.6)
-		w := (&ward{seed: seed, nodes: 4, parts: 5, rate: 100, span: 12 * time.Second, sick: func(k row) fate {
-			if k.Worker == "svc-decode-1.1" && k.Node == nodeIP(1) && k.At > 3*time.Second && hit(k) {
-				return ranReset
-			}
-			return fine
-		}}).run(t)
+		w := (&ward{
+			seed:  seed,
+			nodes: 4,
+			parts: 5,
+			rate:  100,
+			span:  12 * time.Second,
+			sick: func(k row) fate {
+				if k.Worker == "svc-decode-1.1" && k.Node == nodeIP(1) && k.At > 3*time.Second && hit(k) {
+					return ranReset
+				}
+				return fine
+			},
+		}).run(t)
 		w.sound(t)
 		from := map[string]int{}
 		for _, k := range w.rows {
@@ -267,30 +292,39 @@
 				bad := failure.New(failure.InvalidArgument, "report", "", "status 503")
 				mute := 0
 				lies := func(on bool) *ward {
-					return (&ward{seed: 3, nodes: 3, parts: 3, rate: 60, span: 14 * time.Second, sick: func(k row) fate {
-						// Now and then an answer is late, so that the worker is asked.
-						if k.Kind != "emit" {
+					return (&ward{
+						seed:  3,
+						nodes: 3,
+						parts: 3,
+						rate:  60,
+						span:  14 * time.Second,
+						sick: func(k row) fate {
+							// Now and then an answer is late, so that the worker is asked.
+							if k.Kind != "emit" {
+								return fine
+							}
+							if mute++; mute%30 == 0 {
+								return idleSilent
+							}
 							return fine
-						}
-						if mute++; mute%30 == 0 {
-							return idleSilent
-						}
-						return fine
-					}, act: func(f *fleet, y *workerPool) {
-						time.Sleep(2 * time.Second)
-						y.at(func() {
-							y.health = func(node string, s *stand) error {
-								if s.name == "svc-decode-1" && (!some || node == nodeIP(1)) {
-									return bad
+						},
+						act: func(f *fleet, y *workerPool) {
+							time.Sleep(2 * time.Second)
+							y.at(func() {
+								y.health = func(node string, s *stand) error {
+									if s.name == "svc-decode-1" && (!some || node == nodeIP(1)) {
+										return bad
+									}
+									return nil
 								}
-								return nil
+							})
+						},
+						tune: func(o *Options) {
+							if !on {
+								o.BaseEjection = -1
 							}
-						})
-					}, tune: func(o *Options) {
-						if !on {
-							o.BaseEjection = -1
-						}
-					}}).run(t)
+						},
+					}).run(t)
 				}
 				well := map[ids.WorkerID]bool{"svc-decode-1.1": true}
 				w := lies(true)
@@ -313,18 +347,26 @@
 func TestFlapping(t *testing.T) {
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
 		run := func(o func(*Options)) *ward {
-			return (&ward{seed: seed, nodes: 3, parts: 4, rate: 80, span: 20 * time.Second, tune: o, act: func(f *fleet, y *workerPool) {
-				time.Sleep(2 * time.Second)
-				y.at(func() { y.of("svc-decode-3").dark = true })
-				time.Sleep(1300 * time.Millisecond)
-				y.at(func() { y.of("svc-decode-3").dark = false })
-				for range 4 {
-					y.at(func() { y.of("svc-decode-1").dark = true })
+			return (&ward{
+				seed:  seed,
+				nodes: 3,
+				parts: 4,
+				rate:  80,
+				span:  20 * time.Second,
+				tune:  o,
+				act: func(f *fleet, y *workerPool) {
+					time.Sleep(2 * time.Second)
+					y.at(func() { y.of("svc-decode-3").dark = true })
 					time.Sleep(1300 * time.Millisecond)
-					y.at(func() { y.of("svc-decode-1").dark = false })
-					time.Sleep(1300 * time.Millisecond)
-				}
-			}}).run(t)
+					y.at(func() { y.of("svc-decode-3").dark = false })
+					for range 4 {
+						y.at(func() { y.of("svc-decode-1").dark = true })
+						time.Sleep(1300 * time.Millisecond)
+						y.at(func() { y.of("svc-decode-1").dark = false })
+						time.Sleep(1300 * time.Millisecond)
+					}
+				},
+			}).run(t)
 		}
 		flapper, once := map[ids.WorkerID]bool{"svc-decode-1.1": true}, map[ids.WorkerID]bool{"svc-decode-3.1": true}
 		on, off := run(nil), run(func(o *Options) { o.BaseEjection = -1 })
@@ -332,7 +374,14 @@
 		from, to := 6*time.Second, 14*time.Second
 		has, all := on.done(from, to)
 		had, _ := off.done(from, to)
-		t.Logf("share %.3f, without %.3f; answered %d, without %d, of %d", share(on.rows, flapper, from, to), share(off.rows, flapper, from, to), has, had, all)
+		t.Logf(
+			"share %.3f, without %.3f; answered %d, without %d, of %d",
+			share(on.rows, flapper, from, to),
+			share(off.rows, flapper, from, to),
+			has,
+			had,
+			all,
+		)
 		require.Less(t, share(on.rows, flapper, from, to), 0.6*share(off.rows, flapper, from, to))
 		require.Greater(t, has, all*97/100)
 		require.Greater(t, share(on.rows, once, 4*time.Second, 8*time.Second), 0.7/8, "one fall is forgiven")
@@ -347,12 +396,20 @@
 			eachSeed(t, 3, func(t *testing.T, seed uint64) {
 				hit := some(seed, 0.45)
 				run := func(o func(*Options)) *ward {
-					return (&ward{seed: seed, nodes: 3, parts: 6, rate: 40, span: 12 * time.Second, tune: o, sick: func(k row) fate {
-						if int(k.Worker[len(k.Worker)-3]-'0') < many && k.At > 2*time.Second && hit(k) {
-							return ranReset
-						}
-						return fine
-					}}).run(t)
+					return (&ward{
+						seed:  seed,
+						nodes: 3,
+						parts: 6,
+						rate:  40,
+						span:  12 * time.Second,
+						tune:  o,
+						sick: func(k row) fate {
+							if int(k.Worker[len(k.Worker)-3]-'0') < many && k.At > 2*time.Second && hit(k) {
+								return ranReset
+							}
+							return fine
+						},
+					}).run(t)
 				}
 				on, off := run(nil), run(func(o *Options) { o.BaseEjection = -1 })
 				on.sound(t)
@@ -369,7 +426,9 @@
 					require.Less(t, refused(on), refused(off))
 				} else { // the same but for chance
 					require.LessOrEqual(t, refused(on), refused(off)*6/5)
-					require.LessOrEqual(t, on.ejects, int64(6), "in 10 s at three nodes, by chance as the failures begin")
+					require.LessOrEqual(
+						t, on.ejects, int64(6), "in 10 s at three nodes, by chance as the failures begin",
+					)
 				}
 			})
 		})
@@ -408,25 +467,33 @@
 		t.Run(fmt.Sprint(one), func(t *testing.T) {
 			eachSeed(t, 2, func(t *testing.T, seed uint64) {
 				off := func(node string) bool { return !one || node == nodeIP(1) }
-				w := (&ward{seed: seed, nodes: 3, parts: 4, rate: 60, span: 18 * time.Second, sick: func(k row) fate {
-					if k.Worker == "svc-decode-1.1" && k.At > 3*time.Second && k.At < 8*time.Second && off(k.Node) {
-						return idleSilent
-					}
-					return fine
-				}, act: func(f *fleet, y *workerPool) {
-					lost := failure.New(failure.Unavailable, "report", "", "no answer")
-					time.Sleep(3 * time.Second)
-					y.at(func() {
-						y.health = func(node string, s *stand) error {
-							if s.name == "svc-decode-1" && off(node) {
-								return lost
-							}
-							return nil
+				w := (&ward{
+					seed:  seed,
+					nodes: 3,
+					parts: 4,
+					rate:  60,
+					span:  18 * time.Second,
+					sick: func(k row) fate {
+						if k.Worker == "svc-decode-1.1" && k.At > 3*time.Second && k.At < 8*time.Second && off(k.Node) {
+							return idleSilent
 						}
-					})
-					time.Sleep(5 * time.Second)
-					y.at(func() { y.health = nil })
-				}}).run(t)
+						return fine
+					},
+					act: func(f *fleet, y *workerPool) {
+						lost := failure.New(failure.Unavailable, "report", "", "no answer")
+						time.Sleep(3 * time.Second)
+						y.at(func() {
+							y.health = func(node string, s *stand) error {
+								if s.name == "svc-decode-1" && off(node) {
+									return lost
+								}
+								return nil
+							}
+						})
+						time.Sleep(5 * time.Second)
+						y.at(func() { y.health = nil })
+					},
+				}).run(t)
 				w.sound(t)
 				unhealthy := map[ids.WorkerID]bool{"svc-decode-1.1": true}
 				var own, rest []row
@@ -451,19 +518,30 @@
 // put no worker out for the others.
 func TestCutTeller(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := (&ward{seed: 7, nodes: 5, parts: 4, rate: 60, span: 10 * time.Second, sick: func(k row) fate {
-			if k.Node == nodeIP(0) && k.At > 2*time.Second {
-				return ranReset
-			}
-			return fine
-		}, act: func(f *fleet, y *workerPool) {
-			for range 80 {
-				for _, b := range f.up()[2:] {
-					b.peerReports.Store(ids.NodeID("liar"), peerReport{at: b.now(), outcomes: []Outcomes{{"svc-decode-1.1", 1 << 20, 1 << 20, 90}}})
+		w := (&ward{
+			seed:  7,
+			nodes: 5,
+			parts: 4,
+			rate:  60,
+			span:  10 * time.Second,
+			sick: func(k row) fate {
+				if k.Node == nodeIP(0) && k.At > 2*time.Second {
+					return ranReset
 				}
-				time.Sleep(100 * time.Millisecond)
-			}
-		}}).run(t)
+				return fine
+			},
+			act: func(f *fleet, y *workerPool) {
+				for range 80 {
+					for _, b := range f.up()[2:] {
+						b.peerReports.Store(ids.NodeID("liar"), peerReport{
+							at:       b.now(),
+							outcomes: []Outcomes{{"svc-decode-1.1", 1 << 20, 1 << 20, 90}},
+						})
+					}
+					time.Sleep(100 * time.Millisecond)
+				}
+			},
+		}).run(t)
 		w.sound(t)
 		for _, s := range w.standing {
 			require.Equal(t, nodeIP(0), s.node, "at %s", s.at)
@@ -480,8 +558,13 @@
 		list = append(list, Worker{ID: ids.WorkerID(fmt.Sprint("w", i)), Service: "svc"})
 	}
 	n.endpoints.Store(&endpointList{workers: list})
-	require.Equal(t, []Outcomes{{"w0", 40, 20, 1}, {"w1", 30, 0, 0}}, n.capWeights([]Outcomes{{"w0", 400, 200, 9}, {"w1", 30, 0, 0}}))
-	require.Equal(t, []Outcomes{{"w0", 10, 10, 1}}, n.capWeights([]Outcomes{{"w0", 10, 99, 1}}), "more failures than sendings")
+	require.Equal(t, []Outcomes{
+		{"w0", 40, 20, 1},
+		{"w1", 30, 0, 0},
+	}, n.capWeights([]Outcomes{{"w0", 400, 200, 9}, {"w1", 30, 0, 0}}))
+	require.Equal(t, []Outcomes{{
+		"w0", 10, 10, 1,
+	}}, n.capWeights([]Outcomes{{"w0", 10, 99, 1}}), "more failures than sendings")
 	require.Len(t, n.capWeights([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}}), 2)
 	require.Empty(t, n.capWeights([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}, {"w2", 10, 9, 1}}), "half of all")
 }
@@ -500,7 +583,13 @@
 						if k.Kind != "emit" {
 							return fine
 						}
-						return map[string]fate{"caller": fine, "deadline": idleSilent, "full": turnedAway, "lost": lostMemory, "unreached": unreached}[how]
+						return map[string]fate{
+							"caller":    fine,
+							"deadline":  idleSilent,
+							"full":      turnedAway,
+							"lost":      lostMemory,
+							"unreached": unreached,
+						}[how]
 					}
 				})
 				for i := range 20 {
@@ -539,12 +628,20 @@
 			unhealthy[ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", 3*i+1))] = true
 		}
 		run := func(o func(*Options)) *ward {
-			w := (&ward{seed: seed, nodes: nodes, parts: parts, rate: rate, span: 11 * time.Second, tune: o, sick: func(k row) fate {
-				if unhealthy[k.Worker] && k.At > 3*time.Second && k.At < 9500*time.Millisecond && hit(k) {
-					return ranReset
-				}
-				return fine
-			}}).run(t)
+			w := (&ward{
+				seed:  seed,
+				nodes: nodes,
+				parts: parts,
+				rate:  rate,
+				span:  11 * time.Second,
+				tune:  o,
+				sick: func(k row) fate {
+					if unhealthy[k.Worker] && k.At > 3*time.Second && k.At < 9500*time.Millisecond && hit(k) {
+						return ranReset
+					}
+					return fine
+				},
+			}).run(t)
 			w.sound(t)
 			return w
 		}
@@ -556,7 +653,14 @@
 		}
 		for name, w := range all {
 			has, all := w.done(3*time.Second, to)
-			t.Logf("%s: share %.3f, answered %d of %d, ejections %d", name, share(w.rows, unhealthy, from, to), has, all, w.ejects)
+			t.Logf(
+				"%s: share %.3f, answered %d of %d, ejections %d",
+				name,
+				share(w.rows, unhealthy, from, to),
+				has,
+				all,
+				w.ejects,
+			)
 		}
 		fair := float64(len(unhealthy)) / float64(2*parts)
 		require.Empty(t, falls(reports.rows, unhealthy, fair, 0.5, from, to))
@@ -570,12 +674,19 @@
 func TestProbation(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		unhealthy := map[ids.WorkerID]bool{"svc-decode-2.1": true}
-		w := (&ward{seed: 8, nodes: 1, parts: 4, rate: 60, span: 40 * time.Second, sick: func(k row) fate {
-			if unhealthy[k.Worker] && k.At > 2*time.Second && k.At < 30*time.Second {
-				return ranReset
-			}
-			return fine
-		}}).run(t)
+		w := (&ward{
+			seed:  8,
+			nodes: 1,
+			parts: 4,
+			rate:  60,
+			span:  40 * time.Second,
+			sick: func(k row) fate {
+				if unhealthy[k.Worker] && k.At > 2*time.Second && k.At < 30*time.Second {
+					return ranReset
+				}
+				return fine
+			},
+		}).run(t)
 		w.sound(t)
 		hits := 0
 		for _, k := range w.rows {
@@ -596,26 +707,34 @@
 func TestOneFall(t *testing.T) {
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
 		cut := map[ids.WorkerID]bool{"svc-decode-0.1": true, "svc-decode-3.1": true}
-		w := (&ward{seed: seed, nodes: 16, parts: 6, rate: 160, span: 9 * time.Second, act: func(f *fleet, y *workerPool) {
-			dark := func(on bool) {
-				y.at(func() {
-					for _, s := range y.all {
-						if cut[s.ID] {
-							s.dark = on
+		w := (&ward{
+			seed:  seed,
+			nodes: 16,
+			parts: 6,
+			rate:  160,
+			span:  9 * time.Second,
+			act: func(f *fleet, y *workerPool) {
+				dark := func(on bool) {
+					y.at(func() {
+						for _, s := range y.all {
+							if cut[s.ID] {
+								s.dark = on
+							}
 						}
-					}
-				})
-			}
-			time.Sleep(3 * time.Second)
-			dark(true)
-			time.Sleep(1500 * time.Millisecond)
-			dark(false)
-		}, sick: func(k row) fate {
-			if cut[k.Worker] && k.At > 3*time.Second && k.At < 4500*time.Millisecond {
-				return ranReset // it is seen at once
-			}
-			return fine
-		}}).run(t)
+					})
+				}
+				time.Sleep(3 * time.Second)
+				dark(true)
+				time.Sleep(1500 * time.Millisecond)
+				dark(false)
+			},
+			sick: func(k row) fate {
+				if cut[k.Worker] && k.At > 3*time.Second && k.At < 4500*time.Millisecond {
+					return ranReset // it is seen at once
+				}
+				return fine
+			},
+		}).run(t)
 		w.sound(t)
 		had, has := share(w.rows, cut, 0, 3*time.Second), share(w.rows, cut, 5500*time.Millisecond, 9*time.Second)
 		t.Logf("ejections %d, share %.3f, before %.3f", w.ejects, has, had)
@@ -632,7 +751,12 @@
 		n := f.nodes[0]
 		for _, previous := range []bool{false, true} {
 			st, now := &workerState{}, n.now()
-			st.outlier = outlierState{local: decayingCount{8, 7, now}, phase: ejected, since: now, until: now.Add(8 * time.Second)}
+			st.outlier = outlierState{
+				local: decayingCount{8, 7, now},
+				phase: ejected,
+				since: now,
+				until: now.Add(8 * time.Second),
+			}
 			if previous {
 				st.outlier.since = now.Add(-3 * time.Second)
 			}
--- a/internal/proxy/peer_outcomes.go
+++ b/internal/proxy/peer_outcomes.go
@@ -36,8 +36,14 @@
 			return true
 		}
 		r.decay(now, outcomeHalfLife)
-		if r.sent > 0.1 && (r.failed > 0.1 || st.outlier.peers.Nodes > 0 && !now.Past(st.outlier.peersAt, outcomesTTL)) {
-			out = append(out, Outcomes{ID: k.(ids.WorkerID), Sent: int(10*r.sent + 0.5), Failed: int(10*r.failed + 0.5)})
+		if r.sent > 0.1 && (r.failed > 0.1 || st.outlier.peers.Nodes > 0 && !now.Past(
+			st.outlier.peersAt, outcomesTTL,
+		)) {
+			out = append(out, Outcomes{
+				ID:     k.(ids.WorkerID),
+				Sent:   int(10*r.sent + 0.5),
+				Failed: int(10*r.failed + 0.5),
+			})
 		}
 		return true
 	})
@@ -102,7 +108,8 @@
 	owner, _, _ := n.agent.KeyOwner(fleetstate.WorkerListKey)
 	counts := n.treeShape().tellersTo(n.self, owner, n.agent.Members())
 	n.peerReports.Range(func(k, v any) bool {
-		if o := v.(peerReport); counts(k.(ids.NodeID)) && !now.Past(o.at, 2*prefillLoadTTL) && len(o.outcomes)+len(o.subtreeOutcomes) > 0 {
+		if o := v.(peerReport); counts(k.(ids.NodeID)) && !now.Past(o.at, 2*prefillLoadTTL) &&
+			len(o.outcomes)+len(o.subtreeOutcomes) > 0 {
 			t.add(k.(ids.NodeID), append(n.capWeights(o.outcomes), o.subtreeOutcomes...))
 		}
 		return true
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -20,9 +20,10 @@
 )
 
 const (
-	loadTTL               = 400 * time.Millisecond // how long a worker's word of its load counts
-	queuedPrefillCost     = 3.0                    // ms for each prompt, besides its tokens
-	reprefillCost         = 8.0                    // how much more reading counts than waiting, since others wait for it too
+	loadTTL           = 400 * time.Millisecond // how long a worker's word of its load counts
+	queuedPrefillCost = 3.0                    // ms for each prompt, besides its tokens
+	// how much more reading counts than waiting, since others wait for it too
+	reprefillCost         = 8.0
 	crossZoneCost         = 4.0                    // ms for another zone
 	crossZoneKilobyteCost = 0.8                    // ms for each KB that goes to another zone
 	unhealthyCost         = 500.0                  // ms for a worker that fails all, where it is used though
@@ -102,7 +103,12 @@
 
 // cleared lists the workers of a service that may get new work of a part now. Those that
 // are to be left alone come only if no other is there.
-func (n *Node) cleared(s *fleetstate.Snapshot, service *fleetstate.Service, role ids.Role, tried map[ids.WorkerID]bool) []pick {
+func (n *Node) cleared(
+	s *fleetstate.Snapshot,
+	service *fleetstate.Service,
+	role ids.Role,
+	tried map[ids.WorkerID]bool,
+) []pick {
 	var good, out, shy []pick
 	now := n.now()
 	list := n.endpoints.Load()
@@ -186,7 +192,13 @@
 }
 
 // prefillCandidates orders the workers that may read a prompt.
-func (n *Node) prefillCandidates(programs *routing.ProgramSet, s *fleetstate.Snapshot, service *fleetstate.Service, r *Request, tried map[ids.WorkerID]bool) []pick {
+func (n *Node) prefillCandidates(
+	programs *routing.ProgramSet,
+	s *fleetstate.Snapshot,
+	service *fleetstate.Service,
+	r *Request,
+	tried map[ids.WorkerID]bool,
+) []pick {
 	list := n.cleared(s, service, ids.Prefill, tried)
 	ms, toks := prefixHashes(r)
 	rows := n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{service.Name, ids.Prefill}]
@@ -209,7 +221,8 @@
 		c.applyMemory(ids.Blocks(r.Prompt, blockSize), n.options.NoCapacityCost, now)
 		c.state.mu.Unlock()
 		c.busy = count
-		c.cost += (reprefillCost*float64(c.need)+float64(ahead))/n.options.PrefillTokensPerMs + queuedPrefillCost*float64(count) + n.far(c.worker, len(r.Body))
+		c.cost += (reprefillCost*float64(c.need)+float64(ahead))/n.options.PrefillTokensPerMs +
+			queuedPrefillCost*float64(count) + n.far(c.worker, len(r.Body))
 		if len(ms) > 0 {
 			c.affinity = routing.Mix(ms[len(ms)-1], c.hash)
 		}
@@ -218,7 +231,14 @@
 }
 
 // emitters orders the workers that may emit the answer, near the memory and near here.
-func (n *Node) emitters(programs *routing.ProgramSet, s *fleetstate.Snapshot, service *fleetstate.Service, r *Request, from *Worker, tried map[ids.WorkerID]bool) []pick {
+func (n *Node) emitters(
+	programs *routing.ProgramSet,
+	s *fleetstate.Snapshot,
+	service *fleetstate.Service,
+	r *Request,
+	from *Worker,
+	tried map[ids.WorkerID]bool,
+) []pick {
 	list := n.cleared(s, service, ids.Decode, tried)
 	now := n.now()
 	for i := range list {
@@ -254,7 +274,9 @@
 		list[i].cost += unhealthyCost * list[i].failureRate
 		ranks[i] = ranked{list[i].cost, routing.Mix(own, list[i].hash), i}
 	}
-	slices.SortFunc(ranks, func(a, b ranked) int { return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.tie, a.tie)) })
+	slices.SortFunc(ranks, func(a, b ranked) int {
+		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.tie, a.tie))
+	})
 	sorted := make([]pick, len(list))
 	for i, k := range ranks {
 		sorted[i] = list[k.index]
@@ -264,7 +286,16 @@
 	if len(head) < 2 && !programs.HasPrograms() {
 		return list
 	}
-	request := &routing.PickRequest{Request: r.ID, Kind: r.Host, Model: r.Model, Role: role, Zone: n.self.Zone, Prompt: r.Prompt, Max: r.MaxTokens, Priced: true}
+	request := &routing.PickRequest{
+		Request: r.ID,
+		Kind:    r.Host,
+		Model:   r.Model,
+		Role:    role,
+		Zone:    n.self.Zone,
+		Prompt:  r.Prompt,
+		Max:     r.MaxTokens,
+		Priced:  true,
+	}
 	cands := make([]routing.Candidate, len(head))
 	reports := true // room is told in blocks if it is known of all, else in places
 	for i := range head {
@@ -272,7 +303,16 @@
 	}
 	by := make(map[ids.WorkerID]pick, len(head))
 	for i, c := range head {
-		cands[i] = routing.Candidate{ID: c.worker.ID, Zone: c.worker.Zone, Capacity: c.worker.Concurrency, Free: max(0, c.worker.Concurrency-c.busy), Busy: c.busy, MaxConcurrent: c.worker.Concurrency, Affinity: c.affinity, Cost: c.cost}
+		cands[i] = routing.Candidate{
+			ID:            c.worker.ID,
+			Zone:          c.worker.Zone,
+			Capacity:      c.worker.Concurrency,
+			Free:          max(0, c.worker.Concurrency-c.busy),
+			Busy:          c.busy,
+			MaxConcurrent: c.worker.Concurrency,
+			Affinity:      c.affinity,
+			Cost:          c.cost,
+		}
 		if reports {
 			cands[i].Capacity, cands[i].Free = c.capacity, c.free
 		}
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -22,7 +22,12 @@
 	list := many(40)
 	list[7].Role = ""
 	list[9].Service = "other"
-	sights := []*fleetstate.Snapshot{{}, {Zones: map[ids.Zone]bool{"b": true}}, {Drained: map[ids.WorkerID]bool{list[2].ID: true}}, {RoleChanges: map[ids.WorkerID]ids.Role{list[4].ID: ids.Decode}}}
+	sights := []*fleetstate.Snapshot{
+		{},
+		{Zones: map[ids.Zone]bool{"b": true}},
+		{Drained: map[ids.WorkerID]bool{list[2].ID: true}},
+		{RoleChanges: map[ids.WorkerID]ids.Role{list[4].ID: ids.Decode}},
+	}
 	for k := range 6 {
 		now := n.now()
 		if k > 0 {
@@ -52,7 +57,9 @@
 					require.Same(t, n.state(c.worker.ID), c.state)
 				}
 				require.Equal(t, want, got)
-				require.Equal(t, top, prefixHome(77, n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{"s", role}], n.isEjected))
+				require.Equal(t, top, prefixHome(77, n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{
+					"s", role,
+				}], n.isEjected))
 			}
 		}
 	}
@@ -73,7 +80,9 @@
 				time.Sleep(150 * time.Millisecond)
 				y.at(func() { y.of("svc-" + string(role) + "-1").Leaving = true })
 			})
-			all := f.load(200, 300*time.Millisecond, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
+			all := f.load(200, 300*time.Millisecond, func(i int) *Request {
+				return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4)
+			})
 			late := 0
 			for _, a := range all {
 				require.NoError(t, a.err)
@@ -95,8 +104,13 @@
 			require.NoError(b, err)
 			n.installList(many(workers), n.now(), n.now())
 			s, service := n.view.Current(), service("s")
-			r := &Request{ID: "9c41d07be2a35f68", Prompt: 9190, MaxTokens: 4, Body: make([]byte, 20_000),
-				Segments: []PromptSegment{{"5c1e07a2", 800}, {"91bd3f06", 5500}, {"e4402b7d", 2890}}}
+			r := &Request{
+				ID:        "9c41d07be2a35f68",
+				Prompt:    9190,
+				MaxTokens: 4,
+				Body:      make([]byte, 20_000),
+				Segments:  []PromptSegment{{"5c1e07a2", 800}, {"91bd3f06", 5500}, {"e4402b7d", 2890}},
+			}
 			b.ReportAllocs()
 			for b.Loop() {
 				n.prefillCandidates(n.startupPrograms.Set, s, service, r, nil)
@@ -110,7 +124,13 @@
 func many(workers int) []Worker {
 	list := make([]Worker, workers)
 	for i := range list {
-		list[i] = Worker{ID: ids.WorkerID(fmt.Sprintf("i-7f3a%04d", i)), Service: "s", Zone: ids.Zone("abcd"[i%4:][:1]), Role: []ids.Role{ids.Prefill, ids.Decode}[i%2], Concurrency: 24}
+		list[i] = Worker{
+			ID:          ids.WorkerID(fmt.Sprintf("i-7f3a%04d", i)),
+			Service:     "s",
+			Zone:        ids.Zone("abcd"[i%4:][:1]),
+			Role:        []ids.Role{ids.Prefill, ids.Decode}[i%2],
+			Concurrency: 24,
+		}
 	}
 	return list
 }
--- a/internal/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -30,7 +30,8 @@
 					time.Sleep(2 * time.Second)
 					y.at(func() {
 						for _, w := range y.all {
-							if how == "evacuated" && w.Zone == "b" || how != "evacuated" && strings.HasSuffix(w.name, "-1") {
+							if how == "evacuated" && w.Zone == "b" ||
+								how != "evacuated" && strings.HasSuffix(w.name, "-1") {
 								gone = append(gone, w.ID)
 								w.Leaving, w.hidden = how == "leaving", how == "unlisted"
 							}
@@ -46,7 +47,9 @@
 					}
 					at = y.now()
 				})
-				all := f.load(60, 8*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 10) })
+				all := f.load(60, 8*time.Second, func(i int) *Request {
+					return f.req(fmt.Sprint("r", i), paths[i%4], 400, 10)
+				})
 				rows := y.book()
 				require.NotEmpty(t, gone)
 				require.Empty(t, leftAlone(rows, 100*time.Millisecond))
--- a/internal/proxy/program_test.go
+++ b/internal/proxy/program_test.go
@@ -13,11 +13,31 @@
 )
 
 var programs = []routing.Source{
-	{Name: "dear", Share: 40, Text: "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: -w.cost)]\n"},
-	{Name: "idle", Share: 30, Text: "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.busy)]\n"},
-	{Name: "endless", Share: 10, Text: "def order(ask, workers):\n    n = 0\n    for i in range(1000000000):\n        n += i\n    return []\n"},
-	{Name: "stranger", Share: 20, Text: "def order(ask, workers):\n    return ['svc-prefill-99.1'] + [w.id for w in workers]\n"},
-	{Name: "watcher", Shadow: true, Text: "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.cost)]\n"},
+	{
+		Name:  "dear",
+		Share: 40,
+		Text:  "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: -w.cost)]\n",
+	},
+	{
+		Name:  "idle",
+		Share: 30,
+		Text:  "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.busy)]\n",
+	},
+	{
+		Name:  "endless",
+		Share: 10,
+		Text:  "def order(ask, workers):\n    n = 0\n    for i in range(1000000000):\n        n += i\n    return []\n",
+	},
+	{
+		Name:  "stranger",
+		Share: 20,
+		Text:  "def order(ask, workers):\n    return ['svc-prefill-99.1'] + [w.id for w in workers]\n",
+	},
+	{
+		Name:   "watcher",
+		Shadow: true,
+		Text:   "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.cost)]\n",
+	},
 }
 
 // TestPrograms: two programs side by side by their shares, two hostile ones (endless,
@@ -32,7 +52,11 @@
 			require.NoError(t, err)
 			n.startupPrograms.Set = programs
 		}
-		f := build(t, 61, 2, y, plain(), func(o *Options) { o.Programs = programs; o.ProgramSteps = 5000; o.RetryAllowance = 40 })
+		f := build(t, 61, 2, y, plain(), func(o *Options) {
+			o.Programs = programs
+			o.ProgramSteps = 5000
+			o.RetryAllowance = 40
+		})
 		defer f.close()
 		hit := map[string]bool{}
 		y.at(func() {
@@ -74,7 +98,11 @@
 func TestProgramRules(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newCluster(both("svc", 3, 4)...)
-		programs := []routing.Source{{Name: "fixed", Share: 100, Text: "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.id)]\n"}}
+		programs := []routing.Source{{
+			Name:  "fixed",
+			Share: 100,
+			Text:  "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.id)]\n",
+		}}
 		f := build(t, 62, 2, y, plain(), func(o *Options) { o.Programs = programs })
 		defer f.close()
 		all := f.load(30, 3*1e9, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 2) })
@@ -95,7 +123,11 @@
 		t.Run(fmt.Sprint(workers), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				y := newCluster(both("svc", workers, workers)...)
-				programs := []routing.Source{{Name: "nobody", Share: 100, Text: "def match(ask, worker):\n    return False\n"}}
+				programs := []routing.Source{{
+					Name:  "nobody",
+					Share: 100,
+					Text:  "def match(ask, worker):\n    return False\n",
+				}}
 				f := build(t, 63, 1, y, plain(), func(o *Options) { o.Programs = programs })
 				defer f.close()
 				a := f.ask(f.nodes[0], f.req("r", "/once/x", 400, 2))
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -41,7 +41,9 @@
 		}
 		g.probeTimer.Reset(alarmQuietPeriod + time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond)
 		if g.deadlineTimer != nil {
-			g.deadlineTimer.Reset(max(600*time.Millisecond, 3*time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond))
+			g.deadlineTimer.Reset(max(
+				600*time.Millisecond, 3*time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond,
+			))
 		}
 	}
 	return k, err
@@ -82,7 +84,13 @@
 	}
 	if promisesNotRun(reply.Status) {
 		t.node.recordOutcome(c, false)
-		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "status %d without word that it was not run", reply.Status)
+		return failure.New(
+			failure.OutcomeUnknown,
+			"pass",
+			c.worker.Addr,
+			"status %d without word that it was not run",
+			reply.Status,
+		)
 	}
 	if t.headSent && (reply.Status != http.StatusOK || !reply.Events) {
 		return failure.New(failure.OutcomeUnknown, "resume", c.worker.Addr, "status %d", reply.Status)
@@ -116,7 +124,8 @@
 // A worker that did not run one says so by other means, which the adapter reads.
 func promisesNotRun(status int) bool {
 	switch status {
-	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
+	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
+		http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
 	}
 	return false
@@ -192,7 +201,9 @@
 func (t *exchange) forward(c *pick, reply *Response, events []byte, resumed bool) error {
 	first, last := eventIDs(events)
 	if resumed && !isLaterEvent(first, t.lastEventID) {
-		return failure.New(failure.OutcomeUnknown, "resume", c.worker.Addr, "event %s comes after %s", first, t.lastEventID)
+		return failure.New(
+			failure.OutcomeUnknown, "resume", c.worker.Addr, "event %s comes after %s", first, t.lastEventID,
+		)
 	}
 	if err := t.writeHead(reply, -1); err != nil {
 		return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -117,7 +117,9 @@
 				})
 				time.Sleep(1500 * time.Millisecond)
 				from := y.now()
-				all := f.load(250, 7*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 300, 2) })
+				all := f.load(250, 7*time.Second, func(i int) *Request {
+					return f.req(fmt.Sprint("r", i), "/once/x", 300, 2)
+				})
 				rows := y.book()
 				require.Empty(t, coldRate(rows, coldMost))
 				require.NotEmpty(t, sentTo(rows, "svc-decode-1.2", from, from+4*time.Second), "it is warmed")
@@ -132,7 +134,12 @@
 func TestColdManyNodes(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newCluster(both("svc", 3, 3)...)
-		f := build(t, 29, 9, y, policy(ways(), fleetstate.Service{Name: "svc", Concurrency: 16, SlowStartMs: 6000, SlowStartRate: 0.4}), nil)
+		f := build(t, 29, 9, y, policy(ways(), fleetstate.Service{
+			Name:          "svc",
+			Concurrency:   16,
+			SlowStartMs:   6000,
+			SlowStartRate: 0.4,
+		}), nil)
 		defer f.close()
 		y.at(func() {
 			for _, name := range []string{"svc-decode-1", "svc-prefill-2"} {
@@ -173,7 +180,9 @@
 				f.w.Partition([]string{nodeIP(0)}, append([]string{nodeIP(1)}, coreIps...), true)
 				require.True(t, f.until(10*time.Second, func() bool { return len(f.nodes[1].agent.Members()) == 1 }))
 				time.Sleep(after)
-				all := f.load(30, 9*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/again/x", 400, 4) })
+				all := f.load(30, 9*time.Second, func(i int) *Request {
+					return f.req(fmt.Sprint("r", i), "/again/x", 400, 4)
+				})
 				rows := y.book()
 				require.Empty(t, extras(rows, all, 0.2, allow, window))
 				require.NotEmpty(t, extras(rows, all, 0.2, allow/2, window), "both spend their parts")
@@ -300,7 +309,10 @@
 				anew()
 				for _, n := range f.up() {
 					require.Empty(t, n.snapshot().Failbacks)
-					require.Zero(t, n.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{SlowStartMs: 6000}, n.now(), n.now()))
+					require.Zero(
+						t,
+						n.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{SlowStartMs: 6000}, n.now(), n.now()),
+					)
 				}
 			})
 		})
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -65,7 +65,14 @@
 			}
 			d := duties[name]
 			if d == nil || d.fence != fence {
-				d = &roleBalance{fence: fence, since: n.now(), lastChange: n.now(), prefillPressure: 0.5, decodePressure: 0.2, changedAt: map[ids.WorkerID]ids.Tick{}}
+				d = &roleBalance{
+					fence:           fence,
+					since:           n.now(),
+					lastChange:      n.now(),
+					prefillPressure: 0.5,
+					decodePressure:  0.2,
+					changedAt:       map[ids.WorkerID]ids.Tick{},
+				}
 				duties[name] = d
 			}
 			if n.now().Past(d.since, n.options.LeaseDuration+n.options.LeaseDuration/5) {
@@ -79,7 +86,12 @@
 func (n *Node) submitRoleChange(ctx context.Context, t *fleetstate.RoleChange) bool {
 	callContext, stop := context.WithTimeout(ctx, 700*time.Millisecond)
 	defer stop()
-	_, err := n.agent.Submit(callContext, ids.OpID("turn/"+coordination.NewID()), fleetstate.RoleChangeKind, coordination.MustMarshal(t))
+	_, err := n.agent.Submit(
+		callContext,
+		ids.OpID("turn/"+coordination.NewID()),
+		fleetstate.RoleChangeKind,
+		coordination.MustMarshal(t),
+	)
 	return err == nil
 }
 
@@ -88,8 +100,15 @@
 	worker *Worker
 }
 
-// balanceRoles asks the workers, ends turns that are over, and begins one where it helps.
-func (n *Node) balanceRoles(ctx context.Context, s *fleetstate.Snapshot, service *fleetstate.Service, key ids.Key, d *roleBalance, turns map[ids.WorkerID]*roleChange) {
+// balanceRoles asks the workers, ends role changes that are over, and begins one where it helps.
+func (n *Node) balanceRoles(
+	ctx context.Context,
+	s *fleetstate.Snapshot,
+	service *fleetstate.Service,
+	key ids.Key,
+	d *roleBalance,
+	turns map[ids.WorkerID]*roleChange,
+) {
 	list := n.endpoints.Load()
 	listed := map[ids.WorkerID]*Worker{}
 	own := false
@@ -101,26 +120,7 @@
 			}
 		}
 	}
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	for id, to := range s.RoleChanges {
-		w, t := listed[id], turns[id]
-		if t == nil { // an earlier holder began it
-			t = &roleChange{began: n.now(), sent: true}
-			turns[id] = t
-		}
-		wg.Go(func() {
-			if w == nil && !n.elsewhere(id) || w != nil && n.finishRoleChange(ctx, w, to, key, d, t) {
-				if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: id, Done: true}) {
-					mu.Lock()
-					defer mu.Unlock()
-					delete(turns, id)
-					d.lastChange = n.now()
-				}
-			}
-		})
-	}
-	wg.Wait()
+	n.finishRoleChanges(ctx, s, listed, key, d, turns)
 	if own || !n.now().Past(d.lastReport, 2*n.options.RoleChangeInterval-50*time.Millisecond) {
 		return
 	}
@@ -142,11 +142,43 @@
 		if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: w.worker.ID, To: to}) {
 			turns[w.worker.ID] = &roleChange{began: n.now(), expected: w.Orders}
 			d.changedAt[w.worker.ID] = n.now()
-			n.options.Ring.Info().Str("worker", string(w.worker.ID)).Str("to", string(to)).Float64("read", read).Float64("emit", emit).Msg("turns a worker")
+			n.options.Ring.Info().Str("worker", string(w.worker.ID)).Str("to", string(to)).
+				Float64("prefillPressure", read).Float64("decodePressure", emit).Msg("changes a worker's role")
 		}
 	}
 }
 
+// finishRoleChanges ends the changes that are over, of all workers of which this node may.
+func (n *Node) finishRoleChanges(
+	ctx context.Context,
+	s *fleetstate.Snapshot,
+	listed map[ids.WorkerID]*Worker,
+	key ids.Key,
+	d *roleBalance,
+	turns map[ids.WorkerID]*roleChange,
+) {
+	var wg sync.WaitGroup
+	var mu sync.Mutex
+	for id, to := range s.RoleChanges {
+		w, t := listed[id], turns[id]
+		if t == nil { // an earlier holder began it
+			t = &roleChange{began: n.now(), sent: true}
+			turns[id] = t
+		}
+		wg.Go(func() {
+			if w == nil && !n.elsewhere(id) || w != nil && n.finishRoleChange(ctx, w, to, key, d, t) {
+				if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: id, Done: true}) {
+					mu.Lock()
+					defer mu.Unlock()
+					delete(turns, id)
+					d.lastChange = n.now()
+				}
+			}
+		})
+	}
+	wg.Wait()
+}
+
 // elsewhere tells that another service's worker, or one whose list is not known, has it.
 func (n *Node) elsewhere(id ids.WorkerID) bool {
 	list := n.endpoints.Load()
@@ -154,7 +186,14 @@
 }
 
 // finishRoleChange sends the order of a turn once all have heard of it, and tells when it is done.
-func (n *Node) finishRoleChange(ctx context.Context, w *Worker, to ids.Role, key ids.Key, d *roleBalance, t *roleChange) bool {
+func (n *Node) finishRoleChange(
+	ctx context.Context,
+	w *Worker,
+	to ids.Role,
+	key ids.Key,
+	d *roleBalance,
+	t *roleChange,
+) bool {
 	now := n.now()
 	switch {
 	case w.Role == to, now.Past(t.began, roleChangeTimeout), w.Leaving:
@@ -173,7 +212,12 @@
 	defer end()
 	callContext, stop := context.WithTimeout(ctx, 600*time.Millisecond)
 	defer stop()
-	err := n.options.Backend.Order(callContext, *w, &RoleOrder{To: to, Owner: n.self.Node, Fence: fence, Expected: t.expected})
+	err := n.options.Backend.Order(callContext, *w, &RoleOrder{
+		To:       to,
+		Owner:    n.self.Node,
+		Fence:    fence,
+		Expected: t.expected,
+	})
 	return failure.Is(err, failure.NotExecuted)
 }
 
@@ -259,7 +303,8 @@
 		}
 	case emit > decodePressureLimit:
 		from, to = ids.Prefill, ids.Decode
-		for want = min(want, readers-keep); want > 0 && emit <= decodeSaturated && spare(read, readers, want) >= prefillPressureLimit; want-- {
+		for want = min(want, readers-keep); want > 0 && emit <= decodeSaturated &&
+			spare(read, readers, want) >= prefillPressureLimit; want-- {
 		}
 	default:
 		return nil, ""
--- a/internal/proxy/role_balance_test.go
+++ b/internal/proxy/role_balance_test.go
@@ -118,10 +118,23 @@
 func TestNoTurnNeeded(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newCluster(append(both("svc", 3, 3), stands("free", "", 3)...)...)
-		text := policy(append(ways(), fleetstate.Route{Name: "f", Host: routeHost, Prefix: "/free/", Service: "free", MaxAttempts: 2, DeadlineMs: 4000, LatencyTargetMs: 400}), fleetstate.Service{Name: "svc", Concurrency: 16}, fleetstate.Service{Name: "free", Concurrency: 16})
+		text := policy(append(ways(), fleetstate.Route{
+			Name:            "f",
+			Host:            routeHost,
+			Prefix:          "/free/",
+			Service:         "free",
+			MaxAttempts:     2,
+			DeadlineMs:      4000,
+			LatencyTargetMs: 400,
+		}), fleetstate.Service{
+			Name:        "svc",
+			Concurrency: 16,
+		}, fleetstate.Service{Name: "free", Concurrency: 16})
 		f := build(t, 42, 2, y, text, turning)
 		defer f.close()
-		f.load(20, 10*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), []string{"/once/x", "/free/x"}[i%2], 400, 4) })
+		f.load(20, 10*time.Second, func(i int) *Request {
+			return f.req(fmt.Sprint("r", i), []string{"/once/x", "/free/x"}[i%2], 400, 4)
+		})
 		require.Empty(t, orders(y.book()))
 	})
 }
@@ -210,7 +223,9 @@
 				require.GreaterOrEqual(t, h, 0)
 				f.kill(h)
 				y.at(func() { y.lean = nil })
-				all := f.load(20, 25*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
+				all := f.load(20, 25*time.Second, func(i int) *Request {
+					return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4)
+				})
 				for _, b := range f.up() {
 					require.Empty(t, b.view.Current().RoleChanges, "the next holder ended it")
 				}
--- a/internal/proxy/role_programs.go
+++ b/internal/proxy/role_programs.go
@@ -5,13 +5,22 @@
 package proxy
 
 import (
+	"time"
+
 	"keelstair.example/ids"
 	"keelstair.example/internal/fleetstate"
 	"keelstair.example/internal/routing"
 )
 
 // proposeRoleChange gives the workers that the program in charge has turned, else the built-in choice.
-func (n *Node) proposeRoleChange(deal *fleetstate.CompiledPrograms, service *fleetstate.Service, d *roleBalance, rows []workerReport, some []*workerReport, to ids.Role) ([]*workerReport, ids.Role) {
+func (n *Node) proposeRoleChange(
+	deal *fleetstate.CompiledPrograms,
+	service *fleetstate.Service,
+	d *roleBalance,
+	rows []workerReport,
+	some []*workerReport,
+	to ids.Role,
+) ([]*workerReport, ids.Role) {
 	if !deal.Set.HasPrograms() {
 		return some, to
 	}
@@ -26,15 +35,7 @@
 	if deal.Configuration != nil {
 		dwell = max(dwell, deal.Configuration.Limits.Dwell())
 	}
-	now := n.now()
-	// Both parts are pressed from the same press on.
-	p := &routing.Pool{Model: service.Name, Since: now.Since(d.lastChange),
-		Pressure: map[ids.Role]float64{ids.Prefill: min(1, d.prefillPressure*decodePressureLimit/prefillPressureLimit), ids.Decode: min(1, d.decodePressure)}}
-	for _, r := range rows {
-		at, was := d.changedAt[r.worker.ID]
-		p.Workers = append(p.Workers, routing.RoleCandidate{ID: r.worker.ID, Zone: r.worker.Zone, Role: r.Role, HomeRole: r.Role, Busy: r.Running + r.Waiting, Work: r.Running,
-			MaxConcurrent: service.Concurrency, Free: max(0, r.Capacity-r.Used), Capacity: r.Capacity, Allowed: count[r.Role] > minPerRole(len(rows)) && (!was || now.Past(at, dwell))})
-	}
+	p := n.rolePool(service, d, rows, count, dwell)
 	var own routing.RoleChange
 	if len(some) > 0 {
 		own = routing.RoleChange{Worker: some[0].worker.ID, To: to}
@@ -53,3 +54,39 @@
 	}
 	return nil, ""
 }
+
+// rolePool is a service's workers as a routing program sees them. Both roles are under pressure
+// from the same value on.
+func (n *Node) rolePool(
+	service *fleetstate.Service,
+	d *roleBalance,
+	rows []workerReport,
+	count map[ids.Role]int,
+	dwell time.Duration,
+) *routing.Pool {
+	now := n.now()
+	p := &routing.Pool{
+		Model: service.Name,
+		Since: now.Since(d.lastChange),
+		Pressure: map[ids.Role]float64{
+			ids.Prefill: min(1, d.prefillPressure*decodePressureLimit/prefillPressureLimit),
+			ids.Decode:  min(1, d.decodePressure),
+		},
+	}
+	for _, r := range rows {
+		at, was := d.changedAt[r.worker.ID]
+		p.Workers = append(p.Workers, routing.RoleCandidate{
+			ID:            r.worker.ID,
+			Zone:          r.worker.Zone,
+			Role:          r.Role,
+			HomeRole:      r.Role,
+			Busy:          r.Running + r.Waiting,
+			Work:          r.Running,
+			MaxConcurrent: service.Concurrency,
+			Free:          max(0, r.Capacity-r.Used),
+			Capacity:      r.Capacity,
+			Allowed:       count[r.Role] > minPerRole(len(rows)) && (!was || now.Past(at, dwell)),
+		})
+	}
+	return p
+}
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -26,5 +26,7 @@
 
 // TestMethodNames: the names of the RPC methods are those of earlier releases.
 func TestMethodNames(t *testing.T) {
-	require.Equal(t, []string{"relay/alarm", "relay/list", "relay/alive"}, []string{faultMethod, listMethod, pingMethod})
+	require.Equal(t, []string{
+		"relay/alarm", "relay/list", "relay/alive",
+	}, []string{faultMethod, listMethod, pingMethod})
 }
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -24,7 +24,13 @@
 	if serial == "" || verb == verbReserve {
 		return
 	}
-	h.steps = append(h.steps, fleetstate.AuditStep{Attempt: id.Attempt, What: verb, Worker: string(w), Serial: serial, At: h.node.clock().High})
+	h.steps = append(h.steps, fleetstate.AuditStep{
+		Attempt: id.Attempt,
+		What:    verb,
+		Worker:  string(w),
+		Serial:  serial,
+		At:      h.node.clock().High,
+	})
 }
 
 // record writes the row's text; nothing for work that is not governed.
@@ -33,8 +39,16 @@
 		return nil
 	}
 	serial, _ := h.node.clears(h.regime, certification.Subject{Node: h.node.options.Name}, "")
-	b, _ := json.Marshal(&fleetstate.AuditRecord{Request: request, Key: key, Kind: h.kind, Regime: h.regime,
-		Node: string(h.node.self.Node), Serial: serial, Steps: h.steps, Outcome: outcome})
+	b, _ := json.Marshal(&fleetstate.AuditRecord{
+		Request: request,
+		Key:     key,
+		Kind:    h.kind,
+		Regime:  h.regime,
+		Node:    string(h.node.self.Node),
+		Serial:  serial,
+		Steps:   h.steps,
+		Outcome: outcome,
+	})
 	return b
 }
 
@@ -53,7 +67,9 @@
 	}
 	callContext, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 	defer stop()
-	if err := h.node.audit(callContext, auditOp(request, fleetstate.Begun), h.record(request, "", fleetstate.Begun)); err != nil {
+	if err := h.node.audit(
+		callContext, auditOp(request, fleetstate.Begun), h.record(request, "", fleetstate.Begun),
+	); err != nil {
 		return h.node.later(http.StatusServiceUnavailable, "core-away", "the request cannot be recorded: %v", err)
 	}
 	h.begun = true
@@ -94,7 +110,15 @@
 func (n *Node) Audits(ctx context.Context, from, limit int) (*api.Audits, error) {
 	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(callContext, "", fleetstate.AuditQueryKind, coordination.MustMarshal(&fleetstate.AuditQuery{From: from, Limit: limit}))
+	r, err := n.agent.Submit(
+		callContext,
+		"",
+		fleetstate.AuditQueryKind,
+		coordination.MustMarshal(&fleetstate.AuditQuery{
+			From:  from,
+			Limit: limit,
+		}),
+	)
 	if err != nil {
 		return nil, n.outcomeOf(err)
 	}
--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -63,7 +63,14 @@
 	if err := known(st, now, c); err != nil {
 		return nil, err
 	}
-	f := &Forecast{Version: st.Version, Workers: []string{}, Keys: []Move{}, Capacity: []PoolCapacity{}, Shares: map[string][2]int{}, Warnings: []string{}}
+	f := &Forecast{
+		Version:  st.Version,
+		Workers:  []string{},
+		Keys:     []Move{},
+		Capacity: []PoolCapacity{},
+		Shares:   map[string][2]int{},
+		Warnings: []string{},
+	}
 	next := now
 	if c.Policy != nil {
 		next = c.Policy
@@ -131,9 +138,14 @@
 		y, is := b.Workers[id]
 		switch {
 		case !was:
-			f.Workers = append(f.Workers, fmt.Sprintf("+ %s: %s of %s %s in %s, %d blocks", id, y.Role, y.Model, y.Weights, y.Zone, y.Capacity))
+			f.Workers = append(
+				f.Workers,
+				fmt.Sprintf("+ %s: %s of %s %s in %s, %d blocks", id, y.Role, y.Model, y.Weights, y.Zone, y.Capacity),
+			)
 		case !is:
-			f.Workers = append(f.Workers, fmt.Sprintf("- %s: %s of %s %s in %s", id, x.Role, x.Model, x.Weights, x.Zone))
+			f.Workers = append(
+				f.Workers, fmt.Sprintf("- %s: %s of %s %s in %s", id, x.Role, x.Model, x.Weights, x.Zone),
+			)
 		case fmt.Sprint(x) != fmt.Sprint(y):
 			f.Workers = append(f.Workers, fmt.Sprintf("~ %s: %v -> %v", id, x, y))
 		}
--- a/internal/router/forecast/forecast_test.go
+++ b/internal/router/forecast/forecast_test.go
@@ -18,12 +18,26 @@
 	p := &fleetstate.Configuration{Zones: []ids.Zone{"a", "b"}, Workers: map[ids.WorkerID]fleetstate.Worker{}}
 	for i, z := range []ids.Zone{"a", "b", "b"} {
 		n := string(rune('1' + i))
-		st.Members = append(st.Members, coordination.Member{Node: ids.NodeID("n" + n), Addr: "10.0.0." + n + ":1", Zone: z})
-		st.Core.Voters = append(st.Core.Voters, coordination.Replica{Disk: ids.DiskID(n), Addr: "10.0.1." + n + ":1", Zone: z})
+		st.Members = append(st.Members, coordination.Member{
+			Node: ids.NodeID("n" + n),
+			Addr: "10.0.0." + n + ":1",
+			Zone: z,
+		})
+		st.Core.Voters = append(st.Core.Voters, coordination.Replica{
+			Disk: ids.DiskID(n),
+			Addr: "10.0.1." + n + ":1",
+			Zone: z,
+		})
 		for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 			id := ids.WorkerID(string(part[0]) + n)
 			p.Workers[id] = fleetstate.Worker{Role: part, Model: "m", Weights: "w", Capacity: 100, Block: 16, Zone: z}
-			st.Workers = append(st.Workers, router.WorkerStatus{ID: id, Role: part, Ready: true, Free: 40, Capacity: 100})
+			st.Workers = append(st.Workers, router.WorkerStatus{
+				ID:       id,
+				Role:     part,
+				Ready:    true,
+				Free:     40,
+				Capacity: 100,
+			})
 		}
 	}
 	return st, p
--- a/internal/router/forecast/regimes.go
+++ b/internal/router/forecast/regimes.go
@@ -74,7 +74,12 @@
 		}
 		for _, what := range after.Shortage(g, 1, late, there(is)) {
 			if !slices.Contains(short, what) {
-				f.warn("regime %s would have no certified %s within %d days, as certificates end", g, what, soon/(24*time.Hour))
+				f.warn(
+					"regime %s would have no certified %s within %d days, as certificates end",
+					g,
+					what,
+					soon/(24*time.Hour),
+				)
 			}
 		}
 	}
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -42,7 +42,13 @@
 
 // pass has a certified node serve a request. The next one is asked only where the one
 // before surely did nothing.
-func (n *Node) pass(ctx context.Context, s *fleetstate.Snapshot, regime string, ask *api.StreamRequest, out api.Sink) error {
+func (n *Node) pass(
+	ctx context.Context,
+	s *fleetstate.Snapshot,
+	regime string,
+	ask *api.StreamRequest,
+	out api.Sink,
+) error {
 	for _, m := range n.peerMembers(s, regime) {
 		count, err := api.Pass(ctx, n.httpClient, m.Addr, passPath, ask, passSilent, out)
 		if err == nil {
@@ -57,19 +63,35 @@
 			n.counts.Passed.Add(1)
 			return f
 		case count == 0 && s.Configuration.Kinds[ask.Kind].Claimed:
-			return n.later(http.StatusServiceUnavailable, "claim-unknown", "the node that it was passed to is lost; ask again with the same key: %v", err)
+			return n.later(
+				http.StatusServiceUnavailable,
+				"claim-unknown",
+				"the node that it was passed to is lost; ask again with the same key: %v",
+				err,
+			)
 		case count == 0:
-			return n.retryAfterHint(http.StatusServiceUnavailable, "bounced", "the node that it was passed to is lost: %v", err)
+			return n.retryAfterHint(
+				http.StatusServiceUnavailable, "bounced", "the node that it was passed to is lost: %v", err,
+			)
 		}
 		end := api.Broken
 		if s.Configuration.Kinds[ask.Kind].Claimed {
 			end = api.Unknown
 		}
 		n.counts.Broken.Add(1)
-		return out.Put(api.StreamEvent{Index: count, End: end, Count: count,
-			Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), After: n.after().Milliseconds()}})
+		return out.Put(api.StreamEvent{
+			Index: count,
+			End:   end,
+			Count: count,
+			Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), After: n.after().Milliseconds()},
+		})
 	}
-	return n.later(http.StatusServiceUnavailable, "not-certified", "this node is not certified for regime %q now, and reaches none that is", regime)
+	return n.later(
+		http.StatusServiceUnavailable,
+		"not-certified",
+		"this node is not certified for regime %q now, and reaches none that is",
+		regime,
+	)
 }
 
 // servePassed answers what another node passed on; it is passed no further.
--- a/internal/router/govern.go
+++ b/internal/router/govern.go
@@ -73,7 +73,12 @@
 // guard ends a step's context once the worker, or the one that memory comes from, is not
 // cleared any more. The function that it gives names the cause over an error that came of
 // it.
-func (h *transport) guard(ctx context.Context, w ids.WorkerID, part ids.Role, source ids.WorkerID) (context.Context, func(error) error) {
+func (h *transport) guard(
+	ctx context.Context,
+	w ids.WorkerID,
+	part ids.Role,
+	source ids.WorkerID,
+) (context.Context, func(error) error) {
 	if h.regime == "" {
 		return ctx, func(err error) error { return err }
 	}
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -44,8 +44,20 @@
 		d := v.(*workerDuty)
 		if f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id)); ok && f == d.fence {
 			st := d.ledger.State(now)
-			b.Workers = append(b.Workers, WorkerStatus{ID: d.id, Fence: f, Role: st.Role, Ready: st.Ready, Free: st.Free,
-				Capacity: st.Capacity, Busy: st.Busy, Work: st.Work, Used: st.Used, MaxConcurrent: st.MaxConcurrent, Block: st.Block, Incarnation: st.Incarnation})
+			b.Workers = append(b.Workers, WorkerStatus{
+				ID:            d.id,
+				Fence:         f,
+				Role:          st.Role,
+				Ready:         st.Ready,
+				Free:          st.Free,
+				Capacity:      st.Capacity,
+				Busy:          st.Busy,
+				Work:          st.Work,
+				Used:          st.Used,
+				MaxConcurrent: st.MaxConcurrent,
+				Block:         st.Block,
+				Incarnation:   st.Incarnation,
+			})
 		}
 		return true
 	})
@@ -68,7 +80,9 @@
 			wg.Go(func() {
 				callContext, stop := context.WithTimeout(ctx, 2*n.options.HeartbeatInterval)
 				defer stop()
-				if r, err := rpc.Call[Heartbeat, Heartbeat](callContext, n.caller, m.Addr, heartbeatMethod, b); err == nil {
+				if r, err := rpc.Call[Heartbeat, Heartbeat](
+					callContext, n.caller, m.Addr, heartbeatMethod, b,
+				); err == nil {
 					n.learn(ctx, m, r, asked)
 				}
 			})
--- a/internal/router/holder.go
+++ b/internal/router/holder.go
@@ -61,7 +61,12 @@
 				previous.(*workerDuty).stop()
 			}
 			callContext, stop := context.WithCancel(ctx)
-			d := &workerDuty{id: id, fence: f, stop: stop, ledger: handoff.NewMemoryLedger(lim.Lag(), lim.SlowStart(), lim.Queue)}
+			d := &workerDuty{
+				id:     id,
+				fence:  f,
+				stop:   stop,
+				ledger: handoff.NewMemoryLedger(lim.Lag(), lim.SlowStart(), lim.Queue),
+			}
 			n.duties.Store(id, d)
 			wg.Go(func() { n.poll(callContext, d) })
 		}
@@ -115,7 +120,10 @@
 	callContext, stop := context.WithTimeout(ctx, 800*time.Millisecond)
 	defer stop()
 	lead := workerclient.OrderHeader{Fence: f, Version: n.view.Current().Version}
-	if _, err := n.workerClient.SetRole(callContext, addr, &workerclient.RoleRequest{OrderHeader: lead, Role: part}); err != nil {
+	if _, err := n.workerClient.SetRole(callContext, addr, &workerclient.RoleRequest{
+		OrderHeader: lead,
+		Role:        part,
+	}); err != nil {
 		return err
 	}
 	d.known = true
@@ -147,7 +155,9 @@
 	defer end()
 	v, ok := n.duties.Load(request.Worker)
 	if !ok || v.(*workerDuty).fence != fence {
-		return nil, failure.New(failure.Unavailable, "hold key", n.self.Addr, "the desk of %s is not open yet", request.Worker)
+		return nil, failure.New(
+			failure.Unavailable, "hold key", n.self.Addr, "the desk of %s is not open yet", request.Worker,
+		)
 	}
 	led := v.(*workerDuty).ledger
 	if _, err := n.check(request); err != nil {
@@ -156,7 +166,9 @@
 	id := workerclient.ID{Request: request.Request, Attempt: request.Attempt}
 	l, ok := (*n.endpoints.Load())[request.Worker]
 	if !ok {
-		return nil, failure.New(failure.DataLost, "find worker", string(request.Worker), "the platform does not list it")
+		return nil, failure.New(
+			failure.DataLost, "find worker", string(request.Worker), "the platform does not list it",
+		)
 	}
 	settled := n.view.NoteVersion(request.Version)
 	lead := workerclient.OrderHeader{Fence: fence, Version: n.view.Current().Version}
@@ -172,7 +184,14 @@
 	case verbReserve:
 		s := n.view.Current()
 		if request.Version < s.Version {
-			return nil, failure.New(failure.Stale, "reserve", string(request.Worker), "picked under version %d, %d is in force", request.Version, s.Version)
+			return nil, failure.New(
+				failure.Stale,
+				"reserve",
+				string(request.Worker),
+				"picked under version %d, %d is in force",
+				request.Version,
+				s.Version,
+			)
 		}
 		if !n.fit(s, request.Worker) || !settled || !n.knowsNewest() {
 			return nil, failure.New(failure.NotExecuted, "reserve", string(request.Worker), "it may get no new work")
@@ -184,7 +203,9 @@
 		return nil, led.ReserveBeside(id, request.Need, keep, n.now())
 	case verbPrefill:
 		if !led.Reserved(id) {
-			return nil, failure.New(failure.NotExecuted, "prefill", string(request.Worker), "no room is booked for %s", id.Request)
+			return nil, failure.New(
+				failure.NotExecuted, "prefill", string(request.Worker), "no room is booked for %s", id.Request,
+			)
 		}
 		led.Moved(id, n.now())
 		a, err = n.workerClient.Prefill(ctx, l.Addr, &workerclient.PrefillRequest{OrderHeader: lead, Identity: in})
@@ -193,10 +214,16 @@
 	case verbImport:
 		src, ok := (*n.endpoints.Load())[request.Source]
 		if !led.Reserved(id) || !ok {
-			return nil, failure.New(failure.NotExecuted, "import", string(request.Worker), "no room is booked for %s", id.Request)
+			return nil, failure.New(
+				failure.NotExecuted, "import", string(request.Worker), "no room is booked for %s", id.Request,
+			)
 		}
 		led.Moved(id, n.now())
-		a, err = n.workerClient.Import(ctx, l.Addr, &workerclient.ImportRequest{OrderHeader: lead, Identity: in, Source: src.Addr})
+		a, err = n.workerClient.Import(ctx, l.Addr, &workerclient.ImportRequest{
+			OrderHeader: lead,
+			Identity:    in,
+			Source:      src.Addr,
+		})
 	case verbResume:
 		a, err = n.workerClient.Resume(ctx, l.Addr, &workerclient.IDRequest{OrderHeader: lead, ID: id})
 	case verbCancel:
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -94,11 +94,23 @@
 func New(opt Options) *Node {
 	opt.setDefaults()
 	n := &Node{options: opt, scores: &routing.Scores{}, journal: logging.NewJournal[handoff.Event](1024)}
-	n.self = coordination.Member{Node: ids.NodeID(opt.Name + "-" + coordination.NewID()), Addr: opt.Addr, Zone: opt.Zone}
+	n.self = coordination.Member{
+		Node: ids.NodeID(opt.Name + "-" + coordination.NewID()),
+		Addr: opt.Addr,
+		Zone: opt.Zone,
+	}
 	n.view = fleetstate.NewView(opt.Ring)
 	n.view.Ready = n.compile
-	n.agent = coordination.NewAgent(coordination.AgentOptions{Self: n.self, Host: opt.Host, Seeds: opt.Seeds, Watcher: n.view, Ring: opt.Ring,
-		LeaseDuration: opt.LeaseDuration, RenewInterval: opt.RenewInterval, CoreUnreachable: n.coreUnreachable})
+	n.agent = coordination.NewAgent(coordination.AgentOptions{
+		Self:            n.self,
+		Host:            opt.Host,
+		Seeds:           opt.Seeds,
+		Watcher:         n.view,
+		Ring:            opt.Ring,
+		LeaseDuration:   opt.LeaseDuration,
+		RenewInterval:   opt.RenewInterval,
+		CoreUnreachable: n.coreUnreachable,
+	})
 	n.caller = n.agent.Caller()
 	n.workerClient = workerclient.New(opt.Host.Net)
 	n.httpClient = rpc.NewHTTPClient(opt.Host.Net)
@@ -145,7 +157,10 @@
 func (n *Node) Run(ctx context.Context, drain time.Duration) {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){n.agent.Run, n.heartbeatLoop, n.watchEndpoints, n.dutyLoop, n.resolutionLoop, n.resolveLoop, n.roleBalancer} {
+	for _, f := range []func(context.Context){
+		n.agent.Run, n.heartbeatLoop, n.watchEndpoints, n.dutyLoop, n.resolutionLoop, n.resolveLoop,
+		n.roleBalancer,
+	} {
 		wg.Go(func() { f(inner) })
 	}
 	<-ctx.Done()
@@ -166,7 +181,8 @@
 func (n *Node) compile(v ids.Version, p *fleetstate.Configuration) {
 	programs, err := p.CompileSet(n.scores)
 	if err != nil {
-		n.options.Ring.Error().AnErr("cause", err).Uint64("version", uint64(v)).Msg("programs do not compile; the plain order serves")
+		n.options.Ring.Error().AnErr("cause", err).Uint64("version", uint64(v)).
+			Msg("programs do not compile; the plain order serves")
 		programs, _ = routing.NewProgramSet(nil, 0, n.scores)
 	}
 	n.programSets.Store(v, programs)
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -68,7 +68,15 @@
 	}
 	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(callContext, ids.OpID("op/"+a.Op), fleetstate.PrepareKind, coordination.MustMarshal(&fleetstate.PrepareVersion{Base: ids.Version(a.Base), Text: whole}))
+	r, err := n.agent.Submit(
+		callContext,
+		ids.OpID("op/"+a.Op),
+		fleetstate.PrepareKind,
+		coordination.MustMarshal(&fleetstate.PrepareVersion{
+			Base: ids.Version(a.Base),
+			Text: whole,
+		}),
+	)
 	if err != nil {
 		if failure.Is(err, failure.Stale) {
 			return nil, n.refuseStale(a.Base, n.view.Current())
@@ -86,7 +94,11 @@
 func (n *Node) outcomeOf(err error) error { return api.OutcomeEvent(err, n.after()) }
 
 // versionApplied waits a while until this node has put the answer's version in force.
-func (n *Node) versionApplied(ctx context.Context, r *coordination.SubmitResponse, wait bool) (*api.ApplyResponse, error) {
+func (n *Node) versionApplied(
+	ctx context.Context,
+	r *coordination.SubmitResponse,
+	wait bool,
+) (*api.ApplyResponse, error) {
 	var got fleetstate.VersionReply
 	if _, err := got.UnmarshalMsg(r.Body); err != nil {
 		return nil, failure.As(err, failure.OutcomeUnknown, "read ruling", "core")
@@ -121,7 +133,10 @@
 	if !known {
 		return nil, api.WriteFault(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
 	}
-	return n.mark(ctx, m.Op, fleetstate.EvacuateKind, coordination.MustMarshal(&fleetstate.Evacuate{Zone: ids.Zone(zone), Evacuated: m.Out}))
+	return n.mark(ctx, m.Op, fleetstate.EvacuateKind, coordination.MustMarshal(&fleetstate.Evacuate{
+		Zone:      ids.Zone(zone),
+		Evacuated: m.Out,
+	}))
 }
 
 // Drain keeps new work from a worker, or takes that back.
@@ -129,7 +144,10 @@
 	if _, ok := n.view.Current().Configuration.Workers[ids.WorkerID(worker)]; !ok {
 		return nil, api.WriteFault(http.StatusNotFound, "unknown", "worker", "there is no worker %q", worker)
 	}
-	return n.mark(ctx, m.Op, fleetstate.DrainKind, coordination.MustMarshal(&fleetstate.Drain{Worker: ids.WorkerID(worker), Drained: m.Out}))
+	return n.mark(ctx, m.Op, fleetstate.DrainKind, coordination.MustMarshal(&fleetstate.Drain{
+		Worker:  ids.WorkerID(worker),
+		Drained: m.Out,
+	}))
 }
 
 // Shown gives operators what Show does.
@@ -138,7 +156,13 @@
 // Show gives the configuration in force.
 func (n *Node) Show() *api.Shown {
 	s := n.view.Current()
-	out := &api.Shown{Version: uint64(s.Version), Newest: uint64(max(s.Newest, s.Version)), Policy: s.Text, Zones: []string{}, Drained: []string{}}
+	out := &api.Shown{
+		Version: uint64(s.Version),
+		Newest:  uint64(max(s.Newest, s.Version)),
+		Policy:  s.Text,
+		Zones:   []string{},
+		Drained: []string{},
+	}
 	if len(out.Policy) == 0 {
 		out.Policy = []byte("{}")
 	}
@@ -180,9 +204,22 @@
 func (n *Node) Status() any {
 	ok, reason := n.Ready()
 	sh := n.Show()
-	st := &NodeStatus{Node: n.self.Node, Zone: n.self.Zone, Ready: ok, Why: reason, Version: n.view.Current().Version, Seq: n.agent.Seq(),
-		Core: n.agent.Directory().Record(), Members: n.agent.Members(), Programs: map[string]map[string]any{},
-		Listed: map[ids.WorkerID]ids.Zone{}, Evacuated: sh.Zones, Drained: sh.Drained, Workers: []WorkerStatus{}, Holds: []ids.Key{}}
+	st := &NodeStatus{
+		Node:      n.self.Node,
+		Zone:      n.self.Zone,
+		Ready:     ok,
+		Why:       reason,
+		Version:   n.view.Current().Version,
+		Seq:       n.agent.Seq(),
+		Core:      n.agent.Directory().Record(),
+		Members:   n.agent.Members(),
+		Programs:  map[string]map[string]any{},
+		Listed:    map[ids.WorkerID]ids.Zone{},
+		Evacuated: sh.Zones,
+		Drained:   sh.Drained,
+		Workers:   []WorkerStatus{},
+		Holds:     []ids.Key{},
+	}
 	for _, g := range n.agent.OwnedKeys() {
 		st.Holds = append(st.Holds, g.Key)
 	}
@@ -194,16 +231,41 @@
 	for id, l := range *n.endpoints.Load() {
 		st.Listed[id] = l.Zone
 	}
-	c := &n.counts
-	st.Counts = map[string]int64{"asked": c.Asked.Load(), "done": c.Done.Load(), "bounced": c.Bounced.Load(), "broken": c.Broken.Load(),
-		"unsure": c.Unsure.Load(), "replayed": c.Replayed.Load(), "moved": c.Moved.Load(), "again": c.Again.Load(), "turned": c.Turned.Load(), "passed": c.Passed.Load(), "inflight": n.inflight.Load()}
+	st.Counts = n.countsByName()
 	n.scores.Each(func(name string, s *routing.Score) {
-		st.Programs[name] = map[string]any{"picks": s.Picks.Load(), "fallbacks": s.Fallbacks.Load(), "agreed": s.Agreed.Load(), "turnsAsked": s.ProposalsAsked.Load(), "turnsWished": s.Proposals.Load(),
-			"done": s.Done.Load(), "broken": s.Broken.Load(), "bounced": s.Bounced.Load(),
-			"firstP50Ms": float64(s.Quantile(0.5)) / 1e6, "firstP99Ms": float64(s.Quantile(0.99)) / 1e6}
+		st.Programs[name] = map[string]any{
+			"picks":       s.Picks.Load(),
+			"fallbacks":   s.Fallbacks.Load(),
+			"agreed":      s.Agreed.Load(),
+			"turnsAsked":  s.ProposalsAsked.Load(),
+			"turnsWished": s.Proposals.Load(),
+			"done":        s.Done.Load(),
+			"broken":      s.Broken.Load(),
+			"bounced":     s.Bounced.Load(),
+			"firstP50Ms":  float64(s.Quantile(0.5)) / 1e6,
+			"firstP99Ms":  float64(s.Quantile(0.99)) / 1e6,
+		}
 	})
 	st.Last, _ = n.journal.Last(8)
 	st.Deeds[0], st.Deeds[1] = n.view.RecordCount()
 	st.Time, st.Revoked = n.clock(), slices.Sorted(maps.Keys(n.view.Current().Revoked))
 	return st
 }
+
+// countsByName gives the counters under the names that /v1/status has for them.
+func (n *Node) countsByName() map[string]int64 {
+	c := &n.counts
+	return map[string]int64{
+		"asked":    c.Asked.Load(),
+		"done":     c.Done.Load(),
+		"bounced":  c.Bounced.Load(),
+		"broken":   c.Broken.Load(),
+		"unsure":   c.Unsure.Load(),
+		"replayed": c.Replayed.Load(),
+		"moved":    c.Moved.Load(),
+		"again":    c.Again.Load(),
+		"turned":   c.Turned.Load(),
+		"passed":   c.Passed.Load(),
+		"inflight": n.inflight.Load(),
+	}
+}
--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -27,11 +27,19 @@
 // while this node's word is too old to know of revocations and of the time.
 func (n *Node) clears(regime string, s certification.Subject, part ids.Role) (string, error) {
 	if !n.agent.Current() {
-		return "", failure.New(failure.NotExecuted, "clear", s.String(), "this node's word from the core is too old for regime %q", regime)
+		return "", failure.New(
+			failure.NotExecuted,
+			"clear",
+			s.String(),
+			"this node's word from the core is too old for regime %q",
+			regime,
+		)
 	}
 	serial, ok := n.view.Current().Register.Clears(regime, s, part, n.clock())
 	if !ok {
-		return "", failure.New(failure.NotExecuted, "clear", s.String(), "no certificate in force clears it for regime %q", regime)
+		return "", failure.New(
+			failure.NotExecuted, "clear", s.String(), "no certificate in force clears it for regime %q", regime,
+		)
 	}
 	return serial, nil
 }
@@ -46,13 +54,23 @@
 	}
 	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(callContext, ids.OpID("op/"+m.Op), fleetstate.RevokeKind, coordination.MustMarshal(&fleetstate.Revoke{Serial: serial}))
+	r, err := n.agent.Submit(
+		callContext,
+		ids.OpID("op/"+m.Op),
+		fleetstate.RevokeKind,
+		coordination.MustMarshal(&fleetstate.Revoke{Serial: serial}),
+	)
 	if err != nil {
 		return nil, n.outcomeOf(err)
 	}
 	for !n.view.Current().Revoked[serial] {
 		if !host.Sleep(callContext, 10*time.Millisecond) {
-			return nil, api.RetryLater(http.StatusGatewayTimeout, "not-everywhere", n.after(), "the revocation is durable and not yet in force everywhere; ask again with the same op")
+			return nil, api.RetryLater(
+				http.StatusGatewayTimeout,
+				"not-everywhere",
+				n.after(),
+				"the revocation is durable and not yet in force everywhere; ask again with the same op",
+			)
 		}
 	}
 	return n.versionApplied(ctx, r, false)
@@ -61,11 +79,22 @@
 // Regimes tells who is certified, until when, and what is short.
 func (n *Node) Regimes() *api.Regimes {
 	s, now := n.view.Current(), n.clock()
-	out := &api.Regimes{Version: uint64(s.Version), Low: now.Low, High: now.High, Wall: n.options.Host.Clock.Wall().UnixNano(), Regimes: []api.Regime{}}
+	out := &api.Regimes{
+		Version: uint64(s.Version),
+		Low:     now.Low,
+		High:    now.High,
+		Wall:    n.options.Host.Clock.Wall().UnixNano(),
+		Regimes: []api.Regime{},
+	}
 	for _, name := range s.Register.Regimes() {
 		g := s.Configuration.Regimes[name]
-		out.Regimes = append(out.Regimes, api.Regime{Name: name, Kinds: g.Kinds, Keep: g.Keep, Rows: s.Register.Rows(name, now),
-			Short: s.Register.Shortage(name, 1, now, n.able(s))})
+		out.Regimes = append(out.Regimes, api.Regime{
+			Name:  name,
+			Kinds: g.Kinds,
+			Keep:  g.Keep,
+			Rows:  s.Register.Rows(name, now),
+			Short: s.Register.Shortage(name, 1, now, n.able(s)),
+		})
 	}
 	return out
 }
--- a/internal/router/regime_test.go
+++ b/internal/router/regime_test.go
@@ -22,7 +22,15 @@
 	from, until := now.AddDate(0, 0, -1).Format(time.RFC3339), now.AddDate(0, 0, 1).Format(time.RFC3339)
 	certs := map[string]certification.Certificate{}
 	put := func(serial string, w ids.WorkerID) {
-		c := certification.Certificate{Serial: serial, Worker: w, Regime: "chair", Roles: []ids.Role{ids.Prefill}, From: from, Until: until, Issuer: "k"}
+		c := certification.Certificate{
+			Serial: serial,
+			Worker: w,
+			Regime: "chair",
+			Roles:  []ids.Role{ids.Prefill},
+			From:   from,
+			Until:  until,
+			Issuer: "k",
+		}
 		c.Sign(key)
 		certs[serial] = c
 	}
--- a/internal/router/role_balance.go
+++ b/internal/router/role_balance.go
@@ -91,9 +91,19 @@
 		}
 		for _, st := range list {
 			w := s.Configuration.Workers[st.ID]
-			view.Workers = append(view.Workers, routing.RoleCandidate{ID: st.ID, Zone: w.Zone, Role: part, HomeRole: w.Role, Busy: st.Busy, Work: st.Work,
-				MaxConcurrent: st.MaxConcurrent, Free: st.Free, Capacity: st.Capacity,
-				Allowed: view.Since >= rest && spare(s, list, st.ID) && covered(s, list, st, n.clock()) && !n.changedWithin(st.ID, dwell)})
+			view.Workers = append(view.Workers, routing.RoleCandidate{
+				ID:            st.ID,
+				Zone:          w.Zone,
+				Role:          part,
+				HomeRole:      w.Role,
+				Busy:          st.Busy,
+				Work:          st.Work,
+				MaxConcurrent: st.MaxConcurrent,
+				Free:          st.Free,
+				Capacity:      st.Capacity,
+				Allowed: view.Since >= rest && spare(s, list, st.ID) && covered(s, list, st, n.clock()) &&
+					!n.changedWithin(st.ID, dwell),
+			})
 		}
 	}
 	wish, ok := n.proposeRoleChange(s, view)
@@ -184,7 +194,13 @@
 }
 
 // handleRoleChange is the holder's side: no new work, wait until it is empty, order it.
-func (n *Node) handleRoleChange(ctx context.Context, d *workerDuty, addr string, lead workerclient.OrderHeader, to ids.Role) (*workerclient.OrderResponse, error) {
+func (n *Node) handleRoleChange(
+	ctx context.Context,
+	d *workerDuty,
+	addr string,
+	lead workerclient.OrderHeader,
+	to ids.Role,
+) (*workerclient.OrderResponse, error) {
 	d.ledger.Reservation(true)
 	defer d.ledger.Reservation(false)
 	callContext, stop := context.WithTimeout(ctx, maxRoleChange)
--- a/internal/router/role_balance_test.go
+++ b/internal/router/role_balance_test.go
@@ -19,7 +19,11 @@
 // stage sets up a node that sees so many workers of each part, this busy.
 func stage(reads, writes, readBusy, writeBusy int) (*Node, *fleetstate.Snapshot) {
 	n := New(Options{Name: "n", Host: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host()})
-	s := &fleetstate.Snapshot{Configuration: &fleetstate.Configuration{RoleChanges: true, Workers: map[ids.WorkerID]fleetstate.Worker{}, Limits: fleetstate.Limits{DwellMs: 4000}}}
+	s := &fleetstate.Snapshot{Configuration: &fleetstate.Configuration{
+		RoleChanges: true,
+		Workers:     map[ids.WorkerID]fleetstate.Worker{},
+		Limits:      fleetstate.Limits{DwellMs: 4000},
+	}}
 	stands, roster := map[ids.WorkerID]WorkerStatus{}, map[ids.WorkerID]workerclient.ListedWorker{}
 	for i := range reads + writes {
 		part, busy := ids.Prefill, readBusy
@@ -27,8 +31,22 @@
 			part, busy = ids.Decode, writeBusy
 		}
 		id := ids.WorkerID(fmt.Sprintf("%s%d", part[:1], i))
-		s.Configuration.Workers[id] = fleetstate.Worker{Role: part, Model: "m", Weights: "w", Zone: ids.Zone(fmt.Sprint(i % 3))}
-		stands[id] = WorkerStatus{ID: id, Role: part, Ready: true, Free: 90, Capacity: 100, Busy: busy, Work: busy, MaxConcurrent: 16}
+		s.Configuration.Workers[id] = fleetstate.Worker{
+			Role:    part,
+			Model:   "m",
+			Weights: "w",
+			Zone:    ids.Zone(fmt.Sprint(i % 3)),
+		}
+		stands[id] = WorkerStatus{
+			ID:            id,
+			Role:          part,
+			Ready:         true,
+			Free:          90,
+			Capacity:      100,
+			Busy:          busy,
+			Work:          busy,
+			MaxConcurrent: 16,
+		}
 		roster[id] = workerclient.ListedWorker{ID: id}
 	}
 	n.workerStatus.Store(&stands)
--- a/internal/router/tracing/tracing.go
+++ b/internal/router/tracing/tracing.go
@@ -76,7 +76,8 @@
 	case map[string]any:
 		for k, one := range v {
 			var id []byte
-			if s, ok := one.(string); ok && (k == "traceId" || k == "spanId" || k == "parentSpanId") && json.Unmarshal([]byte(`"`+s+`"`), &id) == nil {
+			if s, ok := one.(string); ok && (k == "traceId" || k == "spanId" || k == "parentSpanId") &&
+				json.Unmarshal([]byte(`"`+s+`"`), &id) == nil {
 				v[k] = hex.EncodeToString(id)
 			} else {
 				v[k] = hexed(one)
@@ -93,14 +94,21 @@
 func (w *Writer) trace(id workerclient.ID, rows []handoff.Event) *trace.TracesData {
 	scope := &trace.ScopeSpans{Scope: &common.InstrumentationScope{Name: "keelstair.example/internal/handoff"}}
 	res := &trace.ResourceSpans{ScopeSpans: []*trace.ScopeSpans{scope},
-		Resource: &resource.Resource{Attributes: []*common.KeyValue{text("service.name", "keelstair"), text("service.instance.id", w.node)}}}
+		Resource: &resource.Resource{Attributes: []*common.KeyValue{
+			text("service.name", "keelstair"), text("service.instance.id", w.node),
+		}}}
 	// Ticks become wall time by what the clocks show now.
 	now, wall := w.clock.Now(), w.clock.Wall()
 	at := func(e handoff.Event) uint64 { return uint64(wall.Add(-now.Since(e.At)).UnixNano()) }
 	sum := sha256.Sum256([]byte(id.Request))
 	put := func(name string, n int, from, to handoff.Event) *trace.Span {
-		s := &trace.Span{TraceId: sum[:16], SpanId: append([]byte{byte(id.Attempt), byte(n + 1)}, sum[16:22]...), Name: name,
-			StartTimeUnixNano: at(from), EndTimeUnixNano: at(to)}
+		s := &trace.Span{
+			TraceId:           sum[:16],
+			SpanId:            append([]byte{byte(id.Attempt), byte(n + 1)}, sum[16:22]...),
+			Name:              name,
+			StartTimeUnixNano: at(from),
+			EndTimeUnixNano:   at(to),
+		}
 		scope.Spans = append(scope.Spans, s)
 		return s
 	}
--- a/internal/router/tracing/tracing_test.go
+++ b/internal/router/tracing/tracing_test.go
@@ -22,9 +22,17 @@
 	clock := simulated.NewWorld(1).Machine("10.0.0.1").Start().Host().Clock
 	w := New(&out, "n1", clock)
 	id := workerclient.ID{Request: "r", Attempt: 2}
-	for i, s := range []handoff.Step{handoff.Granted, handoff.Prefilled, handoff.Exported, handoff.Imported, handoff.Dropped} {
+	for i, s := range []handoff.Step{
+		handoff.Granted, handoff.Prefilled, handoff.Exported, handoff.Imported, handoff.Dropped,
+	} {
 		require.Zero(t, out.Len())
-		w.Tell(handoff.Event{ID: id, Step: s, Worker: "d1", At: clock.Now().Add(time.Duration(i) * time.Millisecond), Reason: "lost"})
+		w.Tell(handoff.Event{
+			ID:     id,
+			Step:   s,
+			Worker: "d1",
+			At:     clock.Now().Add(time.Duration(i) * time.Millisecond),
+			Reason: "lost",
+		})
 	}
 	var got struct {
 		ResourceSpans []struct {
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -34,7 +34,11 @@
 	begun    bool // its first row stands
 }
 
-func (h *transport) Pick(request *routing.PickRequest, on workerclient.Model, excluded map[ids.WorkerID]bool) []handoff.Picked {
+func (h *transport) Pick(
+	request *routing.PickRequest,
+	on workerclient.Model,
+	excluded map[ids.WorkerID]bool,
+) []handoff.Picked {
 	n := h.node
 	// While a newer version is heard of and not had yet, or could not be heard of,
 	// picks are held.
@@ -74,12 +78,23 @@
 			want.Weights = w.Weights
 		}
 		need := ids.Blocks(request.Need, st.Block)
-		if !ok || st.Role != request.Role || !st.Ready || !n.fit(s, id) || !cleared(st) || regime == "" && !n.idleWorkers(s, st, need) || !m.Offers(want) || st.Busy >= st.MaxConcurrent ||
+		if !ok || st.Role != request.Role || !st.Ready || !n.fit(s, id) || !cleared(st) ||
+			regime == "" && !n.idleWorkers(s, st, need) || !m.Offers(want) || st.Busy >= st.MaxConcurrent ||
 			!both[w.Weights][ids.Prefill] || !both[w.Weights][ids.Decode] || st.Free < need {
 			continue
 		}
 		by[id] = handoff.Picked{ID: id, Model: m, Block: st.Block, Incarnation: st.Incarnation}
-		c := routing.Candidate{ID: id, Zone: w.Zone, Weights: w.Weights, Adapters: w.Adapters, Free: st.Free, Capacity: st.Capacity, Busy: st.Busy, MaxConcurrent: st.MaxConcurrent, Affinity: routing.Affinity(h.prefix, id)}
+		c := routing.Candidate{
+			ID:            id,
+			Zone:          w.Zone,
+			Weights:       w.Weights,
+			Adapters:      w.Adapters,
+			Free:          st.Free,
+			Capacity:      st.Capacity,
+			Busy:          st.Busy,
+			MaxConcurrent: st.MaxConcurrent,
+			Affinity:      routing.Affinity(h.prefix, id),
+		}
 		if excluded[id] || n.recentlyFaulted(id) {
 			last = append(last, c)
 		} else {
@@ -96,7 +111,15 @@
 	return out
 }
 
-func (h *transport) ask(ctx context.Context, verb string, w ids.WorkerID, id workerclient.ID, request OrderRequest, m *workerclient.Identity, duration time.Duration) (*workerclient.OrderResponse, error) {
+func (h *transport) ask(
+	ctx context.Context,
+	verb string,
+	w ids.WorkerID,
+	id workerclient.ID,
+	request OrderRequest,
+	m *workerclient.Identity,
+	duration time.Duration,
+) (*workerclient.OrderResponse, error) {
 	callContext, stop := context.WithTimeout(ctx, duration)
 	defer stop()
 	request.Worker, request.Verb, request.Request, request.Attempt = w, verb, id.Request, id.Attempt
@@ -131,24 +154,45 @@
 	return err
 }
 
-func (h *transport) Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.OrderResponse, error) {
+func (h *transport) Prefill(
+	ctx context.Context,
+	w ids.WorkerID,
+	m workerclient.Identity,
+) (*workerclient.OrderResponse, error) {
 	return h.ask(ctx, verbPrefill, w, m.ID, OrderRequest{Role: ids.Prefill}, &m, 6*time.Second)
 }
 
-func (h *transport) Export(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error) {
+func (h *transport) Export(
+	ctx context.Context,
+	w ids.WorkerID,
+	id workerclient.ID,
+) (*workerclient.OrderResponse, error) {
 	return h.ask(ctx, verbExport, w, id, OrderRequest{Role: ids.Prefill}, nil, 1500*time.Millisecond)
 }
 
-func (h *transport) Import(ctx context.Context, w ids.WorkerID, m workerclient.Identity, src ids.WorkerID) (*workerclient.OrderResponse, error) {
+func (h *transport) Import(
+	ctx context.Context,
+	w ids.WorkerID,
+	m workerclient.Identity,
+	src ids.WorkerID,
+) (*workerclient.OrderResponse, error) {
 	h.source = src
 	return h.ask(ctx, verbImport, w, m.ID, OrderRequest{Source: src, Role: ids.Decode}, &m, 1500*time.Millisecond)
 }
 
-func (h *transport) Resume(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error) {
+func (h *transport) Resume(
+	ctx context.Context,
+	w ids.WorkerID,
+	id workerclient.ID,
+) (*workerclient.OrderResponse, error) {
 	return h.ask(ctx, verbResume, w, id, OrderRequest{Role: ids.Decode}, nil, 3*time.Second)
 }
 
-func (h *transport) Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error) {
+func (h *transport) Cancel(
+	ctx context.Context,
+	w ids.WorkerID,
+	id workerclient.ID,
+) (*workerclient.OrderResponse, error) {
 	return h.ask(ctx, verbCancel, w, id, OrderRequest{}, nil, time.Second)
 }
 
@@ -161,18 +205,26 @@
 	go h.ask(context.Background(), verbDone, w, id, request, nil, time.Second)
 }
 
-func (h *transport) Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.TokenEvent) error) error {
+func (h *transport) Stream(
+	ctx context.Context,
+	w ids.WorkerID,
+	id workerclient.ID,
+	from int,
+	put func(workerclient.TokenEvent) error,
+) error {
 	l, ok := (*h.node.endpoints.Load())[w]
 	if !ok {
 		return failure.New(failure.DataLost, "stream", string(w), "the platform does not list it")
 	}
 	ctx, end := h.guard(ctx, w, ids.Decode, "")
-	return end(h.node.workerClient.Stream(ctx, l.Addr, id, from, h.node.options.StreamTimeout, func(p workerclient.TokenEvent) error {
-		if _, err := h.node.allows(h.regime, w, ids.Decode); err != nil {
-			return failure.As(err, failure.DataLost, "stream", string(w))
-		}
-		return put(p)
-	}))
+	return end(
+		h.node.workerClient.Stream(ctx, l.Addr, id, from, h.node.options.StreamTimeout, func(p workerclient.TokenEvent) error {
+			if _, err := h.node.allows(h.regime, w, ids.Decode); err != nil {
+				return failure.As(err, failure.DataLost, "stream", string(w))
+			}
+			return put(p)
+		}),
+	)
 }
 
 // SpendRetry asks the budget's holder for one recompute, until it has one or the
@@ -182,7 +234,9 @@
 	for end := n.now().Add(wait); ; {
 		if m, _, ok := n.agent.KeyOwner(fleetstate.RetryBudgetKey); ok {
 			callContext, stop := context.WithTimeout(ctx, 400*time.Millisecond)
-			r, err := rpc.Call[coordination.Empty, RetrySpent](callContext, n.caller, m.Addr, SpendMethod, &coordination.Empty{})
+			r, err := rpc.Call[coordination.Empty, RetrySpent](
+				callContext, n.caller, m.Addr, SpendMethod, &coordination.Empty{},
+			)
 			stop()
 			if err == nil && r.OK {
 				return true
--- a/internal/router/wire_test.go
+++ b/internal/router/wire_test.go
@@ -27,5 +27,7 @@
 
 // TestMethodNames: the names of the RPC methods are those of earlier releases.
 func TestMethodNames(t *testing.T) {
-	require.Equal(t, []string{"verge/order", "verge/spend", "verge/beat"}, []string{OrderMethod, SpendMethod, heartbeatMethod})
+	require.Equal(t, []string{
+		"verge/order", "verge/spend", "verge/beat",
+	}, []string{OrderMethod, SpendMethod, heartbeatMethod})
 }
--- a/internal/routing/program_set.go
+++ b/internal/routing/program_set.go
@@ -101,7 +101,13 @@
 	for _, s := range list {
 		p, err := Compile(s.Name, s.Text, steps)
 		if err == nil && s.ChangesRoles && !p.ProposesRoleChanges() {
-			err = failure.New(failure.InvalidArgument, "compile program", s.Name, "%s.star:1: it is to be in charge of turning and has no turn(pool)", s.Name)
+			err = failure.New(
+				failure.InvalidArgument,
+				"compile program",
+				s.Name,
+				"%s.star:1: it is to be in charge of turning and has no turn(pool)",
+				s.Name,
+			)
 		}
 		if err != nil {
 			return nil, failure.Wrap(err, "check programs", "")
--- a/internal/routing/role_change.go
+++ b/internal/routing/role_change.go
@@ -99,7 +99,13 @@
 			return nil
 		}
 	}
-	return failure.New(failure.InvalidArgument, "turn worker", string(w.Worker), "the program names a worker that may not turn to %q", w.To)
+	return failure.New(
+		failure.InvalidArgument,
+		"turn worker",
+		string(w.Worker),
+		"the program names a worker that may not turn to %q",
+		w.To,
+	)
 }
 
 // ProposeRoleChange asks the program in charge, else the built-in one.
--- a/internal/routing/role_change_test.go
+++ b/internal/routing/role_change_test.go
@@ -30,20 +30,35 @@
 	require.Len(t, d.Order(&PickRequest{Role: ids.Decode, Request: "r", Kind: "rider"}, list), 6)
 	none := deckOf(t, &Scores{}, Source{Name: "none", Text: "def match(ask, worker):\n    return False\n", Share: 100})
 	require.Empty(t, none.Order(q, list), "matched by nobody")
-	for name, body := range map[string]string{"endless": "[i for i in range(1 << 40)]", "failing": "worker.nothing", "nonsense": "3"} {
+	for name, body := range map[string]string{
+		"endless":  "[i for i in range(1 << 40)]",
+		"failing":  "worker.nothing",
+		"nonsense": "3",
+	} {
 		scores := &Scores{}
 		d := deckOf(t, scores, Source{Name: name, Text: "def match(ask, worker):\n    return " + body, Share: 100})
 		require.Len(t, d.Order(q, list), 6, name)
 		require.EqualValues(t, 1, scores.Of(name).Fallbacks.Load(), name)
 	}
-	out := deckOf(t, &Scores{}, Source{Name: "x", Share: 100, Text: text + "def order(ask, workers):\n    return ['w0']\n"})
+	out := deckOf(t, &Scores{}, Source{
+		Name:  "x",
+		Share: 100,
+		Text:  text + "def order(ask, workers):\n    return ['w0']\n",
+	})
 	require.Len(t, out.Order(q, list), 6, "an order that names who was not matched falls back")
 }
 
 func pressedPool() *Pool {
 	p := &Pool{Model: "m", Pressure: map[ids.Role]float64{ids.Prefill: 0.9, ids.Decode: 0.1}}
 	for i, id := range []ids.WorkerID{"p1", "p2", "d1", "d2", "d3"} {
-		w := RoleCandidate{ID: id, Role: ids.Prefill, HomeRole: ids.Prefill, Busy: 10 - i, MaxConcurrent: 16, Allowed: id != "d3"}
+		w := RoleCandidate{
+			ID:            id,
+			Role:          ids.Prefill,
+			HomeRole:      ids.Prefill,
+			Busy:          10 - i,
+			MaxConcurrent: 16,
+			Allowed:       id != "d3",
+		}
 		if i >= 2 {
 			w.Role, w.HomeRole = ids.Decode, ids.Decode
 		}
@@ -74,7 +89,11 @@
 	} {
 		scores := &Scores{}
 		text := "def turn(pool):\n    return " + k.body
-		d := deckOf(t, scores, Source{Name: name, Text: text, ChangesRoles: true}, Source{Name: "rival", Text: "def turn(pool):\n    return ('d2', 'prefill')"})
+		d := deckOf(t, scores, Source{
+			Name:         name,
+			Text:         text,
+			ChangesRoles: true,
+		}, Source{Name: "rival", Text: "def turn(pool):\n    return ('d2', 'prefill')"})
 		w, ok := d.ProposeRoleChange(pressedPool())
 		require.Equal(t, k.ok, ok, name)
 		require.Equal(t, k.wish, w, name)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -71,7 +71,8 @@
 }
 
 // BuiltIn is the built-in order: for prefill the least busy, for decode the most
-// free blocks, and where a cost was reckoned, the cheapest; among equals the request decides, so that calls which come between
+// free blocks, and where a cost was reckoned, the cheapest; among equals the request decides,
+// so that calls which come between
 // two beats do not all fall to one worker.
 type BuiltIn struct{}
 
@@ -118,7 +119,12 @@
 	out := make([]ids.WorkerID, 0, len(list))
 	for _, id := range got {
 		if !left[id] {
-			return nil, failure.New(failure.InvalidArgument, "order workers", string(id), "the program names a worker that is no candidate, or names it twice")
+			return nil, failure.New(
+				failure.InvalidArgument,
+				"order workers",
+				string(id),
+				"the program names a worker that is no candidate, or names it twice",
+			)
 		}
 		delete(left, id)
 		out = append(out, id)
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -15,7 +15,14 @@
 func some(n int) []Candidate {
 	var out []Candidate
 	for i := range n {
-		out = append(out, Candidate{ID: ids.WorkerID(fmt.Sprintf("w%d", i)), Free: 100 + i, Capacity: 200, Busy: n - i, MaxConcurrent: 16, Affinity: Affinity(7, ids.WorkerID(fmt.Sprintf("w%d", i)))})
+		out = append(out, Candidate{
+			ID:            ids.WorkerID(fmt.Sprintf("w%d", i)),
+			Free:          100 + i,
+			Capacity:      200,
+			Busy:          n - i,
+			MaxConcurrent: 16,
+			Affinity:      Affinity(7, ids.WorkerID(fmt.Sprintf("w%d", i))),
+		})
 	}
 	return out
 }
@@ -60,7 +67,11 @@
 		"mutating": "    workers.clear()\n    seen.append(1)\n    return []",
 	} {
 		scores := &Scores{}
-		set, err := NewProgramSet([]Source{{Name: name, Text: "seen = []\ndef order(ask, workers):\n" + body, Share: 100}}, 20000, scores)
+		set, err := NewProgramSet([]Source{{
+			Name:  name,
+			Text:  "seen = []\ndef order(ask, workers):\n" + body,
+			Share: 100,
+		}}, 20000, scores)
 		require.NoError(t, err, name)
 		require.Equal(t, plain, set.Order(&PickRequest{Role: ids.Decode, Request: "r"}, some(4)), name)
 		require.EqualValues(t, 1, scores.Of(name).Fallbacks.Load(), name)
@@ -69,7 +80,11 @@
 
 // TestLeftOut: whom a program leaves out comes last, so it cannot starve a call.
 func TestLeftOut(t *testing.T) {
-	set, err := NewProgramSet([]Source{{Name: "one", Text: "def order(ask, workers):\n    return ['w2']", Share: 100}}, 20000, &Scores{})
+	set, err := NewProgramSet([]Source{{
+		Name:  "one",
+		Text:  "def order(ask, workers):\n    return ['w2']",
+		Share: 100,
+	}}, 20000, &Scores{})
 	require.NoError(t, err)
 	got := set.Order(&PickRequest{Role: ids.Decode, Request: "r"}, some(4))
 	require.Len(t, got, 4)
@@ -79,8 +94,11 @@
 // TestShares: traffic falls to programs by their shares, a shadow only counts.
 func TestShares(t *testing.T) {
 	scores := &Scores{}
-	set, err := NewProgramSet([]Source{{Name: "a", Text: ShippedProgram("free"), Share: 30}, {Name: "b", Text: ShippedProgram("short"), Share: 70},
-		{Name: "c", Text: ShippedProgram("prefix"), Shadow: true}}, 20000, scores)
+	set, err := NewProgramSet([]Source{
+		{Name: "a", Text: ShippedProgram("free"), Share: 30},
+		{Name: "b", Text: ShippedProgram("short"), Share: 70},
+		{Name: "c", Text: ShippedProgram("prefix"), Shadow: true},
+	}, 20000, scores)
 	require.NoError(t, err)
 	for i := range 2000 {
 		set.Order(&PickRequest{Role: ids.Decode, Request: fmt.Sprint("r", i)}, some(3))
@@ -94,8 +112,12 @@
 // TestBouncedProgram: a program that does not compile is refused with its place.
 func TestBouncedProgram(t *testing.T) {
 	for text, says := range map[string]string{
-		"def order(a, b):\n    retrun b": "bad.star:2", "x = 1": "must define match", "def order(a):\n    return a": "bad.star:1: it should be order(ask, workers)",
-		"order = 3": "bad.star:1", "\n\ndef turn(a, b):\n    return None": "bad.star:3: it should be turn(pool)", "def match(a):\n    return True": "match(ask, worker)",
+		"def order(a, b):\n    retrun b":                 "bad.star:2",
+		"x = 1":                                          "must define match",
+		"def order(a):\n    return a":                    "bad.star:1: it should be order(ask, workers)",
+		"order = 3":                                      "bad.star:1",
+		"\n\ndef turn(a, b):\n    return None":           "bad.star:3: it should be turn(pool)",
+		"def match(a):\n    return True":                 "match(ask, worker)",
 		"load('x', 'y')\ndef order(a, b):\n    return b": "bad.star:1",
 		"while True:\n    pass":                          "bad.star:1",
 	} {
--- a/internal/routing/starlark.go
+++ b/internal/routing/starlark.go
@@ -51,12 +51,26 @@
 			if ok {
 				line = f.Position().Line
 			}
-			return nil, failure.New(failure.InvalidArgument, "compile program", name, "%s.star:%d: it should be %s", name, line, part.form)
+			return nil, failure.New(
+				failure.InvalidArgument,
+				"compile program",
+				name,
+				"%s.star:%d: it should be %s",
+				name,
+				line,
+				part.form,
+			)
 		}
 		*part.into = f
 	}
 	if s.match == nil && s.order == nil && s.proposeRole == nil {
-		return nil, failure.New(failure.InvalidArgument, "compile program", name, "%s.star:1: it must define match(ask, worker), order(ask, workers) or turn(pool)", name)
+		return nil, failure.New(
+			failure.InvalidArgument,
+			"compile program",
+			name,
+			"%s.star:1: it must define match(ask, worker), order(ask, workers) or turn(pool)",
+			name,
+		)
 	}
 	return s, nil
 }
@@ -100,7 +114,9 @@
 	return starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
 		"id": starlark.String(c.ID), "zone": starlark.String(c.Zone), "weights": starlark.String(c.Weights),
 		"adapters": names(c.Adapters), "free": starlark.MakeInt(c.Free), "room": starlark.MakeInt(c.Capacity),
-		"busy": starlark.MakeInt(c.Busy), "cap": starlark.MakeInt(c.MaxConcurrent), "affinity": starlark.Float(c.Affinity), "cost": starlark.Float(c.Cost),
+		"busy":     starlark.MakeInt(c.Busy),
+		"cap":      starlark.MakeInt(c.MaxConcurrent),
+		"affinity": starlark.Float(c.Affinity), "cost": starlark.Float(c.Cost),
 	})
 }
 
@@ -118,7 +134,9 @@
 		}
 		yes, ok := v.(starlark.Bool)
 		if !ok {
-			return nil, failure.New(failure.InvalidArgument, "run program", s.name, "match gave %s, not True or False", v.Type())
+			return nil, failure.New(
+				failure.InvalidArgument, "run program", s.name, "match gave %s, not True or False", v.Type(),
+			)
 		}
 		if yes {
 			out = append(out, list[i])
@@ -141,7 +159,9 @@
 	}
 	seq, ok := v.(starlark.Iterable)
 	if !ok {
-		return nil, failure.New(failure.InvalidArgument, "run program", s.name, "order gave %s, not a list of ids", v.Type())
+		return nil, failure.New(
+			failure.InvalidArgument, "run program", s.name, "order gave %s, not a list of ids", v.Type(),
+		)
 	}
 	it := seq.Iterate()
 	defer it.Done()
@@ -150,7 +170,9 @@
 	for it.Next(&e) {
 		id, ok := starlark.AsString(e)
 		if !ok || len(out) > len(list) {
-			return nil, failure.New(failure.InvalidArgument, "run program", s.name, "order gave a list that is not ids of candidates")
+			return nil, failure.New(
+				failure.InvalidArgument, "run program", s.name, "order gave a list that is not ids of candidates",
+			)
 		}
 		out = append(out, ids.WorkerID(id))
 	}
@@ -164,8 +186,10 @@
 	row := make([]starlark.Value, len(p.Workers))
 	for i, w := range p.Workers {
 		row[i] = starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
-			"id": starlark.String(w.ID), "zone": starlark.String(w.Zone), "part": starlark.String(w.Role), "home": starlark.String(w.HomeRole),
-			"busy": starlark.MakeInt(w.Busy), "work": starlark.MakeInt(w.Work), "cap": starlark.MakeInt(w.MaxConcurrent),
+			"id":   starlark.String(w.ID),
+			"zone": starlark.String(w.Zone), "part": starlark.String(w.Role), "home": starlark.String(w.HomeRole),
+			"busy": starlark.MakeInt(w.Busy),
+			"work": starlark.MakeInt(w.Work), "cap": starlark.MakeInt(w.MaxConcurrent),
 			"free": starlark.MakeInt(w.Free), "room": starlark.MakeInt(w.Capacity), "may": starlark.Bool(w.Allowed),
 		})
 	}
@@ -187,5 +211,7 @@
 			return RoleChange{ids.WorkerID(id), ids.Role(to)}, true, nil
 		}
 	}
-	return RoleChange{}, false, failure.New(failure.InvalidArgument, "run program", s.name, "turn gave %s, not None or (id, part)", v)
+	return RoleChange{}, false, failure.New(
+		failure.InvalidArgument, "run program", s.name, "turn gave %s, not None or (id, part)", v,
+	)
 }
--- a/internal/simulation/aged_keys_test.go
+++ b/internal/simulation/aged_keys_test.go
@@ -18,7 +18,12 @@
 // empty one, and after the whole core lost power.
 func TestAgedKeys(t *testing.T) {
 	unraced(t)
-	inBubble(t, "vatuloa", func(c *Cluster) { c.Depth = fleetstate.Retention{Full: 4, ChunkRows: 8} }, func(t *testing.T, c *Cluster) {
+	inBubble(t, "vatuloa", func(c *Cluster) {
+		c.Depth = fleetstate.Retention{
+			Full:      4,
+			ChunkRows: 8,
+		}
+	}, func(t *testing.T, c *Cluster) {
 		node := func(i int) *Process { return c.Of("router")[i%len(c.Of("router"))] }
 		ask := func(i int) api.StreamRequest {
 			a := verdict
--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -27,9 +27,22 @@
 const grace = 2 * time.Second
 
 // governedWork is a site with governed kinds of both sorts and machines to spare.
-var governedWork = standin.Site{Name: "chamber", Zones: []ids.Zone{"a", "b", "c"}, Nodes: 5, Prefill: 4, Decode: 4, Model: "m",
+var governedWork = standin.Site{
+	Name:    "chamber",
+	Zones:   []ids.Zone{"a", "b", "c"},
+	Nodes:   5,
+	Prefill: 4,
+	Decode:  4,
+	Model:   "m",
 	Shapes: []standin.Shape{{Kind: "verdict", Claimed: true, Share: 30, Shared: 64, Own: 64, Max: 2},
-		{Kind: "speech", Share: 30, Shared: 64, Own: 32, Max: 40}, {Kind: "clarification", Share: 40, Shared: 64, Own: 16, Max: 16}}}
+		{
+			Kind:   "speech",
+			Share:  30,
+			Shared: 64,
+			Own:    32,
+			Max:    40,
+		}, {Kind: "clarification", Share: 40, Shared: 64, Own: 16, Max: 16}},
+}
 
 // grant is a certificate's span at a worker, in the book's time.
 type grant struct{ from, until time.Duration }
@@ -55,7 +68,13 @@
 	if err != nil {
 		panic(err)
 	}
-	return &AuditModel{key: key, keep: 20, certs: map[string]certification.Certificate{}, spans: map[string]grant{}, work: map[string]string{}}
+	return &AuditModel{
+		key:   key,
+		keep:  20,
+		certs: map[string]certification.Certificate{},
+		spans: map[string]grant{},
+		work:  map[string]string{},
+	}
 }
 
 // tune hooks the bureau to a fleet.
@@ -64,7 +83,11 @@
 	// What nobody comes for lies staged no longer than an orphan runs.
 	c.Tune = func(o *standin.WorkerOptions) { o.StagingTTL = 2 * time.Second }
 	now := time.Now().UTC()
-	b.issuer = certification.Issuer{Key: certification.Public(b.key), From: now.AddDate(0, 0, -1).Format(time.RFC3339), Until: now.AddDate(1, 0, 0).Format(time.RFC3339)}
+	b.issuer = certification.Issuer{
+		Key:   certification.Public(b.key),
+		From:  now.AddDate(0, 0, -1).Format(time.RFC3339),
+		Until: now.AddDate(1, 0, 0).Format(time.RFC3339),
+	}
 	c.Steps = func(e handoff.Event) {
 		if e.Regime != "" {
 			b.mu.Lock()
@@ -109,8 +132,11 @@
 func (b *AuditModel) part() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return partOf(map[string]any{"issuers": map[string]any{"k1": b.issuer}, "certificates": maps.Clone(b.certs),
-		"regimes": map[string]any{"chair": map[string]any{"kinds": []string{"verdict", "speech"}, "keep": b.keep}}})
+	return partOf(map[string]any{
+		"issuers":      map[string]any{"k1": b.issuer},
+		"certificates": maps.Clone(b.certs),
+		"regimes":      map[string]any{"chair": map[string]any{"kinds": []string{"verdict", "speech"}, "keep": b.keep}},
+	})
 }
 
 // Open applies the part and waits until every certified node clears somebody.
@@ -193,7 +219,14 @@
 			begun[run] = e
 		case "export", "cancel", "record", "lost", "bounced", "orphan-run", "orphan-import":
 			if previous, ok := begun[run]; ok && !b.cleared(e.Worker, e.When) {
-				f.say(Uncertified, "%s still held %s, begun at %s, at %s", e.Worker, e.ID.Request, previous.When, e.When)
+				f.say(
+					Uncertified,
+					"%s still held %s, begun at %s, at %s",
+					e.Worker,
+					e.ID.Request,
+					previous.When,
+					e.When,
+				)
 			}
 			delete(begun, run)
 		}
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -22,7 +22,16 @@
 // its own name and no other.
 func TestCheckersCatch(t *testing.T) {
 	event := func(b *Recorder, what, worker string, fence ids.Fence, v ids.Version, at time.Duration) {
-		b.rows = append(b.rows, Seen{standin.Event{What: what, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r"}, Fence: fence, Version: v}, at})
+		b.rows = append(b.rows, Seen{
+			standin.Event{
+				What:    what,
+				Worker:  ids.WorkerID(worker),
+				ID:      workerclient.ID{Request: "r"},
+				Fence:   fence,
+				Version: v,
+			},
+			at,
+		})
 	}
 	for line, plant := range map[string]func(b *Recorder) []standin.Outcome{
 		Twice: func(b *Recorder) []standin.Outcome {
@@ -85,7 +94,8 @@
 	b.picks = b.picks[:1]
 	require.Empty(t, b.Check(nil))
 	require.Equal(t, 5*time.Second, standin.Back([]standin.Outcome{
-		{End: "complete", At: time.Second}, {End: "broken", At: 3 * time.Second}, {End: "complete", At: 6 * time.Second},
+		{End: "complete", At: time.Second},
+		{End: "broken", At: 3 * time.Second}, {End: "complete", At: 6 * time.Second},
 	}, time.Second, 7*time.Second, nil))
 }
 
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -128,12 +128,23 @@
 // Controller describes a disk machine.
 func (c *Cluster) Controller(name, addr string, zone ids.Zone) *Process {
 	ip := addr[:len(addr)-4]
-	return &Process{Name: name, Kind: "controller", Zone: zone, Addr: addr, Machine: c.World.Machine(ip),
+	return &Process{
+		Name:    name,
+		Kind:    "controller",
+		Zone:    zone,
+		Addr:    addr,
+		Machine: c.World.Machine(ip),
 		begin: func(b *Process, ctx context.Context, host host.Host) error {
-			core, err := coordination.New(coordination.Options{Addr: addr, Zone: zone, Host: host, Seeds: c.Seeds, Ring: c.ring(name),
+			core, err := coordination.New(coordination.Options{
+				Addr:  addr,
+				Zone:  zone,
+				Host:  host,
+				Seeds: c.Seeds,
+				Ring:  c.ring(name),
 				Machine: func() coordination.StateMachine {
 					return fleetstate.NewMachine(fleetstate.MachineOptions{Retention: c.Depth, Wall: host.Clock.Wall})
-				}})
+				},
+			})
 			if err != nil {
 				return err
 			}
@@ -143,20 +154,35 @@
 			core.Mount(mux)
 			c.wg.Go(func() { core.Run(ctx) })
 			return c.serve(ctx, host, addr, mux)
-		}}
+		},
+	}
 }
 
 // Router describes a router node.
 func (c *Cluster) Router(name, ip string, zone ids.Zone) *Process {
-	return &Process{Name: name, Kind: "router", Zone: zone, Addr: ip + ":701", FrontendAddr: ip + ":80", Machine: c.World.Machine(ip),
+	return &Process{
+		Name:         name,
+		Kind:         "router",
+		Zone:         zone,
+		Addr:         ip + ":701",
+		FrontendAddr: ip + ":80",
+		Machine:      c.World.Machine(ip),
 		begin: func(b *Process, ctx context.Context, host host.Host) error {
-			n := router.New(router.Options{Name: name, Addr: b.Addr, Zone: zone, Seeds: c.Seeds, Platform: "10.8.0.1:80", Host: host,
-				Ring: c.ring(name), Trace: func(e handoff.Event) {
+			n := router.New(router.Options{
+				Name:     name,
+				Addr:     b.Addr,
+				Zone:     zone,
+				Seeds:    c.Seeds,
+				Platform: "10.8.0.1:80",
+				Host:     host,
+				Ring:     c.ring(name),
+				Trace: func(e handoff.Event) {
 					c.Recorder.Step(name, e, b.Node.View().Current().Version)
 					if c.Steps != nil {
 						c.Steps(e)
 					}
-				}})
+				},
+			})
 			b.Node = n
 			c.nodes.Store(n, name)
 			in, out := http.NewServeMux(), http.NewServeMux()
@@ -171,15 +197,28 @@
 				return err
 			}
 			return c.serve(ctx, host, b.FrontendAddr, out)
-		}}
+		},
+	}
 }
 
 // Worker describes a stand-in worker.
 func (c *Cluster) Worker(id ids.WorkerID, w fleetstate.Worker, ip string) *Process {
-	return &Process{Name: string(id), Kind: "worker", Zone: w.Zone, Addr: ip + ":90", Machine: c.World.Machine(ip),
+	return &Process{
+		Name:    string(id),
+		Kind:    "worker",
+		Zone:    w.Zone,
+		Addr:    ip + ":90",
+		Machine: c.World.Machine(ip),
 		begin: func(b *Process, ctx context.Context, host host.Host) error {
-			opt := standin.WorkerOptions{ID: id, Addr: b.Addr, Role: w.Role, Capacity: w.Capacity, Block: w.Block, Host: host,
-				Model: workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters}}
+			opt := standin.WorkerOptions{
+				ID:       id,
+				Addr:     b.Addr,
+				Role:     w.Role,
+				Capacity: w.Capacity,
+				Block:    w.Block,
+				Host:     host,
+				Model:    workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters},
+			}
 			// Slow enough that a breakdown finds work in flight.
 			opt.Step, opt.Read = 10*time.Millisecond, 80*time.Microsecond
 			if c.Tune != nil {
@@ -192,7 +231,8 @@
 			c.wg.Go(func() { k.Run(ctx) })
 			c.Platform.List(workerclient.ListedWorker{ID: id, Addr: b.Addr, Zone: w.Zone})
 			return c.serve(ctx, host, b.Addr, k.Handler())
-		}}
+		},
+	}
 }
 
 // Start begins a box's process.
@@ -339,8 +379,18 @@
 
 // Mix sends another mix of shapes.
 func (c *Cluster) Mix(shapes []standin.Shape, rate float64, span time.Duration, seed uint64) []standin.Outcome {
-	return standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Nodes, Zones: c.Site.Zones, Shapes: shapes, Rate: rate, Duration: span, Seed: seed,
-		Model: c.Site.Model, Weights: []string{standin.SiteWeights, "w2"}, Retries: 8})
+	return standin.Load(c.base, standin.LoadOptions{
+		Host:     c.out.Host(),
+		Doors:    c.Platform.Nodes,
+		Zones:    c.Site.Zones,
+		Shapes:   shapes,
+		Rate:     rate,
+		Duration: span,
+		Seed:     seed,
+		Model:    c.Site.Model,
+		Weights:  []string{standin.SiteWeights, "w2"},
+		Retries:  8,
+	})
 }
 
 // Close ends the fleet and everything in it.
--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -42,7 +42,10 @@
 						site := standin.Sites[name]
 						c := Build(seed, site, func(c *Cluster) {
 							if prog != routing.BuiltInName {
-								c.Programs = map[string]fleetstate.Program{prog: {Source: routing.ShippedProgram(prog), Share: 100}}
+								c.Programs = map[string]fleetstate.Program{prog: {
+									Source: routing.ShippedProgram(prog),
+									Share:  100,
+								}}
 							}
 						})
 						defer c.Close()
@@ -60,7 +63,19 @@
 							warm, read = warm+w, read+n
 						}
 						a, b := sum.Kinds[site.Shapes[0].Kind], sum.Kinds[site.Shapes[1].Kind]
-						fmt.Printf("| %s | %s | %d | %d of %d | %.0f / %.0f | %.0f / %.0f | %.0f%% |\n", name, prog, seed, sum.Ends["complete"], sum.Sent, a.FirstP50, a.FirstP99, b.FirstP50, b.FirstP99, 100*float64(warm)/float64(max(read, 1)))
+						fmt.Printf(
+							"| %s | %s | %d | %d of %d | %.0f / %.0f | %.0f / %.0f | %.0f%% |\n",
+							name,
+							prog,
+							seed,
+							sum.Ends["complete"],
+							sum.Sent,
+							a.FirstP50,
+							a.FirstP99,
+							b.FirstP50,
+							b.FirstP99,
+							100*float64(warm)/float64(max(read, 1)),
+						)
 						require.Empty(t, c.Recorder.Check(nil))
 					})
 				})
--- a/internal/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -76,7 +76,9 @@
 		return nil
 	}},
 	{"disk wiped right after an acknowledgement", "disk", func(c *Cluster, r *rand.Rand, op string) error {
-		if err := freely(c, op, partOf(map[string]any{"limits": map[string]any{"retryAfterMs": 1000 + r.IntN(900)}})); err != nil {
+		if err := freely(
+			c, op, partOf(map[string]any{"limits": map[string]any{"retryAfterMs": 1000 + r.IntN(900)}}),
+		); err != nil {
 			return err
 		}
 		b := leader(c)
@@ -258,10 +260,21 @@
 	part := map[string]any{"limits": map[string]any{"retryAfterMs": 900 + r.IntN(5000)}}
 	switch i % 4 {
 	case 0:
-		part["workers"] = map[string]any{"ghost-" + name: map[string]any{"part": "decode", "model": "ghost", "weights": "g1", "room": 64, "zone": "hall-a"}}
-		part["zones"] = []ids.Zone{"hall-a", "hall-b", "hall-c", "alatau", "medeu", "bostandyk", ids.Zone("zone-" + name)}
+		part["workers"] = map[string]any{"ghost-" + name: map[string]any{
+			"part":    "decode",
+			"model":   "ghost",
+			"weights": "g1",
+			"room":    64,
+			"zone":    "hall-a",
+		}}
+		part["zones"] = []ids.Zone{
+			"hall-a", "hall-b", "hall-c", "alatau", "medeu", "bostandyk", ids.Zone("zone-" + name),
+		}
 	case 1:
-		part["programs"] = map[string]any{"idea-" + op: map[string]any{"source": "def order(ask, workers):\n    return [w.id for w in workers]\n", "shadow": true}}
+		part["programs"] = map[string]any{"idea-" + op: map[string]any{
+			"source": "def order(ask, workers):\n    return [w.id for w in workers]\n",
+			"shadow": true,
+		}}
 	case 2:
 		part["workers"] = map[string]any{"ghost-" + op + "-0": nil}
 	case 3:
@@ -278,32 +291,36 @@
 	for _, i := range list {
 		names = append(names, acts[i].name)
 	}
-	return Script{Name: strings.Join(names, " + "), Tune: func(c *Cluster) { c.Slack = 2 * time.Second }, Run: func(c *Cluster, _ *rand.Rand) error {
-		turns := map[string]host.ChannelMutex{}
-		for _, a := range acts {
-			turns[a.turn] = host.NewChannelMutex()
-		}
-		done := make(chan error, len(list))
-		for n, i := range list {
-			own := rand.New(rand.NewPCG(seed, uint64(n)))
-			go func() {
-				time.Sleep(span(own, 0, 4000))
-				if t := acts[i].turn; t != "" {
-					// A zone that is away takes a disk machine with it.
-					for _, turn := range []string{"disk", "zone", "links"} {
-						if turn == t || t == "zone" && turn == "disk" {
-							turns[turn].Lock()
-							defer turns[turn].Unlock()
+	return Script{
+		Name: strings.Join(names, " + "),
+		Tune: func(c *Cluster) { c.Slack = 2 * time.Second },
+		Run: func(c *Cluster, _ *rand.Rand) error {
+			turns := map[string]host.ChannelMutex{}
+			for _, a := range acts {
+				turns[a.turn] = host.NewChannelMutex()
+			}
+			done := make(chan error, len(list))
+			for n, i := range list {
+				own := rand.New(rand.NewPCG(seed, uint64(n)))
+				go func() {
+					time.Sleep(span(own, 0, 4000))
+					if t := acts[i].turn; t != "" {
+						// A zone that is away takes a disk machine with it.
+						for _, turn := range []string{"disk", "zone", "links"} {
+							if turn == t || t == "zone" && turn == "disk" {
+								turns[turn].Lock()
+								defer turns[turn].Unlock()
+							}
 						}
 					}
-				}
-				done <- acts[i].run(c, own, fmt.Sprintf("op%d", n))
-			}()
-		}
-		var err error
-		for range list {
-			err = errors.Join(err, <-done)
-		}
-		return err
-	}}
+					done <- acts[i].run(c, own, fmt.Sprintf("op%d", n))
+				}()
+			}
+			var err error
+			for range list {
+				err = errors.Join(err, <-done)
+			}
+			return err
+		},
+	}
 }
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -24,8 +24,19 @@
 
 func (s swung) String() string {
 	r, w := s.read.Kinds["clarification"], s.write.Kinds["clarification"]
-	return fmt.Sprintf("long prompts %d of %d, first piece p50/p99 %.0f/%.0f ms; long answers %d of %d, %.0f/%.0f ms; %d turns, ends with %v",
-		r.Complete, r.Sent, r.FirstP50, r.FirstP99, w.Complete, w.Sent, w.FirstP50, w.FirstP99, s.turns, s.parts)
+	return fmt.Sprintf(
+		"long prompts %d of %d, first piece p50/p99 %.0f/%.0f ms; long answers %d of %d, %.0f/%.0f ms; %d turns, ends with %v",
+		r.Complete,
+		r.Sent,
+		r.FirstP50,
+		r.FirstP99,
+		w.Complete,
+		w.Sent,
+		w.FirstP50,
+		w.FirstP99,
+		s.turns,
+		s.parts,
+	)
 }
 
 // demandShift sends long prompts that six prefill workers cannot read, then long answers
@@ -40,8 +51,20 @@
 		})
 		defer c.Close()
 		require.NoError(t, c.Found())
-		read := c.Mix([]standin.Shape{{Kind: "clarification", Share: 100, Own: 400, Max: 2, Long: 1400}}, 14.5, span, seed)
-		write := c.Mix([]standin.Shape{{Kind: "clarification", Share: 100, Own: 40, Max: 64, Long: 10}}, 75, span, seed+100)
+		read := c.Mix([]standin.Shape{{
+			Kind:  "clarification",
+			Share: 100,
+			Own:   400,
+			Max:   2,
+			Long:  1400,
+		}}, 14.5, span, seed)
+		write := c.Mix([]standin.Shape{{
+			Kind:  "clarification",
+			Share: 100,
+			Own:   40,
+			Max:   64,
+			Long:  10,
+		}}, 75, span, seed+100)
 		out.read, out.write = standin.Sum(read), standin.Sum(write)
 		for _, b := range c.Of("router") {
 			out.turns += b.Node.RoleChanges()
@@ -82,7 +105,8 @@
 		require.LessOrEqual(t, moved[i].turns, int64(2*span/(2*time.Second)), "it must not flap")
 		require.Positive(t, moved[i].parts[ids.Prefill])
 		require.Positive(t, moved[i].parts[ids.Decode])
-		a, b := fixed[i].read.Ends["complete"]+fixed[i].write.Ends["complete"], moved[i].read.Ends["complete"]+moved[i].write.Ends["complete"]
+		a, b := fixed[i].read.Ends["complete"]+
+			fixed[i].write.Ends["complete"], moved[i].read.Ends["complete"]+moved[i].write.Ends["complete"]
 		require.Greater(t, b, a, "turning helps")
 	}
 }
--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -49,7 +49,11 @@
 	for i := range 60 {
 		go func() {
 			time.Sleep(time.Duration(i) * 50 * time.Millisecond)
-			c.stream(b, api.StreamRequest{Kind: c.Site.Shapes[1].Kind, Prompt: fmt.Sprint("is it still so ", i), MaxTokens: 2})
+			c.stream(b, api.StreamRequest{
+				Kind:      c.Site.Shapes[1].Kind,
+				Prompt:    fmt.Sprint("is it still so ", i),
+				MaxTokens: 2,
+			})
 		}()
 	}
 }
@@ -87,21 +91,40 @@
 			kinds[fmt.Sprintf("kind-%d-%d", n, i)] = map[string]any{"model": c.Site.Model, "maxTokens": 8}
 		}
 		for i := range 15 {
-			workers[fmt.Sprintf("ghost-%d-%d", n, i)] = map[string]any{"part": "decode", "model": "ghost", "weights": "g", "room": 9, "zone": c.Site.Zones[i%3]}
+			workers[fmt.Sprintf("ghost-%d-%d", n, i)] = map[string]any{
+				"part":    "decode",
+				"model":   "ghost",
+				"weights": "g",
+				"room":    9,
+				"zone":    c.Site.Zones[i%3],
+			}
 		}
 		if n > 3 {
 			kinds[fmt.Sprintf("kind-%d-7", n-3)], workers[fmt.Sprintf("ghost-%d-7", n-3)] = nil, nil
 		}
 		sh := shown(c)
 		b := hit(r, c.Of("router"))
-		bad := &api.ApplyRequest{Op: fmt.Sprint("bad-", n), Base: sh.Version, Partial: true, Source: `{"workers":{"p1":{"room":0}}}`}
+		bad := &api.ApplyRequest{
+			Op:      fmt.Sprint("bad-", n),
+			Base:    sh.Version,
+			Partial: true,
+			Source:  `{"workers":{"p1":{"room":0}}}`,
+		}
 		if err := c.At(b, "/v1/policy", bad, nil); err == nil {
 			return fmt.Errorf("round %d: a bad part was taken", n)
 		}
-		if err := alter(c, fmt.Sprint("grow-", n), partOf(map[string]any{"kinds": kinds, "workers": workers})); err != nil {
+		if err := alter(c, fmt.Sprint("grow-", n), partOf(map[string]any{
+			"kinds":   kinds,
+			"workers": workers,
+		})); err != nil {
 			return err
 		}
-		late := &api.ApplyRequest{Op: fmt.Sprint("late-", n), Base: sh.Version, Partial: true, Source: `{"limits":{"queue":3}}`}
+		late := &api.ApplyRequest{
+			Op:      fmt.Sprint("late-", n),
+			Base:    sh.Version,
+			Partial: true,
+			Source:  `{"limits":{"queue":3}}`,
+		}
 		if err := c.At(hit(r, c.Of("router")), "/v1/policy", late, nil); err == nil {
 			return fmt.Errorf("round %d: a part over an old version was taken", n)
 		}
@@ -159,7 +182,11 @@
 		c.Recorder.Mark("leave", w.Name)
 		// The platform hands nobody to this door now; who knows it still comes.
 		for i := range 40 {
-			c.stream(b, api.StreamRequest{Kind: c.Site.Shapes[1].Kind, Prompt: fmt.Sprint("who still comes here ", i), MaxTokens: 4})
+			c.stream(b, api.StreamRequest{
+				Kind:      c.Site.Shapes[1].Kind,
+				Prompt:    fmt.Sprint("who still comes here ", i),
+				MaxTokens: 4,
+			})
 			time.Sleep(100 * time.Millisecond)
 		}
 		c.World.Partition(ips(b), []string{"10.8.0.1"}, false)
@@ -196,37 +223,47 @@
 		return nil
 	}},
 	{Name: "configuration-grows", Run: grow, Calm: true},
-	{Name: "nodes-stopped-one-by-one", Span: 38 * time.Second, Calm: true, Run: func(c *Cluster, _ *rand.Rand) error {
-		for _, b := range c.Of("router") {
-			if err := stopped(c, b); err != nil {
-				return err
-			}
-		}
-		return nil
-	}},
-	{Name: "workers-and-controllers-stopped-one-by-one", Span: 45 * time.Second, Calm: true, Run: func(c *Cluster, r *rand.Rand) error {
-		for _, b := range c.Of("controller") {
-			if err := cycle(c, b, 2*time.Second, false); err != nil {
-				return err
+	{
+		Name: "nodes-stopped-one-by-one",
+		Span: 38 * time.Second,
+		Calm: true,
+		Run: func(c *Cluster, _ *rand.Rand) error {
+			for _, b := range c.Of("router") {
+				if err := stopped(c, b); err != nil {
+					return err
+				}
 			}
-			time.Sleep(2 * time.Second)
-		}
-		for _, b := range c.Of("worker") {
-			id := ids.WorkerID(b.Name)
-			c.Platform.Leave(id)
-			c.Recorder.Mark("leave", b.Name)
-			if !c.Until(6*time.Second, func() bool { return b.Worker.Used() == 0 }) {
-				return fmt.Errorf("%s did not drain", b.Name)
+			return nil
+		},
+	},
+	{
+		Name: "workers-and-controllers-stopped-one-by-one",
+		Span: 45 * time.Second,
+		Calm: true,
+		Run: func(c *Cluster, r *rand.Rand) error {
+			for _, b := range c.Of("controller") {
+				if err := cycle(c, b, 2*time.Second, false); err != nil {
+					return err
+				}
+				time.Sleep(2 * time.Second)
 			}
-			time.Sleep(time.Second)
-			c.Kill(b)
-			c.Recorder.Mark("return", b.Name)
-			c.Platform.Strike(id)
-			time.Sleep(500 * time.Millisecond)
-			if err := c.Start(b); err != nil {
-				return err
+			for _, b := range c.Of("worker") {
+				id := ids.WorkerID(b.Name)
+				c.Platform.Leave(id)
+				c.Recorder.Mark("leave", b.Name)
+				if !c.Until(6*time.Second, func() bool { return b.Worker.Used() == 0 }) {
+					return fmt.Errorf("%s did not drain", b.Name)
+				}
+				time.Sleep(time.Second)
+				c.Kill(b)
+				c.Recorder.Mark("return", b.Name)
+				c.Platform.Strike(id)
+				time.Sleep(500 * time.Millisecond)
+				if err := c.Start(b); err != nil {
+					return err
+				}
 			}
-		}
-		return nil
-	}},
+			return nil
+		},
+	},
 }
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -28,7 +28,9 @@
 func TestOwnerChecks(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		for _, w := range []ids.WorkerID{"p4", "d4", "d1"} {
-			require.True(t, c.Until(5*time.Second, func() bool { return slices.Contains(holds(holder(c, w)), ids.Key("worker/"+w)) }))
+			require.True(t, c.Until(5*time.Second, func() bool {
+				return slices.Contains(holds(holder(c, w)), ids.Key("worker/"+w))
+			}))
 		}
 		time.Sleep(2 * time.Second) // ledgers are open by then
 		ask := func(q router.OrderRequest) error {
@@ -39,17 +41,39 @@
 			}
 			call := rpc.NewCaller(c.out.Host().Net)
 			defer call.Close()
-			_, err := rpc.Call[router.OrderRequest, router.OrderResponse](c.base, call, holder(c, q.Worker).Addr, router.OrderMethod, &q)
+			_, err := rpc.Call[router.OrderRequest, router.OrderResponse](
+				c.base, call, holder(c, q.Worker).Addr, router.OrderMethod, &q,
+			)
 			return err
 		}
 		for _, verb := range []string{"reserve", "prefill", "export"} {
-			require.ErrorContains(t, ask(router.OrderRequest{Worker: "p4", Verb: verb, Role: ids.Prefill, Need: 1}), "no certificate", verb)
+			require.ErrorContains(t, ask(router.OrderRequest{
+				Worker: "p4",
+				Verb:   verb,
+				Role:   ids.Prefill,
+				Need:   1,
+			}), "no certificate", verb)
 		}
 		for _, verb := range []string{"import", "resume"} {
-			require.ErrorContains(t, ask(router.OrderRequest{Worker: "d4", Verb: verb, Role: ids.Decode, Source: "p1"}), "no certificate", verb)
+			require.ErrorContains(t, ask(router.OrderRequest{
+				Worker: "d4",
+				Verb:   verb,
+				Role:   ids.Decode,
+				Source: "p1",
+			}), "no certificate", verb)
 		}
-		require.ErrorContains(t, ask(router.OrderRequest{Worker: "d1", Verb: "import", Role: ids.Decode, Source: "p4"}), "worker p4", "its source")
-		require.ErrorContains(t, ask(router.OrderRequest{Worker: "d1", Verb: "reserve", Role: ids.Prefill, Need: 1}), "no certificate", "another part")
+		require.ErrorContains(t, ask(router.OrderRequest{
+			Worker: "d1",
+			Verb:   "import",
+			Role:   ids.Decode,
+			Source: "p4",
+		}), "worker p4", "its source")
+		require.ErrorContains(t, ask(router.OrderRequest{
+			Worker: "d1",
+			Verb:   "reserve",
+			Role:   ids.Prefill,
+			Need:   1,
+		}), "no certificate", "another part")
 		require.NoError(t, ask(router.OrderRequest{Worker: "d1", Verb: "reserve", Role: ids.Decode, Need: 1}))
 		require.NoError(t, ask(router.OrderRequest{Worker: "p4", Verb: "done"}))
 		require.NoError(t, ask(router.OrderRequest{Worker: "p4", Verb: "cancel"}))
@@ -231,8 +255,17 @@
 			require.NoError(t, b.Open())
 			load := func(sh standin.Shape, rate float64, seed uint64) []standin.Outcome {
 				sh.Share = 100
-				return standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Nodes, Zones: c.Site.Zones, Shapes: []standin.Shape{sh},
-					Rate: rate, Duration: 4 * time.Second, Seed: seed, Model: c.Site.Model, Weights: []string{standin.SiteWeights}})
+				return standin.Load(c.base, standin.LoadOptions{
+					Host:     c.out.Host(),
+					Doors:    c.Platform.Nodes,
+					Zones:    c.Site.Zones,
+					Shapes:   []standin.Shape{sh},
+					Rate:     rate,
+					Duration: 4 * time.Second,
+					Seed:     seed,
+					Model:    c.Site.Model,
+					Weights:  []string{standin.SiteWeights},
+				})
 			}
 			other := make(chan []standin.Outcome, 1)
 			go func() { other <- load(governedWork.Shapes[2], 500, 2) }()
@@ -270,7 +303,13 @@
 			one := good
 			spoil(&one)
 			b.certs["c-p1"] = one
-			err := c.Operate("/v1/policy", &api.ApplyRequest{Op: coordination.NewID(), Base: shown(c).Version, Partial: true, Name: "regimes.json", Source: b.part()}, nil)
+			err := c.Operate("/v1/policy", &api.ApplyRequest{
+				Op:      coordination.NewID(),
+				Base:    shown(c).Version,
+				Partial: true,
+				Name:    "regimes.json",
+				Source:  b.part(),
+			}, nil)
 			n, name, detail := code(t, err)
 			require.Equal(t, http.StatusBadRequest, n, detail)
 			require.Equal(t, "bad", name)
@@ -292,7 +331,9 @@
 	defer call.Close()
 	spend := func() bool {
 		for _, b := range c.Of("router") {
-			if r, err := rpc.Call[coordination.Empty, router.RetrySpent](c.base, call, b.Addr, router.SpendMethod, &coordination.Empty{}); err == nil && r.OK {
+			if r, err := rpc.Call[coordination.Empty, router.RetrySpent](
+				c.base, call, b.Addr, router.SpendMethod, &coordination.Empty{},
+			); err == nil && r.OK {
 				return true
 			}
 		}
--- a/internal/simulation/governed_work_test.go
+++ b/internal/simulation/governed_work_test.go
@@ -112,7 +112,10 @@
 			if w[0] == 'p' {
 				part = ids.Prefill
 			}
-			b.sign("short-"+w, certification.Certificate{Worker: ids.WorkerID(w), Roles: []ids.Role{part}}, 5*time.Second)
+			b.sign("short-"+w, certification.Certificate{
+				Worker: ids.WorkerID(w),
+				Roles:  []ids.Role{part},
+			}, 5*time.Second)
 		}
 		if err := alter(c, "short", partOf(map[string]any{"certificates": b.certs})); err != nil {
 			return err
@@ -154,7 +157,9 @@
 	}},
 	{"clocks-leap", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		for range 3 {
-			hit(r, append(c.Of("router"), c.Of("controller")...)).Machine.JumpClock(time.Duration(r.IntN(1000)) * time.Hour)
+			hit(
+				r, append(c.Of("router"), c.Of("controller")...),
+			).Machine.JumpClock(time.Duration(r.IntN(1000)) * time.Hour)
 			time.Sleep(2 * time.Second)
 		}
 		return nil
@@ -212,7 +217,10 @@
 		"later":                         {[]Seen{row("import", "p1", 13)}, true},
 		"runs on":                       {[]Seen{row("import", "p1", 9), row("cancel", "p1", 13)}, true},
 		"ends in time":                  {[]Seen{row("import", "p1", 9), row("cancel", "p1", 11)}, false},
-		"not governed":                  {[]Seen{{standin.Event{What: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}}, false},
+		"not governed": {
+			[]Seen{{standin.Event{What: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}},
+			false,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := NewAuditModel()
@@ -232,5 +240,8 @@
 }
 
 func row(what, worker string, second int) Seen {
-	return Seen{standin.Event{What: what, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r", Attempt: 1}}, time.Duration(second) * time.Second}
+	return Seen{
+		standin.Event{What: what, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r", Attempt: 1}},
+		time.Duration(second) * time.Second,
+	}
 }
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -100,8 +100,25 @@
 		if i == changed {
 			deadline = 100_000 + mark
 		}
-		fmt.Fprintf(&b, `{"name":"room-%08x","host":"%08x.rooms.example","prefix":"/v%d/talks/%05d/","deadlineMs":%d,"aimMs":%d,"urgency":%d,"service":"service-%d","split":[{"service":"service-%d","share":%d},{"service":"service-%d","share":%d}],"resumable":%t,"description":"%064x"}`,
-			h, h*31, h%3, i, deadline, 300+h%400, h%10, h%4, h%4, 1+h%90, (h+1)%4, 1+h%10, h%3 == 0, uint64(h)*uint64(h))
+		fmt.Fprintf(
+			&b,
+			`{"name":"room-%08x","host":"%08x.rooms.example","prefix":"/v%d/talks/%05d/","deadlineMs":%d,"aimMs":%d,"urgency":%d,"service":"service-%d","split":[{"service":"service-%d","share":%d},{"service":"service-%d","share":%d}],"resumable":%t,"description":"%064x"}`,
+			h,
+			h*31,
+			h%3,
+			i,
+			deadline,
+			300+h%400,
+			h%10,
+			h%4,
+			h%4,
+			1+
+				h%90,
+			(h+1)%4,
+			1+h%10,
+			h%3 == 0,
+			uint64(h)*uint64(h),
+		)
 	}
 	b.WriteString(`]}`)
 	return []byte(b.String())
@@ -132,7 +149,13 @@
 }
 
 func newHistory(t *testing.T) *history {
-	h := &history{t: t, world: simulated.NewWorld(1), procs: map[string]*simulated.Process{}, cores: map[string]*coordination.Core{}, stops: map[string]context.CancelFunc{}}
+	h := &history{
+		t:     t,
+		world: simulated.NewWorld(1),
+		procs: map[string]*simulated.Process{},
+		cores: map[string]*coordination.Core{},
+		stops: map[string]context.CancelFunc{},
+	}
 	for i := range 3 {
 		h.seeds = append(h.seeds, fmt.Sprintf("10.0.0.%d:1", i+1))
 	}
@@ -140,12 +163,23 @@
 		h.start(addr)
 	}
 	process := h.world.Machine("10.0.1.1").Start()
-	h.operator = coordination.NewAgent(coordination.AgentOptions{Self: coordination.Member{Node: "node-1", Addr: "10.0.1.1:1"}, Host: process.Host(), Seeds: h.seeds, Watcher: counter{}})
+	h.operator = coordination.NewAgent(coordination.AgentOptions{
+		Self:    coordination.Member{Node: "node-1", Addr: "10.0.1.1:1"},
+		Host:    process.Host(),
+		Seeds:   h.seeds,
+		Watcher: counter{},
+	})
 	h.run("10.0.1.1:1", process, process.Host().Net, h.operator.Mount, h.operator.Run)
 	return h
 }
 
-func (h *history) run(addr string, p *simulated.Process, net host.Net, mount func(*http.ServeMux), run func(context.Context)) {
+func (h *history) run(
+	addr string,
+	p *simulated.Process,
+	net host.Net,
+	mount func(*http.ServeMux),
+	run func(context.Context),
+) {
 	ctx, stop := context.WithCancel(context.Background())
 	h.procs[addr], h.stops[addr] = p, stop
 	l, err := net.Listen(addr)
@@ -160,9 +194,14 @@
 	p := h.world.Machine(addr[:len(addr)-2]).Start()
 	machine := p.Host()
 	machine.Net = &ratedNet{machine.Net, host.NewChannelMutex(), &h.sent}
-	core, err := coordination.New(coordination.Options{Addr: addr, Host: machine, Seeds: h.seeds, Machine: func() coordination.StateMachine {
-		return fleetstate.NewMachine(fleetstate.MachineOptions{Wall: machine.Clock.Wall})
-	}})
+	core, err := coordination.New(coordination.Options{
+		Addr:  addr,
+		Host:  machine,
+		Seeds: h.seeds,
+		Machine: func() coordination.StateMachine {
+			return fleetstate.NewMachine(fleetstate.MachineOptions{Wall: machine.Clock.Wall})
+		},
+	})
 	require.NoError(h.t, err)
 	h.cores[addr] = core
 	h.run(addr, p, machine.Net, core.Mount, func(ctx context.Context) { core.Run(ctx) })
@@ -224,7 +263,9 @@
 	if h.changes%7 == 0 {
 		h.evacuated = !h.evacuated
 		h.agree(func(ctx context.Context) error {
-			return fleetstate.SetEvacuated(ctx, h.operator.Caller(), h.operator.Directory(), op+"-zone", "zone-1", h.evacuated)
+			return fleetstate.SetEvacuated(
+				ctx, h.operator.Caller(), h.operator.Directory(), op+"-zone", "zone-1", h.evacuated,
+			)
 		})
 	}
 	for _, addr := range h.seeds {
@@ -314,12 +355,24 @@
 			snapshot, err := h.procs[h.leader()].Host().Disk.Load("picture")
 			require.NoError(t, err)
 			t.Logf("snapshot on disk: %d bytes", len(snapshot))
-			t.Logf("after %d changes: %s, caught up in %s, %d bytes sent by all members meanwhile", h.changes, kind, took, sent)
+			t.Logf(
+				"after %d changes: %s, caught up in %s, %d bytes sent by all members meanwhile",
+				h.changes,
+				kind,
+				took,
+				sent,
+			)
 		}
 		var memory runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&memory)
-		t.Logf("version %d; slowest answer %s; a disk held %d bytes at most; heap of all %d MB", h.newest, h.slowest, h.disk, memory.HeapAlloc>>20)
+		t.Logf(
+			"version %d; slowest answer %s; a disk held %d bytes at most; heap of all %d MB",
+			h.newest,
+			h.slowest,
+			h.disk,
+			memory.HeapAlloc>>20,
+		)
 		require.Less(t, h.disk, diskBound)
 	})
 }
--- a/internal/simulation/idempotency_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -25,7 +25,13 @@
 	return runs, records
 }
 
-var verdict = api.StreamRequest{Kind: "verdict", Key: "q1", Prompt: "was the binding resolution carried by the chairs present", MaxTokens: 3, Seed: 5}
+var verdict = api.StreamRequest{
+	Kind:      "verdict",
+	Key:       "q1",
+	Prompt:    "was the binding resolution carried by the chairs present",
+	MaxTokens: 3,
+	Seed:      5,
+}
 
 // TestSameKey: one key asked of every node at once, and again later, runs once
 // and gives one record; another body under the key is refused.
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -51,12 +51,24 @@
 			{map[string]any{"kind": "clarification", "maxTokens": "x"}, http.StatusBadRequest, "wrong-type"},
 			{api.StreamRequest{Kind: "sermon", Prompt: "a"}, http.StatusBadRequest, "unknown"},
 			{api.StreamRequest{Kind: "clarification", Model: "other", Prompt: "a"}, http.StatusBadRequest, "unknown"},
-			{api.StreamRequest{Kind: "clarification", Adapters: []string{"x"}, Prompt: "a"}, http.StatusBadRequest, "unknown"},
+			{
+				api.StreamRequest{Kind: "clarification", Adapters: []string{"x"}, Prompt: "a"},
+				http.StatusBadRequest,
+				"unknown",
+			},
 			{api.StreamRequest{Kind: "clarification"}, http.StatusBadRequest, "missing"},
 			{api.StreamRequest{Kind: "verdict", Prompt: "a"}, http.StatusBadRequest, "missing"},
-			{api.StreamRequest{Kind: "clarification", Prompt: "a", MaxTokens: 1000}, http.StatusBadRequest, "out-of-range"},
+			{
+				api.StreamRequest{Kind: "clarification", Prompt: "a", MaxTokens: 1000},
+				http.StatusBadRequest,
+				"out-of-range",
+			},
 			{api.StreamRequest{Kind: "clarification", PromptIds: big}, http.StatusRequestEntityTooLarge, "too-large"},
-			{api.StreamRequest{Kind: "clarification", Prompt: strings.Repeat("a ", 3<<20)}, http.StatusRequestEntityTooLarge, "too-large"},
+			{
+				api.StreamRequest{Kind: "clarification", Prompt: strings.Repeat("a ", 3<<20)},
+				http.StatusRequestEntityTooLarge,
+				"too-large",
+			},
 		} {
 			got, name, _ := code(t, c.At(c.Of("router")[0], "/v1/streams", k.ask, nil))
 			require.Equal(t, k.code, got, "%v", k.name)
@@ -78,12 +90,38 @@
 			says string
 		}{
 			{api.ApplyRequest{Op: "a", Base: 1, Source: "{workers: {"}, 400, "policy:1"},
-			{api.ApplyRequest{Op: "b", Base: 1, Partial: true, Source: "{workers: {\n  p1: {room: -4}}}"}, 400, "policy:2:14: workers.p1.room"},
+			{
+				api.ApplyRequest{Op: "b", Base: 1, Partial: true, Source: "{workers: {\n  p1: {room: -4}}}"},
+				400,
+				"policy:2:14: workers.p1.room",
+			},
 			{api.ApplyRequest{Op: "c", Base: 1, Partial: true, Source: `{workers: {p1: {zone: "moon"}}}`}, 400, "moon"},
-			{api.ApplyRequest{Op: "d", Base: 1, Source: "{\"workers\": {\"p1\": {},\n\"p1\": {}}}"}, 400, "p1 stands twice"},
+			{
+				api.ApplyRequest{Op: "d", Base: 1, Source: "{\"workers\": {\"p1\": {},\n\"p1\": {}}}"},
+				400,
+				"p1 stands twice",
+			},
 			{api.ApplyRequest{Op: "e", Base: 1, Partial: true, Source: `{colour: 3}`}, 400, "colour"},
-			{api.ApplyRequest{Op: "f", Base: 1, Partial: true, Source: `{programs: {x: {share: 100, source: "def order(a, b):\n  retrun b"}}}`}, 400, "x.star:2"},
-			{api.ApplyRequest{Op: "g", Base: 1, Partial: true, Source: `{programs: {x: {share: 40, source: "def order(a, b):\n  return []"}}}`}, 400, "40, not to 100"},
+			{
+				api.ApplyRequest{
+					Op:      "f",
+					Base:    1,
+					Partial: true,
+					Source:  `{programs: {x: {share: 100, source: "def order(a, b):\n  retrun b"}}}`,
+				},
+				400,
+				"x.star:2",
+			},
+			{
+				api.ApplyRequest{
+					Op:      "g",
+					Base:    1,
+					Partial: true,
+					Source:  `{programs: {x: {share: 40, source: "def order(a, b):\n  return []"}}}`,
+				},
+				400,
+				"40, not to 100",
+			},
 			{api.ApplyRequest{Op: "h", Base: 1, Partial: true, Source: `{workers: null}`}, 400, ""},
 			{api.ApplyRequest{Op: "i", Base: 0, Partial: true, Source: `{limits: {queue: 3}}`}, 409, "newest is 1"},
 			{api.ApplyRequest{Op: "", Base: 1, Source: `{}`}, 400, "id of its own"},
--- a/internal/simulation/kv_transfer_test.go
+++ b/internal/simulation/kv_transfer_test.go
@@ -60,7 +60,14 @@
 				defer mu.Unlock()
 				for kind, stages := range took {
 					for _, s := range []handoff.Step{handoff.Prefilled, handoff.Imported, handoff.Resumed} {
-						fmt.Printf("| %s | %s | %s | %.0f / %.0f |\n", link.name, kind, s, standin.Quantile(stages[s], 0.5), standin.Quantile(stages[s], 0.99))
+						fmt.Printf(
+							"| %s | %s | %s | %.0f / %.0f |\n",
+							link.name,
+							kind,
+							s,
+							standin.Quantile(stages[s], 0.5),
+							standin.Quantile(stages[s], 0.99),
+						)
 					}
 				}
 			})
--- a/internal/simulation/machines_test.go
+++ b/internal/simulation/machines_test.go
@@ -88,23 +88,27 @@
 		time.Sleep(7 * time.Second)
 		return change(c, "after-wipe", 1500)
 	}},
-	{Name: "rolling-replacement", Bound: 12 * time.Second, Run: func(c *Cluster, r *rand.Rand) error {
-		previous := append([]*Process(nil), c.Of("controller")...)
-		r.Shuffle(len(previous), func(i, j int) { previous[i], previous[j] = previous[j], previous[i] })
-		for i, b := range previous {
-			if err := change(c, fmt.Sprintf("roll-%d", i), 1600+i); err != nil {
-				return fmt.Errorf("before round %d: %w", i, err)
+	{
+		Name:  "rolling-replacement",
+		Bound: 12 * time.Second,
+		Run: func(c *Cluster, r *rand.Rand) error {
+			previous := append([]*Process(nil), c.Of("controller")...)
+			r.Shuffle(len(previous), func(i, j int) { previous[i], previous[j] = previous[j], previous[i] })
+			for i, b := range previous {
+				if err := change(c, fmt.Sprintf("roll-%d", i), 1600+i); err != nil {
+					return fmt.Errorf("before round %d: %w", i, err)
+				}
+				c.PowerOff(b)
+				b.Machine.WipeDisk()
+				c.add(c.Controller(fmt.Sprintf("controller-r%d", i), fmt.Sprintf("10.1.0.%d:700", 20+i), b.Zone))
+				time.Sleep(9 * time.Second)
 			}
-			c.PowerOff(b)
-			b.Machine.WipeDisk()
-			c.add(c.Controller(fmt.Sprintf("controller-r%d", i), fmt.Sprintf("10.1.0.%d:700", 20+i), b.Zone))
-			time.Sleep(9 * time.Second)
-		}
-		if err := change(c, "roll-last", 1700); err != nil {
-			return fmt.Errorf("after the rounds: %w", err)
-		}
-		return nil
-	}},
+			if err := change(c, "roll-last", 1700); err != nil {
+				return fmt.Errorf("after the rounds: %w", err)
+			}
+			return nil
+		},
+	},
 	{Name: "core-restarts-whole", Run: func(c *Cluster, r *rand.Rand) error {
 		pause(r)
 		if err := change(c, "before-total", 1800); err != nil {
--- a/internal/simulation/others_test.go
+++ b/internal/simulation/others_test.go
@@ -81,7 +81,9 @@
 	{Name: "clocks-leap", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 6 {
 			pause(r)
-			hit(r, append(c.Of("router"), c.Of("controller")...)).Machine.JumpClock(time.Duration(1+r.IntN(20)) * time.Second)
+			hit(
+				r, append(c.Of("router"), c.Of("controller")...),
+			).Machine.JumpClock(time.Duration(1+r.IntN(20)) * time.Second)
 		}
 		return nil
 	}},
@@ -146,70 +148,95 @@
 		b.Worker.Order(standin.Faults{})
 		return nil
 	}},
-	{Name: "reports-lag", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, b := range c.Of("worker") {
-			b.Worker.Order(standin.Faults{LagMs: 450})
-		}
-		time.Sleep(5 * time.Second)
-		return nil
-	}, Tune: func(c *Cluster) { c.Tune = func(o *standin.WorkerOptions) { o.Capacity = 140 } }},
-	{Name: "workers-leave", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, id := range []string{"p1", "d1"} {
+	{
+		Name: "reports-lag",
+		Run: func(c *Cluster, r *rand.Rand) error {
+			for _, b := range c.Of("worker") {
+				b.Worker.Order(standin.Faults{LagMs: 450})
+			}
+			time.Sleep(5 * time.Second)
+			return nil
+		},
+		Tune: func(c *Cluster) { c.Tune = func(o *standin.WorkerOptions) { o.Capacity = 140 } },
+	},
+	{
+		Name: "workers-leave",
+		Run: func(c *Cluster, r *rand.Rand) error {
+			for _, id := range []string{"p1", "d1"} {
+				pause(r)
+				c.Platform.Leave(ids.WorkerID(id))
+				c.Recorder.Mark("leave", id)
+			}
+			time.Sleep(5 * time.Second)
+			return nil
+		},
+		Calm: true,
+	},
+	{
+		Name: "zone-evacuated-and-back",
+		Run: func(c *Cluster, r *rand.Rand) error {
 			pause(r)
-			c.Platform.Leave(ids.WorkerID(id))
-			c.Recorder.Mark("leave", id)
-		}
-		time.Sleep(5 * time.Second)
-		return nil
-	}, Calm: true},
-	{Name: "zone-evacuated-and-back", Run: func(c *Cluster, r *rand.Rand) error {
-		pause(r)
-		z := hit(r, c.Site.Zones)
-		if err := empty(c, z, "out", true); err != nil {
-			return err
-		}
-		time.Sleep(7 * time.Second)
-		return empty(c, z, "back", false)
-	}, Calm: true},
-	{Name: "operators-race", Run: func(c *Cluster, r *rand.Rand) error {
-		for n := range 4 {
-			var wg sync.WaitGroup
-			var mu sync.Mutex
-			won := 0
-			sh := shown(c)
-			for k := range 2 {
-				wg.Go(func() {
-					part := fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, 3000+10*n+k)
-					text, _ := expected(sh, part)
-					got := &api.ApplyResponse{}
-					b := c.Of("router")[k]
-					err := c.At(b, "/v1/policy", &api.ApplyRequest{Op: fmt.Sprintf("race-%d-%d", n, k), Base: sh.Version, Partial: true, Source: part}, got)
-					if err != nil {
-						c.Recorder.Refuse(text)
-						return
-					}
-					c.Recorder.Ack(ids.Version(got.Version), text)
-					mu.Lock()
-					won++
-					mu.Unlock()
-				})
+			z := hit(r, c.Site.Zones)
+			if err := empty(c, z, "out", true); err != nil {
+				return err
 			}
-			wg.Wait()
-			if won != 1 {
-				return fmt.Errorf("round %d: %d of two racing operators won", n, won)
+			time.Sleep(7 * time.Second)
+			return empty(c, z, "back", false)
+		},
+		Calm: true,
+	},
+	{
+		Name: "operators-race",
+		Run: func(c *Cluster, r *rand.Rand) error {
+			for n := range 4 {
+				var wg sync.WaitGroup
+				var mu sync.Mutex
+				won := 0
+				sh := shown(c)
+				for k := range 2 {
+					wg.Go(func() {
+						part := fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, 3000+10*n+k)
+						text, _ := expected(sh, part)
+						got := &api.ApplyResponse{}
+						b := c.Of("router")[k]
+						err := c.At(b, "/v1/policy", &api.ApplyRequest{
+							Op:      fmt.Sprintf("race-%d-%d", n, k),
+							Base:    sh.Version,
+							Partial: true,
+							Source:  part,
+						}, got)
+						if err != nil {
+							c.Recorder.Refuse(text)
+							return
+						}
+						c.Recorder.Ack(ids.Version(got.Version), text)
+						mu.Lock()
+						won++
+						mu.Unlock()
+					})
+				}
+				wg.Wait()
+				if won != 1 {
+					return fmt.Errorf("round %d: %d of two racing operators won", n, won)
+				}
+				c.Until(3*time.Second, func() bool { return c.Of("router")[0].Node.Show().Version > sh.Version })
 			}
-			c.Until(3*time.Second, func() bool { return c.Of("router")[0].Node.Show().Version > sh.Version })
-		}
-		return nil
-	}, Calm: true},
-	{Name: "configuration-storm", Run: func(c *Cluster, r *rand.Rand) error {
-		for n := range 25 {
-			if err := change(c, fmt.Sprintf("storm-%d", n), 4000+n); err != nil {
-				return fmt.Errorf("storm %d: %w", n, err)
+			return nil
+		},
+		Calm: true,
+	},
+	{
+		Name: "configuration-storm",
+		Run: func(c *Cluster, r *rand.Rand) error {
+			for n := range 25 {
+				if err := change(c, fmt.Sprintf("storm-%d", n), 4000+n); err != nil {
+					return fmt.Errorf("storm %d: %w", n, err)
+				}
 			}
-		}
-		return nil
-	}, Calm: true},
+			return nil
+		},
+		Calm: true,
+	},
 	{Name: "storm-with-a-node-cut-from-the-core", Run: func(c *Cluster, r *rand.Rand) error {
 		b := able(c)
 		core := ips(c.Of("controller")...)
--- a/internal/simulation/price_test.go
+++ b/internal/simulation/price_test.go
@@ -50,7 +50,14 @@
 				require.Equal(t, len(all), sum.Ends[api.Complete])
 				for _, sh := range governedWork.Shapes {
 					k := sum.Kinds[sh.Kind]
-					fmt.Printf("| first piece, ms | %s | %s | %.1f / %.1f | %d |\n", way, sh.Kind, k.FirstP50, k.FirstP99, k.Complete)
+					fmt.Printf(
+						"| first piece, ms | %s | %s | %.1f / %.1f | %d |\n",
+						way,
+						sh.Kind,
+						k.FirstP50,
+						k.FirstP99,
+						k.Complete,
+					)
 				}
 			})
 		})
@@ -74,7 +81,10 @@
 				require.NoError(t, c.Found())
 				b.usual()
 				for i := range n {
-					b.sign(fmt.Sprint("x", i), certification.Certificate{Worker: "d3", Roles: []ids.Role{ids.Decode}}, 24*time.Hour)
+					b.sign(fmt.Sprint("x", i), certification.Certificate{
+						Worker: "d3",
+						Roles:  []ids.Role{ids.Decode},
+					}, 24*time.Hour)
 				}
 				require.NoError(t, b.Open())
 				for i := range n {
@@ -95,7 +105,14 @@
 					require.NoError(t, c.Start(lead))
 					time.Sleep(4*time.Second + time.Duration(i)*7*time.Millisecond)
 				}
-				fmt.Printf("| revocation, ms | %s | %d | %.0f / %.0f / %.0f |\n", way, n, standin.Quantile(b.revoke, 0.5), standin.Quantile(b.revoke, 0.95), standin.Quantile(b.revoke, 1))
+				fmt.Printf(
+					"| revocation, ms | %s | %d | %.0f / %.0f / %.0f |\n",
+					way,
+					n,
+					standin.Quantile(b.revoke, 0.5),
+					standin.Quantile(b.revoke, 0.95),
+					standin.Quantile(b.revoke, 1),
+				)
 			})
 		})
 	}
--- a/internal/simulation/program_test.go
+++ b/internal/simulation/program_test.go
@@ -32,17 +32,32 @@
 	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		hostile := "def order(ask, workers):\n    return ['p1']\n"
 		rounds := []string{
-			programs(t, map[string]fleetstate.Program{"free": {Source: routing.ShippedProgram("free"), Share: 50}, "prefix": {Source: routing.ShippedProgram("prefix"), Share: 50}}),
-			programs(t, map[string]fleetstate.Program{"free": {Source: routing.ShippedProgram("free"), Share: 20}, "prefix": {Source: routing.ShippedProgram("prefix"), Share: 30}, "hostile": {Source: hostile, Share: 50}}),
-			programs(t, map[string]fleetstate.Program{"free": {Source: routing.ShippedProgram("free"), Share: 0, Shadow: true}, "prefix": {Source: routing.ShippedProgram("prefix"), Share: 0, Shadow: true},
-				"hostile": {Source: "def order(ask, workers):\n    return workers[7]\n", Share: 100}}),
+			programs(t, map[string]fleetstate.Program{
+				"free":   {Source: routing.ShippedProgram("free"), Share: 50},
+				"prefix": {Source: routing.ShippedProgram("prefix"), Share: 50},
+			}),
+			programs(t, map[string]fleetstate.Program{
+				"free":    {Source: routing.ShippedProgram("free"), Share: 20},
+				"prefix":  {Source: routing.ShippedProgram("prefix"), Share: 30},
+				"hostile": {Source: hostile, Share: 50},
+			}),
+			programs(t, map[string]fleetstate.Program{
+				"free":    {Source: routing.ShippedProgram("free"), Share: 0, Shadow: true},
+				"prefix":  {Source: routing.ShippedProgram("prefix"), Share: 0, Shadow: true},
+				"hostile": {Source: "def order(ask, workers):\n    return workers[7]\n", Share: 100},
+			}),
 			`{"programs": {"hostile": null, "free": null, "prefix": {"share": 100, "shadow": false}}}`,
 		}
 		done := make(chan error, 1)
 		go func() {
 			for i, text := range rounds {
 				time.Sleep(1500 * time.Millisecond)
-				if _, err := c.Apply(&api.ApplyRequest{Op: fmt.Sprint("swap", i), Base: uint64(i + 1), Partial: true, Source: text}); err != nil {
+				if _, err := c.Apply(&api.ApplyRequest{
+					Op:      fmt.Sprint("swap", i),
+					Base:    uint64(i + 1),
+					Partial: true,
+					Source:  text,
+				}); err != nil {
 					done <- fmt.Errorf("round %d: %w", i, err)
 					return
 				}
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -231,7 +231,8 @@
 		}
 		until := b.until(m)
 		for _, e := range b.rows {
-			if (e.What == "prefill" || e.What == "import") && string(e.Worker) == m.Name && e.When > m.At+bound && e.When < until {
+			if (e.What == "prefill" || e.What == "import") && string(e.Worker) == m.Name && e.When > m.At+bound &&
+				e.When < until {
 				f.say(line, "%s got a %s %.2f s after", m.Name, e.What, (e.When - m.At).Seconds())
 				break
 			}
@@ -262,7 +263,15 @@
 		fence[e.Worker] = max(fence[e.Worker], e.Fence)
 		for _, s := range seen[e.Worker] {
 			if e.Version < s.v && e.When > s.at+250*time.Millisecond {
-				f.say(SlowLaw, "%s got %s under version %d, %.2f s after it saw %d", e.Worker, e.What, e.Version, (e.When - s.at).Seconds(), s.v)
+				f.say(
+					SlowLaw,
+					"%s got %s under version %d, %.2f s after it saw %d",
+					e.Worker,
+					e.What,
+					e.Version,
+					(e.When - s.at).Seconds(),
+					s.v,
+				)
 				break
 			}
 		}
@@ -284,7 +293,14 @@
 	for _, p := range b.picks {
 		for v, at := range first {
 			if v > p.Version && p.At > at+250*time.Millisecond {
-				f.say(SlowLaw, "%s granted under version %d, %.2f s after a worker saw %d", p.Node, p.Version, (p.At - at).Seconds(), v)
+				f.say(
+					SlowLaw,
+					"%s granted under version %d, %.2f s after a worker saw %d",
+					p.Node,
+					p.Version,
+					(p.At - at).Seconds(),
+					v,
+				)
 				return
 			}
 		}
@@ -317,7 +333,8 @@
 		until := b.until(m)
 		last := time.Duration(0)
 		for _, e := range b.rows {
-			if (e.What == "prefill" || e.What == "import") && string(e.Worker) == m.Name && e.When > m.At && e.When < until {
+			if (e.What == "prefill" || e.What == "import") && string(e.Worker) == m.Name && e.When > m.At &&
+				e.When < until {
 				last = e.When - m.At
 			}
 		}
--- a/internal/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -40,7 +40,12 @@
 	return list[slices.IndexFunc(list, func(b *Process) bool { return b.Name == name })]
 }
 
-var speech = api.StreamRequest{Kind: "speech", Prompt: "the chair gives the floor to the delegate of the fourth row", MaxTokens: 60, Seed: 9}
+var speech = api.StreamRequest{
+	Kind:      "speech",
+	Prompt:    "the chair gives the floor to the delegate of the fourth row",
+	MaxTokens: 60,
+	Seed:      9,
+}
 
 // long gives an asking whose answer has fifty tokens or more.
 func long(ask api.StreamRequest) api.StreamRequest {
