--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -78,7 +78,12 @@
 			newest, _ = c.answer(t, i, releaseAsk(i))
 		}
 		shownAtFirst := shown(c)
-		_, err := c.Apply(&api.ApplyRequest{Op: "release", Base: shownAtFirst.Version, Partial: true, Source: "{limits: queue: 12}"})
+		_, err := c.Apply(&api.ApplyRequest{
+			Op:      "release",
+			Base:    shownAtFirst.Version,
+			Partial: true,
+			Source:  "{limits: queue: 12}",
+		})
 		require.NoError(t, err)
 		require.NoError(t, c.Mark("/v1/zones/"+string(c.Site.Zones[0]), "release-zone", true))
 		time.Sleep(2 * time.Second)
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -22,8 +22,18 @@
 	}, func(t *testing.T, c *Cluster) {
 		before := c.Load(20, 2*time.Second, 1)
 		require.Equal(t, len(before), standin.Sum(before).Ends[api.Complete])
-		crowd := standin.Load(c.base, standin.LoadOptions{Host: c.out.Host(), Doors: c.Platform.Nodes, Zones: c.Site.Zones, Shapes: c.Site.Shapes,
-			Rate: 700, Duration: 3 * time.Second, Seed: 2, Model: c.Site.Model, Weights: []string{standin.SiteWeights}, Retries: 0})
+		crowd := standin.Load(c.base, standin.LoadOptions{
+			Host:     c.out.Host(),
+			Doors:    c.Platform.Nodes,
+			Zones:    c.Site.Zones,
+			Shapes:   c.Site.Shapes,
+			Rate:     700,
+			Duration: 3 * time.Second,
+			Seed:     2,
+			Model:    c.Site.Model,
+			Weights:  []string{standin.SiteWeights},
+			Retries:  0,
+		})
 		sum := standin.Sum(crowd)
 		t.Logf("%+v", sum)
 		require.Empty(t, c.Recorder.Check(crowd))
@@ -82,7 +92,15 @@
 			last = max(last, o.At+o.Complete)
 		}
 		sum := standin.Sum(all)
-		t.Logf("%d calls, %v, %d askings, at most %d by one, the last ended after %s; %+v", len(all), sum.Ends, tries, most, last, sum.Kinds)
+		t.Logf(
+			"%d calls, %v, %d askings, at most %d by one, the last ended after %s; %+v",
+			len(all),
+			sum.Ends,
+			tries,
+			most,
+			last,
+			sum.Kinds,
+		)
 		require.Empty(t, c.Recorder.Check(all))
 		require.Greater(t, sum.Ends[api.Complete]*100, len(all)*90)
 	})
--- a/internal/simulation/script_test.go
+++ b/internal/simulation/script_test.go
@@ -29,8 +29,18 @@
 
 // hamlet is a site small enough for the race detector, under which a whole
 // deployment takes some twenty times as long.
-var hamlet = standin.Site{Name: "hamlet", Zones: []ids.Zone{"a", "b", "c"}, Nodes: 3, Prefill: 2, Decode: 2, Model: "m",
-	Shapes: []standin.Shape{{Kind: "verdict", Claimed: true, Share: 45, Shared: 64, Own: 64, Max: 2}, {Kind: "clarification", Share: 55, Shared: 64, Own: 16, Max: 16}}}
+var hamlet = standin.Site{
+	Name:    "hamlet",
+	Zones:   []ids.Zone{"a", "b", "c"},
+	Nodes:   3,
+	Prefill: 2,
+	Decode:  2,
+	Model:   "m",
+	Shapes: []standin.Shape{
+		{Kind: "verdict", Claimed: true, Share: 45, Shared: 64, Own: 64, Max: 2},
+		{Kind: "clarification", Share: 55, Shared: 64, Own: 16, Max: 16},
+	},
+}
 
 func unraced(t *testing.T) {
 	if raced {
@@ -61,7 +71,18 @@
 				synctest.Test(t, func(t *testing.T) {
 					v := Trial(s, site, seed, pace)
 					assert.Empty(t, v.Faults)
-					t.Logf("%s seed %d at %s: back %s, lead %.2fs, again %d, %v %v %v", s.Name, seed, site.Name, worst(v.Back), v.Lead.Seconds(), v.Again, v.Sum.Ends, v.Sum.Details, v.Back)
+					t.Logf(
+						"%s seed %d at %s: back %s, lead %.2fs, again %d, %v %v %v",
+						s.Name,
+						seed,
+						site.Name,
+						worst(v.Back),
+						v.Lead.Seconds(),
+						v.Again,
+						v.Sum.Ends,
+						v.Sum.Details,
+						v.Back,
+					)
 					t.Logf("bounds: left %v out %v laws %v old %v", v.Left, v.Out, v.Laws, v.Old)
 				})
 			})
@@ -87,7 +108,17 @@
 				s := Together(seed)
 				v := Trial(s, site, seed, Pace{40, 14 * time.Second, 14 * time.Second})
 				assert.Empty(t, v.Faults, s.Name)
-				t.Logf("together seed %d at %s: back %s, lead %.2fs, again %d, %v %v [%s]", seed, site.Name, worst(v.Back), v.Lead.Seconds(), v.Again, v.Sum.Ends, v.Sum.Details, s.Name)
+				t.Logf(
+					"together seed %d at %s: back %s, lead %.2fs, again %d, %v %v [%s]",
+					seed,
+					site.Name,
+					worst(v.Back),
+					v.Lead.Seconds(),
+					v.Again,
+					v.Sum.Ends,
+					v.Sum.Details,
+					s.Name,
+				)
 			})
 		})
 	}
--- a/internal/simulation/stream_test.go
+++ b/internal/simulation/stream_test.go
@@ -21,7 +21,9 @@
 	}
 	cx, stop := context.WithTimeout(c.base, 20*time.Second)
 	defer stop()
-	q, err := http.NewRequestWithContext(cx, http.MethodPost, "http://"+b.FrontendAddr+"/v1/streams", strings.NewReader(string(body)))
+	q, err := http.NewRequestWithContext(
+		cx, http.MethodPost, "http://"+b.FrontendAddr+"/v1/streams", strings.NewReader(string(body)),
+	)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simulation/trial_test.go
+++ b/internal/simulation/trial_test.go
@@ -73,7 +73,9 @@
 	}
 	v.Faults = append(v.Faults, late(v.Back, bound)...)
 	if n := v.Sum.Ends[api.Complete]; s.Calm && n != len(all) {
-		v.Faults = append(v.Faults, Fault{NotBack, fmt.Sprintf("only %d of %d calls completed on a calm day: %v", n, len(all), v.Sum.Details)})
+		v.Faults = append(v.Faults, Fault{
+			NotBack, fmt.Sprintf("only %d of %d calls completed on a calm day: %v", n, len(all), v.Sum.Details),
+		})
 	}
 	v.Faults = append(v.Faults, c.Recorder.Check(all)...)
 	v.Faults = append(v.Faults, c.laws()...)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -126,7 +126,9 @@
 			w.pool.put(r.tab, len(r.ident.Prompt)+i, r.last)
 			r.ident.Computed++
 		}
-	} else if t := token(w.pool.attend(r.tab, r.ident.Computed, base, r.ident.Params.Seed, r.ident.Params.Temperature), 0); t != 0 {
+	} else if t := token(
+		w.pool.attend(r.tab, r.ident.Computed, base, r.ident.Params.Seed, r.ident.Params.Temperature), 0,
+	); t != 0 {
 		r.ident.Output = append(r.ident.Output, t)
 	}
 	w.hits[0], w.hits[1] = w.hits[0]+w.cached(r), w.hits[1]+len(r.ident.Prompt)
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -196,7 +196,16 @@
 )
 
 // knock asks once; it returns how long to wait before asking again, if at all.
-func knock(ctx context.Context, o *LoadOptions, web *http.Client, c *call, r *Outcome, due time.Time, rng *rand.Rand, zone ids.Zone) time.Duration {
+func knock(
+	ctx context.Context,
+	o *LoadOptions,
+	web *http.Client,
+	c *call,
+	r *Outcome,
+	due time.Time,
+	rng *rand.Rand,
+	zone ids.Zone,
+) time.Duration {
 	doors := o.Doors(zone)
 	if len(doors) == 0 {
 		r.End, r.Detail = "bounced", "no door"
@@ -342,8 +351,28 @@
 
 // Sites are the two.
 var Sites = map[string]Site{
-	"vatuloa": {Name: "vatuloa", Zones: []ids.Zone{"hall-a", "hall-b", "hall-c"}, Nodes: 7, Prefill: 6, Decode: 6, Model: "bridge-8b",
-		Shapes: []Shape{{Kind: "verdict", Claimed: true, Share: 45, Shared: 384, Own: 640, Max: 2}, {Kind: "clarification", Share: 55, Shared: 96, Own: 48, Max: 24}}},
-	"almaty": {Name: "almaty", Zones: []ids.Zone{"alatau", "medeu", "bostandyk"}, Nodes: 6, Prefill: 4, Decode: 5, Model: "scooter-8b",
-		Shapes: []Shape{{Kind: "ruling", Claimed: true, Share: 45, Shared: 320, Own: 480, Max: 2}, {Kind: "rider", Share: 55, Shared: 128, Own: 48, Max: 24}}},
+	"vatuloa": {
+		Name:    "vatuloa",
+		Zones:   []ids.Zone{"hall-a", "hall-b", "hall-c"},
+		Nodes:   7,
+		Prefill: 6,
+		Decode:  6,
+		Model:   "bridge-8b",
+		Shapes: []Shape{
+			{Kind: "verdict", Claimed: true, Share: 45, Shared: 384, Own: 640, Max: 2},
+			{Kind: "clarification", Share: 55, Shared: 96, Own: 48, Max: 24},
+		},
+	},
+	"almaty": {
+		Name:    "almaty",
+		Zones:   []ids.Zone{"alatau", "medeu", "bostandyk"},
+		Nodes:   6,
+		Prefill: 4,
+		Decode:  5,
+		Model:   "scooter-8b",
+		Shapes: []Shape{
+			{Kind: "ruling", Claimed: true, Share: 45, Shared: 320, Own: 480, Max: 2},
+			{Kind: "rider", Share: 55, Shared: 128, Own: 48, Max: 24},
+		},
+	},
 }
--- a/internal/standin/move.go
+++ b/internal/standin/move.go
@@ -78,7 +78,12 @@
 	id := r.ident.ID
 	cx, stop := context.WithTimeout(context.Background(), w.opt.StagingTTL)
 	defer stop()
-	q, err := http.NewRequestWithContext(cx, http.MethodGet, fmt.Sprintf("http://%s/kv?request=%s&attempt=%d", source, id.Request, id.Attempt), nil)
+	q, err := http.NewRequestWithContext(
+		cx,
+		http.MethodGet,
+		fmt.Sprintf("http://%s/kv?request=%s&attempt=%d", source, id.Request, id.Attempt),
+		nil,
+	)
 	if err != nil {
 		return err
 	}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -34,7 +34,11 @@
 
 // NewPlatform returns a platform without workers or nodes. It asks nodes over the host's network.
 func NewPlatform(host host.Host) *Platform {
-	return &Platform{web: rpc.NewHTTPClient(host.Net), workers: map[ids.WorkerID]workerclient.ListedWorker{}, nodes: map[string]*Node{}}
+	return &Platform{
+		web:     rpc.NewHTTPClient(host.Net),
+		workers: map[ids.WorkerID]workerclient.ListedWorker{},
+		nodes:   map[string]*Node{},
+	}
 }
 
 // List puts a worker on the list, or changes its line.
@@ -175,7 +179,9 @@
 	ask := func(zone ids.Zone) {
 		cx, stop := context.WithTimeout(ctx, 700*time.Millisecond)
 		defer stop()
-		q, err := http.NewRequestWithContext(cx, http.MethodGet, "http://"+addr+"/doors?zone="+url.QueryEscape(string(zone)), nil)
+		q, err := http.NewRequestWithContext(
+			cx, http.MethodGet, "http://"+addr+"/doors?zone="+url.QueryEscape(string(zone)), nil,
+		)
 		if err != nil {
 			return
 		}
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -39,7 +39,9 @@
 	})
 	mux.HandleFunc("GET /stream", w.stream)
 	mux.HandleFunc("GET /kv", w.kvTransfer)
-	mux.HandleFunc("GET /tally", func(rw http.ResponseWriter, _ *http.Request) { reply(rw, http.StatusOK, w.Tallies()) })
+	mux.HandleFunc("GET /tally", func(rw http.ResponseWriter, _ *http.Request) {
+		reply(rw, http.StatusOK, w.Tallies())
+	})
 	mux.HandleFunc("POST /fault", func(rw http.ResponseWriter, q *http.Request) {
 		var f Faults
 		if json.NewDecoder(q.Body).Decode(&f) == nil {
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -41,7 +41,15 @@
 	if i >= s.Prefill {
 		part, at = ids.Decode, i-s.Prefill
 	}
-	return fleetstate.Worker{Role: part, Model: s.Model, Weights: SiteWeights, Adapters: []string{}, Capacity: SiteCapacity, Block: SiteBlock, Zone: s.Zones[at%len(s.Zones)]}
+	return fleetstate.Worker{
+		Role:     part,
+		Model:    s.Model,
+		Weights:  SiteWeights,
+		Adapters: []string{},
+		Capacity: SiteCapacity,
+		Block:    SiteBlock,
+		Zone:     s.Zones[at%len(s.Zones)],
+	}
 }
 
 // Policy is the whole configuration as JSON text.
@@ -57,7 +65,12 @@
 	if programs == nil {
 		programs = map[string]fleetstate.Program{}
 	}
-	b, err := json.MarshalIndent(map[string]any{"zones": s.Zones, "workers": workers, "kinds": kinds, "programs": programs}, "", "  ")
+	b, err := json.MarshalIndent(map[string]any{
+		"zones":    s.Zones,
+		"workers":  workers,
+		"kinds":    kinds,
+		"programs": programs,
+	}, "", "  ")
 	if err != nil {
 		panic(err)
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -141,9 +141,20 @@
 // zero. It runs nothing before Run.
 func NewWorker(opt WorkerOptions) *Worker {
 	opt.fill()
-	return &Worker{opt: opt, incarnation: ids.Incarnation(rand.Text()), web: rpc.NewHTTPClient(opt.Host.Net), part: opt.Role, pool: newPool(opt.Capacity, opt.Block),
-		live: map[workerclient.ID]*run{}, staged: map[workerclient.ID]*parcel{}, tombstones: map[string]int{}, tally: map[string]*Tally{},
-		fates: map[string]*workerclient.OrderResponse{}, warm: map[uint64]ids.Tick{}, wake: make(chan struct{}, 1)}
+	return &Worker{
+		opt:         opt,
+		incarnation: ids.Incarnation(rand.Text()),
+		web:         rpc.NewHTTPClient(opt.Host.Net),
+		part:        opt.Role,
+		pool:        newPool(opt.Capacity, opt.Block),
+		live:        map[workerclient.ID]*run{},
+		staged:      map[workerclient.ID]*parcel{},
+		tombstones:  map[string]int{},
+		tally:       map[string]*Tally{},
+		fates:       map[string]*workerclient.OrderResponse{},
+		warm:        map[uint64]ids.Tick{},
+		wake:        make(chan struct{}, 1),
+	}
 }
 
 func (w *Worker) now() ids.Tick { return w.opt.Host.Clock.Now() }
@@ -230,8 +241,13 @@
 	w.pool.give(r.tab)
 	w.pool.pledge -= r.pledge
 	r.tab, r.pledge = nil, 0
-	if f := w.fates[r.ident.ID.Request]; f == nil || f.Fate == workerclient.FateNever || fate == workerclient.FateFinished {
-		w.fates[r.ident.ID.Request] = &workerclient.OrderResponse{Fate: fate, Output: r.ident.Output, Done: fate == workerclient.FateFinished}
+	if f := w.fates[r.ident.ID.Request]; f == nil || f.Fate == workerclient.FateNever ||
+		fate == workerclient.FateFinished {
+		w.fates[r.ident.ID.Request] = &workerclient.OrderResponse{
+			Fate:   fate,
+			Output: r.ident.Output,
+			Done:   fate == workerclient.FateFinished,
+		}
 	}
 	if !r.ended {
 		r.stopped = true
@@ -286,8 +302,17 @@
 }
 
 func (w *Worker) report() workerclient.Report {
-	r := workerclient.Report{Role: w.part, Model: w.opt.Model, Used: w.pool.used(), Capacity: len(w.pool.cells),
-		Block: w.pool.size, Queue: len(w.queue), Version: w.version, Running: []workerclient.Running{}, Incarnation: w.incarnation}
+	r := workerclient.Report{
+		Role:        w.part,
+		Model:       w.opt.Model,
+		Used:        w.pool.used(),
+		Capacity:    len(w.pool.cells),
+		Block:       w.pool.size,
+		Queue:       len(w.queue),
+		Version:     w.version,
+		Running:     []workerclient.Running{},
+		Incarnation: w.incarnation,
+	}
 	for id, v := range w.live {
 		r.Running = append(r.Running, workerclient.Running{ID: id, Blocks: len(v.tab), Reserved: v.pledge})
 	}
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -35,7 +35,14 @@
 		for i, part := range []ids.Role{ids.Prefill, ids.Decode} {
 			host := w.Machine(fmt.Sprintf("10.0.0.%d", i+1)).Start().Host()
 			addr := fmt.Sprintf("10.0.0.%d:90", i+1)
-			k := NewWorker(WorkerOptions{ID: ids.WorkerID(part), Addr: addr, Role: part, Capacity: room, Host: host, Model: workerclient.Model{Name: "m", Weights: "w1"}})
+			k := NewWorker(WorkerOptions{
+				ID:       ids.WorkerID(part),
+				Addr:     addr,
+				Role:     part,
+				Capacity: room,
+				Host:     host,
+				Model:    workerclient.Model{Name: "m", Weights: "w1"},
+			})
 			l, err := host.Net.Listen(addr)
 			require.NoError(t, err)
 			go rpc.Serve(ctx, l, k.Handler())
@@ -62,7 +69,11 @@
 }
 
 func (x *pairOf) identity(name string, prompt, max int) workerclient.Identity {
-	m := workerclient.Identity{ID: workerclient.ID{Request: name, Attempt: 1}, Params: workerclient.Params{MaxTokens: max, Seed: 7}, Model: workerclient.Model{Name: "m", Weights: "w1"}}
+	m := workerclient.Identity{
+		ID:     workerclient.ID{Request: name, Attempt: 1},
+		Params: workerclient.Params{MaxTokens: max, Seed: 7},
+		Model:  workerclient.Model{Name: "m", Weights: "w1"},
+	}
 	for i := range prompt {
 		m.Prompt = append(m.Prompt, int32(i*31%997+len(name)))
 	}
@@ -70,20 +81,33 @@
 }
 
 func (x *pairOf) read(t *testing.T, m workerclient.Identity) workerclient.Identity {
-	_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillRequest{OrderHeader: workerclient.OrderHeader{Fence: 1}, Identity: m})
+	_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillRequest{
+		OrderHeader: workerclient.OrderHeader{Fence: 1},
+		Identity:    m,
+	})
 	require.NoError(t, err)
-	a, err := x.r.Export(x.ctx, x.pa, &workerclient.ExportRequest{OrderHeader: workerclient.OrderHeader{Fence: 1}, ID: m.ID})
+	a, err := x.r.Export(x.ctx, x.pa, &workerclient.ExportRequest{
+		OrderHeader: workerclient.OrderHeader{Fence: 1},
+		ID:          m.ID,
+	})
 	require.NoError(t, err)
 	return *a.Identity
 }
 
 func (x *pairOf) move(m workerclient.Identity) error {
-	_, err := x.r.Import(x.ctx, x.da, &workerclient.ImportRequest{OrderHeader: workerclient.OrderHeader{Fence: 1}, Identity: m, Source: x.pa})
+	_, err := x.r.Import(x.ctx, x.da, &workerclient.ImportRequest{
+		OrderHeader: workerclient.OrderHeader{Fence: 1},
+		Identity:    m,
+		Source:      x.pa,
+	})
 	return err
 }
 
 func (x *pairOf) resume(m workerclient.Identity) error {
-	_, err := x.r.Resume(x.ctx, x.da, &workerclient.IDRequest{OrderHeader: workerclient.OrderHeader{Fence: 1}, ID: m.ID})
+	_, err := x.r.Resume(x.ctx, x.da, &workerclient.IDRequest{
+		OrderHeader: workerclient.OrderHeader{Fence: 1},
+		ID:          m.ID,
+	})
 	return err
 }
 
@@ -99,7 +123,15 @@
 }
 
 func solo(m workerclient.Identity) []int32 {
-	return Solo(m.Prompt, m.Params.MaxTokens, m.Params.Seed, m.Params.Temperature, m.Model.Name, m.Model.Weights, m.Model.Adapters)
+	return Solo(
+		m.Prompt,
+		m.Params.MaxTokens,
+		m.Params.Seed,
+		m.Params.Temperature,
+		m.Model.Name,
+		m.Model.Weights,
+		m.Model.Adapters,
+	)
 }
 
 // TestSameTokens: after prefill plus one step, and again in mid-decode, the
@@ -179,7 +211,10 @@
 		require.Zero(t, x.d.Used())
 		require.True(t, failure.Is(x.resume(m), failure.DataLost))
 		m = x.read(t, x.identity("stopped", 100, 8))
-		a, err := x.r.Cancel(x.ctx, x.da, &workerclient.IDRequest{OrderHeader: workerclient.OrderHeader{Fence: 1}, ID: m.ID})
+		a, err := x.r.Cancel(x.ctx, x.da, &workerclient.IDRequest{
+			OrderHeader: workerclient.OrderHeader{Fence: 1},
+			ID:          m.ID,
+		})
 		require.NoError(t, err)
 		require.Equal(t, workerclient.FateNever, a.Fate)
 		require.True(t, failure.Is(x.move(m), failure.DataLost))
@@ -189,7 +224,10 @@
 // TestFence: an order under an older fence is refused and changes nothing.
 func TestFence(t *testing.T) {
 	twin(t, 64, func(x *pairOf) {
-		_, err := x.r.SetRole(x.ctx, x.da, &workerclient.RoleRequest{OrderHeader: workerclient.OrderHeader{Fence: 5}, Role: ids.Decode})
+		_, err := x.r.SetRole(x.ctx, x.da, &workerclient.RoleRequest{
+			OrderHeader: workerclient.OrderHeader{Fence: 5},
+			Role:        ids.Decode,
+		})
 		require.NoError(t, err)
 		m := x.read(t, x.identity("old", 100, 8))
 		require.True(t, failure.Is(x.move(m), failure.Stale))
@@ -202,7 +240,10 @@
 	twin(t, 64, func(x *pairOf) {
 		m := x.identity("other", 10, 4)
 		m.Model.Weights = "w9"
-		_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillRequest{OrderHeader: workerclient.OrderHeader{Fence: 1}, Identity: m})
+		_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillRequest{
+			OrderHeader: workerclient.OrderHeader{Fence: 1},
+			Identity:    m,
+		})
 		require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
 		x.d.Order(Faults{Garbage: true})
 		_, err = x.r.Report(x.ctx, x.da)
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -181,7 +181,14 @@
 // ended; an error of put ends it, and is returned as it is. Other errors are mostly of kind
 // Lost. The worker writes at least once every pulse, if only an empty line; a longer silence
 // counts as its loss.
-func (c *Client) Stream(ctx context.Context, addr string, id ID, from int, pulse time.Duration, put func(TokenEvent) error) error {
+func (c *Client) Stream(
+	ctx context.Context,
+	addr string,
+	id ID,
+	from int,
+	pulse time.Duration,
+	put func(TokenEvent) error,
+) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	path := fmt.Sprintf("/stream?request=%s&attempt=%d&from=%d", id.Request, id.Attempt, from)
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -70,13 +70,19 @@
 
 // Handle serves f under a name such as "crux/append".
 func Handle[Q, A any](mux *http.ServeMux, name string, f func(context.Context, *Q) (*A, error)) {
-	h := connect.NewUnaryHandler("/"+name, func(ctx context.Context, q *connect.Request[Q]) (*connect.Response[A], error) {
-		a, err := f(ctx, q.Msg)
-		if err != nil {
-			return nil, connect.NewError(codes[failure.KindOf(err)], err)
-		}
-		return connect.NewResponse(a), nil
-	}, connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxBody), connect.WithCompressMinBytes(compressFrom))
+	h := connect.NewUnaryHandler(
+		"/"+name,
+		func(ctx context.Context, q *connect.Request[Q]) (*connect.Response[A], error) {
+			a, err := f(ctx, q.Msg)
+			if err != nil {
+				return nil, connect.NewError(codes[failure.KindOf(err)], err)
+			}
+			return connect.NewResponse(a), nil
+		},
+		connect.WithCodec(codec{}),
+		connect.WithReadMaxBytes(maxBody),
+		connect.WithCompressMinBytes(compressFrom),
+	)
 	mux.Handle("/"+name, echoCallID(h))
 }
 
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -155,7 +155,12 @@
 	if id != "" && !o.mute {
 		echo = callIDHeader + ": " + id + "\r\n"
 	}
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/msgp\r\n%sContent-Length: %d\r\n\r\n%s", echo, len(body), body)
+	return fmt.Sprintf(
+		"HTTP/1.1 200 OK\r\nContent-Type: application/msgp\r\n%sContent-Length: %d\r\n\r\n%s",
+		echo,
+		len(body),
+		body,
+	)
 }
 
 func (p *peer) say(text string) { io.WriteString(p.conn, text) }
@@ -220,8 +225,12 @@
 // refusedOther sends the refusal of another call in the place of the answer.
 func refusedOther(p *peer, a arrival) bool {
 	body := `{"code":"resource_exhausted","message":"not done"}`
-	p.say(fmt.Sprintf("HTTP/1.1 429 Too Many Requests\r\nContent-Type: application/json\r\n%s: 00000000deadbeef\r\nContent-Length: %d\r\n\r\n%s",
-		callIDHeader, len(body), body))
+	p.say(fmt.Sprintf(
+		"HTTP/1.1 429 Too Many Requests\r\nContent-Type: application/json\r\n%s: 00000000deadbeef\r\nContent-Length: %d\r\n\r\n%s",
+		callIDHeader,
+		len(body),
+		body,
+	))
 	return answer(p, a)
 }
 
@@ -233,7 +242,8 @@
 
 // elsewhere answers that the call is to be sent to another place.
 func elsewhere(p *peer, a arrival) bool {
-	p.say("HTTP/1.1 307 Temporary Redirect\r\nLocation: http://" + p.addr + "/elsewhere\r\n" + callIDHeader + ": " + a.id + "\r\nContent-Length: 0\r\n\r\n")
+	p.say("HTTP/1.1 307 Temporary Redirect\r\nLocation: http://" + p.addr + "/elsewhere\r\n" + callIDHeader + ": " +
+		a.id + "\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
@@ -252,8 +262,13 @@
 // own answers.
 func TestCallOnce(t *testing.T) {
 	for name, fault := range map[string]func(*peer, arrival) bool{
-		"reset": resets, "closed": closes, "silence": staysSilent, "half a head": halfHead, "half a body": halfBody, "half a body, reset": halfBodyReset,
-		"garbage": garbage, "another's answer": others, "an answer without an id": unnamed, "another's refusal": refusedOther, "another's empty refusal": emptyOther, "redirect": elsewhere,
+		"reset":   resets,
+		"closed":  closes,
+		"silence": staysSilent, "half a head": halfHead, "half a body": halfBody, "half a body, reset": halfBodyReset,
+		"garbage":                 garbage,
+		"another's answer":        others,
+		"an answer without an id": unnamed,
+		"another's refusal":       refusedOther, "another's empty refusal": emptyOther, "redirect": elsewhere,
 	} {
 		for _, used := range []bool{true, false} {
 			if name == "an answer without an id" && !used {
@@ -320,10 +335,22 @@
 	}
 	for i := range 20 {
 		got, err := call(c, o.addr, "twice")
-		require.True(t, err == nil && got == "answer to twice" || failure.Is(err, failure.OutcomeUnknown), "%q %v", got, err)
+		require.True(
+			t,
+			err == nil && got == "answer to twice" || failure.Is(err, failure.OutcomeUnknown),
+			"%q %v",
+			got,
+			err,
+		)
 		text := fmt.Sprint("next", i)
 		got, err = call(c, o.addr, text)
-		require.True(t, err == nil && got == "answer to "+text || failure.Is(err, failure.OutcomeUnknown), "%q %v", got, err)
+		require.True(
+			t,
+			err == nil && got == "answer to "+text || failure.Is(err, failure.OutcomeUnknown),
+			"%q %v",
+			got,
+			err,
+		)
 		require.LessOrEqual(t, len(o.of(text)), 1)
 	}
 }
@@ -409,9 +436,15 @@
 	require.Equal(t, "answer to this", got)
 	_, err = call(c, l.Addr().String(), "bad")
 	require.True(t, failure.Is(err, failure.Stale), "%v", err)
-	for _, row := range []struct{ path, id string }{{"/test/note", "abc"}, {"/test/note", ""}, {"/test/unknown", "abc"}} {
+	for _, row := range []struct{ path, id string }{
+		{"/test/note", "abc"},
+		{"/test/note", ""},
+		{"/test/unknown", "abc"},
+	} {
 		body, _ := (&note{"this"}).MarshalMsg(nil)
-		q, err := http.NewRequest(http.MethodPost, "http://"+l.Addr().String()+row.path, strings.NewReader(string(body)))
+		q, err := http.NewRequest(
+			http.MethodPost, "http://"+l.Addr().String()+row.path, strings.NewReader(string(body)),
+		)
 		require.NoError(t, err)
 		q.Header.Set("Content-Type", "application/msgp")
 		if row.id != "" {
--- a/tools/exported/scan.go
+++ b/tools/exported/scan.go
@@ -27,7 +27,10 @@
 		for _, declaration := range file.Decls {
 			for _, name := range undocumented(declaration) {
 				position := set.Position(name.Pos())
-				lines = append(lines, fmt.Sprintf("%s:%d: exported %s has no doc comment", position.Filename, position.Line, name.Name))
+				lines = append(
+					lines,
+					fmt.Sprintf("%s:%d: exported %s has no doc comment", position.Filename, position.Line, name.Name),
+				)
 			}
 		}
 		packages[file.Package] = lines
--- a/tools/findings/main.go
+++ b/tools/findings/main.go
@@ -120,7 +120,9 @@
 		for _, id := range unlisted {
 			if f.id() == id {
 				at := f.Location
-				faults = append(faults, fmt.Sprintf("%s:%d:%d: %s (%s)", at.File, at.Line, at.Column, f.Message, f.Code))
+				faults = append(
+					faults, fmt.Sprintf("%s:%d:%d: %s (%s)", at.File, at.Line, at.Column, f.Message, f.Code),
+				)
 			}
 		}
 	}
--- a/tools/findings/main_test.go
+++ b/tools/findings/main_test.go
@@ -45,7 +45,9 @@
 		require.NoError(t, err, script)
 		require.Len(t, reported, found, script)
 	}
-	for _, script := range []string{"exit 1", "exit 2", "echo '" + one + "'; exit 2", "echo '" + one + "'; kill -9 $$", "echo matched no packages"} {
+	for _, script := range []string{
+		"exit 1", "exit 2", "echo '" + one + "'; exit 2", "echo '" + one + "'; kill -9 $$", "echo matched no packages",
+	} {
 		_, err := run([]string{"sh", "-c", script})
 		require.Error(t, err, script)
 	}
--- a/tools/funclength/main.go
+++ b/tools/funclength/main.go
@@ -92,10 +92,22 @@
 	unlisted, stale := ratchet.Compare(listed, long)
 	for _, id := range unlisted {
 		f := byID[id]
-		faults = append(faults, fmt.Sprintf("%s:%d: %s has %d lines, over %d", f.position.Filename, f.position.Line, f.id, f.lines, maxLines))
+		faults = append(
+			faults,
+			fmt.Sprintf(
+				"%s:%d: %s has %d lines, over %d", f.position.Filename, f.position.Line, f.id, f.lines, maxLines,
+			),
+		)
 	}
 	for _, id := range stale {
-		faults = append(faults, fmt.Sprintf("%s is listed as long, but has %d lines at most or is gone: remove it from the list", id, maxLines))
+		faults = append(
+			faults,
+			fmt.Sprintf(
+				"%s is listed as long, but has %d lines at most or is gone: remove it from the list",
+				id,
+				maxLines,
+			),
+		)
 	}
 	return faults
 }
--- a/tools/names/names_test.go
+++ b/tools/names/names_test.go
@@ -25,6 +25,7 @@
 		"routing/a.star":     file("get(\"/x/foo/y\")\n"),
 	}
 	require.ElementsMatch(t, []string{
-		"door/a.go:3: fooBar", "door/a.go:3: Foo-Bar", "door/platform/b.go:1: fooBar", "state/a.cue:2: fooBars", "routing/a.star:1: /foo/",
+		"door/a.go:3: fooBar",
+		"door/a.go:3: Foo-Bar", "door/platform/b.go:1: fooBar", "state/a.cue:2: fooBars", "routing/a.star:1: /foo/",
 	}, scan(tree, "platform", words))
 }
--- a/tools/suite/known.go
+++ b/tools/suite/known.go
@@ -1,6 +1,7 @@
 // The list of the known red: tests that fail for a cause that is named and has an
 // issue. One a line, "TestName, cause, issue N"; a subtest is named in full, and a
-// name that several packages have is written with its package before it, "router.TestName". The list is bounded, so that red tests
+// name that several packages have is written with its package before it, "router.TestName".
+// The list is bounded, so that red tests
 // are mended and do not pile up.
 
 package main
@@ -31,7 +32,10 @@
 		m := knownForm.FindStringSubmatch(line)
 		switch {
 		case m == nil:
-			faults = append(faults, fmt.Sprintf("line %d of the known red is not \"TestName, cause, issue N\": %s", i+1, line))
+			faults = append(
+				faults,
+				fmt.Sprintf("line %d of the known red is not \"TestName, cause, issue N\": %s", i+1, line),
+			)
 		case had[m[1]]:
 			faults = append(faults, fmt.Sprintf("line %d of the known red names %s again", i+1, m[1]))
 		default:
@@ -40,7 +44,9 @@
 		}
 	}
 	if len(list) > maxKnown {
-		faults = append(faults, fmt.Sprintf("the known red has %d entries, %d at most are allowed", len(list), maxKnown))
+		faults = append(
+			faults, fmt.Sprintf("the known red has %d entries, %d at most are allowed", len(list), maxKnown),
+		)
 	}
 	return list, faults
 }
