--- /dev/null
+++ b/internal/simulation/day_end_test.go
@@ -0,0 +1,63 @@
+// The end of a day: as many disks as the core tolerates are lost, and at the same moment every
+// other machine loses power.
+
+package simulation
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"keelstair.example/internal/api"
+)
+
+// TestPowerAndDiskLost: right after a configuration, an evacuation and a keyed answer were
+// acknowledged, one controller loses its disk while all controllers, routers and workers lose
+// power, also those that count for no quorum. What was acknowledged is read back at any router,
+// and the key runs no second time. Each controller in turn.
+func TestPowerAndDiskLost(t *testing.T) {
+	unraced(t)
+	for lost := range 3 {
+		t.Run(fmt.Sprintf("controller-%d", lost+1), func(t *testing.T) {
+			inBubble(t, "almaty", nil, func(t *testing.T, c *Cluster) {
+				ask := verdict
+				ask.Kind, ask.Key = "ruling", "day-end"
+				first, refusal := c.answer(t, 0, ask)
+				require.Nil(t, refusal)
+				zone := string(c.Site.Zones[0])
+				require.NoError(t, c.Mark("/v1/zones/"+zone, "day-end-zone", true))
+				applied, err := c.Apply(&api.ApplyRequest{
+					Op:      "day-end",
+					Base:    shown(c).Version,
+					Partial: true,
+					Source:  "{limits: queue: 12}",
+				})
+				require.NoError(t, err)
+				text := shown(c).Policy
+
+				for _, process := range c.Processes {
+					c.PowerOff(process)
+				}
+				c.Of("controller")[lost].Machine.WipeDisk()
+				time.Sleep(time.Second)
+				for _, process := range c.Processes {
+					require.NoError(t, c.Start(process))
+				}
+
+				require.True(t, c.Until(20*time.Second, func() bool { return shown(c).Version == applied.Version }))
+				state := shown(c)
+				require.JSONEq(t, string(text), string(state.Policy))
+				require.Equal(t, []string{zone}, state.Zones)
+				again, refusal := c.answer(t, 1, ask)
+				require.Nil(t, refusal)
+				require.Len(t, again, len(first))
+				for i := range first[:len(first)-1] {
+					require.Equal(t, first[i].Token, again[i].Token)
+					require.True(t, again[i].Replay)
+				}
+			})
+		})
+	}
+}
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -13,6 +13,7 @@
     ("lint-checker-failed", "tools/findings/main.go", "if failure != nil && !found {", "if failure != nil && !found && false {", "tools/findings", "TestRun"),
     ("lint-held-packages", "tools/exported/main.go", "\t\t\tfaults = append(faults, undocumented...)\n", "", "tools/exported", "TestJudge"),
     ("lint-long-functions", "tools/funclength/main.go", "if f.lines > maxLines {", "if f.lines > 10*maxLines {", "tools/funclength", "TestJudge"),
+    ("day-end-backup", "coordination/leader.go", "\t\twg.Go(func() { behind[i] = l.replicateTo(callContext, s, request) })\n", "\t\t_, _, _, _ = i, s, callContext, request\n", "internal/simulation", "TestPowerAndDiskLost"),
     ("backup-sync", "coordination/leader.go", "\tcase err != nil:\n\t\treturn err\n\tcase !r.OK:\n", "\tcase err != nil:\n\t\treturn nil\n\tcase !r.OK && false:\n", "coordination", "TestAckedSurvives"),
     ("operation-ids", "coordination/leader.go", "if p, ok := c.state.outcomes[e.Op]; ok && e.Op != \"\" {", "if p, ok := c.state.outcomes[e.Op]; ok && false {", "coordination", "TestAckedSurvives"),
     ("anew-living", "coordination/force_new_cluster.go", "if containsDisk(record.Voters, s.Disk) {", "if false {", "coordination", "TestForceNewClusterRefused"),
