--- a/coordination/agent.go
+++ b/coordination/agent.go
@@ -160,7 +160,7 @@
 	if now.Past(previous, a.options.MaxTickGap) {
 		a.leaseExpiry.Store(0)
 		a.forgetTime()
-		a.options.Ring.Warn().Dur("gap", now.Since(previous)).Msg("slept; the lease is asked for anew")
+		a.options.Ring.Warn().Dur("gap", now.Since(previous)).Msg("lease expired: process was suspended")
 	}
 	a.lastTick.Store(int64(now))
 	return a.leaseExpiry.Load() > int64(now)
--- a/coordination/catch_up.go
+++ b/coordination/catch_up.go
@@ -98,7 +98,7 @@
 // sendSnapshot sends the whole state, and first the chunks that the other lacks.
 func (c *Core) sendSnapshot(ctx context.Context, e ids.Epoch, to Replica, body []byte, all []Chunk) error {
 	c.snapshotsSent.Add(1)
-	c.options.Ring.Info().Str("to", to.Addr).Int("bytes", len(body)).Msg("sends its whole state")
+	c.options.Ring.Info().Str("peer", to.Addr).Int("bytes", len(body)).Msg("sending snapshot")
 	request := &SnapshotRequest{Epoch: e, From: c.self, State: body}
 	r, err := c.sendCatchUp(ctx, to, request)
 	if err == nil && len(r.MissingChunks) > 0 {
--- a/coordination/chunks.go
+++ b/coordination/chunks.go
@@ -190,7 +190,7 @@
 			continue
 		}
 		if err := c.saveChunk(Chunk{r.Name, r.Body}, record.Primary.Addr); err != nil {
-			c.options.Ring.Warn().AnErr("cause", err).Msg("a chunk cannot be kept")
+			c.options.Ring.Warn().AnErr("cause", err).Msg("chunk not saved")
 			continue
 		}
 		if at++; at < r.Count {
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -79,7 +79,7 @@
 		}
 		got, err := c.campaign(ctx, ballot{transfer: asked})
 		if err != nil {
-			c.options.Ring.Info().AnErr("cause", err).Msg("does not lead")
+			c.options.Ring.Info().AnErr("cause", err).Msg("election failed")
 			continue
 		}
 		c.lead(ctx, got)
@@ -132,7 +132,7 @@
 	}
 	fresh := newReplicatedState(c.options.Machine())
 	if err := c.store.load(fresh); err != nil {
-		c.options.Ring.Error().AnErr("cause", err).Msg("disk cannot be read back")
+		c.options.Ring.Error().AnErr("cause", err).Msg("disk reload failed")
 		return true
 	}
 	c.state, c.reloadNeeded = fresh, false
--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -51,7 +51,7 @@
 		)
 	}
 	c.options.Ring.Warn().Uint64("epoch", uint64(next.Epoch)).Uint64("seq", uint64(seq)).
-		Msg("founded anew from this disk alone; what was acknowledged after this number, if anything, is lost")
+		Msg("new cluster forced from this disk; acknowledged entries after seq may be lost")
 	return nil
 }
 
--- a/coordination/leader.go
+++ b/coordination/leader.go
@@ -86,13 +86,13 @@
 	c.feed.start(c.state.seq)
 	c.dataMu.Unlock()
 	c.leader.Store(l)
-	c.options.Ring.Warn().Uint64("epoch", uint64(record.Epoch)).Str("backup", record.Backup.Addr).Msg("leads")
+	c.options.Ring.Warn().Uint64("epoch", uint64(record.Epoch)).Str("backup", record.Backup.Addr).Msg("became primary")
 	c.directory.SetMembers(l.members())
 	c.directory.Broadcast(ctx)
 	err := l.loop(ctx)
 	c.leader.Store(nil)
 	close(l.stopped)
-	c.options.Ring.Warn().Uint64("epoch", uint64(l.record.Epoch)).AnErr("cause", err).Msg("stands down")
+	c.options.Ring.Warn().Uint64("epoch", uint64(l.record.Epoch)).AnErr("cause", err).Msg("lost primary role")
 	for {
 		select {
 		case op := <-l.operations:
@@ -231,7 +231,7 @@
 	for i, s := range l.record.backups() {
 		if behind[i] != nil {
 			all = false
-			c.options.Ring.Warn().AnErr("cause", behind[i]).Str("backup", s.Addr).Msg("backup does not follow")
+			c.options.Ring.Warn().AnErr("cause", behind[i]).Str("backup", s.Addr).Msg("replication to backup failed")
 		}
 	}
 	if all {
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -38,7 +38,7 @@
 				leadingEpoch: l.record.Epoch,
 				removed:      s.Disk,
 				added:        spare,
-			}, "replaces a register holder")
+			}, "replacing voter")
 		}
 	}
 	if out, in, ok := l.zoneImbalance(all, now); ok {
@@ -46,7 +46,7 @@
 			leadingEpoch: l.record.Epoch,
 			removed:      out.Disk,
 			added:        in,
-		}, "spreads the register holders over the zones")
+		}, "rebalancing voters over zones")
 	}
 	return nil
 }
@@ -105,7 +105,7 @@
 	c.dataMu.Lock()
 	record, err := c.campaign(ctx, p)
 	c.dataMu.Unlock()
-	c.options.Ring.Warn().AnErr("cause", err).Str("out", string(p.removed)).Str("in", p.added.Addr).Msg(what)
+	c.options.Ring.Warn().AnErr("cause", err).Str("removed", string(p.removed)).Str("added", p.added.Addr).Msg(what)
 	if err == nil {
 		l.record = record
 		l.membershipChangedAt = c.options.Host.Clock.Now()
@@ -159,11 +159,11 @@
 	for {
 		done, err := c.handOver(ctx)
 		if done {
-			c.options.Ring.Info().Msg("has handed over and may end")
+			c.options.Ring.Info().Msg("shutdown: handed over")
 			return nil
 		}
 		if !host.Sleep(ctx, leaveRetry) {
-			c.options.Ring.Warn().AnErr("cause", err).Msg("ends without having handed over")
+			c.options.Ring.Warn().AnErr("cause", err).Msg("shutdown: not handed over")
 			return failure.Wrap(err, "leave", c.self.Addr)
 		}
 	}
@@ -253,7 +253,7 @@
 		)
 		return nil
 	}
-	err := l.replace(ctx, p, "lets a replica leave")
+	err := l.replace(ctx, p, "releasing replica")
 	if err != nil {
 		op.err = err
 	}
--- a/coordination/register.go
+++ b/coordination/register.go
@@ -121,7 +121,7 @@
 	next := c.register
 	next.Accepted.OutgoingVoters = nil
 	if err := c.store.saveRegister(next); err != nil {
-		c.options.Ring.Warn().AnErr("cause", err).Msg("a decided change of holders is not noted yet")
+		c.options.Ring.Warn().AnErr("cause", err).Msg("decided change of voters not saved yet")
 		return
 	}
 	c.register = next
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -121,7 +121,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if _, err := v.state.Apply(kind, body); err != nil && err != coordination.ErrUnchanged {
-		v.Ring.Error().AnErr("cause", err).Str("kind", kind).Msg("news does not fold")
+		v.Ring.Error().AnErr("cause", err).Str("kind", kind).Msg("entry not applied")
 	}
 	urgent := false
 	switch kind {
@@ -204,7 +204,7 @@
 	text := decompress(version.Text)
 	configuration, err := read(text)
 	if err != nil {
-		v.Ring.Error().AnErr("cause", err).Msg("configuration cannot be read")
+		v.Ring.Error().AnErr("cause", err).Msg("configuration not parsed")
 		return false
 	}
 	v.parsed[version.Version] = parsedVersion{configuration, text}
@@ -249,7 +249,7 @@
 		s.Table = NewTable(s.Configuration)
 		var err error
 		if s.Unrevoked, err = s.Configuration.Register(); err != nil {
-			v.Ring.Error().AnErr("cause", err).Msg("certificates that do not hold are left out")
+			v.Ring.Error().AnErr("cause", err).Msg("invalid certificates left out")
 		}
 	}
 	if s.Unrevoked != nil {
@@ -272,7 +272,7 @@
 		p, set, err := CompileProgramSet(r.Text, v.Scores)
 		if err != nil {
 			v.Ring.Error().AnErr("cause", err).Uint64("version", uint64(r.Version)).
-				Msg("programs do not compile; those before them serve")
+				Msg("programs not compiled; earlier ones stay in force")
 			v.programSets[r.Version] = nil
 			continue
 		}
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -58,7 +58,7 @@
 		n.listLatency.Store(int64(n.now().Since(asked)))
 		n.installList(list, asked, n.now())
 	case ctx.Err() == nil:
-		n.options.Ring.Info().AnErr("cause", err).Msg("the list of workers cannot be had")
+		n.options.Ring.Info().AnErr("cause", err).Msg("endpoint list not fetched")
 	}
 }
 
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -237,7 +237,7 @@
 	if n.options.Drain != nil {
 		callContext, stop := context.WithTimeout(inner, max(0, grace-n.now().Since(began)))
 		if err := n.options.Drain(callContext); err != nil {
-			n.options.Ring.Info().AnErr("cause", err).Msg("callers are left unanswered")
+			n.options.Ring.Info().AnErr("cause", err).Msg("shutdown: requests unanswered")
 		}
 		stop()
 	}
@@ -307,7 +307,7 @@
 		n.isolated(n.now())
 		if _, reason := n.Ready(); reason != last {
 			last = reason
-			n.options.Ring.Info().Str("why", reason).Bool("ready", reason == "").Msg("readiness")
+			n.options.Ring.Info().Str("reason", reason).Bool("ready", reason == "").Msg("readiness changed")
 		}
 	}
 }
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -300,7 +300,7 @@
 	v.failureRate = a.rate()
 	n.counts.Ejected.Add(1)
 	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Float64("failed", a.failed).Float64("sent", a.sent).
-		Dur("span", duration).Msg("ejects a worker")
+		Dur("duration", duration).Msg("ejecting worker")
 }
 
 func (n *Node) readmit(a *outlierCandidate, now ids.Tick, reason string) {
@@ -312,7 +312,7 @@
 	}
 	v.phase, v.since, v.failureRate = serving, now, 0
 	n.counts.Readmitted.Add(1)
-	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Str("why", reason).Msg("readmits a worker")
+	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Str("reason", reason).Msg("readmitting worker")
 }
 
 // isEjected tells whether a worker is ejected or on probation.
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -142,8 +142,8 @@
 		if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: w.worker.ID, To: to}) {
 			turns[w.worker.ID] = &roleChange{began: n.now(), expected: w.Orders}
 			d.changedAt[w.worker.ID] = n.now()
-			n.options.Ring.Info().Str("worker", string(w.worker.ID)).Str("to", string(to)).
-				Float64("prefillPressure", read).Float64("decodePressure", emit).Msg("changes a worker's role")
+			n.options.Ring.Info().Str("worker", string(w.worker.ID)).Str("role", string(to)).
+				Float64("prefillPressure", read).Float64("decodePressure", emit).Msg("changing worker role")
 		}
 	}
 }
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -182,7 +182,7 @@
 	programs, err := p.CompileSet(n.scores)
 	if err != nil {
 		n.options.Ring.Error().AnErr("cause", err).Uint64("version", uint64(v)).
-			Msg("programs do not compile; the plain order serves")
+			Msg("programs not compiled; built-in order serves")
 		programs, _ = routing.NewProgramSet(nil, 0, n.scores)
 	}
 	n.programSets.Store(v, programs)
--- a/internal/router/resolve.go
+++ b/internal/router/resolve.go
@@ -54,7 +54,7 @@
 	fate, out := n.queryOutcome(ctx, &d)
 	s := &fleetstate.Resolve{Key: d.Key, Owner: n.self.Node, Outcome: fate, Answer: out, Audit: n.takenOver(&d, fate)}
 	if err := n.resolve(s); err != nil {
-		n.options.Ring.Warn().AnErr("cause", err).Str("key", d.Key).Msg("a dead node's claim is not settled yet")
+		n.options.Ring.Warn().AnErr("cause", err).Str("key", d.Key).Msg("claim of a dead node not resolved yet")
 	}
 }
 
--- a/internal/router/role_balance.go
+++ b/internal/router/role_balance.go
@@ -63,7 +63,7 @@
 				if err := n.changeRole(ctx, w.Worker, w.To); err == nil {
 					n.counts.Turned.Add(1)
 				} else {
-					n.options.Ring.Info().AnErr("cause", err).Str("worker", string(w.Worker)).Msg("did not turn")
+					n.options.Ring.Info().AnErr("cause", err).Str("worker", string(w.Worker)).Msg("worker role not changed")
 				}
 			}
 			end()
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -202,7 +202,7 @@
 	}
 	n.counts.Broken.Add(1)
 	score.Broken.Add(1)
-	n.options.Ring.Info().AnErr("cause", err).Int("pieces", count).Msg("a stream broke")
+	n.options.Ring.Info().AnErr("cause", err).Int("tokens", count).Msg("stream aborted")
 	return out.Put(api.StreamEvent{
 		Index: count,
 		End:   api.Broken,
