--- a/coordination/messages.go
+++ b/coordination/messages.go
@@ -229,10 +229,10 @@
 
 // PeerExchange is asked of anyone by anyone; both sides learn.
 type PeerExchange struct {
-	Self     Replica `msg:"Me"`
-	Empty    bool    `msg:"Blank"`
+	Self     Replica `msg:"Me" json:"Me"`
+	Empty    bool    `msg:"Blank" json:"Blank"`
 	Record   Record
-	Replicas []Replica `msg:"Seats"`
+	Replicas []Replica `msg:"Seats" json:"Seats"`
 	Members  []Member
 	Seq      ids.Seq // of the log, that the members are as of
 	Leaving  bool    `msg:"Leaving,omitempty"` // it is about to end and takes on nothing new
--- a/coordination/wire_test.go
+++ b/coordination/wire_test.go
@@ -52,3 +52,8 @@
 		SubmitMethod, RenewMethod, WatchMethod, ExchangeMethod,
 	})
 }
+
+// TestExchangeJSON: /v1/status of a controller has the names that it had in earlier releases.
+func TestExchangeJSON(t *testing.T) {
+	golden.CheckJSON(t, "testdata/exchange.json", &PeerExchange{})
+}
