--- a/host/disk.go
+++ b/host/disk.go
@@ -98,6 +98,7 @@
 	return append(out, body...)
 }
 
+// Unseal gives the body of a sealed file or row, or false if its checksum does not fit.
 func Unseal(row []byte) ([]byte, bool) {
 	if len(row) < 4 {
 		return nil, false
--- a/host/host.go
+++ b/host/host.go
@@ -14,11 +14,15 @@
 	"keelstair.example/ids"
 )
 
+// Clock tells the time of a machine.
 type Clock interface {
+	// Now is a steady time in nanoseconds that also counts while the machine sleeps.
 	Now() ids.Tick
+	// Wall is the time of day, which may step.
 	Wall() time.Time
 }
 
+// Net is the network of a machine: stream connections by IP address and port.
 type Net interface {
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 	Listen(addr string) (net.Listener, error)
@@ -43,6 +47,7 @@
 	Close() error
 }
 
+// Host is what a process gets of its machine. Disk is nil where the machine has none.
 type Host struct {
 	Clock Clock
 	Net   Net
@@ -99,7 +104,11 @@
 // it is waiting on a channel, so simulated time goes on meanwhile.
 type ChannelMutex chan struct{}
 
+// NewChannelMutex returns an unlocked mutex.
 func NewChannelMutex() ChannelMutex { return make(ChannelMutex, 1) }
 
-func (l ChannelMutex) Lock()   { l <- struct{}{} }
+// Lock waits until the mutex is free and takes it.
+func (l ChannelMutex) Lock() { l <- struct{}{} }
+
+// Unlock frees the mutex.
 func (l ChannelMutex) Unlock() { <-l }
--- a/internal/fleetstate/aged_keys.go
+++ b/internal/fleetstate/aged_keys.go
@@ -131,6 +131,7 @@
 	return slices.Concat(m.aged.sealed, m.audit.sealed)
 }
 
+// RestoreChunks gives back the chunks that the next snapshot to be restored names.
 func (m *Machine) RestoreChunks(chunks []coordination.Chunk) {
 	m.aged.sealed, m.audit.sealed = nil, nil
 	for _, one := range chunks {
--- a/internal/fleetstate/configuration.go
+++ b/internal/fleetstate/configuration.go
@@ -70,11 +70,20 @@
 	MaxRecords   int     `json:"deeds"`
 }
 
-func (l Limits) Lag() time.Duration       { return time.Duration(l.LagMs) * time.Millisecond }
+// Lag is by how much a worker's report may be older than its answer.
+func (l Limits) Lag() time.Duration { return time.Duration(l.LagMs) * time.Millisecond }
+
+// SlowStart is how long a worker that came up is given less work.
 func (l Limits) SlowStart() time.Duration { return time.Duration(l.SlowStartMs) * time.Millisecond }
-func (l Limits) Dwell() time.Duration     { return time.Duration(l.DwellMs) * time.Millisecond }
-func (l Limits) GiveUp() time.Duration    { return time.Duration(l.GiveUpMs) * time.Millisecond }
 
+// Dwell is how long a worker keeps a role at least.
+func (l Limits) Dwell() time.Duration { return time.Duration(l.DwellMs) * time.Millisecond }
+
+// GiveUp is for how long a request that could not begin is picked again.
+func (l Limits) GiveUp() time.Duration { return time.Duration(l.GiveUpMs) * time.Millisecond }
+
+// Configuration is one version of what operators set: workers or services, routes, programs and
+// limits. Its JSON and CUE forms have the schema of policy.cue.
 type Configuration struct {
 	Workers      map[ids.WorkerID]Worker `json:"workers"`
 	Zones        []ids.Zone              `json:"zones"`
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -18,8 +18,11 @@
 	ResolutionKey  ids.Key = "settle"
 )
 
+// WorkerKey is the key of the duty to order one worker.
 func WorkerKey(id ids.WorkerID) ids.Key { return ids.Key("worker/" + string(id)) }
-func PoolKey(model string) ids.Key      { return ids.Key("pool/" + model) }
+
+// PoolKey is the key of the duty to balance the roles of a model's workers.
+func PoolKey(model string) ids.Key { return ids.Key("pool/" + model) }
 
 type preparedAt struct {
 	at  ids.Tick
@@ -57,6 +60,7 @@
 	Wall          func() time.Time // time.Now: read once, for the fleet's time to begin
 }
 
+// NewMachine returns an empty machine; zero options take their defaults.
 func NewMachine(opt MachineOptions) *Machine {
 	ids.SetDefault(&opt.CommitTimeout, 300*time.Millisecond)
 	if opt.Read == nil {
@@ -110,8 +114,11 @@
 // Published reports whether watchers see a command: nodes hear of the time by their leases, and
 // of the audit record when they ask.
 func (m *Machine) Published(kind string) bool { return kind != ClockKind && kind != AuditKind }
-func (m *Machine) Restore(body []byte) error  { m.keysVersion = 0; m.keys = nil; return m.decode(body) }
 
+// Restore replaces the state by that of a snapshot.
+func (m *Machine) Restore(body []byte) error { m.keysVersion = 0; m.keys = nil; return m.decode(body) }
+
+// Snapshot encodes the state: all of it, or only what watchers see.
 func (m *Machine) Snapshot(open bool) []byte {
 	encoded := m.encode(open)
 	for i, f := range encoded.Failbacks {
--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -179,6 +179,7 @@
 	Digest      string
 }
 
+// ClaimReply is the record as it stands; Fresh tells that this claim made it.
 type ClaimReply struct {
 	Fresh  bool
 	Record IdempotencyRecord `msg:"Deed"`
@@ -252,6 +253,7 @@
 	Lines [][]byte
 }
 
+// EncodedState is the state in a snapshot, or the part of it that watchers see.
 type EncodedState struct {
 	Active      VersionedText
 	Prepared    []VersionedText `msg:"Staged"`
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -65,6 +65,7 @@
 	highest     atomic.Uint64
 }
 
+// NewView returns a view that knows no configuration yet.
 func NewView(ring *logging.Ring) *View {
 	v := &View{
 		Ring:        ring,
@@ -81,6 +82,7 @@
 	return v
 }
 
+// Current is the newest snapshot. It never changes; a later one replaces it.
 func (v *View) Current() *Snapshot { return v.current.Load() }
 
 // NoteVersion notes a version that someone else knows. It tells whether this node
@@ -107,6 +109,7 @@
 // UpToDate tells whether nothing newer than the version in force was heard of.
 func (v *View) UpToDate() bool { return uint64(v.current.Load().Version) >= v.highest.Load() }
 
+// Restore replaces the view's state, as coordination.Watcher.
 func (v *View) Restore(open []byte) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -117,6 +120,8 @@
 	return nil
 }
 
+// Observe applies an entry, as coordination.Watcher. It is urgent where the core waits for nodes
+// to have applied it.
 func (v *View) Observe(_ ids.Seq, kind string, body []byte) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -133,6 +138,7 @@
 	return urgent
 }
 
+// Snapshot encodes the state for a peer, as coordination.Watcher.
 func (v *View) Snapshot() []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -126,6 +126,7 @@
 	Reason     string
 }
 
+// Error returns the reason.
 func (r *RejectedError) Error() string { return r.Reason }
 
 // AbortedError ends a request that may have been run. Begun tells that the caller has a part
@@ -136,4 +137,5 @@
 	Reason   string
 }
 
+// Error returns the reason.
 func (b *AbortedError) Error() string { return b.Reason }
