--- a/cmd/keelstair-measure/design.go
+++ b/cmd/keelstair-measure/design.go
@@ -5,7 +5,7 @@
 const (
 	regions  = 3.0
 	keepers  = tSpare / regions // machines of a region that are set aside
-	peers    = 8.0              // members that a page of whereabouts would name
+	peers    = 8.0              // members that an exchange would name
 	rowBytes = 400.0            // a changed row with its envelope and the answer to it, both ways; taken, not measured
 	partTold = 600.0            // a changed item of the configuration, the same way
 )
--- a/cmd/keelstair-measure/fleet.go
+++ b/cmd/keelstair-measure/fleet.go
@@ -307,7 +307,7 @@
 // settled waits until all nodes are in and know what there is.
 func (f *fleet) settled(ctx context.Context, duration time.Duration, nodes int) error {
 	return f.until(ctx, duration, "all nodes are in", func() (bool, string) {
-		// Members are asked for last, since that is a picture of each node.
+		// Members are asked for last, since that is a snapshot of each node.
 		for _, query := range []string{"", "?members"} {
 			in, ready, least, known := 0, 0, f.version, [2]int{nodes, nodes}
 			for _, p := range f.holders {
--- a/cmd/keelstair-measure/hollow.go
+++ b/cmd/keelstair-measure/hollow.go
@@ -33,7 +33,7 @@
 	run   func(context.Context)
 }
 
-// members asks the node, as a neighbour would, how many members it knows; -1 if it has
+// members asks the node, as a peer would, how many members it knows; -1 if it has
 // no news yet.
 func (h *hollow) members(ctx context.Context, call *rpc.Caller) int {
 	r, err := rpc.Call[coordination.WatchRequest, coordination.WatchResponse](
--- a/cmd/keelstair-measure/main.go
+++ b/cmd/keelstair-measure/main.go
@@ -1,6 +1,6 @@
 // Keelstair-measure is the scale run: it starts real cores and many hollow nodes on loopback, turns
 // one size at a time, and writes what each role costs. A hollow node is the product's own
-// node without traffic: membership, lease, feed, beats, list of workers. The tables of the
+// node without traffic: membership, lease, feed, heartbeats, list of workers. The tables of the
 // capacity page are made from its figures.
 package main
 
--- a/coordination/agent.go
+++ b/coordination/agent.go
@@ -1,5 +1,5 @@
 // An Agent is a node's side of the core: it holds the node's lease, follows the
-// news (from the core, or from a peer while the core is away) and knows
+// the change feed (from the core, or from a peer while the core is away) and knows
 // which keys the node may act under at this very moment.
 
 package coordination
@@ -55,7 +55,7 @@
 	feed      *feed
 
 	mu        sync.Mutex
-	feedEpoch ids.Epoch // of the news that was taken last; older news is not taken
+	feedEpoch ids.Epoch // of the change feed that was taken last; an older one is not taken
 
 	view atomic.Pointer[clusterView]
 
@@ -96,7 +96,7 @@
 // Self is the node that the agent is for.
 func (a *Agent) Self() Member { return a.options.Self }
 
-// Mount lets peers ask whereabouts and news of this node.
+// Mount lets peers ask directory and the change feed of this node.
 func (a *Agent) Mount(mux *http.ServeMux) {
 	a.directory.Serve(mux)
 	rpc.Handle(mux, WatchMethod, func(ctx context.Context, request *WatchRequest) (*WatchResponse, error) {
@@ -124,7 +124,7 @@
 	return snapshot
 }
 
-// Run keeps lease, news and whereabouts until the context ends, and then says
+// Run keeps the lease, the change feed and the directory until the context ends, and then says
 // goodbye, so that its keys pass on at once.
 func (a *Agent) Run(ctx context.Context) {
 	var wg sync.WaitGroup
@@ -174,7 +174,7 @@
 	return a.options.Host.Clock.Now().Since(ids.Tick(a.confirmedAt.Load()))
 }
 
-// CaughtUp tells that the core confirmed this node within a span, and that the news up
+// CaughtUp tells that the core confirmed this node within a span, and that the change feed up
 // to that confirmation is folded here.
 func (a *Agent) CaughtUp(duration time.Duration) bool {
 	return a.SinceConfirmed() <= duration && uint64(a.Seq()) >= a.confirmedSeq.Load()
@@ -238,10 +238,10 @@
 	return out
 }
 
-// Members are the nodes that hold a lease, as far as the news was taken.
+// Members are the nodes that hold a lease, as far as the change feed was taken.
 func (a *Agent) Members() []Member { return a.view.Load().members }
 
-// Seq is the number of the log up to which the news was taken.
+// Seq is the number of the log up to which the change feed was taken.
 func (a *Agent) Seq() ids.Seq { return a.view.Load().seq }
 
 func (a *Agent) renewLoop(ctx context.Context) {
@@ -268,7 +268,7 @@
 	}
 }
 
-// RenewNow renews now, so that the core learns how far the news was folded.
+// RenewNow renews now, so that the core learns how far the change feed was folded.
 func (a *Agent) RenewNow() {
 	select {
 	case a.renewNow <- struct{}{}:
--- a/coordination/chunks.go
+++ b/coordination/chunks.go
@@ -1,7 +1,7 @@
 // The chunk store holds what a machine will never change again, in chunks of a fixed
 // content. A snapshot names its chunks and does not contain them, so neither a
 // takeover nor a compaction grows with all that was ever agreed on: a chunk is
-// saved once and sent only to a machine that lacks it. Register holders that
+// saved once and sent only to a machine that lacks it. Register voters that
 // carry no data fetch chunks beforehand, so that they can become the backup soon.
 
 package coordination
@@ -26,7 +26,7 @@
 // NewChunk names a content.
 func NewChunk(body []byte) Chunk { return Chunk{ShortHash(string(body)), body} }
 
-// ChunkStore is what a Machine may be too. Chunks lists what its snapshots leave out, in
+// ChunkStore is what a StateMachine may be too. Chunks lists what its snapshots leave out, in
 // an order that every copy has; RestoreChunks gives them back before Restore.
 type ChunkStore interface {
 	Chunks() []Chunk
@@ -108,7 +108,7 @@
 }
 
 // handleChunk takes a chunk from a proposer that this register has promised to, or gives
-// one to a holder that collects them.
+// one to a voter that collects them.
 func (c *Core) handleChunk(_ context.Context, request *ChunkRequest) (*ChunkResponse, error) {
 	if request.Body != nil {
 		if _, promised := c.accepted(); promised != request.Epoch {
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -1,4 +1,4 @@
-// A Core is one disk machine's part in the control plane: holder of a register,
+// A Core is one disk machine's part in the control plane: a voter with its register,
 // and primary, backup or spare as the newest record says. This file joins its
 // pieces and answers its peers.
 
@@ -34,7 +34,7 @@
 	ElectionTimeout   time.Duration // 900ms: then the backup takes over
 	LeaseDuration     time.Duration // 3s: of every node
 	DiskTimeout       time.Duration // 1s: a disk step that takes longer
-	// 2s: a register holder silent so long may be replaced, at once if another disk has its address
+	// 2s: a voter silent so long may be replaced, at once if another disk has its address
 	ReplaceAfter    time.Duration
 	FaultTolerance  int  // 1: machines that may be lost at once; counts when the core is founded
 	JoinOnly        bool // it founds nothing and waits for a core that stands
@@ -190,7 +190,7 @@
 	return err
 }
 
-// inContact tells that this core is a holder that leads, or hears the one that does.
+// inContact tells that this core is a voter that leads, or hears the one that does.
 func (c *Core) inContact() bool {
 	record, _ := c.accepted()
 	c.registerMu.Lock()
@@ -198,7 +198,7 @@
 	return containsDisk(record.Voters, c.self.Disk) && c.recentlyHeard(record.Primary.Disk, c.options.Host.Clock.Now())
 }
 
-// saveDirectory saves the whereabouts now and then, so that a restart finds others
+// saveDirectory saves the directory now and then, so that a restart finds others
 // even when every seed has gone.
 func (c *Core) saveDirectory(ctx context.Context) {
 	var previous string
--- a/coordination/directory.go
+++ b/coordination/directory.go
@@ -1,4 +1,4 @@
-// The directory of whereabouts that every process keeps and shares: the newest
+// The directory of replicas and members that every process keeps and shares: the newest
 // record, the disk machines heard of, the members. Three seeds are only where
 // the first pages come from; whoever answers is asked again, so a directory outlives
 // the swap of every seed.
--- a/coordination/directory_test.go
+++ b/coordination/directory_test.go
@@ -1,4 +1,4 @@
-// Pages of whereabouts that went round for a while.
+// Pages of directory that went round for a while.
 
 package coordination
 
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -25,7 +25,7 @@
 type ballot struct {
 	leadingEpoch ids.Epoch  // the epoch in which the proposer leads already, or 0 for a takeover
 	transfer     bool       // the primary has asked the proposer to take over
-	removed      ids.DiskID // a holder that is replaced
+	removed      ids.DiskID // a voter that is replaced
 	added        Replica    // by this one
 	notBackup    ids.DiskID // no backup, if another can be
 }
@@ -97,7 +97,7 @@
 	return reply
 }
 
-// newerRecord gives the record of the higher epoch; of the same one, that whose change of holders
+// newerRecord gives the record of the higher epoch; of the same one, that whose change of voters
 // is known to be decided.
 func newerRecord(a, b Record) Record {
 	if b.Epoch > a.Epoch || b.Epoch == a.Epoch && len(b.OutgoingVoters) == 0 {
@@ -146,7 +146,7 @@
 }
 
 // draftRecord is the record to propose, but for its backups. Holders change only over a record that
-// is known to be decided, as it is to its primary: a takeover keeps the holders, and an
+// is known to be decided, as it is to its primary: a takeover keeps the voters, and an
 // undecided change of them with it.
 func (c *Core) draftRecord(current Record, p ballot) Record {
 	next := current
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -1,5 +1,5 @@
 // The election loop decides what this core is: it founds, takes over, refits a lost
-// backup, replaces a lost register holder, or waits.
+// backup, replaces a lost voter, or waits.
 
 package coordination
 
@@ -101,7 +101,7 @@
 	return true
 }
 
-// orphaned: none of the own fleet's holders was heard for a while.
+// orphaned: none of the own fleet's voters was heard for a while.
 func (c *Core) orphaned(now ids.Tick, record Record) bool {
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -1,4 +1,4 @@
-// The core as others embed it: a small machine, its followers, and the runs that
+// The core as others embed it: a small machine, its watchers, and the runs that
 // lose machines, cut links and freeze them, over many seeds.
 
 package coordination_test
@@ -203,7 +203,7 @@
 	})
 	// Output:
 	// <nil> <nil> <nil>
-	// the followers have 42 42
+	// the watchers have 42 42
 	// a duty is held: true
 }
 
--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -1,7 +1,7 @@
-// Founding anew: what an operator may order when two of three register holders are
+// Founding anew: what an operator may order when two of three voters are
 // lost for good. One disk that carries the data goes on, with two empty machines, in
 // an epoch far above all that were. It is refused where it could harm: while another
-// holder is heard, on a disk that is behind, or on one that carries no data.
+// voter is heard, on a disk that is behind, or on one that carries no data.
 
 package coordination
 
@@ -15,7 +15,7 @@
 )
 
 const (
-	newClusterListen = 6 * time.Second // for holders that may live after all
+	newClusterListen = 6 * time.Second // for voters that may live after all
 	newClusterWait   = 2 * time.Minute // for two empty machines
 	newClusterSkip   = 1_000_000       // over epochs, fences and numbers that this disk may not know
 )
@@ -59,7 +59,7 @@
 	return failure.New(failure.InvalidArgument, "found anew", c.self.Addr, form, args...)
 }
 
-// awaitSpares waits for empty machines, as many as are needed, and for holders that may live after
+// awaitSpares waits for empty machines, as many as are needed, and for voters that may live after
 // all: then the founding is refused.
 func (c *Core) awaitSpares(ctx context.Context, record Record) ([]Replica, error) {
 	need := 2 * record.faultTolerance()
@@ -106,7 +106,7 @@
 	seq := c.state.seq
 	c.state.fence += newClusterSkip
 	c.state.seq += newClusterSkip
-	// Who holds what may have changed beyond this disk's knowledge: all is dealt anew.
+	// Who holds what may have changed beyond this disk's knowledge: all is assigned anew.
 	c.state.grants = map[ids.Key]Grant{}
 	c.state.digest, c.state.history = stateDigest(c.state.seq, []byte(NewID())), history{}
 	snapshot, chunks := c.state.snapshot(false), chunksOf(c.state.machine)
--- a/coordination/force_new_cluster_test.go
+++ b/coordination/force_new_cluster_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestForceNewCluster: from one surviving copy and two empty machines the core goes on with
-// all that was acknowledged, operations keep their outcomes, and the followers go on
+// all that was acknowledged, operations keep their outcomes, and the watchers go on
 // as they were; keys are dealt under higher fences.
 func TestForceNewCluster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/coordination/leader.go
+++ b/coordination/leader.go
@@ -1,6 +1,6 @@
 // The primary's writer. One loop takes all that wants writing, makes it durable
 // here and at the backups side by side (group commit), and only then answers. A
-// renewal of a lease counts only with a beat that the backup confirmed after
+// renewal of a lease counts only with a heartbeat that the backup confirmed after
 // the renewal came, so a deposed primary can lengthen no lease.
 
 package coordination
@@ -33,7 +33,7 @@
 type leader struct {
 	core   *Core
 	record Record
-	// The epoch in which this lead began. Later ones of the same lead change backups or holders only.
+	// The epoch in which this lead began. Later ones of the same lead change backups or voters only.
 	startEpoch          ids.Epoch
 	operations          chan *operation
 	stopped             chan struct{}
@@ -269,7 +269,7 @@
 	return nil
 }
 
-// heartbeat gives the other holders a sign of life, once per beat.
+// heartbeat gives the other voters a sign of life, once per heartbeat.
 func (l *leader) heartbeat(ctx context.Context, record Record) {
 	c := l.core
 	now := c.options.Host.Clock.Now()
--- a/coordination/lease.go
+++ b/coordination/lease.go
@@ -1,6 +1,6 @@
-// Leases and duties as the primary sees them. A key is dealt only when nobody
+// Leases and duties as the primary sees them. A key is assigned only when nobody
 // may still act under it: its holder gave it back, or left, or its lease has
-// surely lapsed. A new primary waits a whole lease before it deals at all.
+// surely lapsed. A new primary waits a whole lease before it assigns at all.
 
 package coordination
 
@@ -73,7 +73,7 @@
 	return out
 }
 
-// extendLease lengthens the lease once the beat behind it was confirmed.
+// extendLease lengthens the lease once the heartbeat behind it was confirmed.
 func (l *leader) extendLease(request *RenewRequest, now ids.Tick, r *replicatedState) *RenewResponse {
 	if request.Leaving {
 		delete(l.leases, request.Self.Node)
@@ -93,7 +93,7 @@
 	return out
 }
 
-// periodicOperations makes the jobs that the primary gives itself at each beat.
+// periodicOperations makes the jobs that the primary gives itself at each heartbeat.
 func (l *leader) periodicOperations() []*operation {
 	c := l.core
 	now := c.options.Host.Clock.Now()
@@ -155,7 +155,7 @@
 	return out
 }
 
-// assignKeys deals the free keys and marks the held ones that should move.
+// assignKeys assigns the free keys and marks the held ones that should move.
 func (l *leader) assignKeys(now ids.Tick, live []ids.NodeID) Assignment {
 	var d Assignment
 	if now.Before(l.assignAfter) && l.record.Epoch > 1 || len(live) == 0 {
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -1,4 +1,4 @@
-// Changes of membership by agreement, one holder at a time: a holder that is lost is replaced
+// Changes of membership by agreement, one voter at a time: a voter that is lost is replaced
 // by a spare replica, and one that is about to end hands over first what it has.
 
 package coordination
@@ -19,7 +19,7 @@
 	spareMaxAge = 5 * time.Second         // within which a spare must have spoken for itself
 	leaveRetry  = 150 * time.Millisecond  // between two tries to hand over
 	leaveWait   = 1500 * time.Millisecond // for one such try
-	// How long a record has stood before its holders are spread over the zones: longer than a
+	// How long a record has stood before its voters are spread over the zones: longer than a
 	// process takes to start again.
 	spreadAfter = 10 * time.Second
 )
@@ -27,7 +27,7 @@
 // errLeadershipTransferred ends the lead of a primary that has asked a backup to take over.
 var errLeadershipTransferred = failure.New(failure.Stale, "lead", "", "it has handed over")
 
-// reconcileMembership gives the register of a long silent holder to a spare that is heard.
+// reconcileMembership gives the register of a long silent voter to a spare that is heard.
 func (l *leader) reconcileMembership(ctx context.Context) error {
 	now := l.core.options.Host.Clock.Now()
 	l.core.directory.SetMembers(l.members())
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// zoneImbalance gives a holder to replace by a spare of a zone that has fewer holders by two or
-// more, so that the loss of a zone takes no more of them than it must. All holders have to be
+// zoneImbalance gives a voter to replace by a spare of a zone that has fewer voters by two or
+// more, so that the loss of a zone takes no more of them than it must. All voters have to be
 // heard, and the record to have stood for a while.
 func (l *leader) zoneImbalance(all []Replica, now ids.Tick) (out, in Replica, ok bool) {
 	if !now.Past(max(l.ledSince, l.membershipChangedAt), spreadAfter) || len(all) == 0 || !l.allHeard(now) {
@@ -80,14 +80,14 @@
 	return perZone
 }
 
-// inSmallestZone gives the spare whose zone has the fewest holders; the lowest identity of several.
+// inSmallestZone gives the spare whose zone has the fewest voters; the lowest identity of several.
 func inSmallestZone(all []Replica, perZone map[ids.Zone]int) Replica {
 	return slices.MinFunc(all, func(a, b Replica) int {
 		return cmp.Or(cmp.Compare(perZone[a.Zone], perZone[b.Zone]), cmp.Compare(a.Disk, b.Disk))
 	})
 }
 
-// allHeard tells whether every holder gave a sign of life lately.
+// allHeard tells whether every voter gave a sign of life lately.
 func (l *leader) allHeard(now ids.Tick) bool {
 	l.core.registerMu.Lock()
 	defer l.core.registerMu.Unlock()
@@ -125,7 +125,7 @@
 	return out
 }
 
-// replacementFor gives who may take over a holder's register, if that is lost: another disk that
+// replacementFor gives who may take over a voter's register, if that is lost: another disk that
 // stands at its very address, at once, since the one before it will not come back; any
 // other after a longer silence.
 func (l *leader) replacementFor(s Replica, all []Replica, now ids.Tick) (Replica, bool) {
@@ -149,7 +149,7 @@
 }
 
 // Leave hands over what this core has, so that it can end: the lead to a backup that is up to
-// date, its copy of the data to another holder, its register to a spare. It returns once that
+// date, its copy of the data to another voter, its register to a spare. It returns once that
 // is done, or with what stood in the way when the context ends. The core goes on answering
 // meanwhile; a process that starts again on the same disk takes part as before.
 func (c *Core) Leave(ctx context.Context) error {
@@ -235,7 +235,7 @@
 }
 
 // release takes a replica that is about to end out of the record: its register passes on to a
-// spare if there is one, its copy of the data to another holder.
+// spare if there is one, its copy of the data to another voter.
 func (l *leader) release(ctx context.Context, op *operation, leaver Replica) error {
 	c := l.core
 	if !containsDisk(l.record.Voters, leaver.Disk) || leaver.Disk == c.self.Disk {
@@ -260,7 +260,7 @@
 	return err
 }
 
-// canRelease tells whether so many holders are heard beside this one and the leaver that the data
+// canRelease tells whether so many voters are heard beside this one and the leaver that the data
 // can have its backups there.
 func (l *leader) canRelease(leaver ids.DiskID) bool {
 	c := l.core
--- a/coordination/messages.go
+++ b/coordination/messages.go
@@ -74,7 +74,7 @@
 	PromisedTo ids.DiskID `msg:"PromisedTo,omitempty"` // the replica that the promise was given to
 }
 
-// Entry is one command in the log. Open entries are also news for followers;
+// Entry is one command in the log. Open entries are also news for watchers;
 // a closed one shows there as its number only.
 type Entry struct {
 	Seq       ids.Seq
@@ -95,7 +95,7 @@
 
 // AppendResponse tells how far a replica's log reaches, and the epoch that it has promised.
 type AppendResponse struct {
-	Disk          ids.DiskID // who answers a beat
+	Disk          ids.DiskID // who answers a heartbeat
 	OK            bool       `msg:"Ok"`
 	LastSeq       ids.Seq    `msg:"Last"`
 	Promised      ids.Epoch
--- a/coordination/record.go
+++ b/coordination/record.go
@@ -36,7 +36,7 @@
 }
 
 // quorums are the sets of replicas whose majorities a ballot for this record needs, each of
-// them: the holders, and while a change of the holders is not known to be decided, those
+// them: the voters, and while a change of the voters is not known to be decided, those
 // before it (joint consensus). So two ballots always share a register.
 func (r Record) quorums() [][]Replica {
 	if len(r.OutgoingVoters) == 0 {
--- a/coordination/register.go
+++ b/coordination/register.go
@@ -1,5 +1,5 @@
 // The register of one replica: the acceptor's side of the ballots that decide a record
-// (who leads, with which backups, and who the holders are). A ballot is named by its epoch
+// (who leads, with which backups, and who the voters are). A ballot is named by its epoch
 // and its proposer; a register promises an epoch to one proposer only and accepts no older
 // one. Every change is on disk before it is answered.
 
@@ -11,7 +11,7 @@
 	"keelstair.example/ids"
 )
 
-// firstEpoch is that of a founding, which all holders must accept, so that it needs no promise.
+// firstEpoch is that of a founding, which all voters must accept, so that it needs no promise.
 const firstEpoch ids.Epoch = 1
 
 // register is what a replica has promised and accepted.
@@ -36,7 +36,7 @@
 // accept is the register once it has accepted a record.
 func (r register) accept(record Record) register {
 	if record.Epoch == r.Accepted.Epoch && r.Accepted.ClusterID != "" {
-		return r // it came again; the change of holders may be known to be decided by now
+		return r // it came again; the change of voters may be known to be decided by now
 	}
 	return register{Promised: record.Epoch, PromisedTo: record.Primary.Disk, Accepted: record}
 }
@@ -111,7 +111,7 @@
 }
 
 // markDecided notes that the record of an epoch is decided: its primary leads, which it does only
-// then. A change of holders is over with that, and the holders before it have no say any
+// then. A change of voters is over with that, and the voters before it have no say any
 // more. The caller holds registerMu. A disk that refuses is asked again at the next heartbeat.
 func (c *Core) markDecided(epoch ids.Epoch, primary ids.DiskID) {
 	if c.register.Accepted.Epoch != epoch || c.register.Accepted.Primary.Disk != primary ||
--- a/coordination/state.go
+++ b/coordination/state.go
@@ -1,8 +1,5 @@
-// Package coordination is keelstair's coordination core, of use to any fleet: a log
-// that a primary writes to a synced backup before it answers, registers on
-// three disk machines that decide who leads, leases, keyed duties under rising
-// fences, and a numbered feed of news. What the commands mean is the embedder's:
-// it brings a Machine. This file is the state that the log builds.
+// The state that the log builds, and what an embedder's state machine must bring.
+
 package coordination
 
 import (
@@ -16,19 +13,26 @@
 	"keelstair.example/ids"
 )
 
-// StateMachine is the embedder's state. Apply must be deterministic, and must change
-// nothing when it gives an error; seq is the number that the entry gets. Open
-// tells whether followers see a kind.
+// StateMachine is the embedder's state. The core calls it from one goroutine at a time.
 type StateMachine interface {
+	// Apply applies the command that gets the number seq, and gives its answer. It must be
+	// deterministic, and must change nothing when it gives an error. ErrUnchanged answers
+	// without an entry in the log.
 	Apply(seq ids.Seq, kind string, body []byte) ([]byte, error)
+	// Published reports whether watchers see commands of a kind.
 	Published(kind string) bool
-	Snapshot(open bool) []byte
+	// Snapshot encodes the whole state, or only the part that watchers see.
+	Snapshot(published bool) []byte
+	// Restore replaces the state by that of a snapshot.
 	Restore(body []byte) error
+	// Keys are the singleton roles that are to be assigned to nodes.
 	Keys() []ids.Key
-	Due(now ids.Tick, seq, seen ids.Seq) []Command
+	// Due gives the commands that are due at the primary; applied is the number up to which
+	// every live node has applied the log, seq the newest.
+	Due(now ids.Tick, seq, applied ids.Seq) []Command
 }
 
-// Timekeeper is a Machine that keeps a time of its own for the fleet. The primary asks
+// Timekeeper is a StateMachine that keeps a time of its own for the fleet. The primary asks
 // for it with each renewal of a lease; 0 is no answer. Nodes count on from what they were
 // told, and tell what it cannot be lower than by now, which a new primary needs.
 type Timekeeper interface {
@@ -36,7 +40,7 @@
 	Observe(now ids.Tick, minTime int64)
 }
 
-// Placer is a Machine that says which nodes a key may fall to.
+// Placer is a StateMachine that says which nodes a key may fall to.
 type Placer interface {
 	Eligible(key ids.Key, node ids.NodeID) bool
 }
--- a/coordination/watch.go
+++ b/coordination/watch.go
@@ -1,4 +1,4 @@
-// How an agent follows the news and submits commands.
+// How an agent follows the change feed and submits commands.
 
 package coordination
 
@@ -32,7 +32,7 @@
 	}
 }
 
-// watchPrimary asks the primary for news, and leaves it when another one is heard of: a deposed
+// watchPrimary asks the primary for the change feed, and leaves it when another one is heard of: a deposed
 // one that is cut off from the others alone would keep it waiting.
 func (a *Agent) watchPrimary(ctx context.Context) error {
 	callContext, stop := context.WithCancel(ctx)
@@ -48,7 +48,7 @@
 	return a.fetch(callContext, a.directory.Addr(a.directory.Record().Primary), 2*time.Second)
 }
 
-// Fetch takes the news that a peer has.
+// Fetch takes the change feed that a peer has.
 func (a *Agent) Fetch(ctx context.Context, addr string) error { return a.fetch(ctx, addr, 0) }
 
 func (a *Agent) fetch(ctx context.Context, addr string, wait time.Duration) error {
@@ -62,7 +62,7 @@
 	return a.accept(request, r)
 }
 
-// accept folds news into the view: entries that follow on, or a snapshot that is ahead of it.
+// accept folds the change feed into the view: entries that follow on, or a snapshot that is ahead of it.
 func (a *Agent) accept(request *WatchRequest, r *WatchResponse) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/host/simulated/net.go
+++ b/host/simulated/net.go
@@ -224,7 +224,7 @@
 
 func (e *listener) Addr() net.Addr { return e.addr }
 
-// dial takes a round trip. A cut link or a machine without power says nothing
+// dial takes a round exchange. A cut link or a machine without power says nothing
 // until the caller's patience ends; a machine where nobody listens refuses.
 func (p *Process) dial(ctx context.Context, addr string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(addr)
--- a/host/simulated/world.go
+++ b/host/simulated/world.go
@@ -167,7 +167,7 @@
 // Done is closed when the process is killed.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Kill ends the process at once; its neighbours see their connections reset.
+// Kill ends the process at once; its peers see their connections reset.
 func (p *Process) Kill() {
 	w := p.machine.world
 	w.mu.Lock()
--- a/internal/fleetstate/aged_keys.go
+++ b/internal/fleetstate/aged_keys.go
@@ -1,7 +1,7 @@
-// Old deeds. A settled deed's full answer is kept for a while; afterwards only
+// Old idempotency records. A settled idempotency record's full answer is kept for a while; afterwards only
 // that its key was taken, for which body, and how it ended: 24 bytes, for good,
 // so that forgetting never turns into running. Rows fill a leaf; a full leaf is
-// sorted, sealed and never changed again, and pictures only name it.
+// sorted, sealed and never changed again, and snapshots only name it.
 
 package fleetstate
 
@@ -16,7 +16,7 @@
 )
 
 const (
-	rowSize      = 24 // 16 of the key's hash, 7 of the body's digest, 1 of the fate
+	rowSize      = 24 // 16 of the key's hash, 7 of the body's digest, 1 of the outcome
 	keyHashBytes = 16
 )
 
@@ -85,7 +85,7 @@
 	s.open, s.rows = map[[keyHashBytes]byte][rowSize]byte{}, nil
 }
 
-// find gives what is known of an old key: a deed without its answer.
+// find gives what is known of an old key: an idempotency record without its answer.
 func (s *agedKeys) find(key, digest string) (IdempotencyRecord, bool) {
 	k := hash(key)
 	r, ok := s.open[k]
--- a/internal/fleetstate/aged_keys_test.go
+++ b/internal/fleetstate/aged_keys_test.go
@@ -1,4 +1,4 @@
-// Old deeds: what is forgotten of them is never that they were.
+// Old idempotency records: what is forgotten of them is never that they were.
 
 package fleetstate
 
@@ -23,7 +23,7 @@
 }
 
 // TestAgedKeys: a key that was claimed once is never fresh again, however many came
-// after it, on the copy that wrote it and on one made from a picture; both seal
+// after it, on the copy that wrote it and on one made from a snapshot; both seal
 // the same leaves.
 func TestAgedKeys(t *testing.T) {
 	m := NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
@@ -83,7 +83,7 @@
 	require.Equal(t, Done, got.Record.Outcome)
 }
 
-// full makes a state of so many deeds.
+// full makes a state of so many idempotency records.
 func full(n int) *Machine {
 	m := NewMachine(MachineOptions{})
 	for i := range n {
@@ -103,8 +103,8 @@
 
 const million = 1_000_000
 
-// BenchmarkSnapshot makes and restores a picture over five million deeds; MB/s is
-// of the picture alone, whose size is given too.
+// BenchmarkSnapshot makes and restores a snapshot over five million idempotency records; MB/s is
+// of the snapshot alone, whose size is given too.
 func BenchmarkSnapshot(b *testing.B) {
 	m := full(5 * million)
 	for b.Loop() {
--- a/internal/fleetstate/audit.go
+++ b/internal/fleetstate/audit.go
@@ -1,6 +1,6 @@
 // The audit record of governed work: a row for each request's begin and outcome, each
 // with a hash over the row before it, so that a row that is removed or changed shows.
-// Full leaves are sealed as sheets; the oldest leave the store once there are too many.
+// Full leaves are sealed as chunks; the oldest leave the store once there are too many.
 
 package fleetstate
 
--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -1,4 +1,4 @@
-// The chain of the audit record, over leaves, pictures and tampering.
+// The chain of the audit record, over leaves, snapshots and tampering.
 
 package fleetstate
 
--- a/internal/fleetstate/client.go
+++ b/internal/fleetstate/client.go
@@ -42,7 +42,7 @@
 	return own, nil
 }
 
-// Newest asks the core for the newest version, in force or staged, and for the zones
+// Newest asks the core for the newest version, in force or prepared, and for the zones
 // that are evacuated, until the context ends.
 func Newest(
 	ctx context.Context,
@@ -56,14 +56,14 @@
 	return encoded.Newest(), encoded.Zones, nil
 }
 
-// Newest gives the newest version, in force or staged, with its text as it was put.
+// Newest gives the newest version, in force or prepared, with its text as it was put.
 func (encoded *EncodedState) Newest() VersionedText {
 	top := (&versionHistory{active: encoded.Active, prepared: encoded.Prepared}).latest()
 	top.Text = decompress(top.Text)
 	return top
 }
 
-// ProgramSet gives the newest program set, in force or staged, and whether it is in force.
+// ProgramSet gives the newest program set, in force or prepared, and whether it is in force.
 func (encoded *EncodedState) ProgramSet() (VersionedText, bool) {
 	return (&versionHistory{
 		active:   encoded.Programs,
--- a/internal/fleetstate/clock.go
+++ b/internal/fleetstate/clock.go
@@ -20,12 +20,12 @@
 	clockListen   = 4 * time.Second  // how long a new primary listens to them
 )
 
-// clock is what the primary remembers between beats.
+// clock is what the primary remembers between heartbeats.
 type clock struct {
 	wall    func() time.Time
 	base    int64    // the time at a tick
 	at      ids.Tick // the tick
-	last    ids.Tick // the newest beat
+	last    ids.Tick // the newest heartbeat
 	drift   int64    // the bound that base and at go with
 	catchUp int64    // what nodes made up for since
 }
--- a/internal/fleetstate/compression.go
+++ b/internal/fleetstate/compression.go
@@ -1,4 +1,4 @@
-// Texts of policies are kept packed: a large one goes to every node.
+// Texts of configurations are kept packed: a large one goes to every node.
 
 package fleetstate
 
@@ -26,7 +26,7 @@
 // isCompressed tells by the first bytes, which begin no JSON text.
 func isCompressed(text []byte) bool { return len(text) > 2 && text[0] == 0x1f && text[1] == 0x8b }
 
-// decompress gives a text as it came. One that cannot be unpacked stays, and is no policy.
+// decompress gives a text as it came. One that cannot be unpacked stays, and is no configuration.
 func decompress(text []byte) []byte {
 	if !isCompressed(text) {
 		return text
--- a/internal/fleetstate/configuration.go
+++ b/internal/fleetstate/configuration.go
@@ -1,7 +1,7 @@
 // Package fleetstate is what the fleet agrees on: the operators' configuration (in
-// our words the policy), zones that are evacuated, workers that drain, and the
-// deeds, that is, claims and outcomes of rulings and verdicts. This file reads
-// and checks a policy with CUE.
+// our words the configuration), zones that are evacuated, workers that drain, and the
+// idempotency records, that is, claims and outcomes of rulings and verdicts. This file reads
+// and checks a configuration with CUE.
 package fleetstate
 
 import (
@@ -83,7 +83,7 @@
 func (l Limits) GiveUp() time.Duration { return time.Duration(l.GiveUpMs) * time.Millisecond }
 
 // Configuration is one version of what operators set: workers or services, routes, programs and
-// limits. Its JSON and CUE forms have the schema of policy.cue.
+// limits. Its JSON and CUE forms have the schema of configuration.cue.
 type Configuration struct {
 	Workers      map[ids.WorkerID]Worker `json:"workers"`
 	Zones        []ids.Zone              `json:"zones"`
@@ -97,7 +97,7 @@
 	Certified
 }
 
-// ConfigurationReader makes a policy of an operator's text.
+// ConfigurationReader makes a configuration of an operator's text.
 type ConfigurationReader func(text []byte) (*Configuration, error)
 
 // ReadPlain reads the product's own form, as Whole gives it.
@@ -216,7 +216,7 @@
 	return b, nil
 }
 
-// Check holds a policy, as JSON or CUE, against the schema and fills defaults.
+// Check holds a configuration, as JSON or CUE, against the schema and fills defaults.
 func Check(name string, text []byte) (*Configuration, error) {
 	p, err := shape(name, text)
 	if err != nil {
@@ -269,7 +269,7 @@
 	return err
 }
 
-// ParseComplete checks a policy and gives it back as plain JSON with all defaults.
+// ParseComplete checks a configuration and gives it back as plain JSON with all defaults.
 func ParseComplete(name string, text []byte) (*Configuration, []byte, error) {
 	p, err := shape(name, text)
 	if err != nil {
@@ -317,7 +317,7 @@
 	return p.CheckRoutes()
 }
 
-// CheckPrograms checks that the shares add up and that one program at most turns workers.
+// CheckPrograms checks that the shares add up and that one program at most role changes workers.
 func (p *Configuration) CheckPrograms() error {
 	fault := func(form string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check policy", "", "programs: "+form, args...)
@@ -340,7 +340,7 @@
 	return nil
 }
 
-// Merge lays a partial policy over a whole one: fields replace fields, null
+// Merge lays a partial configuration over a whole one: fields replace fields, null
 // removes, all else stays.
 func Merge(complete, part []byte) ([]byte, error) {
 	var a, b any
--- a/internal/fleetstate/delta_test.go
+++ b/internal/fleetstate/delta_test.go
@@ -98,7 +98,7 @@
 }
 
 // TestPrepareDelta: a small change of a large text goes as a delta of little more than the
-// change; copies and nodes come to the whole text, from pictures too, and pictures are
+// change; copies and nodes come to the whole text, from snapshots too, and snapshots are
 // packed. One that does not fit is refused and changes nothing, and a text that differs
 // much goes whole.
 func TestPrepareDelta(t *testing.T) {
--- a/internal/fleetstate/diff.go
+++ b/internal/fleetstate/diff.go
@@ -1,4 +1,4 @@
-// What one policy would change over another, line by line.
+// What one configuration would change over another, line by line.
 
 package fleetstate
 
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -1,4 +1,4 @@
-// Policies, deeds and activation, without a fleet round them.
+// Policies, idempotency records and activation, without a fleet round them.
 
 package fleetstate
 
@@ -23,7 +23,7 @@
 	limits: {}
 }`
 
-// TestCheck: CUE text becomes a whole policy with defaults; each fault is named.
+// TestCheck: CUE text becomes a whole configuration with defaults; each fault is named.
 func TestCheck(t *testing.T) {
 	text, err := Source("f.cue", []byte(small))
 	require.NoError(t, err)
@@ -82,7 +82,7 @@
 	require.Equal(t, s.records, copied.records)
 }
 
-// TestActivation: a staged version waits for all to have seen it, and not for
+// TestActivation: a prepared version waits for all to have seen it, and not for
 // what came after it, at most the wait; a storm cannot put it off for ever.
 func TestActivation(t *testing.T) {
 	prepare := func(m *Machine, seq ids.Seq, base ids.Version) error {
@@ -104,7 +104,7 @@
 	require.Equal(t, []coordination.Command{{Kind: CommitKind, Body: coordination.MustMarshal(&CommitVersion{1})}}, got)
 }
 
-// TestHeard: a version heard of is put in force if it is staged here; else the
+// TestHeard: a version heard of is put in force if it is prepared here; else the
 // node holds its picks.
 func TestHeard(t *testing.T) {
 	v := NewView(logging.Discard())
--- a/internal/fleetstate/idempotency.go
+++ b/internal/fleetstate/idempotency.go
@@ -33,7 +33,7 @@
 	return &ClaimReply{Fresh: true, Record: d}, nil
 }
 
-// ageRecords puts the oldest settled deeds over the count that is kept in full on the
+// ageRecords puts the oldest settled idempotency records over the count that is kept in full on the
 // shelf.
 func (s *State) ageRecords() {
 	for len(s.resolvedOrder) > s.aged.Full {
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -1,5 +1,5 @@
 // The machine puts the state under the core: it says which duties there are
-// and when a staged version is due.
+// and when a prepared version is due.
 
 package fleetstate
 
@@ -29,7 +29,7 @@
 	seq ids.Seq
 }
 
-// pendingCommit is when the staged versions of a line may be put in force.
+// pendingCommit is when the prepared versions of a line may be put in force.
 type pendingCommit struct {
 	*versionHistory
 	prepareKind, commitKind string // the kinds of its commands
@@ -49,13 +49,13 @@
 	now                ids.Tick
 	pendingRevocations map[string]ids.Seq // revocations that wait for nodes to have seen them
 	clock              clock
-	unrevoked          *certification.Register // of the active policy
+	unrevoked          *certification.Register // of the active configuration
 }
 
 // MachineOptions of a machine; what is zero takes the default named beside it.
 type MachineOptions struct {
-	CommitTimeout time.Duration       // 300ms for silent nodes before a staged version is put in force
-	Read          ConfigurationReader // Plain: makes a policy of a text
+	CommitTimeout time.Duration       // 300ms for silent nodes before a prepared version is put in force
+	Read          ConfigurationReader // Plain: makes a configuration of a text
 	Retention     Retention
 	Wall          func() time.Time // time.Now: read once, for the fleet's time to begin
 }
@@ -94,7 +94,7 @@
 	return m
 }
 
-// Apply notes at which number a version was staged: that is what nodes must have
+// Apply notes at which number a version was prepared: that is what nodes must have
 // seen, not the claims that come after it.
 func (m *Machine) Apply(seq ids.Seq, kind string, body []byte) ([]byte, error) {
 	out, err := m.State.Apply(kind, body)
@@ -127,7 +127,7 @@
 	return coordination.MustMarshal(encoded)
 }
 
-// Keys names a duty for each worker and each model of the active policy.
+// Keys names a duty for each worker and each model of the active configuration.
 func (m *Machine) Keys() []ids.Key {
 	if m.keys != nil && m.keysVersion == m.active.Version {
 		return m.keys
@@ -202,7 +202,7 @@
 	return out
 }
 
-// ready names the newest staged version that all live nodes have seen, or that has waited
+// ready names the newest prepared version that all live nodes have seen, or that has waited
 // long enough for silent ones.
 func (w *pendingCommit) ready(now ids.Tick, seq, seen ids.Seq, wait time.Duration) ids.Version {
 	var top ids.Version
--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -57,7 +57,7 @@
 // RoleChangeKind is the name of Turn in the log.
 const RoleChangeKind = "lore.turn"
 
-// PrepareVersion brings a whole, checked policy, made over the version Base.
+// PrepareVersion brings a whole, checked configuration, made over the version Base.
 // Next is the number it gets; 0 is the one after Base. With Delta, Text is a Delta from
 // the text of Base.
 type PrepareVersion struct {
@@ -67,7 +67,7 @@
 	Delta bool
 }
 
-// CommitVersion puts a staged version in force.
+// CommitVersion puts a prepared version in force.
 type CommitVersion struct {
 	Version ids.Version
 }
@@ -139,7 +139,7 @@
 	Count uint64
 }
 
-// RoleChange says that a worker is about to play another part, or, with Done, that the turn
+// RoleChange says that a worker is about to take another role, or, with Done, that the role change
 // is over, however it went.
 type RoleChange struct {
 	Worker ids.WorkerID
@@ -147,7 +147,7 @@
 	Done   bool
 }
 
-// Fates of a deed. Once it is not Claimed any more it never changes.
+// Fates of an idempotency record. Once it is not Claimed any more it never changes.
 const (
 	Claimed    = "claimed"
 	Done       = "done"
@@ -165,12 +165,12 @@
 	Digest      string
 	Outcome     string `msg:"Fate"`
 	Answer      []byte `msg:"Out"`
-	// Aged: only the fate is known any more, and the digest if it is the asker's.
+	// Aged: only the outcome is known any more, and the digest if it is the asker's.
 	Aged bool
 }
 
 // Claim takes a key for a node, to run at a worker in its present life; the answer says whether it is fresh, and the
-// deed as it stands.
+// idempotency record as it stands.
 type Claim struct {
 	Key         string
 	Owner       ids.NodeID
@@ -221,7 +221,7 @@
 	Serial string
 }
 
-// Revocation as pictures hold it; Sure once it is in force everywhere.
+// Revocation as snapshots hold it; Sure once it is in force everywhere.
 type Revocation struct {
 	Serial    string
 	Confirmed bool `msg:"Sure"`
@@ -265,10 +265,10 @@
 	FailbackCount uint64 `msg:"Returns"`
 	Fence         ids.Fence
 	Records       []IdempotencyRecord `msg:"Deeds"`
-	// The program set in force, and those that are staged.
+	// The program set in force, and those that are prepared.
 	Programs         VersionedText
 	ProgramsPrepared []VersionedText `msg:"ProgramsPending"`
-	// AgedRows of the open leaf, and how many deeds there are in all.
+	// AgedRows of the open leaf, and how many idempotency records there are in all.
 	AgedRows           []byte `msg:"Rows"`
 	RecordCount        int    `msg:"Count"`
 	CertificationState `msg:"Governed"`
--- a/internal/fleetstate/order_memory.go
+++ b/internal/fleetstate/order_memory.go
@@ -16,7 +16,7 @@
 // an order that was taken over a version remembered here is always answered by its id.
 const maxSuperseded = 1024
 
-// supersededVersions are the newest versions that another one was staged over, oldest
+// supersededVersions are the newest versions that another one was prepared over, oldest
 // first. A line that began empty starts with 0.
 type supersededVersions []ids.Version
 
--- a/internal/fleetstate/order_memory_test.go
+++ b/internal/fleetstate/order_memory_test.go
@@ -24,7 +24,7 @@
 	return &replicas{T: t, all: []*Machine{NewMachine(MachineOptions{})}}
 }
 
-// apply applies a command to every replica; all must agree on its fate.
+// apply applies a command to every replica; all must agree on its outcome.
 func (r *replicas) apply(kind string, c msgp.Marshaler) error {
 	r.Helper()
 	r.seq++
@@ -110,7 +110,7 @@
 }
 
 // TestForgottenBase: an order made over a version that is superseded is stale while the
-// versions since then are remembered, and of unknown fate before that, on both lines, asked
+// versions since then are remembered, and of unknown outcome before that, on both lines, asked
 // for as an outcome too, also at a replica from a snapshot. One over a number that never
 // was a version is stale if it lies within what is remembered.
 func TestForgottenBase(t *testing.T) {
@@ -140,7 +140,7 @@
 }
 
 // TestShortHistory: while all versions there ever were are remembered, nothing is of unknown
-// fate.
+// outcome.
 func TestShortHistory(t *testing.T) {
 	r := newReplicas(t)
 	for v := range ids.Version(10) {
--- a/internal/fleetstate/overlay.go
+++ b/internal/fleetstate/overlay.go
@@ -1,5 +1,5 @@
-// A partial policy over one that was checked already. Only what the part touches is
-// held against the schema again, so that a large policy that grows by many small
+// A partial configuration over one that was checked already. Only what the part touches is
+// held against the schema again, so that a large configuration that grows by many small
 // parts stays quick to apply; what spans fields is checked over the whole.
 
 package fleetstate
@@ -11,7 +11,7 @@
 	"keelstair.example/failure"
 )
 
-// maxEntries bounds workers, kinds, programs and certificates together: a whole policy of so many
+// maxEntries bounds workers, kinds, programs and certificates together: a whole configuration of so many
 // is checked in about half a second.
 const maxEntries = 3000
 
--- a/internal/fleetstate/overlay_test.go
+++ b/internal/fleetstate/overlay_test.go
@@ -1,4 +1,4 @@
-// Parts laid over wholes, and policies that are large.
+// Parts laid over wholes, and configurations that are large.
 
 package fleetstate
 
@@ -12,7 +12,7 @@
 	"keelstair.example/failure"
 )
 
-// big is a policy of n workers and n kinds.
+// big is a configuration of n workers and n kinds.
 func big(n int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"zones":["a","b"],"programs":{},"limits":{},"workers":{`)
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestTooLarge: a policy with too many entries is refused by its count, before the
+// TestTooLarge: a configuration with too many entries is refused by its count, before the
 // schema is held against all of them; one just below it is taken.
 func TestTooLarge(t *testing.T) {
 	_, complete, err := ParseComplete("w", big(maxEntries/2))
@@ -77,7 +77,7 @@
 	require.True(t, failure.Is(err, failure.InvalidArgument))
 }
 
-// BenchmarkOver and BenchmarkParseComplete apply one small change to a large policy.
+// BenchmarkOver and BenchmarkParseComplete apply one small change to a large configuration.
 func BenchmarkOver(b *testing.B) {
 	_, complete, _ := ParseComplete("w", big(maxEntries/2))
 	for b.Loop() {
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -1,7 +1,7 @@
 // Program sets: routing programs with their shares, apart from the configuration, for
-// fleets whose operators' document has none. A set is a policy of the product's own in
+// fleets whose operators' document has none. A set is a configuration of the product's own in
 // which nothing but programs and what bounds them is given; it comes over the same log,
-// is staged, compiled and put in force as the configuration is.
+// is prepared, compiled and put in force as the configuration is.
 
 package fleetstate
 
@@ -39,7 +39,7 @@
 	maxSteps    = 100000
 )
 
-// Sources lists a policy's programs.
+// Sources lists a configuration's programs.
 func (p *Configuration) Sources() []routing.Source {
 	var out []routing.Source
 	for _, name := range p.Names() {
@@ -55,14 +55,14 @@
 	return out
 }
 
-// CompileSet compiles a policy's programs. Faults have file, line and reason.
+// CompileSet compiles a configuration's programs. Faults have file, line and reason.
 func (p *Configuration) CompileSet(scores *routing.Scores) (*routing.ProgramSet, error) {
 	return routing.NewProgramSet(p.Sources(), p.Limits.Steps, scores)
 }
 
-// Draft makes a checked policy of a text that Source gave, whole or, with partial, over
+// Draft makes a checked configuration of a text that Source gave, whole or, with partial, over
 // base, and compiles its programs. Where a fault shows in the operator's own source, its
-// place is given. The policy also comes as JSON with all defaults.
+// place is given. The configuration also comes as JSON with all defaults.
 func Draft(name, source string, text, base []byte, partial bool) (*Configuration, []byte, error) {
 	var p *Configuration
 	var complete []byte
@@ -85,7 +85,7 @@
 	return p, complete, nil
 }
 
-// CheckSet checks that a policy is a program set and within its bounds.
+// CheckSet checks that a configuration is a program set and within its bounds.
 func (p *Configuration) CheckSet() error {
 	fault := func(form string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check programs", "", form, args...)
--- a/internal/fleetstate/programs_test.go
+++ b/internal/fleetstate/programs_test.go
@@ -32,8 +32,8 @@
 	return b
 }
 
-// TestProgramsHistory: sets are a line of versions of their own: staged over one another, put
-// in force once they are seen, apart from the configuration's; a copy made from a picture,
+// TestProgramsHistory: sets are a line of versions of their own: prepared over one another, put
+// in force once they are seen, apart from the configuration's; a copy made from a snapshot,
 // whole or open, has them.
 func TestProgramsHistory(t *testing.T) {
 	m := NewMachine(MachineOptions{CommitTimeout: time.Second})
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -1,4 +1,4 @@
-// Regimes in a policy: which kinds are governed, by whose certificates they may be
+// Regimes in a configuration: which kinds are governed, by whose certificates they may be
 // handled, and what is refused beforehand, with its place in the operator's text.
 
 package fleetstate
@@ -19,14 +19,14 @@
 	"keelstair.example/internal/certification"
 )
 
-// Certified is the part of a policy that certified nodes are for.
+// Certified is the part of a configuration that certified nodes are for.
 type Certified struct {
 	Regimes      map[string]certification.Regime      `json:"regimes,omitempty"`
 	Issuers      map[string]certification.Issuer      `json:"issuers,omitempty"`
 	Certificates map[string]certification.Certificate `json:"certificates,omitempty"`
 }
 
-// Register compiles what the policy says of regimes; nil without any.
+// Register compiles what the configuration says of regimes; nil without any.
 func (c *Certified) Register() (*certification.Register, error) {
 	return certification.Compile(c.Regimes, c.Issuers, c.Certificates)
 }
@@ -92,7 +92,7 @@
 	return false
 }
 
-// Follows checks a policy against the one that it replaces: a serial never stands for
+// Follows checks a configuration against the one that it replaces: a serial never stands for
 // another certificate, and none comes in that has ended by now.
 func (p *Configuration) Follows(previous *Configuration, now certification.Now) error {
 	for _, serial := range slices.Sorted(maps.Keys(p.Certificates)) {
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -1,4 +1,4 @@
-// Regimes in a policy, revocations that are sealed, and the fleet's time.
+// Regimes in a configuration, revocations that are sealed, and the fleet's time.
 
 package fleetstate
 
@@ -18,7 +18,7 @@
 	"keelstair.example/logging"
 )
 
-// charter gives the small policy with one regime, as its operators' text, a field a line.
+// charter gives the small configuration with one regime, as its operators' text, a field a line.
 func charter(t *testing.T, change func(all map[string]any, certs map[string]certification.Certificate)) []byte {
 	key, _, err := certification.NewKey()
 	require.NoError(t, err)
@@ -62,7 +62,7 @@
 	return 0
 }
 
-// TestRegimes: a whole policy with regimes checks, checks to itself again, and compiles;
+// TestRegimes: a whole configuration with regimes checks, checks to itself again, and compiles;
 // each fault is refused with file, line and reason.
 func TestRegimes(t *testing.T) {
 	p, complete, err := ParseComplete("f.cue", charter(t, nil))
@@ -208,7 +208,7 @@
 }
 
 // TestSeal: a revocation is sealed once every node with a lease has seen it, also by a
-// primary that did not take it; it outlives pictures.
+// primary that did not take it; it outlives snapshots.
 func TestSeal(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	_, err := m.Apply(7, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
--- a/internal/fleetstate/role_change.go
+++ b/internal/fleetstate/role_change.go
@@ -1,4 +1,4 @@
-// The messages of turns: a worker that changes its part gets no new work meanwhile.
+// The messages of role changes: a worker that changes its part gets no new work meanwhile.
 
 package fleetstate
 
--- a/internal/fleetstate/role_change_test.go
+++ b/internal/fleetstate/role_change_test.go
@@ -13,7 +13,7 @@
 	"keelstair.example/logging"
 )
 
-// TestRoleChange: a turn stands until it is done; the same one again, or the end of none, changes
+// TestRoleChange: a role change stands until it is done; the same one again, or the end of none, changes
 // nothing and is no error to those who asked; another part replaces the first.
 func TestRoleChange(t *testing.T) {
 	s := newState(false, Retention{})
@@ -28,8 +28,8 @@
 	require.Equal(t, ids.Key("service/x"), ServiceKey("x"))
 }
 
-// TestRoleChangeInSnapshot: a copy made from a picture, whole or open, has the same turns, and
-// pictures of equal states are equal bytes.
+// TestRoleChangeInSnapshot: a copy made from a snapshot, whole or open, has the same role changes, and
+// snapshots of equal states are equal bytes.
 func TestRoleChangeInSnapshot(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	for _, w := range []ids.WorkerID{"c", "a", "b"} {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestRoleChangeInFeed: a view shows a turn as soon as it is folded, loudly, whether it came as
-// news or in a picture, and no longer once it is done; an older sight stays as it was.
+// TestRoleChangeInFeed: a view shows a role change as soon as it is folded, loudly, whether it came as
+// news or in a snapshot, and no longer once it is done; an older snapshot stays as it was.
 func TestRoleChangeInFeed(t *testing.T) {
 	v := NewView(logging.Discard())
 	require.True(t, v.Observe(1, RoleChangeKind, coordination.MustMarshal(&RoleChange{Worker: "w", To: ids.Decode})))
@@ -62,7 +62,7 @@
 	require.Empty(t, other.Current().RoleChanges)
 }
 
-// TestNext: a version gets the number it asks for if that is above the newest, staged ones
+// TestNext: a version gets the number it asks for if that is above the newest, prepared ones
 // included; else, or over another base, nothing changes.
 func TestNext(t *testing.T) {
 	s := newState(false, Retention{})
@@ -103,7 +103,7 @@
 	require.Error(t, do(t, s, CommitKind, &CommitVersion{6}), "an older one is not put in force any more")
 }
 
-// TestServiceKeys: each service of the policy in force has a duty of its own, and one more
+// TestServiceKeys: each service of the configuration in force has a duty of its own, and one more
 // stands for asking which workers there are; none where there is no service.
 func TestServiceKeys(t *testing.T) {
 	m := NewMachine(MachineOptions{})
--- a/internal/fleetstate/route.go
+++ b/internal/fleetstate/route.go
@@ -1,4 +1,4 @@
-// Routes and services: the part of a policy by which opaque requests are carried. A
+// Routes and services: the part of a configuration by which opaque requests are carried. A
 // route is picked by host and longest path prefix; a service is a set of workers that
 // the platform lists under one name.
 
@@ -138,7 +138,7 @@
 	hosts map[string][]*Route // longest prefix first
 }
 
-// NewTable sorts a policy's routes for look-ups.
+// NewTable sorts a configuration's routes for look-ups.
 func NewTable(p *Configuration) *Table {
 	t := &Table{hosts: map[string][]*Route{}}
 	for i := range p.Routes {
--- a/internal/fleetstate/route_test.go
+++ b/internal/fleetstate/route_test.go
@@ -1,4 +1,4 @@
-// Routes and services: finding them, and what a policy with them must hold.
+// Routes and services: finding them, and what a configuration with them must hold.
 
 package fleetstate
 
@@ -84,7 +84,7 @@
 	require.Equal(t, 20*time.Millisecond, (&Route{LatencyTargetMs: 20}).LatencyTarget())
 }
 
-// TestCheckRoutes: a policy with sound routes passes; each fault alone is refused, by the
+// TestCheckRoutes: a configuration with sound routes passes; each fault alone is refused, by the
 // route's name and its cause.
 func TestCheckRoutes(t *testing.T) {
 	sound := func() *Configuration {
@@ -141,8 +141,8 @@
 	intake: {}
 }`
 
-// TestCompleteRoutes: a CUE policy with routes and services is filled with the defaults, reads
-// back as itself, and keeps what was said; a policy without them stays without.
+// TestCompleteRoutes: a CUE configuration with routes and services is filled with the defaults, reads
+// back as itself, and keeps what was said; a configuration without them stays without.
 func TestCompleteRoutes(t *testing.T) {
 	p, text, err := ParseComplete("r.cue", []byte(routed))
 	require.NoError(t, err)
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -1,4 +1,4 @@
-// The state that the decrees and deeds build, the same on every copy. Commands
+// The state that the decrees and idempotency records build, the same on every copy. Commands
 // are types with an apply method; one that is refused changes nothing.
 
 package fleetstate
@@ -28,11 +28,11 @@
 	records        map[string]IdempotencyRecord
 	resolvedOrder  []string // settled, oldest first
 	aged           agedKeys
-	recordCount    int             // of all deeds there ever were
-	maxRecords     int             // that the policy in force allows
+	recordCount    int             // of all idempotency records there ever were
+	maxRecords     int             // that the configuration in force allows
 	revoked        map[string]bool // serials; true once in force everywhere
 	time           int64           // bound of the fleet's time
-	governed       bool            // the policy in force has regimes
+	governed       bool            // the configuration in force has regimes
 	audit          audit
 }
 
--- a/internal/fleetstate/version_history.go
+++ b/internal/fleetstate/version_history.go
@@ -1,4 +1,4 @@
-// A line of versions: staged one over the other, and put in force in their order. The
+// A line of versions: prepared one over the other, and put in force in their order. The
 // configuration is one, the program sets are another.
 
 package fleetstate
@@ -18,7 +18,7 @@
 	superseded supersededVersions
 }
 
-// all are the version in force and those that are staged, oldest first.
+// all are the version in force and those that are prepared, oldest first.
 func (l *versionHistory) all() []VersionedText {
 	return append([]VersionedText{l.active}, l.prepared...)
 }
@@ -30,7 +30,7 @@
 	return l.active
 }
 
-// compress makes the texts short, once, for a picture.
+// compress makes the texts short, once, for a snapshot.
 func (l *versionHistory) compress() {
 	l.active.Text = compress(l.active.Text)
 	for i := range l.prepared {
@@ -79,7 +79,7 @@
 			return r, nil
 		}
 	}
-	return VersionedText{}, failure.New(failure.Stale, "activate", "", "version %d is not staged", v)
+	return VersionedText{}, failure.New(failure.Stale, "commit", "", "version %d is not prepared", v)
 }
 
 func (c *PrepareVersion) apply(s *State) (msgp.Marshaler, error) { return s.prepare(c) }
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -1,6 +1,6 @@
-// The view is a node's folded sight of the lore, read without locks on the path
+// The view is a node's folded snapshot of the state, read without locks on the path
 // of a request. A version heard of in any message is put in force as soon as it
-// is staged here; until it is, the view says that new picks must be held.
+// is prepared here; until it is, the view says that new picks must be held.
 
 package fleetstate
 
@@ -48,12 +48,12 @@
 	Set           *routing.ProgramSet
 }
 
-// View is a coordination.Follower. Ready is called with every policy as it is staged,
+// View is a coordination.Watcher. Ready is called with every configuration as it is prepared,
 // so that programs are compiled before they are in force.
 type View struct {
 	Ready func(ids.Version, *Configuration)
 	Ring  *logging.Ring
-	Read  ConfigurationReader // Plain, if it is not set: makes a policy of a text
+	Read  ConfigurationReader // Plain, if it is not set: makes a configuration of a text
 	// Scores of programs; where it is not set, program sets are not compiled.
 	Scores *routing.Scores
 
@@ -156,14 +156,14 @@
 	return out
 }
 
-// RecordCount tells how many deeds there are, and how many there may be.
+// RecordCount tells how many idempotency records there are, and how many there may be.
 func (v *View) RecordCount() (count, limit int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.state.recordCount, v.current.Load().Configuration.Limits.MaxRecords
 }
 
-// publish swaps in the next sight. Old streams keep the sight they began with.
+// publish swaps in the next snapshot. Old streams keep the snapshot they began with.
 func (v *View) publish() {
 	all := v.state.all()
 	now := v.newestInForce(all)
@@ -264,7 +264,7 @@
 	}
 }
 
-// compilePrograms compiles the program sets as they are staged, and gives the one in force. One that
+// compilePrograms compiles the program sets as they are prepared, and gives the one in force. One that
 // does not compile here leaves the one before it in force.
 func (v *View) compilePrograms() *CompiledPrograms {
 	previous := v.current.Load().Programs
--- a/internal/fleetstate/zones_test.go
+++ b/internal/fleetstate/zones_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestFailback: a copy that leads tells for how long a zone has been back; one that takes
-// over, or that was given the picture, begins from what it was told, never later. When the
+// over, or that was given the snapshot, begins from what it was told, never later. When the
 // longest time of all services went by the zone is no longer told of. A second return has
 // another number.
 func TestFailback(t *testing.T) {
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -46,7 +46,7 @@
 	return policy([]fleetstate.Route{route("urgent", "/stream/now/", 0), route("patient", "/stream/then/", 7)}, fleetstate.Service{Name: "svc", Concurrency: 8, RoleChangeMs: 1000})
 }
 
-// run gives all callers with their ends, and the yard's book.
+// run gives all callers with their ends, and the fake platform's book.
 func (c crowd) run(t *testing.T, seed uint64) ([]*client, []row, []*asked) {
 	all := both("svc", 3, 4)
 	for _, s := range all {
--- a/internal/proxy/candidate_index.go
+++ b/internal/proxy/candidate_index.go
@@ -1,5 +1,5 @@
 // The workers that may get new work, by service and part, made once for each version of the
-// list and of the sight, so that no request walks the whole list or hashes a worker's id.
+// list and of the snapshot, so that no request walks the whole list or hashes a worker's id.
 
 package proxy
 
@@ -33,7 +33,7 @@
 	ranks    map[string][]int // by service: the urgencies of its routes, least urgent first
 }
 
-// candidateIndexFor gives the table of a list under a sight.
+// candidateIndexFor gives the table of a list under a snapshot.
 func (n *Node) candidateIndexFor(list *endpointList, s *fleetstate.Snapshot) *candidateIndex {
 	if t := n.candidates.Load(); t != nil && t.seq == list.seq && t.snapshot == s {
 		return t
--- a/internal/proxy/check_test.go
+++ b/internal/proxy/check_test.go
@@ -1,4 +1,4 @@
-// Checkers over the yard's book and the callers' ends, and planted violations that each
+// Checkers over the fake platform's book and the callers' ends, and planted violations that each
 // of them must catch.
 
 package proxy
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -134,7 +134,7 @@
 }
 
 // TestNeverBack: versions come while leaders lose power, nodes are cut off from the core
-// and follow their neighbours, and nodes start anew: the version in force at a node never
+// and follow their peers, and nodes start anew: the version in force at a node never
 // falls, the same number has the same text at all, and in the end all have the newest.
 func TestNeverBack(t *testing.T) {
 	eachSeed(t, 4, func(t *testing.T, seed uint64) {
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -1,4 +1,4 @@
-// Small fleets on simulated machines: three cores, some relay nodes, a yard of workers.
+// Small fleets on simulated machines: three cores, some relay nodes, a fake platform of workers.
 
 package proxy
 
--- a/internal/proxy/list_version.go
+++ b/internal/proxy/list_version.go
@@ -64,7 +64,7 @@
 	return changed, at == version && version != 0
 }
 
-// next makes the roster that follows. A version of 0 stands for one that this node finds.
+// next makes the endpoint list that follows. A version of 0 stands for one that this node finds.
 func (r *endpointList) next(list []Worker, version uint64, asked, got ids.Tick) *endpointList {
 	list = sortedByID(list)
 	out := &endpointList{
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -266,7 +266,7 @@
 	return true, ""
 }
 
-// deal is the program set that a sight has, else the one the node began with.
+// deal is the program set that a snapshot has, else the one the node began with.
 func (n *Node) deal(s *fleetstate.Snapshot) *fleetstate.CompiledPrograms {
 	if s.Programs != nil {
 		return s.Programs
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -1,4 +1,4 @@
-// Outlier ejection: whether a worker is sick is told by how this node's sendings to it end,
+// Outlier ejection: whether a worker is unhealthy is told by how this node's sendings to it end,
 // not by what it reports. One whose failures stand out against the rest of its service's
 // part is left out for a span that grows with each time, then a trickle decides. The bound
 // on how many are out, and that those are used when no other is left, keep a mistake cheap.
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -25,14 +25,14 @@
 	out, all int
 }
 
-// ward runs a load over workers some of which are sick, and watches what is out.
+// ward runs a load over workers some of which are unhealthy, and watches what is out.
 type ward struct {
 	seed     uint64
 	nodes    int
 	parts    int // workers of each part
 	rate     float64
 	span     time.Duration
-	sick     func(k row) fate // under the yard's lock
+	sick     func(k row) fate // under the fake platform's lock
 	tune     func(*Options)
 	act      func(f *fleet, y *workerPool)
 	route    string // all four by turns if it is empty
@@ -135,7 +135,7 @@
 	return done, all
 }
 
-// sound holds what must be so whatever is sick.
+// sound holds what must be so whatever is unhealthy.
 func (w *ward) sound(t *testing.T) {
 	require.Empty(t, onceOnly(w.rows, w.asks))
 	require.Empty(t, ended(w.asks, 8500*time.Millisecond))
@@ -176,7 +176,7 @@
 	return float64(hit) / float64(max(1, all))
 }
 
-// falls: the sick workers' share of sendings falls to the part given of what is fair.
+// falls: the unhealthy workers' share of sendings falls to the part given of what is fair.
 func falls(rows []row, unhealthy map[ids.WorkerID]bool, fair, role float64, from, to time.Duration) []string {
 	if s := share(rows, unhealthy, from, to); s > role*fair {
 		return []string{fmt.Sprintf("%.3f of the sendings go to sick workers, whose fair share is %.3f", s, fair)}
@@ -613,7 +613,7 @@
 }
 
 // TestSparse: many nodes before many workers, so that each node sends little to each worker:
-// what the nodes tell each other has the sick found in time, where each alone finds none.
+// what the nodes tell each other has the unhealthy found in time, where each alone finds none.
 func TestSparse(t *testing.T) {
 	eachSeed(t, 2, func(t *testing.T, seed uint64) {
 		hit := some(seed, 0.45)
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestTable: the table gives the same workers and homes as the whole list does, under each
-// version of the list and of the sight.
+// version of the list and of the snapshot.
 func TestTable(t *testing.T) {
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 	require.NoError(t, err)
--- a/internal/proxy/proxy_cluster_test.go
+++ b/internal/proxy/proxy_cluster_test.go
@@ -1,4 +1,4 @@
-// A yard of stand-in workers behind a Backend: parts, slots, queues, silence, resets,
+// A fake platform of stand-in workers behind a Backend: parts, slots, queues, silence, resets,
 // turning away, handles that can be had once, events with ids, reports and orders. It
 // keeps a book of what arrived when, and what ran.
 
@@ -140,7 +140,7 @@
 
 func (y *workerPool) now() time.Duration { return time.Since(y.start) }
 
-// at changes the yard.
+// at changes the fake platform.
 func (y *workerPool) at(f func()) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
@@ -261,7 +261,7 @@
 	return 0
 }
 
-// arrive writes a call into the book and says what becomes of it. The yard is locked.
+// arrive writes a call into the book and says what becomes of it. The fake platform is locked.
 func (b *back) arrive(k row, s *stand, w Worker) (*row, fate, error) {
 	y := b.y
 	if duration, ok := y.chill[s.Zone]; ok && s.warm.IsZero() {
@@ -296,7 +296,7 @@
 	return 2 * s.Concurrency
 }
 
-// mark keeps how a worker stands for late reports. The yard is locked.
+// mark keeps how a worker stands for late reports. The fake platform is locked.
 func (y *workerPool) mark(s *stand) {
 	for y.lag > 0 && len(s.past) > 1 && time.Since(s.past[1].at) > y.lag {
 		s.past = s.past[1:]
@@ -304,7 +304,7 @@
 	s.past = append(s.past, snap{time.Now(), s.running, s.waiting, s.used})
 }
 
-// shown is how a worker stood a lag ago. The yard is locked.
+// shown is how a worker stood a lag ago. The fake platform is locked.
 func (y *workerPool) shown(s *stand) snap {
 	out := snap{running: s.running, waiting: s.waiting, used: s.used}
 	for i := len(s.past) - 1; y.lag > 0 && i >= 0; i-- {
@@ -435,7 +435,7 @@
 	return &PrefillResult{Handle: name, Tokens: r.Prompt, Load: y.load(s)}, nil
 }
 
-// fetch has memory of a source, once. The yard is locked.
+// fetch has memory of a source, once. The fake platform is locked.
 func (y *workerPool) fetch(source *Source) bool {
 	h := y.handles[source.Handle]
 	if h == nil || h.had > 0 || h.freed {
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -320,7 +320,7 @@
 }
 
 // TestColdZoneBackLate: a node that starts some seconds after a zone was taken back, by the
-// core's news or by a neighbour's with the core away, counts its workers as cold for what
+// core's news or by a peer's with the core away, counts its workers as cold for what
 // is left of their time, not anew.
 func TestColdZoneBackLate(t *testing.T) {
 	bubble(t, func(t *testing.T) {
--- a/internal/proxy/worker_state.go
+++ b/internal/proxy/worker_state.go
@@ -41,7 +41,7 @@
 	return v.(*workerState)
 }
 
-// acceptsWork tells whether a worker may get new work under a sight.
+// acceptsWork tells whether a worker may get new work under a snapshot.
 func acceptsWork(s *fleetstate.Snapshot, w *Worker) bool {
 	_, turning := s.RoleChanges[w.ID]
 	return !w.Leaving && !turning && !s.Zones[w.Zone] && !s.Drained[w.ID]
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// takenOver is the record of a deed that is settled for a node that died.
+// takenOver is the record of an idempotency record that is settled for a node that died.
 func (n *Node) takenOver(d *fleetstate.IdempotencyRecord, fate string) []byte {
 	kind, _, _ := strings.Cut(d.Key, "/")
 	h := &transport{node: n, kind: kind, regime: n.view.Current().Register.Governs(kind)}
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -142,7 +142,7 @@
 	return out.Put(api.StreamEvent{Index: count, End: api.Broken, Count: count, Error: &no})
 }
 
-// claim takes the key; a deed is given if it was taken before.
+// claim takes the key; an idempotency record is given if it was taken before.
 func (n *Node) claim(
 	ctx context.Context,
 	key string,
--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -270,7 +270,7 @@
 	}
 }
 
-// deeds warns early of a store that fills up.
+// idempotency records warns early of a store that fills up.
 func (f *Forecast) deeds(st *router.NodeStatus, next *fleetstate.Configuration) {
 	if n, limit := st.Deeds[0], next.Limits.MaxRecords; limit > 0 && n*10 >= limit*8 {
 		f.warn("%d of %d deeds are taken; at the last one new keys are bounced: raise limits.deeds", n, limit)
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -64,7 +64,7 @@
 	return b
 }
 
-// heartbeatLoop asks all neighbours at each beat, whether or not the earlier askings are answered:
+// heartbeatLoop asks all peers at each heartbeat, whether or not the earlier askings are answered:
 // one that is silent keeps nobody from being asked.
 func (n *Node) heartbeatLoop(ctx context.Context) {
 	var rounds sync.WaitGroup
@@ -111,8 +111,8 @@
 	n.peers.Store(b.Node, peerStatus{n.now(), told, time.Duration(b.Fresh), b.Workers, b.Leaving})
 }
 
-// learn takes a neighbour's beat; it counts as heard once its version is noted. A newer version than is staged here is
-// fetched from that neighbour at once.
+// learn takes a peer's heartbeat; it counts as heard once its version is noted. A newer version than is staged here is
+// fetched from that peer at once.
 func (n *Node) learn(ctx context.Context, m coordination.Member, b *Heartbeat, told ids.Tick) {
 	if !n.view.NoteVersion(b.Version) {
 		go n.agent.Fetch(ctx, m.Addr)
@@ -201,7 +201,7 @@
 
 // knowsNewest tells that this node would have heard of a newer version: within the last
 // half second the core confirmed it, with all news up to then folded, or most members,
-// with it, answered what they were asked since. (A beat that comes by itself may have
+// with it, answered what they were asked since. (A heartbeat that comes by itself may have
 // waited behind a cut and tell of the time before it.) A staged
 // version waits for silent nodes nearly as long before it is in force anywhere.
 func (n *Node) knowsNewest() bool {
--- a/internal/router/heartbeat_test.go
+++ b/internal/router/heartbeat_test.go
@@ -1,4 +1,4 @@
-// Which beats tell that a node is not behind.
+// Which heartbeats tell that a node is not behind.
 
 package router
 
@@ -18,9 +18,9 @@
 	"keelstair.example/rpc"
 )
 
-// TestCurrentByAnswers: with the core away, a neighbour that beats by itself may tell of a
+// TestCurrentByAnswers: with the core away, a peer that heartbeats by itself may tell of a
 // time before a cut and counts for nothing, nor does an answer to what was asked too long
-// ago; an answer to a late asking counts, also once a beat came after it, for as long as from its asking.
+// ago; an answer to a late asking counts, also once a heartbeat came after it, for as long as from its asking.
 func TestCurrentByAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -67,7 +67,7 @@
 }
 
 // TestLongestHold: with the core away and one of three members silent, a node whose other
-// neighbour answers, however slowly within two beats, never holds its picks; once that one
+// peer answers, however slowly within two heartbeats, never holds its picks; once that one
 // is silent too, it holds within the span and goes on as soon as it is answered again.
 func TestLongestHold(t *testing.T) {
 	for _, slow := range []time.Duration{0, 60 * time.Millisecond, 140 * time.Millisecond, 250 * time.Millisecond} {
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -33,7 +33,7 @@
 	Ring              *logging.Ring
 	LeaseDuration     time.Duration // 3s
 	RenewInterval     time.Duration // 500ms
-	HeartbeatInterval time.Duration // 150ms between neighbours
+	HeartbeatInterval time.Duration // 150ms between peers
 	PollInterval      time.Duration // 200ms between reports of a worker
 	ListInterval      time.Duration // 400ms between askings of the platform's list
 	OrphanTimeout     time.Duration // 2s, the same as the workers'
@@ -69,7 +69,7 @@
 
 	programSets  sync.Map // ids.Version -> *routing.Deck
 	endpoints    atomic.Pointer[map[ids.WorkerID]workerclient.ListedWorker]
-	listed       atomic.Int64 // when the roster was had
+	listed       atomic.Int64 // when the endpoint list was had
 	workerStatus atomic.Pointer[map[ids.WorkerID]WorkerStatus]
 	leave        atomic.Pointer[map[ids.WorkerID]bool]
 	peers        sync.Map // ids.NodeID -> mate
@@ -140,10 +140,10 @@
 // Me is how the core knows this node.
 func (n *Node) Me() coordination.Member { return n.self }
 
-// View shows what the node knows of the lore.
+// View shows what the node knows of the state.
 func (n *Node) View() *fleetstate.View { return n.view }
 
-// Mount puts the node's answers to its neighbours on a mux.
+// Mount puts the node's answers to its peers on a mux.
 func (n *Node) Mount(mux *http.ServeMux) {
 	n.agent.Mount(mux)
 	rpc.Handle(mux, OrderMethod, n.handleOrder)
@@ -221,7 +221,7 @@
 	return true, ""
 }
 
-// fit tells whether a worker may get new work under a sight.
+// fit tells whether a worker may get new work under a snapshot.
 func (n *Node) fit(s *fleetstate.Snapshot, id ids.WorkerID) bool {
 	w, ok := s.Configuration.Workers[id]
 	if !ok || s.Drained[id] || s.Zones[w.Zone] {
--- a/internal/router/resolve.go
+++ b/internal/router/resolve.go
@@ -1,6 +1,6 @@
 // Settling the claims of nodes that died: one node holds the duty, seizes each
 // such claim under its fence, cancels the request on every worker, and records
-// what the workers say became of it. And the purse: the retry budget that all
+// what the workers say became of it. And the retry tokens: the retry budget that all
 // nodes share, kept by one, empty in new hands.
 
 package router
@@ -90,7 +90,7 @@
 	return fleetstate.MayHaveRun, nil
 }
 
-// mayRead tells whether this node may read the outcome of a deed: of a governed one only
+// mayRead tells whether this node may read the outcome of an idempotency record: of a governed one only
 // if it is certified.
 func (n *Node) mayRead(key string) bool {
 	kind, _, _ := strings.Cut(key, "/")
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -134,7 +134,7 @@
 	return leave, nil
 }
 
-// programsAt gives the programs of a sight.
+// programsAt gives the programs of a snapshot.
 func (n *Node) programsAt(s *fleetstate.Snapshot) *routing.ProgramSet {
 	if v, ok := n.programSets.Load(s.Version); ok {
 		return v.(*routing.ProgramSet)
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -18,7 +18,7 @@
 	"keelstair.example/rpc"
 )
 
-// transport act for one request under the sight it began with; whether a worker may
+// transport act for one request under the snapshot it began with; whether a worker may
 // get new work is always asked of the newest.
 type transport struct {
 	node     *Node
--- a/internal/router/unresolved_claims.go
+++ b/internal/router/unresolved_claims.go
@@ -1,4 +1,4 @@
-// Debts: what a node owes the core's records. A claim whose fate was not learnt
+// Unresolved claims: what a node owes the core's records. A claim whose fate was not learnt
 // in time, or an outcome that could not be recorded while the core was away, is
 // asked again with the same operation until it is known; so no key stays claimed
 // by a node that lives and does not run it.
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -73,7 +73,7 @@
 // BuiltIn is the built-in order: for prefill the least busy, for decode the most
 // free blocks, and where a cost was reckoned, the cheapest; among equals the request decides,
 // so that calls which come between
-// two beats do not all fall to one worker.
+// two heartbeats do not all fall to one worker.
 type BuiltIn struct{}
 
 // Match returns all candidates.
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -68,7 +68,7 @@
 	failure.OutcomeUnknown:  connect.CodeUnknown,
 }
 
-// Handle serves f under a name such as "crux/append".
+// Handle serves f under a name such as "coordination/append".
 func Handle[Q, A any](mux *http.ServeMux, name string, f func(context.Context, *Q) (*A, error)) {
 	h := connect.NewUnaryHandler(
 		"/"+name,
