--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// harm breaks the fleet once, as asked.
-func (f *fleet) harm(ctx context.Context, how string) {
-	lead := f.tenetThatLeads()
+// injectFault breaks the fleet once, as asked.
+func (f *fleet) injectFault(ctx context.Context, how string) {
+	lead := f.leadingController()
 	logf("breaking: %s", how)
 	back := func(p *proc, wait time.Duration) {
 		if host.Sleep(ctx, wait) {
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -158,7 +158,7 @@
 	if err := save(opt.Dir, "keelstair-testbed.json", f.procs); err != nil {
 		return f, err
 	}
-	if err := f.settle(ctx, names); err != nil || !opt.Regimes {
+	if err := f.awaitReady(ctx, names); err != nil || !opt.Regimes {
 		return f, err
 	}
 	return f, f.certify(ctx)
@@ -213,9 +213,9 @@
 	}
 }
 
-// settle lists all at the platform, applies the configuration, and waits until
+// awaitReady lists all at the platform, applies the configuration, and waits until
 // every node is ready.
-func (f *fleet) settle(ctx context.Context, names []ids.WorkerID) error {
+func (f *fleet) awaitReady(ctx context.Context, names []ids.WorkerID) error {
 	begun := time.Now()
 	for _, p := range f.of("worker-") {
 		l := workerclient.ListedWorker{
--- a/cmd/keelstair-testbed/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -122,7 +122,7 @@
 func (f *fleet) revoke(ctx context.Context) {
 	for i, name := range []string{"d1", "p1", "d2"} {
 		if i == 1 {
-			lead := f.tenetThatLeads()
+			lead := f.leadingController()
 			go func() {
 				lead.kill()
 				if host.Sleep(ctx, 2*time.Second) {
--- a/cmd/keelstair-testbed/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -28,7 +28,7 @@
 	duration := time.Duration(c.Load) * time.Second
 	go func() {
 		if host.Sleep(cx, duration/3) {
-			f.harm(cx, c.Break)
+			f.injectFault(cx, c.Break)
 		}
 	}()
 	begun := time.Now()
@@ -64,11 +64,11 @@
 // kind, and of the doors of each zone that still has a node.
 func (f *fleet) gaps(all []standin.Outcome, from, to time.Duration) []string {
 	var out []string
-	note := func(name string, counts func(standin.Outcome) bool) {
+	record := func(name string, counts func(standin.Outcome) bool) {
 		out = append(out, fmt.Sprintf("%s %.2f s", name, standin.Back(all, from, to, counts).Seconds()))
 	}
 	for _, sh := range f.site.Shapes {
-		note(sh.Kind, func(o standin.Outcome) bool { return o.Kind == sh.Kind })
+		record(sh.Kind, func(o standin.Outcome) bool { return o.Kind == sh.Kind })
 	}
 	for _, z := range f.site.Zones {
 		doors := map[string]bool{}
@@ -78,7 +78,7 @@
 			}
 		}
 		if len(doors) > 0 {
-			note("doors of "+string(z), func(o standin.Outcome) bool { return doors[o.Node] })
+			record("doors of "+string(z), func(o standin.Outcome) bool { return doors[o.Node] })
 		}
 	}
 	return out
@@ -106,7 +106,7 @@
 	return runs, doubles
 }
 
-func (f *fleet) tenetThatLeads() *proc {
+func (f *fleet) leadingController() *proc {
 	for _, p := range f.of("controller") {
 		var st struct{ Leads bool }
 		r, err := web.Get("http://" + p.Addr + "/v1/status")
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -184,12 +184,12 @@
 	if file == "" {
 		return print(sh)
 	}
-	var whole bytes.Buffer
-	if err := json.Indent(&whole, sh.Policy, "", "  "); err != nil {
+	var complete bytes.Buffer
+	if err := json.Indent(&complete, sh.Policy, "", "  "); err != nil {
 		return err
 	}
 	fmt.Printf("version %d\n", sh.Version)
-	return os.WriteFile(file, append(whole.Bytes(), '\n'), 0o644)
+	return os.WriteFile(file, append(complete.Bytes(), '\n'), 0o644)
 }
 
 func (s *options) diff(c *diffCmd) error {
--- a/coordination/cutoff_test.go
+++ b/coordination/cutoff_test.go
@@ -81,7 +81,7 @@
 					), func(t *testing.T) {
 						t.Parallel()
 						synctest.Test(t, func(t *testing.T) {
-							cutOff(t, size.machines, size.losses, first, second, how)
+							partitioned(t, size.machines, size.losses, first, second, how)
 						})
 					})
 				}
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func cutOff(t *testing.T, machines, faultTolerance, first, second int, how direction) {
+func partitioned(t *testing.T, machines, faultTolerance, first, second int, how direction) {
 	f := buildOf(uint64(first*7+second+1), machines, faultTolerance)
 	defer f.close()
 	require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// ballotVote is one replica's answer in a round.
-type ballotVote struct {
+// vote is one replica's answer in a round.
+type vote struct {
 	from     Replica
 	response *BallotResponse
 }
@@ -57,9 +57,9 @@
 ) (Record, []Replica) {
 	ctx, stop := context.WithTimeout(ctx, voteWait)
 	defer stop()
-	votes := make(chan ballotVote, len(whom))
+	votes := make(chan vote, len(whom))
 	for _, s := range whom {
-		go func() { votes <- ballotVote{s, c.requestVote(ctx, s, request)} }()
+		go func() { votes <- vote{s, c.requestVote(ctx, s, request)} }()
 	}
 	var newest Record
 	var yes []Replica
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -349,9 +349,9 @@
 	})
 }
 
-// TestLeavingInTurn: of three machines the next is asked to leave before the one before it is
+// TestLeavingOneAfterAnother: of three machines the next is asked to leave before the one before it is
 // back. Each waits until the data has its two copies elsewhere, and then ends.
-func TestLeavingInTurn(t *testing.T) {
+func TestLeavingOneAfterAnother(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
--- a/coordination/wipe_test.go
+++ b/coordination/wipe_test.go
@@ -36,11 +36,11 @@
 	})
 }
 
-// TestLostInTurn: the primary's disk is lost, its machine is back at once with an empty one,
+// TestLostOneAfterAnother: the primary's disk is lost, its machine is back at once with an empty one,
 // or another machine takes its place at a new address. Four seconds after the newcomer's
 // start the next primary's disk is lost, and so on: each time the newcomer has the register
 // by then, so the core goes on with all that was acknowledged. Many seeds.
-func TestLostInTurn(t *testing.T) {
+func TestLostOneAfterAnother(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
--- a/internal/api/client.go
+++ b/internal/api/client.go
@@ -46,18 +46,18 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	type told struct {
+	type response struct {
 		body []byte
 		err  error
 	}
-	got := make(chan told, len(doors))
+	got := make(chan response, len(doors))
 	last := failure.New(failure.Unavailable, "ask doors", "", "no door is known")
 	next, open := 0, 0
 	for {
 		if next < len(doors) {
 			go func(d string) {
 				b, err := put(ctx, web, d, method, path, body, in != nil)
-				got <- told{b, err}
+				got <- response{b, err}
 			}(doors[next])
 			next, open = next+1, open+1
 		}
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -127,7 +127,7 @@
 // Bounds on what operators send and get.
 const (
 	maxPolicy    = 8 << 20 // bytes of a configuration
-	maxMark      = 4096    // bytes of another order
+	maxMarkBytes = 4096    // bytes of another order
 	maxAuditRows = 500     // rows of the audit record in an answer
 )
 
@@ -181,7 +181,7 @@
 func markHandler(f func(context.Context, string, *MarkRequest) (*ApplyResponse, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var m MarkRequest
-		if fault := Read(r, &m, maxMark); fault != nil {
+		if fault := Read(r, &m, maxMarkBytes); fault != nil {
 			NotExecuted(w, fault)
 			return
 		}
--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -133,7 +133,7 @@
 	f := &inFlight{Controller: c, task: t, put: put}
 	start := c.Clock.Now()
 	excluded := map[ids.WorkerID]bool{}
-	tries, since := 0, ids.Tick(0)
+	attempts, since := 0, ids.Tick(0)
 	for n := 1; ; n++ {
 		f.id = workerclient.ID{Request: t.Identity.ID.Request, Attempt: n}
 		f.from, f.to, f.incarnation, f.runs = "", "", "", false
@@ -155,20 +155,20 @@
 		}
 		late := len(f.sent) == 0 && c.Clock.Now().Past(start, t.GiveUp)
 		// Few workers may take over a governed stream: it waits for one of them.
-		switch tries++; {
+		switch attempts++; {
 		case t.Regime == "" || f.from != "" || f.to != "" || len(f.sent) == 0:
 			since = 0
 		case since == 0:
-			since, tries = c.Clock.Now(), tries-1
+			since, attempts = c.Clock.Now(), attempts-1
 		case !c.Clock.Now().Past(since, f.timeLeft()):
-			tries--
+			attempts--
 		}
 		switch {
 		case gone:
 			return f.verdict(failure.As(ctx.Err(), failure.DataLost, "origin went away", ""))
 		case failure.Is(err, failure.InvalidArgument):
 			return err
-		case tries >= t.MaxAttempts || late:
+		case attempts >= t.MaxAttempts || late:
 			return f.verdict(err)
 		case f.from == "" && f.to == "" && len(f.sent) == 0 && n == 1:
 			return f.verdict(err)
--- a/internal/handoff/controller_test.go
+++ b/internal/handoff/controller_test.go
@@ -294,7 +294,7 @@
 // when its worker cannot be asked, nor when it began a new life, nor when it was
 // stopped midway. One that surely never began is tried again.
 func TestClaimedOnce(t *testing.T) {
-	cut := func(n, from int, put func(workerclient.TokenEvent) error) error {
+	truncated := func(n, from int, put func(workerclient.TokenEvent) error) error {
 		if n == 1 {
 			return lost()
 		}
@@ -310,7 +310,7 @@
 			return &workerclient.OrderResponse{Fate: workerclient.FateStopped, Incarnation: "one"}, nil
 		},
 	} {
-		s := &script{coins: 5, stream: cut, fate: fate}
+		s := &script{coins: 5, stream: truncated, fate: fate}
 		_, _, err := play(t, s, true)
 		require.True(t, failure.Is(err, failure.OutcomeUnknown), "%s: %v", name, err)
 		require.Equal(t, 1, s.resumes, name)
@@ -324,7 +324,7 @@
 	got, _, err := play(t, s, true)
 	require.NoError(t, err)
 	require.Equal(t, answer, got)
-	s = &script{stream: cut, fate: func(int) (*workerclient.OrderResponse, error) {
+	s = &script{stream: truncated, fate: func(int) (*workerclient.OrderResponse, error) {
 		return &workerclient.OrderResponse{
 			Fate:        workerclient.FateFinished,
 			Done:        true,
@@ -342,16 +342,16 @@
 // anew before a resume elsewhere: at the next worker when one bounced the import, or
 // in another life than was known. What cannot be told is not resumed.
 func TestClaimedWhere(t *testing.T) {
-	var told []string
+	var received []string
 	s := &script{coins: 5, full: map[ids.WorkerID]bool{"d1": true}}
 	s.claim = func(w ids.WorkerID, incarnation ids.Incarnation) error {
 		require.Zero(t, s.resumes)
-		told = append(told, string(w)+"/"+string(incarnation))
+		received = append(received, string(w)+"/"+string(incarnation))
 		return nil
 	}
 	_, _, err := play(t, s, true)
 	require.NoError(t, err)
-	require.Equal(t, []string{"d1/", "d2/one"}, told)
+	require.Equal(t, []string{"d1/", "d2/one"}, received)
 	s = &script{coins: 5}
 	n := 0
 	s.claim = func(ids.WorkerID, ids.Incarnation) error {
@@ -397,9 +397,9 @@
 	require.Greater(t, again.Sub(begun), 2*time.Second)
 }
 
-// TestGovernedWaits: a governed stream that has begun and finds nobody cleared waits for
+// TestRegimeWaits: a governed stream that has begun and finds nobody cleared waits for
 // one that is, within its patience; another one is given up after its tries.
-func TestGovernedWaits(t *testing.T) {
+func TestRegimeWaits(t *testing.T) {
 	complete := func(n, from int, put func(workerclient.TokenEvent) error) error {
 		if n == 1 {
 			return send(put, from, 3, false)
--- a/internal/handoff/memory_ledger.go
+++ b/internal/handoff/memory_ledger.go
@@ -200,7 +200,7 @@
 }
 
 // Beside is how many of a cap's starts there are beside so many percent that are kept.
-func Beside(most, keep int) int { return max(1, most*(100-keep)/100) }
+func Beside(limit, keep int) int { return max(1, limit*(100-keep)/100) }
 
 // ReserveBeside books room that leaves so many percent of all room and starts free.
 func (l *MemoryLedger) ReserveBeside(id workerclient.ID, blocks, keep int, now ids.Tick) error {
--- a/internal/handoff/retry_after.go
+++ b/internal/handoff/retry_after.go
@@ -47,15 +47,15 @@
 }
 
 // Next books an appointment no sooner than a span from now; done are completions so far.
-func (t *RetryAfterScheduler) Next(now ids.Tick, done int64, least time.Duration) time.Duration {
+func (t *RetryAfterScheduler) Next(now ids.Tick, done int64, minimum time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.roll(now, done)
 	room := max(cmp.Or(t.MinPerSecond, minPerSecond), int(t.rate*overbooking))
-	at := min(int(least/time.Second), bookableSeconds-1)
+	at := min(int(minimum/time.Second), bookableSeconds-1)
 	for at < bookableSeconds-1 && t.booked[at] >= room {
 		at++
 	}
 	t.booked[at]++
-	return max(least, time.Duration(at)*time.Second) + rand.N(time.Second)
+	return max(minimum, time.Duration(at)*time.Second) + rand.N(time.Second)
 }
--- a/internal/handoff/retry_after_test.go
+++ b/internal/handoff/retry_after_test.go
@@ -11,10 +11,10 @@
 	"keelstair.example/ids"
 )
 
-// TestTide: many that are bounced at once are spread over seconds by the rate of
+// TestRetryAfterScheduler: many that are bounced at once are spread over seconds by the rate of
 // completions, none sooner than the least and none later than the book reaches; a few
 // come back soon; and seconds that went by are free again.
-func TestTide(t *testing.T) {
+func TestRetryAfterScheduler(t *testing.T) {
 	at := func(ms int) ids.Tick { return ids.Tick(time.Duration(100_000+ms) * time.Millisecond) }
 	var b RetryAfterScheduler
 	for s := range 6 {
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -20,34 +20,34 @@
 type client struct {
 	urgent, rude bool
 	tries        []*asked
-	worth        float64 // of 1: in time 1, late a half, refused and then in time the mean
+	value        float64 // of 1: in time 1, late a half, refused and then in time the mean
 	served       bool
 	quick        bool // served within its aim, counted from the first try or from the one after a refusal
 }
 
 const (
-	crowdAim  = 600 * time.Millisecond
-	crowdWait = 3 * time.Second
+	overloadTarget  = 600 * time.Millisecond
+	overloadTimeout = 3 * time.Second
 )
 
-// crowd is an overload: rate is what one second brings, of which some part is rude, for a span.
-type crowd struct {
+// overload is an overload: rate is what one second brings, of which some part is rude, for a span.
+type overload struct {
 	rate, rude    float64
-	span          time.Duration
+	duration      time.Duration
 	prompt, most  int
 	readers, emit int // places of each of three and of four workers
 	admit         float64
 }
 
-func (c crowd) policy() []byte {
+func (c overload) policy() []byte {
 	route := func(name, prefix string, urgency int) fleetstate.Route {
-		return fleetstate.Route{Name: name, Host: routeHost, Prefix: prefix, Service: "svc", Disaggregated: true, Stream: true, MaxAttempts: 2, DeadlineMs: 3000, LatencyTargetMs: int(crowdAim / time.Millisecond), TokenIntervalMs: 200, Urgency: urgency}
+		return fleetstate.Route{Name: name, Host: routeHost, Prefix: prefix, Service: "svc", Disaggregated: true, Stream: true, MaxAttempts: 2, DeadlineMs: 3000, LatencyTargetMs: int(overloadTarget / time.Millisecond), TokenIntervalMs: 200, Urgency: urgency}
 	}
 	return policy([]fleetstate.Route{route("urgent", "/stream/now/", 0), route("patient", "/stream/then/", 7)}, fleetstate.Service{Name: "svc", Concurrency: 8, RoleChangeMs: 1000})
 }
 
 // run gives all callers with their ends, and the fake platform's book.
-func (c crowd) run(t *testing.T, seed uint64) ([]*client, []row, []*asked) {
+func (c overload) run(t *testing.T, seed uint64) ([]*client, []row, []*asked) {
 	all := both("svc", 3, 4)
 	for _, s := range all {
 		if s.Concurrency = c.emit; s.Role == ids.Prefill {
@@ -56,7 +56,7 @@
 	}
 	y := newCluster(all...)
 	if raced {
-		c.span /= 3
+		c.duration /= 3
 	}
 	y.lag, y.queue, y.direct = 300*time.Millisecond, 40, 25
 	f := build(t, seed, 4, y, c.policy(), func(o *Options) {
@@ -68,7 +68,7 @@
 	var wg sync.WaitGroup
 	var out []*client
 	gap := time.Duration(float64(time.Second) / c.rate)
-	for i, end := 0, time.Now().Add(c.span); time.Now().Before(end); i++ {
+	for i, end := 0, time.Now().Add(c.duration); time.Now().Before(end); i++ {
 		one := &client{urgent: rng.IntN(2) == 0, rude: rng.Float64() < c.rude}
 		out = append(out, one)
 		at, by := rng.IntN(4), rng.IntN(3)+1
@@ -76,12 +76,12 @@
 		time.Sleep(gap)
 	}
 	wg.Wait()
-	return out, y.book(), f.asks
+	return out, y.directory(), f.asks
 }
 
 // ask has a caller try: a polite one once more when it was told to, a rude one at once and
 // often.
-func (c *client) ask(f *fleet, w crowd, i, at, by int) {
+func (c *client) ask(f *fleet, w overload, i, at, by int) {
 	first := time.Now()
 	path, more := "/stream/then/x", 1
 	if c.urgent {
@@ -92,7 +92,7 @@
 	}
 	var refused bool
 	for k := 0; k <= more; k++ {
-		left := crowdWait - time.Since(first)
+		left := overloadTimeout - time.Since(first)
 		if left < 50*time.Millisecond {
 			return
 		}
@@ -105,15 +105,15 @@
 		c.tries = append(c.tries, a)
 		if a.err == nil {
 			c.served = true
-			complete := a.sink.when[0]+began.Sub(first) <= crowdAim
-			again := refused && a.sink.when[0] <= crowdAim
+			complete := a.sink.when[0]+began.Sub(first) <= overloadTarget
+			again := refused && a.sink.when[0] <= overloadTarget
 			switch c.quick = complete || again; {
 			case complete:
-				c.worth = 1
+				c.value = 1
 			case again:
-				c.worth = 0.75
+				c.value = 0.75
 			default:
-				c.worth = 0.5
+				c.value = 0.5
 			}
 			return
 		}
@@ -121,18 +121,18 @@
 		if !ok {
 			return
 		}
-		refused = time.Since(began) <= crowdAim/4
+		refused = time.Since(began) <= overloadTarget/4
 		if k > 0 && !c.rude {
-			c.worth = -0.3
+			c.value = -0.3
 			return
 		}
 		if c.rude {
 			time.Sleep(10 * time.Millisecond)
 		} else {
-			time.Sleep(min(no.RetryAfter, (crowdWait-time.Since(first))/3))
+			time.Sleep(min(no.RetryAfter, (overloadTimeout-time.Since(first))/3))
 		}
 	}
-	c.worth = -0.3
+	c.value = -0.3
 }
 
 // outcomesOf sums up callers: what they are worth, and which part was served in time or at all.
@@ -140,7 +140,7 @@
 	for _, c := range all {
 		if of(c) {
 			n++
-			worth += c.worth
+			worth += c.value
 			if c.quick {
 				quick++
 			}
@@ -177,9 +177,9 @@
 	return out
 }
 
-// toldWhen: every refusal says when to come back, within what the caller will wait if it
+// retryAfterOf: every refusal says when to come back, within what the caller will wait if it
 // came early.
-func toldWhen(ends []*asked) []string {
+func retryAfterOf(ends []*asked) []string {
 	var out []string
 	for _, a := range ends {
 		if no, ok := a.err.(*RejectedError); ok && (no.RetryAfter <= 0 || no.Early && no.RetryAfter > max(minRetryAfter, a.Timeout/3)) {
@@ -217,14 +217,14 @@
 	end := func(after time.Duration, early bool) []*asked {
 		return []*asked{{Request: &Request{ID: "r", Timeout: 3 * time.Second}, err: &RejectedError{Code: 503, RetryAfter: after, Early: early}}}
 	}
-	require.Empty(t, toldWhen(end(time.Second, true)))
-	require.NotEmpty(t, toldWhen(end(0, false)))
-	require.NotEmpty(t, toldWhen(end(2*time.Second, true)))
+	require.Empty(t, retryAfterOf(end(time.Second, true)))
+	require.NotEmpty(t, retryAfterOf(end(0, false)))
+	require.NotEmpty(t, retryAfterOf(end(2*time.Second, true)))
 }
 
 // reading is a crowd whose prompts take longer to read than there is time; 72 a second is
 // what the workers bear.
-var reading = crowd{prompt: 8000, most: 4, readers: 4, emit: 8, span: 8 * time.Second}
+var reading = overload{prompt: 8000, most: 4, readers: 4, emit: 8, duration: 8 * time.Second}
 
 // TestOverload: at one and a half and at three times what the workers bear, with two
 // urgencies and callers of which a third repeat at once and often, what is promised holds,
@@ -252,7 +252,7 @@
 					require.Empty(t, ended(ends, 3200*time.Millisecond))
 					require.Empty(t, answers(ends))
 					require.Empty(t, extras(rows, ends, 0.2, 60, window))
-					require.Empty(t, toldWhen(ends))
+					require.Empty(t, retryAfterOf(ends))
 					require.Empty(t, urgentFirst(all))
 					_, quick, served, n := outcomesOf(all, func(c *client) bool { return c.urgent })
 					_, quicks, limit, _ := outcomesOf(all, func(c *client) bool { return !c.rude })
@@ -294,7 +294,7 @@
 	})
 	eachSeed(t, 2, func(t *testing.T, seed uint64) {
 		c := reading
-		c.rate, c.span, c.emit, c.prompt = 400, 50*time.Millisecond, 40, 20_000
+		c.rate, c.duration, c.emit, c.prompt = 400, 50*time.Millisecond, 40, 20_000
 		_, _, ends := c.run(t, seed)
 		require.Empty(t, early(ends))
 	})
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -254,7 +254,7 @@
 				)
 				require.True(t, f.until(2*time.Second, func() bool { return f.inForce(2) }))
 				late := f.ask(f.nodes[0], f.req("late", "/sresume/x", 400, 3))
-				for _, k := range y.book() {
+				for _, k := range y.directory() {
 					if k.Kind == "emit" && k.Req == "long" {
 						y.restart(string(k.Worker[:len(k.Worker)-2]))
 					}
@@ -263,7 +263,7 @@
 				require.NoError(t, a.err)
 				require.Empty(t, answers([]*asked{a}))
 				emits := 0
-				for _, k := range y.book() {
+				for _, k := range y.directory() {
 					if k.Kind == "emit" && k.Req == "long" {
 						require.Contains(t, string(k.Worker), "svc")
 						emits++
@@ -300,7 +300,7 @@
 					continue
 				}
 				require.NoError(t, a.err)
-				for _, k := range y.book() {
+				for _, k := range y.directory() {
 					if k.Kind == "emit" && k.Req == a.ID {
 						out = append(out, string(k.Worker[:3]))
 					}
@@ -375,7 +375,7 @@
 		})
 		at := map[string]string{}
 		count := map[string]int{}
-		for _, k := range y.book() {
+		for _, k := range y.directory() {
 			if k.Kind == "emit" {
 				to := string(k.Worker[:3])
 				if previous, ok := at[k.Req]; ok {
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// listPause is the time between two askings of a node, so that all together stay within
+// listInterval is the time between two askings of a node, so that all together stay within
 // two thirds of the rate though each asks by itself.
-func listPause(minimum time.Duration, rate, share float64) time.Duration {
+func listInterval(minimum time.Duration, rate, share float64) time.Duration {
 	if rate <= 0 {
 		return minimum
 	}
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -26,7 +26,7 @@
 		f := build(t, 1, 3, y, plain(), nil)
 		defer f.close()
 		all := f.load(60, 8*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 1500, 8) })
-		rows := y.book()
+		rows := y.directory()
 		require.Empty(t, onceOnly(rows, all))
 		require.Empty(t, ended(all, 4*time.Second))
 		require.Empty(t, answers(all))
@@ -74,7 +74,7 @@
 			require.NoError(t, a.err)
 			begin[a.ID] = a.Segments[0].ID
 		}
-		for _, k := range y.book() {
+		for _, k := range y.directory() {
 			if k.Kind == "read" {
 				b := begin[k.Req]
 				if at[b] == nil {
@@ -125,7 +125,7 @@
 				all := f.load(4, 5*time.Second, func(i int) *Request {
 					return f.req(fmt.Sprint("r", i), paths[i%4], 500, 8)
 				})
-				require.Empty(t, onceOnly(y.book(), all))
+				require.Empty(t, onceOnly(y.directory(), all))
 				require.Empty(t, ended(all, 8500*time.Millisecond))
 				require.Empty(t, answers(all))
 				for _, a := range all {
@@ -181,7 +181,7 @@
 			return f.req(fmt.Sprint("r", i), paths[i%4], 800, 10)
 		})
 		time.Sleep(15 * time.Second)
-		rows := y.book()
+		rows := y.directory()
 		require.Empty(t, onceOnly(rows, got))
 		require.Empty(t, ended(got, 8500*time.Millisecond))
 		require.Empty(t, answers(got))
@@ -216,7 +216,7 @@
 				if how != "cut" {
 					f.wg.Go(func() {
 						time.Sleep(300 * time.Millisecond)
-						for _, k := range y.book() {
+						for _, k := range y.directory() {
 							if k.Kind == "emit" {
 								if name := string(k.Worker[:len(k.Worker)-2]); how == "dark" {
 									y.at(func() { y.of(name).dark = true })
@@ -232,7 +232,7 @@
 				require.NoError(t, a.err)
 				require.Empty(t, answers([]*asked{a}))
 				from, workers := "", map[ids.WorkerID]bool{}
-				for _, k := range y.book() {
+				for _, k := range y.directory() {
 					if k.Kind == "emit" {
 						from = k.From
 						require.False(t, workers[k.Worker], "it goes elsewhere")
@@ -261,7 +261,7 @@
 		a := f.ask(f.nodes[0], r)
 		require.NoError(t, a.err)
 		require.Empty(t, answers([]*asked{a}))
-		rows := y.book()
+		rows := y.directory()
 		require.Len(t, rows, 1)
 		require.Equal(t, "7", rows[0].From)
 	})
@@ -284,7 +284,7 @@
 		require.IsType(t, &AbortedError{}, a.err)
 		require.True(t, a.err.(*AbortedError).HeadSent)
 		require.Empty(t, answers([]*asked{a}))
-		require.Empty(t, onceOnly(y.book(), []*asked{a}))
+		require.Empty(t, onceOnly(y.directory(), []*asked{a}))
 		require.Contains(t, a.sink.text(), "id: 10\n")
 		require.NotContains(t, a.sink.text(), "id: 11")
 	})
@@ -373,7 +373,7 @@
 		y.at(func() { y.onRead = func(*Request) { stop() } })
 		a := f.askAs(ctx, f.nodes[0], f.req("r", "/once/x", 500, 6), &sink{})
 		require.IsType(t, &RejectedError{}, a.err)
-		require.Empty(t, onceOnly(y.book(), []*asked{a}))
+		require.Empty(t, onceOnly(y.directory(), []*asked{a}))
 		time.Sleep(2 * time.Second)
 		require.NotEmpty(t, y.handles)
 		require.Empty(t, kept(y))
@@ -414,7 +414,7 @@
 			a := f.askAs(context.Background(), f.nodes[0], f.req(id, path, 500, 6), &sink{broken: true})
 			require.Error(t, a.err)
 			emits := 0
-			for _, k := range y.book() {
+			for _, k := range y.directory() {
 				if k.Kind == "emit" && k.Req == id {
 					emits++
 				}
@@ -457,7 +457,7 @@
 		f := build(t, 14, 2, y, plain(), nil)
 		defer f.close()
 		all := f.load(20, 4*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 500, 6) })
-		require.Empty(t, onceOnly(y.book(), all))
+		require.Empty(t, onceOnly(y.directory(), all))
 		require.Empty(t, answers(all))
 		for _, a := range all {
 			require.NoError(t, a.err)
--- a/internal/proxy/fault_notice_test.go
+++ b/internal/proxy/fault_notice_test.go
@@ -37,7 +37,7 @@
 			all = append(all, f.ask(quiet, f.req(fmt.Sprint("q", i), "/once/x", 400, 1)))
 		}
 		f.at(func() { f.nodes = append(f.nodes, quiet) })
-		rows := y.book()
+		rows := y.directory()
 		require.NotEmpty(t, sentTo(rows, "svc-decode-1.1", 0, dark))
 		require.Empty(t, sentTo(rows, "svc-decode-1.1", dark+1500*time.Millisecond, time.Hour))
 		require.Empty(t, onceOnly(rows, all))
@@ -62,7 +62,7 @@
 		time.Sleep(3 * time.Second)
 		from := y.now()
 		f.load(60, 4*time.Second, func(i int) *Request { return f.req(fmt.Sprint("s", i), "/once/x", 400, 10) })
-		require.NotEmpty(t, sentTo(y.book(), "svc-decode-1.1", from, time.Hour), "it is back")
+		require.NotEmpty(t, sentTo(y.directory(), "svc-decode-1.1", from, time.Hour), "it is back")
 	})
 }
 
@@ -78,14 +78,14 @@
 			y.at(func() { y.of("svc-prefill-0").dark = true })
 		})
 		all := f.load(30, 6*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
-		require.Empty(t, onceOnly(y.book(), all))
+		require.Empty(t, onceOnly(y.directory(), all))
 		require.Empty(t, answers(all))
-		require.NotEmpty(t, sentTo(y.book(), "svc-prefill-0.1", 0, 3*time.Second))
+		require.NotEmpty(t, sentTo(y.directory(), "svc-prefill-0.1", 0, 3*time.Second))
 		for _, a := range all {
 			require.NoError(t, a.err, a.ID)
 			require.Less(t, a.end-a.at, 2500*time.Millisecond, a.ID)
 		}
-		require.Empty(t, sentTo(y.book(), "svc-prefill-0.1", 4*time.Second, time.Hour))
+		require.Empty(t, sentTo(y.directory(), "svc-prefill-0.1", 4*time.Second, time.Hour))
 	})
 }
 
@@ -99,7 +99,7 @@
 		cut := f.nodes[0]
 		f.wg.Go(func() {
 			time.Sleep(2 * time.Second)
-			y.at(func() { y.cut[cut.ip] = true })
+			y.at(func() { y.partition[cut.ip] = true })
 			for i := range 40 {
 				f.wg.Go(func() { f.ask(cut, f.req(fmt.Sprint("c", i), paths[i%4], 400, 10)) })
 				time.Sleep(50 * time.Millisecond)
@@ -138,7 +138,7 @@
 		}
 		require.Empty(t, shunned)
 		warned := 0
-		for _, k := range y.book() {
+		for _, k := range y.directory() {
 			if k.Kind == "report" && k.Node != cut.ip {
 				warned++
 			}
@@ -146,7 +146,7 @@
 		require.Positive(t, warned, "peers were warned and asked for themselves")
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		require.Empty(t, onceOnly(y.book(), f.asks))
+		require.Empty(t, onceOnly(y.directory(), f.asks))
 		require.Empty(t, ended(f.asks, 8500*time.Millisecond))
 		require.Empty(t, answers(f.asks))
 	})
@@ -172,12 +172,12 @@
 		from := y.now()
 		f.load(40, 2*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 4) })
 		for _, id := range []ids.WorkerID{"svc-decode-0.1", "svc-decode-1.1"} {
-			require.NotEmpty(t, sentTo(y.book(), id, from, time.Hour), id)
+			require.NotEmpty(t, sentTo(y.directory(), id, from, time.Hour), id)
 		}
 		time.Sleep(4 * time.Second)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		require.Empty(t, onceOnly(y.book(), f.asks))
+		require.Empty(t, onceOnly(y.directory(), f.asks))
 	})
 }
 
@@ -204,7 +204,7 @@
 		}
 		require.Equal(t, 4, fell)
 		f.load(40, 400*time.Millisecond, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 4) })
-		require.NotEmpty(t, sentTo(y.book(), "svc-decode-0.1", from, from+400*time.Millisecond))
+		require.NotEmpty(t, sentTo(y.directory(), "svc-decode-0.1", from, from+400*time.Millisecond))
 	})
 }
 
@@ -225,7 +225,7 @@
 		all := f.load(60, 250*time.Millisecond, func(i int) *Request {
 			return f.req(fmt.Sprint("r", i), "/again/x", 400, 20)
 		})
-		require.NotEmpty(t, sentTo(y.book(), "svc-decode-0.1", 0, time.Hour))
+		require.NotEmpty(t, sentTo(y.directory(), "svc-decode-0.1", 0, time.Hour))
 		for _, a := range all {
 			require.NoError(t, a.err, a.ID)
 			require.Less(t, a.end-a.at, 2*time.Second, a.ID)
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -150,7 +150,7 @@
 	if !s.flat() && f.actsForOwner(s) {
 		share = 1 / float64(max(1, s.zones))
 	}
-	return listPause(f.node.options.ListInterval, f.node.options.ListRate, share)
+	return listInterval(f.node.options.ListInterval, f.node.options.ListRate, share)
 }
 
 // hasFailed tells whether a source gave no answer of late.
@@ -171,13 +171,13 @@
 	}
 	began := n.now()
 	duration := n.options.ShareInterval*4/5 + rand.N(n.options.ShareInterval*2/5)
-	hold := duration
+	maxWait := duration
 	// A source that may be gone shows it sooner by an answer at once. In a small fleet changes
 	// are few, and readings that come at once are worth more than changes that do.
 	if !f.known || f.flat {
-		hold = 0
+		maxWait = 0
 	}
-	r, err := f.call(ctx, m.Addr, hold)
+	r, err := f.call(ctx, m.Addr, maxWait)
 	f.known = err == nil && (r.Node == m.Node || r.Node == "")
 	if !f.known {
 		f.failed[m.Node] = n.now()
@@ -200,9 +200,9 @@
 }
 
 // call sends what this node and those below it have to tell.
-func (f *listFollower) call(ctx context.Context, addr string, hold time.Duration) (*ListResponse, error) {
+func (f *listFollower) call(ctx context.Context, addr string, maxWait time.Duration) (*ListResponse, error) {
 	n := f.node
-	callContext, stop := context.WithTimeout(ctx, listTimeout+hold)
+	callContext, stop := context.WithTimeout(ctx, listTimeout+maxWait)
 	defer stop()
 	list := n.endpoints.Load()
 	request := &ListRequest{
@@ -213,7 +213,7 @@
 		SubtreeOutcomes: n.below(),
 		LoadSeq:         f.loadSeq,
 		Deltas:          true,
-		MaxWait:         int64(hold),
+		MaxWait:         int64(maxWait),
 	}
 	var reports uint64
 	reports, request.Loads = n.loads.since(f.reportedSeq, list.workers, n.now(), n.ownsService)
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -85,7 +85,7 @@
 				case "frozen":
 					f.freeze(h, true)
 				default:
-					y.at(func() { y.cut[nodeIP(h)] = true })
+					y.at(func() { y.partition[nodeIP(h)] = true })
 				}
 				f.at(func() { held.up = false })
 				defer func() {
--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -296,7 +296,7 @@
 		}
 		return f.req(fmt.Sprint("r", i), paths[i%4], prompt, limit)
 	})
-	rows := y.book()
+	rows := y.directory()
 	require.Empty(t, onceOnly(rows, ends))
 	require.Empty(t, ended(ends, 8500*time.Millisecond))
 	require.Empty(t, answers(ends))
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -27,21 +27,21 @@
 
 // ward runs a load over workers some of which are unhealthy, and watches what is out.
 type ward struct {
-	seed     uint64
-	nodes    int
-	parts    int // workers of each part
-	rate     float64
-	span     time.Duration
-	sick     func(k row) fate // under the fake platform's lock
-	tune     func(*Options)
-	act      func(f *fleet, y *workerPool)
-	route    string // all four by turns if it is empty
-	prompt   int
-	standing []standing
-	rows     []row
-	asks     []*asked
-	ejects   int64
-	readmits int64
+	seed      uint64
+	nodes     int
+	parts     int // workers of each part
+	rate      float64
+	duration  time.Duration
+	unhealthy func(k row) fate // under the fake platform's lock
+	tune      func(*Options)
+	act       func(f *fleet, y *workerPool)
+	route     string // all four by turns if it is empty
+	prompt    int
+	standing  []standing
+	rows      []row
+	asks      []*asked
+	ejects    int64
+	readmits  int64
 }
 
 func (w *ward) run(t *testing.T) *ward {
@@ -57,10 +57,10 @@
 	y.at(func() {
 		y.fate = func(k row, _ *stand) fate {
 			k.At -= begin
-			if w.sick == nil {
+			if w.unhealthy == nil {
 				return fine
 			}
-			return w.sick(k)
+			return w.unhealthy(k)
 		}
 	})
 	over := make(chan bool)
@@ -78,7 +78,7 @@
 	if w.act != nil {
 		wg.Go(func() { w.act(f, y) })
 	}
-	w.asks = f.load(w.rate, w.span, func(i int) *Request {
+	w.asks = f.load(w.rate, w.duration, func(i int) *Request {
 		path := w.route
 		if path == "" {
 			path = paths[i%4]
@@ -91,7 +91,7 @@
 		w.ejects += b.counts.Ejected.Load()
 		w.readmits += b.counts.Readmitted.Load()
 	}
-	for _, k := range y.book() {
+	for _, k := range y.directory() {
 		k.At -= begin
 		w.rows = append(w.rows, k)
 	}
@@ -215,16 +215,16 @@
 			}
 			return fine
 		}
-		on := (&ward{seed: seed, nodes: 4, parts: 6, rate: 80, span: 30 * time.Second, sick: grey}).run(t)
+		on := (&ward{seed: seed, nodes: 4, parts: 6, rate: 80, duration: 30 * time.Second, unhealthy: grey}).run(t)
 		on.sound(t)
 		off := (&ward{
-			seed:  seed,
-			nodes: 4,
-			parts: 6,
-			rate:  80,
-			span:  30 * time.Second,
-			sick:  grey,
-			tune:  func(o *Options) { o.BaseEjection = -1 },
+			seed:      seed,
+			nodes:     4,
+			parts:     6,
+			rate:      80,
+			duration:  30 * time.Second,
+			unhealthy: grey,
+			tune:      func(o *Options) { o.BaseEjection = -1 },
 		}).run(t)
 		had, all := off.done(5*time.Second, 13*time.Second)
 		has, _ := on.done(5*time.Second, 13*time.Second)
@@ -256,12 +256,12 @@
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
 		hit := some(seed, 0.6)
 		w := (&ward{
-			seed:  seed,
-			nodes: 4,
-			parts: 5,
-			rate:  100,
-			span:  12 * time.Second,
-			sick: func(k row) fate {
+			seed:     seed,
+			nodes:    4,
+			parts:    5,
+			rate:     100,
+			duration: 12 * time.Second,
+			unhealthy: func(k row) fate {
 				if k.Worker == "svc-decode-1.1" && k.Node == nodeIP(1) && k.At > 3*time.Second && hit(k) {
 					return ranReset
 				}
@@ -293,12 +293,12 @@
 				mute := 0
 				lies := func(on bool) *ward {
 					return (&ward{
-						seed:  3,
-						nodes: 3,
-						parts: 3,
-						rate:  60,
-						span:  14 * time.Second,
-						sick: func(k row) fate {
+						seed:     3,
+						nodes:    3,
+						parts:    3,
+						rate:     60,
+						duration: 14 * time.Second,
+						unhealthy: func(k row) fate {
 							// Now and then an answer is late, so that the worker is asked.
 							if k.Kind != "emit" {
 								return fine
@@ -348,12 +348,12 @@
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
 		run := func(o func(*Options)) *ward {
 			return (&ward{
-				seed:  seed,
-				nodes: 3,
-				parts: 4,
-				rate:  80,
-				span:  20 * time.Second,
-				tune:  o,
+				seed:     seed,
+				nodes:    3,
+				parts:    4,
+				rate:     80,
+				duration: 20 * time.Second,
+				tune:     o,
 				act: func(f *fleet, y *workerPool) {
 					time.Sleep(2 * time.Second)
 					y.at(func() { y.of("svc-decode-3").dark = true })
@@ -397,13 +397,13 @@
 				hit := some(seed, 0.45)
 				run := func(o func(*Options)) *ward {
 					return (&ward{
-						seed:  seed,
-						nodes: 3,
-						parts: 6,
-						rate:  40,
-						span:  12 * time.Second,
-						tune:  o,
-						sick: func(k row) fate {
+						seed:     seed,
+						nodes:    3,
+						parts:    6,
+						rate:     40,
+						duration: 12 * time.Second,
+						tune:     o,
+						unhealthy: func(k row) fate {
 							if int(k.Worker[len(k.Worker)-3]-'0') < many && k.At > 2*time.Second && hit(k) {
 								return ranReset
 							}
@@ -452,7 +452,7 @@
 			a := f.ask(n, f.req(fmt.Sprint("r", i), "/once/x", 400, 4))
 			require.NoError(t, a.err)
 		}
-		for _, k := range y.book() {
+		for _, k := range y.directory() {
 			if k.Kind == "emit" {
 				require.EqualValues(t, "svc-decode-1.1", k.Worker)
 			}
@@ -468,12 +468,12 @@
 			eachSeed(t, 2, func(t *testing.T, seed uint64) {
 				off := func(node string) bool { return !one || node == nodeIP(1) }
 				w := (&ward{
-					seed:  seed,
-					nodes: 3,
-					parts: 4,
-					rate:  60,
-					span:  18 * time.Second,
-					sick: func(k row) fate {
+					seed:     seed,
+					nodes:    3,
+					parts:    4,
+					rate:     60,
+					duration: 18 * time.Second,
+					unhealthy: func(k row) fate {
 						if k.Worker == "svc-decode-1.1" && k.At > 3*time.Second && k.At < 8*time.Second && off(k.Node) {
 							return idleSilent
 						}
@@ -519,12 +519,12 @@
 func TestCutTeller(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := (&ward{
-			seed:  7,
-			nodes: 5,
-			parts: 4,
-			rate:  60,
-			span:  10 * time.Second,
-			sick: func(k row) fate {
+			seed:     7,
+			nodes:    5,
+			parts:    4,
+			rate:     60,
+			duration: 10 * time.Second,
+			unhealthy: func(k row) fate {
 				if k.Node == nodeIP(0) && k.At > 2*time.Second {
 					return ranReset
 				}
@@ -629,13 +629,13 @@
 		}
 		run := func(o func(*Options)) *ward {
 			w := (&ward{
-				seed:  seed,
-				nodes: nodes,
-				parts: parts,
-				rate:  rate,
-				span:  11 * time.Second,
-				tune:  o,
-				sick: func(k row) fate {
+				seed:     seed,
+				nodes:    nodes,
+				parts:    parts,
+				rate:     rate,
+				duration: 11 * time.Second,
+				tune:     o,
+				unhealthy: func(k row) fate {
 					if unhealthy[k.Worker] && k.At > 3*time.Second && k.At < 9500*time.Millisecond && hit(k) {
 						return ranReset
 					}
@@ -675,12 +675,12 @@
 	bubble(t, func(t *testing.T) {
 		unhealthy := map[ids.WorkerID]bool{"svc-decode-2.1": true}
 		w := (&ward{
-			seed:  8,
-			nodes: 1,
-			parts: 4,
-			rate:  60,
-			span:  40 * time.Second,
-			sick: func(k row) fate {
+			seed:     8,
+			nodes:    1,
+			parts:    4,
+			rate:     60,
+			duration: 40 * time.Second,
+			unhealthy: func(k row) fate {
 				if unhealthy[k.Worker] && k.At > 2*time.Second && k.At < 30*time.Second {
 					return ranReset
 				}
@@ -708,11 +708,11 @@
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
 		cut := map[ids.WorkerID]bool{"svc-decode-0.1": true, "svc-decode-3.1": true}
 		w := (&ward{
-			seed:  seed,
-			nodes: 16,
-			parts: 6,
-			rate:  160,
-			span:  9 * time.Second,
+			seed:     seed,
+			nodes:    16,
+			parts:    6,
+			rate:     160,
+			duration: 9 * time.Second,
 			act: func(f *fleet, y *workerPool) {
 				dark := func(on bool) {
 					y.at(func() {
@@ -728,7 +728,7 @@
 				time.Sleep(1500 * time.Millisecond)
 				dark(false)
 			},
-			sick: func(k row) fate {
+			unhealthy: func(k row) fate {
 				if cut[k.Worker] && k.At > 3*time.Second && k.At < 4500*time.Millisecond {
 					return ranReset // it is seen at once
 				}
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -91,7 +91,7 @@
 				}
 			}
 			require.Greater(t, late, 5, "some dialled the one that is not there")
-			require.Empty(t, leftAlone(y.book(), 100*time.Millisecond))
+			require.Empty(t, leftAlone(y.directory(), 100*time.Millisecond))
 		})
 	}
 }
--- a/internal/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -50,7 +50,7 @@
 				all := f.load(60, 8*time.Second, func(i int) *Request {
 					return f.req(fmt.Sprint("r", i), paths[i%4], 400, 10)
 				})
-				rows := y.book()
+				rows := y.directory()
 				require.NotEmpty(t, gone)
 				require.Empty(t, leftAlone(rows, 100*time.Millisecond))
 				for _, id := range gone {
@@ -77,9 +77,9 @@
 		y.restart("svc-decode-1")
 		y.restart("svc-prefill-1")
 		all := f.load(30, 10*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
-		require.Empty(t, onceOnly(y.book(), all))
+		require.Empty(t, onceOnly(y.directory(), all))
 		count := map[string]int{}
-		for _, k := range y.book() {
+		for _, k := range y.directory() {
 			if (k.Kind == "emit" || k.Kind == "read") && strings.HasSuffix(string(k.Worker), "-1.1") {
 				count[k.Node+string(k.Worker)]++
 			}
@@ -109,6 +109,6 @@
 		}
 		time.Sleep(time.Second)
 		f.load(20, 3*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 4) })
-		require.Empty(t, sentTo(y.book(), "svc-decode-1.1", 0, time.Hour))
+		require.Empty(t, sentTo(y.directory(), "svc-decode-1.1", 0, time.Hour))
 	})
 }
--- a/internal/proxy/program_test.go
+++ b/internal/proxy/program_test.go
@@ -69,7 +69,7 @@
 			}
 		})
 		all := f.load(50, 12*1e9, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 6) })
-		rows := y.book()
+		rows := y.directory()
 		require.Empty(t, onceOnly(rows, all))
 		require.Empty(t, answers(all))
 		require.Empty(t, leftAlone(rows, 0))
@@ -107,7 +107,7 @@
 		defer f.close()
 		all := f.load(30, 3*1e9, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 2) })
 		at := map[ids.WorkerID]int{}
-		for _, k := range y.book() {
+		for _, k := range y.directory() {
 			if k.Kind == "emit" || k.Kind == "read" {
 				at[k.Worker]++
 			}
@@ -132,7 +132,7 @@
 				defer f.close()
 				a := f.ask(f.nodes[0], f.req("r", "/once/x", 400, 2))
 				require.IsType(t, &RejectedError{}, a.err)
-				require.Empty(t, y.book())
+				require.Empty(t, y.directory())
 			})
 		})
 	}
--- a/internal/proxy/proxy_cluster_test.go
+++ b/internal/proxy/proxy_cluster_test.go
@@ -66,7 +66,7 @@
 type stand struct {
 	Worker
 	name             string
-	life             int
+	incarnation      int
 	dark             bool
 	dead             bool
 	hidden           bool // not listed
@@ -87,35 +87,35 @@
 }
 
 type workerPool struct {
-	mu      sync.Mutex
-	start   time.Time
-	all     []*stand
-	rows    []row
-	handles map[string]*handle
-	cut     map[string]bool // nodes that reach no worker
-	frozen  map[string]bool // nodes that stand still
-	off     map[string]map[ids.WorkerID]time.Time
-	known   map[string]func(id ids.WorkerID) bool // by node: whether it knows now that a worker is off
-	fate    func(k row, w *stand) fate
-	listed  func() time.Duration // how long the asking for the list is under way
-	nolist  bool
-	asked   []row                      // askings for the list
-	chill   map[ids.Zone]time.Duration // for how long workers of a zone turn cold at their first request
-	step    time.Duration              // between events
-	turn    time.Duration
-	handle  int
-	onRead  func(r *Request)
-	prep    func(n *Node)                     // before a node runs
-	lean    func(s *stand) int                // added to what reports say is running
-	health  func(node string, s *stand) error // what a node gets instead of a report
-	lag     time.Duration                     // by which reports are old
-	dial    map[string]time.Duration          // addresses to which none comes up, and how long that takes
-	direct  int                               // tokens a ms that an emitting worker reads by itself
-	queue   int                               // requests that wait at a worker at most; 0: twice its places
+	mu        sync.Mutex
+	start     time.Time
+	all       []*stand
+	rows      []row
+	handles   map[string]*handle
+	partition map[string]bool // nodes that reach no worker
+	frozen    map[string]bool // nodes that stand still
+	off       map[string]map[ids.WorkerID]time.Time
+	known     map[string]func(id ids.WorkerID) bool // by node: whether it knows now that a worker is off
+	fate      func(k row, w *stand) fate
+	listed    func() time.Duration // how long the asking for the list is under way
+	nolist    bool
+	asked     []row                      // askings for the list
+	chill     map[ids.Zone]time.Duration // for how long workers of a zone turn cold at their first request
+	step      time.Duration              // between events
+	turn      time.Duration
+	handle    int
+	onRead    func(r *Request)
+	prep      func(n *Node)                     // before a node runs
+	lean      func(s *stand) int                // added to what reports say is running
+	health    func(node string, s *stand) error // what a node gets instead of a report
+	lag       time.Duration                     // by which reports are old
+	dial      map[string]time.Duration          // addresses to which none comes up, and how long that takes
+	direct    int                               // tokens a ms that an emitting worker reads by itself
+	queue     int                               // requests that wait at a worker at most; 0: twice its places
 }
 
 func newCluster(all ...*stand) *workerPool {
-	return &workerPool{start: time.Now(), all: all, handles: map[string]*handle{}, cut: map[string]bool{}, frozen: map[string]bool{},
+	return &workerPool{start: time.Now(), all: all, handles: map[string]*handle{}, partition: map[string]bool{}, frozen: map[string]bool{},
 		off: map[string]map[ids.WorkerID]time.Time{}, known: map[string]func(ids.WorkerID) bool{}, direct: 50, step: 20 * time.Millisecond, turn: time.Second}
 }
 
@@ -127,7 +127,7 @@
 		if role == "" {
 			name = fmt.Sprintf("%s-%d", service, i)
 		}
-		out = append(out, &stand{name: name, life: 1, Worker: Worker{ID: ids.WorkerID(name + ".1"), Service: service, Addr: name + ":90",
+		out = append(out, &stand{name: name, incarnation: 1, Worker: Worker{ID: ids.WorkerID(name + ".1"), Service: service, Addr: name + ":90",
 			Zone: ids.Zone([]string{"a", "b"}[i%2]), Role: role, Concurrency: 16}})
 	}
 	return out
@@ -163,14 +163,14 @@
 	for i, w := range y.all {
 		if w.name == name {
 			w.dead = true
-			next := &stand{Worker: w.Worker, name: name, life: w.life + 1}
-			next.ID = ids.WorkerID(fmt.Sprintf("%s.%d", name, next.life))
+			next := &stand{Worker: w.Worker, name: name, incarnation: w.incarnation + 1}
+			next.ID = ids.WorkerID(fmt.Sprintf("%s.%d", name, next.incarnation))
 			y.all[i] = next
 		}
 	}
 }
 
-func (y *workerPool) book() []row {
+func (y *workerPool) directory() []row {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return append([]row(nil), y.rows...)
@@ -219,7 +219,7 @@
 		return nil, NotDialled(ctx.Err(), w.Addr)
 	}
 	b.y.mu.Lock()
-	cut := b.y.cut[b.ip]
+	cut := b.y.partition[b.ip]
 	b.y.mu.Unlock()
 	if cut {
 		nap(ctx, 400*time.Millisecond)
@@ -296,8 +296,8 @@
 	return 2 * s.Concurrency
 }
 
-// mark keeps how a worker stands for late reports. The fake platform is locked.
-func (y *workerPool) mark(s *stand) {
+// prefix keeps how a worker stands for late reports. The fake platform is locked.
+func (y *workerPool) prefix(s *stand) {
 	for y.lag > 0 && len(s.past) > 1 && time.Since(s.past[1].at) > y.lag {
 		s.past = s.past[1:]
 	}
@@ -325,7 +325,7 @@
 		}
 		s.wants[urgency]++
 		s.waiting++
-		y.mark(s)
+		y.prefix(s)
 	})
 	first := func() bool {
 		for u, n := range s.wants {
@@ -340,14 +340,14 @@
 		if s.running < s.Concurrency && !s.dark && !s.dead && (s.memory == 0 || s.used+tokens <= s.memory) && first() {
 			s.wants[urgency]--
 			s.waiting, s.running, s.used = s.waiting-1, s.running+1, s.used+tokens
-			y.mark(s)
+			y.prefix(s)
 			y.mu.Unlock()
-			return sync.OnceFunc(func() { y.at(func() { s.running--; y.mark(s) }) }), sync.OnceFunc(func() { y.at(func() { s.used -= tokens; y.mark(s) }) }), nil
+			return sync.OnceFunc(func() { y.at(func() { s.running--; y.prefix(s) }) }), sync.OnceFunc(func() { y.at(func() { s.used -= tokens; y.prefix(s) }) }), nil
 		}
 		dead := s.dead
 		y.mu.Unlock()
 		if dead || !nap(ctx, 5*time.Millisecond) {
-			y.at(func() { s.wants[urgency]--; s.waiting--; y.mark(s) })
+			y.at(func() { s.wants[urgency]--; s.waiting--; y.prefix(s) })
 			return nil, nil, unknown(s.Worker, "ended while it waited")
 		}
 	}
@@ -377,7 +377,7 @@
 func (b *back) ok(ctx context.Context, s *stand) error {
 	b.gate()
 	b.y.mu.Lock()
-	lost := b.y.cut[b.ip] || s.dark
+	lost := b.y.partition[b.ip] || s.dark
 	dead := s.dead
 	b.y.mu.Unlock()
 	switch {
@@ -486,7 +486,7 @@
 		leave()
 		return nil, err
 	}
-	a := &answer{ctx: ctx, b: b, s: s, leave: leave, cut: -1}
+	a := &answer{ctx: ctx, b: b, s: s, leave: leave, partition: -1}
 	reply := &Response{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.ID)}}, FromWorker: how != bare, Length: -1, Body: a, Load: y.load(s)}
 	if how == failed {
 		reply.Status = http.StatusInternalServerError
@@ -505,27 +505,27 @@
 		}
 	}
 	if how == midReset {
-		a.cut = len(a.rest) / 2
+		a.partition = len(a.rest) / 2
 	}
 	return reply, nil
 }
 
 // answer is a body that comes piece by piece.
 type answer struct {
-	ctx   context.Context
-	b     *back
-	s     *stand
-	leave func()
-	rest  [][]byte
-	buf   []byte
-	at    int
-	cut   int // the piece that is cut in its middle; -1 if none
-	ended error
+	ctx       context.Context
+	b         *back
+	s         *stand
+	leave     func()
+	rest      [][]byte
+	buf       []byte
+	at        int
+	partition int // the piece that is cut in its middle; -1 if none
+	ended     error
 }
 
 func (a *answer) Read(p []byte) (int, error) {
 	if len(a.buf) == 0 {
-		if a.ended == nil && a.at == len(a.rest) && a.cut != a.at {
+		if a.ended == nil && a.at == len(a.rest) && a.partition != a.at {
 			a.ended = io.EOF
 		}
 		if a.ended != nil {
@@ -540,7 +540,7 @@
 			a.leave()
 			return 0, err
 		}
-		if a.at == a.cut {
+		if a.at == a.partition {
 			a.ended = errReset
 			if a.at < len(a.rest) {
 				a.buf = a.rest[a.at][:len(a.rest[a.at])/2]
@@ -638,7 +638,7 @@
 	if y.listed != nil {
 		lag = y.listed()
 	}
-	no := y.nolist || y.cut[b.ip]
+	no := y.nolist || y.partition[b.ip]
 	y.asked = append(y.asked, row{At: y.now(), Node: b.ip})
 	y.mu.Unlock()
 	if no || !nap(ctx, lag) {
--- a/internal/proxy/rate_test.go
+++ b/internal/proxy/rate_test.go
@@ -19,11 +19,11 @@
 // without a rate, or with room, each asks as often as it likes.
 func TestListPause(t *testing.T) {
 	minimum := 700 * time.Millisecond
-	require.Equal(t, minimum, listPause(minimum, 0, 0.01))
-	require.Equal(t, minimum, listPause(minimum, 42, 0.1))
+	require.Equal(t, minimum, listInterval(minimum, 0, 0.01))
+	require.Equal(t, minimum, listInterval(minimum, 42, 0.1))
 	for _, nodes := range []float64{1, 10, 88, 650} {
 		for _, rate := range []float64{0.5, 5, 42, 310} {
-			require.LessOrEqual(t, nodes/listPause(minimum, rate, 1/nodes).Seconds(), rate+0.001)
+			require.LessOrEqual(t, nodes/listInterval(minimum, rate, 1/nodes).Seconds(), rate+0.001)
 		}
 	}
 }
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -44,7 +44,7 @@
 					all := f.load(40, 25*time.Second, func(i int) *Request {
 						return f.req(fmt.Sprint("r", i), []string{"/again/x", "/sresume/x", "/once/x"}[i%3], 400, 4)
 					})
-					rows := y.book()
+					rows := y.directory()
 					require.Empty(t, extras(rows, all, 0.2, 6, window))
 					require.Empty(t, onceOnly(rows, all))
 					require.NotEmpty(t, extras(rows, all, 0.05, 0, window), "repeats were made")
@@ -86,7 +86,7 @@
 				}
 				wg.Wait()
 				require.Empty(t, answers(all))
-				require.Empty(t, extras(y.book(), all, 0.2, 0, window))
+				require.Empty(t, extras(y.directory(), all, 0.2, 0, window))
 			})
 		})
 	}
@@ -97,7 +97,7 @@
 	return policy(ways(), fleetstate.Service{Name: "svc", Concurrency: 16, SlowStartMs: 6000, SlowStartRate: 4})
 }
 
-const coldMost = 11 // 1.5 x 4 + 5
+const maxSlowStartRate = 11 // 1.5 x 4 + 5
 
 // TestCold: no cold worker gets more than rate x over + spare in any second, however many
 // nodes there are and however fast requests come; it gets some.
@@ -120,8 +120,8 @@
 				all := f.load(250, 7*time.Second, func(i int) *Request {
 					return f.req(fmt.Sprint("r", i), "/once/x", 300, 2)
 				})
-				rows := y.book()
-				require.Empty(t, coldRate(rows, coldMost))
+				rows := y.directory()
+				require.Empty(t, coldRate(rows, maxSlowStartRate))
 				require.NotEmpty(t, sentTo(rows, "svc-decode-1.2", from, from+4*time.Second), "it is warmed")
 				require.Empty(t, onceOnly(rows, all))
 			})
@@ -149,7 +149,7 @@
 		time.Sleep(2 * time.Second)
 		from := y.now()
 		all := f.load(200, 5*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 300, 2) })
-		rows := y.book()
+		rows := y.directory()
 		require.Empty(t, coldRate(rows, 5)) // 1.5 x 0.4 + 5
 		require.NotEmpty(t, sentTo(rows, "svc-decode-1.1", from, from+4*time.Second), "it is warmed")
 		for _, a := range all {
@@ -183,7 +183,7 @@
 				all := f.load(30, 9*time.Second, func(i int) *Request {
 					return f.req(fmt.Sprint("r", i), "/again/x", 400, 4)
 				})
-				rows := y.book()
+				rows := y.directory()
 				require.Empty(t, extras(rows, all, 0.2, allow, window))
 				require.NotEmpty(t, extras(rows, all, 0.2, allow/2, window), "both spend their parts")
 			})
@@ -202,7 +202,7 @@
 		f := build(t, 24, 3, y, warming(), nil)
 		defer f.close()
 		f.load(200, 6*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 300, 2) })
-		require.Empty(t, coldRate(y.book(), coldMost))
+		require.Empty(t, coldRate(y.directory(), maxSlowStartRate))
 	})
 }
 
@@ -223,7 +223,7 @@
 		})
 		time.Sleep(3 * time.Second)
 		f.load(200, 5*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 300, 2) })
-		require.Empty(t, coldRate(y.book(), coldMost))
+		require.Empty(t, coldRate(y.directory(), maxSlowStartRate))
 	})
 }
 
@@ -248,7 +248,7 @@
 			f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: false})
 		})
 		f.load(400, 6*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 300, 2) })
-		require.Empty(t, coldRate(y.book(), coldMost))
+		require.Empty(t, coldRate(y.directory(), maxSlowStartRate))
 	})
 }
 
@@ -296,8 +296,8 @@
 				}
 				anew()
 				f.load(400, 4*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 300, 2) })
-				rows := y.book()
-				require.Empty(t, coldRate(rows, coldMost))
+				rows := y.directory()
+				require.Empty(t, coldRate(rows, maxSlowStartRate))
 				cold := 0
 				for _, k := range rows {
 					if k.Cold {
@@ -357,7 +357,7 @@
 		rest := append([]string{nodeIP(0), nodeIP(2)}, coreIps...)
 		cut := func(on bool) {
 			f.w.Partition([]string{nodeIP(1)}, rest, on)
-			y.at(func() { y.cut[nodeIP(1)] = on })
+			y.at(func() { y.partition[nodeIP(1)] = on })
 		}
 		cut(true)
 		time.Sleep(time.Second)
@@ -370,6 +370,6 @@
 			cut(false)
 		})
 		f.load(600, 5*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 300, 2) })
-		require.Empty(t, coldRate(y.book(), coldMost))
+		require.Empty(t, coldRate(y.directory(), maxSlowStartRate))
 	})
 }
--- a/internal/proxy/role_balance_test.go
+++ b/internal/proxy/role_balance_test.go
@@ -89,7 +89,7 @@
 			y.pressed(ids.Prefill, 6)
 		})
 		all := f.load(25, 50*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 6) })
-		rows := y.book()
+		rows := y.directory()
 		to := map[ids.Role]int{}
 		by := map[ids.NodeID]bool{}
 		var flips []ids.Role
@@ -135,7 +135,7 @@
 		f.load(20, 10*time.Second, func(i int) *Request {
 			return f.req(fmt.Sprint("r", i), []string{"/once/x", "/free/x"}[i%2], 400, 4)
 		})
-		require.Empty(t, orders(y.book()))
+		require.Empty(t, orders(y.directory()))
 	})
 }
 
@@ -150,7 +150,7 @@
 		was := parts(y)
 		for i := range 7 {
 			y.pressed([]ids.Role{ids.Prefill, ids.Decode}[i%2], []int{6, 14}[i%2])
-			f.until(12*time.Second, func() bool { return f.holder() >= 0 && len(orders(y.book())) > i })
+			f.until(12*time.Second, func() bool { return f.holder() >= 0 && len(orders(y.directory())) > i })
 			time.Sleep(time.Duration(seed*131%17+uint64(i)*7%5) * 100 * time.Millisecond)
 			h := f.holder()
 			if h < 0 {
@@ -190,7 +190,7 @@
 			}
 			return true
 		}), "every turn comes to an end")
-		rows := y.book()
+		rows := y.directory()
 		require.Greater(t, len(orders(rows)), 3)
 		require.Empty(t, ordersApart(rows, 3*time.Second))
 		require.Empty(t, thirds(rows, was))
@@ -217,7 +217,7 @@
 				defer f.close()
 				y.pressed(ids.Prefill, 6)
 				require.True(t, f.until(15*time.Second, func() bool {
-					return len(f.nodes[0].view.Current().RoleChanges) > 0 && (!ordered || len(orders(y.book())) > 0)
+					return len(f.nodes[0].view.Current().RoleChanges) > 0 && (!ordered || len(orders(y.directory())) > 0)
 				}))
 				h := f.holder()
 				require.GreaterOrEqual(t, h, 0)
@@ -229,10 +229,10 @@
 				for _, b := range f.up() {
 					require.Empty(t, b.view.Current().RoleChanges, "the next holder ended it")
 				}
-				require.Empty(t, leftAlone(y.book(), 100*time.Millisecond))
-				require.Empty(t, onceOnly(y.book(), all))
+				require.Empty(t, leftAlone(y.directory(), 100*time.Millisecond))
+				require.Empty(t, onceOnly(y.directory(), all))
 				if !ordered {
-					require.Empty(t, orders(y.book()))
+					require.Empty(t, orders(y.directory()))
 				}
 			})
 		})
@@ -254,8 +254,8 @@
 		require.True(t, f.until(20*time.Second, func() bool { next = f.holder(); return next >= 0 && next != h }))
 		since := y.now()
 		y.pressed(ids.Prefill, 6)
-		require.True(t, f.until(20*time.Second, func() bool { return len(orders(y.book())) > 0 }))
-		first := orders(y.book())[0]
+		require.True(t, f.until(20*time.Second, func() bool { return len(orders(y.directory())) > 0 }))
+		first := orders(y.directory())[0]
 		require.Equal(t, nodeIP(next), first.Node)
 		require.Greater(t, first.At-since, 3*time.Second)
 	})
@@ -276,7 +276,7 @@
 		time.Sleep(4 * time.Second)
 		y.pressed(ids.Prefill, 6)
 		all := f.load(60, 8*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
-		rows := y.book()
+		rows := y.directory()
 		require.NotEmpty(t, orders(rows))
 		require.Empty(t, untouched(rows, time.Second))
 		require.Empty(t, onceOnly(rows, all))
--- a/internal/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -97,7 +97,7 @@
 		defer f.close()
 		a := f.ask(f.nodes[0], f.req("before", "/once/x", 400, 3))
 		require.NoError(t, a.err)
-		require.Equal(t, 3, firstEmits(y.book())["before"])
+		require.Equal(t, 3, firstEmits(y.directory())["before"])
 		_, err := f.apply("one", 0, setOf(routing.Source{Name: "low", Share: 30, Text: first(0)}, routing.Source{Name: "high", Share: 70, Text: first(2)}))
 		require.NoError(t, err)
 		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(1) }))
@@ -118,9 +118,9 @@
 			return f.req(fmt.Sprint("r", i), paths[i%2], 400, 4)
 		})
 		require.Less(t, had-swapped, 2*time.Second)
-		require.Empty(t, onceOnly(y.book(), all))
+		require.Empty(t, onceOnly(y.directory(), all))
 		require.Empty(t, answers(all))
-		across, at := 0, firstEmits(y.book())
+		across, at := 0, firstEmits(y.directory())
 		var previous, new [4]float64
 		for _, a := range all {
 			require.NoError(t, a.err, a.ID)
@@ -142,9 +142,9 @@
 	})
 }
 
-// TestKeepsDeck: a stream that is taken up elsewhere after a swap goes by the programs that
+// TestKeepsProgramSet: a stream that is taken up elsewhere after a swap goes by the programs that
 // it began with.
-func TestKeepsDeck(t *testing.T) {
+func TestKeepsProgramSet(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		y := newCluster(both("svc", 2, 4)...)
 		f := build(t, 82, 2, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
@@ -163,7 +163,7 @@
 		require.NoError(t, a.err)
 		require.Empty(t, answers([]*asked{a}))
 		var at []ids.WorkerID
-		for _, k := range y.book() {
+		for _, k := range y.directory() {
 			if k.Kind == "emit" {
 				at = append(at, k.Worker)
 			}
@@ -402,10 +402,10 @@
 `
 )
 
-// TestTurnByProgram: a program in charge that wishes for a turn whenever one may be had is
+// TestRoleChangeByProgram: a program in charge that wishes for a turn whenever one may be had is
 // held to the guards: a third keeps each part, orders to a worker are its dwell apart, and
 // nothing is sent to a worker that turns.
-func TestTurnByProgram(t *testing.T) {
+func TestRoleChangeByProgram(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		some int
@@ -419,7 +419,7 @@
 				_, err := f.apply(name, 0, setOf(routing.Source{Name: name, ChangesRoles: true, Text: c.text}))
 				require.NoError(t, err)
 				all := f.load(20, 40*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
-				rows := y.book()
+				rows := y.directory()
 				require.Greater(t, len(orders(rows)), c.some)
 				last, ends := map[ids.WorkerID]time.Duration{}, time.Duration(-time.Hour)
 				for _, k := range orders(rows) {
@@ -468,8 +468,8 @@
 				time.Sleep(2 * time.Second)
 				y.pressed(ids.Prefill, 6)
 				time.Sleep(10 * time.Second)
-				require.Equal(t, c.turns, len(orders(y.book())) > 0)
-				for _, k := range orders(y.book()) {
+				require.Equal(t, c.turns, len(orders(y.directory())) > 0)
+				for _, k := range orders(y.directory()) {
 					require.Equal(t, ids.Prefill, k.To)
 				}
 				h := f.nodes[max(0, f.holder())]
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -38,9 +38,9 @@
 		if fresh {
 			return n.bind(key, w, incarnation)
 		}
-		deed, err := n.claim(ctx, key, ask, w, incarnation)
-		if err == nil && deed != nil {
-			err = n.replay(deed, out)
+		record, err := n.claim(ctx, key, ask, w, incarnation)
+		if err == nil && record != nil {
+			err = n.replay(record, out)
 			if err == nil {
 				err = errReplayed
 			}
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -43,7 +43,7 @@
 	n.duties.Range(func(k, v any) bool {
 		d := v.(*workerDuty)
 		if f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id)); ok && f == d.fence {
-			st := d.ledger.State(now)
+			st := d.memory.State(now)
 			b.Workers = append(b.Workers, WorkerStatus{
 				ID:            d.id,
 				Fence:         f,
--- a/internal/router/heartbeat_test.go
+++ b/internal/router/heartbeat_test.go
@@ -39,18 +39,18 @@
 		go rpc.Serve(ctx, l, mux)
 		require.NoError(t, n.agent.Fetch(ctx, b.Addr))
 		require.Len(t, n.agent.Members(), 3)
-		beat, slow := &Heartbeat{Node: "b"}, 200*time.Millisecond
-		rpc.Handle(mux, heartbeatMethod, func(context.Context, *Heartbeat) (*Heartbeat, error) { time.Sleep(slow); return beat, nil })
+		heartbeat, slow := &Heartbeat{Node: "b"}, 200*time.Millisecond
+		rpc.Handle(mux, heartbeatMethod, func(context.Context, *Heartbeat) (*Heartbeat, error) { time.Sleep(slow); return heartbeat, nil })
 		hear := func() {
-			_, err := n.handleHeartbeat(ctx, beat)
+			_, err := n.handleHeartbeat(ctx, heartbeat)
 			require.NoError(t, err)
 		}
 
 		hear()
 		require.False(t, n.knowsNewest(), "it came by itself")
-		n.learn(ctx, b, beat, n.now().Add(-currentTTL-time.Millisecond))
+		n.learn(ctx, b, heartbeat, n.now().Add(-currentTTL-time.Millisecond))
 		require.False(t, n.knowsNewest(), "asked too long ago")
-		n.learn(ctx, b, beat, n.now())
+		n.learn(ctx, b, heartbeat, n.now())
 		require.True(t, n.knowsNewest())
 		hear()
 		require.True(t, n.knowsNewest(), "the answer still counts")
--- a/internal/router/holder.go
+++ b/internal/router/holder.go
@@ -23,7 +23,7 @@
 type workerDuty struct {
 	id     ids.WorkerID
 	fence  ids.Fence
-	ledger *handoff.MemoryLedger
+	memory *handoff.MemoryLedger
 	known  bool // the worker knows the fence; the poll alone reads and sets it
 	stop   context.CancelFunc
 }
@@ -55,7 +55,7 @@
 			mine[id] = true
 			if previous, ok := n.duties.Load(id); ok {
 				if d := previous.(*workerDuty); d.fence == f {
-					d.ledger.Configure(lim.Lag(), lim.SlowStart(), lim.Queue)
+					d.memory.Configure(lim.Lag(), lim.SlowStart(), lim.Queue)
 					continue
 				}
 				previous.(*workerDuty).stop()
@@ -65,7 +65,7 @@
 				id:     id,
 				fence:  f,
 				stop:   stop,
-				ledger: handoff.NewMemoryLedger(lim.Lag(), lim.SlowStart(), lim.Queue),
+				memory: handoff.NewMemoryLedger(lim.Lag(), lim.SlowStart(), lim.Queue),
 			}
 			n.duties.Store(id, d)
 			wg.Go(func() { n.poll(callContext, d) })
@@ -94,10 +94,10 @@
 				err = n.firstOrder(ctx, d, l.Addr, r.Role)
 			}
 			if err == nil {
-				d.ledger.Report(r, asked)
+				d.memory.Report(r, asked)
 				n.view.NoteVersion(r.Version)
 			} else {
-				d.ledger.Missed()
+				d.memory.Missed()
 			}
 		}
 		if !host.Sleep(ctx, n.options.PollInterval) {
@@ -127,7 +127,7 @@
 		return err
 	}
 	d.known = true
-	d.ledger.Begin(n.now())
+	d.memory.Begin(n.now())
 	return nil
 }
 
@@ -159,7 +159,7 @@
 			failure.Unavailable, "hold key", n.self.Addr, "the desk of %s is not open yet", request.Worker,
 		)
 	}
-	led := v.(*workerDuty).ledger
+	led := v.(*workerDuty).memory
 	if _, err := n.check(request); err != nil {
 		return nil, err
 	}
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -52,7 +52,7 @@
 		}
 		base = s.Text
 	}
-	p, whole, err := fleetstate.Draft(name, a.Source, text, base, a.Partial)
+	p, complete, err := fleetstate.Draft(name, a.Source, text, base, a.Partial)
 	if err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 		return nil, fleetstate.Locate(name, []byte(a.Source), err)
 	}
 	if a.Dry {
-		return &api.ApplyResponse{Version: a.Base, Policy: whole}, nil
+		return &api.ApplyResponse{Version: a.Base, Policy: complete}, nil
 	}
 	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
@@ -74,7 +74,7 @@
 		fleetstate.PrepareKind,
 		coordination.MustMarshal(&fleetstate.PrepareVersion{
 			Base: ids.Version(a.Base),
-			Text: whole,
+			Text: complete,
 		}),
 	)
 	if err != nil {
--- a/internal/router/role_balance.go
+++ b/internal/router/role_balance.go
@@ -106,12 +106,12 @@
 			})
 		}
 	}
-	wish, ok := n.proposeRoleChange(s, view)
+	change, ok := n.proposeRoleChange(s, view)
 	if ok {
-		n.roleChanges.Store(wish.Worker, now)
-		p.last, p.to = now, wish.To
+		n.roleChanges.Store(change.Worker, now)
+		p.last, p.to = now, change.To
 	}
-	return wish, ok
+	return change, ok
 }
 
 // proposeRoleChange asks the programs; with turning off, workers go home one by one.
@@ -201,8 +201,8 @@
 	lead workerclient.OrderHeader,
 	to ids.Role,
 ) (*workerclient.OrderResponse, error) {
-	d.ledger.Reservation(true)
-	defer d.ledger.Reservation(false)
+	d.memory.Reservation(true)
+	defer d.memory.Reservation(false)
 	callContext, stop := context.WithTimeout(ctx, maxRoleChange)
 	defer stop()
 	for {
@@ -210,7 +210,7 @@
 			return nil, failure.New(failure.Unavailable, "turn", n.self.Addr, "the key of %s went to other hands", d.id)
 		}
 		lead.Version = n.view.Current().Version
-		if n.current() && d.ledger.Empty() {
+		if n.current() && d.memory.Empty() {
 			a, err := n.workerClient.SetRole(callContext, addr, &workerclient.RoleRequest{OrderHeader: lead, Role: to})
 			if !failure.Is(err, failure.NotExecuted) {
 				return a, err
--- a/internal/router/role_balance_test.go
+++ b/internal/router/role_balance_test.go
@@ -24,7 +24,7 @@
 		Workers:     map[ids.WorkerID]fleetstate.Worker{},
 		Limits:      fleetstate.Limits{DwellMs: 4000},
 	}}
-	stands, roster := map[ids.WorkerID]WorkerStatus{}, map[ids.WorkerID]workerclient.ListedWorker{}
+	stands, endpoints := map[ids.WorkerID]WorkerStatus{}, map[ids.WorkerID]workerclient.ListedWorker{}
 	for i := range reads + writes {
 		part, busy := ids.Prefill, readBusy
 		if i >= reads {
@@ -47,10 +47,10 @@
 			Work:          busy,
 			MaxConcurrent: 16,
 		}
-		roster[id] = workerclient.ListedWorker{ID: id}
+		endpoints[id] = workerclient.ListedWorker{ID: id}
 	}
 	n.workerStatus.Store(&stands)
-	n.endpoints.Store(&roster)
+	n.endpoints.Store(&endpoints)
 	return n, s
 }
 
--- a/internal/routing/role_change_test.go
+++ b/internal/routing/role_change_test.go
@@ -10,7 +10,7 @@
 	"keelstair.example/ids"
 )
 
-func deckOf(t *testing.T, scores *Scores, list ...Source) *ProgramSet {
+func programSetOf(t *testing.T, scores *Scores, list ...Source) *ProgramSet {
 	d, err := NewProgramSet(list, 20000, scores)
 	require.NoError(t, err)
 	return d
@@ -25,10 +25,10 @@
 	}
 	q := &PickRequest{Role: ids.Decode, Request: "r", Kind: "ruling"}
 	text := "def match(ask, worker):\n    return ask.kind != 'ruling' or 'legal' in worker.adapters\n"
-	d := deckOf(t, &Scores{}, Source{Name: "legal", Text: text, Share: 100})
+	d := programSetOf(t, &Scores{}, Source{Name: "legal", Text: text, Share: 100})
 	require.Equal(t, []ids.WorkerID{"w5", "w3", "w1"}, d.Order(q, list), "in the built-in order")
 	require.Len(t, d.Order(&PickRequest{Role: ids.Decode, Request: "r", Kind: "rider"}, list), 6)
-	none := deckOf(t, &Scores{}, Source{Name: "none", Text: "def match(ask, worker):\n    return False\n", Share: 100})
+	none := programSetOf(t, &Scores{}, Source{Name: "none", Text: "def match(ask, worker):\n    return False\n", Share: 100})
 	require.Empty(t, none.Order(q, list), "matched by nobody")
 	for name, body := range map[string]string{
 		"endless":  "[i for i in range(1 << 40)]",
@@ -36,11 +36,11 @@
 		"nonsense": "3",
 	} {
 		scores := &Scores{}
-		d := deckOf(t, scores, Source{Name: name, Text: "def match(ask, worker):\n    return " + body, Share: 100})
+		d := programSetOf(t, scores, Source{Name: name, Text: "def match(ask, worker):\n    return " + body, Share: 100})
 		require.Len(t, d.Order(q, list), 6, name)
 		require.EqualValues(t, 1, scores.Of(name).Fallbacks.Load(), name)
 	}
-	out := deckOf(t, &Scores{}, Source{
+	out := programSetOf(t, &Scores{}, Source{
 		Name:  "x",
 		Share: 100,
 		Text:  text + "def order(ask, workers):\n    return ['w0']\n",
@@ -67,9 +67,9 @@
 	return p
 }
 
-// TestTurnPrograms: the program in charge decides, one that is not only is counted,
+// TestRoleChangePrograms: the program in charge decides, one that is not only is counted,
 // and whatever it wishes for that may not be falls back to the built-in wish.
-func TestTurnPrograms(t *testing.T) {
+func TestRoleChangePrograms(t *testing.T) {
 	plain := RoleChange{"d2", ids.Prefill}
 	for name, k := range map[string]struct {
 		body  string
@@ -89,7 +89,7 @@
 	} {
 		scores := &Scores{}
 		text := "def turn(pool):\n    return " + k.body
-		d := deckOf(t, scores, Source{
+		d := programSetOf(t, scores, Source{
 			Name:         name,
 			Text:         text,
 			ChangesRoles: true,
--- a/rpc/dial.go
+++ b/rpc/dial.go
@@ -26,7 +26,7 @@
 		err  error
 	}
 	outcomes := make(chan outcome)
-	try := func() {
+	attempt := func() {
 		conn, err := n.Dial(ctx, addr)
 		select {
 		case outcomes <- outcome{conn, err}:
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	go try()
+	go attempt()
 	again := time.NewTicker(redialInterval)
 	defer again.Stop()
 	for {
@@ -44,7 +44,7 @@
 		case first := <-outcomes:
 			return first.conn, first.err
 		case <-again.C:
-			go try()
+			go attempt()
 		case <-ctx.Done():
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: ctx.Err()}
 		}
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -193,14 +193,14 @@
 }
 
 func halfBody(p *peer, a arrival) bool {
-	whole := p.reply(a.text, a.id)
-	p.say(whole[:len(whole)-5])
+	complete := p.reply(a.text, a.id)
+	p.say(complete[:len(complete)-5])
 	return false
 }
 
 func halfBodyReset(p *peer, a arrival) bool {
-	whole := p.reply(a.text, a.id)
-	p.say(whole[:len(whole)-5])
+	complete := p.reply(a.text, a.id)
+	p.say(complete[:len(complete)-5])
 	time.Sleep(20 * time.Millisecond)
 	return p.reset()
 }
