--- a/ids/ids.go
+++ b/ids/ids.go
@@ -1,6 +1,6 @@
 package ids
 
-import "time"
+import "cmp"
 
 // Epoch numbers the terms of leadership of the coordination core. It only grows.
 type Epoch uint64
@@ -57,9 +57,7 @@
 	return (tokens + size - 1) / size
 }
 
-// SetDefault sets a duration that was left at zero to its default v.
-func SetDefault(d *time.Duration, v time.Duration) {
-	if *d == 0 {
-		*d = v
-	}
+// SetDefault sets a value that is zero to its default.
+func SetDefault[T comparable](value *T, fallback T) {
+	*value = cmp.Or(*value, fallback)
 }
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -79,46 +79,20 @@
 	ids.SetDefault(&o.RoleChangeInterval, 500*time.Millisecond)
 	ids.SetDefault(&o.PrefillSilence, 900*time.Millisecond)
 	ids.SetDefault(&o.BaseEjection, 2*time.Second)
-	if o.RetryRatio == 0 {
-		o.RetryRatio = 0.2
-	}
-	if o.SlowStartOvershoot == 0 {
-		o.SlowStartOvershoot = 1.5
-	}
-	if o.SlowStartAllowance == 0 {
-		o.SlowStartAllowance = 5
-	}
-	if o.PrefillTokensPerMs == 0 {
-		o.PrefillTokensPerMs = 50
-	}
-	if o.IdlePrefillShare == 0 {
-		o.IdlePrefillShare = 0.55
-	}
-	if o.MaxEjectedShare == 0 {
-		o.MaxEjectedShare = 0.34
-	}
-	if o.PeerWeight == 0 {
-		o.PeerWeight = 4
-	}
+	ids.SetDefault(&o.RetryRatio, 0.2)
+	ids.SetDefault(&o.SlowStartOvershoot, 1.5)
+	ids.SetDefault(&o.SlowStartAllowance, 5)
+	ids.SetDefault(&o.PrefillTokensPerMs, 50)
+	ids.SetDefault(&o.IdlePrefillShare, 0.55)
+	ids.SetDefault(&o.MaxEjectedShare, 0.34)
+	ids.SetDefault(&o.PeerWeight, 4)
 	ids.SetDefault(&o.AdmitMaxAge, time.Second)
-	if o.AdmitFactor == 0 {
-		o.AdmitFactor = 3
-	}
-	if o.MaxRejectedCallers == 0 {
-		o.MaxRejectedCallers = 4096
-	}
-	if o.FlatListNodes == 0 {
-		o.FlatListNodes = 96
-	}
-	if o.TreeWidth == 0 {
-		o.TreeWidth = 12
-	}
-	if o.NoCapacityCost == 0 {
-		o.NoCapacityCost = 5
-	}
-	if o.ProgramSteps == 0 {
-		o.ProgramSteps = 20000
-	}
+	ids.SetDefault(&o.AdmitFactor, 3)
+	ids.SetDefault(&o.MaxRejectedCallers, 4096)
+	ids.SetDefault(&o.FlatListNodes, 96)
+	ids.SetDefault(&o.TreeWidth, 12)
+	ids.SetDefault(&o.NoCapacityCost, 5)
+	ids.SetDefault(&o.ProgramSteps, 20000)
 	if o.Ring == nil {
 		o.Ring = logging.Discard()
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -42,15 +42,9 @@
 	ids.SetDefault(&o.Lag, 300*time.Millisecond)
 	ids.SetDefault(&o.StagingTTL, 5*time.Second)
 	ids.SetDefault(&o.Orphan, 2*time.Second)
-	if o.Block == 0 {
-		o.Block = 16
-	}
-	if o.Weight == 0 {
-		o.Weight = 64
-	}
-	if o.Speed == 0 {
-		o.Speed = 64 << 20
-	}
+	ids.SetDefault(&o.Block, 16)
+	ids.SetDefault(&o.Weight, 64)
+	ids.SetDefault(&o.Speed, 64<<20)
 }
 
 // Faults are ordered over POST /fault.
