--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -1,6 +1,6 @@
-// Keelstair-platform runs keelstair on the users' platform: "keelstair-platform controller" is a control process with a
-// disk, "keelstair-platform router" a router node. What it is told stands in the platform's settings
-// file; the options are those of the product's own programs.
+// Keelstair-platform runs keelstair on the users' platform: "keelstair-platform controller" is a
+// control process, "keelstair-platform router" a router node. What it is told stands in the
+// platform's settings file; the options are those of the product's own programs.
 package main
 
 import (
@@ -82,10 +82,10 @@
 	if err != nil {
 		return err
 	}
-	ring := cli.Ring("core " + s.Name)
+	ring := cli.Ring("controller " + s.Name)
 	log.SetOutput(ring)
 	if s.Dir == "" {
-		return desk(s, host, ring)
+		return runDiskless(s, host, ring)
 	}
 	c, err := coordination.New(coordination.Options{
 		Addr:           s.ControlAddr,
@@ -127,8 +127,8 @@
 	api.MountOperator(mux, &proxy.Operator{Caller: call, Directory: directory, Zones: s.Zones})
 }
 
-// desk serves the operator on a machine without a disk: it holds nothing and asks the core.
-func desk(s *platform.Settings, host host.Host, ring *logging.Ring) error {
+// runDiskless serves the operator on a machine without a disk: it holds nothing and asks the core.
+func runDiskless(s *platform.Settings, host host.Host, ring *logging.Ring) error {
 	ctx, stop := cli.Signals()
 	defer stop()
 	call := rpc.NewCaller(host.Net)
