--- a/coordination/messages.go
+++ b/coordination/messages.go
@@ -101,7 +101,7 @@
 	Promised      ids.Epoch
 	MissingChunks []string `msg:"Lacks"`
 	Behind        bool     `msg:"Behind,omitempty"` // more than the place in the log is needed
-	Digest        []byte   `msg:"Digest,omitempty"` // of the log up to Last
+	Digest        []byte   `msg:"Digest,omitempty"` // of the log up to LastSeq
 }
 
 // SnapshotRequest readies a backup for an epoch: with the place in the log alone, which is enough
@@ -206,7 +206,7 @@
 	Time    int64   `msg:"Time,omitempty"`
 }
 
-// Assignment hands keys to nodes; the fences are set as it is applied.
+// Assignment hands keys to nodes; the fencing tokens are set as it is applied.
 type Assignment struct {
 	Grants []Grant
 }
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -33,7 +33,7 @@
 }
 
 // MarkRequest is an order to take a zone, a worker or a certificate out of use or, with Out false,
-// to take that back (not of a certificate). Op is the operation's id, as in Apply.
+// to take that back (not of a certificate). Op is the operation's id, as in ApplyRequest.
 type MarkRequest struct {
 	Op  string `json:"op"`
 	Out bool   `json:"out"`
@@ -77,7 +77,7 @@
 	Rows  []json.RawMessage `json:"rows"`
 }
 
-// Operator carries out operators' orders. Its errors are answered as Bounce says; Fate makes
+// Operator carries out operators' orders. Its errors are answered as NotExecuted says; OutcomeEvent makes
 // them where an order may have been carried out.
 type Operator interface {
 	// Apply checks a configuration and puts it in force.
--- a/internal/api/streams.go
+++ b/internal/api/streams.go
@@ -92,7 +92,7 @@
 // Server serves origins' requests.
 type Server interface {
 	// Serve runs a request and puts its answer to out. An error before the first line becomes
-	// the HTTP status (see Bounce); after it, the last line says how the stream ended.
+	// the HTTP status (see NotExecuted); after it, the last line says how the stream ended.
 	Serve(ctx context.Context, ask *StreamRequest, out Sink) error
 	// Ready reports whether the node can serve, and else why not.
 	Ready() (bool, string)
--- a/internal/fleetstate/configuration.go
+++ b/internal/fleetstate/configuration.go
@@ -100,7 +100,7 @@
 // ConfigurationReader makes a configuration of an operator's text.
 type ConfigurationReader func(text []byte) (*Configuration, error)
 
-// ReadPlain reads the product's own form, as Whole gives it.
+// ReadPlain reads the product's own form, as ParseComplete gives it.
 func ReadPlain(text []byte) (*Configuration, error) {
 	p := &Configuration{}
 	return p, json.Unmarshal(text, p)
--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -51,10 +51,10 @@
 	CommitProgramsKind  = "lore.programs.activate"
 )
 
-// SlowStartEndedKind is the name of Warmed in the log.
+// SlowStartEndedKind is the name of SlowStartEnded in the log.
 const SlowStartEndedKind = "lore.warmed"
 
-// RoleChangeKind is the name of Turn in the log.
+// RoleChangeKind is the name of RoleChange in the log.
 const RoleChangeKind = "lore.turn"
 
 // PrepareVersion brings a whole, checked configuration, made over the version Base.
@@ -104,7 +104,7 @@
 }
 
 // Evacuate empties a zone, or takes that back. With Compare it is refused as stale unless the
-// zone has changed Base times so far; without, its operation's id alone tells a repetition.
+// zone has changed BaseRevision times so far; without, its operation's id alone tells a repetition.
 type Evacuate struct {
 	Zone         ids.Zone
 	Evacuated    bool `msg:"Out"`
@@ -221,7 +221,7 @@
 	Serial string
 }
 
-// Revocation as snapshots hold it; Sure once it is in force everywhere.
+// Revocation as snapshots hold it; Confirmed once it is in force everywhere.
 type Revocation struct {
 	Serial    string
 	Confirmed bool `msg:"Sure"`
--- a/internal/fleetstate/overlay.go
+++ b/internal/fleetstate/overlay.go
@@ -17,7 +17,7 @@
 
 var sections = []string{"workers", "kinds", "programs"}
 
-// Overlay lays a part over a whole text and gives what Whole would give of both.
+// Overlay lays a part over a whole text and gives what ParseComplete would give of both.
 func Overlay(name string, complete, part []byte) (*Configuration, []byte, error) {
 	merged, err := Merge(complete, part)
 	if err != nil {
--- a/internal/handoff/clean.go
+++ b/internal/handoff/clean.go
@@ -14,7 +14,7 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// Stopper is what clean needs of Hands; settling a dead node's claims uses it
+// Stopper is what clean needs of Transport; resolving a dead node's claims uses it
 // too.
 type Stopper interface {
 	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -40,8 +40,8 @@
 	tried    map[ids.WorkerID]bool
 
 	prefilledAt   *pick  // the worker whose memory of the prompt is yet to be fetched
-	unpaidPrefill bool   // a reading that failed is yet to be counted
-	attemptsMade  int    // counted: emits, and readings turned away or repeated
+	unpaidPrefill bool   // a prefill that failed is yet to be counted
+	attemptsMade  int    // counted: decodes, and prefills rejected or repeated
 	mayHaveRun    bool   // it may have run
 	headSent      bool   // the caller has the head of an answer
 	lastEventID   string // id of the last event that the caller has
@@ -56,7 +56,7 @@
 func (t *exchange) remaining() time.Duration { return t.deadline.Since(t.node.now()) }
 
 // Serve brings a request to its end. A nil error means that the sink has the whole
-// answer; a *Refusal, that it was not run; a *Broken, that it may have been.
+// answer; a *RejectedError, that it was not run; an *AbortedError, that it may have been.
 func (n *Node) Serve(ctx context.Context, r *Request, sink Sink) error {
 	n.counts.Requests.Add(1)
 	n.inflight.Add(1)
--- a/internal/proxy/memory_account.go
+++ b/internal/proxy/memory_account.go
@@ -1,6 +1,6 @@
 // What a worker's memory still has room for, as this node knows it: the last report, which
 // shows the worker some moments before it was asked, plus what was booked from here since
-// and less what ended here since. proxy/ledger.go answers for a worker alone, knows each
+// and less what ended here since. handoff.MemoryLedger answers for a worker alone, knows each
 // run by its id in the report and refuses; here reports have sums only, other nodes book
 // beside this one, and the answer is only a cost. So no more than the principle is shared:
 // whatever the ledger errs by makes a worker look fuller.
--- a/internal/proxy/messages.go
+++ b/internal/proxy/messages.go
@@ -41,7 +41,7 @@
 	Nodes  int
 }
 
-// WorkerRow is one worker of the list; Cold is in nanoseconds from the asking on.
+// WorkerRow is one worker of the list; SlowStart is in nanoseconds from the asking on.
 type WorkerRow struct {
 	ID          ids.WorkerID `msg:"Id"`
 	Service     string
@@ -79,8 +79,8 @@
 
 // ListRequest tells which version of the list a node has, its readings under way, up to where it
 // has heard how the workers stand, and, from the node that asks them, how they do. Deltas
-// tells that it can put in changes, and Hold for how many ns the answer may wait for one. Of
-// a node with others below it, Reads counts theirs too, and Below is what those saw.
+// tells that it can put in changes, and MaxWait for how many ns the answer may wait for one. Of
+// a node with others below it, Prefills counts theirs too, and SubtreeOutcomes is what those saw.
 type ListRequest struct {
 	Node            ids.NodeID
 	Version         uint64         `msg:"Seq"`
@@ -94,9 +94,9 @@
 }
 
 // ListResponse has the rows only where the version differs: all, or as a Delta those that
-// changed, and the workers that are Gone. Age is how long ago the platform was asked, and Took
-// how long it took to answer, in nanoseconds. Reads and Ends are those of the other nodes;
-// Stands, what changed after the number that was asked from, up to Stood. An Early answer has
+// changed, and the workers that are Removed. Age is how long ago the platform was asked, and Latency
+// how long it took to answer, in nanoseconds. Prefills and Outcomes are those of the other nodes;
+// Loads, what changed after the number that was asked from, up to LoadSeq. An Early answer has
 // the change of the list alone, since it came before the rest was due. Node is who answers:
 // at the address of a process that ended another may have started.
 type ListResponse struct {
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -65,7 +65,7 @@
 	ended       *atomic.Bool // its outcome is noted
 }
 
-// ranked is what is sorted in a choice's stead, since it is small and holds no pointers.
+// ranked is what is sorted in a pick's stead, since it is small and holds no pointers.
 type ranked struct {
 	cost, tie float64
 	index     int
@@ -230,7 +230,7 @@
 	return n.order(programs, r, ids.Prefill, list)
 }
 
-// emitters orders the workers that may emit the answer, near the memory and near here.
+// emitters orders the workers that may decode, near the memory and near here.
 func (n *Node) emitters(
 	programs *routing.ProgramSet,
 	s *fleetstate.Snapshot,
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	roleChangeInterval   = 1200 * time.Millisecond // between two turns of a service
+	roleChangeInterval   = 1200 * time.Millisecond // between two role changes of a service
 	roleChangeTimeout    = 8 * time.Second         // then a turn that shows no end is given up
 	roleChangeNotice     = 350 * time.Millisecond  // for all nodes to hear of it
 	prefillPressureLimit = 1.3                     // prompts at each reading worker
@@ -28,7 +28,7 @@
 	decodeRelaxed        = 0.25
 	decodeSaturated      = 0.6 // pressed beyond what readers may weigh against it
 	minRoleShare         = 3   // one of so many workers keeps each part
-	roleChangeShare      = 12  // one of so many workers turns at once
+	roleChangeShare      = 12  // one of so many workers changes its role at once
 )
 
 type roleBalance struct {
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -67,7 +67,7 @@
 	wg    sync.WaitGroup
 	cores sync.Map   // *coordination.Core, every one that was started
 	nodes sync.Map   // *router.Node -> name, likewise
-	mu    sync.Mutex // of Boxes
+	mu    sync.Mutex // of Processes
 	out   *simulated.Process
 	web   *http.Client
 }
--- a/internal/workerclient/messages.go
+++ b/internal/workerclient/messages.go
@@ -113,7 +113,7 @@
 	FateRunning  = "running"  // runs now
 )
 
-// Running is one request on a worker: the cache blocks that it holds, and Room, how many more
+// Running is one request on a worker: the cache blocks that it holds, and Reserved, how many more
 // it may come to need.
 type Running struct {
 	ID       ID  `json:"id"`
--- a/logging/ring.go
+++ b/logging/ring.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 )
 
-// discardSize is how many lines the ring of Mute holds.
+// discardSize is how many lines the ring of Discard holds.
 const discardSize = 8
 
 // Ring is a logger that holds the newest lines in memory. A line of level error or above
