--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -16,6 +16,7 @@
 
 const (
 	electionTick = 60 * time.Millisecond // between two looks, and as much again by chance
+	longElection = time.Second           // longer than an election takes that sends no snapshot
 	// longer than others wait, since a replica that is about to end leads only if nobody else does
 	leavingElectionDelay = 2 * time.Second
 )
@@ -29,6 +30,7 @@
 func (c *Core) electionLoop(ctx context.Context) {
 	idle := c.options.Host.Clock.Now()
 	met := &encounter{}
+	var notBefore ids.Tick // of the next election after one that a rival cut short
 	for c.awaitElectionTick(ctx) {
 		now := c.options.Host.Clock.Now()
 		record, _ := c.accepted()
@@ -77,9 +79,13 @@
 		if !asked && !now.Past(idle, wait) {
 			continue
 		}
+		if !asked && now.Before(notBefore) {
+			continue
+		}
 		got, err := c.campaign(ctx, ballot{transfer: asked})
 		if err != nil {
 			c.options.Ring.Info().AnErr("cause", err).Msg("election failed")
+			notBefore = c.electionBackoff(now)
 			continue
 		}
 		c.lead(ctx, got)
@@ -87,6 +93,22 @@
 	}
 }
 
+// electionBackoff gives when this core may stand again after an election that began at a tick and
+// failed. Where sending the state takes long, two candidates would cut each other's elections short
+// for ever; so one that has promised a newer epoch to a rival waits at random for up to twice the
+// time that it has spent.
+func (c *Core) electionBackoff(began ids.Tick) ids.Tick {
+	now := c.options.Host.Clock.Now()
+	spent := now.Since(began)
+	c.registerMu.Lock()
+	defer c.registerMu.Unlock()
+	rival := c.register.PromisedTo != c.self.Disk && c.register.Promised > c.register.Accepted.Epoch
+	if !rival || spent < longElection {
+		return now
+	}
+	return now.Add(rand.N(2 * spent))
+}
+
 // awaitElectionTick waits for the election loop's next look, or until it is woken; it is false once the context
 // has ended.
 func (c *Core) awaitElectionTick(ctx context.Context) bool {
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -14,6 +14,7 @@
     ("lint-held-packages", "tools/exported/main.go", "\t\t\tfaults = append(faults, undocumented...)\n", "", "tools/exported", "TestJudge"),
     ("lint-long-functions", "tools/funclength/main.go", "if f.lines > maxLines {", "if f.lines > 10*maxLines {", "tools/funclength", "TestJudge"),
     ("day-end-backup", "coordination/leader.go", "\t\twg.Go(func() { behind[i] = l.replicateTo(callContext, s, request) })\n", "\t\t_, _, _, _ = i, s, callContext, request\n", "internal/simulation", "TestPowerAndDiskLost"),
+    ("election-backoff", "coordination/election_loop.go", "\treturn now.Add(rand.N(2 * spent))\n", "\treturn now\n", "internal/simulation", "TestLargeSnapshot"),
     ("backup-sync", "coordination/leader.go", "\tcase err != nil:\n\t\treturn err\n\tcase !r.OK:\n", "\tcase err != nil:\n\t\treturn nil\n\tcase !r.OK && false:\n", "coordination", "TestAckedSurvives"),
     ("operation-ids", "coordination/leader.go", "if p, ok := c.state.outcomes[e.Op]; ok && e.Op != \"\" {", "if p, ok := c.state.outcomes[e.Op]; ok && false {", "coordination", "TestAckedSurvives"),
     ("anew-living", "coordination/force_new_cluster.go", "if containsDisk(record.Voters, s.Disk) {", "if false {", "coordination", "TestForceNewClusterRefused"),
