--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -197,7 +197,7 @@
 			f.submitNumber(2, "b", time.Second),
 		)
 		time.Sleep(time.Second)
-		fmt.Println("the followers have", f.watchers[0].sum.Load(), f.watchers[1].sum.Load())
+		fmt.Println("the watchers have", f.watchers[0].sum.Load(), f.watchers[1].sum.Load())
 		_, _, left := f.agents[0].KeyOwner("left")
 		fmt.Println("a duty is held:", left)
 	})
