--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -167,6 +167,7 @@
 // TestListBytes: at 3,000 workers and readings at a third of them, a worker that leaves costs
 // each node that hears of it a few hundred bytes, and all readings a few thousand.
 func TestListBytes(t *testing.T) {
+	unraced(t)
 	n, err := New(Options{Name: "n", Host: quietHost()})
 	require.NoError(t, err)
 	list := many(3000)
@@ -257,6 +258,7 @@
 // in time, nothing reaches a worker that leaves later than it may, and few nodes ask the
 // platform meanwhile.
 func TestTreeLosses(t *testing.T) {
+	unraced(t)
 	for _, lost := range []string{"holder", "top", "both"} {
 		for _, how := range []string{"killed", "frozen"} {
 			t.Run(lost+" "+how, func(t *testing.T) {
@@ -314,6 +316,7 @@
 // silently or not, as workers leave: those that are left hear of it in time, though there is
 // no holder until the core is back.
 func TestTreeManyLost(t *testing.T) {
+	unraced(t)
 	for _, how := range []string{"killed", "frozen"} {
 		t.Run(how, func(t *testing.T) {
 			eachSeed(t, 3, func(t *testing.T, seed uint64) {
@@ -364,6 +367,7 @@
 // TestTreeSums: what one node has under way, and what it saw fail, is known to all others
 // through the tree, and counted once.
 func TestTreeSums(t *testing.T) {
+	unraced(t)
 	bubble(t, func(t *testing.T) {
 		y := newCluster(both("svc", 3, 3)...)
 		f := build(t, 66, 12, y, plain(), treed(1))
@@ -389,6 +393,7 @@
 // TestTreeOutcomes: a worker that every third node saw fail is known to all as failing, and
 // what one node alone saw counts as one node's word.
 func TestTreeOutcomes(t *testing.T) {
+	unraced(t)
 	bubble(t, func(t *testing.T) {
 		y := newCluster(both("svc", 3, 6)...)
 		f := build(t, 67, 12, y, plain(), func(o *Options) {
