--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -382,7 +382,9 @@
 	c := NewCaller(loopback{new(atomic.Bool)})
 	defer c.Close()
 	rest := make(chan string, 1)
+	var begun atomic.Bool
 	o.early = func(p *peer, q *http.Request) bool {
+		begun.Store(true)
 		p.say(p.reply("long", q.Header.Get(callIDHeader)))
 		time.Sleep(100 * time.Millisecond)
 		p.conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
@@ -391,7 +393,13 @@
 		return false
 	}
 	long := strings.Repeat("l", 32<<20)
-	call(c, o.addr, long)
+	for range 20 { // on a busy machine a call may be over before any of it was sent
+		call(c, o.addr, long)
+		if begun.Load() {
+			break
+		}
+	}
+	require.True(t, begun.Load(), "the long call reached the peer")
 	for i := range 3 {
 		got, err := call(c, o.addr, fmt.Sprint("next", i))
 		require.NoError(t, err)
