--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -36,13 +36,8 @@
 		record, _ := c.accepted()
 		known := c.directory.Record()
 		if f := c.directory.ForeignCluster(); f != "" && record.ClusterID != "" && c.orphaned(now, record) {
-			c.fatal <- failure.New(
-				failure.InvalidArgument,
-				"meet peers",
-				f,
-				"this disk belongs to founding %s; the seeds to another",
-				record.ClusterID,
-			)
+			c.fatal <- failure.New(failure.InvalidArgument, "meet peers", f,
+				"this disk belongs to founding %s; the seeds to another", record.ClusterID)
 			return
 		}
 		if record.ClusterID == "" {
@@ -63,23 +58,9 @@
 		if c.store.pending.Load() > 0 || !c.isDataReplica(record) || c.reloadPending() {
 			continue
 		}
-		wait := time.Duration(0)
-		if rank := record.backupRank(c.self.Disk); rank >= 0 {
-			wait = c.options.ElectionTimeout + time.Duration(rank)*c.options.ElectionTimeout/3
-			c.registerMu.Lock()
-			if at, ok := c.lastHeard[record.Primary.Disk]; ok && idle.Before(at) {
-				idle = at
-			}
-			c.registerMu.Unlock()
-		}
 		asked := c.transferEpoch.Load() == uint64(record.Epoch)
-		if c.leaving.Load() {
-			wait += leavingElectionDelay
-		}
-		if !asked && !now.Past(idle, wait) {
-			continue
-		}
-		if !asked && now.Before(notBefore) {
+		wait := c.electionWait(record, &idle)
+		if !asked && (!now.Past(idle, wait) || now.Before(notBefore)) {
 			continue
 		}
 		got, err := c.campaign(ctx, ballot{transfer: asked})
@@ -93,6 +74,24 @@
 	}
 }
 
+// electionWait gives for how long after the tick idle this core does not stand for election, and
+// moves idle on to when a backup last heard the primary.
+func (c *Core) electionWait(record Record, idle *ids.Tick) time.Duration {
+	wait := time.Duration(0)
+	if rank := record.backupRank(c.self.Disk); rank >= 0 {
+		wait = c.options.ElectionTimeout + time.Duration(rank)*c.options.ElectionTimeout/3
+		c.registerMu.Lock()
+		if at, ok := c.lastHeard[record.Primary.Disk]; ok && idle.Before(at) {
+			*idle = at
+		}
+		c.registerMu.Unlock()
+	}
+	if c.leaving.Load() {
+		wait += leavingElectionDelay
+	}
+	return wait
+}
+
 // electionBackoff gives when this core may stand again after an election that began at a tick and
 // failed. Where sending the state takes long, two candidates would cut each other's elections short
 // for ever; so one that has promised a newer epoch to a rival waits at random for up to twice the
