--- a/coordination/agent_clock.go
+++ b/coordination/agent_clock.go
@@ -1,20 +1,20 @@
-// A node's word from the core: how late the fleet's time may be by now, and whether
-// what the core decides still reaches this node.
+// The agent's bounds on the state machine's time, and the check that its view is current.
 
 package coordination
 
 import "keelstair.example/ids"
 
-// timeSample is a time that the core told, with when it was asked and when it was told.
+// timeSample is a time received from the core, with the ticks at which it was requested and received.
 type timeSample struct {
 	time      int64
 	requested ids.Tick
 	received  ids.Tick
 }
 
-// Time gives two bounds of the machine's time (see Timekeeper), in its own unit of
-// nanoseconds; zeros if none was told since this machine last slept, or its clock leapt.
-// Clocks may differ in speed by a tenth. The upper bound goes back over neither.
+// Time returns a lower and an upper bound of the state machine's time in nanoseconds (see
+// Timekeeper). Both are zero if no time was received since this machine last slept or its clock
+// jumped. The bounds allow for clocks that differ in speed by a tenth. The upper bound never
+// decreases, except that forgetTime resets it.
 func (a *Agent) Time() (low, high int64) {
 	t := a.sample.Load()
 	if t == nil {
@@ -34,15 +34,16 @@
 	}
 }
 
-// forgetTime drops the time after a gap in this machine's ticks: how long it was is not known.
+// forgetTime discards the sampled time after a gap in this machine's ticks, since the length of the
+// gap is unknown.
 func (a *Agent) forgetTime() {
 	a.sample.Store(nil)
 	a.maxTime.Store(0)
 }
 
-// Current tells that this node's word is good: its lease holds, and all news up to the
-// renewal that revived it is folded. The core waits for such a node, or for its lease to
-// run out, before it counts a thing as seen by all.
+// Current reports whether this node's view is current: its lease is valid, and it has applied all
+// entries up to the renewal that last made the lease valid. The core waits for such a node, or for
+// its lease to expire, before it considers an entry applied by every node.
 func (a *Agent) Current() bool {
 	return a.LeaseValid() && uint64(a.Seq()) >= a.minSeq.Load()
 }
--- a/coordination/catch_up.go
+++ b/coordination/catch_up.go
@@ -1,6 +1,6 @@
-// Catching up: how a backup is made ready for an epoch. One whose log stands at the very place
-// of the proposer's needs nothing; one that is behind by few entries gets these; any other
-// gets the whole state, and the chunks that it lacks before that.
+// Catch-up prepares a backup for an epoch. A backup whose log equals the proposer's receives
+// nothing; one that is a few entries behind receives those entries; any other receives a full
+// snapshot, preceded by the chunks that it is missing.
 
 package coordination
 
@@ -14,20 +14,20 @@
 	"keelstair.example/rpc"
 )
 
-// A message that readies a backup may take catchUpWait, and longer by its size: slowLinkRate bytes a
-// second are what a link of 10 Mbit/s carries besides other traffic.
+// A catch-up message may take catchUpWait plus its size divided by slowLinkRate, which is what a link
+// of 10 Mbit/s carries beside other traffic, in bytes per second.
 const (
 	catchUpWait  = 2 * time.Second
 	slowLinkRate = 250_000
 )
 
-// sendTime is how long the sending of so many bytes to a replica may take.
+// sendTime returns the timeout for sending a message of the given size to a replica.
 func sendTime(bytes int) time.Duration {
 	return catchUpWait + time.Duration(bytes)*time.Second/slowLinkRate
 }
 
-// stateAtSeq is a proposer's state at one place in the log. The whole of it is packed only if
-// some backup needs it.
+// stateAtSeq is a proposer's state at one position in the log. The full snapshot is encoded only if
+// a backup needs it.
 type stateAtSeq struct {
 	core   *Core
 	locked bool // the caller holds dataMu
@@ -38,7 +38,7 @@
 	chunks []Chunk
 }
 
-// captureState notes the state as of now. Nothing changes it from here on but a newer epoch.
+// captureState captures the current state. From here on only a newer epoch changes it.
 func (c *Core) captureState(locked bool) *stateAtSeq {
 	if !locked {
 		c.dataMu.Lock()
@@ -47,26 +47,26 @@
 	return &stateAtSeq{core: c, locked: locked, state: c.state, seq: c.state.seq, digest: c.state.digest}
 }
 
-// withState runs a function on the state, unless that has changed.
+// withState calls f with dataMu held, or returns an error if the state has changed since its capture.
 func (s *stateAtSeq) withState(f func()) error {
 	if !s.locked {
 		s.core.dataMu.Lock()
 		defer s.core.dataMu.Unlock()
 	}
 	if s.core.state != s.state || s.state.seq != s.seq {
-		return failure.New(failure.Stale, "copy state", s.core.self.Addr, "the state has changed meanwhile")
+		return failure.New(failure.Stale, "copy state", s.core.self.Addr, "the state has changed since it was captured")
 	}
 	f()
 	return nil
 }
 
-// entriesAfter gives the entries that a replica at this place lacks.
+// entriesAfter returns the entries that a replica with this sequence number and log digest is missing.
 func (s *stateAtSeq) entriesAfter(seq ids.Seq, digest []byte) (entries []Entry, ok bool) {
 	err := s.withState(func() { entries, ok = s.state.history.after(seq, digest) })
 	return entries, ok && err == nil
 }
 
-// full gives all of the state.
+// full returns the encoded snapshot and its chunks.
 func (s *stateAtSeq) full() ([]byte, []Chunk, error) {
 	if s.body != nil {
 		return s.body, s.chunks, nil
@@ -75,7 +75,7 @@
 	return s.body, s.chunks, err
 }
 
-// catchUp makes a backup-to-be ready for an epoch.
+// catchUp prepares a replica to be a backup in an epoch.
 func (c *Core) catchUp(ctx context.Context, e ids.Epoch, to Replica, state *stateAtSeq) error {
 	request := &SnapshotRequest{Epoch: e, From: c.self, Seq: state.seq, Digest: state.digest}
 	r, err := c.sendCatchUp(ctx, to, request)
@@ -95,7 +95,7 @@
 	return c.sendSnapshot(ctx, e, to, body, all)
 }
 
-// sendSnapshot sends the whole state, and first the chunks that the other lacks.
+// sendSnapshot sends the full snapshot, preceded by the chunks that the replica is missing.
 func (c *Core) sendSnapshot(ctx context.Context, e ids.Epoch, to Replica, body []byte, all []Chunk) error {
 	c.snapshotsSent.Add(1)
 	c.options.Ring.Info().Str("peer", to.Addr).Int("bytes", len(body)).Msg("sending snapshot")
@@ -115,7 +115,7 @@
 	return rpc.Call[SnapshotRequest, AppendResponse](ctx, c.caller, c.directory.Addr(to), snapshotMethod, request)
 }
 
-// refusalError makes a refusal an error.
+// refusalError returns err, or an error if the replica refused the request.
 func refusalError(r *AppendResponse, err error, by Replica) error {
 	if err == nil && !r.OK {
 		return failure.New(failure.Stale, "send snapshot", by.Addr, "refused, promised %d", r.Promised)
@@ -123,8 +123,8 @@
 	return err
 }
 
-// handleSnapshot readies this core as a backup, synced. Only the one that this register has promised
-// the epoch to may ask for that.
+// handleSnapshot prepares this core to be a backup and syncs the data before it answers. Only the
+// proposer to which this register has promised the epoch may request it.
 func (c *Core) handleSnapshot(_ context.Context, request *SnapshotRequest) (*AppendResponse, error) {
 	c.dataMu.Lock()
 	defer c.dataMu.Unlock()
@@ -141,7 +141,7 @@
 	return c.restore(request, reg.Promised)
 }
 
-// appendMissing takes the entries that this core lacks, if it stands right before them.
+// appendMissing appends the entries that this core is missing, if they directly follow its log.
 func (c *Core) appendMissing(request *SnapshotRequest) (*AppendResponse, error) {
 	if c.reloadNeeded {
 		return &AppendResponse{Promised: request.Epoch, Behind: true}, nil
@@ -162,7 +162,7 @@
 	return &AppendResponse{OK: true, LastSeq: c.state.seq, Promised: request.Epoch}, nil
 }
 
-// consecutive tells whether entries bear the numbers that come after seq.
+// consecutive reports whether the entries have the sequence numbers that directly follow seq.
 func consecutive(entries []Entry, seq ids.Seq) bool {
 	for i := range entries {
 		if entries[i].Seq != seq+1+ids.Seq(i) {
@@ -172,8 +172,8 @@
 	return true
 }
 
-// applyAll applies entries that are on disk already; the data is read again from there
-// before it is used if one cannot be applied.
+// applyAll applies entries that are already on disk. If one cannot be applied, the state is reloaded
+// from disk before its next use.
 func (c *Core) applyAll(entries []Entry) error {
 	for i := range entries {
 		if _, err := c.state.apply(&entries[i]); err != nil {
@@ -184,28 +184,28 @@
 	return nil
 }
 
-// restore replaces all data with the proposer's.
+// restore replaces all data with the proposer's snapshot, or returns the names of the missing chunks.
 func (c *Core) restore(request *SnapshotRequest, promised ids.Epoch) (*AppendResponse, error) {
 	var snapshot Snapshot
 	if _, err := snapshot.UnmarshalMsg(request.State); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "read snapshot", request.From.Addr)
 	}
-	near := chunksOf(c.state.machine)
+	local := chunksOf(c.state.machine)
 	known := map[string]bool{}
-	for _, one := range near {
-		known[one.Name] = true
+	for _, chunk := range local {
+		known[chunk.Name] = true
 	}
-	var lacks []string
+	var missing []string
 	for _, n := range snapshot.Chunks {
 		if !known[n] && !c.store.hasChunk(n) {
-			lacks = append(lacks, n)
+			missing = append(missing, n)
 		}
 	}
-	if len(lacks) > 0 {
-		return &AppendResponse{Promised: promised, MissingChunks: lacks}, nil
+	if len(missing) > 0 {
+		return &AppendResponse{Promised: promised, MissingChunks: missing}, nil
 	}
 	fresh := newReplicatedState(c.options.Machine())
-	if err := c.store.restore(fresh, &snapshot, near); err != nil {
+	if err := c.store.restore(fresh, &snapshot, local); err != nil {
 		return nil, err
 	}
 	if err := c.store.compact(&snapshot, chunksOf(fresh.machine)); err != nil {
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -1,6 +1,5 @@
-// A Core is one disk machine's part in the control plane: a voter with its register,
-// and primary, backup or spare as the newest record says. This file joins its
-// pieces and answers its peers.
+// Core, its options and life cycle, and the RPC handlers for appends, submissions, renewals and
+// watches.
 
 package coordination
 
@@ -22,7 +21,7 @@
 	"keelstair.example/rpc"
 )
 
-// Options of a core; zero spans take the defaults named beside them.
+// Options configures a Core. Zero durations take the defaults named beside them.
 type Options struct {
 	Addr              string
 	Zone              ids.Zone
@@ -30,15 +29,15 @@
 	Seeds             []string
 	Machine           func() StateMachine
 	Ring              *logging.Ring
-	HeartbeatInterval time.Duration // 200ms: primary to backup and witnesses
-	ElectionTimeout   time.Duration // 900ms: then the backup takes over
-	LeaseDuration     time.Duration // 3s: of every node
-	DiskTimeout       time.Duration // 1s: a disk step that takes longer
-	// 2s: a voter silent so long may be replaced, at once if another disk has its address
+	HeartbeatInterval time.Duration // 200ms: from the primary to its backups and the other voters
+	ElectionTimeout   time.Duration // 900ms: silence of the primary after which a backup takes over
+	LeaseDuration     time.Duration // 3s: lease of every node
+	DiskTimeout       time.Duration // 1s: a disk operation that takes longer has failed
+	// 2s: a voter may be replaced after this silence, or after ElectionTimeout if another disk has its address
 	ReplaceAfter    time.Duration
-	FaultTolerance  int  // 1: machines that may be lost at once; counts when the core is founded
-	JoinOnly        bool // it founds nothing and waits for a core that stands
-	ForceNewCluster bool // an operator orders the core founded anew from this disk
+	FaultTolerance  int  // 1: machines that may be lost at once; read only at bootstrap
+	JoinOnly        bool // never bootstrap a cluster; wait for an existing one
+	ForceNewCluster bool // an operator orders a new cluster from the data on this disk
 }
 
 func (o *Options) setDefaults() {
@@ -53,8 +52,9 @@
 	}
 }
 
-// Core is safe for use by many threads. New makes one, Mount and Run start it, Leave prepares
-// its end.
+// Core is one machine's replica of the coordination service: a voter with a register, and the
+// primary, a backup or a spare as the newest record says. New makes one, Mount and Run start it,
+// Leave prepares its shutdown. It is safe for concurrent use.
 type Core struct {
 	options   Options
 	self      Replica
@@ -76,12 +76,13 @@
 	highestEpoch  atomic.Uint64
 	leaving       atomic.Bool
 	transferEpoch atomic.Uint64 // the epoch whose primary has asked this backup to take over
-	wakeElection  chan struct{} // the election loop's
-	snapshotsSent atomic.Uint64 // whole states sent to others
+	wakeElection  chan struct{} // makes the election loop run at once
+	snapshotsSent atomic.Uint64 // full snapshots sent to other replicas
 	fatal         chan error
 }
 
-// New opens the disk and reads what it holds. It starts nothing.
+// New opens the disk and loads the identity, register, state and directory from it. It starts no
+// goroutines.
 func New(opt Options) (*Core, error) {
 	opt.setDefaults()
 	c := &Core{
@@ -124,29 +125,29 @@
 	return c, nil
 }
 
-// NewID makes a fresh random id.
+// NewID returns a random 64-bit id in hexadecimal.
 func NewID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// ShortHash is a fixed short name for a longer one.
+// ShortHash returns the first 12 bytes of the SHA-256 hash of a name, in hexadecimal.
 func ShortHash(long string) string {
 	sum := sha256.Sum256([]byte(long))
 	return hex.EncodeToString(sum[:12])
 }
 
-// Directory is what the core knows of where everyone is.
+// Directory returns the core's directory of replicas and members.
 func (c *Core) Directory() *Directory { return c.directory }
 
-// Caller asks other processes over the core's network.
+// Caller returns the RPC client that uses the core's network.
 func (c *Core) Caller() *rpc.Caller { return c.caller }
 
-// Leads tells whether this core is the primary now.
+// Leads reports whether this core is the primary.
 func (c *Core) Leads() bool { return c.leader.Load() != nil }
 
-// Mount puts the core's answers on a mux.
+// Mount registers the core's RPC handlers on a mux.
 func (c *Core) Mount(mux *http.ServeMux) {
 	c.directory.Serve(mux)
 	rpc.Handle(mux, ballotMethod, c.handleBallot)
@@ -161,8 +162,8 @@
 	rpc.Handle(mux, transferMethod, c.handleTransfer)
 }
 
-// Run takes part until the context ends. It returns early only on a breakdown
-// that an operator must see, such as a disk of another fleet.
+// Run runs the core until the context ends. It returns early only on a fatal error that an operator
+// must handle, such as a disk that belongs to another cluster.
 func (c *Core) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -190,7 +191,7 @@
 	return err
 }
 
-// inContact tells that this core is a voter that leads, or hears the one that does.
+// inContact reports whether this core is a voter that is the primary or has recently heard from it.
 func (c *Core) inContact() bool {
 	record, _ := c.accepted()
 	c.registerMu.Lock()
@@ -198,8 +199,8 @@
 	return containsDisk(record.Voters, c.self.Disk) && c.recentlyHeard(record.Primary.Disk, c.options.Host.Clock.Now())
 }
 
-// saveDirectory saves the directory now and then, so that a restart finds others
-// even when every seed has gone.
+// saveDirectory saves the directory every 2 s if it has changed, so that a restarted core finds its
+// peers even when every seed is gone.
 func (c *Core) saveDirectory(ctx context.Context) {
 	var previous string
 	for host.Sleep(ctx, 2*time.Second) {
@@ -225,8 +226,8 @@
 	return false
 }
 
-// handleAppend takes entries as the backup; they are synced before the answer. An
-// older epoch is refused, so a deposed primary can acknowledge nothing.
+// handleAppend appends entries on a backup and syncs them before it answers. It refuses an older
+// epoch, so a deposed primary can acknowledge nothing.
 func (c *Core) handleAppend(_ context.Context, request *AppendRequest) (*AppendResponse, error) {
 	c.dataMu.Lock()
 	defer c.dataMu.Unlock()
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -1,7 +1,6 @@
-// Elections: the proposer's side of the ballots. A proposer holds the data (it is the primary
-// or a backup of the newest record that it knows), promises the new epoch itself before
-// anything else counts, readies its backups, and leads once a majority of each quorum has
-// accepted.
+// The proposer's side of the ballots. A proposer holds the data: it is the primary or a backup of
+// the newest record that it knows. It must promise the new epoch itself, then brings its backups up
+// to date, and is the primary once a majority of each quorum has accepted the record.
 
 package coordination
 
@@ -18,20 +17,20 @@
 )
 
 const (
-	voteWait  = 700 * time.Millisecond // for the answers of one round
-	voteGrace = 60 * time.Millisecond  // for further answers once enough said yes
+	voteWait  = 700 * time.Millisecond // for the responses of one round
+	voteGrace = 60 * time.Millisecond  // for further responses once a quorum has agreed
 )
 
-// ballot is what a ballot is to change.
+// ballot describes the change that a ballot proposes.
 type ballot struct {
-	leadingEpoch ids.Epoch  // the epoch in which the proposer leads already, or 0 for a takeover
+	leadingEpoch ids.Epoch  // the epoch in which the proposer is already the primary, or 0 for a takeover
 	transfer     bool       // the primary has asked the proposer to take over
-	removed      ids.DiskID // a voter that is replaced
-	added        Replica    // by this one
-	notBackup    ids.DiskID // no backup, if another can be
+	removed      ids.DiskID // a voter to replace
+	added        Replica    // its replacement
+	notBackup    ids.DiskID // a replica that must not become a backup
 }
 
-// observeEpoch notes an epoch that is used, so that the next ballot is above it.
+// observeEpoch records an epoch that is in use, so that the next ballot proposes a higher one.
 func (c *Core) observeEpoch(e ids.Epoch) {
 	for {
 		previous := c.highestEpoch.Load()
@@ -41,31 +40,31 @@
 	}
 }
 
-// vote is one replica's answer in a round.
+// vote is one replica's response in a round.
 type vote struct {
 	from     Replica
 	response *BallotResponse
 }
 
-// collectVotes asks replicas in either round; it gives the newest record that was told and those who
-// said yes. Once these are enough, the rest get only a moment more; a nil function waits for
-// all of them.
+// collectVotes sends a ballot request of either round to the replicas. It returns the newest record
+// in their responses and the replicas that agreed. Once enough have agreed, it waits for the others
+// for voteGrace only; if enough is nil, it waits for all of them.
 func (c *Core) collectVotes(
 	ctx context.Context,
 	request *BallotRequest,
-	whom []Replica,
+	voters []Replica,
 	enough func(yes []Replica) bool,
 ) (Record, []Replica) {
 	ctx, stop := context.WithTimeout(ctx, voteWait)
 	defer stop()
-	votes := make(chan vote, len(whom))
-	for _, s := range whom {
+	votes := make(chan vote, len(voters))
+	for _, s := range voters {
 		go func() { votes <- vote{s, c.requestVote(ctx, s, request)} }()
 	}
 	var newest Record
 	var yes []Replica
-	var soon <-chan time.Time
-	for range whom {
+	var graceOver <-chan time.Time
+	for range voters {
 		select {
 		case v := <-votes:
 			c.observeEpoch(v.response.Promised)
@@ -73,17 +72,17 @@
 			if v.response.OK {
 				yes = append(yes, v.from)
 			}
-		case <-soon:
+		case <-graceOver:
 			return newest, yes
 		}
-		if soon == nil && enough != nil && enough(yes) {
-			soon = host.NewTimer(voteGrace).C
+		if graceOver == nil && enough != nil && enough(yes) {
+			graceOver = host.NewTimer(voteGrace).C
 		}
 	}
 	return newest, yes
 }
 
-// requestVote gives a replica's answer, which is a plain no where none came.
+// requestVote returns a replica's response, or an empty response, which is a refusal, on an error.
 func (c *Core) requestVote(ctx context.Context, s Replica, request *BallotRequest) *BallotResponse {
 	var reply *BallotResponse
 	var err error
@@ -98,8 +97,8 @@
 	return reply
 }
 
-// newerRecord gives the record of the higher epoch; of the same one, that whose change of voters
-// is known to be decided.
+// newerRecord returns the record with the higher epoch. If the epochs are equal, it prefers the one
+// whose change of voters is known to be decided.
 func newerRecord(a, b Record) Record {
 	if b.Epoch > a.Epoch || b.Epoch == a.Epoch && len(b.OutgoingVoters) == 0 {
 		return b
@@ -117,14 +116,13 @@
 	return 2*n > len(set)
 }
 
-// campaign makes this core the primary of a new epoch with backups that are ready, by two
-// rounds over the registers. The caller either leads already (and holds dataMu) or leads not
-// at all.
+// campaign makes this core the primary of a new epoch with up-to-date backups, in two rounds over the
+// registers. A caller that is already the primary must hold dataMu.
 func (c *Core) campaign(ctx context.Context, p ballot) (Record, error) {
 	current, promised := c.accepted()
 	c.observeEpoch(promised)
 	if !c.isDataReplica(current) || p.leadingEpoch != 0 && current.Epoch != p.leadingEpoch {
-		return current, failure.New(failure.Stale, "ascend", c.self.Addr, "the newest record names others")
+		return current, failure.New(failure.Stale, "ascend", c.self.Addr, "the newest record names other replicas")
 	}
 	next := c.draftRecord(current, p)
 	yes, err := c.prepare(ctx, current, &next, p)
@@ -146,9 +144,9 @@
 	return next, nil
 }
 
-// draftRecord is the record to propose, but for its backups. Holders change only over a record that
-// is known to be decided, as it is to its primary: a takeover keeps the voters, and an
-// undecided change of them with it.
+// draftRecord returns the record to propose, without its backups. Voters change only relative to a
+// record that is known to be decided, and only its primary knows that; so a takeover keeps the
+// voters, together with an undecided change of them.
 func (c *Core) draftRecord(current Record, p ballot) Record {
 	next := current
 	next.Epoch = ids.Epoch(c.highestEpoch.Load() + 1)
@@ -174,8 +172,8 @@
 	return next
 }
 
-// prepare is the first round: every quorum and the proposer itself promise the epoch. The
-// proposer's own promise keeps the primary before it from acknowledging more.
+// prepare runs the first round: a majority of each quorum and the proposer itself must promise the
+// epoch. The proposer's own promise keeps the previous primary from acknowledging more commands.
 func (c *Core) prepare(ctx context.Context, current Record, next *Record, p ballot) ([]Replica, error) {
 	request := &BallotRequest{
 		Epoch:    next.Epoch,
@@ -206,11 +204,11 @@
 	return yes, nil
 }
 
-// prepareBackups brings as many backups as the record needs up to this core's state: those that
-// had it last come first, those that are about to end come last.
+// prepareBackups brings as many backups as the record needs up to this core's state. It tries the
+// replicas of the current record first and those that are shutting down last.
 func (c *Core) prepareBackups(ctx context.Context, next Record, yes []Replica, p ballot) ([]Replica, error) {
 	current, _ := c.accepted()
-	order := func(s Replica) int {
+	priority := func(s Replica) int {
 		switch {
 		case s.Disk == p.notBackup || c.directory.leaving(s.Disk):
 			return 2
@@ -219,7 +217,7 @@
 		}
 		return 1
 	}
-	sort.SliceStable(yes, func(i, op int) bool { return order(yes[i]) < order(yes[op]) })
+	sort.SliceStable(yes, func(i, j int) bool { return priority(yes[i]) < priority(yes[j]) })
 	state := c.captureState(p.leadingEpoch != 0)
 	var ready []Replica
 	for _, s := range yes {
@@ -233,7 +231,7 @@
 			failure.Unavailable,
 			"ascend",
 			c.self.Addr,
-			"%d of %d backups took the state",
+			"%d of %d backups are up to date",
 			len(ready),
 			next.faultTolerance(),
 		)
@@ -241,7 +239,8 @@
 	return ready, nil
 }
 
-// commitRecord is the second round: the backups accept first, since the rest count on them.
+// commitRecord runs the second round. The backups must accept before the other voters are asked: a
+// record that the voters have decided relies on its backups.
 func (c *Core) commitRecord(ctx context.Context, next Record, ready []Replica) error {
 	request := &BallotRequest{Epoch: next.Epoch, From: c.self, Accept: true, Record: next}
 	if _, yes := c.collectVotes(ctx, request, ready, nil); len(yes) < len(ready) {
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -1,5 +1,5 @@
-// The election loop decides what this core is: it founds, takes over, refits a lost
-// backup, replaces a lost voter, or waits.
+// The election loop decides whether this core bootstraps a cluster, adopts a newer record, stands for
+// election, or waits.
 
 package coordination
 
@@ -16,13 +16,13 @@
 )
 
 const (
-	electionTick = 60 * time.Millisecond // between two looks, and as much again by chance
-	longElection = time.Second           // longer than an election takes that sends no snapshot
-	// longer than others wait, since a replica that is about to end leads only if nobody else does
+	electionTick = 60 * time.Millisecond // between two iterations, plus up to as much at random
+	longElection = time.Second           // more than an election takes that sends no snapshot
+	// added to the wait of a replica that is shutting down, so that it leads only if no other does
 	leavingElectionDelay = 2 * time.Second
 )
 
-// encounter is who was met last, and since when nobody else.
+// encounter is the set of replicas met last, and the tick since which it has not changed.
 type encounter struct {
 	replicas []Replica
 	since    ids.Tick
@@ -31,21 +31,21 @@
 func (c *Core) electionLoop(ctx context.Context) {
 	idle := c.options.Host.Clock.Now()
 	met := &encounter{}
-	var notBefore ids.Tick // of the next election after one that a rival cut short
+	var notBefore ids.Tick // earliest start of the next election after one that a rival interrupted
 	for c.awaitElectionTick(ctx) {
 		now := c.options.Host.Clock.Now()
 		record, _ := c.accepted()
 		known := c.directory.Record()
 		if f := c.directory.ForeignCluster(); f != "" && record.ClusterID != "" && c.orphaned(now, record) {
 			c.fatal <- failure.New(failure.InvalidArgument, "meet peers", f,
-				"this disk belongs to founding %s; the seeds to another", record.ClusterID)
+				"this disk belongs to founding %s; the seeds belong to another", record.ClusterID)
 			return
 		}
 		if record.ClusterID == "" {
 			if known.ClusterID == "" {
 				if !c.options.JoinOnly {
 					c.bootstrap(ctx, met)
-					idle = c.options.Host.Clock.Now() // it may have led all the while
+					idle = c.options.Host.Clock.Now() // bootstrap may have returned only after a term as primary
 				}
 			} else if c.isDataReplica(known) {
 				c.adoptRecord(known)
@@ -59,24 +59,24 @@
 		if c.store.pending.Load() > 0 || !c.isDataReplica(record) || c.reloadPending() {
 			continue
 		}
-		asked := c.transferEpoch.Load() == uint64(record.Epoch)
+		transferRequested := c.transferEpoch.Load() == uint64(record.Epoch)
 		wait := c.electionWait(record, &idle)
-		if !asked && (!now.Past(idle, wait) || now.Before(notBefore)) {
+		if !transferRequested && (!now.Past(idle, wait) || now.Before(notBefore)) {
 			continue
 		}
-		got, err := c.campaign(ctx, ballot{transfer: asked})
+		elected, err := c.campaign(ctx, ballot{transfer: transferRequested})
 		if err != nil {
 			c.options.Ring.Warn().AnErr("cause", err).Msg("election failed")
 			notBefore = c.electionBackoff(now)
 			continue
 		}
-		c.lead(ctx, got)
+		c.lead(ctx, elected)
 		idle = c.options.Host.Clock.Now()
 	}
 }
 
-// electionWait gives for how long after the tick idle this core does not stand for election, and
-// moves idle on to when a backup last heard the primary.
+// electionWait returns for how long after the tick idle this core does not stand for election. On a
+// backup it first advances idle to when the primary was last heard.
 func (c *Core) electionWait(record Record, idle *ids.Tick) time.Duration {
 	wait := time.Duration(0)
 	if rank := record.backupRank(c.self.Disk); rank >= 0 {
@@ -93,10 +93,10 @@
 	return wait
 }
 
-// electionBackoff gives when this core may stand again after an election that began at a tick and
-// failed. Where sending the state takes long, two candidates would cut each other's elections short
-// for ever; so one that has promised a newer epoch to a rival waits at random for up to twice the
-// time that it has spent.
+// electionBackoff returns when this core may stand again after an election that began at the given
+// tick and failed. Where sending the state takes long, two candidates would interrupt each other's
+// elections for ever; so a candidate that has promised a newer epoch to a rival waits for a random
+// time of up to twice what it has spent.
 func (c *Core) electionBackoff(began ids.Tick) ids.Tick {
 	now := c.options.Host.Clock.Now()
 	spent := now.Since(began)
@@ -109,8 +109,8 @@
 	return now.Add(rand.N(2 * spent))
 }
 
-// awaitElectionTick waits for the election loop's next look, or until it is woken; it is false once the context
-// has ended.
+// awaitElectionTick waits until the election loop's next iteration is due or the loop is woken. It
+// returns false once the context has ended.
 func (c *Core) awaitElectionTick(ctx context.Context) bool {
 	t := host.NewTimer(electionTick + rand.N(electionTick))
 	defer t.Stop()
@@ -123,7 +123,7 @@
 	return true
 }
 
-// orphaned: none of the own fleet's voters was heard for a while.
+// orphaned reports whether no voter of this core's cluster was heard for 5 s.
 func (c *Core) orphaned(now ids.Tick, record Record) bool {
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
@@ -145,7 +145,8 @@
 	return r.Primary.Disk == c.self.Disk || r.backupRank(c.self.Disk) >= 0
 }
 
-// soured data (a failed disk step) is read again from disk before it is used.
+// reloadPending reloads the state from disk if a failed disk operation requires it. It reports
+// whether the state is still unusable because the reload failed.
 func (c *Core) reloadPending() bool {
 	c.dataMu.Lock()
 	defer c.dataMu.Unlock()
@@ -161,17 +162,18 @@
 	return false
 }
 
-// bootstrap makes the first record, only when enough empty disk machines have met (three, if
-// one may be lost) and all of them accept it. The lowest identity proposes, once it heard
-// of no other machine for a while.
+// bootstrap creates a cluster's first record once enough replicas with empty disks have met (three,
+// for a fault tolerance of 1) and all of them accept it. The replica with the lowest disk id
+// proposes it, after the set of replicas has not changed for half an election timeout.
 func (c *Core) bootstrap(ctx context.Context, met *encounter) {
-	all, blank := c.directory.recentReplicas(2 * time.Second)
+	all, empty := c.directory.recentReplicas(2 * time.Second)
 	n := 2*c.options.FaultTolerance + 1
-	if len(all) != len(blank) || len(blank) < n-1 {
+	if len(all) != len(empty) || len(empty) < n-1 {
 		return
 	}
-	list := append(blank, c.self)
-	sort.Slice(list, func(i, op int) bool { return list[i].Disk < list[op].Disk })
+	list := append(empty, c.self)
+	sort.Slice(list, func(i, j int) bool { return list[i].Disk < list[j].Disk })
+
 	if now := c.options.Host.Clock.Now(); !slices.Equal(met.replicas, list) {
 		met.replicas, met.since = list, now
 		return
--- a/coordination/export_test.go
+++ b/coordination/export_test.go
@@ -1,6 +1,7 @@
-// What tests of other packages see of a core's inside.
+// Accessors for the package's external tests.
 
 package coordination
 
-// SnapshotsSent counts the whole states that this core has sent to others.
+// SnapshotsSent returns the number of full snapshots that this core has sent to other replicas.
+
 func (c *Core) SnapshotsSent() uint64 { return c.snapshotsSent.Load() }
--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -1,7 +1,7 @@
-// Founding anew: what an operator may order when two of three voters are
-// lost for good. One disk that carries the data goes on, with two empty machines, in
-// an epoch far above all that were. It is refused where it could harm: while another
-// voter is heard, on a disk that is behind, or on one that carries no data.
+// A forced new cluster: the operation with which an operator recovers when two of three voters are
+// lost for good. One disk with the data continues with two empty machines, in an epoch far above all
+// earlier ones. It is refused where it could do harm: while another voter is heard, on a disk that is
+// behind, and on a disk without the data.
 
 package coordination
 
@@ -15,19 +15,23 @@
 )
 
 const (
-	newClusterListen = 6 * time.Second // for voters that may live after all
-	newClusterWait   = 2 * time.Minute // for two empty machines
-	newClusterSkip   = 1_000_000       // over epochs, fences and numbers that this disk may not know
+	newClusterListen = 6 * time.Second // for voters that are alive after all
+	newClusterWait   = 2 * time.Minute // for enough empty machines
+	// newClusterSkip is added to the epoch, fence and sequence number, since others may have used
+	// higher ones than this disk knows.
+	newClusterSkip = 1_000_000
 )
 
+// forceNewCluster creates a new cluster from this disk's data and empty machines, or says why it
+// refuses to.
 func (c *Core) forceNewCluster(ctx context.Context) error {
 	record, _ := c.accepted()
 	switch {
 	case record.ClusterID == "":
-		return c.refuseNewCluster("this disk belongs to no fleet")
+		return c.refuseNewCluster("this disk belongs to no cluster")
 	case !c.isDataReplica(record):
 		return c.refuseNewCluster(
-			"this disk holds a register and no data; one of %s and %s has it",
+			"this disk holds a register and no data; %s or %s has the data",
 			record.Primary.Addr,
 			record.Backup.Addr,
 		)
@@ -47,7 +51,9 @@
 	next.setBackups(spare[:record.faultTolerance()])
 	if !c.bootstrapRecord(ctx, next, MustMarshal(snapshot), chunks) {
 		return c.refuseNewCluster(
-			"the empty machines at %s and %s did not agree; order it again", spare[0].Addr, spare[1].Addr,
+			"the empty machines at %s and %s did not accept the record; run the command again",
+			spare[0].Addr,
+			spare[1].Addr,
 		)
 	}
 	c.options.Ring.Warn().Uint64("epoch", uint64(next.Epoch)).Uint64("seq", uint64(seq)).
@@ -55,23 +61,23 @@
 	return nil
 }
 
-func (c *Core) refuseNewCluster(form string, args ...any) error {
-	return failure.New(failure.InvalidArgument, "found anew", c.self.Addr, form, args...)
+func (c *Core) refuseNewCluster(format string, args ...any) error {
+	return failure.New(failure.InvalidArgument, "found anew", c.self.Addr, format, args...)
 }
 
-// awaitSpares waits for empty machines, as many as are needed, and for voters that may live after
-// all: then the founding is refused.
+// awaitSpares waits until enough empty machines are heard. It listens for newClusterListen at least,
+// and returns an error if another voter or a newer record is heard.
 func (c *Core) awaitSpares(ctx context.Context, record Record) ([]Replica, error) {
-	need := 2 * record.faultTolerance()
-	from := c.options.Host.Clock.Now()
-	for now := from; ; now = c.options.Host.Clock.Now() {
+	needed := 2 * record.faultTolerance()
+	start := c.options.Host.Clock.Now()
+	for now := start; ; now = c.options.Host.Clock.Now() {
 		c.directory.Query(ctx, 8)
 		if f := c.directory.ForeignCluster(); f != "" {
-			return nil, c.refuseNewCluster("the seeds lead to another fleet, %s", f)
+			return nil, c.refuseNewCluster("the seeds belong to another cluster, %s", f)
 		}
 		if known := c.directory.Record(); known.Epoch > record.Epoch {
 			return nil, c.refuseNewCluster(
-				"this disk is behind: it knows epoch %d, others know %d with the data at %s and %s",
+				"this disk is behind: it has epoch %d, others have epoch %d with the data at %s and %s",
 				record.Epoch,
 				known.Epoch,
 				known.Primary.Addr,
@@ -82,15 +88,15 @@
 		for _, s := range all {
 			if containsDisk(record.Voters, s.Disk) {
 				return nil, c.refuseNewCluster(
-					"the holder at %s lives; the core will be back when two of three are", s.Addr,
+					"voter %s is alive; the cluster recovers once two of three voters are up", s.Addr,
 				)
 			}
 		}
-		if now.Past(from, newClusterListen) && len(all) >= need {
-			return all[:need], nil
+		if now.Past(start, newClusterListen) && len(all) >= needed {
+			return all[:needed], nil
 		}
-		if now.Past(from, newClusterWait) {
-			return nil, c.refuseNewCluster("%d empty machines were met, %d are needed", len(all), need)
+		if now.Past(start, newClusterWait) {
+			return nil, c.refuseNewCluster("%d empty machines were found, %d are needed", len(all), needed)
 		}
 		if !host.Sleep(ctx, 200*time.Millisecond) {
 			return nil, ctx.Err()
@@ -98,23 +104,23 @@
 	}
 }
 
-// skipAhead puts fences and numbers above all that others may have seen, on disk. It gives the
-// number that this disk had reached.
+// skipAhead raises the fence and the sequence number above all that others may have seen and saves
+// the state. It returns the previous sequence number of this disk, with the new snapshot and chunks.
 func (c *Core) skipAhead() (ids.Seq, *Snapshot, []Chunk, error) {
 	c.dataMu.Lock()
 	defer c.dataMu.Unlock()
 	seq := c.state.seq
 	c.state.fence += newClusterSkip
 	c.state.seq += newClusterSkip
-	// Who holds what may have changed beyond this disk's knowledge: all is assigned anew.
+	// Keys may have changed owners without this disk knowing, so all of them are reassigned.
 	c.state.grants = map[ids.Key]Grant{}
 	c.state.digest, c.state.history = stateDigest(c.state.seq, []byte(NewID())), history{}
 	snapshot, chunks := c.state.snapshot(false), chunksOf(c.state.machine)
 	return seq, snapshot, chunks, c.store.compact(snapshot, chunks)
 }
 
-// bootstrapRecord makes a first record with those who hold nothing yet: all promise, the
-// backup takes the snapshot, and the backup accepts first.
+// bootstrapRecord establishes a record among voters that hold no data yet: all promise it, the
+// backups install the snapshot, and the backups accept before the other voters.
 func (c *Core) bootstrapRecord(ctx context.Context, record Record, body []byte, chunks []Chunk) bool {
 	request := &BallotRequest{Epoch: record.Epoch, From: c.self, Record: record}
 	if _, yes := c.collectVotes(ctx, request, record.Voters, nil); len(yes) < len(record.Voters) {
--- a/coordination/force_new_cluster_test.go
+++ b/coordination/force_new_cluster_test.go
@@ -85,11 +85,11 @@
 			}
 		}
 		f.powerOff(at(record.Backup.Addr))
-		says(f.startCore(record.Backup.Addr, true), "lives")
+		says(f.startCore(record.Backup.Addr, true), "is alive")
 		f.powerOff(at(record.Backup.Addr))
 		f.powerOff(witness)
 		says(f.startCore(witness+":1", true), "no data")
-		says(f.startCore("10.0.0.6:1", true), "no fleet")
+		says(f.startCore("10.0.0.6:1", true), "no cluster")
 		f.powerOff(witness)
 		f.powerOff("10.0.0.6")
 		f.core(witness + ":1")
--- a/coordination/freshness.go
+++ b/coordination/freshness.go
@@ -1,6 +1,6 @@
-// How fresh an agent's view is. A renewal that the core confirms bears the number that its log had
-// then; once the view has folded the log up to there, it has all that the core acknowledged before
-// the renewal was sent.
+// The freshness of an agent's view. A confirmed renewal carries the sequence number that the core's
+// log had then; once the view has applied the log up to there, it includes everything that the core
+// acknowledged before the renewal was sent.
 
 package coordination
 
@@ -10,32 +10,32 @@
 	"keelstair.example/ids"
 )
 
-// maxUnfolded is how many confirmations are kept for a view that is behind.
+// maxUnfolded is the number of confirmations kept while the view is behind.
 const maxUnfolded = 16
 
 // confirmation is one renewal that the core confirmed.
 type confirmation struct {
 	sentAt ids.Tick
-	seq    ids.Seq // of the log at the core
+	seq    ids.Seq // last entry of the core's log
 }
 
-// confirmations are the renewals that the view has yet to fold, oldest first.
+// confirmations holds the confirmed renewals whose log position the view has not reached.
 type confirmations struct {
 	mu       sync.Mutex
-	unfolded []confirmation
-	foldedAt ids.Tick // when the newest one that is folded was sent
+	unfolded []confirmation // oldest first
+	foldedAt ids.Tick       // when the newest renewal that the view has reached was sent
 }
 
-func (c *confirmations) add(one confirmation) {
+func (c *confirmations) add(conf confirmation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.unfolded) == maxUnfolded {
 		c.unfolded = append(c.unfolded[:0], c.unfolded[1:]...)
 	}
-	c.unfolded = append(c.unfolded, one)
+	c.unfolded = append(c.unfolded, conf)
 }
 
-// fold drops the confirmations up to seq, and gives when the newest of them was sent.
+// fold removes the confirmations up to seq and returns when the newest one removed so far was sent.
 func (c *confirmations) fold(seq ids.Seq) ids.Tick {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,6 +46,6 @@
 	return c.foldedAt
 }
 
-// CurrentAt is a moment by which the view has all that the core had acknowledged. It is 0 until
-// the core has confirmed this node and the view has the log up to there.
+// CurrentAt returns a tick such that the view includes everything the core had acknowledged by then.
+// It is 0 until the core has confirmed a renewal and the view has applied the log up to it.
 func (a *Agent) CurrentAt() ids.Tick { return a.confirmations.fold(a.Seq()) }
--- a/coordination/history.go
+++ b/coordination/history.go
@@ -1,5 +1,5 @@
-// The digest of the log, and its newest entries. Replicas whose place and digest are the same
-// hold the same state; one that is behind by few entries is sent these alone.
+// The digest of the log, and the newest log entries. Replicas with the same sequence number and
+// digest hold the same state; a replica that is a few entries behind is sent only those entries.
 
 package coordination
 
@@ -13,23 +13,23 @@
 
 const (
 	digestBytes    = 16
-	historyEntries = 1024    // kept for replicas that are behind
-	historyBytes   = 1 << 20 // of their bodies, at most
+	historyEntries = 1024    // most entries kept for replicas that are behind
+	historyBytes   = 1 << 20 // most bytes of their bodies
 )
 
-// logDigest is the digest of a log that goes on with an entry.
+// logDigest returns the digest of a log extended by an entry.
 func logDigest(before []byte, e *Entry) []byte {
 	h := sha256.New()
 	h.Write(before)
-	for _, part := range [][]byte{[]byte(e.Kind), []byte(e.Op), e.Body} {
-		h.Write(binary.AppendUvarint(nil, uint64(len(part))))
-		h.Write(part)
+	for _, field := range [][]byte{[]byte(e.Kind), []byte(e.Op), e.Body} {
+		h.Write(binary.AppendUvarint(nil, uint64(len(field))))
+		h.Write(field)
 	}
 	h.Write(binary.AppendUvarint(nil, uint64(e.Seq)))
 	return h.Sum(nil)[:digestBytes]
 }
 
-// stateDigest is that of a log whose beginning is known as a state only.
+// stateDigest returns the digest of a log whose entries up to seq are known only as a state.
 func stateDigest(seq ids.Seq, state []byte) []byte {
 	return logDigest(nil, &Entry{Seq: seq, Kind: "crux.state", Body: state})
 }
@@ -41,7 +41,7 @@
 	bytes   int
 }
 
-// add takes the next entry and drops the oldest ones beyond the bounds.
+// add appends the next entry and drops the oldest ones beyond the limits.
 func (h *history) add(e *Entry, digest []byte) {
 	h.entries = append(h.entries, *e)
 	h.digests = append(h.digests, digest)
@@ -54,7 +54,8 @@
 	h.entries, h.digests = h.entries[drop:], h.digests[drop:]
 }
 
-// after gives the entries that follow a place, if the log up to that place had this digest.
+// after returns the entries that follow seq. It reports false if seq is not in the history or the log
+// up to seq has another digest.
 func (h *history) after(seq ids.Seq, digest []byte) ([]Entry, bool) {
 	for i := range h.entries {
 		if h.entries[i].Seq == seq {
--- a/coordination/leader.go
+++ b/coordination/leader.go
@@ -1,7 +1,7 @@
-// The primary's writer. One loop takes all that wants writing, makes it durable
-// here and at the backups side by side (group commit), and only then answers. A
-// renewal of a lease counts only with a heartbeat that the backup confirmed after
-// the renewal came, so a deposed primary can lengthen no lease.
+// The primary's write path. One loop takes all operations, makes each batch durable here and at the
+// backups in parallel (group commit), and only then answers. A lease renewal takes effect only after
+// the backups have confirmed an append or heartbeat sent after the renewal arrived, so a deposed
+// primary can extend no lease.
 
 package coordination
 
@@ -16,13 +16,14 @@
 	"keelstair.example/rpc"
 )
 
+// operation is a request to the primary's loop: a command, a lease renewal, a read of the state or a
+// membership change. The result fields are valid once done is closed.
 type operation struct {
 	entry     *Entry
 	renew     *RenewRequest
 	readState bool
-	// Changes of membership: a replica that leaves, or the lead itself.
-	leaver   *Replica
-	transfer bool
+	leaver    *Replica // a replica that is shutting down
+	transfer  bool     // hand leadership over to a backup
 
 	result   []byte
 	renewal  *RenewResponse
@@ -31,31 +32,34 @@
 	done     chan struct{}
 }
 
+// leader is the state of one term as primary.
 type leader struct {
 	core   *Core
 	record Record
-	// The epoch in which this lead began. Later ones of the same lead change backups or voters only.
+	// startEpoch is the epoch in which this term began. Later epochs of the term change only backups or
+	// voters.
 	startEpoch          ids.Epoch
 	operations          chan *operation
 	stopped             chan struct{}
 	ledSince            ids.Tick
-	membershipChangedAt ids.Tick // when the membership was changed last
-	assignAfter         ids.Tick
+	membershipChangedAt ids.Tick // when the membership was last changed
+	assignAfter         ids.Tick // no key is assigned before
 	leases              map[ids.NodeID]*nodeLease
-	heartbeatAt         ids.Tick
+	heartbeatAt         ids.Tick // when heartbeats were last sent
 }
 
+// submit passes an operation to the loop and waits until it is done.
 func (l *leader) submit(ctx context.Context, op *operation) error {
-	away := failure.New(failure.NotExecuted, "ask primary", l.core.self.Addr, "it has stood down")
+	notLeader := failure.New(failure.NotExecuted, "ask primary", l.core.self.Addr, "it is no longer the primary")
 	select {
 	case <-l.stopped:
-		return away
+		return notLeader
 	default:
 	}
 	select {
 	case l.operations <- op:
 	case <-l.stopped:
-		return away
+		return notLeader
 	case <-ctx.Done():
 		return failure.As(ctx.Err(), failure.NotExecuted, "ask primary", l.core.self.Addr)
 	}
@@ -67,7 +71,7 @@
 	}
 }
 
-// lead leads until it must stand down.
+// lead acts as the primary of a record until the core loses that role or the context ends.
 func (c *Core) lead(ctx context.Context, record Record) {
 	now := c.options.Host.Clock.Now()
 	l := &leader{
@@ -95,7 +99,7 @@
 	for {
 		select {
 		case op := <-l.operations:
-			l.finish(op, failure.New(failure.NotExecuted, "write", c.self.Addr, "stood down before it was taken"))
+			l.finish(op, failure.New(failure.NotExecuted, "write", c.self.Addr, "lost the primary role before executing it"))
 		default:
 			return
 		}
@@ -138,7 +142,7 @@
 			for _, op := range batch {
 				l.finish(
 					op,
-					failure.New(failure.NotExecuted, "write", l.core.self.Addr, "stood down before it was taken"),
+					failure.New(failure.NotExecuted, "write", l.core.self.Addr, "lost the primary role before executing it"),
 				)
 			}
 			return err
@@ -149,7 +153,7 @@
 	}
 }
 
-// commit writes one batch on both copies and answers it.
+// commit applies a batch, makes it durable on the primary and all backups, and answers it.
 func (l *leader) commit(ctx context.Context, batch []*operation) error {
 	c := l.core
 	c.dataMu.Lock()
@@ -157,8 +161,8 @@
 	prev := c.state.seq
 	var entries []Entry
 	add := func(op *operation, e *Entry) {
-		if p, ok := c.state.outcomes[e.Op]; ok && e.Op != "" {
-			op.result, e.Seq = p.Body, p.Seq
+		if outcome, ok := c.state.outcomes[e.Op]; ok && e.Op != "" {
+			op.result, e.Seq = outcome.Body, outcome.Seq
 			return
 		}
 		switch op.result, op.err = c.state.apply(e); op.err {
@@ -183,7 +187,7 @@
 		c.reloadNeeded = true
 		err = failure.As(err, failure.OutcomeUnknown, "write", c.self.Addr)
 		for _, op := range batch {
-			op.err = err // a refusal, too, came from a state that may be old
+			op.err = err // a rejection, too: it was decided on a state that may be stale
 			l.finish(op, err)
 		}
 		return err
@@ -199,7 +203,7 @@
 	return nil
 }
 
-// answer ends the operations of a batch that is durable. The caller holds dataMu.
+// answer completes the operations of a durable batch. The caller holds dataMu.
 func (l *leader) answer(batch []*operation) {
 	c := l.core
 	now := c.options.Host.Clock.Now()
@@ -209,7 +213,7 @@
 			op.renewal = l.extendLease(op.renew, now, c.state)
 		}
 		if op.readState {
-			if snapshot == nil { // the same for all that ask in one batch
+			if snapshot == nil { // shared by all reads of one batch
 				snapshot = c.state.snapshot(true)
 			}
 			op.snapshot = snapshot
@@ -218,49 +222,49 @@
 	}
 }
 
-// replicate returns only once all copies are synced. A silent backup is replaced
-// on the spot, by a snapshot that holds the entries too; meanwhile all wait.
+// replicate returns only once all copies are synced. If a backup fails, it decides a new record with
+// backups that are brought up to date, these entries included; all operations wait meanwhile.
 func (l *leader) replicate(ctx context.Context, prev ids.Seq, entries []Entry) error {
 	c := l.core
 	var wg sync.WaitGroup
-	var mine error
-	wg.Go(func() { mine = c.store.append(entries) })
+	var localErr error
+	wg.Go(func() { localErr = c.store.append(entries) })
 	request := &AppendRequest{Epoch: l.record.Epoch, From: c.self, Prev: prev, Entries: entries}
 	callContext, stop := context.WithTimeout(ctx, 450*time.Millisecond)
 	defer stop()
-	behind := make([]error, len(l.record.backups()))
+	backupErrs := make([]error, len(l.record.backups()))
 	for i, s := range l.record.backups() {
-		wg.Go(func() { behind[i] = l.replicateTo(callContext, s, request) })
+		wg.Go(func() { backupErrs[i] = l.replicateTo(callContext, s, request) })
 	}
 	wg.Wait()
-	if mine != nil {
-		return mine
+	if localErr != nil {
+		return localErr
 	}
 	all := true
 	for i, s := range l.record.backups() {
-		if behind[i] != nil {
+		if backupErrs[i] != nil {
 			all = false
-			c.options.Ring.Warn().AnErr("cause", behind[i]).Str("backup", s.Addr).Msg("replication to backup failed")
+			c.options.Ring.Warn().AnErr("cause", backupErrs[i]).Str("backup", s.Addr).Msg("replication to backup failed")
 		}
 	}
 	if all {
 		l.heartbeat(ctx, l.record)
 		return nil
 	}
-	for n := 0; ; n++ {
+	for attempt := 0; ; attempt++ {
 		record, err := c.campaign(ctx, ballot{leadingEpoch: l.record.Epoch})
 		if err == nil {
 			l.record = record
 			return nil
 		}
-		if failure.Is(err, failure.Stale) || n > 4 || ctx.Err() != nil {
+		if failure.Is(err, failure.Stale) || attempt > 4 || ctx.Err() != nil {
 			return err
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// replicateTo has one backup take a batch, synced.
+// replicateTo sends a batch to one backup, which syncs it before it answers.
 func (l *leader) replicateTo(ctx context.Context, s Replica, request *AppendRequest) error {
 	r, err := rpc.Call[AppendRequest, AppendResponse](
 		ctx, l.core.caller, l.core.directory.Addr(s), appendMethod, request,
@@ -278,7 +282,7 @@
 	return nil
 }
 
-// heartbeat gives the other voters a sign of life, once per heartbeat.
+// heartbeat sends a heartbeat to the voters without data, at most about once per heartbeat interval.
 func (l *leader) heartbeat(ctx context.Context, record Record) {
 	c := l.core
 	now := c.options.Host.Clock.Now()
@@ -301,7 +305,7 @@
 						From:  c.self,
 					},
 				)
-				// An empty disk may answer at the address of one that is lost.
+				// A replica with an empty disk may answer at the address of a lost one.
 				if err == nil && r.OK && r.Disk == s.Disk {
 					c.recordContactFrom(s.Disk)
 				}
--- a/coordination/lease.go
+++ b/coordination/lease.go
@@ -1,6 +1,6 @@
-// Leases and duties as the primary sees them. A key is assigned only when nobody
-// may still act under it: its holder gave it back, or left, or its lease has
-// surely lapsed. A new primary waits a whole lease before it assigns at all.
+// Leases and the assignment of keys on the primary. A key is assigned only when no other node may
+// still act as its owner: the owner has released it or left, or its lease has certainly expired. A
+// new primary assigns nothing until every lease of its predecessor has expired.
 
 package coordination
 
@@ -10,26 +10,27 @@
 	"keelstair.example/ids"
 )
 
+// nodeLease is the primary's view of a node's lease.
 type nodeLease struct {
 	Member
 	renewedAt  ids.Tick
 	appliedSeq ids.Seq
-	revoked    []Grant
+	revoked    []Grant // grants that the node should release
 }
 
-// Owner is the node that a key falls to: the highest hash of key and node (rendezvous
-// hashing).
+// Owner returns the node that should own a key: the one with the highest hash of key and node
+// (rendezvous hashing).
 func Owner(key ids.Key, nodes []ids.NodeID) ids.NodeID {
-	var top ids.NodeID
+	var owner ids.NodeID
 	for _, n := range nodes {
-		if top == "" || ranksBefore(key, n, top) {
-			top = n
+		if owner == "" || ranksBefore(key, n, owner) {
+			owner = n
 		}
 	}
-	return top
+	return owner
 }
 
-// Rank is the place of a node, from 0 on, among those that a key falls to in turn.
+// Rank returns the zero-based position of a node in the rendezvous order of a key.
 func Rank(key ids.Key, node ids.NodeID, nodes []Member) int {
 	rank := 0
 	for _, m := range nodes {
@@ -40,7 +41,7 @@
 	return rank
 }
 
-// ranksBefore tells whether a key falls to a rather than to b.
+// ranksBefore reports whether a precedes b in the rendezvous order of a key.
 func ranksBefore(key ids.Key, a, b ids.NodeID) bool {
 	x, y := weight(key, a), weight(key, b)
 	return x > y || x == y && a < b
@@ -50,8 +51,9 @@
 	return ids.Mix(ids.Hash(string(n) + "\x00" + string(key)))
 }
 
-// assumeLeases takes it that every member, and every holder of a key that is none any more, renewed
-// its lease at the last moment. The caller holds dataMu.
+// assumeLeases assumes that every member, and every owner of a key that is no longer a member,
+// renewed its lease just now, the latest it can have done so with the previous primary. The caller
+// holds dataMu.
 func (l *leader) assumeLeases(now ids.Tick) {
 	for _, g := range l.core.state.grants {
 		l.leases[g.Node] = &nodeLease{Member: Member{Node: g.Node}, renewedAt: now}
@@ -61,13 +63,14 @@
 	}
 }
 
-// isMember tells whether a process is in, and was not replaced by another one at its address.
+// isMember reports whether a node is a member, that is, has joined and was not replaced by another
+// process at its address.
 func (l *leader) isMember(node ids.NodeID) bool {
 	_, ok := l.core.state.members[node]
 	return ok
 }
 
-// holdsKey tells whether a key is granted to a process.
+// holdsKey reports whether any key is granted to a node.
 func (l *leader) holdsKey(node ids.NodeID) bool {
 	for _, g := range l.core.state.grants {
 		if g.Node == node {
@@ -77,7 +80,7 @@
 	return false
 }
 
-// renewalEntries turns a renewal into the entries it needs, before it is confirmed.
+// renewalEntries returns the log entries that a renewal requires before it can be confirmed.
 func (l *leader) renewalEntries(request *RenewRequest) []*Entry {
 	var out []*Entry
 	previous, ok := l.core.state.members[request.Self.Node]
@@ -88,39 +91,41 @@
 	case !ok || previous != request.Self:
 		out = append(out, &Entry{Kind: joinKind, Body: MustMarshal(&request.Self)})
 	}
-	var back Assignment
+	var released Assignment
 	for _, g := range request.Released {
 		if cur := l.core.state.grants[g.Key]; cur == g && g.Node == request.Self.Node {
-			back.Grants = append(back.Grants, Grant{Key: g.Key})
+			released.Grants = append(released.Grants, Grant{Key: g.Key})
 		}
 	}
-	if len(back.Grants) > 0 && !request.Leaving {
-		out = append(out, &Entry{Kind: assignKind, Body: MustMarshal(&back)})
+	if len(released.Grants) > 0 && !request.Leaving {
+		out = append(out, &Entry{Kind: assignKind, Body: MustMarshal(&released)})
 	}
 	return out
 }
 
-// extendLease lengthens the lease once the heartbeat behind it was confirmed.
-func (l *leader) extendLease(request *RenewRequest, now ids.Tick, r *replicatedState) *RenewResponse {
+// extendLease extends a node's lease. It is called once the backups have confirmed the batch that
+// contains the renewal.
+func (l *leader) extendLease(request *RenewRequest, now ids.Tick, state *replicatedState) *RenewResponse {
 	if request.Leaving {
 		delete(l.leases, request.Self.Node)
-		return &RenewResponse{Seq: r.seq}
+		return &RenewResponse{Seq: state.seq}
 	}
-	t := l.leases[request.Self.Node]
-	if t == nil {
-		t = &nodeLease{}
-		l.leases[request.Self.Node] = t
+	lease := l.leases[request.Self.Node]
+	if lease == nil {
+		lease = &nodeLease{}
+		l.leases[request.Self.Node] = lease
 	}
-	t.Member, t.renewedAt, t.appliedSeq = request.Self, now, max(t.appliedSeq, request.Applied)
-	out := &RenewResponse{Seq: r.seq, Revoked: t.revoked}
-	if k, ok := r.machine.(Timekeeper); ok {
+	lease.Member, lease.renewedAt, lease.appliedSeq = request.Self, now, max(lease.appliedSeq, request.Applied)
+	out := &RenewResponse{Seq: state.seq, Revoked: lease.revoked}
+	if k, ok := state.machine.(Timekeeper); ok {
 		k.Observe(now, request.Time)
 		out.Time = k.Time(now)
 	}
 	return out
 }
 
-// periodicOperations makes the jobs that the primary gives itself at each heartbeat.
+// periodicOperations returns the operations that the primary itself submits at each heartbeat: the
+// removal of members with expired leases, the machine's due commands and the assignment of keys.
 func (l *leader) periodicOperations() []*operation {
 	c := l.core
 	now := c.options.Host.Clock.Now()
@@ -131,26 +136,26 @@
 		out = append(out, &operation{entry: &Entry{Kind: kind, Body: body}, done: make(chan struct{})})
 	}
 	duration := c.options.LeaseDuration + c.options.LeaseDuration/10
-	late, seen := 0, c.state.seq
+	expiredMembers, minApplied := 0, c.state.seq
 	var live []ids.NodeID
 	for n, t := range l.leases {
-		lapsed := now.Past(t.renewedAt, duration)
+		expired := now.Past(t.renewedAt, duration)
 		switch {
-		case lapsed && l.isMember(n):
-			late++
-		case lapsed:
+		case expired && l.isMember(n):
+			expiredMembers++
+		case expired:
 		default:
-			seen = min(seen, t.appliedSeq)
+			minApplied = min(minApplied, t.appliedSeq)
 			if l.isMember(n) {
 				live = append(live, n)
 			}
 		}
 	}
-	sort.Slice(live, func(i, op int) bool { return live[i] < live[op] })
-	// Most leases lapsing together is taken as the core's own trouble for one
-	// more lease: the last view is kept.
+	sort.Slice(live, func(i, j int) bool { return live[i] < live[j] })
+	// If most leases expire together, the cause is probably the core itself, so the members are kept for
+	// one more lease duration.
 	grace := duration
-	if late > 1 && late*2 > len(c.state.members) {
+	if expiredMembers > 1 && expiredMembers*2 > len(c.state.members) {
 		grace = 2 * duration
 	}
 	for n, t := range l.leases {
@@ -165,7 +170,7 @@
 			delete(l.leases, n)
 		}
 	}
-	for _, cmd := range c.state.machine.Due(now, c.state.seq, seen) {
+	for _, cmd := range c.state.machine.Due(now, c.state.seq, minApplied) {
 		put(cmd.Kind, cmd.Body)
 	}
 	if d := l.assignKeys(now, live); len(d.Grants) > 0 {
@@ -174,8 +179,8 @@
 	return out
 }
 
-// eligibleNodes keeps of the live nodes those that a key may fall to. If none may, all do: a key
-// without a holder would help nobody.
+// eligibleNodes returns the live nodes that may own a key. If none may, it returns all of them, since
+// any owner is better than none.
 func eligibleNodes(app StateMachine, k ids.Key, live []ids.NodeID) []ids.NodeID {
 	p, ok := app.(Placer)
 	if !ok {
@@ -193,31 +198,33 @@
 	return out
 }
 
-// assignKeys assigns the free keys and marks the held ones that should move.
+// assignKeys returns grants for the keys without an owner, and marks as revoked the grants whose key
+// should move to another node or no longer exists.
 func (l *leader) assignKeys(now ids.Tick, live []ids.NodeID) Assignment {
-	var d Assignment
+	var assignment Assignment
 	if now.Before(l.assignAfter) && l.record.Epoch > 1 || len(live) == 0 {
-		return d
+		return assignment
 	}
 	for _, t := range l.leases {
 		t.revoked = nil
 	}
-	want := map[ids.Key]bool{}
+	wanted := map[ids.Key]bool{}
 	for _, k := range l.core.state.machine.Keys() {
-		want[k] = true
-		to := Owner(k, eligibleNodes(l.core.state.machine, k, live))
+		wanted[k] = true
+		owner := Owner(k, eligibleNodes(l.core.state.machine, k, live))
 		cur, ok := l.core.state.grants[k]
 		switch t := l.leases[cur.Node]; {
 		case !ok:
-			d.Grants = append(d.Grants, Grant{Key: k, Node: to})
-		case cur.Node != to && t != nil:
+			assignment.Grants = append(assignment.Grants, Grant{Key: k, Node: owner})
+		case cur.Node != owner && t != nil:
 			t.revoked = append(t.revoked, cur)
 		}
 	}
 	for k, g := range l.core.state.grants {
-		if t := l.leases[g.Node]; !want[k] && t != nil {
+		if t := l.leases[g.Node]; !wanted[k] && t != nil {
 			t.revoked = append(t.revoked, g)
 		}
 	}
-	return d
+	return assignment
+
 }
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -1,5 +1,5 @@
-// Changes of membership by agreement, one voter at a time: a voter that is lost is replaced
-// by a spare replica, and one that is about to end hands over first what it has.
+// Changes of membership by consensus, one voter at a time: a lost voter is replaced by a spare
+// replica, and a replica that is shutting down first hands over its roles.
 
 package coordination
 
@@ -16,18 +16,19 @@
 )
 
 const (
-	spareMaxAge = 5 * time.Second         // within which a spare must have spoken for itself
-	leaveRetry  = 150 * time.Millisecond  // between two tries to hand over
-	leaveWait   = 1500 * time.Millisecond // for one such try
-	// How long a record has stood before its voters are spread over the zones: longer than a
-	// process takes to start again.
+	spareMaxAge = 5 * time.Second         // within which a spare must have been heard
+	leaveRetry  = 150 * time.Millisecond  // between two attempts to hand over
+	leaveWait   = 1500 * time.Millisecond // timeout of one attempt
+	// spreadAfter is the age from which a record's voters may be rebalanced over the zones: more than a
+	// process takes to restart.
 	spreadAfter = 10 * time.Second
 )
 
-// errLeadershipTransferred ends the lead of a primary that has asked a backup to take over.
-var errLeadershipTransferred = failure.New(failure.Stale, "lead", "", "it has handed over")
+// errLeadershipTransferred ends the term of a primary that has asked a backup to take over.
+var errLeadershipTransferred = failure.New(failure.Stale, "lead", "", "leadership was transferred to a backup")
 
-// reconcileMembership gives the register of a long silent voter to a spare that is heard.
+// reconcileMembership replaces a voter that was silent for too long by a spare, or else rebalances
+// the voters over the zones.
 func (l *leader) reconcileMembership(ctx context.Context) error {
 	now := l.core.options.Host.Clock.Now()
 	l.core.directory.SetMembers(l.members())
@@ -51,9 +52,9 @@
 	return nil
 }
 
-// zoneImbalance gives a voter to replace by a spare of a zone that has fewer voters by two or
-// more, so that the loss of a zone takes no more of them than it must. All voters have to be
-// heard, and the record to have stood for a while.
+// zoneImbalance returns a voter to replace, and as its replacement a spare in a zone that has at
+// least two voters fewer, so that the loss of a zone takes as few voters as possible. It requires
+// that all voters are heard and that the record is older than spreadAfter.
 func (l *leader) zoneImbalance(all []Replica, now ids.Tick) (out, in Replica, ok bool) {
 	if !now.Past(max(l.ledSince, l.membershipChangedAt), spreadAfter) || len(all) == 0 || !l.allHeard(now) {
 		return Replica{}, Replica{}, false
@@ -63,13 +64,13 @@
 	for _, s := range l.record.Voters {
 		better := perZone[in.Zone]+2 <= perZone[s.Zone]
 		if better && s.Disk != l.core.self.Disk && (out.Disk == "" || l.record.backupRank(out.Disk) >= 0) {
-			out = s // one without data, if there is one
+			out = s // prefers a voter without data
 		}
 	}
 	return out, in, out.Disk != ""
 }
 
-// countByZone counts replicas by zone, but for one.
+// countByZone counts the replicas in each zone, except one replica.
 func countByZone(list []Replica, without ids.DiskID) map[ids.Zone]int {
 	perZone := map[ids.Zone]int{}
 	for _, s := range list {
@@ -80,14 +81,15 @@
 	return perZone
 }
 
-// inSmallestZone gives the spare whose zone has the fewest voters; the lowest identity of several.
+// inSmallestZone returns the spare whose zone has the fewest voters; of several, the one with the
+// lowest disk id.
 func inSmallestZone(all []Replica, perZone map[ids.Zone]int) Replica {
 	return slices.MinFunc(all, func(a, b Replica) int {
 		return cmp.Or(cmp.Compare(perZone[a.Zone], perZone[b.Zone]), cmp.Compare(a.Disk, b.Disk))
 	})
 }
 
-// allHeard tells whether every voter gave a sign of life lately.
+// allHeard reports whether every other voter was recently heard.
 func (l *leader) allHeard(now ids.Tick) bool {
 	l.core.registerMu.Lock()
 	defer l.core.registerMu.Unlock()
@@ -99,13 +101,13 @@
 	return true
 }
 
-// replace decides a record in which the membership differs.
-func (l *leader) replace(ctx context.Context, p ballot, what string) error {
+// replace runs a ballot that changes the membership, and logs it under the given message.
+func (l *leader) replace(ctx context.Context, p ballot, message string) error {
 	c := l.core
 	c.dataMu.Lock()
 	record, err := c.campaign(ctx, p)
 	c.dataMu.Unlock()
-	c.options.Ring.Warn().AnErr("cause", err).Str("removed", string(p.removed)).Str("added", p.added.Addr).Msg(what)
+	c.options.Ring.Warn().AnErr("cause", err).Str("removed", string(p.removed)).Str("added", p.added.Addr).Msg(message)
 	if err == nil {
 		l.record = record
 		l.membershipChangedAt = c.options.Host.Clock.Now()
@@ -113,7 +115,7 @@
 	return err
 }
 
-// spareReplicas are the replicas that were heard lately, hold no register and are not about to end.
+// spareReplicas returns the recently heard replicas that are not voters and not shutting down.
 func (c *Core) spareReplicas(record Record) []Replica {
 	all, _ := c.directory.recentReplicas(spareMaxAge)
 	var out []Replica
@@ -125,9 +127,9 @@
 	return out
 }
 
-// replacementFor gives who may take over a voter's register, if that is lost: another disk that
-// stands at its very address, at once, since the one before it will not come back; any
-// other after a longer silence.
+// replacementFor returns the spare that replaces a voter that is considered lost. A spare at the
+// voter's own address replaces it after ElectionTimeout, since the previous disk there will not come
+// back; any other spare replaces it after ReplaceAfter.
 func (l *leader) replacementFor(s Replica, all []Replica, now ids.Tick) (Replica, bool) {
 	c := l.core
 	c.registerMu.Lock()
@@ -148,10 +150,10 @@
 	return inSmallestZone(all, countByZone(l.record.Voters, s.Disk)), true
 }
 
-// Leave hands over what this core has, so that it can end: the lead to a backup that is up to
-// date, its copy of the data to another voter, its register to a spare. It returns once that
-// is done, or with what stood in the way when the context ends. The core goes on answering
-// meanwhile; a process that starts again on the same disk takes part as before.
+// Leave hands over this core's roles, so that it can shut down: leadership to an up-to-date backup,
+// its copy of the data to another voter, its register to a spare. It returns nil once that is done,
+// or the last error when the context ends. The core keeps serving meanwhile; a process that
+// restarts on the same disk participates as before.
 func (c *Core) Leave(ctx context.Context) error {
 	c.leaving.Store(true)
 	c.directory.setLeaving()
@@ -169,7 +171,7 @@
 	}
 }
 
-// handOver takes the next step of leaving; it is done when nothing depends on this core.
+// handOver takes the next step of Leave. It returns true once nothing depends on this core.
 func (c *Core) handOver(ctx context.Context) (bool, error) {
 	record, _ := c.accepted()
 	if known := c.directory.Record(); known.Epoch > record.Epoch {
@@ -199,7 +201,7 @@
 	return r.Done, nil
 }
 
-// handleLeave answers a replica that is about to end.
+// handleLeave releases a replica that is shutting down from the record.
 func (c *Core) handleLeave(ctx context.Context, request *LeaveRequest) (*LeaveResponse, error) {
 	l := c.leader.Load()
 	if l == nil {
@@ -216,7 +218,7 @@
 	return &LeaveResponse{Done: true, Record: record}, nil
 }
 
-// applyMembership does what the jobs of a batch ask of the membership. Its error ends the lead.
+// applyMembership runs the membership changes of a batch. An error ends this core's term as primary.
 func (l *leader) applyMembership(ctx context.Context, batch []*operation) error {
 	for _, op := range batch {
 		switch {
@@ -234,8 +236,8 @@
 	return nil
 }
 
-// release takes a replica that is about to end out of the record: its register passes on to a
-// spare if there is one, its copy of the data to another voter.
+// release removes a replica that is shutting down from the record: a spare, if there is one, becomes
+// a voter in its place, and another voter becomes a backup in its place.
 func (l *leader) release(ctx context.Context, op *operation, leaver Replica) error {
 	c := l.core
 	if !containsDisk(l.record.Voters, leaver.Disk) || leaver.Disk == c.self.Disk {
@@ -249,7 +251,7 @@
 	}
 	if !l.canRelease(leaver.Disk) {
 		op.err = failure.New(
-			failure.Unavailable, "leave", c.self.Addr, "too few other replicas are heard to hold the data",
+			failure.Unavailable, "leave", c.self.Addr, "not enough other replicas are reachable to hold the data",
 		)
 		return nil
 	}
@@ -260,8 +262,8 @@
 	return err
 }
 
-// canRelease tells whether so many voters are heard beside this one and the leaver that the data
-// can have its backups there.
+// canRelease reports whether enough voters other than this core and the leaver are heard to be the
+// backups.
 func (l *leader) canRelease(leaver ids.DiskID) bool {
 	c := l.core
 	now := c.options.Host.Clock.Now()
@@ -276,10 +278,10 @@
 	return n >= l.record.faultTolerance()
 }
 
-// transfer asks a backup, which has all that was ever acknowledged, to take over at once.
+// transfer asks a backup to take over at once. Every backup has all acknowledged entries.
 func (l *leader) transfer(ctx context.Context) error {
 	c := l.core
-	err := failure.New(failure.Unavailable, "hand over", c.self.Addr, "no backup may take over")
+	err := failure.New(failure.Unavailable, "hand over", c.self.Addr, "no backup is available to take over")
 	for _, s := range l.record.backups() {
 		if c.directory.leaving(s.Disk) {
 			continue
@@ -302,7 +304,8 @@
 	return err
 }
 
-// handleTransfer answers a primary that hands over: the election loop stands for election at once.
+// handleTransfer accepts a primary's request to take over and makes the election loop start an
+// election at once.
 func (c *Core) handleTransfer(_ context.Context, request *TransferRequest) (*TransferResponse, error) {
 	record, _ := c.accepted()
 	if record.Epoch != request.Epoch || record.Primary.Disk != request.From.Disk ||
--- a/coordination/messages.go
+++ b/coordination/messages.go
@@ -1,6 +1,6 @@
-// Messages between processes, and records on disk. Their MessagePack forms are part of the
-// protocol between releases: a field that is renamed keeps its name there by a msg tag, and a
-// new one is omitted while it is empty. TestEncodings holds the forms.
+// Messages between processes, and records on disk. Their MessagePack encodings are part of the
+// protocol between releases: a renamed field keeps its encoded name by a msg tag, and a new field is
+// omitted while it is empty. TestEncodings checks the encodings.
 
 package coordination
 
@@ -35,27 +35,27 @@
 	ExchangeMethod = "crux/where"
 )
 
-// Replica is a disk machine: its identity and where it listens now.
+// Replica is a machine with a disk: its disk id, current address and zone.
 type Replica struct {
 	Disk ids.DiskID
 	Addr string
 	Zone ids.Zone
 }
 
-// Record is what the registers decide: who leads in an epoch.
+// Record is what the registers decide: the primary, backups and voters of an epoch.
 type Record struct {
 	Epoch     ids.Epoch
 	ClusterID string `msg:"Founding" json:"Founding"`
 	Primary   Replica
 	Backup    Replica
 	Voters    []Replica `msg:"Holders" json:"Holders"`
-	// further backups, where more than one machine may be lost at once
+	// MoreBackups are the backups after the first, with a fault tolerance above 1.
 	MoreBackups []Replica `msg:"Also" json:"Also"`
-	// the holders before a change of them that is not known to be decided
+	// OutgoingVoters are the voters before a change of voters that is not known to be decided.
 	OutgoingVoters []Replica `msg:"Before,omitempty" json:"Before"`
 }
 
-// BallotRequest is either round: promise, or accept of Record.
+// BallotRequest asks a register to promise an epoch, or, with Accept, to accept Record.
 type BallotRequest struct {
 	Epoch    ids.Epoch
 	From     Replica
@@ -64,18 +64,18 @@
 	Record   Record
 }
 
-// BallotResponse is a register as it stands after either round. It is also what a disk keeps
-// of the register.
+// BallotResponse is the state of a register after either round. It is also the form in which a
+// register is stored on disk.
 type BallotResponse struct {
 	OK         bool `msg:"Ok"`
 	Promised   ids.Epoch
 	Accepted   Record
 	Reason     string     `msg:"Why"`
-	PromisedTo ids.DiskID `msg:"PromisedTo,omitempty"` // the replica that the promise was given to
+	PromisedTo ids.DiskID `msg:"PromisedTo,omitempty"` // the proposer to which the epoch is promised
 }
 
-// Entry is one command in the log. Open entries are also news for watchers;
-// a closed one shows there as its number only.
+// Entry is one command in the log. Published entries also go to watchers; of any other entry, a
+// watcher sees only the sequence number.
 type Entry struct {
 	Seq       ids.Seq
 	Published bool `msg:"Open"`
@@ -84,8 +84,8 @@
 	Body      []byte
 }
 
-// AppendRequest brings the entries that follow the number Prev to a backup, or, without any, is a
-// heartbeat of the primary of an epoch.
+// AppendRequest sends a backup the entries that follow the sequence number Prev. It is also the
+// heartbeat of the primary of an epoch, without entries.
 type AppendRequest struct {
 	Epoch   ids.Epoch
 	From    Replica
@@ -93,30 +93,30 @@
 	Entries []Entry
 }
 
-// AppendResponse tells how far a replica's log reaches, and the epoch that it has promised.
+// AppendResponse has the end of a replica's log and the epoch that it has promised.
 type AppendResponse struct {
-	Disk          ids.DiskID // who answers a heartbeat
+	Disk          ids.DiskID // the replica that answers a heartbeat
 	OK            bool       `msg:"Ok"`
 	LastSeq       ids.Seq    `msg:"Last"`
 	Promised      ids.Epoch
 	MissingChunks []string `msg:"Lacks"`
-	Behind        bool     `msg:"Behind,omitempty"` // more than the place in the log is needed
+	Behind        bool     `msg:"Behind,omitempty"` // the replica needs entries or a snapshot
 	Digest        []byte   `msg:"Digest,omitempty"` // of the log up to LastSeq
 }
 
-// SnapshotRequest readies a backup for an epoch: with the place in the log alone, which is enough
-// where the backup stands there too; with the entries after the backup's own place; or with
-// the whole state.
+// SnapshotRequest prepares a backup for an epoch, in one of three ways: with Seq and Digest alone if
+// the backup's log equals the proposer's, with the entries that follow the backup's log, or with the
+// full state.
 type SnapshotRequest struct {
 	Epoch   ids.Epoch
 	From    Replica
 	State   []byte  `msg:"Body"`
 	Seq     ids.Seq `msg:"Seq,omitempty"`
 	Digest  []byte  `msg:"Digest,omitempty"`
-	Entries []Entry `msg:"Entries,omitempty"` // those that end at Seq
+	Entries []Entry `msg:"Entries,omitempty"` // the last of them is Seq
 }
 
-// ChunkRequest brings a chunk, or, without a body, asks for the one at a place.
+// ChunkRequest sends a chunk, or, without a body, requests the chunk at Index.
 type ChunkRequest struct {
 	Epoch ids.Epoch
 	Index int `msg:"At"`
@@ -124,7 +124,7 @@
 	Body  []byte
 }
 
-// ChunkResponse gives a chunk, and how many there are.
+// ChunkResponse has a chunk and the number of chunks.
 type ChunkResponse struct {
 	OK    bool `msg:"Ok"`
 	Count int
@@ -132,29 +132,29 @@
 	Body  []byte
 }
 
-// LeaveRequest tells the primary that a replica is about to end.
+// LeaveRequest tells the primary that a replica is shutting down.
 type LeaveRequest struct {
 	Self Replica `msg:"Me"`
 }
 
-// LeaveResponse tells whether anything still depends on the replica, and the record of that.
+// LeaveResponse reports whether the replica has been released, and in which record.
 type LeaveResponse struct {
 	Done   bool
 	Record Record
 }
 
-// TransferRequest is the primary of an epoch asking a backup to take over from it.
+// TransferRequest asks a backup to take over from the primary of an epoch.
 type TransferRequest struct {
 	Epoch ids.Epoch
 	From  Replica
 }
 
-// TransferResponse tells whether the backup will.
+// TransferResponse reports whether the backup accepts.
 type TransferResponse struct {
 	OK bool `msg:"Ok"`
 }
 
-// Snapshot is a snapshot of all that the core holds.
+// Snapshot is the core's state at a sequence number.
 type Snapshot struct {
 	Seq      ids.Seq
 	LogName  string `msg:"Log"`
@@ -167,59 +167,59 @@
 	Digest   []byte    `msg:"Digest,omitempty"` // of the log up to Seq: see logDigest
 }
 
-// Outcome is the outcome an operation had.
+// Outcome is the recorded result of an operation.
 type Outcome struct {
 	Op   ids.OpID
 	Seq  ids.Seq
 	Body []byte
 }
 
-// Member is a node that holds a lease, known under the address it answers on.
+// Member is a node that holds a lease, with the address it listens on.
 type Member struct {
 	Node ids.NodeID
 	Addr string
 	Zone ids.Zone
 }
 
-// Grant says who does the duty of a key, under which fence.
+// Grant assigns a key to a node under a fencing token.
 type Grant struct {
 	Key   ids.Key
 	Node  ids.NodeID
 	Fence ids.Fence
 }
 
-// RenewRequest renews a lease, says how far the node has folded the news, and
-// gives back keys it no longer acts under.
+// RenewRequest renews a node's lease. It reports the last entry that the node has applied, and
+// releases keys under which the node no longer acts.
 type RenewRequest struct {
 	Self     Member  `msg:"Me"`
 	Applied  ids.Seq `msg:"Seen"`
 	Released []Grant `msg:"Done"`
 	Leaving  bool    `msg:"Bye"`
-	Time     int64   `msg:"Time,omitempty"` // the machine's is no lower, as the node counts
+	Time     int64   `msg:"Time,omitempty"` // the node's lower bound of the state machine's time
 }
 
-// RenewResponse lists the keys that the node should give back. Time is the machine's, if
-// it keeps one: see Timekeeper.
+// RenewResponse lists the grants that the node should release. Time is the state machine's time, if
+// it is a Timekeeper.
 type RenewResponse struct {
 	Seq     ids.Seq
 	Revoked []Grant `msg:"Drop"`
 	Time    int64   `msg:"Time,omitempty"`
 }
 
-// Assignment hands keys to nodes; the fencing tokens are set as it is applied.
+// Assignment grants keys to nodes; the fencing tokens are set when it is applied.
 type Assignment struct {
 	Grants []Grant
 }
 
-// SubmitRequest asks for one command. Asking again with the same Op gives the
-// outcome that the first asking had.
+// SubmitRequest submits one command. A request repeated with the same Op returns the outcome of the
+// first one.
 type SubmitRequest struct {
 	Op   ids.OpID
 	Kind string
 	Body []byte
 }
 
-// SubmitResponse is the outcome of a command: its number in the log, and what Apply gave.
+// SubmitResponse is the outcome of a command: its sequence number in the log and the result of Apply.
 type SubmitResponse struct {
 	Seq    ids.Seq
 	Body   []byte
@@ -227,48 +227,49 @@
 	Reason string `msg:"Why"`
 }
 
-// PeerExchangeRequest is asked of anyone by anyone; both sides learn. It has the fields of the
-// PeerExchange with which earlier releases ask.
+// PeerExchangeRequest may be sent by any process to any other; each merges what the other knows. It
+// has the fields of PeerExchange, which earlier releases send as the request.
 type PeerExchangeRequest struct {
 	Self     Replica `msg:"Me"`
 	Empty    bool    `msg:"Blank"`
 	Record   Record
 	Replicas []Replica `msg:"Seats"`
-	Members  []Member  // by earlier releases
-	Seq      ids.Seq   // of the log, that these are as of
+	Members  []Member  // sent by earlier releases only
+	Seq      ids.Seq   // log position at which Members was current
 	Leaving  bool      `msg:"Leaving,omitempty"`
-	// The number of the log that the members known to the asker are as of.
+	// KnownSeq is the log position at which the sender's list of members was current.
 	KnownSeq ids.Seq `msg:"KnownSeq,omitempty"`
-	// The asker wants no members.
+	// NoMembers asks for a response without members.
 	NoMembers bool `msg:"NoMembers,omitempty"`
 }
 
-// PeerExchange is the answer. The members, of which there may be hundreds, are told only to who
-// lacks them and wants them.
+// PeerExchange is the response to a PeerExchangeRequest. The members, of which there may be hundreds,
+// are sent only to a process that lacks them and asks for them.
 type PeerExchange struct {
 	Self     Replica `msg:"Me" json:"Me"`
 	Empty    bool    `msg:"Blank" json:"Blank"`
 	Record   Record
 	Replicas []Replica `msg:"Seats" json:"Seats"`
 	Members  []Member
-	Seq      ids.Seq // of the log, that the members are as of
-	Leaving  bool    `msg:"Leaving,omitempty"` // it is about to end and takes on nothing new
+	Seq      ids.Seq // log position at which Members was current
+	Leaving  bool    `msg:"Leaving,omitempty"` // the sender is shutting down and takes no new role
 }
 
-// Empty is a message that says nothing.
+// Empty is a message without fields.
 type Empty struct{}
 
-// WatchRequest asks for the entries after a number, waiting so many nanoseconds for the first one.
+// WatchRequest requests the entries after the sequence number From, waiting up to Wait nanoseconds
+// for the first one.
 type WatchRequest struct {
 	From ids.Seq
 	Wait int64
 }
 
-// WatchResponse brings entries up to the number Seq, or, where they are not kept any more, a
-// snapshot of the open part of the state.
+// WatchResponse has the entries up to the sequence number Seq, or, where they are no longer kept, a
+// snapshot of the published part of the state.
 type WatchResponse struct {
 	Seq      ids.Seq
 	Snapshot []byte `msg:"Picture"` // the name on the wire is that of earlier releases
 	Entries  []Entry
-	Epoch    ids.Epoch `msg:"Epoch,omitempty"` // in which the news was decided last
+	Epoch    ids.Epoch `msg:"Epoch,omitempty"` // in which the term of the publishing primary began
 }
--- a/coordination/primary_call.go
+++ b/coordination/primary_call.go
@@ -1,5 +1,5 @@
-// Calls to the primary for callers that must have an answer soon: short attempts, each left
-// as soon as a newer record is known, with the search for the primary beside them.
+// Calls to the primary for callers with a short deadline: short attempts, each abandoned as soon as a
+// newer record is known, while the primary is searched for in parallel.
 
 package coordination
 
@@ -15,16 +15,16 @@
 )
 
 const (
-	submitAttempt = 1500 * time.Millisecond // of an agent, which has time
+	submitAttempt = 1500 * time.Millisecond // timeout of an agent's attempt; agents have no short deadline
 
-	searchWidth = 3                     // processes asked at once where the primary is
-	minBackoff  = 40 * time.Millisecond // between attempts, at random up to twice as long
+	searchWidth = 3                     // processes queried at once for the primary's address
+	minBackoff  = 40 * time.Millisecond // between attempts; the wait is random, up to twice as long
 )
 
-// CallPrimary asks the primary until it answers, an error is final, or the context ends; the
-// address asked last comes with it. No attempt lasts longer than the given time. An attempt
-// is left when a newer record is learnt: a deposed primary that is frozen or cut off would
-// take all the time there is. No error is final if final is nil.
+// CallPrimary calls the primary until it answers, an error is final, or the context ends; it also
+// returns the address called last. No attempt lasts longer than the given time. An attempt is
+// abandoned when a newer record is learnt, since a deposed primary that is frozen or partitioned
+// would use up the whole deadline. No error is final if final is nil.
 func CallPrimary[Q, R any](
 	ctx context.Context,
 	call *rpc.Caller,
@@ -46,8 +46,8 @@
 	}
 }
 
-// SubmitWithin submits a command by attempts of bounded length under its one operation id,
-// so that it is applied once at most. Errors are those of Submit.
+// SubmitWithin submits a command by attempts of bounded length, all under the same operation id, so
+// that it is applied at most once. Its errors are those of Submit.
 func SubmitWithin(
 	ctx context.Context,
 	call *rpc.Caller,
@@ -55,10 +55,10 @@
 	attempt time.Duration,
 	request *SubmitRequest,
 ) (*SubmitResponse, error) {
-	var doubt error
+	var unknownOutcome error
 	final := func(err error) bool {
 		if failure.Is(err, failure.OutcomeUnknown) {
-			doubt = err
+			unknownOutcome = err
 		}
 		return failure.Is(err, failure.Stale) || failure.Is(err, failure.InvalidArgument)
 	}
@@ -70,13 +70,13 @@
 		return r, nil
 	case final(err):
 		return nil, err
-	case doubt != nil:
-		return nil, failure.As(doubt, failure.OutcomeUnknown, "submit", addr)
+	case unknownOutcome != nil:
+		return nil, failure.As(unknownOutcome, failure.OutcomeUnknown, "submit", addr)
 	}
 	return nil, failure.As(err, failure.Unavailable, "submit", addr)
 }
 
-// callOnce makes one attempt.
+// callOnce makes one attempt, which ends early if a newer record is learnt.
 func callOnce[Q, R any](
 	ctx context.Context,
 	call *rpc.Caller,
@@ -87,10 +87,10 @@
 ) (*R, string, error) {
 	callContext, stop := context.WithTimeout(ctx, attempt)
 	defer stop()
-	grown := directory.RecordChanged()
+	recordChanged := directory.RecordChanged()
 	go func() {
 		select {
-		case <-grown:
+		case <-recordChanged:
 			stop()
 		case <-callContext.Done():
 		}
@@ -100,12 +100,12 @@
 	return r, addr, err
 }
 
-// search looks for the primary, with one round of questions at a time.
+// search searches for the primary, with one round of queries at a time.
 type search struct{ asking atomic.Bool }
 
-// backoff waits for a newer record or a short while, and tells whether the context still runs.
+// backoff waits for a newer record or for a random backoff. It returns false if the context has ended.
 func (s *search) backoff(ctx context.Context, directory *Directory) bool {
-	grown := directory.RecordChanged()
+	recordChanged := directory.RecordChanged()
 	if s.asking.CompareAndSwap(false, true) {
 		go func() {
 			directory.Query(ctx, searchWidth)
@@ -115,7 +115,7 @@
 	timer := host.NewTimer(minBackoff + rand.N(minBackoff))
 	defer timer.Stop()
 	select {
-	case <-grown:
+	case <-recordChanged:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/coordination/reachability.go
+++ b/coordination/reachability.go
@@ -1,6 +1,6 @@
-// Whether the primary can be reached while it confirms nothing. A node whose view grows old must
-// know which side is at fault: cut off from the primary, it is better off with what it has; with
-// a way to the primary, it is late.
+// The agent's check whether the primary is reachable while it confirms no renewals. A node whose view
+// grows old must know the cause: if it is partitioned from the primary, it should go on with its old
+// view; if it can reach the primary, it is behind.
 
 package coordination
 
@@ -16,45 +16,46 @@
 const (
 	probeInterval = 250 * time.Millisecond
 	probeTimeout  = 500 * time.Millisecond
-	// probeAfter is the age of the view from which the primary is probed: a renewal has failed by then.
+	// probeAfter is the age of the view above which the primary is probed: a renewal has failed by then.
 	probeAfter = time.Second
-	// starvedLag is by how much a timer goes off late where the process lacks processor time.
+	// starvedLag is the delay of a timer from which the process counts as short of processor time.
 	starvedLag = 250 * time.Millisecond
 )
 
-// Reachability is what an agent knows of its way to the primary.
+// Reachability is what an agent knows of its connection to the primary.
 type Reachability struct {
-	// Since is when the first of the probes was sent that the primary has all accepted; 0 if there is none.
+	// Since is when the first probe of the current run of accepted probes was sent; 0 if the last probe
+	// failed or there was none.
 	Since ids.Tick
-	// Lost tells that the last probe was not accepted, though this process had time to see it.
+	// Lost is set if the last probe was not accepted although this process was not starved.
 	Lost bool
-	// StarvedAt is when this process was last seen to lack processor time; 0 if never.
+	// StarvedAt is when this process was last found to be short of processor time; 0 if never.
 	StarvedAt ids.Tick
 }
 
-// prober keeps the outcomes of probes.
+// prober stores the results of probes.
 type prober struct {
 	mu      sync.Mutex
 	primary string
 	known   Reachability
 }
 
-// Reachability tells what the probes of late have shown.
+// Reachability returns the results of the latest probes.
 func (a *Agent) Reachability() Reachability {
 	a.prober.mu.Lock()
 	defer a.prober.mu.Unlock()
 	return a.prober.known
 }
 
-// probeLoop probes the primary while the view is old, and notes whenever it is woken late.
+// probeLoop probes the primary while the view is old, and records whenever its timer fires late.
 func (a *Agent) probeLoop(ctx context.Context) {
 	for {
-		slept := a.options.Host.Clock.Now()
+		sleepStart := a.options.Host.Clock.Now()
 		if !host.Sleep(ctx, probeInterval) {
 			return
 		}
 		now := a.options.Host.Clock.Now()
-		if now.Past(slept, probeInterval+starvedLag) {
+		if now.Past(sleepStart, probeInterval+starvedLag) {
 			a.prober.starved(now)
 		}
 		if !now.Past(a.CurrentAt(), probeAfter) {
@@ -65,7 +66,8 @@
 	}
 }
 
-// probe opens a connection to the primary and closes it. What a starved process sees proves nothing.
+// probe opens a connection to the primary and closes it. A result obtained while the process was
+// starved is discarded, since the failure may be its own.
 func (a *Agent) probe(ctx context.Context, addr string) {
 	if addr == "" {
 		return
@@ -85,19 +87,21 @@
 	a.prober.record(addr, began, err == nil)
 }
 
+// starved records that the process was found to be short of processor time.
 func (p *prober) starved(now ids.Tick) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.known.StarvedAt = now
 }
 
-// forget drops the outcomes: the core is heard.
+// forget discards the results, since the core confirms renewals again.
 func (p *prober) forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.known.Since, p.known.Lost = 0, false
 }
 
+// record stores the result of a probe that was sent at the given tick.
 func (p *prober) record(primary string, at ids.Tick, accepted bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/coordination/register.go
+++ b/coordination/register.go
@@ -1,7 +1,7 @@
-// The register of one replica: the acceptor's side of the ballots that decide a record
-// (who leads, with which backups, and who the voters are). A ballot is named by its epoch
-// and its proposer; a register promises an epoch to one proposer only and accepts no older
-// one. Every change is on disk before it is answered.
+// The register of one replica: the acceptor's side of the ballots that decide a record (the primary,
+// its backups and the voters). A ballot is identified by its epoch and its proposer; a register
+// promises an epoch to one proposer only and accepts no older epoch. Every change is on disk before
+// it is answered.
 
 package coordination
 
@@ -11,7 +11,7 @@
 	"keelstair.example/ids"
 )
 
-// firstEpoch is that of a founding, which all voters must accept, so that it needs no promise.
+// firstEpoch is the epoch of a bootstrap, which all voters must accept, so that it needs no promise.
 const firstEpoch ids.Epoch = 1
 
 // register is what a replica has promised and accepted.
@@ -21,7 +21,7 @@
 	Accepted   Record
 }
 
-// refuses tells why an accepting of this record must be refused, or nothing.
+// refuses returns the reason why the register must not accept this record, or "" if it may.
 func (r register) refuses(record Record) string {
 	switch {
 	case record.Epoch < r.Promised:
@@ -33,22 +33,22 @@
 	return ""
 }
 
-// accept is the register once it has accepted a record.
+// accept returns the register after it has accepted a record.
 func (r register) accept(record Record) register {
 	if record.Epoch == r.Accepted.Epoch && r.Accepted.ClusterID != "" {
-		return r // it came again; the change of voters may be known to be decided by now
+		return r // a repeat: the stored record may already be marked as decided
 	}
 	return register{Promised: record.Epoch, PromisedTo: record.Primary.Disk, Accepted: record}
 }
 
-// accepted gives the register's record and the epoch that it has promised.
+// accepted returns the accepted record and the promised epoch.
 func (c *Core) accepted() (Record, ids.Epoch) {
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
 	return c.register.Accepted, c.register.Promised
 }
 
-// handleBallot answers either round of a ballot, synced before the answer.
+// handleBallot answers either round of a ballot. It saves the register before it answers.
 func (c *Core) handleBallot(_ context.Context, request *BallotRequest) (*BallotResponse, error) {
 	ready := ids.Epoch(c.readyEpoch.Load())
 	c.registerMu.Lock()
@@ -92,9 +92,9 @@
 	return answer("")
 }
 
-// adoptRecord takes over a newer record that others have accepted.
-// It counts as an accept that came late by another way, so a promise to a newer
-// epoch forbids it; and a backup accepts only what it holds the snapshot of.
+// adoptRecord accepts a newer record that others have accepted. It is equivalent to a delayed accept
+// message, so a promise to a newer epoch forbids it; and a core never adopts a record that names it
+// as a backup, since a backup accepts only a record whose snapshot it holds.
 func (c *Core) adoptRecord(r Record) bool {
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
@@ -110,9 +110,9 @@
 	return true
 }
 
-// markDecided notes that the record of an epoch is decided: its primary leads, which it does only
-// then. A change of voters is over with that, and the voters before it have no say any
-// more. The caller holds registerMu. A disk that refuses is asked again at the next heartbeat.
+// markDecided marks the record of an epoch as decided: its primary leads, which it does only once the
+// record is decided. That completes a change of voters, and the outgoing voters no longer vote. The
+// caller holds registerMu. A failed save is repeated at the next heartbeat.
 func (c *Core) markDecided(epoch ids.Epoch, primary ids.DiskID) {
 	if c.register.Accepted.Epoch != epoch || c.register.Accepted.Primary.Disk != primary ||
 		len(c.register.Accepted.OutgoingVoters) == 0 {
@@ -127,7 +127,7 @@
 	c.register = next
 }
 
-// handleHeartbeat is the primary's sign of life to those it sends no entries.
+// handleHeartbeat records a heartbeat of the primary, which goes to the voters without data.
 func (c *Core) handleHeartbeat(_ context.Context, request *AppendRequest) (*AppendResponse, error) {
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
@@ -139,17 +139,18 @@
 	return &AppendResponse{Disk: c.self.Disk, OK: true, Promised: c.register.Promised}, nil
 }
 
-// recordContact notes a sign of life of another replica. The caller holds registerMu.
+// recordContact records that another replica was heard. The caller holds registerMu.
 func (c *Core) recordContact(d ids.DiskID) { c.lastHeard[d] = c.options.Host.Clock.Now() }
 
-// recordContactFrom notes a sign of life of another replica.
+// recordContactFrom is like recordContact and acquires registerMu.
 func (c *Core) recordContactFrom(d ids.DiskID) {
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
 	c.recordContact(d)
 }
 
-// recentlyHeard tells whether a replica was heard lately. The caller holds registerMu.
+// recentlyHeard reports whether a replica was heard within two thirds of the election timeout. For
+// this core, it reports whether it is the primary. The caller holds registerMu.
 func (c *Core) recentlyHeard(d ids.DiskID, now ids.Tick) bool {
 	if d == c.self.Disk {
 		return c.Leads()
