--- a/coordination/answer_test.go
+++ b/coordination/answer_test.go
@@ -32,7 +32,7 @@
 	for range 300 {
 		batch = append(batch, &operation{readState: true, done: make(chan struct{})})
 	}
-	l.answer(batch)
+	l.completeBatch(batch)
 	require.Equal(t, 1, machine.snapshots)
 	for _, op := range batch {
 		<-op.done
--- a/coordination/catch_up.go
+++ b/coordination/catch_up.go
@@ -14,28 +14,28 @@
 	"keelstair.example/rpc"
 )
 
-// A catch-up message may take catchUpWait plus its size divided by slowLinkRate, which is what a link
+// A catch-up message may take catchUpTimeout plus its size divided by slowLinkRate, which is what a link
 // of 10 Mbit/s carries beside other traffic, in bytes per second.
 const (
-	catchUpWait  = 2 * time.Second
-	slowLinkRate = 250_000
+	catchUpTimeout = 2 * time.Second
+	slowLinkRate   = 250_000
 )
 
 // sendTime returns the timeout for sending a message of the given size to a replica.
 func sendTime(bytes int) time.Duration {
-	return catchUpWait + time.Duration(bytes)*time.Second/slowLinkRate
+	return catchUpTimeout + time.Duration(bytes)*time.Second/slowLinkRate
 }
 
 // stateAtSeq is a proposer's state at one position in the log. The full snapshot is encoded only if
 // a backup needs it.
 type stateAtSeq struct {
-	core   *Core
-	locked bool // the caller holds dataMu
-	state  *replicatedState
-	seq    ids.Seq
-	digest []byte
-	body   []byte
-	chunks []Chunk
+	core     *Core
+	locked   bool // the caller holds dataMu
+	state    *replicatedState
+	seq      ids.Seq
+	digest   []byte
+	snapshot []byte
+	chunks   []Chunk
 }
 
 // captureState captures the current state. From here on only a newer epoch changes it.
@@ -62,17 +62,17 @@
 
 // entriesAfter returns the entries that a replica with this sequence number and log digest is missing.
 func (s *stateAtSeq) entriesAfter(seq ids.Seq, digest []byte) (entries []Entry, ok bool) {
-	err := s.withState(func() { entries, ok = s.state.history.after(seq, digest) })
+	err := s.withState(func() { entries, ok = s.state.history.entriesAfter(seq, digest) })
 	return entries, ok && err == nil
 }
 
-// full returns the encoded snapshot and its chunks.
-func (s *stateAtSeq) full() ([]byte, []Chunk, error) {
-	if s.body != nil {
-		return s.body, s.chunks, nil
+// encodedSnapshot returns the encoded snapshot and its chunks.
+func (s *stateAtSeq) encodedSnapshot() ([]byte, []Chunk, error) {
+	if s.snapshot != nil {
+		return s.snapshot, s.chunks, nil
 	}
-	err := s.withState(func() { s.body, s.chunks = MustMarshal(s.state.snapshot(false)), chunksOf(s.state.machine) })
-	return s.body, s.chunks, err
+	err := s.withState(func() { s.snapshot, s.chunks = MustMarshal(s.state.snapshot(false)), chunksOf(s.state.machine) })
+	return s.snapshot, s.chunks, err
 }
 
 // catchUp prepares a replica to be a backup in an epoch.
@@ -88,7 +88,7 @@
 	if err == nil && !r.Behind || err != nil && !failure.Is(err, failure.InvalidArgument) {
 		return refusalError(r, err, to)
 	}
-	body, all, err := state.full()
+	body, all, err := state.encodedSnapshot()
 	if err != nil {
 		return err
 	}
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -168,7 +168,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
-	wg.Go(func() { c.directory.Run(ctx, c.inContact) })
+	wg.Go(func() { c.directory.Run(ctx, c.connectedToPrimary) })
 	wg.Go(func() {
 		if c.options.ForceNewCluster {
 			if err := c.forceNewCluster(ctx); err != nil {
@@ -191,8 +191,8 @@
 	return err
 }
 
-// inContact reports whether this core is a voter that is the primary or has recently heard from it.
-func (c *Core) inContact() bool {
+// connectedToPrimary reports whether this core is a voter that is the primary or has recently heard from it.
+func (c *Core) connectedToPrimary() bool {
 	record, _ := c.accepted()
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	voteWait  = 700 * time.Millisecond // for the responses of one round
-	voteGrace = 60 * time.Millisecond  // for further responses once a quorum has agreed
+	voteTimeout = 700 * time.Millisecond // for the responses of one round
+	voteGrace   = 60 * time.Millisecond  // for further responses once a quorum has agreed
 )
 
-// ballot describes the change that a ballot proposes.
-type ballot struct {
+// ballotOptions describes the change that a ballot proposes.
+type ballotOptions struct {
 	leadingEpoch ids.Epoch  // the epoch in which the proposer is already the primary, or 0 for a takeover
 	transfer     bool       // the primary has asked the proposer to take over
 	removed      ids.DiskID // a voter to replace
@@ -55,7 +55,7 @@
 	voters []Replica,
 	enough func(yes []Replica) bool,
 ) (Record, []Replica) {
-	ctx, stop := context.WithTimeout(ctx, voteWait)
+	ctx, stop := context.WithTimeout(ctx, voteTimeout)
 	defer stop()
 	votes := make(chan vote, len(voters))
 	for _, s := range voters {
@@ -118,7 +118,7 @@
 
 // campaign makes this core the primary of a new epoch with up-to-date backups, in two rounds over the
 // registers. A caller that is already the primary must hold dataMu.
-func (c *Core) campaign(ctx context.Context, p ballot) (Record, error) {
+func (c *Core) campaign(ctx context.Context, p ballotOptions) (Record, error) {
 	current, promised := c.accepted()
 	c.observeEpoch(promised)
 	if !c.isDataReplica(current) || p.leadingEpoch != 0 && current.Epoch != p.leadingEpoch {
@@ -147,7 +147,7 @@
 // draftRecord returns the record to propose, without its backups. Voters change only relative to a
 // record that is known to be decided, and only its primary knows that; so a takeover keeps the
 // voters, together with an undecided change of them.
-func (c *Core) draftRecord(current Record, p ballot) Record {
+func (c *Core) draftRecord(current Record, p ballotOptions) Record {
 	next := current
 	next.Epoch = ids.Epoch(c.highestEpoch.Load() + 1)
 	next.Primary = c.self
@@ -174,7 +174,7 @@
 
 // prepare runs the first round: a majority of each quorum and the proposer itself must promise the
 // epoch. The proposer's own promise keeps the previous primary from acknowledging more commands.
-func (c *Core) prepare(ctx context.Context, current Record, next *Record, p ballot) ([]Replica, error) {
+func (c *Core) prepare(ctx context.Context, current Record, next *Record, p ballotOptions) ([]Replica, error) {
 	request := &BallotRequest{
 		Epoch:    next.Epoch,
 		From:     c.self,
@@ -206,7 +206,7 @@
 
 // prepareBackups brings as many backups as the record needs up to this core's state. It tries the
 // replicas of the current record first and those that are shutting down last.
-func (c *Core) prepareBackups(ctx context.Context, next Record, yes []Replica, p ballot) ([]Replica, error) {
+func (c *Core) prepareBackups(ctx context.Context, next Record, yes []Replica, p ballotOptions) ([]Replica, error) {
 	current, _ := c.accepted()
 	priority := func(s Replica) int {
 		switch {
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -22,15 +22,15 @@
 	leavingElectionDelay = 2 * time.Second
 )
 
-// encounter is the set of replicas met last, and the tick since which it has not changed.
-type encounter struct {
+// bootstrapPeers is the set of replicas met last, and the tick since which it has not changed.
+type bootstrapPeers struct {
 	replicas []Replica
 	since    ids.Tick
 }
 
 func (c *Core) electionLoop(ctx context.Context) {
 	idle := c.options.Host.Clock.Now()
-	met := &encounter{}
+	met := &bootstrapPeers{}
 	var notBefore ids.Tick // earliest start of the next election after one that a rival interrupted
 	for c.awaitElectionTick(ctx) {
 		now := c.options.Host.Clock.Now()
@@ -64,7 +64,7 @@
 		if !transferRequested && (!now.Past(idle, wait) || now.Before(notBefore)) {
 			continue
 		}
-		elected, err := c.campaign(ctx, ballot{transfer: transferRequested})
+		elected, err := c.campaign(ctx, ballotOptions{transfer: transferRequested})
 		if err != nil {
 			c.options.Ring.Warn().AnErr("cause", err).Msg("election failed")
 			notBefore = c.electionBackoff(now)
@@ -165,7 +165,7 @@
 // bootstrap creates a cluster's first record once enough replicas with empty disks have met (three,
 // for a fault tolerance of 1) and all of them accept it. The replica with the lowest disk id
 // proposes it, after the set of replicas has not changed for half an election timeout.
-func (c *Core) bootstrap(ctx context.Context, met *encounter) {
+func (c *Core) bootstrap(ctx context.Context, met *bootstrapPeers) {
 	all, empty := c.directory.recentReplicas(2 * time.Second)
 	n := 2*c.options.FaultTolerance + 1
 	if len(all) != len(empty) || len(empty) < n-1 {
--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	newClusterListen = 6 * time.Second // for voters that are alive after all
-	newClusterWait   = 2 * time.Minute // for enough empty machines
-	// newClusterSkip is added to the epoch, fence and sequence number, since others may have used
+	newClusterMinWait = 6 * time.Second // for voters that are alive after all
+	newClusterMaxWait = 2 * time.Minute // for enough empty machines
+	// newClusterOffset is added to the epoch, fence and sequence number, since others may have used
 	// higher ones than this disk knows.
-	newClusterSkip = 1_000_000
+	newClusterOffset = 1_000_000
 )
 
 // forceNewCluster creates a new cluster from this disk's data and empty machines, or says why it
@@ -45,7 +45,7 @@
 		return err
 	}
 	next := record
-	next.Epoch += newClusterSkip
+	next.Epoch += newClusterOffset
 	next.OutgoingVoters = nil
 	next.Primary, next.Voters = c.self, append([]Replica{c.self}, spare...)
 	next.setBackups(spare[:record.faultTolerance()])
@@ -65,7 +65,7 @@
 	return failure.New(failure.InvalidArgument, "found anew", c.self.Addr, format, args...)
 }
 
-// awaitSpares waits until enough empty machines are heard. It listens for newClusterListen at least,
+// awaitSpares waits until enough empty machines are heard. It listens for newClusterMinWait at least,
 // and returns an error if another voter or a newer record is heard.
 func (c *Core) awaitSpares(ctx context.Context, record Record) ([]Replica, error) {
 	needed := 2 * record.faultTolerance()
@@ -92,10 +92,10 @@
 				)
 			}
 		}
-		if now.Past(start, newClusterListen) && len(all) >= needed {
+		if now.Past(start, newClusterMinWait) && len(all) >= needed {
 			return all[:needed], nil
 		}
-		if now.Past(start, newClusterWait) {
+		if now.Past(start, newClusterMaxWait) {
 			return nil, c.refuseNewCluster("%d empty machines were found, %d are needed", len(all), needed)
 		}
 		if !host.Sleep(ctx, 200*time.Millisecond) {
@@ -110,8 +110,8 @@
 	c.dataMu.Lock()
 	defer c.dataMu.Unlock()
 	seq := c.state.seq
-	c.state.fence += newClusterSkip
-	c.state.seq += newClusterSkip
+	c.state.fence += newClusterOffset
+	c.state.seq += newClusterOffset
 	// Keys may have changed owners without this disk knowing, so all of them are reassigned.
 	c.state.grants = map[ids.Key]Grant{}
 	c.state.digest, c.state.history = stateDigest(c.state.seq, []byte(NewID())), history{}
--- a/coordination/freshness.go
+++ b/coordination/freshness.go
@@ -10,8 +10,8 @@
 	"keelstair.example/ids"
 )
 
-// maxUnfolded is the number of confirmations kept while the view is behind.
-const maxUnfolded = 16
+// maxPendingConfirmations is the number of confirmations kept while the view is behind.
+const maxPendingConfirmations = 16
 
 // confirmation is one renewal that the core confirmed.
 type confirmation struct {
@@ -21,31 +21,31 @@
 
 // confirmations holds the confirmed renewals whose log position the view has not reached.
 type confirmations struct {
-	mu       sync.Mutex
-	unfolded []confirmation // oldest first
-	foldedAt ids.Tick       // when the newest renewal that the view has reached was sent
+	mu            sync.Mutex
+	pending       []confirmation // oldest first
+	appliedSentAt ids.Tick       // when the newest renewal that the view has reached was sent
 }
 
 func (c *confirmations) add(conf confirmation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.unfolded) == maxUnfolded {
-		c.unfolded = append(c.unfolded[:0], c.unfolded[1:]...)
+	if len(c.pending) == maxPendingConfirmations {
+		c.pending = append(c.pending[:0], c.pending[1:]...)
 	}
-	c.unfolded = append(c.unfolded, conf)
+	c.pending = append(c.pending, conf)
 }
 
-// fold removes the confirmations up to seq and returns when the newest one removed so far was sent.
-func (c *confirmations) fold(seq ids.Seq) ids.Tick {
+// advance removes the confirmations up to seq and returns when the newest one removed so far was sent.
+func (c *confirmations) advance(seq ids.Seq) ids.Tick {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.unfolded) > 0 && c.unfolded[0].seq <= seq {
-		c.foldedAt = max(c.foldedAt, c.unfolded[0].sentAt)
-		c.unfolded = c.unfolded[1:]
+	for len(c.pending) > 0 && c.pending[0].seq <= seq {
+		c.appliedSentAt = max(c.appliedSentAt, c.pending[0].sentAt)
+		c.pending = c.pending[1:]
 	}
-	return c.foldedAt
+	return c.appliedSentAt
 }
 
 // CurrentAt returns a tick such that the view includes everything the core had acknowledged by then.
 // It is 0 until the core has confirmed a renewal and the view has applied the log up to it.
-func (a *Agent) CurrentAt() ids.Tick { return a.confirmations.fold(a.Seq()) }
+func (a *Agent) CurrentAt() ids.Tick { return a.confirmations.advance(a.Seq()) }
--- a/coordination/history.go
+++ b/coordination/history.go
@@ -54,9 +54,9 @@
 	h.entries, h.digests = h.entries[drop:], h.digests[drop:]
 }
 
-// after returns the entries that follow seq. It reports false if seq is not in the history or the log
+// entriesAfter returns the entries that follow seq. It reports false if seq is not in the history or the log
 // up to seq has another digest.
-func (h *history) after(seq ids.Seq, digest []byte) ([]Entry, bool) {
+func (h *history) entriesAfter(seq ids.Seq, digest []byte) ([]Entry, bool) {
 	for i := range h.entries {
 		if h.entries[i].Seq == seq {
 			return h.entries[i+1:], bytes.Equal(h.digests[i], digest)
--- a/coordination/leader.go
+++ b/coordination/leader.go
@@ -92,28 +92,28 @@
 	c.options.Ring.Warn().Uint64("epoch", uint64(record.Epoch)).Str("backup", record.Backup.Addr).Msg("became primary")
 	c.directory.SetMembers(l.members())
 	c.directory.Broadcast(ctx)
-	err := l.loop(ctx)
+	err := l.run(ctx)
 	c.leader.Store(nil)
 	close(l.stopped)
 	c.options.Ring.Warn().Uint64("epoch", uint64(l.record.Epoch)).AnErr("cause", err).Msg("lost primary role")
 	for {
 		select {
 		case op := <-l.operations:
-			l.finish(op, failure.New(failure.NotExecuted, "write", c.self.Addr, "lost the primary role before executing it"))
+			l.complete(op, failure.New(failure.NotExecuted, "write", c.self.Addr, "lost the primary role before executing it"))
 		default:
 			return
 		}
 	}
 }
 
-func (l *leader) finish(op *operation, err error) {
+func (l *leader) complete(op *operation, err error) {
 	if op.err == nil {
 		op.err = err
 	}
 	close(op.done)
 }
 
-func (l *leader) loop(ctx context.Context) error {
+func (l *leader) run(ctx context.Context) error {
 	heartbeat := host.NewTicker(l.core.options.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
@@ -140,7 +140,7 @@
 		}
 		if err := l.applyMembership(ctx, batch); err != nil {
 			for _, op := range batch {
-				l.finish(
+				l.complete(
 					op,
 					failure.New(failure.NotExecuted, "write", l.core.self.Addr, "lost the primary role before executing it"),
 				)
@@ -188,12 +188,12 @@
 		err = failure.As(err, failure.OutcomeUnknown, "write", c.self.Addr)
 		for _, op := range batch {
 			op.err = err // a rejection, too: it was decided on a state that may be stale
-			l.finish(op, err)
+			l.complete(op, err)
 		}
 		return err
 	}
 	c.feed.push(entries)
-	l.answer(batch)
+	l.completeBatch(batch)
 	if c.store.rows > rowsPerLog {
 		if err := c.store.compact(c.state.snapshot(false), chunksOf(c.state.machine)); err != nil {
 			c.reloadNeeded = true
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// answer completes the operations of a durable batch. The caller holds dataMu.
-func (l *leader) answer(batch []*operation) {
+// completeBatch completes the operations of a durable batch. The caller holds dataMu.
+func (l *leader) completeBatch(batch []*operation) {
 	c := l.core
 	now := c.options.Host.Clock.Now()
 	var snapshot *Snapshot
@@ -218,7 +218,7 @@
 			}
 			op.snapshot = snapshot
 		}
-		l.finish(op, nil)
+		l.complete(op, nil)
 	}
 }
 
@@ -248,11 +248,11 @@
 		}
 	}
 	if all {
-		l.heartbeat(ctx, l.record)
+		l.sendHeartbeats(ctx, l.record)
 		return nil
 	}
 	for attempt := 0; ; attempt++ {
-		record, err := c.campaign(ctx, ballot{leadingEpoch: l.record.Epoch})
+		record, err := c.campaign(ctx, ballotOptions{leadingEpoch: l.record.Epoch})
 		if err == nil {
 			l.record = record
 			return nil
@@ -282,8 +282,8 @@
 	return nil
 }
 
-// heartbeat sends a heartbeat to the voters without data, at most about once per heartbeat interval.
-func (l *leader) heartbeat(ctx context.Context, record Record) {
+// sendHeartbeats sends a heartbeat to the voters without data, at most about once per heartbeat interval.
+func (l *leader) sendHeartbeats(ctx context.Context, record Record) {
 	c := l.core
 	now := c.options.Host.Clock.Now()
 	if !now.Past(l.heartbeatAt, c.options.HeartbeatInterval*4/5) && l.heartbeatAt != 0 {
--- a/coordination/lease.go
+++ b/coordination/lease.go
@@ -13,9 +13,9 @@
 // nodeLease is the primary's view of a node's lease.
 type nodeLease struct {
 	Member
-	renewedAt  ids.Tick
-	appliedSeq ids.Seq
-	revoked    []Grant // grants that the node should release
+	renewedAt     ids.Tick
+	appliedSeq    ids.Seq
+	revokedGrants []Grant // grants that the node should release
 }
 
 // Owner returns the node that should own a key: the one with the highest hash of key and node
@@ -43,11 +43,11 @@
 
 // ranksBefore reports whether a precedes b in the rendezvous order of a key.
 func ranksBefore(key ids.Key, a, b ids.NodeID) bool {
-	x, y := weight(key, a), weight(key, b)
+	x, y := rendezvousWeight(key, a), rendezvousWeight(key, b)
 	return x > y || x == y && a < b
 }
 
-func weight(key ids.Key, n ids.NodeID) uint64 {
+func rendezvousWeight(key ids.Key, n ids.NodeID) uint64 {
 	return ids.Mix(ids.Hash(string(n) + "\x00" + string(key)))
 }
 
@@ -116,7 +116,7 @@
 		l.leases[request.Self.Node] = lease
 	}
 	lease.Member, lease.renewedAt, lease.appliedSeq = request.Self, now, max(lease.appliedSeq, request.Applied)
-	out := &RenewResponse{Seq: state.seq, Revoked: lease.revoked}
+	out := &RenewResponse{Seq: state.seq, Revoked: lease.revokedGrants}
 	if k, ok := state.machine.(Timekeeper); ok {
 		k.Observe(now, request.Time)
 		out.Time = k.Time(now)
@@ -206,7 +206,7 @@
 		return assignment
 	}
 	for _, t := range l.leases {
-		t.revoked = nil
+		t.revokedGrants = nil
 	}
 	wanted := map[ids.Key]bool{}
 	for _, k := range l.core.state.machine.Keys() {
@@ -217,12 +217,12 @@
 		case !ok:
 			assignment.Grants = append(assignment.Grants, Grant{Key: k, Node: owner})
 		case cur.Node != owner && t != nil:
-			t.revoked = append(t.revoked, cur)
+			t.revokedGrants = append(t.revokedGrants, cur)
 		}
 	}
 	for k, g := range l.core.state.grants {
 		if t := l.leases[g.Node]; !wanted[k] && t != nil {
-			t.revoked = append(t.revoked, g)
+			t.revokedGrants = append(t.revokedGrants, g)
 		}
 	}
 	return assignment
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	spareMaxAge = 5 * time.Second         // within which a spare must have been heard
-	leaveRetry  = 150 * time.Millisecond  // between two attempts to hand over
-	leaveWait   = 1500 * time.Millisecond // timeout of one attempt
-	// spreadAfter is the age from which a record's voters may be rebalanced over the zones: more than a
+	spareMaxSilence       = 5 * time.Second         // within which a spare must have been heard
+	handOverRetryInterval = 150 * time.Millisecond  // between two attempts to hand over
+	handOverTimeout       = 1500 * time.Millisecond // timeout of one attempt
+	// rebalanceDelay is the age from which a record's voters may be rebalanced over the zones: more than a
 	// process takes to restart.
-	spreadAfter = 10 * time.Second
+	rebalanceDelay = 10 * time.Second
 )
 
 // errLeadershipTransferred ends the term of a primary that has asked a backup to take over.
@@ -35,7 +35,7 @@
 	all := l.core.spareReplicas(l.record)
 	for _, s := range l.record.Voters {
 		if spare, ok := l.replacementFor(s, all, now); ok {
-			return l.replace(ctx, ballot{
+			return l.changeMembership(ctx, ballotOptions{
 				leadingEpoch: l.record.Epoch,
 				removed:      s.Disk,
 				added:        spare,
@@ -43,7 +43,7 @@
 		}
 	}
 	if out, in, ok := l.zoneImbalance(all, now); ok {
-		return l.replace(ctx, ballot{
+		return l.changeMembership(ctx, ballotOptions{
 			leadingEpoch: l.record.Epoch,
 			removed:      out.Disk,
 			added:        in,
@@ -54,9 +54,9 @@
 
 // zoneImbalance returns a voter to replace, and as its replacement a spare in a zone that has at
 // least two voters fewer, so that the loss of a zone takes as few voters as possible. It requires
-// that all voters are heard and that the record is older than spreadAfter.
+// that all voters are heard and that the record is older than rebalanceDelay.
 func (l *leader) zoneImbalance(all []Replica, now ids.Tick) (out, in Replica, ok bool) {
-	if !now.Past(max(l.ledSince, l.membershipChangedAt), spreadAfter) || len(all) == 0 || !l.allHeard(now) {
+	if !now.Past(max(l.ledSince, l.membershipChangedAt), rebalanceDelay) || len(all) == 0 || !l.allHeard(now) {
 		return Replica{}, Replica{}, false
 	}
 	perZone := countByZone(l.record.Voters, "")
@@ -101,8 +101,8 @@
 	return true
 }
 
-// replace runs a ballot that changes the membership, and logs it under the given message.
-func (l *leader) replace(ctx context.Context, p ballot, message string) error {
+// changeMembership runs a ballot that changes the membership, and logs it under the given message.
+func (l *leader) changeMembership(ctx context.Context, p ballotOptions, message string) error {
 	c := l.core
 	c.dataMu.Lock()
 	record, err := c.campaign(ctx, p)
@@ -117,7 +117,7 @@
 
 // spareReplicas returns the recently heard replicas that are not voters and not shutting down.
 func (c *Core) spareReplicas(record Record) []Replica {
-	all, _ := c.directory.recentReplicas(spareMaxAge)
+	all, _ := c.directory.recentReplicas(spareMaxSilence)
 	var out []Replica
 	for _, s := range all {
 		if !containsDisk(record.Voters, s.Disk) && !c.directory.leaving(s.Disk) {
@@ -164,7 +164,7 @@
 			c.options.Ring.Info().Msg("shutdown: handed over")
 			return nil
 		}
-		if !host.Sleep(ctx, leaveRetry) {
+		if !host.Sleep(ctx, handOverRetryInterval) {
 			c.options.Ring.Warn().AnErr("cause", err).Msg("shutdown: not handed over")
 			return failure.Wrap(err, "leave", c.self.Addr)
 		}
@@ -180,7 +180,7 @@
 	if !containsDisk(record.Voters, c.self.Disk) {
 		return true, nil
 	}
-	ctx, stop := context.WithTimeout(ctx, leaveWait)
+	ctx, stop := context.WithTimeout(ctx, handOverTimeout)
 	defer stop()
 	if l := c.leader.Load(); l != nil {
 		op := &operation{transfer: true, done: make(chan struct{})}
@@ -223,12 +223,12 @@
 	for _, op := range batch {
 		switch {
 		case op.leaver != nil:
-			err := l.release(ctx, op, *op.leaver)
+			err := l.releaseReplica(ctx, op, *op.leaver)
 			if err != nil {
 				return err
 			}
 		case op.transfer:
-			if op.err = l.transfer(ctx); op.err == nil {
+			if op.err = l.transferLeadership(ctx); op.err == nil {
 				return errLeadershipTransferred
 			}
 		}
@@ -236,14 +236,14 @@
 	return nil
 }
 
-// release removes a replica that is shutting down from the record: a spare, if there is one, becomes
+// releaseReplica removes a replica that is shutting down from the record: a spare, if there is one, becomes
 // a voter in its place, and another voter becomes a backup in its place.
-func (l *leader) release(ctx context.Context, op *operation, leaver Replica) error {
+func (l *leader) releaseReplica(ctx context.Context, op *operation, leaver Replica) error {
 	c := l.core
 	if !containsDisk(l.record.Voters, leaver.Disk) || leaver.Disk == c.self.Disk {
 		return nil
 	}
-	p := ballot{leadingEpoch: l.record.Epoch, notBackup: leaver.Disk}
+	p := ballotOptions{leadingEpoch: l.record.Epoch, notBackup: leaver.Disk}
 	if all := c.spareReplicas(l.record); len(all) > 0 {
 		p.removed, p.added = leaver.Disk, inSmallestZone(all, countByZone(l.record.Voters, leaver.Disk))
 	} else if l.record.backupRank(leaver.Disk) < 0 {
@@ -255,7 +255,7 @@
 		)
 		return nil
 	}
-	err := l.replace(ctx, p, "releasing replica")
+	err := l.changeMembership(ctx, p, "releasing replica")
 	if err != nil {
 		op.err = err
 	}
@@ -278,8 +278,8 @@
 	return n >= l.record.faultTolerance()
 }
 
-// transfer asks a backup to take over at once. Every backup has all acknowledged entries.
-func (l *leader) transfer(ctx context.Context) error {
+// transferLeadership asks a backup to take over at once. Every backup has all acknowledged entries.
+func (l *leader) transferLeadership(ctx context.Context) error {
 	c := l.core
 	err := failure.New(failure.Unavailable, "hand over", c.self.Addr, "no backup is available to take over")
 	for _, s := range l.record.backups() {
--- a/coordination/primary_call.go
+++ b/coordination/primary_call.go
@@ -17,8 +17,8 @@
 const (
 	submitAttempt = 1500 * time.Millisecond // timeout of an agent's attempt; agents have no short deadline
 
-	searchWidth = 3                     // processes queried at once for the primary's address
-	minBackoff  = 40 * time.Millisecond // between attempts; the wait is random, up to twice as long
+	searchFanout = 3                     // processes queried at once for the primary's address
+	minBackoff   = 40 * time.Millisecond // between attempts; the wait is random, up to twice as long
 )
 
 // CallPrimary calls the primary until it answers, an error is final, or the context ends; it also
@@ -34,7 +34,7 @@
 	request *Q,
 	final func(error) bool,
 ) (*R, string, error) {
-	var find search
+	var find primarySearch
 	for {
 		r, addr, err := callOnce[Q, R](ctx, call, directory, attempt, name, request)
 		if err == nil || final != nil && final(err) {
@@ -100,16 +100,16 @@
 	return r, addr, err
 }
 
-// search searches for the primary, with one round of queries at a time.
-type search struct{ asking atomic.Bool }
+// primarySearch searches for the primary, with one round of queries at a time.
+type primarySearch struct{ running atomic.Bool }
 
 // backoff waits for a newer record or for a random backoff. It returns false if the context has ended.
-func (s *search) backoff(ctx context.Context, directory *Directory) bool {
+func (s *primarySearch) backoff(ctx context.Context, directory *Directory) bool {
 	recordChanged := directory.RecordChanged()
-	if s.asking.CompareAndSwap(false, true) {
+	if s.running.CompareAndSwap(false, true) {
 		go func() {
-			directory.Query(ctx, searchWidth)
-			s.asking.Store(false)
+			directory.Query(ctx, searchFanout)
+			s.running.Store(false)
 		}()
 	}
 	timer := host.NewTimer(minBackoff + rand.N(minBackoff))
--- a/coordination/reachability.go
+++ b/coordination/reachability.go
@@ -16,10 +16,10 @@
 const (
 	probeInterval = 250 * time.Millisecond
 	probeTimeout  = 500 * time.Millisecond
-	// probeAfter is the age of the view above which the primary is probed: a renewal has failed by then.
-	probeAfter = time.Second
-	// starvedLag is the delay of a timer from which the process counts as short of processor time.
-	starvedLag = 250 * time.Millisecond
+	// probeMinAge is the age of the view above which the primary is probed: a renewal has failed by then.
+	probeMinAge = time.Second
+	// starvationDelay is the delay of a timer from which the process counts as short of processor time.
+	starvationDelay = 250 * time.Millisecond
 )
 
 // Reachability is what an agent knows of its connection to the primary.
@@ -37,14 +37,14 @@
 type prober struct {
 	mu      sync.Mutex
 	primary string
-	known   Reachability
+	result  Reachability
 }
 
 // Reachability returns the results of the latest probes.
 func (a *Agent) Reachability() Reachability {
 	a.prober.mu.Lock()
 	defer a.prober.mu.Unlock()
-	return a.prober.known
+	return a.prober.result
 }
 
 // probeLoop probes the primary while the view is old, and records whenever its timer fires late.
@@ -55,11 +55,11 @@
 			return
 		}
 		now := a.options.Host.Clock.Now()
-		if now.Past(sleepStart, probeInterval+starvedLag) {
-			a.prober.starved(now)
+		if now.Past(sleepStart, probeInterval+starvationDelay) {
+			a.prober.recordStarvation(now)
 		}
-		if !now.Past(a.CurrentAt(), probeAfter) {
-			a.prober.forget()
+		if !now.Past(a.CurrentAt(), probeMinAge) {
+			a.prober.reset()
 			continue
 		}
 		a.probe(ctx, a.directory.Addr(a.directory.Record().Primary))
@@ -80,36 +80,36 @@
 		conn.Close()
 	}
 	now := a.options.Host.Clock.Now()
-	if now.Past(began, probeTimeout+starvedLag) {
-		a.prober.starved(now)
+	if now.Past(began, probeTimeout+starvationDelay) {
+		a.prober.recordStarvation(now)
 		return
 	}
-	a.prober.record(addr, began, err == nil)
+	a.prober.recordProbe(addr, began, err == nil)
 }
 
-// starved records that the process was found to be short of processor time.
-func (p *prober) starved(now ids.Tick) {
+// recordStarvation records that the process was found to be short of processor time.
+func (p *prober) recordStarvation(now ids.Tick) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.known.StarvedAt = now
+	p.result.StarvedAt = now
 }
 
-// forget discards the results, since the core confirms renewals again.
-func (p *prober) forget() {
+// reset discards the results, since the core confirms renewals again.
+func (p *prober) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.known.Since, p.known.Lost = 0, false
+	p.result.Since, p.result.Lost = 0, false
 }
 
-// record stores the result of a probe that was sent at the given tick.
-func (p *prober) record(primary string, at ids.Tick, accepted bool) {
+// recordProbe stores the result of a probe that was sent at the given tick.
+func (p *prober) recordProbe(primary string, at ids.Tick, accepted bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case !accepted:
-		p.known.Since = 0
-	case p.known.Since == 0 || p.primary != primary:
-		p.known.Since = at
+		p.result.Since = 0
+	case p.result.Since == 0 || p.primary != primary:
+		p.result.Since = at
 	}
-	p.primary, p.known.Lost = primary, !accepted
+	p.primary, p.result.Lost = primary, !accepted
 }
--- a/coordination/reachability_test.go
+++ b/coordination/reachability_test.go
@@ -27,12 +27,12 @@
 	a.confirmations.add(confirmation{sentAt: 200, seq: 9})
 	require.EqualValues(t, 100, at(8))
 	require.EqualValues(t, 200, at(9))
-	for i := range ids.Seq(3 * maxUnfolded) {
+	for i := range ids.Seq(3 * maxPendingConfirmations) {
 		a.confirmations.add(confirmation{sentAt: ids.Tick(300 + i), seq: 20 + i})
 	}
 	require.EqualValues(t, 200, at(19))
-	require.EqualValues(t, 300+2*maxUnfolded, at(20+2*maxUnfolded))
-	require.EqualValues(t, 300+3*maxUnfolded-1, at(100))
+	require.EqualValues(t, 300+2*maxPendingConfirmations, at(20+2*maxPendingConfirmations))
+	require.EqualValues(t, 300+3*maxPendingConfirmations-1, at(100))
 }
 
 // TestReachability: a primary that accepts but confirms nothing, one behind a cut, and one that has gone.
--- a/coordination/register.go
+++ b/coordination/register.go
@@ -21,8 +21,8 @@
 	Accepted   Record
 }
 
-// refuses returns the reason why the register must not accept this record, or "" if it may.
-func (r register) refuses(record Record) string {
+// rejectionReason returns the reason why the register must not accept this record, or "" if it may.
+func (r register) rejectionReason(record Record) string {
 	switch {
 	case record.Epoch < r.Promised:
 		return "a newer epoch is promised"
@@ -33,8 +33,8 @@
 	return ""
 }
 
-// accept returns the register after it has accepted a record.
-func (r register) accept(record Record) register {
+// withAccepted returns the register after it has accepted a record.
+func (r register) withAccepted(record Record) register {
 	if record.Epoch == r.Accepted.Epoch && r.Accepted.ClusterID != "" {
 		return r // a repeat: the stored record may already be marked as decided
 	}
@@ -70,14 +70,14 @@
 		return answer("not a holder")
 	case !request.Accept && request.Epoch <= c.register.Promised:
 		return answer("a newer epoch is promised")
-	case request.Accept && c.register.refuses(request.Record) != "":
-		return answer(c.register.refuses(request.Record))
+	case request.Accept && c.register.rejectionReason(request.Record) != "":
+		return answer(c.register.rejectionReason(request.Record))
 	case request.Takeover && request.From.Disk != primary && c.recentlyHeard(primary, now):
 		return answer("the primary is heard")
 	case request.Accept && request.Record.backupRank(c.self.Disk) >= 0 && ready != request.Epoch:
 		return answer("the snapshot of this epoch is missing")
 	case request.Accept:
-		next = c.register.accept(request.Record)
+		next = c.register.withAccepted(request.Record)
 	default:
 		next.Promised, next.PromisedTo = request.Epoch, request.From.Disk
 	}
@@ -99,10 +99,10 @@
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
 	if r.Epoch <= c.register.Accepted.Epoch || !containsDisk(r.allVoters(), c.self.Disk) ||
-		c.register.refuses(r) != "" || r.backupRank(c.self.Disk) >= 0 {
+		c.register.rejectionReason(r) != "" || r.backupRank(c.self.Disk) >= 0 {
 		return false
 	}
-	next := c.register.accept(r)
+	next := c.register.withAccepted(r)
 	if err := c.store.saveRegister(next); err != nil {
 		return false
 	}
--- a/coordination/register_test.go
+++ b/coordination/register_test.go
@@ -112,7 +112,7 @@
 		r, err := c.handleSnapshot(t.Context(), request)
 		require.NoError(t, err)
 		require.True(t, r.Behind && !r.OK)
-		_, ok := theirs.history.after(r.LastSeq, r.Digest)
+		_, ok := theirs.history.entriesAfter(r.LastSeq, r.Digest)
 		require.False(t, ok, "the log differs at that place")
 		require.NotEqual(t, ids.Epoch(c.readyEpoch.Load()), ids.Epoch(2))
 		request.Digest = c.state.digest
--- a/coordination/second_defence_test.go
+++ b/coordination/second_defence_test.go
@@ -66,7 +66,7 @@
 	answeringCores(t, func(world *simulated.World, cores []*Core) {
 		world.Machine("10.0.0.1").StallDisk(true)
 		cores[0].dataMu.Lock()
-		_, err := cores[0].campaign(context.Background(), ballot{leadingEpoch: firstEpoch})
+		_, err := cores[0].campaign(context.Background(), ballotOptions{leadingEpoch: firstEpoch})
 		cores[0].dataMu.Unlock()
 		require.Error(t, err)
 		for _, c := range cores[1:3] {
--- a/coordination/statemachine_test.go
+++ b/coordination/statemachine_test.go
@@ -174,7 +174,7 @@
 	current, promised := c.accepted()
 	c.observeEpoch(promised)
 	time.Sleep(2 * c.options.ElectionTimeout) // a silent primary may be replaced
-	b := ballot{}
+	b := ballotOptions{}
 	if m.leads[i] == current.Epoch {
 		b.leadingEpoch = current.Epoch
 		if rapid.IntRange(0, 2).Draw(t, "change a voter") > 0 {
