--- a/coordination/answer_test.go
+++ b/coordination/answer_test.go
@@ -1,4 +1,4 @@
-// What the primary does for each of many that ask together.
+// The primary's handling of a batch of state reads.
 
 package coordination
 
@@ -21,8 +21,8 @@
 func (*countingMachine) Keys() []ids.Key                                { return nil }
 func (*countingMachine) Due(_ ids.Tick, seq, applied ids.Seq) []Command { return nil }
 
-// TestStartOfManyEncodesStateOnce: nodes that all start at once ask for the state in one batch, and the
-// primary's writer does not encode it anew for each of them.
+// TestStartOfManyEncodesStateOnce checks that the primary encodes the state once per batch, not once
+// per reader: nodes that all start at the same time read it in one batch.
 func TestStartOfManyEncodesStateOnce(t *testing.T) {
 	p := simulated.NewWorld(1).Machine("10.0.0.1").Start()
 	defer p.Kill()
--- a/coordination/bad_message_test.go
+++ b/coordination/bad_message_test.go
@@ -1,4 +1,4 @@
-// Messages between members that are cut short, changed, or from another fleet.
+// Messages between replicas that are truncated, altered, out of order or from another cluster.
 
 package coordination
 
@@ -16,8 +16,7 @@
 	"keelstair.example/ids"
 )
 
-// withMember runs f with a member that holds two entries and has promised epoch 2 to
-// the proposer of the founding "f".
+// withMember runs f with a core that holds two entries and has promised epoch 2 in the cluster "f".
 func withMember(t *testing.T, f func(c *Core, proposer Replica)) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := simulated.NewWorld(1).Machine("10.0.0.1")
@@ -50,7 +49,7 @@
 	})
 }
 
-// snapshotOf gives a snapshot of a machine with seven other values.
+// snapshotOf returns a snapshot of a state machine with seven other values, and its chunks.
 func snapshotOf(t *testing.T) (body []byte, all []Chunk) {
 	r := newReplicatedState(&listMachine{})
 	for range 7 {
@@ -60,14 +59,15 @@
 	return MustMarshal(r.snapshot(false)), chunksOf(r.machine)
 }
 
+// requireUnchanged checks that the core still has its two entries and is ready for no epoch.
 func requireUnchanged(t *testing.T, c *Core) {
 	require.Equal(t, "one,two", c.state.machine.(*listMachine).all())
 	require.EqualValues(t, 2, c.state.seq)
 	require.Zero(t, c.readyEpoch.Load())
 }
 
-// TestTruncatedSnapshot: a snapshot that a proposer sent and that was cut short anywhere is
-// refused, and the data stays as it was; whole, it is taken.
+// TestTruncatedSnapshot checks that a snapshot truncated at any byte is refused and leaves the data
+// unchanged, and that the complete snapshot is installed.
 func TestTruncatedSnapshot(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
@@ -80,7 +80,7 @@
 				From:  proposer,
 				State: body[:size],
 			})
-			require.True(t, err != nil || !r.OK, "cut to %d of %d bytes", size, len(body))
+			require.True(t, err != nil || !r.OK, "truncated to %d of %d bytes", size, len(body))
 			if err != nil {
 				require.NotContains(t, err.Error(), "\n")
 			}
@@ -93,8 +93,8 @@
 	})
 }
 
-// TestWrongChunk: a chunk whose content doesn't fit its name is refused, in a message
-// as well as in a snapshot.
+// TestWrongChunk checks that a chunk whose content does not match its name is refused, and that a
+// snapshot that refers to it is not installed.
 func TestWrongChunk(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
@@ -108,8 +108,8 @@
 	})
 }
 
-// TestOtherEpoch: a snapshot of an epoch that wasn't promised, or a register's ballot of
-// another founding, changes nothing.
+// TestOtherEpoch checks that a snapshot of an epoch that was not promised, or a ballot of another
+// cluster, changes nothing.
 func TestOtherEpoch(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
@@ -136,7 +136,8 @@
 	})
 }
 
-// TestOtherAppend: entries that don't follow, or of another epoch, change nothing.
+// TestOtherAppend checks that entries that do not follow the log, or that are of another epoch, change
+// nothing.
 func TestOtherAppend(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
 		c.register.Accepted.Epoch = 2
--- a/coordination/beyond_tolerance_test.go
+++ b/coordination/beyond_tolerance_test.go
@@ -1,5 +1,5 @@
-// Losses beyond what the core is built for: service may rest meanwhile, but nothing that was
-// acknowledged is lost or taken twice, and it goes on soon after all are back.
+// Failures beyond the fault tolerance: the service may be unavailable meanwhile, but no acknowledged
+// command is lost or applied twice, and the service resumes soon after all machines are back.
 
 package coordination_test
 
@@ -15,28 +15,28 @@
 	beyondMachines = 6
 	beyondLosses   = 2
 	beyondRounds   = 3
-	// beyondRecovery is the time after which the core answers once all of it is back.
+	// beyondRecovery is the time within which the core must answer once all machines are back.
 	beyondRecovery = 12 * time.Second
-	// diskHealing is the time that the core has to replace what lost disks held.
+	// diskHealing is the time that the core is given to replace the copies and registers of lost disks.
 	diskHealing = 14 * time.Second
 )
 
-// beyondTolerance runs clients through some rounds of trouble. After each of them the core must
-// answer in time; in the end every command was taken once.
-func beyondTolerance(t *testing.T, seed uint64, trouble func(w *walk, rng *rand.Rand)) {
+// beyondTolerance runs clients while it injects a fault in each of beyondRounds rounds. After each
+// round the core must answer within beyondRecovery; at the end every command was applied exactly
+// once.
+func beyondTolerance(t *testing.T, seed uint64, injectFault func(w *walk, rng *rand.Rand)) {
 	underLoad(t, buildOf(seed, beyondMachines, beyondLosses), seed, func(w *walk) {
 		rng := rand.New(rand.NewPCG(seed, 10))
 		for range beyondRounds {
 			time.Sleep(time.Duration(500+rng.IntN(2000)) * time.Millisecond)
-			trouble(w, rng)
-			back := time.Now()
-			require.NoError(t, w.submitNumber(0, "after "+back.String(), beyondRecovery), "%v", w.trace)
+			injectFault(w, rng)
+			healed := time.Now()
+			require.NoError(t, w.submitNumber(0, "after "+healed.String(), beyondRecovery), "%v", w.trace)
 		}
 	})
 }
 
-// TestHalvesPartitioned: the cores are cut into two halves for some seconds, while nodes reach
-// both of them.
+// TestHalvesPartitioned partitions the cores into two halves for 0.5 to 8.5 s, while nodes reach both.
 func TestHalvesPartitioned(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		beyondTolerance(t, seed, func(w *walk, rng *rand.Rand) {
@@ -45,7 +45,7 @@
 				half = append(half, machineOf(w.seeds[i]))
 			}
 			duration := time.Duration(500+rng.IntN(8000)) * time.Millisecond
-			w.say("cut %v from the others for %s", half, duration)
+			w.say("partition %v from the others for %s", half, duration)
 			w.partitionFrom(half, bothWays, true)
 			time.Sleep(duration)
 			w.partitionFrom(half, bothWays, false)
@@ -53,8 +53,8 @@
 	})
 }
 
-// TestOverlappingLosses: three to six of six cores lose their power at about the same time, up to
-// two of them their disks, and come back in any order.
+// TestOverlappingLosses powers off three to six of six cores at about the same time, wipes the disks
+// of up to two of them, and restarts them in any order.
 func TestOverlappingLosses(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		beyondTolerance(t, seed, func(w *walk, rng *rand.Rand) {
--- a/coordination/force_new_cluster_test.go
+++ b/coordination/force_new_cluster_test.go
@@ -1,4 +1,4 @@
-// Two of three disk machines lost for good.
+// Recovery after two of three voters are lost for good.
 
 package coordination_test
 
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestForceNewCluster: from one surviving copy and two empty machines the core goes on with
-// all that was acknowledged, operations keep their outcomes, and the watchers go on
-// as they were; keys are dealt under higher fences.
+// TestForceNewCluster checks that a cluster forced from one surviving copy and two empty machines
+// has all acknowledged commands, keeps the outcomes of operations, continues the change feed of the
+// watchers, and assigns keys under higher fencing tokens.
 func TestForceNewCluster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := build(3)
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		default:
 		}
-		// What was lost comes back after all: it joins as a spare, and nothing changes.
+		// A machine starts that was not part of the cluster: it joins as a spare, and nothing changes.
 		f.core("10.0.0.7:1")
 		time.Sleep(2 * time.Second)
 		require.NoError(t, f.submitNumber(1, "c", 5*time.Second))
@@ -60,8 +60,8 @@
 	})
 }
 
-// TestForceNewClusterRefused: it is refused, in one clear line, while another holder lives,
-// on a disk without data, on an empty one, and on one that is behind.
+// TestForceNewClusterRefused checks that forcing a new cluster is refused with a clear error while
+// another voter is alive, on a disk without data, on an empty disk, and on a disk that is behind.
 func TestForceNewClusterRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := build(4)
@@ -76,30 +76,30 @@
 				witness = at(s.Addr)
 			}
 		}
-		says := func(end chan error, part string) {
+		requireRefusal := func(end chan error, text string) {
 			select {
 			case err := <-end:
-				require.ErrorContains(t, err, part)
+				require.ErrorContains(t, err, text)
 			case <-time.After(20 * time.Second):
-				t.Fatal("it was not refused: " + part)
+				t.Fatal("it was not refused: " + text)
 			}
 		}
 		f.powerOff(at(record.Backup.Addr))
-		says(f.startCore(record.Backup.Addr, true), "is alive")
+		requireRefusal(f.startCore(record.Backup.Addr, true), "is alive")
 		f.powerOff(at(record.Backup.Addr))
 		f.powerOff(witness)
-		says(f.startCore(witness+":1", true), "no data")
-		says(f.startCore("10.0.0.6:1", true), "no cluster")
+		requireRefusal(f.startCore(witness+":1", true), "no data")
+		requireRefusal(f.startCore("10.0.0.6:1", true), "no cluster")
 		f.powerOff(witness)
 		f.powerOff("10.0.0.6")
 		f.core(witness + ":1")
 		f.core(record.Backup.Addr)
 		time.Sleep(4 * time.Second)
-		// The old primary is gone a while, the others go on: its disk is behind then.
+		// The old primary is off while the others take a command, so its disk is behind.
 		f.powerOff(at(record.Primary.Addr))
 		time.Sleep(4 * time.Second)
 		require.NoError(t, f.submitNumber(1, "b", 8*time.Second))
-		says(f.startCore(record.Primary.Addr, true), "")
+		requireRefusal(f.startCore(record.Primary.Addr, true), "")
 		time.Sleep(time.Second)
 		require.NoError(t, f.submitNumber(1, "c", 8*time.Second))
 	})
--- a/coordination/losses_test.go
+++ b/coordination/losses_test.go
@@ -1,4 +1,4 @@
-// Where two machines may be lost at once.
+// Failures with a fault tolerance of two machines.
 
 package coordination_test
 
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTwoLost: any two of six disk machines lose power or their disks right after an
-// answer, at the same moment and again and again, the primary and a backup among them.
-// What was acknowledged is there, and the core goes on. Many seeds.
+// TestTwoLost checks that no acknowledged command is lost and the core goes on when two of six
+// machines lose power or their disks at the same moment right after an answer, in each of three
+// rounds. The pairs include the primary with a backup and both backups.
 func TestTwoLost(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 6, 2)
@@ -50,7 +50,7 @@
 			for _, ip := range ips {
 				f.core(ip + ":1")
 			}
-			time.Sleep(14 * time.Second) // lost registers pass on to machines that are heard
+			time.Sleep(14 * time.Second) // lost voters are replaced by reachable machines
 			for _, v := range f.watchers {
 				require.Equal(t, want, v.sum.Load())
 			}
@@ -66,9 +66,9 @@
 	})
 }
 
-// TestLostAfterOne: either backup is off, a command is acknowledged without it, and at that
-// moment the primary and the other backup are lost with their disks. Once the first one is
-// back, the core has the command, though that one never took it.
+// TestLostAfterOne checks that a command acknowledged while one backup is off survives when the
+// primary and the other backup are then lost with their disks. The core has it once the first
+// backup is back, although that one never received it from the old primary.
 func TestLostAfterOne(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 6, 2)
@@ -77,17 +77,17 @@
 		time.Sleep(time.Duration(seed%5) * 300 * time.Millisecond)
 		lead := f.leader()
 		record := f.cores[lead].Directory().Record()
-		away, other := record.MoreBackups[0].Addr[:8], record.Backup.Addr[:8]
+		offline, other := record.MoreBackups[0].Addr[:8], record.Backup.Addr[:8]
 		if seed%2 == 0 {
-			away, other = other, away
+			offline, other = other, offline
 		}
-		f.powerOff(away)
+		f.powerOff(offline)
 		require.NoError(t, f.submitNumber(2, "b", 10*time.Second))
 		for _, ip := range []string{lead, other} {
 			f.powerOff(ip)
 			f.world.Machine(ip).WipeDisk()
 		}
-		f.core(away + ":1")
+		f.core(offline + ":1")
 		ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 		defer stop()
 		r, err := f.agents[1].Submit(ctx, "c", "add", []byte("4"))
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -1,4 +1,5 @@
-// Changes of membership that are cut short at each of their steps.
+// Changes of membership: interrupted voter changes, replicas that leave, catch-up without snapshots,
+// deposed primaries, and the spread of voters over zones.
 
 package coordination_test
 
@@ -18,10 +19,10 @@
 	"keelstair.example/rpc"
 )
 
-// machineOf is the IP number of a replica's address.
+// machineOf returns the IP address in a replica's address, whose port has one digit.
 func machineOf(addr string) string { return addr[:len(addr)-2] }
 
-// roles gives the primary, the backup, a holder without data, and a spare machine.
+// roles returns the IP addresses of the primary, the backup, a voter without data, and a spare.
 func (f *fleet) roles(t *testing.T) (primary, backup, witness, spare string) {
 	t.Helper()
 	primary = f.leader()
@@ -46,7 +47,7 @@
 	return primary, backup, witness, spare
 }
 
-// await waits until a condition holds, for a span at most.
+// await waits until a condition holds, for the given duration at most, and reports whether it holds.
 func await(duration time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(200 * time.Microsecond) {
 		if condition() {
@@ -56,10 +57,11 @@
 	return condition()
 }
 
-// TestBegunChange: the primary replaces a silent holder by a spare, and loses power when
-// only its backup has accepted the new record. It restarts without that backup, leads over
-// the old holders and acknowledges a command. Then it is lost. The backup and the spare are
-// most of the new holders, but must not lead without that command. Many seeds.
+// TestBegunChange guards against a split cluster after an interrupted change of voters. The primary
+// replaces a silent voter by a spare, and loses power when only its backup has accepted the new
+// record. It restarts without that backup, leads with the old voters and acknowledges a command.
+// Then it is lost. The backup and the spare are a majority of the new voters, but must not lead
+// without that command.
 func TestBegunChange(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 4, 1)
@@ -81,7 +83,7 @@
 		f.core(primary + ":1")
 		err := f.submitNumber(2, "b", 6*time.Second)
 		if err != nil {
-			return // the primary had accepted the new record itself: there is no split to see
+			return // the primary had accepted the new record itself, so no split is possible
 		}
 		f.powerOff(primary)
 		f.isolate([]string{backup}, false)
@@ -98,7 +100,7 @@
 	})
 }
 
-// isolate cuts a group of machines off from all others, or joins them again.
+// isolate partitions a group of machines from all others, or heals that partition.
 func (f *fleet) isolate(group []string, partitioned bool) {
 	var rest []string
 	for ip := range f.processes {
@@ -109,7 +111,7 @@
 	f.world.Partition(group, rest, partitioned)
 }
 
-// leave has a core hand over and then ends its process; its disk stays.
+// leave makes a core hand over and then powers it off; its disk stays.
 func (f *fleet) leave(ip string, duration time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
@@ -118,25 +120,25 @@
 	return err
 }
 
-// TestLeaving: a primary, a backup or a holder without data leaves for good, and at that
-// very moment another machine is lost with its disk. What was acknowledged is there, and
-// the core goes on at once, since the leaver has handed over all that it had.
+// TestLeaving checks that a leaving replica has handed over its roles when Leave returns. A primary,
+// a backup or a voter without data leaves for good, and another machine is then lost with its disk.
+// Commands are accepted at once after the departure, and no acknowledged command is lost.
 func TestLeaving(t *testing.T) {
-	for role, who := range []string{"primary", "backup", "witness"} {
-		for next, then := range []string{"primary", "backup"} {
-			t.Run(who+" leaves, "+then+" is lost", func(t *testing.T) {
+	for leaverIndex, leaverRole := range []string{"primary", "backup", "witness"} {
+		for lostIndex, lostRole := range []string{"primary", "backup"} {
+			t.Run(leaverRole+" leaves, "+lostRole+" is lost", func(t *testing.T) {
 				eachSeed(t, func(t *testing.T, seed uint64) {
 					f := buildOf(seed, 4, 1)
 					defer f.close()
 					require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 					time.Sleep(time.Duration(seed) * 100 * time.Millisecond)
 					primary, backup, witness, _ := f.roles(t)
-					leaver := []string{primary, backup, witness}[role]
+					leaver := []string{primary, backup, witness}[leaverIndex]
 					require.NoError(t, f.leave(leaver, 5*time.Second))
 					f.world.Machine(leaver).WipeDisk()
-					require.NoError(t, f.submitNumber(2, "b", 2*time.Second), "orders are taken at once")
+					require.NoError(t, f.submitNumber(2, "b", 2*time.Second), "commands are accepted at once")
 					record := f.cores[f.leader()].Directory().Record()
-					lost := []string{machineOf(record.Primary.Addr), machineOf(record.Backup.Addr)}[next]
+					lost := []string{machineOf(record.Primary.Addr), machineOf(record.Backup.Addr)}[lostIndex]
 					f.powerOff(lost)
 					f.world.Machine(lost).WipeDisk()
 					ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
@@ -150,8 +152,8 @@
 	}
 }
 
-// TestLeavingWithoutSpare: of three machines each one in turn leaves and starts again on the
-// same disk, under commands. Each hand-over is done, and takes less than a takeover.
+// TestLeavingWithoutSpare makes each of three machines in turn leave and restart on the same disk,
+// while commands are submitted. Each handover completes, and takes less time than a takeover.
 func TestLeavingWithoutSpare(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
@@ -174,8 +176,8 @@
 	})
 }
 
-// TestRestartSendsNoSnapshot: a holder without data, and then the backup, start again at once on
-// the same disk. No whole state is sent to anyone.
+// TestRestartSendsNoSnapshot checks that no full snapshot is sent when a voter without data, and then
+// the backup, restart at once on the same disk.
 func TestRestartSendsNoSnapshot(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 4, 1)
@@ -195,8 +197,8 @@
 	})
 }
 
-// TestChangeSendsNoSnapshot: a holder without data is lost and replaced by a spare. The backup,
-// which stays, is not sent the state that it has.
+// TestChangeSendsNoSnapshot checks that a backup that stays is not sent the state that it has, when a
+// voter without data is lost and replaced by a spare.
 func TestChangeSendsNoSnapshot(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 4, 1)
@@ -208,13 +210,13 @@
 		epoch := f.cores[primary].Directory().Record().Epoch
 		f.powerOff(witness)
 		time.Sleep(5 * time.Second)
-		require.Greater(t, f.cores[primary].Directory().Record().Epoch, epoch, "the holder is replaced")
+		require.Greater(t, f.cores[primary].Directory().Record().Epoch, epoch, "the voter is replaced")
 		require.Equal(t, sent, f.cores[primary].SnapshotsSent())
 	})
 }
 
-// TestCaughtUpByEntries: a backup that was cut off for a moment is sent the entries that it
-// lacks, not the whole state, when it becomes the backup again.
+// TestCaughtUpByEntries checks that a backup that was partitioned for a moment is sent the entries
+// that it is missing, not a full snapshot, when it becomes the backup again.
 func TestCaughtUpByEntries(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
@@ -236,7 +238,7 @@
 		require.NoError(t, f.submitNumber(4, "c", 5*time.Second))
 		require.Equal(t, sent, f.cores[primary].SnapshotsSent())
 		f.core(other + ":1")
-		time.Sleep(3 * time.Second) // its register passes on to the empty disk
+		time.Sleep(3 * time.Second) // the empty disk replaces it as a voter
 		f.powerOff(primary)
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 		defer stop()
@@ -246,8 +248,9 @@
 	})
 }
 
-// TestRefusalOfDeposed: a primary that is cut off from the other machines refuses nothing: the
-// state that it would judge by may be old. Its answer tells that the outcome is not known.
+// TestRefusalOfDeposed checks that a primary that is partitioned from the other machines rejects no
+// command, since it would decide on a state that may be stale. Its error says that the outcome is
+// unknown.
 func TestRefusalOfDeposed(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
@@ -277,15 +280,16 @@
 		require.False(
 			t,
 			failure.Is(err, failure.InvalidArgument) || failure.Is(err, failure.Stale),
-			"it refused from a state that may be old: %v",
+			"it rejected the command on a state that may be stale: %v",
 			err,
 		)
 	})
 }
 
-// TestDivergedTail: a primary that is cut off keeps a command on its disk that nobody else
-// took; meanwhile another one is acknowledged under the same number. Back as the backup, it
-// is given the state that was acknowledged, not taken for one that has it.
+// TestDivergedTail checks that a replica whose log has the expected length but other content is not
+// considered up to date. A partitioned primary keeps a command on its disk that no other replica
+// received; meanwhile another command is acknowledged under the same sequence number. When the
+// replica becomes the backup, it is sent the acknowledged state.
 func TestDivergedTail(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
@@ -323,8 +327,8 @@
 	})
 }
 
-// TestFeedOfDeposed: a node that has news of an epoch takes none of an older one, however new
-// its number.
+// TestFeedOfDeposed checks that a node that has received a feed update of an epoch accepts none of an
+// older epoch, however high its sequence number.
 func TestFeedOfDeposed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := build(1)
@@ -349,8 +353,8 @@
 	})
 }
 
-// TestLeavingOneAfterAnother: of three machines the next is asked to leave before the one before it is
-// back. Each waits until the data has its two copies elsewhere, and then ends.
+// TestLeavingOneAfterAnother asks the second of three machines to leave before the first is back. Each
+// Leave returns only once two other machines have copies of the data.
 func TestLeavingOneAfterAnother(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
@@ -376,9 +380,9 @@
 			t,
 			f.cores[f.leader()].Directory().Record().Epoch,
 			epoch+3,
-			"no ballots are begun while they can't succeed",
+			"no ballots are started while they cannot succeed",
 		)
-		require.Greater(t, time.Since(began), 700*time.Millisecond, "the other one was not back yet")
+		require.Greater(t, time.Since(began), 700*time.Millisecond, "the first machine was not back yet")
 		f.world.Machine(next).WipeDisk()
 		require.NoError(t, f.submitNumber(2, "b", 2*time.Second))
 		time.Sleep(time.Second)
@@ -386,9 +390,9 @@
 	})
 }
 
-// TestSpread: of six machines in three zones each leaves once and starts again, and one is lost
-// with its disk. Soon after, the three holders stand in three zones again, so that the loss of
-// any zone leaves a majority.
+// TestSpread checks that voters are rebalanced over the zones. Each of six machines in three zones
+// leaves once and restarts, one of them with a wiped disk. Within 40 s the three voters are in three
+// zones again, so that the loss of any zone leaves a majority.
 func TestSpread(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildIn(seed, 6, 1, "a", "b", "c")
--- a/coordination/primary_call_test.go
+++ b/coordination/primary_call_test.go
@@ -1,4 +1,4 @@
-// Calls to the primary that must end soon.
+// Calls to the primary with a short deadline.
 
 package coordination_test
 
@@ -14,7 +14,7 @@
 	"keelstair.example/rpc"
 )
 
-// stranger is a process that knows nothing but the seeds.
+// stranger starts a process that knows only the seeds, and returns its RPC client and directory.
 func (f *fleet) stranger(ip string) (*rpc.Caller, *coordination.Directory) {
 	p := f.world.Machine(ip).Start()
 	f.processes[ip], f.stops[ip] = p, func() {}
@@ -22,7 +22,7 @@
 	return call, coordination.NewDirectory(p.Host(), call, f.seeds, coordination.Replica{Addr: ip + ":1"})
 }
 
-// submitOne submits one addition under an id, within a span and by attempts of a length.
+// submitOne submits one addition under an operation id, with a deadline and a timeout per attempt.
 func submitOne(call *rpc.Caller, directory *coordination.Directory, duration, attempt time.Duration, op string) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
@@ -31,16 +31,16 @@
 	return err
 }
 
-// TestSubmitFindsPrimary: a caller that knows nothing but the seeds, one of which is silent,
-// has its command taken within a second.
+// TestSubmitFindsPrimary checks that a caller that knows only the seeds, one of which is off, has its
+// command accepted within 900 ms.
 func TestSubmitFindsPrimary(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
-		top := f.leader()
+		primary := f.leader()
 		for _, a := range f.seeds {
-			if ip := a[:len(a)-2]; ip != top {
+			if ip := a[:len(a)-2]; ip != primary {
 				f.powerOff(ip)
 				break
 			}
@@ -52,9 +52,8 @@
 	})
 }
 
-// TestAttemptLeft: an attempt at a primary that is cut off from the others alone is left as
-// soon as the one after it is known, however long the attempt might last; the command is
-// done once.
+// TestAttemptLeft checks that an attempt at a frozen primary is abandoned as soon as its successor is
+// known, even if the attempt's timeout is long, and that the command is applied once.
 func TestAttemptLeft(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
@@ -63,8 +62,8 @@
 		call, directory := f.stranger("10.0.2.9")
 		defer call.Close()
 		require.NoError(t, submitOne(call, directory, 5*time.Second, time.Second, "known"))
-		top := f.leader()
-		f.world.Machine(top).Freeze(true)
+		primary := f.leader()
+		f.world.Machine(primary).Freeze(true)
 		began := time.Now()
 		go func() {
 			time.Sleep(2 * time.Second)
@@ -72,14 +71,14 @@
 		}()
 		require.NoError(t, submitOne(call, directory, 20*time.Second, 15*time.Second, "left"))
 		require.Less(t, time.Since(began), 5*time.Second)
-		f.world.Machine(top).Freeze(false)
+		f.world.Machine(primary).Freeze(false)
 		time.Sleep(4 * time.Second)
 		require.EqualValues(t, 3, f.watchers[0].sum.Load())
 	})
 }
 
-// TestAttemptBounded: an attempt at a primary that is frozen is given up, and the one
-// after it is found, though nobody tells the caller of it.
+// TestAttemptBounded checks that an attempt at a frozen primary times out and that the caller finds
+// the next primary by itself.
 func TestAttemptBounded(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
@@ -88,17 +87,17 @@
 		call, directory := f.stranger("10.0.2.9")
 		defer call.Close()
 		require.NoError(t, submitOne(call, directory, 5*time.Second, time.Second, "known"))
-		top := f.leader()
-		f.world.Machine(top).Freeze(true)
+		primary := f.leader()
+		f.world.Machine(primary).Freeze(true)
 		began := time.Now()
 		require.NoError(t, submitOne(call, directory, 20*time.Second, 420*time.Millisecond, "given-up"))
 		require.Less(t, time.Since(began), 5*time.Second)
-		f.world.Machine(top).Freeze(false)
+		f.world.Machine(primary).Freeze(false)
 	})
 }
 
-// TestSubmitEndsWithCaller: when the caller has gone, no attempt follows, and the command is
-// not done later.
+// TestSubmitEndsWithCaller checks that no attempt is made after the caller's context has ended, and
+// that the command is not applied later.
 func TestSubmitEndsWithCaller(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
@@ -107,7 +106,7 @@
 		call, directory := f.stranger("10.0.2.9")
 		defer call.Close()
 		require.NoError(t, submitOne(call, directory, 5*time.Second, time.Second, "known"))
-		time.Sleep(25 * time.Second) // idle connections are closed by then, and nothing is under way
+		time.Sleep(25 * time.Second) // by then idle connections are closed and no request is in flight
 		cores := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 		f.world.Partition([]string{"10.0.2.9"}, cores, true)
 		ctx, stop := context.WithCancel(context.Background())
--- a/coordination/reachability_test.go
+++ b/coordination/reachability_test.go
@@ -15,7 +15,8 @@
 	"keelstair.example/rpc"
 )
 
-// TestCurrentAt: a confirmation counts from when it was asked for, once the view has the log up to it.
+// TestCurrentAt checks that the view is current as of the time a confirmed renewal was sent, once it
+// has applied the log up to the sequence number in the confirmation.
 func TestCurrentAt(t *testing.T) {
 	a := &Agent{}
 	at := func(seq ids.Seq) ids.Tick {
@@ -35,7 +36,8 @@
 	require.EqualValues(t, 300+3*maxPendingConfirmations-1, at(100))
 }
 
-// TestReachability: a primary that accepts but confirms nothing, one behind a cut, and one that has gone.
+// TestReachability checks the probe results for a primary that accepts connections but confirms
+// nothing, one that is partitioned, and one that is down.
 func TestReachability(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated.NewWorld(1)
@@ -57,7 +59,7 @@
 		a.directory.Merge(&PeerExchange{Record: Record{Epoch: 1, ClusterID: "f", Primary: Replica{Disk: "d", Addr: "10.0.0.1:1"}}})
 		go a.Run(ctx)
 		time.Sleep(5 * time.Second)
-		require.Equal(t, Reachability{}, a.Reachability(), "none is probed while the core confirms")
+		require.Equal(t, Reachability{}, a.Reachability(), "no probe is sent while the core confirms renewals")
 		silent.Store(true)
 		time.Sleep(5 * time.Second)
 		require.NotZero(t, a.Reachability().Since)
--- a/coordination/register_test.go
+++ b/coordination/register_test.go
@@ -1,4 +1,4 @@
-// The register of one replica, asked directly.
+// Direct tests of the register of one replica.
 
 package coordination
 
@@ -12,7 +12,7 @@
 	"keelstair.example/ids"
 )
 
-// inRegister gives a core of a fleet of three, whose register has accepted epoch 1.
+// inRegister runs f with one core of a cluster of three, whose register has accepted epoch 1.
 func inRegister(t *testing.T, f func(c *Core, record Record)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := simulated.NewWorld(1).Machine("10.0.0.1").Start()
@@ -38,8 +38,8 @@
 	})
 }
 
-// TestPromiseToOne: an epoch that is promised to one proposer is not accepted from another,
-// whichever way it comes; the promise outlives a restart.
+// TestPromiseToOne checks that an epoch promised to one proposer is not accepted from another, neither
+// by a ballot nor by adoption, and that the promise survives a restart.
 func TestPromiseToOne(t *testing.T) {
 	inRegister(t, func(c *Core, record Record) {
 		r, err := c.handleBallot(t.Context(), &BallotRequest{Epoch: 2, From: Replica{Disk: "x"}, Record: record})
@@ -62,8 +62,8 @@
 	})
 }
 
-// TestHoldersBefore: while a change of holders is not known to be decided, the holders before
-// it are asked too; a heartbeat of its primary ends that, on disk as well.
+// TestHoldersBefore checks that the outgoing voters still vote while a change of voters is not known
+// to be decided, and that a heartbeat of the change's primary ends that, on disk as well.
 func TestHoldersBefore(t *testing.T) {
 	inRegister(t, func(c *Core, record Record) {
 		change := record
@@ -77,13 +77,13 @@
 			Record: change,
 		})
 		require.NoError(t, err)
-		require.True(t, r.OK, "a holder that is replaced has a say in it: %s", r.Reason)
+		require.True(t, r.OK, "an outgoing voter votes on its replacement: %s", r.Reason)
 		require.Len(t, c.register.Accepted.allVoters(), 4)
 		require.False(t, change.decidedBy([]Replica{{Disk: "y"}, {Disk: "z"}}))
 		require.True(t, change.decidedBy([]Replica{{Disk: "y"}, {Disk: "x"}}))
 		_, err = c.handleHeartbeat(t.Context(), &AppendRequest{Epoch: 2, From: Replica{Disk: "y"}})
 		require.NoError(t, err)
-		require.NotEmpty(t, c.register.Accepted.OutgoingVoters, "only its primary tells that it is decided")
+		require.NotEmpty(t, c.register.Accepted.OutgoingVoters, "only a heartbeat of the record's primary marks it as decided")
 		_, err = c.handleHeartbeat(t.Context(), &AppendRequest{Epoch: 2, From: change.Primary})
 		require.NoError(t, err)
 		require.Empty(t, c.register.Accepted.OutgoingVoters)
@@ -93,8 +93,8 @@
 	})
 }
 
-// TestSameOffset: a backup-to-be counts as up to date only if its log is the proposer's, not if
-// it is as long; entries that do not go on from its log are not taken for its missing ones.
+// TestSameOffset checks that a replica is up to date only if its log equals the proposer's, not just
+// if it has the same length, and that the history offers no entries for a log that diverges.
 func TestSameOffset(t *testing.T) {
 	inRegister(t, func(c *Core, record Record) {
 		entry := func(body string) Entry {
@@ -113,7 +113,7 @@
 		require.NoError(t, err)
 		require.True(t, r.Behind && !r.OK)
 		_, ok := theirs.history.entriesAfter(r.LastSeq, r.Digest)
-		require.False(t, ok, "the log differs at that place")
+		require.False(t, ok, "the log differs at that sequence number")
 		require.NotEqual(t, ids.Epoch(c.readyEpoch.Load()), ids.Epoch(2))
 		request.Digest = c.state.digest
 		r, err = c.handleSnapshot(t.Context(), request)
@@ -123,6 +123,6 @@
 		other.From = Replica{Disk: "y"}
 		r, err = c.handleSnapshot(t.Context(), &other)
 		require.NoError(t, err)
-		require.False(t, r.OK, "only the proposer that the epoch is promised to readies it")
+		require.False(t, r.OK, "only the proposer to which the epoch is promised may prepare the backup")
 	})
 }
--- a/coordination/second_defence_test.go
+++ b/coordination/second_defence_test.go
@@ -1,5 +1,5 @@
-// Defences that stand behind another one, each asked directly, so that its loss is seen though
-// the other one holds.
+// Direct tests of redundant safety checks: in a whole cluster another check would hide the loss of
+// one of these.
 
 package coordination
 
@@ -18,8 +18,8 @@
 	"keelstair.example/rpc"
 )
 
-// answeringCores are four cores that answer their peers and do nothing by themselves. The first
-// is the primary of epoch 1, the second its backup, the third a voter and the last a spare.
+// answeringCores runs f with four cores that answer RPCs but run no loops of their own. The first is
+// the primary of epoch 1, the second its backup, the third a voter without data, the last a spare.
 func answeringCores(t *testing.T, f func(world *simulated.World, cores []*Core)) {
 	synctest.Test(t, func(t *testing.T) {
 		world := simulated.NewWorld(1)
@@ -60,8 +60,8 @@
 	})
 }
 
-// TestProposerPromises: a proposer whose own register does not take the promise asks nobody to
-// accept, though the others are a majority that has promised.
+// TestProposerPromises checks that a proposer whose own register cannot save the promise does not
+// start the second round, although the other voters are a majority and have promised.
 func TestProposerPromises(t *testing.T) {
 	answeringCores(t, func(world *simulated.World, cores []*Core) {
 		world.Machine("10.0.0.1").StallDisk(true)
@@ -79,8 +79,9 @@
 	})
 }
 
-// TestCommitNeedsEachQuorum: a record that changes the voters is not decided by the proposer and
-// its new backup, which are a majority of the voters to be, without one of the voters before.
+// TestCommitNeedsEachQuorum checks that a record that changes the voters is not decided by the
+// proposer and its new backup alone: they are a majority of the new voters but not of the outgoing
+// ones.
 func TestCommitNeedsEachQuorum(t *testing.T) {
 	answeringCores(t, func(world *simulated.World, cores []*Core) {
 		next, _ := cores[0].accepted()
@@ -100,8 +101,8 @@
 	})
 }
 
-// TestBackupNeedsState: a replica accepts a record that names it as a backup only once it was made
-// ready for that very epoch.
+// TestBackupNeedsState checks that a replica accepts a record that names it as a backup only after it
+// was prepared for exactly that epoch.
 func TestBackupNeedsState(t *testing.T) {
 	inRegister(t, func(c *Core, record Record) {
 		next := record
@@ -125,13 +126,14 @@
 	})
 }
 
-// keyMachine has one key to assign.
+// keyMachine is a state machine with one key to assign.
 type keyMachine struct{ listMachine }
 
 func (*keyMachine) Keys() []ids.Key { return []ids.Key{"a"} }
 
-// TestNewPrimaryWaits: a primary that took over assigns nothing before every lease that the one
-// before it may have given has lapsed; the founding one assigns at once.
+// TestNewPrimaryWaits checks that a primary that took over assigns no keys until every lease that its
+// predecessor may have granted has expired, while the first primary of a cluster assigns at once.
+
 func TestNewPrimaryWaits(t *testing.T) {
 	inRegister(t, func(c *Core, record Record) {
 		c.state = newReplicatedState(&keyMachine{})
--- a/coordination/statemachine_test.go
+++ b/coordination/statemachine_test.go
@@ -1,5 +1,5 @@
-// State-machine tests: rapid draws actions on the register and on the store, and shrinks a
-// failure to a short run of them.
+// State-machine tests of the register and the store: rapid draws sequences of actions, and shrinks
+// a failing sequence to a short one.
 
 package coordination
 
@@ -21,14 +21,15 @@
 	"keelstair.example/ids"
 )
 
-// rapidChecks is how many runs of rapidSteps actions are drawn; KEELSTAIR_SEEDS times as many if
-// it is set.
+// rapidChecks is the number of sequences that are drawn, multiplied by KEELSTAIR_SEEDS if that is set;
+// rapidSteps is the average number of actions in each.
 const (
 	rapidChecks = 500
 	rapidSteps  = 100
 )
 
-// seedRapid has rapid draw the same runs each time; KEELSTAIR_FROM names others.
+// seedRapid makes rapid draw the same sequences each time; KEELSTAIR_FROM selects others if
+// KEELSTAIR_SEEDS is set.
 var seedRapid = sync.OnceFunc(func() {
 	times, from := 1, 0
 	if n, err := strconv.Atoi(os.Getenv("KEELSTAIR_SEEDS")); err == nil && n > 0 {
@@ -47,10 +48,10 @@
 	}
 })
 
-// bubble is a test without its deadline, which may not be asked for in simulated time.
+// bubble hides a test's Deadline method, which must not be called in a synctest bubble.
 type bubble struct{ testing.TB }
 
-// checkActions draws runs of the actions that start makes, in simulated time.
+// checkActions runs random sequences of the actions that start returns, in simulated time.
 func checkActions(t *testing.T, start func(t *rapid.T) (actions map[string]func(*rapid.T), end func())) {
 	seedRapid()
 	synctest.Test(t, func(t *testing.T) {
@@ -62,28 +63,29 @@
 	})
 }
 
-// proposal is a ballot under way: its messages are delivered in any order, any number of times.
+// proposal is a ballot in progress: its messages are delivered in any order, any number of times.
 type proposal struct {
 	proposer  int
 	record    Record
-	parent    ids.Epoch // of the record that it is based on
+	parent    ids.Epoch // epoch of the record that it is based on
 	takeover  bool
-	removes   bool
-	promised  []Replica
-	accepting bool
-	answered  []Replica // accepts that the proposer knows of
-	accepted  []Replica // all accepts
-	abandoned bool      // nothing of it is delivered any more
+	removes   bool      // it replaces a voter
+	promised  []Replica // replicas whose promise reached the proposer
+	accepting bool      // it is in the second round
+	answered  []Replica // replicas whose accept reached the proposer
+	accepted  []Replica // all replicas that accepted
+	abandoned bool      // none of its messages is delivered any more
 	closed    bool      // its proposer no longer waits for answers
-	chosen    bool
+	chosen    bool      // a majority of each quorum has accepted
 }
 
-// registerModel is the registers of some replicas, and the proposers' side of every ballot.
+// registerModel models the registers of modelReplicas replicas and the proposer's side of every
+// ballot.
 type registerModel struct {
 	cores     []*Core
 	processes []*simulated.Process
 	proposals []*proposal
-	leads     []ids.Epoch // by replica, the epoch that it knows to be decided for it
+	leads     []ids.Epoch // by replica: the epoch in which it knows itself to be the primary, or 0
 	parents   map[ids.Epoch]ids.Epoch
 	chosen    []ids.Epoch
 }
@@ -103,18 +105,18 @@
 		require.NoError(t, err)
 		m.cores, m.processes = append(m.cores, c), append(m.processes, p)
 	}
-	founding := Record{Epoch: firstEpoch, ClusterID: "f", Primary: m.cores[0].self}
+	first := Record{Epoch: firstEpoch, ClusterID: "f", Primary: m.cores[0].self}
 	for _, c := range m.cores[:modelVoters] {
-		founding.Voters = append(founding.Voters, c.self)
+		first.Voters = append(first.Voters, c.self)
 	}
-	founding.setBackups([]Replica{m.cores[1].self})
+	first.setBackups([]Replica{m.cores[1].self})
 	for _, c := range m.cores[:modelVoters] {
 		c.readyEpoch.Store(uint64(firstEpoch))
 		r, err := c.handleBallot(t.Context(), &BallotRequest{
 			Epoch:  firstEpoch,
-			From:   founding.Primary,
+			From:   first.Primary,
 			Accept: true,
-			Record: founding,
+			Record: first,
 		})
 		require.NoError(t, err)
 		require.True(t, r.OK, r.Reason)
@@ -139,7 +141,7 @@
 	return nil
 }
 
-// drawProposal gives one of the proposals that fit, or skips the action.
+// drawProposal draws one of the proposals that fit, or skips the action.
 func (m *registerModel) drawProposal(t *rapid.T, fits func(*proposal) bool) *proposal {
 	var list []*proposal
 	for _, p := range m.proposals {
@@ -153,7 +155,7 @@
 	return rapid.SampledFrom(list).Draw(t, "proposal")
 }
 
-// drawCore gives one of the replicas that fit by what they have accepted, or skips the action.
+// drawCore draws one of the replicas that fit, given their accepted record, or skips the action.
 func (m *registerModel) drawCore(t *rapid.T, label string, fits func(i int, current Record) bool) int {
 	var list []int
 	for i, c := range m.cores {
@@ -167,13 +169,14 @@
 	return rapid.SampledFrom(list).Draw(t, label)
 }
 
-// propose begins a ballot at a replica with the data; a primary may change a voter by it.
+// propose starts a ballot at a replica that holds the data. If the replica is the primary, the ballot
+// may replace a voter.
 func (m *registerModel) propose(t *rapid.T) {
 	i := m.drawCore(t, "proposer", func(i int, current Record) bool { return isDataReplicaOf(current, m.cores[i].self) })
 	c := m.cores[i]
 	current, promised := c.accepted()
 	c.observeEpoch(promised)
-	time.Sleep(2 * c.options.ElectionTimeout) // a silent primary may be replaced
+	time.Sleep(2 * c.options.ElectionTimeout) // the primary counts as silent, so a takeover is allowed
 	b := ballotOptions{}
 	if m.leads[i] == current.Epoch {
 		b.leadingEpoch = current.Epoch
@@ -201,7 +204,8 @@
 	m.prepareAtSome(t, p)
 }
 
-// close ends a replica's ballots: it has one at a time. Accepts of earlier ones may come late.
+// close ends a proposer's earlier ballots, since it runs one at a time. Their accept messages may
+// still be delivered late.
 func (m *registerModel) close(proposer int) {
 	for _, p := range m.proposals {
 		if p.proposer == proposer {
@@ -211,21 +215,21 @@
 	}
 }
 
-// lost tells whether an answer is lost on its way: one of ten.
+// lost draws whether an answer is lost, with a probability of one in ten.
 func (m *registerModel) lost(t *rapid.T) bool { return rapid.IntRange(0, 9).Draw(t, "answer") == 9 }
 
-// drawReplicas gives some of the replicas, in the order given.
+// drawReplicas draws a subset of the replicas and keeps their order.
 func drawReplicas(t *rapid.T, all []Replica) []Replica {
-	var some []Replica
+	var subset []Replica
 	for _, s := range all {
 		if rapid.Bool().Draw(t, "reached") {
-			some = append(some, s)
+			subset = append(subset, s)
 		}
 	}
-	return some
+	return subset
 }
 
-// prepare delivers the first round's message to some more replicas.
+// prepare delivers the prepare message of a drawn proposal to a subset of its voters.
 func (m *registerModel) prepare(t *rapid.T) {
 	m.prepareAtSome(t, m.drawProposal(t, func(p *proposal) bool { return !p.accepting }))
 }
@@ -238,7 +242,7 @@
 	}
 }
 
-// prepareAt delivers the message to one replica, and its answer unless that is lost.
+// prepareAt delivers the prepare message to one replica, and its answer unless that is lost.
 func (m *registerModel) prepareAt(t *rapid.T, p *proposal, to Replica) {
 	proposer := m.cores[p.proposer]
 	r, err := m.coreOf(to).handleBallot(t.Context(), &BallotRequest{
@@ -265,7 +269,7 @@
 	}
 }
 
-// adopt has a replica take over a record that it was told of, which is an accept.
+// adopt makes a replica adopt a record that it has learnt of, which counts as an accept.
 func (m *registerModel) adopt(t *rapid.T, i int, record Record) {
 	if !m.cores[i].adoptRecord(record) {
 		return
@@ -277,7 +281,8 @@
 	}
 }
 
-// ready ends the first round if it is won: a backup is caught up, and the second round begins.
+// ready brings a backup up to date if the first round has a quorum, and starts the second round. It
+// reports whether the second round was started.
 func (m *registerModel) ready(t *rapid.T, p *proposal) bool {
 	proposer := m.cores[p.proposer].self
 	if p.closed || !containsDisk(p.promised, proposer.Disk) || !p.record.decidedBy(p.promised) {
@@ -303,7 +308,8 @@
 	return false
 }
 
-// deliverAccept delivers the second round's message to some replicas, once the backup has accepted.
+// deliverAccept delivers the accept message of a drawn proposal to the backup, or, once that has
+// accepted, to a subset of the voters.
 func (m *registerModel) deliverAccept(t *rapid.T) {
 	p := m.drawProposal(t, func(p *proposal) bool { return p.accepting || m.ready(t, p) })
 	if !containsDisk(p.answered, p.record.Backup.Disk) {
@@ -315,7 +321,7 @@
 	}
 }
 
-// acceptAt delivers the message to one replica, and its answer unless that is lost.
+// acceptAt delivers the accept message to one replica, and its answer unless that is lost.
 func (m *registerModel) acceptAt(t *rapid.T, p *proposal, to Replica) {
 	proposer := m.cores[p.proposer]
 	r, err := m.coreOf(to).handleBallot(t.Context(), &BallotRequest{
@@ -342,7 +348,8 @@
 	}
 }
 
-// accept notes that a register has accepted a record, and whether it is chosen by that.
+// accept records that a register has accepted a record. If the record is chosen by that, it checks it
+// against all records chosen before.
 func (m *registerModel) accept(t *rapid.T, p *proposal, by Replica) {
 	if containsDisk(p.accepted, by.Disk) {
 		return
@@ -355,12 +362,12 @@
 	for _, other := range m.chosen {
 		older, newer := min(other, p.record.Epoch), max(other, p.record.Epoch)
 		require.NotEqual(t, older, newer, "two records of one epoch are chosen")
-		require.True(t, m.basedOn(newer, older), "epochs %d and %d are both chosen, and neither knew of the other", older, newer)
+		require.True(t, m.basedOn(newer, older), "epochs %d and %d are both chosen, and neither is based on the other", older, newer)
 	}
 	m.chosen = append(m.chosen, p.record.Epoch)
 }
 
-// basedOn tells whether the record of an epoch was made over that of an older one, by some steps.
+// basedOn reports whether the record of an epoch descends from that of an older one.
 func (m *registerModel) basedOn(epoch, older ids.Epoch) bool {
 	for epoch > older {
 		epoch = m.parents[epoch]
@@ -368,7 +375,7 @@
 	return epoch == older
 }
 
-// heartbeat has a primary tell one replica that its record is decided.
+// heartbeat delivers a primary's heartbeat to one replica, which marks the record as decided there.
 func (m *registerModel) heartbeat(t *rapid.T) {
 	from := m.drawCore(t, "primary", func(i int, current Record) bool {
 		return m.leads[i] != 0 && current.Epoch == m.leads[i]
@@ -378,22 +385,22 @@
 	require.NoError(t, err)
 }
 
-// restart has a replica forget what is not on its disk; ballots of its own end with that.
+// restart makes a replica lose everything that is not on its disk, which ends its own ballots.
 func (m *registerModel) restart(t *rapid.T) {
 	i := rapid.IntRange(0, modelReplicas-1).Draw(t, "replica")
 	c := m.cores[i]
 	kept, err := c.store.loadRegister()
 	require.NoError(t, err)
-	require.Equal(t, c.register, kept, "what was answered is on disk")
+	require.Equal(t, c.register, kept, "the register that was reported is not the one on disk")
 	c.register = kept
 	c.readyEpoch.Store(0)
 	m.leads[i] = 0
 	m.close(i)
 }
 
-// TestRegisterStateMachine: whatever messages are lost, late or doubled, whoever restarts and
-// whichever voters change meanwhile, of all records that a majority of each quorum has
-// accepted each is based on the one before it.
+// TestRegisterStateMachine checks that each chosen record, that is, one accepted by a majority of each
+// of its quorums, descends from the chosen record before it, while messages are lost, delayed or
+// duplicated, replicas restart and voters change.
 func TestRegisterStateMachine(t *testing.T) {
 	checkActions(t, func(t *rapid.T) (map[string]func(*rapid.T), func()) {
 		m := newRegisterModel(t)
@@ -408,7 +415,7 @@
 	})
 }
 
-// storeModel is a store on a simulated disk, and what it has acknowledged.
+// storeModel is a store on a simulated disk, with what it has acknowledged.
 type storeModel struct {
 	storeHistory
 	machine *simulated.Machine
@@ -422,16 +429,15 @@
 	return m
 }
 
-// start starts a process on the disk as it is, and holds what it reads against what was
-// acknowledged: of the rows of a step that was cut short, some of the first may be there. The
-// state goes on from what is on disk.
+// start starts a process on the disk and compares what it loads with what was acknowledged: of an
+// interrupted step, a prefix of the rows may be there. The model continues from what is on disk.
 func (m *storeModel) start(t *rapid.T) {
 	m.process = m.machine.Start()
 	m.store = newStore(m.process.Host().Disk)
 	require.NoError(t, m.reload())
 	got := m.state.machine.(*listMachine).all()
-	require.True(t, isPrefix(m.acknowledged, got), "%q is lost of %q", got, m.acknowledged)
-	require.True(t, isPrefix(got, m.requested), "%q was never asked for, %q was", got, m.requested)
+	require.True(t, isPrefix(m.acknowledged, got), "loaded %q, but %q was acknowledged", got, m.acknowledged)
+	require.True(t, isPrefix(got, m.requested), "loaded %q, but only %q was requested", got, m.requested)
 	kept, err := m.store.loadRegister()
 	require.NoError(t, err)
 	require.Contains(t, []ids.Epoch{m.register.Promised, m.written.Promised}, kept.Promised)
@@ -439,10 +445,12 @@
 	m.register, m.written = kept, kept
 }
 
-// isPrefix tells whether a list of values begins with another.
-func isPrefix(begin, list string) bool { return strings.HasPrefix(list+",", begin+",") || begin == "" }
+// isPrefix reports whether a comma-separated list of values begins with another.
+func isPrefix(prefix, list string) bool {
+	return strings.HasPrefix(list+",", prefix+",") || prefix == ""
+}
 
-// run makes a step, in which the process may be killed; after that it starts again.
+// run runs a step, with one chance in three that the process is killed during it and restarted.
 func (m *storeModel) run(t *rapid.T, step func() error) {
 	if rapid.IntRange(0, 2).Draw(t, "kill") < 2 {
 		require.NoError(t, step())
@@ -455,18 +463,18 @@
 	if err == nil {
 		m.process.Kill()
 	}
-	time.Sleep(time.Second) // a step that was cut short ends by itself
+	time.Sleep(time.Second) // an interrupted step ends by itself
 	m.start(t)
 }
 
-// appendEntries appends up to five entries.
+// appendEntries appends up to valuesPerChunk entries.
 func (m *storeModel) appendEntries(t *rapid.T) {
 	count := rapid.IntRange(1, valuesPerChunk).Draw(t, "entries")
 	m.run(t, func() error { return m.appendCount(count) })
 }
 
-// TestStoreStateMachine: whenever the process is killed within whichever step, what the next one
-// reads is the state before or after that step, and what was answered is never lost.
+// TestStoreStateMachine checks that a process that is killed during any step leaves a disk from which
+// the next process loads all acknowledged values and no value that was never requested.
 func TestStoreStateMachine(t *testing.T) {
 	checkActions(t, func(t *rapid.T) (map[string]func(*rapid.T), func()) {
 		m := newStoreModel(t)
--- a/coordination/times_test.go
+++ b/coordination/times_test.go
@@ -1,5 +1,5 @@
-// How long the control plane takes over what it must do when something fails, in simulated
-// time over many seeds: KEELSTAIR_TIMES=100 go test -run TestTimes -v ./coordination
+// Measurements of the control plane's recovery times after failures, in simulated time over many
+// seeds: KEELSTAIR_TIMES=100 go test -run TestTimes -v ./coordination
 
 package coordination_test
 
@@ -18,7 +18,7 @@
 	"keelstair.example/ids"
 )
 
-// timed is what is measured: the time that a run took from its trouble on.
+// timed is a failure scenario; run causes the failure and returns the recovery time.
 type timed struct {
 	name string
 	run  func(t *testing.T, f *fleet, seed uint64) time.Duration
@@ -30,21 +30,21 @@
 		return f.waitForAnswer(t)
 	}},
 	{
-		"primary is cut off from the other machines for 20 s, until a command is answered",
+		"primary is partitioned from the other machines for up to 20 s, until a command is answered",
 		func(t *testing.T, f *fleet, seed uint64) time.Duration {
 			f.isolate([]string{f.leader()}, true)
 			return f.waitForAnswer(t)
 		},
 	},
-	{"the same, one way: it hears nothing", func(t *testing.T, f *fleet, seed uint64) time.Duration {
-		lead := f.leader()
+	{"primary is partitioned one way and receives nothing, until a command is answered", func(t *testing.T, f *fleet, seed uint64) time.Duration {
+		primary := f.leader()
 		var rest []string
 		for ip := range f.processes {
-			if ip != lead {
+			if ip != primary {
 				rest = append(rest, ip)
 			}
 		}
-		f.world.Block(rest, []string{lead}, true)
+		f.world.Block(rest, []string{primary}, true)
 		return f.waitForAnswer(t)
 	}},
 	{"backup loses power, until a command is answered", func(t *testing.T, f *fleet, seed uint64) time.Duration {
@@ -52,7 +52,7 @@
 		f.powerOff(backup)
 		return f.waitForAnswer(t)
 	}},
-	{"holder lost for good, until a spare has its register", func(t *testing.T, f *fleet, seed uint64) time.Duration {
+	{"voter is lost for good, until a spare replaces it", func(t *testing.T, f *fleet, seed uint64) time.Duration {
 		primary, _, witness, spare := f.roles(t)
 		f.powerOff(witness)
 		began := time.Now()
@@ -68,7 +68,7 @@
 	}},
 }
 
-// join heals every cut.
+// join heals all partitions.
 func (f *fleet) join() {
 	var all []string
 	for ip := range f.processes {
@@ -77,7 +77,7 @@
 	f.world.Partition(all, all, false)
 }
 
-// waitForAnswer is the time until a new command is answered.
+// waitForAnswer submits a new command and returns the time until it is answered.
 func (f *fleet) waitForAnswer(t *testing.T) time.Duration {
 	began := time.Now()
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
@@ -87,13 +87,14 @@
 	return time.Since(began)
 }
 
-// TestTimes prints the distributions.
+// TestTimes prints the minimum, the median, the 95th percentile and the maximum of each scenario's
+// recovery time.
 func TestTimes(t *testing.T) {
 	seeds, _ := strconv.Atoi(os.Getenv("KEELSTAIR_TIMES"))
 	if seeds == 0 {
-		t.Skip("a measurement: KEELSTAIR_TIMES says over how many seeds")
+		t.Skip("a measurement: set KEELSTAIR_TIMES to the number of seeds")
 	}
-	for _, one := range times {
+	for _, scenario := range times {
 		var list []time.Duration
 		for seed := range uint64(seeds) {
 			synctest.Test(t, func(t *testing.T) {
@@ -101,12 +102,12 @@
 				defer f.close()
 				require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 				time.Sleep(2*time.Second + time.Duration(seed%10)*37*time.Millisecond)
-				list = append(list, one.run(t, f, seed))
+				list = append(list, scenario.run(t, f, seed))
 				f.join()
 			})
 		}
 		slices.Sort(list)
-		ms := func(part float64) int64 { return list[int(part*float64(len(list)-1))].Milliseconds() }
-		fmt.Printf("| %s | %d | %d | %d | %d |\n", one.name, ms(0), ms(0.5), ms(0.95), ms(1))
+		ms := func(quantile float64) int64 { return list[int(quantile*float64(len(list)-1))].Milliseconds() }
+		fmt.Printf("| %s | %d | %d | %d | %d |\n", scenario.name, ms(0), ms(0.5), ms(0.95), ms(1))
 	}
 }
--- a/coordination/wire_test.go
+++ b/coordination/wire_test.go
@@ -8,8 +8,8 @@
 	"keelstair.example/internal/golden"
 )
 
-// TestEncodings: every message and stored record of this package has the encoding that it had
-// in the first release with a rolling upgrade. The names on file are those of that release.
+// TestEncodings checks that every message and stored record of this package has the encoding of the
+// first release that supported rolling upgrades. The names in testdata are those of that release.
 func TestEncodings(t *testing.T) {
 	golden.Check(t, "testdata/encodings.txt", map[string]golden.Message{
 		"AppendAsk":   &AppendRequest{},
@@ -43,7 +43,7 @@
 	})
 }
 
-// TestMethodNames: the names of the RPC methods are those of earlier releases.
+// TestMethodNames checks that the names of the RPC methods are those of earlier releases.
 func TestMethodNames(t *testing.T) {
 	require.Equal(t, []string{
 		"crux/ballot", "crux/append", "crux/beat", "crux/picture", "crux/sheet", "crux/lead", "crux/leave",
@@ -54,7 +54,8 @@
 	})
 }
 
-// TestExchangeJSON: /v1/status of a controller has the names that it had in earlier releases.
+// TestExchangeJSON checks that a controller's /v1/status uses the JSON names of earlier releases.
+
 func TestExchangeJSON(t *testing.T) {
 	golden.CheckJSON(t, "testdata/exchange.json", &PeerExchange{})
 }
