--- a/coordination/beyond_tolerance_test.go
+++ b/coordination/beyond_tolerance_test.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	beyondMachines = 6
-	beyondLosses   = 2
-	beyondRounds   = 3
-	// beyondRecovery is the time within which the core must answer once all machines are back.
-	beyondRecovery = 12 * time.Second
-	// diskHealing is the time that the core is given to replace the copies and registers of lost disks.
-	diskHealing = 14 * time.Second
+	beyondToleranceMachines = 6
+	beyondToleranceFaults   = 2
+	beyondToleranceRounds   = 3
+	// beyondToleranceRecovery is the time within which the core must answer once all machines are back.
+	beyondToleranceRecovery = 12 * time.Second
+	// diskRecoveryTime is the time that the core is given to replace the copies and registers of lost disks.
+	diskRecoveryTime = 14 * time.Second
 )
 
-// beyondTolerance runs clients while it injects a fault in each of beyondRounds rounds. After each
-// round the core must answer within beyondRecovery; at the end every command was applied exactly
+// runBeyondTolerance runs clients while it injects a fault in each of beyondToleranceRounds rounds. After each
+// round the core must answer within beyondToleranceRecovery; at the end every command was applied exactly
 // once.
-func beyondTolerance(t *testing.T, seed uint64, injectFault func(w *walk, rng *rand.Rand)) {
-	underLoad(t, buildOf(seed, beyondMachines, beyondLosses), seed, func(w *walk) {
+func runBeyondTolerance(t *testing.T, seed uint64, injectFault func(w *walk, rng *rand.Rand)) {
+	underLoad(t, buildOf(seed, beyondToleranceMachines, beyondToleranceFaults), seed, func(w *walk) {
 		rng := rand.New(rand.NewPCG(seed, 10))
-		for range beyondRounds {
+		for range beyondToleranceRounds {
 			time.Sleep(time.Duration(500+rng.IntN(2000)) * time.Millisecond)
 			injectFault(w, rng)
 			healed := time.Now()
-			require.NoError(t, w.submitNumber(0, "after "+healed.String(), beyondRecovery), "%v", w.trace)
+			require.NoError(t, w.submitNumber(0, "after "+healed.String(), beyondToleranceRecovery), "%v", w.trace)
 		}
 	})
 }
@@ -39,9 +39,9 @@
 // TestHalvesPartitioned partitions the cores into two halves for 0.5 to 8.5 s, while nodes reach both.
 func TestHalvesPartitioned(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		beyondTolerance(t, seed, func(w *walk, rng *rand.Rand) {
+		runBeyondTolerance(t, seed, func(w *walk, rng *rand.Rand) {
 			var half []string
-			for _, i := range rng.Perm(beyondMachines)[:beyondMachines/2] {
+			for _, i := range rng.Perm(beyondToleranceMachines)[:beyondToleranceMachines/2] {
 				half = append(half, machineOf(w.seeds[i]))
 			}
 			duration := time.Duration(500+rng.IntN(8000)) * time.Millisecond
@@ -57,10 +57,10 @@
 // of up to two of them, and restarts them in any order.
 func TestOverlappingLosses(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
-		beyondTolerance(t, seed, func(w *walk, rng *rand.Rand) {
-			time.Sleep(time.Until(w.wipe.Add(diskHealing)))
-			lost := rng.Perm(beyondMachines)[:beyondLosses+1+rng.IntN(beyondMachines-beyondLosses)]
-			disks := rng.IntN(beyondLosses + 1)
+		runBeyondTolerance(t, seed, func(w *walk, rng *rand.Rand) {
+			time.Sleep(time.Until(w.wipe.Add(diskRecoveryTime)))
+			lost := rng.Perm(beyondToleranceMachines)[:beyondToleranceFaults+1+rng.IntN(beyondToleranceMachines-beyondToleranceFaults)]
+			disks := rng.IntN(beyondToleranceFaults + 1)
 			w.say("lose %v, the disks of the first %d", lost, disks)
 			for n, i := range lost {
 				ip := machineOf(w.seeds[i])
--- a/coordination/times_test.go
+++ b/coordination/failover_times_test.go
@@ -18,13 +18,13 @@
 	"keelstair.example/ids"
 )
 
-// timed is a failure scenario; run causes the failure and returns the recovery time.
-type timed struct {
+// failoverScenario is a failure scenario; run causes the failure and returns the recovery time.
+type failoverScenario struct {
 	name string
 	run  func(t *testing.T, f *fleet, seed uint64) time.Duration
 }
 
-var times = []timed{
+var failoverScenarios = []failoverScenario{
 	{"primary loses power, until a command is answered", func(t *testing.T, f *fleet, seed uint64) time.Duration {
 		f.powerOff(f.leader())
 		return f.waitForAnswer(t)
@@ -56,7 +56,7 @@
 		primary, _, witness, spare := f.roles(t)
 		f.powerOff(witness)
 		began := time.Now()
-		require.True(t, await(20*time.Second, func() bool {
+		require.True(t, waitUntil(20*time.Second, func() bool {
 			for _, h := range f.cores[primary].Directory().Record().Voters {
 				if machineOf(h.Addr) == spare {
 					return true
@@ -68,8 +68,8 @@
 	}},
 }
 
-// join heals all partitions.
-func (f *fleet) join() {
+// healPartitions heals all partitions.
+func (f *fleet) healPartitions() {
 	var all []string
 	for ip := range f.processes {
 		all = append(all, ip)
@@ -94,7 +94,7 @@
 	if seeds == 0 {
 		t.Skip("a measurement: set KEELSTAIR_TIMES to the number of seeds")
 	}
-	for _, scenario := range times {
+	for _, scenario := range failoverScenarios {
 		var list []time.Duration
 		for seed := range uint64(seeds) {
 			synctest.Test(t, func(t *testing.T) {
@@ -103,7 +103,7 @@
 				require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 				time.Sleep(2*time.Second + time.Duration(seed%10)*37*time.Millisecond)
 				list = append(list, scenario.run(t, f, seed))
-				f.join()
+				f.healPartitions()
 			})
 		}
 		slices.Sort(list)
--- a/coordination/bad_message_test.go
+++ b/coordination/invalid_message_test.go
@@ -66,9 +66,9 @@
 	require.Zero(t, c.readyEpoch.Load())
 }
 
-// TestTruncatedSnapshot checks that a snapshot truncated at any byte is refused and leaves the data
+// TestTruncatedSnapshotRefused checks that a snapshot truncated at any byte is refused and leaves the data
 // unchanged, and that the complete snapshot is installed.
-func TestTruncatedSnapshot(t *testing.T) {
+func TestTruncatedSnapshotRefused(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
 		for _, one := range all {
@@ -93,9 +93,9 @@
 	})
 }
 
-// TestWrongChunk checks that a chunk whose content does not match its name is refused, and that a
+// TestChunkContentMismatchRefused checks that a chunk whose content does not match its name is refused, and that a
 // snapshot that refers to it is not installed.
-func TestWrongChunk(t *testing.T) {
+func TestChunkContentMismatchRefused(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
 		changed := bytes.ToUpper(all[0].Body)
@@ -108,9 +108,9 @@
 	})
 }
 
-// TestOtherEpoch checks that a snapshot of an epoch that was not promised, or a ballot of another
+// TestOtherEpochOrClusterRefused checks that a snapshot of an epoch that was not promised, or a ballot of another
 // cluster, changes nothing.
-func TestOtherEpoch(t *testing.T) {
+func TestOtherEpochOrClusterRefused(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
 		require.NoError(t, c.store.saveChunk(all[0]))
@@ -136,9 +136,9 @@
 	})
 }
 
-// TestOtherAppend checks that entries that do not follow the log, or that are of another epoch, change
+// TestNonconsecutiveAppendRefused checks that entries that do not follow the log, or that are of another epoch, change
 // nothing.
-func TestOtherAppend(t *testing.T) {
+func TestNonconsecutiveAppendRefused(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
 		c.register.Accepted.Epoch = 2
 		entry := Entry{Seq: 3, Kind: "put", Body: []byte("three")}
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -47,8 +47,8 @@
 	return primary, backup, witness, spare
 }
 
-// await waits until a condition holds, for the given duration at most, and reports whether it holds.
-func await(duration time.Duration, condition func() bool) bool {
+// waitUntil waits until a condition holds, for the given duration at most, and reports whether it holds.
+func waitUntil(duration time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(200 * time.Microsecond) {
 		if condition() {
 			return true
@@ -57,12 +57,12 @@
 	return condition()
 }
 
-// TestBegunChange guards against a split cluster after an interrupted change of voters. The primary
+// TestInterruptedVoterChange guards against a split cluster after an interrupted change of voters. The primary
 // replaces a silent voter by a spare, and loses power when only its backup has accepted the new
 // record. It restarts without that backup, leads with the old voters and acknowledges a command.
 // Then it is lost. The backup and the spare are a majority of the new voters, but must not lead
 // without that command.
-func TestBegunChange(t *testing.T) {
+func TestInterruptedVoterChange(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 4, 1)
 		defer f.close()
@@ -74,7 +74,7 @@
 		f.world.Machine(primary).SetDiskDelay(200 * time.Millisecond)
 		f.world.Partition([]string{witness}, all, true)
 		accepted := func() bool { return f.cores[backup].Directory().Record().Epoch > before }
-		require.True(t, await(20*time.Second, accepted), "the change begins")
+		require.True(t, waitUntil(20*time.Second, accepted), "the change begins")
 		f.powerOff(primary)
 		f.world.Machine(primary).SetDiskDelay(time.Millisecond)
 		f.isolate([]string{backup}, true)
@@ -120,10 +120,10 @@
 	return err
 }
 
-// TestLeaving checks that a leaving replica has handed over its roles when Leave returns. A primary,
+// TestLeaveThenLoss checks that a leaving replica has handed over its roles when Leave returns. A primary,
 // a backup or a voter without data leaves for good, and another machine is then lost with its disk.
 // Commands are accepted at once after the departure, and no acknowledged command is lost.
-func TestLeaving(t *testing.T) {
+func TestLeaveThenLoss(t *testing.T) {
 	for leaverIndex, leaverRole := range []string{"primary", "backup", "witness"} {
 		for lostIndex, lostRole := range []string{"primary", "backup"} {
 			t.Run(leaverRole+" leaves, "+lostRole+" is lost", func(t *testing.T) {
@@ -152,9 +152,9 @@
 	}
 }
 
-// TestLeavingWithoutSpare makes each of three machines in turn leave and restart on the same disk,
+// TestLeaveWithoutSpare makes each of three machines in turn leave and restart on the same disk,
 // while commands are submitted. Each handover completes, and takes less time than a takeover.
-func TestLeavingWithoutSpare(t *testing.T) {
+func TestLeaveWithoutSpare(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
@@ -197,9 +197,9 @@
 	})
 }
 
-// TestChangeSendsNoSnapshot checks that a backup that stays is not sent the state that it has, when a
+// TestVoterChangeSendsNoSnapshot checks that a backup that stays is not sent the state that it has, when a
 // voter without data is lost and replaced by a spare.
-func TestChangeSendsNoSnapshot(t *testing.T) {
+func TestVoterChangeSendsNoSnapshot(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 4, 1)
 		defer f.close()
@@ -215,9 +215,9 @@
 	})
 }
 
-// TestCaughtUpByEntries checks that a backup that was partitioned for a moment is sent the entries
+// TestCatchUpByEntries checks that a backup that was partitioned for a moment is sent the entries
 // that it is missing, not a full snapshot, when it becomes the backup again.
-func TestCaughtUpByEntries(t *testing.T) {
+func TestCatchUpByEntries(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
@@ -248,10 +248,10 @@
 	})
 }
 
-// TestRefusalOfDeposed checks that a primary that is partitioned from the other machines rejects no
+// TestDeposedPrimaryRejectsNothing checks that a primary that is partitioned from the other machines rejects no
 // command, since it would decide on a state that may be stale. Its error says that the outcome is
 // unknown.
-func TestRefusalOfDeposed(t *testing.T) {
+func TestDeposedPrimaryRejectsNothing(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
@@ -286,11 +286,11 @@
 	})
 }
 
-// TestDivergedTail checks that a replica whose log has the expected length but other content is not
+// TestDivergedLogReplaced checks that a replica whose log has the expected length but other content is not
 // considered up to date. A partitioned primary keeps a command on its disk that no other replica
 // received; meanwhile another command is acknowledged under the same sequence number. When the
 // replica becomes the backup, it is sent the acknowledged state.
-func TestDivergedTail(t *testing.T) {
+func TestDivergedLogReplaced(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
@@ -327,9 +327,9 @@
 	})
 }
 
-// TestFeedOfDeposed checks that a node that has received a feed update of an epoch accepts none of an
+// TestFeedOfOlderEpochRefused checks that a node that has received a feed update of an epoch accepts none of an
 // older epoch, however high its sequence number.
-func TestFeedOfDeposed(t *testing.T) {
+func TestFeedOfOlderEpochRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := build(1)
 		defer f.close()
@@ -353,9 +353,9 @@
 	})
 }
 
-// TestLeavingOneAfterAnother asks the second of three machines to leave before the first is back. Each
+// TestConsecutiveLeaves asks the second of three machines to leave before the first is back. Each
 // Leave returns only once two other machines have copies of the data.
-func TestLeavingOneAfterAnother(t *testing.T) {
+func TestConsecutiveLeaves(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
@@ -390,10 +390,10 @@
 	})
 }
 
-// TestSpread checks that voters are rebalanced over the zones. Each of six machines in three zones
+// TestVotersSpreadOverZones checks that voters are rebalanced over the zones. Each of six machines in three zones
 // leaves once and restarts, one of them with a wiped disk. Within 40 s the three voters are in three
 // zones again, so that the loss of any zone leaves a majority.
-func TestSpread(t *testing.T) {
+func TestVotersSpreadOverZones(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildIn(seed, 6, 1, "a", "b", "c")
 		defer f.close()
--- a/coordination/primary_call_test.go
+++ b/coordination/primary_call_test.go
@@ -14,16 +14,16 @@
 	"keelstair.example/rpc"
 )
 
-// stranger starts a process that knows only the seeds, and returns its RPC client and directory.
-func (f *fleet) stranger(ip string) (*rpc.Caller, *coordination.Directory) {
+// newClient starts a process that knows only the seeds, and returns its RPC client and directory.
+func (f *fleet) newClient(ip string) (*rpc.Caller, *coordination.Directory) {
 	p := f.world.Machine(ip).Start()
 	f.processes[ip], f.stops[ip] = p, func() {}
 	call := rpc.NewCaller(p.Host().Net)
 	return call, coordination.NewDirectory(p.Host(), call, f.seeds, coordination.Replica{Addr: ip + ":1"})
 }
 
-// submitOne submits one addition under an operation id, with a deadline and a timeout per attempt.
-func submitOne(call *rpc.Caller, directory *coordination.Directory, duration, attempt time.Duration, op string) error {
+// submitIncrement submits one addition under an operation id, with a deadline and a timeout per attempt.
+func submitIncrement(call *rpc.Caller, directory *coordination.Directory, duration, attempt time.Duration, op string) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	request := &coordination.SubmitRequest{Op: ids.OpID("test/" + op), Kind: "add", Body: []byte("1")}
@@ -46,22 +46,22 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		call, directory := f.stranger("10.0.2.9")
+		call, directory := f.newClient("10.0.2.9")
 		defer call.Close()
-		require.NoError(t, submitOne(call, directory, 900*time.Millisecond, 420*time.Millisecond, "found"))
+		require.NoError(t, submitIncrement(call, directory, 900*time.Millisecond, 420*time.Millisecond, "found"))
 	})
 }
 
-// TestAttemptLeft checks that an attempt at a frozen primary is abandoned as soon as its successor is
+// TestAttemptAbandonedOnNewRecord checks that an attempt at a frozen primary is abandoned as soon as its successor is
 // known, even if the attempt's timeout is long, and that the command is applied once.
-func TestAttemptLeft(t *testing.T) {
+func TestAttemptAbandonedOnNewRecord(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
-		call, directory := f.stranger("10.0.2.9")
+		call, directory := f.newClient("10.0.2.9")
 		defer call.Close()
-		require.NoError(t, submitOne(call, directory, 5*time.Second, time.Second, "known"))
+		require.NoError(t, submitIncrement(call, directory, 5*time.Second, time.Second, "known"))
 		primary := f.leader()
 		f.world.Machine(primary).Freeze(true)
 		began := time.Now()
@@ -69,7 +69,7 @@
 			time.Sleep(2 * time.Second)
 			directory.Query(context.Background(), 3)
 		}()
-		require.NoError(t, submitOne(call, directory, 20*time.Second, 15*time.Second, "left"))
+		require.NoError(t, submitIncrement(call, directory, 20*time.Second, 15*time.Second, "left"))
 		require.Less(t, time.Since(began), 5*time.Second)
 		f.world.Machine(primary).Freeze(false)
 		time.Sleep(4 * time.Second)
@@ -77,35 +77,35 @@
 	})
 }
 
-// TestAttemptBounded checks that an attempt at a frozen primary times out and that the caller finds
+// TestAttemptTimesOut checks that an attempt at a frozen primary times out and that the caller finds
 // the next primary by itself.
-func TestAttemptBounded(t *testing.T) {
+func TestAttemptTimesOut(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
-		call, directory := f.stranger("10.0.2.9")
+		call, directory := f.newClient("10.0.2.9")
 		defer call.Close()
-		require.NoError(t, submitOne(call, directory, 5*time.Second, time.Second, "known"))
+		require.NoError(t, submitIncrement(call, directory, 5*time.Second, time.Second, "known"))
 		primary := f.leader()
 		f.world.Machine(primary).Freeze(true)
 		began := time.Now()
-		require.NoError(t, submitOne(call, directory, 20*time.Second, 420*time.Millisecond, "given-up"))
+		require.NoError(t, submitIncrement(call, directory, 20*time.Second, 420*time.Millisecond, "given-up"))
 		require.Less(t, time.Since(began), 5*time.Second)
 		f.world.Machine(primary).Freeze(false)
 	})
 }
 
-// TestSubmitEndsWithCaller checks that no attempt is made after the caller's context has ended, and
+// TestNoAttemptAfterCallerEnds checks that no attempt is made after the caller's context has ended, and
 // that the command is not applied later.
-func TestSubmitEndsWithCaller(t *testing.T) {
+func TestNoAttemptAfterCallerEnds(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := build(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
-		call, directory := f.stranger("10.0.2.9")
+		call, directory := f.newClient("10.0.2.9")
 		defer call.Close()
-		require.NoError(t, submitOne(call, directory, 5*time.Second, time.Second, "known"))
+		require.NoError(t, submitIncrement(call, directory, 5*time.Second, time.Second, "known"))
 		time.Sleep(25 * time.Second) // by then idle connections are closed and no request is in flight
 		cores := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 		f.world.Partition([]string{"10.0.2.9"}, cores, true)
--- a/coordination/answer_test.go
+++ b/coordination/read_batch_test.go
@@ -21,9 +21,9 @@
 func (*countingMachine) Keys() []ids.Key                                { return nil }
 func (*countingMachine) Due(_ ids.Tick, seq, applied ids.Seq) []Command { return nil }
 
-// TestStartOfManyEncodesStateOnce checks that the primary encodes the state once per batch, not once
+// TestConcurrentReadsEncodeStateOnce checks that the primary encodes the state once per batch, not once
 // per reader: nodes that all start at the same time read it in one batch.
-func TestStartOfManyEncodesStateOnce(t *testing.T) {
+func TestConcurrentReadsEncodeStateOnce(t *testing.T) {
 	p := simulated.NewWorld(1).Machine("10.0.0.1").Start()
 	defer p.Kill()
 	machine := &countingMachine{}
--- a/coordination/second_defence_test.go
+++ b/coordination/redundant_checks_test.go
@@ -18,9 +18,9 @@
 	"keelstair.example/rpc"
 )
 
-// answeringCores runs f with four cores that answer RPCs but run no loops of their own. The first is
+// withServingCores runs f with four cores that answer RPCs but run no loops of their own. The first is
 // the primary of epoch 1, the second its backup, the third a voter without data, the last a spare.
-func answeringCores(t *testing.T, f func(world *simulated.World, cores []*Core)) {
+func withServingCores(t *testing.T, f func(world *simulated.World, cores []*Core)) {
 	synctest.Test(t, func(t *testing.T) {
 		world := simulated.NewWorld(1)
 		ctx, stop := context.WithCancel(t.Context())
@@ -60,10 +60,10 @@
 	})
 }
 
-// TestProposerPromises checks that a proposer whose own register cannot save the promise does not
+// TestProposerMustPromise checks that a proposer whose own register cannot save the promise does not
 // start the second round, although the other voters are a majority and have promised.
-func TestProposerPromises(t *testing.T) {
-	answeringCores(t, func(world *simulated.World, cores []*Core) {
+func TestProposerMustPromise(t *testing.T) {
+	withServingCores(t, func(world *simulated.World, cores []*Core) {
 		world.Machine("10.0.0.1").StallDisk(true)
 		cores[0].dataMu.Lock()
 		_, err := cores[0].campaign(context.Background(), ballotOptions{leadingEpoch: firstEpoch})
@@ -83,7 +83,7 @@
 // proposer and its new backup alone: they are a majority of the new voters but not of the outgoing
 // ones.
 func TestCommitNeedsEachQuorum(t *testing.T) {
-	answeringCores(t, func(world *simulated.World, cores []*Core) {
+	withServingCores(t, func(world *simulated.World, cores []*Core) {
 		next, _ := cores[0].accepted()
 		next.Epoch = 2
 		next.OutgoingVoters = next.Voters
@@ -101,10 +101,10 @@
 	})
 }
 
-// TestBackupNeedsState checks that a replica accepts a record that names it as a backup only after it
+// TestBackupMustBePrepared checks that a replica accepts a record that names it as a backup only after it
 // was prepared for exactly that epoch.
-func TestBackupNeedsState(t *testing.T) {
-	inRegister(t, func(c *Core, record Record) {
+func TestBackupMustBePrepared(t *testing.T) {
+	withVoter(t, func(c *Core, record Record) {
 		next := record
 		next.Epoch = 2
 		next.setBackups([]Replica{c.self})
@@ -131,11 +131,11 @@
 
 func (*keyMachine) Keys() []ids.Key { return []ids.Key{"a"} }
 
-// TestNewPrimaryWaits checks that a primary that took over assigns no keys until every lease that its
+// TestNewPrimaryWaitsForLeases checks that a primary that took over assigns no keys until every lease that its
 // predecessor may have granted has expired, while the first primary of a cluster assigns at once.
 
-func TestNewPrimaryWaits(t *testing.T) {
-	inRegister(t, func(c *Core, record Record) {
+func TestNewPrimaryWaitsForLeases(t *testing.T) {
+	withVoter(t, func(c *Core, record Record) {
 		c.state = newReplicatedState(&keyMachine{})
 		now := c.options.Host.Clock.Now()
 		l := &leader{
--- a/coordination/register_test.go
+++ b/coordination/register_test.go
@@ -12,8 +12,8 @@
 	"keelstair.example/ids"
 )
 
-// inRegister runs f with one core of a cluster of three, whose register has accepted epoch 1.
-func inRegister(t *testing.T, f func(c *Core, record Record)) {
+// withVoter runs f with one core of a cluster of three, whose register has accepted epoch 1.
+func withVoter(t *testing.T, f func(c *Core, record Record)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := simulated.NewWorld(1).Machine("10.0.0.1").Start()
 		c, err := New(Options{Addr: "10.0.0.1:1", Host: p.Host(), Machine: func() StateMachine { return nil }})
@@ -38,10 +38,10 @@
 	})
 }
 
-// TestPromiseToOne checks that an epoch promised to one proposer is not accepted from another, neither
+// TestEpochPromisedToOneProposer checks that an epoch promised to one proposer is not accepted from another, neither
 // by a ballot nor by adoption, and that the promise survives a restart.
-func TestPromiseToOne(t *testing.T) {
-	inRegister(t, func(c *Core, record Record) {
+func TestEpochPromisedToOneProposer(t *testing.T) {
+	withVoter(t, func(c *Core, record Record) {
 		r, err := c.handleBallot(t.Context(), &BallotRequest{Epoch: 2, From: Replica{Disk: "x"}, Record: record})
 		require.NoError(t, err)
 		require.True(t, r.OK, r.Reason)
@@ -62,10 +62,10 @@
 	})
 }
 
-// TestHoldersBefore checks that the outgoing voters still vote while a change of voters is not known
+// TestOutgoingVotersVote checks that the outgoing voters still vote while a change of voters is not known
 // to be decided, and that a heartbeat of the change's primary ends that, on disk as well.
-func TestHoldersBefore(t *testing.T) {
-	inRegister(t, func(c *Core, record Record) {
+func TestOutgoingVotersVote(t *testing.T) {
+	withVoter(t, func(c *Core, record Record) {
 		change := record
 		change.Epoch = 2
 		change.OutgoingVoters = record.Voters
@@ -93,10 +93,10 @@
 	})
 }
 
-// TestSameOffset checks that a replica is up to date only if its log equals the proposer's, not just
+// TestUpToDateNeedsSameLog checks that a replica is up to date only if its log equals the proposer's, not just
 // if it has the same length, and that the history offers no entries for a log that diverges.
-func TestSameOffset(t *testing.T) {
-	inRegister(t, func(c *Core, record Record) {
+func TestUpToDateNeedsSameLog(t *testing.T) {
+	withVoter(t, func(c *Core, record Record) {
 		entry := func(body string) Entry {
 			return Entry{Kind: joinKind, Body: MustMarshal(&Member{Node: ids.NodeID(body)})}
 		}
--- a/coordination/statemachine_test.go
+++ b/coordination/statemachine_test.go
@@ -48,14 +48,14 @@
 	}
 })
 
-// bubble hides a test's Deadline method, which must not be called in a synctest bubble.
-type bubble struct{ testing.TB }
+// noDeadline hides a test's Deadline method, which must not be called in a synctest bubble.
+type noDeadline struct{ testing.TB }
 
 // checkActions runs random sequences of the actions that start returns, in simulated time.
 func checkActions(t *testing.T, start func(t *rapid.T) (actions map[string]func(*rapid.T), end func())) {
 	seedRapid()
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(bubble{t}, func(t *rapid.T) {
+		rapid.Check(noDeadline{t}, func(t *rapid.T) {
 			actions, end := start(t)
 			defer end()
 			t.Repeat(actions)
@@ -192,7 +192,7 @@
 			}
 		}
 	}
-	m.close(i)
+	m.closeProposals(i)
 	p := &proposal{
 		proposer: i,
 		record:   c.draftRecord(current, b),
@@ -204,9 +204,9 @@
 	m.prepareAtSome(t, p)
 }
 
-// close ends a proposer's earlier ballots, since it runs one at a time. Their accept messages may
+// closeProposals ends a proposer's earlier ballots, since it runs one at a time. Their accept messages may
 // still be delivered late.
-func (m *registerModel) close(proposer int) {
+func (m *registerModel) closeProposals(proposer int) {
 	for _, p := range m.proposals {
 		if p.proposer == proposer {
 			p.closed = true
@@ -215,8 +215,8 @@
 	}
 }
 
-// lost draws whether an answer is lost, with a probability of one in ten.
-func (m *registerModel) lost(t *rapid.T) bool { return rapid.IntRange(0, 9).Draw(t, "answer") == 9 }
+// drawLost draws whether an answer is lost, with a probability of one in ten.
+func (m *registerModel) drawLost(t *rapid.T) bool { return rapid.IntRange(0, 9).Draw(t, "answer") == 9 }
 
 // drawReplicas draws a subset of the replicas and keeps their order.
 func drawReplicas(t *rapid.T, all []Replica) []Replica {
@@ -252,7 +252,7 @@
 		Record:   p.record,
 	})
 	require.NoError(t, err)
-	if m.lost(t) {
+	if m.drawLost(t) {
 		return
 	}
 	proposer.observeEpoch(r.Promised)
@@ -281,9 +281,9 @@
 	}
 }
 
-// ready brings a backup up to date if the first round has a quorum, and starts the second round. It
+// startSecondRound brings a backup up to date if the first round has a quorum, and starts the second round. It
 // reports whether the second round was started.
-func (m *registerModel) ready(t *rapid.T, p *proposal) bool {
+func (m *registerModel) startSecondRound(t *rapid.T, p *proposal) bool {
 	proposer := m.cores[p.proposer].self
 	if p.closed || !containsDisk(p.promised, proposer.Disk) || !p.record.decidedBy(p.promised) {
 		return false
@@ -311,7 +311,7 @@
 // deliverAccept delivers the accept message of a drawn proposal to the backup, or, once that has
 // accepted, to a subset of the voters.
 func (m *registerModel) deliverAccept(t *rapid.T) {
-	p := m.drawProposal(t, func(p *proposal) bool { return p.accepting || m.ready(t, p) })
+	p := m.drawProposal(t, func(p *proposal) bool { return p.accepting || m.startSecondRound(t, p) })
 	if !containsDisk(p.answered, p.record.Backup.Disk) {
 		m.acceptAt(t, p, p.record.Backup)
 		return
@@ -335,7 +335,7 @@
 		return
 	}
 	m.accept(t, p, to)
-	if m.lost(t) || p.closed || containsDisk(p.answered, to.Disk) {
+	if m.drawLost(t) || p.closed || containsDisk(p.answered, to.Disk) {
 		return
 	}
 	p.answered = append(p.answered, to)
@@ -395,7 +395,7 @@
 	c.register = kept
 	c.readyEpoch.Store(0)
 	m.leads[i] = 0
-	m.close(i)
+	m.closeProposals(i)
 }
 
 // TestRegisterStateMachine checks that each chosen record, that is, one accepted by a majority of each
--- a/coordination/losses_test.go
+++ b/coordination/two_losses_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTwoLost checks that no acknowledged command is lost and the core goes on when two of six
+// TestTwoMachinesLost checks that no acknowledged command is lost and the core goes on when two of six
 // machines lose power or their disks at the same moment right after an answer, in each of three
 // rounds. The pairs include the primary with a backup and both backups.
-func TestTwoLost(t *testing.T) {
+func TestTwoMachinesLost(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 6, 2)
 		defer f.close()
@@ -66,10 +66,10 @@
 	})
 }
 
-// TestLostAfterOne checks that a command acknowledged while one backup is off survives when the
+// TestDataReplicasLostWhileBackupOff checks that a command acknowledged while one backup is off survives when the
 // primary and the other backup are then lost with their disks. The core has it once the first
 // backup is back, although that one never received it from the old primary.
-func TestLostAfterOne(t *testing.T) {
+func TestDataReplicasLostWhileBackupOff(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		f := buildOf(seed, 6, 2)
 		defer f.close()
