--- a/coordination/bad_append_test.go
+++ b/coordination/bad_append_test.go
@@ -12,7 +12,7 @@
 // TestStrangerAppend: entries of a member that isn't the primary of the accepted record,
 // such as that of another fleet at an equal epoch, change nothing.
 func TestStrangerAppend(t *testing.T) {
-	withMember(t, func(c *Core, _ Replica) {
+	withPreparedCore(t, func(c *Core, _ Replica) {
 		c.register.Accepted.Epoch = 2
 		request := &AppendRequest{
 			Epoch:   2,
@@ -29,7 +29,7 @@
 // TestWrongNumber: an entry with another number than the one due is refused before it is
 // written, or the disk couldn't be read back.
 func TestWrongNumber(t *testing.T) {
-	withMember(t, func(c *Core, proposer Replica) {
+	withPreparedCore(t, func(c *Core, proposer Replica) {
 		c.register.Accepted.Epoch = 2
 		request := &AppendRequest{
 			Epoch:   2,
--- a/coordination/beyond_tolerance_test.go
+++ b/coordination/beyond_tolerance_test.go
@@ -42,7 +42,7 @@
 		runBeyondTolerance(t, seed, func(w *walk, rng *rand.Rand) {
 			var half []string
 			for _, i := range rng.Perm(beyondToleranceMachines)[:beyondToleranceMachines/2] {
-				half = append(half, machineOf(w.seeds[i]))
+				half = append(half, machineIP(w.seeds[i]))
 			}
 			duration := time.Duration(500+rng.IntN(8000)) * time.Millisecond
 			w.say("partition %v from the others for %s", half, duration)
@@ -63,7 +63,7 @@
 			disks := rng.IntN(beyondToleranceFaults + 1)
 			w.say("lose %v, the disks of the first %d", lost, disks)
 			for n, i := range lost {
-				ip := machineOf(w.seeds[i])
+				ip := machineIP(w.seeds[i])
 				w.powerOff(ip)
 				if n < disks {
 					w.world.Machine(ip).WipeDisk()
--- a/coordination/catch_up.go
+++ b/coordination/catch_up.go
@@ -21,8 +21,8 @@
 	slowLinkRate   = 250_000
 )
 
-// sendTime returns the timeout for sending a message of the given size to a replica.
-func sendTime(bytes int) time.Duration {
+// sendTimeout returns the timeout for sending a message of the given size to a replica.
+func sendTimeout(bytes int) time.Duration {
 	return catchUpTimeout + time.Duration(bytes)*time.Second/slowLinkRate
 }
 
@@ -110,7 +110,7 @@
 }
 
 func (c *Core) sendCatchUp(ctx context.Context, to Replica, request *SnapshotRequest) (*AppendResponse, error) {
-	ctx, stop := context.WithTimeout(ctx, sendTime(request.Msgsize()))
+	ctx, stop := context.WithTimeout(ctx, sendTimeout(request.Msgsize()))
 	defer stop()
 	return rpc.Call[SnapshotRequest, AppendResponse](ctx, c.caller, c.directory.Addr(to), snapshotMethod, request)
 }
--- a/coordination/chunks.go
+++ b/coordination/chunks.go
@@ -111,7 +111,7 @@
 // one to a voter that collects them.
 func (c *Core) handleChunk(_ context.Context, request *ChunkRequest) (*ChunkResponse, error) {
 	if request.Body != nil {
-		if _, promised := c.accepted(); promised != request.Epoch {
+		if _, promised := c.acceptedRecord(); promised != request.Epoch {
 			return &ChunkResponse{}, nil
 		}
 		return &ChunkResponse{OK: true}, c.saveChunk(Chunk{request.Name, request.Body}, "proposer")
@@ -145,7 +145,7 @@
 		if !want[one.Name] {
 			continue
 		}
-		callContext, stop := context.WithTimeout(ctx, sendTime(len(one.Body)))
+		callContext, stop := context.WithTimeout(ctx, sendTimeout(len(one.Body)))
 		r, err := rpc.Call[ChunkRequest, ChunkResponse](
 			callContext,
 			c.caller,
@@ -174,7 +174,7 @@
 	at, of := 0, ""
 	for wait := time.Second; host.Sleep(ctx, wait); {
 		wait = time.Second
-		record, _ := c.accepted()
+		record, _ := c.acceptedRecord()
 		if record.ClusterID == "" || c.isDataReplica(record) || !containsDisk(record.Voters, c.self.Disk) {
 			continue
 		}
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -193,7 +193,7 @@
 
 // connectedToPrimary reports whether this core is a voter that is the primary or has recently heard from it.
 func (c *Core) connectedToPrimary() bool {
-	record, _ := c.accepted()
+	record, _ := c.acceptedRecord()
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
 	return containsDisk(record.Voters, c.self.Disk) && c.recentlyHeard(record.Primary.Disk, c.options.Host.Clock.Now())
@@ -231,7 +231,7 @@
 func (c *Core) handleAppend(_ context.Context, request *AppendRequest) (*AppendResponse, error) {
 	c.dataMu.Lock()
 	defer c.dataMu.Unlock()
-	record, promised := c.accepted()
+	record, promised := c.acceptedRecord()
 	r := &AppendResponse{Promised: promised, LastSeq: c.state.seq}
 	if request.Epoch < promised || record.Epoch != request.Epoch || record.Primary.Disk != request.From.Disk ||
 		record.backupRank(c.self.Disk) < 0 {
@@ -251,7 +251,7 @@
 	if err := c.applyAll(request.Entries); err != nil {
 		return nil, failure.Wrap(err, "apply entry", request.From.Addr)
 	}
-	if _, promised = c.accepted(); promised > request.Epoch {
+	if _, promised = c.acceptedRecord(); promised > request.Epoch {
 		return &AppendResponse{Promised: promised}, nil
 	}
 	if c.store.rows > rowsPerLog {
--- a/coordination/cutoff_test.go
+++ b/coordination/cutoff_test.go
@@ -93,12 +93,12 @@
 // voters are the machines of the record: the primary, its backups, then a holder without data.
 func (f *fleet) voters(t *testing.T) []string {
 	record := f.cores[f.leader()].Directory().Record()
-	out := []string{machineOf(record.Primary.Addr), machineOf(record.Backup.Addr)}
+	out := []string{machineIP(record.Primary.Addr), machineIP(record.Backup.Addr)}
 	for _, b := range record.MoreBackups {
-		out = append(out, machineOf(b.Addr))
+		out = append(out, machineIP(b.Addr))
 	}
 	for _, h := range record.Voters {
-		if ip := machineOf(h.Addr); !slices.Contains(out, ip) {
+		if ip := machineIP(h.Addr); !slices.Contains(out, ip) {
 			return append(out, ip)
 		}
 	}
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -119,7 +119,7 @@
 // campaign makes this core the primary of a new epoch with up-to-date backups, in two rounds over the
 // registers. A caller that is already the primary must hold dataMu.
 func (c *Core) campaign(ctx context.Context, p ballotOptions) (Record, error) {
-	current, promised := c.accepted()
+	current, promised := c.acceptedRecord()
 	c.observeEpoch(promised)
 	if !c.isDataReplica(current) || p.leadingEpoch != 0 && current.Epoch != p.leadingEpoch {
 		return current, failure.New(failure.Stale, "ascend", c.self.Addr, "the newest record names other replicas")
@@ -207,7 +207,7 @@
 // prepareBackups brings as many backups as the record needs up to this core's state. It tries the
 // replicas of the current record first and those that are shutting down last.
 func (c *Core) prepareBackups(ctx context.Context, next Record, yes []Replica, p ballotOptions) ([]Replica, error) {
-	current, _ := c.accepted()
+	current, _ := c.acceptedRecord()
 	priority := func(s Replica) int {
 		switch {
 		case s.Disk == p.notBackup || c.directory.leaving(s.Disk):
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -34,7 +34,7 @@
 	var notBefore ids.Tick // earliest start of the next election after one that a rival interrupted
 	for c.awaitElectionTick(ctx) {
 		now := c.options.Host.Clock.Now()
-		record, _ := c.accepted()
+		record, _ := c.acceptedRecord()
 		known := c.directory.Record()
 		if f := c.directory.ForeignCluster(); f != "" && record.ClusterID != "" && c.orphaned(now, record) {
 			c.fatal <- failure.New(failure.InvalidArgument, "meet peers", f,
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -95,7 +95,7 @@
 	}
 	for i, a := range f.seeds {
 		if len(zones) > 0 {
-			f.zones[machineOf(a)] = zones[i%len(zones)]
+			f.zones[machineIP(a)] = zones[i%len(zones)]
 		}
 		f.core(a)
 	}
--- a/coordination/failover_times_test.go
+++ b/coordination/failover_times_test.go
@@ -58,7 +58,7 @@
 		began := time.Now()
 		require.True(t, waitUntil(20*time.Second, func() bool {
 			for _, h := range f.cores[primary].Directory().Record().Voters {
-				if machineOf(h.Addr) == spare {
+				if machineIP(h.Addr) == spare {
 					return true
 				}
 			}
--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -25,7 +25,7 @@
 // forceNewCluster creates a new cluster from this disk's data and empty machines, or says why it
 // refuses to.
 func (c *Core) forceNewCluster(ctx context.Context) error {
-	record, _ := c.accepted()
+	record, _ := c.acceptedRecord()
 	switch {
 	case record.ClusterID == "":
 		return c.refuseNewCluster("this disk belongs to no cluster")
@@ -124,7 +124,7 @@
 func (c *Core) bootstrapRecord(ctx context.Context, record Record, body []byte, chunks []Chunk) bool {
 	request := &BallotRequest{Epoch: record.Epoch, From: c.self, Record: record}
 	if _, yes := c.collectVotes(ctx, request, record.Voters, nil); len(yes) < len(record.Voters) {
-		if _, promised := c.accepted(); promised != record.Epoch {
+		if _, promised := c.acceptedRecord(); promised != record.Epoch {
 			return false
 		}
 	}
--- a/coordination/invalid_message_test.go
+++ b/coordination/invalid_message_test.go
@@ -16,8 +16,8 @@
 	"keelstair.example/ids"
 )
 
-// withMember runs f with a core that holds two entries and has promised epoch 2 in the cluster "f".
-func withMember(t *testing.T, f func(c *Core, proposer Replica)) {
+// withPreparedCore runs f with a core that holds two entries and has promised epoch 2 in the cluster "f".
+func withPreparedCore(t *testing.T, f func(c *Core, proposer Replica)) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := simulated.NewWorld(1).Machine("10.0.0.1")
 		c, err := New(Options{
@@ -69,7 +69,7 @@
 // TestTruncatedSnapshotRefused checks that a snapshot truncated at any byte is refused and leaves the data
 // unchanged, and that the complete snapshot is installed.
 func TestTruncatedSnapshotRefused(t *testing.T) {
-	withMember(t, func(c *Core, proposer Replica) {
+	withPreparedCore(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
 		for _, one := range all {
 			require.NoError(t, c.store.saveChunk(one))
@@ -96,7 +96,7 @@
 // TestChunkContentMismatchRefused checks that a chunk whose content does not match its name is refused, and that a
 // snapshot that refers to it is not installed.
 func TestChunkContentMismatchRefused(t *testing.T) {
-	withMember(t, func(c *Core, proposer Replica) {
+	withPreparedCore(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
 		changed := bytes.ToUpper(all[0].Body)
 		_, err := c.handleChunk(context.Background(), &ChunkRequest{Epoch: 2, Name: all[0].Name, Body: changed})
@@ -111,7 +111,7 @@
 // TestOtherEpochOrClusterRefused checks that a snapshot of an epoch that was not promised, or a ballot of another
 // cluster, changes nothing.
 func TestOtherEpochOrClusterRefused(t *testing.T) {
-	withMember(t, func(c *Core, proposer Replica) {
+	withPreparedCore(t, func(c *Core, proposer Replica) {
 		body, all := snapshotOf(t)
 		require.NoError(t, c.store.saveChunk(all[0]))
 		for _, epoch := range []ids.Epoch{0, 1, 3} {
@@ -139,7 +139,7 @@
 // TestNonconsecutiveAppendRefused checks that entries that do not follow the log, or that are of another epoch, change
 // nothing.
 func TestNonconsecutiveAppendRefused(t *testing.T) {
-	withMember(t, func(c *Core, proposer Replica) {
+	withPreparedCore(t, func(c *Core, proposer Replica) {
 		c.register.Accepted.Epoch = 2
 		entry := Entry{Seq: 3, Kind: "put", Body: []byte("three")}
 		for name, request := range map[string]*AppendRequest{
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -173,7 +173,7 @@
 
 // handOver takes the next step of Leave. It returns true once nothing depends on this core.
 func (c *Core) handOver(ctx context.Context) (bool, error) {
-	record, _ := c.accepted()
+	record, _ := c.acceptedRecord()
 	if known := c.directory.Record(); known.Epoch > record.Epoch {
 		record = known
 	}
@@ -214,7 +214,7 @@
 	if op.err != nil {
 		return nil, op.err
 	}
-	record, _ := c.accepted()
+	record, _ := c.acceptedRecord()
 	return &LeaveResponse{Done: true, Record: record}, nil
 }
 
@@ -307,7 +307,7 @@
 // handleTransfer accepts a primary's request to take over and makes the election loop start an
 // election at once.
 func (c *Core) handleTransfer(_ context.Context, request *TransferRequest) (*TransferResponse, error) {
-	record, _ := c.accepted()
+	record, _ := c.acceptedRecord()
 	if record.Epoch != request.Epoch || record.Primary.Disk != request.From.Disk ||
 		record.backupRank(c.self.Disk) < 0 || c.leaving.Load() {
 		return &TransferResponse{}, nil
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -19,8 +19,8 @@
 	"keelstair.example/rpc"
 )
 
-// machineOf returns the IP address in a replica's address, whose port has one digit.
-func machineOf(addr string) string { return addr[:len(addr)-2] }
+// machineIP returns the IP address in a replica's address, whose port has one digit.
+func machineIP(addr string) string { return addr[:len(addr)-2] }
 
 // roles returns the IP addresses of the primary, the backup, a voter without data, and a spare.
 func (f *fleet) roles(t *testing.T) (primary, backup, witness, spare string) {
@@ -28,10 +28,10 @@
 	primary = f.leader()
 	require.NotEmpty(t, primary)
 	record := f.cores[primary].Directory().Record()
-	backup = machineOf(record.Backup.Addr)
+	backup = machineIP(record.Backup.Addr)
 	isVoter := map[string]bool{}
 	for _, h := range record.Voters {
-		isVoter[machineOf(h.Addr)] = true
+		isVoter[machineIP(h.Addr)] = true
 	}
 	for ip := range f.cores {
 		switch {
@@ -138,7 +138,7 @@
 					f.world.Machine(leaver).WipeDisk()
 					require.NoError(t, f.submitNumber(2, "b", 2*time.Second), "commands are accepted at once")
 					record := f.cores[f.leader()].Directory().Record()
-					lost := []string{machineOf(record.Primary.Addr), machineOf(record.Backup.Addr)}[lostIndex]
+					lost := []string{machineIP(record.Primary.Addr), machineIP(record.Backup.Addr)}[lostIndex]
 					f.powerOff(lost)
 					f.world.Machine(lost).WipeDisk()
 					ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
@@ -161,7 +161,7 @@
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		want := int64(1)
 		for i, a := range f.seeds {
-			ip := machineOf(a)
+			ip := machineIP(a)
 			time.Sleep(time.Second)
 			require.NoError(t, f.leave(ip, 5*time.Second))
 			began := time.Now()
@@ -225,10 +225,10 @@
 		time.Sleep(time.Second)
 		primary := f.leader()
 		record := f.cores[primary].Directory().Record()
-		backup := machineOf(record.Backup.Addr)
+		backup := machineIP(record.Backup.Addr)
 		f.isolate([]string{backup}, true)
 		require.NoError(t, f.submitNumber(2, "b", 5*time.Second))
-		other := machineOf(f.cores[primary].Directory().Record().Backup.Addr)
+		other := machineIP(f.cores[primary].Directory().Record().Backup.Addr)
 		require.NotEqual(t, backup, other)
 		f.isolate([]string{backup}, false)
 		time.Sleep(time.Second)
@@ -298,7 +298,7 @@
 		time.Sleep(2 * time.Second)
 		previous := f.leader()
 		record := f.cores[previous].Directory().Record()
-		backup := machineOf(record.Backup.Addr)
+		backup := machineIP(record.Backup.Addr)
 		var witness string
 		for ip := range f.cores {
 			if ip != previous && ip != backup {
@@ -362,7 +362,7 @@
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
 		primary := f.leader()
-		backup := machineOf(f.cores[primary].Directory().Record().Backup.Addr)
+		backup := machineIP(f.cores[primary].Directory().Record().Backup.Addr)
 		require.NoError(t, f.leave(backup, 5*time.Second))
 		go func() {
 			time.Sleep(1500 * time.Millisecond)
@@ -372,7 +372,7 @@
 		record := f.cores[primary].Directory().Record()
 		next := primary
 		if seed%2 == 0 {
-			next = machineOf(record.Backup.Addr)
+			next = machineIP(record.Backup.Addr)
 		}
 		began, epoch := time.Now(), record.Epoch
 		require.NoError(t, f.leave(next, 6*time.Second))
@@ -399,7 +399,7 @@
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		for i := range f.seeds {
-			ip := machineOf(f.seeds[(i+int(seed))%len(f.seeds)])
+			ip := machineIP(f.seeds[(i+int(seed))%len(f.seeds)])
 			require.NoError(t, f.leave(ip, 5*time.Second))
 			if i == 3 {
 				f.world.Machine(ip).WipeDisk()
--- a/coordination/primary_call.go
+++ b/coordination/primary_call.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	submitAttempt = 1500 * time.Millisecond // timeout of an agent's attempt; agents have no short deadline
+	submitAttemptTimeout = 1500 * time.Millisecond // timeout of an agent's attempt; agents have no short deadline
 
 	searchFanout = 3                     // processes queried at once for the primary's address
 	minBackoff   = 40 * time.Millisecond // between attempts; the wait is random, up to twice as long
--- a/coordination/reachability.go
+++ b/coordination/reachability.go
@@ -24,11 +24,11 @@
 
 // Reachability is what an agent knows of its connection to the primary.
 type Reachability struct {
-	// Since is when the first probe of the current run of accepted probes was sent; 0 if the last probe
+	// ReachableSince is when the first probe of the current run of accepted probes was sent; 0 if the last probe
 	// failed or there was none.
-	Since ids.Tick
-	// Lost is set if the last probe was not accepted although this process was not starved.
-	Lost bool
+	ReachableSince ids.Tick
+	// Unreachable is set if the last probe was not accepted although this process was not starved.
+	Unreachable bool
 	// StarvedAt is when this process was last found to be short of processor time; 0 if never.
 	StarvedAt ids.Tick
 }
@@ -98,7 +98,7 @@
 func (p *prober) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.result.Since, p.result.Lost = 0, false
+	p.result.ReachableSince, p.result.Unreachable = 0, false
 }
 
 // recordProbe stores the result of a probe that was sent at the given tick.
@@ -107,9 +107,9 @@
 	defer p.mu.Unlock()
 	switch {
 	case !accepted:
-		p.result.Since = 0
-	case p.result.Since == 0 || p.primary != primary:
-		p.result.Since = at
+		p.result.ReachableSince = 0
+	case p.result.ReachableSince == 0 || p.primary != primary:
+		p.result.ReachableSince = at
 	}
-	p.primary, p.result.Lost = primary, !accepted
+	p.primary, p.result.Unreachable = primary, !accepted
 }
--- a/coordination/redundant_checks_test.go
+++ b/coordination/redundant_checks_test.go
@@ -70,7 +70,7 @@
 		cores[0].dataMu.Unlock()
 		require.Error(t, err)
 		for _, c := range cores[1:3] {
-			record, promised := c.accepted()
+			record, promised := c.acceptedRecord()
 			require.Equal(t, ids.Epoch(2), promised)
 			require.Equal(t, firstEpoch, record.Epoch)
 		}
@@ -84,7 +84,7 @@
 // ones.
 func TestCommitNeedsEachQuorum(t *testing.T) {
 	withServingCores(t, func(world *simulated.World, cores []*Core) {
-		next, _ := cores[0].accepted()
+		next, _ := cores[0].acceptedRecord()
 		next.Epoch = 2
 		next.OutgoingVoters = next.Voters
 		next.Voters = []Replica{cores[0].self, cores[2].self, cores[3].self}
@@ -94,7 +94,7 @@
 		world.Partition([]string{"10.0.0.1"}, others, true)
 		err := cores[0].commitRecord(context.Background(), next, next.backups())
 		require.True(t, failure.Is(err, failure.OutcomeUnknown), "%v", err)
-		record, _ := cores[3].accepted()
+		record, _ := cores[3].acceptedRecord()
 		require.Equal(t, ids.Epoch(2), record.Epoch, "the backup has accepted")
 		world.Partition([]string{"10.0.0.1"}, others, false)
 		require.NoError(t, cores[0].commitRecord(context.Background(), next, next.backups()))
--- a/coordination/register.go
+++ b/coordination/register.go
@@ -41,8 +41,8 @@
 	return register{Promised: record.Epoch, PromisedTo: record.Primary.Disk, Accepted: record}
 }
 
-// accepted returns the accepted record and the promised epoch.
-func (c *Core) accepted() (Record, ids.Epoch) {
+// acceptedRecord returns the accepted record and the promised epoch.
+func (c *Core) acceptedRecord() (Record, ids.Epoch) {
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
 	return c.register.Accepted, c.register.Promised
--- a/coordination/statemachine_test.go
+++ b/coordination/statemachine_test.go
@@ -159,7 +159,7 @@
 func (m *registerModel) drawCore(t *rapid.T, label string, fits func(i int, current Record) bool) int {
 	var list []int
 	for i, c := range m.cores {
-		if current, _ := c.accepted(); current.ClusterID != "" && fits(i, current) {
+		if current, _ := c.acceptedRecord(); current.ClusterID != "" && fits(i, current) {
 			list = append(list, i)
 		}
 	}
@@ -174,7 +174,7 @@
 func (m *registerModel) propose(t *rapid.T) {
 	i := m.drawCore(t, "proposer", func(i int, current Record) bool { return isDataReplicaOf(current, m.cores[i].self) })
 	c := m.cores[i]
-	current, promised := c.accepted()
+	current, promised := c.acceptedRecord()
 	c.observeEpoch(promised)
 	time.Sleep(2 * c.options.ElectionTimeout) // the primary counts as silent, so a takeover is allowed
 	b := ballotOptions{}
@@ -339,7 +339,7 @@
 		return
 	}
 	p.answered = append(p.answered, to)
-	if current, _ := proposer.accepted(); containsDisk(p.answered, proposer.self.Disk) &&
+	if current, _ := proposer.acceptedRecord(); containsDisk(p.answered, proposer.self.Disk) &&
 		p.record.decidedBy(p.answered) && current.Epoch == p.record.Epoch {
 		m.leads[p.proposer] = p.record.Epoch
 		proposer.registerMu.Lock()
--- a/coordination/walk_test.go
+++ b/coordination/walk_test.go
@@ -86,7 +86,7 @@
 
 // act brings about one trouble, and takes it back after a while.
 func (w *walk) act() {
-	ip := machineOf(w.seeds[w.randN(len(w.seeds))])
+	ip := machineIP(w.seeds[w.randN(len(w.seeds))])
 	if lead := w.leader(); lead != "" && w.randN(3) == 0 {
 		ip = lead
 	}
@@ -98,7 +98,7 @@
 		var group []string
 		for _, a := range w.seeds {
 			if w.randN(2) == 0 {
-				group = append(group, machineOf(a))
+				group = append(group, machineIP(a))
 			}
 		}
 		w.say("cut %v for %s", group, duration)
@@ -106,7 +106,7 @@
 		time.Sleep(duration)
 		w.isolate(group, false)
 	case 3:
-		other := machineOf(w.seeds[w.randN(len(w.seeds))])
+		other := machineIP(w.seeds[w.randN(len(w.seeds))])
 		w.say("one way %s to %s for %s", ip, other, duration)
 		w.world.Block([]string{ip}, []string{other}, true)
 		time.Sleep(duration)
--- a/coordination/watch.go
+++ b/coordination/watch.go
@@ -184,5 +184,5 @@
 // asked with throughout, so whichever asking is taken, the outcome is one. An
 // error of kind Unknown means that it may have been done.
 func (a *Agent) Submit(ctx context.Context, op ids.OpID, kind string, body []byte) (*SubmitResponse, error) {
-	return SubmitWithin(ctx, a.caller, a.directory, submitAttempt, &SubmitRequest{Op: op, Kind: kind, Body: body})
+	return SubmitWithin(ctx, a.caller, a.directory, submitAttemptTimeout, &SubmitRequest{Op: op, Kind: kind, Body: body})
 }
--- a/internal/proxy/stale_version_test.go
+++ b/internal/proxy/stale_version_test.go
@@ -203,14 +203,14 @@
 		want           bool
 	}{
 		{"never confirmed since its start", 0, long, coordination.Reachability{}, true},
-		{"never confirmed, and cut off", 0, long, coordination.Reachability{Lost: true}, false},
+		{"never confirmed, and cut off", 0, long, coordination.Reachability{Unreachable: true}, false},
 		{"confirmed, and the feed lags", old, 500 * time.Millisecond, coordination.Reachability{}, true},
-		{"cut off just now", old, 500 * time.Millisecond, coordination.Reachability{Lost: true}, false},
+		{"cut off just now", old, 500 * time.Millisecond, coordination.Reachability{Unreachable: true}, false},
 		{"nothing is known yet", old, 4 * time.Second, coordination.Reachability{}, false},
-		{"the primary is silent for a moment", old, 4 * time.Second, coordination.Reachability{Since: ago(2 * time.Second)}, false},
-		{"the primary is silent", old, 4 * time.Second, coordination.Reachability{Since: ago(3 * time.Second)}, true},
+		{"the primary is silent for a moment", old, 4 * time.Second, coordination.Reachability{ReachableSince: ago(2 * time.Second)}, false},
+		{"the primary is silent", old, 4 * time.Second, coordination.Reachability{ReachableSince: ago(3 * time.Second)}, true},
 		{"starved", old, 4 * time.Second, coordination.Reachability{StarvedAt: ago(time.Second)}, true},
-		{"starved, and cut off", old, 4 * time.Second, coordination.Reachability{StarvedAt: ago(time.Second), Lost: true}, false},
+		{"starved, and cut off", old, 4 * time.Second, coordination.Reachability{StarvedAt: ago(time.Second), Unreachable: true}, false},
 		{"starved long ago", old, 4 * time.Second, coordination.Reachability{StarvedAt: ago(3 * time.Second)}, false},
 	} {
 		require.Equal(t, row.want, inTouch(now, row.currentAt, row.sinceConfirmed, row.primary), row.name)
--- a/internal/proxy/version_age.go
+++ b/internal/proxy/version_age.go
@@ -94,12 +94,12 @@
 // inTouch tells that the core can be reached, so that an old version is this node's own fault.
 func inTouch(now, currentAt ids.Tick, sinceConfirmed time.Duration, primary coordination.Reachability) bool {
 	switch {
-	case primary.Lost:
+	case primary.Unreachable:
 		return false
 	case currentAt == 0, sinceConfirmed <= confirmedLately:
 		return true
 	case primary.StarvedAt != 0 && !now.Past(primary.StarvedAt, starvedSpan):
 		return true
 	}
-	return primary.Since != 0 && now.Past(primary.Since, reachedSpan)
+	return primary.ReachableSince != 0 && now.Past(primary.ReachableSince, reachedSpan)
 }
