--- a/coordination/catch_up.go
+++ b/coordination/catch_up.go
@@ -14,8 +14,8 @@
 	"keelstair.example/rpc"
 )
 
-// A catch-up message may take catchUpTimeout plus its size divided by slowLinkRate, which is what a link
-// of 10 Mbit/s carries beside other traffic, in bytes per second.
+// A catch-up message may take catchUpTimeout plus its size divided by slowLinkRate, which is what a
+// link of 10 Mbit/s carries beside other traffic, in bytes per second.
 const (
 	catchUpTimeout = 2 * time.Second
 	slowLinkRate   = 250_000
@@ -88,21 +88,21 @@
 	if err == nil && !r.Behind || err != nil && !failure.Is(err, failure.InvalidArgument) {
 		return refusalError(r, err, to)
 	}
-	body, all, err := state.encodedSnapshot()
+	body, chunks, err := state.encodedSnapshot()
 	if err != nil {
 		return err
 	}
-	return c.sendSnapshot(ctx, e, to, body, all)
+	return c.sendSnapshot(ctx, e, to, body, chunks)
 }
 
 // sendSnapshot sends the full snapshot, preceded by the chunks that the replica is missing.
-func (c *Core) sendSnapshot(ctx context.Context, e ids.Epoch, to Replica, body []byte, all []Chunk) error {
+func (c *Core) sendSnapshot(ctx context.Context, e ids.Epoch, to Replica, body []byte, chunks []Chunk) error {
 	c.snapshotsSent.Add(1)
 	c.options.Ring.Info().Str("peer", to.Addr).Int("bytes", len(body)).Msg("sending snapshot")
 	request := &SnapshotRequest{Epoch: e, From: c.self, State: body}
 	r, err := c.sendCatchUp(ctx, to, request)
 	if err == nil && len(r.MissingChunks) > 0 {
-		if err = c.sendChunks(ctx, e, to, r.MissingChunks, all); err == nil {
+		if err = c.sendChunks(ctx, e, to, r.MissingChunks, chunks); err == nil {
 			r, err = c.sendCatchUp(ctx, to, request)
 		}
 	}
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -191,7 +191,8 @@
 	return err
 }
 
-// connectedToPrimary reports whether this core is a voter that is the primary or has recently heard from it.
+// connectedToPrimary reports whether this core is a voter that is the primary or has recently heard
+// from it.
 func (c *Core) connectedToPrimary() bool {
 	record, _ := c.acceptedRecord()
 	c.registerMu.Lock()
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -30,7 +30,7 @@
 
 func (c *Core) electionLoop(ctx context.Context) {
 	idle := c.options.Host.Clock.Now()
-	met := &bootstrapPeers{}
+	peers := &bootstrapPeers{}
 	var notBefore ids.Tick // earliest start of the next election after one that a rival interrupted
 	for c.awaitElectionTick(ctx) {
 		now := c.options.Host.Clock.Now()
@@ -44,7 +44,7 @@
 		if record.ClusterID == "" {
 			if known.ClusterID == "" {
 				if !c.options.JoinOnly {
-					c.bootstrap(ctx, met)
+					c.bootstrap(ctx, peers)
 					idle = c.options.Host.Clock.Now() // bootstrap may have returned only after a term as primary
 				}
 			} else if c.isDataReplica(known) {
@@ -165,7 +165,7 @@
 // bootstrap creates a cluster's first record once enough replicas with empty disks have met (three,
 // for a fault tolerance of 1) and all of them accept it. The replica with the lowest disk id
 // proposes it, after the set of replicas has not changed for half an election timeout.
-func (c *Core) bootstrap(ctx context.Context, met *bootstrapPeers) {
+func (c *Core) bootstrap(ctx context.Context, peers *bootstrapPeers) {
 	all, empty := c.directory.recentReplicas(2 * time.Second)
 	n := 2*c.options.FaultTolerance + 1
 	if len(all) != len(empty) || len(empty) < n-1 {
@@ -174,11 +174,11 @@
 	list := append(empty, c.self)
 	sort.Slice(list, func(i, j int) bool { return list[i].Disk < list[j].Disk })
 
-	if now := c.options.Host.Clock.Now(); !slices.Equal(met.replicas, list) {
-		met.replicas, met.since = list, now
+	if now := c.options.Host.Clock.Now(); !slices.Equal(peers.replicas, list) {
+		peers.replicas, peers.since = list, now
 		return
 	} else if list = spreadOverZones(list, n); list[0].Disk != c.self.Disk || !now.Past(
-		met.since, c.options.ElectionTimeout/2,
+		peers.since, c.options.ElectionTimeout/2,
 	) {
 		return
 	}
--- a/coordination/history.go
+++ b/coordination/history.go
@@ -54,8 +54,8 @@
 	h.entries, h.digests = h.entries[drop:], h.digests[drop:]
 }
 
-// entriesAfter returns the entries that follow seq. It reports false if seq is not in the history or the log
-// up to seq has another digest.
+// entriesAfter returns the entries that follow seq. It reports false if seq is not in the history or
+// the log up to seq has another digest.
 func (h *history) entriesAfter(seq ids.Seq, digest []byte) ([]Entry, bool) {
 	for i := range h.entries {
 		if h.entries[i].Seq == seq {
--- a/coordination/invalid_message_test.go
+++ b/coordination/invalid_message_test.go
@@ -50,7 +50,7 @@
 }
 
 // snapshotOf returns a snapshot of a state machine with seven other values, and its chunks.
-func snapshotOf(t *testing.T) (body []byte, all []Chunk) {
+func snapshotOf(t *testing.T) (body []byte, chunks []Chunk) {
 	r := newReplicatedState(&listMachine{})
 	for range 7 {
 		_, err := r.apply(&Entry{Kind: "put", Op: "op", Body: []byte("other")})
@@ -70,9 +70,9 @@
 // unchanged, and that the complete snapshot is installed.
 func TestTruncatedSnapshotRefused(t *testing.T) {
 	withPreparedCore(t, func(c *Core, proposer Replica) {
-		body, all := snapshotOf(t)
-		for _, one := range all {
-			require.NoError(t, c.store.saveChunk(one))
+		body, chunks := snapshotOf(t)
+		for _, chunk := range chunks {
+			require.NoError(t, c.store.saveChunk(chunk))
 		}
 		for size := range body {
 			r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{
@@ -97,13 +97,13 @@
 // snapshot that refers to it is not installed.
 func TestChunkContentMismatchRefused(t *testing.T) {
 	withPreparedCore(t, func(c *Core, proposer Replica) {
-		body, all := snapshotOf(t)
-		changed := bytes.ToUpper(all[0].Body)
-		_, err := c.handleChunk(context.Background(), &ChunkRequest{Epoch: 2, Name: all[0].Name, Body: changed})
+		body, chunks := snapshotOf(t)
+		changed := bytes.ToUpper(chunks[0].Body)
+		_, err := c.handleChunk(context.Background(), &ChunkRequest{Epoch: 2, Name: chunks[0].Name, Body: changed})
 		require.ErrorContains(t, err, "does not fit its name")
 		r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{Epoch: 2, From: proposer, State: body})
 		require.NoError(t, err)
-		require.Equal(t, []string{all[0].Name}, r.MissingChunks)
+		require.Equal(t, []string{chunks[0].Name}, r.MissingChunks)
 		requireUnchanged(t, c)
 	})
 }
@@ -112,8 +112,8 @@
 // cluster, changes nothing.
 func TestOtherEpochOrClusterRefused(t *testing.T) {
 	withPreparedCore(t, func(c *Core, proposer Replica) {
-		body, all := snapshotOf(t)
-		require.NoError(t, c.store.saveChunk(all[0]))
+		body, chunks := snapshotOf(t)
+		require.NoError(t, c.store.saveChunk(chunks[0]))
 		for _, epoch := range []ids.Epoch{0, 1, 3} {
 			r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{
 				Epoch: epoch,
--- a/coordination/lease.go
+++ b/coordination/lease.go
@@ -132,7 +132,7 @@
 	c.dataMu.Lock()
 	defer c.dataMu.Unlock()
 	var out []*operation
-	put := func(kind string, body []byte) {
+	add := func(kind string, body []byte) {
 		out = append(out, &operation{entry: &Entry{Kind: kind, Body: body}, done: make(chan struct{})})
 	}
 	duration := c.options.LeaseDuration + c.options.LeaseDuration/10
@@ -162,19 +162,19 @@
 		switch replaced := !l.isMember(n); {
 		case replaced && now.Past(t.renewedAt, duration):
 			if l.holdsKey(n) {
-				put(leaveKind, MustMarshal(&t.Member))
+				add(leaveKind, MustMarshal(&t.Member))
 			}
 			delete(l.leases, n)
 		case !replaced && now.Past(t.renewedAt, grace):
-			put(leaveKind, MustMarshal(&t.Member))
+			add(leaveKind, MustMarshal(&t.Member))
 			delete(l.leases, n)
 		}
 	}
 	for _, cmd := range c.state.machine.Due(now, c.state.seq, minApplied) {
-		put(cmd.Kind, cmd.Body)
+		add(cmd.Kind, cmd.Body)
 	}
 	if d := l.assignKeys(now, live); len(d.Grants) > 0 {
-		put(assignKind, MustMarshal(&d))
+		add(assignKind, MustMarshal(&d))
 	}
 	return out
 }
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -19,8 +19,8 @@
 	spareMaxSilence       = 5 * time.Second         // within which a spare must have been heard
 	handOverRetryInterval = 150 * time.Millisecond  // between two attempts to hand over
 	handOverTimeout       = 1500 * time.Millisecond // timeout of one attempt
-	// rebalanceDelay is the age from which a record's voters may be rebalanced over the zones: more than a
-	// process takes to restart.
+	// rebalanceDelay is the age from which a record's voters may be rebalanced over the zones: more
+	// than a process takes to restart.
 	rebalanceDelay = 10 * time.Second
 )
 
@@ -32,9 +32,9 @@
 func (l *leader) reconcileMembership(ctx context.Context) error {
 	now := l.core.options.Host.Clock.Now()
 	l.core.directory.SetMembers(l.members())
-	all := l.core.spareReplicas(l.record)
+	spares := l.core.spareReplicas(l.record)
 	for _, s := range l.record.Voters {
-		if spare, ok := l.replacementFor(s, all, now); ok {
+		if spare, ok := l.replacementFor(s, spares, now); ok {
 			return l.changeMembership(ctx, ballotOptions{
 				leadingEpoch: l.record.Epoch,
 				removed:      s.Disk,
@@ -42,7 +42,7 @@
 			}, "replacing voter")
 		}
 	}
-	if out, in, ok := l.zoneImbalance(all, now); ok {
+	if out, in, ok := l.zoneImbalance(spares, now); ok {
 		return l.changeMembership(ctx, ballotOptions{
 			leadingEpoch: l.record.Epoch,
 			removed:      out.Disk,
@@ -55,12 +55,12 @@
 // zoneImbalance returns a voter to replace, and as its replacement a spare in a zone that has at
 // least two voters fewer, so that the loss of a zone takes as few voters as possible. It requires
 // that all voters are heard and that the record is older than rebalanceDelay.
-func (l *leader) zoneImbalance(all []Replica, now ids.Tick) (out, in Replica, ok bool) {
-	if !now.Past(max(l.ledSince, l.membershipChangedAt), rebalanceDelay) || len(all) == 0 || !l.allHeard(now) {
+func (l *leader) zoneImbalance(spares []Replica, now ids.Tick) (out, in Replica, ok bool) {
+	if !now.Past(max(l.ledSince, l.membershipChangedAt), rebalanceDelay) || len(spares) == 0 || !l.allHeard(now) {
 		return Replica{}, Replica{}, false
 	}
 	perZone := countByZone(l.record.Voters, "")
-	in = inSmallestZone(all, perZone)
+	in = inSmallestZone(spares, perZone)
 	for _, s := range l.record.Voters {
 		better := perZone[in.Zone]+2 <= perZone[s.Zone]
 		if better && s.Disk != l.core.self.Disk && (out.Disk == "" || l.record.backupRank(out.Disk) >= 0) {
@@ -83,8 +83,8 @@
 
 // inSmallestZone returns the spare whose zone has the fewest voters; of several, the one with the
 // lowest disk id.
-func inSmallestZone(all []Replica, perZone map[ids.Zone]int) Replica {
-	return slices.MinFunc(all, func(a, b Replica) int {
+func inSmallestZone(spares []Replica, perZone map[ids.Zone]int) Replica {
+	return slices.MinFunc(spares, func(a, b Replica) int {
 		return cmp.Or(cmp.Compare(perZone[a.Zone], perZone[b.Zone]), cmp.Compare(a.Disk, b.Disk))
 	})
 }
@@ -130,7 +130,7 @@
 // replacementFor returns the spare that replaces a voter that is considered lost. A spare at the
 // voter's own address replaces it after ElectionTimeout, since the previous disk there will not come
 // back; any other spare replaces it after ReplaceAfter.
-func (l *leader) replacementFor(s Replica, all []Replica, now ids.Tick) (Replica, bool) {
+func (l *leader) replacementFor(s Replica, spares []Replica, now ids.Tick) (Replica, bool) {
 	c := l.core
 	c.registerMu.Lock()
 	at := max(c.lastHeard[s.Disk], l.ledSince)
@@ -139,15 +139,15 @@
 		return Replica{}, false
 	}
 	addr := c.directory.Addr(s)
-	for i := range all {
-		if all[i].Addr == addr {
-			return all[i], true
+	for i := range spares {
+		if spares[i].Addr == addr {
+			return spares[i], true
 		}
 	}
-	if len(all) == 0 || !now.Past(at, c.options.ReplaceAfter) {
+	if len(spares) == 0 || !now.Past(at, c.options.ReplaceAfter) {
 		return Replica{}, false
 	}
-	return inSmallestZone(all, countByZone(l.record.Voters, s.Disk)), true
+	return inSmallestZone(spares, countByZone(l.record.Voters, s.Disk)), true
 }
 
 // Leave hands over this core's roles, so that it can shut down: leadership to an up-to-date backup,
@@ -236,16 +236,16 @@
 	return nil
 }
 
-// releaseReplica removes a replica that is shutting down from the record: a spare, if there is one, becomes
-// a voter in its place, and another voter becomes a backup in its place.
+// releaseReplica removes a replica that is shutting down from the record: a spare, if there is one,
+// becomes a voter in its place, and another voter becomes a backup in its place.
 func (l *leader) releaseReplica(ctx context.Context, op *operation, leaver Replica) error {
 	c := l.core
 	if !containsDisk(l.record.Voters, leaver.Disk) || leaver.Disk == c.self.Disk {
 		return nil
 	}
 	p := ballotOptions{leadingEpoch: l.record.Epoch, notBackup: leaver.Disk}
-	if all := c.spareReplicas(l.record); len(all) > 0 {
-		p.removed, p.added = leaver.Disk, inSmallestZone(all, countByZone(l.record.Voters, leaver.Disk))
+	if spares := c.spareReplicas(l.record); len(spares) > 0 {
+		p.removed, p.added = leaver.Disk, inSmallestZone(spares, countByZone(l.record.Voters, leaver.Disk))
 	} else if l.record.backupRank(leaver.Disk) < 0 {
 		return nil
 	}
--- a/coordination/reachability.go
+++ b/coordination/reachability.go
@@ -24,8 +24,8 @@
 
 // Reachability is what an agent knows of its connection to the primary.
 type Reachability struct {
-	// ReachableSince is when the first probe of the current run of accepted probes was sent; 0 if the last probe
-	// failed or there was none.
+	// ReachableSince is when the first probe of the current run of accepted probes was sent; 0 if the
+	// last probe failed or there was none.
 	ReachableSince ids.Tick
 	// Unreachable is set if the last probe was not accepted although this process was not starved.
 	Unreachable bool
--- a/coordination/statemachine_test.go
+++ b/coordination/statemachine_test.go
@@ -446,9 +446,7 @@
 }
 
 // isPrefix reports whether a comma-separated list of values begins with another.
-func isPrefix(prefix, list string) bool {
-	return strings.HasPrefix(list+",", prefix+",") || prefix == ""
-}
+func isPrefix(begin, list string) bool { return strings.HasPrefix(list+",", begin+",") || begin == "" }
 
 // run runs a step, with one chance in three that the process is killed during it and restarted.
 func (m *storeModel) run(t *rapid.T, step func() error) {
