--- a/internal/proxy/decode_exchange.go
+++ b/internal/proxy/decode_exchange.go
@@ -83,7 +83,7 @@
 	}
 	times := t.node.timesOf(t.service.Name)
 	g.times, g.heardAt = times, t.node.now()
-	g.probeTimer = time.AfterFunc(times.firstEvent.Suspicious(alarmQuietPeriod), func() { t.node.suspect(*c.worker) })
+	g.probeTimer = time.AfterFunc(times.firstEvent.Suspicious(healthCheckSilence), func() { t.node.suspect(*c.worker) })
 	reply, err := t.node.options.Backend.Emit(
 		callContext, *c.worker, c.request, source, t.lastEventID, t.remaining(), c.urgency,
 	)
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	listTimeout     = 500 * time.Millisecond  // for the holder's answer
-	listMaxAge      = 1500 * time.Millisecond // then what the holder has is not fresh
-	prefillLoadTTL  = 500 * time.Millisecond  // how long another node's word of its readings counts
-	maxListLatency  = 1500 * time.Millisecond // by which a slow platform may make a list older
-	startRetry      = 50 * time.Millisecond   // until a holder is known
-	maxListWait     = time.Second             // that an answer waits for a change
-	maxPrefillLoads = 256                     // workers whose readings are told at once
+	listTimeout        = 500 * time.Millisecond  // for the holder's answer
+	listMaxAge         = 1500 * time.Millisecond // then what the holder has is not fresh
+	prefillLoadTTL     = 500 * time.Millisecond  // how long another node's word of its readings counts
+	maxListLatency     = 1500 * time.Millisecond // by which a slow platform may make a list older
+	startRetryInterval = 50 * time.Millisecond   // until a holder is known
+	maxListWait        = time.Second             // that an answer waits for a change
+	maxPrefillLoads    = 256                     // workers whose readings are told at once
 )
 
 // maintainEndpoints keeps the list fresh. While it cannot be had, the last one is kept.
 func (n *Node) maintainEndpoints(ctx context.Context) {
-	f := &listFollower{node: n, failed: map[ids.NodeID]ids.Tick{}}
+	f := &listFollower{node: n, failedAt: map[ids.NodeID]ids.Tick{}}
 	for ctx.Err() == nil {
 		wait := n.options.ListInterval
 		owner, _, ok := n.agent.KeyOwner(fleetstate.WorkerListKey)
@@ -35,22 +35,22 @@
 		case ok && owner.Node == n.self.Node:
 			n.parentSums.Store(nil)
 		case !ok && n.snapshot().Version == 0: // nothing can be served yet, and many nodes may start together
-			host.Sleep(ctx, startRetry)
+			host.Sleep(ctx, startRetryInterval)
 			continue
 		default:
 			sources := n.treeShape().sourcesOf(n.self, owner, n.agent.Members())
-			if f.follow(ctx, &sources) || !f.mayAsk(ctx, &sources) {
+			if f.follow(ctx, &sources) || !f.mayQueryPlatform(ctx, &sources) {
 				continue
 			}
 			wait = f.retryDelay(&sources)
 		}
-		n.askPlatform(ctx)
+		n.fetchList(ctx)
 		n.waitAsOwner(ctx, wait*4/5+rand.N(wait*2/5))
 	}
 }
 
-// askPlatform has the list from the platform itself.
-func (n *Node) askPlatform(ctx context.Context) {
+// fetchList has the list from the platform itself.
+func (n *Node) fetchList(ctx context.Context) {
 	asked := n.now()
 	list, err := n.options.Backend.List(ctx)
 	switch {
@@ -107,7 +107,7 @@
 
 // peerReport is what a node said last of its readings, and of those below it.
 type peerReport struct {
-	at              ids.Tick
+	receivedAt      ids.Tick
 	prefills        []PrefillLoad
 	outcomes        []Outcomes // its own
 	subtreeOutcomes []Outcomes // weighed
@@ -116,14 +116,14 @@
 // parentSums is what this node heard last, from whom it has the list, of all nodes that are not
 // below itself.
 type parentSums struct {
-	at       ids.Tick
-	prefills []PrefillLoad
-	outcomes []Outcomes
+	receivedAt ids.Tick
+	prefills   []PrefillLoad
+	outcomes   []Outcomes
 }
 
 // currentParentSums gives that while it counts.
 func (n *Node) currentParentSums(now ids.Tick) *parentSums {
-	if a := n.parentSums.Load(); a != nil && !now.Past(a.at, 2*prefillLoadTTL) {
+	if a := n.parentSums.Load(); a != nil && !now.Past(a.receivedAt, 2*prefillLoadTTL) {
 		return a
 	}
 	return &parentSums{}
@@ -138,7 +138,7 @@
 	list := n.endpoints.Load()
 	if list.version == request.Version {
 		n.heard(request.Loads, list.workers)
-		if now.Since(list.requestedAt) < listMaxAge && waitFor(ctx, changed, time.Duration(request.MaxWait)) {
+		if now.Since(list.requestedAt) < listMaxAge && waitForChange(ctx, changed, time.Duration(request.MaxWait)) {
 			out := n.listSince(request)
 			out.Early, out.LoadSeq = true, request.LoadSeq
 			return out, nil
@@ -153,8 +153,8 @@
 	return out, nil
 }
 
-// waitFor waits for a span at most; true if what it waits for came.
-func waitFor(ctx context.Context, changed <-chan struct{}, duration time.Duration) bool {
+// waitForChange waits for a span at most; true if what it waits for came.
+func waitForChange(ctx context.Context, changed <-chan struct{}, duration time.Duration) bool {
 	if duration <= 0 {
 		return false
 	}
@@ -226,9 +226,9 @@
 	}
 	n.peerReports.Range(func(k, v any) bool {
 		switch t := v.(peerReport); {
-		case now.Past(t.at, 4*prefillLoadTTL):
+		case now.Past(t.receivedAt, 4*prefillLoadTTL):
 			n.peerReports.Delete(k)
-		case k.(ids.NodeID) != but && !now.Past(t.at, 2*prefillLoadTTL):
+		case k.(ids.NodeID) != but && !now.Past(t.receivedAt, 2*prefillLoadTTL):
 			add(t.prefills)
 		}
 		return true
@@ -247,10 +247,12 @@
 }
 
 // installList puts a list into force that the platform gave.
-func (n *Node) installList(list []Worker, asked, got ids.Tick) { n.adopt(list, 0, asked, got) }
+func (n *Node) installList(list []Worker, asked, got ids.Tick) {
+	n.installListVersion(list, 0, asked, got)
+}
 
-// adopt puts a list into force, of a version if another node gave it one.
-func (n *Node) adopt(list []Worker, version uint64, asked, got ids.Tick) {
+// installListVersion puts a list into force, of a version if another node gave it one.
+func (n *Node) installListVersion(list []Worker, version uint64, asked, got ids.Tick) {
 	previous := n.endpoints.Load()
 	next := previous.next(list, version, asked, got)
 	if next.seq != previous.seq {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -68,7 +68,7 @@
 	n.counts.Requests.Add(1)
 	n.inflight.Add(1)
 	defer n.inflight.Add(-1)
-	behind := n.behind()
+	behind := n.versionStale()
 	s := n.snapshot()
 	switch {
 	case s.Version == 0:
--- a/internal/proxy/fault_notice.go
+++ b/internal/proxy/fault_notice.go
@@ -27,7 +27,7 @@
 	healthCheckTimeout  = 250 * time.Millisecond // for a report
 	healthCheckInterval = 400 * time.Millisecond // between two askings of a worker that is down
 	watchDuration       = 30 * time.Second       // then requests decide anew
-	alarmQuietPeriod    = 300 * time.Millisecond // silence after which a worker is asked for its report
+	healthCheckSilence  = 300 * time.Millisecond // silence after which a worker is asked for its report
 	noticeFanout        = 6                      // peers that a node passes a warning to
 	noticeAttempts      = 2 * noticeFanout       // peers that it tries for that
 	noticeTimeout       = 500 * time.Millisecond // for a peer to take it
@@ -73,7 +73,7 @@
 	st.setSuspected(true)
 	go func() {
 		defer st.watched.Store(false)
-		defer st.clearAvoid()
+		defer st.clearDown()
 		defer st.setSuspected(false)
 		n.watchWorker(w, st)
 	}()
@@ -122,8 +122,8 @@
 	s.suspected = on
 }
 
-// clearAvoid ends the knowledge that a worker is down.
-func (s *workerState) clearAvoid() {
+// clearDown ends the knowledge that a worker is down.
+func (s *workerState) clearDown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = false
@@ -173,8 +173,8 @@
 	return out
 }
 
-// hear takes a peer's warning.
-func (n *Node) hear(_ context.Context, a *FaultNotice) (*Ack, error) {
+// handleFaultNotice takes a peer's warning.
+func (n *Node) handleFaultNotice(_ context.Context, a *FaultNotice) (*Ack, error) {
 	if w := n.endpoints.Load().find(a.Worker); w != nil {
 		n.suspect(*w)
 	}
--- a/internal/proxy/fault_notice_test.go
+++ b/internal/proxy/fault_notice_test.go
@@ -295,7 +295,7 @@
 		}
 		before := asked()
 		for _, b := range f.nodes[:2] {
-			_, err := b.hear(t.Context(), &FaultNotice{"svc-decode-0.1"})
+			_, err := b.handleFaultNotice(t.Context(), &FaultNotice{"svc-decode-0.1"})
 			require.NoError(t, err)
 		}
 		time.Sleep(10 * time.Second)
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -17,20 +17,20 @@
 // listFollower is what a node keeps of those that it hears the list from.
 type listFollower struct {
 	node        *Node
-	failed      map[ids.NodeID]ids.Tick // when a source last gave no answer
-	from        ids.NodeID
-	since       ids.Tick // from when on that is so
-	known       bool     // it answered the last time
+	failedAt    map[ids.NodeID]ids.Tick // when a source last gave no answer
+	source      ids.NodeID
+	sourceSince ids.Tick // from when on that is so
+	answered    bool     // it answered the last time
 	flat        bool     // all nodes ask the holder
 	loadSeq     uint64   // by the numbers of that source: up to where it told how workers stand
 	reportedSeq uint64   // by this node's own: up to where that source was told
 }
 
-// listAnswer is what came of asking a source.
-type listAnswer int
+// listResult is what came of asking a source.
+type listResult int
 
 const (
-	listFresh listAnswer = iota
+	listFresh listResult = iota
 	listStale
 	listNone // it has had none yet
 	listFailed
@@ -44,11 +44,11 @@
 		if f.hasFailed(parent.Node) && !s.flat() {
 			continue
 		}
-		switch f.ask(ctx, parent, s.freshFor(i)) {
+		switch f.query(ctx, parent, s.freshFor(i)) {
 		case listFresh:
 			return true
 		case listNone:
-			if f.node.now().Past(f.since, listMaxAge) {
+			if f.node.now().Past(f.sourceSince, listMaxAge) {
 				continue
 			}
 			host.Sleep(ctx, f.node.options.ShareInterval/2) // its first one is under way
@@ -89,7 +89,7 @@
 	}
 	wg.Wait()
 	for _, node := range silent {
-		f.failed[node] = f.node.now()
+		f.failedAt[node] = f.node.now()
 	}
 }
 
@@ -113,15 +113,15 @@
 	return out
 }
 
-// mayAsk tells, where no source has a fresh list, whether this node asks the platform: if it
+// mayQueryPlatform tells, where no source has a fresh list, whether this node asks the platform: if it
 // is the first of its zone that answers, or if its list is very old. Otherwise the first one
 // is asked.
-func (f *listFollower) mayAsk(ctx context.Context, s *listSources) bool {
-	if s.flat() || f.actsForOwner(s) {
+func (f *listFollower) mayQueryPlatform(ctx context.Context, s *listSources) bool {
+	if s.flat() || f.isActingOwner(s) {
 		return true
 	}
 	first, _ := s.actingOwner(f.hasFailed)
-	switch f.ask(ctx, first, listMaxAge) {
+	switch f.query(ctx, first, listMaxAge) {
 	case listFresh:
 		return false
 	case listFailed:
@@ -130,7 +130,7 @@
 	}
 	if !f.node.now().Past(
 		f.node.endpoints.Load().requestedAt, listLostAge,
-	) || !f.node.now().Past(f.since, listLostAge) {
+	) || !f.node.now().Past(f.sourceSince, listLostAge) {
 		host.Sleep(ctx, f.node.options.ShareInterval/2)
 		return false
 	}
@@ -138,8 +138,8 @@
 	return true
 }
 
-// actsForOwner tells whether this node asks the platform in the holder's stead.
-func (f *listFollower) actsForOwner(s *listSources) bool {
+// isActingOwner tells whether this node asks the platform in the holder's stead.
+func (f *listFollower) isActingOwner(s *listSources) bool {
 	first, ok := s.actingOwner(f.hasFailed)
 	return !ok || first.Node == f.node.self.Node
 }
@@ -147,7 +147,7 @@
 // retryDelay is the time between two askings of the platform by one that is not the holder.
 func (f *listFollower) retryDelay(s *listSources) time.Duration {
 	share := f.node.share()
-	if !s.flat() && f.actsForOwner(s) {
+	if !s.flat() && f.isActingOwner(s) {
 		share = 1 / float64(max(1, s.zones))
 	}
 	return listInterval(f.node.options.ListInterval, f.node.options.ListRate, share)
@@ -155,35 +155,35 @@
 
 // hasFailed tells whether a source gave no answer of late.
 func (f *listFollower) hasFailed(node ids.NodeID) bool {
-	at, ok := f.failed[node]
+	at, ok := f.failedAt[node]
 	if ok && f.node.now().Past(at, sourceFailureTTL) {
-		delete(f.failed, node)
+		delete(f.failedAt, node)
 		return false
 	}
 	return ok
 }
 
-// ask asks one source, whose list may be so old, and waits until the next asking is due.
-func (f *listFollower) ask(ctx context.Context, m coordination.Member, freshFor time.Duration) listAnswer {
+// query asks one source, whose list may be so old, and waits until the next asking is due.
+func (f *listFollower) query(ctx context.Context, m coordination.Member, freshFor time.Duration) listResult {
 	n := f.node
-	if m.Node != f.from {
-		f.from, f.since, f.known, f.loadSeq, f.reportedSeq = m.Node, n.now(), false, 0, 0
+	if m.Node != f.source {
+		f.source, f.sourceSince, f.answered, f.loadSeq, f.reportedSeq = m.Node, n.now(), false, 0, 0
 	}
 	began := n.now()
 	duration := n.options.ShareInterval*4/5 + rand.N(n.options.ShareInterval*2/5)
 	maxWait := duration
 	// A source that may be gone shows it sooner by an answer at once. In a small fleet changes
 	// are few, and readings that come at once are worth more than changes that do.
-	if !f.known || f.flat {
+	if !f.answered || f.flat {
 		maxWait = 0
 	}
 	r, err := f.call(ctx, m.Addr, maxWait)
-	f.known = err == nil && (r.Node == m.Node || r.Node == "")
-	if !f.known {
-		f.failed[m.Node] = n.now()
+	f.answered = err == nil && (r.Node == m.Node || r.Node == "")
+	if !f.answered {
+		f.failedAt[m.Node] = n.now()
 		return listFailed
 	}
-	delete(f.failed, m.Node)
+	delete(f.failedAt, m.Node)
 	if r.Version == 0 {
 		return listNone
 	}
@@ -236,11 +236,11 @@
 		fresh.requestedAt = at
 		n.endpoints.Store(&fresh)
 	} else {
-		list = workersOf(r.Rows)
+		list = workersFromRows(r.Rows)
 		if r.Delta {
 			list = applyDelta(reduceSlowStart(previous.workers, now.Since(previous.receivedAt)), list, r.Removed)
 		}
-		n.adopt(list, r.Version, at, now)
+		n.installListVersion(list, r.Version, at, now)
 	}
 	f.loadSeq = r.LoadSeq
 	if r.Early {
@@ -257,8 +257,8 @@
 	n.heard(r.Loads, list)
 }
 
-// workersOf makes workers of rows, in their order, by which reports name them.
-func workersOf(rows []WorkerRow) []Worker {
+// workersFromRows makes workers of rows, in their order, by which reports name them.
+func workersFromRows(rows []WorkerRow) []Worker {
 	list := make([]Worker, len(rows))
 	for i, w := range rows {
 		list[i] = Worker{w.ID, w.Service, w.Addr, w.Zone, w.Role, w.Concurrency, w.Leaving, time.Duration(w.SlowStart)}
--- a/internal/proxy/list_tree.go
+++ b/internal/proxy/list_tree.go
@@ -29,8 +29,8 @@
 // in a larger fleet. The direct ones ask the holder there too, since they have the reports of
 // the workers, which all want to hear.
 type treeShape struct {
-	flat, width int
-	direct      map[ids.NodeID]bool
+	maxFlatNodes, width int
+	direct              map[ids.NodeID]bool
 }
 
 // listSources are those that a node may hear the list from.
@@ -43,21 +43,21 @@
 
 // sourcesOf gives a node's sources under a holder, or while there is none.
 func (t treeShape) sourcesOf(me, owner coordination.Member, members []coordination.Member) listSources {
-	if len(members) <= t.flat && owner.Node == "" {
+	if len(members) <= t.maxFlatNodes && owner.Node == "" {
 		return listSources{}
 	}
-	if len(members) <= t.flat {
+	if len(members) <= t.maxFlatNodes {
 		return listSources{parents: []coordination.Member{owner}}
 	}
 	tree := zoneTree(me.Zone, owner, members)
-	if indexIn(tree, me.Node) < 0 { // it is not a member yet, or not any more
+	if memberIndex(tree, me.Node) < 0 { // it is not a member yet, or not any more
 		tree = append(tree, me)
 	}
 	out := listSources{zone: tree, zones: len(zoneSet(members))}
 	if tree[0].Node == owner.Node {
 		out.zone = tree[1:]
 	}
-	for at := indexIn(tree, me.Node); at > 0 && !t.direct[me.Node]; {
+	for at := memberIndex(tree, me.Node); at > 0 && !t.direct[me.Node]; {
 		at = (at - 1) / t.width
 		out.parents = append(out.parents, tree[at])
 	}
@@ -91,19 +91,19 @@
 	return zones
 }
 
-func indexIn(tree []coordination.Member, node ids.NodeID) int {
+func memberIndex(tree []coordination.Member, node ids.NodeID) int {
 	return slices.IndexFunc(tree, func(m coordination.Member) bool { return m.Node == node })
 }
 
-// tellersTo tells whose words of outcomes count at a node. Each node has one such place, so
+// outcomeReporters tells whose words of outcomes count at a node. Each node has one such place, so
 // that no word counts twice while a node asks several.
-func (t treeShape) tellersTo(me, owner coordination.Member, members []coordination.Member) func(ids.NodeID) bool {
-	if len(members) <= t.flat {
+func (t treeShape) outcomeReporters(me, owner coordination.Member, members []coordination.Member) func(ids.NodeID) bool {
+	if len(members) <= t.maxFlatNodes {
 		return func(ids.NodeID) bool { return me.Node == owner.Node }
 	}
 	children := map[ids.NodeID]bool{}
 	tree := zoneTree(me.Zone, owner, members)
-	if at := indexIn(tree, me.Node); at >= 0 {
+	if at := memberIndex(tree, me.Node); at >= 0 {
 		first := at*t.width + 1
 		for i := first; i < min(first+t.width, len(tree)); i++ {
 			children[tree[i].Node] = !t.direct[tree[i].Node]
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -32,7 +32,7 @@
 // holder in few steps, one node of each other zone crosses to the holder's, and each node's
 // word of outcomes counts at its own parent and nowhere else.
 func TestListTree(t *testing.T) {
-	shape := treeShape{flat: 96, width: 12, direct: map[ids.NodeID]bool{"node-040": true, "node-041": true}}
+	shape := treeShape{maxFlatNodes: 96, width: 12, direct: map[ids.NodeID]bool{"node-040": true, "node-041": true}}
 	for _, size := range []int{97, 300, 651} {
 		members := manyMembers(size)
 		owner := members[5]
@@ -63,7 +63,7 @@
 			require.LessOrEqual(t, count, limit)
 		}
 		for _, m := range members {
-			counts := shape.tellersTo(m, owner, members)
+			counts := shape.outcomeReporters(m, owner, members)
 			for _, other := range members {
 				require.Equal(t, parent[other.Node] == m.Node && other.Node != owner.Node, counts(other.Node))
 			}
@@ -74,7 +74,7 @@
 // TestListTreeStranger: a node that is no member, even the only one of its zone, has a way.
 func TestListTreeStranger(t *testing.T) {
 	members := manyMembers(120)
-	shape := treeShape{flat: 96, width: 12}
+	shape := treeShape{maxFlatNodes: 96, width: 12}
 	for _, zone := range []ids.Zone{"z1", "elsewhere"} {
 		s := shape.sourcesOf(coordination.Member{Node: "new", Zone: zone}, members[5], members)
 		require.Equal(t, members[5].Node, s.parents[len(s.parents)-1].Node)
@@ -182,7 +182,7 @@
 	for i := range 1000 {
 		rows = append(rows, PrefillLoad{list[i].ID, 1000 + i, 1})
 	}
-	n.peerReports.Store(ids.NodeID("other"), peerReport{at: n.now(), prefills: rows})
+	n.peerReports.Store(ids.NodeID("other"), peerReport{receivedAt: n.now(), prefills: rows})
 	reads := len(coordination.MustMarshal(&ListResponse{Prefills: n.prefillsWithout("none", true)}))
 	t.Logf("whole %d, delta %d, readings %d bytes", complete, delta, reads)
 	require.Less(t, delta, 400)
--- a/internal/proxy/list_version.go
+++ b/internal/proxy/list_version.go
@@ -179,14 +179,14 @@
 	return out
 }
 
-// signal wakes all who wait for the next version of the list.
-type signal struct {
+// changeSignal wakes all who wait for the next version of the list.
+type changeSignal struct {
 	mu      sync.Mutex
 	changed chan struct{}
 }
 
 // next is closed when the next version comes.
-func (s *signal) next() <-chan struct{} {
+func (s *changeSignal) next() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.changed == nil {
@@ -195,7 +195,7 @@
 	return s.changed
 }
 
-func (s *signal) notify() {
+func (s *changeSignal) notify() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.changed != nil {
--- a/internal/proxy/messages.go
+++ b/internal/proxy/messages.go
@@ -128,11 +128,11 @@
 // the window in which the node started; Own is the time by its own clock, and Now its estimate
 // of the time, both in nanoseconds since 1970.
 type UsageRequest struct {
-	Node  ids.NodeID
-	Since uint64
-	Own   int64
-	Now   int64
-	Rows  []UsageRow
+	Node          ids.NodeID
+	StartWindow   uint64 `msg:"Since"`
+	OwnTime       int64  `msg:"Own"`
+	EstimatedTime int64  `msg:"Now"`
+	Rows          []UsageRow
 }
 
 // UsageResponse tells the time by the middle of all nodes' clocks.
--- a/internal/proxy/messages_gen.go
+++ b/internal/proxy/messages_gen.go
@@ -1140,13 +1140,13 @@
 	o = msgp.AppendString(o, string(z.Node))
 	// string "Since"
 	o = append(o, 0xa5, 0x53, 0x69, 0x6e, 0x63, 0x65)
-	o = msgp.AppendUint64(o, z.Since)
+	o = msgp.AppendUint64(o, z.StartWindow)
 	// string "Own"
 	o = append(o, 0xa3, 0x4f, 0x77, 0x6e)
-	o = msgp.AppendInt64(o, z.Own)
+	o = msgp.AppendInt64(o, z.OwnTime)
 	// string "Now"
 	o = append(o, 0xa3, 0x4e, 0x6f, 0x77)
-	o = msgp.AppendInt64(o, z.Now)
+	o = msgp.AppendInt64(o, z.EstimatedTime)
 	// string "Rows"
 	o = append(o, 0xa4, 0x52, 0x6f, 0x77, 0x73)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Rows)))
@@ -1189,21 +1189,21 @@
 				z.Node = ids.NodeID(zb0002)
 			}
 		case "Since":
-			z.Since, bts, err = msgp.ReadUint64Bytes(bts)
+			z.StartWindow, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Since")
+				err = msgp.WrapError(err, "StartWindow")
 				return
 			}
 		case "Own":
-			z.Own, bts, err = msgp.ReadInt64Bytes(bts)
+			z.OwnTime, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Own")
+				err = msgp.WrapError(err, "OwnTime")
 				return
 			}
 		case "Now":
-			z.Now, bts, err = msgp.ReadInt64Bytes(bts)
+			z.EstimatedTime, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Now")
+				err = msgp.WrapError(err, "EstimatedTime")
 				return
 			}
 		case "Rows":
--- a/internal/proxy/metering.go
+++ b/internal/proxy/metering.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	usageInterval     = time.Second            // between two tellings of a node
-	usagePerNode      = 10 * time.Millisecond  // of the interval, at least, in a large fleet
-	usageTimeout      = 600 * time.Millisecond // for the holder to take them
-	maxClockRoundTrip = 300 * time.Millisecond // an answer that took longer does not set the clock
-	meteringTick      = 250 * time.Millisecond
-	windowSettles     = 500 * time.Millisecond // after its end, before a window is added up
-	windowMaxWait     = 3 * time.Second        // after its end, for nodes that have not told theirs
-	meteringSubject   = "metering"
+	usageInterval        = time.Second            // between two tellings of a node
+	usageIntervalPerNode = 10 * time.Millisecond  // of the interval, at least, in a large fleet
+	usageTimeout         = 600 * time.Millisecond // for the holder to take them
+	maxClockRoundTrip    = 300 * time.Millisecond // an answer that took longer does not set the clock
+	meteringTick         = 250 * time.Millisecond
+	windowSettleDelay    = 500 * time.Millisecond // after its end, before a window is added up
+	windowMaxWait        = 3 * time.Second        // after its end, for nodes that have not told theirs
+	meteringSubject      = "metering"
 )
 
 // UsageReporter reports the usage of a window to the platform, on a connection of its own that is
@@ -39,12 +39,12 @@
 }
 
 type usageMeter struct {
-	windows   metering.Windows
-	clock     *metering.Clock
-	ledger    *metering.Ledger
-	collector *metering.Collector
-	since     uint64
-	heardBy   ids.Fence // the tenure of the holder that the ledger goes with
+	windows        metering.Windows
+	clock          *metering.Clock
+	ledger         *metering.Ledger
+	collector      *metering.Collector
+	startWindow    uint64
+	collectorFence ids.Fence // the tenure of the holder that the ledger goes with
 }
 
 func newUsageMeter(options *Options) *usageMeter {
@@ -54,30 +54,30 @@
 	clock := metering.NewClock(options.Host.Clock)
 	windows := metering.Windows(options.UsageWindow)
 	return &usageMeter{
-		windows:   windows,
-		clock:     clock,
-		ledger:    metering.NewLedger(),
-		collector: metering.NewCollector(clock),
-		since:     windows.At(clock.Now()),
+		windows:     windows,
+		clock:       clock,
+		ledger:      metering.NewLedger(),
+		collector:   metering.NewCollector(clock),
+		startWindow: windows.At(clock.Now()),
 	}
 }
 
-// countBegun counts the request as begun, when the first of its answer is seen.
-func (t *exchange) countBegun() {
+// countStarted counts the request as begun, when the first of its answer is seen.
+func (t *exchange) countStarted() {
 	if meter := t.node.usage; meter != nil && t.tenant != nil && !t.begunCounted {
 		t.begunCounted = true
 		meter.ledger.Add(meter.windows.At(meter.clock.Now()), t.tenant.Name)
 	}
 }
 
-// tellUsage tells the holder of the duty what this node has counted.
-func (n *Node) tellUsage(ctx context.Context) {
+// sendUsage tells the holder of the duty what this node has counted.
+func (n *Node) sendUsage(ctx context.Context) {
 	meter := n.usage
 	if meter == nil {
 		return
 	}
 	for {
-		interval := max(usageInterval, usagePerNode*time.Duration(len(n.agent.Members())))
+		interval := max(usageInterval, usageIntervalPerNode*time.Duration(len(n.agent.Members())))
 		if !host.Sleep(ctx, interval*4/5+rand.N(interval*2/5)) {
 			return
 		}
@@ -85,41 +85,41 @@
 		meter.ledger.Prune(current)
 		meter.collector.Prune(current)
 		if to, fence, ok := n.agent.KeyOwner(fleetstate.MeteringKey); ok {
-			if meter.heardBy != fence {
-				meter.heardBy = fence
+			if meter.collectorFence != fence {
+				meter.collectorFence = fence
 				meter.ledger.NewCollector()
 			}
-			meter.tell(ctx, n, to)
+			meter.send(ctx, n, to)
 		}
 	}
 }
 
-func (m *usageMeter) request(node ids.NodeID, rows []metering.Row) *UsageRequest {
-	request := &UsageRequest{Node: node, Since: m.since, Now: m.clock.Now(), Own: m.clock.Own()}
+func (m *usageMeter) newRequest(node ids.NodeID, rows []metering.Row) *UsageRequest {
+	request := &UsageRequest{Node: node, StartWindow: m.startWindow, EstimatedTime: m.clock.Now(), OwnTime: m.clock.Own()}
 	for _, r := range rows {
 		request.Rows = append(request.Rows, UsageRow(r))
 	}
 	return request
 }
 
-func (m *usageMeter) tell(ctx context.Context, n *Node, to coordination.Member) {
+func (m *usageMeter) send(ctx context.Context, n *Node, to coordination.Member) {
 	rows := m.ledger.Unheard()
-	request := m.request(n.self.Node, rows)
+	request := m.newRequest(n.self.Node, rows)
 	if to.Node == n.self.Node {
 		r, err := n.takeUsage(ctx, request)
-		m.heard(rows, r, request.Own, err)
-		m.tellSuccessor(ctx, n)
+		m.handleResponse(rows, r, request.OwnTime, err)
+		m.sendToSuccessor(ctx, n)
 		return
 	}
 	callContext, stop := context.WithTimeout(ctx, usageTimeout)
 	defer stop()
 	r, err := rpc.Call[UsageRequest, UsageResponse](callContext, n.agent.Caller(), to.Addr, usageMethod, request)
-	m.heard(rows, r, request.Own, err)
+	m.handleResponse(rows, r, request.OwnTime, err)
 }
 
-// tellSuccessor tells the node to which the duty falls if this one, its holder, ends: else this
+// sendToSuccessor tells the node to which the duty falls if this one, its holder, ends: else this
 // node's own counts would end with it.
-func (m *usageMeter) tellSuccessor(ctx context.Context, n *Node) {
+func (m *usageMeter) sendToSuccessor(ctx context.Context, n *Node) {
 	others := slices.DeleteFunc(slices.Clone(n.agent.Members()), func(member coordination.Member) bool {
 		return member.Node == n.self.Node
 	})
@@ -131,12 +131,12 @@
 	}
 	callContext, stop := context.WithTimeout(ctx, usageTimeout)
 	defer stop()
-	request := m.request(n.self.Node, m.ledger.All())
+	request := m.newRequest(n.self.Node, m.ledger.All())
 	rpc.Call[UsageRequest, UsageResponse](callContext, n.agent.Caller(), others[at].Addr, usageMethod, request)
 }
 
-// heard takes the holder's answer: the rows need not be told again, and the clock is set.
-func (m *usageMeter) heard(rows []metering.Row, r *UsageResponse, asked int64, err error) {
+// handleResponse takes the holder's answer: the rows need not be told again, and the clock is set.
+func (m *usageMeter) handleResponse(rows []metering.Row, r *UsageResponse, asked int64, err error) {
 	if err != nil {
 		return
 	}
@@ -155,7 +155,7 @@
 	if n.usage == nil || !owned && !(known && holder.Node == request.Node) {
 		return nil, failure.New(failure.Unavailable, "take usage", string(request.Node), "the duty is not held here")
 	}
-	told := &metering.Told{Node: request.Node, Since: request.Since, Own: request.Own, Now: request.Now}
+	told := &metering.Told{Node: request.Node, Since: request.StartWindow, Own: request.OwnTime, Now: request.EstimatedTime}
 	for _, r := range request.Rows {
 		told.Rows = append(told.Rows, metering.Row(r))
 	}
@@ -195,7 +195,7 @@
 	}
 	for next = max(next, first); n.windowSettled(next, now); next++ {
 		content := coordination.MustMarshal(usageContent(meter.collector.Sum(next)))
-		err := holder.Perform(ctx, meteringSubject, next, content, n.callUsage)
+		err := holder.Perform(ctx, meteringSubject, next, content, n.performUsageReport)
 		if err == nil {
 			continue
 		}
@@ -221,7 +221,7 @@
 // were waited for long enough.
 func (n *Node) windowSettled(window uint64, now int64) bool {
 	since := time.Duration(now - n.usage.windows.End(window))
-	if since < windowSettles {
+	if since < windowSettleDelay {
 		return false
 	}
 	if since >= windowMaxWait {
@@ -239,7 +239,7 @@
 	return content
 }
 
-func (n *Node) callUsage(ctx context.Context, act *duty.Act) error {
+func (n *Node) performUsageReport(ctx context.Context, act *duty.Act) error {
 	var content UsageContent
 	if _, err := content.UnmarshalMsg(act.Content); err != nil {
 		return failure.As(err, failure.InvalidArgument, "read usage", "")
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -135,7 +135,7 @@
 	peerReports     sync.Map // ids.NodeID -> told
 	parentSums      atomic.Pointer[parentSums]
 	listLatency     atomic.Int64 // ns that the platform took for the list, or for that of who gave it
-	listChanged     signal
+	listChanged     changeSignal
 	failbacks       sync.Map // ids.Zone -> failback, of those that were evacuated
 	peerOutcomes    outcomeSums
 	outcomesChanged atomic.Bool  // an outcome is yet to be judged
@@ -214,7 +214,7 @@
 // Mount puts the node's answers to its peers on a mux.
 func (n *Node) Mount(mux *http.ServeMux) {
 	n.agent.Mount(mux)
-	rpc.Handle(mux, faultMethod, n.hear)
+	rpc.Handle(mux, faultMethod, n.handleFaultNotice)
 	rpc.Handle(mux, listMethod, n.serveList)
 	rpc.Handle(mux, usageMethod, n.takeUsage)
 	mux.Handle("GET /metrics", n.metrics.Handler())
@@ -228,7 +228,7 @@
 	inner := n.runContext
 	var wg sync.WaitGroup
 	for _, f := range []func(context.Context){
-		n.agent.Run, n.maintainEndpoints, n.watch, n.roleBalancer, n.ejector, n.tellUsage, n.reportUsage,
+		n.agent.Run, n.maintainEndpoints, n.watch, n.roleBalancer, n.ejector, n.sendUsage, n.reportUsage,
 	} {
 		wg.Go(func() { f(inner) })
 	}
@@ -287,7 +287,7 @@
 		return false, "no configuration is in force"
 	case len(n.endpoints.Load().workers) == 0:
 		return false, "no worker is listed"
-	case n.behind():
+	case n.versionStale():
 		return false, "the configuration may be out of date"
 	}
 	return true, ""
@@ -338,7 +338,7 @@
 	last := "-"
 	for host.Sleep(ctx, 100*time.Millisecond) {
 		n.isolated(n.now())
-		n.putLateInForce()
+		n.applyOverdueVersion()
 		if _, reason := n.Ready(); reason != last {
 			last = reason
 			n.options.Ring.Warn().Str("reason", reason).Bool("ready", reason == "").Msg("readiness changed")
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -29,15 +29,15 @@
 
 const (
 	operatorTimeout    = 4 * time.Second        // for the core
-	forceWait          = 2 * time.Second        // for what was taken to be in force
+	activationWait     = 2 * time.Second        // for what was taken to be in force
 	operatorRetryAfter = 500 * time.Millisecond // what an operator is told
 )
 
 // Operation ids are remembered by class: however many evacuations there are, the ids of
 // program sets are remembered for as many versions as the core promises.
 const (
-	programOps = "op/"
-	zoneOps    = "zone/"
+	programOpPrefix = "op/"
+	zoneOpPrefix    = "zone/"
 )
 
 // Apply checks and compiles a program set before anything is written; the core takes it
@@ -45,7 +45,7 @@
 func (o *Operator) Apply(ctx context.Context, a *api.ApplyRequest) (*api.ApplyResponse, error) {
 	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
-	op, name := ids.OpID(programOps+a.Op), cmp.Or(a.Name, "programs")
+	op, name := ids.OpID(programOpPrefix+a.Op), cmp.Or(a.Name, "programs")
 	text, err := fleetstate.Source(name, []byte(a.Source))
 	if err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, api.OutcomeEvent(err, operatorRetryAfter)
 	}
-	callContext, stop := context.WithTimeout(ctx, forceWait)
+	callContext, stop := context.WithTimeout(ctx, activationWait)
 	defer stop()
 	for {
 		if img, err := fleetstate.ReadState(
@@ -111,7 +111,7 @@
 	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
 	if err := fleetstate.SetEvacuated(
-		callContext, o.Caller, o.Directory, ids.OpID(zoneOps+m.Op), ids.Zone(zone), m.Out,
+		callContext, o.Caller, o.Directory, ids.OpID(zoneOpPrefix+m.Op), ids.Zone(zone), m.Out,
 	); err != nil {
 		return nil, api.OutcomeEvent(err, operatorRetryAfter)
 	}
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -535,8 +535,8 @@
 				for range 80 {
 					for _, b := range f.up()[2:] {
 						b.peerReports.Store(ids.NodeID("liar"), peerReport{
-							at:       b.now(),
-							outcomes: []Outcomes{{"svc-decode-1.1", 1 << 20, 1 << 20, 90}},
+							receivedAt: b.now(),
+							outcomes:   []Outcomes{{"svc-decode-1.1", 1 << 20, 1 << 20, 90}},
 						})
 					}
 					time.Sleep(100 * time.Millisecond)
--- a/internal/proxy/peer_outcomes.go
+++ b/internal/proxy/peer_outcomes.go
@@ -106,9 +106,9 @@
 	t.add(n.self.Node, n.capWeights(n.localOutcomes()))
 	t.add(fromParent, n.currentParentSums(now).outcomes)
 	owner, _, _ := n.agent.KeyOwner(fleetstate.WorkerListKey)
-	counts := n.treeShape().tellersTo(n.self, owner, n.agent.Members())
+	counts := n.treeShape().outcomeReporters(n.self, owner, n.agent.Members())
 	n.peerReports.Range(func(k, v any) bool {
-		if o := v.(peerReport); counts(k.(ids.NodeID)) && !now.Past(o.at, 2*prefillLoadTTL) &&
+		if o := v.(peerReport); counts(k.(ids.NodeID)) && !now.Past(o.receivedAt, 2*prefillLoadTTL) &&
 			len(o.outcomes)+len(o.subtreeOutcomes) > 0 {
 			t.add(k.(ids.NodeID), append(n.capWeights(o.outcomes), o.subtreeOutcomes...))
 		}
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -58,7 +58,7 @@
 		}
 		g.noteSign()
 		g.probeTimer.Reset(g.times.nextEvent.Suspicious(
-			alarmQuietPeriod + time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond,
+			healthCheckSilence + time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond,
 		))
 		if g.deadlineTimer != nil {
 			g.deadlineTimer.Reset(max(
@@ -178,7 +178,7 @@
 			return failure.As(err, failure.OutcomeUnknown, "pass", "worker")
 		}
 		if k > 0 || err == io.EOF {
-			t.countBegun()
+			t.countStarted()
 			if err := t.writeHead(reply, reply.Length); err != nil {
 				return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
 			}
@@ -227,7 +227,7 @@
 		)
 	}
 	t.timing.event(t.node.now())
-	t.countBegun()
+	t.countStarted()
 	if err := t.writeHead(reply, -1); err != nil {
 		return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
 	}
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -29,21 +29,21 @@
 
 type roleBalance struct {
 	fence           ids.Fence
-	since           ids.Tick
+	ownedSince      ids.Tick
 	lastChange      ids.Tick // when the last turn ended
 	prefillPressure float64  // smoothed
 	decodePressure  float64
 	lastReport      ids.Tick
-	changedAt       map[ids.WorkerID]ids.Tick // when a worker was last told to turn
-	up              roleCounts                // in the last round
-	lost            roleCounts                // since the round before
-	urgent          bool                      // workers were found to be down since
+	roleChangedAt   map[ids.WorkerID]ids.Tick // when a worker was last told to turn
+	liveCounts      roleCounts                // in the last round
+	lostCounts      roleCounts                // since the round before
+	workersWentDown bool                      // workers were found to be down since
 }
 
 type roleChange struct {
-	began    ids.Tick
-	sent     bool
-	expected int
+	startedAt      ids.Tick
+	orderSent      bool
+	expectedOrders int
 }
 
 // roleBalancer does the duties that are this node's.
@@ -70,15 +70,15 @@
 			if d == nil || d.fence != fence {
 				d = &roleBalance{
 					fence:           fence,
-					since:           n.now(),
+					ownedSince:      n.now(),
 					lastChange:      n.now(),
 					prefillPressure: 0.5,
 					decodePressure:  0.2,
-					changedAt:       map[ids.WorkerID]ids.Tick{},
+					roleChangedAt:   map[ids.WorkerID]ids.Tick{},
 				}
 				duties[name] = d
 			}
-			d.urgent = d.urgent || urgent
+			d.workersWentDown = d.workersWentDown || urgent
 			service := s.Configuration.Services[name]
 			n.balanceRoles(ctx, s, &service, key, d, turns)
 		}
@@ -88,7 +88,7 @@
 // mayOrder tells whether the lease of any earlier holder has surely lapsed. Until then this one only
 // asks for reports, which all nodes need.
 func (d *roleBalance) mayOrder(now ids.Tick, lease time.Duration) bool {
-	return now.Past(d.since, lease+lease/5)
+	return now.Past(d.ownedSince, lease+lease/5)
 }
 
 // awaitRoleTick waits for the next look at the roles: sooner while workers change theirs, and urgently
@@ -159,11 +159,11 @@
 	if mayOrder {
 		n.finishRoleChanges(ctx, s, listed, key, d, turns)
 	}
-	urgent := d.urgent
+	urgent := d.workersWentDown
 	if !urgent && (own || !n.now().Past(d.lastReport, 2*n.options.RoleChangeInterval-50*time.Millisecond)) {
 		return
 	}
-	d.lastReport, d.urgent = n.now(), false
+	d.lastReport, d.workersWentDown = n.now(), false
 	rows := n.reports(ctx, s, listed)
 	d.count(n.workersUp(s, listed))
 	n.recordReports(service.Name, d.lastReport, rows)
@@ -171,18 +171,18 @@
 	if !mayOrder || !urgent && !n.now().Past(d.lastChange, roleChangeInterval) {
 		return
 	}
-	for id := range d.changedAt {
+	for id := range d.roleChangedAt {
 		if listed[id] == nil {
-			delete(d.changedAt, id)
+			delete(d.roleChangedAt, id)
 		}
 	}
-	some, to := chooseRoleChange(rows, read, emit, n.options.IdlePrefillShare, d.lost)
+	some, to := chooseRoleChange(rows, read, emit, n.options.IdlePrefillShare, d.lostCounts)
 	some, to = n.proposeRoleChange(n.deal(s), service, d, rows, some, to)
 	for _, w := range some {
 		if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: w.worker.ID, To: to}) {
-			turns[w.worker.ID] = &roleChange{began: n.now(), expected: w.Orders}
-			d.changedAt[w.worker.ID] = n.now()
-			d.up.move(to)
+			turns[w.worker.ID] = &roleChange{startedAt: n.now(), expectedOrders: w.Orders}
+			d.roleChangedAt[w.worker.ID] = n.now()
+			d.liveCounts.move(to)
 			n.options.Ring.Info().Str("worker", string(w.worker.ID)).Str("role", string(to)).
 				Float64("prefillPressure", read).Float64("decodePressure", emit).Msg("changing worker role")
 		}
@@ -203,11 +203,11 @@
 	for id, to := range s.RoleChanges {
 		w, t := listed[id], turns[id]
 		if t == nil { // an earlier holder began it
-			t = &roleChange{began: n.now(), sent: true}
+			t = &roleChange{startedAt: n.now(), orderSent: true}
 			turns[id] = t
 		}
 		wg.Go(func() {
-			if w == nil && !n.elsewhere(id) || w != nil && n.finishRoleChange(ctx, w, to, key, d, t) {
+			if w == nil && !n.mayBeListedElsewhere(id) || w != nil && n.finishRoleChange(ctx, w, to, key, d, t) {
 				if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: id, Done: true}) {
 					mu.Lock()
 					defer mu.Unlock()
@@ -220,8 +220,8 @@
 	wg.Wait()
 }
 
-// elsewhere tells that another service's worker, or one whose list is not known, has it.
-func (n *Node) elsewhere(id ids.WorkerID) bool {
+// mayBeListedElsewhere tells that another service's worker, or one whose list is not known, has it.
+func (n *Node) mayBeListedElsewhere(id ids.WorkerID) bool {
 	list := n.endpoints.Load()
 	return len(list.workers) == 0 || list.find(id) != nil
 }
@@ -237,12 +237,12 @@
 ) bool {
 	now := n.now()
 	switch {
-	case w.Role == to, now.Past(t.began, roleChangeTimeout), w.Leaving:
+	case w.Role == to, now.Past(t.startedAt, roleChangeTimeout), w.Leaving:
 		return true
-	case t.sent || !now.Past(t.began, roleChangeNotice):
+	case t.orderSent || !now.Past(t.startedAt, roleChangeNotice):
 		return false
 	}
-	t.sent = true
+	t.orderSent = true
 	fence, end, ok := n.agent.BeginOperation(key)
 	if !ok || fence != d.fence {
 		if ok {
@@ -257,7 +257,7 @@
 		To:       to,
 		Owner:    n.self.Node,
 		Fence:    fence,
-		Expected: t.expected,
+		Expected: t.expectedOrders,
 	})
 	return failure.Is(err, failure.NotExecuted)
 }
--- a/internal/proxy/role_choice.go
+++ b/internal/proxy/role_choice.go
@@ -82,14 +82,14 @@
 // count takes the numbers of a round. What workers that were lost had under way falls to those that are
 // left, so the pressure on these is known at once and not only once it shows.
 func (d *roleBalance) count(up roleCounts) {
-	d.lost = roleCounts{max(0, d.up.readers-up.readers), max(0, d.up.emitters-up.emitters)}
-	if d.lost.readers > 0 && up.readers > 0 {
-		d.prefillPressure *= float64(d.up.readers) / float64(up.readers)
+	d.lostCounts = roleCounts{max(0, d.liveCounts.readers-up.readers), max(0, d.liveCounts.emitters-up.emitters)}
+	if d.lostCounts.readers > 0 && up.readers > 0 {
+		d.prefillPressure *= float64(d.liveCounts.readers) / float64(up.readers)
 	}
-	if d.lost.emitters > 0 && up.emitters > 0 {
-		d.decodePressure *= float64(d.up.emitters) / float64(up.emitters)
+	if d.lostCounts.emitters > 0 && up.emitters > 0 {
+		d.decodePressure *= float64(d.liveCounts.emitters) / float64(up.emitters)
 	}
-	d.up = up
+	d.liveCounts = up
 }
 
 // minPerRole is how many of so many workers keep each part.
--- a/internal/proxy/role_programs.go
+++ b/internal/proxy/role_programs.go
@@ -74,7 +74,7 @@
 		},
 	}
 	for _, r := range rows {
-		at, was := d.changedAt[r.worker.ID]
+		at, was := d.roleChangedAt[r.worker.ID]
 		p.Workers = append(p.Workers, routing.RoleCandidate{
 			ID:            r.worker.ID,
 			Zone:          r.worker.Zone,
--- a/internal/proxy/stale_version_test.go
+++ b/internal/proxy/stale_version_test.go
@@ -213,6 +213,6 @@
 		{"starved, and cut off", old, 4 * time.Second, coordination.Reachability{StarvedAt: ago(time.Second), Lost: true}, false},
 		{"starved long ago", old, 4 * time.Second, coordination.Reachability{StarvedAt: ago(3 * time.Second)}, false},
 	} {
-		require.Equal(t, row.want, inTouch(now, row.currentAt, row.sinceConfirmed, row.primary), row.name)
+		require.Equal(t, row.want, coreReachable(now, row.currentAt, row.sinceConfirmed, row.primary), row.name)
 	}
 }
