--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -1,6 +1,7 @@
-// The list of workers, kept fresh: one node holds the duty of asking the platform, and the
-// others hear from it, and tell it which readings they have under way, so that each knows the
-// sum. Where nothing fresh is heard, some node asks the platform in the holder's stead.
+// Maintenance of the worker list. One node owns the duty of fetching the list from the platform.
+// The other nodes get it from the owner and report their running prefills to it, so that every
+// node knows the totals. If no fresh list is available, another node queries the platform in the
+// owner's place.
 
 package proxy
 
@@ -16,16 +17,17 @@
 )
 
 const (
-	listTimeout        = 500 * time.Millisecond  // for the holder's answer
-	listMaxAge         = 1500 * time.Millisecond // then what the holder has is not fresh
-	prefillLoadTTL     = 500 * time.Millisecond  // how long another node's word of its readings counts
-	maxListLatency     = 1500 * time.Millisecond // by which a slow platform may make a list older
-	startRetryInterval = 50 * time.Millisecond   // until a holder is known
-	maxListWait        = time.Second             // that an answer waits for a change
-	maxPrefillLoads    = 256                     // workers whose readings are told at once
+	listTimeout        = 500 * time.Millisecond  // for the answer of a list source
+	listMaxAge         = 1500 * time.Millisecond // age from which the owner's list is not fresh
+	prefillLoadTTL     = 500 * time.Millisecond  // validity of another node's report of its prefills
+	maxListLatency     = 1500 * time.Millisecond // extra list age allowed for a slow platform
+	startRetryInterval = 50 * time.Millisecond   // until a list owner is known
+	maxListWait        = time.Second             // for which a response waits for a change
+	maxPrefillLoads    = 256                     // workers whose prefills one message reports
 )
 
-// maintainEndpoints keeps the list fresh. While it cannot be had, the last one is kept.
+// maintainEndpoints keeps the worker list fresh. The last list stays in use while no new one can
+// be fetched.
 func (n *Node) maintainEndpoints(ctx context.Context) {
 	f := &listFollower{node: n, failedAt: map[ids.NodeID]ids.Tick{}}
 	for ctx.Err() == nil {
@@ -34,7 +36,7 @@
 		switch {
 		case ok && owner.Node == n.self.Node:
 			n.parentSums.Store(nil)
-		case !ok && n.snapshot().Version == 0: // nothing can be served yet, and many nodes may start together
+		case !ok && n.snapshot().Version == 0: // nothing can be served yet, and many nodes may be starting at once
 			host.Sleep(ctx, startRetryInterval)
 			continue
 		default:
@@ -49,21 +51,21 @@
 	}
 }
 
-// fetchList has the list from the platform itself.
+// fetchList fetches the list from the platform and installs it.
 func (n *Node) fetchList(ctx context.Context) {
-	asked := n.now()
+	requestedAt := n.now()
 	list, err := n.options.Backend.List(ctx)
 	switch {
 	case err == nil:
-		n.listLatency.Store(int64(n.now().Since(asked)))
-		n.installList(list, asked, n.now())
+		n.listLatency.Store(int64(n.now().Since(requestedAt)))
+		n.installList(list, requestedAt, n.now())
 	case ctx.Err() == nil:
-		n.options.Ring.Info().AnErr("cause", err).Msg("endpoint list not fetched")
+		n.options.Ring.Info().AnErr("cause", err).Msg("could not fetch the worker list from the platform")
 	}
 }
 
-// listInterval is the time between two askings of a node, so that all together stay within
-// two thirds of the rate though each asks by itself.
+// listInterval returns the time between two list requests of one node. All nodes together stay
+// within two thirds of the rate, although each sends its requests independently.
 func listInterval(minimum time.Duration, rate, share float64) time.Duration {
 	if rate <= 0 {
 		return minimum
@@ -71,7 +73,7 @@
 	return max(minimum, time.Duration(1.5/share/rate*float64(time.Second)))
 }
 
-// waitAsOwner waits, and meanwhile keeps the sum of the readings fresh.
+// waitAsOwner waits and meanwhile updates the totals of running prefills and of outcomes.
 func (n *Node) waitAsOwner(ctx context.Context, wait time.Duration) {
 	for end := n.now().Add(wait); n.now().Before(end) && host.Sleep(ctx, min(n.options.ShareInterval, wait)); {
 		n.recordPeerPrefills(n.prefillsWithout(n.self.Node, true))
@@ -79,7 +81,7 @@
 	}
 }
 
-// localPrefills lists the readings that this node has under way.
+// localPrefills lists the prefills that this node has running.
 func (n *Node) localPrefills() []PrefillLoad {
 	var out []PrefillLoad
 	n.states.Range(func(k, v any) bool {
@@ -94,7 +96,8 @@
 	return out
 }
 
-// recordPeerPrefills notes what the other nodes have under way, as far as the holder knows.
+// recordPeerPrefills records the prefills that the other nodes have running, as far as the list
+// owner knows them.
 func (n *Node) recordPeerPrefills(rows []PrefillLoad) {
 	now := n.now()
 	for _, r := range rows {
@@ -105,32 +108,33 @@
 	}
 }
 
-// peerReport is what a node said last of its readings, and of those below it.
+// peerReport is the last report of a node about its running prefills and those of its subtree,
+// and about the outcomes of attempts.
 type peerReport struct {
 	receivedAt      ids.Tick
 	prefills        []PrefillLoad
-	outcomes        []Outcomes // its own
-	subtreeOutcomes []Outcomes // weighed
+	outcomes        []Outcomes // of the node itself
+	subtreeOutcomes []Outcomes // of its subtree, already weighted
 }
 
-// parentSums is what this node heard last, from whom it has the list, of all nodes that are not
-// below itself.
+// parentSums holds the last totals that this node's list source sent. They cover all nodes outside
+// this node's subtree.
 type parentSums struct {
 	receivedAt ids.Tick
 	prefills   []PrefillLoad
 	outcomes   []Outcomes
 }
 
-// currentParentSums gives that while it counts.
+// currentParentSums returns the totals of the list source, or empty ones once they have expired.
 func (n *Node) currentParentSums(now ids.Tick) *parentSums {
-	if a := n.parentSums.Load(); a != nil && !now.Past(a.receivedAt, 2*prefillLoadTTL) {
-		return a
+	if sums := n.parentSums.Load(); sums != nil && !now.Past(sums.receivedAt, 2*prefillLoadTTL) {
+		return sums
 	}
 	return &parentSums{}
 }
 
-// serveList answers the other nodes with the list and with what all have under way. Where
-// they have the list as it is, it waits for a change as long as they allow.
+// serveList answers a node's request with the list and with the totals of all nodes. If the
+// requester already has the current list, serveList waits for a change for up to request.MaxWait.
 func (n *Node) serveList(ctx context.Context, request *ListRequest) (*ListResponse, error) {
 	now := n.now()
 	n.peerReports.Store(request.Node, peerReport{now, request.Prefills, request.Outcomes, request.SubtreeOutcomes})
@@ -153,7 +157,8 @@
 	return out, nil
 }
 
-// waitForChange waits for a span at most; true if what it waits for came.
+// waitForChange waits for a change, for at most the given duration and maxListWait. It reports
+// whether the change came.
 func waitForChange(ctx context.Context, changed <-chan struct{}, duration time.Duration) bool {
 	if duration <= 0 {
 		return false
@@ -169,7 +174,8 @@
 	return false
 }
 
-// listSince answers with what changed after the version that a node has, or with all.
+// listSince builds a response with the rows that changed after the version that the requester has,
+// or with all rows if that version is too old.
 func (n *Node) listSince(request *ListRequest) *ListResponse {
 	now := n.now()
 	list := n.endpoints.Load()
@@ -189,9 +195,9 @@
 			continue
 		}
 		delete(changed, w.ID)
-		cold := max(0, w.SlowStart-now.Since(list.receivedAt))
+		slowStart := max(0, w.SlowStart-now.Since(list.receivedAt))
 		out.Rows = append(out.Rows, WorkerRow{
-			w.ID, w.Service, w.Addr, w.Zone, w.Role, w.Concurrency, w.Leaving, int64(cold),
+			w.ID, w.Service, w.Addr, w.Zone, w.Role, w.Concurrency, w.Leaving, int64(slowStart),
 		})
 	}
 	if out.Delta {
@@ -202,42 +208,42 @@
 	return out
 }
 
-// prefillsWithout adds up what all nodes but one have under way; without those above, it is what this
-// node and those below it have.
-func (n *Node) prefillsWithout(but ids.NodeID, withAbove bool) []PrefillLoad {
+// prefillsWithout adds up the running prefills of all nodes but one. Without the totals of the list
+// source (includeParent is false), the sum covers this node and its subtree.
+func (n *Node) prefillsWithout(excluded ids.NodeID, includeParent bool) []PrefillLoad {
 	now := n.now()
-	at := map[ids.WorkerID]int{}
+	indexes := map[ids.WorkerID]int{}
 	var out []PrefillLoad
 	add := func(rows []PrefillLoad) {
 		for _, r := range rows {
-			i, ok := at[r.ID]
+			i, ok := indexes[r.ID]
 			if !ok {
-				i, at[r.ID] = len(out), len(out)
+				i, indexes[r.ID] = len(out), len(out)
 				out = append(out, PrefillLoad{ID: r.ID})
 			}
 			out[i].Tokens, out[i].Count = out[i].Tokens+r.Tokens, out[i].Count+r.Count
 		}
 	}
-	if but != n.self.Node {
+	if excluded != n.self.Node {
 		add(n.localPrefills())
 	}
-	if withAbove {
+	if includeParent {
 		add(n.currentParentSums(now).prefills)
 	}
 	n.peerReports.Range(func(k, v any) bool {
-		switch t := v.(peerReport); {
-		case now.Past(t.receivedAt, 4*prefillLoadTTL):
+		switch report := v.(peerReport); {
+		case now.Past(report.receivedAt, 4*prefillLoadTTL):
 			n.peerReports.Delete(k)
-		case k.(ids.NodeID) != but && !now.Past(t.receivedAt, 2*prefillLoadTTL):
-			add(t.prefills)
+		case k.(ids.NodeID) != excluded && !now.Past(report.receivedAt, 2*prefillLoadTTL):
+			add(report.prefills)
 		}
 		return true
 	})
 	return largestPrefills(out)
 }
 
-// largestPrefills keeps the workers that have the most to read, since the others hardly matter to who
-// chooses one.
+// largestPrefills keeps the maxPrefillLoads workers with the most prompt tokens to prefill. The
+// others hardly affect the choice of a worker.
 func largestPrefills(rows []PrefillLoad) []PrefillLoad {
 	if len(rows) > maxPrefillLoads {
 		slices.SortFunc(rows, func(a, b PrefillLoad) int { return b.Tokens - a.Tokens })
@@ -246,27 +252,28 @@
 	return rows
 }
 
-// installList puts a list into force that the platform gave.
-func (n *Node) installList(list []Worker, asked, got ids.Tick) {
-	n.installListVersion(list, 0, asked, got)
+// installList installs a list that this node fetched from the platform.
+func (n *Node) installList(list []Worker, requestedAt, receivedAt ids.Tick) {
+	n.installListVersion(list, 0, requestedAt, receivedAt)
 }
 
-// installListVersion puts a list into force, of a version if another node gave it one.
-func (n *Node) installListVersion(list []Worker, version uint64, asked, got ids.Tick) {
+// installListVersion installs a list. Version is the version that another node assigned to it, or 0
+// if this node fetched the list itself. The state of workers that are no longer listed is deleted.
+func (n *Node) installListVersion(list []Worker, version uint64, requestedAt, receivedAt ids.Tick) {
 	previous := n.endpoints.Load()
-	next := previous.next(list, version, asked, got)
+	next := previous.next(list, version, requestedAt, receivedAt)
 	if next.seq != previous.seq {
-		on := make(map[ids.WorkerID]bool, len(list))
+		listed := make(map[ids.WorkerID]bool, len(list))
 		for _, w := range list {
-			on[w.ID] = true
+			listed[w.ID] = true
 		}
 		n.states.Range(func(k, _ any) bool {
-			if !on[k.(ids.WorkerID)] {
+			if !listed[k.(ids.WorkerID)] {
 				n.states.Delete(k)
 			}
 			return true
 		})
-		n.loads.prune(on)
+		n.loads.prune(listed)
 	}
 	n.endpoints.Store(next)
 	if next.version != previous.version {
--- a/internal/proxy/fault_notice.go
+++ b/internal/proxy/fault_notice.go
@@ -1,14 +1,15 @@
-// Failure detection by requests: a worker that fails one, or is silent, is asked for its
-// report. If that does not come either, it counts as down: nothing new is sent, what may
-// run elsewhere is taken away from it at once, and the peers are warned. Each peer asks
-// for itself before it believes, so a node that is cut off puts nobody out.
+// Failure detection by requests. When a worker fails a request or stays silent, the node requests
+// its report as a health check. If the report fails too, the worker counts as down: it gets no new
+// requests, attempts that may run elsewhere are canceled at once, and peers get a fault notice.
+// Each peer runs its own health check before it acts on a notice, so a node that is cut off from
+// the workers can't take them out of service for others.
 //
-// The warning spreads as a rumor: each node whose own asking fails too passes it, once, to a
-// few others chosen at random. So what one failed worker costs a node does not grow with the
-// fleet, also when all nodes find out at once and half of the members do not answer; and a
-// warning of a worker that is well ends where it arrives. Passed on before the node's own
-// asking, it would go round for ever: a node that found the worker well has forgotten the
-// warning when it comes again.
+// Notices spread by gossip: each node whose own health check fails too forwards the notice once to
+// a few random peers. The cost of one failed worker per node therefore doesn't grow with the fleet,
+// even if all nodes detect the failure at once and half of the members don't answer, and a notice
+// about a healthy worker ends at the node that receives it. Forwarding before the node's own health
+// check would make notices circulate forever, because a node that found the worker healthy has
+// forgotten the notice by the time it comes again.
 
 package proxy
 
@@ -24,47 +25,48 @@
 )
 
 const (
-	healthCheckTimeout  = 250 * time.Millisecond // for a report
-	healthCheckInterval = 400 * time.Millisecond // between two askings of a worker that is down
-	watchDuration       = 30 * time.Second       // then requests decide anew
-	healthCheckSilence  = 300 * time.Millisecond // silence after which a worker is asked for its report
-	noticeFanout        = 6                      // peers that a node passes a warning to
-	noticeAttempts      = 2 * noticeFanout       // peers that it tries for that
-	noticeTimeout       = 500 * time.Millisecond // for a peer to take it
+	healthCheckTimeout  = 250 * time.Millisecond // for one report
+	healthCheckInterval = 400 * time.Millisecond // between two health checks of a worker that is down
+	watchDuration       = 30 * time.Second       // after which new requests decide whether to check again
+	healthCheckSilence  = 300 * time.Millisecond // silence of a worker after which its health is checked
+	noticeFanout        = 6                      // peers to which a node sends a notice
+	noticeAttempts      = 2 * noticeFanout       // peers that it tries, since some may not answer
+	noticeTimeout       = 500 * time.Millisecond // for a peer to accept a notice
 )
 
-// attempt is a request that may be taken away from a worker.
+// attempt is a running request that may be canceled at its worker and repeated at another.
 type attempt struct{ cancel context.CancelCauseFunc }
 
-func (s *workerState) addAttempt(f *attempt) {
+func (s *workerState) addAttempt(a *attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.attempts == nil {
 		s.attempts = map[*attempt]bool{}
 	}
-	s.attempts[f] = true
+	s.attempts[a] = true
 }
 
-func (s *workerState) removeAttempt(f *attempt) {
+func (s *workerState) removeAttempt(a *attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.attempts, f)
+	delete(s.attempts, a)
 }
 
-// cancelAttempts marks the worker as down and takes away what may run elsewhere.
+// cancelAttempts excludes the worker from new requests until the given time and cancels the attempts
+// that may run elsewhere.
 func (s *workerState) cancelAttempts(until ids.Tick) {
 	s.mu.Lock()
 	s.avoidUntil = max(s.avoidUntil, until)
-	rows := s.attempts
+	canceled := s.attempts
 	s.attempts = nil
 	s.mu.Unlock()
-	for f := range rows {
-		f.cancel(errWorkerSilent)
+	for a := range canceled {
+		a.cancel(errWorkerSilent)
 	}
 }
 
-// suspect asks a worker for its report, unless that is under way, and warns peers once if it
-// does not come.
+// suspect starts health checks of a worker in the background, unless they are already running. Peers
+// get one notice if the worker sends no report.
 func (n *Node) suspect(w Worker) {
 	st := n.state(w.ID)
 	if !st.watched.CompareAndSwap(false, true) {
@@ -79,8 +81,10 @@
 	}()
 }
 
+// watchWorker checks a worker's health until it answers, is no longer listed or watchDuration has
+// passed.
 func (n *Node) watchWorker(w Worker, st *workerState) {
-	ctx, warned := n.runContext, false
+	ctx, notified := n.runContext, false
 	for end := n.now().Add(watchDuration); n.now().Before(end) && ctx.Err() == nil; {
 		began := n.now()
 		callContext, stop := context.WithTimeout(ctx, healthCheckTimeout)
@@ -94,7 +98,8 @@
 			n.recordRecovery(st)
 			return
 		}
-		// Whoever says that it is ill, or answers requests meanwhile, is there: outcomes decide.
+		// A worker that reports itself unhealthy, or answers requests meanwhile, is reachable. The
+		// outcomes of its requests decide whether it is ejected.
 		if n.options.BaseEjection >= 0 && failure.Is(err, failure.InvalidArgument) {
 			n.recordRecovery(st)
 			return
@@ -105,9 +110,9 @@
 		}
 		n.recordOutage(st)
 		st.cancelAttempts(n.now().Add(2 * (healthCheckTimeout + healthCheckInterval)))
-		if !warned {
+		if !notified {
 			n.sendFaultNotice(w.ID)
-			warned = true
+			notified = true
 		}
 		if n.endpoints.Load().find(w.ID) == nil || !host.Sleep(ctx, healthCheckInterval) {
 			return
@@ -115,22 +120,23 @@
 	}
 }
 
-// setSuspected notes whether a worker is being asked for its report.
-func (s *workerState) setSuspected(on bool) {
+// setSuspected records whether health checks of the worker are running.
+func (s *workerState) setSuspected(suspected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.suspected = on
+	s.suspected = suspected
 }
 
-// clearDown ends the knowledge that a worker is down.
+// clearDown marks the worker as no longer down.
 func (s *workerState) clearDown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = false
 }
 
-// sendFaultNotice warns a few peers of a worker that gives no report. In place of one that does not
-// take the warning another is tried, within a bound, since many may be lost at once.
+// sendFaultNotice notifies noticeFanout peers that a worker sends no report. A peer that doesn't
+// accept the notice is replaced by another one, for up to noticeAttempts peers in all, since many
+// may have failed at once.
 func (n *Node) sendFaultNotice(id ids.WorkerID) {
 	peers := make(chan string, noticeAttempts)
 	for _, addr := range n.noticePeers() {
@@ -148,7 +154,7 @@
 	}
 }
 
-// warnPeer tells whether a peer took a warning.
+// warnPeer sends a notice to a peer and reports whether the peer accepted it.
 func (n *Node) warnPeer(addr string, id ids.WorkerID) bool {
 	ctx, stop := context.WithTimeout(n.runContext, noticeTimeout)
 	defer stop()
@@ -157,8 +163,8 @@
 	return err == nil
 }
 
-// noticePeers draws the addresses that a warning may go to. A process that was started anew may
-// stand among the members twice, at one address.
+// noticePeers returns the addresses of random peers to notify. A restarted process may be listed
+// twice among the members with the same address; each address is used once.
 func (n *Node) noticePeers() []string {
 	members := n.agent.Members()
 	seen := map[string]bool{n.self.Addr: true}
@@ -173,9 +179,9 @@
 	return out
 }
 
-// handleFaultNotice takes a peer's warning.
-func (n *Node) handleFaultNotice(_ context.Context, a *FaultNotice) (*Ack, error) {
-	if w := n.endpoints.Load().find(a.Worker); w != nil {
+// handleFaultNotice starts this node's own health check of the worker that a peer's notice names.
+func (n *Node) handleFaultNotice(_ context.Context, notice *FaultNotice) (*Ack, error) {
+	if w := n.endpoints.Load().find(notice.Worker); w != nil {
 		n.suspect(*w)
 	}
 	return &Ack{}, nil
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -1,4 +1,4 @@
-// Hearing the list of workers from another node.
+// Fetching the worker list from another node.
 
 package proxy
 
@@ -14,30 +14,30 @@
 	"keelstair.example/rpc"
 )
 
-// listFollower is what a node keeps of those that it hears the list from.
+// listFollower is a node's state about its list sources, the nodes that it gets the list from.
 type listFollower struct {
 	node        *Node
-	failedAt    map[ids.NodeID]ids.Tick // when a source last gave no answer
+	failedAt    map[ids.NodeID]ids.Tick // when a source last failed to answer
 	source      ids.NodeID
-	sourceSince ids.Tick // from when on that is so
-	answered    bool     // it answered the last time
-	flat        bool     // all nodes ask the holder
-	loadSeq     uint64   // by the numbers of that source: up to where it told how workers stand
-	reportedSeq uint64   // by this node's own: up to where that source was told
+	sourceSince ids.Tick // when that source was chosen
+	answered    bool     // the source answered the last request
+	flat        bool     // all nodes get the list from the owner
+	loadSeq     uint64   // the source's sequence number up to which it sent worker loads
+	reportedSeq uint64   // this node's sequence number up to which it reported loads to the source
 }
 
-// listResult is what came of asking a source.
+// listResult is the result of a list request to a source.
 type listResult int
 
 const (
 	listFresh listResult = iota
 	listStale
-	listNone // it has had none yet
+	listNone // the source has no list yet
 	listFailed
 )
 
-// follow has the list from the nearest source with a fresh one, and then waits until the next
-// asking is due. False if none has one.
+// follow gets the list from the nearest source with a fresh one and then waits until the next request
+// is due. It returns false if no source has a fresh list.
 func (f *listFollower) follow(ctx context.Context, s *listSources) bool {
 	f.flat = s.flat()
 	for i, parent := range s.parents {
@@ -51,13 +51,13 @@
 			if f.node.now().Past(f.sourceSince, listMaxAge) {
 				continue
 			}
-			host.Sleep(ctx, f.node.options.ShareInterval/2) // its first one is under way
+			host.Sleep(ctx, f.node.options.ShareInterval/2) // it is fetching its first list
 			return true
 		case listStale:
 			if i+1 == len(s.parents) || f.node.now().Past(f.node.endpoints.Load().requestedAt, listLostAge) {
 				continue
 			}
-			host.Sleep(ctx, f.node.options.ShareInterval/2) // it is looking for a fresh list itself
+			host.Sleep(ctx, f.node.options.ShareInterval/2) // it is trying to get a fresh list itself
 			return true
 		case listFailed:
 			f.probe(ctx, s)
@@ -66,7 +66,8 @@
 	return false
 }
 
-// probe finds out at once which of the sources answer, since many may be lost together.
+// probe pings the sources concurrently and marks those that don't answer as failed, since many may
+// fail together.
 func (f *listFollower) probe(ctx context.Context, s *listSources) {
 	if s.flat() {
 		return
@@ -75,7 +76,7 @@
 	defer stop()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var silent []ids.NodeID
+	var unreachable []ids.NodeID
 	for _, m := range f.healthySources(s) {
 		wg.Go(func() {
 			if _, err := rpc.Call[Ack, Ack](
@@ -83,17 +84,18 @@
 			); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
-				silent = append(silent, m.Node)
+				unreachable = append(unreachable, m.Node)
 			}
 		})
 	}
 	wg.Wait()
-	for _, node := range silent {
+	for _, node := range unreachable {
 		f.failedAt[node] = f.node.now()
 	}
 }
 
-// healthySources lists the parents and the first ones of the zone that are not known to have failed.
+// healthySources lists the parents, and the first maxProbes nodes of the zone ahead of this one, that
+// are not known to have failed.
 func (f *listFollower) healthySources(s *listSources) []coordination.Member {
 	var out []coordination.Member
 	for _, m := range s.parents {
@@ -113,15 +115,15 @@
 	return out
 }
 
-// mayQueryPlatform tells, where no source has a fresh list, whether this node asks the platform: if it
-// is the first of its zone that answers, or if its list is very old. Otherwise the first one
-// is asked.
+// mayQueryPlatform reports whether this node queries the platform when no source has a fresh list. It
+// does if it is the acting owner of its zone or if its list is older than listLostAge. Otherwise it
+// requests the list from the acting owner.
 func (f *listFollower) mayQueryPlatform(ctx context.Context, s *listSources) bool {
 	if s.flat() || f.isActingOwner(s) {
 		return true
 	}
-	first, _ := s.actingOwner(f.hasFailed)
-	switch f.query(ctx, first, listMaxAge) {
+	actingOwner, _ := s.actingOwner(f.hasFailed)
+	switch f.query(ctx, actingOwner, listMaxAge) {
 	case listFresh:
 		return false
 	case listFailed:
@@ -138,13 +140,13 @@
 	return true
 }
 
-// isActingOwner tells whether this node asks the platform in the holder's stead.
+// isActingOwner reports whether this node queries the platform in place of the list owner.
 func (f *listFollower) isActingOwner(s *listSources) bool {
-	first, ok := s.actingOwner(f.hasFailed)
-	return !ok || first.Node == f.node.self.Node
+	actingOwner, ok := s.actingOwner(f.hasFailed)
+	return !ok || actingOwner.Node == f.node.self.Node
 }
 
-// retryDelay is the time between two askings of the platform by one that is not the holder.
+// retryDelay is the time between two platform queries of a node that is not the list owner.
 func (f *listFollower) retryDelay(s *listSources) time.Duration {
 	share := f.node.share()
 	if !s.flat() && f.isActingOwner(s) {
@@ -153,7 +155,7 @@
 	return listInterval(f.node.options.ListInterval, f.node.options.ListRate, share)
 }
 
-// hasFailed tells whether a source gave no answer of late.
+// hasFailed reports whether a source failed to answer within the last sourceFailureTTL.
 func (f *listFollower) hasFailed(node ids.NodeID) bool {
 	at, ok := f.failedAt[node]
 	if ok && f.node.now().Past(at, sourceFailureTTL) {
@@ -163,17 +165,18 @@
 	return ok
 }
 
-// query asks one source, whose list may be so old, and waits until the next asking is due.
+// query requests the list from one source and then waits until the next request is due. A list that is
+// older than freshFor, plus an allowance for a slow platform, counts as stale.
 func (f *listFollower) query(ctx context.Context, m coordination.Member, freshFor time.Duration) listResult {
 	n := f.node
 	if m.Node != f.source {
 		f.source, f.sourceSince, f.answered, f.loadSeq, f.reportedSeq = m.Node, n.now(), false, 0, 0
 	}
-	began := n.now()
-	duration := n.options.ShareInterval*4/5 + rand.N(n.options.ShareInterval*2/5)
-	maxWait := duration
-	// A source that may be gone shows it sooner by an answer at once. In a small fleet changes
-	// are few, and readings that come at once are worth more than changes that do.
+	startedAt := n.now()
+	interval := n.options.ShareInterval*4/5 + rand.N(n.options.ShareInterval*2/5)
+	maxWait := interval
+	// A source that may be down is detected sooner if the answer is due at once. In a small fleet
+	// changes are rare, and fresh prefill loads are worth more than immediate list changes.
 	if !f.answered || f.flat {
 		maxWait = 0
 	}
@@ -194,12 +197,12 @@
 		return listStale
 	}
 	if !r.Early {
-		host.Sleep(ctx, duration-n.now().Since(began))
+		host.Sleep(ctx, interval-n.now().Since(startedAt))
 	}
 	return listFresh
 }
 
-// call sends what this node and those below it have to tell.
+// call sends a list request with the prefills, outcomes and worker loads of this node and its subtree.
 func (f *listFollower) call(ctx context.Context, addr string, maxWait time.Duration) (*ListResponse, error) {
 	n := f.node
 	callContext, stop := context.WithTimeout(ctx, listTimeout+maxWait)
@@ -215,39 +218,39 @@
 		Deltas:          true,
 		MaxWait:         int64(maxWait),
 	}
-	var reports uint64
-	reports, request.Loads = n.loads.since(f.reportedSeq, list.workers, n.now(), n.ownsService)
+	var loadSeq uint64
+	loadSeq, request.Loads = n.loads.since(f.reportedSeq, list.workers, n.now(), n.ownsService)
 	r, err := rpc.Call[ListRequest, ListResponse](callContext, n.agent.Caller(), addr, listMethod, request)
 	if err == nil && r.Version == request.Version {
-		f.reportedSeq = reports
+		f.reportedSeq = loadSeq
 	}
 	return r, err
 }
 
-// apply puts an answer into force.
+// apply installs the list and the totals of a response.
 func (f *listFollower) apply(r *ListResponse) {
 	n := f.node
 	now := n.now()
-	at := now.Add(-time.Duration(r.Age))
+	requestedAt := now.Add(-time.Duration(r.Age))
 	n.listLatency.Store(r.Latency)
 	list := n.endpoints.Load().workers
 	if previous := n.endpoints.Load(); r.Version == previous.version {
 		fresh := *previous
-		fresh.requestedAt = at
+		fresh.requestedAt = requestedAt
 		n.endpoints.Store(&fresh)
 	} else {
 		list = workersFromRows(r.Rows)
 		if r.Delta {
 			list = applyDelta(reduceSlowStart(previous.workers, now.Since(previous.receivedAt)), list, r.Removed)
 		}
-		n.installListVersion(list, r.Version, at, now)
+		n.installListVersion(list, r.Version, requestedAt, now)
 	}
 	f.loadSeq = r.LoadSeq
 	if r.Early {
 		return
 	}
 	n.parentSums.Store(&parentSums{now, r.Prefills, r.Outcomes})
-	if f.flat { // the answer has the sums of all; the tally of this node may be older
+	if f.flat { // the response has the totals of all nodes; those of this node may be older
 		n.recordPeerPrefills(r.Prefills)
 		n.recordPeerOutcomes(r.Outcomes)
 	} else {
@@ -257,7 +260,8 @@
 	n.heard(r.Loads, list)
 }
 
-// workersFromRows makes workers of rows, in their order, by which reports name them.
+// workersFromRows converts rows to workers. It keeps their order, since load reports refer to workers
+// by index.
 func workersFromRows(rows []WorkerRow) []Worker {
 	list := make([]Worker, len(rows))
 	for i, w := range rows {
--- a/internal/proxy/list_tree.go
+++ b/internal/proxy/list_tree.go
@@ -1,9 +1,10 @@
-// From whom a node hears the list of workers. In a small fleet every node asks the holder of
-// the list's duty. In a large one that node's link and processor would not do, so the nodes
-// of a zone form a tree, the same on every node by rendezvous hashing: its root, or in its
-// own zone the holder, is the only one to ask the holder, and each byte crosses zones once.
-// A node whose parent does not answer asks that one's parent, up to the holder; where none
-// has a fresh list, the first node of the zone that answers asks the platform in its stead.
+// Sources of the worker list for each node. In a small fleet every node requests the list from its
+// owner, the node that fetches it from the platform. In a large fleet the owner's network link and
+// processor would not suffice, so the nodes of a zone form a tree, which rendezvous hashing makes
+// identical on every node. Only the root of a zone's tree requests the list from the owner, and in
+// the owner's own zone the owner is the root, so each byte crosses zones once. A node whose parent
+// doesn't answer tries the parent's parent, and so on up to the owner. If none of them has a fresh
+// list, the first responsive node of the zone queries the platform as acting owner.
 
 package proxy
 
@@ -18,46 +19,47 @@
 )
 
 const (
-	levelDelay       = 300 * time.Millisecond
-	maxProbes        = 8               // nodes of the zone that are looked for at once
-	sourceFailureTTL = 4 * time.Second // for which a source that did not answer is passed over
-	// age of the list from which a node asks the platform though it stands in for nobody
+	levelDelay       = 300 * time.Millisecond // list age that each tree level adds
+	maxProbes        = 8                      // nodes of the zone that are probed at once
+	sourceFailureTTL = 4 * time.Second        // for which a source that did not answer is skipped
+	// listLostAge is the list age from which a node queries the platform without being acting owner.
 	listLostAge = 2500 * time.Millisecond
 )
 
-// treeShape tells up to how many nodes all ask the holder, and how many children a node has
-// in a larger fleet. The direct ones ask the holder there too, since they have the reports of
-// the workers, which all want to hear.
+// treeShape describes how the list is distributed. Up to maxFlatNodes nodes, all request it from the
+// owner; in a larger fleet a node has at most width children. The direct nodes request it from the
+// owner there too, since they hold the workers' load reports, which all nodes need.
 type treeShape struct {
 	maxFlatNodes, width int
 	direct              map[ids.NodeID]bool
 }
 
-// listSources are those that a node may hear the list from.
+// listSources are the nodes from which a node may get the list.
 type listSources struct {
-	parents []coordination.Member // nearest first, the holder last
-	// of this node, in the order in which they stand in for the holder; none if all ask it
+	parents []coordination.Member // nearest first, the owner last
+	// zone has the nodes of this node's zone in the order in which they become acting owner. It is
+	// empty if all nodes get the list from the owner.
 	zone  []coordination.Member
-	zones int
+	zones int // number of zones
 }
 
-// sourcesOf gives a node's sources under a holder, or while there is none.
-func (t treeShape) sourcesOf(me, owner coordination.Member, members []coordination.Member) listSources {
+// sourcesOf returns the list sources of a node under an owner, which is empty while there is none.
+func (t treeShape) sourcesOf(self, owner coordination.Member, members []coordination.Member) listSources {
 	if len(members) <= t.maxFlatNodes && owner.Node == "" {
 		return listSources{}
 	}
 	if len(members) <= t.maxFlatNodes {
 		return listSources{parents: []coordination.Member{owner}}
 	}
-	tree := zoneTree(me.Zone, owner, members)
-	if memberIndex(tree, me.Node) < 0 { // it is not a member yet, or not any more
-		tree = append(tree, me)
+	tree := zoneTree(self.Zone, owner, members)
+	if memberIndex(tree, self.Node) < 0 { // not a member yet, or no longer one
+		tree = append(tree, self)
 	}
 	out := listSources{zone: tree, zones: len(zoneSet(members))}
 	if tree[0].Node == owner.Node {
 		out.zone = tree[1:]
 	}
-	for at := memberIndex(tree, me.Node); at > 0 && !t.direct[me.Node]; {
+	for at := memberIndex(tree, self.Node); at > 0 && !t.direct[self.Node]; {
 		at = (at - 1) / t.width
 		out.parents = append(out.parents, tree[at])
 	}
@@ -67,20 +69,20 @@
 	return out
 }
 
-// zoneTree lists the nodes of a zone so that the parent of each stands at one less than its
-// place by the tree's width; the holder comes first in its own zone.
+// zoneTree lists the nodes of a zone in tree order: the parent of the node at index i is at index
+// (i-1)/width. The owner comes first in its own zone.
 func zoneTree(zone ids.Zone, owner coordination.Member, members []coordination.Member) []coordination.Member {
-	var rows []coordination.Member
+	var tree []coordination.Member
 	for _, m := range members {
 		if m.Zone == zone && m.Node != owner.Node {
-			rows = append(rows, m)
+			tree = append(tree, m)
 		}
 	}
-	sortByWeight(rows)
+	sortByWeight(tree)
 	if owner.Zone == zone {
-		rows = append([]coordination.Member{owner}, rows...)
+		tree = append([]coordination.Member{owner}, tree...)
 	}
-	return rows
+	return tree
 }
 
 func zoneSet(members []coordination.Member) map[ids.Zone]bool {
@@ -95,26 +97,29 @@
 	return slices.IndexFunc(tree, func(m coordination.Member) bool { return m.Node == node })
 }
 
-// outcomeReporters tells whose words of outcomes count at a node. Each node has one such place, so
-// that no word counts twice while a node asks several.
-func (t treeShape) outcomeReporters(me, owner coordination.Member, members []coordination.Member) func(ids.NodeID) bool {
+// outcomeReporters returns a predicate for the nodes whose outcome reports count at a node. The reports
+// of each node count at one place only, so that none counts twice while a node queries several sources.
+func (t treeShape) outcomeReporters(
+	self, owner coordination.Member,
+	members []coordination.Member,
+) func(ids.NodeID) bool {
 	if len(members) <= t.maxFlatNodes {
-		return func(ids.NodeID) bool { return me.Node == owner.Node }
+		return func(ids.NodeID) bool { return self.Node == owner.Node }
 	}
 	children := map[ids.NodeID]bool{}
-	tree := zoneTree(me.Zone, owner, members)
-	if at := memberIndex(tree, me.Node); at >= 0 {
+	tree := zoneTree(self.Zone, owner, members)
+	if at := memberIndex(tree, self.Node); at >= 0 {
 		first := at*t.width + 1
 		for i := first; i < min(first+t.width, len(tree)); i++ {
 			children[tree[i].Node] = !t.direct[tree[i].Node]
 		}
 	}
-	if me.Node == owner.Node {
+	if self.Node == owner.Node {
 		for node := range t.direct {
 			children[node] = true
 		}
 		for zone := range zoneSet(members) {
-			if zone != me.Zone {
+			if zone != self.Zone {
 				children[zoneTree(zone, owner, members)[0].Node] = true
 			}
 		}
@@ -122,27 +127,27 @@
 	return func(node ids.NodeID) bool { return children[node] }
 }
 
-// sortByWeight puts members into the order of rendezvous hashing.
-func sortByWeight(rows []coordination.Member) {
-	weights := make(map[ids.NodeID]uint64, len(rows))
-	for _, m := range rows {
+// sortByWeight sorts members by their rendezvous hash, highest first.
+func sortByWeight(members []coordination.Member) {
+	weights := make(map[ids.NodeID]uint64, len(members))
+	for _, m := range members {
 		weights[m.Node] = ids.Mix(ids.Hash(string(m.Node)))
 	}
-	slices.SortFunc(rows, func(a, b coordination.Member) int {
+	slices.SortFunc(members, func(a, b coordination.Member) int {
 		return cmp.Or(cmp.Compare(weights[b.Node], weights[a.Node]), cmp.Compare(a.Node, b.Node))
 	})
 }
 
-// flat tells that all nodes ask the holder.
+// flat reports whether all nodes get the list from the owner.
 func (s *listSources) flat() bool { return len(s.zone) == 0 }
 
-// freshFor is how old the list of the parent of a number may be, besides what the asking of
-// the platform takes: each level below the holder adds to it.
+// freshFor is the age up to which the list of the parent with the given index counts as fresh, not
+// counting the platform's latency. Each level below the owner adds levelDelay.
 func (s *listSources) freshFor(parent int) time.Duration {
 	return listMaxAge + time.Duration(len(s.parents)-1-parent)*levelDelay
 }
 
-// actingOwner gives the first of the zone that has not failed of late.
+// actingOwner returns the first node of the zone that has not failed recently.
 func (s *listSources) actingOwner(failed func(ids.NodeID) bool) (coordination.Member, bool) {
 	for _, m := range s.zone {
 		if !failed(m.Node) {
@@ -152,7 +157,8 @@
 	return coordination.Member{}, false
 }
 
-// treeShape is the shape of the fleet's tree as this node knows it.
+// treeShape returns the shape of the fleet's list tree as this node knows it. The owners of services
+// are its direct nodes.
 func (n *Node) treeShape() treeShape {
 	t := treeShape{n.options.FlatListNodes, n.options.TreeWidth, map[ids.NodeID]bool{}}
 	for name := range n.snapshot().Configuration.Services {
--- a/internal/proxy/list_version.go
+++ b/internal/proxy/list_version.go
@@ -1,5 +1,5 @@
-// Versions of the list of workers. Each change makes a new version, and a node keeps which
-// workers the latest changes concerned, so that a peer with an earlier version gets only these.
+// Versions of the worker list. Each change makes a new version. A node records which workers the
+// latest changes affected, so that a peer with an earlier version gets only those rows.
 
 package proxy
 
@@ -15,18 +15,17 @@
 )
 
 const (
-	changesRetained    = 32                     // versions back from which a delta can be made
-	slowStartTolerance = 300 * time.Millisecond // by which a cold time may be off and is no change
+	changesRetained    = 32                     // newest changes from which a delta can be made
+	slowStartTolerance = 300 * time.Millisecond // difference of slow-start times that is no change
 )
 
-// endpointList is a list of workers, sorted by id, with the version that it is. It is not changed
-// once it is published.
+// endpointList is a version of the worker list, sorted by ID. It is immutable once published.
 type endpointList struct {
 	workers     []Worker
-	requestedAt ids.Tick // when it was asked for
-	receivedAt  ids.Tick // when the answer came, from which cold times count
-	seq         uint64   // rises when something changed
-	version     uint64   // by what it says, so that nodes that asked the platform apart have the same
+	requestedAt ids.Tick // when the list was requested from the platform
+	receivedAt  ids.Tick // when the answer came; slow-start times count from it
+	seq         uint64   // increases with each change
+	version     uint64   // hash of the content, so that nodes that queried the platform separately agree on it
 	changes     []listChange
 }
 
@@ -36,7 +35,7 @@
 	workers  []ids.WorkerID
 }
 
-// find gives the line of a life, if it is listed.
+// find returns the worker with the given ID, or nil if it is not listed.
 func (r *endpointList) find(id ids.WorkerID) *Worker {
 	for i := range r.workers {
 		if r.workers[i].ID == id {
@@ -46,8 +45,8 @@
 	return nil
 }
 
-// changedSince names the workers that changed after a version; false if that version is not
-// among the latest ones.
+// changedSince returns the workers that changed after a version. It returns false if that version is
+// older than the retained changes.
 func (r *endpointList) changedSince(version uint64) (map[ids.WorkerID]bool, bool) {
 	changed := map[ids.WorkerID]bool{}
 	at := r.version
@@ -64,25 +63,25 @@
 	return changed, at == version && version != 0
 }
 
-// next makes the endpoint list that follows. A version of 0 stands for one that this node finds.
-func (r *endpointList) next(list []Worker, version uint64, asked, got ids.Tick) *endpointList {
+// next returns the successor of this list. If version is 0, next assigns the version itself.
+func (r *endpointList) next(list []Worker, version uint64, requestedAt, receivedAt ids.Tick) *endpointList {
 	list = sortedByID(list)
 	out := &endpointList{
 		workers:     list,
-		requestedAt: asked,
-		receivedAt:  got,
+		requestedAt: requestedAt,
+		receivedAt:  receivedAt,
 		seq:         r.seq,
 		version:     r.version,
 		changes:     r.changes,
 	}
-	changed := changedWorkers(reduceSlowStart(r.workers, got.Since(r.receivedAt)), list)
+	changed := changedWorkers(reduceSlowStart(r.workers, receivedAt.Since(r.receivedAt)), list)
 	if r.seq > 0 && len(changed) == 0 && (version == 0 || version == r.version) {
 		return out
 	}
 	if version == 0 {
 		version = versionOf(list)
 	}
-	for version == r.version || version == 0 { // cold times alone changed
+	for version == r.version || version == 0 { // only slow-start times changed
 		version = rand.Uint64()
 	}
 	kept := r.changes[max(0, len(r.changes)-changesRetained+1):]
@@ -91,23 +90,24 @@
 	return out
 }
 
-// versionOf gives the version of a list by all that it says but cold times.
+// versionOf hashes everything in a list except the slow-start times.
 func versionOf(list []Worker) uint64 {
 	version := uint64(len(list))
-	var rows []byte
+	var row []byte
 	for i := range list {
 		w := &list[i]
-		rows = rows[:0]
+		row = row[:0]
 		for _, field := range []string{string(w.ID), w.Service, w.Addr, string(w.Zone), string(w.Role)} {
-			rows = append(append(rows, field...), 0)
+			row = append(append(row, field...), 0)
 		}
-		rows = strconv.AppendInt(rows, int64(w.Concurrency), 10)
-		rows = strconv.AppendBool(rows, w.Leaving)
-		version = ids.Mix(version ^ ids.Hash(string(rows)))
+		row = strconv.AppendInt(row, int64(w.Concurrency), 10)
+		row = strconv.AppendBool(row, w.Leaving)
+		version = ids.Mix(version ^ ids.Hash(string(row)))
 	}
 	return version
 }
 
+// byID compares workers by ID.
 func byID(a, b Worker) int { return cmp.Compare(a.ID, b.ID) }
 
 func sortedByID(list []Worker) []Worker {
@@ -119,17 +119,17 @@
 	return out
 }
 
-// reduceSlowStart is a list as it is some time later.
-func reduceSlowStart(list []Worker, by time.Duration) []Worker {
+// reduceSlowStart returns a copy of the list with the slow-start times reduced by the elapsed time.
+func reduceSlowStart(list []Worker, elapsed time.Duration) []Worker {
 	out := append([]Worker(nil), list...)
 	for i := range out {
-		out[i].SlowStart = max(0, out[i].SlowStart-by)
+		out[i].SlowStart = max(0, out[i].SlowStart-elapsed)
 	}
 	return out
 }
 
-// changedWorkers names the workers that two sorted lists do not agree on, but for cold times that
-// ran on.
+// changedWorkers returns the workers that differ between two lists sorted by ID. Slow-start times that
+// agree within slowStartTolerance are no difference.
 func changedWorkers(previous, list []Worker) []ids.WorkerID {
 	var out []ids.WorkerID
 	i, j := 0, 0
@@ -152,20 +152,21 @@
 	return out
 }
 
-// sameWorker tells whether two lines say the same but for a cold time that ran on.
+// sameWorker reports whether two entries are equal, with a tolerance for the slow-start time.
 func sameWorker(a, b Worker) bool {
-	slip := a.SlowStart - b.SlowStart
+	difference := a.SlowStart - b.SlowStart
 	a.SlowStart, b.SlowStart = 0, 0
-	return a == b && slip <= slowStartTolerance && slip >= -slowStartTolerance
+	return a == b && difference <= slowStartTolerance && difference >= -slowStartTolerance
 }
 
-// applyDelta is a list with a delta put in: the rows that changed, without those that are gone.
-func applyDelta(list []Worker, rows []Worker, gone []ids.WorkerID) []Worker {
-	replaced := make(map[ids.WorkerID]bool, len(rows)+len(gone))
+// applyDelta returns the list with the changed rows replaced or added and the removed workers left
+// out.
+func applyDelta(list []Worker, rows []Worker, removed []ids.WorkerID) []Worker {
+	replaced := make(map[ids.WorkerID]bool, len(rows)+len(removed))
 	for _, w := range rows {
 		replaced[w.ID] = true
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		replaced[id] = true
 	}
 	out := make([]Worker, 0, len(list)+len(rows))
@@ -179,13 +180,13 @@
 	return out
 }
 
-// changeSignal wakes all who wait for the next version of the list.
+// changeSignal wakes all goroutines that wait for the next version of the list.
 type changeSignal struct {
 	mu      sync.Mutex
 	changed chan struct{}
 }
 
-// next is closed when the next version comes.
+// next returns a channel that is closed when the next version is installed.
 func (s *changeSignal) next() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,6 +196,7 @@
 	return s.changed
 }
 
+// notify wakes the waiting goroutines.
 func (s *changeSignal) notify() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/messages.go
+++ b/internal/proxy/messages.go
@@ -1,6 +1,6 @@
-// Messages between nodes. Their MessagePack forms are part of the protocol between releases: a
-// field that is renamed keeps its name there by a msg tag, and a new one is omitted while it
-// is empty. TestEncodings holds the forms.
+// Messages between nodes. Their MessagePack encodings are part of the protocol between releases: a
+// renamed field keeps its encoded name by a msg tag, and a new field is omitted while it is empty.
+// TestEncodings checks the encodings.
 
 package proxy
 
@@ -19,7 +19,7 @@
 //msgp:tuple UsageRow
 //msgp:tuple UsageCount
 
-// Names of the RPC methods. They are part of the protocol between releases.
+// RPC method names. They are part of the protocol between releases.
 const (
 	faultMethod = "relay/alarm"
 	listMethod  = "relay/list"
@@ -27,16 +27,16 @@
 	usageMethod = "relay/usage"
 )
 
-// FaultNotice names a worker that the sender got no answer from.
+// FaultNotice names a worker that did not answer the sender's health check.
 type FaultNotice struct {
 	Worker ids.WorkerID
 }
 
-// Ack answers it.
+// Ack is an empty message: the answer to a FaultNotice, and the request and answer of a ping.
 type Ack struct{}
 
-// Outcomes are sendings to a worker of late that ended, and those that it failed, both in
-// tenths and fading; Nodes is how many nodes saw it fail.
+// Outcomes counts the recent completed attempts at a worker (Sent) and those that it failed, both in
+// tenths of an attempt and decaying with time. Nodes is the number of nodes that saw it fail.
 type Outcomes struct {
 	ID     ids.WorkerID `msg:"Id"`
 	Sent   int
@@ -44,7 +44,8 @@
 	Nodes  int
 }
 
-// WorkerRow is one worker of the list; SlowStart is in nanoseconds from the asking on.
+// WorkerRow is one worker of the list. SlowStart is the rest of its slow start in nanoseconds, as of
+// the response.
 type WorkerRow struct {
 	ID          ids.WorkerID `msg:"Id"`
 	Service     string
@@ -56,15 +57,16 @@
 	SlowStart   int64 `msg:"Cold"`
 }
 
-// PrefillLoad is what a node, or all but the one that asks, have under way at a reading worker.
+// PrefillLoad is the prompt tokens and the number of prefills that a node, or all nodes but the
+// requester, have running at a prefill worker.
 type PrefillLoad struct {
 	ID     ids.WorkerID `msg:"Id"`
 	Tokens int
 	Count  int
 }
 
-// WorkerLoad is how one worker stood: its place in the list, memory in blocks, requests. Without
-// room, it told nothing.
+// WorkerLoad is the reported load of one worker: its index in the list, its memory in blocks and its
+// requests. A Capacity of 0 means that the worker sent no report.
 type WorkerLoad struct {
 	Index    int `msg:"Place"`
 	Used     int
@@ -73,22 +75,24 @@
 	Waiting  int
 }
 
-// ServiceLoads are the workers of a service that changed, and how many ms ago all were asked.
+// ServiceLoads has the loads of a service's workers that changed. Age is how long ago the reports of
+// all its workers were requested, in milliseconds.
 type ServiceLoads struct {
 	Service string
 	Age     int
 	Rows    []WorkerLoad
 }
 
-// ListRequest tells which version of the list a node has, its readings under way, up to where it
-// has heard how the workers stand, and, from the node that asks them, how they do. Deltas
-// tells that it can put in changes, and MaxWait for how many ns the answer may wait for one. Of
-// a node with others below it, Prefills counts theirs too, and SubtreeOutcomes is what those saw.
+// ListRequest reports the list version that a node has, its running prefills and the outcomes of its
+// attempts. LoadSeq is the sequence number up to which it has received worker loads; Loads has those
+// of the services whose workers it queries itself. Deltas means that the node can apply deltas, and
+// MaxWait is for how many nanoseconds the response may wait for a change. Prefills includes those of
+// the node's subtree in the list tree, and SubtreeOutcomes has the outcomes that its subtree saw.
 type ListRequest struct {
 	Node            ids.NodeID
 	Version         uint64         `msg:"Seq"`
 	Prefills        []PrefillLoad  `msg:"Reads"`
-	Outcomes        []Outcomes     `msg:"Ends,omitempty"` // how sendings ended
+	Outcomes        []Outcomes     `msg:"Ends,omitempty"` // of the node's own attempts
 	SubtreeOutcomes []Outcomes     `msg:"Below,omitempty"`
 	LoadSeq         uint64         `msg:"Stood,omitempty"`
 	Loads           []ServiceLoads `msg:"Stands,omitempty"`
@@ -96,12 +100,13 @@
 	MaxWait         int64          `msg:"Hold,omitempty"`
 }
 
-// ListResponse has the rows only where the version differs: all, or as a Delta those that
-// changed, and the workers that are Removed. Age is how long ago the platform was asked, and Latency
-// how long it took to answer, in nanoseconds. Prefills and Outcomes are those of the other nodes;
-// Loads, what changed after the number that was asked from, up to LoadSeq. An Early answer has
-// the change of the list alone, since it came before the rest was due. Node is who answers:
-// at the address of a process that ended another may have started.
+// ListResponse has rows only if the requester's version differs: all rows, or, if Delta is set, the
+// changed ones and the IDs of the Removed workers. Age is how long ago the list was requested from
+// the platform, and Latency is how long the platform took to answer, both in nanoseconds. Prefills
+// and Outcomes are those of the other nodes. Loads has the loads that changed after the requested
+// sequence number, up to LoadSeq. An Early response contains only the list change, since it was sent
+// before the rest was due. Node is the responder, since a new process may have started at the
+// address of one that ended.
 type ListResponse struct {
 	Node     ids.NodeID `msg:"Node,omitempty"`
 	Version  uint64     `msg:"Seq"`
@@ -117,16 +122,17 @@
 	Early    bool           `msg:"Early,omitempty"`
 }
 
-// UsageRow is how many requests of a tenant a node has seen begin in a window so far.
+// UsageRow is the number of a tenant's requests that a node has seen start in a window so far.
 type UsageRow struct {
 	Window uint64
 	Tenant string
 	Count  int
 }
 
-// UsageRequest tells the holder of the metering duty the counts that it has not heard. Since is
-// the window in which the node started; Own is the time by its own clock, and Now its estimate
-// of the time, both in nanoseconds since 1970.
+// UsageRequest sends a node's counts to the owner of the metering duty. StartWindow is the window in
+// which the node started. OwnTime is the time by the node's own clock, and EstimatedTime is its
+// estimate of the fleet's time, both in nanoseconds since 1970. Rows has the counts that the owner
+// has not acknowledged; to the owner's successor, the owner sends all its counts.
 type UsageRequest struct {
 	Node          ids.NodeID
 	StartWindow   uint64 `msg:"Since"`
@@ -135,18 +141,18 @@
 	Rows          []UsageRow
 }
 
-// UsageResponse tells the time by the middle of all nodes' clocks.
+// UsageResponse has the time by the median of all nodes' clocks, in nanoseconds since 1970.
 type UsageResponse struct {
 	Time int64
 }
 
-// UsageCount is how many requests of a tenant began in a window.
+// UsageCount is the number of a tenant's requests that started in a window.
 type UsageCount struct {
 	Tenant string
 	Count  int
 }
 
-// UsageContent is the content of a usage report, in the order of the tenants' names.
+// UsageContent is the content of a usage report, sorted by tenant name.
 type UsageContent struct {
 	Rows []UsageCount
 }
--- a/internal/proxy/metering.go
+++ b/internal/proxy/metering.go
@@ -1,5 +1,5 @@
-// Metering: each node counts the requests of tenants that began to run, and tells the holder of the
-// duty. The holder reports each window to the platform once it is over.
+// Usage metering. Each node counts the tenants' requests that started and sends the counts to the
+// owner of the metering duty, which reports each window to the platform once it is over.
 
 package proxy
 
@@ -22,31 +22,34 @@
 )
 
 const (
-	usageInterval        = time.Second            // between two tellings of a node
-	usageIntervalPerNode = 10 * time.Millisecond  // of the interval, at least, in a large fleet
-	usageTimeout         = 600 * time.Millisecond // for the holder to take them
-	maxClockRoundTrip    = 300 * time.Millisecond // an answer that took longer does not set the clock
-	meteringTick         = 250 * time.Millisecond
-	windowSettleDelay    = 500 * time.Millisecond // after its end, before a window is added up
-	windowMaxWait        = 3 * time.Second        // after its end, for nodes that have not told theirs
+	usageInterval        = time.Second            // between two messages of a node
+	usageIntervalPerNode = 10 * time.Millisecond  // lower bound of the interval for each node in the fleet
+	usageTimeout         = 600 * time.Millisecond // for the owner to accept the counts
+	maxClockRoundTrip    = 300 * time.Millisecond // an answer that took longer doesn't set the clock
+	meteringTick         = 250 * time.Millisecond // between checks for windows that are due
+	windowSettleDelay    = 500 * time.Millisecond // after the end, before a window is summed up
+	windowMaxWait        = 3 * time.Second        // after the end, for nodes that have not sent their counts
 	meteringSubject      = "metering"
 )
 
 // UsageReporter reports the usage of a window to the platform, on a connection of its own that is
-// closed when the context ends. A nil error says that it was accepted.
+// closed when the context ends. A nil error means that the platform accepted the report.
 type UsageReporter interface {
 	ReportUsage(ctx context.Context, act *duty.Act, window uint64, counts map[string]int) error
 }
 
+// usageMeter counts the usage at one node and, at the owner of the metering duty and its successor,
+// collects the counts of all nodes.
 type usageMeter struct {
 	windows        metering.Windows
 	clock          *metering.Clock
 	ledger         *metering.Ledger
 	collector      *metering.Collector
-	startWindow    uint64
-	collectorFence ids.Fence // the tenure of the holder that the ledger goes with
+	startWindow    uint64    // in which this node started
+	collectorFence ids.Fence // of the collecting owner whose acknowledgements the ledger has
 }
 
+// newUsageMeter returns nil if the options don't enable usage reports.
 func newUsageMeter(options *Options) *usageMeter {
 	if options.UsageReporter == nil || options.UsageWindow <= 0 {
 		return nil
@@ -62,7 +65,7 @@
 	}
 }
 
-// countStarted counts the request as begun, when the first of its answer is seen.
+// countStarted counts the request as started, once, when the first part of its answer arrives.
 func (t *exchange) countStarted() {
 	if meter := t.node.usage; meter != nil && t.tenant != nil && !t.begunCounted {
 		t.begunCounted = true
@@ -70,7 +73,7 @@
 	}
 }
 
-// sendUsage tells the holder of the duty what this node has counted.
+// sendUsage periodically sends this node's counts to the owner of the metering duty.
 func (n *Node) sendUsage(ctx context.Context) {
 	meter := n.usage
 	if meter == nil {
@@ -84,16 +87,17 @@
 		current := meter.windows.At(meter.clock.Now())
 		meter.ledger.Prune(current)
 		meter.collector.Prune(current)
-		if to, fence, ok := n.agent.KeyOwner(fleetstate.MeteringKey); ok {
+		if owner, fence, ok := n.agent.KeyOwner(fleetstate.MeteringKey); ok {
 			if meter.collectorFence != fence {
 				meter.collectorFence = fence
 				meter.ledger.NewCollector()
 			}
-			meter.send(ctx, n, to)
+			meter.send(ctx, n, owner)
 		}
 	}
 }
 
+// newRequest builds the request that sends the given counts.
 func (m *usageMeter) newRequest(node ids.NodeID, rows []metering.Row) *UsageRequest {
 	request := &UsageRequest{Node: node, StartWindow: m.startWindow, EstimatedTime: m.clock.Now(), OwnTime: m.clock.Own()}
 	for _, r := range rows {
@@ -102,10 +106,12 @@
 	return request
 }
 
-func (m *usageMeter) send(ctx context.Context, n *Node, to coordination.Member) {
+// send sends the counts that the owner has not acknowledged. If this node is the owner, it takes them
+// itself and sends all its counts to its successor.
+func (m *usageMeter) send(ctx context.Context, n *Node, owner coordination.Member) {
 	rows := m.ledger.Unheard()
 	request := m.newRequest(n.self.Node, rows)
-	if to.Node == n.self.Node {
+	if owner.Node == n.self.Node {
 		r, err := n.takeUsage(ctx, request)
 		m.handleResponse(rows, r, request.OwnTime, err)
 		m.sendToSuccessor(ctx, n)
@@ -113,62 +119,63 @@
 	}
 	callContext, stop := context.WithTimeout(ctx, usageTimeout)
 	defer stop()
-	r, err := rpc.Call[UsageRequest, UsageResponse](callContext, n.agent.Caller(), to.Addr, usageMethod, request)
+	r, err := rpc.Call[UsageRequest, UsageResponse](callContext, n.agent.Caller(), owner.Addr, usageMethod, request)
 	m.handleResponse(rows, r, request.OwnTime, err)
 }
 
-// sendToSuccessor tells the node to which the duty falls if this one, its holder, ends: else this
-// node's own counts would end with it.
+// sendToSuccessor sends the owner's own counts to the node that gets the metering duty if the owner
+// fails. Otherwise these counts would be lost with the owner.
 func (m *usageMeter) sendToSuccessor(ctx context.Context, n *Node) {
 	others := slices.DeleteFunc(slices.Clone(n.agent.Members()), func(member coordination.Member) bool {
 		return member.Node == n.self.Node
 	})
-	at := slices.IndexFunc(others, func(member coordination.Member) bool {
+	successor := slices.IndexFunc(others, func(member coordination.Member) bool {
 		return coordination.Rank(fleetstate.MeteringKey, member.Node, others) == 0
 	})
-	if at < 0 {
+	if successor < 0 {
 		return
 	}
 	callContext, stop := context.WithTimeout(ctx, usageTimeout)
 	defer stop()
 	request := m.newRequest(n.self.Node, m.ledger.All())
-	rpc.Call[UsageRequest, UsageResponse](callContext, n.agent.Caller(), others[at].Addr, usageMethod, request)
+	rpc.Call[UsageRequest, UsageResponse](callContext, n.agent.Caller(), others[successor].Addr, usageMethod, request)
 }
 
-// handleResponse takes the holder's answer: the rows need not be told again, and the clock is set.
-func (m *usageMeter) handleResponse(rows []metering.Row, r *UsageResponse, asked int64, err error) {
+// handleResponse processes the owner's response: it marks the rows as acknowledged and corrects the
+// clock. SentAt is this node's own time when it sent the request.
+func (m *usageMeter) handleResponse(rows []metering.Row, r *UsageResponse, sentAt int64, err error) {
 	if err != nil {
 		return
 	}
 	m.ledger.Hear(rows)
 	now := m.clock.Own()
-	if roundTrip := time.Duration(now - asked); roundTrip <= maxClockRoundTrip {
+	if roundTrip := time.Duration(now - sentAt); roundTrip <= maxClockRoundTrip {
 		m.clock.Correct(time.Duration(r.Time-now) + roundTrip/2)
 	}
 }
 
-// takeUsage takes what another node has counted, as the holder of the duty or, from the holder, as
-// its successor.
+// takeUsage accepts the counts of a node: any node's counts if this node owns the metering duty, else
+// only those of the owner, whose successor this node is.
 func (n *Node) takeUsage(_ context.Context, request *UsageRequest) (*UsageResponse, error) {
 	_, owned := n.agent.OwnsKey(fleetstate.MeteringKey)
-	holder, _, known := n.agent.KeyOwner(fleetstate.MeteringKey)
-	if n.usage == nil || !owned && !(known && holder.Node == request.Node) {
+	owner, _, known := n.agent.KeyOwner(fleetstate.MeteringKey)
+	if n.usage == nil || !owned && !(known && owner.Node == request.Node) {
 		return nil, failure.New(failure.Unavailable, "take usage", string(request.Node), "the duty is not held here")
 	}
-	told := &metering.Told{Node: request.Node, Since: request.StartWindow, Own: request.OwnTime, Now: request.EstimatedTime}
+	report := &metering.Told{Node: request.Node, Since: request.StartWindow, Own: request.OwnTime, Now: request.EstimatedTime}
 	for _, r := range request.Rows {
-		told.Rows = append(told.Rows, metering.Row(r))
+		report.Rows = append(report.Rows, metering.Row(r))
 	}
-	return &UsageResponse{Time: n.usage.collector.Take(told)}, nil
+	return &UsageResponse{Time: n.usage.collector.Take(report)}, nil
 }
 
-// reportUsage reports the windows that are over while this node holds the duty.
+// reportUsage reports the windows that are over while this node owns the metering duty.
 func (n *Node) reportUsage(ctx context.Context) {
 	if n.usage == nil {
 		return
 	}
 	holder := duty.NewHolder(n.agent, n.options.Host.Clock, fleetstate.MeteringKey, n.options.LeaseDuration)
-	next := uint64(0) // all windows before it are done
+	next := uint64(0) // all earlier windows are reported or skipped
 	for host.Sleep(ctx, meteringTick) {
 		owned, mayAct := holder.Owned()
 		if !owned {
@@ -181,7 +188,8 @@
 	}
 }
 
-// reportWindows reports what is due, oldest first, and gives the first window that is not done.
+// reportWindows reports the windows that are due, oldest first, and returns the first one that is still
+// to be reported.
 func (n *Node) reportWindows(ctx context.Context, holder *duty.Holder, next uint64) uint64 {
 	meter := n.usage
 	now := meter.clock.Now()
@@ -199,8 +207,9 @@
 		if err == nil {
 			continue
 		}
-		n.options.Ring.Warn().AnErr("cause", err).Uint64("window", next).Msg("usage not reported yet")
-		// A window that the log has forgotten is passed over, unless it was the fence that was old.
+		n.options.Ring.Warn().AnErr("cause", err).Uint64("window", next).Msg("could not report usage")
+		// A window that is no longer in the log is skipped, unless the error is due to an outdated
+		// fence of this node.
 		if _, mayAct := holder.Owned(); !mayAct || !failure.Is(err, failure.Stale) {
 			return next
 		}
@@ -208,7 +217,7 @@
 	return next
 }
 
-// memberNames names the nodes that hold a lease.
+// memberNames returns the IDs of the nodes that hold a lease.
 func (n *Node) memberNames() []ids.NodeID {
 	var out []ids.NodeID
 	for _, m := range n.agent.Members() {
@@ -217,20 +226,20 @@
 	return out
 }
 
-// windowSettled tells whether a window may be added up: all members have told their counts of it, or
-// were waited for long enough.
+// windowSettled reports whether a window may be summed up: windowSettleDelay has passed since its end,
+// and either all members have sent their counts or windowMaxWait has passed too.
 func (n *Node) windowSettled(window uint64, now int64) bool {
-	since := time.Duration(now - n.usage.windows.End(window))
-	if since < windowSettleDelay {
+	elapsed := time.Duration(now - n.usage.windows.End(window))
+	if elapsed < windowSettleDelay {
 		return false
 	}
-	if since >= windowMaxWait {
+	if elapsed >= windowMaxWait {
 		return true
 	}
 	return n.usage.collector.Complete(n.usage.windows.End(window), n.memberNames())
 }
 
-// usageContent lists counts by tenant.
+// usageContent converts counts to the content of a report, sorted by tenant name.
 func usageContent(counts map[string]int) *UsageContent {
 	content := &UsageContent{}
 	for _, tenant := range slices.SortedFunc(maps.Keys(counts), cmp.Compare[string]) {
@@ -239,6 +248,7 @@
 	return content
 }
 
+// performUsageReport sends the usage report of an act to the platform.
 func (n *Node) performUsageReport(ctx context.Context, act *duty.Act) error {
 	var content UsageContent
 	if _, err := content.UnmarshalMsg(act.Content); err != nil {
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -1,6 +1,6 @@
-// The product's operators' calls at a process that serves control beside a fleet of relay
-// nodes: they carry the program set there. The rest of the configuration is the fleet's
-// own document.
+// Operator API of a process that serves the control interface beside a fleet of router nodes. It
+// manages the set of routing programs and the evacuation of zones. The rest of the configuration is
+// in the fleet's own document.
 
 package proxy
 
@@ -20,105 +20,106 @@
 	"keelstair.example/rpc"
 )
 
-// Operator is a api.Operator over the core that the book knows.
+// Operator implements api.Operator on the coordination service that the directory locates.
 type Operator struct {
 	Caller    *rpc.Caller
 	Directory *coordination.Directory
-	Zones     []string // that there are
+	Zones     []string // all zones of the fleet
 }
 
 const (
-	operatorTimeout    = 4 * time.Second        // for the core
-	activationWait     = 2 * time.Second        // for what was taken to be in force
-	operatorRetryAfter = 500 * time.Millisecond // what an operator is told
+	operatorTimeout    = 4 * time.Second        // for requests to the coordination service
+	activationWait     = 2 * time.Second        // for an accepted version to take effect
+	operatorRetryAfter = 500 * time.Millisecond // suggested to operators
 )
 
-// Operation ids are remembered by class: however many evacuations there are, the ids of
-// program sets are remembered for as many versions as the core promises.
+// Prefixes of operation IDs. The coordination service remembers operation IDs separately by prefix,
+// so that evacuations, however many there are, don't displace the IDs of program sets before the
+// promised number of versions.
 const (
 	programOpPrefix = "op/"
 	zoneOpPrefix    = "zone/"
 )
 
-// Apply checks and compiles a program set before anything is written; the core takes it
-// if it was made over the newest one.
-func (o *Operator) Apply(ctx context.Context, a *api.ApplyRequest) (*api.ApplyResponse, error) {
+// Apply checks and compiles a program set before anything is written. The coordination service accepts
+// it if its base is the newest version.
+func (o *Operator) Apply(ctx context.Context, request *api.ApplyRequest) (*api.ApplyResponse, error) {
 	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
-	op, name := ids.OpID(programOpPrefix+a.Op), cmp.Or(a.Name, "programs")
-	text, err := fleetstate.Source(name, []byte(a.Source))
+	op, name := ids.OpID(programOpPrefix+request.Op), cmp.Or(request.Name, "programs")
+	text, err := fleetstate.Source(name, []byte(request.Source))
 	if err != nil {
 		return nil, err
 	}
 	var base []byte
-	if a.Partial {
-		img, err := fleetstate.ReadState(callContext, o.Caller, o.Directory)
+	if request.Partial {
+		state, err := fleetstate.ReadState(callContext, o.Caller, o.Directory)
 		if err != nil {
 			return nil, api.OutcomeEvent(err, operatorRetryAfter)
 		}
-		top, _ := img.ProgramSet()
-		if uint64(top.Version) != a.Base {
-			// The base has moved on, perhaps by this very operation.
-			v, err := fleetstate.Outcome(callContext, o.Caller, o.Directory, op, fleetstate.OutcomeQuery{
-				Base:     ids.Version(a.Base),
+		newest, _ := state.ProgramSet()
+		if uint64(newest.Version) != request.Base {
+			// The base is no longer the newest version, perhaps because of this very operation.
+			version, err := fleetstate.Outcome(callContext, o.Caller, o.Directory, op, fleetstate.OutcomeQuery{
+				Base:     ids.Version(request.Base),
 				Programs: true,
 			})
 			if failure.Is(err, failure.Stale) {
-				return nil, api.Stale(a.Base, uint64(top.Version))
+				return nil, api.Stale(request.Base, uint64(newest.Version))
 			}
-			return o.versionApplied(ctx, v, err)
+			return o.versionApplied(ctx, version, err)
 		}
-		base = fleetstate.SetText(top)
+		base = fleetstate.SetText(newest)
 	}
-	p, complete, err := fleetstate.Draft(name, a.Source, text, base, a.Partial)
+	draft, complete, err := fleetstate.Draft(name, request.Source, text, base, request.Partial)
 	if err == nil {
-		err = p.CheckSet()
+		err = draft.CheckSet()
 	}
 	if err != nil {
 		return nil, err
 	}
-	if a.Dry {
-		return &api.ApplyResponse{Version: a.Base, Policy: complete}, nil
+	if request.Dry {
+		return &api.ApplyResponse{Version: request.Base, Policy: complete}, nil
 	}
-	v, err := fleetstate.PutPrograms(callContext, o.Caller, o.Directory, op, ids.Version(a.Base), complete)
-	return o.versionApplied(ctx, v, err)
+	version, err := fleetstate.PutPrograms(callContext, o.Caller, o.Directory, op, ids.Version(request.Base), complete)
+	return o.versionApplied(ctx, version, err)
 }
 
-// versionApplied waits a while until the core has put a version in force.
-func (o *Operator) versionApplied(ctx context.Context, v ids.Version, err error) (*api.ApplyResponse, error) {
+// versionApplied waits up to activationWait for a version to take effect.
+func (o *Operator) versionApplied(ctx context.Context, version ids.Version, err error) (*api.ApplyResponse, error) {
 	if err != nil {
 		return nil, api.OutcomeEvent(err, operatorRetryAfter)
 	}
 	callContext, stop := context.WithTimeout(ctx, activationWait)
 	defer stop()
 	for {
-		if img, err := fleetstate.ReadState(
+		if state, err := fleetstate.ReadState(
 			callContext, o.Caller, o.Directory,
-		); err == nil && img.Programs.Version >= v {
-			return &api.ApplyResponse{Version: uint64(v), Active: true}, nil
+		); err == nil && state.Programs.Version >= version {
+			return &api.ApplyResponse{Version: uint64(version), Active: true}, nil
 		}
 		if !host.Sleep(callContext, 50*time.Millisecond) {
-			return &api.ApplyResponse{Version: uint64(v)}, nil
+			return &api.ApplyResponse{Version: uint64(version)}, nil
 		}
 	}
 }
 
-// Evacuate empties a zone of new work, or takes that back.
-func (o *Operator) Evacuate(ctx context.Context, zone string, m *api.MarkRequest) (*api.ApplyResponse, error) {
+// Evacuate stops sending new work to a zone, or resumes it.
+func (o *Operator) Evacuate(ctx context.Context, zone string, request *api.MarkRequest) (*api.ApplyResponse, error) {
 	if !slices.Contains(o.Zones, zone) {
 		return nil, api.WriteFault(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
 	}
 	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
 	if err := fleetstate.SetEvacuated(
-		callContext, o.Caller, o.Directory, ids.OpID(zoneOpPrefix+m.Op), ids.Zone(zone), m.Out,
+		callContext, o.Caller, o.Directory, ids.OpID(zoneOpPrefix+request.Op), ids.Zone(zone), request.Out,
 	); err != nil {
 		return nil, api.OutcomeEvent(err, operatorRetryAfter)
 	}
 	return &api.ApplyResponse{Active: true}, nil
 }
 
-// Drain is refused: which workers leave stands in the fleet's own list.
+// Drain is refused, since the fleet's worker list says which workers leave.
 func (o *Operator) Drain(_ context.Context, worker string, _ *api.MarkRequest) (*api.ApplyResponse, error) {
 	return nil, api.WriteFault(
 		http.StatusNotFound,
@@ -129,7 +130,7 @@
 	)
 }
 
-// Revoke is refused: what runs over these routes is under no regime.
+// Revoke is refused, since no regime, and so no certificate, governs these routes.
 func (o *Operator) Revoke(_ context.Context, serial string, _ *api.MarkRequest) (*api.ApplyResponse, error) {
 	return nil, api.WriteFault(
 		http.StatusNotFound,
@@ -140,33 +141,34 @@
 	)
 }
 
-// Regimes are none.
+// Regimes returns an empty list.
 func (o *Operator) Regimes() *api.Regimes { return &api.Regimes{} }
 
-// Audits are none, as nothing is governed.
+// Audits returns an empty list, since no regime governs these routes.
 func (o *Operator) Audits(context.Context, int, int) (*api.Audits, error) {
 	return &api.Audits{}, nil
 }
 
-// Shown gives the program set in force.
+// Shown returns the program set in force, the newest version, and the evacuated zones and drained
+// workers.
 func (o *Operator) Shown(ctx context.Context) (*api.Shown, error) {
 	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
-	img, err := fleetstate.ReadState(callContext, o.Caller, o.Directory)
+	state, err := fleetstate.ReadState(callContext, o.Caller, o.Directory)
 	if err != nil {
 		return nil, err
 	}
-	top, _ := img.ProgramSet()
+	newest, _ := state.ProgramSet()
 	return &api.Shown{
-		Version: uint64(img.Programs.Version),
-		Newest:  uint64(top.Version),
-		Policy:  fleetstate.SetText(img.Programs),
-		Zones:   append([]string{}, img.Zones...),
-		Drained: append([]string{}, img.Drained...),
+		Version: uint64(state.Programs.Version),
+		Newest:  uint64(newest.Version),
+		Policy:  fleetstate.SetText(state.Programs),
+		Zones:   append([]string{}, state.Zones...),
+		Drained: append([]string{}, state.Drained...),
 	}, nil
 }
 
-// Status tells where this process believes the core to be.
+// Status returns the known location of the coordination service, and the zones.
 func (o *Operator) Status() any {
 	return map[string]any{"core": o.Directory.Record(), "zones": o.Zones}
 }
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -1,8 +1,8 @@
-// Turning: the one holder of a service's duty looks at the workers' reports and has one
-// change its part when the other part is pressed. The workers need not check fences, so
-// the lease alone protects: a holder sends its first order only once any earlier one's
-// lease has surely lapsed. All nodes hear of a turn before the order goes out, so that
-// nothing new is sent to the worker meanwhile.
+// Role balancing. The node that owns a service's duty collects the workers' reports and changes the
+// role of workers when the other role is overloaded. Workers need not check fences, so only the lease
+// protects against two owners: an owner sends its first order only once the lease of any earlier
+// owner has certainly expired. All nodes learn of a role change before the order is sent, so that no
+// new work reaches the worker meanwhile.
 
 package proxy
 
@@ -21,40 +21,42 @@
 
 const (
 	roleChangeInterval = 1200 * time.Millisecond // between two role changes of a service
-	roleChangeTick     = 100 * time.Millisecond  // between two looks while workers change roles
-	outageGathering    = 80 * time.Millisecond   // after an outage, before the roles are looked at
-	roleChangeTimeout  = 8 * time.Second         // then a turn that shows no end is given up
-	roleChangeNotice   = 350 * time.Millisecond  // for all nodes to hear of it
+	roleChangeTick     = 100 * time.Millisecond  // between two checks while workers change roles
+	outageGathering    = 80 * time.Millisecond   // after an outage, before roles are checked
+	roleChangeTimeout  = 8 * time.Second         // after which an unfinished role change is abandoned
+	roleChangeNotice   = 350 * time.Millisecond  // for all nodes to learn of a role change
 )
 
+// roleBalance is the state of role balancing for one service while this node owns its duty.
 type roleBalance struct {
 	fence           ids.Fence
 	ownedSince      ids.Tick
-	lastChange      ids.Tick // when the last turn ended
+	lastChange      ids.Tick // when the last role change ended
 	prefillPressure float64  // smoothed
 	decodePressure  float64
 	lastReport      ids.Tick
-	roleChangedAt   map[ids.WorkerID]ids.Tick // when a worker was last told to turn
+	roleChangedAt   map[ids.WorkerID]ids.Tick // when a worker last began to change its role
 	liveCounts      roleCounts                // in the last round
-	lostCounts      roleCounts                // since the round before
-	workersWentDown bool                      // workers were found to be down since
+	lostCounts      roleCounts                // between the last two rounds
+	workersWentDown bool                      // since the last round, a worker was found to be down
 }
 
+// roleChange is a running role change of a worker.
 type roleChange struct {
 	startedAt      ids.Tick
 	orderSent      bool
 	expectedOrders int
 }
 
-// roleBalancer does the duties that are this node's.
+// roleBalancer balances the roles of the services whose duties this node owns.
 func (n *Node) roleBalancer(ctx context.Context) {
 	if n.options.RoleChangeInterval < 0 {
 		return
 	}
 	duties := map[string]*roleBalance{}
-	turns := map[ids.WorkerID]*roleChange{}
+	changes := map[ids.WorkerID]*roleChange{}
 	for {
-		urgent, ok := n.awaitRoleTick(ctx, len(turns) > 0)
+		urgent, ok := n.awaitRoleTick(ctx, len(changes) > 0)
 		if !ok {
 			return
 		}
@@ -66,9 +68,9 @@
 				delete(duties, name)
 				continue
 			}
-			d := duties[name]
-			if d == nil || d.fence != fence {
-				d = &roleBalance{
+			balance := duties[name]
+			if balance == nil || balance.fence != fence {
+				balance = &roleBalance{
 					fence:           fence,
 					ownedSince:      n.now(),
 					lastChange:      n.now(),
@@ -76,23 +78,23 @@
 					decodePressure:  0.2,
 					roleChangedAt:   map[ids.WorkerID]ids.Tick{},
 				}
-				duties[name] = d
+				duties[name] = balance
 			}
-			d.workersWentDown = d.workersWentDown || urgent
+			balance.workersWentDown = balance.workersWentDown || urgent
 			service := s.Configuration.Services[name]
-			n.balanceRoles(ctx, s, &service, key, d, turns)
+			n.balanceRoles(ctx, s, &service, key, balance, changes)
 		}
 	}
 }
 
-// mayOrder tells whether the lease of any earlier holder has surely lapsed. Until then this one only
-// asks for reports, which all nodes need.
+// mayOrder reports whether the lease of any earlier owner has certainly expired. Until then this owner
+// only requests reports, which all nodes need.
 func (d *roleBalance) mayOrder(now ids.Tick, lease time.Duration) bool {
 	return now.Past(d.ownedSince, lease+lease/5)
 }
 
-// awaitRoleTick waits for the next look at the roles: sooner while workers change theirs, and urgently
-// when a worker was found to be down. It is not ok once the context has ended.
+// awaitRoleTick waits until the roles are due to be checked: sooner while workers change roles, and
+// urgently when a worker was found to be down. ok is false once the context has ended.
 func (n *Node) awaitRoleTick(ctx context.Context, changing bool) (urgent, ok bool) {
 	wait := n.options.RoleChangeInterval
 	if changing {
@@ -104,13 +106,13 @@
 	case <-ctx.Done():
 		return false, false
 	case <-n.outages:
-		return true, host.Sleep(ctx, outageGathering) // several may be down at once
+		return true, host.Sleep(ctx, outageGathering) // several workers may fail at once
 	case <-timer.C:
 		return false, true
 	}
 }
 
-// noteOutage has the roles looked at, since a worker was found to be down.
+// noteOutage triggers a check of the roles after a worker was found to be down.
 func (n *Node) noteOutage() {
 	select {
 	case n.outages <- struct{}{}:
@@ -118,101 +120,110 @@
 	}
 }
 
-func (n *Node) submitRoleChange(ctx context.Context, t *fleetstate.RoleChange) bool {
+// submitRoleChange submits the start or the end of a role change to the coordination service.
+func (n *Node) submitRoleChange(ctx context.Context, change *fleetstate.RoleChange) bool {
 	callContext, stop := context.WithTimeout(ctx, 700*time.Millisecond)
 	defer stop()
 	_, err := n.agent.Submit(
 		callContext,
 		ids.OpID("turn/"+coordination.NewID()),
 		fleetstate.RoleChangeKind,
-		coordination.MustMarshal(t),
+		coordination.MustMarshal(change),
 	)
 	return err == nil
 }
 
+// workerReport is a report with the worker that sent it.
 type workerReport struct {
 	*Report
 	worker *Worker
 }
 
-// balanceRoles asks the workers, ends role changes that are over, and begins one where it helps.
+// balanceRoles ends role changes that are over, collects the workers' reports, and begins the role
+// changes that chooseRoleChange or a routing program selects.
 func (n *Node) balanceRoles(
 	ctx context.Context,
 	s *fleetstate.Snapshot,
 	service *fleetstate.Service,
 	key ids.Key,
-	d *roleBalance,
-	turns map[ids.WorkerID]*roleChange,
+	balance *roleBalance,
+	changes map[ids.WorkerID]*roleChange,
 ) {
 	list := n.endpoints.Load()
 	listed := map[ids.WorkerID]*Worker{}
-	own := false
+	changeRunning := false
 	for i := range list.workers {
 		if w := &list.workers[i]; w.Service == service.Name {
 			listed[w.ID] = w
-			if _, on := s.RoleChanges[w.ID]; on {
-				own = true
+			if _, changing := s.RoleChanges[w.ID]; changing {
+				changeRunning = true
 			}
 		}
 	}
-	mayOrder := d.mayOrder(n.now(), n.options.LeaseDuration)
+	mayOrder := balance.mayOrder(n.now(), n.options.LeaseDuration)
 	if mayOrder {
-		n.finishRoleChanges(ctx, s, listed, key, d, turns)
+		n.finishRoleChanges(ctx, s, listed, key, balance, changes)
 	}
-	urgent := d.workersWentDown
-	if !urgent && (own || !n.now().Past(d.lastReport, 2*n.options.RoleChangeInterval-50*time.Millisecond)) {
+	urgent := balance.workersWentDown
+	if !urgent && (changeRunning ||
+		!n.now().Past(balance.lastReport, 2*n.options.RoleChangeInterval-50*time.Millisecond)) {
 		return
 	}
-	d.lastReport, d.workersWentDown = n.now(), false
-	rows := n.reports(ctx, s, listed)
-	d.count(n.workersUp(s, listed))
-	n.recordReports(service.Name, d.lastReport, rows)
-	read, emit := d.smooth(rows, service)
-	if !mayOrder || !urgent && !n.now().Past(d.lastChange, roleChangeInterval) {
+	balance.lastReport, balance.workersWentDown = n.now(), false
+	reports := n.reports(ctx, s, listed)
+	balance.count(n.workersUp(s, listed))
+	n.recordReports(service.Name, balance.lastReport, reports)
+	prefillPressure, decodePressure := balance.smooth(reports, service)
+	if !mayOrder || !urgent && !n.now().Past(balance.lastChange, roleChangeInterval) {
 		return
 	}
-	for id := range d.roleChangedAt {
+	for id := range balance.roleChangedAt {
 		if listed[id] == nil {
-			delete(d.roleChangedAt, id)
+			delete(balance.roleChangedAt, id)
 		}
 	}
-	some, to := chooseRoleChange(rows, read, emit, n.options.IdlePrefillShare, d.lostCounts)
-	some, to = n.proposeRoleChange(n.deal(s), service, d, rows, some, to)
-	for _, w := range some {
+	selected, to := chooseRoleChange(
+		reports, prefillPressure, decodePressure, n.options.IdlePrefillShare, balance.lostCounts,
+	)
+	selected, to = n.proposeRoleChange(n.deal(s), service, balance, reports, selected, to)
+	for _, w := range selected {
 		if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: w.worker.ID, To: to}) {
-			turns[w.worker.ID] = &roleChange{startedAt: n.now(), expectedOrders: w.Orders}
-			d.roleChangedAt[w.worker.ID] = n.now()
-			d.liveCounts.move(to)
+			changes[w.worker.ID] = &roleChange{startedAt: n.now(), expectedOrders: w.Orders}
+			balance.roleChangedAt[w.worker.ID] = n.now()
+			balance.liveCounts.move(to)
 			n.options.Ring.Info().Str("worker", string(w.worker.ID)).Str("role", string(to)).
-				Float64("prefillPressure", read).Float64("decodePressure", emit).Msg("changing worker role")
+				Float64("prefillPressure", prefillPressure).Float64("decodePressure", decodePressure).
+				Msg("changing worker role")
 		}
 	}
 }
 
-// finishRoleChanges ends the changes that are over, of all workers of which this node may.
+// finishRoleChanges ends the role changes that are over, of the service's workers and of workers that
+// are no longer listed.
 func (n *Node) finishRoleChanges(
 	ctx context.Context,
 	s *fleetstate.Snapshot,
 	listed map[ids.WorkerID]*Worker,
 	key ids.Key,
-	d *roleBalance,
-	turns map[ids.WorkerID]*roleChange,
+	balance *roleBalance,
+	changes map[ids.WorkerID]*roleChange,
 ) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for id, to := range s.RoleChanges {
-		w, t := listed[id], turns[id]
-		if t == nil { // an earlier holder began it
-			t = &roleChange{startedAt: n.now(), orderSent: true}
-			turns[id] = t
+		w, change := listed[id], changes[id]
+		if change == nil { // an earlier owner began it
+			change = &roleChange{startedAt: n.now(), orderSent: true}
+			changes[id] = change
 		}
 		wg.Go(func() {
-			if w == nil && !n.mayBeListedElsewhere(id) || w != nil && n.finishRoleChange(ctx, w, to, key, d, t) {
+			if w == nil && !n.mayBeListedElsewhere(id) ||
+				w != nil && n.finishRoleChange(ctx, w, to, key, balance, change) {
 				if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: id, Done: true}) {
 					mu.Lock()
 					defer mu.Unlock()
-					delete(turns, id)
-					d.lastChange = n.now()
+					delete(changes, id)
+					balance.lastChange = n.now()
 				}
 			}
 		})
@@ -220,31 +231,33 @@
 	wg.Wait()
 }
 
-// mayBeListedElsewhere tells that another service's worker, or one whose list is not known, has it.
+// mayBeListedElsewhere reports whether a worker that this service doesn't list belongs to another
+// service, or may do so because no list is known.
 func (n *Node) mayBeListedElsewhere(id ids.WorkerID) bool {
 	list := n.endpoints.Load()
 	return len(list.workers) == 0 || list.find(id) != nil
 }
 
-// finishRoleChange sends the order of a turn once all have heard of it, and tells when it is done.
+// finishRoleChange sends the order of a role change once all nodes have learned of it. It reports
+// whether the role change is over.
 func (n *Node) finishRoleChange(
 	ctx context.Context,
 	w *Worker,
 	to ids.Role,
 	key ids.Key,
-	d *roleBalance,
-	t *roleChange,
+	balance *roleBalance,
+	change *roleChange,
 ) bool {
 	now := n.now()
 	switch {
-	case w.Role == to, now.Past(t.startedAt, roleChangeTimeout), w.Leaving:
+	case w.Role == to, now.Past(change.startedAt, roleChangeTimeout), w.Leaving:
 		return true
-	case t.orderSent || !now.Past(t.startedAt, roleChangeNotice):
+	case change.orderSent || !now.Past(change.startedAt, roleChangeNotice):
 		return false
 	}
-	t.orderSent = true
+	change.orderSent = true
 	fence, end, ok := n.agent.BeginOperation(key)
-	if !ok || fence != d.fence {
+	if !ok || fence != balance.fence {
 		if ok {
 			end()
 		}
@@ -257,12 +270,12 @@
 		To:       to,
 		Owner:    n.self.Node,
 		Fence:    fence,
-		Expected: t.expectedOrders,
+		Expected: change.expectedOrders,
 	})
 	return failure.Is(err, failure.NotExecuted)
 }
 
-// reports asks all workers that may be counted on, side by side.
+// reports collects the reports of all workers that accept work and are not down, concurrently.
 func (n *Node) reports(ctx context.Context, s *fleetstate.Snapshot, listed map[ids.WorkerID]*Worker) []workerReport {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/internal/proxy/role_programs.go
+++ b/internal/proxy/role_programs.go
@@ -1,6 +1,7 @@
-// Turning by a routing program: the one in charge sees a service's workers as they report
-// and names one. Which may turn is decided before: each part keeps its least, and a worker
-// rests for the dwell. Where a part has no worker at all, the built-in choice stands.
+// Role changes proposed by routing programs. The active program sees a service's workers by their
+// reports and selects one. Which workers it may select is decided beforehand: each role keeps its
+// minimum number of workers, and a worker keeps its role for the dwell time. If a role has no worker
+// at all, the built-in choice applies.
 
 package proxy
 
@@ -12,70 +13,71 @@
 	"keelstair.example/internal/routing"
 )
 
-// proposeRoleChange gives the workers that the program in charge has turned, else the built-in choice.
+// proposeRoleChange returns the worker that the active program selects to change its role, or the
+// built-in choice if no program decides.
 func (n *Node) proposeRoleChange(
-	deal *fleetstate.CompiledPrograms,
+	programs *fleetstate.CompiledPrograms,
 	service *fleetstate.Service,
-	d *roleBalance,
-	rows []workerReport,
-	some []*workerReport,
+	balance *roleBalance,
+	reports []workerReport,
+	selected []*workerReport,
 	to ids.Role,
 ) ([]*workerReport, ids.Role) {
-	if !deal.Set.HasPrograms() {
-		return some, to
+	if !programs.Set.HasPrograms() {
+		return selected, to
 	}
 	count := map[ids.Role]int{}
-	for _, r := range rows {
+	for _, r := range reports {
 		count[r.Role]++
 	}
 	if count[ids.Prefill] == 0 || count[ids.Decode] == 0 {
-		return some, to
+		return selected, to
 	}
 	dwell := roleChangeInterval
-	if deal.Configuration != nil {
-		dwell = max(dwell, deal.Configuration.Limits.Dwell())
+	if programs.Configuration != nil {
+		dwell = max(dwell, programs.Configuration.Limits.Dwell())
 	}
-	p := n.rolePool(service, d, rows, count, dwell)
-	var own routing.RoleChange
-	if len(some) > 0 {
-		own = routing.RoleChange{Worker: some[0].worker.ID, To: to}
+	pool := n.rolePool(service, balance, reports, count, dwell)
+	var builtIn routing.RoleChange
+	if len(selected) > 0 {
+		builtIn = routing.RoleChange{Worker: selected[0].worker.ID, To: to}
 	}
-	w, ok, ruled := deal.Set.ResolveRoleChange(p, own, len(some) > 0)
+	proposed, ok, decided := programs.Set.ResolveRoleChange(pool, builtIn, len(selected) > 0)
 	switch {
-	case !ruled:
-		return some, to
+	case !decided:
+		return selected, to
 	case !ok:
 		return nil, ""
 	}
-	for i := range rows {
-		if rows[i].worker.ID == w.Worker {
-			return []*workerReport{&rows[i]}, w.To
+	for i := range reports {
+		if reports[i].worker.ID == proposed.Worker {
+			return []*workerReport{&reports[i]}, proposed.To
 		}
 	}
 	return nil, ""
 }
 
-// rolePool is a service's workers as a routing program sees them. Both roles are under pressure
-// from the same value on.
+// rolePool builds the view of a service's workers for a routing program. The pressures are scaled so
+// that both roles count as overloaded from the same value on.
 func (n *Node) rolePool(
 	service *fleetstate.Service,
-	d *roleBalance,
-	rows []workerReport,
+	balance *roleBalance,
+	reports []workerReport,
 	count map[ids.Role]int,
 	dwell time.Duration,
 ) *routing.Pool {
 	now := n.now()
-	p := &routing.Pool{
+	pool := &routing.Pool{
 		Model: service.Name,
-		Since: now.Since(d.lastChange),
+		Since: now.Since(balance.lastChange),
 		Pressure: map[ids.Role]float64{
-			ids.Prefill: min(1, d.prefillPressure*decodePressureLimit/prefillPressureLimit),
-			ids.Decode:  min(1, d.decodePressure),
+			ids.Prefill: min(1, balance.prefillPressure*decodePressureLimit/prefillPressureLimit),
+			ids.Decode:  min(1, balance.decodePressure),
 		},
 	}
-	for _, r := range rows {
-		at, was := d.roleChangedAt[r.worker.ID]
-		p.Workers = append(p.Workers, routing.RoleCandidate{
+	for _, r := range reports {
+		changedAt, changed := balance.roleChangedAt[r.worker.ID]
+		pool.Workers = append(pool.Workers, routing.RoleCandidate{
 			ID:            r.worker.ID,
 			Zone:          r.worker.Zone,
 			Role:          r.Role,
@@ -85,8 +87,8 @@
 			MaxConcurrent: service.Concurrency,
 			Free:          max(0, r.Capacity-r.Used),
 			Capacity:      r.Capacity,
-			Allowed:       count[r.Role] > minPerRole(len(rows)) && (!was || now.Past(at, dwell)),
+			Allowed:       count[r.Role] > minPerRole(len(reports)) && (!changed || now.Past(changedAt, dwell)),
 		})
 	}
-	return p
+	return pool
 }
--- a/internal/proxy/tenant.go
+++ b/internal/proxy/tenant.go
@@ -1,6 +1,6 @@
-// Authentication: where the configuration has tenants, a request on a route that is not public
-// bears a key of one of them. The key is looked up again in the newest configuration before each
-// sending, so that a request which waits while its key is taken away is not sent any more.
+// Authentication by tenant keys. If the configuration has tenants, a request on a non-public route
+// must carry the key of one of them. The key is looked up again in the current configuration before
+// each attempt, so that a request that is waiting when its key is revoked is not sent to a worker.
 
 package proxy
 
@@ -10,7 +10,8 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// authenticate finds the tenant whose key the request bears.
+// authenticate finds the tenant whose key the request carries, and prepares the outgoing request with
+// the tenant's name in place of the key.
 func (t *exchange) authenticate(s *fleetstate.Snapshot) error {
 	if t.outgoing != nil && t.keys == s.Keys {
 		return nil
@@ -28,9 +29,10 @@
 	return nil
 }
 
-// urgency is the tenant's, or else the route's; 0 is the most urgent.
+// urgency returns the tenant's urgency or, if it has none, the route's. 0 is the most urgent.
 func (t *exchange) urgency() int { return urgencyOf(t.route, t.tenant) }
 
+// urgencyOf returns the tenant's urgency or, if it has none, the route's.
 func urgencyOf(route *fleetstate.Route, tenant *fleetstate.Tenant) int {
 	if tenant != nil && tenant.Urgency != nil {
 		return *tenant.Urgency
@@ -38,8 +40,8 @@
 	return route.Urgency
 }
 
-// endRejected ends a request that must not be sent any more. Only where it has run nowhere may
-// the answer say so.
+// endRejected ends a request that must not be sent to another worker. It returns the rejection only if
+// the request surely never ran, and an AbortedError otherwise.
 func (t *exchange) endRejected(rejected *RejectedError) error {
 	t.node.counts.Unauthenticated.Add(1)
 	if t.mayHaveRun || t.headSent {
--- a/internal/proxy/version_age.go
+++ b/internal/proxy/version_age.go
@@ -1,7 +1,7 @@
-// The age of the version that a node serves by. A version must be in force everywhere soon after
-// its acknowledgement, and only the core knows of all of them; a node to which the core has not
-// shown lately that it has the newest refuses requests, unless it is cut off from the core: then
-// callers are better served by what it has.
+// Age of the configuration version that a node serves. A version must be in force on every node within
+// ApplyMax after its acknowledgement, and only the coordination core knows all versions. A node
+// rejects requests if the core has not recently confirmed that it has the newest version, unless it
+// is cut off from the core: then serving the version that it has is better for callers.
 
 package proxy
 
@@ -16,32 +16,37 @@
 )
 
 const (
-	// versionAgeMargin is kept from ApplyMax for the way of an acknowledgement and of a request.
+	// versionAgeMargin is subtracted from ApplyMax to cover the latency of an acknowledgement and of a
+	// request.
 	versionAgeMargin = 250 * time.Millisecond
-	// commitWait is how long the core's word is waited for before a prepared version is put in
-	// force without it: it is durable, and acknowledged.
+	// commitWait is how long a node waits for the core's commit before it puts a prepared version in
+	// force without it, which is safe because the version is durable and acknowledged.
 	commitWait = 500 * time.Millisecond
-	// maxConfirmationAge is within how long the core confirms every node that can reach it.
+	// maxConfirmationAge is the time within which the core confirms every node that can reach it.
 	maxConfirmationAge = time.Second
-	// takeoverGrace is how long a primary may be reached and confirm nothing: a takeover from one
-	// that stands still takes up to 2.3 s.
+	// takeoverGrace is how long a primary may be reachable without confirming anything. A takeover from
+	// a stalled primary takes up to 2.3 s.
 	takeoverGrace = 2500 * time.Millisecond
-	// starvationGrace is how long a lack of processor time explains what else looks like a cut.
+	// starvationGrace is how long after a lack of processor time missing confirmations are attributed to
+	// it and not to a lost connection.
 	starvationGrace = 2 * time.Second
 )
 
-// versionAge follows which of the core's confirmations the version in force here includes.
+// versionAge tracks up to which of the core's confirmations the version in force on this node is
+// current.
 type versionAge struct {
-	currentAt        atomic.Int64 // ids.Tick: all that was acknowledged before it is in force
-	mu               sync.Mutex
-	awaitedVersion   ids.Version // it is not in force yet, and was
-	awaitedAt        ids.Tick    // seen at this moment
-	awaitedCurrentAt ids.Tick    // in a view that had all that was acknowledged before this one
+	currentAt atomic.Int64 // ids.Tick; every version acknowledged before it is in force here
+	mu        sync.Mutex
+	// awaitedVersion is a version that the view has but that is not in force yet; 0 if there is none.
+	awaitedVersion   ids.Version
+	awaitedAt        ids.Tick // when it was first seen
+	awaitedCurrentAt ids.Tick // currentAt once it is in force
 }
 
-// update compares what is in force with what was acknowledged. It gives a version that the core
-// should have put in force by now, or 0.
-func (v *versionAge) update(now, foldedAt ids.Tick, s *fleetstate.Snapshot) ids.Version {
+// update compares the version in force with the newest one in the view, which has everything that was
+// acknowledged before viewCurrentAt. It returns a version that the core should have put in
+// force by now, or 0.
+func (v *versionAge) update(now, viewCurrentAt ids.Tick, s *fleetstate.Snapshot) ids.Version {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.awaitedVersion != 0 && s.Version >= v.awaitedVersion {
@@ -50,36 +55,38 @@
 	}
 	switch {
 	case s.Version >= s.Newest:
-		v.currentAt.Store(int64(foldedAt))
+		v.currentAt.Store(int64(viewCurrentAt))
 		v.awaitedVersion = 0
 	case v.awaitedVersion == 0:
-		v.awaitedVersion, v.awaitedAt, v.awaitedCurrentAt = s.Newest, now, foldedAt
+		v.awaitedVersion, v.awaitedAt, v.awaitedCurrentAt = s.Newest, now, viewCurrentAt
 	case now.Past(v.awaitedAt, commitWait):
 		return v.awaitedVersion
 	}
 	return 0
 }
 
-// updateVersionAge gives a version that the core should have put in force by now, or 0.
+// updateVersionAge updates the version age from the node's view. It returns a version that the core
+// should have put in force by now, or 0.
 func (n *Node) updateVersionAge() ids.Version {
-	foldedAt := n.agent.CurrentAt()
-	return n.versionAge.update(n.now(), foldedAt, n.view.Current())
+	viewCurrentAt := n.agent.CurrentAt()
+	return n.versionAge.update(n.now(), viewCurrentAt, n.view.Current())
 }
 
-// applyOverdueVersion puts in force what the core is late with.
+// applyOverdueVersion puts a version in force if the core's commit of it is overdue.
 func (n *Node) applyOverdueVersion() {
-	if late := n.updateVersionAge(); late != 0 {
-		n.view.NoteVersion(late)
+	if overdue := n.updateVersionAge(); overdue != 0 {
+		n.view.NoteVersion(overdue)
 	}
 }
 
-// withinApplyMax tells that all is in force here that must be by now.
+// withinApplyMax reports whether every version that must be in force by now is in force here.
 func (n *Node) withinApplyMax() bool {
 	currentAt := ids.Tick(n.versionAge.currentAt.Load())
 	return currentAt != 0 && !n.now().Past(currentAt, n.options.ApplyMax-versionAgeMargin)
 }
 
-// versionStale tells that a newer version may have to be in force by now, though not here.
+// versionStale reports whether a newer version than the one in force here may have to be in force by
+// now, although the core can be reached.
 func (n *Node) versionStale() bool {
 	if n.withinApplyMax() {
 		return false
@@ -91,7 +98,8 @@
 	return coreReachable(n.now(), currentAt, n.agent.SinceConfirmed(), n.agent.Reachability())
 }
 
-// coreReachable tells that the core can be reached, so that an old version is this node's own fault.
+// coreReachable reports whether the core can be reached, so that an old version is this node's own
+// fault and not that of a lost connection.
 func coreReachable(now, currentAt ids.Tick, sinceConfirmed time.Duration, primary coordination.Reachability) bool {
 	switch {
 	case primary.Lost:
