--- a/internal/proxy/fault_notice.go
+++ b/internal/proxy/fault_notice.go
@@ -86,7 +86,7 @@
 func (n *Node) watchWorker(w Worker, st *workerState) {
 	ctx, notified := n.runContext, false
 	for end := n.now().Add(watchDuration); n.now().Before(end) && ctx.Err() == nil; {
-		began := n.now()
+		startedAt := n.now()
 		callContext, stop := context.WithTimeout(ctx, healthCheckTimeout)
 		_, err := n.options.Backend.Report(callContext, w)
 		stop()
@@ -104,7 +104,7 @@
 			n.recordRecovery(st)
 			return
 		}
-		if n.options.BaseEjection >= 0 && st.lastSuccess.Load() >= int64(began) {
+		if n.options.BaseEjection >= 0 && st.lastSuccess.Load() >= int64(startedAt) {
 			host.Sleep(ctx, healthCheckInterval/4)
 			continue
 		}
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -23,7 +23,7 @@
 	answered    bool     // the source answered the last request
 	flat        bool     // all nodes get the list from the owner
 	loadSeq     uint64   // the source's sequence number up to which it sent worker loads
-	reportedSeq uint64   // this node's sequence number up to which it reported loads to the source
+	reportedSeq uint64   // this node's sequence number up to which it sent worker loads to the source
 }
 
 // listResult is the result of a list request to a source.
@@ -116,8 +116,9 @@
 }
 
 // mayQueryPlatform reports whether this node queries the platform when no source has a fresh list. It
-// does if it is the acting owner of its zone or if its list is older than listLostAge. Otherwise it
-// requests the list from the acting owner.
+// does in a small fleet, and as acting owner of its zone. Otherwise it requests the list from the
+// acting owner, and queries the platform, after a random wait, only if its own list is older than
+// listLostAge and it has used its current source for longer than that.
 func (f *listFollower) mayQueryPlatform(ctx context.Context, s *listSources) bool {
 	if s.flat() || f.isActingOwner(s) {
 		return true
--- a/internal/proxy/metering.go
+++ b/internal/proxy/metering.go
@@ -162,7 +162,12 @@
 	if n.usage == nil || !owned && !(known && owner.Node == request.Node) {
 		return nil, failure.New(failure.Unavailable, "take usage", string(request.Node), "the duty is not held here")
 	}
-	report := &metering.Told{Node: request.Node, Since: request.StartWindow, Own: request.OwnTime, Now: request.EstimatedTime}
+	report := &metering.Told{
+		Node:  request.Node,
+		Since: request.StartWindow,
+		Own:   request.OwnTime,
+		Now:   request.EstimatedTime,
+	}
 	for _, r := range request.Rows {
 		report.Rows = append(report.Rows, metering.Row(r))
 	}
--- a/internal/proxy/version_age.go
+++ b/internal/proxy/version_age.go
@@ -1,7 +1,7 @@
 // Age of the configuration version that a node serves. A version must be in force on every node within
-// ApplyMax after its acknowledgement, and only the coordination core knows all versions. A node
-// rejects requests if the core has not recently confirmed that it has the newest version, unless it
-// is cut off from the core: then serving the version that it has is better for callers.
+// ApplyMax after its acknowledgement, and only the coordination service, the core, knows all versions.
+// A node rejects requests if the core has not recently confirmed that it has the newest version,
+// unless it is cut off from the core: then serving the version that it has is better for callers.
 
 package proxy
 
