--- a/coordination/answer_test.go
+++ b/coordination/answer_test.go
@@ -14,12 +14,12 @@
 // countingMachine counts how often its state is encoded.
 type countingMachine struct{ snapshots int }
 
-func (*countingMachine) Apply(ids.Seq, string, []byte) ([]byte, error)  { return nil, nil }
-func (*countingMachine) Published(string) bool                          { return true }
-func (m *countingMachine) Snapshot(bool) []byte                         { m.snapshots++; return nil }
-func (*countingMachine) Restore([]byte) error                           { return nil }
-func (*countingMachine) Keys() []ids.Key                                { return nil }
-func (*countingMachine) Due(_ ids.Tick, seq, applied ids.Seq) []Command { return nil }
+func (*countingMachine) Apply(ids.Seq, string, []byte) ([]byte, error)          { return nil, nil }
+func (*countingMachine) Published(string) bool                                  { return true }
+func (m *countingMachine) Snapshot(bool) []byte                                 { m.snapshots++; return nil }
+func (*countingMachine) Restore([]byte) error                                   { return nil }
+func (*countingMachine) Keys() []ids.Key                                        { return nil }
+func (*countingMachine) DueCommands(_ ids.Tick, seq, applied ids.Seq) []Command { return nil }
 
 // TestStartOfManyEncodesStateOnce: nodes that all start at once ask for the state in one batch, and the
 // primary's writer does not encode it anew for each of them.
--- a/coordination/bad_append_test.go
+++ b/coordination/bad_append_test.go
@@ -40,6 +40,6 @@
 		r, err := c.handleAppend(context.Background(), request)
 		require.True(t, err != nil || !r.OK)
 		requireUnchanged(t, c)
-		require.NoError(t, c.store.load(newReplicatedState(&listMachine{})))
+		require.NoError(t, c.store.load(newReplicatedState(&listStateMachine{})))
 	})
 }
--- a/coordination/bad_message_test.go
+++ b/coordination/bad_message_test.go
@@ -24,7 +24,7 @@
 		c, err := New(Options{
 			Addr:    "10.0.0.1:1",
 			Host:    machine.Start().Host(),
-			Machine: func() StateMachine { return &listMachine{} },
+			Machine: func() StateMachine { return &listStateMachine{} },
 		})
 		require.NoError(t, err)
 		proposer := Replica{Disk: "proposer", Addr: "10.0.0.2:1"}
@@ -52,7 +52,7 @@
 
 // snapshotOf gives a snapshot of a machine with seven other values.
 func snapshotOf(t *testing.T) (body []byte, all []Chunk) {
-	r := newReplicatedState(&listMachine{})
+	r := newReplicatedState(&listStateMachine{})
 	for range 7 {
 		_, err := r.apply(&Entry{Kind: "put", Op: "op", Body: []byte("other")})
 		require.NoError(t, err)
@@ -61,7 +61,7 @@
 }
 
 func requireUnchanged(t *testing.T, c *Core) {
-	require.Equal(t, "one,two", c.state.machine.(*listMachine).all())
+	require.Equal(t, "one,two", c.state.machine.(*listStateMachine).all())
 	require.EqualValues(t, 2, c.state.seq)
 	require.Zero(t, c.readyEpoch.Load())
 }
@@ -89,7 +89,7 @@
 		r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{Epoch: 2, From: proposer, State: body})
 		require.NoError(t, err)
 		require.True(t, r.OK)
-		require.Equal(t, strings.Repeat("other,", 6)+"other", c.state.machine.(*listMachine).all())
+		require.Equal(t, strings.Repeat("other,", 6)+"other", c.state.machine.(*listStateMachine).all())
 	})
 }
 
--- a/coordination/beyond_tolerance_test.go
+++ b/coordination/beyond_tolerance_test.go
@@ -23,8 +23,8 @@
 
 // beyondTolerance runs clients through some rounds of trouble. After each of them the core must
 // answer in time; in the end every command was taken once.
-func beyondTolerance(t *testing.T, seed uint64, trouble func(w *walk, rng *rand.Rand)) {
-	underLoad(t, buildOf(seed, beyondMachines, beyondLosses), seed, func(w *walk) {
+func beyondTolerance(t *testing.T, seed uint64, trouble func(w *faultRun, rng *rand.Rand)) {
+	runUnderLoad(t, newClusterOfSize(seed, beyondMachines, beyondLosses), seed, func(w *faultRun) {
 		rng := rand.New(rand.NewPCG(seed, 10))
 		for range beyondRounds {
 			time.Sleep(time.Duration(500+rng.IntN(2000)) * time.Millisecond)
@@ -38,17 +38,17 @@
 // TestHalvesPartitioned: the cores are cut into two halves for some seconds, while nodes reach
 // both of them.
 func TestHalvesPartitioned(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		beyondTolerance(t, seed, func(w *walk, rng *rand.Rand) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		beyondTolerance(t, seed, func(w *faultRun, rng *rand.Rand) {
 			var half []string
 			for _, i := range rng.Perm(beyondMachines)[:beyondMachines/2] {
 				half = append(half, machineOf(w.seeds[i]))
 			}
 			duration := time.Duration(500+rng.IntN(8000)) * time.Millisecond
-			w.say("cut %v from the others for %s", half, duration)
-			w.partitionFrom(half, bothWays, true)
+			w.record("cut %v from the others for %s", half, duration)
+			w.partitionCores(half, bothWays, true)
 			time.Sleep(duration)
-			w.partitionFrom(half, bothWays, false)
+			w.partitionCores(half, bothWays, false)
 		})
 	})
 }
@@ -56,12 +56,12 @@
 // TestOverlappingLosses: three to six of six cores lose their power at about the same time, up to
 // two of them their disks, and come back in any order.
 func TestOverlappingLosses(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		beyondTolerance(t, seed, func(w *walk, rng *rand.Rand) {
-			time.Sleep(time.Until(w.wipe.Add(diskHealing)))
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		beyondTolerance(t, seed, func(w *faultRun, rng *rand.Rand) {
+			time.Sleep(time.Until(w.lastDiskLoss.Add(diskHealing)))
 			lost := rng.Perm(beyondMachines)[:beyondLosses+1+rng.IntN(beyondMachines-beyondLosses)]
 			disks := rng.IntN(beyondLosses + 1)
-			w.say("lose %v, the disks of the first %d", lost, disks)
+			w.record("lose %v, the disks of the first %d", lost, disks)
 			for n, i := range lost {
 				ip := machineOf(w.seeds[i])
 				w.powerOff(ip)
@@ -73,10 +73,10 @@
 			rng.Shuffle(len(lost), func(a, b int) { lost[a], lost[b] = lost[b], lost[a] })
 			for _, i := range lost {
 				time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
-				w.core(w.seeds[i])
+				w.startMember(w.seeds[i])
 			}
 			if disks > 0 {
-				w.wipe = time.Now()
+				w.lastDiskLoss = time.Now()
 			}
 		})
 	})
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -205,10 +205,10 @@
 	for host.Sleep(ctx, 2*time.Second) {
 		p := c.directory.Exchange()
 		body := string(MustMarshal(p))
-		if body == previous || len(p.Replicas)+len(p.Members) == 0 || c.store.pending.Load() > 0 {
+		if body == previous || len(p.Replicas)+len(p.Members) == 0 || c.store.pendingSteps.Load() > 0 {
 			continue
 		}
-		if c.store.timed("save directory", func() error {
+		if c.store.runStep("save directory", func() error {
 			return c.options.Host.Disk.Save(directoryFile, []byte(body))
 		}) == nil {
 			previous = body
@@ -253,7 +253,7 @@
 	if _, promised = c.accepted(); promised > request.Epoch {
 		return &AppendResponse{Promised: promised}, nil
 	}
-	if c.store.rows > rowsPerLog {
+	if c.store.logUnits > compactionThreshold {
 		if err := c.store.compact(c.state.snapshot(false), chunksOf(c.state.machine)); err != nil {
 			c.reloadNeeded = true
 			return nil, err
--- a/coordination/cutoff_test.go
+++ b/coordination/cutoff_test.go
@@ -20,17 +20,17 @@
 
 const partitionDuration = 20 * time.Second
 
-// direction is which way packets between a machine and the other cores are lost.
-type direction string
+// lossDirection is which way packets between a machine and the other cores are lost.
+type lossDirection string
 
 const (
-	bothWays    direction = "both ways"
-	hearsNone   direction = "it hears nothing"
-	reachesNone direction = "it reaches nobody"
+	bothWays    lossDirection = "both ways"
+	hearsNone   lossDirection = "it hears nothing"
+	reachesNone lossDirection = "it reaches nobody"
 )
 
-// partitionFrom cuts machines off from the other cores, or joins them again. Nodes reach them.
-func (f *fleet) partitionFrom(group []string, how direction, partitioned bool) {
+// partitionCores cuts machines off from the other cores, or joins them again. Nodes reach them.
+func (f *testCluster) partitionCores(group []string, how lossDirection, partitioned bool) {
 	var rest []string
 	for ip := range f.cores {
 		rest = append(rest, ip)
@@ -47,7 +47,7 @@
 
 // askCore asks one core for a command that changes nothing of the sum, and for all there is,
 // whoever leads.
-func (f *fleet) askCore(ip, op string) (submitted, read error) {
+func (f *testCluster) askCore(ip, op string) (submitted, read error) {
 	caller := rpc.NewCaller(f.processes["10.0.1.1"].Host().Net)
 	defer caller.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 900*time.Millisecond)
@@ -70,7 +70,7 @@
 func TestPartition(t *testing.T) {
 	sizes := []struct{ machines, losses int }{{3, 1}, {6, 2}}
 	for _, size := range sizes {
-		for _, how := range []direction{bothWays, hearsNone, reachesNone} {
+		for _, how := range []lossDirection{bothWays, hearsNone, reachesNone} {
 			for first := range size.losses + 2 {
 				for second := first; second < size.losses+2; second++ {
 					if second > first && size.losses < 2 {
@@ -91,7 +91,7 @@
 }
 
 // voters are the machines of the record: the primary, its backups, then a holder without data.
-func (f *fleet) voters(t *testing.T) []string {
+func (f *testCluster) voters(t *testing.T) []string {
 	record := f.cores[f.leader()].Directory().Record()
 	out := []string{machineOf(record.Primary.Addr), machineOf(record.Backup.Addr)}
 	for _, b := range record.MoreBackups {
@@ -106,8 +106,8 @@
 	return nil
 }
 
-func partitioned(t *testing.T, machines, faultTolerance, first, second int, how direction) {
-	f := buildOf(uint64(first*7+second+1), machines, faultTolerance)
+func partitioned(t *testing.T, machines, faultTolerance, first, second int, how lossDirection) {
+	f := newClusterOfSize(uint64(first*7+second+1), machines, faultTolerance)
 	defer f.close()
 	require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 	time.Sleep(2 * time.Second)
@@ -116,7 +116,7 @@
 	if second != first {
 		group = append(group, addr[second])
 	}
-	f.partitionFrom(group, how, true)
+	f.partitionCores(group, how, true)
 	began := time.Now()
 	sum := 1
 	for n := 0; time.Since(began) < partitionDuration; n++ {
@@ -137,7 +137,7 @@
 		}
 		time.Sleep(time.Second)
 	}
-	f.partitionFrom(group, how, false)
+	f.partitionCores(group, how, false)
 	time.Sleep(4 * time.Second)
 	require.NoError(t, f.submitNumber(1, "after", 5*time.Second))
 	f.powerOff(f.leader())
--- a/coordination/directory.go
+++ b/coordination/directory.go
@@ -244,8 +244,8 @@
 	d.self.Leaving = true
 }
 
-// leaving tells whether a replica said that it is about to end.
-func (d *Directory) leaving(disk ids.DiskID) bool {
+// isLeaving tells whether a replica said that it is about to end.
+func (d *Directory) isLeaving(disk ids.DiskID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.replicas[disk].leaving
--- a/coordination/directory_exchange_test.go
+++ b/coordination/directory_exchange_test.go
@@ -19,8 +19,8 @@
 // pages that were true before. Nobody goes back to them: all name the members that the
 // log has, and the disk machines that hold the core. Many seeds.
 func TestStaleExchanges(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		books := func() map[string]*coordination.Directory {
@@ -92,16 +92,16 @@
 				f.agents[1].Leave()
 				f.stops[string(f.agents[1].Self().Node)]()
 				time.Sleep(time.Second)
-				f.agents[1], f.watchers[1] = f.agent(fmt.Sprintf("10.0.1.%d", 7+i))
+				f.agents[1], f.watchers[1] = f.startAgent(fmt.Sprintf("10.0.1.%d", 7+i))
 			case 1: // one more node
-				a, v := f.agent(fmt.Sprintf("10.0.1.%d", 7+i))
+				a, v := f.startAgent(fmt.Sprintf("10.0.1.%d", 7+i))
 				f.agents, f.watchers = append(f.agents, a), append(f.watchers, v)
 			case 2: // a seed is exchanged
 				out := f.seeds[i][:8]
 				f.powerOff(out)
 				f.world.Machine(out).WipeDisk()
 				f.seeds[i] = fmt.Sprintf("10.0.0.%d:1", 7+i)
-				f.core(f.seeds[i])
+				f.startMember(f.seeds[i])
 				for _, b := range books() {
 					b.SetSeeds(f.seeds)
 				}
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -212,7 +212,7 @@
 	current, _ := c.accepted()
 	order := func(s Replica) int {
 		switch {
-		case s.Disk == p.notBackup || c.directory.leaving(s.Disk):
+		case s.Disk == p.notBackup || c.directory.isLeaving(s.Disk):
 			return 2
 		case isDataReplicaOf(current, s):
 			return 0
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -56,7 +56,7 @@
 			idle = now
 			continue
 		}
-		if c.store.pending.Load() > 0 || !c.isDataReplica(record) || c.reloadPending() {
+		if c.store.pendingSteps.Load() > 0 || !c.isDataReplica(record) || c.reloadPending() {
 			continue
 		}
 		asked := c.transferEpoch.Load() == uint64(record.Epoch)
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -40,8 +40,8 @@
 	t.sum, err = strconv.Atoi(string(b))
 	return err
 }
-func (t *sumMachine) Keys() []ids.Key                                       { return []ids.Key{"left", "right"} }
-func (t *sumMachine) Due(ids.Tick, ids.Seq, ids.Seq) []coordination.Command { return nil }
+func (t *sumMachine) Keys() []ids.Key                                               { return []ids.Key{"left", "right"} }
+func (t *sumMachine) DueCommands(ids.Tick, ids.Seq, ids.Seq) []coordination.Command { return nil }
 
 // sumWatcher is a follower's view of it.
 type sumWatcher struct{ sum atomic.Int64 }
@@ -60,8 +60,8 @@
 
 func (e *sumWatcher) Snapshot() []byte { return []byte(strconv.FormatInt(e.sum.Load(), 10)) }
 
-// fleet is three cores and two agents on simulated machines.
-type fleet struct {
+// testCluster is three cores and two agents on simulated machines.
+type testCluster struct {
 	world          *simulated.World
 	processes      map[string]*simulated.Process
 	stops          map[string]context.CancelFunc
@@ -73,16 +73,16 @@
 	zones          map[string]ids.Zone // by the IP number of a core
 }
 
-func build(seed uint64) *fleet { return buildOf(seed, 3, 1) }
+func newCluster(seed uint64) *testCluster { return newClusterOfSize(seed, 3, 1) }
 
-// buildOf is a fleet of so many cores that bears so many losses at once.
-func buildOf(seed uint64, cores, faultTolerance int) *fleet {
-	return buildIn(seed, cores, faultTolerance)
+// newClusterOfSize is a fleet of so many cores that bears so many losses at once.
+func newClusterOfSize(seed uint64, cores, faultTolerance int) *testCluster {
+	return newClusterInZones(seed, cores, faultTolerance)
 }
 
-// buildIn spreads the cores over zones, one after the other.
-func buildIn(seed uint64, cores, faultTolerance int, zones ...ids.Zone) *fleet {
-	f := &fleet{
+// newClusterInZones spreads the cores over zones, one after the other.
+func newClusterInZones(seed uint64, cores, faultTolerance int, zones ...ids.Zone) *testCluster {
+	f := &testCluster{
 		faultTolerance: faultTolerance,
 		zones:          map[string]ids.Zone{},
 		world:          simulated.NewWorld(seed),
@@ -97,16 +97,16 @@
 		if len(zones) > 0 {
 			f.zones[machineOf(a)] = zones[i%len(zones)]
 		}
-		f.core(a)
+		f.startMember(a)
 	}
 	for i := range 2 {
-		a, v := f.agent(fmt.Sprintf("10.0.1.%d", i+1))
+		a, v := f.startAgent(fmt.Sprintf("10.0.1.%d", i+1))
 		f.agents, f.watchers = append(f.agents, a), append(f.watchers, v)
 	}
 	return f
 }
 
-func (f *fleet) agent(ip string) (*coordination.Agent, *sumWatcher) {
+func (f *testCluster) startAgent(ip string) (*coordination.Agent, *sumWatcher) {
 	v := &sumWatcher{}
 	p := f.world.Machine(ip).Start()
 	a := coordination.NewAgent(coordination.AgentOptions{
@@ -115,11 +115,11 @@
 		Seeds:   f.seeds,
 		Watcher: v,
 	})
-	f.run(ip, ip+":1", p, a.Mount, a.Run)
+	f.startProcess(ip, ip+":1", p, a.Mount, a.Run)
 	return a, v
 }
 
-func (f *fleet) run(ip, addr string, p *simulated.Process, mount func(*http.ServeMux), run func(context.Context)) {
+func (f *testCluster) startProcess(ip, addr string, p *simulated.Process, mount func(*http.ServeMux), run func(context.Context)) {
 	ctx, stop := context.WithCancel(context.Background())
 	f.processes[ip], f.stops[ip] = p, stop
 	l, err := p.Host().Net.Listen(addr)
@@ -132,9 +132,9 @@
 	go run(ctx)
 }
 
-func (f *fleet) core(addr string) { f.startCore(addr, false) }
+func (f *testCluster) startMember(addr string) { f.startCore(addr, false) }
 
-func (f *fleet) startCore(addr string, force bool) chan error {
+func (f *testCluster) startCore(addr string, force bool) chan error {
 	ip := addr[:len(addr)-2]
 	p := f.world.Machine(ip).Start()
 	c, err := coordination.New(coordination.Options{
@@ -151,17 +151,17 @@
 	}
 	f.cores[ip] = c
 	end := make(chan error, 1)
-	f.run(ip, addr, p, c.Mount, func(ctx context.Context) { end <- c.Run(ctx) })
+	f.startProcess(ip, addr, p, c.Mount, func(ctx context.Context) { end <- c.Run(ctx) })
 	return end
 }
 
-func (f *fleet) powerOff(ip string) {
+func (f *testCluster) powerOff(ip string) {
 	f.world.Machine(ip).PowerOff()
 	f.stops[ip]()
 	delete(f.cores, ip)
 }
 
-func (f *fleet) leader() string {
+func (f *testCluster) leader() string {
 	for ip, c := range f.cores {
 		if c.Leads() {
 			return ip
@@ -170,7 +170,7 @@
 	return ""
 }
 
-func (f *fleet) close() {
+func (f *testCluster) close() {
 	for ip := range f.processes {
 		f.world.Machine(ip).Freeze(false)
 		f.world.Machine(ip).StallDisk(false)
@@ -179,7 +179,7 @@
 	time.Sleep(30 * time.Second)
 }
 
-func (f *fleet) submitNumber(n int, op string, duration time.Duration) error {
+func (f *testCluster) submitNumber(n int, op string, duration time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	_, err := f.agents[0].Submit(ctx, ids.OpID(op), "add", []byte(strconv.Itoa(n)))
@@ -189,7 +189,7 @@
 // Example embeds the core: a machine of one's own, a command, a follower.
 func Example() {
 	synctest.Test(new(testing.T), func(*testing.T) {
-		f := build(1)
+		f := newCluster(1)
 		defer f.close()
 		fmt.Println(
 			f.submitNumber(40, "a", 10*time.Second),
@@ -207,8 +207,8 @@
 	// a duty is held: true
 }
 
-// eachSeed runs a test under twelve seeds, side by side, each in a bubble of its own.
-func eachSeed(t *testing.T, f func(t *testing.T, seed uint64)) {
+// forEachSeed runs a test under twelve seeds, side by side, each in a bubble of its own.
+func forEachSeed(t *testing.T, f func(t *testing.T, seed uint64)) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -221,8 +221,8 @@
 // whatever the disk tears, each acknowledged command is there once, and each
 // operation has one outcome. Many seeds.
 func TestAckedSurvives(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		want := 0
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
@@ -243,7 +243,7 @@
 			}
 			require.NoError(t, err, "seed %d round %d", seed, i)
 			want += 1 << (4*i + 4)
-			f.core(ip + ":1")
+			f.startMember(ip + ":1")
 			time.Sleep(2 * time.Second)
 		}
 		time.Sleep(3 * time.Second)
@@ -255,8 +255,8 @@
 // TestOneOwner: two agents never both hold a key, however leases lapse, cuts
 // come and go, machines freeze, and leaders change. Many seeds.
 func TestOneOwner(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		held := [2]int{}
@@ -279,7 +279,7 @@
 					if l != "" {
 						f.powerOff(l)
 						time.Sleep(4 * time.Second)
-						f.core(l + ":1")
+						f.startMember(l + ":1")
 					}
 				case 3:
 					f.world.Machine(ip).JumpClock(7 * time.Second)
@@ -312,7 +312,7 @@
 // machines ends with one clear error, and this fleet goes on as it was.
 func TestForeignDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := build(3)
+		f := newCluster(3)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		var other []string
@@ -322,7 +322,7 @@
 		mine := f.seeds
 		f.seeds = other
 		for _, a := range other {
-			f.core(a)
+			f.startMember(a)
 		}
 		time.Sleep(3 * time.Second)
 		for _, a := range other {
--- a/coordination/feed.go
+++ b/coordination/feed.go
@@ -25,8 +25,8 @@
 
 func newFeed() *feed { return &feed{changed: make(chan struct{})} }
 
-// start forgets all and begins after a number.
-func (f *feed) start(at ids.Seq) {
+// reset forgets all and begins after a number.
+func (f *feed) reset(at ids.Seq) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entries.Clear()
@@ -55,8 +55,8 @@
 	f.changed = make(chan struct{})
 }
 
-// since gives what followed a place; ok is false when a snapshot is needed.
-func (f *feed) since(at ids.Seq) (entries []Entry, last ids.Seq, ok bool, ring chan struct{}) {
+// entriesAfter gives what followed a place; ok is false when a snapshot is needed.
+func (f *feed) entriesAfter(at ids.Seq) (entries []Entry, last ids.Seq, ok bool, ring chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	first := f.last - ids.Seq(f.entries.Len())
@@ -79,7 +79,7 @@
 	t := host.NewTimer(wait)
 	defer t.Stop()
 	for {
-		entries, last, ok, ring := f.since(request.From)
+		entries, last, ok, ring := f.entriesAfter(request.From)
 		if !ok || request.From == 0 {
 			snapshot, err := snapshot()
 			if err != nil {
--- a/coordination/force_new_cluster_test.go
+++ b/coordination/force_new_cluster_test.go
@@ -15,7 +15,7 @@
 // as they were; keys are dealt under higher fences.
 func TestForceNewCluster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := build(3)
+		f := newCluster(3)
 		defer f.close()
 		require.NoError(t, f.submitNumber(7, "a", 10*time.Second))
 		time.Sleep(2 * time.Second)
@@ -36,8 +36,8 @@
 		}
 		require.NotEqual(t, lead, data)
 		end := f.startCore(data+":1", true)
-		f.core("10.0.0.8:1")
-		f.core("10.0.0.9:1")
+		f.startMember("10.0.0.8:1")
+		f.startMember("10.0.0.9:1")
 		require.NoError(t, f.submitNumber(7, "a", 20*time.Second), "the same operation again")
 		require.NoError(t, f.submitNumber(2, "b", 5*time.Second))
 		time.Sleep(5 * time.Second)
@@ -52,7 +52,7 @@
 		default:
 		}
 		// What was lost comes back after all: it joins as a spare, and nothing changes.
-		f.core("10.0.0.7:1")
+		f.startMember("10.0.0.7:1")
 		time.Sleep(2 * time.Second)
 		require.NoError(t, f.submitNumber(1, "c", 5*time.Second))
 		time.Sleep(time.Second)
@@ -64,7 +64,7 @@
 // on a disk without data, on an empty one, and on one that is behind.
 func TestForceNewClusterRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := build(4)
+		f := newCluster(4)
 		defer f.close()
 		require.NoError(t, f.submitNumber(7, "a", 10*time.Second))
 		time.Sleep(2 * time.Second)
@@ -92,8 +92,8 @@
 		says(f.startCore("10.0.0.6:1", true), "no fleet")
 		f.powerOff(witness)
 		f.powerOff("10.0.0.6")
-		f.core(witness + ":1")
-		f.core(record.Backup.Addr)
+		f.startMember(witness + ":1")
+		f.startMember(record.Backup.Addr)
 		time.Sleep(4 * time.Second)
 		// The old primary is gone a while, the others go on: its disk is behind then.
 		f.powerOff(at(record.Primary.Addr))
--- a/coordination/late_snapshot_test.go
+++ b/coordination/late_snapshot_test.go
@@ -46,7 +46,7 @@
 		host := machine.Start().Host()
 		disk := &slowDisk{Disk: host.Disk}
 		host.Disk = disk
-		c, err := New(Options{Addr: "10.0.0.1:1", Host: host, Machine: func() StateMachine { return &listMachine{} }})
+		c, err := New(Options{Addr: "10.0.0.1:1", Host: host, Machine: func() StateMachine { return &listStateMachine{} }})
 		require.NoError(t, err)
 		l := &leader{core: c}
 		disk.late = 10 * time.Second
@@ -64,9 +64,9 @@
 		require.NoError(t, answer)
 		machine.PowerOff()
 
-		r := newReplicatedState(&listMachine{})
+		r := newReplicatedState(&listStateMachine{})
 		require.NoError(t, newStore(machine.Start().Host().Disk).load(r))
-		require.True(t, strings.HasSuffix(r.machine.(*listMachine).all(), "after"), "the acknowledged entry is lost")
+		require.True(t, strings.HasSuffix(r.machine.(*listStateMachine).all(), "after"), "the acknowledged entry is lost")
 		machine.PowerOff()
 		time.Sleep(time.Minute)
 	})
--- a/coordination/leader.go
+++ b/coordination/leader.go
@@ -82,7 +82,7 @@
 	}
 	c.dataMu.Lock()
 	l.assumeLeases(now)
-	c.feed.start(c.state.seq)
+	c.feed.reset(c.state.seq)
 	c.dataMu.Unlock()
 	c.leader.Store(l)
 	c.options.Ring.Warn().Uint64("epoch", uint64(record.Epoch)).Str("backup", record.Backup.Addr).Msg("became primary")
@@ -190,7 +190,7 @@
 	}
 	c.feed.push(entries)
 	l.answer(batch)
-	if c.store.rows > rowsPerLog {
+	if c.store.logUnits > compactionThreshold {
 		if err := c.store.compact(c.state.snapshot(false), chunksOf(c.state.machine)); err != nil {
 			c.reloadNeeded = true
 			return err
--- a/coordination/lease.go
+++ b/coordination/lease.go
@@ -165,7 +165,7 @@
 			delete(l.leases, n)
 		}
 	}
-	for _, cmd := range c.state.machine.Due(now, c.state.seq, seen) {
+	for _, cmd := range c.state.machine.DueCommands(now, c.state.seq, seen) {
 		put(cmd.Kind, cmd.Body)
 	}
 	if d := l.assignKeys(now, live); len(d.Grants) > 0 {
--- a/coordination/losses_test.go
+++ b/coordination/losses_test.go
@@ -16,8 +16,8 @@
 // answer, at the same moment and again and again, the primary and a backup among them.
 // What was acknowledged is there, and the core goes on. Many seeds.
 func TestTwoLost(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := buildOf(seed, 6, 2)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newClusterOfSize(seed, 6, 2)
 		defer f.close()
 		r := rand.New(rand.NewPCG(seed, 1))
 		want := int64(0)
@@ -48,7 +48,7 @@
 			require.NoError(t, f.submitNumber(1, fmt.Sprint("then", i), 10*time.Second), "round %d without %v", i, ips)
 			want++
 			for _, ip := range ips {
-				f.core(ip + ":1")
+				f.startMember(ip + ":1")
 			}
 			time.Sleep(14 * time.Second) // lost registers pass on to machines that are heard
 			for _, v := range f.watchers {
@@ -70,8 +70,8 @@
 // moment the primary and the other backup are lost with their disks. Once the first one is
 // back, the core has the command, though that one never took it.
 func TestLostAfterOne(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := buildOf(seed, 6, 2)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newClusterOfSize(seed, 6, 2)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Duration(seed%5) * 300 * time.Millisecond)
@@ -87,7 +87,7 @@
 			f.powerOff(ip)
 			f.world.Machine(ip).WipeDisk()
 		}
-		f.core(away + ":1")
+		f.startMember(away + ":1")
 		ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 		defer stop()
 		r, err := f.agents[1].Submit(ctx, "c", "add", []byte("4"))
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -118,7 +118,7 @@
 	all, _ := c.directory.recentReplicas(spareMaxAge)
 	var out []Replica
 	for _, s := range all {
-		if !containsDisk(record.Voters, s.Disk) && !c.directory.leaving(s.Disk) {
+		if !containsDisk(record.Voters, s.Disk) && !c.directory.isLeaving(s.Disk) {
 			out = append(out, s)
 		}
 	}
@@ -281,7 +281,7 @@
 	c := l.core
 	err := failure.New(failure.Unavailable, "hand over", c.self.Addr, "no backup may take over")
 	for _, s := range l.record.backups() {
-		if c.directory.leaving(s.Disk) {
+		if c.directory.isLeaving(s.Disk) {
 			continue
 		}
 		var r *TransferResponse
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -22,7 +22,7 @@
 func machineOf(addr string) string { return addr[:len(addr)-2] }
 
 // roles gives the primary, the backup, a holder without data, and a spare machine.
-func (f *fleet) roles(t *testing.T) (primary, backup, witness, spare string) {
+func (f *testCluster) roles(t *testing.T) (primary, backup, witness, spare string) {
 	t.Helper()
 	primary = f.leader()
 	require.NotEmpty(t, primary)
@@ -61,8 +61,8 @@
 // the old holders and acknowledges a command. Then it is lost. The backup and the spare are
 // most of the new holders, but must not lead without that command. Many seeds.
 func TestBegunChange(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := buildOf(seed, 4, 1)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newClusterOfSize(seed, 4, 1)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -78,7 +78,7 @@
 		f.isolate([]string{backup}, true)
 		f.isolate([]string{spare}, true)
 		f.world.Partition([]string{witness}, []string{primary}, false)
-		f.core(primary + ":1")
+		f.startMember(primary + ":1")
 		err := f.submitNumber(2, "b", 6*time.Second)
 		if err != nil {
 			return // the primary had accepted the new record itself: there is no split to see
@@ -99,7 +99,7 @@
 }
 
 // isolate cuts a group of machines off from all others, or joins them again.
-func (f *fleet) isolate(group []string, partitioned bool) {
+func (f *testCluster) isolate(group []string, partitioned bool) {
 	var rest []string
 	for ip := range f.processes {
 		if !slices.Contains(group, ip) {
@@ -110,7 +110,7 @@
 }
 
 // leave has a core hand over and then ends its process; its disk stays.
-func (f *fleet) leave(ip string, duration time.Duration) error {
+func (f *testCluster) leave(ip string, duration time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	err := f.cores[ip].Leave(ctx)
@@ -125,8 +125,8 @@
 	for role, who := range []string{"primary", "backup", "witness"} {
 		for next, then := range []string{"primary", "backup"} {
 			t.Run(who+" leaves, "+then+" is lost", func(t *testing.T) {
-				eachSeed(t, func(t *testing.T, seed uint64) {
-					f := buildOf(seed, 4, 1)
+				forEachSeed(t, func(t *testing.T, seed uint64) {
+					f := newClusterOfSize(seed, 4, 1)
 					defer f.close()
 					require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 					time.Sleep(time.Duration(seed) * 100 * time.Millisecond)
@@ -153,8 +153,8 @@
 // TestLeavingWithoutSpare: of three machines each one in turn leaves and starts again on the
 // same disk, under commands. Each hand-over is done, and takes less than a takeover.
 func TestLeavingWithoutSpare(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		want := int64(1)
@@ -167,7 +167,7 @@
 			require.Less(t, time.Since(began), 700*time.Millisecond, "machine %d left", i)
 			want++
 			time.Sleep(time.Second)
-			f.core(a)
+			f.startMember(a)
 		}
 		time.Sleep(2 * time.Second)
 		require.EqualValues(t, want, f.watchers[0].sum.Load())
@@ -177,8 +177,8 @@
 // TestRestartSendsNoSnapshot: a holder without data, and then the backup, start again at once on
 // the same disk. No whole state is sent to anyone.
 func TestRestartSendsNoSnapshot(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := buildOf(seed, 4, 1)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newClusterOfSize(seed, 4, 1)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -186,7 +186,7 @@
 		sent := f.cores[primary].SnapshotsSent()
 		for _, ip := range []string{witness, backup} {
 			f.powerOff(ip)
-			f.core(ip + ":1")
+			f.startMember(ip + ":1")
 			require.NoError(t, f.submitNumber(1, "b"+ip, 5*time.Second))
 			time.Sleep(2 * time.Second)
 		}
@@ -198,8 +198,8 @@
 // TestChangeSendsNoSnapshot: a holder without data is lost and replaced by a spare. The backup,
 // which stays, is not sent the state that it has.
 func TestChangeSendsNoSnapshot(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := buildOf(seed, 4, 1)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newClusterOfSize(seed, 4, 1)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -216,8 +216,8 @@
 // TestCaughtUpByEntries: a backup that was cut off for a moment is sent the entries that it
 // lacks, not the whole state, when it becomes the backup again.
 func TestCaughtUpByEntries(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -235,7 +235,7 @@
 		f.world.Machine(other).WipeDisk()
 		require.NoError(t, f.submitNumber(4, "c", 5*time.Second))
 		require.Equal(t, sent, f.cores[primary].SnapshotsSent())
-		f.core(other + ":1")
+		f.startMember(other + ":1")
 		time.Sleep(3 * time.Second) // its register passes on to the empty disk
 		f.powerOff(primary)
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
@@ -249,8 +249,8 @@
 // TestRefusalOfDeposed: a primary that is cut off from the other machines refuses nothing: the
 // state that it would judge by may be old. Its answer tells that the outcome is not known.
 func TestRefusalOfDeposed(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -287,8 +287,8 @@
 // took; meanwhile another one is acknowledged under the same number. Back as the backup, it
 // is given the state that was acknowledged, not taken for one that has it.
 func TestDivergedTail(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(2 * time.Second)
@@ -314,7 +314,7 @@
 		f.world.Partition([]string{previous}, []string{backup, witness, "10.0.1.1", "10.0.1.2"}, false)
 		require.NoError(t, f.submitNumber(4, "c", 10*time.Second))
 		f.powerOff(backup)
-		f.core(witness + ":1")
+		f.startMember(witness + ":1")
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 		defer stop()
 		r, err := f.agents[1].Submit(ctx, "d", "add", []byte("8"))
@@ -327,7 +327,7 @@
 // its number.
 func TestFeedOfDeposed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := build(1)
+		f := newCluster(1)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		f.powerOff(f.leader())
@@ -335,7 +335,7 @@
 		time.Sleep(time.Second)
 		previous := coordination.Snapshot{Seq: 9999, State: []byte("77")}
 		p := f.world.Machine("10.0.2.1").Start()
-		f.run("10.0.2.1", "10.0.2.1:1", p, func(mux *http.ServeMux) {
+		f.startProcess("10.0.2.1", "10.0.2.1:1", p, func(mux *http.ServeMux) {
 			rpc.Handle(mux, coordination.WatchMethod, func(context.Context, *coordination.WatchRequest) (*coordination.WatchResponse, error) {
 				return &coordination.WatchResponse{
 					Seq:      previous.Seq,
@@ -352,8 +352,8 @@
 // TestLeavingOneAfterAnother: of three machines the next is asked to leave before the one before it is
 // back. Each waits until the data has its two copies elsewhere, and then ends.
 func TestLeavingOneAfterAnother(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -362,7 +362,7 @@
 		require.NoError(t, f.leave(backup, 5*time.Second))
 		go func() {
 			time.Sleep(1500 * time.Millisecond)
-			f.core(backup + ":1")
+			f.startMember(backup + ":1")
 		}()
 		time.Sleep(700 * time.Millisecond)
 		record := f.cores[primary].Directory().Record()
@@ -390,8 +390,8 @@
 // with its disk. Soon after, the three holders stand in three zones again, so that the loss of
 // any zone leaves a majority.
 func TestSpread(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := buildIn(seed, 6, 1, "a", "b", "c")
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newClusterInZones(seed, 6, 1, "a", "b", "c")
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		for i := range f.seeds {
@@ -401,7 +401,7 @@
 				f.world.Machine(ip).WipeDisk()
 			}
 			time.Sleep(time.Second)
-			f.core(ip + ":1")
+			f.startMember(ip + ":1")
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(40 * time.Second)
--- a/coordination/powerloss_test.go
+++ b/coordination/powerloss_test.go
@@ -25,15 +25,15 @@
 	"keelstair.example/ids"
 )
 
-// listMachine keeps all values it was given, the older ones on chunks.
-type listMachine struct {
+// listStateMachine keeps all values it was given, the older ones on chunks.
+type listStateMachine struct {
 	sealed []Chunk
 	values []string
 }
 
 const valuesPerChunk = 5
 
-func (m *listMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
+func (m *listStateMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
 	if kind != "put" {
 		return nil, errors.New("unknown kind")
 	}
@@ -45,7 +45,7 @@
 	return nil, nil
 }
 
-func (m *listMachine) all() string {
+func (m *listStateMachine) all() string {
 	var parts []string
 	for _, one := range m.sealed {
 		parts = append(parts, string(one.Body))
@@ -53,11 +53,11 @@
 	return strings.Join(append(parts, m.values...), ",")
 }
 
-func (m *listMachine) Published(string) bool { return true }
+func (m *listStateMachine) Published(string) bool { return true }
 
-func (m *listMachine) Snapshot(bool) []byte { return []byte(strings.Join(m.values, ",")) }
+func (m *listStateMachine) Snapshot(bool) []byte { return []byte(strings.Join(m.values, ",")) }
 
-func (m *listMachine) Restore(body []byte) error {
+func (m *listStateMachine) Restore(body []byte) error {
 	m.values = nil
 	if len(body) > 0 {
 		m.values = strings.Split(string(body), ",")
@@ -65,13 +65,13 @@
 	return nil
 }
 
-func (m *listMachine) Keys() []ids.Key                          { return nil }
-func (m *listMachine) Due(ids.Tick, ids.Seq, ids.Seq) []Command { return nil }
-func (m *listMachine) Chunks() []Chunk                          { return m.sealed }
-func (m *listMachine) RestoreChunks(all []Chunk)                { m.sealed = all }
+func (m *listStateMachine) Keys() []ids.Key                                  { return nil }
+func (m *listStateMachine) DueCommands(ids.Tick, ids.Seq, ids.Seq) []Command { return nil }
+func (m *listStateMachine) Chunks() []Chunk                                  { return m.sealed }
+func (m *listStateMachine) RestoreChunks(all []Chunk)                        { m.sealed = all }
 
-// storeHistory is a store at work, and what it has acknowledged.
-type storeHistory struct {
+// storeRun is a store at work, and what it has acknowledged.
+type storeRun struct {
 	store                   *store
 	state                   *replicatedState
 	acknowledged, requested string
@@ -82,13 +82,13 @@
 func newStore(disk host.Disk) *store { return &store{disk: disk, timeout: 20 * time.Second} }
 
 // check reads a store back and holds it against what was acknowledged.
-func (h *storeHistory) check(disk host.Disk) error {
-	s, r := newStore(disk), newReplicatedState(&listMachine{})
+func (h *storeRun) check(disk host.Disk) error {
+	s, r := newStore(disk), newReplicatedState(&listStateMachine{})
 	if err := s.load(r); err != nil {
 		return err
 	}
 	defer s.log.Close()
-	if got := r.machine.(*listMachine).all(); got != h.acknowledged && got != h.requested {
+	if got := r.machine.(*listStateMachine).all(); got != h.acknowledged && got != h.requested {
 		return fmt.Errorf("the state is %q, neither %q nor %q", got, h.acknowledged, h.requested)
 	}
 	reg, err := s.loadRegister()
@@ -103,9 +103,9 @@
 	return nil
 }
 
-func (h *storeHistory) appendSome(random *rand.Rand) error { return h.appendCount(1 + random.IntN(3)) }
+func (h *storeRun) appendSome(random *rand.Rand) error { return h.appendCount(1 + random.IntN(3)) }
 
-func (h *storeHistory) appendCount(count int) error {
+func (h *storeRun) appendCount(count int) error {
 	var entries []Entry
 	for range count {
 		h.next++
@@ -115,7 +115,7 @@
 		}
 		entries = append(entries, e)
 	}
-	h.requested = h.state.machine.(*listMachine).all()
+	h.requested = h.state.machine.(*listStateMachine).all()
 	err := h.store.append(entries)
 	if err == nil {
 		h.acknowledged = h.requested
@@ -123,7 +123,7 @@
 	return err
 }
 
-func (h *storeHistory) promise() error {
+func (h *storeRun) promise() error {
 	h.written.Promised++
 	err := h.store.saveRegister(h.written)
 	if err == nil {
@@ -132,19 +132,19 @@
 	return err
 }
 
-func (h *storeHistory) reset() error {
+func (h *storeRun) compact() error {
 	return h.store.compact(h.state.snapshot(false), chunksOf(h.state.machine))
 }
 
-func (h *storeHistory) reload() error {
-	h.state = newReplicatedState(&listMachine{})
+func (h *storeRun) reload() error {
+	h.state = newReplicatedState(&listStateMachine{})
 	return h.store.load(h.state)
 }
 
-func (h *storeHistory) step(random *rand.Rand) error {
+func (h *storeRun) step(random *rand.Rand) error {
 	switch random.IntN(6) {
 	case 0:
-		return h.reset()
+		return h.compact()
 	case 1:
 		return h.promise()
 	case 2:
@@ -155,7 +155,7 @@
 
 // startAgain starts from a state that a loss of power left, and loses power again
 // right before each sync of that start.
-func (h *storeHistory) startAgain(t *testing.T, dir string, seed uint64) {
+func (h *storeRun) startAgain(t *testing.T, dir string, seed uint64) {
 	loss, err := simulated.NewPowerLoss(dir, seed)
 	if err != nil {
 		t.Error(err)
@@ -175,7 +175,7 @@
 	}
 }
 
-func (h *storeHistory) start(t *testing.T, dir string) {
+func (h *storeRun) start(t *testing.T, dir string) {
 	disk, err := host.OpenDisk(dir)
 	if err == nil {
 		err = h.check(disk)
@@ -207,7 +207,7 @@
 	require.NoError(t, err)
 	defer loss.Close()
 	random := rand.New(rand.NewPCG(seed, 1))
-	h := &storeHistory{}
+	h := &storeRun{}
 	states := 0
 	disk, err := host.OpenObservedDisk(dir, func(path string) {
 		err := loss.BeforeSync(path, func(dir string) {
@@ -235,7 +235,7 @@
 func TestUnusedChunksDropped(t *testing.T) {
 	disk, err := host.OpenDisk(t.TempDir())
 	require.NoError(t, err)
-	h := &storeHistory{store: newStore(disk)}
+	h := &storeRun{store: newStore(disk)}
 	require.NoError(t, h.reload())
 	kept := func() (count int) {
 		names, err := disk.List()
@@ -250,12 +250,12 @@
 	for range 3 * valuesPerChunk {
 		_, err := h.state.apply(&Entry{Kind: "put", Body: []byte("x")})
 		require.NoError(t, err)
-		require.NoError(t, h.reset())
+		require.NoError(t, h.compact())
 	}
-	machine := h.state.machine.(*listMachine)
+	machine := h.state.machine.(*listStateMachine)
 	require.Equal(t, 1, kept(), "chunks of one content are one file")
 	machine.sealed = []Chunk{NewChunk([]byte("another"))}
-	require.NoError(t, h.reset())
+	require.NoError(t, h.compact())
 	require.Equal(t, 1, kept())
 }
 
@@ -268,8 +268,8 @@
 		wg.Go(func() {
 			s := newStore(nil)
 			for range 8_000 {
-				s.timed("no step", func() error { return nil })
-				late.Add(s.pending.Load())
+				s.runStep("no step", func() error { return nil })
+				late.Add(s.pendingSteps.Load())
 			}
 		})
 	}
@@ -391,7 +391,7 @@
 func fillStore(t *testing.T, dir string) {
 	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
-	h := &storeHistory{store: newStore(disk)}
+	h := &storeRun{store: newStore(disk)}
 	require.NoError(t, h.reload())
 	require.NoError(t, h.promise())
 	for number := 1; number <= 8; number++ {
@@ -400,7 +400,7 @@
 		require.NoError(t, err)
 		require.NoError(t, h.store.append([]Entry{e}))
 		if number == 6 {
-			require.NoError(t, h.reset())
+			require.NoError(t, h.compact())
 		}
 	}
 	require.NoError(t, h.store.log.Close())
@@ -411,7 +411,7 @@
 	require.NoError(t, err)
 	s := newStore(disk)
 	if _, err = s.loadRegister(); err == nil {
-		err = s.load(newReplicatedState(&listMachine{}))
+		err = s.load(newReplicatedState(&listStateMachine{}))
 	}
 	require.ErrorContains(t, err, reason)
 	require.NotContains(t, err.Error(), "\n")
@@ -434,9 +434,9 @@
 		limit = max(limit, used)
 	})
 	require.NoError(t, err)
-	h := &storeHistory{store: newStore(disk)}
+	h := &storeRun{store: newStore(disk)}
 	require.NoError(t, h.reload())
-	machine := h.state.machine.(*listMachine)
+	machine := h.state.machine.(*listStateMachine)
 	resets := 0
 	for range rows {
 		e := Entry{Kind: "put", Body: bytes.Repeat([]byte("x"), rowSize)}
@@ -446,8 +446,8 @@
 		if last := len(machine.sealed); last > 1 {
 			machine.sealed = machine.sealed[last-1:]
 		}
-		if h.store.rows > rowsPerLog {
-			require.NoError(t, h.reset())
+		if h.store.logUnits > compactionThreshold {
+			require.NoError(t, h.compact())
 			resets++
 		}
 	}
--- a/coordination/primary_call_test.go
+++ b/coordination/primary_call_test.go
@@ -15,7 +15,7 @@
 )
 
 // stranger is a process that knows nothing but the seeds.
-func (f *fleet) stranger(ip string) (*rpc.Caller, *coordination.Directory) {
+func (f *testCluster) stranger(ip string) (*rpc.Caller, *coordination.Directory) {
 	p := f.world.Machine(ip).Start()
 	f.processes[ip], f.stops[ip] = p, func() {}
 	call := rpc.NewCaller(p.Host().Net)
@@ -34,8 +34,8 @@
 // TestSubmitFindsPrimary: a caller that knows nothing but the seeds, one of which is silent,
 // has its command taken within a second.
 func TestSubmitFindsPrimary(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		top := f.leader()
@@ -56,8 +56,8 @@
 // soon as the one after it is known, however long the attempt might last; the command is
 // done once.
 func TestAttemptLeft(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		call, directory := f.stranger("10.0.2.9")
@@ -81,8 +81,8 @@
 // TestAttemptBounded: an attempt at a primary that is frozen is given up, and the one
 // after it is found, though nobody tells the caller of it.
 func TestAttemptBounded(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		call, directory := f.stranger("10.0.2.9")
@@ -100,8 +100,8 @@
 // TestSubmitEndsWithCaller: when the caller has gone, no attempt follows, and the command is
 // not done later.
 func TestSubmitEndsWithCaller(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		call, directory := f.stranger("10.0.2.9")
--- a/coordination/restart_test.go
+++ b/coordination/restart_test.go
@@ -14,8 +14,8 @@
 // within 0.3 s, the primary first. Its first packets to the others are lost; all the same
 // it leads again, with what was acknowledged, within 0.4 s of the last one's start.
 func TestBackTogether(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(7, "before", 10*time.Second))
 		list := []string{f.leader()}
@@ -30,7 +30,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		for i, ip := range list {
 			time.Sleep(time.Duration(i) * 100 * time.Millisecond)
-			f.core(ip + ":1")
+			f.startMember(ip + ":1")
 		}
 		last := time.Now()
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
--- a/coordination/restarted_node_test.go
+++ b/coordination/restarted_node_test.go
@@ -14,7 +14,7 @@
 )
 
 // agentNamed starts an agent under a name that is not its address.
-func (f *fleet) agentNamed(ip, name string) (*coordination.Agent, *sumWatcher) {
+func (f *testCluster) agentNamed(ip, name string) (*coordination.Agent, *sumWatcher) {
 	v := &sumWatcher{}
 	p := f.world.Machine(ip).Start()
 	a := coordination.NewAgent(coordination.AgentOptions{
@@ -23,7 +23,7 @@
 		Seeds:   f.seeds,
 		Watcher: v,
 	})
-	f.run(ip, ip+":1", p, a.Mount, a.Run)
+	f.startProcess(ip, ip+":1", p, a.Mount, a.Run)
 	return a, v
 }
 
@@ -42,8 +42,8 @@
 func TestRestartedNodeLeavesNoGhost(t *testing.T) {
 	for _, loss := range []bool{false, true} {
 		t.Run(fmt.Sprint("primary lost ", loss), func(t *testing.T) {
-			eachSeed(t, func(t *testing.T, seed uint64) {
-				f := build(seed)
+			forEachSeed(t, func(t *testing.T, seed uint64) {
+				f := newCluster(seed)
 				defer f.close()
 				require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 				time.Sleep(5 * time.Second)
--- a/coordination/return_test.go
+++ b/coordination/return_test.go
@@ -20,7 +20,7 @@
 	// The change feed brings the list twice (snapshot and joins), a peer once; half goes to all other calls.
 	const maxLists = 6
 	synctest.Test(t, func(t *testing.T) {
-		f := build(7)
+		f := newCluster(7)
 		defer f.close()
 		start := func(life string) {
 			for i := range nodes {
@@ -43,7 +43,7 @@
 			before += f.world.Machine(ip).BytesSent()
 		}
 		for _, a := range f.seeds {
-			f.core(a)
+			f.startMember(a)
 		}
 		f.agents, f.watchers = nil, nil
 		start("second")
--- a/coordination/second_defence_test.go
+++ b/coordination/second_defence_test.go
@@ -29,7 +29,7 @@
 		for _, ip := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"} {
 			p := world.Machine(ip).Start()
 			defer p.Kill()
-			c, err := New(Options{Addr: ip + ":1", Host: p.Host(), Machine: func() StateMachine { return &listMachine{} }})
+			c, err := New(Options{Addr: ip + ":1", Host: p.Host(), Machine: func() StateMachine { return &listStateMachine{} }})
 			require.NoError(t, err)
 			defer c.caller.Close()
 			mux := http.NewServeMux()
@@ -126,7 +126,7 @@
 }
 
 // keyMachine has one key to assign.
-type keyMachine struct{ listMachine }
+type keyMachine struct{ listStateMachine }
 
 func (*keyMachine) Keys() []ids.Key { return []ids.Key{"a"} }
 
--- a/coordination/state.go
+++ b/coordination/state.go
@@ -27,9 +27,9 @@
 	Restore(body []byte) error
 	// Keys are the singleton roles that are to be assigned to nodes.
 	Keys() []ids.Key
-	// Due gives the commands that are due at the primary; applied is the number up to which
+	// DueCommands gives the commands that are due at the primary; applied is the number up to which
 	// every live node has applied the log, seq the newest.
-	Due(now ids.Tick, seq, applied ids.Seq) []Command
+	DueCommands(now ids.Tick, seq, applied ids.Seq) []Command
 }
 
 // Timekeeper is a StateMachine that keeps a time of its own for the fleet. The primary asks
--- a/coordination/statemachine_test.go
+++ b/coordination/statemachine_test.go
@@ -410,7 +410,7 @@
 
 // storeModel is a store on a simulated disk, and what it has acknowledged.
 type storeModel struct {
-	storeHistory
+	storeRun
 	machine *simulated.Machine
 	process *simulated.Process
 }
@@ -429,7 +429,7 @@
 	m.process = m.machine.Start()
 	m.store = newStore(m.process.Host().Disk)
 	require.NoError(t, m.reload())
-	got := m.state.machine.(*listMachine).all()
+	got := m.state.machine.(*listStateMachine).all()
 	require.True(t, isPrefix(m.acknowledged, got), "%q is lost of %q", got, m.acknowledged)
 	require.True(t, isPrefix(got, m.requested), "%q was never asked for, %q was", got, m.requested)
 	kept, err := m.store.loadRegister()
@@ -474,7 +474,7 @@
 			"append":   m.appendEntries,
 			"append2":  m.appendEntries,
 			"register": func(t *rapid.T) { m.run(t, m.promise) },
-			"compact":  func(t *rapid.T) { m.run(t, m.reset) },
+			"compact":  func(t *rapid.T) { m.run(t, m.compact) },
 			"reload":   func(t *rapid.T) { m.run(t, m.reload) },
 		}, func() { m.process.Kill() }
 	})
--- a/coordination/store.go
+++ b/coordination/store.go
@@ -27,35 +27,35 @@
 	logPrefix     = "log-"
 
 	// A log counts its rows, a long one as several of rowUnit bytes. One that counts
-	// over rowsPerLog gives way to a new snapshot. So a log takes about 4 MiB on disk
+	// over compactionThreshold gives way to a new snapshot. So a log takes about 4 MiB on disk
 	// and as much in memory, however long its rows are: a disk of 64 MB has room for
 	// the old log, two snapshots and their chunks, and a restart reads it in a moment.
-	rowsPerLog = 8192
-	rowUnit    = 512
+	compactionThreshold = 8192
+	rowUnit             = 512
 )
 
 type store struct {
 	disk         host.Disk
 	log          host.Log
 	logName      string
-	rows         int // in the log, see rowUnit
+	logUnits     int // in the log, see rowUnit
 	timeout      time.Duration
-	pending      atomic.Int32
+	pendingSteps atomic.Int32
 	pendingSaves atomic.Int32
 	// The names of the chunks on disk.
 	chunks sync.Map
 }
 
-// timed runs one disk step and gives up waiting, not the step, when it stalls.
-func (s *store) timed(step string, f func() error) error { return s.timedWithin(s.timeout, step, f) }
+// runStep runs one disk step and gives up waiting, not the step, when it stalls.
+func (s *store) runStep(step string, f func() error) error { return s.timedWithin(s.timeout, step, f) }
 
 func (s *store) timedWithin(limit time.Duration, step string, f func() error) error {
 	done := make(chan error, 1)
-	s.pending.Add(1)
+	s.pendingSteps.Add(1)
 	go func() {
 		err := f()
 		// Before the answer, so that the next step doesn't take this one for stalled.
-		s.pending.Add(-1)
+		s.pendingSteps.Add(-1)
 		done <- err
 	}()
 	t := host.NewTimer(limit)
@@ -93,7 +93,7 @@
 	if err := replay(r, rows); err != nil {
 		return err
 	}
-	s.rows = countRows(rows)
+	s.logUnits = countRows(rows)
 	return s.removeUnusedLogs()
 }
 
@@ -223,9 +223,9 @@
 	for i := range entries {
 		rows[i] = MustMarshal(&entries[i])
 	}
-	s.rows += countRows(rows)
+	s.logUnits += countRows(rows)
 	log := s.log
-	return s.timed("append log", func() error { return log.Append(rows) })
+	return s.runStep("append log", func() error { return log.Append(rows) })
 }
 
 // restore makes a state from a snapshot and the chunks that it names.
@@ -243,7 +243,7 @@
 // compact puts a snapshot in place of all that was, with a new empty log. Sheets
 // that the snapshot names are on disk before it.
 func (s *store) compact(snapshot *Snapshot, all []Chunk) error {
-	if s.pending.Load() > 0 {
+	if s.pendingSteps.Load() > 0 {
 		return failure.New(failure.DataLost, "save snapshot", "disk", "an earlier step still stalls")
 	}
 	for _, one := range all {
@@ -256,11 +256,11 @@
 		return err
 	}
 	previous, previousName := s.log, s.logName
-	s.log, s.logName, s.rows = log, name, 0
+	s.log, s.logName, s.logUnits = log, name, 0
 	if previous != nil {
 		previous.Close()
 	}
-	return s.timed("drop what the snapshot replaces", func() error {
+	return s.runStep("drop what the snapshot replaces", func() error {
 		s.dropChunks(snapshot)
 		return s.disk.Remove(previousName)
 	})
@@ -329,7 +329,7 @@
 	}
 	b := BallotResponse{Promised: r.Promised, PromisedTo: r.PromisedTo, Accepted: r.Accepted}
 	s.pendingSaves.Add(1)
-	return s.timed("save register", func() error {
+	return s.runStep("save register", func() error {
 		defer s.pendingSaves.Add(-1)
 		return s.disk.Save(registerFile, MustMarshal(&b))
 	})
--- a/coordination/store_test.go
+++ b/coordination/store_test.go
@@ -66,7 +66,7 @@
 }
 
 // coreOn starts a core on a disk that counts and may be late.
-func (f *fleet) coreOn(addr string) *lateDisk {
+func (f *testCluster) coreOn(addr string) *lateDisk {
 	ip := addr[:len(addr)-2]
 	p := f.world.Machine(ip).Start()
 	host := p.Host()
@@ -83,12 +83,12 @@
 		panic(err)
 	}
 	f.cores[ip] = c
-	f.run(ip, addr, p, c.Mount, func(ctx context.Context) { c.Run(ctx) })
+	f.startProcess(ip, addr, p, c.Mount, func(ctx context.Context) { c.Run(ctx) })
 	return late
 }
 
 // addLong adds n by a command of so many bytes.
-func (f *fleet) addLong(n int, op string, size int, duration time.Duration) error {
+func (f *testCluster) addLong(n int, op string, size int, duration time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	number := strconv.Itoa(n)
@@ -97,8 +97,8 @@
 }
 
 // lateFleet is a fleet on such disks that has agreed on a first command.
-func lateFleet(t *testing.T, seed uint64) (*fleet, map[string]*lateDisk) {
-	f := build(seed)
+func lateFleet(t *testing.T, seed uint64) (*testCluster, map[string]*lateDisk) {
+	f := newCluster(seed)
 	disks := map[string]*lateDisk{}
 	for _, addr := range f.seeds {
 		f.powerOff(addr[:8])
--- a/coordination/times_test.go
+++ b/coordination/times_test.go
@@ -21,22 +21,22 @@
 // timed is what is measured: the time that a run took from its trouble on.
 type timed struct {
 	name string
-	run  func(t *testing.T, f *fleet, seed uint64) time.Duration
+	run  func(t *testing.T, f *testCluster, seed uint64) time.Duration
 }
 
 var times = []timed{
-	{"primary loses power, until a command is answered", func(t *testing.T, f *fleet, seed uint64) time.Duration {
+	{"primary loses power, until a command is answered", func(t *testing.T, f *testCluster, seed uint64) time.Duration {
 		f.powerOff(f.leader())
 		return f.waitForAnswer(t)
 	}},
 	{
 		"primary is cut off from the other machines for 20 s, until a command is answered",
-		func(t *testing.T, f *fleet, seed uint64) time.Duration {
+		func(t *testing.T, f *testCluster, seed uint64) time.Duration {
 			f.isolate([]string{f.leader()}, true)
 			return f.waitForAnswer(t)
 		},
 	},
-	{"the same, one way: it hears nothing", func(t *testing.T, f *fleet, seed uint64) time.Duration {
+	{"the same, one way: it hears nothing", func(t *testing.T, f *testCluster, seed uint64) time.Duration {
 		lead := f.leader()
 		var rest []string
 		for ip := range f.processes {
@@ -47,12 +47,12 @@
 		f.world.Block(rest, []string{lead}, true)
 		return f.waitForAnswer(t)
 	}},
-	{"backup loses power, until a command is answered", func(t *testing.T, f *fleet, seed uint64) time.Duration {
+	{"backup loses power, until a command is answered", func(t *testing.T, f *testCluster, seed uint64) time.Duration {
 		_, backup, _, _ := f.roles(t)
 		f.powerOff(backup)
 		return f.waitForAnswer(t)
 	}},
-	{"holder lost for good, until a spare has its register", func(t *testing.T, f *fleet, seed uint64) time.Duration {
+	{"holder lost for good, until a spare has its register", func(t *testing.T, f *testCluster, seed uint64) time.Duration {
 		primary, _, witness, spare := f.roles(t)
 		f.powerOff(witness)
 		began := time.Now()
@@ -69,7 +69,7 @@
 }
 
 // join heals every cut.
-func (f *fleet) join() {
+func (f *testCluster) join() {
 	var all []string
 	for ip := range f.processes {
 		all = append(all, ip)
@@ -78,7 +78,7 @@
 }
 
 // waitForAnswer is the time until a new command is answered.
-func (f *fleet) waitForAnswer(t *testing.T) time.Duration {
+func (f *testCluster) waitForAnswer(t *testing.T) time.Duration {
 	began := time.Now()
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
@@ -97,7 +97,7 @@
 		var list []time.Duration
 		for seed := range uint64(seeds) {
 			synctest.Test(t, func(t *testing.T) {
-				f := buildOf(seed+1, 4, 1)
+				f := newClusterOfSize(seed+1, 4, 1)
 				defer f.close()
 				require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 				time.Sleep(2*time.Second + time.Duration(seed%10)*37*time.Millisecond)
--- a/coordination/walk_test.go
+++ b/coordination/walk_test.go
@@ -37,25 +37,25 @@
 	return from, to
 }
 
-// walk is one run.
-type walk struct {
-	*fleet
-	t     *testing.T
-	rng   *rand.Rand
-	trace []string
-	wipe  time.Time // when a disk was lost last
-	mu    sync.Mutex
-	sums  map[int]string // by an answer's sum, the command that it was given to
-	want  int
+// faultRun is one run.
+type faultRun struct {
+	*testCluster
+	t            *testing.T
+	rng          *rand.Rand
+	trace        []string
+	lastDiskLoss time.Time // when a disk was lost last
+	mu           sync.Mutex
+	sums         map[int]string // by an answer's sum, the command that it was given to
+	want         int
 }
 
-func (w *walk) say(form string, args ...any) {
+func (w *faultRun) record(form string, args ...any) {
 	w.trace = append(w.trace, fmt.Sprintf(form, args...))
 }
 
 // client sends commands one after the other, each again until it is answered. Each adds one,
 // so the sums that are answered rise and no two commands have the same.
-func (w *walk) client(n int, end <-chan struct{}, done *sync.WaitGroup) {
+func (w *faultRun) client(n int, end <-chan struct{}, done *sync.WaitGroup) {
 	defer done.Done()
 	last := 0
 	for i := 0; ; i++ {
@@ -78,14 +78,14 @@
 	}
 }
 
-func (w *walk) randN(n int) int {
+func (w *faultRun) randN(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.IntN(n)
 }
 
 // act brings about one trouble, and takes it back after a while.
-func (w *walk) act() {
+func (w *faultRun) act() {
 	ip := machineOf(w.seeds[w.randN(len(w.seeds))])
 	if lead := w.leader(); lead != "" && w.randN(3) == 0 {
 		ip = lead
@@ -101,18 +101,18 @@
 				group = append(group, machineOf(a))
 			}
 		}
-		w.say("cut %v for %s", group, duration)
+		w.record("cut %v for %s", group, duration)
 		w.isolate(group, true)
 		time.Sleep(duration)
 		w.isolate(group, false)
 	case 3:
 		other := machineOf(w.seeds[w.randN(len(w.seeds))])
-		w.say("one way %s to %s for %s", ip, other, duration)
+		w.record("one way %s to %s for %s", ip, other, duration)
 		w.world.Block([]string{ip}, []string{other}, true)
 		time.Sleep(duration)
 		w.world.Block([]string{ip}, []string{other}, false)
 	case 4:
-		w.say("slow disk %s for %s", ip, duration)
+		w.record("slow disk %s for %s", ip, duration)
 		w.world.Machine(ip).SetDiskDelay(time.Duration(20+w.randN(300)) * time.Millisecond)
 		time.Sleep(duration)
 		w.world.Machine(ip).SetDiskDelay(time.Millisecond)
@@ -120,17 +120,17 @@
 		if w.cores[ip] == nil {
 			return
 		}
-		w.say("leave %s", ip)
+		w.record("leave %s", ip)
 		w.leave(ip, 3*time.Second)
 		time.Sleep(duration / 4)
-		w.core(ip + ":1")
+		w.startMember(ip + ":1")
 	case 6:
-		w.say("freeze %s for %s", ip, duration)
+		w.record("freeze %s for %s", ip, duration)
 		w.world.Machine(ip).Freeze(true)
 		time.Sleep(duration)
 		w.world.Machine(ip).Freeze(false)
 	default:
-		w.say("stall %s for %s", ip, duration)
+		w.record("stall %s for %s", ip, duration)
 		w.world.Machine(ip).StallDisk(true)
 		time.Sleep(duration)
 		w.world.Machine(ip).StallDisk(false)
@@ -140,21 +140,21 @@
 
 // cyclePower has a machine lose its power, and its disk if that is borne: only once the core
 // had time to heal since the last one.
-func (w *walk) cyclePower(ip string, duration time.Duration, disk bool) {
+func (w *faultRun) cyclePower(ip string, duration time.Duration, disk bool) {
 	if w.cores[ip] == nil {
 		return
 	}
-	if disk = disk && time.Since(w.wipe) > 12*time.Second; disk {
+	if disk = disk && time.Since(w.lastDiskLoss) > 12*time.Second; disk {
 		time.Sleep(6 * time.Second) // nothing else is lost meanwhile
 	}
-	w.say("off %s for %s, disk lost %t", ip, duration, disk)
+	w.record("off %s for %s, disk lost %t", ip, duration, disk)
 	w.powerOff(ip)
 	if disk {
 		w.world.Machine(ip).WipeDisk()
-		w.wipe = time.Now()
+		w.lastDiskLoss = time.Now()
 	}
 	time.Sleep(duration)
-	w.core(ip + ":1")
+	w.startMember(ip + ":1")
 	if disk {
 		time.Sleep(6 * time.Second)
 	}
@@ -169,7 +169,7 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				size := sizes[seed%uint64(len(sizes))]
-				underLoad(t, buildOf(seed, size.machines, size.losses), seed, func(w *walk) {
+				runUnderLoad(t, newClusterOfSize(seed, size.machines, size.losses), seed, func(w *faultRun) {
 					for range walkActs {
 						w.act()
 					}
@@ -179,9 +179,9 @@
 	}
 }
 
-// underLoad runs trouble in a fleet while clients send commands. In the end each of these was taken once.
-func underLoad(t *testing.T, f *fleet, seed uint64, trouble func(w *walk)) {
-	w := &walk{fleet: f, t: t, rng: rand.New(rand.NewPCG(seed, 5)), sums: map[int]string{}}
+// runUnderLoad runs trouble in a fleet while clients send commands. In the end each of these was taken once.
+func runUnderLoad(t *testing.T, f *testCluster, seed uint64, trouble func(w *faultRun)) {
+	w := &faultRun{testCluster: f, t: t, rng: rand.New(rand.NewPCG(seed, 5)), sums: map[int]string{}}
 	defer w.close()
 	require.NoError(t, w.submitNumber(0, "first", 10*time.Second))
 	end := make(chan struct{})
@@ -198,7 +198,7 @@
 }
 
 // command adds one and gives the sum that it was answered with.
-func (w *walk) command(a *coordination.Agent, op string) int {
+func (w *faultRun) command(a *coordination.Agent, op string) int {
 	for began := time.Now(); ; {
 		ctx, stop := context.WithTimeout(context.Background(), 3*time.Second)
 		r, err := a.Submit(ctx, ids.OpID(op), "add", []byte("1"))
--- a/coordination/watch.go
+++ b/coordination/watch.go
@@ -120,7 +120,7 @@
 	for _, g := range snapshot.Grants {
 		next.grants[g.Key] = g
 	}
-	a.feed.start(snapshot.Seq)
+	a.feed.reset(snapshot.Seq)
 	return next, nil
 }
 
--- a/coordination/wipe_test.go
+++ b/coordination/wipe_test.go
@@ -16,7 +16,7 @@
 // lost disk can be borne later.
 func TestWipedAtSameAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := build(5)
+		f := newCluster(5)
 		defer f.close()
 		require.NoError(t, f.submitNumber(7, "a", 10*time.Second))
 		time.Sleep(2 * time.Second)
@@ -24,7 +24,7 @@
 			f.powerOff(ip)
 			f.world.Machine(ip).WipeDisk()
 			time.Sleep(time.Second)
-			f.core(ip + ":1")
+			f.startMember(ip + ":1")
 			time.Sleep(12 * time.Second)
 		}
 		for i, op := range []string{"b", "c", "d"} {
@@ -41,8 +41,8 @@
 // start the next primary's disk is lost, and so on: each time the newcomer has the register
 // by then, so the core goes on with all that was acknowledged. Many seeds.
 func TestLostOneAfterAnother(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(7, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -55,7 +55,7 @@
 				ip = fmt.Sprintf("10.0.0.%d", 4+i)
 			}
 			time.Sleep(300 * time.Millisecond)
-			f.core(ip + ":1")
+			f.startMember(ip + ":1")
 			time.Sleep(4 * time.Second)
 			require.NoError(t, f.submitNumber(1, fmt.Sprint("then", i), 500*time.Millisecond), "loss %d", i)
 		}
@@ -67,8 +67,8 @@
 // TestDeposedKeepsNobody: the primary is cut off from the other disk machines alone. The
 // nodes that wait for news at it hear of the next one and have what that takes at once.
 func TestDeposedKeepsNobody(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(7, "a", 10*time.Second))
 		time.Sleep(2*time.Second + time.Duration(seed)*150*time.Millisecond)
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -93,14 +93,14 @@
 	m := NewMachine(MachineOptions{CommitTimeout: time.Second})
 	require.NoError(t, prepare(m, 5, 0))
 	require.Error(t, prepare(m, 6, 0), "the loser of two")
-	require.Empty(t, m.Due(ms(1), 9, 4))
-	require.Len(t, m.Due(ms(2), 9, 5), 1, "entries 6 to 9 need not be seen")
+	require.Empty(t, m.DueCommands(ms(1), 9, 4))
+	require.Len(t, m.DueCommands(ms(2), 9, 5), 1, "entries 6 to 9 need not be seen")
 	m = NewMachine(MachineOptions{CommitTimeout: time.Second})
 	for v := range 3 {
 		require.NoError(t, prepare(m, ids.Seq(v+1), ids.Version(v)))
-		m.Due(ms(1+v*400), ids.Seq(v+1), 0)
+		m.DueCommands(ms(1+v*400), ids.Seq(v+1), 0)
 	}
-	got := m.Due(ms(1100), 4, 0)
+	got := m.DueCommands(ms(1100), 4, 0)
 	require.Equal(t, []coordination.Command{{Kind: CommitKind, Body: coordination.MustMarshal(&CommitVersion{1})}}, got)
 }
 
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -164,9 +164,9 @@
 	return m.keys
 }
 
-// Due moves the fleet's time on, seals revocations that every node with a lease has
+// DueCommands moves the fleet's time on, seals revocations that every node with a lease has
 // seen, names zones that are warm again, and activates what may be.
-func (m *Machine) Due(now ids.Tick, seq, seen ids.Seq) []coordination.Command {
+func (m *Machine) DueCommands(now ids.Tick, seq, seen ids.Seq) []coordination.Command {
 	out := append(append(m.tick(now), m.confirmRevocations(seq, seen)...), m.endedSlowStarts(now)...)
 	for _, w := range m.pendingCommits {
 		if top := w.ready(now, seq, seen, m.commitTimeout); top != 0 {
--- a/internal/fleetstate/programs_test.go
+++ b/internal/fleetstate/programs_test.go
@@ -48,11 +48,11 @@
 	require.Equal(t, []coordination.Command{{
 		Kind: CommitProgramsKind,
 		Body: coordination.MustMarshal(&CommitVersion{1}),
-	}}, m.Due(1, 3, 1))
+	}}, m.DueCommands(1, 3, 1))
 	require.Equal(t, []coordination.Command{{
 		Kind: CommitKind,
 		Body: coordination.MustMarshal(&CommitVersion{7}),
-	}}, m.Due(1, 3, 2))
+	}}, m.DueCommands(1, 3, 2))
 	require.NoError(t, apply(4, CommitProgramsKind, &CommitVersion{1}))
 	require.Error(t, apply(5, CommitProgramsKind, &CommitVersion{1}))
 	require.NoError(t, apply(6, PrepareProgramsKind, &PrepareVersion{Base: 1, Text: setOf(2, 0)}))
@@ -62,7 +62,7 @@
 		require.NoError(t, copied.Restore(m.Snapshot(open)))
 		require.Equal(t, m.programs, copied.programs)
 		require.Equal(t, m.Snapshot(open), copied.Snapshot(open))
-		require.Len(t, copied.Due(ids.Tick(1), 6, 6), 2, "the copy is due by itself")
+		require.Len(t, copied.DueCommands(ids.Tick(1), 6, 6), 2, "the copy is due by itself")
 		v := NewView(logging.Discard())
 		v.Scores = &routing.Scores{}
 		require.NoError(t, v.Restore(copied.Snapshot(true)))
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -215,13 +215,13 @@
 	require.NoError(t, err)
 	_, err = m.Apply(8, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
 	require.ErrorIs(t, err, coordination.ErrUnchanged)
-	require.Empty(t, m.Due(1, 9, 6))
+	require.Empty(t, m.DueCommands(1, 9, 6))
 	other := NewMachine(MachineOptions{})
 	require.NoError(t, other.Restore(m.Snapshot(false)))
-	require.Empty(t, other.Due(1, 9, 8), "what the nodes saw before may have been anything")
-	require.Equal(t, []string{ConfirmRevocationKind}, run(t, m, m.Due(1, 9, 7)))
-	require.Equal(t, []string{ConfirmRevocationKind}, run(t, other, other.Due(1, 12, 9)))
-	require.Empty(t, m.Due(1, 10, 10))
+	require.Empty(t, other.DueCommands(1, 9, 8), "what the nodes saw before may have been anything")
+	require.Equal(t, []string{ConfirmRevocationKind}, run(t, m, m.DueCommands(1, 9, 7)))
+	require.Equal(t, []string{ConfirmRevocationKind}, run(t, other, other.DueCommands(1, 12, 9)))
+	require.Empty(t, m.DueCommands(1, 10, 10))
 	_, err = m.Apply(11, ConfirmRevocationKind, coordination.MustMarshal(&ConfirmRevocation{"s1"}))
 	require.True(t, failure.Is(err, failure.Stale))
 	v := NewView(logging.Discard())
@@ -247,7 +247,7 @@
 	ms := func(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
 	build := func() *Machine { return NewMachine(MachineOptions{Wall: func() time.Time { return wall }}) }
 	a, b := build(), build()
-	require.Empty(t, a.Due(ms(1), 1, 1), "nothing is written without regimes")
+	require.Empty(t, a.DueCommands(ms(1), 1, 1), "nothing is written without regimes")
 	require.Zero(t, a.Time(ms(1)))
 	all := []*Machine{a, b}
 	apply := func(kind string, body []byte) {
@@ -262,7 +262,7 @@
 	lead := func(m *Machine, from, to int) int64 {
 		var now int64
 		for at := from; at < to; at += 200 {
-			for _, c := range m.Due(ms(at), 1, 1) {
+			for _, c := range m.DueCommands(ms(at), 1, 1) {
 				writes++
 				apply(c.Kind, c.Body)
 			}
@@ -322,7 +322,7 @@
 	}
 	_, err := m.Apply(1, CommitKind, coordination.MustMarshal(&CommitVersion{1}))
 	require.NoError(t, err)
-	run(t, m, m.Due(1, 1, 1))
+	run(t, m, m.DueCommands(1, 1, 1))
 	m.Keys()
 	require.True(t, m.Eligible(WorkerKey("p1"), "v1-0123456789abcdef"))
 	require.False(t, m.Eligible(WorkerKey("p1"), "v2-0123456789abcdef"))
