--- a/coordination/agent.go
+++ b/coordination/agent.go
@@ -1,6 +1,5 @@
-// An Agent is a node's side of the core: it holds the node's lease, follows the
-// the change feed (from the core, or from a peer while the core is away) and knows
-// which keys the node may act under at this very moment.
+// An Agent is the client of the core on a node: it holds the node's lease, follows the change feed
+// (of the core, or of a peer while the core is unreachable) and knows which keys the node owns now.
 
 package coordination
 
@@ -19,21 +18,21 @@
 	"keelstair.example/rpc"
 )
 
-// Watcher is the embedder's view, folded from the open part of the log. Fold
-// tells whether the core should learn at once that the node has seen the entry.
+// Watcher is the embedder's view, built from the published part of the log. Observe reports whether
+// the node should renew its lease immediately to tell the core that it has seen the entry.
 type Watcher interface {
-	Restore(open []byte) error
-	Observe(seq ids.Seq, kind string, body []byte) (loud bool)
+	Restore(published []byte) error
+	Observe(seq ids.Seq, kind string, body []byte) (urgent bool)
 	Snapshot() []byte
 }
 
-// A Batcher is a Watcher that wants to know which entries came together: Batch runs observe,
-// which calls Observe for each of them.
+// Batcher is a Watcher that is told which entries arrived together: Batch must call observe,
+// which calls Observe for each entry of the batch.
 type Batcher interface {
 	Batch(observe func())
 }
 
-// AgentOptions name a node to the core.
+// AgentOptions configure an agent. Durations that are zero take the defaults named beside them.
 type AgentOptions struct {
 	Self            Member
 	Host            host.Host
@@ -42,10 +41,11 @@
 	Ring            *logging.Ring
 	LeaseDuration   time.Duration // 3s, the same as the core's
 	RenewInterval   time.Duration // 500ms
-	MaxTickGap      time.Duration // 1s between ticks means that the process slept
-	CoreUnreachable func() bool   // tells that the core, not this node, is away
+	MaxTickGap      time.Duration // 1s: a longer time between ticks means that the process was suspended
+	CoreUnreachable func() bool   // reports that the core, not this node, is cut off
 }
 
+// clusterView is the core's own state as of a log entry.
 type clusterView struct {
 	seq     ids.Seq
 	fence   ids.Fence
@@ -53,7 +53,7 @@
 	grants  map[ids.Key]Grant
 }
 
-// Agent is safe for use by many threads. NewAgent makes one, Mount and Run start it.
+// Agent is safe for concurrent use. NewAgent creates one, Mount and Run start it.
 type Agent struct {
 	options   AgentOptions
 	caller    *rpc.Caller
@@ -61,56 +61,61 @@
 	feed      *feed
 
 	mu        sync.Mutex
-	feedEpoch ids.Epoch // of the change feed that was taken last; an older one is not taken
+	feedEpoch ids.Epoch // of the last accepted watch response; responses of older epochs are rejected
 
 	view atomic.Pointer[clusterView]
 
 	confirmations confirmations
 	prober        prober
 
-	leaseExpiry  atomic.Int64
-	confirmedAt  atomic.Int64
-	minSeq       atomic.Uint64
-	confirmedSeq atomic.Uint64
-	lastTick     atomic.Int64
-	leaving      atomic.Bool
-	sample       atomic.Pointer[timeSample]
-	maxTime      atomic.Int64 // the most that Time gave
-	renewNow     chan struct{}
-	operations   sync.Map
-	revoked      sync.Map
+	leaseExpiry      atomic.Int64
+	confirmedAt      atomic.Int64
+	minSeq           atomic.Uint64
+	confirmedSeq     atomic.Uint64
+	lastTick         atomic.Int64
+	leaving          atomic.Bool
+	sample           atomic.Pointer[timeSample]
+	maxTime          atomic.Int64 // the highest upper bound that Time returned
+	renewRequested   chan struct{}
+	activeOperations sync.Map
+	revokedGrants    sync.Map
 }
 
-// NewAgent makes an agent; zero spans of its options take their defaults. It starts nothing.
-func NewAgent(opt AgentOptions) *Agent {
-	ids.SetDefault(&opt.LeaseDuration, 3*time.Second)
-	ids.SetDefault(&opt.RenewInterval, 500*time.Millisecond)
-	ids.SetDefault(&opt.MaxTickGap, time.Second)
-	if opt.Ring == nil {
-		opt.Ring = logging.Discard()
+// NewAgent returns an agent without starting it.
+func NewAgent(options AgentOptions) *Agent {
+	ids.SetDefault(&options.LeaseDuration, 3*time.Second)
+	ids.SetDefault(&options.RenewInterval, 500*time.Millisecond)
+	ids.SetDefault(&options.MaxTickGap, time.Second)
+	if options.Ring == nil {
+		options.Ring = logging.Discard()
 	}
-	a := &Agent{options: opt, caller: rpc.NewCaller(opt.Host.Net), feed: newFeed(), renewNow: make(chan struct{}, 1)}
-	a.directory = NewDirectory(opt.Host, a.caller, opt.Seeds, Replica{Addr: opt.Self.Addr})
+	a := &Agent{
+		options:        options,
+		caller:         rpc.NewCaller(options.Host.Net),
+		feed:           newFeed(),
+		renewRequested: make(chan struct{}, 1),
+	}
+	a.directory = NewDirectory(options.Host, a.caller, options.Seeds, Replica{Addr: options.Self.Addr})
 	a.view.Store(&clusterView{grants: map[ids.Key]Grant{}})
-	a.lastTick.Store(int64(opt.Host.Clock.Now()))
+	a.lastTick.Store(int64(options.Host.Clock.Now()))
 	return a
 }
 
-// Directory is what the agent knows of where everyone is.
+// Directory returns the agent's directory of other processes.
 func (a *Agent) Directory() *Directory { return a.directory }
 
-// Caller asks other processes over the agent's network.
+// Caller returns the RPC client on the agent's network.
 func (a *Agent) Caller() *rpc.Caller { return a.caller }
 
-// Self is the node that the agent is for.
+// Self returns the node that the agent runs on.
 func (a *Agent) Self() Member { return a.options.Self }
 
-// Mount lets peers ask directory and the change feed of this node.
+// Mount registers the handlers for directory exchanges and for peers that watch this node's change feed.
 func (a *Agent) Mount(mux *http.ServeMux) {
 	a.directory.Serve(mux)
 	rpc.Handle(mux, WatchMethod, func(ctx context.Context, request *WatchRequest) (*WatchResponse, error) {
 		if a.view.Load().seq == 0 {
-			return nil, failure.New(failure.Unavailable, "news", a.options.Self.Addr, "nothing is known yet")
+			return nil, failure.New(failure.Unavailable, "news", a.options.Self.Addr, "no change feed received yet")
 		}
 		r, err := a.feed.watch(ctx, request, func() (*Snapshot, error) { return a.snapshot(), nil })
 		if err == nil {
@@ -122,6 +127,7 @@
 	})
 }
 
+// snapshot returns the published state as this node knows it.
 func (a *Agent) snapshot() *Snapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,8 +139,8 @@
 	return snapshot
 }
 
-// Run keeps the lease, the change feed and the directory until the context ends, and then says
-// goodbye, so that its keys pass on at once.
+// Run maintains the lease, the change feed and the directory until the context ends. After Leave it
+// then gives up the lease, so that the node's keys are reassigned without waiting for its expiry.
 func (a *Agent) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -142,7 +148,7 @@
 			return a.confirmedAt.Load() > 0 && a.SinceConfirmed() < 3*a.options.RenewInterval
 		})
 	})
-	wg.Go(func() { a.follow(ctx) })
+	wg.Go(func() { a.followFeed(ctx) })
 	wg.Go(func() { a.renewLoop(ctx) })
 	wg.Go(func() { a.probeLoop(ctx) })
 	wg.Go(func() {
@@ -159,11 +165,11 @@
 	a.caller.Close()
 }
 
-// Leave makes the end of Run a goodbye.
+// Leave makes Run give up the lease when it ends.
 func (a *Agent) Leave() { a.leaving.Store(true) }
 
-// LeaseValid notes the tick. After a gap (the machine slept) the lease counts as
-// lapsed until it is renewed anew.
+// LeaseValid reports whether the lease holds, and records the current tick. If the time since the last
+// tick exceeds MaxTickGap, the machine was suspended, and the lease counts as expired until it is renewed.
 func (a *Agent) LeaseValid() bool {
 	now := a.options.Host.Clock.Now()
 	previous := ids.Tick(a.lastTick.Load())
@@ -176,22 +182,22 @@
 	return a.leaseExpiry.Load() > int64(now)
 }
 
-// Leased tells whether the lease holds now.
+// Leased reports whether the lease holds now.
 func (a *Agent) Leased() bool { return a.LeaseValid() }
 
-// SinceConfirmed tells for how long the core has not confirmed this node.
+// SinceConfirmed returns the time since the last renewal that the core confirmed was sent.
 func (a *Agent) SinceConfirmed() time.Duration {
 	return a.options.Host.Clock.Now().Since(ids.Tick(a.confirmedAt.Load()))
 }
 
-// CaughtUp tells that the core confirmed this node within a span, and that the change feed up
-// to that confirmation is folded here.
+// CaughtUp reports whether the core confirmed this node within a duration and this node has applied the
+// change feed up to that confirmation.
 func (a *Agent) CaughtUp(duration time.Duration) bool {
 	return a.SinceConfirmed() <= duration && uint64(a.Seq()) >= a.confirmedSeq.Load()
 }
 
-// OwnsKey gives the fence of a key if this node may act under it now. While the
-// core as a whole is away the last view is kept; workers refuse older fences.
+// OwnsKey returns the fencing token of a key and whether this node owns the key now. While the core as a
+// whole is unreachable, the last view stays valid, since workers refuse older fencing tokens.
 func (a *Agent) OwnsKey(k ids.Key) (ids.Fence, bool) {
 	leased := a.LeaseValid()
 	s := a.view.Load()
@@ -199,7 +205,7 @@
 	if !ok || g.Node != a.options.Self.Node || uint64(s.seq) < a.minSeq.Load() {
 		return 0, false
 	}
-	if _, gone := a.revoked.Load(k); gone {
+	if _, revoked := a.revokedGrants.Load(k); revoked {
 		return 0, false
 	}
 	if !leased && (a.confirmedAt.Load() == 0 || a.options.CoreUnreachable == nil || !a.options.CoreUnreachable()) {
@@ -208,10 +214,10 @@
 	return g.Fence, true
 }
 
-// BeginOperation marks an order under a key as under way, so that the key is given back
-// only when it has ended.
+// BeginOperation begins an operation under a key, if this node owns it. The key is released only after the
+// returned function was called at the end of the operation.
 func (a *Agent) BeginOperation(k ids.Key) (ids.Fence, func(), bool) {
-	n, _ := a.operations.LoadOrStore(k, new(atomic.Int64))
+	n, _ := a.activeOperations.LoadOrStore(k, new(atomic.Int64))
 	n.(*atomic.Int64).Add(1)
 	end := func() { n.(*atomic.Int64).Add(-1) }
 	f, ok := a.OwnsKey(k)
@@ -222,7 +228,7 @@
 	return f, end, true
 }
 
-// KeyOwner gives the member that does a key's duty as far as is known.
+// KeyOwner returns the member that owns a key, as far as this node knows.
 func (a *Agent) KeyOwner(k ids.Key) (Member, ids.Fence, bool) {
 	s := a.view.Load()
 	g, ok := s.grants[k]
@@ -237,7 +243,7 @@
 	return Member{}, 0, false
 }
 
-// OwnedKeys lists the keys granted to this node.
+// OwnedKeys returns the grants of this node.
 func (a *Agent) OwnedKeys() []Grant {
 	var out []Grant
 	for _, g := range a.view.Load().grants {
@@ -248,12 +254,14 @@
 	return out
 }
 
-// Members are the nodes that hold a lease, as far as the change feed was taken.
+// Members returns the nodes that hold a lease, as of the last applied entry.
 func (a *Agent) Members() []Member { return a.view.Load().members }
 
-// Seq is the number of the log up to which the change feed was taken.
+// Seq returns the sequence number of the last entry that was applied from the change feed.
 func (a *Agent) Seq() ids.Seq { return a.view.Load().seq }
 
+// renewLoop renews the lease until the context ends. After a failure it queries the directory for the
+// primary and retries sooner.
 func (a *Agent) renewLoop(ctx context.Context) {
 	for {
 		callContext, stop := context.WithTimeout(ctx, 900*time.Millisecond)
@@ -272,27 +280,28 @@
 			t.Stop()
 			return
 		case <-t.C:
-		case <-a.renewNow:
+		case <-a.renewRequested:
 			t.Stop()
 		}
 	}
 }
 
-// RenewNow renews now, so that the core learns how far the change feed was folded.
+// RenewNow triggers a renewal, which tells the core how far this node has applied the change feed.
 func (a *Agent) RenewNow() {
 	select {
-	case a.renewNow <- struct{}{}:
+	case a.renewRequested <- struct{}{}:
 	default:
 	}
 }
 
+// renew renews the lease and releases the revoked keys under which no operation is active.
 func (a *Agent) renew(ctx context.Context) error {
 	now := a.options.Host.Clock.Now()
-	a.LeaseValid() // after a leap of the clock no time is told on
+	a.LeaseValid() // drops the time sample after a clock jump, so that it is not reported
 	request := &RenewRequest{Self: a.options.Self, Applied: a.Seq(), Leaving: a.leaving.Load()}
 	request.Time, _ = a.Time()
-	a.revoked.Range(func(k, g any) bool {
-		if n, ok := a.operations.Load(k); !ok || n.(*atomic.Int64).Load() == 0 {
+	a.revokedGrants.Range(func(k, g any) bool {
+		if n, ok := a.activeOperations.Load(k); !ok || n.(*atomic.Int64).Load() == 0 {
 			request.Released = append(request.Released, g.(Grant))
 		}
 		return true
@@ -314,7 +323,7 @@
 	a.leaseExpiry.Store(int64(now.Add(a.options.LeaseDuration)))
 	a.confirmedAt.Store(int64(now))
 	for _, g := range r.Revoked {
-		if _, had := a.revoked.LoadOrStore(g.Key, g); !had {
+		if _, known := a.revokedGrants.LoadOrStore(g.Key, g); !known {
 			a.RenewNow()
 		}
 	}
--- a/coordination/agent_clock_test.go
+++ b/coordination/agent_clock_test.go
@@ -91,22 +91,22 @@
 	})
 }
 
-type placed map[ids.NodeID]bool
+type eligibleSet map[ids.NodeID]bool
 
-func (p placed) Eligible(_ ids.Key, n ids.NodeID) bool { return p[n] }
+func (p eligibleSet) Eligible(_ ids.Key, n ids.NodeID) bool { return p[n] }
 
 // TestAmong: a key falls to those that may have it, or, if none may, to any.
 func TestAmong(t *testing.T) {
 	type app struct {
 		StateMachine
-		placed
+		eligibleSet
 	}
 	live := []ids.NodeID{"a", "b", "c"}
 	require.Equal(t, live, eligibleNodes(struct{ StateMachine }{}, "k", live))
-	require.Equal(t, []ids.NodeID{"b", "c"}, eligibleNodes(&app{placed: placed{
+	require.Equal(t, []ids.NodeID{"b", "c"}, eligibleNodes(&app{eligibleSet: eligibleSet{
 		"b": true,
 		"c": true,
 		"d": true,
 	}}, "k", live))
-	require.Equal(t, live, eligibleNodes(&app{placed: placed{}}, "k", live))
+	require.Equal(t, live, eligibleNodes(&app{eligibleSet: eligibleSet{}}, "k", live))
 }
--- a/coordination/chunks.go
+++ b/coordination/chunks.go
@@ -1,8 +1,7 @@
-// The chunk store holds what a machine will never change again, in chunks of a fixed
-// content. A snapshot names its chunks and does not contain them, so neither a
-// takeover nor a compaction grows with all that was ever agreed on: a chunk is
-// saved once and sent only to a machine that lacks it. Register voters that
-// carry no data fetch chunks beforehand, so that they can become the backup soon.
+// Chunks hold the parts of a state machine's state that never change again. A snapshot names its
+// chunks and does not contain them, so the cost of a takeover or a compaction does not grow with the
+// whole history: a chunk is saved once and sent only to a replica that lacks it. Voters without data
+// prefetch chunks, so that they can become a backup quickly.
 
 package coordination
 
@@ -17,24 +16,26 @@
 	"keelstair.example/rpc"
 )
 
-// Chunk is a sealed part of a machine's state. Its name is that of its content.
+// Chunk is an immutable part of a state machine's state. Its name is a hash of its content.
 type Chunk struct {
 	Name string
 	Body []byte
 }
 
-// NewChunk names a content.
+// NewChunk returns the chunk with a content.
 func NewChunk(body []byte) Chunk { return Chunk{ShortHash(string(body)), body} }
 
-// ChunkStore is what a StateMachine may be too. Chunks lists what its snapshots leave out, in
-// an order that every copy has; RestoreChunks gives them back before Restore.
+// ChunkStore is an optional interface of a StateMachine. Chunks lists the chunks that its snapshots leave
+// out, in the same order at every replica; RestoreChunks is called with them before Restore.
 type ChunkStore interface {
 	Chunks() []Chunk
-	RestoreChunks(all []Chunk)
+	RestoreChunks(chunks []Chunk)
 }
 
+// chunkPrefix begins the file name of each chunk.
 const chunkPrefix = "sheet-"
 
+// chunksOf returns the chunks of a state machine, or nil if it is no ChunkStore.
 func chunksOf(m StateMachine) []Chunk {
 	if s, ok := m.(ChunkStore); ok {
 		return s.Chunks()
@@ -43,30 +44,33 @@
 }
 
 // saveChunk saves a chunk unless it is on disk already.
-func (s *store) saveChunk(one Chunk) error {
-	if s.hasChunk(one.Name) {
+func (s *store) saveChunk(chunk Chunk) error {
+	if s.hasChunk(chunk.Name) {
 		return nil
 	}
-	err := s.timedWithin(4*s.timeout, "save chunk", func() error { return s.disk.Save(chunkPrefix+one.Name, one.Body) })
+	err := s.runStepWithin(4*s.timeout, "save chunk", func() error {
+		return s.disk.Save(chunkPrefix+chunk.Name, chunk.Body)
+	})
 	if err == nil {
-		s.chunks.Store(one.Name, true)
+		s.chunks.Store(chunk.Name, true)
 	}
 	return err
 }
 
+// hasChunk reports whether the chunk of a name is on disk.
 func (s *store) hasChunk(name string) bool { _, ok := s.chunks.Load(name); return ok }
 
-// loadChunks gives the chunks that a snapshot names: those in memory, else those on
-// disk, each held against its name.
-func (s *store) loadChunks(names []string, near []Chunk) ([]Chunk, error) {
-	had := map[string]Chunk{}
-	for _, one := range near {
-		had[one.Name] = one
+// loadChunks returns the chunks that a snapshot names: from the cached ones, or else from disk, where
+// the content is checked against the name.
+func (s *store) loadChunks(names []string, cached []Chunk) ([]Chunk, error) {
+	byName := map[string]Chunk{}
+	for _, chunk := range cached {
+		byName[chunk.Name] = chunk
 	}
 	out := make([]Chunk, len(names))
 	for i, n := range names {
-		if one, ok := had[n]; ok {
-			out[i] = one
+		if chunk, ok := byName[n]; ok {
+			out[i] = chunk
 			continue
 		}
 		body, err := s.disk.Load(chunkPrefix + n)
@@ -75,25 +79,25 @@
 		}
 		if out[i] = NewChunk(body); out[i].Name != n {
 			return nil, failure.New(
-				failure.InvalidArgument, "read chunk "+n, "disk", "its content is that of %s", out[i].Name,
+				failure.InvalidArgument, "read chunk "+n, "disk", "the content is that of chunk %s", out[i].Name,
 			)
 		}
 	}
 	return out, nil
 }
 
-// listChunks learns which chunks the disk holds.
+// listChunks reads which chunks are on disk.
 func (s *store) listChunks() error {
 	names, err := s.disk.List()
 	for _, n := range names {
-		if after, ok := strings.CutPrefix(n, chunkPrefix); ok {
-			s.chunks.Store(after, true)
+		if name, ok := strings.CutPrefix(n, chunkPrefix); ok {
+			s.chunks.Store(name, true)
 		}
 	}
 	return err
 }
 
-// dropChunks drops those that no snapshot here names any more.
+// dropChunks removes the chunks that the snapshot does not name.
 func (s *store) dropChunks(snapshot *Snapshot) {
 	named := map[string]bool{}
 	for _, n := range snapshot.Chunks {
@@ -107,8 +111,8 @@
 	})
 }
 
-// handleChunk takes a chunk from a proposer that this register has promised to, or gives
-// one to a voter that collects them.
+// handleChunk saves a chunk of the proposer that this register has made a promise to, or, for a request
+// without a body, returns a chunk to a voter that prefetches them.
 func (c *Core) handleChunk(_ context.Context, request *ChunkRequest) (*ChunkResponse, error) {
 	if request.Body != nil {
 		if _, promised := c.accepted(); promised != request.Epoch {
@@ -118,34 +122,35 @@
 	}
 	c.dataMu.Lock()
 	defer c.dataMu.Unlock()
-	all := chunksOf(c.state.machine)
-	r := &ChunkResponse{OK: c.Leads(), Count: len(all)}
-	if r.OK && request.Index < len(all) {
-		r.Name, r.Body = all[request.Index].Name, all[request.Index].Body
+	chunks := chunksOf(c.state.machine)
+	r := &ChunkResponse{OK: c.Leads(), Count: len(chunks)}
+	if r.OK && request.Index < len(chunks) {
+		r.Name, r.Body = chunks[request.Index].Name, chunks[request.Index].Body
 	}
 	return r, nil
 }
 
-func (c *Core) saveChunk(one Chunk, near string) error {
-	if NewChunk(one.Body).Name != one.Name {
+// saveChunk saves a chunk that was received from source, if its content fits its name.
+func (c *Core) saveChunk(chunk Chunk, source string) error {
+	if NewChunk(chunk.Body).Name != chunk.Name {
 		return failure.New(
-			failure.InvalidArgument, "take chunk", near, "the content of %s does not fit its name", one.Name,
+			failure.InvalidArgument, "take chunk", source, "the content of %s does not fit its name", chunk.Name,
 		)
 	}
-	return c.store.saveChunk(one)
+	return c.store.saveChunk(chunk)
 }
 
-// sendChunks sends the chunks that a backup-to-be said it lacks.
-func (c *Core) sendChunks(ctx context.Context, e ids.Epoch, to Replica, lacks []string, all []Chunk) error {
+// sendChunks sends the chunks that a future backup reported as missing.
+func (c *Core) sendChunks(ctx context.Context, e ids.Epoch, to Replica, missing []string, chunks []Chunk) error {
 	want := map[string]bool{}
-	for _, n := range lacks {
+	for _, n := range missing {
 		want[n] = true
 	}
-	for _, one := range all {
-		if !want[one.Name] {
+	for _, chunk := range chunks {
+		if !want[chunk.Name] {
 			continue
 		}
-		callContext, stop := context.WithTimeout(ctx, sendTime(len(one.Body)))
+		callContext, stop := context.WithTimeout(ctx, sendTime(len(chunk.Body)))
 		r, err := rpc.Call[ChunkRequest, ChunkResponse](
 			callContext,
 			c.caller,
@@ -153,8 +158,8 @@
 			chunkMethod,
 			&ChunkRequest{
 				Epoch: e,
-				Name:  one.Name,
-				Body:  one.Body,
+				Name:  chunk.Name,
+				Body:  chunk.Body,
 			},
 		)
 		stop()
@@ -168,32 +173,32 @@
 	return nil
 }
 
-// prefetchChunks fetches chunks from the primary while this machine holds a register and
-// no data, one at a time.
+// prefetchChunks fetches chunks from the primary, one at a time, while this replica is a voter without
+// data.
 func (c *Core) prefetchChunks(ctx context.Context) {
-	at, of := 0, ""
+	index, clusterID := 0, ""
 	for wait := time.Second; host.Sleep(ctx, wait); {
 		wait = time.Second
 		record, _ := c.accepted()
 		if record.ClusterID == "" || c.isDataReplica(record) || !containsDisk(record.Voters, c.self.Disk) {
 			continue
 		}
-		if of != record.ClusterID {
-			at, of = 0, record.ClusterID
+		if clusterID != record.ClusterID {
+			index, clusterID = 0, record.ClusterID
 		}
 		callContext, stop := context.WithTimeout(ctx, 2*time.Second)
 		r, err := rpc.Call[ChunkRequest, ChunkResponse](
-			callContext, c.caller, c.directory.Addr(record.Primary), chunkMethod, &ChunkRequest{Index: at},
+			callContext, c.caller, c.directory.Addr(record.Primary), chunkMethod, &ChunkRequest{Index: index},
 		)
 		stop()
 		if err != nil || !r.OK || r.Body == nil {
 			continue
 		}
 		if err := c.saveChunk(Chunk{r.Name, r.Body}, record.Primary.Addr); err != nil {
-			c.options.Ring.Warn().AnErr("cause", err).Msg("chunk not saved")
+			c.options.Ring.Warn().AnErr("cause", err).Msg("prefetched chunk not saved")
 			continue
 		}
-		if at++; at < r.Count {
+		if index++; index < r.Count {
 			wait = 20 * time.Millisecond
 		}
 	}
--- a/coordination/cutoff_test.go
+++ b/coordination/cutoff_test.go
@@ -24,9 +24,9 @@
 type lossDirection string
 
 const (
-	bothWays    lossDirection = "both ways"
-	hearsNone   lossDirection = "it hears nothing"
-	reachesNone lossDirection = "it reaches nobody"
+	bothWays     lossDirection = "both ways"
+	inboundLost  lossDirection = "it hears nothing"
+	outboundLost lossDirection = "it reaches nobody"
 )
 
 // partitionCores cuts machines off from the other cores, or joins them again. Nodes reach them.
@@ -36,18 +36,18 @@
 		rest = append(rest, ip)
 	}
 	for _, ip := range group {
-		if how != reachesNone {
+		if how != outboundLost {
 			f.world.Block(rest, []string{ip}, partitioned)
 		}
-		if how != hearsNone {
+		if how != inboundLost {
 			f.world.Block([]string{ip}, rest, partitioned)
 		}
 	}
 }
 
-// askCore asks one core for a command that changes nothing of the sum, and for all there is,
+// submitAndRead asks one core for a command that changes nothing of the sum, and for all there is,
 // whoever leads.
-func (f *testCluster) askCore(ip, op string) (submitted, read error) {
+func (f *testCluster) submitAndRead(ip, op string) (submitted, read error) {
 	caller := rpc.NewCaller(f.processes["10.0.1.1"].Host().Net)
 	defer caller.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 900*time.Millisecond)
@@ -70,7 +70,7 @@
 func TestPartition(t *testing.T) {
 	sizes := []struct{ machines, losses int }{{3, 1}, {6, 2}}
 	for _, size := range sizes {
-		for _, how := range []lossDirection{bothWays, hearsNone, reachesNone} {
+		for _, how := range []lossDirection{bothWays, inboundLost, outboundLost} {
 			for first := range size.losses + 2 {
 				for second := first; second < size.losses+2; second++ {
 					if second > first && size.losses < 2 {
@@ -81,7 +81,7 @@
 					), func(t *testing.T) {
 						t.Parallel()
 						synctest.Test(t, func(t *testing.T) {
-							partitioned(t, size.machines, size.losses, first, second, how)
+							testPartition(t, size.machines, size.losses, first, second, how)
 						})
 					})
 				}
@@ -90,8 +90,8 @@
 	}
 }
 
-// voters are the machines of the record: the primary, its backups, then a holder without data.
-func (f *testCluster) voters(t *testing.T) []string {
+// voterMachines are the machines of the record: the primary, its backups, then a holder without data.
+func (f *testCluster) voterMachines(t *testing.T) []string {
 	record := f.cores[f.leader()].Directory().Record()
 	out := []string{machineOf(record.Primary.Addr), machineOf(record.Backup.Addr)}
 	for _, b := range record.MoreBackups {
@@ -106,12 +106,12 @@
 	return nil
 }
 
-func partitioned(t *testing.T, machines, faultTolerance, first, second int, how lossDirection) {
+func testPartition(t *testing.T, machines, faultTolerance, first, second int, how lossDirection) {
 	f := newClusterOfSize(uint64(first*7+second+1), machines, faultTolerance)
 	defer f.close()
 	require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 	time.Sleep(2 * time.Second)
-	addr := f.voters(t)
+	addr := f.voterMachines(t)
 	group := []string{addr[first]}
 	if second != first {
 		group = append(group, addr[second])
@@ -123,7 +123,7 @@
 		require.NoError(t, f.submitNumber(1, fmt.Sprint("during", n), 8*time.Second))
 		sum++
 		for _, ip := range group {
-			submitted, read := f.askCore(ip, fmt.Sprint(ip, "/", n))
+			submitted, read := f.submitAndRead(ip, fmt.Sprint(ip, "/", n))
 			if how == bothWays {
 				require.Error(t, submitted, "an order was confirmed")
 				require.False(
--- a/coordination/directory.go
+++ b/coordination/directory.go
@@ -1,7 +1,6 @@
-// The directory of replicas and members that every process keeps and shares: the newest
-// record, the disk machines heard of, the members. Three seeds are only where
-// the first pages come from; whoever answers is asked again, so a directory outlives
-// the swap of every seed.
+// Every process keeps a directory of the newest record, the known replicas and the members, and
+// exchanges it with other processes. The three seed addresses are needed only for the first exchange:
+// every process that answers is queried again later, so a directory survives the replacement of all seeds.
 
 package coordination
 
@@ -18,50 +17,51 @@
 	"keelstair.example/rpc"
 )
 
-// Time between two questions of one process for the members.
+// membersInterval is the time between two queries of a process that ask for the members.
 const membersInterval = 2 * time.Second
 
+// replicaContact is a replica and what it last said of itself.
 type replicaContact struct {
 	Replica
-	empty   bool
-	leaving bool
+	empty   bool // its disk holds no accepted record
+	leaving bool // it is about to end
 	heardAt ids.Tick
 }
 
-// Directory is safe for use by many threads.
+// Directory holds the newest record, the known replicas and the members. It is safe for concurrent use.
 type Directory struct {
-	mu             sync.Mutex
-	host           host.Host
-	seeds          []string
-	self           PeerExchange
-	record         Record
-	replicas       map[ids.DiskID]replicaContact
-	members        []Member
-	seq            ids.Seq // of the log, that the members are as of
-	caller         *rpc.Caller
-	foreignCluster string
-	recordChanged  chan struct{} // closed when a newer record is learnt
-	lastContact    ids.Tick      // when any other process was heard last
-	membersAsked   ids.Tick      // when another process was last asked for the members
+	mu                 sync.Mutex
+	host               host.Host
+	seeds              []string
+	self               PeerExchange
+	record             Record
+	replicas           map[ids.DiskID]replicaContact
+	members            []Member
+	seq                ids.Seq // sequence number of the log that the members correspond to
+	caller             *rpc.Caller
+	foreignCluster     string
+	recordChanged      chan struct{} // closed when a newer record is received
+	lastContact        ids.Tick      // when another process was last heard from
+	membersRequestedAt ids.Tick      // when the members were last requested from another process
 }
 
-// NewDirectory makes the directory of a process: me is its own replica, or only its address. It knows no
-// more than the seeds, until it asks.
-func NewDirectory(host host.Host, call *rpc.Caller, seeds []string, me Replica) *Directory {
+// NewDirectory returns the directory of a process. self is the replica of the process, or only its address.
+// Until the first exchange the directory knows nothing but the seeds.
+func NewDirectory(host host.Host, caller *rpc.Caller, seeds []string, self Replica) *Directory {
 	return &Directory{
-		host:          host,
-		caller:        call,
-		seeds:         seeds,
-		self:          PeerExchange{Self: me},
-		replicas:      map[ids.DiskID]replicaContact{},
-		recordChanged: make(chan struct{}),
-		membersAsked:  host.Clock.Now(),
+		host:               host,
+		caller:             caller,
+		seeds:              seeds,
+		self:               PeerExchange{Self: self},
+		replicas:           map[ids.DiskID]replicaContact{},
+		recordChanged:      make(chan struct{}),
+		membersRequestedAt: host.Clock.Now(),
 	}
 }
 
-// request is what another process is asked with. One process in membersInterval is asked for the
-// members too: who follows the change feed knows them from there.
-func (d *Directory) request() *PeerExchangeRequest {
+// newRequest returns the request to send to another process. Only one request per membersInterval asks for
+// the members, since a process that follows the change feed learns them from the feed.
+func (d *Directory) newRequest() *PeerExchangeRequest {
 	p := d.Exchange()
 	request := &PeerExchangeRequest{
 		Self:      p.Self,
@@ -74,14 +74,14 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now := d.host.Clock.Now(); now.Past(d.membersAsked, membersInterval) {
-		d.membersAsked, request.NoMembers = now, false
+	if now := d.host.Clock.Now(); now.Past(d.membersRequestedAt, membersInterval) {
+		d.membersRequestedAt, request.NoMembers = now, false
 	}
 	return request
 }
 
-// answer learns from a process that asks, and gives what that one is told.
-func (d *Directory) answer(request *PeerExchangeRequest) *PeerExchange {
+// handleExchange merges the request of another process and returns the response to it.
+func (d *Directory) handleExchange(request *PeerExchangeRequest) *PeerExchange {
 	d.Merge(&PeerExchange{
 		Self:     request.Self,
 		Empty:    request.Empty,
@@ -98,7 +98,7 @@
 	return p
 }
 
-// Exchange is all that the directory knows now.
+// Exchange returns all that the directory knows now. Replicas that were not heard of for 10 s are left out.
 func (d *Directory) Exchange() *PeerExchange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,11 +111,12 @@
 			p.Replicas = append(p.Replicas, s.Replica)
 		}
 	}
-	sort.Slice(p.Replicas, func(i, op int) bool { return p.Replicas[i].Disk < p.Replicas[op].Disk })
+	sort.Slice(p.Replicas, func(i, j int) bool { return p.Replicas[i].Disk < p.Replicas[j].Disk })
 	return &p
 }
 
-// Merge takes in another's page. Only what the speaker says of itself is dated.
+// Merge merges the exchange of another process. Only what the sender says of itself counts as heard now;
+// a replica that is new to the directory counts as heard 5 s ago.
 func (d *Directory) Merge(p *PeerExchange) {
 	d.mu.Lock()
 	if d.record.ClusterID != "" && p.Record.ClusterID != "" && p.Record.ClusterID != d.record.ClusterID {
@@ -123,8 +124,8 @@
 		d.mu.Unlock()
 		return
 	}
-	grown := p.Record.Epoch > d.record.Epoch
-	if grown {
+	newer := p.Record.Epoch > d.record.Epoch
+	if newer {
 		d.record = p.Record
 	}
 	if p.Self.Addr != "" && p.Self.Addr != d.self.Self.Addr {
@@ -139,60 +140,60 @@
 		}
 	}
 	d.updateMembers(p.Seq, p.Members)
-	if grown {
+	if newer {
 		close(d.recordChanged)
 		d.recordChanged = make(chan struct{})
 	}
 	d.mu.Unlock()
 }
 
-// LastContact tells when any other process was heard last.
+// LastContact returns when another process was last heard from.
 func (d *Directory) LastContact() ids.Tick {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lastContact
 }
 
-// SetSeeds takes the seeds that changed settings name.
+// SetSeeds replaces the seed addresses after a change of the settings.
 func (d *Directory) SetSeeds(seeds []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seeds = seeds
 }
 
-// SetMembers is called by those who follow the news themselves; seq is the number of the
-// log up to which they have.
-func (d *Directory) SetMembers(seq ids.Seq, ms []Member) {
+// SetMembers sets the members as of the log entry seq. It is called by processes that follow the change
+// feed themselves.
+func (d *Directory) SetMembers(seq ids.Seq, members []Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.updateMembers(seq, ms)
+	d.updateMembers(seq, members)
 }
 
-// updateMembers takes members that are newer than those known. Epochs do not tell: whoever hears
-// of a newer one may know members of long ago.
-func (d *Directory) updateMembers(seq ids.Seq, ms []Member) {
+// updateMembers replaces the members by newer ones. Epochs cannot decide which are newer: a process that
+// has heard of a newer epoch may still have old members.
+func (d *Directory) updateMembers(seq ids.Seq, members []Member) {
 	if seq > d.seq {
-		d.seq, d.members = seq, ms
+		d.seq, d.members = seq, members
 	}
 }
 
-// Record is the newest record that was heard of.
+// Record returns the newest record that the directory has received.
 func (d *Directory) Record() Record {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.record
 }
 
-// RecordChanged is closed when a newer record than that of now is learnt.
+// RecordChanged returns a channel that is closed when a record newer than the current one is received.
 func (d *Directory) RecordChanged() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.recordChanged
 }
 
-// Broadcast gives everyone known this page, so that they need not find out by themselves.
+// Broadcast sends this directory to all known processes, so that they need not query for it.
 func (d *Directory) Broadcast(ctx context.Context) {
-	p := d.request()
+	p := d.newRequest()
 	p.NoMembers = true
 	for _, a := range d.addresses() {
 		go func() {
@@ -203,14 +204,14 @@
 	}
 }
 
-// ForeignCluster is the founding id of another fleet that was met, if any.
+// ForeignCluster returns the cluster id of another fleet, if a process of one was met.
 func (d *Directory) ForeignCluster() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.foreignCluster
 }
 
-// Addr gives the freshest address of a replica.
+// Addr returns the newest known address of a replica.
 func (d *Directory) Addr(s Replica) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -220,8 +221,9 @@
 	return s.Addr
 }
 
-// recentReplicas gives the replicas that spoke for themselves within the span.
-func (d *Directory) recentReplicas(duration time.Duration) (all []Replica, blank []Replica) {
+// recentReplicas returns the replicas that were heard from within a duration, and those of them whose
+// disk is empty.
+func (d *Directory) recentReplicas(duration time.Duration) (all []Replica, empty []Replica) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.host.Clock.Now()
@@ -231,27 +233,28 @@
 		}
 		all = append(all, s.Replica)
 		if s.empty {
-			blank = append(blank, s.Replica)
+			empty = append(empty, s.Replica)
 		}
 	}
-	return all, blank
+	return all, empty
 }
 
-// setLeaving has all pages tell from now on that this process is about to end.
+// setLeaving makes all further exchanges say that this process is about to end.
 func (d *Directory) setLeaving() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.self.Leaving = true
 }
 
-// isLeaving tells whether a replica said that it is about to end.
+// isLeaving reports whether a replica said that it is about to end.
 func (d *Directory) isLeaving(disk ids.DiskID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.replicas[disk].leaving
 }
 
-// addresses lists every address worth asking.
+// addresses returns the addresses of the seeds and of all known replicas, members and voters, except
+// this process's own.
 func (d *Directory) addresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -277,10 +280,10 @@
 	return out
 }
 
-// Query asks so many of the known, in a random order, and learns.
+// Query exchanges directories with the primary and with up to limit other processes, chosen at random.
 func (d *Directory) Query(ctx context.Context, limit int) {
 	list := d.addresses()
-	rand.Shuffle(len(list), func(i, op int) { list[i], list[op] = list[op], list[i] })
+	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	if len(list) > limit {
 		list = list[:limit]
 	}
@@ -293,7 +296,7 @@
 			c, stop := context.WithTimeout(ctx, 700*time.Millisecond)
 			defer stop()
 			if p, err := rpc.Call[PeerExchangeRequest, PeerExchange](
-				c, d.caller, a, ExchangeMethod, d.request(),
+				c, d.caller, a, ExchangeMethod, d.newRequest(),
 			); err == nil {
 				d.Merge(p)
 			}
@@ -302,15 +305,15 @@
 	wg.Wait()
 }
 
-// Run asks for ever: often while the core is unknown, seldom afterwards, and hardly
-// while all is calm, since whoever moves asks the others.
-func (d *Directory) Run(ctx context.Context, calm func() bool) {
+// Run queries until the context ends: often while no cluster is known, less often afterwards, and least
+// while stable reports true, since a process that changes its address queries the others itself.
+func (d *Directory) Run(ctx context.Context, stable func() bool) {
 	for {
 		limit, wait := 4, time.Second
 		switch {
 		case d.Record().ClusterID == "":
 			wait = 200 * time.Millisecond
-		case calm():
+		case stable():
 			limit, wait = 1, 4*time.Second
 		}
 		d.Query(ctx, limit)
@@ -320,9 +323,9 @@
 	}
 }
 
-// Serve answers others from the directory.
+// Serve registers the handler for exchanges with other processes.
 func (d *Directory) Serve(mux *http.ServeMux) {
 	rpc.Handle(mux, ExchangeMethod, func(_ context.Context, request *PeerExchangeRequest) (*PeerExchange, error) {
-		return d.answer(request), nil
+		return d.handleExchange(request), nil
 	})
 }
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -22,10 +22,10 @@
 	"keelstair.example/rpc"
 )
 
-// sumMachine is the smallest machine an embedder may bring: a sum, and two duties.
-type sumMachine struct{ sum int }
+// sumStateMachine is the smallest machine an embedder may bring: a sum, and two duties.
+type sumStateMachine struct{ sum int }
 
-func (t *sumMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
+func (t *sumStateMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
 	n, err := strconv.Atoi(string(body))
 	if err != nil || kind != "add" {
 		return nil, failure.New(failure.InvalidArgument, "apply", kind, "it adds numbers only")
@@ -34,14 +34,14 @@
 	return []byte(strconv.Itoa(t.sum)), nil
 }
 
-func (t *sumMachine) Published(string) bool { return true }
-func (t *sumMachine) Snapshot(bool) []byte  { return []byte(strconv.Itoa(t.sum)) }
-func (t *sumMachine) Restore(b []byte) (err error) {
+func (t *sumStateMachine) Published(string) bool { return true }
+func (t *sumStateMachine) Snapshot(bool) []byte  { return []byte(strconv.Itoa(t.sum)) }
+func (t *sumStateMachine) Restore(b []byte) (err error) {
 	t.sum, err = strconv.Atoi(string(b))
 	return err
 }
-func (t *sumMachine) Keys() []ids.Key                                               { return []ids.Key{"left", "right"} }
-func (t *sumMachine) DueCommands(ids.Tick, ids.Seq, ids.Seq) []coordination.Command { return nil }
+func (t *sumStateMachine) Keys() []ids.Key                                               { return []ids.Key{"left", "right"} }
+func (t *sumStateMachine) DueCommands(ids.Tick, ids.Seq, ids.Seq) []coordination.Command { return nil }
 
 // sumWatcher is a follower's view of it.
 type sumWatcher struct{ sum atomic.Int64 }
@@ -142,7 +142,7 @@
 		Zone:            f.zones[ip],
 		Host:            p.Host(),
 		Seeds:           f.seeds,
-		Machine:         func() coordination.StateMachine { return &sumMachine{} },
+		Machine:         func() coordination.StateMachine { return &sumStateMachine{} },
 		ForceNewCluster: force,
 		FaultTolerance:  f.faultTolerance,
 	})
@@ -333,7 +333,7 @@
 			Addr:    "10.7.0.1:1",
 			Host:    p.Host(),
 			Seeds:   mine,
-			Machine: func() coordination.StateMachine { return &sumMachine{} },
+			Machine: func() coordination.StateMachine { return &sumStateMachine{} },
 		})
 		require.NoError(t, err)
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
--- a/coordination/feed.go
+++ b/coordination/feed.go
@@ -1,5 +1,5 @@
-// The feed: entries by number, the newest kept in memory. Whoever asks from a
-// place that is still kept gets what followed; anyone else needs a snapshot.
+// The change feed keeps the newest log entries in memory, ordered by sequence number. A watcher
+// whose position is still covered gets the entries after it; any other watcher needs a snapshot.
 
 package coordination
 
@@ -14,27 +14,31 @@
 	"keelstair.example/ids"
 )
 
+// feedCapacity is the number of entries that a feed keeps.
 const feedCapacity = 2048
 
+// feed holds the newest entries and wakes waiting watchers when it changes.
 type feed struct {
 	mu      sync.Mutex
 	entries deque.Deque[Entry]
-	last    ids.Seq
-	changed chan struct{}
+	last    ids.Seq       // sequence number of the newest entry
+	changed chan struct{} // closed and replaced at each change
 }
 
 func newFeed() *feed { return &feed{changed: make(chan struct{})} }
 
-// reset forgets all and begins after a number.
-func (f *feed) reset(at ids.Seq) {
+// reset drops all entries; the next entry is the one after the given sequence number.
+func (f *feed) reset(after ids.Seq) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entries.Clear()
-	f.last = at
+	f.last = after
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
+// push appends entries and drops the oldest ones beyond feedCapacity. Unpublished entries keep only
+// their sequence number.
 func (f *feed) push(entries []Entry) {
 	if len(entries) == 0 {
 		return
@@ -55,21 +59,23 @@
 	f.changed = make(chan struct{})
 }
 
-// entriesAfter gives what followed a place; ok is false when a snapshot is needed.
-func (f *feed) entriesAfter(at ids.Seq) (entries []Entry, last ids.Seq, ok bool, ring chan struct{}) {
+// entriesAfter returns the entries after a sequence number and the channel that the next change
+// closes. It reports false if the feed does not reach back that far and a snapshot is needed.
+func (f *feed) entriesAfter(after ids.Seq) (entries []Entry, last ids.Seq, ok bool, changed chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	first := f.last - ids.Seq(f.entries.Len())
-	if at < first || at > f.last {
+	if after < first || after > f.last {
 		return nil, f.last, false, f.changed
 	}
-	for i := int(at - first); i < f.entries.Len(); i++ {
+	for i := int(after - first); i < f.entries.Len(); i++ {
 		entries = append(entries, f.entries.At(i))
 	}
 	return entries, f.last, true, f.changed
 }
 
-// watch answers an asking, waiting a while for the first entry if need be.
+// watch answers a watch request. If there are no entries yet, it waits for the first one for as long
+// as the request allows, but at most 5 s.
 func (f *feed) watch(
 	ctx context.Context,
 	request *WatchRequest,
@@ -79,7 +85,7 @@
 	t := host.NewTimer(wait)
 	defer t.Stop()
 	for {
-		entries, last, ok, ring := f.entriesAfter(request.From)
+		entries, last, ok, changed := f.entriesAfter(request.From)
 		if !ok || request.From == 0 {
 			snapshot, err := snapshot()
 			if err != nil {
@@ -91,7 +97,7 @@
 			return &WatchResponse{Seq: last, Entries: entries}, nil
 		}
 		select {
-		case <-ring:
+		case <-changed:
 		case <-t.C:
 			return &WatchResponse{Seq: last}, nil
 		case <-ctx.Done():
--- a/coordination/late_snapshot_test.go
+++ b/coordination/late_snapshot_test.go
@@ -15,22 +15,22 @@
 	"keelstair.example/host/simulated"
 )
 
-// slowDisk saves its snapshots late.
-type slowDisk struct {
+// lateSnapshotDisk saves its snapshots late.
+type lateSnapshotDisk struct {
 	host.Disk
 	late time.Duration
 }
 
-func (d *slowDisk) Save(name string, body []byte) error {
+func (d *lateSnapshotDisk) Save(name string, body []byte) error {
 	if name == snapshotFile {
 		time.Sleep(d.late)
 	}
 	return d.Disk.Save(name, body)
 }
 
-// commitOne has a primary without backups write one entry; it gives the error that
+// commitEntry has a primary without backups write one entry; it gives the error that
 // its client sees, and the one that makes the primary stand down.
-func commitOne(l *leader, body string) (answer, standDown error) {
+func commitEntry(l *leader, body string) (answer, standDown error) {
 	op := &operation{entry: &Entry{Kind: "put", Body: []byte(body)}, done: make(chan struct{})}
 	standDown = l.commit(context.Background(), []*operation{op})
 	<-op.done
@@ -44,7 +44,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		machine := simulated.NewWorld(1).Machine("10.0.0.1")
 		host := machine.Start().Host()
-		disk := &slowDisk{Disk: host.Disk}
+		disk := &lateSnapshotDisk{Disk: host.Disk}
 		host.Disk = disk
 		c, err := New(Options{Addr: "10.0.0.1:1", Host: host, Machine: func() StateMachine { return &listStateMachine{} }})
 		require.NoError(t, err)
@@ -54,13 +54,13 @@
 		for i := 0; standDown == nil; i++ {
 			require.Less(t, i, 100, "the log is never full")
 			var answer error
-			answer, standDown = commitOne(l, strings.Repeat("x", 100_000))
+			answer, standDown = commitEntry(l, strings.Repeat("x", 100_000))
 			require.NoError(t, answer)
 		}
 		require.ErrorContains(t, standDown, "stalled")
 		time.Sleep(20 * time.Second)
 		require.False(t, c.reloadPending(), "the disk can be read again")
-		answer, _ := commitOne(l, "after")
+		answer, _ := commitEntry(l, "after")
 		require.NoError(t, answer)
 		machine.PowerOff()
 
--- a/coordination/powerloss_test.go
+++ b/coordination/powerloss_test.go
@@ -103,7 +103,7 @@
 	return nil
 }
 
-func (h *storeRun) appendSome(random *rand.Rand) error { return h.appendCount(1 + random.IntN(3)) }
+func (h *storeRun) appendRandom(random *rand.Rand) error { return h.appendCount(1 + random.IntN(3)) }
 
 func (h *storeRun) appendCount(count int) error {
 	var entries []Entry
@@ -150,12 +150,12 @@
 	case 2:
 		return h.reload()
 	}
-	return h.appendSome(random)
+	return h.appendRandom(random)
 }
 
-// startAgain starts from a state that a loss of power left, and loses power again
+// restartWithPowerLoss starts from a state that a loss of power left, and loses power again
 // right before each sync of that start.
-func (h *storeRun) startAgain(t *testing.T, dir string, seed uint64) {
+func (h *storeRun) restartWithPowerLoss(t *testing.T, dir string, seed uint64) {
 	loss, err := simulated.NewPowerLoss(dir, seed)
 	if err != nil {
 		t.Error(err)
@@ -163,7 +163,7 @@
 	}
 	defer loss.Close()
 	disk, err := host.OpenObservedDisk(dir, func(path string) {
-		if err := loss.BeforeSync(path, func(dir string) { h.start(t, dir) }); err != nil {
+		if err := loss.BeforeSync(path, func(dir string) { h.restart(t, dir) }); err != nil {
 			t.Error(err)
 		}
 	})
@@ -175,7 +175,7 @@
 	}
 }
 
-func (h *storeRun) start(t *testing.T, dir string) {
+func (h *storeRun) restart(t *testing.T, dir string) {
 	disk, err := host.OpenDisk(dir)
 	if err == nil {
 		err = h.check(disk)
@@ -212,7 +212,7 @@
 	disk, err := host.OpenObservedDisk(dir, func(path string) {
 		err := loss.BeforeSync(path, func(dir string) {
 			states++
-			h.startAgain(t, dir, seed)
+			h.restartWithPowerLoss(t, dir, seed)
 		})
 		if err != nil {
 			t.Error(err)
@@ -277,8 +277,8 @@
 	require.Zero(t, late.Load(), "steps that had answered still counted")
 }
 
-// damage is one change to a file of a disk, and what the refusal to read it says.
-type damage struct {
+// corruption is one change to a file of a disk, and what the refusal to read it says.
+type corruption struct {
 	name, file string
 	change     func([]byte) []byte
 	reason     string
@@ -286,8 +286,8 @@
 
 const filledLog = "log-1/00000000000000000001" // the log's file on a disk that fillStore made
 
-// damages are what may be wrong with a disk that fillStore made; chunk names its chunk's file.
-func damages(chunk string) []damage {
+// corruptions are what may be wrong with a disk that fillStore made; chunk names its chunk's file.
+func corruptions(chunk string) []corruption {
 	sealed := func(body []byte) func([]byte) []byte {
 		return func([]byte) []byte { return host.Seal(body) }
 	}
@@ -305,7 +305,7 @@
 		}
 	}
 	after := Entry{Seq: 9, Kind: "put", Body: []byte("9")}
-	return []damage{
+	return []corruption{
 		{"snapshot cut short", "picture", half, "counts as lost"},
 		{"snapshot empty", "picture", none, "counts as lost"},
 		{"snapshot changed", "picture", flip, "counts as lost"},
@@ -331,16 +331,16 @@
 		{"log lacks rows", filledLog, rows(MustMarshal(&entry)), "follows"},
 		{"log with a row of another kind", filledLog, rows([]byte{0x80}), "follows"},
 		{"log with a row that is no message", filledLog, rows([]byte("hello")), "read log"},
-		{"log with a row and more behind", filledLog, rows(append(MustMarshal(&after), 0)), "stand behind"},
+		{"log with a row and more behind", filledLog, rows(append(MustMarshal(&after), 0)), "trailing bytes after entry"},
 		{"log with an unknown command", filledLog, rows(MustMarshal(&Entry{Seq: 9, Kind: "newer"})), "replay log"},
 		{"chunk cut short", chunk, half, "read chunk"},
 		{"chunk changed", chunk, flip, "read chunk"},
-		{"chunk of another name", chunk, sealed([]byte("other")), "its content is that of"},
+		{"chunk of another name", chunk, sealed([]byte("other")), "the content is that of chunk"},
 	}
 }
 
-// filledDisk gives the folder of a disk that fillStore made, and its chunk's file.
-func filledDisk(t *testing.T) (dir, chunk string) {
+// newFilledDisk gives the folder of a disk that fillStore made, and its chunk's file.
+func newFilledDisk(t *testing.T) (dir, chunk string) {
 	dir = t.TempDir()
 	fillStore(t, dir)
 	entries, err := os.ReadDir(dir)
@@ -356,8 +356,8 @@
 // TestDamagedDisk: a snapshot, register, log or chunk that is cut short, changed, or
 // of another kind or version ends in one clear line and is never taken for state.
 func TestDamagedDisk(t *testing.T) {
-	healthy, chunk := filledDisk(t)
-	for _, c := range damages(chunk) {
+	healthy, chunk := newFilledDisk(t)
+	for _, c := range corruptions(chunk) {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			require.NoError(t, os.CopyFS(dir, os.DirFS(healthy)))
@@ -371,7 +371,7 @@
 
 // TestLostFile: the same, where a file is gone.
 func TestLostFile(t *testing.T) {
-	healthy, chunk := filledDisk(t)
+	healthy, chunk := newFilledDisk(t)
 	for _, c := range []struct{ file, why string }{
 		{"picture", "there is a register, but neither a snapshot nor log-0"},
 		{"log-1", "log-1, which the snapshot names, is missing"},
--- a/coordination/read_bench_test.go
+++ b/coordination/read_bench_test.go
@@ -38,7 +38,7 @@
 			Addr:    seeds[i],
 			Host:    machine,
 			Seeds:   seeds,
-			Machine: func() coordination.StateMachine { return &sumMachine{} },
+			Machine: func() coordination.StateMachine { return &sumStateMachine{} },
 		})
 		require.NoError(b, err)
 		mux := http.NewServeMux()
--- a/coordination/record.go
+++ b/coordination/record.go
@@ -1,15 +1,14 @@
-// What a record says of how many machines may be lost: n backups beside the primary, and
-// registers on 2n+1 machines, so that after n losses one copy of the data is left and a
-// majority of the registers.
+// To tolerate the loss of n machines, a record names n backups besides the primary and 2n+1 voters, so
+// that after n losses one copy of the data and a majority of the registers are left.
 
 package coordination
 
 import "keelstair.example/ids"
 
-// faultTolerance is how many machines may be lost at once.
+// faultTolerance returns how many machines may be lost at once.
 func (r Record) faultTolerance() int { return max(1, (len(r.Voters)-1)/2) }
 
-// backups are all that take every entry before it is answered.
+// backups returns all backups. Each of them syncs an entry before the command is answered.
 func (r Record) backups() []Replica {
 	if r.Backup.Disk == "" {
 		return nil
@@ -17,7 +16,7 @@
 	return append([]Replica{r.Backup}, r.MoreBackups...)
 }
 
-// setBackups names the backups.
+// setBackups sets the backups in the order of their rank.
 func (r *Record) setBackups(list []Replica) {
 	r.Backup, r.MoreBackups = Replica{}, nil
 	if len(list) > 0 {
@@ -25,7 +24,7 @@
 	}
 }
 
-// backupRank is the place of a backup, from 0 on, or -1.
+// backupRank returns the rank of a backup, counted from 0, or -1 if the disk is no backup.
 func (r Record) backupRank(d ids.DiskID) int {
 	for i, s := range r.backups() {
 		if s.Disk == d {
@@ -35,9 +34,9 @@
 	return -1
 }
 
-// quorums are the sets of replicas whose majorities a ballot for this record needs, each of
-// them: the voters, and while a change of the voters is not known to be decided, those
-// before it (joint consensus). So two ballots always share a register.
+// quorums returns the sets of replicas of which a ballot for this record needs a majority each: the
+// voters and, while a change of the voters is not known to be decided, the outgoing voters (joint
+// consensus). Any two ballots thus share a register.
 func (r Record) quorums() [][]Replica {
 	if len(r.OutgoingVoters) == 0 {
 		return [][]Replica{r.Voters}
@@ -45,7 +44,7 @@
 	return [][]Replica{r.Voters, r.OutgoingVoters}
 }
 
-// allVoters are the replicas of all its quorums, each once.
+// allVoters returns the replicas of all quorums, each once.
 func (r Record) allVoters() []Replica {
 	out := append([]Replica(nil), r.Voters...)
 	for _, s := range r.OutgoingVoters {
@@ -56,24 +55,25 @@
 	return out
 }
 
-// decidedBy tells whether these replicas are a majority of each quorum.
-func (r Record) decidedBy(yes []Replica) bool {
+// decidedBy reports whether the replicas that accepted the record are a majority of each quorum set.
+func (r Record) decidedBy(accepted []Replica) bool {
 	for _, set := range r.quorums() {
-		if !isMajority(set, yes) {
+		if !isMajority(set, accepted) {
 			return false
 		}
 	}
 	return true
 }
 
-// spreadOverZones takes n of the replicas, as evenly from the zones as may be, in the order given.
+// spreadOverZones returns n of the replicas, spread as evenly over the zones as possible and otherwise
+// in the given order.
 func spreadOverZones(list []Replica, n int) []Replica {
 	var out []Replica
-	per := map[ids.Zone]int{}
+	perZone := map[ids.Zone]int{}
 	for limit := 1; len(out) < n; limit++ {
 		for _, s := range list {
-			if len(out) < n && per[s.Zone] < limit && !containsDisk(out, s.Disk) {
-				per[s.Zone]++
+			if len(out) < n && perZone[s.Zone] < limit && !containsDisk(out, s.Disk) {
+				perZone[s.Zone]++
 				out = append(out, s)
 			}
 		}
--- a/coordination/restarted_node_test.go
+++ b/coordination/restarted_node_test.go
@@ -13,8 +13,8 @@
 	"keelstair.example/ids"
 )
 
-// agentNamed starts an agent under a name that is not its address.
-func (f *testCluster) agentNamed(ip, name string) (*coordination.Agent, *sumWatcher) {
+// startNamedAgent starts an agent under a name that is not its address.
+func (f *testCluster) startNamedAgent(ip, name string) (*coordination.Agent, *sumWatcher) {
 	v := &sumWatcher{}
 	p := f.world.Machine(ip).Start()
 	a := coordination.NewAgent(coordination.AgentOptions{
@@ -50,7 +50,7 @@
 				for i := range f.agents {
 					ip := fmt.Sprintf("10.0.1.%d", i+1)
 					f.powerOff(ip)
-					f.agents[i], f.watchers[i] = f.agentNamed(ip, fmt.Sprint("second-", i))
+					f.agents[i], f.watchers[i] = f.startNamedAgent(ip, fmt.Sprint("second-", i))
 				}
 				killed := time.Now()
 				time.Sleep(time.Second)
--- a/coordination/return_test.go
+++ b/coordination/return_test.go
@@ -24,7 +24,7 @@
 		defer f.close()
 		start := func(life string) {
 			for i := range nodes {
-				a, v := f.agentNamed(fmt.Sprintf("10.0.2.%d", i+1), fmt.Sprintf("edge-zone-%d-%s-0123456789abcdef", i, life))
+				a, v := f.startNamedAgent(fmt.Sprintf("10.0.2.%d", i+1), fmt.Sprintf("edge-zone-%d-%s-0123456789abcdef", i, life))
 				f.agents, f.watchers = append(f.agents, a), append(f.watchers, v)
 			}
 		}
--- a/coordination/state_test.go
+++ b/coordination/state_test.go
@@ -15,9 +15,9 @@
 // only, and a snapshot brings all of them over.
 func TestPastByClass(t *testing.T) {
 	r := newReplicatedState(nil)
-	r.remember(Outcome{Op: "op/first", Seq: 1})
+	r.recordOutcome(Outcome{Op: "op/first", Seq: 1})
 	for i := range 3 * maxOutcomes {
-		r.remember(Outcome{Op: ids.OpID(fmt.Sprintf("claim/%d", i)), Seq: ids.Seq(i + 2)})
+		r.recordOutcome(Outcome{Op: ids.OpID(fmt.Sprintf("claim/%d", i)), Seq: ids.Seq(i + 2)})
 	}
 	require.Contains(t, r.outcomes, ids.OpID("op/first"))
 	require.Len(t, r.outcomes, maxOutcomes+1)
--- a/coordination/store.go
+++ b/coordination/store.go
@@ -1,8 +1,7 @@
-// What a core keeps on disk: its identity, its register, a snapshot (snapshot), and
-// the log that follows the snapshot. The snapshot names its log, so that taking a
-// new one swaps both in one rename. A log is on disk before anything that counts
-// on it, so one that is missing means damage. Every disk step is watched: one that
-// takes longer than the stall limit makes its holder stand down.
+// A core stores on disk its identity, its register, a snapshot and the log that follows the
+// snapshot. The snapshot names its log, so that saving a new snapshot replaces both in one rename.
+// A log is synced before anything that depends on it, so a missing log means that the disk is
+// damaged. Every disk step has a time limit: a replica whose step exceeds it steps down.
 
 package coordination
 
@@ -26,35 +25,39 @@
 	firstLogName  = "log-0"
 	logPrefix     = "log-"
 
-	// A log counts its rows, a long one as several of rowUnit bytes. One that counts
-	// over compactionThreshold gives way to a new snapshot. So a log takes about 4 MiB on disk
-	// and as much in memory, however long its rows are: a disk of 64 MB has room for
-	// the old log, two snapshots and their chunks, and a restart reads it in a moment.
+	// The length of a log is counted in units: each entry counts as one, plus one for every
+	// entryUnitBytes bytes of it. A log of more than compactionThreshold units is replaced by a new
+	// snapshot. A log thus takes about 4 MiB on disk and in memory, however long its entries are:
+	// a disk of 64 MB has room for the old log, two snapshots and their chunks, and a restart
+	// reads the log quickly.
 	compactionThreshold = 8192
-	rowUnit             = 512
+	entryUnitBytes      = 512
 )
 
+// store reads and writes a core's files.
 type store struct {
-	disk         host.Disk
-	log          host.Log
-	logName      string
-	logUnits     int // in the log, see rowUnit
-	timeout      time.Duration
-	pendingSteps atomic.Int32
-	pendingSaves atomic.Int32
-	// The names of the chunks on disk.
-	chunks sync.Map
+	disk                 host.Disk
+	log                  host.Log
+	logName              string
+	logUnits             int // length of the log, see entryUnitBytes
+	timeout              time.Duration
+	pendingSteps         atomic.Int32
+	pendingRegisterSaves atomic.Int32
+	chunks               sync.Map // the names of the chunks on disk
 }
 
-// runStep runs one disk step and gives up waiting, not the step, when it stalls.
-func (s *store) runStep(step string, f func() error) error { return s.timedWithin(s.timeout, step, f) }
+// runStep runs one disk step. If the step stalls, runStep returns an error while the step goes on.
+func (s *store) runStep(step string, f func() error) error {
+	return s.runStepWithin(s.timeout, step, f)
+}
 
-func (s *store) timedWithin(limit time.Duration, step string, f func() error) error {
+// runStepWithin is runStep with its own time limit.
+func (s *store) runStepWithin(limit time.Duration, step string, f func() error) error {
 	done := make(chan error, 1)
 	s.pendingSteps.Add(1)
 	go func() {
 		err := f()
-		// Before the answer, so that the next step doesn't take this one for stalled.
+		// Decremented before the result is sent, or the next step would take this one for stalled.
 		s.pendingSteps.Add(-1)
 		done <- err
 	}()
@@ -68,7 +71,7 @@
 	}
 }
 
-// load reads snapshot and log into a state that starts empty.
+// load reads the snapshot and the log into an empty state.
 func (s *store) load(r *replicatedState) error {
 	if s.log != nil {
 		s.log.Close()
@@ -86,18 +89,18 @@
 			return err
 		}
 	}
-	rows, err := s.openLog(snapshot)
+	entries, err := s.openLog(snapshot)
 	if err != nil {
 		return err
 	}
-	if err := replay(r, rows); err != nil {
+	if err := replay(r, entries); err != nil {
 		return err
 	}
-	s.logUnits = countRows(rows)
+	s.logUnits = countLogUnits(entries)
 	return s.removeUnusedLogs()
 }
 
-// loadSnapshot gives the snapshot on disk, or nil if none was taken yet.
+// loadSnapshot returns the snapshot on disk, or nil if there is none yet.
 func (s *store) loadSnapshot() (*Snapshot, error) {
 	body, err := s.disk.Load(snapshotFile)
 	if errors.Is(err, host.ErrNotExist) {
@@ -116,22 +119,22 @@
 			failure.InvalidArgument,
 			"read snapshot",
 			"disk",
-			"its content is not that of a snapshot of this version",
+			"the content is not that of a snapshot of this version",
 		)
 	}
 	return snapshot, nil
 }
 
-// openLog opens the log that belongs to a snapshot. Only a disk with neither
-// snapshot nor register may lack it: it is new, and its first log is made.
+// openLog opens the log that a snapshot names and returns its encoded entries. The log may be missing
+// only on a new disk, which has neither a snapshot nor a register; openLog then creates the first log.
 func (s *store) openLog(snapshot *Snapshot) ([][]byte, error) {
 	name := firstLogName
 	if snapshot != nil {
 		name = snapshot.LogName
 	}
-	log, rows, err := s.disk.Open(name)
+	log, entries, err := s.disk.Open(name)
 	if errors.Is(err, host.ErrNotExist) {
-		if err := s.checkNew(snapshot, name); err != nil {
+		if err := s.checkNewDisk(snapshot, name); err != nil {
 			return nil, err
 		}
 		log, err = s.disk.Create(name)
@@ -140,10 +143,12 @@
 		return nil, err
 	}
 	s.log, s.logName = log, name
-	return rows, nil
+	return entries, nil
 }
 
-func (s *store) checkNew(snapshot *Snapshot, missing string) error {
+// checkNewDisk returns an error unless the disk has neither a snapshot nor a register. missing is the
+// name of the log that does not exist.
+func (s *store) checkNewDisk(snapshot *Snapshot, missing string) error {
 	_, err := s.disk.Load(registerFile)
 	switch {
 	case snapshot != nil:
@@ -168,21 +173,21 @@
 	)
 }
 
-// replay applies the rows of a log to the state before it.
-func replay(r *replicatedState, rows [][]byte) error {
-	for _, list := range rows {
+// replay applies the encoded entries of a log to the state that precedes it.
+func replay(r *replicatedState, entries [][]byte) error {
+	for _, entry := range entries {
 		var e Entry
-		rest, err := e.UnmarshalMsg(list)
+		rest, err := e.UnmarshalMsg(entry)
 		if err != nil {
 			return failure.As(err, failure.InvalidArgument, "read log", "disk")
 		}
 		if len(rest) > 0 {
 			return failure.New(
-				failure.InvalidArgument, "read log", "disk", "%d bytes stand behind entry %d", len(rest), e.Seq,
+				failure.InvalidArgument, "read log", "disk", "%d trailing bytes after entry %d", len(rest), e.Seq,
 			)
 		}
 		if e.Seq != r.seq+1 {
-			return failure.New(failure.InvalidArgument, "read log", "disk", "row %d follows %d", e.Seq, r.seq)
+			return failure.New(failure.InvalidArgument, "read log", "disk", "entry %d follows entry %d", e.Seq, r.seq)
 		}
 		if _, err := r.apply(&e); err != nil {
 			return failure.Wrap(err, "replay log", "disk")
@@ -191,15 +196,16 @@
 	return nil
 }
 
-// countRows counts rows for the bound of a log, long ones as several.
-func countRows(rows [][]byte) int {
+// countLogUnits returns the length of encoded entries in units: see entryUnitBytes.
+func countLogUnits(entries [][]byte) int {
 	count := 0
-	for _, list := range rows {
-		count += 1 + len(list)/rowUnit
+	for _, entry := range entries {
+		count += 1 + len(entry)/entryUnitBytes
 	}
 	return count
 }
 
+// removeUnusedLogs removes all logs but the one in use.
 func (s *store) removeUnusedLogs() error {
 	names, err := s.disk.List()
 	if err != nil {
@@ -215,39 +221,41 @@
 	return nil
 }
 
+// append writes entries to the log and syncs them.
 func (s *store) append(entries []Entry) error {
 	if len(entries) == 0 {
 		return nil
 	}
-	rows := make([][]byte, len(entries))
+	encoded := make([][]byte, len(entries))
 	for i := range entries {
-		rows[i] = MustMarshal(&entries[i])
+		encoded[i] = MustMarshal(&entries[i])
 	}
-	s.logUnits += countRows(rows)
+	s.logUnits += countLogUnits(encoded)
 	log := s.log
-	return s.runStep("append log", func() error { return log.Append(rows) })
+	return s.runStep("append log", func() error { return log.Append(encoded) })
 }
 
-// restore makes a state from a snapshot and the chunks that it names.
-func (s *store) restore(r *replicatedState, snapshot *Snapshot, near []Chunk) error {
-	if chunks, ok := r.machine.(ChunkStore); ok {
-		all, err := s.loadChunks(snapshot.Chunks, near)
+// restore replaces a state by that of a snapshot and the chunks that it names. Chunks in cached are not
+// read from disk.
+func (s *store) restore(r *replicatedState, snapshot *Snapshot, cached []Chunk) error {
+	if machine, ok := r.machine.(ChunkStore); ok {
+		chunks, err := s.loadChunks(snapshot.Chunks, cached)
 		if err != nil {
 			return err
 		}
-		chunks.RestoreChunks(all)
+		machine.RestoreChunks(chunks)
 	}
 	return r.restore(snapshot)
 }
 
-// compact puts a snapshot in place of all that was, with a new empty log. Sheets
-// that the snapshot names are on disk before it.
-func (s *store) compact(snapshot *Snapshot, all []Chunk) error {
+// compact replaces the snapshot and the log by a new snapshot and an empty log. The chunks that the
+// snapshot names are saved before it.
+func (s *store) compact(snapshot *Snapshot, chunks []Chunk) error {
 	if s.pendingSteps.Load() > 0 {
-		return failure.New(failure.DataLost, "save snapshot", "disk", "an earlier step still stalls")
+		return failure.New(failure.DataLost, "save snapshot", "disk", "an earlier step is still stalled")
 	}
-	for _, one := range all {
-		if err := s.saveChunk(one); err != nil {
+	for _, chunk := range chunks {
+		if err := s.saveChunk(chunk); err != nil {
 			return err
 		}
 	}
@@ -266,38 +274,40 @@
 	})
 }
 
-// swapLog makes a new log and saves the snapshot that names it. If that fails or
-// stalls, the disk may name either log from then on: the store must be loaded
-// again before it is used, and the new log is closed once the step has ended.
+// swapLog creates a new log and saves the snapshot that names it. If that fails or stalls, the
+// snapshot on disk may name either log: the store must be loaded again before it is used, and the
+// new log is closed once the step has ended.
 func (s *store) swapLog(snapshot *Snapshot) (host.Log, string, error) {
 	var n int
 	fmt.Sscanf(s.logName, logPrefix+"%d", &n)
 	name := fmt.Sprintf(logPrefix+"%d", n+1)
 	named := *snapshot
 	named.LogName = name
-	made := make(chan host.Log, 1)
-	// A snapshot is large, so it may take longer than a few rows may.
-	err := s.timedWithin(4*s.timeout, "save snapshot", func() error {
+	created := make(chan host.Log, 1)
+	// A snapshot is large, so it may take longer than appending a few entries.
+	err := s.runStepWithin(4*s.timeout, "save snapshot", func() error {
 		log, err := s.disk.Create(name)
-		made <- log
+		created <- log
 		if err != nil {
 			return err
 		}
 		return s.disk.Save(snapshotFile, MustMarshal(&named))
 	})
 	if err != nil {
-		go closeLog(made)
+		go closeWhenCreated(created)
 		return nil, "", err
 	}
-	return <-made, name, nil
+	return <-created, name, nil
 }
 
-func closeLog(made <-chan host.Log) {
-	if log := <-made; log != nil {
+// closeWhenCreated waits until a log was created and closes it.
+func closeWhenCreated(created <-chan host.Log) {
+	if log := <-created; log != nil {
 		log.Close()
 	}
 }
 
+// loadRegister returns the register on disk, or an empty one if there is none yet.
 func (s *store) loadRegister() (register, error) {
 	var b BallotResponse
 	body, err := s.disk.Load(registerFile)
@@ -311,26 +321,27 @@
 	if err != nil {
 		return register{}, failure.As(err, failure.InvalidArgument, "read register", "disk")
 	}
-	// What is accepted was promised before, and only what was promised is saved.
+	// A register is saved only with a promise, and an accepted epoch was promised before.
 	if len(rest) > 0 || b.Promised == 0 || b.Promised < b.Accepted.Epoch {
 		return register{}, failure.New(
 			failure.InvalidArgument,
 			"read register",
 			"disk",
-			"its content is not that of a register: the disk counts as lost",
+			"the content is not that of a register: the disk counts as lost",
 		)
 	}
 	return register{Promised: b.Promised, PromisedTo: b.PromisedTo, Accepted: b.Accepted}, nil
 }
 
+// saveRegister writes the register to disk.
 func (s *store) saveRegister(r register) error {
-	if s.pendingSaves.Load() > 0 {
-		return failure.New(failure.DataLost, "save register", "disk", "an earlier save still stalls")
+	if s.pendingRegisterSaves.Load() > 0 {
+		return failure.New(failure.DataLost, "save register", "disk", "an earlier save is still stalled")
 	}
 	b := BallotResponse{Promised: r.Promised, PromisedTo: r.PromisedTo, Accepted: r.Accepted}
-	s.pendingSaves.Add(1)
+	s.pendingRegisterSaves.Add(1)
 	return s.runStep("save register", func() error {
-		defer s.pendingSaves.Add(-1)
+		defer s.pendingRegisterSaves.Add(-1)
 		return s.disk.Save(registerFile, MustMarshal(&b))
 	})
 }
--- a/coordination/store_test.go
+++ b/coordination/store_test.go
@@ -23,23 +23,23 @@
 // lateDisk is a disk whose next snapshot is saved late, and which counts logs.
 type lateDisk struct {
 	host.Disk
-	late            time.Duration // of the next snapshot, if any
-	snapshots, logs atomic.Int32  // saved; open
+	saveDelay                time.Duration // of the next snapshot, if any
+	savedSnapshots, openLogs atomic.Int32  // saved; open
 }
 
 func (d *lateDisk) Save(name string, body []byte) error {
 	if name == "picture" {
-		wait := d.late
-		d.late = 0
+		wait := d.saveDelay
+		d.saveDelay = 0
 		time.Sleep(wait)
-		defer d.snapshots.Add(1)
+		defer d.savedSnapshots.Add(1)
 	}
 	return d.Disk.Save(name, body)
 }
 
 func (d *lateDisk) Create(name string) (host.Log, error) {
 	log, err := d.Disk.Create(name)
-	return d.counted(log), err
+	return d.countOpen(log), err
 }
 
 func (d *lateDisk) Open(name string) (host.Log, [][]byte, error) {
@@ -47,11 +47,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return d.counted(log), rows, nil
+	return d.countOpen(log), rows, nil
 }
 
-func (d *lateDisk) counted(log host.Log) host.Log {
-	d.logs.Add(1)
+func (d *lateDisk) countOpen(log host.Log) host.Log {
+	d.openLogs.Add(1)
 	return &countedLog{log, d}
 }
 
@@ -61,12 +61,12 @@
 }
 
 func (l *countedLog) Close() error {
-	l.disk.logs.Add(-1)
+	l.disk.openLogs.Add(-1)
 	return l.Log.Close()
 }
 
-// coreOn starts a core on a disk that counts and may be late.
-func (f *testCluster) coreOn(addr string) *lateDisk {
+// startCoreOnLateDisk starts a core on a disk that counts and may be late.
+func (f *testCluster) startCoreOnLateDisk(addr string) *lateDisk {
 	ip := addr[:len(addr)-2]
 	p := f.world.Machine(ip).Start()
 	host := p.Host()
@@ -76,7 +76,7 @@
 		Addr:           addr,
 		Host:           host,
 		Seeds:          f.seeds,
-		Machine:        func() coordination.StateMachine { return &sumMachine{} },
+		Machine:        func() coordination.StateMachine { return &sumStateMachine{} },
 		FaultTolerance: f.faultTolerance,
 	})
 	if err != nil {
@@ -87,8 +87,8 @@
 	return late
 }
 
-// addLong adds n by a command of so many bytes.
-func (f *testCluster) addLong(n int, op string, size int, duration time.Duration) error {
+// addPadded adds n by a command of so many bytes.
+func (f *testCluster) addPadded(n int, op string, size int, duration time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	number := strconv.Itoa(n)
@@ -96,37 +96,37 @@
 	return err
 }
 
-// lateFleet is a fleet on such disks that has agreed on a first command.
-func lateFleet(t *testing.T, seed uint64) (*testCluster, map[string]*lateDisk) {
+// newLateDiskCluster is a fleet on such disks that has agreed on a first command.
+func newLateDiskCluster(t *testing.T, seed uint64) (*testCluster, map[string]*lateDisk) {
 	f := newCluster(seed)
 	disks := map[string]*lateDisk{}
 	for _, addr := range f.seeds {
 		f.powerOff(addr[:8])
 		f.world.Machine(addr[:8]).WipeDisk()
-		disks[addr[:8]] = f.coreOn(addr)
+		disks[addr[:8]] = f.startCoreOnLateDisk(addr)
 	}
 	require.NoError(t, f.submitNumber(1, "first", 20*time.Second))
 	return f, disks
 }
 
-const longRow = 200_000
+const longEntryBytes = 200_000
 
 // TestOneLogOpen: however snapshots come late, a core holds one log open.
 func TestOneLogOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, disks := lateFleet(t, 6)
+		f, disks := newLateDiskCluster(t, 6)
 		defer f.close()
 		for i := range 45 {
 			for _, d := range disks {
 				if i%20 == 0 {
-					d.late = 6 * time.Second
+					d.saveDelay = 6 * time.Second
 				}
 			}
-			require.NoError(t, f.addLong(1, fmt.Sprint("long", i), longRow, 60*time.Second))
+			require.NoError(t, f.addPadded(1, fmt.Sprint("long", i), longEntryBytes, 60*time.Second))
 		}
 		time.Sleep(30 * time.Second)
 		for ip, d := range disks {
-			require.EqualValues(t, 1, d.logs.Load(), ip)
+			require.EqualValues(t, 1, d.openLogs.Load(), ip)
 		}
 	})
 }
@@ -135,15 +135,15 @@
 // the primary and at the backup.
 func TestLongRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, disks := lateFleet(t, 7)
+		f, disks := newLateDiskCluster(t, 7)
 		defer f.close()
 		const rows = 50
 		for i := range rows {
-			require.NoError(t, f.addLong(1, fmt.Sprint("long", i), longRow, 20*time.Second))
+			require.NoError(t, f.addPadded(1, fmt.Sprint("long", i), longEntryBytes, 20*time.Second))
 		}
 		sent := 0
 		for _, d := range disks {
-			if d.snapshots.Load() >= rows*longRow/(5<<20) {
+			if d.savedSnapshots.Load() >= rows*longEntryBytes/(5<<20) {
 				sent++
 			}
 		}
--- a/coordination/walk_test.go
+++ b/coordination/walk_test.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	walkActs    = 14
-	walkClients = 3
+	faultsPerRun  = 14
+	clientsPerRun = 3
 )
 
-// walkSeeds are twelve, or as many from KEELSTAIR_FROM on as KEELSTAIR_SEEDS says.
-func walkSeeds() (from, to uint64) {
+// faultSeeds are twelve, or as many from KEELSTAIR_FROM on as KEELSTAIR_SEEDS says.
+func faultSeeds() (from, to uint64) {
 	from, to = 1, 12
 	if n, err := strconv.ParseUint(os.Getenv("KEELSTAIR_SEEDS"), 10, 64); err == nil {
 		from, _ = strconv.ParseUint(os.Getenv("KEELSTAIR_FROM"), 10, 64)
@@ -40,22 +40,22 @@
 // faultRun is one run.
 type faultRun struct {
 	*testCluster
-	t            *testing.T
-	rng          *rand.Rand
-	trace        []string
-	lastDiskLoss time.Time // when a disk was lost last
-	mu           sync.Mutex
-	sums         map[int]string // by an answer's sum, the command that it was given to
-	want         int
+	t             *testing.T
+	rng           *rand.Rand
+	trace         []string
+	lastDiskLoss  time.Time // when a disk was lost last
+	mu            sync.Mutex
+	commandsBySum map[int]string // by an answer's sum, the command that it was given to
+	submitted     int
 }
 
 func (w *faultRun) record(form string, args ...any) {
 	w.trace = append(w.trace, fmt.Sprintf(form, args...))
 }
 
-// client sends commands one after the other, each again until it is answered. Each adds one,
+// runClient sends commands one after the other, each again until it is answered. Each adds one,
 // so the sums that are answered rise and no two commands have the same.
-func (w *faultRun) client(n int, end <-chan struct{}, done *sync.WaitGroup) {
+func (w *faultRun) runClient(n int, end <-chan struct{}, done *sync.WaitGroup) {
 	defer done.Done()
 	last := 0
 	for i := 0; ; i++ {
@@ -65,13 +65,13 @@
 		default:
 		}
 		op := fmt.Sprintf("w/%d-%d", n, i)
-		sum := w.command(w.agents[n%len(w.agents)], op)
+		sum := w.submitUntilAnswered(w.agents[n%len(w.agents)], op)
 		w.mu.Lock()
-		if other, ok := w.sums[sum]; ok || sum <= last {
+		if other, ok := w.commandsBySum[sum]; ok || sum <= last {
 			w.t.Errorf("%s and %s were both answered %d, after %d: %v", op, other, sum, last, w.trace)
 		}
-		w.sums[sum] = op
-		w.want++
+		w.commandsBySum[sum] = op
+		w.submitted++
 		w.mu.Unlock()
 		last = sum
 		time.Sleep(time.Duration(50+w.randN(300)) * time.Millisecond)
@@ -84,8 +84,8 @@
 	return w.rng.IntN(n)
 }
 
-// act brings about one trouble, and takes it back after a while.
-func (w *faultRun) act() {
+// injectFault brings about one trouble, and takes it back after a while.
+func (w *faultRun) injectFault() {
 	ip := machineOf(w.seeds[w.randN(len(w.seeds))])
 	if lead := w.leader(); lead != "" && w.randN(3) == 0 {
 		ip = lead
@@ -163,15 +163,15 @@
 // TestWalk: whatever happens, each command is taken once, and none that was answered is lost.
 func TestWalk(t *testing.T) {
 	sizes := []struct{ machines, losses int }{{3, 1}, {5, 1}, {6, 2}, {8, 2}}
-	from, to := walkSeeds()
+	from, to := faultSeeds()
 	for seed := from; seed <= to; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				size := sizes[seed%uint64(len(sizes))]
 				runUnderLoad(t, newClusterOfSize(seed, size.machines, size.losses), seed, func(w *faultRun) {
-					for range walkActs {
-						w.act()
+					for range faultsPerRun {
+						w.injectFault()
 					}
 				})
 			})
@@ -181,24 +181,24 @@
 
 // runUnderLoad runs trouble in a fleet while clients send commands. In the end each of these was taken once.
 func runUnderLoad(t *testing.T, f *testCluster, seed uint64, trouble func(w *faultRun)) {
-	w := &faultRun{testCluster: f, t: t, rng: rand.New(rand.NewPCG(seed, 5)), sums: map[int]string{}}
+	w := &faultRun{testCluster: f, t: t, rng: rand.New(rand.NewPCG(seed, 5)), commandsBySum: map[int]string{}}
 	defer w.close()
 	require.NoError(t, w.submitNumber(0, "first", 10*time.Second))
 	end := make(chan struct{})
 	var clients sync.WaitGroup
-	for n := range walkClients {
+	for n := range clientsPerRun {
 		clients.Add(1)
-		go w.client(n, end, &clients)
+		go w.runClient(n, end, &clients)
 	}
 	trouble(w)
 	close(end)
 	clients.Wait()
-	sum := w.command(w.agents[0], "w/last")
-	require.Equal(t, w.want+1, sum, "%d machines, %d losses: %v", len(f.seeds), f.faultTolerance, w.trace)
+	sum := w.submitUntilAnswered(w.agents[0], "w/last")
+	require.Equal(t, w.submitted+1, sum, "%d machines, %d losses: %v", len(f.seeds), f.faultTolerance, w.trace)
 }
 
-// command adds one and gives the sum that it was answered with.
-func (w *faultRun) command(a *coordination.Agent, op string) int {
+// submitUntilAnswered adds one and gives the sum that it was answered with.
+func (w *faultRun) submitUntilAnswered(a *coordination.Agent, op string) int {
 	for began := time.Now(); ; {
 		ctx, stop := context.WithTimeout(context.Background(), 3*time.Second)
 		r, err := a.Submit(ctx, ids.OpID(op), "add", []byte("1"))
--- a/coordination/watch.go
+++ b/coordination/watch.go
@@ -1,4 +1,4 @@
-// How an agent follows the change feed and submits commands.
+// The part of an agent that follows the change feed and submits commands.
 
 package coordination
 
@@ -15,12 +15,12 @@
 )
 
 const (
-	fetchSilence = 700 * time.Millisecond // without a byte of the change feed: its sender is left
-	maxFetch     = 30 * time.Second
+	fetchIdleTimeout = 700 * time.Millisecond // a fetch that receives no byte for so long is abandoned
+	fetchTimeout     = 30 * time.Second       // for a whole fetch
 )
 
-// follow asks the core, and while that is away, peers.
-func (a *Agent) follow(ctx context.Context) {
+// followFeed watches the primary, and polls random members while the core does not confirm this node.
+func (a *Agent) followFeed(ctx context.Context) {
 	for ctx.Err() == nil {
 		if a.watchPrimary(ctx) == nil {
 			continue
@@ -37,15 +37,15 @@
 	}
 }
 
-// watchPrimary asks the primary for the change feed, and leaves it when another one is heard of: a deposed
-// one that is cut off from the others alone would keep it waiting.
+// watchPrimary fetches the change feed from the primary and stops when a newer record arrives: a deposed
+// primary that is partitioned only from the other cores would otherwise keep this node waiting.
 func (a *Agent) watchPrimary(ctx context.Context) error {
 	callContext, stop := context.WithCancel(ctx)
 	defer stop()
-	grown := a.directory.RecordChanged()
+	newer := a.directory.RecordChanged()
 	go func() {
 		select {
-		case <-grown:
+		case <-newer:
 			stop()
 		case <-callContext.Done():
 		}
@@ -53,55 +53,62 @@
 	return a.fetch(callContext, a.directory.Addr(a.directory.Record().Primary), 2*time.Second)
 }
 
-// Fetch takes the change feed that a peer has.
+// Fetch fetches the change feed from a peer without waiting for new entries.
 func (a *Agent) Fetch(ctx context.Context, addr string) error { return a.fetch(ctx, addr, 0) }
 
+// fetch sends one watch request and applies the response.
 func (a *Agent) fetch(ctx context.Context, addr string, wait time.Duration) error {
-	ctx, stop := context.WithTimeout(ctx, maxFetch)
+	ctx, stop := context.WithTimeout(ctx, fetchTimeout)
 	defer stop()
 	request := &WatchRequest{From: a.Seq(), Wait: int64(wait)}
 	r, err := rpc.CallUntilSilent[WatchRequest, WatchResponse](
-		ctx, a.caller, addr, WatchMethod, request, wait+fetchSilence, fetchSilence,
+		ctx, a.caller, addr, WatchMethod, request, wait+fetchIdleTimeout, fetchIdleTimeout,
 	)
 	if err != nil {
 		return err
 	}
-	return a.accept(request, r)
+	return a.applyResponse(request, r)
 }
 
-// accept folds the change feed into the view: entries that follow on, or a snapshot that is ahead of it.
-func (a *Agent) accept(request *WatchRequest, r *WatchResponse) error {
+// applyResponse applies a watch response to the view: entries that follow the view, or a snapshot that is
+// ahead of it. A response of an older epoch than the last one is rejected.
+func (a *Agent) applyResponse(request *WatchRequest, r *WatchResponse) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r.Epoch < a.feedEpoch {
 		return failure.New(
-			failure.Stale, "take news", "", "it is of epoch %d, epoch %d was heard", r.Epoch, a.feedEpoch,
+			failure.Stale,
+			"take news",
+			"",
+			"the response is of epoch %d, but one of epoch %d was received",
+			r.Epoch,
+			a.feedEpoch,
 		)
 	}
 	previous := a.view.Load()
 	var next *replicatedState
-	var loud bool
+	var urgent bool
 	var err error
 	switch {
 	case r.Snapshot != nil:
-		next, err = a.acceptSnapshot(previous, r.Snapshot)
-		loud = true
+		next, err = a.applySnapshot(previous, r.Snapshot)
+		urgent = true
 	case len(r.Entries) > 0 && previous.seq == request.From:
-		next, loud, err = a.acceptEntries(previous, r.Entries)
+		next, urgent, err = a.applyEntries(previous, r.Entries)
 	}
 	if err != nil || next == nil {
 		return err
 	}
 	a.feedEpoch = r.Epoch
 	a.publish(next)
-	if loud {
+	if urgent {
 		a.RenewNow()
 	}
 	return nil
 }
 
-// acceptSnapshot restores the view, unless it is as far already.
-func (a *Agent) acceptSnapshot(previous *clusterView, encoded []byte) (*replicatedState, error) {
+// applySnapshot replaces the view by a snapshot. It returns nil if the snapshot is not ahead of the view.
+func (a *Agent) applySnapshot(previous *clusterView, encoded []byte) (*replicatedState, error) {
 	var snapshot Snapshot
 	if _, err := snapshot.UnmarshalMsg(encoded); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "read snapshot", "news")
@@ -124,15 +131,16 @@
 	return next, nil
 }
 
-// acceptEntries folds entries one by one; loud tells that the core should hear of one at once.
-func (a *Agent) acceptEntries(previous *clusterView, entries []Entry) (next *replicatedState, loud bool, err error) {
+// applyEntries applies entries to a copy of the view. It reports urgent if the core should learn at once that
+// this node has seen one of them.
+func (a *Agent) applyEntries(previous *clusterView, entries []Entry) (next *replicatedState, urgent bool, err error) {
 	next = newReplicatedState(nil)
 	next.seq, next.fence = previous.seq, previous.fence
 	for _, m := range previous.members {
 		next.members[m.Node] = m
 	}
 	maps.Copy(next.grants, previous.grants)
-	observe := func() { loud, err = a.observe(next, entries) }
+	observe := func() { urgent, err = a.observeEntries(next, entries) }
 	if batcher, ok := a.options.Watcher.(Batcher); ok {
 		batcher.Batch(observe)
 	} else {
@@ -142,11 +150,11 @@
 		return nil, false, err
 	}
 	a.feed.push(entries)
-	return next, loud, nil
+	return next, urgent, nil
 }
 
-// observe applies the core's own entries to next and shows the watcher the others.
-func (a *Agent) observe(next *replicatedState, entries []Entry) (loud bool, err error) {
+// observeEntries applies the core's own commands to next and passes published entries to the watcher.
+func (a *Agent) observeEntries(next *replicatedState, entries []Entry) (urgent bool, err error) {
 	for _, e := range entries {
 		if e.Seq != next.seq+1 {
 			return false, failure.New(
@@ -154,35 +162,35 @@
 			)
 		}
 		next.seq = e.Seq
-		c, err := parse(e.Kind, e.Body)
+		c, err := parseCommand(e.Kind, e.Body)
 		if err != nil {
 			return false, err
 		}
 		if c != nil {
 			c.apply(next)
 		} else if e.Published && a.options.Watcher.Observe(e.Seq, e.Kind, e.Body) {
-			loud = true
+			urgent = true
 		}
 	}
-	return loud, nil
+	return urgent, nil
 }
 
-// publish puts a state in place of the one before, and forgets given back keys that passed on.
+// publish makes a state the current view and forgets revoked grants that it no longer contains.
 func (a *Agent) publish(next *replicatedState) {
 	s := &clusterView{seq: next.seq, fence: next.fence, grants: next.grants, members: next.memberList()}
 	a.view.Store(s)
 	a.directory.SetMembers(s.seq, s.members)
-	a.revoked.Range(func(k, g any) bool {
+	a.revokedGrants.Range(func(k, g any) bool {
 		if s.grants[k.(ids.Key)] != g.(Grant) {
-			a.revoked.Delete(k)
+			a.revokedGrants.Delete(k)
 		}
 		return true
 	})
 }
 
-// Submit asks the core for a command until the context ends. The same op is
-// asked with throughout, so whichever asking is taken, the outcome is one. An
-// error of kind Unknown means that it may have been done.
+// Submit submits a command to the core and retries until the context ends. All attempts carry the same
+// operation id, so the command is applied at most once. An error of kind Unknown means that it may have
+// been applied.
 func (a *Agent) Submit(ctx context.Context, op ids.OpID, kind string, body []byte) (*SubmitResponse, error) {
 	return SubmitWithin(ctx, a.caller, a.directory, submitAttempt, &SubmitRequest{Op: op, Kind: kind, Body: body})
 }
