--- a/coordination/agent_test.go
+++ b/coordination/agent_test.go
@@ -1,4 +1,4 @@
-// The agent alone, against a core that only renews.
+// Tests an agent against a fake core that only answers renewals.
 
 package coordination
 
@@ -16,15 +16,16 @@
 	"keelstair.example/rpc"
 )
 
+// nullWatcher is a Watcher that ignores everything.
 type nullWatcher struct{}
 
 func (nullWatcher) Restore([]byte) error                 { return nil }
 func (nullWatcher) Observe(ids.Seq, string, []byte) bool { return false }
 func (nullWatcher) Snapshot() []byte                     { return nil }
 
-// TestLateFeed: a lease that lapsed and is renewed gives back no key before the
-// news up to the renewal is folded, since the key may have gone elsewhere.
-func TestLateFeed(t *testing.T) {
+// TestRenewedLeaseWaitsForFeed checks that after an expired lease is renewed, the agent owns no key until it
+// has applied the change feed up to the renewal, since the key may have been reassigned.
+func TestRenewedLeaseWaitsForFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated.NewWorld(1)
 		core, node := w.Machine("10.0.0.1").Start(), w.Machine("10.0.0.2").Start()
@@ -47,25 +48,25 @@
 			ClusterID: "f",
 			Primary:   Replica{Disk: "d", Addr: "10.0.0.1:1"},
 		}})
-		at := func(seq ids.Seq) {
+		setView := func(seq ids.Seq) {
 			a.view.Store(&clusterView{seq: seq, grants: map[ids.Key]Grant{"k": {Key: "k", Node: "n", Fence: 3}}})
 		}
-		at(5)
+		setView(5)
 		_, ok := a.OwnsKey("k")
 		require.False(t, ok, "no lease yet")
 		require.NoError(t, a.renew(ctx))
 		_, ok = a.OwnsKey("k")
-		require.False(t, ok, "news 6 to 9 may say that the key has gone")
-		at(9)
+		require.False(t, ok, "entries 6 to 9 may reassign the key")
+		setView(9)
 		_, ok = a.OwnsKey("k")
 		require.True(t, ok)
 		time.Sleep(800 * time.Millisecond)
 		require.NoError(t, a.renew(ctx))
-		at(8)
+		setView(8)
 		a.LeaseValid()
 		time.Sleep(3500 * time.Millisecond)
 		_, ok = a.OwnsKey("k")
-		require.False(t, ok, "the lease has lapsed")
+		require.False(t, ok, "the lease has expired")
 		a.caller.Close()
 	})
 }
--- a/coordination/bad_append_test.go
+++ b/coordination/bad_append_test.go
@@ -1,4 +1,4 @@
-// Entries whose sender or numbers don't fit the record that this member accepted.
+// Tests append requests whose sender or sequence numbers don't fit the accepted record.
 
 package coordination
 
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStrangerAppend: entries of a member that isn't the primary of the accepted record,
-// such as that of another fleet at an equal epoch, change nothing.
-func TestStrangerAppend(t *testing.T) {
+// TestAppendNotFromPrimary checks that entries of a sender that isn't the primary of the accepted record,
+// such as the primary of another cluster at an equal epoch, change nothing.
+func TestAppendNotFromPrimary(t *testing.T) {
 	withMember(t, func(c *Core, _ Replica) {
 		c.register.Accepted.Epoch = 2
 		request := &AppendRequest{
@@ -26,9 +26,9 @@
 	})
 }
 
-// TestWrongNumber: an entry with another number than the one due is refused before it is
-// written, or the disk couldn't be read back.
-func TestWrongNumber(t *testing.T) {
+// TestAppendWithWrongSeq checks that an entry with an unexpected sequence number is refused before it is
+// written. Otherwise the log couldn't be read back.
+func TestAppendWithWrongSeq(t *testing.T) {
 	withMember(t, func(c *Core, proposer Replica) {
 		c.register.Accepted.Epoch = 2
 		request := &AppendRequest{
--- a/coordination/directory_members_test.go
+++ b/coordination/directory_members_test.go
@@ -1,4 +1,4 @@
-// Who is told the members.
+// Tests which exchanges contain the member list.
 
 package coordination
 
@@ -13,10 +13,10 @@
 	"keelstair.example/ids"
 )
 
-// TestSearchTellsNoMembers: a question for the primary and its answer stay small in a fleet of hundreds,
-// while a process that is behind still comes by the members.
-func TestSearchTellsNoMembers(t *testing.T) {
-	const smallPage = 1024 // bytes
+// TestPrimarySearchOmitsMembers checks that a request for the primary and its response stay small in a
+// cluster of hundreds of nodes, while a process with an older member list still gets the newer one.
+func TestPrimarySearchOmitsMembers(t *testing.T) {
+	const maxExchangeBytes = 1024
 	p := simulated.NewWorld(1).Machine("10.0.0.1").Start()
 	defer p.Kill()
 	var members []Member
@@ -26,16 +26,26 @@
 	}
 	known := NewDirectory(p.Host(), nil, nil, Replica{Disk: "d", Addr: "d:1"})
 	known.SetMembers(9, members)
-	asker := NewDirectory(p.Host(), nil, nil, Replica{Addr: "a:1"})
-	require.Less(t, len(MustMarshal(known.newRequest())), smallPage)
-	require.Less(t, len(MustMarshal(known.handleExchange(asker.newRequest()))), smallPage, "it has just started")
+	searcher := NewDirectory(p.Host(), nil, nil, Replica{Addr: "a:1"})
+	require.Less(t, len(MustMarshal(known.newRequest())), maxExchangeBytes)
+	require.Less(
+		t,
+		len(MustMarshal(known.handleExchange(searcher.newRequest()))),
+		maxExchangeBytes,
+		"the response to a process that has just started",
+	)
 	behind := &PeerExchangeRequest{KnownSeq: 8}
-	asker.Merge(known.handleExchange(behind))
-	require.Equal(t, members, asker.Exchange().Members)
-	require.Less(t, len(MustMarshal(known.handleExchange(&PeerExchangeRequest{KnownSeq: 9}))), smallPage, "it has them")
-	asker.Merge(known.handleExchange(&PeerExchangeRequest{KnownSeq: 9}))
-	require.Equal(t, members, asker.Exchange().Members, "a page without members takes none away")
-	asker.membersRequestedAt = p.Host().Clock.Now().Add(-membersInterval - time.Millisecond)
-	require.False(t, asker.newRequest().NoMembers)
-	require.True(t, asker.newRequest().NoMembers, "one process is asked at a time")
+	searcher.Merge(known.handleExchange(behind))
+	require.Equal(t, members, searcher.Exchange().Members)
+	require.Less(
+		t,
+		len(MustMarshal(known.handleExchange(&PeerExchangeRequest{KnownSeq: 9}))),
+		maxExchangeBytes,
+		"the response to a process with the newest members",
+	)
+	searcher.Merge(known.handleExchange(&PeerExchangeRequest{KnownSeq: 9}))
+	require.Equal(t, members, searcher.Exchange().Members, "an exchange without members must not remove any")
+	searcher.membersRequestedAt = p.Host().Clock.Now().Add(-membersInterval - time.Millisecond)
+	require.False(t, searcher.newRequest().NoMembers)
+	require.True(t, searcher.newRequest().NoMembers, "only one request per interval asks for the members")
 }
--- a/coordination/directory_test.go
+++ b/coordination/directory_test.go
@@ -1,4 +1,4 @@
-// Pages of directory that went round for a while.
+// Tests directory exchanges that arrive out of order.
 
 package coordination
 
@@ -11,11 +11,11 @@
 	"keelstair.example/ids"
 )
 
-// TestStalePage: of two pages of one epoch the one that has more of the log tells who the
-// members are, whichever comes last; so does one that tells of none left.
-func TestStalePage(t *testing.T) {
+// TestStaleMembersIgnored checks that the members with the highest sequence number win, whatever the epoch
+// and the order in which exchanges arrive, and also if that list is empty.
+func TestStaleMembersIgnored(t *testing.T) {
 	record := Record{Epoch: 3, ClusterID: "f"}
-	page := func(epoch ids.Epoch, seq ids.Seq, names ...ids.NodeID) *PeerExchange {
+	exchange := func(epoch ids.Epoch, seq ids.Seq, names ...ids.NodeID) *PeerExchange {
 		p := &PeerExchange{Record: record, Seq: seq}
 		p.Record.Epoch = epoch
 		for _, n := range names {
@@ -23,34 +23,34 @@
 		}
 		return p
 	}
-	has := func(b *Directory, names ...ids.NodeID) {
+	requireMembers := func(d *Directory, names ...ids.NodeID) {
 		t.Helper()
 		var got []ids.NodeID
-		for _, m := range b.Exchange().Members {
+		for _, m := range d.Exchange().Members {
 			got = append(got, m.Node)
 		}
 		require.Equal(t, names, got)
 	}
 	p := simulated.NewWorld(1).Machine("10.0.0.1").Start()
 	defer p.Kill()
-	b := NewDirectory(p.Host(), nil, nil, Replica{Disk: "d", Addr: "d:1"})
-	b.Merge(page(3, 5, "a", "b"))
-	has(b, "a", "b")
-	b.Merge(page(3, 4, "a", "gone"))
-	has(b, "a", "b")
-	b.Merge(page(4, 4, "a", "gone"))
-	has(b, "a", "b")
-	b.Merge(page(3, 6, "a", "b", "c"))
-	has(b, "a", "b", "c")
-	b.SetMembers(7, page(4, 7, "c").Members)
-	has(b, "c")
-	b.Merge(page(4, 6, "a", "b", "c"))
-	has(b, "c")
-	b.SetMembers(6, page(4, 6, "a", "b", "c").Members)
-	has(b, "c")
-	require.Equal(t, ids.Seq(7), b.Exchange().Seq)
-	b.Merge(page(4, 8))
-	has(b)
-	b.Merge(page(4, 7, "c"))
-	has(b)
+	d := NewDirectory(p.Host(), nil, nil, Replica{Disk: "d", Addr: "d:1"})
+	d.Merge(exchange(3, 5, "a", "b"))
+	requireMembers(d, "a", "b")
+	d.Merge(exchange(3, 4, "a", "gone"))
+	requireMembers(d, "a", "b")
+	d.Merge(exchange(4, 4, "a", "gone"))
+	requireMembers(d, "a", "b")
+	d.Merge(exchange(3, 6, "a", "b", "c"))
+	requireMembers(d, "a", "b", "c")
+	d.SetMembers(7, exchange(4, 7, "c").Members)
+	requireMembers(d, "c")
+	d.Merge(exchange(4, 6, "a", "b", "c"))
+	requireMembers(d, "c")
+	d.SetMembers(6, exchange(4, 6, "a", "b", "c").Members)
+	requireMembers(d, "c")
+	require.Equal(t, ids.Seq(7), d.Exchange().Seq)
+	d.Merge(exchange(4, 8))
+	requireMembers(d)
+	d.Merge(exchange(4, 7, "c"))
+	requireMembers(d)
 }
--- a/coordination/wipe_test.go
+++ b/coordination/disk_loss_test.go
@@ -1,4 +1,4 @@
-// A disk that is lost while its machine keeps its address.
+// Tests disks that are lost, and a primary that is partitioned from the other cores.
 
 package coordination_test
 
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWipedAtSameAddress: a machine comes back at its address with an empty disk. It is not
-// taken for the disk that is lost: its own takes over that register, so that another
-// lost disk can be borne later.
-func TestWipedAtSameAddress(t *testing.T) {
+// TestWipedDiskAtSameAddress restarts a machine at its address with an empty disk, three times in a row. The
+// empty disk must not be taken for the lost one: it must replace the lost voter, so that the loss of
+// another disk can be tolerated later.
+func TestWipedDiskAtSameAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCluster(5)
 		defer f.close()
@@ -36,11 +36,11 @@
 	})
 }
 
-// TestLostOneAfterAnother: the primary's disk is lost, its machine is back at once with an empty one,
-// or another machine takes its place at a new address. Four seconds after the newcomer's
-// start the next primary's disk is lost, and so on: each time the newcomer has the register
-// by then, so the core goes on with all that was acknowledged. Many seeds.
-func TestLostOneAfterAnother(t *testing.T) {
+// TestSuccessiveDiskLosses loses the disk of the primary, which is replaced at once by an empty disk at the
+// same or at a new address. Four seconds after the replacement has started, the disk of the next primary is
+// lost, and so on. Each replacement must be a voter by then, so that the core keeps running with all
+// that was acknowledged.
+func TestSuccessiveDiskLosses(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		f := newCluster(seed)
 		defer f.close()
@@ -64,9 +64,9 @@
 	})
 }
 
-// TestDeposedKeepsNobody: the primary is cut off from the other disk machines alone. The
-// nodes that wait for news at it hear of the next one and have what that takes at once.
-func TestDeposedKeepsNobody(t *testing.T) {
+// TestAgentsLeaveDeposedPrimary partitions the primary only from the other cores. Agents that watch its change
+// feed must learn of the new primary and get the commands that it commits within 300 ms.
+func TestAgentsLeaveDeposedPrimary(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		f := newCluster(seed)
 		defer f.close()
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -1,5 +1,5 @@
-// The core as others embed it: a small machine, its watchers, and the runs that
-// lose machines, cut links and freeze them, over many seeds.
+// Embeds the core with a small state machine and its watchers, and tests it in simulated clusters that
+// lose machines, partition links and freeze machines, under many seeds.
 
 package coordination_test
 
@@ -22,45 +22,45 @@
 	"keelstair.example/rpc"
 )
 
-// sumStateMachine is the smallest machine an embedder may bring: a sum, and two duties.
+// sumStateMachine is a minimal state machine: a sum and two singleton roles.
 type sumStateMachine struct{ sum int }
 
-func (t *sumStateMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
+func (m *sumStateMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
 	n, err := strconv.Atoi(string(body))
 	if err != nil || kind != "add" {
-		return nil, failure.New(failure.InvalidArgument, "apply", kind, "it adds numbers only")
+		return nil, failure.New(failure.InvalidArgument, "apply", kind, "only add with a number is supported")
 	}
-	t.sum += n
-	return []byte(strconv.Itoa(t.sum)), nil
+	m.sum += n
+	return []byte(strconv.Itoa(m.sum)), nil
 }
 
-func (t *sumStateMachine) Published(string) bool { return true }
-func (t *sumStateMachine) Snapshot(bool) []byte  { return []byte(strconv.Itoa(t.sum)) }
-func (t *sumStateMachine) Restore(b []byte) (err error) {
-	t.sum, err = strconv.Atoi(string(b))
+func (m *sumStateMachine) Published(string) bool { return true }
+func (m *sumStateMachine) Snapshot(bool) []byte  { return []byte(strconv.Itoa(m.sum)) }
+func (m *sumStateMachine) Restore(b []byte) (err error) {
+	m.sum, err = strconv.Atoi(string(b))
 	return err
 }
-func (t *sumStateMachine) Keys() []ids.Key                                               { return []ids.Key{"left", "right"} }
-func (t *sumStateMachine) DueCommands(ids.Tick, ids.Seq, ids.Seq) []coordination.Command { return nil }
+func (m *sumStateMachine) Keys() []ids.Key                                               { return []ids.Key{"left", "right"} }
+func (m *sumStateMachine) DueCommands(ids.Tick, ids.Seq, ids.Seq) []coordination.Command { return nil }
 
-// sumWatcher is a follower's view of it.
+// sumWatcher is a node's view of the sum.
 type sumWatcher struct{ sum atomic.Int64 }
 
-func (e *sumWatcher) Restore(b []byte) error {
+func (w *sumWatcher) Restore(b []byte) error {
 	n, err := strconv.Atoi(string(b))
-	e.sum.Store(int64(n))
+	w.sum.Store(int64(n))
 	return err
 }
 
-func (e *sumWatcher) Observe(_ ids.Seq, _ string, body []byte) bool {
+func (w *sumWatcher) Observe(_ ids.Seq, _ string, body []byte) bool {
 	n, _ := strconv.Atoi(string(body))
-	e.sum.Add(int64(n))
+	w.sum.Add(int64(n))
 	return false
 }
 
-func (e *sumWatcher) Snapshot() []byte { return []byte(strconv.FormatInt(e.sum.Load(), 10)) }
+func (w *sumWatcher) Snapshot() []byte { return []byte(strconv.FormatInt(w.sum.Load(), 10)) }
 
-// testCluster is three cores and two agents on simulated machines.
+// testCluster is a cluster of cores and two agents on simulated machines.
 type testCluster struct {
 	world          *simulated.World
 	processes      map[string]*simulated.Process
@@ -70,17 +70,18 @@
 	watchers       []*sumWatcher
 	seeds          []string
 	faultTolerance int
-	zones          map[string]ids.Zone // by the IP number of a core
+	zones          map[string]ids.Zone // by the IP address of a core
 }
 
+// newCluster starts three cores that tolerate one loss.
 func newCluster(seed uint64) *testCluster { return newClusterOfSize(seed, 3, 1) }
 
-// newClusterOfSize is a fleet of so many cores that bears so many losses at once.
+// newClusterOfSize starts a number of cores that tolerate a number of simultaneous losses.
 func newClusterOfSize(seed uint64, cores, faultTolerance int) *testCluster {
 	return newClusterInZones(seed, cores, faultTolerance)
 }
 
-// newClusterInZones spreads the cores over zones, one after the other.
+// newClusterInZones is newClusterOfSize with the cores assigned to the zones in turn.
 func newClusterInZones(seed uint64, cores, faultTolerance int, zones ...ids.Zone) *testCluster {
 	f := &testCluster{
 		faultTolerance: faultTolerance,
@@ -106,6 +107,7 @@
 	return f
 }
 
+// startAgent starts an agent at an IP address, which is also its node id.
 func (f *testCluster) startAgent(ip string) (*coordination.Agent, *sumWatcher) {
 	v := &sumWatcher{}
 	p := f.world.Machine(ip).Start()
@@ -119,7 +121,13 @@
 	return a, v
 }
 
-func (f *testCluster) startProcess(ip, addr string, p *simulated.Process, mount func(*http.ServeMux), run func(context.Context)) {
+// startProcess serves a process's handlers and runs it until its stop function is called.
+func (f *testCluster) startProcess(
+	ip, addr string,
+	p *simulated.Process,
+	mount func(*http.ServeMux),
+	run func(context.Context),
+) {
 	ctx, stop := context.WithCancel(context.Background())
 	f.processes[ip], f.stops[ip] = p, stop
 	l, err := p.Host().Net.Listen(addr)
@@ -132,8 +140,11 @@
 	go run(ctx)
 }
 
+// startMember starts a core.
 func (f *testCluster) startMember(addr string) { f.startCore(addr, false) }
 
+// startCore starts a core, with force to form a new cluster from its disk. The channel receives the result
+// of its Run.
 func (f *testCluster) startCore(addr string, force bool) chan error {
 	ip := addr[:len(addr)-2]
 	p := f.world.Machine(ip).Start()
@@ -155,12 +166,14 @@
 	return end
 }
 
+// powerOff cuts a machine's power.
 func (f *testCluster) powerOff(ip string) {
 	f.world.Machine(ip).PowerOff()
 	f.stops[ip]()
 	delete(f.cores, ip)
 }
 
+// leader returns the IP address of a core that considers itself the primary, or "".
 func (f *testCluster) leader() string {
 	for ip, c := range f.cores {
 		if c.Leads() {
@@ -170,6 +183,7 @@
 	return ""
 }
 
+// close powers off all machines and waits until their goroutines have ended.
 func (f *testCluster) close() {
 	for ip := range f.processes {
 		f.world.Machine(ip).Freeze(false)
@@ -179,6 +193,7 @@
 	time.Sleep(30 * time.Second)
 }
 
+// submitNumber adds n to the sum under an operation id, retrying for the duration.
 func (f *testCluster) submitNumber(n int, op string, duration time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
@@ -186,7 +201,7 @@
 	return err
 }
 
-// Example embeds the core: a machine of one's own, a command, a follower.
+// Example embeds the core with a state machine, submits commands and reads the watchers' views.
 func Example() {
 	synctest.Test(new(testing.T), func(*testing.T) {
 		f := newCluster(1)
@@ -207,7 +222,7 @@
 	// a duty is held: true
 }
 
-// forEachSeed runs a test under twelve seeds, side by side, each in a bubble of its own.
+// forEachSeed runs a test under twelve seeds in parallel, each in a synctest bubble of its own.
 func forEachSeed(t *testing.T, f func(t *testing.T, seed uint64)) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -217,10 +232,10 @@
 	}
 }
 
-// TestAckedSurvives: whatever machine loses power right after an answer, and
-// whatever the disk tears, each acknowledged command is there once, and each
-// operation has one outcome. Many seeds.
-func TestAckedSurvives(t *testing.T) {
+// TestAcknowledgedCommandsSurvive powers off the primary or another core while a command is under way, with
+// torn writes on its disk. Each acknowledged command must be applied exactly once, and each operation
+// must have one outcome.
+func TestAcknowledgedCommandsSurvive(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		f := newCluster(seed)
 		defer f.close()
@@ -252,8 +267,8 @@
 	})
 }
 
-// TestOneOwner: two agents never both hold a key, however leases lapse, cuts
-// come and go, machines freeze, and leaders change. Many seeds.
+// TestOneOwner checks that two agents never own a key at the same time while leases expire, partitions
+// come and go, machines freeze, clocks jump and the primary changes.
 func TestOneOwner(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		f := newCluster(seed)
@@ -291,7 +306,7 @@
 			for _, k := range []ids.Key{"left", "right"} {
 				_, a := f.agents[0].OwnsKey(k)
 				_, b := f.agents[1].OwnsKey(k)
-				require.False(t, a && b, "seed %d: both hold %s", seed, k)
+				require.False(t, a && b, "seed %d: both agents own %s", seed, k)
 				if a || b {
 					held[1]++
 				}
@@ -299,7 +314,7 @@
 			}
 			select {
 			case <-stop:
-				require.Greater(t, held[1]*10, held[0]*3, "seed %d: keys are held most of the time", seed)
+				require.Greater(t, held[1]*10, held[0]*3, "seed %d: keys must be owned over 30%% of the time", seed)
 				return
 			default:
 				time.Sleep(2 * time.Millisecond)
@@ -308,9 +323,9 @@
 	})
 }
 
-// TestForeignDisk: a disk of another fleet that is started among this one's
-// machines ends with one clear error, and this fleet goes on as it was.
-func TestForeignDisk(t *testing.T) {
+// TestDiskOfOtherCluster starts a core with the disk of another cluster and the seeds of this one. The core
+// must end with a clear error, and this cluster must keep working.
+func TestDiskOfOtherCluster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCluster(3)
 		defer f.close()
@@ -319,7 +334,7 @@
 		for i := range 3 {
 			other = append(other, fmt.Sprintf("10.7.0.%d:1", i+1))
 		}
-		mine := f.seeds
+		own := f.seeds
 		f.seeds = other
 		for _, a := range other {
 			f.startMember(a)
@@ -332,7 +347,7 @@
 		c, err := coordination.New(coordination.Options{
 			Addr:    "10.7.0.1:1",
 			Host:    p.Host(),
-			Seeds:   mine,
+			Seeds:   own,
 			Machine: func() coordination.StateMachine { return &sumStateMachine{} },
 		})
 		require.NoError(t, err)
--- a/coordination/late_snapshot_test.go
+++ b/coordination/late_snapshot_test.go
@@ -1,4 +1,4 @@
-// A primary's snapshot that its disk saves only after the primary has stood down.
+// Tests a primary whose disk saves a snapshot only after the primary has stepped down.
 
 package coordination
 
@@ -15,31 +15,31 @@
 	"keelstair.example/host/simulated"
 )
 
-// lateSnapshotDisk saves its snapshots late.
+// lateSnapshotDisk is a disk that saves snapshots after a delay.
 type lateSnapshotDisk struct {
 	host.Disk
-	late time.Duration
+	delay time.Duration
 }
 
 func (d *lateSnapshotDisk) Save(name string, body []byte) error {
 	if name == snapshotFile {
-		time.Sleep(d.late)
+		time.Sleep(d.delay)
 	}
 	return d.Disk.Save(name, body)
 }
 
-// commitEntry has a primary without backups write one entry; it gives the error that
-// its client sees, and the one that makes the primary stand down.
-func commitEntry(l *leader, body string) (answer, standDown error) {
+// commitEntry commits one entry at a primary without backups. It returns the error that the client gets and
+// the error that makes the primary step down.
+func commitEntry(l *leader, body string) (clientErr, stepDown error) {
 	op := &operation{entry: &Entry{Kind: "put", Body: []byte(body)}, done: make(chan struct{})}
-	standDown = l.commit(context.Background(), []*operation{op})
+	stepDown = l.commit(context.Background(), []*operation{op})
 	<-op.done
-	return op.err, standDown
+	return op.err, stepDown
 }
 
-// TestLateSnapshot: the snapshot on disk may name the new log once the step ends, so
-// the primary reads its disk again before it leads again. Otherwise what it writes
-// to the old log and acknowledges is gone at the next start.
+// TestLateSnapshot checks that a primary reloads its disk before it leads again after saving a snapshot
+// has stalled: the snapshot that is saved late names the new log, so entries that the primary
+// acknowledged after writing them to the old log would be lost at the next start.
 func TestLateSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := simulated.NewWorld(1).Machine("10.0.0.1")
@@ -49,19 +49,19 @@
 		c, err := New(Options{Addr: "10.0.0.1:1", Host: host, Machine: func() StateMachine { return &listStateMachine{} }})
 		require.NoError(t, err)
 		l := &leader{core: c}
-		disk.late = 10 * time.Second
-		var standDown error
-		for i := 0; standDown == nil; i++ {
-			require.Less(t, i, 100, "the log is never full")
-			var answer error
-			answer, standDown = commitEntry(l, strings.Repeat("x", 100_000))
-			require.NoError(t, answer)
+		disk.delay = 10 * time.Second
+		var stepDown error
+		for i := 0; stepDown == nil; i++ {
+			require.Less(t, i, 100, "the log was never compacted")
+			var clientErr error
+			clientErr, stepDown = commitEntry(l, strings.Repeat("x", 100_000))
+			require.NoError(t, clientErr)
 		}
-		require.ErrorContains(t, standDown, "stalled")
+		require.ErrorContains(t, stepDown, "stalled")
 		time.Sleep(20 * time.Second)
-		require.False(t, c.reloadPending(), "the disk can be read again")
-		answer, _ := commitEntry(l, "after")
-		require.NoError(t, answer)
+		require.False(t, c.reloadPending(), "the disk must be readable again")
+		clientErr, _ := commitEntry(l, "after")
+		require.NoError(t, clientErr)
 		machine.PowerOff()
 
 		r := newReplicatedState(&listStateMachine{})
--- a/coordination/return_test.go
+++ b/coordination/mass_restart_test.go
@@ -1,4 +1,4 @@
-// The return of many nodes at once after a loss of all power.
+// Tests the restart of many nodes at once after a power loss of the whole cluster.
 
 package coordination_test
 
@@ -13,27 +13,32 @@
 	"keelstair.example/coordination"
 )
 
-// TestReturnTellsMembersToFew: after a loss of all power the list of members, which has a row for each
-// node, goes to a node as often as it starts, and not with each question for the primary.
-func TestReturnTellsMembersToFew(t *testing.T) {
+// TestMassRestartSendsFewMemberLists checks that after a power loss of the whole cluster the member list,
+// which has an entry for each node, is sent to a node only a few times per start, and not with each
+// search for the primary.
+func TestMassRestartSendsFewMemberLists(t *testing.T) {
 	const nodes = 150
-	// The change feed brings the list twice (snapshot and joins), a peer once; half goes to all other calls.
+	// The change feed sends the list twice (snapshot and joins) and a peer once; the other half is for all
+	// other calls.
 	const maxLists = 6
 	synctest.Test(t, func(t *testing.T) {
 		f := newCluster(7)
 		defer f.close()
-		start := func(life string) {
+		startNodes := func(generation string) {
 			for i := range nodes {
-				a, v := f.startNamedAgent(fmt.Sprintf("10.0.2.%d", i+1), fmt.Sprintf("edge-zone-%d-%s-0123456789abcdef", i, life))
+				a, v := f.startNamedAgent(
+					fmt.Sprintf("10.0.2.%d", i+1),
+					fmt.Sprintf("edge-zone-%d-%s-0123456789abcdef", i, generation),
+				)
 				f.agents, f.watchers = append(f.agents, a), append(f.watchers, v)
 			}
 		}
-		start("first")
+		startNodes("first")
 		time.Sleep(10 * time.Second)
 		members := f.agents[2].Members()
 		require.Len(t, members, nodes+2)
-		var list coordination.PeerExchange
-		list.Members = members
+		var memberList coordination.PeerExchange
+		memberList.Members = members
 		for ip := range f.processes {
 			f.powerOff(ip)
 		}
@@ -46,15 +51,15 @@
 			f.startMember(a)
 		}
 		f.agents, f.watchers = nil, nil
-		start("second")
+		startNodes("second")
 		time.Sleep(3 * time.Second)
 		sent := -before
 		for ip := range f.processes {
 			sent += f.world.Machine(ip).BytesSent()
 		}
 		for _, a := range f.agents {
-			require.True(t, a.CaughtUp(time.Second), "%s is confirmed", a.Self().Node)
+			require.True(t, a.CaughtUp(time.Second), "%s must be confirmed", a.Self().Node)
 		}
-		require.Less(t, float64(sent)/nodes/float64(len(coordination.MustMarshal(&list))), float64(maxLists))
+		require.Less(t, float64(sent)/nodes/float64(len(coordination.MustMarshal(&memberList))), float64(maxLists))
 	})
 }
--- a/coordination/cutoff_test.go
+++ b/coordination/partition_test.go
@@ -1,4 +1,4 @@
-// Machines that are cut off for twenty seconds.
+// Tests cores that are partitioned from the others for 20 s.
 
 package coordination_test
 
@@ -20,33 +20,33 @@
 
 const partitionDuration = 20 * time.Second
 
-// lossDirection is which way packets between a machine and the other cores are lost.
+// lossDirection is the direction in which packets between a machine and the other cores are lost.
 type lossDirection string
 
 const (
 	bothWays     lossDirection = "both ways"
-	inboundLost  lossDirection = "it hears nothing"
-	outboundLost lossDirection = "it reaches nobody"
+	inboundLost  lossDirection = "inbound packets lost"
+	outboundLost lossDirection = "outbound packets lost"
 )
 
-// partitionCores cuts machines off from the other cores, or joins them again. Nodes reach them.
-func (f *testCluster) partitionCores(group []string, how lossDirection, partitioned bool) {
+// partitionCores partitions machines from the other cores, or reconnects them. Nodes still reach them.
+func (f *testCluster) partitionCores(group []string, loss lossDirection, partitioned bool) {
 	var rest []string
 	for ip := range f.cores {
 		rest = append(rest, ip)
 	}
 	for _, ip := range group {
-		if how != outboundLost {
+		if loss != outboundLost {
 			f.world.Block(rest, []string{ip}, partitioned)
 		}
-		if how != inboundLost {
+		if loss != inboundLost {
 			f.world.Block([]string{ip}, rest, partitioned)
 		}
 	}
 }
 
-// submitAndRead asks one core for a command that changes nothing of the sum, and for all there is,
-// whoever leads.
+// submitAndRead sends one core, whether or not it is the primary, a command that does not change the sum and
+// a read of the whole state. It returns the errors of both.
 func (f *testCluster) submitAndRead(ip, op string) (submitted, read error) {
 	caller := rpc.NewCaller(f.processes["10.0.1.1"].Host().Net)
 	defer caller.Close()
@@ -62,26 +62,25 @@
 	return submitted, read
 }
 
-// TestPartition: the primary, the backup or a holder without data, or two of them where two
-// losses are borne, are cut off from the other cores for 20 s, both ways or one way. Commands
-// are answered all the while. A machine that is cut off both ways takes no order, confirms
-// none, refuses none and tells nothing of its state. Afterwards all have all, and the next
-// loss is borne.
+// TestPartition partitions the primary, the backup or a voter without data, or two of them where the cluster
+// tolerates two losses, from the other cores for 20 s, both ways or one way. Commands must be answered
+// all the time. A machine that is partitioned both ways must neither confirm nor refuse a command, nor
+// answer a read. Afterwards all watchers must have all commands, and the next loss must be tolerated.
 func TestPartition(t *testing.T) {
 	sizes := []struct{ machines, losses int }{{3, 1}, {6, 2}}
 	for _, size := range sizes {
-		for _, how := range []lossDirection{bothWays, inboundLost, outboundLost} {
+		for _, loss := range []lossDirection{bothWays, inboundLost, outboundLost} {
 			for first := range size.losses + 2 {
 				for second := first; second < size.losses+2; second++ {
 					if second > first && size.losses < 2 {
 						continue
 					}
 					t.Run(fmt.Sprintf(
-						"%d machines, places %d and %d, %s", size.machines, first, second, how,
+						"%d machines, voters %d and %d, %s", size.machines, first, second, loss,
 					), func(t *testing.T) {
 						t.Parallel()
 						synctest.Test(t, func(t *testing.T) {
-							testPartition(t, size.machines, size.losses, first, second, how)
+							testPartition(t, size.machines, size.losses, first, second, loss)
 						})
 					})
 				}
@@ -90,23 +89,24 @@
 	}
 }
 
-// voterMachines are the machines of the record: the primary, its backups, then a holder without data.
+// voterMachines returns the addresses of the primary, its backups and one voter without data, in this order.
 func (f *testCluster) voterMachines(t *testing.T) []string {
 	record := f.cores[f.leader()].Directory().Record()
 	out := []string{machineOf(record.Primary.Addr), machineOf(record.Backup.Addr)}
 	for _, b := range record.MoreBackups {
 		out = append(out, machineOf(b.Addr))
 	}
-	for _, h := range record.Voters {
-		if ip := machineOf(h.Addr); !slices.Contains(out, ip) {
+	for _, v := range record.Voters {
+		if ip := machineOf(v.Addr); !slices.Contains(out, ip) {
 			return append(out, ip)
 		}
 	}
-	t.Fatal("all holders have the data")
+	t.Fatal("every voter has the data")
 	return nil
 }
 
-func testPartition(t *testing.T, machines, faultTolerance, first, second int, how lossDirection) {
+// testPartition runs TestPartition for two places in voterMachines, which may be the same.
+func testPartition(t *testing.T, machines, faultTolerance, first, second int, loss lossDirection) {
 	f := newClusterOfSize(uint64(first*7+second+1), machines, faultTolerance)
 	defer f.close()
 	require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
@@ -116,7 +116,7 @@
 	if second != first {
 		group = append(group, addr[second])
 	}
-	f.partitionCores(group, how, true)
+	f.partitionCores(group, loss, true)
 	began := time.Now()
 	sum := 1
 	for n := 0; time.Since(began) < partitionDuration; n++ {
@@ -124,20 +124,20 @@
 		sum++
 		for _, ip := range group {
 			submitted, read := f.submitAndRead(ip, fmt.Sprint(ip, "/", n))
-			if how == bothWays {
-				require.Error(t, submitted, "an order was confirmed")
+			if loss == bothWays {
+				require.Error(t, submitted, "a command was confirmed")
 				require.False(
 					t,
 					failure.Is(submitted, failure.Stale) || failure.Is(submitted, failure.InvalidArgument),
-					"an order was refused: %v",
+					"a command was refused: %v",
 					submitted,
 				)
-				require.Error(t, read, "it told a state that may be old")
+				require.Error(t, read, "a read returned a state that may be stale")
 			}
 		}
 		time.Sleep(time.Second)
 	}
-	f.partitionCores(group, how, false)
+	f.partitionCores(group, loss, false)
 	time.Sleep(4 * time.Second)
 	require.NoError(t, f.submitNumber(1, "after", 5*time.Second))
 	f.powerOff(f.leader())
--- a/coordination/powerloss_test.go
+++ b/coordination/powerloss_test.go
@@ -1,5 +1,5 @@
-// The store on a real folder that loses power right before every single sync, with
-// every state that may be left; and again while it starts from such a state.
+// Runs the store on a real directory and simulates a power loss right before every sync, with all
+// states that it may leave on disk, and a second power loss during the restart from such a state.
 
 package coordination
 
@@ -25,7 +25,7 @@
 	"keelstair.example/ids"
 )
 
-// listStateMachine keeps all values it was given, the older ones on chunks.
+// listStateMachine appends each value to a list and moves the older values into chunks.
 type listStateMachine struct {
 	sealed []Chunk
 	values []string
@@ -70,18 +70,18 @@
 func (m *listStateMachine) Chunks() []Chunk                                  { return m.sealed }
 func (m *listStateMachine) RestoreChunks(all []Chunk)                        { m.sealed = all }
 
-// storeRun is a store at work, and what it has acknowledged.
+// storeRun drives a store and records what it has acknowledged.
 type storeRun struct {
 	store                   *store
 	state                   *replicatedState
-	acknowledged, requested string
-	register, written       register
-	next                    int
+	acknowledged, requested string   // the list after the last acknowledged and the last requested append
+	register, written       register // the last acknowledged and the last requested register
+	next                    int      // the last value appended
 }
 
 func newStore(disk host.Disk) *store { return &store{disk: disk, timeout: 20 * time.Second} }
 
-// check reads a store back and holds it against what was acknowledged.
+// check reads the store back and compares it with the acknowledged and the requested state.
 func (h *storeRun) check(disk host.Disk) error {
 	s, r := newStore(disk), newReplicatedState(&listStateMachine{})
 	if err := s.load(r); err != nil {
@@ -89,7 +89,7 @@
 	}
 	defer s.log.Close()
 	if got := r.machine.(*listStateMachine).all(); got != h.acknowledged && got != h.requested {
-		return fmt.Errorf("the state is %q, neither %q nor %q", got, h.acknowledged, h.requested)
+		return fmt.Errorf("the state is %q, but want the acknowledged %q or the requested %q", got, h.acknowledged, h.requested)
 	}
 	reg, err := s.loadRegister()
 	if err != nil {
@@ -97,7 +97,10 @@
 	}
 	if reg.Promised != h.register.Promised && reg.Promised != h.written.Promised {
 		return fmt.Errorf(
-			"the register promises %d, neither %d nor %d", reg.Promised, h.register.Promised, h.written.Promised,
+			"the register promises %d, but want the acknowledged %d or the requested %d",
+			reg.Promised,
+			h.register.Promised,
+			h.written.Promised,
 		)
 	}
 	return nil
@@ -153,8 +156,8 @@
 	return h.appendRandom(random)
 }
 
-// restartWithPowerLoss starts from a state that a loss of power left, and loses power again
-// right before each sync of that start.
+// restartWithPowerLoss restarts from a state left by a power loss, and simulates another power loss
+// right before each sync of the restart.
 func (h *storeRun) restartWithPowerLoss(t *testing.T, dir string, seed uint64) {
 	loss, err := simulated.NewPowerLoss(dir, seed)
 	if err != nil {
@@ -181,14 +184,13 @@
 		err = h.check(disk)
 	}
 	if err != nil {
-		t.Errorf("at the second start: %v", err)
+		t.Errorf("at the second restart: %v", err)
 	}
 }
 
-// TestStorePowerLoss: at whatever disk step of appending, saving the register, taking
-// a snapshot, dropping chunks and starting power is lost, and whichever unsynced files
-// are lost, what is read back holds every acknowledged row and is the state before or
-// after the step.
+// TestStorePowerLoss loses power at every disk step of appending, saving the register, taking a snapshot,
+// dropping chunks and starting, with every choice of lost unsynced files. The state read back must
+// contain every acknowledged entry and be the state before or after the interrupted step.
 func TestStorePowerLoss(t *testing.T) {
 	seeds := 1
 	if more, err := strconv.Atoi(os.Getenv("KEELSTAIR_SEEDS")); err == nil {
@@ -198,7 +200,7 @@
 	for seed := uint64(1); seed <= uint64(seeds) && !t.Failed(); seed++ {
 		states += storePowerLoss(t, seed)
 	}
-	t.Logf("%d states", states)
+	t.Logf("%d states after a power loss", states)
 }
 
 func storePowerLoss(t *testing.T, seed uint64) int {
@@ -231,7 +233,7 @@
 	return states
 }
 
-// TestUnusedChunksDropped: the disk keeps no chunk that the machine has let go of.
+// TestUnusedChunksDropped checks that chunks which the state machine no longer has are removed from disk.
 func TestUnusedChunksDropped(t *testing.T) {
 	disk, err := host.OpenDisk(t.TempDir())
 	require.NoError(t, err)
@@ -253,15 +255,15 @@
 		require.NoError(t, h.compact())
 	}
 	machine := h.state.machine.(*listStateMachine)
-	require.Equal(t, 1, kept(), "chunks of one content are one file")
+	require.Equal(t, 1, kept(), "chunks with equal content share one file")
 	machine.sealed = []Chunk{NewChunk([]byte("another"))}
 	require.NoError(t, h.compact())
 	require.Equal(t, 1, kept())
 }
 
-// TestStepEnds: once a disk step has answered, it no longer counts as one that stalls,
-// or a snapshot right after it would be refused and the primary stand down.
-func TestStepEnds(t *testing.T) {
+// TestCompletedStepNotPending checks that a disk step no longer counts as pending once it has returned.
+// Otherwise a snapshot right after it would be refused as stalled, and the primary would step down.
+func TestCompletedStepNotPending(t *testing.T) {
 	var wg sync.WaitGroup
 	var late atomic.Int32
 	for range 8 * runtime.GOMAXPROCS(0) {
@@ -274,19 +276,19 @@
 		})
 	}
 	wg.Wait()
-	require.Zero(t, late.Load(), "steps that had answered still counted")
+	require.Zero(t, late.Load(), "completed steps still counted as pending")
 }
 
-// corruption is one change to a file of a disk, and what the refusal to read it says.
+// corruption is one change to a file on disk and a part of the error with which reading it fails.
 type corruption struct {
 	name, file string
 	change     func([]byte) []byte
 	reason     string
 }
 
-const filledLog = "log-1/00000000000000000001" // the log's file on a disk that fillStore made
+const filledLog = "log-1/00000000000000000001" // the log's file on a disk written by fillStore
 
-// corruptions are what may be wrong with a disk that fillStore made; chunk names its chunk's file.
+// corruptions returns the ways to corrupt a disk written by fillStore; chunk is the file of its chunk.
 func corruptions(chunk string) []corruption {
 	sealed := func(body []byte) func([]byte) []byte {
 		return func([]byte) []byte { return host.Seal(body) }
@@ -295,11 +297,11 @@
 	none := func([]byte) []byte { return nil }
 	flip := func(b []byte) []byte { b = bytes.Clone(b); b[len(b)/2] ^= 8; return b }
 	entry := Entry{Seq: 99, Kind: "put", Body: []byte("x")}
-	rows := func(bodies ...[]byte) func([]byte) []byte {
+	appended := func(bodies ...[]byte) func([]byte) []byte {
 		return func(all []byte) []byte {
 			for _, body := range bodies {
-				list := host.Seal(body)
-				all = append(append(all, byte(len(list))), list...)
+				encoded := host.Seal(body)
+				all = append(append(all, byte(len(encoded))), encoded...)
 			}
 			return all
 		}
@@ -310,16 +312,16 @@
 		{"snapshot empty", "picture", none, "counts as lost"},
 		{"snapshot changed", "picture", flip, "counts as lost"},
 		{"snapshot of another kind", "picture", sealed([]byte{0x80}), "not that of a snapshot"},
-		{"snapshot no message", "picture", sealed([]byte("hello")), "read snapshot"},
-		{"snapshot with more behind", "picture", func(b []byte) []byte {
+		{"snapshot is not a message", "picture", sealed([]byte("hello")), "read snapshot"},
+		{"snapshot with trailing bytes", "picture", func(b []byte) []byte {
 			return host.Seal(append(b[4:len(b):len(b)], 0))
 		}, "not that of a snapshot"},
 		{"register cut short", "register", half, "counts as lost"},
 		{"register empty", "register", none, "counts as lost"},
 		{"register changed", "register", flip, "counts as lost"},
 		{"register of another kind", "register", sealed([]byte{0x80}), "not that of a register"},
-		{"register no message", "register", sealed([]byte("hello")), "read register"},
-		{"register that accepts more than it promises", "register", sealed(MustMarshal(&BallotResponse{
+		{"register is not a message", "register", sealed([]byte("hello")), "read register"},
+		{"register with an accepted epoch above the promised one", "register", sealed(MustMarshal(&BallotResponse{
 			Promised: 1,
 			Accepted: Record{Epoch: 2, ClusterID: "f"},
 		})), "not that of a register"},
@@ -328,18 +330,23 @@
 			b[8] ^= 8
 			return b
 		}, "counts as lost"},
-		{"log lacks rows", filledLog, rows(MustMarshal(&entry)), "follows"},
-		{"log with a row of another kind", filledLog, rows([]byte{0x80}), "follows"},
-		{"log with a row that is no message", filledLog, rows([]byte("hello")), "read log"},
-		{"log with a row and more behind", filledLog, rows(append(MustMarshal(&after), 0)), "trailing bytes after entry"},
-		{"log with an unknown command", filledLog, rows(MustMarshal(&Entry{Seq: 9, Kind: "newer"})), "replay log"},
+		{"log with missing entries", filledLog, appended(MustMarshal(&entry)), "follows"},
+		{"log with an entry of another kind", filledLog, appended([]byte{0x80}), "follows"},
+		{"log with an entry that is not a message", filledLog, appended([]byte("hello")), "read log"},
+		{
+			"log with trailing bytes after an entry",
+			filledLog,
+			appended(append(MustMarshal(&after), 0)),
+			"trailing bytes after entry",
+		},
+		{"log with an unknown command", filledLog, appended(MustMarshal(&Entry{Seq: 9, Kind: "newer"})), "replay log"},
 		{"chunk cut short", chunk, half, "read chunk"},
 		{"chunk changed", chunk, flip, "read chunk"},
 		{"chunk of another name", chunk, sealed([]byte("other")), "the content is that of chunk"},
 	}
 }
 
-// newFilledDisk gives the folder of a disk that fillStore made, and its chunk's file.
+// newFilledDisk returns the directory of a disk written by fillStore and the file name of its chunk.
 func newFilledDisk(t *testing.T) (dir, chunk string) {
 	dir = t.TempDir()
 	fillStore(t, dir)
@@ -353,8 +360,8 @@
 	return dir, chunk
 }
 
-// TestDamagedDisk: a snapshot, register, log or chunk that is cut short, changed, or
-// of another kind or version ends in one clear line and is never taken for state.
+// TestDamagedDisk checks that a snapshot, register, log or chunk that is truncated, changed, or of another
+// kind or version is rejected with a one-line error and never loaded as state.
 func TestDamagedDisk(t *testing.T) {
 	healthy, chunk := newFilledDisk(t)
 	for _, c := range corruptions(chunk) {
@@ -369,10 +376,10 @@
 	}
 }
 
-// TestLostFile: the same, where a file is gone.
-func TestLostFile(t *testing.T) {
+// TestMissingFile checks that a disk with a missing file is rejected with a one-line error.
+func TestMissingFile(t *testing.T) {
 	healthy, chunk := newFilledDisk(t)
-	for _, c := range []struct{ file, why string }{
+	for _, c := range []struct{ file, reason string }{
 		{"picture", "there is a register, but neither a snapshot nor log-0"},
 		{"log-1", "log-1, which the snapshot names, is missing"},
 		{filledLog, "log-1, which the snapshot names, is missing"},
@@ -382,12 +389,12 @@
 			dir := t.TempDir()
 			require.NoError(t, os.CopyFS(dir, os.DirFS(healthy)))
 			require.NoError(t, os.RemoveAll(dir+"/"+c.file))
-			requireRefused(t, dir, c.why)
+			requireRefused(t, dir, c.reason)
 		})
 	}
 }
 
-// fillStore makes a disk with a chunk, a snapshot, and rows after it up to number 8.
+// fillStore writes a disk with a chunk, a snapshot after entry 6, and entries 7 and 8 after it.
 func fillStore(t *testing.T, dir string) {
 	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
@@ -406,6 +413,7 @@
 	require.NoError(t, h.store.log.Close())
 }
 
+// requireRefused checks that loading a disk fails with a one-line error that contains reason.
 func requireRefused(t *testing.T, dir, reason string) {
 	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
@@ -417,12 +425,12 @@
 	require.NotContains(t, err.Error(), "\n")
 }
 
-// TestDiskBound: with rows of 50 KB, as whole texts of a large document are, old and new
-// log, snapshots and chunks stay far below the 64 MB of a disk.
-func TestDiskBound(t *testing.T) {
-	const rows, rowSize, bound = 400, 50_000, 12_000_000
+// TestDiskUsageBound checks that with entries of 50 KB, the size of a large document, the old
+// and the new log, snapshots and chunks together stay far below the 64 MB of a disk.
+func TestDiskUsageBound(t *testing.T) {
+	const entries, entrySize, bound = 400, 50_000, 12_000_000
 	dir := t.TempDir()
-	limit := int64(0)
+	maxUsed := int64(0)
 	disk, err := host.OpenObservedDisk(dir, func(string) {
 		used := int64(0)
 		filepath.WalkDir(dir, func(_ string, entry os.DirEntry, err error) error {
@@ -431,15 +439,15 @@
 			}
 			return err
 		})
-		limit = max(limit, used)
+		maxUsed = max(maxUsed, used)
 	})
 	require.NoError(t, err)
 	h := &storeRun{store: newStore(disk)}
 	require.NoError(t, h.reload())
 	machine := h.state.machine.(*listStateMachine)
-	resets := 0
-	for range rows {
-		e := Entry{Kind: "put", Body: bytes.Repeat([]byte("x"), rowSize)}
+	compactions := 0
+	for range entries {
+		e := Entry{Kind: "put", Body: bytes.Repeat([]byte("x"), entrySize)}
 		_, err := h.state.apply(&e)
 		require.NoError(t, err)
 		require.NoError(t, h.store.append([]Entry{e}))
@@ -448,10 +456,10 @@
 		}
 		if h.store.logUnits > compactionThreshold {
 			require.NoError(t, h.compact())
-			resets++
+			compactions++
 		}
 	}
-	t.Logf("%d bytes at most, %d snapshots", limit, resets)
-	require.Positive(t, resets)
-	require.Less(t, limit, int64(bound))
+	t.Logf("%d bytes at most, %d snapshots", maxUsed, compactions)
+	require.Positive(t, compactions)
+	require.Less(t, maxUsed, int64(bound))
 }
--- a/coordination/walk_test.go
+++ b/coordination/random_faults_test.go
@@ -1,6 +1,6 @@
-// Random walks of the real core: machines lose power, restart, leave, are cut off one way and
-// both, run on slow disks and lose their disks within what is borne, while clients send
-// commands again until each has its one outcome.
+// Random fault injection into clusters of real cores: machines lose power, restart, leave, freeze, are
+// partitioned one way or both ways, have slow or stalled disks and lose their disks within the fault
+// tolerance, while clients retry each command until it is answered.
 
 package coordination_test
 
@@ -26,7 +26,7 @@
 	clientsPerRun = 3
 )
 
-// faultSeeds are twelve, or as many from KEELSTAIR_FROM on as KEELSTAIR_SEEDS says.
+// faultSeeds returns seeds 1 to 12, or, if KEELSTAIR_SEEDS is set, that many seeds after KEELSTAIR_FROM.
 func faultSeeds() (from, to uint64) {
 	from, to = 1, 12
 	if n, err := strconv.ParseUint(os.Getenv("KEELSTAIR_SEEDS"), 10, 64); err == nil {
@@ -37,24 +37,25 @@
 	return from, to
 }
 
-// faultRun is one run.
+// faultRun is one run under a seed.
 type faultRun struct {
 	*testCluster
 	t             *testing.T
 	rng           *rand.Rand
 	trace         []string
-	lastDiskLoss  time.Time // when a disk was lost last
+	lastDiskLoss  time.Time // when a disk was last lost
 	mu            sync.Mutex
-	commandsBySum map[int]string // by an answer's sum, the command that it was given to
-	submitted     int
+	commandsBySum map[int]string // operation ids by the sum that their command was answered with
+	answered      int            // number of commands that were answered
 }
 
-func (w *faultRun) record(form string, args ...any) {
-	w.trace = append(w.trace, fmt.Sprintf(form, args...))
+// record adds a line to the trace of the run, which failures print.
+func (w *faultRun) record(format string, args ...any) {
+	w.trace = append(w.trace, fmt.Sprintf(format, args...))
 }
 
-// runClient sends commands one after the other, each again until it is answered. Each adds one,
-// so the sums that are answered rise and no two commands have the same.
+// runClient submits commands one after the other and retries each until it is answered. Each command adds
+// one, so the sums in the answers must rise, and no two commands may get the same sum.
 func (w *faultRun) runClient(n int, end <-chan struct{}, done *sync.WaitGroup) {
 	defer done.Done()
 	last := 0
@@ -71,20 +72,21 @@
 			w.t.Errorf("%s and %s were both answered %d, after %d: %v", op, other, sum, last, w.trace)
 		}
 		w.commandsBySum[sum] = op
-		w.submitted++
+		w.answered++
 		w.mu.Unlock()
 		last = sum
 		time.Sleep(time.Duration(50+w.randN(300)) * time.Millisecond)
 	}
 }
 
+// randN returns a random number below n.
 func (w *faultRun) randN(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.IntN(n)
 }
 
-// injectFault brings about one trouble, and takes it back after a while.
+// injectFault injects one random fault and reverts it after a random time.
 func (w *faultRun) injectFault() {
 	ip := machineOf(w.seeds[w.randN(len(w.seeds))])
 	if lead := w.leader(); lead != "" && w.randN(3) == 0 {
@@ -101,13 +103,13 @@
 				group = append(group, machineOf(a))
 			}
 		}
-		w.record("cut %v for %s", group, duration)
+		w.record("partition %v for %s", group, duration)
 		w.isolate(group, true)
 		time.Sleep(duration)
 		w.isolate(group, false)
 	case 3:
 		other := machineOf(w.seeds[w.randN(len(w.seeds))])
-		w.record("one way %s to %s for %s", ip, other, duration)
+		w.record("block %s to %s for %s", ip, other, duration)
 		w.world.Block([]string{ip}, []string{other}, true)
 		time.Sleep(duration)
 		w.world.Block([]string{ip}, []string{other}, false)
@@ -130,7 +132,7 @@
 		time.Sleep(duration)
 		w.world.Machine(ip).Freeze(false)
 	default:
-		w.record("stall %s for %s", ip, duration)
+		w.record("stall the disk of %s for %s", ip, duration)
 		w.world.Machine(ip).StallDisk(true)
 		time.Sleep(duration)
 		w.world.Machine(ip).StallDisk(false)
@@ -138,16 +140,16 @@
 	time.Sleep(time.Duration(w.randN(1500)) * time.Millisecond)
 }
 
-// cyclePower has a machine lose its power, and its disk if that is borne: only once the core
-// had time to heal since the last one.
+// cyclePower powers a machine off and on again. With disk it also wipes the disk, but only if the last disk
+// loss was over 12 s ago, so that the core has recovered its fault tolerance.
 func (w *faultRun) cyclePower(ip string, duration time.Duration, disk bool) {
 	if w.cores[ip] == nil {
 		return
 	}
 	if disk = disk && time.Since(w.lastDiskLoss) > 12*time.Second; disk {
-		time.Sleep(6 * time.Second) // nothing else is lost meanwhile
+		time.Sleep(6 * time.Second) // no other fault happens in this time
 	}
-	w.record("off %s for %s, disk lost %t", ip, duration, disk)
+	w.record("power off %s for %s, disk lost %t", ip, duration, disk)
 	w.powerOff(ip)
 	if disk {
 		w.world.Machine(ip).WipeDisk()
@@ -160,8 +162,9 @@
 	}
 }
 
-// TestWalk: whatever happens, each command is taken once, and none that was answered is lost.
-func TestWalk(t *testing.T) {
+// TestRandomFaults checks under random faults that each command is applied once and that none that was
+// answered is lost.
+func TestRandomFaults(t *testing.T) {
 	sizes := []struct{ machines, losses int }{{3, 1}, {5, 1}, {6, 2}, {8, 2}}
 	from, to := faultSeeds()
 	for seed := from; seed <= to; seed++ {
@@ -179,8 +182,9 @@
 	}
 }
 
-// runUnderLoad runs trouble in a fleet while clients send commands. In the end each of these was taken once.
-func runUnderLoad(t *testing.T, f *testCluster, seed uint64, trouble func(w *faultRun)) {
+// runUnderLoad runs injectFaults in a cluster while clients submit commands, and checks that each command
+// was applied once.
+func runUnderLoad(t *testing.T, f *testCluster, seed uint64, injectFaults func(w *faultRun)) {
 	w := &faultRun{testCluster: f, t: t, rng: rand.New(rand.NewPCG(seed, 5)), commandsBySum: map[int]string{}}
 	defer w.close()
 	require.NoError(t, w.submitNumber(0, "first", 10*time.Second))
@@ -190,14 +194,15 @@
 		clients.Add(1)
 		go w.runClient(n, end, &clients)
 	}
-	trouble(w)
+	injectFaults(w)
 	close(end)
 	clients.Wait()
 	sum := w.submitUntilAnswered(w.agents[0], "w/last")
-	require.Equal(t, w.submitted+1, sum, "%d machines, %d losses: %v", len(f.seeds), f.faultTolerance, w.trace)
+	require.Equal(t, w.answered+1, sum, "%d machines, %d losses: %v", len(f.seeds), f.faultTolerance, w.trace)
 }
 
-// submitUntilAnswered adds one and gives the sum that it was answered with.
+// submitUntilAnswered submits a command that adds one until it is answered, and returns the sum in the answer.
+// After 90 s it reports an error and returns -1.
 func (w *faultRun) submitUntilAnswered(a *coordination.Agent, op string) int {
 	for began := time.Now(); ; {
 		ctx, stop := context.WithTimeout(context.Background(), 3*time.Second)
@@ -209,7 +214,7 @@
 			return sum
 		}
 		if time.Since(began) > 90*time.Second {
-			w.t.Errorf("%s is not answered for 90 s: %v: %v", op, err, w.trace)
+			w.t.Errorf("%s was not answered within 90 s: %v: %v", op, err, w.trace)
 			return -1
 		}
 	}
--- a/coordination/read_bench_test.go
+++ b/coordination/read_bench_test.go
@@ -1,4 +1,4 @@
-// What a confirmed read costs: go test -run '^$' -bench Read ./coordination
+// Measures the cost of a linearizable read: go test -run '^$' -bench Read ./coordination
 
 package coordination_test
 
@@ -17,8 +17,8 @@
 	"keelstair.example/rpc"
 )
 
-// BenchmarkRead reads the whole state from a primary of three cores over loopback and real
-// disks. It gives the time of one read, and the processor time of all processes together.
+// BenchmarkRead reads the whole state from the primary of three cores over loopback and real disks. It
+// reports the time per read and the CPU time of all cores and the client, which share one process.
 func BenchmarkRead(b *testing.B) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -29,14 +29,14 @@
 		require.NoError(b, err)
 		listeners, seeds = append(listeners, l), append(seeds, l.Addr().String())
 	}
-	var machine host.Host
+	var env host.Host
 	for i, l := range listeners {
 		var err error
-		machine, err = host.Real(b.TempDir())
+		env, err = host.Real(b.TempDir())
 		require.NoError(b, err)
 		core, err := coordination.New(coordination.Options{
 			Addr:    seeds[i],
-			Host:    machine,
+			Host:    env,
 			Seeds:   seeds,
 			Machine: func() coordination.StateMachine { return &sumStateMachine{} },
 		})
@@ -46,8 +46,8 @@
 		go rpc.Serve(ctx, l, mux)
 		go core.Run(ctx)
 	}
-	caller := rpc.NewCaller(machine.Net)
-	directory := coordination.NewDirectory(machine, caller, seeds, coordination.Replica{})
+	caller := rpc.NewCaller(env.Net)
+	directory := coordination.NewDirectory(env, caller, seeds, coordination.Replica{})
 	read := func() {
 		limit, end := context.WithTimeout(ctx, 20*time.Second)
 		defer end()
@@ -57,17 +57,17 @@
 		require.NoError(b, err)
 	}
 	read()
-	before := processorTime(b)
+	before := cpuTime(b)
 	b.ResetTimer()
 	for range b.N {
 		read()
 	}
 	b.StopTimer()
-	b.ReportMetric(float64((processorTime(b)-before).Microseconds())/float64(b.N), "cpu-µs/op")
+	b.ReportMetric(float64((cpuTime(b)-before).Microseconds())/float64(b.N), "cpu-µs/op")
 }
 
-// processorTime is what this process has used so far.
-func processorTime(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that this process has used so far.
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
--- a/coordination/restarted_node_test.go
+++ b/coordination/restarted_node_test.go
@@ -1,4 +1,4 @@
-// Nodes whose process starts again at its address.
+// Tests nodes whose process restarts at the same address.
 
 package coordination_test
 
@@ -13,7 +13,7 @@
 	"keelstair.example/ids"
 )
 
-// startNamedAgent starts an agent under a name that is not its address.
+// startNamedAgent starts an agent with a node id that is not its address.
 func (f *testCluster) startNamedAgent(ip, name string) (*coordination.Agent, *sumWatcher) {
 	v := &sumWatcher{}
 	p := f.world.Machine(ip).Start()
@@ -27,7 +27,7 @@
 	return a, v
 }
 
-// memberNames lists the members as a node knows them.
+// memberNames returns the ids of the members that a node knows.
 func memberNames(a *coordination.Agent) []string {
 	var out []string
 	for _, m := range a.Members() {
@@ -36,10 +36,10 @@
 	return out
 }
 
-// TestRestartedNodeLeavesNoGhost: a node that starts again at its address is one member from its first
-// renewal on, and the keys of its former process pass on after that one's lease, though the primary is
-// lost in between.
-func TestRestartedNodeLeavesNoGhost(t *testing.T) {
+// TestRestartedNodeIsOneMember checks that a node that restarts at its address is a single member from its
+// first renewal on, and that the keys of its former process are reassigned once that process's lease has
+// expired, also if the primary is lost in between.
+func TestRestartedNodeIsOneMember(t *testing.T) {
 	for _, loss := range []bool{false, true} {
 		t.Run(fmt.Sprint("primary lost ", loss), func(t *testing.T) {
 			forEachSeed(t, func(t *testing.T, seed uint64) {
--- a/coordination/state_test.go
+++ b/coordination/state_test.go
@@ -1,4 +1,4 @@
-// What the state remembers of operations.
+// Tests which operation outcomes the state remembers.
 
 package coordination
 
@@ -11,9 +11,9 @@
 	"keelstair.example/ids"
 )
 
-// TestPastByClass: a flood of one class of operations pushes out its own oldest
-// only, and a snapshot brings all of them over.
-func TestPastByClass(t *testing.T) {
+// TestOutcomesEvictedByClass checks that many operations of one class evict only the oldest outcomes of that
+// class.
+func TestOutcomesEvictedByClass(t *testing.T) {
 	r := newReplicatedState(nil)
 	r.recordOutcome(Outcome{Op: "op/first", Seq: 1})
 	for i := range 3 * maxOutcomes {
--- a/coordination/store_test.go
+++ b/coordination/store_test.go
@@ -1,5 +1,4 @@
-// Snapshots of the core whose disk step stalls, fails or comes late, and the bound
-// of the log.
+// Tests cores whose snapshots are saved late, and the compaction of logs with long entries.
 
 package coordination_test
 
@@ -20,11 +19,11 @@
 	"keelstair.example/ids"
 )
 
-// lateDisk is a disk whose next snapshot is saved late, and which counts logs.
+// lateDisk is a disk that can delay the next snapshot, and that counts saved snapshots and open logs.
 type lateDisk struct {
 	host.Disk
-	saveDelay                time.Duration // of the next snapshot, if any
-	savedSnapshots, openLogs atomic.Int32  // saved; open
+	saveDelay                time.Duration // of the next snapshot, if positive
+	savedSnapshots, openLogs atomic.Int32
 }
 
 func (d *lateDisk) Save(name string, body []byte) error {
@@ -43,18 +42,20 @@
 }
 
 func (d *lateDisk) Open(name string) (host.Log, [][]byte, error) {
-	log, rows, err := d.Disk.Open(name)
+	log, entries, err := d.Disk.Open(name)
 	if err != nil {
 		return nil, nil, err
 	}
-	return d.countOpen(log), rows, nil
+	return d.countOpen(log), entries, nil
 }
 
+// countOpen counts a log as open until it is closed.
 func (d *lateDisk) countOpen(log host.Log) host.Log {
 	d.openLogs.Add(1)
 	return &countedLog{log, d}
 }
 
+// countedLog is a log that lateDisk counts while it is open.
 type countedLog struct {
 	host.Log
 	disk *lateDisk
@@ -65,7 +66,7 @@
 	return l.Log.Close()
 }
 
-// startCoreOnLateDisk starts a core on a disk that counts and may be late.
+// startCoreOnLateDisk starts a core on a lateDisk and returns the disk.
 func (f *testCluster) startCoreOnLateDisk(addr string) *lateDisk {
 	ip := addr[:len(addr)-2]
 	p := f.world.Machine(ip).Start()
@@ -87,7 +88,7 @@
 	return late
 }
 
-// addPadded adds n by a command of so many bytes.
+// addPadded adds n by a command whose body is padded with zeros to a size.
 func (f *testCluster) addPadded(n int, op string, size int, duration time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
@@ -96,7 +97,7 @@
 	return err
 }
 
-// newLateDiskCluster is a fleet on such disks that has agreed on a first command.
+// newLateDiskCluster returns a cluster whose cores run on late disks and which has committed a first command.
 func newLateDiskCluster(t *testing.T, seed uint64) (*testCluster, map[string]*lateDisk) {
 	f := newCluster(seed)
 	disks := map[string]*lateDisk{}
@@ -109,9 +110,11 @@
 	return f, disks
 }
 
+// longEntryBytes is the size of a command that counts as many log units.
 const longEntryBytes = 200_000
 
-// TestOneLogOpen: however snapshots come late, a core holds one log open.
+// TestOneLogOpen checks that a core keeps only one log open when the disk saves snapshots later than the
+// time limit.
 func TestOneLogOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, disks := newLateDiskCluster(t, 6)
@@ -131,22 +134,22 @@
 	})
 }
 
-// TestLongRows: a log gives way to a snapshot by its bytes as well as by its rows, at
-// the primary and at the backup.
-func TestLongRows(t *testing.T) {
+// TestLongEntriesTriggerCompaction checks that the primary and the backup replace a log by a snapshot
+// because of the bytes in it, not only the number of entries.
+func TestLongEntriesTriggerCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, disks := newLateDiskCluster(t, 7)
 		defer f.close()
-		const rows = 50
-		for i := range rows {
+		const entries = 50
+		for i := range entries {
 			require.NoError(t, f.addPadded(1, fmt.Sprint("long", i), longEntryBytes, 20*time.Second))
 		}
-		sent := 0
+		compacted := 0
 		for _, d := range disks {
-			if d.savedSnapshots.Load() >= rows*longEntryBytes/(5<<20) {
-				sent++
+			if d.savedSnapshots.Load() >= entries*longEntryBytes/(5<<20) {
+				compacted++
 			}
 		}
-		require.GreaterOrEqual(t, sent, 2, "both copies of the data took snapshots")
+		require.GreaterOrEqual(t, compacted, 2, "the primary and the backup must take snapshots")
 	})
 }
--- a/coordination/restart_test.go
+++ b/coordination/total_power_loss_test.go
@@ -1,4 +1,4 @@
-// The core's way back after all of it was without power.
+// Tests the restart of the core after all its machines lost power.
 
 package coordination_test
 
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBackTogether: all disk machines lose power at once and come back one after the other
-// within 0.3 s, the primary first. Its first packets to the others are lost; all the same
-// it leads again, with what was acknowledged, within 0.4 s of the last one's start.
-func TestBackTogether(t *testing.T) {
+// TestRestartAfterTotalPowerLoss powers off all cores at once and restarts them one after the other within
+// 0.3 s, the primary first. Although its first packets to the others are lost, there must be a
+// primary with all acknowledged commands within 0.4 s of the last start.
+func TestRestartAfterTotalPowerLoss(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		f := newCluster(seed)
 		defer f.close()
