--- a/coordination/beyond_tolerance_test.go
+++ b/coordination/beyond_tolerance_test.go
@@ -24,8 +24,8 @@
 // runBeyondTolerance runs clients while it injects a fault in each of beyondToleranceRounds rounds. After each
 // round the core must answer within beyondToleranceRecovery; at the end every command was applied exactly
 // once.
-func runBeyondTolerance(t *testing.T, seed uint64, injectFault func(w *walk, rng *rand.Rand)) {
-	underLoad(t, buildOf(seed, beyondToleranceMachines, beyondToleranceFaults), seed, func(w *walk) {
+func runBeyondTolerance(t *testing.T, seed uint64, injectFault func(w *faultRun, rng *rand.Rand)) {
+	runUnderLoad(t, newClusterOfSize(seed, beyondToleranceMachines, beyondToleranceFaults), seed, func(w *faultRun) {
 		rng := rand.New(rand.NewPCG(seed, 10))
 		for range beyondToleranceRounds {
 			time.Sleep(time.Duration(500+rng.IntN(2000)) * time.Millisecond)
@@ -38,17 +38,17 @@
 
 // TestHalvesPartitioned partitions the cores into two halves for 0.5 to 8.5 s, while nodes reach both.
 func TestHalvesPartitioned(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		runBeyondTolerance(t, seed, func(w *walk, rng *rand.Rand) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		runBeyondTolerance(t, seed, func(w *faultRun, rng *rand.Rand) {
 			var half []string
 			for _, i := range rng.Perm(beyondToleranceMachines)[:beyondToleranceMachines/2] {
 				half = append(half, machineIP(w.seeds[i]))
 			}
 			duration := time.Duration(500+rng.IntN(8000)) * time.Millisecond
-			w.say("partition %v from the others for %s", half, duration)
-			w.partitionFrom(half, bothWays, true)
+			w.record("partition %v from the others for %s", half, duration)
+			w.partitionCores(half, bothWays, true)
 			time.Sleep(duration)
-			w.partitionFrom(half, bothWays, false)
+			w.partitionCores(half, bothWays, false)
 		})
 	})
 }
@@ -56,12 +56,12 @@
 // TestOverlappingLosses powers off three to six of six cores at about the same time, wipes the disks
 // of up to two of them, and restarts them in any order.
 func TestOverlappingLosses(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		runBeyondTolerance(t, seed, func(w *walk, rng *rand.Rand) {
-			time.Sleep(time.Until(w.wipe.Add(diskRecoveryTime)))
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		runBeyondTolerance(t, seed, func(w *faultRun, rng *rand.Rand) {
+			time.Sleep(time.Until(w.lastDiskLoss.Add(diskRecoveryTime)))
 			lost := rng.Perm(beyondToleranceMachines)[:beyondToleranceFaults+1+rng.IntN(beyondToleranceMachines-beyondToleranceFaults)]
 			disks := rng.IntN(beyondToleranceFaults + 1)
-			w.say("lose %v, the disks of the first %d", lost, disks)
+			w.record("lose %v, the disks of the first %d", lost, disks)
 			for n, i := range lost {
 				ip := machineIP(w.seeds[i])
 				w.powerOff(ip)
@@ -73,10 +73,10 @@
 			rng.Shuffle(len(lost), func(a, b int) { lost[a], lost[b] = lost[b], lost[a] })
 			for _, i := range lost {
 				time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
-				w.core(w.seeds[i])
+				w.startMember(w.seeds[i])
 			}
 			if disks > 0 {
-				w.wipe = time.Now()
+				w.lastDiskLoss = time.Now()
 			}
 		})
 	})
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -1,5 +1,5 @@
-// The core as others embed it: a small machine, its watchers, and the runs that
-// lose machines, cut links and freeze them, over many seeds.
+// Embeds the core with a small state machine and its watchers, and tests it in simulated clusters that
+// lose machines, partition links and freeze machines, under many seeds.
 
 package coordination_test
 
@@ -22,46 +22,46 @@
 	"keelstair.example/rpc"
 )
 
-// sumMachine is the smallest machine an embedder may bring: a sum, and two duties.
-type sumMachine struct{ sum int }
+// sumStateMachine is a minimal state machine: a sum and two singleton roles.
+type sumStateMachine struct{ sum int }
 
-func (t *sumMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
+func (m *sumStateMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
 	n, err := strconv.Atoi(string(body))
 	if err != nil || kind != "add" {
-		return nil, failure.New(failure.InvalidArgument, "apply", kind, "it adds numbers only")
+		return nil, failure.New(failure.InvalidArgument, "apply", kind, "only add with a number is supported")
 	}
-	t.sum += n
-	return []byte(strconv.Itoa(t.sum)), nil
+	m.sum += n
+	return []byte(strconv.Itoa(m.sum)), nil
 }
 
-func (t *sumMachine) Published(string) bool { return true }
-func (t *sumMachine) Snapshot(bool) []byte  { return []byte(strconv.Itoa(t.sum)) }
-func (t *sumMachine) Restore(b []byte) (err error) {
-	t.sum, err = strconv.Atoi(string(b))
+func (m *sumStateMachine) Published(string) bool { return true }
+func (m *sumStateMachine) Snapshot(bool) []byte  { return []byte(strconv.Itoa(m.sum)) }
+func (m *sumStateMachine) Restore(b []byte) (err error) {
+	m.sum, err = strconv.Atoi(string(b))
 	return err
 }
-func (t *sumMachine) Keys() []ids.Key                                       { return []ids.Key{"left", "right"} }
-func (t *sumMachine) Due(ids.Tick, ids.Seq, ids.Seq) []coordination.Command { return nil }
+func (m *sumStateMachine) Keys() []ids.Key                                               { return []ids.Key{"left", "right"} }
+func (m *sumStateMachine) DueCommands(ids.Tick, ids.Seq, ids.Seq) []coordination.Command { return nil }
 
-// sumWatcher is a follower's view of it.
+// sumWatcher is a node's view of the sum.
 type sumWatcher struct{ sum atomic.Int64 }
 
-func (e *sumWatcher) Restore(b []byte) error {
+func (w *sumWatcher) Restore(b []byte) error {
 	n, err := strconv.Atoi(string(b))
-	e.sum.Store(int64(n))
+	w.sum.Store(int64(n))
 	return err
 }
 
-func (e *sumWatcher) Observe(_ ids.Seq, _ string, body []byte) bool {
+func (w *sumWatcher) Observe(_ ids.Seq, _ string, body []byte) bool {
 	n, _ := strconv.Atoi(string(body))
-	e.sum.Add(int64(n))
+	w.sum.Add(int64(n))
 	return false
 }
 
-func (e *sumWatcher) Snapshot() []byte { return []byte(strconv.FormatInt(e.sum.Load(), 10)) }
+func (w *sumWatcher) Snapshot() []byte { return []byte(strconv.FormatInt(w.sum.Load(), 10)) }
 
-// fleet is three cores and two agents on simulated machines.
-type fleet struct {
+// testCluster is a cluster of cores and two agents on simulated machines.
+type testCluster struct {
 	world          *simulated.World
 	processes      map[string]*simulated.Process
 	stops          map[string]context.CancelFunc
@@ -70,19 +70,20 @@
 	watchers       []*sumWatcher
 	seeds          []string
 	faultTolerance int
-	zones          map[string]ids.Zone // by the IP number of a core
+	zones          map[string]ids.Zone // by the IP address of a core
 }
 
-func build(seed uint64) *fleet { return buildOf(seed, 3, 1) }
+// newCluster starts three cores that tolerate one loss.
+func newCluster(seed uint64) *testCluster { return newClusterOfSize(seed, 3, 1) }
 
-// buildOf is a fleet of so many cores that bears so many losses at once.
-func buildOf(seed uint64, cores, faultTolerance int) *fleet {
-	return buildIn(seed, cores, faultTolerance)
+// newClusterOfSize starts a number of cores that tolerate a number of simultaneous losses.
+func newClusterOfSize(seed uint64, cores, faultTolerance int) *testCluster {
+	return newClusterInZones(seed, cores, faultTolerance)
 }
 
-// buildIn spreads the cores over zones, one after the other.
-func buildIn(seed uint64, cores, faultTolerance int, zones ...ids.Zone) *fleet {
-	f := &fleet{
+// newClusterInZones is newClusterOfSize with the cores assigned to the zones in turn.
+func newClusterInZones(seed uint64, cores, faultTolerance int, zones ...ids.Zone) *testCluster {
+	f := &testCluster{
 		faultTolerance: faultTolerance,
 		zones:          map[string]ids.Zone{},
 		world:          simulated.NewWorld(seed),
@@ -97,16 +98,17 @@
 		if len(zones) > 0 {
 			f.zones[machineIP(a)] = zones[i%len(zones)]
 		}
-		f.core(a)
+		f.startMember(a)
 	}
 	for i := range 2 {
-		a, v := f.agent(fmt.Sprintf("10.0.1.%d", i+1))
+		a, v := f.startAgent(fmt.Sprintf("10.0.1.%d", i+1))
 		f.agents, f.watchers = append(f.agents, a), append(f.watchers, v)
 	}
 	return f
 }
 
-func (f *fleet) agent(ip string) (*coordination.Agent, *sumWatcher) {
+// startAgent starts an agent at an IP address, which is also its node id.
+func (f *testCluster) startAgent(ip string) (*coordination.Agent, *sumWatcher) {
 	v := &sumWatcher{}
 	p := f.world.Machine(ip).Start()
 	a := coordination.NewAgent(coordination.AgentOptions{
@@ -115,11 +117,17 @@
 		Seeds:   f.seeds,
 		Watcher: v,
 	})
-	f.run(ip, ip+":1", p, a.Mount, a.Run)
+	f.startProcess(ip, ip+":1", p, a.Mount, a.Run)
 	return a, v
 }
 
-func (f *fleet) run(ip, addr string, p *simulated.Process, mount func(*http.ServeMux), run func(context.Context)) {
+// startProcess serves a process's handlers and runs it until its stop function is called.
+func (f *testCluster) startProcess(
+	ip, addr string,
+	p *simulated.Process,
+	mount func(*http.ServeMux),
+	run func(context.Context),
+) {
 	ctx, stop := context.WithCancel(context.Background())
 	f.processes[ip], f.stops[ip] = p, stop
 	l, err := p.Host().Net.Listen(addr)
@@ -132,9 +140,12 @@
 	go run(ctx)
 }
 
-func (f *fleet) core(addr string) { f.startCore(addr, false) }
+// startMember starts a core.
+func (f *testCluster) startMember(addr string) { f.startCore(addr, false) }
 
-func (f *fleet) startCore(addr string, force bool) chan error {
+// startCore starts a core, with force to form a new cluster from its disk. The channel receives the result
+// of its Run.
+func (f *testCluster) startCore(addr string, force bool) chan error {
 	ip := addr[:len(addr)-2]
 	p := f.world.Machine(ip).Start()
 	c, err := coordination.New(coordination.Options{
@@ -142,7 +153,7 @@
 		Zone:            f.zones[ip],
 		Host:            p.Host(),
 		Seeds:           f.seeds,
-		Machine:         func() coordination.StateMachine { return &sumMachine{} },
+		Machine:         func() coordination.StateMachine { return &sumStateMachine{} },
 		ForceNewCluster: force,
 		FaultTolerance:  f.faultTolerance,
 	})
@@ -151,17 +162,19 @@
 	}
 	f.cores[ip] = c
 	end := make(chan error, 1)
-	f.run(ip, addr, p, c.Mount, func(ctx context.Context) { end <- c.Run(ctx) })
+	f.startProcess(ip, addr, p, c.Mount, func(ctx context.Context) { end <- c.Run(ctx) })
 	return end
 }
 
-func (f *fleet) powerOff(ip string) {
+// powerOff cuts a machine's power.
+func (f *testCluster) powerOff(ip string) {
 	f.world.Machine(ip).PowerOff()
 	f.stops[ip]()
 	delete(f.cores, ip)
 }
 
-func (f *fleet) leader() string {
+// leader returns the IP address of a core that considers itself the primary, or "".
+func (f *testCluster) leader() string {
 	for ip, c := range f.cores {
 		if c.Leads() {
 			return ip
@@ -170,7 +183,8 @@
 	return ""
 }
 
-func (f *fleet) close() {
+// close powers off all machines and waits until their goroutines have ended.
+func (f *testCluster) close() {
 	for ip := range f.processes {
 		f.world.Machine(ip).Freeze(false)
 		f.world.Machine(ip).StallDisk(false)
@@ -179,17 +193,18 @@
 	time.Sleep(30 * time.Second)
 }
 
-func (f *fleet) submitNumber(n int, op string, duration time.Duration) error {
+// submitNumber adds n to the sum under an operation id, retrying for the duration.
+func (f *testCluster) submitNumber(n int, op string, duration time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	_, err := f.agents[0].Submit(ctx, ids.OpID(op), "add", []byte(strconv.Itoa(n)))
 	return err
 }
 
-// Example embeds the core: a machine of one's own, a command, a follower.
+// Example embeds the core with a state machine, submits commands and reads the watchers' views.
 func Example() {
 	synctest.Test(new(testing.T), func(*testing.T) {
-		f := build(1)
+		f := newCluster(1)
 		defer f.close()
 		fmt.Println(
 			f.submitNumber(40, "a", 10*time.Second),
@@ -207,8 +222,8 @@
 	// a duty is held: true
 }
 
-// eachSeed runs a test under twelve seeds, side by side, each in a bubble of its own.
-func eachSeed(t *testing.T, f func(t *testing.T, seed uint64)) {
+// forEachSeed runs a test under twelve seeds in parallel, each in a synctest bubble of its own.
+func forEachSeed(t *testing.T, f func(t *testing.T, seed uint64)) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -217,12 +232,12 @@
 	}
 }
 
-// TestAckedSurvives: whatever machine loses power right after an answer, and
-// whatever the disk tears, each acknowledged command is there once, and each
-// operation has one outcome. Many seeds.
-func TestAckedSurvives(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+// TestAcknowledgedCommandsSurvive powers off the primary or another core while a command is under way, with
+// torn writes on its disk. Each acknowledged command must be applied exactly once, and each operation
+// must have one outcome.
+func TestAcknowledgedCommandsSurvive(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		want := 0
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
@@ -243,7 +258,7 @@
 			}
 			require.NoError(t, err, "seed %d round %d", seed, i)
 			want += 1 << (4*i + 4)
-			f.core(ip + ":1")
+			f.startMember(ip + ":1")
 			time.Sleep(2 * time.Second)
 		}
 		time.Sleep(3 * time.Second)
@@ -252,11 +267,11 @@
 	})
 }
 
-// TestOneOwner: two agents never both hold a key, however leases lapse, cuts
-// come and go, machines freeze, and leaders change. Many seeds.
+// TestOneOwner checks that two agents never own a key at the same time while leases expire, partitions
+// come and go, machines freeze, clocks jump and the primary changes.
 func TestOneOwner(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		held := [2]int{}
@@ -279,7 +294,7 @@
 					if l != "" {
 						f.powerOff(l)
 						time.Sleep(4 * time.Second)
-						f.core(l + ":1")
+						f.startMember(l + ":1")
 					}
 				case 3:
 					f.world.Machine(ip).JumpClock(7 * time.Second)
@@ -291,7 +306,7 @@
 			for _, k := range []ids.Key{"left", "right"} {
 				_, a := f.agents[0].OwnsKey(k)
 				_, b := f.agents[1].OwnsKey(k)
-				require.False(t, a && b, "seed %d: both hold %s", seed, k)
+				require.False(t, a && b, "seed %d: both agents own %s", seed, k)
 				if a || b {
 					held[1]++
 				}
@@ -299,7 +314,7 @@
 			}
 			select {
 			case <-stop:
-				require.Greater(t, held[1]*10, held[0]*3, "seed %d: keys are held most of the time", seed)
+				require.Greater(t, held[1]*10, held[0]*3, "seed %d: keys must be owned over 30%% of the time", seed)
 				return
 			default:
 				time.Sleep(2 * time.Millisecond)
@@ -308,21 +323,21 @@
 	})
 }
 
-// TestForeignDisk: a disk of another fleet that is started among this one's
-// machines ends with one clear error, and this fleet goes on as it was.
-func TestForeignDisk(t *testing.T) {
+// TestDiskOfOtherCluster starts a core with the disk of another cluster and the seeds of this one. The core
+// must end with a clear error, and this cluster must keep working.
+func TestDiskOfOtherCluster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := build(3)
+		f := newCluster(3)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		var other []string
 		for i := range 3 {
 			other = append(other, fmt.Sprintf("10.7.0.%d:1", i+1))
 		}
-		mine := f.seeds
+		own := f.seeds
 		f.seeds = other
 		for _, a := range other {
-			f.core(a)
+			f.startMember(a)
 		}
 		time.Sleep(3 * time.Second)
 		for _, a := range other {
@@ -332,8 +347,8 @@
 		c, err := coordination.New(coordination.Options{
 			Addr:    "10.7.0.1:1",
 			Host:    p.Host(),
-			Seeds:   mine,
-			Machine: func() coordination.StateMachine { return &sumMachine{} },
+			Seeds:   own,
+			Machine: func() coordination.StateMachine { return &sumStateMachine{} },
 		})
 		require.NoError(t, err)
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
--- a/coordination/failover_times_test.go
+++ b/coordination/failover_times_test.go
@@ -21,22 +21,22 @@
 // failoverScenario is a failure scenario; run causes the failure and returns the recovery time.
 type failoverScenario struct {
 	name string
-	run  func(t *testing.T, f *fleet, seed uint64) time.Duration
+	run  func(t *testing.T, f *testCluster, seed uint64) time.Duration
 }
 
 var failoverScenarios = []failoverScenario{
-	{"primary loses power, until a command is answered", func(t *testing.T, f *fleet, seed uint64) time.Duration {
+	{"primary loses power, until a command is answered", func(t *testing.T, f *testCluster, seed uint64) time.Duration {
 		f.powerOff(f.leader())
 		return f.waitForAnswer(t)
 	}},
 	{
 		"primary is partitioned from the other machines for up to 20 s, until a command is answered",
-		func(t *testing.T, f *fleet, seed uint64) time.Duration {
+		func(t *testing.T, f *testCluster, seed uint64) time.Duration {
 			f.isolate([]string{f.leader()}, true)
 			return f.waitForAnswer(t)
 		},
 	},
-	{"primary is partitioned one way and receives nothing, until a command is answered", func(t *testing.T, f *fleet, seed uint64) time.Duration {
+	{"primary is partitioned one way and receives nothing, until a command is answered", func(t *testing.T, f *testCluster, seed uint64) time.Duration {
 		primary := f.leader()
 		var rest []string
 		for ip := range f.processes {
@@ -47,12 +47,12 @@
 		f.world.Block(rest, []string{primary}, true)
 		return f.waitForAnswer(t)
 	}},
-	{"backup loses power, until a command is answered", func(t *testing.T, f *fleet, seed uint64) time.Duration {
+	{"backup loses power, until a command is answered", func(t *testing.T, f *testCluster, seed uint64) time.Duration {
 		_, backup, _, _ := f.roles(t)
 		f.powerOff(backup)
 		return f.waitForAnswer(t)
 	}},
-	{"voter is lost for good, until a spare replaces it", func(t *testing.T, f *fleet, seed uint64) time.Duration {
+	{"voter is lost for good, until a spare replaces it", func(t *testing.T, f *testCluster, seed uint64) time.Duration {
 		primary, _, witness, spare := f.roles(t)
 		f.powerOff(witness)
 		began := time.Now()
@@ -69,7 +69,7 @@
 }
 
 // healPartitions heals all partitions.
-func (f *fleet) healPartitions() {
+func (f *testCluster) healPartitions() {
 	var all []string
 	for ip := range f.processes {
 		all = append(all, ip)
@@ -78,7 +78,7 @@
 }
 
 // waitForAnswer submits a new command and returns the time until it is answered.
-func (f *fleet) waitForAnswer(t *testing.T) time.Duration {
+func (f *testCluster) waitForAnswer(t *testing.T) time.Duration {
 	began := time.Now()
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
@@ -98,7 +98,7 @@
 		var list []time.Duration
 		for seed := range uint64(seeds) {
 			synctest.Test(t, func(t *testing.T) {
-				f := buildOf(seed+1, 4, 1)
+				f := newClusterOfSize(seed+1, 4, 1)
 				defer f.close()
 				require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 				time.Sleep(2*time.Second + time.Duration(seed%10)*37*time.Millisecond)
--- a/coordination/force_new_cluster_test.go
+++ b/coordination/force_new_cluster_test.go
@@ -15,7 +15,7 @@
 // watchers, and assigns keys under higher fencing tokens.
 func TestForceNewCluster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := build(3)
+		f := newCluster(3)
 		defer f.close()
 		require.NoError(t, f.submitNumber(7, "a", 10*time.Second))
 		time.Sleep(2 * time.Second)
@@ -36,8 +36,8 @@
 		}
 		require.NotEqual(t, lead, data)
 		end := f.startCore(data+":1", true)
-		f.core("10.0.0.8:1")
-		f.core("10.0.0.9:1")
+		f.startMember("10.0.0.8:1")
+		f.startMember("10.0.0.9:1")
 		require.NoError(t, f.submitNumber(7, "a", 20*time.Second), "the same operation again")
 		require.NoError(t, f.submitNumber(2, "b", 5*time.Second))
 		time.Sleep(5 * time.Second)
@@ -52,7 +52,7 @@
 		default:
 		}
 		// A machine starts that was not part of the cluster: it joins as a spare, and nothing changes.
-		f.core("10.0.0.7:1")
+		f.startMember("10.0.0.7:1")
 		time.Sleep(2 * time.Second)
 		require.NoError(t, f.submitNumber(1, "c", 5*time.Second))
 		time.Sleep(time.Second)
@@ -64,7 +64,7 @@
 // another voter is alive, on a disk without data, on an empty disk, and on a disk that is behind.
 func TestForceNewClusterRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := build(4)
+		f := newCluster(4)
 		defer f.close()
 		require.NoError(t, f.submitNumber(7, "a", 10*time.Second))
 		time.Sleep(2 * time.Second)
@@ -92,8 +92,8 @@
 		requireRefusal(f.startCore("10.0.0.6:1", true), "no cluster")
 		f.powerOff(witness)
 		f.powerOff("10.0.0.6")
-		f.core(witness + ":1")
-		f.core(record.Backup.Addr)
+		f.startMember(witness + ":1")
+		f.startMember(record.Backup.Addr)
 		time.Sleep(4 * time.Second)
 		// The old primary is off while the others take a command, so its disk is behind.
 		f.powerOff(at(record.Primary.Addr))
--- a/coordination/invalid_message_test.go
+++ b/coordination/invalid_message_test.go
@@ -23,7 +23,7 @@
 		c, err := New(Options{
 			Addr:    "10.0.0.1:1",
 			Host:    machine.Start().Host(),
-			Machine: func() StateMachine { return &listMachine{} },
+			Machine: func() StateMachine { return &listStateMachine{} },
 		})
 		require.NoError(t, err)
 		proposer := Replica{Disk: "proposer", Addr: "10.0.0.2:1"}
@@ -51,7 +51,7 @@
 
 // snapshotOf returns a snapshot of a state machine with seven other values, and its chunks.
 func snapshotOf(t *testing.T) (body []byte, chunks []Chunk) {
-	r := newReplicatedState(&listMachine{})
+	r := newReplicatedState(&listStateMachine{})
 	for range 7 {
 		_, err := r.apply(&Entry{Kind: "put", Op: "op", Body: []byte("other")})
 		require.NoError(t, err)
@@ -61,7 +61,7 @@
 
 // requireUnchanged checks that the core still has its two entries and is ready for no epoch.
 func requireUnchanged(t *testing.T, c *Core) {
-	require.Equal(t, "one,two", c.state.machine.(*listMachine).all())
+	require.Equal(t, "one,two", c.state.machine.(*listStateMachine).all())
 	require.EqualValues(t, 2, c.state.seq)
 	require.Zero(t, c.readyEpoch.Load())
 }
@@ -89,7 +89,7 @@
 		r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{Epoch: 2, From: proposer, State: body})
 		require.NoError(t, err)
 		require.True(t, r.OK)
-		require.Equal(t, strings.Repeat("other,", 6)+"other", c.state.machine.(*listMachine).all())
+		require.Equal(t, strings.Repeat("other,", 6)+"other", c.state.machine.(*listStateMachine).all())
 	})
 }
 
--- a/coordination/lease.go
+++ b/coordination/lease.go
@@ -170,7 +170,7 @@
 			delete(l.leases, n)
 		}
 	}
-	for _, cmd := range c.state.machine.Due(now, c.state.seq, minApplied) {
+	for _, cmd := range c.state.machine.DueCommands(now, c.state.seq, minApplied) {
 		add(cmd.Kind, cmd.Body)
 	}
 	if d := l.assignKeys(now, live); len(d.Grants) > 0 {
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -23,7 +23,7 @@
 func machineIP(addr string) string { return addr[:len(addr)-2] }
 
 // roles returns the IP addresses of the primary, the backup, a voter without data, and a spare.
-func (f *fleet) roles(t *testing.T) (primary, backup, witness, spare string) {
+func (f *testCluster) roles(t *testing.T) (primary, backup, witness, spare string) {
 	t.Helper()
 	primary = f.leader()
 	require.NotEmpty(t, primary)
@@ -63,8 +63,8 @@
 // Then it is lost. The backup and the spare are a majority of the new voters, but must not lead
 // without that command.
 func TestInterruptedVoterChange(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := buildOf(seed, 4, 1)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newClusterOfSize(seed, 4, 1)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -80,7 +80,7 @@
 		f.isolate([]string{backup}, true)
 		f.isolate([]string{spare}, true)
 		f.world.Partition([]string{witness}, []string{primary}, false)
-		f.core(primary + ":1")
+		f.startMember(primary + ":1")
 		err := f.submitNumber(2, "b", 6*time.Second)
 		if err != nil {
 			return // the primary had accepted the new record itself, so no split is possible
@@ -101,7 +101,7 @@
 }
 
 // isolate partitions a group of machines from all others, or heals that partition.
-func (f *fleet) isolate(group []string, partitioned bool) {
+func (f *testCluster) isolate(group []string, partitioned bool) {
 	var rest []string
 	for ip := range f.processes {
 		if !slices.Contains(group, ip) {
@@ -112,7 +112,7 @@
 }
 
 // leave makes a core hand over and then powers it off; its disk stays.
-func (f *fleet) leave(ip string, duration time.Duration) error {
+func (f *testCluster) leave(ip string, duration time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	err := f.cores[ip].Leave(ctx)
@@ -127,8 +127,8 @@
 	for leaverIndex, leaverRole := range []string{"primary", "backup", "witness"} {
 		for lostIndex, lostRole := range []string{"primary", "backup"} {
 			t.Run(leaverRole+" leaves, "+lostRole+" is lost", func(t *testing.T) {
-				eachSeed(t, func(t *testing.T, seed uint64) {
-					f := buildOf(seed, 4, 1)
+				forEachSeed(t, func(t *testing.T, seed uint64) {
+					f := newClusterOfSize(seed, 4, 1)
 					defer f.close()
 					require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 					time.Sleep(time.Duration(seed) * 100 * time.Millisecond)
@@ -155,8 +155,8 @@
 // TestLeaveWithoutSpare makes each of three machines in turn leave and restart on the same disk,
 // while commands are submitted. Each handover completes, and takes less time than a takeover.
 func TestLeaveWithoutSpare(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		want := int64(1)
@@ -169,7 +169,7 @@
 			require.Less(t, time.Since(began), 700*time.Millisecond, "machine %d left", i)
 			want++
 			time.Sleep(time.Second)
-			f.core(a)
+			f.startMember(a)
 		}
 		time.Sleep(2 * time.Second)
 		require.EqualValues(t, want, f.watchers[0].sum.Load())
@@ -179,8 +179,8 @@
 // TestRestartSendsNoSnapshot checks that no full snapshot is sent when a voter without data, and then
 // the backup, restart at once on the same disk.
 func TestRestartSendsNoSnapshot(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := buildOf(seed, 4, 1)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newClusterOfSize(seed, 4, 1)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -188,7 +188,7 @@
 		sent := f.cores[primary].SnapshotsSent()
 		for _, ip := range []string{witness, backup} {
 			f.powerOff(ip)
-			f.core(ip + ":1")
+			f.startMember(ip + ":1")
 			require.NoError(t, f.submitNumber(1, "b"+ip, 5*time.Second))
 			time.Sleep(2 * time.Second)
 		}
@@ -200,8 +200,8 @@
 // TestVoterChangeSendsNoSnapshot checks that a backup that stays is not sent the state that it has, when a
 // voter without data is lost and replaced by a spare.
 func TestVoterChangeSendsNoSnapshot(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := buildOf(seed, 4, 1)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newClusterOfSize(seed, 4, 1)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -218,8 +218,8 @@
 // TestCatchUpByEntries checks that a backup that was partitioned for a moment is sent the entries
 // that it is missing, not a full snapshot, when it becomes the backup again.
 func TestCatchUpByEntries(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -237,7 +237,7 @@
 		f.world.Machine(other).WipeDisk()
 		require.NoError(t, f.submitNumber(4, "c", 5*time.Second))
 		require.Equal(t, sent, f.cores[primary].SnapshotsSent())
-		f.core(other + ":1")
+		f.startMember(other + ":1")
 		time.Sleep(3 * time.Second) // the empty disk replaces it as a voter
 		f.powerOff(primary)
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
@@ -252,8 +252,8 @@
 // command, since it would decide on a state that may be stale. Its error says that the outcome is
 // unknown.
 func TestDeposedPrimaryRejectsNothing(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -291,8 +291,8 @@
 // received; meanwhile another command is acknowledged under the same sequence number. When the
 // replica becomes the backup, it is sent the acknowledged state.
 func TestDivergedLogReplaced(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(2 * time.Second)
@@ -318,7 +318,7 @@
 		f.world.Partition([]string{previous}, []string{backup, witness, "10.0.1.1", "10.0.1.2"}, false)
 		require.NoError(t, f.submitNumber(4, "c", 10*time.Second))
 		f.powerOff(backup)
-		f.core(witness + ":1")
+		f.startMember(witness + ":1")
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 		defer stop()
 		r, err := f.agents[1].Submit(ctx, "d", "add", []byte("8"))
@@ -331,7 +331,7 @@
 // older epoch, however high its sequence number.
 func TestFeedOfOlderEpochRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := build(1)
+		f := newCluster(1)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		f.powerOff(f.leader())
@@ -339,7 +339,7 @@
 		time.Sleep(time.Second)
 		previous := coordination.Snapshot{Seq: 9999, State: []byte("77")}
 		p := f.world.Machine("10.0.2.1").Start()
-		f.run("10.0.2.1", "10.0.2.1:1", p, func(mux *http.ServeMux) {
+		f.startProcess("10.0.2.1", "10.0.2.1:1", p, func(mux *http.ServeMux) {
 			rpc.Handle(mux, coordination.WatchMethod, func(context.Context, *coordination.WatchRequest) (*coordination.WatchResponse, error) {
 				return &coordination.WatchResponse{
 					Seq:      previous.Seq,
@@ -356,8 +356,8 @@
 // TestConsecutiveLeaves asks the second of three machines to leave before the first is back. Each
 // Leave returns only once two other machines have copies of the data.
 func TestConsecutiveLeaves(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Second)
@@ -366,7 +366,7 @@
 		require.NoError(t, f.leave(backup, 5*time.Second))
 		go func() {
 			time.Sleep(1500 * time.Millisecond)
-			f.core(backup + ":1")
+			f.startMember(backup + ":1")
 		}()
 		time.Sleep(700 * time.Millisecond)
 		record := f.cores[primary].Directory().Record()
@@ -394,8 +394,8 @@
 // leaves once and restarts, one of them with a wiped disk. Within 40 s the three voters are in three
 // zones again, so that the loss of any zone leaves a majority.
 func TestVotersSpreadOverZones(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := buildIn(seed, 6, 1, "a", "b", "c")
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newClusterInZones(seed, 6, 1, "a", "b", "c")
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		for i := range f.seeds {
@@ -405,7 +405,7 @@
 				f.world.Machine(ip).WipeDisk()
 			}
 			time.Sleep(time.Second)
-			f.core(ip + ":1")
+			f.startMember(ip + ":1")
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(40 * time.Second)
--- a/coordination/powerloss_test.go
+++ b/coordination/powerloss_test.go
@@ -1,5 +1,5 @@
-// The store on a real folder that loses power right before every single sync, with
-// every state that may be left; and again while it starts from such a state.
+// Runs the store on a real directory and simulates a power loss right before every sync, with all
+// states that it may leave on disk, and a second power loss during the restart from such a state.
 
 package coordination
 
@@ -25,15 +25,15 @@
 	"keelstair.example/ids"
 )
 
-// listMachine keeps all values it was given, the older ones on chunks.
-type listMachine struct {
+// listStateMachine appends each value to a list and moves the older values into chunks.
+type listStateMachine struct {
 	sealed []Chunk
 	values []string
 }
 
 const valuesPerChunk = 5
 
-func (m *listMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
+func (m *listStateMachine) Apply(_ ids.Seq, kind string, body []byte) ([]byte, error) {
 	if kind != "put" {
 		return nil, errors.New("unknown kind")
 	}
@@ -45,7 +45,7 @@
 	return nil, nil
 }
 
-func (m *listMachine) all() string {
+func (m *listStateMachine) all() string {
 	var parts []string
 	for _, one := range m.sealed {
 		parts = append(parts, string(one.Body))
@@ -53,11 +53,11 @@
 	return strings.Join(append(parts, m.values...), ",")
 }
 
-func (m *listMachine) Published(string) bool { return true }
+func (m *listStateMachine) Published(string) bool { return true }
 
-func (m *listMachine) Snapshot(bool) []byte { return []byte(strings.Join(m.values, ",")) }
+func (m *listStateMachine) Snapshot(bool) []byte { return []byte(strings.Join(m.values, ",")) }
 
-func (m *listMachine) Restore(body []byte) error {
+func (m *listStateMachine) Restore(body []byte) error {
 	m.values = nil
 	if len(body) > 0 {
 		m.values = strings.Split(string(body), ",")
@@ -65,31 +65,31 @@
 	return nil
 }
 
-func (m *listMachine) Keys() []ids.Key                          { return nil }
-func (m *listMachine) Due(ids.Tick, ids.Seq, ids.Seq) []Command { return nil }
-func (m *listMachine) Chunks() []Chunk                          { return m.sealed }
-func (m *listMachine) RestoreChunks(all []Chunk)                { m.sealed = all }
+func (m *listStateMachine) Keys() []ids.Key                                  { return nil }
+func (m *listStateMachine) DueCommands(ids.Tick, ids.Seq, ids.Seq) []Command { return nil }
+func (m *listStateMachine) Chunks() []Chunk                                  { return m.sealed }
+func (m *listStateMachine) RestoreChunks(all []Chunk)                        { m.sealed = all }
 
-// storeHistory is a store at work, and what it has acknowledged.
-type storeHistory struct {
+// storeRun drives a store and records what it has acknowledged.
+type storeRun struct {
 	store                   *store
 	state                   *replicatedState
-	acknowledged, requested string
-	register, written       register
-	next                    int
+	acknowledged, requested string   // the list after the last acknowledged and the last requested append
+	register, written       register // the last acknowledged and the last requested register
+	next                    int      // the last value appended
 }
 
 func newStore(disk host.Disk) *store { return &store{disk: disk, timeout: 20 * time.Second} }
 
-// check reads a store back and holds it against what was acknowledged.
-func (h *storeHistory) check(disk host.Disk) error {
-	s, r := newStore(disk), newReplicatedState(&listMachine{})
+// check reads the store back and compares it with the acknowledged and the requested state.
+func (h *storeRun) check(disk host.Disk) error {
+	s, r := newStore(disk), newReplicatedState(&listStateMachine{})
 	if err := s.load(r); err != nil {
 		return err
 	}
 	defer s.log.Close()
-	if got := r.machine.(*listMachine).all(); got != h.acknowledged && got != h.requested {
-		return fmt.Errorf("the state is %q, neither %q nor %q", got, h.acknowledged, h.requested)
+	if got := r.machine.(*listStateMachine).all(); got != h.acknowledged && got != h.requested {
+		return fmt.Errorf("the state is %q, but want the acknowledged %q or the requested %q", got, h.acknowledged, h.requested)
 	}
 	reg, err := s.loadRegister()
 	if err != nil {
@@ -97,15 +97,18 @@
 	}
 	if reg.Promised != h.register.Promised && reg.Promised != h.written.Promised {
 		return fmt.Errorf(
-			"the register promises %d, neither %d nor %d", reg.Promised, h.register.Promised, h.written.Promised,
+			"the register promises %d, but want the acknowledged %d or the requested %d",
+			reg.Promised,
+			h.register.Promised,
+			h.written.Promised,
 		)
 	}
 	return nil
 }
 
-func (h *storeHistory) appendSome(random *rand.Rand) error { return h.appendCount(1 + random.IntN(3)) }
+func (h *storeRun) appendRandom(random *rand.Rand) error { return h.appendCount(1 + random.IntN(3)) }
 
-func (h *storeHistory) appendCount(count int) error {
+func (h *storeRun) appendCount(count int) error {
 	var entries []Entry
 	for range count {
 		h.next++
@@ -115,7 +118,7 @@
 		}
 		entries = append(entries, e)
 	}
-	h.requested = h.state.machine.(*listMachine).all()
+	h.requested = h.state.machine.(*listStateMachine).all()
 	err := h.store.append(entries)
 	if err == nil {
 		h.acknowledged = h.requested
@@ -123,7 +126,7 @@
 	return err
 }
 
-func (h *storeHistory) promise() error {
+func (h *storeRun) promise() error {
 	h.written.Promised++
 	err := h.store.saveRegister(h.written)
 	if err == nil {
@@ -132,30 +135,30 @@
 	return err
 }
 
-func (h *storeHistory) reset() error {
+func (h *storeRun) compact() error {
 	return h.store.compact(h.state.snapshot(false), chunksOf(h.state.machine))
 }
 
-func (h *storeHistory) reload() error {
-	h.state = newReplicatedState(&listMachine{})
+func (h *storeRun) reload() error {
+	h.state = newReplicatedState(&listStateMachine{})
 	return h.store.load(h.state)
 }
 
-func (h *storeHistory) step(random *rand.Rand) error {
+func (h *storeRun) step(random *rand.Rand) error {
 	switch random.IntN(6) {
 	case 0:
-		return h.reset()
+		return h.compact()
 	case 1:
 		return h.promise()
 	case 2:
 		return h.reload()
 	}
-	return h.appendSome(random)
+	return h.appendRandom(random)
 }
 
-// startAgain starts from a state that a loss of power left, and loses power again
-// right before each sync of that start.
-func (h *storeHistory) startAgain(t *testing.T, dir string, seed uint64) {
+// restartWithPowerLoss restarts from a state left by a power loss, and simulates another power loss
+// right before each sync of the restart.
+func (h *storeRun) restartWithPowerLoss(t *testing.T, dir string, seed uint64) {
 	loss, err := simulated.NewPowerLoss(dir, seed)
 	if err != nil {
 		t.Error(err)
@@ -163,7 +166,7 @@
 	}
 	defer loss.Close()
 	disk, err := host.OpenObservedDisk(dir, func(path string) {
-		if err := loss.BeforeSync(path, func(dir string) { h.start(t, dir) }); err != nil {
+		if err := loss.BeforeSync(path, func(dir string) { h.restart(t, dir) }); err != nil {
 			t.Error(err)
 		}
 	})
@@ -175,20 +178,19 @@
 	}
 }
 
-func (h *storeHistory) start(t *testing.T, dir string) {
+func (h *storeRun) restart(t *testing.T, dir string) {
 	disk, err := host.OpenDisk(dir)
 	if err == nil {
 		err = h.check(disk)
 	}
 	if err != nil {
-		t.Errorf("at the second start: %v", err)
+		t.Errorf("at the second restart: %v", err)
 	}
 }
 
-// TestStorePowerLoss: at whatever disk step of appending, saving the register, taking
-// a snapshot, dropping chunks and starting power is lost, and whichever unsynced files
-// are lost, what is read back holds every acknowledged row and is the state before or
-// after the step.
+// TestStorePowerLoss loses power at every disk step of appending, saving the register, taking a snapshot,
+// dropping chunks and starting, with every choice of lost unsynced files. The state read back must
+// contain every acknowledged entry and be the state before or after the interrupted step.
 func TestStorePowerLoss(t *testing.T) {
 	seeds := 1
 	if more, err := strconv.Atoi(os.Getenv("KEELSTAIR_SEEDS")); err == nil {
@@ -198,7 +200,7 @@
 	for seed := uint64(1); seed <= uint64(seeds) && !t.Failed(); seed++ {
 		states += storePowerLoss(t, seed)
 	}
-	t.Logf("%d states", states)
+	t.Logf("%d states after a power loss", states)
 }
 
 func storePowerLoss(t *testing.T, seed uint64) int {
@@ -207,12 +209,12 @@
 	require.NoError(t, err)
 	defer loss.Close()
 	random := rand.New(rand.NewPCG(seed, 1))
-	h := &storeHistory{}
+	h := &storeRun{}
 	states := 0
 	disk, err := host.OpenObservedDisk(dir, func(path string) {
 		err := loss.BeforeSync(path, func(dir string) {
 			states++
-			h.startAgain(t, dir, seed)
+			h.restartWithPowerLoss(t, dir, seed)
 		})
 		if err != nil {
 			t.Error(err)
@@ -231,11 +233,11 @@
 	return states
 }
 
-// TestUnusedChunksDropped: the disk keeps no chunk that the machine has let go of.
+// TestUnusedChunksDropped checks that chunks which the state machine no longer has are removed from disk.
 func TestUnusedChunksDropped(t *testing.T) {
 	disk, err := host.OpenDisk(t.TempDir())
 	require.NoError(t, err)
-	h := &storeHistory{store: newStore(disk)}
+	h := &storeRun{store: newStore(disk)}
 	require.NoError(t, h.reload())
 	kept := func() (count int) {
 		names, err := disk.List()
@@ -250,44 +252,44 @@
 	for range 3 * valuesPerChunk {
 		_, err := h.state.apply(&Entry{Kind: "put", Body: []byte("x")})
 		require.NoError(t, err)
-		require.NoError(t, h.reset())
+		require.NoError(t, h.compact())
 	}
-	machine := h.state.machine.(*listMachine)
-	require.Equal(t, 1, kept(), "chunks of one content are one file")
+	machine := h.state.machine.(*listStateMachine)
+	require.Equal(t, 1, kept(), "chunks with equal content share one file")
 	machine.sealed = []Chunk{NewChunk([]byte("another"))}
-	require.NoError(t, h.reset())
+	require.NoError(t, h.compact())
 	require.Equal(t, 1, kept())
 }
 
-// TestStepEnds: once a disk step has answered, it no longer counts as one that stalls,
-// or a snapshot right after it would be refused and the primary stand down.
-func TestStepEnds(t *testing.T) {
+// TestCompletedStepNotPending checks that a disk step no longer counts as pending once it has returned.
+// Otherwise a snapshot right after it would be refused as stalled, and the primary would step down.
+func TestCompletedStepNotPending(t *testing.T) {
 	var wg sync.WaitGroup
 	var late atomic.Int32
 	for range 8 * runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
 			s := newStore(nil)
 			for range 8_000 {
-				s.timed("no step", func() error { return nil })
-				late.Add(s.pending.Load())
+				s.runStep("no step", func() error { return nil })
+				late.Add(s.pendingSteps.Load())
 			}
 		})
 	}
 	wg.Wait()
-	require.Zero(t, late.Load(), "steps that had answered still counted")
+	require.Zero(t, late.Load(), "completed steps still counted as pending")
 }
 
-// damage is one change to a file of a disk, and what the refusal to read it says.
-type damage struct {
+// corruption is one change to a file on disk and a part of the error with which reading it fails.
+type corruption struct {
 	name, file string
 	change     func([]byte) []byte
 	reason     string
 }
 
-const filledLog = "log-1/00000000000000000001" // the log's file on a disk that fillStore made
+const filledLog = "log-1/00000000000000000001" // the log's file on a disk written by fillStore
 
-// damages are what may be wrong with a disk that fillStore made; chunk names its chunk's file.
-func damages(chunk string) []damage {
+// corruptions returns the ways to corrupt a disk written by fillStore; chunk is the file of its chunk.
+func corruptions(chunk string) []corruption {
 	sealed := func(body []byte) func([]byte) []byte {
 		return func([]byte) []byte { return host.Seal(body) }
 	}
@@ -295,31 +297,31 @@
 	none := func([]byte) []byte { return nil }
 	flip := func(b []byte) []byte { b = bytes.Clone(b); b[len(b)/2] ^= 8; return b }
 	entry := Entry{Seq: 99, Kind: "put", Body: []byte("x")}
-	rows := func(bodies ...[]byte) func([]byte) []byte {
+	appended := func(bodies ...[]byte) func([]byte) []byte {
 		return func(all []byte) []byte {
 			for _, body := range bodies {
-				list := host.Seal(body)
-				all = append(append(all, byte(len(list))), list...)
+				encoded := host.Seal(body)
+				all = append(append(all, byte(len(encoded))), encoded...)
 			}
 			return all
 		}
 	}
 	after := Entry{Seq: 9, Kind: "put", Body: []byte("9")}
-	return []damage{
+	return []corruption{
 		{"snapshot cut short", "picture", half, "counts as lost"},
 		{"snapshot empty", "picture", none, "counts as lost"},
 		{"snapshot changed", "picture", flip, "counts as lost"},
 		{"snapshot of another kind", "picture", sealed([]byte{0x80}), "not that of a snapshot"},
-		{"snapshot no message", "picture", sealed([]byte("hello")), "read snapshot"},
-		{"snapshot with more behind", "picture", func(b []byte) []byte {
+		{"snapshot is not a message", "picture", sealed([]byte("hello")), "read snapshot"},
+		{"snapshot with trailing bytes", "picture", func(b []byte) []byte {
 			return host.Seal(append(b[4:len(b):len(b)], 0))
 		}, "not that of a snapshot"},
 		{"register cut short", "register", half, "counts as lost"},
 		{"register empty", "register", none, "counts as lost"},
 		{"register changed", "register", flip, "counts as lost"},
 		{"register of another kind", "register", sealed([]byte{0x80}), "not that of a register"},
-		{"register no message", "register", sealed([]byte("hello")), "read register"},
-		{"register that accepts more than it promises", "register", sealed(MustMarshal(&BallotResponse{
+		{"register is not a message", "register", sealed([]byte("hello")), "read register"},
+		{"register with an accepted epoch above the promised one", "register", sealed(MustMarshal(&BallotResponse{
 			Promised: 1,
 			Accepted: Record{Epoch: 2, ClusterID: "f"},
 		})), "not that of a register"},
@@ -328,19 +330,24 @@
 			b[8] ^= 8
 			return b
 		}, "counts as lost"},
-		{"log lacks rows", filledLog, rows(MustMarshal(&entry)), "follows"},
-		{"log with a row of another kind", filledLog, rows([]byte{0x80}), "follows"},
-		{"log with a row that is no message", filledLog, rows([]byte("hello")), "read log"},
-		{"log with a row and more behind", filledLog, rows(append(MustMarshal(&after), 0)), "stand behind"},
-		{"log with an unknown command", filledLog, rows(MustMarshal(&Entry{Seq: 9, Kind: "newer"})), "replay log"},
+		{"log with missing entries", filledLog, appended(MustMarshal(&entry)), "follows"},
+		{"log with an entry of another kind", filledLog, appended([]byte{0x80}), "follows"},
+		{"log with an entry that is not a message", filledLog, appended([]byte("hello")), "read log"},
+		{
+			"log with trailing bytes after an entry",
+			filledLog,
+			appended(append(MustMarshal(&after), 0)),
+			"trailing bytes after entry",
+		},
+		{"log with an unknown command", filledLog, appended(MustMarshal(&Entry{Seq: 9, Kind: "newer"})), "replay log"},
 		{"chunk cut short", chunk, half, "read chunk"},
 		{"chunk changed", chunk, flip, "read chunk"},
-		{"chunk of another name", chunk, sealed([]byte("other")), "its content is that of"},
+		{"chunk of another name", chunk, sealed([]byte("other")), "the content is that of chunk"},
 	}
 }
 
-// filledDisk gives the folder of a disk that fillStore made, and its chunk's file.
-func filledDisk(t *testing.T) (dir, chunk string) {
+// newFilledDisk returns the directory of a disk written by fillStore and the file name of its chunk.
+func newFilledDisk(t *testing.T) (dir, chunk string) {
 	dir = t.TempDir()
 	fillStore(t, dir)
 	entries, err := os.ReadDir(dir)
@@ -353,11 +360,11 @@
 	return dir, chunk
 }
 
-// TestDamagedDisk: a snapshot, register, log or chunk that is cut short, changed, or
-// of another kind or version ends in one clear line and is never taken for state.
+// TestDamagedDisk checks that a snapshot, register, log or chunk that is truncated, changed, or of another
+// kind or version is rejected with a one-line error and never loaded as state.
 func TestDamagedDisk(t *testing.T) {
-	healthy, chunk := filledDisk(t)
-	for _, c := range damages(chunk) {
+	healthy, chunk := newFilledDisk(t)
+	for _, c := range corruptions(chunk) {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			require.NoError(t, os.CopyFS(dir, os.DirFS(healthy)))
@@ -369,10 +376,10 @@
 	}
 }
 
-// TestLostFile: the same, where a file is gone.
-func TestLostFile(t *testing.T) {
-	healthy, chunk := filledDisk(t)
-	for _, c := range []struct{ file, why string }{
+// TestMissingFile checks that a disk with a missing file is rejected with a one-line error.
+func TestMissingFile(t *testing.T) {
+	healthy, chunk := newFilledDisk(t)
+	for _, c := range []struct{ file, reason string }{
 		{"picture", "there is a register, but neither a snapshot nor log-0"},
 		{"log-1", "log-1, which the snapshot names, is missing"},
 		{filledLog, "log-1, which the snapshot names, is missing"},
@@ -382,16 +389,16 @@
 			dir := t.TempDir()
 			require.NoError(t, os.CopyFS(dir, os.DirFS(healthy)))
 			require.NoError(t, os.RemoveAll(dir+"/"+c.file))
-			requireRefused(t, dir, c.why)
+			requireRefused(t, dir, c.reason)
 		})
 	}
 }
 
-// fillStore makes a disk with a chunk, a snapshot, and rows after it up to number 8.
+// fillStore writes a disk with a chunk, a snapshot after entry 6, and entries 7 and 8 after it.
 func fillStore(t *testing.T, dir string) {
 	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
-	h := &storeHistory{store: newStore(disk)}
+	h := &storeRun{store: newStore(disk)}
 	require.NoError(t, h.reload())
 	require.NoError(t, h.promise())
 	for number := 1; number <= 8; number++ {
@@ -400,29 +407,30 @@
 		require.NoError(t, err)
 		require.NoError(t, h.store.append([]Entry{e}))
 		if number == 6 {
-			require.NoError(t, h.reset())
+			require.NoError(t, h.compact())
 		}
 	}
 	require.NoError(t, h.store.log.Close())
 }
 
+// requireRefused checks that loading a disk fails with a one-line error that contains reason.
 func requireRefused(t *testing.T, dir, reason string) {
 	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
 	s := newStore(disk)
 	if _, err = s.loadRegister(); err == nil {
-		err = s.load(newReplicatedState(&listMachine{}))
+		err = s.load(newReplicatedState(&listStateMachine{}))
 	}
 	require.ErrorContains(t, err, reason)
 	require.NotContains(t, err.Error(), "\n")
 }
 
-// TestDiskBound: with rows of 50 KB, as whole texts of a large document are, old and new
-// log, snapshots and chunks stay far below the 64 MB of a disk.
-func TestDiskBound(t *testing.T) {
-	const rows, rowSize, bound = 400, 50_000, 12_000_000
+// TestDiskUsageBound checks that with entries of 50 KB, the size of a large document, the old
+// and the new log, snapshots and chunks together stay far below the 64 MB of a disk.
+func TestDiskUsageBound(t *testing.T) {
+	const entries, entrySize, bound = 400, 50_000, 12_000_000
 	dir := t.TempDir()
-	limit := int64(0)
+	maxUsed := int64(0)
 	disk, err := host.OpenObservedDisk(dir, func(string) {
 		used := int64(0)
 		filepath.WalkDir(dir, func(_ string, entry os.DirEntry, err error) error {
@@ -431,27 +439,27 @@
 			}
 			return err
 		})
-		limit = max(limit, used)
+		maxUsed = max(maxUsed, used)
 	})
 	require.NoError(t, err)
-	h := &storeHistory{store: newStore(disk)}
+	h := &storeRun{store: newStore(disk)}
 	require.NoError(t, h.reload())
-	machine := h.state.machine.(*listMachine)
-	resets := 0
-	for range rows {
-		e := Entry{Kind: "put", Body: bytes.Repeat([]byte("x"), rowSize)}
+	machine := h.state.machine.(*listStateMachine)
+	compactions := 0
+	for range entries {
+		e := Entry{Kind: "put", Body: bytes.Repeat([]byte("x"), entrySize)}
 		_, err := h.state.apply(&e)
 		require.NoError(t, err)
 		require.NoError(t, h.store.append([]Entry{e}))
 		if last := len(machine.sealed); last > 1 {
 			machine.sealed = machine.sealed[last-1:]
 		}
-		if h.store.rows > rowsPerLog {
-			require.NoError(t, h.reset())
-			resets++
+		if h.store.logUnits > compactionThreshold {
+			require.NoError(t, h.compact())
+			compactions++
 		}
 	}
-	t.Logf("%d bytes at most, %d snapshots", limit, resets)
-	require.Positive(t, resets)
-	require.Less(t, limit, int64(bound))
+	t.Logf("%d bytes at most, %d snapshots", maxUsed, compactions)
+	require.Positive(t, compactions)
+	require.Less(t, maxUsed, int64(bound))
 }
--- a/coordination/primary_call_test.go
+++ b/coordination/primary_call_test.go
@@ -15,7 +15,7 @@
 )
 
 // newClient starts a process that knows only the seeds, and returns its RPC client and directory.
-func (f *fleet) newClient(ip string) (*rpc.Caller, *coordination.Directory) {
+func (f *testCluster) newClient(ip string) (*rpc.Caller, *coordination.Directory) {
 	p := f.world.Machine(ip).Start()
 	f.processes[ip], f.stops[ip] = p, func() {}
 	call := rpc.NewCaller(p.Host().Net)
@@ -34,8 +34,8 @@
 // TestSubmitFindsPrimary checks that a caller that knows only the seeds, one of which is off, has its
 // command accepted within 900 ms.
 func TestSubmitFindsPrimary(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		primary := f.leader()
@@ -55,8 +55,8 @@
 // TestAttemptAbandonedOnNewRecord checks that an attempt at a frozen primary is abandoned as soon as its successor is
 // known, even if the attempt's timeout is long, and that the command is applied once.
 func TestAttemptAbandonedOnNewRecord(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		call, directory := f.newClient("10.0.2.9")
@@ -80,8 +80,8 @@
 // TestAttemptTimesOut checks that an attempt at a frozen primary times out and that the caller finds
 // the next primary by itself.
 func TestAttemptTimesOut(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		call, directory := f.newClient("10.0.2.9")
@@ -99,8 +99,8 @@
 // TestNoAttemptAfterCallerEnds checks that no attempt is made after the caller's context has ended, and
 // that the command is not applied later.
 func TestNoAttemptAfterCallerEnds(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 		call, directory := f.newClient("10.0.2.9")
--- a/coordination/restarted_node_test.go
+++ b/coordination/restarted_node_test.go
@@ -1,4 +1,4 @@
-// Nodes whose process starts again at its address.
+// Tests nodes whose process restarts at the same address.
 
 package coordination_test
 
@@ -13,8 +13,8 @@
 	"keelstair.example/ids"
 )
 
-// agentNamed starts an agent under a name that is not its address.
-func (f *fleet) agentNamed(ip, name string) (*coordination.Agent, *sumWatcher) {
+// startNamedAgent starts an agent with a node id that is not its address.
+func (f *testCluster) startNamedAgent(ip, name string) (*coordination.Agent, *sumWatcher) {
 	v := &sumWatcher{}
 	p := f.world.Machine(ip).Start()
 	a := coordination.NewAgent(coordination.AgentOptions{
@@ -23,11 +23,11 @@
 		Seeds:   f.seeds,
 		Watcher: v,
 	})
-	f.run(ip, ip+":1", p, a.Mount, a.Run)
+	f.startProcess(ip, ip+":1", p, a.Mount, a.Run)
 	return a, v
 }
 
-// memberNames lists the members as a node knows them.
+// memberNames returns the ids of the members that a node knows.
 func memberNames(a *coordination.Agent) []string {
 	var out []string
 	for _, m := range a.Members() {
@@ -36,21 +36,21 @@
 	return out
 }
 
-// TestRestartedNodeLeavesNoGhost: a node that starts again at its address is one member from its first
-// renewal on, and the keys of its former process pass on after that one's lease, though the primary is
-// lost in between.
-func TestRestartedNodeLeavesNoGhost(t *testing.T) {
+// TestRestartedNodeIsOneMember checks that a node that restarts at its address is a single member from its
+// first renewal on, and that the keys of its former process are reassigned once that process's lease has
+// expired, also if the primary is lost in between.
+func TestRestartedNodeIsOneMember(t *testing.T) {
 	for _, loss := range []bool{false, true} {
 		t.Run(fmt.Sprint("primary lost ", loss), func(t *testing.T) {
-			eachSeed(t, func(t *testing.T, seed uint64) {
-				f := build(seed)
+			forEachSeed(t, func(t *testing.T, seed uint64) {
+				f := newCluster(seed)
 				defer f.close()
 				require.NoError(t, f.submitNumber(1, "first", 10*time.Second))
 				time.Sleep(5 * time.Second)
 				for i := range f.agents {
 					ip := fmt.Sprintf("10.0.1.%d", i+1)
 					f.powerOff(ip)
-					f.agents[i], f.watchers[i] = f.agentNamed(ip, fmt.Sprint("second-", i))
+					f.agents[i], f.watchers[i] = f.startNamedAgent(ip, fmt.Sprint("second-", i))
 				}
 				killed := time.Now()
 				time.Sleep(time.Second)
--- a/coordination/state_test.go
+++ b/coordination/state_test.go
@@ -1,4 +1,4 @@
-// What the state remembers of operations.
+// Tests which operation outcomes the state remembers.
 
 package coordination
 
@@ -11,13 +11,13 @@
 	"keelstair.example/ids"
 )
 
-// TestPastByClass: a flood of one class of operations pushes out its own oldest
-// only, and a snapshot brings all of them over.
-func TestPastByClass(t *testing.T) {
+// TestOutcomesEvictedByClass checks that many operations of one class evict only the oldest outcomes of that
+// class.
+func TestOutcomesEvictedByClass(t *testing.T) {
 	r := newReplicatedState(nil)
-	r.remember(Outcome{Op: "op/first", Seq: 1})
+	r.recordOutcome(Outcome{Op: "op/first", Seq: 1})
 	for i := range 3 * maxOutcomes {
-		r.remember(Outcome{Op: ids.OpID(fmt.Sprintf("claim/%d", i)), Seq: ids.Seq(i + 2)})
+		r.recordOutcome(Outcome{Op: ids.OpID(fmt.Sprintf("claim/%d", i)), Seq: ids.Seq(i + 2)})
 	}
 	require.Contains(t, r.outcomes, ids.OpID("op/first"))
 	require.Len(t, r.outcomes, maxOutcomes+1)
--- a/coordination/store_test.go
+++ b/coordination/store_test.go
@@ -1,5 +1,4 @@
-// Snapshots of the core whose disk step stalls, fails or comes late, and the bound
-// of the log.
+// Tests cores whose snapshots are saved late, and the compaction of logs with long entries.
 
 package coordination_test
 
@@ -20,53 +19,55 @@
 	"keelstair.example/ids"
 )
 
-// lateDisk is a disk whose next snapshot is saved late, and which counts logs.
+// lateDisk is a disk that can delay the next snapshot, and that counts saved snapshots and open logs.
 type lateDisk struct {
 	host.Disk
-	late            time.Duration // of the next snapshot, if any
-	snapshots, logs atomic.Int32  // saved; open
+	saveDelay                time.Duration // of the next snapshot, if positive
+	savedSnapshots, openLogs atomic.Int32
 }
 
 func (d *lateDisk) Save(name string, body []byte) error {
 	if name == "picture" {
-		wait := d.late
-		d.late = 0
+		wait := d.saveDelay
+		d.saveDelay = 0
 		time.Sleep(wait)
-		defer d.snapshots.Add(1)
+		defer d.savedSnapshots.Add(1)
 	}
 	return d.Disk.Save(name, body)
 }
 
 func (d *lateDisk) Create(name string) (host.Log, error) {
 	log, err := d.Disk.Create(name)
-	return d.counted(log), err
+	return d.countOpen(log), err
 }
 
 func (d *lateDisk) Open(name string) (host.Log, [][]byte, error) {
-	log, rows, err := d.Disk.Open(name)
+	log, entries, err := d.Disk.Open(name)
 	if err != nil {
 		return nil, nil, err
 	}
-	return d.counted(log), rows, nil
+	return d.countOpen(log), entries, nil
 }
 
-func (d *lateDisk) counted(log host.Log) host.Log {
-	d.logs.Add(1)
+// countOpen counts a log as open until it is closed.
+func (d *lateDisk) countOpen(log host.Log) host.Log {
+	d.openLogs.Add(1)
 	return &countedLog{log, d}
 }
 
+// countedLog is a log that lateDisk counts while it is open.
 type countedLog struct {
 	host.Log
 	disk *lateDisk
 }
 
 func (l *countedLog) Close() error {
-	l.disk.logs.Add(-1)
+	l.disk.openLogs.Add(-1)
 	return l.Log.Close()
 }
 
-// coreOn starts a core on a disk that counts and may be late.
-func (f *fleet) coreOn(addr string) *lateDisk {
+// startCoreOnLateDisk starts a core on a lateDisk and returns the disk.
+func (f *testCluster) startCoreOnLateDisk(addr string) *lateDisk {
 	ip := addr[:len(addr)-2]
 	p := f.world.Machine(ip).Start()
 	host := p.Host()
@@ -76,19 +77,19 @@
 		Addr:           addr,
 		Host:           host,
 		Seeds:          f.seeds,
-		Machine:        func() coordination.StateMachine { return &sumMachine{} },
+		Machine:        func() coordination.StateMachine { return &sumStateMachine{} },
 		FaultTolerance: f.faultTolerance,
 	})
 	if err != nil {
 		panic(err)
 	}
 	f.cores[ip] = c
-	f.run(ip, addr, p, c.Mount, func(ctx context.Context) { c.Run(ctx) })
+	f.startProcess(ip, addr, p, c.Mount, func(ctx context.Context) { c.Run(ctx) })
 	return late
 }
 
-// addLong adds n by a command of so many bytes.
-func (f *fleet) addLong(n int, op string, size int, duration time.Duration) error {
+// addPadded adds n by a command whose body is padded with zeros to a size.
+func (f *testCluster) addPadded(n int, op string, size int, duration time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
 	number := strconv.Itoa(n)
@@ -96,57 +97,59 @@
 	return err
 }
 
-// lateFleet is a fleet on such disks that has agreed on a first command.
-func lateFleet(t *testing.T, seed uint64) (*fleet, map[string]*lateDisk) {
-	f := build(seed)
+// newLateDiskCluster returns a cluster whose cores run on late disks and which has committed a first command.
+func newLateDiskCluster(t *testing.T, seed uint64) (*testCluster, map[string]*lateDisk) {
+	f := newCluster(seed)
 	disks := map[string]*lateDisk{}
 	for _, addr := range f.seeds {
 		f.powerOff(addr[:8])
 		f.world.Machine(addr[:8]).WipeDisk()
-		disks[addr[:8]] = f.coreOn(addr)
+		disks[addr[:8]] = f.startCoreOnLateDisk(addr)
 	}
 	require.NoError(t, f.submitNumber(1, "first", 20*time.Second))
 	return f, disks
 }
 
-const longRow = 200_000
+// longEntryBytes is the size of a command that counts as many log units.
+const longEntryBytes = 200_000
 
-// TestOneLogOpen: however snapshots come late, a core holds one log open.
+// TestOneLogOpen checks that a core keeps only one log open when the disk saves snapshots later than the
+// time limit.
 func TestOneLogOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, disks := lateFleet(t, 6)
+		f, disks := newLateDiskCluster(t, 6)
 		defer f.close()
 		for i := range 45 {
 			for _, d := range disks {
 				if i%20 == 0 {
-					d.late = 6 * time.Second
+					d.saveDelay = 6 * time.Second
 				}
 			}
-			require.NoError(t, f.addLong(1, fmt.Sprint("long", i), longRow, 60*time.Second))
+			require.NoError(t, f.addPadded(1, fmt.Sprint("long", i), longEntryBytes, 60*time.Second))
 		}
 		time.Sleep(30 * time.Second)
 		for ip, d := range disks {
-			require.EqualValues(t, 1, d.logs.Load(), ip)
+			require.EqualValues(t, 1, d.openLogs.Load(), ip)
 		}
 	})
 }
 
-// TestLongRows: a log gives way to a snapshot by its bytes as well as by its rows, at
-// the primary and at the backup.
-func TestLongRows(t *testing.T) {
+// TestLongEntriesTriggerCompaction checks that the primary and the backup replace a log by a snapshot
+// because of the bytes in it, not only the number of entries.
+func TestLongEntriesTriggerCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, disks := lateFleet(t, 7)
+		f, disks := newLateDiskCluster(t, 7)
 		defer f.close()
-		const rows = 50
-		for i := range rows {
-			require.NoError(t, f.addLong(1, fmt.Sprint("long", i), longRow, 20*time.Second))
+		const entries = 50
+		for i := range entries {
+			require.NoError(t, f.addPadded(1, fmt.Sprint("long", i), longEntryBytes, 20*time.Second))
 		}
-		sent := 0
+		compacted := 0
 		for _, d := range disks {
-			if d.snapshots.Load() >= rows*longRow/(5<<20) {
-				sent++
+			if d.savedSnapshots.Load() >= entries*longEntryBytes/(5<<20) {
+				compacted++
 			}
 		}
-		require.GreaterOrEqual(t, sent, 2, "both copies of the data took snapshots")
+		require.GreaterOrEqual(t, compacted, 2, "the primary and the backup must take snapshots")
 	})
 }
--- a/coordination/restart_test.go
+++ b/coordination/total_power_loss_test.go
@@ -1,4 +1,4 @@
-// The core's way back after all of it was without power.
+// Tests the restart of the core after all its machines lost power.
 
 package coordination_test
 
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBackTogether: all disk machines lose power at once and come back one after the other
-// within 0.3 s, the primary first. Its first packets to the others are lost; all the same
-// it leads again, with what was acknowledged, within 0.4 s of the last one's start.
-func TestBackTogether(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := build(seed)
+// TestRestartAfterTotalPowerLoss powers off all cores at once and restarts them one after the other within
+// 0.3 s, the primary first. Although its first packets to the others are lost, there must be a
+// primary with all acknowledged commands within 0.4 s of the last start.
+func TestRestartAfterTotalPowerLoss(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newCluster(seed)
 		defer f.close()
 		require.NoError(t, f.submitNumber(7, "before", 10*time.Second))
 		list := []string{f.leader()}
@@ -30,7 +30,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		for i, ip := range list {
 			time.Sleep(time.Duration(i) * 100 * time.Millisecond)
-			f.core(ip + ":1")
+			f.startMember(ip + ":1")
 		}
 		last := time.Now()
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
--- a/coordination/two_losses_test.go
+++ b/coordination/two_losses_test.go
@@ -16,8 +16,8 @@
 // machines lose power or their disks at the same moment right after an answer, in each of three
 // rounds. The pairs include the primary with a backup and both backups.
 func TestTwoMachinesLost(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := buildOf(seed, 6, 2)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newClusterOfSize(seed, 6, 2)
 		defer f.close()
 		r := rand.New(rand.NewPCG(seed, 1))
 		want := int64(0)
@@ -48,7 +48,7 @@
 			require.NoError(t, f.submitNumber(1, fmt.Sprint("then", i), 10*time.Second), "round %d without %v", i, ips)
 			want++
 			for _, ip := range ips {
-				f.core(ip + ":1")
+				f.startMember(ip + ":1")
 			}
 			time.Sleep(14 * time.Second) // lost voters are replaced by reachable machines
 			for _, v := range f.watchers {
@@ -70,8 +70,8 @@
 // primary and the other backup are then lost with their disks. The core has it once the first
 // backup is back, although that one never received it from the old primary.
 func TestDataReplicasLostWhileBackupOff(t *testing.T) {
-	eachSeed(t, func(t *testing.T, seed uint64) {
-		f := buildOf(seed, 6, 2)
+	forEachSeed(t, func(t *testing.T, seed uint64) {
+		f := newClusterOfSize(seed, 6, 2)
 		defer f.close()
 		require.NoError(t, f.submitNumber(1, "a", 10*time.Second))
 		time.Sleep(time.Duration(seed%5) * 300 * time.Millisecond)
@@ -87,7 +87,7 @@
 			f.powerOff(ip)
 			f.world.Machine(ip).WipeDisk()
 		}
-		f.core(offline + ":1")
+		f.startMember(offline + ":1")
 		ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 		defer stop()
 		r, err := f.agents[1].Submit(ctx, "c", "add", []byte("4"))
