--- a/internal/proxy/check_test.go
+++ b/internal/proxy/check_test.go
@@ -17,24 +17,24 @@
 
 // onceOnly: what may not be repeated runs once at most, and does not end in a refusal
 // once it was offered and not turned away; a refusal means that nothing ran.
-func onceOnly(rows []row, ends []*asked) []string {
+func onceOnly(rows []callRecord, ends []*requestResult) []string {
 	var out []string
 	ran, took := map[string]int{}, map[string]int{}
 	for _, k := range rows {
-		if k.Kind == "emit" && k.Ran {
-			ran[k.Req]++
+		if k.Kind == "emit" && k.Executed {
+			ran[k.RequestID]++
 		}
-		if k.Kind == "emit" && k.Took {
-			took[k.Req]++
+		if k.Kind == "emit" && k.Accepted {
+			took[k.RequestID]++
 		}
 	}
 	for _, a := range ends {
-		if !a.again && ran[a.ID] > 1 {
+		if !a.retryable && ran[a.ID] > 1 {
 			out = append(out, fmt.Sprintf("%s ran %d times", a.ID, ran[a.ID]))
 		}
 		if _, no := a.err.(*RejectedError); no && ran[a.ID] > 0 {
 			out = append(out, fmt.Sprintf("%s was refused, and ran", a.ID))
-		} else if no && !a.again && took[a.ID] > 0 {
+		} else if no && !a.retryable && took[a.ID] > 0 {
 			out = append(out, fmt.Sprintf("%s was refused, and was offered", a.ID))
 		}
 		if a.err == nil && ran[a.ID] == 0 {
@@ -45,7 +45,7 @@
 }
 
 // ended: every request has an end, in time, of one of the three sorts.
-func ended(ends []*asked, limit time.Duration) []string {
+func ended(ends []*requestResult, limit time.Duration) []string {
 	var out []string
 	for _, a := range ends {
 		switch a.err.(type) {
@@ -53,8 +53,8 @@
 		default:
 			out = append(out, fmt.Sprintf("%s ends with %T", a.ID, a.err))
 		}
-		if !a.ended || a.end-a.at > limit {
-			out = append(out, fmt.Sprintf("%s took %s", a.ID, a.end-a.at))
+		if !a.finished || a.endedAt-a.sentAt > limit {
+			out = append(out, fmt.Sprintf("%s took %s", a.ID, a.endedAt-a.sentAt))
 		}
 	}
 	return out
@@ -63,21 +63,21 @@
 // answers: a success has the whole answer, each event once and in order, after the one
 // that the caller had; a broken one has whole events of it only (or whole bytes of a
 // plain answer); a refused one has nothing.
-func answers(ends []*asked) []string {
+func answers(ends []*requestResult) []string {
 	var out []string
 	for _, a := range ends {
-		got, first := a.sink.text(), 0
+		got, first := a.response.bodyText(), 0
 		fmt.Sscan(a.LastEventID, &first)
-		if _, no := a.err.(*RejectedError); no && (got != "" || a.sink.heads > 0) {
+		if _, no := a.err.(*RejectedError); no && (got != "" || a.response.headCount > 0) {
 			out = append(out, a.ID+" is refused and has bytes")
 		}
-		if b, no := a.err.(*AbortedError); no && b.HeadSent != (a.sink.heads > 0) {
+		if b, no := a.err.(*AbortedError); no && b.HeadSent != (a.response.headCount > 0) {
 			out = append(out, a.ID+" does not tell whether it began")
 		}
-		if a.sink.heads > 1 {
+		if a.response.headCount > 1 {
 			out = append(out, a.ID+" has two heads")
 		}
-		if a.sink.heads > 0 && a.sink.status != 200 {
+		if a.response.headCount > 0 && a.response.status != 200 {
 			continue
 		}
 		if !a.stream {
@@ -111,7 +111,7 @@
 
 // extras: arrivals beyond the first of each request, apart from one reading that worked,
 // stay within ratio x requests + allowance in every window.
-func extras(rows []row, ends []*asked, ratio, allow float64, window time.Duration) []string {
+func extras(rows []callRecord, ends []*requestResult, ratio, allow float64, window time.Duration) []string {
 	var out []string
 	type step struct {
 		at    time.Duration
@@ -119,7 +119,7 @@
 	}
 	var steps []step
 	for _, a := range ends {
-		steps = append(steps, step{a.at, false})
+		steps = append(steps, step{a.sentAt, false})
 	}
 	// The first read of a request that a worker takes up does not count; all others do.
 	count, taken := map[string]int{}, map[string]bool{}
@@ -127,11 +127,11 @@
 		if k.Kind != "emit" && k.Kind != "read" {
 			continue
 		}
-		if k.Kind == "read" && k.Ran && !taken[k.Req] {
-			taken[k.Req] = true
+		if k.Kind == "read" && k.Executed && !taken[k.RequestID] {
+			taken[k.RequestID] = true
 			continue
 		}
-		if count[k.Req]++; count[k.Req] > 1 {
+		if count[k.RequestID]++; count[k.RequestID] > 1 {
 			steps = append(steps, step{k.At, true})
 		}
 	}
@@ -158,7 +158,7 @@
 }
 
 // coldRate: in no second do more than so many arrivals come to one cold worker.
-func coldRate(rows []row, limit int) []string {
+func coldRate(rows []callRecord, limit int) []string {
 	var out []string
 	by := map[ids.WorkerID][]time.Duration{}
 	for _, k := range rows {
@@ -176,13 +176,13 @@
 
 // leftAlone: nothing new goes to a worker that the node has known for a moment to be
 // leaving, turning, drained or in an evacuated zone.
-func leftAlone(rows []row, moment time.Duration) []string {
+func leftAlone(rows []callRecord, moment time.Duration) []string {
 	var out []string
 	for _, k := range rows {
-		if (k.Kind == "read" || k.Kind == "emit") && k.Off > moment {
+		if (k.Kind == "read" || k.Kind == "emit") && k.UnavailableFor > moment {
 			out = append(
 				out,
-				fmt.Sprintf("at %s: %s sends a %s to %s, known as off for %s", k.At, k.Node, k.Kind, k.Worker, k.Off),
+				fmt.Sprintf("at %s: %s sends a %s to %s, known as off for %s", k.At, k.Node, k.Kind, k.Worker, k.UnavailableFor),
 			)
 		}
 	}
@@ -190,11 +190,11 @@
 }
 
 // sentTo lists arrivals at a worker within a span.
-func sentTo(rows []row, id ids.WorkerID, from, to time.Duration) []string {
+func sentTo(rows []callRecord, id ids.WorkerID, from, to time.Duration) []string {
 	var out []string
 	for _, k := range rows {
 		if (k.Kind == "read" || k.Kind == "emit") && k.Worker == id && k.At >= from && k.At < to {
-			out = append(out, fmt.Sprintf("at %s: %s of %s from %s", k.At, k.Kind, k.Req, k.Node))
+			out = append(out, fmt.Sprintf("at %s: %s of %s from %s", k.At, k.Kind, k.RequestID, k.Node))
 		}
 	}
 	return out
@@ -202,9 +202,9 @@
 
 // ordersApart: orders of different owners to one worker are a lease apart at least, and
 // fences never fall.
-func ordersApart(rows []row, lease time.Duration) []string {
+func ordersApart(rows []callRecord, lease time.Duration) []string {
 	var out []string
-	last := map[ids.WorkerID]row{}
+	last := map[ids.WorkerID]callRecord{}
 	for _, k := range rows {
 		if k.Kind != "order" {
 			continue
@@ -236,7 +236,7 @@
 
 // thirds: each part keeps a third of the workers (rounded up, one at least), by what
 // orders make of them.
-func thirds(rows []row, parts map[ids.WorkerID]ids.Role) []string {
+func thirds(rows []callRecord, parts map[ids.WorkerID]ids.Role) []string {
 	var out []string
 	now := map[ids.WorkerID]ids.Role{}
 	for id, p := range parts {
@@ -244,10 +244,10 @@
 	}
 	minimum := (len(parts) + 2) / 3
 	for _, k := range rows {
-		if k.Kind != "order" || !k.Took {
+		if k.Kind != "order" || !k.Accepted {
 			continue
 		}
-		now[k.Worker] = k.To
+		now[k.Worker] = k.TargetRole
 		count := map[ids.Role]int{}
 		for _, p := range now {
 			count[p]++
@@ -260,13 +260,13 @@
 }
 
 // kept lists handles that were neither fetched nor freed.
-func kept(y *workerPool) []string {
+func kept(y *fakePlatform) []string {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	var out []string
 	for name, h := range y.handles {
-		if h.had == 0 && !h.freed {
-			out = append(out, name+" of "+h.req)
+		if h.fetches == 0 && !h.freed {
+			out = append(out, name+" of "+h.requestID)
 		}
 	}
 	return out
@@ -275,36 +275,36 @@
 // TestPlanted: each checker keeps silent on a clean book and catches its own violation.
 func TestPlanted(t *testing.T) {
 	event := func(i int) string { return fmt.Sprintf("id: %d\ndata: word-%d of r\n\n", i, i) }
-	end := func(err error, path, got string) []*asked {
-		s := &sink{got: []byte(got)}
+	end := func(err error, path, got string) []*requestResult {
+		s := &responseRecorder{body: []byte(got)}
 		if got != "" {
-			s.heads, s.status = 1, 200
+			s.headCount, s.status = 1, 200
 		}
-		return []*asked{{
-			Request: &Request{ID: "r", Path: path, MaxTokens: 2},
-			err:     err,
-			sink:    s,
-			stream:  strings.HasPrefix(path, "/s"),
-			ended:   true,
-			at:      time.Second,
-			end:     2 * time.Second,
+		return []*requestResult{{
+			Request:  &Request{ID: "r", Path: path, MaxTokens: 2},
+			err:      err,
+			response: s,
+			stream:   strings.HasPrefix(path, "/s"),
+			finished: true,
+			sentAt:   time.Second,
+			endedAt:  2 * time.Second,
 		}}
 	}
-	emit := row{Kind: "emit", Req: "r", Took: true, Ran: true, Worker: "w"}
+	emit := callRecord{Kind: "emit", RequestID: "r", Accepted: true, Executed: true, Worker: "w"}
 	silent := emit
-	silent.Ran = false
+	silent.Executed = false
 	plainText := "word-1 of r;word-2 of r;"
 
-	require.Empty(t, onceOnly([]row{emit}, end(nil, "/once/", plainText)))
-	require.Empty(t, onceOnly([]row{{Kind: "emit", Req: "r"}}, end(&RejectedError{}, "/once/", "")))
-	require.NotEmpty(t, onceOnly([]row{emit, emit}, end(nil, "/once/", plainText)), "ran twice")
-	require.NotEmpty(t, onceOnly([]row{emit}, end(&RejectedError{}, "/once/", "")), "ran and refused")
-	require.NotEmpty(t, onceOnly([]row{silent}, end(&RejectedError{}, "/once/", "")), "offered and refused")
+	require.Empty(t, onceOnly([]callRecord{emit}, end(nil, "/once/", plainText)))
+	require.Empty(t, onceOnly([]callRecord{{Kind: "emit", RequestID: "r"}}, end(&RejectedError{}, "/once/", "")))
+	require.NotEmpty(t, onceOnly([]callRecord{emit, emit}, end(nil, "/once/", plainText)), "ran twice")
+	require.NotEmpty(t, onceOnly([]callRecord{emit}, end(&RejectedError{}, "/once/", "")), "ran and refused")
+	require.NotEmpty(t, onceOnly([]callRecord{silent}, end(&RejectedError{}, "/once/", "")), "offered and refused")
 	require.NotEmpty(t, onceOnly(nil, end(nil, "/once/", plainText)), "never ran")
 
 	require.Empty(t, ended(end(nil, "/once/", plainText), 2*time.Second))
 	require.NotEmpty(t, ended(end(nil, "/once/", plainText), time.Millisecond), "late")
-	require.NotEmpty(t, ended(end(errReset, "/once/", ""), 2*time.Second), "another sort of end")
+	require.NotEmpty(t, ended(end(errConnectionReset, "/once/", ""), 2*time.Second), "another sort of end")
 
 	require.Empty(t, answers(end(nil, "/once/", plainText)))
 	require.Empty(t, answers(end(&AbortedError{HeadSent: true}, "/stream/", event(1))))
@@ -321,49 +321,49 @@
 
 	second := emit
 	second.At = 3 * time.Second
-	require.Empty(t, extras([]row{emit, second}, end(nil, "/again/", plainText), 1, 0, 10*time.Second))
-	require.NotEmpty(t, extras([]row{
+	require.Empty(t, extras([]callRecord{emit, second}, end(nil, "/again/", plainText), 1, 0, 10*time.Second))
+	require.NotEmpty(t, extras([]callRecord{
 		emit, second,
 	}, end(nil, "/again/", plainText), 0.5, 0, 10*time.Second), "one extra for one request")
-	require.NotEmpty(t, extras([]row{
+	require.NotEmpty(t, extras([]callRecord{
 		emit, second,
 	}, end(nil, "/again/", plainText), 1, 0, time.Second), "the request is out of the window")
-	require.NotEmpty(t, extras([]row{
-		{Kind: "read", Req: "r"},
+	require.NotEmpty(t, extras([]callRecord{
+		{Kind: "read", RequestID: "r"},
 		second,
 	}, end(nil, "/again/", plainText), 0.5, 0, 10*time.Second), "a failed reading")
-	require.Empty(t, extras([]row{
-		{Kind: "read", Req: "r", Ran: true},
+	require.Empty(t, extras([]callRecord{
+		{Kind: "read", RequestID: "r", Executed: true},
 		second,
 	}, end(nil, "/again/", plainText), 0.5, 0, 10*time.Second))
 
-	cold := row{Kind: "read", Worker: "w", Cold: true}
-	require.Empty(t, coldRate([]row{cold, cold}, 2))
-	require.NotEmpty(t, coldRate([]row{cold, cold, cold}, 2))
-	off := row{Kind: "emit", Worker: "w", Off: time.Second}
-	require.Empty(t, leftAlone([]row{emit, off}, 2*time.Second))
-	require.NotEmpty(t, leftAlone([]row{emit, off}, 100*time.Millisecond))
-	require.Empty(t, sentTo([]row{second}, "w", 0, time.Second))
-	require.NotEmpty(t, sentTo([]row{second}, "w", 3*time.Second, 4*time.Second))
+	cold := callRecord{Kind: "read", Worker: "w", Cold: true}
+	require.Empty(t, coldRate([]callRecord{cold, cold}, 2))
+	require.NotEmpty(t, coldRate([]callRecord{cold, cold, cold}, 2))
+	off := callRecord{Kind: "emit", Worker: "w", UnavailableFor: time.Second}
+	require.Empty(t, leftAlone([]callRecord{emit, off}, 2*time.Second))
+	require.NotEmpty(t, leftAlone([]callRecord{emit, off}, 100*time.Millisecond))
+	require.Empty(t, sentTo([]callRecord{second}, "w", 0, time.Second))
+	require.NotEmpty(t, sentTo([]callRecord{second}, "w", 3*time.Second, 4*time.Second))
 
-	order := func(at time.Duration, owner ids.NodeID, fence ids.Fence) row {
-		return row{Kind: "order", At: at, Worker: "w", Owner: owner, Fence: fence, To: ids.Decode, Took: true}
+	order := func(at time.Duration, owner ids.NodeID, fence ids.Fence) callRecord {
+		return callRecord{Kind: "order", At: at, Worker: "w", Owner: owner, Fence: fence, TargetRole: ids.Decode, Accepted: true}
 	}
-	require.Empty(t, ordersApart([]row{
+	require.Empty(t, ordersApart([]callRecord{
 		order(0, "a", 1), order(1, "a", 1), order(4*time.Second, "b", 2),
 	}, 3*time.Second))
-	require.NotEmpty(t, ordersApart([]row{order(0, "a", 1), order(2*time.Second, "b", 2)}, 3*time.Second), "too close")
-	require.NotEmpty(t, ordersApart([]row{
+	require.NotEmpty(t, ordersApart([]callRecord{order(0, "a", 1), order(2*time.Second, "b", 2)}, 3*time.Second), "too close")
+	require.NotEmpty(t, ordersApart([]callRecord{
 		order(0, "a", 2), order(4*time.Second, "b", 1),
 	}, 3*time.Second), "a lower fence")
 	parts := map[ids.WorkerID]ids.Role{"v": ids.Prefill, "w": ids.Prefill, "x": ids.Decode}
-	require.Empty(t, thirds([]row{order(0, "a", 1)}, parts))
-	require.NotEmpty(t, thirds([]row{order(0, "a", 1)}, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "x": ids.Decode}))
+	require.Empty(t, thirds([]callRecord{order(0, "a", 1)}, parts))
+	require.NotEmpty(t, thirds([]callRecord{order(0, "a", 1)}, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "x": ids.Decode}))
 
-	y := newCluster()
-	y.handles["h"] = &handle{had: 1}
-	y.handles["i"] = &handle{freed: true}
+	y := newFakePlatform()
+	y.handles["h"] = &memoryHandle{fetches: 1}
+	y.handles["i"] = &memoryHandle{freed: true}
 	require.Empty(t, kept(y))
-	y.handles["j"] = &handle{}
+	y.handles["j"] = &memoryHandle{}
 	require.NotEmpty(t, kept(y))
 }
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -20,7 +20,7 @@
 )
 
 func (f *fleet) inForce(v ids.Version) bool {
-	for _, b := range f.up() {
+	for _, b := range f.runningNodes() {
 		if b.view.Current().Version != v {
 			return false
 		}
@@ -31,7 +31,7 @@
 func (f *fleet) newest(t *testing.T) fleetstate.VersionedText {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	b := f.up()[0]
+	b := f.runningNodes()[0]
 	got, _, err := fleetstate.Newest(ctx, b.agent.Caller(), b.Directory())
 	require.NoError(t, err)
 	return got
@@ -42,9 +42,9 @@
 // operation asked again gives its one outcome, also after others came. Newest reads what
 // was staged at once, and the outcome of an operation can be asked for.
 func TestPut(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 71, 2, y, plain(), nil)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 71, 2, y, defaultConfiguration(), nil)
 		defer f.close()
 		b := f.nodes[0]
 		put := func(op ids.OpID, base, next ids.Version, text string) (ids.Version, error) {
@@ -57,7 +57,7 @@
 			defer stop()
 			return fleetstate.Outcome(ctx, b.agent.Caller(), b.Directory(), op, fleetstate.OutcomeQuery{Base: base})
 		}
-		require.True(t, f.until(3*time.Second, func() bool { return f.inForce(1) }))
+		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.inForce(1) }))
 		v, err := put("seven", 1, 7, `{"zones":["seven"]}`)
 		require.NoError(t, err)
 		require.EqualValues(t, 7, v)
@@ -88,19 +88,19 @@
 		require.EqualValues(t, 12, v)
 		_, err = outcome("never", 7)
 		require.True(t, failure.Is(err, failure.Stale))
-		require.True(t, f.until(3*time.Second, func() bool { return f.inForce(13) }))
+		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.inForce(13) }))
 	})
 }
 
 // TestPutPacked: a large text is kept and sent on short, and is in force and read back byte
 // for byte.
 func TestPutPacked(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 74, 2, y, plain(), nil)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 74, 2, y, defaultConfiguration(), nil)
 		defer f.close()
-		require.True(t, f.until(3*time.Second, func() bool { return f.inForce(1) }))
-		routes := ways()
+		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.inForce(1) }))
+		routes := defaultRoutes()
 		for i := range 1400 {
 			routes = append(routes, fleetstate.Route{
 				Name:    fmt.Sprint("x", i),
@@ -109,9 +109,9 @@
 				Service: "svc",
 			})
 		}
-		text := policy(routes, fleetstate.Service{Name: "svc", Concurrency: 16})
-		require.NoError(t, f.put("large", 1, 2, text))
-		require.True(t, f.until(3*time.Second, func() bool { return f.inForce(2) }))
+		text := encodeConfiguration(routes, fleetstate.Service{Name: "svc", Concurrency: 16})
+		require.NoError(t, f.putConfiguration("large", 1, 2, text))
+		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.inForce(2) }))
 		require.Equal(t, text, f.newest(t).Text)
 		for _, b := range f.nodes {
 			require.Equal(t, text, b.view.Current().Text)
@@ -123,16 +123,16 @@
 // TestNewestReadsStaged: while a node is frozen and a version only staged, Newest gives it
 // already, though the nodes still serve the older one.
 func TestNewestReadsStaged(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 72, 3, y, plain(), nil)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 72, 3, y, defaultConfiguration(), nil)
 		defer f.close()
-		f.freeze(2, true)
-		require.NoError(t, f.put("two", 1, 2, plain()))
+		f.setFrozen(2, true)
+		require.NoError(t, f.putConfiguration("two", 1, 2, defaultConfiguration()))
 		require.EqualValues(t, 2, f.newest(t).Version)
 		require.EqualValues(t, 1, f.nodes[0].view.Current().Version, "only staged yet")
-		f.freeze(2, false)
-		require.True(t, f.until(3*time.Second, func() bool { return f.inForce(2) }))
+		f.setFrozen(2, false)
+		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.inForce(2) }))
 	})
 }
 
@@ -140,9 +140,9 @@
 // and follow their peers, and nodes start anew: the version in force at a node never
 // falls, the same number has the same text at all, and in the end all have the newest.
 func TestNeverBack(t *testing.T) {
-	eachSeed(t, 4, func(t *testing.T, seed uint64) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, seed, 3, y, plain(), nil)
+	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, seed, 3, y, defaultConfiguration(), nil)
 		defer f.close()
 		var mu sync.Mutex
 		texts := map[ids.Version]string{}
@@ -154,7 +154,7 @@
 			last := map[*Node]ids.Version{}
 			for {
 				mu.Lock()
-				for _, b := range f.up() {
+				for _, b := range f.runningNodes() {
 					s := b.view.Current()
 					if s.Version < last[b.Node] {
 						faults = append(faults, fmt.Sprintf("%s went from %d to %d", b.ip, last[b.Node], s.Version))
@@ -179,24 +179,24 @@
 			switch (int(seed) + i) % 4 {
 			case 0:
 				if l := f.leader(); l != "" {
-					f.offCore(l)
+					f.powerOffCore(l)
 				}
 			case 1:
-				f.w.Partition(ip, coreIps, true)
+				f.world.Partition(ip, coreIPs, true)
 			case 2:
-				f.freeze(n, true)
+				f.setFrozen(n, true)
 			case 3:
-				f.kill(n)
+				f.killNode(n)
 			}
 			next := v + ids.Version(1+i%3)
 			var err error
-			f.until(20*time.Second, func() bool {
-				err = f.putAt(
+			f.waitUntil(20*time.Second, func() bool {
+				err = f.putConfigurationVia(
 					f.nodes[(n+1)%3],
 					ids.OpID(fmt.Sprint("op", i)),
 					v,
 					next,
-					policy(append(ways(), fleetstate.Route{
+					encodeConfiguration(append(defaultRoutes(), fleetstate.Route{
 						Name:    fmt.Sprint("x", next),
 						Host:    "x",
 						Prefix:  "/",
@@ -208,19 +208,19 @@
 			require.NoError(t, err)
 			v = next
 			time.Sleep(2 * time.Second)
-			f.w.Partition(ip, coreIps, false)
-			f.freeze(n, false)
-			if !f.nodes[n].up {
-				f.node(n)
+			f.world.Partition(ip, coreIPs, false)
+			f.setFrozen(n, false)
+			if !f.nodes[n].running {
+				f.startNode(n)
 			}
-			for _, core := range coreIps {
+			for _, core := range coreIPs {
 				if f.cores[core] == nil {
-					f.core(core)
+					f.startCore(core)
 				}
 			}
 			time.Sleep(2 * time.Second)
 		}
-		require.True(t, f.until(10*time.Second, func() bool { return f.inForce(v) }))
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.inForce(v) }))
 		halt()
 		mu.Lock()
 		defer mu.Unlock()
@@ -234,44 +234,44 @@
 func TestKeepsRoute(t *testing.T) {
 	for _, dropped := range []bool{false, true} {
 		t.Run(fmt.Sprint("dropped-", dropped), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(append(both("svc", 2, 2), both("other", 2, 2)...)...)
-				f := build(t, 73, 2, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
+			runInBubble(t, func(t *testing.T) {
+				y := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
+				f := startFleet(t, 73, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
 				defer f.close()
-				long := make(chan *asked, 1)
-				f.wg.Go(func() { long <- f.ask(f.nodes[0], f.req("long", "/sresume/x", 400, 150)) })
+				long := make(chan *requestResult, 1)
+				f.wg.Go(func() { long <- f.send(f.nodes[0], f.newRequest("long", "/sresume/x", 400, 150)) })
 				time.Sleep(500 * time.Millisecond)
-				routes := ways()
+				routes := defaultRoutes()
 				routes[3].Service, routes[3].Resumable = "other", false
 				if dropped {
 					routes = routes[:3]
 				}
 				require.NoError(
 					t,
-					f.put(
+					f.putConfiguration(
 						"two",
 						1,
 						2,
-						policy(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"}),
+						encodeConfiguration(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"}),
 					),
 				)
-				require.True(t, f.until(2*time.Second, func() bool { return f.inForce(2) }))
-				late := f.ask(f.nodes[0], f.req("late", "/sresume/x", 400, 3))
-				for _, k := range y.directory() {
-					if k.Kind == "emit" && k.Req == "long" {
-						y.restart(string(k.Worker[:len(k.Worker)-2]))
+				require.True(t, f.waitUntil(2*time.Second, func() bool { return f.inForce(2) }))
+				late := f.send(f.nodes[0], f.newRequest("late", "/sresume/x", 400, 3))
+				for _, k := range y.recordedCalls() {
+					if k.Kind == "emit" && k.RequestID == "long" {
+						y.restartWorker(string(k.Worker[:len(k.Worker)-2]))
 					}
 				}
 				a := <-long
 				require.NoError(t, a.err)
-				require.Empty(t, answers([]*asked{a}))
+				require.Empty(t, answers([]*requestResult{a}))
 				emits := 0
-				for _, k := range y.directory() {
-					if k.Kind == "emit" && k.Req == "long" {
+				for _, k := range y.recordedCalls() {
+					if k.Kind == "emit" && k.RequestID == "long" {
 						require.Contains(t, string(k.Worker), "svc")
 						emits++
 					}
-					if k.Req == "late" {
+					if k.RequestID == "late" {
 						require.Contains(t, string(k.Worker), "other")
 					}
 				}
@@ -289,22 +289,22 @@
 // TestRoutesComeAndGo: a route that is added is found at every node, one that is dropped
 // is not, and the longest prefix wins; a request without a route never reaches a worker.
 func TestRoutesComeAndGo(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(append(both("svc", 2, 2), both("other", 2, 2)...)...)
-		f := build(t, 74, 3, y, plain(), nil)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
+		f := startFleet(t, 74, 3, y, defaultConfiguration(), nil)
 		defer f.close()
 		try := func(id, path string) []string {
 			var out []string
 			for _, b := range f.nodes {
-				a := f.ask(b, f.req(id+b.ip, path, 400, 2))
+				a := f.send(b, f.newRequest(id+b.ip, path, 400, 2))
 				if no, ok := a.err.(*RejectedError); ok {
 					require.Equal(t, 404, no.Code)
 					out = append(out, "404")
 					continue
 				}
 				require.NoError(t, a.err)
-				for _, k := range y.directory() {
-					if k.Kind == "emit" && k.Req == a.ID {
+				for _, k := range y.recordedCalls() {
+					if k.Kind == "emit" && k.RequestID == a.ID {
 						out = append(out, string(k.Worker[:3]))
 					}
 				}
@@ -313,7 +313,7 @@
 		}
 		require.Equal(t, []string{"404", "404", "404"}, try("a", "/new/x"))
 		require.Equal(t, []string{"svc", "svc", "svc"}, try("b", "/once/deep/x"))
-		routes := append(ways()[1:], fleetstate.Route{
+		routes := append(defaultRoutes()[1:], fleetstate.Route{
 			Name:            "new",
 			Host:            routeHost,
 			Prefix:          "/new/",
@@ -335,9 +335,9 @@
 			})
 		require.NoError(
 			t,
-			f.put("two", 1, 2, policy(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})),
+			f.putConfiguration("two", 1, 2, encodeConfiguration(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})),
 		)
-		require.True(t, f.until(2*time.Second, func() bool { return f.inForce(2) }))
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.inForce(2) }))
 		require.Equal(t, []string{"svc", "svc", "svc"}, try("c", "/new/x"))
 		require.Equal(t, []string{"404", "404", "404"}, try("d", "/once/x"))
 		require.Equal(t, []string{"svc", "svc", "svc"}, try("e", "/again/x"))
@@ -348,8 +348,8 @@
 // TestSplit: a route's requests fall to its services by their weights, each by its id, so
 // that the same try falls to the same service on every node.
 func TestSplit(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(append(both("svc", 2, 3), both("other", 2, 3)...)...)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 3), prefillAndDecodeWorkers("other", 2, 3)...)...)
 		split := fleetstate.Route{
 			Name:   "r",
 			Host:   routeHost,
@@ -364,27 +364,27 @@
 			DeadlineMs:      4000,
 			LatencyTargetMs: 400,
 		}
-		f := build(
+		f := startFleet(
 			t,
 			75,
 			2,
 			y,
-			policy([]fleetstate.Route{split}, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"}),
+			encodeConfiguration([]fleetstate.Route{split}, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"}),
 			nil,
 		)
 		defer f.close()
-		all := f.load(80, 5*time.Second, func(i int) *Request {
-			return f.req(fmt.Sprint("try-", i/2), "/once/x", 200, 2)
+		all := f.generateLoad(80, 5*time.Second, func(i int) *Request {
+			return f.newRequest(fmt.Sprint("try-", i/2), "/once/x", 200, 2)
 		})
 		at := map[string]string{}
 		count := map[string]int{}
-		for _, k := range y.directory() {
+		for _, k := range y.recordedCalls() {
 			if k.Kind == "emit" {
 				to := string(k.Worker[:3])
-				if previous, ok := at[k.Req]; ok {
-					require.Equal(t, previous, to, k.Req)
+				if previous, ok := at[k.RequestID]; ok {
+					require.Equal(t, previous, to, k.RequestID)
 				}
-				at[k.Req] = to
+				at[k.RequestID] = to
 				count[to]++
 			}
 		}
@@ -395,27 +395,27 @@
 // TestNotReady: a node without a configuration, or without a worker on its list, is not
 // ready, and refuses without reaching any worker; a node that lost the core goes on.
 func TestNotReady(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 76, 2, y, plain(), nil)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 76, 2, y, defaultConfiguration(), nil)
 		defer f.close()
-		for _, ip := range coreIps {
-			f.offCore(ip)
+		for _, ip := range coreIPs {
+			f.powerOffCore(ip)
 		}
-		y.at(func() { y.nolist = true })
+		y.withLock(func() { y.listFails = true })
 		time.Sleep(10 * time.Second)
-		all := f.load(20, 4*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 3) })
+		all := f.generateLoad(20, 4*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 3) })
 		for _, a := range all {
 			require.NoError(t, a.err, "the last list and configuration are kept")
 		}
-		f.kill(0)
-		f.kill(1)
-		b := f.node(0)
+		f.killNode(0)
+		f.killNode(1)
+		b := f.startNode(0)
 		time.Sleep(2 * time.Second)
 		ok, reason := b.Ready()
 		require.False(t, ok)
 		require.NotEmpty(t, reason)
-		a := f.ask(b, f.req("late", "/once/x", 400, 3))
+		a := f.send(b, f.newRequest("late", "/once/x", 400, 3))
 		require.Equal(t, 503, a.err.(*RejectedError).Code)
 	})
 }
@@ -425,13 +425,13 @@
 // no such route; in touch again it serves a route that was added meanwhile, and is sure of one
 // that there is not.
 func TestUnknownRouteWhileBehind(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 76, 3, y, plain(), nil)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 76, 3, y, defaultConfiguration(), nil)
 		defer f.close()
 		cut := f.nodes[2]
 		status := func(id, path string) int {
-			a := f.ask(cut, f.req(id, path, 400, 2))
+			a := f.send(cut, f.newRequest(id, path, 400, 2))
 			var rejected *RejectedError
 			if errors.As(a.err, &rejected) {
 				return rejected.Code
@@ -440,10 +440,10 @@
 			return http.StatusOK
 		}
 		require.Equal(t, http.StatusNotFound, status("a", "/new/x"))
-		peers := append([]string{f.nodes[0].ip, f.nodes[1].ip}, coreIps...)
-		f.w.Partition([]string{cut.ip}, peers, true)
+		peers := append([]string{f.nodes[0].ip, f.nodes[1].ip}, coreIPs...)
+		f.world.Partition([]string{cut.ip}, peers, true)
 		time.Sleep(time.Second)
-		routes := append(ways(), fleetstate.Route{
+		routes := append(defaultRoutes(), fleetstate.Route{
 			Name:            "new",
 			Host:            routeHost,
 			Prefix:          "/new/",
@@ -453,14 +453,14 @@
 			DeadlineMs:      3000,
 			LatencyTargetMs: 100,
 		})
-		require.NoError(t, f.put("two", 1, 2, policy(routes, fleetstate.Service{Name: "svc"})))
+		require.NoError(t, f.putConfiguration("two", 1, 2, encodeConfiguration(routes, fleetstate.Service{Name: "svc"})))
 		time.Sleep(currentSpan)
 		require.Equal(t, http.StatusServiceUnavailable, status("b", "/new/x"))
 		require.Equal(t, http.StatusServiceUnavailable, status("c", "/none/x"))
 		require.Equal(t, http.StatusOK, status("d", "/again/x"), "what it knows is served")
-		f.w.Partition([]string{cut.ip}, peers, false)
-		require.True(t, f.until(5*time.Second, func() bool { return f.inForce(2) }))
-		require.True(t, f.until(5*time.Second, func() bool { return cut.agent.CaughtUp(currentSpan) }))
+		f.world.Partition([]string{cut.ip}, peers, false)
+		require.True(t, f.waitUntil(5*time.Second, func() bool { return f.inForce(2) }))
+		require.True(t, f.waitUntil(5*time.Second, func() bool { return cut.agent.CaughtUp(currentSpan) }))
 		require.Equal(t, http.StatusOK, status("e", "/new/x"))
 		require.Equal(t, http.StatusNotFound, status("g", "/none/x"))
 	})
--- a/internal/proxy/event_gap_test.go
+++ b/internal/proxy/event_gap_test.go
@@ -10,37 +10,37 @@
 	"keelstair.example/ids"
 )
 
-// TestSlowDecoder: a worker whose events come at five times the pauses of others gets little to emit
+// TestSlowDecodeWorkerGetsLessWork: a worker whose events come at five times the pauses of others gets little to emit
 // within a second, though most of its places are free; once it is as fast as the others it gets its
 // part again.
-func TestSlowDecoder(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 3)...)
-		f := build(t, 60, 2, y, plain(), nil)
+func TestSlowDecodeWorkerGetsLessWork(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 60, 2, y, defaultConfiguration(), nil)
 		defer f.close()
 		share := func(duration time.Duration) float64 {
-			from := y.now()
-			f.load(30, duration, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/stream/x", 400, 12) })
+			from := y.elapsed()
+			f.generateLoad(30, duration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/stream/x", 400, 12) })
 			all := 0
-			for _, k := range y.directory() {
+			for _, k := range y.recordedCalls() {
 				if k.Kind == "emit" && k.At >= from {
 					all++
 				}
 			}
-			return float64(len(sentTo(y.directory(), "svc-decode-1.1", from, time.Hour))) / float64(all)
+			return float64(len(sentTo(y.recordedCalls(), "svc-decode-1.1", from, time.Hour))) / float64(all)
 		}
 		require.InDelta(t, 0.33, share(4*time.Second), 0.1)
-		y.at(func() { y.slowStep = map[string]time.Duration{"svc-decode-1": 5 * y.step} })
+		y.withLock(func() { y.slowEventIntervals = map[string]time.Duration{"svc-decode-1": 5 * y.eventInterval} })
 		share(time.Second)
 		require.Less(t, share(4*time.Second), 0.12)
-		y.at(func() { y.slowStep = nil })
+		y.withLock(func() { y.slowEventIntervals = nil })
 		share(2 * time.Second)
 		require.InDelta(t, 0.33, share(4*time.Second), 0.12)
 	})
 }
 
-// TestEventGap: the usual pause follows the pauses that are seen and is forgotten after a while.
-func TestEventGap(t *testing.T) {
+// TestEventIntervalAverage: the usual pause follows the pauses that are seen and is forgotten after a while.
+func TestEventIntervalAverage(t *testing.T) {
 	var g eventGap
 	now := ids.Tick(time.Hour)
 	require.Zero(t, g.current(now))
--- a/internal/proxy/exchange_timing_test.go
+++ b/internal/proxy/exchange_timing_test.go
@@ -15,9 +15,9 @@
 	"keelstair.example/internal/exchangemetrics"
 )
 
-// TestExchangeTimes: the steps of an exchange add up to the time until its first event, with and
+// TestExchangeStepTimes: the steps of an exchange add up to the time until its first event, with and
 // without a prefill of its own, and a read beyond what was reckoned counts as waiting.
-func TestExchangeTimes(t *testing.T) {
+func TestExchangeStepTimes(t *testing.T) {
 	const ms = time.Millisecond
 	at := ids.Tick(time.Hour)
 	timing := exchangeTiming{
@@ -44,12 +44,12 @@
 // TestMetricsCountExchanges: every exchange of a fleet under load is counted once, by the cause by
 // which it missed its targets, and the endpoint of each node shows it.
 func TestMetricsCountExchanges(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 4)...)
-		f := build(t, 77, 2, y, plain(), nil)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 77, 2, y, defaultConfiguration(), nil)
 		defer f.close()
-		all := f.load(40, 3*time.Second, func(i int) *Request {
-			return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4)
+		all := f.generateLoad(40, 3*time.Second, func(i int) *Request {
+			return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4)
 		})
 		counted := 0
 		row := regexp.MustCompile(`(?m)^keelstair_exchanges_total\{cause="(\w+)",service="svc",size="to_1k"\} (\d+)$`)
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -28,58 +28,58 @@
 // testNode is one node of a fleet with its process.
 type testNode struct {
 	*Node
-	ip   string
-	proc *simulated.Process
-	stop context.CancelFunc
-	done chan struct{}
-	up   bool
+	ip      string
+	process *simulated.Process
+	cancel  context.CancelFunc
+	done    chan struct{}
+	running bool
 }
 
 type fleet struct {
-	t     *testing.T
-	w     *simulated.World
-	y     *workerPool
-	seeds []string
-	cores map[string]*coordination.Core
-	procs map[string]*simulated.Process
-	stops map[string]context.CancelFunc
-	tune  func(*Options)
-
-	mu    sync.Mutex
-	nodes []*testNode
-	asks  []*asked
-	over  chan struct{}
-	wg    sync.WaitGroup
-}
-
-var coreIps = []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
-
-// build starts a fleet and puts a policy in force.
-func build(t *testing.T, seed uint64, nodes int, y *workerPool, text []byte, tune func(*Options)) *fleet {
+	t             *testing.T
+	world         *simulated.World
+	platform      *fakePlatform
+	seeds         []string
+	cores         map[string]*coordination.Core
+	processes     map[string]*simulated.Process
+	cancels       map[string]context.CancelFunc
+	adjustOptions func(*Options)
+
+	mu      sync.Mutex
+	nodes   []*testNode
+	results []*requestResult
+	stopped chan struct{}
+	wg      sync.WaitGroup
+}
+
+var coreIPs = []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
+
+// startFleet starts a fleet and puts a policy in force.
+func startFleet(t *testing.T, seed uint64, nodes int, y *fakePlatform, text []byte, tune func(*Options)) *fleet {
 	f := &fleet{
-		t:     t,
-		w:     simulated.NewWorld(seed),
-		y:     y,
-		tune:  tune,
-		cores: map[string]*coordination.Core{},
-		procs: map[string]*simulated.Process{},
-		stops: map[string]context.CancelFunc{},
-		over:  make(chan struct{}),
+		t:             t,
+		world:         simulated.NewWorld(seed),
+		platform:      y,
+		adjustOptions: tune,
+		cores:         map[string]*coordination.Core{},
+		processes:     map[string]*simulated.Process{},
+		cancels:       map[string]context.CancelFunc{},
+		stopped:       make(chan struct{}),
 	}
-	for _, ip := range coreIps {
+	for _, ip := range coreIPs {
 		f.seeds = append(f.seeds, ip+":1")
 	}
-	for _, ip := range coreIps {
-		f.core(ip)
+	for _, ip := range coreIPs {
+		f.startCore(ip)
 	}
 	for i := range nodes {
-		f.node(i)
+		f.startNode(i)
 	}
-	f.wg.Go(f.poll)
-	require.True(t, f.until(10*time.Second, func() bool { return f.leader() != "" }), "a core leads")
-	require.NoError(t, f.put("first", 0, 0, text))
-	require.True(t, f.until(10*time.Second, func() bool {
-		for _, n := range f.up() {
+	f.wg.Go(f.trackUnavailableWorkers)
+	require.True(t, f.waitUntil(10*time.Second, func() bool { return f.leader() != "" }), "a core leads")
+	require.NoError(t, f.putConfiguration("first", 0, 0, text))
+	require.True(t, f.waitUntil(10*time.Second, func() bool {
+		for _, n := range f.runningNodes() {
 			if ok, _ := n.Ready(); !ok || len(n.agent.Members()) < nodes {
 				return false
 			}
@@ -89,19 +89,19 @@
 	return f
 }
 
-func (f *fleet) core(ip string) {
+func (f *fleet) startCore(ip string) {
 	ctx, stop := context.WithCancel(context.Background())
-	p := f.w.Machine(ip).Start()
+	p := f.world.Machine(ip).Start()
 	c, err := coordination.New(coordination.Options{
 		Addr:  ip + ":1",
 		Host:  p.Host(),
 		Seeds: f.seeds,
 		Machine: func() coordination.StateMachine {
-			return fleetstate.NewMachine(fleetstate.MachineOptions{Metering: f.y.metering})
+			return fleetstate.NewMachine(fleetstate.MachineOptions{Metering: f.platform.metering})
 		},
 	})
 	require.NoError(f.t, err)
-	f.cores[ip], f.procs[ip], f.stops[ip] = c, p, stop
+	f.cores[ip], f.processes[ip], f.cancels[ip] = c, p, stop
 	l, err := p.Host().Net.Listen(ip + ":1")
 	require.NoError(f.t, err)
 	mux := http.NewServeMux()
@@ -110,12 +110,12 @@
 	f.wg.Go(func() { c.Run(ctx) })
 }
 
-func (f *fleet) offCore(ip string) {
+func (f *fleet) powerOffCore(ip string) {
 	if f.cores[ip] == nil {
 		return
 	}
-	f.w.Machine(ip).PowerOff()
-	f.stops[ip]()
+	f.world.Machine(ip).PowerOff()
+	f.cancels[ip]()
 	delete(f.cores, ip)
 }
 
@@ -130,30 +130,32 @@
 
 func nodeIP(i int) string { return fmt.Sprintf("10.0.1.%d", i+1) }
 
-// node starts the node of a number, again if it was there before.
-func (f *fleet) node(i int) *testNode {
+// startNode starts the node of a number, again if it was there before.
+func (f *fleet) startNode(i int) *testNode {
 	ip := nodeIP(i)
-	p := f.w.Machine(ip).Start()
+	p := f.world.Machine(ip).Start()
 	options := Options{
 		Name:               fmt.Sprint("n", i),
 		Addr:               ip + ":2",
 		Zone:               ids.Zone([]string{"a", "b"}[i%2]),
 		Seeds:              f.seeds,
 		Host:               p.Host(),
-		Backend:            &back{f.y, ip},
+		Backend:            &fakeBackend{f.platform, ip},
 		RoleChangeInterval: -1,
 	}
-	if f.tune != nil {
-		f.tune(&options)
+	if f.adjustOptions != nil {
+		f.adjustOptions(&options)
 	}
 	n, err := New(options)
 	require.NoError(f.t, err)
-	if f.y.prep != nil {
-		f.y.prep(n)
+	if f.platform.beforeRun != nil {
+		f.platform.beforeRun(n)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	b := &testNode{Node: n, ip: ip, proc: p, stop: stop, done: make(chan struct{}), up: true}
-	f.y.at(func() { f.y.known[ip] = func(id ids.WorkerID) bool { return b.offs()[id] } })
+	b := &testNode{Node: n, ip: ip, process: p, cancel: stop, done: make(chan struct{}), running: true}
+	f.platform.withLock(func() {
+		f.platform.knowsUnavailable[ip] = func(id ids.WorkerID) bool { return b.unavailableWorkers()[id] }
+	})
 	l, err := p.Host().Net.Listen(ip + ":2")
 	require.NoError(f.t, err)
 	mux := http.NewServeMux()
@@ -170,40 +172,40 @@
 	return b
 }
 
-// kill ends a node without a word.
-func (f *fleet) kill(i int) {
+// killNode ends a node without a word.
+func (f *fleet) killNode(i int) {
 	f.mu.Lock()
 	b := f.nodes[i]
 	f.mu.Unlock()
-	f.freeze(i, false)
+	f.setFrozen(i, false)
 	f.mu.Lock()
-	b.up = false
+	b.running = false
 	f.mu.Unlock()
-	b.proc.Kill()
-	b.stop()
+	b.process.Kill()
+	b.cancel()
 	b.Node.stop()
 }
 
-// freeze stops or wakes a node at its next step on the network.
-func (f *fleet) freeze(i int, on bool) {
-	f.w.Machine(nodeIP(i)).Freeze(on)
-	f.y.at(func() { f.y.frozen[nodeIP(i)] = on })
+// setFrozen stops or wakes a node at its next step on the network.
+func (f *fleet) setFrozen(i int, on bool) {
+	f.world.Machine(nodeIP(i)).Freeze(on)
+	f.platform.withLock(func() { f.platform.frozenNodes[nodeIP(i)] = on })
 }
 
-func (f *fleet) up() []*testNode {
+func (f *fleet) runningNodes() []*testNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []*testNode
 	for _, b := range f.nodes {
-		if b.up {
+		if b.running {
 			out = append(out, b)
 		}
 	}
 	return out
 }
 
-// offs tells of each worker on the node's list whether it is to get nothing new.
-func (b *testNode) offs() map[ids.WorkerID]bool {
+// unavailableWorkers tells of each worker on the node's list whether it is to get nothing new.
+func (b *testNode) unavailableWorkers() map[ids.WorkerID]bool {
 	s := b.view.Current()
 	off := map[ids.WorkerID]bool{}
 	for _, w := range b.endpoints.Load().workers {
@@ -213,16 +215,16 @@
 	return off
 }
 
-// poll notes since when each node knows that a worker is to get nothing new.
-func (f *fleet) poll() {
+// trackUnavailableWorkers notes since when each node knows that a worker is to get nothing new.
+func (f *fleet) trackUnavailableWorkers() {
 	for {
-		for _, b := range f.up() {
-			off := b.offs()
-			f.y.at(func() {
-				m := f.y.off[b.ip]
+		for _, b := range f.runningNodes() {
+			off := b.unavailableWorkers()
+			f.platform.withLock(func() {
+				m := f.platform.unavailableSince[b.ip]
 				if m == nil {
 					m = map[ids.WorkerID]time.Time{}
-					f.y.off[b.ip] = m
+					f.platform.unavailableSince[b.ip] = m
 				}
 				for id, on := range off {
 					if _, was := m[id]; on && !was {
@@ -239,7 +241,7 @@
 			})
 		}
 		select {
-		case <-f.over:
+		case <-f.stopped:
 			return
 		case <-host.NewTimer(5 * time.Millisecond).C:
 		}
@@ -248,21 +250,21 @@
 
 func (f *fleet) close() {
 	for i, b := range f.nodes {
-		f.freeze(i, false)
-		if b.up {
-			f.kill(i)
+		f.setFrozen(i, false)
+		if b.running {
+			f.killNode(i)
 		}
 	}
-	for _, ip := range coreIps {
-		f.w.Machine(ip).Freeze(false)
-		f.offCore(ip)
+	for _, ip := range coreIPs {
+		f.world.Machine(ip).Freeze(false)
+		f.powerOffCore(ip)
 	}
-	close(f.over)
+	close(f.stopped)
 	f.wg.Wait()
 	time.Sleep(40 * time.Second)
 }
 
-func (f *fleet) until(duration time.Duration, ok func() bool) bool {
+func (f *fleet) waitUntil(duration time.Duration, ok func() bool) bool {
 	for end := time.Now().Add(duration); !ok(); {
 		if time.Now().After(end) {
 			return false
@@ -272,12 +274,12 @@
 	return true
 }
 
-// put stages a text by way of the first node that is up.
-func (f *fleet) put(op ids.OpID, base, next ids.Version, text []byte) error {
-	return f.putAt(f.up()[0], op, base, next, text)
+// putConfiguration stages a text by way of the first node that is up.
+func (f *fleet) putConfiguration(op ids.OpID, base, next ids.Version, text []byte) error {
+	return f.putConfigurationVia(f.runningNodes()[0], op, base, next, text)
 }
 
-func (f *fleet) putAt(n *testNode, op ids.OpID, base, next ids.Version, text []byte) error {
+func (f *fleet) putConfigurationVia(n *testNode, op ids.OpID, base, next ids.Version, text []byte) error {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
 	_, err := fleetstate.Put(ctx, n.agent.Caller(), n.Directory(), op, base, next, text)
@@ -288,61 +290,61 @@
 func (f *fleet) submit(kind string, c msgp.Marshaler) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
-	_, err := f.up()[0].agent.Submit(ctx, ids.OpID("op/"+coordination.NewID()), kind, coordination.MustMarshal(c))
+	_, err := f.runningNodes()[0].agent.Submit(ctx, ids.OpID("op/"+coordination.NewID()), kind, coordination.MustMarshal(c))
 	require.NoError(f.t, err)
 }
 
-// asked is one request with its end.
-type asked struct {
+// requestResult is one request with its end.
+type requestResult struct {
 	*Request
-	again, stream, resume bool
-	at, end               time.Duration
-	err                   error
-	sink                  *sink
-	ended                 bool
+	retryable, stream, resumable bool
+	sentAt, endedAt              time.Duration
+	err                          error
+	response                     *responseRecorder
+	finished                     bool
 }
 
-// sink keeps what the caller got.
-type sink struct {
-	mu     sync.Mutex
-	status int
-	heads  int
-	got    []byte
-	when   []time.Duration
-	start  time.Time
-	broken bool // the caller went away
+// responseRecorder keeps what the caller got.
+type responseRecorder struct {
+	mu         sync.Mutex
+	status     int
+	headCount  int
+	body       []byte
+	writeTimes []time.Duration
+	startedAt  time.Time
+	callerGone bool // the caller went away
 }
 
-func (s *sink) Head(status int, _ http.Header, _ int64) error {
+func (s *responseRecorder) Head(status int, _ http.Header, _ int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status = status
-	s.heads++
+	s.headCount++
 	return nil
 }
 
-func (s *sink) Write(p []byte) error {
+func (s *responseRecorder) Write(p []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken {
+	if s.callerGone {
 		return errors.New("the caller went away")
 	}
-	s.got = append(s.got, p...)
-	s.when = append(s.when, time.Since(s.start))
+	s.body = append(s.body, p...)
+	s.writeTimes = append(s.writeTimes, time.Since(s.startedAt))
 	return nil
 }
 
-func (s *sink) text() string {
+func (s *responseRecorder) bodyText() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return string(s.got)
+	return string(s.body)
 }
 
 // routeHost is what requests name.
 const routeHost = "models.example"
 
-// req makes a request for a path; it asks for events if its path begins with /s.
-func (f *fleet) req(id, path string, prompt, limit int) *Request {
+// newRequest makes a request for a path; it asks for events if its path begins with /s.
+func (f *fleet) newRequest(id, path string, prompt, limit int) *Request {
 	r := &Request{
 		ID:        id,
 		Method:    "POST",
@@ -365,41 +367,41 @@
 	return r
 }
 
-// ask carries a request at a node to its end.
-func (f *fleet) ask(b *testNode, r *Request) *asked {
-	return f.askAs(context.Background(), b, r, &sink{})
+// send carries a request at a node to its end.
+func (f *fleet) send(b *testNode, r *Request) *requestResult {
+	return f.sendWith(context.Background(), b, r, &responseRecorder{})
 }
 
-func (f *fleet) askAs(ctx context.Context, b *testNode, r *Request, s *sink) *asked {
+func (f *fleet) sendWith(ctx context.Context, b *testNode, r *Request, s *responseRecorder) *requestResult {
 	r.At = b.now()
-	s.start = time.Now()
-	a := &asked{Request: r, at: f.y.now(), sink: s}
-	for _, k := range ways() {
+	s.startedAt = time.Now()
+	a := &requestResult{Request: r, sentAt: f.platform.elapsed(), response: s}
+	for _, k := range defaultRoutes() {
 		if strings.HasPrefix(r.Path, k.Prefix) {
-			a.again, a.stream, a.resume = k.MayRetry(), k.Stream, k.Resumable
+			a.retryable, a.stream, a.resumable = k.MayRetry(), k.Stream, k.Resumable
 		}
 	}
 	f.mu.Lock()
-	f.asks = append(f.asks, a)
+	f.results = append(f.results, a)
 	f.mu.Unlock()
 	err := b.Serve(ctx, r, s)
 	f.mu.Lock()
-	a.err, a.end, a.ended = err, f.y.now(), true
+	a.err, a.endedAt, a.finished = err, f.platform.elapsed(), true
 	f.mu.Unlock()
 	return a
 }
 
-// load asks at the nodes by turns, at a rate, and waits for all ends.
-func (f *fleet) load(rate float64, duration time.Duration, form func(i int) *Request) []*asked {
+// generateLoad asks at the nodes by turns, at a rate, and waits for all ends.
+func (f *fleet) generateLoad(rate float64, duration time.Duration, form func(i int) *Request) []*requestResult {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var out []*asked
+	var out []*requestResult
 	gap := time.Duration(float64(time.Second) / rate)
 	for i, end := 0, time.Now().Add(duration); time.Now().Before(end); i++ {
-		rows := f.up()
+		rows := f.runningNodes()
 		b := rows[i%len(rows)]
 		wg.Go(func() {
-			a := f.ask(b, form(i))
+			a := f.send(b, form(i))
 			mu.Lock()
 			defer mu.Unlock()
 			out = append(out, a)
@@ -410,8 +412,8 @@
 	return out
 }
 
-// ways are the routes that most tests use.
-func ways() []fleetstate.Route {
+// defaultRoutes are the routes that most tests use.
+func defaultRoutes() []fleetstate.Route {
 	return []fleetstate.Route{
 		{
 			Name:            "once",
@@ -466,7 +468,7 @@
 	}
 }
 
-func policy(routes []fleetstate.Route, services ...fleetstate.Service) []byte {
+func encodeConfiguration(routes []fleetstate.Route, services ...fleetstate.Service) []byte {
 	p := &fleetstate.Configuration{Routes: routes, Services: map[string]fleetstate.Service{}}
 	for _, s := range services {
 		p.Services[s.Name] = s
@@ -475,33 +477,33 @@
 	return b
 }
 
-func plain() []byte {
-	return policy(ways(), fleetstate.Service{Name: "svc", Concurrency: 16, RoleChangeMs: 1000})
+func defaultConfiguration() []byte {
+	return encodeConfiguration(defaultRoutes(), fleetstate.Service{Name: "svc", Concurrency: 16, RoleChangeMs: 1000})
 }
 
-// bubble runs a test in a bubble of its own, where time is free.
-func bubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
+// runInBubble runs a test in a bubble of its own, where time is free.
+func runInBubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
 
-// eachSeed runs a test under several seeds.
-func eachSeed(t *testing.T, n int, f func(t *testing.T, seed uint64)) {
+// forEachSeed runs a test under several seeds.
+func forEachSeed(t *testing.T, n int, f func(t *testing.T, seed uint64)) {
 	if raced { // all seeds are run without the detector
 		n = min(n, 2)
 	}
 	for seed := uint64(1); seed <= uint64(n); seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { bubble(t, func(t *testing.T) { f(t, seed) }) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runInBubble(t, func(t *testing.T) { f(t, seed) }) })
 	}
 }
 
-// at changes the fleet.
-func (f *fleet) at(do func()) {
+// withLock changes the fleet.
+func (f *fleet) withLock(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
 }
 
-// unraced leaves a test of a large fleet to the run without the race detector, which is at its own
+// skipUnderRaceDetector leaves a test of a large fleet to the run without the race detector, which is at its own
 // limits there: it ended with a failed check of its own in TestTreeOutcomes.
-func unraced(t *testing.T) {
+func skipUnderRaceDetector(t *testing.T) {
 	t.Helper()
 	if raced {
 		t.Skip("run without the race detector")
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -14,7 +14,7 @@
 
 // hedgePolicy gives routes whose target leaves room for a second read.
 func hedgePolicy(maxAttempts int) []byte {
-	return policy([]fleetstate.Route{{
+	return encodeConfiguration([]fleetstate.Route{{
 		Name:            "short",
 		Host:            routeHost,
 		Prefix:          "/",
@@ -34,23 +34,23 @@
 func TestHedgedPrefill(t *testing.T) {
 	for _, maxAttempts := range []int{1, 2} {
 		t.Run(fmt.Sprint("attempts=", maxAttempts), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 4, 4)...)
-				f := build(t, 78, 2, y, hedgePolicy(maxAttempts), func(o *Options) {
+			runInBubble(t, func(t *testing.T) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+				f := startFleet(t, 78, 2, y, hedgePolicy(maxAttempts), func(o *Options) {
 					o.RetryAllowance, o.RoleChangeInterval = 40, -1
 				})
 				defer f.close()
 				request := func(prefix string) func(i int) *Request {
-					return func(i int) *Request { return f.req(fmt.Sprint(prefix, i), "/x", 400, 2) }
+					return func(i int) *Request { return f.newRequest(fmt.Sprint(prefix, i), "/x", 400, 2) }
 				}
-				f.load(40, 2*time.Second, request("warm"))
+				f.generateLoad(40, 2*time.Second, request("warm"))
 				for _, b := range f.nodes {
 					require.Zero(t, b.counts.Hedges.Load(), "all reads are alike")
 				}
-				y.at(func() { y.slowRead = map[string]time.Duration{"svc-prefill-0": 2 * time.Second} })
-				all := f.load(40, 4*time.Second, request("r"))
+				y.withLock(func() { y.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": 2 * time.Second} })
+				all := f.generateLoad(40, 4*time.Second, request("r"))
 				time.Sleep(4 * time.Second)
-				require.Empty(t, onceOnly(y.directory(), all))
+				require.Empty(t, onceOnly(y.recordedCalls(), all))
 				require.Empty(t, answers(all))
 				hedges, late := int64(0), 0
 				for _, b := range f.nodes {
@@ -58,7 +58,7 @@
 				}
 				for _, a := range all {
 					require.NoError(t, a.err, a.ID)
-					if a.end-a.at > time.Second {
+					if a.endedAt-a.sentAt > time.Second {
 						late++
 					}
 				}
@@ -74,27 +74,27 @@
 				y.mu.Lock()
 				defer y.mu.Unlock()
 				for name, h := range y.handles {
-					require.True(t, h.had == 1 || h.freed, "handle %s is kept for nobody", name)
+					require.True(t, h.fetches == 1 || h.freed, "handle %s is kept for nobody", name)
 				}
 			})
 		})
 	}
 }
 
-// TestDiscardedRead: the memory of a read that came too late is given back, and what was booked for
+// TestDiscardedPrefillFreesMemory: the memory of a read that came too late is given back, and what was booked for
 // it ends.
-func TestDiscardedRead(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 1, 1)...)
-		f := build(t, 79, 1, y, hedgePolicy(2), nil)
+func TestDiscardedPrefillFreesMemory(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 1, 1)...)
+		f := startFleet(t, 79, 1, y, hedgePolicy(2), nil)
 		defer f.close()
 		n := f.nodes[0].Node
-		request := f.req("late", "/x", 400, 2)
+		request := f.newRequest("late", "/x", 400, 2)
 		exchange := &exchange{node: n, request: request}
 		reader := &n.endpoints.Load().workers[0]
 		c := &pick{worker: reader, state: n.state(reader.ID)}
 		c.reserve(request, 0, n.now())
-		y.at(func() { y.handles["kv"] = &handle{worker: reader.ID, req: "late", let: func() {}} })
+		y.withLock(func() { y.handles["kv"] = &memoryHandle{worker: reader.ID, requestID: "late", release: func() {}} })
 		exchange.discardRead(prefillRead{pick: c, memory: &PrefillResult{Handle: "kv"}})
 		time.Sleep(time.Second)
 		y.mu.Lock()
@@ -104,8 +104,8 @@
 	})
 }
 
-// TestReadOverhead: the median of the newest reads is given, once there are enough.
-func TestReadOverhead(t *testing.T) {
+// TestPrefillOverheadMedian: the median of the newest reads is given, once there are enough.
+func TestPrefillOverheadMedian(t *testing.T) {
 	var o readOverhead
 	for i := range minOverheadReads - 1 {
 		o.observe(time.Duration(i) * time.Millisecond)
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -13,11 +13,11 @@
 )
 
 // lists counts the askings for the list by node since a time.
-func (y *workerPool) lists(since time.Duration) map[string]int {
+func (y *fakePlatform) lists(since time.Duration) map[string]int {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	out := map[string]int{}
-	for _, k := range y.asked {
+	for _, k := range y.listCalls {
 		if k.At >= since {
 			out[k.Node]++
 		}
@@ -27,7 +27,7 @@
 
 func (f *fleet) lister() int {
 	for i, b := range f.nodes {
-		if _, ok := b.agent.OwnsKey(fleetstate.WorkerListKey); ok && b.up {
+		if _, ok := b.agent.OwnsKey(fleetstate.WorkerListKey); ok && b.running {
 			return i
 		}
 	}
@@ -35,9 +35,9 @@
 }
 
 // heard tells whether all nodes that are up know that a worker leaves.
-func (f *fleet) heard(y *workerPool, name string) bool {
-	id := y.of(name).ID
-	for _, b := range f.up() {
+func (f *fleet) heard(y *fakePlatform, name string) bool {
+	id := y.worker(name).ID
+	for _, b := range f.runningNodes() {
 		if w := b.endpoints.Load().find(id); w == nil || !w.Leaving {
 			return false
 		}
@@ -48,20 +48,20 @@
 // TestOneAsker: while all is well the holder of the duty alone asks, and the others hear
 // of a change from it.
 func TestOneAsker(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 3)...)
-		f := build(t, 61, 4, y, plain(), nil)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 61, 4, y, defaultConfiguration(), nil)
 		defer f.close()
 		time.Sleep(6 * time.Second)
 		h := f.lister()
 		require.GreaterOrEqual(t, h, 0)
-		from := y.now()
+		from := y.elapsed()
 		time.Sleep(10 * time.Second)
 		got := y.lists(from)
 		require.Len(t, got, 1, "%v", got)
 		require.InDelta(t, 14, got[nodeIP(h)], 4)
-		y.at(func() { y.of("svc-decode-1").Leaving = true })
-		require.True(t, f.until(1500*time.Millisecond, func() bool { return f.heard(y, "svc-decode-1") }))
+		y.withLock(func() { y.worker("svc-decode-1").Leaving = true })
+		require.True(t, f.waitUntil(1500*time.Millisecond, func() bool { return f.heard(y, "svc-decode-1") }))
 		require.Len(t, y.lists(from), 1)
 	})
 }
@@ -71,9 +71,9 @@
 func TestListWithoutHolder(t *testing.T) {
 	for _, how := range []string{"killed", "frozen", "no list"} {
 		t.Run(how, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 3, 3)...)
-				f := build(t, 62, 4, y, plain(), nil)
+			runInBubble(t, func(t *testing.T) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+				f := startFleet(t, 62, 4, y, defaultConfiguration(), nil)
 				defer f.close()
 				time.Sleep(6 * time.Second)
 				h := f.lister()
@@ -81,25 +81,25 @@
 				held := f.nodes[h]
 				switch how {
 				case "killed":
-					f.kill(h)
+					f.killNode(h)
 				case "frozen":
-					f.freeze(h, true)
+					f.setFrozen(h, true)
 				default:
-					y.at(func() { y.partition[nodeIP(h)] = true })
+					y.withLock(func() { y.partitionedNodes[nodeIP(h)] = true })
 				}
-				f.at(func() { held.up = false })
+				f.withLock(func() { held.running = false })
 				defer func() {
-					f.at(func() { held.up = how != "killed" })
-					f.freeze(h, false)
+					f.withLock(func() { held.running = how != "killed" })
+					f.setFrozen(h, false)
 				}()
-				from := y.now()
+				from := y.elapsed()
 				for i, name := range []string{"svc-decode-0", "svc-prefill-0", "svc-decode-2"} {
-					y.at(func() { y.of(name).Leaving = true })
-					require.True(t, f.until(3*time.Second, func() bool { return f.heard(y, name) }), "change %d", i)
+					y.withLock(func() { y.worker(name).Leaving = true })
+					require.True(t, f.waitUntil(3*time.Second, func() bool { return f.heard(y, name) }), "change %d", i)
 					time.Sleep(300 * time.Millisecond)
 				}
 				require.GreaterOrEqual(t, len(y.lists(from)), 1)
-				for _, b := range f.up() {
+				for _, b := range f.runningNodes() {
 					require.Less(t, b.now().Since(b.endpoints.Load().requestedAt), 3*time.Second, fmt.Sprint(b.ip))
 				}
 			})
@@ -112,17 +112,17 @@
 func TestSlowList(t *testing.T) {
 	for _, long := range []time.Duration{700 * time.Millisecond, time.Second} {
 		t.Run(long.String(), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 3, 3)...)
-				y.listed = func() time.Duration { return long }
-				f := build(t, 63, 6, y, plain(), nil)
+			runInBubble(t, func(t *testing.T) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+				y.listDelay = func() time.Duration { return long }
+				f := startFleet(t, 63, 6, y, defaultConfiguration(), nil)
 				defer f.close()
 				time.Sleep(10 * time.Second)
-				from := y.now()
+				from := y.elapsed()
 				time.Sleep(10 * time.Second)
 				require.Len(t, y.lists(from), 1, "%v", y.lists(from))
-				y.at(func() { y.of("svc-decode-1").Leaving = true })
-				require.True(t, f.until(2*long+1500*time.Millisecond, func() bool {
+				y.withLock(func() { y.worker("svc-decode-1").Leaving = true })
+				require.True(t, f.waitUntil(2*long+1500*time.Millisecond, func() bool {
 					return f.heard(y, "svc-decode-1")
 				}))
 			})
@@ -134,19 +134,19 @@
 // still names the holder of before, at whose address another process now answers that has no
 // list: each node has one soon all the same.
 func TestListAfterAllKilled(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 3)...)
-		f := build(t, 69, 5, y, plain(), nil)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 69, 5, y, defaultConfiguration(), nil)
 		defer f.close()
 		time.Sleep(6 * time.Second)
 		for i := range f.nodes {
-			f.kill(i)
+			f.killNode(i)
 		}
 		for i := range f.nodes {
-			f.node(i)
+			f.startNode(i)
 		}
-		require.True(t, f.until(700*time.Millisecond, func() bool {
-			for _, b := range f.up() {
+		require.True(t, f.waitUntil(700*time.Millisecond, func() bool {
+			for _, b := range f.runningNodes() {
 				if ready, _ := b.Ready(); !ready {
 					return false
 				}
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -91,7 +91,7 @@
 		reader, err := New(Options{Name: "reader", Host: quietHost()})
 		require.NoError(t, err)
 		f := &listFollower{node: reader}
-		list := many(60)
+		list := newWorkers(60)
 		for round := range 60 {
 			for range rng.IntN(4) {
 				list = changeOne(rng, list, round)
@@ -130,7 +130,7 @@
 	require.NoError(t, err)
 	b, err := New(Options{Name: "b", Host: quietHost()})
 	require.NoError(t, err)
-	list := many(20)
+	list := newWorkers(20)
 	a.installList(list, a.now(), a.now())
 	list = slices.Clone(list)
 	slices.Reverse(list)
@@ -167,10 +167,10 @@
 // TestListBytes: at 3,000 workers and readings at a third of them, a worker that leaves costs
 // each node that hears of it a few hundred bytes, and all readings a few thousand.
 func TestListBytes(t *testing.T) {
-	unraced(t)
+	skipUnderRaceDetector(t)
 	n, err := New(Options{Name: "n", Host: quietHost()})
 	require.NoError(t, err)
-	list := many(3000)
+	list := newWorkers(3000)
 	n.installList(list, n.now(), n.now())
 	version := n.endpoints.Load().version
 	list = append([]Worker(nil), list...)
@@ -195,9 +195,9 @@
 	// Where all ask the holder they ask every 200 to 300 ms; in a tree an answer waits for the change.
 	for flat, limit := range map[int]time.Duration{96: 350 * time.Millisecond, 1: 100 * time.Millisecond} {
 		t.Run(fmt.Sprint(flat), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 6, 6)...)
-				f := build(t, 64, 12, y, plain(), treed(flat))
+			runInBubble(t, func(t *testing.T) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", 6, 6)...)
+				f := startFleet(t, 64, 12, y, defaultConfiguration(), treed(flat))
 				defer f.close()
 				time.Sleep(6 * time.Second)
 				late := time.Duration(0)
@@ -205,15 +205,15 @@
 					"svc-decode-0", "svc-decode-1", "svc-decode-2", "svc-prefill-0", "svc-prefill-1",
 				} {
 					h := f.nodes[f.lister()]
-					id := y.of(name).ID
+					id := y.worker(name).ID
 					time.Sleep(370 * time.Millisecond)
-					y.at(func() { y.of(name).Leaving = true })
-					require.True(t, f.until(2*time.Second, func() bool {
+					y.withLock(func() { y.worker(name).Leaving = true })
+					require.True(t, f.waitUntil(2*time.Second, func() bool {
 						w := h.endpoints.Load().find(id)
 						return w != nil && w.Leaving
 					}))
 					from := time.Now()
-					require.True(t, f.until(2*time.Second, func() bool { return f.heard(y, name) }))
+					require.True(t, f.waitUntil(2*time.Second, func() bool { return f.heard(y, name) }))
 					late = max(late, time.Since(from))
 				}
 				require.LessOrEqual(t, late, limit)
@@ -229,12 +229,12 @@
 
 // TestTreeOneAsker: in a tree too the holder alone asks the platform.
 func TestTreeOneAsker(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 3)...)
-		f := build(t, 65, 12, y, plain(), treed(1))
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 65, 12, y, defaultConfiguration(), treed(1))
 		defer f.close()
 		time.Sleep(8 * time.Second)
-		from := y.now()
+		from := y.elapsed()
 		time.Sleep(10 * time.Second)
 		require.Len(t, y.lists(from), 1, "%v", y.lists(from))
 	})
@@ -245,7 +245,7 @@
 	owner := f.nodes[f.lister()]
 	members := owner.agent.Members()
 	for i, b := range f.nodes {
-		if b.up && b.self.Zone != owner.self.Zone &&
+		if b.running && b.self.Zone != owner.self.Zone &&
 			b.treeShape().sourcesOf(b.self, owner.self, members).parents[0].Node == owner.self.Node {
 			return i
 		}
@@ -258,19 +258,19 @@
 // in time, nothing reaches a worker that leaves later than it may, and few nodes ask the
 // platform meanwhile.
 func TestTreeLosses(t *testing.T) {
-	unraced(t)
+	skipUnderRaceDetector(t)
 	for _, lost := range []string{"holder", "top", "both"} {
 		for _, how := range []string{"killed", "frozen"} {
 			t.Run(lost+" "+how, func(t *testing.T) {
-				eachSeed(t, 3, func(t *testing.T, seed uint64) { loseInTree(t, seed, lost, how) })
+				forEachSeed(t, 3, func(t *testing.T, seed uint64) { loseInTree(t, seed, lost, how) })
 			})
 		}
 	}
 }
 
 func loseInTree(t *testing.T, seed uint64, lost, how string) {
-	y := newCluster(both("svc", 6, 6)...)
-	f := build(t, seed, 14, y, plain(), treed(1))
+	y := newFakePlatform(prefillAndDecodeWorkers("svc", 6, 6)...)
+	f := startFleet(t, seed, 14, y, defaultConfiguration(), treed(1))
 	defer f.close()
 	time.Sleep(8 * time.Second)
 	var out []int
@@ -281,23 +281,23 @@
 		out = append(out, f.top())
 	}
 	require.NotContains(t, out, -1)
-	from := y.now()
+	from := y.elapsed()
 	for _, i := range out {
 		b := f.nodes[i]
 		if how == "killed" {
-			f.kill(i)
+			f.killNode(i)
 			continue
 		}
-		f.freeze(i, true)
-		f.at(func() { b.up = false })
+		f.setFrozen(i, true)
+		f.withLock(func() { b.running = false })
 		defer func() {
-			f.at(func() { b.up = true })
-			f.freeze(i, false)
+			f.withLock(func() { b.running = true })
+			f.setFrozen(i, false)
 		}()
 	}
 	for i, name := range []string{"svc-decode-0", "svc-prefill-0", "svc-decode-2", "svc-prefill-3"} {
-		y.at(func() { y.of(name).Leaving = true })
-		require.True(t, f.until(3*time.Second, func() bool { return f.heard(y, name) }), "change %d", i)
+		y.withLock(func() { y.worker(name).Leaving = true })
+		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.heard(y, name) }), "change %d", i)
 		time.Sleep(300 * time.Millisecond)
 	}
 	asked := y.lists(from)
@@ -309,45 +309,45 @@
 		limit = 1
 	}
 	require.LessOrEqual(t, len(asked), limit, "%v", asked)
-	require.True(t, f.until(4*time.Second, func() bool { return f.lister() >= 0 }), "there is a holder again")
+	require.True(t, f.waitUntil(4*time.Second, func() bool { return f.lister() >= 0 }), "there is a holder again")
 }
 
 // TestTreeManyLost: three of five nodes, the holder among them, and the core are lost at once,
 // silently or not, as workers leave: those that are left hear of it in time, though there is
 // no holder until the core is back.
 func TestTreeManyLost(t *testing.T) {
-	unraced(t)
+	skipUnderRaceDetector(t)
 	for _, how := range []string{"killed", "frozen"} {
 		t.Run(how, func(t *testing.T) {
-			eachSeed(t, 3, func(t *testing.T, seed uint64) {
-				y := newCluster(both("svc", 6, 6)...)
-				f := build(t, seed, 30, y, plain(), treed(1))
+			forEachSeed(t, 3, func(t *testing.T, seed uint64) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", 6, 6)...)
+				f := startFleet(t, seed, 30, y, defaultConfiguration(), treed(1))
 				defer f.close()
 				time.Sleep(8 * time.Second)
 				owner := f.lister()
-				for _, ip := range coreIps {
+				for _, ip := range coreIPs {
 					if how == "killed" {
-						f.offCore(ip)
+						f.powerOffCore(ip)
 					} else {
-						f.w.Machine(ip).Freeze(true)
+						f.world.Machine(ip).Freeze(true)
 					}
 				}
 				for i, b := range f.nodes {
 					switch {
 					case i != owner && i%5 > 2:
 					case how == "killed":
-						f.kill(i)
+						f.killNode(i)
 					default:
-						f.freeze(i, true)
-						f.at(func() { b.up = false })
+						f.setFrozen(i, true)
+						f.withLock(func() { b.running = false })
 						defer func() {
-							f.at(func() { b.up = true })
-							f.freeze(i, false)
+							f.withLock(func() { b.running = true })
+							f.setFrozen(i, false)
 						}()
 					}
 				}
-				y.at(func() { y.of("svc-decode-0").Leaving = true })
-				require.True(t, f.until(4*time.Second, func() bool { return f.heard(y, "svc-decode-0") }))
+				y.withLock(func() { y.worker("svc-decode-0").Leaving = true })
+				require.True(t, f.waitUntil(4*time.Second, func() bool { return f.heard(y, "svc-decode-0") }))
 			})
 		})
 	}
@@ -356,9 +356,9 @@
 // TestStartTogether: nodes that all start at once do not all ask the platform before they
 // know who holds the list.
 func TestStartTogether(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 3)...)
-		f := build(t, 68, 12, y, plain(), treed(1))
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 68, 12, y, defaultConfiguration(), treed(1))
 		defer f.close()
 		require.LessOrEqual(t, len(y.lists(0)), 3, "%v", y.lists(0))
 	})
@@ -367,13 +367,13 @@
 // TestTreeSums: what one node has under way, and what it saw fail, is known to all others
 // through the tree, and counted once.
 func TestTreeSums(t *testing.T) {
-	unraced(t)
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 3)...)
-		f := build(t, 66, 12, y, plain(), treed(1))
+	skipUnderRaceDetector(t)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 66, 12, y, defaultConfiguration(), treed(1))
 		defer f.close()
 		time.Sleep(8 * time.Second)
-		id := y.of("svc-prefill-0").ID
+		id := y.worker("svc-prefill-0").ID
 		for i, b := range f.nodes {
 			st := b.state(id)
 			st.begin(100+i, nil, b.now())
@@ -393,16 +393,16 @@
 // TestTreeOutcomes: a worker that every third node saw fail is known to all as failing, and
 // what one node alone saw counts as one node's word.
 func TestTreeOutcomes(t *testing.T) {
-	unraced(t)
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 6)...)
-		f := build(t, 67, 12, y, plain(), func(o *Options) {
+	skipUnderRaceDetector(t)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 6)...)
+		f := startFleet(t, 67, 12, y, defaultConfiguration(), func(o *Options) {
 			treed(1)(o)
 			o.BaseEjection = time.Hour // an ejection's end would forget what was seen
 		})
 		defer f.close()
 		time.Sleep(8 * time.Second)
-		unhealthy, alone := y.of("svc-decode-1").ID, y.of("svc-decode-2").ID
+		unhealthy, alone := y.worker("svc-decode-1").ID, y.worker("svc-decode-2").ID
 		stop := time.Now().Add(2 * time.Second)
 		for time.Now().Before(stop) {
 			for i, b := range f.nodes {
--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -17,12 +17,12 @@
 	"keelstair.example/internal/routing"
 )
 
-func ms(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
+func tickMs(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
 
-// TestLedger: what a report cannot show yet is added, what it still shows though it ended
+// TestMemoryAccount: what a report cannot show yet is added, what it still shows though it ended
 // here is taken off as far as no other request shares it, and where both may be, the worker
 // looks fuller.
-func TestLedger(t *testing.T) {
+func TestMemoryAccount(t *testing.T) {
 	full := reportedLoad{Used: 300, Capacity: 1000}
 	at := 10_000
 	lag := int(reportLag / time.Millisecond)
@@ -42,46 +42,46 @@
 		for _, late := range []bool{false, true} { // the report is heard of before or after the end
 			var l memoryAccount
 			if !late {
-				l.report(full, ms(at))
+				l.report(full, tickMs(at))
 			}
-			h := l.reserve(100, 40, ms(c.began))
+			h := l.reserve(100, 40, tickMs(c.began))
 			if c.ended > 0 {
-				l.release(h, true, ms(c.ended))
+				l.release(h, true, tickMs(c.ended))
 			}
 			if late {
-				l.report(full, ms(at))
+				l.report(full, tickMs(at))
 			}
-			free, ok := l.free(ms(at + 200))
+			free, ok := l.free(tickMs(at + 200))
 			require.True(t, ok, c.name)
 			require.Equal(t, c.want, free, c.name)
 		}
 	}
 
 	var l memoryAccount
-	_, ok := l.free(ms(at))
+	_, ok := l.free(tickMs(at))
 	require.False(t, ok, "no report yet")
-	l.report(full, ms(at))
-	l.release(l.reserve(100, 40, ms(at)), false, ms(at+10))
-	free, ok := l.free(ms(at + 20))
+	l.report(full, tickMs(at))
+	l.release(l.reserve(100, 40, tickMs(at)), false, tickMs(at+10))
+	free, ok := l.free(tickMs(at + 20))
 	require.True(t, ok)
 	require.Equal(t, 700, free, "turned away: it never was there")
-	l.report(reportedLoad{Used: 900, Capacity: 1000}, ms(at-1000))
-	free, _ = l.free(ms(at + 20))
+	l.report(reportedLoad{Used: 900, Capacity: 1000}, tickMs(at-1000))
+	free, _ = l.free(tickMs(at + 20))
 	require.Equal(t, 700, free, "an older report that comes late")
-	_, ok = l.free(ms(at).Add(reportMaxAge + 1))
+	_, ok = l.free(tickMs(at).Add(reportMaxAge + 1))
 	require.False(t, ok, "the report is stale")
-	l.report(reportedLoad{}, ms(at+1000))
-	_, ok = l.free(ms(at + 1000))
+	l.report(reportedLoad{}, tickMs(at+1000))
+	_, ok = l.free(tickMs(at + 1000))
 	require.False(t, ok, "the worker told nothing")
 	for i := range 10_000 {
-		l.release(l.reserve(1, 1, ms(at+10*i)), true, ms(at+10*i+5))
+		l.release(l.reserve(1, 1, tickMs(at+10*i)), true, tickMs(at+10*i+5))
 	}
 	require.Less(t, len(l.reservations), 600, "what ended is forgotten without reports too")
 }
 
-// TestLedgerNewLife: a new life of a worker begins with nothing known of it, and what the
+// TestMemoryAccountOfRestartedWorker: a new life of a worker begins with nothing known of it, and what the
 // earlier one reported or ran is not counted.
-func TestLedgerNewLife(t *testing.T) {
+func TestMemoryAccountOfRestartedWorker(t *testing.T) {
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 	require.NoError(t, err)
 	now := n.now()
@@ -101,45 +101,45 @@
 	require.Empty(t, all[0].Rows, "the earlier life is told no more")
 }
 
-// TestBoard: a node hears each change once, small ones and a round that it has not at all,
+// TestLoadBoard: a node hears each change once, small ones and a round that it has not at all,
 // and of a worker that told nothing that it did.
-func TestBoard(t *testing.T) {
+func TestLoadBoard(t *testing.T) {
 	list := []Worker{{ID: "v"}, {ID: "w"}, {ID: "x"}}
 	rows := func(v, w int) map[ids.WorkerID]reportedLoad {
 		return map[ids.WorkerID]reportedLoad{"v": {Used: v, Capacity: 1000}, "w": {Used: w, Capacity: 1000}}
 	}
 	var b loadBoard
-	require.NotNil(t, b.record("s", ms(1000), rows(100, 200), true))
-	seq, got := b.since(0, list, ms(1300), everyService)
+	require.NotNil(t, b.record("s", tickMs(1000), rows(100, 200), true))
+	seq, got := b.since(0, list, tickMs(1300), everyService)
 	require.Equal(t, []ServiceLoads{{"s", 300, []WorkerLoad{{0, 100, 1000, 0, 0}, {1, 200, 1000, 0, 0}}}}, got)
-	_, got = b.since(seq, list, ms(1400), everyService)
+	_, got = b.since(seq, list, tickMs(1400), everyService)
 	require.Empty(t, got, "nothing new")
-	require.Nil(t, b.record("s", ms(1050), rows(1, 1), true), "the same round, heard of again")
-	require.NotNil(t, b.record("s", ms(2000), rows(105, 300), true))
-	seq, got = b.since(seq, list, ms(2000), everyService)
+	require.Nil(t, b.record("s", tickMs(1050), rows(1, 1), true), "the same round, heard of again")
+	require.NotNil(t, b.record("s", tickMs(2000), rows(105, 300), true))
+	seq, got = b.since(seq, list, tickMs(2000), everyService)
 	require.Equal(t, []ServiceLoads{{
 		"s", 0, []WorkerLoad{{1, 300, 1000, 0, 0}},
 	}}, got, "only what changed, and that all were asked")
-	require.NotNil(t, b.record("s", ms(3000), map[ids.WorkerID]reportedLoad{"w": {Used: 300, Capacity: 1000}}, true))
-	seq, got = b.since(seq, list, ms(3000), everyService)
+	require.NotNil(t, b.record("s", tickMs(3000), map[ids.WorkerID]reportedLoad{"w": {Used: 300, Capacity: 1000}}, true))
+	seq, got = b.since(seq, list, tickMs(3000), everyService)
 	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{0, 0, 0, 0, 0}}}}, got, "v told nothing")
-	require.NotNil(t, b.record("s", ms(4000), map[ids.WorkerID]reportedLoad{"v": {Used: 9, Capacity: 1000}}, false))
-	_, got = b.since(seq, list, ms(4000), everyService)
+	require.NotNil(t, b.record("s", tickMs(4000), map[ids.WorkerID]reportedLoad{"v": {Used: 9, Capacity: 1000}}, false))
+	_, got = b.since(seq, list, tickMs(4000), everyService)
 	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{0, 9, 1000, 0, 0}}}}, got, "w is as it was")
-	_, got = b.since(0, list, ms(4000).Add(reportMaxAge+1), everyService)
+	_, got = b.since(0, list, tickMs(4000).Add(reportMaxAge+1), everyService)
 	require.Empty(t, got, "an old round is not handed on")
 }
 
-// TestRoomToldToAll: every node knows the room of every worker within two seconds of a
+// TestFreeMemoryReachesAllNodes: every node knows the room of every worker within two seconds of a
 // change, whichever nodes hold the duties, and while no reports come none counts on one.
-func TestRoomToldToAll(t *testing.T) {
-	eachSeed(t, 4, func(t *testing.T, seed uint64) {
-		all := both("svc", 3, 3)
+func TestFreeMemoryReachesAllNodes(t *testing.T) {
+	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
+		all := prefillAndDecodeWorkers("svc", 3, 3)
 		for i, s := range all {
-			s.memory, s.used = 160_000, 16_000*i
+			s.memoryCapacity, s.memoryUsed = 160_000, 16_000*i
 		}
-		y := newCluster(all...)
-		f := build(t, seed, 4, y, plain(), turning)
+		y := newFakePlatform(all...)
+		f := startFleet(t, seed, 4, y, defaultConfiguration(), turning)
 		defer f.close()
 		knows := func(b *testNode, id ids.WorkerID, want int) bool {
 			st := b.state(id)
@@ -150,7 +150,7 @@
 		}
 		settled := func(used func(i int) int) func() bool {
 			return func() bool {
-				for _, b := range f.up() {
+				for _, b := range f.runningNodes() {
 					for i, s := range all {
 						if !knows(b, s.ID, 10_000-used(i)) {
 							return false
@@ -160,29 +160,29 @@
 				return true
 			}
 		}
-		require.True(t, f.until(12*time.Second, settled(func(i int) int { return 1000 * i })))
-		y.at(func() {
+		require.True(t, f.waitUntil(12*time.Second, settled(func(i int) int { return 1000 * i })))
+		y.withLock(func() {
 			for _, s := range all {
-				s.used = 80_000
+				s.memoryUsed = 80_000
 			}
 		})
-		require.True(t, f.until(2*time.Second, settled(func(int) int { return 5000 })), "a change reaches all")
-		apart := f.holder() >= 0 && f.holder() != f.listHolder()
+		require.True(t, f.waitUntil(2*time.Second, settled(func(int) int { return 5000 })), "a change reaches all")
+		apart := f.holder() >= 0 && f.holder() != f.workerListOwner()
 		t.Log("the duties have different holders:", apart)
-		f.kill(f.holder())
-		y.at(func() {
+		f.killNode(f.holder())
+		y.withLock(func() {
 			for _, s := range all {
-				s.used = 32_000
+				s.memoryUsed = 32_000
 			}
 		})
-		require.True(t, f.until(20*time.Second, settled(func(int) int { return 2000 })), "another holder asks")
-		y.at(func() {
+		require.True(t, f.waitUntil(20*time.Second, settled(func(int) int { return 2000 })), "another holder asks")
+		y.withLock(func() {
 			for _, s := range all {
-				s.dark = true
+				s.silent = true
 			}
 		})
-		require.True(t, f.until(6*time.Second, func() bool {
-			for _, b := range f.up() {
+		require.True(t, f.waitUntil(6*time.Second, func() bool {
+			for _, b := range f.runningNodes() {
 				for _, s := range all {
 					st := b.state(s.ID)
 					st.mu.Lock()
@@ -198,33 +198,33 @@
 	})
 }
 
-// listHolder gives the number of the node that holds the list's duty, or -1.
-func (f *fleet) listHolder() int {
+// workerListOwner gives the number of the node that holds the list's duty, or -1.
+func (f *fleet) workerListOwner() int {
 	for i, b := range f.nodes {
-		if _, ok := b.agent.OwnsKey(fleetstate.WorkerListKey); ok && b.up {
+		if _, ok := b.agent.OwnsKey(fleetstate.WorkerListKey); ok && b.running {
 			return i
 		}
 	}
 	return -1
 }
 
-// TestApartHolders: where one node holds the service's duty and another the list's, the
+// TestLoadsReachNodesWithSeparateLeaseHolders: where one node holds the service's duty and another the list's, the
 // first one tells the second, and all hear of it there.
-func TestApartHolders(t *testing.T) {
+func TestLoadsReachNodesWithSeparateLeaseHolders(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		apart := false
-		bubble(t, func(t *testing.T) {
-			all := both("svc", 2, 2)
+		runInBubble(t, func(t *testing.T) {
+			all := prefillAndDecodeWorkers("svc", 2, 2)
 			for _, s := range all {
-				s.memory, s.used = 160_000, 80_000
+				s.memoryCapacity, s.memoryUsed = 160_000, 80_000
 			}
-			f := build(t, seed, 4, newCluster(all...), plain(), turning)
+			f := startFleet(t, seed, 4, newFakePlatform(all...), defaultConfiguration(), turning)
 			defer f.close()
 			time.Sleep(8 * time.Second)
-			if apart = f.holder() >= 0 && f.listHolder() >= 0 && f.holder() != f.listHolder(); !apart {
+			if apart = f.holder() >= 0 && f.workerListOwner() >= 0 && f.holder() != f.workerListOwner(); !apart {
 				return
 			}
-			for _, b := range f.up() {
+			for _, b := range f.runningNodes() {
 				for _, s := range all {
 					st := b.state(s.ID)
 					st.mu.Lock()
@@ -242,8 +242,8 @@
 	t.Fatal("no seed has the duties at two nodes")
 }
 
-// TestProgramsSeeRoom: routing programs see what is free in blocks.
-func TestProgramsSeeRoom(t *testing.T) {
+// TestProgramsSeeFreeMemory: routing programs see what is free in blocks.
+func TestProgramsSeeFreeMemory(t *testing.T) {
 	text := "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: -w.free)]\n"
 	n, err := New(Options{
 		Name:     "n",
@@ -272,52 +272,52 @@
 	}
 }
 
-// tight runs emitters whose memory, unlike their places, is short, and counts arrivals that
+// runShortMemoryLoad runs emitters whose memory, unlike their places, is short, and counts arrivals that
 // were turned away and callers that were answered.
-func tight(t *testing.T, seed uint64, rate, noRoom float64) (away, done, all int, late time.Duration) {
-	ws := both("svc", 4, 6)
+func runShortMemoryLoad(t *testing.T, seed uint64, rate, noRoom float64) (away, done, all int, late time.Duration) {
+	ws := prefillAndDecodeWorkers("svc", 4, 6)
 	for i, s := range ws {
-		if s.memory = 400_000; s.Role == ids.Decode {
-			s.memory = 40_000 + 10_000*(i%3)
+		if s.memoryCapacity = 400_000; s.Role == ids.Decode {
+			s.memoryCapacity = 40_000 + 10_000*(i%3)
 		}
 	}
-	y := newCluster(ws...)
-	y.lag, y.queue, y.step = 300*time.Millisecond, 2, 50*time.Millisecond
-	f := build(t, seed, 6, y, plain(), func(o *Options) {
+	y := newFakePlatform(ws...)
+	y.reportDelay, y.queueLimit, y.eventInterval = 300*time.Millisecond, 2, 50*time.Millisecond
+	f := startFleet(t, seed, 6, y, defaultConfiguration(), func(o *Options) {
 		o.RoleChangeInterval, o.RetryAllowance, o.NoCapacityCost, o.IdlePrefillShare = 500*time.Millisecond, 60, noRoom, -1
 	})
 	defer f.close()
 	time.Sleep(5 * time.Second)
 	rng := rand.New(rand.NewPCG(seed, 11))
-	ends := f.load(rate, 12*time.Second, func(i int) *Request {
+	ends := f.generateLoad(rate, 12*time.Second, func(i int) *Request {
 		prompt, limit := 900, 10
 		if rng.IntN(4) == 0 {
 			prompt, limit = 9000, 24
 		}
-		return f.req(fmt.Sprint("r", i), paths[i%4], prompt, limit)
+		return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], prompt, limit)
 	})
-	rows := y.directory()
+	rows := y.recordedCalls()
 	require.Empty(t, onceOnly(rows, ends))
 	require.Empty(t, ended(ends, 8500*time.Millisecond))
 	require.Empty(t, answers(ends))
 	require.Empty(t, extras(rows, ends, 0.2, 60, window))
 	for _, k := range rows {
-		if k.Kind == "emit" && !k.Took {
+		if k.Kind == "emit" && !k.Accepted {
 			away++
 		}
 	}
 	for _, a := range ends {
 		if a.err == nil {
 			done++
-			late += a.sink.when[0]
+			late += a.response.writeTimes[0]
 		}
 	}
 	return away, done, len(ends), late / time.Duration(max(1, done))
 }
 
-// TestTight: emitters whose memory is short turn fewer requests away, and more are answered,
+// TestFreeMemoryReducesRejections: emitters whose memory is short turn fewer requests away, and more are answered,
 // where nodes know their room than where they do not.
-func TestTight(t *testing.T) {
+func TestFreeMemoryReducesRejections(t *testing.T) {
 	seeds := uint64(2)
 	if raced {
 		seeds = 1
@@ -326,8 +326,8 @@
 	for _, rate := range []float64{85, 110} {
 		for seed := uint64(1); seed <= seeds; seed++ {
 			for k, noRoom := range []float64{-1, 0} {
-				bubble(t, func(t *testing.T) {
-					a, d, all, late := tight(t, seed, rate, noRoom)
+				runInBubble(t, func(t *testing.T) {
+					a, d, all, late := runShortMemoryLoad(t, seed, rate, noRoom)
 					t.Logf(
 						"%.0f a second, seed %d, reckoned with room %t: %d turned away, %d of %d answered, first bytes after %s",
 						rate,
@@ -347,9 +347,9 @@
 	require.Greater(t, done[1], done[0])
 }
 
-// TestStandBytes: what the workers' standing adds to the answers that nodes fetch anyway
+// TestLoadUpdateSize: what the workers' standing adds to the answers that nodes fetch anyway
 // stays within a few bytes a second for each node and worker, while all is busy and changes.
-func TestStandBytes(t *testing.T) {
+func TestLoadUpdateSize(t *testing.T) {
 	for _, c := range []struct{ nodes, workers, places int }{{10, 12, 64}, {72, 140, 24}} {
 		for _, load := range []string{"no", "usual", "full"} {
 			list := make([]Worker, c.workers)
@@ -374,7 +374,7 @@
 					at.Used = at.Running * (400 + rng.IntN(100))
 					rows[list[i].ID] = at
 				}
-				now := ms(1000 * (s + 1))
+				now := tickMs(1000 * (s + 1))
 				b.record("minutes-llm", now, rows, true)
 				for k := range 4 { // askings a second
 					plain := &ListResponse{Version: 7, Age: 1 << 29}
--- a/internal/proxy/metering_test.go
+++ b/internal/proxy/metering_test.go
@@ -167,27 +167,27 @@
 
 // metered builds a fleet that reports its usage to a judge.
 func metered(t *testing.T, seed uint64, nodes int) (*fleet, *usageJudge) {
-	y := newCluster(both("svc", 4, 4)...)
+	y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
 	y.metering = true
 	j := &usageJudge{}
-	f := build(t, seed, nodes, y, tenantPolicy("amber", "cobalt"), func(o *Options) {
+	f := startFleet(t, seed, nodes, y, tenantPolicy("amber", "cobalt"), func(o *Options) {
 		o.RoleChangeInterval = -1
 		o.UsageReporter, o.UsageWindow = &usageLine{o.Host.Net}, usageWindow
 	})
-	p := f.w.Machine(usageIP).Start()
+	p := f.world.Machine(usageIP).Start()
 	f.wg.Go(func() { j.serve(p) })
 	return f, j
 }
 
 func (f *fleet) closeMetered() {
-	f.w.Machine(usageIP).PowerOff()
+	f.world.Machine(usageIP).PowerOff()
 	f.close()
 }
 
 // reporter gives the number of the node that holds the metering duty, or -1.
 func (f *fleet) reporter() int {
 	for i, b := range f.nodes {
-		if _, ok := b.agent.OwnsKey(fleetstate.MeteringKey); ok && b.up {
+		if _, ok := b.agent.OwnsKey(fleetstate.MeteringKey); ok && b.running {
 			return i
 		}
 	}
@@ -195,13 +195,13 @@
 }
 
 // tenantsLoad has two tenants' requests, three of amber to each of cobalt.
-func (f *fleet) tenantsLoad(prefix string, rate float64, duration time.Duration) []*asked {
-	return f.load(rate, duration, func(i int) *Request {
+func (f *fleet) tenantsLoad(prefix string, rate float64, duration time.Duration) []*requestResult {
+	return f.generateLoad(rate, duration, func(i int) *Request {
 		tenant := "amber"
 		if i%4 == 3 {
 			tenant = "cobalt"
 		}
-		return f.keyed(fmt.Sprint(prefix, i), paths[i%4], tenant)
+		return f.keyed(fmt.Sprint(prefix, i), routePaths[i%4], tenant)
 	})
 }
 
@@ -237,7 +237,7 @@
 // TestUsageReported: each window is reported once and soon, windows without requests too, and the counts
 // add up to the requests that were run, tenant by tenant.
 func TestUsageReported(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f, j := metered(t, 71, 4)
 		defer f.closeMetered()
 		all := f.tenantsLoad("r", 20, 21*time.Second)
@@ -267,19 +267,19 @@
 
 // TestUsageReportedAfterKill: the windows that the reporting node left are reported in time by another.
 func TestUsageReportedAfterKill(t *testing.T) {
-	eachSeed(t, 6, func(t *testing.T, seed uint64) {
+	forEachSeed(t, 6, func(t *testing.T, seed uint64) {
 		f, j := metered(t, seed, 5)
 		defer f.closeMetered()
 		var load sync.WaitGroup
 		defer load.Wait()
 		load.Go(func() { f.tenantsLoad("r", 20, 40*time.Second) })
 		for range 2 {
-			require.True(t, f.until(15*time.Second, func() bool { return len(j.all()) > 0 && f.reporter() >= 0 }))
+			require.True(t, f.waitUntil(15*time.Second, func() bool { return len(j.all()) > 0 && f.reporter() >= 0 }))
 			before := len(j.all())
-			f.until(8*time.Second, func() bool { return len(j.all()) > before })
+			f.waitUntil(8*time.Second, func() bool { return len(j.all()) > before })
 			time.Sleep(time.Duration(seed) * 700 * time.Millisecond)
 			if h := f.reporter(); h >= 0 {
-				f.kill(h)
+				f.killNode(h)
 			}
 			time.Sleep(9 * time.Second)
 		}
@@ -294,11 +294,11 @@
 // TestUsageCountsSurviveHolder: what nodes had told a holder that was killed before its report is told
 // anew to the next one, which has the killed node's own counts already.
 func TestUsageCountsSurviveHolder(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		f, j := metered(t, 73, 4)
 		defer f.closeMetered()
-		require.True(t, f.until(20*time.Second, func() bool { return len(j.all()) > 0 }))
-		f.until(10*time.Second, func() bool {
+		require.True(t, f.waitUntil(20*time.Second, func() bool { return len(j.all()) > 0 }))
+		f.waitUntil(10*time.Second, func() bool {
 			return time.Duration(time.Now().UnixNano()%int64(usageWindow)) < 100*time.Millisecond
 		})
 		h := f.reporter()
@@ -306,13 +306,13 @@
 		asks := 0
 		for i, b := range f.nodes {
 			for k := range 5 {
-				a := f.ask(b, f.keyed(fmt.Sprint("w", i, "-", k), "/once/x", "amber"))
+				a := f.send(b, f.keyed(fmt.Sprint("w", i, "-", k), "/once/x", "amber"))
 				require.NoError(t, a.err)
 				asks++
 			}
 		}
 		time.Sleep(1500 * time.Millisecond)
-		f.kill(h)
+		f.killNode(h)
 		time.Sleep(15 * time.Second)
 		calls := j.all()
 		require.Empty(t, oneReporter(calls, usageLease))
@@ -325,14 +325,14 @@
 // or from the platform, while that is slow or refuses, and a core that loses its primary: one node at a
 // time reports, and no window gets two contents.
 func TestOneReporter(t *testing.T) {
-	eachSeed(t, 12, func(t *testing.T, seed uint64) {
+	forEachSeed(t, 12, func(t *testing.T, seed uint64) {
 		f, j := metered(t, seed, 4)
 		defer f.closeMetered()
 		var load sync.WaitGroup
 		defer load.Wait()
 		load.Go(func() { f.tenantsLoad("r", 10, 60*time.Second) })
 		for i := range 6 {
-			f.until(12*time.Second, func() bool { return f.reporter() >= 0 })
+			f.waitUntil(12*time.Second, func() bool { return f.reporter() >= 0 })
 			time.Sleep(time.Duration(seed*131%23+uint64(i)*7%11) * 170 * time.Millisecond)
 			h := f.reporter()
 			if h < 0 {
@@ -352,52 +352,52 @@
 	ip := []string{nodeIP(h)}
 	switch kind {
 	case 0:
-		f.kill(h)
+		f.killNode(h)
 		time.Sleep(1500 * time.Millisecond)
-		f.node(h)
+		f.startNode(h)
 	case 1:
-		f.freeze(h, true)
+		f.setFrozen(h, true)
 		time.Sleep(9 * time.Second)
-		f.freeze(h, false)
+		f.setFrozen(h, false)
 	case 2:
-		f.w.Partition(ip, coreIps, true)
+		f.world.Partition(ip, coreIPs, true)
 		time.Sleep(10 * time.Second)
-		f.w.Partition(ip, coreIps, false)
+		f.world.Partition(ip, coreIPs, false)
 	case 3:
-		f.w.Block(coreIps, ip, true)
+		f.world.Block(coreIPs, ip, true)
 		time.Sleep(10 * time.Second)
-		f.w.Block(coreIps, ip, false)
+		f.world.Block(coreIPs, ip, false)
 	case 4:
-		f.w.Block(ip, []string{usageIP}, true)
+		f.world.Block(ip, []string{usageIP}, true)
 		time.Sleep(6 * time.Second)
-		f.w.Block(ip, []string{usageIP}, false)
+		f.world.Block(ip, []string{usageIP}, false)
 	case 5:
 		j.at(func() { j.delay = 3 * time.Second })
 		time.Sleep(4 * time.Second)
-		f.kill(h)
+		f.killNode(h)
 		time.Sleep(8 * time.Second)
-		f.node(h)
+		f.startNode(h)
 		j.at(func() { j.delay = 0 })
 	case 6:
 		j.at(func() { j.refuse = 5 })
-		f.w.Block(ip, coreIps, true)
+		f.world.Block(ip, coreIPs, true)
 		time.Sleep(8 * time.Second)
-		f.w.Block(ip, coreIps, false)
+		f.world.Block(ip, coreIPs, false)
 	case 7:
 		b := f.nodes[h]
-		f.at(func() { b.up = false })
-		b.stop()
+		f.withLock(func() { b.running = false })
+		b.cancel()
 		<-b.done
-		b.proc.Kill()
-		f.node(h)
+		b.process.Kill()
+		f.startNode(h)
 	case 8:
 		if primary := f.leader(); primary != "" {
-			f.offCore(primary)
+			f.powerOffCore(primary)
 			time.Sleep(500 * time.Millisecond)
-			f.kill(h)
+			f.killNode(h)
 			time.Sleep(6 * time.Second)
-			f.core(primary)
-			f.node(h)
+			f.startCore(primary)
+			f.startNode(h)
 		}
 	}
 }
--- a/internal/proxy/new_holder_test.go
+++ b/internal/proxy/new_holder_test.go
@@ -29,19 +29,19 @@
 // stand, though the new holder sends no order before the earlier one's lease has lapsed.
 func TestLoadsKnownBeforeFirstOrder(t *testing.T) {
 	const limit = 1500 * time.Millisecond // a round of reports and a turn of the list
-	eachSeed(t, 2, func(t *testing.T, seed uint64) {
-		y := newCluster(both("svc", 4, 4)...)
-		f := build(t, seed, 4, y, plain(), turning)
+	forEachSeed(t, 2, func(t *testing.T, seed uint64) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+		f := startFleet(t, seed, 4, y, defaultConfiguration(), turning)
 		defer f.close()
-		require.True(t, f.until(10*time.Second, func() bool { return f.holder() >= 0 }))
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.holder() >= 0 }))
 		time.Sleep(5 * time.Second)
-		f.kill(f.holder())
-		require.True(t, f.until(10*time.Second, func() bool { return f.holder() >= 0 }), "the duty passes on")
+		f.killNode(f.holder())
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.holder() >= 0 }), "the duty passes on")
 		from := map[*testNode]ids.Tick{}
-		for _, b := range f.up() {
+		for _, b := range f.runningNodes() {
 			from[b] = b.now()
 		}
-		require.True(t, f.until(limit, func() bool {
+		require.True(t, f.waitUntil(limit, func() bool {
 			for b, at := range from {
 				if !b.reportedSince(at) {
 					return false
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -14,12 +14,12 @@
 	"keelstair.example/internal/routing"
 )
 
-// TestTable: the table gives the same workers and homes as the whole list does, under each
+// TestCandidateIndexMatchesWorkerList: the table gives the same workers and homes as the whole list does, under each
 // version of the list and of the snapshot.
-func TestTable(t *testing.T) {
+func TestCandidateIndexMatchesWorkerList(t *testing.T) {
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 	require.NoError(t, err)
-	list := many(40)
+	list := newWorkers(40)
 	list[7].Role = ""
 	list[9].Service = "other"
 	sights := []*fleetstate.Snapshot{
@@ -65,33 +65,35 @@
 	}
 }
 
-// TestPickedAnew: after a dial that took long nothing goes to a worker of which the node has
+// TestPickRepeatedAfterSlowDial: after a dial that took long nothing goes to a worker of which the node has
 // heard meanwhile that it leaves, nor does the request end while another worker is there.
-func TestPickedAnew(t *testing.T) {
+func TestPickRepeatedAfterSlowDial(t *testing.T) {
 	for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
-		eachSeed(t, 3, func(t *testing.T, seed uint64) {
-			y := newCluster(both("svc", 3, 3)...)
-			f := build(t, seed, 2, y, plain(), func(o *Options) {
+		forEachSeed(t, 3, func(t *testing.T, seed uint64) {
+			y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+			f := startFleet(t, seed, 2, y, defaultConfiguration(), func(o *Options) {
 				o.RetryAllowance, o.ListInterval, o.ShareInterval = 60, 100*time.Millisecond, 50*time.Millisecond
 			})
 			defer f.close()
-			y.at(func() { y.dial = map[string]time.Duration{"svc-" + string(role) + "-0:90": 1400 * time.Millisecond} })
+			y.withLock(func() {
+				y.unreachable = map[string]time.Duration{"svc-" + string(role) + "-0:90": 1400 * time.Millisecond}
+			})
 			f.wg.Go(func() {
 				time.Sleep(150 * time.Millisecond)
-				y.at(func() { y.of("svc-" + string(role) + "-1").Leaving = true })
+				y.withLock(func() { y.worker("svc-" + string(role) + "-1").Leaving = true })
 			})
-			all := f.load(200, 300*time.Millisecond, func(i int) *Request {
-				return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4)
+			all := f.generateLoad(200, 300*time.Millisecond, func(i int) *Request {
+				return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4)
 			})
 			late := 0
 			for _, a := range all {
 				require.NoError(t, a.err)
-				if a.end-a.at > 400*time.Millisecond {
+				if a.endedAt-a.sentAt > 400*time.Millisecond {
 					late++
 				}
 			}
 			require.Greater(t, late, 5, "some dialled the one that is not there")
-			require.Empty(t, leftAlone(y.directory(), 100*time.Millisecond))
+			require.Empty(t, leftAlone(y.recordedCalls(), 100*time.Millisecond))
 		})
 	}
 }
@@ -102,7 +104,7 @@
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 			require.NoError(b, err)
-			n.installList(many(workers), n.now(), n.now())
+			n.installList(newWorkers(workers), n.now(), n.now())
 			s, service := n.view.Current(), service("s")
 			r := &Request{
 				ID:        "9c41d07be2a35f68",
@@ -120,8 +122,8 @@
 	}
 }
 
-// many makes so many workers of one service, half of them of each part, in four zones.
-func many(workers int) []Worker {
+// newWorkers makes so many workers of one service, half of them of each part, in four zones.
+func newWorkers(workers int) []Worker {
 	list := make([]Worker, workers)
 	for i := range list {
 		list[i] = Worker{
--- a/internal/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -14,26 +14,26 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestOff: a worker that is drained, in an evacuated zone, leaving or off the list gets
+// TestUnavailableWorkersGetNoNewWork: a worker that is drained, in an evacuated zone, leaving or off the list gets
 // nothing new once a node knows, all nodes know within two seconds, what runs there ends
 // there, and callers notice nothing.
-func TestOff(t *testing.T) {
+func TestUnavailableWorkersGetNoNewWork(t *testing.T) {
 	for _, how := range []string{"drained", "evacuated", "leaving", "unlisted"} {
 		t.Run(how, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 4, 4)...)
-				f := build(t, 31, 3, y, plain(), nil)
+			runInBubble(t, func(t *testing.T) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+				f := startFleet(t, 31, 3, y, defaultConfiguration(), nil)
 				defer f.close()
 				var gone []ids.WorkerID
 				var at time.Duration
 				f.wg.Go(func() {
 					time.Sleep(2 * time.Second)
-					y.at(func() {
-						for _, w := range y.all {
+					y.withLock(func() {
+						for _, w := range y.workers {
 							if how == "evacuated" && w.Zone == "b" ||
 								how != "evacuated" && strings.HasSuffix(w.name, "-1") {
 								gone = append(gone, w.ID)
-								w.Leaving, w.hidden = how == "leaving", how == "unlisted"
+								w.Leaving, w.unlisted = how == "leaving", how == "unlisted"
 							}
 						}
 					})
@@ -45,12 +45,12 @@
 					case "evacuated":
 						f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 					}
-					at = y.now()
+					at = y.elapsed()
 				})
-				all := f.load(60, 8*time.Second, func(i int) *Request {
-					return f.req(fmt.Sprint("r", i), paths[i%4], 400, 10)
+				all := f.generateLoad(60, 8*time.Second, func(i int) *Request {
+					return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 10)
 				})
-				rows := y.directory()
+				rows := y.recordedCalls()
 				require.NotEmpty(t, gone)
 				require.Empty(t, leftAlone(rows, 100*time.Millisecond))
 				for _, id := range gone {
@@ -66,20 +66,20 @@
 	}
 }
 
-// TestStale: a life that answered that it is gone is left alone by the node it told, as
+// TestReplacedWorkerAvoided: a life that answered that it is gone is left alone by the node it told, as
 // long as another worker is there.
-func TestStale(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 3)...)
-		f := build(t, 32, 2, y, plain(), func(o *Options) { o.RetryAllowance = 50 })
+func TestReplacedWorkerAvoided(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 32, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 50 })
 		defer f.close()
-		y.at(func() { y.nolist = true })
-		y.restart("svc-decode-1")
-		y.restart("svc-prefill-1")
-		all := f.load(30, 10*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
-		require.Empty(t, onceOnly(y.directory(), all))
+		y.withLock(func() { y.listFails = true })
+		y.restartWorker("svc-decode-1")
+		y.restartWorker("svc-prefill-1")
+		all := f.generateLoad(30, 10*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
+		require.Empty(t, onceOnly(y.recordedCalls(), all))
 		count := map[string]int{}
-		for _, k := range y.directory() {
+		for _, k := range y.recordedCalls() {
 			if (k.Kind == "emit" || k.Kind == "read") && strings.HasSuffix(string(k.Worker), "-1.1") {
 				count[k.Node+string(k.Worker)]++
 			}
@@ -91,15 +91,15 @@
 	})
 }
 
-// TestGoneStaysGone: a life that is gone stays left alone though the life that has its
+// TestReplacedWorkerStaysAvoided: a life that is gone stays left alone though the life that has its
 // address now answers with a report.
-func TestGoneStaysGone(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 33, 1, y, plain(), nil)
+func TestReplacedWorkerStaysAvoided(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 33, 1, y, defaultConfiguration(), nil)
 		defer f.close()
-		y.at(func() { y.nolist = true })
-		y.restart("svc-decode-1")
+		y.withLock(func() { y.listFails = true })
+		y.restartWorker("svc-decode-1")
 		n := f.nodes[0]
 		for _, w := range n.endpoints.Load().workers {
 			if w.ID == "svc-decode-1.1" {
@@ -108,7 +108,7 @@
 			}
 		}
 		time.Sleep(time.Second)
-		f.load(20, 3*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 4) })
-		require.Empty(t, sentTo(y.directory(), "svc-decode-1.1", 0, time.Hour))
+		f.generateLoad(20, 3*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
+		require.Empty(t, sentTo(y.recordedCalls(), "svc-decode-1.1", 0, time.Hour))
 	})
 }
--- a/internal/proxy/program_test.go
+++ b/internal/proxy/program_test.go
@@ -44,32 +44,32 @@
 // naming strangers) and one in the shadow: hostile ones fall back and are counted, the
 // shadow one is asked each time and has no say, and nothing that is promised is broken.
 func TestPrograms(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 4)...)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
 		scores := &routing.Scores{}
-		y.prep = func(n *Node) {
+		y.beforeRun = func(n *Node) {
 			programs, err := routing.NewProgramSet(n.options.Programs, n.options.ProgramSteps, scores)
 			require.NoError(t, err)
 			n.startupPrograms.Set = programs
 		}
-		f := build(t, 61, 2, y, plain(), func(o *Options) {
+		f := startFleet(t, 61, 2, y, defaultConfiguration(), func(o *Options) {
 			o.Programs = programs
 			o.ProgramSteps = 5000
 			o.RetryAllowance = 40
 		})
 		defer f.close()
 		hit := map[string]bool{}
-		y.at(func() {
-			y.fate = func(k row, _ *stand) fate {
-				if h := ids.Hash(k.Req); k.Kind == "emit" && h%7 == 0 && !hit[k.Req] {
-					hit[k.Req] = true
-					return midReset
+		y.withLock(func() {
+			y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
+				if h := ids.Hash(k.RequestID); k.Kind == "emit" && h%7 == 0 && !hit[k.RequestID] {
+					hit[k.RequestID] = true
+					return resetMidResponse
 				}
-				return fine
+				return succeeds
 			}
 		})
-		all := f.load(50, 12*1e9, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 6) })
-		rows := y.directory()
+		all := f.generateLoad(50, 12*1e9, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 6) })
+		rows := y.recordedCalls()
 		require.Empty(t, onceOnly(rows, all))
 		require.Empty(t, answers(all))
 		require.Empty(t, leftAlone(rows, 0))
@@ -96,20 +96,20 @@
 // TestProgramRules: a program's order is kept for its share, and its order never brings a
 // request to a worker that is drained.
 func TestProgramRules(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 4)...)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
 		programs := []routing.Source{{
 			Name:  "fixed",
 			Share: 100,
 			Text:  "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: w.id)]\n",
 		}}
-		f := build(t, 62, 2, y, plain(), func(o *Options) {
+		f := startFleet(t, 62, 2, y, defaultConfiguration(), func(o *Options) {
 			o.Programs, o.HedgeFactor = programs, -1 // a hedge goes to the second of the order
 		})
 		defer f.close()
-		all := f.load(30, 3*1e9, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 2) })
+		all := f.generateLoad(30, 3*1e9, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 2) })
 		at := map[ids.WorkerID]int{}
-		for _, k := range y.directory() {
+		for _, k := range y.recordedCalls() {
 			if k.Kind == "emit" || k.Kind == "read" {
 				at[k.Worker]++
 			}
@@ -123,18 +123,18 @@
 func TestMatchedByNobody(t *testing.T) {
 	for _, workers := range []int{3, 1} {
 		t.Run(fmt.Sprint(workers), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", workers, workers)...)
+			runInBubble(t, func(t *testing.T) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", workers, workers)...)
 				programs := []routing.Source{{
 					Name:  "nobody",
 					Share: 100,
 					Text:  "def match(ask, worker):\n    return False\n",
 				}}
-				f := build(t, 63, 1, y, plain(), func(o *Options) { o.Programs = programs })
+				f := startFleet(t, 63, 1, y, defaultConfiguration(), func(o *Options) { o.Programs = programs })
 				defer f.close()
-				a := f.ask(f.nodes[0], f.req("r", "/once/x", 400, 2))
+				a := f.send(f.nodes[0], f.newRequest("r", "/once/x", 400, 2))
 				require.IsType(t, &RejectedError{}, a.err)
-				require.Empty(t, y.directory())
+				require.Empty(t, y.recordedCalls())
 			})
 		})
 	}
@@ -142,7 +142,7 @@
 
 // TestBadProgram: a deck with a program that does not compile makes no node.
 func TestBadProgram(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		_, err := New(Options{Name: "n", Programs: []routing.Source{{Name: "x", Share: 100, Text: "def order(ask"}}})
 		require.ErrorContains(t, err, "x.star")
 	})
--- a/internal/proxy/proxy_cluster_test.go
+++ b/internal/proxy/proxy_cluster_test.go
@@ -19,144 +19,144 @@
 	"keelstair.example/ids"
 )
 
-// fate is what becomes of one call at a worker.
-type fate int
+// callOutcome is what becomes of one call at a worker.
+type callOutcome int
 
 const (
-	fine       fate = iota
-	unreached       // no connection comes up
-	turnedAway      // surely not run
-	ranReset        // run, and reset before the answer
-	idleReset       // not run, and reset before the answer
-	ranSilent       // run, and not a word until the asker gives up
-	idleSilent      // not run, and not a word
-	midReset        // reset in the middle of the answer, within an event
-	foreign         // the answer of another request
-	bare            // a success without the stamp
-	failed          // a 500 with the stamp
-	lostMemory      // the memory cannot be had
+	succeeds          callOutcome = iota
+	connectionRefused             // no connection comes up
+	notExecuted                   // surely not run
+	resetAfterRun                 // run, and reset before the answer
+	resetBeforeRun                // not run, and reset before the answer
+	silentAfterRun                // run, and not a word until the asker gives up
+	silentBeforeRun               // not run, and not a word
+	resetMidResponse              // reset in the middle of the answer, within an event
+	foreignResponse               // the answer of another request
+	unstampedResponse             // a success without the stamp
+	serverError                   // a 500 with the stamp
+	memoryLost                    // the memory cannot be had
 )
 
-// row is one line of the book.
-type row struct {
-	At     time.Duration
-	Kind   string // read, emit, free, order, report
-	Node   string
-	Worker ids.WorkerID
-	Req    string
-	From   string
-	Took   bool          // it was not turned away
-	Ran    bool          // an emission began, or a reading gave its memory
-	Direct bool          // an emission without memory: the worker is to read the prompt itself
-	Cold   bool          // the worker was cold
-	Off    time.Duration // how long the node knew that the worker is to get nothing new
-	Owner  ids.NodeID
-	Fence  ids.Fence
-	To     ids.Role
+// callRecord is one line of the book.
+type callRecord struct {
+	At             time.Duration
+	Kind           string // read, emit, free, order, report
+	Node           string
+	Worker         ids.WorkerID
+	RequestID      string
+	LastEventID    string
+	Accepted       bool          // it was not turned away
+	Executed       bool          // an emission began, or a reading gave its memory
+	Direct         bool          // an emission without memory: the worker is to read the prompt itself
+	Cold           bool          // the worker was cold
+	UnavailableFor time.Duration // how long the node knew that the worker is to get nothing new
+	Owner          ids.NodeID
+	Fence          ids.Fence
+	TargetRole     ids.Role
 	// What the worker was told of who asks.
 	Key, Tenant string
 	Urgency     int
 }
 
-// handle is memory that a worker keeps.
-type handle struct {
-	worker ids.WorkerID
-	req    string
-	had    int
-	freed  bool
-	let    func() // the worker's memory is free again
+// memoryHandle is memory that a worker keeps.
+type memoryHandle struct {
+	worker    ids.WorkerID
+	requestID string
+	fetches   int
+	freed     bool
+	release   func() // the worker's memory is free again
 }
 
-// stand is one worker.
-type stand struct {
+// fakeWorker is one worker.
+type fakeWorker struct {
 	Worker
 	name             string
 	incarnation      int
-	dark             bool
-	dead             bool
-	hidden           bool // not listed
-	warm             time.Time
-	orders           int
-	turning          ids.Role
+	silent           bool
+	terminated       bool
+	unlisted         bool // not listed
+	warmAt           time.Time
+	orderCount       int
+	nextRole         ids.Role
 	running, waiting int
-	memory           int // tokens; 0 is without end
-	used             int
-	past             []snap
-	wants            map[int]int // by urgency: who waits
-}
-
-// snap is how a worker stood from some time on.
-type snap struct {
-	at                     time.Time
-	running, waiting, used int
-}
-
-type workerPool struct {
-	mu        sync.Mutex
-	metering  bool // the fleet reports usage
-	start     time.Time
-	all       []*stand
-	rows      []row
-	handles   map[string]*handle
-	partition map[string]bool // nodes that reach no worker
-	frozen    map[string]bool // nodes that stand still
-	off       map[string]map[ids.WorkerID]time.Time
-	known     map[string]func(id ids.WorkerID) bool // by node: whether it knows now that a worker is off
-	fate      func(k row, w *stand) fate
-	listed    func() time.Duration // how long the asking for the list is under way
-	nolist    bool
-	asked     []row                      // askings for the list
-	chill     map[ids.Zone]time.Duration // for how long workers of a zone turn cold at their first request
-	step      time.Duration              // between events
-	turn      time.Duration
-	handle    int
-	onRead    func(r *Request)
-	prep      func(n *Node)                     // before a node runs
-	lean      func(s *stand) int                // added to what reports say is running
-	health    func(node string, s *stand) error // what a node gets instead of a report
-	lag       time.Duration                     // by which reports are old
-	dial      map[string]time.Duration          // addresses to which none comes up, and how long that takes
-	direct    int                               // tokens a ms that an emitting worker reads by itself
-	slowRead  map[string]time.Duration          // workers that take so much longer for each prompt
-	slowStep  map[string]time.Duration          // workers that take so long between events
-	queue     int                               // requests that wait at a worker at most; 0: twice its places
-}
-
-func newCluster(all ...*stand) *workerPool {
-	return &workerPool{start: time.Now(), all: all, handles: map[string]*handle{}, partition: map[string]bool{}, frozen: map[string]bool{},
-		off: map[string]map[ids.WorkerID]time.Time{}, known: map[string]func(ids.WorkerID) bool{}, direct: 50, step: 20 * time.Millisecond, turn: time.Second}
-}
-
-// stands makes so many workers of a part, by turns in two zones.
-func stands(service string, role ids.Role, n int) []*stand {
-	var out []*stand
+	memoryCapacity   int // tokens; 0 is without end
+	memoryUsed       int
+	loadHistory      []loadSample
+	waitingByUrgency map[int]int // by urgency: who waits
+}
+
+// loadSample is how a worker stood from some time on.
+type loadSample struct {
+	at                           time.Time
+	running, waiting, memoryUsed int
+}
+
+type fakePlatform struct {
+	mu                 sync.Mutex
+	metering           bool // the fleet reports usage
+	start              time.Time
+	workers            []*fakeWorker
+	calls              []callRecord
+	handles            map[string]*memoryHandle
+	partitionedNodes   map[string]bool // nodes that reach no worker
+	frozenNodes        map[string]bool // nodes that stand still
+	unavailableSince   map[string]map[ids.WorkerID]time.Time
+	knowsUnavailable   map[string]func(id ids.WorkerID) bool // by node: whether it knows now that a worker is off
+	outcome            func(k callRecord, w *fakeWorker) callOutcome
+	listDelay          func() time.Duration // how long the asking for the list is under way
+	listFails          bool
+	listCalls          []callRecord               // askings for the list
+	coldPeriods        map[ids.Zone]time.Duration // for how long workers of a zone turn cold at their first request
+	eventInterval      time.Duration              // between events
+	roleChangeTime     time.Duration
+	lastHandle         int
+	afterPrefill       func(r *Request)
+	beforeRun          func(n *Node)                          // before a node runs
+	extraRunning       func(s *fakeWorker) int                // added to what reports say is running
+	reportError        func(node string, s *fakeWorker) error // what a node gets instead of a report
+	reportDelay        time.Duration                          // by which reports are old
+	unreachable        map[string]time.Duration               // addresses to which none comes up, and how long that takes
+	directTokensPerMs  int                                    // tokens a ms that an emitting worker reads by itself
+	extraPrefillTime   map[string]time.Duration               // workers that take so much longer for each prompt
+	slowEventIntervals map[string]time.Duration               // workers that take so long between events
+	queueLimit         int                                    // requests that wait at a worker at most; 0: twice its places
+}
+
+func newFakePlatform(all ...*fakeWorker) *fakePlatform {
+	return &fakePlatform{start: time.Now(), workers: all, handles: map[string]*memoryHandle{}, partitionedNodes: map[string]bool{}, frozenNodes: map[string]bool{},
+		unavailableSince: map[string]map[ids.WorkerID]time.Time{}, knowsUnavailable: map[string]func(ids.WorkerID) bool{}, directTokensPerMs: 50, eventInterval: 20 * time.Millisecond, roleChangeTime: time.Second}
+}
+
+// newFakeWorkers makes so many workers of a part, by turns in two zones.
+func newFakeWorkers(service string, role ids.Role, n int) []*fakeWorker {
+	var out []*fakeWorker
 	for i := range n {
 		name := fmt.Sprintf("%s-%s-%d", service, role, i)
 		if role == "" {
 			name = fmt.Sprintf("%s-%d", service, i)
 		}
-		out = append(out, &stand{name: name, incarnation: 1, Worker: Worker{ID: ids.WorkerID(name + ".1"), Service: service, Addr: name + ":90",
+		out = append(out, &fakeWorker{name: name, incarnation: 1, Worker: Worker{ID: ids.WorkerID(name + ".1"), Service: service, Addr: name + ":90",
 			Zone: ids.Zone([]string{"a", "b"}[i%2]), Role: role, Concurrency: 16}})
 	}
 	return out
 }
 
-// both makes readers and emitters of one service.
-func both(service string, readers, emitters int) []*stand {
-	return append(stands(service, ids.Prefill, readers), stands(service, ids.Decode, emitters)...)
+// prefillAndDecodeWorkers makes readers and emitters of one service.
+func prefillAndDecodeWorkers(service string, readers, emitters int) []*fakeWorker {
+	return append(newFakeWorkers(service, ids.Prefill, readers), newFakeWorkers(service, ids.Decode, emitters)...)
 }
 
-func (y *workerPool) now() time.Duration { return time.Since(y.start) }
+func (y *fakePlatform) elapsed() time.Duration { return time.Since(y.start) }
 
-// at changes the fake platform.
-func (y *workerPool) at(f func()) {
+// withLock changes the fake platform.
+func (y *fakePlatform) withLock(f func()) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	f()
 }
 
-func (y *workerPool) of(name string) *stand {
-	for _, w := range y.all {
+func (y *fakePlatform) worker(name string) *fakeWorker {
+	for _, w := range y.workers {
 		if w.name == name {
 			return w
 		}
@@ -164,44 +164,44 @@
 	return nil
 }
 
-// restart ends a worker's life and begins another at the same address.
-func (y *workerPool) restart(name string) {
+// restartWorker ends a worker's life and begins another at the same address.
+func (y *fakePlatform) restartWorker(name string) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	for i, w := range y.all {
+	for i, w := range y.workers {
 		if w.name == name {
-			w.dead = true
-			next := &stand{Worker: w.Worker, name: name, incarnation: w.incarnation + 1}
+			w.terminated = true
+			next := &fakeWorker{Worker: w.Worker, name: name, incarnation: w.incarnation + 1}
 			next.ID = ids.WorkerID(fmt.Sprintf("%s.%d", name, next.incarnation))
-			y.all[i] = next
+			y.workers[i] = next
 		}
 	}
 }
 
-func (y *workerPool) directory() []row {
+func (y *fakePlatform) recordedCalls() []callRecord {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	return append([]row(nil), y.rows...)
+	return append([]callRecord(nil), y.calls...)
 }
 
-// back is one node's way to the workers.
-type back struct {
-	y  *workerPool
-	ip string
+// fakeBackend is one node's way to the workers.
+type fakeBackend struct {
+	platform *fakePlatform
+	nodeIP   string
 }
 
-var errReset = errors.New("connection reset")
+var errConnectionReset = errors.New("connection reset")
 
-func unknown(w Worker, reason string) error {
+func outcomeUnknown(w Worker, reason string) error {
 	return failure.New(failure.OutcomeUnknown, "ask worker", w.Addr, "%s", reason)
 }
 
-// gate holds a frozen node at its next step on the network.
-func (b *back) gate() {
+// waitWhileFrozen holds a frozen node at its next step on the network.
+func (b *fakeBackend) waitWhileFrozen() {
 	for {
-		b.y.mu.Lock()
-		on := b.y.frozen[b.ip]
-		b.y.mu.Unlock()
+		b.platform.mu.Lock()
+		on := b.platform.frozenNodes[b.nodeIP]
+		b.platform.mu.Unlock()
 		if !on {
 			return
 		}
@@ -209,7 +209,7 @@
 	}
 }
 
-func nap(ctx context.Context, d time.Duration) bool {
+func sleepContext(ctx context.Context, d time.Duration) bool {
 	t := host.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -220,123 +220,123 @@
 	}
 }
 
-// reach goes to the worker that has the address now.
-func (b *back) reach(ctx context.Context, w Worker) (*stand, error) {
-	b.gate()
+// connect goes to the worker that has the address now.
+func (b *fakeBackend) connect(ctx context.Context, w Worker) (*fakeWorker, error) {
+	b.waitWhileFrozen()
 	if ctx.Err() != nil {
 		return nil, NotDialled(ctx.Err(), w.Addr)
 	}
-	b.y.mu.Lock()
-	cut := b.y.partition[b.ip]
-	b.y.mu.Unlock()
+	b.platform.mu.Lock()
+	cut := b.platform.partitionedNodes[b.nodeIP]
+	b.platform.mu.Unlock()
 	if cut {
-		nap(ctx, 400*time.Millisecond)
+		sleepContext(ctx, 400*time.Millisecond)
 		return nil, NotDialled(errors.New("no answer"), w.Addr)
 	}
-	b.y.mu.Lock()
-	long, no := b.y.dial[w.Addr]
-	b.y.mu.Unlock()
+	b.platform.mu.Lock()
+	long, no := b.platform.unreachable[w.Addr]
+	b.platform.mu.Unlock()
 	if no {
-		nap(ctx, long)
+		sleepContext(ctx, long)
 		return nil, NotDialled(errors.New("no answer"), w.Addr)
 	}
-	if !nap(ctx, 500*time.Microsecond) {
-		return nil, unknown(w, "given up on the way")
+	if !sleepContext(ctx, 500*time.Microsecond) {
+		return nil, outcomeUnknown(w, "given up on the way")
 	}
-	b.y.mu.Lock()
-	defer b.y.mu.Unlock()
-	for _, s := range b.y.all {
-		if s.Addr == w.Addr && !s.dead {
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
+	for _, s := range b.platform.workers {
+		if s.Addr == w.Addr && !s.terminated {
 			return s, nil
 		}
 	}
 	return nil, NotDialled(errors.New("refused"), w.Addr)
 }
 
-// knew is for how long the node has known, as it sends, that a worker is off.
-func (b *back) knew(w Worker) time.Duration {
-	b.y.mu.Lock()
-	f := b.y.known[b.ip]
-	b.y.mu.Unlock()
+// knownUnavailableFor is for how long the node has known, as it sends, that a worker is off.
+func (b *fakeBackend) knownUnavailableFor(w Worker) time.Duration {
+	b.platform.mu.Lock()
+	f := b.platform.knowsUnavailable[b.nodeIP]
+	b.platform.mu.Unlock()
 	if f == nil || !f(w.ID) {
 		return 0
 	}
-	b.y.mu.Lock()
-	defer b.y.mu.Unlock()
-	if at, ok := b.y.off[b.ip][w.ID]; ok {
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
+	if at, ok := b.platform.unavailableSince[b.nodeIP][w.ID]; ok {
 		return time.Since(at)
 	}
 	return 0
 }
 
-// arrive writes a call into the book and says what becomes of it. The fake platform is locked.
-func (b *back) arrive(k row, s *stand, w Worker) (*row, fate, error) {
-	y := b.y
-	if duration, ok := y.chill[s.Zone]; ok && s.warm.IsZero() {
-		s.warm = time.Now().Add(duration)
+// recordCall writes a call into the book and says what becomes of it. The fake platform is locked.
+func (b *fakeBackend) recordCall(k callRecord, s *fakeWorker, w Worker) (*callRecord, callOutcome, error) {
+	y := b.platform
+	if duration, ok := y.coldPeriods[s.Zone]; ok && s.warmAt.IsZero() {
+		s.warmAt = time.Now().Add(duration)
 	}
-	k.At, k.Node, k.Worker, k.Cold = y.now(), b.ip, w.ID, time.Now().Before(s.warm)
-	how := fine
-	if y.fate != nil {
-		how = y.fate(k, s)
+	k.At, k.Node, k.Worker, k.Cold = y.elapsed(), b.nodeIP, w.ID, time.Now().Before(s.warmAt)
+	how := succeeds
+	if y.outcome != nil {
+		how = y.outcome(k, s)
 	}
-	if how == unreached {
+	if how == connectionRefused {
 		return nil, how, NotDialled(errors.New("refused"), w.Addr)
 	}
-	y.rows = append(y.rows, k)
-	p := &y.rows[len(y.rows)-1]
+	y.calls = append(y.calls, k)
+	p := &y.calls[len(y.calls)-1]
 	switch {
 	case s.ID != w.ID:
 		return p, how, failure.New(failure.Stale, "ask worker", w.Addr, "another life has the address")
-	case s.dark && (how == fine || how == midReset):
-		how = idleSilent
-	case how == turnedAway, s.turning != "", s.waiting >= y.most(s), k.Kind == "read" && s.Role == ids.Decode:
+	case s.silent && (how == succeeds || how == resetMidResponse):
+		how = silentBeforeRun
+	case how == notExecuted, s.nextRole != "", s.waiting >= y.queueLimitOf(s), k.Kind == "read" && s.Role == ids.Decode:
 		return p, how, failure.New(failure.NotExecuted, "ask worker", w.Addr, "turned away")
 	}
-	p.Took = true
+	p.Accepted = true
 	return p, how, nil
 }
 
-func (y *workerPool) most(s *stand) int {
-	if y.queue > 0 {
-		return y.queue
+func (y *fakePlatform) queueLimitOf(s *fakeWorker) int {
+	if y.queueLimit > 0 {
+		return y.queueLimit
 	}
 	return 2 * s.Concurrency
 }
 
-// prefix keeps how a worker stands for late reports. The fake platform is locked.
-func (y *workerPool) prefix(s *stand) {
-	for y.lag > 0 && len(s.past) > 1 && time.Since(s.past[1].at) > y.lag {
-		s.past = s.past[1:]
+// recordLoad keeps how a worker stands for late reports. The fake platform is locked.
+func (y *fakePlatform) recordLoad(s *fakeWorker) {
+	for y.reportDelay > 0 && len(s.loadHistory) > 1 && time.Since(s.loadHistory[1].at) > y.reportDelay {
+		s.loadHistory = s.loadHistory[1:]
 	}
-	s.past = append(s.past, snap{time.Now(), s.running, s.waiting, s.used})
+	s.loadHistory = append(s.loadHistory, loadSample{time.Now(), s.running, s.waiting, s.memoryUsed})
 }
 
-// shown is how a worker stood a lag ago. The fake platform is locked.
-func (y *workerPool) shown(s *stand) snap {
-	out := snap{running: s.running, waiting: s.waiting, used: s.used}
-	for i := len(s.past) - 1; y.lag > 0 && i >= 0; i-- {
-		if out = s.past[i]; time.Since(out.at) >= y.lag {
+// delayedLoad is how a worker stood a lag ago. The fake platform is locked.
+func (y *fakePlatform) delayedLoad(s *fakeWorker) loadSample {
+	out := loadSample{running: s.running, waiting: s.waiting, memoryUsed: s.memoryUsed}
+	for i := len(s.loadHistory) - 1; y.reportDelay > 0 && i >= 0; i-- {
+		if out = s.loadHistory[i]; time.Since(out.at) >= y.reportDelay {
 			break
 		}
 	}
 	return out
 }
 
-// place waits for one of the worker's places, with memory, behind the more urgent. It gives how to leave it, and
+// acquireSlot waits for one of the worker's places, with memory, behind the more urgent. It gives how to leave it, and
 // how to give the memory back.
-func (y *workerPool) place(ctx context.Context, s *stand, tokens, urgency int) (leave, let func(), err error) {
+func (y *fakePlatform) acquireSlot(ctx context.Context, s *fakeWorker, tokens, urgency int) (leave, let func(), err error) {
 	tokens = (tokens + 15) / 16 * 16
-	y.at(func() {
-		if s.wants == nil {
-			s.wants = map[int]int{}
+	y.withLock(func() {
+		if s.waitingByUrgency == nil {
+			s.waitingByUrgency = map[int]int{}
 		}
-		s.wants[urgency]++
+		s.waitingByUrgency[urgency]++
 		s.waiting++
-		y.prefix(s)
+		y.recordLoad(s)
 	})
 	first := func() bool {
-		for u, n := range s.wants {
+		for u, n := range s.waitingByUrgency {
 			if u < urgency && n > 0 {
 				return false
 			}
@@ -345,345 +345,345 @@
 	}
 	for {
 		y.mu.Lock()
-		if s.running < s.Concurrency && !s.dark && !s.dead && (s.memory == 0 || s.used+tokens <= s.memory) && first() {
-			s.wants[urgency]--
-			s.waiting, s.running, s.used = s.waiting-1, s.running+1, s.used+tokens
-			y.prefix(s)
+		if s.running < s.Concurrency && !s.silent && !s.terminated && (s.memoryCapacity == 0 || s.memoryUsed+tokens <= s.memoryCapacity) && first() {
+			s.waitingByUrgency[urgency]--
+			s.waiting, s.running, s.memoryUsed = s.waiting-1, s.running+1, s.memoryUsed+tokens
+			y.recordLoad(s)
 			y.mu.Unlock()
-			return sync.OnceFunc(func() { y.at(func() { s.running--; y.prefix(s) }) }), sync.OnceFunc(func() { y.at(func() { s.used -= tokens; y.prefix(s) }) }), nil
+			return sync.OnceFunc(func() { y.withLock(func() { s.running--; y.recordLoad(s) }) }), sync.OnceFunc(func() { y.withLock(func() { s.memoryUsed -= tokens; y.recordLoad(s) }) }), nil
 		}
-		dead := s.dead
+		dead := s.terminated
 		y.mu.Unlock()
-		if dead || !nap(ctx, 5*time.Millisecond) {
-			y.at(func() { s.wants[urgency]--; s.waiting--; y.prefix(s) })
-			return nil, nil, unknown(s.Worker, "ended while it waited")
+		if dead || !sleepContext(ctx, 5*time.Millisecond) {
+			y.withLock(func() { s.waitingByUrgency[urgency]--; s.waiting--; y.recordLoad(s) })
+			return nil, nil, outcomeUnknown(s.Worker, "ended while it waited")
 		}
 	}
 }
 
-func (y *workerPool) load(s *stand) *Load {
+func (y *fakePlatform) currentLoad(s *fakeWorker) *Load {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return &Load{Running: s.running, Waiting: s.waiting, Concurrency: s.Concurrency}
 }
 
-// quiet is a fate by which nothing comes back.
-func quiet(ctx context.Context, how fate, w Worker) (error, bool) {
+// outcomeWithoutReply is a fate by which nothing comes back.
+func outcomeWithoutReply(ctx context.Context, how callOutcome, w Worker) (error, bool) {
 	switch how {
-	case ranReset, idleReset:
-		return unknown(w, "reset"), true
-	case foreign:
-		return unknown(w, "the answer belongs to another request"), true
-	case ranSilent, idleSilent:
+	case resetAfterRun, resetBeforeRun:
+		return outcomeUnknown(w, "reset"), true
+	case foreignResponse:
+		return outcomeUnknown(w, "the answer belongs to another request"), true
+	case silentAfterRun, silentBeforeRun:
 		<-ctx.Done()
-		return unknown(w, "nothing came"), true
+		return outcomeUnknown(w, "nothing came"), true
 	}
 	return nil, false
 }
 
-// ok tells whether an answer can come back, and waits for it while a node is frozen.
-func (b *back) ok(ctx context.Context, s *stand) error {
-	b.gate()
-	b.y.mu.Lock()
-	lost := b.y.partition[b.ip] || s.dark
-	dead := s.dead
-	b.y.mu.Unlock()
+// checkReplyPath tells whether an answer can come back, and waits for it while a node is frozen.
+func (b *fakeBackend) checkReplyPath(ctx context.Context, s *fakeWorker) error {
+	b.waitWhileFrozen()
+	b.platform.mu.Lock()
+	lost := b.platform.partitionedNodes[b.nodeIP] || s.silent
+	dead := s.terminated
+	b.platform.mu.Unlock()
 	switch {
 	case dead:
-		return unknown(s.Worker, "reset")
+		return outcomeUnknown(s.Worker, "reset")
 	case lost:
 		<-ctx.Done()
-		return unknown(s.Worker, "nothing came")
+		return outcomeUnknown(s.Worker, "nothing came")
 	case ctx.Err() != nil:
-		return unknown(s.Worker, "given up")
+		return outcomeUnknown(s.Worker, "given up")
 	}
 	return nil
 }
 
-func (b *back) Read(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*PrefillResult, error) {
-	y, off := b.y, b.knew(w)
-	s, err := b.reach(ctx, w)
+func (b *fakeBackend) Read(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*PrefillResult, error) {
+	y, off := b.platform, b.knownUnavailableFor(w)
+	s, err := b.connect(ctx, w)
 	if err != nil {
 		return nil, err
 	}
 	y.mu.Lock()
-	_, how, err := b.arrive(row{Kind: "read", Req: r.ID, Off: off, Key: r.Key, Tenant: r.Tenant, Urgency: urgency}, s, w)
-	at := len(y.rows) - 1
+	_, how, err := b.recordCall(callRecord{Kind: "read", RequestID: r.ID, UnavailableFor: off, Key: r.Key, Tenant: r.Tenant, Urgency: urgency}, s, w)
+	at := len(y.calls) - 1
 	y.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	if err, ended := quiet(ctx, how, w); ended {
+	if err, ended := outcomeWithoutReply(ctx, how, w); ended {
 		return nil, err
 	}
-	leave, let, err := y.place(ctx, s, r.Prompt, urgency)
+	leave, let, err := y.acquireSlot(ctx, s, r.Prompt, urgency)
 	if err != nil {
 		return nil, err
 	}
 	defer leave()
 	y.mu.Lock()
-	slow := y.slowRead[s.name]
+	slow := y.extraPrefillTime[s.name]
 	y.mu.Unlock()
-	if !nap(ctx, slow+5*time.Millisecond+time.Duration(r.Prompt/50)*time.Millisecond) {
+	if !sleepContext(ctx, slow+5*time.Millisecond+time.Duration(r.Prompt/50)*time.Millisecond) {
 		let()
-		return nil, unknown(w, "given up")
+		return nil, outcomeUnknown(w, "given up")
 	}
 	y.mu.Lock()
-	y.handle++
-	name := fmt.Sprint("kv-", y.handle)
-	if !s.dead {
-		y.handles[name] = &handle{worker: s.ID, req: r.ID, let: let}
+	y.lastHandle++
+	name := fmt.Sprint("kv-", y.lastHandle)
+	if !s.terminated {
+		y.handles[name] = &memoryHandle{worker: s.ID, requestID: r.ID, release: let}
 	}
-	hook := y.onRead
+	hook := y.afterPrefill
 	y.mu.Unlock()
-	if err := b.ok(ctx, s); err != nil {
+	if err := b.checkReplyPath(ctx, s); err != nil {
 		return nil, err
 	}
 	if hook != nil {
 		hook(r)
 	}
-	y.at(func() { y.rows[at].Ran = true })
-	return &PrefillResult{Handle: name, Tokens: r.Prompt, Load: y.load(s)}, nil
+	y.withLock(func() { y.calls[at].Executed = true })
+	return &PrefillResult{Handle: name, Tokens: r.Prompt, Load: y.currentLoad(s)}, nil
 }
 
-// fetch has memory of a source, once. The fake platform is locked.
-func (y *workerPool) fetch(source *Source) bool {
+// fetchMemory has memory of a source, once. The fake platform is locked.
+func (y *fakePlatform) fetchMemory(source *Source) bool {
 	h := y.handles[source.Handle]
-	if h == nil || h.had > 0 || h.freed {
+	if h == nil || h.fetches > 0 || h.freed {
 		return false
 	}
-	for _, s := range y.all {
-		if s.ID == h.worker && !s.dark && !s.dead {
-			h.had++
-			go h.let()
+	for _, s := range y.workers {
+		if s.ID == h.worker && !s.silent && !s.terminated {
+			h.fetches++
+			go h.release()
 			return true
 		}
 	}
 	return false
 }
 
-// emission is the line of the book for an emission.
-func emission(r *Request, from string, direct bool, off time.Duration, urgency int) row {
-	return row{
-		Kind: "emit", Req: r.ID, From: from, Off: off, Direct: direct, Key: r.Key, Tenant: r.Tenant, Urgency: urgency,
+// decodeRecord is the line of the book for an emission.
+func decodeRecord(r *Request, from string, direct bool, off time.Duration, urgency int) callRecord {
+	return callRecord{
+		Kind: "emit", RequestID: r.ID, LastEventID: from, UnavailableFor: off, Direct: direct, Key: r.Key, Tenant: r.Tenant, Urgency: urgency,
 	}
 }
 
-func (b *back) Emit(ctx context.Context, w Worker, r *Request, source *Source, from string, left time.Duration, urgency int) (*Response, error) {
-	y, off := b.y, b.knew(w)
-	s, err := b.reach(ctx, w)
+func (b *fakeBackend) Emit(ctx context.Context, w Worker, r *Request, source *Source, from string, left time.Duration, urgency int) (*Response, error) {
+	y, off := b.platform, b.knownUnavailableFor(w)
+	s, err := b.connect(ctx, w)
 	if err != nil {
 		return nil, err
 	}
 	y.mu.Lock()
-	p, how, err := b.arrive(emission(r, from, source == nil && from == "", off, urgency), s, w)
-	if err == nil && source != nil && how != idleReset && how != idleSilent && (how == lostMemory || !y.fetch(source)) {
-		p.Took = false
+	p, how, err := b.recordCall(decodeRecord(r, from, source == nil && from == "", off, urgency), s, w)
+	if err == nil && source != nil && how != resetBeforeRun && how != silentBeforeRun && (how == memoryLost || !y.fetchMemory(source)) {
+		p.Accepted = false
 		err = failure.New(failure.DataLost, "fetch memory", w.Addr, "it cannot be had")
 	}
-	if err == nil && how != idleReset && how != idleSilent {
-		p.Ran = true
+	if err == nil && how != resetBeforeRun && how != silentBeforeRun {
+		p.Executed = true
 	}
 	y.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	if err, ended := quiet(ctx, how, w); ended {
+	if err, ended := outcomeWithoutReply(ctx, how, w); ended {
 		return nil, err
 	}
-	out, let, err := y.place(ctx, s, r.Prompt+r.MaxTokens, urgency)
+	out, let, err := y.acquireSlot(ctx, s, r.Prompt+r.MaxTokens, urgency)
 	if err != nil {
 		return nil, err
 	}
 	leave := func() { out(); let() }
-	if source == nil && from == "" && !nap(ctx, time.Duration(r.Prompt/y.direct)*time.Millisecond) {
+	if source == nil && from == "" && !sleepContext(ctx, time.Duration(r.Prompt/y.directTokensPerMs)*time.Millisecond) {
 		leave()
-		return nil, unknown(w, "given up")
+		return nil, outcomeUnknown(w, "given up")
 	}
-	if err := b.ok(ctx, s); err != nil {
+	if err := b.checkReplyPath(ctx, s); err != nil {
 		leave()
 		return nil, err
 	}
-	a := &answer{ctx: ctx, b: b, s: s, leave: leave, partition: -1}
-	reply := &Response{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.ID)}}, FromWorker: how != bare, Length: -1, Body: a, Load: y.load(s)}
-	if how == failed {
+	a := &responseBody{ctx: ctx, backend: b, worker: s, release: leave, cutChunk: -1}
+	reply := &Response{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.ID)}}, FromWorker: how != unstampedResponse, Length: -1, Body: a, Load: y.currentLoad(s)}
+	if how == serverError {
 		reply.Status = http.StatusInternalServerError
-		a.rest = [][]byte{[]byte("failed")}
+		a.chunks = [][]byte{[]byte("failed")}
 		return reply, nil
 	}
 	if r.Header.Get("Accept") == "text/event-stream" {
 		reply.Events = true
 		n, _ := strconv.Atoi(from)
 		for i := n + 1; i <= r.MaxTokens; i++ {
-			a.rest = append(a.rest, fmt.Appendf(nil, "id: %d\ndata: word-%d of %s\n\n", i, i, r.ID))
+			a.chunks = append(a.chunks, fmt.Appendf(nil, "id: %d\ndata: word-%d of %s\n\n", i, i, r.ID))
 		}
 	} else {
 		for i := 1; i <= r.MaxTokens; i++ {
-			a.rest = append(a.rest, fmt.Appendf(nil, "word-%d of %s;", i, r.ID))
+			a.chunks = append(a.chunks, fmt.Appendf(nil, "word-%d of %s;", i, r.ID))
 		}
 	}
-	if how == midReset {
-		a.partition = len(a.rest) / 2
+	if how == resetMidResponse {
+		a.cutChunk = len(a.chunks) / 2
 	}
 	return reply, nil
 }
 
-// answer is a body that comes piece by piece.
-type answer struct {
+// responseBody is a body that comes piece by piece.
+type responseBody struct {
 	ctx       context.Context
-	b         *back
-	s         *stand
-	leave     func()
-	rest      [][]byte
-	buf       []byte
-	at        int
-	partition int // the piece that is cut in its middle; -1 if none
-	ended     error
-}
-
-// stepOf is how long a worker takes between events.
-func (y *workerPool) stepOf(s *stand) time.Duration {
+	backend   *fakeBackend
+	worker    *fakeWorker
+	release   func()
+	chunks    [][]byte
+	pending   []byte
+	nextChunk int
+	cutChunk  int // the piece that is cut in its middle; -1 if none
+	err       error
+}
+
+// eventIntervalOf is how long a worker takes between events.
+func (y *fakePlatform) eventIntervalOf(s *fakeWorker) time.Duration {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	if d, ok := y.slowStep[s.name]; ok {
+	if d, ok := y.slowEventIntervals[s.name]; ok {
 		return d
 	}
-	return y.step
+	return y.eventInterval
 }
 
-func (a *answer) Read(p []byte) (int, error) {
-	if len(a.buf) == 0 {
-		if a.ended == nil && a.at == len(a.rest) && a.partition != a.at {
-			a.ended = io.EOF
+func (a *responseBody) Read(p []byte) (int, error) {
+	if len(a.pending) == 0 {
+		if a.err == nil && a.nextChunk == len(a.chunks) && a.cutChunk != a.nextChunk {
+			a.err = io.EOF
 		}
-		if a.ended != nil {
-			a.leave()
-			return 0, a.ended
+		if a.err != nil {
+			a.release()
+			return 0, a.err
 		}
-		if !nap(a.ctx, a.b.y.stepOf(a.s)) {
-			a.leave()
+		if !sleepContext(a.ctx, a.backend.platform.eventIntervalOf(a.worker)) {
+			a.release()
 			return 0, a.ctx.Err()
 		}
-		if err := a.b.ok(a.ctx, a.s); err != nil {
-			a.leave()
+		if err := a.backend.checkReplyPath(a.ctx, a.worker); err != nil {
+			a.release()
 			return 0, err
 		}
-		if a.at == a.partition {
-			a.ended = errReset
-			if a.at < len(a.rest) {
-				a.buf = a.rest[a.at][:len(a.rest[a.at])/2]
+		if a.nextChunk == a.cutChunk {
+			a.err = errConnectionReset
+			if a.nextChunk < len(a.chunks) {
+				a.pending = a.chunks[a.nextChunk][:len(a.chunks[a.nextChunk])/2]
 			}
-			if len(a.buf) == 0 {
-				return 0, a.ended
+			if len(a.pending) == 0 {
+				return 0, a.err
 			}
 		} else {
-			a.buf = a.rest[a.at]
-			a.at++
+			a.pending = a.chunks[a.nextChunk]
+			a.nextChunk++
 		}
 	}
-	k := copy(p, a.buf)
-	a.buf = a.buf[k:]
+	k := copy(p, a.pending)
+	a.pending = a.pending[k:]
 	return k, nil
 }
 
-func (a *answer) Close() error { a.leave(); return nil }
+func (a *responseBody) Close() error { a.release(); return nil }
 
-func (b *back) Free(ctx context.Context, w Worker, name string) error {
-	s, err := b.reach(ctx, w)
+func (b *fakeBackend) Free(ctx context.Context, w Worker, name string) error {
+	s, err := b.connect(ctx, w)
 	if err != nil {
 		return err
 	}
-	b.y.mu.Lock()
-	defer b.y.mu.Unlock()
-	b.y.rows = append(b.y.rows, row{At: b.y.now(), Kind: "free", Node: b.ip, Worker: s.ID})
-	if h := b.y.handles[name]; h != nil && h.worker == s.ID {
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
+	b.platform.calls = append(b.platform.calls, callRecord{At: b.platform.elapsed(), Kind: "free", Node: b.nodeIP, Worker: s.ID})
+	if h := b.platform.handles[name]; h != nil && h.worker == s.ID {
 		h.freed = true
-		go h.let()
+		go h.release()
 	}
 	return nil
 }
 
-func (b *back) Report(ctx context.Context, w Worker) (*Report, error) {
-	s, err := b.reach(ctx, w)
+func (b *fakeBackend) Report(ctx context.Context, w Worker) (*Report, error) {
+	s, err := b.connect(ctx, w)
 	if err != nil {
 		return nil, err
 	}
-	b.y.at(func() {
-		b.y.rows = append(b.y.rows, row{At: b.y.now(), Kind: "report", Node: b.ip, Worker: s.ID})
+	b.platform.withLock(func() {
+		b.platform.calls = append(b.platform.calls, callRecord{At: b.platform.elapsed(), Kind: "report", Node: b.nodeIP, Worker: s.ID})
 	})
-	if err := b.ok(ctx, s); err != nil {
+	if err := b.checkReplyPath(ctx, s); err != nil {
 		return nil, err
 	}
-	b.y.mu.Lock()
-	lie := b.y.health
-	b.y.mu.Unlock()
+	b.platform.mu.Lock()
+	lie := b.platform.reportError
+	b.platform.mu.Unlock()
 	if lie != nil {
-		if err := lie(b.ip, s); err != nil {
+		if err := lie(b.nodeIP, s); err != nil {
 			return nil, err
 		}
 	}
-	b.y.mu.Lock()
-	defer b.y.mu.Unlock()
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
 	more := 0
-	if b.y.lean != nil {
-		more = b.y.lean(s)
+	if b.platform.extraRunning != nil {
+		more = b.platform.extraRunning(s)
 	}
-	was := b.y.shown(s)
-	r := &Report{Role: s.Role, RoleChanging: s.turning != "", Orders: s.orders, Waiting: was.waiting, Running: was.running + more, Used: 10000 * was.running, Capacity: 10000 * s.Concurrency}
-	if s.memory > 0 {
-		r.Used, r.Capacity = was.used, s.memory
+	was := b.platform.delayedLoad(s)
+	r := &Report{Role: s.Role, RoleChanging: s.nextRole != "", Orders: s.orderCount, Waiting: was.waiting, Running: was.running + more, Used: 10000 * was.running, Capacity: 10000 * s.Concurrency}
+	if s.memoryCapacity > 0 {
+		r.Used, r.Capacity = was.memoryUsed, s.memoryCapacity
 	}
 	return r, nil
 }
 
-func (b *back) Order(ctx context.Context, w Worker, o *RoleOrder) error {
-	s, err := b.reach(ctx, w)
+func (b *fakeBackend) Order(ctx context.Context, w Worker, o *RoleOrder) error {
+	s, err := b.connect(ctx, w)
 	if err != nil {
 		return err
 	}
-	y := b.y
+	y := b.platform
 	y.mu.Lock()
-	k := row{At: y.now(), Kind: "order", Node: b.ip, Worker: w.ID, Owner: o.Owner, Fence: o.Fence, To: o.To}
-	if s.ID != w.ID || s.turning != "" || o.Expected != s.orders || s.dark {
-		y.rows = append(y.rows, k)
+	k := callRecord{At: y.elapsed(), Kind: "order", Node: b.nodeIP, Worker: w.ID, Owner: o.Owner, Fence: o.Fence, TargetRole: o.To}
+	if s.ID != w.ID || s.nextRole != "" || o.Expected != s.orderCount || s.silent {
+		y.calls = append(y.calls, k)
 		y.mu.Unlock()
 		return failure.New(failure.NotExecuted, "order", w.Addr, "refused")
 	}
-	k.Took = true
-	y.rows = append(y.rows, k)
-	s.orders++
-	s.turning = o.To
+	k.Accepted = true
+	y.calls = append(y.calls, k)
+	s.orderCount++
+	s.nextRole = o.To
 	y.mu.Unlock()
-	time.AfterFunc(y.turn, func() { y.at(func() { s.Role, s.turning = s.turning, "" }) })
-	return b.ok(ctx, s)
+	time.AfterFunc(y.roleChangeTime, func() { y.withLock(func() { s.Role, s.nextRole = s.nextRole, "" }) })
+	return b.checkReplyPath(ctx, s)
 }
 
-func (b *back) List(ctx context.Context) ([]Worker, error) {
-	b.gate()
-	y := b.y
+func (b *fakeBackend) List(ctx context.Context) ([]Worker, error) {
+	b.waitWhileFrozen()
+	y := b.platform
 	y.mu.Lock()
 	lag := 500 * time.Microsecond
-	if y.listed != nil {
-		lag = y.listed()
+	if y.listDelay != nil {
+		lag = y.listDelay()
 	}
-	no := y.nolist || y.partition[b.ip]
-	y.asked = append(y.asked, row{At: y.now(), Node: b.ip})
+	no := y.listFails || y.partitionedNodes[b.nodeIP]
+	y.listCalls = append(y.listCalls, callRecord{At: y.elapsed(), Node: b.nodeIP})
 	y.mu.Unlock()
-	if no || !nap(ctx, lag) {
+	if no || !sleepContext(ctx, lag) {
 		return nil, failure.New(failure.Unavailable, "list", "", "no list")
 	}
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	var out []Worker
-	for _, s := range y.all {
-		if s.hidden || s.dead {
+	for _, s := range y.workers {
+		if s.unlisted || s.terminated {
 			continue
 		}
 		w := s.Worker
-		w.SlowStart = max(0, time.Until(s.warm))
+		w.SlowStart = max(0, time.Until(s.warmAt))
 		out = append(out, w)
 	}
 	return out, nil
 }
 
-func (b *back) Close() {}
+func (b *fakeBackend) Close() {}
--- a/internal/proxy/role_balance_test.go
+++ b/internal/proxy/role_balance_test.go
@@ -23,9 +23,9 @@
 }
 
 // pressed makes the workers of a part busy by their reports.
-func (y *workerPool) pressed(role ids.Role, by int) {
-	y.at(func() {
-		y.lean = func(s *stand) int {
+func (y *fakePlatform) pressed(role ids.Role, by int) {
+	y.withLock(func() {
+		y.extraRunning = func(s *fakeWorker) int {
 			if s.Role == role {
 				return by
 			}
@@ -34,11 +34,11 @@
 	})
 }
 
-func parts(y *workerPool) map[ids.WorkerID]ids.Role {
+func parts(y *fakePlatform) map[ids.WorkerID]ids.Role {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	out := map[ids.WorkerID]ids.Role{}
-	for _, s := range y.all {
+	for _, s := range y.workers {
 		out[s.ID] = s.Role
 	}
 	return out
@@ -47,15 +47,15 @@
 // holder gives the number of the node that holds the duty, or -1.
 func (f *fleet) holder() int {
 	for i, b := range f.nodes {
-		if _, ok := b.agent.OwnsKey(svcKey); ok && b.up {
+		if _, ok := b.agent.OwnsKey(svcKey); ok && b.running {
 			return i
 		}
 	}
 	return -1
 }
 
-func orders(rows []row) []row {
-	var out []row
+func orders(rows []callRecord) []callRecord {
+	var out []callRecord
 	for _, k := range rows {
 		if k.Kind == "order" {
 			out = append(out, k)
@@ -65,10 +65,10 @@
 }
 
 // untouched: nothing is sent to a worker from its order until its turn is over.
-func untouched(rows []row, duration time.Duration) []string {
+func untouched(rows []callRecord, duration time.Duration) []string {
 	var out []string
 	for _, k := range orders(rows) {
-		if k.Took {
+		if k.Accepted {
 			out = append(out, sentTo(rows, k.Worker, k.At, k.At+duration)...)
 		}
 	}
@@ -79,9 +79,9 @@
 // is; meanwhile a worker that turns gets nothing, each part keeps a third, orders come
 // from one node, and callers notice nothing.
 func TestTurnBothWays(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 4, 5)...)
-		f := build(t, 41, 3, y, plain(), turning)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 5)...)
+		f := startFleet(t, 41, 3, y, defaultConfiguration(), turning)
 		defer f.close()
 		was := parts(y)
 		f.wg.Go(func() {
@@ -91,16 +91,16 @@
 			time.Sleep(25 * time.Second)
 			y.pressed(ids.Prefill, 6)
 		})
-		all := f.load(25, 50*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 6) })
-		rows := y.directory()
+		all := f.generateLoad(25, 50*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 6) })
+		rows := y.recordedCalls()
 		to := map[ids.Role]int{}
 		by := map[ids.NodeID]bool{}
 		var flips []ids.Role
 		for _, k := range orders(rows) {
-			to[k.To]++
+			to[k.TargetRole]++
 			by[k.Owner] = true
-			if n := len(flips); n == 0 || flips[n-1] != k.To {
-				flips = append(flips, k.To)
+			if n := len(flips); n == 0 || flips[n-1] != k.TargetRole {
+				flips = append(flips, k.TargetRole)
 			}
 		}
 		require.Equal(t, []ids.Role{ids.Prefill, ids.Decode, ids.Prefill}, flips, "%v", orders(rows))
@@ -119,9 +119,9 @@
 
 // TestNoTurnNeeded: without pressure, and for workers without parts, nothing is ordered.
 func TestNoTurnNeeded(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(append(both("svc", 3, 3), stands("free", "", 3)...)...)
-		text := policy(append(ways(), fleetstate.Route{
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(append(prefillAndDecodeWorkers("svc", 3, 3), newFakeWorkers("free", "", 3)...)...)
+		text := encodeConfiguration(append(defaultRoutes(), fleetstate.Route{
 			Name:            "f",
 			Host:            routeHost,
 			Prefix:          "/free/",
@@ -133,12 +133,12 @@
 			Name:        "svc",
 			Concurrency: 16,
 		}, fleetstate.Service{Name: "free", Concurrency: 16})
-		f := build(t, 42, 2, y, text, turning)
+		f := startFleet(t, 42, 2, y, text, turning)
 		defer f.close()
-		f.load(20, 10*time.Second, func(i int) *Request {
-			return f.req(fmt.Sprint("r", i), []string{"/once/x", "/free/x"}[i%2], 400, 4)
+		f.generateLoad(20, 10*time.Second, func(i int) *Request {
+			return f.newRequest(fmt.Sprint("r", i), []string{"/once/x", "/free/x"}[i%2], 400, 4)
 		})
-		require.Empty(t, orders(y.directory()))
+		require.Empty(t, orders(y.recordedCalls()))
 	})
 }
 
@@ -146,14 +146,14 @@
 // to one worker by different owners are a lease apart at least, fences never fall, a fence
 // belongs to one owner, no part falls below a third, and every turn comes to an end.
 func TestOneOrders(t *testing.T) {
-	eachSeed(t, 8, func(t *testing.T, seed uint64) {
-		y := newCluster(both("svc", 3, 4)...)
-		f := build(t, seed, 3, y, plain(), turning)
+	forEachSeed(t, 8, func(t *testing.T, seed uint64) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, seed, 3, y, defaultConfiguration(), turning)
 		defer f.close()
 		was := parts(y)
 		for i := range 7 {
 			y.pressed([]ids.Role{ids.Prefill, ids.Decode}[i%2], []int{6, 14}[i%2])
-			f.until(12*time.Second, func() bool { return f.holder() >= 0 && len(orders(y.directory())) > i })
+			f.waitUntil(12*time.Second, func() bool { return f.holder() >= 0 && len(orders(y.recordedCalls())) > i })
 			time.Sleep(time.Duration(seed*131%17+uint64(i)*7%5) * 100 * time.Millisecond)
 			h := f.holder()
 			if h < 0 {
@@ -162,38 +162,38 @@
 			ip := []string{nodeIP(h)}
 			switch (int(seed) + i) % 4 {
 			case 0:
-				f.kill(h)
+				f.killNode(h)
 				time.Sleep(1500 * time.Millisecond)
-				f.node(h)
+				f.startNode(h)
 			case 1:
-				f.freeze(h, true)
+				f.setFrozen(h, true)
 				time.Sleep(5 * time.Second)
-				f.freeze(h, false)
+				f.setFrozen(h, false)
 			case 2:
-				f.w.Partition(ip, coreIps, true)
+				f.world.Partition(ip, coreIPs, true)
 				time.Sleep(6 * time.Second)
-				f.w.Partition(ip, coreIps, false)
+				f.world.Partition(ip, coreIPs, false)
 			case 3:
-				f.freeze(h, true)
+				f.setFrozen(h, true)
 				time.Sleep(2 * time.Second)
-				f.freeze(h, false)
+				f.setFrozen(h, false)
 				if l := f.leader(); l != "" {
-					f.offCore(l)
+					f.powerOffCore(l)
 					time.Sleep(3 * time.Second)
-					f.core(l)
+					f.startCore(l)
 				}
 			}
 		}
-		y.at(func() { y.lean = nil })
-		require.True(t, f.until(30*time.Second, func() bool {
-			for _, b := range f.up() {
+		y.withLock(func() { y.extraRunning = nil })
+		require.True(t, f.waitUntil(30*time.Second, func() bool {
+			for _, b := range f.runningNodes() {
 				if len(b.view.Current().RoleChanges) > 0 {
 					return false
 				}
 			}
 			return true
 		}), "every turn comes to an end")
-		rows := y.directory()
+		rows := y.recordedCalls()
 		require.Greater(t, len(orders(rows)), 3)
 		require.Empty(t, ordersApart(rows, 3*time.Second))
 		require.Empty(t, thirds(rows, was))
@@ -214,28 +214,28 @@
 func TestOrphan(t *testing.T) {
 	for _, ordered := range []bool{false, true} {
 		t.Run(fmt.Sprint("ordered-", ordered), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 3, 4)...)
-				f := build(t, 43, 3, y, plain(), turning)
+			runInBubble(t, func(t *testing.T) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+				f := startFleet(t, 43, 3, y, defaultConfiguration(), turning)
 				defer f.close()
 				y.pressed(ids.Prefill, 6)
-				require.True(t, f.until(15*time.Second, func() bool {
-					return len(f.nodes[0].view.Current().RoleChanges) > 0 && (!ordered || len(orders(y.directory())) > 0)
+				require.True(t, f.waitUntil(15*time.Second, func() bool {
+					return len(f.nodes[0].view.Current().RoleChanges) > 0 && (!ordered || len(orders(y.recordedCalls())) > 0)
 				}))
 				h := f.holder()
 				require.GreaterOrEqual(t, h, 0)
-				f.kill(h)
-				y.at(func() { y.lean = nil })
-				all := f.load(20, 25*time.Second, func(i int) *Request {
-					return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4)
+				f.killNode(h)
+				y.withLock(func() { y.extraRunning = nil })
+				all := f.generateLoad(20, 25*time.Second, func(i int) *Request {
+					return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4)
 				})
-				for _, b := range f.up() {
+				for _, b := range f.runningNodes() {
 					require.Empty(t, b.view.Current().RoleChanges, "the next holder ended it")
 				}
-				require.Empty(t, leftAlone(y.directory(), 100*time.Millisecond))
-				require.Empty(t, onceOnly(y.directory(), all))
+				require.Empty(t, leftAlone(y.recordedCalls(), 100*time.Millisecond))
+				require.Empty(t, onceOnly(y.recordedCalls(), all))
 				if !ordered {
-					require.Empty(t, orders(y.directory()))
+					require.Empty(t, orders(y.recordedCalls()))
 				}
 			})
 		})
@@ -245,20 +245,20 @@
 // TestNewHolderWaits: a new holder sends no order until more than a lease went by since it
 // was given the duty, also where the one before it is only cut off and goes on.
 func TestNewHolderWaits(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 4)...)
-		f := build(t, 44, 3, y, plain(), turning)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 44, 3, y, defaultConfiguration(), turning)
 		defer f.close()
 		time.Sleep(3 * time.Second)
 		h := f.holder()
 		require.GreaterOrEqual(t, h, 0)
-		f.w.Partition([]string{nodeIP(h)}, coreIps, true)
+		f.world.Partition([]string{nodeIP(h)}, coreIPs, true)
 		next := -1
-		require.True(t, f.until(20*time.Second, func() bool { next = f.holder(); return next >= 0 && next != h }))
-		since := y.now()
+		require.True(t, f.waitUntil(20*time.Second, func() bool { next = f.holder(); return next >= 0 && next != h }))
+		since := y.elapsed()
 		y.pressed(ids.Prefill, 6)
-		require.True(t, f.until(20*time.Second, func() bool { return len(orders(y.directory())) > 0 }))
-		first := orders(y.directory())[0]
+		require.True(t, f.waitUntil(20*time.Second, func() bool { return len(orders(y.recordedCalls())) > 0 }))
+		first := orders(y.recordedCalls())[0]
 		require.Equal(t, nodeIP(next), first.Node)
 		require.Greater(t, first.At-since, 3*time.Second)
 	})
@@ -267,19 +267,19 @@
 // TestTurnWarned: news takes its time to one node, and the holder looks often: it sends its
 // order only once that node knows of the turn too, and nothing is sent there meanwhile.
 func TestTurnWarned(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 4)...)
-		f := build(t, 45, 3, y, plain(), func(o *Options) { turning(o); o.RoleChangeInterval = 50 * time.Millisecond })
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 45, 3, y, defaultConfiguration(), func(o *Options) { turning(o); o.RoleChangeInterval = 50 * time.Millisecond })
 		defer f.close()
-		require.True(t, f.until(10*time.Second, func() bool { return f.holder() >= 0 }))
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.holder() >= 0 }))
 		late := f.nodes[(f.holder()+1)%3]
-		for _, ip := range coreIps {
-			f.w.SetLink(ip, late.ip, simulated.Link{Delay: 200 * time.Millisecond})
+		for _, ip := range coreIPs {
+			f.world.SetLink(ip, late.ip, simulated.Link{Delay: 200 * time.Millisecond})
 		}
 		time.Sleep(4 * time.Second)
 		y.pressed(ids.Prefill, 6)
-		all := f.load(60, 8*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
-		rows := y.directory()
+		all := f.generateLoad(60, 8*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
+		rows := y.recordedCalls()
 		require.NotEmpty(t, orders(rows))
 		require.Empty(t, untouched(rows, time.Second))
 		require.Empty(t, onceOnly(rows, all))
--- a/internal/proxy/silent_workers_test.go
+++ b/internal/proxy/silent_workers_test.go
@@ -14,9 +14,9 @@
 	"keelstair.example/internal/silence"
 )
 
-// directEmissions are those that were sent without memory between two moments.
-func directEmissions(rows []row, from, to time.Duration) []row {
-	var out []row
+// directDecodes are those that were sent without memory between two moments.
+func directDecodes(rows []callRecord, from, to time.Duration) []callRecord {
+	var out []callRecord
 	for _, k := range rows {
 		if k.Kind == "emit" && k.Direct && k.At >= from && k.At < to {
 			out = append(out, k)
@@ -25,14 +25,14 @@
 	return out
 }
 
-// goDark has workers of a pool say nothing more after a while, and gives the pool's time of that.
-func goDark(f *fleet, y *workerPool, after time.Duration, names ...string) time.Duration {
-	at := y.now() + after
+// silenceAfter has workers of a pool say nothing more after a while, and gives the pool's time of that.
+func silenceAfter(f *fleet, y *fakePlatform, after time.Duration, names ...string) time.Duration {
+	at := y.elapsed() + after
 	f.wg.Go(func() {
 		time.Sleep(after)
-		y.at(func() {
+		y.withLock(func() {
 			for _, name := range names {
-				y.of(name).dark = true
+				y.worker(name).silent = true
 			}
 		})
 	})
@@ -40,21 +40,21 @@
 }
 
 const (
-	darkAfter = 3 * time.Second // from the beginning of the load
-	darkLoad  = 6 * time.Second
+	silenceDelay        = 3 * time.Second // from the beginning of the load
+	silenceLoadDuration = 6 * time.Second
 )
 
-// TestMemoryOfferedAgain: an emitting worker goes silent before it has fetched the memory of prompts.
+// TestUnfetchedMemoryOfferedToAnotherWorker: an emitting worker goes silent before it has fetched the memory of prompts.
 // Another one is offered the same memory, and none reads a prompt by itself.
-func TestMemoryOfferedAgain(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 4)...)
-		f := build(t, 54, 2, y, plain(), func(o *Options) { o.RetryAllowance = 60 })
+func TestUnfetchedMemoryOfferedToAnotherWorker(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 54, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 60 })
 		defer f.close()
-		dark := goDark(f, y, darkAfter, "svc-decode-1")
-		all := f.load(60, darkLoad, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/sresume/x", 400, 2) })
-		require.NotEmpty(t, sentTo(y.directory(), "svc-decode-1.1", dark, time.Hour))
-		require.Empty(t, directEmissions(y.directory(), 0, time.Hour))
+		dark := silenceAfter(f, y, silenceDelay, "svc-decode-1")
+		all := f.generateLoad(60, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 2) })
+		require.NotEmpty(t, sentTo(y.recordedCalls(), "svc-decode-1.1", dark, time.Hour))
+		require.Empty(t, directDecodes(y.recordedCalls(), 0, time.Hour))
 		require.Empty(t, answers(all))
 		for _, a := range all {
 			require.NoError(t, a.err, a.ID)
@@ -62,28 +62,28 @@
 	})
 }
 
-// TestMemoryOfferedAgainGone: the silent worker had fetched the memory already, so the next one turns
+// TestFetchedMemoryFallsBackToDirectDecode: the silent worker had fetched the memory already, so the next one turns
 // the request away: that one is sent it once more, and reads by itself.
-func TestMemoryOfferedAgainGone(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 2)...)
-		routes := ways()
+func TestFetchedMemoryFallsBackToDirectDecode(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 2)...)
+		routes := defaultRoutes()
 		for i := range routes {
 			routes[i].MaxAttempts = 2
 		}
 		service := fleetstate.Service{Name: "svc", Concurrency: 16, RoleChangeMs: 1000}
-		f := build(t, 55, 2, y, policy(routes, service), func(o *Options) { o.RetryAllowance = 60 })
+		f := startFleet(t, 55, 2, y, encodeConfiguration(routes, service), func(o *Options) { o.RetryAllowance = 60 })
 		defer f.close()
 		silenced := map[string]bool{}
-		y.fate = func(k row, w *stand) fate {
-			if k.Kind == "emit" && !silenced[k.Req] && k.Req[len(k.Req)-1] == '0' {
-				silenced[k.Req] = true
-				return ranSilent
+		y.outcome = func(k callRecord, w *fakeWorker) callOutcome {
+			if k.Kind == "emit" && !silenced[k.RequestID] && k.RequestID[len(k.RequestID)-1] == '0' {
+				silenced[k.RequestID] = true
+				return silentAfterRun
 			}
-			return fine
+			return succeeds
 		}
-		all := f.load(20, darkLoad, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/sresume/x", 400, 2) })
-		require.NotEmpty(t, directEmissions(y.directory(), 0, time.Hour))
+		all := f.generateLoad(20, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 2) })
+		require.NotEmpty(t, directDecodes(y.recordedCalls(), 0, time.Hour))
 		require.Empty(t, answers(all))
 		for _, a := range all {
 			require.NoError(t, a.err, a.ID)
@@ -91,79 +91,79 @@
 	})
 }
 
-// TestReadAgainElsewhere: a reading worker goes silent. What it was to read is read by another one,
+// TestPrefillRetriedAfterSilence: a reading worker goes silent. What it was to read is read by another one,
 // also on a route that may be sent to one worker only; no emitting worker reads by itself, and
 // the repeats stay within the budget.
-func TestReadAgainElsewhere(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+func TestPrefillRetriedAfterSilence(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		const allowance = 60
-		y := newCluster(both("svc", 3, 4)...)
-		f := build(t, 56, 2, y, plain(), func(o *Options) { o.RetryAllowance, o.HedgeFactor = allowance, -1 })
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 56, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance, o.HedgeFactor = allowance, -1 })
 		defer f.close()
-		dark := goDark(f, y, darkAfter, "svc-prefill-0")
-		all := f.load(30, darkLoad, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
-		require.NotEmpty(t, sentTo(y.directory(), "svc-prefill-0.1", dark, time.Hour))
-		require.Empty(t, directEmissions(y.directory(), 0, time.Hour))
-		require.Empty(t, onceOnly(y.directory(), all))
+		dark := silenceAfter(f, y, silenceDelay, "svc-prefill-0")
+		all := f.generateLoad(30, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
+		require.NotEmpty(t, sentTo(y.recordedCalls(), "svc-prefill-0.1", dark, time.Hour))
+		require.Empty(t, directDecodes(y.recordedCalls(), 0, time.Hour))
+		require.Empty(t, onceOnly(y.recordedCalls(), all))
 		require.Empty(t, answers(all))
-		require.Empty(t, extras(y.directory(), all, 0.2, allowance, window))
+		require.Empty(t, extras(y.recordedCalls(), all, 0.2, allowance, window))
 		for _, a := range all {
 			require.NoError(t, a.err, a.ID)
 		}
 	})
 }
 
-// TestReadAgainPaid: reads that are done again are taken from the retry budget, also where that is small.
-func TestReadAgainPaid(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// TestPrefillRetriesUseRetryBudget: reads that are done again are taken from the retry budget, also where that is small.
+func TestPrefillRetriesUseRetryBudget(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		const allowance, ratio = 3, 0.001
-		y := newCluster(both("svc", 3, 4)...)
-		f := build(t, 59, 2, y, plain(), func(o *Options) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 59, 2, y, defaultConfiguration(), func(o *Options) {
 			o.RetryAllowance, o.RetryRatio, o.HedgeFactor = allowance, ratio, -1
 		})
 		defer f.close()
-		dark := goDark(f, y, darkAfter, "svc-prefill-0", "svc-prefill-1")
-		all := f.load(90, darkLoad, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/again/x", 400, 4) })
+		dark := silenceAfter(f, y, silenceDelay, "svc-prefill-0", "svc-prefill-1")
+		all := f.generateLoad(90, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 4) })
 		reads := append(
-			sentTo(y.directory(), "svc-prefill-0.1", dark, time.Hour),
-			sentTo(y.directory(), "svc-prefill-1.1", dark, time.Hour)...,
+			sentTo(y.recordedCalls(), "svc-prefill-0.1", dark, time.Hour),
+			sentTo(y.recordedCalls(), "svc-prefill-1.1", dark, time.Hour)...,
 		)
 		require.Greater(t, len(reads), allowance)
-		require.Empty(t, extras(y.directory(), all, ratio, allowance, window))
+		require.Empty(t, extras(y.recordedCalls(), all, ratio, allowance, window))
 	})
 }
 
-// TestFoundSoon: once the usual silences of workers are known, one that says nothing is found
+// TestSilentWorkerDetectedQuickly: once the usual silences of workers are known, one that says nothing is found
 // after a silence far beyond them and the time for its report, and gets nothing more from then on.
-func TestFoundSoon(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 4)...)
-		f := build(t, 57, 2, y, plain(), func(o *Options) { o.RetryAllowance = 60 })
+func TestSilentWorkerDetectedQuickly(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 57, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 60 })
 		defer f.close()
-		dark := goDark(f, y, darkAfter, "svc-decode-1")
-		f.load(60, darkLoad, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 4) })
+		dark := silenceAfter(f, y, silenceDelay, "svc-decode-1")
+		f.generateLoad(60, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
 		const found = silence.Floor + 150*time.Millisecond
-		require.NotEmpty(t, sentTo(y.directory(), "svc-decode-1.1", dark, time.Hour))
-		require.Empty(t, sentTo(y.directory(), "svc-decode-1.1", dark+found, dark+time.Second))
+		require.NotEmpty(t, sentTo(y.recordedCalls(), "svc-decode-1.1", dark, time.Hour))
+		require.Empty(t, sentTo(y.recordedCalls(), "svc-decode-1.1", dark+found, dark+time.Second))
 	})
 }
 
-// TestLostEmittersReplaced: two of three emitting workers go silent under load. As many reading ones
+// TestLostDecodeWorkersReplaced: two of three emitting workers go silent under load. As many reading ones
 // are told to emit within a second and a half.
-func TestLostEmittersReplaced(t *testing.T) {
-	eachSeed(t, 6, func(t *testing.T, seed uint64) {
-		y := newCluster(both("svc", 6, 3)...)
-		f := build(t, seed, 3, y, plain(), func(o *Options) {
+func TestLostDecodeWorkersReplaced(t *testing.T) {
+	forEachSeed(t, 6, func(t *testing.T, seed uint64) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 6, 3)...)
+		f := startFleet(t, seed, 3, y, defaultConfiguration(), func(o *Options) {
 			turning(o)
 			o.IdlePrefillShare = 0.667
 		})
 		defer f.close()
 		y.pressed(ids.Decode, 4) // a quarter of their places, all the time
-		dark := goDark(f, y, 8*time.Second, "svc-decode-0", "svc-decode-1")
-		f.load(40, 12*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/sresume/x", 400, 3) })
-		var told []row
-		for _, k := range orders(y.directory()) {
-			if k.To == ids.Decode && k.At >= dark {
+		dark := silenceAfter(f, y, 8*time.Second, "svc-decode-0", "svc-decode-1")
+		f.generateLoad(40, 12*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 3) })
+		var told []callRecord
+		for _, k := range orders(y.recordedCalls()) {
+			if k.TargetRole == ids.Decode && k.At >= dark {
 				told = append(told, k)
 			}
 		}
@@ -172,9 +172,9 @@
 	})
 }
 
-// TestRolesAfterLoss: as many workers change their role at once as were lost, but no more than the
+// TestRoleChangesAfterLoss: as many workers change their role at once as were lost, but no more than the
 // pressure on those that are left asks for, and each role keeps its least.
-func TestRolesAfterLoss(t *testing.T) {
+func TestRoleChangesAfterLoss(t *testing.T) {
 	rows := func(readers, emitters int) (out []workerReport) {
 		for i := range readers + emitters {
 			role := ids.Prefill
--- a/internal/proxy/stale_version_test.go
+++ b/internal/proxy/stale_version_test.go
@@ -19,22 +19,22 @@
 
 // largePolicy is the plain policy with so many routes besides.
 func largePolicy(routes, deadline int) []byte {
-	all := ways()
+	all := defaultRoutes()
 	for i := range routes {
 		all = append(all, fleetstate.Route{
 			Name: fmt.Sprint("x", i), Host: fmt.Sprintf("h%d.example", i), Prefix: "/", Service: "svc", DeadlineMs: deadline,
 		})
 	}
-	return policy(all, fleetstate.Service{Name: "svc", Concurrency: 16, RoleChangeMs: 1000})
+	return encodeConfiguration(all, fleetstate.Service{Name: "svc", Concurrency: 16, RoleChangeMs: 1000})
 }
 
 // TestSupersededVersionsAreNotParsed: a node that was held up while 40 versions were put parses the newest alone.
 func TestSupersededVersionsAreNotParsed(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		const versions = 40
 		var parsed [2]atomic.Int64
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 75, 2, y, plain(), func(o *Options) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 75, 2, y, defaultConfiguration(), func(o *Options) {
 			count := &parsed[0]
 			if o.Name == "n1" {
 				count = &parsed[1]
@@ -45,29 +45,29 @@
 			}
 		})
 		defer f.close()
-		f.freeze(1, true)
+		f.setFrozen(1, true)
 		before := parsed[1].Load()
 		for v := ids.Version(1); v < versions; v++ {
-			require.NoError(t, f.put(ids.OpID(fmt.Sprint("storm", v)), v, v+1, largePolicy(200, 3000+int(v))))
+			require.NoError(t, f.putConfiguration(ids.OpID(fmt.Sprint("storm", v)), v, v+1, largePolicy(200, 3000+int(v))))
 		}
-		f.freeze(1, false)
-		require.True(t, f.until(5*time.Second, func() bool { return f.inForce(versions) }))
+		f.setFrozen(1, false)
+		require.True(t, f.waitUntil(5*time.Second, func() bool { return f.inForce(versions) }))
 		require.LessOrEqual(t, parsed[1].Load()-before, int64(2))
 	})
 }
 
 // rejectedStale tells that a request was refused since the version in force may be too old.
-func rejectedStale(a *asked) bool {
+func rejectedStale(a *requestResult) bool {
 	rejected, ok := a.err.(*RejectedError)
 	return ok && rejected.Code == http.StatusServiceUnavailable
 }
 
 // TestNodeBehindDoesNotServe: a node that is slow to apply a version refuses requests once the version must be in force.
 func TestNodeBehindDoesNotServe(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		const applying = 6 * time.Second
-		y := newCluster(append(both("svc", 2, 2), both("other", 2, 2)...)...)
-		f := build(t, 76, 2, y, plain(), func(o *Options) {
+		y := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
+		f := startFleet(t, 76, 2, y, defaultConfiguration(), func(o *Options) {
 			name := o.Name
 			o.ReadConfiguration = func(text []byte) (*fleetstate.Configuration, error) {
 				if name == "n1" && strings.Contains(string(text), "other") {
@@ -77,19 +77,19 @@
 			}
 		})
 		defer f.close()
-		routes := ways()
+		routes := defaultRoutes()
 		routes[0].Service = "other"
 		began := time.Now()
-		require.NoError(t, f.put("two", 1, 2, policy(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})))
+		require.NoError(t, f.putConfiguration("two", 1, 2, encodeConfiguration(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})))
 		for i := 0; time.Since(began) < applying+2*time.Second; i++ {
 			late := time.Since(began) > 2*time.Second
 			for _, b := range f.nodes {
-				a := f.ask(b, f.req(fmt.Sprint(b.ip, "-", i), "/once/x", 400, 2))
+				a := f.send(b, f.newRequest(fmt.Sprint(b.ip, "-", i), "/once/x", 400, 2))
 				if b == f.nodes[0] || time.Since(began) > applying+time.Second {
 					require.NoError(t, a.err, "after %v", time.Since(began))
 				}
-				for _, k := range y.directory() {
-					if late && k.Req == a.ID {
+				for _, k := range y.recordedCalls() {
+					if late && k.RequestID == a.ID {
 						require.Contains(t, string(k.Worker), "other", "after %v", time.Since(began))
 					}
 				}
@@ -104,28 +104,28 @@
 
 // TestNodesStartedAfterPowerLossServeNoOlderVersion: the version was acknowledged, and all lost power before it was in force.
 func TestNodesStartedAfterPowerLossServeNoOlderVersion(t *testing.T) {
-	eachSeed(t, 5, func(t *testing.T, seed uint64) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, seed, 4, y, plain(), nil)
+	forEachSeed(t, 5, func(t *testing.T, seed uint64) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, seed, 4, y, defaultConfiguration(), nil)
 		defer f.close()
-		require.NoError(t, f.put("two", 1, 2, largePolicy(20, 3000)))
+		require.NoError(t, f.putConfiguration("two", 1, 2, largePolicy(20, 3000)))
 		for i, b := range f.nodes {
-			f.w.Machine(b.ip).PowerOff()
-			f.kill(i)
+			f.world.Machine(b.ip).PowerOff()
+			f.killNode(i)
 		}
-		for _, ip := range coreIps {
-			f.offCore(ip)
+		for _, ip := range coreIPs {
+			f.powerOffCore(ip)
 		}
 		time.Sleep(time.Second)
-		for _, ip := range coreIps {
-			f.core(ip)
+		for _, ip := range coreIPs {
+			f.startCore(ip)
 		}
 		for i := range f.nodes {
-			f.node(i)
+			f.startNode(i)
 		}
-		require.True(t, f.until(20*time.Second, func() bool {
+		require.True(t, f.waitUntil(20*time.Second, func() bool {
 			all := true
-			for _, b := range f.up() {
+			for _, b := range f.runningNodes() {
 				ready, _ := b.Ready()
 				if ready {
 					require.EqualValues(t, 2, b.view.Current().Version, "%s is ready", b.ip)
@@ -140,27 +140,27 @@
 // TestTakeoverMakesNoNodeRefuse: while nobody can acknowledge a version, the one that a node has is served.
 func TestTakeoverMakesNoNodeRefuse(t *testing.T) {
 	for name, fault := range map[string]func(f *fleet, leader string){
-		"power":  func(f *fleet, leader string) { f.offCore(leader) },
-		"frozen": func(f *fleet, leader string) { f.w.Machine(leader).Freeze(true) },
+		"power":  func(f *fleet, leader string) { f.powerOffCore(leader) },
+		"frozen": func(f *fleet, leader string) { f.world.Machine(leader).Freeze(true) },
 		"cut from the core": func(f *fleet, leader string) {
-			f.w.Partition([]string{leader}, coreIps, true)
+			f.world.Partition([]string{leader}, coreIPs, true)
 		},
 		"all of the core": func(f *fleet, _ string) {
-			for _, ip := range coreIps {
-				f.offCore(ip)
+			for _, ip := range coreIPs {
+				f.powerOffCore(ip)
 			}
 		},
 		"nodes cut off": func(f *fleet, _ string) {
-			f.w.Partition([]string{nodeIP(0), nodeIP(1), nodeIP(2)}, coreIps, true)
+			f.world.Partition([]string{nodeIP(0), nodeIP(1), nodeIP(2)}, coreIPs, true)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			eachSeed(t, 5, func(t *testing.T, seed uint64) {
-				y := newCluster(both("svc", 2, 2)...)
-				f := build(t, seed, 3, y, plain(), nil)
+			forEachSeed(t, 5, func(t *testing.T, seed uint64) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+				f := startFleet(t, seed, 3, y, defaultConfiguration(), nil)
 				defer f.close()
 				fault(f, f.leader())
-				f.load(20, 8*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/again/x", 400, 2) })
+				f.generateLoad(20, 8*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 2) })
 				for _, b := range f.nodes {
 					require.Zero(t, b.counts.RejectedStale.Load(), b.ip)
 					ready, reason := b.Ready()
