--- a/internal/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -22,18 +22,18 @@
 	"keelstair.example/internal/routing"
 )
 
-// sorted is a program that prefers workers by a key.
-func sorted(key string) string {
+// orderProgram is a program that prefers workers by a key.
+func orderProgram(key string) string {
 	return fmt.Sprintf("def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: %s)]\n", key)
 }
 
-// first prefers the worker with a number.
-func first(number int) string {
-	return sorted(fmt.Sprintf("(0 if '-%d.' in w.id else 1, w.id)", number))
+// preferWorkerProgram prefers the worker with a number.
+func preferWorkerProgram(number int) string {
+	return orderProgram(fmt.Sprintf("(0 if '-%d.' in w.id else 1, w.id)", number))
 }
 
-// setOf writes a program set.
-func setOf(list ...routing.Source) string {
+// encodeProgramSet writes a program set.
+func encodeProgramSet(list ...routing.Source) string {
 	p := map[string]fleetstate.Program{}
 	for _, s := range list {
 		p[s.Name] = fleetstate.Program{Source: s.Text, Share: s.Share, Shadow: s.Shadow, ChangesRoles: s.ChangesRoles}
@@ -47,23 +47,23 @@
 	return &Operator{Caller: b.agent.Caller(), Directory: b.Directory(), Zones: []string{"a", "b"}}
 }
 
-func (f *fleet) apply(op string, base uint64, text string) (*api.ApplyResponse, error) {
+func (f *fleet) applyProgramSet(op string, base uint64, text string) (*api.ApplyResponse, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
-	return f.operator(f.up()[0]).Apply(ctx, &api.ApplyRequest{Op: op, Base: base, Name: "set.cue", Source: text})
+	return f.operator(f.runningNodes()[0]).Apply(ctx, &api.ApplyRequest{Op: op, Base: base, Name: "set.cue", Source: text})
 }
 
-func (f *fleet) shown() *api.Shown {
+func (f *fleet) currentProgramSet() *api.Shown {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
-	got, err := f.operator(f.up()[0]).Shown(ctx)
+	got, err := f.operator(f.runningNodes()[0]).Shown(ctx)
 	require.NoError(f.t, err)
 	return got
 }
 
-// dealt tells whether every node has a set in force.
-func (f *fleet) dealt(v ids.Version) bool {
-	for _, b := range f.up() {
+// programSetActive tells whether every node has a set in force.
+func (f *fleet) programSetActive(v ids.Version) bool {
+	for _, b := range f.runningNodes() {
 		if s := b.view.Current().Programs; s == nil || s.Version != v {
 			return false
 		}
@@ -71,66 +71,66 @@
 	return true
 }
 
-// firstEmits gives the number of the worker that each request was first offered to.
-func firstEmits(rows []row) map[string]int {
+// firstDecodeWorkers gives the number of the worker that each request was first offered to.
+func firstDecodeWorkers(rows []callRecord) map[string]int {
 	out := map[string]int{}
 	for _, k := range rows {
-		if _, ok := out[k.Req]; !ok && k.Kind == "emit" {
+		if _, ok := out[k.RequestID]; !ok && k.Kind == "emit" {
 			n := 0
 			fmt.Sscanf(strings.TrimPrefix(string(k.Worker), "svc-decode-"), "%d.", &n)
-			out[k.Req] = n
+			out[k.RequestID] = n
 		}
 	}
 	return out
 }
 
-// TestSwapUnderLoad: two programs by shares of 30 and 70, swapped in mid-load for two
+// TestProgramSwapUnderLoad: two programs by shares of 30 and 70, swapped in mid-load for two
 // others, with streams that run across: no request is refused, no stream breaks, the
 // shares hold before and after, every node has the new set within two seconds, and the
 // start's programs rule until the core has a set.
-func TestSwapUnderLoad(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 4)...)
-		f := build(t, 81, 3, y, plain(), func(o *Options) {
-			o.Programs = []routing.Source{{Name: "start", Share: 100, Text: first(3)}}
+func TestProgramSwapUnderLoad(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 81, 3, y, defaultConfiguration(), func(o *Options) {
+			o.Programs = []routing.Source{{Name: "start", Share: 100, Text: preferWorkerProgram(3)}}
 		})
 		defer f.close()
-		a := f.ask(f.nodes[0], f.req("before", "/once/x", 400, 3))
+		a := f.send(f.nodes[0], f.newRequest("before", "/once/x", 400, 3))
 		require.NoError(t, a.err)
-		require.Equal(t, 3, firstEmits(y.directory())["before"])
-		_, err := f.apply("one", 0, setOf(routing.Source{Name: "low", Share: 30, Text: first(0)}, routing.Source{Name: "high", Share: 70, Text: first(2)}))
+		require.Equal(t, 3, firstDecodeWorkers(y.recordedCalls())["before"])
+		_, err := f.applyProgramSet("one", 0, encodeProgramSet(routing.Source{Name: "low", Share: 30, Text: preferWorkerProgram(0)}, routing.Source{Name: "high", Share: 70, Text: preferWorkerProgram(2)}))
 		require.NoError(t, err)
-		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(1) }))
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(1) }))
 		var swapped, had time.Duration
 		f.wg.Go(func() {
 			time.Sleep(8 * time.Second)
-			swapped = y.now()
-			got, err := f.apply("two", 1, setOf(routing.Source{Name: "mid", Share: 60, Text: first(1)}, routing.Source{Name: "low", Share: 40, Text: first(0)}))
+			swapped = y.elapsed()
+			got, err := f.applyProgramSet("two", 1, encodeProgramSet(routing.Source{Name: "mid", Share: 60, Text: preferWorkerProgram(1)}, routing.Source{Name: "low", Share: 40, Text: preferWorkerProgram(0)}))
 			require.NoError(t, err)
 			require.Equal(t, &api.ApplyResponse{Version: 2, Active: true}, got)
-			f.until(5*time.Second, func() bool { return f.dealt(2) })
-			had = y.now()
+			f.waitUntil(5*time.Second, func() bool { return f.programSetActive(2) })
+			had = y.elapsed()
 		})
-		all := f.load(60, 16*time.Second, func(i int) *Request {
+		all := f.generateLoad(60, 16*time.Second, func(i int) *Request {
 			if i%30 == 0 {
-				return f.req(fmt.Sprint("s", i), "/stream/x", 400, 150)
+				return f.newRequest(fmt.Sprint("s", i), "/stream/x", 400, 150)
 			}
-			return f.req(fmt.Sprint("r", i), paths[i%2], 400, 4)
+			return f.newRequest(fmt.Sprint("r", i), routePaths[i%2], 400, 4)
 		})
 		require.Less(t, had-swapped, 2*time.Second)
-		require.Empty(t, onceOnly(y.directory(), all))
+		require.Empty(t, onceOnly(y.recordedCalls(), all))
 		require.Empty(t, answers(all))
-		across, at := 0, firstEmits(y.directory())
+		across, at := 0, firstDecodeWorkers(y.recordedCalls())
 		var previous, new [4]float64
 		for _, a := range all {
 			require.NoError(t, a.err, a.ID)
 			switch {
-			case a.at < swapped:
+			case a.sentAt < swapped:
 				previous[at[a.ID]]++
-			case a.at > had:
+			case a.sentAt > had:
 				new[at[a.ID]]++
 			}
-			if a.stream && a.at < swapped && a.end > had {
+			if a.stream && a.sentAt < swapped && a.endedAt > had {
 				across++
 			}
 		}
@@ -142,28 +142,28 @@
 	})
 }
 
-// TestKeepsProgramSet: a stream that is taken up elsewhere after a swap goes by the programs that
+// TestResumedStreamKeepsProgramSet: a stream that is taken up elsewhere after a swap goes by the programs that
 // it began with.
-func TestKeepsProgramSet(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 4)...)
-		f := build(t, 82, 2, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
+func TestResumedStreamKeepsProgramSet(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 4)...)
+		f := startFleet(t, 82, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
 		defer f.close()
-		_, err := f.apply("one", 0, setOf(routing.Source{Name: "up", Share: 100, Text: sorted("w.id")}))
+		_, err := f.applyProgramSet("one", 0, encodeProgramSet(routing.Source{Name: "up", Share: 100, Text: orderProgram("w.id")}))
 		require.NoError(t, err)
-		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(1) }))
-		long := make(chan *asked, 1)
-		f.wg.Go(func() { long <- f.ask(f.nodes[0], f.req("long", "/sresume/x", 400, 150)) })
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(1) }))
+		long := make(chan *requestResult, 1)
+		f.wg.Go(func() { long <- f.send(f.nodes[0], f.newRequest("long", "/sresume/x", 400, 150)) })
 		time.Sleep(500 * time.Millisecond)
-		_, err = f.apply("two", 1, setOf(routing.Source{Name: "last", Share: 100, Text: first(3)}))
+		_, err = f.applyProgramSet("two", 1, encodeProgramSet(routing.Source{Name: "last", Share: 100, Text: preferWorkerProgram(3)}))
 		require.NoError(t, err)
-		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(2) }))
-		y.restart("svc-decode-0")
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(2) }))
+		y.restartWorker("svc-decode-0")
 		a := <-long
 		require.NoError(t, a.err)
-		require.Empty(t, answers([]*asked{a}))
+		require.Empty(t, answers([]*requestResult{a}))
 		var at []ids.WorkerID
-		for _, k := range y.directory() {
+		for _, k := range y.recordedCalls() {
 			if k.Kind == "emit" {
 				at = append(at, k.Worker)
 			}
@@ -172,22 +172,22 @@
 	})
 }
 
-// TestBadSets: a set with a fault is refused with its place and reason, and one over a
+// TestInvalidProgramSetsRejected: a set with a fault is refused with its place and reason, and one over a
 // stale base with the newest version; nothing changes, and nothing is staged.
-func TestBadSets(t *testing.T) {
-	ok := routing.Source{Name: "ok", Share: 100, Text: sorted("w.id")}
+func TestInvalidProgramSetsRejected(t *testing.T) {
+	ok := routing.Source{Name: "ok", Share: 100, Text: orderProgram("w.id")}
 	var many []routing.Source
 	for i := range 17 {
 		many = append(many, routing.Source{Name: fmt.Sprint("p", i), Shadow: true, Text: ok.Text})
 	}
 	bad := map[string]string{
-		"x.star:3:1":               setOf(routing.Source{Name: "x", Share: 100, Text: "def order(ask, workers):\n    return [w.id for\n"}),
-		"must define":              setOf(routing.Source{Name: "x", Share: 100, Text: "a = 1\n"}),
-		"has no turn":              setOf(routing.Source{Name: "x", Share: 100, ChangesRoles: true, Text: ok.Text}),
-		"too many steps":           setOf(routing.Source{Name: "x", Share: 100, Text: "a = [i for i in range(1000000000)]\n"}),
-		"add up to 90":             setOf(routing.Source{Name: "x", Share: 90, Text: ok.Text}),
-		"over 16":                  setOf(append(many, ok)...),
-		"bytes of source, over":    setOf(routing.Source{Name: "x", Share: 100, Text: ok.Text + "#" + strings.Repeat("x", 64<<10)}),
+		"x.star:3:1":               encodeProgramSet(routing.Source{Name: "x", Share: 100, Text: "def order(ask, workers):\n    return [w.id for\n"}),
+		"must define":              encodeProgramSet(routing.Source{Name: "x", Share: 100, Text: "a = 1\n"}),
+		"has no turn":              encodeProgramSet(routing.Source{Name: "x", Share: 100, ChangesRoles: true, Text: ok.Text}),
+		"too many steps":           encodeProgramSet(routing.Source{Name: "x", Share: 100, Text: "a = [i for i in range(1000000000)]\n"}),
+		"add up to 90":             encodeProgramSet(routing.Source{Name: "x", Share: 90, Text: ok.Text}),
+		"over 16":                  encodeProgramSet(append(many, ok)...),
+		"bytes of source, over":    encodeProgramSet(routing.Source{Name: "x", Share: 100, Text: ok.Text + "#" + strings.Repeat("x", 64<<10)}),
 		"set.cue:2:":               "{\n programs: a: {source: 5, share: 100}\n}",
 		"set.cue:3:":               "{\n programs: {}\n nonsense: 1\n}",
 		"set.cue:1:":               "{",
@@ -196,37 +196,39 @@
 		"only programs, limits":    `{"switch":false}`,
 		"the fleet's own document": `{"zones":["a"]}`,
 	}
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 83, 1, y, plain(), nil)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 83, 1, y, defaultConfiguration(), nil)
 		defer f.close()
-		_, err := f.apply("one", 0, setOf(ok))
+		_, err := f.applyProgramSet("one", 0, encodeProgramSet(ok))
 		require.NoError(t, err)
-		was := f.shown()
+		was := f.currentProgramSet()
 		require.EqualValues(t, 1, was.Version)
 		for reason, text := range bad {
-			_, err := f.apply("op "+reason, 1, text)
+			_, err := f.applyProgramSet("op "+reason, 1, text)
 			require.ErrorContains(t, err, reason)
 			require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
 		}
-		_, err = f.apply("stale", 0, setOf(ok))
+		_, err = f.applyProgramSet("stale", 0, encodeProgramSet(ok))
 		require.ErrorContains(t, err, "the current one is 1")
 		require.True(t, failure.Is(err, failure.Stale))
-		_, err = f.apply("ahead", 2, setOf(ok))
+		_, err = f.applyProgramSet("ahead", 2, encodeProgramSet(ok))
 		require.True(t, failure.Is(err, failure.Stale))
-		require.Equal(t, was, f.shown())
-		got, err := f.apply("one", 0, setOf(ok))
+		require.Equal(t, was, f.currentProgramSet())
+		got, err := f.applyProgramSet("one", 0, encodeProgramSet(ok))
 		require.NoError(t, err, "the same operation again has its one outcome")
 		require.EqualValues(t, 1, got.Version)
 	})
 }
 
-// TestPartialSet: a part is laid over the newest set, a dry run changes nothing, and the
+// TestPartialProgramSet: a part is laid over the newest set, a dry run changes nothing, and the
 // empty set leaves all to the built-in order, also where the node began with programs.
-func TestPartialSet(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 84, 1, y, plain(), func(o *Options) { o.Programs = []routing.Source{{Name: "start", Share: 100, Text: first(1)}} })
+func TestPartialProgramSet(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 84, 1, y, defaultConfiguration(), func(o *Options) {
+			o.Programs = []routing.Source{{Name: "start", Share: 100, Text: preferWorkerProgram(1)}}
+		})
 		defer f.close()
 		o := f.operator(f.nodes[0])
 		apply := func(op string, base uint64, dry bool, text string) (*api.ApplyResponse, error) {
@@ -234,14 +236,14 @@
 			defer stop()
 			return o.Apply(ctx, &api.ApplyRequest{Op: op, Base: base, Partial: true, Dry: dry, Source: text})
 		}
-		got, err := apply("one", 0, false, setOf(routing.Source{Name: "a", Share: 100, Text: sorted("w.id")}))
+		got, err := apply("one", 0, false, encodeProgramSet(routing.Source{Name: "a", Share: 100, Text: orderProgram("w.id")}))
 		require.NoError(t, err)
 		require.EqualValues(t, 1, got.Version)
 		half := `{"programs":{"a":{"share":50},"b":{"source":"def match(ask, worker):\n    return True\n","share":50}}}`
 		got, err = apply("dry", 1, true, half)
 		require.NoError(t, err)
 		require.Contains(t, string(got.Policy), "def match")
-		require.EqualValues(t, 1, f.shown().Newest)
+		require.EqualValues(t, 1, f.currentProgramSet().Newest)
 		_, err = apply("stale", 0, false, half)
 		require.ErrorContains(t, err, "the newest is 1")
 		_, err = apply("two", 1, false, half)
@@ -249,28 +251,28 @@
 		got, err = apply("two", 1, false, half)
 		require.NoError(t, err, "again")
 		require.EqualValues(t, 2, got.Version)
-		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(2) }))
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(2) }))
 		require.Equal(t, []string{"a", "b"}, f.nodes[0].view.Current().Programs.Configuration.Names())
-		_, err = f.apply("none", 2, `{"programs":{}}`)
+		_, err = f.applyProgramSet("none", 2, `{"programs":{}}`)
 		require.NoError(t, err)
-		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(3) }))
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(3) }))
 		require.False(t, f.nodes[0].deal(f.nodes[0].snapshot()).Set.HasPrograms())
 	})
 }
 
-// TestHostileSet: endless programs and those that name strangers, put in force while load
+// TestFaultyProgramsFallBack: endless programs and those that name strangers, put in force while load
 // runs, fall back and are counted; every request is served.
-func TestHostileSet(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 4)...)
-		f := build(t, 85, 2, y, plain(), nil)
+func TestFaultyProgramsFallBack(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 85, 2, y, defaultConfiguration(), nil)
 		defer f.close()
 		f.wg.Go(func() {
 			time.Sleep(2 * time.Second)
-			_, err := f.apply("hostile", 0, setOf(programs...))
+			_, err := f.applyProgramSet("hostile", 0, encodeProgramSet(programs...))
 			require.NoError(t, err)
 		})
-		all := f.load(40, 6*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
+		all := f.generateLoad(40, 6*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
 		for _, a := range all {
 			require.NoError(t, a.err)
 		}
@@ -286,75 +288,75 @@
 	})
 }
 
-// TestSwapSurvives: the leading core loses its power at some moment of a swap: the set that
+// TestProgramSwapSurvivesPowerLoss: the leading core loses its power at some moment of a swap: the set that
 // was acknowledged is in force at all nodes, once; it is there after all cores lost their
 // power, at a node that joins late, and at one that was killed and rejoins.
-func TestSwapSurvives(t *testing.T) {
-	eachSeed(t, 6, func(t *testing.T, seed uint64) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, seed, 2, y, plain(), nil)
+func TestProgramSwapSurvivesPowerLoss(t *testing.T) {
+	forEachSeed(t, 6, func(t *testing.T, seed uint64) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, seed, 2, y, defaultConfiguration(), nil)
 		defer f.close()
-		_, err := f.apply("one", 0, setOf(routing.Source{Name: "one", Share: 100, Text: first(0)}))
+		_, err := f.applyProgramSet("one", 0, encodeProgramSet(routing.Source{Name: "one", Share: 100, Text: preferWorkerProgram(0)}))
 		require.NoError(t, err)
 		f.wg.Go(func() {
 			time.Sleep(time.Duration(seed*seed*3) * time.Millisecond)
-			f.offCore(f.leader())
+			f.powerOffCore(f.leader())
 		})
-		set := setOf(routing.Source{Name: "two", Share: 100, Text: first(1)})
-		require.True(t, f.until(30*time.Second, func() bool {
-			got, err := f.apply("two", 1, set)
+		set := encodeProgramSet(routing.Source{Name: "two", Share: 100, Text: preferWorkerProgram(1)})
+		require.True(t, f.waitUntil(30*time.Second, func() bool {
+			got, err := f.applyProgramSet("two", 1, set)
 			return err == nil && got.Version == 2
 		}))
-		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(2) }))
-		for _, ip := range coreIps {
-			f.offCore(ip)
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(2) }))
+		for _, ip := range coreIPs {
+			f.powerOffCore(ip)
 		}
-		f.kill(1)
+		f.killNode(1)
 		time.Sleep(time.Second)
-		for _, ip := range coreIps {
-			f.core(ip)
+		for _, ip := range coreIPs {
+			f.startCore(ip)
 		}
-		f.node(2)
-		f.node(1)
-		require.True(t, f.until(20*time.Second, func() bool { return f.dealt(2) }))
-		sh := f.shown()
+		f.startNode(2)
+		f.startNode(1)
+		require.True(t, f.waitUntil(20*time.Second, func() bool { return f.programSetActive(2) }))
+		sh := f.currentProgramSet()
 		require.EqualValues(t, 2, sh.Newest)
 		require.Contains(t, string(sh.Policy), `"two"`)
-		for _, b := range f.up() {
+		for _, b := range f.runningNodes() {
 			require.Equal(t, "two", b.deal(b.snapshot()).Set.ProgramFor("x"))
 		}
 	})
 }
 
-// TestSwapRaces: sets and configurations change at once: both lines hold. Of two sets made
+// TestConcurrentProgramAndConfigurationChanges: sets and configurations change at once: both lines hold. Of two sets made
 // over the same one, one wins, and the other learns of it.
-func TestSwapRaces(t *testing.T) {
-	eachSeed(t, 4, func(t *testing.T, seed uint64) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, seed, 3, y, plain(), nil)
+func TestConcurrentProgramAndConfigurationChanges(t *testing.T) {
+	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, seed, 3, y, defaultConfiguration(), nil)
 		defer f.close()
 		var wg sync.WaitGroup
 		wg.Go(func() {
 			for v := ids.Version(1); v < 9; v++ {
-				require.NoError(t, f.put(ids.OpID(fmt.Sprint("doc", v)), v, v+1, plain()))
+				require.NoError(t, f.putConfiguration(ids.OpID(fmt.Sprint("doc", v)), v, v+1, defaultConfiguration()))
 			}
 		})
 		wg.Go(func() {
 			for v := range uint64(8) {
-				_, err := f.apply(fmt.Sprint("set", v), v, setOf(routing.Source{Name: fmt.Sprint("p", v), Share: 100, Text: first(int(v % 2))}))
+				_, err := f.applyProgramSet(fmt.Sprint("set", v), v, encodeProgramSet(routing.Source{Name: fmt.Sprint("p", v), Share: 100, Text: preferWorkerProgram(int(v % 2))}))
 				require.NoError(t, err)
 			}
 		})
-		all := f.load(20, 3*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 3) })
+		all := f.generateLoad(20, 3*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 3) })
 		wg.Wait()
 		for _, a := range all {
 			require.NoError(t, a.err)
 		}
-		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(8) && f.inForce(9) }))
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(8) && f.inForce(9) }))
 		won := make([]error, 2)
 		for i := range won {
 			wg.Go(func() {
-				_, won[i] = f.apply(fmt.Sprint("rival", i), 8, setOf(routing.Source{Name: fmt.Sprint("rival", i), Share: 100, Text: first(0)}))
+				_, won[i] = f.applyProgramSet(fmt.Sprint("rival", i), 8, encodeProgramSet(routing.Source{Name: fmt.Sprint("rival", i), Share: 100, Text: preferWorkerProgram(0)}))
 			})
 		}
 		wg.Wait()
@@ -362,39 +364,39 @@
 		for _, err := range won {
 			require.True(t, err == nil || failure.Is(err, failure.Stale), "%v", err)
 		}
-		require.EqualValues(t, 9, f.shown().Newest)
+		require.EqualValues(t, 9, f.currentProgramSet().Newest)
 	})
 }
 
-// TestSetNotCompiled: a set that a node cannot compile, though the core has it, leaves the
+// TestUncompilableProgramSetKeepsPrevious: a set that a node cannot compile, though the core has it, leaves the
 // one before it in force there, and the next one that compiles is taken.
-func TestSetNotCompiled(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 86, 1, y, plain(), nil)
+func TestUncompilableProgramSetKeepsPrevious(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 86, 1, y, defaultConfiguration(), nil)
 		defer f.close()
-		_, err := f.apply("one", 0, setOf(routing.Source{Name: "one", Share: 100, Text: first(0)}))
+		_, err := f.applyProgramSet("one", 0, encodeProgramSet(routing.Source{Name: "one", Share: 100, Text: preferWorkerProgram(0)}))
 		require.NoError(t, err)
-		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(1) }))
-		f.submit(fleetstate.PrepareProgramsKind, &fleetstate.PrepareVersion{Base: 1, Text: []byte(setOf(routing.Source{Name: "x", Share: 100, Text: "def"}))})
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(1) }))
+		f.submit(fleetstate.PrepareProgramsKind, &fleetstate.PrepareVersion{Base: 1, Text: []byte(encodeProgramSet(routing.Source{Name: "x", Share: 100, Text: "def"}))})
 		time.Sleep(2 * time.Second)
-		require.True(t, f.dealt(1))
-		require.NoError(t, f.ask(f.nodes[0], f.req("r", "/once/x", 400, 2)).err)
-		_, err = f.apply("three", 2, setOf(routing.Source{Name: "three", Share: 100, Text: first(0)}))
+		require.True(t, f.programSetActive(1))
+		require.NoError(t, f.send(f.nodes[0], f.newRequest("r", "/once/x", 400, 2)).err)
+		_, err = f.applyProgramSet("three", 2, encodeProgramSet(routing.Source{Name: "three", Share: 100, Text: preferWorkerProgram(0)}))
 		require.NoError(t, err)
-		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(3) }))
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(3) }))
 	})
 }
 
-// flap names the first worker that may turn, whatever the press; drain only one that reads.
+// alternateRolesProgram names the first worker that may turn, whatever the press; drain only one that reads.
 const (
-	flap = `def turn(pool):
+	alternateRolesProgram = `def turn(pool):
     for w in pool.workers:
         if w.may:
             return (w.id, "decode" if w.part == "prefill" else "prefill")
     return None
 `
-	drain = `def turn(pool):
+	drainPrefillProgram = `def turn(pool):
     for w in pool.workers:
         if w.may and w.part == "prefill":
             return (w.id, "decode")
@@ -409,17 +411,17 @@
 	for name, c := range map[string]struct {
 		text string
 		some int
-	}{"flap": {flap, 5}, "drain": {drain, 0}} {
+	}{"flap": {alternateRolesProgram, 5}, "drain": {drainPrefillProgram, 0}} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 5, 4)...)
-				f := build(t, 87, 2, y, plain(), turning)
+			runInBubble(t, func(t *testing.T) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", 5, 4)...)
+				f := startFleet(t, 87, 2, y, defaultConfiguration(), turning)
 				defer f.close()
 				was := parts(y)
-				_, err := f.apply(name, 0, setOf(routing.Source{Name: name, ChangesRoles: true, Text: c.text}))
+				_, err := f.applyProgramSet(name, 0, encodeProgramSet(routing.Source{Name: name, ChangesRoles: true, Text: c.text}))
 				require.NoError(t, err)
-				all := f.load(20, 40*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
-				rows := y.directory()
+				all := f.generateLoad(20, 40*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
+				rows := y.recordedCalls()
 				require.Greater(t, len(orders(rows)), c.some)
 				last, ends := map[ids.WorkerID]time.Duration{}, time.Duration(-time.Hour)
 				for _, k := range orders(rows) {
@@ -441,10 +443,10 @@
 	}
 }
 
-// TestTurnProgramSays: a program in charge that wishes for none has none turned though a
+// TestRoleChangeProgramDecides: a program in charge that wishes for none has none turned though a
 // part is pressed; one that fails, or names a worker that may not turn, leaves it to the
 // built-in choice; one that is not in charge is only counted.
-func TestTurnProgramSays(t *testing.T) {
+func TestRoleChangeProgramDecides(t *testing.T) {
 	for name, c := range map[string]struct {
 		p     routing.Source
 		turns bool
@@ -458,19 +460,19 @@
 		"press":    {routing.Source{ChangesRoles: true, Text: "def turn(pool):\n    ids = [w.id for w in pool.workers if w.may and w.part == 'decode']\n    if pool.prefill > 0.35 and ids:\n        return ids[0], 'prefill'\n    return None\n"}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 4, 5)...)
-				f := build(t, 88, 2, y, plain(), turning)
+			runInBubble(t, func(t *testing.T) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 5)...)
+				f := startFleet(t, 88, 2, y, defaultConfiguration(), turning)
 				defer f.close()
 				c.p.Name = name
-				_, err := f.apply("op", 0, setOf(c.p))
+				_, err := f.applyProgramSet("op", 0, encodeProgramSet(c.p))
 				require.NoError(t, err)
 				time.Sleep(2 * time.Second)
 				y.pressed(ids.Prefill, 6)
 				time.Sleep(10 * time.Second)
-				require.Equal(t, c.turns, len(orders(y.directory())) > 0)
-				for _, k := range orders(y.directory()) {
-					require.Equal(t, ids.Prefill, k.To)
+				require.Equal(t, c.turns, len(orders(y.recordedCalls())) > 0)
+				for _, k := range orders(y.recordedCalls()) {
+					require.Equal(t, ids.Prefill, k.TargetRole)
 				}
 				h := f.nodes[max(0, f.holder())]
 				score := h.Scores().Of(name)
@@ -481,23 +483,23 @@
 	}
 }
 
-// TestOperatorsOther: the other calls of the operators' interface: zones that are known are
+// TestOperatorEvacuatesKnownZonesOnly: the other calls of the operators' interface: zones that are known are
 // evacuated, and nothing else.
-func TestOperatorsOther(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 89, 1, y, plain(), nil)
+func TestOperatorEvacuatesKnownZonesOnly(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 89, 1, y, defaultConfiguration(), nil)
 		defer f.close()
 		o := f.operator(f.nodes[0])
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 		defer stop()
 		_, err := o.Evacuate(ctx, "b", &api.MarkRequest{Op: coordination.NewID(), Out: true})
 		require.NoError(t, err)
-		require.Equal(t, []string{"b"}, f.shown().Zones)
-		require.True(t, f.until(2*time.Second, func() bool { return f.nodes[0].view.Current().Zones["b"] }))
+		require.Equal(t, []string{"b"}, f.currentProgramSet().Zones)
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.nodes[0].view.Current().Zones["b"] }))
 		_, err = o.Evacuate(ctx, "b", &api.MarkRequest{Op: coordination.NewID()})
 		require.NoError(t, err)
-		require.Equal(t, []string{}, f.shown().Zones)
+		require.Equal(t, []string{}, f.currentProgramSet().Zones)
 		_, err = o.Evacuate(ctx, "z", &api.MarkRequest{Op: coordination.NewID(), Out: true})
 		require.ErrorContains(t, err, `no zone "z"`)
 		_, err = o.Drain(ctx, "svc-decode-0.1", &api.MarkRequest{Op: coordination.NewID(), Out: true})
--- a/internal/proxy/tenant_test.go
+++ b/internal/proxy/tenant_test.go
@@ -22,7 +22,7 @@
 // amber is key-amber.
 func tenantPolicy(tenants ...string) []byte {
 	p := &fleetstate.Configuration{
-		Routes:   ways(),
+		Routes:   defaultRoutes(),
 		Services: map[string]fleetstate.Service{"svc": {Name: "svc", Concurrency: 16, RoleChangeMs: 1000}},
 		Tenants:  []fleetstate.Tenant{},
 	}
@@ -43,7 +43,7 @@
 
 // keyed is a request that bears a tenant's key.
 func (f *fleet) keyed(id, path, tenant string) *Request {
-	r := f.req(id, path, 400, 3)
+	r := f.newRequest(id, path, 400, 3)
 	r.Key = "key-" + tenant
 	return r
 }
@@ -64,10 +64,10 @@
 }
 
 // callsOf lists what came to workers under an id.
-func (y *workerPool) callsOf(id string) []row {
-	var out []row
-	for _, k := range y.directory() {
-		if k.Req == id && (k.Kind == "read" || k.Kind == "emit") {
+func (y *fakePlatform) callsOf(id string) []callRecord {
+	var out []callRecord
+	for _, k := range y.recordedCalls() {
+		if k.RequestID == id && (k.Kind == "read" || k.Kind == "emit") {
 			out = append(out, k)
 		}
 	}
@@ -77,18 +77,18 @@
 // TestTenantAtWorkers: reads, hedged reads and decodes name the tenant and bear no key, with the
 // tenant's urgency in place of the route's.
 func TestTenantAtWorkers(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 4, 4)...)
-		f := build(t, 78, 2, y, tenantPolicy("amber", "birch"), func(o *Options) { o.RetryAllowance = 40 })
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+		f := startFleet(t, 78, 2, y, tenantPolicy("amber", "birch"), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
 		form := func(prefix string) func(i int) *Request {
 			return func(i int) *Request {
 				return f.keyed(fmt.Sprint(prefix, i), "/again/x", []string{"amber", "birch"}[i%2])
 			}
 		}
-		f.load(40, 2*time.Second, form("warm"))
-		y.at(func() { y.slowRead = map[string]time.Duration{"svc-prefill-0": 2 * time.Second} })
-		all := f.load(40, 4*time.Second, form("r"))
+		f.generateLoad(40, 2*time.Second, form("warm"))
+		y.withLock(func() { y.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": 2 * time.Second} })
+		all := f.generateLoad(40, 4*time.Second, form("r"))
 		time.Sleep(4 * time.Second)
 		hedges := int64(0)
 		for _, b := range f.nodes {
@@ -113,19 +113,19 @@
 // TestUnknownKeyRejected: without a known key nothing reaches a worker, but on a public route; a
 // known key names its tenant there too.
 func TestUnknownKeyRejected(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 79, 2, y, tenantPolicy("amber"), nil)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 79, 2, y, tenantPolicy("amber"), nil)
 		defer f.close()
-		require.Equal(t, http.StatusUnauthorized, statusOf(t, f.ask(f.nodes[0], f.keyed("a", "/once/x", "birch")).err))
-		require.Equal(t, http.StatusUnauthorized, statusOf(t, f.ask(f.nodes[1], f.req("b", "/stream/x", 400, 2)).err))
+		require.Equal(t, http.StatusUnauthorized, statusOf(t, f.send(f.nodes[0], f.keyed("a", "/once/x", "birch")).err))
+		require.Equal(t, http.StatusUnauthorized, statusOf(t, f.send(f.nodes[1], f.newRequest("b", "/stream/x", 400, 2)).err))
 		for _, b := range f.nodes {
 			require.EqualValues(t, 1, b.counts.Unauthenticated.Load())
 		}
 		require.Empty(t, y.callsOf("a"))
 		require.Empty(t, y.callsOf("b"))
-		require.NoError(t, f.ask(f.nodes[0], f.req("c", "/open/x", 400, 2)).err)
-		require.NoError(t, f.ask(f.nodes[0], f.keyed("d", "/open/x", "amber")).err)
+		require.NoError(t, f.send(f.nodes[0], f.newRequest("c", "/open/x", 400, 2)).err)
+		require.NoError(t, f.send(f.nodes[0], f.keyed("d", "/open/x", "amber")).err)
 		for _, k := range y.callsOf("c") {
 			require.Empty(t, k.Tenant)
 		}
@@ -138,24 +138,24 @@
 // TestUnknownKeyWhileBehind: a node that may be behind cannot tell whether a newer version has a
 // key: it says when to come back, and not that there is no such key.
 func TestUnknownKeyWhileBehind(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 80, 3, y, tenantPolicy("amber"), nil)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 80, 3, y, tenantPolicy("amber"), nil)
 		defer f.close()
 		cut := f.nodes[2]
-		status := func(id, tenant string) int { return statusOf(t, f.ask(cut, f.keyed(id, "/again/x", tenant)).err) }
+		status := func(id, tenant string) int { return statusOf(t, f.send(cut, f.keyed(id, "/again/x", tenant)).err) }
 		require.Equal(t, http.StatusUnauthorized, status("a", "birch"))
-		peers := append([]string{f.nodes[0].ip, f.nodes[1].ip}, coreIps...)
-		f.w.Partition([]string{cut.ip}, peers, true)
+		peers := append([]string{f.nodes[0].ip, f.nodes[1].ip}, coreIPs...)
+		f.world.Partition([]string{cut.ip}, peers, true)
 		time.Sleep(time.Second)
-		require.NoError(t, f.put("two", 1, 2, tenantPolicy("amber", "birch")))
+		require.NoError(t, f.putConfiguration("two", 1, 2, tenantPolicy("amber", "birch")))
 		time.Sleep(currentSpan)
-		late := f.ask(cut, f.keyed("b", "/again/x", "birch"))
+		late := f.send(cut, f.keyed("b", "/again/x", "birch"))
 		require.Equal(t, http.StatusServiceUnavailable, statusOf(t, late.err))
 		require.Positive(t, late.err.(*RejectedError).RetryAfter)
-		f.w.Partition([]string{cut.ip}, peers, false)
-		require.True(t, f.until(5*time.Second, func() bool { return f.inForce(2) }))
-		require.True(t, f.until(5*time.Second, func() bool { return cut.agent.CaughtUp(currentSpan) }))
+		f.world.Partition([]string{cut.ip}, peers, false)
+		require.True(t, f.waitUntil(5*time.Second, func() bool { return f.inForce(2) }))
+		require.True(t, f.waitUntil(5*time.Second, func() bool { return cut.agent.CaughtUp(currentSpan) }))
 		require.Equal(t, http.StatusOK, status("c", "birch"))
 		require.Equal(t, http.StatusUnauthorized, status("d", "cedar"))
 	})
@@ -167,37 +167,37 @@
 func TestDroppedKeyIsNotSentAgain(t *testing.T) {
 	const wait = 1500 * time.Millisecond
 	for name, waiting := range map[string]struct {
-		arrange func(y *workerPool)
+		arrange func(y *fakePlatform)
 		emits   int
 		status  int
 	}{
-		"prompt": {func(y *workerPool) {
-			y.slowRead = map[string]time.Duration{"svc-prefill-0": wait, "svc-prefill-1": wait}
+		"prompt": {func(y *fakePlatform) {
+			y.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": wait, "svc-prefill-1": wait}
 		}, 0, http.StatusUnauthorized},
-		"connection": {func(y *workerPool) {
-			y.dial = map[string]time.Duration{"svc-decode-0:90": wait, "svc-decode-1:90": wait, "svc-decode-2:90": wait}
+		"connection": {func(y *fakePlatform) {
+			y.unreachable = map[string]time.Duration{"svc-decode-0:90": wait, "svc-decode-1:90": wait, "svc-decode-2:90": wait}
 		}, 0, http.StatusUnauthorized},
-		"silence": {func(y *workerPool) {
-			y.fate = func(k row, _ *stand) fate {
+		"silence": {func(y *fakePlatform) {
+			y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
 				if k.Kind == "emit" {
-					return idleSilent
+					return silentBeforeRun
 				}
-				return fine
+				return succeeds
 			}
 		}, 1, http.StatusBadGateway},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 2, 3)...)
-				f := build(t, 81, 2, y, tenantPolicy("amber", "birch"), func(o *Options) { o.RetryAllowance = 40 })
+			runInBubble(t, func(t *testing.T) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+				f := startFleet(t, 81, 2, y, tenantPolicy("amber", "birch"), func(o *Options) { o.RetryAllowance = 40 })
 				defer f.close()
-				y.at(func() { waiting.arrange(y) })
-				ended := make(chan *asked, 1)
-				f.wg.Go(func() { ended <- f.ask(f.nodes[0], f.keyed("r", "/again/x", "amber")) })
+				y.withLock(func() { waiting.arrange(y) })
+				ended := make(chan *requestResult, 1)
+				f.wg.Go(func() { ended <- f.send(f.nodes[0], f.keyed("r", "/again/x", "amber")) })
 				time.Sleep(200 * time.Millisecond)
-				require.NoError(t, f.put("two", 1, 2, tenantPolicy("birch")))
-				require.True(t, f.until(500*time.Millisecond, func() bool { return f.inForce(2) }))
-				y.at(func() { y.dial = nil })
+				require.NoError(t, f.putConfiguration("two", 1, 2, tenantPolicy("birch")))
+				require.True(t, f.waitUntil(500*time.Millisecond, func() bool { return f.inForce(2) }))
+				y.withLock(func() { y.unreachable = nil })
 				a := <-ended
 				require.Equal(t, waiting.status, statusOf(t, a.err))
 				emits := 0
@@ -229,23 +229,23 @@
 	}
 	for _, dropped := range []bool{false, true} {
 		t.Run(fmt.Sprint("dropped-", dropped), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 2, 2)...)
-				f := build(t, 83, 1, y, patient("amber", "birch"), func(o *Options) {
+			runInBubble(t, func(t *testing.T) {
+				y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+				f := startFleet(t, 83, 1, y, patient("amber", "birch"), func(o *Options) {
 					o.RetryAllowance, o.HedgeFactor = 40, 40
 				})
 				defer f.close()
-				f.load(40, time.Second, func(i int) *Request { return f.keyed(fmt.Sprint("warm", i), "/again/x", "amber") })
-				y.at(func() {
-					y.slowRead = map[string]time.Duration{"svc-prefill-0": 3 * time.Second, "svc-prefill-1": 3 * time.Second}
+				f.generateLoad(40, time.Second, func(i int) *Request { return f.keyed(fmt.Sprint("warm", i), "/again/x", "amber") })
+				y.withLock(func() {
+					y.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": 3 * time.Second, "svc-prefill-1": 3 * time.Second}
 				})
-				f.wg.Go(func() { f.ask(f.nodes[0], f.keyed("r", "/again/x", "amber")) })
+				f.wg.Go(func() { f.send(f.nodes[0], f.keyed("r", "/again/x", "amber")) })
 				tenants := []string{"birch"}
 				if !dropped {
 					tenants = []string{"amber", "birch"}
 				}
-				require.NoError(t, f.put("two", 1, 2, patient(tenants...)))
-				require.True(t, f.until(500*time.Millisecond, func() bool { return f.inForce(2) }))
+				require.NoError(t, f.putConfiguration("two", 1, 2, patient(tenants...)))
+				require.True(t, f.waitUntil(500*time.Millisecond, func() bool { return f.inForce(2) }))
 				require.Len(t, y.callsOf("r"), 1)
 				time.Sleep(2 * time.Second)
 				if dropped {
@@ -262,25 +262,25 @@
 // TestMovedKeyNamesItsNewTenant: a request that is sent again after its key went to another tenant
 // names that one.
 func TestMovedKeyNamesItsNewTenant(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 3)...)
-		f := build(t, 84, 2, y, tenantPolicy("amber"), func(o *Options) { o.RetryAllowance = 40 })
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		f := startFleet(t, 84, 2, y, tenantPolicy("amber"), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
-		y.at(func() {
+		y.withLock(func() {
 			silent := true
-			y.fate = func(k row, _ *stand) fate {
+			y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
 				if k.Kind != "emit" || !silent {
-					return fine
+					return succeeds
 				}
 				silent = false
-				return idleSilent
+				return silentBeforeRun
 			}
 		})
-		ended := make(chan *asked, 1)
-		f.wg.Go(func() { ended <- f.ask(f.nodes[0], f.keyed("r", "/again/x", "amber")) })
+		ended := make(chan *requestResult, 1)
+		f.wg.Go(func() { ended <- f.send(f.nodes[0], f.keyed("r", "/again/x", "amber")) })
 		time.Sleep(200 * time.Millisecond)
 		moved := bytes.Replace(tenantPolicy("amber"), []byte(`"name":"amber"`), []byte(`"name":"birch"`), 1)
-		require.NoError(t, f.put("two", 1, 2, moved))
+		require.NoError(t, f.putConfiguration("two", 1, 2, moved))
 		require.NoError(t, (<-ended).err)
 		var names []string
 		for _, k := range y.callsOf("r") {
@@ -295,19 +295,19 @@
 // TestAddedKeyIsNotMissed: while versions that add keys come one after the other, a request with a
 // key is never rejected for it once its version is in force at the node that takes the request.
 func TestAddedKeyIsNotMissed(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
+	runInBubble(t, func(t *testing.T) {
+		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
 		names := []string{"amber"}
-		f := build(t, 82, 2, y, tenantPolicy(names...), nil)
+		f := startFleet(t, 82, 2, y, tenantPolicy(names...), nil)
 		defer f.close()
 		for i := range 10 {
 			name := fmt.Sprint("tenant-", i)
 			names = append(names, name)
 			version := ids.Version(i + 1)
-			require.NoError(t, f.put(ids.OpID(name), version, version+1, tenantPolicy(names...)))
+			require.NoError(t, f.putConfiguration(ids.OpID(name), version, version+1, tenantPolicy(names...)))
 			for j, b := range f.nodes {
-				require.True(t, f.until(2*time.Second, func() bool { return b.view.Current().Version > version }))
-				require.NoError(t, f.ask(b, f.keyed(fmt.Sprint(name, "-", j), "/once/x", name)).err)
+				require.True(t, f.waitUntil(2*time.Second, func() bool { return b.view.Current().Version > version }))
+				require.NoError(t, f.send(b, f.keyed(fmt.Sprint(name, "-", j), "/once/x", name)).err)
 			}
 		}
 	})
