--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -39,7 +39,7 @@
 	admitFactor                           float64
 }
 
-func (c overloadScenario) configuration() []byte {
+func (s overloadScenario) configuration() []byte {
 	route := func(name, prefix string, urgency int) fleetstate.Route {
 		return fleetstate.Route{Name: name, Host: routeHost, Prefix: prefix, Service: "svc", Disaggregated: true, Stream: true, MaxAttempts: 2, DeadlineMs: 3000, LatencyTargetMs: int(overloadTarget / time.Millisecond), TokenIntervalMs: 200, Urgency: urgency}
 	}
@@ -47,131 +47,131 @@
 }
 
 // run gives all callers with their ends, and the fake platform's book.
-func (c overloadScenario) run(t *testing.T, seed uint64) ([]*overloadCaller, []callRecord, []*requestResult) {
-	all := prefillAndDecodeWorkers("svc", 3, 4)
-	for _, s := range all {
-		if s.Concurrency = c.decodeConcurrency; s.Role == ids.Prefill {
-			s.Concurrency = c.prefillConcurrency
+func (s overloadScenario) run(t *testing.T, seed uint64) ([]*overloadCaller, []callRecord, []*requestResult) {
+	workers := prefillAndDecodeWorkers("svc", 3, 4)
+	for _, worker := range workers {
+		if worker.Concurrency = s.decodeConcurrency; worker.Role == ids.Prefill {
+			worker.Concurrency = s.prefillConcurrency
 		}
 	}
-	y := newFakePlatform(all...)
+	platform := newFakePlatform(workers...)
 	if raced {
-		c.duration /= 3
+		s.duration /= 3
 	}
-	y.reportDelay, y.queueLimit, y.directTokensPerMs = 300*time.Millisecond, 40, 25
-	f := startFleet(t, seed, 4, y, c.configuration(), func(o *Options) {
-		o.RoleChangeInterval, o.IdlePrefillShare, o.RetryAllowance, o.AdmitFactor, o.PrefillTokensPerMs = 500*time.Millisecond, -1, 60, c.admitFactor, float64(50*c.prefillConcurrency)
+	platform.reportDelay, platform.queueLimit, platform.directTokensPerMs = 300*time.Millisecond, 40, 25
+	f := startFleet(t, seed, 4, platform, s.configuration(), func(o *Options) {
+		o.RoleChangeInterval, o.IdlePrefillShare, o.RetryAllowance, o.AdmitFactor, o.PrefillTokensPerMs = 500*time.Millisecond, -1, 60, s.admitFactor, float64(50*s.prefillConcurrency)
 	})
 	defer f.close()
 	time.Sleep(5 * time.Second)
 	rng := rand.New(rand.NewPCG(seed, 21))
 	var wg sync.WaitGroup
-	var out []*overloadCaller
-	gap := time.Duration(float64(time.Second) / c.rate)
-	for i, end := 0, time.Now().Add(c.duration); time.Now().Before(end); i++ {
-		one := &overloadCaller{urgent: rng.IntN(2) == 0, impatient: rng.Float64() < c.impatientShare}
-		out = append(out, one)
-		at, by := rng.IntN(4), rng.IntN(3)+1
-		wg.Go(func() { one.sendAttempts(f, c, i, at, by) })
-		time.Sleep(gap)
+	var callers []*overloadCaller
+	interval := time.Duration(float64(time.Second) / s.rate)
+	for i, end := 0, time.Now().Add(s.duration); time.Now().Before(end); i++ {
+		caller := &overloadCaller{urgent: rng.IntN(2) == 0, impatient: rng.Float64() < s.impatientShare}
+		callers = append(callers, caller)
+		firstNode, nodeStep := rng.IntN(4), rng.IntN(3)+1
+		wg.Go(func() { caller.sendAttempts(f, s, i, firstNode, nodeStep) })
+		time.Sleep(interval)
 	}
 	wg.Wait()
-	return out, y.recordedCalls(), f.results
+	return callers, platform.recordedCalls(), f.results
 }
 
 // sendAttempts has a caller try: a polite one once more when it was told to, a rude one at once and
 // often.
-func (c *overloadCaller) sendAttempts(f *fleet, w overloadScenario, i, at, by int) {
-	first := time.Now()
-	path, more := "/stream/then/x", 1
+func (c *overloadCaller) sendAttempts(f *fleet, scenario overloadScenario, i, firstNode, nodeStep int) {
+	start := time.Now()
+	path, retries := "/stream/then/x", 1
 	if c.urgent {
 		path = "/stream/now/x"
 	}
 	if c.impatient {
-		more = 8
+		retries = 8
 	}
-	var refused bool
-	for k := 0; k <= more; k++ {
-		left := overloadTimeout - time.Since(first)
-		if left < 50*time.Millisecond {
+	var rejectedQuickly bool
+	for n := 0; n <= retries; n++ {
+		remaining := overloadTimeout - time.Since(start)
+		if remaining < 50*time.Millisecond {
 			return
 		}
-		r := f.newRequest(fmt.Sprintf("r%d-%d", i, k), path, w.prompt, w.maxTokens)
-		r.Segments = []PromptSegment{{ID: fmt.Sprint("system-", i%30), Tokens: w.prompt / 8}, {ID: fmt.Sprint("own-", i), Tokens: w.prompt - w.prompt/8}}
-		r.Timeout = left
-		began := time.Now()
+		r := f.newRequest(fmt.Sprintf("r%d-%d", i, n), path, scenario.prompt, scenario.maxTokens)
+		r.Segments = []PromptSegment{{ID: fmt.Sprint("system-", i%30), Tokens: scenario.prompt / 8}, {ID: fmt.Sprint("own-", i), Tokens: scenario.prompt - scenario.prompt/8}}
+		r.Timeout = remaining
+		attemptStart := time.Now()
 		nodes := f.runningNodes()
-		a := f.send(nodes[(at+k*by)%len(nodes)], r)
-		c.attempts = append(c.attempts, a)
-		if a.err == nil {
+		result := f.send(nodes[(firstNode+n*nodeStep)%len(nodes)], r)
+		c.attempts = append(c.attempts, result)
+		if result.err == nil {
 			c.served = true
-			complete := a.response.writeTimes[0]+began.Sub(first) <= overloadTarget
-			again := refused && a.response.writeTimes[0] <= overloadTarget
-			switch c.onTime = complete || again; {
-			case complete:
+			firstInTime := result.response.writeTimes[0]+attemptStart.Sub(start) <= overloadTarget
+			retryInTime := rejectedQuickly && result.response.writeTimes[0] <= overloadTarget
+			switch c.onTime = firstInTime || retryInTime; {
+			case firstInTime:
 				c.value = 1
-			case again:
+			case retryInTime:
 				c.value = 0.75
 			default:
 				c.value = 0.5
 			}
 			return
 		}
-		no, ok := a.err.(*RejectedError)
+		rejection, ok := result.err.(*RejectedError)
 		if !ok {
 			return
 		}
-		refused = time.Since(began) <= overloadTarget/4
-		if k > 0 && !c.impatient {
+		rejectedQuickly = time.Since(attemptStart) <= overloadTarget/4
+		if n > 0 && !c.impatient {
 			c.value = -0.3
 			return
 		}
 		if c.impatient {
 			time.Sleep(10 * time.Millisecond)
 		} else {
-			time.Sleep(min(no.RetryAfter, (overloadTimeout-time.Since(first))/3))
+			time.Sleep(min(rejection.RetryAfter, (overloadTimeout-time.Since(start))/3))
 		}
 	}
 	c.value = -0.3
 }
 
 // summarizeCallers sums up callers: what they are worth, and which part was served in time or at all.
-func summarizeCallers(all []*overloadCaller, of func(c *overloadCaller) bool) (worth, quick, served float64, n int) {
-	for _, c := range all {
-		if of(c) {
+func summarizeCallers(callers []*overloadCaller, include func(caller *overloadCaller) bool) (meanValue, onTime, served float64, n int) {
+	for _, caller := range callers {
+		if include(caller) {
 			n++
-			worth += c.value
-			if c.onTime {
-				quick++
+			meanValue += caller.value
+			if caller.onTime {
+				onTime++
 			}
-			if c.served {
+			if caller.served {
 				served++
 			}
 		}
 	}
 	k := float64(max(1, n))
-	return worth / k, quick / k, served / k, n
+	return meanValue / k, onTime / k, served / k, n
 }
 
 // urgencyViolations: the urgent are never served less than the others.
-func urgencyViolations(all []*overloadCaller) []string {
-	_, _, urgent, n := summarizeCallers(all, func(c *overloadCaller) bool { return c.urgent })
-	_, _, patient, m := summarizeCallers(all, func(c *overloadCaller) bool { return !c.urgent })
-	if n > 0 && m > 0 && urgent < patient {
-		return []string{fmt.Sprintf("%.2f of the urgent are served, %.2f of the others", urgent, patient)}
+func urgencyViolations(callers []*overloadCaller) []string {
+	_, _, urgent, n := summarizeCallers(callers, func(caller *overloadCaller) bool { return caller.urgent })
+	_, _, normal, m := summarizeCallers(callers, func(caller *overloadCaller) bool { return !caller.urgent })
+	if n > 0 && m > 0 && urgent < normal {
+		return []string{fmt.Sprintf("%.2f of the urgent are served, %.2f of the others", urgent, normal)}
 	}
 	return nil
 }
 
 // fairnessViolations: of each sort of callers, those that wait as told are served nearly as often as those
 // that do not.
-func fairnessViolations(all []*overloadCaller, slack float64) []string {
+func fairnessViolations(callers []*overloadCaller, slack float64) []string {
 	var out []string
 	for _, urgent := range []bool{true, false} {
-		_, _, polite, n := summarizeCallers(all, func(c *overloadCaller) bool { return c.urgent == urgent && !c.impatient })
-		_, _, rude, m := summarizeCallers(all, func(c *overloadCaller) bool { return c.urgent == urgent && c.impatient })
-		if n > 0 && m > 0 && polite < rude-slack {
-			out = append(out, fmt.Sprintf("urgent %t: %.2f of the polite are served, %.2f of those that repeat", urgent, polite, rude))
+		_, _, patient, n := summarizeCallers(callers, func(caller *overloadCaller) bool { return caller.urgent == urgent && !caller.impatient })
+		_, _, impatient, m := summarizeCallers(callers, func(caller *overloadCaller) bool { return caller.urgent == urgent && caller.impatient })
+		if n > 0 && m > 0 && patient < impatient-slack {
+			out = append(out, fmt.Sprintf("urgent %t: %.2f of the polite are served, %.2f of those that repeat", urgent, patient, impatient))
 		}
 	}
 	return out
@@ -179,22 +179,22 @@
 
 // retryAfterViolations: every refusal says when to come back, within what the caller will wait if it
 // came early.
-func retryAfterViolations(ends []*requestResult) []string {
+func retryAfterViolations(results []*requestResult) []string {
 	var out []string
-	for _, a := range ends {
-		if no, ok := a.err.(*RejectedError); ok && (no.RetryAfter <= 0 || no.Early && no.RetryAfter > max(minRetryAfter, a.Timeout/3)) {
-			out = append(out, fmt.Sprintf("%s is told to come back after %s, and waits %s", a.ID, no.RetryAfter, a.Timeout))
+	for _, result := range results {
+		if rejection, ok := result.err.(*RejectedError); ok && (rejection.RetryAfter <= 0 || rejection.Early && rejection.RetryAfter > max(minRetryAfter, result.Timeout/3)) {
+			out = append(out, fmt.Sprintf("%s is told to come back after %s, and waits %s", result.ID, rejection.RetryAfter, result.Timeout))
 		}
 	}
 	return out
 }
 
 // earlyRejections lists the refusals that came before anything was offered.
-func earlyRejections(ends []*requestResult) []*requestResult {
+func earlyRejections(results []*requestResult) []*requestResult {
 	var out []*requestResult
-	for _, a := range ends {
-		if no, ok := a.err.(*RejectedError); ok && no.Early {
-			out = append(out, a)
+	for _, result := range results {
+		if rejection, ok := result.err.(*RejectedError); ok && rejection.Early {
+			out = append(out, result)
 		}
 	}
 	return out
@@ -202,24 +202,24 @@
 
 // TestCheckersDetectOverloadViolations: each checker keeps silent where all is well and catches its own violation.
 func TestCheckersDetectOverloadViolations(t *testing.T) {
-	rows := func(urgent, rude bool, served ...bool) []*overloadCaller {
-		var out []*overloadCaller
-		for _, s := range served {
-			out = append(out, &overloadCaller{urgent: urgent, impatient: rude, served: s})
+	newCallers := func(urgent, impatient bool, served ...bool) []*overloadCaller {
+		var callers []*overloadCaller
+		for _, isServed := range served {
+			callers = append(callers, &overloadCaller{urgent: urgent, impatient: impatient, served: isServed})
 		}
-		return out
+		return callers
 	}
-	require.Empty(t, urgencyViolations(append(rows(true, false, true, true), rows(false, false, true, false)...)))
-	require.NotEmpty(t, urgencyViolations(append(rows(true, false, true, false), rows(false, false, true, true)...)))
-	require.Empty(t, fairnessViolations(append(rows(true, false, true, false), rows(true, true, true, false)...), 0.2))
-	require.NotEmpty(t, fairnessViolations(append(rows(true, false, true, false), rows(true, true, true, true)...), 0.2))
-	require.NotEmpty(t, fairnessViolations(append(rows(false, false, false, false), rows(false, true, true, false)...), 0.2))
-	end := func(after time.Duration, early bool) []*requestResult {
+	require.Empty(t, urgencyViolations(append(newCallers(true, false, true, true), newCallers(false, false, true, false)...)))
+	require.NotEmpty(t, urgencyViolations(append(newCallers(true, false, true, false), newCallers(false, false, true, true)...)))
+	require.Empty(t, fairnessViolations(append(newCallers(true, false, true, false), newCallers(true, true, true, false)...), 0.2))
+	require.NotEmpty(t, fairnessViolations(append(newCallers(true, false, true, false), newCallers(true, true, true, true)...), 0.2))
+	require.NotEmpty(t, fairnessViolations(append(newCallers(false, false, false, false), newCallers(false, true, true, false)...), 0.2))
+	rejected := func(after time.Duration, early bool) []*requestResult {
 		return []*requestResult{{Request: &Request{ID: "r", Timeout: 3 * time.Second}, err: &RejectedError{Code: 503, RetryAfter: after, Early: early}}}
 	}
-	require.Empty(t, retryAfterViolations(end(time.Second, true)))
-	require.NotEmpty(t, retryAfterViolations(end(0, false)))
-	require.NotEmpty(t, retryAfterViolations(end(2*time.Second, true)))
+	require.Empty(t, retryAfterViolations(rejected(time.Second, true)))
+	require.NotEmpty(t, retryAfterViolations(rejected(0, false)))
+	require.NotEmpty(t, retryAfterViolations(rejected(2*time.Second, true)))
 }
 
 // prefillOverload is a crowd whose prompts take longer to read than there is time; 72 a second is
@@ -232,50 +232,50 @@
 // come back; and at three times, refusing from twice the aim on, more of the urgent are served
 // than without early refusals.
 func TestOverload(t *testing.T) {
-	for _, over := range []float64{1.5, 3} {
-		t.Run(fmt.Sprint(over), func(t *testing.T) {
-			var urgent [2]float64
-			admits := []float64{-1, 2}
-			if over < 2 {
-				admits = []float64{0}
+	for _, factor := range []float64{1.5, 3} {
+		t.Run(fmt.Sprint(factor), func(t *testing.T) {
+			var urgentServed [2]float64
+			admitFactors := []float64{-1, 2}
+			if factor < 2 {
+				admitFactors = []float64{0}
 			}
-			for _, admit := range admits {
-				k := 0
-				if admit >= 0 {
-					k = 1
+			for _, admitFactor := range admitFactors {
+				index := 0
+				if admitFactor >= 0 {
+					index = 1
 				}
 				forEachSeed(t, 2, func(t *testing.T, seed uint64) {
-					c := prefillOverload
-					c.rate, c.impatientShare, c.admitFactor = 72*over, 0.3, admit
-					all, rows, ends := c.run(t, seed)
-					require.Empty(t, onceOnly(rows, ends))
-					require.Empty(t, ended(ends, 3200*time.Millisecond))
-					require.Empty(t, answers(ends))
-					require.Empty(t, extras(rows, ends, 0.2, 60, window))
-					require.Empty(t, retryAfterViolations(ends))
-					require.Empty(t, urgencyViolations(all))
-					_, quick, served, n := summarizeCallers(all, func(c *overloadCaller) bool { return c.urgent })
-					_, quicks, limit, _ := summarizeCallers(all, func(c *overloadCaller) bool { return !c.impatient })
+					scenario := prefillOverload
+					scenario.rate, scenario.impatientShare, scenario.admitFactor = 72*factor, 0.3, admitFactor
+					callers, calls, results := scenario.run(t, seed)
+					require.Empty(t, onceOnly(calls, results))
+					require.Empty(t, ended(results, 3200*time.Millisecond))
+					require.Empty(t, answers(results))
+					require.Empty(t, extras(calls, results, 0.2, 60, window))
+					require.Empty(t, retryAfterViolations(results))
+					require.Empty(t, urgencyViolations(callers))
+					_, urgentOnTime, servedShare, n := summarizeCallers(callers, func(caller *overloadCaller) bool { return caller.urgent })
+					_, patientOnTime, patientServed, _ := summarizeCallers(callers, func(caller *overloadCaller) bool { return !caller.impatient })
 					t.Logf("early refusals %t: %d callers, %d tries, %d refused early; of the urgent %.2f in time, %.2f served; of the polite %.2f and %.2f",
-						k == 1, len(all), len(ends), len(earlyRejections(ends)), quick, served, quicks, limit)
+						index == 1, len(callers), len(results), len(earlyRejections(results)), urgentOnTime, servedShare, patientOnTime, patientServed)
 					require.Greater(t, n, 0)
-					urgent[k] += served
-					if k == 1 {
-						require.Empty(t, fairnessViolations(all, 0.25))
+					urgentServed[index] += servedShare
+					if index == 1 {
+						require.Empty(t, fairnessViolations(callers, 0.25))
 						sent := map[string]bool{}
-						for _, r := range rows {
-							sent[r.RequestID] = true
+						for _, call := range calls {
+							sent[call.RequestID] = true
 						}
-						for _, a := range earlyRejections(ends) {
-							require.False(t, sent[a.ID] || a.endedAt-a.sentAt > time.Millisecond, "%s is refused at once, before anything is offered", a.ID)
+						for _, result := range earlyRejections(results) {
+							require.False(t, sent[result.ID] || result.endedAt-result.sentAt > time.Millisecond, "%s is refused at once, before anything is offered", result.ID)
 						}
 					} else {
-						require.Empty(t, earlyRejections(ends))
+						require.Empty(t, earlyRejections(results))
 					}
 				})
 			}
-			if over > 2 && !raced {
-				require.Greater(t, urgent[1], urgent[0])
+			if factor > 2 && !raced {
+				require.Greater(t, urgentServed[1], urgentServed[0])
 			}
 		})
 	}
@@ -285,18 +285,18 @@
 // leaves half of the places free, nobody is refused.
 func TestNoEarlyRejectionWithFreeSlots(t *testing.T) {
 	forEachSeed(t, 2, func(t *testing.T, seed uint64) {
-		c := prefillOverload
-		c.rate, c.impatientShare = 58, 0.3
-		_, _, ends := c.run(t, seed)
-		for _, a := range ends {
-			require.NoError(t, a.err)
+		scenario := prefillOverload
+		scenario.rate, scenario.impatientShare = 58, 0.3
+		_, _, results := scenario.run(t, seed)
+		for _, result := range results {
+			require.NoError(t, result.err)
 		}
 	})
 	forEachSeed(t, 2, func(t *testing.T, seed uint64) {
-		c := prefillOverload
-		c.rate, c.duration, c.decodeConcurrency, c.prompt = 400, 50*time.Millisecond, 40, 20_000
-		_, _, ends := c.run(t, seed)
-		require.Empty(t, earlyRejections(ends))
+		scenario := prefillOverload
+		scenario.rate, scenario.duration, scenario.decodeConcurrency, scenario.prompt = 400, 50*time.Millisecond, 40, 20_000
+		_, _, results := scenario.run(t, seed)
+		require.Empty(t, earlyRejections(results))
 	})
 }
 
@@ -312,47 +312,47 @@
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 	require.NoError(t, err)
 	n.options.AdmitFactor = 2
-	g := &admissionFixture{t: t, node: n, workers: newWorkers(8)}
+	fixture := &admissionFixture{t: t, node: n, workers: newWorkers(8)}
 	p := &fleetstate.Configuration{Services: map[string]fleetstate.Service{"s": {Name: "s"}}}
 	for _, u := range []int{0, 7} {
 		p.Routes = append(p.Routes, fleetstate.Route{Name: fmt.Sprint("u", u), Host: routeHost, Prefix: fmt.Sprintf("/u%d/", u), Service: "s", Disaggregated: true, DeadlineMs: 3000, LatencyTargetMs: 500, Urgency: u})
 	}
-	g.snapshot = &fleetstate.Snapshot{Configuration: p}
-	n.installList(g.workers, n.now(), n.now())
-	return g
+	fixture.snapshot = &fleetstate.Snapshot{Configuration: p}
+	n.installList(fixture.workers, n.now(), n.now())
+	return fixture
 }
 
 // reportLoads has every worker report so many requests, and other nodes so many tokens ahead.
-func (g *admissionFixture) reportLoads(running, tokens int, age time.Duration) {
-	now := g.node.now()
-	for _, w := range g.workers {
-		st := g.node.state(w.ID)
+func (f *admissionFixture) reportLoads(running, tokens int, age time.Duration) {
+	now := f.node.now()
+	for _, w := range f.workers {
+		st := f.node.state(w.ID)
 		st.mu.Lock()
 		st.memory.reportedLoad, st.memory.at = reportedLoad{Capacity: 1000, Running: running}, now.Add(-age)
 		st.peerPrefills, st.peerPrefillsAt = PrefillLoad{w.ID, tokens, 1}, now
 		st.mu.Unlock()
 	}
-	g.node.admission.pressures.Clear()
-	g.node.admission.rejected.recent = nil
+	f.node.admission.pressures.Clear()
+	f.node.admission.rejected.recent = nil
 }
 
 // countRejected gives how many of so many different requests of a route are refused.
-func (g *admissionFixture) countRejected(count, route int, form func(t *exchange)) int {
-	out := 0
+func (f *admissionFixture) countRejected(count, route int, adjust func(x *exchange)) int {
+	rejected := 0
 	for i := range count {
-		service := g.snapshot.Configuration.Services["s"]
-		r := &Request{ID: fmt.Sprint("r", i), Prompt: 1000, MaxTokens: 4, At: g.node.now(), Segments: []PromptSegment{{fmt.Sprint("own", i), 1000}}}
-		t := &exchange{node: g.node, request: r, route: &g.snapshot.Configuration.Routes[route], service: &service, deadline: g.node.now().Add(3 * time.Second)}
-		if form != nil {
-			form(t)
+		service := f.snapshot.Configuration.Services["s"]
+		r := &Request{ID: fmt.Sprint("r", i), Prompt: 1000, MaxTokens: 4, At: f.node.now(), Segments: []PromptSegment{{fmt.Sprint("own", i), 1000}}}
+		x := &exchange{node: f.node, request: r, route: &f.snapshot.Configuration.Routes[route], service: &service, deadline: f.node.now().Add(3 * time.Second)}
+		if adjust != nil {
+			adjust(x)
 		}
-		if err := t.admit(g.snapshot); err != nil {
-			require.Equal(g.t, 503, err.(*RejectedError).Code)
-			require.Greater(g.t, err.(*RejectedError).RetryAfter, time.Duration(0))
-			out++
+		if err := x.admit(f.snapshot); err != nil {
+			require.Equal(f.t, 503, err.(*RejectedError).Code)
+			require.Greater(f.t, err.(*RejectedError).RetryAfter, time.Duration(0))
+			rejected++
 		}
 	}
-	return out
+	return rejected
 }
 
 // TestAdmissionDecision: none is refused early while half of the places are free, what is known of the
@@ -362,51 +362,51 @@
 func TestAdmissionDecision(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		const urgent, patient = 0, 1
-		over := func(times float64) int { return int((times*500 - 20 - queuedPrefillCost) * 50) } // tokens ahead
-		g := newAdmissionFixture(t)
-		g.reportLoads(11, over(5), 0)
-		require.Zero(t, g.countRejected(200, patient, nil), "half of the places are free")
-		g.reportLoads(13, over(5), 1100*time.Millisecond)
-		require.Zero(t, g.countRejected(200, patient, nil), "the view is old")
-		g.reportLoads(13, over(1.9), 0)
-		require.Zero(t, g.countRejected(200, patient, nil), "it would come before twice its aim")
-
-		g.reportLoads(13, over(2.4), 0)
-		few := g.countRejected(500, patient, nil)
+		queuedTokens := func(times float64) int { return int((times*500 - 20 - queuedPrefillCost) * 50) } // tokens ahead
+		fixture := newAdmissionFixture(t)
+		fixture.reportLoads(11, queuedTokens(5), 0)
+		require.Zero(t, fixture.countRejected(200, patient, nil), "half of the places are free")
+		fixture.reportLoads(13, queuedTokens(5), 1100*time.Millisecond)
+		require.Zero(t, fixture.countRejected(200, patient, nil), "the view is old")
+		fixture.reportLoads(13, queuedTokens(1.9), 0)
+		require.Zero(t, fixture.countRejected(200, patient, nil), "it would come before twice its aim")
+
+		fixture.reportLoads(13, queuedTokens(2.4), 0)
+		few := fixture.countRejected(500, patient, nil)
 		require.InDelta(t, 250, few, 60)
-		require.Zero(t, g.countRejected(500, urgent, nil), "the urgent overtake the others")
-		g.reportLoads(13, over(3), 0)
-		more := g.countRejected(500, patient, nil)
+		require.Zero(t, fixture.countRejected(500, urgent, nil), "the urgent overtake the others")
+		fixture.reportLoads(13, queuedTokens(3), 0)
+		more := fixture.countRejected(500, patient, nil)
 		require.Greater(t, more, few)
 		require.Less(t, more, 500)
-		g.reportLoads(13, over(1.6), 0)
-		eased := g.countRejected(500, patient, nil)
+		fixture.reportLoads(13, queuedTokens(1.6), 0)
+		eased := fixture.countRejected(500, patient, nil)
 		require.Greater(t, eased, 0, "it has not eased yet")
 		require.Less(t, eased, few)
-		g.reportLoads(13, over(1.3), 0)
-		require.Zero(t, g.countRejected(500, patient, nil), "it has eased")
-		g.reportLoads(13, over(1.6), 0)
-		require.Zero(t, g.countRejected(500, patient, nil), "and begins later than it ended")
-
-		g.reportLoads(13, over(20), 0)
-		require.Equal(t, 200, g.countRejected(200, patient, nil))
-		for _, w := range g.workers {
-			g.node.state(w.ID).recordFull(g.node.now())
+		fixture.reportLoads(13, queuedTokens(1.3), 0)
+		require.Zero(t, fixture.countRejected(500, patient, nil), "it has eased")
+		fixture.reportLoads(13, queuedTokens(1.6), 0)
+		require.Zero(t, fixture.countRejected(500, patient, nil), "and begins later than it ended")
+
+		fixture.reportLoads(13, queuedTokens(20), 0)
+		require.Equal(t, 200, fixture.countRejected(200, patient, nil))
+		for _, w := range fixture.workers {
+			fixture.node.state(w.ID).recordFull(fixture.node.now())
 		}
-		g.reportLoads(13, over(20), 0)
-		require.Equal(t, 200, g.countRejected(200, patient, nil), "all have turned something away just now")
-		require.Greater(t, g.countRejected(200, urgent, nil), 0)
-		require.Zero(t, g.countRejected(200, patient, func(t *exchange) { t.lastEventID = "7" }), "a stream goes on")
-		require.Zero(t, g.countRejected(200, patient, func(t *exchange) { r := *t.route; r.Disaggregated = false; t.route = &r }))
-		previous := *g.node.endpoints.Load()
-		previous.requestedAt = g.node.now().Add(-listMaxAge - time.Second)
-		g.node.endpoints.Store(&previous)
-		require.Zero(t, g.countRejected(200, patient, nil), "the list is old")
-
-		off := newAdmissionFixture(t)
-		off.node.options.AdmitFactor = -1
-		off.reportLoads(13, over(20), 0)
-		require.Zero(t, off.countRejected(200, patient, nil), "it is off")
+		fixture.reportLoads(13, queuedTokens(20), 0)
+		require.Equal(t, 200, fixture.countRejected(200, patient, nil), "all have turned something away just now")
+		require.Greater(t, fixture.countRejected(200, urgent, nil), 0)
+		require.Zero(t, fixture.countRejected(200, patient, func(x *exchange) { x.lastEventID = "7" }), "a stream goes on")
+		require.Zero(t, fixture.countRejected(200, patient, func(x *exchange) { r := *x.route; r.Disaggregated = false; x.route = &r }))
+		oldList := *fixture.node.endpoints.Load()
+		oldList.requestedAt = fixture.node.now().Add(-listMaxAge - time.Second)
+		fixture.node.endpoints.Store(&oldList)
+		require.Zero(t, fixture.countRejected(200, patient, nil), "the list is old")
+
+		disabled := newAdmissionFixture(t)
+		disabled.node.options.AdmitFactor = -1
+		disabled.reportLoads(13, queuedTokens(20), 0)
+		require.Zero(t, disabled.countRejected(200, patient, nil), "it is off")
 	})
 }
 
@@ -414,20 +414,20 @@
 // nobody gets further by trying often.
 func TestAdmissionDrawEqualAcrossNodes(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		var first []bool
+		var rejectedByFirstNode []bool
 		for node := range 3 {
-			g := newAdmissionFixture(t)
-			g.reportLoads(13, 60_000, 0)
-			var fate []bool
+			fixture := newAdmissionFixture(t)
+			fixture.reportLoads(13, 60_000, 0)
+			var rejected []bool
 			for i := range 40 {
-				fate = append(fate, g.countRejected(1, 1, func(t *exchange) { t.request.Segments[0].ID = fmt.Sprint("own", i) }) == 1)
+				rejected = append(rejected, fixture.countRejected(1, 1, func(x *exchange) { x.request.Segments[0].ID = fmt.Sprint("own", i) }) == 1)
 			}
 			if node == 0 {
-				first = fate
-				require.Contains(t, fate, true)
-				require.Contains(t, fate, false)
+				rejectedByFirstNode = rejected
+				require.Contains(t, rejected, true)
+				require.Contains(t, rejected, false)
 			}
-			require.Equal(t, first, fate)
+			require.Equal(t, rejectedByFirstNode, rejected)
 		}
 	})
 }
@@ -437,48 +437,48 @@
 // request fare alike on all nodes for a moment; the table is bounded.
 func TestRejectedCallersTable(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		var c rejectedCallers
-		c.remember(7, tickMs(2000), 100)
-		require.Equal(t, time.Second, c.returnsEarly(7, tickMs(1000)))
-		require.Zero(t, c.returnsEarly(7, tickMs(2000)))
-		require.Zero(t, c.returnsEarly(8, tickMs(1000)))
+		var table rejectedCallers
+		table.remember(7, tickMs(2000), 100)
+		require.Equal(t, time.Second, table.returnsEarly(7, tickMs(1000)))
+		require.Zero(t, table.returnsEarly(7, tickMs(2000)))
+		require.Zero(t, table.returnsEarly(8, tickMs(1000)))
 		for i := range uint64(10_000) {
-			c.remember(100+i, tickMs(2000), 100)
-			require.LessOrEqual(t, len(c.recent)+len(c.earlier), 100)
+			table.remember(100+i, tickMs(2000), 100)
+			require.LessOrEqual(t, len(table.recent)+len(table.earlier), 100)
 		}
-		require.NotZero(t, c.returnsEarly(100+9_999, tickMs(1000)), "the newest are kept")
+		require.NotZero(t, table.returnsEarly(100+9_999, tickMs(1000)), "the newest are kept")
 
-		one := &Request{ID: "first", Target: "/x", Prompt: 9, Segments: []PromptSegment{{"shared", 5}, {"own", 4}}}
-		again, other := *one, *one
-		again.ID = "second"
+		original := &Request{ID: "first", Target: "/x", Prompt: 9, Segments: []PromptSegment{{"shared", 5}, {"own", 4}}}
+		retry, other := *original, *original
+		retry.ID = "second"
 		other.Segments = []PromptSegment{{"shared", 5}, {"another", 4}}
-		require.Equal(t, callerHash(one), callerHash(&again))
-		require.NotEqual(t, callerHash(one), callerHash(&other))
+		require.Equal(t, callerHash(original), callerHash(&retry))
+		require.NotEqual(t, callerHash(original), callerHash(&other))
 		require.NotEqual(t, callerHash(&Request{Body: []byte("a")}), callerHash(&Request{Body: []byte("b")}))
 
 		wall := time.Unix(1000, 0)
 		low := 0
 		for i := range uint64(1000) {
-			who := i * 0x9e3779b97f4a7c15
-			require.Equal(t, admitDraw(who, wall), admitDraw(who, wall.Add(admitEpoch/100)))
-			if admitDraw(who, wall) < 0.25 {
+			caller := i * 0x9e3779b97f4a7c15
+			require.Equal(t, admitDraw(caller, wall), admitDraw(caller, wall.Add(admitEpoch/100)))
+			if admitDraw(caller, wall) < 0.25 {
 				low++
-				if admitDraw(who, wall.Add(admitEpoch)) < 0.25 {
+				if admitDraw(caller, wall.Add(admitEpoch)) < 0.25 {
 					low--
 				}
 			}
 		}
 		require.InDelta(t, 190, low, 60, "a later moment draws anew")
 
-		g := newAdmissionFixture(t)
-		g.reportLoads(13, 200_000, 0)
-		require.Equal(t, 1, g.countRejected(1, 1, nil))
-		kept := g.node.admission.rejected.recent
-		g.reportLoads(13, 36_000, 0) // 1.5 times the aim: it has not eased, and few are refused
-		g.node.admission.rejected.recent = kept
-		require.Equal(t, 1, g.countRejected(1, 1, nil), "it came back too soon")
-		g.reportLoads(13, 10_000, 0)
-		g.node.admission.rejected.recent = kept
-		require.Zero(t, g.countRejected(1, 1, nil), "it is pressed no more")
+		fixture := newAdmissionFixture(t)
+		fixture.reportLoads(13, 200_000, 0)
+		require.Equal(t, 1, fixture.countRejected(1, 1, nil))
+		recent := fixture.node.admission.rejected.recent
+		fixture.reportLoads(13, 36_000, 0) // 1.5 times the aim: it has not eased, and few are refused
+		fixture.node.admission.rejected.recent = recent
+		require.Equal(t, 1, fixture.countRejected(1, 1, nil), "it came back too soon")
+		fixture.reportLoads(13, 10_000, 0)
+		fixture.node.admission.rejected.recent = recent
+		require.Zero(t, fixture.countRejected(1, 1, nil), "it is pressed no more")
 	})
 }
--- a/internal/proxy/event_gap_test.go
+++ b/internal/proxy/event_gap_test.go
@@ -15,27 +15,29 @@
 // part again.
 func TestSlowDecodeWorkerGetsLessWork(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
-		f := startFleet(t, 60, 2, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 60, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
-		share := func(duration time.Duration) float64 {
-			from := y.elapsed()
+		slowWorkerShare := func(duration time.Duration) float64 {
+			from := platform.elapsed()
 			f.generateLoad(30, duration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/stream/x", 400, 12) })
-			all := 0
-			for _, k := range y.recordedCalls() {
-				if k.Kind == "emit" && k.At >= from {
-					all++
+			total := 0
+			for _, call := range platform.recordedCalls() {
+				if call.Kind == "emit" && call.At >= from {
+					total++
 				}
 			}
-			return float64(len(sentTo(y.recordedCalls(), "svc-decode-1.1", from, time.Hour))) / float64(all)
+			return float64(len(sentTo(platform.recordedCalls(), "svc-decode-1.1", from, time.Hour))) / float64(total)
 		}
-		require.InDelta(t, 0.33, share(4*time.Second), 0.1)
-		y.withLock(func() { y.slowEventIntervals = map[string]time.Duration{"svc-decode-1": 5 * y.eventInterval} })
-		share(time.Second)
-		require.Less(t, share(4*time.Second), 0.12)
-		y.withLock(func() { y.slowEventIntervals = nil })
-		share(2 * time.Second)
-		require.InDelta(t, 0.33, share(4*time.Second), 0.12)
+		require.InDelta(t, 0.33, slowWorkerShare(4*time.Second), 0.1)
+		platform.withLock(func() {
+			platform.slowEventIntervals = map[string]time.Duration{"svc-decode-1": 5 * platform.eventInterval}
+		})
+		slowWorkerShare(time.Second)
+		require.Less(t, slowWorkerShare(4*time.Second), 0.12)
+		platform.withLock(func() { platform.slowEventIntervals = nil })
+		slowWorkerShare(2 * time.Second)
+		require.InDelta(t, 0.33, slowWorkerShare(4*time.Second), 0.12)
 	})
 }
 
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -22,33 +22,33 @@
 // over, and nothing comes to any worker twice.
 func TestFaultFreeLoad(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-		f := startFleet(t, 1, 3, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+		f := startFleet(t, 1, 3, platform, defaultConfiguration(), nil)
 		defer f.close()
-		all := f.generateLoad(60, 8*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 1500, 8) })
-		rows := y.recordedCalls()
-		require.Empty(t, onceOnly(rows, all))
-		require.Empty(t, ended(all, 4*time.Second))
-		require.Empty(t, answers(all))
-		require.Empty(t, kept(y))
-		reads, emits := map[string]int{}, map[string]int{}
-		for _, k := range rows {
-			switch k.Kind {
+		results := f.generateLoad(60, 8*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 1500, 8) })
+		calls := platform.recordedCalls()
+		require.Empty(t, onceOnly(calls, results))
+		require.Empty(t, ended(results, 4*time.Second))
+		require.Empty(t, answers(results))
+		require.Empty(t, kept(platform))
+		prefills, decodes := map[string]int{}, map[string]int{}
+		for _, call := range calls {
+			switch call.Kind {
 			case "read":
-				reads[k.RequestID]++
-				require.Contains(t, string(k.Worker), "prefill")
+				prefills[call.RequestID]++
+				require.Contains(t, string(call.Worker), "prefill")
 			case "emit":
-				emits[k.RequestID]++
-				require.Contains(t, string(k.Worker), "decode")
+				decodes[call.RequestID]++
+				require.Contains(t, string(call.Worker), "decode")
 			}
 		}
-		for _, a := range all {
-			require.NoError(t, a.err)
-			require.Equal(t, 1, reads[a.ID], a.ID)
-			require.Equal(t, 1, emits[a.ID], a.ID)
+		for _, result := range results {
+			require.NoError(t, result.err)
+			require.Equal(t, 1, prefills[result.ID], result.ID)
+			require.Equal(t, 1, decodes[result.ID], result.ID)
 		}
-		for name, h := range y.handles {
-			require.Equal(t, 1, h.fetches, name)
+		for name, handle := range platform.handles {
+			require.Equal(t, 1, handle.fetches, name)
 		}
 	})
 }
@@ -57,10 +57,10 @@
 // as long as it is not much busier than the others.
 func TestSharedPrefixUsesOnePrefillWorker(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 5, 3)...)
-		f := startFleet(t, 2, 3, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 5, 3)...)
+		f := startFleet(t, 2, 3, platform, defaultConfiguration(), nil)
 		defer f.close()
-		all := f.generateLoad(12, 10*time.Second, func(i int) *Request {
+		results := f.generateLoad(12, 10*time.Second, func(i int) *Request {
 			r := f.newRequest(fmt.Sprint("r", i), "/once/x", 8000, 2)
 			r.Segments = []PromptSegment{
 				{ID: fmt.Sprint("system-", i/3%4), Tokens: 7900},
@@ -68,24 +68,24 @@
 			}
 			return r
 		})
-		at, used := map[string]map[ids.WorkerID]int{}, map[ids.WorkerID]bool{}
-		begin := map[string]string{}
-		for _, a := range all {
-			require.NoError(t, a.err)
-			begin[a.ID] = a.Segments[0].ID
+		workersByPrefix, used := map[string]map[ids.WorkerID]int{}, map[ids.WorkerID]bool{}
+		prefixOf := map[string]string{}
+		for _, result := range results {
+			require.NoError(t, result.err)
+			prefixOf[result.ID] = result.Segments[0].ID
 		}
-		for _, k := range y.recordedCalls() {
-			if k.Kind == "read" {
-				b := begin[k.RequestID]
-				if at[b] == nil {
-					at[b] = map[ids.WorkerID]int{}
+		for _, call := range platform.recordedCalls() {
+			if call.Kind == "read" {
+				prefix := prefixOf[call.RequestID]
+				if workersByPrefix[prefix] == nil {
+					workersByPrefix[prefix] = map[ids.WorkerID]int{}
 				}
-				at[b][k.Worker]++
-				used[k.Worker] = true
+				workersByPrefix[prefix][call.Worker]++
+				used[call.Worker] = true
 			}
 		}
-		for b, w := range at {
-			require.Len(t, w, 1, "%s is read at %v", b, w)
+		for prefix, workers := range workersByPrefix {
+			require.Len(t, workers, 1, "%s is read at %v", prefix, workers)
 		}
 		require.Greater(t, len(used), 1, "beginnings spread over workers")
 	})
@@ -96,7 +96,7 @@
 // is lost, turning away, no connection), what may not be repeated never runs twice nor
 // ends in a refusal after it was offered; a refusal always means that nothing ran.
 func TestNonIdempotentRequestRunsAtMostOnce(t *testing.T) {
-	for how, name := range map[callOutcome]string{
+	for outcome, name := range map[callOutcome]string{
 		connectionRefused: "unreached",
 		notExecuted:       "turned-away",
 		resetAfterRun:     "reset-before-answer",
@@ -111,30 +111,30 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
-				hit := map[string]bool{}
-				y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-					if k.Kind == "emit" && !hit[k.RequestID] {
-						hit[k.RequestID] = true
-						return how
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+				failedOnce := map[string]bool{}
+				platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+					if call.Kind == "emit" && !failedOnce[call.RequestID] {
+						failedOnce[call.RequestID] = true
+						return outcome
 					}
 					return succeeds
 				}
-				f := startFleet(t, 3, 2, y, defaultConfiguration(), nil)
+				f := startFleet(t, 3, 2, platform, defaultConfiguration(), nil)
 				defer f.close()
-				all := f.generateLoad(4, 5*time.Second, func(i int) *Request {
+				results := f.generateLoad(4, 5*time.Second, func(i int) *Request {
 					return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 500, 8)
 				})
-				require.Empty(t, onceOnly(y.recordedCalls(), all))
-				require.Empty(t, ended(all, 8500*time.Millisecond))
-				require.Empty(t, answers(all))
-				for _, a := range all {
-					if _, no := a.err.(*RejectedError); no {
-						require.NotContains(t, []callOutcome{resetAfterRun, silentAfterRun, resetMidResponse, foreignResponse, unstampedResponse, serverError}, how)
+				require.Empty(t, onceOnly(platform.recordedCalls(), results))
+				require.Empty(t, ended(results, 8500*time.Millisecond))
+				require.Empty(t, answers(results))
+				for _, result := range results {
+					if _, no := result.err.(*RejectedError); no {
+						require.NotContains(t, []callOutcome{resetAfterRun, silentAfterRun, resetMidResponse, foreignResponse, unstampedResponse, serverError}, outcome)
 					}
-					if !a.retryable && (how == resetAfterRun || how == silentAfterRun || how == resetMidResponse || how == foreignResponse ||
-						how == unstampedResponse) {
-						require.IsType(t, &AbortedError{}, a.err, a.Path)
+					if !result.retryable && (outcome == resetAfterRun || outcome == silentAfterRun || outcome == resetMidResponse || outcome == foreignResponse ||
+						outcome == unstampedResponse) {
+						require.IsType(t, &AbortedError{}, result.err, result.Path)
 					}
 				}
 			})
@@ -147,13 +147,13 @@
 // its deadline, and streams are passed on in whole events, each once and in order.
 func TestRandomFaults(t *testing.T) {
 	forEachSeed(t, 10, func(t *testing.T, seed uint64) {
-		all := prefillAndDecodeWorkers("svc", 3, 4)
-		for _, w := range all {
-			w.Concurrency = 6
+		workers := prefillAndDecodeWorkers("svc", 3, 4)
+		for _, worker := range workers {
+			worker.Concurrency = 6
 		}
-		y := newFakePlatform(all...)
+		platform := newFakePlatform(workers...)
 		rng := rand.New(rand.NewPCG(seed, 5))
-		y.outcome = func(callRecord, *fakeWorker) callOutcome {
+		platform.outcome = func(callRecord, *fakeWorker) callOutcome {
 			if rng.IntN(5) > 0 {
 				return succeeds
 			}
@@ -162,87 +162,87 @@
 				serverError, memoryLost,
 			}[rng.IntN(11)]
 		}
-		f := startFleet(t, seed, 3, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 20 })
+		f := startFleet(t, seed, 3, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 20 })
 		defer f.close()
 		f.wg.Go(func() {
 			for i := range 5 {
 				time.Sleep(1500 * time.Millisecond)
-				name := all[(int(seed)+3*i)%len(all)].name
+				name := workers[(int(seed)+3*i)%len(workers)].name
 				if i%2 == 0 {
-					y.restartWorker(name)
+					platform.restartWorker(name)
 				} else {
-					y.withLock(func() { y.worker(name).silent = true })
+					platform.withLock(func() { platform.worker(name).silent = true })
 					time.Sleep(1200 * time.Millisecond)
-					y.withLock(func() { y.worker(name).silent = false })
+					platform.withLock(func() { platform.worker(name).silent = false })
 				}
 			}
 		})
-		got := f.generateLoad(50, 10*time.Second, func(i int) *Request {
+		results := f.generateLoad(50, 10*time.Second, func(i int) *Request {
 			return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 800, 10)
 		})
 		time.Sleep(15 * time.Second)
-		rows := y.recordedCalls()
-		require.Empty(t, onceOnly(rows, got))
-		require.Empty(t, ended(got, 8500*time.Millisecond))
-		require.Empty(t, answers(got))
-		require.Empty(t, extras(rows, got, 0.2, 20, 10*time.Second))
-		done := 0
-		for _, a := range got {
-			if a.err == nil {
-				done++
+		calls := platform.recordedCalls()
+		require.Empty(t, onceOnly(calls, results))
+		require.Empty(t, ended(results, 8500*time.Millisecond))
+		require.Empty(t, answers(results))
+		require.Empty(t, extras(calls, results, 0.2, 20, 10*time.Second))
+		answered := 0
+		for _, result := range results {
+			if result.err == nil {
+				answered++
 			}
 		}
-		require.Greater(t, done*2, len(got), "most are answered")
+		require.Greater(t, answered*2, len(results), "most are answered")
 	})
 }
 
 // TestResumableStreamContinuesElsewhere: a resumable stream that is cut, or falls silent, goes on at another worker
 // from the last whole event; the caller gets each event once and in order.
 func TestResumableStreamContinuesElsewhere(t *testing.T) {
-	for _, how := range []string{"cut", "dark", "restart"} {
-		t.Run(how, func(t *testing.T) {
+	for _, fault := range []string{"cut", "dark", "restart"} {
+		t.Run(fault, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
-				hit := map[string]bool{}
-				y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-					if k.Kind == "emit" && !hit[k.RequestID] && how == "cut" {
-						hit[k.RequestID] = true
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+				failedOnce := map[string]bool{}
+				platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+					if call.Kind == "emit" && !failedOnce[call.RequestID] && fault == "cut" {
+						failedOnce[call.RequestID] = true
 						return resetMidResponse
 					}
 					return succeeds
 				}
-				f := startFleet(t, 4, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
+				f := startFleet(t, 4, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
 				defer f.close()
-				if how != "cut" {
+				if fault != "cut" {
 					f.wg.Go(func() {
 						time.Sleep(300 * time.Millisecond)
-						for _, k := range y.recordedCalls() {
-							if k.Kind == "emit" {
-								if name := string(k.Worker[:len(k.Worker)-2]); how == "dark" {
-									y.withLock(func() { y.worker(name).silent = true })
+						for _, call := range platform.recordedCalls() {
+							if call.Kind == "emit" {
+								if name := string(call.Worker[:len(call.Worker)-2]); fault == "dark" {
+									platform.withLock(func() { platform.worker(name).silent = true })
 								} else {
-									y.restartWorker(name)
+									platform.restartWorker(name)
 								}
 								return
 							}
 						}
 					})
 				}
-				a := f.send(f.nodes[0], f.newRequest("r", "/sresume/x", 500, 60))
-				require.NoError(t, a.err)
-				require.Empty(t, answers([]*requestResult{a}))
-				from, workers := "", map[ids.WorkerID]bool{}
-				for _, k := range y.recordedCalls() {
-					if k.Kind == "emit" {
-						from = k.LastEventID
-						require.False(t, workers[k.Worker], "it goes elsewhere")
-						workers[k.Worker] = true
+				result := f.send(f.nodes[0], f.newRequest("r", "/sresume/x", 500, 60))
+				require.NoError(t, result.err)
+				require.Empty(t, answers([]*requestResult{result}))
+				lastEventID, workers := "", map[ids.WorkerID]bool{}
+				for _, call := range platform.recordedCalls() {
+					if call.Kind == "emit" {
+						lastEventID = call.LastEventID
+						require.False(t, workers[call.Worker], "it goes elsewhere")
+						workers[call.Worker] = true
 					}
 				}
 				require.Len(t, workers, 2)
-				require.NotEmpty(t, from, "it is taken up from an event")
-				if how == "cut" {
-					require.Equal(t, "30", from)
+				require.NotEmpty(t, lastEventID, "it is taken up from an event")
+				if fault == "cut" {
+					require.Equal(t, "30", lastEventID)
 				}
 			})
 		})
@@ -253,17 +253,17 @@
 // prompt is read for it.
 func TestLastEventIDFromCaller(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
-		f := startFleet(t, 5, 2, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		f := startFleet(t, 5, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
 		r := f.newRequest("r", "/sresume/x", 500, 12)
 		r.LastEventID = "7"
-		a := f.send(f.nodes[0], r)
-		require.NoError(t, a.err)
-		require.Empty(t, answers([]*requestResult{a}))
-		rows := y.recordedCalls()
-		require.Len(t, rows, 1)
-		require.Equal(t, "7", rows[0].LastEventID)
+		result := f.send(f.nodes[0], r)
+		require.NoError(t, result.err)
+		require.Empty(t, answers([]*requestResult{result}))
+		calls := platform.recordedCalls()
+		require.Len(t, calls, 1)
+		require.Equal(t, "7", calls[0].LastEventID)
 	})
 }
 
@@ -271,22 +271,22 @@
 // completed from another worker, and no part of an event is passed on.
 func TestNonResumableStreamIsAborted(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
-		y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-			if k.Kind == "emit" {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+			if call.Kind == "emit" {
 				return resetMidResponse
 			}
 			return succeeds
 		}
-		f := startFleet(t, 6, 2, y, defaultConfiguration(), nil)
+		f := startFleet(t, 6, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
-		a := f.send(f.nodes[0], f.newRequest("r", "/stream/x", 500, 20))
-		require.IsType(t, &AbortedError{}, a.err)
-		require.True(t, a.err.(*AbortedError).HeadSent)
-		require.Empty(t, answers([]*requestResult{a}))
-		require.Empty(t, onceOnly(y.recordedCalls(), []*requestResult{a}))
-		require.Contains(t, a.response.bodyText(), "id: 10\n")
-		require.NotContains(t, a.response.bodyText(), "id: 11")
+		result := f.send(f.nodes[0], f.newRequest("r", "/stream/x", 500, 20))
+		require.IsType(t, &AbortedError{}, result.err)
+		require.True(t, result.err.(*AbortedError).HeadSent)
+		require.Empty(t, answers([]*requestResult{result}))
+		require.Empty(t, onceOnly(platform.recordedCalls(), []*requestResult{result}))
+		require.Contains(t, result.response.bodyText(), "id: 10\n")
+		require.NotContains(t, result.response.bodyText(), "id: 11")
 	})
 }
 
@@ -294,20 +294,20 @@
 // the first byte of it, whether or not the request may run again.
 func TestUnstampedResponseIsDiscarded(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
-		y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-			if k.Kind == "emit" {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+			if call.Kind == "emit" {
 				return unstampedResponse
 			}
 			return succeeds
 		}
-		f := startFleet(t, 7, 2, y, defaultConfiguration(), nil)
+		f := startFleet(t, 7, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
 		for i, path := range routePaths {
-			a := f.send(f.nodes[0], f.newRequest(fmt.Sprint("r", i), path, 500, 6))
-			require.IsType(t, &AbortedError{}, a.err, path)
-			require.Zero(t, a.response.headCount, path)
-			require.Empty(t, a.response.bodyText(), path)
+			result := f.send(f.nodes[0], f.newRequest(fmt.Sprint("r", i), path, 500, 6))
+			require.IsType(t, &AbortedError{}, result.err, path)
+			require.Zero(t, result.response.headCount, path)
+			require.Empty(t, result.response.bodyText(), path)
 		}
 	})
 }
@@ -315,24 +315,24 @@
 // TestRejectedDecodeFreesMemory: memory whose emission is never taken by anyone (all emitting workers turn it
 // away, or none is there) is given back at the worker that keeps it.
 func TestRejectedDecodeFreesMemory(t *testing.T) {
-	for _, how := range []callOutcome{notExecuted, connectionRefused} {
+	for _, outcome := range []callOutcome{notExecuted, connectionRefused} {
 		runInBubble(t, func(t *testing.T) {
-			y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
-			y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-				if k.Kind == "emit" {
-					return how
+			platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+			platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+				if call.Kind == "emit" {
+					return outcome
 				}
 				return succeeds
 			}
-			f := startFleet(t, 8, 2, y, defaultConfiguration(), nil)
+			f := startFleet(t, 8, 2, platform, defaultConfiguration(), nil)
 			defer f.close()
 			for i, path := range routePaths {
-				a := f.send(f.nodes[0], f.newRequest(fmt.Sprint("r", i), path, 500, 6))
-				require.IsType(t, &RejectedError{}, a.err)
+				result := f.send(f.nodes[0], f.newRequest(fmt.Sprint("r", i), path, 500, 6))
+				require.IsType(t, &RejectedError{}, result.err)
 			}
 			time.Sleep(2 * time.Second)
-			require.Empty(t, kept(y))
-			require.NotEmpty(t, y.handles)
+			require.Empty(t, kept(platform))
+			require.NotEmpty(t, platform.handles)
 		})
 	}
 }
@@ -341,13 +341,13 @@
 // the memory is given back, and the caller is refused.
 func TestDeadlineFreesMemory(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		all := prefillAndDecodeWorkers("svc", 1, 3)
-		y := newFakePlatform(all...)
-		f := startFleet(t, 9, 1, y, defaultConfiguration(), nil)
+		workers := prefillAndDecodeWorkers("svc", 1, 3)
+		platform := newFakePlatform(workers...)
+		f := startFleet(t, 9, 1, platform, defaultConfiguration(), nil)
 		defer f.close()
-		y.withLock(func() {
-			y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-				if k.Kind == "emit" {
+		platform.withLock(func() {
+			platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+				if call.Kind == "emit" {
 					return notExecuted
 				}
 				return succeeds
@@ -355,10 +355,10 @@
 		})
 		r := f.newRequest("r", "/once/x", 500, 6)
 		r.Timeout = 40 * time.Millisecond
-		a := f.send(f.nodes[0], r)
-		require.IsType(t, &RejectedError{}, a.err)
+		result := f.send(f.nodes[0], r)
+		require.IsType(t, &RejectedError{}, result.err)
 		time.Sleep(2 * time.Second)
-		require.Empty(t, kept(y))
+		require.Empty(t, kept(platform))
 	})
 }
 
@@ -366,17 +366,17 @@
 // read: nobody will fetch the memory, so it is given back.
 func TestCallerDisconnectFreesMemory(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 10, 1, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 10, 1, platform, defaultConfiguration(), nil)
 		defer f.close()
 		ctx, stop := context.WithCancel(context.Background())
-		y.withLock(func() { y.afterPrefill = func(*Request) { stop() } })
-		a := f.sendWith(ctx, f.nodes[0], f.newRequest("r", "/once/x", 500, 6), &responseRecorder{})
-		require.IsType(t, &RejectedError{}, a.err)
-		require.Empty(t, onceOnly(y.recordedCalls(), []*requestResult{a}))
+		platform.withLock(func() { platform.afterPrefill = func(*Request) { stop() } })
+		result := f.sendWith(ctx, f.nodes[0], f.newRequest("r", "/once/x", 500, 6), &responseRecorder{})
+		require.IsType(t, &RejectedError{}, result.err)
+		require.Empty(t, onceOnly(platform.recordedCalls(), []*requestResult{result}))
 		time.Sleep(2 * time.Second)
-		require.NotEmpty(t, y.handles)
-		require.Empty(t, kept(y))
+		require.NotEmpty(t, platform.handles)
+		require.Empty(t, kept(platform))
 	})
 }
 
@@ -384,21 +384,21 @@
 // request is taken elsewhere or ended: the memory is given back.
 func TestSilentDecodeWorkerFreesMemory(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
-		hit := map[string]bool{}
-		y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-			if k.Kind == "emit" && !hit[k.RequestID] {
-				hit[k.RequestID] = true
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		failedOnce := map[string]bool{}
+		platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+			if call.Kind == "emit" && !failedOnce[call.RequestID] {
+				failedOnce[call.RequestID] = true
 				return silentBeforeRun
 			}
 			return succeeds
 		}
-		f := startFleet(t, 11, 1, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
+		f := startFleet(t, 11, 1, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
 		defer f.close()
 		for i, path := range []string{"/again/x", "/once/x"} {
 			f.send(f.nodes[0], f.newRequest(fmt.Sprint("r", i), path, 500, 6))
 			time.Sleep(2 * time.Second)
-			require.Empty(t, kept(y), path)
+			require.Empty(t, kept(platform), path)
 		}
 	})
 }
@@ -406,20 +406,20 @@
 // TestNoRetryAfterCallerDisconnect: an answer whose caller went away is not asked for at another worker.
 func TestNoRetryAfterCallerDisconnect(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
-		f := startFleet(t, 12, 1, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		f := startFleet(t, 12, 1, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
 		defer f.close()
 		for i, path := range routePaths {
 			id := fmt.Sprint("r", i)
-			a := f.sendWith(context.Background(), f.nodes[0], f.newRequest(id, path, 500, 6), &responseRecorder{callerGone: true})
-			require.Error(t, a.err)
-			emits := 0
-			for _, k := range y.recordedCalls() {
-				if k.Kind == "emit" && k.RequestID == id {
-					emits++
+			result := f.sendWith(context.Background(), f.nodes[0], f.newRequest(id, path, 500, 6), &responseRecorder{callerGone: true})
+			require.Error(t, result.err)
+			decodes := 0
+			for _, call := range platform.recordedCalls() {
+				if call.Kind == "emit" && call.RequestID == id {
+					decodes++
 				}
 			}
-			require.Equal(t, 1, emits, path)
+			require.Equal(t, 1, decodes, path)
 		}
 	})
 }
@@ -428,24 +428,24 @@
 // where it may, another worker is asked.
 func TestServerErrorRetriedOnlyIfIdempotent(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
-		hit := map[string]bool{}
-		y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-			if k.Kind == "emit" && !hit[k.RequestID] {
-				hit[k.RequestID] = true
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		failedOnce := map[string]bool{}
+		platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+			if call.Kind == "emit" && !failedOnce[call.RequestID] {
+				failedOnce[call.RequestID] = true
 				return serverError
 			}
 			return succeeds
 		}
-		f := startFleet(t, 13, 1, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 20 })
+		f := startFleet(t, 13, 1, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 20 })
 		defer f.close()
-		a := f.send(f.nodes[0], f.newRequest("r0", "/once/x", 500, 6))
-		require.NoError(t, a.err)
-		require.Equal(t, 500, a.response.status)
-		a = f.send(f.nodes[0], f.newRequest("r1", "/again/x", 500, 6))
-		require.NoError(t, a.err)
-		require.Equal(t, 200, a.response.status)
-		require.Empty(t, answers([]*requestResult{a}))
+		result := f.send(f.nodes[0], f.newRequest("r0", "/once/x", 500, 6))
+		require.NoError(t, result.err)
+		require.Equal(t, 500, result.response.status)
+		result = f.send(f.nodes[0], f.newRequest("r1", "/again/x", 500, 6))
+		require.NoError(t, result.err)
+		require.Equal(t, 200, result.response.status)
+		require.Empty(t, answers([]*requestResult{result}))
 	})
 }
 
@@ -453,15 +453,15 @@
 // between them twice, and what may not be repeated runs once.
 func TestWorkersWithoutRoles(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(newFakeWorkers("svc", "", 3)...)
-		f := startFleet(t, 14, 2, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(newFakeWorkers("svc", "", 3)...)
+		f := startFleet(t, 14, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
-		all := f.generateLoad(20, 4*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 500, 6) })
-		require.Empty(t, onceOnly(y.recordedCalls(), all))
-		require.Empty(t, answers(all))
-		for _, a := range all {
-			require.NoError(t, a.err)
+		results := f.generateLoad(20, 4*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 500, 6) })
+		require.Empty(t, onceOnly(platform.recordedCalls(), results))
+		require.Empty(t, answers(results))
+		for _, result := range results {
+			require.NoError(t, result.err)
 		}
-		require.Empty(t, kept(y))
+		require.Empty(t, kept(platform))
 	})
 }
--- a/internal/proxy/exchange_timing_test.go
+++ b/internal/proxy/exchange_timing_test.go
@@ -45,26 +45,26 @@
 // which it missed its targets, and the endpoint of each node shows it.
 func TestMetricsCountExchanges(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 77, 2, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 77, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
-		all := f.generateLoad(40, 3*time.Second, func(i int) *Request {
+		results := f.generateLoad(40, 3*time.Second, func(i int) *Request {
 			return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4)
 		})
 		counted := 0
-		row := regexp.MustCompile(`(?m)^keelstair_exchanges_total\{cause="(\w+)",service="svc",size="to_1k"\} (\d+)$`)
-		for _, b := range f.nodes {
-			answer := httptest.NewRecorder()
-			b.metrics.Handler().ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
-			body, err := io.ReadAll(answer.Result().Body)
+		counter := regexp.MustCompile(`(?m)^keelstair_exchanges_total\{cause="(\w+)",service="svc",size="to_1k"\} (\d+)$`)
+		for _, node := range f.nodes {
+			recorder := httptest.NewRecorder()
+			node.metrics.Handler().ServeHTTP(recorder, httptest.NewRequest("GET", "/metrics", nil))
+			body, err := io.ReadAll(recorder.Result().Body)
 			require.NoError(t, err)
-			for _, found := range row.FindAllStringSubmatch(string(body), -1) {
+			for _, found := range counter.FindAllStringSubmatch(string(body), -1) {
 				n, err := strconv.Atoi(found[2])
 				require.NoError(t, err)
 				counted += n
 			}
-			require.Contains(t, b.Summary(), "exchanges: ")
+			require.Contains(t, node.Summary(), "exchanges: ")
 		}
-		require.Equal(t, len(all), counted)
+		require.Equal(t, len(results), counted)
 	})
 }
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -55,12 +55,12 @@
 var coreIPs = []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 
 // startFleet starts a fleet and puts a policy in force.
-func startFleet(t *testing.T, seed uint64, nodes int, y *fakePlatform, text []byte, tune func(*Options)) *fleet {
+func startFleet(t *testing.T, seed uint64, nodes int, platform *fakePlatform, text []byte, adjustOptions func(*Options)) *fleet {
 	f := &fleet{
 		t:             t,
 		world:         simulated.NewWorld(seed),
-		platform:      y,
-		adjustOptions: tune,
+		platform:      platform,
+		adjustOptions: adjustOptions,
 		cores:         map[string]*coordination.Core{},
 		processes:     map[string]*simulated.Process{},
 		cancels:       map[string]context.CancelFunc{},
@@ -152,38 +152,38 @@
 		f.platform.beforeRun(n)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	b := &testNode{Node: n, ip: ip, process: p, cancel: stop, done: make(chan struct{}), running: true}
+	node := &testNode{Node: n, ip: ip, process: p, cancel: stop, done: make(chan struct{}), running: true}
 	f.platform.withLock(func() {
-		f.platform.knowsUnavailable[ip] = func(id ids.WorkerID) bool { return b.unavailableWorkers()[id] }
+		f.platform.knowsUnavailable[ip] = func(id ids.WorkerID) bool { return node.unavailableWorkers()[id] }
 	})
 	l, err := p.Host().Net.Listen(ip + ":2")
 	require.NoError(f.t, err)
 	mux := http.NewServeMux()
 	n.Mount(mux)
 	f.wg.Go(func() { rpc.Serve(ctx, l, mux) })
-	f.wg.Go(func() { n.Run(ctx, 0, -time.Millisecond); close(b.done) })
+	f.wg.Go(func() { n.Run(ctx, 0, -time.Millisecond); close(node.done) })
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if i < len(f.nodes) {
-		f.nodes[i] = b
+		f.nodes[i] = node
 	} else {
-		f.nodes = append(f.nodes, b)
+		f.nodes = append(f.nodes, node)
 	}
-	return b
+	return node
 }
 
 // killNode ends a node without a word.
 func (f *fleet) killNode(i int) {
 	f.mu.Lock()
-	b := f.nodes[i]
+	node := f.nodes[i]
 	f.mu.Unlock()
 	f.setFrozen(i, false)
 	f.mu.Lock()
-	b.running = false
+	node.running = false
 	f.mu.Unlock()
-	b.process.Kill()
-	b.cancel()
-	b.Node.stop()
+	node.process.Kill()
+	node.cancel()
+	node.Node.stop()
 }
 
 // setFrozen stops or wakes a node at its next step on the network.
@@ -196,46 +196,46 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []*testNode
-	for _, b := range f.nodes {
-		if b.running {
-			out = append(out, b)
+	for _, node := range f.nodes {
+		if node.running {
+			out = append(out, node)
 		}
 	}
 	return out
 }
 
 // unavailableWorkers tells of each worker on the node's list whether it is to get nothing new.
-func (b *testNode) unavailableWorkers() map[ids.WorkerID]bool {
-	s := b.view.Current()
-	off := map[ids.WorkerID]bool{}
-	for _, w := range b.endpoints.Load().workers {
-		_, turns := s.RoleChanges[w.ID]
-		off[w.ID] = w.Leaving || turns || s.Drained[w.ID] || s.Zones[w.Zone]
+func (node *testNode) unavailableWorkers() map[ids.WorkerID]bool {
+	snapshot := node.view.Current()
+	unavailable := map[ids.WorkerID]bool{}
+	for _, w := range node.endpoints.Load().workers {
+		_, changesRole := snapshot.RoleChanges[w.ID]
+		unavailable[w.ID] = w.Leaving || changesRole || snapshot.Drained[w.ID] || snapshot.Zones[w.Zone]
 	}
-	return off
+	return unavailable
 }
 
 // trackUnavailableWorkers notes since when each node knows that a worker is to get nothing new.
 func (f *fleet) trackUnavailableWorkers() {
 	for {
-		for _, b := range f.runningNodes() {
-			off := b.unavailableWorkers()
+		for _, node := range f.runningNodes() {
+			unavailable := node.unavailableWorkers()
 			f.platform.withLock(func() {
-				m := f.platform.unavailableSince[b.ip]
-				if m == nil {
-					m = map[ids.WorkerID]time.Time{}
-					f.platform.unavailableSince[b.ip] = m
+				since := f.platform.unavailableSince[node.ip]
+				if since == nil {
+					since = map[ids.WorkerID]time.Time{}
+					f.platform.unavailableSince[node.ip] = since
 				}
-				for id, on := range off {
-					if _, was := m[id]; on && !was {
-						m[id] = time.Now()
-					} else if !on {
-						delete(m, id)
+				for id, isUnavailable := range unavailable {
+					if _, was := since[id]; isUnavailable && !was {
+						since[id] = time.Now()
+					} else if !isUnavailable {
+						delete(since, id)
 					}
 				}
-				for id := range m {
-					if _, ok := off[id]; !ok {
-						delete(m, id)
+				for id := range since {
+					if _, ok := unavailable[id]; !ok {
+						delete(since, id)
 					}
 				}
 			})
@@ -249,9 +249,9 @@
 }
 
 func (f *fleet) close() {
-	for i, b := range f.nodes {
+	for i, node := range f.nodes {
 		f.setFrozen(i, false)
-		if b.running {
+		if node.running {
 			f.killNode(i)
 		}
 	}
@@ -264,8 +264,8 @@
 	time.Sleep(40 * time.Second)
 }
 
-func (f *fleet) waitUntil(duration time.Duration, ok func() bool) bool {
-	for end := time.Now().Add(duration); !ok(); {
+func (f *fleet) waitUntil(duration time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(duration); !condition(); {
 		if time.Now().After(end) {
 			return false
 		}
@@ -315,36 +315,36 @@
 	callerGone bool // the caller went away
 }
 
-func (s *responseRecorder) Head(status int, _ http.Header, _ int64) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.status = status
-	s.headCount++
+func (r *responseRecorder) Head(status int, _ http.Header, _ int64) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.status = status
+	r.headCount++
 	return nil
 }
 
-func (s *responseRecorder) Write(p []byte) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.callerGone {
+func (r *responseRecorder) Write(p []byte) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.callerGone {
 		return errors.New("the caller went away")
 	}
-	s.body = append(s.body, p...)
-	s.writeTimes = append(s.writeTimes, time.Since(s.startedAt))
+	r.body = append(r.body, p...)
+	r.writeTimes = append(r.writeTimes, time.Since(r.startedAt))
 	return nil
 }
 
-func (s *responseRecorder) bodyText() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return string(s.body)
+func (r *responseRecorder) bodyText() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return string(r.body)
 }
 
 // routeHost is what requests name.
 const routeHost = "models.example"
 
 // newRequest makes a request for a path; it asks for events if its path begins with /s.
-func (f *fleet) newRequest(id, path string, prompt, limit int) *Request {
+func (f *fleet) newRequest(id, path string, prompt, maxTokens int) *Request {
 	r := &Request{
 		ID:        id,
 		Method:    "POST",
@@ -355,7 +355,7 @@
 		Body:      []byte("{}"),
 		Model:     "m",
 		Prompt:    prompt,
-		MaxTokens: limit,
+		MaxTokens: maxTokens,
 		Segments: []PromptSegment{
 			{ID: "system-" + id[len(id)-1:], Tokens: prompt / 2},
 			{ID: "last-" + id, Tokens: prompt - prompt/2},
@@ -368,45 +368,45 @@
 }
 
 // send carries a request at a node to its end.
-func (f *fleet) send(b *testNode, r *Request) *requestResult {
-	return f.sendWith(context.Background(), b, r, &responseRecorder{})
+func (f *fleet) send(node *testNode, r *Request) *requestResult {
+	return f.sendWith(context.Background(), node, r, &responseRecorder{})
 }
 
-func (f *fleet) sendWith(ctx context.Context, b *testNode, r *Request, s *responseRecorder) *requestResult {
-	r.At = b.now()
-	s.startedAt = time.Now()
-	a := &requestResult{Request: r, sentAt: f.platform.elapsed(), response: s}
-	for _, k := range defaultRoutes() {
-		if strings.HasPrefix(r.Path, k.Prefix) {
-			a.retryable, a.stream, a.resumable = k.MayRetry(), k.Stream, k.Resumable
+func (f *fleet) sendWith(ctx context.Context, node *testNode, r *Request, recorder *responseRecorder) *requestResult {
+	r.At = node.now()
+	recorder.startedAt = time.Now()
+	result := &requestResult{Request: r, sentAt: f.platform.elapsed(), response: recorder}
+	for _, route := range defaultRoutes() {
+		if strings.HasPrefix(r.Path, route.Prefix) {
+			result.retryable, result.stream, result.resumable = route.MayRetry(), route.Stream, route.Resumable
 		}
 	}
 	f.mu.Lock()
-	f.results = append(f.results, a)
+	f.results = append(f.results, result)
 	f.mu.Unlock()
-	err := b.Serve(ctx, r, s)
+	err := node.Serve(ctx, r, recorder)
 	f.mu.Lock()
-	a.err, a.endedAt, a.finished = err, f.platform.elapsed(), true
+	result.err, result.endedAt, result.finished = err, f.platform.elapsed(), true
 	f.mu.Unlock()
-	return a
+	return result
 }
 
 // generateLoad asks at the nodes by turns, at a rate, and waits for all ends.
-func (f *fleet) generateLoad(rate float64, duration time.Duration, form func(i int) *Request) []*requestResult {
+func (f *fleet) generateLoad(rate float64, duration time.Duration, makeRequest func(i int) *Request) []*requestResult {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var out []*requestResult
-	gap := time.Duration(float64(time.Second) / rate)
+	interval := time.Duration(float64(time.Second) / rate)
 	for i, end := 0, time.Now().Add(duration); time.Now().Before(end); i++ {
-		rows := f.runningNodes()
-		b := rows[i%len(rows)]
+		nodes := f.runningNodes()
+		node := nodes[i%len(nodes)]
 		wg.Go(func() {
-			a := f.send(b, form(i))
+			result := f.send(node, makeRequest(i))
 			mu.Lock()
 			defer mu.Unlock()
-			out = append(out, a)
+			out = append(out, result)
 		})
-		time.Sleep(gap)
+		time.Sleep(interval)
 	}
 	wg.Wait()
 	return out
@@ -495,10 +495,10 @@
 }
 
 // withLock changes the fleet.
-func (f *fleet) withLock(do func()) {
+func (f *fleet) withLock(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	do()
+	change()
 }
 
 // skipUnderRaceDetector leaves a test of a large fleet to the run without the race detector, which is at its own
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -35,8 +35,8 @@
 	for _, maxAttempts := range []int{1, 2} {
 		t.Run(fmt.Sprint("attempts=", maxAttempts), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-				f := startFleet(t, 78, 2, y, hedgePolicy(maxAttempts), func(o *Options) {
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+				f := startFleet(t, 78, 2, platform, hedgePolicy(maxAttempts), func(o *Options) {
 					o.RetryAllowance, o.RoleChangeInterval = 40, -1
 				})
 				defer f.close()
@@ -44,37 +44,37 @@
 					return func(i int) *Request { return f.newRequest(fmt.Sprint(prefix, i), "/x", 400, 2) }
 				}
 				f.generateLoad(40, 2*time.Second, request("warm"))
-				for _, b := range f.nodes {
-					require.Zero(t, b.counts.Hedges.Load(), "all reads are alike")
+				for _, node := range f.nodes {
+					require.Zero(t, node.counts.Hedges.Load(), "all reads are alike")
 				}
-				y.withLock(func() { y.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": 2 * time.Second} })
-				all := f.generateLoad(40, 4*time.Second, request("r"))
+				platform.withLock(func() { platform.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": 2 * time.Second} })
+				results := f.generateLoad(40, 4*time.Second, request("r"))
 				time.Sleep(4 * time.Second)
-				require.Empty(t, onceOnly(y.recordedCalls(), all))
-				require.Empty(t, answers(all))
-				hedges, late := int64(0), 0
-				for _, b := range f.nodes {
-					hedges += b.counts.Hedges.Load()
+				require.Empty(t, onceOnly(platform.recordedCalls(), results))
+				require.Empty(t, answers(results))
+				hedges, slowRequests := int64(0), 0
+				for _, node := range f.nodes {
+					hedges += node.counts.Hedges.Load()
 				}
-				for _, a := range all {
-					require.NoError(t, a.err, a.ID)
-					if a.endedAt-a.sentAt > time.Second {
-						late++
+				for _, result := range results {
+					require.NoError(t, result.err, result.ID)
+					if result.endedAt-result.sentAt > time.Second {
+						slowRequests++
 					}
 				}
 				if maxAttempts == 1 {
 					require.Zero(t, hedges)
-					require.Greater(t, late, 8, "some fall to the slow worker")
+					require.Greater(t, slowRequests, 8, "some fall to the slow worker")
 					return
 				}
 				require.Greater(t, hedges, int64(8))
-				require.Less(t, late, 5)
+				require.Less(t, slowRequests, 5)
 				// a fifth of the requests and the allowance, of which hedges may use four fifths
 				require.LessOrEqual(t, float64(hedges), 0.8*(0.2*240+40))
-				y.mu.Lock()
-				defer y.mu.Unlock()
-				for name, h := range y.handles {
-					require.True(t, h.fetches == 1 || h.freed, "handle %s is kept for nobody", name)
+				platform.mu.Lock()
+				defer platform.mu.Unlock()
+				for name, handle := range platform.handles {
+					require.True(t, handle.fetches == 1 || handle.freed, "handle %s is kept for nobody", name)
 				}
 			})
 		})
@@ -85,21 +85,23 @@
 // it ends.
 func TestDiscardedPrefillFreesMemory(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 1, 1)...)
-		f := startFleet(t, 79, 1, y, hedgePolicy(2), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 1, 1)...)
+		f := startFleet(t, 79, 1, platform, hedgePolicy(2), nil)
 		defer f.close()
 		n := f.nodes[0].Node
 		request := f.newRequest("late", "/x", 400, 2)
 		exchange := &exchange{node: n, request: request}
-		reader := &n.endpoints.Load().workers[0]
-		c := &pick{worker: reader, state: n.state(reader.ID)}
+		worker := &n.endpoints.Load().workers[0]
+		c := &pick{worker: worker, state: n.state(worker.ID)}
 		c.reserve(request, 0, n.now())
-		y.withLock(func() { y.handles["kv"] = &memoryHandle{worker: reader.ID, requestID: "late", release: func() {}} })
+		platform.withLock(func() {
+			platform.handles["kv"] = &memoryHandle{worker: worker.ID, requestID: "late", release: func() {}}
+		})
 		exchange.discardRead(prefillRead{pick: c, memory: &PrefillResult{Handle: "kv"}})
 		time.Sleep(time.Second)
-		y.mu.Lock()
-		defer y.mu.Unlock()
-		require.True(t, y.handles["kv"].freed)
+		platform.mu.Lock()
+		defer platform.mu.Unlock()
+		require.True(t, platform.handles["kv"].freed)
 		require.NotZero(t, c.reservation.ended)
 	})
 }
--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -23,60 +23,60 @@
 // here is taken off as far as no other request shares it, and where both may be, the worker
 // looks fuller.
 func TestMemoryAccount(t *testing.T) {
-	full := reportedLoad{Used: 300, Capacity: 1000}
-	at := 10_000
+	load := reportedLoad{Used: 300, Capacity: 1000}
+	requestedAt := 10_000
 	lag := int(reportLag / time.Millisecond)
 	for _, c := range []struct {
 		name         string
 		began, ended int // 0: it goes on
 		want         int
 	}{
-		{"begun long before and running: it is shown", at - lag - 100, 0, 700},
-		{"begun just before the report: it may not be shown", at - lag + 100, 0, 600},
-		{"begun after the report", at + 100, 0, 600},
-		{"shown, and ended since", at - lag - 100, at + 50, 740},
-		{"ended before the report was asked for: it may be shown no more", at - lag - 100, at - 100, 700},
-		{"begun and ended where the report may show either", at - lag + 100, at - 50, 700},
-		{"begun and ended after the report", at + 50, at + 100, 700},
+		{"begun long before and running: it is shown", requestedAt - lag - 100, 0, 700},
+		{"begun just before the report: it may not be shown", requestedAt - lag + 100, 0, 600},
+		{"begun after the report", requestedAt + 100, 0, 600},
+		{"shown, and ended since", requestedAt - lag - 100, requestedAt + 50, 740},
+		{"ended before the report was asked for: it may be shown no more", requestedAt - lag - 100, requestedAt - 100, 700},
+		{"begun and ended where the report may show either", requestedAt - lag + 100, requestedAt - 50, 700},
+		{"begun and ended after the report", requestedAt + 50, requestedAt + 100, 700},
 	} {
-		for _, late := range []bool{false, true} { // the report is heard of before or after the end
-			var l memoryAccount
-			if !late {
-				l.report(full, tickMs(at))
+		for _, reportAfterEnd := range []bool{false, true} { // the report is heard of before or after the end
+			var account memoryAccount
+			if !reportAfterEnd {
+				account.report(load, tickMs(requestedAt))
 			}
-			h := l.reserve(100, 40, tickMs(c.began))
+			reserved := account.reserve(100, 40, tickMs(c.began))
 			if c.ended > 0 {
-				l.release(h, true, tickMs(c.ended))
+				account.release(reserved, true, tickMs(c.ended))
 			}
-			if late {
-				l.report(full, tickMs(at))
+			if reportAfterEnd {
+				account.report(load, tickMs(requestedAt))
 			}
-			free, ok := l.free(tickMs(at + 200))
+			free, ok := account.free(tickMs(requestedAt + 200))
 			require.True(t, ok, c.name)
 			require.Equal(t, c.want, free, c.name)
 		}
 	}
 
-	var l memoryAccount
-	_, ok := l.free(tickMs(at))
+	var account memoryAccount
+	_, ok := account.free(tickMs(requestedAt))
 	require.False(t, ok, "no report yet")
-	l.report(full, tickMs(at))
-	l.release(l.reserve(100, 40, tickMs(at)), false, tickMs(at+10))
-	free, ok := l.free(tickMs(at + 20))
+	account.report(load, tickMs(requestedAt))
+	account.release(account.reserve(100, 40, tickMs(requestedAt)), false, tickMs(requestedAt+10))
+	free, ok := account.free(tickMs(requestedAt + 20))
 	require.True(t, ok)
 	require.Equal(t, 700, free, "turned away: it never was there")
-	l.report(reportedLoad{Used: 900, Capacity: 1000}, tickMs(at-1000))
-	free, _ = l.free(tickMs(at + 20))
+	account.report(reportedLoad{Used: 900, Capacity: 1000}, tickMs(requestedAt-1000))
+	free, _ = account.free(tickMs(requestedAt + 20))
 	require.Equal(t, 700, free, "an older report that comes late")
-	_, ok = l.free(tickMs(at).Add(reportMaxAge + 1))
+	_, ok = account.free(tickMs(requestedAt).Add(reportMaxAge + 1))
 	require.False(t, ok, "the report is stale")
-	l.report(reportedLoad{}, tickMs(at+1000))
-	_, ok = l.free(tickMs(at + 1000))
+	account.report(reportedLoad{}, tickMs(requestedAt+1000))
+	_, ok = account.free(tickMs(requestedAt + 1000))
 	require.False(t, ok, "the worker told nothing")
 	for i := range 10_000 {
-		l.release(l.reserve(1, 1, tickMs(at+10*i)), true, tickMs(at+10*i+5))
+		account.release(account.reserve(1, 1, tickMs(requestedAt+10*i)), true, tickMs(requestedAt+10*i+5))
 	}
-	require.Less(t, len(l.reservations), 600, "what ended is forgotten without reports too")
+	require.Less(t, len(account.reservations), 600, "what ended is forgotten without reports too")
 }
 
 // TestMemoryAccountOfRestartedWorker: a new life of a worker begins with nothing known of it, and what the
@@ -97,36 +97,36 @@
 	picks = n.emitters(n.startupPrograms.Set, n.view.Current(), service("s"), r, nil, nil)
 	require.Zero(t, picks[0].capacity, "nothing is known of the new life")
 	require.Less(t, picks[0].cost, n.options.NoCapacityCost)
-	_, all := n.loads.since(0, previous, now, everyService)
-	require.Empty(t, all[0].Rows, "the earlier life is told no more")
+	_, loads := n.loads.since(0, previous, now, everyService)
+	require.Empty(t, loads[0].Rows, "the earlier life is told no more")
 }
 
 // TestLoadBoard: a node hears each change once, small ones and a round that it has not at all,
 // and of a worker that told nothing that it did.
 func TestLoadBoard(t *testing.T) {
 	list := []Worker{{ID: "v"}, {ID: "w"}, {ID: "x"}}
-	rows := func(v, w int) map[ids.WorkerID]reportedLoad {
+	loads := func(v, w int) map[ids.WorkerID]reportedLoad {
 		return map[ids.WorkerID]reportedLoad{"v": {Used: v, Capacity: 1000}, "w": {Used: w, Capacity: 1000}}
 	}
-	var b loadBoard
-	require.NotNil(t, b.record("s", tickMs(1000), rows(100, 200), true))
-	seq, got := b.since(0, list, tickMs(1300), everyService)
+	var board loadBoard
+	require.NotNil(t, board.record("s", tickMs(1000), loads(100, 200), true))
+	seq, got := board.since(0, list, tickMs(1300), everyService)
 	require.Equal(t, []ServiceLoads{{"s", 300, []WorkerLoad{{0, 100, 1000, 0, 0}, {1, 200, 1000, 0, 0}}}}, got)
-	_, got = b.since(seq, list, tickMs(1400), everyService)
+	_, got = board.since(seq, list, tickMs(1400), everyService)
 	require.Empty(t, got, "nothing new")
-	require.Nil(t, b.record("s", tickMs(1050), rows(1, 1), true), "the same round, heard of again")
-	require.NotNil(t, b.record("s", tickMs(2000), rows(105, 300), true))
-	seq, got = b.since(seq, list, tickMs(2000), everyService)
+	require.Nil(t, board.record("s", tickMs(1050), loads(1, 1), true), "the same round, heard of again")
+	require.NotNil(t, board.record("s", tickMs(2000), loads(105, 300), true))
+	seq, got = board.since(seq, list, tickMs(2000), everyService)
 	require.Equal(t, []ServiceLoads{{
 		"s", 0, []WorkerLoad{{1, 300, 1000, 0, 0}},
 	}}, got, "only what changed, and that all were asked")
-	require.NotNil(t, b.record("s", tickMs(3000), map[ids.WorkerID]reportedLoad{"w": {Used: 300, Capacity: 1000}}, true))
-	seq, got = b.since(seq, list, tickMs(3000), everyService)
+	require.NotNil(t, board.record("s", tickMs(3000), map[ids.WorkerID]reportedLoad{"w": {Used: 300, Capacity: 1000}}, true))
+	seq, got = board.since(seq, list, tickMs(3000), everyService)
 	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{0, 0, 0, 0, 0}}}}, got, "v told nothing")
-	require.NotNil(t, b.record("s", tickMs(4000), map[ids.WorkerID]reportedLoad{"v": {Used: 9, Capacity: 1000}}, false))
-	_, got = b.since(seq, list, tickMs(4000), everyService)
+	require.NotNil(t, board.record("s", tickMs(4000), map[ids.WorkerID]reportedLoad{"v": {Used: 9, Capacity: 1000}}, false))
+	_, got = board.since(seq, list, tickMs(4000), everyService)
 	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{0, 9, 1000, 0, 0}}}}, got, "w is as it was")
-	_, got = b.since(0, list, tickMs(4000).Add(reportMaxAge+1), everyService)
+	_, got = board.since(0, list, tickMs(4000).Add(reportMaxAge+1), everyService)
 	require.Empty(t, got, "an old round is not handed on")
 }
 
@@ -134,25 +134,25 @@
 // change, whichever nodes hold the duties, and while no reports come none counts on one.
 func TestFreeMemoryReachesAllNodes(t *testing.T) {
 	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
-		all := prefillAndDecodeWorkers("svc", 3, 3)
-		for i, s := range all {
-			s.memoryCapacity, s.memoryUsed = 160_000, 16_000*i
+		workers := prefillAndDecodeWorkers("svc", 3, 3)
+		for i, worker := range workers {
+			worker.memoryCapacity, worker.memoryUsed = 160_000, 16_000*i
 		}
-		y := newFakePlatform(all...)
-		f := startFleet(t, seed, 4, y, defaultConfiguration(), turning)
+		platform := newFakePlatform(workers...)
+		f := startFleet(t, seed, 4, platform, defaultConfiguration(), turning)
 		defer f.close()
-		knows := func(b *testNode, id ids.WorkerID, want int) bool {
-			st := b.state(id)
+		knows := func(node *testNode, id ids.WorkerID, want int) bool {
+			st := node.state(id)
 			st.mu.Lock()
 			defer st.mu.Unlock()
-			free, ok := st.memory.free(b.now())
+			free, ok := st.memory.free(node.now())
 			return ok && free == want
 		}
-		settled := func(used func(i int) int) func() bool {
+		allNodesKnow := func(used func(i int) int) func() bool {
 			return func() bool {
-				for _, b := range f.runningNodes() {
-					for i, s := range all {
-						if !knows(b, s.ID, 10_000-used(i)) {
+				for _, node := range f.runningNodes() {
+					for i, worker := range workers {
+						if !knows(node, worker.ID, 10_000-used(i)) {
 							return false
 						}
 					}
@@ -160,33 +160,33 @@
 				return true
 			}
 		}
-		require.True(t, f.waitUntil(12*time.Second, settled(func(i int) int { return 1000 * i })))
-		y.withLock(func() {
-			for _, s := range all {
-				s.memoryUsed = 80_000
+		require.True(t, f.waitUntil(12*time.Second, allNodesKnow(func(i int) int { return 1000 * i })))
+		platform.withLock(func() {
+			for _, worker := range workers {
+				worker.memoryUsed = 80_000
 			}
 		})
-		require.True(t, f.waitUntil(2*time.Second, settled(func(int) int { return 5000 })), "a change reaches all")
-		apart := f.holder() >= 0 && f.holder() != f.workerListOwner()
-		t.Log("the duties have different holders:", apart)
+		require.True(t, f.waitUntil(2*time.Second, allNodesKnow(func(int) int { return 5000 })), "a change reaches all")
+		separate := f.holder() >= 0 && f.holder() != f.workerListOwner()
+		t.Log("the duties have different holders:", separate)
 		f.killNode(f.holder())
-		y.withLock(func() {
-			for _, s := range all {
-				s.memoryUsed = 32_000
+		platform.withLock(func() {
+			for _, worker := range workers {
+				worker.memoryUsed = 32_000
 			}
 		})
-		require.True(t, f.waitUntil(20*time.Second, settled(func(int) int { return 2000 })), "another holder asks")
-		y.withLock(func() {
-			for _, s := range all {
-				s.silent = true
+		require.True(t, f.waitUntil(20*time.Second, allNodesKnow(func(int) int { return 2000 })), "another holder asks")
+		platform.withLock(func() {
+			for _, worker := range workers {
+				worker.silent = true
 			}
 		})
 		require.True(t, f.waitUntil(6*time.Second, func() bool {
-			for _, b := range f.runningNodes() {
-				for _, s := range all {
-					st := b.state(s.ID)
+			for _, node := range f.runningNodes() {
+				for _, worker := range workers {
+					st := node.state(worker.ID)
 					st.mu.Lock()
-					_, ok := st.memory.free(b.now())
+					_, ok := st.memory.free(node.now())
 					st.mu.Unlock()
 					if ok {
 						return false
@@ -200,8 +200,8 @@
 
 // workerListOwner gives the number of the node that holds the list's duty, or -1.
 func (f *fleet) workerListOwner() int {
-	for i, b := range f.nodes {
-		if _, ok := b.agent.OwnsKey(fleetstate.WorkerListKey); ok && b.running {
+	for i, node := range f.nodes {
+		if _, ok := node.agent.OwnsKey(fleetstate.WorkerListKey); ok && node.running {
 			return i
 		}
 	}
@@ -212,30 +212,30 @@
 // first one tells the second, and all hear of it there.
 func TestLoadsReachNodesWithSeparateLeaseHolders(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
-		apart := false
+		separate := false
 		runInBubble(t, func(t *testing.T) {
-			all := prefillAndDecodeWorkers("svc", 2, 2)
-			for _, s := range all {
-				s.memoryCapacity, s.memoryUsed = 160_000, 80_000
+			workers := prefillAndDecodeWorkers("svc", 2, 2)
+			for _, worker := range workers {
+				worker.memoryCapacity, worker.memoryUsed = 160_000, 80_000
 			}
-			f := startFleet(t, seed, 4, newFakePlatform(all...), defaultConfiguration(), turning)
+			f := startFleet(t, seed, 4, newFakePlatform(workers...), defaultConfiguration(), turning)
 			defer f.close()
 			time.Sleep(8 * time.Second)
-			if apart = f.holder() >= 0 && f.workerListOwner() >= 0 && f.holder() != f.workerListOwner(); !apart {
+			if separate = f.holder() >= 0 && f.workerListOwner() >= 0 && f.holder() != f.workerListOwner(); !separate {
 				return
 			}
-			for _, b := range f.runningNodes() {
-				for _, s := range all {
-					st := b.state(s.ID)
+			for _, node := range f.runningNodes() {
+				for _, worker := range workers {
+					st := node.state(worker.ID)
 					st.mu.Lock()
-					free, ok := st.memory.free(b.now())
+					free, ok := st.memory.free(node.now())
 					st.mu.Unlock()
 					require.True(t, ok)
 					require.Equal(t, 5000, free)
 				}
 			}
 		})
-		if apart {
+		if separate {
 			return
 		}
 	}
@@ -254,13 +254,13 @@
 	require.NoError(t, err)
 	now := n.now()
 	var list []Worker
-	rows := map[ids.WorkerID]reportedLoad{}
+	loads := map[ids.WorkerID]reportedLoad{}
 	for i := range 4 {
 		list = append(list, Worker{ID: wid(i), Service: "s", Zone: "a", Role: ids.Decode, Concurrency: 8})
-		rows[wid(i)] = reportedLoad{Used: 1000 - 100*i, Capacity: 4000}
+		loads[wid(i)] = reportedLoad{Used: 1000 - 100*i, Capacity: 4000}
 	}
 	n.installList(list, now, now)
-	n.publishLoads("s", now, rows, true)
+	n.publishLoads("s", now, loads, true)
 	picks := n.emitters(n.startupPrograms.Set, n.view.Current(), service("s"), &Request{
 		ID:        "r",
 		Prompt:    800,
@@ -274,45 +274,45 @@
 
 // runShortMemoryLoad runs emitters whose memory, unlike their places, is short, and counts arrivals that
 // were turned away and callers that were answered.
-func runShortMemoryLoad(t *testing.T, seed uint64, rate, noRoom float64) (away, done, all int, late time.Duration) {
-	ws := prefillAndDecodeWorkers("svc", 4, 6)
-	for i, s := range ws {
-		if s.memoryCapacity = 400_000; s.Role == ids.Decode {
-			s.memoryCapacity = 40_000 + 10_000*(i%3)
+func runShortMemoryLoad(t *testing.T, seed uint64, rate, noCapacityCost float64) (rejected, answered, total int, meanFirstByte time.Duration) {
+	workers := prefillAndDecodeWorkers("svc", 4, 6)
+	for i, worker := range workers {
+		if worker.memoryCapacity = 400_000; worker.Role == ids.Decode {
+			worker.memoryCapacity = 40_000 + 10_000*(i%3)
 		}
 	}
-	y := newFakePlatform(ws...)
-	y.reportDelay, y.queueLimit, y.eventInterval = 300*time.Millisecond, 2, 50*time.Millisecond
-	f := startFleet(t, seed, 6, y, defaultConfiguration(), func(o *Options) {
-		o.RoleChangeInterval, o.RetryAllowance, o.NoCapacityCost, o.IdlePrefillShare = 500*time.Millisecond, 60, noRoom, -1
+	platform := newFakePlatform(workers...)
+	platform.reportDelay, platform.queueLimit, platform.eventInterval = 300*time.Millisecond, 2, 50*time.Millisecond
+	f := startFleet(t, seed, 6, platform, defaultConfiguration(), func(o *Options) {
+		o.RoleChangeInterval, o.RetryAllowance, o.NoCapacityCost, o.IdlePrefillShare = 500*time.Millisecond, 60, noCapacityCost, -1
 	})
 	defer f.close()
 	time.Sleep(5 * time.Second)
 	rng := rand.New(rand.NewPCG(seed, 11))
-	ends := f.generateLoad(rate, 12*time.Second, func(i int) *Request {
-		prompt, limit := 900, 10
+	results := f.generateLoad(rate, 12*time.Second, func(i int) *Request {
+		prompt, maxTokens := 900, 10
 		if rng.IntN(4) == 0 {
-			prompt, limit = 9000, 24
+			prompt, maxTokens = 9000, 24
 		}
-		return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], prompt, limit)
+		return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], prompt, maxTokens)
 	})
-	rows := y.recordedCalls()
-	require.Empty(t, onceOnly(rows, ends))
-	require.Empty(t, ended(ends, 8500*time.Millisecond))
-	require.Empty(t, answers(ends))
-	require.Empty(t, extras(rows, ends, 0.2, 60, window))
-	for _, k := range rows {
-		if k.Kind == "emit" && !k.Accepted {
-			away++
+	calls := platform.recordedCalls()
+	require.Empty(t, onceOnly(calls, results))
+	require.Empty(t, ended(results, 8500*time.Millisecond))
+	require.Empty(t, answers(results))
+	require.Empty(t, extras(calls, results, 0.2, 60, window))
+	for _, call := range calls {
+		if call.Kind == "emit" && !call.Accepted {
+			rejected++
 		}
 	}
-	for _, a := range ends {
-		if a.err == nil {
-			done++
-			late += a.response.writeTimes[0]
+	for _, result := range results {
+		if result.err == nil {
+			answered++
+			meanFirstByte += result.response.writeTimes[0]
 		}
 	}
-	return away, done, len(ends), late / time.Duration(max(1, done))
+	return rejected, answered, len(results), meanFirstByte / time.Duration(max(1, answered))
 }
 
 // TestFreeMemoryReducesRejections: emitters whose memory is short turn fewer requests away, and more are answered,
@@ -322,87 +322,87 @@
 	if raced {
 		seeds = 1
 	}
-	var away, done [2]int
+	var rejected, answered [2]int
 	for _, rate := range []float64{85, 110} {
 		for seed := uint64(1); seed <= seeds; seed++ {
-			for k, noRoom := range []float64{-1, 0} {
+			for k, noCapacityCost := range []float64{-1, 0} {
 				runInBubble(t, func(t *testing.T) {
-					a, d, all, late := runShortMemoryLoad(t, seed, rate, noRoom)
+					rejectedNow, answeredNow, total, meanFirstByte := runShortMemoryLoad(t, seed, rate, noCapacityCost)
 					t.Logf(
 						"%.0f a second, seed %d, reckoned with room %t: %d turned away, %d of %d answered, first bytes after %s",
 						rate,
 						seed,
 						k == 1,
-						a,
-						d,
-						all,
-						late,
+						rejectedNow,
+						answeredNow,
+						total,
+						meanFirstByte,
 					)
-					away[k], done[k] = away[k]+a, done[k]+d
+					rejected[k], answered[k] = rejected[k]+rejectedNow, answered[k]+answeredNow
 				})
 			}
 		}
 	}
-	require.Less(t, away[1], away[0])
-	require.Greater(t, done[1], done[0])
+	require.Less(t, rejected[1], rejected[0])
+	require.Greater(t, answered[1], answered[0])
 }
 
 // TestLoadUpdateSize: what the workers' standing adds to the answers that nodes fetch anyway
 // stays within a few bytes a second for each node and worker, while all is busy and changes.
 func TestLoadUpdateSize(t *testing.T) {
 	for _, c := range []struct{ nodes, workers, places int }{{10, 12, 64}, {72, 140, 24}} {
-		for _, load := range []string{"no", "usual", "full"} {
+		for _, level := range []string{"no", "usual", "full"} {
 			list := make([]Worker, c.workers)
 			for i := range list {
 				list[i].ID = wid(i)
 			}
 			rng := rand.New(rand.NewPCG(1, 2))
-			var b loadBoard
+			var board loadBoard
 			var seq uint64
 			added, rounds := 0, 20
-			for s := range rounds {
-				rows := map[ids.WorkerID]reportedLoad{}
+			for round := range rounds {
+				loads := map[ids.WorkerID]reportedLoad{}
 				for i := range list {
-					at := reportedLoad{Capacity: 18_000}
-					switch load {
+					load := reportedLoad{Capacity: 18_000}
+					switch level {
 					case "usual":
-						at.Running = rng.IntN(4)
+						load.Running = rng.IntN(4)
 					case "full":
-						at.Running = c.places/2 + rng.IntN(c.places/2)
-						at.Waiting = rng.IntN(3)
+						load.Running = c.places/2 + rng.IntN(c.places/2)
+						load.Waiting = rng.IntN(3)
 					}
-					at.Used = at.Running * (400 + rng.IntN(100))
-					rows[list[i].ID] = at
+					load.Used = load.Running * (400 + rng.IntN(100))
+					loads[list[i].ID] = load
 				}
-				now := tickMs(1000 * (s + 1))
-				b.record("minutes-llm", now, rows, true)
+				now := tickMs(1000 * (round + 1))
+				board.record("minutes-llm", now, loads, true)
 				for k := range 4 { // askings a second
-					plain := &ListResponse{Version: 7, Age: 1 << 29}
-					full := &ListResponse{Version: 7, Age: 1 << 29}
-					ask := &ListRequest{Node: "n", Version: 7, LoadSeq: seq}
-					full.LoadSeq, full.Loads = b.since(
+					withoutLoads := &ListResponse{Version: 7, Age: 1 << 29}
+					withLoads := &ListResponse{Version: 7, Age: 1 << 29}
+					request := &ListRequest{Node: "n", Version: 7, LoadSeq: seq}
+					withLoads.LoadSeq, withLoads.Loads = board.since(
 						seq, list, now.Add(time.Duration(250*k)*time.Millisecond), everyService,
 					)
-					seq = full.LoadSeq
-					added += len(coordination.MustMarshal(full)) - len(coordination.MustMarshal(plain)) +
-						len(coordination.MustMarshal(ask)) - len(coordination.MustMarshal(&ListRequest{
+					seq = withLoads.LoadSeq
+					added += len(coordination.MustMarshal(withLoads)) - len(coordination.MustMarshal(withoutLoads)) +
+						len(coordination.MustMarshal(request)) - len(coordination.MustMarshal(&ListRequest{
 						Node:    "n",
 						Version: 7,
 					}))
 				}
 			}
-			node := added / rounds
+			bytesPerNode := added / rounds
 			t.Logf(
 				"%d nodes, %d workers, %s load: %d bytes a second for each node, %d for all",
 				c.nodes,
 				c.workers,
-				load,
-				node,
-				node*(c.nodes-1),
+				level,
+				bytesPerNode,
+				bytesPerNode*(c.nodes-1),
 			)
-			require.Less(t, node, 120+13*c.workers)
-			if load != "full" {
-				require.Less(t, node, 120+6*c.workers)
+			require.Less(t, bytesPerNode, 120+13*c.workers)
+			if level != "full" {
+				require.Less(t, bytesPerNode, 120+6*c.workers)
 			}
 		}
 	}
--- a/internal/proxy/new_holder_test.go
+++ b/internal/proxy/new_holder_test.go
@@ -12,11 +12,11 @@
 )
 
 // reportedSince tells whether a node knows a report of each worker from after a time of its own clock.
-func (b *testNode) reportedSince(at ids.Tick) bool {
-	for _, w := range b.endpoints.Load().workers {
-		st := b.state(w.ID)
+func (node *testNode) reportedSince(since ids.Tick) bool {
+	for _, w := range node.endpoints.Load().workers {
+		st := node.state(w.ID)
 		st.mu.Lock()
-		stale := st.memory.at.Before(at)
+		stale := st.memory.at.Before(since)
 		st.mu.Unlock()
 		if stale {
 			return false
@@ -30,20 +30,20 @@
 func TestLoadsKnownBeforeFirstOrder(t *testing.T) {
 	const limit = 1500 * time.Millisecond // a round of reports and a turn of the list
 	forEachSeed(t, 2, func(t *testing.T, seed uint64) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-		f := startFleet(t, seed, 4, y, defaultConfiguration(), turning)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+		f := startFleet(t, seed, 4, platform, defaultConfiguration(), turning)
 		defer f.close()
 		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.holder() >= 0 }))
 		time.Sleep(5 * time.Second)
 		f.killNode(f.holder())
 		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.holder() >= 0 }), "the duty passes on")
-		from := map[*testNode]ids.Tick{}
-		for _, b := range f.runningNodes() {
-			from[b] = b.now()
+		since := map[*testNode]ids.Tick{}
+		for _, node := range f.runningNodes() {
+			since[node] = node.now()
 		}
 		require.True(t, f.waitUntil(limit, func() bool {
-			for b, at := range from {
-				if !b.reportedSince(at) {
+			for node, at := range since {
+				if !node.reportedSince(at) {
 					return false
 				}
 			}
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -22,25 +22,25 @@
 	list := newWorkers(40)
 	list[7].Role = ""
 	list[9].Service = "other"
-	sights := []*fleetstate.Snapshot{
+	snapshots := []*fleetstate.Snapshot{
 		{},
 		{Zones: map[ids.Zone]bool{"b": true}},
 		{Drained: map[ids.WorkerID]bool{list[2].ID: true}},
 		{RoleChanges: map[ids.WorkerID]ids.Role{list[4].ID: ids.Decode}},
 	}
-	for k := range 6 {
+	for round := range 6 {
 		now := n.now()
-		if k > 0 {
+		if round > 0 {
 			list = append([]Worker(nil), list...)
-			list[3*k].Leaving = true
-			list[5*k].Role = ids.Prefill
-			list = append(list[1:], Worker{ID: wid(k), Service: "s", Zone: "c", Role: ids.Decode, Concurrency: 8})
+			list[3*round].Leaving = true
+			list[5*round].Role = ids.Prefill
+			list = append(list[1:], Worker{ID: wid(round), Service: "s", Zone: "c", Role: ids.Decode, Concurrency: 8})
 		}
 		n.installList(list, now, now)
-		for _, s := range sights {
+		for _, s := range snapshots {
 			for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
 				var want, got []ids.WorkerID
-				var top ids.WorkerID
+				var home ids.WorkerID
 				best := -1.0
 				for i := range list {
 					w := &list[i]
@@ -49,7 +49,7 @@
 					}
 					want = append(want, w.ID)
 					if a := routing.Affinity(77, w.ID); w.Role == ids.Prefill && a > best {
-						best, top = a, w.ID
+						best, home = a, w.ID
 					}
 				}
 				for _, c := range n.cleared(s, service("s"), role, nil) {
@@ -57,7 +57,7 @@
 					require.Same(t, n.state(c.worker.ID), c.state)
 				}
 				require.Equal(t, want, got)
-				require.Equal(t, top, prefixHome(77, n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{
+				require.Equal(t, home, prefixHome(77, n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{
 					"s", role,
 				}], n.isEjected))
 			}
@@ -70,30 +70,30 @@
 func TestPickRepeatedAfterSlowDial(t *testing.T) {
 	for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
 		forEachSeed(t, 3, func(t *testing.T, seed uint64) {
-			y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
-			f := startFleet(t, seed, 2, y, defaultConfiguration(), func(o *Options) {
+			platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+			f := startFleet(t, seed, 2, platform, defaultConfiguration(), func(o *Options) {
 				o.RetryAllowance, o.ListInterval, o.ShareInterval = 60, 100*time.Millisecond, 50*time.Millisecond
 			})
 			defer f.close()
-			y.withLock(func() {
-				y.unreachable = map[string]time.Duration{"svc-" + string(role) + "-0:90": 1400 * time.Millisecond}
+			platform.withLock(func() {
+				platform.unreachable = map[string]time.Duration{"svc-" + string(role) + "-0:90": 1400 * time.Millisecond}
 			})
 			f.wg.Go(func() {
 				time.Sleep(150 * time.Millisecond)
-				y.withLock(func() { y.worker("svc-" + string(role) + "-1").Leaving = true })
+				platform.withLock(func() { platform.worker("svc-" + string(role) + "-1").Leaving = true })
 			})
-			all := f.generateLoad(200, 300*time.Millisecond, func(i int) *Request {
+			results := f.generateLoad(200, 300*time.Millisecond, func(i int) *Request {
 				return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4)
 			})
-			late := 0
-			for _, a := range all {
-				require.NoError(t, a.err)
-				if a.endedAt-a.sentAt > 400*time.Millisecond {
-					late++
+			slowRequests := 0
+			for _, result := range results {
+				require.NoError(t, result.err)
+				if result.endedAt-result.sentAt > 400*time.Millisecond {
+					slowRequests++
 				}
 			}
-			require.Greater(t, late, 5, "some dialled the one that is not there")
-			require.Empty(t, leftAlone(y.recordedCalls(), 100*time.Millisecond))
+			require.Greater(t, slowRequests, 5, "some dialled the one that is not there")
+			require.Empty(t, leftAlone(platform.recordedCalls(), 100*time.Millisecond))
 		})
 	}
 }
--- a/internal/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -18,48 +18,48 @@
 // nothing new once a node knows, all nodes know within two seconds, what runs there ends
 // there, and callers notice nothing.
 func TestUnavailableWorkersGetNoNewWork(t *testing.T) {
-	for _, how := range []string{"drained", "evacuated", "leaving", "unlisted"} {
-		t.Run(how, func(t *testing.T) {
+	for _, cause := range []string{"drained", "evacuated", "leaving", "unlisted"} {
+		t.Run(cause, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-				f := startFleet(t, 31, 3, y, defaultConfiguration(), nil)
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+				f := startFleet(t, 31, 3, platform, defaultConfiguration(), nil)
 				defer f.close()
-				var gone []ids.WorkerID
-				var at time.Duration
+				var unavailable []ids.WorkerID
+				var since time.Duration
 				f.wg.Go(func() {
 					time.Sleep(2 * time.Second)
-					y.withLock(func() {
-						for _, w := range y.workers {
-							if how == "evacuated" && w.Zone == "b" ||
-								how != "evacuated" && strings.HasSuffix(w.name, "-1") {
-								gone = append(gone, w.ID)
-								w.Leaving, w.unlisted = how == "leaving", how == "unlisted"
+					platform.withLock(func() {
+						for _, worker := range platform.workers {
+							if cause == "evacuated" && worker.Zone == "b" ||
+								cause != "evacuated" && strings.HasSuffix(worker.name, "-1") {
+								unavailable = append(unavailable, worker.ID)
+								worker.Leaving, worker.unlisted = cause == "leaving", cause == "unlisted"
 							}
 						}
 					})
-					switch how {
+					switch cause {
 					case "drained":
-						for _, id := range gone {
+						for _, id := range unavailable {
 							f.submit(fleetstate.DrainKind, &fleetstate.Drain{Worker: id, Drained: true})
 						}
 					case "evacuated":
 						f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 					}
-					at = y.elapsed()
+					since = platform.elapsed()
 				})
-				all := f.generateLoad(60, 8*time.Second, func(i int) *Request {
+				results := f.generateLoad(60, 8*time.Second, func(i int) *Request {
 					return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 10)
 				})
-				rows := y.recordedCalls()
-				require.NotEmpty(t, gone)
-				require.Empty(t, leftAlone(rows, 100*time.Millisecond))
-				for _, id := range gone {
-					require.NotEmpty(t, sentTo(rows, id, 0, at), id)
-					require.Empty(t, sentTo(rows, id, at+2*time.Second, time.Hour), id)
+				calls := platform.recordedCalls()
+				require.NotEmpty(t, unavailable)
+				require.Empty(t, leftAlone(calls, 100*time.Millisecond))
+				for _, id := range unavailable {
+					require.NotEmpty(t, sentTo(calls, id, 0, since), id)
+					require.Empty(t, sentTo(calls, id, since+2*time.Second, time.Hour), id)
 				}
-				require.Empty(t, answers(all))
-				for _, a := range all {
-					require.NoError(t, a.err)
+				require.Empty(t, answers(results))
+				for _, result := range results {
+					require.NoError(t, result.err)
 				}
 			})
 		})
@@ -70,23 +70,23 @@
 // long as another worker is there.
 func TestReplacedWorkerAvoided(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
-		f := startFleet(t, 32, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 50 })
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 32, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 50 })
 		defer f.close()
-		y.withLock(func() { y.listFails = true })
-		y.restartWorker("svc-decode-1")
-		y.restartWorker("svc-prefill-1")
-		all := f.generateLoad(30, 10*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
-		require.Empty(t, onceOnly(y.recordedCalls(), all))
-		count := map[string]int{}
-		for _, k := range y.recordedCalls() {
-			if (k.Kind == "emit" || k.Kind == "read") && strings.HasSuffix(string(k.Worker), "-1.1") {
-				count[k.Node+string(k.Worker)]++
+		platform.withLock(func() { platform.listFails = true })
+		platform.restartWorker("svc-decode-1")
+		platform.restartWorker("svc-prefill-1")
+		results := f.generateLoad(30, 10*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
+		require.Empty(t, onceOnly(platform.recordedCalls(), results))
+		calls := map[string]int{}
+		for _, call := range platform.recordedCalls() {
+			if (call.Kind == "emit" || call.Kind == "read") && strings.HasSuffix(string(call.Worker), "-1.1") {
+				calls[call.Node+string(call.Worker)]++
 			}
 		}
-		require.NotEmpty(t, count)
-		for at, n := range count {
-			require.LessOrEqual(t, n, 2, at)
+		require.NotEmpty(t, calls)
+		for nodeAndWorker, n := range calls {
+			require.LessOrEqual(t, n, 2, nodeAndWorker)
 		}
 	})
 }
@@ -95,11 +95,11 @@
 // address now answers with a report.
 func TestReplacedWorkerStaysAvoided(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 33, 1, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 33, 1, platform, defaultConfiguration(), nil)
 		defer f.close()
-		y.withLock(func() { y.listFails = true })
-		y.restartWorker("svc-decode-1")
+		platform.withLock(func() { platform.listFails = true })
+		platform.restartWorker("svc-decode-1")
 		n := f.nodes[0]
 		for _, w := range n.endpoints.Load().workers {
 			if w.ID == "svc-decode-1.1" {
@@ -109,6 +109,6 @@
 		}
 		time.Sleep(time.Second)
 		f.generateLoad(20, 3*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
-		require.Empty(t, sentTo(y.recordedCalls(), "svc-decode-1.1", 0, time.Hour))
+		require.Empty(t, sentTo(platform.recordedCalls(), "svc-decode-1.1", 0, time.Hour))
 	})
 }
--- a/internal/proxy/proxy_cluster_test.go
+++ b/internal/proxy/proxy_cluster_test.go
@@ -102,7 +102,7 @@
 	frozenNodes        map[string]bool // nodes that stand still
 	unavailableSince   map[string]map[ids.WorkerID]time.Time
 	knowsUnavailable   map[string]func(id ids.WorkerID) bool // by node: whether it knows now that a worker is off
-	outcome            func(k callRecord, w *fakeWorker) callOutcome
+	outcome            func(call callRecord, worker *fakeWorker) callOutcome
 	listDelay          func() time.Duration // how long the asking for the list is under way
 	listFails          bool
 	listCalls          []callRecord               // askings for the list
@@ -111,19 +111,19 @@
 	roleChangeTime     time.Duration
 	lastHandle         int
 	afterPrefill       func(r *Request)
-	beforeRun          func(n *Node)                          // before a node runs
-	extraRunning       func(s *fakeWorker) int                // added to what reports say is running
-	reportError        func(node string, s *fakeWorker) error // what a node gets instead of a report
-	reportDelay        time.Duration                          // by which reports are old
-	unreachable        map[string]time.Duration               // addresses to which none comes up, and how long that takes
-	directTokensPerMs  int                                    // tokens a ms that an emitting worker reads by itself
-	extraPrefillTime   map[string]time.Duration               // workers that take so much longer for each prompt
-	slowEventIntervals map[string]time.Duration               // workers that take so long between events
-	queueLimit         int                                    // requests that wait at a worker at most; 0: twice its places
-}
-
-func newFakePlatform(all ...*fakeWorker) *fakePlatform {
-	return &fakePlatform{start: time.Now(), workers: all, handles: map[string]*memoryHandle{}, partitionedNodes: map[string]bool{}, frozenNodes: map[string]bool{},
+	beforeRun          func(n *Node)                               // before a node runs
+	extraRunning       func(worker *fakeWorker) int                // added to what reports say is running
+	reportError        func(node string, worker *fakeWorker) error // what a node gets instead of a report
+	reportDelay        time.Duration                               // by which reports are old
+	unreachable        map[string]time.Duration                    // addresses to which none comes up, and how long that takes
+	directTokensPerMs  int                                         // tokens a ms that an emitting worker reads by itself
+	extraPrefillTime   map[string]time.Duration                    // workers that take so much longer for each prompt
+	slowEventIntervals map[string]time.Duration                    // workers that take so long between events
+	queueLimit         int                                         // requests that wait at a worker at most; 0: twice its places
+}
+
+func newFakePlatform(workers ...*fakeWorker) *fakePlatform {
+	return &fakePlatform{start: time.Now(), workers: workers, handles: map[string]*memoryHandle{}, partitionedNodes: map[string]bool{}, frozenNodes: map[string]bool{},
 		unavailableSince: map[string]map[ids.WorkerID]time.Time{}, knowsUnavailable: map[string]func(ids.WorkerID) bool{}, directTokensPerMs: 50, eventInterval: 20 * time.Millisecond, roleChangeTime: time.Second}
 }
 
@@ -142,46 +142,46 @@
 }
 
 // prefillAndDecodeWorkers makes readers and emitters of one service.
-func prefillAndDecodeWorkers(service string, readers, emitters int) []*fakeWorker {
-	return append(newFakeWorkers(service, ids.Prefill, readers), newFakeWorkers(service, ids.Decode, emitters)...)
+func prefillAndDecodeWorkers(service string, prefillCount, decodeCount int) []*fakeWorker {
+	return append(newFakeWorkers(service, ids.Prefill, prefillCount), newFakeWorkers(service, ids.Decode, decodeCount)...)
 }
 
-func (y *fakePlatform) elapsed() time.Duration { return time.Since(y.start) }
+func (p *fakePlatform) elapsed() time.Duration { return time.Since(p.start) }
 
 // withLock changes the fake platform.
-func (y *fakePlatform) withLock(f func()) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
+func (p *fakePlatform) withLock(f func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	f()
 }
 
-func (y *fakePlatform) worker(name string) *fakeWorker {
-	for _, w := range y.workers {
-		if w.name == name {
-			return w
+func (p *fakePlatform) worker(name string) *fakeWorker {
+	for _, worker := range p.workers {
+		if worker.name == name {
+			return worker
 		}
 	}
 	return nil
 }
 
 // restartWorker ends a worker's life and begins another at the same address.
-func (y *fakePlatform) restartWorker(name string) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	for i, w := range y.workers {
-		if w.name == name {
-			w.terminated = true
-			next := &fakeWorker{Worker: w.Worker, name: name, incarnation: w.incarnation + 1}
+func (p *fakePlatform) restartWorker(name string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i, worker := range p.workers {
+		if worker.name == name {
+			worker.terminated = true
+			next := &fakeWorker{Worker: worker.Worker, name: name, incarnation: worker.incarnation + 1}
 			next.ID = ids.WorkerID(fmt.Sprintf("%s.%d", name, next.incarnation))
-			y.workers[i] = next
+			p.workers[i] = next
 		}
 	}
 }
 
-func (y *fakePlatform) recordedCalls() []callRecord {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return append([]callRecord(nil), y.calls...)
+func (p *fakePlatform) recordedCalls() []callRecord {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append([]callRecord(nil), p.calls...)
 }
 
 // fakeBackend is one node's way to the workers.
@@ -200,9 +200,9 @@
 func (b *fakeBackend) waitWhileFrozen() {
 	for {
 		b.platform.mu.Lock()
-		on := b.platform.frozenNodes[b.nodeIP]
+		frozen := b.platform.frozenNodes[b.nodeIP]
 		b.platform.mu.Unlock()
-		if !on {
+		if !frozen {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -227,17 +227,17 @@
 		return nil, NotDialled(ctx.Err(), w.Addr)
 	}
 	b.platform.mu.Lock()
-	cut := b.platform.partitionedNodes[b.nodeIP]
+	partitioned := b.platform.partitionedNodes[b.nodeIP]
 	b.platform.mu.Unlock()
-	if cut {
+	if partitioned {
 		sleepContext(ctx, 400*time.Millisecond)
 		return nil, NotDialled(errors.New("no answer"), w.Addr)
 	}
 	b.platform.mu.Lock()
-	long, no := b.platform.unreachable[w.Addr]
+	dialTime, unreachable := b.platform.unreachable[w.Addr]
 	b.platform.mu.Unlock()
-	if no {
-		sleepContext(ctx, long)
+	if unreachable {
+		sleepContext(ctx, dialTime)
 		return nil, NotDialled(errors.New("no answer"), w.Addr)
 	}
 	if !sleepContext(ctx, 500*time.Microsecond) {
@@ -245,9 +245,9 @@
 	}
 	b.platform.mu.Lock()
 	defer b.platform.mu.Unlock()
-	for _, s := range b.platform.workers {
-		if s.Addr == w.Addr && !s.terminated {
-			return s, nil
+	for _, worker := range b.platform.workers {
+		if worker.Addr == w.Addr && !worker.terminated {
+			return worker, nil
 		}
 	}
 	return nil, NotDialled(errors.New("refused"), w.Addr)
@@ -256,9 +256,9 @@
 // knownUnavailableFor is for how long the node has known, as it sends, that a worker is off.
 func (b *fakeBackend) knownUnavailableFor(w Worker) time.Duration {
 	b.platform.mu.Lock()
-	f := b.platform.knowsUnavailable[b.nodeIP]
+	knows := b.platform.knowsUnavailable[b.nodeIP]
 	b.platform.mu.Unlock()
-	if f == nil || !f(w.ID) {
+	if knows == nil || !knows(w.ID) {
 		return 0
 	}
 	b.platform.mu.Lock()
@@ -270,53 +270,53 @@
 }
 
 // recordCall writes a call into the book and says what becomes of it. The fake platform is locked.
-func (b *fakeBackend) recordCall(k callRecord, s *fakeWorker, w Worker) (*callRecord, callOutcome, error) {
-	y := b.platform
-	if duration, ok := y.coldPeriods[s.Zone]; ok && s.warmAt.IsZero() {
-		s.warmAt = time.Now().Add(duration)
+func (b *fakeBackend) recordCall(call callRecord, worker *fakeWorker, w Worker) (*callRecord, callOutcome, error) {
+	platform := b.platform
+	if duration, ok := platform.coldPeriods[worker.Zone]; ok && worker.warmAt.IsZero() {
+		worker.warmAt = time.Now().Add(duration)
 	}
-	k.At, k.Node, k.Worker, k.Cold = y.elapsed(), b.nodeIP, w.ID, time.Now().Before(s.warmAt)
-	how := succeeds
-	if y.outcome != nil {
-		how = y.outcome(k, s)
+	call.At, call.Node, call.Worker, call.Cold = platform.elapsed(), b.nodeIP, w.ID, time.Now().Before(worker.warmAt)
+	outcome := succeeds
+	if platform.outcome != nil {
+		outcome = platform.outcome(call, worker)
 	}
-	if how == connectionRefused {
-		return nil, how, NotDialled(errors.New("refused"), w.Addr)
+	if outcome == connectionRefused {
+		return nil, outcome, NotDialled(errors.New("refused"), w.Addr)
 	}
-	y.calls = append(y.calls, k)
-	p := &y.calls[len(y.calls)-1]
+	platform.calls = append(platform.calls, call)
+	record := &platform.calls[len(platform.calls)-1]
 	switch {
-	case s.ID != w.ID:
-		return p, how, failure.New(failure.Stale, "ask worker", w.Addr, "another life has the address")
-	case s.silent && (how == succeeds || how == resetMidResponse):
-		how = silentBeforeRun
-	case how == notExecuted, s.nextRole != "", s.waiting >= y.queueLimitOf(s), k.Kind == "read" && s.Role == ids.Decode:
-		return p, how, failure.New(failure.NotExecuted, "ask worker", w.Addr, "turned away")
+	case worker.ID != w.ID:
+		return record, outcome, failure.New(failure.Stale, "ask worker", w.Addr, "another life has the address")
+	case worker.silent && (outcome == succeeds || outcome == resetMidResponse):
+		outcome = silentBeforeRun
+	case outcome == notExecuted, worker.nextRole != "", worker.waiting >= platform.queueLimitOf(worker), call.Kind == "read" && worker.Role == ids.Decode:
+		return record, outcome, failure.New(failure.NotExecuted, "ask worker", w.Addr, "turned away")
 	}
-	p.Accepted = true
-	return p, how, nil
+	record.Accepted = true
+	return record, outcome, nil
 }
 
-func (y *fakePlatform) queueLimitOf(s *fakeWorker) int {
-	if y.queueLimit > 0 {
-		return y.queueLimit
+func (p *fakePlatform) queueLimitOf(worker *fakeWorker) int {
+	if p.queueLimit > 0 {
+		return p.queueLimit
 	}
-	return 2 * s.Concurrency
+	return 2 * worker.Concurrency
 }
 
 // recordLoad keeps how a worker stands for late reports. The fake platform is locked.
-func (y *fakePlatform) recordLoad(s *fakeWorker) {
-	for y.reportDelay > 0 && len(s.loadHistory) > 1 && time.Since(s.loadHistory[1].at) > y.reportDelay {
-		s.loadHistory = s.loadHistory[1:]
+func (p *fakePlatform) recordLoad(worker *fakeWorker) {
+	for p.reportDelay > 0 && len(worker.loadHistory) > 1 && time.Since(worker.loadHistory[1].at) > p.reportDelay {
+		worker.loadHistory = worker.loadHistory[1:]
 	}
-	s.loadHistory = append(s.loadHistory, loadSample{time.Now(), s.running, s.waiting, s.memoryUsed})
+	worker.loadHistory = append(worker.loadHistory, loadSample{time.Now(), worker.running, worker.waiting, worker.memoryUsed})
 }
 
 // delayedLoad is how a worker stood a lag ago. The fake platform is locked.
-func (y *fakePlatform) delayedLoad(s *fakeWorker) loadSample {
-	out := loadSample{running: s.running, waiting: s.waiting, memoryUsed: s.memoryUsed}
-	for i := len(s.loadHistory) - 1; y.reportDelay > 0 && i >= 0; i-- {
-		if out = s.loadHistory[i]; time.Since(out.at) >= y.reportDelay {
+func (p *fakePlatform) delayedLoad(worker *fakeWorker) loadSample {
+	out := loadSample{running: worker.running, waiting: worker.waiting, memoryUsed: worker.memoryUsed}
+	for i := len(worker.loadHistory) - 1; p.reportDelay > 0 && i >= 0; i-- {
+		if out = worker.loadHistory[i]; time.Since(out.at) >= p.reportDelay {
 			break
 		}
 	}
@@ -325,18 +325,18 @@
 
 // acquireSlot waits for one of the worker's places, with memory, behind the more urgent. It gives how to leave it, and
 // how to give the memory back.
-func (y *fakePlatform) acquireSlot(ctx context.Context, s *fakeWorker, tokens, urgency int) (leave, let func(), err error) {
+func (p *fakePlatform) acquireSlot(ctx context.Context, worker *fakeWorker, tokens, urgency int) (releaseSlot, releaseMemory func(), err error) {
 	tokens = (tokens + 15) / 16 * 16
-	y.withLock(func() {
-		if s.waitingByUrgency == nil {
-			s.waitingByUrgency = map[int]int{}
+	p.withLock(func() {
+		if worker.waitingByUrgency == nil {
+			worker.waitingByUrgency = map[int]int{}
 		}
-		s.waitingByUrgency[urgency]++
-		s.waiting++
-		y.recordLoad(s)
+		worker.waitingByUrgency[urgency]++
+		worker.waiting++
+		p.recordLoad(worker)
 	})
-	first := func() bool {
-		for u, n := range s.waitingByUrgency {
+	isMostUrgent := func() bool {
+		for u, n := range worker.waitingByUrgency {
 			if u < urgency && n > 0 {
 				return false
 			}
@@ -344,32 +344,32 @@
 		return true
 	}
 	for {
-		y.mu.Lock()
-		if s.running < s.Concurrency && !s.silent && !s.terminated && (s.memoryCapacity == 0 || s.memoryUsed+tokens <= s.memoryCapacity) && first() {
-			s.waitingByUrgency[urgency]--
-			s.waiting, s.running, s.memoryUsed = s.waiting-1, s.running+1, s.memoryUsed+tokens
-			y.recordLoad(s)
-			y.mu.Unlock()
-			return sync.OnceFunc(func() { y.withLock(func() { s.running--; y.recordLoad(s) }) }), sync.OnceFunc(func() { y.withLock(func() { s.memoryUsed -= tokens; y.recordLoad(s) }) }), nil
+		p.mu.Lock()
+		if worker.running < worker.Concurrency && !worker.silent && !worker.terminated && (worker.memoryCapacity == 0 || worker.memoryUsed+tokens <= worker.memoryCapacity) && isMostUrgent() {
+			worker.waitingByUrgency[urgency]--
+			worker.waiting, worker.running, worker.memoryUsed = worker.waiting-1, worker.running+1, worker.memoryUsed+tokens
+			p.recordLoad(worker)
+			p.mu.Unlock()
+			return sync.OnceFunc(func() { p.withLock(func() { worker.running--; p.recordLoad(worker) }) }), sync.OnceFunc(func() { p.withLock(func() { worker.memoryUsed -= tokens; p.recordLoad(worker) }) }), nil
 		}
-		dead := s.terminated
-		y.mu.Unlock()
-		if dead || !sleepContext(ctx, 5*time.Millisecond) {
-			y.withLock(func() { s.waitingByUrgency[urgency]--; s.waiting--; y.recordLoad(s) })
-			return nil, nil, outcomeUnknown(s.Worker, "ended while it waited")
+		terminated := worker.terminated
+		p.mu.Unlock()
+		if terminated || !sleepContext(ctx, 5*time.Millisecond) {
+			p.withLock(func() { worker.waitingByUrgency[urgency]--; worker.waiting--; p.recordLoad(worker) })
+			return nil, nil, outcomeUnknown(worker.Worker, "ended while it waited")
 		}
 	}
 }
 
-func (y *fakePlatform) currentLoad(s *fakeWorker) *Load {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return &Load{Running: s.running, Waiting: s.waiting, Concurrency: s.Concurrency}
+func (p *fakePlatform) currentLoad(worker *fakeWorker) *Load {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return &Load{Running: worker.running, Waiting: worker.waiting, Concurrency: worker.Concurrency}
 }
 
 // outcomeWithoutReply is a fate by which nothing comes back.
-func outcomeWithoutReply(ctx context.Context, how callOutcome, w Worker) (error, bool) {
-	switch how {
+func outcomeWithoutReply(ctx context.Context, outcome callOutcome, w Worker) (error, bool) {
+	switch outcome {
 	case resetAfterRun, resetBeforeRun:
 		return outcomeUnknown(w, "reset"), true
 	case foreignResponse:
@@ -382,80 +382,80 @@
 }
 
 // checkReplyPath tells whether an answer can come back, and waits for it while a node is frozen.
-func (b *fakeBackend) checkReplyPath(ctx context.Context, s *fakeWorker) error {
+func (b *fakeBackend) checkReplyPath(ctx context.Context, worker *fakeWorker) error {
 	b.waitWhileFrozen()
 	b.platform.mu.Lock()
-	lost := b.platform.partitionedNodes[b.nodeIP] || s.silent
-	dead := s.terminated
+	lost := b.platform.partitionedNodes[b.nodeIP] || worker.silent
+	terminated := worker.terminated
 	b.platform.mu.Unlock()
 	switch {
-	case dead:
-		return outcomeUnknown(s.Worker, "reset")
+	case terminated:
+		return outcomeUnknown(worker.Worker, "reset")
 	case lost:
 		<-ctx.Done()
-		return outcomeUnknown(s.Worker, "nothing came")
+		return outcomeUnknown(worker.Worker, "nothing came")
 	case ctx.Err() != nil:
-		return outcomeUnknown(s.Worker, "given up")
+		return outcomeUnknown(worker.Worker, "given up")
 	}
 	return nil
 }
 
-func (b *fakeBackend) Read(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*PrefillResult, error) {
-	y, off := b.platform, b.knownUnavailableFor(w)
-	s, err := b.connect(ctx, w)
+func (b *fakeBackend) Read(ctx context.Context, w Worker, r *Request, remaining time.Duration, urgency int) (*PrefillResult, error) {
+	platform, unavailableFor := b.platform, b.knownUnavailableFor(w)
+	worker, err := b.connect(ctx, w)
 	if err != nil {
 		return nil, err
 	}
-	y.mu.Lock()
-	_, how, err := b.recordCall(callRecord{Kind: "read", RequestID: r.ID, UnavailableFor: off, Key: r.Key, Tenant: r.Tenant, Urgency: urgency}, s, w)
-	at := len(y.calls) - 1
-	y.mu.Unlock()
+	platform.mu.Lock()
+	_, outcome, err := b.recordCall(callRecord{Kind: "read", RequestID: r.ID, UnavailableFor: unavailableFor, Key: r.Key, Tenant: r.Tenant, Urgency: urgency}, worker, w)
+	index := len(platform.calls) - 1
+	platform.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	if err, ended := outcomeWithoutReply(ctx, how, w); ended {
+	if err, ended := outcomeWithoutReply(ctx, outcome, w); ended {
 		return nil, err
 	}
-	leave, let, err := y.acquireSlot(ctx, s, r.Prompt, urgency)
+	releaseSlot, releaseMemory, err := platform.acquireSlot(ctx, worker, r.Prompt, urgency)
 	if err != nil {
 		return nil, err
 	}
-	defer leave()
-	y.mu.Lock()
-	slow := y.extraPrefillTime[s.name]
-	y.mu.Unlock()
-	if !sleepContext(ctx, slow+5*time.Millisecond+time.Duration(r.Prompt/50)*time.Millisecond) {
-		let()
+	defer releaseSlot()
+	platform.mu.Lock()
+	extra := platform.extraPrefillTime[worker.name]
+	platform.mu.Unlock()
+	if !sleepContext(ctx, extra+5*time.Millisecond+time.Duration(r.Prompt/50)*time.Millisecond) {
+		releaseMemory()
 		return nil, outcomeUnknown(w, "given up")
 	}
-	y.mu.Lock()
-	y.lastHandle++
-	name := fmt.Sprint("kv-", y.lastHandle)
-	if !s.terminated {
-		y.handles[name] = &memoryHandle{worker: s.ID, requestID: r.ID, release: let}
+	platform.mu.Lock()
+	platform.lastHandle++
+	name := fmt.Sprint("kv-", platform.lastHandle)
+	if !worker.terminated {
+		platform.handles[name] = &memoryHandle{worker: worker.ID, requestID: r.ID, release: releaseMemory}
 	}
-	hook := y.afterPrefill
-	y.mu.Unlock()
-	if err := b.checkReplyPath(ctx, s); err != nil {
+	afterPrefill := platform.afterPrefill
+	platform.mu.Unlock()
+	if err := b.checkReplyPath(ctx, worker); err != nil {
 		return nil, err
 	}
-	if hook != nil {
-		hook(r)
+	if afterPrefill != nil {
+		afterPrefill(r)
 	}
-	y.withLock(func() { y.calls[at].Executed = true })
-	return &PrefillResult{Handle: name, Tokens: r.Prompt, Load: y.currentLoad(s)}, nil
+	platform.withLock(func() { platform.calls[index].Executed = true })
+	return &PrefillResult{Handle: name, Tokens: r.Prompt, Load: platform.currentLoad(worker)}, nil
 }
 
 // fetchMemory has memory of a source, once. The fake platform is locked.
-func (y *fakePlatform) fetchMemory(source *Source) bool {
-	h := y.handles[source.Handle]
-	if h == nil || h.fetches > 0 || h.freed {
+func (p *fakePlatform) fetchMemory(source *Source) bool {
+	handle := p.handles[source.Handle]
+	if handle == nil || handle.fetches > 0 || handle.freed {
 		return false
 	}
-	for _, s := range y.workers {
-		if s.ID == h.worker && !s.silent && !s.terminated {
-			h.fetches++
-			go h.release()
+	for _, worker := range p.workers {
+		if worker.ID == handle.worker && !worker.silent && !worker.terminated {
+			handle.fetches++
+			go handle.release()
 			return true
 		}
 	}
@@ -463,69 +463,69 @@
 }
 
 // decodeRecord is the line of the book for an emission.
-func decodeRecord(r *Request, from string, direct bool, off time.Duration, urgency int) callRecord {
+func decodeRecord(r *Request, lastEventID string, direct bool, unavailableFor time.Duration, urgency int) callRecord {
 	return callRecord{
-		Kind: "emit", RequestID: r.ID, LastEventID: from, UnavailableFor: off, Direct: direct, Key: r.Key, Tenant: r.Tenant, Urgency: urgency,
+		Kind: "emit", RequestID: r.ID, LastEventID: lastEventID, UnavailableFor: unavailableFor, Direct: direct, Key: r.Key, Tenant: r.Tenant, Urgency: urgency,
 	}
 }
 
-func (b *fakeBackend) Emit(ctx context.Context, w Worker, r *Request, source *Source, from string, left time.Duration, urgency int) (*Response, error) {
-	y, off := b.platform, b.knownUnavailableFor(w)
-	s, err := b.connect(ctx, w)
+func (b *fakeBackend) Emit(ctx context.Context, w Worker, r *Request, source *Source, lastEventID string, remaining time.Duration, urgency int) (*Response, error) {
+	platform, unavailableFor := b.platform, b.knownUnavailableFor(w)
+	worker, err := b.connect(ctx, w)
 	if err != nil {
 		return nil, err
 	}
-	y.mu.Lock()
-	p, how, err := b.recordCall(decodeRecord(r, from, source == nil && from == "", off, urgency), s, w)
-	if err == nil && source != nil && how != resetBeforeRun && how != silentBeforeRun && (how == memoryLost || !y.fetchMemory(source)) {
-		p.Accepted = false
+	platform.mu.Lock()
+	record, outcome, err := b.recordCall(decodeRecord(r, lastEventID, source == nil && lastEventID == "", unavailableFor, urgency), worker, w)
+	if err == nil && source != nil && outcome != resetBeforeRun && outcome != silentBeforeRun && (outcome == memoryLost || !platform.fetchMemory(source)) {
+		record.Accepted = false
 		err = failure.New(failure.DataLost, "fetch memory", w.Addr, "it cannot be had")
 	}
-	if err == nil && how != resetBeforeRun && how != silentBeforeRun {
-		p.Executed = true
+	if err == nil && outcome != resetBeforeRun && outcome != silentBeforeRun {
+		record.Executed = true
 	}
-	y.mu.Unlock()
+	platform.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	if err, ended := outcomeWithoutReply(ctx, how, w); ended {
+	if err, ended := outcomeWithoutReply(ctx, outcome, w); ended {
 		return nil, err
 	}
-	out, let, err := y.acquireSlot(ctx, s, r.Prompt+r.MaxTokens, urgency)
+	releaseSlot, releaseMemory, err := platform.acquireSlot(ctx, worker, r.Prompt+r.MaxTokens, urgency)
 	if err != nil {
 		return nil, err
 	}
-	leave := func() { out(); let() }
-	if source == nil && from == "" && !sleepContext(ctx, time.Duration(r.Prompt/y.directTokensPerMs)*time.Millisecond) {
-		leave()
+	release := func() { releaseSlot(); releaseMemory() }
+	if source == nil && lastEventID == "" && !sleepContext(ctx, time.Duration(r.Prompt/platform.directTokensPerMs)*time.Millisecond) {
+		release()
 		return nil, outcomeUnknown(w, "given up")
 	}
-	if err := b.checkReplyPath(ctx, s); err != nil {
-		leave()
+	if err := b.checkReplyPath(ctx, worker); err != nil {
+		release()
 		return nil, err
 	}
-	a := &responseBody{ctx: ctx, backend: b, worker: s, release: leave, cutChunk: -1}
-	reply := &Response{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.ID)}}, FromWorker: how != unstampedResponse, Length: -1, Body: a, Load: y.currentLoad(s)}
-	if how == serverError {
-		reply.Status = http.StatusInternalServerError
-		a.chunks = [][]byte{[]byte("failed")}
-		return reply, nil
+	body := &responseBody{ctx: ctx, backend: b, worker: worker, release: release, cutChunk: -1}
+	response := &Response{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.ID)}}, FromWorker: outcome != unstampedResponse, Length: -1, Body: body, Load: platform.currentLoad(worker)}
+	if outcome == serverError {
+		response.Status = http.StatusInternalServerError
+		body.chunks = [][]byte{[]byte("failed")}
+		return response, nil
 	}
 	if r.Header.Get("Accept") == "text/event-stream" {
-		reply.Events = true
-		n, _ := strconv.Atoi(from)
-		for i := n + 1; i <= r.MaxTokens; i++ {
-			a.chunks = append(a.chunks, fmt.Appendf(nil, "id: %d\ndata: word-%d of %s\n\n", i, i, r.ID))
+		response.Events = true
+		last, _ := strconv.Atoi(lastEventID)
+		for i := last + 1; i <= r.MaxTokens; i++ {
+			body.chunks = append(body.chunks, fmt.Appendf(nil, "id: %d\ndata: word-%d of %s\n\n", i, i, r.ID))
 		}
 	} else {
 		for i := 1; i <= r.MaxTokens; i++ {
-			a.chunks = append(a.chunks, fmt.Appendf(nil, "word-%d of %s;", i, r.ID))
+			body.chunks = append(body.chunks, fmt.Appendf(nil, "word-%d of %s;", i, r.ID))
 		}
 	}
-	if how == resetMidResponse {
-		a.cutChunk = len(a.chunks) / 2
+	if outcome == resetMidResponse {
+		body.cutChunk = len(body.chunks) / 2
 	}
-	return reply, nil
+	return response, nil
 }
 
 // responseBody is a body that comes piece by piece.
@@ -542,145 +542,145 @@
 }
 
 // eventIntervalOf is how long a worker takes between events.
-func (y *fakePlatform) eventIntervalOf(s *fakeWorker) time.Duration {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	if d, ok := y.slowEventIntervals[s.name]; ok {
+func (p *fakePlatform) eventIntervalOf(worker *fakeWorker) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if d, ok := p.slowEventIntervals[worker.name]; ok {
 		return d
 	}
-	return y.eventInterval
+	return p.eventInterval
 }
 
-func (a *responseBody) Read(p []byte) (int, error) {
-	if len(a.pending) == 0 {
-		if a.err == nil && a.nextChunk == len(a.chunks) && a.cutChunk != a.nextChunk {
-			a.err = io.EOF
+func (b *responseBody) Read(p []byte) (int, error) {
+	if len(b.pending) == 0 {
+		if b.err == nil && b.nextChunk == len(b.chunks) && b.cutChunk != b.nextChunk {
+			b.err = io.EOF
 		}
-		if a.err != nil {
-			a.release()
-			return 0, a.err
+		if b.err != nil {
+			b.release()
+			return 0, b.err
 		}
-		if !sleepContext(a.ctx, a.backend.platform.eventIntervalOf(a.worker)) {
-			a.release()
-			return 0, a.ctx.Err()
+		if !sleepContext(b.ctx, b.backend.platform.eventIntervalOf(b.worker)) {
+			b.release()
+			return 0, b.ctx.Err()
 		}
-		if err := a.backend.checkReplyPath(a.ctx, a.worker); err != nil {
-			a.release()
+		if err := b.backend.checkReplyPath(b.ctx, b.worker); err != nil {
+			b.release()
 			return 0, err
 		}
-		if a.nextChunk == a.cutChunk {
-			a.err = errConnectionReset
-			if a.nextChunk < len(a.chunks) {
-				a.pending = a.chunks[a.nextChunk][:len(a.chunks[a.nextChunk])/2]
+		if b.nextChunk == b.cutChunk {
+			b.err = errConnectionReset
+			if b.nextChunk < len(b.chunks) {
+				b.pending = b.chunks[b.nextChunk][:len(b.chunks[b.nextChunk])/2]
 			}
-			if len(a.pending) == 0 {
-				return 0, a.err
+			if len(b.pending) == 0 {
+				return 0, b.err
 			}
 		} else {
-			a.pending = a.chunks[a.nextChunk]
-			a.nextChunk++
+			b.pending = b.chunks[b.nextChunk]
+			b.nextChunk++
 		}
 	}
-	k := copy(p, a.pending)
-	a.pending = a.pending[k:]
-	return k, nil
+	n := copy(p, b.pending)
+	b.pending = b.pending[n:]
+	return n, nil
 }
 
-func (a *responseBody) Close() error { a.release(); return nil }
+func (b *responseBody) Close() error { b.release(); return nil }
 
 func (b *fakeBackend) Free(ctx context.Context, w Worker, name string) error {
-	s, err := b.connect(ctx, w)
+	worker, err := b.connect(ctx, w)
 	if err != nil {
 		return err
 	}
 	b.platform.mu.Lock()
 	defer b.platform.mu.Unlock()
-	b.platform.calls = append(b.platform.calls, callRecord{At: b.platform.elapsed(), Kind: "free", Node: b.nodeIP, Worker: s.ID})
-	if h := b.platform.handles[name]; h != nil && h.worker == s.ID {
-		h.freed = true
-		go h.release()
+	b.platform.calls = append(b.platform.calls, callRecord{At: b.platform.elapsed(), Kind: "free", Node: b.nodeIP, Worker: worker.ID})
+	if handle := b.platform.handles[name]; handle != nil && handle.worker == worker.ID {
+		handle.freed = true
+		go handle.release()
 	}
 	return nil
 }
 
 func (b *fakeBackend) Report(ctx context.Context, w Worker) (*Report, error) {
-	s, err := b.connect(ctx, w)
+	worker, err := b.connect(ctx, w)
 	if err != nil {
 		return nil, err
 	}
 	b.platform.withLock(func() {
-		b.platform.calls = append(b.platform.calls, callRecord{At: b.platform.elapsed(), Kind: "report", Node: b.nodeIP, Worker: s.ID})
+		b.platform.calls = append(b.platform.calls, callRecord{At: b.platform.elapsed(), Kind: "report", Node: b.nodeIP, Worker: worker.ID})
 	})
-	if err := b.checkReplyPath(ctx, s); err != nil {
+	if err := b.checkReplyPath(ctx, worker); err != nil {
 		return nil, err
 	}
 	b.platform.mu.Lock()
-	lie := b.platform.reportError
+	reportError := b.platform.reportError
 	b.platform.mu.Unlock()
-	if lie != nil {
-		if err := lie(b.nodeIP, s); err != nil {
+	if reportError != nil {
+		if err := reportError(b.nodeIP, worker); err != nil {
 			return nil, err
 		}
 	}
 	b.platform.mu.Lock()
 	defer b.platform.mu.Unlock()
-	more := 0
+	extra := 0
 	if b.platform.extraRunning != nil {
-		more = b.platform.extraRunning(s)
+		extra = b.platform.extraRunning(worker)
 	}
-	was := b.platform.delayedLoad(s)
-	r := &Report{Role: s.Role, RoleChanging: s.nextRole != "", Orders: s.orderCount, Waiting: was.waiting, Running: was.running + more, Used: 10000 * was.running, Capacity: 10000 * s.Concurrency}
-	if s.memoryCapacity > 0 {
-		r.Used, r.Capacity = was.memoryUsed, s.memoryCapacity
+	load := b.platform.delayedLoad(worker)
+	report := &Report{Role: worker.Role, RoleChanging: worker.nextRole != "", Orders: worker.orderCount, Waiting: load.waiting, Running: load.running + extra, Used: 10000 * load.running, Capacity: 10000 * worker.Concurrency}
+	if worker.memoryCapacity > 0 {
+		report.Used, report.Capacity = load.memoryUsed, worker.memoryCapacity
 	}
-	return r, nil
+	return report, nil
 }
 
-func (b *fakeBackend) Order(ctx context.Context, w Worker, o *RoleOrder) error {
-	s, err := b.connect(ctx, w)
+func (b *fakeBackend) Order(ctx context.Context, w Worker, order *RoleOrder) error {
+	worker, err := b.connect(ctx, w)
 	if err != nil {
 		return err
 	}
-	y := b.platform
-	y.mu.Lock()
-	k := callRecord{At: y.elapsed(), Kind: "order", Node: b.nodeIP, Worker: w.ID, Owner: o.Owner, Fence: o.Fence, TargetRole: o.To}
-	if s.ID != w.ID || s.nextRole != "" || o.Expected != s.orderCount || s.silent {
-		y.calls = append(y.calls, k)
-		y.mu.Unlock()
+	platform := b.platform
+	platform.mu.Lock()
+	call := callRecord{At: platform.elapsed(), Kind: "order", Node: b.nodeIP, Worker: w.ID, Owner: order.Owner, Fence: order.Fence, TargetRole: order.To}
+	if worker.ID != w.ID || worker.nextRole != "" || order.Expected != worker.orderCount || worker.silent {
+		platform.calls = append(platform.calls, call)
+		platform.mu.Unlock()
 		return failure.New(failure.NotExecuted, "order", w.Addr, "refused")
 	}
-	k.Accepted = true
-	y.calls = append(y.calls, k)
-	s.orderCount++
-	s.nextRole = o.To
-	y.mu.Unlock()
-	time.AfterFunc(y.roleChangeTime, func() { y.withLock(func() { s.Role, s.nextRole = s.nextRole, "" }) })
-	return b.checkReplyPath(ctx, s)
+	call.Accepted = true
+	platform.calls = append(platform.calls, call)
+	worker.orderCount++
+	worker.nextRole = order.To
+	platform.mu.Unlock()
+	time.AfterFunc(platform.roleChangeTime, func() { platform.withLock(func() { worker.Role, worker.nextRole = worker.nextRole, "" }) })
+	return b.checkReplyPath(ctx, worker)
 }
 
 func (b *fakeBackend) List(ctx context.Context) ([]Worker, error) {
 	b.waitWhileFrozen()
-	y := b.platform
-	y.mu.Lock()
-	lag := 500 * time.Microsecond
-	if y.listDelay != nil {
-		lag = y.listDelay()
-	}
-	no := y.listFails || y.partitionedNodes[b.nodeIP]
-	y.listCalls = append(y.listCalls, callRecord{At: y.elapsed(), Node: b.nodeIP})
-	y.mu.Unlock()
-	if no || !sleepContext(ctx, lag) {
+	platform := b.platform
+	platform.mu.Lock()
+	delay := 500 * time.Microsecond
+	if platform.listDelay != nil {
+		delay = platform.listDelay()
+	}
+	fails := platform.listFails || platform.partitionedNodes[b.nodeIP]
+	platform.listCalls = append(platform.listCalls, callRecord{At: platform.elapsed(), Node: b.nodeIP})
+	platform.mu.Unlock()
+	if fails || !sleepContext(ctx, delay) {
 		return nil, failure.New(failure.Unavailable, "list", "", "no list")
 	}
-	y.mu.Lock()
-	defer y.mu.Unlock()
+	platform.mu.Lock()
+	defer platform.mu.Unlock()
 	var out []Worker
-	for _, s := range y.workers {
-		if s.unlisted || s.terminated {
+	for _, worker := range platform.workers {
+		if worker.unlisted || worker.terminated {
 			continue
 		}
-		w := s.Worker
-		w.SlowStart = max(0, time.Until(s.warmAt))
+		w := worker.Worker
+		w.SlowStart = max(0, time.Until(worker.warmAt))
 		out = append(out, w)
 	}
 	return out, nil
--- a/internal/proxy/silent_workers_test.go
+++ b/internal/proxy/silent_workers_test.go
@@ -15,28 +15,28 @@
 )
 
 // directDecodes are those that were sent without memory between two moments.
-func directDecodes(rows []callRecord, from, to time.Duration) []callRecord {
+func directDecodes(calls []callRecord, from, to time.Duration) []callRecord {
 	var out []callRecord
-	for _, k := range rows {
-		if k.Kind == "emit" && k.Direct && k.At >= from && k.At < to {
-			out = append(out, k)
+	for _, call := range calls {
+		if call.Kind == "emit" && call.Direct && call.At >= from && call.At < to {
+			out = append(out, call)
 		}
 	}
 	return out
 }
 
 // silenceAfter has workers of a pool say nothing more after a while, and gives the pool's time of that.
-func silenceAfter(f *fleet, y *fakePlatform, after time.Duration, names ...string) time.Duration {
-	at := y.elapsed() + after
+func silenceAfter(f *fleet, platform *fakePlatform, after time.Duration, names ...string) time.Duration {
+	silentFrom := platform.elapsed() + after
 	f.wg.Go(func() {
 		time.Sleep(after)
-		y.withLock(func() {
+		platform.withLock(func() {
 			for _, name := range names {
-				y.worker(name).silent = true
+				platform.worker(name).silent = true
 			}
 		})
 	})
-	return at
+	return silentFrom
 }
 
 const (
@@ -48,16 +48,16 @@
 // Another one is offered the same memory, and none reads a prompt by itself.
 func TestUnfetchedMemoryOfferedToAnotherWorker(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 54, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 60 })
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 54, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 60 })
 		defer f.close()
-		dark := silenceAfter(f, y, silenceDelay, "svc-decode-1")
-		all := f.generateLoad(60, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 2) })
-		require.NotEmpty(t, sentTo(y.recordedCalls(), "svc-decode-1.1", dark, time.Hour))
-		require.Empty(t, directDecodes(y.recordedCalls(), 0, time.Hour))
-		require.Empty(t, answers(all))
-		for _, a := range all {
-			require.NoError(t, a.err, a.ID)
+		silentFrom := silenceAfter(f, platform, silenceDelay, "svc-decode-1")
+		results := f.generateLoad(60, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 2) })
+		require.NotEmpty(t, sentTo(platform.recordedCalls(), "svc-decode-1.1", silentFrom, time.Hour))
+		require.Empty(t, directDecodes(platform.recordedCalls(), 0, time.Hour))
+		require.Empty(t, answers(results))
+		for _, result := range results {
+			require.NoError(t, result.err, result.ID)
 		}
 	})
 }
@@ -66,27 +66,27 @@
 // the request away: that one is sent it once more, and reads by itself.
 func TestFetchedMemoryFallsBackToDirectDecode(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 2)...)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 2)...)
 		routes := defaultRoutes()
 		for i := range routes {
 			routes[i].MaxAttempts = 2
 		}
 		service := fleetstate.Service{Name: "svc", Concurrency: 16, RoleChangeMs: 1000}
-		f := startFleet(t, 55, 2, y, encodeConfiguration(routes, service), func(o *Options) { o.RetryAllowance = 60 })
+		f := startFleet(t, 55, 2, platform, encodeConfiguration(routes, service), func(o *Options) { o.RetryAllowance = 60 })
 		defer f.close()
 		silenced := map[string]bool{}
-		y.outcome = func(k callRecord, w *fakeWorker) callOutcome {
-			if k.Kind == "emit" && !silenced[k.RequestID] && k.RequestID[len(k.RequestID)-1] == '0' {
-				silenced[k.RequestID] = true
+		platform.outcome = func(call callRecord, worker *fakeWorker) callOutcome {
+			if call.Kind == "emit" && !silenced[call.RequestID] && call.RequestID[len(call.RequestID)-1] == '0' {
+				silenced[call.RequestID] = true
 				return silentAfterRun
 			}
 			return succeeds
 		}
-		all := f.generateLoad(20, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 2) })
-		require.NotEmpty(t, directDecodes(y.recordedCalls(), 0, time.Hour))
-		require.Empty(t, answers(all))
-		for _, a := range all {
-			require.NoError(t, a.err, a.ID)
+		results := f.generateLoad(20, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 2) })
+		require.NotEmpty(t, directDecodes(platform.recordedCalls(), 0, time.Hour))
+		require.Empty(t, answers(results))
+		for _, result := range results {
+			require.NoError(t, result.err, result.ID)
 		}
 	})
 }
@@ -97,18 +97,18 @@
 func TestPrefillRetriedAfterSilence(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		const allowance = 60
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 56, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance, o.HedgeFactor = allowance, -1 })
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 56, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance, o.HedgeFactor = allowance, -1 })
 		defer f.close()
-		dark := silenceAfter(f, y, silenceDelay, "svc-prefill-0")
-		all := f.generateLoad(30, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
-		require.NotEmpty(t, sentTo(y.recordedCalls(), "svc-prefill-0.1", dark, time.Hour))
-		require.Empty(t, directDecodes(y.recordedCalls(), 0, time.Hour))
-		require.Empty(t, onceOnly(y.recordedCalls(), all))
-		require.Empty(t, answers(all))
-		require.Empty(t, extras(y.recordedCalls(), all, 0.2, allowance, window))
-		for _, a := range all {
-			require.NoError(t, a.err, a.ID)
+		silentFrom := silenceAfter(f, platform, silenceDelay, "svc-prefill-0")
+		results := f.generateLoad(30, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
+		require.NotEmpty(t, sentTo(platform.recordedCalls(), "svc-prefill-0.1", silentFrom, time.Hour))
+		require.Empty(t, directDecodes(platform.recordedCalls(), 0, time.Hour))
+		require.Empty(t, onceOnly(platform.recordedCalls(), results))
+		require.Empty(t, answers(results))
+		require.Empty(t, extras(platform.recordedCalls(), results, 0.2, allowance, window))
+		for _, result := range results {
+			require.NoError(t, result.err, result.ID)
 		}
 	})
 }
@@ -117,19 +117,19 @@
 func TestPrefillRetriesUseRetryBudget(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		const allowance, ratio = 3, 0.001
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 59, 2, y, defaultConfiguration(), func(o *Options) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 59, 2, platform, defaultConfiguration(), func(o *Options) {
 			o.RetryAllowance, o.RetryRatio, o.HedgeFactor = allowance, ratio, -1
 		})
 		defer f.close()
-		dark := silenceAfter(f, y, silenceDelay, "svc-prefill-0", "svc-prefill-1")
-		all := f.generateLoad(90, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 4) })
+		silentFrom := silenceAfter(f, platform, silenceDelay, "svc-prefill-0", "svc-prefill-1")
+		results := f.generateLoad(90, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 4) })
 		reads := append(
-			sentTo(y.recordedCalls(), "svc-prefill-0.1", dark, time.Hour),
-			sentTo(y.recordedCalls(), "svc-prefill-1.1", dark, time.Hour)...,
+			sentTo(platform.recordedCalls(), "svc-prefill-0.1", silentFrom, time.Hour),
+			sentTo(platform.recordedCalls(), "svc-prefill-1.1", silentFrom, time.Hour)...,
 		)
 		require.Greater(t, len(reads), allowance)
-		require.Empty(t, extras(y.recordedCalls(), all, ratio, allowance, window))
+		require.Empty(t, extras(platform.recordedCalls(), results, ratio, allowance, window))
 	})
 }
 
@@ -137,14 +137,14 @@
 // after a silence far beyond them and the time for its report, and gets nothing more from then on.
 func TestSilentWorkerDetectedQuickly(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 57, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 60 })
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 57, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 60 })
 		defer f.close()
-		dark := silenceAfter(f, y, silenceDelay, "svc-decode-1")
+		silentFrom := silenceAfter(f, platform, silenceDelay, "svc-decode-1")
 		f.generateLoad(60, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
 		const found = silence.Floor + 150*time.Millisecond
-		require.NotEmpty(t, sentTo(y.recordedCalls(), "svc-decode-1.1", dark, time.Hour))
-		require.Empty(t, sentTo(y.recordedCalls(), "svc-decode-1.1", dark+found, dark+time.Second))
+		require.NotEmpty(t, sentTo(platform.recordedCalls(), "svc-decode-1.1", silentFrom, time.Hour))
+		require.Empty(t, sentTo(platform.recordedCalls(), "svc-decode-1.1", silentFrom+found, silentFrom+time.Second))
 	})
 }
 
@@ -152,33 +152,33 @@
 // are told to emit within a second and a half.
 func TestLostDecodeWorkersReplaced(t *testing.T) {
 	forEachSeed(t, 6, func(t *testing.T, seed uint64) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 6, 3)...)
-		f := startFleet(t, seed, 3, y, defaultConfiguration(), func(o *Options) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 6, 3)...)
+		f := startFleet(t, seed, 3, platform, defaultConfiguration(), func(o *Options) {
 			turning(o)
 			o.IdlePrefillShare = 0.667
 		})
 		defer f.close()
-		y.pressed(ids.Decode, 4) // a quarter of their places, all the time
-		dark := silenceAfter(f, y, 8*time.Second, "svc-decode-0", "svc-decode-1")
+		platform.pressed(ids.Decode, 4) // a quarter of their places, all the time
+		silentFrom := silenceAfter(f, platform, 8*time.Second, "svc-decode-0", "svc-decode-1")
 		f.generateLoad(40, 12*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 3) })
-		var told []callRecord
-		for _, k := range orders(y.recordedCalls()) {
-			if k.TargetRole == ids.Decode && k.At >= dark {
-				told = append(told, k)
+		var roleOrders []callRecord
+		for _, call := range orders(platform.recordedCalls()) {
+			if call.TargetRole == ids.Decode && call.At >= silentFrom {
+				roleOrders = append(roleOrders, call)
 			}
 		}
-		require.GreaterOrEqual(t, len(told), 2)
-		require.Less(t, told[1].At-dark, 1500*time.Millisecond, "%v", told)
+		require.GreaterOrEqual(t, len(roleOrders), 2)
+		require.Less(t, roleOrders[1].At-silentFrom, 1500*time.Millisecond, "%v", roleOrders)
 	})
 }
 
 // TestRoleChangesAfterLoss: as many workers change their role at once as were lost, but no more than the
 // pressure on those that are left asks for, and each role keeps its least.
 func TestRoleChangesAfterLoss(t *testing.T) {
-	rows := func(readers, emitters int) (out []workerReport) {
-		for i := range readers + emitters {
+	newReports := func(prefillCount, decodeCount int) (out []workerReport) {
+		for i := range prefillCount + decodeCount {
 			role := ids.Prefill
-			if i >= readers {
+			if i >= prefillCount {
 				role = ids.Decode
 			}
 			out = append(out, workerReport{&Report{Role: role, Running: 1}, &Worker{ID: ids.WorkerID(fmt.Sprint(i))}})
@@ -200,8 +200,8 @@
 		{1, 6, 3, 0.05, roleCounts{2, 0}, 2, ids.Prefill},
 		{6, 3, 1, 0.25, roleCounts{1, 0}, 0, ""},
 	} {
-		some, to := chooseRoleChange(rows(c.readers, c.emitters), c.read, c.emit, -1, c.lost)
-		require.Len(t, some, c.want, "%+v", c)
+		changes, to := chooseRoleChange(newReports(c.readers, c.emitters), c.read, c.emit, -1, c.lost)
+		require.Len(t, changes, c.want, "%+v", c)
 		require.Equal(t, c.to, to, "%+v", c)
 	}
 }
--- a/internal/proxy/slow_feed_test.go
+++ b/internal/proxy/slow_feed_test.go
@@ -16,7 +16,7 @@
 // TestLargeSnapshotOverSlowLinkArrives: a node whose link carries the state in longer than any wait for an answer.
 func TestLargeSnapshotOverSlowLinkArrives(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
 		routes := defaultRoutes()
 		for i := range 1500 {
 			sum := sha256.Sum256([]byte(fmt.Sprint(i)))
@@ -24,13 +24,13 @@
 				Name: hex.EncodeToString(sum[:]), Host: fmt.Sprint("h", i), Prefix: "/", Service: "svc", DeadlineMs: 3000,
 			})
 		}
-		f := startFleet(t, 77, 2, y, encodeConfiguration(routes, fleetstate.Service{Name: "svc", Concurrency: 16}), nil)
+		f := startFleet(t, 77, 2, platform, encodeConfiguration(routes, fleetstate.Service{Name: "svc", Concurrency: 16}), nil)
 		defer f.close()
 		size := len(f.nodes[0].view.Snapshot())
 		for _, ip := range coreIPs {
 			f.world.SetLink(ip, nodeIP(2), simulated.Link{Delay: time.Millisecond, BytesPerSecond: size / 5})
 		}
-		late := f.startNode(2)
-		require.True(t, f.waitUntil(15*time.Second, func() bool { return late.view.Current().Version == 1 }), "%d bytes", size)
+		joining := f.startNode(2)
+		require.True(t, f.waitUntil(15*time.Second, func() bool { return joining.view.Current().Version == 1 }), "%d bytes", size)
 	})
 }
--- a/internal/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -43,8 +43,8 @@
 }
 
 // operator speaks to the core by way of a node.
-func (f *fleet) operator(b *testNode) *Operator {
-	return &Operator{Caller: b.agent.Caller(), Directory: b.Directory(), Zones: []string{"a", "b"}}
+func (f *fleet) operator(node *testNode) *Operator {
+	return &Operator{Caller: node.agent.Caller(), Directory: node.Directory(), Zones: []string{"a", "b"}}
 }
 
 func (f *fleet) applyProgramSet(op string, base uint64, text string) (*api.ApplyResponse, error) {
@@ -63,8 +63,8 @@
 
 // programSetActive tells whether every node has a set in force.
 func (f *fleet) programSetActive(v ids.Version) bool {
-	for _, b := range f.runningNodes() {
-		if s := b.view.Current().Programs; s == nil || s.Version != v {
+	for _, node := range f.runningNodes() {
+		if s := node.view.Current().Programs; s == nil || s.Version != v {
 			return false
 		}
 	}
@@ -72,13 +72,13 @@
 }
 
 // firstDecodeWorkers gives the number of the worker that each request was first offered to.
-func firstDecodeWorkers(rows []callRecord) map[string]int {
+func firstDecodeWorkers(calls []callRecord) map[string]int {
 	out := map[string]int{}
-	for _, k := range rows {
-		if _, ok := out[k.RequestID]; !ok && k.Kind == "emit" {
+	for _, call := range calls {
+		if _, ok := out[call.RequestID]; !ok && call.Kind == "emit" {
 			n := 0
-			fmt.Sscanf(strings.TrimPrefix(string(k.Worker), "svc-decode-"), "%d.", &n)
-			out[k.RequestID] = n
+			fmt.Sscanf(strings.TrimPrefix(string(call.Worker), "svc-decode-"), "%d.", &n)
+			out[call.RequestID] = n
 		}
 	}
 	return out
@@ -90,55 +90,55 @@
 // start's programs rule until the core has a set.
 func TestProgramSwapUnderLoad(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 81, 3, y, defaultConfiguration(), func(o *Options) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 81, 3, platform, defaultConfiguration(), func(o *Options) {
 			o.Programs = []routing.Source{{Name: "start", Share: 100, Text: preferWorkerProgram(3)}}
 		})
 		defer f.close()
-		a := f.send(f.nodes[0], f.newRequest("before", "/once/x", 400, 3))
-		require.NoError(t, a.err)
-		require.Equal(t, 3, firstDecodeWorkers(y.recordedCalls())["before"])
+		result := f.send(f.nodes[0], f.newRequest("before", "/once/x", 400, 3))
+		require.NoError(t, result.err)
+		require.Equal(t, 3, firstDecodeWorkers(platform.recordedCalls())["before"])
 		_, err := f.applyProgramSet("one", 0, encodeProgramSet(routing.Source{Name: "low", Share: 30, Text: preferWorkerProgram(0)}, routing.Source{Name: "high", Share: 70, Text: preferWorkerProgram(2)}))
 		require.NoError(t, err)
 		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(1) }))
-		var swapped, had time.Duration
+		var swapStarted, swapDone time.Duration
 		f.wg.Go(func() {
 			time.Sleep(8 * time.Second)
-			swapped = y.elapsed()
+			swapStarted = platform.elapsed()
 			got, err := f.applyProgramSet("two", 1, encodeProgramSet(routing.Source{Name: "mid", Share: 60, Text: preferWorkerProgram(1)}, routing.Source{Name: "low", Share: 40, Text: preferWorkerProgram(0)}))
 			require.NoError(t, err)
 			require.Equal(t, &api.ApplyResponse{Version: 2, Active: true}, got)
 			f.waitUntil(5*time.Second, func() bool { return f.programSetActive(2) })
-			had = y.elapsed()
+			swapDone = platform.elapsed()
 		})
-		all := f.generateLoad(60, 16*time.Second, func(i int) *Request {
+		results := f.generateLoad(60, 16*time.Second, func(i int) *Request {
 			if i%30 == 0 {
 				return f.newRequest(fmt.Sprint("s", i), "/stream/x", 400, 150)
 			}
 			return f.newRequest(fmt.Sprint("r", i), routePaths[i%2], 400, 4)
 		})
-		require.Less(t, had-swapped, 2*time.Second)
-		require.Empty(t, onceOnly(y.recordedCalls(), all))
-		require.Empty(t, answers(all))
-		across, at := 0, firstDecodeWorkers(y.recordedCalls())
-		var previous, new [4]float64
-		for _, a := range all {
-			require.NoError(t, a.err, a.ID)
+		require.Less(t, swapDone-swapStarted, 2*time.Second)
+		require.Empty(t, onceOnly(platform.recordedCalls(), results))
+		require.Empty(t, answers(results))
+		spanning, firstWorker := 0, firstDecodeWorkers(platform.recordedCalls())
+		var countsBefore, countsAfter [4]float64
+		for _, result := range results {
+			require.NoError(t, result.err, result.ID)
 			switch {
-			case a.sentAt < swapped:
-				previous[at[a.ID]]++
-			case a.sentAt > had:
-				new[at[a.ID]]++
+			case result.sentAt < swapStarted:
+				countsBefore[firstWorker[result.ID]]++
+			case result.sentAt > swapDone:
+				countsAfter[firstWorker[result.ID]]++
 			}
-			if a.stream && a.sentAt < swapped && a.endedAt > had {
-				across++
+			if result.stream && result.sentAt < swapStarted && result.endedAt > swapDone {
+				spanning++
 			}
 		}
-		require.Greater(t, across, 3, "streams ran across")
-		require.InDelta(t, 0.3, previous[0]/(previous[0]+previous[2]), 0.08, "%v", previous)
-		require.Zero(t, previous[1]+previous[3])
-		require.InDelta(t, 0.6, new[1]/(new[0]+new[1]), 0.08, "%v", new)
-		require.Zero(t, new[2]+new[3])
+		require.Greater(t, spanning, 3, "streams ran across")
+		require.InDelta(t, 0.3, countsBefore[0]/(countsBefore[0]+countsBefore[2]), 0.08, "%v", countsBefore)
+		require.Zero(t, countsBefore[1]+countsBefore[3])
+		require.InDelta(t, 0.6, countsAfter[1]/(countsAfter[0]+countsAfter[1]), 0.08, "%v", countsAfter)
+		require.Zero(t, countsAfter[2]+countsAfter[3])
 	})
 }
 
@@ -146,8 +146,8 @@
 // it began with.
 func TestResumedStreamKeepsProgramSet(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 4)...)
-		f := startFleet(t, 82, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 4)...)
+		f := startFleet(t, 82, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
 		defer f.close()
 		_, err := f.applyProgramSet("one", 0, encodeProgramSet(routing.Source{Name: "up", Share: 100, Text: orderProgram("w.id")}))
 		require.NoError(t, err)
@@ -158,17 +158,17 @@
 		_, err = f.applyProgramSet("two", 1, encodeProgramSet(routing.Source{Name: "last", Share: 100, Text: preferWorkerProgram(3)}))
 		require.NoError(t, err)
 		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(2) }))
-		y.restartWorker("svc-decode-0")
-		a := <-long
-		require.NoError(t, a.err)
-		require.Empty(t, answers([]*requestResult{a}))
-		var at []ids.WorkerID
-		for _, k := range y.recordedCalls() {
-			if k.Kind == "emit" {
-				at = append(at, k.Worker)
+		platform.restartWorker("svc-decode-0")
+		result := <-long
+		require.NoError(t, result.err)
+		require.Empty(t, answers([]*requestResult{result}))
+		var decodeWorkers []ids.WorkerID
+		for _, call := range platform.recordedCalls() {
+			if call.Kind == "emit" {
+				decodeWorkers = append(decodeWorkers, call.Worker)
 			}
 		}
-		require.Equal(t, []ids.WorkerID{"svc-decode-0.1", "svc-decode-1.1"}, at)
+		require.Equal(t, []ids.WorkerID{"svc-decode-0.1", "svc-decode-1.1"}, decodeWorkers)
 	})
 }
 
@@ -180,7 +180,7 @@
 	for i := range 17 {
 		many = append(many, routing.Source{Name: fmt.Sprint("p", i), Shadow: true, Text: ok.Text})
 	}
-	bad := map[string]string{
+	invalid := map[string]string{
 		"x.star:3:1":               encodeProgramSet(routing.Source{Name: "x", Share: 100, Text: "def order(ask, workers):\n    return [w.id for\n"}),
 		"must define":              encodeProgramSet(routing.Source{Name: "x", Share: 100, Text: "a = 1\n"}),
 		"has no turn":              encodeProgramSet(routing.Source{Name: "x", Share: 100, ChangesRoles: true, Text: ok.Text}),
@@ -197,14 +197,14 @@
 		"the fleet's own document": `{"zones":["a"]}`,
 	}
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 83, 1, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 83, 1, platform, defaultConfiguration(), nil)
 		defer f.close()
 		_, err := f.applyProgramSet("one", 0, encodeProgramSet(ok))
 		require.NoError(t, err)
-		was := f.currentProgramSet()
-		require.EqualValues(t, 1, was.Version)
-		for reason, text := range bad {
+		before := f.currentProgramSet()
+		require.EqualValues(t, 1, before.Version)
+		for reason, text := range invalid {
 			_, err := f.applyProgramSet("op "+reason, 1, text)
 			require.ErrorContains(t, err, reason)
 			require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
@@ -214,7 +214,7 @@
 		require.True(t, failure.Is(err, failure.Stale))
 		_, err = f.applyProgramSet("ahead", 2, encodeProgramSet(ok))
 		require.True(t, failure.Is(err, failure.Stale))
-		require.Equal(t, was, f.currentProgramSet())
+		require.Equal(t, before, f.currentProgramSet())
 		got, err := f.applyProgramSet("one", 0, encodeProgramSet(ok))
 		require.NoError(t, err, "the same operation again has its one outcome")
 		require.EqualValues(t, 1, got.Version)
@@ -225,8 +225,8 @@
 // empty set leaves all to the built-in order, also where the node began with programs.
 func TestPartialProgramSet(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 84, 1, y, defaultConfiguration(), func(o *Options) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 84, 1, platform, defaultConfiguration(), func(o *Options) {
 			o.Programs = []routing.Source{{Name: "start", Share: 100, Text: preferWorkerProgram(1)}}
 		})
 		defer f.close()
@@ -239,16 +239,16 @@
 		got, err := apply("one", 0, false, encodeProgramSet(routing.Source{Name: "a", Share: 100, Text: orderProgram("w.id")}))
 		require.NoError(t, err)
 		require.EqualValues(t, 1, got.Version)
-		half := `{"programs":{"a":{"share":50},"b":{"source":"def match(ask, worker):\n    return True\n","share":50}}}`
-		got, err = apply("dry", 1, true, half)
+		partialSet := `{"programs":{"a":{"share":50},"b":{"source":"def match(ask, worker):\n    return True\n","share":50}}}`
+		got, err = apply("dry", 1, true, partialSet)
 		require.NoError(t, err)
 		require.Contains(t, string(got.Policy), "def match")
 		require.EqualValues(t, 1, f.currentProgramSet().Newest)
-		_, err = apply("stale", 0, false, half)
+		_, err = apply("stale", 0, false, partialSet)
 		require.ErrorContains(t, err, "the newest is 1")
-		_, err = apply("two", 1, false, half)
+		_, err = apply("two", 1, false, partialSet)
 		require.NoError(t, err)
-		got, err = apply("two", 1, false, half)
+		got, err = apply("two", 1, false, partialSet)
 		require.NoError(t, err, "again")
 		require.EqualValues(t, 2, got.Version)
 		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(2) }))
@@ -264,19 +264,19 @@
 // runs, fall back and are counted; every request is served.
 func TestFaultyProgramsFallBack(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 85, 2, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 85, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
 		f.wg.Go(func() {
 			time.Sleep(2 * time.Second)
 			_, err := f.applyProgramSet("hostile", 0, encodeProgramSet(programs...))
 			require.NoError(t, err)
 		})
-		all := f.generateLoad(40, 6*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
-		for _, a := range all {
-			require.NoError(t, a.err)
+		results := f.generateLoad(40, 6*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
+		for _, result := range results {
+			require.NoError(t, result.err)
 		}
-		require.Empty(t, answers(all))
+		require.Empty(t, answers(results))
 		f.nodes[0].Scores().Each(func(name string, s *routing.Score) {
 			if name == "endless" || name == "stranger" {
 				require.Equal(t, s.Picks.Load(), s.Fallbacks.Load(), name)
@@ -293,8 +293,8 @@
 // power, at a node that joins late, and at one that was killed and rejoins.
 func TestProgramSwapSurvivesPowerLoss(t *testing.T) {
 	forEachSeed(t, 6, func(t *testing.T, seed uint64) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, seed, 2, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, seed, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
 		_, err := f.applyProgramSet("one", 0, encodeProgramSet(routing.Source{Name: "one", Share: 100, Text: preferWorkerProgram(0)}))
 		require.NoError(t, err)
@@ -319,11 +319,11 @@
 		f.startNode(2)
 		f.startNode(1)
 		require.True(t, f.waitUntil(20*time.Second, func() bool { return f.programSetActive(2) }))
-		sh := f.currentProgramSet()
-		require.EqualValues(t, 2, sh.Newest)
-		require.Contains(t, string(sh.Policy), `"two"`)
-		for _, b := range f.runningNodes() {
-			require.Equal(t, "two", b.deal(b.snapshot()).Set.ProgramFor("x"))
+		current := f.currentProgramSet()
+		require.EqualValues(t, 2, current.Newest)
+		require.Contains(t, string(current.Policy), `"two"`)
+		for _, node := range f.runningNodes() {
+			require.Equal(t, "two", node.deal(node.snapshot()).Set.ProgramFor("x"))
 		}
 	})
 }
@@ -332,8 +332,8 @@
 // over the same one, one wins, and the other learns of it.
 func TestConcurrentProgramAndConfigurationChanges(t *testing.T) {
 	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, seed, 3, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, seed, 3, platform, defaultConfiguration(), nil)
 		defer f.close()
 		var wg sync.WaitGroup
 		wg.Go(func() {
@@ -347,21 +347,21 @@
 				require.NoError(t, err)
 			}
 		})
-		all := f.generateLoad(20, 3*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 3) })
+		results := f.generateLoad(20, 3*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 3) })
 		wg.Wait()
-		for _, a := range all {
-			require.NoError(t, a.err)
+		for _, result := range results {
+			require.NoError(t, result.err)
 		}
 		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(8) && f.inForce(9) }))
-		won := make([]error, 2)
-		for i := range won {
+		errs := make([]error, 2)
+		for i := range errs {
 			wg.Go(func() {
-				_, won[i] = f.applyProgramSet(fmt.Sprint("rival", i), 8, encodeProgramSet(routing.Source{Name: fmt.Sprint("rival", i), Share: 100, Text: preferWorkerProgram(0)}))
+				_, errs[i] = f.applyProgramSet(fmt.Sprint("rival", i), 8, encodeProgramSet(routing.Source{Name: fmt.Sprint("rival", i), Share: 100, Text: preferWorkerProgram(0)}))
 			})
 		}
 		wg.Wait()
-		require.NotEqual(t, won[0] == nil, won[1] == nil, "%v", won)
-		for _, err := range won {
+		require.NotEqual(t, errs[0] == nil, errs[1] == nil, "%v", errs)
+		for _, err := range errs {
 			require.True(t, err == nil || failure.Is(err, failure.Stale), "%v", err)
 		}
 		require.EqualValues(t, 9, f.currentProgramSet().Newest)
@@ -372,8 +372,8 @@
 // one before it in force there, and the next one that compiles is taken.
 func TestUncompilableProgramSetKeepsPrevious(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 86, 1, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 86, 1, platform, defaultConfiguration(), nil)
 		defer f.close()
 		_, err := f.applyProgramSet("one", 0, encodeProgramSet(routing.Source{Name: "one", Share: 100, Text: preferWorkerProgram(0)}))
 		require.NoError(t, err)
@@ -414,29 +414,29 @@
 	}{"flap": {alternateRolesProgram, 5}, "drain": {drainPrefillProgram, 0}} {
 		t.Run(name, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 5, 4)...)
-				f := startFleet(t, 87, 2, y, defaultConfiguration(), turning)
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 5, 4)...)
+				f := startFleet(t, 87, 2, platform, defaultConfiguration(), turning)
 				defer f.close()
-				was := parts(y)
+				roles := parts(platform)
 				_, err := f.applyProgramSet(name, 0, encodeProgramSet(routing.Source{Name: name, ChangesRoles: true, Text: c.text}))
 				require.NoError(t, err)
-				all := f.generateLoad(20, 40*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
-				rows := y.recordedCalls()
-				require.Greater(t, len(orders(rows)), c.some)
-				last, ends := map[ids.WorkerID]time.Duration{}, time.Duration(-time.Hour)
-				for _, k := range orders(rows) {
-					if at, ok := last[k.Worker]; ok {
-						require.Greater(t, k.At-at, 4*time.Second, "dwell of %s", k.Worker)
+				results := f.generateLoad(20, 40*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
+				calls := platform.recordedCalls()
+				require.Greater(t, len(orders(calls)), c.some)
+				lastOrder, lastOrderOfAny := map[ids.WorkerID]time.Duration{}, time.Duration(-time.Hour)
+				for _, call := range orders(calls) {
+					if at, ok := lastOrder[call.Worker]; ok {
+						require.Greater(t, call.At-at, 4*time.Second, "dwell of %s", call.Worker)
 					}
-					require.Greater(t, k.At-ends, roleChangeInterval, "between a service's turns")
-					last[k.Worker], ends = k.At, k.At
+					require.Greater(t, call.At-lastOrderOfAny, roleChangeInterval, "between a service's turns")
+					lastOrder[call.Worker], lastOrderOfAny = call.At, call.At
 				}
-				require.Empty(t, thirds(rows, was))
-				require.Empty(t, leftAlone(rows, 100*time.Millisecond))
-				require.Empty(t, untouched(rows, time.Second))
-				require.Empty(t, onceOnly(rows, all))
-				for _, a := range all {
-					require.NoError(t, a.err)
+				require.Empty(t, thirds(calls, roles))
+				require.Empty(t, leftAlone(calls, 100*time.Millisecond))
+				require.Empty(t, untouched(calls, time.Second))
+				require.Empty(t, onceOnly(calls, results))
+				for _, result := range results {
+					require.NoError(t, result.err)
 				}
 			})
 		})
@@ -461,21 +461,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 5)...)
-				f := startFleet(t, 88, 2, y, defaultConfiguration(), turning)
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 5)...)
+				f := startFleet(t, 88, 2, platform, defaultConfiguration(), turning)
 				defer f.close()
 				c.p.Name = name
 				_, err := f.applyProgramSet("op", 0, encodeProgramSet(c.p))
 				require.NoError(t, err)
 				time.Sleep(2 * time.Second)
-				y.pressed(ids.Prefill, 6)
+				platform.pressed(ids.Prefill, 6)
 				time.Sleep(10 * time.Second)
-				require.Equal(t, c.turns, len(orders(y.recordedCalls())) > 0)
-				for _, k := range orders(y.recordedCalls()) {
-					require.Equal(t, ids.Prefill, k.TargetRole)
+				require.Equal(t, c.turns, len(orders(platform.recordedCalls())) > 0)
+				for _, call := range orders(platform.recordedCalls()) {
+					require.Equal(t, ids.Prefill, call.TargetRole)
 				}
-				h := f.nodes[max(0, f.holder())]
-				score := h.Scores().Of(name)
+				owner := f.nodes[max(0, f.holder())]
+				score := owner.Scores().Of(name)
 				require.NotZero(t, score.ProposalsAsked.Load())
 				require.Equal(t, name == "fails" || name == "endless" || name == "stranger" || name == "same", score.Fallbacks.Load() > 0)
 			})
@@ -487,8 +487,8 @@
 // evacuated, and nothing else.
 func TestOperatorEvacuatesKnownZonesOnly(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 89, 1, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 89, 1, platform, defaultConfiguration(), nil)
 		defer f.close()
 		o := f.operator(f.nodes[0])
 		ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
