--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -1,4 +1,4 @@
-// Small fleets on simulated machines: three cores, some relay nodes, a fake platform of workers.
+// A test fleet on simulated machines: three cores, several router nodes and a fake platform of workers.
 
 package proxy
 
@@ -25,7 +25,7 @@
 	"keelstair.example/rpc"
 )
 
-// testNode is one node of a fleet with its process.
+// testNode is a router node of a fleet and the simulated process that runs it.
 type testNode struct {
 	*Node
 	ip      string
@@ -35,6 +35,7 @@
 	running bool
 }
 
+// fleet is a set of cores and router nodes that serve requests through one fake platform.
 type fleet struct {
 	t             *testing.T
 	world         *simulated.World
@@ -52,9 +53,10 @@
 	wg      sync.WaitGroup
 }
 
+// coreIPs are the addresses of the cores' machines.
 var coreIPs = []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 
-// startFleet starts a fleet and puts a policy in force.
+// startFleet starts a fleet with a configuration and returns when all nodes are ready.
 func startFleet(t *testing.T, seed uint64, nodes int, platform *fakePlatform, text []byte, adjustOptions func(*Options)) *fleet {
 	f := &fleet{
 		t:             t,
@@ -76,7 +78,7 @@
 		f.startNode(i)
 	}
 	f.wg.Go(f.trackUnavailableWorkers)
-	require.True(t, f.waitUntil(10*time.Second, func() bool { return f.leader() != "" }), "a core leads")
+	require.True(t, f.waitUntil(10*time.Second, func() bool { return f.leader() != "" }), "no core leads")
 	require.NoError(t, f.putConfiguration("first", 0, 0, text))
 	require.True(t, f.waitUntil(10*time.Second, func() bool {
 		for _, n := range f.runningNodes() {
@@ -85,10 +87,11 @@
 			}
 		}
 		return true
-	}), "the nodes are ready")
+	}), "the nodes are not ready")
 	return f
 }
 
+// startCore starts a core on the machine with the address.
 func (f *fleet) startCore(ip string) {
 	ctx, stop := context.WithCancel(context.Background())
 	p := f.world.Machine(ip).Start()
@@ -110,6 +113,7 @@
 	f.wg.Go(func() { c.Run(ctx) })
 }
 
+// powerOffCore cuts the power of a core's machine. It does nothing if the core isn't running.
 func (f *fleet) powerOffCore(ip string) {
 	if f.cores[ip] == nil {
 		return
@@ -119,6 +123,7 @@
 	delete(f.cores, ip)
 }
 
+// leader returns the address of the leading core, or "".
 func (f *fleet) leader() string {
 	for ip, c := range f.cores {
 		if c.Leads() {
@@ -128,9 +133,10 @@
 	return ""
 }
 
+// nodeIP returns the address of a node's machine.
 func nodeIP(i int) string { return fmt.Sprintf("10.0.1.%d", i+1) }
 
-// startNode starts the node of a number, again if it was there before.
+// startNode starts node i, or starts it again if it ran before.
 func (f *fleet) startNode(i int) *testNode {
 	ip := nodeIP(i)
 	p := f.world.Machine(ip).Start()
@@ -172,7 +178,7 @@
 	return node
 }
 
-// killNode ends a node without a word.
+// killNode kills a node's process without a shutdown.
 func (f *fleet) killNode(i int) {
 	f.mu.Lock()
 	node := f.nodes[i]
@@ -186,12 +192,13 @@
 	node.Node.stop()
 }
 
-// setFrozen stops or wakes a node at its next step on the network.
+// setFrozen freezes a node at its next network operation, or lets it continue.
 func (f *fleet) setFrozen(i int, on bool) {
 	f.world.Machine(nodeIP(i)).Freeze(on)
 	f.platform.withLock(func() { f.platform.frozenNodes[nodeIP(i)] = on })
 }
 
+// runningNodes returns the nodes that haven't been killed.
 func (f *fleet) runningNodes() []*testNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,7 +211,8 @@
 	return out
 }
 
-// unavailableWorkers tells of each worker on the node's list whether it is to get nothing new.
+// unavailableWorkers reports for each worker on the node's list whether it must get no new work: it is
+// leaving, changing its role, drained or in an evacuated zone.
 func (node *testNode) unavailableWorkers() map[ids.WorkerID]bool {
 	snapshot := node.view.Current()
 	unavailable := map[ids.WorkerID]bool{}
@@ -215,7 +223,8 @@
 	return unavailable
 }
 
-// trackUnavailableWorkers notes since when each node knows that a worker is to get nothing new.
+// trackUnavailableWorkers records every 5 ms since when each node knows that a worker must get no new
+// work.
 func (f *fleet) trackUnavailableWorkers() {
 	for {
 		for _, node := range f.runningNodes() {
@@ -248,6 +257,7 @@
 	}
 }
 
+// close stops all nodes and cores and waits for their goroutines.
 func (f *fleet) close() {
 	for i, node := range f.nodes {
 		f.setFrozen(i, false)
@@ -264,6 +274,7 @@
 	time.Sleep(40 * time.Second)
 }
 
+// waitUntil polls a condition and reports whether it held before the duration was over.
 func (f *fleet) waitUntil(duration time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(duration); !condition(); {
 		if time.Now().After(end) {
@@ -274,11 +285,12 @@
 	return true
 }
 
-// putConfiguration stages a text by way of the first node that is up.
+// putConfiguration submits a configuration through the first running node.
 func (f *fleet) putConfiguration(op ids.OpID, base, next ids.Version, text []byte) error {
 	return f.putConfigurationVia(f.runningNodes()[0], op, base, next, text)
 }
 
+// putConfigurationVia submits a configuration through a node.
 func (f *fleet) putConfigurationVia(n *testNode, op ids.OpID, base, next ids.Version, text []byte) error {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
@@ -286,7 +298,7 @@
 	return err
 }
 
-// submit brings another command to the core.
+// submit sends a log command to the cores through the first running node.
 func (f *fleet) submit(kind string, c msgp.Marshaler) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
@@ -294,7 +306,7 @@
 	require.NoError(f.t, err)
 }
 
-// requestResult is one request with its end.
+// requestResult is a request and its result.
 type requestResult struct {
 	*Request
 	retryable, stream, resumable bool
@@ -304,7 +316,7 @@
 	finished                     bool
 }
 
-// responseRecorder keeps what the caller got.
+// responseRecorder records what the caller received.
 type responseRecorder struct {
 	mu         sync.Mutex
 	status     int
@@ -312,7 +324,7 @@
 	body       []byte
 	writeTimes []time.Duration
 	startedAt  time.Time
-	callerGone bool // the caller went away
+	callerGone bool // writes fail, as after a disconnect
 }
 
 func (r *responseRecorder) Head(status int, _ http.Header, _ int64) error {
@@ -327,23 +339,24 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.callerGone {
-		return errors.New("the caller went away")
+		return errors.New("the caller disconnected")
 	}
 	r.body = append(r.body, p...)
 	r.writeTimes = append(r.writeTimes, time.Since(r.startedAt))
 	return nil
 }
 
+// bodyText returns the bytes received so far.
 func (r *responseRecorder) bodyText() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return string(r.body)
 }
 
-// routeHost is what requests name.
+// routeHost is the host that requests name.
 const routeHost = "models.example"
 
-// newRequest makes a request for a path; it asks for events if its path begins with /s.
+// newRequest returns a request for a path. It accepts an event stream if the path begins with /s.
 func (f *fleet) newRequest(id, path string, prompt, maxTokens int) *Request {
 	r := &Request{
 		ID:        id,
@@ -367,11 +380,12 @@
 	return r
 }
 
-// send carries a request at a node to its end.
+// send serves a request at a node and returns its result.
 func (f *fleet) send(node *testNode, r *Request) *requestResult {
 	return f.sendWith(context.Background(), node, r, &responseRecorder{})
 }
 
+// sendWith is send with a context and a recorder of the caller.
 func (f *fleet) sendWith(ctx context.Context, node *testNode, r *Request, recorder *responseRecorder) *requestResult {
 	r.At = node.now()
 	recorder.startedAt = time.Now()
@@ -391,7 +405,7 @@
 	return result
 }
 
-// generateLoad asks at the nodes by turns, at a rate, and waits for all ends.
+// generateLoad sends requests to the running nodes in turn, rate per second, and returns all results.
 func (f *fleet) generateLoad(rate float64, duration time.Duration, makeRequest func(i int) *Request) []*requestResult {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -412,7 +426,8 @@
 	return out
 }
 
-// defaultRoutes are the routes that most tests use.
+// defaultRoutes returns the routes that most tests use: plain and streamed, each with and without
+// permission to run a request again.
 func defaultRoutes() []fleetstate.Route {
 	return []fleetstate.Route{
 		{
@@ -468,6 +483,7 @@
 	}
 }
 
+// encodeConfiguration returns a configuration as JSON.
 func encodeConfiguration(routes []fleetstate.Route, services ...fleetstate.Service) []byte {
 	p := &fleetstate.Configuration{Routes: routes, Services: map[string]fleetstate.Service{}}
 	for _, s := range services {
@@ -477,16 +493,17 @@
 	return b
 }
 
+// defaultConfiguration returns the default routes and their service as JSON.
 func defaultConfiguration() []byte {
 	return encodeConfiguration(defaultRoutes(), fleetstate.Service{Name: "svc", Concurrency: 16, RoleChangeMs: 1000})
 }
 
-// runInBubble runs a test in a bubble of its own, where time is free.
+// runInBubble runs a test in a synctest bubble, whose clock advances when all goroutines are blocked.
 func runInBubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
 
-// forEachSeed runs a test under several seeds.
+// forEachSeed runs a subtest with each of n seeds, and with at most two under the race detector.
 func forEachSeed(t *testing.T, n int, f func(t *testing.T, seed uint64)) {
-	if raced { // all seeds are run without the detector
+	if raced { // all seeds run without the detector
 		n = min(n, 2)
 	}
 	for seed := uint64(1); seed <= uint64(n); seed++ {
@@ -494,18 +511,18 @@
 	}
 }
 
-// withLock changes the fleet.
+// withLock runs change while the fleet is locked.
 func (f *fleet) withLock(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-// skipUnderRaceDetector leaves a test of a large fleet to the run without the race detector, which is at its own
-// limits there: it ended with a failed check of its own in TestTreeOutcomes.
+// skipUnderRaceDetector skips a test of a large fleet under the race detector, which exceeds its own limits
+// there: it failed an internal check in TestTreeOutcomes.
 func skipUnderRaceDetector(t *testing.T) {
 	t.Helper()
 	if raced {
-		t.Skip("run without the race detector")
+		t.Skip("runs only without the race detector")
 	}
 }
--- a/internal/proxy/proxy_cluster_test.go
+++ b/internal/proxy/proxy_cluster_test.go
@@ -1,6 +1,6 @@
-// A fake platform of stand-in workers behind a Backend: parts, slots, queues, silence, resets,
-// turning away, handles that can be had once, events with ids, reports and orders. It
-// keeps a book of what arrived when, and what ran.
+// A fake platform of workers behind a Backend. It simulates roles, slots, queues, rejections, resets,
+// unresponsive workers, memory handles that can be fetched once, event streams, reports and role orders,
+// and it records when each call arrived and whether it was executed.
 
 package proxy
 
@@ -19,25 +19,25 @@
 	"keelstair.example/ids"
 )
 
-// callOutcome is what becomes of one call at a worker.
+// callOutcome is the result that a call to a worker is made to have.
 type callOutcome int
 
 const (
 	succeeds          callOutcome = iota
-	connectionRefused             // no connection comes up
-	notExecuted                   // surely not run
-	resetAfterRun                 // run, and reset before the answer
-	resetBeforeRun                // not run, and reset before the answer
-	silentAfterRun                // run, and not a word until the asker gives up
-	silentBeforeRun               // not run, and not a word
-	resetMidResponse              // reset in the middle of the answer, within an event
-	foreignResponse               // the answer of another request
-	unstampedResponse             // a success without the stamp
-	serverError                   // a 500 with the stamp
-	memoryLost                    // the memory cannot be had
+	connectionRefused             // no connection is established
+	notExecuted                   // rejected before execution
+	resetAfterRun                 // executed; the connection is reset before the response
+	resetBeforeRun                // not executed; the connection is reset before the response
+	silentAfterRun                // executed; no response until the node gives up
+	silentBeforeRun               // not executed; no response until the node gives up
+	resetMidResponse              // the connection is reset within an event in the middle of the response
+	foreignResponse               // the response belongs to another request
+	unstampedResponse             // status 200 without the worker's stamp
+	serverError                   // status 500 with the worker's stamp
+	memoryLost                    // the worker can't fetch the prefilled memory
 )
 
-// callRecord is one line of the book.
+// callRecord is one recorded call.
 type callRecord struct {
 	At             time.Duration
 	Kind           string // read, emit, free, order, report
@@ -45,89 +45,91 @@
 	Worker         ids.WorkerID
 	RequestID      string
 	LastEventID    string
-	Accepted       bool          // it was not turned away
-	Executed       bool          // an emission began, or a reading gave its memory
-	Direct         bool          // an emission without memory: the worker is to read the prompt itself
-	Cold           bool          // the worker was cold
-	UnavailableFor time.Duration // how long the node knew that the worker is to get nothing new
+	Accepted       bool          // the worker didn't reject it
+	Executed       bool          // the decode began, or the prefill returned its memory
+	Direct         bool          // a decode without memory: the worker prefills the prompt itself
+	Cold           bool          // the worker was still warming up
+	UnavailableFor time.Duration // how long the node had known that the worker must get no new work
 	Owner          ids.NodeID
 	Fence          ids.Fence
 	TargetRole     ids.Role
-	// What the worker was told of who asks.
+	// What the worker was told about the caller.
 	Key, Tenant string
 	Urgency     int
 }
 
-// memoryHandle is memory that a worker keeps.
+// memoryHandle is prefilled memory that a worker holds.
 type memoryHandle struct {
 	worker    ids.WorkerID
 	requestID string
 	fetches   int
 	freed     bool
-	release   func() // the worker's memory is free again
+	release   func() // returns the memory to the worker
 }
 
-// fakeWorker is one worker.
+// fakeWorker is a simulated worker.
 type fakeWorker struct {
 	Worker
 	name             string
 	incarnation      int
-	silent           bool
+	silent           bool // sends no responses
 	terminated       bool
-	unlisted         bool // not listed
-	warmAt           time.Time
+	unlisted         bool      // missing from the worker list
+	warmAt           time.Time // when it has warmed up
 	orderCount       int
-	nextRole         ids.Role
+	nextRole         ids.Role // the role that it is changing to
 	running, waiting int
-	memoryCapacity   int // tokens; 0 is without end
+	memoryCapacity   int // tokens; 0 means unlimited
 	memoryUsed       int
 	loadHistory      []loadSample
-	waitingByUrgency map[int]int // by urgency: who waits
+	waitingByUrgency map[int]int // waiting requests by urgency
 }
 
-// loadSample is how a worker stood from some time on.
+// loadSample is the load of a worker from a time on.
 type loadSample struct {
 	at                           time.Time
 	running, waiting, memoryUsed int
 }
 
+// fakePlatform holds the workers, what goes wrong with them, and the calls that they received.
 type fakePlatform struct {
 	mu                 sync.Mutex
-	metering           bool // the fleet reports usage
+	metering           bool // the fleet meters usage
 	start              time.Time
 	workers            []*fakeWorker
 	calls              []callRecord
 	handles            map[string]*memoryHandle
-	partitionedNodes   map[string]bool // nodes that reach no worker
-	frozenNodes        map[string]bool // nodes that stand still
-	unavailableSince   map[string]map[ids.WorkerID]time.Time
-	knowsUnavailable   map[string]func(id ids.WorkerID) bool // by node: whether it knows now that a worker is off
-	outcome            func(call callRecord, worker *fakeWorker) callOutcome
-	listDelay          func() time.Duration // how long the asking for the list is under way
+	partitionedNodes   map[string]bool                                       // by node address: it reaches no worker
+	frozenNodes        map[string]bool                                       // by node address
+	unavailableSince   map[string]map[ids.WorkerID]time.Time                 // by node address: when it learned that a worker must get no new work
+	knowsUnavailable   map[string]func(id ids.WorkerID) bool                 // by node address: whether it knows now that a worker must get no new work
+	outcome            func(call callRecord, worker *fakeWorker) callOutcome // nil: all calls succeed
+	listDelay          func() time.Duration                                  // duration of a list call
 	listFails          bool
-	listCalls          []callRecord               // askings for the list
-	coldPeriods        map[ids.Zone]time.Duration // for how long workers of a zone turn cold at their first request
-	eventInterval      time.Duration              // between events
+	listCalls          []callRecord               // received list calls
+	coldPeriods        map[ids.Zone]time.Duration // by zone: how long a worker warms up after its first request
+	eventInterval      time.Duration              // time between events of a stream
 	roleChangeTime     time.Duration
 	lastHandle         int
 	afterPrefill       func(r *Request)
-	beforeRun          func(n *Node)                               // before a node runs
-	extraRunning       func(worker *fakeWorker) int                // added to what reports say is running
-	reportError        func(node string, worker *fakeWorker) error // what a node gets instead of a report
-	reportDelay        time.Duration                               // by which reports are old
-	unreachable        map[string]time.Duration                    // addresses to which none comes up, and how long that takes
-	directTokensPerMs  int                                         // tokens a ms that an emitting worker reads by itself
-	extraPrefillTime   map[string]time.Duration                    // workers that take so much longer for each prompt
-	slowEventIntervals map[string]time.Duration                    // workers that take so long between events
-	queueLimit         int                                         // requests that wait at a worker at most; 0: twice its places
-}
-
+	beforeRun          func(n *Node)                               // called before a node runs
+	extraRunning       func(worker *fakeWorker) int                // added to the running requests in a worker's reports
+	reportError        func(node string, worker *fakeWorker) error // an error that a node gets instead of a report
+	reportDelay        time.Duration                               // age of the load in reports
+	unreachable        map[string]time.Duration                    // by address: how long a dial takes until it fails
+	directTokensPerMs  int                                         // prefill speed of a decode worker
+	extraPrefillTime   map[string]time.Duration                    // by worker name: added to each prefill
+	slowEventIntervals map[string]time.Duration                    // by worker name: replaces eventInterval
+	queueLimit         int                                         // most requests that wait at a worker; 0 means twice its concurrency
+}
+
+// newFakePlatform returns a platform whose workers respond to all calls.
 func newFakePlatform(workers ...*fakeWorker) *fakePlatform {
 	return &fakePlatform{start: time.Now(), workers: workers, handles: map[string]*memoryHandle{}, partitionedNodes: map[string]bool{}, frozenNodes: map[string]bool{},
 		unavailableSince: map[string]map[ids.WorkerID]time.Time{}, knowsUnavailable: map[string]func(ids.WorkerID) bool{}, directTokensPerMs: 50, eventInterval: 20 * time.Millisecond, roleChangeTime: time.Second}
 }
 
-// newFakeWorkers makes so many workers of a part, by turns in two zones.
+// newFakeWorkers returns n workers of a role, alternating between two zones.
 func newFakeWorkers(service string, role ids.Role, n int) []*fakeWorker {
 	var out []*fakeWorker
 	for i := range n {
@@ -141,20 +143,22 @@
 	return out
 }
 
-// prefillAndDecodeWorkers makes readers and emitters of one service.
+// prefillAndDecodeWorkers returns prefill and decode workers of one service.
 func prefillAndDecodeWorkers(service string, prefillCount, decodeCount int) []*fakeWorker {
 	return append(newFakeWorkers(service, ids.Prefill, prefillCount), newFakeWorkers(service, ids.Decode, decodeCount)...)
 }
 
+// elapsed returns the time since the platform started.
 func (p *fakePlatform) elapsed() time.Duration { return time.Since(p.start) }
 
-// withLock changes the fake platform.
+// withLock runs f while the platform is locked.
 func (p *fakePlatform) withLock(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
 }
 
+// worker returns the current worker of a name.
 func (p *fakePlatform) worker(name string) *fakeWorker {
 	for _, worker := range p.workers {
 		if worker.name == name {
@@ -164,7 +168,7 @@
 	return nil
 }
 
-// restartWorker ends a worker's life and begins another at the same address.
+// restartWorker terminates a worker and starts its next incarnation at the same address.
 func (p *fakePlatform) restartWorker(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,13 +182,14 @@
 	}
 }
 
+// recordedCalls returns a copy of all calls received so far.
 func (p *fakePlatform) recordedCalls() []callRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]callRecord(nil), p.calls...)
 }
 
-// fakeBackend is one node's way to the workers.
+// fakeBackend is the connection of one node to the workers.
 type fakeBackend struct {
 	platform *fakePlatform
 	nodeIP   string
@@ -192,11 +197,12 @@
 
 var errConnectionReset = errors.New("connection reset")
 
+// outcomeUnknown returns the error of a call that may have been executed.
 func outcomeUnknown(w Worker, reason string) error {
 	return failure.New(failure.OutcomeUnknown, "ask worker", w.Addr, "%s", reason)
 }
 
-// waitWhileFrozen holds a frozen node at its next step on the network.
+// waitWhileFrozen blocks while the node is frozen.
 func (b *fakeBackend) waitWhileFrozen() {
 	for {
 		b.platform.mu.Lock()
@@ -209,6 +215,7 @@
 	}
 }
 
+// sleepContext sleeps and reports whether the context lasted as long.
 func sleepContext(ctx context.Context, d time.Duration) bool {
 	t := host.NewTimer(d)
 	defer t.Stop()
@@ -220,7 +227,7 @@
 	}
 }
 
-// connect goes to the worker that has the address now.
+// connect returns the worker that has the address now.
 func (b *fakeBackend) connect(ctx context.Context, w Worker) (*fakeWorker, error) {
 	b.waitWhileFrozen()
 	if ctx.Err() != nil {
@@ -231,17 +238,17 @@
 	b.platform.mu.Unlock()
 	if partitioned {
 		sleepContext(ctx, 400*time.Millisecond)
-		return nil, NotDialled(errors.New("no answer"), w.Addr)
+		return nil, NotDialled(errors.New("dial timed out"), w.Addr)
 	}
 	b.platform.mu.Lock()
 	dialTime, unreachable := b.platform.unreachable[w.Addr]
 	b.platform.mu.Unlock()
 	if unreachable {
 		sleepContext(ctx, dialTime)
-		return nil, NotDialled(errors.New("no answer"), w.Addr)
+		return nil, NotDialled(errors.New("dial timed out"), w.Addr)
 	}
 	if !sleepContext(ctx, 500*time.Microsecond) {
-		return nil, outcomeUnknown(w, "given up on the way")
+		return nil, outcomeUnknown(w, "canceled while dialing")
 	}
 	b.platform.mu.Lock()
 	defer b.platform.mu.Unlock()
@@ -250,10 +257,11 @@
 			return worker, nil
 		}
 	}
-	return nil, NotDialled(errors.New("refused"), w.Addr)
+	return nil, NotDialled(errors.New("connection refused"), w.Addr)
 }
 
-// knownUnavailableFor is for how long the node has known, as it sends, that a worker is off.
+// knownUnavailableFor returns how long the node has known that a worker must get no new work, or 0 if it
+// doesn't know.
 func (b *fakeBackend) knownUnavailableFor(w Worker) time.Duration {
 	b.platform.mu.Lock()
 	knows := b.platform.knowsUnavailable[b.nodeIP]
@@ -269,7 +277,7 @@
 	return 0
 }
 
-// recordCall writes a call into the book and says what becomes of it. The fake platform is locked.
+// recordCall records a call and returns its outcome. The platform must be locked.
 func (b *fakeBackend) recordCall(call callRecord, worker *fakeWorker, w Worker) (*callRecord, callOutcome, error) {
 	platform := b.platform
 	if duration, ok := platform.coldPeriods[worker.Zone]; ok && worker.warmAt.IsZero() {
@@ -281,22 +289,23 @@
 		outcome = platform.outcome(call, worker)
 	}
 	if outcome == connectionRefused {
-		return nil, outcome, NotDialled(errors.New("refused"), w.Addr)
+		return nil, outcome, NotDialled(errors.New("connection refused"), w.Addr)
 	}
 	platform.calls = append(platform.calls, call)
 	record := &platform.calls[len(platform.calls)-1]
 	switch {
 	case worker.ID != w.ID:
-		return record, outcome, failure.New(failure.Stale, "ask worker", w.Addr, "another life has the address")
+		return record, outcome, failure.New(failure.Stale, "ask worker", w.Addr, "another incarnation has the address")
 	case worker.silent && (outcome == succeeds || outcome == resetMidResponse):
 		outcome = silentBeforeRun
 	case outcome == notExecuted, worker.nextRole != "", worker.waiting >= platform.queueLimitOf(worker), call.Kind == "read" && worker.Role == ids.Decode:
-		return record, outcome, failure.New(failure.NotExecuted, "ask worker", w.Addr, "turned away")
+		return record, outcome, failure.New(failure.NotExecuted, "ask worker", w.Addr, "rejected")
 	}
 	record.Accepted = true
 	return record, outcome, nil
 }
 
+// queueLimitOf returns how many requests may wait at a worker.
 func (p *fakePlatform) queueLimitOf(worker *fakeWorker) int {
 	if p.queueLimit > 0 {
 		return p.queueLimit
@@ -304,7 +313,7 @@
 	return 2 * worker.Concurrency
 }
 
-// recordLoad keeps how a worker stands for late reports. The fake platform is locked.
+// recordLoad saves the worker's load for delayed reports. The platform must be locked.
 func (p *fakePlatform) recordLoad(worker *fakeWorker) {
 	for p.reportDelay > 0 && len(worker.loadHistory) > 1 && time.Since(worker.loadHistory[1].at) > p.reportDelay {
 		worker.loadHistory = worker.loadHistory[1:]
@@ -312,7 +321,7 @@
 	worker.loadHistory = append(worker.loadHistory, loadSample{time.Now(), worker.running, worker.waiting, worker.memoryUsed})
 }
 
-// delayedLoad is how a worker stood a lag ago. The fake platform is locked.
+// delayedLoad returns the worker's load reportDelay ago. The platform must be locked.
 func (p *fakePlatform) delayedLoad(worker *fakeWorker) loadSample {
 	out := loadSample{running: worker.running, waiting: worker.waiting, memoryUsed: worker.memoryUsed}
 	for i := len(worker.loadHistory) - 1; p.reportDelay > 0 && i >= 0; i-- {
@@ -323,8 +332,8 @@
 	return out
 }
 
-// acquireSlot waits for one of the worker's places, with memory, behind the more urgent. It gives how to leave it, and
-// how to give the memory back.
+// acquireSlot waits for a slot and memory of the worker, behind requests that are more urgent. It returns
+// functions that release the slot and the memory.
 func (p *fakePlatform) acquireSlot(ctx context.Context, worker *fakeWorker, tokens, urgency int) (releaseSlot, releaseMemory func(), err error) {
 	tokens = (tokens + 15) / 16 * 16
 	p.withLock(func() {
@@ -356,32 +365,33 @@
 		p.mu.Unlock()
 		if terminated || !sleepContext(ctx, 5*time.Millisecond) {
 			p.withLock(func() { worker.waitingByUrgency[urgency]--; worker.waiting--; p.recordLoad(worker) })
-			return nil, nil, outcomeUnknown(worker.Worker, "ended while it waited")
+			return nil, nil, outcomeUnknown(worker.Worker, "canceled in the queue")
 		}
 	}
 }
 
+// currentLoad returns the load that the worker sends with a response.
 func (p *fakePlatform) currentLoad(worker *fakeWorker) *Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return &Load{Running: worker.running, Waiting: worker.waiting, Concurrency: worker.Concurrency}
 }
 
-// outcomeWithoutReply is a fate by which nothing comes back.
+// outcomeWithoutReply returns the error of an outcome without a response, and whether this is one.
 func outcomeWithoutReply(ctx context.Context, outcome callOutcome, w Worker) (error, bool) {
 	switch outcome {
 	case resetAfterRun, resetBeforeRun:
 		return outcomeUnknown(w, "reset"), true
 	case foreignResponse:
-		return outcomeUnknown(w, "the answer belongs to another request"), true
+		return outcomeUnknown(w, "the response belongs to another request"), true
 	case silentAfterRun, silentBeforeRun:
 		<-ctx.Done()
-		return outcomeUnknown(w, "nothing came"), true
+		return outcomeUnknown(w, "no response"), true
 	}
 	return nil, false
 }
 
-// checkReplyPath tells whether an answer can come back, and waits for it while a node is frozen.
+// checkReplyPath returns an error if a response can't reach the node. It waits while the node is frozen.
 func (b *fakeBackend) checkReplyPath(ctx context.Context, worker *fakeWorker) error {
 	b.waitWhileFrozen()
 	b.platform.mu.Lock()
@@ -393,9 +403,9 @@
 		return outcomeUnknown(worker.Worker, "reset")
 	case lost:
 		<-ctx.Done()
-		return outcomeUnknown(worker.Worker, "nothing came")
+		return outcomeUnknown(worker.Worker, "no response")
 	case ctx.Err() != nil:
-		return outcomeUnknown(worker.Worker, "given up")
+		return outcomeUnknown(worker.Worker, "canceled")
 	}
 	return nil
 }
@@ -426,7 +436,7 @@
 	platform.mu.Unlock()
 	if !sleepContext(ctx, extra+5*time.Millisecond+time.Duration(r.Prompt/50)*time.Millisecond) {
 		releaseMemory()
-		return nil, outcomeUnknown(w, "given up")
+		return nil, outcomeUnknown(w, "canceled")
 	}
 	platform.mu.Lock()
 	platform.lastHandle++
@@ -446,7 +456,8 @@
 	return &PrefillResult{Handle: name, Tokens: r.Prompt, Load: platform.currentLoad(worker)}, nil
 }
 
-// fetchMemory has memory of a source, once. The fake platform is locked.
+// fetchMemory fetches the memory of a source and reports whether it was available; a handle can be fetched
+// once. The platform must be locked.
 func (p *fakePlatform) fetchMemory(source *Source) bool {
 	handle := p.handles[source.Handle]
 	if handle == nil || handle.fetches > 0 || handle.freed {
@@ -462,7 +473,7 @@
 	return false
 }
 
-// decodeRecord is the line of the book for an emission.
+// decodeRecord returns the record of a decode call.
 func decodeRecord(r *Request, lastEventID string, direct bool, unavailableFor time.Duration, urgency int) callRecord {
 	return callRecord{
 		Kind: "emit", RequestID: r.ID, LastEventID: lastEventID, UnavailableFor: unavailableFor, Direct: direct, Key: r.Key, Tenant: r.Tenant, Urgency: urgency,
@@ -479,7 +490,7 @@
 	record, outcome, err := b.recordCall(decodeRecord(r, lastEventID, source == nil && lastEventID == "", unavailableFor, urgency), worker, w)
 	if err == nil && source != nil && outcome != resetBeforeRun && outcome != silentBeforeRun && (outcome == memoryLost || !platform.fetchMemory(source)) {
 		record.Accepted = false
-		err = failure.New(failure.DataLost, "fetch memory", w.Addr, "it cannot be had")
+		err = failure.New(failure.DataLost, "fetch memory", w.Addr, "memory not available")
 	}
 	if err == nil && outcome != resetBeforeRun && outcome != silentBeforeRun {
 		record.Executed = true
@@ -498,7 +509,7 @@
 	release := func() { releaseSlot(); releaseMemory() }
 	if source == nil && lastEventID == "" && !sleepContext(ctx, time.Duration(r.Prompt/platform.directTokensPerMs)*time.Millisecond) {
 		release()
-		return nil, outcomeUnknown(w, "given up")
+		return nil, outcomeUnknown(w, "canceled")
 	}
 	if err := b.checkReplyPath(ctx, worker); err != nil {
 		release()
@@ -528,7 +539,7 @@
 	return response, nil
 }
 
-// responseBody is a body that comes piece by piece.
+// responseBody is a response body that arrives in chunks.
 type responseBody struct {
 	ctx       context.Context
 	backend   *fakeBackend
@@ -537,11 +548,11 @@
 	chunks    [][]byte
 	pending   []byte
 	nextChunk int
-	cutChunk  int // the piece that is cut in its middle; -1 if none
+	cutChunk  int // index of the chunk that is cut in its middle; -1 for none
 	err       error
 }
 
-// eventIntervalOf is how long a worker takes between events.
+// eventIntervalOf returns the time that a worker takes between events.
 func (p *fakePlatform) eventIntervalOf(worker *fakeWorker) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -647,7 +658,7 @@
 	if worker.ID != w.ID || worker.nextRole != "" || order.Expected != worker.orderCount || worker.silent {
 		platform.calls = append(platform.calls, call)
 		platform.mu.Unlock()
-		return failure.New(failure.NotExecuted, "order", w.Addr, "refused")
+		return failure.New(failure.NotExecuted, "order", w.Addr, "rejected")
 	}
 	call.Accepted = true
 	platform.calls = append(platform.calls, call)
@@ -670,7 +681,7 @@
 	platform.listCalls = append(platform.listCalls, callRecord{At: platform.elapsed(), Node: b.nodeIP})
 	platform.mu.Unlock()
 	if fails || !sleepContext(ctx, delay) {
-		return nil, failure.New(failure.Unavailable, "list", "", "no list")
+		return nil, failure.New(failure.Unavailable, "list", "", "list not available")
 	}
 	platform.mu.Lock()
 	defer platform.mu.Unlock()
