--- a/internal/proxy/event_gap_test.go
+++ b/internal/proxy/event_gap_test.go
@@ -1,3 +1,5 @@
+// Decode workers whose events are slow.
+
 package proxy
 
 import (
@@ -10,9 +12,9 @@
 	"keelstair.example/ids"
 )
 
-// TestSlowDecodeWorkerGetsLessWork: a worker whose events come at five times the pauses of others gets little to emit
-// within a second, though most of its places are free; once it is as fast as the others it gets its
-// part again.
+// TestSlowDecodeWorkerGetsLessWork: a worker with five times the event interval of the others gets few decodes
+// after a second, although most of its slots are free. Once it is as fast as the others it gets its share
+// again.
 func TestSlowDecodeWorkerGetsLessWork(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
@@ -41,7 +43,7 @@
 	})
 }
 
-// TestEventIntervalAverage: the usual pause follows the pauses that are seen and is forgotten after a while.
+// TestEventIntervalAverage: the average follows the observed intervals and expires.
 func TestEventIntervalAverage(t *testing.T) {
 	var g eventGap
 	now := ids.Tick(time.Hour)
@@ -57,7 +59,7 @@
 	require.Equal(t, 30*time.Millisecond, g.current(now.Add(2*eventGapTTL)))
 }
 
-// TestSlowDecodeCost: only workers that are slow beside the faster quarter cost more.
+// TestSlowDecodeCost: only workers that are slow compared with the fastest quarter get a cost.
 func TestSlowDecodeCost(t *testing.T) {
 	ms := time.Millisecond
 	list := []pick{{gap: 20 * ms}, {gap: 30 * ms}, {gap: 80 * ms}, {gap: 0}, {gap: 25 * ms}}
@@ -65,7 +67,7 @@
 	for i, want := range []float64{0, 0, 200, 0, 0} {
 		require.InDelta(t, want, list[i].cost, 1e-9, "worker %d", i)
 	}
-	alone := []pick{{gap: 500 * ms}, {gap: 0}}
-	addSlowDecodeCost(alone)
-	require.Zero(t, alone[0].cost)
+	single := []pick{{gap: 500 * ms}, {gap: 0}}
+	addSlowDecodeCost(single)
+	require.Zero(t, single[0].cost)
 }
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -1,5 +1,5 @@
-// Requests from end to end: calm loads, workers that fail, streams that are cut, and
-// memory that nobody fetches.
+// Requests from end to end: load without faults, failing workers, interrupted streams, and prefilled
+// memory that no decode worker fetches.
 
 package proxy
 
@@ -15,11 +15,11 @@
 	"keelstair.example/ids"
 )
 
+// routePaths has a path under each of the default routes.
 var routePaths = []string{"/once/x", "/again/x", "/stream/x", "/sresume/x"}
 
-// TestFaultFreeLoad: with nothing broken every request is read at a reading worker, its memory is
-// fetched once, it is emitted at an emitting worker and passed on whole; nothing is left
-// over, and nothing comes to any worker twice.
+// TestFaultFreeLoad: without faults, every request is prefilled once at a prefill worker and decoded once at
+// a decode worker, its memory is fetched once, the response is complete, and no memory stays allocated.
 func TestFaultFreeLoad(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
@@ -53,8 +53,8 @@
 	})
 }
 
-// TestSharedPrefixUsesOnePrefillWorker: prompts that begin alike fall to the same reading worker on every node,
-// as long as it is not much busier than the others.
+// TestSharedPrefixUsesOnePrefillWorker: all nodes send prompts with the same prefix to the same prefill
+// worker, as long as it isn't much busier than the others.
 func TestSharedPrefixUsesOnePrefillWorker(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 5, 3)...)
@@ -85,28 +85,28 @@
 			}
 		}
 		for prefix, workers := range workersByPrefix {
-			require.Len(t, workers, 1, "%s is read at %v", prefix, workers)
+			require.Len(t, workers, 1, "%s is prefilled at %v", prefix, workers)
 		}
-		require.Greater(t, len(used), 1, "beginnings spread over workers")
+		require.Greater(t, len(used), 1, "all prefixes use the same worker")
 	})
 }
 
-// TestNonIdempotentRequestRunsAtMostOnce: whatever a worker does to one call (reset before the answer or in its
-// middle, silence to the deadline, another request's answer, no stamp, a 500, memory that
-// is lost, turning away, no connection), what may not be repeated never runs twice nor
-// ends in a refusal after it was offered; a refusal always means that nothing ran.
+// TestNonIdempotentRequestRunsAtMostOnce: the first decode call of each request fails (reset before or within
+// the response, no response until the deadline, the response of another request, no stamp, a 500, lost
+// memory, rejection, no connection). A request that may not be repeated never runs twice and isn't rejected
+// after a worker accepted it; a rejection always means that nothing ran.
 func TestNonIdempotentRequestRunsAtMostOnce(t *testing.T) {
 	for outcome, name := range map[callOutcome]string{
-		connectionRefused: "unreached",
-		notExecuted:       "turned-away",
-		resetAfterRun:     "reset-before-answer",
-		resetBeforeRun:    "reset-not-run",
-		silentAfterRun:    "silent",
-		silentBeforeRun:   "silent-not-run",
-		resetMidResponse:  "reset-mid-answer",
-		foreignResponse:   "another's-answer",
-		unstampedResponse: "no-stamp",
-		serverError:       "failed",
+		connectionRefused: "connection-refused",
+		notExecuted:       "rejected",
+		resetAfterRun:     "reset-after-run",
+		resetBeforeRun:    "reset-before-run",
+		silentAfterRun:    "silent-after-run",
+		silentBeforeRun:   "silent-before-run",
+		resetMidResponse:  "reset-mid-response",
+		foreignResponse:   "foreign-response",
+		unstampedResponse: "unstamped",
+		serverError:       "server-error",
 		memoryLost:        "memory-lost",
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -129,7 +129,7 @@
 				require.Empty(t, ended(results, 8500*time.Millisecond))
 				require.Empty(t, answers(results))
 				for _, result := range results {
-					if _, no := result.err.(*RejectedError); no {
+					if _, isRejected := result.err.(*RejectedError); isRejected {
 						require.NotContains(t, []callOutcome{resetAfterRun, silentAfterRun, resetMidResponse, foreignResponse, unstampedResponse, serverError}, outcome)
 					}
 					if !result.retryable && (outcome == resetAfterRun || outcome == silentAfterRun || outcome == resetMidResponse || outcome == foreignResponse ||
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestRandomFaults: with random faults at every fifth call, workers that restart or go
-// silent, and queues that are full, the same holds over all requests, each ends within
-// its deadline, and streams are passed on in whole events, each once and in order.
+// TestRandomFaults: every fifth call on average fails at random, workers restart or stop responding, and
+// queues are full. The guarantees of TestNonIdempotentRequestRunsAtMostOnce hold for all requests, each ends
+// within its deadline, and streams deliver whole events, each once and in order.
 func TestRandomFaults(t *testing.T) {
 	forEachSeed(t, 10, func(t *testing.T, seed uint64) {
 		workers := prefillAndDecodeWorkers("svc", 3, 4)
@@ -192,20 +192,21 @@
 				answered++
 			}
 		}
-		require.Greater(t, answered*2, len(results), "most are answered")
+		require.Greater(t, answered*2, len(results), "most requests fail")
 	})
 }
 
-// TestResumableStreamContinuesElsewhere: a resumable stream that is cut, or falls silent, goes on at another worker
-// from the last whole event; the caller gets each event once and in order.
+// TestResumableStreamContinuesElsewhere: a resumable stream whose worker resets it, stops responding or
+// restarts continues at another worker after the last whole event; the caller gets each event once and in
+// order.
 func TestResumableStreamContinuesElsewhere(t *testing.T) {
-	for _, fault := range []string{"cut", "dark", "restart"} {
+	for _, fault := range []string{"reset", "silent", "restart"} {
 		t.Run(fault, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
 				failedOnce := map[string]bool{}
 				platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
-					if call.Kind == "emit" && !failedOnce[call.RequestID] && fault == "cut" {
+					if call.Kind == "emit" && !failedOnce[call.RequestID] && fault == "reset" {
 						failedOnce[call.RequestID] = true
 						return resetMidResponse
 					}
@@ -213,12 +214,12 @@
 				}
 				f := startFleet(t, 4, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
 				defer f.close()
-				if fault != "cut" {
+				if fault != "reset" {
 					f.wg.Go(func() {
 						time.Sleep(300 * time.Millisecond)
 						for _, call := range platform.recordedCalls() {
 							if call.Kind == "emit" {
-								if name := string(call.Worker[:len(call.Worker)-2]); fault == "dark" {
+								if name := string(call.Worker[:len(call.Worker)-2]); fault == "silent" {
 									platform.withLock(func() { platform.worker(name).silent = true })
 								} else {
 									platform.restartWorker(name)
@@ -235,13 +236,13 @@
 				for _, call := range platform.recordedCalls() {
 					if call.Kind == "emit" {
 						lastEventID = call.LastEventID
-						require.False(t, workers[call.Worker], "it goes elsewhere")
+						require.False(t, workers[call.Worker], "the stream must continue at another worker")
 						workers[call.Worker] = true
 					}
 				}
 				require.Len(t, workers, 2)
-				require.NotEmpty(t, lastEventID, "it is taken up from an event")
-				if fault == "cut" {
+				require.NotEmpty(t, lastEventID, "the stream must continue after an event")
+				if fault == "reset" {
 					require.Equal(t, "30", lastEventID)
 				}
 			})
@@ -249,8 +250,7 @@
 	}
 }
 
-// TestLastEventIDFromCaller: a caller that has some events already gets only the later ones, and no
-// prompt is read for it.
+// TestLastEventIDFromCaller: a caller that sends a last event ID gets only later events, without a prefill.
 func TestLastEventIDFromCaller(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
@@ -267,8 +267,8 @@
 	})
 }
 
-// TestNonResumableStreamIsAborted: a stream that may not go on elsewhere is broken off when it is cut, never
-// completed from another worker, and no part of an event is passed on.
+// TestNonResumableStreamIsAborted: a non-resumable stream whose connection is reset is aborted. No other
+// worker completes it, and the caller gets no partial event.
 func TestNonResumableStreamIsAborted(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
@@ -290,8 +290,8 @@
 	})
 }
 
-// TestUnstampedResponseIsDiscarded: a success that does not carry the worker's stamp is never passed on, not
-// the first byte of it, whether or not the request may run again.
+// TestUnstampedResponseIsDiscarded: no byte of a success without the worker's stamp reaches the caller,
+// whether or not the request may run again.
 func TestUnstampedResponseIsDiscarded(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
@@ -312,8 +312,8 @@
 	})
 }
 
-// TestRejectedDecodeFreesMemory: memory whose emission is never taken by anyone (all emitting workers turn it
-// away, or none is there) is given back at the worker that keeps it.
+// TestRejectedDecodeFreesMemory: if every decode worker rejects the request or is unreachable, the memory is
+// freed at the prefill worker.
 func TestRejectedDecodeFreesMemory(t *testing.T) {
 	for _, outcome := range []callOutcome{notExecuted, connectionRefused} {
 		runInBubble(t, func(t *testing.T) {
@@ -337,8 +337,8 @@
 	}
 }
 
-// TestDeadlineFreesMemory: the caller's time ends while every emitting worker is unreachable:
-// the memory is given back, and the caller is refused.
+// TestDeadlineFreesMemory: if the caller's deadline passes while every decode worker rejects the request, the
+// memory is freed and the request is rejected.
 func TestDeadlineFreesMemory(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		workers := prefillAndDecodeWorkers("svc", 1, 3)
@@ -362,8 +362,8 @@
 	})
 }
 
-// TestCallerDisconnectFreesMemory: a caller goes away at the moment at which its prompt has been
-// read: nobody will fetch the memory, so it is given back.
+// TestCallerDisconnectFreesMemory: if the caller disconnects right after the prefill, no worker fetches the
+// memory, so it is freed.
 func TestCallerDisconnectFreesMemory(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -380,8 +380,8 @@
 	})
 }
 
-// TestSilentDecodeWorkerFreesMemory: an emitting worker is silent and never fetches the memory, and the
-// request is taken elsewhere or ended: the memory is given back.
+// TestSilentDecodeWorkerFreesMemory: if a decode worker never responds and never fetches the memory, the
+// request is retried elsewhere or ends, and the memory is freed.
 func TestSilentDecodeWorkerFreesMemory(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
@@ -403,7 +403,7 @@
 	})
 }
 
-// TestNoRetryAfterCallerDisconnect: an answer whose caller went away is not asked for at another worker.
+// TestNoRetryAfterCallerDisconnect: a request whose caller disconnected isn't sent to another worker.
 func TestNoRetryAfterCallerDisconnect(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
@@ -424,8 +424,8 @@
 	})
 }
 
-// TestServerErrorRetriedOnlyIfIdempotent: a worker's own 500 is passed on where the request may not run again;
-// where it may, another worker is asked.
+// TestServerErrorRetriedOnlyIfIdempotent: a worker's 500 response is passed on if the request may not run
+// again; otherwise another worker is tried.
 func TestServerErrorRetriedOnlyIfIdempotent(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
@@ -449,8 +449,8 @@
 	})
 }
 
-// TestWorkersWithoutRoles: a service whose workers know no parts is served without moving memory
-// between them twice, and what may not be repeated runs once.
+// TestWorkersWithoutRoles: workers without roles serve all requests, no memory stays allocated, and requests
+// that may not be repeated run once.
 func TestWorkersWithoutRoles(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(newFakeWorkers("svc", "", 3)...)
--- a/internal/proxy/exchange_timing_test.go
+++ b/internal/proxy/exchange_timing_test.go
@@ -15,8 +15,8 @@
 	"keelstair.example/internal/exchangemetrics"
 )
 
-// TestExchangeStepTimes: the steps of an exchange add up to the time until its first event, with and
-// without a prefill of its own, and a read beyond what was reckoned counts as waiting.
+// TestExchangeStepTimes: the steps of an exchange add up to the time until its first event, with and without
+// a separate prefill. Prefill time beyond the estimate counts as queueing.
 func TestExchangeStepTimes(t *testing.T) {
 	const ms = time.Millisecond
 	at := ids.Tick(time.Hour)
@@ -41,8 +41,8 @@
 	require.Equal(t, exchangemetrics.Times{Transfer: 70 * ms}, direct.times(at, at.Add(70*ms)))
 }
 
-// TestMetricsCountExchanges: every exchange of a fleet under load is counted once, by the cause by
-// which it missed its targets, and the endpoint of each node shows it.
+// TestMetricsCountExchanges: the metrics endpoints of the nodes count every exchange once, by the cause of a
+// missed target.
 func TestMetricsCountExchanges(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -213,10 +213,10 @@
 
 // unavailableWorkers reports for each worker on the node's list whether it must get no new work: it is
 // leaving, changing its role, drained or in an evacuated zone.
-func (node *testNode) unavailableWorkers() map[ids.WorkerID]bool {
-	snapshot := node.view.Current()
+func (n *testNode) unavailableWorkers() map[ids.WorkerID]bool {
+	snapshot := n.view.Current()
 	unavailable := map[ids.WorkerID]bool{}
-	for _, w := range node.endpoints.Load().workers {
+	for _, w := range n.endpoints.Load().workers {
 		_, changesRole := snapshot.RoleChanges[w.ID]
 		unavailable[w.ID] = w.Leaving || changesRole || snapshot.Drained[w.ID] || snapshot.Zones[w.Zone]
 	}
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -1,4 +1,4 @@
-// Prompts that are read at a second worker, since the first takes long.
+// Hedged prefills: prompts that a second worker prefills because the first one is slow.
 
 package proxy
 
@@ -12,7 +12,7 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// hedgePolicy gives routes whose target leaves room for a second read.
+// hedgeConfiguration has a route whose latency target leaves time for a second prefill.
 func hedgePolicy(maxAttempts int) []byte {
 	return encodeConfiguration([]fleetstate.Route{{
 		Name:            "short",
@@ -26,11 +26,10 @@
 	}}, fleetstate.Service{Name: "svc", Concurrency: 16})
 }
 
-// TestHedgedPrefill: one reading worker takes two seconds for each prompt, though its reports are
-// good. Where the route allows two attempts, short prompts that fall to it are read at another
-// worker besides and are in time; nothing runs twice, and every handle that nobody fetches is given
-// back. Hedges take no more than their part of the retry budget. Where the route allows one
-// attempt, none is hedged.
+// TestHedgedPrefill: one prefill worker takes two seconds for each prompt, although its reports are good. If
+// the route allows two attempts, short prompts sent to it are also prefilled at another worker and are in
+// time; no decode runs twice, every handle that isn't fetched is freed, and hedges use no more than their
+// share of the retry budget. If the route allows one attempt, nothing is hedged.
 func TestHedgedPrefill(t *testing.T) {
 	for _, maxAttempts := range []int{1, 2} {
 		t.Run(fmt.Sprint("attempts=", maxAttempts), func(t *testing.T) {
@@ -45,7 +44,7 @@
 				}
 				f.generateLoad(40, 2*time.Second, request("warm"))
 				for _, node := range f.nodes {
-					require.Zero(t, node.counts.Hedges.Load(), "all reads are alike")
+					require.Zero(t, node.counts.Hedges.Load(), "no worker is slow")
 				}
 				platform.withLock(func() { platform.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": 2 * time.Second} })
 				results := f.generateLoad(40, 4*time.Second, request("r"))
@@ -64,25 +63,25 @@
 				}
 				if maxAttempts == 1 {
 					require.Zero(t, hedges)
-					require.Greater(t, slowRequests, 8, "some fall to the slow worker")
+					require.Greater(t, slowRequests, 8, "few requests use the slow worker")
 					return
 				}
 				require.Greater(t, hedges, int64(8))
 				require.Less(t, slowRequests, 5)
-				// a fifth of the requests and the allowance, of which hedges may use four fifths
+				// The budget is a fifth of the requests plus the allowance; hedges may use four fifths of it.
 				require.LessOrEqual(t, float64(hedges), 0.8*(0.2*240+40))
 				platform.mu.Lock()
 				defer platform.mu.Unlock()
 				for name, handle := range platform.handles {
-					require.True(t, handle.fetches == 1 || handle.freed, "handle %s is kept for nobody", name)
+					require.True(t, handle.fetches == 1 || handle.freed, "handle %s is neither fetched nor freed", name)
 				}
 			})
 		})
 	}
 }
 
-// TestDiscardedPrefillFreesMemory: the memory of a read that came too late is given back, and what was booked for
-// it ends.
+// TestDiscardedPrefillFreesMemory: the memory of a prefill that ends too late is freed, and its reservation
+// ends.
 func TestDiscardedPrefillFreesMemory(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 1, 1)...)
@@ -106,7 +105,7 @@
 	})
 }
 
-// TestPrefillOverheadMedian: the median of the newest reads is given, once there are enough.
+// TestPrefillOverheadMedian: the median of the newest prefills is available once there are enough.
 func TestPrefillOverheadMedian(t *testing.T) {
 	var o readOverhead
 	for i := range minOverheadReads - 1 {
@@ -122,7 +121,7 @@
 		o.observe(70 * time.Millisecond)
 	}
 	got, _ = o.median()
-	require.Equal(t, 70*time.Millisecond, got, "what is old is forgotten")
+	require.Equal(t, 70*time.Millisecond, got, "old samples still count")
 	o.observe(-time.Second)
 	got, _ = o.median()
 	require.Equal(t, 70*time.Millisecond, got)
--- a/internal/proxy/new_holder_test.go
+++ b/internal/proxy/new_holder_test.go
@@ -1,4 +1,4 @@
-// What a node does at once that has got the duty of a service.
+// What a node does first when it acquires the lease of a service.
 
 package proxy
 
@@ -11,10 +11,10 @@
 	"keelstair.example/ids"
 )
 
-// reportedSince tells whether a node knows a report of each worker from after a time of its own clock.
-func (node *testNode) reportedSince(since ids.Tick) bool {
-	for _, w := range node.endpoints.Load().workers {
-		st := node.state(w.ID)
+// reportedSince tells whether the node has a report of each worker that isn't older than a time on its clock.
+func (n *testNode) reportedSince(since ids.Tick) bool {
+	for _, w := range n.endpoints.Load().workers {
+		st := n.state(w.ID)
 		st.mu.Lock()
 		stale := st.memory.at.Before(since)
 		st.mu.Unlock()
@@ -25,10 +25,10 @@
 	return true
 }
 
-// TestLoadsKnownBeforeFirstOrder: the duty of a service passes on, and all nodes know soon how its workers
-// stand, though the new holder sends no order before the earlier one's lease has lapsed.
+// TestLoadsKnownBeforeFirstOrder: when another node acquires the lease of a service, all nodes soon have new
+// reports of its workers, although the new owner sends no role order before the previous lease has expired.
 func TestLoadsKnownBeforeFirstOrder(t *testing.T) {
-	const limit = 1500 * time.Millisecond // a round of reports and a turn of the list
+	const limit = 1500 * time.Millisecond // one round of reports and one list interval
 	forEachSeed(t, 2, func(t *testing.T, seed uint64) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
 		f := startFleet(t, seed, 4, platform, defaultConfiguration(), turning)
@@ -36,7 +36,7 @@
 		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.holder() >= 0 }))
 		time.Sleep(5 * time.Second)
 		f.killNode(f.holder())
-		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.holder() >= 0 }), "the duty passes on")
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.holder() >= 0 }), "no node acquires the lease")
 		since := map[*testNode]ids.Tick{}
 		for _, node := range f.runningNodes() {
 			since[node] = node.now()
@@ -48,6 +48,6 @@
 				}
 			}
 			return true
-		}), "all nodes have reports")
+		}), "a node lacks new reports")
 	})
 }
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -1,4 +1,4 @@
-// Which worker is picked, and what a pick costs.
+// The selection of workers and its cost in time and allocations.
 
 package proxy
 
@@ -14,8 +14,8 @@
 	"keelstair.example/internal/routing"
 )
 
-// TestCandidateIndexMatchesWorkerList: the table gives the same workers and homes as the whole list does, under each
-// version of the list and of the snapshot.
+// TestCandidateIndexMatchesWorkerList: the candidate index yields the same workers and prefix homes as a scan
+// of the worker list, for several versions of the list and of the snapshot.
 func TestCandidateIndexMatchesWorkerList(t *testing.T) {
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 	require.NoError(t, err)
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestPickRepeatedAfterSlowDial: after a dial that took long nothing goes to a worker of which the node has
-// heard meanwhile that it leaves, nor does the request end while another worker is there.
+// TestPickRepeatedAfterSlowDial: if a worker starts leaving during a slow dial to another one, the request
+// doesn't go to the leaving worker, and it doesn't fail while a third one is available.
 func TestPickRepeatedAfterSlowDial(t *testing.T) {
 	for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
 		forEachSeed(t, 3, func(t *testing.T, seed uint64) {
@@ -92,13 +92,13 @@
 					slowRequests++
 				}
 			}
-			require.Greater(t, slowRequests, 5, "some dialled the one that is not there")
+			require.Greater(t, slowRequests, 5, "few requests dialed the unreachable worker")
 			require.Empty(t, leftAlone(platform.recordedCalls(), 100*time.Millisecond))
 		})
 	}
 }
 
-// BenchmarkPick orders the readers and the emitters of one request.
+// BenchmarkPick ranks the prefill and the decode candidates of one request.
 func BenchmarkPick(b *testing.B) {
 	for _, workers := range []int{12, 140} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -122,7 +122,7 @@
 	}
 }
 
-// newWorkers makes so many workers of one service, half of them of each part, in four zones.
+// newWorkers returns workers of one service in four zones, half of them in each role.
 func newWorkers(workers int) []Worker {
 	list := make([]Worker, workers)
 	for i := range list {
--- a/internal/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -1,4 +1,4 @@
-// Workers that are to get nothing new.
+// Workers that must get no new work.
 
 package proxy
 
@@ -14,9 +14,9 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestUnavailableWorkersGetNoNewWork: a worker that is drained, in an evacuated zone, leaving or off the list gets
-// nothing new once a node knows, all nodes know within two seconds, what runs there ends
-// there, and callers notice nothing.
+// TestUnavailableWorkersGetNoNewWork: a worker that is drained, in an evacuated zone, leaving or missing from
+// the list gets no new work from a node that knows. All nodes know within two seconds, running requests
+// finish there, and no request fails.
 func TestUnavailableWorkersGetNoNewWork(t *testing.T) {
 	for _, cause := range []string{"drained", "evacuated", "leaving", "unlisted"} {
 		t.Run(cause, func(t *testing.T) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestReplacedWorkerAvoided: a life that answered that it is gone is left alone by the node it told, as
-// long as another worker is there.
+// TestReplacedWorkerAvoided: a node that learns that a worker was replaced by another incarnation stops
+// sending to it, as long as there is another worker.
 func TestReplacedWorkerAvoided(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
@@ -91,8 +91,8 @@
 	})
 }
 
-// TestReplacedWorkerStaysAvoided: a life that is gone stays left alone though the life that has its
-// address now answers with a report.
+// TestReplacedWorkerStaysAvoided: a replaced worker stays avoided although its next incarnation, at the same
+// address, sends reports.
 func TestReplacedWorkerStaysAvoided(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
--- a/internal/proxy/silent_workers_test.go
+++ b/internal/proxy/silent_workers_test.go
@@ -1,4 +1,4 @@
-// What the loss of workers that say nothing more costs the requests of the others.
+// Workers that stop responding, and the requests that they had accepted.
 
 package proxy
 
@@ -14,7 +14,7 @@
 	"keelstair.example/internal/silence"
 )
 
-// directDecodes are those that were sent without memory between two moments.
+// directDecodes returns the decode calls without memory that were sent between two times.
 func directDecodes(calls []callRecord, from, to time.Duration) []callRecord {
 	var out []callRecord
 	for _, call := range calls {
@@ -25,7 +25,7 @@
 	return out
 }
 
-// silenceAfter has workers of a pool say nothing more after a while, and gives the pool's time of that.
+// silenceAfter makes workers stop responding after a delay, and returns the platform's time of that.
 func silenceAfter(f *fleet, platform *fakePlatform, after time.Duration, names ...string) time.Duration {
 	silentFrom := platform.elapsed() + after
 	f.wg.Go(func() {
@@ -40,12 +40,12 @@
 }
 
 const (
-	silenceDelay        = 3 * time.Second // from the beginning of the load
+	silenceDelay        = 3 * time.Second // from the start of the load
 	silenceLoadDuration = 6 * time.Second
 )
 
-// TestUnfetchedMemoryOfferedToAnotherWorker: an emitting worker goes silent before it has fetched the memory of prompts.
-// Another one is offered the same memory, and none reads a prompt by itself.
+// TestUnfetchedMemoryOfferedToAnotherWorker: a decode worker stops responding before it has fetched the memory
+// of some prompts. Another one gets the same memory, and no decode worker prefills a prompt itself.
 func TestUnfetchedMemoryOfferedToAnotherWorker(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
@@ -62,8 +62,9 @@
 	})
 }
 
-// TestFetchedMemoryFallsBackToDirectDecode: the silent worker had fetched the memory already, so the next one turns
-// the request away: that one is sent it once more, and reads by itself.
+// TestFetchedMemoryFallsBackToDirectDecode: a decode worker fetched the memory and stopped responding, so the
+// next worker can't fetch it and rejects the request. That worker gets the request again without memory and
+// prefills the prompt itself.
 func TestFetchedMemoryFallsBackToDirectDecode(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 2)...)
@@ -91,9 +92,9 @@
 	})
 }
 
-// TestPrefillRetriedAfterSilence: a reading worker goes silent. What it was to read is read by another one,
-// also on a route that may be sent to one worker only; no emitting worker reads by itself, and
-// the repeats stay within the budget.
+// TestPrefillRetriedAfterSilence: a prefill worker stops responding. Another one prefills its prompts, also on
+// a route whose requests may go to one worker only; no decode worker prefills a prompt itself, and the
+// retries stay within the budget.
 func TestPrefillRetriedAfterSilence(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		const allowance = 60
@@ -113,7 +114,7 @@
 	})
 }
 
-// TestPrefillRetriesUseRetryBudget: reads that are done again are taken from the retry budget, also where that is small.
+// TestPrefillRetriesUseRetryBudget: repeated prefills stay within the retry budget, also if it is small.
 func TestPrefillRetriesUseRetryBudget(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		const allowance, ratio = 3, 0.001
@@ -124,17 +125,17 @@
 		defer f.close()
 		silentFrom := silenceAfter(f, platform, silenceDelay, "svc-prefill-0", "svc-prefill-1")
 		results := f.generateLoad(90, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 4) })
-		reads := append(
+		lostPrefills := append(
 			sentTo(platform.recordedCalls(), "svc-prefill-0.1", silentFrom, time.Hour),
 			sentTo(platform.recordedCalls(), "svc-prefill-1.1", silentFrom, time.Hour)...,
 		)
-		require.Greater(t, len(reads), allowance)
+		require.Greater(t, len(lostPrefills), allowance)
 		require.Empty(t, extras(platform.recordedCalls(), results, ratio, allowance, window))
 	})
 }
 
-// TestSilentWorkerDetectedQuickly: once the usual silences of workers are known, one that says nothing is found
-// after a silence far beyond them and the time for its report, and gets nothing more from then on.
+// TestSilentWorkerDetectedQuickly: once the usual pauses of workers are known, a worker that stops responding
+// is detected after a pause far beyond them plus the time of a report, and gets no more work then.
 func TestSilentWorkerDetectedQuickly(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
@@ -142,14 +143,14 @@
 		defer f.close()
 		silentFrom := silenceAfter(f, platform, silenceDelay, "svc-decode-1")
 		f.generateLoad(60, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
-		const found = silence.Floor + 150*time.Millisecond
+		const detectionTime = silence.Floor + 150*time.Millisecond
 		require.NotEmpty(t, sentTo(platform.recordedCalls(), "svc-decode-1.1", silentFrom, time.Hour))
-		require.Empty(t, sentTo(platform.recordedCalls(), "svc-decode-1.1", silentFrom+found, silentFrom+time.Second))
+		require.Empty(t, sentTo(platform.recordedCalls(), "svc-decode-1.1", silentFrom+detectionTime, silentFrom+time.Second))
 	})
 }
 
-// TestLostDecodeWorkersReplaced: two of three emitting workers go silent under load. As many reading ones
-// are told to emit within a second and a half.
+// TestLostDecodeWorkersReplaced: two of three decode workers stop responding under load. Within 1.5 s as many
+// prefill workers are ordered to become decode workers.
 func TestLostDecodeWorkersReplaced(t *testing.T) {
 	forEachSeed(t, 6, func(t *testing.T, seed uint64) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 6, 3)...)
@@ -158,7 +159,7 @@
 			o.IdlePrefillShare = 0.667
 		})
 		defer f.close()
-		platform.pressed(ids.Decode, 4) // a quarter of their places, all the time
+		platform.pressed(ids.Decode, 4) // a quarter of their slots, all the time
 		silentFrom := silenceAfter(f, platform, 8*time.Second, "svc-decode-0", "svc-decode-1")
 		f.generateLoad(40, 12*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 3) })
 		var roleOrders []callRecord
@@ -172,8 +173,8 @@
 	})
 }
 
-// TestRoleChangesAfterLoss: as many workers change their role at once as were lost, but no more than the
-// pressure on those that are left asks for, and each role keeps its least.
+// TestRoleChangesAfterLoss: as many workers change their role at once as were lost, but no more than the load
+// on the remaining ones requires, and each role keeps its minimum.
 func TestRoleChangesAfterLoss(t *testing.T) {
 	newReports := func(prefillCount, decodeCount int) (out []workerReport) {
 		for i := range prefillCount + decodeCount {
@@ -186,11 +187,11 @@
 		return out
 	}
 	for _, c := range []struct {
-		readers, emitters int
-		read, emit        float64
-		lost              roleCounts
-		want              int
-		to                ids.Role
+		prefillWorkers, decodeWorkers int
+		prefillLoad, decodeLoad       float64
+		lost                          roleCounts
+		want                          int
+		to                            ids.Role
 	}{
 		{6, 1, 1, 0.74, roleCounts{0, 2}, 2, ids.Decode},
 		{6, 1, 1, 0.74, roleCounts{0, 1}, 1, ids.Decode},
@@ -200,7 +201,7 @@
 		{1, 6, 3, 0.05, roleCounts{2, 0}, 2, ids.Prefill},
 		{6, 3, 1, 0.25, roleCounts{1, 0}, 0, ""},
 	} {
-		changes, to := chooseRoleChange(newReports(c.readers, c.emitters), c.read, c.emit, -1, c.lost)
+		changes, to := chooseRoleChange(newReports(c.prefillWorkers, c.decodeWorkers), c.prefillLoad, c.decodeLoad, -1, c.lost)
 		require.Len(t, changes, c.want, "%+v", c)
 		require.Equal(t, c.to, to, "%+v", c)
 	}
--- a/internal/proxy/slow_feed_test.go
+++ b/internal/proxy/slow_feed_test.go
@@ -13,7 +13,8 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestLargeSnapshotOverSlowLinkArrives: a node whose link carries the state in longer than any wait for an answer.
+// TestLargeSnapshotOverSlowLinkArrives: a node gets the snapshot although its link needs longer for it (5 s)
+// than any response timeout.
 func TestLargeSnapshotOverSlowLinkArrives(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
