--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -1,5 +1,5 @@
-// Early refusals: overloads with two urgencies and with callers that do not wait, and what
-// must never be refused.
+// Early rejection under overload, with two urgencies and with callers that retry at once, and the requests
+// that must never be rejected early.
 
 package proxy
 
@@ -16,13 +16,13 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// overloadCaller is one caller with all its tries.
+// overloadCaller is a caller and its attempts.
 type overloadCaller struct {
 	urgent, impatient bool
 	attempts          []*requestResult
-	value             float64 // of 1: in time 1, late a half, refused and then in time the mean
+	value             float64 // 1 in time, 0.5 late, their mean 0.75 in time after a rejection, -0.3 rejected to the end, else 0
 	served            bool
-	onTime            bool // served within its aim, counted from the first try or from the one after a refusal
+	onTime            bool // served within overloadTarget of the first attempt, or of the attempt after a quick rejection
 }
 
 const (
@@ -30,23 +30,25 @@
 	overloadTimeout = 3 * time.Second
 )
 
-// overloadScenario is an overload: rate is what one second brings, of which some part is rude, for a span.
+// overloadScenario is a load of rate callers per second, some of which are impatient: they ignore the retry
+// delay.
 type overloadScenario struct {
 	rate, impatientShare                  float64
 	duration                              time.Duration
 	prompt, maxTokens                     int
-	prefillConcurrency, decodeConcurrency int // places of each of three and of four workers
+	prefillConcurrency, decodeConcurrency int // of each of three prefill and four decode workers
 	admitFactor                           float64
 }
 
+// configuration returns a configuration with one route for urgent and one for other requests.
 func (s overloadScenario) configuration() []byte {
 	route := func(name, prefix string, urgency int) fleetstate.Route {
 		return fleetstate.Route{Name: name, Host: routeHost, Prefix: prefix, Service: "svc", Disaggregated: true, Stream: true, MaxAttempts: 2, DeadlineMs: 3000, LatencyTargetMs: int(overloadTarget / time.Millisecond), TokenIntervalMs: 200, Urgency: urgency}
 	}
-	return encodeConfiguration([]fleetstate.Route{route("urgent", "/stream/now/", 0), route("patient", "/stream/then/", 7)}, fleetstate.Service{Name: "svc", Concurrency: 8, RoleChangeMs: 1000})
+	return encodeConfiguration([]fleetstate.Route{route("urgent", "/stream/now/", 0), route("normal", "/stream/then/", 7)}, fleetstate.Service{Name: "svc", Concurrency: 8, RoleChangeMs: 1000})
 }
 
-// run gives all callers with their ends, and the fake platform's book.
+// run returns all callers, the calls that the fake platform recorded, and the results of all requests.
 func (s overloadScenario) run(t *testing.T, seed uint64) ([]*overloadCaller, []callRecord, []*requestResult) {
 	workers := prefillAndDecodeWorkers("svc", 3, 4)
 	for _, worker := range workers {
@@ -79,8 +81,8 @@
 	return callers, platform.recordedCalls(), f.results
 }
 
-// sendAttempts has a caller try: a polite one once more when it was told to, a rude one at once and
-// often.
+// sendAttempts sends requests until one is served or the caller gives up. A patient caller retries once, after
+// the retry delay; an impatient one retries up to eight times, 10 ms after each rejection.
 func (c *overloadCaller) sendAttempts(f *fleet, scenario overloadScenario, i, firstNode, nodeStep int) {
 	start := time.Now()
 	path, retries := "/stream/then/x", 1
@@ -135,7 +137,8 @@
 	c.value = -0.3
 }
 
-// summarizeCallers sums up callers: what they are worth, and which part was served in time or at all.
+// summarizeCallers returns the mean value of the included callers, the shares that were served in time and at
+// all, and their number.
 func summarizeCallers(callers []*overloadCaller, include func(caller *overloadCaller) bool) (meanValue, onTime, served float64, n int) {
 	for _, caller := range callers {
 		if include(caller) {
@@ -149,47 +152,46 @@
 			}
 		}
 	}
-	k := float64(max(1, n))
-	return meanValue / k, onTime / k, served / k, n
+	total := float64(max(1, n))
+	return meanValue / total, onTime / total, served / total, n
 }
 
-// urgencyViolations: the urgent are never served less than the others.
+// urgencyViolations checks that urgent callers are served at least as often as the others.
 func urgencyViolations(callers []*overloadCaller) []string {
 	_, _, urgent, n := summarizeCallers(callers, func(caller *overloadCaller) bool { return caller.urgent })
 	_, _, normal, m := summarizeCallers(callers, func(caller *overloadCaller) bool { return !caller.urgent })
 	if n > 0 && m > 0 && urgent < normal {
-		return []string{fmt.Sprintf("%.2f of the urgent are served, %.2f of the others", urgent, normal)}
+		return []string{fmt.Sprintf("%.2f of the urgent callers are served, %.2f of the others", urgent, normal)}
 	}
 	return nil
 }
 
-// fairnessViolations: of each sort of callers, those that wait as told are served nearly as often as those
-// that do not.
+// fairnessViolations checks for each urgency that patient callers are served nearly as often as impatient ones.
 func fairnessViolations(callers []*overloadCaller, slack float64) []string {
 	var out []string
 	for _, urgent := range []bool{true, false} {
 		_, _, patient, n := summarizeCallers(callers, func(caller *overloadCaller) bool { return caller.urgent == urgent && !caller.impatient })
 		_, _, impatient, m := summarizeCallers(callers, func(caller *overloadCaller) bool { return caller.urgent == urgent && caller.impatient })
 		if n > 0 && m > 0 && patient < impatient-slack {
-			out = append(out, fmt.Sprintf("urgent %t: %.2f of the polite are served, %.2f of those that repeat", urgent, patient, impatient))
+			out = append(out, fmt.Sprintf("urgent %t: %.2f of the patient callers are served, %.2f of the impatient ones", urgent, patient, impatient))
 		}
 	}
 	return out
 }
 
-// retryAfterViolations: every refusal says when to come back, within what the caller will wait if it
-// came early.
+// retryAfterViolations checks that every rejection has a retry delay, and that an early one leaves the caller
+// enough time.
 func retryAfterViolations(results []*requestResult) []string {
 	var out []string
 	for _, result := range results {
 		if rejection, ok := result.err.(*RejectedError); ok && (rejection.RetryAfter <= 0 || rejection.Early && rejection.RetryAfter > max(minRetryAfter, result.Timeout/3)) {
-			out = append(out, fmt.Sprintf("%s is told to come back after %s, and waits %s", result.ID, rejection.RetryAfter, result.Timeout))
+			out = append(out, fmt.Sprintf("%s: retry delay %s, timeout %s", result.ID, rejection.RetryAfter, result.Timeout))
 		}
 	}
 	return out
 }
 
-// earlyRejections lists the refusals that came before anything was offered.
+// earlyRejections returns the requests that were rejected before they were sent to a worker.
 func earlyRejections(results []*requestResult) []*requestResult {
 	var out []*requestResult
 	for _, result := range results {
@@ -200,7 +202,7 @@
 	return out
 }
 
-// TestCheckersDetectOverloadViolations: each checker keeps silent where all is well and catches its own violation.
+// TestCheckersDetectOverloadViolations: each checker accepts a correct outcome and reports a violation.
 func TestCheckersDetectOverloadViolations(t *testing.T) {
 	newCallers := func(urgent, impatient bool, served ...bool) []*overloadCaller {
 		var callers []*overloadCaller
@@ -222,15 +224,13 @@
 	require.NotEmpty(t, retryAfterViolations(rejected(2*time.Second, true)))
 }
 
-// prefillOverload is a crowd whose prompts take longer to read than there is time; 72 a second is
-// what the workers bear.
+// prefillOverload is a load whose bottleneck is the prefill; the workers can serve 72 requests per second.
 var prefillOverload = overloadScenario{prompt: 8000, maxTokens: 4, prefillConcurrency: 4, decodeConcurrency: 8, duration: 8 * time.Second}
 
-// TestOverload: at one and a half and at three times what the workers bear, with two
-// urgencies and callers of which a third repeat at once and often, what is promised holds,
-// the urgent are served first, polite callers are not starved, every refusal says when to
-// come back; and at three times, refusing from twice the aim on, more of the urgent are served
-// than without early refusals.
+// TestOverload: at 1.5 and 3 times the capacity, with two urgencies and 30 percent of callers that retry at
+// once and often, the guarantees of requests hold, urgent requests are served first, patient callers aren't
+// starved, and every rejection has a retry delay. At 3 times the capacity, rejecting from twice the latency
+// target on serves more urgent requests than no early rejection.
 func TestOverload(t *testing.T) {
 	for _, factor := range []float64{1.5, 3} {
 		t.Run(fmt.Sprint(factor), func(t *testing.T) {
@@ -256,7 +256,7 @@
 					require.Empty(t, urgencyViolations(callers))
 					_, urgentOnTime, servedShare, n := summarizeCallers(callers, func(caller *overloadCaller) bool { return caller.urgent })
 					_, patientOnTime, patientServed, _ := summarizeCallers(callers, func(caller *overloadCaller) bool { return !caller.impatient })
-					t.Logf("early refusals %t: %d callers, %d tries, %d refused early; of the urgent %.2f in time, %.2f served; of the polite %.2f and %.2f",
+					t.Logf("early rejection %t: %d callers, %d attempts, %d rejected early; urgent: %.2f in time, %.2f served; patient: %.2f in time, %.2f served",
 						index == 1, len(callers), len(results), len(earlyRejections(results)), urgentOnTime, servedShare, patientOnTime, patientServed)
 					require.Greater(t, n, 0)
 					urgentServed[index] += servedShare
@@ -267,7 +267,7 @@
 							sent[call.RequestID] = true
 						}
 						for _, result := range earlyRejections(results) {
-							require.False(t, sent[result.ID] || result.endedAt-result.sentAt > time.Millisecond, "%s is refused at once, before anything is offered", result.ID)
+							require.False(t, sent[result.ID] || result.endedAt-result.sentAt > time.Millisecond, "%s wasn't rejected at once, or was sent to a worker", result.ID)
 						}
 					} else {
 						require.Empty(t, earlyRejections(results))
@@ -281,8 +281,8 @@
 	}
 }
 
-// TestNoEarlyRejectionWithFreeSlots: at four fifths of what the workers bear, and in a short burst that
-// leaves half of the places free, nobody is refused.
+// TestNoEarlyRejectionWithFreeSlots: no request fails at four fifths of the capacity, and none is rejected early
+// in a short burst that leaves half of the slots free.
 func TestNoEarlyRejectionWithFreeSlots(t *testing.T) {
 	forEachSeed(t, 2, func(t *testing.T, seed uint64) {
 		scenario := prefillOverload
@@ -300,7 +300,7 @@
 	})
 }
 
-// admissionFixture is a node that knows its workers as told, and asks it about one request.
+// admissionFixture is a node with given worker loads, whose admission decisions are tested.
 type admissionFixture struct {
 	t        *testing.T
 	node     *Node
@@ -308,6 +308,7 @@
 	snapshot *fleetstate.Snapshot
 }
 
+// newAdmissionFixture returns a node with eight workers and an urgent and a normal route.
 func newAdmissionFixture(t *testing.T) *admissionFixture {
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 	require.NoError(t, err)
@@ -322,7 +323,8 @@
 	return fixture
 }
 
-// reportLoads has every worker report so many requests, and other nodes so many tokens ahead.
+// reportLoads sets the running requests in each worker's report, and the prefill tokens that other nodes have
+// queued at it.
 func (f *admissionFixture) reportLoads(running, tokens int, age time.Duration) {
 	now := f.node.now()
 	for _, w := range f.workers {
@@ -336,7 +338,7 @@
 	f.node.admission.rejected.recent = nil
 }
 
-// countRejected gives how many of so many different requests of a route are refused.
+// countRejected returns how many of count different requests of a route are rejected.
 func (f *admissionFixture) countRejected(count, route int, adjust func(x *exchange)) int {
 	rejected := 0
 	for i := range count {
@@ -355,63 +357,63 @@
 	return rejected
 }
 
-// TestAdmissionDecision: none is refused early while half of the places are free, what is known of the
-// workers or the list is old, the request goes on a stream, or the route is not read apart;
-// beyond, more are the more is ahead, the less urgent first, and refusing ends lower than it
-// began.
+// TestAdmissionDecision: no request is rejected early while half of the slots are free, if the loads or the
+// worker list are stale, if the request resumes a stream, or if the route isn't disaggregated. Otherwise more
+// requests are rejected the longer the prefill queue is, less urgent ones first, and rejecting stops at a
+// shorter queue than it starts at.
 func TestAdmissionDecision(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		const urgent, patient = 0, 1
-		queuedTokens := func(times float64) int { return int((times*500 - 20 - queuedPrefillCost) * 50) } // tokens ahead
+		const urgent, normal = 0, 1
+		queuedTokens := func(times float64) int { return int((times*500 - 20 - queuedPrefillCost) * 50) } // prefill tokens that take times the latency target
 		fixture := newAdmissionFixture(t)
 		fixture.reportLoads(11, queuedTokens(5), 0)
-		require.Zero(t, fixture.countRejected(200, patient, nil), "half of the places are free")
+		require.Zero(t, fixture.countRejected(200, normal, nil), "half of the slots are free")
 		fixture.reportLoads(13, queuedTokens(5), 1100*time.Millisecond)
-		require.Zero(t, fixture.countRejected(200, patient, nil), "the view is old")
+		require.Zero(t, fixture.countRejected(200, normal, nil), "the loads are stale")
 		fixture.reportLoads(13, queuedTokens(1.9), 0)
-		require.Zero(t, fixture.countRejected(200, patient, nil), "it would come before twice its aim")
+		require.Zero(t, fixture.countRejected(200, normal, nil), "the prefill would take less than twice the latency target")
 
 		fixture.reportLoads(13, queuedTokens(2.4), 0)
-		few := fixture.countRejected(500, patient, nil)
+		few := fixture.countRejected(500, normal, nil)
 		require.InDelta(t, 250, few, 60)
-		require.Zero(t, fixture.countRejected(500, urgent, nil), "the urgent overtake the others")
+		require.Zero(t, fixture.countRejected(500, urgent, nil), "urgent requests are served first")
 		fixture.reportLoads(13, queuedTokens(3), 0)
-		more := fixture.countRejected(500, patient, nil)
+		more := fixture.countRejected(500, normal, nil)
 		require.Greater(t, more, few)
 		require.Less(t, more, 500)
 		fixture.reportLoads(13, queuedTokens(1.6), 0)
-		eased := fixture.countRejected(500, patient, nil)
-		require.Greater(t, eased, 0, "it has not eased yet")
+		eased := fixture.countRejected(500, normal, nil)
+		require.Greater(t, eased, 0, "rejecting hasn't stopped yet")
 		require.Less(t, eased, few)
 		fixture.reportLoads(13, queuedTokens(1.3), 0)
-		require.Zero(t, fixture.countRejected(500, patient, nil), "it has eased")
+		require.Zero(t, fixture.countRejected(500, normal, nil), "rejecting has stopped")
 		fixture.reportLoads(13, queuedTokens(1.6), 0)
-		require.Zero(t, fixture.countRejected(500, patient, nil), "and begins later than it ended")
+		require.Zero(t, fixture.countRejected(500, normal, nil), "rejecting starts at a longer queue than it stops at")
 
 		fixture.reportLoads(13, queuedTokens(20), 0)
-		require.Equal(t, 200, fixture.countRejected(200, patient, nil))
+		require.Equal(t, 200, fixture.countRejected(200, normal, nil))
 		for _, w := range fixture.workers {
 			fixture.node.state(w.ID).recordFull(fixture.node.now())
 		}
 		fixture.reportLoads(13, queuedTokens(20), 0)
-		require.Equal(t, 200, fixture.countRejected(200, patient, nil), "all have turned something away just now")
+		require.Equal(t, 200, fixture.countRejected(200, normal, nil), "all workers have just rejected a request")
 		require.Greater(t, fixture.countRejected(200, urgent, nil), 0)
-		require.Zero(t, fixture.countRejected(200, patient, func(x *exchange) { x.lastEventID = "7" }), "a stream goes on")
-		require.Zero(t, fixture.countRejected(200, patient, func(x *exchange) { r := *x.route; r.Disaggregated = false; x.route = &r }))
+		require.Zero(t, fixture.countRejected(200, normal, func(x *exchange) { x.lastEventID = "7" }), "a resumed stream")
+		require.Zero(t, fixture.countRejected(200, normal, func(x *exchange) { r := *x.route; r.Disaggregated = false; x.route = &r }))
 		oldList := *fixture.node.endpoints.Load()
 		oldList.requestedAt = fixture.node.now().Add(-listMaxAge - time.Second)
 		fixture.node.endpoints.Store(&oldList)
-		require.Zero(t, fixture.countRejected(200, patient, nil), "the list is old")
+		require.Zero(t, fixture.countRejected(200, normal, nil), "the list is stale")
 
 		disabled := newAdmissionFixture(t)
 		disabled.node.options.AdmitFactor = -1
 		disabled.reportLoads(13, queuedTokens(20), 0)
-		require.Zero(t, disabled.countRejected(200, patient, nil), "it is off")
+		require.Zero(t, disabled.countRejected(200, normal, nil), "early rejection is disabled")
 	})
 }
 
-// TestAdmissionDrawEqualAcrossNodes: the tries of one request fare alike on all nodes for a moment, so that
-// nobody gets further by trying often.
+// TestAdmissionDrawEqualAcrossNodes: for a short time all nodes decide alike about the attempts of one request,
+// so that frequent retries don't help.
 func TestAdmissionDrawEqualAcrossNodes(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		var rejectedByFirstNode []bool
@@ -432,9 +434,9 @@
 	})
 }
 
-// TestRejectedCallersTable: who comes back before it was told to is refused as long as the service is
-// pressed, told what is left of its time, and like any other afterwards; the tries of one
-// request fare alike on all nodes for a moment; the table is bounded.
+// TestRejectedCallersTable: a caller that returns before its retry delay is over is rejected with the rest of
+// the delay while the service is overloaded, and treated like any other afterwards. The random draw for a
+// request stays the same for a short time. The size of the table is limited.
 func TestRejectedCallersTable(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		var table rejectedCallers
@@ -446,7 +448,7 @@
 			table.remember(100+i, tickMs(2000), 100)
 			require.LessOrEqual(t, len(table.recent)+len(table.earlier), 100)
 		}
-		require.NotZero(t, table.returnsEarly(100+9_999, tickMs(1000)), "the newest are kept")
+		require.NotZero(t, table.returnsEarly(100+9_999, tickMs(1000)), "the newest entries are kept")
 
 		original := &Request{ID: "first", Target: "/x", Prompt: 9, Segments: []PromptSegment{{"shared", 5}, {"own", 4}}}
 		retry, other := *original, *original
@@ -468,17 +470,17 @@
 				}
 			}
 		}
-		require.InDelta(t, 190, low, 60, "a later moment draws anew")
+		require.InDelta(t, 190, low, 60, "the draw changes with the epoch")
 
 		fixture := newAdmissionFixture(t)
 		fixture.reportLoads(13, 200_000, 0)
 		require.Equal(t, 1, fixture.countRejected(1, 1, nil))
 		recent := fixture.node.admission.rejected.recent
-		fixture.reportLoads(13, 36_000, 0) // 1.5 times the aim: it has not eased, and few are refused
+		fixture.reportLoads(13, 36_000, 0) // 1.5 times the latency target: rejecting hasn't stopped, and few are rejected
 		fixture.node.admission.rejected.recent = recent
-		require.Equal(t, 1, fixture.countRejected(1, 1, nil), "it came back too soon")
+		require.Equal(t, 1, fixture.countRejected(1, 1, nil), "the caller returned before its retry delay was over")
 		fixture.reportLoads(13, 10_000, 0)
 		fixture.node.admission.rejected.recent = recent
-		require.Zero(t, fixture.countRejected(1, 1, nil), "it is pressed no more")
+		require.Zero(t, fixture.countRejected(1, 1, nil), "the service isn't overloaded any more")
 	})
 }
--- a/internal/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -1,5 +1,5 @@
-// Program sets that come over the core's log: swapped under load, refused, raced, and kept
-// through losses.
+// Routing program sets distributed through the cores' log: swaps under load, rejected sets, concurrent
+// changes, and power losses.
 
 package proxy
 
@@ -22,17 +22,17 @@
 	"keelstair.example/internal/routing"
 )
 
-// orderProgram is a program that prefers workers by a key.
+// orderProgram returns the source of a program that sorts workers by a key expression.
 func orderProgram(key string) string {
 	return fmt.Sprintf("def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: %s)]\n", key)
 }
 
-// preferWorkerProgram prefers the worker with a number.
+// preferWorkerProgram returns the source of a program that prefers the worker with a number.
 func preferWorkerProgram(number int) string {
 	return orderProgram(fmt.Sprintf("(0 if '-%d.' in w.id else 1, w.id)", number))
 }
 
-// encodeProgramSet writes a program set.
+// encodeProgramSet returns a program set as JSON.
 func encodeProgramSet(list ...routing.Source) string {
 	p := map[string]fleetstate.Program{}
 	for _, s := range list {
@@ -42,17 +42,19 @@
 	return string(b)
 }
 
-// operator speaks to the core by way of a node.
+// operator returns the operators' interface, which reaches the cores through a node.
 func (f *fleet) operator(node *testNode) *Operator {
 	return &Operator{Caller: node.agent.Caller(), Directory: node.Directory(), Zones: []string{"a", "b"}}
 }
 
+// applyProgramSet applies a program set made for the base version.
 func (f *fleet) applyProgramSet(op string, base uint64, text string) (*api.ApplyResponse, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
 	return f.operator(f.runningNodes()[0]).Apply(ctx, &api.ApplyRequest{Op: op, Base: base, Name: "set.cue", Source: text})
 }
 
+// currentProgramSet returns what the operators' interface shows.
 func (f *fleet) currentProgramSet() *api.Shown {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
@@ -61,7 +63,7 @@
 	return got
 }
 
-// programSetActive tells whether every node has a set in force.
+// programSetActive tells whether a version of the program set is active at every running node.
 func (f *fleet) programSetActive(v ids.Version) bool {
 	for _, node := range f.runningNodes() {
 		if s := node.view.Current().Programs; s == nil || s.Version != v {
@@ -71,7 +73,7 @@
 	return true
 }
 
-// firstDecodeWorkers gives the number of the worker that each request was first offered to.
+// firstDecodeWorkers returns by request ID the number of the decode worker that was tried first.
 func firstDecodeWorkers(calls []callRecord) map[string]int {
 	out := map[string]int{}
 	for _, call := range calls {
@@ -84,10 +86,9 @@
 	return out
 }
 
-// TestProgramSwapUnderLoad: two programs by shares of 30 and 70, swapped in mid-load for two
-// others, with streams that run across: no request is refused, no stream breaks, the
-// shares hold before and after, every node has the new set within two seconds, and the
-// start's programs rule until the core has a set.
+// TestProgramSwapUnderLoad: two programs with shares of 30 and 70 percent are replaced under load while streams
+// run. No request is rejected, no stream is aborted, the shares hold before and after, and every node has the
+// new set within two seconds. The programs from a node's options apply until the cores have a set.
 func TestProgramSwapUnderLoad(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
@@ -134,7 +135,7 @@
 				spanning++
 			}
 		}
-		require.Greater(t, spanning, 3, "streams ran across")
+		require.Greater(t, spanning, 3, "few streams span the swap")
 		require.InDelta(t, 0.3, countsBefore[0]/(countsBefore[0]+countsBefore[2]), 0.08, "%v", countsBefore)
 		require.Zero(t, countsBefore[1]+countsBefore[3])
 		require.InDelta(t, 0.6, countsAfter[1]/(countsAfter[0]+countsAfter[1]), 0.08, "%v", countsAfter)
@@ -142,8 +143,8 @@
 	})
 }
 
-// TestResumedStreamKeepsProgramSet: a stream that is taken up elsewhere after a swap goes by the programs that
-// it began with.
+// TestResumedStreamKeepsProgramSet: a stream that resumes at another worker after a swap still uses the program
+// set with which it began.
 func TestResumedStreamKeepsProgramSet(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 4)...)
@@ -172,8 +173,8 @@
 	})
 }
 
-// TestInvalidProgramSetsRejected: a set with a fault is refused with its place and reason, and one over a
-// stale base with the newest version; nothing changes, and nothing is staged.
+// TestInvalidProgramSetsRejected: an invalid set is rejected with the position and the reason, and a set for a
+// stale base with the newest version. The current set stays, and nothing is staged.
 func TestInvalidProgramSetsRejected(t *testing.T) {
 	ok := routing.Source{Name: "ok", Share: 100, Text: orderProgram("w.id")}
 	var many []routing.Source
@@ -216,13 +217,13 @@
 		require.True(t, failure.Is(err, failure.Stale))
 		require.Equal(t, before, f.currentProgramSet())
 		got, err := f.applyProgramSet("one", 0, encodeProgramSet(ok))
-		require.NoError(t, err, "the same operation again has its one outcome")
+		require.NoError(t, err, "a repeated operation must return its first outcome")
 		require.EqualValues(t, 1, got.Version)
 	})
 }
 
-// TestPartialProgramSet: a part is laid over the newest set, a dry run changes nothing, and the
-// empty set leaves all to the built-in order, also where the node began with programs.
+// TestPartialProgramSet: a partial set is merged into the newest set, and a dry run changes nothing. With an
+// empty set the built-in order applies, even if the node's options have programs.
 func TestPartialProgramSet(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -249,7 +250,7 @@
 		_, err = apply("two", 1, false, partialSet)
 		require.NoError(t, err)
 		got, err = apply("two", 1, false, partialSet)
-		require.NoError(t, err, "again")
+		require.NoError(t, err, "a repeated operation")
 		require.EqualValues(t, 2, got.Version)
 		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(2) }))
 		require.Equal(t, []string{"a", "b"}, f.nodes[0].view.Current().Programs.Configuration.Names())
@@ -260,8 +261,8 @@
 	})
 }
 
-// TestFaultyProgramsFallBack: endless programs and those that name strangers, put in force while load
-// runs, fall back and are counted; every request is served.
+// TestFaultyProgramsFallBack: programs that never end or return unknown workers, activated under load, fall
+// back to the built-in order and are counted; every request is served.
 func TestFaultyProgramsFallBack(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
@@ -288,9 +289,9 @@
 	})
 }
 
-// TestProgramSwapSurvivesPowerLoss: the leading core loses its power at some moment of a swap: the set that
-// was acknowledged is in force at all nodes, once; it is there after all cores lost their
-// power, at a node that joins late, and at one that was killed and rejoins.
+// TestProgramSwapSurvivesPowerLoss: the leading core loses power during a swap. The acknowledged set becomes
+// active at all nodes, with one version; it survives a power loss of all cores, and a node that joins later
+// and one that was killed and rejoins get it.
 func TestProgramSwapSurvivesPowerLoss(t *testing.T) {
 	forEachSeed(t, 6, func(t *testing.T, seed uint64) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -328,8 +329,9 @@
 	})
 }
 
-// TestConcurrentProgramAndConfigurationChanges: sets and configurations change at once: both lines hold. Of two sets made
-// over the same one, one wins, and the other learns of it.
+// TestConcurrentProgramAndConfigurationChanges: program sets and configurations change at the same time and
+// both reach their last version. Of two sets for the same base one is applied, and the other is rejected as
+// stale.
 func TestConcurrentProgramAndConfigurationChanges(t *testing.T) {
 	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -356,7 +358,7 @@
 		errs := make([]error, 2)
 		for i := range errs {
 			wg.Go(func() {
-				_, errs[i] = f.applyProgramSet(fmt.Sprint("rival", i), 8, encodeProgramSet(routing.Source{Name: fmt.Sprint("rival", i), Share: 100, Text: preferWorkerProgram(0)}))
+				_, errs[i] = f.applyProgramSet(fmt.Sprint("concurrent", i), 8, encodeProgramSet(routing.Source{Name: fmt.Sprint("concurrent", i), Share: 100, Text: preferWorkerProgram(0)}))
 			})
 		}
 		wg.Wait()
@@ -368,8 +370,8 @@
 	})
 }
 
-// TestUncompilableProgramSetKeepsPrevious: a set that a node cannot compile, though the core has it, leaves the
-// one before it in force there, and the next one that compiles is taken.
+// TestUncompilableProgramSetKeepsPrevious: a node that can't compile a set of the cores keeps the previous one
+// active, and activates the next one that compiles.
 func TestUncompilableProgramSetKeepsPrevious(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -388,7 +390,8 @@
 	})
 }
 
-// alternateRolesProgram names the first worker that may turn, whatever the press; drain only one that reads.
+// Programs that propose a role change whatever the load: alternateRolesProgram for the first worker that may
+// change, drainPrefillProgram for the first such prefill worker.
 const (
 	alternateRolesProgram = `def turn(pool):
     for w in pool.workers:
@@ -404,14 +407,14 @@
 `
 )
 
-// TestRoleChangeByProgram: a program in charge that wishes for a turn whenever one may be had is
-// held to the guards: a third keeps each part, orders to a worker are its dwell apart, and
-// nothing is sent to a worker that turns.
+// TestRoleChangeByProgram: a program that controls roles and proposes a change whenever one is possible is
+// bound by the limits: a third of the workers keeps each role, orders to one worker are a dwell time apart,
+// and a worker that changes its role gets no work.
 func TestRoleChangeByProgram(t *testing.T) {
 	for name, c := range map[string]struct {
-		text string
-		some int
-	}{"flap": {alternateRolesProgram, 5}, "drain": {drainPrefillProgram, 0}} {
+		text      string
+		minOrders int
+	}{"alternate": {alternateRolesProgram, 5}, "drain": {drainPrefillProgram, 0}} {
 		t.Run(name, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 5, 4)...)
@@ -422,13 +425,13 @@
 				require.NoError(t, err)
 				results := f.generateLoad(20, 40*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
 				calls := platform.recordedCalls()
-				require.Greater(t, len(orders(calls)), c.some)
+				require.Greater(t, len(orders(calls)), c.minOrders)
 				lastOrder, lastOrderOfAny := map[ids.WorkerID]time.Duration{}, time.Duration(-time.Hour)
 				for _, call := range orders(calls) {
 					if at, ok := lastOrder[call.Worker]; ok {
-						require.Greater(t, call.At-at, 4*time.Second, "dwell of %s", call.Worker)
+						require.Greater(t, call.At-at, 4*time.Second, "dwell time of %s", call.Worker)
 					}
-					require.Greater(t, call.At-lastOrderOfAny, roleChangeInterval, "between a service's turns")
+					require.Greater(t, call.At-lastOrderOfAny, roleChangeInterval, "interval between role changes of a service")
 					lastOrder[call.Worker], lastOrderOfAny = call.At, call.At
 				}
 				require.Empty(t, thirds(calls, roles))
@@ -443,13 +446,13 @@
 	}
 }
 
-// TestRoleChangeProgramDecides: a program in charge that wishes for none has none turned though a
-// part is pressed; one that fails, or names a worker that may not turn, leaves it to the
-// built-in choice; one that is not in charge is only counted.
+// TestRoleChangeProgramDecides: if a program that controls roles proposes no change, no role changes although
+// one role is under pressure. If it fails, or names a worker that may not change, the built-in choice applies.
+// A shadow program is only counted.
 func TestRoleChangeProgramDecides(t *testing.T) {
 	for name, c := range map[string]struct {
-		p     routing.Source
-		turns bool
+		program     routing.Source
+		changesRole bool
 	}{
 		"none":     {routing.Source{ChangesRoles: true, Text: "def turn(pool):\n    return None\n"}, false},
 		"fails":    {routing.Source{ChangesRoles: true, Text: "def turn(pool):\n    return pool.nothing\n"}, true},
@@ -464,13 +467,13 @@
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 5)...)
 				f := startFleet(t, 88, 2, platform, defaultConfiguration(), turning)
 				defer f.close()
-				c.p.Name = name
-				_, err := f.applyProgramSet("op", 0, encodeProgramSet(c.p))
+				c.program.Name = name
+				_, err := f.applyProgramSet("op", 0, encodeProgramSet(c.program))
 				require.NoError(t, err)
 				time.Sleep(2 * time.Second)
 				platform.pressed(ids.Prefill, 6)
 				time.Sleep(10 * time.Second)
-				require.Equal(t, c.turns, len(orders(platform.recordedCalls())) > 0)
+				require.Equal(t, c.changesRole, len(orders(platform.recordedCalls())) > 0)
 				for _, call := range orders(platform.recordedCalls()) {
 					require.Equal(t, ids.Prefill, call.TargetRole)
 				}
@@ -483,8 +486,8 @@
 	}
 }
 
-// TestOperatorEvacuatesKnownZonesOnly: the other calls of the operators' interface: zones that are known are
-// evacuated, and nothing else.
+// TestOperatorEvacuatesKnownZonesOnly: the operators' interface evacuates known zones only, and doesn't drain
+// workers.
 func TestOperatorEvacuatesKnownZonesOnly(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
