--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -1,5 +1,5 @@
-// Free memory of workers: derived from late reports and from what was booked and ended here
-// since, told to all nodes, and used in the order of workers.
+// The free memory of workers: estimated from delayed reports and this node's own reservations, distributed to
+// all nodes, and used to rank workers.
 
 package proxy
 
@@ -17,29 +17,30 @@
 	"keelstair.example/internal/routing"
 )
 
+// tickMs returns n milliseconds as a tick.
 func tickMs(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
 
-// TestMemoryAccount: what a report cannot show yet is added, what it still shows though it ended
-// here is taken off as far as no other request shares it, and where both may be, the worker
-// looks fuller.
+// TestMemoryAccount: memory that a report can't show yet counts as used. Memory that the report still shows
+// although the request ended here is subtracted, unless other requests may share it. If a report may or may
+// not show a request, the account assumes the higher use.
 func TestMemoryAccount(t *testing.T) {
 	load := reportedLoad{Used: 300, Capacity: 1000}
 	requestedAt := 10_000
 	lag := int(reportLag / time.Millisecond)
 	for _, c := range []struct {
 		name         string
-		began, ended int // 0: it goes on
+		began, ended int // ended 0: still running
 		want         int
 	}{
-		{"begun long before and running: it is shown", requestedAt - lag - 100, 0, 700},
-		{"begun just before the report: it may not be shown", requestedAt - lag + 100, 0, 600},
-		{"begun after the report", requestedAt + 100, 0, 600},
-		{"shown, and ended since", requestedAt - lag - 100, requestedAt + 50, 740},
-		{"ended before the report was asked for: it may be shown no more", requestedAt - lag - 100, requestedAt - 100, 700},
-		{"begun and ended where the report may show either", requestedAt - lag + 100, requestedAt - 50, 700},
+		{"begun long before the report, running: shown", requestedAt - lag - 100, 0, 700},
+		{"begun just before the report, running: may not be shown", requestedAt - lag + 100, 0, 600},
+		{"begun after the report, running", requestedAt + 100, 0, 600},
+		{"shown, ended after the report", requestedAt - lag - 100, requestedAt + 50, 740},
+		{"ended before the report was requested: may no longer be shown", requestedAt - lag - 100, requestedAt - 100, 700},
+		{"begun and ended just before the report: either state may be shown", requestedAt - lag + 100, requestedAt - 50, 700},
 		{"begun and ended after the report", requestedAt + 50, requestedAt + 100, 700},
 	} {
-		for _, reportAfterEnd := range []bool{false, true} { // the report is heard of before or after the end
+		for _, reportAfterEnd := range []bool{false, true} { // the report arrives before or after the end
 			var account memoryAccount
 			if !reportAfterEnd {
 				account.report(load, tickMs(requestedAt))
@@ -64,23 +65,23 @@
 	account.release(account.reserve(100, 40, tickMs(requestedAt)), false, tickMs(requestedAt+10))
 	free, ok := account.free(tickMs(requestedAt + 20))
 	require.True(t, ok)
-	require.Equal(t, 700, free, "turned away: it never was there")
+	require.Equal(t, 700, free, "a rejected request never used memory")
 	account.report(reportedLoad{Used: 900, Capacity: 1000}, tickMs(requestedAt-1000))
 	free, _ = account.free(tickMs(requestedAt + 20))
-	require.Equal(t, 700, free, "an older report that comes late")
+	require.Equal(t, 700, free, "an older report that arrives late is ignored")
 	_, ok = account.free(tickMs(requestedAt).Add(reportMaxAge + 1))
 	require.False(t, ok, "the report is stale")
 	account.report(reportedLoad{}, tickMs(requestedAt+1000))
 	_, ok = account.free(tickMs(requestedAt + 1000))
-	require.False(t, ok, "the worker told nothing")
+	require.False(t, ok, "the report has no memory capacity")
 	for i := range 10_000 {
 		account.release(account.reserve(1, 1, tickMs(requestedAt+10*i)), true, tickMs(requestedAt+10*i+5))
 	}
-	require.Less(t, len(account.reservations), 600, "what ended is forgotten without reports too")
+	require.Less(t, len(account.reservations), 600, "ended reservations expire without reports too")
 }
 
-// TestMemoryAccountOfRestartedWorker: a new life of a worker begins with nothing known of it, and what the
-// earlier one reported or ran is not counted.
+// TestMemoryAccountOfRestartedWorker: nothing is known of a new incarnation of a worker; reports and
+// reservations of the previous one don't count.
 func TestMemoryAccountOfRestartedWorker(t *testing.T) {
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 	require.NoError(t, err)
@@ -95,14 +96,14 @@
 	picks[0].reserve(r, r.MaxTokens, now)
 	n.installList([]Worker{{ID: "w.2", Service: "s", Zone: "a", Role: ids.Decode, Concurrency: 8}}, now, now)
 	picks = n.emitters(n.startupPrograms.Set, n.view.Current(), service("s"), r, nil, nil)
-	require.Zero(t, picks[0].capacity, "nothing is known of the new life")
+	require.Zero(t, picks[0].capacity, "nothing is known of the new incarnation")
 	require.Less(t, picks[0].cost, n.options.NoCapacityCost)
 	_, loads := n.loads.since(0, previous, now, everyService)
-	require.Empty(t, loads[0].Rows, "the earlier life is told no more")
+	require.Empty(t, loads[0].Rows, "loads of the previous incarnation aren't sent")
 }
 
-// TestLoadBoard: a node hears each change once, small ones and a round that it has not at all,
-// and of a worker that told nothing that it did.
+// TestLoadBoard: a node gets each change once, and it doesn't get small changes or expired rounds. It is told
+// that a worker sent no report.
 func TestLoadBoard(t *testing.T) {
 	list := []Worker{{ID: "v"}, {ID: "w"}, {ID: "x"}}
 	loads := func(v, w int) map[ids.WorkerID]reportedLoad {
@@ -113,25 +114,25 @@
 	seq, got := board.since(0, list, tickMs(1300), everyService)
 	require.Equal(t, []ServiceLoads{{"s", 300, []WorkerLoad{{0, 100, 1000, 0, 0}, {1, 200, 1000, 0, 0}}}}, got)
 	_, got = board.since(seq, list, tickMs(1400), everyService)
-	require.Empty(t, got, "nothing new")
-	require.Nil(t, board.record("s", tickMs(1050), loads(1, 1), true), "the same round, heard of again")
+	require.Empty(t, got, "no change")
+	require.Nil(t, board.record("s", tickMs(1050), loads(1, 1), true), "the same round is recorded again")
 	require.NotNil(t, board.record("s", tickMs(2000), loads(105, 300), true))
 	seq, got = board.since(seq, list, tickMs(2000), everyService)
 	require.Equal(t, []ServiceLoads{{
 		"s", 0, []WorkerLoad{{1, 300, 1000, 0, 0}},
-	}}, got, "only what changed, and that all were asked")
+	}}, got, "only the changed load, and the age of the round")
 	require.NotNil(t, board.record("s", tickMs(3000), map[ids.WorkerID]reportedLoad{"w": {Used: 300, Capacity: 1000}}, true))
 	seq, got = board.since(seq, list, tickMs(3000), everyService)
-	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{0, 0, 0, 0, 0}}}}, got, "v told nothing")
+	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{0, 0, 0, 0, 0}}}}, got, "v sent no report")
 	require.NotNil(t, board.record("s", tickMs(4000), map[ids.WorkerID]reportedLoad{"v": {Used: 9, Capacity: 1000}}, false))
 	_, got = board.since(seq, list, tickMs(4000), everyService)
-	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{0, 9, 1000, 0, 0}}}}, got, "w is as it was")
+	require.Equal(t, []ServiceLoads{{"s", 0, []WorkerLoad{{0, 9, 1000, 0, 0}}}}, got, "w is unchanged")
 	_, got = board.since(0, list, tickMs(4000).Add(reportMaxAge+1), everyService)
-	require.Empty(t, got, "an old round is not handed on")
+	require.Empty(t, got, "an expired round isn't sent")
 }
 
-// TestFreeMemoryReachesAllNodes: every node knows the room of every worker within two seconds of a
-// change, whichever nodes hold the duties, and while no reports come none counts on one.
+// TestFreeMemoryReachesAllNodes: every node knows the free memory of every worker within two seconds of a
+// change, whichever nodes hold the leases. Without reports, no node assumes a value.
 func TestFreeMemoryReachesAllNodes(t *testing.T) {
 	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
 		workers := prefillAndDecodeWorkers("svc", 3, 3)
@@ -166,16 +167,16 @@
 				worker.memoryUsed = 80_000
 			}
 		})
-		require.True(t, f.waitUntil(2*time.Second, allNodesKnow(func(int) int { return 5000 })), "a change reaches all")
+		require.True(t, f.waitUntil(2*time.Second, allNodesKnow(func(int) int { return 5000 })), "a change doesn't reach all nodes")
 		separate := f.holder() >= 0 && f.holder() != f.workerListOwner()
-		t.Log("the duties have different holders:", separate)
+		t.Log("the leases have different holders:", separate)
 		f.killNode(f.holder())
 		platform.withLock(func() {
 			for _, worker := range workers {
 				worker.memoryUsed = 32_000
 			}
 		})
-		require.True(t, f.waitUntil(20*time.Second, allNodesKnow(func(int) int { return 2000 })), "another holder asks")
+		require.True(t, f.waitUntil(20*time.Second, allNodesKnow(func(int) int { return 2000 })), "the next holder doesn't request reports")
 		platform.withLock(func() {
 			for _, worker := range workers {
 				worker.silent = true
@@ -194,11 +195,11 @@
 				}
 			}
 			return true
-		}), "without reports nothing is known")
+		}), "a node assumes a value without reports")
 	})
 }
 
-// workerListOwner gives the number of the node that holds the list's duty, or -1.
+// workerListOwner returns the number of the node that holds the lease of the worker list, or -1.
 func (f *fleet) workerListOwner() int {
 	for i, node := range f.nodes {
 		if _, ok := node.agent.OwnsKey(fleetstate.WorkerListKey); ok && node.running {
@@ -208,8 +209,8 @@
 	return -1
 }
 
-// TestLoadsReachNodesWithSeparateLeaseHolders: where one node holds the service's duty and another the list's, the
-// first one tells the second, and all hear of it there.
+// TestLoadsReachNodesWithSeparateLeaseHolders: if one node holds the lease of the service and another that of
+// the worker list, the first one sends the loads to the second, from which all nodes get them.
 func TestLoadsReachNodesWithSeparateLeaseHolders(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		separate := false
@@ -239,10 +240,10 @@
 			return
 		}
 	}
-	t.Fatal("no seed has the duties at two nodes")
+	t.Fatal("no seed has the leases at two nodes")
 }
 
-// TestProgramsSeeFreeMemory: routing programs see what is free in blocks.
+// TestProgramsSeeFreeMemory: routing programs see the free memory of workers, in blocks.
 func TestProgramsSeeFreeMemory(t *testing.T) {
 	text := "def order(ask, workers):\n    return [w.id for w in sorted(workers, key = lambda w: -w.free)]\n"
 	n, err := New(Options{
@@ -272,8 +273,9 @@
 	}
 }
 
-// runShortMemoryLoad runs emitters whose memory, unlike their places, is short, and counts arrivals that
-// were turned away and callers that were answered.
+// runShortMemoryLoad sends load to decode workers that run out of memory before they run out of slots. It
+// returns the rejected decode calls, the answered requests, all requests, and the mean time to the first byte
+// of the answered ones.
 func runShortMemoryLoad(t *testing.T, seed uint64, rate, noCapacityCost float64) (rejected, answered, total int, meanFirstByte time.Duration) {
 	workers := prefillAndDecodeWorkers("svc", 4, 6)
 	for i, worker := range workers {
@@ -315,8 +317,8 @@
 	return rejected, answered, len(results), meanFirstByte / time.Duration(max(1, answered))
 }
 
-// TestFreeMemoryReducesRejections: emitters whose memory is short turn fewer requests away, and more are answered,
-// where nodes know their room than where they do not.
+// TestFreeMemoryReducesRejections: decode workers that are short of memory reject fewer requests, and more
+// requests are answered, if nodes take their free memory into account.
 func TestFreeMemoryReducesRejections(t *testing.T) {
 	seeds := uint64(2)
 	if raced {
@@ -329,7 +331,7 @@
 				runInBubble(t, func(t *testing.T) {
 					rejectedNow, answeredNow, total, meanFirstByte := runShortMemoryLoad(t, seed, rate, noCapacityCost)
 					t.Logf(
-						"%.0f a second, seed %d, reckoned with room %t: %d turned away, %d of %d answered, first bytes after %s",
+						"%.0f requests/s, seed %d, free memory used %t: %d rejected, %d of %d answered, first byte after %s",
 						rate,
 						seed,
 						k == 1,
@@ -347,10 +349,10 @@
 	require.Greater(t, answered[1], answered[0])
 }
 
-// TestLoadUpdateSize: what the workers' standing adds to the answers that nodes fetch anyway
-// stays within a few bytes a second for each node and worker, while all is busy and changes.
+// TestLoadUpdateSize: the workers' loads add at most 13 bytes a second per worker, plus 120, to the list
+// responses that a node fetches anyway, even if all workers are busy and all loads change.
 func TestLoadUpdateSize(t *testing.T) {
-	for _, c := range []struct{ nodes, workers, places int }{{10, 12, 64}, {72, 140, 24}} {
+	for _, c := range []struct{ nodes, workers, slots int }{{10, 12, 64}, {72, 140, 24}} {
 		for _, level := range []string{"no", "usual", "full"} {
 			list := make([]Worker, c.workers)
 			for i := range list {
@@ -368,7 +370,7 @@
 					case "usual":
 						load.Running = rng.IntN(4)
 					case "full":
-						load.Running = c.places/2 + rng.IntN(c.places/2)
+						load.Running = c.slots/2 + rng.IntN(c.slots/2)
 						load.Waiting = rng.IntN(3)
 					}
 					load.Used = load.Running * (400 + rng.IntN(100))
@@ -376,7 +378,7 @@
 				}
 				now := tickMs(1000 * (round + 1))
 				board.record("minutes-llm", now, loads, true)
-				for k := range 4 { // askings a second
+				for k := range 4 { // list requests per second
 					withoutLoads := &ListResponse{Version: 7, Age: 1 << 29}
 					withLoads := &ListResponse{Version: 7, Age: 1 << 29}
 					request := &ListRequest{Node: "n", Version: 7, LoadSeq: seq}
@@ -393,7 +395,7 @@
 			}
 			bytesPerNode := added / rounds
 			t.Logf(
-				"%d nodes, %d workers, %s load: %d bytes a second for each node, %d for all",
+				"%d nodes, %d workers, %s load: %d bytes/s per node, %d bytes/s for all",
 				c.nodes,
 				c.workers,
 				level,
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -1,4 +1,5 @@
-// Sick workers: outlier ejection by outcomes, with a bound, probation and damping.
+// Unhealthy workers: outlier ejection by call outcomes, with an ejection limit, probation, and longer ejections
+// for repeated failures.
 
 package proxy
 
@@ -18,7 +19,7 @@
 	"keelstair.example/ids"
 )
 
-// ejectionSample is how many of a part a node has out at a moment.
+// ejectionSample is the number of workers of a group that a node has ejected at a time.
 type ejectionSample struct {
 	at             time.Duration
 	node           string
@@ -26,17 +27,18 @@
 	ejected, total int
 }
 
-// ejectionScenario runs a load over workers some of which are unhealthy, and watches what is out.
+// ejectionScenario is a load on workers of which some are unhealthy, and its results. Times in the results
+// count from the start of the load.
 type ejectionScenario struct {
 	seed           uint64
 	nodes          int
-	workersPerRole int // workers of each part
+	workersPerRole int
 	rate           float64
 	duration       time.Duration
-	outcome        func(call callRecord) callOutcome // under the fake platform's lock
+	outcome        func(call callRecord) callOutcome // called while the platform is locked; nil: all calls succeed
 	adjustOptions  func(*Options)
 	disrupt        func(f *fleet, platform *fakePlatform)
-	route          string // all four by turns if it is empty
+	route          string // path of the requests; empty: all of routePaths in turn
 	prompt         int
 	samples        []ejectionSample
 	calls          []callRecord
@@ -45,6 +47,7 @@
 	readmissions   int64
 }
 
+// run runs the scenario and returns it with its results.
 func (s *ejectionScenario) run(t *testing.T) *ejectionScenario {
 	platform := newFakePlatform(prefillAndDecodeWorkers("svc", s.workersPerRole, s.workersPerRole)...)
 	f := startFleet(t, s.seed, s.nodes, platform, defaultConfiguration(), func(o *Options) {
@@ -102,6 +105,7 @@
 	return s
 }
 
+// sampleEjections adds a sample for each node and group with ejected workers.
 func (s *ejectionScenario) sampleEjections(f *fleet, now time.Duration) {
 	for _, node := range f.runningNodes() {
 		samples := map[workerGroup]*ejectionSample{}
@@ -123,7 +127,8 @@
 	}
 }
 
-// countAnswered is how many of the requests of a span were answered with 200.
+// countAnswered returns how many requests of a time range were answered with status 200, and how many there
+// were.
 func (s *ejectionScenario) countAnswered(from, to time.Duration) (answered, total int) {
 	for _, result := range s.results {
 		if result.sentAt >= from && result.sentAt < to {
@@ -136,7 +141,7 @@
 	return answered, total
 }
 
-// checkInvariants holds what must be so whatever is unhealthy.
+// checkInvariants checks what must hold whichever workers are unhealthy.
 func (s *ejectionScenario) checkInvariants(t *testing.T) {
 	require.Empty(t, onceOnly(s.calls, s.results))
 	require.Empty(t, ended(s.results, 8500*time.Millisecond))
@@ -144,26 +149,26 @@
 	require.Empty(t, ejectionLimitViolations(s.samples, 0.34))
 }
 
-// failsAtRandom draws by a seed whether a call fails; the verdict goes with the request and the
-// worker, so that it does not depend on the order of calls.
+// failsAtRandom returns a function that decides whether a call fails. The decision depends on the seed, the
+// request, the kind of call and the worker only, not on the order of calls.
 func failsAtRandom(seed uint64, probability float64) func(call callRecord) bool {
 	return func(call callRecord) bool {
 		return rand.New(rand.NewPCG(seed, ids.Hash(call.RequestID+call.Kind+string(call.Worker)))).Float64() < probability
 	}
 }
 
-// ejectionLimitViolations: of no part does a node have more out at once than the bound, nor the last.
+// ejectionLimitViolations checks that no node ejects more than maxShare of a group, or all of it.
 func ejectionLimitViolations(samples []ejectionSample, maxShare float64) []string {
 	var out []string
 	for _, sample := range samples {
 		if limit := max(1, int(maxShare*float64(sample.total))); sample.ejected > limit || sample.ejected >= sample.total {
-			out = append(out, fmt.Sprintf("at %s: %s has %d of %d out of %v", sample.at, sample.node, sample.ejected, sample.total, sample.group))
+			out = append(out, fmt.Sprintf("at %s: %s has ejected %d of %d workers of %v", sample.at, sample.node, sample.ejected, sample.total, sample.group))
 		}
 	}
 	return out
 }
 
-// callShare is the part of a span's sendings that goes to some workers.
+// callShare returns the share of the prefill and decode calls of a time range that went to the given workers.
 func callShare(calls []callRecord, workers map[ids.WorkerID]bool, from, to time.Duration) float64 {
 	selected, total := 0, 0
 	for _, call := range calls {
@@ -177,32 +182,32 @@
 	return float64(selected) / float64(max(1, total))
 }
 
-// callShareViolations: the unhealthy workers' share of sendings falls to the part given of what is fair.
+// callShareViolations checks that the unhealthy workers' share of calls is at most maxRatio of their fair share.
 func callShareViolations(calls []callRecord, unhealthy map[ids.WorkerID]bool, fair, maxRatio float64, from, to time.Duration) []string {
 	if actual := callShare(calls, unhealthy, from, to); actual > maxRatio*fair {
-		return []string{fmt.Sprintf("%.3f of the sendings go to sick workers, whose fair share is %.3f", actual, fair)}
+		return []string{fmt.Sprintf("%.3f of the calls go to unhealthy workers, whose fair share is %.3f", actual, fair)}
 	}
 	return nil
 }
 
-// TestEjectionCheckersDetectViolations: the checkers of this file catch their violations.
+// TestEjectionCheckersDetectViolations: the checkers of this file report violations.
 func TestEjectionCheckersDetectViolations(t *testing.T) {
 	require.Empty(t, ejectionLimitViolations([]ejectionSample{{ejected: 2, total: 6}, {ejected: 1, total: 2}}, 0.34))
-	require.NotEmpty(t, ejectionLimitViolations([]ejectionSample{{ejected: 3, total: 6}}, 0.34), "over the bound")
-	require.NotEmpty(t, ejectionLimitViolations([]ejectionSample{{ejected: 1, total: 1}}, 0.34), "the last")
+	require.NotEmpty(t, ejectionLimitViolations([]ejectionSample{{ejected: 3, total: 6}}, 0.34), "over the limit")
+	require.NotEmpty(t, ejectionLimitViolations([]ejectionSample{{ejected: 1, total: 1}}, 0.34), "the last worker")
 	decodeAt := func(id ids.WorkerID, at time.Duration) callRecord {
 		return callRecord{Kind: "emit", Worker: id, At: at}
 	}
 	calls := []callRecord{decodeAt("w", 0), decodeAt("w", 1), decodeAt("v", 5), decodeAt("w", 6), decodeAt("v", 7), decodeAt("v", 8)}
 	unhealthy := map[ids.WorkerID]bool{"w": true}
 	require.Empty(t, callShareViolations(calls, unhealthy, 0.5, 0.6, 5, 9))
-	require.NotEmpty(t, callShareViolations(calls, unhealthy, 0.5, 0.4, 5, 9), "one of four")
-	require.NotEmpty(t, callShareViolations(calls, unhealthy, 0.5, 0.6, 0, 9), "half")
+	require.NotEmpty(t, callShareViolations(calls, unhealthy, 0.5, 0.4, 5, 9), "one of four calls")
+	require.NotEmpty(t, callShareViolations(calls, unhealthy, 0.5, 0.6, 0, 9), "half of the calls")
 }
 
-// TestPartiallyFailingWorkerIsEjected: a reading and an emitting worker fail 30 to 60 % of their requests while their
-// reports are good: soon little goes there, more is answered than without ejection, and
-// once they are well they get their share again.
+// TestPartiallyFailingWorkerIsEjected: a prefill and a decode worker fail 30 to 60 % of their requests while
+// their health reports are good. They soon get few requests, more requests are answered than without ejection,
+// and they get their share again after they recover.
 func TestPartiallyFailingWorkerIsEjected(t *testing.T) {
 	outcomes := []callOutcome{resetAfterRun, resetBeforeRun, serverError, resetMidResponse}
 	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
@@ -232,7 +237,7 @@
 		answeredWithout, total := withoutEjection.countAnswered(5*time.Second, 13*time.Second)
 		answeredWith, _ := withEjection.countAnswered(5*time.Second, 13*time.Second)
 		t.Logf(
-			"x %.1f: share %.3f, without %.3f; answered %d, without %d, of %d; ejections %d",
+			"failure rate %.1f: share %.3f, without ejection %.3f; answered %d, without ejection %d, of %d; ejections %d",
 			failureRate,
 			callShare(withEjection.calls, unhealthy, 5*time.Second, 13*time.Second),
 			callShare(withoutEjection.calls, unhealthy, 5*time.Second, 13*time.Second),
@@ -243,18 +248,18 @@
 		)
 		require.Empty(t, callShareViolations(withEjection.calls, unhealthy, 1.0/6, 0.6, 5*time.Second, 13*time.Second))
 		require.NotEmpty(
-			t, callShareViolations(withoutEjection.calls, unhealthy, 1.0/6, 0.6, 5*time.Second, 13*time.Second), "without it they go on",
+			t, callShareViolations(withoutEjection.calls, unhealthy, 1.0/6, 0.6, 5*time.Second, 13*time.Second), "without ejection they keep getting requests",
 		)
 		require.Greater(t, answeredWith, answeredWithout)
-		// A third ejection right before they are well lasts 8 s, and trials come after it.
-		require.Greater(t, callShare(withEjection.calls, unhealthy, 25*time.Second, 30*time.Second), 0.5/6, "they are used again")
+		// A third ejection right before the recovery lasts 8 s and is followed by trial requests.
+		require.Greater(t, callShare(withEjection.calls, unhealthy, 25*time.Second, 30*time.Second), 0.5/6, "recovered workers are used again")
 		require.Zero(t, withoutEjection.ejections)
 		require.Positive(t, withEjection.readmissions)
 	})
 }
 
-// TestWorkerFailingForOneNodeIsEjectedThereOnly: a worker fails for one node's calls only: that node leaves it out, the
-// others go on with it.
+// TestWorkerFailingForOneNodeIsEjectedThereOnly: a worker fails only the calls of one node. That node ejects
+// it, and the others keep using it.
 func TestWorkerFailingForOneNodeIsEjectedThereOnly(t *testing.T) {
 	forEachSeed(t, 3, func(t *testing.T, seed uint64) {
 		fails := failsAtRandom(seed, 0.6)
@@ -278,16 +283,15 @@
 				callsByNode[call.Node]++
 			}
 		}
-		require.Greater(t, callsByNode[nodeIP(3)], 4*callsByNode[nodeIP(1)], "the other node of its zone")
+		require.Greater(t, callsByNode[nodeIP(3)], 4*callsByNode[nodeIP(1)], "the other node in the zone keeps using the worker")
 		for _, sample := range scenario.samples {
 			require.Equal(t, nodeIP(1), sample.node, "at %s", sample.at)
 		}
 	})
 }
 
-// TestHealthReportsDoNotOverrideOutcomes: a report that is bad while outcomes are good puts no worker out; one
-// that is good does not bring back a worker whose outcomes are bad. Either lie may be told
-// to some nodes only.
+// TestHealthReportsDoNotOverrideOutcomes: a worker whose health reports fail while its calls succeed isn't
+// ejected, whether its reports fail for all nodes or for one.
 func TestHealthReportsDoNotOverrideOutcomes(t *testing.T) {
 	for _, oneNodeOnly := range []bool{false, true} {
 		t.Run(fmt.Sprint(oneNodeOnly), func(t *testing.T) {
@@ -302,7 +306,7 @@
 						rate:           60,
 						duration:       14 * time.Second,
 						outcome: func(call callRecord) callOutcome {
-							// Now and then an answer is late, so that the worker is asked.
+							// Every 30th response is missing, so that the node requests a report.
 							if call.Kind != "emit" {
 								return succeeds
 							}
@@ -333,20 +337,20 @@
 				scenario := run(true)
 				scenario.checkInvariants(t)
 				shareWith := callShare(scenario.calls, healthy, 3*time.Second, 14*time.Second)
-				t.Logf("share %.3f", shareWith)
+				t.Logf("share with ejection %.3f", shareWith)
 				require.Greater(t, shareWith, 0.7/6)
 				if !oneNodeOnly {
 					shareWithout := callShare(run(false).calls, healthy, 3*time.Second, 14*time.Second)
-					t.Logf("without ejection %.3f", shareWithout)
-					require.Less(t, shareWithout, shareWith, "reports alone put it out")
+					t.Logf("share without ejection %.3f", shareWithout)
+					require.Less(t, shareWithout, shareWith, "without ejection, failed reports exclude the worker")
 				}
 			})
 		})
 	}
 }
 
-// TestFlappingWorkerEjectedLonger: a worker goes down and up by turns: after the second time it is left out for
-// longer than it is down; one that is down once comes back at once.
+// TestFlappingWorkerEjectedLonger: a worker stops responding and recovers repeatedly. From the second time on it
+// is ejected for longer than it is down; a worker that was down once returns at once.
 func TestFlappingWorkerEjectedLonger(t *testing.T) {
 	forEachSeed(t, 3, func(t *testing.T, seed uint64) {
 		run := func(adjustOptions func(*Options)) *ejectionScenario {
@@ -378,7 +382,7 @@
 		answeredWith, total := withEjection.countAnswered(from, to)
 		answeredWithout, _ := withoutEjection.countAnswered(from, to)
 		t.Logf(
-			"share %.3f, without %.3f; answered %d, without %d, of %d",
+			"share %.3f, without ejection %.3f; answered %d, without ejection %d, of %d",
 			callShare(withEjection.calls, flapping, from, to),
 			callShare(withoutEjection.calls, flapping, from, to),
 			answeredWith,
@@ -387,12 +391,13 @@
 		)
 		require.Less(t, callShare(withEjection.calls, flapping, from, to), 0.6*callShare(withoutEjection.calls, flapping, from, to))
 		require.Greater(t, answeredWith, total*97/100)
-		require.Greater(t, callShare(withEjection.calls, silentOnce, 4*time.Second, 8*time.Second), 0.7/8, "one fall is forgiven")
+		require.Greater(t, callShare(withEjection.calls, silentOnce, 4*time.Second, 8*time.Second), 0.7/8, "a single outage has no lasting effect")
 	})
 }
 
-// TestUniformFailuresEjectNoWorker: where all workers fail alike none stands out, and none is ejected; where many
-// do the bound holds. Ejection refuses nothing: what is refused without it is no less.
+// TestUniformFailuresEjectNoWorker: if all workers fail at the same rate, none is an outlier and none is ejected,
+// except by chance. If many fail, the ejection limit holds. Ejection causes no rejections: no fewer requests
+// are rejected without it.
 func TestUniformFailuresEjectNoWorker(t *testing.T) {
 	for name, failing := range map[string]int{"all": 6, "four": 4} {
 		t.Run(name, func(t *testing.T) {
@@ -418,19 +423,19 @@
 				withEjection.checkInvariants(t)
 				countRejected := func(scenario *ejectionScenario) (rejected int) {
 					for _, result := range scenario.results {
-						if _, no := result.err.(*RejectedError); no {
+						if _, isRejected := result.err.(*RejectedError); isRejected {
 							rejected++
 						}
 					}
 					return rejected
 				}
-				t.Logf("%s: ejections %d, refused %d, without %d", name, withEjection.ejections, countRejected(withEjection), countRejected(withoutEjection))
+				t.Logf("%s: ejections %d, rejected %d, without ejection %d", name, withEjection.ejections, countRejected(withEjection), countRejected(withoutEjection))
 				if failing < 6 {
 					require.Less(t, countRejected(withEjection), countRejected(withoutEjection))
-				} else { // the same but for chance
+				} else { // equal except for chance
 					require.LessOrEqual(t, countRejected(withEjection), countRejected(withoutEjection)*6/5)
 					require.LessOrEqual(
-						t, withEjection.ejections, int64(6), "in 10 s at three nodes, by chance as the failures begin",
+						t, withEjection.ejections, int64(6), "in 10 s at three nodes, by chance when the failures begin",
 					)
 				}
 			})
@@ -438,7 +443,8 @@
 	}
 }
 
-// TestEjectedWorkersUsedWhenNoOthersRemain: where only ejected workers are left they are used, the least bad first.
+// TestEjectedWorkersUsedWhenNoOthersRemain: if all workers are ejected, the one with the lowest failure rate is
+// used.
 func TestEjectedWorkersUsedWhenNoOthersRemain(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
@@ -463,8 +469,8 @@
 	})
 }
 
-// TestOneWayPacketLoss: packets pass one way only between a worker and all nodes, or one node: what
-// is sent there is silence. It is left alone while that lasts and used again after it.
+// TestOneWayPacketLoss: a worker's packets don't reach any node, or don't reach one node, so calls to it get no
+// response. The affected nodes avoid the worker meanwhile and use it again afterwards.
 func TestOneWayPacketLoss(t *testing.T) {
 	for _, oneNodeOnly := range []bool{false, true} {
 		t.Run(fmt.Sprint(oneNodeOnly), func(t *testing.T) {
@@ -483,7 +489,7 @@
 						return succeeds
 					},
 					disrupt: func(f *fleet, platform *fakePlatform) {
-						lost := failure.New(failure.Unavailable, "report", "", "no answer")
+						lost := failure.New(failure.Unavailable, "report", "", "no response")
 						time.Sleep(3 * time.Second)
 						platform.withLock(func() {
 							platform.reportError = func(node string, worker *fakeWorker) error {
@@ -517,8 +523,8 @@
 	}
 }
 
-// TestUnreliablePeerEjectsNoWorkerElsewhere: a node that reaches no worker, and one that lies about all or about one,
-// put no worker out for the others.
+// TestUnreliablePeerEjectsNoWorkerElsewhere: a node whose calls all fail, and a peer that reports false outcomes
+// of a worker, don't make other nodes eject a worker.
 func TestUnreliablePeerEjectsNoWorkerElsewhere(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		scenario := (&ejectionScenario{
@@ -552,8 +558,8 @@
 	})
 }
 
-// TestPeerOutcomeWeightsAreCapped: a node's say of a worker is bounded, and one that accuses more of a part than
-// may be out says nothing.
+// TestPeerOutcomeWeightsAreCapped: the weight of a peer's outcomes of one worker is limited, and outcomes that
+// blame more workers of a group than may be ejected are ignored.
 func TestPeerOutcomeWeightsAreCapped(t *testing.T) {
 	n := &Node{options: Options{MaxEjectedShare: 0.34, PeerWeight: 4}}
 	var list []Worker
@@ -567,13 +573,13 @@
 	}, n.capWeights([]Outcomes{{"w0", 400, 200, 9}, {"w1", 30, 0, 0}}))
 	require.Equal(t, []Outcomes{{
 		"w0", 10, 10, 1,
-	}}, n.capWeights([]Outcomes{{"w0", 10, 99, 1}}), "more failures than sendings")
+	}}, n.capWeights([]Outcomes{{"w0", 10, 99, 1}}), "more failures than calls")
 	require.Len(t, n.capWeights([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}}), 2)
-	require.Empty(t, n.capWeights([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}, {"w2", 10, 9, 1}}), "half of all")
+	require.Empty(t, n.capWeights([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}, {"w2", 10, 9, 1}}), "half of the workers are blamed")
 }
 
-// TestOutcomesNotBlamedOnWorker: a caller that went away, a deadline that was over, being turned away and
-// lost memory are no failures of the worker.
+// TestOutcomesNotBlamedOnWorker: a disconnected caller, a passed deadline, a rejection, lost memory and a failed
+// connection don't count as failures of the worker.
 func TestOutcomesNotBlamedOnWorker(t *testing.T) {
 	for _, cause := range []string{"caller", "deadline", "full", "lost", "unreached"} {
 		t.Run(cause, func(t *testing.T) {
@@ -615,14 +621,14 @@
 	}
 }
 
-// TestSparseTrafficPoolsPeerOutcomes: many nodes before many workers, so that each node sends little to each worker:
-// what the nodes tell each other has the unhealthy found in time, where each alone finds none.
+// TestSparseTrafficPoolsPeerOutcomes: with many nodes and many workers, each node sends few requests to each
+// worker. Nodes that share outcomes detect the unhealthy workers in time; without sharing they don't.
 func TestSparseTrafficPoolsPeerOutcomes(t *testing.T) {
 	forEachSeed(t, 2, func(t *testing.T, seed uint64) {
 		fails := failsAtRandom(seed, 0.45)
 		nodes, workersPerRole, rate := 24, 14, 90.0
 		large := os.Getenv("KEELSTAIR_SPARSE") != ""
-		if large { // as many as the largest site has
+		if large { // the size of the largest site
 			nodes, workersPerRole, rate = 72, 70, 605
 		}
 		unhealthy := map[ids.WorkerID]bool{}
@@ -650,9 +656,9 @@
 		}
 		from, to := 4*time.Second, 9500*time.Millisecond
 		pooled, unpooled := run(nil), run(func(o *Options) { o.PeerWeight = -1 })
-		scenarios := map[string]*ejectionScenario{"told": pooled, "alone": unpooled}
+		scenarios := map[string]*ejectionScenario{"pooled": pooled, "unpooled": unpooled}
 		if large {
-			scenarios["off"] = run(func(o *Options) { o.BaseEjection = -1 })
+			scenarios["no ejection"] = run(func(o *Options) { o.BaseEjection = -1 })
 		}
 		for name, scenario := range scenarios {
 			answered, total := scenario.countAnswered(3*time.Second, to)
@@ -671,9 +677,9 @@
 	})
 }
 
-// TestProbationLimitsTraffic: a worker that goes on failing is readmitted by no good report and no time
-// alone: a failed trial ejects it again, each time for longer; trials that succeed readmit
-// it, and what it is sent meanwhile is a trickle.
+// TestProbationLimitsTraffic: neither good reports nor time alone readmit a worker that keeps failing. A failed
+// trial ejects it again, each time for longer; successful trials readmit it. Few requests are sent to it
+// meanwhile.
 func TestProbationLimitsTraffic(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		unhealthy := map[ids.WorkerID]bool{"svc-decode-2.1": true}
@@ -697,16 +703,16 @@
 				sent++
 			}
 		}
-		t.Logf("ejections %d, readmissions %d, sendings %d", scenario.ejections, scenario.readmissions, sent)
-		require.LessOrEqual(t, scenario.ejections, int64(6), "each is longer")
+		t.Logf("ejections %d, readmissions %d, calls %d", scenario.ejections, scenario.readmissions, sent)
+		require.LessOrEqual(t, scenario.ejections, int64(6), "each ejection is longer")
 		require.GreaterOrEqual(t, scenario.ejections, int64(3))
-		require.LessOrEqual(t, sent, 11, "a trickle")
+		require.LessOrEqual(t, sent, 11, "few trial requests")
 		require.Positive(t, scenario.readmissions)
 	})
 }
 
-// TestShortOutageRestoresShareAtOnce: workers that are cut off once and shortly, with all that they had under way,
-// get their share again at once: what they failed is explained.
+// TestShortOutageRestoresShareAtOnce: workers that are disconnected once for a short time, with all their running
+// requests, get their share again at once, because the outage explains the failures.
 func TestShortOutageRestoresShareAtOnce(t *testing.T) {
 	forEachSeed(t, 3, func(t *testing.T, seed uint64) {
 		cut := map[ids.WorkerID]bool{"svc-decode-0.1": true, "svc-decode-3.1": true}
@@ -733,7 +739,7 @@
 			},
 			outcome: func(call callRecord) callOutcome {
 				if cut[call.Worker] && call.At > 3*time.Second && call.At < 4500*time.Millisecond {
-					return resetAfterRun // it is seen at once
+					return resetAfterRun // nodes notice it at once
 				}
 				return succeeds
 			},
@@ -745,8 +751,8 @@
 	})
 }
 
-// TestOutageClearsRecentFailures: what a worker failed just before it was found to be down counts no more,
-// and an ejection for it goes over into probation; an older one stands.
+// TestOutageClearsRecentFailures: failures just before a worker is found to be down no longer count, and an
+// ejection for them ends in probation; an earlier ejection stays.
 func TestOutageClearsRecentFailures(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f := startFleet(t, 9, 1, newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...), defaultConfiguration(), nil)
@@ -767,7 +773,7 @@
 			require.Zero(t, st.outlier.local.failed)
 			require.Equal(t, previous, now.Before(st.outlier.until))
 			n.recordOutcome(&pick{state: st, ended: new(atomic.Bool)}, false)
-			require.Zero(t, st.outlier.local.failed, "while it is known to be down")
+			require.Zero(t, st.outlier.local.failed, "while the worker is known to be down")
 			n.recordRecovery(st)
 			n.recordOutcome(&pick{state: st, ended: new(atomic.Bool)}, false)
 			require.Positive(t, st.outlier.local.failed)
