--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -13,7 +13,7 @@
 )
 
 // hedgeConfiguration has a route whose latency target leaves time for a second prefill.
-func hedgePolicy(maxAttempts int) []byte {
+func hedgeConfiguration(maxAttempts int) []byte {
 	return encodeConfiguration([]fleetstate.Route{{
 		Name:            "short",
 		Host:            routeHost,
@@ -35,7 +35,7 @@
 		t.Run(fmt.Sprint("attempts=", maxAttempts), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-				f := startFleet(t, 78, 2, platform, hedgePolicy(maxAttempts), func(o *Options) {
+				f := startFleet(t, 78, 2, platform, hedgeConfiguration(maxAttempts), func(o *Options) {
 					o.RetryAllowance, o.RoleChangeInterval = 40, -1
 				})
 				defer f.close()
@@ -85,7 +85,7 @@
 func TestDiscardedPrefillFreesMemory(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 1, 1)...)
-		f := startFleet(t, 79, 1, platform, hedgePolicy(2), nil)
+		f := startFleet(t, 79, 1, platform, hedgeConfiguration(2), nil)
 		defer f.close()
 		n := f.nodes[0].Node
 		request := f.newRequest("late", "/x", 400, 2)
