--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -469,8 +469,8 @@
 	})
 }
 
-// TestOneWayPacketLoss: a worker's packets don't reach any node, or don't reach one node, so calls to it get no
-// response. The affected nodes avoid the worker meanwhile and use it again afterwards.
+// TestOneWayPacketLoss: packets between a worker and all nodes, or one node, pass in one direction only, so
+// calls get no response. The affected nodes avoid the worker meanwhile and use it again afterwards.
 func TestOneWayPacketLoss(t *testing.T) {
 	for _, oneNodeOnly := range []bool{false, true} {
 		t.Run(fmt.Sprint(oneNodeOnly), func(t *testing.T) {
@@ -542,7 +542,7 @@
 			disrupt: func(f *fleet, platform *fakePlatform) {
 				for range 80 {
 					for _, node := range f.runningNodes()[2:] {
-						node.peerReports.Store(ids.NodeID("liar"), peerReport{
+						node.peerReports.Store(ids.NodeID("unreliable-peer"), peerReport{
 							at:       node.now(),
 							outcomes: []Outcomes{{"svc-decode-1.1", 1 << 20, 1 << 20, 90}},
 						})
--- a/internal/proxy/proxy_cluster_test.go
+++ b/internal/proxy/proxy_cluster_test.go
@@ -377,7 +377,7 @@
 	return &Load{Running: worker.running, Waiting: worker.waiting, Concurrency: worker.Concurrency}
 }
 
-// outcomeWithoutReply returns the error of an outcome without a response, and whether this is one.
+// outcomeWithoutReply reports whether an outcome has no response, and returns its error.
 func outcomeWithoutReply(ctx context.Context, outcome callOutcome, w Worker) (error, bool) {
 	switch outcome {
 	case resetAfterRun, resetBeforeRun:
--- a/internal/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -270,7 +270,7 @@
 		defer f.close()
 		f.wg.Go(func() {
 			time.Sleep(2 * time.Second)
-			_, err := f.applyProgramSet("hostile", 0, encodeProgramSet(programs...))
+			_, err := f.applyProgramSet("faulty", 0, encodeProgramSet(programs...))
 			require.NoError(t, err)
 		})
 		results := f.generateLoad(40, 6*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
