--- a/internal/proxy/event_gap_test.go
+++ b/internal/proxy/event_gap_test.go
@@ -1,3 +1,5 @@
+// Decode workers whose events are slow.
+
 package proxy
 
 import (
@@ -10,37 +12,39 @@
 	"keelstair.example/ids"
 )
 
-// TestSlowDecoder: a worker whose events come at five times the pauses of others gets little to emit
-// within a second, though most of its places are free; once it is as fast as the others it gets its
-// part again.
-func TestSlowDecoder(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 3)...)
-		f := build(t, 60, 2, y, plain(), nil)
+// TestSlowDecodeWorkerGetsLessWork: a worker with five times the event interval of the others gets few decodes
+// after a second, although most of its slots are free. Once it is as fast as the others it gets its share
+// again.
+func TestSlowDecodeWorkerGetsLessWork(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 60, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
-		share := func(duration time.Duration) float64 {
-			from := y.now()
-			f.load(30, duration, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/stream/x", 400, 12) })
-			all := 0
-			for _, k := range y.directory() {
-				if k.Kind == "emit" && k.At >= from {
-					all++
+		slowWorkerShare := func(duration time.Duration) float64 {
+			from := platform.elapsed()
+			f.generateLoad(30, duration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/stream/x", 400, 12) })
+			total := 0
+			for _, call := range platform.recordedCalls() {
+				if call.Kind == "emit" && call.At >= from {
+					total++
 				}
 			}
-			return float64(len(sentTo(y.directory(), "svc-decode-1.1", from, time.Hour))) / float64(all)
+			return float64(len(sentTo(platform.recordedCalls(), "svc-decode-1.1", from, time.Hour))) / float64(total)
 		}
-		require.InDelta(t, 0.33, share(4*time.Second), 0.1)
-		y.at(func() { y.slowStep = map[string]time.Duration{"svc-decode-1": 5 * y.step} })
-		share(time.Second)
-		require.Less(t, share(4*time.Second), 0.12)
-		y.at(func() { y.slowStep = nil })
-		share(2 * time.Second)
-		require.InDelta(t, 0.33, share(4*time.Second), 0.12)
+		require.InDelta(t, 0.33, slowWorkerShare(4*time.Second), 0.1)
+		platform.withLock(func() {
+			platform.slowEventIntervals = map[string]time.Duration{"svc-decode-1": 5 * platform.eventInterval}
+		})
+		slowWorkerShare(time.Second)
+		require.Less(t, slowWorkerShare(4*time.Second), 0.12)
+		platform.withLock(func() { platform.slowEventIntervals = nil })
+		slowWorkerShare(2 * time.Second)
+		require.InDelta(t, 0.33, slowWorkerShare(4*time.Second), 0.12)
 	})
 }
 
-// TestEventGap: the usual pause follows the pauses that are seen and is forgotten after a while.
-func TestEventGap(t *testing.T) {
+// TestEventIntervalAverage: the average follows the observed intervals and expires.
+func TestEventIntervalAverage(t *testing.T) {
 	var g eventGap
 	now := ids.Tick(time.Hour)
 	require.Zero(t, g.current(now))
@@ -55,7 +59,7 @@
 	require.Equal(t, 30*time.Millisecond, g.current(now.Add(2*eventGapTTL)))
 }
 
-// TestSlowDecodeCost: only workers that are slow beside the faster quarter cost more.
+// TestSlowDecodeCost: only workers that are slow compared with the fastest quarter get a cost.
 func TestSlowDecodeCost(t *testing.T) {
 	ms := time.Millisecond
 	list := []pick{{gap: 20 * ms}, {gap: 30 * ms}, {gap: 80 * ms}, {gap: 0}, {gap: 25 * ms}}
@@ -63,7 +67,7 @@
 	for i, want := range []float64{0, 0, 200, 0, 0} {
 		require.InDelta(t, want, list[i].cost, 1e-9, "worker %d", i)
 	}
-	alone := []pick{{gap: 500 * ms}, {gap: 0}}
-	addSlowDecodeCost(alone)
-	require.Zero(t, alone[0].cost)
+	single := []pick{{gap: 500 * ms}, {gap: 0}}
+	addSlowDecodeCost(single)
+	require.Zero(t, single[0].cost)
 }
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -1,5 +1,5 @@
-// Requests from end to end: calm loads, workers that fail, streams that are cut, and
-// memory that nobody fetches.
+// Requests from end to end: load without faults, failing workers, interrupted streams, and prefilled
+// memory that no decode worker fetches.
 
 package proxy
 
@@ -15,126 +15,126 @@
 	"keelstair.example/ids"
 )
 
-var paths = []string{"/once/x", "/again/x", "/stream/x", "/sresume/x"}
+// routePaths has a path under each of the default routes.
+var routePaths = []string{"/once/x", "/again/x", "/stream/x", "/sresume/x"}
 
-// TestCalm: with nothing broken every request is read at a reading worker, its memory is
-// fetched once, it is emitted at an emitting worker and passed on whole; nothing is left
-// over, and nothing comes to any worker twice.
-func TestCalm(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 4, 4)...)
-		f := build(t, 1, 3, y, plain(), nil)
+// TestFaultFreeLoad: without faults, every request is prefilled once at a prefill worker and decoded once at
+// a decode worker, its memory is fetched once, the response is complete, and no memory stays allocated.
+func TestFaultFreeLoad(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+		f := startFleet(t, 1, 3, platform, defaultConfiguration(), nil)
 		defer f.close()
-		all := f.load(60, 8*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 1500, 8) })
-		rows := y.directory()
-		require.Empty(t, onceOnly(rows, all))
-		require.Empty(t, ended(all, 4*time.Second))
-		require.Empty(t, answers(all))
-		require.Empty(t, kept(y))
-		reads, emits := map[string]int{}, map[string]int{}
-		for _, k := range rows {
-			switch k.Kind {
+		results := f.generateLoad(60, 8*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 1500, 8) })
+		calls := platform.recordedCalls()
+		require.Empty(t, onceOnly(calls, results))
+		require.Empty(t, ended(results, 4*time.Second))
+		require.Empty(t, answers(results))
+		require.Empty(t, kept(platform))
+		prefills, decodes := map[string]int{}, map[string]int{}
+		for _, call := range calls {
+			switch call.Kind {
 			case "read":
-				reads[k.Req]++
-				require.Contains(t, string(k.Worker), "prefill")
+				prefills[call.RequestID]++
+				require.Contains(t, string(call.Worker), "prefill")
 			case "emit":
-				emits[k.Req]++
-				require.Contains(t, string(k.Worker), "decode")
+				decodes[call.RequestID]++
+				require.Contains(t, string(call.Worker), "decode")
 			}
 		}
-		for _, a := range all {
-			require.NoError(t, a.err)
-			require.Equal(t, 1, reads[a.ID], a.ID)
-			require.Equal(t, 1, emits[a.ID], a.ID)
+		for _, result := range results {
+			require.NoError(t, result.err)
+			require.Equal(t, 1, prefills[result.ID], result.ID)
+			require.Equal(t, 1, decodes[result.ID], result.ID)
 		}
-		for name, h := range y.handles {
-			require.Equal(t, 1, h.had, name)
+		for name, handle := range platform.handles {
+			require.Equal(t, 1, handle.fetches, name)
 		}
 	})
 }
 
-// TestSameReader: prompts that begin alike fall to the same reading worker on every node,
-// as long as it is not much busier than the others.
-func TestSameReader(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 5, 3)...)
-		f := build(t, 2, 3, y, plain(), nil)
+// TestSharedPrefixUsesOnePrefillWorker: all nodes send prompts with the same prefix to the same prefill
+// worker, as long as it isn't much busier than the others.
+func TestSharedPrefixUsesOnePrefillWorker(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 5, 3)...)
+		f := startFleet(t, 2, 3, platform, defaultConfiguration(), nil)
 		defer f.close()
-		all := f.load(12, 10*time.Second, func(i int) *Request {
-			r := f.req(fmt.Sprint("r", i), "/once/x", 8000, 2)
+		results := f.generateLoad(12, 10*time.Second, func(i int) *Request {
+			r := f.newRequest(fmt.Sprint("r", i), "/once/x", 8000, 2)
 			r.Segments = []PromptSegment{
 				{ID: fmt.Sprint("system-", i/3%4), Tokens: 7900},
 				{ID: "last-" + r.ID, Tokens: 100},
 			}
 			return r
 		})
-		at, used := map[string]map[ids.WorkerID]int{}, map[ids.WorkerID]bool{}
-		begin := map[string]string{}
-		for _, a := range all {
-			require.NoError(t, a.err)
-			begin[a.ID] = a.Segments[0].ID
+		workersByPrefix, used := map[string]map[ids.WorkerID]int{}, map[ids.WorkerID]bool{}
+		prefixOf := map[string]string{}
+		for _, result := range results {
+			require.NoError(t, result.err)
+			prefixOf[result.ID] = result.Segments[0].ID
 		}
-		for _, k := range y.directory() {
-			if k.Kind == "read" {
-				b := begin[k.Req]
-				if at[b] == nil {
-					at[b] = map[ids.WorkerID]int{}
+		for _, call := range platform.recordedCalls() {
+			if call.Kind == "read" {
+				prefix := prefixOf[call.RequestID]
+				if workersByPrefix[prefix] == nil {
+					workersByPrefix[prefix] = map[ids.WorkerID]int{}
 				}
-				at[b][k.Worker]++
-				used[k.Worker] = true
+				workersByPrefix[prefix][call.Worker]++
+				used[call.Worker] = true
 			}
 		}
-		for b, w := range at {
-			require.Len(t, w, 1, "%s is read at %v", b, w)
+		for prefix, workers := range workersByPrefix {
+			require.Len(t, workers, 1, "%s is prefilled at %v", prefix, workers)
 		}
-		require.Greater(t, len(used), 1, "beginnings spread over workers")
+		require.Greater(t, len(used), 1, "all prefixes use the same worker")
 	})
 }
 
-// TestOnceOnly: whatever a worker does to one call (reset before the answer or in its
-// middle, silence to the deadline, another request's answer, no stamp, a 500, memory that
-// is lost, turning away, no connection), what may not be repeated never runs twice nor
-// ends in a refusal after it was offered; a refusal always means that nothing ran.
-func TestOnceOnly(t *testing.T) {
-	for how, name := range map[fate]string{
-		unreached:  "unreached",
-		turnedAway: "turned-away",
-		ranReset:   "reset-before-answer",
-		idleReset:  "reset-not-run",
-		ranSilent:  "silent",
-		idleSilent: "silent-not-run",
-		midReset:   "reset-mid-answer",
-		foreign:    "another's-answer",
-		bare:       "no-stamp",
-		failed:     "failed",
-		lostMemory: "memory-lost",
+// TestNonIdempotentRequestRunsAtMostOnce: the first decode call of each request fails (reset before or within
+// the response, no response until the deadline, the response of another request, no stamp, a 500, lost
+// memory, rejection, no connection). A request that may not be repeated never runs twice and isn't rejected
+// after a worker accepted it; a rejection always means that nothing ran.
+func TestNonIdempotentRequestRunsAtMostOnce(t *testing.T) {
+	for outcome, name := range map[callOutcome]string{
+		connectionRefused: "connection-refused",
+		notExecuted:       "rejected",
+		resetAfterRun:     "reset-after-run",
+		resetBeforeRun:    "reset-before-run",
+		silentAfterRun:    "silent-after-run",
+		silentBeforeRun:   "silent-before-run",
+		resetMidResponse:  "reset-mid-response",
+		foreignResponse:   "foreign-response",
+		unstampedResponse: "unstamped",
+		serverError:       "server-error",
+		memoryLost:        "memory-lost",
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 2, 3)...)
-				hit := map[string]bool{}
-				y.fate = func(k row, _ *stand) fate {
-					if k.Kind == "emit" && !hit[k.Req] {
-						hit[k.Req] = true
-						return how
+			runInBubble(t, func(t *testing.T) {
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+				failedOnce := map[string]bool{}
+				platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+					if call.Kind == "emit" && !failedOnce[call.RequestID] {
+						failedOnce[call.RequestID] = true
+						return outcome
 					}
-					return fine
+					return succeeds
 				}
-				f := build(t, 3, 2, y, plain(), nil)
+				f := startFleet(t, 3, 2, platform, defaultConfiguration(), nil)
 				defer f.close()
-				all := f.load(4, 5*time.Second, func(i int) *Request {
-					return f.req(fmt.Sprint("r", i), paths[i%4], 500, 8)
+				results := f.generateLoad(4, 5*time.Second, func(i int) *Request {
+					return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 500, 8)
 				})
-				require.Empty(t, onceOnly(y.directory(), all))
-				require.Empty(t, ended(all, 8500*time.Millisecond))
-				require.Empty(t, answers(all))
-				for _, a := range all {
-					if _, no := a.err.(*RejectedError); no {
-						require.NotContains(t, []fate{ranReset, ranSilent, midReset, foreign, bare, failed}, how)
+				require.Empty(t, onceOnly(platform.recordedCalls(), results))
+				require.Empty(t, ended(results, 8500*time.Millisecond))
+				require.Empty(t, answers(results))
+				for _, result := range results {
+					if _, isRejected := result.err.(*RejectedError); isRejected {
+						require.NotContains(t, []callOutcome{resetAfterRun, silentAfterRun, resetMidResponse, foreignResponse, unstampedResponse, serverError}, outcome)
 					}
-					if !a.again && (how == ranReset || how == ranSilent || how == midReset || how == foreign ||
-						how == bare) {
-						require.IsType(t, &AbortedError{}, a.err, a.Path)
+					if !result.retryable && (outcome == resetAfterRun || outcome == silentAfterRun || outcome == resetMidResponse || outcome == foreignResponse ||
+						outcome == unstampedResponse) {
+						require.IsType(t, &AbortedError{}, result.err, result.Path)
 					}
 				}
 			})
@@ -142,326 +142,326 @@
 	}
 }
 
-// TestFaultStorm: with random faults at every fifth call, workers that restart or go
-// silent, and queues that are full, the same holds over all requests, each ends within
-// its deadline, and streams are passed on in whole events, each once and in order.
-func TestFaultStorm(t *testing.T) {
-	eachSeed(t, 10, func(t *testing.T, seed uint64) {
-		all := both("svc", 3, 4)
-		for _, w := range all {
-			w.Concurrency = 6
+// TestRandomFaults: every fifth call on average fails at random, workers restart or stop responding, and
+// queues are full. The guarantees of TestNonIdempotentRequestRunsAtMostOnce hold for all requests, each ends
+// within its deadline, and streams deliver whole events, each once and in order.
+func TestRandomFaults(t *testing.T) {
+	forEachSeed(t, 10, func(t *testing.T, seed uint64) {
+		workers := prefillAndDecodeWorkers("svc", 3, 4)
+		for _, worker := range workers {
+			worker.Concurrency = 6
 		}
-		y := newCluster(all...)
+		platform := newFakePlatform(workers...)
 		rng := rand.New(rand.NewPCG(seed, 5))
-		y.fate = func(row, *stand) fate {
+		platform.outcome = func(callRecord, *fakeWorker) callOutcome {
 			if rng.IntN(5) > 0 {
-				return fine
+				return succeeds
 			}
-			return []fate{
-				unreached, turnedAway, ranReset, idleReset, ranSilent, idleSilent, midReset, foreign, bare,
-				failed, lostMemory,
+			return []callOutcome{
+				connectionRefused, notExecuted, resetAfterRun, resetBeforeRun, silentAfterRun, silentBeforeRun, resetMidResponse, foreignResponse, unstampedResponse,
+				serverError, memoryLost,
 			}[rng.IntN(11)]
 		}
-		f := build(t, seed, 3, y, plain(), func(o *Options) { o.RetryAllowance = 20 })
+		f := startFleet(t, seed, 3, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 20 })
 		defer f.close()
 		f.wg.Go(func() {
 			for i := range 5 {
 				time.Sleep(1500 * time.Millisecond)
-				name := all[(int(seed)+3*i)%len(all)].name
+				name := workers[(int(seed)+3*i)%len(workers)].name
 				if i%2 == 0 {
-					y.restart(name)
+					platform.restartWorker(name)
 				} else {
-					y.at(func() { y.of(name).dark = true })
+					platform.withLock(func() { platform.worker(name).silent = true })
 					time.Sleep(1200 * time.Millisecond)
-					y.at(func() { y.of(name).dark = false })
+					platform.withLock(func() { platform.worker(name).silent = false })
 				}
 			}
 		})
-		got := f.load(50, 10*time.Second, func(i int) *Request {
-			return f.req(fmt.Sprint("r", i), paths[i%4], 800, 10)
+		results := f.generateLoad(50, 10*time.Second, func(i int) *Request {
+			return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 800, 10)
 		})
 		time.Sleep(15 * time.Second)
-		rows := y.directory()
-		require.Empty(t, onceOnly(rows, got))
-		require.Empty(t, ended(got, 8500*time.Millisecond))
-		require.Empty(t, answers(got))
-		require.Empty(t, extras(rows, got, 0.2, 20, 10*time.Second))
-		done := 0
-		for _, a := range got {
-			if a.err == nil {
-				done++
+		calls := platform.recordedCalls()
+		require.Empty(t, onceOnly(calls, results))
+		require.Empty(t, ended(results, 8500*time.Millisecond))
+		require.Empty(t, answers(results))
+		require.Empty(t, extras(calls, results, 0.2, 20, 10*time.Second))
+		answered := 0
+		for _, result := range results {
+			if result.err == nil {
+				answered++
 			}
 		}
-		require.Greater(t, done*2, len(got), "most are answered")
+		require.Greater(t, answered*2, len(results), "most requests fail")
 	})
 }
 
-// TestResume: a resumable stream that is cut, or falls silent, goes on at another worker
-// from the last whole event; the caller gets each event once and in order.
-func TestResume(t *testing.T) {
-	for _, how := range []string{"cut", "dark", "restart"} {
-		t.Run(how, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 2, 3)...)
-				hit := map[string]bool{}
-				y.fate = func(k row, _ *stand) fate {
-					if k.Kind == "emit" && !hit[k.Req] && how == "cut" {
-						hit[k.Req] = true
-						return midReset
+// TestResumableStreamContinuesElsewhere: a resumable stream whose worker resets it, stops responding or
+// restarts continues at another worker after the last whole event; the caller gets each event once and in
+// order.
+func TestResumableStreamContinuesElsewhere(t *testing.T) {
+	for _, fault := range []string{"reset", "silent", "restart"} {
+		t.Run(fault, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+				failedOnce := map[string]bool{}
+				platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+					if call.Kind == "emit" && !failedOnce[call.RequestID] && fault == "reset" {
+						failedOnce[call.RequestID] = true
+						return resetMidResponse
 					}
-					return fine
+					return succeeds
 				}
-				f := build(t, 4, 2, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
+				f := startFleet(t, 4, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
 				defer f.close()
-				if how != "cut" {
+				if fault != "reset" {
 					f.wg.Go(func() {
 						time.Sleep(300 * time.Millisecond)
-						for _, k := range y.directory() {
-							if k.Kind == "emit" {
-								if name := string(k.Worker[:len(k.Worker)-2]); how == "dark" {
-									y.at(func() { y.of(name).dark = true })
+						for _, call := range platform.recordedCalls() {
+							if call.Kind == "emit" {
+								if name := string(call.Worker[:len(call.Worker)-2]); fault == "silent" {
+									platform.withLock(func() { platform.worker(name).silent = true })
 								} else {
-									y.restart(name)
+									platform.restartWorker(name)
 								}
 								return
 							}
 						}
 					})
 				}
-				a := f.ask(f.nodes[0], f.req("r", "/sresume/x", 500, 60))
-				require.NoError(t, a.err)
-				require.Empty(t, answers([]*asked{a}))
-				from, workers := "", map[ids.WorkerID]bool{}
-				for _, k := range y.directory() {
-					if k.Kind == "emit" {
-						from = k.From
-						require.False(t, workers[k.Worker], "it goes elsewhere")
-						workers[k.Worker] = true
+				result := f.send(f.nodes[0], f.newRequest("r", "/sresume/x", 500, 60))
+				require.NoError(t, result.err)
+				require.Empty(t, answers([]*requestResult{result}))
+				lastEventID, workers := "", map[ids.WorkerID]bool{}
+				for _, call := range platform.recordedCalls() {
+					if call.Kind == "emit" {
+						lastEventID = call.LastEventID
+						require.False(t, workers[call.Worker], "the stream must continue at another worker")
+						workers[call.Worker] = true
 					}
 				}
 				require.Len(t, workers, 2)
-				require.NotEmpty(t, from, "it is taken up from an event")
-				if how == "cut" {
-					require.Equal(t, "30", from)
+				require.NotEmpty(t, lastEventID, "the stream must continue after an event")
+				if fault == "reset" {
+					require.Equal(t, "30", lastEventID)
 				}
 			})
 		})
 	}
 }
 
-// TestFromCaller: a caller that has some events already gets only the later ones, and no
-// prompt is read for it.
-func TestFromCaller(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 3)...)
-		f := build(t, 5, 2, y, plain(), nil)
+// TestLastEventIDFromCaller: a caller that sends a last event ID gets only later events, without a prefill.
+func TestLastEventIDFromCaller(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		f := startFleet(t, 5, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
-		r := f.req("r", "/sresume/x", 500, 12)
+		r := f.newRequest("r", "/sresume/x", 500, 12)
 		r.LastEventID = "7"
-		a := f.ask(f.nodes[0], r)
-		require.NoError(t, a.err)
-		require.Empty(t, answers([]*asked{a}))
-		rows := y.directory()
-		require.Len(t, rows, 1)
-		require.Equal(t, "7", rows[0].From)
+		result := f.send(f.nodes[0], r)
+		require.NoError(t, result.err)
+		require.Empty(t, answers([]*requestResult{result}))
+		calls := platform.recordedCalls()
+		require.Len(t, calls, 1)
+		require.Equal(t, "7", calls[0].LastEventID)
 	})
 }
 
-// TestNoResume: a stream that may not go on elsewhere is broken off when it is cut, never
-// completed from another worker, and no part of an event is passed on.
-func TestNoResume(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 3)...)
-		y.fate = func(k row, _ *stand) fate {
-			if k.Kind == "emit" {
-				return midReset
+// TestNonResumableStreamIsAborted: a non-resumable stream whose connection is reset is aborted. No other
+// worker completes it, and the caller gets no partial event.
+func TestNonResumableStreamIsAborted(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+			if call.Kind == "emit" {
+				return resetMidResponse
 			}
-			return fine
+			return succeeds
 		}
-		f := build(t, 6, 2, y, plain(), nil)
+		f := startFleet(t, 6, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
-		a := f.ask(f.nodes[0], f.req("r", "/stream/x", 500, 20))
-		require.IsType(t, &AbortedError{}, a.err)
-		require.True(t, a.err.(*AbortedError).HeadSent)
-		require.Empty(t, answers([]*asked{a}))
-		require.Empty(t, onceOnly(y.directory(), []*asked{a}))
-		require.Contains(t, a.sink.text(), "id: 10\n")
-		require.NotContains(t, a.sink.text(), "id: 11")
+		result := f.send(f.nodes[0], f.newRequest("r", "/stream/x", 500, 20))
+		require.IsType(t, &AbortedError{}, result.err)
+		require.True(t, result.err.(*AbortedError).HeadSent)
+		require.Empty(t, answers([]*requestResult{result}))
+		require.Empty(t, onceOnly(platform.recordedCalls(), []*requestResult{result}))
+		require.Contains(t, result.response.bodyText(), "id: 10\n")
+		require.NotContains(t, result.response.bodyText(), "id: 11")
 	})
 }
 
-// TestNoStamp: a success that does not carry the worker's stamp is never passed on, not
-// the first byte of it, whether or not the request may run again.
-func TestNoStamp(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 3)...)
-		y.fate = func(k row, _ *stand) fate {
-			if k.Kind == "emit" {
-				return bare
+// TestUnstampedResponseIsDiscarded: no byte of a success without the worker's stamp reaches the caller,
+// whether or not the request may run again.
+func TestUnstampedResponseIsDiscarded(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+			if call.Kind == "emit" {
+				return unstampedResponse
 			}
-			return fine
+			return succeeds
 		}
-		f := build(t, 7, 2, y, plain(), nil)
+		f := startFleet(t, 7, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
-		for i, path := range paths {
-			a := f.ask(f.nodes[0], f.req(fmt.Sprint("r", i), path, 500, 6))
-			require.IsType(t, &AbortedError{}, a.err, path)
-			require.Zero(t, a.sink.heads, path)
-			require.Empty(t, a.sink.text(), path)
+		for i, path := range routePaths {
+			result := f.send(f.nodes[0], f.newRequest(fmt.Sprint("r", i), path, 500, 6))
+			require.IsType(t, &AbortedError{}, result.err, path)
+			require.Zero(t, result.response.headCount, path)
+			require.Empty(t, result.response.bodyText(), path)
 		}
 	})
 }
 
-// TestFreed: memory whose emission is never taken by anyone (all emitting workers turn it
-// away, or none is there) is given back at the worker that keeps it.
-func TestFreed(t *testing.T) {
-	for _, how := range []fate{turnedAway, unreached} {
-		bubble(t, func(t *testing.T) {
-			y := newCluster(both("svc", 2, 3)...)
-			y.fate = func(k row, _ *stand) fate {
-				if k.Kind == "emit" {
-					return how
+// TestRejectedDecodeFreesMemory: if every decode worker rejects the request or is unreachable, the memory is
+// freed at the prefill worker.
+func TestRejectedDecodeFreesMemory(t *testing.T) {
+	for _, outcome := range []callOutcome{notExecuted, connectionRefused} {
+		runInBubble(t, func(t *testing.T) {
+			platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+			platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+				if call.Kind == "emit" {
+					return outcome
 				}
-				return fine
+				return succeeds
 			}
-			f := build(t, 8, 2, y, plain(), nil)
+			f := startFleet(t, 8, 2, platform, defaultConfiguration(), nil)
 			defer f.close()
-			for i, path := range paths {
-				a := f.ask(f.nodes[0], f.req(fmt.Sprint("r", i), path, 500, 6))
-				require.IsType(t, &RejectedError{}, a.err)
+			for i, path := range routePaths {
+				result := f.send(f.nodes[0], f.newRequest(fmt.Sprint("r", i), path, 500, 6))
+				require.IsType(t, &RejectedError{}, result.err)
 			}
 			time.Sleep(2 * time.Second)
-			require.Empty(t, kept(y))
-			require.NotEmpty(t, y.handles)
+			require.Empty(t, kept(platform))
+			require.NotEmpty(t, platform.handles)
 		})
 	}
 }
 
-// TestFreedAtDeadline: the caller's time ends while every emitting worker is unreachable:
-// the memory is given back, and the caller is refused.
-func TestFreedAtDeadline(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		all := both("svc", 1, 3)
-		y := newCluster(all...)
-		f := build(t, 9, 1, y, plain(), nil)
+// TestDeadlineFreesMemory: if the caller's deadline passes while every decode worker rejects the request, the
+// memory is freed and the request is rejected.
+func TestDeadlineFreesMemory(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		workers := prefillAndDecodeWorkers("svc", 1, 3)
+		platform := newFakePlatform(workers...)
+		f := startFleet(t, 9, 1, platform, defaultConfiguration(), nil)
 		defer f.close()
-		y.at(func() {
-			y.fate = func(k row, _ *stand) fate {
-				if k.Kind == "emit" {
-					return turnedAway
+		platform.withLock(func() {
+			platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+				if call.Kind == "emit" {
+					return notExecuted
 				}
-				return fine
+				return succeeds
 			}
 		})
-		r := f.req("r", "/once/x", 500, 6)
+		r := f.newRequest("r", "/once/x", 500, 6)
 		r.Timeout = 40 * time.Millisecond
-		a := f.ask(f.nodes[0], r)
-		require.IsType(t, &RejectedError{}, a.err)
+		result := f.send(f.nodes[0], r)
+		require.IsType(t, &RejectedError{}, result.err)
 		time.Sleep(2 * time.Second)
-		require.Empty(t, kept(y))
+		require.Empty(t, kept(platform))
 	})
 }
 
-// TestFreedWhenCallerLeft: a caller goes away at the moment at which its prompt has been
-// read: nobody will fetch the memory, so it is given back.
-func TestFreedWhenCallerLeft(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 10, 1, y, plain(), nil)
+// TestCallerDisconnectFreesMemory: if the caller disconnects right after the prefill, no worker fetches the
+// memory, so it is freed.
+func TestCallerDisconnectFreesMemory(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 10, 1, platform, defaultConfiguration(), nil)
 		defer f.close()
 		ctx, stop := context.WithCancel(context.Background())
-		y.at(func() { y.onRead = func(*Request) { stop() } })
-		a := f.askAs(ctx, f.nodes[0], f.req("r", "/once/x", 500, 6), &sink{})
-		require.IsType(t, &RejectedError{}, a.err)
-		require.Empty(t, onceOnly(y.directory(), []*asked{a}))
+		platform.withLock(func() { platform.afterPrefill = func(*Request) { stop() } })
+		result := f.sendWith(ctx, f.nodes[0], f.newRequest("r", "/once/x", 500, 6), &responseRecorder{})
+		require.IsType(t, &RejectedError{}, result.err)
+		require.Empty(t, onceOnly(platform.recordedCalls(), []*requestResult{result}))
 		time.Sleep(2 * time.Second)
-		require.NotEmpty(t, y.handles)
-		require.Empty(t, kept(y))
+		require.NotEmpty(t, platform.handles)
+		require.Empty(t, kept(platform))
 	})
 }
 
-// TestFreedOnSilence: an emitting worker is silent and never fetches the memory, and the
-// request is taken elsewhere or ended: the memory is given back.
-func TestFreedOnSilence(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 3)...)
-		hit := map[string]bool{}
-		y.fate = func(k row, _ *stand) fate {
-			if k.Kind == "emit" && !hit[k.Req] {
-				hit[k.Req] = true
-				return idleSilent
+// TestSilentDecodeWorkerFreesMemory: if a decode worker never responds and never fetches the memory, the
+// request is retried elsewhere or ends, and the memory is freed.
+func TestSilentDecodeWorkerFreesMemory(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		failedOnce := map[string]bool{}
+		platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+			if call.Kind == "emit" && !failedOnce[call.RequestID] {
+				failedOnce[call.RequestID] = true
+				return silentBeforeRun
 			}
-			return fine
+			return succeeds
 		}
-		f := build(t, 11, 1, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
+		f := startFleet(t, 11, 1, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
 		defer f.close()
 		for i, path := range []string{"/again/x", "/once/x"} {
-			f.ask(f.nodes[0], f.req(fmt.Sprint("r", i), path, 500, 6))
+			f.send(f.nodes[0], f.newRequest(fmt.Sprint("r", i), path, 500, 6))
 			time.Sleep(2 * time.Second)
-			require.Empty(t, kept(y), path)
+			require.Empty(t, kept(platform), path)
 		}
 	})
 }
 
-// TestCallerGone: an answer whose caller went away is not asked for at another worker.
-func TestCallerGone(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 3)...)
-		f := build(t, 12, 1, y, plain(), func(o *Options) { o.RetryAllowance = 10 })
+// TestNoRetryAfterCallerDisconnect: a request whose caller disconnected isn't sent to another worker.
+func TestNoRetryAfterCallerDisconnect(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		f := startFleet(t, 12, 1, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
 		defer f.close()
-		for i, path := range paths {
+		for i, path := range routePaths {
 			id := fmt.Sprint("r", i)
-			a := f.askAs(context.Background(), f.nodes[0], f.req(id, path, 500, 6), &sink{broken: true})
-			require.Error(t, a.err)
-			emits := 0
-			for _, k := range y.directory() {
-				if k.Kind == "emit" && k.Req == id {
-					emits++
+			result := f.sendWith(context.Background(), f.nodes[0], f.newRequest(id, path, 500, 6), &responseRecorder{callerGone: true})
+			require.Error(t, result.err)
+			decodes := 0
+			for _, call := range platform.recordedCalls() {
+				if call.Kind == "emit" && call.RequestID == id {
+					decodes++
 				}
 			}
-			require.Equal(t, 1, emits, path)
+			require.Equal(t, 1, decodes, path)
 		}
 	})
 }
 
-// TestFailedStatus: a worker's own 500 is passed on where the request may not run again;
-// where it may, another worker is asked.
-func TestFailedStatus(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 3)...)
-		hit := map[string]bool{}
-		y.fate = func(k row, _ *stand) fate {
-			if k.Kind == "emit" && !hit[k.Req] {
-				hit[k.Req] = true
-				return failed
+// TestServerErrorRetriedOnlyIfIdempotent: a worker's 500 response is passed on if the request may not run
+// again; otherwise another worker is tried.
+func TestServerErrorRetriedOnlyIfIdempotent(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		failedOnce := map[string]bool{}
+		platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+			if call.Kind == "emit" && !failedOnce[call.RequestID] {
+				failedOnce[call.RequestID] = true
+				return serverError
 			}
-			return fine
+			return succeeds
 		}
-		f := build(t, 13, 1, y, plain(), func(o *Options) { o.RetryAllowance = 20 })
+		f := startFleet(t, 13, 1, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 20 })
 		defer f.close()
-		a := f.ask(f.nodes[0], f.req("r0", "/once/x", 500, 6))
-		require.NoError(t, a.err)
-		require.Equal(t, 500, a.sink.status)
-		a = f.ask(f.nodes[0], f.req("r1", "/again/x", 500, 6))
-		require.NoError(t, a.err)
-		require.Equal(t, 200, a.sink.status)
-		require.Empty(t, answers([]*asked{a}))
+		result := f.send(f.nodes[0], f.newRequest("r0", "/once/x", 500, 6))
+		require.NoError(t, result.err)
+		require.Equal(t, 500, result.response.status)
+		result = f.send(f.nodes[0], f.newRequest("r1", "/again/x", 500, 6))
+		require.NoError(t, result.err)
+		require.Equal(t, 200, result.response.status)
+		require.Empty(t, answers([]*requestResult{result}))
 	})
 }
 
-// TestNoParts: a service whose workers know no parts is served without moving memory
-// between them twice, and what may not be repeated runs once.
-func TestNoParts(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(stands("svc", "", 3)...)
-		f := build(t, 14, 2, y, plain(), nil)
+// TestWorkersWithoutRoles: workers without roles serve all requests, no memory stays allocated, and requests
+// that may not be repeated run once.
+func TestWorkersWithoutRoles(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(newFakeWorkers("svc", "", 3)...)
+		f := startFleet(t, 14, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
-		all := f.load(20, 4*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 500, 6) })
-		require.Empty(t, onceOnly(y.directory(), all))
-		require.Empty(t, answers(all))
-		for _, a := range all {
-			require.NoError(t, a.err)
+		results := f.generateLoad(20, 4*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 500, 6) })
+		require.Empty(t, onceOnly(platform.recordedCalls(), results))
+		require.Empty(t, answers(results))
+		for _, result := range results {
+			require.NoError(t, result.err)
 		}
-		require.Empty(t, kept(y))
+		require.Empty(t, kept(platform))
 	})
 }
--- a/internal/proxy/exchange_timing_test.go
+++ b/internal/proxy/exchange_timing_test.go
@@ -15,9 +15,9 @@
 	"keelstair.example/internal/exchangemetrics"
 )
 
-// TestExchangeTimes: the steps of an exchange add up to the time until its first event, with and
-// without a prefill of its own, and a read beyond what was reckoned counts as waiting.
-func TestExchangeTimes(t *testing.T) {
+// TestExchangeStepTimes: the steps of an exchange add up to the time until its first event, with and without
+// a separate prefill. Prefill time beyond the estimate counts as queueing.
+func TestExchangeStepTimes(t *testing.T) {
 	const ms = time.Millisecond
 	at := ids.Tick(time.Hour)
 	timing := exchangeTiming{
@@ -41,30 +41,30 @@
 	require.Equal(t, exchangemetrics.Times{Transfer: 70 * ms}, direct.times(at, at.Add(70*ms)))
 }
 
-// TestMetricsCountExchanges: every exchange of a fleet under load is counted once, by the cause by
-// which it missed its targets, and the endpoint of each node shows it.
+// TestMetricsCountExchanges: the metrics endpoints of the nodes count every exchange once, by the cause of a
+// missed target.
 func TestMetricsCountExchanges(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 4)...)
-		f := build(t, 77, 2, y, plain(), nil)
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 77, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
-		all := f.load(40, 3*time.Second, func(i int) *Request {
-			return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4)
+		results := f.generateLoad(40, 3*time.Second, func(i int) *Request {
+			return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4)
 		})
 		counted := 0
-		row := regexp.MustCompile(`(?m)^keelstair_exchanges_total\{cause="(\w+)",service="svc",size="to_1k"\} (\d+)$`)
-		for _, b := range f.nodes {
-			answer := httptest.NewRecorder()
-			b.metrics.Handler().ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
-			body, err := io.ReadAll(answer.Result().Body)
+		counter := regexp.MustCompile(`(?m)^keelstair_exchanges_total\{cause="(\w+)",service="svc",size="to_1k"\} (\d+)$`)
+		for _, node := range f.nodes {
+			recorder := httptest.NewRecorder()
+			node.metrics.Handler().ServeHTTP(recorder, httptest.NewRequest("GET", "/metrics", nil))
+			body, err := io.ReadAll(recorder.Result().Body)
 			require.NoError(t, err)
-			for _, found := range row.FindAllStringSubmatch(string(body), -1) {
+			for _, found := range counter.FindAllStringSubmatch(string(body), -1) {
 				n, err := strconv.Atoi(found[2])
 				require.NoError(t, err)
 				counted += n
 			}
-			require.Contains(t, b.Summary(), "exchanges: ")
+			require.Contains(t, node.Summary(), "exchanges: ")
 		}
-		require.Equal(t, len(all), counted)
+		require.Equal(t, len(results), counted)
 	})
 }
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -1,4 +1,4 @@
-// Small fleets on simulated machines: three cores, some relay nodes, a fake platform of workers.
+// A test fleet on simulated machines: three cores, several router nodes and a fake platform of workers.
 
 package proxy
 
@@ -25,83 +25,86 @@
 	"keelstair.example/rpc"
 )
 
-// testNode is one node of a fleet with its process.
+// testNode is a router node of a fleet and the simulated process that runs it.
 type testNode struct {
 	*Node
-	ip   string
-	proc *simulated.Process
-	stop context.CancelFunc
-	done chan struct{}
-	up   bool
+	ip      string
+	process *simulated.Process
+	cancel  context.CancelFunc
+	done    chan struct{}
+	running bool
 }
 
+// fleet is a set of cores and router nodes that serve requests through one fake platform.
 type fleet struct {
-	t     *testing.T
-	w     *simulated.World
-	y     *workerPool
-	seeds []string
-	cores map[string]*coordination.Core
-	procs map[string]*simulated.Process
-	stops map[string]context.CancelFunc
-	tune  func(*Options)
-
-	mu    sync.Mutex
-	nodes []*testNode
-	asks  []*asked
-	over  chan struct{}
-	wg    sync.WaitGroup
-}
-
-var coreIps = []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
-
-// build starts a fleet and puts a policy in force.
-func build(t *testing.T, seed uint64, nodes int, y *workerPool, text []byte, tune func(*Options)) *fleet {
+	t             *testing.T
+	world         *simulated.World
+	platform      *fakePlatform
+	seeds         []string
+	cores         map[string]*coordination.Core
+	processes     map[string]*simulated.Process
+	cancels       map[string]context.CancelFunc
+	adjustOptions func(*Options)
+
+	mu      sync.Mutex
+	nodes   []*testNode
+	results []*requestResult
+	stopped chan struct{}
+	wg      sync.WaitGroup
+}
+
+// coreIPs are the addresses of the cores' machines.
+var coreIPs = []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
+
+// startFleet starts a fleet with a configuration and returns when all nodes are ready.
+func startFleet(t *testing.T, seed uint64, nodes int, platform *fakePlatform, text []byte, adjustOptions func(*Options)) *fleet {
 	f := &fleet{
-		t:     t,
-		w:     simulated.NewWorld(seed),
-		y:     y,
-		tune:  tune,
-		cores: map[string]*coordination.Core{},
-		procs: map[string]*simulated.Process{},
-		stops: map[string]context.CancelFunc{},
-		over:  make(chan struct{}),
+		t:             t,
+		world:         simulated.NewWorld(seed),
+		platform:      platform,
+		adjustOptions: adjustOptions,
+		cores:         map[string]*coordination.Core{},
+		processes:     map[string]*simulated.Process{},
+		cancels:       map[string]context.CancelFunc{},
+		stopped:       make(chan struct{}),
 	}
-	for _, ip := range coreIps {
+	for _, ip := range coreIPs {
 		f.seeds = append(f.seeds, ip+":1")
 	}
-	for _, ip := range coreIps {
-		f.core(ip)
+	for _, ip := range coreIPs {
+		f.startCore(ip)
 	}
 	for i := range nodes {
-		f.node(i)
+		f.startNode(i)
 	}
-	f.wg.Go(f.poll)
-	require.True(t, f.until(10*time.Second, func() bool { return f.leader() != "" }), "a core leads")
-	require.NoError(t, f.put("first", 0, 0, text))
-	require.True(t, f.until(10*time.Second, func() bool {
-		for _, n := range f.up() {
+	f.wg.Go(f.trackUnavailableWorkers)
+	require.True(t, f.waitUntil(10*time.Second, func() bool { return f.leader() != "" }), "no core leads")
+	require.NoError(t, f.putConfiguration("first", 0, 0, text))
+	require.True(t, f.waitUntil(10*time.Second, func() bool {
+		for _, n := range f.runningNodes() {
 			if ok, _ := n.Ready(); !ok || len(n.agent.Members()) < nodes {
 				return false
 			}
 		}
 		return true
-	}), "the nodes are ready")
+	}), "the nodes are not ready")
 	return f
 }
 
-func (f *fleet) core(ip string) {
+// startCore starts a core on the machine with the address.
+func (f *fleet) startCore(ip string) {
 	ctx, stop := context.WithCancel(context.Background())
-	p := f.w.Machine(ip).Start()
+	p := f.world.Machine(ip).Start()
 	c, err := coordination.New(coordination.Options{
 		Addr:  ip + ":1",
 		Host:  p.Host(),
 		Seeds: f.seeds,
 		Machine: func() coordination.StateMachine {
-			return fleetstate.NewMachine(fleetstate.MachineOptions{Metering: f.y.metering})
+			return fleetstate.NewMachine(fleetstate.MachineOptions{Metering: f.platform.metering})
 		},
 	})
 	require.NoError(f.t, err)
-	f.cores[ip], f.procs[ip], f.stops[ip] = c, p, stop
+	f.cores[ip], f.processes[ip], f.cancels[ip] = c, p, stop
 	l, err := p.Host().Net.Listen(ip + ":1")
 	require.NoError(f.t, err)
 	mux := http.NewServeMux()
@@ -110,15 +113,17 @@
 	f.wg.Go(func() { c.Run(ctx) })
 }
 
-func (f *fleet) offCore(ip string) {
+// powerOffCore cuts the power of a core's machine. It does nothing if the core isn't running.
+func (f *fleet) powerOffCore(ip string) {
 	if f.cores[ip] == nil {
 		return
 	}
-	f.w.Machine(ip).PowerOff()
-	f.stops[ip]()
+	f.world.Machine(ip).PowerOff()
+	f.cancels[ip]()
 	delete(f.cores, ip)
 }
 
+// leader returns the address of the leading core, or "".
 func (f *fleet) leader() string {
 	for ip, c := range f.cores {
 		if c.Leads() {
@@ -128,142 +133,150 @@
 	return ""
 }
 
+// nodeIP returns the address of a node's machine.
 func nodeIP(i int) string { return fmt.Sprintf("10.0.1.%d", i+1) }
 
-// node starts the node of a number, again if it was there before.
-func (f *fleet) node(i int) *testNode {
+// startNode starts node i, or starts it again if it ran before.
+func (f *fleet) startNode(i int) *testNode {
 	ip := nodeIP(i)
-	p := f.w.Machine(ip).Start()
+	p := f.world.Machine(ip).Start()
 	options := Options{
 		Name:               fmt.Sprint("n", i),
 		Addr:               ip + ":2",
 		Zone:               ids.Zone([]string{"a", "b"}[i%2]),
 		Seeds:              f.seeds,
 		Host:               p.Host(),
-		Backend:            &back{f.y, ip},
+		Backend:            &fakeBackend{f.platform, ip},
 		RoleChangeInterval: -1,
 	}
-	if f.tune != nil {
-		f.tune(&options)
+	if f.adjustOptions != nil {
+		f.adjustOptions(&options)
 	}
 	n, err := New(options)
 	require.NoError(f.t, err)
-	if f.y.prep != nil {
-		f.y.prep(n)
+	if f.platform.beforeRun != nil {
+		f.platform.beforeRun(n)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	b := &testNode{Node: n, ip: ip, proc: p, stop: stop, done: make(chan struct{}), up: true}
-	f.y.at(func() { f.y.known[ip] = func(id ids.WorkerID) bool { return b.offs()[id] } })
+	node := &testNode{Node: n, ip: ip, process: p, cancel: stop, done: make(chan struct{}), running: true}
+	f.platform.withLock(func() {
+		f.platform.knowsUnavailable[ip] = func(id ids.WorkerID) bool { return node.unavailableWorkers()[id] }
+	})
 	l, err := p.Host().Net.Listen(ip + ":2")
 	require.NoError(f.t, err)
 	mux := http.NewServeMux()
 	n.Mount(mux)
 	f.wg.Go(func() { rpc.Serve(ctx, l, mux) })
-	f.wg.Go(func() { n.Run(ctx, 0, -time.Millisecond); close(b.done) })
+	f.wg.Go(func() { n.Run(ctx, 0, -time.Millisecond); close(node.done) })
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if i < len(f.nodes) {
-		f.nodes[i] = b
+		f.nodes[i] = node
 	} else {
-		f.nodes = append(f.nodes, b)
+		f.nodes = append(f.nodes, node)
 	}
-	return b
+	return node
 }
 
-// kill ends a node without a word.
-func (f *fleet) kill(i int) {
+// killNode kills a node's process without a shutdown.
+func (f *fleet) killNode(i int) {
 	f.mu.Lock()
-	b := f.nodes[i]
+	node := f.nodes[i]
 	f.mu.Unlock()
-	f.freeze(i, false)
+	f.setFrozen(i, false)
 	f.mu.Lock()
-	b.up = false
+	node.running = false
 	f.mu.Unlock()
-	b.proc.Kill()
-	b.stop()
-	b.Node.stop()
+	node.process.Kill()
+	node.cancel()
+	node.Node.stop()
 }
 
-// freeze stops or wakes a node at its next step on the network.
-func (f *fleet) freeze(i int, on bool) {
-	f.w.Machine(nodeIP(i)).Freeze(on)
-	f.y.at(func() { f.y.frozen[nodeIP(i)] = on })
+// setFrozen freezes a node at its next network operation, or lets it continue.
+func (f *fleet) setFrozen(i int, on bool) {
+	f.world.Machine(nodeIP(i)).Freeze(on)
+	f.platform.withLock(func() { f.platform.frozenNodes[nodeIP(i)] = on })
 }
 
-func (f *fleet) up() []*testNode {
+// runningNodes returns the nodes that haven't been killed.
+func (f *fleet) runningNodes() []*testNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []*testNode
-	for _, b := range f.nodes {
-		if b.up {
-			out = append(out, b)
+	for _, node := range f.nodes {
+		if node.running {
+			out = append(out, node)
 		}
 	}
 	return out
 }
 
-// offs tells of each worker on the node's list whether it is to get nothing new.
-func (b *testNode) offs() map[ids.WorkerID]bool {
-	s := b.view.Current()
-	off := map[ids.WorkerID]bool{}
-	for _, w := range b.endpoints.Load().workers {
-		_, turns := s.RoleChanges[w.ID]
-		off[w.ID] = w.Leaving || turns || s.Drained[w.ID] || s.Zones[w.Zone]
+// unavailableWorkers reports for each worker on the node's list whether it must get no new work: it is
+// leaving, changing its role, drained or in an evacuated zone.
+func (n *testNode) unavailableWorkers() map[ids.WorkerID]bool {
+	snapshot := n.view.Current()
+	unavailable := map[ids.WorkerID]bool{}
+	for _, w := range n.endpoints.Load().workers {
+		_, changesRole := snapshot.RoleChanges[w.ID]
+		unavailable[w.ID] = w.Leaving || changesRole || snapshot.Drained[w.ID] || snapshot.Zones[w.Zone]
 	}
-	return off
+	return unavailable
 }
 
-// poll notes since when each node knows that a worker is to get nothing new.
-func (f *fleet) poll() {
+// trackUnavailableWorkers records every 5 ms since when each node knows that a worker must get no new
+// work.
+func (f *fleet) trackUnavailableWorkers() {
 	for {
-		for _, b := range f.up() {
-			off := b.offs()
-			f.y.at(func() {
-				m := f.y.off[b.ip]
-				if m == nil {
-					m = map[ids.WorkerID]time.Time{}
-					f.y.off[b.ip] = m
+		for _, node := range f.runningNodes() {
+			unavailable := node.unavailableWorkers()
+			f.platform.withLock(func() {
+				since := f.platform.unavailableSince[node.ip]
+				if since == nil {
+					since = map[ids.WorkerID]time.Time{}
+					f.platform.unavailableSince[node.ip] = since
 				}
-				for id, on := range off {
-					if _, was := m[id]; on && !was {
-						m[id] = time.Now()
-					} else if !on {
-						delete(m, id)
+				for id, isUnavailable := range unavailable {
+					if _, was := since[id]; isUnavailable && !was {
+						since[id] = time.Now()
+					} else if !isUnavailable {
+						delete(since, id)
 					}
 				}
-				for id := range m {
-					if _, ok := off[id]; !ok {
-						delete(m, id)
+				for id := range since {
+					if _, ok := unavailable[id]; !ok {
+						delete(since, id)
 					}
 				}
 			})
 		}
 		select {
-		case <-f.over:
+		case <-f.stopped:
 			return
 		case <-host.NewTimer(5 * time.Millisecond).C:
 		}
 	}
 }
 
+// close stops all nodes and cores and waits for their goroutines.
 func (f *fleet) close() {
-	for i, b := range f.nodes {
-		f.freeze(i, false)
-		if b.up {
-			f.kill(i)
+	for i, node := range f.nodes {
+		f.setFrozen(i, false)
+		if node.running {
+			f.killNode(i)
 		}
 	}
-	for _, ip := range coreIps {
-		f.w.Machine(ip).Freeze(false)
-		f.offCore(ip)
+	for _, ip := range coreIPs {
+		f.world.Machine(ip).Freeze(false)
+		f.powerOffCore(ip)
 	}
-	close(f.over)
+	close(f.stopped)
 	f.wg.Wait()
 	time.Sleep(40 * time.Second)
 }
 
-func (f *fleet) until(duration time.Duration, ok func() bool) bool {
-	for end := time.Now().Add(duration); !ok(); {
+// waitUntil polls a condition and reports whether it held before the duration was over.
+func (f *fleet) waitUntil(duration time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(duration); !condition(); {
 		if time.Now().After(end) {
 			return false
 		}
@@ -272,77 +285,79 @@
 	return true
 }
 
-// put stages a text by way of the first node that is up.
-func (f *fleet) put(op ids.OpID, base, next ids.Version, text []byte) error {
-	return f.putAt(f.up()[0], op, base, next, text)
+// putConfiguration submits a configuration through the first running node.
+func (f *fleet) putConfiguration(op ids.OpID, base, next ids.Version, text []byte) error {
+	return f.putConfigurationVia(f.runningNodes()[0], op, base, next, text)
 }
 
-func (f *fleet) putAt(n *testNode, op ids.OpID, base, next ids.Version, text []byte) error {
+// putConfigurationVia submits a configuration through a node.
+func (f *fleet) putConfigurationVia(n *testNode, op ids.OpID, base, next ids.Version, text []byte) error {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
 	_, err := fleetstate.Put(ctx, n.agent.Caller(), n.Directory(), op, base, next, text)
 	return err
 }
 
-// submit brings another command to the core.
+// submit sends a log command to the cores through the first running node.
 func (f *fleet) submit(kind string, c msgp.Marshaler) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
-	_, err := f.up()[0].agent.Submit(ctx, ids.OpID("op/"+coordination.NewID()), kind, coordination.MustMarshal(c))
+	_, err := f.runningNodes()[0].agent.Submit(ctx, ids.OpID("op/"+coordination.NewID()), kind, coordination.MustMarshal(c))
 	require.NoError(f.t, err)
 }
 
-// asked is one request with its end.
-type asked struct {
+// requestResult is a request and its result.
+type requestResult struct {
 	*Request
-	again, stream, resume bool
-	at, end               time.Duration
-	err                   error
-	sink                  *sink
-	ended                 bool
-}
-
-// sink keeps what the caller got.
-type sink struct {
-	mu     sync.Mutex
-	status int
-	heads  int
-	got    []byte
-	when   []time.Duration
-	start  time.Time
-	broken bool // the caller went away
-}
-
-func (s *sink) Head(status int, _ http.Header, _ int64) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.status = status
-	s.heads++
+	retryable, stream, resumable bool
+	sentAt, endedAt              time.Duration
+	err                          error
+	response                     *responseRecorder
+	finished                     bool
+}
+
+// responseRecorder records what the caller received.
+type responseRecorder struct {
+	mu         sync.Mutex
+	status     int
+	headCount  int
+	body       []byte
+	writeTimes []time.Duration
+	startedAt  time.Time
+	callerGone bool // writes fail, as after a disconnect
+}
+
+func (r *responseRecorder) Head(status int, _ http.Header, _ int64) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.status = status
+	r.headCount++
 	return nil
 }
 
-func (s *sink) Write(p []byte) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.broken {
-		return errors.New("the caller went away")
+func (r *responseRecorder) Write(p []byte) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.callerGone {
+		return errors.New("the caller disconnected")
 	}
-	s.got = append(s.got, p...)
-	s.when = append(s.when, time.Since(s.start))
+	r.body = append(r.body, p...)
+	r.writeTimes = append(r.writeTimes, time.Since(r.startedAt))
 	return nil
 }
 
-func (s *sink) text() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return string(s.got)
+// bodyText returns the bytes received so far.
+func (r *responseRecorder) bodyText() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return string(r.body)
 }
 
-// routeHost is what requests name.
+// routeHost is the host that requests name.
 const routeHost = "models.example"
 
-// req makes a request for a path; it asks for events if its path begins with /s.
-func (f *fleet) req(id, path string, prompt, limit int) *Request {
+// newRequest returns a request for a path. It accepts an event stream if the path begins with /s.
+func (f *fleet) newRequest(id, path string, prompt, maxTokens int) *Request {
 	r := &Request{
 		ID:        id,
 		Method:    "POST",
@@ -353,7 +368,7 @@
 		Body:      []byte("{}"),
 		Model:     "m",
 		Prompt:    prompt,
-		MaxTokens: limit,
+		MaxTokens: maxTokens,
 		Segments: []PromptSegment{
 			{ID: "system-" + id[len(id)-1:], Tokens: prompt / 2},
 			{ID: "last-" + id, Tokens: prompt - prompt/2},
@@ -365,53 +380,55 @@
 	return r
 }
 
-// ask carries a request at a node to its end.
-func (f *fleet) ask(b *testNode, r *Request) *asked {
-	return f.askAs(context.Background(), b, r, &sink{})
+// send serves a request at a node and returns its result.
+func (f *fleet) send(node *testNode, r *Request) *requestResult {
+	return f.sendWith(context.Background(), node, r, &responseRecorder{})
 }
 
-func (f *fleet) askAs(ctx context.Context, b *testNode, r *Request, s *sink) *asked {
-	r.At = b.now()
-	s.start = time.Now()
-	a := &asked{Request: r, at: f.y.now(), sink: s}
-	for _, k := range ways() {
-		if strings.HasPrefix(r.Path, k.Prefix) {
-			a.again, a.stream, a.resume = k.MayRetry(), k.Stream, k.Resumable
+// sendWith is send with a context and a recorder of the caller.
+func (f *fleet) sendWith(ctx context.Context, node *testNode, r *Request, recorder *responseRecorder) *requestResult {
+	r.At = node.now()
+	recorder.startedAt = time.Now()
+	result := &requestResult{Request: r, sentAt: f.platform.elapsed(), response: recorder}
+	for _, route := range defaultRoutes() {
+		if strings.HasPrefix(r.Path, route.Prefix) {
+			result.retryable, result.stream, result.resumable = route.MayRetry(), route.Stream, route.Resumable
 		}
 	}
 	f.mu.Lock()
-	f.asks = append(f.asks, a)
+	f.results = append(f.results, result)
 	f.mu.Unlock()
-	err := b.Serve(ctx, r, s)
+	err := node.Serve(ctx, r, recorder)
 	f.mu.Lock()
-	a.err, a.end, a.ended = err, f.y.now(), true
+	result.err, result.endedAt, result.finished = err, f.platform.elapsed(), true
 	f.mu.Unlock()
-	return a
+	return result
 }
 
-// load asks at the nodes by turns, at a rate, and waits for all ends.
-func (f *fleet) load(rate float64, duration time.Duration, form func(i int) *Request) []*asked {
+// generateLoad sends requests to the running nodes in turn, rate per second, and returns all results.
+func (f *fleet) generateLoad(rate float64, duration time.Duration, makeRequest func(i int) *Request) []*requestResult {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var out []*asked
-	gap := time.Duration(float64(time.Second) / rate)
+	var out []*requestResult
+	interval := time.Duration(float64(time.Second) / rate)
 	for i, end := 0, time.Now().Add(duration); time.Now().Before(end); i++ {
-		rows := f.up()
-		b := rows[i%len(rows)]
+		nodes := f.runningNodes()
+		node := nodes[i%len(nodes)]
 		wg.Go(func() {
-			a := f.ask(b, form(i))
+			result := f.send(node, makeRequest(i))
 			mu.Lock()
 			defer mu.Unlock()
-			out = append(out, a)
+			out = append(out, result)
 		})
-		time.Sleep(gap)
+		time.Sleep(interval)
 	}
 	wg.Wait()
 	return out
 }
 
-// ways are the routes that most tests use.
-func ways() []fleetstate.Route {
+// defaultRoutes returns the routes that most tests use: plain and streamed, each with and without
+// permission to run a request again.
+func defaultRoutes() []fleetstate.Route {
 	return []fleetstate.Route{
 		{
 			Name:            "once",
@@ -466,7 +483,8 @@
 	}
 }
 
-func policy(routes []fleetstate.Route, services ...fleetstate.Service) []byte {
+// encodeConfiguration returns a configuration as JSON.
+func encodeConfiguration(routes []fleetstate.Route, services ...fleetstate.Service) []byte {
 	p := &fleetstate.Configuration{Routes: routes, Services: map[string]fleetstate.Service{}}
 	for _, s := range services {
 		p.Services[s.Name] = s
@@ -475,35 +493,36 @@
 	return b
 }
 
-func plain() []byte {
-	return policy(ways(), fleetstate.Service{Name: "svc", Concurrency: 16, RoleChangeMs: 1000})
+// defaultConfiguration returns the default routes and their service as JSON.
+func defaultConfiguration() []byte {
+	return encodeConfiguration(defaultRoutes(), fleetstate.Service{Name: "svc", Concurrency: 16, RoleChangeMs: 1000})
 }
 
-// bubble runs a test in a bubble of its own, where time is free.
-func bubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
+// runInBubble runs a test in a synctest bubble, whose clock advances when all goroutines are blocked.
+func runInBubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
 
-// eachSeed runs a test under several seeds.
-func eachSeed(t *testing.T, n int, f func(t *testing.T, seed uint64)) {
-	if raced { // all seeds are run without the detector
+// forEachSeed runs a subtest with each of n seeds, and with at most two under the race detector.
+func forEachSeed(t *testing.T, n int, f func(t *testing.T, seed uint64)) {
+	if raced { // all seeds run without the detector
 		n = min(n, 2)
 	}
 	for seed := uint64(1); seed <= uint64(n); seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { bubble(t, func(t *testing.T) { f(t, seed) }) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runInBubble(t, func(t *testing.T) { f(t, seed) }) })
 	}
 }
 
-// at changes the fleet.
-func (f *fleet) at(do func()) {
+// withLock runs change while the fleet is locked.
+func (f *fleet) withLock(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	do()
+	change()
 }
 
-// unraced leaves a test of a large fleet to the run without the race detector, which is at its own
-// limits there: it ended with a failed check of its own in TestTreeOutcomes.
-func unraced(t *testing.T) {
+// skipUnderRaceDetector skips a test of a large fleet under the race detector, which exceeds its own limits
+// there: it failed an internal check in TestTreeOutcomes.
+func skipUnderRaceDetector(t *testing.T) {
 	t.Helper()
 	if raced {
-		t.Skip("run without the race detector")
+		t.Skip("runs only without the race detector")
 	}
 }
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -1,4 +1,4 @@
-// Prompts that are read at a second worker, since the first takes long.
+// Hedged prefills: prompts that a second worker prefills because the first one is slow.
 
 package proxy
 
@@ -12,9 +12,9 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// hedgePolicy gives routes whose target leaves room for a second read.
-func hedgePolicy(maxAttempts int) []byte {
-	return policy([]fleetstate.Route{{
+// hedgeConfiguration has a route whose latency target leaves time for a second prefill.
+func hedgeConfiguration(maxAttempts int) []byte {
+	return encodeConfiguration([]fleetstate.Route{{
 		Name:            "short",
 		Host:            routeHost,
 		Prefix:          "/",
@@ -26,86 +26,87 @@
 	}}, fleetstate.Service{Name: "svc", Concurrency: 16})
 }
 
-// TestHedgedPrefill: one reading worker takes two seconds for each prompt, though its reports are
-// good. Where the route allows two attempts, short prompts that fall to it are read at another
-// worker besides and are in time; nothing runs twice, and every handle that nobody fetches is given
-// back. Hedges take no more than their part of the retry budget. Where the route allows one
-// attempt, none is hedged.
+// TestHedgedPrefill: one prefill worker takes two seconds for each prompt, although its reports are good. If
+// the route allows two attempts, short prompts sent to it are also prefilled at another worker and are in
+// time; no decode runs twice, every handle that isn't fetched is freed, and hedges use no more than their
+// share of the retry budget. If the route allows one attempt, nothing is hedged.
 func TestHedgedPrefill(t *testing.T) {
 	for _, maxAttempts := range []int{1, 2} {
 		t.Run(fmt.Sprint("attempts=", maxAttempts), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 4, 4)...)
-				f := build(t, 78, 2, y, hedgePolicy(maxAttempts), func(o *Options) {
+			runInBubble(t, func(t *testing.T) {
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+				f := startFleet(t, 78, 2, platform, hedgeConfiguration(maxAttempts), func(o *Options) {
 					o.RetryAllowance, o.RoleChangeInterval = 40, -1
 				})
 				defer f.close()
 				request := func(prefix string) func(i int) *Request {
-					return func(i int) *Request { return f.req(fmt.Sprint(prefix, i), "/x", 400, 2) }
+					return func(i int) *Request { return f.newRequest(fmt.Sprint(prefix, i), "/x", 400, 2) }
 				}
-				f.load(40, 2*time.Second, request("warm"))
-				for _, b := range f.nodes {
-					require.Zero(t, b.counts.Hedges.Load(), "all reads are alike")
+				f.generateLoad(40, 2*time.Second, request("warm"))
+				for _, node := range f.nodes {
+					require.Zero(t, node.counts.Hedges.Load(), "no worker is slow")
 				}
-				y.at(func() { y.slowRead = map[string]time.Duration{"svc-prefill-0": 2 * time.Second} })
-				all := f.load(40, 4*time.Second, request("r"))
+				platform.withLock(func() { platform.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": 2 * time.Second} })
+				results := f.generateLoad(40, 4*time.Second, request("r"))
 				time.Sleep(4 * time.Second)
-				require.Empty(t, onceOnly(y.directory(), all))
-				require.Empty(t, answers(all))
-				hedges, late := int64(0), 0
-				for _, b := range f.nodes {
-					hedges += b.counts.Hedges.Load()
+				require.Empty(t, onceOnly(platform.recordedCalls(), results))
+				require.Empty(t, answers(results))
+				hedges, slowRequests := int64(0), 0
+				for _, node := range f.nodes {
+					hedges += node.counts.Hedges.Load()
 				}
-				for _, a := range all {
-					require.NoError(t, a.err, a.ID)
-					if a.end-a.at > time.Second {
-						late++
+				for _, result := range results {
+					require.NoError(t, result.err, result.ID)
+					if result.endedAt-result.sentAt > time.Second {
+						slowRequests++
 					}
 				}
 				if maxAttempts == 1 {
 					require.Zero(t, hedges)
-					require.Greater(t, late, 8, "some fall to the slow worker")
+					require.Greater(t, slowRequests, 8, "few requests use the slow worker")
 					return
 				}
 				require.Greater(t, hedges, int64(8))
-				require.Less(t, late, 5)
-				// a fifth of the requests and the allowance, of which hedges may use four fifths
+				require.Less(t, slowRequests, 5)
+				// The budget is a fifth of the requests plus the allowance; hedges may use four fifths of it.
 				require.LessOrEqual(t, float64(hedges), 0.8*(0.2*240+40))
-				y.mu.Lock()
-				defer y.mu.Unlock()
-				for name, h := range y.handles {
-					require.True(t, h.had == 1 || h.freed, "handle %s is kept for nobody", name)
+				platform.mu.Lock()
+				defer platform.mu.Unlock()
+				for name, handle := range platform.handles {
+					require.True(t, handle.fetches == 1 || handle.freed, "handle %s is neither fetched nor freed", name)
 				}
 			})
 		})
 	}
 }
 
-// TestDiscardedRead: the memory of a read that came too late is given back, and what was booked for
-// it ends.
-func TestDiscardedRead(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 1, 1)...)
-		f := build(t, 79, 1, y, hedgePolicy(2), nil)
+// TestDiscardedPrefillFreesMemory: the memory of a prefill that ends too late is freed, and its reservation
+// ends.
+func TestDiscardedPrefillFreesMemory(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 1, 1)...)
+		f := startFleet(t, 79, 1, platform, hedgeConfiguration(2), nil)
 		defer f.close()
 		n := f.nodes[0].Node
-		request := f.req("late", "/x", 400, 2)
+		request := f.newRequest("late", "/x", 400, 2)
 		exchange := &exchange{node: n, request: request}
-		reader := &n.endpoints.Load().workers[0]
-		c := &pick{worker: reader, state: n.state(reader.ID)}
+		worker := &n.endpoints.Load().workers[0]
+		c := &pick{worker: worker, state: n.state(worker.ID)}
 		c.reserve(request, 0, n.now())
-		y.at(func() { y.handles["kv"] = &handle{worker: reader.ID, req: "late", let: func() {}} })
+		platform.withLock(func() {
+			platform.handles["kv"] = &memoryHandle{worker: worker.ID, requestID: "late", release: func() {}}
+		})
 		exchange.discardRead(prefillRead{pick: c, memory: &PrefillResult{Handle: "kv"}})
 		time.Sleep(time.Second)
-		y.mu.Lock()
-		defer y.mu.Unlock()
-		require.True(t, y.handles["kv"].freed)
+		platform.mu.Lock()
+		defer platform.mu.Unlock()
+		require.True(t, platform.handles["kv"].freed)
 		require.NotZero(t, c.reservation.ended)
 	})
 }
 
-// TestReadOverhead: the median of the newest reads is given, once there are enough.
-func TestReadOverhead(t *testing.T) {
+// TestPrefillOverheadMedian: the median of the newest prefills is available once there are enough.
+func TestPrefillOverheadMedian(t *testing.T) {
 	var o readOverhead
 	for i := range minOverheadReads - 1 {
 		o.observe(time.Duration(i) * time.Millisecond)
@@ -120,7 +121,7 @@
 		o.observe(70 * time.Millisecond)
 	}
 	got, _ = o.median()
-	require.Equal(t, 70*time.Millisecond, got, "what is old is forgotten")
+	require.Equal(t, 70*time.Millisecond, got, "old samples still count")
 	o.observe(-time.Second)
 	got, _ = o.median()
 	require.Equal(t, 70*time.Millisecond, got)
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -1,4 +1,5 @@
-// Sick workers: outlier ejection by outcomes, with a bound, probation and damping.
+// Unhealthy workers: outlier ejection by call outcomes, with an ejection limit, probation, and longer ejections
+// for repeated failures.
 
 package proxy
 
@@ -18,417 +19,423 @@
 	"keelstair.example/ids"
 )
 
-// standing is how many of a part a node has out at a moment.
-type standing struct {
-	at       time.Duration
-	node     string
-	group    workerGroup
-	out, all int
+// ejectionSample is the number of workers of a group that a node has ejected at a time.
+type ejectionSample struct {
+	at             time.Duration
+	node           string
+	group          workerGroup
+	ejected, total int
 }
 
-// ward runs a load over workers some of which are unhealthy, and watches what is out.
-type ward struct {
-	seed      uint64
-	nodes     int
-	parts     int // workers of each part
-	rate      float64
-	duration  time.Duration
-	unhealthy func(k row) fate // under the fake platform's lock
-	tune      func(*Options)
-	act       func(f *fleet, y *workerPool)
-	route     string // all four by turns if it is empty
-	prompt    int
-	standing  []standing
-	rows      []row
-	asks      []*asked
-	ejects    int64
-	readmits  int64
+// ejectionScenario is a load on workers of which some are unhealthy, and its results. Times in the results
+// count from the start of the load.
+type ejectionScenario struct {
+	seed           uint64
+	nodes          int
+	workersPerRole int
+	rate           float64
+	duration       time.Duration
+	outcome        func(call callRecord) callOutcome // called while the platform is locked; nil: all calls succeed
+	adjustOptions  func(*Options)
+	disrupt        func(f *fleet, platform *fakePlatform)
+	route          string // path of the requests; empty: all of routePaths in turn
+	prompt         int
+	samples        []ejectionSample
+	calls          []callRecord
+	results        []*requestResult
+	ejections      int64
+	readmissions   int64
 }
 
-func (w *ward) run(t *testing.T) *ward {
-	y := newCluster(both("svc", w.parts, w.parts)...)
-	f := build(t, w.seed, w.nodes, y, plain(), func(o *Options) {
+// run runs the scenario and returns it with its results.
+func (s *ejectionScenario) run(t *testing.T) *ejectionScenario {
+	platform := newFakePlatform(prefillAndDecodeWorkers("svc", s.workersPerRole, s.workersPerRole)...)
+	f := startFleet(t, s.seed, s.nodes, platform, defaultConfiguration(), func(o *Options) {
 		o.RetryAllowance = 60
-		if w.tune != nil {
-			w.tune(o)
+		if s.adjustOptions != nil {
+			s.adjustOptions(o)
 		}
 	})
 	defer f.close()
-	begin := y.now()
-	y.at(func() {
-		y.fate = func(k row, _ *stand) fate {
-			k.At -= begin
-			if w.unhealthy == nil {
-				return fine
+	start := platform.elapsed()
+	platform.withLock(func() {
+		platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+			call.At -= start
+			if s.outcome == nil {
+				return succeeds
 			}
-			return w.unhealthy(k)
+			return s.outcome(call)
 		}
 	})
-	over := make(chan bool)
+	finished := make(chan bool)
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for {
-			w.look(f, y.now()-begin)
+			s.sampleEjections(f, platform.elapsed()-start)
 			select {
-			case <-over:
+			case <-finished:
 				return
 			case <-host.NewTimer(50 * time.Millisecond).C:
 			}
 		}
 	})
-	if w.act != nil {
-		wg.Go(func() { w.act(f, y) })
+	if s.disrupt != nil {
+		wg.Go(func() { s.disrupt(f, platform) })
 	}
-	w.asks = f.load(w.rate, w.duration, func(i int) *Request {
-		path := w.route
+	s.results = f.generateLoad(s.rate, s.duration, func(i int) *Request {
+		path := s.route
 		if path == "" {
-			path = paths[i%4]
+			path = routePaths[i%4]
 		}
-		return f.req(fmt.Sprint("r", i), path, max(w.prompt, 400), 4)
+		return f.newRequest(fmt.Sprint("r", i), path, max(s.prompt, 400), 4)
 	})
-	close(over)
+	close(finished)
 	wg.Wait()
-	for _, b := range f.up() {
-		w.ejects += b.counts.Ejected.Load()
-		w.readmits += b.counts.Readmitted.Load()
+	for _, node := range f.runningNodes() {
+		s.ejections += node.counts.Ejected.Load()
+		s.readmissions += node.counts.Readmitted.Load()
 	}
-	for _, k := range y.directory() {
-		k.At -= begin
-		w.rows = append(w.rows, k)
+	for _, call := range platform.recordedCalls() {
+		call.At -= start
+		s.calls = append(s.calls, call)
 	}
-	for _, a := range w.asks {
-		a.at, a.end = a.at-begin, a.end-begin
+	for _, result := range s.results {
+		result.sentAt, result.endedAt = result.sentAt-start, result.endedAt-start
 	}
-	return w
+	return s
 }
 
-func (w *ward) look(f *fleet, now time.Duration) {
-	for _, b := range f.up() {
-		by := map[workerGroup]*standing{}
-		for _, x := range b.endpoints.Load().workers {
-			k := workerGroup{x.Service, x.Role}
-			if by[k] == nil {
-				by[k] = &standing{at: now, node: b.ip, group: k}
+// sampleEjections adds a sample for each node and group with ejected workers.
+func (s *ejectionScenario) sampleEjections(f *fleet, now time.Duration) {
+	for _, node := range f.runningNodes() {
+		samples := map[workerGroup]*ejectionSample{}
+		for _, worker := range node.endpoints.Load().workers {
+			group := workerGroup{worker.Service, worker.Role}
+			if samples[group] == nil {
+				samples[group] = &ejectionSample{at: now, node: node.ip, group: group}
 			}
-			by[k].all++
-			if b.isEjected(x.ID) {
-				by[k].out++
+			samples[group].total++
+			if node.isEjected(worker.ID) {
+				samples[group].ejected++
 			}
 		}
-		for _, s := range by {
-			if s.out > 0 {
-				w.standing = append(w.standing, *s)
+		for _, sample := range samples {
+			if sample.ejected > 0 {
+				s.samples = append(s.samples, *sample)
 			}
 		}
 	}
 }
 
-// done is how many of the requests of a span were answered with 200.
-func (w *ward) done(from, to time.Duration) (done, all int) {
-	for _, a := range w.asks {
-		if a.at >= from && a.at < to {
-			all++
-			if a.err == nil && a.sink.status == 200 {
-				done++
+// countAnswered returns how many requests of a time range were answered with status 200, and how many there
+// were.
+func (s *ejectionScenario) countAnswered(from, to time.Duration) (answered, total int) {
+	for _, result := range s.results {
+		if result.sentAt >= from && result.sentAt < to {
+			total++
+			if result.err == nil && result.response.status == 200 {
+				answered++
 			}
 		}
 	}
-	return done, all
+	return answered, total
 }
 
-// sound holds what must be so whatever is unhealthy.
-func (w *ward) sound(t *testing.T) {
-	require.Empty(t, onceOnly(w.rows, w.asks))
-	require.Empty(t, ended(w.asks, 8500*time.Millisecond))
-	require.Empty(t, answers(w.asks))
-	require.Empty(t, outBound(w.standing, 0.34))
+// checkInvariants checks what must hold whichever workers are unhealthy.
+func (s *ejectionScenario) checkInvariants(t *testing.T) {
+	require.Empty(t, onceOnly(s.calls, s.results))
+	require.Empty(t, ended(s.results, 8500*time.Millisecond))
+	require.Empty(t, answers(s.results))
+	require.Empty(t, ejectionLimitViolations(s.samples, 0.34))
 }
 
-// some draws by a seed whether a call fails; the verdict goes with the request and the
-// worker, so that it does not depend on the order of calls.
-func some(seed uint64, x float64) func(k row) bool {
-	return func(k row) bool {
-		return rand.New(rand.NewPCG(seed, ids.Hash(k.Req+k.Kind+string(k.Worker)))).Float64() < x
+// failsAtRandom returns a function that decides whether a call fails. The decision depends on the seed, the
+// request, the kind of call and the worker only, not on the order of calls.
+func failsAtRandom(seed uint64, probability float64) func(call callRecord) bool {
+	return func(call callRecord) bool {
+		return rand.New(rand.NewPCG(seed, ids.Hash(call.RequestID+call.Kind+string(call.Worker)))).Float64() < probability
 	}
 }
 
-// outBound: of no part does a node have more out at once than the bound, nor the last.
-func outBound(rows []standing, role float64) []string {
+// ejectionLimitViolations checks that no node ejects more than maxShare of a group, or all of it.
+func ejectionLimitViolations(samples []ejectionSample, maxShare float64) []string {
 	var out []string
-	for _, s := range rows {
-		if limit := max(1, int(role*float64(s.all))); s.out > limit || s.out >= s.all {
-			out = append(out, fmt.Sprintf("at %s: %s has %d of %d out of %v", s.at, s.node, s.out, s.all, s.group))
+	for _, sample := range samples {
+		if limit := max(1, int(maxShare*float64(sample.total))); sample.ejected > limit || sample.ejected >= sample.total {
+			out = append(out, fmt.Sprintf("at %s: %s has ejected %d of %d workers of %v", sample.at, sample.node, sample.ejected, sample.total, sample.group))
 		}
 	}
 	return out
 }
 
-// share is the part of a span's sendings that goes to some workers.
-func share(rows []row, unhealthy map[ids.WorkerID]bool, from, to time.Duration) float64 {
-	hit, all := 0, 0
-	for _, k := range rows {
-		if (k.Kind == "read" || k.Kind == "emit") && k.At >= from && k.At < to {
-			all++
-			if unhealthy[k.Worker] {
-				hit++
+// callShare returns the share of the prefill and decode calls of a time range that went to the given workers.
+func callShare(calls []callRecord, workers map[ids.WorkerID]bool, from, to time.Duration) float64 {
+	selected, total := 0, 0
+	for _, call := range calls {
+		if (call.Kind == "read" || call.Kind == "emit") && call.At >= from && call.At < to {
+			total++
+			if workers[call.Worker] {
+				selected++
 			}
 		}
 	}
-	return float64(hit) / float64(max(1, all))
+	return float64(selected) / float64(max(1, total))
 }
 
-// falls: the unhealthy workers' share of sendings falls to the part given of what is fair.
-func falls(rows []row, unhealthy map[ids.WorkerID]bool, fair, role float64, from, to time.Duration) []string {
-	if s := share(rows, unhealthy, from, to); s > role*fair {
-		return []string{fmt.Sprintf("%.3f of the sendings go to sick workers, whose fair share is %.3f", s, fair)}
+// callShareViolations checks that the unhealthy workers' share of calls is at most maxRatio of their fair share.
+func callShareViolations(calls []callRecord, unhealthy map[ids.WorkerID]bool, fair, maxRatio float64, from, to time.Duration) []string {
+	if actual := callShare(calls, unhealthy, from, to); actual > maxRatio*fair {
+		return []string{fmt.Sprintf("%.3f of the calls go to unhealthy workers, whose fair share is %.3f", actual, fair)}
 	}
 	return nil
 }
 
-// TestPlantedSick: the checkers of this file catch their violations.
-func TestPlantedSick(t *testing.T) {
-	require.Empty(t, outBound([]standing{{out: 2, all: 6}, {out: 1, all: 2}}, 0.34))
-	require.NotEmpty(t, outBound([]standing{{out: 3, all: 6}}, 0.34), "over the bound")
-	require.NotEmpty(t, outBound([]standing{{out: 1, all: 1}}, 0.34), "the last")
-	k := func(id ids.WorkerID, at time.Duration) row { return row{Kind: "emit", Worker: id, At: at} }
-	rows := []row{k("w", 0), k("w", 1), k("v", 5), k("w", 6), k("v", 7), k("v", 8)}
+// TestEjectionCheckersDetectViolations: the checkers of this file report violations.
+func TestEjectionCheckersDetectViolations(t *testing.T) {
+	require.Empty(t, ejectionLimitViolations([]ejectionSample{{ejected: 2, total: 6}, {ejected: 1, total: 2}}, 0.34))
+	require.NotEmpty(t, ejectionLimitViolations([]ejectionSample{{ejected: 3, total: 6}}, 0.34), "over the limit")
+	require.NotEmpty(t, ejectionLimitViolations([]ejectionSample{{ejected: 1, total: 1}}, 0.34), "the last worker")
+	decodeAt := func(id ids.WorkerID, at time.Duration) callRecord {
+		return callRecord{Kind: "emit", Worker: id, At: at}
+	}
+	calls := []callRecord{decodeAt("w", 0), decodeAt("w", 1), decodeAt("v", 5), decodeAt("w", 6), decodeAt("v", 7), decodeAt("v", 8)}
 	unhealthy := map[ids.WorkerID]bool{"w": true}
-	require.Empty(t, falls(rows, unhealthy, 0.5, 0.6, 5, 9))
-	require.NotEmpty(t, falls(rows, unhealthy, 0.5, 0.4, 5, 9), "one of four")
-	require.NotEmpty(t, falls(rows, unhealthy, 0.5, 0.6, 0, 9), "half")
+	require.Empty(t, callShareViolations(calls, unhealthy, 0.5, 0.6, 5, 9))
+	require.NotEmpty(t, callShareViolations(calls, unhealthy, 0.5, 0.4, 5, 9), "one of four calls")
+	require.NotEmpty(t, callShareViolations(calls, unhealthy, 0.5, 0.6, 0, 9), "half of the calls")
 }
 
-// TestGrey: a reading and an emitting worker fail 30 to 60 % of their requests while their
-// reports are good: soon little goes there, more is answered than without ejection, and
-// once they are well they get their share again.
-func TestGrey(t *testing.T) {
-	hows := []fate{ranReset, idleReset, failed, midReset}
-	eachSeed(t, 4, func(t *testing.T, seed uint64) {
-		x := []float64{0.3, 0.4, 0.5, 0.6}[seed%4]
-		hit := some(seed, x)
+// TestPartiallyFailingWorkerIsEjected: a prefill and a decode worker fail 30 to 60 % of their requests while
+// their health reports are good. They soon get few requests, more requests are answered than without ejection,
+// and they get their share again after they recover.
+func TestPartiallyFailingWorkerIsEjected(t *testing.T) {
+	outcomes := []callOutcome{resetAfterRun, resetBeforeRun, serverError, resetMidResponse}
+	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
+		failureRate := []float64{0.3, 0.4, 0.5, 0.6}[seed%4]
+		fails := failsAtRandom(seed, failureRate)
 		unhealthy := map[ids.WorkerID]bool{"svc-prefill-1.1": true, "svc-decode-2.1": true}
-		grey := func(k row) fate {
-			if unhealthy[k.Worker] && k.At > 3*time.Second && k.At < 13*time.Second && hit(k) {
-				if k.Kind == "read" {
-					return ranReset
+		outcomeOf := func(call callRecord) callOutcome {
+			if unhealthy[call.Worker] && call.At > 3*time.Second && call.At < 13*time.Second && fails(call) {
+				if call.Kind == "read" {
+					return resetAfterRun
 				}
-				return hows[seed%4]
+				return outcomes[seed%4]
 			}
-			return fine
+			return succeeds
 		}
-		on := (&ward{seed: seed, nodes: 4, parts: 6, rate: 80, duration: 30 * time.Second, unhealthy: grey}).run(t)
-		on.sound(t)
-		off := (&ward{
-			seed:      seed,
-			nodes:     4,
-			parts:     6,
-			rate:      80,
-			duration:  30 * time.Second,
-			unhealthy: grey,
-			tune:      func(o *Options) { o.BaseEjection = -1 },
+		withEjection := (&ejectionScenario{seed: seed, nodes: 4, workersPerRole: 6, rate: 80, duration: 30 * time.Second, outcome: outcomeOf}).run(t)
+		withEjection.checkInvariants(t)
+		withoutEjection := (&ejectionScenario{
+			seed:           seed,
+			nodes:          4,
+			workersPerRole: 6,
+			rate:           80,
+			duration:       30 * time.Second,
+			outcome:        outcomeOf,
+			adjustOptions:  func(o *Options) { o.BaseEjection = -1 },
 		}).run(t)
-		had, all := off.done(5*time.Second, 13*time.Second)
-		has, _ := on.done(5*time.Second, 13*time.Second)
+		answeredWithout, total := withoutEjection.countAnswered(5*time.Second, 13*time.Second)
+		answeredWith, _ := withEjection.countAnswered(5*time.Second, 13*time.Second)
 		t.Logf(
-			"x %.1f: share %.3f, without %.3f; answered %d, without %d, of %d; ejections %d",
-			x,
-			share(on.rows, unhealthy, 5*time.Second, 13*time.Second),
-			share(off.rows, unhealthy, 5*time.Second, 13*time.Second),
-			has,
-			had,
-			all,
-			on.ejects,
+			"failure rate %.1f: share %.3f, without ejection %.3f; answered %d, without ejection %d, of %d; ejections %d",
+			failureRate,
+			callShare(withEjection.calls, unhealthy, 5*time.Second, 13*time.Second),
+			callShare(withoutEjection.calls, unhealthy, 5*time.Second, 13*time.Second),
+			answeredWith,
+			answeredWithout,
+			total,
+			withEjection.ejections,
 		)
-		require.Empty(t, falls(on.rows, unhealthy, 1.0/6, 0.6, 5*time.Second, 13*time.Second))
+		require.Empty(t, callShareViolations(withEjection.calls, unhealthy, 1.0/6, 0.6, 5*time.Second, 13*time.Second))
 		require.NotEmpty(
-			t, falls(off.rows, unhealthy, 1.0/6, 0.6, 5*time.Second, 13*time.Second), "without it they go on",
+			t, callShareViolations(withoutEjection.calls, unhealthy, 1.0/6, 0.6, 5*time.Second, 13*time.Second), "without ejection they keep getting requests",
 		)
-		require.Greater(t, has, had)
-		// A third ejection right before they are well lasts 8 s, and trials come after it.
-		require.Greater(t, share(on.rows, unhealthy, 25*time.Second, 30*time.Second), 0.5/6, "they are used again")
-		require.Zero(t, off.ejects)
-		require.Positive(t, on.readmits)
+		require.Greater(t, answeredWith, answeredWithout)
+		// A third ejection right before the recovery lasts 8 s and is followed by trial requests.
+		require.Greater(t, callShare(withEjection.calls, unhealthy, 25*time.Second, 30*time.Second), 0.5/6, "recovered workers are used again")
+		require.Zero(t, withoutEjection.ejections)
+		require.Positive(t, withEjection.readmissions)
 	})
 }
 
-// TestGreyForSome: a worker fails for one node's calls only: that node leaves it out, the
-// others go on with it.
-func TestGreyForSome(t *testing.T) {
-	eachSeed(t, 3, func(t *testing.T, seed uint64) {
-		hit := some(seed, 0.6)
-		w := (&ward{
-			seed:     seed,
-			nodes:    4,
-			parts:    5,
-			rate:     100,
-			duration: 12 * time.Second,
-			unhealthy: func(k row) fate {
-				if k.Worker == "svc-decode-1.1" && k.Node == nodeIP(1) && k.At > 3*time.Second && hit(k) {
-					return ranReset
+// TestWorkerFailingForOneNodeIsEjectedThereOnly: a worker fails only the calls of one node. That node ejects
+// it, and the others keep using it.
+func TestWorkerFailingForOneNodeIsEjectedThereOnly(t *testing.T) {
+	forEachSeed(t, 3, func(t *testing.T, seed uint64) {
+		fails := failsAtRandom(seed, 0.6)
+		scenario := (&ejectionScenario{
+			seed:           seed,
+			nodes:          4,
+			workersPerRole: 5,
+			rate:           100,
+			duration:       12 * time.Second,
+			outcome: func(call callRecord) callOutcome {
+				if call.Worker == "svc-decode-1.1" && call.Node == nodeIP(1) && call.At > 3*time.Second && fails(call) {
+					return resetAfterRun
 				}
-				return fine
+				return succeeds
 			},
 		}).run(t)
-		w.sound(t)
-		from := map[string]int{}
-		for _, k := range w.rows {
-			if k.Kind == "emit" && k.Worker == "svc-decode-1.1" && k.At > 5*time.Second {
-				from[k.Node]++
+		scenario.checkInvariants(t)
+		callsByNode := map[string]int{}
+		for _, call := range scenario.calls {
+			if call.Kind == "emit" && call.Worker == "svc-decode-1.1" && call.At > 5*time.Second {
+				callsByNode[call.Node]++
 			}
 		}
-		require.Greater(t, from[nodeIP(3)], 4*from[nodeIP(1)], "the other node of its zone")
-		for _, s := range w.standing {
-			require.Equal(t, nodeIP(1), s.node, "at %s", s.at)
+		require.Greater(t, callsByNode[nodeIP(3)], 4*callsByNode[nodeIP(1)], "the other node in the zone keeps using the worker")
+		for _, sample := range scenario.samples {
+			require.Equal(t, nodeIP(1), sample.node, "at %s", sample.at)
 		}
 	})
 }
 
-// TestLyingHealth: a report that is bad while outcomes are good puts no worker out; one
-// that is good does not bring back a worker whose outcomes are bad. Either lie may be told
-// to some nodes only.
-func TestLyingHealth(t *testing.T) {
-	for _, some := range []bool{false, true} {
-		t.Run(fmt.Sprint(some), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				bad := failure.New(failure.InvalidArgument, "report", "", "status 503")
-				mute := 0
-				lies := func(on bool) *ward {
-					return (&ward{
-						seed:     3,
-						nodes:    3,
-						parts:    3,
-						rate:     60,
-						duration: 14 * time.Second,
-						unhealthy: func(k row) fate {
-							// Now and then an answer is late, so that the worker is asked.
-							if k.Kind != "emit" {
-								return fine
+// TestHealthReportsDoNotOverrideOutcomes: a worker whose health reports fail while its calls succeed isn't
+// ejected, whether its reports fail for all nodes or for one.
+func TestHealthReportsDoNotOverrideOutcomes(t *testing.T) {
+	for _, oneNodeOnly := range []bool{false, true} {
+		t.Run(fmt.Sprint(oneNodeOnly), func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
+				unhealthyReport := failure.New(failure.InvalidArgument, "report", "", "status 503")
+				decodeCalls := 0
+				run := func(ejection bool) *ejectionScenario {
+					return (&ejectionScenario{
+						seed:           3,
+						nodes:          3,
+						workersPerRole: 3,
+						rate:           60,
+						duration:       14 * time.Second,
+						outcome: func(call callRecord) callOutcome {
+							// Every 30th response is missing, so that the node requests a report.
+							if call.Kind != "emit" {
+								return succeeds
 							}
-							if mute++; mute%30 == 0 {
-								return idleSilent
+							if decodeCalls++; decodeCalls%30 == 0 {
+								return silentBeforeRun
 							}
-							return fine
+							return succeeds
 						},
-						act: func(f *fleet, y *workerPool) {
+						disrupt: func(f *fleet, platform *fakePlatform) {
 							time.Sleep(2 * time.Second)
-							y.at(func() {
-								y.health = func(node string, s *stand) error {
-									if s.name == "svc-decode-1" && (!some || node == nodeIP(1)) {
-										return bad
+							platform.withLock(func() {
+								platform.reportError = func(node string, worker *fakeWorker) error {
+									if worker.name == "svc-decode-1" && (!oneNodeOnly || node == nodeIP(1)) {
+										return unhealthyReport
 									}
 									return nil
 								}
 							})
 						},
-						tune: func(o *Options) {
-							if !on {
+						adjustOptions: func(o *Options) {
+							if !ejection {
 								o.BaseEjection = -1
 							}
 						},
 					}).run(t)
 				}
-				well := map[ids.WorkerID]bool{"svc-decode-1.1": true}
-				w := lies(true)
-				w.sound(t)
-				got := share(w.rows, well, 3*time.Second, 14*time.Second)
-				t.Logf("share %.3f", got)
-				require.Greater(t, got, 0.7/6)
-				if !some {
-					off := share(lies(false).rows, well, 3*time.Second, 14*time.Second)
-					t.Logf("without ejection %.3f", off)
-					require.Less(t, off, got, "reports alone put it out")
+				healthy := map[ids.WorkerID]bool{"svc-decode-1.1": true}
+				scenario := run(true)
+				scenario.checkInvariants(t)
+				shareWith := callShare(scenario.calls, healthy, 3*time.Second, 14*time.Second)
+				t.Logf("share with ejection %.3f", shareWith)
+				require.Greater(t, shareWith, 0.7/6)
+				if !oneNodeOnly {
+					shareWithout := callShare(run(false).calls, healthy, 3*time.Second, 14*time.Second)
+					t.Logf("share without ejection %.3f", shareWithout)
+					require.Less(t, shareWithout, shareWith, "without ejection, failed reports exclude the worker")
 				}
 			})
 		})
 	}
 }
 
-// TestFlapping: a worker goes down and up by turns: after the second time it is left out for
-// longer than it is down; one that is down once comes back at once.
-func TestFlapping(t *testing.T) {
-	eachSeed(t, 3, func(t *testing.T, seed uint64) {
-		run := func(o func(*Options)) *ward {
-			return (&ward{
-				seed:     seed,
-				nodes:    3,
-				parts:    4,
-				rate:     80,
-				duration: 20 * time.Second,
-				tune:     o,
-				act: func(f *fleet, y *workerPool) {
+// TestFlappingWorkerEjectedLonger: a worker stops responding and recovers repeatedly. From the second time on it
+// is ejected for longer than it is down; a worker that was down once returns at once.
+func TestFlappingWorkerEjectedLonger(t *testing.T) {
+	forEachSeed(t, 3, func(t *testing.T, seed uint64) {
+		run := func(adjustOptions func(*Options)) *ejectionScenario {
+			return (&ejectionScenario{
+				seed:           seed,
+				nodes:          3,
+				workersPerRole: 4,
+				rate:           80,
+				duration:       20 * time.Second,
+				adjustOptions:  adjustOptions,
+				disrupt: func(f *fleet, platform *fakePlatform) {
 					time.Sleep(2 * time.Second)
-					y.at(func() { y.of("svc-decode-3").dark = true })
+					platform.withLock(func() { platform.worker("svc-decode-3").silent = true })
 					time.Sleep(1300 * time.Millisecond)
-					y.at(func() { y.of("svc-decode-3").dark = false })
+					platform.withLock(func() { platform.worker("svc-decode-3").silent = false })
 					for range 4 {
-						y.at(func() { y.of("svc-decode-1").dark = true })
+						platform.withLock(func() { platform.worker("svc-decode-1").silent = true })
 						time.Sleep(1300 * time.Millisecond)
-						y.at(func() { y.of("svc-decode-1").dark = false })
+						platform.withLock(func() { platform.worker("svc-decode-1").silent = false })
 						time.Sleep(1300 * time.Millisecond)
 					}
 				},
 			}).run(t)
 		}
-		flapper, once := map[ids.WorkerID]bool{"svc-decode-1.1": true}, map[ids.WorkerID]bool{"svc-decode-3.1": true}
-		on, off := run(nil), run(func(o *Options) { o.BaseEjection = -1 })
-		on.sound(t)
+		flapping, silentOnce := map[ids.WorkerID]bool{"svc-decode-1.1": true}, map[ids.WorkerID]bool{"svc-decode-3.1": true}
+		withEjection, withoutEjection := run(nil), run(func(o *Options) { o.BaseEjection = -1 })
+		withEjection.checkInvariants(t)
 		from, to := 6*time.Second, 14*time.Second
-		has, all := on.done(from, to)
-		had, _ := off.done(from, to)
+		answeredWith, total := withEjection.countAnswered(from, to)
+		answeredWithout, _ := withoutEjection.countAnswered(from, to)
 		t.Logf(
-			"share %.3f, without %.3f; answered %d, without %d, of %d",
-			share(on.rows, flapper, from, to),
-			share(off.rows, flapper, from, to),
-			has,
-			had,
-			all,
+			"share %.3f, without ejection %.3f; answered %d, without ejection %d, of %d",
+			callShare(withEjection.calls, flapping, from, to),
+			callShare(withoutEjection.calls, flapping, from, to),
+			answeredWith,
+			answeredWithout,
+			total,
 		)
-		require.Less(t, share(on.rows, flapper, from, to), 0.6*share(off.rows, flapper, from, to))
-		require.Greater(t, has, all*97/100)
-		require.Greater(t, share(on.rows, once, 4*time.Second, 8*time.Second), 0.7/8, "one fall is forgiven")
+		require.Less(t, callShare(withEjection.calls, flapping, from, to), 0.6*callShare(withoutEjection.calls, flapping, from, to))
+		require.Greater(t, answeredWith, total*97/100)
+		require.Greater(t, callShare(withEjection.calls, silentOnce, 4*time.Second, 8*time.Second), 0.7/8, "a single outage has no lasting effect")
 	})
 }
 
-// TestAllGrey: where all workers fail alike none stands out, and none is ejected; where many
-// do the bound holds. Ejection refuses nothing: what is refused without it is no less.
-func TestAllGrey(t *testing.T) {
-	for name, many := range map[string]int{"all": 6, "four": 4} {
+// TestUniformFailuresEjectNoWorker: if all workers fail at the same rate, none is an outlier and none is ejected,
+// except by chance. If many fail, the ejection limit holds. Ejection causes no rejections: no fewer requests
+// are rejected without it.
+func TestUniformFailuresEjectNoWorker(t *testing.T) {
+	for name, failing := range map[string]int{"all": 6, "four": 4} {
 		t.Run(name, func(t *testing.T) {
-			eachSeed(t, 3, func(t *testing.T, seed uint64) {
-				hit := some(seed, 0.45)
-				run := func(o func(*Options)) *ward {
-					return (&ward{
-						seed:     seed,
-						nodes:    3,
-						parts:    6,
-						rate:     40,
-						duration: 12 * time.Second,
-						tune:     o,
-						unhealthy: func(k row) fate {
-							if int(k.Worker[len(k.Worker)-3]-'0') < many && k.At > 2*time.Second && hit(k) {
-								return ranReset
+			forEachSeed(t, 3, func(t *testing.T, seed uint64) {
+				fails := failsAtRandom(seed, 0.45)
+				run := func(adjustOptions func(*Options)) *ejectionScenario {
+					return (&ejectionScenario{
+						seed:           seed,
+						nodes:          3,
+						workersPerRole: 6,
+						rate:           40,
+						duration:       12 * time.Second,
+						adjustOptions:  adjustOptions,
+						outcome: func(call callRecord) callOutcome {
+							if int(call.Worker[len(call.Worker)-3]-'0') < failing && call.At > 2*time.Second && fails(call) {
+								return resetAfterRun
 							}
-							return fine
+							return succeeds
 						},
 					}).run(t)
 				}
-				on, off := run(nil), run(func(o *Options) { o.BaseEjection = -1 })
-				on.sound(t)
-				refused := func(w *ward) (k int) {
-					for _, a := range w.asks {
-						if _, no := a.err.(*RejectedError); no {
-							k++
+				withEjection, withoutEjection := run(nil), run(func(o *Options) { o.BaseEjection = -1 })
+				withEjection.checkInvariants(t)
+				countRejected := func(scenario *ejectionScenario) (rejected int) {
+					for _, result := range scenario.results {
+						if _, isRejected := result.err.(*RejectedError); isRejected {
+							rejected++
 						}
 					}
-					return k
+					return rejected
 				}
-				t.Logf("%s: ejections %d, refused %d, without %d", name, on.ejects, refused(on), refused(off))
-				if many < 6 {
-					require.Less(t, refused(on), refused(off))
-				} else { // the same but for chance
-					require.LessOrEqual(t, refused(on), refused(off)*6/5)
+				t.Logf("%s: ejections %d, rejected %d, without ejection %d", name, withEjection.ejections, countRejected(withEjection), countRejected(withoutEjection))
+				if failing < 6 {
+					require.Less(t, countRejected(withEjection), countRejected(withoutEjection))
+				} else { // equal except for chance
+					require.LessOrEqual(t, countRejected(withEjection), countRejected(withoutEjection)*6/5)
 					require.LessOrEqual(
-						t, on.ejects, int64(6), "in 10 s at three nodes, by chance as the failures begin",
+						t, withEjection.ejections, int64(6), "in 10 s at three nodes, by chance when the failures begin",
 					)
 				}
 			})
@@ -436,106 +443,107 @@
 	}
 }
 
-// TestOnlyEjected: where only ejected workers are left they are used, the least bad first.
-func TestOnlyEjected(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 3)...)
-		f := build(t, 5, 1, y, plain(), nil)
+// TestEjectedWorkersUsedWhenNoOthersRemain: if all workers are ejected, the one with the lowest failure rate is
+// used.
+func TestEjectedWorkersUsedWhenNoOthersRemain(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		f := startFleet(t, 5, 1, platform, defaultConfiguration(), nil)
 		defer f.close()
 		n := f.nodes[0]
-		for i, ill := range []float64{0.9, 0.3, 0.6} {
+		for i, failureRate := range []float64{0.9, 0.3, 0.6} {
 			st := n.state(ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", i)))
 			st.mu.Lock()
-			st.outlier.phase, st.outlier.until, st.outlier.failureRate = ejected, n.now().Add(time.Hour), ill
+			st.outlier.phase, st.outlier.until, st.outlier.failureRate = ejected, n.now().Add(time.Hour), failureRate
 			st.mu.Unlock()
 		}
 		for i := range 6 {
-			a := f.ask(n, f.req(fmt.Sprint("r", i), "/once/x", 400, 4))
-			require.NoError(t, a.err)
+			result := f.send(n, f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4))
+			require.NoError(t, result.err)
 		}
-		for _, k := range y.directory() {
-			if k.Kind == "emit" {
-				require.EqualValues(t, "svc-decode-1.1", k.Worker)
+		for _, call := range platform.recordedCalls() {
+			if call.Kind == "emit" {
+				require.EqualValues(t, "svc-decode-1.1", call.Worker)
 			}
 		}
 	})
 }
 
-// TestOneWay: packets pass one way only between a worker and all nodes, or one node: what
-// is sent there is silence. It is left alone while that lasts and used again after it.
-func TestOneWay(t *testing.T) {
-	for _, one := range []bool{false, true} {
-		t.Run(fmt.Sprint(one), func(t *testing.T) {
-			eachSeed(t, 2, func(t *testing.T, seed uint64) {
-				off := func(node string) bool { return !one || node == nodeIP(1) }
-				w := (&ward{
-					seed:     seed,
-					nodes:    3,
-					parts:    4,
-					rate:     60,
-					duration: 18 * time.Second,
-					unhealthy: func(k row) fate {
-						if k.Worker == "svc-decode-1.1" && k.At > 3*time.Second && k.At < 8*time.Second && off(k.Node) {
-							return idleSilent
+// TestOneWayPacketLoss: packets between a worker and all nodes, or one node, pass in one direction only, so
+// calls get no response. The affected nodes avoid the worker meanwhile and use it again afterwards.
+func TestOneWayPacketLoss(t *testing.T) {
+	for _, oneNodeOnly := range []bool{false, true} {
+		t.Run(fmt.Sprint(oneNodeOnly), func(t *testing.T) {
+			forEachSeed(t, 2, func(t *testing.T, seed uint64) {
+				isAffected := func(node string) bool { return !oneNodeOnly || node == nodeIP(1) }
+				scenario := (&ejectionScenario{
+					seed:           seed,
+					nodes:          3,
+					workersPerRole: 4,
+					rate:           60,
+					duration:       18 * time.Second,
+					outcome: func(call callRecord) callOutcome {
+						if call.Worker == "svc-decode-1.1" && call.At > 3*time.Second && call.At < 8*time.Second && isAffected(call.Node) {
+							return silentBeforeRun
 						}
-						return fine
+						return succeeds
 					},
-					act: func(f *fleet, y *workerPool) {
-						lost := failure.New(failure.Unavailable, "report", "", "no answer")
+					disrupt: func(f *fleet, platform *fakePlatform) {
+						lost := failure.New(failure.Unavailable, "report", "", "no response")
 						time.Sleep(3 * time.Second)
-						y.at(func() {
-							y.health = func(node string, s *stand) error {
-								if s.name == "svc-decode-1" && off(node) {
+						platform.withLock(func() {
+							platform.reportError = func(node string, worker *fakeWorker) error {
+								if worker.name == "svc-decode-1" && isAffected(node) {
 									return lost
 								}
 								return nil
 							}
 						})
 						time.Sleep(5 * time.Second)
-						y.at(func() { y.health = nil })
+						platform.withLock(func() { platform.reportError = nil })
 					},
 				}).run(t)
-				w.sound(t)
+				scenario.checkInvariants(t)
 				unhealthy := map[ids.WorkerID]bool{"svc-decode-1.1": true}
-				var own, rest []row
-				for _, k := range w.rows {
-					if off(k.Node) {
-						own = append(own, k)
+				var affected, unaffected []callRecord
+				for _, call := range scenario.calls {
+					if isAffected(call.Node) {
+						affected = append(affected, call)
 					} else {
-						rest = append(rest, k)
+						unaffected = append(unaffected, call)
 					}
 				}
-				require.Empty(t, falls(own, unhealthy, 1.0/8, 0.3, 5*time.Second, 8*time.Second))
-				if one {
-					require.Greater(t, share(rest, unhealthy, 5*time.Second, 8*time.Second), 0.7/8)
+				require.Empty(t, callShareViolations(affected, unhealthy, 1.0/8, 0.3, 5*time.Second, 8*time.Second))
+				if oneNodeOnly {
+					require.Greater(t, callShare(unaffected, unhealthy, 5*time.Second, 8*time.Second), 0.7/8)
 				}
-				require.Greater(t, share(w.rows, unhealthy, 13*time.Second, 18*time.Second), 0.5/8)
+				require.Greater(t, callShare(scenario.calls, unhealthy, 13*time.Second, 18*time.Second), 0.5/8)
 			})
 		})
 	}
 }
 
-// TestCutTeller: a node that reaches no worker, and one that lies about all or about one,
-// put no worker out for the others.
-func TestCutTeller(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		w := (&ward{
-			seed:     7,
-			nodes:    5,
-			parts:    4,
-			rate:     60,
-			duration: 10 * time.Second,
-			unhealthy: func(k row) fate {
-				if k.Node == nodeIP(0) && k.At > 2*time.Second {
-					return ranReset
+// TestUnreliablePeerEjectsNoWorkerElsewhere: a node whose calls all fail, and a peer that reports false outcomes
+// of a worker, don't make other nodes eject a worker.
+func TestUnreliablePeerEjectsNoWorkerElsewhere(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		scenario := (&ejectionScenario{
+			seed:           7,
+			nodes:          5,
+			workersPerRole: 4,
+			rate:           60,
+			duration:       10 * time.Second,
+			outcome: func(call callRecord) callOutcome {
+				if call.Node == nodeIP(0) && call.At > 2*time.Second {
+					return resetAfterRun
 				}
-				return fine
+				return succeeds
 			},
-			act: func(f *fleet, y *workerPool) {
+			disrupt: func(f *fleet, platform *fakePlatform) {
 				for range 80 {
-					for _, b := range f.up()[2:] {
-						b.peerReports.Store(ids.NodeID("liar"), peerReport{
-							receivedAt: b.now(),
+					for _, node := range f.runningNodes()[2:] {
+						node.peerReports.Store(ids.NodeID("unreliable-peer"), peerReport{
+							receivedAt: node.now(),
 							outcomes:   []Outcomes{{"svc-decode-1.1", 1 << 20, 1 << 20, 90}},
 						})
 					}
@@ -543,16 +551,16 @@
 				}
 			},
 		}).run(t)
-		w.sound(t)
-		for _, s := range w.standing {
-			require.Equal(t, nodeIP(0), s.node, "at %s", s.at)
+		scenario.checkInvariants(t)
+		for _, sample := range scenario.samples {
+			require.Equal(t, nodeIP(0), sample.node, "at %s", sample.at)
 		}
 	})
 }
 
-// TestWeighed: a node's say of a worker is bounded, and one that accuses more of a part than
-// may be out says nothing.
-func TestWeighed(t *testing.T) {
+// TestPeerOutcomeWeightsAreCapped: the weight of a peer's outcomes of one worker is limited, and outcomes that
+// blame more workers of a group than may be ejected are ignored.
+func TestPeerOutcomeWeightsAreCapped(t *testing.T) {
 	n := &Node{options: Options{MaxEjectedShare: 0.34, PeerWeight: 4}}
 	var list []Worker
 	for i := range 6 {
@@ -565,40 +573,40 @@
 	}, n.capWeights([]Outcomes{{"w0", 400, 200, 9}, {"w1", 30, 0, 0}}))
 	require.Equal(t, []Outcomes{{
 		"w0", 10, 10, 1,
-	}}, n.capWeights([]Outcomes{{"w0", 10, 99, 1}}), "more failures than sendings")
+	}}, n.capWeights([]Outcomes{{"w0", 10, 99, 1}}), "more failures than calls")
 	require.Len(t, n.capWeights([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}}), 2)
-	require.Empty(t, n.capWeights([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}, {"w2", 10, 9, 1}}), "half of all")
+	require.Empty(t, n.capWeights([]Outcomes{{"w0", 10, 9, 1}, {"w1", 10, 9, 1}, {"w2", 10, 9, 1}}), "half of the workers are blamed")
 }
 
-// TestNotCounted: a caller that went away, a deadline that was over, being turned away and
-// lost memory are no failures of the worker.
-func TestNotCounted(t *testing.T) {
-	for _, how := range []string{"caller", "deadline", "full", "lost", "unreached"} {
-		t.Run(how, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 2, 3)...)
-				f := build(t, 6, 1, y, plain(), func(o *Options) { o.RetryAllowance = 60 })
+// TestOutcomesNotBlamedOnWorker: a disconnected caller, a passed deadline, a rejection, lost memory and a failed
+// connection don't count as failures of the worker.
+func TestOutcomesNotBlamedOnWorker(t *testing.T) {
+	for _, cause := range []string{"caller", "deadline", "full", "lost", "unreached"} {
+		t.Run(cause, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+				f := startFleet(t, 6, 1, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 60 })
 				defer f.close()
-				y.at(func() {
-					y.fate = func(k row, _ *stand) fate {
-						if k.Kind != "emit" {
-							return fine
+				platform.withLock(func() {
+					platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+						if call.Kind != "emit" {
+							return succeeds
 						}
-						return map[string]fate{
-							"caller":    fine,
-							"deadline":  idleSilent,
-							"full":      turnedAway,
-							"lost":      lostMemory,
-							"unreached": unreached,
-						}[how]
+						return map[string]callOutcome{
+							"caller":    succeeds,
+							"deadline":  silentBeforeRun,
+							"full":      notExecuted,
+							"lost":      memoryLost,
+							"unreached": connectionRefused,
+						}[cause]
 					}
 				})
 				for i := range 20 {
-					r := f.req(fmt.Sprint("r", i), paths[i%4], 400, 6)
-					if how == "deadline" {
+					r := f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 6)
+					if cause == "deadline" {
 						r.Timeout = 200 * time.Millisecond
 					}
-					f.askAs(t.Context(), f.nodes[0], r, &sink{broken: how == "caller"})
+					f.sendWith(t.Context(), f.nodes[0], r, &responseRecorder{callerGone: cause == "caller"})
 				}
 				n := f.nodes[0]
 				n.states.Range(func(k, v any) bool {
@@ -613,141 +621,141 @@
 	}
 }
 
-// TestSparse: many nodes before many workers, so that each node sends little to each worker:
-// what the nodes tell each other has the unhealthy found in time, where each alone finds none.
-func TestSparse(t *testing.T) {
-	eachSeed(t, 2, func(t *testing.T, seed uint64) {
-		hit := some(seed, 0.45)
-		nodes, parts, rate := 24, 14, 90.0
+// TestSparseTrafficPoolsPeerOutcomes: with many nodes and many workers, each node sends few requests to each
+// worker. Nodes that share outcomes detect the unhealthy workers in time; without sharing they don't.
+func TestSparseTrafficPoolsPeerOutcomes(t *testing.T) {
+	forEachSeed(t, 2, func(t *testing.T, seed uint64) {
+		fails := failsAtRandom(seed, 0.45)
+		nodes, workersPerRole, rate := 24, 14, 90.0
 		large := os.Getenv("KEELSTAIR_SPARSE") != ""
-		if large { // as many as the largest site has
-			nodes, parts, rate = 72, 70, 605
+		if large { // the size of the largest site
+			nodes, workersPerRole, rate = 72, 70, 605
 		}
 		unhealthy := map[ids.WorkerID]bool{}
-		for i := range max(2, parts*14/100) {
+		for i := range max(2, workersPerRole*14/100) {
 			unhealthy[ids.WorkerID(fmt.Sprintf("svc-prefill-%d.1", 3*i))] = true
 			unhealthy[ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", 3*i+1))] = true
 		}
-		run := func(o func(*Options)) *ward {
-			w := (&ward{
-				seed:     seed,
-				nodes:    nodes,
-				parts:    parts,
-				rate:     rate,
-				duration: 11 * time.Second,
-				tune:     o,
-				unhealthy: func(k row) fate {
-					if unhealthy[k.Worker] && k.At > 3*time.Second && k.At < 9500*time.Millisecond && hit(k) {
-						return ranReset
+		run := func(adjustOptions func(*Options)) *ejectionScenario {
+			scenario := (&ejectionScenario{
+				seed:           seed,
+				nodes:          nodes,
+				workersPerRole: workersPerRole,
+				rate:           rate,
+				duration:       11 * time.Second,
+				adjustOptions:  adjustOptions,
+				outcome: func(call callRecord) callOutcome {
+					if unhealthy[call.Worker] && call.At > 3*time.Second && call.At < 9500*time.Millisecond && fails(call) {
+						return resetAfterRun
 					}
-					return fine
+					return succeeds
 				},
 			}).run(t)
-			w.sound(t)
-			return w
+			scenario.checkInvariants(t)
+			return scenario
 		}
 		from, to := 4*time.Second, 9500*time.Millisecond
-		reports, alone := run(nil), run(func(o *Options) { o.PeerWeight = -1 })
-		all := map[string]*ward{"told": reports, "alone": alone}
+		pooled, unpooled := run(nil), run(func(o *Options) { o.PeerWeight = -1 })
+		scenarios := map[string]*ejectionScenario{"pooled": pooled, "unpooled": unpooled}
 		if large {
-			all["off"] = run(func(o *Options) { o.BaseEjection = -1 })
+			scenarios["no ejection"] = run(func(o *Options) { o.BaseEjection = -1 })
 		}
-		for name, w := range all {
-			has, all := w.done(3*time.Second, to)
+		for name, scenario := range scenarios {
+			answered, total := scenario.countAnswered(3*time.Second, to)
 			t.Logf(
 				"%s: share %.3f, answered %d of %d, ejections %d",
 				name,
-				share(w.rows, unhealthy, from, to),
-				has,
-				all,
-				w.ejects,
+				callShare(scenario.calls, unhealthy, from, to),
+				answered,
+				total,
+				scenario.ejections,
 			)
 		}
-		fair := float64(len(unhealthy)) / float64(2*parts)
-		require.Empty(t, falls(reports.rows, unhealthy, fair, 0.5, from, to))
-		require.NotEmpty(t, falls(alone.rows, unhealthy, fair, 0.5, from, to))
+		fair := float64(len(unhealthy)) / float64(2*workersPerRole)
+		require.Empty(t, callShareViolations(pooled.calls, unhealthy, fair, 0.5, from, to))
+		require.NotEmpty(t, callShareViolations(unpooled.calls, unhealthy, fair, 0.5, from, to))
 	})
 }
 
-// TestProbation: a worker that goes on failing is readmitted by no good report and no time
-// alone: a failed trial ejects it again, each time for longer; trials that succeed readmit
-// it, and what it is sent meanwhile is a trickle.
-func TestProbation(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// TestProbationLimitsTraffic: neither good reports nor time alone readmit a worker that keeps failing. A failed
+// trial ejects it again, each time for longer; successful trials readmit it. Few requests are sent to it
+// meanwhile.
+func TestProbationLimitsTraffic(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		unhealthy := map[ids.WorkerID]bool{"svc-decode-2.1": true}
-		w := (&ward{
-			seed:     8,
-			nodes:    1,
-			parts:    4,
-			rate:     60,
-			duration: 40 * time.Second,
-			unhealthy: func(k row) fate {
-				if unhealthy[k.Worker] && k.At > 2*time.Second && k.At < 30*time.Second {
-					return ranReset
+		scenario := (&ejectionScenario{
+			seed:           8,
+			nodes:          1,
+			workersPerRole: 4,
+			rate:           60,
+			duration:       40 * time.Second,
+			outcome: func(call callRecord) callOutcome {
+				if unhealthy[call.Worker] && call.At > 2*time.Second && call.At < 30*time.Second {
+					return resetAfterRun
 				}
-				return fine
+				return succeeds
 			},
 		}).run(t)
-		w.sound(t)
-		hits := 0
-		for _, k := range w.rows {
-			if k.Kind == "emit" && unhealthy[k.Worker] && k.At > 4*time.Second && k.At < 30*time.Second {
-				hits++
+		scenario.checkInvariants(t)
+		sent := 0
+		for _, call := range scenario.calls {
+			if call.Kind == "emit" && unhealthy[call.Worker] && call.At > 4*time.Second && call.At < 30*time.Second {
+				sent++
 			}
 		}
-		t.Logf("ejections %d, readmissions %d, sendings %d", w.ejects, w.readmits, hits)
-		require.LessOrEqual(t, w.ejects, int64(6), "each is longer")
-		require.GreaterOrEqual(t, w.ejects, int64(3))
-		require.LessOrEqual(t, hits, 11, "a trickle")
-		require.Positive(t, w.readmits)
+		t.Logf("ejections %d, readmissions %d, calls %d", scenario.ejections, scenario.readmissions, sent)
+		require.LessOrEqual(t, scenario.ejections, int64(6), "each ejection is longer")
+		require.GreaterOrEqual(t, scenario.ejections, int64(3))
+		require.LessOrEqual(t, sent, 11, "few trial requests")
+		require.Positive(t, scenario.readmissions)
 	})
 }
 
-// TestOneFall: workers that are cut off once and shortly, with all that they had under way,
-// get their share again at once: what they failed is explained.
-func TestOneFall(t *testing.T) {
-	eachSeed(t, 3, func(t *testing.T, seed uint64) {
+// TestShortOutageRestoresShareAtOnce: workers that are disconnected once for a short time, with all their running
+// requests, get their share again at once, because the outage explains the failures.
+func TestShortOutageRestoresShareAtOnce(t *testing.T) {
+	forEachSeed(t, 3, func(t *testing.T, seed uint64) {
 		cut := map[ids.WorkerID]bool{"svc-decode-0.1": true, "svc-decode-3.1": true}
-		w := (&ward{
-			seed:     seed,
-			nodes:    16,
-			parts:    6,
-			rate:     160,
-			duration: 9 * time.Second,
-			act: func(f *fleet, y *workerPool) {
-				dark := func(on bool) {
-					y.at(func() {
-						for _, s := range y.all {
-							if cut[s.ID] {
-								s.dark = on
+		scenario := (&ejectionScenario{
+			seed:           seed,
+			nodes:          16,
+			workersPerRole: 6,
+			rate:           160,
+			duration:       9 * time.Second,
+			disrupt: func(f *fleet, platform *fakePlatform) {
+				setSilent := func(on bool) {
+					platform.withLock(func() {
+						for _, worker := range platform.workers {
+							if cut[worker.ID] {
+								worker.silent = on
 							}
 						}
 					})
 				}
 				time.Sleep(3 * time.Second)
-				dark(true)
+				setSilent(true)
 				time.Sleep(1500 * time.Millisecond)
-				dark(false)
+				setSilent(false)
 			},
-			unhealthy: func(k row) fate {
-				if cut[k.Worker] && k.At > 3*time.Second && k.At < 4500*time.Millisecond {
-					return ranReset // it is seen at once
+			outcome: func(call callRecord) callOutcome {
+				if cut[call.Worker] && call.At > 3*time.Second && call.At < 4500*time.Millisecond {
+					return resetAfterRun // nodes notice it at once
 				}
-				return fine
+				return succeeds
 			},
 		}).run(t)
-		w.sound(t)
-		had, has := share(w.rows, cut, 0, 3*time.Second), share(w.rows, cut, 5500*time.Millisecond, 9*time.Second)
-		t.Logf("ejections %d, share %.3f, before %.3f", w.ejects, has, had)
-		require.Greater(t, has, 0.6*had)
+		scenario.checkInvariants(t)
+		shareBefore, shareAfter := callShare(scenario.calls, cut, 0, 3*time.Second), callShare(scenario.calls, cut, 5500*time.Millisecond, 9*time.Second)
+		t.Logf("ejections %d, share %.3f, before %.3f", scenario.ejections, shareAfter, shareBefore)
+		require.Greater(t, shareAfter, 0.6*shareBefore)
 	})
 }
 
-// TestFallExplains: what a worker failed just before it was found to be down counts no more,
-// and an ejection for it goes over into probation; an older one stands.
-func TestFallExplains(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		f := build(t, 9, 1, newCluster(both("svc", 2, 3)...), plain(), nil)
+// TestOutageClearsRecentFailures: failures just before a worker is found to be down no longer count, and an
+// ejection for them ends in probation; an earlier ejection stays.
+func TestOutageClearsRecentFailures(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		f := startFleet(t, 9, 1, newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...), defaultConfiguration(), nil)
 		defer f.close()
 		n := f.nodes[0]
 		for _, previous := range []bool{false, true} {
@@ -765,7 +773,7 @@
 			require.Zero(t, st.outlier.local.failed)
 			require.Equal(t, previous, now.Before(st.outlier.until))
 			n.recordOutcome(&pick{state: st, ended: new(atomic.Bool)}, false)
-			require.Zero(t, st.outlier.local.failed, "while it is known to be down")
+			require.Zero(t, st.outlier.local.failed, "while the worker is known to be down")
 			n.recordRecovery(st)
 			n.recordOutcome(&pick{state: st, ended: new(atomic.Bool)}, false)
 			require.Positive(t, st.outlier.local.failed)
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -1,4 +1,4 @@
-// Which worker is picked, and what a pick costs.
+// The selection of workers and its cost in time and allocations.
 
 package proxy
 
@@ -14,33 +14,33 @@
 	"keelstair.example/internal/routing"
 )
 
-// TestTable: the table gives the same workers and homes as the whole list does, under each
-// version of the list and of the snapshot.
-func TestTable(t *testing.T) {
+// TestCandidateIndexMatchesWorkerList: the candidate index yields the same workers and prefix homes as a scan
+// of the worker list, for several versions of the list and of the snapshot.
+func TestCandidateIndexMatchesWorkerList(t *testing.T) {
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 	require.NoError(t, err)
-	list := many(40)
+	list := newWorkers(40)
 	list[7].Role = ""
 	list[9].Service = "other"
-	sights := []*fleetstate.Snapshot{
+	snapshots := []*fleetstate.Snapshot{
 		{},
 		{Zones: map[ids.Zone]bool{"b": true}},
 		{Drained: map[ids.WorkerID]bool{list[2].ID: true}},
 		{RoleChanges: map[ids.WorkerID]ids.Role{list[4].ID: ids.Decode}},
 	}
-	for k := range 6 {
+	for round := range 6 {
 		now := n.now()
-		if k > 0 {
+		if round > 0 {
 			list = append([]Worker(nil), list...)
-			list[3*k].Leaving = true
-			list[5*k].Role = ids.Prefill
-			list = append(list[1:], Worker{ID: wid(k), Service: "s", Zone: "c", Role: ids.Decode, Concurrency: 8})
+			list[3*round].Leaving = true
+			list[5*round].Role = ids.Prefill
+			list = append(list[1:], Worker{ID: wid(round), Service: "s", Zone: "c", Role: ids.Decode, Concurrency: 8})
 		}
 		n.installList(list, now, now)
-		for _, s := range sights {
+		for _, s := range snapshots {
 			for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
 				var want, got []ids.WorkerID
-				var top ids.WorkerID
+				var home ids.WorkerID
 				best := -1.0
 				for i := range list {
 					w := &list[i]
@@ -49,7 +49,7 @@
 					}
 					want = append(want, w.ID)
 					if a := routing.Affinity(77, w.ID); w.Role == ids.Prefill && a > best {
-						best, top = a, w.ID
+						best, home = a, w.ID
 					}
 				}
 				for _, c := range n.cleared(s, service("s"), role, nil) {
@@ -57,7 +57,7 @@
 					require.Same(t, n.state(c.worker.ID), c.state)
 				}
 				require.Equal(t, want, got)
-				require.Equal(t, top, prefixHome(77, n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{
+				require.Equal(t, home, prefixHome(77, n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{
 					"s", role,
 				}], n.isEjected))
 			}
@@ -65,44 +65,46 @@
 	}
 }
 
-// TestPickedAnew: after a dial that took long nothing goes to a worker of which the node has
-// heard meanwhile that it leaves, nor does the request end while another worker is there.
-func TestPickedAnew(t *testing.T) {
+// TestPickRepeatedAfterSlowDial: if a worker starts leaving during a slow dial to another one, the request
+// doesn't go to the leaving worker, and it doesn't fail while a third one is available.
+func TestPickRepeatedAfterSlowDial(t *testing.T) {
 	for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
-		eachSeed(t, 3, func(t *testing.T, seed uint64) {
-			y := newCluster(both("svc", 3, 3)...)
-			f := build(t, seed, 2, y, plain(), func(o *Options) {
+		forEachSeed(t, 3, func(t *testing.T, seed uint64) {
+			platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+			f := startFleet(t, seed, 2, platform, defaultConfiguration(), func(o *Options) {
 				o.RetryAllowance, o.ListInterval, o.ShareInterval = 60, 100*time.Millisecond, 50*time.Millisecond
 			})
 			defer f.close()
-			y.at(func() { y.dial = map[string]time.Duration{"svc-" + string(role) + "-0:90": 1400 * time.Millisecond} })
+			platform.withLock(func() {
+				platform.unreachable = map[string]time.Duration{"svc-" + string(role) + "-0:90": 1400 * time.Millisecond}
+			})
 			f.wg.Go(func() {
 				time.Sleep(150 * time.Millisecond)
-				y.at(func() { y.of("svc-" + string(role) + "-1").Leaving = true })
+				platform.withLock(func() { platform.worker("svc-" + string(role) + "-1").Leaving = true })
 			})
-			all := f.load(200, 300*time.Millisecond, func(i int) *Request {
-				return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4)
+			results := f.generateLoad(200, 300*time.Millisecond, func(i int) *Request {
+				return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4)
 			})
-			late := 0
-			for _, a := range all {
-				require.NoError(t, a.err)
-				if a.end-a.at > 400*time.Millisecond {
-					late++
+			slowRequests := 0
+			for _, result := range results {
+				require.NoError(t, result.err)
+				if result.endedAt-result.sentAt > 400*time.Millisecond {
+					slowRequests++
 				}
 			}
-			require.Greater(t, late, 5, "some dialled the one that is not there")
-			require.Empty(t, leftAlone(y.directory(), 100*time.Millisecond))
+			require.Greater(t, slowRequests, 5, "few requests dialed the unreachable worker")
+			require.Empty(t, leftAlone(platform.recordedCalls(), 100*time.Millisecond))
 		})
 	}
 }
 
-// BenchmarkPick orders the readers and the emitters of one request.
+// BenchmarkPick ranks the prefill and the decode candidates of one request.
 func BenchmarkPick(b *testing.B) {
 	for _, workers := range []int{12, 140} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
 			require.NoError(b, err)
-			n.installList(many(workers), n.now(), n.now())
+			n.installList(newWorkers(workers), n.now(), n.now())
 			s, service := n.view.Current(), service("s")
 			r := &Request{
 				ID:        "9c41d07be2a35f68",
@@ -120,8 +122,8 @@
 	}
 }
 
-// many makes so many workers of one service, half of them of each part, in four zones.
-func many(workers int) []Worker {
+// newWorkers returns workers of one service in four zones, half of them in each role.
+func newWorkers(workers int) []Worker {
 	list := make([]Worker, workers)
 	for i := range list {
 		list[i] = Worker{
--- a/internal/proxy/place_test.go
+++ b/internal/proxy/place_test.go
@@ -1,4 +1,4 @@
-// Workers that are to get nothing new.
+// Workers that must get no new work.
 
 package proxy
 
@@ -14,92 +14,92 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestOff: a worker that is drained, in an evacuated zone, leaving or off the list gets
-// nothing new once a node knows, all nodes know within two seconds, what runs there ends
-// there, and callers notice nothing.
-func TestOff(t *testing.T) {
-	for _, how := range []string{"drained", "evacuated", "leaving", "unlisted"} {
-		t.Run(how, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
-				y := newCluster(both("svc", 4, 4)...)
-				f := build(t, 31, 3, y, plain(), nil)
+// TestUnavailableWorkersGetNoNewWork: a worker that is drained, in an evacuated zone, leaving or missing from
+// the list gets no new work from a node that knows. All nodes know within two seconds, running requests
+// finish there, and no request fails.
+func TestUnavailableWorkersGetNoNewWork(t *testing.T) {
+	for _, cause := range []string{"drained", "evacuated", "leaving", "unlisted"} {
+		t.Run(cause, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+				f := startFleet(t, 31, 3, platform, defaultConfiguration(), nil)
 				defer f.close()
-				var gone []ids.WorkerID
-				var at time.Duration
+				var unavailable []ids.WorkerID
+				var since time.Duration
 				f.wg.Go(func() {
 					time.Sleep(2 * time.Second)
-					y.at(func() {
-						for _, w := range y.all {
-							if how == "evacuated" && w.Zone == "b" ||
-								how != "evacuated" && strings.HasSuffix(w.name, "-1") {
-								gone = append(gone, w.ID)
-								w.Leaving, w.hidden = how == "leaving", how == "unlisted"
+					platform.withLock(func() {
+						for _, worker := range platform.workers {
+							if cause == "evacuated" && worker.Zone == "b" ||
+								cause != "evacuated" && strings.HasSuffix(worker.name, "-1") {
+								unavailable = append(unavailable, worker.ID)
+								worker.Leaving, worker.unlisted = cause == "leaving", cause == "unlisted"
 							}
 						}
 					})
-					switch how {
+					switch cause {
 					case "drained":
-						for _, id := range gone {
+						for _, id := range unavailable {
 							f.submit(fleetstate.DrainKind, &fleetstate.Drain{Worker: id, Drained: true})
 						}
 					case "evacuated":
 						f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 					}
-					at = y.now()
+					since = platform.elapsed()
 				})
-				all := f.load(60, 8*time.Second, func(i int) *Request {
-					return f.req(fmt.Sprint("r", i), paths[i%4], 400, 10)
+				results := f.generateLoad(60, 8*time.Second, func(i int) *Request {
+					return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 10)
 				})
-				rows := y.directory()
-				require.NotEmpty(t, gone)
-				require.Empty(t, leftAlone(rows, 100*time.Millisecond))
-				for _, id := range gone {
-					require.NotEmpty(t, sentTo(rows, id, 0, at), id)
-					require.Empty(t, sentTo(rows, id, at+2*time.Second, time.Hour), id)
+				calls := platform.recordedCalls()
+				require.NotEmpty(t, unavailable)
+				require.Empty(t, leftAlone(calls, 100*time.Millisecond))
+				for _, id := range unavailable {
+					require.NotEmpty(t, sentTo(calls, id, 0, since), id)
+					require.Empty(t, sentTo(calls, id, since+2*time.Second, time.Hour), id)
 				}
-				require.Empty(t, answers(all))
-				for _, a := range all {
-					require.NoError(t, a.err)
+				require.Empty(t, answers(results))
+				for _, result := range results {
+					require.NoError(t, result.err)
 				}
 			})
 		})
 	}
 }
 
-// TestStale: a life that answered that it is gone is left alone by the node it told, as
-// long as another worker is there.
-func TestStale(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 3, 3)...)
-		f := build(t, 32, 2, y, plain(), func(o *Options) { o.RetryAllowance = 50 })
+// TestReplacedWorkerAvoided: a node that learns that a worker was replaced by another incarnation stops
+// sending to it, as long as there is another worker.
+func TestReplacedWorkerAvoided(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 32, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 50 })
 		defer f.close()
-		y.at(func() { y.nolist = true })
-		y.restart("svc-decode-1")
-		y.restart("svc-prefill-1")
-		all := f.load(30, 10*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), paths[i%4], 400, 4) })
-		require.Empty(t, onceOnly(y.directory(), all))
-		count := map[string]int{}
-		for _, k := range y.directory() {
-			if (k.Kind == "emit" || k.Kind == "read") && strings.HasSuffix(string(k.Worker), "-1.1") {
-				count[k.Node+string(k.Worker)]++
+		platform.withLock(func() { platform.listFails = true })
+		platform.restartWorker("svc-decode-1")
+		platform.restartWorker("svc-prefill-1")
+		results := f.generateLoad(30, 10*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
+		require.Empty(t, onceOnly(platform.recordedCalls(), results))
+		calls := map[string]int{}
+		for _, call := range platform.recordedCalls() {
+			if (call.Kind == "emit" || call.Kind == "read") && strings.HasSuffix(string(call.Worker), "-1.1") {
+				calls[call.Node+string(call.Worker)]++
 			}
 		}
-		require.NotEmpty(t, count)
-		for at, n := range count {
-			require.LessOrEqual(t, n, 2, at)
+		require.NotEmpty(t, calls)
+		for nodeAndWorker, n := range calls {
+			require.LessOrEqual(t, n, 2, nodeAndWorker)
 		}
 	})
 }
 
-// TestGoneStaysGone: a life that is gone stays left alone though the life that has its
-// address now answers with a report.
-func TestGoneStaysGone(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		y := newCluster(both("svc", 2, 2)...)
-		f := build(t, 33, 1, y, plain(), nil)
+// TestReplacedWorkerStaysAvoided: a replaced worker stays avoided although its next incarnation, at the same
+// address, sends reports.
+func TestReplacedWorkerStaysAvoided(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 33, 1, platform, defaultConfiguration(), nil)
 		defer f.close()
-		y.at(func() { y.nolist = true })
-		y.restart("svc-decode-1")
+		platform.withLock(func() { platform.listFails = true })
+		platform.restartWorker("svc-decode-1")
 		n := f.nodes[0]
 		for _, w := range n.endpoints.Load().workers {
 			if w.ID == "svc-decode-1.1" {
@@ -108,7 +108,7 @@
 			}
 		}
 		time.Sleep(time.Second)
-		f.load(20, 3*time.Second, func(i int) *Request { return f.req(fmt.Sprint("r", i), "/once/x", 400, 4) })
-		require.Empty(t, sentTo(y.directory(), "svc-decode-1.1", 0, time.Hour))
+		f.generateLoad(20, 3*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
+		require.Empty(t, sentTo(platform.recordedCalls(), "svc-decode-1.1", 0, time.Hour))
 	})
 }
--- a/internal/proxy/proxy_cluster_test.go
+++ b/internal/proxy/proxy_cluster_test.go
@@ -1,6 +1,6 @@
-// A fake platform of stand-in workers behind a Backend: parts, slots, queues, silence, resets,
-// turning away, handles that can be had once, events with ids, reports and orders. It
-// keeps a book of what arrived when, and what ran.
+// A fake platform of workers behind a Backend. It simulates roles, slots, queues, rejections, resets,
+// unresponsive workers, memory handles that can be fetched once, event streams, reports and role orders,
+// and it records when each call arrived and whether it was executed.
 
 package proxy
 
@@ -19,197 +19,204 @@
 	"keelstair.example/ids"
 )
 
-// fate is what becomes of one call at a worker.
-type fate int
+// callOutcome is the result that a call to a worker is made to have.
+type callOutcome int
 
 const (
-	fine       fate = iota
-	unreached       // no connection comes up
-	turnedAway      // surely not run
-	ranReset        // run, and reset before the answer
-	idleReset       // not run, and reset before the answer
-	ranSilent       // run, and not a word until the asker gives up
-	idleSilent      // not run, and not a word
-	midReset        // reset in the middle of the answer, within an event
-	foreign         // the answer of another request
-	bare            // a success without the stamp
-	failed          // a 500 with the stamp
-	lostMemory      // the memory cannot be had
+	succeeds          callOutcome = iota
+	connectionRefused             // no connection is established
+	notExecuted                   // rejected before execution
+	resetAfterRun                 // executed; the connection is reset before the response
+	resetBeforeRun                // not executed; the connection is reset before the response
+	silentAfterRun                // executed; no response until the node gives up
+	silentBeforeRun               // not executed; no response until the node gives up
+	resetMidResponse              // the connection is reset within an event in the middle of the response
+	foreignResponse               // the response belongs to another request
+	unstampedResponse             // status 200 without the worker's stamp
+	serverError                   // status 500 with the worker's stamp
+	memoryLost                    // the worker can't fetch the prefilled memory
 )
 
-// row is one line of the book.
-type row struct {
-	At     time.Duration
-	Kind   string // read, emit, free, order, report
-	Node   string
-	Worker ids.WorkerID
-	Req    string
-	From   string
-	Took   bool          // it was not turned away
-	Ran    bool          // an emission began, or a reading gave its memory
-	Direct bool          // an emission without memory: the worker is to read the prompt itself
-	Cold   bool          // the worker was cold
-	Off    time.Duration // how long the node knew that the worker is to get nothing new
-	Owner  ids.NodeID
-	Fence  ids.Fence
-	To     ids.Role
-	// What the worker was told of who asks.
+// callRecord is one recorded call.
+type callRecord struct {
+	At             time.Duration
+	Kind           string // read, emit, free, order, report
+	Node           string
+	Worker         ids.WorkerID
+	RequestID      string
+	LastEventID    string
+	Accepted       bool          // the worker didn't reject it
+	Executed       bool          // the decode began, or the prefill returned its memory
+	Direct         bool          // a decode without memory: the worker prefills the prompt itself
+	Cold           bool          // the worker was still warming up
+	UnavailableFor time.Duration // how long the node had known that the worker must get no new work
+	Owner          ids.NodeID
+	Fence          ids.Fence
+	TargetRole     ids.Role
+	// What the worker was told about the caller.
 	Key, Tenant string
 	Urgency     int
 }
 
-// handle is memory that a worker keeps.
-type handle struct {
-	worker ids.WorkerID
-	req    string
-	had    int
-	freed  bool
-	let    func() // the worker's memory is free again
+// memoryHandle is prefilled memory that a worker holds.
+type memoryHandle struct {
+	worker    ids.WorkerID
+	requestID string
+	fetches   int
+	freed     bool
+	release   func() // returns the memory to the worker
 }
 
-// stand is one worker.
-type stand struct {
+// fakeWorker is a simulated worker.
+type fakeWorker struct {
 	Worker
 	name             string
 	incarnation      int
-	dark             bool
-	dead             bool
-	hidden           bool // not listed
-	warm             time.Time
-	orders           int
-	turning          ids.Role
+	silent           bool // sends no responses
+	terminated       bool
+	unlisted         bool      // missing from the worker list
+	warmAt           time.Time // when it has warmed up
+	orderCount       int
+	nextRole         ids.Role // the role that it is changing to
 	running, waiting int
-	memory           int // tokens; 0 is without end
-	used             int
-	past             []snap
-	wants            map[int]int // by urgency: who waits
-}
-
-// snap is how a worker stood from some time on.
-type snap struct {
-	at                     time.Time
-	running, waiting, used int
-}
-
-type workerPool struct {
-	mu        sync.Mutex
-	metering  bool // the fleet reports usage
-	start     time.Time
-	all       []*stand
-	rows      []row
-	handles   map[string]*handle
-	partition map[string]bool // nodes that reach no worker
-	frozen    map[string]bool // nodes that stand still
-	off       map[string]map[ids.WorkerID]time.Time
-	known     map[string]func(id ids.WorkerID) bool // by node: whether it knows now that a worker is off
-	fate      func(k row, w *stand) fate
-	listed    func() time.Duration // how long the asking for the list is under way
-	nolist    bool
-	asked     []row                      // askings for the list
-	chill     map[ids.Zone]time.Duration // for how long workers of a zone turn cold at their first request
-	step      time.Duration              // between events
-	turn      time.Duration
-	handle    int
-	onRead    func(r *Request)
-	prep      func(n *Node)                     // before a node runs
-	lean      func(s *stand) int                // added to what reports say is running
-	health    func(node string, s *stand) error // what a node gets instead of a report
-	lag       time.Duration                     // by which reports are old
-	dial      map[string]time.Duration          // addresses to which none comes up, and how long that takes
-	direct    int                               // tokens a ms that an emitting worker reads by itself
-	slowRead  map[string]time.Duration          // workers that take so much longer for each prompt
-	slowStep  map[string]time.Duration          // workers that take so long between events
-	queue     int                               // requests that wait at a worker at most; 0: twice its places
-}
-
-func newCluster(all ...*stand) *workerPool {
-	return &workerPool{start: time.Now(), all: all, handles: map[string]*handle{}, partition: map[string]bool{}, frozen: map[string]bool{},
-		off: map[string]map[ids.WorkerID]time.Time{}, known: map[string]func(ids.WorkerID) bool{}, direct: 50, step: 20 * time.Millisecond, turn: time.Second}
-}
-
-// stands makes so many workers of a part, by turns in two zones.
-func stands(service string, role ids.Role, n int) []*stand {
-	var out []*stand
+	memoryCapacity   int // tokens; 0 means unlimited
+	memoryUsed       int
+	loadHistory      []loadSample
+	waitingByUrgency map[int]int // waiting requests by urgency
+}
+
+// loadSample is the load of a worker from a time on.
+type loadSample struct {
+	at                           time.Time
+	running, waiting, memoryUsed int
+}
+
+// fakePlatform holds the workers, what goes wrong with them, and the calls that they received.
+type fakePlatform struct {
+	mu                 sync.Mutex
+	metering           bool // the fleet meters usage
+	start              time.Time
+	workers            []*fakeWorker
+	calls              []callRecord
+	handles            map[string]*memoryHandle
+	partitionedNodes   map[string]bool                                       // by node address: it reaches no worker
+	frozenNodes        map[string]bool                                       // by node address
+	unavailableSince   map[string]map[ids.WorkerID]time.Time                 // by node address: when it learned that a worker must get no new work
+	knowsUnavailable   map[string]func(id ids.WorkerID) bool                 // by node address: whether it knows now that a worker must get no new work
+	outcome            func(call callRecord, worker *fakeWorker) callOutcome // nil: all calls succeed
+	listDelay          func() time.Duration                                  // duration of a list call
+	listFails          bool
+	listCalls          []callRecord               // received list calls
+	coldPeriods        map[ids.Zone]time.Duration // by zone: how long a worker warms up after its first request
+	eventInterval      time.Duration              // time between events of a stream
+	roleChangeTime     time.Duration
+	lastHandle         int
+	afterPrefill       func(r *Request)
+	beforeRun          func(n *Node)                               // called before a node runs
+	extraRunning       func(worker *fakeWorker) int                // added to the running requests in a worker's reports
+	reportError        func(node string, worker *fakeWorker) error // an error that a node gets instead of a report
+	reportDelay        time.Duration                               // age of the load in reports
+	unreachable        map[string]time.Duration                    // by address: how long a dial takes until it fails
+	directTokensPerMs  int                                         // prefill speed of a decode worker
+	extraPrefillTime   map[string]time.Duration                    // by worker name: added to each prefill
+	slowEventIntervals map[string]time.Duration                    // by worker name: replaces eventInterval
+	queueLimit         int                                         // most requests that wait at a worker; 0 means twice its concurrency
+}
+
+// newFakePlatform returns a platform whose workers respond to all calls.
+func newFakePlatform(workers ...*fakeWorker) *fakePlatform {
+	return &fakePlatform{start: time.Now(), workers: workers, handles: map[string]*memoryHandle{}, partitionedNodes: map[string]bool{}, frozenNodes: map[string]bool{},
+		unavailableSince: map[string]map[ids.WorkerID]time.Time{}, knowsUnavailable: map[string]func(ids.WorkerID) bool{}, directTokensPerMs: 50, eventInterval: 20 * time.Millisecond, roleChangeTime: time.Second}
+}
+
+// newFakeWorkers returns n workers of a role, alternating between two zones.
+func newFakeWorkers(service string, role ids.Role, n int) []*fakeWorker {
+	var out []*fakeWorker
 	for i := range n {
 		name := fmt.Sprintf("%s-%s-%d", service, role, i)
 		if role == "" {
 			name = fmt.Sprintf("%s-%d", service, i)
 		}
-		out = append(out, &stand{name: name, incarnation: 1, Worker: Worker{ID: ids.WorkerID(name + ".1"), Service: service, Addr: name + ":90",
+		out = append(out, &fakeWorker{name: name, incarnation: 1, Worker: Worker{ID: ids.WorkerID(name + ".1"), Service: service, Addr: name + ":90",
 			Zone: ids.Zone([]string{"a", "b"}[i%2]), Role: role, Concurrency: 16}})
 	}
 	return out
 }
 
-// both makes readers and emitters of one service.
-func both(service string, readers, emitters int) []*stand {
-	return append(stands(service, ids.Prefill, readers), stands(service, ids.Decode, emitters)...)
+// prefillAndDecodeWorkers returns prefill and decode workers of one service.
+func prefillAndDecodeWorkers(service string, prefillCount, decodeCount int) []*fakeWorker {
+	return append(newFakeWorkers(service, ids.Prefill, prefillCount), newFakeWorkers(service, ids.Decode, decodeCount)...)
 }
 
-func (y *workerPool) now() time.Duration { return time.Since(y.start) }
+// elapsed returns the time since the platform started.
+func (p *fakePlatform) elapsed() time.Duration { return time.Since(p.start) }
 
-// at changes the fake platform.
-func (y *workerPool) at(f func()) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
+// withLock runs f while the platform is locked.
+func (p *fakePlatform) withLock(f func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	f()
 }
 
-func (y *workerPool) of(name string) *stand {
-	for _, w := range y.all {
-		if w.name == name {
-			return w
+// worker returns the current worker of a name.
+func (p *fakePlatform) worker(name string) *fakeWorker {
+	for _, worker := range p.workers {
+		if worker.name == name {
+			return worker
 		}
 	}
 	return nil
 }
 
-// restart ends a worker's life and begins another at the same address.
-func (y *workerPool) restart(name string) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	for i, w := range y.all {
-		if w.name == name {
-			w.dead = true
-			next := &stand{Worker: w.Worker, name: name, incarnation: w.incarnation + 1}
+// restartWorker terminates a worker and starts its next incarnation at the same address.
+func (p *fakePlatform) restartWorker(name string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i, worker := range p.workers {
+		if worker.name == name {
+			worker.terminated = true
+			next := &fakeWorker{Worker: worker.Worker, name: name, incarnation: worker.incarnation + 1}
 			next.ID = ids.WorkerID(fmt.Sprintf("%s.%d", name, next.incarnation))
-			y.all[i] = next
+			p.workers[i] = next
 		}
 	}
 }
 
-func (y *workerPool) directory() []row {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return append([]row(nil), y.rows...)
+// recordedCalls returns a copy of all calls received so far.
+func (p *fakePlatform) recordedCalls() []callRecord {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append([]callRecord(nil), p.calls...)
 }
 
-// back is one node's way to the workers.
-type back struct {
-	y  *workerPool
-	ip string
+// fakeBackend is the connection of one node to the workers.
+type fakeBackend struct {
+	platform *fakePlatform
+	nodeIP   string
 }
 
-var errReset = errors.New("connection reset")
+var errConnectionReset = errors.New("connection reset")
 
-func unknown(w Worker, reason string) error {
+// outcomeUnknown returns the error of a call that may have been executed.
+func outcomeUnknown(w Worker, reason string) error {
 	return failure.New(failure.OutcomeUnknown, "ask worker", w.Addr, "%s", reason)
 }
 
-// gate holds a frozen node at its next step on the network.
-func (b *back) gate() {
+// waitWhileFrozen blocks while the node is frozen.
+func (b *fakeBackend) waitWhileFrozen() {
 	for {
-		b.y.mu.Lock()
-		on := b.y.frozen[b.ip]
-		b.y.mu.Unlock()
-		if !on {
+		b.platform.mu.Lock()
+		frozen := b.platform.frozenNodes[b.nodeIP]
+		b.platform.mu.Unlock()
+		if !frozen {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-func nap(ctx context.Context, d time.Duration) bool {
+// sleepContext sleeps and reports whether the context lasted as long.
+func sleepContext(ctx context.Context, d time.Duration) bool {
 	t := host.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -220,123 +227,125 @@
 	}
 }
 
-// reach goes to the worker that has the address now.
-func (b *back) reach(ctx context.Context, w Worker) (*stand, error) {
-	b.gate()
+// connect returns the worker that has the address now.
+func (b *fakeBackend) connect(ctx context.Context, w Worker) (*fakeWorker, error) {
+	b.waitWhileFrozen()
 	if ctx.Err() != nil {
 		return nil, NotDialled(ctx.Err(), w.Addr)
 	}
-	b.y.mu.Lock()
-	cut := b.y.partition[b.ip]
-	b.y.mu.Unlock()
-	if cut {
-		nap(ctx, 400*time.Millisecond)
-		return nil, NotDialled(errors.New("no answer"), w.Addr)
-	}
-	b.y.mu.Lock()
-	long, no := b.y.dial[w.Addr]
-	b.y.mu.Unlock()
-	if no {
-		nap(ctx, long)
-		return nil, NotDialled(errors.New("no answer"), w.Addr)
-	}
-	if !nap(ctx, 500*time.Microsecond) {
-		return nil, unknown(w, "given up on the way")
-	}
-	b.y.mu.Lock()
-	defer b.y.mu.Unlock()
-	for _, s := range b.y.all {
-		if s.Addr == w.Addr && !s.dead {
-			return s, nil
+	b.platform.mu.Lock()
+	partitioned := b.platform.partitionedNodes[b.nodeIP]
+	b.platform.mu.Unlock()
+	if partitioned {
+		sleepContext(ctx, 400*time.Millisecond)
+		return nil, NotDialled(errors.New("dial timed out"), w.Addr)
+	}
+	b.platform.mu.Lock()
+	dialTime, unreachable := b.platform.unreachable[w.Addr]
+	b.platform.mu.Unlock()
+	if unreachable {
+		sleepContext(ctx, dialTime)
+		return nil, NotDialled(errors.New("dial timed out"), w.Addr)
+	}
+	if !sleepContext(ctx, 500*time.Microsecond) {
+		return nil, outcomeUnknown(w, "canceled while dialing")
+	}
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
+	for _, worker := range b.platform.workers {
+		if worker.Addr == w.Addr && !worker.terminated {
+			return worker, nil
 		}
 	}
-	return nil, NotDialled(errors.New("refused"), w.Addr)
+	return nil, NotDialled(errors.New("connection refused"), w.Addr)
 }
 
-// knew is for how long the node has known, as it sends, that a worker is off.
-func (b *back) knew(w Worker) time.Duration {
-	b.y.mu.Lock()
-	f := b.y.known[b.ip]
-	b.y.mu.Unlock()
-	if f == nil || !f(w.ID) {
+// knownUnavailableFor returns how long the node has known that a worker must get no new work, or 0 if it
+// doesn't know.
+func (b *fakeBackend) knownUnavailableFor(w Worker) time.Duration {
+	b.platform.mu.Lock()
+	knows := b.platform.knowsUnavailable[b.nodeIP]
+	b.platform.mu.Unlock()
+	if knows == nil || !knows(w.ID) {
 		return 0
 	}
-	b.y.mu.Lock()
-	defer b.y.mu.Unlock()
-	if at, ok := b.y.off[b.ip][w.ID]; ok {
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
+	if at, ok := b.platform.unavailableSince[b.nodeIP][w.ID]; ok {
 		return time.Since(at)
 	}
 	return 0
 }
 
-// arrive writes a call into the book and says what becomes of it. The fake platform is locked.
-func (b *back) arrive(k row, s *stand, w Worker) (*row, fate, error) {
-	y := b.y
-	if duration, ok := y.chill[s.Zone]; ok && s.warm.IsZero() {
-		s.warm = time.Now().Add(duration)
+// recordCall records a call and returns its outcome. The platform must be locked.
+func (b *fakeBackend) recordCall(call callRecord, worker *fakeWorker, w Worker) (*callRecord, callOutcome, error) {
+	platform := b.platform
+	if duration, ok := platform.coldPeriods[worker.Zone]; ok && worker.warmAt.IsZero() {
+		worker.warmAt = time.Now().Add(duration)
 	}
-	k.At, k.Node, k.Worker, k.Cold = y.now(), b.ip, w.ID, time.Now().Before(s.warm)
-	how := fine
-	if y.fate != nil {
-		how = y.fate(k, s)
+	call.At, call.Node, call.Worker, call.Cold = platform.elapsed(), b.nodeIP, w.ID, time.Now().Before(worker.warmAt)
+	outcome := succeeds
+	if platform.outcome != nil {
+		outcome = platform.outcome(call, worker)
 	}
-	if how == unreached {
-		return nil, how, NotDialled(errors.New("refused"), w.Addr)
+	if outcome == connectionRefused {
+		return nil, outcome, NotDialled(errors.New("connection refused"), w.Addr)
 	}
-	y.rows = append(y.rows, k)
-	p := &y.rows[len(y.rows)-1]
+	platform.calls = append(platform.calls, call)
+	record := &platform.calls[len(platform.calls)-1]
 	switch {
-	case s.ID != w.ID:
-		return p, how, failure.New(failure.Stale, "ask worker", w.Addr, "another life has the address")
-	case s.dark && (how == fine || how == midReset):
-		how = idleSilent
-	case how == turnedAway, s.turning != "", s.waiting >= y.most(s), k.Kind == "read" && s.Role == ids.Decode:
-		return p, how, failure.New(failure.NotExecuted, "ask worker", w.Addr, "turned away")
+	case worker.ID != w.ID:
+		return record, outcome, failure.New(failure.Stale, "ask worker", w.Addr, "another incarnation has the address")
+	case worker.silent && (outcome == succeeds || outcome == resetMidResponse):
+		outcome = silentBeforeRun
+	case outcome == notExecuted, worker.nextRole != "", worker.waiting >= platform.queueLimitOf(worker), call.Kind == "read" && worker.Role == ids.Decode:
+		return record, outcome, failure.New(failure.NotExecuted, "ask worker", w.Addr, "rejected")
 	}
-	p.Took = true
-	return p, how, nil
+	record.Accepted = true
+	return record, outcome, nil
 }
 
-func (y *workerPool) most(s *stand) int {
-	if y.queue > 0 {
-		return y.queue
+// queueLimitOf returns how many requests may wait at a worker.
+func (p *fakePlatform) queueLimitOf(worker *fakeWorker) int {
+	if p.queueLimit > 0 {
+		return p.queueLimit
 	}
-	return 2 * s.Concurrency
+	return 2 * worker.Concurrency
 }
 
-// prefix keeps how a worker stands for late reports. The fake platform is locked.
-func (y *workerPool) prefix(s *stand) {
-	for y.lag > 0 && len(s.past) > 1 && time.Since(s.past[1].at) > y.lag {
-		s.past = s.past[1:]
+// recordLoad saves the worker's load for delayed reports. The platform must be locked.
+func (p *fakePlatform) recordLoad(worker *fakeWorker) {
+	for p.reportDelay > 0 && len(worker.loadHistory) > 1 && time.Since(worker.loadHistory[1].at) > p.reportDelay {
+		worker.loadHistory = worker.loadHistory[1:]
 	}
-	s.past = append(s.past, snap{time.Now(), s.running, s.waiting, s.used})
+	worker.loadHistory = append(worker.loadHistory, loadSample{time.Now(), worker.running, worker.waiting, worker.memoryUsed})
 }
 
-// shown is how a worker stood a lag ago. The fake platform is locked.
-func (y *workerPool) shown(s *stand) snap {
-	out := snap{running: s.running, waiting: s.waiting, used: s.used}
-	for i := len(s.past) - 1; y.lag > 0 && i >= 0; i-- {
-		if out = s.past[i]; time.Since(out.at) >= y.lag {
+// delayedLoad returns the worker's load reportDelay ago. The platform must be locked.
+func (p *fakePlatform) delayedLoad(worker *fakeWorker) loadSample {
+	out := loadSample{running: worker.running, waiting: worker.waiting, memoryUsed: worker.memoryUsed}
+	for i := len(worker.loadHistory) - 1; p.reportDelay > 0 && i >= 0; i-- {
+		if out = worker.loadHistory[i]; time.Since(out.at) >= p.reportDelay {
 			break
 		}
 	}
 	return out
 }
 
-// place waits for one of the worker's places, with memory, behind the more urgent. It gives how to leave it, and
-// how to give the memory back.
-func (y *workerPool) place(ctx context.Context, s *stand, tokens, urgency int) (leave, let func(), err error) {
+// acquireSlot waits for a slot and memory of the worker, behind requests that are more urgent. It returns
+// functions that release the slot and the memory.
+func (p *fakePlatform) acquireSlot(ctx context.Context, worker *fakeWorker, tokens, urgency int) (releaseSlot, releaseMemory func(), err error) {
 	tokens = (tokens + 15) / 16 * 16
-	y.at(func() {
-		if s.wants == nil {
-			s.wants = map[int]int{}
+	p.withLock(func() {
+		if worker.waitingByUrgency == nil {
+			worker.waitingByUrgency = map[int]int{}
 		}
-		s.wants[urgency]++
-		s.waiting++
-		y.prefix(s)
+		worker.waitingByUrgency[urgency]++
+		worker.waiting++
+		p.recordLoad(worker)
 	})
-	first := func() bool {
-		for u, n := range s.wants {
+	isMostUrgent := func() bool {
+		for u, n := range worker.waitingByUrgency {
 			if u < urgency && n > 0 {
 				return false
 			}
@@ -344,346 +353,348 @@
 		return true
 	}
 	for {
-		y.mu.Lock()
-		if s.running < s.Concurrency && !s.dark && !s.dead && (s.memory == 0 || s.used+tokens <= s.memory) && first() {
-			s.wants[urgency]--
-			s.waiting, s.running, s.used = s.waiting-1, s.running+1, s.used+tokens
-			y.prefix(s)
-			y.mu.Unlock()
-			return sync.OnceFunc(func() { y.at(func() { s.running--; y.prefix(s) }) }), sync.OnceFunc(func() { y.at(func() { s.used -= tokens; y.prefix(s) }) }), nil
+		p.mu.Lock()
+		if worker.running < worker.Concurrency && !worker.silent && !worker.terminated && (worker.memoryCapacity == 0 || worker.memoryUsed+tokens <= worker.memoryCapacity) && isMostUrgent() {
+			worker.waitingByUrgency[urgency]--
+			worker.waiting, worker.running, worker.memoryUsed = worker.waiting-1, worker.running+1, worker.memoryUsed+tokens
+			p.recordLoad(worker)
+			p.mu.Unlock()
+			return sync.OnceFunc(func() { p.withLock(func() { worker.running--; p.recordLoad(worker) }) }), sync.OnceFunc(func() { p.withLock(func() { worker.memoryUsed -= tokens; p.recordLoad(worker) }) }), nil
 		}
-		dead := s.dead
-		y.mu.Unlock()
-		if dead || !nap(ctx, 5*time.Millisecond) {
-			y.at(func() { s.wants[urgency]--; s.waiting--; y.prefix(s) })
-			return nil, nil, unknown(s.Worker, "ended while it waited")
+		terminated := worker.terminated
+		p.mu.Unlock()
+		if terminated || !sleepContext(ctx, 5*time.Millisecond) {
+			p.withLock(func() { worker.waitingByUrgency[urgency]--; worker.waiting--; p.recordLoad(worker) })
+			return nil, nil, outcomeUnknown(worker.Worker, "canceled in the queue")
 		}
 	}
 }
 
-func (y *workerPool) load(s *stand) *Load {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return &Load{Running: s.running, Waiting: s.waiting, Concurrency: s.Concurrency}
+// currentLoad returns the load that the worker sends with a response.
+func (p *fakePlatform) currentLoad(worker *fakeWorker) *Load {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return &Load{Running: worker.running, Waiting: worker.waiting, Concurrency: worker.Concurrency}
 }
 
-// quiet is a fate by which nothing comes back.
-func quiet(ctx context.Context, how fate, w Worker) (error, bool) {
-	switch how {
-	case ranReset, idleReset:
-		return unknown(w, "reset"), true
-	case foreign:
-		return unknown(w, "the answer belongs to another request"), true
-	case ranSilent, idleSilent:
+// outcomeWithoutReply reports whether an outcome has no response, and returns its error.
+func outcomeWithoutReply(ctx context.Context, outcome callOutcome, w Worker) (error, bool) {
+	switch outcome {
+	case resetAfterRun, resetBeforeRun:
+		return outcomeUnknown(w, "reset"), true
+	case foreignResponse:
+		return outcomeUnknown(w, "the response belongs to another request"), true
+	case silentAfterRun, silentBeforeRun:
 		<-ctx.Done()
-		return unknown(w, "nothing came"), true
+		return outcomeUnknown(w, "no response"), true
 	}
 	return nil, false
 }
 
-// ok tells whether an answer can come back, and waits for it while a node is frozen.
-func (b *back) ok(ctx context.Context, s *stand) error {
-	b.gate()
-	b.y.mu.Lock()
-	lost := b.y.partition[b.ip] || s.dark
-	dead := s.dead
-	b.y.mu.Unlock()
+// checkReplyPath returns an error if a response can't reach the node. It waits while the node is frozen.
+func (b *fakeBackend) checkReplyPath(ctx context.Context, worker *fakeWorker) error {
+	b.waitWhileFrozen()
+	b.platform.mu.Lock()
+	lost := b.platform.partitionedNodes[b.nodeIP] || worker.silent
+	terminated := worker.terminated
+	b.platform.mu.Unlock()
 	switch {
-	case dead:
-		return unknown(s.Worker, "reset")
+	case terminated:
+		return outcomeUnknown(worker.Worker, "reset")
 	case lost:
 		<-ctx.Done()
-		return unknown(s.Worker, "nothing came")
+		return outcomeUnknown(worker.Worker, "no response")
 	case ctx.Err() != nil:
-		return unknown(s.Worker, "given up")
+		return outcomeUnknown(worker.Worker, "canceled")
 	}
 	return nil
 }
 
-func (b *back) Read(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*PrefillResult, error) {
-	y, off := b.y, b.knew(w)
-	s, err := b.reach(ctx, w)
+func (b *fakeBackend) Read(ctx context.Context, w Worker, r *Request, remaining time.Duration, urgency int) (*PrefillResult, error) {
+	platform, unavailableFor := b.platform, b.knownUnavailableFor(w)
+	worker, err := b.connect(ctx, w)
 	if err != nil {
 		return nil, err
 	}
-	y.mu.Lock()
-	_, how, err := b.arrive(row{Kind: "read", Req: r.ID, Off: off, Key: r.Key, Tenant: r.Tenant, Urgency: urgency}, s, w)
-	at := len(y.rows) - 1
-	y.mu.Unlock()
+	platform.mu.Lock()
+	_, outcome, err := b.recordCall(callRecord{Kind: "read", RequestID: r.ID, UnavailableFor: unavailableFor, Key: r.Key, Tenant: r.Tenant, Urgency: urgency}, worker, w)
+	index := len(platform.calls) - 1
+	platform.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	if err, ended := quiet(ctx, how, w); ended {
+	if err, ended := outcomeWithoutReply(ctx, outcome, w); ended {
 		return nil, err
 	}
-	leave, let, err := y.place(ctx, s, r.Prompt, urgency)
+	releaseSlot, releaseMemory, err := platform.acquireSlot(ctx, worker, r.Prompt, urgency)
 	if err != nil {
 		return nil, err
 	}
-	defer leave()
-	y.mu.Lock()
-	slow := y.slowRead[s.name]
-	y.mu.Unlock()
-	if !nap(ctx, slow+5*time.Millisecond+time.Duration(r.Prompt/50)*time.Millisecond) {
-		let()
-		return nil, unknown(w, "given up")
-	}
-	y.mu.Lock()
-	y.handle++
-	name := fmt.Sprint("kv-", y.handle)
-	if !s.dead {
-		y.handles[name] = &handle{worker: s.ID, req: r.ID, let: let}
-	}
-	hook := y.onRead
-	y.mu.Unlock()
-	if err := b.ok(ctx, s); err != nil {
+	defer releaseSlot()
+	platform.mu.Lock()
+	extra := platform.extraPrefillTime[worker.name]
+	platform.mu.Unlock()
+	if !sleepContext(ctx, extra+5*time.Millisecond+time.Duration(r.Prompt/50)*time.Millisecond) {
+		releaseMemory()
+		return nil, outcomeUnknown(w, "canceled")
+	}
+	platform.mu.Lock()
+	platform.lastHandle++
+	name := fmt.Sprint("kv-", platform.lastHandle)
+	if !worker.terminated {
+		platform.handles[name] = &memoryHandle{worker: worker.ID, requestID: r.ID, release: releaseMemory}
+	}
+	afterPrefill := platform.afterPrefill
+	platform.mu.Unlock()
+	if err := b.checkReplyPath(ctx, worker); err != nil {
 		return nil, err
 	}
-	if hook != nil {
-		hook(r)
+	if afterPrefill != nil {
+		afterPrefill(r)
 	}
-	y.at(func() { y.rows[at].Ran = true })
-	return &PrefillResult{Handle: name, Tokens: r.Prompt, Load: y.load(s)}, nil
+	platform.withLock(func() { platform.calls[index].Executed = true })
+	return &PrefillResult{Handle: name, Tokens: r.Prompt, Load: platform.currentLoad(worker)}, nil
 }
 
-// fetch has memory of a source, once. The fake platform is locked.
-func (y *workerPool) fetch(source *Source) bool {
-	h := y.handles[source.Handle]
-	if h == nil || h.had > 0 || h.freed {
+// fetchMemory fetches the memory of a source and reports whether it was available; a handle can be fetched
+// once. The platform must be locked.
+func (p *fakePlatform) fetchMemory(source *Source) bool {
+	handle := p.handles[source.Handle]
+	if handle == nil || handle.fetches > 0 || handle.freed {
 		return false
 	}
-	for _, s := range y.all {
-		if s.ID == h.worker && !s.dark && !s.dead {
-			h.had++
-			go h.let()
+	for _, worker := range p.workers {
+		if worker.ID == handle.worker && !worker.silent && !worker.terminated {
+			handle.fetches++
+			go handle.release()
 			return true
 		}
 	}
 	return false
 }
 
-// emission is the line of the book for an emission.
-func emission(r *Request, from string, direct bool, off time.Duration, urgency int) row {
-	return row{
-		Kind: "emit", Req: r.ID, From: from, Off: off, Direct: direct, Key: r.Key, Tenant: r.Tenant, Urgency: urgency,
+// decodeRecord returns the record of a decode call.
+func decodeRecord(r *Request, lastEventID string, direct bool, unavailableFor time.Duration, urgency int) callRecord {
+	return callRecord{
+		Kind: "emit", RequestID: r.ID, LastEventID: lastEventID, UnavailableFor: unavailableFor, Direct: direct, Key: r.Key, Tenant: r.Tenant, Urgency: urgency,
 	}
 }
 
-func (b *back) Emit(ctx context.Context, w Worker, r *Request, source *Source, from string, left time.Duration, urgency int) (*Response, error) {
-	y, off := b.y, b.knew(w)
-	s, err := b.reach(ctx, w)
+func (b *fakeBackend) Emit(ctx context.Context, w Worker, r *Request, source *Source, lastEventID string, remaining time.Duration, urgency int) (*Response, error) {
+	platform, unavailableFor := b.platform, b.knownUnavailableFor(w)
+	worker, err := b.connect(ctx, w)
 	if err != nil {
 		return nil, err
 	}
-	y.mu.Lock()
-	p, how, err := b.arrive(emission(r, from, source == nil && from == "", off, urgency), s, w)
-	if err == nil && source != nil && how != idleReset && how != idleSilent && (how == lostMemory || !y.fetch(source)) {
-		p.Took = false
-		err = failure.New(failure.DataLost, "fetch memory", w.Addr, "it cannot be had")
+	platform.mu.Lock()
+	record, outcome, err := b.recordCall(decodeRecord(r, lastEventID, source == nil && lastEventID == "", unavailableFor, urgency), worker, w)
+	if err == nil && source != nil && outcome != resetBeforeRun && outcome != silentBeforeRun && (outcome == memoryLost || !platform.fetchMemory(source)) {
+		record.Accepted = false
+		err = failure.New(failure.DataLost, "fetch memory", w.Addr, "memory not available")
 	}
-	if err == nil && how != idleReset && how != idleSilent {
-		p.Ran = true
+	if err == nil && outcome != resetBeforeRun && outcome != silentBeforeRun {
+		record.Executed = true
 	}
-	y.mu.Unlock()
+	platform.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	if err, ended := quiet(ctx, how, w); ended {
+	if err, ended := outcomeWithoutReply(ctx, outcome, w); ended {
 		return nil, err
 	}
-	out, let, err := y.place(ctx, s, r.Prompt+r.MaxTokens, urgency)
+	releaseSlot, releaseMemory, err := platform.acquireSlot(ctx, worker, r.Prompt+r.MaxTokens, urgency)
 	if err != nil {
 		return nil, err
 	}
-	leave := func() { out(); let() }
-	if source == nil && from == "" && !nap(ctx, time.Duration(r.Prompt/y.direct)*time.Millisecond) {
-		leave()
-		return nil, unknown(w, "given up")
+	release := func() { releaseSlot(); releaseMemory() }
+	if source == nil && lastEventID == "" && !sleepContext(ctx, time.Duration(r.Prompt/platform.directTokensPerMs)*time.Millisecond) {
+		release()
+		return nil, outcomeUnknown(w, "canceled")
 	}
-	if err := b.ok(ctx, s); err != nil {
-		leave()
+	if err := b.checkReplyPath(ctx, worker); err != nil {
+		release()
 		return nil, err
 	}
-	a := &answer{ctx: ctx, b: b, s: s, leave: leave, partition: -1}
-	reply := &Response{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.ID)}}, FromWorker: how != bare, Length: -1, Body: a, Load: y.load(s)}
-	if how == failed {
-		reply.Status = http.StatusInternalServerError
-		a.rest = [][]byte{[]byte("failed")}
-		return reply, nil
+	body := &responseBody{ctx: ctx, backend: b, worker: worker, release: release, cutChunk: -1}
+	response := &Response{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.ID)}}, FromWorker: outcome != unstampedResponse, Length: -1, Body: body, Load: platform.currentLoad(worker)}
+	if outcome == serverError {
+		response.Status = http.StatusInternalServerError
+		body.chunks = [][]byte{[]byte("failed")}
+		return response, nil
 	}
 	if r.Header.Get("Accept") == "text/event-stream" {
-		reply.Events = true
-		n, _ := strconv.Atoi(from)
-		for i := n + 1; i <= r.MaxTokens; i++ {
-			a.rest = append(a.rest, fmt.Appendf(nil, "id: %d\ndata: word-%d of %s\n\n", i, i, r.ID))
+		response.Events = true
+		last, _ := strconv.Atoi(lastEventID)
+		for i := last + 1; i <= r.MaxTokens; i++ {
+			body.chunks = append(body.chunks, fmt.Appendf(nil, "id: %d\ndata: word-%d of %s\n\n", i, i, r.ID))
 		}
 	} else {
 		for i := 1; i <= r.MaxTokens; i++ {
-			a.rest = append(a.rest, fmt.Appendf(nil, "word-%d of %s;", i, r.ID))
+			body.chunks = append(body.chunks, fmt.Appendf(nil, "word-%d of %s;", i, r.ID))
 		}
 	}
-	if how == midReset {
-		a.partition = len(a.rest) / 2
+	if outcome == resetMidResponse {
+		body.cutChunk = len(body.chunks) / 2
 	}
-	return reply, nil
+	return response, nil
 }
 
-// answer is a body that comes piece by piece.
-type answer struct {
+// responseBody is a response body that arrives in chunks.
+type responseBody struct {
 	ctx       context.Context
-	b         *back
-	s         *stand
-	leave     func()
-	rest      [][]byte
-	buf       []byte
-	at        int
-	partition int // the piece that is cut in its middle; -1 if none
-	ended     error
-}
-
-// stepOf is how long a worker takes between events.
-func (y *workerPool) stepOf(s *stand) time.Duration {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	if d, ok := y.slowStep[s.name]; ok {
+	backend   *fakeBackend
+	worker    *fakeWorker
+	release   func()
+	chunks    [][]byte
+	pending   []byte
+	nextChunk int
+	cutChunk  int // index of the chunk that is cut in its middle; -1 for none
+	err       error
+}
+
+// eventIntervalOf returns the time that a worker takes between events.
+func (p *fakePlatform) eventIntervalOf(worker *fakeWorker) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if d, ok := p.slowEventIntervals[worker.name]; ok {
 		return d
 	}
-	return y.step
+	return p.eventInterval
 }
 
-func (a *answer) Read(p []byte) (int, error) {
-	if len(a.buf) == 0 {
-		if a.ended == nil && a.at == len(a.rest) && a.partition != a.at {
-			a.ended = io.EOF
+func (b *responseBody) Read(p []byte) (int, error) {
+	if len(b.pending) == 0 {
+		if b.err == nil && b.nextChunk == len(b.chunks) && b.cutChunk != b.nextChunk {
+			b.err = io.EOF
 		}
-		if a.ended != nil {
-			a.leave()
-			return 0, a.ended
+		if b.err != nil {
+			b.release()
+			return 0, b.err
 		}
-		if !nap(a.ctx, a.b.y.stepOf(a.s)) {
-			a.leave()
-			return 0, a.ctx.Err()
+		if !sleepContext(b.ctx, b.backend.platform.eventIntervalOf(b.worker)) {
+			b.release()
+			return 0, b.ctx.Err()
 		}
-		if err := a.b.ok(a.ctx, a.s); err != nil {
-			a.leave()
+		if err := b.backend.checkReplyPath(b.ctx, b.worker); err != nil {
+			b.release()
 			return 0, err
 		}
-		if a.at == a.partition {
-			a.ended = errReset
-			if a.at < len(a.rest) {
-				a.buf = a.rest[a.at][:len(a.rest[a.at])/2]
+		if b.nextChunk == b.cutChunk {
+			b.err = errConnectionReset
+			if b.nextChunk < len(b.chunks) {
+				b.pending = b.chunks[b.nextChunk][:len(b.chunks[b.nextChunk])/2]
 			}
-			if len(a.buf) == 0 {
-				return 0, a.ended
+			if len(b.pending) == 0 {
+				return 0, b.err
 			}
 		} else {
-			a.buf = a.rest[a.at]
-			a.at++
+			b.pending = b.chunks[b.nextChunk]
+			b.nextChunk++
 		}
 	}
-	k := copy(p, a.buf)
-	a.buf = a.buf[k:]
-	return k, nil
+	n := copy(p, b.pending)
+	b.pending = b.pending[n:]
+	return n, nil
 }
 
-func (a *answer) Close() error { a.leave(); return nil }
+func (b *responseBody) Close() error { b.release(); return nil }
 
-func (b *back) Free(ctx context.Context, w Worker, name string) error {
-	s, err := b.reach(ctx, w)
+func (b *fakeBackend) Free(ctx context.Context, w Worker, name string) error {
+	worker, err := b.connect(ctx, w)
 	if err != nil {
 		return err
 	}
-	b.y.mu.Lock()
-	defer b.y.mu.Unlock()
-	b.y.rows = append(b.y.rows, row{At: b.y.now(), Kind: "free", Node: b.ip, Worker: s.ID})
-	if h := b.y.handles[name]; h != nil && h.worker == s.ID {
-		h.freed = true
-		go h.let()
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
+	b.platform.calls = append(b.platform.calls, callRecord{At: b.platform.elapsed(), Kind: "free", Node: b.nodeIP, Worker: worker.ID})
+	if handle := b.platform.handles[name]; handle != nil && handle.worker == worker.ID {
+		handle.freed = true
+		go handle.release()
 	}
 	return nil
 }
 
-func (b *back) Report(ctx context.Context, w Worker) (*Report, error) {
-	s, err := b.reach(ctx, w)
+func (b *fakeBackend) Report(ctx context.Context, w Worker) (*Report, error) {
+	worker, err := b.connect(ctx, w)
 	if err != nil {
 		return nil, err
 	}
-	b.y.at(func() {
-		b.y.rows = append(b.y.rows, row{At: b.y.now(), Kind: "report", Node: b.ip, Worker: s.ID})
+	b.platform.withLock(func() {
+		b.platform.calls = append(b.platform.calls, callRecord{At: b.platform.elapsed(), Kind: "report", Node: b.nodeIP, Worker: worker.ID})
 	})
-	if err := b.ok(ctx, s); err != nil {
+	if err := b.checkReplyPath(ctx, worker); err != nil {
 		return nil, err
 	}
-	b.y.mu.Lock()
-	lie := b.y.health
-	b.y.mu.Unlock()
-	if lie != nil {
-		if err := lie(b.ip, s); err != nil {
+	b.platform.mu.Lock()
+	reportError := b.platform.reportError
+	b.platform.mu.Unlock()
+	if reportError != nil {
+		if err := reportError(b.nodeIP, worker); err != nil {
 			return nil, err
 		}
 	}
-	b.y.mu.Lock()
-	defer b.y.mu.Unlock()
-	more := 0
-	if b.y.lean != nil {
-		more = b.y.lean(s)
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
+	extra := 0
+	if b.platform.extraRunning != nil {
+		extra = b.platform.extraRunning(worker)
 	}
-	was := b.y.shown(s)
-	r := &Report{Role: s.Role, RoleChanging: s.turning != "", Orders: s.orders, Waiting: was.waiting, Running: was.running + more, Used: 10000 * was.running, Capacity: 10000 * s.Concurrency}
-	if s.memory > 0 {
-		r.Used, r.Capacity = was.used, s.memory
+	load := b.platform.delayedLoad(worker)
+	report := &Report{Role: worker.Role, RoleChanging: worker.nextRole != "", Orders: worker.orderCount, Waiting: load.waiting, Running: load.running + extra, Used: 10000 * load.running, Capacity: 10000 * worker.Concurrency}
+	if worker.memoryCapacity > 0 {
+		report.Used, report.Capacity = load.memoryUsed, worker.memoryCapacity
 	}
-	return r, nil
+	return report, nil
 }
 
-func (b *back) Order(ctx context.Context, w Worker, o *RoleOrder) error {
-	s, err := b.reach(ctx, w)
+func (b *fakeBackend) Order(ctx context.Context, w Worker, order *RoleOrder) error {
+	worker, err := b.connect(ctx, w)
 	if err != nil {
 		return err
 	}
-	y := b.y
-	y.mu.Lock()
-	k := row{At: y.now(), Kind: "order", Node: b.ip, Worker: w.ID, Owner: o.Owner, Fence: o.Fence, To: o.To}
-	if s.ID != w.ID || s.turning != "" || o.Expected != s.orders || s.dark {
-		y.rows = append(y.rows, k)
-		y.mu.Unlock()
-		return failure.New(failure.NotExecuted, "order", w.Addr, "refused")
-	}
-	k.Took = true
-	y.rows = append(y.rows, k)
-	s.orders++
-	s.turning = o.To
-	y.mu.Unlock()
-	time.AfterFunc(y.turn, func() { y.at(func() { s.Role, s.turning = s.turning, "" }) })
-	return b.ok(ctx, s)
-}
-
-func (b *back) List(ctx context.Context) ([]Worker, error) {
-	b.gate()
-	y := b.y
-	y.mu.Lock()
-	lag := 500 * time.Microsecond
-	if y.listed != nil {
-		lag = y.listed()
-	}
-	no := y.nolist || y.partition[b.ip]
-	y.asked = append(y.asked, row{At: y.now(), Node: b.ip})
-	y.mu.Unlock()
-	if no || !nap(ctx, lag) {
-		return nil, failure.New(failure.Unavailable, "list", "", "no list")
-	}
-	y.mu.Lock()
-	defer y.mu.Unlock()
+	platform := b.platform
+	platform.mu.Lock()
+	call := callRecord{At: platform.elapsed(), Kind: "order", Node: b.nodeIP, Worker: w.ID, Owner: order.Owner, Fence: order.Fence, TargetRole: order.To}
+	if worker.ID != w.ID || worker.nextRole != "" || order.Expected != worker.orderCount || worker.silent {
+		platform.calls = append(platform.calls, call)
+		platform.mu.Unlock()
+		return failure.New(failure.NotExecuted, "order", w.Addr, "rejected")
+	}
+	call.Accepted = true
+	platform.calls = append(platform.calls, call)
+	worker.orderCount++
+	worker.nextRole = order.To
+	platform.mu.Unlock()
+	time.AfterFunc(platform.roleChangeTime, func() { platform.withLock(func() { worker.Role, worker.nextRole = worker.nextRole, "" }) })
+	return b.checkReplyPath(ctx, worker)
+}
+
+func (b *fakeBackend) List(ctx context.Context) ([]Worker, error) {
+	b.waitWhileFrozen()
+	platform := b.platform
+	platform.mu.Lock()
+	delay := 500 * time.Microsecond
+	if platform.listDelay != nil {
+		delay = platform.listDelay()
+	}
+	fails := platform.listFails || platform.partitionedNodes[b.nodeIP]
+	platform.listCalls = append(platform.listCalls, callRecord{At: platform.elapsed(), Node: b.nodeIP})
+	platform.mu.Unlock()
+	if fails || !sleepContext(ctx, delay) {
+		return nil, failure.New(failure.Unavailable, "list", "", "list not available")
+	}
+	platform.mu.Lock()
+	defer platform.mu.Unlock()
 	var out []Worker
-	for _, s := range y.all {
-		if s.hidden || s.dead {
+	for _, worker := range platform.workers {
+		if worker.unlisted || worker.terminated {
 			continue
 		}
-		w := s.Worker
-		w.SlowStart = max(0, time.Until(s.warm))
+		w := worker.Worker
+		w.SlowStart = max(0, time.Until(worker.warmAt))
 		out = append(out, w)
 	}
 	return out, nil
 }
 
-func (b *back) Close() {}
+func (b *fakeBackend) Close() {}
