--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -91,8 +91,8 @@
 	return float64(who>>11) / (1 << 53)
 }
 
-// rolePressure reckons how a service stands.
-func (n *Node) rolePressure(service *fleetstate.Service, list *endpointList, s *fleetstate.Snapshot) *servicePressure {
+// servicePressure reckons how a service stands.
+func (n *Node) servicePressure(service *fleetstate.Service, list *endpointList, s *fleetstate.Snapshot) *servicePressure {
 	now := n.now()
 	if v, ok := n.admission.pressures.Load(service.Name); ok && !now.Past(v.(*servicePressure).at, admitViewTTL) {
 		return v.(*servicePressure)
@@ -146,14 +146,14 @@
 		now.Past(list.requestedAt, listMaxAge) {
 		return nil
 	}
-	p := n.rolePressure(t.service, list, s)
+	p := n.servicePressure(t.service, list, s)
 	if !p.known || !p.halfFull || p.queueMs < 0 {
 		return nil
 	}
 	due := p.queueMs + float64(t.request.Prompt)/n.options.PrefillTokensPerMs
 	aim := max(1, float64((t.route.LatencyTarget()-now.Since(t.request.At))/time.Millisecond))
 	rank := 0
-	for _, u := range n.candidateIndexFor(list, s).ranks[t.service.Name] {
+	for _, u := range n.candidateIndexFor(list, s).urgencies[t.service.Name] {
 		if u > t.urgency() {
 			rank++
 		}
@@ -195,7 +195,7 @@
 // retryAfterHint books an appointment, within what the caller will wait.
 func (t *exchange) retryAfterHint() time.Duration {
 	limit := time.Duration(retryAfterShare * float64(t.remaining()))
-	after := t.node.retryAfter.Next(t.node.now(), t.node.counts.Completed.Load(), t.after())
+	after := t.node.retryAfter.Next(t.node.now(), t.node.counts.Completed.Load(), t.retryAfter())
 	if after > limit && limit > 0 {
 		after = limit/2 + rand.N(limit/2+1)
 	}
--- a/internal/proxy/candidate_index.go
+++ b/internal/proxy/candidate_index.go
@@ -27,10 +27,10 @@
 }
 
 type candidateIndex struct {
-	seq      uint64
-	snapshot *fleetstate.Snapshot
-	byRole   map[serviceRole][]candidate
-	ranks    map[string][]int // by service: the urgencies of its routes, least urgent first
+	seq       uint64
+	snapshot  *fleetstate.Snapshot
+	byRole    map[serviceRole][]candidate
+	urgencies map[string][]int // by service: the urgencies of its routes, least urgent first
 }
 
 // candidateIndexFor gives the table of a list under a snapshot.
@@ -38,7 +38,7 @@
 	if t := n.candidates.Load(); t != nil && t.seq == list.seq && t.snapshot == s {
 		return t
 	}
-	t := &candidateIndex{seq: list.seq, snapshot: s, byRole: map[serviceRole][]candidate{}, ranks: urgencyClasses(s)}
+	t := &candidateIndex{seq: list.seq, snapshot: s, byRole: map[serviceRole][]candidate{}, urgencies: urgencyClasses(s)}
 	for i := range list.workers {
 		if w := &list.workers[i]; acceptsWork(s, w) {
 			e := candidate{i, w.ID, w.Role, routing.Hash(w.ID), n.state(w.ID)}
--- a/internal/proxy/decode_exchange.go
+++ b/internal/proxy/decode_exchange.go
@@ -27,7 +27,7 @@
 			if err := t.authenticate(t.node.snapshot()); err != nil {
 				return nil, nil, err
 			}
-			if !t.send(&c, 0) {
+			if !t.reserveWorker(&c, 0) {
 				continue
 			}
 			if !t.payRetry() {
@@ -44,7 +44,7 @@
 			}
 			c.state.end(0)
 			c.release(failure.Is(err, failure.OutcomeUnknown), t.node.now())
-			t.blame(ctx, &c, err, t.node.now())
+			t.recordWorkerError(ctx, &c, err, t.node.now())
 			t.trace(handoff.Dropped, c.worker.ID, err.Error())
 			if failure.Is(err, failure.NotExecuted) && failure.Step(err) == dialStep {
 				t.attemptsMade--
@@ -74,15 +74,15 @@
 func (t *exchange) offer(ctx context.Context, c *pick, source *Source) (*Response, error) {
 	callContext, stop := context.WithCancelCause(ctx)
 	g := &supervisedBody{exchange: t, pick: c, stop: stop}
-	if t.mayRetry() {
+	if t.mayRetryDecode() {
 		g.attempt = &attempt{stop}
 		c.state.addAttempt(g.attempt)
-		g.deadlineTimer = time.AfterFunc(t.patience(), func() { stop(errWorkerSilent) })
+		g.deadlineTimer = time.AfterFunc(t.decodeSilenceTimeout(), func() { stop(errWorkerSilent) })
 	} else {
-		g.silenceTimer = time.AfterFunc(t.patience(), func() { t.node.recordOutcome(c, false) })
+		g.silenceTimer = time.AfterFunc(t.decodeSilenceTimeout(), func() { t.node.recordOutcome(c, false) })
 	}
-	times := t.node.timesOf(t.service.Name)
-	g.times, g.heardAt = times, t.node.now()
+	times := t.node.serviceTimesFor(t.service.Name)
+	g.times, g.lastByteAt = times, t.node.now()
 	g.probeTimer = time.AfterFunc(times.firstEvent.Suspicious(alarmQuietPeriod), func() { t.node.suspect(*c.worker) })
 	reply, err := t.node.options.Backend.Emit(
 		callContext, *c.worker, c.request, source, t.lastEventID, t.remaining(), c.urgency,
@@ -95,13 +95,13 @@
 	return reply, nil
 }
 
-// mayRetry tells whether this try may run once more.
-func (t *exchange) mayRetry() bool {
+// mayRetryDecode tells whether this try may run once more.
+func (t *exchange) mayRetryDecode() bool {
 	return t.route.MayRetry() && t.attemptsMade < t.maxAttempts()
 }
 
-// patience is how long an emitting worker may say nothing before a request that may run
+// decodeSilenceTimeout is how long an emitting worker may say nothing before a request that may run
 // again goes elsewhere.
-func (t *exchange) patience() time.Duration {
+func (t *exchange) decodeSilenceTimeout() time.Duration {
 	return max(t.node.options.DecodeSilence, 2*t.route.LatencyTarget())
 }
--- a/internal/proxy/event_gap.go
+++ b/internal/proxy/event_gap.go
@@ -24,7 +24,7 @@
 	at   ids.Tick
 }
 
-func (s *workerState) noteGap(pause time.Duration, now ids.Tick) {
+func (s *workerState) observeEventGap(pause time.Duration, now ids.Tick) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.eventGap.observe(pause, now)
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -42,16 +42,16 @@
 	prefixes []uint64
 	tried    map[ids.WorkerID]bool
 
-	prefilledAt   *pick  // the worker whose memory of the prompt is yet to be fetched
-	unpaidPrefill bool   // a prefill that failed is yet to be counted
-	prepaid       bool   // the next sending is paid for, by a hedge
-	attemptsMade  int    // counted: decodes, and prefills rejected or repeated
-	mayHaveRun    bool   // it may have run
-	memoryGone    bool   // a worker has turned it away, since it could not fetch its memory
-	headSent      bool   // the caller has the head of an answer
-	begunCounted  bool   // it is counted as begun
-	lastEventID   string // id of the last event that the caller has
-	timing        exchangeTiming
+	prefilledAt            *pick  // the worker whose memory of the prompt is yet to be fetched
+	failedPrefillUncounted bool   // a prefill that failed is yet to be counted
+	retryPaid              bool   // the next sending is paid for, by a hedge
+	attemptsMade           int    // counted: decodes, and prefills rejected or repeated
+	mayHaveRun             bool   // it may have run
+	sourceLost             bool   // a worker has turned it away, since it could not fetch its memory
+	headSent               bool   // the caller has the head of an answer
+	begunCounted           bool   // it is counted as begun
+	lastEventID            string // id of the last event that the caller has
+	timing                 exchangeTiming
 }
 
 func (t *exchange) trace(stage handoff.Step, w ids.WorkerID, reason string) {
@@ -189,7 +189,7 @@
 		answered := err == nil
 		if answered {
 			source = nil
-			t.fetched()
+			t.releasePrefillReservation()
 			if err = t.relay(ctx, w, reply); err == nil {
 				return nil
 			}
@@ -202,7 +202,7 @@
 		switch failure.KindOf(err) {
 		case failure.OutcomeUnknown:
 			t.mayHaveRun = true
-			if !t.route.MayRetry() || t.headSent && !t.route.Resumable || errors.Is(err, errCallerGone) {
+			if !t.route.MayRetry() || t.headSent && !t.route.Resumable || errors.Is(err, errCallerDisconnected) {
 				t.releaseSource(source)
 				return t.giveUp(err, http.StatusBadGateway)
 			}
@@ -214,8 +214,8 @@
 			}
 		case failure.DataLost:
 			source = nil
-			t.memoryGone = true
-			t.fetched()
+			t.sourceLost = true
+			t.releasePrefillReservation()
 		case failure.Unavailable:
 			t.releaseSource(source)
 			return t.giveUp(err, http.StatusGatewayTimeout)
@@ -227,12 +227,12 @@
 func (t *exchange) releaseSource(source *Source) {
 	if source != nil {
 		t.free(source)
-		t.fetched()
+		t.releasePrefillReservation()
 	}
 }
 
-// fetched notes that a reading worker keeps nothing for this try any more.
-func (t *exchange) fetched() {
+// releasePrefillReservation notes that a reading worker keeps nothing for this try any more.
+func (t *exchange) releasePrefillReservation() {
 	if t.prefilledAt != nil {
 		t.prefilledAt.release(true, t.node.now())
 		t.prefilledAt = nil
@@ -257,20 +257,20 @@
 	if t.mayHaveRun || t.headSent {
 		return &AbortedError{Code: code, HeadSent: t.headSent, Reason: reason}
 	}
-	return &RejectedError{Code: http.StatusServiceUnavailable, RetryAfter: t.after(), Reason: reason}
+	return &RejectedError{Code: http.StatusServiceUnavailable, RetryAfter: t.retryAfter(), Reason: reason}
 }
 
-func (t *exchange) after() time.Duration {
+func (t *exchange) retryAfter() time.Duration {
 	return min(max(150*time.Millisecond, t.route.LatencyTarget()/4), max(50*time.Millisecond, t.remaining()/4))
 }
 
 // payRetry counts one more sending, and takes it from the shared budget unless it is the first.
 func (t *exchange) payRetry() bool {
 	if t.attemptsMade >= t.maxAttempts() ||
-		!t.prepaid && (t.attemptsMade > 0 || t.unpaidPrefill) && !t.node.spendRetry() {
+		!t.retryPaid && (t.attemptsMade > 0 || t.failedPrefillUncounted) && !t.node.spendRetry() {
 		return false
 	}
-	t.unpaidPrefill, t.prepaid = false, false
+	t.failedPrefillUncounted, t.retryPaid = false, false
 	t.attemptsMade++
 	return true
 }
@@ -279,7 +279,7 @@
 // could not be fetched has run nowhere, so a worker may be sent it once more.
 func (t *exchange) maxAttempts() int {
 	limit := max(1, t.route.MaxAttempts)
-	if t.memoryGone {
+	if t.sourceLost {
 		limit++
 	}
 	return limit
@@ -292,23 +292,23 @@
 	retryAllowanceShare = 0.8
 )
 
-func (n *Node) spendRetry() bool { return n.spendOfBudget(1) }
+func (n *Node) spendRetry() bool { return n.spendBudgetShare(1) }
 
 // spendHedge takes one repeat while no more than a part of the budget is used.
-func (n *Node) spendHedge() bool { return n.spendOfBudget(hedgeBudgetShare) }
+func (n *Node) spendHedge() bool { return n.spendBudgetShare(hedgeBudgetShare) }
 
-func (n *Node) spendOfBudget(part float64) bool {
+func (n *Node) spendBudgetShare(part float64) bool {
 	ratio := part * retryRatioShare * n.options.RetryRatio
 	allowance := part * retryAllowanceShare * float64(n.options.RetryAllowance) * n.share()
-	if n.uncounted() {
+	if n.mayBeUncounted() {
 		allowance = 0
 	}
 	return n.budget.Spend(n.now(), ratio, allowance)
 }
 
-// send books a worker for one sending; false if it may get nothing new by now, or is cold
+// reserveWorker books a worker for one sending; false if it may get nothing new by now, or is cold
 // and was sent enough.
-func (t *exchange) send(c *pick, reads int) bool {
+func (t *exchange) reserveWorker(c *pick, reads int) bool {
 	gap, ok := t.node.slowStartDelay(c.worker.ID, t.service)
 	if !ok || gap > 0 && !t.node.slowStart.reserve(c.worker.ID, gap, t.node.now()) {
 		return false
@@ -336,7 +336,7 @@
 	return failure.As(err, failure.NotExecuted, dialStep, near)
 }
 
-func (t *exchange) blame(ctx context.Context, c *pick, err error, now ids.Tick) {
+func (t *exchange) recordWorkerError(ctx context.Context, c *pick, err error, now ids.Tick) {
 	switch {
 	case failure.Is(err, failure.DataLost):
 	case failure.Is(err, failure.Stale):
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -56,11 +56,11 @@
 
 // hedgeDelay gives how long a read may take before it is hedged; false if it is not to be.
 func (t *exchange) hedgeDelay(first *pick) (time.Duration, bool) {
-	usual, ok := t.node.timesOf(t.service.Name).overhead.median()
+	usual, ok := t.node.serviceTimesFor(t.service.Name).overhead.median()
 	if !ok || t.node.options.HedgeFactor < 0 || t.route.MaxAttempts < 2 || t.attemptsMade > 0 {
 		return 0, false
 	}
-	return time.Duration(t.node.options.HedgeFactor * float64(usual+first.reading)), true
+	return time.Duration(t.node.options.HedgeFactor * float64(usual+first.prefillTime)), true
 }
 
 // hedgeCandidate books and pays a second worker, if one can be in time.
@@ -68,22 +68,22 @@
 	if t.authenticate(t.node.snapshot()) != nil {
 		return nil
 	}
-	usual, _ := t.node.timesOf(t.service.Name).overhead.median()
+	usual, _ := t.node.serviceTimesFor(t.service.Name).overhead.median()
 	left := t.route.LatencyTarget() - t.node.now().Since(t.request.At)
 	tried := maps.Clone(t.tried)
 	tried[first.worker.ID] = true
 	for _, c := range t.node.prefillCandidates(t.programs, t.node.snapshot(), t.service, t.request, tried) {
-		limit := max(shortPrompt, hedgeWorkFactor*float64(first.need))
-		if usual+c.expected > left || float64(c.need) > limit {
+		limit := max(shortPrompt, hedgeWorkFactor*float64(first.uncachedTokens))
+		if usual+c.expected > left || float64(c.uncachedTokens) > limit {
 			continue
 		}
-		if !t.send(&c, max(1, c.need)) {
+		if !t.reserveWorker(&c, max(1, c.uncachedTokens)) {
 			continue
 		}
 		if t.node.spendHedge() {
 			return &c
 		}
-		c.state.end(max(1, c.need))
+		c.state.end(max(1, c.uncachedTokens))
 		c.release(false, t.node.now())
 		return nil
 	}
@@ -95,12 +95,12 @@
 func (t *exchange) prefillHedged(ctx context.Context, first *pick) (*Source, bool, error) {
 	delay, ok := t.hedgeDelay(first)
 	if !ok {
-		return t.settlePrefill(ctx, t.readPrompt(ctx, first))
+		return t.settlePrefill(ctx, t.prefillOn(ctx, first))
 	}
 	reads := make(chan prefillRead, 2)
 	begin := func(c *pick) context.CancelCauseFunc {
 		readContext, cancel := context.WithCancelCause(ctx)
-		go func() { reads <- t.readPrompt(readContext, c) }()
+		go func() { reads <- t.prefillOn(readContext, c) }()
 		return cancel
 	}
 	cancelFirst := begin(first)
@@ -118,12 +118,12 @@
 	}
 	t.node.counts.Hedges.Add(1)
 	t.attemptsMade++
-	t.prepaid = true
+	t.retryPaid = true
 	cancelSecond := begin(second)
 	defer cancelSecond(nil)
 	read := <-reads
 	if read.err != nil {
-		t.noteFailedRead(ctx, read)
+		t.recordFailedPrefill(ctx, read)
 		return t.settlePrefill(ctx, <-reads)
 	}
 	if read.pick == second {
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -228,7 +228,7 @@
 	inner := n.runContext
 	var wg sync.WaitGroup
 	for _, f := range []func(context.Context){
-		n.agent.Run, n.maintainEndpoints, n.watch, n.roleBalancer, n.ejector, n.tellUsage, n.reportUsage,
+		n.agent.Run, n.maintainEndpoints, n.logReadiness, n.roleBalancer, n.runOutlierDetection, n.tellUsage, n.reportUsage,
 	} {
 		wg.Go(func() { f(inner) })
 	}
@@ -333,8 +333,8 @@
 	return s
 }
 
-// watch logs when the node turns ready or not.
-func (n *Node) watch(ctx context.Context) {
+// logReadiness logs when the node turns ready or not.
+func (n *Node) logReadiness(ctx context.Context) {
 	last := "-"
 	for host.Sleep(ctx, 100*time.Millisecond) {
 		n.isolated(n.now())
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -18,7 +18,7 @@
 
 const (
 	outcomeHalfLife       = 3 * time.Second // in which outcomes fade to a third
-	outageHalfLife        = 20 * time.Second
+	outageTimeConstant    = 20 * time.Second
 	outageGrace           = time.Second // by which a fall is found after its first failures
 	maxOutages            = 1.3         // fading count of falls from which a worker flaps
 	outlierMinRate        = 0.1         // rate of failures that none stands out by
@@ -54,20 +54,20 @@
 
 // outlierState is what outcomes say of one life of a worker; the state's lock guards it.
 type outlierState struct {
-	local       decayingCount
-	peers       Outcomes // of the other nodes
-	peersAt     ids.Tick
-	outages     decayingCount
-	flapping    bool
-	phase       phase
-	since       ids.Tick // when the phase began
-	until       ids.Tick
-	strikes     int
-	successes   int
-	failedTrial bool // it failed a trial
-	picks       int
-	lastTrial   ids.Tick
-	failureRate float64 // its rate of failures while it stands out
+	local          decayingCount
+	peers          Outcomes // of the other nodes
+	peersAt        ids.Tick
+	outages        decayingCount
+	flapping       bool
+	phase          phase
+	since          ids.Tick // when the phase began
+	until          ids.Tick
+	strikes        int
+	successes      int
+	failedTrial    bool // it failed a trial
+	probationPicks int
+	lastTrial      ids.Tick
+	failureRate    float64 // its rate of failures while it stands out
 }
 
 // recordOutcome notes how a sending ended, once. What failed while the worker was known to be down
@@ -114,7 +114,7 @@
 	if !st.down {
 		st.down = true
 		n.noteOutage()
-		v.outages.decay(now, outageHalfLife)
+		v.outages.decay(now, outageTimeConstant)
 		v.outages.sent++
 	}
 }
@@ -123,7 +123,7 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	v := &st.outlier
-	v.outages.decay(n.now(), outageHalfLife)
+	v.outages.decay(n.now(), outageTimeConstant)
 	if st.down && v.outages.sent > maxOutages {
 		v.flapping = true
 		n.outcomesChanged.Store(true)
@@ -136,8 +136,8 @@
 	if v.phase != probation {
 		return v.phase == ejected
 	}
-	v.picks++
-	if v.picks%probationPickInterval != 0 || !now.Past(v.lastTrial, gap) {
+	v.probationPicks++
+	if v.probationPicks%probationPickInterval != 0 || !now.Past(v.lastTrial, gap) {
 		return true
 	}
 	v.lastTrial = now
@@ -175,8 +175,8 @@
 		a.failed-0.8*math.Sqrt(a.failed) > (outlierMinRate+outlierRatio*rest)*a.sent
 }
 
-// ejector judges while there is something to judge.
-func (n *Node) ejector(ctx context.Context) {
+// runOutlierDetection judges while there is something to judge.
+func (n *Node) runOutlierDetection(ctx context.Context) {
 	if n.options.BaseEjection < 0 {
 		return
 	}
--- a/internal/proxy/peer_outcomes.go
+++ b/internal/proxy/peer_outcomes.go
@@ -121,7 +121,7 @@
 	own := map[ids.WorkerID]Outcomes{}
 	for _, node := range but {
 		for _, r := range t.byNode[node] {
-			own[r.ID] = own[r.ID].and(r)
+			own[r.ID] = own[r.ID].plus(r)
 		}
 	}
 	var out []Outcomes
@@ -137,11 +137,11 @@
 func (t *outcomeSums) add(node ids.NodeID, rows []Outcomes) {
 	t.byNode[node] = rows
 	for _, r := range rows {
-		t.total[r.ID] = t.total[r.ID].and(r)
+		t.total[r.ID] = t.total[r.ID].plus(r)
 	}
 }
 
-func (o Outcomes) and(r Outcomes) Outcomes {
+func (o Outcomes) plus(r Outcomes) Outcomes {
 	return Outcomes{r.ID, o.Sent + r.Sent, o.Failed + r.Failed, o.Nodes + r.Nodes}
 }
 
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -52,27 +52,27 @@
 }
 
 type pick struct {
-	worker      *Worker
-	state       *workerState
-	hash        uint64
-	cost        float64
-	need        int           // prompt tokens it has yet to read
-	reading     time.Duration // that they are reckoned to take
-	expected    time.Duration // until they are reckoned to be read
-	affinity    float64
-	busy        int
-	reservation *reservation
-	capacity    int // blocks; 0 if nothing fresh is known
-	free        int
-	gap         time.Duration // between its events, of late; 0 if not known
-	failureRate float64       // rate of failures, if they stand out
-	ended       *atomic.Bool  // its outcome is noted
-	request     *Request      // as it is sent to this worker
-	urgency     int           // with which it is sent
+	worker         *Worker
+	state          *workerState
+	hash           uint64
+	cost           float64
+	uncachedTokens int           // prompt tokens it has yet to read
+	prefillTime    time.Duration // that they are reckoned to take
+	expected       time.Duration // until they are reckoned to be read
+	affinity       float64
+	busy           int
+	reservation    *reservation
+	capacity       int // blocks; 0 if nothing fresh is known
+	free           int
+	gap            time.Duration // between its events, of late; 0 if not known
+	failureRate    float64       // rate of failures, if they stand out
+	ended          *atomic.Bool  // its outcome is noted
+	request        *Request      // as it is sent to this worker
+	urgency        int           // with which it is sent
 }
 
-// ranked is what is sorted in a pick's stead, since it is small and holds no pointers.
-type ranked struct {
+// sortKey is what is sorted in a pick's stead, since it is small and holds no pointers.
+type sortKey struct {
 	cost, tie float64
 	index     int
 }
@@ -127,7 +127,7 @@
 		}
 		w := &list.workers[e.index]
 		c := pick{worker: w, state: e.state, hash: e.hash}
-		if _, ok := n.bears(w, service, list.receivedAt, now); !ok {
+		if _, ok := n.slowStartAllows(w, service, list.receivedAt, now); !ok {
 			continue
 		}
 		c.state.mu.Lock()
@@ -155,9 +155,9 @@
 	return shy
 }
 
-// bears tells whether a worker may get a request now, and the pause before another one if
+// slowStartAllows tells whether a worker may get a request now, and the pause before another one if
 // it is cold. To a node that is cut off any may be cold.
-func (n *Node) bears(w *Worker, service *fleetstate.Service, got, now ids.Tick) (time.Duration, bool) {
+func (n *Node) slowStartAllows(w *Worker, service *fleetstate.Service, got, now ids.Tick) (time.Duration, bool) {
 	if n.coldFor(w, service, got, now) <= 0 && (service.SlowStartRate <= 0 || !n.isolated(now)) {
 		return 0, true
 	}
@@ -172,7 +172,7 @@
 	if w == nil || !acceptsWork(n.snapshot(), w) {
 		return 0, false
 	}
-	return n.bears(w, service, list.receivedAt, n.now())
+	return n.slowStartAllows(w, service, list.receivedAt, n.now())
 }
 
 // gap is the pause that this node keeps between requests to a cold worker, so that all
@@ -190,7 +190,7 @@
 	return 1050 * time.Millisecond, coordination.Rank(fleetstate.WorkerKey(id), n.self.Node, n.agent.Members()) < bound
 }
 
-func (n *Node) far(w *Worker, bytes int) float64 {
+func (n *Node) zoneCost(w *Worker, bytes int) float64 {
 	if w.Zone == n.self.Zone {
 		return 0
 	}
@@ -215,11 +215,11 @@
 	now := n.now()
 	for i := range list {
 		c := &list[i]
-		c.need = r.Prompt
+		c.uncachedTokens = r.Prompt
 		c.state.mu.Lock()
 		for k := len(ms) - 1; k >= 0; k-- {
 			if _, ok := c.state.cached[ms[k]]; ok || homes[k] == c.worker.ID {
-				c.need = max(1, r.Prompt-toks[k])
+				c.uncachedTokens = max(1, r.Prompt-toks[k])
 				break
 			}
 		}
@@ -228,10 +228,10 @@
 		c.state.mu.Unlock()
 		c.busy = count
 		waitMs := float64(ahead)/n.options.PrefillTokensPerMs + queuedPrefillCost*float64(count)
-		readMs := float64(c.need) / n.options.PrefillTokensPerMs
-		c.reading = time.Duration(readMs * float64(time.Millisecond))
-		c.expected = c.reading + time.Duration(waitMs*float64(time.Millisecond))
-		c.cost += waitMs + reprefillWeight*readMs + n.far(c.worker, len(r.Body))
+		readMs := float64(c.uncachedTokens) / n.options.PrefillTokensPerMs
+		c.prefillTime = time.Duration(readMs * float64(time.Millisecond))
+		c.expected = c.prefillTime + time.Duration(waitMs*float64(time.Millisecond))
+		c.cost += waitMs + reprefillWeight*readMs + n.zoneCost(c.worker, len(r.Body))
 		if len(ms) > 0 {
 			c.affinity = routing.Mix(ms[len(ms)-1], c.hash)
 		}
@@ -261,7 +261,7 @@
 		c.gap = c.state.eventGap.current(now)
 		c.state.mu.Unlock()
 		slots := max(1, c.worker.Concurrency)
-		c.cost += 1.5*float64(c.busy) + n.far(c.worker, len(r.Body))
+		c.cost += 1.5*float64(c.busy) + n.zoneCost(c.worker, len(r.Body))
 		if c.busy >= slots*9/10 {
 			c.cost += 20 * float64(c.busy-slots*9/10+1)
 		}
@@ -269,7 +269,7 @@
 			c.cost += crossZoneCost + 1.6*float64(r.Prompt)/1000
 		}
 		if from == nil {
-			c.need = r.Prompt
+			c.uncachedTokens = r.Prompt
 		}
 	}
 	addSlowDecodeCost(list)
@@ -280,12 +280,12 @@
 func (n *Node) order(programs *routing.ProgramSet, r *Request, role ids.Role, list []pick) []pick {
 	// Among equals the request decides, so that nodes that know little crowd no worker.
 	own := ids.Hash(r.ID)
-	ranks := make([]ranked, len(list))
+	ranks := make([]sortKey, len(list))
 	for i := range list {
 		list[i].cost += unhealthyCost * list[i].failureRate
-		ranks[i] = ranked{list[i].cost, routing.Mix(own, list[i].hash), i}
+		ranks[i] = sortKey{list[i].cost, routing.Mix(own, list[i].hash), i}
 	}
-	slices.SortFunc(ranks, func(a, b ranked) int {
+	slices.SortFunc(ranks, func(a, b sortKey) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.tie, a.tie))
 	})
 	sorted := make([]pick, len(list))
--- a/internal/proxy/prefill_exchange.go
+++ b/internal/proxy/prefill_exchange.go
@@ -16,9 +16,9 @@
 // long as reckoned though all is well. Leaving it too soon costs twice: the emitting worker, or
 // another reading one, begins anew with what the first is still reading.
 const (
-	prefillPatience    = 4                      // times what is reckoned, besides PrefillSilence
-	prefillQuietPeriod = 600 * time.Millisecond // after which, and a multiple of what is reckoned,
-	prefillQuietFactor = 2                      // the worker is asked for its report
+	prefillTimeoutFactor = 4                      // times what is reckoned, besides PrefillSilence
+	prefillQuietPeriod   = 600 * time.Millisecond // after which, and a multiple of what is reckoned,
+	prefillQuietFactor   = 2                      // the worker is asked for its report
 )
 
 // prefill has the prompt read. No source and no error means that the emitting worker is to
@@ -31,13 +31,13 @@
 			if err := t.authenticate(t.node.snapshot()); err != nil {
 				return nil, err
 			}
-			if !t.send(&c, max(1, c.need)) {
+			if !t.reserveWorker(&c, max(1, c.uncachedTokens)) {
 				continue
 			}
-			t.timing.prefillSent, t.timing.prefillExpected = t.node.now(), c.reading
+			t.timing.prefillSent, t.timing.prefillExpected = t.node.now(), c.prefillTime
 			source, dialled, err := t.prefillHedged(ctx, &c)
 			t.timing.prefillEnded = t.node.now()
-			if dialled && !t.payReread(ctx, err) {
+			if dialled && !t.payReprefill(ctx, err) {
 				return source, err
 			}
 			t.tried[c.worker.ID] = true
@@ -52,15 +52,15 @@
 	return nil, nil
 }
 
-// payReread tells whether a prompt whose read has failed is to be read by another worker, and takes
+// payReprefill tells whether a prompt whose read has failed is to be read by another worker, and takes
 // that from the retry budget: only if the first one is down, so that it does not count among the
 // workers that the request was sent to. A decode worker that read the prompt by itself would hold
 // up all that it decodes.
-func (t *exchange) payReread(ctx context.Context, err error) bool {
-	if !errors.Is(err, errWorkerSilent) || ctx.Err() != nil || !t.unpaidPrefill || !t.node.spendRetry() {
+func (t *exchange) payReprefill(ctx context.Context, err error) bool {
+	if !errors.Is(err, errWorkerSilent) || ctx.Err() != nil || !t.failedPrefillUncounted || !t.node.spendRetry() {
 		return false
 	}
-	t.unpaidPrefill = false
+	t.failedPrefillUncounted = false
 	return true
 }
 
@@ -71,22 +71,22 @@
 	err    error
 }
 
-// readPrompt has one worker read the prompt. It changes nothing of the exchange, so that two may
+// prefillOn has one worker read the prompt. It changes nothing of the exchange, so that two may
 // be under way.
-func (t *exchange) readPrompt(ctx context.Context, c *pick) prefillRead {
+func (t *exchange) prefillOn(ctx context.Context, c *pick) prefillRead {
 	t.trace(handoff.Granted, c.worker.ID, "")
 	began := t.node.now()
-	duration := min(t.node.options.PrefillSilence+prefillPatience*c.expected, t.remaining())
+	duration := min(t.node.options.PrefillSilence+prefillTimeoutFactor*c.expected, t.remaining())
 	callContext, stop := context.WithTimeout(ctx, duration)
 	callContext, take := context.WithCancelCause(callContext)
 	f := &attempt{take}
 	c.state.addAttempt(f)
-	times := t.node.timesOf(t.service.Name)
+	times := t.node.serviceTimesFor(t.service.Name)
 	quiet := time.AfterFunc(prefillQuietFactor*c.expected+times.prefill.Suspicious(prefillQuietPeriod), func() {
 		t.node.suspect(*c.worker)
 	})
 	memory, err := t.node.options.Backend.Read(
-		callContext, *c.worker, c.request, duration, urgencyRank(c.urgency, c.need),
+		callContext, *c.worker, c.request, duration, urgencyRank(c.urgency, c.uncachedTokens),
 	)
 	quiet.Stop()
 	if err != nil && errors.Is(context.Cause(callContext), errWorkerSilent) {
@@ -95,10 +95,10 @@
 	c.state.removeAttempt(f)
 	take(nil)
 	stop()
-	c.state.end(max(1, c.need))
+	c.state.end(max(1, c.uncachedTokens))
 	if err == nil {
 		took := t.node.now().Since(began)
-		times.overhead.observe(took - c.reading)
+		times.overhead.observe(took - c.prefillTime)
 		times.prefill.Observe(took - prefillQuietFactor*c.expected)
 	}
 	return prefillRead{c, memory, err}
@@ -114,23 +114,23 @@
 		t.trace(handoff.Prefilled, c.worker.ID, "")
 		return &Source{Worker: *c.worker, Handle: read.memory.Handle}, true, nil
 	}
-	t.noteFailedRead(ctx, read)
+	t.recordFailedPrefill(ctx, read)
 	if failure.Is(read.err, failure.NotExecuted) && failure.Step(read.err) == dialStep {
 		return nil, false, read.err
 	}
 	t.mayHaveRun = t.mayHaveRun || failure.Is(read.err, failure.InvalidArgument)
 	// It may not have been taken up, and then counts like any other sending.
-	t.unpaidPrefill = true
+	t.failedPrefillUncounted = true
 	if failure.Is(read.err, failure.NotExecuted) || failure.Is(read.err, failure.Stale) {
 		t.attemptsMade++
 	}
 	return nil, true, read.err
 }
 
-// noteFailedRead gives back what a failed read had booked, and notes the failure at its worker.
-func (t *exchange) noteFailedRead(ctx context.Context, read prefillRead) {
+// recordFailedPrefill gives back what a failed read had booked, and notes the failure at its worker.
+func (t *exchange) recordFailedPrefill(ctx context.Context, read prefillRead) {
 	now := t.node.now()
 	read.pick.release(failure.Is(read.err, failure.OutcomeUnknown), now)
-	t.blame(ctx, read.pick, read.err, now)
+	t.recordWorkerError(ctx, read.pick, read.err, now)
 	t.trace(handoff.Dropped, read.pick.worker.ID, read.err.Error())
 }
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -32,21 +32,21 @@
 	deadlineTimer *time.Timer
 	silenceTimer  *time.Timer // until the first byte, where it cannot go elsewhere
 	times         *serviceTimes
-	heardAt       ids.Tick // when the worker was heard last, or the request was sent
+	lastByteAt    ids.Tick // when the worker was heard last, or the request was sent
 	answered      bool     // it has been heard
 }
 
-// noteSign learns from the silence that bytes of the worker have ended.
-func (g *supervisedBody) noteSign() {
+// observePause learns from the silence that bytes of the worker have ended.
+func (g *supervisedBody) observePause() {
 	now := g.exchange.node.now()
-	pause := now.Since(g.heardAt)
+	pause := now.Since(g.lastByteAt)
 	if g.answered {
 		g.times.nextEvent.Observe(pause)
-		g.pick.state.noteGap(pause, now)
+		g.pick.state.observeEventGap(pause, now)
 	} else {
 		g.times.firstEvent.Observe(pause)
 	}
-	g.answered, g.heardAt = true, now
+	g.answered, g.lastByteAt = true, now
 }
 
 func (g *supervisedBody) Read(p []byte) (int, error) {
@@ -56,7 +56,7 @@
 		if g.silenceTimer != nil {
 			g.silenceTimer.Stop()
 		}
-		g.noteSign()
+		g.observePause()
 		g.probeTimer.Reset(g.times.nextEvent.Suspicious(
 			alarmQuietPeriod + time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond,
 		))
@@ -129,7 +129,7 @@
 	} else {
 		err = t.relayBody(reply)
 	}
-	if err != nil && ctx.Err() == nil && !errors.Is(err, errCallerGone) {
+	if err != nil && ctx.Err() == nil && !errors.Is(err, errCallerDisconnected) {
 		c.state.recordFailure(t.node.now())
 		t.node.recordOutcome(c, false)
 		t.node.suspect(*c.worker)
@@ -151,7 +151,7 @@
 	return false
 }
 
-var errCallerGone = errors.New("the caller went away")
+var errCallerDisconnected = errors.New("the caller went away")
 
 func (t *exchange) writeHead(reply *Response, length int64) error {
 	if t.headSent {
@@ -163,7 +163,7 @@
 
 func (t *exchange) write(p []byte) error {
 	if err := t.sink.Write(p); err != nil {
-		return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
+		return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
 	}
 	return nil
 }
@@ -180,7 +180,7 @@
 		if k > 0 || err == io.EOF {
 			t.countBegun()
 			if err := t.writeHead(reply, reply.Length); err != nil {
-				return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
+				return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
 			}
 		}
 		if k > 0 {
@@ -229,7 +229,7 @@
 	t.timing.event(t.node.now())
 	t.countBegun()
 	if err := t.writeHead(reply, -1); err != nil {
-		return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
+		return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
 	}
 	if err := t.write(events); err != nil {
 		return err
@@ -244,7 +244,7 @@
 // passed on as it is.
 func (t *exchange) finish(reply *Response, rest []byte) error {
 	if err := t.writeHead(reply, -1); err != nil {
-		return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
+		return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
 	}
 	if len(rest) > 0 {
 		return t.write(rest)
--- a/internal/proxy/role_choice.go
+++ b/internal/proxy/role_choice.go
@@ -13,7 +13,7 @@
 const (
 	prefillPressureLimit = 1.3  // prompts at each reading worker
 	decodePressureLimit  = 0.35 // of the places of emitting workers
-	decodeRelaxed        = 0.25
+	decodePressureLow    = 0.25
 	decodeSaturated      = 0.6 // pressed beyond what readers may weigh against it
 	minRoleShare         = 3   // one of so many workers keeps each part
 	roleChangeShare      = 12  // one of so many workers changes its role at once, or as many as were lost
@@ -127,7 +127,7 @@
 		want = min(want, int(rest*float64(all))-readers, emitters-keep)
 	case read > prefillPressureLimit:
 		want = replace(lost.readers, readers, read, prefillPressureLimit)
-		for want = min(want, emitters-keep); want > 0 && spare(emit, emitters, want) >= decodeRelaxed; want-- {
+		for want = min(want, emitters-keep); want > 0 && spare(emit, emitters, want) >= decodePressureLow; want-- {
 		}
 	case emit > decodePressureLimit:
 		from, to = ids.Prefill, ids.Decode
--- a/internal/proxy/service_times.go
+++ b/internal/proxy/service_times.go
@@ -12,7 +12,7 @@
 	nextEvent  silence.Estimate // between bytes of an answer
 }
 
-func (n *Node) timesOf(service string) *serviceTimes {
+func (n *Node) serviceTimesFor(service string) *serviceTimes {
 	if v, ok := n.serviceTimes.Load(service); ok {
 		return v.(*serviceTimes)
 	}
--- a/internal/proxy/worker_state.go
+++ b/internal/proxy/worker_state.go
@@ -82,9 +82,9 @@
 	return at != 0 && !now.Past(at, isolationTimeout)
 }
 
-// uncounted tells that the other nodes may no longer count this one among those that share what
+// mayBeUncounted tells that the other nodes may no longer count this one among those that share what
 // all have, since no process has heard of it for so long.
-func (n *Node) uncounted() bool {
+func (n *Node) mayBeUncounted() bool {
 	alone := retrybudget.PeerCountTTL - n.options.RetryWindow
 	return !n.agent.CaughtUp(alone) && n.now().Past(n.agent.Directory().LastContact(), alone)
 }
