--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -31,10 +31,10 @@
 
 // servicePressure is how a service stands as this node knows it.
 type servicePressure struct {
-	at       ids.Tick
-	known    bool    // the view is young enough
-	halfFull bool    // half of its places are taken
-	queueMs  float64 // ms of reading at the best reading worker
+	at         ids.Tick
+	loadsKnown bool    // the view is young enough
+	halfFull   bool    // half of its places are taken
+	queueMs    float64 // ms of reading at the best reading worker
 }
 
 // admission is what refuses early.
@@ -59,8 +59,8 @@
 	c.recent[who] = due
 }
 
-// returnsEarly gives how much sooner than told a caller came.
-func (c *rejectedCallers) returnsEarly(who uint64, now ids.Tick) time.Duration {
+// earlyBy gives how much sooner than told a caller came.
+func (c *rejectedCallers) earlyBy(who uint64, now ids.Tick) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return max(0, c.recent[who].Since(now), c.earlier[who].Since(now))
@@ -110,8 +110,8 @@
 			slots += places
 			e.state.mu.Lock()
 			off := now.Before(e.state.avoidUntil)
-			ahead, count := e.state.queued(now)
-			busy, young := e.state.busy(now, n.options.AdmitMaxAge)
+			ahead, count := e.state.queuedPrefills(now)
+			busy, young := e.state.activeRequests(now, n.options.AdmitMaxAge)
 			e.state.mu.Unlock()
 			if young {
 				seen, taken = seen+places, taken+max(busy, count)
@@ -132,7 +132,7 @@
 	if p.queueMs < 0 {
 		p.queueMs = shy
 	}
-	p.known = seen*2 >= slots && seen > 0
+	p.loadsKnown = seen*2 >= slots && seen > 0
 	p.halfFull = taken*2 >= seen
 	n.admission.pressures.Store(service.Name, p)
 	return p
@@ -147,7 +147,7 @@
 		return nil
 	}
 	p := n.servicePressure(t.service, list, s)
-	if !p.known || !p.halfFull || p.queueMs < 0 {
+	if !p.loadsKnown || !p.halfFull || p.queueMs < 0 {
 		return nil
 	}
 	due := p.queueMs + float64(t.request.Prompt)/n.options.PrefillTokensPerMs
@@ -169,7 +169,7 @@
 	}
 	on.Store(over > floor)
 	who := callerHash(t.request)
-	if early := n.admission.rejected.returnsEarly(who, now); early > 0 && over > floor {
+	if early := n.admission.rejected.earlyBy(who, now); early > 0 && over > floor {
 		return t.reject(early, "come back too soon")
 	}
 	if due < float64(t.remaining()/time.Millisecond) && admitDraw(
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -439,14 +439,14 @@
 	bubble(t, func(t *testing.T) {
 		var c rejectedCallers
 		c.remember(7, ms(2000), 100)
-		require.Equal(t, time.Second, c.returnsEarly(7, ms(1000)))
-		require.Zero(t, c.returnsEarly(7, ms(2000)))
-		require.Zero(t, c.returnsEarly(8, ms(1000)))
+		require.Equal(t, time.Second, c.earlyBy(7, ms(1000)))
+		require.Zero(t, c.earlyBy(7, ms(2000)))
+		require.Zero(t, c.earlyBy(8, ms(1000)))
 		for i := range uint64(10_000) {
 			c.remember(100+i, ms(2000), 100)
 			require.LessOrEqual(t, len(c.recent)+len(c.earlier), 100)
 		}
-		require.NotZero(t, c.returnsEarly(100+9_999, ms(1000)), "the newest are kept")
+		require.NotZero(t, c.earlyBy(100+9_999, ms(1000)), "the newest are kept")
 
 		one := &Request{ID: "first", Target: "/x", Prompt: 9, Segments: []PromptSegment{{"shared", 5}, {"own", 4}}}
 		again, other := *one, *one
--- a/internal/proxy/decode_exchange.go
+++ b/internal/proxy/decode_exchange.go
@@ -20,7 +20,7 @@
 		if source != nil {
 			from = &source.Worker
 		}
-		for _, c := range t.node.emitters(t.programs, t.node.snapshot(), t.service, t.request, from, t.tried) {
+		for _, c := range t.node.decodeCandidates(t.programs, t.node.snapshot(), t.service, t.request, from, t.tried) {
 			if t.attemptsMade >= t.maxAttempts() {
 				break
 			}
@@ -31,7 +31,7 @@
 				continue
 			}
 			if !t.payRetry() {
-				c.state.end(0)
+				c.state.endRequest(0)
 				c.release(false, t.node.now())
 				break
 			}
@@ -42,7 +42,7 @@
 			if err == nil {
 				return &c, reply, nil
 			}
-			c.state.end(0)
+			c.state.endRequest(0)
 			c.release(failure.Is(err, failure.OutcomeUnknown), t.node.now())
 			t.recordWorkerError(ctx, &c, err, t.node.now())
 			t.trace(handoff.Dropped, c.worker.ID, err.Error())
@@ -88,7 +88,7 @@
 		callContext, *c.worker, c.request, source, t.lastEventID, t.remaining(), c.urgency,
 	)
 	if err != nil {
-		g.done()
+		g.stopTimers()
 		return nil, err
 	}
 	g.ReadCloser, reply.Body = reply.Body, g
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -137,7 +137,7 @@
 	changed := n.listChanged.next()
 	list := n.endpoints.Load()
 	if list.version == request.Version {
-		n.heard(request.Loads, list.workers)
+		n.recordPeerLoads(request.Loads, list.workers)
 		if now.Since(list.requestedAt) < listMaxAge && waitFor(ctx, changed, time.Duration(request.MaxWait)) {
 			out := n.listSince(request)
 			out.Early, out.LoadSeq = true, request.LoadSeq
--- a/internal/proxy/event_gap.go
+++ b/internal/proxy/event_gap.go
@@ -52,8 +52,8 @@
 func addSlowDecodeCost(list []pick) {
 	var gaps []time.Duration
 	for i := range list {
-		if list[i].gap > 0 {
-			gaps = append(gaps, list[i].gap)
+		if list[i].eventGap > 0 {
+			gaps = append(gaps, list[i].eventGap)
 		}
 	}
 	if len(gaps) < 2 {
@@ -62,7 +62,7 @@
 	slices.Sort(gaps)
 	usual := gaps[(len(gaps)-1)/4] // so that half of the workers may be slow
 	for i := range list {
-		if beyond := float64(list[i].gap)/float64(usual) - slowDecodeRatio; beyond > 0 {
+		if beyond := float64(list[i].eventGap)/float64(usual) - slowDecodeRatio; beyond > 0 {
 			list[i].cost += slowDecodeCost * beyond
 		}
 	}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -49,7 +49,7 @@
 	mayHaveRun             bool   // it may have run
 	sourceLost             bool   // a worker has turned it away, since it could not fetch its memory
 	headSent               bool   // the caller has the head of an answer
-	begunCounted           bool   // it is counted as begun
+	usageCounted           bool   // it is counted as begun
 	lastEventID            string // id of the last event that the caller has
 	timing                 exchangeTiming
 }
@@ -94,14 +94,14 @@
 		request:     r,
 		route:       route,
 		service:     &service,
-		programs:    n.deal(s).Set,
+		programs:    n.programsFor(s).Set,
 		sink:        sink,
 		deadline:    r.At.Add(wait),
 		tried:       map[ids.WorkerID]bool{},
 		lastEventID: r.LastEventID,
 	}
 	err := t.serve(ctx, s, wait)
-	t.count(err)
+	t.recordEnd(err)
 	return err
 }
 
@@ -122,10 +122,10 @@
 }
 
 const (
-	// currentSpan is how lately the core must have confirmed this node, with the change feed up to
+	// caughtUpMaxAge is how lately the core must have confirmed this node, with the change feed up to
 	// that confirmation applied, for its word that something does not exist to be final. It is
 	// shorter than the least bound by which a version must be in force (2 s).
-	currentSpan = 1500 * time.Millisecond
+	caughtUpMaxAge = 1500 * time.Millisecond
 	// staleRetryAfter is when a caller is to ask again a node that may be behind.
 	staleRetryAfter = 500 * time.Millisecond
 )
@@ -134,12 +134,12 @@
 // may be behind cannot tell whether a newer version has it: it says when to come back.
 func (n *Node) rejectUnknown(reason string) error {
 	n.counts.Rejected.Add(1)
-	return n.unknown(http.StatusNotFound, reason)
+	return n.unknownResource(http.StatusNotFound, reason)
 }
 
-// unknown is how a request ends that the version in force here does not allow.
-func (n *Node) unknown(code int, reason string) *RejectedError {
-	if !n.agent.CaughtUp(currentSpan) {
+// unknownResource is how a request ends that the version in force here does not allow.
+func (n *Node) unknownResource(code int, reason string) *RejectedError {
+	if !n.agent.CaughtUp(caughtUpMaxAge) {
 		return &RejectedError{
 			Code:       http.StatusServiceUnavailable,
 			RetryAfter: staleRetryAfter,
@@ -149,14 +149,14 @@
 	return &RejectedError{Code: code, Reason: reason}
 }
 
-// count counts an exchange by how it ended.
-func (t *exchange) count(err error) {
+// recordEnd counts an exchange by how it ended.
+func (t *exchange) recordEnd(err error) {
 	n := t.node
 	switch err.(type) {
 	case nil:
 		n.counts.Completed.Add(1)
 		t.trace(handoff.Ended, "", "")
-		n.metrics.Observe(t.service.Name, t.request.Prompt, t.timing.times(t.request.At, n.now()), t.targets())
+		n.metrics.Observe(t.service.Name, t.request.Prompt, t.timing.durations(t.request.At, n.now()), t.targets())
 	case *RejectedError:
 		n.counts.Rejected.Add(1)
 		t.trace(handoff.Dropped, "", err.Error())
@@ -226,7 +226,7 @@
 
 func (t *exchange) releaseSource(source *Source) {
 	if source != nil {
-		t.free(source)
+		t.freeSource(source)
 		t.releasePrefillReservation()
 	}
 }
@@ -239,8 +239,8 @@
 	}
 }
 
-// free gives memory back that nobody will fetch.
-func (t *exchange) free(source *Source) {
+// freeSource gives memory back that nobody will fetch.
+func (t *exchange) freeSource(source *Source) {
 	go func() {
 		callContext, stop := context.WithTimeout(context.Background(), time.Second)
 		defer stop()
@@ -299,7 +299,7 @@
 
 func (n *Node) spendBudgetShare(part float64) bool {
 	ratio := part * retryRatioShare * n.options.RetryRatio
-	allowance := part * retryAllowanceShare * float64(n.options.RetryAllowance) * n.share()
+	allowance := part * retryAllowanceShare * float64(n.options.RetryAllowance) * n.nodeShare()
 	if n.mayBeUncounted() {
 		allowance = 0
 	}
@@ -317,8 +317,8 @@
 	if reads > 0 {
 		ms = t.prefixes
 	}
-	c.state.begin(reads, ms, t.node.now())
-	c.ended = new(atomic.Bool)
+	c.state.beginRequest(reads, ms, t.node.now())
+	c.outcomeRecorded = new(atomic.Bool)
 	c.request, c.urgency = t.outgoing, t.urgency()
 	more := t.request.MaxTokens
 	if reads > 0 {
--- a/internal/proxy/exchange_timing.go
+++ b/internal/proxy/exchange_timing.go
@@ -17,8 +17,8 @@
 	longestPause              time.Duration
 }
 
-// event notes that events went out to the caller.
-func (e *exchangeTiming) event(now ids.Tick) {
+// recordEvents notes that events went out to the caller.
+func (e *exchangeTiming) recordEvents(now ids.Tick) {
 	if e.firstEvent == 0 {
 		e.firstEvent = now
 	} else {
@@ -27,9 +27,9 @@
 	e.lastEvent = now
 }
 
-// times gives the durations of the steps of an exchange that came at a tick and has ended. An
+// durations gives the durations of the steps of an exchange that came at a tick and has ended. An
 // answer without events has its first one at its end.
-func (e *exchangeTiming) times(at, ended ids.Tick) exchangemetrics.Times {
+func (e *exchangeTiming) durations(at, ended ids.Tick) exchangemetrics.Times {
 	first := e.firstEvent
 	if first == 0 {
 		first = ended
--- a/internal/proxy/exchange_timing_test.go
+++ b/internal/proxy/exchange_timing_test.go
@@ -26,7 +26,7 @@
 		prefillExpected: 100 * ms,
 	}
 	for _, event := range []time.Duration{350, 360, 500} {
-		timing.event(at.Add(event * ms))
+		timing.recordEvents(at.Add(event * ms))
 	}
 	want := exchangemetrics.Times{
 		Admission:    10 * ms,
@@ -35,10 +35,10 @@
 		Transfer:     40 * ms,
 		LongestPause: 140 * ms,
 	}
-	require.Equal(t, want, timing.times(at, at.Add(time.Second)))
+	require.Equal(t, want, timing.durations(at, at.Add(time.Second)))
 	require.Equal(t, 350*ms, want.FirstEvent())
 	direct := exchangeTiming{}
-	require.Equal(t, exchangemetrics.Times{Transfer: 70 * ms}, direct.times(at, at.Add(70*ms)))
+	require.Equal(t, exchangemetrics.Times{Transfer: 70 * ms}, direct.durations(at, at.Add(70*ms)))
 }
 
 // TestMetricsCountExchanges: every exchange of a fleet under load is counted once, by the cause by
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	hedgeDelayFactor = 1.2 // times what such a prompt usually takes, before it is hedged
-	hedgeWorkFactor  = 1.5 // times what the first worker has to read, at most at the second, unless that is short
-	hedgeBudgetShare = 0.8 // of the retry budget may be used by hedges
-	overheadSamples  = 33  // reads of which the median overhead is taken
-	minOverheadReads = 8   // with fewer nothing is hedged
+	hedgeDelayFactor   = 1.2 // times what such a prompt usually takes, before it is hedged
+	hedgeWorkFactor    = 1.5 // times what the first worker has to read, at most at the second, unless that is short
+	hedgeBudgetShare   = 0.8 // of the retry budget may be used by hedges
+	overheadSamples    = 33  // reads of which the median overhead is taken
+	minOverheadSamples = 8   // with fewer nothing is hedged
 )
 
 var errHedgeLost = errors.New("another worker has read the prompt first")
 
-// readOverhead is how much longer reads of a service take than their tokens, of late.
-type readOverhead struct {
+// prefillOverhead is how much longer reads of a service take than their tokens, of late.
+type prefillOverhead struct {
 	mu      sync.Mutex
 	samples [overheadSamples]time.Duration
 	count   int
 }
 
-func (o *readOverhead) observe(overhead time.Duration) {
+func (o *prefillOverhead) observe(overhead time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.samples[o.count%overheadSamples] = max(0, overhead)
@@ -43,10 +43,10 @@
 }
 
 // median gives the usual overhead; false while too few reads were seen.
-func (o *readOverhead) median() (time.Duration, bool) {
+func (o *prefillOverhead) median() (time.Duration, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.count < minOverheadReads {
+	if o.count < minOverheadSamples {
 		return 0, false
 	}
 	seen := slices.Clone(o.samples[:min(o.count, overheadSamples)])
@@ -74,7 +74,7 @@
 	tried[first.worker.ID] = true
 	for _, c := range t.node.prefillCandidates(t.programs, t.node.snapshot(), t.service, t.request, tried) {
 		limit := max(shortPrompt, hedgeWorkFactor*float64(first.uncachedTokens))
-		if usual+c.expected > left || float64(c.uncachedTokens) > limit {
+		if usual+c.expectedLatency > left || float64(c.uncachedTokens) > limit {
 			continue
 		}
 		if !t.reserveWorker(&c, max(1, c.uncachedTokens)) {
@@ -83,7 +83,7 @@
 		if t.node.spendHedge() {
 			return &c
 		}
-		c.state.end(max(1, c.uncachedTokens))
+		c.state.endRequest(max(1, c.uncachedTokens))
 		c.release(false, t.node.now())
 		return nil
 	}
@@ -97,7 +97,7 @@
 	if !ok {
 		return t.settlePrefill(ctx, t.prefillOn(ctx, first))
 	}
-	reads := make(chan prefillRead, 2)
+	reads := make(chan prefillOutcome, 2)
 	begin := func(c *pick) context.CancelCauseFunc {
 		readContext, cancel := context.WithCancelCause(ctx)
 		go func() { reads <- t.prefillOn(readContext, c) }()
@@ -132,16 +132,16 @@
 	}
 	cancelFirst(errHedgeLost)
 	cancelSecond(errHedgeLost)
-	go func() { t.discardRead(<-reads) }()
+	go func() { t.discardPrefill(<-reads) }()
 	return t.settlePrefill(ctx, read)
 }
 
-// discardRead gives back what a read that is not needed any more had booked, and its memory.
-func (t *exchange) discardRead(read prefillRead) {
+// discardPrefill gives back what a read that is not needed any more had booked, and its memory.
+func (t *exchange) discardPrefill(read prefillOutcome) {
 	now := t.node.now()
 	if read.err == nil {
 		read.pick.state.recordSuccess(read.memory.Load, now)
-		t.free(&Source{Worker: *read.pick.worker, Handle: read.memory.Handle})
+		t.freeSource(&Source{Worker: *read.pick.worker, Handle: read.memory.Handle})
 	}
 	read.pick.release(read.err == nil || failure.Is(read.err, failure.OutcomeUnknown), now)
 }
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -95,7 +95,7 @@
 		c := &pick{worker: reader, state: n.state(reader.ID)}
 		c.reserve(request, 0, n.now())
 		y.at(func() { y.handles["kv"] = &handle{worker: reader.ID, req: "late", let: func() {}} })
-		exchange.discardRead(prefillRead{pick: c, memory: &PrefillResult{Handle: "kv"}})
+		exchange.discardPrefill(prefillOutcome{pick: c, memory: &PrefillResult{Handle: "kv"}})
 		time.Sleep(time.Second)
 		y.mu.Lock()
 		defer y.mu.Unlock()
@@ -106,8 +106,8 @@
 
 // TestReadOverhead: the median of the newest reads is given, once there are enough.
 func TestReadOverhead(t *testing.T) {
-	var o readOverhead
-	for i := range minOverheadReads - 1 {
+	var o prefillOverhead
+	for i := range minOverheadSamples - 1 {
 		o.observe(time.Duration(i) * time.Millisecond)
 		_, ok := o.median()
 		require.False(t, ok)
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -146,7 +146,7 @@
 
 // retryDelay is the time between two askings of the platform by one that is not the holder.
 func (f *listFollower) retryDelay(s *listSources) time.Duration {
-	share := f.node.share()
+	share := f.node.nodeShare()
 	if !s.flat() && f.actsForOwner(s) {
 		share = 1 / float64(max(1, s.zones))
 	}
@@ -210,7 +210,7 @@
 		Version:         list.version,
 		Prefills:        n.prefillsWithout("", false),
 		Outcomes:        n.localOutcomes(),
-		SubtreeOutcomes: n.below(),
+		SubtreeOutcomes: n.subtreeOutcomes(),
 		LoadSeq:         f.loadSeq,
 		Deltas:          true,
 		MaxWait:         int64(maxWait),
@@ -254,7 +254,7 @@
 		n.recordPeerPrefills(n.prefillsWithout(n.self.Node, true))
 		n.recordPeerOutcomes(n.outcomesWithout(n.self.Node))
 	}
-	n.heard(r.Loads, list)
+	n.recordPeerLoads(r.Loads, list)
 }
 
 // workersOf makes workers of rows, in their order, by which reports name them.
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -376,13 +376,13 @@
 		id := y.of("svc-prefill-0").ID
 		for i, b := range f.nodes {
 			st := b.state(id)
-			st.begin(100+i, nil, b.now())
+			st.beginRequest(100+i, nil, b.now())
 		}
 		time.Sleep(2 * time.Second)
 		for i, b := range f.nodes {
 			st := b.state(id)
 			st.mu.Lock()
-			tokens, count := st.queued(b.now())
+			tokens, count := st.queuedPrefills(b.now())
 			st.mu.Unlock()
 			require.Equal(t, 12*100+66, tokens, "node %d", i)
 			require.Equal(t, 12, count)
@@ -439,7 +439,7 @@
 	st := b.state(id)
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.outlier.local.decay(b.now(), outcomeHalfLife)
+	st.outlier.local.decay(b.now(), outcomeTimeConstant)
 	st.outlier.local.sent++
 	st.outlier.local.failed++
 }
--- a/internal/proxy/load_board.go
+++ b/internal/proxy/load_board.go
@@ -149,8 +149,8 @@
 
 func everyService(string) bool { return true }
 
-// heard takes what another node tells of the workers of a list.
-func (n *Node) heard(all []ServiceLoads, list []Worker) {
+// recordPeerLoads takes what another node tells of the workers of a list.
+func (n *Node) recordPeerLoads(all []ServiceLoads, list []Worker) {
 	now := n.now()
 	for _, s := range all {
 		if n.ownsService(s.Service) {
--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -89,13 +89,13 @@
 	n.installList(previous, now, now)
 	n.publishLoads("s", now, map[ids.WorkerID]reportedLoad{"w.1": {Used: 999, Capacity: 1000, Running: 5}}, true)
 	r := &Request{ID: "r", Prompt: 800, MaxTokens: 16}
-	picks := n.emitters(n.startupPrograms.Set, n.view.Current(), service("s"), r, nil, nil)
-	require.Equal(t, 1, picks[0].free)
+	picks := n.decodeCandidates(n.startupPrograms.Set, n.view.Current(), service("s"), r, nil, nil)
+	require.Equal(t, 1, picks[0].freeBlocks)
 	require.Greater(t, picks[0].cost, n.options.NoCapacityCost)
 	picks[0].reserve(r, r.MaxTokens, now)
 	n.installList([]Worker{{ID: "w.2", Service: "s", Zone: "a", Role: ids.Decode, Concurrency: 8}}, now, now)
-	picks = n.emitters(n.startupPrograms.Set, n.view.Current(), service("s"), r, nil, nil)
-	require.Zero(t, picks[0].capacity, "nothing is known of the new life")
+	picks = n.decodeCandidates(n.startupPrograms.Set, n.view.Current(), service("s"), r, nil, nil)
+	require.Zero(t, picks[0].capacityBlocks, "nothing is known of the new life")
 	require.Less(t, picks[0].cost, n.options.NoCapacityCost)
 	_, all := n.loads.since(0, previous, now, everyService)
 	require.Empty(t, all[0].Rows, "the earlier life is told no more")
@@ -261,14 +261,14 @@
 	}
 	n.installList(list, now, now)
 	n.publishLoads("s", now, rows, true)
-	picks := n.emitters(n.startupPrograms.Set, n.view.Current(), service("s"), &Request{
+	picks := n.decodeCandidates(n.startupPrograms.Set, n.view.Current(), service("s"), &Request{
 		ID:        "r",
 		Prompt:    800,
 		MaxTokens: 16,
 	}, nil, nil)
 	for i, c := range picks {
 		require.Equal(t, wid(3-i), c.worker.ID)
-		require.Equal(t, 4000-1000+100*(3-i), c.free)
+		require.Equal(t, 4000-1000+100*(3-i), c.freeBlocks)
 	}
 }
 
--- a/internal/proxy/metering.go
+++ b/internal/proxy/metering.go
@@ -64,8 +64,8 @@
 
 // countBegun counts the request as begun, when the first of its answer is seen.
 func (t *exchange) countBegun() {
-	if meter := t.node.usage; meter != nil && t.tenant != nil && !t.begunCounted {
-		t.begunCounted = true
+	if meter := t.node.usage; meter != nil && t.tenant != nil && !t.usageCounted {
+		t.usageCounted = true
 		meter.ledger.Add(meter.windows.At(meter.clock.Now()), t.tenant.Name)
 	}
 }
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -293,8 +293,8 @@
 	return true, ""
 }
 
-// deal is the program set that a snapshot has, else the one the node began with.
-func (n *Node) deal(s *fleetstate.Snapshot) *fleetstate.CompiledPrograms {
+// programsFor is the program set that a snapshot has, else the one the node began with.
+func (n *Node) programsFor(s *fleetstate.Snapshot) *fleetstate.CompiledPrograms {
 	if s.Programs != nil {
 		return s.Programs
 	}
@@ -304,8 +304,8 @@
 // Scores tell how the programs fare at this node since it started, by name.
 func (n *Node) Scores() *routing.Scores { return &n.scores }
 
-// share is one over the number of nodes that there may be.
-func (n *Node) share() float64 {
+// nodeShare is one over the number of nodes that there may be.
+func (n *Node) nodeShare() float64 {
 	return 1 / float64(max(1, n.budget.Peers(n.now(), len(n.agent.Members()))))
 }
 
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	outcomeHalfLife       = 3 * time.Second // in which outcomes fade to a third
+	outcomeTimeConstant   = 3 * time.Second // in which outcomes fade to a third
 	outageTimeConstant    = 20 * time.Second
 	outageGrace           = time.Second // by which a fall is found after its first failures
 	maxOutages            = 1.3         // fading count of falls from which a worker flaps
@@ -60,8 +60,8 @@
 	outages        decayingCount
 	flapping       bool
 	phase          phase
-	since          ids.Tick // when the phase began
-	until          ids.Tick
+	phaseStartedAt ids.Tick // when the phase began
+	ejectedUntil   ids.Tick
 	strikes        int
 	successes      int
 	failedTrial    bool // it failed a trial
@@ -73,7 +73,7 @@
 // recordOutcome notes how a sending ended, once. What failed while the worker was known to be down
 // is the link's or the machine's and says nothing of its answers.
 func (n *Node) recordOutcome(c *pick, ok bool) {
-	if n.options.BaseEjection < 0 || !c.ended.CompareAndSwap(false, true) {
+	if n.options.BaseEjection < 0 || !c.outcomeRecorded.CompareAndSwap(false, true) {
 		return
 	}
 	st, now := c.state, n.now()
@@ -86,7 +86,7 @@
 		return
 	}
 	v := &st.outlier
-	v.local.decay(now, outcomeHalfLife)
+	v.local.decay(now, outcomeTimeConstant)
 	v.local.sent++
 	if !ok {
 		v.local.failed++
@@ -108,8 +108,8 @@
 	defer st.mu.Unlock()
 	v := &st.outlier
 	v.local = decayingCount{}
-	if v.phase == ejected && !now.Past(v.since, outageGrace) {
-		v.until = now
+	if v.phase == ejected && !now.Past(v.phaseStartedAt, outageGrace) {
+		v.ejectedUntil = now
 	}
 	if !st.down {
 		st.down = true
@@ -147,7 +147,7 @@
 // rates are failures and sendings, of this node and of the others. A single node's word of
 // failures counts for nothing, and all that is heard for no more than maxPeerWeight sendings.
 func (v *outlierState) rates(now ids.Tick) (failed, sent float64) {
-	v.local.decay(now, outcomeHalfLife)
+	v.local.decay(now, outcomeTimeConstant)
 	failed, sent = v.local.failed, v.local.sent
 	seers := v.peers.Nodes
 	if v.local.failed > 0.3 {
@@ -271,15 +271,15 @@
 	case was == serving:
 		a.state.mu.Unlock()
 		return false
-	case was == ejected && !now.Before(v.until):
-		v.phase, v.since, v.successes, v.failedTrial, v.local = probation, now, 0, false, decayingCount{}
-	case was == ejected && now.Past(v.since, v.until.Since(v.since)/2):
+	case was == ejected && !now.Before(v.ejectedUntil):
+		v.phase, v.phaseStartedAt, v.successes, v.failedTrial, v.local = probation, now, 0, false, decayingCount{}
+	case was == ejected && now.Past(v.phaseStartedAt, v.ejectedUntil.Since(v.phaseStartedAt)/2):
 		v.local = decayingCount{}
 	case was == probation && (v.failedTrial || odd || v.flapping):
 		a.state.mu.Unlock()
 		n.eject(a, now)
 		return true
-	case was == probation && (v.successes >= probationSuccesses || now.Past(v.since, probationQuietPeriod)):
+	case was == probation && (v.successes >= probationSuccesses || now.Past(v.phaseStartedAt, probationQuietPeriod)):
 		a.state.mu.Unlock()
 		n.readmit(a, now, "trials")
 		return false
@@ -293,11 +293,11 @@
 	defer a.state.mu.Unlock()
 	v := &a.state.outlier
 	if v.phase == serving {
-		v.strikes = max(0, v.strikes-int(now.Since(v.since)/strikeTTL))
+		v.strikes = max(0, v.strikes-int(now.Since(v.phaseStartedAt)/strikeTTL))
 	}
 	duration := min(n.options.BaseEjection<<min(v.strikes, 10), maxEjection)
 	v.strikes++
-	v.phase, v.since, v.until, v.flapping = ejected, now, now.Add(duration), false
+	v.phase, v.phaseStartedAt, v.ejectedUntil, v.flapping = ejected, now, now.Add(duration), false
 	v.failureRate = a.rate()
 	n.counts.Ejected.Add(1)
 	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Float64("failed", a.failed).Float64("sent", a.sent).
@@ -311,7 +311,7 @@
 	if v.phase == serving {
 		return
 	}
-	v.phase, v.since, v.failureRate = serving, now, 0
+	v.phase, v.phaseStartedAt, v.failureRate = serving, now, 0
 	n.counts.Readmitted.Add(1)
 	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Str("reason", reason).Msg("readmitting worker")
 }
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -446,7 +446,7 @@
 		for i, ill := range []float64{0.9, 0.3, 0.6} {
 			st := n.state(ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", i)))
 			st.mu.Lock()
-			st.outlier.phase, st.outlier.until, st.outlier.failureRate = ejected, n.now().Add(time.Hour), ill
+			st.outlier.phase, st.outlier.ejectedUntil, st.outlier.failureRate = ejected, n.now().Add(time.Hour), ill
 			st.mu.Unlock()
 		}
 		for i := range 6 {
@@ -753,21 +753,21 @@
 		for _, previous := range []bool{false, true} {
 			st, now := &workerState{}, n.now()
 			st.outlier = outlierState{
-				local: decayingCount{8, 7, now},
-				phase: ejected,
-				since: now,
-				until: now.Add(8 * time.Second),
+				local:          decayingCount{8, 7, now},
+				phase:          ejected,
+				phaseStartedAt: now,
+				ejectedUntil:   now.Add(8 * time.Second),
 			}
 			if previous {
-				st.outlier.since = now.Add(-3 * time.Second)
+				st.outlier.phaseStartedAt = now.Add(-3 * time.Second)
 			}
 			n.recordOutage(st)
 			require.Zero(t, st.outlier.local.failed)
-			require.Equal(t, previous, now.Before(st.outlier.until))
-			n.recordOutcome(&pick{state: st, ended: new(atomic.Bool)}, false)
+			require.Equal(t, previous, now.Before(st.outlier.ejectedUntil))
+			n.recordOutcome(&pick{state: st, outcomeRecorded: new(atomic.Bool)}, false)
 			require.Zero(t, st.outlier.local.failed, "while it is known to be down")
 			n.recordRecovery(st)
-			n.recordOutcome(&pick{state: st, ended: new(atomic.Bool)}, false)
+			n.recordOutcome(&pick{state: st, outcomeRecorded: new(atomic.Bool)}, false)
 			require.Positive(t, st.outlier.local.failed)
 		}
 	})
--- a/internal/proxy/peer_outcomes.go
+++ b/internal/proxy/peer_outcomes.go
@@ -35,7 +35,7 @@
 		if r.sent == 0 {
 			return true
 		}
-		r.decay(now, outcomeHalfLife)
+		r.decay(now, outcomeTimeConstant)
 		if r.sent > 0.1 && (r.failed > 0.1 || st.outlier.peers.Nodes > 0 && !now.Past(
 			st.outlier.peersAt, outcomesTTL,
 		)) {
@@ -83,21 +83,21 @@
 	t := &n.peerOutcomes
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n.count(t)
+	n.refreshOutcomeSums(t)
 	return t.without(but)
 }
 
-// below is the sum of what the nodes below this one told.
-func (n *Node) below() []Outcomes {
+// subtreeOutcomes is the sum of what the nodes below this one told.
+func (n *Node) subtreeOutcomes() []Outcomes {
 	t := &n.peerOutcomes
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n.count(t)
+	n.refreshOutcomeSums(t)
 	return t.without(n.self.Node, fromParent)
 }
 
-// count adds up anew what was told, if that is due. The tally is locked.
-func (n *Node) count(t *outcomeSums) {
+// refreshOutcomeSums adds up anew what was told, if that is due. The tally is locked.
+func (n *Node) refreshOutcomeSums(t *outcomeSums) {
 	now := n.now()
 	if t.total != nil && !now.Past(t.at, outcomeSumTTL) {
 		return
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -52,23 +52,23 @@
 }
 
 type pick struct {
-	worker         *Worker
-	state          *workerState
-	hash           uint64
-	cost           float64
-	uncachedTokens int           // prompt tokens it has yet to read
-	prefillTime    time.Duration // that they are reckoned to take
-	expected       time.Duration // until they are reckoned to be read
-	affinity       float64
-	busy           int
-	reservation    *reservation
-	capacity       int // blocks; 0 if nothing fresh is known
-	free           int
-	gap            time.Duration // between its events, of late; 0 if not known
-	failureRate    float64       // rate of failures, if they stand out
-	ended          *atomic.Bool  // its outcome is noted
-	request        *Request      // as it is sent to this worker
-	urgency        int           // with which it is sent
+	worker          *Worker
+	state           *workerState
+	hash            uint64
+	cost            float64
+	uncachedTokens  int           // prompt tokens it has yet to read
+	prefillTime     time.Duration // that they are reckoned to take
+	expectedLatency time.Duration // until they are reckoned to be read
+	affinity        float64
+	activeRequests  int
+	reservation     *reservation
+	capacityBlocks  int // blocks; 0 if nothing fresh is known
+	freeBlocks      int
+	eventGap        time.Duration // between its events, of late; 0 if not known
+	failureRate     float64       // rate of failures, if they stand out
+	outcomeRecorded *atomic.Bool  // its outcome is noted
+	request         *Request      // as it is sent to this worker
+	urgency         int           // with which it is sent
 }
 
 // sortKey is what is sorted in a pick's stead, since it is small and holds no pointers.
@@ -101,15 +101,15 @@
 	if !ok {
 		return
 	}
-	c.capacity, c.free = c.state.memory.Capacity, max(0, free)
+	c.capacityBlocks, c.freeBlocks = c.state.memory.Capacity, max(0, free)
 	if need > free && noRoom > 0 {
 		c.cost += noRoom * (1 + float64(need-free)/float64(need))
 	}
 }
 
-// cleared lists the workers of a service that may get new work of a part now. Those that
+// eligibleWorkers lists the workers of a service that may get new work of a part now. Those that
 // are to be left alone come only if no other is there.
-func (n *Node) cleared(
+func (n *Node) eligibleWorkers(
 	s *fleetstate.Snapshot,
 	service *fleetstate.Service,
 	role ids.Role,
@@ -161,7 +161,7 @@
 	if n.coldFor(w, service, got, now) <= 0 && (service.SlowStartRate <= 0 || !n.isolated(now)) {
 		return 0, true
 	}
-	gap, ok := n.gap(w.ID, service)
+	gap, ok := n.slowStartInterval(w.ID, service)
 	return gap, ok && n.slowStart.allows(w.ID, gap, now)
 }
 
@@ -175,12 +175,12 @@
 	return n.slowStartAllows(w, service, list.receivedAt, n.now())
 }
 
-// gap is the pause that this node keeps between requests to a cold worker, so that all
+// slowStartInterval is the pause that this node keeps between requests to a cold worker, so that all
 // nodes together stay under what it bears; where there are more nodes than it bears
 // requests, only some may send.
-func (n *Node) gap(id ids.WorkerID, service *fleetstate.Service) (time.Duration, bool) {
+func (n *Node) slowStartInterval(id ids.WorkerID, service *fleetstate.Service) (time.Duration, bool) {
 	bound := int(service.SlowStartRate*n.options.SlowStartOvershoot) + n.options.SlowStartAllowance - 2
-	peers := int(math.Round(1 / n.share()))
+	peers := int(math.Round(1 / n.nodeShare()))
 	if per := bound / peers; per > 1 {
 		return time.Second/time.Duration(per-1) + 20*time.Millisecond, true
 	}
@@ -205,7 +205,7 @@
 	r *Request,
 	tried map[ids.WorkerID]bool,
 ) []pick {
-	list := n.cleared(s, service, ids.Prefill, tried)
+	list := n.eligibleWorkers(s, service, ids.Prefill, tried)
 	ms, toks := prefixHashes(r)
 	rows := n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{service.Name, ids.Prefill}]
 	homes := make([]ids.WorkerID, len(ms))
@@ -223,24 +223,24 @@
 				break
 			}
 		}
-		ahead, count := c.state.queued(now)
+		ahead, count := c.state.queuedPrefills(now)
 		c.applyMemory(ids.Blocks(r.Prompt, blockSize), n.options.NoCapacityCost, now)
 		c.state.mu.Unlock()
-		c.busy = count
+		c.activeRequests = count
 		waitMs := float64(ahead)/n.options.PrefillTokensPerMs + queuedPrefillCost*float64(count)
 		readMs := float64(c.uncachedTokens) / n.options.PrefillTokensPerMs
 		c.prefillTime = time.Duration(readMs * float64(time.Millisecond))
-		c.expected = c.prefillTime + time.Duration(waitMs*float64(time.Millisecond))
+		c.expectedLatency = c.prefillTime + time.Duration(waitMs*float64(time.Millisecond))
 		c.cost += waitMs + reprefillWeight*readMs + n.zoneCost(c.worker, len(r.Body))
 		if len(ms) > 0 {
 			c.affinity = routing.Mix(ms[len(ms)-1], c.hash)
 		}
 	}
-	return n.order(programs, r, ids.Prefill, list)
+	return n.orderCandidates(programs, r, ids.Prefill, list)
 }
 
-// emitters orders the workers that may decode, near the memory and near here.
-func (n *Node) emitters(
+// decodeCandidates orders the workers that may decode, near the memory and near here.
+func (n *Node) decodeCandidates(
 	programs *routing.ProgramSet,
 	s *fleetstate.Snapshot,
 	service *fleetstate.Service,
@@ -248,22 +248,22 @@
 	from *Worker,
 	tried map[ids.WorkerID]bool,
 ) []pick {
-	list := n.cleared(s, service, ids.Decode, tried)
+	list := n.eligibleWorkers(s, service, ids.Decode, tried)
 	now := n.now()
 	for i := range list {
 		c := &list[i]
 		c.state.mu.Lock()
-		c.busy = c.state.decodes
+		c.activeRequests = c.state.decodes
 		if !now.Past(c.state.loadAt, loadTTL) {
-			c.busy = max(c.busy, c.state.load.Running+c.state.load.Waiting)
+			c.activeRequests = max(c.activeRequests, c.state.load.Running+c.state.load.Waiting)
 		}
 		c.applyMemory(ids.Blocks(r.Prompt+r.MaxTokens, blockSize), n.options.NoCapacityCost, now)
-		c.gap = c.state.eventGap.current(now)
+		c.eventGap = c.state.eventGap.current(now)
 		c.state.mu.Unlock()
 		slots := max(1, c.worker.Concurrency)
-		c.cost += 1.5*float64(c.busy) + n.zoneCost(c.worker, len(r.Body))
-		if c.busy >= slots*9/10 {
-			c.cost += 20 * float64(c.busy-slots*9/10+1)
+		c.cost += 1.5*float64(c.activeRequests) + n.zoneCost(c.worker, len(r.Body))
+		if c.activeRequests >= slots*9/10 {
+			c.cost += 20 * float64(c.activeRequests-slots*9/10+1)
 		}
 		if from != nil && from.Zone != c.worker.Zone {
 			c.cost += crossZoneCost + 1.6*float64(r.Prompt)/1000
@@ -273,11 +273,11 @@
 		}
 	}
 	addSlowDecodeCost(list)
-	return n.order(programs, r, ids.Decode, list)
+	return n.orderCandidates(programs, r, ids.Decode, list)
 }
 
-// order asks the routing programs, cheapest first.
-func (n *Node) order(programs *routing.ProgramSet, r *Request, role ids.Role, list []pick) []pick {
+// orderCandidates asks the routing programs, cheapest first.
+func (n *Node) orderCandidates(programs *routing.ProgramSet, r *Request, role ids.Role, list []pick) []pick {
 	// Among equals the request decides, so that nodes that know little crowd no worker.
 	own := ids.Hash(r.ID)
 	ranks := make([]sortKey, len(list))
@@ -310,7 +310,7 @@
 	cands := make([]routing.Candidate, len(head))
 	reports := true // room is told in blocks if it is known of all, else in places
 	for i := range head {
-		reports = reports && head[i].capacity > 0
+		reports = reports && head[i].capacityBlocks > 0
 	}
 	by := make(map[ids.WorkerID]pick, len(head))
 	for i, c := range head {
@@ -318,14 +318,14 @@
 			ID:            c.worker.ID,
 			Zone:          c.worker.Zone,
 			Capacity:      c.worker.Concurrency,
-			Free:          max(0, c.worker.Concurrency-c.busy),
-			Busy:          c.busy,
+			Free:          max(0, c.worker.Concurrency-c.activeRequests),
+			Busy:          c.activeRequests,
 			MaxConcurrent: c.worker.Concurrency,
 			Affinity:      c.affinity,
 			Cost:          c.cost,
 		}
 		if reports {
-			cands[i].Capacity, cands[i].Free = c.capacity, c.free
+			cands[i].Capacity, cands[i].Free = c.capacityBlocks, c.freeBlocks
 		}
 		by[c.worker.ID] = c
 	}
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -52,7 +52,7 @@
 						best, top = a, w.ID
 					}
 				}
-				for _, c := range n.cleared(s, service("s"), role, nil) {
+				for _, c := range n.eligibleWorkers(s, service("s"), role, nil) {
 					got = append(got, c.worker.ID)
 					require.Same(t, n.state(c.worker.ID), c.state)
 				}
@@ -114,7 +114,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				n.prefillCandidates(n.startupPrograms.Set, s, service, r, nil)
-				n.emitters(n.startupPrograms.Set, s, service, r, nil, nil)
+				n.decodeCandidates(n.startupPrograms.Set, s, service, r, nil, nil)
 			}
 		})
 	}
--- a/internal/proxy/prefill_exchange.go
+++ b/internal/proxy/prefill_exchange.go
@@ -64,8 +64,8 @@
 	return true
 }
 
-// prefillRead is how one worker's read of the prompt ended.
-type prefillRead struct {
+// prefillOutcome is how one worker's read of the prompt ended.
+type prefillOutcome struct {
 	pick   *pick
 	memory *PrefillResult
 	err    error
@@ -73,16 +73,16 @@
 
 // prefillOn has one worker read the prompt. It changes nothing of the exchange, so that two may
 // be under way.
-func (t *exchange) prefillOn(ctx context.Context, c *pick) prefillRead {
+func (t *exchange) prefillOn(ctx context.Context, c *pick) prefillOutcome {
 	t.trace(handoff.Granted, c.worker.ID, "")
 	began := t.node.now()
-	duration := min(t.node.options.PrefillSilence+prefillTimeoutFactor*c.expected, t.remaining())
+	duration := min(t.node.options.PrefillSilence+prefillTimeoutFactor*c.expectedLatency, t.remaining())
 	callContext, stop := context.WithTimeout(ctx, duration)
 	callContext, take := context.WithCancelCause(callContext)
 	f := &attempt{take}
 	c.state.addAttempt(f)
 	times := t.node.serviceTimesFor(t.service.Name)
-	quiet := time.AfterFunc(prefillQuietFactor*c.expected+times.prefill.Suspicious(prefillQuietPeriod), func() {
+	quiet := time.AfterFunc(prefillQuietFactor*c.expectedLatency+times.prefill.Suspicious(prefillQuietPeriod), func() {
 		t.node.suspect(*c.worker)
 	})
 	memory, err := t.node.options.Backend.Read(
@@ -95,17 +95,17 @@
 	c.state.removeAttempt(f)
 	take(nil)
 	stop()
-	c.state.end(max(1, c.uncachedTokens))
+	c.state.endRequest(max(1, c.uncachedTokens))
 	if err == nil {
 		took := t.node.now().Since(began)
 		times.overhead.observe(took - c.prefillTime)
-		times.prefill.Observe(took - prefillQuietFactor*c.expected)
+		times.prefill.Observe(took - prefillQuietFactor*c.expectedLatency)
 	}
-	return prefillRead{c, memory, err}
+	return prefillOutcome{c, memory, err}
 }
 
 // settlePrefill takes the outcome of a read into the exchange; false if no connection came up.
-func (t *exchange) settlePrefill(ctx context.Context, read prefillRead) (*Source, bool, error) {
+func (t *exchange) settlePrefill(ctx context.Context, read prefillOutcome) (*Source, bool, error) {
 	c := read.pick
 	if read.err == nil {
 		c.state.recordSuccess(read.memory.Load, t.node.now())
@@ -128,7 +128,7 @@
 }
 
 // recordFailedPrefill gives back what a failed read had booked, and notes the failure at its worker.
-func (t *exchange) recordFailedPrefill(ctx context.Context, read prefillRead) {
+func (t *exchange) recordFailedPrefill(ctx context.Context, read prefillOutcome) {
 	now := t.node.now()
 	read.pick.release(failure.Is(read.err, failure.OutcomeUnknown), now)
 	t.recordWorkerError(ctx, read.pick, read.err, now)
--- a/internal/proxy/rate_test.go
+++ b/internal/proxy/rate_test.go
@@ -40,7 +40,7 @@
 	n.installList(list, 1, 1)
 	got := map[string]int{}
 	for i := range 3000 {
-		rows := n.emitters(
+		rows := n.decodeCandidates(
 			n.startupPrograms.Set, n.view.Current(), service("s"), &Request{ID: string(wid(i)) + "q"}, nil, nil,
 		)
 		got[string(rows[0].worker.ID)]++
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -69,7 +69,7 @@
 	return k, err
 }
 
-func (g *supervisedBody) done() {
+func (g *supervisedBody) stopTimers() {
 	g.probeTimer.Stop()
 	if g.silenceTimer != nil {
 		g.silenceTimer.Stop()
@@ -85,7 +85,7 @@
 
 func (g *supervisedBody) Close() error {
 	err := g.ReadCloser.Close()
-	g.done()
+	g.stopTimers()
 	return err
 }
 
@@ -93,7 +93,7 @@
 func (t *exchange) relay(ctx context.Context, c *pick, reply *Response) error {
 	defer reply.Body.Close()
 	defer func() {
-		c.state.end(0)
+		c.state.endRequest(0)
 		c.release(true, t.node.now())
 	}()
 	c.state.recordSuccess(reply.Load, t.node.now())
@@ -226,7 +226,7 @@
 			failure.OutcomeUnknown, "resume", c.worker.Addr, "event %s comes after %s", first, t.lastEventID,
 		)
 	}
-	t.timing.event(t.node.now())
+	t.timing.recordEvents(t.node.now())
 	t.countBegun()
 	if err := t.writeHead(reply, -1); err != nil {
 		return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -165,9 +165,9 @@
 	}
 	d.lastReport, d.urgent = n.now(), false
 	rows := n.reports(ctx, s, listed)
-	d.count(n.workersUp(s, listed))
+	d.recordCounts(n.workersUp(s, listed))
 	n.recordReports(service.Name, d.lastReport, rows)
-	read, emit := d.smooth(rows, service)
+	read, emit := d.smoothPressure(rows, service)
 	if !mayOrder || !urgent && !n.now().Past(d.lastChange, roleChangeInterval) {
 		return
 	}
@@ -177,7 +177,7 @@
 		}
 	}
 	some, to := chooseRoleChange(rows, read, emit, n.options.IdlePrefillShare, d.lost)
-	some, to = n.proposeRoleChange(n.deal(s), service, d, rows, some, to)
+	some, to = n.proposeRoleChange(n.programsFor(s), service, d, rows, some, to)
 	for _, w := range some {
 		if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: w.worker.ID, To: to}) {
 			turns[w.worker.ID] = &roleChange{began: n.now(), expected: w.Orders}
--- a/internal/proxy/role_choice.go
+++ b/internal/proxy/role_choice.go
@@ -20,11 +20,11 @@
 )
 
 // roleCounts is how many workers of each role there are.
-type roleCounts struct{ readers, emitters int }
+type roleCounts struct{ prefill, decode int }
 
-// smooth gives the smoothed prompts at each reading worker, and the part of the emitting
+// smoothPressure gives the smoothed prompts at each reading worker, and the part of the emitting
 // workers' places or memory that is taken.
-func (d *roleBalance) smooth(rows []workerReport, service *fleetstate.Service) (read, emit float64) {
+func (d *roleBalance) smoothPressure(rows []workerReport, service *fleetstate.Service) (read, emit float64) {
 	var readers, emitters, prompts, streams, used, room int
 	for _, r := range rows {
 		if r.Role == ids.Prefill {
@@ -46,9 +46,9 @@
 // move counts a worker that is told to change to a role.
 func (c *roleCounts) move(to ids.Role) {
 	if to == ids.Prefill {
-		c.readers, c.emitters = c.readers+1, c.emitters-1
+		c.prefill, c.decode = c.prefill+1, c.decode-1
 	} else {
-		c.readers, c.emitters = c.readers-1, c.emitters+1
+		c.prefill, c.decode = c.prefill-1, c.decode+1
 	}
 }
 
@@ -64,9 +64,9 @@
 			continue
 		}
 		if role == ids.Prefill {
-			up.readers++
+			up.prefill++
 		} else {
-			up.emitters++
+			up.decode++
 		}
 	}
 	return up
@@ -79,15 +79,15 @@
 	return st.down
 }
 
-// count takes the numbers of a round. What workers that were lost had under way falls to those that are
+// recordCounts takes the numbers of a round. What workers that were lost had under way falls to those that are
 // left, so the pressure on these is known at once and not only once it shows.
-func (d *roleBalance) count(up roleCounts) {
-	d.lost = roleCounts{max(0, d.up.readers-up.readers), max(0, d.up.emitters-up.emitters)}
-	if d.lost.readers > 0 && up.readers > 0 {
-		d.prefillPressure *= float64(d.up.readers) / float64(up.readers)
+func (d *roleBalance) recordCounts(up roleCounts) {
+	d.lost = roleCounts{max(0, d.up.prefill-up.prefill), max(0, d.up.decode-up.decode)}
+	if d.lost.prefill > 0 && up.prefill > 0 {
+		d.prefillPressure *= float64(d.up.prefill) / float64(up.prefill)
 	}
-	if d.lost.emitters > 0 && up.emitters > 0 {
-		d.decodePressure *= float64(d.up.emitters) / float64(up.emitters)
+	if d.lost.decode > 0 && up.decode > 0 {
+		d.decodePressure *= float64(d.up.decode) / float64(up.decode)
 	}
 	d.up = up
 }
@@ -126,12 +126,12 @@
 	case busy == 0 && float64(readers+1) <= rest*float64(all):
 		want = min(want, int(rest*float64(all))-readers, emitters-keep)
 	case read > prefillPressureLimit:
-		want = replace(lost.readers, readers, read, prefillPressureLimit)
+		want = replace(lost.prefill, readers, read, prefillPressureLimit)
 		for want = min(want, emitters-keep); want > 0 && spare(emit, emitters, want) >= decodePressureLow; want-- {
 		}
 	case emit > decodePressureLimit:
 		from, to = ids.Prefill, ids.Decode
-		want = replace(lost.emitters, emitters, emit, decodePressureLimit)
+		want = replace(lost.decode, emitters, emit, decodePressureLimit)
 		for want = min(want, readers-keep); want > 0 && emit <= decodeSaturated &&
 			spare(read, readers, want) >= prefillPressureLimit; want-- {
 		}
--- a/internal/proxy/service_times.go
+++ b/internal/proxy/service_times.go
@@ -6,7 +6,7 @@
 
 // serviceTimes is what is learned of a service's workers as a whole.
 type serviceTimes struct {
-	overhead   readOverhead
+	overhead   prefillOverhead
 	prefill    silence.Estimate // beyond what is reckoned, until a prompt is read
 	firstEvent silence.Estimate // until the first byte of an answer
 	nextEvent  silence.Estimate // between bytes of an answer
--- a/internal/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -254,7 +254,7 @@
 		_, err = f.apply("none", 2, `{"programs":{}}`)
 		require.NoError(t, err)
 		require.True(t, f.until(2*time.Second, func() bool { return f.dealt(3) }))
-		require.False(t, f.nodes[0].deal(f.nodes[0].snapshot()).Set.HasPrograms())
+		require.False(t, f.nodes[0].programsFor(f.nodes[0].snapshot()).Set.HasPrograms())
 	})
 }
 
@@ -321,7 +321,7 @@
 		require.EqualValues(t, 2, sh.Newest)
 		require.Contains(t, string(sh.Policy), `"two"`)
 		for _, b := range f.up() {
-			require.Equal(t, "two", b.deal(b.snapshot()).Set.ProgramFor("x"))
+			require.Equal(t, "two", b.programsFor(b.snapshot()).Set.ProgramFor("x"))
 		}
 	})
 }
--- a/internal/proxy/tenant.go
+++ b/internal/proxy/tenant.go
@@ -17,7 +17,7 @@
 	}
 	tenant := s.Keys.Find(t.request.Key)
 	if tenant == nil && s.Keys.Required() && !t.route.Public {
-		return t.node.unknown(http.StatusUnauthorized, "no tenant has the key")
+		return t.node.unknownResource(http.StatusUnauthorized, "no tenant has the key")
 	}
 	outgoing := *t.request
 	outgoing.Key, outgoing.Tenant = "", ""
--- a/internal/proxy/worker_state.go
+++ b/internal/proxy/worker_state.go
@@ -123,7 +123,7 @@
 // maxCachedPrefixes bounds the memory of what a worker has read.
 const maxCachedPrefixes = 4096
 
-func (s *workerState) begin(reads int, marks []uint64, now ids.Tick) {
+func (s *workerState) beginRequest(reads int, marks []uint64, now ids.Tick) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if reads > 0 {
@@ -140,7 +140,7 @@
 	}
 }
 
-func (s *workerState) end(reads int) {
+func (s *workerState) endRequest(reads int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if reads > 0 {
@@ -151,9 +151,9 @@
 	}
 }
 
-// queued gives the prompt tokens and the prompts that all nodes have under way there. The
+// queuedPrefills gives the prompt tokens and the prompts that all nodes have under way there. The
 // state is locked.
-func (s *workerState) queued(now ids.Tick) (tokens, count int) {
+func (s *workerState) queuedPrefills(now ids.Tick) (tokens, count int) {
 	tokens, count = s.prefillTokens, s.prefills
 	if !now.Past(s.peerPrefillsAt, prefillLoadTTL) {
 		tokens, count = tokens+s.peerPrefills.Tokens, count+s.peerPrefills.Count
@@ -161,9 +161,9 @@
 	return tokens, count
 }
 
-// busy gives the requests there by the worker's own newest word; false if that is older
+// activeRequests gives the requests there by the worker's own newest word; false if that is older
 // than a span. The state is locked.
-func (s *workerState) busy(now ids.Tick, duration time.Duration) (int, bool) {
+func (s *workerState) activeRequests(now ids.Tick, duration time.Duration) (int, bool) {
 	switch reports := s.memory.Capacity > 0; {
 	case reports && s.loadAt.Before(s.memory.at) && !now.Past(s.memory.at, duration):
 		return s.memory.Running + s.memory.Waiting, true
