--- a/internal/proxy/decode_exchange.go
+++ b/internal/proxy/decode_exchange.go
@@ -84,7 +84,7 @@
 	times := t.node.serviceTimesFor(t.service.Name)
 	g.times, g.lastByteAt = times, t.node.now()
 	g.probeTimer = time.AfterFunc(times.firstEvent.Suspicious(alarmQuietPeriod), func() { t.node.suspect(*c.worker) })
-	reply, err := t.node.options.Backend.Emit(
+	reply, err := t.node.options.Backend.Decode(
 		callContext, *c.worker, c.request, source, t.lastEventID, t.remaining(), c.urgency,
 	)
 	if err != nil {
--- a/internal/proxy/prefill_exchange.go
+++ b/internal/proxy/prefill_exchange.go
@@ -85,7 +85,7 @@
 	quiet := time.AfterFunc(prefillQuietFactor*c.expectedLatency+times.prefill.Suspicious(prefillQuietPeriod), func() {
 		t.node.suspect(*c.worker)
 	})
-	memory, err := t.node.options.Backend.Read(
+	memory, err := t.node.options.Backend.Prefill(
 		callContext, *c.worker, c.request, duration, urgencyRank(c.urgency, c.uncachedTokens),
 	)
 	quiet.Stop()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -106,8 +106,8 @@
 // answered by running the request, or a report's asking by word that the worker is ill.
 type Backend interface {
 	List(ctx context.Context) ([]Worker, error)
-	Read(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*PrefillResult, error)
-	Emit(ctx context.Context, w Worker, r *Request, source *Source, from string, left time.Duration, urgency int) (*Response, error)
+	Prefill(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*PrefillResult, error)
+	Decode(ctx context.Context, w Worker, r *Request, source *Source, from string, left time.Duration, urgency int) (*Response, error)
 	Free(ctx context.Context, w Worker, handle string) error
 	Report(ctx context.Context, w Worker) (*Report, error)
 	Order(ctx context.Context, w Worker, o *RoleOrder) error
--- a/internal/proxy/proxy_cluster_test.go
+++ b/internal/proxy/proxy_cluster_test.go
@@ -400,7 +400,7 @@
 	return nil
 }
 
-func (b *back) Read(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*PrefillResult, error) {
+func (b *back) Prefill(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*PrefillResult, error) {
 	y, off := b.y, b.knew(w)
 	s, err := b.reach(ctx, w)
 	if err != nil {
@@ -469,7 +469,7 @@
 	}
 }
 
-func (b *back) Emit(ctx context.Context, w Worker, r *Request, source *Source, from string, left time.Duration, urgency int) (*Response, error) {
+func (b *back) Decode(ctx context.Context, w Worker, r *Request, source *Source, from string, left time.Duration, urgency int) (*Response, error) {
 	y, off := b.y, b.knew(w)
 	s, err := b.reach(ctx, w)
 	if err != nil {
