--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -1,6 +1,7 @@
-// The way of one request: read at one worker, moved, emitted at another, passed on. The
-// node that took a try keeps its promise alone, since every try has an id of its own:
-// what was offered and not turned away may have run, and never ends in a refusal.
+// The exchange of one request: prefill on one worker, transfer of its memory, decode on another, and
+// relay of the answer. The node that accepted an attempt is alone responsible for its outcome, since
+// every attempt has its own id: a request that was sent to a worker and not rejected there may have
+// run, so it never ends in a RejectedError.
 
 package proxy
 
@@ -28,42 +29,43 @@
 	Reason  string
 }
 
+// exchange is the state of one request while it is served.
 type exchange struct {
 	node     *Node
 	request  *Request
 	route    *fleetstate.Route
 	service  *fleetstate.Service
-	programs *routing.ProgramSet // it keeps to the one it began with
+	programs *routing.ProgramSet // fixed when the exchange begins
 	sink     Sink
-	tenant   *fleetstate.Tenant   // whose key it bears; nil without one
-	keys     *fleetstate.KeyIndex // by which the tenant was found
-	outgoing *Request             // as workers get it
+	tenant   *fleetstate.Tenant   // owner of the request's key; nil without one
+	keys     *fleetstate.KeyIndex // index that the tenant was found in
+	outgoing *Request             // the request as sent to workers
 	deadline ids.Tick
 	prefixes []uint64
 	tried    map[ids.WorkerID]bool
 
-	prefilledAt            *pick  // the worker whose memory of the prompt is yet to be fetched
-	failedPrefillUncounted bool   // a prefill that failed is yet to be counted
-	retryPaid              bool   // the next sending is paid for, by a hedge
-	attemptsMade           int    // counted: decodes, and prefills rejected or repeated
-	mayHaveRun             bool   // it may have run
-	sourceLost             bool   // a worker has turned it away, since it could not fetch its memory
-	headSent               bool   // the caller has the head of an answer
-	usageCounted           bool   // it is counted as begun
-	lastEventID            string // id of the last event that the caller has
+	prefilledAt            *pick  // the worker whose prompt memory has not been fetched yet
+	failedPrefillUncounted bool   // a failed prefill has not been charged to the retry budget yet
+	retryPaid              bool   // the next attempt was already charged, by a hedge
+	attemptsMade           int    // decodes, and prefills that were rejected or repeated
+	mayHaveRun             bool   // a worker may have run the request
+	sourceLost             bool   // a worker rejected the request because it could not fetch the prompt's memory
+	headSent               bool   // the caller has the response head
+	usageCounted           bool   // the request is counted for usage metering
+	lastEventID            string // id of the last event sent to the caller
 	timing                 exchangeTiming
 }
 
-func (t *exchange) trace(stage handoff.Step, w ids.WorkerID, reason string) {
+func (t *exchange) trace(step handoff.Step, w ids.WorkerID, reason string) {
 	if t.node.options.Trace != nil {
-		t.node.options.Trace(Event{t.request.ID, stage, w, t.node.now(), reason})
+		t.node.options.Trace(Event{t.request.ID, step, w, t.node.now(), reason})
 	}
 }
 
 func (t *exchange) remaining() time.Duration { return t.deadline.Since(t.node.now()) }
 
-// Serve brings a request to its end. A nil error means that the sink has the whole
-// answer; a *RejectedError, that it was not run; an *AbortedError, that it may have been.
+// Serve serves a request to its end. A nil error means that the sink has the whole answer, a
+// *RejectedError that the request was not run, an *AbortedError that it may have been run.
 func (n *Node) Serve(ctx context.Context, r *Request, sink Sink) error {
 	n.counts.Requests.Add(1)
 	n.inflight.Add(1)
@@ -85,9 +87,9 @@
 	if !ok {
 		return n.rejectUnknown("no service")
 	}
-	wait := route.Deadline()
+	timeout := route.Deadline()
 	if r.Timeout > 0 {
-		wait = min(wait, r.Timeout)
+		timeout = min(timeout, r.Timeout)
 	}
 	t := &exchange{
 		node:        n,
@@ -96,17 +98,17 @@
 		service:     &service,
 		programs:    n.programsFor(s).Set,
 		sink:        sink,
-		deadline:    r.At.Add(wait),
+		deadline:    r.At.Add(timeout),
 		tried:       map[ids.WorkerID]bool{},
 		lastEventID: r.LastEventID,
 	}
-	err := t.serve(ctx, s, wait)
+	err := t.serve(ctx, s, timeout)
 	t.recordEnd(err)
 	return err
 }
 
-// serve has the request authenticated and admitted, and runs it.
-func (t *exchange) serve(ctx context.Context, s *fleetstate.Snapshot, wait time.Duration) error {
+// serve authenticates, admits and runs the request.
+func (t *exchange) serve(ctx context.Context, s *fleetstate.Snapshot, timeout time.Duration) error {
 	if err := t.authenticate(s); err != nil {
 		t.node.counts.Unauthenticated.Add(1)
 		return err
@@ -116,28 +118,28 @@
 	if err := t.admit(s); err != nil {
 		return err
 	}
-	callContext, stop := context.WithTimeout(ctx, wait)
+	callContext, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	return t.run(callContext)
 }
 
 const (
-	// caughtUpMaxAge is how lately the core must have confirmed this node, with the change feed up to
-	// that confirmation applied, for its word that something does not exist to be final. It is
-	// shorter than the least bound by which a version must be in force (2 s).
+	// caughtUpMaxAge is the maximum age of the core's last confirmation of this node, with the change
+	// feed up to it applied, for a "does not exist" from this node to be final. It is shorter than
+	// the smallest ApplyMax, the bound within which a version must be in force (2 s).
 	caughtUpMaxAge = 1500 * time.Millisecond
-	// staleRetryAfter is when a caller is to ask again a node that may be behind.
+	// staleRetryAfter is the retry delay given to callers by a node that may be behind.
 	staleRetryAfter = 500 * time.Millisecond
 )
 
-// rejectUnknown ends a request for what the version in force here does not have. A node that
-// may be behind cannot tell whether a newer version has it: it says when to come back.
+// rejectUnknown rejects a request for something that the version in force here does not have. A node
+// that may be behind cannot know whether a newer version has it, so it sets a retry delay instead.
 func (n *Node) rejectUnknown(reason string) error {
 	n.counts.Rejected.Add(1)
 	return n.unknownResource(http.StatusNotFound, reason)
 }
 
-// unknownResource is how a request ends that the version in force here does not allow.
+// unknownResource returns the error for a request that the version in force here does not allow.
 func (n *Node) unknownResource(code int, reason string) *RejectedError {
 	if !n.agent.CaughtUp(caughtUpMaxAge) {
 		return &RejectedError{
@@ -149,7 +151,7 @@
 	return &RejectedError{Code: code, Reason: reason}
 }
 
-// recordEnd counts an exchange by how it ended.
+// recordEnd counts and traces an exchange by its outcome.
 func (t *exchange) recordEnd(err error) {
 	n := t.node
 	switch err.(type) {
@@ -173,7 +175,7 @@
 	return &RejectedError{Code: code, RetryAfter: after, Reason: reason}
 }
 
-// run tries until the answer is whole, the tries are used up or the time is over.
+// run makes attempts until the answer is complete, the attempts are used up or the deadline passes.
 func (t *exchange) run(ctx context.Context) error {
 	var source *Source
 	var reason error
@@ -206,8 +208,8 @@
 				t.releaseSource(source)
 				return t.giveUp(err, http.StatusBadGateway)
 			}
-			// A worker that never answered has perhaps not fetched the memory, so the next one is
-			// offered it too: reading the prompt by itself, it would hold up all that it decodes.
+			// A worker that never answered may not have fetched the memory, so the next one is offered
+			// it as well: prefilling the prompt itself would delay everything that it decodes.
 			if source != nil && t.node.isDown(source.Worker.ID) {
 				t.releaseSource(source)
 				source = nil
@@ -231,7 +233,8 @@
 	}
 }
 
-// releasePrefillReservation notes that a reading worker keeps nothing for this try any more.
+// releasePrefillReservation ends the reservation on the prefill worker, which keeps no memory for
+// this exchange any more.
 func (t *exchange) releasePrefillReservation() {
 	if t.prefilledAt != nil {
 		t.prefilledAt.release(true, t.node.now())
@@ -239,7 +242,7 @@
 	}
 }
 
-// freeSource gives memory back that nobody will fetch.
+// freeSource frees memory on the prefill worker that no worker will fetch.
 func (t *exchange) freeSource(source *Source) {
 	go func() {
 		callContext, stop := context.WithTimeout(context.Background(), time.Second)
@@ -248,7 +251,8 @@
 	}()
 }
 
-// giveUp answers at once: a refusal with when to come back where nothing ran.
+// giveUp ends the exchange at once: with a RejectedError and a retry delay if nothing ran, else with
+// an AbortedError.
 func (t *exchange) giveUp(err error, code int) error {
 	reason := "given up"
 	if err != nil {
@@ -264,7 +268,8 @@
 	return min(max(150*time.Millisecond, t.route.LatencyTarget()/4), max(50*time.Millisecond, t.remaining()/4))
 }
 
-// payRetry counts one more sending, and takes it from the shared budget unless it is the first.
+// payRetry counts one more attempt and charges it to the shared retry budget unless it is the first
+// or was charged before. It reports whether the attempt may be made.
 func (t *exchange) payRetry() bool {
 	if t.attemptsMade >= t.maxAttempts() ||
 		!t.retryPaid && (t.attemptsMade > 0 || t.failedPrefillUncounted) && !t.node.spendRetry() {
@@ -275,8 +280,8 @@
 	return true
 }
 
-// maxAttempts is how many times this request may be sent. One that was turned away because its memory
-// could not be fetched has run nowhere, so a worker may be sent it once more.
+// maxAttempts returns how many times this request may be sent. One that was rejected because its
+// memory could not be fetched has run nowhere, so it may be sent once more.
 func (t *exchange) maxAttempts() int {
 	limit := max(1, t.route.MaxAttempts)
 	if t.sourceLost {
@@ -285,8 +290,8 @@
 	return limit
 }
 
-// Parts of the retry budget that this node uses: what crosses on the way, and nodes that are not
-// known, leave a margin.
+// Shares of the retry budget that this node uses. The rest is a margin for messages in flight and for
+// nodes that are not known yet.
 const (
 	retryRatioShare     = 0.9
 	retryAllowanceShare = 0.8
@@ -294,48 +299,51 @@
 
 func (n *Node) spendRetry() bool { return n.spendBudgetShare(1) }
 
-// spendHedge takes one repeat while no more than a part of the budget is used.
+// spendHedge charges one hedge, which may use only hedgeBudgetShare of the retry budget.
 func (n *Node) spendHedge() bool { return n.spendBudgetShare(hedgeBudgetShare) }
 
-func (n *Node) spendBudgetShare(part float64) bool {
-	ratio := part * retryRatioShare * n.options.RetryRatio
-	allowance := part * retryAllowanceShare * float64(n.options.RetryAllowance) * n.nodeShare()
+func (n *Node) spendBudgetShare(share float64) bool {
+	ratio := share * retryRatioShare * n.options.RetryRatio
+	allowance := share * retryAllowanceShare * float64(n.options.RetryAllowance) * n.nodeShare()
 	if n.mayBeUncounted() {
 		allowance = 0
 	}
 	return n.budget.Spend(n.now(), ratio, allowance)
 }
 
-// reserveWorker books a worker for one sending; false if it may get nothing new by now, or is cold
-// and was sent enough.
-func (t *exchange) reserveWorker(c *pick, reads int) bool {
+// reserveWorker reserves a worker for one attempt: a prefill of that many tokens, or a decode if
+// prefillTokens is 0. It returns false if the worker may not get new requests any more, or is cold
+// and its slow-start rate is used up.
+func (t *exchange) reserveWorker(c *pick, prefillTokens int) bool {
 	gap, ok := t.node.slowStartDelay(c.worker.ID, t.service)
 	if !ok || gap > 0 && !t.node.slowStart.reserve(c.worker.ID, gap, t.node.now()) {
 		return false
 	}
-	var ms []uint64
-	if reads > 0 {
-		ms = t.prefixes
+	var prefixes []uint64
+	if prefillTokens > 0 {
+		prefixes = t.prefixes
 	}
-	c.state.beginRequest(reads, ms, t.node.now())
+	c.state.beginRequest(prefillTokens, prefixes, t.node.now())
 	c.outcomeRecorded = new(atomic.Bool)
 	c.request, c.urgency = t.outgoing, t.urgency()
-	more := t.request.MaxTokens
-	if reads > 0 {
-		more = 0
+	maxGrowth := t.request.MaxTokens
+	if prefillTokens > 0 {
+		maxGrowth = 0
 	}
-	c.reserve(t.request, more, t.node.now())
+	c.reserve(t.request, maxGrowth, t.node.now())
 	return true
 }
 
-// dialStep names the step of breakdowns where no connection came up.
+// dialStep is the step of failures in which no connection was established.
 const dialStep = "dial"
 
-// NotDialled makes the breakdown of a request that never left.
+// NotDialled returns the failure of a request that was never sent because no connection was
+// established.
 func NotDialled(err error, near string) error {
 	return failure.As(err, failure.NotExecuted, dialStep, near)
 }
 
+// recordWorkerError records a failed attempt in the worker's state, by the kind of failure.
 func (t *exchange) recordWorkerError(ctx context.Context, c *pick, err error, now ids.Tick) {
 	switch {
 	case failure.Is(err, failure.DataLost):
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -1,5 +1,5 @@
-// A Node joins the parts: the core's agent, the view of the configuration, the list of
-// workers and what is known of each.
+// The router node: it combines the coordination agent, the view of the configuration, the worker list
+// and the state of each worker.
 
 package proxy
 
@@ -22,7 +22,7 @@
 	"keelstair.example/rpc"
 )
 
-// Options of a node; zero spans and numbers take the defaults named beside them.
+// Options configure a node. Zero durations and numbers take the defaults given in the comments.
 type Options struct {
 	Name              string
 	Addr              string
@@ -31,51 +31,53 @@
 	Host              host.Host
 	Ring              *logging.Ring
 	Backend           Backend
-	ReadConfiguration fleetstate.ConfigurationReader // of the operators' text; fleetstate.Plain
-	// routing programs until the core has a set, beside the built-in order
+	ReadConfiguration fleetstate.ConfigurationReader // parses the operators' configuration; default fleetstate.Plain
+	// Programs are the routing programs, in addition to the built-in order, until the core has a set.
 	Programs      []routing.Source
-	ProgramSteps  uint64        // 20000: that one of these may take for one request
+	ProgramSteps  uint64        // 20000: step limit of one program for one request
 	LeaseDuration time.Duration // 3s
 	RenewInterval time.Duration // 500ms
-	ShareInterval time.Duration // 250ms between tellings of what is under way
-	ListInterval  time.Duration // 700ms between askings of the list of workers
-	ApplyMax      time.Duration // 2s from its acknowledgement until a version is in force everywhere
-	// 0: askings of the list a second that all nodes have; 0 is no bound
+	ShareInterval time.Duration // 250ms between reports of in-flight requests to peers
+	ListInterval  time.Duration // 700ms between requests for the worker list
+	ApplyMax      time.Duration // 2s from a version's acknowledgement until it is in force everywhere
+	// ListRate is the limit of requests for the list a second, of all nodes together; 0 is no limit.
 	ListRate           float64
-	RetryRatio         float64       // 0.2: repeats for each request
-	RetryWindow        time.Duration // 10s over which repeats are counted
-	RetryAllowance     int           // 0: repeats that all nodes have besides
-	SlowStartOvershoot float64       // 1.5: of a cold worker's rate
-	SlowStartAllowance int           // 5: requests besides that in a second
-	PrefillSilence     time.Duration // 2s: a reading worker that says nothing is left, besides what it has to read
-	HedgeFactor        float64       // 1.2: times what a read usually takes, before it is hedged; below 0 none is
-	DecodeSilence      time.Duration // 900ms: an emitting worker that says nothing is left, if the request may run again
-	PrefillTokensPerMs float64       // 50: prompt tokens that a worker reads in a ms
-	// 500ms between looks at whether a worker should change its part; below 0 never
+	RetryRatio         float64       // 0.2: retries for each request
+	RetryWindow        time.Duration // 10s over which retries are counted
+	RetryAllowance     int           // 0: additional retries in the window, of all nodes together
+	SlowStartOvershoot float64       // 1.5: factor on a cold worker's slow-start rate
+	SlowStartAllowance int           // 5: requests a second in addition
+	PrefillSilence     time.Duration // 2s: silence after which a prefill worker is given up, in addition to its estimated work
+	HedgeFactor        float64       // 1.2: multiple of the usual prefill time after which a prefill is hedged; negative disables hedging
+	DecodeSilence      time.Duration // 900ms: silence after which a decode worker is given up, if the request may be retried
+	PrefillTokensPerMs float64       // 50: prompt tokens that a worker prefills in a ms
+	// 500ms between decisions on role changes; negative disables them
 	RoleChangeInterval time.Duration
-	// 0.667: of a service's workers read while nothing is under way; below 0 none is turned for it
+	// 0.667: share of a service's workers in the prefill role while it is idle; negative makes no role
+	// changes for it
 	IdlePrefillShare float64
-	// 2s: that a worker whose failures stand out is left out at first; below 0 never
+	// 2s: duration of an outlier's first ejection; negative disables ejection
 	BaseEjection    time.Duration
-	MaxEjectedShare float64 // 0.34: of a service's part may be out at once, by failures
-	// 4: sendings that another node's word of a worker counts for; below 0 none is heard
+	MaxEjectedShare float64 // 0.34: share of a service's workers of one role that may be ejected at once
+	// 4: maximum weight, in requests, of another node's outcomes of a worker; negative ignores them
 	PeerWeight float64
-	// 5: ms that a worker counts as farther that lacks all the memory needed; below 0 none
+	// 5: cost in ms of a worker without any of the memory needed; negative disables it
 	NoCapacityCost float64
-	// 3: times its aim that a request may be reckoned to take before some are refused early; below 0 none is
+	// 3: multiple of a request's latency target that its estimated latency may reach before requests are
+	// rejected early; negative disables early rejection
 	AdmitFactor float64
-	// 1s: the age of what is known of workers beyond which none is refused early
+	// 1s: maximum age of the workers' loads for early rejection
 	AdmitMaxAge        time.Duration
-	MaxRejectedCallers int // 4096: refused callers that are remembered
-	FlatListNodes      int // 96: nodes up to which all ask the holder of the list
-	TreeWidth          int // 12: nodes that ask one other in a larger fleet
-	// Drain is called once as the node leaves: it lets no caller in any more, and returns
-	// when those that are in were answered or the context ends.
+	MaxRejectedCallers int // 4096: early-rejected callers that are remembered
+	FlatListNodes      int // 96: fleet size up to which all nodes ask the owner of the list
+	TreeWidth          int // 12: nodes that ask the same parent in a larger fleet
+	// Drain is called once as the node leaves. It accepts no new callers, and returns when the
+	// current ones were answered or the context ends.
 	Drain func(context.Context) error
-	// ClientLimitsChanged is called with the limits of each version that comes in force.
+	// ClientLimitsChanged is called with the limits of each version that comes into force.
 	ClientLimitsChanged func(fleetstate.ClientLimits)
 	Trace               func(Event)
-	// Usage is reported by it for each window, where both are set.
+	// UsageReporter reports usage for each UsageWindow, if both are set.
 	UsageReporter UsageReporter
 	UsageWindow   time.Duration
 }
@@ -111,11 +113,11 @@
 	}
 }
 
-// Counts are the node's figures since it started.
+// Counts are the node's counters since it started.
 type Counts struct {
 	Requests, Completed, Rejected, Aborted, Direct, Retries, RejectedEarly, Ejected, Readmitted, FaultNotices, Hedges, RejectedStale atomic.Int64
 
-	Unauthenticated atomic.Int64 // requests that were rejected for want of a known key
+	Unauthenticated atomic.Int64 // requests rejected for lack of a known key
 }
 
 // Node is one router node for opaque requests.
@@ -127,26 +129,26 @@
 	counts          Counts
 	metrics         *exchangemetrics.Metrics
 	budget          *retrybudget.Budget
-	scores          routing.Scores               // outlive the programs' sets
-	startupPrograms *fleetstate.CompiledPrograms // rules until the core has a set
+	scores          routing.Scores               // kept across program sets
+	startupPrograms *fleetstate.CompiledPrograms // routing programs until the core has a set
 	endpoints       atomic.Pointer[endpointList]
-	states          sync.Map // ids.WorkerID -> *state
+	states          sync.Map // ids.WorkerID -> *workerState
 	slowStart       slowStart
-	peerReports     sync.Map // ids.NodeID -> told
+	peerReports     sync.Map // ids.NodeID -> peerReport
 	parentSums      atomic.Pointer[parentSums]
-	listLatency     atomic.Int64 // ns that the platform took for the list, or for that of who gave it
+	listLatency     atomic.Int64 // ns that the platform took to answer the list request, here or at the node the list came from
 	listChanged     signal
-	failbacks       sync.Map // ids.Zone -> failback, of those that were evacuated
+	failbacks       sync.Map // ids.Zone -> failback, for zones that were evacuated
 	peerOutcomes    outcomeSums
-	outcomesChanged atomic.Bool  // an outcome is yet to be judged
-	ejections       atomic.Int64 // workers that are ejected or on probation
-	peerOutcomesAt  atomic.Int64 // ids.Tick when others' outcomes were heard
-	isolatedAt      atomic.Int64 // ids.Tick when nobody had been heard for a while, last
+	outcomesChanged atomic.Bool  // an outcome has not been evaluated yet
+	ejections       atomic.Int64 // number of workers that are ejected or on probation
+	peerOutcomesAt  atomic.Int64 // ids.Tick at which peers' outcomes last arrived
+	isolatedAt      atomic.Int64 // ids.Tick at which the node was last found isolated
 	loads           loadBoard
 	candidates      atomic.Pointer[candidateIndex]
 	admission       admission
 	serviceTimes    sync.Map      // service -> *serviceTimes
-	outages         chan struct{} // a worker was found to be down
+	outages         chan struct{} // signals that a worker was found down
 	retryAfter      handoff.RetryAfterScheduler
 	usage           *usageMeter // nil where usage is not reported
 	lastSnapshot    atomic.Pointer[fleetstate.Snapshot]
@@ -158,7 +160,7 @@
 	stop            context.CancelFunc
 }
 
-// New makes a node; it starts nothing.
+// New creates a node without starting anything.
 func New(options Options) (*Node, error) {
 	options.setDefaults()
 	n := &Node{
@@ -199,19 +201,19 @@
 
 func (n *Node) now() ids.Tick { return n.options.Host.Clock.Now() }
 
-// View shows what the node knows of the configuration.
+// View returns the node's view of the configuration.
 func (n *Node) View() *fleetstate.View { return n.view }
 
-// Directory is where the node knows others from.
+// Directory returns the node's directory of other processes.
 func (n *Node) Directory() *coordination.Directory { return n.agent.Directory() }
 
-// Counts gives the node's figures.
+// Counts returns the node's counters.
 func (n *Node) Counts() *Counts { return &n.counts }
 
-// ClientLimits tells what callers may send under the version in force.
+// ClientLimits returns the limits on callers' requests under the version in force.
 func (n *Node) ClientLimits() fleetstate.ClientLimits { return n.snapshot().Configuration.ClientLimits }
 
-// Mount puts the node's answers to its peers on a mux.
+// Mount registers the node's RPC handlers and the metrics endpoint.
 func (n *Node) Mount(mux *http.ServeMux) {
 	n.agent.Mount(mux)
 	rpc.Handle(mux, faultMethod, n.hear)
@@ -221,9 +223,9 @@
 	rpc.Handle(mux, pingMethod, func(context.Context, *Ack) (*Ack, error) { return &Ack{}, nil })
 }
 
-// Run works until the context ends; then it says that it is not ready, goes on for the
-// linger so that callers hear of it, has the door drained, and lets what is under way
-// finish within the grace.
+// Run runs the node until the context ends. It then reports not ready, keeps serving for the linger
+// period so that callers notice, drains the frontend, and lets in-flight requests finish within the
+// grace period.
 func (n *Node) Run(ctx context.Context, linger, grace time.Duration) {
 	inner := n.runContext
 	var wg sync.WaitGroup
@@ -239,7 +241,7 @@
 	if n.options.Drain != nil {
 		callContext, stop := context.WithTimeout(inner, max(0, grace-n.now().Since(began)))
 		if err := n.options.Drain(callContext); err != nil {
-			n.options.Ring.Info().AnErr("cause", err).Msg("shutdown: requests unanswered")
+			n.options.Ring.Info().AnErr("cause", err).Msg("shutdown: drain ended with unanswered requests")
 		}
 		stop()
 	}
@@ -252,7 +254,7 @@
 	n.options.Backend.Close()
 }
 
-// Summary is one line of where the time of the node's exchanges went.
+// Summary returns one line on how the time of the node's exchanges was spent.
 func (n *Node) Summary() string { return n.metrics.Summary() }
 
 // exportCounts adds the node's counts to its metrics.
@@ -275,10 +277,10 @@
 	}
 }
 
-// Leaving tells that the node was told to stop.
+// Leaving reports whether the node is shutting down.
 func (n *Node) Leaving() bool { return n.leaving.Load() }
 
-// Ready tells whether new work can be served here now, and if not, why.
+// Ready reports whether new requests can be served here now, and if not, why.
 func (n *Node) Ready() (bool, string) {
 	switch s := n.snapshot(); {
 	case n.leaving.Load():
@@ -293,7 +295,7 @@
 	return true, ""
 }
 
-// programsFor is the program set that a snapshot has, else the one the node began with.
+// programsFor returns a snapshot's program set, or else the set that the node started with.
 func (n *Node) programsFor(s *fleetstate.Snapshot) *fleetstate.CompiledPrograms {
 	if s.Programs != nil {
 		return s.Programs
@@ -301,16 +303,16 @@
 	return n.startupPrograms
 }
 
-// Scores tell how the programs fare at this node since it started, by name.
+// Scores returns the scores of the routing programs on this node since it started, by name.
 func (n *Node) Scores() *routing.Scores { return &n.scores }
 
-// nodeShare is one over the number of nodes that there may be.
+// nodeShare returns one over the estimated number of nodes.
 func (n *Node) nodeShare() float64 {
 	return 1 / float64(max(1, n.budget.Peers(n.now(), len(n.agent.Members()))))
 }
 
-// snapshot is what is in force. A zone that was taken back is noted before anything is sent
-// there, since its workers may have turned cold.
+// snapshot returns the configuration in force. The failback of a zone is recorded before any request
+// is sent there, since its workers may have become cold.
 func (n *Node) snapshot() *fleetstate.Snapshot {
 	s := n.view.Current()
 	if n.lastSnapshot.Load() == s {
@@ -333,7 +335,7 @@
 	return s
 }
 
-// logReadiness logs when the node turns ready or not.
+// logReadiness logs changes of the node's readiness.
 func (n *Node) logReadiness(ctx context.Context) {
 	last := "-"
 	for host.Sleep(ctx, 100*time.Millisecond) {
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -1,7 +1,7 @@
-// Which worker: every candidate that is cleared gets a cost in ms (what it has yet to
-// read, what waits there, how far it is), and the routing programs order them. Prompts
-// that begin alike fall to the same reading worker on every node, unless it is busier
-// than the reading anew is worth.
+// Worker selection: every eligible worker gets a cost in milliseconds (uncached prompt tokens,
+// queue and zone distance), and the routing programs order the candidates. Prompts with a common
+// prefix go to the same prefill worker from every node, unless its queue costs more than
+// prefilling the prefix again elsewhere.
 
 package proxy
 
@@ -20,22 +20,23 @@
 )
 
 const (
-	loadTTL           = 400 * time.Millisecond // how long a worker's word of its load counts
-	queuedPrefillCost = 3.0                    // ms for each prompt, besides its tokens
-	// how much more reading counts than waiting: others wait for it too, and what is read where no
-	// other node looks for it is read again
+	loadTTL           = 400 * time.Millisecond // validity of the load that a worker reports with an answer
+	queuedPrefillCost = 3.0                    // ms for each queued prompt, in addition to its tokens
+	// reprefillWeight is the weight of prefill time relative to queueing time. It is above 1 because
+	// other requests wait for the prefill too, and because a prefix that is cached where no other
+	// node looks for it is prefilled again.
 	reprefillWeight       = 16.0
-	crossZoneCost         = 4.0                    // ms for another zone
-	crossZoneKilobyteCost = 0.8                    // ms for each KB that goes to another zone
-	unhealthyCost         = 500.0                  // ms for a worker that fails all, where it is used though
+	crossZoneCost         = 4.0                    // ms for a worker in another zone
+	crossZoneKilobyteCost = 0.8                    // ms for each KB sent to another zone
+	unhealthyCost         = 500.0                  // ms for a worker that fails every request but is still a candidate
 	pickMaxAge            = 100 * time.Millisecond // then another pick is made after a dial that failed
-	maxCandidates         = 8                      // candidates that programs see
-	shortPrompt           = 1024                   // prompt tokens that hold up nobody
-	longPrompt            = 64 * shortPrompt       // more than that is one rank
+	maxCandidates         = 8                      // candidates that are passed to the routing programs
+	shortPrompt           = 1024                   // prompt tokens up to which a prefill delays no other request noticeably
+	longPrompt            = 64 * shortPrompt       // prompt tokens above which all prompts have the same rank
 )
 
-// prefixHashes are the hashes of a prompt's beginnings that others may share: all its parts but
-// the last, one after the other.
+// prefixHashes returns the hash and the token count of each prefix of a prompt that other requests
+// may share: those that end at a segment boundary before the last segment, shortest first.
 func prefixHashes(r *Request) ([]uint64, []int) {
 	var out []uint64
 	var toks []int
@@ -51,51 +52,53 @@
 	return out, toks
 }
 
+// pick is a candidate worker for one request, and what was reserved for the request there.
 type pick struct {
 	worker          *Worker
 	state           *workerState
 	hash            uint64
 	cost            float64
-	uncachedTokens  int           // prompt tokens it has yet to read
-	prefillTime     time.Duration // that they are reckoned to take
-	expectedLatency time.Duration // until they are reckoned to be read
+	uncachedTokens  int           // prompt tokens without a cached prefix here
+	prefillTime     time.Duration // estimated time to prefill uncachedTokens
+	expectedLatency time.Duration // prefillTime and the estimated queueing time
 	affinity        float64
 	activeRequests  int
 	reservation     *reservation
-	capacityBlocks  int // blocks; 0 if nothing fresh is known
+	capacityBlocks  int // 0 without a recent report
 	freeBlocks      int
-	eventGap        time.Duration // between its events, of late; 0 if not known
-	failureRate     float64       // rate of failures, if they stand out
-	outcomeRecorded *atomic.Bool  // its outcome is noted
-	request         *Request      // as it is sent to this worker
-	urgency         int           // with which it is sent
+	eventGap        time.Duration // recent mean interval between its events; 0 if unknown
+	failureRate     float64       // failure rate if it is an outlier, else 0
+	outcomeRecorded *atomic.Bool  // set once the outcome is recorded
+	request         *Request      // the request as sent to this worker
+	urgency         int           // the urgency it is sent with
 }
 
-// sortKey is what is sorted in a pick's stead, since it is small and holds no pointers.
+// sortKey is sorted in place of a pick because it is small and holds no pointers.
 type sortKey struct {
 	cost, tie float64
 	index     int
 }
 
-// reserve books the memory of a request and of so many tokens that it may grow by.
-func (c *pick) reserve(r *Request, more int, now ids.Tick) {
+// reserve reserves memory for a request's prompt and up to maxGrowth further tokens.
+func (c *pick) reserve(r *Request, maxGrowth int, now ids.Tick) {
 	own := r.Prompt
 	for i := 0; i+1 < len(r.Segments); i++ {
 		own -= r.Segments[i].Tokens
 	}
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
-	c.reservation = c.state.memory.reserve(ids.Blocks(r.Prompt+more, blockSize), max(0, own)/blockSize, now)
+	c.reservation = c.state.memory.reserve(ids.Blocks(r.Prompt+maxGrowth, blockSize), max(0, own)/blockSize, now)
 }
 
-// release ends that; took tells whether the worker may have had it.
-func (c *pick) release(took bool, now ids.Tick) {
+// release ends the reservation; used reports whether the worker may have allocated the memory.
+func (c *pick) release(used bool, now ids.Tick) {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
-	c.state.memory.release(c.reservation, took, now)
+	c.state.memory.release(c.reservation, used, now)
 }
 
-// applyMemory notes what is free, and adds the cost of lacking room. The state is locked.
+// applyMemory records the free memory and adds the cost of a shortage. The caller holds the
+// state's lock.
 func (c *pick) applyMemory(need int, noRoom float64, now ids.Tick) {
 	free, ok := c.state.memory.free(now)
 	if !ok {
@@ -107,19 +110,20 @@
 	}
 }
 
-// eligibleWorkers lists the workers of a service that may get new work of a part now. Those that
-// are to be left alone come only if no other is there.
+// eligibleWorkers lists the workers of a service that may get new requests for a role now. Ejected
+// and suspected workers are returned only if there is no healthy one, and workers within their
+// avoidance period only if there is no other at all.
 func (n *Node) eligibleWorkers(
 	s *fleetstate.Snapshot,
 	service *fleetstate.Service,
 	role ids.Role,
 	tried map[ids.WorkerID]bool,
 ) []pick {
-	var good, out, shy []pick
+	var healthy, held, avoided []pick
 	now := n.now()
 	list := n.endpoints.Load()
 	rows := n.candidateIndexFor(list, s).byRole[serviceRole{service.Name, role}]
-	good = make([]pick, 0, len(rows))
+	healthy = make([]pick, 0, len(rows))
 	for i := range rows {
 		e := &rows[i]
 		if tried[e.id] {
@@ -131,41 +135,42 @@
 			continue
 		}
 		c.state.mu.Lock()
-		shun, left := now.Before(c.state.avoidUntil), c.state.replaced
-		held := !shun && (c.state.suspected || c.state.outlier.blocked(now, n.options.ShareInterval))
+		avoid, replaced := now.Before(c.state.avoidUntil), c.state.replaced
+		hold := !avoid && (c.state.suspected || c.state.outlier.blocked(now, n.options.ShareInterval))
 		c.failureRate = c.state.outlier.failureRate
 		c.state.mu.Unlock()
-		if left {
+		if replaced {
 			continue
 		}
-		if shun {
-			shy = append(shy, c)
-		} else if held {
-			out = append(out, c)
+		if avoid {
+			avoided = append(avoided, c)
+		} else if hold {
+			held = append(held, c)
 		} else {
-			good = append(good, c)
+			healthy = append(healthy, c)
 		}
 	}
-	if len(good) > 0 {
-		return good
+	if len(healthy) > 0 {
+		return healthy
 	}
-	if len(out) > 0 {
-		return out
+	if len(held) > 0 {
+		return held
 	}
-	return shy
+	return avoided
 }
 
-// slowStartAllows tells whether a worker may get a request now, and the pause before another one if
-// it is cold. To a node that is cut off any may be cold.
-func (n *Node) slowStartAllows(w *Worker, service *fleetstate.Service, got, now ids.Tick) (time.Duration, bool) {
-	if n.coldFor(w, service, got, now) <= 0 && (service.SlowStartRate <= 0 || !n.isolated(now)) {
+// slowStartAllows reports whether a worker may get a request now, and the minimum interval before
+// the next one if it is cold. A node that is cut off treats every worker as cold.
+func (n *Node) slowStartAllows(w *Worker, service *fleetstate.Service, received, now ids.Tick) (time.Duration, bool) {
+	if n.coldFor(w, service, received, now) <= 0 && (service.SlowStartRate <= 0 || !n.isolated(now)) {
 		return 0, true
 	}
 	gap, ok := n.slowStartInterval(w.ID, service)
 	return gap, ok && n.slowStart.allows(w.ID, gap, now)
 }
 
-// slowStartDelay is the same of a worker that was chosen some time ago, before others were tried.
+// slowStartDelay repeats the check of slowStartAllows for a worker that was picked some time ago,
+// before others were tried.
 func (n *Node) slowStartDelay(id ids.WorkerID, service *fleetstate.Service) (time.Duration, bool) {
 	list := n.endpoints.Load()
 	w := list.find(id)
@@ -175,9 +180,9 @@
 	return n.slowStartAllows(w, service, list.receivedAt, n.now())
 }
 
-// slowStartInterval is the pause that this node keeps between requests to a cold worker, so that all
-// nodes together stay under what it bears; where there are more nodes than it bears
-// requests, only some may send.
+// slowStartInterval returns the minimum interval between this node's requests to a cold worker, so
+// that all nodes together stay below the worker's slow-start rate. If there are more nodes than the
+// worker may get requests a second, only some nodes may send to it; false for the others.
 func (n *Node) slowStartInterval(id ids.WorkerID, service *fleetstate.Service) (time.Duration, bool) {
 	bound := int(service.SlowStartRate*n.options.SlowStartOvershoot) + n.options.SlowStartAllowance - 2
 	peers := int(math.Round(1 / n.nodeShare()))
@@ -190,6 +195,7 @@
 	return 1050 * time.Millisecond, coordination.Rank(fleetstate.WorkerKey(id), n.self.Node, n.agent.Members()) < bound
 }
 
+// zoneCost returns the cost in ms of sending a body to a worker in another zone.
 func (n *Node) zoneCost(w *Worker, bytes int) float64 {
 	if w.Zone == n.self.Zone {
 		return 0
@@ -197,7 +203,7 @@
 	return crossZoneCost + crossZoneKilobyteCost*float64(bytes)/1024
 }
 
-// prefillCandidates orders the workers that may read a prompt.
+// prefillCandidates returns the workers that may prefill a prompt, best first.
 func (n *Node) prefillCandidates(
 	programs *routing.ProgramSet,
 	s *fleetstate.Snapshot,
@@ -239,7 +245,8 @@
 	return n.orderCandidates(programs, r, ids.Prefill, list)
 }
 
-// decodeCandidates orders the workers that may decode, near the memory and near here.
+// decodeCandidates returns the workers that may decode, best first. Workers near this node and near
+// the prefill worker, if there is one, are preferred.
 func (n *Node) decodeCandidates(
 	programs *routing.ProgramSet,
 	s *fleetstate.Snapshot,
@@ -276,9 +283,10 @@
 	return n.orderCandidates(programs, r, ids.Decode, list)
 }
 
-// orderCandidates asks the routing programs, cheapest first.
+// orderCandidates sorts the candidates by cost and has the routing programs reorder the cheapest.
 func (n *Node) orderCandidates(programs *routing.ProgramSet, r *Request, role ids.Role, list []pick) []pick {
-	// Among equals the request decides, so that nodes that know little crowd no worker.
+	// The request's hash breaks ties, so that nodes with little load information do not all choose
+	// the same worker.
 	own := ids.Hash(r.ID)
 	ranks := make([]sortKey, len(list))
 	for i := range list {
@@ -308,7 +316,7 @@
 		Priced:  true,
 	}
 	cands := make([]routing.Candidate, len(head))
-	reports := true // room is told in blocks if it is known of all, else in places
+	reports := true // capacity is given in memory blocks if known for all candidates, else in concurrent requests
 	for i := range head {
 		reports = reports && head[i].capacityBlocks > 0
 	}
@@ -337,11 +345,11 @@
 	return out
 }
 
-// urgencyRank is how urgent a reading is to its worker, 0 first: a long one holds up the short
-// ones behind it, so each fourfold of what is to be read counts as much as two ranks of
-// the route.
-func urgencyRank(urgency, need int) int {
-	for limit := shortPrompt; need > limit && limit < longPrompt; limit *= 4 {
+// urgencyRank returns the rank of a prefill in its worker's queue, 0 first. A long prefill delays
+// the short ones behind it, so each factor of four in uncached tokens adds two to the route's
+// urgency.
+func urgencyRank(urgency, uncachedTokens int) int {
+	for limit := shortPrompt; uncachedTokens > limit && limit < longPrompt; limit *= 4 {
 		urgency += 2
 	}
 	return min(urgency, 9)
