--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -1,8 +1,8 @@
-// Refusing early: where half of a service's places are taken and what is to be read first
-// brings a request far beyond its aim, it is refused before any worker is offered it, and told
-// when to come back; less urgent routes first, more of them the more there is ahead, so that
-// nodes, which all see the same a moment late, do not refuse all at once. Who comes back
-// before it was told to is refused first.
+// Early rejection: if half of a service's concurrency is in use and the prefill queue would make a
+// request miss its latency target by far, it is rejected with a retry delay before any worker is
+// offered it. Less urgent routes are rejected first. The share of rejected requests grows with the
+// queue, so that the nodes, which all see the same slightly old loads, do not reject everything at
+// once. Callers that return before their retry delay is over are rejected first.
 
 package proxy
 
@@ -20,36 +20,38 @@
 )
 
 const (
-	admitHysteresis = 0.7 // of where refusing began, it ends
-	// what is ahead counts less for each more urgent class, which overtakes it
+	admitHysteresis = 0.7 // rejection ends at this multiple of the threshold at which it began
+	// admitClassFactor discounts the estimated latency for each less urgent class of the service,
+	// whose requests this one overtakes in the queue.
 	admitClassFactor = 2.0
-	admitViewTTL     = 25 * time.Millisecond  // how long one reckoning of a service serves
-	admitEpoch       = 700 * time.Millisecond // in which a request that is repeated fares alike on every node
-	minRetryAfter    = 20 * time.Millisecond  // before a caller is to come back
-	retryAfterShare  = 0.3                    // of the time left, which callers will wait
+	admitViewTTL     = 25 * time.Millisecond  // validity of a service's computed pressure
+	admitEpoch       = 700 * time.Millisecond // period in which a repeated request gets the same draw on every node
+	minRetryAfter    = 20 * time.Millisecond  // smallest retry delay
+	retryAfterShare  = 0.3                    // share of a request's remaining time that its retry delay may take
 )
 
-// servicePressure is how a service stands as this node knows it.
+// servicePressure is the load of a service as known to this node.
 type servicePressure struct {
 	at         ids.Tick
-	loadsKnown bool    // the view is young enough
-	halfFull   bool    // half of its places are taken
-	queueMs    float64 // ms of reading at the best reading worker
+	loadsKnown bool    // recent loads are known for at least half of the concurrency
+	halfFull   bool    // at least half of the known concurrency is in use
+	queueMs    float64 // ms of queued prefills at the least loaded prefill worker; negative if there is none
 }
 
-// admission is what refuses early.
+// admission is the state of early rejection.
 type admission struct {
-	pressures sync.Map // service -> *pressure
-	rejecting sync.Map // service and rank -> *atomic.Bool: it refuses
+	pressures sync.Map // service -> *servicePressure
+	rejecting sync.Map // service and rank -> *atomic.Bool, true while rejecting
 	rejected  rejectedCallers
 }
 
-// rejectedCallers remembers who was told to come back when, of two generations.
+// rejectedCallers records when rejected callers may return, in two generations of bounded size.
 type rejectedCallers struct {
 	mu              sync.Mutex
 	recent, earlier map[uint64]ids.Tick
 }
 
+// remember records that a caller may return at the tick due.
 func (c *rejectedCallers) remember(who uint64, due ids.Tick, limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,15 +61,15 @@
 	c.recent[who] = due
 }
 
-// earlyBy gives how much sooner than told a caller came.
+// earlyBy returns how long before its retry delay was over a caller came back.
 func (c *rejectedCallers) earlyBy(who uint64, now ids.Tick) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return max(0, c.recent[who].Since(now), c.earlier[who].Since(now))
 }
 
-// callerHash tells requests apart but not the tries of one: no header names a caller, but the
-// last part of a prompt is the request's or its session's own.
+// callerHash identifies the caller of a request, the same for all its attempts. No header names a
+// caller, but the last segment of a prompt is specific to the request or its session.
 func callerHash(r *Request) uint64 {
 	h := fnv.New64a()
 	for _, s := range []string{r.Host, r.Target, r.Model, strconv.Itoa(r.Prompt), strconv.Itoa(r.MaxTokens)} {
@@ -82,7 +84,8 @@
 	return h.Sum64()
 }
 
-// admitDraw is a number from 0 to 1, the same on every node for some moment.
+// admitDraw returns a pseudo-random number from 0 to 1 for a caller, the same on every node within an
+// admitEpoch.
 func admitDraw(who uint64, wall time.Time) float64 {
 	who ^= uint64(wall.UnixNano()/int64(admitEpoch)) * 0x9e3779b97f4a7c15
 	who ^= who >> 33
@@ -91,37 +94,37 @@
 	return float64(who>>11) / (1 << 53)
 }
 
-// servicePressure reckons how a service stands.
+// servicePressure computes the load of a service, or returns a recently computed one.
 func (n *Node) servicePressure(service *fleetstate.Service, list *endpointList, s *fleetstate.Snapshot) *servicePressure {
 	now := n.now()
 	if v, ok := n.admission.pressures.Load(service.Name); ok && !now.Past(v.(*servicePressure).at, admitViewTTL) {
 		return v.(*servicePressure)
 	}
 	p := &servicePressure{at: now, queueMs: -1}
-	shy := -1.0 // ahead at the best of those that turned something away just now
+	avoidedQueueMs := -1.0 // as queueMs, over the workers within their avoidance period
 	t := n.candidateIndexFor(list, s)
-	var taken, seen, slots int
+	var used, known, total int
 	for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
 		for _, e := range t.byRole[serviceRole{service.Name, role}] {
 			if role == ids.Decode && e.role == "" && len(t.byRole[serviceRole{service.Name, ids.Prefill}]) > 0 {
-				continue // counted
+				continue // counted as a prefill worker
 			}
-			places := max(1, list.workers[e.index].Concurrency)
-			slots += places
+			concurrency := max(1, list.workers[e.index].Concurrency)
+			total += concurrency
 			e.state.mu.Lock()
-			off := now.Before(e.state.avoidUntil)
+			avoided := now.Before(e.state.avoidUntil)
 			ahead, count := e.state.queuedPrefills(now)
-			busy, young := e.state.activeRequests(now, n.options.AdmitMaxAge)
+			active, recent := e.state.activeRequests(now, n.options.AdmitMaxAge)
 			e.state.mu.Unlock()
-			if young {
-				seen, taken = seen+places, taken+max(busy, count)
+			if recent {
+				known, used = known+concurrency, used+max(active, count)
 			}
 			if role != ids.Prefill {
 				continue
 			}
 			best := &p.queueMs
-			if off {
-				best = &shy
+			if avoided {
+				best = &avoidedQueueMs
 			}
 			if ms := float64(ahead)/n.options.PrefillTokensPerMs + queuedPrefillCost*float64(count); *best < 0 ||
 				ms < *best {
@@ -130,15 +133,15 @@
 		}
 	}
 	if p.queueMs < 0 {
-		p.queueMs = shy
+		p.queueMs = avoidedQueueMs
 	}
-	p.loadsKnown = seen*2 >= slots && seen > 0
-	p.halfFull = taken*2 >= seen
+	p.loadsKnown = known*2 >= total && known > 0
+	p.halfFull = used*2 >= known
 	n.admission.pressures.Store(service.Name, p)
 	return p
 }
 
-// admit refuses a request that would come late while places are short.
+// admit rejects a request that would miss its latency target by far while the service is under load.
 func (t *exchange) admit(s *fleetstate.Snapshot) error {
 	n, now := t.node, t.node.now()
 	list := n.endpoints.Load()
@@ -150,35 +153,35 @@
 	if !p.loadsKnown || !p.halfFull || p.queueMs < 0 {
 		return nil
 	}
-	due := p.queueMs + float64(t.request.Prompt)/n.options.PrefillTokensPerMs
-	aim := max(1, float64((t.route.LatencyTarget()-now.Since(t.request.At))/time.Millisecond))
+	latencyMs := p.queueMs + float64(t.request.Prompt)/n.options.PrefillTokensPerMs
+	targetMs := max(1, float64((t.route.LatencyTarget()-now.Since(t.request.At))/time.Millisecond))
 	rank := 0
 	for _, u := range n.candidateIndexFor(list, s).urgencies[t.service.Name] {
 		if u > t.urgency() {
 			rank++
 		}
 	}
-	due /= 1 + admitClassFactor*float64(rank)
-	begin := n.options.AdmitFactor
+	latencyMs /= 1 + admitClassFactor*float64(rank)
+	threshold := n.options.AdmitFactor
 	v, _ := n.admission.rejecting.LoadOrStore(t.service.Name+"/"+strconv.Itoa(rank), &atomic.Bool{})
-	on := v.(*atomic.Bool)
-	over := due / aim
-	floor := begin
-	if on.Load() {
+	rejecting := v.(*atomic.Bool)
+	ratio := latencyMs / targetMs
+	floor := threshold
+	if rejecting.Load() {
 		floor *= admitHysteresis
 	}
-	on.Store(over > floor)
-	who := callerHash(t.request)
-	if early := n.admission.rejected.earlyBy(who, now); early > 0 && over > floor {
+	rejecting.Store(ratio > floor)
+	caller := callerHash(t.request)
+	if early := n.admission.rejected.earlyBy(caller, now); early > 0 && ratio > floor {
 		return t.reject(early, "come back too soon")
 	}
-	if due < float64(t.remaining()/time.Millisecond) && admitDraw(
-		who, n.options.Host.Clock.Wall(),
-	) >= (over-floor)/begin {
+	if latencyMs < float64(t.remaining()/time.Millisecond) && admitDraw(
+		caller, n.options.Host.Clock.Wall(),
+	) >= (ratio-floor)/threshold {
 		return nil
 	}
 	after := t.retryAfterHint()
-	n.admission.rejected.remember(who, now.Add(after), n.options.MaxRejectedCallers)
+	n.admission.rejected.remember(caller, now.Add(after), n.options.MaxRejectedCallers)
 	return t.reject(after, "it would come late")
 }
 
@@ -192,7 +195,7 @@
 	}
 }
 
-// retryAfterHint books an appointment, within what the caller will wait.
+// retryAfterHint schedules the caller's return, within the time that it is expected to wait.
 func (t *exchange) retryAfterHint() time.Duration {
 	limit := time.Duration(retryAfterShare * float64(t.remaining()))
 	after := t.node.retryAfter.Next(t.node.now(), t.node.counts.Completed.Load(), t.retryAfter())
--- a/internal/proxy/candidate_index.go
+++ b/internal/proxy/candidate_index.go
@@ -1,5 +1,6 @@
-// The workers that may get new work, by service and part, made once for each version of the
-// list and of the snapshot, so that no request walks the whole list or hashes a worker's id.
+// Index of the workers that may get new requests, by service and role. It is built once for each
+// version of the list and the snapshot, so that no request scans the whole list or hashes a worker's
+// id.
 
 package proxy
 
@@ -11,7 +12,7 @@
 	"keelstair.example/internal/routing"
 )
 
-// candidate is a worker's place in the list with what does not change with a request.
+// candidate is a worker's index in the list with the data that is the same for all requests.
 type candidate struct {
 	index int
 	id    ids.WorkerID
@@ -20,12 +21,13 @@
 	state *workerState
 }
 
-// serviceRole is a part that a service's workers can play; one that knows no parts plays both.
+// serviceRole is a role of a service's workers. A worker without a role is indexed under both.
 type serviceRole struct {
 	service string
 	role    ids.Role
 }
 
+// candidateIndex is the index for one version of the list and one snapshot.
 type candidateIndex struct {
 	seq       uint64
 	snapshot  *fleetstate.Snapshot
@@ -33,7 +35,7 @@
 	urgencies map[string][]int // by service: the urgencies of its routes, least urgent first
 }
 
-// candidateIndexFor gives the table of a list under a snapshot.
+// candidateIndexFor returns the index of a list under a snapshot, and builds it if necessary.
 func (n *Node) candidateIndexFor(list *endpointList, s *fleetstate.Snapshot) *candidateIndex {
 	if t := n.candidates.Load(); t != nil && t.seq == list.seq && t.snapshot == s {
 		return t
@@ -53,6 +55,7 @@
 	return t
 }
 
+// urgencyClasses returns the distinct urgencies of each service's routes, least urgent first.
 func urgencyClasses(s *fleetstate.Snapshot) map[string][]int {
 	out := map[string][]int{}
 	add := func(service string, urgency int) {
@@ -78,7 +81,7 @@
 	return out
 }
 
-// routeUrgencies lists how urgent a route's requests may be, by who sends them.
+// routeUrgencies lists the urgencies that a route's requests may have, depending on the tenant.
 func routeUrgencies(c *fleetstate.Configuration, route *fleetstate.Route) []int {
 	var out []int
 	if c.Tenants == nil || route.Public {
@@ -91,17 +94,18 @@
 	return slices.Compact(out)
 }
 
-// prefixHome is the reading worker that a beginning falls to, of those that are not out.
-func prefixHome(mark uint64, rows []candidate, out func(ids.WorkerID) bool) ids.WorkerID {
-	var top ids.WorkerID
+// prefixHome returns the prefill worker that a prefix hash is assigned to by rendezvous hashing, among
+// those that are not ejected.
+func prefixHome(prefix uint64, rows []candidate, ejected func(ids.WorkerID) bool) ids.WorkerID {
+	var home ids.WorkerID
 	best := -1.0
 	for i := range rows {
-		if rows[i].role != ids.Prefill || out(rows[i].id) {
+		if rows[i].role != ids.Prefill || ejected(rows[i].id) {
 			continue
 		}
-		if a := routing.Mix(mark, rows[i].hash); a > best {
-			best, top = a, rows[i].id
+		if weight := routing.Mix(prefix, rows[i].hash); weight > best {
+			best, home = weight, rows[i].id
 		}
 	}
-	return top
+	return home
 }
--- a/internal/proxy/decode_exchange.go
+++ b/internal/proxy/decode_exchange.go
@@ -1,5 +1,5 @@
-// The decode half of an exchange: the request is offered to a worker that emits the answer, with
-// the memory of its prompt if there is one.
+// The decode phase of an exchange: the request is sent to a worker that generates the answer, with the
+// source of its prompt's memory if there is one.
 
 package proxy
 
@@ -12,7 +12,8 @@
 	"keelstair.example/internal/handoff"
 )
 
-// decode offers the request to a worker. Away means that there is none or no try left.
+// decode sends the request to a decode worker. An Unavailable failure means that there is no worker or
+// no attempt left.
 func (t *exchange) decode(ctx context.Context, source *Source) (*pick, *Response, error) {
 	for round := 0; ; round++ {
 		picked, again := t.node.now(), false
@@ -61,47 +62,47 @@
 			continue
 		}
 		if t.attemptsMade >= t.maxAttempts() {
-			return nil, nil, failure.New(failure.Unavailable, "emit", t.service.Name, "no try is left")
+			return nil, nil, failure.New(failure.Unavailable, "emit", t.service.Name, "no attempt is left")
 		}
 		if round > 2 || !host.Sleep(ctx, 30*time.Millisecond) {
-			return nil, nil, failure.New(failure.Unavailable, "emit", t.service.Name, "no worker may take it")
+			return nil, nil, failure.New(failure.Unavailable, "emit", t.service.Name, "no worker accepts the request")
 		}
 	}
 }
 
-// offer sends to one worker. A silent one is left for another only where the request may
-// run again.
+// offer sends the request to one worker. A silent worker is abandoned for another only if the request
+// may be retried.
 func (t *exchange) offer(ctx context.Context, c *pick, source *Source) (*Response, error) {
 	callContext, stop := context.WithCancelCause(ctx)
-	g := &supervisedBody{exchange: t, pick: c, stop: stop}
+	body := &supervisedBody{exchange: t, pick: c, stop: stop}
 	if t.mayRetryDecode() {
-		g.attempt = &attempt{stop}
-		c.state.addAttempt(g.attempt)
-		g.deadlineTimer = time.AfterFunc(t.decodeSilenceTimeout(), func() { stop(errWorkerSilent) })
+		body.attempt = &attempt{stop}
+		c.state.addAttempt(body.attempt)
+		body.deadlineTimer = time.AfterFunc(t.decodeSilenceTimeout(), func() { stop(errWorkerSilent) })
 	} else {
-		g.silenceTimer = time.AfterFunc(t.decodeSilenceTimeout(), func() { t.node.recordOutcome(c, false) })
+		body.silenceTimer = time.AfterFunc(t.decodeSilenceTimeout(), func() { t.node.recordOutcome(c, false) })
 	}
 	times := t.node.serviceTimesFor(t.service.Name)
-	g.times, g.lastByteAt = times, t.node.now()
-	g.probeTimer = time.AfterFunc(times.firstEvent.Suspicious(alarmQuietPeriod), func() { t.node.suspect(*c.worker) })
+	body.times, body.lastByteAt = times, t.node.now()
+	body.probeTimer = time.AfterFunc(times.firstEvent.Suspicious(alarmQuietPeriod), func() { t.node.suspect(*c.worker) })
 	reply, err := t.node.options.Backend.Decode(
 		callContext, *c.worker, c.request, source, t.lastEventID, t.remaining(), c.urgency,
 	)
 	if err != nil {
-		g.stopTimers()
+		body.stopTimers()
 		return nil, err
 	}
-	g.ReadCloser, reply.Body = reply.Body, g
+	body.ReadCloser, reply.Body = reply.Body, body
 	return reply, nil
 }
 
-// mayRetryDecode tells whether this try may run once more.
+// mayRetryDecode reports whether the request may be sent once more after this attempt.
 func (t *exchange) mayRetryDecode() bool {
 	return t.route.MayRetry() && t.attemptsMade < t.maxAttempts()
 }
 
-// decodeSilenceTimeout is how long an emitting worker may say nothing before a request that may run
-// again goes elsewhere.
+// decodeSilenceTimeout returns how long a decode worker may be silent before a request that may be
+// retried is sent to another worker.
 func (t *exchange) decodeSilenceTimeout() time.Duration {
 	return max(t.node.options.DecodeSilence, 2*t.route.LatencyTarget())
 }
--- a/internal/proxy/event_gap.go
+++ b/internal/proxy/event_gap.go
@@ -1,6 +1,6 @@
-// How fast workers emit, by the pauses between the events of their answers as this node sees them. A
-// worker that is far slower than others gets fewer answers to emit, though it has places left: with
-// too long pauses an answer is late to the end.
+// Decode speed of workers, by the pauses between the events of their answers as this node sees them. A
+// worker that is far slower than others gets fewer requests, even if it has free capacity: an answer
+// whose pauses are too long is late until its end.
 
 package proxy
 
@@ -12,25 +12,26 @@
 )
 
 const (
-	eventGapGain    = 16          // one so-manieth is the weight of a new pause
-	eventGapTTL     = time.Second // after which a worker's pauses say nothing any more, so that it is tried
-	slowDecodeRatio = 2.0         // times the usual pause, from which on a worker is slow
-	slowDecodeCost  = 100.0       // ms for each time more
+	eventGapGain    = 16          // a new pause has the weight 1/eventGapGain
+	eventGapTTL     = time.Second // age above which a worker's pauses are ignored, so that it is tried again
+	slowDecodeRatio = 2.0         // multiple of the usual pause above which a worker is slow
+	slowDecodeCost  = 100.0       // ms for each further multiple
 )
 
-// eventGap is the usual pause between the events of a worker's answers, as this node sees it.
+// eventGap is the moving average of the pauses between the events of a worker's answers.
 type eventGap struct {
 	mean time.Duration
 	at   ids.Tick
 }
 
+// observeEventGap records a pause between two events.
 func (s *workerState) observeEventGap(pause time.Duration, now ids.Tick) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.eventGap.observe(pause, now)
 }
 
-// observe takes a pause.
+// observe records a pause.
 func (g *eventGap) observe(pause time.Duration, now ids.Tick) {
 	if now.Past(g.at, eventGapTTL) {
 		g.mean = pause
@@ -40,7 +41,7 @@
 	g.at = now
 }
 
-// current gives the usual pause; 0 if none was seen of late.
+// current returns the mean pause; 0 if none was seen within eventGapTTL.
 func (g *eventGap) current(now ids.Tick) time.Duration {
 	if now.Past(g.at, eventGapTTL) {
 		return 0
@@ -48,7 +49,8 @@
 	return g.mean
 }
 
-// addSlowDecodeCost adds a cost to workers whose events come at far longer pauses than those of others.
+// addSlowDecodeCost adds a cost to workers whose pauses between events are far longer than those of
+// others.
 func addSlowDecodeCost(list []pick) {
 	var gaps []time.Duration
 	for i := range list {
@@ -60,7 +62,7 @@
 		return
 	}
 	slices.Sort(gaps)
-	usual := gaps[(len(gaps)-1)/4] // so that half of the workers may be slow
+	usual := gaps[(len(gaps)-1)/4] // the lower quartile, so that half of the workers may be slow
 	for i := range list {
 		if beyond := float64(list[i].eventGap)/float64(usual) - slowDecodeRatio; beyond > 0 {
 			list[i].cost += slowDecodeCost * beyond
--- a/internal/proxy/exchange_timing.go
+++ b/internal/proxy/exchange_timing.go
@@ -1,4 +1,4 @@
-// When the steps of an exchange happened, for the metrics.
+// Timestamps of the steps of an exchange, for the metrics.
 
 package proxy
 
@@ -9,7 +9,7 @@
 	"keelstair.example/internal/exchangemetrics"
 )
 
-// exchangeTiming holds the moments of one exchange's steps; zero for a step that there was not.
+// exchangeTiming holds the timestamps of one exchange's steps; zero for a step that did not happen.
 type exchangeTiming struct {
 	prefillSent, prefillEnded ids.Tick
 	prefillExpected           time.Duration
@@ -17,7 +17,7 @@
 	longestPause              time.Duration
 }
 
-// recordEvents notes that events went out to the caller.
+// recordEvents records that events were sent to the caller.
 func (e *exchangeTiming) recordEvents(now ids.Tick) {
 	if e.firstEvent == 0 {
 		e.firstEvent = now
@@ -27,8 +27,8 @@
 	e.lastEvent = now
 }
 
-// durations gives the durations of the steps of an exchange that came at a tick and has ended. An
-// answer without events has its first one at its end.
+// durations returns the durations of the steps of an exchange, given its arrival and its end. An answer
+// without events counts as one event at the end.
 func (e *exchangeTiming) durations(at, ended ids.Tick) exchangemetrics.Times {
 	first := e.firstEvent
 	if first == 0 {
@@ -47,7 +47,7 @@
 	return out
 }
 
-// targets are those of the exchange's route.
+// targets returns the latency targets of the exchange's route.
 func (t *exchange) targets() exchangemetrics.Targets {
 	return exchangemetrics.Targets{
 		FirstEvent: t.route.LatencyTarget(),
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -1,8 +1,8 @@
-// Hedged prefills: what a reading worker has under way is known late and in part, so a short
-// prompt may wait behind a long one though all is well. One that takes far longer than such
-// prompts do is read at a second worker besides, where it can still be in time there; the first
-// handle to come is used, and the other read is called off. Each hedge counts as an attempt of its
-// route and is taken from the retry budget, of which a part stays for retries proper.
+// Hedged prefills: a prefill worker's queue is known late and incompletely, so a short prompt may wait
+// behind a long one although no worker has failed. A prefill that takes far longer than usual for its
+// tokens is also sent to a second worker, if it can still meet the latency target there. The first
+// handle to arrive is used, and the other prefill is canceled. Each hedge counts as an attempt of its
+// route and is charged to the retry budget, of which a share is kept for ordinary retries.
 
 package proxy
 
@@ -19,22 +19,24 @@
 )
 
 const (
-	hedgeDelayFactor   = 1.2 // times what such a prompt usually takes, before it is hedged
-	hedgeWorkFactor    = 1.5 // times what the first worker has to read, at most at the second, unless that is short
-	hedgeBudgetShare   = 0.8 // of the retry budget may be used by hedges
-	overheadSamples    = 33  // reads of which the median overhead is taken
-	minOverheadSamples = 8   // with fewer nothing is hedged
+	hedgeDelayFactor   = 1.2 // multiple of the usual prefill time after which a prefill is hedged
+	hedgeWorkFactor    = 1.5 // maximum uncached tokens at the second worker relative to the first, above shortPrompt
+	hedgeBudgetShare   = 0.8 // share of the retry budget that hedges may use
+	overheadSamples    = 33  // prefills over which the median overhead is taken
+	minOverheadSamples = 8   // with fewer samples nothing is hedged
 )
 
-var errHedgeLost = errors.New("another worker has read the prompt first")
+var errHedgeLost = errors.New("another worker finished the prefill first")
 
-// prefillOverhead is how much longer reads of a service take than their tokens, of late.
+// prefillOverhead holds by how much recent prefills of a service exceeded the estimate for their
+// tokens.
 type prefillOverhead struct {
 	mu      sync.Mutex
 	samples [overheadSamples]time.Duration
 	count   int
 }
 
+// observe records the overhead of one prefill.
 func (o *prefillOverhead) observe(overhead time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -42,39 +44,40 @@
 	o.count++
 }
 
-// median gives the usual overhead; false while too few reads were seen.
+// median returns the median overhead; false while there are too few samples.
 func (o *prefillOverhead) median() (time.Duration, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.count < minOverheadSamples {
 		return 0, false
 	}
-	seen := slices.Clone(o.samples[:min(o.count, overheadSamples)])
-	slices.Sort(seen)
-	return seen[len(seen)/2], true
+	sorted := slices.Clone(o.samples[:min(o.count, overheadSamples)])
+	slices.Sort(sorted)
+	return sorted[len(sorted)/2], true
 }
 
-// hedgeDelay gives how long a read may take before it is hedged; false if it is not to be.
+// hedgeDelay returns how long a prefill may take before it is hedged; false if it must not be hedged.
 func (t *exchange) hedgeDelay(first *pick) (time.Duration, bool) {
-	usual, ok := t.node.serviceTimesFor(t.service.Name).overhead.median()
+	overhead, ok := t.node.serviceTimesFor(t.service.Name).overhead.median()
 	if !ok || t.node.options.HedgeFactor < 0 || t.route.MaxAttempts < 2 || t.attemptsMade > 0 {
 		return 0, false
 	}
-	return time.Duration(t.node.options.HedgeFactor * float64(usual+first.prefillTime)), true
+	return time.Duration(t.node.options.HedgeFactor * float64(overhead+first.prefillTime)), true
 }
 
-// hedgeCandidate books and pays a second worker, if one can be in time.
+// hedgeCandidate reserves a second worker that can meet the latency target and charges the hedge; nil if
+// there is none.
 func (t *exchange) hedgeCandidate(first *pick) *pick {
 	if t.authenticate(t.node.snapshot()) != nil {
 		return nil
 	}
-	usual, _ := t.node.serviceTimesFor(t.service.Name).overhead.median()
-	left := t.route.LatencyTarget() - t.node.now().Since(t.request.At)
+	overhead, _ := t.node.serviceTimesFor(t.service.Name).overhead.median()
+	remaining := t.route.LatencyTarget() - t.node.now().Since(t.request.At)
 	tried := maps.Clone(t.tried)
 	tried[first.worker.ID] = true
 	for _, c := range t.node.prefillCandidates(t.programs, t.node.snapshot(), t.service, t.request, tried) {
 		limit := max(shortPrompt, hedgeWorkFactor*float64(first.uncachedTokens))
-		if usual+c.expectedLatency > left || float64(c.uncachedTokens) > limit {
+		if overhead+c.expectedLatency > remaining || float64(c.uncachedTokens) > limit {
 			continue
 		}
 		if !t.reserveWorker(&c, max(1, c.uncachedTokens)) {
@@ -90,17 +93,17 @@
 	return nil
 }
 
-// prefillHedged has a prompt read by one worker, and by a second one if the first takes long; false
-// if no connection to the first came up.
+// prefillHedged prefills the prompt on one worker, and on a second one too if the first is slow. It
+// returns false if no connection to the first was established.
 func (t *exchange) prefillHedged(ctx context.Context, first *pick) (*Source, bool, error) {
 	delay, ok := t.hedgeDelay(first)
 	if !ok {
 		return t.settlePrefill(ctx, t.prefillOn(ctx, first))
 	}
-	reads := make(chan prefillOutcome, 2)
+	outcomes := make(chan prefillOutcome, 2)
 	begin := func(c *pick) context.CancelCauseFunc {
-		readContext, cancel := context.WithCancelCause(ctx)
-		go func() { reads <- t.prefillOn(readContext, c) }()
+		prefillContext, cancel := context.WithCancelCause(ctx)
+		go func() { outcomes <- t.prefillOn(prefillContext, c) }()
 		return cancel
 	}
 	cancelFirst := begin(first)
@@ -108,40 +111,40 @@
 	timer := host.NewTimer(delay)
 	defer timer.Stop()
 	select {
-	case read := <-reads:
-		return t.settlePrefill(ctx, read)
+	case outcome := <-outcomes:
+		return t.settlePrefill(ctx, outcome)
 	case <-timer.C:
 	}
 	second := t.hedgeCandidate(first)
 	if second == nil {
-		return t.settlePrefill(ctx, <-reads)
+		return t.settlePrefill(ctx, <-outcomes)
 	}
 	t.node.counts.Hedges.Add(1)
 	t.attemptsMade++
 	t.retryPaid = true
 	cancelSecond := begin(second)
 	defer cancelSecond(nil)
-	read := <-reads
-	if read.err != nil {
-		t.recordFailedPrefill(ctx, read)
-		return t.settlePrefill(ctx, <-reads)
+	outcome := <-outcomes
+	if outcome.err != nil {
+		t.recordFailedPrefill(ctx, outcome)
+		return t.settlePrefill(ctx, <-outcomes)
 	}
-	if read.pick == second {
-		// The first read is called off before its own silence raises an alarm.
+	if outcome.pick == second {
+		// The first prefill is canceled before its own silence timer would report the worker.
 		t.node.suspect(*first.worker)
 	}
 	cancelFirst(errHedgeLost)
 	cancelSecond(errHedgeLost)
-	go func() { t.discardPrefill(<-reads) }()
-	return t.settlePrefill(ctx, read)
+	go func() { t.discardPrefill(<-outcomes) }()
+	return t.settlePrefill(ctx, outcome)
 }
 
-// discardPrefill gives back what a read that is not needed any more had booked, and its memory.
-func (t *exchange) discardPrefill(read prefillOutcome) {
+// discardPrefill releases the reservation of a prefill that is not needed any more, and its memory.
+func (t *exchange) discardPrefill(outcome prefillOutcome) {
 	now := t.node.now()
-	if read.err == nil {
-		read.pick.state.recordSuccess(read.memory.Load, now)
-		t.freeSource(&Source{Worker: *read.pick.worker, Handle: read.memory.Handle})
+	if outcome.err == nil {
+		outcome.pick.state.recordSuccess(outcome.memory.Load, now)
+		t.freeSource(&Source{Worker: *outcome.pick.worker, Handle: outcome.memory.Handle})
 	}
-	read.pick.release(read.err == nil || failure.Is(read.err, failure.OutcomeUnknown), now)
+	outcome.pick.release(outcome.err == nil || failure.Is(outcome.err, failure.OutcomeUnknown), now)
 }
--- a/internal/proxy/load_board.go
+++ b/internal/proxy/load_board.go
@@ -1,6 +1,6 @@
-// How the workers stand, by their reports. The holder of a service's duty asks for them; the
-// holder of the list hears of them from it, and hands on to each node, with the list, what
-// changed since that node's last asking.
+// Worker loads by the workers' reports. The holder of a service's duty requests the reports and sends
+// them to the owner of the worker list, which passes to each node, with the list, the loads that
+// changed since that node's last request.
 
 package proxy
 
@@ -13,14 +13,14 @@
 )
 
 const (
-	usedTolerance     = 24                     // memory that changed by less than one so-manieth is not told anew
-	freeTolerance     = 8                      // nor by less than one so-manieth of what is free
-	loadTolerance     = 2                      // nor are so few requests more or less
-	minReportInterval = 100 * time.Millisecond // between rounds; what comes sooner is the same one heard again
+	usedTolerance     = 24                     // changes of used memory below 1/usedTolerance of the capacity are not sent
+	freeTolerance     = 8                      // nor changes below 1/freeTolerance of the free memory
+	loadTolerance     = 2                      // nor changes of this many requests or fewer
+	minReportInterval = 100 * time.Millisecond // between rounds; a round that arrives sooner is a duplicate
 )
 
-// similar tells whether two reports are near enough that none need hear of the later one: the
-// less is free, the more it matters.
+// similar reports whether two reports are so close that the later one need not be sent. The less
+// memory is free, the smaller the tolerance.
 func (s reportedLoad) similar(o reportedLoad) bool {
 	apart := func(a, b, by int) bool { return a-b > by || b-a > by }
 	by := max(s.Capacity/usedTolerance, (s.Capacity-max(s.Used, o.Used))/freeTolerance)
@@ -31,26 +31,29 @@
 	)
 }
 
+// recordedLoad is a worker's load with the change number at which it was recorded.
 type recordedLoad struct {
 	reportedLoad
-	seq uint64 // the board's when it changed
+	seq uint64 // the board's change number
 }
 
 // reportRound is one round of reports of a service's workers.
 type reportRound struct {
-	at   ids.Tick // when they were asked for
+	at   ids.Tick // when the reports were requested
 	seq  uint64
 	rows map[ids.WorkerID]recordedLoad
 }
 
+// loadBoard holds the latest round of reports of each service, with change numbers.
 type loadBoard struct {
 	mu       sync.Mutex
 	seq      uint64
 	services map[string]*reportRound
 }
 
-// record takes a round of reports. Workers that it does not name told nothing if the round is
-// whole, and are as before if it has only changes.
+// record records a round of reports, and returns all of the service's loads, or nil for a duplicate.
+// If the round is complete, workers that it does not name have sent no report; if not, their loads
+// are unchanged.
 func (b *loadBoard) record(
 	service string,
 	at ids.Tick,
@@ -89,31 +92,32 @@
 	return out
 }
 
-// prune forgets workers that are not listed any more.
-func (b *loadBoard) prune(on map[ids.WorkerID]bool) {
+// prune removes workers that are no longer listed.
+func (b *loadBoard) prune(listed map[ids.WorkerID]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, l := range b.services {
 		for id := range l.rows {
-			if !on[id] {
+			if !listed[id] {
 				delete(l.rows, id)
 			}
 		}
 	}
 }
 
-// since lists what changed after a number of the board's, by places in a list.
+// since returns the board's change number and the loads that changed after an earlier one, by index
+// into a worker list, for the services that include selects.
 func (b *loadBoard) since(
 	from uint64,
 	list []Worker,
 	now ids.Tick,
-	of func(service string) bool,
+	include func(service string) bool,
 ) (uint64, []ServiceLoads) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []ServiceLoads
 	for service, l := range b.services {
-		if l.seq <= from || now.Past(l.at, reportMaxAge) || !of(service) {
+		if l.seq <= from || now.Past(l.at, reportMaxAge) || !include(service) {
 			continue
 		}
 		s := ServiceLoads{Service: service, Age: int(now.Since(l.at) / time.Millisecond)}
@@ -127,7 +131,7 @@
 	return b.seq, out
 }
 
-// publishLoads takes a round of reports into the ledgers.
+// publishLoads records a round of reports on the load board and in the workers' memory accounts.
 func (n *Node) publishLoads(service string, at ids.Tick, rows map[ids.WorkerID]reportedLoad, complete bool) {
 	l := n.loads.record(service, at, rows, complete)
 	if l == nil {
@@ -141,7 +145,7 @@
 	}
 }
 
-// ownsService tells whether this node itself asks a service's workers for reports.
+// ownsService reports whether this node requests the reports of a service's workers itself.
 func (n *Node) ownsService(service string) bool {
 	_, ok := n.agent.OwnsKey(fleetstate.ServiceKey(service))
 	return ok && n.options.RoleChangeInterval >= 0
@@ -149,7 +153,7 @@
 
 func everyService(string) bool { return true }
 
-// recordPeerLoads takes what another node tells of the workers of a list.
+// recordPeerLoads records the loads that another node sent, by index into a worker list.
 func (n *Node) recordPeerLoads(all []ServiceLoads, list []Worker) {
 	now := n.now()
 	for _, s := range all {
@@ -166,7 +170,7 @@
 	}
 }
 
-// recordReports posts a round that this node asked for as the holder of a service's duty.
+// recordReports publishes a round that this node requested as the holder of a service's duty.
 func (n *Node) recordReports(service string, at ids.Tick, all []workerReport) {
 	rows := make(map[ids.WorkerID]reportedLoad, len(all))
 	for _, r := range all {
--- a/internal/proxy/memory_account.go
+++ b/internal/proxy/memory_account.go
@@ -1,9 +1,8 @@
-// What a worker's memory still has room for, as this node knows it: the last report, which
-// shows the worker some moments before it was asked, plus what was booked from here since
-// and less what ended here since. handoff.MemoryLedger answers for a worker alone, knows each
-// run by its id in the report and refuses; here reports have sums only, other nodes book
-// beside this one, and the answer is only a cost. So no more than the principle is shared:
-// whatever the ledger errs by makes a worker look fuller.
+// Estimate of a worker's free memory: the last report, which shows the worker some moments before it
+// was requested, plus what this node has reserved since, minus what ended here since.
+// handoff.MemoryLedger does the same as the only client of a worker: it finds each run by its id in
+// the report, and rejects requests. Here reports contain only sums, other nodes reserve memory too,
+// and the result is only a cost. The two share one principle: any error makes a worker look fuller.
 
 package proxy
 
@@ -14,29 +13,30 @@
 )
 
 const (
-	blockSize    = 16                      // tokens; memory is given out in these
-	reportLag    = 500 * time.Millisecond  // by which a report may be older than its asking
-	reportMaxAge = 2500 * time.Millisecond // then it says nothing any more
+	blockSize    = 16                      // tokens in one memory block
+	reportLag    = 500 * time.Millisecond  // maximum age of a report at the time it was requested
+	reportMaxAge = 2500 * time.Millisecond // age above which a report is ignored
 )
 
-// reportedLoad is how a worker was by its own report, memory in blocks. Without room nothing is known.
+// reportedLoad is a worker's load by its own report, with memory in blocks. If Capacity is 0, nothing
+// is known.
 type reportedLoad struct{ Used, Capacity, Running, Waiting int }
 
-// reservation is memory booked from here. Own is the part that no other request shares, so that it
-// is surely free once the hold has ended.
+// reservation is memory that this node reserved, in blocks. The exclusive part is shared with no other
+// request, so it is certainly free once the reservation has ended.
 type reservation struct {
 	total, exclusive int
 	at, ended        ids.Tick
 }
 
-// memoryAccount of one life of a worker. The state's lock guards it.
+// memoryAccount is the memory estimate of one worker incarnation. The worker state's lock guards it.
 type memoryAccount struct {
 	reportedLoad
-	at           ids.Tick // when the report was asked for
+	at           ids.Tick // when the report was requested
 	reservations []*reservation
 }
 
-// report takes what was heard of a report that was asked for at a tick.
+// report records a report that was requested at a tick.
 func (l *memoryAccount) report(s reportedLoad, at ids.Tick) {
 	if at.Before(l.at) {
 		return
@@ -45,56 +45,56 @@
 	l.prune(at)
 }
 
-// prune forgets holds that ended before anything that a later report can show.
+// prune removes reservations that ended too early to affect any later report.
 func (l *memoryAccount) prune(now ids.Tick) {
-	keep := l.reservations[:0]
+	kept := l.reservations[:0]
 	for _, h := range l.reservations {
 		if h.ended == 0 || !h.ended.Before(now.Add(-reportLag)) {
-			keep = append(keep, h)
+			kept = append(kept, h)
 		}
 	}
-	clear(l.reservations[len(keep):])
-	l.reservations = keep
+	clear(l.reservations[len(kept):])
+	l.reservations = kept
 }
 
-// reserve notes memory that is taken from now on.
-func (l *memoryAccount) reserve(all, own int, now ids.Tick) *reservation {
+// reserve records a reservation of total blocks, of which exclusive are shared with no other request.
+func (l *memoryAccount) reserve(total, exclusive int, now ids.Tick) *reservation {
 	if n := len(l.reservations); n > 0 && n%64 == 0 {
 		l.prune(now.Add(-reportMaxAge))
 	}
-	h := &reservation{total: all, exclusive: own, at: now}
+	h := &reservation{total: total, exclusive: exclusive, at: now}
 	l.reservations = append(l.reservations, h)
 	return h
 }
 
-// release notes that the worker is done with a hold; one that it never took is forgotten.
-func (l *memoryAccount) release(h *reservation, took bool, now ids.Tick) {
+// release ends a reservation, and removes one whose memory the worker never allocated.
+func (l *memoryAccount) release(h *reservation, used bool, now ids.Tick) {
 	if h == nil || h.ended != 0 {
 		return
 	}
 	h.ended = now
-	if took {
+	if used {
 		return
 	}
-	for i, one := range l.reservations {
-		if one == h {
+	for i, other := range l.reservations {
+		if other == h {
 			l.reservations = append(l.reservations[:i], l.reservations[i+1:]...)
 			return
 		}
 	}
 }
 
-// free gives the blocks that there should be room for; false if nothing fresh is known.
+// free returns the estimated number of free blocks; false without a recent report.
 func (l *memoryAccount) free(now ids.Tick) (int, bool) {
 	if l.Capacity == 0 || now.Past(l.at, reportMaxAge) {
 		return 0, false
 	}
-	used, shown := l.Used, l.at.Add(-reportLag)
+	used, reportedAt := l.Used, l.at.Add(-reportLag)
 	for _, h := range l.reservations {
-		switch before := h.at.Before(shown); {
-		case !before && h.ended == 0: // it may not be shown yet
+		switch before := h.at.Before(reportedAt); {
+		case !before && h.ended == 0: // the report may not include it yet
 			used += h.total
-		case before && l.at.Before(h.ended): // it is shown, and gone
+		case before && l.at.Before(h.ended): // the report includes it, and it has ended since
 			used -= h.exclusive
 		}
 	}
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -1,7 +1,8 @@
-// Outlier ejection: whether a worker is unhealthy is told by how this node's sendings to it end,
-// not by what it reports. One whose failures stand out against the rest of its service's
-// part is left out for a span that grows with each time, then a trickle decides. The bound
-// on how many are out, and that those are used when no other is left, keep a mistake cheap.
+// Outlier ejection: a worker's health is judged by the outcomes of requests to it, not by what it
+// reports. A worker whose failure rate is an outlier among the workers of its service and role is
+// ejected for a period that grows with each ejection; then a few trial requests decide. Two rules
+// limit the cost of a wrong ejection: the number of ejected workers is bounded, and ejected workers
+// are used if no other is left.
 
 package proxy
 
@@ -17,33 +18,35 @@
 )
 
 const (
-	outcomeTimeConstant   = 3 * time.Second // in which outcomes fade to a third
+	outcomeTimeConstant   = 3 * time.Second // outcomes decay by a factor of e in this time
 	outageTimeConstant    = 20 * time.Second
-	outageGrace           = time.Second // by which a fall is found after its first failures
-	maxOutages            = 1.3         // fading count of falls from which a worker flaps
-	outlierMinRate        = 0.1         // rate of failures that none stands out by
-	outlierRatio          = 1.5         // of the mean rate of the rest, besides
-	outlierMinRequests    = 4.0         // sendings
-	maxPeerWeight         = 10.0
-	probationSuccesses    = 5               // successes that end a probation
-	probationQuietPeriod  = 2 * time.Second // so does such a time without a failure
-	probationPickInterval = 5               // one of so many picks may try a worker on probation
-	strikeTTL             = 10 * time.Second
+	outageGrace           = time.Second      // maximum delay from an outage's first failures to its detection
+	maxOutages            = 1.3              // decaying count of outages above which a worker is flapping
+	outlierMinRate        = 0.1              // failure rate up to which no worker is an outlier
+	outlierRatio          = 1.5              // multiple of the other workers' mean rate, added to outlierMinRate
+	outlierMinRequests    = 4.0              // requests needed before a worker can be an outlier
+	maxPeerWeight         = 10.0             // requests that all peers' outcomes of a worker count for at most
+	probationSuccesses    = 5                // successes that end probation
+	probationQuietPeriod  = 2 * time.Second  // time without a failure that ends probation too
+	probationPickInterval = 5                // a worker on probation is available to one in this many picks
+	strikeTTL             = 10 * time.Second // serving time that removes one strike
 	maxEjection           = 16 * time.Second
 	evaluateInterval      = 100 * time.Millisecond
 )
 
-// decayingCount counts sendings that ended, fading.
+// decayingCount counts completed requests with exponential decay.
 type decayingCount struct {
 	sent, failed float64
 	at           ids.Tick
 }
 
-func (r *decayingCount) decay(now ids.Tick, duration time.Duration) {
-	f := math.Exp(-float64(now.Since(r.at)) / float64(duration))
+// decay applies the decay since the last call.
+func (r *decayingCount) decay(now ids.Tick, timeConstant time.Duration) {
+	f := math.Exp(-float64(now.Since(r.at)) / float64(timeConstant))
 	r.sent, r.failed, r.at = r.sent*f, r.failed*f, now
 }
 
+// phase is a worker's state in outlier ejection.
 type phase int
 
 const (
@@ -52,26 +55,27 @@
 	probation
 )
 
-// outlierState is what outcomes say of one life of a worker; the state's lock guards it.
+// outlierState holds the outcomes and the ejection state of one worker incarnation. The worker state's
+// lock guards it.
 type outlierState struct {
 	local          decayingCount
-	peers          Outcomes // of the other nodes
+	peers          Outcomes // reported by other nodes
 	peersAt        ids.Tick
 	outages        decayingCount
 	flapping       bool
 	phase          phase
-	phaseStartedAt ids.Tick // when the phase began
+	phaseStartedAt ids.Tick
 	ejectedUntil   ids.Tick
 	strikes        int
 	successes      int
-	failedTrial    bool // it failed a trial
+	failedTrial    bool // a request failed during probation
 	probationPicks int
 	lastTrial      ids.Tick
-	failureRate    float64 // its rate of failures while it stands out
+	failureRate    float64 // failure rate while it is an outlier, else 0
 }
 
-// recordOutcome notes how a sending ended, once. What failed while the worker was known to be down
-// is the link's or the machine's and says nothing of its answers.
+// recordOutcome records the outcome of a request to a worker, once. Failures while the worker is known
+// to be down are due to the link or the machine and do not count against its answers.
 func (n *Node) recordOutcome(c *pick, ok bool) {
 	if n.options.BaseEjection < 0 || !c.outcomeRecorded.CompareAndSwap(false, true) {
 		return
@@ -100,8 +104,8 @@
 	}
 }
 
-// recordOutage notes that a worker was found to be down, which explains its last failures; rose, that
-// it is back. One that does so by turns is treated like one that fails.
+// recordOutage records that a worker was found down, which explains its latest failures. A worker that
+// alternates between down and up is treated like one that fails.
 func (n *Node) recordOutage(st *workerState) {
 	now := n.now()
 	st.mu.Lock()
@@ -119,6 +123,7 @@
 	}
 }
 
+// recordRecovery records that a worker is up again, and marks it as flapping after too many outages.
 func (n *Node) recordRecovery(st *workerState) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -131,36 +136,37 @@
 	st.down = false
 }
 
-// blocked tells whether a worker is to be passed over by this pick. The state is locked.
-func (v *outlierState) blocked(now ids.Tick, gap time.Duration) bool {
+// blocked reports whether this pick must skip the worker. During probation it admits one in
+// probationPickInterval picks, at least trialInterval apart. The caller holds the state's lock.
+func (v *outlierState) blocked(now ids.Tick, trialInterval time.Duration) bool {
 	if v.phase != probation {
 		return v.phase == ejected
 	}
 	v.probationPicks++
-	if v.probationPicks%probationPickInterval != 0 || !now.Past(v.lastTrial, gap) {
+	if v.probationPicks%probationPickInterval != 0 || !now.Past(v.lastTrial, trialInterval) {
 		return true
 	}
 	v.lastTrial = now
 	return false
 }
 
-// rates are failures and sendings, of this node and of the others. A single node's word of
-// failures counts for nothing, and all that is heard for no more than maxPeerWeight sendings.
+// rates returns the failures and requests seen by this node and its peers. Peers' reports of failures
+// count only if at least two nodes saw failures, and for no more than maxPeerWeight requests.
 func (v *outlierState) rates(now ids.Tick) (failed, sent float64) {
 	v.local.decay(now, outcomeTimeConstant)
 	failed, sent = v.local.failed, v.local.sent
-	seers := v.peers.Nodes
+	reporters := v.peers.Nodes
 	if v.local.failed > 0.3 {
-		seers++
+		reporters++
 	}
-	if v.peers.Nodes > 0 && seers > 1 && !now.Past(v.peersAt, 2*prefillLoadTTL) {
+	if v.peers.Nodes > 0 && reporters > 1 && !now.Past(v.peersAt, 2*prefillLoadTTL) {
 		f := min(1, 10*maxPeerWeight/float64(max(1, v.peers.Sent))) / 10
 		failed, sent = failed+f*float64(v.peers.Failed), sent+f*float64(v.peers.Sent)
 	}
 	return failed, sent
 }
 
-// outlierCandidate is a worker under judgement.
+// outlierCandidate is a worker under evaluation, with its failures and requests.
 type outlierCandidate struct {
 	worker       *Worker
 	state        *workerState
@@ -169,13 +175,13 @@
 
 func (a *outlierCandidate) rate() float64 { return a.failed / max(1, a.sent) }
 
-// isOutlier tells whether failures stand out against the mean rate of the rest, beyond chance.
-func (a *outlierCandidate) isOutlier(rest float64) bool {
+// isOutlier reports whether the failure rate exceeds the other workers' mean rate by more than chance.
+func (a *outlierCandidate) isOutlier(othersRate float64) bool {
 	return a.sent >= outlierMinRequests && a.failed > 1.5 &&
-		a.failed-0.8*math.Sqrt(a.failed) > (outlierMinRate+outlierRatio*rest)*a.sent
+		a.failed-0.8*math.Sqrt(a.failed) > (outlierMinRate+outlierRatio*othersRate)*a.sent
 }
 
-// runOutlierDetection judges while there is something to judge.
+// runOutlierDetection evaluates the workers while there are new outcomes or ejected workers.
 func (n *Node) runOutlierDetection(ctx context.Context) {
 	if n.options.BaseEjection < 0 {
 		return
@@ -187,11 +193,13 @@
 	}
 }
 
+// workerGroup identifies the workers of one service and role.
 type workerGroup struct {
 	service string
 	role    ids.Role
 }
 
+// evaluateOutliers evaluates all listed workers, grouped by service and role.
 func (n *Node) evaluateOutliers(s *fleetstate.Snapshot) {
 	now := n.now()
 	groups := map[workerGroup][]*outlierCandidate{}
@@ -206,7 +214,7 @@
 			k := workerGroup{w.Service, w.Role}
 			groups[k] = append(groups[k], a)
 		} else {
-			n.readmit(a, now, "it is to get nothing new")
+			n.readmit(a, now, "not accepting new requests")
 		}
 	}
 	out := 0
@@ -216,40 +224,41 @@
 	n.ejections.Store(int64(out))
 }
 
-// evaluateGroup judges the workers of one part of a service and gives how many are out.
+// evaluateGroup evaluates the workers of one service and role, and returns how many are ejected or on
+// probation.
 func (n *Node) evaluateGroup(rows []*outlierCandidate, now ids.Tick) int {
 	limit, sum, known := 0, 0.0, 0
 	if len(rows) > 1 {
 		limit = max(1, int(n.options.MaxEjectedShare*float64(len(rows))))
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i].rate() > rows[j].rate() })
-	reports := n.peerOutcomesAt.Load() != 0 && !now.Past(ids.Tick(n.peerOutcomesAt.Load()), 2*prefillLoadTTL)
+	peersReport := n.peerOutcomesAt.Load() != 0 && !now.Past(ids.Tick(n.peerOutcomesAt.Load()), 2*prefillLoadTTL)
 	for _, a := range rows {
 		sum += a.rate()
-		if reports || a.sent >= 0.5 { // where the others tell, whom none names does not fail
+		if peersReport || a.sent >= 0.5 { // if peers report, a worker that none of them names does not fail
 			known++
 		}
 	}
-	out := 0
-	var fresh []*outlierCandidate
+	notServing := 0
+	var outliers []*outlierCandidate
 	for _, a := range rows {
-		odd := a.isOutlier((sum - a.rate()) / float64(max(1, known-1)))
-		if n.advancePhase(a, odd, now) {
-			if out++; out > limit { // the part shrank, and this is the least bad
-				n.readmit(a, now, "too many are out")
-				out--
+		outlier := a.isOutlier((sum - a.rate()) / float64(max(1, known-1)))
+		if n.advancePhase(a, outlier, now) {
+			if notServing++; notServing > limit { // the group shrank, and this is the one with the lowest failure rate
+				n.readmit(a, now, "too many ejected")
+				notServing--
 			}
-		} else if odd || a.state.flapping() {
-			fresh = append(fresh, a)
+		} else if outlier || a.state.flapping() {
+			outliers = append(outliers, a)
 		}
 	}
-	for _, a := range fresh {
-		if out < limit {
+	for _, a := range outliers {
+		if notServing < limit {
 			n.eject(a, now)
-			out++
+			notServing++
 		}
 	}
-	return out
+	return notServing
 }
 
 func (s *workerState) flapping() bool {
@@ -258,13 +267,13 @@
 	return s.outlier.flapping
 }
 
-// advancePhase takes a worker through its ejection and probation; false if it is serving. What
-// it was ejected for is forgotten half way through, so that fresh outcomes decide.
-func (n *Node) advancePhase(a *outlierCandidate, odd bool, now ids.Tick) bool {
+// advancePhase advances a worker's ejection or probation, and returns false if it is serving. The
+// outcomes that led to an ejection are cleared halfway through it, so that new outcomes decide.
+func (n *Node) advancePhase(a *outlierCandidate, outlier bool, now ids.Tick) bool {
 	a.state.mu.Lock()
 	v := &a.state.outlier
 	v.failureRate = 0
-	if odd || v.phase != serving {
+	if outlier || v.phase != serving {
 		v.failureRate = a.rate()
 	}
 	switch was := v.phase; {
@@ -275,19 +284,20 @@
 		v.phase, v.phaseStartedAt, v.successes, v.failedTrial, v.local = probation, now, 0, false, decayingCount{}
 	case was == ejected && now.Past(v.phaseStartedAt, v.ejectedUntil.Since(v.phaseStartedAt)/2):
 		v.local = decayingCount{}
-	case was == probation && (v.failedTrial || odd || v.flapping):
+	case was == probation && (v.failedTrial || outlier || v.flapping):
 		a.state.mu.Unlock()
 		n.eject(a, now)
 		return true
 	case was == probation && (v.successes >= probationSuccesses || now.Past(v.phaseStartedAt, probationQuietPeriod)):
 		a.state.mu.Unlock()
-		n.readmit(a, now, "trials")
+		n.readmit(a, now, "trial requests succeeded")
 		return false
 	}
 	a.state.mu.Unlock()
 	return true
 }
 
+// eject ejects a worker. The period doubles with each strike, up to maxEjection.
 func (n *Node) eject(a *outlierCandidate, now ids.Tick) {
 	a.state.mu.Lock()
 	defer a.state.mu.Unlock()
@@ -304,6 +314,7 @@
 		Dur("duration", duration).Msg("ejecting worker")
 }
 
+// readmit ends a worker's ejection or probation.
 func (n *Node) readmit(a *outlierCandidate, now ids.Tick, reason string) {
 	a.state.mu.Lock()
 	defer a.state.mu.Unlock()
@@ -316,7 +327,7 @@
 	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Str("reason", reason).Msg("readmitting worker")
 }
 
-// isEjected tells whether a worker is ejected or on probation.
+// isEjected reports whether a worker is ejected or on probation.
 func (n *Node) isEjected(id ids.WorkerID) bool {
 	if n.ejections.Load() == 0 {
 		return false
--- a/internal/proxy/peer_outcomes.go
+++ b/internal/proxy/peer_outcomes.go
@@ -1,6 +1,6 @@
-// Outcomes told between nodes, since each alone sees few: by the message to the holder of
-// the list go rows of the workers that failed here, and of those that others saw fail; back
-// comes the sum of the others. Each node's say is bounded.
+// Exchange of request outcomes between nodes, since each node alone sees only a few. With its request to
+// the owner of the worker list, a node sends the outcomes of workers that failed here or at other
+// nodes. The response has the sum over the other nodes. Each node's weight is bounded.
 
 package proxy
 
@@ -14,13 +14,13 @@
 )
 
 const (
-	maxOutcomes   = 64 // that a node tells
-	outcomesTTL   = time.Second
-	outcomeSumTTL = 100 * time.Millisecond
-	fromParent    = ids.NodeID("above") // in whose name a tally has what came from above
+	maxOutcomes   = 64                     // maximum number of workers that a node reports
+	outcomesTTL   = time.Second            // after which peers' outcomes no longer make this node report its own
+	outcomeSumTTL = 100 * time.Millisecond // after which the sum is computed again
+	fromParent    = ids.NodeID("above")    // key in outcomeSums for the sums received from the parent
 )
 
-// localOutcomes lists what this node saw of workers that failed here, or that others name.
+// localOutcomes lists this node's outcomes of the workers that failed here or at other nodes.
 func (n *Node) localOutcomes() []Outcomes {
 	if n.options.BaseEjection < 0 || n.options.PeerWeight < 0 {
 		return nil
@@ -54,7 +54,7 @@
 	return out
 }
 
-// recordPeerOutcomes notes what the others saw.
+// recordPeerOutcomes records the sum of the other nodes' outcomes.
 func (n *Node) recordPeerOutcomes(rows []Outcomes) {
 	if n.options.BaseEjection < 0 || n.options.PeerWeight < 0 {
 		return
@@ -70,7 +70,7 @@
 	}
 }
 
-// outcomeSums is the sum of what nodes told, and each one's part of it.
+// outcomeSums is the sum of the nodes' outcomes, and each node's contribution.
 type outcomeSums struct {
 	mu     sync.Mutex
 	at     ids.Tick
@@ -78,16 +78,16 @@
 	byNode map[ids.NodeID][]Outcomes
 }
 
-// outcomesWithout is the sum without one node's part.
-func (n *Node) outcomesWithout(but ids.NodeID) []Outcomes {
+// outcomesWithout returns the sum without one node's contribution.
+func (n *Node) outcomesWithout(excluded ids.NodeID) []Outcomes {
 	t := &n.peerOutcomes
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n.refreshOutcomeSums(t)
-	return t.without(but)
+	return t.without(excluded)
 }
 
-// subtreeOutcomes is the sum of what the nodes below this one told.
+// subtreeOutcomes returns the sum over the nodes below this one in the tree.
 func (n *Node) subtreeOutcomes() []Outcomes {
 	t := &n.peerOutcomes
 	t.mu.Lock()
@@ -96,7 +96,8 @@
 	return t.without(n.self.Node, fromParent)
 }
 
-// refreshOutcomeSums adds up anew what was told, if that is due. The tally is locked.
+// refreshOutcomeSums recomputes the sums if they are older than outcomeSumTTL. The caller holds their
+// lock.
 func (n *Node) refreshOutcomeSums(t *outcomeSums) {
 	now := n.now()
 	if t.total != nil && !now.Past(t.at, outcomeSumTTL) {
@@ -106,9 +107,9 @@
 	t.add(n.self.Node, n.capWeights(n.localOutcomes()))
 	t.add(fromParent, n.currentParentSums(now).outcomes)
 	owner, _, _ := n.agent.KeyOwner(fleetstate.WorkerListKey)
-	counts := n.treeShape().tellersTo(n.self, owner, n.agent.Members())
+	isChild := n.treeShape().tellersTo(n.self, owner, n.agent.Members())
 	n.peerReports.Range(func(k, v any) bool {
-		if o := v.(peerReport); counts(k.(ids.NodeID)) && !now.Past(o.at, 2*prefillLoadTTL) &&
+		if o := v.(peerReport); isChild(k.(ids.NodeID)) && !now.Past(o.at, 2*prefillLoadTTL) &&
 			len(o.outcomes)+len(o.subtreeOutcomes) > 0 {
 			t.add(k.(ids.NodeID), append(n.capWeights(o.outcomes), o.subtreeOutcomes...))
 		}
@@ -116,17 +117,17 @@
 	})
 }
 
-// without is the sum without some nodes' parts.
-func (t *outcomeSums) without(but ...ids.NodeID) []Outcomes {
-	own := map[ids.WorkerID]Outcomes{}
-	for _, node := range but {
+// without returns the sum without some nodes' contributions.
+func (t *outcomeSums) without(excluded ...ids.NodeID) []Outcomes {
+	subtract := map[ids.WorkerID]Outcomes{}
+	for _, node := range excluded {
 		for _, r := range t.byNode[node] {
-			own[r.ID] = own[r.ID].plus(r)
+			subtract[r.ID] = subtract[r.ID].plus(r)
 		}
 	}
 	var out []Outcomes
 	for id, r := range t.total {
-		m := own[id]
+		m := subtract[id]
 		if r.Nodes > m.Nodes {
 			out = append(out, Outcomes{id, r.Sent - m.Sent, r.Failed - m.Failed, r.Nodes - m.Nodes})
 		}
@@ -134,6 +135,7 @@
 	return out
 }
 
+// add adds one node's outcomes.
 func (t *outcomeSums) add(node ids.NodeID, rows []Outcomes) {
 	t.byNode[node] = rows
 	for _, r := range rows {
@@ -141,30 +143,32 @@
 	}
 }
 
+// plus returns the sum of two nodes' outcomes of a worker.
 func (o Outcomes) plus(r Outcomes) Outcomes {
 	return Outcomes{r.ID, o.Sent + r.Sent, o.Failed + r.Failed, o.Nodes + r.Nodes}
 }
 
-// capWeights bounds a node's say: of each worker to so many sendings, and to nothing if it
-// accuses more of a part than may be out, since then it is the node that is ill.
+// capWeights bounds a node's weight to PeerWeight requests for each worker. It drops all of the node's
+// outcomes if it reports more workers of a group as failing than may be ejected, since then the fault
+// is at the node.
 func (n *Node) capWeights(rows []Outcomes) []Outcomes {
 	if len(rows) == 0 {
 		return nil
 	}
-	accuses := map[ids.WorkerID]bool{}
+	failing := map[ids.WorkerID]bool{}
 	for _, r := range rows {
-		accuses[r.ID] = r.Failed > 3
+		failing[r.ID] = r.Failed > 3
 	}
-	all, bad := map[workerGroup]int{}, map[workerGroup]int{}
+	total, failingCount := map[workerGroup]int{}, map[workerGroup]int{}
 	for _, w := range n.endpoints.Load().workers {
 		k := workerGroup{w.Service, w.Role}
-		all[k]++
-		if accuses[w.ID] {
-			bad[k]++
+		total[k]++
+		if failing[w.ID] {
+			failingCount[k]++
 		}
 	}
-	for k, b := range bad {
-		if b > max(1, int(n.options.MaxEjectedShare*float64(all[k]))) {
+	for k, count := range failingCount {
+		if count > max(1, int(n.options.MaxEjectedShare*float64(total[k]))) {
 			return nil
 		}
 	}
@@ -172,9 +176,9 @@
 	for _, r := range rows {
 		sent := max(1, r.Sent)
 		failed := min(sent, max(0, r.Failed))
-		f := min(1, 10*n.options.PeerWeight/float64(sent))
-		o := Outcomes{ID: r.ID, Sent: int(f * float64(sent)), Failed: int(f * float64(failed))}
-		if accuses[r.ID] {
+		scale := min(1, 10*n.options.PeerWeight/float64(sent))
+		o := Outcomes{ID: r.ID, Sent: int(scale * float64(sent)), Failed: int(scale * float64(failed))}
+		if failing[r.ID] {
 			o.Nodes = 1
 		}
 		out = append(out, o)
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -38,8 +38,8 @@
 // prefixHashes returns the hash and the token count of each prefix of a prompt that other requests
 // may share: those that end at a segment boundary before the last segment, shortest first.
 func prefixHashes(r *Request) ([]uint64, []int) {
-	var out []uint64
-	var toks []int
+	var hashes []uint64
+	var tokens []int
 	h := fnv.New64a()
 	h.Write([]byte(r.Model))
 	sum := 0
@@ -47,9 +47,9 @@
 		h.Write([]byte{0})
 		h.Write([]byte(r.Segments[i].ID))
 		sum += r.Segments[i].Tokens
-		out, toks = append(out, h.Sum64()), append(toks, sum)
+		hashes, tokens = append(hashes, h.Sum64()), append(tokens, sum)
 	}
-	return out, toks
+	return hashes, tokens
 }
 
 // pick is a candidate worker for one request, and what was reserved for the request there.
@@ -99,14 +99,14 @@
 
 // applyMemory records the free memory and adds the cost of a shortage. The caller holds the
 // state's lock.
-func (c *pick) applyMemory(need int, noRoom float64, now ids.Tick) {
+func (c *pick) applyMemory(needed int, noCapacityCost float64, now ids.Tick) {
 	free, ok := c.state.memory.free(now)
 	if !ok {
 		return
 	}
 	c.capacityBlocks, c.freeBlocks = c.state.memory.Capacity, max(0, free)
-	if need > free && noRoom > 0 {
-		c.cost += noRoom * (1 + float64(need-free)/float64(need))
+	if needed > free && noCapacityCost > 0 {
+		c.cost += noCapacityCost * (1 + float64(needed-free)/float64(needed))
 	}
 }
 
@@ -212,34 +212,34 @@
 	tried map[ids.WorkerID]bool,
 ) []pick {
 	list := n.eligibleWorkers(s, service, ids.Prefill, tried)
-	ms, toks := prefixHashes(r)
+	prefixes, prefixTokens := prefixHashes(r)
 	rows := n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{service.Name, ids.Prefill}]
-	homes := make([]ids.WorkerID, len(ms))
-	for i, m := range ms {
-		homes[i] = prefixHome(m, rows, n.isEjected)
+	homes := make([]ids.WorkerID, len(prefixes))
+	for i, prefix := range prefixes {
+		homes[i] = prefixHome(prefix, rows, n.isEjected)
 	}
 	now := n.now()
 	for i := range list {
 		c := &list[i]
 		c.uncachedTokens = r.Prompt
 		c.state.mu.Lock()
-		for k := len(ms) - 1; k >= 0; k-- {
-			if _, ok := c.state.cached[ms[k]]; ok || homes[k] == c.worker.ID {
-				c.uncachedTokens = max(1, r.Prompt-toks[k])
+		for k := len(prefixes) - 1; k >= 0; k-- {
+			if _, ok := c.state.cached[prefixes[k]]; ok || homes[k] == c.worker.ID {
+				c.uncachedTokens = max(1, r.Prompt-prefixTokens[k])
 				break
 			}
 		}
-		ahead, count := c.state.queuedPrefills(now)
+		queuedTokens, queuedPrompts := c.state.queuedPrefills(now)
 		c.applyMemory(ids.Blocks(r.Prompt, blockSize), n.options.NoCapacityCost, now)
 		c.state.mu.Unlock()
-		c.activeRequests = count
-		waitMs := float64(ahead)/n.options.PrefillTokensPerMs + queuedPrefillCost*float64(count)
-		readMs := float64(c.uncachedTokens) / n.options.PrefillTokensPerMs
-		c.prefillTime = time.Duration(readMs * float64(time.Millisecond))
+		c.activeRequests = queuedPrompts
+		waitMs := float64(queuedTokens)/n.options.PrefillTokensPerMs + queuedPrefillCost*float64(queuedPrompts)
+		prefillMs := float64(c.uncachedTokens) / n.options.PrefillTokensPerMs
+		c.prefillTime = time.Duration(prefillMs * float64(time.Millisecond))
 		c.expectedLatency = c.prefillTime + time.Duration(waitMs*float64(time.Millisecond))
-		c.cost += waitMs + reprefillWeight*readMs + n.zoneCost(c.worker, len(r.Body))
-		if len(ms) > 0 {
-			c.affinity = routing.Mix(ms[len(ms)-1], c.hash)
+		c.cost += waitMs + reprefillWeight*prefillMs + n.zoneCost(c.worker, len(r.Body))
+		if len(prefixes) > 0 {
+			c.affinity = routing.Mix(prefixes[len(prefixes)-1], c.hash)
 		}
 	}
 	return n.orderCandidates(programs, r, ids.Prefill, list)
@@ -252,7 +252,7 @@
 	s *fleetstate.Snapshot,
 	service *fleetstate.Service,
 	r *Request,
-	from *Worker,
+	prefillWorker *Worker,
 	tried map[ids.WorkerID]bool,
 ) []pick {
 	list := n.eligibleWorkers(s, service, ids.Decode, tried)
@@ -267,15 +267,15 @@
 		c.applyMemory(ids.Blocks(r.Prompt+r.MaxTokens, blockSize), n.options.NoCapacityCost, now)
 		c.eventGap = c.state.eventGap.current(now)
 		c.state.mu.Unlock()
-		slots := max(1, c.worker.Concurrency)
+		concurrency := max(1, c.worker.Concurrency)
 		c.cost += 1.5*float64(c.activeRequests) + n.zoneCost(c.worker, len(r.Body))
-		if c.activeRequests >= slots*9/10 {
-			c.cost += 20 * float64(c.activeRequests-slots*9/10+1)
+		if c.activeRequests >= concurrency*9/10 {
+			c.cost += 20 * float64(c.activeRequests-concurrency*9/10+1)
 		}
-		if from != nil && from.Zone != c.worker.Zone {
+		if prefillWorker != nil && prefillWorker.Zone != c.worker.Zone {
 			c.cost += crossZoneCost + 1.6*float64(r.Prompt)/1000
 		}
-		if from == nil {
+		if prefillWorker == nil {
 			c.uncachedTokens = r.Prompt
 		}
 	}
@@ -287,17 +287,17 @@
 func (n *Node) orderCandidates(programs *routing.ProgramSet, r *Request, role ids.Role, list []pick) []pick {
 	// The request's hash breaks ties, so that nodes with little load information do not all choose
 	// the same worker.
-	own := ids.Hash(r.ID)
-	ranks := make([]sortKey, len(list))
+	requestHash := ids.Hash(r.ID)
+	keys := make([]sortKey, len(list))
 	for i := range list {
 		list[i].cost += unhealthyCost * list[i].failureRate
-		ranks[i] = sortKey{list[i].cost, routing.Mix(own, list[i].hash), i}
+		keys[i] = sortKey{list[i].cost, routing.Mix(requestHash, list[i].hash), i}
 	}
-	slices.SortFunc(ranks, func(a, b sortKey) int {
+	slices.SortFunc(keys, func(a, b sortKey) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.tie, a.tie))
 	})
 	sorted := make([]pick, len(list))
-	for i, k := range ranks {
+	for i, k := range keys {
 		sorted[i] = list[k.index]
 	}
 	list = sorted
@@ -315,14 +315,14 @@
 		Max:     r.MaxTokens,
 		Priced:  true,
 	}
-	cands := make([]routing.Candidate, len(head))
-	reports := true // capacity is given in memory blocks if known for all candidates, else in concurrent requests
+	candidates := make([]routing.Candidate, len(head))
+	inBlocks := true // capacity is given in memory blocks if known for all candidates, else in concurrent requests
 	for i := range head {
-		reports = reports && head[i].capacityBlocks > 0
+		inBlocks = inBlocks && head[i].capacityBlocks > 0
 	}
-	by := make(map[ids.WorkerID]pick, len(head))
+	byID := make(map[ids.WorkerID]pick, len(head))
 	for i, c := range head {
-		cands[i] = routing.Candidate{
+		candidates[i] = routing.Candidate{
 			ID:            c.worker.ID,
 			Zone:          c.worker.Zone,
 			Capacity:      c.worker.Concurrency,
@@ -332,15 +332,15 @@
 			Affinity:      c.affinity,
 			Cost:          c.cost,
 		}
-		if reports {
-			cands[i].Capacity, cands[i].Free = c.capacityBlocks, c.freeBlocks
+		if inBlocks {
+			candidates[i].Capacity, candidates[i].Free = c.capacityBlocks, c.freeBlocks
 		}
-		by[c.worker.ID] = c
+		byID[c.worker.ID] = c
 	}
 	out := make([]pick, 0, len(list))
-	for _, id := range programs.Order(request, cands) {
-		out = append(out, by[id])
-		delete(by, id)
+	for _, id := range programs.Order(request, candidates) {
+		out = append(out, byID[id])
+		delete(byID, id)
 	}
 	return out
 }
--- a/internal/proxy/prefill_exchange.go
+++ b/internal/proxy/prefill_exchange.go
@@ -1,5 +1,5 @@
-// The prefill half of an exchange: the prompt is read at one worker, which keeps its memory
-// until another fetches it.
+// The prefill phase of an exchange: one worker prefills the prompt and keeps its memory until the decode
+// worker fetches it.
 
 package proxy
 
@@ -12,17 +12,17 @@
 	"keelstair.example/internal/handoff"
 )
 
-// What is under way at a worker is known late and in part, so a read may take a few times as
-// long as reckoned though all is well. Leaving it too soon costs twice: the emitting worker, or
-// another reading one, begins anew with what the first is still reading.
+// A worker's queue is known late and incompletely, so a prefill may take a few times its estimate
+// although nothing has failed. Abandoning it too early is expensive: the decode worker, or another
+// prefill worker, starts over on a prompt that the first worker is still processing.
 const (
-	prefillTimeoutFactor = 4                      // times what is reckoned, besides PrefillSilence
-	prefillQuietPeriod   = 600 * time.Millisecond // after which, and a multiple of what is reckoned,
-	prefillQuietFactor   = 2                      // the worker is asked for its report
+	prefillTimeoutFactor = 4                      // multiple of the estimate, added to PrefillSilence
+	prefillQuietPeriod   = 600 * time.Millisecond // silence beyond the estimate's multiple until a report request
+	prefillQuietFactor   = 2                      // multiple of the estimate until a report request
 )
 
-// prefill has the prompt read. No source and no error means that the emitting worker is to
-// read by itself.
+// prefill prefills the prompt. If it returns neither a source nor an error, the decode worker prefills
+// the prompt itself.
 func (t *exchange) prefill(ctx context.Context) (*Source, error) {
 	for again := true; again; {
 		again = false
@@ -52,10 +52,10 @@
 	return nil, nil
 }
 
-// payReprefill tells whether a prompt whose read has failed is to be read by another worker, and takes
-// that from the retry budget: only if the first one is down, so that it does not count among the
-// workers that the request was sent to. A decode worker that read the prompt by itself would hold
-// up all that it decodes.
+// payReprefill reports whether another worker repeats a failed prefill, and charges that to the retry
+// budget. It does so only if the first worker is down, so that it does not count among the workers
+// that the request was sent to. A decode worker that prefilled the prompt itself would delay
+// everything that it decodes.
 func (t *exchange) payReprefill(ctx context.Context, err error) bool {
 	if !errors.Is(err, errWorkerSilent) || ctx.Err() != nil || !t.failedPrefillUncounted || !t.node.spendRetry() {
 		return false
@@ -64,36 +64,36 @@
 	return true
 }
 
-// prefillOutcome is how one worker's read of the prompt ended.
+// prefillOutcome is the outcome of one worker's prefill.
 type prefillOutcome struct {
 	pick   *pick
 	memory *PrefillResult
 	err    error
 }
 
-// prefillOn has one worker read the prompt. It changes nothing of the exchange, so that two may
-// be under way.
+// prefillOn prefills the prompt on one worker. It does not change the exchange, so that two prefills may
+// run concurrently.
 func (t *exchange) prefillOn(ctx context.Context, c *pick) prefillOutcome {
 	t.trace(handoff.Granted, c.worker.ID, "")
 	began := t.node.now()
-	duration := min(t.node.options.PrefillSilence+prefillTimeoutFactor*c.expectedLatency, t.remaining())
-	callContext, stop := context.WithTimeout(ctx, duration)
-	callContext, take := context.WithCancelCause(callContext)
-	f := &attempt{take}
-	c.state.addAttempt(f)
+	timeout := min(t.node.options.PrefillSilence+prefillTimeoutFactor*c.expectedLatency, t.remaining())
+	callContext, stop := context.WithTimeout(ctx, timeout)
+	callContext, cancel := context.WithCancelCause(callContext)
+	a := &attempt{cancel}
+	c.state.addAttempt(a)
 	times := t.node.serviceTimesFor(t.service.Name)
-	quiet := time.AfterFunc(prefillQuietFactor*c.expectedLatency+times.prefill.Suspicious(prefillQuietPeriod), func() {
+	probeTimer := time.AfterFunc(prefillQuietFactor*c.expectedLatency+times.prefill.Suspicious(prefillQuietPeriod), func() {
 		t.node.suspect(*c.worker)
 	})
 	memory, err := t.node.options.Backend.Prefill(
-		callContext, *c.worker, c.request, duration, urgencyRank(c.urgency, c.uncachedTokens),
+		callContext, *c.worker, c.request, timeout, urgencyRank(c.urgency, c.uncachedTokens),
 	)
-	quiet.Stop()
+	probeTimer.Stop()
 	if err != nil && errors.Is(context.Cause(callContext), errWorkerSilent) {
 		err = errors.Join(errWorkerSilent, err)
 	}
-	c.state.removeAttempt(f)
-	take(nil)
+	c.state.removeAttempt(a)
+	cancel(nil)
 	stop()
 	c.state.endRequest(max(1, c.uncachedTokens))
 	if err == nil {
@@ -104,33 +104,34 @@
 	return prefillOutcome{c, memory, err}
 }
 
-// settlePrefill takes the outcome of a read into the exchange; false if no connection came up.
-func (t *exchange) settlePrefill(ctx context.Context, read prefillOutcome) (*Source, bool, error) {
-	c := read.pick
-	if read.err == nil {
-		c.state.recordSuccess(read.memory.Load, t.node.now())
+// settlePrefill applies the outcome of a prefill to the exchange. It returns false if no connection was
+// established.
+func (t *exchange) settlePrefill(ctx context.Context, outcome prefillOutcome) (*Source, bool, error) {
+	c := outcome.pick
+	if outcome.err == nil {
+		c.state.recordSuccess(outcome.memory.Load, t.node.now())
 		t.node.recordOutcome(c, true)
 		t.prefilledAt = c
 		t.trace(handoff.Prefilled, c.worker.ID, "")
-		return &Source{Worker: *c.worker, Handle: read.memory.Handle}, true, nil
+		return &Source{Worker: *c.worker, Handle: outcome.memory.Handle}, true, nil
 	}
-	t.recordFailedPrefill(ctx, read)
-	if failure.Is(read.err, failure.NotExecuted) && failure.Step(read.err) == dialStep {
-		return nil, false, read.err
+	t.recordFailedPrefill(ctx, outcome)
+	if failure.Is(outcome.err, failure.NotExecuted) && failure.Step(outcome.err) == dialStep {
+		return nil, false, outcome.err
 	}
-	t.mayHaveRun = t.mayHaveRun || failure.Is(read.err, failure.InvalidArgument)
-	// It may not have been taken up, and then counts like any other sending.
+	t.mayHaveRun = t.mayHaveRun || failure.Is(outcome.err, failure.InvalidArgument)
+	// The worker may not have accepted it; a rejected prefill counts like any other attempt.
 	t.failedPrefillUncounted = true
-	if failure.Is(read.err, failure.NotExecuted) || failure.Is(read.err, failure.Stale) {
+	if failure.Is(outcome.err, failure.NotExecuted) || failure.Is(outcome.err, failure.Stale) {
 		t.attemptsMade++
 	}
-	return nil, true, read.err
+	return nil, true, outcome.err
 }
 
-// recordFailedPrefill gives back what a failed read had booked, and notes the failure at its worker.
-func (t *exchange) recordFailedPrefill(ctx context.Context, read prefillOutcome) {
+// recordFailedPrefill releases the reservation of a failed prefill and records the failure of its worker.
+func (t *exchange) recordFailedPrefill(ctx context.Context, outcome prefillOutcome) {
 	now := t.node.now()
-	read.pick.release(failure.Is(read.err, failure.OutcomeUnknown), now)
-	t.recordWorkerError(ctx, read.pick, read.err, now)
-	t.trace(handoff.Dropped, read.pick.worker.ID, read.err.Error())
+	outcome.pick.release(failure.Is(outcome.err, failure.OutcomeUnknown), now)
+	t.recordWorkerError(ctx, outcome.pick, outcome.err, now)
+	t.trace(handoff.Dropped, outcome.pick.worker.ID, outcome.err.Error())
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,7 +1,7 @@
-// Package proxy is the data plane for opaque requests: it carries each from the door to
-// a worker that reads its prompt and on to one that emits the answer, and keeps the
-// hand-over's promises though it never looks into a body. This file has what the door
-// and the workers' adapter must bring, and what they get.
+// Package proxy is the data plane for opaque requests. It relays each request from the frontend to a
+// worker that prefills its prompt and to one that decodes the answer, and keeps the guarantees of the
+// handoff protocol without parsing request bodies. This file defines the types and interfaces that the
+// frontend and the workers' backend adapter use or implement.
 package proxy
 
 import (
@@ -13,126 +13,126 @@
 	"keelstair.example/ids"
 )
 
-// PromptSegment is one piece of a prompt; requests that begin with the same parts share them.
+// PromptSegment is one part of a prompt. Requests that begin with the same segments share them.
 type PromptSegment struct {
 	ID     string
 	Tokens int
 }
 
-// Request is one try of a caller's. The id is the try's own.
+// Request is one attempt of a caller, with an id of its own.
 type Request struct {
 	ID          string
 	Method      string
-	Target      string // path and query as they came
+	Target      string // path and query as received
 	Path        string
 	Host        string
-	Header      http.Header // what is passed on, without what concerns one connection
+	Header      http.Header // the headers to forward, without hop-by-hop headers
 	Body        []byte
-	Key         string // of the tenant; never passed on
-	Tenant      string // whose key it bears; empty until that is known
-	LastEventID string // the id of the last event that the caller has
+	Key         string // the tenant's key; never forwarded
+	Tenant      string // owner of the key; empty until authenticated
+	LastEventID string // id of the last event that the caller has received
 	Model       string
 	Segments    []PromptSegment
-	Prompt      int           // tokens in
-	MaxTokens   int           // tokens out at most
-	Timeout     time.Duration // how long the caller waits; 0 if it does not say
-	At          ids.Tick      // when it came
+	Prompt      int           // prompt tokens
+	MaxTokens   int           // maximum number of output tokens
+	Timeout     time.Duration // how long the caller waits; 0 if unspecified
+	At          ids.Tick      // when the request arrived
 }
 
-// Worker is one line of the platform's list.
+// Worker is one entry of the platform's worker list.
 type Worker struct {
-	ID          ids.WorkerID // of this life
+	ID          ids.WorkerID // of this incarnation
 	Service     string
 	Addr        string
 	Zone        ids.Zone
-	Role        ids.Role // Prefill, Decode, or empty where the service knows no parts
+	Role        ids.Role // Prefill, Decode, or empty if the service has no roles
 	Concurrency int
 	Leaving     bool
-	SlowStart   time.Duration // how much longer it is cold
+	SlowStart   time.Duration // remaining time for which it is cold
 }
 
-// Load is what a worker says of itself with an answer.
+// Load is the load that a worker reports with an answer.
 type Load struct {
 	Running, Waiting, Concurrency int
 }
 
-// PrefillResult is a worker's word that it has read a prompt and keeps the memory.
+// PrefillResult is a worker's confirmation that it has prefilled a prompt and keeps the memory.
 type PrefillResult struct {
 	Handle string
 	Tokens int
 	Load   *Load
 }
 
-// Source names memory to be fetched by the emitting worker.
+// Source identifies the prompt memory that the decode worker fetches.
 type Source struct {
 	Worker Worker
 	Handle string
 }
 
-// Response is a worker's answer as it begins.
+// Response is the beginning of a worker's answer, with its body to be read.
 type Response struct {
 	Status     int
-	Header     http.Header // as it is passed to the caller
-	FromWorker bool        // it carries the worker's own stamp
-	Events     bool
-	Length     int64 // -1 if it is not told
+	Header     http.Header // as forwarded to the caller
+	FromWorker bool        // it has the worker's own seal
+	Events     bool        // the body is an event stream
+	Length     int64       // -1 if unknown
 	Body       io.ReadCloser
 	Load       *Load
 }
 
-// Report is what a worker tells of itself when asked, some moments old.
+// Report is a worker's answer to a report request; its data may be some moments old.
 type Report struct {
 	Role         ids.Role
-	RoleChanging bool // an order is under way
-	Orders       int  // taken in this life
+	RoleChanging bool // a role order is in progress
+	Orders       int  // role orders accepted by this incarnation
 	Waiting      int
 	Running      int
-	Used         int // tokens of memory that cannot give way
+	Used         int // tokens of memory that cannot be evicted
 	Capacity     int
 }
 
-// RoleOrder changes the part that a worker plays. Only the holder of the service's duty
-// sends one.
+// RoleOrder tells a worker to change its role. Only the holder of the service's duty sends one.
 type RoleOrder struct {
 	To       ids.Role
 	Owner    ids.NodeID
 	Fence    ids.Fence
-	Expected int // orders that the worker is expected to have taken
+	Expected int // number of orders that the worker is expected to have accepted before
 }
 
-// Backend reaches workers. Errors are breakdowns: Bounced where the request was surely
-// not run, Stale where another life has the address, Lost where the memory cannot be
-// had and nothing was run, Unknown where it may have been run, and Bad where a reading was
-// answered by running the request, or a report's asking by word that the worker is ill.
+// Backend sends requests to workers. Its errors are failures of these kinds: NotExecuted if the request
+// was certainly not run, Stale if another incarnation has the address, DataLost if the prompt's memory
+// is unavailable and nothing was run, OutcomeUnknown if the request may have been run, and
+// InvalidArgument if a worker answered a prefill by running the request, or a report request by saying
+// that it is unhealthy.
 type Backend interface {
 	List(ctx context.Context) ([]Worker, error)
-	Prefill(ctx context.Context, w Worker, r *Request, left time.Duration, urgency int) (*PrefillResult, error)
-	Decode(ctx context.Context, w Worker, r *Request, source *Source, from string, left time.Duration, urgency int) (*Response, error)
+	Prefill(ctx context.Context, w Worker, r *Request, timeout time.Duration, urgency int) (*PrefillResult, error)
+	Decode(ctx context.Context, w Worker, r *Request, source *Source, lastEventID string, timeout time.Duration, urgency int) (*Response, error)
 	Free(ctx context.Context, w Worker, handle string) error
 	Report(ctx context.Context, w Worker) (*Report, error)
 	Order(ctx context.Context, w Worker, o *RoleOrder) error
 	Close()
 }
 
-// Sink takes the answer to the caller. Head is called once at most.
+// Sink sends the answer to the caller. Head is called at most once.
 type Sink interface {
 	Head(status int, h http.Header, length int64) error
-	Write(p []byte) error // passed on at once
+	Write(p []byte) error // sent without buffering
 }
 
-// RejectedError ends a request that was not run and never will be.
+// RejectedError is the error of a request that was not run and never will be.
 type RejectedError struct {
 	Code       int
-	RetryAfter time.Duration // when to come back
-	Early      bool          // before it was offered to any worker, since it would have come late
+	RetryAfter time.Duration // delay before the caller should retry
+	Early      bool          // rejected before any worker was offered it, since it would have been late
 	Reason     string
 }
 
 // Error returns the reason.
 func (r *RejectedError) Error() string { return r.Reason }
 
-// AbortedError ends a request that may have been run. Begun tells that the caller has a part
-// of the answer, so that the connection must be cut.
+// AbortedError is the error of a request that may have been run. HeadSent means that the caller has a
+// part of the answer, so that the connection must be closed.
 type AbortedError struct {
 	Code     int
 	HeadSent bool
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -1,6 +1,6 @@
-// Passing the answer on: whole events as they come, each once. Where the stream may go on
-// elsewhere, what the first worker did not finish is asked of another one, from the last
-// event that the caller has.
+// Relay of the answer to the caller: complete events as they arrive, each once. If the stream is
+// resumable, another worker continues what the first did not finish, after the last event that the
+// caller has.
 
 package proxy
 
@@ -18,10 +18,10 @@
 	"keelstair.example/internal/handoff"
 )
 
-var errWorkerSilent = errors.New("the worker says nothing")
+var errWorkerSilent = errors.New("the worker is silent")
 
-// supervisedBody is an answer's body under watch: after a silence the worker is asked for its
-// report, and where the request may go elsewhere, a longer silence ends it.
+// supervisedBody is an answer's body with silence timers: after a first silence the worker is asked for
+// its report, and if the request may be retried elsewhere, a longer silence cancels it.
 type supervisedBody struct {
 	io.ReadCloser
 	exchange      *exchange
@@ -30,13 +30,13 @@
 	attempt       *attempt
 	probeTimer    *time.Timer
 	deadlineTimer *time.Timer
-	silenceTimer  *time.Timer // until the first byte, where it cannot go elsewhere
+	silenceTimer  *time.Timer // runs until the first byte if the request cannot be retried elsewhere
 	times         *serviceTimes
-	lastByteAt    ids.Tick // when the worker was heard last, or the request was sent
-	answered      bool     // it has been heard
+	lastByteAt    ids.Tick // of the last byte, or when the request was sent
+	answered      bool     // a byte has arrived
 }
 
-// observePause learns from the silence that bytes of the worker have ended.
+// observePause records the pause that ends with newly arrived bytes.
 func (g *supervisedBody) observePause() {
 	now := g.exchange.node.now()
 	pause := now.Since(g.lastByteAt)
@@ -69,6 +69,7 @@
 	return k, err
 }
 
+// stopTimers stops all timers and releases the request's context.
 func (g *supervisedBody) stopTimers() {
 	g.probeTimer.Stop()
 	if g.silenceTimer != nil {
@@ -89,7 +90,7 @@
 	return err
 }
 
-// relay copies an answer to the caller. Unknown means that it broke off.
+// relay copies an answer to the caller. An OutcomeUnknown failure means that the answer broke off.
 func (t *exchange) relay(ctx context.Context, c *pick, reply *Response) error {
 	defer reply.Body.Close()
 	defer func() {
@@ -100,7 +101,7 @@
 	t.mayHaveRun = true
 	if reply.Status/100 == 2 && !reply.FromWorker {
 		t.node.recordOutcome(c, false)
-		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "a success without the worker's stamp")
+		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "success status without the worker's seal")
 	}
 	if promisesNotRun(reply.Status) {
 		t.node.recordOutcome(c, false)
@@ -108,7 +109,7 @@
 			failure.OutcomeUnknown,
 			"pass",
 			c.worker.Addr,
-			"status %d without word that it was not run",
+			"status %d without a header that the request was not run",
 			reply.Status,
 		)
 	}
@@ -140,8 +141,8 @@
 	return err
 }
 
-// promisesNotRun tells of the statuses by which a caller knows that its request has not run.
-// A worker that did not run one says so by other means, which the adapter reads.
+// promisesNotRun reports whether a status tells a caller that its request has not run. A worker that
+// did not run a request says so by other means, which the backend adapter reads.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
@@ -151,7 +152,7 @@
 	return false
 }
 
-var errCallerDisconnected = errors.New("the caller went away")
+var errCallerDisconnected = errors.New("the caller disconnected")
 
 func (t *exchange) writeHead(reply *Response, length int64) error {
 	if t.headSent {
@@ -168,8 +169,8 @@
 	return nil
 }
 
-// relayBody copies an answer without events. Its head goes out with its first bytes, so that
-// one which breaks off before them can still be asked of another.
+// relayBody copies an answer without events. The head is sent with the first bytes, so that a request
+// whose answer breaks off before them can still be retried on another worker.
 func (t *exchange) relayBody(reply *Response) error {
 	buf := make([]byte, 16<<10)
 	for {
@@ -194,22 +195,22 @@
 	}
 }
 
-// relayEvents copies whole events.
+// relayEvents copies complete events.
 func (t *exchange) relayEvents(c *pick, reply *Response) error {
-	var held []byte
+	var pending []byte
 	buf := make([]byte, 8<<10)
 	resumed := t.headSent
 	for {
 		k, err := reply.Body.Read(buf)
-		held = append(held, buf[:k]...)
-		if at := completeEvents(held); at > 0 {
-			if err := t.forward(c, reply, held[:at], resumed); err != nil {
+		pending = append(pending, buf[:k]...)
+		if end := completeEvents(pending); end > 0 {
+			if err := t.forward(c, reply, pending[:end], resumed); err != nil {
 				return err
 			}
-			held = append(held[:0], held[at:]...)
+			pending = append(pending[:0], pending[end:]...)
 		}
 		if err == io.EOF {
-			return t.finish(reply, held)
+			return t.finish(reply, pending)
 		}
 		if err != nil {
 			return failure.As(err, failure.OutcomeUnknown, "pass", c.worker.Addr)
@@ -217,13 +218,13 @@
 	}
 }
 
-// forward passes whole events on and notes the last one's id. A worker that takes a stream
-// up must not go back behind the last event that the caller has.
+// forward sends complete events to the caller and records the id of the last one. A worker that resumes
+// a stream must not repeat events up to the last one that the caller has.
 func (t *exchange) forward(c *pick, reply *Response, events []byte, resumed bool) error {
 	first, last := eventIDs(events)
 	if resumed && !isLaterEvent(first, t.lastEventID) {
 		return failure.New(
-			failure.OutcomeUnknown, "resume", c.worker.Addr, "event %s comes after %s", first, t.lastEventID,
+			failure.OutcomeUnknown, "resume", c.worker.Addr, "event %s repeated after %s", first, t.lastEventID,
 		)
 	}
 	t.timing.recordEvents(t.node.now())
@@ -240,8 +241,8 @@
 	return nil
 }
 
-// finish ends a stream that its worker has ended; what stands behind the last whole event is
-// passed on as it is.
+// finish ends a stream that its worker has ended. Bytes after the last complete event are passed on
+// unchanged.
 func (t *exchange) finish(reply *Response, rest []byte) error {
 	if err := t.writeHead(reply, -1); err != nil {
 		return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
@@ -252,18 +253,18 @@
 	return nil
 }
 
-// completeEvents is the length of the whole events that bytes begin with.
+// completeEvents returns the length of the complete events at the start of p.
 func completeEvents(p []byte) int {
-	at := 0
+	length := 0
 	for _, end := range []string{"\n\n", "\r\n\r\n"} {
 		if i := bytes.LastIndex(p, []byte(end)); i >= 0 {
-			at = max(at, i+len(end))
+			length = max(length, i+len(end))
 		}
 	}
-	return at
+	return length
 }
 
-// eventIDs gives the ids of the first and the last event that have one.
+// eventIDs returns the ids of the first and the last event that have one.
 func eventIDs(events []byte) (first, last string) {
 	for line := range bytes.Lines(events) {
 		id, ok := bytes.CutPrefix(line, []byte("id:"))
@@ -278,7 +279,8 @@
 	return first, last
 }
 
-// isLaterEvent tells whether an event may come after another; ids that are no numbers tell nothing.
+// isLaterEvent reports whether an event may come after another. Ids that are not numbers cannot be
+// compared and are accepted.
 func isLaterEvent(id, before string) bool {
 	n, err := strconv.ParseInt(id, 10, 64)
 	last, errLast := strconv.ParseInt(before, 10, 64)
--- a/internal/proxy/role_choice.go
+++ b/internal/proxy/role_choice.go
@@ -1,5 +1,5 @@
-// Which workers are to change their role: by the pressure on each role, smoothed over the rounds of
-// reports, and by what was lost since the round before.
+// Choice of the workers that change their role, by the pressure on each role, smoothed over the rounds
+// of reports, and by the workers lost since the previous round.
 
 package proxy
 
@@ -11,39 +11,42 @@
 )
 
 const (
-	prefillPressureLimit = 1.3  // prompts at each reading worker
-	decodePressureLimit  = 0.35 // of the places of emitting workers
-	decodePressureLow    = 0.25
-	decodeSaturated      = 0.6 // pressed beyond what readers may weigh against it
-	minRoleShare         = 3   // one of so many workers keeps each part
-	roleChangeShare      = 12  // one of so many workers changes its role at once, or as many as were lost
+	prefillPressureLimit = 1.3  // prompts per prefill worker
+	decodePressureLimit  = 0.35 // share of the decode workers' capacity in use
+	decodePressureLow    = 0.25 // a decode worker is spared only if the pressure stays below this
+	decodeSaturated      = 0.6  // above this, decode gets workers whatever the pressure on prefill
+	minRoleShare         = 3    // each role keeps at least one in this many workers
+	roleChangeShare      = 12   // one in this many workers changes its role at once, or as many as were lost
 )
 
-// roleCounts is how many workers of each role there are.
+// roleCounts is the number of workers of each role.
 type roleCounts struct{ prefill, decode int }
 
-// smoothPressure gives the smoothed prompts at each reading worker, and the part of the emitting
-// workers' places or memory that is taken.
-func (d *roleBalance) smoothPressure(rows []workerReport, service *fleetstate.Service) (read, emit float64) {
-	var readers, emitters, prompts, streams, used, room int
+// smoothPressure returns the smoothed number of prompts per prefill worker, and the smoothed share of the
+// decode workers' concurrency or memory that is in use, whichever is larger.
+func (d *roleBalance) smoothPressure(rows []workerReport, service *fleetstate.Service) (prefill, decode float64) {
+	var prefillWorkers, decodeWorkers, prompts, streams, used, capacity int
 	for _, r := range rows {
 		if r.Role == ids.Prefill {
-			readers, prompts = readers+1, prompts+r.Running+r.Waiting
+			prefillWorkers, prompts = prefillWorkers+1, prompts+r.Running+r.Waiting
 		} else {
-			emitters, streams, used, room = emitters+1, streams+r.Running+r.Waiting, used+r.Used, room+r.Capacity
+			decodeWorkers, streams, used, capacity = decodeWorkers+1, streams+r.Running+r.Waiting, used+r.Used, capacity+r.Capacity
 		}
 	}
-	if readers > 0 {
-		d.prefillPressure += 0.4 * (float64(prompts)/float64(readers) - d.prefillPressure)
+	if prefillWorkers > 0 {
+		d.prefillPressure += 0.4 * (float64(prompts)/float64(prefillWorkers) - d.prefillPressure)
 	}
-	if emitters > 0 && room > 0 {
-		taken := max(float64(streams)/float64(emitters*max(1, service.Concurrency)), float64(used)/float64(room))
-		d.decodePressure += 0.4 * (taken - d.decodePressure)
+	if decodeWorkers > 0 && capacity > 0 {
+		utilization := max(
+			float64(streams)/float64(decodeWorkers*max(1, service.Concurrency)),
+			float64(used)/float64(capacity),
+		)
+		d.decodePressure += 0.4 * (utilization - d.decodePressure)
 	}
 	return d.prefillPressure, d.decodePressure
 }
 
-// move counts a worker that is told to change to a role.
+// move counts a worker that is ordered to change to a role.
 func (c *roleCounts) move(to ids.Role) {
 	if to == ids.Prefill {
 		c.prefill, c.decode = c.prefill+1, c.decode-1
@@ -52,8 +55,8 @@
 	}
 }
 
-// workersUp counts the workers of each role that may get new work and are not known to be down. One
-// that changes its role counts as of the role to be.
+// workersUp counts the workers of each role that may get new requests and are not known to be down. One
+// that is changing its role counts under the new role.
 func (n *Node) workersUp(s *fleetstate.Snapshot, listed map[ids.WorkerID]*Worker) (up roleCounts) {
 	for id, w := range listed {
 		role, changing := s.RoleChanges[id]
@@ -72,6 +75,7 @@
 	return up
 }
 
+// isDown reports whether a worker is known to be down.
 func (n *Node) isDown(id ids.WorkerID) bool {
 	st := n.state(id)
 	st.mu.Lock()
@@ -79,8 +83,8 @@
 	return st.down
 }
 
-// recordCounts takes the numbers of a round. What workers that were lost had under way falls to those that are
-// left, so the pressure on these is known at once and not only once it shows.
+// recordCounts records the worker counts of a round. The requests of lost workers move to the remaining
+// ones, so the pressure is scaled up at once instead of only when reports show it.
 func (d *roleBalance) recordCounts(up roleCounts) {
 	d.lost = roleCounts{max(0, d.up.prefill-up.prefill), max(0, d.up.decode-up.decode)}
 	if d.lost.prefill > 0 && up.prefill > 0 {
@@ -92,78 +96,87 @@
 	d.up = up
 }
 
-// minPerRole is how many of so many workers keep each part.
-func minPerRole(all int) int { return max(1, (all+minRoleShare-1)/minRoleShare) }
+// minPerRole returns how many of the workers each role keeps at least.
+func minPerRole(total int) int { return max(1, (total+minRoleShare-1)/minRoleShare) }
 
-// chooseRoleChange names the workers that should turn: more at once where there are many, the least
-// busy of the part that can spare them, from the zones that have the most of it. While
-// nothing is under way, rest is the part of the workers that reads.
-func chooseRoleChange(rows []workerReport, read, emit, rest float64, lost roleCounts) ([]*workerReport, ids.Role) {
-	var readers, emitters, busy int
+// chooseRoleChange returns the workers that should change their role, and the new role. Larger services
+// change more workers at once. The workers are the least busy ones of the role that can spare them,
+// from the zones that have the most of it. While nothing is in flight, idlePrefillShare is the share
+// of workers in the prefill role.
+func chooseRoleChange(
+	rows []workerReport,
+	prefillPressure, decodePressure, idlePrefillShare float64,
+	lost roleCounts,
+) ([]*workerReport, ids.Role) {
+	var prefillWorkers, decodeWorkers, active int
 	for _, r := range rows {
-		busy += r.Running + r.Waiting
+		active += r.Running + r.Waiting
 		if r.Role == ids.Prefill {
-			readers++
+			prefillWorkers++
 		} else {
-			emitters++
+			decodeWorkers++
 		}
 	}
-	all := readers + emitters
-	keep := minPerRole(all)
-	from, to, want := ids.Decode, ids.Prefill, max(1, all/roleChangeShare)
-	// as many as were lost at once, if the pressure asks for so many
-	replace := func(lost, have int, pressure, limit float64) int {
-		return max(want, min(lost, int(math.Ceil(float64(have)*(pressure/limit-1)))))
+	total := prefillWorkers + decodeWorkers
+	minimum := minPerRole(total)
+	from, to, count := ids.Decode, ids.Prefill, max(1, total/roleChangeShare)
+	// replace returns the number of workers to change: up to as many as were lost, if the pressure
+	// requires that many.
+	replacements := func(lost, workers int, pressure, limit float64) int {
+		return max(count, min(lost, int(math.Ceil(float64(workers)*(pressure/limit-1)))))
+	}
+	pressureWithout := func(pressure float64, workers, removed int) float64 {
+		return pressure * float64(workers) / float64(max(1, workers-removed))
 	}
-	spare := func(load float64, have, by int) float64 { return load * float64(have) / float64(max(1, have-by)) }
 	switch {
-	case all < 2:
+	case total < 2:
 		return nil, ""
-	case readers == 0:
-		want = min(want, emitters-1)
-	case emitters == 0:
-		from, to, want = ids.Prefill, ids.Decode, min(want, readers-1)
-	case busy == 0 && float64(readers+1) <= rest*float64(all):
-		want = min(want, int(rest*float64(all))-readers, emitters-keep)
-	case read > prefillPressureLimit:
-		want = replace(lost.prefill, readers, read, prefillPressureLimit)
-		for want = min(want, emitters-keep); want > 0 && spare(emit, emitters, want) >= decodePressureLow; want-- {
+	case prefillWorkers == 0:
+		count = min(count, decodeWorkers-1)
+	case decodeWorkers == 0:
+		from, to, count = ids.Prefill, ids.Decode, min(count, prefillWorkers-1)
+	case active == 0 && float64(prefillWorkers+1) <= idlePrefillShare*float64(total):
+		count = min(count, int(idlePrefillShare*float64(total))-prefillWorkers, decodeWorkers-minimum)
+	case prefillPressure > prefillPressureLimit:
+		count = replacements(lost.prefill, prefillWorkers, prefillPressure, prefillPressureLimit)
+		for count = min(count, decodeWorkers-minimum); count > 0 &&
+			pressureWithout(decodePressure, decodeWorkers, count) >= decodePressureLow; count-- {
 		}
-	case emit > decodePressureLimit:
+	case decodePressure > decodePressureLimit:
 		from, to = ids.Prefill, ids.Decode
-		want = replace(lost.decode, emitters, emit, decodePressureLimit)
-		for want = min(want, readers-keep); want > 0 && emit <= decodeSaturated &&
-			spare(read, readers, want) >= prefillPressureLimit; want-- {
+		count = replacements(lost.decode, decodeWorkers, decodePressure, decodePressureLimit)
+		for count = min(count, prefillWorkers-minimum); count > 0 && decodePressure <= decodeSaturated &&
+			pressureWithout(prefillPressure, prefillWorkers, count) >= prefillPressureLimit; count-- {
 		}
 	default:
 		return nil, ""
 	}
-	return leastBusy(rows, from, want), to
+	return leastBusy(rows, from, count), to
 }
 
-// leastBusy names so many workers of a role, from the zones that have the most of it, the least busy
-// of a zone first.
-func leastBusy(rows []workerReport, role ids.Role, want int) []*workerReport {
+// leastBusy returns up to want workers of a role, from the zones that have the most of it, the least
+// busy of a zone first.
+func leastBusy(rows []workerReport, role ids.Role, count int) []*workerReport {
 	zones := map[ids.Zone]int{}
-	var some []*workerReport
+	var candidates []*workerReport
 	for i := range rows {
 		if rows[i].Role == role {
-			some = append(some, &rows[i])
+			candidates = append(candidates, &rows[i])
 			zones[rows[i].worker.Zone]++
 		}
 	}
 	var out []*workerReport
-	for len(out) < want && len(some) > 0 {
+	for len(out) < count && len(candidates) > 0 {
 		best := 0
-		for i, r := range some {
-			a, b := zones[r.worker.Zone], zones[some[best].worker.Zone]
-			if a > b || a == b && r.Running+r.Waiting < some[best].Running+some[best].Waiting {
+		for i, r := range candidates {
+			a, b := zones[r.worker.Zone], zones[candidates[best].worker.Zone]
+			if a > b || a == b && r.Running+r.Waiting < candidates[best].Running+candidates[best].Waiting {
 				best = i
 			}
 		}
-		zones[some[best].worker.Zone]--
-		out = append(out, some[best])
-		some = append(some[:best], some[best+1:]...)
+		zones[candidates[best].worker.Zone]--
+		out = append(out, candidates[best])
+		candidates = append(candidates[:best], candidates[best+1:]...)
 	}
 	return out
 }
--- a/internal/proxy/service_times.go
+++ b/internal/proxy/service_times.go
@@ -1,17 +1,18 @@
-// What a node learns of how long the workers of a service take.
+// Response times of a service's workers, as observed by this node.
 
 package proxy
 
 import "keelstair.example/internal/silence"
 
-// serviceTimes is what is learned of a service's workers as a whole.
+// serviceTimes holds the times observed over all workers of a service.
 type serviceTimes struct {
 	overhead   prefillOverhead
-	prefill    silence.Estimate // beyond what is reckoned, until a prompt is read
+	prefill    silence.Estimate // prefill time beyond prefillQuietFactor times the estimate
 	firstEvent silence.Estimate // until the first byte of an answer
 	nextEvent  silence.Estimate // between bytes of an answer
 }
 
+// serviceTimesFor returns the times of a service, and creates them if there are none.
 func (n *Node) serviceTimesFor(service string) *serviceTimes {
 	if v, ok := n.serviceTimes.Load(service); ok {
 		return v.(*serviceTimes)
--- a/internal/proxy/slow_start.go
+++ b/internal/proxy/slow_start.go
@@ -1,4 +1,4 @@
-// Slow start: how often a worker that came up may be sent requests, over all nodes.
+// Slow start: limits the rate of requests from all nodes to a worker that has just started.
 
 package proxy
 
@@ -9,7 +9,7 @@
 	"keelstair.example/ids"
 )
 
-// slowStart spaces what this node sends to each cold worker.
+// slowStart records when this node last sent a request to each cold worker.
 type slowStart struct {
 	mu   sync.Mutex
 	last map[ids.WorkerID]ids.Tick
@@ -17,19 +17,19 @@
 
 func newSlowStart() slowStart { return slowStart{last: map[ids.WorkerID]ids.Tick{}} }
 
-// allows tells whether the gap since the last request to a cold worker went by.
-func (w *slowStart) allows(id ids.WorkerID, gap time.Duration, now ids.Tick) bool {
+// allows reports whether the interval since the last request to a cold worker has passed.
+func (w *slowStart) allows(id ids.WorkerID, interval time.Duration, now ids.Tick) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at, ok := w.last[id]
-	return !ok || now.Past(at, gap)
+	return !ok || now.Past(at, interval)
 }
 
-// reserve notes a request to a cold worker, if it may be sent.
-func (w *slowStart) reserve(id ids.WorkerID, gap time.Duration, now ids.Tick) bool {
+// reserve records a request to a cold worker and returns true, if the interval has passed.
+func (w *slowStart) reserve(id ids.WorkerID, interval time.Duration, now ids.Tick) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if at, ok := w.last[id]; ok && !now.Past(at, gap) {
+	if at, ok := w.last[id]; ok && !now.Past(at, interval) {
 		return false
 	}
 	if len(w.last) > 1000 {
--- a/internal/proxy/worker_state.go
+++ b/internal/proxy/worker_state.go
@@ -1,4 +1,4 @@
-// What this node knows of each life of a worker.
+// The state that this node keeps of each worker incarnation.
 
 package proxy
 
@@ -12,30 +12,31 @@
 	"keelstair.example/internal/retrybudget"
 )
 
-// workerState is what this node knows of one life of a worker.
+// workerState is what this node knows of one worker incarnation, by its worker id.
 type workerState struct {
 	mu             sync.Mutex
 	load           Load
 	loadAt         ids.Tick
-	avoidUntil     ids.Tick // nothing is sent before
+	avoidUntil     ids.Tick // no requests are sent before, unless no other worker is left
 	failures       int
-	replaced       bool // another life has its address
-	prefillTokens  int  // under way from here, in prompt tokens
+	replaced       bool // another incarnation has its address
+	prefillTokens  int  // prompt tokens of this node's prefills in flight
 	prefills       int
 	decodes        int
-	peerPrefills   PrefillLoad // of the other nodes
+	peerPrefills   PrefillLoad // in flight from other nodes
 	peerPrefillsAt ids.Tick
 	attempts       map[*attempt]bool
 	watched        atomic.Bool
-	down           bool         // it gives no report
-	suspected      bool         // it was silent, and is asked for its report
-	lastSuccess    atomic.Int64 // ids.Tick of the last sign of life that a sending gave
+	down           bool         // it does not answer report requests
+	suspected      bool         // it was silent, and its report has been requested
+	lastSuccess    atomic.Int64 // ids.Tick of the last success or received bytes
 	outlier        outlierState
-	cached         map[uint64]ids.Tick // beginnings of prompts that it was seen to have read
+	cached         map[uint64]ids.Tick // hashes of prompt prefixes that this node sent it
 	memory         memoryAccount
 	eventGap       eventGap
 }
 
+// state returns the state of a worker, and creates it if there is none.
 func (n *Node) state(id ids.WorkerID) *workerState {
 	if v, ok := n.states.Load(id); ok {
 		return v.(*workerState)
@@ -44,32 +45,32 @@
 	return v.(*workerState)
 }
 
-// acceptsWork tells whether a worker may get new work under a snapshot.
+// acceptsWork reports whether a worker may get new requests under a snapshot.
 func acceptsWork(s *fleetstate.Snapshot, w *Worker) bool {
-	_, turning := s.RoleChanges[w.ID]
-	return !w.Leaving && !turning && !s.Zones[w.Zone] && !s.Drained[w.ID]
+	_, changing := s.RoleChanges[w.ID]
+	return !w.Leaving && !changing && !s.Zones[w.Zone] && !s.Drained[w.ID]
 }
 
-// failback is when a zone was taken back, at the latest, and which time that was.
+// failback is the number of a zone's failback and the latest tick at which it may have happened.
 type failback struct {
 	number uint64
 	at     ids.Tick
 }
 
-// coldFor tells how much longer a worker counts as cold.
-func (n *Node) coldFor(w *Worker, service *fleetstate.Service, got, now ids.Tick) time.Duration {
-	left := w.SlowStart - now.Since(got)
+// coldFor returns how much longer a worker counts as cold, given when the list with it was received.
+func (n *Node) coldFor(w *Worker, service *fleetstate.Service, received, now ids.Tick) time.Duration {
+	remaining := w.SlowStart - now.Since(received)
 	if v, ok := n.failbacks.Load(w.Zone); ok {
-		left = max(left, service.SlowStart()-now.Since(v.(failback).at))
+		remaining = max(remaining, service.SlowStart()-now.Since(v.(failback).at))
 	}
-	return max(left, 0)
+	return max(remaining, 0)
 }
 
 const isolationTimeout = 2 * time.Second
 
-// isolated tells that this node may have missed a zone that was emptied and taken back:
-// neither the core confirmed it nor did any other process speak to it for a while, or
-// they do so again for too short a time to have told the news.
+// isolated reports whether this node may have missed a zone's evacuation and failback: for
+// isolationTimeout neither the core has confirmed it nor has any other process contacted it, or
+// contact has been back for too short a time for the change to have arrived.
 func (n *Node) isolated(now ids.Tick) bool {
 	if n.agent.CaughtUp(isolationTimeout) {
 		return false
@@ -82,14 +83,14 @@
 	return at != 0 && !now.Past(at, isolationTimeout)
 }
 
-// mayBeUncounted tells that the other nodes may no longer count this one among those that share what
-// all have, since no process has heard of it for so long.
+// mayBeUncounted reports whether the other nodes may no longer count this one among those that share
+// the fleet-wide retry budget, because no process has been in contact with it for too long.
 func (n *Node) mayBeUncounted() bool {
 	alone := retrybudget.PeerCountTTL - n.options.RetryWindow
 	return !n.agent.CaughtUp(alone) && n.now().Past(n.agent.Directory().LastContact(), alone)
 }
 
-// recordFailure notes that a worker failed; it is left alone for a while, longer each time.
+// recordFailure records a failure of a worker, which is then avoided, longer after each failure.
 func (s *workerState) recordFailure(now ids.Tick) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,20 +98,21 @@
 	s.avoidUntil = now.Add(time.Duration(s.failures) * 700 * time.Millisecond)
 }
 
-// markReplaced notes that another life has the worker's address.
+// markReplaced records that another incarnation has the worker's address.
 func (s *workerState) markReplaced() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replaced = true
 }
 
-// recordFull notes that a worker turned a request away.
+// recordFull records that a worker rejected a request, and avoids it for 150 ms.
 func (s *workerState) recordFull(now ids.Tick) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.avoidUntil = max(s.avoidUntil, now.Add(150*time.Millisecond))
 }
 
+// recordSuccess resets the failure count and records the load that came with an answer, if any.
 func (s *workerState) recordSuccess(l *Load, now ids.Tick) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,14 +122,16 @@
 	}
 }
 
-// maxCachedPrefixes bounds the memory of what a worker has read.
+// maxCachedPrefixes bounds the prefixes that are recorded of a worker.
 const maxCachedPrefixes = 4096
 
-func (s *workerState) beginRequest(reads int, marks []uint64, now ids.Tick) {
+// beginRequest counts a request in flight: a prefill of that many tokens, or a decode if prefillTokens
+// is 0. It records the prompt's prefixes as cached.
+func (s *workerState) beginRequest(prefillTokens int, prefixes []uint64, now ids.Tick) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if reads > 0 {
-		s.prefillTokens += reads
+	if prefillTokens > 0 {
+		s.prefillTokens += prefillTokens
 		s.prefills++
 	} else {
 		s.decodes++
@@ -135,24 +139,25 @@
 	if len(s.cached) > maxCachedPrefixes {
 		clear(s.cached)
 	}
-	for _, m := range marks {
-		s.cached[m] = now
+	for _, prefix := range prefixes {
+		s.cached[prefix] = now
 	}
 }
 
-func (s *workerState) endRequest(reads int) {
+// endRequest ends what beginRequest counted.
+func (s *workerState) endRequest(prefillTokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if reads > 0 {
-		s.prefillTokens -= reads
+	if prefillTokens > 0 {
+		s.prefillTokens -= prefillTokens
 		s.prefills--
 	} else {
 		s.decodes--
 	}
 }
 
-// queuedPrefills gives the prompt tokens and the prompts that all nodes have under way there. The
-// state is locked.
+// queuedPrefills returns the prompt tokens and the number of prefills in flight from all nodes. The
+// caller holds the lock.
 func (s *workerState) queuedPrefills(now ids.Tick) (tokens, count int) {
 	tokens, count = s.prefillTokens, s.prefills
 	if !now.Past(s.peerPrefillsAt, prefillLoadTTL) {
@@ -161,13 +166,13 @@
 	return tokens, count
 }
 
-// activeRequests gives the requests there by the worker's own newest word; false if that is older
-// than a span. The state is locked.
-func (s *workerState) activeRequests(now ids.Tick, duration time.Duration) (int, bool) {
+// activeRequests returns the running and waiting requests by the worker's newest load or report; false
+// if that is older than maxAge. The caller holds the lock.
+func (s *workerState) activeRequests(now ids.Tick, maxAge time.Duration) (int, bool) {
 	switch reports := s.memory.Capacity > 0; {
-	case reports && s.loadAt.Before(s.memory.at) && !now.Past(s.memory.at, duration):
+	case reports && s.loadAt.Before(s.memory.at) && !now.Past(s.memory.at, maxAge):
 		return s.memory.Running + s.memory.Waiting, true
-	case !now.Past(s.loadAt, duration) && s.loadAt > 0:
+	case !now.Past(s.loadAt, maxAge) && s.loadAt > 0:
 		return s.load.Running + s.load.Waiting, true
 	}
 	return 0, false
