--- a/internal/proxy/event_gap.go
+++ b/internal/proxy/event_gap.go
@@ -18,7 +18,7 @@
 	slowDecodeCost  = 100.0       // ms for each further multiple
 )
 
-// eventGap is the moving average of the pauses between the events of a worker's answers.
+// meanEventGap is the moving average of the pauses between the events of a worker's answers.
 type eventGap struct {
 	mean time.Duration
 	at   ids.Tick
@@ -54,8 +54,8 @@
 func addSlowDecodeCost(list []pick) {
 	var gaps []time.Duration
 	for i := range list {
-		if list[i].eventGap > 0 {
-			gaps = append(gaps, list[i].eventGap)
+		if list[i].meanEventGap > 0 {
+			gaps = append(gaps, list[i].meanEventGap)
 		}
 	}
 	if len(gaps) < 2 {
@@ -64,7 +64,7 @@
 	slices.Sort(gaps)
 	usual := gaps[(len(gaps)-1)/4] // the lower quartile, so that half of the workers may be slow
 	for i := range list {
-		if beyond := float64(list[i].eventGap)/float64(usual) - slowDecodeRatio; beyond > 0 {
+		if beyond := float64(list[i].meanEventGap)/float64(usual) - slowDecodeRatio; beyond > 0 {
 			list[i].cost += slowDecodeCost * beyond
 		}
 	}
--- a/internal/proxy/event_gap_test.go
+++ b/internal/proxy/event_gap_test.go
@@ -58,12 +58,12 @@
 // TestSlowDecodeCost: only workers that are slow beside the faster quarter cost more.
 func TestSlowDecodeCost(t *testing.T) {
 	ms := time.Millisecond
-	list := []pick{{eventGap: 20 * ms}, {eventGap: 30 * ms}, {eventGap: 80 * ms}, {eventGap: 0}, {eventGap: 25 * ms}}
+	list := []pick{{meanEventGap: 20 * ms}, {meanEventGap: 30 * ms}, {meanEventGap: 80 * ms}, {meanEventGap: 0}, {meanEventGap: 25 * ms}}
 	addSlowDecodeCost(list)
 	for i, want := range []float64{0, 0, 200, 0, 0} {
 		require.InDelta(t, want, list[i].cost, 1e-9, "worker %d", i)
 	}
-	alone := []pick{{eventGap: 500 * ms}, {eventGap: 0}}
+	alone := []pick{{meanEventGap: 500 * ms}, {meanEventGap: 0}}
 	addSlowDecodeCost(alone)
 	require.Zero(t, alone[0].cost)
 }
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -66,7 +66,7 @@
 	reservation     *reservation
 	capacityBlocks  int // 0 without a recent report
 	freeBlocks      int
-	eventGap        time.Duration // recent mean interval between its events; 0 if unknown
+	meanEventGap    time.Duration // recent mean interval between its events; 0 if unknown
 	failureRate     float64       // failure rate if it is an outlier, else 0
 	outcomeRecorded *atomic.Bool  // set once the outcome is recorded
 	request         *Request      // the request as sent to this worker
@@ -265,7 +265,7 @@
 			c.activeRequests = max(c.activeRequests, c.state.load.Running+c.state.load.Waiting)
 		}
 		c.applyMemory(ids.Blocks(r.Prompt+r.MaxTokens, blockSize), n.options.NoCapacityCost, now)
-		c.eventGap = c.state.eventGap.current(now)
+		c.meanEventGap = c.state.eventGap.current(now)
 		c.state.mu.Unlock()
 		concurrency := max(1, c.worker.Concurrency)
 		c.cost += 1.5*float64(c.activeRequests) + n.zoneCost(c.worker, len(r.Body))
