--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -30,7 +30,7 @@
 	retryAfterShare  = 0.3                    // share of a request's remaining time that its retry delay may take
 )
 
-// servicePressure is the load of a service as known to this node.
+// computePressure is the load of a service as known to this node.
 type servicePressure struct {
 	at         ids.Tick
 	loadsKnown bool    // recent loads are known for at least half of the concurrency
@@ -52,20 +52,20 @@
 }
 
 // remember records that a caller may return at the tick due.
-func (c *rejectedCallers) remember(who uint64, due ids.Tick, limit int) {
+func (c *rejectedCallers) remember(caller uint64, due ids.Tick, limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.recent == nil || len(c.recent) >= max(1, limit/2) {
 		c.recent, c.earlier = map[uint64]ids.Tick{}, c.recent
 	}
-	c.recent[who] = due
+	c.recent[caller] = due
 }
 
 // earlyBy returns how long before its retry delay was over a caller came back.
-func (c *rejectedCallers) earlyBy(who uint64, now ids.Tick) time.Duration {
+func (c *rejectedCallers) earlyBy(caller uint64, now ids.Tick) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return max(0, c.recent[who].Since(now), c.earlier[who].Since(now))
+	return max(0, c.recent[caller].Since(now), c.earlier[caller].Since(now))
 }
 
 // callerHash identifies the caller of a request, the same for all its attempts. No header names a
@@ -86,38 +86,38 @@
 
 // admitDraw returns a pseudo-random number from 0 to 1 for a caller, the same on every node within an
 // admitEpoch.
-func admitDraw(who uint64, wall time.Time) float64 {
-	who ^= uint64(wall.UnixNano()/int64(admitEpoch)) * 0x9e3779b97f4a7c15
-	who ^= who >> 33
-	who *= 0xff51afd7ed558ccd
-	who ^= who >> 33
-	return float64(who>>11) / (1 << 53)
+func admitDraw(caller uint64, wall time.Time) float64 {
+	caller ^= uint64(wall.UnixNano()/int64(admitEpoch)) * 0x9e3779b97f4a7c15
+	caller ^= caller >> 33
+	caller *= 0xff51afd7ed558ccd
+	caller ^= caller >> 33
+	return float64(caller>>11) / (1 << 53)
 }
 
-// servicePressure computes the load of a service, or returns a recently computed one.
-func (n *Node) servicePressure(service *fleetstate.Service, list *endpointList, s *fleetstate.Snapshot) *servicePressure {
+// computePressure computes the load of a service, or returns a recently computed one.
+func (n *Node) computePressure(service *fleetstate.Service, list *endpointList, s *fleetstate.Snapshot) *servicePressure {
 	now := n.now()
 	if v, ok := n.admission.pressures.Load(service.Name); ok && !now.Past(v.(*servicePressure).at, admitViewTTL) {
 		return v.(*servicePressure)
 	}
 	p := &servicePressure{at: now, queueMs: -1}
 	avoidedQueueMs := -1.0 // as queueMs, over the workers within their avoidance period
-	t := n.candidateIndexFor(list, s)
+	index := n.candidateIndexFor(list, s)
 	var used, known, total int
 	for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
-		for _, e := range t.byRole[serviceRole{service.Name, role}] {
-			if role == ids.Decode && e.role == "" && len(t.byRole[serviceRole{service.Name, ids.Prefill}]) > 0 {
+		for _, c := range index.byRole[serviceRole{service.Name, role}] {
+			if role == ids.Decode && c.role == "" && len(index.byRole[serviceRole{service.Name, ids.Prefill}]) > 0 {
 				continue // counted as a prefill worker
 			}
-			concurrency := max(1, list.workers[e.index].Concurrency)
+			concurrency := max(1, list.workers[c.index].Concurrency)
 			total += concurrency
-			e.state.mu.Lock()
-			avoided := now.Before(e.state.avoidUntil)
-			ahead, count := e.state.queuedPrefills(now)
-			active, recent := e.state.activeRequests(now, n.options.AdmitMaxAge)
-			e.state.mu.Unlock()
+			c.state.mu.Lock()
+			avoided := now.Before(c.state.avoidUntil)
+			queuedTokens, queuedPrompts := c.state.queuedPrefills(now)
+			active, recent := c.state.activeRequests(now, n.options.AdmitMaxAge)
+			c.state.mu.Unlock()
 			if recent {
-				known, used = known+concurrency, used+max(active, count)
+				known, used = known+concurrency, used+max(active, queuedPrompts)
 			}
 			if role != ids.Prefill {
 				continue
@@ -126,7 +126,7 @@
 			if avoided {
 				best = &avoidedQueueMs
 			}
-			if ms := float64(ahead)/n.options.PrefillTokensPerMs + queuedPrefillCost*float64(count); *best < 0 ||
+			if ms := float64(queuedTokens)/n.options.PrefillTokensPerMs + queuedPrefillCost*float64(queuedPrompts); *best < 0 ||
 				ms < *best {
 				*best = ms
 			}
@@ -149,7 +149,7 @@
 		now.Past(list.requestedAt, listMaxAge) {
 		return nil
 	}
-	p := n.servicePressure(t.service, list, s)
+	p := n.computePressure(t.service, list, s)
 	if !p.loadsKnown || !p.halfFull || p.queueMs < 0 {
 		return nil
 	}
@@ -164,13 +164,13 @@
 	latencyMs /= 1 + admitClassFactor*float64(rank)
 	threshold := n.options.AdmitFactor
 	v, _ := n.admission.rejecting.LoadOrStore(t.service.Name+"/"+strconv.Itoa(rank), &atomic.Bool{})
-	rejecting := v.(*atomic.Bool)
+	isRejecting := v.(*atomic.Bool)
 	ratio := latencyMs / targetMs
 	floor := threshold
-	if rejecting.Load() {
+	if isRejecting.Load() {
 		floor *= admitHysteresis
 	}
-	rejecting.Store(ratio > floor)
+	isRejecting.Store(ratio > floor)
 	caller := callerHash(t.request)
 	if early := n.admission.rejected.earlyBy(caller, now); early > 0 && ratio > floor {
 		return t.reject(early, "come back too soon")
@@ -198,7 +198,7 @@
 // retryAfterHint schedules the caller's return, within the time that it is expected to wait.
 func (t *exchange) retryAfterHint() time.Duration {
 	limit := time.Duration(retryAfterShare * float64(t.remaining()))
-	after := t.node.retryAfter.Next(t.node.now(), t.node.counts.Completed.Load(), t.retryAfter())
+	after := t.node.retryAfter.Next(t.node.now(), t.node.counts.Completed.Load(), t.retryDelay())
 	if after > limit && limit > 0 {
 		after = limit/2 + rand.N(limit/2+1)
 	}
--- a/internal/proxy/decode_exchange.go
+++ b/internal/proxy/decode_exchange.go
@@ -62,10 +62,10 @@
 			continue
 		}
 		if t.attemptsMade >= t.maxAttempts() {
-			return nil, nil, failure.New(failure.Unavailable, "emit", t.service.Name, "no attempt is left")
+			return nil, nil, failure.New(failure.Unavailable, "emit", t.service.Name, "no try is left")
 		}
 		if round > 2 || !host.Sleep(ctx, 30*time.Millisecond) {
-			return nil, nil, failure.New(failure.Unavailable, "emit", t.service.Name, "no worker accepts the request")
+			return nil, nil, failure.New(failure.Unavailable, "emit", t.service.Name, "no worker may take it")
 		}
 	}
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -261,10 +261,10 @@
 	if t.mayHaveRun || t.headSent {
 		return &AbortedError{Code: code, HeadSent: t.headSent, Reason: reason}
 	}
-	return &RejectedError{Code: http.StatusServiceUnavailable, RetryAfter: t.retryAfter(), Reason: reason}
+	return &RejectedError{Code: http.StatusServiceUnavailable, RetryAfter: t.retryDelay(), Reason: reason}
 }
 
-func (t *exchange) retryAfter() time.Duration {
+func (t *exchange) retryDelay() time.Duration {
 	return min(max(150*time.Millisecond, t.route.LatencyTarget()/4), max(50*time.Millisecond, t.remaining()/4))
 }
 
@@ -319,11 +319,11 @@
 	if !ok || gap > 0 && !t.node.slowStart.reserve(c.worker.ID, gap, t.node.now()) {
 		return false
 	}
-	var prefixes []uint64
+	var hashes []uint64
 	if prefillTokens > 0 {
-		prefixes = t.prefixes
+		hashes = t.prefixes
 	}
-	c.state.beginRequest(prefillTokens, prefixes, t.node.now())
+	c.state.beginRequest(prefillTokens, hashes, t.node.now())
 	c.outcomeRecorded = new(atomic.Bool)
 	c.request, c.urgency = t.outgoing, t.urgency()
 	maxGrowth := t.request.MaxTokens
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -58,11 +58,11 @@
 
 // hedgeDelay returns how long a prefill may take before it is hedged; false if it must not be hedged.
 func (t *exchange) hedgeDelay(first *pick) (time.Duration, bool) {
-	overhead, ok := t.node.serviceTimesFor(t.service.Name).overhead.median()
+	usualOverhead, ok := t.node.serviceTimesFor(t.service.Name).overhead.median()
 	if !ok || t.node.options.HedgeFactor < 0 || t.route.MaxAttempts < 2 || t.attemptsMade > 0 {
 		return 0, false
 	}
-	return time.Duration(t.node.options.HedgeFactor * float64(overhead+first.prefillTime)), true
+	return time.Duration(t.node.options.HedgeFactor * float64(usualOverhead+first.prefillTime)), true
 }
 
 // hedgeCandidate reserves a second worker that can meet the latency target and charges the hedge; nil if
@@ -71,13 +71,13 @@
 	if t.authenticate(t.node.snapshot()) != nil {
 		return nil
 	}
-	overhead, _ := t.node.serviceTimesFor(t.service.Name).overhead.median()
-	remaining := t.route.LatencyTarget() - t.node.now().Since(t.request.At)
+	usualOverhead, _ := t.node.serviceTimesFor(t.service.Name).overhead.median()
+	timeLeft := t.route.LatencyTarget() - t.node.now().Since(t.request.At)
 	tried := maps.Clone(t.tried)
 	tried[first.worker.ID] = true
 	for _, c := range t.node.prefillCandidates(t.programs, t.node.snapshot(), t.service, t.request, tried) {
 		limit := max(shortPrompt, hedgeWorkFactor*float64(first.uncachedTokens))
-		if overhead+c.expectedLatency > remaining || float64(c.uncachedTokens) > limit {
+		if usualOverhead+c.expectedLatency > timeLeft || float64(c.uncachedTokens) > limit {
 			continue
 		}
 		if !t.reserveWorker(&c, max(1, c.uncachedTokens)) {
--- a/internal/proxy/memory_account.go
+++ b/internal/proxy/memory_account.go
@@ -57,12 +57,12 @@
 	l.reservations = kept
 }
 
-// reserve records a reservation of total blocks, of which exclusive are shared with no other request.
-func (l *memoryAccount) reserve(total, exclusive int, now ids.Tick) *reservation {
+// reserve records a reservation, of which exclusiveBlocks are shared with no other request.
+func (l *memoryAccount) reserve(blocks, exclusiveBlocks int, now ids.Tick) *reservation {
 	if n := len(l.reservations); n > 0 && n%64 == 0 {
 		l.prune(now.Add(-reportMaxAge))
 	}
-	h := &reservation{total: total, exclusive: exclusive, at: now}
+	h := &reservation{total: blocks, exclusive: exclusiveBlocks, at: now}
 	l.reservations = append(l.reservations, h)
 	return h
 }
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -242,13 +242,13 @@
 	notServing := 0
 	var outliers []*outlierCandidate
 	for _, a := range rows {
-		outlier := a.isOutlier((sum - a.rate()) / float64(max(1, known-1)))
-		if n.advancePhase(a, outlier, now) {
+		outlying := a.isOutlier((sum - a.rate()) / float64(max(1, known-1)))
+		if n.advancePhase(a, outlying, now) {
 			if notServing++; notServing > limit { // the group shrank, and this is the one with the lowest failure rate
 				n.readmit(a, now, "too many ejected")
 				notServing--
 			}
-		} else if outlier || a.state.flapping() {
+		} else if outlying || a.state.flapping() {
 			outliers = append(outliers, a)
 		}
 	}
@@ -269,11 +269,11 @@
 
 // advancePhase advances a worker's ejection or probation, and returns false if it is serving. The
 // outcomes that led to an ejection are cleared halfway through it, so that new outcomes decide.
-func (n *Node) advancePhase(a *outlierCandidate, outlier bool, now ids.Tick) bool {
+func (n *Node) advancePhase(a *outlierCandidate, isOutlier bool, now ids.Tick) bool {
 	a.state.mu.Lock()
 	v := &a.state.outlier
 	v.failureRate = 0
-	if outlier || v.phase != serving {
+	if isOutlier || v.phase != serving {
 		v.failureRate = a.rate()
 	}
 	switch was := v.phase; {
@@ -284,7 +284,7 @@
 		v.phase, v.phaseStartedAt, v.successes, v.failedTrial, v.local = probation, now, 0, false, decayingCount{}
 	case was == ejected && now.Past(v.phaseStartedAt, v.ejectedUntil.Since(v.phaseStartedAt)/2):
 		v.local = decayingCount{}
-	case was == probation && (v.failedTrial || outlier || v.flapping):
+	case was == probation && (v.failedTrial || isOutlier || v.flapping):
 		a.state.mu.Unlock()
 		n.eject(a, now)
 		return true
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -135,11 +135,11 @@
 			continue
 		}
 		c.state.mu.Lock()
-		avoid, replaced := now.Before(c.state.avoidUntil), c.state.replaced
+		avoid, wasReplaced := now.Before(c.state.avoidUntil), c.state.replaced
 		hold := !avoid && (c.state.suspected || c.state.outlier.blocked(now, n.options.ShareInterval))
 		c.failureRate = c.state.outlier.failureRate
 		c.state.mu.Unlock()
-		if replaced {
+		if wasReplaced {
 			continue
 		}
 		if avoid {
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -18,7 +18,7 @@
 	"keelstair.example/internal/handoff"
 )
 
-var errWorkerSilent = errors.New("the worker is silent")
+var errWorkerSilent = errors.New("the worker says nothing")
 
 // supervisedBody is an answer's body with silence timers: after a first silence the worker is asked for
 // its report, and if the request may be retried elsewhere, a longer silence cancels it.
@@ -101,7 +101,7 @@
 	t.mayHaveRun = true
 	if reply.Status/100 == 2 && !reply.FromWorker {
 		t.node.recordOutcome(c, false)
-		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "success status without the worker's seal")
+		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "a success without the worker's stamp")
 	}
 	if promisesNotRun(reply.Status) {
 		t.node.recordOutcome(c, false)
@@ -109,7 +109,7 @@
 			failure.OutcomeUnknown,
 			"pass",
 			c.worker.Addr,
-			"status %d without a header that the request was not run",
+			"status %d without word that it was not run",
 			reply.Status,
 		)
 	}
@@ -152,7 +152,7 @@
 	return false
 }
 
-var errCallerDisconnected = errors.New("the caller disconnected")
+var errCallerDisconnected = errors.New("the caller went away")
 
 func (t *exchange) writeHead(reply *Response, length int64) error {
 	if t.headSent {
@@ -224,7 +224,7 @@
 	first, last := eventIDs(events)
 	if resumed && !isLaterEvent(first, t.lastEventID) {
 		return failure.New(
-			failure.OutcomeUnknown, "resume", c.worker.Addr, "event %s repeated after %s", first, t.lastEventID,
+			failure.OutcomeUnknown, "resume", c.worker.Addr, "event %s comes after %s", first, t.lastEventID,
 		)
 	}
 	t.timing.recordEvents(t.node.now())
--- a/internal/proxy/role_choice.go
+++ b/internal/proxy/role_choice.go
@@ -125,8 +125,8 @@
 	replacements := func(lost, workers int, pressure, limit float64) int {
 		return max(count, min(lost, int(math.Ceil(float64(workers)*(pressure/limit-1)))))
 	}
-	pressureWithout := func(pressure float64, workers, removed int) float64 {
-		return pressure * float64(workers) / float64(max(1, workers-removed))
+	pressureWithout := func(load float64, workers, removed int) float64 {
+		return load * float64(workers) / float64(max(1, workers-removed))
 	}
 	switch {
 	case total < 2:
--- a/internal/proxy/worker_state.go
+++ b/internal/proxy/worker_state.go
@@ -125,13 +125,12 @@
 // maxCachedPrefixes bounds the prefixes that are recorded of a worker.
 const maxCachedPrefixes = 4096
 
-// beginRequest counts a request in flight: a prefill of that many tokens, or a decode if prefillTokens
-// is 0. It records the prompt's prefixes as cached.
-func (s *workerState) beginRequest(prefillTokens int, prefixes []uint64, now ids.Tick) {
+// beginRequest counts a request in flight: a prefill of that many tokens, or a decode if tokens is 0. It records the prompt's prefixes as cached.
+func (s *workerState) beginRequest(tokens int, hashes []uint64, now ids.Tick) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if prefillTokens > 0 {
-		s.prefillTokens += prefillTokens
+	if tokens > 0 {
+		s.prefillTokens += tokens
 		s.prefills++
 	} else {
 		s.decodes++
@@ -139,17 +138,17 @@
 	if len(s.cached) > maxCachedPrefixes {
 		clear(s.cached)
 	}
-	for _, prefix := range prefixes {
-		s.cached[prefix] = now
+	for _, h := range hashes {
+		s.cached[h] = now
 	}
 }
 
 // endRequest ends what beginRequest counted.
-func (s *workerState) endRequest(prefillTokens int) {
+func (s *workerState) endRequest(tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if prefillTokens > 0 {
-		s.prefillTokens -= prefillTokens
+	if tokens > 0 {
+		s.prefillTokens -= tokens
 		s.prefills--
 	} else {
 		s.decodes--
