--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	outcomeTimeConstant   = 3 * time.Second // outcomes decay by a factor of e in this time
-	outageTimeConstant    = 20 * time.Second
+	outcomeTimeConstant   = 3 * time.Second  // outcomes decay by a factor of e in this time
+	outageTimeConstant    = 20 * time.Second // the same for outages
 	outageGrace           = time.Second      // maximum delay from an outage's first failures to its detection
 	maxOutages            = 1.3              // decaying count of outages above which a worker is flapping
 	outlierMinRate        = 0.1              // failure rate up to which no worker is an outlier
--- a/internal/proxy/role_choice.go
+++ b/internal/proxy/role_choice.go
@@ -37,10 +37,8 @@
 		d.prefillPressure += 0.4 * (float64(prompts)/float64(prefillWorkers) - d.prefillPressure)
 	}
 	if decodeWorkers > 0 && capacity > 0 {
-		utilization := max(
-			float64(streams)/float64(decodeWorkers*max(1, service.Concurrency)),
-			float64(used)/float64(capacity),
-		)
+		utilization := max(float64(streams)/float64(decodeWorkers*max(1, service.Concurrency)),
+			float64(used)/float64(capacity))
 		d.decodePressure += 0.4 * (utilization - d.decodePressure)
 	}
 	return d.prefillPressure, d.decodePressure
@@ -103,11 +101,8 @@
 // change more workers at once. The workers are the least busy ones of the role that can spare them,
 // from the zones that have the most of it. While nothing is in flight, idlePrefillShare is the share
 // of workers in the prefill role.
-func chooseRoleChange(
-	rows []workerReport,
-	prefillPressure, decodePressure, idlePrefillShare float64,
-	lost roleCounts,
-) ([]*workerReport, ids.Role) {
+func chooseRoleChange(rows []workerReport, prefillPressure, decodePressure, idlePrefillShare float64,
+	lost roleCounts) ([]*workerReport, ids.Role) {
 	var prefillWorkers, decodeWorkers, active int
 	for _, r := range rows {
 		active += r.Running + r.Waiting
@@ -120,8 +115,8 @@
 	total := prefillWorkers + decodeWorkers
 	minimum := minPerRole(total)
 	from, to, count := ids.Decode, ids.Prefill, max(1, total/roleChangeShare)
-	// replace returns the number of workers to change: up to as many as were lost, if the pressure
-	// requires that many.
+	// replacements returns the number of workers to change: more than count, and up to as many as were
+	// lost, if the pressure requires that many.
 	replacements := func(lost, workers int, pressure, limit float64) int {
 		return max(count, min(lost, int(math.Ceil(float64(workers)*(pressure/limit-1)))))
 	}
@@ -154,7 +149,7 @@
 	return leastBusy(rows, from, count), to
 }
 
-// leastBusy returns up to want workers of a role, from the zones that have the most of it, the least
+// leastBusy returns up to count workers of a role, from the zones that have the most of it, the least
 // busy of a zone first.
 func leastBusy(rows []workerReport, role ids.Role, count int) []*workerReport {
 	zones := map[ids.Zone]int{}
