--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -29,7 +29,7 @@
 	crossZoneCost         = 4.0                    // ms for a worker in another zone
 	crossZoneKilobyteCost = 0.8                    // ms for each KB sent to another zone
 	unhealthyCost         = 500.0                  // ms for a worker that fails every request but is used for lack of others
-	pickMaxAge            = 100 * time.Millisecond // then another pick is made after a dial that failed
+	pickMaxAge            = 100 * time.Millisecond // age of a pick above which a failed dial causes a new one
 	maxCandidates         = 8                      // candidates that are passed to the routing programs
 	shortPrompt           = 1024                   // prompt tokens up to which a prefill delays no other request noticeably
 	longPrompt            = 64 * shortPrompt       // prompt tokens above which all prompts have the same rank
