--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -441,14 +441,14 @@
 	runInBubble(t, func(t *testing.T) {
 		var table rejectedCallers
 		table.remember(7, tickMs(2000), 100)
-		require.Equal(t, time.Second, table.returnsEarly(7, tickMs(1000)))
-		require.Zero(t, table.returnsEarly(7, tickMs(2000)))
-		require.Zero(t, table.returnsEarly(8, tickMs(1000)))
+		require.Equal(t, time.Second, table.earlyBy(7, tickMs(1000)))
+		require.Zero(t, table.earlyBy(7, tickMs(2000)))
+		require.Zero(t, table.earlyBy(8, tickMs(1000)))
 		for i := range uint64(10_000) {
 			table.remember(100+i, tickMs(2000), 100)
 			require.LessOrEqual(t, len(table.recent)+len(table.earlier), 100)
 		}
-		require.NotZero(t, table.returnsEarly(100+9_999, tickMs(1000)), "the newest entries are kept")
+		require.NotZero(t, table.earlyBy(100+9_999, tickMs(1000)), "the newest entries are kept")
 
 		original := &Request{ID: "first", Target: "/x", Prompt: 9, Segments: []PromptSegment{{"shared", 5}, {"own", 4}}}
 		retry, other := *original, *original
--- a/internal/proxy/decode_exchange.go
+++ b/internal/proxy/decode_exchange.go
@@ -1,5 +1,5 @@
-// The decode half of an exchange: the request is offered to a worker that emits the answer, with
-// the memory of its prompt if there is one.
+// The decode phase of an exchange: the request is sent to a worker that generates the answer, with the
+// source of its prompt's memory if there is one.
 
 package proxy
 
@@ -12,7 +12,8 @@
 	"keelstair.example/internal/handoff"
 )
 
-// decode offers the request to a worker. Away means that there is none or no try left.
+// decode sends the request to a decode worker. An Unavailable failure means that there is no worker or
+// no attempt left.
 func (t *exchange) decode(ctx context.Context, source *Source) (*pick, *Response, error) {
 	for round := 0; ; round++ {
 		picked, again := t.node.now(), false
@@ -20,18 +21,18 @@
 		if source != nil {
 			from = &source.Worker
 		}
-		for _, c := range t.node.emitters(t.programs, t.node.snapshot(), t.service, t.request, from, t.tried) {
+		for _, c := range t.node.decodeCandidates(t.programs, t.node.snapshot(), t.service, t.request, from, t.tried) {
 			if t.attemptsMade >= t.maxAttempts() {
 				break
 			}
 			if err := t.authenticate(t.node.snapshot()); err != nil {
 				return nil, nil, err
 			}
-			if !t.send(&c, 0) {
+			if !t.reserveWorker(&c, 0) {
 				continue
 			}
 			if !t.payRetry() {
-				c.state.end(0)
+				c.state.endRequest(0)
 				c.release(false, t.node.now())
 				break
 			}
@@ -42,9 +43,9 @@
 			if err == nil {
 				return &c, reply, nil
 			}
-			c.state.end(0)
+			c.state.endRequest(0)
 			c.release(failure.Is(err, failure.OutcomeUnknown), t.node.now())
-			t.blame(ctx, &c, err, t.node.now())
+			t.recordWorkerError(ctx, &c, err, t.node.now())
 			t.trace(handoff.Dropped, c.worker.ID, err.Error())
 			if failure.Is(err, failure.NotExecuted) && failure.Step(err) == dialStep {
 				t.attemptsMade--
@@ -69,39 +70,39 @@
 	}
 }
 
-// offer sends to one worker. A silent one is left for another only where the request may
-// run again.
+// offer sends the request to one worker. A silent worker is abandoned for another only if the request
+// may be retried.
 func (t *exchange) offer(ctx context.Context, c *pick, source *Source) (*Response, error) {
 	callContext, stop := context.WithCancelCause(ctx)
-	g := &supervisedBody{exchange: t, pick: c, stop: stop}
-	if t.mayRetry() {
-		g.attempt = &attempt{stop}
-		c.state.addAttempt(g.attempt)
-		g.deadlineTimer = time.AfterFunc(t.patience(), func() { stop(errWorkerSilent) })
+	body := &supervisedBody{exchange: t, pick: c, stop: stop}
+	if t.mayRetryDecode() {
+		body.attempt = &attempt{stop}
+		c.state.addAttempt(body.attempt)
+		body.deadlineTimer = time.AfterFunc(t.decodeSilenceTimeout(), func() { stop(errWorkerSilent) })
 	} else {
-		g.silenceTimer = time.AfterFunc(t.patience(), func() { t.node.recordOutcome(c, false) })
+		body.silenceTimer = time.AfterFunc(t.decodeSilenceTimeout(), func() { t.node.recordOutcome(c, false) })
 	}
-	times := t.node.timesOf(t.service.Name)
-	g.times, g.heardAt = times, t.node.now()
-	g.probeTimer = time.AfterFunc(times.firstEvent.Suspicious(healthCheckSilence), func() { t.node.suspect(*c.worker) })
-	reply, err := t.node.options.Backend.Emit(
+	times := t.node.serviceTimesFor(t.service.Name)
+	body.times, body.lastByteAt = times, t.node.now()
+	body.probeTimer = time.AfterFunc(times.firstEvent.Suspicious(healthCheckSilence), func() { t.node.suspect(*c.worker) })
+	reply, err := t.node.options.Backend.Decode(
 		callContext, *c.worker, c.request, source, t.lastEventID, t.remaining(), c.urgency,
 	)
 	if err != nil {
-		g.done()
+		body.stopTimers()
 		return nil, err
 	}
-	g.ReadCloser, reply.Body = reply.Body, g
+	body.ReadCloser, reply.Body = reply.Body, body
 	return reply, nil
 }
 
-// mayRetry tells whether this try may run once more.
-func (t *exchange) mayRetry() bool {
+// mayRetryDecode reports whether the request may be sent once more after this attempt.
+func (t *exchange) mayRetryDecode() bool {
 	return t.route.MayRetry() && t.attemptsMade < t.maxAttempts()
 }
 
-// patience is how long an emitting worker may say nothing before a request that may run
-// again goes elsewhere.
-func (t *exchange) patience() time.Duration {
+// decodeSilenceTimeout returns how long a decode worker may be silent before a request that may be
+// retried is sent to another worker.
+func (t *exchange) decodeSilenceTimeout() time.Duration {
 	return max(t.node.options.DecodeSilence, 2*t.route.LatencyTarget())
 }
--- a/internal/proxy/fake_platform_test.go
+++ b/internal/proxy/fake_platform_test.go
@@ -410,7 +410,7 @@
 	return nil
 }
 
-func (b *fakeBackend) Read(ctx context.Context, w Worker, r *Request, remaining time.Duration, urgency int) (*PrefillResult, error) {
+func (b *fakeBackend) Prefill(ctx context.Context, w Worker, r *Request, remaining time.Duration, urgency int) (*PrefillResult, error) {
 	platform, unavailableFor := b.platform, b.knownUnavailableFor(w)
 	worker, err := b.connect(ctx, w)
 	if err != nil {
@@ -480,7 +480,7 @@
 	}
 }
 
-func (b *fakeBackend) Emit(ctx context.Context, w Worker, r *Request, source *Source, lastEventID string, remaining time.Duration, urgency int) (*Response, error) {
+func (b *fakeBackend) Decode(ctx context.Context, w Worker, r *Request, source *Source, lastEventID string, remaining time.Duration, urgency int) (*Response, error) {
 	platform, unavailableFor := b.platform, b.knownUnavailableFor(w)
 	worker, err := b.connect(ctx, w)
 	if err != nil {
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -96,7 +96,7 @@
 		platform.withLock(func() {
 			platform.handles["kv"] = &memoryHandle{worker: worker.ID, requestID: "late", release: func() {}}
 		})
-		exchange.discardRead(prefillRead{pick: c, memory: &PrefillResult{Handle: "kv"}})
+		exchange.discardPrefill(prefillOutcome{pick: c, memory: &PrefillResult{Handle: "kv"}})
 		time.Sleep(time.Second)
 		platform.mu.Lock()
 		defer platform.mu.Unlock()
@@ -107,8 +107,8 @@
 
 // TestPrefillOverheadMedian: the median of the newest prefills is available once there are enough.
 func TestPrefillOverheadMedian(t *testing.T) {
-	var o readOverhead
-	for i := range minOverheadReads - 1 {
+	var o prefillOverhead
+	for i := range minOverheadSamples - 1 {
 		o.observe(time.Duration(i) * time.Millisecond)
 		_, ok := o.median()
 		require.False(t, ok)
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -149,7 +149,7 @@
 
 // retryDelay is the time between two platform queries of a node that is not the list owner.
 func (f *listFollower) retryDelay(s *listSources) time.Duration {
-	share := f.node.share()
+	share := f.node.nodeShare()
 	if !s.flat() && f.isActingOwner(s) {
 		share = 1 / float64(max(1, s.zones))
 	}
@@ -214,7 +214,7 @@
 		Version:         list.version,
 		Prefills:        n.prefillsWithout("", false),
 		Outcomes:        n.localOutcomes(),
-		SubtreeOutcomes: n.below(),
+		SubtreeOutcomes: n.subtreeOutcomes(),
 		LoadSeq:         f.loadSeq,
 		Deltas:          true,
 		MaxWait:         int64(maxWait),
@@ -258,7 +258,7 @@
 		n.recordPeerPrefills(n.prefillsWithout(n.self.Node, true))
 		n.recordPeerOutcomes(n.outcomesWithout(n.self.Node))
 	}
-	n.heard(r.Loads, list)
+	n.recordPeerLoads(r.Loads, list)
 }
 
 // workersFromRows converts rows to workers. It keeps their order, since load reports refer to workers
--- a/internal/proxy/program_set_test.go
+++ b/internal/proxy/program_set_test.go
@@ -257,7 +257,7 @@
 		_, err = f.applyProgramSet("none", 2, `{"programs":{}}`)
 		require.NoError(t, err)
 		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(3) }))
-		require.False(t, f.nodes[0].deal(f.nodes[0].snapshot()).Set.HasPrograms())
+		require.False(t, f.nodes[0].programsFor(f.nodes[0].snapshot()).Set.HasPrograms())
 	})
 }
 
@@ -324,7 +324,7 @@
 		require.EqualValues(t, 2, current.Newest)
 		require.Contains(t, string(current.Policy), `"two"`)
 		for _, node := range f.runningNodes() {
-			require.Equal(t, "two", node.deal(node.snapshot()).Set.ProgramFor("x"))
+			require.Equal(t, "two", node.programsFor(node.snapshot()).Set.ProgramFor("x"))
 		}
 	})
 }
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -1,6 +1,6 @@
-// Passing the answer on: whole events as they come, each once. Where the stream may go on
-// elsewhere, what the first worker did not finish is asked of another one, from the last
-// event that the caller has.
+// Relay of the answer to the caller: complete events as they arrive, each once. If the stream is
+// resumable, another worker continues what the first did not finish, after the last event that the
+// caller has.
 
 package proxy
 
@@ -20,8 +20,8 @@
 
 var errWorkerSilent = errors.New("the worker says nothing")
 
-// supervisedBody is an answer's body under watch: after a silence the worker is asked for its
-// report, and where the request may go elsewhere, a longer silence ends it.
+// supervisedBody is an answer's body with silence timers: after a first silence the worker is asked for
+// its report, and if the request may be retried elsewhere, a longer silence cancels it.
 type supervisedBody struct {
 	io.ReadCloser
 	exchange      *exchange
@@ -30,23 +30,23 @@
 	attempt       *attempt
 	probeTimer    *time.Timer
 	deadlineTimer *time.Timer
-	silenceTimer  *time.Timer // until the first byte, where it cannot go elsewhere
+	silenceTimer  *time.Timer // runs until the first byte if the request cannot be retried elsewhere
 	times         *serviceTimes
-	heardAt       ids.Tick // when the worker was heard last, or the request was sent
-	answered      bool     // it has been heard
+	lastByteAt    ids.Tick // of the last byte, or when the request was sent
+	answered      bool     // a byte has arrived
 }
 
-// noteSign learns from the silence that bytes of the worker have ended.
-func (g *supervisedBody) noteSign() {
+// observePause records the pause that ends with newly arrived bytes.
+func (g *supervisedBody) observePause() {
 	now := g.exchange.node.now()
-	pause := now.Since(g.heardAt)
+	pause := now.Since(g.lastByteAt)
 	if g.answered {
 		g.times.nextEvent.Observe(pause)
-		g.pick.state.noteGap(pause, now)
+		g.pick.state.observeEventGap(pause, now)
 	} else {
 		g.times.firstEvent.Observe(pause)
 	}
-	g.answered, g.heardAt = true, now
+	g.answered, g.lastByteAt = true, now
 }
 
 func (g *supervisedBody) Read(p []byte) (int, error) {
@@ -56,7 +56,7 @@
 		if g.silenceTimer != nil {
 			g.silenceTimer.Stop()
 		}
-		g.noteSign()
+		g.observePause()
 		g.probeTimer.Reset(g.times.nextEvent.Suspicious(
 			healthCheckSilence + time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond,
 		))
@@ -69,7 +69,8 @@
 	return k, err
 }
 
-func (g *supervisedBody) done() {
+// stopTimers stops all timers and releases the request's context.
+func (g *supervisedBody) stopTimers() {
 	g.probeTimer.Stop()
 	if g.silenceTimer != nil {
 		g.silenceTimer.Stop()
@@ -85,15 +86,15 @@
 
 func (g *supervisedBody) Close() error {
 	err := g.ReadCloser.Close()
-	g.done()
+	g.stopTimers()
 	return err
 }
 
-// relay copies an answer to the caller. Unknown means that it broke off.
+// relay copies an answer to the caller. An OutcomeUnknown failure means that the answer broke off.
 func (t *exchange) relay(ctx context.Context, c *pick, reply *Response) error {
 	defer reply.Body.Close()
 	defer func() {
-		c.state.end(0)
+		c.state.endRequest(0)
 		c.release(true, t.node.now())
 	}()
 	c.state.recordSuccess(reply.Load, t.node.now())
@@ -129,7 +130,7 @@
 	} else {
 		err = t.relayBody(reply)
 	}
-	if err != nil && ctx.Err() == nil && !errors.Is(err, errCallerGone) {
+	if err != nil && ctx.Err() == nil && !errors.Is(err, errCallerDisconnected) {
 		c.state.recordFailure(t.node.now())
 		t.node.recordOutcome(c, false)
 		t.node.suspect(*c.worker)
@@ -140,8 +141,8 @@
 	return err
 }
 
-// promisesNotRun tells of the statuses by which a caller knows that its request has not run.
-// A worker that did not run one says so by other means, which the adapter reads.
+// promisesNotRun reports whether a status tells a caller that its request has not run. A worker that
+// did not run a request says so by other means, which the backend adapter reads.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
@@ -151,7 +152,7 @@
 	return false
 }
 
-var errCallerGone = errors.New("the caller went away")
+var errCallerDisconnected = errors.New("the caller went away")
 
 func (t *exchange) writeHead(reply *Response, length int64) error {
 	if t.headSent {
@@ -163,13 +164,13 @@
 
 func (t *exchange) write(p []byte) error {
 	if err := t.sink.Write(p); err != nil {
-		return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
+		return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
 	}
 	return nil
 }
 
-// relayBody copies an answer without events. Its head goes out with its first bytes, so that
-// one which breaks off before them can still be asked of another.
+// relayBody copies an answer without events. The head is sent with the first bytes, so that a request
+// whose answer breaks off before them can still be retried on another worker.
 func (t *exchange) relayBody(reply *Response) error {
 	buf := make([]byte, 16<<10)
 	for {
@@ -180,7 +181,7 @@
 		if k > 0 || err == io.EOF {
 			t.countStarted()
 			if err := t.writeHead(reply, reply.Length); err != nil {
-				return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
+				return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
 			}
 		}
 		if k > 0 {
@@ -194,22 +195,22 @@
 	}
 }
 
-// relayEvents copies whole events.
+// relayEvents copies complete events.
 func (t *exchange) relayEvents(c *pick, reply *Response) error {
-	var held []byte
+	var pending []byte
 	buf := make([]byte, 8<<10)
 	resumed := t.headSent
 	for {
 		k, err := reply.Body.Read(buf)
-		held = append(held, buf[:k]...)
-		if at := completeEvents(held); at > 0 {
-			if err := t.forward(c, reply, held[:at], resumed); err != nil {
+		pending = append(pending, buf[:k]...)
+		if end := completeEvents(pending); end > 0 {
+			if err := t.forward(c, reply, pending[:end], resumed); err != nil {
 				return err
 			}
-			held = append(held[:0], held[at:]...)
+			pending = append(pending[:0], pending[end:]...)
 		}
 		if err == io.EOF {
-			return t.finish(reply, held)
+			return t.finish(reply, pending)
 		}
 		if err != nil {
 			return failure.As(err, failure.OutcomeUnknown, "pass", c.worker.Addr)
@@ -217,8 +218,8 @@
 	}
 }
 
-// forward passes whole events on and notes the last one's id. A worker that takes a stream
-// up must not go back behind the last event that the caller has.
+// forward sends complete events to the caller and records the id of the last one. A worker that resumes
+// a stream must not repeat events up to the last one that the caller has.
 func (t *exchange) forward(c *pick, reply *Response, events []byte, resumed bool) error {
 	first, last := eventIDs(events)
 	if resumed && !isLaterEvent(first, t.lastEventID) {
@@ -226,10 +227,10 @@
 			failure.OutcomeUnknown, "resume", c.worker.Addr, "event %s comes after %s", first, t.lastEventID,
 		)
 	}
-	t.timing.event(t.node.now())
+	t.timing.recordEvents(t.node.now())
 	t.countStarted()
 	if err := t.writeHead(reply, -1); err != nil {
-		return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
+		return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
 	}
 	if err := t.write(events); err != nil {
 		return err
@@ -240,11 +241,11 @@
 	return nil
 }
 
-// finish ends a stream that its worker has ended; what stands behind the last whole event is
-// passed on as it is.
+// finish ends a stream that its worker has ended. Bytes after the last complete event are passed on
+// unchanged.
 func (t *exchange) finish(reply *Response, rest []byte) error {
 	if err := t.writeHead(reply, -1); err != nil {
-		return failure.As(errors.Join(errCallerGone, err), failure.OutcomeUnknown, "pass", "caller")
+		return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
 	}
 	if len(rest) > 0 {
 		return t.write(rest)
@@ -252,18 +253,18 @@
 	return nil
 }
 
-// completeEvents is the length of the whole events that bytes begin with.
+// completeEvents returns the length of the complete events at the start of p.
 func completeEvents(p []byte) int {
-	at := 0
+	length := 0
 	for _, end := range []string{"\n\n", "\r\n\r\n"} {
 		if i := bytes.LastIndex(p, []byte(end)); i >= 0 {
-			at = max(at, i+len(end))
+			length = max(length, i+len(end))
 		}
 	}
-	return at
+	return length
 }
 
-// eventIDs gives the ids of the first and the last event that have one.
+// eventIDs returns the ids of the first and the last event that have one.
 func eventIDs(events []byte) (first, last string) {
 	for line := range bytes.Lines(events) {
 		id, ok := bytes.CutPrefix(line, []byte("id:"))
@@ -278,7 +279,8 @@
 	return first, last
 }
 
-// isLaterEvent tells whether an event may come after another; ids that are no numbers tell nothing.
+// isLaterEvent reports whether an event may come after another. Ids that are not numbers cannot be
+// compared and are accepted.
 func isLaterEvent(id, before string) bool {
 	n, err := strconv.ParseInt(id, 10, 64)
 	last, errLast := strconv.ParseInt(before, 10, 64)
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -171,9 +171,9 @@
 	}
 	balance.lastReport, balance.workersWentDown = n.now(), false
 	reports := n.reports(ctx, s, listed)
-	balance.count(n.workersUp(s, listed))
+	balance.recordCounts(n.workersUp(s, listed))
 	n.recordReports(service.Name, balance.lastReport, reports)
-	prefillPressure, decodePressure := balance.smooth(reports, service)
+	prefillPressure, decodePressure := balance.smoothPressure(reports, service)
 	if !mayOrder || !urgent && !n.now().Past(balance.lastChange, roleChangeInterval) {
 		return
 	}
@@ -185,7 +185,7 @@
 	selected, to := chooseRoleChange(
 		reports, prefillPressure, decodePressure, n.options.IdlePrefillShare, balance.lostCounts,
 	)
-	selected, to = n.proposeRoleChange(n.deal(s), service, balance, reports, selected, to)
+	selected, to = n.proposeRoleChange(n.programsFor(s), service, balance, reports, selected, to)
 	for _, w := range selected {
 		if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: w.worker.ID, To: to}) {
 			changes[w.worker.ID] = &roleChange{startedAt: n.now(), expectedOrders: w.Orders}
