--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -13,11 +13,11 @@
 )
 
 // lists counts the askings for the list by node since a time.
-func (y *fakePlatform) lists(since time.Duration) map[string]int {
-	y.mu.Lock()
-	defer y.mu.Unlock()
+func (p *fakePlatform) lists(since time.Duration) map[string]int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	out := map[string]int{}
-	for _, k := range y.listCalls {
+	for _, k := range p.listCalls {
 		if k.At >= since {
 			out[k.Node]++
 		}
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -435,11 +435,11 @@
 }
 
 // sawFail has a node note one sending that failed.
-func (b *testNode) sawFail(id ids.WorkerID) {
-	st := b.state(id)
+func (n *testNode) sawFail(id ids.WorkerID) {
+	st := n.state(id)
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.outlier.local.decay(b.now(), outcomeTimeConstant)
+	st.outlier.local.decay(n.now(), outcomeTimeConstant)
 	st.outlier.local.sent++
 	st.outlier.local.failed++
 }
--- a/internal/proxy/role_balance_test.go
+++ b/internal/proxy/role_balance_test.go
@@ -23,9 +23,9 @@
 }
 
 // pressed makes the workers of a part busy by their reports.
-func (y *fakePlatform) pressed(role ids.Role, by int) {
-	y.withLock(func() {
-		y.extraRunning = func(s *fakeWorker) int {
+func (p *fakePlatform) pressed(role ids.Role, by int) {
+	p.withLock(func() {
+		p.extraRunning = func(s *fakeWorker) int {
 			if s.Role == role {
 				return by
 			}
--- a/internal/proxy/tenant_test.go
+++ b/internal/proxy/tenant_test.go
@@ -64,9 +64,9 @@
 }
 
 // callsOf lists what came to workers under an id.
-func (y *fakePlatform) callsOf(id string) []callRecord {
+func (p *fakePlatform) callsOf(id string) []callRecord {
 	var out []callRecord
-	for _, k := range y.recordedCalls() {
+	for _, k := range p.recordedCalls() {
 		if k.RequestID == id && (k.Kind == "read" || k.Kind == "emit") {
 			out = append(out, k)
 		}
