--- a/cmd/keelstair-plan/main.go
+++ b/cmd/keelstair-plan/main.go
@@ -121,18 +121,18 @@
 	if err != nil {
 		return forecast.Change{}, err
 	}
-	body, err := fleetstate.Source(s.Policy.File, text)
+	body, err := fleetstate.CUEToJSON(s.Policy.File, text)
 	if err == nil && s.Policy.Partial {
 		body, err = fleetstate.Merge(sh.Policy, body)
 	}
 	if err != nil {
 		return forecast.Change{}, err
 	}
-	p, err := fleetstate.Check(s.Policy.File, body)
+	p, err := fleetstate.ParseConfiguration(s.Policy.File, body)
 	if err != nil {
 		return forecast.Change{}, err
 	}
-	_, err = p.CompileSet(&routing.Scores{})
+	_, err = p.CompilePrograms(&routing.Scores{})
 	return forecast.Change{Policy: p}, err
 }
 
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -163,11 +163,11 @@
 	if err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "read policy", os.Args[2])
 	}
-	p, err := fleetstate.ReadPlain(text)
+	p, err := fleetstate.ParseJSON(text)
 	if err == nil {
 		err = p.CheckPrograms()
 	}
-	return p.Sources(), failure.As(err, failure.InvalidArgument, "read policy", os.Args[2])
+	return p.ProgramSources(), failure.As(err, failure.InvalidArgument, "read policy", os.Args[2])
 }
 
 // serveInternal serves what is not for clients: the node's peers, and the platform's question
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -213,7 +213,7 @@
 	if err := s.ask(http.MethodPost, "/v1/policy", a, &out); err != nil {
 		return err
 	}
-	rows, err := fleetstate.Diff(sh.Policy, out.Policy)
+	rows, err := fleetstate.DiffJSON(sh.Policy, out.Policy)
 	if err != nil {
 		return err
 	}
--- a/internal/fleetstate/aged_keys.go
+++ b/internal/fleetstate/aged_keys.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	rowSize      = 24 // 16 of the key's hash, 7 of the body's digest, 1 of the outcome
+	entrySize    = 24 // 16 of the key's hash, 7 of the body's digest, 1 of the outcome
 	keyHashBytes = 16
 )
 
 // Retention says how much is kept in full and how many rows make a leaf. It must be
 // the same on every copy.
 type Retention struct {
-	Full      int // 20000
-	ChunkRows int // 65536
+	FullRecords  int // 20000
+	ChunkEntries int // 65536
 }
 
 var outcomes = []string{Claimed, Done, NotRun, MayHaveRun}
 
 type agedKeys struct {
 	Retention
-	sealed []coordination.Chunk
-	open   map[[keyHashBytes]byte][rowSize]byte
-	rows   [][rowSize]byte // the open leaf, in order of coming
+	sealed      []coordination.Chunk
+	openIndex   map[[keyHashBytes]byte][entrySize]byte
+	openEntries [][entrySize]byte // the open leaf, in order of coming
 }
 
 func newAgedKeys(d Retention) agedKeys {
-	if d.Full == 0 {
-		d.Full = 20000
+	if d.FullRecords == 0 {
+		d.FullRecords = 20000
 	}
-	if d.ChunkRows == 0 {
-		d.ChunkRows = 65536
+	if d.ChunkEntries == 0 {
+		d.ChunkEntries = 65536
 	}
-	return agedKeys{Retention: d, open: map[[keyHashBytes]byte][rowSize]byte{}}
+	return agedKeys{Retention: d, openIndex: map[[keyHashBytes]byte][entrySize]byte{}}
 }
 
-func hash(key string) [keyHashBytes]byte {
+func hashKey(key string) [keyHashBytes]byte {
 	sum := sha256.Sum256([]byte(key))
 	return [keyHashBytes]byte(sum[:keyHashBytes])
 }
@@ -54,49 +54,49 @@
 // digestPrefix is what is kept of a body's digest.
 func digestPrefix(digest string) []byte {
 	sum := sha256.Sum256([]byte(digest))
-	return sum[:rowSize-keyHashBytes-1]
+	return sum[:entrySize-keyHashBytes-1]
 }
 
 func (s *agedKeys) put(d IdempotencyRecord) {
-	var r [rowSize]byte
-	k := hash(d.Key)
+	var r [entrySize]byte
+	k := hashKey(d.Key)
 	copy(r[:], k[:])
 	copy(r[keyHashBytes:], digestPrefix(d.Digest))
 	for i, f := range outcomes {
 		if f == d.Outcome {
-			r[rowSize-1] = byte(i)
+			r[entrySize-1] = byte(i)
 		}
 	}
 	s.add(r)
 }
 
-func (s *agedKeys) add(r [rowSize]byte) {
-	s.open[[keyHashBytes]byte(r[:keyHashBytes])] = r
-	s.rows = append(s.rows, r)
-	if len(s.rows) < s.ChunkRows {
+func (s *agedKeys) add(r [entrySize]byte) {
+	s.openIndex[[keyHashBytes]byte(r[:keyHashBytes])] = r
+	s.openEntries = append(s.openEntries, r)
+	if len(s.openEntries) < s.ChunkEntries {
 		return
 	}
-	sort.Slice(s.rows, func(i, j int) bool { return bytes.Compare(s.rows[i][:], s.rows[j][:]) < 0 })
-	body := make([]byte, 0, len(s.rows)*rowSize)
-	for _, r := range s.rows {
+	sort.Slice(s.openEntries, func(i, j int) bool { return bytes.Compare(s.openEntries[i][:], s.openEntries[j][:]) < 0 })
+	body := make([]byte, 0, len(s.openEntries)*entrySize)
+	for _, r := range s.openEntries {
 		body = append(body, r[:]...)
 	}
 	s.sealed = append(s.sealed[:len(s.sealed):len(s.sealed)], coordination.NewChunk(body))
-	s.open, s.rows = map[[keyHashBytes]byte][rowSize]byte{}, nil
+	s.openIndex, s.openEntries = map[[keyHashBytes]byte][entrySize]byte{}, nil
 }
 
-// find gives what is known of an old key: an idempotency record without its answer.
-func (s *agedKeys) find(key, digest string) (IdempotencyRecord, bool) {
-	k := hash(key)
-	r, ok := s.open[k]
+// lookup gives what is known of an old key: an idempotency record without its answer.
+func (s *agedKeys) lookup(key, digest string) (IdempotencyRecord, bool) {
+	k := hashKey(key)
+	r, ok := s.openIndex[k]
 	for i := len(s.sealed) - 1; !ok && i >= 0; i-- {
 		r, ok = searchChunk(s.sealed[i].Body, k)
 	}
 	if !ok {
 		return IdempotencyRecord{}, false
 	}
-	d := IdempotencyRecord{Key: key, Outcome: outcomes[r[rowSize-1]], Aged: true}
-	if bytes.Equal(r[keyHashBytes:rowSize-1], digestPrefix(digest)) {
+	d := IdempotencyRecord{Key: key, Outcome: outcomes[r[entrySize-1]], Aged: true}
+	if bytes.Equal(r[keyHashBytes:entrySize-1], digestPrefix(digest)) {
 		d.Digest = digest
 	}
 	return d, true
@@ -104,9 +104,9 @@
 
 // searchChunk looks a key up in a sorted leaf. The keys are hashes and so evenly spread:
 // the search widens from where the key should stand.
-func searchChunk(leaf []byte, k [keyHashBytes]byte) ([rowSize]byte, bool) {
-	n := len(leaf) / rowSize
-	cmp := func(i int) int { return bytes.Compare(leaf[i*rowSize:i*rowSize+keyHashBytes], k[:]) }
+func searchChunk(leaf []byte, k [keyHashBytes]byte) ([entrySize]byte, bool) {
+	n := len(leaf) / entrySize
+	cmp := func(i int) int { return bytes.Compare(leaf[i*entrySize:i*entrySize+keyHashBytes], k[:]) }
 	at := int(uint64(binary.BigEndian.Uint32(k[:4])) * uint64(n) >> 32)
 	low, high := at, at
 	for step := 32; low > 0 && cmp(low) > 0; step *= 2 {
@@ -117,9 +117,9 @@
 	}
 	at = low + sort.Search(high-low, func(i int) bool { return cmp(low+i) >= 0 })
 	if at >= n || cmp(at) != 0 {
-		return [rowSize]byte{}, false
+		return [entrySize]byte{}, false
 	}
-	return [rowSize]byte(leaf[at*rowSize : (at+1)*rowSize]), true
+	return [entrySize]byte(leaf[at*entrySize : (at+1)*entrySize]), true
 }
 
 // Chunks and RestoreChunks make the machine a coordination.ChunkStore: chunks of aged keys, and of
--- a/internal/fleetstate/aged_keys_test.go
+++ b/internal/fleetstate/aged_keys_test.go
@@ -26,10 +26,10 @@
 // after it, on the copy that wrote it and on one made from a snapshot; both seal
 // the same leaves.
 func TestAgedKeys(t *testing.T) {
-	m := NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
+	m := NewMachine(MachineOptions{Retention: Retention{FullRecords: 4, ChunkEntries: 8}})
 	key := func(i int) string { return fmt.Sprintf("verdict/%d", i) }
 	fate := []string{Done, NotRun, MayHaveRun}
-	copied := NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
+	copied := NewMachine(MachineOptions{Retention: Retention{FullRecords: 4, ChunkEntries: 8}})
 	for i := range 100 {
 		for _, x := range []*Machine{m, copied} {
 			got, err := claim(t, x.State, key(i), fmt.Sprint("body", i))
@@ -43,7 +43,7 @@
 			}))
 		}
 		if i == 50 {
-			copied = NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
+			copied = NewMachine(MachineOptions{Retention: Retention{FullRecords: 4, ChunkEntries: 8}})
 			copied.RestoreChunks(m.Chunks())
 			require.NoError(t, copied.Restore(m.Snapshot(false)))
 		}
@@ -62,13 +62,13 @@
 		require.ErrorIs(t, err, coordination.ErrUnchanged)
 		require.NotEqual(t, "another body", got.Record.Digest, "the key stands for another request")
 	}
-	_, ok := copied.aged.find("verdict/never", "x")
+	_, ok := copied.aged.lookup("verdict/never", "x")
 	require.False(t, ok)
 }
 
 // TestFullStore: a full store refuses fresh keys, and still knows the old ones.
 func TestFullStore(t *testing.T) {
-	s := newState(false, Retention{Full: 2, ChunkRows: 4})
+	s := newState(false, Retention{FullRecords: 2, ChunkEntries: 4})
 	s.maxRecords = 10
 	for i := range 10 {
 		_, err := claim(t, s, fmt.Sprint(i), "b")
@@ -83,8 +83,8 @@
 	require.Equal(t, Done, got.Record.Outcome)
 }
 
-// full makes a state of so many idempotency records.
-func full(n int) *Machine {
+// machineWithRecords makes a state of so many idempotency records.
+func machineWithRecords(n int) *Machine {
 	m := NewMachine(MachineOptions{})
 	for i := range n {
 		d := IdempotencyRecord{
@@ -106,7 +106,7 @@
 // BenchmarkSnapshot makes and restores a snapshot over five million idempotency records; MB/s is
 // of the snapshot alone, whose size is given too.
 func BenchmarkSnapshot(b *testing.B) {
-	m := full(5 * million)
+	m := machineWithRecords(5 * million)
 	for b.Loop() {
 		body := m.Snapshot(false)
 		next := NewMachine(MachineOptions{})
@@ -115,15 +115,15 @@
 			b.Fatal(err)
 		}
 		b.ReportMetric(float64(len(body))/1e6, "picture-MB")
-		b.ReportMetric(float64(len(m.Chunks())*m.aged.ChunkRows*rowSize)/1e6, "sheets-MB")
+		b.ReportMetric(float64(len(m.Chunks())*m.aged.ChunkEntries*entrySize)/1e6, "sheets-MB")
 	}
 }
 
 // BenchmarkFresh looks for a key that was never claimed among five million.
 func BenchmarkFresh(b *testing.B) {
-	m := full(5 * million)
+	m := machineWithRecords(5 * million)
 	for i := 0; b.Loop(); i++ {
-		if _, ok := m.aged.find(fmt.Sprintf("ruling/%d", i), ""); ok {
+		if _, ok := m.aged.lookup(fmt.Sprintf("ruling/%d", i), ""); ok {
 			b.Fatal("found")
 		}
 	}
--- a/internal/fleetstate/client.go
+++ b/internal/fleetstate/client.go
@@ -85,7 +85,7 @@
 	text []byte,
 ) (ids.Version, error) {
 	var newest VersionedText
-	if base > 0 && len(text) >= deltaFrom {
+	if base > 0 && len(text) >= minDeltaTextBytes {
 		var err error
 		if newest, _, err = Newest(ctx, caller, directory); err != nil {
 			return 0, err
@@ -105,7 +105,7 @@
 	newest VersionedText,
 ) (ids.Version, error) {
 	c := &PrepareVersion{Base: base, Text: compress(text), Next: next}
-	if base > 0 && len(text) >= deltaFrom && newest.Version == base {
+	if base > 0 && len(text) >= minDeltaTextBytes && newest.Version == base {
 		c.Shorten(newest.Text, text)
 	}
 	return submitForVersion(ctx, caller, directory, &coordination.SubmitRequest{
@@ -117,7 +117,7 @@
 
 // Shorten makes it a delta where that is half as long at most, and gives the same text.
 func (c *PrepareVersion) Shorten(previous, text []byte) {
-	d := diff(previous, text)
+	d := computeDelta(previous, text)
 	body := coordination.MustMarshal(d)
 	if 2*len(body) > len(c.Text) {
 		return
--- a/internal/fleetstate/configuration.go
+++ b/internal/fleetstate/configuration.go
@@ -36,8 +36,8 @@
 	Zone     ids.Zone `json:"zone"`
 }
 
-// Kind is one sort of stream.
-type Kind struct {
+// StreamKind is one sort of stream.
+type StreamKind struct {
 	Claimed   bool   `json:"claimed"`
 	Model     string `json:"model"`
 	MaxTokens int    `json:"maxTokens"`
@@ -55,60 +55,64 @@
 
 // Limits are the numbers that operators may set; the schema has the defaults.
 type Limits struct {
-	Inflight     int     `json:"inflight"`
-	Queue        int     `json:"queue"`
-	SlowStartMs  int     `json:"rampMs"`
-	LagMs        int     `json:"lagMs"`
-	RetryRate    float64 `json:"retryRate"`
-	RetryBurst   int     `json:"retryBurst"`
-	Attempts     int     `json:"attempts"`
-	PrefixTokens int     `json:"prefixTokens"`
-	RetryAfterMs int     `json:"retryAfterMs"`
-	DwellMs      int     `json:"dwellMs"`
-	Steps        uint64  `json:"steps"`
-	GiveUpMs     int     `json:"giveUpMs"`
-	MaxRecords   int     `json:"deeds"`
+	MaxInflight     int     `json:"inflight"`
+	MaxQueued       int     `json:"queue"`
+	SlowStartMs     int     `json:"rampMs"`
+	MaxReportLagMs  int     `json:"lagMs"`
+	RetryRate       float64 `json:"retryRate"`
+	RetryBurst      int     `json:"retryBurst"`
+	MaxAttempts     int     `json:"attempts"`
+	PrefixTokens    int     `json:"prefixTokens"`
+	RetryAfterMs    int     `json:"retryAfterMs"`
+	MinRoleDwellMs  int     `json:"dwellMs"`
+	MaxProgramSteps uint64  `json:"steps"`
+	PickTimeoutMs   int     `json:"giveUpMs"`
+	MaxRecords      int     `json:"deeds"`
 }
 
-// Lag is by how much a worker's report may be older than its answer.
-func (l Limits) Lag() time.Duration { return time.Duration(l.LagMs) * time.Millisecond }
+// MaxReportLag is by how much a worker's report may be older than its answer.
+func (l Limits) MaxReportLag() time.Duration {
+	return time.Duration(l.MaxReportLagMs) * time.Millisecond
+}
 
 // SlowStart is how long a worker that came up is given less work.
 func (l Limits) SlowStart() time.Duration { return time.Duration(l.SlowStartMs) * time.Millisecond }
 
-// Dwell is how long a worker keeps a role at least.
-func (l Limits) Dwell() time.Duration { return time.Duration(l.DwellMs) * time.Millisecond }
+// MinRoleDwell is how long a worker keeps a role at least.
+func (l Limits) MinRoleDwell() time.Duration {
+	return time.Duration(l.MinRoleDwellMs) * time.Millisecond
+}
 
-// GiveUp is for how long a request that could not begin is picked again.
-func (l Limits) GiveUp() time.Duration { return time.Duration(l.GiveUpMs) * time.Millisecond }
+// PickTimeout is for how long a request that could not begin is picked again.
+func (l Limits) PickTimeout() time.Duration { return time.Duration(l.PickTimeoutMs) * time.Millisecond }
 
 // Configuration is one version of what operators set: workers or services, routes, programs and
 // limits. Its JSON and CUE forms have the schema of configuration.cue.
 type Configuration struct {
-	Workers      map[ids.WorkerID]Worker `json:"workers"`
-	Zones        []ids.Zone              `json:"zones"`
-	Kinds        map[string]Kind         `json:"kinds"`
-	Programs     map[string]Program      `json:"programs"`
-	Limits       Limits                  `json:"limits"`
-	RoleChanges  bool                    `json:"switch"`
-	Routes       []Route                 `json:"routes,omitempty"`
-	Services     map[string]Service      `json:"services,omitempty"`
-	ClientLimits ClientLimits            `json:"intake,omitzero"`
-	Tenants      []Tenant                `json:"tenants,omitzero"` // nil: requests need no key
+	Workers            map[ids.WorkerID]Worker `json:"workers"`
+	Zones              []ids.Zone              `json:"zones"`
+	Kinds              map[string]StreamKind   `json:"kinds"`
+	Programs           map[string]Program      `json:"programs"`
+	Limits             Limits                  `json:"limits"`
+	RoleChangesEnabled bool                    `json:"switch"`
+	Routes             []Route                 `json:"routes,omitempty"`
+	Services           map[string]Service      `json:"services,omitempty"`
+	ClientLimits       ClientLimits            `json:"intake,omitzero"`
+	Tenants            []Tenant                `json:"tenants,omitzero"` // nil: requests need no key
 	Certified
 }
 
-// ConfigurationReader makes a configuration of an operator's text.
-type ConfigurationReader func(text []byte) (*Configuration, error)
+// ConfigurationParser makes a configuration of an operator's text.
+type ConfigurationParser func(text []byte) (*Configuration, error)
 
-// ReadPlain reads the product's own form, as ParseComplete gives it.
-func ReadPlain(text []byte) (*Configuration, error) {
+// ParseJSON reads the product's own form, as ParseComplete gives it.
+func ParseJSON(text []byte) (*Configuration, error) {
 	p := &Configuration{}
 	return p, json.Unmarshal(text, p)
 }
 
-// Names lists the programs in a fixed order.
-func (p *Configuration) Names() []string {
+// ProgramNames lists the programs in a fixed order.
+func (p *Configuration) ProgramNames() []string {
 	var out []string
 	for n := range p.Programs {
 		out = append(out, n)
@@ -117,7 +121,7 @@
 	return out
 }
 
-func invalid(err error) error {
+func invalidCUE(err error) error {
 	var rows []string
 	for _, e := range errors.Errors(err) {
 		form, args := e.Msg()
@@ -197,40 +201,40 @@
 	return look(f.Decls, nil)
 }
 
-// Source reads CUE or JSON text to plain JSON, with positions in its errors.
-func Source(name string, text []byte) ([]byte, error) {
+// CUEToJSON reads CUE or JSON text to plain JSON, with positions in its errors.
+func CUEToJSON(name string, text []byte) ([]byte, error) {
 	f, err := parser.ParseFile(name, text)
 	if err != nil {
-		return nil, invalid(err)
+		return nil, invalidCUE(err)
 	}
 	if err := checkDuplicates(f); err != nil {
 		return nil, err
 	}
 	v := cuecontext.New().BuildFile(f)
 	if v.Err() != nil {
-		return nil, invalid(v.Err())
+		return nil, invalidCUE(v.Err())
 	}
 	b, err := v.MarshalJSON()
 	if err != nil {
-		return nil, invalid(err)
+		return nil, invalidCUE(err)
 	}
 	return b, nil
 }
 
-// Check holds a configuration, as JSON or CUE, against the schema and fills defaults.
-func Check(name string, text []byte) (*Configuration, error) {
-	p, err := shape(name, text)
+// ParseConfiguration holds a configuration, as JSON or CUE, against the schema and fills defaults.
+func ParseConfiguration(name string, text []byte) (*Configuration, error) {
+	p, err := parseWithSchema(name, text)
 	if err != nil {
 		return nil, err
 	}
 	return p, p.validate()
 }
 
-// shape holds a text against the schema alone.
-func shape(name string, text []byte) (*Configuration, error) {
+// parseWithSchema holds a text against the schema alone.
+func parseWithSchema(name string, text []byte) (*Configuration, error) {
 	f, err := parser.ParseFile(name, text)
 	if err != nil {
-		return nil, invalid(err)
+		return nil, invalidCUE(err)
 	}
 	if err := checkDuplicates(f); err != nil {
 		return nil, err
@@ -241,7 +245,7 @@
 	}
 	p := &Configuration{}
 	if err := v.Decode(p); err != nil {
-		return nil, invalid(err)
+		return nil, invalidCUE(err)
 	}
 	return p, nil
 }
@@ -251,20 +255,20 @@
 	cx := cuecontext.New()
 	law := cx.CompileString(schema, cue.Filename("schema"))
 	if law.Err() != nil {
-		return law, invalid(law.Err())
+		return law, invalidCUE(law.Err())
 	}
 	v := law.LookupPath(cue.ParsePath("#Policy")).Unify(cx.BuildFile(f))
 	if err := v.Validate(cue.Concrete(complete), cue.All()); err != nil {
-		return v, invalid(err)
+		return v, invalidCUE(err)
 	}
 	return v, nil
 }
 
-// Explain looks for the place of a fault in an operator's own text.
-func Explain(name string, text []byte, complete bool) error {
+// ValidateSource looks for the place of a fault in an operator's own text.
+func ValidateSource(name string, text []byte, complete bool) error {
 	f, err := parser.ParseFile(name, text)
 	if err != nil {
-		return invalid(err)
+		return invalidCUE(err)
 	}
 	_, err = buildValue(f, complete)
 	return err
@@ -272,11 +276,11 @@
 
 // ParseComplete checks a configuration and gives it back as plain JSON with all defaults.
 func ParseComplete(name string, text []byte) (*Configuration, []byte, error) {
-	p, err := shape(name, text)
+	p, err := parseWithSchema(name, text)
 	if err != nil {
 		return nil, nil, err
 	}
-	return p.finish()
+	return p.validateAndEncode()
 }
 
 // validate checks what spans several fields.
--- a/internal/fleetstate/delta.go
+++ b/internal/fleetstate/delta.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	deltaFrom = 16 << 10 // bytes; shorter texts go whole
-	maxText   = 16 << 20 // bytes that a delta may come to
+	minDeltaTextBytes   = 16 << 10 // bytes; shorter texts go whole
+	maxDeltaResultBytes = 16 << 20 // bytes that a delta may come to
 )
 
 // splitSections cuts a text behind each closing brace.
 func splitSections(text []byte) [][]byte { return bytes.SplitAfter(text, []byte("}")) }
 
-// diff gives the delta from one text to another.
-func diff(previous, text []byte) *Delta {
+// computeDelta gives the delta from one text to another.
+func computeDelta(previous, text []byte) *Delta {
 	sum := sha256.Sum256(text)
 	d := &Delta{Size: len(text), Sum: sum[:]}
 	at := map[string]int{}
@@ -53,7 +53,7 @@
 	fault := func(why string) error {
 		return failure.New(failure.InvalidArgument, "apply delta", "", "%s", why)
 	}
-	if d.Size < 0 || d.Size > maxText {
+	if d.Size < 0 || d.Size > maxDeltaResultBytes {
 		return nil, fault("its size is out of bounds")
 	}
 	out := make([]byte, 0, d.Size)
--- a/internal/fleetstate/delta_test.go
+++ b/internal/fleetstate/delta_test.go
@@ -63,7 +63,7 @@
 	}
 	for _, previous := range texts {
 		for _, text := range texts[:20] {
-			d := diff(previous, text)
+			d := computeDelta(previous, text)
 			got, err := d.patch(previous)
 			require.NoError(t, err)
 			require.Equal(t, string(text), string(got))
@@ -73,7 +73,7 @@
 			}
 		}
 	}
-	good := diff(texts[5], texts[6])
+	good := computeDelta(texts[5], texts[6])
 	for range 300 {
 		body := coordination.MustMarshal(good)
 		body[r.IntN(len(body))] ^= byte(1 + r.IntN(255))
@@ -87,7 +87,7 @@
 	}
 	for _, d := range []Delta{
 		{Size: -1},
-		{Size: maxText + 1},
+		{Size: maxDeltaResultBytes + 1},
 		{Size: 5, Hunks: []Hunk{{From: -1, Len: 2}}},
 		{Size: 5, Hunks: []Hunk{{From: 1, Len: 1 << 62}}},
 		{Size: 1, Hunks: []Hunk{{Text: []byte("long")}}},
--- a/internal/fleetstate/diff.go
+++ b/internal/fleetstate/diff.go
@@ -10,8 +10,8 @@
 	"keelstair.example/failure"
 )
 
-// Diff lists the fields that differ: + comes, - goes, ~ changes.
-func Diff(previous, new []byte) ([]string, error) {
+// DiffJSON lists the fields that differ: + comes, - goes, ~ changes.
+func DiffJSON(previous, new []byte) ([]string, error) {
 	var a, b any
 	if err := json.Unmarshal(previous, &a); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "diff policies", "old")
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -25,12 +25,12 @@
 
 // TestCheck: CUE text becomes a whole configuration with defaults; each fault is named.
 func TestCheck(t *testing.T) {
-	text, err := Source("f.cue", []byte(small))
+	text, err := CUEToJSON("f.cue", []byte(small))
 	require.NoError(t, err)
 	p, complete, err := ParseComplete("f.cue", text)
 	require.NoError(t, err)
 	require.Equal(t, 16, p.Workers["p1"].Block)
-	require.Equal(t, 500*time.Millisecond, p.Limits.Lag())
+	require.Equal(t, 500*time.Millisecond, p.Limits.MaxReportLag())
 	again, _, err := ParseComplete("f.cue", complete)
 	require.NoError(t, err)
 	require.Equal(t, p, again, "what was filled in checks to itself")
@@ -44,15 +44,15 @@
 		`{limits: queue: 1.5}`:                               "limits.queue",
 		`{programs: x: {share: 30, source: "def order..."}}`: "30, not to 100",
 	} {
-		b, err := Source("part.cue", []byte(part))
+		b, err := CUEToJSON("part.cue", []byte(part))
 		require.NoError(t, err, part)
 		merged, err := Merge(complete, b)
 		require.NoError(t, err)
-		_, err = Check("part.cue", merged)
+		_, err = ParseConfiguration("part.cue", merged)
 		require.ErrorContains(t, err, says, part)
 		require.True(t, failure.Is(err, failure.InvalidArgument))
 	}
-	rows, err := Diff(complete, []byte(`{}`))
+	rows, err := DiffJSON(complete, []byte(`{}`))
 	require.NoError(t, err)
 	require.NotEmpty(t, rows)
 }
--- a/internal/fleetstate/idempotency.go
+++ b/internal/fleetstate/idempotency.go
@@ -14,7 +14,7 @@
 	if d, ok := s.records[c.Key]; ok {
 		return &ClaimReply{Record: d}, coordination.ErrUnchanged
 	}
-	if d, ok := s.aged.find(c.Key, c.Digest); ok {
+	if d, ok := s.aged.lookup(c.Key, c.Digest); ok {
 		return &ClaimReply{Record: d}, coordination.ErrUnchanged
 	}
 	if !s.claimsOnly && s.maxRecords > 0 && s.recordCount >= s.maxRecords {
@@ -36,7 +36,7 @@
 // ageRecords puts the oldest settled idempotency records over the count that is kept in full on the
 // shelf.
 func (s *State) ageRecords() {
-	for len(s.resolvedOrder) > s.aged.Full {
+	for len(s.resolvedOrder) > s.aged.FullRecords {
 		s.aged.put(s.records[s.resolvedOrder[0]])
 		delete(s.records, s.resolvedOrder[0])
 		s.resolvedOrder = s.resolvedOrder[1:]
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -40,7 +40,7 @@
 type Machine struct {
 	*State
 	commitTimeout      time.Duration
-	read               ConfigurationReader
+	read               ConfigurationParser
 	pendingCommits     []*pendingCommit
 	keys               []ids.Key
 	keysVersion        ids.Version
@@ -56,7 +56,7 @@
 // MachineOptions of a machine; what is zero takes the default named beside it.
 type MachineOptions struct {
 	CommitTimeout time.Duration       // 300ms for silent nodes before a prepared version is put in force
-	Read          ConfigurationReader // Plain: makes a configuration of a text
+	Read          ConfigurationParser // Plain: makes a configuration of a text
 	Retention     Retention
 	Wall          func() time.Time // time.Now: read once, for the fleet's time to begin
 	Metering      bool             // usage is reported, so that there is a key for it
@@ -66,7 +66,7 @@
 func NewMachine(opt MachineOptions) *Machine {
 	ids.SetDefault(&opt.CommitTimeout, 300*time.Millisecond)
 	if opt.Read == nil {
-		opt.Read = ReadPlain
+		opt.Read = ParseJSON
 	}
 	if opt.Wall == nil {
 		opt.Wall = time.Now
@@ -127,7 +127,7 @@
 func (m *Machine) Snapshot(open bool) []byte {
 	encoded := m.encode(open)
 	for i, f := range encoded.Failbacks {
-		encoded.Failbacks[i].Ago = int64(m.sinceFailback(f))
+		encoded.Failbacks[i].Ago = int64(m.timeSinceFailback(f))
 	}
 	return coordination.MustMarshal(encoded)
 }
@@ -167,7 +167,7 @@
 // Due moves the fleet's time on, seals revocations that every node with a lease has
 // seen, names zones that are warm again, and activates what may be.
 func (m *Machine) Due(now ids.Tick, seq, seen ids.Seq) []coordination.Command {
-	out := append(append(m.tick(now), m.confirmRevocations(seq, seen)...), m.endedSlowStarts(now)...)
+	out := append(append(m.tick(now), m.confirmRevocations(seq, seen)...), m.slowStartEndedCommands(now)...)
 	for _, w := range m.pendingCommits {
 		if top := w.ready(now, seq, seen, m.commitTimeout); top != 0 {
 			out = append(out, coordination.Command{
--- a/internal/fleetstate/overlay.go
+++ b/internal/fleetstate/overlay.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "check policy", name)
 	}
-	request, err := shape(name, text)
+	request, err := parseWithSchema(name, text)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -66,8 +66,8 @@
 	overlayMap(p.Workers, request.Workers, gone["workers"])
 	overlayMap(p.Kinds, request.Kinds, gone["kinds"])
 	overlayMap(p.Programs, request.Programs, gone["programs"])
-	p.Zones, p.Limits, p.RoleChanges = request.Zones, request.Limits, request.RoleChanges
-	return p.finish()
+	p.Zones, p.Limits, p.RoleChangesEnabled = request.Zones, request.Limits, request.RoleChangesEnabled
+	return p.validateAndEncode()
 }
 
 // changedEntries gives the entries of a section that a partial text names, as they are after the
@@ -98,8 +98,8 @@
 	}
 }
 
-// finish checks what spans fields and writes the whole.
-func (p *Configuration) finish() (*Configuration, []byte, error) {
+// validateAndEncode checks what spans fields and writes the whole.
+func (p *Configuration) validateAndEncode() (*Configuration, []byte, error) {
 	if err := p.validate(); err != nil {
 		return nil, nil, err
 	}
--- a/internal/fleetstate/overlay_test.go
+++ b/internal/fleetstate/overlay_test.go
@@ -54,7 +54,7 @@
 		`{limits: queue: "x"}`,
 		`{programs: p: {share: 40, source: "x"}}`, `{switch: 3}`, `{zones: null}`, `{workers: 5}`,
 	} {
-		src, err := Source("part", []byte(part))
+		src, err := CUEToJSON("part", []byte(part))
 		require.NoError(t, err, part)
 		merged, err := Merge(complete, src)
 		require.NoError(t, err, part)
@@ -72,7 +72,7 @@
 	require.NoError(t, err)
 	_, _, err = Overlay("part", complete, []byte(`{"kinds":{"one-more":{"model":"m","maxTokens":3}}}`))
 	require.ErrorContains(t, err, "3001 entries")
-	_, err = Source("huge", big(20000))
+	_, err = CUEToJSON("huge", big(20000))
 	require.ErrorContains(t, err, "over 3000 entries")
 	require.True(t, failure.Is(err, failure.InvalidArgument))
 }
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -39,10 +39,10 @@
 	maxSteps    = 100000
 )
 
-// Sources lists a configuration's programs.
-func (p *Configuration) Sources() []routing.Source {
+// ProgramSources lists a configuration's programs.
+func (p *Configuration) ProgramSources() []routing.Source {
 	var out []routing.Source
-	for _, name := range p.Names() {
+	for _, name := range p.ProgramNames() {
 		g := p.Programs[name]
 		out = append(out, routing.Source{
 			Name:         name,
@@ -55,15 +55,15 @@
 	return out
 }
 
-// CompileSet compiles a configuration's programs. Faults have file, line and reason.
-func (p *Configuration) CompileSet(scores *routing.Scores) (*routing.ProgramSet, error) {
-	return routing.NewProgramSet(p.Sources(), p.Limits.Steps, scores)
+// CompilePrograms compiles a configuration's programs. Faults have file, line and reason.
+func (p *Configuration) CompilePrograms(scores *routing.Scores) (*routing.ProgramSet, error) {
+	return routing.NewProgramSet(p.ProgramSources(), p.Limits.MaxProgramSteps, scores)
 }
 
-// Draft makes a checked configuration of a text that Source gave, whole or, with partial, over
+// ParseUpdate makes a checked configuration of a text that Source gave, whole or, with partial, over
 // base, and compiles its programs. Where a fault shows in the operator's own source, its
 // place is given. The configuration also comes as JSON with all defaults.
-func Draft(name, source string, text, base []byte, partial bool) (*Configuration, []byte, error) {
+func ParseUpdate(name, source string, text, base []byte, partial bool) (*Configuration, []byte, error) {
 	var p *Configuration
 	var complete []byte
 	var err error
@@ -73,8 +73,8 @@
 		p, complete, err = ParseComplete(name, text)
 	}
 	if err == nil {
-		_, err = p.CompileSet(&routing.Scores{})
-	} else if e := Explain(name, []byte(source), !partial); e != nil {
+		_, err = p.CompilePrograms(&routing.Scores{})
+	} else if e := ValidateSource(name, []byte(source), !partial); e != nil {
 		err = e
 	} else {
 		err = Locate(name, []byte(source), err)
@@ -85,8 +85,8 @@
 	return p, complete, nil
 }
 
-// CheckSet checks that a configuration is a program set and within its bounds.
-func (p *Configuration) CheckSet() error {
+// CheckProgramSet checks that a configuration is a program set and within its bounds.
+func (p *Configuration) CheckProgramSet() error {
 	fault := func(form string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check programs", "", form, args...)
 	}
@@ -99,19 +99,19 @@
 		return fault("programs: %d, over %d", len(p.Programs), maxPrograms)
 	case size > maxSources:
 		return fault("programs: %d bytes of source, over %d", size, maxSources)
-	case p.Limits.Steps > maxSteps:
-		return fault("limits.steps: %d, over %d", p.Limits.Steps, maxSteps)
+	case p.Limits.MaxProgramSteps > maxSteps:
+		return fault("limits.steps: %d, over %d", p.Limits.MaxProgramSteps, maxSteps)
 	}
 	none, _, err := ParseComplete("set", []byte("{}"))
 	if err != nil {
 		return err
 	}
-	none.Programs, none.Limits.Steps, none.Limits.DwellMs = p.Programs, p.Limits.Steps, p.Limits.DwellMs
+	none.Programs, none.Limits.MaxProgramSteps, none.Limits.MinRoleDwellMs = p.Programs, p.Limits.MaxProgramSteps, p.Limits.MinRoleDwellMs
 	if !reflect.DeepEqual(none.Limits, p.Limits) {
 		return fault("limits: only steps and dwellMs rule here")
 	}
 	if len(p.Workers)+len(p.Zones)+len(p.Kinds)+len(p.Routes)+len(p.Services) > 0 ||
-		p.RoleChanges != none.RoleChanges || p.ClientLimits != none.ClientLimits {
+		p.RoleChangesEnabled != none.RoleChangesEnabled || p.ClientLimits != none.ClientLimits {
 		return fault(
 			"only programs, limits.steps and limits.dwellMs may be given here; the rest comes with the fleet's own document",
 		)
@@ -121,11 +121,11 @@
 
 // CompileProgramSet reads the text of a program set and compiles it.
 func CompileProgramSet(text []byte, scores *routing.Scores) (*Configuration, *routing.ProgramSet, error) {
-	p, err := ReadPlain(decompress(text))
+	p, err := ParseJSON(decompress(text))
 	if err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "read programs", "")
 	}
-	d, err := p.CompileSet(scores)
+	d, err := p.CompilePrograms(scores)
 	return p, d, err
 }
 
@@ -146,8 +146,8 @@
 	})
 }
 
-// SetText is a set as JSON; for none it is the empty one.
-func SetText(r VersionedText) json.RawMessage {
+// ProgramSetJSON is a set as JSON; for none it is the empty one.
+func ProgramSetJSON(r VersionedText) json.RawMessage {
 	if len(r.Text) == 0 {
 		return json.RawMessage("{}")
 	}
--- a/internal/fleetstate/programs_test.go
+++ b/internal/fleetstate/programs_test.go
@@ -69,7 +69,7 @@
 		require.EqualValues(t, 1, v.Current().Programs.Version)
 		require.True(t, v.Observe(9, CommitProgramsKind, coordination.MustMarshal(&CommitVersion{2})))
 		require.EqualValues(t, 2, v.Current().Programs.Version)
-		require.Equal(t, []string{"p0", "p1"}, v.Current().Programs.Configuration.Names())
+		require.Equal(t, []string{"p0", "p1"}, v.Current().Programs.Configuration.ProgramNames())
 	}
 }
 
@@ -100,9 +100,9 @@
 }
 
 func sources(text []byte) []string {
-	p, _ := ReadPlain(decompress(text))
+	p, _ := ParseJSON(decompress(text))
 	var out []string
-	for _, s := range p.Sources() {
+	for _, s := range p.ProgramSources() {
 		out = append(out, s.Text)
 	}
 	return out
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -33,7 +33,7 @@
 		c.Sign(key)
 		certs[serial] = c
 	}
-	text, err := Source("small", []byte(small))
+	text, err := CUEToJSON("small", []byte(small))
 	require.NoError(t, err)
 	all := map[string]any{}
 	require.NoError(t, json.Unmarshal(text, &all))
@@ -134,7 +134,7 @@
 			_, _, err := ParseComplete("f.cue", text)
 			require.Error(t, err)
 			require.True(t, failure.Is(err, failure.InvalidArgument))
-			if e := Explain("f.cue", text, true); e != nil {
+			if e := ValidateSource("f.cue", text, true); e != nil {
 				err = e
 			}
 			err = Locate("f.cue", text, err)
@@ -227,16 +227,16 @@
 	v := NewView(logging.Discard())
 	v.Observe(1, PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: charter(t, nil)}))
 	v.NoteVersion(1)
-	require.Empty(t, v.Current().Revoked)
+	require.Empty(t, v.Current().RevokedSerials)
 	v.Observe(2, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
 	now := certification.At(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
 	_, ok := v.Current().Register.Clears("chair", certification.Subject{Worker: "p1"}, ids.Prefill, now)
 	require.False(t, ok)
 	_, ok = v.Current().Register.Clears("chair", certification.Subject{Worker: "d1"}, ids.Decode, now)
 	require.True(t, ok)
-	require.Equal(t, map[string]bool{"s1": false}, v.Current().Revoked)
+	require.Equal(t, map[string]bool{"s1": false}, v.Current().RevokedSerials)
 	v.Observe(3, ConfirmRevocationKind, coordination.MustMarshal(&ConfirmRevocation{"s1"}))
-	require.Equal(t, map[string]bool{"s1": true}, v.Current().Revoked)
+	require.Equal(t, map[string]bool{"s1": true}, v.Current().RevokedSerials)
 }
 
 // TestClock: the fleet's time runs with the primary's steady clock, whatever the wall
--- a/internal/fleetstate/route_test.go
+++ b/internal/fleetstate/route_test.go
@@ -130,7 +130,7 @@
 	require.NoError(t, same.CheckRoutes(), "another host may have the same prefix")
 }
 
-const routed = `{
+const configurationWithRoutes = `{
 	zones: ["a"], workers: {}, kinds: {}, programs: {}, limits: {}
 	services: {s: {}, t: {warmMs: 5000, warmRate: 2.5, slots: 8, models: ["m"]}}
 	routes: [
@@ -144,7 +144,7 @@
 // TestCompleteRoutes: a CUE configuration with routes and services is filled with the defaults, reads
 // back as itself, and keeps what was said; a configuration without them stays without.
 func TestCompleteRoutes(t *testing.T) {
-	p, text, err := ParseComplete("r.cue", []byte(routed))
+	p, text, err := ParseComplete("r.cue", []byte(configurationWithRoutes))
 	require.NoError(t, err)
 	one, two := p.Routes[0], p.Routes[1]
 	require.Equal(t, 1, one.MaxAttempts)
@@ -178,7 +178,7 @@
 	require.NoError(t, err)
 	require.JSONEq(t, string(text), string(second))
 	require.Equal(t, NewTable(p).Find("a.example", "/v1/x").Name, NewTable(again).Find("a.example", "/v1/x").Name)
-	read, err := ReadPlain(text)
+	read, err := ParseJSON(text)
 	require.NoError(t, err)
 	require.NoError(t, read.CheckRoutes())
 	require.Equal(t, two, read.Routes[1])
@@ -195,7 +195,7 @@
 // TestCompleteRefuses: what the schema or the check over routes forbids is refused, with the
 // field in the error.
 func TestCompleteRefuses(t *testing.T) {
-	_, complete, err := ParseComplete("r.cue", []byte(routed))
+	_, complete, err := ParseComplete("r.cue", []byte(configurationWithRoutes))
 	require.NoError(t, err)
 	for part, says := range map[string]string{
 		`{routes: [{name: "x", host: "h", prefix: "v1/", service: "s", deadlineMs: 5}]}`:                      "prefix",
@@ -218,7 +218,7 @@
 		`{services: t: warmRate: "x"}`: "services.t.warmRate",
 		`{intake: bodyBytes: 0}`:       "intake.bodyBytes",
 	} {
-		b, err := Source("part.cue", []byte(part))
+		b, err := CUEToJSON("part.cue", []byte(part))
 		require.NoError(t, err, part)
 		merged, err := Merge(complete, b)
 		require.NoError(t, err)
@@ -232,7 +232,7 @@
 // also where it touches routes, services or the intake: no change is lost in silence, and
 // none that is refused over all is taken.
 func TestOverRoutes(t *testing.T) {
-	_, complete, err := ParseComplete("r.cue", []byte(routed))
+	_, complete, err := ParseComplete("r.cue", []byte(configurationWithRoutes))
 	require.NoError(t, err)
 	for _, part := range []string{
 		`{limits: queue: 9}`,
@@ -245,7 +245,7 @@
 		`{routes: [{name: "x", host: "h", prefix: "/", split: [{service: "s", weight: 0}], deadlineMs: 5}]}`,
 		`{routes: [{name: "x", host: "h", prefix: "/", service: "gone", deadlineMs: 5}]}`, `{intake: bodyBytes: 0}`,
 	} {
-		src, err := Source("part", []byte(part))
+		src, err := CUEToJSON("part", []byte(part))
 		require.NoError(t, err, part)
 		merged, err := Merge(complete, src)
 		require.NoError(t, err, part)
--- a/internal/fleetstate/state_encoding.go
+++ b/internal/fleetstate/state_encoding.go
@@ -53,7 +53,7 @@
 		}
 		encoded.Duties = s.encodeDuties()
 		encoded.Audits, encoded.AuditCount, encoded.AuditHead = s.audit.open, s.audit.count, s.audit.head
-		for _, r := range s.aged.rows {
+		for _, r := range s.aged.openEntries {
 			encoded.AgedRows = append(encoded.AgedRows, r[:]...)
 		}
 	}
@@ -105,8 +105,8 @@
 	for _, d := range encoded.Duties {
 		next.duties[d.Name] = d
 	}
-	for at := 0; at+rowSize <= len(encoded.AgedRows); at += rowSize {
-		next.aged.add([rowSize]byte(encoded.AgedRows[at : at+rowSize]))
+	for at := 0; at+entrySize <= len(encoded.AgedRows); at += entrySize {
+		next.aged.add([entrySize]byte(encoded.AgedRows[at : at+entrySize]))
 	}
 	*s = *next
 	return nil
--- a/internal/fleetstate/tenants.go
+++ b/internal/fleetstate/tenants.go
@@ -99,13 +99,13 @@
 	return NewKeyIndex(p)
 }
 
-// Required tells whether requests need a key where their route is not public. A list of tenants
+// KeyRequired tells whether requests need a key where their route is not public. A list of tenants
 // without an entry admits nobody: taking away the last tenant does not open the routes to all.
-func (x *KeyIndex) Required() bool { return x != nil && x.list != nil }
+func (x *KeyIndex) KeyRequired() bool { return x != nil && x.list != nil }
 
 // Find gives the tenant that a key belongs to, or nil.
 func (x *KeyIndex) Find(key string) *Tenant {
-	if !x.Required() || key == "" {
+	if !x.KeyRequired() || key == "" {
 		return nil
 	}
 	return x.tenants[digestOf(key)]
--- a/internal/fleetstate/tenants_test.go
+++ b/internal/fleetstate/tenants_test.go
@@ -49,20 +49,20 @@
 // empty admits nobody, and a configuration without one asks for no key.
 func TestKeyIndex(t *testing.T) {
 	index := NewKeyIndex(tenanted())
-	require.True(t, index.Required())
+	require.True(t, index.KeyRequired())
 	for key, name := range map[string]string{"key-a1": "amber", "key-a2": "amber", "key-b1": "birch"} {
 		require.Equal(t, name, index.Find(key).Name)
 	}
 	for _, key := range []string{"", "key-a", "key-a11", "KEY-A1", "amber", "Bearer key-a1", "key-a1,key-b1", " key-a1"} {
 		require.Nil(t, index.Find(key), key)
 	}
-	require.False(t, NewKeyIndex(&Configuration{}).Required())
+	require.False(t, NewKeyIndex(&Configuration{}).KeyRequired())
 	require.Nil(t, NewKeyIndex(&Configuration{}).Find("key-a1"))
 	emptied := NewKeyIndex(&Configuration{Tenants: []Tenant{}})
-	require.True(t, emptied.Required())
+	require.True(t, emptied.KeyRequired())
 	require.Nil(t, emptied.Find("key-a1"))
 	var none *KeyIndex
-	require.False(t, none.Required())
+	require.False(t, none.KeyRequired())
 	require.Nil(t, none.Find("key-a1"))
 }
 
@@ -78,14 +78,14 @@
 // the same tenants has the same index.
 func TestKeyIndexOfSnapshot(t *testing.T) {
 	view := NewView(logging.Discard())
-	require.False(t, view.Current().Keys.Required())
+	require.False(t, view.Current().TenantKeys.KeyRequired())
 	next := func(change func(p *Configuration)) *KeyIndex {
 		configuration := tenanted()
 		change(configuration)
 		s := &Snapshot{Configuration: configuration}
 		view.indexConfiguration(s)
 		view.current.Store(s)
-		return s.Keys
+		return s.TenantKeys
 	}
 	first := next(func(*Configuration) {})
 	require.Equal(t, "birch", first.Find("key-b1").Name)
@@ -100,7 +100,7 @@
 	} {
 		changed := next(change)
 		require.NotSame(t, first, changed, name)
-		require.Equal(t, name != "none", changed.Required(), name)
+		require.Equal(t, name != "none", changed.KeyRequired(), name)
 	}
 }
 
@@ -115,7 +115,7 @@
 	p, whole, err := ParseComplete("t.cue", text(`tenants: [{name: "amber", keys: ["k1"], urgency: 0}, {name: "birch"}]`))
 	require.NoError(t, err)
 	require.True(t, p.Routes[0].Public)
-	again, err := ReadPlain(whole)
+	again, err := ParseJSON(whole)
 	require.NoError(t, err)
 	require.Equal(t, p.Tenants[0], again.Tenants[0])
 	require.Equal(t, 0, *again.Tenants[0].Urgency)
@@ -124,9 +124,9 @@
 	require.ErrorContains(t, err, "tenants.birch.keys[0]")
 	_, emptied, err := Overlay("part.json", whole, []byte(`{"tenants":[]}`))
 	require.NoError(t, err)
-	again, err = ReadPlain(emptied)
+	again, err = ParseJSON(emptied)
 	require.NoError(t, err)
-	require.True(t, NewKeyIndex(again).Required())
+	require.True(t, NewKeyIndex(again).KeyRequired())
 	bare, _, err := ParseComplete("t.cue", text(""))
 	require.NoError(t, err)
 	require.Nil(t, bare.Tenants)
--- a/internal/fleetstate/version_history.go
+++ b/internal/fleetstate/version_history.go
@@ -18,8 +18,8 @@
 	superseded supersededVersions
 }
 
-// all are the version in force and those that are prepared, oldest first.
-func (l *versionHistory) all() []VersionedText {
+// versions are the version in force and those that are prepared, oldest first.
+func (l *versionHistory) versions() []VersionedText {
 	return append([]VersionedText{l.active}, l.prepared...)
 }
 
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -19,22 +19,22 @@
 
 // Snapshot is one frozen state of the view.
 type Snapshot struct {
-	Version       ids.Version
-	Configuration *Configuration
-	Table         *Table
-	Keys          *KeyIndex // of tenants
-	Text          []byte
-	Newest        ids.Version
-	Zones         map[ids.Zone]bool
-	Drained       map[ids.WorkerID]bool
-	RoleChanges   map[ids.WorkerID]ids.Role
-	Failbacks     map[ids.Zone]Failback
-	Programs      *CompiledPrograms // the program set in force, if the core has one
+	Version        ids.Version
+	Configuration  *Configuration
+	RouteTable     *Table
+	TenantKeys     *KeyIndex // of tenants
+	Text           []byte
+	NewestVersion  ids.Version
+	EvacuatedZones map[ids.Zone]bool
+	DrainedWorkers map[ids.WorkerID]bool
+	RoleChanges    map[ids.WorkerID]ids.Role
+	Failbacks      map[ids.Zone]Failback
+	Programs       *CompiledPrograms // the program set in force, if the core has one
 	// Register says who is cleared for governed work; nil without regimes. Bare is the
 	// same without revocations. Revoked has their serials: true once in force everywhere.
-	Register  *certification.Register
-	Unrevoked *certification.Register
-	Revoked   map[string]bool
+	Register       *certification.Register
+	BaseRegister   *certification.Register
+	RevokedSerials map[string]bool
 }
 
 // parsedVersion is a version as it was read, once.
@@ -53,9 +53,9 @@
 // View is a coordination.Watcher. Ready is called with every configuration before it is in
 // force, so that programs are compiled by then.
 type View struct {
-	Ready func(ids.Version, *Configuration)
-	Ring  *logging.Ring
-	Read  ConfigurationReader // Plain, if it is not set: makes a configuration of a text
+	OnParsed func(ids.Version, *Configuration)
+	Ring     *logging.Ring
+	Parse    ConfigurationParser // Plain, if it is not set: makes a configuration of a text
 	// Scores of programs; where it is not set, program sets are not compiled.
 	Scores *routing.Scores
 
@@ -78,11 +78,11 @@
 		programSets: map[ids.Version]*CompiledPrograms{},
 	}
 	v.current.Store(&Snapshot{
-		Configuration: &Configuration{},
-		Table:         NewTable(&Configuration{}),
-		Keys:          NewKeyIndex(&Configuration{}),
-		Zones:         map[ids.Zone]bool{},
-		Drained:       map[ids.WorkerID]bool{},
+		Configuration:  &Configuration{},
+		RouteTable:     NewTable(&Configuration{}),
+		TenantKeys:     NewKeyIndex(&Configuration{}),
+		EvacuatedZones: map[ids.Zone]bool{},
+		DrainedWorkers: map[ids.WorkerID]bool{},
 	})
 	return v
 }
@@ -189,7 +189,7 @@
 
 // publish swaps in the next snapshot. Old streams keep the snapshot they began with.
 func (v *View) publish() {
-	all := v.state.all()
+	all := v.state.versions()
 	now := v.newestInForce(all)
 	if previous := v.current.Load(); previous.Version > now.Version {
 		now = VersionedText{previous.Version, previous.Text}
@@ -200,7 +200,7 @@
 		}
 	}
 	next := v.snapshotOf(now)
-	next.Newest = all[len(all)-1].Version
+	next.NewestVersion = all[len(all)-1].Version
 	v.current.Store(next)
 	if uint64(now.Version) > v.highest.Load() {
 		v.highest.Store(uint64(now.Version))
@@ -229,9 +229,9 @@
 	if _, ok := v.parsed[version.Version]; ok || len(version.Text) == 0 {
 		return true
 	}
-	read := v.Read
+	read := v.Parse
 	if read == nil {
-		read = ReadPlain
+		read = ParseJSON
 	}
 	text := decompress(version.Text)
 	configuration, err := read(text)
@@ -240,8 +240,8 @@
 		return false
 	}
 	v.parsed[version.Version] = parsedVersion{configuration, text}
-	if v.Ready != nil {
-		v.Ready(version.Version, configuration)
+	if v.OnParsed != nil {
+		v.OnParsed(version.Version, configuration)
 	}
 	return true
 }
@@ -253,21 +253,21 @@
 		parsed.configuration, parsed.text = &Configuration{}, decompress(now.Text)
 	}
 	s := &Snapshot{
-		Version:       now.Version,
-		Configuration: parsed.configuration,
-		Text:          parsed.text,
-		Zones:         map[ids.Zone]bool{},
-		Drained:       map[ids.WorkerID]bool{},
-		RoleChanges:   maps.Clone(v.state.roleChanges),
-		Failbacks:     maps.Clone(v.state.failbacks),
-		Programs:      v.compilePrograms(),
+		Version:        now.Version,
+		Configuration:  parsed.configuration,
+		Text:           parsed.text,
+		EvacuatedZones: map[ids.Zone]bool{},
+		DrainedWorkers: map[ids.WorkerID]bool{},
+		RoleChanges:    maps.Clone(v.state.roleChanges),
+		Failbacks:      maps.Clone(v.state.failbacks),
+		Programs:       v.compilePrograms(),
 	}
 	v.indexConfiguration(s)
 	for z := range v.state.zones {
-		s.Zones[z] = true
+		s.EvacuatedZones[z] = true
 	}
 	for w := range v.state.drained {
-		s.Drained[w] = true
+		s.DrainedWorkers[w] = true
 	}
 	return s
 }
@@ -275,18 +275,18 @@
 // indexConfiguration sets what is derived from the configuration, or takes it from the snapshot
 // before if that has the same one.
 func (v *View) indexConfiguration(s *Snapshot) {
-	if previous := v.current.Load(); previous.Configuration == s.Configuration && previous.Table != nil {
-		s.Table, s.Keys, s.Unrevoked = previous.Table, previous.Keys, previous.Unrevoked
+	if previous := v.current.Load(); previous.Configuration == s.Configuration && previous.RouteTable != nil {
+		s.RouteTable, s.TenantKeys, s.BaseRegister = previous.RouteTable, previous.TenantKeys, previous.BaseRegister
 	} else {
-		s.Table, s.Keys = NewTable(s.Configuration), previous.Keys.next(s.Configuration)
+		s.RouteTable, s.TenantKeys = NewTable(s.Configuration), previous.TenantKeys.next(s.Configuration)
 		var err error
-		if s.Unrevoked, err = s.Configuration.Register(); err != nil {
+		if s.BaseRegister, err = s.Configuration.Register(); err != nil {
 			v.Ring.Error().AnErr("cause", err).Msg("invalid certificates left out")
 		}
 	}
-	if s.Unrevoked != nil {
-		s.Revoked = maps.Clone(v.state.revoked)
-		s.Register = s.Unrevoked.WithRevoked(s.Revoked)
+	if s.BaseRegister != nil {
+		s.RevokedSerials = maps.Clone(v.state.revoked)
+		s.Register = s.BaseRegister.WithRevoked(s.RevokedSerials)
 	}
 }
 
@@ -297,7 +297,7 @@
 	if v.Scores == nil {
 		return nil
 	}
-	for _, r := range v.state.programs.all() {
+	for _, r := range v.state.programs.versions() {
 		if _, ok := v.programSets[r.Version]; ok || r.Version == 0 {
 			continue
 		}
--- a/internal/fleetstate/zones.go
+++ b/internal/fleetstate/zones.go
@@ -14,7 +14,7 @@
 
 func (c *Evacuate) apply(s *State) (msgp.Marshaler, error) {
 	if s.zones[c.Zone] == c.Evacuated {
-		return s.unchanged(c.Compare)
+		return s.replyUnchanged(c.Compare)
 	}
 	if err := s.checkZone(c); err != nil {
 		return nil, err
@@ -30,10 +30,10 @@
 	return &VersionReply{s.newest()}, nil
 }
 
-// unchanged answers an order that finds all as it asks. One that is known by its id alone is
+// replyUnchanged answers an order that finds all as it asks. One that is known by its id alone is
 // written all the same: were its id not remembered, a copy of it that arrives after the
 // opposite order would be done.
-func (s *State) unchanged(compared bool) (msgp.Marshaler, error) {
+func (s *State) replyUnchanged(compared bool) (msgp.Marshaler, error) {
 	if compared {
 		return &VersionReply{s.newest()}, coordination.ErrUnchanged
 	}
@@ -42,7 +42,7 @@
 
 func (c *Drain) apply(s *State) (msgp.Marshaler, error) {
 	if s.drained[c.Worker] == c.Drained {
-		return s.unchanged(false)
+		return s.replyUnchanged(false)
 	}
 	if s.drained[c.Worker] = c.Drained; !c.Drained {
 		delete(s.drained, c.Worker)
@@ -66,8 +66,8 @@
 	return time.Duration(v.SlowStartMs)*time.Millisecond + time.Second
 }
 
-// sinceFailback is for how long a zone surely has been back.
-func (m *Machine) sinceFailback(f Failback) time.Duration {
+// timeSinceFailback is for how long a zone surely has been back.
+func (m *Machine) timeSinceFailback(f Failback) time.Duration {
 	out := time.Duration(f.Ago)
 	if at, ok := m.failbackSince[f.Number]; ok {
 		out += m.now.Since(at)
@@ -75,8 +75,8 @@
 	return out
 }
 
-// endedSlowStarts names the zones whose workers are warm by now.
-func (m *Machine) endedSlowStarts(now ids.Tick) []coordination.Command {
+// slowStartEndedCommands names the zones whose workers are warm by now.
+func (m *Machine) slowStartEndedCommands(now ids.Tick) []coordination.Command {
 	m.now = now
 	if len(m.failbacks) == 0 {
 		clear(m.failbackSince)
@@ -88,7 +88,7 @@
 		if _, ok := m.failbackSince[f.Number]; !ok {
 			m.failbackSince[f.Number] = now
 		}
-		if m.sinceFailback(f) > m.maxSlowStart {
+		if m.timeSinceFailback(f) > m.maxSlowStart {
 			out = append(out, coordination.Command{
 				Kind: SlowStartEndedKind,
 				Body: coordination.MustMarshal(&SlowStartEnded{z, f.Number}),
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -77,7 +77,7 @@
 		n.counts.RejectedStale.Add(1)
 		return n.reject(http.StatusServiceUnavailable, staleRetryAfter, "the configuration may be out of date")
 	}
-	route := s.Table.Find(r.Host, r.Path)
+	route := s.RouteTable.Find(r.Host, r.Path)
 	if route == nil {
 		return n.rejectUnknown("no route")
 	}
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -208,7 +208,7 @@
 	off := map[ids.WorkerID]bool{}
 	for _, w := range b.endpoints.Load().workers {
 		_, turns := s.RoleChanges[w.ID]
-		off[w.ID] = w.Leaving || turns || s.Drained[w.ID] || s.Zones[w.Zone]
+		off[w.ID] = w.Leaving || turns || s.DrainedWorkers[w.ID] || s.EvacuatedZones[w.Zone]
 	}
 	return off
 }
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -31,7 +31,7 @@
 	Host              host.Host
 	Ring              *logging.Ring
 	Backend           Backend
-	ReadConfiguration fleetstate.ConfigurationReader // of the operators' text; fleetstate.Plain
+	ReadConfiguration fleetstate.ConfigurationParser // of the operators' text; fleetstate.Plain
 	// routing programs until the core has a set, beside the built-in order
 	Programs      []routing.Source
 	ProgramSteps  uint64        // 20000: that one of these may take for one request
@@ -181,7 +181,7 @@
 		Zone: options.Zone,
 	}
 	n.view = fleetstate.NewView(options.Ring)
-	n.view.Read, n.view.Scores = options.ReadConfiguration, &n.scores
+	n.view.Parse, n.view.Scores = options.ReadConfiguration, &n.scores
 	n.agent = coordination.NewAgent(coordination.AgentOptions{
 		Self:          n.self,
 		Host:          options.Host,
@@ -324,7 +324,7 @@
 		}
 	}
 	if previous := n.lastSnapshot.Swap(s); previous == nil || previous.Version != s.Version {
-		n.options.Ring.Info().Uint64("version", uint64(s.Version)).Uint64("newest", uint64(s.Newest)).
+		n.options.Ring.Info().Uint64("version", uint64(s.Version)).Uint64("newest", uint64(s.NewestVersion)).
 			Msg("configuration in force")
 	}
 	if n.options.ClientLimitsChanged != nil {
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -46,7 +46,7 @@
 	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
 	op, name := ids.OpID(programOps+a.Op), cmp.Or(a.Name, "programs")
-	text, err := fleetstate.Source(name, []byte(a.Source))
+	text, err := fleetstate.CUEToJSON(name, []byte(a.Source))
 	if err != nil {
 		return nil, err
 	}
@@ -68,11 +68,11 @@
 			}
 			return o.versionApplied(ctx, v, err)
 		}
-		base = fleetstate.SetText(top)
+		base = fleetstate.ProgramSetJSON(top)
 	}
-	p, complete, err := fleetstate.Draft(name, a.Source, text, base, a.Partial)
+	p, complete, err := fleetstate.ParseUpdate(name, a.Source, text, base, a.Partial)
 	if err == nil {
-		err = p.CheckSet()
+		err = p.CheckProgramSet()
 	}
 	if err != nil {
 		return nil, err
@@ -160,7 +160,7 @@
 	return &api.Shown{
 		Version: uint64(img.Programs.Version),
 		Newest:  uint64(top.Version),
-		Policy:  fleetstate.SetText(img.Programs),
+		Policy:  fleetstate.ProgramSetJSON(img.Programs),
 		Zones:   append([]string{}, img.Zones...),
 		Drained: append([]string{}, img.Drained...),
 	}, nil
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -24,8 +24,8 @@
 	list[9].Service = "other"
 	sights := []*fleetstate.Snapshot{
 		{},
-		{Zones: map[ids.Zone]bool{"b": true}},
-		{Drained: map[ids.WorkerID]bool{list[2].ID: true}},
+		{EvacuatedZones: map[ids.Zone]bool{"b": true}},
+		{DrainedWorkers: map[ids.WorkerID]bool{list[2].ID: true}},
 		{RoleChanges: map[ids.WorkerID]ids.Role{list[4].ID: ids.Decode}},
 	}
 	for k := range 6 {
--- a/internal/proxy/role_programs.go
+++ b/internal/proxy/role_programs.go
@@ -33,7 +33,7 @@
 	}
 	dwell := roleChangeInterval
 	if deal.Configuration != nil {
-		dwell = max(dwell, deal.Configuration.Limits.Dwell())
+		dwell = max(dwell, deal.Configuration.Limits.MinRoleDwell())
 	}
 	p := n.rolePool(service, d, rows, count, dwell)
 	var own routing.RoleChange
--- a/internal/proxy/stale_version_test.go
+++ b/internal/proxy/stale_version_test.go
@@ -41,7 +41,7 @@
 			}
 			o.ReadConfiguration = func(text []byte) (*fleetstate.Configuration, error) {
 				count.Add(1)
-				return fleetstate.ReadPlain(text)
+				return fleetstate.ParseJSON(text)
 			}
 		})
 		defer f.close()
@@ -73,7 +73,7 @@
 				if name == "n1" && strings.Contains(string(text), "other") {
 					time.Sleep(applying)
 				}
-				return fleetstate.ReadPlain(text)
+				return fleetstate.ParseJSON(text)
 			}
 		})
 		defer f.close()
@@ -175,18 +175,18 @@
 func TestPreparedVersionIsPutInForceWithoutTheCommit(t *testing.T) {
 	var age versionAge
 	at := func(ms int) ids.Tick { return ids.Tick(time.Duration(ms) * time.Millisecond) }
-	old := &fleetstate.Snapshot{Version: 1, Newest: 1}
+	old := &fleetstate.Snapshot{Version: 1, NewestVersion: 1}
 	require.Zero(t, age.update(at(1000), at(900), old))
 	require.Equal(t, int64(at(900)), age.currentAt.Load())
 	for newest := ids.Version(2); newest < 5; newest++ {
-		staged := &fleetstate.Snapshot{Version: 1, Newest: newest}
+		staged := &fleetstate.Snapshot{Version: 1, NewestVersion: newest}
 		require.Zero(t, age.update(at(1000+100*int(newest)), at(1000+100*int(newest)), staged))
 	}
-	require.EqualValues(t, 2, age.update(at(1701), at(1700), &fleetstate.Snapshot{Version: 1, Newest: 5}))
+	require.EqualValues(t, 2, age.update(at(1701), at(1700), &fleetstate.Snapshot{Version: 1, NewestVersion: 5}))
 	require.Equal(t, int64(at(900)), age.currentAt.Load())
-	require.Zero(t, age.update(at(1800), at(1800), &fleetstate.Snapshot{Version: 2, Newest: 5}))
+	require.Zero(t, age.update(at(1800), at(1800), &fleetstate.Snapshot{Version: 2, NewestVersion: 5}))
 	require.Equal(t, int64(at(1200)), age.currentAt.Load(), "as of when the second was seen")
-	require.Zero(t, age.update(at(1900), at(1900), &fleetstate.Snapshot{Version: 5, Newest: 5}))
+	require.Zero(t, age.update(at(1900), at(1900), &fleetstate.Snapshot{Version: 5, NewestVersion: 5}))
 	require.Equal(t, int64(at(1900)), age.currentAt.Load())
 }
 
--- a/internal/proxy/tenant.go
+++ b/internal/proxy/tenant.go
@@ -12,11 +12,11 @@
 
 // authenticate finds the tenant whose key the request bears.
 func (t *exchange) authenticate(s *fleetstate.Snapshot) error {
-	if t.outgoing != nil && t.keys == s.Keys {
+	if t.outgoing != nil && t.keys == s.TenantKeys {
 		return nil
 	}
-	tenant := s.Keys.Find(t.request.Key)
-	if tenant == nil && s.Keys.Required() && !t.route.Public {
+	tenant := s.TenantKeys.Find(t.request.Key)
+	if tenant == nil && s.TenantKeys.KeyRequired() && !t.route.Public {
 		return t.node.unknown(http.StatusUnauthorized, "no tenant has the key")
 	}
 	outgoing := *t.request
@@ -24,7 +24,7 @@
 	if tenant != nil {
 		outgoing.Tenant = tenant.Name
 	}
-	t.keys, t.tenant, t.outgoing = s.Keys, tenant, &outgoing
+	t.keys, t.tenant, t.outgoing = s.TenantKeys, tenant, &outgoing
 	return nil
 }
 
--- a/internal/proxy/version_age.go
+++ b/internal/proxy/version_age.go
@@ -49,11 +49,11 @@
 		v.awaited = 0
 	}
 	switch {
-	case s.Version >= s.Newest:
+	case s.Version >= s.NewestVersion:
 		v.currentAt.Store(int64(foldedAt))
 		v.awaited = 0
 	case v.awaited == 0:
-		v.awaited, v.awaitedAt, v.foldedAt = s.Newest, now, foldedAt
+		v.awaited, v.awaitedAt, v.foldedAt = s.NewestVersion, now, foldedAt
 	case now.Past(v.awaitedAt, preparedWait):
 		return v.awaited
 	}
--- a/internal/proxy/worker_state.go
+++ b/internal/proxy/worker_state.go
@@ -47,7 +47,7 @@
 // acceptsWork tells whether a worker may get new work under a snapshot.
 func acceptsWork(s *fleetstate.Snapshot, w *Worker) bool {
 	_, turning := s.RoleChanges[w.ID]
-	return !w.Leaving && !turning && !s.Zones[w.Zone] && !s.Drained[w.ID]
+	return !w.Leaving && !turning && !s.EvacuatedZones[w.Zone] && !s.DrainedWorkers[w.ID]
 }
 
 // failback is when a zone was taken back, at the latest, and which time that was.
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -29,7 +29,7 @@
 	var out []coordination.Member
 	for _, m := range n.agent.Members() {
 		v, ok := n.peers.Load(m.Node)
-		if m.Node == n.self.Node || !ok || now.Past(v.(peerStatus).at, time.Second) || s.Zones[m.Zone] {
+		if m.Node == n.self.Node || !ok || now.Past(v.(peerStatus).at, time.Second) || s.EvacuatedZones[m.Zone] {
 			continue
 		}
 		if _, err := n.clears(regime, certification.Subject{Node: fleetstate.NodeName(m.Node)}, ""); err == nil {
--- a/internal/router/holder.go
+++ b/internal/router/holder.go
@@ -55,7 +55,7 @@
 			mine[id] = true
 			if previous, ok := n.duties.Load(id); ok {
 				if d := previous.(*workerDuty); d.fence == f {
-					d.memory.Configure(lim.Lag(), lim.SlowStart(), lim.Queue)
+					d.memory.Configure(lim.MaxReportLag(), lim.SlowStart(), lim.MaxQueued)
 					continue
 				}
 				previous.(*workerDuty).stop()
@@ -65,7 +65,7 @@
 				id:     id,
 				fence:  f,
 				stop:   stop,
-				memory: handoff.NewMemoryLedger(lim.Lag(), lim.SlowStart(), lim.Queue),
+				memory: handoff.NewMemoryLedger(lim.MaxReportLag(), lim.SlowStart(), lim.MaxQueued),
 			}
 			n.duties.Store(id, d)
 			wg.Go(func() { n.poll(callContext, d) })
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -100,7 +100,7 @@
 		Zone: opt.Zone,
 	}
 	n.view = fleetstate.NewView(opt.Ring)
-	n.view.Ready = n.compile
+	n.view.OnParsed = n.compile
 	n.agent = coordination.NewAgent(coordination.AgentOptions{
 		Self:            n.self,
 		Host:            opt.Host,
@@ -179,7 +179,7 @@
 
 // compile readies the programs of a version before it is in force.
 func (n *Node) compile(v ids.Version, p *fleetstate.Configuration) {
-	programs, err := p.CompileSet(n.scores)
+	programs, err := p.CompilePrograms(n.scores)
 	if err != nil {
 		n.options.Ring.Error().AnErr("cause", err).Uint64("version", uint64(v)).
 			Msg("programs not compiled; built-in order serves")
@@ -204,7 +204,7 @@
 		return false, "the core has not been found yet"
 	case s.Version == 0:
 		return false, "no configuration is in force"
-	case s.Zones[n.self.Zone]:
+	case s.EvacuatedZones[n.self.Zone]:
 		return false, "the zone is evacuated"
 	case !n.agent.Leased() && !n.coreUnreachable():
 		return false, "the lease has lapsed"
@@ -224,9 +224,9 @@
 // fit tells whether a worker may get new work under a snapshot.
 func (n *Node) fit(s *fleetstate.Snapshot, id ids.WorkerID) bool {
 	w, ok := s.Configuration.Workers[id]
-	if !ok || s.Drained[id] || s.Zones[w.Zone] {
+	if !ok || s.DrainedWorkers[id] || s.EvacuatedZones[w.Zone] {
 		return false
 	}
 	l, ok := (*n.endpoints.Load())[id]
-	return ok && !l.Leaving && !(*n.leave.Load())[id] && !s.Zones[l.Zone]
+	return ok && !l.Leaving && !(*n.leave.Load())[id] && !s.EvacuatedZones[l.Zone]
 }
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -50,7 +50,7 @@
 func (n *Node) Apply(ctx context.Context, a *api.ApplyRequest) (*api.ApplyResponse, error) {
 	name := cmp.Or(a.Name, "policy")
 	var base []byte
-	text, err := fleetstate.Source(name, []byte(a.Source))
+	text, err := fleetstate.CUEToJSON(name, []byte(a.Source))
 	if err != nil {
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 		}
 		base = s.Text
 	}
-	p, complete, err := fleetstate.Draft(name, a.Source, text, base, a.Partial)
+	p, complete, err := fleetstate.ParseUpdate(name, a.Source, text, base, a.Partial)
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 }
 
 func (n *Node) refuseStale(base uint64, s *fleetstate.Snapshot) error {
-	return api.Stale(base, uint64(max(s.Newest, s.Version)))
+	return api.Stale(base, uint64(max(s.NewestVersion, s.Version)))
 }
 
 // outcomeOf tells an operator whether a thing was surely not done.
@@ -180,7 +180,7 @@
 	s := n.view.Current()
 	out := &api.Shown{
 		Version: uint64(s.Version),
-		Newest:  uint64(max(s.Newest, s.Version)),
+		Newest:  uint64(max(s.NewestVersion, s.Version)),
 		Policy:  s.Text,
 		Zones:   []string{},
 		Drained: []string{},
@@ -188,10 +188,10 @@
 	if len(out.Policy) == 0 {
 		out.Policy = []byte("{}")
 	}
-	for z := range s.Zones {
+	for z := range s.EvacuatedZones {
 		out.Zones = append(out.Zones, string(z))
 	}
-	for w := range s.Drained {
+	for w := range s.DrainedWorkers {
 		out.Drained = append(out.Drained, string(w))
 	}
 	sort.Strings(out.Zones)
@@ -270,7 +270,7 @@
 	})
 	st.Last, _ = n.journal.Last(8)
 	st.Deeds[0], st.Deeds[1] = n.view.RecordCount()
-	st.Time, st.Revoked = n.clock(), slices.Sorted(maps.Keys(n.view.Current().Revoked))
+	st.Time, st.Revoked = n.clock(), slices.Sorted(maps.Keys(n.view.Current().RevokedSerials))
 	return st
 }
 
--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, n.outcomeOf(err)
 	}
-	for !n.view.Current().Revoked[serial] {
+	for !n.view.Current().RevokedSerials[serial] {
 		if !host.Sleep(callContext, 10*time.Millisecond) {
 			return nil, api.RetryLater(
 				http.StatusGatewayTimeout,
@@ -103,7 +103,7 @@
 func (n *Node) able(s *fleetstate.Snapshot) func(certification.Subject) bool {
 	names := map[string]bool{}
 	for _, m := range n.agent.Members() {
-		if !s.Zones[m.Zone] {
+		if !s.EvacuatedZones[m.Zone] {
 			names[fleetstate.NodeName(m.Node)] = true
 		}
 	}
--- a/internal/router/role_balance.go
+++ b/internal/router/role_balance.go
@@ -73,7 +73,7 @@
 
 // pickRoleChange names a worker that should turn now, if any.
 func (n *Node) pickRoleChange(s *fleetstate.Snapshot, model string, p *rolePool) (routing.RoleChange, bool) {
-	now, dwell := n.now(), s.Configuration.Limits.Dwell()
+	now, dwell := n.now(), s.Configuration.Limits.MinRoleDwell()
 	by := map[ids.Role][]WorkerStatus{}
 	for id, st := range *n.workerStatus.Load() {
 		if w, ok := s.Configuration.Workers[id]; ok && w.Model == model && st.Ready && n.fit(s, id) {
@@ -116,7 +116,7 @@
 
 // proposeRoleChange asks the programs; with turning off, workers go home one by one.
 func (n *Node) proposeRoleChange(s *fleetstate.Snapshot, view *routing.Pool) (routing.RoleChange, bool) {
-	if s.Configuration.RoleChanges {
+	if s.Configuration.RoleChangesEnabled {
 		return n.programsAt(s).ProposeRoleChange(view)
 	}
 	for _, to := range []ids.Role{ids.Prefill, ids.Decode} {
--- a/internal/router/role_balance_test.go
+++ b/internal/router/role_balance_test.go
@@ -20,9 +20,9 @@
 func stage(reads, writes, readBusy, writeBusy int) (*Node, *fleetstate.Snapshot) {
 	n := New(Options{Name: "n", Host: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host()})
 	s := &fleetstate.Snapshot{Configuration: &fleetstate.Configuration{
-		RoleChanges: true,
-		Workers:     map[ids.WorkerID]fleetstate.Worker{},
-		Limits:      fleetstate.Limits{DwellMs: 4000},
+		RoleChangesEnabled: true,
+		Workers:            map[ids.WorkerID]fleetstate.Worker{},
+		Limits:             fleetstate.Limits{MinRoleDwellMs: 4000},
 	}}
 	stands, endpoints := map[ids.WorkerID]WorkerStatus{}, map[ids.WorkerID]workerclient.ListedWorker{}
 	for i := range reads + writes {
@@ -95,7 +95,7 @@
 		require.Empty(t, turns(n, s, 60*time.Second), "neither is pressed")
 		n, s = stage(4, 4, 0, 14)
 		require.Equal(t, ids.Decode, turns(n, s, 30*time.Second)[0])
-		s.Configuration.RoleChanges = false
+		s.Configuration.RoleChangesEnabled = false
 		for id, st := range *n.workerStatus.Load() {
 			st.Busy = 0
 			(*n.workerStatus.Load())[id] = st
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -85,8 +85,8 @@
 		Regime:      s.Register.Governs(ask.Kind),
 		Zone:        n.self.Zone,
 		Claimed:     kind.Claimed,
-		MaxAttempts: s.Configuration.Limits.Attempts,
-		GiveUp:      s.Configuration.Limits.GiveUp(),
+		MaxAttempts: s.Configuration.Limits.MaxAttempts,
+		GiveUp:      s.Configuration.Limits.PickTimeout(),
 	}
 	t.Identity = workerclient.Identity{
 		Prompt: ask.Tokens(),
@@ -119,7 +119,7 @@
 func (n *Node) grantEntry(s *fleetstate.Snapshot, kind string) (func(), *api.Fault) {
 	v, _ := n.kinds.LoadOrStore(kind, new(atomic.Int64))
 	mine := v.(*atomic.Int64)
-	limit := int64(s.Configuration.Limits.Inflight)
+	limit := int64(s.Configuration.Limits.MaxInflight)
 	sum := int64(0)
 	for _, k := range s.Configuration.Kinds {
 		sum += int64(k.Weight)
--- a/internal/simulation/aged_keys_test.go
+++ b/internal/simulation/aged_keys_test.go
@@ -20,8 +20,8 @@
 	unraced(t)
 	inBubble(t, "vatuloa", func(c *Cluster) {
 		c.Depth = fleetstate.Retention{
-			Full:      4,
-			ChunkRows: 8,
+			FullRecords:  4,
+			ChunkEntries: 8,
 		}
 	}, func(t *testing.T, c *Cluster) {
 		node := func(i int) *Process { return c.Of("router")[i%len(c.Of("router"))] }
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -127,7 +127,7 @@
 }
 
 func seen(b *Process, serial string) bool {
-	_, ok := b.Node.View().Current().Revoked[serial]
+	_, ok := b.Node.View().Current().RevokedSerials[serial]
 	return ok
 }
 
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -33,7 +33,7 @@
 
 // expected is the whole text that a partial one over what is shown comes to.
 func expected(sh *api.Shown, part string) (string, error) {
-	src, err := fleetstate.Source("part", []byte(part))
+	src, err := fleetstate.CUEToJSON("part", []byte(part))
 	if err != nil {
 		return "", err
 	}
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -64,7 +64,9 @@
 	return lines, refusal
 }
 
-func withReleaseDepth(c *Cluster) { c.Depth = fleetstate.Retention{Full: releaseDepth, ChunkRows: 8} }
+func withReleaseDepth(c *Cluster) {
+	c.Depth = fleetstate.Retention{FullRecords: releaseDepth, ChunkEntries: 8}
+}
 
 // TestWriteRelease records the data directories of the running code. It does so on request
 // only: the recorded ones are those of a release, and later code has to open them.
