--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -211,7 +211,7 @@
 		p.args = []string{
 			"worker", "--id", string(id), "--addr", p.Addr, "--part", string(w.Role), "--model", w.Model,
 			"--weights", w.Weights,
-			"--room", fmt.Sprint(w.Capacity), "--block", fmt.Sprint(w.Block),
+			"--room", fmt.Sprint(w.Capacity), "--block", fmt.Sprint(w.BlockSize),
 		}
 		f.procs = append(f.procs, p)
 	}
--- a/internal/fleetstate/aged_keys.go
+++ b/internal/fleetstate/aged_keys.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	entrySize    = 24 // 16 of the key's hash, 7 of the body's digest, 1 of the outcome
-	keyHashBytes = 16
+	entrySize   = 24 // 16 of the key's hash, 7 of the body's digest, 1 of the outcome
+	keyHashSize = 16
 )
 
 // Retention says how much is kept in full and how many rows make a leaf. It must be
@@ -27,12 +27,12 @@
 	ChunkEntries int // 65536
 }
 
-var outcomes = []string{Claimed, Done, NotRun, MayHaveRun}
+var outcomeCodes = []string{Claimed, Done, NotRun, MayHaveRun}
 
 type agedKeys struct {
 	Retention
 	sealed      []coordination.Chunk
-	openIndex   map[[keyHashBytes]byte][entrySize]byte
+	openIndex   map[[keyHashSize]byte][entrySize]byte
 	openEntries [][entrySize]byte // the open leaf, in order of coming
 }
 
@@ -43,35 +43,35 @@
 	if d.ChunkEntries == 0 {
 		d.ChunkEntries = 65536
 	}
-	return agedKeys{Retention: d, openIndex: map[[keyHashBytes]byte][entrySize]byte{}}
+	return agedKeys{Retention: d, openIndex: map[[keyHashSize]byte][entrySize]byte{}}
 }
 
-func hashKey(key string) [keyHashBytes]byte {
+func hashKey(key string) [keyHashSize]byte {
 	sum := sha256.Sum256([]byte(key))
-	return [keyHashBytes]byte(sum[:keyHashBytes])
+	return [keyHashSize]byte(sum[:keyHashSize])
 }
 
 // digestPrefix is what is kept of a body's digest.
 func digestPrefix(digest string) []byte {
 	sum := sha256.Sum256([]byte(digest))
-	return sum[:entrySize-keyHashBytes-1]
+	return sum[:entrySize-keyHashSize-1]
 }
 
-func (s *agedKeys) put(d IdempotencyRecord) {
+func (s *agedKeys) addRecord(d IdempotencyRecord) {
 	var r [entrySize]byte
 	k := hashKey(d.Key)
 	copy(r[:], k[:])
-	copy(r[keyHashBytes:], digestPrefix(d.Digest))
-	for i, f := range outcomes {
+	copy(r[keyHashSize:], digestPrefix(d.Digest))
+	for i, f := range outcomeCodes {
 		if f == d.Outcome {
 			r[entrySize-1] = byte(i)
 		}
 	}
-	s.add(r)
+	s.addEntry(r)
 }
 
-func (s *agedKeys) add(r [entrySize]byte) {
-	s.openIndex[[keyHashBytes]byte(r[:keyHashBytes])] = r
+func (s *agedKeys) addEntry(r [entrySize]byte) {
+	s.openIndex[[keyHashSize]byte(r[:keyHashSize])] = r
 	s.openEntries = append(s.openEntries, r)
 	if len(s.openEntries) < s.ChunkEntries {
 		return
@@ -82,7 +82,7 @@
 		body = append(body, r[:]...)
 	}
 	s.sealed = append(s.sealed[:len(s.sealed):len(s.sealed)], coordination.NewChunk(body))
-	s.openIndex, s.openEntries = map[[keyHashBytes]byte][entrySize]byte{}, nil
+	s.openIndex, s.openEntries = map[[keyHashSize]byte][entrySize]byte{}, nil
 }
 
 // lookup gives what is known of an old key: an idempotency record without its answer.
@@ -95,8 +95,8 @@
 	if !ok {
 		return IdempotencyRecord{}, false
 	}
-	d := IdempotencyRecord{Key: key, Outcome: outcomes[r[entrySize-1]], Aged: true}
-	if bytes.Equal(r[keyHashBytes:entrySize-1], digestPrefix(digest)) {
+	d := IdempotencyRecord{Key: key, Outcome: outcomeCodes[r[entrySize-1]], Aged: true}
+	if bytes.Equal(r[keyHashSize:entrySize-1], digestPrefix(digest)) {
 		d.Digest = digest
 	}
 	return d, true
@@ -104,9 +104,9 @@
 
 // searchChunk looks a key up in a sorted leaf. The keys are hashes and so evenly spread:
 // the search widens from where the key should stand.
-func searchChunk(leaf []byte, k [keyHashBytes]byte) ([entrySize]byte, bool) {
+func searchChunk(leaf []byte, k [keyHashSize]byte) ([entrySize]byte, bool) {
 	n := len(leaf) / entrySize
-	cmp := func(i int) int { return bytes.Compare(leaf[i*entrySize:i*entrySize+keyHashBytes], k[:]) }
+	cmp := func(i int) int { return bytes.Compare(leaf[i*entrySize:i*entrySize+keyHashSize], k[:]) }
 	at := int(uint64(binary.BigEndian.Uint32(k[:4])) * uint64(n) >> 32)
 	low, high := at, at
 	for step := 32; low > 0 && cmp(low) > 0; step *= 2 {
--- a/internal/fleetstate/aged_keys_test.go
+++ b/internal/fleetstate/aged_keys_test.go
@@ -12,7 +12,7 @@
 	"keelstair.example/failure"
 )
 
-func claim(t testing.TB, s *State, key, digest string) (ClaimReply, error) {
+func applyClaim(t testing.TB, s *State, key, digest string) (ClaimReply, error) {
 	out, err := s.Apply(ClaimKind, coordination.MustMarshal(&Claim{Key: key, Owner: "n1", Digest: digest}))
 	var got ClaimReply
 	if out != nil {
@@ -32,7 +32,7 @@
 	copied := NewMachine(MachineOptions{Retention: Retention{FullRecords: 4, ChunkEntries: 8}})
 	for i := range 100 {
 		for _, x := range []*Machine{m, copied} {
-			got, err := claim(t, x.State, key(i), fmt.Sprint("body", i))
+			got, err := applyClaim(t, x.State, key(i), fmt.Sprint("body", i))
 			require.NoError(t, err)
 			require.True(t, got.Fresh)
 			require.NoError(t, do(t, x.State, ResolveKind, &Resolve{
@@ -52,13 +52,13 @@
 	require.Len(t, m.Chunks(), 12)
 	require.Equal(t, m.Snapshot(false), copied.Snapshot(false))
 	for i := range 100 {
-		got, err := claim(t, copied.State, key(i), fmt.Sprint("body", i))
+		got, err := applyClaim(t, copied.State, key(i), fmt.Sprint("body", i))
 		require.ErrorIs(t, err, coordination.ErrUnchanged)
 		require.False(t, got.Fresh)
 		require.Equal(t, fate[i%3], got.Record.Outcome)
 		require.Equal(t, fmt.Sprint("body", i), got.Record.Digest)
 		require.Equal(t, i < 96, got.Record.Aged)
-		got, err = claim(t, copied.State, key(i), "another body")
+		got, err = applyClaim(t, copied.State, key(i), "another body")
 		require.ErrorIs(t, err, coordination.ErrUnchanged)
 		require.NotEqual(t, "another body", got.Record.Digest, "the key stands for another request")
 	}
@@ -66,19 +66,19 @@
 	require.False(t, ok)
 }
 
-// TestFullStore: a full store refuses fresh keys, and still knows the old ones.
-func TestFullStore(t *testing.T) {
+// TestFullStoreRejectsNewKeys: a full store refuses fresh keys, and still knows the old ones.
+func TestFullStoreRejectsNewKeys(t *testing.T) {
 	s := newState(false, Retention{FullRecords: 2, ChunkEntries: 4})
 	s.maxRecords = 10
 	for i := range 10 {
-		_, err := claim(t, s, fmt.Sprint(i), "b")
+		_, err := applyClaim(t, s, fmt.Sprint(i), "b")
 		require.NoError(t, err)
 		require.NoError(t, do(t, s, ResolveKind, &Resolve{Key: fmt.Sprint(i), Owner: "n1", Outcome: Done}))
 	}
-	_, err := claim(t, s, "new", "b")
+	_, err := applyClaim(t, s, "new", "b")
 	require.True(t, failure.Is(err, failure.Stale))
 	require.ErrorContains(t, err, "full")
-	got, err := claim(t, s, "0", "b")
+	got, err := applyClaim(t, s, "0", "b")
 	require.ErrorIs(t, err, coordination.ErrUnchanged)
 	require.Equal(t, Done, got.Record.Outcome)
 }
@@ -119,8 +119,8 @@
 	}
 }
 
-// BenchmarkFresh looks for a key that was never claimed among five million.
-func BenchmarkFresh(b *testing.B) {
+// BenchmarkAgedKeyMiss looks for a key that was never claimed among five million.
+func BenchmarkAgedKeyMiss(b *testing.B) {
 	m := machineWithRecords(5 * million)
 	for i := 0; b.Loop(); i++ {
 		if _, ok := m.aged.lookup(fmt.Sprintf("ruling/%d", i), ""); ok {
--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -112,7 +112,7 @@
 // the claim as it was.
 func TestResolveAudits(t *testing.T) {
 	s := newState(false, Retention{})
-	_, err := claim(t, s, "verdict/1", "b")
+	_, err := applyClaim(t, s, "verdict/1", "b")
 	require.NoError(t, err)
 	require.Error(t, do(t, s, ResolveKind, &Resolve{
 		Key:     "verdict/1",
--- a/internal/fleetstate/compression.go
+++ b/internal/fleetstate/compression.go
@@ -8,11 +8,11 @@
 	"io"
 )
 
-const compressFrom = 2048 // bytes; shorter texts stay as they are
+const minCompressBytes = 2048 // bytes; shorter texts stay as they are
 
 // compress makes a text short, once, before it goes to the core.
 func compress(text []byte) []byte {
-	if len(text) < compressFrom || isCompressed(text) {
+	if len(text) < minCompressBytes || isCompressed(text) {
 		return text
 	}
 	var b bytes.Buffer
--- a/internal/fleetstate/compression_test.go
+++ b/internal/fleetstate/compression_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPacked: a large text is kept short and comes back byte for byte; a short one and one
+// TestCompressText: a large text is kept short and comes back byte for byte; a short one and one
 // that does not pack stay as they are; what only looks packed is given back untouched.
-func TestPacked(t *testing.T) {
+func TestCompressText(t *testing.T) {
 	large := []byte(`{"routes":[` + strings.Repeat(`{"name":"r","host":"a.example"},`, 500) + `{}]}`)
 	require.Less(t, len(compress(large)), len(large)/10)
 	require.Equal(t, large, decompress(compress(large)))
@@ -24,9 +24,9 @@
 	require.True(t, bytes.Equal(truncated, decompress(truncated)))
 }
 
-// TestPackedRules: what a packed text says is in force like any other.
-func TestPackedRules(t *testing.T) {
-	text := []byte(`{"limits":{"deeds":1234},"zones":["` + strings.Repeat("z", compressFrom) + `"]}`)
+// TestCompressedConfigurationIsApplied: what a packed text says is in force like any other.
+func TestCompressedConfigurationIsApplied(t *testing.T) {
+	text := []byte(`{"limits":{"deeds":1234},"zones":["` + strings.Repeat("z", minCompressBytes) + `"]}`)
 	require.True(t, isCompressed(compress(text)))
 	s := newState(false, Retention{})
 	s.putInForce(VersionedText{Version: 3, Text: compress(text)})
--- a/internal/fleetstate/configuration.go
+++ b/internal/fleetstate/configuration.go
@@ -27,13 +27,13 @@
 
 // Worker is one line of the catalogue.
 type Worker struct {
-	Role     ids.Role `json:"part"`
-	Model    string   `json:"model"`
-	Weights  string   `json:"weights"`
-	Adapters []string `json:"adapters"`
-	Capacity int      `json:"room"`
-	Block    int      `json:"block"`
-	Zone     ids.Zone `json:"zone"`
+	Role      ids.Role `json:"part"`
+	Model     string   `json:"model"`
+	Weights   string   `json:"weights"`
+	Adapters  []string `json:"adapters"`
+	Capacity  int      `json:"room"`
+	BlockSize int      `json:"block"`
+	Zone      ids.Zone `json:"zone"`
 }
 
 // StreamKind is one sort of stream.
@@ -361,10 +361,10 @@
 	if err := json.Unmarshal(part, &b); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "merge policy", "")
 	}
-	return json.Marshal(mergeValues(a, b))
+	return json.Marshal(mergePatch(a, b))
 }
 
-func mergeValues(a, b any) any {
+func mergePatch(a, b any) any {
 	over, ok := b.(map[string]any)
 	if !ok {
 		return b
@@ -377,7 +377,7 @@
 		if v == nil {
 			delete(under, k)
 		} else {
-			under[k] = mergeValues(under[k], v)
+			under[k] = mergePatch(under[k], v)
 		}
 	}
 	return under
--- a/internal/fleetstate/delta_test.go
+++ b/internal/fleetstate/delta_test.go
@@ -37,9 +37,9 @@
 	return []byte(b.String() + `{"name":"last","prefix":"/"}]}`)
 }
 
-// TestDelta: whatever two texts are, a delta between them gives the second byte for byte;
+// TestDeltaRoundTrip: whatever two texts are, a delta between them gives the second byte for byte;
 // one that was spoilt, or is laid over another text, gives none.
-func TestDelta(t *testing.T) {
+func TestDeltaRoundTrip(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	texts := [][]byte{
 		nil, []byte("}"), []byte("{}"), []byte("}}}}"), routesText(3, 1), routesText(300, 7), routesText(300, 250),
--- a/internal/fleetstate/diff.go
+++ b/internal/fleetstate/diff.go
@@ -20,11 +20,11 @@
 		return nil, failure.As(err, failure.InvalidArgument, "diff policies", "new")
 	}
 	var out []string
-	walk("", a, b, &out)
+	diffValues("", a, b, &out)
 	return out, nil
 }
 
-func walk(path string, a, b any, out *[]string) {
+func diffValues(path string, a, b any, out *[]string) {
 	x, okA := a.(map[string]any)
 	y, okB := b.(map[string]any)
 	if !okA || !okB {
@@ -61,7 +61,7 @@
 		case !inB:
 			*out = append(*out, "- "+at)
 		default:
-			walk(at, l, r, out)
+			diffValues(at, l, r, out)
 		}
 	}
 }
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -29,7 +29,7 @@
 	require.NoError(t, err)
 	p, complete, err := ParseComplete("f.cue", text)
 	require.NoError(t, err)
-	require.Equal(t, 16, p.Workers["p1"].Block)
+	require.Equal(t, 16, p.Workers["p1"].BlockSize)
 	require.Equal(t, 500*time.Millisecond, p.Limits.MaxReportLag())
 	again, _, err := ParseComplete("f.cue", complete)
 	require.NoError(t, err)
--- a/internal/fleetstate/idempotency.go
+++ b/internal/fleetstate/idempotency.go
@@ -37,7 +37,7 @@
 // shelf.
 func (s *State) ageRecords() {
 	for len(s.resolvedOrder) > s.aged.FullRecords {
-		s.aged.put(s.records[s.resolvedOrder[0]])
+		s.aged.addRecord(s.records[s.resolvedOrder[0]])
 		delete(s.records, s.resolvedOrder[0])
 		s.resolvedOrder = s.resolvedOrder[1:]
 	}
--- a/internal/fleetstate/overlay.go
+++ b/internal/fleetstate/overlay.go
@@ -15,7 +15,7 @@
 // is checked in about half a second.
 const maxEntries = 3000
 
-var sections = []string{"workers", "kinds", "programs"}
+var keyedSections = []string{"workers", "kinds", "programs"}
 
 // Overlay lays a part over a whole text and gives what ParseComplete would give of both.
 func Overlay(name string, complete, part []byte) (*Configuration, []byte, error) {
@@ -41,7 +41,7 @@
 		}
 	}
 	gone := map[string][]string{}
-	for _, section := range sections {
+	for _, section := range keyedSections {
 		some, removed, ok := changedEntries(touch[section], all[section])
 		if !ok {
 			return ParseComplete(name, merged)
@@ -63,9 +63,9 @@
 	if err := json.Unmarshal(complete, p); err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "read policy", name)
 	}
-	overlayMap(p.Workers, request.Workers, gone["workers"])
-	overlayMap(p.Kinds, request.Kinds, gone["kinds"])
-	overlayMap(p.Programs, request.Programs, gone["programs"])
+	applyEntries(p.Workers, request.Workers, gone["workers"])
+	applyEntries(p.Kinds, request.Kinds, gone["kinds"])
+	applyEntries(p.Programs, request.Programs, gone["programs"])
 	p.Zones, p.Limits, p.RoleChangesEnabled = request.Zones, request.Limits, request.RoleChangesEnabled
 	return p.validateAndEncode()
 }
@@ -91,7 +91,7 @@
 	return some, removed, true
 }
 
-func overlayMap[K ~string, V any](into, from map[K]V, gone []string) {
+func applyEntries[K ~string, V any](into, from map[K]V, gone []string) {
 	maps.Copy(into, from)
 	for _, id := range gone {
 		delete(into, K(id))
--- a/internal/fleetstate/overlay_test.go
+++ b/internal/fleetstate/overlay_test.go
@@ -12,8 +12,8 @@
 	"keelstair.example/failure"
 )
 
-// big is a configuration of n workers and n kinds.
-func big(n int) []byte {
+// largeConfiguration is a configuration of n workers and n kinds.
+func largeConfiguration(n int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"zones":["a","b"],"programs":{},"limits":{},"workers":{`)
 	for i := range n {
@@ -35,10 +35,10 @@
 	return []byte(b.String())
 }
 
-// TestOver: a part laid over a checked whole comes to what checking all of it would
+// TestOverlayEqualsFullParse: a part laid over a checked whole comes to what checking all of it would
 // come to, the refusals included.
-func TestOver(t *testing.T) {
-	_, complete, err := ParseComplete("w", big(20))
+func TestOverlayEqualsFullParse(t *testing.T) {
+	_, complete, err := ParseComplete("w", largeConfiguration(20))
 	require.NoError(t, err)
 	for _, part := range []string{
 		`{limits: queue: 9}`,
@@ -65,28 +65,28 @@
 	}
 }
 
-// TestTooLarge: a configuration with too many entries is refused by its count, before the
+// TestEntryLimit: a configuration with too many entries is refused by its count, before the
 // schema is held against all of them; one just below it is taken.
-func TestTooLarge(t *testing.T) {
-	_, complete, err := ParseComplete("w", big(maxEntries/2))
+func TestEntryLimit(t *testing.T) {
+	_, complete, err := ParseComplete("w", largeConfiguration(maxEntries/2))
 	require.NoError(t, err)
 	_, _, err = Overlay("part", complete, []byte(`{"kinds":{"one-more":{"model":"m","maxTokens":3}}}`))
 	require.ErrorContains(t, err, "3001 entries")
-	_, err = CUEToJSON("huge", big(20000))
+	_, err = CUEToJSON("huge", largeConfiguration(20000))
 	require.ErrorContains(t, err, "over 3000 entries")
 	require.True(t, failure.Is(err, failure.InvalidArgument))
 }
 
-// BenchmarkOver and BenchmarkParseComplete apply one small change to a large configuration.
-func BenchmarkOver(b *testing.B) {
-	_, complete, _ := ParseComplete("w", big(maxEntries/2))
+// BenchmarkOverlay and BenchmarkParseComplete apply one small change to a large configuration.
+func BenchmarkOverlay(b *testing.B) {
+	_, complete, _ := ParseComplete("w", largeConfiguration(maxEntries/2))
 	for b.Loop() {
 		Overlay("part", complete, []byte(`{"limits":{"queue":9}}`))
 	}
 }
 
 func BenchmarkParseComplete(b *testing.B) {
-	_, complete, _ := ParseComplete("w", big(maxEntries/2))
+	_, complete, _ := ParseComplete("w", largeConfiguration(maxEntries/2))
 	for b.Loop() {
 		merged, _ := Merge(complete, []byte(`{"limits":{"queue":9}}`))
 		ParseComplete("part", merged)
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -19,24 +19,24 @@
 	"keelstair.example/rpc"
 )
 
-type preparePrograms struct{ PrepareVersion }
+type prepareProgramsCommand struct{ PrepareVersion }
 
-func (c *preparePrograms) apply(s *State) (msgp.Marshaler, error) {
+func (c *prepareProgramsCommand) apply(s *State) (msgp.Marshaler, error) {
 	return s.programs.prepare(&c.PrepareVersion)
 }
 
-type commitPrograms struct{ CommitVersion }
+type commitProgramsCommand struct{ CommitVersion }
 
-func (c *commitPrograms) apply(s *State) (msgp.Marshaler, error) {
+func (c *commitProgramsCommand) apply(s *State) (msgp.Marshaler, error) {
 	_, err := s.programs.commit(c.Version)
 	return &VersionReply{c.Version}, err
 }
 
 // Bounds of a set: every node keeps and compiles it, small ones too.
 const (
-	maxPrograms = 16
-	maxSources  = 64 << 10 // bytes of all sources
-	maxSteps    = 100000
+	maxPrograms        = 16
+	maxSourceBytes     = 64 << 10 // bytes of all sources
+	maxStepsPerRequest = 100000
 )
 
 // ProgramSources lists a configuration's programs.
@@ -97,10 +97,10 @@
 	switch {
 	case len(p.Programs) > maxPrograms:
 		return fault("programs: %d, over %d", len(p.Programs), maxPrograms)
-	case size > maxSources:
-		return fault("programs: %d bytes of source, over %d", size, maxSources)
-	case p.Limits.MaxProgramSteps > maxSteps:
-		return fault("limits.steps: %d, over %d", p.Limits.MaxProgramSteps, maxSteps)
+	case size > maxSourceBytes:
+		return fault("programs: %d bytes of source, over %d", size, maxSourceBytes)
+	case p.Limits.MaxProgramSteps > maxStepsPerRequest:
+		return fault("limits.steps: %d, over %d", p.Limits.MaxProgramSteps, maxStepsPerRequest)
 	}
 	none, _, err := ParseComplete("set", []byte("{}"))
 	if err != nil {
--- a/internal/fleetstate/programs_test.go
+++ b/internal/fleetstate/programs_test.go
@@ -18,8 +18,8 @@
 	"keelstair.example/logging"
 )
 
-// setOf is a set of so many programs, each filled up to a size.
-func setOf(count, size int) []byte {
+// programSetText is a set of so many programs, each filled up to a size.
+func programSetText(count, size int) []byte {
 	p := map[string]Program{}
 	for i := range count {
 		text := routing.ShippedProgram("prefix")
@@ -32,19 +32,19 @@
 	return b
 }
 
-// TestProgramsHistory: sets are a line of versions of their own: prepared over one another, put
+// TestProgramSetVersions: sets are a line of versions of their own: prepared over one another, put
 // in force once they are seen, apart from the configuration's; a copy made from a snapshot,
 // whole or open, has them.
-func TestProgramsHistory(t *testing.T) {
+func TestProgramSetVersions(t *testing.T) {
 	m := NewMachine(MachineOptions{CommitTimeout: time.Second})
 	apply := func(seq ids.Seq, kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) error {
 		b, _ := c.MarshalMsg(nil)
 		_, err := m.Apply(seq, kind, b)
 		return err
 	}
-	require.NoError(t, apply(1, PrepareProgramsKind, &PrepareVersion{Text: setOf(1, 0)}))
+	require.NoError(t, apply(1, PrepareProgramsKind, &PrepareVersion{Text: programSetText(1, 0)}))
 	require.NoError(t, apply(2, PrepareKind, &PrepareVersion{Text: []byte(`{}`), Next: 7}))
-	require.Error(t, apply(3, PrepareProgramsKind, &PrepareVersion{Text: setOf(2, 0)}), "the loser of two")
+	require.Error(t, apply(3, PrepareProgramsKind, &PrepareVersion{Text: programSetText(2, 0)}), "the loser of two")
 	require.Equal(t, []coordination.Command{{
 		Kind: CommitProgramsKind,
 		Body: coordination.MustMarshal(&CommitVersion{1}),
@@ -55,7 +55,7 @@
 	}}, m.Due(1, 3, 2))
 	require.NoError(t, apply(4, CommitProgramsKind, &CommitVersion{1}))
 	require.Error(t, apply(5, CommitProgramsKind, &CommitVersion{1}))
-	require.NoError(t, apply(6, PrepareProgramsKind, &PrepareVersion{Base: 1, Text: setOf(2, 0)}))
+	require.NoError(t, apply(6, PrepareProgramsKind, &PrepareVersion{Base: 1, Text: programSetText(2, 0)}))
 	require.EqualValues(t, 7, m.newest())
 	for _, open := range []bool{false, true} {
 		copied := NewMachine(MachineOptions{})
@@ -73,12 +73,12 @@
 	}
 }
 
-// BenchmarkSet compiles sets: the deployed one's size, and the largest that is taken.
-func BenchmarkSet(b *testing.B) {
-	for _, c := range [][2]int{{3, 0}, {maxPrograms, maxSources/maxPrograms - 100}} {
-		text := compress(setOf(c[0], c[1]))
+// BenchmarkCompileProgramSet compiles sets: the deployed one's size, and the largest that is taken.
+func BenchmarkCompileProgramSet(b *testing.B) {
+	for _, c := range [][2]int{{3, 0}, {maxPrograms, maxSourceBytes/maxPrograms - 100}} {
+		text := compress(programSetText(c[0], c[1]))
 		b.Run(fmt.Sprintf(
-			"programs=%d,source=%dKB", c[0], len(strings.Join(sources(text), ""))>>10,
+			"programs=%d,source=%dKB", c[0], len(strings.Join(programSourceTexts(text), ""))>>10,
 		), func(b *testing.B) {
 			b.ReportAllocs()
 			var was, is runtime.MemStats
@@ -99,7 +99,7 @@
 	}
 }
 
-func sources(text []byte) []string {
+func programSourceTexts(text []byte) []string {
 	p, _ := ParseJSON(decompress(text))
 	var out []string
 	for _, s := range p.ProgramSources() {
--- a/internal/fleetstate/route_test.go
+++ b/internal/fleetstate/route_test.go
@@ -13,10 +13,10 @@
 	"keelstair.example/failure"
 )
 
-// TestFind: the longest prefix that fits wins, whatever the order; the host counts without
+// TestRouteTableFind: the longest prefix that fits wins, whatever the order; the host counts without
 // its port and in any case; a path that only begins like a prefix without its slash, or
 // another host, finds nothing.
-func TestFind(t *testing.T) {
+func TestRouteTableFind(t *testing.T) {
 	table := NewTable(&Configuration{Routes: []Route{
 		{Name: "root", Host: "A.example", Prefix: "/"},
 		{Name: "deep", Host: "a.example", Prefix: "/v1/chat/long/"},
@@ -52,9 +52,9 @@
 	require.Nil(t, NewTable(&Configuration{}).Find("a.example", "/"))
 }
 
-// TestPick: requests fall to services by their weights, each id always to the same one, and
+// TestRoutePick: requests fall to services by their weights, each id always to the same one, and
 // none to a weight of 0; without a split the route's own service has all.
-func TestPick(t *testing.T) {
+func TestRoutePick(t *testing.T) {
 	r := &Route{Service: "x", Split: []Share{{"a", 6}, {"none", 0}, {"b", 3}, {"c", 1}}}
 	count := map[string]int{}
 	for i := range 20000 {
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestRouteTerms: only what is repeatable, or a stream that may go on elsewhere, may run
+// TestRouteRetryAndTimes: only what is repeatable, or a stream that may go on elsewhere, may run
 // again; times are in milliseconds.
-func TestRouteTerms(t *testing.T) {
+func TestRouteRetryAndTimes(t *testing.T) {
 	require.False(t, (&Route{}).MayRetry())
 	require.False(t, (&Route{Stream: true}).MayRetry())
 	require.False(t, (&Route{Resumable: true}).MayRetry(), "no stream")
@@ -141,9 +141,9 @@
 	intake: {}
 }`
 
-// TestCompleteRoutes: a CUE configuration with routes and services is filled with the defaults, reads
+// TestParseRoutes: a CUE configuration with routes and services is filled with the defaults, reads
 // back as itself, and keeps what was said; a configuration without them stays without.
-func TestCompleteRoutes(t *testing.T) {
+func TestParseRoutes(t *testing.T) {
 	p, text, err := ParseComplete("r.cue", []byte(configurationWithRoutes))
 	require.NoError(t, err)
 	one, two := p.Routes[0], p.Routes[1]
@@ -192,9 +192,9 @@
 	require.NotContains(t, fields, "services")
 }
 
-// TestCompleteRefuses: what the schema or the check over routes forbids is refused, with the
+// TestParseRejectsInvalidRoutes: what the schema or the check over routes forbids is refused, with the
 // field in the error.
-func TestCompleteRefuses(t *testing.T) {
+func TestParseRejectsInvalidRoutes(t *testing.T) {
 	_, complete, err := ParseComplete("r.cue", []byte(configurationWithRoutes))
 	require.NoError(t, err)
 	for part, says := range map[string]string{
@@ -228,10 +228,10 @@
 	}
 }
 
-// TestOverRoutes: a part laid over a checked whole comes to the same as checking it all,
+// TestOverlayRoutesEqualsFullParse: a part laid over a checked whole comes to the same as checking it all,
 // also where it touches routes, services or the intake: no change is lost in silence, and
 // none that is refused over all is taken.
-func TestOverRoutes(t *testing.T) {
+func TestOverlayRoutesEqualsFullParse(t *testing.T) {
 	_, complete, err := ParseComplete("r.cue", []byte(configurationWithRoutes))
 	require.NoError(t, err)
 	for _, part := range []string{
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -77,9 +77,9 @@
 	case CommitKind:
 		return &CommitVersion{}
 	case PrepareProgramsKind:
-		return &preparePrograms{}
+		return &prepareProgramsCommand{}
 	case CommitProgramsKind:
-		return &commitPrograms{}
+		return &commitProgramsCommand{}
 	case EvacuateKind:
 		return &Evacuate{}
 	case DrainKind:
--- a/internal/fleetstate/state_encoding.go
+++ b/internal/fleetstate/state_encoding.go
@@ -106,7 +106,7 @@
 		next.duties[d.Name] = d
 	}
 	for at := 0; at+entrySize <= len(encoded.AgedRows); at += entrySize {
-		next.aged.add([entrySize]byte(encoded.AgedRows[at : at+entrySize]))
+		next.aged.addEntry([entrySize]byte(encoded.AgedRows[at : at+entrySize]))
 	}
 	*s = *next
 	return nil
--- a/internal/fleetstate/tenants.go
+++ b/internal/fleetstate/tenants.go
@@ -68,7 +68,7 @@
 	return secret
 })
 
-func digestOf(key string) keyDigest {
+func digestKey(key string) keyDigest {
 	hash := hmac.New(sha256.New, digestSecret())
 	hash.Write([]byte(key))
 	return keyDigest(hash.Sum(nil))
@@ -76,24 +76,24 @@
 
 // KeyIndex finds tenants by their keys; it is made once for each list of tenants.
 type KeyIndex struct {
-	list    []Tenant
-	tenants map[keyDigest]*Tenant
+	tenantList []Tenant
+	byDigest   map[keyDigest]*Tenant
 }
 
 // NewKeyIndex indexes a configuration's tenants.
 func NewKeyIndex(p *Configuration) *KeyIndex {
-	index := &KeyIndex{list: p.Tenants, tenants: map[keyDigest]*Tenant{}}
+	index := &KeyIndex{tenantList: p.Tenants, byDigest: map[keyDigest]*Tenant{}}
 	for i := range p.Tenants {
 		for _, key := range p.Tenants[i].Keys {
-			index.tenants[digestOf(key)] = &p.Tenants[i]
+			index.byDigest[digestKey(key)] = &p.Tenants[i]
 		}
 	}
 	return index
 }
 
-// next is the index of a configuration that follows: the same one where the tenants are the same.
-func (x *KeyIndex) next(p *Configuration) *KeyIndex {
-	if x != nil && reflect.DeepEqual(x.list, p.Tenants) {
+// forConfiguration is the index of a configuration that follows: the same one where the tenants are the same.
+func (x *KeyIndex) forConfiguration(p *Configuration) *KeyIndex {
+	if x != nil && reflect.DeepEqual(x.tenantList, p.Tenants) {
 		return x
 	}
 	return NewKeyIndex(p)
@@ -101,12 +101,12 @@
 
 // KeyRequired tells whether requests need a key where their route is not public. A list of tenants
 // without an entry admits nobody: taking away the last tenant does not open the routes to all.
-func (x *KeyIndex) KeyRequired() bool { return x != nil && x.list != nil }
+func (x *KeyIndex) KeyRequired() bool { return x != nil && x.tenantList != nil }
 
 // Find gives the tenant that a key belongs to, or nil.
 func (x *KeyIndex) Find(key string) *Tenant {
 	if !x.KeyRequired() || key == "" {
 		return nil
 	}
-	return x.tenants[digestOf(key)]
+	return x.byDigest[digestKey(key)]
 }
--- a/internal/fleetstate/tenants_test.go
+++ b/internal/fleetstate/tenants_test.go
@@ -11,8 +11,8 @@
 	"keelstair.example/logging"
 )
 
-// tenanted is a configuration of two tenants.
-func tenanted() *Configuration {
+// configurationWithTenants is a configuration of two tenants.
+func configurationWithTenants() *Configuration {
 	urgency := 2
 	return &Configuration{Tenants: []Tenant{
 		{Name: "amber", Keys: []string{"key-a1", "key-a2"}, Urgency: &urgency},
@@ -22,7 +22,7 @@
 
 // TestCheckTenants: each fault alone is refused by the field that has it, and no key is shown.
 func TestCheckTenants(t *testing.T) {
-	require.NoError(t, tenanted().CheckTenants())
+	require.NoError(t, configurationWithTenants().CheckTenants())
 	require.NoError(t, (&Configuration{}).CheckTenants())
 	for says, change := range map[string]func(p *Configuration){
 		`tenants.birch.keys[1]: it is also a key of tenant "amber"`: func(p *Configuration) {
@@ -33,14 +33,14 @@
 		`tenants[1].name: it is missing`:              func(p *Configuration) { p.Tenants[1].Name = "" },
 		`tenants[1].name: it has a control character`: func(p *Configuration) { p.Tenants[1].Name = "b\r\nx: y" },
 	} {
-		p := tenanted()
+		p := configurationWithTenants()
 		change(p)
 		err := p.CheckTenants()
 		require.ErrorContains(t, err, says)
 		require.True(t, failure.Is(err, failure.InvalidArgument), says)
 		require.NotContains(t, err.Error(), "key-a", "no key is shown")
 	}
-	repeated := tenanted()
+	repeated := configurationWithTenants()
 	repeated.Tenants[0].Keys = append(repeated.Tenants[0].Keys, "key-a1")
 	require.NoError(t, repeated.CheckTenants(), "whose key it is stays plain")
 }
@@ -48,7 +48,7 @@
 // TestKeyIndex: a key finds its tenant, all else finds nobody; a list of tenants that has become
 // empty admits nobody, and a configuration without one asks for no key.
 func TestKeyIndex(t *testing.T) {
-	index := NewKeyIndex(tenanted())
+	index := NewKeyIndex(configurationWithTenants())
 	require.True(t, index.KeyRequired())
 	for key, name := range map[string]string{"key-a1": "amber", "key-a2": "amber", "key-b1": "birch"} {
 		require.Equal(t, name, index.Find(key).Name)
@@ -68,19 +68,19 @@
 
 // TestKeyIndexKeepsNoKeys: what is indexed is the keyed hash, so a dump of it shows no key.
 func TestKeyIndexKeepsNoKeys(t *testing.T) {
-	require.NotEqual(t, digestOf("key-a1"), digestOf("key-a2"))
-	require.Equal(t, digestOf("key-a1"), digestOf("key-a1"))
+	require.NotEqual(t, digestKey("key-a1"), digestKey("key-a2"))
+	require.Equal(t, digestKey("key-a1"), digestKey("key-a1"))
 	require.Len(t, digestSecret(), len(keyDigest{}))
 	require.NotEqual(t, make([]byte, len(keyDigest{})), digestSecret())
 }
 
-// TestKeyIndexOfSnapshot: a snapshot has the index of its configuration, and one that follows with
+// TestSnapshotReusesKeyIndex: a snapshot has the index of its configuration, and one that follows with
 // the same tenants has the same index.
-func TestKeyIndexOfSnapshot(t *testing.T) {
+func TestSnapshotReusesKeyIndex(t *testing.T) {
 	view := NewView(logging.Discard())
 	require.False(t, view.Current().TenantKeys.KeyRequired())
 	next := func(change func(p *Configuration)) *KeyIndex {
-		configuration := tenanted()
+		configuration := configurationWithTenants()
 		change(configuration)
 		s := &Snapshot{Configuration: configuration}
 		view.indexConfiguration(s)
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestCompleteTenants: tenants are read from CUE, checked, and read back as they were, an emptied
+// TestParseTenants: tenants are read from CUE, checked, and read back as they were, an emptied
 // list too; a part that changes them is checked like a whole.
-func TestCompleteTenants(t *testing.T) {
+func TestParseTenants(t *testing.T) {
 	text := func(tenants string) []byte {
 		return []byte(`{zones: ["a"], workers: {}, kinds: {}, programs: {}, limits: {}, services: {s: {}}
 			routes: [{name: "one", host: "a.example", prefix: "/", service: "s", deadlineMs: 4000, public: true}]
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -190,7 +190,7 @@
 // publish swaps in the next snapshot. Old streams keep the snapshot they began with.
 func (v *View) publish() {
 	all := v.state.versions()
-	now := v.newestInForce(all)
+	now := v.newestServable(all)
 	if previous := v.current.Load(); previous.Version > now.Version {
 		now = VersionedText{previous.Version, previous.Text}
 	}
@@ -199,7 +199,7 @@
 			delete(v.parsed, n)
 		}
 	}
-	next := v.snapshotOf(now)
+	next := v.buildSnapshot(now)
 	next.NewestVersion = all[len(all)-1].Version
 	v.current.Store(next)
 	if uint64(now.Version) > v.highest.Load() {
@@ -207,9 +207,9 @@
 	}
 }
 
-// newestInForce gives the version to put in force: the newest that can be parsed of those
+// newestServable gives the version to put in force: the newest that can be parsed of those
 // committed or heard of. It parses that one, and the newest of all, which is the next.
-func (v *View) newestInForce(all []VersionedText) VersionedText {
+func (v *View) newestServable(all []VersionedText) VersionedText {
 	newest := false
 	for i, version := range slices.Backward(all) {
 		mayServe := i == 0 || uint64(version.Version) <= v.highest.Load()
@@ -246,8 +246,8 @@
 	return true
 }
 
-// snapshotOf is the state as it is now, with a version in force.
-func (v *View) snapshotOf(now VersionedText) *Snapshot {
+// buildSnapshot is the state as it is now, with a version in force.
+func (v *View) buildSnapshot(now VersionedText) *Snapshot {
 	parsed := v.parsed[now.Version]
 	if parsed.configuration == nil {
 		parsed.configuration, parsed.text = &Configuration{}, decompress(now.Text)
@@ -278,7 +278,7 @@
 	if previous := v.current.Load(); previous.Configuration == s.Configuration && previous.RouteTable != nil {
 		s.RouteTable, s.TenantKeys, s.BaseRegister = previous.RouteTable, previous.TenantKeys, previous.BaseRegister
 	} else {
-		s.RouteTable, s.TenantKeys = NewTable(s.Configuration), previous.TenantKeys.next(s.Configuration)
+		s.RouteTable, s.TenantKeys = NewTable(s.Configuration), previous.TenantKeys.forConfiguration(s.Configuration)
 		var err error
 		if s.BaseRegister, err = s.Configuration.Register(); err != nil {
 			v.Ring.Error().AnErr("cause", err).Msg("invalid certificates left out")
--- a/internal/fleetstate/zones_test.go
+++ b/internal/fleetstate/zones_test.go
@@ -12,11 +12,11 @@
 	"keelstair.example/ids"
 )
 
-// TestFailback: a copy that leads tells for how long a zone has been back; one that takes
+// TestFailbackAge: a copy that leads tells for how long a zone has been back; one that takes
 // over, or that was given the snapshot, begins from what it was told, never later. When the
 // longest time of all services went by the zone is no longer told of. A second return has
 // another number.
-func TestFailback(t *testing.T) {
+func TestFailbackAge(t *testing.T) {
 	text := []byte(`{"services":{"a":{"name":"a","warmMs":2000},"b":{"name":"b","warmMs":6000}}}`)
 	fresh := func() *Machine { return NewMachine(MachineOptions{}) }
 	seq := ids.Seq(0)
--- a/internal/router/forecast/forecast_test.go
+++ b/internal/router/forecast/forecast_test.go
@@ -30,7 +30,7 @@
 		})
 		for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 			id := ids.WorkerID(string(part[0]) + n)
-			p.Workers[id] = fleetstate.Worker{Role: part, Model: "m", Weights: "w", Capacity: 100, Block: 16, Zone: z}
+			p.Workers[id] = fleetstate.Worker{Role: part, Model: "m", Weights: "w", Capacity: 100, BlockSize: 16, Zone: z}
 			st.Workers = append(st.Workers, router.WorkerStatus{
 				ID:       id,
 				Role:     part,
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -215,7 +215,7 @@
 				Addr:     b.Addr,
 				Role:     w.Role,
 				Capacity: w.Capacity,
-				Block:    w.Block,
+				Block:    w.BlockSize,
 				Host:     host,
 				Model:    workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters},
 			}
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -42,13 +42,13 @@
 		part, at = ids.Decode, i-s.Prefill
 	}
 	return fleetstate.Worker{
-		Role:     part,
-		Model:    s.Model,
-		Weights:  SiteWeights,
-		Adapters: []string{},
-		Capacity: SiteCapacity,
-		Block:    SiteBlock,
-		Zone:     s.Zones[at%len(s.Zones)],
+		Role:      part,
+		Model:     s.Model,
+		Weights:   SiteWeights,
+		Adapters:  []string{},
+		Capacity:  SiteCapacity,
+		BlockSize: SiteBlock,
+		Zone:      s.Zones[at%len(s.Zones)],
 	}
 }
 
