--- a/internal/fleetstate/aged_keys.go
+++ b/internal/fleetstate/aged_keys.go
@@ -1,7 +1,8 @@
-// Old idempotency records. A settled idempotency record's full answer is kept for a while; afterwards only
-// that its key was taken, for which body, and how it ended: 24 bytes, for good,
-// so that forgetting never turns into running. Rows fill a leaf; a full leaf is
-// sorted, sealed and never changed again, and snapshots only name it.
+// Compact storage of old idempotency records. The full answer of a resolved record is kept for a
+// while. Afterwards only an entry of 24 bytes with the hash of its key, the digest of its request
+// body and its outcome remains. It is kept permanently, so that a forgotten answer never leads to
+// a second execution. Entries are collected into chunks; a full chunk is sorted, sealed and never
+// changed again, and snapshots only refer to it.
 
 package fleetstate
 
@@ -16,34 +17,36 @@
 )
 
 const (
-	entrySize   = 24 // 16 of the key's hash, 7 of the body's digest, 1 of the outcome
+	entrySize   = 24 // bytes: 16 for the key's hash, 7 for the body's digest, 1 for the outcome
 	keyHashSize = 16
 )
 
-// Retention says how much is kept in full and how many rows make a leaf. It must be
-// the same on every copy.
+// Retention configures how many resolved records are kept in full and how many entries form a
+// chunk. It must be the same on every replica.
 type Retention struct {
-	FullRecords  int // 20000
-	ChunkEntries int // 65536
+	FullRecords  int // default 20000
+	ChunkEntries int // default 65536
 }
 
+// outcomeCodes lists the outcomes; an entry stores the index.
 var outcomeCodes = []string{Claimed, Done, NotRun, MayHaveRun}
 
+// agedKeys stores the entries of old records. Until its chunk is full, an entry is open.
 type agedKeys struct {
 	Retention
 	sealed      []coordination.Chunk
 	openIndex   map[[keyHashSize]byte][entrySize]byte
-	openEntries [][entrySize]byte // the open leaf, in order of coming
+	openEntries [][entrySize]byte // in order of arrival
 }
 
-func newAgedKeys(d Retention) agedKeys {
-	if d.FullRecords == 0 {
-		d.FullRecords = 20000
+func newAgedKeys(retention Retention) agedKeys {
+	if retention.FullRecords == 0 {
+		retention.FullRecords = 20000
 	}
-	if d.ChunkEntries == 0 {
-		d.ChunkEntries = 65536
+	if retention.ChunkEntries == 0 {
+		retention.ChunkEntries = 65536
 	}
-	return agedKeys{Retention: d, openIndex: map[[keyHashSize]byte][entrySize]byte{}}
+	return agedKeys{Retention: retention, openIndex: map[[keyHashSize]byte][entrySize]byte{}}
 }
 
 func hashKey(key string) [keyHashSize]byte {
@@ -51,62 +54,65 @@
 	return [keyHashSize]byte(sum[:keyHashSize])
 }
 
-// digestPrefix is what is kept of a body's digest.
+// digestPrefix returns the part of a body digest's hash that an entry stores.
 func digestPrefix(digest string) []byte {
 	sum := sha256.Sum256([]byte(digest))
 	return sum[:entrySize-keyHashSize-1]
 }
 
+// addRecord stores the entry of a resolved record.
 func (s *agedKeys) addRecord(d IdempotencyRecord) {
-	var r [entrySize]byte
+	var entry [entrySize]byte
 	k := hashKey(d.Key)
-	copy(r[:], k[:])
-	copy(r[keyHashSize:], digestPrefix(d.Digest))
-	for i, f := range outcomeCodes {
-		if f == d.Outcome {
-			r[entrySize-1] = byte(i)
+	copy(entry[:], k[:])
+	copy(entry[keyHashSize:], digestPrefix(d.Digest))
+	for i, outcome := range outcomeCodes {
+		if outcome == d.Outcome {
+			entry[entrySize-1] = byte(i)
 		}
 	}
-	s.addEntry(r)
+	s.addEntry(entry)
 }
 
-func (s *agedKeys) addEntry(r [entrySize]byte) {
-	s.openIndex[[keyHashSize]byte(r[:keyHashSize])] = r
-	s.openEntries = append(s.openEntries, r)
+// addEntry adds an entry to the open chunk, and seals the chunk if that fills it.
+func (s *agedKeys) addEntry(entry [entrySize]byte) {
+	s.openIndex[[keyHashSize]byte(entry[:keyHashSize])] = entry
+	s.openEntries = append(s.openEntries, entry)
 	if len(s.openEntries) < s.ChunkEntries {
 		return
 	}
 	sort.Slice(s.openEntries, func(i, j int) bool { return bytes.Compare(s.openEntries[i][:], s.openEntries[j][:]) < 0 })
 	body := make([]byte, 0, len(s.openEntries)*entrySize)
-	for _, r := range s.openEntries {
-		body = append(body, r[:]...)
+	for _, e := range s.openEntries {
+		body = append(body, e[:]...)
 	}
 	s.sealed = append(s.sealed[:len(s.sealed):len(s.sealed)], coordination.NewChunk(body))
 	s.openIndex, s.openEntries = map[[keyHashSize]byte][entrySize]byte{}, nil
 }
 
-// lookup gives what is known of an old key: an idempotency record without its answer.
+// lookup returns the stored part of an old key's record, which has no answer. Its Digest is set
+// only if the given digest matches.
 func (s *agedKeys) lookup(key, digest string) (IdempotencyRecord, bool) {
 	k := hashKey(key)
-	r, ok := s.openIndex[k]
+	entry, ok := s.openIndex[k]
 	for i := len(s.sealed) - 1; !ok && i >= 0; i-- {
-		r, ok = searchChunk(s.sealed[i].Body, k)
+		entry, ok = searchChunk(s.sealed[i].Body, k)
 	}
 	if !ok {
 		return IdempotencyRecord{}, false
 	}
-	d := IdempotencyRecord{Key: key, Outcome: outcomeCodes[r[entrySize-1]], Aged: true}
-	if bytes.Equal(r[keyHashSize:entrySize-1], digestPrefix(digest)) {
+	d := IdempotencyRecord{Key: key, Outcome: outcomeCodes[entry[entrySize-1]], Aged: true}
+	if bytes.Equal(entry[keyHashSize:entrySize-1], digestPrefix(digest)) {
 		d.Digest = digest
 	}
 	return d, true
 }
 
-// searchChunk looks a key up in a sorted leaf. The keys are hashes and so evenly spread:
-// the search widens from where the key should stand.
-func searchChunk(leaf []byte, k [keyHashSize]byte) ([entrySize]byte, bool) {
-	n := len(leaf) / entrySize
-	cmp := func(i int) int { return bytes.Compare(leaf[i*entrySize:i*entrySize+keyHashSize], k[:]) }
+// searchChunk looks up a key in a sorted chunk. The keys are hashes and thus evenly distributed, so
+// the search interpolates the key's position and widens the range from there before it bisects.
+func searchChunk(chunk []byte, k [keyHashSize]byte) ([entrySize]byte, bool) {
+	n := len(chunk) / entrySize
+	cmp := func(i int) int { return bytes.Compare(chunk[i*entrySize:i*entrySize+keyHashSize], k[:]) }
 	at := int(uint64(binary.BigEndian.Uint32(k[:4])) * uint64(n) >> 32)
 	low, high := at, at
 	for step := 32; low > 0 && cmp(low) > 0; step *= 2 {
@@ -119,11 +125,11 @@
 	if at >= n || cmp(at) != 0 {
 		return [entrySize]byte{}, false
 	}
-	return [entrySize]byte(leaf[at*entrySize : (at+1)*entrySize]), true
+	return [entrySize]byte(chunk[at*entrySize : (at+1)*entrySize]), true
 }
 
-// Chunks and RestoreChunks make the machine a coordination.ChunkStore: chunks of aged keys, and of
-// the audit record, which are told by how they begin.
+// Chunks returns the sealed chunks of aged keys followed by those of the audit record. Together
+// with RestoreChunks it implements coordination.ChunkStore.
 func (m *Machine) Chunks() []coordination.Chunk {
 	if len(m.audit.sealed) == 0 {
 		return m.aged.sealed
@@ -131,14 +137,15 @@
 	return slices.Concat(m.aged.sealed, m.audit.sealed)
 }
 
-// RestoreChunks gives back the chunks that the next snapshot to be restored names.
+// RestoreChunks sets the chunks to which the next restored snapshot refers. The chunks of the audit
+// record are recognized by their prefix.
 func (m *Machine) RestoreChunks(chunks []coordination.Chunk) {
 	m.aged.sealed, m.audit.sealed = nil, nil
-	for _, one := range chunks {
-		if bytes.HasPrefix(one.Body, []byte(auditMagic)) {
-			m.audit.sealed = append(m.audit.sealed, one)
+	for _, chunk := range chunks {
+		if bytes.HasPrefix(chunk.Body, []byte(auditMagic)) {
+			m.audit.sealed = append(m.audit.sealed, chunk)
 		} else {
-			m.aged.sealed = append(m.aged.sealed, one)
+			m.aged.sealed = append(m.aged.sealed, chunk)
 		}
 	}
 }
--- a/internal/fleetstate/compression.go
+++ b/internal/fleetstate/compression.go
@@ -1,4 +1,5 @@
-// Texts of configurations are kept packed: a large one goes to every node.
+// Compression of configuration texts. They are stored and sent compressed, since a large text goes to
+// every node.
 
 package fleetstate
 
@@ -8,9 +9,10 @@
 	"io"
 )
 
-const minCompressBytes = 2048 // bytes; shorter texts stay as they are
+const minCompressBytes = 2048 // shorter texts are not compressed
 
-// compress makes a text short, once, before it goes to the core.
+// compress compresses a text with gzip before it is sent to the core. It returns the text itself if
+// that is short, already compressed, or would not get smaller.
 func compress(text []byte) []byte {
 	if len(text) < minCompressBytes || isCompressed(text) {
 		return text
@@ -23,10 +25,11 @@
 	return b.Bytes()
 }
 
-// isCompressed tells by the first bytes, which begin no JSON text.
+// isCompressed reports whether a text starts with the gzip header, with which no JSON text starts.
 func isCompressed(text []byte) bool { return len(text) > 2 && text[0] == 0x1f && text[1] == 0x8b }
 
-// decompress gives a text as it came. One that cannot be unpacked stays, and is no configuration.
+// decompress returns the original text of a possibly compressed one. It returns a corrupt text
+// unchanged; parsing that as a configuration fails.
 func decompress(text []byte) []byte {
 	if !isCompressed(text) {
 		return text
--- a/internal/fleetstate/configuration.go
+++ b/internal/fleetstate/configuration.go
@@ -1,7 +1,6 @@
-// Package fleetstate is what the fleet agrees on: the operators' configuration (in
-// our words the configuration), zones that are evacuated, workers that drain, and the
-// idempotency records, that is, claims and outcomes of rulings and verdicts. This file reads
-// and checks a configuration with CUE.
+// Package fleetstate holds the replicated state of the fleet: the operators' configuration,
+// evacuated zones, draining workers, and the idempotency records, which are the claims and
+// outcomes of requests. This file parses a configuration and validates it with CUE.
 package fleetstate
 
 import (
@@ -25,7 +24,8 @@
 //go:embed policy.cue
 var schema string
 
-// Worker is one line of the catalogue.
+// Worker describes one worker. Capacity is the number of tokens that its memory holds, BlockSize the
+// number of tokens in a block.
 type Worker struct {
 	Role      ids.Role `json:"part"`
 	Model     string   `json:"model"`
@@ -36,7 +36,8 @@
 	Zone      ids.Zone `json:"zone"`
 }
 
-// StreamKind is one sort of stream.
+// StreamKind is a class of streams that share a model and limits. With Claimed, a request's key
+// is claimed before the request runs.
 type StreamKind struct {
 	Claimed   bool   `json:"claimed"`
 	Model     string `json:"model"`
@@ -45,7 +46,8 @@
 	Weight    int    `json:"weight"`
 }
 
-// Program is a routing program and its share of the traffic.
+// Program is a routing program and its share of the traffic in percent. With ChangesRoles, it
+// decides when workers change between prefill and decode.
 type Program struct {
 	Source       string `json:"source"`
 	Share        int    `json:"share"`
@@ -53,7 +55,7 @@
 	ChangesRoles bool   `json:"turns"`
 }
 
-// Limits are the numbers that operators may set; the schema has the defaults.
+// Limits are the numeric limits that operators may set. The schema holds the defaults.
 type Limits struct {
 	MaxInflight     int     `json:"inflight"`
 	MaxQueued       int     `json:"queue"`
@@ -70,24 +72,25 @@
 	MaxRecords      int     `json:"deeds"`
 }
 
-// MaxReportLag is by how much a worker's report may be older than its answer.
+// MaxReportLag is how far the state in a worker's load report may lag behind the response that
+// carries it.
 func (l Limits) MaxReportLag() time.Duration {
 	return time.Duration(l.MaxReportLagMs) * time.Millisecond
 }
 
-// SlowStart is how long a worker that came up is given less work.
+// SlowStart is how long a worker that has just started receives reduced load.
 func (l Limits) SlowStart() time.Duration { return time.Duration(l.SlowStartMs) * time.Millisecond }
 
-// MinRoleDwell is how long a worker keeps a role at least.
+// MinRoleDwell is the minimum time between two role changes of a worker.
 func (l Limits) MinRoleDwell() time.Duration {
 	return time.Duration(l.MinRoleDwellMs) * time.Millisecond
 }
 
-// PickTimeout is for how long a request that could not begin is picked again.
+// PickTimeout is how long a node keeps picking workers for a request that has not started yet.
 func (l Limits) PickTimeout() time.Duration { return time.Duration(l.PickTimeoutMs) * time.Millisecond }
 
-// Configuration is one version of what operators set: workers or services, routes, programs and
-// limits. Its JSON and CUE forms have the schema of configuration.cue.
+// Configuration is one version of the operators' settings: workers or services, routes, programs
+// and limits. policy.cue is the schema of its JSON and CUE forms.
 type Configuration struct {
 	Workers            map[ids.WorkerID]Worker `json:"workers"`
 	Zones              []ids.Zone              `json:"zones"`
@@ -98,20 +101,20 @@
 	Routes             []Route                 `json:"routes,omitempty"`
 	Services           map[string]Service      `json:"services,omitempty"`
 	ClientLimits       ClientLimits            `json:"intake,omitzero"`
-	Tenants            []Tenant                `json:"tenants,omitzero"` // nil: requests need no key
+	Tenants            []Tenant                `json:"tenants,omitzero"` // nil means that requests need no key
 	Certified
 }
 
-// ConfigurationParser makes a configuration of an operator's text.
+// ConfigurationParser parses an operator's document into a configuration.
 type ConfigurationParser func(text []byte) (*Configuration, error)
 
-// ParseJSON reads the product's own form, as ParseComplete gives it.
+// ParseJSON decodes the complete JSON form that ParseComplete returns. It does not validate.
 func ParseJSON(text []byte) (*Configuration, error) {
 	p := &Configuration{}
 	return p, json.Unmarshal(text, p)
 }
 
-// ProgramNames lists the programs in a fixed order.
+// ProgramNames returns the names of the programs in sorted order.
 func (p *Configuration) ProgramNames() []string {
 	var out []string
 	for n := range p.Programs {
@@ -121,59 +124,62 @@
 	return out
 }
 
+// invalidCUE converts a CUE error to an InvalidArgument failure that lists the first five faults
+// with their fields and positions.
 func invalidCUE(err error) error {
-	var rows []string
+	var lines []string
 	for _, e := range errors.Errors(err) {
-		form, args := e.Msg()
-		row := fmt.Sprintf(form, args...)
+		format, args := e.Msg()
+		line := fmt.Sprintf(format, args...)
 		if path := e.Path(); len(path) > 0 {
-			row = strings.TrimPrefix(strings.Join(path, "."), "#Policy.") + ": " + row
+			line = strings.TrimPrefix(strings.Join(path, "."), "#Policy.") + ": " + line
 		}
 		for _, pos := range append(e.InputPositions(), e.Position()) {
 			if pos.IsValid() && pos.Filename() != "schema" {
-				row = fmt.Sprintf("%s:%d:%d: %s", pos.Filename(), pos.Line(), pos.Column(), row)
+				line = fmt.Sprintf("%s:%d:%d: %s", pos.Filename(), pos.Line(), pos.Column(), line)
 				break
 			}
 		}
-		if rows = append(rows, row); len(rows) == 5 {
+		if lines = append(lines, line); len(lines) == 5 {
 			break
 		}
 	}
-	return failure.New(failure.InvalidArgument, "check policy", "", "%s", strings.Join(rows, "; "))
+	return failure.New(failure.InvalidArgument, "check policy", "", "%s", strings.Join(lines, "; "))
 }
 
-// checkDuplicates finds an entry, such as a worker, that is listed two times; CUE alone
-// would join equal or matching ones in silence.
+// checkDuplicates rejects a document that defines an entry, such as a worker, twice. CUE alone
+// would silently unify equal or compatible definitions. It also rejects documents with too many
+// entries before the schema is applied.
 func checkDuplicates(f *ast.File) error {
 	seen := map[string]bool{}
-	var look func(row []ast.Decl, path []string) error
-	look = func(row []ast.Decl, path []string) error {
-		for _, d := range row {
+	var visit func(decls []ast.Decl, path []string) error
+	visit = func(decls []ast.Decl, path []string) error {
+		for _, d := range decls {
 			if e, ok := d.(*ast.EmbedDecl); ok {
 				if lit, ok := e.Expr.(*ast.StructLit); ok {
-					if err := look(lit.Elts, path); err != nil {
+					if err := visit(lit.Elts, path); err != nil {
 						return err
 					}
 				}
 			}
-			fd, ok := d.(*ast.Field)
+			field, ok := d.(*ast.Field)
 			if !ok {
 				continue
 			}
-			name, _, err := ast.LabelName(fd.Label)
+			name, _, err := ast.LabelName(field.Label)
 			if err != nil {
 				continue
 			}
-			at := append(append([]string(nil), path...), name)
-			lit, deep := fd.Value.(*ast.StructLit)
-			if len(at) < 2 && deep {
-				if err := look(lit.Elts, at); err != nil {
+			fieldPath := append(append([]string(nil), path...), name)
+			lit, isStruct := field.Value.(*ast.StructLit)
+			if len(fieldPath) < 2 && isStruct {
+				if err := visit(lit.Elts, fieldPath); err != nil {
 					return err
 				}
 				continue
 			}
-			key := strings.Join(at, ".")
-			if pos := fd.Pos(); seen[key] {
+			key := strings.Join(fieldPath, ".")
+			if pos := field.Pos(); seen[key] {
 				return failure.New(
 					failure.InvalidArgument,
 					"check policy",
@@ -191,17 +197,17 @@
 					"check policy",
 					"",
 					"%s: over %d entries; a policy may have no more",
-					fd.Pos().Filename(),
+					field.Pos().Filename(),
 					maxEntries,
 				)
 			}
 		}
 		return nil
 	}
-	return look(f.Decls, nil)
+	return visit(f.Decls, nil)
 }
 
-// CUEToJSON reads CUE or JSON text to plain JSON, with positions in its errors.
+// CUEToJSON evaluates CUE or JSON text to JSON. Its errors have positions in the text.
 func CUEToJSON(name string, text []byte) ([]byte, error) {
 	f, err := parser.ParseFile(name, text)
 	if err != nil {
@@ -221,7 +227,7 @@
 	return b, nil
 }
 
-// ParseConfiguration holds a configuration, as JSON or CUE, against the schema and fills defaults.
+// ParseConfiguration validates a configuration in JSON or CUE and fills in the defaults.
 func ParseConfiguration(name string, text []byte) (*Configuration, error) {
 	p, err := parseWithSchema(name, text)
 	if err != nil {
@@ -230,7 +236,7 @@
 	return p, p.validate()
 }
 
-// parseWithSchema holds a text against the schema alone.
+// parseWithSchema validates a text against the schema only and fills in the defaults.
 func parseWithSchema(name string, text []byte) (*Configuration, error) {
 	f, err := parser.ParseFile(name, text)
 	if err != nil {
@@ -250,21 +256,22 @@
 	return p, nil
 }
 
-// buildValue unifies a text with the schema.
+// buildValue unifies a document with the schema. Unless complete is set, fields may be missing.
 func buildValue(f *ast.File, complete bool) (cue.Value, error) {
-	cx := cuecontext.New()
-	law := cx.CompileString(schema, cue.Filename("schema"))
-	if law.Err() != nil {
-		return law, invalidCUE(law.Err())
+	ctx := cuecontext.New()
+	schemaValue := ctx.CompileString(schema, cue.Filename("schema"))
+	if schemaValue.Err() != nil {
+		return schemaValue, invalidCUE(schemaValue.Err())
 	}
-	v := law.LookupPath(cue.ParsePath("#Policy")).Unify(cx.BuildFile(f))
+	v := schemaValue.LookupPath(cue.ParsePath("#Policy")).Unify(ctx.BuildFile(f))
 	if err := v.Validate(cue.Concrete(complete), cue.All()); err != nil {
 		return v, invalidCUE(err)
 	}
 	return v, nil
 }
 
-// ValidateSource looks for the place of a fault in an operator's own text.
+// ValidateSource validates an operator's original text against the schema, so that the errors
+// have positions in that text. Unless complete is set, fields may be missing.
 func ValidateSource(name string, text []byte, complete bool) error {
 	f, err := parser.ParseFile(name, text)
 	if err != nil {
@@ -274,7 +281,8 @@
 	return err
 }
 
-// ParseComplete checks a configuration and gives it back as plain JSON with all defaults.
+// ParseComplete validates a complete configuration and also returns it as JSON with all defaults
+// filled in.
 func ParseComplete(name string, text []byte) (*Configuration, []byte, error) {
 	p, err := parseWithSchema(name, text)
 	if err != nil {
@@ -283,10 +291,10 @@
 	return p.validateAndEncode()
 }
 
-// validate checks what spans several fields.
+// validate checks the constraints between fields, which the schema does not express.
 func (p *Configuration) validate() error {
-	fault := func(field, form string, args ...any) error {
-		return failure.New(failure.InvalidArgument, "check policy", "", field+": "+form, args...)
+	fault := func(field, format string, args ...any) error {
+		return failure.New(failure.InvalidArgument, "check policy", "", field+": "+format, args...)
 	}
 	if n := len(p.Workers) + len(p.Kinds) + len(p.Programs) + len(p.Certificates); n > maxEntries {
 		return fault("workers, kinds, programs, certificates", "%d entries in all, over %d", n, maxEntries)
@@ -298,18 +306,18 @@
 		}
 		zones[z] = true
 	}
-	models := map[string]map[ids.Role]bool{}
+	rolesByModel := map[string]map[ids.Role]bool{}
 	for id, w := range p.Workers {
 		if !zones[w.Zone] {
 			return fault(fmt.Sprintf("workers.%s.zone", id), "unknown zone %q", w.Zone)
 		}
-		if models[w.Model] == nil {
-			models[w.Model] = map[ids.Role]bool{}
+		if rolesByModel[w.Model] == nil {
+			rolesByModel[w.Model] = map[ids.Role]bool{}
 		}
-		models[w.Model][w.Role] = true
+		rolesByModel[w.Model][w.Role] = true
 	}
 	for name, k := range p.Kinds {
-		if m := models[k.Model]; !(m[ids.Prefill] && m[ids.Decode]) {
+		if roles := rolesByModel[k.Model]; !(roles[ids.Prefill] && roles[ids.Decode]) {
 			return fault(fmt.Sprintf("kinds.%s.model", name), "no prefill and decode worker offers %q", k.Model)
 		}
 	}
@@ -325,22 +333,23 @@
 	return p.CheckRoutes()
 }
 
-// CheckPrograms checks that the shares add up and that one program at most role changes workers.
+// CheckPrograms checks that the traffic shares add up to 100 percent and that at most one program
+// changes the roles of workers.
 func (p *Configuration) CheckPrograms() error {
-	fault := func(form string, args ...any) error {
-		return failure.New(failure.InvalidArgument, "check policy", "", "programs: "+form, args...)
+	fault := func(format string, args ...any) error {
+		return failure.New(failure.InvalidArgument, "check policy", "", "programs: "+format, args...)
 	}
-	sum, shares, turners := 0, 0, 0
+	sum, shares, roleChangers := 0, 0, 0
 	for _, g := range p.Programs {
 		if g.ChangesRoles {
-			turners++
+			roleChangers++
 		}
 		if !g.Shadow && (g.Share > 0 || !g.ChangesRoles) {
 			sum, shares = sum+g.Share, shares+1
 		}
 	}
-	if turners > 1 {
-		return fault("%d are in charge of turning; one may be", turners)
+	if roleChangers > 1 {
+		return fault("%d are in charge of turning; one may be", roleChangers)
 	}
 	if shares > 0 && sum != 100 {
 		return fault("the shares add up to %d, not to 100", sum)
@@ -348,9 +357,9 @@
 	return nil
 }
 
-// Merge lays a partial configuration over a whole one: fields replace fields, null
-// removes, all else stays.
-func Merge(complete, part []byte) ([]byte, error) {
+// Merge applies a partial configuration to a complete one as a JSON merge patch: given fields
+// replace existing ones, null removes a field, and all other fields stay.
+func Merge(complete, partial []byte) ([]byte, error) {
 	var a, b any
 	if len(complete) == 0 {
 		complete = []byte("{}")
@@ -358,27 +367,27 @@
 	if err := json.Unmarshal(complete, &a); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "merge policy", "")
 	}
-	if err := json.Unmarshal(part, &b); err != nil {
+	if err := json.Unmarshal(partial, &b); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "merge policy", "")
 	}
 	return json.Marshal(mergePatch(a, b))
 }
 
-func mergePatch(a, b any) any {
-	over, ok := b.(map[string]any)
+func mergePatch(base, patch any) any {
+	changes, ok := patch.(map[string]any)
 	if !ok {
-		return b
+		return patch
 	}
-	under, ok := a.(map[string]any)
+	merged, ok := base.(map[string]any)
 	if !ok {
-		under = map[string]any{}
+		merged = map[string]any{}
 	}
-	for k, v := range over {
+	for k, v := range changes {
 		if v == nil {
-			delete(under, k)
+			delete(merged, k)
 		} else {
-			under[k] = mergePatch(under[k], v)
+			merged[k] = mergePatch(merged[k], v)
 		}
 	}
-	return under
+	return merged
 }
--- a/internal/fleetstate/delta.go
+++ b/internal/fleetstate/delta.go
@@ -1,6 +1,6 @@
-// Deltas between texts: a large text that changes little goes to every copy and node as
-// what is copied from the one before it and what is new. Whoever applies one holds the
-// outcome against the digest of the whole, so that a delta never gives another text.
+// Deltas between texts. A large text with few changes is sent to every replica and node as ranges
+// to copy from the previous text, and new text. The receiver verifies the result against the
+// digest of the complete text, so that a delta never produces a different text.
 
 package fleetstate
 
@@ -12,28 +12,28 @@
 )
 
 const (
-	minDeltaTextBytes   = 16 << 10 // bytes; shorter texts go whole
-	maxDeltaResultBytes = 16 << 20 // bytes that a delta may come to
+	minDeltaTextBytes   = 16 << 10 // shorter texts are sent in full
+	maxDeltaResultBytes = 16 << 20 // maximum size of the text that a delta produces
 )
 
-// splitSections cuts a text behind each closing brace.
+// splitSections splits a text after each closing brace.
 func splitSections(text []byte) [][]byte { return bytes.SplitAfter(text, []byte("}")) }
 
-// computeDelta gives the delta from one text to another.
+// computeDelta returns the delta from previous to text.
 func computeDelta(previous, text []byte) *Delta {
 	sum := sha256.Sum256(text)
 	d := &Delta{Size: len(text), Sum: sum[:]}
-	at := map[string]int{}
+	offsets := map[string]int{}
 	pos := 0
 	for _, p := range splitSections(previous) {
-		if _, ok := at[string(p)]; !ok {
-			at[string(p)] = pos
+		if _, ok := offsets[string(p)]; !ok {
+			offsets[string(p)] = pos
 		}
 		pos += len(p)
 	}
 	h := Hunk{}
 	for _, p := range splitSections(text) {
-		from, known := at[string(p)]
+		from, known := offsets[string(p)]
 		switch {
 		case len(h.Text) == 0 && bytes.HasPrefix(previous[h.From+h.Len:], p):
 			h.Len += len(p)
@@ -48,10 +48,11 @@
 	return d
 }
 
-// patch makes the text that a delta stands for, or fails with Bad.
+// patch applies the delta to previous. It returns InvalidArgument if the result is not the text that
+// the delta was made for.
 func (d *Delta) patch(previous []byte) ([]byte, error) {
-	fault := func(why string) error {
-		return failure.New(failure.InvalidArgument, "apply delta", "", "%s", why)
+	fault := func(reason string) error {
+		return failure.New(failure.InvalidArgument, "apply delta", "", "%s", reason)
 	}
 	if d.Size < 0 || d.Size > maxDeltaResultBytes {
 		return nil, fault("its size is out of bounds")
--- a/internal/fleetstate/diff.go
+++ b/internal/fleetstate/diff.go
@@ -1,4 +1,4 @@
-// What one configuration would change over another, line by line.
+// Field-by-field differences between two configurations.
 
 package fleetstate
 
@@ -10,13 +10,14 @@
 	"keelstair.example/failure"
 )
 
-// DiffJSON lists the fields that differ: + comes, - goes, ~ changes.
-func DiffJSON(previous, new []byte) ([]string, error) {
+// DiffJSON lists the fields that differ between two JSON texts, one line each: + marks an added
+// field, - a removed one and ~ a changed one.
+func DiffJSON(previous, next []byte) ([]string, error) {
 	var a, b any
 	if err := json.Unmarshal(previous, &a); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "diff policies", "old")
 	}
-	if err := json.Unmarshal(new, &b); err != nil {
+	if err := json.Unmarshal(next, &b); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "diff policies", "new")
 	}
 	var out []string
@@ -24,22 +25,23 @@
 	return out, nil
 }
 
+// diffValues appends the differences between two decoded JSON values at path.
 func diffValues(path string, a, b any, out *[]string) {
-	x, okA := a.(map[string]any)
-	y, okB := b.(map[string]any)
+	fieldsA, okA := a.(map[string]any)
+	fieldsB, okB := b.(map[string]any)
 	if !okA || !okB {
-		l, _ := json.Marshal(a)
-		r, _ := json.Marshal(b)
-		if string(l) != string(r) {
-			*out = append(*out, fmt.Sprintf("~ %s: %s -> %s", path, l, r))
+		textA, _ := json.Marshal(a)
+		textB, _ := json.Marshal(b)
+		if string(textA) != string(textB) {
+			*out = append(*out, fmt.Sprintf("~ %s: %s -> %s", path, textA, textB))
 		}
 		return
 	}
 	keys := map[string]bool{}
-	for k := range x {
+	for k := range fieldsA {
 		keys[k] = true
 	}
-	for k := range y {
+	for k := range fieldsB {
 		keys[k] = true
 	}
 	names := make([]string, 0, len(keys))
@@ -48,20 +50,20 @@
 	}
 	sort.Strings(names)
 	for _, k := range names {
-		at := k
+		fieldPath := k
 		if path != "" {
-			at = path + "." + k
+			fieldPath = path + "." + k
 		}
-		l, inA := x[k]
-		r, inB := y[k]
+		valueA, inA := fieldsA[k]
+		valueB, inB := fieldsB[k]
 		switch {
 		case !inA:
-			v, _ := json.Marshal(r)
-			*out = append(*out, fmt.Sprintf("+ %s: %s", at, v))
+			text, _ := json.Marshal(valueB)
+			*out = append(*out, fmt.Sprintf("+ %s: %s", fieldPath, text))
 		case !inB:
-			*out = append(*out, "- "+at)
+			*out = append(*out, "- "+fieldPath)
 		default:
-			diffValues(at, l, r, out)
+			diffValues(fieldPath, valueA, valueB, out)
 		}
 	}
 }
--- a/internal/fleetstate/overlay.go
+++ b/internal/fleetstate/overlay.go
@@ -1,6 +1,7 @@
-// A partial configuration over one that was checked already. Only what the part touches is
-// held against the schema again, so that a large configuration that grows by many small
-// parts stays quick to apply; what spans fields is checked over the whole.
+// Applying a partial configuration to one that is already validated. Only the entries that the
+// partial configuration changes are validated against the schema again, so that many small
+// changes to a large configuration stay fast. Constraints between fields are checked on the whole
+// configuration.
 
 package fleetstate
 
@@ -11,51 +12,53 @@
 	"keelstair.example/failure"
 )
 
-// maxEntries bounds workers, kinds, programs and certificates together: a whole configuration of so many
-// is checked in about half a second.
+// maxEntries is the maximum total number of workers, kinds, programs and certificates. Validating a
+// complete configuration of this size takes about half a second.
 const maxEntries = 3000
 
+// keyedSections are the sections that can be validated entry by entry.
 var keyedSections = []string{"workers", "kinds", "programs"}
 
-// Overlay lays a part over a whole text and gives what ParseComplete would give of both.
-func Overlay(name string, complete, part []byte) (*Configuration, []byte, error) {
-	merged, err := Merge(complete, part)
+// Overlay merges a partial configuration into a validated complete one. The result is the one that
+// ParseComplete returns for the merged text.
+func Overlay(name string, complete, partial []byte) (*Configuration, []byte, error) {
+	merged, err := Merge(complete, partial)
 	if err != nil {
 		return nil, nil, err
 	}
-	var all, touch map[string]json.RawMessage
-	if json.Unmarshal(merged, &all) != nil || json.Unmarshal(part, &touch) != nil {
+	var mergedFields, changedFields map[string]json.RawMessage
+	if json.Unmarshal(merged, &mergedFields) != nil || json.Unmarshal(partial, &changedFields) != nil {
 		return ParseComplete(name, merged)
 	}
 	for _, k := range []string{"routes", "services", "intake", "tenants", "regimes", "issuers", "certificates"} {
-		if _, ok := touch[k]; ok {
+		if _, ok := changedFields[k]; ok {
 			return ParseComplete(name, merged)
 		}
 	}
-	sub := maps.Clone(touch)
+	subset := maps.Clone(changedFields)
 	for _, k := range []string{"zones", "limits", "switch"} {
-		if v, ok := all[k]; ok {
-			sub[k] = v
+		if v, ok := mergedFields[k]; ok {
+			subset[k] = v
 		} else {
-			delete(sub, k)
+			delete(subset, k)
 		}
 	}
-	gone := map[string][]string{}
+	removedEntries := map[string][]string{}
 	for _, section := range keyedSections {
-		some, removed, ok := changedEntries(touch[section], all[section])
+		changed, removed, ok := changedEntries(changedFields[section], mergedFields[section])
 		if !ok {
 			return ParseComplete(name, merged)
 		}
-		gone[section] = removed
-		if sub[section], err = json.Marshal(some); err != nil {
+		removedEntries[section] = removed
+		if subset[section], err = json.Marshal(changed); err != nil {
 			return nil, nil, failure.As(err, failure.InvalidArgument, "check policy", name)
 		}
 	}
-	text, err := json.Marshal(sub)
+	text, err := json.Marshal(subset)
 	if err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "check policy", name)
 	}
-	request, err := parseWithSchema(name, text)
+	changes, err := parseWithSchema(name, text)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -63,42 +66,47 @@
 	if err := json.Unmarshal(complete, p); err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "read policy", name)
 	}
-	applyEntries(p.Workers, request.Workers, gone["workers"])
-	applyEntries(p.Kinds, request.Kinds, gone["kinds"])
-	applyEntries(p.Programs, request.Programs, gone["programs"])
-	p.Zones, p.Limits, p.RoleChangesEnabled = request.Zones, request.Limits, request.RoleChangesEnabled
+	applyEntries(p.Workers, changes.Workers, removedEntries["workers"])
+	applyEntries(p.Kinds, changes.Kinds, removedEntries["kinds"])
+	applyEntries(p.Programs, changes.Programs, removedEntries["programs"])
+	p.Zones, p.Limits, p.RoleChangesEnabled = changes.Zones, changes.Limits, changes.RoleChangesEnabled
 	return p.validateAndEncode()
 }
 
-// changedEntries gives the entries of a section that a partial text names, as they are after the
-// merge, and those that it removes; ok is false where the section cannot be taken entry by entry.
-func changedEntries(touched, merged json.RawMessage) (some map[string]json.RawMessage, removed []string, ok bool) {
-	var named, after map[string]json.RawMessage
-	if touched != nil && (json.Unmarshal(touched, &named) != nil || named == nil) {
+// changedEntries returns the merged form of the entries that a section of a partial configuration
+// changes, and the ids of those that it removes. It returns false for ok if the section cannot be
+// processed entry by entry.
+func changedEntries(
+	partial, merged json.RawMessage,
+) (changed map[string]json.RawMessage, removed []string, ok bool) {
+	var partialEntries, mergedEntries map[string]json.RawMessage
+	if partial != nil && (json.Unmarshal(partial, &partialEntries) != nil || partialEntries == nil) {
 		return nil, nil, false
 	}
-	if json.Unmarshal(merged, &after) != nil {
+	if json.Unmarshal(merged, &mergedEntries) != nil {
 		return nil, nil, false
 	}
-	some = map[string]json.RawMessage{}
-	for id := range named {
-		if entry, kept := after[id]; kept {
-			some[id] = entry
+	changed = map[string]json.RawMessage{}
+	for id := range partialEntries {
+		if entry, kept := mergedEntries[id]; kept {
+			changed[id] = entry
 		} else {
 			removed = append(removed, id)
 		}
 	}
-	return some, removed, true
+	return changed, removed, true
 }
 
-func applyEntries[K ~string, V any](into, from map[K]V, gone []string) {
-	maps.Copy(into, from)
-	for _, id := range gone {
-		delete(into, K(id))
+// applyEntries sets the changed entries of a section and deletes the removed ones.
+func applyEntries[K ~string, V any](entries, changed map[K]V, removed []string) {
+	maps.Copy(entries, changed)
+	for _, id := range removed {
+		delete(entries, K(id))
 	}
 }
 
-// validateAndEncode checks what spans fields and writes the whole.
+// validateAndEncode checks the constraints between fields and returns the configuration with its
+// JSON form.
 func (p *Configuration) validateAndEncode() (*Configuration, []byte, error) {
 	if err := p.validate(); err != nil {
 		return nil, nil, err
--- a/internal/fleetstate/policy.cue
+++ b/internal/fleetstate/policy.cue
@@ -1,4 +1,4 @@
-// The shape of a policy. Defaults are marked with a star.
+// The schema of a policy, that is, of a fleet configuration. A star marks a default.
 #Worker: {
 	part:     "prefill" | "decode"
 	model:    string & !=""
@@ -21,40 +21,40 @@
 	source: string & !=""
 	share:  *0 | (int & >=0 & <=100)
 	shadow: *false | bool
-	// In charge of turning workers, if switch is on; one program may be.
+	// The program changes the roles of workers if switch is true. At most one program may have it.
 	turns: *false | bool
 }
 
 #Limits: {
-	// Streams that one node carries at once.
+	// Maximum number of concurrent streams on one node.
 	inflight: *512 | (int & >0 & <=100000)
-	// Starts that one worker may have under way.
+	// Maximum number of requests that one worker may be starting at once.
 	queue: *16 | (int & >0 & <=10000)
-	// How long a new, switched or returned worker ramps up.
+	// Slow-start duration of a worker that is new, has changed its role or has come back.
 	rampMs: *2000 | (int & >=0 & <=600000)
-	// How old a worker's report may be.
+	// Maximum age of a worker's load report.
 	lagMs: *500 | (int & >=0 & <=60000)
-	// The retry budget that all nodes share: tokens a second, and the most.
+	// Retry budget shared by all nodes: tokens per second and maximum number of tokens.
 	retryRate:  *4.0 | (number & >=0 & <=10000)
 	retryBurst: *12 | (int & >=0 & <=10000)
-	// Tries at one request, the first included.
+	// Maximum number of attempts for one request, including the first.
 	attempts: *3 | (int & >0 & <=10)
-	// How many prompt tokens make the shared prefix.
+	// Number of prompt tokens that form the shared prefix.
 	prefixTokens: *64 | (int & >0 & <=100000)
-	// What a bounced caller is told at least; with many it is more.
+	// Minimum Retry-After of a rejected request; it rises when many requests are rejected.
 	retryAfterMs: *1000 | (int & >0 & <=60000)
-	// How long a worker keeps a part before it may switch again.
+	// Minimum time that a worker keeps a role before it may change again.
 	dwellMs: *4000 | (int & >=0 & <=3600000)
-	// Steps that a routing program may take for one request.
+	// Maximum number of execution steps of a routing program for one request.
 	steps: *20000 | (int & >0 & <=10000000)
-	// When a request that was not yet started is given up.
+	// Time after which a request that has not started yet is abandoned.
 	giveUpMs: *4000 | (int & >0 & <=600000)
-	// How many rulings and verdicts may ever be claimed; each takes 24 bytes of
-	// memory and disk at every disk machine for good.
+	// Total number of idempotency keys that may ever be claimed. Each permanently takes 24 bytes
+	// of memory and disk on every machine that stores the replicated state.
 	deeds: *20000000 | (int & >=1000 & <=1000000000)
 }
 
-// A route carries opaque requests of a host and path prefix to a service's workers.
+// A route forwards opaque requests for a host and path prefix to the workers of a service.
 #Route: {
 	name:       string & !=""
 	host:       string & !=""
@@ -70,18 +70,18 @@
 	aimMs:      *deadlineMs | (int & >0)
 	gapMs:      *0 | (int & >=0)
 	urgency:    *5 | (int & >=0 & <=9)
-	// Requests need no key of a tenant.
+	// Requests on the route need no tenant key.
 	public: *false | bool
 }
 
-// Where there are tenants, requests on routes that are not public bear one of their keys.
+// If tenants are configured, a request on a route that is not public must carry the key of one.
 #Tenant: {
 	name:     string & !=""
 	keys:     *[] | [...(string & !="")]
 	urgency?: int & >=0 & <=9
 }
 
-// What is known of a service's workers beforehand.
+// The known properties of a service's workers.
 #Service: {
 	name:      string & !=""
 	probe:     *"" | string
@@ -96,14 +96,14 @@
 	models:    *[] | [...string]
 }
 
-// A regime governs kinds: they are handled on nodes alone that are certified for it.
+// A regime governs kinds of requests: only nodes that are certified for it may handle them.
 #Regime: {
 	kinds: [...(string & !="")]
-	// Of a certified worker's room, how many percent other work leaves free.
+	// Percentage of a certified worker's capacity that ungoverned work leaves free.
 	keep: *20 | (int & >=0 & <=90)
 }
 
-// Whose signature under a certificate counts, and when.
+// A trusted signer of certificates and the period in which its signatures are valid.
 #Issuer: {
 	key:   string & !=""
 	from:  string & !=""
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -1,7 +1,7 @@
-// Program sets: routing programs with their shares, apart from the configuration, for
-// fleets whose operators' document has none. A set is a configuration of the product's own in
-// which nothing but programs and what bounds them is given; it comes over the same log,
-// is prepared, compiled and put in force as the configuration is.
+// Program sets: routing programs with their traffic shares, versioned separately from the
+// configuration, for fleets whose operators' document cannot contain programs. A set is a
+// Configuration in which only the programs and their limits are given. It is sent over the same
+// log, and is prepared, compiled and committed in the same way as the configuration.
 
 package fleetstate
 
@@ -32,14 +32,14 @@
 	return &VersionReply{c.Version}, err
 }
 
-// Bounds of a set: every node keeps and compiles it, small ones too.
+// Limits of a program set. Every node, however small, stores and compiles each set.
 const (
 	maxPrograms        = 16
-	maxSourceBytes     = 64 << 10 // bytes of all sources
+	maxSourceBytes     = 64 << 10 // total bytes of all sources
 	maxStepsPerRequest = 100000
 )
 
-// ProgramSources lists a configuration's programs.
+// ProgramSources returns the sources of a configuration's programs, sorted by name.
 func (p *Configuration) ProgramSources() []routing.Source {
 	var out []routing.Source
 	for _, name := range p.ProgramNames() {
@@ -55,14 +55,15 @@
 	return out
 }
 
-// CompilePrograms compiles a configuration's programs. Faults have file, line and reason.
+// CompilePrograms compiles a configuration's programs. Its errors give file, line and reason.
 func (p *Configuration) CompilePrograms(scores *routing.Scores) (*routing.ProgramSet, error) {
 	return routing.NewProgramSet(p.ProgramSources(), p.Limits.MaxProgramSteps, scores)
 }
 
-// ParseUpdate makes a checked configuration of a text that Source gave, whole or, with partial, over
-// base, and compiles its programs. Where a fault shows in the operator's own source, its
-// place is given. The configuration also comes as JSON with all defaults.
+// ParseUpdate validates an operator's update and compiles its programs. The text is the output of
+// CUEToJSON for source; it is a complete configuration or, with partial set, one that is merged
+// into base. If a fault can be located in source, the error gives its position there. The
+// configuration is also returned as JSON with all defaults filled in.
 func ParseUpdate(name, source string, text, base []byte, partial bool) (*Configuration, []byte, error) {
 	var p *Configuration
 	var complete []byte
@@ -85,33 +86,33 @@
 	return p, complete, nil
 }
 
-// CheckProgramSet checks that a configuration is a program set and within its bounds.
+// CheckProgramSet checks that a configuration is a program set and within the limits of one.
 func (p *Configuration) CheckProgramSet() error {
-	fault := func(form string, args ...any) error {
-		return failure.New(failure.InvalidArgument, "check programs", "", form, args...)
+	fault := func(format string, args ...any) error {
+		return failure.New(failure.InvalidArgument, "check programs", "", format, args...)
 	}
-	size := 0
+	sourceBytes := 0
 	for _, g := range p.Programs {
-		size += len(g.Source)
+		sourceBytes += len(g.Source)
 	}
 	switch {
 	case len(p.Programs) > maxPrograms:
 		return fault("programs: %d, over %d", len(p.Programs), maxPrograms)
-	case size > maxSourceBytes:
-		return fault("programs: %d bytes of source, over %d", size, maxSourceBytes)
+	case sourceBytes > maxSourceBytes:
+		return fault("programs: %d bytes of source, over %d", sourceBytes, maxSourceBytes)
 	case p.Limits.MaxProgramSteps > maxStepsPerRequest:
 		return fault("limits.steps: %d, over %d", p.Limits.MaxProgramSteps, maxStepsPerRequest)
 	}
-	none, _, err := ParseComplete("set", []byte("{}"))
+	defaults, _, err := ParseComplete("set", []byte("{}"))
 	if err != nil {
 		return err
 	}
-	none.Programs, none.Limits.MaxProgramSteps, none.Limits.MinRoleDwellMs = p.Programs, p.Limits.MaxProgramSteps, p.Limits.MinRoleDwellMs
-	if !reflect.DeepEqual(none.Limits, p.Limits) {
+	defaults.Programs, defaults.Limits.MaxProgramSteps, defaults.Limits.MinRoleDwellMs = p.Programs, p.Limits.MaxProgramSteps, p.Limits.MinRoleDwellMs
+	if !reflect.DeepEqual(defaults.Limits, p.Limits) {
 		return fault("limits: only steps and dwellMs rule here")
 	}
 	if len(p.Workers)+len(p.Zones)+len(p.Kinds)+len(p.Routes)+len(p.Services) > 0 ||
-		p.RoleChangesEnabled != none.RoleChangesEnabled || p.ClientLimits != none.ClientLimits {
+		p.RoleChangesEnabled != defaults.RoleChangesEnabled || p.ClientLimits != defaults.ClientLimits {
 		return fault(
 			"only programs, limits.steps and limits.dwellMs may be given here; the rest comes with the fleet's own document",
 		)
@@ -119,18 +120,18 @@
 	return p.CheckPrograms()
 }
 
-// CompileProgramSet reads the text of a program set and compiles it.
+// CompileProgramSet parses the text of a program set, which may be compressed, and compiles it.
 func CompileProgramSet(text []byte, scores *routing.Scores) (*Configuration, *routing.ProgramSet, error) {
 	p, err := ParseJSON(decompress(text))
 	if err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "read programs", "")
 	}
-	d, err := p.CompilePrograms(scores)
-	return p, d, err
+	set, err := p.CompilePrograms(scores)
+	return p, set, err
 }
 
-// PutPrograms asks the core for a program set, as JSON, made over the version base. Its
-// errors are those of Put.
+// PutPrograms submits a program set, in JSON, that is based on the version base. It returns the
+// same errors as Put.
 func PutPrograms(
 	ctx context.Context,
 	caller *rpc.Caller,
@@ -146,10 +147,10 @@
 	})
 }
 
-// ProgramSetJSON is a set as JSON; for none it is the empty one.
-func ProgramSetJSON(r VersionedText) json.RawMessage {
-	if len(r.Text) == 0 {
+// ProgramSetJSON returns a program set as JSON. The version without a text gives the empty set.
+func ProgramSetJSON(version VersionedText) json.RawMessage {
+	if len(version.Text) == 0 {
 		return json.RawMessage("{}")
 	}
-	return decompress(r.Text)
+	return decompress(version.Text)
 }
--- a/internal/fleetstate/tenants.go
+++ b/internal/fleetstate/tenants.go
@@ -1,5 +1,6 @@
-// Tenants: who may send requests, and by which keys. A key is a secret of its tenant: errors name
-// its place and never the key, and look-ups take the same time for any key.
+// Tenants and the keys that authenticate their requests. A key is a secret: errors give its
+// position in the configuration and never the key itself, and lookups take the same time for any
+// key.
 
 package fleetstate
 
@@ -15,17 +16,17 @@
 	"keelstair.example/failure"
 )
 
-// Tenant is one of the customers whose requests a configuration admits.
+// Tenant is a customer whose requests are admitted.
 type Tenant struct {
 	Name    string   `json:"name"`
 	Keys    []string `json:"keys,omitempty"`
-	Urgency *int     `json:"urgency,omitempty"` // takes the place of its routes' urgency
+	Urgency *int     `json:"urgency,omitempty"` // overrides the urgency of the route
 }
 
-// CheckTenants checks that names stand once and that no key belongs to two tenants.
+// CheckTenants checks that tenant names are unique and that no key belongs to two tenants.
 func (p *Configuration) CheckTenants() error {
-	fault := func(field, form string, args ...any) error {
-		return failure.New(failure.InvalidArgument, "check tenants", "", field+": "+form, args...)
+	fault := func(field, format string, args ...any) error {
+		return failure.New(failure.InvalidArgument, "check tenants", "", field+": "+format, args...)
 	}
 	names, owners := map[string]bool{}, map[string]string{}
 	for i := range p.Tenants {
@@ -54,14 +55,14 @@
 	return nil
 }
 
-// isControl tells of characters that no header may carry.
+// isControl reports whether r is a control character, which an HTTP header must not contain.
 func isControl(r rune) bool { return r < ' ' || r == '\x7f' }
 
-// keyDigest is the keyed hash of a tenant's key.
+// keyDigest is the HMAC of a tenant's key under digestSecret.
 type keyDigest [sha256.Size]byte
 
-// digestSecret keys the hashes of this process. Who does not know it learns nothing of a key from
-// the time that a look-up takes.
+// digestSecret returns the random HMAC key of this process. Without it, the duration of a lookup
+// reveals nothing about a tenant's key.
 var digestSecret = sync.OnceValue(func() []byte {
 	secret := make([]byte, sha256.Size)
 	rand.Read(secret)
@@ -74,13 +75,13 @@
 	return keyDigest(hash.Sum(nil))
 }
 
-// KeyIndex finds tenants by their keys; it is made once for each list of tenants.
+// KeyIndex maps keys to tenants. It is built once for each list of tenants.
 type KeyIndex struct {
-	tenantList []Tenant
+	tenantList []Tenant // nil if the configuration has no list
 	byDigest   map[keyDigest]*Tenant
 }
 
-// NewKeyIndex indexes a configuration's tenants.
+// NewKeyIndex builds the index of a configuration's tenants.
 func NewKeyIndex(p *Configuration) *KeyIndex {
 	index := &KeyIndex{tenantList: p.Tenants, byDigest: map[keyDigest]*Tenant{}}
 	for i := range p.Tenants {
@@ -91,7 +92,8 @@
 	return index
 }
 
-// forConfiguration is the index of a configuration that follows: the same one where the tenants are the same.
+// forConfiguration returns the index for the next configuration. It is the same index if the
+// tenants are unchanged.
 func (x *KeyIndex) forConfiguration(p *Configuration) *KeyIndex {
 	if x != nil && reflect.DeepEqual(x.tenantList, p.Tenants) {
 		return x
@@ -99,11 +101,11 @@
 	return NewKeyIndex(p)
 }
 
-// KeyRequired tells whether requests need a key where their route is not public. A list of tenants
-// without an entry admits nobody: taking away the last tenant does not open the routes to all.
+// KeyRequired reports whether requests on routes that are not public need a key. An empty list of
+// tenants admits no request, so that removing the last tenant does not open the routes to everyone.
 func (x *KeyIndex) KeyRequired() bool { return x != nil && x.tenantList != nil }
 
-// Find gives the tenant that a key belongs to, or nil.
+// Find returns the tenant that a key belongs to, or nil.
 func (x *KeyIndex) Find(key string) *Tenant {
 	if !x.KeyRequired() || key == "" {
 		return nil
--- a/internal/fleetstate/version_history.go
+++ b/internal/fleetstate/version_history.go
@@ -1,5 +1,5 @@
-// A line of versions: prepared one over the other, and put in force in their order. The
-// configuration is one, the program sets are another.
+// Version histories: each version is prepared on top of the latest one, and versions become active
+// in order. The configuration and the program sets each have a history.
 
 package fleetstate
 
@@ -12,17 +12,20 @@
 	"keelstair.example/ids"
 )
 
+// versionHistory holds the active version, the prepared versions that follow it, and the numbers of
+// superseded versions.
 type versionHistory struct {
 	active     VersionedText
 	prepared   []VersionedText
 	superseded supersededVersions
 }
 
-// versions are the version in force and those that are prepared, oldest first.
+// versions returns the active version and the prepared ones, oldest first.
 func (l *versionHistory) versions() []VersionedText {
 	return append([]VersionedText{l.active}, l.prepared...)
 }
 
+// latest returns the newest prepared version, or the active one if none is prepared.
 func (l *versionHistory) latest() VersionedText {
 	if n := len(l.prepared); n > 0 {
 		return l.prepared[n-1]
@@ -30,7 +33,7 @@
 	return l.active
 }
 
-// compress makes the texts short, once, for a snapshot.
+// compress compresses the texts for a snapshot. Texts that are already compressed stay as they are.
 func (l *versionHistory) compress() {
 	l.active.Text = compress(l.active.Text)
 	for i := range l.prepared {
@@ -40,6 +43,7 @@
 
 func (l *versionHistory) newest() ids.Version { return l.latest().Version }
 
+// prepare adds the next version. If the command carries a delta, it is applied to the latest text.
 func (l *versionHistory) prepare(c *PrepareVersion) (msgp.Marshaler, error) {
 	if err := l.checkBase(c.Base); err != nil {
 		return nil, err
@@ -72,6 +76,7 @@
 	return &VersionReply{v}, nil
 }
 
+// commit activates a prepared version and drops the versions before it.
 func (l *versionHistory) commit(v ids.Version) (VersionedText, error) {
 	for i, r := range l.prepared {
 		if r.Version == v {
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -1,6 +1,6 @@
-// The view is a node's folded snapshot of the state, read without locks on the path
-// of a request. A version heard of in any message is put in force as soon as it
-// is prepared here; until it is, the view says that new picks must be held.
+// The view of the replicated state on a router node. Requests read its current snapshot without
+// locks. A version that is mentioned in any message takes effect as soon as it is prepared on
+// this node; until then the view reports that new picks must wait.
 
 package fleetstate
 
@@ -17,59 +17,60 @@
 	"keelstair.example/logging"
 )
 
-// Snapshot is one frozen state of the view.
+// Snapshot is one immutable state of the view.
 type Snapshot struct {
 	Version        ids.Version
 	Configuration  *Configuration
 	RouteTable     *Table
-	TenantKeys     *KeyIndex // of tenants
+	TenantKeys     *KeyIndex
 	Text           []byte
 	NewestVersion  ids.Version
 	EvacuatedZones map[ids.Zone]bool
 	DrainedWorkers map[ids.WorkerID]bool
 	RoleChanges    map[ids.WorkerID]ids.Role
 	Failbacks      map[ids.Zone]Failback
-	Programs       *CompiledPrograms // the program set in force, if the core has one
-	// Register says who is cleared for governed work; nil without regimes. Bare is the
-	// same without revocations. Revoked has their serials: true once in force everywhere.
+	Programs       *CompiledPrograms // the active program set; nil if the core has none
+	// Register holds the valid certificates for governed work; it is nil without regimes.
+	// BaseRegister is the same register without revocations applied. RevokedSerials maps the
+	// serial of each revoked certificate to whether the revocation is in force on all nodes.
 	Register       *certification.Register
 	BaseRegister   *certification.Register
 	RevokedSerials map[string]bool
 }
 
-// parsedVersion is a version as it was read, once.
+// parsedVersion is the cached result of parsing a version.
 type parsedVersion struct {
 	configuration *Configuration
 	text          []byte
 }
 
-// CompiledPrograms is one program set, compiled.
+// CompiledPrograms is one version of the program set with its compiled programs.
 type CompiledPrograms struct {
 	Version       ids.Version
 	Configuration *Configuration
 	Set           *routing.ProgramSet
 }
 
-// View is a coordination.Watcher. Ready is called with every configuration before it is in
-// force, so that programs are compiled by then.
+// View is a coordination.Watcher. OnParsed is called with every configuration before it takes
+// effect, so that its programs are compiled by then.
 type View struct {
 	OnParsed func(ids.Version, *Configuration)
 	Ring     *logging.Ring
-	Parse    ConfigurationParser // Plain, if it is not set: makes a configuration of a text
-	// Scores of programs; where it is not set, program sets are not compiled.
+	Parse    ConfigurationParser // parses a configuration; ParseJSON if nil
+	// Scores are passed to compiled programs; if nil, program sets are not compiled.
 	Scores *routing.Scores
 
 	mu          sync.Mutex
 	state       *State
 	parsed      map[ids.Version]parsedVersion
 	programSets map[ids.Version]*CompiledPrograms
-	batching    bool // entries that came together are being observed
-	unpublished bool // some of them change the snapshot
+	batching    bool // a batch of entries is being observed
+	unpublished bool // an entry of the batch changes the snapshot
 	current     atomic.Pointer[Snapshot]
 	highest     atomic.Uint64
 }
 
-// NewView returns a view that knows no configuration yet.
+// NewView returns a view with an empty configuration.
 func NewView(ring *logging.Ring) *View {
 	v := &View{
 		Ring:        ring,
@@ -87,11 +88,11 @@
 	return v
 }
 
-// Current is the newest snapshot. It never changes; a later one replaces it.
+// Current returns the newest snapshot. A snapshot is immutable; later ones replace it.
 func (v *View) Current() *Snapshot { return v.current.Load() }
 
-// NoteVersion notes a version that someone else knows. It tells whether this node
-// may pick under what it has.
+// NoteVersion records a version that another process has mentioned. It reports whether this node
+// may pick workers with the version that it has.
 func (v *View) NoteVersion(n ids.Version) bool {
 	for {
 		previous := v.highest.Load()
@@ -108,13 +109,13 @@
 	return uint64(v.current.Load().Version) >= v.highest.Load()
 }
 
-// HighestVersion is the newest version heard of.
+// HighestVersion returns the newest version that any message has mentioned.
 func (v *View) HighestVersion() ids.Version { return ids.Version(v.highest.Load()) }
 
-// UpToDate tells whether nothing newer than the version in force was heard of.
+// UpToDate reports whether no message has mentioned a version newer than the active one.
 func (v *View) UpToDate() bool { return uint64(v.current.Load().Version) >= v.highest.Load() }
 
-// Restore replaces the view's state, as coordination.Watcher.
+// Restore replaces the view's state. It implements coordination.Watcher.
 func (v *View) Restore(open []byte) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -125,13 +126,13 @@
 	return nil
 }
 
-// Observe applies an entry, as coordination.Watcher. It is urgent where the core waits for nodes
-// to have applied it.
+// Observe applies an entry and reports whether it is urgent, that is, whether the core waits for
+// nodes to have applied it. It implements coordination.Watcher.
 func (v *View) Observe(_ ids.Seq, kind string, body []byte) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if _, err := v.state.Apply(kind, body); err != nil && err != coordination.ErrUnchanged {
-		v.Ring.Error().AnErr("cause", err).Str("kind", kind).Msg("entry not applied")
+		v.Ring.Error().AnErr("cause", err).Str("kind", kind).Msg("log entry not applied")
 	}
 	urgent := false
 	switch kind {
@@ -145,8 +146,8 @@
 	return urgent
 }
 
-// Batch publishes once for all entries that observe applies, as coordination.Batcher. A version
-// that a later one of them supersedes is never parsed.
+// Batch publishes one snapshot for all entries that observe applies. A version that a later one
+// in the batch supersedes is never parsed. Batch implements coordination.Batcher.
 func (v *View) Batch(observe func()) {
 	v.setBatching(true)
 	defer v.setBatching(false)
@@ -162,14 +163,14 @@
 	}
 }
 
-// Snapshot encodes the state for a peer, as coordination.Watcher.
+// Snapshot encodes the state for a peer. It implements coordination.Watcher.
 func (v *View) Snapshot() []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return coordination.MustMarshal(v.state.encode(true))
 }
 
-// OpenClaims lists the open claims by owner.
+// OpenClaims returns the records of open claims by key.
 func (v *View) OpenClaims() map[string]IdempotencyRecord {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -180,43 +181,44 @@
 	return out
 }
 
-// RecordCount tells how many idempotency records there are, and how many there may be.
+// RecordCount returns the number of idempotency records ever made and the configured maximum.
 func (v *View) RecordCount() (count, limit int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.state.recordCount, v.current.Load().Configuration.Limits.MaxRecords
 }
 
-// publish swaps in the next snapshot. Old streams keep the snapshot they began with.
+// publish replaces the current snapshot. Running streams keep the snapshot they started with.
 func (v *View) publish() {
-	all := v.state.versions()
-	now := v.newestServable(all)
-	if previous := v.current.Load(); previous.Version > now.Version {
-		now = VersionedText{previous.Version, previous.Text}
+	versions := v.state.versions()
+	active := v.newestServable(versions)
+	if previous := v.current.Load(); previous.Version > active.Version {
+		active = VersionedText{previous.Version, previous.Text}
 	}
 	for n := range v.parsed {
-		if n < now.Version {
+		if n < active.Version {
 			delete(v.parsed, n)
 		}
 	}
-	next := v.buildSnapshot(now)
-	next.NewestVersion = all[len(all)-1].Version
+	next := v.buildSnapshot(active)
+	next.NewestVersion = versions[len(versions)-1].Version
 	v.current.Store(next)
-	if uint64(now.Version) > v.highest.Load() {
-		v.highest.Store(uint64(now.Version))
+	if uint64(active.Version) > v.highest.Load() {
+		v.highest.Store(uint64(active.Version))
 	}
 }
 
-// newestServable gives the version to put in force: the newest that can be parsed of those
-// committed or heard of. It parses that one, and the newest of all, which is the next.
-func (v *View) newestServable(all []VersionedText) VersionedText {
-	newest := false
-	for i, version := range slices.Backward(all) {
+// newestServable returns the version to activate on this node: the newest one that can be parsed
+// among those that are committed or have been mentioned in a message. It parses that version and,
+// ahead of time, the newest version of all, which is activated next.
+func (v *View) newestServable(versions []VersionedText) VersionedText {
+	newestParsed := false
+	for i, version := range slices.Backward(versions) {
 		mayServe := i == 0 || uint64(version.Version) <= v.highest.Load()
-		if newest && !mayServe || !v.parse(version) {
+		if newestParsed && !mayServe || !v.parse(version) {
 			continue
 		}
-		newest = true
+		newestParsed = true
 		if mayServe {
 			return version
 		}
@@ -224,17 +226,17 @@
 	return v.state.active
 }
 
-// parse reads a version once, and reports whether that could be done.
+// parse parses a version unless that was done before, and reports whether it is parsed.
 func (v *View) parse(version VersionedText) bool {
 	if _, ok := v.parsed[version.Version]; ok || len(version.Text) == 0 {
 		return true
 	}
-	read := v.Parse
-	if read == nil {
-		read = ParseJSON
+	parseText := v.Parse
+	if parseText == nil {
+		parseText = ParseJSON
 	}
 	text := decompress(version.Text)
-	configuration, err := read(text)
+	configuration, err := parseText(text)
 	if err != nil {
 		v.Ring.Error().AnErr("cause", err).Msg("configuration not parsed")
 		return false
@@ -246,14 +248,14 @@
 	return true
 }
 
-// buildSnapshot is the state as it is now, with a version in force.
-func (v *View) buildSnapshot(now VersionedText) *Snapshot {
-	parsed := v.parsed[now.Version]
+// buildSnapshot builds a snapshot of the current state with the given version as the active one.
+func (v *View) buildSnapshot(active VersionedText) *Snapshot {
+	parsed := v.parsed[active.Version]
 	if parsed.configuration == nil {
-		parsed.configuration, parsed.text = &Configuration{}, decompress(now.Text)
+		parsed.configuration, parsed.text = &Configuration{}, decompress(active.Text)
 	}
 	s := &Snapshot{
-		Version:        now.Version,
+		Version:        active.Version,
 		Configuration:  parsed.configuration,
 		Text:           parsed.text,
 		EvacuatedZones: map[ids.Zone]bool{},
@@ -272,8 +274,8 @@
 	return s
 }
 
-// indexConfiguration sets what is derived from the configuration, or takes it from the snapshot
-// before if that has the same one.
+// indexConfiguration sets the fields that are derived from the configuration. It copies them from
+// the previous snapshot if that has the same configuration.
 func (v *View) indexConfiguration(s *Snapshot) {
 	if previous := v.current.Load(); previous.Configuration == s.Configuration && previous.RouteTable != nil {
 		s.RouteTable, s.TenantKeys, s.BaseRegister = previous.RouteTable, previous.TenantKeys, previous.BaseRegister
@@ -281,7 +283,7 @@
 		s.RouteTable, s.TenantKeys = NewTable(s.Configuration), previous.TenantKeys.forConfiguration(s.Configuration)
 		var err error
 		if s.BaseRegister, err = s.Configuration.Register(); err != nil {
-			v.Ring.Error().AnErr("cause", err).Msg("invalid certificates left out")
+			v.Ring.Error().AnErr("cause", err).Msg("invalid certificates are ignored")
 		}
 	}
 	if s.BaseRegister != nil {
@@ -290,8 +292,8 @@
 	}
 }
 
-// compilePrograms compiles the program sets as they are prepared, and gives the one in force. One that
-// does not compile here leaves the one before it in force.
+// compilePrograms compiles the prepared program sets and returns the active one. If the active set
+// does not compile on this node, the previous one stays active.
 func (v *View) compilePrograms() *CompiledPrograms {
 	previous := v.current.Load().Programs
 	if v.Scores == nil {
@@ -304,20 +306,20 @@
 		p, set, err := CompileProgramSet(r.Text, v.Scores)
 		if err != nil {
 			v.Ring.Error().AnErr("cause", err).Uint64("version", uint64(r.Version)).
-				Msg("programs not compiled; earlier ones stay in force")
+				Msg("programs do not compile; the previous set stays active")
 			v.programSets[r.Version] = nil
 			continue
 		}
 		v.programSets[r.Version] = &CompiledPrograms{r.Version, p, set}
 	}
-	now := v.state.programs.active.Version
+	active := v.state.programs.active.Version
 	for n := range v.programSets {
-		if n < now {
+		if n < active {
 			delete(v.programSets, n)
 		}
 	}
-	if d := v.programSets[now]; d != nil && (previous == nil || d.Version > previous.Version) {
-		return d
+	if compiled := v.programSets[active]; compiled != nil && (previous == nil || compiled.Version > previous.Version) {
+		return compiled
 	}
 	return previous
 }
--- a/internal/fleetstate/zones.go
+++ b/internal/fleetstate/zones.go
@@ -1,5 +1,5 @@
-// Zones and workers that get no new work: evacuations, drains, and the slow start of zones
-// that were taken back.
+// Zones and workers that receive no new work: evacuated zones, drained workers, and the slow start
+// of zones after a failback, that is, after an evacuation has ended.
 
 package fleetstate
 
@@ -30,9 +30,9 @@
 	return &VersionReply{s.newest()}, nil
 }
 
-// replyUnchanged answers an order that finds all as it asks. One that is known by its id alone is
-// written all the same: were its id not remembered, a copy of it that arrives after the
-// opposite order would be done.
+// replyUnchanged replies to a command that changes nothing, since the state is already as requested.
+// A command that only its operation id identifies is logged all the same: if its id were not
+// remembered, a duplicate that arrives after the opposite command would be executed.
 func (s *State) replyUnchanged(compared bool) (msgp.Marshaler, error) {
 	if compared {
 		return &VersionReply{s.newest()}, coordination.ErrUnchanged
@@ -58,7 +58,8 @@
 	return nil, nil
 }
 
-// SlowStart is how long a zone that was taken back may hold cold workers, for a service.
+// SlowStart is how long the service's workers in a zone may be cold after a failback. One second is
+// added to the configured slow-start time.
 func (v *Service) SlowStart() time.Duration {
 	if v.SlowStartMs <= 0 {
 		return 0
@@ -66,16 +67,17 @@
 	return time.Duration(v.SlowStartMs)*time.Millisecond + time.Second
 }
 
-// timeSinceFailback is for how long a zone surely has been back.
+// timeSinceFailback returns a lower bound of the time since the failback of a zone.
 func (m *Machine) timeSinceFailback(f Failback) time.Duration {
-	out := time.Duration(f.Ago)
+	elapsed := time.Duration(f.Ago)
 	if at, ok := m.failbackSince[f.Number]; ok {
-		out += m.now.Since(at)
+		elapsed += m.now.Since(at)
 	}
-	return out
+	return elapsed
 }
 
-// slowStartEndedCommands names the zones whose workers are warm by now.
+// slowStartEndedCommands returns a command for each zone whose slow start after a failback has ended.
+// The call to Keys updates maxSlowStart.
 func (m *Machine) slowStartEndedCommands(now ids.Tick) []coordination.Command {
 	m.now = now
 	if len(m.failbacks) == 0 {
