--- a/internal/fleetstate/aged_keys_test.go
+++ b/internal/fleetstate/aged_keys_test.go
@@ -1,4 +1,4 @@
-// Old idempotency records: what is forgotten of them is never that they were.
+// Tests of the compact storage of old idempotency records.
 
 package fleetstate
 
@@ -22,23 +22,23 @@
 	return got, err
 }
 
-// TestAgedKeys: a key that was claimed once is never fresh again, however many came
-// after it, on the copy that wrote it and on one made from a snapshot; both seal
-// the same leaves.
+// TestAgedKeys checks that a key that was claimed once is never fresh again, however many keys
+// follow it, both on the replica that stored it and on one restored from a snapshot, and that both
+// replicas seal identical chunks.
 func TestAgedKeys(t *testing.T) {
 	m := NewMachine(MachineOptions{Retention: Retention{FullRecords: 4, ChunkEntries: 8}})
 	key := func(i int) string { return fmt.Sprintf("verdict/%d", i) }
-	fate := []string{Done, NotRun, MayHaveRun}
+	outcomes := []string{Done, NotRun, MayHaveRun}
 	copied := NewMachine(MachineOptions{Retention: Retention{FullRecords: 4, ChunkEntries: 8}})
 	for i := range 100 {
-		for _, x := range []*Machine{m, copied} {
-			got, err := applyClaim(t, x.State, key(i), fmt.Sprint("body", i))
+		for _, machine := range []*Machine{m, copied} {
+			got, err := applyClaim(t, machine.State, key(i), fmt.Sprint("body", i))
 			require.NoError(t, err)
 			require.True(t, got.Fresh)
-			require.NoError(t, do(t, x.State, ResolveKind, &Resolve{
+			require.NoError(t, do(t, machine.State, ResolveKind, &Resolve{
 				Key:     key(i),
 				Owner:   "n1",
-				Outcome: fate[i%3],
+				Outcome: outcomes[i%3],
 				Answer:  []byte("answer"),
 			}))
 		}
@@ -55,18 +55,18 @@
 		got, err := applyClaim(t, copied.State, key(i), fmt.Sprint("body", i))
 		require.ErrorIs(t, err, coordination.ErrUnchanged)
 		require.False(t, got.Fresh)
-		require.Equal(t, fate[i%3], got.Record.Outcome)
+		require.Equal(t, outcomes[i%3], got.Record.Outcome)
 		require.Equal(t, fmt.Sprint("body", i), got.Record.Digest)
 		require.Equal(t, i < 96, got.Record.Aged)
 		got, err = applyClaim(t, copied.State, key(i), "another body")
 		require.ErrorIs(t, err, coordination.ErrUnchanged)
-		require.NotEqual(t, "another body", got.Record.Digest, "the key stands for another request")
+		require.NotEqual(t, "another body", got.Record.Digest, "the key belongs to another request")
 	}
 	_, ok := copied.aged.lookup("verdict/never", "x")
 	require.False(t, ok)
 }
 
-// TestFullStoreRejectsNewKeys: a full store refuses fresh keys, and still knows the old ones.
+// TestFullStoreRejectsNewKeys checks that a full store rejects new keys and still finds the old ones.
 func TestFullStoreRejectsNewKeys(t *testing.T) {
 	s := newState(false, Retention{FullRecords: 2, ChunkEntries: 4})
 	s.maxRecords = 10
@@ -83,7 +83,7 @@
 	require.Equal(t, Done, got.Record.Outcome)
 }
 
-// machineWithRecords makes a state of so many idempotency records.
+// machineWithRecords returns a machine with n resolved idempotency records.
 func machineWithRecords(n int) *Machine {
 	m := NewMachine(MachineOptions{})
 	for i := range n {
@@ -103,8 +103,8 @@
 
 const million = 1_000_000
 
-// BenchmarkSnapshot makes and restores a snapshot over five million idempotency records; MB/s is
-// of the snapshot alone, whose size is given too.
+// BenchmarkSnapshot encodes and restores a snapshot of five million idempotency records. It reports
+// the size of the snapshot as picture-MB and that of the sealed chunks as sheets-MB.
 func BenchmarkSnapshot(b *testing.B) {
 	m := machineWithRecords(5 * million)
 	for b.Loop() {
@@ -119,7 +119,7 @@
 	}
 }
 
-// BenchmarkAgedKeyMiss looks for a key that was never claimed among five million.
+// BenchmarkAgedKeyMiss looks up a key that was never claimed among five million claimed ones.
 func BenchmarkAgedKeyMiss(b *testing.B) {
 	m := machineWithRecords(5 * million)
 	for i := 0; b.Loop(); i++ {
--- a/internal/fleetstate/compression_test.go
+++ b/internal/fleetstate/compression_test.go
@@ -1,4 +1,4 @@
-// Texts that are kept packed.
+// Tests of compressed configuration texts.
 
 package fleetstate
 
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCompressText: a large text is kept short and comes back byte for byte; a short one and one
-// that does not pack stay as they are; what only looks packed is given back untouched.
+// TestCompressText checks that a large text is compressed and restored byte for byte, that a short
+// text stays as it is, and that a truncated compressed text is returned unchanged.
 func TestCompressText(t *testing.T) {
 	large := []byte(`{"routes":[` + strings.Repeat(`{"name":"r","host":"a.example"},`, 500) + `{}]}`)
 	require.Less(t, len(compress(large)), len(large)/10)
@@ -24,7 +24,8 @@
 	require.True(t, bytes.Equal(truncated, decompress(truncated)))
 }
 
-// TestCompressedConfigurationIsApplied: what a packed text says is in force like any other.
+// TestCompressedConfigurationIsApplied checks that a compressed configuration takes effect like an
+// uncompressed one.
 func TestCompressedConfigurationIsApplied(t *testing.T) {
 	text := []byte(`{"limits":{"deeds":1234},"zones":["` + strings.Repeat("z", minCompressBytes) + `"]}`)
 	require.True(t, isCompressed(compress(text)))
--- a/internal/fleetstate/configuration.go
+++ b/internal/fleetstate/configuration.go
@@ -24,8 +24,8 @@
 //go:embed policy.cue
 var schema string
 
-// Worker describes one worker. Capacity is the number of tokens that its memory holds, BlockSize the
-// number of tokens in a block.
+// Worker describes one worker. Capacity is the size of its KV cache in blocks, BlockSize the number
+// of tokens in a block.
 type Worker struct {
 	Role      ids.Role `json:"part"`
 	Model     string   `json:"model"`
--- a/internal/fleetstate/delta_test.go
+++ b/internal/fleetstate/delta_test.go
@@ -1,4 +1,4 @@
-// Deltas between texts.
+// Tests of deltas between texts.
 
 package fleetstate
 
@@ -16,13 +16,14 @@
 	"keelstair.example/logging"
 )
 
-// routesText is a plain text of so many zones and routes; mark sets one route apart.
-func routesText(n, mark int) []byte {
+// routesText returns the JSON of a configuration with n+1 routes. The route with index changed has
+// another number of attempts, and the zone is named after it.
+func routesText(n, changed int) []byte {
 	var b strings.Builder
-	fmt.Fprintf(&b, `{"zones":["z%d"],"routes":[`, mark)
+	fmt.Fprintf(&b, `{"zones":["z%d"],"routes":[`, changed)
 	for i := range n {
 		attempts := 1
-		if i == mark {
+		if i == changed {
 			attempts = 7
 		}
 		fmt.Fprintf(
@@ -37,8 +38,8 @@
 	return []byte(b.String() + `{"name":"last","prefix":"/"}]}`)
 }
 
-// TestDeltaRoundTrip: whatever two texts are, a delta between them gives the second byte for byte;
-// one that was spoilt, or is laid over another text, gives none.
+// TestDeltaRoundTrip checks that the delta between any two texts reproduces the second one byte for
+// byte, and that a corrupt delta, or one applied to another text, is rejected.
 func TestDeltaRoundTrip(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	texts := [][]byte{
@@ -46,20 +47,20 @@
 		routesText(900, 0),
 	}
 	for range 60 {
-		w := append([]byte(nil), texts[5+r.IntN(3)]...)
+		mutated := append([]byte(nil), texts[5+r.IntN(3)]...)
 		for range 1 + r.IntN(4) {
-			at := r.IntN(len(w))
-			end := min(len(w), at+r.IntN(3000))
+			start := r.IntN(len(mutated))
+			end := min(len(mutated), start+r.IntN(3000))
 			switch r.IntN(3) {
 			case 0:
-				w = append(w[:at:at], w[end:]...)
+				mutated = append(mutated[:start:start], mutated[end:]...)
 			case 1:
-				w = append(append(w[:at:at], w[at:end]...), w[at:]...)
+				mutated = append(append(mutated[:start:start], mutated[start:end]...), mutated[start:]...)
 			default:
-				w[at] = byte(r.IntN(256))
+				mutated[start] = byte(r.IntN(256))
 			}
 		}
-		texts = append(texts, w)
+		texts = append(texts, mutated)
 	}
 	for _, previous := range texts {
 		for _, text := range texts[:20] {
@@ -73,9 +74,9 @@
 			}
 		}
 	}
-	good := computeDelta(texts[5], texts[6])
+	valid := computeDelta(texts[5], texts[6])
 	for range 300 {
-		body := coordination.MustMarshal(good)
+		body := coordination.MustMarshal(valid)
 		body[r.IntN(len(body))] ^= byte(1 + r.IntN(255))
 		var d Delta
 		if _, err := d.UnmarshalMsg(body); err != nil {
@@ -97,53 +98,53 @@
 	}
 }
 
-// TestPrepareDelta: a small change of a large text goes as a delta of little more than the
-// change; copies and nodes come to the whole text, from snapshots too, and snapshots are
-// packed. One that does not fit is refused and changes nothing, and a text that differs
-// much goes whole.
+// TestPrepareDelta checks that a small change of a large text is sent as a delta that is little
+// larger than the change, and that replicas and nodes reconstruct the complete text, also from
+// snapshots, which are compressed. A delta that does not apply is rejected and changes nothing, and
+// a text that differs much is sent in full.
 func TestPrepareDelta(t *testing.T) {
 	one, two := routesText(1400, 3), routesText(1400, 900)
 	c := &PrepareVersion{Base: 1, Text: compress(two)}
 	c.Shorten(one, two)
 	require.True(t, c.Delta)
 	require.Less(t, len(c.Text), 1000)
-	far := &PrepareVersion{Base: 1, Text: compress(two)}
-	far.Shorten([]byte(`{}`), two)
-	require.False(t, far.Delta)
+	unrelated := &PrepareVersion{Base: 1, Text: compress(two)}
+	unrelated.Shorten([]byte(`{}`), two)
+	require.False(t, unrelated.Delta)
 	m, v := NewMachine(MachineOptions{}), NewView(logging.Discard())
-	both := func(kind string, body []byte) error {
+	applyToBoth := func(kind string, body []byte) error {
 		_, err := m.Apply(1, kind, body)
 		v.Observe(1, kind, body)
 		return err
 	}
-	require.NoError(t, both(PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: compress(one)})))
+	require.NoError(t, applyToBoth(PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: compress(one)})))
 	wrong := &PrepareVersion{Base: 1, Text: compress(two)}
 	wrong.Shorten(routesText(1400, 4), two)
 	require.True(t, wrong.Delta)
-	err := both(PrepareKind, coordination.MustMarshal(wrong))
+	err := applyToBoth(PrepareKind, coordination.MustMarshal(wrong))
 	require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
-	require.True(t, failure.Is(both(PrepareKind, coordination.MustMarshal(&PrepareVersion{
+	require.True(t, failure.Is(applyToBoth(PrepareKind, coordination.MustMarshal(&PrepareVersion{
 		Base:  1,
 		Delta: true,
 		Text:  []byte("x"),
 	})), failure.InvalidArgument))
 	require.EqualValues(t, 1, m.newest())
-	require.NoError(t, both(PrepareKind, coordination.MustMarshal(c)))
-	require.NoError(t, both(CommitKind, coordination.MustMarshal(&CommitVersion{2})))
+	require.NoError(t, applyToBoth(PrepareKind, coordination.MustMarshal(c)))
+	require.NoError(t, applyToBoth(CommitKind, coordination.MustMarshal(&CommitVersion{2})))
 	require.EqualValues(t, 2, v.Current().Version)
 	require.Equal(t, string(two), string(v.Current().Text))
 	require.Len(t, v.Current().Configuration.Routes, 1401)
 	require.Less(t, len(m.Snapshot(true)), len(two)/5)
 	require.Equal(t, string(two), string(decompress(m.active.Text)))
-	late := NewView(logging.Discard())
-	require.NoError(t, late.Restore(v.Snapshot()))
-	require.Equal(t, string(two), string(late.Current().Text))
-	back := &PrepareVersion{Base: 2, Text: compress(one)}
-	back.Shorten(two, one)
-	for _, w := range []*View{v, late} {
-		require.True(t, w.Observe(3, PrepareKind, coordination.MustMarshal(back)))
-		w.Observe(4, CommitKind, coordination.MustMarshal(&CommitVersion{3}))
-		require.Equal(t, string(one), string(w.Current().Text), "also over a packed one")
-		require.EqualValues(t, ids.Version(3), w.Current().Version)
+	restored := NewView(logging.Discard())
+	require.NoError(t, restored.Restore(v.Snapshot()))
+	require.Equal(t, string(two), string(restored.Current().Text))
+	revert := &PrepareVersion{Base: 2, Text: compress(one)}
+	revert.Shorten(two, one)
+	for _, view := range []*View{v, restored} {
+		require.True(t, view.Observe(3, PrepareKind, coordination.MustMarshal(revert)))
+		view.Observe(4, CommitKind, coordination.MustMarshal(&CommitVersion{3}))
+		require.Equal(t, string(one), string(view.Current().Text), "the delta also applies to a compressed text")
+		require.EqualValues(t, ids.Version(3), view.Current().Version)
 	}
 }
--- a/internal/fleetstate/overlay_test.go
+++ b/internal/fleetstate/overlay_test.go
@@ -1,4 +1,4 @@
-// Parts laid over wholes, and configurations that are large.
+// Tests of partial configurations and of large ones.
 
 package fleetstate
 
@@ -12,7 +12,7 @@
 	"keelstair.example/failure"
 )
 
-// largeConfiguration is a configuration of n workers and n kinds.
+// largeConfiguration returns the JSON of a configuration with n+1 workers and n-1 kinds.
 func largeConfiguration(n int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"zones":["a","b"],"programs":{},"limits":{},"workers":{`)
@@ -35,8 +35,8 @@
 	return []byte(b.String())
 }
 
-// TestOverlayEqualsFullParse: a part laid over a checked whole comes to what checking all of it would
-// come to, the refusals included.
+// TestOverlayEqualsFullParse checks that Overlay gives the same result as a full parse of the merged
+// configuration, including the rejections.
 func TestOverlayEqualsFullParse(t *testing.T) {
 	_, complete, err := ParseComplete("w", largeConfiguration(20))
 	require.NoError(t, err)
@@ -47,26 +47,26 @@
 		`{kinds: {k1: null, k2: maxTokens: 9, fresh: {model: "m", maxTokens: 3}}}`,
 		`{zones: ["a", "b", "c"], switch: false}`,
 		`{programs: p: {share: 100, source: "x"}}`, `{limits: null}`, `{}`,
-		// refused
+		// rejected
 		`{workers: w3: room: 0}`,
 		`{workers: w3: zone: "z"}`, `{colour: 3}`, `{workers: null}`, `{kinds: k1: model: "other"}`, `{zones: ["b"]}`,
 		`{workers: bare: {}}`,
 		`{limits: queue: "x"}`,
 		`{programs: p: {share: 40, source: "x"}}`, `{switch: 3}`, `{zones: null}`, `{workers: 5}`,
 	} {
-		src, err := CUEToJSON("part", []byte(part))
+		partial, err := CUEToJSON("part", []byte(part))
 		require.NoError(t, err, part)
-		merged, err := Merge(complete, src)
+		merged, err := Merge(complete, partial)
 		require.NoError(t, err, part)
 		_, want, e1 := ParseComplete("part", merged)
-		_, got, e2 := Overlay("part", complete, src)
+		_, got, e2 := Overlay("part", complete, partial)
 		require.Equal(t, e1 == nil, e2 == nil, "%s: %v / %v", part, e1, e2)
 		require.Equal(t, string(want), string(got), part)
 	}
 }
 
-// TestEntryLimit: a configuration with too many entries is refused by its count, before the
-// schema is held against all of them; one just below it is taken.
+// TestEntryLimit checks that a configuration with too many entries is rejected by their number,
+// before all of them are validated against the schema, and that one at the limit is accepted.
 func TestEntryLimit(t *testing.T) {
 	_, complete, err := ParseComplete("w", largeConfiguration(maxEntries/2))
 	require.NoError(t, err)
@@ -77,7 +77,7 @@
 	require.True(t, failure.Is(err, failure.InvalidArgument))
 }
 
-// BenchmarkOverlay and BenchmarkParseComplete apply one small change to a large configuration.
+// BenchmarkOverlay applies one small change to a large configuration with Overlay.
 func BenchmarkOverlay(b *testing.B) {
 	_, complete, _ := ParseComplete("w", largeConfiguration(maxEntries/2))
 	for b.Loop() {
@@ -85,6 +85,7 @@
 	}
 }
 
+// BenchmarkParseComplete applies the same change as BenchmarkOverlay with a full parse.
 func BenchmarkParseComplete(b *testing.B) {
 	_, complete, _ := ParseComplete("w", largeConfiguration(maxEntries/2))
 	for b.Loop() {
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -147,7 +147,7 @@
 	})
 }
 
-// ProgramSetJSON returns a program set as JSON. The version without a text gives the empty set.
+// ProgramSetJSON returns a program set as JSON, or the empty set if the version has no text.
 func ProgramSetJSON(version VersionedText) json.RawMessage {
 	if len(version.Text) == 0 {
 		return json.RawMessage("{}")
--- a/internal/fleetstate/programs_test.go
+++ b/internal/fleetstate/programs_test.go
@@ -1,4 +1,4 @@
-// Program sets on the state and the view alone, and what one costs to compile.
+// Tests of program sets in the state and the view, and a benchmark of their compilation.
 
 package fleetstate
 
@@ -18,7 +18,7 @@
 	"keelstair.example/logging"
 )
 
-// programSetText is a set of so many programs, each filled up to a size.
+// programSetText returns the JSON of a set of programs, each padded to at least size bytes.
 func programSetText(count, size int) []byte {
 	p := map[string]Program{}
 	for i := range count {
@@ -32,9 +32,10 @@
 	return b
 }
 
-// TestProgramSetVersions: sets are a line of versions of their own: prepared over one another, put
-// in force once they are seen, apart from the configuration's; a copy made from a snapshot,
-// whole or open, has them.
+// TestProgramSetVersions checks that program sets have a version history of their own: each set is
+// prepared on top of another and committed once nodes have seen it, independently of the
+// configuration. A replica restored from a snapshot, be it complete or only of the published
+// state, has the same history.
 func TestProgramSetVersions(t *testing.T) {
 	m := NewMachine(MachineOptions{CommitTimeout: time.Second})
 	apply := func(seq ids.Seq, kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) error {
@@ -44,7 +45,7 @@
 	}
 	require.NoError(t, apply(1, PrepareProgramsKind, &PrepareVersion{Text: programSetText(1, 0)}))
 	require.NoError(t, apply(2, PrepareKind, &PrepareVersion{Text: []byte(`{}`), Next: 7}))
-	require.Error(t, apply(3, PrepareProgramsKind, &PrepareVersion{Text: programSetText(2, 0)}), "the loser of two")
+	require.Error(t, apply(3, PrepareProgramsKind, &PrepareVersion{Text: programSetText(2, 0)}), "only one of two concurrent sets is accepted")
 	require.Equal(t, []coordination.Command{{
 		Kind: CommitProgramsKind,
 		Body: coordination.MustMarshal(&CommitVersion{1}),
@@ -62,7 +63,7 @@
 		require.NoError(t, copied.Restore(m.Snapshot(open)))
 		require.Equal(t, m.programs, copied.programs)
 		require.Equal(t, m.Snapshot(open), copied.Snapshot(open))
-		require.Len(t, copied.Due(ids.Tick(1), 6, 6), 2, "the copy is due by itself")
+		require.Len(t, copied.Due(ids.Tick(1), 6, 6), 2, "the restored replica commits by itself")
 		v := NewView(logging.Discard())
 		v.Scores = &routing.Scores{}
 		require.NoError(t, v.Restore(copied.Snapshot(true)))
@@ -73,7 +74,7 @@
 	}
 }
 
-// BenchmarkCompileProgramSet compiles sets: the deployed one's size, and the largest that is taken.
+// BenchmarkCompileProgramSet compiles a set of the deployed size and the largest accepted set.
 func BenchmarkCompileProgramSet(b *testing.B) {
 	for _, c := range [][2]int{{3, 0}, {maxPrograms, maxSourceBytes/maxPrograms - 100}} {
 		text := compress(programSetText(c[0], c[1]))
@@ -81,9 +82,9 @@
 			"programs=%d,source=%dKB", c[0], len(strings.Join(programSourceTexts(text), ""))>>10,
 		), func(b *testing.B) {
 			b.ReportAllocs()
-			var was, is runtime.MemStats
+			var before, after runtime.MemStats
 			runtime.GC()
-			runtime.ReadMemStats(&was)
+			runtime.ReadMemStats(&before)
 			var set *routing.ProgramSet
 			for b.Loop() {
 				var err error
@@ -92,13 +93,14 @@
 				}
 			}
 			runtime.GC()
-			runtime.ReadMemStats(&is)
-			b.ReportMetric((float64(is.HeapAlloc)-float64(was.HeapAlloc))/1024, "keptKB")
+			runtime.ReadMemStats(&after)
+			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/1024, "keptKB")
 			runtime.KeepAlive(set)
 		})
 	}
 }
 
+// programSourceTexts returns the source texts of a compressed program set.
 func programSourceTexts(text []byte) []string {
 	p, _ := ParseJSON(decompress(text))
 	var out []string
--- a/internal/fleetstate/route_test.go
+++ b/internal/fleetstate/route_test.go
@@ -1,4 +1,4 @@
-// Routes and services: finding them, and what a configuration with them must hold.
+// Tests of routes and services: lookup, parsing and validation.
 
 package fleetstate
 
@@ -13,9 +13,9 @@
 	"keelstair.example/failure"
 )
 
-// TestRouteTableFind: the longest prefix that fits wins, whatever the order; the host counts without
-// its port and in any case; a path that only begins like a prefix without its slash, or
-// another host, finds nothing.
+// TestRouteTableFind checks that the longest matching prefix wins, whatever the order of the routes,
+// and that the host is compared without its port and case-insensitively. A path that matches a
+// prefix only without its trailing slash, or an unknown host, finds no route.
 func TestRouteTableFind(t *testing.T) {
 	table := NewTable(&Configuration{Routes: []Route{
 		{Name: "root", Host: "A.example", Prefix: "/"},
@@ -24,7 +24,7 @@
 		{Name: "only", Host: "b.example", Prefix: "/v1/"},
 		{Name: "six", Host: "::1", Prefix: "/"},
 	}})
-	for at, want := range map[[2]string]string{
+	for request, want := range map[[2]string]string{
 		{"a.example", "/"}:                    "root",
 		{"a.example", "/v1/chat"}:             "root",
 		{"a.example", "/v1/chat/"}:            "chat",
@@ -41,53 +41,54 @@
 		{"a.example", ""}:                     "",
 		{"[::1]:90", "/x"}:                    "six",
 	} {
-		got := table.Find(at[0], at[1])
+		got := table.Find(request[0], request[1])
 		if want == "" {
-			require.Nil(t, got, "%v", at)
+			require.Nil(t, got, "%v", request)
 			continue
 		}
-		require.NotNil(t, got, "%v", at)
-		require.Equal(t, want, got.Name, "%v", at)
+		require.NotNil(t, got, "%v", request)
+		require.Equal(t, want, got.Name, "%v", request)
 	}
 	require.Nil(t, NewTable(&Configuration{}).Find("a.example", "/"))
 }
 
-// TestRoutePick: requests fall to services by their weights, each id always to the same one, and
-// none to a weight of 0; without a split the route's own service has all.
+// TestRoutePick checks that requests are split over services by weight, that an id is always assigned
+// to the same service, and that a weight of 0 receives none. Without a split, or with only weights
+// of 0, the route's own service receives all requests.
 func TestRoutePick(t *testing.T) {
 	r := &Route{Service: "x", Split: []Share{{"a", 6}, {"none", 0}, {"b", 3}, {"c", 1}}}
-	count := map[string]int{}
+	counts := map[string]int{}
 	for i := range 20000 {
 		id := fmt.Sprint("try-", i)
-		to := r.Pick(id)
-		require.Equal(t, to, r.Pick(id))
-		count[to]++
+		service := r.Pick(id)
+		require.Equal(t, service, r.Pick(id))
+		counts[service]++
 	}
-	require.InDelta(t, 12000, count["a"], 600)
-	require.InDelta(t, 6000, count["b"], 500)
-	require.InDelta(t, 2000, count["c"], 300)
-	require.Len(t, count, 3)
-	for _, plain := range []*Route{{Service: "x"}, {Service: "x", Split: []Share{{"a", 0}}}} {
-		require.Equal(t, "x", plain.Pick("try"))
+	require.InDelta(t, 12000, counts["a"], 600)
+	require.InDelta(t, 6000, counts["b"], 500)
+	require.InDelta(t, 2000, counts["c"], 300)
+	require.Len(t, counts, 3)
+	for _, unsplit := range []*Route{{Service: "x"}, {Service: "x", Split: []Share{{"a", 0}}}} {
+		require.Equal(t, "x", unsplit.Pick("try"))
 	}
 }
 
-// TestRouteRetryAndTimes: only what is repeatable, or a stream that may go on elsewhere, may run
-// again; times are in milliseconds.
+// TestRouteRetryAndTimes checks that only an idempotent request or a resumable stream may be retried,
+// and that times are in milliseconds.
 func TestRouteRetryAndTimes(t *testing.T) {
 	require.False(t, (&Route{}).MayRetry())
 	require.False(t, (&Route{Stream: true}).MayRetry())
-	require.False(t, (&Route{Resumable: true}).MayRetry(), "no stream")
+	require.False(t, (&Route{Resumable: true}).MayRetry(), "not a stream")
 	require.True(t, (&Route{Idempotent: true}).MayRetry())
 	require.True(t, (&Route{Stream: true, Resumable: true}).MayRetry())
 	require.Equal(t, 1500*time.Millisecond, (&Route{DeadlineMs: 1500}).Deadline())
 	require.Equal(t, 20*time.Millisecond, (&Route{LatencyTargetMs: 20}).LatencyTarget())
 }
 
-// TestCheckRoutes: a configuration with sound routes passes; each fault alone is refused, by the
-// route's name and its cause.
+// TestCheckRoutes checks that a configuration with valid routes is accepted and that each single
+// fault is rejected with the route's name and the cause.
 func TestCheckRoutes(t *testing.T) {
-	sound := func() *Configuration {
+	validConfiguration := func() *Configuration {
 		return &Configuration{Services: map[string]Service{"s": {Name: "s"}, "t": {Name: "t"}}, Routes: []Route{
 			{Name: "one", Host: "a.example", Prefix: "/", Service: "s", DeadlineMs: 5},
 			{
@@ -100,9 +101,9 @@
 			},
 		}}
 	}
-	require.NoError(t, sound().CheckRoutes())
+	require.NoError(t, validConfiguration().CheckRoutes())
 	require.NoError(t, (&Configuration{}).CheckRoutes())
-	for says, f := range map[string]func(r *Route){
+	for message, change := range map[string]func(r *Route){
 		`unknown service "gone"`:                 func(r *Route) { r.Split = []Share{{"gone", 1}} },
 		`a weight is below 0`:                    func(r *Route) { r.Split = []Share{{"s", 3}, {"t", -1}} },
 		`name is missing or stands twice`:        func(r *Route) { r.Name = "one" },
@@ -119,15 +120,15 @@
 		`routes.two: deadlineMs must be above 0`: func(r *Route) { r.DeadlineMs = -3 },
 		`tries is below 0`:                       func(r *Route) { r.MaxAttempts = -1 },
 	} {
-		p := sound()
-		f(&p.Routes[1])
+		p := validConfiguration()
+		change(&p.Routes[1])
 		err := p.CheckRoutes()
-		require.ErrorContains(t, err, says)
-		require.True(t, failure.Is(err, failure.InvalidArgument), says)
+		require.ErrorContains(t, err, message)
+		require.True(t, failure.Is(err, failure.InvalidArgument), message)
 	}
-	same := sound()
-	same.Routes[1].Host, same.Routes[1].Prefix = "b.example", "/"
-	require.NoError(t, same.CheckRoutes(), "another host may have the same prefix")
+	samePrefix := validConfiguration()
+	samePrefix.Routes[1].Host, samePrefix.Routes[1].Prefix = "b.example", "/"
+	require.NoError(t, samePrefix.CheckRoutes(), "another host may have the same prefix")
 }
 
 const configurationWithRoutes = `{
@@ -141,14 +142,15 @@
 	intake: {}
 }`
 
-// TestParseRoutes: a CUE configuration with routes and services is filled with the defaults, reads
-// back as itself, and keeps what was said; a configuration without them stays without.
+// TestParseRoutes checks that the defaults are filled into a CUE configuration with routes and
+// services, that its given values are kept, and that it survives a round trip through JSON. A
+// configuration without routes and services does not get the fields.
 func TestParseRoutes(t *testing.T) {
 	p, text, err := ParseComplete("r.cue", []byte(configurationWithRoutes))
 	require.NoError(t, err)
 	one, two := p.Routes[0], p.Routes[1]
 	require.Equal(t, 1, one.MaxAttempts)
-	require.Equal(t, 4000, one.LatencyTargetMs, "the deadline")
+	require.Equal(t, 4000, one.LatencyTargetMs, "defaults to the deadline")
 	require.Equal(t, 5, one.Urgency)
 	require.False(t, one.Stream || one.Idempotent || one.Resumable || one.Disaggregated)
 	require.Equal(t, Route{
@@ -165,7 +167,7 @@
 		TokenIntervalMs: 40,
 		Urgency:         8,
 	}, two)
-	require.Equal(t, "s", p.Services["s"].Name, "named by its key")
+	require.Equal(t, "s", p.Services["s"].Name, "the name is taken from the key")
 	require.Equal(t, 2.5, p.Services["t"].SlowStartRate)
 	require.Equal(t, []string{"m"}, p.Services["t"].Models)
 	require.Equal(t, ClientLimits{
@@ -178,26 +180,26 @@
 	require.NoError(t, err)
 	require.JSONEq(t, string(text), string(second))
 	require.Equal(t, NewTable(p).Find("a.example", "/v1/x").Name, NewTable(again).Find("a.example", "/v1/x").Name)
-	read, err := ParseJSON(text)
+	decoded, err := ParseJSON(text)
 	require.NoError(t, err)
-	require.NoError(t, read.CheckRoutes())
-	require.Equal(t, two, read.Routes[1])
+	require.NoError(t, decoded.CheckRoutes())
+	require.Equal(t, two, decoded.Routes[1])
 
-	bare, text, err := ParseComplete("s.cue", []byte(small))
+	withoutRoutes, text, err := ParseComplete("s.cue", []byte(small))
 	require.NoError(t, err)
-	require.Empty(t, bare.Routes)
+	require.Empty(t, withoutRoutes.Routes)
 	var fields map[string]any
 	require.NoError(t, json.Unmarshal(text, &fields))
 	require.NotContains(t, fields, "routes")
 	require.NotContains(t, fields, "services")
 }
 
-// TestParseRejectsInvalidRoutes: what the schema or the check over routes forbids is refused, with the
-// field in the error.
+// TestParseRejectsInvalidRoutes checks that violations of the schema and of the constraints between
+// routes and services are rejected with the field in the error.
 func TestParseRejectsInvalidRoutes(t *testing.T) {
 	_, complete, err := ParseComplete("r.cue", []byte(configurationWithRoutes))
 	require.NoError(t, err)
-	for part, says := range map[string]string{
+	for part, message := range map[string]string{
 		`{routes: [{name: "x", host: "h", prefix: "v1/", service: "s", deadlineMs: 5}]}`:                      "prefix",
 		`{routes: [{name: "x", host: "h", prefix: "/v1", service: "s", deadlineMs: 5}]}`:                      "prefix",
 		`{routes: [{name: "", host: "h", prefix: "/", service: "s", deadlineMs: 5}]}`:                         "name",
@@ -223,14 +225,14 @@
 		merged, err := Merge(complete, b)
 		require.NoError(t, err)
 		_, _, err = ParseComplete("part.cue", merged)
-		require.ErrorContains(t, err, says, part)
+		require.ErrorContains(t, err, message, part)
 		require.True(t, failure.Is(err, failure.InvalidArgument), part)
 	}
 }
 
-// TestOverlayRoutesEqualsFullParse: a part laid over a checked whole comes to the same as checking it all,
-// also where it touches routes, services or the intake: no change is lost in silence, and
-// none that is refused over all is taken.
+// TestOverlayRoutesEqualsFullParse checks that Overlay gives the same result as a full parse, also for
+// changes of routes, services or client limits: no change is silently lost, and none that a full
+// parse rejects is accepted.
 func TestOverlayRoutesEqualsFullParse(t *testing.T) {
 	_, complete, err := ParseComplete("r.cue", []byte(configurationWithRoutes))
 	require.NoError(t, err)
@@ -240,17 +242,17 @@
 		`{routes: [{name: "x", host: "h", prefix: "/", service: "t", deadlineMs: 5}]}`,
 		`{routes: []}`, `{routes: [], services: t: null}`,
 		`{workers: p: {part: "prefill", model: "m", weights: "w", room: 9, zone: "a"}}`,
-		// refused
+		// rejected
 		`{services: t: null}`,
 		`{routes: [{name: "x", host: "h", prefix: "/", split: [{service: "s", weight: 0}], deadlineMs: 5}]}`,
 		`{routes: [{name: "x", host: "h", prefix: "/", service: "gone", deadlineMs: 5}]}`, `{intake: bodyBytes: 0}`,
 	} {
-		src, err := CUEToJSON("part", []byte(part))
+		partial, err := CUEToJSON("part", []byte(part))
 		require.NoError(t, err, part)
-		merged, err := Merge(complete, src)
+		merged, err := Merge(complete, partial)
 		require.NoError(t, err, part)
 		_, want, e1 := ParseComplete("part", merged)
-		_, got, e2 := Overlay("part", complete, src)
+		_, got, e2 := Overlay("part", complete, partial)
 		require.Equal(t, e1 == nil, e2 == nil, "%s: %v / %v", part, e1, e2)
 		require.Equal(t, string(want), string(got), part)
 	}
--- a/internal/fleetstate/tenants_test.go
+++ b/internal/fleetstate/tenants_test.go
@@ -1,4 +1,4 @@
-// Tenants and their keys.
+// Tests of tenants and their keys.
 
 package fleetstate
 
@@ -11,7 +11,7 @@
 	"keelstair.example/logging"
 )
 
-// configurationWithTenants is a configuration of two tenants.
+// configurationWithTenants returns a configuration with two tenants.
 func configurationWithTenants() *Configuration {
 	urgency := 2
 	return &Configuration{Tenants: []Tenant{
@@ -20,11 +20,12 @@
 	}}
 }
 
-// TestCheckTenants: each fault alone is refused by the field that has it, and no key is shown.
+// TestCheckTenants checks that each fault is rejected with the name of its field and that no error
+// contains a key.
 func TestCheckTenants(t *testing.T) {
 	require.NoError(t, configurationWithTenants().CheckTenants())
 	require.NoError(t, (&Configuration{}).CheckTenants())
-	for says, change := range map[string]func(p *Configuration){
+	for message, change := range map[string]func(p *Configuration){
 		`tenants.birch.keys[1]: it is also a key of tenant "amber"`: func(p *Configuration) {
 			p.Tenants[1].Keys = append(p.Tenants[1].Keys, "key-a2")
 		},
@@ -36,17 +37,18 @@
 		p := configurationWithTenants()
 		change(p)
 		err := p.CheckTenants()
-		require.ErrorContains(t, err, says)
-		require.True(t, failure.Is(err, failure.InvalidArgument), says)
-		require.NotContains(t, err.Error(), "key-a", "no key is shown")
+		require.ErrorContains(t, err, message)
+		require.True(t, failure.Is(err, failure.InvalidArgument), message)
+		require.NotContains(t, err.Error(), "key-a", "the error contains no key")
 	}
 	repeated := configurationWithTenants()
 	repeated.Tenants[0].Keys = append(repeated.Tenants[0].Keys, "key-a1")
-	require.NoError(t, repeated.CheckTenants(), "whose key it is stays plain")
+	require.NoError(t, repeated.CheckTenants(), "a key may be listed twice for the same tenant")
 }
 
-// TestKeyIndex: a key finds its tenant, all else finds nobody; a list of tenants that has become
-// empty admits nobody, and a configuration without one asks for no key.
+// TestKeyIndex checks that a key finds its tenant and that any other string finds none. It also
+// checks that an empty list of tenants admits no request, and that a configuration without a list
+// requires no key.
 func TestKeyIndex(t *testing.T) {
 	index := NewKeyIndex(configurationWithTenants())
 	require.True(t, index.KeyRequired())
@@ -66,7 +68,8 @@
 	require.Nil(t, none.Find("key-a1"))
 }
 
-// TestKeyIndexKeepsNoKeys: what is indexed is the keyed hash, so a dump of it shows no key.
+// TestKeyIndexKeepsNoKeys checks that the index stores keyed hashes, so that a memory dump of it
+// contains no key.
 func TestKeyIndexKeepsNoKeys(t *testing.T) {
 	require.NotEqual(t, digestKey("key-a1"), digestKey("key-a2"))
 	require.Equal(t, digestKey("key-a1"), digestKey("key-a1"))
@@ -74,8 +77,8 @@
 	require.NotEqual(t, make([]byte, len(keyDigest{})), digestSecret())
 }
 
-// TestSnapshotReusesKeyIndex: a snapshot has the index of its configuration, and one that follows with
-// the same tenants has the same index.
+// TestSnapshotReusesKeyIndex checks that a snapshot has the index of its configuration and that the
+// next snapshot shares the index if the tenants are unchanged.
 func TestSnapshotReusesKeyIndex(t *testing.T) {
 	view := NewView(logging.Discard())
 	require.False(t, view.Current().TenantKeys.KeyRequired())
@@ -90,10 +93,10 @@
 	first := next(func(*Configuration) {})
 	require.Equal(t, "birch", first.Find("key-b1").Name)
 	require.Same(t, first, next(func(p *Configuration) { p.Routes = []Route{{Name: "one"}} }))
-	urgent := 0
+	highestUrgency := 0
 	for name, change := range map[string]func(p *Configuration){
 		"key":     func(p *Configuration) { p.Tenants[1].Keys[0] = "key-b2" },
-		"urgency": func(p *Configuration) { p.Tenants[0].Urgency = &urgent },
+		"urgency": func(p *Configuration) { p.Tenants[0].Urgency = &highestUrgency },
 		"name":    func(p *Configuration) { p.Tenants[1].Name = "cedar" },
 		"empty":   func(p *Configuration) { p.Tenants = []Tenant{} },
 		"none":    func(p *Configuration) { p.Tenants = nil },
@@ -104,30 +107,31 @@
 	}
 }
 
-// TestParseTenants: tenants are read from CUE, checked, and read back as they were, an emptied
-// list too; a part that changes them is checked like a whole.
+// TestParseTenants checks that tenants are parsed from CUE, validated, and preserved by a round trip
+// through JSON, an empty list included, and that a partial configuration that changes them is
+// validated like a complete one.
 func TestParseTenants(t *testing.T) {
 	text := func(tenants string) []byte {
 		return []byte(`{zones: ["a"], workers: {}, kinds: {}, programs: {}, limits: {}, services: {s: {}}
 			routes: [{name: "one", host: "a.example", prefix: "/", service: "s", deadlineMs: 4000, public: true}]
 			` + tenants + `}`)
 	}
-	p, whole, err := ParseComplete("t.cue", text(`tenants: [{name: "amber", keys: ["k1"], urgency: 0}, {name: "birch"}]`))
+	p, complete, err := ParseComplete("t.cue", text(`tenants: [{name: "amber", keys: ["k1"], urgency: 0}, {name: "birch"}]`))
 	require.NoError(t, err)
 	require.True(t, p.Routes[0].Public)
-	again, err := ParseJSON(whole)
+	again, err := ParseJSON(complete)
 	require.NoError(t, err)
 	require.Equal(t, p.Tenants[0], again.Tenants[0])
 	require.Equal(t, 0, *again.Tenants[0].Urgency)
 	require.Nil(t, again.Tenants[1].Urgency)
-	_, _, err = Overlay("part.json", whole, []byte(`{"tenants":[{"name":"amber","keys":["k1"]},{"name":"birch","keys":["k1"]}]}`))
+	_, _, err = Overlay("part.json", complete, []byte(`{"tenants":[{"name":"amber","keys":["k1"]},{"name":"birch","keys":["k1"]}]}`))
 	require.ErrorContains(t, err, "tenants.birch.keys[0]")
-	_, emptied, err := Overlay("part.json", whole, []byte(`{"tenants":[]}`))
+	_, emptied, err := Overlay("part.json", complete, []byte(`{"tenants":[]}`))
 	require.NoError(t, err)
 	again, err = ParseJSON(emptied)
 	require.NoError(t, err)
 	require.True(t, NewKeyIndex(again).KeyRequired())
-	bare, _, err := ParseComplete("t.cue", text(""))
+	withoutTenants, _, err := ParseComplete("t.cue", text(""))
 	require.NoError(t, err)
-	require.Nil(t, bare.Tenants)
+	require.Nil(t, withoutTenants.Tenants)
 }
--- a/internal/fleetstate/zones_test.go
+++ b/internal/fleetstate/zones_test.go
@@ -1,4 +1,4 @@
-// What is told of zones that were taken back.
+// Tests of the failback time of zones.
 
 package fleetstate
 
@@ -12,13 +12,13 @@
 	"keelstair.example/ids"
 )
 
-// TestFailbackAge: a copy that leads tells for how long a zone has been back; one that takes
-// over, or that was given the snapshot, begins from what it was told, never later. When the
-// longest time of all services went by the zone is no longer told of. A second return has
-// another number.
+// TestFailbackAge checks the reported time since a zone's failback. The leader reports it. A replica
+// that takes over, or that restored a snapshot, continues from the time that it knows, so that the
+// reported time is never too long. After the longest slow start of all services the failback is no
+// longer reported. A second failback has another number.
 func TestFailbackAge(t *testing.T) {
 	text := []byte(`{"services":{"a":{"name":"a","warmMs":2000},"b":{"name":"b","warmMs":6000}}}`)
-	fresh := func() *Machine { return NewMachine(MachineOptions{}) }
+	newMachine := func() *Machine { return NewMachine(MachineOptions{}) }
 	seq := ids.Seq(0)
 	do := func(kind string, body []byte, ms ...*Machine) {
 		t.Helper()
@@ -28,51 +28,51 @@
 			require.NoError(t, err)
 		}
 	}
-	vacate := func(out bool, ms ...*Machine) {
-		do(EvacuateKind, coordination.MustMarshal(&Evacuate{Zone: "z", Evacuated: out}), ms...)
+	evacuate := func(evacuated bool, ms ...*Machine) {
+		do(EvacuateKind, coordination.MustMarshal(&Evacuate{Zone: "z", Evacuated: evacuated}), ms...)
 	}
-	tells := func(m *Machine) Failback {
+	reported := func(m *Machine) Failback {
 		t.Helper()
 		v := NewView(nil)
 		require.NoError(t, v.Restore(m.Snapshot(true)))
 		return v.Current().Failbacks["z"]
 	}
-	lead, backup := fresh(), fresh()
-	do(PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: text}), lead, backup)
-	do(CommitKind, coordination.MustMarshal(&CommitVersion{1}), lead, backup)
-	vacate(true, lead, backup)
-	require.Zero(t, tells(lead))
-	vacate(false, lead, backup)
+	leader, backup := newMachine(), newMachine()
+	do(PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: text}), leader, backup)
+	do(CommitKind, coordination.MustMarshal(&CommitVersion{1}), leader, backup)
+	evacuate(true, leader, backup)
+	require.Zero(t, reported(leader))
+	evacuate(false, leader, backup)
 	at := func(s float64) ids.Tick { return ids.Tick(s * float64(time.Second)) }
-	require.Empty(t, lead.Due(at(100), seq, seq))
-	require.Equal(t, Failback{"z", 1, 0}, tells(lead))
-	require.Empty(t, lead.Due(at(103), seq, seq))
-	require.Equal(t, Failback{"z", 1, int64(3 * time.Second)}, tells(lead))
+	require.Empty(t, leader.Due(at(100), seq, seq))
+	require.Equal(t, Failback{"z", 1, 0}, reported(leader))
+	require.Empty(t, leader.Due(at(103), seq, seq))
+	require.Equal(t, Failback{"z", 1, int64(3 * time.Second)}, reported(leader))
 
-	require.Equal(t, Failback{"z", 1, 0}, tells(backup), "it has not led")
+	require.Equal(t, Failback{"z", 1, 0}, reported(backup), "the backup has not led yet")
 	require.Empty(t, backup.Due(at(7), seq, seq))
 	require.Empty(t, backup.Due(at(9), seq, seq))
-	require.Equal(t, int64(2*time.Second), tells(backup).Ago, "from its own start on")
-	given := fresh()
-	require.NoError(t, given.Restore(lead.Snapshot(false)))
-	require.Empty(t, given.Due(at(50), seq, seq))
-	require.Empty(t, given.Due(at(51), seq, seq))
-	require.Equal(t, int64(4*time.Second), tells(given).Ago, "from what it was told on")
+	require.Equal(t, int64(2*time.Second), reported(backup).Ago, "measured from its own start")
+	restored := newMachine()
+	require.NoError(t, restored.Restore(leader.Snapshot(false)))
+	require.Empty(t, restored.Due(at(50), seq, seq))
+	require.Empty(t, restored.Due(at(51), seq, seq))
+	require.Equal(t, int64(4*time.Second), reported(restored).Ago, "measured from the restored time")
 
-	due := lead.Due(at(107.1), seq, seq)
+	due := leader.Due(at(107.1), seq, seq)
 	require.Len(t, due, 1)
 	require.Equal(t, SlowStartEndedKind, due[0].Kind)
-	vacate(true, lead, backup)
-	vacate(false, lead, backup)
+	evacuate(true, leader, backup)
+	evacuate(false, leader, backup)
 	require.Equal(t, coordination.ErrUnchanged, func() error {
-		_, err := lead.Apply(seq+1, due[0].Kind, due[0].Body)
+		_, err := leader.Apply(seq+1, due[0].Kind, due[0].Body)
 		return err
-	}(), "it speaks of an earlier time")
-	require.Empty(t, lead.Due(at(108), seq, seq))
-	require.Equal(t, Failback{"z", 2, 0}, tells(lead))
-	due = lead.Due(at(115.1), seq, seq)
-	do(due[0].Kind, due[0].Body, lead, backup)
-	require.Zero(t, tells(lead))
-	require.Zero(t, tells(backup))
-	require.Empty(t, lead.Due(at(116), seq, seq))
+	}(), "the command refers to an earlier failback")
+	require.Empty(t, leader.Due(at(108), seq, seq))
+	require.Equal(t, Failback{"z", 2, 0}, reported(leader))
+	due = leader.Due(at(115.1), seq, seq)
+	do(due[0].Kind, due[0].Body, leader, backup)
+	require.Zero(t, reported(leader))
+	require.Zero(t, reported(backup))
+	require.Empty(t, leader.Due(at(116), seq, seq))
 }
