--- a/internal/fleetstate/aged_keys_test.go
+++ b/internal/fleetstate/aged_keys_test.go
@@ -1,4 +1,4 @@
-// Old idempotency records: what is forgotten of them is never that they were.
+// Tests of the compact storage of old idempotency records.
 
 package fleetstate
 
@@ -12,7 +12,7 @@
 	"keelstair.example/failure"
 )
 
-func claim(t testing.TB, s *State, key, digest string) (ClaimReply, error) {
+func applyClaim(t testing.TB, s *State, key, digest string) (ClaimReply, error) {
 	out, err := s.Apply(ClaimKind, coordination.MustMarshal(&Claim{Key: key, Owner: "n1", Digest: digest}))
 	var got ClaimReply
 	if out != nil {
@@ -22,28 +22,28 @@
 	return got, err
 }
 
-// TestAgedKeys: a key that was claimed once is never fresh again, however many came
-// after it, on the copy that wrote it and on one made from a snapshot; both seal
-// the same leaves.
+// TestAgedKeys checks that a key that was claimed once is never fresh again, however many keys
+// follow it, both on the replica that stored it and on one restored from a snapshot, and that both
+// replicas seal identical chunks.
 func TestAgedKeys(t *testing.T) {
-	m := NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
+	m := NewMachine(MachineOptions{Retention: Retention{FullRecords: 4, ChunkEntries: 8}})
 	key := func(i int) string { return fmt.Sprintf("verdict/%d", i) }
-	fate := []string{Done, NotRun, MayHaveRun}
-	copied := NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
+	outcomes := []string{Done, NotRun, MayHaveRun}
+	copied := NewMachine(MachineOptions{Retention: Retention{FullRecords: 4, ChunkEntries: 8}})
 	for i := range 100 {
-		for _, x := range []*Machine{m, copied} {
-			got, err := claim(t, x.State, key(i), fmt.Sprint("body", i))
+		for _, machine := range []*Machine{m, copied} {
+			got, err := applyClaim(t, machine.State, key(i), fmt.Sprint("body", i))
 			require.NoError(t, err)
 			require.True(t, got.Fresh)
-			require.NoError(t, do(t, x.State, ResolveKind, &Resolve{
+			require.NoError(t, do(t, machine.State, ResolveKind, &Resolve{
 				Key:     key(i),
 				Owner:   "n1",
-				Outcome: fate[i%3],
+				Outcome: outcomes[i%3],
 				Answer:  []byte("answer"),
 			}))
 		}
 		if i == 50 {
-			copied = NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
+			copied = NewMachine(MachineOptions{Retention: Retention{FullRecords: 4, ChunkEntries: 8}})
 			copied.RestoreChunks(m.Chunks())
 			require.NoError(t, copied.Restore(m.Snapshot(false)))
 		}
@@ -52,39 +52,39 @@
 	require.Len(t, m.Chunks(), 12)
 	require.Equal(t, m.Snapshot(false), copied.Snapshot(false))
 	for i := range 100 {
-		got, err := claim(t, copied.State, key(i), fmt.Sprint("body", i))
+		got, err := applyClaim(t, copied.State, key(i), fmt.Sprint("body", i))
 		require.ErrorIs(t, err, coordination.ErrUnchanged)
 		require.False(t, got.Fresh)
-		require.Equal(t, fate[i%3], got.Record.Outcome)
+		require.Equal(t, outcomes[i%3], got.Record.Outcome)
 		require.Equal(t, fmt.Sprint("body", i), got.Record.Digest)
 		require.Equal(t, i < 96, got.Record.Aged)
-		got, err = claim(t, copied.State, key(i), "another body")
+		got, err = applyClaim(t, copied.State, key(i), "another body")
 		require.ErrorIs(t, err, coordination.ErrUnchanged)
-		require.NotEqual(t, "another body", got.Record.Digest, "the key stands for another request")
+		require.NotEqual(t, "another body", got.Record.Digest, "the key belongs to another request")
 	}
-	_, ok := copied.aged.find("verdict/never", "x")
+	_, ok := copied.aged.lookup("verdict/never", "x")
 	require.False(t, ok)
 }
 
-// TestFullStore: a full store refuses fresh keys, and still knows the old ones.
-func TestFullStore(t *testing.T) {
-	s := newState(false, Retention{Full: 2, ChunkRows: 4})
+// TestFullStoreRejectsNewKeys checks that a full store rejects new keys and still finds the old ones.
+func TestFullStoreRejectsNewKeys(t *testing.T) {
+	s := newState(false, Retention{FullRecords: 2, ChunkEntries: 4})
 	s.maxRecords = 10
 	for i := range 10 {
-		_, err := claim(t, s, fmt.Sprint(i), "b")
+		_, err := applyClaim(t, s, fmt.Sprint(i), "b")
 		require.NoError(t, err)
 		require.NoError(t, do(t, s, ResolveKind, &Resolve{Key: fmt.Sprint(i), Owner: "n1", Outcome: Done}))
 	}
-	_, err := claim(t, s, "new", "b")
+	_, err := applyClaim(t, s, "new", "b")
 	require.True(t, failure.Is(err, failure.Stale))
 	require.ErrorContains(t, err, "full")
-	got, err := claim(t, s, "0", "b")
+	got, err := applyClaim(t, s, "0", "b")
 	require.ErrorIs(t, err, coordination.ErrUnchanged)
 	require.Equal(t, Done, got.Record.Outcome)
 }
 
-// full makes a state of so many idempotency records.
-func full(n int) *Machine {
+// machineWithRecords returns a machine with n resolved idempotency records.
+func machineWithRecords(n int) *Machine {
 	m := NewMachine(MachineOptions{})
 	for i := range n {
 		d := IdempotencyRecord{
@@ -103,10 +103,10 @@
 
 const million = 1_000_000
 
-// BenchmarkSnapshot makes and restores a snapshot over five million idempotency records; MB/s is
-// of the snapshot alone, whose size is given too.
+// BenchmarkSnapshot encodes and restores a snapshot of five million idempotency records. It reports
+// the size of the snapshot as picture-MB and that of the sealed chunks as sheets-MB.
 func BenchmarkSnapshot(b *testing.B) {
-	m := full(5 * million)
+	m := machineWithRecords(5 * million)
 	for b.Loop() {
 		body := m.Snapshot(false)
 		next := NewMachine(MachineOptions{})
@@ -115,15 +115,15 @@
 			b.Fatal(err)
 		}
 		b.ReportMetric(float64(len(body))/1e6, "picture-MB")
-		b.ReportMetric(float64(len(m.Chunks())*m.aged.ChunkRows*rowSize)/1e6, "sheets-MB")
+		b.ReportMetric(float64(len(m.Chunks())*m.aged.ChunkEntries*entrySize)/1e6, "sheets-MB")
 	}
 }
 
-// BenchmarkFresh looks for a key that was never claimed among five million.
-func BenchmarkFresh(b *testing.B) {
-	m := full(5 * million)
+// BenchmarkAgedKeyMiss looks up a key that was never claimed among five million claimed ones.
+func BenchmarkAgedKeyMiss(b *testing.B) {
+	m := machineWithRecords(5 * million)
 	for i := 0; b.Loop(); i++ {
-		if _, ok := m.aged.find(fmt.Sprintf("ruling/%d", i), ""); ok {
+		if _, ok := m.aged.lookup(fmt.Sprintf("ruling/%d", i), ""); ok {
 			b.Fatal("found")
 		}
 	}
--- a/internal/fleetstate/overlay_test.go
+++ b/internal/fleetstate/overlay_test.go
@@ -1,4 +1,4 @@
-// Parts laid over wholes, and configurations that are large.
+// Tests of partial configurations and of large ones.
 
 package fleetstate
 
@@ -12,8 +12,8 @@
 	"keelstair.example/failure"
 )
 
-// big is a configuration of n workers and n kinds.
-func big(n int) []byte {
+// largeConfiguration returns the JSON of a configuration with n+1 workers and n-1 kinds.
+func largeConfiguration(n int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"zones":["a","b"],"programs":{},"limits":{},"workers":{`)
 	for i := range n {
@@ -35,10 +35,10 @@
 	return []byte(b.String())
 }
 
-// TestOver: a part laid over a checked whole comes to what checking all of it would
-// come to, the refusals included.
-func TestOver(t *testing.T) {
-	_, complete, err := ParseComplete("w", big(20))
+// TestOverlayEqualsFullParse checks that Overlay gives the same result as a full parse of the merged
+// configuration, including the rejections.
+func TestOverlayEqualsFullParse(t *testing.T) {
+	_, complete, err := ParseComplete("w", largeConfiguration(20))
 	require.NoError(t, err)
 	for _, part := range []string{
 		`{limits: queue: 9}`,
@@ -47,46 +47,47 @@
 		`{kinds: {k1: null, k2: maxTokens: 9, fresh: {model: "m", maxTokens: 3}}}`,
 		`{zones: ["a", "b", "c"], switch: false}`,
 		`{programs: p: {share: 100, source: "x"}}`, `{limits: null}`, `{}`,
-		// refused
+		// rejected
 		`{workers: w3: room: 0}`,
 		`{workers: w3: zone: "z"}`, `{colour: 3}`, `{workers: null}`, `{kinds: k1: model: "other"}`, `{zones: ["b"]}`,
 		`{workers: bare: {}}`,
 		`{limits: queue: "x"}`,
 		`{programs: p: {share: 40, source: "x"}}`, `{switch: 3}`, `{zones: null}`, `{workers: 5}`,
 	} {
-		src, err := Source("part", []byte(part))
+		partial, err := CUEToJSON("part", []byte(part))
 		require.NoError(t, err, part)
-		merged, err := Merge(complete, src)
+		merged, err := Merge(complete, partial)
 		require.NoError(t, err, part)
 		_, want, e1 := ParseComplete("part", merged)
-		_, got, e2 := Overlay("part", complete, src)
+		_, got, e2 := Overlay("part", complete, partial)
 		require.Equal(t, e1 == nil, e2 == nil, "%s: %v / %v", part, e1, e2)
 		require.Equal(t, string(want), string(got), part)
 	}
 }
 
-// TestTooLarge: a configuration with too many entries is refused by its count, before the
-// schema is held against all of them; one just below it is taken.
-func TestTooLarge(t *testing.T) {
-	_, complete, err := ParseComplete("w", big(maxEntries/2))
+// TestEntryLimit checks that a configuration with too many entries is rejected by their number,
+// before all of them are validated against the schema, and that one at the limit is accepted.
+func TestEntryLimit(t *testing.T) {
+	_, complete, err := ParseComplete("w", largeConfiguration(maxEntries/2))
 	require.NoError(t, err)
 	_, _, err = Overlay("part", complete, []byte(`{"kinds":{"one-more":{"model":"m","maxTokens":3}}}`))
 	require.ErrorContains(t, err, "3001 entries")
-	_, err = Source("huge", big(20000))
+	_, err = CUEToJSON("huge", largeConfiguration(20000))
 	require.ErrorContains(t, err, "over 3000 entries")
 	require.True(t, failure.Is(err, failure.InvalidArgument))
 }
 
-// BenchmarkOver and BenchmarkParseComplete apply one small change to a large configuration.
-func BenchmarkOver(b *testing.B) {
-	_, complete, _ := ParseComplete("w", big(maxEntries/2))
+// BenchmarkOverlay applies one small change to a large configuration with Overlay.
+func BenchmarkOverlay(b *testing.B) {
+	_, complete, _ := ParseComplete("w", largeConfiguration(maxEntries/2))
 	for b.Loop() {
 		Overlay("part", complete, []byte(`{"limits":{"queue":9}}`))
 	}
 }
 
+// BenchmarkParseComplete applies the same change as BenchmarkOverlay with a full parse.
 func BenchmarkParseComplete(b *testing.B) {
-	_, complete, _ := ParseComplete("w", big(maxEntries/2))
+	_, complete, _ := ParseComplete("w", largeConfiguration(maxEntries/2))
 	for b.Loop() {
 		merged, _ := Merge(complete, []byte(`{"limits":{"queue":9}}`))
 		ParseComplete("part", merged)
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -1,7 +1,7 @@
-// Program sets: routing programs with their shares, apart from the configuration, for
-// fleets whose operators' document has none. A set is a configuration of the product's own in
-// which nothing but programs and what bounds them is given; it comes over the same log,
-// is prepared, compiled and put in force as the configuration is.
+// Program sets: routing programs with their traffic shares, versioned separately from the
+// configuration, for fleets whose operators' document cannot contain programs. A set is a
+// Configuration in which only the programs and their limits are given. It is sent over the same
+// log, and is prepared, compiled and committed in the same way as the configuration.
 
 package fleetstate
 
@@ -19,30 +19,30 @@
 	"keelstair.example/rpc"
 )
 
-type preparePrograms struct{ PrepareVersion }
+type prepareProgramsCommand struct{ PrepareVersion }
 
-func (c *preparePrograms) apply(s *State) (msgp.Marshaler, error) {
+func (c *prepareProgramsCommand) apply(s *State) (msgp.Marshaler, error) {
 	return s.programs.prepare(&c.PrepareVersion)
 }
 
-type commitPrograms struct{ CommitVersion }
+type commitProgramsCommand struct{ CommitVersion }
 
-func (c *commitPrograms) apply(s *State) (msgp.Marshaler, error) {
+func (c *commitProgramsCommand) apply(s *State) (msgp.Marshaler, error) {
 	_, err := s.programs.commit(c.Version)
 	return &VersionReply{c.Version}, err
 }
 
-// Bounds of a set: every node keeps and compiles it, small ones too.
+// Limits of a program set. Every node, however small, stores and compiles each set.
 const (
-	maxPrograms = 16
-	maxSources  = 64 << 10 // bytes of all sources
-	maxSteps    = 100000
+	maxPrograms        = 16
+	maxSourceBytes     = 64 << 10 // total bytes of all sources
+	maxStepsPerRequest = 100000
 )
 
-// Sources lists a configuration's programs.
-func (p *Configuration) Sources() []routing.Source {
+// ProgramSources returns the sources of a configuration's programs, sorted by name.
+func (p *Configuration) ProgramSources() []routing.Source {
 	var out []routing.Source
-	for _, name := range p.Names() {
+	for _, name := range p.ProgramNames() {
 		g := p.Programs[name]
 		out = append(out, routing.Source{
 			Name:         name,
@@ -55,15 +55,16 @@
 	return out
 }
 
-// CompileSet compiles a configuration's programs. Faults have file, line and reason.
-func (p *Configuration) CompileSet(scores *routing.Scores) (*routing.ProgramSet, error) {
-	return routing.NewProgramSet(p.Sources(), p.Limits.Steps, scores)
+// CompilePrograms compiles a configuration's programs. Its errors give file, line and reason.
+func (p *Configuration) CompilePrograms(scores *routing.Scores) (*routing.ProgramSet, error) {
+	return routing.NewProgramSet(p.ProgramSources(), p.Limits.MaxProgramSteps, scores)
 }
 
-// Draft makes a checked configuration of a text that Source gave, whole or, with partial, over
-// base, and compiles its programs. Where a fault shows in the operator's own source, its
-// place is given. The configuration also comes as JSON with all defaults.
-func Draft(name, source string, text, base []byte, partial bool) (*Configuration, []byte, error) {
+// ParseUpdate validates an operator's update and compiles its programs. The text is the output of
+// CUEToJSON for source; it is a complete configuration or, with partial set, one that is merged
+// into base. If a fault can be located in source, the error gives its position there. The
+// configuration is also returned as JSON with all defaults filled in.
+func ParseUpdate(name, source string, text, base []byte, partial bool) (*Configuration, []byte, error) {
 	var p *Configuration
 	var complete []byte
 	var err error
@@ -73,8 +74,8 @@
 		p, complete, err = ParseComplete(name, text)
 	}
 	if err == nil {
-		_, err = p.CompileSet(&routing.Scores{})
-	} else if e := Explain(name, []byte(source), !partial); e != nil {
+		_, err = p.CompilePrograms(&routing.Scores{})
+	} else if e := ValidateSource(name, []byte(source), !partial); e != nil {
 		err = e
 	} else {
 		err = Locate(name, []byte(source), err)
@@ -85,33 +86,33 @@
 	return p, complete, nil
 }
 
-// CheckSet checks that a configuration is a program set and within its bounds.
-func (p *Configuration) CheckSet() error {
-	fault := func(form string, args ...any) error {
-		return failure.New(failure.InvalidArgument, "check programs", "", form, args...)
+// CheckProgramSet checks that a configuration is a program set and within the limits of one.
+func (p *Configuration) CheckProgramSet() error {
+	fault := func(format string, args ...any) error {
+		return failure.New(failure.InvalidArgument, "check programs", "", format, args...)
 	}
-	size := 0
+	sourceBytes := 0
 	for _, g := range p.Programs {
-		size += len(g.Source)
+		sourceBytes += len(g.Source)
 	}
 	switch {
 	case len(p.Programs) > maxPrograms:
 		return fault("programs: %d, over %d", len(p.Programs), maxPrograms)
-	case size > maxSources:
-		return fault("programs: %d bytes of source, over %d", size, maxSources)
-	case p.Limits.Steps > maxSteps:
-		return fault("limits.steps: %d, over %d", p.Limits.Steps, maxSteps)
+	case sourceBytes > maxSourceBytes:
+		return fault("programs: %d bytes of source, over %d", sourceBytes, maxSourceBytes)
+	case p.Limits.MaxProgramSteps > maxStepsPerRequest:
+		return fault("limits.steps: %d, over %d", p.Limits.MaxProgramSteps, maxStepsPerRequest)
 	}
-	none, _, err := ParseComplete("set", []byte("{}"))
+	defaults, _, err := ParseComplete("set", []byte("{}"))
 	if err != nil {
 		return err
 	}
-	none.Programs, none.Limits.Steps, none.Limits.DwellMs = p.Programs, p.Limits.Steps, p.Limits.DwellMs
-	if !reflect.DeepEqual(none.Limits, p.Limits) {
+	defaults.Programs, defaults.Limits.MaxProgramSteps, defaults.Limits.MinRoleDwellMs = p.Programs, p.Limits.MaxProgramSteps, p.Limits.MinRoleDwellMs
+	if !reflect.DeepEqual(defaults.Limits, p.Limits) {
 		return fault("limits: only steps and dwellMs rule here")
 	}
 	if len(p.Workers)+len(p.Zones)+len(p.Kinds)+len(p.Routes)+len(p.Services) > 0 ||
-		p.RoleChanges != none.RoleChanges || p.ClientLimits != none.ClientLimits {
+		p.RoleChangesEnabled != defaults.RoleChangesEnabled || p.ClientLimits != defaults.ClientLimits {
 		return fault(
 			"only programs, limits.steps and limits.dwellMs may be given here; the rest comes with the fleet's own document",
 		)
@@ -119,18 +120,18 @@
 	return p.CheckPrograms()
 }
 
-// CompileProgramSet reads the text of a program set and compiles it.
+// CompileProgramSet parses the text of a program set, which may be compressed, and compiles it.
 func CompileProgramSet(text []byte, scores *routing.Scores) (*Configuration, *routing.ProgramSet, error) {
-	p, err := ReadPlain(decompress(text))
+	p, err := ParseJSON(decompress(text))
 	if err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "read programs", "")
 	}
-	d, err := p.CompileSet(scores)
-	return p, d, err
+	set, err := p.CompilePrograms(scores)
+	return p, set, err
 }
 
-// PutPrograms asks the core for a program set, as JSON, made over the version base. Its
-// errors are those of Put.
+// PutPrograms submits a program set, in JSON, that is based on the version base. It returns the
+// same errors as Put.
 func PutPrograms(
 	ctx context.Context,
 	caller *rpc.Caller,
@@ -146,10 +147,10 @@
 	})
 }
 
-// SetText is a set as JSON; for none it is the empty one.
-func SetText(r VersionedText) json.RawMessage {
-	if len(r.Text) == 0 {
+// ProgramSetJSON returns a program set as JSON, or the empty set if the version has no text.
+func ProgramSetJSON(version VersionedText) json.RawMessage {
+	if len(version.Text) == 0 {
 		return json.RawMessage("{}")
 	}
-	return decompress(r.Text)
+	return decompress(version.Text)
 }
--- a/internal/fleetstate/programs_test.go
+++ b/internal/fleetstate/programs_test.go
@@ -1,4 +1,4 @@
-// Program sets on the state and the view alone, and what one costs to compile.
+// Tests of program sets in the state and the view, and a benchmark of their compilation.
 
 package fleetstate
 
@@ -18,8 +18,8 @@
 	"keelstair.example/logging"
 )
 
-// setOf is a set of so many programs, each filled up to a size.
-func setOf(count, size int) []byte {
+// programSetText returns the JSON of a set of programs, each padded to at least size bytes.
+func programSetText(count, size int) []byte {
 	p := map[string]Program{}
 	for i := range count {
 		text := routing.ShippedProgram("prefix")
@@ -32,19 +32,20 @@
 	return b
 }
 
-// TestProgramsHistory: sets are a line of versions of their own: prepared over one another, put
-// in force once they are seen, apart from the configuration's; a copy made from a snapshot,
-// whole or open, has them.
-func TestProgramsHistory(t *testing.T) {
+// TestProgramSetVersions checks that program sets have a version history of their own: each set is
+// prepared on top of another and committed once nodes have seen it, independently of the
+// configuration. A replica restored from a snapshot, be it complete or only of the published
+// state, has the same history.
+func TestProgramSetVersions(t *testing.T) {
 	m := NewMachine(MachineOptions{CommitTimeout: time.Second})
 	apply := func(seq ids.Seq, kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) error {
 		b, _ := c.MarshalMsg(nil)
 		_, err := m.Apply(seq, kind, b)
 		return err
 	}
-	require.NoError(t, apply(1, PrepareProgramsKind, &PrepareVersion{Text: setOf(1, 0)}))
+	require.NoError(t, apply(1, PrepareProgramsKind, &PrepareVersion{Text: programSetText(1, 0)}))
 	require.NoError(t, apply(2, PrepareKind, &PrepareVersion{Text: []byte(`{}`), Next: 7}))
-	require.Error(t, apply(3, PrepareProgramsKind, &PrepareVersion{Text: setOf(2, 0)}), "the loser of two")
+	require.Error(t, apply(3, PrepareProgramsKind, &PrepareVersion{Text: programSetText(2, 0)}), "only one of two concurrent sets is accepted")
 	require.Equal(t, []coordination.Command{{
 		Kind: CommitProgramsKind,
 		Body: coordination.MustMarshal(&CommitVersion{1}),
@@ -55,35 +56,35 @@
 	}}, m.DueCommands(1, 3, 2))
 	require.NoError(t, apply(4, CommitProgramsKind, &CommitVersion{1}))
 	require.Error(t, apply(5, CommitProgramsKind, &CommitVersion{1}))
-	require.NoError(t, apply(6, PrepareProgramsKind, &PrepareVersion{Base: 1, Text: setOf(2, 0)}))
+	require.NoError(t, apply(6, PrepareProgramsKind, &PrepareVersion{Base: 1, Text: programSetText(2, 0)}))
 	require.EqualValues(t, 7, m.newest())
 	for _, open := range []bool{false, true} {
 		copied := NewMachine(MachineOptions{})
 		require.NoError(t, copied.Restore(m.Snapshot(open)))
 		require.Equal(t, m.programs, copied.programs)
 		require.Equal(t, m.Snapshot(open), copied.Snapshot(open))
-		require.Len(t, copied.DueCommands(ids.Tick(1), 6, 6), 2, "the copy is due by itself")
+		require.Len(t, copied.DueCommands(ids.Tick(1), 6, 6), 2, "the restored replica commits by itself")
 		v := NewView(logging.Discard())
 		v.Scores = &routing.Scores{}
 		require.NoError(t, v.Restore(copied.Snapshot(true)))
 		require.EqualValues(t, 1, v.Current().Programs.Version)
 		require.True(t, v.Observe(9, CommitProgramsKind, coordination.MustMarshal(&CommitVersion{2})))
 		require.EqualValues(t, 2, v.Current().Programs.Version)
-		require.Equal(t, []string{"p0", "p1"}, v.Current().Programs.Configuration.Names())
+		require.Equal(t, []string{"p0", "p1"}, v.Current().Programs.Configuration.ProgramNames())
 	}
 }
 
-// BenchmarkSet compiles sets: the deployed one's size, and the largest that is taken.
-func BenchmarkSet(b *testing.B) {
-	for _, c := range [][2]int{{3, 0}, {maxPrograms, maxSources/maxPrograms - 100}} {
-		text := compress(setOf(c[0], c[1]))
+// BenchmarkCompileProgramSet compiles a set of the deployed size and the largest accepted set.
+func BenchmarkCompileProgramSet(b *testing.B) {
+	for _, c := range [][2]int{{3, 0}, {maxPrograms, maxSourceBytes/maxPrograms - 100}} {
+		text := compress(programSetText(c[0], c[1]))
 		b.Run(fmt.Sprintf(
-			"programs=%d,source=%dKB", c[0], len(strings.Join(sources(text), ""))>>10,
+			"programs=%d,source=%dKB", c[0], len(strings.Join(programSourceTexts(text), ""))>>10,
 		), func(b *testing.B) {
 			b.ReportAllocs()
-			var was, is runtime.MemStats
+			var before, after runtime.MemStats
 			runtime.GC()
-			runtime.ReadMemStats(&was)
+			runtime.ReadMemStats(&before)
 			var set *routing.ProgramSet
 			for b.Loop() {
 				var err error
@@ -92,17 +93,18 @@
 				}
 			}
 			runtime.GC()
-			runtime.ReadMemStats(&is)
-			b.ReportMetric((float64(is.HeapAlloc)-float64(was.HeapAlloc))/1024, "keptKB")
+			runtime.ReadMemStats(&after)
+			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/1024, "keptKB")
 			runtime.KeepAlive(set)
 		})
 	}
 }
 
-func sources(text []byte) []string {
-	p, _ := ReadPlain(decompress(text))
+// programSourceTexts returns the source texts of a compressed program set.
+func programSourceTexts(text []byte) []string {
+	p, _ := ParseJSON(decompress(text))
 	var out []string
-	for _, s := range p.Sources() {
+	for _, s := range p.ProgramSources() {
 		out = append(out, s.Text)
 	}
 	return out
--- a/internal/fleetstate/zones.go
+++ b/internal/fleetstate/zones.go
@@ -1,5 +1,5 @@
-// Zones and workers that get no new work: evacuations, drains, and the slow start of zones
-// that were taken back.
+// Zones and workers that receive no new work: evacuated zones, drained workers, and the slow start
+// of zones after a failback, that is, after an evacuation has ended.
 
 package fleetstate
 
@@ -14,7 +14,7 @@
 
 func (c *Evacuate) apply(s *State) (msgp.Marshaler, error) {
 	if s.zones[c.Zone] == c.Evacuated {
-		return s.unchanged(c.Compare)
+		return s.replyUnchanged(c.Compare)
 	}
 	if err := s.checkZone(c); err != nil {
 		return nil, err
@@ -30,10 +30,10 @@
 	return &VersionReply{s.newest()}, nil
 }
 
-// unchanged answers an order that finds all as it asks. One that is known by its id alone is
-// written all the same: were its id not remembered, a copy of it that arrives after the
-// opposite order would be done.
-func (s *State) unchanged(compared bool) (msgp.Marshaler, error) {
+// replyUnchanged replies to a command that changes nothing, since the state is already as requested.
+// A command that only its operation id identifies is logged all the same: if its id were not
+// remembered, a duplicate that arrives after the opposite command would be executed.
+func (s *State) replyUnchanged(compared bool) (msgp.Marshaler, error) {
 	if compared {
 		return &VersionReply{s.newest()}, coordination.ErrUnchanged
 	}
@@ -42,7 +42,7 @@
 
 func (c *Drain) apply(s *State) (msgp.Marshaler, error) {
 	if s.drained[c.Worker] == c.Drained {
-		return s.unchanged(false)
+		return s.replyUnchanged(false)
 	}
 	if s.drained[c.Worker] = c.Drained; !c.Drained {
 		delete(s.drained, c.Worker)
@@ -58,7 +58,8 @@
 	return nil, nil
 }
 
-// SlowStart is how long a zone that was taken back may hold cold workers, for a service.
+// SlowStart is how long the service's workers in a zone may be cold after a failback. One second is
+// added to the configured slow-start time.
 func (v *Service) SlowStart() time.Duration {
 	if v.SlowStartMs <= 0 {
 		return 0
@@ -66,17 +67,18 @@
 	return time.Duration(v.SlowStartMs)*time.Millisecond + time.Second
 }
 
-// sinceFailback is for how long a zone surely has been back.
-func (m *Machine) sinceFailback(f Failback) time.Duration {
-	out := time.Duration(f.Ago)
+// timeSinceFailback returns a lower bound of the time since the failback of a zone.
+func (m *Machine) timeSinceFailback(f Failback) time.Duration {
+	elapsed := time.Duration(f.Ago)
 	if at, ok := m.failbackSince[f.Number]; ok {
-		out += m.now.Since(at)
+		elapsed += m.now.Since(at)
 	}
-	return out
+	return elapsed
 }
 
-// endedSlowStarts names the zones whose workers are warm by now.
-func (m *Machine) endedSlowStarts(now ids.Tick) []coordination.Command {
+// slowStartEndedCommands returns a command for each zone whose slow start after a failback has ended.
+// The call to Keys updates maxSlowStart.
+func (m *Machine) slowStartEndedCommands(now ids.Tick) []coordination.Command {
 	m.now = now
 	if len(m.failbacks) == 0 {
 		clear(m.failbackSince)
@@ -88,7 +90,7 @@
 		if _, ok := m.failbackSince[f.Number]; !ok {
 			m.failbackSince[f.Number] = now
 		}
-		if m.sinceFailback(f) > m.maxSlowStart {
+		if m.timeSinceFailback(f) > m.maxSlowStart {
 			out = append(out, coordination.Command{
 				Kind: SlowStartEndedKind,
 				Body: coordination.MustMarshal(&SlowStartEnded{z, f.Number}),
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -218,7 +218,7 @@
 	unavailable := map[ids.WorkerID]bool{}
 	for _, w := range n.endpoints.Load().workers {
 		_, changesRole := snapshot.RoleChanges[w.ID]
-		unavailable[w.ID] = w.Leaving || changesRole || snapshot.Drained[w.ID] || snapshot.Zones[w.Zone]
+		unavailable[w.ID] = w.Leaving || changesRole || snapshot.DrainedWorkers[w.ID] || snapshot.EvacuatedZones[w.Zone]
 	}
 	return unavailable
 }
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -31,7 +31,7 @@
 	Host              host.Host
 	Ring              *logging.Ring
 	Backend           Backend
-	ReadConfiguration fleetstate.ConfigurationReader // parses the operators' configuration; default fleetstate.Plain
+	ReadConfiguration fleetstate.ConfigurationParser // parses the operators' configuration; default fleetstate.Plain
 	// Programs are the routing programs, in addition to the built-in order, until the core has a set.
 	Programs      []routing.Source
 	ProgramSteps  uint64        // 20000: step limit of one program for one request
@@ -183,7 +183,7 @@
 		Zone: options.Zone,
 	}
 	n.view = fleetstate.NewView(options.Ring)
-	n.view.Read, n.view.Scores = options.ReadConfiguration, &n.scores
+	n.view.Parse, n.view.Scores = options.ReadConfiguration, &n.scores
 	n.agent = coordination.NewAgent(coordination.AgentOptions{
 		Self:          n.self,
 		Host:          options.Host,
@@ -326,7 +326,7 @@
 		}
 	}
 	if previous := n.lastSnapshot.Swap(s); previous == nil || previous.Version != s.Version {
-		n.options.Ring.Info().Uint64("version", uint64(s.Version)).Uint64("newest", uint64(s.Newest)).
+		n.options.Ring.Info().Uint64("version", uint64(s.Version)).Uint64("newest", uint64(s.NewestVersion)).
 			Msg("configuration in force")
 	}
 	if n.options.ClientLimitsChanged != nil {
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -47,7 +47,7 @@
 	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
 	op, name := ids.OpID(programOpPrefix+request.Op), cmp.Or(request.Name, "programs")
-	text, err := fleetstate.Source(name, []byte(request.Source))
+	text, err := fleetstate.CUEToJSON(name, []byte(request.Source))
 	if err != nil {
 		return nil, err
 	}
@@ -69,11 +69,11 @@
 			}
 			return o.versionApplied(ctx, version, err)
 		}
-		base = fleetstate.SetText(newest)
+		base = fleetstate.ProgramSetJSON(newest)
 	}
-	draft, complete, err := fleetstate.Draft(name, request.Source, text, base, request.Partial)
+	draft, complete, err := fleetstate.ParseUpdate(name, request.Source, text, base, request.Partial)
 	if err == nil {
-		err = draft.CheckSet()
+		err = draft.CheckProgramSet()
 	}
 	if err != nil {
 		return nil, err
@@ -162,7 +162,7 @@
 	return &api.Shown{
 		Version: uint64(state.Programs.Version),
 		Newest:  uint64(newest.Version),
-		Policy:  fleetstate.SetText(state.Programs),
+		Policy:  fleetstate.ProgramSetJSON(state.Programs),
 		Zones:   append([]string{}, state.Zones...),
 		Drained: append([]string{}, state.Drained...),
 	}, nil
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -24,8 +24,8 @@
 	list[9].Service = "other"
 	snapshots := []*fleetstate.Snapshot{
 		{},
-		{Zones: map[ids.Zone]bool{"b": true}},
-		{Drained: map[ids.WorkerID]bool{list[2].ID: true}},
+		{EvacuatedZones: map[ids.Zone]bool{"b": true}},
+		{DrainedWorkers: map[ids.WorkerID]bool{list[2].ID: true}},
 		{RoleChanges: map[ids.WorkerID]ids.Role{list[4].ID: ids.Decode}},
 	}
 	for round := range 6 {
--- a/internal/proxy/role_programs.go
+++ b/internal/proxy/role_programs.go
@@ -35,7 +35,7 @@
 	}
 	dwell := roleChangeInterval
 	if programs.Configuration != nil {
-		dwell = max(dwell, programs.Configuration.Limits.Dwell())
+		dwell = max(dwell, programs.Configuration.Limits.MinRoleDwell())
 	}
 	pool := n.rolePool(service, balance, reports, count, dwell)
 	var builtIn routing.RoleChange
--- a/internal/proxy/tenant.go
+++ b/internal/proxy/tenant.go
@@ -13,11 +13,11 @@
 // authenticate finds the tenant whose key the request carries, and prepares the outgoing request with
 // the tenant's name in place of the key.
 func (t *exchange) authenticate(s *fleetstate.Snapshot) error {
-	if t.outgoing != nil && t.keys == s.Keys {
+	if t.outgoing != nil && t.keys == s.TenantKeys {
 		return nil
 	}
-	tenant := s.Keys.Find(t.request.Key)
-	if tenant == nil && s.Keys.Required() && !t.route.Public {
+	tenant := s.TenantKeys.Find(t.request.Key)
+	if tenant == nil && s.TenantKeys.KeyRequired() && !t.route.Public {
 		return t.node.unknownResource(http.StatusUnauthorized, "no tenant has the key")
 	}
 	outgoing := *t.request
@@ -25,7 +25,7 @@
 	if tenant != nil {
 		outgoing.Tenant = tenant.Name
 	}
-	t.keys, t.tenant, t.outgoing = s.Keys, tenant, &outgoing
+	t.keys, t.tenant, t.outgoing = s.TenantKeys, tenant, &outgoing
 	return nil
 }
 
--- a/internal/proxy/version_age.go
+++ b/internal/proxy/version_age.go
@@ -54,11 +54,11 @@
 		v.awaitedVersion = 0
 	}
 	switch {
-	case s.Version >= s.Newest:
+	case s.Version >= s.NewestVersion:
 		v.currentAt.Store(int64(viewCurrentAt))
 		v.awaitedVersion = 0
 	case v.awaitedVersion == 0:
-		v.awaitedVersion, v.awaitedAt, v.awaitedCurrentAt = s.Newest, now, viewCurrentAt
+		v.awaitedVersion, v.awaitedAt, v.awaitedCurrentAt = s.NewestVersion, now, viewCurrentAt
 	case now.Past(v.awaitedAt, commitWait):
 		return v.awaitedVersion
 	}
--- a/internal/proxy/worker_state.go
+++ b/internal/proxy/worker_state.go
@@ -48,7 +48,7 @@
 // acceptsWork reports whether a worker may get new requests under a snapshot.
 func acceptsWork(s *fleetstate.Snapshot, w *Worker) bool {
 	_, changing := s.RoleChanges[w.ID]
-	return !w.Leaving && !changing && !s.Zones[w.Zone] && !s.Drained[w.ID]
+	return !w.Leaving && !changing && !s.EvacuatedZones[w.Zone] && !s.DrainedWorkers[w.ID]
 }
 
 // failback is the number of a zone's failback and the latest tick at which it may have happened.
