--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -95,31 +95,31 @@
 // Put hands a piece to the origin. An error ends the task.
 type Put func(index int, tok int32, text string) error
 
-type decodeSlot struct {
+type decodeTarget struct {
 	worker      ids.WorkerID
 	incarnation ids.Incarnation
 }
 
-// inFlight is a task on its way.
-type inFlight struct {
+// handoffTask is a task on its way.
+type handoffTask struct {
 	*Controller
-	task        *Task
-	id          workerclient.ID
-	sent        []int32
-	put         Put
-	from        ids.WorkerID
-	to          ids.WorkerID
-	incarnation ids.Incarnation
-	runs        bool       // resume was ordered
-	open        bool       // Claim was called
-	slot        decodeSlot // what it was told last
+	task          *Task
+	attemptID     workerclient.ID
+	sent          []int32
+	put           Put
+	prefillWorker ids.WorkerID
+	decodeWorker  ids.WorkerID
+	incarnation   ids.Incarnation
+	resumeOrdered bool         // resume was ordered
+	claimCalled   bool         // Claim was called
+	claimedTarget decodeTarget // what it was told last
 }
 
-func (f *inFlight) trace(s Step, w ids.WorkerID, reason error) {
+func (f *handoffTask) trace(s Step, w ids.WorkerID, reason error) {
 	if f.Trace == nil {
 		return
 	}
-	e := Event{ID: f.id, Step: s, Worker: w, At: f.Clock.Now(), Regime: f.task.Regime}
+	e := Event{ID: f.attemptID, Step: s, Worker: w, At: f.Clock.Now(), Regime: f.task.Regime}
 	if reason != nil {
 		e.Reason = reason.Error()
 	}
@@ -130,54 +130,54 @@
 // answer is whole. Bounced: nothing was put, and nothing runs. Lost: some pieces
 // were put and the rest will not come. Unknown: a claimed task may have run.
 func (c *Controller) Run(ctx context.Context, t *Task, put Put) error {
-	f := &inFlight{Controller: c, task: t, put: put}
+	f := &handoffTask{Controller: c, task: t, put: put}
 	start := c.Clock.Now()
 	excluded := map[ids.WorkerID]bool{}
 	attempts, since := 0, ids.Tick(0)
 	for n := 1; ; n++ {
-		f.id = workerclient.ID{Request: t.Identity.ID.Request, Attempt: n}
-		f.from, f.to, f.incarnation, f.runs = "", "", "", false
+		f.attemptID = workerclient.ID{Request: t.Identity.ID.Request, Attempt: n}
+		f.prefillWorker, f.decodeWorker, f.incarnation, f.resumeOrdered = "", "", "", false
 		err := f.attempt(ctx, excluded)
 		// Picked under a version that is no longer in force: picked anew, once the
 		// newer one is here.
-		for failure.Is(err, failure.Stale) && f.from == "" && !c.Clock.Now().Past(start, t.GiveUp) &&
+		for failure.Is(err, failure.Stale) && f.prefillWorker == "" && !c.Clock.Now().Past(start, t.GiveUp) &&
 			host.Sleep(ctx, 30*time.Millisecond) {
 			err = f.attempt(ctx, excluded)
 		}
 		if err == nil {
-			f.trace(Ended, f.to, nil)
+			f.trace(Ended, f.decodeWorker, nil)
 			return nil
 		}
-		f.trace(Dropped, f.to, err)
+		f.trace(Dropped, f.decodeWorker, err)
 		gone := ctx.Err() != nil
-		if done, again := f.clean(err, gone); !again {
+		if done, again := f.cleanUp(err, gone); !again {
 			return done
 		}
 		late := len(f.sent) == 0 && c.Clock.Now().Past(start, t.GiveUp)
 		// Few workers may take over a governed stream: it waits for one of them.
 		switch attempts++; {
-		case t.Regime == "" || f.from != "" || f.to != "" || len(f.sent) == 0:
+		case t.Regime == "" || f.prefillWorker != "" || f.decodeWorker != "" || len(f.sent) == 0:
 			since = 0
 		case since == 0:
 			since, attempts = c.Clock.Now(), attempts-1
-		case !c.Clock.Now().Past(since, f.timeLeft()):
+		case !c.Clock.Now().Past(since, f.retryBudgetWait()):
 			attempts--
 		}
 		switch {
 		case gone:
-			return f.verdict(failure.As(ctx.Err(), failure.DataLost, "origin went away", ""))
+			return f.finalError(failure.As(ctx.Err(), failure.DataLost, "origin went away", ""))
 		case failure.Is(err, failure.InvalidArgument):
 			return err
 		case attempts >= t.MaxAttempts || late:
-			return f.verdict(err)
-		case f.from == "" && f.to == "" && len(f.sent) == 0 && n == 1:
-			return f.verdict(err)
-		case f.from != "" && !c.Transport.SpendRetry(ctx, f.timeLeft()):
-			return f.verdict(failure.As(err, failure.KindOf(err), "retry budget is spent", ""))
-		case f.from == "":
+			return f.finalError(err)
+		case f.prefillWorker == "" && f.decodeWorker == "" && len(f.sent) == 0 && n == 1:
+			return f.finalError(err)
+		case f.prefillWorker != "" && !c.Transport.SpendRetry(ctx, f.retryBudgetWait()):
+			return f.finalError(failure.As(err, failure.KindOf(err), "retry budget is spent", ""))
+		case f.prefillWorker == "":
 			host.Sleep(ctx, 100*time.Millisecond)
 		}
-		for _, w := range []ids.WorkerID{f.from, f.to} {
+		for _, w := range []ids.WorkerID{f.prefillWorker, f.decodeWorker} {
 			if w != "" {
 				c.Transport.ReportFault(w)
 				excluded[w] = failure.Is(err, failure.DataLost) || failure.Is(err, failure.OutcomeUnknown)
@@ -186,30 +186,30 @@
 	}
 }
 
-// timeLeft: a stream that has begun is better paused than broken, so it waits for
+// retryBudgetWait: a stream that has begun is better paused than broken, so it waits for
 // the budget, even for one that is between two hands. Before the first piece the
 // origin is better told at once.
-func (f *inFlight) timeLeft() time.Duration {
+func (f *handoffTask) retryBudgetWait() time.Duration {
 	if len(f.sent) > 0 {
 		return 6 * time.Second
 	}
 	return 300 * time.Millisecond
 }
 
-// verdict names a failed task by what its origin has seen of it.
-func (f *inFlight) verdict(err error) error {
+// finalError names a failed task by what its origin has seen of it.
+func (f *handoffTask) finalError(err error) error {
 	kind := failure.NotExecuted
 	if len(f.sent) > 0 {
 		kind = failure.DataLost
 	}
-	return failure.As(err, kind, "hand-over", f.id.Request)
+	return failure.As(err, kind, "hand-over", f.attemptID.Request)
 }
 
 // attempt goes once through all the stages.
-func (f *inFlight) attempt(ctx context.Context, excluded map[ids.WorkerID]bool) error {
+func (f *handoffTask) attempt(ctx context.Context, excluded map[ids.WorkerID]bool) error {
 	t, h := f.task, f.Transport
 	m := t.Identity
-	m.ID, m.Output = f.id, append([]int32(nil), f.sent...)
+	m.ID, m.Output = f.attemptID, append([]int32(nil), f.sent...)
 	ask := &routing.PickRequest{
 		Request:  m.ID.Request,
 		Kind:     t.Kind,
@@ -228,15 +228,15 @@
 	m.Model.Weights = to.Model.Weights
 	t.Identity.Model.Weights = to.Model.Weights
 	ended := false // the worker's own word that the run came to its end
-	defer func(w ids.WorkerID) { h.Done(w, f.id, ended) }(to.ID)
+	defer func(w ids.WorkerID) { h.Done(w, f.attemptID, ended) }(to.ID)
 	ask.Role = ids.Prefill
 	from, err := f.reserve(ctx, ask, m.Model, len(m.Prompt)+len(m.Output)+1, excluded)
 	if err != nil {
 		return err
 	}
-	defer h.Done(from.ID, f.id, false)
-	if !f.open && t.Claim != nil {
-		f.open, f.slot = true, decodeSlot{to.ID, to.Incarnation}
+	defer h.Done(from.ID, f.attemptID, false)
+	if !f.claimCalled && t.Claim != nil {
+		f.claimCalled, f.claimedTarget = true, decodeTarget{to.ID, to.Incarnation}
 		if err := t.Claim(to.ID, to.Incarnation); err != nil {
 			return failure.As(err, failure.InvalidArgument, "claim", m.ID.Request)
 		}
@@ -245,25 +245,25 @@
 	if h.PickedUnderStaleVersion() {
 		return failure.New(failure.Stale, "pick", m.ID.Request, "a newer version may be in force")
 	}
-	f.from = from.ID
+	f.prefillWorker = from.ID
 	f.trace(Granted, from.ID, nil)
 	if _, err = h.Prefill(ctx, from.ID, m); err != nil {
 		return err
 	}
 	f.trace(Prefilled, from.ID, nil)
-	a, err := h.Export(ctx, from.ID, f.id)
+	a, err := h.Export(ctx, from.ID, f.attemptID)
 	if err != nil {
 		return err
 	}
 	f.trace(Exported, from.ID, nil)
 	got, texts := a.Identity, a.Texts
-	if got == nil || !f.fits(&m, got) {
+	if got == nil || !f.identityMatches(&m, got) {
 		return failure.New(failure.DataLost, "export", string(from.ID), "what came back is not what went in")
 	}
-	h.Done(from.ID, f.id, true)
+	h.Done(from.ID, f.attemptID, true)
 	full := map[ids.WorkerID]bool{}
 	for {
-		f.to = to.ID
+		f.decodeWorker = to.ID
 		if a, err = h.Import(ctx, to.ID, *got, from.ID); err == nil {
 			break
 		}
@@ -271,15 +271,15 @@
 			return err
 		}
 		// Refused before any token of the decode side: the next one is tried.
-		f.to = ""
+		f.decodeWorker = ""
 		excluded[to.ID], full[to.ID] = true, true
-		h.Done(to.ID, f.id, true)
+		h.Done(to.ID, f.attemptID, true)
 		ask.Role = ids.Decode
 		reason := err
 		if to, err = f.reserve(ctx, ask, m.Model, complete, excluded); err != nil {
 			return err
 		}
-		defer func(w ids.WorkerID) { h.Done(w, f.id, ended) }(to.ID)
+		defer func(w ids.WorkerID) { h.Done(w, f.attemptID, ended) }(to.ID)
 		// Where all are shunned they are picked all the same, but none twice in an attempt.
 		if full[to.ID] {
 			return reason
@@ -287,33 +287,33 @@
 	}
 	f.incarnation = a.Incarnation
 	f.trace(Imported, to.ID, nil)
-	if now := (decodeSlot{to.ID, a.Incarnation}); t.Claim != nil && f.slot != now {
+	if now := (decodeTarget{to.ID, a.Incarnation}); t.Claim != nil && f.claimedTarget != now {
 		if err := t.Claim(to.ID, a.Incarnation); err != nil {
 			return failure.As(err, failure.NotExecuted, "claim anew", m.ID.Request)
 		}
-		f.slot = now
+		f.claimedTarget = now
 	}
-	f.runs = true
-	if _, err = h.Resume(ctx, to.ID, f.id); err != nil {
+	f.resumeOrdered = true
+	if _, err = h.Resume(ctx, to.ID, f.attemptID); err != nil {
 		return err
 	}
 	f.trace(Resumed, to.ID, nil)
 	if t.Regime != "" {
 		// What lies staged is of no more use, and may not outlive the source's certificate.
-		go h.Cancel(context.WithoutCancel(ctx), from.ID, f.id)
+		go h.Cancel(context.WithoutCancel(ctx), from.ID, f.attemptID)
 	}
 	// Only now, with every byte in and the digest right, does the origin get
 	// the first piece: a lost transfer is a bounce, not a broken stream.
-	if err := f.handOver(got.Output, texts); err != nil {
+	if err := f.deliverMissing(got.Output, texts); err != nil {
 		return err
 	}
-	err = h.Stream(ctx, to.ID, f.id, len(f.sent), f.deliver)
+	err = h.Stream(ctx, to.ID, f.attemptID, len(f.sent), f.deliver)
 	ended = err == nil
 	return err
 }
 
-// fits checks that the identity which travels on is the one that was sent in.
-func (f *inFlight) fits(in, out *workerclient.Identity) bool {
+// identityMatches checks that the identity which travels on is the one that was sent in.
+func (f *handoffTask) identityMatches(in, out *workerclient.Identity) bool {
 	if out.ID != in.ID || len(out.Prompt) != len(in.Prompt) || len(out.Output) < len(in.Output) ||
 		!in.Model.Offers(out.Model) || out.Params != in.Params || out.Computed < len(in.Prompt) {
 		return false
@@ -332,7 +332,7 @@
 }
 
 // reserve reserves room on the first worker that has it, in the program's order.
-func (f *inFlight) reserve(
+func (f *handoffTask) reserve(
 	ctx context.Context,
 	ask *routing.PickRequest,
 	on workerclient.Model,
@@ -343,7 +343,7 @@
 	list := f.Transport.Pick(ask, on, excluded)
 	err := failure.New(failure.NotExecuted, "pick "+string(ask.Role), "", "no worker is cleared")
 	for _, c := range list {
-		if err = f.Transport.Reserve(ctx, c.ID, f.id, ids.Blocks(toks, c.Block)); err == nil {
+		if err = f.Transport.Reserve(ctx, c.ID, f.attemptID, ids.Blocks(toks, c.Block)); err == nil {
 			return c, nil
 		}
 		if failure.Is(err, failure.Stale) {
@@ -356,8 +356,8 @@
 	return Picked{}, failure.As(err, failure.NotExecuted, "book "+string(ask.Role), "")
 }
 
-// handOver puts all tokens that the origin has not had yet.
-func (f *inFlight) handOver(out []int32, texts []string) error {
+// deliverMissing puts all tokens that the origin has not had yet.
+func (f *handoffTask) deliverMissing(out []int32, texts []string) error {
 	for i := len(f.sent); i < len(out); i++ {
 		p := workerclient.TokenEvent{Index: i, Token: out[i]}
 		if i < len(texts) {
@@ -371,16 +371,16 @@
 }
 
 // deliver passes on index = last+1 only.
-func (f *inFlight) deliver(p workerclient.TokenEvent) error {
+func (f *handoffTask) deliver(p workerclient.TokenEvent) error {
 	if p.Index != len(f.sent) {
 		return failure.New(
-			failure.DataLost, "stream", string(f.to), "piece %d came where %d was due", p.Index, len(f.sent),
+			failure.DataLost, "stream", string(f.decodeWorker), "piece %d came where %d was due", p.Index, len(f.sent),
 		)
 	}
 	if p.End != "" {
 		if p.Count != len(f.sent) {
 			return failure.New(
-				failure.DataLost, "stream", string(f.to), "an end after %d of %d pieces", len(f.sent), p.Count,
+				failure.DataLost, "stream", string(f.decodeWorker), "an end after %d of %d pieces", len(f.sent), p.Count,
 			)
 		}
 		return nil
--- a/internal/handoff/memory_ledger.go
+++ b/internal/handoff/memory_ledger.go
@@ -16,37 +16,37 @@
 )
 
 type reservation struct {
-	blocks  int
-	at      ids.Tick // when it was reserved
-	moved   ids.Tick // when the worker took it
-	ended   ids.Tick
-	certain bool // the worker itself said that it has freed it
+	blocks        int
+	reservedAt    ids.Tick // when it was reserved
+	acceptedAt    ids.Tick // when the worker took it
+	endedAt       ids.Tick
+	confirmedFree bool // the worker itself said that it has freed it
 }
 
 // MemoryLedger of one worker under one grant.
 type MemoryLedger struct {
-	mu             sync.Mutex
-	since          ids.Tick
-	fresh          ids.Tick // when the worker was first seen ready, for the ramp
-	lag            time.Duration
-	slowStart      time.Duration
-	cap            int
-	role           ids.Role
-	report         *workerclient.Report
-	asked          ids.Tick
-	reservations   map[workerclient.ID]*reservation
-	misses         int
-	reservedBlocks bool
+	mu                sync.Mutex
+	exclusiveSince    ids.Tick
+	slowStartBegin    ids.Tick // when the worker was first seen ready, for the ramp
+	maxReportLag      time.Duration
+	slowStart         time.Duration
+	maxConcurrent     int
+	role              ids.Role
+	report            *workerclient.Report
+	reportRequestedAt ids.Tick
+	reservations      map[workerclient.ID]*reservation
+	missedReports     int
+	draining          bool
 }
 
 // NewMemoryLedger begins with nothing known, and is of no use before Begin.
 func NewMemoryLedger(lag, ramp time.Duration, limit int) *MemoryLedger {
 	return &MemoryLedger{
-		since:        math.MaxInt64,
-		lag:          lag,
-		slowStart:    ramp,
-		cap:          limit,
-		reservations: map[workerclient.ID]*reservation{},
+		exclusiveSince: math.MaxInt64,
+		maxReportLag:   lag,
+		slowStart:      ramp,
+		maxConcurrent:  limit,
+		reservations:   map[workerclient.ID]*reservation{},
 	}
 }
 
@@ -55,35 +55,35 @@
 func (l *MemoryLedger) Begin(now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since, l.fresh = now, now
+	l.exclusiveSince, l.slowStartBegin = now, now
 }
 
 // Configure takes limits that a newer policy sets.
 func (l *MemoryLedger) Configure(lag, ramp time.Duration, limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lag, l.slowStart, l.cap = lag, ramp, limit
+	l.maxReportLag, l.slowStart, l.maxConcurrent = lag, ramp, limit
 }
 
 // Report takes a report that was asked for at a tick.
 func (l *MemoryLedger) Report(r *workerclient.Report, asked ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.report != nil && (r.Role != l.role || l.misses > 5) {
-		l.fresh = asked
+	if l.report != nil && (r.Role != l.role || l.missedReports > 5) {
+		l.slowStartBegin = asked
 	}
-	l.report, l.asked, l.role, l.misses = r, asked, r.Role, 0
+	l.report, l.reportRequestedAt, l.role, l.missedReports = r, asked, r.Role, 0
 	on := map[workerclient.ID]bool{}
 	for _, v := range r.Running {
 		on[v.ID] = true
 	}
 	for id, h := range l.reservations {
 		switch {
-		case h.ended != 0 && h.ended.Before(asked.Add(-l.lag)):
+		case h.endedAt != 0 && h.endedAt.Before(asked.Add(-l.maxReportLag)):
 			delete(l.reservations, id)
-		case h.ended == 0 && h.moved != 0 && h.moved.Before(asked.Add(-l.lag)) && !on[id]:
+		case h.endedAt == 0 && h.acceptedAt != 0 && h.acceptedAt.Before(asked.Add(-l.maxReportLag)) && !on[id]:
 			delete(l.reservations, id)
-		case h.moved == 0 && asked.Past(h.at, 15*time.Second):
+		case h.acceptedAt == 0 && asked.Past(h.reservedAt, 15*time.Second):
 			delete(l.reservations, id)
 		}
 	}
@@ -93,7 +93,7 @@
 func (l *MemoryLedger) Reservation(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reservedBlocks = on
+	l.draining = on
 }
 
 // Empty tells that nothing is booked and the last report shows nothing.
@@ -101,7 +101,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, h := range l.reservations {
-		if h.ended == 0 {
+		if h.endedAt == 0 {
 			return false
 		}
 	}
@@ -112,7 +112,7 @@
 func (l *MemoryLedger) Missed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.misses++
+	l.missedReports++
 }
 
 // State is what the ledger says of its worker now.
@@ -138,16 +138,16 @@
 }
 
 func (l *MemoryLedger) state(now ids.Tick) State {
-	s := State{MaxConcurrent: l.limit(now)}
+	s := State{MaxConcurrent: l.concurrencyLimit(now)}
 	r := l.report
-	if r == nil || l.since == math.MaxInt64 {
+	if r == nil || l.exclusiveSince == math.MaxInt64 {
 		return s
 	}
 	s.Role, s.Capacity, s.Block, s.Model, s.Incarnation = r.Role, r.Capacity, r.Block, r.Model, r.Incarnation
 	// The first report that shows all of an earlier holder's orders was asked
 	// for one lag after the worker knew this holder's fence.
-	s.Ready = !l.reservedBlocks && l.misses < 3 && !now.Past(l.asked, 2*time.Second) &&
-		!l.asked.Before(l.since.Add(l.lag))
+	s.Ready = !l.draining && l.missedReports < 3 && !now.Past(l.reportRequestedAt, 2*time.Second) &&
+		!l.reportRequestedAt.Before(l.exclusiveSince.Add(l.maxReportLag))
 	used := 0
 	for _, v := range r.Running {
 		if l.reservations[v.ID] == nil {
@@ -162,14 +162,14 @@
 	}
 	used += max(0, r.Used-shown)
 	for _, h := range l.reservations {
-		if !h.certain {
+		if !h.confirmedFree {
 			used += h.blocks
 		}
-		if h.ended != 0 {
+		if h.endedAt != 0 {
 			continue
 		}
 		s.Busy++
-		if h.moved != 0 {
+		if h.acceptedAt != 0 {
 			s.Work++
 			s.Used += h.blocks
 		}
@@ -178,13 +178,13 @@
 	return s
 }
 
-// limit ramps up: a cold worker takes few starts at once.
-func (l *MemoryLedger) limit(now ids.Tick) int {
-	age := now.Since(l.fresh)
+// concurrencyLimit ramps up: a cold worker takes few starts at once.
+func (l *MemoryLedger) concurrencyLimit(now ids.Tick) int {
+	age := now.Since(l.slowStartBegin)
 	if l.slowStart <= 0 || age >= l.slowStart {
-		return l.cap
+		return l.maxConcurrent
 	}
-	return max(1, int(float64(l.cap)*float64(age)/float64(l.slowStart)))
+	return max(1, int(float64(l.maxConcurrent)*float64(age)/float64(l.slowStart)))
 }
 
 // Role is what the worker plays by its newest report.
@@ -224,7 +224,7 @@
 	case s.Free < blocks:
 		return failure.New(failure.NotExecuted, "reserve", "", "%d blocks free, %d needed", s.Free, blocks)
 	}
-	l.reservations[id] = &reservation{blocks: blocks, at: now}
+	l.reservations[id] = &reservation{blocks: blocks, reservedAt: now}
 	return nil
 }
 
@@ -233,15 +233,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.reservations[id]
-	return h != nil && h.ended == 0
+	return h != nil && h.endedAt == 0
 }
 
 // Moved notes that the worker took the request in.
 func (l *MemoryLedger) Moved(id workerclient.ID, now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if h := l.reservations[id]; h != nil && h.moved == 0 {
-		h.moved = now
+	if h := l.reservations[id]; h != nil && h.acceptedAt == 0 {
+		h.acceptedAt = now
 	}
 }
 
@@ -254,12 +254,12 @@
 	h := l.reservations[id]
 	switch {
 	case h == nil:
-	case h.moved == 0:
+	case h.acceptedAt == 0:
 		delete(l.reservations, id)
 	default:
-		h.certain = h.certain || sure
-		if h.ended == 0 {
-			h.ended = now
+		h.confirmedFree = h.confirmedFree || sure
+		if h.endedAt == 0 {
+			h.endedAt = now
 		}
 	}
 }
--- a/internal/handoff/retry_after.go
+++ b/internal/handoff/retry_after.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	bookableSeconds = 16  // seconds that may be booked ahead
-	overbooking     = 1.3 // of what was completed: some will find room sooner than was thought
-	minPerSecond    = 20  // and never less, unless the book says so
+	bookingHorizonSeconds = 16  // seconds that may be booked ahead
+	overbookingFactor     = 1.3 // of what was completed: some will find room sooner than was thought
+	defaultMinPerSecond   = 20  // and never less, unless the book says so
 )
 
 // RetryAfterScheduler is a book of appointments, ready for use. Least is how many a second has room for at
 // least; 0 is 20.
 type RetryAfterScheduler struct {
-	MinPerSecond int
-	mu           sync.Mutex
-	second       int64 // the second that the counts begin at
-	booked       [bookableSeconds]int
-	done         int64
-	rate         float64 // completions a second, smoothed
+	MinPerSecond   int
+	mu             sync.Mutex
+	firstSecond    int64 // the second that the counts begin at
+	booked         [bookingHorizonSeconds]int
+	lastCompleted  int64
+	completionRate float64 // completions a second, smoothed
 }
 
-// roll moves the book on to a second. The caller holds mu.
-func (t *RetryAfterScheduler) roll(now ids.Tick, done int64) {
+// advance moves the book on to a second. The caller holds mu.
+func (t *RetryAfterScheduler) advance(now ids.Tick, done int64) {
 	sec := int64(now) / int64(time.Second)
-	if t.second == 0 || sec-t.second > bookableSeconds {
-		t.second, t.booked, t.done = sec, [bookableSeconds]int{}, done
+	if t.firstSecond == 0 || sec-t.firstSecond > bookingHorizonSeconds {
+		t.firstSecond, t.booked, t.lastCompleted = sec, [bookingHorizonSeconds]int{}, done
 		return
 	}
-	for ; t.second < sec; t.second++ {
-		t.rate += 0.5 * (float64(done-t.done) - t.rate)
-		t.done = done
+	for ; t.firstSecond < sec; t.firstSecond++ {
+		t.completionRate += 0.5 * (float64(done-t.lastCompleted) - t.completionRate)
+		t.lastCompleted = done
 		copy(t.booked[:], t.booked[1:])
-		t.booked[bookableSeconds-1] = 0
+		t.booked[bookingHorizonSeconds-1] = 0
 	}
 }
 
@@ -50,10 +50,10 @@
 func (t *RetryAfterScheduler) Next(now ids.Tick, done int64, minimum time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.roll(now, done)
-	room := max(cmp.Or(t.MinPerSecond, minPerSecond), int(t.rate*overbooking))
-	at := min(int(minimum/time.Second), bookableSeconds-1)
-	for at < bookableSeconds-1 && t.booked[at] >= room {
+	t.advance(now, done)
+	room := max(cmp.Or(t.MinPerSecond, defaultMinPerSecond), int(t.completionRate*overbookingFactor))
+	at := min(int(minimum/time.Second), bookingHorizonSeconds-1)
+	for at < bookingHorizonSeconds-1 && t.booked[at] >= room {
 		at++
 	}
 	t.booked[at]++
--- a/internal/handoff/retry_after_test.go
+++ b/internal/handoff/retry_after_test.go
@@ -18,14 +18,14 @@
 	at := func(ms int) ids.Tick { return ids.Tick(time.Duration(100_000+ms) * time.Millisecond) }
 	var b RetryAfterScheduler
 	for s := range 6 {
-		b.roll(at(1000*s), int64(100*s))
+		b.advance(at(1000*s), int64(100*s))
 	}
-	require.InDelta(t, 100, b.rate, 5)
+	require.InDelta(t, 100, b.completionRate, 5)
 	by := map[int]int{}
 	for range 640 {
 		d := b.Next(at(5000), 500, time.Second)
 		require.GreaterOrEqual(t, d, time.Second)
-		require.Less(t, d, (bookableSeconds+1)*time.Second)
+		require.Less(t, d, (bookingHorizonSeconds+1)*time.Second)
 		by[int(d/time.Second)]++
 	}
 	require.GreaterOrEqual(t, len(by), 5, "some 125 a second: %v", by)
@@ -36,6 +36,6 @@
 	require.Less(t, d, 2*time.Second, "the crowd has had its time")
 	var idle RetryAfterScheduler
 	for range 100 {
-		require.Less(t, idle.Next(at(0), 0, time.Second), (bookableSeconds+1)*time.Second)
+		require.Less(t, idle.Next(at(0), 0, time.Second), (bookingHorizonSeconds+1)*time.Second)
 	}
 }
--- a/internal/routing/program_set.go
+++ b/internal/routing/program_set.go
@@ -20,30 +20,30 @@
 	Picks, Fallbacks, Agreed, Done, Broken, Bounced atomic.Int64
 	ProposalsAsked, Proposals                       atomic.Int64 // of turning
 
-	mu          sync.Mutex
-	firstTokens []time.Duration
-	at          int
+	mu              sync.Mutex
+	firstTokenTimes []time.Duration
+	nextSample      int
 }
 
-const firstTokenSamples = 2048
+const maxFirstTokenSamples = 2048
 
 // ObserveFirstToken notes the time to a first piece.
 func (s *Score) ObserveFirstToken(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.firstTokens) < firstTokenSamples {
-		s.firstTokens = append(s.firstTokens, d)
+	if len(s.firstTokenTimes) < maxFirstTokenSamples {
+		s.firstTokenTimes = append(s.firstTokenTimes, d)
 		return
 	}
-	s.firstTokens[s.at%firstTokenSamples] = d
-	s.at++
+	s.firstTokenTimes[s.nextSample%maxFirstTokenSamples] = d
+	s.nextSample++
 }
 
 // Quantile returns the quantile q, from 0 to 1, of the newest times to a first piece, or 0
 // without any.
 func (s *Score) Quantile(q float64) time.Duration {
 	s.mu.Lock()
-	row := slices.Clone(s.firstTokens)
+	row := slices.Clone(s.firstTokenTimes)
 	s.mu.Unlock()
 	if len(row) == 0 {
 		return 0
@@ -53,20 +53,20 @@
 }
 
 // Scores holds the scores by the names of their programs. It is safe for concurrent use.
-type Scores struct{ all sync.Map }
+type Scores struct{ byName sync.Map }
 
 // Of returns the score of a program, which is made at its first use.
 func (s *Scores) Of(name string) *Score {
-	v, ok := s.all.Load(name)
+	v, ok := s.byName.Load(name)
 	if !ok {
-		v, _ = s.all.LoadOrStore(name, &Score{})
+		v, _ = s.byName.LoadOrStore(name, &Score{})
 	}
 	return v.(*Score)
 }
 
 // Each calls f with every score, in no order.
 func (s *Scores) Each(f func(string, *Score)) {
-	s.all.Range(func(k, v any) bool { f(k.(string), v.(*Score)); return true })
+	s.byName.Range(func(k, v any) bool { f(k.(string), v.(*Score)); return true })
 }
 
 // Source is a program as the policy has it.
@@ -78,7 +78,7 @@
 	ChangesRoles bool // it is in charge of turning
 }
 
-type slot struct {
+type compiledProgram struct {
 	name         string
 	share        int
 	shadow       bool
@@ -91,8 +91,8 @@
 
 // ProgramSet is the programs of one version of the configuration, with their shares.
 type ProgramSet struct {
-	slots  []slot
-	scores *Scores
+	programs []compiledProgram
+	scores   *Scores
 }
 
 // NewProgramSet compiles all sources; any fault refuses the whole deck.
@@ -112,7 +112,7 @@
 		if err != nil {
 			return nil, failure.Wrap(err, "check programs", "")
 		}
-		d.slots = append(d.slots, slot{s.Name, s.Share, s.Shadow, s.ChangesRoles, p})
+		d.programs = append(d.programs, compiledProgram{s.Name, s.Share, s.Shadow, s.ChangesRoles, p})
 	}
 	return d, nil
 }
@@ -122,7 +122,7 @@
 	h := fnv.New32a()
 	h.Write([]byte(request))
 	at := int(h.Sum32() % 100)
-	for _, s := range d.slots {
+	for _, s := range d.programs {
 		if s.shadow {
 			continue
 		}
@@ -134,10 +134,10 @@
 }
 
 // HasPrograms tells whether any program stands beside the built-in order.
-func (d *ProgramSet) HasPrograms() bool { return len(d.slots) > 0 }
+func (d *ProgramSet) HasPrograms() bool { return len(d.programs) > 0 }
 
-// route gives the candidates that a program matches, in its order.
-func route(p Program, q *PickRequest, list []Candidate) ([]ids.WorkerID, error) {
+// matchAndOrder gives the candidates that a program matches, in its order.
+func matchAndOrder(p Program, q *PickRequest, list []Candidate) ([]ids.WorkerID, error) {
 	some, err := p.Match(q, list)
 	if err != nil {
 		return nil, err
@@ -155,11 +155,11 @@
 	name := d.ProgramFor(q.Request)
 	plain, _ := BuiltIn{}.Order(q, list)
 	out, firsts := plain, map[string]ids.WorkerID{}
-	for _, s := range d.slots {
+	for _, s := range d.programs {
 		if s.name != name && !s.shadow {
 			continue
 		}
-		got, err := route(s.program, q, list)
+		got, err := matchAndOrder(s.program, q, list)
 		score := d.scores.Of(s.name)
 		if score.Picks.Add(1); err != nil {
 			score.Fallbacks.Add(1)
--- a/internal/routing/programs.go
+++ b/internal/routing/programs.go
@@ -5,12 +5,12 @@
 import "embed"
 
 //go:embed programs/*.star
-var shipped embed.FS
+var shippedFiles embed.FS
 
 // ShippedProgram gives the text of a program that comes with keelstair: free, prefix
 // or short.
 func ShippedProgram(name string) string {
-	b, err := shipped.ReadFile("programs/" + name + ".star")
+	b, err := shippedFiles.ReadFile("programs/" + name + ".star")
 	if err != nil {
 		return ""
 	}
--- a/internal/routing/role_change.go
+++ b/internal/routing/role_change.go
@@ -50,8 +50,8 @@
 }
 
 const (
-	highPressure = 0.35 // a part is hard pressed above this
-	pressureGap  = 2.0  // and so many times more than the other would then be
+	highPressureThreshold = 0.35 // a part is hard pressed above this
+	minPressureRatio      = 2.0  // and so many times more than the other would then be
 )
 
 // ProposeRoleChange of the built-in program: a hard pressed part gets the least busy worker of
@@ -64,7 +64,7 @@
 	for _, to := range []ids.Role{ids.Prefill, ids.Decode} {
 		from := OtherRole(to)
 		rest := p.Pressure[from] * float64(count[from]) / float64(max(count[from]-1, 1))
-		if p.Pressure[to] <= highPressure || p.Pressure[to] <= pressureGap*rest {
+		if p.Pressure[to] <= highPressureThreshold || p.Pressure[to] <= minPressureRatio*rest {
 			continue
 		}
 		if w, ok := Idlest(p, to, func(RoleCandidate) bool { return true }); ok {
@@ -125,7 +125,7 @@
 		ok     bool
 	}
 	var others []said
-	for _, s := range d.slots {
+	for _, s := range d.programs {
 		if !s.program.ProposesRoleChanges() {
 			continue
 		}
--- a/internal/routing/role_change_test.go
+++ b/internal/routing/role_change_test.go
@@ -10,25 +10,25 @@
 	"keelstair.example/ids"
 )
 
-func programSetOf(t *testing.T, scores *Scores, list ...Source) *ProgramSet {
+func mustNewProgramSet(t *testing.T, scores *Scores, list ...Source) *ProgramSet {
 	d, err := NewProgramSet(list, 20000, scores)
 	require.NoError(t, err)
 	return d
 }
 
-// TestMatch: a program keeps a request to the workers that it matches, even if it has
+// TestMatchRestrictsCandidates: a program keeps a request to the workers that it matches, even if it has
 // no order of its own; one whose matching fails is counted, and all are matched.
-func TestMatch(t *testing.T) {
-	list := some(6)
+func TestMatchRestrictsCandidates(t *testing.T) {
+	list := testCandidates(6)
 	for i := range list {
 		list[i].Adapters = []string{"legal"}[:i%2]
 	}
 	q := &PickRequest{Role: ids.Decode, Request: "r", Kind: "ruling"}
 	text := "def match(ask, worker):\n    return ask.kind != 'ruling' or 'legal' in worker.adapters\n"
-	d := programSetOf(t, &Scores{}, Source{Name: "legal", Text: text, Share: 100})
+	d := mustNewProgramSet(t, &Scores{}, Source{Name: "legal", Text: text, Share: 100})
 	require.Equal(t, []ids.WorkerID{"w5", "w3", "w1"}, d.Order(q, list), "in the built-in order")
 	require.Len(t, d.Order(&PickRequest{Role: ids.Decode, Request: "r", Kind: "rider"}, list), 6)
-	none := programSetOf(t, &Scores{}, Source{Name: "none", Text: "def match(ask, worker):\n    return False\n", Share: 100})
+	none := mustNewProgramSet(t, &Scores{}, Source{Name: "none", Text: "def match(ask, worker):\n    return False\n", Share: 100})
 	require.Empty(t, none.Order(q, list), "matched by nobody")
 	for name, body := range map[string]string{
 		"endless":  "[i for i in range(1 << 40)]",
@@ -36,11 +36,11 @@
 		"nonsense": "3",
 	} {
 		scores := &Scores{}
-		d := programSetOf(t, scores, Source{Name: name, Text: "def match(ask, worker):\n    return " + body, Share: 100})
+		d := mustNewProgramSet(t, scores, Source{Name: name, Text: "def match(ask, worker):\n    return " + body, Share: 100})
 		require.Len(t, d.Order(q, list), 6, name)
 		require.EqualValues(t, 1, scores.Of(name).Fallbacks.Load(), name)
 	}
-	out := programSetOf(t, &Scores{}, Source{
+	out := mustNewProgramSet(t, &Scores{}, Source{
 		Name:  "x",
 		Share: 100,
 		Text:  text + "def order(ask, workers):\n    return ['w0']\n",
@@ -48,7 +48,7 @@
 	require.Len(t, out.Order(q, list), 6, "an order that names who was not matched falls back")
 }
 
-func pressedPool() *Pool {
+func poolUnderPrefillPressure() *Pool {
 	p := &Pool{Model: "m", Pressure: map[ids.Role]float64{ids.Prefill: 0.9, ids.Decode: 0.1}}
 	for i, id := range []ids.WorkerID{"p1", "p2", "d1", "d2", "d3"} {
 		w := RoleCandidate{
@@ -89,12 +89,12 @@
 	} {
 		scores := &Scores{}
 		text := "def turn(pool):\n    return " + k.body
-		d := programSetOf(t, scores, Source{
+		d := mustNewProgramSet(t, scores, Source{
 			Name:         name,
 			Text:         text,
 			ChangesRoles: true,
 		}, Source{Name: "rival", Text: "def turn(pool):\n    return ('d2', 'prefill')"})
-		w, ok := d.ProposeRoleChange(pressedPool())
+		w, ok := d.ProposeRoleChange(poolUnderPrefillPressure())
 		require.Equal(t, k.ok, ok, name)
 		require.Equal(t, k.wish, w, name)
 		require.EqualValues(t, k.falls, scores.Of(name).Fallbacks.Load(), name)
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -12,7 +12,7 @@
 	"keelstair.example/ids"
 )
 
-func some(n int) []Candidate {
+func testCandidates(n int) []Candidate {
 	var out []Candidate
 	for i := range n {
 		out = append(out, Candidate{
@@ -32,14 +32,14 @@
 	for name, first := range map[string]ids.WorkerID{"free": "w5", "short": "w5"} {
 		p, err := Compile(name, ShippedProgram(name), 20000)
 		require.NoError(t, err)
-		got, err := p.Order(&PickRequest{Role: ids.Decode}, some(6))
+		got, err := p.Order(&PickRequest{Role: ids.Decode}, testCandidates(6))
 		require.NoError(t, err)
 		require.Len(t, got, 6)
 		require.Equal(t, first, got[0], name)
 	}
 	p, err := Compile("prefix", ShippedProgram("prefix"), 20000)
 	require.NoError(t, err)
-	level := some(6)
+	level := testCandidates(6)
 	best := level[0]
 	for i := range level {
 		level[i].Busy = 1
@@ -52,10 +52,10 @@
 	require.Equal(t, best.ID, got[0])
 }
 
-// TestHostile: a program that never ends, fails, names a stranger, names one
+// TestInvalidOrderFallsBack: a program that never ends, fails, names a stranger, names one
 // twice or gives nonsense falls back to the built-in order, and is counted.
-func TestHostile(t *testing.T) {
-	plain, _ := BuiltIn{}.Order(&PickRequest{Role: ids.Decode}, some(4))
+func TestInvalidOrderFallsBack(t *testing.T) {
+	plain, _ := BuiltIn{}.Order(&PickRequest{Role: ids.Decode}, testCandidates(4))
 	for name, body := range map[string]string{
 		"endless":  "    x = 0\n    for i in range(1000000000):\n        x += i\n    return [w.id for w in workers]",
 		"failing":  "    return [w.id for w in workers][99]",
@@ -73,26 +73,26 @@
 			Share: 100,
 		}}, 20000, scores)
 		require.NoError(t, err, name)
-		require.Equal(t, plain, set.Order(&PickRequest{Role: ids.Decode, Request: "r"}, some(4)), name)
+		require.Equal(t, plain, set.Order(&PickRequest{Role: ids.Decode, Request: "r"}, testCandidates(4)), name)
 		require.EqualValues(t, 1, scores.Of(name).Fallbacks.Load(), name)
 	}
 }
 
-// TestLeftOut: whom a program leaves out comes last, so it cannot starve a call.
-func TestLeftOut(t *testing.T) {
+// TestOmittedCandidatesComeLast: whom a program leaves out comes last, so it cannot starve a call.
+func TestOmittedCandidatesComeLast(t *testing.T) {
 	set, err := NewProgramSet([]Source{{
 		Name:  "one",
 		Text:  "def order(ask, workers):\n    return ['w2']",
 		Share: 100,
 	}}, 20000, &Scores{})
 	require.NoError(t, err)
-	got := set.Order(&PickRequest{Role: ids.Decode, Request: "r"}, some(4))
+	got := set.Order(&PickRequest{Role: ids.Decode, Request: "r"}, testCandidates(4))
 	require.Len(t, got, 4)
 	require.Equal(t, ids.WorkerID("w2"), got[0])
 }
 
-// TestShares: traffic falls to programs by their shares, a shadow only counts.
-func TestShares(t *testing.T) {
+// TestTrafficShares: traffic falls to programs by their shares, a shadow only counts.
+func TestTrafficShares(t *testing.T) {
 	scores := &Scores{}
 	set, err := NewProgramSet([]Source{
 		{Name: "a", Text: ShippedProgram("free"), Share: 30},
@@ -101,7 +101,7 @@
 	}, 20000, scores)
 	require.NoError(t, err)
 	for i := range 2000 {
-		set.Order(&PickRequest{Role: ids.Decode, Request: fmt.Sprint("r", i)}, some(3))
+		set.Order(&PickRequest{Role: ids.Decode, Request: fmt.Sprint("r", i)}, testCandidates(3))
 	}
 	a, b, c := scores.Of("a").Picks.Load(), scores.Of("b").Picks.Load(), scores.Of("c").Picks.Load()
 	require.EqualValues(t, 2000, a+b)
@@ -109,8 +109,8 @@
 	require.EqualValues(t, 2000, c)
 }
 
-// TestBouncedProgram: a program that does not compile is refused with its place.
-func TestBouncedProgram(t *testing.T) {
+// TestCompileErrors: a program that does not compile is refused with its place.
+func TestCompileErrors(t *testing.T) {
 	for text, says := range map[string]string{
 		"def order(a, b):\n    retrun b":                 "bad.star:2",
 		"x = 1":                                          "must define match",
@@ -127,16 +127,16 @@
 	}
 }
 
-func BenchmarkPlain(b *testing.B) {
-	list := some(12)
+func BenchmarkBuiltInOrder(b *testing.B) {
+	list := testCandidates(12)
 	for b.Loop() {
 		BuiltIn{}.Order(&PickRequest{Role: ids.Prefill}, list)
 	}
 }
 
-func BenchmarkStar(b *testing.B) {
+func BenchmarkStarlarkOrder(b *testing.B) {
 	p, _ := Compile("prefix", ShippedProgram("prefix"), 20000)
-	list := some(12)
+	list := testCandidates(12)
 	for b.Loop() {
 		p.Order(&PickRequest{Role: ids.Prefill}, list)
 	}
--- a/internal/routing/starlark.go
+++ b/internal/routing/starlark.go
@@ -16,11 +16,11 @@
 )
 
 type starlarkProgram struct {
-	name        string
-	match       *starlark.Function
-	order       *starlark.Function
-	proposeRole *starlark.Function
-	steps       uint64
+	name              string
+	match             *starlark.Function
+	order             *starlark.Function
+	proposeRoleChange *starlark.Function
+	maxSteps          uint64
 }
 
 var dialect = &syntax.FileOptions{}
@@ -34,12 +34,12 @@
 		return nil, programError(err, "compile program", name)
 	}
 	globals.Freeze()
-	s := &starlarkProgram{name: name, steps: steps}
+	s := &starlarkProgram{name: name, maxSteps: steps}
 	for _, part := range []struct {
 		form   string
 		params int
 		into   **starlark.Function
-	}{{"match(ask, worker)", 2, &s.match}, {"order(ask, workers)", 2, &s.order}, {"turn(pool)", 1, &s.proposeRole}} {
+	}{{"match(ask, worker)", 2, &s.match}, {"order(ask, workers)", 2, &s.order}, {"turn(pool)", 1, &s.proposeRoleChange}} {
 		word, _, _ := strings.Cut(part.form, "(")
 		v, there := globals[word]
 		if !there {
@@ -63,7 +63,7 @@
 		}
 		*part.into = f
 	}
-	if s.match == nil && s.order == nil && s.proposeRole == nil {
+	if s.match == nil && s.order == nil && s.proposeRoleChange == nil {
 		return nil, failure.New(
 			failure.InvalidArgument,
 			"compile program",
@@ -90,11 +90,11 @@
 
 func (s *starlarkProgram) thread() *starlark.Thread {
 	t := &starlark.Thread{Name: s.name, Print: func(*starlark.Thread, string) {}}
-	t.SetMaxExecutionSteps(s.steps)
+	t.SetMaxExecutionSteps(s.maxSteps)
 	return t
 }
 
-func names(list []string) starlark.Value {
+func stringList(list []string) starlark.Value {
 	row := make([]starlark.Value, len(list))
 	for i, n := range list {
 		row[i] = starlark.String(n)
@@ -102,18 +102,18 @@
 	return starlark.NewList(row)
 }
 
-func question(q *PickRequest) starlark.Value {
+func requestValue(q *PickRequest) starlark.Value {
 	return starlarkstruct.FromStringDict(starlark.String("ask"), starlark.StringDict{
 		"request": starlark.String(q.Request), "kind": starlark.String(q.Kind), "model": starlark.String(q.Model),
-		"adapters": names(q.Adapters), "part": starlark.String(q.Role), "zone": starlark.String(q.Zone),
+		"adapters": stringList(q.Adapters), "part": starlark.String(q.Role), "zone": starlark.String(q.Zone),
 		"prompt": starlark.MakeInt(q.Prompt), "max": starlark.MakeInt(q.Max), "need": starlark.MakeInt(q.Need),
 	})
 }
 
-func candidate(c *Candidate) starlark.Value {
+func candidateValue(c *Candidate) starlark.Value {
 	return starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
 		"id": starlark.String(c.ID), "zone": starlark.String(c.Zone), "weights": starlark.String(c.Weights),
-		"adapters": names(c.Adapters), "free": starlark.MakeInt(c.Free), "room": starlark.MakeInt(c.Capacity),
+		"adapters": stringList(c.Adapters), "free": starlark.MakeInt(c.Free), "room": starlark.MakeInt(c.Capacity),
 		"busy":     starlark.MakeInt(c.Busy),
 		"cap":      starlark.MakeInt(c.MaxConcurrent),
 		"affinity": starlark.Float(c.Affinity), "cost": starlark.Float(c.Cost),
@@ -125,10 +125,10 @@
 	if s.match == nil {
 		return list, nil
 	}
-	thread, ask := s.thread(), question(q)
+	thread, ask := s.thread(), requestValue(q)
 	var out []Candidate
 	for i := range list {
-		v, err := starlark.Call(thread, s.match, starlark.Tuple{ask, candidate(&list[i])}, nil)
+		v, err := starlark.Call(thread, s.match, starlark.Tuple{ask, candidateValue(&list[i])}, nil)
 		if err != nil {
 			return nil, programError(err, "run program", s.name)
 		}
@@ -151,9 +151,9 @@
 	}
 	row := make([]starlark.Value, len(list))
 	for i := range list {
-		row[i] = candidate(&list[i])
+		row[i] = candidateValue(&list[i])
 	}
-	v, err := starlark.Call(s.thread(), s.order, starlark.Tuple{question(q), starlark.NewList(row)}, nil)
+	v, err := starlark.Call(s.thread(), s.order, starlark.Tuple{requestValue(q), starlark.NewList(row)}, nil)
 	if err != nil {
 		return nil, programError(err, "run program", s.name)
 	}
@@ -179,7 +179,7 @@
 	return out, nil
 }
 
-func (s *starlarkProgram) ProposesRoleChanges() bool { return s.proposeRole != nil }
+func (s *starlarkProgram) ProposesRoleChanges() bool { return s.proposeRoleChange != nil }
 
 // ProposeRoleChange takes None, or a pair of a worker's id and the part that it should have.
 func (s *starlarkProgram) ProposeRoleChange(p *Pool) (RoleChange, bool, error) {
@@ -197,7 +197,7 @@
 		"model": starlark.String(p.Model), "since": starlark.Float(p.Since.Seconds()), "workers": starlark.NewList(row),
 		"prefill": starlark.Float(p.Pressure[ids.Prefill]), "decode": starlark.Float(p.Pressure[ids.Decode]),
 	})
-	v, err := starlark.Call(s.thread(), s.proposeRole, starlark.Tuple{pool}, nil)
+	v, err := starlark.Call(s.thread(), s.proposeRoleChange, starlark.Tuple{pool}, nil)
 	if err != nil {
 		return RoleChange{}, false, programError(err, "run program", s.name)
 	}
