--- a/internal/handoff/cleanup.go
+++ b/internal/handoff/cleanup.go
@@ -14,9 +14,9 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// Stopper is what clean needs of Transport; resolving a dead node's claims uses it
+// Canceler is what clean needs of Transport; resolving a dead node's claims uses it
 // too.
-type Stopper interface {
+type Canceler interface {
 	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
 }
 
--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -19,14 +19,14 @@
 // Transport give the controller its reach: every order goes through the worker's
 // one duty holder.
 type Transport interface {
-	Pick(q *routing.PickRequest, on workerclient.Model, excluded map[ids.WorkerID]bool) []Picked
+	Pick(q *routing.PickRequest, on workerclient.Model, excluded map[ids.WorkerID]bool) []PickedWorker
 	Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error
 	Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.OrderResponse, error)
 	Export(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
 	Import(ctx context.Context, w ids.WorkerID, m workerclient.Identity, source ids.WorkerID) (*workerclient.OrderResponse, error)
 	Resume(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
 	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
-	Done(w ids.WorkerID, id workerclient.ID, sure bool)
+	Release(w ids.WorkerID, id workerclient.ID, sure bool)
 	Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.TokenEvent) error) error
 	// SpendRetry asks for one recompute, waiting a while for it if need be.
 	SpendRetry(ctx context.Context, wait time.Duration) bool
@@ -36,12 +36,12 @@
 	PickedUnderStaleVersion() bool
 }
 
-// Picked is a cleared worker with what it runs on.
-type Picked struct {
-	ID          ids.WorkerID
-	Model       workerclient.Model
-	Block       int
-	Incarnation ids.Incarnation
+// PickedWorker is a cleared worker with what it runs on.
+type PickedWorker struct {
+	ID             ids.WorkerID
+	Model          workerclient.Model
+	TokensPerBlock int
+	Incarnation    ids.Incarnation
 }
 
 // Step is how far a hand-over has come.
@@ -69,13 +69,13 @@
 
 // Task is one request.
 type Task struct {
-	Identity    workerclient.Identity
-	Kind        string
-	Zone        ids.Zone
-	Claimed     bool
-	Regime      string
-	MaxAttempts int
-	GiveUp      time.Duration
+	Identity     workerclient.Identity
+	Kind         string
+	Zone         ids.Zone
+	Claimed      bool
+	Regime       string
+	MaxAttempts  int
+	RetryTimeout time.Duration
 	// Claim is called when room is booked at both workers and nothing has been sent
 	// to either, with the decode worker and its life; its error then ends the task
 	// with nothing run. It is called again before a resume at another worker or life
@@ -92,8 +92,8 @@
 	Trace         func(Event)
 }
 
-// Put hands a piece to the origin. An error ends the task.
-type Put func(index int, tok int32, text string) error
+// PutToken hands a piece to the origin. An error ends the task.
+type PutToken func(index int, tok int32, text string) error
 
 type decodeTarget struct {
 	worker      ids.WorkerID
@@ -106,7 +106,7 @@
 	task          *Task
 	attemptID     workerclient.ID
 	sent          []int32
-	put           Put
+	put           PutToken
 	prefillWorker ids.WorkerID
 	decodeWorker  ids.WorkerID
 	incarnation   ids.Incarnation
@@ -129,7 +129,7 @@
 // Run carries a task to its end. Nil means that every piece was put and the
 // answer is whole. Bounced: nothing was put, and nothing runs. Lost: some pieces
 // were put and the rest will not come. Unknown: a claimed task may have run.
-func (c *Controller) Run(ctx context.Context, t *Task, put Put) error {
+func (c *Controller) Run(ctx context.Context, t *Task, put PutToken) error {
 	f := &handoffTask{Controller: c, task: t, put: put}
 	start := c.Clock.Now()
 	excluded := map[ids.WorkerID]bool{}
@@ -140,7 +140,7 @@
 		err := f.attempt(ctx, excluded)
 		// Picked under a version that is no longer in force: picked anew, once the
 		// newer one is here.
-		for failure.Is(err, failure.Stale) && f.prefillWorker == "" && !c.Clock.Now().Past(start, t.GiveUp) &&
+		for failure.Is(err, failure.Stale) && f.prefillWorker == "" && !c.Clock.Now().Past(start, t.RetryTimeout) &&
 			host.Sleep(ctx, 30*time.Millisecond) {
 			err = f.attempt(ctx, excluded)
 		}
@@ -153,7 +153,7 @@
 		if done, again := f.cleanUp(err, gone); !again {
 			return done
 		}
-		late := len(f.sent) == 0 && c.Clock.Now().Past(start, t.GiveUp)
+		late := len(f.sent) == 0 && c.Clock.Now().Past(start, t.RetryTimeout)
 		// Few workers may take over a governed stream: it waits for one of them.
 		switch attempts++; {
 		case t.Regime == "" || f.prefillWorker != "" || f.decodeWorker != "" || len(f.sent) == 0:
@@ -211,14 +211,14 @@
 	m := t.Identity
 	m.ID, m.Output = f.attemptID, append([]int32(nil), f.sent...)
 	ask := &routing.PickRequest{
-		Request:  m.ID.Request,
-		Kind:     t.Kind,
-		Model:    m.Model.Name,
-		Adapters: m.Model.Adapters,
-		Zone:     t.Zone,
-		Prompt:   len(m.Prompt),
-		Max:      m.Params.MaxTokens,
-		Role:     ids.Decode,
+		Request:      m.ID.Request,
+		Kind:         t.Kind,
+		Model:        m.Model.Name,
+		Adapters:     m.Model.Adapters,
+		Zone:         t.Zone,
+		PromptTokens: len(m.Prompt),
+		MaxTokens:    m.Params.MaxTokens,
+		Role:         ids.Decode,
 	}
 	complete := len(m.Prompt) + m.Params.MaxTokens
 	to, err := f.reserve(ctx, ask, m.Model, complete, excluded)
@@ -228,13 +228,13 @@
 	m.Model.Weights = to.Model.Weights
 	t.Identity.Model.Weights = to.Model.Weights
 	ended := false // the worker's own word that the run came to its end
-	defer func(w ids.WorkerID) { h.Done(w, f.attemptID, ended) }(to.ID)
+	defer func(w ids.WorkerID) { h.Release(w, f.attemptID, ended) }(to.ID)
 	ask.Role = ids.Prefill
 	from, err := f.reserve(ctx, ask, m.Model, len(m.Prompt)+len(m.Output)+1, excluded)
 	if err != nil {
 		return err
 	}
-	defer h.Done(from.ID, f.attemptID, false)
+	defer h.Release(from.ID, f.attemptID, false)
 	if !f.claimCalled && t.Claim != nil {
 		f.claimCalled, f.claimedTarget = true, decodeTarget{to.ID, to.Incarnation}
 		if err := t.Claim(to.ID, to.Incarnation); err != nil {
@@ -260,7 +260,7 @@
 	if got == nil || !f.identityMatches(&m, got) {
 		return failure.New(failure.DataLost, "export", string(from.ID), "what came back is not what went in")
 	}
-	h.Done(from.ID, f.attemptID, true)
+	h.Release(from.ID, f.attemptID, true)
 	full := map[ids.WorkerID]bool{}
 	for {
 		f.decodeWorker = to.ID
@@ -273,13 +273,13 @@
 		// Refused before any token of the decode side: the next one is tried.
 		f.decodeWorker = ""
 		excluded[to.ID], full[to.ID] = true, true
-		h.Done(to.ID, f.attemptID, true)
+		h.Release(to.ID, f.attemptID, true)
 		ask.Role = ids.Decode
 		reason := err
 		if to, err = f.reserve(ctx, ask, m.Model, complete, excluded); err != nil {
 			return err
 		}
-		defer func(w ids.WorkerID) { h.Done(w, f.attemptID, ended) }(to.ID)
+		defer func(w ids.WorkerID) { h.Release(w, f.attemptID, ended) }(to.ID)
 		// Where all are shunned they are picked all the same, but none twice in an attempt.
 		if full[to.ID] {
 			return reason
@@ -338,22 +338,22 @@
 	on workerclient.Model,
 	toks int,
 	excluded map[ids.WorkerID]bool,
-) (Picked, error) {
-	ask.Need = toks
+) (PickedWorker, error) {
+	ask.NeededTokens = toks
 	list := f.Transport.Pick(ask, on, excluded)
 	err := failure.New(failure.NotExecuted, "pick "+string(ask.Role), "", "no worker is cleared")
 	for _, c := range list {
-		if err = f.Transport.Reserve(ctx, c.ID, f.attemptID, ids.Blocks(toks, c.Block)); err == nil {
+		if err = f.Transport.Reserve(ctx, c.ID, f.attemptID, ids.Blocks(toks, c.TokensPerBlock)); err == nil {
 			return c, nil
 		}
 		if failure.Is(err, failure.Stale) {
-			return Picked{}, err
+			return PickedWorker{}, err
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return Picked{}, failure.As(err, failure.NotExecuted, "book "+string(ask.Role), "")
+	return PickedWorker{}, failure.As(err, failure.NotExecuted, "book "+string(ask.Role), "")
 }
 
 // deliverMissing puts all tokens that the origin has not had yet.
--- a/internal/handoff/controller_test.go
+++ b/internal/handoff/controller_test.go
@@ -45,17 +45,17 @@
 func dataLostError() error    { return failure.New(failure.DataLost, "test", "w", "lost") }
 func notExecutedError() error { return failure.New(failure.NotExecuted, "test", "w", "bounced") }
 
-func (s *fakeTransport) Pick(q *routing.PickRequest, _ workerclient.Model, excluded map[ids.WorkerID]bool) []Picked {
+func (s *fakeTransport) Pick(q *routing.PickRequest, _ workerclient.Model, excluded map[ids.WorkerID]bool) []PickedWorker {
 	s.picks++
 	if s.emptyPicks > 0 && s.resumes > 0 {
 		s.emptyPicks--
 		return nil
 	}
-	var out []Picked
+	var out []PickedWorker
 	for _, id := range []ids.WorkerID{"1", "2"} {
 		w := ids.WorkerID(q.Role[:1]) + id
 		if !excluded[w] {
-			out = append(out, Picked{ID: w, Model: workerclient.Model{Name: "m", Weights: "w1"}, Block: 16})
+			out = append(out, PickedWorker{ID: w, Model: workerclient.Model{Name: "m", Weights: "w1"}, TokensPerBlock: 16})
 		}
 	}
 	if len(out) == 0 && s.pickExcluded {
@@ -129,7 +129,7 @@
 	return &workerclient.OrderResponse{Fate: workerclient.FateNever, Incarnation: "one"}, nil
 }
 
-func (s *fakeTransport) Done(w ids.WorkerID, id workerclient.ID, _ bool) {
+func (s *fakeTransport) Release(w ids.WorkerID, id workerclient.ID, _ bool) {
 	s.reserved[string(w)+id.Request] = 0
 }
 func (s *fakeTransport) ReportFault(ids.WorkerID)      {}
@@ -185,12 +185,12 @@
 		}
 		begun := time.Now()
 		err = c.Run(context.Background(), &Task{
-			Identity:    testIdentity(),
-			Claimed:     claimed,
-			Regime:      s.regime,
-			Claim:       s.onClaim,
-			MaxAttempts: 3,
-			GiveUp:      10 * time.Second,
+			Identity:     testIdentity(),
+			Claimed:      claimed,
+			Regime:       s.regime,
+			Claim:        s.onClaim,
+			MaxAttempts:  3,
+			RetryTimeout: 10 * time.Second,
 		}, func(i int, tok int32, _ string) error {
 			require.Equal(t, len(got), i)
 			got = append(got, tok)
--- a/internal/handoff/memory_ledger.go
+++ b/internal/handoff/memory_ledger.go
@@ -18,7 +18,7 @@
 type reservation struct {
 	blocks        int
 	reservedAt    ids.Tick // when it was reserved
-	acceptedAt    ids.Tick // when the worker took it
+	sentAt        ids.Tick // when the worker took it
 	endedAt       ids.Tick
 	confirmedFree bool // the worker itself said that it has freed it
 }
@@ -50,9 +50,9 @@
 	}
 }
 
-// Begin notes from when on the worker obeys this holder alone: what an earlier
+// SetExclusiveFrom notes from when on the worker obeys this holder alone: what an earlier
 // one ordered shows in the first report that is surely younger.
-func (l *MemoryLedger) Begin(now ids.Tick) {
+func (l *MemoryLedger) SetExclusiveFrom(now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.exclusiveSince, l.slowStartBegin = now, now
@@ -65,8 +65,8 @@
 	l.maxReportLag, l.slowStart, l.maxConcurrent = lag, ramp, limit
 }
 
-// Report takes a report that was asked for at a tick.
-func (l *MemoryLedger) Report(r *workerclient.Report, asked ids.Tick) {
+// SetReport takes a report that was asked for at a tick.
+func (l *MemoryLedger) SetReport(r *workerclient.Report, asked ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.report != nil && (r.Role != l.role || l.missedReports > 5) {
@@ -81,23 +81,23 @@
 		switch {
 		case h.endedAt != 0 && h.endedAt.Before(asked.Add(-l.maxReportLag)):
 			delete(l.reservations, id)
-		case h.endedAt == 0 && h.acceptedAt != 0 && h.acceptedAt.Before(asked.Add(-l.maxReportLag)) && !on[id]:
+		case h.endedAt == 0 && h.sentAt != 0 && h.sentAt.Before(asked.Add(-l.maxReportLag)) && !on[id]:
 			delete(l.reservations, id)
-		case h.acceptedAt == 0 && asked.Past(h.reservedAt, 15*time.Second):
+		case h.sentAt == 0 && asked.Past(h.reservedAt, 15*time.Second):
 			delete(l.reservations, id)
 		}
 	}
 }
 
-// Reservation keeps new work away, so that the worker drains; or lets it come again.
-func (l *MemoryLedger) Reservation(on bool) {
+// SetDraining keeps new work away, so that the worker drains; or lets it come again.
+func (l *MemoryLedger) SetDraining(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining = on
 }
 
-// Empty tells that nothing is booked and the last report shows nothing.
-func (l *MemoryLedger) Empty() bool {
+// Idle tells that nothing is booked and the last report shows nothing.
+func (l *MemoryLedger) Idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, h := range l.reservations {
@@ -108,42 +108,42 @@
 	return l.report != nil && len(l.report.Running) == 0 && l.report.Queue == 0
 }
 
-// Missed notes that the worker did not answer.
-func (l *MemoryLedger) Missed() {
+// MarkMissedReport notes that the worker did not answer.
+func (l *MemoryLedger) MarkMissedReport() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.missedReports++
 }
 
-// State is what the ledger says of its worker now.
-type State struct {
-	Role          ids.Role
-	Ready         bool
-	Free          int
-	Capacity      int
-	Busy          int
-	Work          int // of the busy, begun at the worker
-	Used          int // blocks that the begun ones hold or may grow by
-	MaxConcurrent int
-	Block         int
-	Model         workerclient.Model
-	Incarnation   ids.Incarnation
+// LedgerState is what the ledger says of its worker now.
+type LedgerState struct {
+	Role           ids.Role
+	Ready          bool
+	FreeBlocks     int
+	Capacity       int
+	Outstanding    int
+	Running        int // of the busy, begun at the worker
+	RunningBlocks  int // blocks that the begun ones hold or may grow by
+	MaxConcurrent  int
+	TokensPerBlock int
+	Model          workerclient.Model
+	Incarnation    ids.Incarnation
 }
 
 // State returns what the ledger says of its worker at a time.
-func (l *MemoryLedger) State(now ids.Tick) State {
+func (l *MemoryLedger) State(now ids.Tick) LedgerState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state(now)
 }
 
-func (l *MemoryLedger) state(now ids.Tick) State {
-	s := State{MaxConcurrent: l.concurrencyLimit(now)}
+func (l *MemoryLedger) state(now ids.Tick) LedgerState {
+	s := LedgerState{MaxConcurrent: l.concurrencyLimit(now)}
 	r := l.report
 	if r == nil || l.exclusiveSince == math.MaxInt64 {
 		return s
 	}
-	s.Role, s.Capacity, s.Block, s.Model, s.Incarnation = r.Role, r.Capacity, r.Block, r.Model, r.Incarnation
+	s.Role, s.Capacity, s.TokensPerBlock, s.Model, s.Incarnation = r.Role, r.Capacity, r.Block, r.Model, r.Incarnation
 	// The first report that shows all of an earlier holder's orders was asked
 	// for one lag after the worker knew this holder's fence.
 	s.Ready = !l.draining && l.missedReports < 3 && !now.Past(l.reportRequestedAt, 2*time.Second) &&
@@ -152,8 +152,8 @@
 	for _, v := range r.Running {
 		if l.reservations[v.ID] == nil {
 			used += v.Blocks + v.Reserved
-			s.Work++
-			s.Used += v.Blocks + v.Reserved
+			s.Running++
+			s.RunningBlocks += v.Blocks + v.Reserved
 		}
 	}
 	shown := 0
@@ -168,13 +168,13 @@
 		if h.endedAt != 0 {
 			continue
 		}
-		s.Busy++
-		if h.acceptedAt != 0 {
-			s.Work++
-			s.Used += h.blocks
+		s.Outstanding++
+		if h.sentAt != 0 {
+			s.Running++
+			s.RunningBlocks += h.blocks
 		}
 	}
-	s.Free = r.Capacity - used
+	s.FreeBlocks = r.Capacity - used
 	return s
 }
 
@@ -196,14 +196,14 @@
 
 // Reserve books room for a hand-over, or says at once that there is none.
 func (l *MemoryLedger) Reserve(id workerclient.ID, blocks int, now ids.Tick) error {
-	return l.ReserveBeside(id, blocks, 0, now)
+	return l.ReserveWithHeadroom(id, blocks, 0, now)
 }
 
-// Beside is how many of a cap's starts there are beside so many percent that are kept.
-func Beside(limit, keep int) int { return max(1, limit*(100-keep)/100) }
+// LimitWithHeadroom is how many of a cap's starts there are beside so many percent that are kept.
+func LimitWithHeadroom(limit, keep int) int { return max(1, limit*(100-keep)/100) }
 
-// ReserveBeside books room that leaves so many percent of all room and starts free.
-func (l *MemoryLedger) ReserveBeside(id workerclient.ID, blocks, keep int, now ids.Tick) error {
+// ReserveWithHeadroom books room that leaves so many percent of all room and starts free.
+func (l *MemoryLedger) ReserveWithHeadroom(id workerclient.ID, blocks, keep int, now ids.Tick) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reservations[id] != nil {
@@ -211,50 +211,50 @@
 	}
 	s := l.state(now)
 	if keep > 0 {
-		s.Free -= s.Capacity * keep / 100
-		s.MaxConcurrent = Beside(s.MaxConcurrent, keep)
+		s.FreeBlocks -= s.Capacity * keep / 100
+		s.MaxConcurrent = LimitWithHeadroom(s.MaxConcurrent, keep)
 	}
 	switch {
 	case !s.Ready:
 		return failure.New(failure.NotExecuted, "reserve", "", "no report young enough")
-	case s.Busy >= s.MaxConcurrent:
+	case s.Outstanding >= s.MaxConcurrent:
 		return failure.New(
-			failure.NotExecuted, "reserve", "", "%d starts are under way, the cap is %d", s.Busy, s.MaxConcurrent,
+			failure.NotExecuted, "reserve", "", "%d starts are under way, the cap is %d", s.Outstanding, s.MaxConcurrent,
 		)
-	case s.Free < blocks:
-		return failure.New(failure.NotExecuted, "reserve", "", "%d blocks free, %d needed", s.Free, blocks)
+	case s.FreeBlocks < blocks:
+		return failure.New(failure.NotExecuted, "reserve", "", "%d blocks free, %d needed", s.FreeBlocks, blocks)
 	}
 	l.reservations[id] = &reservation{blocks: blocks, reservedAt: now}
 	return nil
 }
 
-// Reserved tells whether a hand-over has its room booked.
-func (l *MemoryLedger) Reserved(id workerclient.ID) bool {
+// HasReservation tells whether a hand-over has its room booked.
+func (l *MemoryLedger) HasReservation(id workerclient.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.reservations[id]
 	return h != nil && h.endedAt == 0
 }
 
-// Moved notes that the worker took the request in.
-func (l *MemoryLedger) Moved(id workerclient.ID, now ids.Tick) {
+// MarkSent notes that the worker took the request in.
+func (l *MemoryLedger) MarkSent(id workerclient.ID, now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if h := l.reservations[id]; h != nil && h.acceptedAt == 0 {
-		h.acceptedAt = now
+	if h := l.reservations[id]; h != nil && h.sentAt == 0 {
+		h.sentAt = now
 	}
 }
 
-// Ended notes that the request is done here. If the worker itself said so, its
+// MarkEnded notes that the request is done here. If the worker itself said so, its
 // room is free at once, and a late report that still lists it is not believed;
 // else the room counts as taken until a report shows it free.
-func (l *MemoryLedger) Ended(id workerclient.ID, sure bool, now ids.Tick) {
+func (l *MemoryLedger) MarkEnded(id workerclient.ID, sure bool, now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.reservations[id]
 	switch {
 	case h == nil:
-	case h.acceptedAt == 0:
+	case h.sentAt == 0:
 		delete(l.reservations, id)
 	default:
 		h.confirmedFree = h.confirmedFree || sure
--- a/internal/handoff/memory_ledger_test.go
+++ b/internal/handoff/memory_ledger_test.go
@@ -23,7 +23,7 @@
 
 func newHeldLedger(ms int, ramp time.Duration, limit int) *MemoryLedger {
 	l := NewMemoryLedger(testReportLag, ramp, limit)
-	l.Begin(tickAt(ms))
+	l.SetExclusiveFrom(tickAt(ms))
 	return l
 }
 
@@ -35,9 +35,9 @@
 // all that the one before it ordered.
 func TestLedgerWaitsForReportAfterTakeover(t *testing.T) {
 	l := newHeldLedger(1000, 0, 8)
-	l.Report(newReport(0), tickAt(1100))
+	l.SetReport(newReport(0), tickAt(1100))
 	require.Error(t, l.Reserve(requestID(0), 1, tickAt(1110)))
-	l.Report(newReport(30, workerclient.Running{ID: requestID(9), Blocks: 30, Reserved: 60}), tickAt(1500))
+	l.SetReport(newReport(30, workerclient.Running{ID: requestID(9), Blocks: 30, Reserved: 60}), tickAt(1500))
 	require.NoError(t, l.Reserve(requestID(0), 10, tickAt(1510)))
 	require.Error(t, l.Reserve(requestID(1), 1, tickAt(1511)))
 }
@@ -46,23 +46,23 @@
 // one, never make the worker look emptier than it is.
 func TestLedgerWithLateReports(t *testing.T) {
 	l := newHeldLedger(0, 0, 8)
-	l.Report(newReport(0), tickAt(600))
+	l.SetReport(newReport(0), tickAt(600))
 	require.NoError(t, l.Reserve(requestID(0), 60, tickAt(610)))
-	l.Moved(requestID(0), tickAt(620))
-	l.Report(newReport(0), tickAt(800))
-	require.Equal(t, 40, l.State(tickAt(800)).Free, "the import is not in the report")
-	l.Report(newReport(50, workerclient.Running{ID: requestID(0), Blocks: 50, Reserved: 10}), tickAt(1300))
-	require.Equal(t, 40, l.State(tickAt(1300)).Free, "counted once")
-	l.Ended(requestID(0), false, tickAt(1310))
-	l.Report(newReport(50, workerclient.Running{ID: requestID(0), Blocks: 50, Reserved: 10}), tickAt(1500))
-	require.Equal(t, 40, l.State(tickAt(1500)).Free, "the completion is not in the report")
-	l.Report(newReport(0), tickAt(1900))
-	require.Equal(t, 100, l.State(tickAt(1900)).Free)
+	l.MarkSent(requestID(0), tickAt(620))
+	l.SetReport(newReport(0), tickAt(800))
+	require.Equal(t, 40, l.State(tickAt(800)).FreeBlocks, "the import is not in the report")
+	l.SetReport(newReport(50, workerclient.Running{ID: requestID(0), Blocks: 50, Reserved: 10}), tickAt(1300))
+	require.Equal(t, 40, l.State(tickAt(1300)).FreeBlocks, "counted once")
+	l.MarkEnded(requestID(0), false, tickAt(1310))
+	l.SetReport(newReport(50, workerclient.Running{ID: requestID(0), Blocks: 50, Reserved: 10}), tickAt(1500))
+	require.Equal(t, 40, l.State(tickAt(1500)).FreeBlocks, "the completion is not in the report")
+	l.SetReport(newReport(0), tickAt(1900))
+	require.Equal(t, 100, l.State(tickAt(1900)).FreeBlocks)
 	require.NoError(t, l.Reserve(requestID(1), 60, tickAt(1910)))
-	l.Moved(requestID(1), tickAt(1920))
-	l.Report(newReport(50, workerclient.Running{ID: requestID(1), Blocks: 50, Reserved: 10}), tickAt(2500))
-	l.Ended(requestID(1), true, tickAt(2510))
-	require.Equal(t, 100, l.State(tickAt(2520)).Free, "the worker said so itself; the old report is not believed")
+	l.MarkSent(requestID(1), tickAt(1920))
+	l.SetReport(newReport(50, workerclient.Running{ID: requestID(1), Blocks: 50, Reserved: 10}), tickAt(2500))
+	l.MarkEnded(requestID(1), true, tickAt(2510))
+	require.Equal(t, 100, l.State(tickAt(2520)).FreeBlocks, "the worker said so itself; the old report is not believed")
 }
 
 // TestLedgerNeverOverbooks plays a worker whose reports are up to the lag old
@@ -80,7 +80,7 @@
 			rep := newReport(0)
 			for id, v := range truth {
 				if v.end <= now {
-					l.Ended(id, true, tickAt(now))
+					l.MarkEnded(id, true, tickAt(now))
 					delete(truth, id)
 					continue
 				}
@@ -91,13 +91,13 @@
 			rep.Used = used
 			history = append(history, rep)
 			if now%200 == 0 {
-				l.Report(history[max(0, len(history)-1-r.IntN(49))], tickAt(now))
+				l.SetReport(history[max(0, len(history)-1-r.IntN(49))], tickAt(now))
 			}
 			if r.IntN(4) == 0 {
 				id := workerclient.ID{Request: string(rune(now)), Attempt: int(seed)}
 				n := 1 + r.IntN(30)
 				if l.Reserve(id, n, tickAt(now)) == nil {
-					l.Moved(id, tickAt(now))
+					l.MarkSent(id, tickAt(now))
 					truth[id] = run{n, now, now + 50 + r.IntN(900)}
 					taken++
 				}
@@ -110,7 +110,7 @@
 // TestSlowStart: a cold worker takes few starts, then more.
 func TestSlowStart(t *testing.T) {
 	l := newHeldLedger(0, 2*time.Second, 16)
-	l.Report(newReport(0), tickAt(600))
+	l.SetReport(newReport(0), tickAt(600))
 	require.Equal(t, 4, l.State(tickAt(600)).MaxConcurrent)
 	for n := range 4 {
 		require.NoError(t, l.Reserve(requestID(n), 1, tickAt(600)))
@@ -119,7 +119,7 @@
 	require.Equal(t, 16, l.State(tickAt(2100)).MaxConcurrent)
 	back := newReport(0)
 	back.Role = ids.Prefill
-	l.Report(back, tickAt(3000))
+	l.SetReport(back, tickAt(3000))
 	require.Equal(t, 4, l.State(tickAt(3500)).MaxConcurrent, "a switched worker is cold again")
 }
 
@@ -127,15 +127,15 @@
 // other work does.
 func TestReserveWithHeadroom(t *testing.T) {
 	l := newHeldLedger(0, 0, 4)
-	l.Report(newReport(50), tickAt(600))
+	l.SetReport(newReport(50), tickAt(600))
 	now := tickAt(610)
-	require.Error(t, l.ReserveBeside(requestID(0), 31, 20, now), "50 are free, 20 of 100 stay so")
-	require.NoError(t, l.ReserveBeside(requestID(0), 30, 20, now))
-	require.Error(t, l.ReserveBeside(requestID(1), 1, 20, now))
+	require.Error(t, l.ReserveWithHeadroom(requestID(0), 31, 20, now), "50 are free, 20 of 100 stay so")
+	require.NoError(t, l.ReserveWithHeadroom(requestID(0), 30, 20, now))
+	require.Error(t, l.ReserveWithHeadroom(requestID(1), 1, 20, now))
 	require.NoError(t, l.Reserve(requestID(1), 10, now))
 	require.Error(t, l.Reserve(requestID(2), 11, now))
 	require.NoError(t, l.Reserve(requestID(2), 1, now))
-	require.Error(t, l.ReserveBeside(requestID(3), 1, 1, now), "a start of four stays free")
+	require.Error(t, l.ReserveWithHeadroom(requestID(3), 1, 1, now), "a start of four stays free")
 	require.NoError(t, l.Reserve(requestID(3), 1, now))
 	require.Error(t, l.Reserve(requestID(4), 1, now))
 }
--- a/internal/proxy/candidate_index.go
+++ b/internal/proxy/candidate_index.go
@@ -41,7 +41,7 @@
 	t := &candidateIndex{seq: list.seq, snapshot: s, byRole: map[serviceRole][]candidate{}, ranks: urgencyClasses(s)}
 	for i := range list.workers {
 		if w := &list.workers[i]; acceptsWork(s, w) {
-			e := candidate{i, w.ID, w.Role, routing.Hash(w.ID), n.state(w.ID)}
+			e := candidate{i, w.ID, w.Role, routing.WorkerHash(w.ID), n.state(w.ID)}
 			for _, p := range []ids.Role{ids.Prefill, ids.Decode} {
 				if k := (serviceRole{w.Service, p}); w.Role == p || w.Role == "" {
 					t.byRole[k] = append(t.byRole[k], e)
@@ -99,7 +99,7 @@
 		if rows[i].role != ids.Prefill || out(rows[i].id) {
 			continue
 		}
-		if a := routing.Mix(mark, rows[i].hash); a > best {
+		if a := routing.AffinityFromHash(mark, rows[i].hash); a > best {
 			best, top = a, rows[i].id
 		}
 	}
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -233,7 +233,7 @@
 		c.expected = c.reading + time.Duration(waitMs*float64(time.Millisecond))
 		c.cost += waitMs + reprefillWeight*readMs + n.far(c.worker, len(r.Body))
 		if len(ms) > 0 {
-			c.affinity = routing.Mix(ms[len(ms)-1], c.hash)
+			c.affinity = routing.AffinityFromHash(ms[len(ms)-1], c.hash)
 		}
 	}
 	return n.order(programs, r, ids.Prefill, list)
@@ -283,7 +283,7 @@
 	ranks := make([]ranked, len(list))
 	for i := range list {
 		list[i].cost += unhealthyCost * list[i].failureRate
-		ranks[i] = ranked{list[i].cost, routing.Mix(own, list[i].hash), i}
+		ranks[i] = ranked{list[i].cost, routing.AffinityFromHash(own, list[i].hash), i}
 	}
 	slices.SortFunc(ranks, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.tie, a.tie))
@@ -298,14 +298,14 @@
 		return list
 	}
 	request := &routing.PickRequest{
-		Request: r.ID,
-		Kind:    r.Host,
-		Model:   r.Model,
-		Role:    role,
-		Zone:    n.self.Zone,
-		Prompt:  r.Prompt,
-		Max:     r.MaxTokens,
-		Priced:  true,
+		Request:      r.ID,
+		Kind:         r.Host,
+		Model:        r.Model,
+		Role:         role,
+		Zone:         n.self.Zone,
+		PromptTokens: r.Prompt,
+		MaxTokens:    r.MaxTokens,
+		HasCost:      true,
 	}
 	cands := make([]routing.Candidate, len(head))
 	reports := true // room is told in blocks if it is known of all, else in places
@@ -319,7 +319,7 @@
 			Zone:          c.worker.Zone,
 			Capacity:      c.worker.Concurrency,
 			Free:          max(0, c.worker.Concurrency-c.busy),
-			Busy:          c.busy,
+			Outstanding:   c.busy,
 			MaxConcurrent: c.worker.Concurrency,
 			Affinity:      c.affinity,
 			Cost:          c.cost,
--- a/internal/proxy/role_programs.go
+++ b/internal/proxy/role_programs.go
@@ -66,8 +66,8 @@
 ) *routing.Pool {
 	now := n.now()
 	p := &routing.Pool{
-		Model: service.Name,
-		Since: now.Since(d.lastChange),
+		Model:           service.Name,
+		SinceRoleChange: now.Since(d.lastChange),
 		Pressure: map[ids.Role]float64{
 			ids.Prefill: min(1, d.prefillPressure*decodePressureLimit/prefillPressureLimit),
 			ids.Decode:  min(1, d.decodePressure),
@@ -80,8 +80,8 @@
 			Zone:          r.worker.Zone,
 			Role:          r.Role,
 			HomeRole:      r.Role,
-			Busy:          r.Running + r.Waiting,
-			Work:          r.Running,
+			Outstanding:   r.Running + r.Waiting,
+			Running:       r.Running,
 			MaxConcurrent: service.Concurrency,
 			Free:          max(0, r.Capacity-r.Used),
 			Capacity:      r.Capacity,
--- a/internal/proxy/swap_test.go
+++ b/internal/proxy/swap_test.go
@@ -474,7 +474,7 @@
 				}
 				h := f.nodes[max(0, f.holder())]
 				score := h.Scores().Of(name)
-				require.NotZero(t, score.ProposalsAsked.Load())
+				require.NotZero(t, score.RoleChangeCalls.Load())
 				require.Equal(t, name == "fails" || name == "endless" || name == "stranger" || name == "same", score.Fallbacks.Load() > 0)
 			})
 		})
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -68,7 +68,7 @@
 	case known != nil:
 		return known
 	case !fresh:
-		score.Bounced.Add(1)
+		score.NotExecuted.Add(1)
 		return n.retryAfterHint(http.StatusServiceUnavailable, "bounced", "%v", err)
 	}
 	end := &fleetstate.Resolve{Key: key, Owner: n.self.Node, Outcome: runOutcome(err, len(toks))}
@@ -94,7 +94,7 @@
 			Error: &workerclient.Rejection{Name: "may-have-run", Detail: cause.Error()},
 		})
 	case fleetstate.NotRun:
-		score.Bounced.Add(1)
+		score.NotExecuted.Add(1)
 		return n.gone(tokens, out)
 	}
 	return n.finish(nil, tokens, score, out)
--- a/internal/router/govern.go
+++ b/internal/router/govern.go
@@ -46,7 +46,7 @@
 		return true
 	}
 	keep := s.Register.RetentionOf(st.ID, st.Role, n.clock())
-	return st.Free-need >= st.Capacity*keep/100 && (keep == 0 || st.Busy < handoff.Beside(st.MaxConcurrent, keep))
+	return st.Free-need >= st.Capacity*keep/100 && (keep == 0 || st.Busy < handoff.LimitWithHeadroom(st.MaxConcurrent, keep))
 }
 
 // check is the holder's: an order for governed work is given only while the register
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -49,13 +49,13 @@
 				Fence:         f,
 				Role:          st.Role,
 				Ready:         st.Ready,
-				Free:          st.Free,
+				Free:          st.FreeBlocks,
 				Capacity:      st.Capacity,
-				Busy:          st.Busy,
-				Work:          st.Work,
-				Used:          st.Used,
+				Busy:          st.Outstanding,
+				Work:          st.Running,
+				Used:          st.RunningBlocks,
 				MaxConcurrent: st.MaxConcurrent,
-				Block:         st.Block,
+				Block:         st.TokensPerBlock,
 				Incarnation:   st.Incarnation,
 			})
 		}
--- a/internal/router/holder.go
+++ b/internal/router/holder.go
@@ -94,10 +94,10 @@
 				err = n.firstOrder(ctx, d, l.Addr, r.Role)
 			}
 			if err == nil {
-				d.memory.Report(r, asked)
+				d.memory.SetReport(r, asked)
 				n.view.NoteVersion(r.Version)
 			} else {
-				d.memory.Missed()
+				d.memory.MarkMissedReport()
 			}
 		}
 		if !host.Sleep(ctx, n.options.PollInterval) {
@@ -127,7 +127,7 @@
 		return err
 	}
 	d.known = true
-	d.memory.Begin(n.now())
+	d.memory.SetExclusiveFrom(n.now())
 	return nil
 }
 
@@ -177,10 +177,10 @@
 	case verbReserve:
 		return nil, n.reserveMemory(request, led, id, settled)
 	case verbPrefill:
-		if !led.Reserved(id) {
+		if !led.HasReservation(id) {
 			return nil, notReserved(request)
 		}
-		led.Moved(id, n.now())
+		led.MarkSent(id, n.now())
 		a, err = n.workerClient.Prefill(ctx, l.Addr, &workerclient.PrefillRequest{OrderHeader: lead, Identity: in})
 	case verbExport:
 		a, err = n.workerClient.Export(ctx, l.Addr, &workerclient.ExportRequest{OrderHeader: lead, ID: id})
@@ -190,11 +190,11 @@
 		a, err = n.workerClient.Resume(ctx, l.Addr, &workerclient.IDRequest{OrderHeader: lead, ID: id})
 	case verbCancel:
 		a, err = n.workerClient.Cancel(ctx, l.Addr, &workerclient.IDRequest{OrderHeader: lead, ID: id})
-		led.Ended(id, err == nil, n.now())
+		led.MarkEnded(id, err == nil, n.now())
 	case verbRoleChange:
 		return n.handleRoleChange(ctx, duty, l.Addr, lead, ids.Role(request.Body))
 	case verbDone:
-		led.Ended(id, request.Need > 0, n.now())
+		led.MarkEnded(id, request.Need > 0, n.now())
 		return nil, nil
 	default:
 		return nil, failure.New(failure.InvalidArgument, "read order", n.self.Addr, "no verb %q", request.Verb)
@@ -224,10 +224,10 @@
 ) (*workerclient.OrderResponse, error) {
 	id := workerclient.ID{Request: request.Request, Attempt: request.Attempt}
 	source, ok := (*n.endpoints.Load())[request.Source]
-	if !memory.Reserved(id) || !ok {
+	if !memory.HasReservation(id) || !ok {
 		return nil, notReserved(request)
 	}
-	memory.Moved(id, n.now())
+	memory.MarkSent(id, n.now())
 	order.Source = source.Addr
 	return n.workerClient.Import(ctx, addr, order)
 }
@@ -267,7 +267,7 @@
 	if request.Regime == "" {
 		keep = s.Register.RetentionOf(request.Worker, memory.Role(), n.clock())
 	}
-	return memory.ReserveBeside(id, request.Need, keep, n.now())
+	return memory.ReserveWithHeadroom(id, request.Need, keep, n.now())
 }
 
 // order sends an order to the worker's holder, wherever that is now. While the
--- a/internal/router/role_balance.go
+++ b/internal/router/role_balance.go
@@ -80,7 +80,7 @@
 			by[st.Role] = append(by[st.Role], st)
 		}
 	}
-	view := &routing.Pool{Model: model, Pressure: p.pressure, Since: now.Since(p.last)}
+	view := &routing.Pool{Model: model, Pressure: p.pressure, SinceRoleChange: now.Since(p.last)}
 	for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 		list := by[part]
 		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
@@ -96,12 +96,12 @@
 				Zone:          w.Zone,
 				Role:          part,
 				HomeRole:      w.Role,
-				Busy:          st.Busy,
-				Work:          st.Work,
+				Outstanding:   st.Busy,
+				Running:       st.Work,
 				MaxConcurrent: st.MaxConcurrent,
 				Free:          st.Free,
 				Capacity:      st.Capacity,
-				Allowed: view.Since >= rest && spare(s, list, st.ID) && covered(s, list, st, n.clock()) &&
+				Allowed: view.SinceRoleChange >= rest && spare(s, list, st.ID) && covered(s, list, st, n.clock()) &&
 					!n.changedWithin(st.ID, dwell),
 			})
 		}
@@ -120,7 +120,7 @@
 		return n.programsAt(s).ProposeRoleChange(view)
 	}
 	for _, to := range []ids.Role{ids.Prefill, ids.Decode} {
-		if w, ok := routing.Idlest(view, to, func(t routing.RoleCandidate) bool { return t.HomeRole == to }); ok {
+		if w, ok := routing.LeastLoaded(view, to, func(t routing.RoleCandidate) bool { return t.HomeRole == to }); ok {
 			return w, true
 		}
 	}
@@ -201,8 +201,8 @@
 	lead workerclient.OrderHeader,
 	to ids.Role,
 ) (*workerclient.OrderResponse, error) {
-	d.memory.Reservation(true)
-	defer d.memory.Reservation(false)
+	d.memory.SetDraining(true)
+	defer d.memory.SetDraining(false)
 	callContext, stop := context.WithTimeout(ctx, maxRoleChange)
 	defer stop()
 	for {
@@ -210,7 +210,7 @@
 			return nil, failure.New(failure.Unavailable, "turn", n.self.Addr, "the key of %s went to other hands", d.id)
 		}
 		lead.Version = n.view.Current().Version
-		if n.current() && d.memory.Empty() {
+		if n.current() && d.memory.Idle() {
 			a, err := n.workerClient.SetRole(callContext, addr, &workerclient.RoleRequest{OrderHeader: lead, Role: to})
 			if !failure.Is(err, failure.NotExecuted) {
 				return a, err
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -81,12 +81,12 @@
 	}
 	defer leave()
 	t := &handoff.Task{
-		Kind:        ask.Kind,
-		Regime:      s.Register.Governs(ask.Kind),
-		Zone:        n.self.Zone,
-		Claimed:     kind.Claimed,
-		MaxAttempts: s.Configuration.Limits.Attempts,
-		GiveUp:      s.Configuration.Limits.GiveUp(),
+		Kind:         ask.Kind,
+		Regime:       s.Register.Governs(ask.Kind),
+		Zone:         n.self.Zone,
+		Claimed:      kind.Claimed,
+		MaxAttempts:  s.Configuration.Limits.Attempts,
+		RetryTimeout: s.Configuration.Limits.GiveUp(),
 	}
 	t.Identity = workerclient.Identity{
 		Prompt: ask.Tokens(),
@@ -151,7 +151,7 @@
 		programs: programs,
 		kind:     t.Kind,
 		regime:   t.Regime,
-		prefix:   routing.Prefix(t.Identity.Prompt, s.Configuration.Limits.PrefixTokens),
+		prefix:   routing.PrefixHash(t.Identity.Prompt, s.Configuration.Limits.PrefixTokens),
 	}
 	return &handoff.Controller{
 			Transport:     h,
@@ -192,16 +192,16 @@
 	switch {
 	case err == nil:
 		n.counts.Done.Add(1)
-		score.Done.Add(1)
+		score.Completed.Add(1)
 		return out.Put(api.StreamEvent{Index: count, End: api.Complete, Count: count})
 	case failure.Is(err, failure.InvalidArgument):
 		return api.WriteFault(http.StatusBadRequest, "refused", "", "%v", err)
 	case count == 0:
-		score.Bounced.Add(1)
+		score.NotExecuted.Add(1)
 		return n.retryAfterHint(http.StatusServiceUnavailable, "bounced", "%v", err)
 	}
 	n.counts.Broken.Add(1)
-	score.Broken.Add(1)
+	score.Aborted.Add(1)
 	n.options.Ring.Info().AnErr("cause", err).Int("tokens", count).Msg("stream aborted")
 	return out.Put(api.StreamEvent{
 		Index: count,
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -38,7 +38,7 @@
 	request *routing.PickRequest,
 	on workerclient.Model,
 	excluded map[ids.WorkerID]bool,
-) []handoff.Picked {
+) []handoff.PickedWorker {
 	n := h.node
 	// While a newer version is heard of and not had yet, or could not be heard of,
 	// picks are held.
@@ -57,7 +57,7 @@
 		_, err := n.allows(regime, st.ID, st.Role)
 		return err == nil
 	}
-	by := map[ids.WorkerID]handoff.Picked{}
+	by := map[ids.WorkerID]handoff.PickedWorker{}
 	var list, last []routing.Candidate
 	both := map[string]map[ids.Role]bool{}
 	for id, st := range *n.workerStatus.Load() {
@@ -77,13 +77,13 @@
 		if want.Weights == "" {
 			want.Weights = w.Weights
 		}
-		need := ids.Blocks(request.Need, st.Block)
+		need := ids.Blocks(request.NeededTokens, st.Block)
 		if !ok || st.Role != request.Role || !st.Ready || !n.fit(s, id) || !cleared(st) ||
 			regime == "" && !n.idleWorkers(s, st, need) || !m.Offers(want) || st.Busy >= st.MaxConcurrent ||
 			!both[w.Weights][ids.Prefill] || !both[w.Weights][ids.Decode] || st.Free < need {
 			continue
 		}
-		by[id] = handoff.Picked{ID: id, Model: m, Block: st.Block, Incarnation: st.Incarnation}
+		by[id] = handoff.PickedWorker{ID: id, Model: m, TokensPerBlock: st.Block, Incarnation: st.Incarnation}
 		c := routing.Candidate{
 			ID:            id,
 			Zone:          w.Zone,
@@ -91,7 +91,7 @@
 			Adapters:      w.Adapters,
 			Free:          st.Free,
 			Capacity:      st.Capacity,
-			Busy:          st.Busy,
+			Outstanding:   st.Busy,
 			MaxConcurrent: st.MaxConcurrent,
 			Affinity:      routing.Affinity(h.prefix, id),
 		}
@@ -104,7 +104,7 @@
 	if len(list) == 0 {
 		list = last
 	}
-	out := make([]handoff.Picked, 0, len(list))
+	out := make([]handoff.PickedWorker, 0, len(list))
 	for _, id := range h.programs.Order(request, list) {
 		out = append(out, by[id])
 	}
@@ -196,8 +196,8 @@
 	return h.ask(ctx, verbCancel, w, id, OrderRequest{}, nil, time.Second)
 }
 
-// Done gives the room back without waiting; a lost one is found by reports.
-func (h *transport) Done(w ids.WorkerID, id workerclient.ID, sure bool) {
+// Release gives the room back without waiting; a lost one is found by reports.
+func (h *transport) Release(w ids.WorkerID, id workerclient.ID, sure bool) {
 	request := OrderRequest{}
 	if sure {
 		request.Need = 1
--- a/internal/routing/program_set.go
+++ b/internal/routing/program_set.go
@@ -17,8 +17,8 @@
 
 // Score counts how a program fares. All is atomic: it is on the request path.
 type Score struct {
-	Picks, Fallbacks, Agreed, Done, Broken, Bounced atomic.Int64
-	ProposalsAsked, Proposals                       atomic.Int64 // of turning
+	Picks, Fallbacks, Agreed, Completed, Aborted, NotExecuted atomic.Int64
+	RoleChangeCalls, RoleChangeProposals                      atomic.Int64 // of turning
 
 	mu              sync.Mutex
 	firstTokenTimes []time.Duration
--- a/internal/routing/role_change.go
+++ b/internal/routing/role_change.go
@@ -17,8 +17,8 @@
 	Zone          ids.Zone
 	Role          ids.Role
 	HomeRole      ids.Role // the part that the catalogue gives it
-	Busy          int      // starts booked or under way
-	Work          int      // of these, begun at the worker
+	Outstanding   int      // starts booked or under way
+	Running       int      // of these, begun at the worker
 	MaxConcurrent int
 	Free          int
 	Capacity      int
@@ -29,10 +29,10 @@
 // starts or room is in use, smoothed over seconds; what is only booked, and waits
 // for another worker, does not count.
 type Pool struct {
-	Model    string
-	Pressure map[ids.Role]float64
-	Workers  []RoleCandidate
-	Since    time.Duration // since the pool's last turn
+	Model           string
+	Pressure        map[ids.Role]float64
+	Workers         []RoleCandidate
+	SinceRoleChange time.Duration // since the pool's last turn
 }
 
 // RoleChange is for a worker to change to a part.
@@ -67,22 +67,22 @@
 		if p.Pressure[to] <= highPressureThreshold || p.Pressure[to] <= minPressureRatio*rest {
 			continue
 		}
-		if w, ok := Idlest(p, to, func(RoleCandidate) bool { return true }); ok {
+		if w, ok := LeastLoaded(p, to, func(RoleCandidate) bool { return true }); ok {
 			return w, true, nil
 		}
 	}
 	return RoleChange{}, false, nil
 }
 
-// Idlest names the least busy worker that may change to a part, one that comes home
+// LeastLoaded names the least busy worker that may change to a part, one that comes home
 // by it before others.
-func Idlest(p *Pool, to ids.Role, counts func(RoleCandidate) bool) (RoleChange, bool) {
+func LeastLoaded(p *Pool, to ids.Role, counts func(RoleCandidate) bool) (RoleChange, bool) {
 	var best *RoleCandidate
 	for i, w := range p.Workers {
 		if w.Role == to || !w.Allowed || !counts(w) {
 			continue
 		}
-		if best == nil || w.Busy < best.Busy || w.Busy == best.Busy && w.HomeRole == to && best.HomeRole != to {
+		if best == nil || w.Outstanding < best.Outstanding || w.Outstanding == best.Outstanding && w.HomeRole == to && best.HomeRole != to {
 			best = &p.Workers[i]
 		}
 	}
@@ -134,7 +134,7 @@
 			err = checkRoleChange(p, w)
 		}
 		score := d.scores.Of(s.name)
-		score.ProposalsAsked.Add(1)
+		score.RoleChangeCalls.Add(1)
 		switch {
 		case err != nil:
 			score.Fallbacks.Add(1)
@@ -144,7 +144,7 @@
 			others = append(others, said{score, w, is})
 		}
 		if err == nil && is {
-			score.Proposals.Add(1)
+			score.RoleChangeProposals.Add(1)
 		}
 	}
 	for _, o := range others {
--- a/internal/routing/role_change_test.go
+++ b/internal/routing/role_change_test.go
@@ -55,7 +55,7 @@
 			ID:            id,
 			Role:          ids.Prefill,
 			HomeRole:      ids.Prefill,
-			Busy:          10 - i,
+			Outstanding:   10 - i,
 			MaxConcurrent: 16,
 			Allowed:       id != "d3",
 		}
@@ -98,7 +98,7 @@
 		require.Equal(t, k.ok, ok, name)
 		require.Equal(t, k.wish, w, name)
 		require.EqualValues(t, k.falls, scores.Of(name).Fallbacks.Load(), name)
-		require.EqualValues(t, 1, scores.Of("rival").Proposals.Load(), name)
+		require.EqualValues(t, 1, scores.Of("rival").RoleChangeProposals.Load(), name)
 		require.Equal(t, k.ok, scores.Of("rival").Agreed.Load() == 1, name)
 	}
 	_, err := NewProgramSet([]Source{{Name: "x", Text: ShippedProgram("free"), ChangesRoles: true}}, 20000, &Scores{})
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -13,16 +13,16 @@
 
 // PickRequest is what a program may know of the work.
 type PickRequest struct {
-	Request  string
-	Kind     string
-	Model    string
-	Adapters []string
-	Role     ids.Role
-	Zone     ids.Zone
-	Prompt   int
-	Max      int
-	Need     int
-	Priced   bool // the candidates' cost was reckoned
+	Request      string
+	Kind         string
+	Model        string
+	Adapters     []string
+	Role         ids.Role
+	Zone         ids.Zone
+	PromptTokens int
+	MaxTokens    int
+	NeededTokens int
+	HasCost      bool // the candidates' cost was reckoned
 }
 
 // Candidate is a worker that may take it. Affinity, from 0 to 1, is the same on
@@ -34,7 +34,7 @@
 	Adapters      []string
 	Free          int
 	Capacity      int
-	Busy          int
+	Outstanding   int
 	MaxConcurrent int
 	Affinity      float64
 	Cost          float64 // ms that the node reckons it takes there, if the question is priced
@@ -51,18 +51,20 @@
 }
 
 // Affinity is high for the worker that a prefix falls to.
-func Affinity(prefix uint64, id ids.WorkerID) float64 { return Mix(prefix, Hash(id)) }
+func Affinity(prefix uint64, id ids.WorkerID) float64 {
+	return AffinityFromHash(prefix, WorkerHash(id))
+}
 
-// Hash is what Affinity makes of a worker's id.
-func Hash(id ids.WorkerID) uint64 { return ids.Hash(string(id)) }
+// WorkerHash is what Affinity makes of a worker's id.
+func WorkerHash(id ids.WorkerID) uint64 { return ids.Hash(string(id)) }
 
-// Mix is the Affinity of a worker by its id's Hash, from 0 to 1.
-func Mix(prefix, hash uint64) float64 {
+// AffinityFromHash is the Affinity of a worker by its id's Hash, from 0 to 1.
+func AffinityFromHash(prefix, hash uint64) float64 {
 	return float64(ids.Mix(hash^prefix)>>11) / (1 << 53)
 }
 
-// Prefix hashes the first tokens of a prompt.
-func Prefix(prompt []int32, n int) uint64 {
+// PrefixHash hashes the first tokens of a prompt.
+func PrefixHash(prompt []int32, n int) uint64 {
 	v := uint64(14695981039346656037)
 	for _, t := range prompt[:min(n, len(prompt))] {
 		v = (v ^ uint64(uint32(t))) * 1099511628211
@@ -85,11 +87,11 @@
 // Order returns the candidates in the built-in order; it never fails.
 func (BuiltIn) Order(q *PickRequest, list []Candidate) ([]ids.WorkerID, error) {
 	score := func(c Candidate) float64 {
-		if q.Priced {
+		if q.HasCost {
 			return c.Cost
 		}
 		if q.Role == ids.Prefill {
-			return float64(c.Busy)
+			return float64(c.Outstanding)
 		}
 		return -float64(c.Free) / float64(max(c.Capacity, 1))
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -19,7 +19,7 @@
 			ID:            ids.WorkerID(fmt.Sprintf("w%d", i)),
 			Free:          100 + i,
 			Capacity:      200,
-			Busy:          n - i,
+			Outstanding:   n - i,
 			MaxConcurrent: 16,
 			Affinity:      Affinity(7, ids.WorkerID(fmt.Sprintf("w%d", i))),
 		})
@@ -42,7 +42,7 @@
 	level := testCandidates(6)
 	best := level[0]
 	for i := range level {
-		level[i].Busy = 1
+		level[i].Outstanding = 1
 		if level[i].Affinity > best.Affinity {
 			best = level[i]
 		}
--- a/internal/routing/starlark.go
+++ b/internal/routing/starlark.go
@@ -106,7 +106,7 @@
 	return starlarkstruct.FromStringDict(starlark.String("ask"), starlark.StringDict{
 		"request": starlark.String(q.Request), "kind": starlark.String(q.Kind), "model": starlark.String(q.Model),
 		"adapters": stringList(q.Adapters), "part": starlark.String(q.Role), "zone": starlark.String(q.Zone),
-		"prompt": starlark.MakeInt(q.Prompt), "max": starlark.MakeInt(q.Max), "need": starlark.MakeInt(q.Need),
+		"prompt": starlark.MakeInt(q.PromptTokens), "max": starlark.MakeInt(q.MaxTokens), "need": starlark.MakeInt(q.NeededTokens),
 	})
 }
 
@@ -114,7 +114,7 @@
 	return starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
 		"id": starlark.String(c.ID), "zone": starlark.String(c.Zone), "weights": starlark.String(c.Weights),
 		"adapters": stringList(c.Adapters), "free": starlark.MakeInt(c.Free), "room": starlark.MakeInt(c.Capacity),
-		"busy":     starlark.MakeInt(c.Busy),
+		"busy":     starlark.MakeInt(c.Outstanding),
 		"cap":      starlark.MakeInt(c.MaxConcurrent),
 		"affinity": starlark.Float(c.Affinity), "cost": starlark.Float(c.Cost),
 	})
@@ -188,13 +188,13 @@
 		row[i] = starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
 			"id":   starlark.String(w.ID),
 			"zone": starlark.String(w.Zone), "part": starlark.String(w.Role), "home": starlark.String(w.HomeRole),
-			"busy": starlark.MakeInt(w.Busy),
-			"work": starlark.MakeInt(w.Work), "cap": starlark.MakeInt(w.MaxConcurrent),
+			"busy": starlark.MakeInt(w.Outstanding),
+			"work": starlark.MakeInt(w.Running), "cap": starlark.MakeInt(w.MaxConcurrent),
 			"free": starlark.MakeInt(w.Free), "room": starlark.MakeInt(w.Capacity), "may": starlark.Bool(w.Allowed),
 		})
 	}
 	pool := starlarkstruct.FromStringDict(starlark.String("pool"), starlark.StringDict{
-		"model": starlark.String(p.Model), "since": starlark.Float(p.Since.Seconds()), "workers": starlark.NewList(row),
+		"model": starlark.String(p.Model), "since": starlark.Float(p.SinceRoleChange.Seconds()), "workers": starlark.NewList(row),
 		"prefill": starlark.Float(p.Pressure[ids.Prefill]), "decode": starlark.Float(p.Pressure[ids.Decode]),
 	})
 	v, err := starlark.Call(s.thread(), s.proposeRoleChange, starlark.Tuple{pool}, nil)
