--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -1,7 +1,7 @@
-// The controller moves one request: granted, prefilled, exported, imported,
-// resumed, ended, or dropped on the way. Room to finish the whole answer is
-// booked before anything runs, and resume, with every byte of the memory in, is
-// the point of no return, before which no piece goes out.
+// The controller takes one request through the steps of a hand-over: granted, prefilled,
+// exported, imported, resumed, ended, or dropped at any of them. Memory for the whole answer
+// is reserved before anything runs. Resume, ordered once the KV cache has arrived completely,
+// is the point of no return; no token is sent to the client before it.
 
 package handoff
 
@@ -16,8 +16,8 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// Transport give the controller its reach: every order goes through the worker's
-// one duty holder.
+// Transport picks workers and sends them the orders of the controller. Every order goes
+// through the one node that holds the duty for the worker.
 type Transport interface {
 	Pick(q *routing.PickRequest, on workerclient.Model, excluded map[ids.WorkerID]bool) []PickedWorker
 	Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error
@@ -26,17 +26,20 @@
 	Import(ctx context.Context, w ids.WorkerID, m workerclient.Identity, source ids.WorkerID) (*workerclient.OrderResponse, error)
 	Resume(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
 	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
-	Release(w ids.WorkerID, id workerclient.ID, sure bool)
+	// Release frees the reservation of an attempt. confirmed tells that the worker itself
+	// said that it holds no memory for the attempt any more.
+	Release(w ids.WorkerID, id workerclient.ID, confirmed bool)
 	Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.TokenEvent) error) error
-	// SpendRetry asks for one recompute, waiting a while for it if need be.
+	// SpendRetry takes one recompute from the retry budget, waiting up to wait for it, and
+	// reports whether it was granted.
 	SpendRetry(ctx context.Context, wait time.Duration) bool
 	ReportFault(w ids.WorkerID)
-	// PickedUnderStaleVersion tells that what was picked last was picked under a version which may be
-	// no longer in force.
+	// PickedUnderStaleVersion reports whether the last pick was made under a configuration
+	// version that may no longer be in force.
 	PickedUnderStaleVersion() bool
 }
 
-// PickedWorker is a cleared worker with what it runs on.
+// PickedWorker is an eligible worker, with its model and memory block size.
 type PickedWorker struct {
 	ID             ids.WorkerID
 	Model          workerclient.Model
@@ -44,75 +47,76 @@
 	Incarnation    ids.Incarnation
 }
 
-// Step is how far a hand-over has come.
+// Step is the progress of a hand-over.
 type Step string
 
 const (
-	Granted   Step = "granted"   // a prefill worker is chosen
-	Prefilled Step = "prefilled" // that has computed the KV
-	Exported  Step = "exported"  // and keeps it ready to be fetched
-	Imported  Step = "imported"  // the decode worker has reserved room for it
-	Resumed   Step = "resumed"   // the decode worker has all of it, and runs
-	Ended     Step = "ended"     // the stream came to its end
-	Dropped   Step = "dropped"   // the attempt was given up
+	Granted   Step = "granted"   // a prefill worker has been chosen
+	Prefilled Step = "prefilled" // the prefill worker has computed the KV cache
+	Exported  Step = "exported"  // the prefill worker holds the KV cache ready for transfer
+	Imported  Step = "imported"  // the decode worker has reserved memory for the KV cache
+	Resumed   Step = "resumed"   // the decode worker has the whole KV cache and generates
+	Ended     Step = "ended"     // the token stream is complete
+	Dropped   Step = "dropped"   // the attempt was abandoned
 )
 
-// Event is one step of one hand-over.
+// Event records that a hand-over reached a step.
 type Event struct {
 	ID     workerclient.ID `json:"Id"`
 	Step   Step            `json:"Stage"`
 	Worker ids.WorkerID
 	At     ids.Tick
 	Reason string `json:"Why"`
-	Regime string // that the task is bound to, if any
+	Regime string // the certification regime of the task, if any
 }
 
-// Task is one request.
+// Task is one request to be served.
 type Task struct {
 	Identity     workerclient.Identity
 	Kind         string
 	Zone         ids.Zone
-	Claimed      bool
+	Claimed      bool // the task may run at most once
 	Regime       string
 	MaxAttempts  int
-	RetryTimeout time.Duration
-	// Claim is called when room is booked at both workers and nothing has been sent
-	// to either, with the decode worker and its life; its error then ends the task
-	// with nothing run. It is called again before a resume at another worker or life
-	// than it was last told, so that it is known where a run may have begun.
+	RetryTimeout time.Duration // how long new attempts are made before the first token
+	// Claim is called once memory is reserved at both workers and before anything is sent to
+	// either, with the decode worker and its incarnation; an error then ends the task with
+	// nothing run. It is called again before a resume at another worker or incarnation than
+	// it was last given, so that it is recorded where a run may have begun.
 	Claim func(w ids.WorkerID, incarnation ids.Incarnation) error
 }
 
-// Controller runs tasks.
+// Controller runs tasks on a prefill and a decode worker each.
 type Controller struct {
 	Transport     Transport
 	Clock         host.Clock
-	OrphanTimeout time.Duration // after so long an attempt without a controller is surely over
-	StreamTimeout time.Duration // a worker silent for so long within a stream is lost
+	OrphanTimeout time.Duration // after this long, a worker has certainly ended an attempt that has no controller
+	StreamTimeout time.Duration // a worker that sends nothing on a stream for this long counts as lost
 	Trace         func(Event)
 }
 
-// PutToken hands a piece to the origin. An error ends the task.
-type PutToken func(index int, tok int32, text string) error
+// PutToken sends a token to the client. An error ends the task.
+type PutToken func(index int, token int32, text string) error
 
+// decodeTarget is an incarnation of a decode worker.
 type decodeTarget struct {
 	worker      ids.WorkerID
 	incarnation ids.Incarnation
 }
 
-// handoffTask is a task on its way.
+// handoffTask is a task that is being served, with the state of its current attempt.
 type handoffTask struct {
 	*Controller
 	task          *Task
 	attemptID     workerclient.ID
-	sent          []int32
+	sent          []int32 // tokens that the client has received
 	put           PutToken
 	prefillWorker ids.WorkerID
 	decodeWorker  ids.WorkerID
 	incarnation   ids.Incarnation
-	resumeOrdered bool         // resume was ordered
-	claimCalled   bool         // Claim was called
-	claimedTarget decodeTarget // what it was told last
+	resumeOrdered bool
+	claimCalled   bool
+	claimedTarget decodeTarget // the arguments of the last call of Claim
 }
 
 func (f *handoffTask) trace(s Step, w ids.WorkerID, reason error) {
@@ -126,20 +130,21 @@
 	f.Trace(e)
 }
 
-// Run carries a task to its end. Nil means that every piece was put and the
-// answer is whole. Bounced: nothing was put, and nothing runs. Lost: some pieces
-// were put and the rest will not come. Unknown: a claimed task may have run.
+// Run serves a task to its end. It returns nil if the answer is complete and every token was
+// put. Of the kinds of errors, NotExecuted means that nothing was put and nothing runs;
+// DataLost, that some tokens were put and the rest will not follow; OutcomeUnknown, that a
+// claimed task may have run.
 func (c *Controller) Run(ctx context.Context, t *Task, put PutToken) error {
 	f := &handoffTask{Controller: c, task: t, put: put}
 	start := c.Clock.Now()
 	excluded := map[ids.WorkerID]bool{}
-	attempts, since := 0, ids.Tick(0)
+	attempts, waitingSince := 0, ids.Tick(0)
 	for n := 1; ; n++ {
 		f.attemptID = workerclient.ID{Request: t.Identity.ID.Request, Attempt: n}
 		f.prefillWorker, f.decodeWorker, f.incarnation, f.resumeOrdered = "", "", "", false
 		err := f.attempt(ctx, excluded)
-		// Picked under a version that is no longer in force: picked anew, once the
-		// newer one is here.
+		// If the workers were picked under a version that is no longer in force, they are
+		// picked again once this node has the newer one.
 		for failure.Is(err, failure.Stale) && f.prefillWorker == "" && !c.Clock.Now().Past(start, t.RetryTimeout) &&
 			host.Sleep(ctx, 30*time.Millisecond) {
 			err = f.attempt(ctx, excluded)
@@ -149,30 +154,30 @@
 			return nil
 		}
 		f.trace(Dropped, f.decodeWorker, err)
-		gone := ctx.Err() != nil
-		if done, again := f.cleanUp(err, gone); !again {
-			return done
+		clientGone := ctx.Err() != nil
+		if finalErr, retry := f.cleanUp(err, clientGone); !retry {
+			return finalErr
 		}
-		late := len(f.sent) == 0 && c.Clock.Now().Past(start, t.RetryTimeout)
-		// Few workers may take over a governed stream: it waits for one of them.
+		timedOut := len(f.sent) == 0 && c.Clock.Now().Past(start, t.RetryTimeout)
+		// Few workers are certified to take over a stream under a regime, so it waits for one.
 		switch attempts++; {
 		case t.Regime == "" || f.prefillWorker != "" || f.decodeWorker != "" || len(f.sent) == 0:
-			since = 0
-		case since == 0:
-			since, attempts = c.Clock.Now(), attempts-1
-		case !c.Clock.Now().Past(since, f.retryBudgetWait()):
+			waitingSince = 0
+		case waitingSince == 0:
+			waitingSince, attempts = c.Clock.Now(), attempts-1
+		case !c.Clock.Now().Past(waitingSince, f.retryWait()):
 			attempts--
 		}
 		switch {
-		case gone:
+		case clientGone:
 			return f.finalError(failure.As(ctx.Err(), failure.DataLost, "origin went away", ""))
 		case failure.Is(err, failure.InvalidArgument):
 			return err
-		case attempts >= t.MaxAttempts || late:
+		case attempts >= t.MaxAttempts || timedOut:
 			return f.finalError(err)
 		case f.prefillWorker == "" && f.decodeWorker == "" && len(f.sent) == 0 && n == 1:
 			return f.finalError(err)
-		case f.prefillWorker != "" && !c.Transport.SpendRetry(ctx, f.retryBudgetWait()):
+		case f.prefillWorker != "" && !c.Transport.SpendRetry(ctx, f.retryWait()):
 			return f.finalError(failure.As(err, failure.KindOf(err), "retry budget is spent", ""))
 		case f.prefillWorker == "":
 			host.Sleep(ctx, 100*time.Millisecond)
@@ -186,17 +191,19 @@
 	}
 }
 
-// retryBudgetWait: a stream that has begun is better paused than broken, so it waits for
-// the budget, even for one that is between two hands. Before the first piece the
-// origin is better told at once.
-func (f *handoffTask) retryBudgetWait() time.Duration {
+// retryWait returns how long a task waits for the retry budget or, under a regime, for an
+// eligible worker. Pausing a stream that has begun is better than breaking it, so it waits
+// long enough for a budget that moves from one holder to another. Before the first token it
+// is better to fail fast.
+func (f *handoffTask) retryWait() time.Duration {
 	if len(f.sent) > 0 {
 		return 6 * time.Second
 	}
 	return 300 * time.Millisecond
 }
 
-// finalError names a failed task by what its origin has seen of it.
+// finalError gives the error of a failed task its kind: DataLost if the client has received
+// tokens, else NotExecuted.
 func (f *handoffTask) finalError(err error) error {
 	kind := failure.NotExecuted
 	if len(f.sent) > 0 {
@@ -205,12 +212,12 @@
 	return failure.As(err, kind, "hand-over", f.attemptID.Request)
 }
 
-// attempt goes once through all the stages.
+// attempt goes through all steps once.
 func (f *handoffTask) attempt(ctx context.Context, excluded map[ids.WorkerID]bool) error {
-	t, h := f.task, f.Transport
+	t, transport := f.task, f.Transport
 	m := t.Identity
 	m.ID, m.Output = f.attemptID, append([]int32(nil), f.sent...)
-	ask := &routing.PickRequest{
+	request := &routing.PickRequest{
 		Request:      m.ID.Request,
 		Kind:         t.Kind,
 		Model:        m.Model.Name,
@@ -220,99 +227,100 @@
 		MaxTokens:    m.Params.MaxTokens,
 		Role:         ids.Decode,
 	}
-	complete := len(m.Prompt) + m.Params.MaxTokens
-	to, err := f.reserve(ctx, ask, m.Model, complete, excluded)
+	totalTokens := len(m.Prompt) + m.Params.MaxTokens
+	decode, err := f.reserve(ctx, request, m.Model, totalTokens, excluded)
 	if err != nil {
 		return err
 	}
-	m.Model.Weights = to.Model.Weights
-	t.Identity.Model.Weights = to.Model.Weights
-	ended := false // the worker's own word that the run came to its end
-	defer func(w ids.WorkerID) { h.Release(w, f.attemptID, ended) }(to.ID)
-	ask.Role = ids.Prefill
-	from, err := f.reserve(ctx, ask, m.Model, len(m.Prompt)+len(m.Output)+1, excluded)
+	m.Model.Weights = decode.Model.Weights
+	t.Identity.Model.Weights = decode.Model.Weights
+	ended := false // the worker itself reported the end of the run
+	defer func(w ids.WorkerID) { transport.Release(w, f.attemptID, ended) }(decode.ID)
+	request.Role = ids.Prefill
+	prefill, err := f.reserve(ctx, request, m.Model, len(m.Prompt)+len(m.Output)+1, excluded)
 	if err != nil {
 		return err
 	}
-	defer h.Release(from.ID, f.attemptID, false)
+	defer transport.Release(prefill.ID, f.attemptID, false)
 	if !f.claimCalled && t.Claim != nil {
-		f.claimCalled, f.claimedTarget = true, decodeTarget{to.ID, to.Incarnation}
-		if err := t.Claim(to.ID, to.Incarnation); err != nil {
+		f.claimCalled, f.claimedTarget = true, decodeTarget{decode.ID, decode.Incarnation}
+		if err := t.Claim(decode.ID, decode.Incarnation); err != nil {
 			return failure.As(err, failure.InvalidArgument, "claim", m.ID.Request)
 		}
 	}
-	// A claim may take long.
-	if h.PickedUnderStaleVersion() {
+	// The claim may have taken long enough for the version to change.
+	if transport.PickedUnderStaleVersion() {
 		return failure.New(failure.Stale, "pick", m.ID.Request, "a newer version may be in force")
 	}
-	f.prefillWorker = from.ID
-	f.trace(Granted, from.ID, nil)
-	if _, err = h.Prefill(ctx, from.ID, m); err != nil {
+	f.prefillWorker = prefill.ID
+	f.trace(Granted, prefill.ID, nil)
+	if _, err = transport.Prefill(ctx, prefill.ID, m); err != nil {
 		return err
 	}
-	f.trace(Prefilled, from.ID, nil)
-	a, err := h.Export(ctx, from.ID, f.attemptID)
+	f.trace(Prefilled, prefill.ID, nil)
+	response, err := transport.Export(ctx, prefill.ID, f.attemptID)
 	if err != nil {
 		return err
 	}
-	f.trace(Exported, from.ID, nil)
-	got, texts := a.Identity, a.Texts
-	if got == nil || !f.identityMatches(&m, got) {
-		return failure.New(failure.DataLost, "export", string(from.ID), "what came back is not what went in")
+	f.trace(Exported, prefill.ID, nil)
+	exported, texts := response.Identity, response.Texts
+	if exported == nil || !f.identityMatches(&m, exported) {
+		return failure.New(failure.DataLost, "export", string(prefill.ID), "what came back is not what went in")
 	}
-	h.Release(from.ID, f.attemptID, true)
-	full := map[ids.WorkerID]bool{}
+	transport.Release(prefill.ID, f.attemptID, true)
+	refused := map[ids.WorkerID]bool{}
 	for {
-		f.decodeWorker = to.ID
-		if a, err = h.Import(ctx, to.ID, *got, from.ID); err == nil {
+		f.decodeWorker = decode.ID
+		if response, err = transport.Import(ctx, decode.ID, *exported, prefill.ID); err == nil {
 			break
 		}
 		if !failure.Is(err, failure.NotExecuted) {
 			return err
 		}
-		// Refused before any token of the decode side: the next one is tried.
+		// The import was refused before any token was decoded: the next worker is tried.
 		f.decodeWorker = ""
-		excluded[to.ID], full[to.ID] = true, true
-		h.Release(to.ID, f.attemptID, true)
-		ask.Role = ids.Decode
-		reason := err
-		if to, err = f.reserve(ctx, ask, m.Model, complete, excluded); err != nil {
+		excluded[decode.ID], refused[decode.ID] = true, true
+		transport.Release(decode.ID, f.attemptID, true)
+		request.Role = ids.Decode
+		refusal := err
+		if decode, err = f.reserve(ctx, request, m.Model, totalTokens, excluded); err != nil {
 			return err
 		}
-		defer func(w ids.WorkerID) { h.Release(w, f.attemptID, ended) }(to.ID)
-		// Where all are shunned they are picked all the same, but none twice in an attempt.
-		if full[to.ID] {
-			return reason
+		defer func(w ids.WorkerID) { transport.Release(w, f.attemptID, ended) }(decode.ID)
+		// If all workers are excluded they are picked nevertheless, but none twice in an attempt.
+		if refused[decode.ID] {
+			return refusal
 		}
 	}
-	f.incarnation = a.Incarnation
-	f.trace(Imported, to.ID, nil)
-	if now := (decodeTarget{to.ID, a.Incarnation}); t.Claim != nil && f.claimedTarget != now {
-		if err := t.Claim(to.ID, a.Incarnation); err != nil {
+	f.incarnation = response.Incarnation
+	f.trace(Imported, decode.ID, nil)
+	if target := (decodeTarget{decode.ID, response.Incarnation}); t.Claim != nil && f.claimedTarget != target {
+		if err := t.Claim(decode.ID, response.Incarnation); err != nil {
 			return failure.As(err, failure.NotExecuted, "claim anew", m.ID.Request)
 		}
-		f.claimedTarget = now
+		f.claimedTarget = target
 	}
 	f.resumeOrdered = true
-	if _, err = h.Resume(ctx, to.ID, f.attemptID); err != nil {
+	if _, err = transport.Resume(ctx, decode.ID, f.attemptID); err != nil {
 		return err
 	}
-	f.trace(Resumed, to.ID, nil)
+	f.trace(Resumed, decode.ID, nil)
 	if t.Regime != "" {
-		// What lies staged is of no more use, and may not outlive the source's certificate.
-		go h.Cancel(context.WithoutCancel(ctx), from.ID, f.attemptID)
+		// The exported KV cache is no longer needed and must not outlive the source's certificate.
+		go transport.Cancel(context.WithoutCancel(ctx), prefill.ID, f.attemptID)
 	}
-	// Only now, with every byte in and the digest right, does the origin get
-	// the first piece: a lost transfer is a bounce, not a broken stream.
-	if err := f.deliverMissing(got.Output, texts); err != nil {
+	// The client gets the first token only now that the KV cache is complete and its digest
+	// verified, so that a lost transfer is a retryable failure and not a broken stream.
+	if err := f.deliverMissing(exported.Output, texts); err != nil {
 		return err
 	}
-	err = h.Stream(ctx, to.ID, f.attemptID, len(f.sent), f.deliver)
+	err = transport.Stream(ctx, decode.ID, f.attemptID, len(f.sent), f.deliver)
 	ended = err == nil
 	return err
 }
 
-// identityMatches checks that the identity which travels on is the one that was sent in.
+// identityMatches reports whether an exported identity, out, continues the one that was sent to
+// the prefill worker, in.
 func (f *handoffTask) identityMatches(in, out *workerclient.Identity) bool {
 	if out.ID != in.ID || len(out.Prompt) != len(in.Prompt) || len(out.Output) < len(in.Output) ||
 		!in.Model.Offers(out.Model) || out.Params != in.Params || out.Computed < len(in.Prompt) {
@@ -331,19 +339,20 @@
 	return true
 }
 
-// reserve reserves room on the first worker that has it, in the program's order.
+// reserve reserves memory for a number of tokens on the first worker that has enough, in the
+// order of the routing program.
 func (f *handoffTask) reserve(
 	ctx context.Context,
-	ask *routing.PickRequest,
-	on workerclient.Model,
-	toks int,
+	request *routing.PickRequest,
+	model workerclient.Model,
+	tokens int,
 	excluded map[ids.WorkerID]bool,
 ) (PickedWorker, error) {
-	ask.NeededTokens = toks
-	list := f.Transport.Pick(ask, on, excluded)
-	err := failure.New(failure.NotExecuted, "pick "+string(ask.Role), "", "no worker is cleared")
-	for _, c := range list {
-		if err = f.Transport.Reserve(ctx, c.ID, f.attemptID, ids.Blocks(toks, c.TokensPerBlock)); err == nil {
+	request.NeededTokens = tokens
+	workers := f.Transport.Pick(request, model, excluded)
+	err := failure.New(failure.NotExecuted, "pick "+string(request.Role), "", "no worker is cleared")
+	for _, c := range workers {
+		if err = f.Transport.Reserve(ctx, c.ID, f.attemptID, ids.Blocks(tokens, c.TokensPerBlock)); err == nil {
 			return c, nil
 		}
 		if failure.Is(err, failure.Stale) {
@@ -353,41 +362,42 @@
 			break
 		}
 	}
-	return PickedWorker{}, failure.As(err, failure.NotExecuted, "book "+string(ask.Role), "")
+	return PickedWorker{}, failure.As(err, failure.NotExecuted, "book "+string(request.Role), "")
 }
 
-// deliverMissing puts all tokens that the origin has not had yet.
-func (f *handoffTask) deliverMissing(out []int32, texts []string) error {
-	for i := len(f.sent); i < len(out); i++ {
-		p := workerclient.TokenEvent{Index: i, Token: out[i]}
+// deliverMissing puts all tokens that the client has not received yet.
+func (f *handoffTask) deliverMissing(tokens []int32, texts []string) error {
+	for i := len(f.sent); i < len(tokens); i++ {
+		event := workerclient.TokenEvent{Index: i, Token: tokens[i]}
 		if i < len(texts) {
-			p.Text = texts[i]
+			event.Text = texts[i]
 		}
-		if err := f.deliver(p); err != nil {
+		if err := f.deliver(event); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// deliver passes on index = last+1 only.
-func (f *handoffTask) deliver(p workerclient.TokenEvent) error {
-	if p.Index != len(f.sent) {
+// deliver puts the token of an event. A token whose index is not the next one, or an end whose
+// count is not the number of tokens put, is an error.
+func (f *handoffTask) deliver(event workerclient.TokenEvent) error {
+	if event.Index != len(f.sent) {
 		return failure.New(
-			failure.DataLost, "stream", string(f.decodeWorker), "piece %d came where %d was due", p.Index, len(f.sent),
+			failure.DataLost, "stream", string(f.decodeWorker), "piece %d came where %d was due", event.Index, len(f.sent),
 		)
 	}
-	if p.End != "" {
-		if p.Count != len(f.sent) {
+	if event.End != "" {
+		if event.Count != len(f.sent) {
 			return failure.New(
-				failure.DataLost, "stream", string(f.decodeWorker), "an end after %d of %d pieces", len(f.sent), p.Count,
+				failure.DataLost, "stream", string(f.decodeWorker), "an end after %d of %d pieces", len(f.sent), event.Count,
 			)
 		}
 		return nil
 	}
-	if err := f.put(p.Index, p.Token, p.Text); err != nil {
+	if err := f.put(event.Index, event.Token, event.Text); err != nil {
 		return failure.As(err, failure.DataLost, "write to origin", "")
 	}
-	f.sent = append(f.sent, p.Token)
+	f.sent = append(f.sent, event.Token)
 	return nil
 }
