--- a/internal/handoff/controller_test.go
+++ b/internal/handoff/controller_test.go
@@ -1,5 +1,5 @@
-// The controller against a scripted fleet: every way a hand-over can go wrong, and
-// what the origin then gets.
+// Tests of the controller with a fake transport: the failures of a hand-over, and what the
+// client then receives.
 
 package handoff
 
@@ -20,26 +20,26 @@
 
 var testAnswer = []int32{11, 12, 13, 14, 15}
 
-// fakeTransport is a fake fleet of two prefill and two decode workers that does what
-// a test says.
+// fakeTransport stands for two prefill workers, p1 and p2, and two decode workers, d1 and d2,
+// whose answers a test sets.
 type fakeTransport struct {
-	fullWorkers   map[ids.WorkerID]bool // bounces imports
+	fullWorkers   map[ids.WorkerID]bool // refuse imports
 	alterIdentity func(m *workerclient.Identity)
 	onResume      func(n int) error
 	onStream      func(n, from int, put func(workerclient.TokenEvent) error) error
 	onCancel      func(n int) (*workerclient.OrderResponse, error)
-	retryBudget   int
+	retryBudget   int // recomputes that are granted
 	resumes       int
 	cancels       int
 	prefills      int
 	imports       []ids.WorkerID
-	reserved      map[string]int
+	reserved      map[string]int // open reservations by worker and request
 	onClaim       func(w ids.WorkerID, incarnation ids.Incarnation) error
-	stalePicks    int // so often what was picked is outdated
+	stalePicks    int // this many picks are reported as made under a stale version
 	picks         int
 	regime        string
-	emptyPicks    int  // so often nobody is cleared, once a run was resumed
-	pickExcluded  bool // where all are shunned they are picked all the same
+	emptyPicks    int  // this many picks find no eligible worker, once a run was resumed
+	pickExcluded  bool // if all workers are excluded they are picked nevertheless
 }
 
 func dataLostError() error    { return failure.New(failure.DataLost, "test", "w", "lost") }
@@ -100,7 +100,7 @@
 ) (*workerclient.OrderResponse, error) {
 	s.imports = append(s.imports, w)
 	if len(s.imports) > 100 {
-		panic("it asks the same workers for ever")
+		panic("more than 100 imports: the same workers are tried without end")
 	}
 	if s.fullWorkers[w] {
 		return nil, notExecutedError()
@@ -153,13 +153,13 @@
 	return s.retryBudget >= 0
 }
 
-func sendTokens(put func(workerclient.TokenEvent) error, from, to int, end bool) error {
+func sendTokens(put func(workerclient.TokenEvent) error, from, to int, complete bool) error {
 	for i := from; i < to; i++ {
 		if err := put(workerclient.TokenEvent{Index: i, Token: testAnswer[i]}); err != nil {
 			return err
 		}
 	}
-	if end {
+	if complete {
 		return put(workerclient.TokenEvent{Index: to, End: "stop", Count: to})
 	}
 	return dataLostError()
@@ -183,7 +183,7 @@
 			OrphanTimeout: 2 * time.Second,
 			StreamTimeout: time.Second,
 		}
-		begun := time.Now()
+		start := time.Now()
 		err = c.Run(context.Background(), &Task{
 			Identity:     testIdentity(),
 			Claimed:      claimed,
@@ -196,15 +196,16 @@
 			got = append(got, tok)
 			return nil
 		})
-		took = time.Since(begun)
+		took = time.Since(start)
 	})
 	for k, n := range s.reserved {
-		require.Zero(t, n, "room is given back: %s", k)
+		require.Zero(t, n, "a reservation was not released: %s", k)
 	}
 	return got, took, err
 }
 
-// TestHandoffWithoutFaults: one prefill, one import, one resume, the whole answer.
+// TestHandoffWithoutFaults checks that a hand-over without faults resumes once and delivers the
+// complete answer.
 func TestHandoffWithoutFaults(t *testing.T) {
 	s := &fakeTransport{}
 	got, _, err := runTask(t, s, true)
@@ -213,8 +214,8 @@
 	require.Equal(t, 1, s.resumes)
 }
 
-// TestRefusedImport: a refusal goes to the next worker before any piece; where
-// nobody has room the call is bounced at once, and nothing was put.
+// TestRefusedImport checks that a refused import is tried at the next worker before any token is
+// put. If no worker has enough memory, the request fails at once as not executed.
 func TestRefusedImport(t *testing.T) {
 	s := &fakeTransport{fullWorkers: map[ids.WorkerID]bool{"d1": true}}
 	got, _, err := runTask(t, s, false)
@@ -225,11 +226,12 @@
 	got, took, err := runTask(t, s, false)
 	require.True(t, failure.Is(err, failure.NotExecuted), "%v", err)
 	require.Empty(t, got)
-	require.Less(t, took, time.Second, "given up means answered at once")
+	require.Less(t, took, time.Second, "the failure is reported at once")
 }
 
-// TestAllDecodeWorkersFull: where every decode worker refuses the import, and the node picks shunned ones
-// as a last resort, each is asked once in an attempt and the task ends bounced.
+// TestAllDecodeWorkersFull checks that each decode worker is tried once per attempt, and that the
+// task fails as not executed, if all refuse the import and the node picks excluded workers as a
+// last resort. Otherwise the same workers would be tried without end.
 func TestAllDecodeWorkersFull(t *testing.T) {
 	s := &fakeTransport{fullWorkers: map[ids.WorkerID]bool{"d1": true, "d2": true}, pickExcluded: true, retryBudget: 5}
 	got, _, err := runTask(t, s, false)
@@ -238,10 +240,10 @@
 	require.LessOrEqual(t, len(s.imports), 2*3)
 }
 
-// TestInvalidTokenEvents: a gap, a repeat, and an end that comes too early never reach
-// the caller as a whole answer; with a coin the rest is recomputed.
+// TestInvalidTokenEvents checks that the client never takes a stream with a gap, a repeated token
+// or an early end for a complete answer. With retry budget the rest is recomputed.
 func TestInvalidTokenEvents(t *testing.T) {
-	for name, bad := range map[string]func(put func(workerclient.TokenEvent) error) error{
+	for name, invalid := range map[string]func(put func(workerclient.TokenEvent) error) error{
 		"gap": func(put func(workerclient.TokenEvent) error) error {
 			return put(workerclient.TokenEvent{Index: 3, Token: 14})
 		},
@@ -253,10 +255,10 @@
 		},
 		"cut": func(put func(workerclient.TokenEvent) error) error { return sendTokens(put, 1, 3, false) },
 	} {
-		for coins := range 2 {
-			s := &fakeTransport{retryBudget: coins, onStream: func(n, from int, put func(workerclient.TokenEvent) error) error {
+		for budget := range 2 {
+			s := &fakeTransport{retryBudget: budget, onStream: func(n, from int, put func(workerclient.TokenEvent) error) error {
 				if n == 1 {
-					return bad(put)
+					return invalid(put)
 				}
 				return sendTokens(put, from, len(testAnswer), true)
 			}}
@@ -266,9 +268,9 @@
 				}
 			}
 			got, _, err := runTask(t, s, false)
-			if coins == 0 {
+			if budget == 0 {
 				require.True(t, failure.Is(err, failure.DataLost), "%s: %v", name, err)
-				require.Equal(t, 1, s.prefills, "%s: no coin, no recompute", name)
+				require.Equal(t, 1, s.prefills, "%s: recomputed without retry budget", name)
 				continue
 			}
 			require.NoError(t, err, name)
@@ -277,17 +279,18 @@
 	}
 }
 
-// TestExportedIdentityMismatch: what comes back from export must be what went in.
+// TestExportedIdentityMismatch checks that nothing is resumed if the exported identity differs from
+// the one that was sent to the prefill worker.
 func TestExportedIdentityMismatch(t *testing.T) {
-	for name, spoil := range map[string]func(m *workerclient.Identity){
-		"other prompt":  func(m *workerclient.Identity) { m.Prompt = []int32{1, 2, 4} },
-		"other request": func(m *workerclient.Identity) { m.ID.Request = "x" },
-		"other attempt": func(m *workerclient.Identity) { m.ID.Attempt++ },
-		"other seed":    func(m *workerclient.Identity) { m.Params.Seed++ },
-		"other weights": func(m *workerclient.Identity) { m.Model.Weights = "w2" },
-		"too little":    func(m *workerclient.Identity) { m.Computed = 1 },
+	for name, alter := range map[string]func(m *workerclient.Identity){
+		"other prompt":            func(m *workerclient.Identity) { m.Prompt = []int32{1, 2, 4} },
+		"other request":           func(m *workerclient.Identity) { m.ID.Request = "x" },
+		"other attempt":           func(m *workerclient.Identity) { m.ID.Attempt++ },
+		"other seed":              func(m *workerclient.Identity) { m.Params.Seed++ },
+		"other weights":           func(m *workerclient.Identity) { m.Model.Weights = "w2" },
+		"prompt computed in part": func(m *workerclient.Identity) { m.Computed = 1 },
 	} {
-		s := &fakeTransport{alterIdentity: spoil}
+		s := &fakeTransport{alterIdentity: alter}
 		got, _, err := runTask(t, s, false)
 		require.Error(t, err, name)
 		require.Empty(t, got, name)
@@ -295,9 +298,9 @@
 	}
 }
 
-// TestClaimedTaskRunsOnce: a claimed run that may have begun is never begun again: not
-// when its worker cannot be asked, nor when it began a new life, nor when it was
-// stopped midway. One that surely never began is tried again.
+// TestClaimedTaskRunsOnce checks that a claimed task whose run may have begun is never run again:
+// not if its worker cannot be reached, restarted, or stopped the run midway. A run that certainly
+// never began is tried again.
 func TestClaimedTaskRunsOnce(t *testing.T) {
 	truncated := func(n, from int, put func(workerclient.TokenEvent) error) error {
 		if n == 1 {
@@ -305,17 +308,17 @@
 		}
 		return sendTokens(put, from, len(testAnswer), true)
 	}
-	for name, fate := range map[string]func(int) (*workerclient.OrderResponse, error){
-		"cannot be asked": func(int) (*workerclient.OrderResponse, error) { return nil, notExecutedError() },
-		"nobody listens":  func(int) (*workerclient.OrderResponse, error) { return nil, dataLostError() },
-		"new life": func(int) (*workerclient.OrderResponse, error) {
+	for name, onCancel := range map[string]func(int) (*workerclient.OrderResponse, error){
+		"cannot be reached": func(int) (*workerclient.OrderResponse, error) { return nil, notExecutedError() },
+		"memory lost":       func(int) (*workerclient.OrderResponse, error) { return nil, dataLostError() },
+		"new incarnation": func(int) (*workerclient.OrderResponse, error) {
 			return &workerclient.OrderResponse{Fate: workerclient.FateNever, Incarnation: "two"}, nil
 		},
 		"stopped midway": func(int) (*workerclient.OrderResponse, error) {
 			return &workerclient.OrderResponse{Fate: workerclient.FateStopped, Incarnation: "one"}, nil
 		},
 	} {
-		s := &fakeTransport{retryBudget: 5, onStream: truncated, onCancel: fate}
+		s := &fakeTransport{retryBudget: 5, onStream: truncated, onCancel: onCancel}
 		_, _, err := runTask(t, s, true)
 		require.True(t, failure.Is(err, failure.OutcomeUnknown), "%s: %v", name, err)
 		require.Equal(t, 1, s.resumes, name)
@@ -338,29 +341,29 @@
 		}, nil
 	}}
 	got, _, err = runTask(t, s, true)
-	require.NoError(t, err, "it had finished: its own output is handed on")
+	require.NoError(t, err, "the run had finished; its output is delivered")
 	require.Equal(t, testAnswer, got)
 	require.Equal(t, 1, s.resumes)
 }
 
-// TestClaimRecordsDecodeWorker: a claim is told where it may run before anything is sent, and
-// anew before a resume elsewhere: at the next worker when one bounced the import, or
-// in another life than was known. What cannot be told is not resumed.
+// TestClaimRecordsDecodeWorker checks that Claim is called with the place where the task may run
+// before anything is sent, and again before a resume elsewhere: at the next worker after a refused
+// import, or in another incarnation than was known. If that call fails, nothing is resumed.
 func TestClaimRecordsDecodeWorker(t *testing.T) {
-	var received []string
+	var claims []string
 	s := &fakeTransport{retryBudget: 5, fullWorkers: map[ids.WorkerID]bool{"d1": true}}
 	s.onClaim = func(w ids.WorkerID, incarnation ids.Incarnation) error {
 		require.Zero(t, s.resumes)
-		received = append(received, string(w)+"/"+string(incarnation))
+		claims = append(claims, string(w)+"/"+string(incarnation))
 		return nil
 	}
 	_, _, err := runTask(t, s, true)
 	require.NoError(t, err)
-	require.Equal(t, []string{"d1/", "d2/one"}, received)
+	require.Equal(t, []string{"d1/", "d2/one"}, claims)
 	s = &fakeTransport{retryBudget: 5}
-	n := 0
+	calls := 0
 	s.onClaim = func(ids.WorkerID, ids.Incarnation) error {
-		if n++; n > 1 {
+		if calls++; calls > 1 {
 			return dataLostError()
 		}
 		return nil
@@ -370,8 +373,8 @@
 	require.Zero(t, s.resumes)
 }
 
-// TestStaleVersionAfterClaim: when a newer version came while the key was claimed, workers
-// are picked anew and the key is not claimed again; nothing was sent before.
+// TestStaleVersionAfterClaim checks that workers are picked again, and the key is not claimed
+// again, if a newer version arrives while the key is being claimed. Nothing is sent before.
 func TestStaleVersionAfterClaim(t *testing.T) {
 	claims := 0
 	s := &fakeTransport{stalePicks: 2, onClaim: func(ids.WorkerID, ids.Incarnation) error { claims++; return nil }}
@@ -379,51 +382,52 @@
 	require.NoError(t, err)
 	require.Equal(t, testAnswer, got)
 	require.Equal(t, 1, s.prefills, "one prefill")
-	require.Equal(t, 6, s.picks, "twice anew, for both parts")
-	require.Equal(t, 2, claims, "once, and once before the resume in the life that is known then")
+	require.Equal(t, 6, s.picks, "picked again twice, for both roles")
+	require.Equal(t, 2, claims, "once, and once before the resume, when the incarnation is known")
 }
 
-// TestRecomputeWaitsForOrphanTimeout: while the earlier attempt cannot be cancelled, nothing is
-// recomputed before its time is surely over.
+// TestRecomputeWaitsForOrphanTimeout checks that nothing is recomputed before the orphan timeout if
+// the earlier attempt cannot be cancelled.
 func TestRecomputeWaitsForOrphanTimeout(t *testing.T) {
-	var again time.Time
-	begun := time.Now()
+	var secondStream time.Time
+	firstStream := time.Now()
 	s := &fakeTransport{retryBudget: 5, onCancel: func(int) (*workerclient.OrderResponse, error) { return nil, notExecutedError() }}
 	s.onStream = func(n, from int, put func(workerclient.TokenEvent) error) error {
 		if n == 1 {
-			begun = time.Now()
+			firstStream = time.Now()
 			return dataLostError()
 		}
-		again = time.Now()
+		secondStream = time.Now()
 		return sendTokens(put, from, len(testAnswer), true)
 	}
 	_, _, err := runTask(t, s, false)
 	require.NoError(t, err)
-	require.Greater(t, again.Sub(begun), 2*time.Second)
+	require.Greater(t, secondStream.Sub(firstStream), 2*time.Second)
 }
 
-// TestRegimeStreamWaitsForWorker: a governed stream that has begun and finds nobody cleared waits for
-// one that is, within its patience; another one is given up after its tries.
+// TestRegimeStreamWaitsForWorker checks that a stream under a regime that has begun waits, for a
+// limited time, until a worker is eligible to continue it. A stream without a regime fails after
+// its attempts.
 func TestRegimeStreamWaitsForWorker(t *testing.T) {
-	complete := func(n, from int, put func(workerclient.TokenEvent) error) error {
+	breakFirst := func(n, from int, put func(workerclient.TokenEvent) error) error {
 		if n == 1 {
 			return sendTokens(put, from, 3, false)
 		}
 		return sendTokens(put, from, len(testAnswer), true)
 	}
-	spoil := func(m *workerclient.Identity) {
+	alter := func(m *workerclient.Identity) {
 		if m.ID.Attempt > 1 {
 			m.Output = testAnswer[:3]
 		}
 	}
-	got, took, err := runTask(t, &fakeTransport{onStream: complete, alterIdentity: spoil, retryBudget: 5, regime: "chair", emptyPicks: 20}, false)
+	got, took, err := runTask(t, &fakeTransport{onStream: breakFirst, alterIdentity: alter, retryBudget: 5, regime: "chair", emptyPicks: 20}, false)
 	require.NoError(t, err)
 	require.Equal(t, testAnswer, got)
 	require.Greater(t, took, time.Second)
-	got, _, err = runTask(t, &fakeTransport{onStream: complete, alterIdentity: spoil, retryBudget: 5, emptyPicks: 20}, false)
+	got, _, err = runTask(t, &fakeTransport{onStream: breakFirst, alterIdentity: alter, retryBudget: 5, emptyPicks: 20}, false)
 	require.True(t, failure.Is(err, failure.DataLost), "%v", err)
 	require.Len(t, got, 3)
-	_, took, err = runTask(t, &fakeTransport{onStream: complete, alterIdentity: spoil, retryBudget: 5, regime: "chair", emptyPicks: 1 << 20}, false)
+	_, took, err = runTask(t, &fakeTransport{onStream: breakFirst, alterIdentity: alter, retryBudget: 5, regime: "chair", emptyPicks: 1 << 20}, false)
 	require.True(t, failure.Is(err, failure.DataLost), "%v", err)
 	require.Less(t, took, 10*time.Second)
 }
--- a/internal/handoff/memory_ledger.go
+++ b/internal/handoff/memory_ledger.go
@@ -1,8 +1,10 @@
-// Package handoff is the hand-over: moving a live request from the worker that
-// read its prompt to the one that continues it. This file is the ledger that a
-// worker's one duty holder keeps of its blocks. Reports are late, so the ledger
-// adds what a report cannot show yet and never counts on what it may still
-// show; whatever it errs by makes a worker look fuller.
+// Package handoff moves a running request from the worker that prefilled its prompt to the
+// worker that decodes the rest.
+//
+// This file has the ledger in which the one node that holds the duty for a worker accounts for
+// the worker's memory blocks. Reports of workers lag behind, so the ledger adds what a report
+// cannot show yet and does not count blocks as free that a report may still miss. Its errors
+// make a worker look fuller than it is, never emptier.
 package handoff
 
 import (
@@ -15,19 +17,21 @@
 	"keelstair.example/internal/workerclient"
 )
 
+// reservation is the memory reserved at a worker for one attempt.
 type reservation struct {
 	blocks        int
-	reservedAt    ids.Tick // when it was reserved
-	sentAt        ids.Tick // when the worker took it
-	endedAt       ids.Tick
-	confirmedFree bool // the worker itself said that it has freed it
+	reservedAt    ids.Tick
+	sentAt        ids.Tick // when the request was sent to the worker; 0 before
+	endedAt       ids.Tick // when the attempt ended at the worker; 0 before
+	confirmedFree bool     // the worker itself said that it has freed the blocks
 }
 
-// MemoryLedger of one worker under one grant.
+// MemoryLedger accounts for the memory blocks and the concurrent requests of one worker, under
+// one grant of its duty.
 type MemoryLedger struct {
 	mu                sync.Mutex
-	exclusiveSince    ids.Tick
-	slowStartBegin    ids.Tick // when the worker was first seen ready, for the ramp
+	exclusiveSince    ids.Tick // from when the worker obeys this holder alone
+	slowStartBegin    ids.Tick // when the worker was taken over, changed its role or answered again
 	maxReportLag      time.Duration
 	slowStart         time.Duration
 	maxConcurrent     int
@@ -39,98 +43,101 @@
 	draining          bool
 }
 
-// NewMemoryLedger begins with nothing known, and is of no use before Begin.
-func NewMemoryLedger(lag, ramp time.Duration, limit int) *MemoryLedger {
+// NewMemoryLedger returns an empty ledger, which is not ready before SetExclusiveFrom.
+func NewMemoryLedger(maxReportLag, slowStart time.Duration, maxConcurrent int) *MemoryLedger {
 	return &MemoryLedger{
 		exclusiveSince: math.MaxInt64,
-		maxReportLag:   lag,
-		slowStart:      ramp,
-		maxConcurrent:  limit,
+		maxReportLag:   maxReportLag,
+		slowStart:      slowStart,
+		maxConcurrent:  maxConcurrent,
 		reservations:   map[workerclient.ID]*reservation{},
 	}
 }
 
-// SetExclusiveFrom notes from when on the worker obeys this holder alone: what an earlier
-// one ordered shows in the first report that is surely younger.
+// SetExclusiveFrom records that the worker obeys this holder alone from now on. The first report
+// that is certainly younger shows everything that an earlier holder ordered.
 func (l *MemoryLedger) SetExclusiveFrom(now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.exclusiveSince, l.slowStartBegin = now, now
 }
 
-// Configure takes limits that a newer policy sets.
-func (l *MemoryLedger) Configure(lag, ramp time.Duration, limit int) {
+// Configure applies the limits of a newer configuration.
+func (l *MemoryLedger) Configure(maxReportLag, slowStart time.Duration, maxConcurrent int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.maxReportLag, l.slowStart, l.maxConcurrent = lag, ramp, limit
+	l.maxReportLag, l.slowStart, l.maxConcurrent = maxReportLag, slowStart, maxConcurrent
 }
 
-// SetReport takes a report that was asked for at a tick.
-func (l *MemoryLedger) SetReport(r *workerclient.Report, asked ids.Tick) {
+// SetReport records a report that was requested at a tick. It deletes the reservations that ended
+// more than the report lag before it, or were sent that long before and are not listed, and those
+// not sent within 15 s.
+func (l *MemoryLedger) SetReport(r *workerclient.Report, requestedAt ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.report != nil && (r.Role != l.role || l.missedReports > 5) {
-		l.slowStartBegin = asked
+		l.slowStartBegin = requestedAt
 	}
-	l.report, l.reportRequestedAt, l.role, l.missedReports = r, asked, r.Role, 0
-	on := map[workerclient.ID]bool{}
+	l.report, l.reportRequestedAt, l.role, l.missedReports = r, requestedAt, r.Role, 0
+	running := map[workerclient.ID]bool{}
 	for _, v := range r.Running {
-		on[v.ID] = true
+		running[v.ID] = true
 	}
-	for id, h := range l.reservations {
+	for id, res := range l.reservations {
 		switch {
-		case h.endedAt != 0 && h.endedAt.Before(asked.Add(-l.maxReportLag)):
+		case res.endedAt != 0 && res.endedAt.Before(requestedAt.Add(-l.maxReportLag)):
 			delete(l.reservations, id)
-		case h.endedAt == 0 && h.sentAt != 0 && h.sentAt.Before(asked.Add(-l.maxReportLag)) && !on[id]:
+		case res.endedAt == 0 && res.sentAt != 0 && res.sentAt.Before(requestedAt.Add(-l.maxReportLag)) && !running[id]:
 			delete(l.reservations, id)
-		case h.sentAt == 0 && asked.Past(h.reservedAt, 15*time.Second):
+		case res.sentAt == 0 && requestedAt.Past(res.reservedAt, 15*time.Second):
 			delete(l.reservations, id)
 		}
 	}
 }
 
-// SetDraining keeps new work away, so that the worker drains; or lets it come again.
-func (l *MemoryLedger) SetDraining(on bool) {
+// SetDraining stops new reservations, so that the worker drains, or admits them again.
+func (l *MemoryLedger) SetDraining(draining bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.draining = on
+	l.draining = draining
 }
 
-// Idle tells that nothing is booked and the last report shows nothing.
+// Idle reports whether no reservation is open and the last report shows no running or queued
+// request.
 func (l *MemoryLedger) Idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, h := range l.reservations {
-		if h.endedAt == 0 {
+	for _, res := range l.reservations {
+		if res.endedAt == 0 {
 			return false
 		}
 	}
 	return l.report != nil && len(l.report.Running) == 0 && l.report.Queue == 0
 }
 
-// MarkMissedReport notes that the worker did not answer.
+// MarkMissedReport records that the worker did not answer a request for a report.
 func (l *MemoryLedger) MarkMissedReport() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.missedReports++
 }
 
-// LedgerState is what the ledger says of its worker now.
+// LedgerState is the state of a worker according to its ledger.
 type LedgerState struct {
 	Role           ids.Role
 	Ready          bool
 	FreeBlocks     int
 	Capacity       int
-	Outstanding    int
-	Running        int // of the busy, begun at the worker
-	RunningBlocks  int // blocks that the begun ones hold or may grow by
+	Outstanding    int // requests reserved or running
+	Running        int // requests sent to the worker or reported by it
+	RunningBlocks  int // blocks that the running requests hold or may grow by
 	MaxConcurrent  int
 	TokensPerBlock int
 	Model          workerclient.Model
 	Incarnation    ids.Incarnation
 }
 
-// State returns what the ledger says of its worker at a time.
+// State returns the state of the worker at a time.
 func (l *MemoryLedger) State(now ids.Tick) LedgerState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,8 +151,8 @@
 		return s
 	}
 	s.Role, s.Capacity, s.TokensPerBlock, s.Model, s.Incarnation = r.Role, r.Capacity, r.Block, r.Model, r.Incarnation
-	// The first report that shows all of an earlier holder's orders was asked
-	// for one lag after the worker knew this holder's fence.
+	// The first report that is sure to show all orders of an earlier holder is one requested a
+	// full report lag after the worker learned this holder's fencing token.
 	s.Ready = !l.draining && l.missedReports < 3 && !now.Past(l.reportRequestedAt, 2*time.Second) &&
 		!l.reportRequestedAt.Before(l.exclusiveSince.Add(l.maxReportLag))
 	used := 0
@@ -156,29 +163,30 @@
 			s.RunningBlocks += v.Blocks + v.Reserved
 		}
 	}
-	shown := 0
+	reported := 0
 	for _, v := range r.Running {
-		shown += v.Blocks
+		reported += v.Blocks
 	}
-	used += max(0, r.Used-shown)
-	for _, h := range l.reservations {
-		if !h.confirmedFree {
-			used += h.blocks
+	used += max(0, r.Used-reported)
+	for _, res := range l.reservations {
+		if !res.confirmedFree {
+			used += res.blocks
 		}
-		if h.endedAt != 0 {
+		if res.endedAt != 0 {
 			continue
 		}
 		s.Outstanding++
-		if h.sentAt != 0 {
+		if res.sentAt != 0 {
 			s.Running++
-			s.RunningBlocks += h.blocks
+			s.RunningBlocks += res.blocks
 		}
 	}
 	s.FreeBlocks = r.Capacity - used
 	return s
 }
 
-// concurrencyLimit ramps up: a cold worker takes few starts at once.
+// concurrencyLimit returns the limit of concurrent requests, which rises linearly during the slow
+// start, because a cold worker can take few at once.
 func (l *MemoryLedger) concurrencyLimit(now ids.Tick) int {
 	age := now.Since(l.slowStartBegin)
 	if l.slowStart <= 0 || age >= l.slowStart {
@@ -187,32 +195,34 @@
 	return max(1, int(float64(l.maxConcurrent)*float64(age)/float64(l.slowStart)))
 }
 
-// Role is what the worker plays by its newest report.
+// Role returns the role of the worker according to its newest report.
 func (l *MemoryLedger) Role() ids.Role {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.role
 }
 
-// Reserve books room for a hand-over, or says at once that there is none.
+// Reserve reserves memory blocks for an attempt, or fails at once if there are too few.
 func (l *MemoryLedger) Reserve(id workerclient.ID, blocks int, now ids.Tick) error {
 	return l.ReserveWithHeadroom(id, blocks, 0, now)
 }
 
-// LimitWithHeadroom is how many of a cap's starts there are beside so many percent that are kept.
-func LimitWithHeadroom(limit, keep int) int { return max(1, limit*(100-keep)/100) }
+// LimitWithHeadroom returns a concurrency limit less the percentage of it that is kept free, and at
+// least 1.
+func LimitWithHeadroom(limit, keepPercent int) int { return max(1, limit*(100-keepPercent)/100) }
 
-// ReserveWithHeadroom books room that leaves so many percent of all room and starts free.
-func (l *MemoryLedger) ReserveWithHeadroom(id workerclient.ID, blocks, keep int, now ids.Tick) error {
+// ReserveWithHeadroom reserves memory blocks for an attempt if a percentage of the worker's blocks
+// and of its concurrency limit stays free.
+func (l *MemoryLedger) ReserveWithHeadroom(id workerclient.ID, blocks, keepPercent int, now ids.Tick) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reservations[id] != nil {
 		return nil
 	}
 	s := l.state(now)
-	if keep > 0 {
-		s.FreeBlocks -= s.Capacity * keep / 100
-		s.MaxConcurrent = LimitWithHeadroom(s.MaxConcurrent, keep)
+	if keepPercent > 0 {
+		s.FreeBlocks -= s.Capacity * keepPercent / 100
+		s.MaxConcurrent = LimitWithHeadroom(s.MaxConcurrent, keepPercent)
 	}
 	switch {
 	case !s.Ready:
@@ -228,38 +238,38 @@
 	return nil
 }
 
-// HasReservation tells whether a hand-over has its room booked.
+// HasReservation reports whether an attempt has an open reservation.
 func (l *MemoryLedger) HasReservation(id workerclient.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := l.reservations[id]
-	return h != nil && h.endedAt == 0
+	res := l.reservations[id]
+	return res != nil && res.endedAt == 0
 }
 
-// MarkSent notes that the worker took the request in.
+// MarkSent records that the request is sent to the worker.
 func (l *MemoryLedger) MarkSent(id workerclient.ID, now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if h := l.reservations[id]; h != nil && h.sentAt == 0 {
-		h.sentAt = now
+	if res := l.reservations[id]; res != nil && res.sentAt == 0 {
+		res.sentAt = now
 	}
 }
 
-// MarkEnded notes that the request is done here. If the worker itself said so, its
-// room is free at once, and a late report that still lists it is not believed;
-// else the room counts as taken until a report shows it free.
-func (l *MemoryLedger) MarkEnded(id workerclient.ID, sure bool, now ids.Tick) {
+// MarkEnded records that the attempt has ended at this worker. If the worker itself said so, its
+// blocks are free at once, even if a late report still lists it; otherwise they count as used
+// until a report shows them free.
+func (l *MemoryLedger) MarkEnded(id workerclient.ID, confirmed bool, now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := l.reservations[id]
+	res := l.reservations[id]
 	switch {
-	case h == nil:
-	case h.sentAt == 0:
+	case res == nil:
+	case res.sentAt == 0:
 		delete(l.reservations, id)
 	default:
-		h.confirmedFree = h.confirmedFree || sure
-		if h.endedAt == 0 {
-			h.endedAt = now
+		res.confirmedFree = res.confirmedFree || confirmed
+		if res.endedAt == 0 {
+			res.endedAt = now
 		}
 	}
 }
--- a/internal/handoff/memory_ledger_test.go
+++ b/internal/handoff/memory_ledger_test.go
@@ -1,4 +1,4 @@
-// The ledger against reports that are late in every way they may be.
+// Tests of the memory ledger with late reports.
 
 package handoff
 
@@ -31,8 +31,8 @@
 	return workerclient.ID{Request: string(rune('a' + n)), Attempt: 1}
 }
 
-// TestLedgerWaitsForReportAfterTakeover: a new holder books nothing before a report that surely shows
-// all that the one before it ordered.
+// TestLedgerWaitsForReportAfterTakeover checks that a new holder reserves nothing before a report
+// that is sure to show everything the previous holder ordered.
 func TestLedgerWaitsForReportAfterTakeover(t *testing.T) {
 	l := newHeldLedger(1000, 0, 8)
 	l.SetReport(newReport(0), tickAt(1100))
@@ -42,8 +42,8 @@
 	require.Error(t, l.Reserve(requestID(1), 1, tickAt(1511)))
 }
 
-// TestLedgerWithLateReports: reports that do not show an import yet, or still show an ended
-// one, never make the worker look emptier than it is.
+// TestLedgerWithLateReports checks that reports that do not show an import yet, or still show an
+// ended one, never make the worker look emptier than it is.
 func TestLedgerWithLateReports(t *testing.T) {
 	l := newHeldLedger(0, 0, 8)
 	l.SetReport(newReport(0), tickAt(600))
@@ -62,26 +62,26 @@
 	l.MarkSent(requestID(1), tickAt(1920))
 	l.SetReport(newReport(50, workerclient.Running{ID: requestID(1), Blocks: 50, Reserved: 10}), tickAt(2500))
 	l.MarkEnded(requestID(1), true, tickAt(2510))
-	require.Equal(t, 100, l.State(tickAt(2520)).FreeBlocks, "the worker said so itself; the old report is not believed")
+	require.Equal(t, 100, l.State(tickAt(2520)).FreeBlocks, "the worker confirmed the end; the late report does not count")
 }
 
-// TestLedgerNeverOverbooks plays a worker whose reports are up to the lag old
-// against the ledger: what the ledger lets through always fits.
+// TestLedgerNeverOverbooks simulates a worker whose reports are up to the report lag old, and
+// checks that what the ledger reserves always fits.
 func TestLedgerNeverOverbooks(t *testing.T) {
 	for seed := uint64(1); seed <= 200; seed++ {
 		r := rand.New(rand.NewPCG(seed, 3))
 		l := newHeldLedger(0, 0, 1000)
 		type run struct{ blocks, start, end int }
-		truth := map[workerclient.ID]run{}
+		actual := map[workerclient.ID]run{}
 		var history []*workerclient.Report
-		taken := 0
+		accepted := 0
 		for now := 0; now < 8000; now += 10 {
 			used := 0
 			rep := newReport(0)
-			for id, v := range truth {
+			for id, v := range actual {
 				if v.end <= now {
 					l.MarkEnded(id, true, tickAt(now))
-					delete(truth, id)
+					delete(actual, id)
 					continue
 				}
 				used += v.blocks
@@ -98,16 +98,17 @@
 				n := 1 + r.IntN(30)
 				if l.Reserve(id, n, tickAt(now)) == nil {
 					l.MarkSent(id, tickAt(now))
-					truth[id] = run{n, now, now + 50 + r.IntN(900)}
-					taken++
+					actual[id] = run{n, now, now + 50 + r.IntN(900)}
+					accepted++
 				}
 			}
 		}
-		require.Greater(t, taken, 20, "seed %d", seed)
+		require.Greater(t, accepted, 20, "seed %d", seed)
 	}
 }
 
-// TestSlowStart: a cold worker takes few starts, then more.
+// TestSlowStart checks that the concurrency limit of a cold worker rises, and begins again after a
+// role change.
 func TestSlowStart(t *testing.T) {
 	l := newHeldLedger(0, 2*time.Second, 16)
 	l.SetReport(newReport(0), tickAt(600))
@@ -117,25 +118,25 @@
 	}
 	require.Error(t, l.Reserve(requestID(5), 1, tickAt(600)))
 	require.Equal(t, 16, l.State(tickAt(2100)).MaxConcurrent)
-	back := newReport(0)
-	back.Role = ids.Prefill
-	l.SetReport(back, tickAt(3000))
-	require.Equal(t, 4, l.State(tickAt(3500)).MaxConcurrent, "a switched worker is cold again")
+	switched := newReport(0)
+	switched.Role = ids.Prefill
+	l.SetReport(switched, tickAt(3000))
+	require.Equal(t, 4, l.State(tickAt(3500)).MaxConcurrent, "a worker is cold again after a role change")
 }
 
-// TestReserveWithHeadroom: work that must leave a share free finds neither its blocks nor its starts;
-// other work does.
+// TestReserveWithHeadroom checks that a request that must leave a share free gets neither the kept
+// blocks nor the kept concurrency, and that other requests do.
 func TestReserveWithHeadroom(t *testing.T) {
 	l := newHeldLedger(0, 0, 4)
 	l.SetReport(newReport(50), tickAt(600))
 	now := tickAt(610)
-	require.Error(t, l.ReserveWithHeadroom(requestID(0), 31, 20, now), "50 are free, 20 of 100 stay so")
+	require.Error(t, l.ReserveWithHeadroom(requestID(0), 31, 20, now), "50 blocks are free and 20 of 100 must stay free")
 	require.NoError(t, l.ReserveWithHeadroom(requestID(0), 30, 20, now))
 	require.Error(t, l.ReserveWithHeadroom(requestID(1), 1, 20, now))
 	require.NoError(t, l.Reserve(requestID(1), 10, now))
 	require.Error(t, l.Reserve(requestID(2), 11, now))
 	require.NoError(t, l.Reserve(requestID(2), 1, now))
-	require.Error(t, l.ReserveWithHeadroom(requestID(3), 1, 1, now), "a start of four stays free")
+	require.Error(t, l.ReserveWithHeadroom(requestID(3), 1, 1, now), "one of four concurrent requests must stay free")
 	require.NoError(t, l.Reserve(requestID(3), 1, now))
 	require.Error(t, l.Reserve(requestID(4), 1, now))
 }
--- a/internal/handoff/retry_after.go
+++ b/internal/handoff/retry_after.go
@@ -1,7 +1,7 @@
-// When a bounced caller should come back. The node keeps a book of appointments: a
-// second has room for as many as it completed in one of late, and each bounced caller
-// is given the first second with room, somewhere within it. So a crowd comes back at
-// the rate at which it can be served, and not as one.
+// Retry-After times for rejected requests. The node books retries into the coming seconds: each
+// second takes about as many as the node has recently completed per second, and a rejected
+// request gets a random time within the first second that is not full. Many requests rejected
+// at once so return at the rate at which they can be served, and not all together.
 
 package handoff
 
@@ -15,47 +15,48 @@
 )
 
 const (
-	bookingHorizonSeconds = 16  // seconds that may be booked ahead
-	overbookingFactor     = 1.3 // of what was completed: some will find room sooner than was thought
-	defaultMinPerSecond   = 20  // and never less, unless the book says so
+	bookingHorizonSeconds = 16  // retries are booked at most this far ahead
+	overbookingFactor     = 1.3 // times the completion rate, since some retries are served sooner than estimated
+	defaultMinPerSecond   = 20  // the least retries per second, unless MinPerSecond is set
 )
 
-// RetryAfterScheduler is a book of appointments, ready for use. Least is how many a second has room for at
-// least; 0 is 20.
+// RetryAfterScheduler assigns retry times to rejected requests. Its zero value is ready for use.
+// MinPerSecond is the least number of retries booked for a second; 0 means 20.
 type RetryAfterScheduler struct {
 	MinPerSecond   int
 	mu             sync.Mutex
-	firstSecond    int64 // the second that the counts begin at
+	firstSecond    int64 // the second of booked[0]
 	booked         [bookingHorizonSeconds]int
 	lastCompleted  int64
-	completionRate float64 // completions a second, smoothed
+	completionRate float64 // completions per second, smoothed exponentially
 }
 
-// advance moves the book on to a second. The caller holds mu.
-func (t *RetryAfterScheduler) advance(now ids.Tick, done int64) {
-	sec := int64(now) / int64(time.Second)
-	if t.firstSecond == 0 || sec-t.firstSecond > bookingHorizonSeconds {
-		t.firstSecond, t.booked, t.lastCompleted = sec, [bookingHorizonSeconds]int{}, done
+// advance moves the bookings on to the second of now. The caller holds mu.
+func (t *RetryAfterScheduler) advance(now ids.Tick, completed int64) {
+	second := int64(now) / int64(time.Second)
+	if t.firstSecond == 0 || second-t.firstSecond > bookingHorizonSeconds {
+		t.firstSecond, t.booked, t.lastCompleted = second, [bookingHorizonSeconds]int{}, completed
 		return
 	}
-	for ; t.firstSecond < sec; t.firstSecond++ {
-		t.completionRate += 0.5 * (float64(done-t.lastCompleted) - t.completionRate)
-		t.lastCompleted = done
+	for ; t.firstSecond < second; t.firstSecond++ {
+		t.completionRate += 0.5 * (float64(completed-t.lastCompleted) - t.completionRate)
+		t.lastCompleted = completed
 		copy(t.booked[:], t.booked[1:])
 		t.booked[bookingHorizonSeconds-1] = 0
 	}
 }
 
-// Next books an appointment no sooner than a span from now; done are completions so far.
-func (t *RetryAfterScheduler) Next(now ids.Tick, done int64, minimum time.Duration) time.Duration {
+// Next books a retry and returns the time until then, at least minimum. completed is the number of
+// requests completed so far.
+func (t *RetryAfterScheduler) Next(now ids.Tick, completed int64, minimum time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.advance(now, done)
-	room := max(cmp.Or(t.MinPerSecond, defaultMinPerSecond), int(t.completionRate*overbookingFactor))
-	at := min(int(minimum/time.Second), bookingHorizonSeconds-1)
-	for at < bookingHorizonSeconds-1 && t.booked[at] >= room {
-		at++
+	t.advance(now, completed)
+	perSecond := max(cmp.Or(t.MinPerSecond, defaultMinPerSecond), int(t.completionRate*overbookingFactor))
+	second := min(int(minimum/time.Second), bookingHorizonSeconds-1)
+	for second < bookingHorizonSeconds-1 && t.booked[second] >= perSecond {
+		second++
 	}
-	t.booked[at]++
-	return max(minimum, time.Duration(at)*time.Second) + rand.N(time.Second)
+	t.booked[second]++
+	return max(minimum, time.Duration(second)*time.Second) + rand.N(time.Second)
 }
