--- a/internal/routing/program_set.go
+++ b/internal/routing/program_set.go
@@ -1,5 +1,5 @@
-// A deck is the programs of one version of the policy, with their shares. The
-// scores outlive decks, so that a program is compared across swaps.
+// The programs of one configuration version with their shares of the traffic, and their scores.
+// Scores are kept across versions, so that a program can be compared before and after a change.
 
 package routing
 
@@ -15,19 +15,20 @@
 	"keelstair.example/ids"
 )
 
-// Score counts how a program fares. All is atomic: it is on the request path.
+// Score counts the results of a program. Its counters are atomic because they are updated on the
+// request path.
 type Score struct {
 	Picks, Fallbacks, Agreed, Completed, Aborted, NotExecuted atomic.Int64
-	RoleChangeCalls, RoleChangeProposals                      atomic.Int64 // of turning
+	RoleChangeCalls, RoleChangeProposals                      atomic.Int64 // calls for a role change, and calls that proposed one
 
 	mu              sync.Mutex
 	firstTokenTimes []time.Duration
-	nextSample      int
+	nextSample      int // index in firstTokenTimes that is overwritten next, once it is full
 }
 
 const maxFirstTokenSamples = 2048
 
-// ObserveFirstToken notes the time to a first piece.
+// ObserveFirstToken records a time to first token. Only the latest ones are kept.
 func (s *Score) ObserveFirstToken(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,23 +40,23 @@
 	s.nextSample++
 }
 
-// Quantile returns the quantile q, from 0 to 1, of the newest times to a first piece, or 0
-// without any.
+// Quantile returns the quantile q, from 0 to 1, of the latest times to first token, or 0 if there
+// are none.
 func (s *Score) Quantile(q float64) time.Duration {
 	s.mu.Lock()
-	row := slices.Clone(s.firstTokenTimes)
+	times := slices.Clone(s.firstTokenTimes)
 	s.mu.Unlock()
-	if len(row) == 0 {
+	if len(times) == 0 {
 		return 0
 	}
-	sort.Slice(row, func(i, j int) bool { return row[i] < row[j] })
-	return row[int(q*float64(len(row)-1))]
+	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
+	return times[int(q*float64(len(times)-1))]
 }
 
-// Scores holds the scores by the names of their programs. It is safe for concurrent use.
+// Scores holds the scores of programs by name. It is safe for concurrent use.
 type Scores struct{ byName sync.Map }
 
-// Of returns the score of a program, which is made at its first use.
+// Of returns the score of a program, and creates it at its first use.
 func (s *Scores) Of(name string) *Score {
 	v, ok := s.byName.Load(name)
 	if !ok {
@@ -64,20 +65,21 @@
 	return v.(*Score)
 }
 
-// Each calls f with every score, in no order.
+// Each calls f for every score, in no particular order.
 func (s *Scores) Each(f func(string, *Score)) {
 	s.byName.Range(func(k, v any) bool { f(k.(string), v.(*Score)); return true })
 }
 
-// Source is a program as the policy has it.
+// Source is the source code of a program with its settings in the configuration.
 type Source struct {
 	Name         string
 	Text         string
-	Share        int
-	Shadow       bool
-	ChangesRoles bool // it is in charge of turning
+	Share        int  // percent of the requests
+	Shadow       bool // the program is run and counted, but its order is not used
+	ChangesRoles bool // the program decides on role changes
 }
 
+// compiledProgram is a program of a set, with its settings.
 type compiledProgram struct {
 	name         string
 	share        int
@@ -86,18 +88,18 @@
 	program      Program
 }
 
-// BuiltInName is what the built-in order is called in the scores.
+// BuiltInName is the name of the built-in program in the scores.
 const BuiltInName = "plain"
 
-// ProgramSet is the programs of one version of the configuration, with their shares.
+// ProgramSet holds the programs of one configuration version.
 type ProgramSet struct {
 	programs []compiledProgram
 	scores   *Scores
 }
 
-// NewProgramSet compiles all sources; any fault refuses the whole deck.
+// NewProgramSet compiles all sources. An error in one of them rejects the whole set.
 func NewProgramSet(list []Source, steps uint64, scores *Scores) (*ProgramSet, error) {
-	d := &ProgramSet{scores: scores}
+	set := &ProgramSet{scores: scores}
 	for _, s := range list {
 		p, err := Compile(s.Name, s.Text, steps)
 		if err == nil && s.ChangesRoles && !p.ProposesRoleChanges() {
@@ -112,72 +114,72 @@
 		if err != nil {
 			return nil, failure.Wrap(err, "check programs", "")
 		}
-		d.programs = append(d.programs, compiledProgram{s.Name, s.Share, s.Shadow, s.ChangesRoles, p})
+		set.programs = append(set.programs, compiledProgram{s.Name, s.Share, s.Shadow, s.ChangesRoles, p})
 	}
-	return d, nil
+	return set, nil
 }
 
-// ProgramFor gives the name of the program that a request falls to.
-func (d *ProgramSet) ProgramFor(request string) string {
+// ProgramFor returns the name of the program that orders the workers of a request.
+func (set *ProgramSet) ProgramFor(request string) string {
 	h := fnv.New32a()
 	h.Write([]byte(request))
-	at := int(h.Sum32() % 100)
-	for _, s := range d.programs {
+	percentile := int(h.Sum32() % 100)
+	for _, s := range set.programs {
 		if s.shadow {
 			continue
 		}
-		if at -= s.share; at < 0 {
+		if percentile -= s.share; percentile < 0 {
 			return s.name
 		}
 	}
 	return BuiltInName
 }
 
-// HasPrograms tells whether any program stands beside the built-in order.
-func (d *ProgramSet) HasPrograms() bool { return len(d.programs) > 0 }
+// HasPrograms reports whether the set has any program besides the built-in one.
+func (set *ProgramSet) HasPrograms() bool { return len(set.programs) > 0 }
 
-// matchAndOrder gives the candidates that a program matches, in its order.
+// matchAndOrder returns the candidates that a program matches, in the order of the program.
 func matchAndOrder(p Program, q *PickRequest, list []Candidate) ([]ids.WorkerID, error) {
-	some, err := p.Match(q, list)
+	matched, err := p.Match(q, list)
 	if err != nil {
 		return nil, err
 	}
-	got, err := p.Order(q, some)
+	order, err := p.Order(q, matched)
 	if err != nil {
 		return nil, err
 	}
-	return checkOrder(q, some, got)
+	return checkOrder(q, matched, order)
 }
 
-// Order asks the request's program, and in its shadow the shadow programs,
-// whose choices are only counted.
-func (d *ProgramSet) Order(q *PickRequest, list []Candidate) []ids.WorkerID {
-	name := d.ProgramFor(q.Request)
-	plain, _ := BuiltIn{}.Order(q, list)
-	out, firsts := plain, map[string]ids.WorkerID{}
-	for _, s := range d.programs {
+// Order returns the candidates in the order of the request's program. It also runs the shadow
+// programs, of which it only counts whether their first choice agrees.
+func (set *ProgramSet) Order(q *PickRequest, list []Candidate) []ids.WorkerID {
+	name := set.ProgramFor(q.Request)
+	builtIn, _ := BuiltIn{}.Order(q, list)
+	out, shadowChoices := builtIn, map[string]ids.WorkerID{}
+	for _, s := range set.programs {
 		if s.name != name && !s.shadow {
 			continue
 		}
-		got, err := matchAndOrder(s.program, q, list)
-		score := d.scores.Of(s.name)
+		order, err := matchAndOrder(s.program, q, list)
+		score := set.scores.Of(s.name)
 		if score.Picks.Add(1); err != nil {
 			score.Fallbacks.Add(1)
-			got = plain
+			order = builtIn
 		}
 		if s.name == name {
-			out = got
-		} else if err == nil && len(got) > 0 {
-			firsts[s.name] = got[0]
+			out = order
+		} else if err == nil && len(order) > 0 {
+			shadowChoices[s.name] = order[0]
 		}
 	}
-	for name, first := range firsts {
+	for name, first := range shadowChoices {
 		if len(out) > 0 && first == out[0] {
-			d.scores.Of(name).Agreed.Add(1)
+			set.scores.Of(name).Agreed.Add(1)
 		}
 	}
 	if name == BuiltInName {
-		d.scores.Of(name).Picks.Add(1)
+		set.scores.Of(name).Picks.Add(1)
 	}
 	return out
 }
--- a/internal/routing/programs.go
+++ b/internal/routing/programs.go
@@ -1,4 +1,4 @@
-// The programs that come with keelstair.
+// The routing programs that are shipped with keelstair.
 
 package routing
 
@@ -7,8 +7,8 @@
 //go:embed programs/*.star
 var shippedFiles embed.FS
 
-// ShippedProgram gives the text of a program that comes with keelstair: free, prefix
-// or short.
+// ShippedProgram returns the source code of a program that is shipped with keelstair (free, prefix
+// or short), or "" for any other name.
 func ShippedProgram(name string) string {
 	b, err := shippedFiles.ReadFile("programs/" + name + ".star")
 	if err != nil {
--- a/internal/routing/programs/prefix.star
+++ b/internal/routing/programs/prefix.star
@@ -1,5 +1,5 @@
-# For prefill, the worker that the prompt's prefix falls to, unless it is busier
-# than the least busy by more than the affinity is worth. For decode, free room.
+# For prefill, prefers the worker with the highest affinity for the prompt's prefix, where full
+# affinity offsets three outstanding requests. For decode, orders workers by the share of free memory.
 def order(ask, workers):
     if ask.part == "prefill":
         return [w.id for w in sorted(workers, key = lambda w: w.busy - 3.0 * w.affinity)]
--- a/internal/routing/role_change.go
+++ b/internal/routing/role_change.go
@@ -1,6 +1,6 @@
-// When a worker should change its part. A program may wish for it; whether a worker
-// may turn at all (dwell, the last of a part or of its weights, a second zone) was
-// decided before, and only those that may can be named.
+// Proposals to change the role of a worker. Which workers may change at all is decided before, by
+// the dwell time, by whether a worker is the last one with its role or weights, and by the need for
+// a second zone. A program can only name workers that may change.
 
 package routing
 
@@ -11,51 +11,51 @@
 	"keelstair.example/ids"
 )
 
-// RoleCandidate is a worker of a pool as a program sees it.
+// RoleCandidate describes a worker of a pool to a program.
 type RoleCandidate struct {
 	ID            ids.WorkerID
 	Zone          ids.Zone
 	Role          ids.Role
-	HomeRole      ids.Role // the part that the catalogue gives it
-	Outstanding   int      // starts booked or under way
-	Running       int      // of these, begun at the worker
+	HomeRole      ids.Role // the role that the configuration assigns
+	Outstanding   int      // requests reserved or running
+	Running       int      // those of them sent to the worker
 	MaxConcurrent int
 	Free          int
 	Capacity      int
-	Allowed       bool // it may turn now
+	Allowed       bool // the worker may change its role now
 }
 
-// Pool is all workers of one model. Press, from 0 to 1, is how much of a part's
-// starts or room is in use, smoothed over seconds; what is only booked, and waits
-// for another worker, does not count.
+// Pool holds all workers of one model. Pressure, from 0 to 1, is the utilisation of a role's
+// concurrency limit or memory, smoothed over seconds. Requests that are only reserved, and wait for
+// another worker, do not count.
 type Pool struct {
 	Model           string
 	Pressure        map[ids.Role]float64
 	Workers         []RoleCandidate
-	SinceRoleChange time.Duration // since the pool's last turn
+	SinceRoleChange time.Duration // time since the last role change in the pool
 }
 
-// RoleChange is for a worker to change to a part.
+// RoleChange proposes that a worker change to a role.
 type RoleChange struct {
 	Worker ids.WorkerID
 	To     ids.Role
 }
 
-// OtherRole is the part that a worker changes from when it changes to one.
-func OtherRole(p ids.Role) ids.Role {
-	if p == ids.Prefill {
+// OtherRole returns decode for prefill and prefill for any other role.
+func OtherRole(role ids.Role) ids.Role {
+	if role == ids.Prefill {
 		return ids.Decode
 	}
 	return ids.Prefill
 }
 
 const (
-	highPressureThreshold = 0.35 // a part is hard pressed above this
-	minPressureRatio      = 2.0  // and so many times more than the other would then be
+	highPressureThreshold = 0.35 // a role is overloaded above this pressure
+	minPressureRatio      = 2.0  // and if its pressure exceeds this multiple of the other role's after the change
 )
 
-// ProposeRoleChange of the built-in program: a hard pressed part gets the least busy worker of
-// the other, if that one is not pressed too, without it.
+// ProposeRoleChange gives an overloaded role the least loaded worker of the other role, unless the
+// other role would be under pressure without that worker.
 func (BuiltIn) ProposeRoleChange(p *Pool) (RoleChange, bool, error) {
 	count := map[ids.Role]int{}
 	for _, w := range p.Workers {
@@ -63,23 +63,23 @@
 	}
 	for _, to := range []ids.Role{ids.Prefill, ids.Decode} {
 		from := OtherRole(to)
-		rest := p.Pressure[from] * float64(count[from]) / float64(max(count[from]-1, 1))
-		if p.Pressure[to] <= highPressureThreshold || p.Pressure[to] <= minPressureRatio*rest {
+		remaining := p.Pressure[from] * float64(count[from]) / float64(max(count[from]-1, 1))
+		if p.Pressure[to] <= highPressureThreshold || p.Pressure[to] <= minPressureRatio*remaining {
 			continue
 		}
-		if w, ok := LeastLoaded(p, to, func(RoleCandidate) bool { return true }); ok {
-			return w, true, nil
+		if change, ok := LeastLoaded(p, to, func(RoleCandidate) bool { return true }); ok {
+			return change, true, nil
 		}
 	}
 	return RoleChange{}, false, nil
 }
 
-// LeastLoaded names the least busy worker that may change to a part, one that comes home
-// by it before others.
-func LeastLoaded(p *Pool, to ids.Role, counts func(RoleCandidate) bool) (RoleChange, bool) {
+// LeastLoaded proposes the worker with the fewest outstanding requests that may change to a role
+// and is eligible. Of equals it prefers one that returns to its home role.
+func LeastLoaded(p *Pool, to ids.Role, eligible func(RoleCandidate) bool) (RoleChange, bool) {
 	var best *RoleCandidate
 	for i, w := range p.Workers {
-		if w.Role == to || !w.Allowed || !counts(w) {
+		if w.Role == to || !w.Allowed || !eligible(w) {
 			continue
 		}
 		if best == nil || w.Outstanding < best.Outstanding || w.Outstanding == best.Outstanding && w.HomeRole == to && best.HomeRole != to {
@@ -92,65 +92,66 @@
 	return RoleChange{best.ID, to}, true
 }
 
-// checkRoleChange holds a program's wish against those that may turn.
-func checkRoleChange(p *Pool, w RoleChange) error {
-	for _, t := range p.Workers {
-		if t.ID == w.Worker && t.Allowed && t.Role == OtherRole(w.To) {
+// checkRoleChange returns an error if a program names a worker that may not change to the role.
+func checkRoleChange(p *Pool, change RoleChange) error {
+	for _, w := range p.Workers {
+		if w.ID == change.Worker && w.Allowed && w.Role == OtherRole(change.To) {
 			return nil
 		}
 	}
 	return failure.New(
 		failure.InvalidArgument,
 		"turn worker",
-		string(w.Worker),
+		string(change.Worker),
 		"the program names a worker that may not turn to %q",
-		w.To,
+		change.To,
 	)
 }
 
-// ProposeRoleChange asks the program in charge, else the built-in one.
-func (d *ProgramSet) ProposeRoleChange(p *Pool) (RoleChange, bool) {
+// ProposeRoleChange returns the role change of the program that decides on role changes, or else of
+// the built-in program.
+func (set *ProgramSet) ProposeRoleChange(p *Pool) (RoleChange, bool) {
 	out, ok, _ := BuiltIn{}.ProposeRoleChange(p)
-	out, ok, _ = d.ResolveRoleChange(p, out, ok)
+	out, ok, _ = set.ResolveRoleChange(p, out, ok)
 	return out, ok
 }
 
-// ResolveRoleChange asks the program in charge; where there is none, or it fails, what the built-in
-// one gave stays, and it is not ruled. The others that have a turning part are only
-// counted.
-func (d *ProgramSet) ResolveRoleChange(p *Pool, out RoleChange, ok bool) (_ RoleChange, is, ruled bool) {
-	type said struct {
+// ResolveRoleChange returns the role change of the program that decides on role changes, with
+// decided set. Without one, or if it fails, the built-in proposal, out and ok, stands and decided
+// is not set. The other programs that propose role changes are only counted.
+func (set *ProgramSet) ResolveRoleChange(p *Pool, out RoleChange, ok bool) (_ RoleChange, proposed, decided bool) {
+	type proposal struct {
 		score  *Score
 		change RoleChange
 		ok     bool
 	}
-	var others []said
-	for _, s := range d.programs {
+	var others []proposal
+	for _, s := range set.programs {
 		if !s.program.ProposesRoleChanges() {
 			continue
 		}
-		w, is, err := s.program.ProposeRoleChange(p)
-		if err == nil && is {
-			err = checkRoleChange(p, w)
+		change, proposed, err := s.program.ProposeRoleChange(p)
+		if err == nil && proposed {
+			err = checkRoleChange(p, change)
 		}
-		score := d.scores.Of(s.name)
+		score := set.scores.Of(s.name)
 		score.RoleChangeCalls.Add(1)
 		switch {
 		case err != nil:
 			score.Fallbacks.Add(1)
 		case s.changesRoles:
-			out, ok, ruled = w, is, true
+			out, ok, decided = change, proposed, true
 		default:
-			others = append(others, said{score, w, is})
+			others = append(others, proposal{score, change, proposed})
 		}
-		if err == nil && is {
+		if err == nil && proposed {
 			score.RoleChangeProposals.Add(1)
 		}
 	}
-	for _, o := range others {
-		if o.ok == ok && (!ok || o.change.To == out.To) {
-			o.score.Agreed.Add(1)
+	for _, other := range others {
+		if other.ok == ok && (!ok || other.change.To == out.To) {
+			other.score.Agreed.Add(1)
 		}
 	}
-	return out, ok, ruled
+	return out, ok, decided
 }
--- a/internal/routing/role_change_test.go
+++ b/internal/routing/role_change_test.go
@@ -1,4 +1,4 @@
-// The matching and the turning part of programs, and what they cannot do.
+// Tests of the functions match and turn of routing programs, and of their limits.
 
 package routing
 
@@ -11,13 +11,13 @@
 )
 
 func mustNewProgramSet(t *testing.T, scores *Scores, list ...Source) *ProgramSet {
-	d, err := NewProgramSet(list, 20000, scores)
+	set, err := NewProgramSet(list, 20000, scores)
 	require.NoError(t, err)
-	return d
+	return set
 }
 
-// TestMatchRestrictsCandidates: a program keeps a request to the workers that it matches, even if it has
-// no order of its own; one whose matching fails is counted, and all are matched.
+// TestMatchRestrictsCandidates checks that a request only gets workers that its program matches, even
+// if the program defines no order. If match fails, the fallback is counted and all workers are used.
 func TestMatchRestrictsCandidates(t *testing.T) {
 	list := testCandidates(6)
 	for i := range list {
@@ -25,27 +25,27 @@
 	}
 	q := &PickRequest{Role: ids.Decode, Request: "r", Kind: "ruling"}
 	text := "def match(ask, worker):\n    return ask.kind != 'ruling' or 'legal' in worker.adapters\n"
-	d := mustNewProgramSet(t, &Scores{}, Source{Name: "legal", Text: text, Share: 100})
-	require.Equal(t, []ids.WorkerID{"w5", "w3", "w1"}, d.Order(q, list), "in the built-in order")
-	require.Len(t, d.Order(&PickRequest{Role: ids.Decode, Request: "r", Kind: "rider"}, list), 6)
+	set := mustNewProgramSet(t, &Scores{}, Source{Name: "legal", Text: text, Share: 100})
+	require.Equal(t, []ids.WorkerID{"w5", "w3", "w1"}, set.Order(q, list), "the matched workers in the built-in order")
+	require.Len(t, set.Order(&PickRequest{Role: ids.Decode, Request: "r", Kind: "rider"}, list), 6)
 	none := mustNewProgramSet(t, &Scores{}, Source{Name: "none", Text: "def match(ask, worker):\n    return False\n", Share: 100})
-	require.Empty(t, none.Order(q, list), "matched by nobody")
+	require.Empty(t, none.Order(q, list), "the program matches no worker")
 	for name, body := range map[string]string{
-		"endless":  "[i for i in range(1 << 40)]",
-		"failing":  "worker.nothing",
-		"nonsense": "3",
+		"endless":    "[i for i in range(1 << 40)]",
+		"failing":    "worker.nothing",
+		"wrong type": "3",
 	} {
 		scores := &Scores{}
-		d := mustNewProgramSet(t, scores, Source{Name: name, Text: "def match(ask, worker):\n    return " + body, Share: 100})
-		require.Len(t, d.Order(q, list), 6, name)
+		set := mustNewProgramSet(t, scores, Source{Name: name, Text: "def match(ask, worker):\n    return " + body, Share: 100})
+		require.Len(t, set.Order(q, list), 6, name)
 		require.EqualValues(t, 1, scores.Of(name).Fallbacks.Load(), name)
 	}
-	out := mustNewProgramSet(t, &Scores{}, Source{
+	conflicting := mustNewProgramSet(t, &Scores{}, Source{
 		Name:  "x",
 		Share: 100,
 		Text:  text + "def order(ask, workers):\n    return ['w0']\n",
 	})
-	require.Len(t, out.Order(q, list), 6, "an order that names who was not matched falls back")
+	require.Len(t, conflicting.Order(q, list), 6, "an order that names a worker that was not matched falls back")
 }
 
 func poolUnderPrefillPressure() *Pool {
@@ -67,39 +67,40 @@
 	return p
 }
 
-// TestRoleChangePrograms: the program in charge decides, one that is not only is counted,
-// and whatever it wishes for that may not be falls back to the built-in wish.
+// TestRoleChangePrograms checks that the program with ChangesRoles decides, that other programs are
+// only counted, and that a failure or a proposal that is not allowed falls back to the built-in
+// proposal.
 func TestRoleChangePrograms(t *testing.T) {
-	plain := RoleChange{"d2", ids.Prefill}
-	for name, k := range map[string]struct {
-		body  string
-		wish  RoleChange
-		ok    bool
-		falls int64
+	builtIn := RoleChange{"d2", ids.Prefill}
+	for name, test := range map[string]struct {
+		body      string
+		change    RoleChange
+		ok        bool
+		fallbacks int64
 	}{
-		"own":      {"('d1', 'prefill') if pool.prefill > 0.8 else None", RoleChange{"d1", ids.Prefill}, true, 0},
-		"calm":     {"None", RoleChange{}, false, 0},
-		"may not":  {"('d3', 'prefill')", plain, true, 1},
-		"stranger": {"('d9', 'prefill')", plain, true, 1},
-		"same":     {"('p1', 'prefill')", plain, true, 1},
-		"no part":  {"('d1', 'both')", plain, true, 1},
-		"endless":  {"[i for i in range(1 << 40)]", plain, true, 1},
-		"failing":  {"pool.workers[99]", plain, true, 1},
-		"nonsense": {"'d1'", plain, true, 1},
+		"proposal":     {"('d1', 'prefill') if pool.prefill > 0.8 else None", RoleChange{"d1", ids.Prefill}, true, 0},
+		"no proposal":  {"None", RoleChange{}, false, 0},
+		"not allowed":  {"('d3', 'prefill')", builtIn, true, 1},
+		"not a worker": {"('d9', 'prefill')", builtIn, true, 1},
+		"same role":    {"('p1', 'prefill')", builtIn, true, 1},
+		"unknown role": {"('d1', 'both')", builtIn, true, 1},
+		"endless":      {"[i for i in range(1 << 40)]", builtIn, true, 1},
+		"failing":      {"pool.workers[99]", builtIn, true, 1},
+		"wrong type":   {"'d1'", builtIn, true, 1},
 	} {
 		scores := &Scores{}
-		text := "def turn(pool):\n    return " + k.body
-		d := mustNewProgramSet(t, scores, Source{
+		text := "def turn(pool):\n    return " + test.body
+		set := mustNewProgramSet(t, scores, Source{
 			Name:         name,
 			Text:         text,
 			ChangesRoles: true,
 		}, Source{Name: "rival", Text: "def turn(pool):\n    return ('d2', 'prefill')"})
-		w, ok := d.ProposeRoleChange(poolUnderPrefillPressure())
-		require.Equal(t, k.ok, ok, name)
-		require.Equal(t, k.wish, w, name)
-		require.EqualValues(t, k.falls, scores.Of(name).Fallbacks.Load(), name)
+		change, ok := set.ProposeRoleChange(poolUnderPrefillPressure())
+		require.Equal(t, test.ok, ok, name)
+		require.Equal(t, test.change, change, name)
+		require.EqualValues(t, test.fallbacks, scores.Of(name).Fallbacks.Load(), name)
 		require.EqualValues(t, 1, scores.Of("rival").RoleChangeProposals.Load(), name)
-		require.Equal(t, k.ok, scores.Of("rival").Agreed.Load() == 1, name)
+		require.Equal(t, test.ok, scores.Of("rival").Agreed.Load() == 1, name)
 	}
 	_, err := NewProgramSet([]Source{{Name: "x", Text: ShippedProgram("free"), ChangesRoles: true}}, 20000, &Scores{})
 	require.ErrorContains(t, err, "has no turn(pool)")
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,7 +1,7 @@
-// Package routing runs routing programs: rival ideas of which worker should take a
-// piece of work. A program only orders candidates that the controller has
-// already cleared, so no program can break a promise; one that fails, runs too
-// long or names strangers falls back to the built-in order and is counted.
+// Package routing runs routing programs, which are interchangeable policies for picking the worker
+// of a request. A program only orders candidates that the caller has already found eligible, so no
+// program can violate a guarantee of the system. If a program fails, runs too long or names a
+// worker that is not a candidate, the built-in order is used and the fallback is counted.
 package routing
 
 import (
@@ -11,7 +11,7 @@
 	"keelstair.example/ids"
 )
 
-// PickRequest is what a program may know of the work.
+// PickRequest describes a request to a program.
 type PickRequest struct {
 	Request      string
 	Kind         string
@@ -21,12 +21,12 @@
 	Zone         ids.Zone
 	PromptTokens int
 	MaxTokens    int
-	NeededTokens int
-	HasCost      bool // the candidates' cost was reckoned
+	NeededTokens int  // tokens of memory to reserve; 0 if unknown
+	HasCost      bool // the candidates' Cost is set
 }
 
-// Candidate is a worker that may take it. Affinity, from 0 to 1, is the same on
-// every node for the same prompt prefix and worker.
+// Candidate is a worker that may serve the request. Affinity, from 0 to 1, is the same on every
+// node for the same prompt prefix and worker.
 type Candidate struct {
 	ID            ids.WorkerID
 	Zone          ids.Zone
@@ -34,15 +34,15 @@
 	Adapters      []string
 	Free          int
 	Capacity      int
-	Outstanding   int
+	Outstanding   int // requests reserved or running
 	MaxConcurrent int
 	Affinity      float64
-	Cost          float64 // ms that the node reckons it takes there, if the question is priced
+	Cost          float64 // estimated ms at this worker, if the request has HasCost set
 }
 
-// Program is a routing policy: which of the cleared workers a request matches, in
-// which order they are tried (best first, those it leaves out last), and when a
-// worker should change its part. It need not have an idea of each.
+// Program is a routing policy. It decides which candidates a request may use, in which order they
+// are tried (best first, those that it omits last), and when a worker should change its role. A
+// program need not define all three.
 type Program interface {
 	Match(q *PickRequest, list []Candidate) ([]Candidate, error)
 	Order(q *PickRequest, list []Candidate) ([]ids.WorkerID, error)
@@ -50,38 +50,38 @@
 	ProposesRoleChanges() bool
 }
 
-// Affinity is high for the worker that a prefix falls to.
+// Affinity returns the rendezvous-hashing weight of a worker for the hash of a prompt prefix, from 0
+// to 1.
 func Affinity(prefix uint64, id ids.WorkerID) float64 {
 	return AffinityFromHash(prefix, WorkerHash(id))
 }
 
-// WorkerHash is what Affinity makes of a worker's id.
+// WorkerHash returns the hash of a worker id for AffinityFromHash.
 func WorkerHash(id ids.WorkerID) uint64 { return ids.Hash(string(id)) }
 
-// AffinityFromHash is the Affinity of a worker by its id's Hash, from 0 to 1.
+// AffinityFromHash returns the Affinity of the worker whose id has the given WorkerHash.
 func AffinityFromHash(prefix, hash uint64) float64 {
 	return float64(ids.Mix(hash^prefix)>>11) / (1 << 53)
 }
 
-// PrefixHash hashes the first tokens of a prompt.
+// PrefixHash returns a hash of the first n tokens of a prompt.
 func PrefixHash(prompt []int32, n int) uint64 {
-	v := uint64(14695981039346656037)
-	for _, t := range prompt[:min(n, len(prompt))] {
-		v = (v ^ uint64(uint32(t))) * 1099511628211
+	hash := uint64(14695981039346656037)
+	for _, token := range prompt[:min(n, len(prompt))] {
+		hash = (hash ^ uint64(uint32(token))) * 1099511628211
 	}
-	return v
+	return hash
 }
 
-// BuiltIn is the built-in order: for prefill the least busy, for decode the most
-// free blocks, and where a cost was reckoned, the cheapest; among equals the request decides,
-// so that calls which come between
-// two heartbeats do not all fall to one worker.
+// BuiltIn is the built-in program. It orders candidates by cost if that is set, otherwise by the
+// fewest outstanding requests for prefill and by the largest share of free memory for decode. Ties
+// are broken by a hash of the request, so that requests between two heartbeats do not all go to one worker.
 type BuiltIn struct{}
 
 // Match returns all candidates.
 func (BuiltIn) Match(_ *PickRequest, list []Candidate) ([]Candidate, error) { return list, nil }
 
-// ProposesRoleChanges reports that the built-in order also says when workers change their part.
+// ProposesRoleChanges returns true: the built-in program also proposes role changes.
 func (BuiltIn) ProposesRoleChanges() bool { return true }
 
 // Order returns the candidates in the built-in order; it never fails.
@@ -95,32 +95,32 @@
 		}
 		return -float64(c.Free) / float64(max(c.Capacity, 1))
 	}
-	row := append([]Candidate(nil), list...)
-	own := ids.Hash(q.Request)
-	sort.SliceStable(row, func(i, j int) bool {
-		a, b := score(row[i]), score(row[j])
+	sorted := append([]Candidate(nil), list...)
+	requestHash := ids.Hash(q.Request)
+	sort.SliceStable(sorted, func(i, j int) bool {
+		a, b := score(sorted[i]), score(sorted[j])
 		if a != b {
 			return a < b
 		}
-		return Affinity(own, row[i].ID) > Affinity(own, row[j].ID)
+		return Affinity(requestHash, sorted[i].ID) > Affinity(requestHash, sorted[j].ID)
 	})
-	out := make([]ids.WorkerID, len(row))
-	for i, c := range row {
+	out := make([]ids.WorkerID, len(sorted))
+	for i, c := range sorted {
 		out[i] = c.ID
 	}
 	return out, nil
 }
 
-// checkOrder holds a program's order against the candidates: strangers and repeats
-// are an error, and whoever was left out comes last in the plain order.
-func checkOrder(q *PickRequest, list []Candidate, got []ids.WorkerID) ([]ids.WorkerID, error) {
-	left := make(map[ids.WorkerID]bool, len(list))
+// checkOrder validates a program's order and completes it. A worker that is not a candidate or is
+// named twice is an error; omitted candidates come last, in the built-in order.
+func checkOrder(q *PickRequest, list []Candidate, order []ids.WorkerID) ([]ids.WorkerID, error) {
+	missing := make(map[ids.WorkerID]bool, len(list))
 	for _, c := range list {
-		left[c.ID] = true
+		missing[c.ID] = true
 	}
 	out := make([]ids.WorkerID, 0, len(list))
-	for _, id := range got {
-		if !left[id] {
+	for _, id := range order {
+		if !missing[id] {
 			return nil, failure.New(
 				failure.InvalidArgument,
 				"order workers",
@@ -128,13 +128,13 @@
 				"the program names a worker that is no candidate, or names it twice",
 			)
 		}
-		delete(left, id)
+		delete(missing, id)
 		out = append(out, id)
 	}
-	if len(left) > 0 {
+	if len(missing) > 0 {
 		rest, _ := BuiltIn{}.Order(q, list)
 		for _, id := range rest {
-			if left[id] {
+			if missing[id] {
 				out = append(out, id)
 			}
 		}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -1,4 +1,4 @@
-// Programs that ship, programs that are hostile, shares and shadows.
+// Tests of the shipped programs, of invalid programs, of shares and of shadow programs.
 
 package routing
 
@@ -27,7 +27,7 @@
 	return out
 }
 
-// TestShippedOrder: the shipped programs compile and order by what they say.
+// TestShippedOrder checks that the shipped programs compile and order workers as they document.
 func TestShippedOrder(t *testing.T) {
 	for name, first := range map[string]ids.WorkerID{"free": "w5", "short": "w5"} {
 		p, err := Compile(name, ShippedProgram(name), 20000)
@@ -39,32 +39,33 @@
 	}
 	p, err := Compile("prefix", ShippedProgram("prefix"), 20000)
 	require.NoError(t, err)
-	level := testCandidates(6)
-	best := level[0]
-	for i := range level {
-		level[i].Outstanding = 1
-		if level[i].Affinity > best.Affinity {
-			best = level[i]
+	equallyLoaded := testCandidates(6)
+	best := equallyLoaded[0]
+	for i := range equallyLoaded {
+		equallyLoaded[i].Outstanding = 1
+		if equallyLoaded[i].Affinity > best.Affinity {
+			best = equallyLoaded[i]
 		}
 	}
-	got, err := p.Order(&PickRequest{Role: ids.Prefill}, level)
+	got, err := p.Order(&PickRequest{Role: ids.Prefill}, equallyLoaded)
 	require.NoError(t, err)
 	require.Equal(t, best.ID, got[0])
 }
 
-// TestInvalidOrderFallsBack: a program that never ends, fails, names a stranger, names one
-// twice or gives nonsense falls back to the built-in order, and is counted.
+// TestInvalidOrderFallsBack checks that the built-in order is used, and the fallback counted, if a
+// program does not terminate, fails, names a worker that is not a candidate, names one twice, or
+// returns something else than a list of ids.
 func TestInvalidOrderFallsBack(t *testing.T) {
-	plain, _ := BuiltIn{}.Order(&PickRequest{Role: ids.Decode}, testCandidates(4))
+	builtIn, _ := BuiltIn{}.Order(&PickRequest{Role: ids.Decode}, testCandidates(4))
 	for name, body := range map[string]string{
-		"endless":  "    x = 0\n    for i in range(1000000000):\n        x += i\n    return [w.id for w in workers]",
-		"failing":  "    return [w.id for w in workers][99]",
-		"stranger": "    return ['nobody']",
-		"twice":    "    return ['w1', 'w1']",
-		"nonsense": "    return 5",
-		"numbers":  "    return [1, 2]",
-		"flood":    "    return ['w1'] * 100000",
-		"mutating": "    workers.clear()\n    seen.append(1)\n    return []",
+		"endless":           "    x = 0\n    for i in range(1000000000):\n        x += i\n    return [w.id for w in workers]",
+		"failing":           "    return [w.id for w in workers][99]",
+		"not a candidate":   "    return ['nobody']",
+		"duplicate":         "    return ['w1', 'w1']",
+		"wrong type":        "    return 5",
+		"not ids":           "    return [1, 2]",
+		"too many ids":      "    return ['w1'] * 100000",
+		"changes its input": "    workers.clear()\n    seen.append(1)\n    return []",
 	} {
 		scores := &Scores{}
 		set, err := NewProgramSet([]Source{{
@@ -73,12 +74,13 @@
 			Share: 100,
 		}}, 20000, scores)
 		require.NoError(t, err, name)
-		require.Equal(t, plain, set.Order(&PickRequest{Role: ids.Decode, Request: "r"}, testCandidates(4)), name)
+		require.Equal(t, builtIn, set.Order(&PickRequest{Role: ids.Decode, Request: "r"}, testCandidates(4)), name)
 		require.EqualValues(t, 1, scores.Of(name).Fallbacks.Load(), name)
 	}
 }
 
-// TestOmittedCandidatesComeLast: whom a program leaves out comes last, so it cannot starve a call.
+// TestOmittedCandidatesComeLast checks that candidates that a program omits come last, so that a
+// program cannot leave a request without workers.
 func TestOmittedCandidatesComeLast(t *testing.T) {
 	set, err := NewProgramSet([]Source{{
 		Name:  "one",
@@ -91,7 +93,8 @@
 	require.Equal(t, ids.WorkerID("w2"), got[0])
 }
 
-// TestTrafficShares: traffic falls to programs by their shares, a shadow only counts.
+// TestTrafficShares checks that requests are split among programs by their shares, and that a shadow
+// program runs for every request but only counts.
 func TestTrafficShares(t *testing.T) {
 	scores := &Scores{}
 	set, err := NewProgramSet([]Source{
@@ -109,9 +112,10 @@
 	require.EqualValues(t, 2000, c)
 }
 
-// TestCompileErrors: a program that does not compile is refused with its place.
+// TestCompileErrors checks that a program that does not compile is rejected with the place of the
+// error.
 func TestCompileErrors(t *testing.T) {
-	for text, says := range map[string]string{
+	for text, message := range map[string]string{
 		"def order(a, b):\n    retrun b":                 "bad.star:2",
 		"x = 1":                                          "must define match",
 		"def order(a):\n    return a":                    "bad.star:1: it should be order(ask, workers)",
@@ -123,7 +127,7 @@
 	} {
 		_, err := NewProgramSet([]Source{{Name: "bad", Text: text}}, 20000, &Scores{})
 		require.True(t, failure.Is(err, failure.InvalidArgument), text)
-		require.ErrorContains(t, err, says)
+		require.ErrorContains(t, err, message)
 	}
 }
 
--- a/internal/routing/starlark.go
+++ b/internal/routing/starlark.go
@@ -1,5 +1,5 @@
-// Starlark programs: short, without loops that never end (steps are counted),
-// without state between calls (globals are frozen), and deterministic.
+// Routing programs in Starlark. They terminate, because execution steps are limited; they keep no
+// state between calls, because their globals are frozen; and they are deterministic.
 
 package routing
 
@@ -15,6 +15,7 @@
 	"keelstair.example/ids"
 )
 
+// starlarkProgram is a compiled program. The functions that it does not define are nil.
 type starlarkProgram struct {
 	name              string
 	match             *starlark.Function
@@ -25,7 +26,7 @@
 
 var dialect = &syntax.FileOptions{}
 
-// Compile reads a program. Its faults carry file, line and reason.
+// Compile compiles a program. Its errors name the file, the line and the reason.
 func Compile(name, source string, steps uint64) (Program, error) {
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(steps)
@@ -35,18 +36,18 @@
 	}
 	globals.Freeze()
 	s := &starlarkProgram{name: name, maxSteps: steps}
-	for _, part := range []struct {
-		form   string
-		params int
-		into   **starlark.Function
+	for _, function := range []struct {
+		signature string
+		params    int
+		target    **starlark.Function
 	}{{"match(ask, worker)", 2, &s.match}, {"order(ask, workers)", 2, &s.order}, {"turn(pool)", 1, &s.proposeRoleChange}} {
-		word, _, _ := strings.Cut(part.form, "(")
-		v, there := globals[word]
-		if !there {
+		key, _, _ := strings.Cut(function.signature, "(")
+		v, defined := globals[key]
+		if !defined {
 			continue
 		}
 		f, ok := v.(*starlark.Function)
-		if !ok || f.NumParams() != part.params {
+		if !ok || f.NumParams() != function.params {
 			line := int32(1)
 			if ok {
 				line = f.Position().Line
@@ -58,10 +59,10 @@
 				"%s.star:%d: it should be %s",
 				name,
 				line,
-				part.form,
+				function.signature,
 			)
 		}
-		*part.into = f
+		*function.target = f
 	}
 	if s.match == nil && s.order == nil && s.proposeRoleChange == nil {
 		return nil, failure.New(
@@ -75,7 +76,7 @@
 	return s, nil
 }
 
-// programError names the place at which a program failed while it ran.
+// programError returns an error that names the line at which a program failed.
 func programError(err error, step, name string) error {
 	var ev *starlark.EvalError
 	if errors.As(err, &ev) {
@@ -88,20 +89,23 @@
 	return failure.As(err, failure.InvalidArgument, step, name)
 }
 
+// thread returns a new thread with the step limit of the program.
 func (s *starlarkProgram) thread() *starlark.Thread {
 	t := &starlark.Thread{Name: s.name, Print: func(*starlark.Thread, string) {}}
 	t.SetMaxExecutionSteps(s.maxSteps)
 	return t
 }
 
+// stringList returns a Starlark list of strings.
 func stringList(list []string) starlark.Value {
-	row := make([]starlark.Value, len(list))
-	for i, n := range list {
-		row[i] = starlark.String(n)
+	values := make([]starlark.Value, len(list))
+	for i, s := range list {
+		values[i] = starlark.String(s)
 	}
-	return starlark.NewList(row)
+	return starlark.NewList(values)
 }
 
+// requestValue returns a request as programs see it.
 func requestValue(q *PickRequest) starlark.Value {
 	return starlarkstruct.FromStringDict(starlark.String("ask"), starlark.StringDict{
 		"request": starlark.String(q.Request), "kind": starlark.String(q.Kind), "model": starlark.String(q.Model),
@@ -110,6 +114,7 @@
 	})
 }
 
+// candidateValue returns a candidate as programs see it.
 func candidateValue(c *Candidate) starlark.Value {
 	return starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
 		"id": starlark.String(c.ID), "zone": starlark.String(c.Zone), "weights": starlark.String(c.Weights),
@@ -120,55 +125,57 @@
 	})
 }
 
-// Match keeps the candidates that the program says yes to.
+// Match returns the candidates for which the program returns True, or all if it does not define
+// match. One step limit covers the calls for all candidates.
 func (s *starlarkProgram) Match(q *PickRequest, list []Candidate) ([]Candidate, error) {
 	if s.match == nil {
 		return list, nil
 	}
-	thread, ask := s.thread(), requestValue(q)
+	thread, request := s.thread(), requestValue(q)
 	var out []Candidate
 	for i := range list {
-		v, err := starlark.Call(thread, s.match, starlark.Tuple{ask, candidateValue(&list[i])}, nil)
+		v, err := starlark.Call(thread, s.match, starlark.Tuple{request, candidateValue(&list[i])}, nil)
 		if err != nil {
 			return nil, programError(err, "run program", s.name)
 		}
-		yes, ok := v.(starlark.Bool)
+		matches, ok := v.(starlark.Bool)
 		if !ok {
 			return nil, failure.New(
 				failure.InvalidArgument, "run program", s.name, "match gave %s, not True or False", v.Type(),
 			)
 		}
-		if yes {
+		if matches {
 			out = append(out, list[i])
 		}
 	}
 	return out, nil
 }
 
+// Order returns the ids that the program returns, or the built-in order if it does not define order.
 func (s *starlarkProgram) Order(q *PickRequest, list []Candidate) ([]ids.WorkerID, error) {
 	if s.order == nil {
 		return BuiltIn{}.Order(q, list)
 	}
-	row := make([]starlark.Value, len(list))
+	workers := make([]starlark.Value, len(list))
 	for i := range list {
-		row[i] = candidateValue(&list[i])
+		workers[i] = candidateValue(&list[i])
 	}
-	v, err := starlark.Call(s.thread(), s.order, starlark.Tuple{requestValue(q), starlark.NewList(row)}, nil)
+	v, err := starlark.Call(s.thread(), s.order, starlark.Tuple{requestValue(q), starlark.NewList(workers)}, nil)
 	if err != nil {
 		return nil, programError(err, "run program", s.name)
 	}
-	seq, ok := v.(starlark.Iterable)
+	sequence, ok := v.(starlark.Iterable)
 	if !ok {
 		return nil, failure.New(
 			failure.InvalidArgument, "run program", s.name, "order gave %s, not a list of ids", v.Type(),
 		)
 	}
-	it := seq.Iterate()
-	defer it.Done()
+	iterator := sequence.Iterate()
+	defer iterator.Done()
 	var out []ids.WorkerID
-	var e starlark.Value
-	for it.Next(&e) {
-		id, ok := starlark.AsString(e)
+	var element starlark.Value
+	for iterator.Next(&element) {
+		id, ok := starlark.AsString(element)
 		if !ok || len(out) > len(list) {
 			return nil, failure.New(
 				failure.InvalidArgument, "run program", s.name, "order gave a list that is not ids of candidates",
@@ -179,13 +186,14 @@
 	return out, nil
 }
 
+// ProposesRoleChanges reports whether the program defines turn.
 func (s *starlarkProgram) ProposesRoleChanges() bool { return s.proposeRoleChange != nil }
 
-// ProposeRoleChange takes None, or a pair of a worker's id and the part that it should have.
+// ProposeRoleChange calls turn, which returns None or a pair of a worker id and its new role.
 func (s *starlarkProgram) ProposeRoleChange(p *Pool) (RoleChange, bool, error) {
-	row := make([]starlark.Value, len(p.Workers))
+	workers := make([]starlark.Value, len(p.Workers))
 	for i, w := range p.Workers {
-		row[i] = starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
+		workers[i] = starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
 			"id":   starlark.String(w.ID),
 			"zone": starlark.String(w.Zone), "part": starlark.String(w.Role), "home": starlark.String(w.HomeRole),
 			"busy": starlark.MakeInt(w.Outstanding),
@@ -194,7 +202,7 @@
 		})
 	}
 	pool := starlarkstruct.FromStringDict(starlark.String("pool"), starlark.StringDict{
-		"model": starlark.String(p.Model), "since": starlark.Float(p.SinceRoleChange.Seconds()), "workers": starlark.NewList(row),
+		"model": starlark.String(p.Model), "since": starlark.Float(p.SinceRoleChange.Seconds()), "workers": starlark.NewList(workers),
 		"prefill": starlark.Float(p.Pressure[ids.Prefill]), "decode": starlark.Float(p.Pressure[ids.Decode]),
 	})
 	v, err := starlark.Call(s.thread(), s.proposeRoleChange, starlark.Tuple{pool}, nil)
@@ -205,9 +213,9 @@
 		return RoleChange{}, false, nil
 	}
 	if pair, ok := v.(starlark.Indexable); ok && pair.Len() == 2 {
-		id, a := starlark.AsString(pair.Index(0))
-		to, b := starlark.AsString(pair.Index(1))
-		if a && b {
+		id, idIsString := starlark.AsString(pair.Index(0))
+		to, roleIsString := starlark.AsString(pair.Index(1))
+		if idIsString && roleIsString {
 			return RoleChange{ids.WorkerID(id), ids.Role(to)}, true, nil
 		}
 	}
