--- a/internal/handoff/cleanup.go
+++ b/internal/handoff/cleanup.go
@@ -69,7 +69,7 @@
 		response, err = f.Transport.Cancel(callContext, w, f.attemptID)
 		stop()
 		if err == nil && w == f.decodeWorker && f.incarnation != "" && response.Incarnation != f.incarnation {
-			return nil, failure.New(failure.DataLost, "cancel", string(w), "the worker began a new life")
+			return nil, failure.New(failure.DataLost, "cancel", string(w), "the worker has a new incarnation")
 		}
 		if err == nil {
 			return response, nil
--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -170,7 +170,7 @@
 		}
 		switch {
 		case clientGone:
-			return f.finalError(failure.As(ctx.Err(), failure.DataLost, "origin went away", ""))
+			return f.finalError(failure.As(ctx.Err(), failure.DataLost, "client disconnected", ""))
 		case failure.Is(err, failure.InvalidArgument):
 			return err
 		case attempts >= t.MaxAttempts || timedOut:
@@ -265,7 +265,7 @@
 	f.trace(Exported, prefill.ID, nil)
 	exported, texts := response.Identity, response.Texts
 	if exported == nil || !f.identityMatches(&m, exported) {
-		return failure.New(failure.DataLost, "export", string(prefill.ID), "what came back is not what went in")
+		return failure.New(failure.DataLost, "export", string(prefill.ID), "the exported identity does not match the request")
 	}
 	transport.Release(prefill.ID, f.attemptID, true)
 	refused := map[ids.WorkerID]bool{}
@@ -296,7 +296,7 @@
 	f.trace(Imported, decode.ID, nil)
 	if target := (decodeTarget{decode.ID, response.Incarnation}); t.Claim != nil && f.claimedTarget != target {
 		if err := t.Claim(decode.ID, response.Incarnation); err != nil {
-			return failure.As(err, failure.NotExecuted, "claim anew", m.ID.Request)
+			return failure.As(err, failure.NotExecuted, "claim again", m.ID.Request)
 		}
 		f.claimedTarget = target
 	}
@@ -350,7 +350,7 @@
 ) (PickedWorker, error) {
 	request.NeededTokens = tokens
 	workers := f.Transport.Pick(request, model, excluded)
-	err := failure.New(failure.NotExecuted, "pick "+string(request.Role), "", "no worker is cleared")
+	err := failure.New(failure.NotExecuted, "pick "+string(request.Role), "", "no worker is eligible")
 	for _, c := range workers {
 		if err = f.Transport.Reserve(ctx, c.ID, f.attemptID, ids.Blocks(tokens, c.TokensPerBlock)); err == nil {
 			return c, nil
@@ -362,7 +362,7 @@
 			break
 		}
 	}
-	return PickedWorker{}, failure.As(err, failure.NotExecuted, "book "+string(request.Role), "")
+	return PickedWorker{}, failure.As(err, failure.NotExecuted, "reserve "+string(request.Role), "")
 }
 
 // deliverMissing puts all tokens that the client has not received yet.
@@ -384,19 +384,19 @@
 func (f *handoffTask) deliver(event workerclient.TokenEvent) error {
 	if event.Index != len(f.sent) {
 		return failure.New(
-			failure.DataLost, "stream", string(f.decodeWorker), "piece %d came where %d was due", event.Index, len(f.sent),
+			failure.DataLost, "stream", string(f.decodeWorker), "token %d came where %d was expected", event.Index, len(f.sent),
 		)
 	}
 	if event.End != "" {
 		if event.Count != len(f.sent) {
 			return failure.New(
-				failure.DataLost, "stream", string(f.decodeWorker), "an end after %d of %d pieces", len(f.sent), event.Count,
+				failure.DataLost, "stream", string(f.decodeWorker), "the stream ended after %d of %d tokens", len(f.sent), event.Count,
 			)
 		}
 		return nil
 	}
 	if err := f.put(event.Index, event.Token, event.Text); err != nil {
-		return failure.As(err, failure.DataLost, "write to origin", "")
+		return failure.As(err, failure.DataLost, "write to client", "")
 	}
 	f.sent = append(f.sent, event.Token)
 	return nil
--- a/internal/handoff/memory_ledger.go
+++ b/internal/handoff/memory_ledger.go
@@ -226,10 +226,10 @@
 	}
 	switch {
 	case !s.Ready:
-		return failure.New(failure.NotExecuted, "reserve", "", "no report young enough")
+		return failure.New(failure.NotExecuted, "reserve", "", "no report is recent enough")
 	case s.Outstanding >= s.MaxConcurrent:
 		return failure.New(
-			failure.NotExecuted, "reserve", "", "%d starts are under way, the cap is %d", s.Outstanding, s.MaxConcurrent,
+			failure.NotExecuted, "reserve", "", "%d requests are outstanding, the limit is %d", s.Outstanding, s.MaxConcurrent,
 		)
 	case s.FreeBlocks < blocks:
 		return failure.New(failure.NotExecuted, "reserve", "", "%d blocks free, %d needed", s.FreeBlocks, blocks)
--- a/internal/routing/program_set.go
+++ b/internal/routing/program_set.go
@@ -107,7 +107,7 @@
 				failure.InvalidArgument,
 				"compile program",
 				s.Name,
-				"%s.star:1: it is to be in charge of turning and has no turn(pool)",
+				"%s.star:1: the program is to decide on role changes and has no turn(pool)",
 				s.Name,
 			)
 		}
--- a/internal/routing/role_change.go
+++ b/internal/routing/role_change.go
@@ -101,9 +101,9 @@
 	}
 	return failure.New(
 		failure.InvalidArgument,
-		"turn worker",
+		"check role change",
 		string(change.Worker),
-		"the program names a worker that may not turn to %q",
+		"the program names a worker that may not change to role %q",
 		change.To,
 	)
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -125,7 +125,7 @@
 				failure.InvalidArgument,
 				"order workers",
 				string(id),
-				"the program names a worker that is no candidate, or names it twice",
+				"the program names a worker that is not a candidate, or names it twice",
 			)
 		}
 		delete(missing, id)
--- a/internal/routing/starlark.go
+++ b/internal/routing/starlark.go
@@ -141,7 +141,7 @@
 		matches, ok := v.(starlark.Bool)
 		if !ok {
 			return nil, failure.New(
-				failure.InvalidArgument, "run program", s.name, "match gave %s, not True or False", v.Type(),
+				failure.InvalidArgument, "run program", s.name, "match returned %s, not True or False", v.Type(),
 			)
 		}
 		if matches {
@@ -167,7 +167,7 @@
 	sequence, ok := v.(starlark.Iterable)
 	if !ok {
 		return nil, failure.New(
-			failure.InvalidArgument, "run program", s.name, "order gave %s, not a list of ids", v.Type(),
+			failure.InvalidArgument, "run program", s.name, "order returned %s, not a list of ids", v.Type(),
 		)
 	}
 	iterator := sequence.Iterate()
@@ -178,7 +178,7 @@
 		id, ok := starlark.AsString(element)
 		if !ok || len(out) > len(list) {
 			return nil, failure.New(
-				failure.InvalidArgument, "run program", s.name, "order gave a list that is not ids of candidates",
+				failure.InvalidArgument, "run program", s.name, "order returned a list that does not consist of ids of candidates",
 			)
 		}
 		out = append(out, ids.WorkerID(id))
@@ -220,6 +220,6 @@
 		}
 	}
 	return RoleChange{}, false, failure.New(
-		failure.InvalidArgument, "run program", s.name, "turn gave %s, not None or (id, part)", v,
+		failure.InvalidArgument, "run program", s.name, "turn returned %s, not None or (id, part)", v,
 	)
 }
