--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -30,8 +30,7 @@
 	// said that it holds no memory for the attempt any more.
 	Release(w ids.WorkerID, id workerclient.ID, confirmed bool)
 	Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.TokenEvent) error) error
-	// SpendRetry takes one recompute from the retry budget, waiting up to wait for it, and
-	// reports whether it was granted.
+	// SpendRetry reports whether the retry budget granted a recompute within the wait.
 	SpendRetry(ctx context.Context, wait time.Duration) bool
 	ReportFault(w ids.WorkerID)
 	// PickedUnderStaleVersion reports whether the last pick was made under a configuration
@@ -202,8 +201,7 @@
 	return 300 * time.Millisecond
 }
 
-// finalError gives the error of a failed task its kind: DataLost if the client has received
-// tokens, else NotExecuted.
+// finalError gives err the kind DataLost if the client has received tokens, else NotExecuted.
 func (f *handoffTask) finalError(err error) error {
 	kind := failure.NotExecuted
 	if len(f.sent) > 0 {
@@ -319,8 +317,7 @@
 	return err
 }
 
-// identityMatches reports whether an exported identity, out, continues the one that was sent to
-// the prefill worker, in.
+// identityMatches reports whether the exported identity, out, continues the one sent, in.
 func (f *handoffTask) identityMatches(in, out *workerclient.Identity) bool {
 	if out.ID != in.ID || len(out.Prompt) != len(in.Prompt) || len(out.Output) < len(in.Output) ||
 		!in.Model.Offers(out.Model) || out.Params != in.Params || out.Computed < len(in.Prompt) {
@@ -379,8 +376,7 @@
 	return nil
 }
 
-// deliver puts the token of an event. A token whose index is not the next one, or an end whose
-// count is not the number of tokens put, is an error.
+// deliver puts the token of an event. An index or end count that does not fit is an error.
 func (f *handoffTask) deliver(event workerclient.TokenEvent) error {
 	if event.Index != len(f.sent) {
 		return failure.New(
