--- a/internal/handoff/memory_ledger.go
+++ b/internal/handoff/memory_ledger.go
@@ -1,8 +1,10 @@
-// Package handoff is the hand-over: moving a live request from the worker that
-// read its prompt to the one that continues it. This file is the ledger that a
-// worker's one duty holder keeps of its blocks. Reports are late, so the ledger
-// adds what a report cannot show yet and never counts on what it may still
-// show; whatever it errs by makes a worker look fuller.
+// Package handoff moves a running request from the worker that prefilled its prompt to the
+// worker that decodes the rest.
+//
+// This file has the ledger in which the one node that holds the duty for a worker accounts for
+// the worker's memory blocks. Reports of workers lag behind, so the ledger adds what a report
+// cannot show yet and does not count blocks as free that a report may still miss. Its errors
+// make a worker look fuller than it is, never emptier.
 package handoff
 
 import (
@@ -15,251 +17,259 @@
 	"keelstair.example/internal/workerclient"
 )
 
+// reservation is the memory reserved at a worker for one attempt.
 type reservation struct {
-	blocks  int
-	at      ids.Tick // when it was reserved
-	moved   ids.Tick // when the worker took it
-	ended   ids.Tick
-	certain bool // the worker itself said that it has freed it
+	blocks        int
+	reservedAt    ids.Tick
+	sentAt        ids.Tick // when the request was sent to the worker; 0 before
+	endedAt       ids.Tick // when the attempt ended at the worker; 0 before
+	confirmedFree bool     // the worker itself said that it has freed the blocks
 }
 
-// MemoryLedger of one worker under one grant.
+// MemoryLedger accounts for the memory blocks and the concurrent requests of one worker, under
+// one grant of its duty.
 type MemoryLedger struct {
-	mu             sync.Mutex
-	since          ids.Tick
-	fresh          ids.Tick // when the worker was first seen ready, for the ramp
-	lag            time.Duration
-	slowStart      time.Duration
-	cap            int
-	role           ids.Role
-	report         *workerclient.Report
-	asked          ids.Tick
-	reservations   map[workerclient.ID]*reservation
-	misses         int
-	reservedBlocks bool
+	mu                sync.Mutex
+	exclusiveSince    ids.Tick // from when the worker obeys this holder alone
+	slowStartBegin    ids.Tick // when the worker was taken over, changed its role or answered again
+	maxReportLag      time.Duration
+	slowStart         time.Duration
+	maxConcurrent     int
+	role              ids.Role
+	report            *workerclient.Report
+	reportRequestedAt ids.Tick
+	reservations      map[workerclient.ID]*reservation
+	missedReports     int
+	draining          bool
 }
 
-// NewMemoryLedger begins with nothing known, and is of no use before Begin.
-func NewMemoryLedger(lag, ramp time.Duration, limit int) *MemoryLedger {
+// NewMemoryLedger returns an empty ledger, which is not ready before SetExclusiveFrom.
+func NewMemoryLedger(maxReportLag, slowStart time.Duration, maxConcurrent int) *MemoryLedger {
 	return &MemoryLedger{
-		since:        math.MaxInt64,
-		lag:          lag,
-		slowStart:    ramp,
-		cap:          limit,
-		reservations: map[workerclient.ID]*reservation{},
+		exclusiveSince: math.MaxInt64,
+		maxReportLag:   maxReportLag,
+		slowStart:      slowStart,
+		maxConcurrent:  maxConcurrent,
+		reservations:   map[workerclient.ID]*reservation{},
 	}
 }
 
-// Begin notes from when on the worker obeys this holder alone: what an earlier
-// one ordered shows in the first report that is surely younger.
-func (l *MemoryLedger) Begin(now ids.Tick) {
+// SetExclusiveFrom records that the worker obeys this holder alone from now on. The first report
+// that is certainly younger shows everything that an earlier holder ordered.
+func (l *MemoryLedger) SetExclusiveFrom(now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since, l.fresh = now, now
+	l.exclusiveSince, l.slowStartBegin = now, now
 }
 
-// Configure takes limits that a newer policy sets.
-func (l *MemoryLedger) Configure(lag, ramp time.Duration, limit int) {
+// Configure applies the limits of a newer configuration.
+func (l *MemoryLedger) Configure(maxReportLag, slowStart time.Duration, maxConcurrent int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lag, l.slowStart, l.cap = lag, ramp, limit
+	l.maxReportLag, l.slowStart, l.maxConcurrent = maxReportLag, slowStart, maxConcurrent
 }
 
-// Report takes a report that was asked for at a tick.
-func (l *MemoryLedger) Report(r *workerclient.Report, asked ids.Tick) {
+// SetReport records a report that was requested at a tick. It deletes the reservations that ended
+// more than the report lag before it, or were sent that long before and are not listed, and those
+// not sent within 15 s.
+func (l *MemoryLedger) SetReport(r *workerclient.Report, requestedAt ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.report != nil && (r.Role != l.role || l.misses > 5) {
-		l.fresh = asked
+	if l.report != nil && (r.Role != l.role || l.missedReports > 5) {
+		l.slowStartBegin = requestedAt
 	}
-	l.report, l.asked, l.role, l.misses = r, asked, r.Role, 0
-	on := map[workerclient.ID]bool{}
+	l.report, l.reportRequestedAt, l.role, l.missedReports = r, requestedAt, r.Role, 0
+	running := map[workerclient.ID]bool{}
 	for _, v := range r.Running {
-		on[v.ID] = true
+		running[v.ID] = true
 	}
-	for id, h := range l.reservations {
+	for id, res := range l.reservations {
 		switch {
-		case h.ended != 0 && h.ended.Before(asked.Add(-l.lag)):
+		case res.endedAt != 0 && res.endedAt.Before(requestedAt.Add(-l.maxReportLag)):
 			delete(l.reservations, id)
-		case h.ended == 0 && h.moved != 0 && h.moved.Before(asked.Add(-l.lag)) && !on[id]:
+		case res.endedAt == 0 && res.sentAt != 0 && res.sentAt.Before(requestedAt.Add(-l.maxReportLag)) && !running[id]:
 			delete(l.reservations, id)
-		case h.moved == 0 && asked.Past(h.at, 15*time.Second):
+		case res.sentAt == 0 && requestedAt.Past(res.reservedAt, 15*time.Second):
 			delete(l.reservations, id)
 		}
 	}
 }
 
-// Reservation keeps new work away, so that the worker drains; or lets it come again.
-func (l *MemoryLedger) Reservation(on bool) {
+// SetDraining stops new reservations, so that the worker drains, or admits them again.
+func (l *MemoryLedger) SetDraining(draining bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reservedBlocks = on
+	l.draining = draining
 }
 
-// Empty tells that nothing is booked and the last report shows nothing.
-func (l *MemoryLedger) Empty() bool {
+// Idle reports whether no reservation is open and the last report shows no running or queued
+// request.
+func (l *MemoryLedger) Idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, h := range l.reservations {
-		if h.ended == 0 {
+	for _, res := range l.reservations {
+		if res.endedAt == 0 {
 			return false
 		}
 	}
 	return l.report != nil && len(l.report.Running) == 0 && l.report.Queue == 0
 }
 
-// Missed notes that the worker did not answer.
-func (l *MemoryLedger) Missed() {
+// MarkMissedReport records that the worker did not answer a request for a report.
+func (l *MemoryLedger) MarkMissedReport() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.misses++
+	l.missedReports++
 }
 
-// State is what the ledger says of its worker now.
-type State struct {
-	Role          ids.Role
-	Ready         bool
-	Free          int
-	Capacity      int
-	Busy          int
-	Work          int // of the busy, begun at the worker
-	Used          int // blocks that the begun ones hold or may grow by
-	MaxConcurrent int
-	Block         int
-	Model         workerclient.Model
-	Incarnation   ids.Incarnation
+// LedgerState is the state of a worker according to its ledger.
+type LedgerState struct {
+	Role           ids.Role
+	Ready          bool
+	FreeBlocks     int
+	Capacity       int
+	Outstanding    int // requests reserved or running
+	Running        int // requests sent to the worker or reported by it
+	RunningBlocks  int // blocks that the running requests hold or may grow by
+	MaxConcurrent  int
+	TokensPerBlock int
+	Model          workerclient.Model
+	Incarnation    ids.Incarnation
 }
 
-// State returns what the ledger says of its worker at a time.
-func (l *MemoryLedger) State(now ids.Tick) State {
+// State returns the state of the worker at a time.
+func (l *MemoryLedger) State(now ids.Tick) LedgerState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state(now)
 }
 
-func (l *MemoryLedger) state(now ids.Tick) State {
-	s := State{MaxConcurrent: l.limit(now)}
+func (l *MemoryLedger) state(now ids.Tick) LedgerState {
+	s := LedgerState{MaxConcurrent: l.concurrencyLimit(now)}
 	r := l.report
-	if r == nil || l.since == math.MaxInt64 {
+	if r == nil || l.exclusiveSince == math.MaxInt64 {
 		return s
 	}
-	s.Role, s.Capacity, s.Block, s.Model, s.Incarnation = r.Role, r.Capacity, r.Block, r.Model, r.Incarnation
-	// The first report that shows all of an earlier holder's orders was asked
-	// for one lag after the worker knew this holder's fence.
-	s.Ready = !l.reservedBlocks && l.misses < 3 && !now.Past(l.asked, 2*time.Second) &&
-		!l.asked.Before(l.since.Add(l.lag))
+	s.Role, s.Capacity, s.TokensPerBlock, s.Model, s.Incarnation = r.Role, r.Capacity, r.Block, r.Model, r.Incarnation
+	// The first report that is sure to show all orders of an earlier holder is one requested a
+	// full report lag after the worker learned this holder's fencing token.
+	s.Ready = !l.draining && l.missedReports < 3 && !now.Past(l.reportRequestedAt, 2*time.Second) &&
+		!l.reportRequestedAt.Before(l.exclusiveSince.Add(l.maxReportLag))
 	used := 0
 	for _, v := range r.Running {
 		if l.reservations[v.ID] == nil {
 			used += v.Blocks + v.Reserved
-			s.Work++
-			s.Used += v.Blocks + v.Reserved
+			s.Running++
+			s.RunningBlocks += v.Blocks + v.Reserved
 		}
 	}
-	shown := 0
+	reported := 0
 	for _, v := range r.Running {
-		shown += v.Blocks
+		reported += v.Blocks
 	}
-	used += max(0, r.Used-shown)
-	for _, h := range l.reservations {
-		if !h.certain {
-			used += h.blocks
+	used += max(0, r.Used-reported)
+	for _, res := range l.reservations {
+		if !res.confirmedFree {
+			used += res.blocks
 		}
-		if h.ended != 0 {
+		if res.endedAt != 0 {
 			continue
 		}
-		s.Busy++
-		if h.moved != 0 {
-			s.Work++
-			s.Used += h.blocks
+		s.Outstanding++
+		if res.sentAt != 0 {
+			s.Running++
+			s.RunningBlocks += res.blocks
 		}
 	}
-	s.Free = r.Capacity - used
+	s.FreeBlocks = r.Capacity - used
 	return s
 }
 
-// limit ramps up: a cold worker takes few starts at once.
-func (l *MemoryLedger) limit(now ids.Tick) int {
-	age := now.Since(l.fresh)
+// concurrencyLimit returns the limit of concurrent requests, which rises linearly during the slow
+// start, because a cold worker can take few at once.
+func (l *MemoryLedger) concurrencyLimit(now ids.Tick) int {
+	age := now.Since(l.slowStartBegin)
 	if l.slowStart <= 0 || age >= l.slowStart {
-		return l.cap
+		return l.maxConcurrent
 	}
-	return max(1, int(float64(l.cap)*float64(age)/float64(l.slowStart)))
+	return max(1, int(float64(l.maxConcurrent)*float64(age)/float64(l.slowStart)))
 }
 
-// Role is what the worker plays by its newest report.
+// Role returns the role of the worker according to its newest report.
 func (l *MemoryLedger) Role() ids.Role {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.role
 }
 
-// Reserve books room for a hand-over, or says at once that there is none.
+// Reserve reserves memory blocks for an attempt, or fails at once if there are too few.
 func (l *MemoryLedger) Reserve(id workerclient.ID, blocks int, now ids.Tick) error {
-	return l.ReserveBeside(id, blocks, 0, now)
+	return l.ReserveWithHeadroom(id, blocks, 0, now)
 }
 
-// Beside is how many of a cap's starts there are beside so many percent that are kept.
-func Beside(limit, keep int) int { return max(1, limit*(100-keep)/100) }
+// LimitWithHeadroom returns a concurrency limit less the percentage of it that is kept free, and at
+// least 1.
+func LimitWithHeadroom(limit, keepPercent int) int { return max(1, limit*(100-keepPercent)/100) }
 
-// ReserveBeside books room that leaves so many percent of all room and starts free.
-func (l *MemoryLedger) ReserveBeside(id workerclient.ID, blocks, keep int, now ids.Tick) error {
+// ReserveWithHeadroom reserves memory blocks for an attempt if a percentage of the worker's blocks
+// and of its concurrency limit stays free.
+func (l *MemoryLedger) ReserveWithHeadroom(id workerclient.ID, blocks, keepPercent int, now ids.Tick) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reservations[id] != nil {
 		return nil
 	}
 	s := l.state(now)
-	if keep > 0 {
-		s.Free -= s.Capacity * keep / 100
-		s.MaxConcurrent = Beside(s.MaxConcurrent, keep)
+	if keepPercent > 0 {
+		s.FreeBlocks -= s.Capacity * keepPercent / 100
+		s.MaxConcurrent = LimitWithHeadroom(s.MaxConcurrent, keepPercent)
 	}
 	switch {
 	case !s.Ready:
-		return failure.New(failure.NotExecuted, "reserve", "", "no report young enough")
-	case s.Busy >= s.MaxConcurrent:
+		return failure.New(failure.NotExecuted, "reserve", "", "no report is recent enough")
+	case s.Outstanding >= s.MaxConcurrent:
 		return failure.New(
-			failure.NotExecuted, "reserve", "", "%d starts are under way, the cap is %d", s.Busy, s.MaxConcurrent,
+			failure.NotExecuted, "reserve", "", "%d requests are outstanding, the limit is %d", s.Outstanding, s.MaxConcurrent,
 		)
-	case s.Free < blocks:
-		return failure.New(failure.NotExecuted, "reserve", "", "%d blocks free, %d needed", s.Free, blocks)
+	case s.FreeBlocks < blocks:
+		return failure.New(failure.NotExecuted, "reserve", "", "%d blocks free, %d needed", s.FreeBlocks, blocks)
 	}
-	l.reservations[id] = &reservation{blocks: blocks, at: now}
+	l.reservations[id] = &reservation{blocks: blocks, reservedAt: now}
 	return nil
 }
 
-// Reserved tells whether a hand-over has its room booked.
-func (l *MemoryLedger) Reserved(id workerclient.ID) bool {
+// HasReservation reports whether an attempt has an open reservation.
+func (l *MemoryLedger) HasReservation(id workerclient.ID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := l.reservations[id]
-	return h != nil && h.ended == 0
+	res := l.reservations[id]
+	return res != nil && res.endedAt == 0
 }
 
-// Moved notes that the worker took the request in.
-func (l *MemoryLedger) Moved(id workerclient.ID, now ids.Tick) {
+// MarkSent records that the request is sent to the worker.
+func (l *MemoryLedger) MarkSent(id workerclient.ID, now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if h := l.reservations[id]; h != nil && h.moved == 0 {
-		h.moved = now
+	if res := l.reservations[id]; res != nil && res.sentAt == 0 {
+		res.sentAt = now
 	}
 }
 
-// Ended notes that the request is done here. If the worker itself said so, its
-// room is free at once, and a late report that still lists it is not believed;
-// else the room counts as taken until a report shows it free.
-func (l *MemoryLedger) Ended(id workerclient.ID, sure bool, now ids.Tick) {
+// MarkEnded records that the attempt has ended at this worker. If the worker itself said so, its
+// blocks are free at once, even if a late report still lists it; otherwise they count as used
+// until a report shows them free.
+func (l *MemoryLedger) MarkEnded(id workerclient.ID, confirmed bool, now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := l.reservations[id]
+	res := l.reservations[id]
 	switch {
-	case h == nil:
-	case h.moved == 0:
+	case res == nil:
+	case res.sentAt == 0:
 		delete(l.reservations, id)
 	default:
-		h.certain = h.certain || sure
-		if h.ended == 0 {
-			h.ended = now
+		res.confirmedFree = res.confirmedFree || confirmed
+		if res.endedAt == 0 {
+			res.endedAt = now
 		}
 	}
 }
--- a/internal/proxy/candidate_index.go
+++ b/internal/proxy/candidate_index.go
@@ -43,7 +43,7 @@
 	t := &candidateIndex{seq: list.seq, snapshot: s, byRole: map[serviceRole][]candidate{}, urgencies: urgencyClasses(s)}
 	for i := range list.workers {
 		if w := &list.workers[i]; acceptsWork(s, w) {
-			e := candidate{i, w.ID, w.Role, routing.Hash(w.ID), n.state(w.ID)}
+			e := candidate{i, w.ID, w.Role, routing.WorkerHash(w.ID), n.state(w.ID)}
 			for _, p := range []ids.Role{ids.Prefill, ids.Decode} {
 				if k := (serviceRole{w.Service, p}); w.Role == p || w.Role == "" {
 					t.byRole[k] = append(t.byRole[k], e)
@@ -103,7 +103,7 @@
 		if rows[i].role != ids.Prefill || ejected(rows[i].id) {
 			continue
 		}
-		if weight := routing.Mix(prefix, rows[i].hash); weight > best {
+		if weight := routing.AffinityFromHash(prefix, rows[i].hash); weight > best {
 			best, home = weight, rows[i].id
 		}
 	}
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -239,7 +239,7 @@
 		c.expectedLatency = c.prefillTime + time.Duration(waitMs*float64(time.Millisecond))
 		c.cost += waitMs + reprefillWeight*prefillMs + n.zoneCost(c.worker, len(r.Body))
 		if len(prefixes) > 0 {
-			c.affinity = routing.Mix(prefixes[len(prefixes)-1], c.hash)
+			c.affinity = routing.AffinityFromHash(prefixes[len(prefixes)-1], c.hash)
 		}
 	}
 	return n.orderCandidates(programs, r, ids.Prefill, list)
@@ -291,7 +291,7 @@
 	keys := make([]sortKey, len(list))
 	for i := range list {
 		list[i].cost += unhealthyCost * list[i].failureRate
-		keys[i] = sortKey{list[i].cost, routing.Mix(requestHash, list[i].hash), i}
+		keys[i] = sortKey{list[i].cost, routing.AffinityFromHash(requestHash, list[i].hash), i}
 	}
 	slices.SortFunc(keys, func(a, b sortKey) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.tie, a.tie))
@@ -306,14 +306,14 @@
 		return list
 	}
 	request := &routing.PickRequest{
-		Request: r.ID,
-		Kind:    r.Host,
-		Model:   r.Model,
-		Role:    role,
-		Zone:    n.self.Zone,
-		Prompt:  r.Prompt,
-		Max:     r.MaxTokens,
-		Priced:  true,
+		Request:      r.ID,
+		Kind:         r.Host,
+		Model:        r.Model,
+		Role:         role,
+		Zone:         n.self.Zone,
+		PromptTokens: r.Prompt,
+		MaxTokens:    r.MaxTokens,
+		HasCost:      true,
 	}
 	candidates := make([]routing.Candidate, len(head))
 	inBlocks := true // capacity is given in memory blocks if known for all candidates, else in concurrent requests
@@ -327,7 +327,7 @@
 			Zone:          c.worker.Zone,
 			Capacity:      c.worker.Concurrency,
 			Free:          max(0, c.worker.Concurrency-c.activeRequests),
-			Busy:          c.activeRequests,
+			Outstanding:   c.activeRequests,
 			MaxConcurrent: c.worker.Concurrency,
 			Affinity:      c.affinity,
 			Cost:          c.cost,
--- a/internal/proxy/program_set_test.go
+++ b/internal/proxy/program_set_test.go
@@ -479,7 +479,7 @@
 				}
 				owner := f.nodes[max(0, f.holder())]
 				score := owner.Scores().Of(name)
-				require.NotZero(t, score.ProposalsAsked.Load())
+				require.NotZero(t, score.RoleChangeCalls.Load())
 				require.Equal(t, name == "fails" || name == "endless" || name == "stranger" || name == "same", score.Fallbacks.Load() > 0)
 			})
 		})
--- a/internal/proxy/role_programs.go
+++ b/internal/proxy/role_programs.go
@@ -68,8 +68,8 @@
 ) *routing.Pool {
 	now := n.now()
 	pool := &routing.Pool{
-		Model: service.Name,
-		Since: now.Since(balance.lastChange),
+		Model:           service.Name,
+		SinceRoleChange: now.Since(balance.lastChange),
 		Pressure: map[ids.Role]float64{
 			ids.Prefill: min(1, balance.prefillPressure*decodePressureLimit/prefillPressureLimit),
 			ids.Decode:  min(1, balance.decodePressure),
@@ -82,8 +82,8 @@
 			Zone:          r.worker.Zone,
 			Role:          r.Role,
 			HomeRole:      r.Role,
-			Busy:          r.Running + r.Waiting,
-			Work:          r.Running,
+			Outstanding:   r.Running + r.Waiting,
+			Running:       r.Running,
 			MaxConcurrent: service.Concurrency,
 			Free:          max(0, r.Capacity-r.Used),
 			Capacity:      r.Capacity,
--- a/internal/routing/starlark.go
+++ b/internal/routing/starlark.go
@@ -1,5 +1,5 @@
-// Starlark programs: short, without loops that never end (steps are counted),
-// without state between calls (globals are frozen), and deterministic.
+// Routing programs in Starlark. They terminate, because execution steps are limited; they keep no
+// state between calls, because their globals are frozen; and they are deterministic.
 
 package routing
 
@@ -15,17 +15,18 @@
 	"keelstair.example/ids"
 )
 
+// starlarkProgram is a compiled program. The functions that it does not define are nil.
 type starlarkProgram struct {
-	name        string
-	match       *starlark.Function
-	order       *starlark.Function
-	proposeRole *starlark.Function
-	steps       uint64
+	name              string
+	match             *starlark.Function
+	order             *starlark.Function
+	proposeRoleChange *starlark.Function
+	maxSteps          uint64
 }
 
 var dialect = &syntax.FileOptions{}
 
-// Compile reads a program. Its faults carry file, line and reason.
+// Compile compiles a program. Its errors name the file, the line and the reason.
 func Compile(name, source string, steps uint64) (Program, error) {
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(steps)
@@ -34,19 +35,19 @@
 		return nil, programError(err, "compile program", name)
 	}
 	globals.Freeze()
-	s := &starlarkProgram{name: name, steps: steps}
-	for _, part := range []struct {
-		form   string
-		params int
-		into   **starlark.Function
-	}{{"match(ask, worker)", 2, &s.match}, {"order(ask, workers)", 2, &s.order}, {"turn(pool)", 1, &s.proposeRole}} {
-		word, _, _ := strings.Cut(part.form, "(")
-		v, there := globals[word]
-		if !there {
+	s := &starlarkProgram{name: name, maxSteps: steps}
+	for _, function := range []struct {
+		signature string
+		params    int
+		target    **starlark.Function
+	}{{"match(ask, worker)", 2, &s.match}, {"order(ask, workers)", 2, &s.order}, {"turn(pool)", 1, &s.proposeRoleChange}} {
+		key, _, _ := strings.Cut(function.signature, "(")
+		v, defined := globals[key]
+		if !defined {
 			continue
 		}
 		f, ok := v.(*starlark.Function)
-		if !ok || f.NumParams() != part.params {
+		if !ok || f.NumParams() != function.params {
 			line := int32(1)
 			if ok {
 				line = f.Position().Line
@@ -58,12 +59,12 @@
 				"%s.star:%d: it should be %s",
 				name,
 				line,
-				part.form,
+				function.signature,
 			)
 		}
-		*part.into = f
+		*function.target = f
 	}
-	if s.match == nil && s.order == nil && s.proposeRole == nil {
+	if s.match == nil && s.order == nil && s.proposeRoleChange == nil {
 		return nil, failure.New(
 			failure.InvalidArgument,
 			"compile program",
@@ -75,7 +76,7 @@
 	return s, nil
 }
 
-// programError names the place at which a program failed while it ran.
+// programError returns an error that names the line at which a program failed.
 func programError(err error, step, name string) error {
 	var ev *starlark.EvalError
 	if errors.As(err, &ev) {
@@ -88,90 +89,96 @@
 	return failure.As(err, failure.InvalidArgument, step, name)
 }
 
+// thread returns a new thread with the step limit of the program.
 func (s *starlarkProgram) thread() *starlark.Thread {
 	t := &starlark.Thread{Name: s.name, Print: func(*starlark.Thread, string) {}}
-	t.SetMaxExecutionSteps(s.steps)
+	t.SetMaxExecutionSteps(s.maxSteps)
 	return t
 }
 
-func names(list []string) starlark.Value {
-	row := make([]starlark.Value, len(list))
-	for i, n := range list {
-		row[i] = starlark.String(n)
+// stringList returns a Starlark list of strings.
+func stringList(list []string) starlark.Value {
+	values := make([]starlark.Value, len(list))
+	for i, s := range list {
+		values[i] = starlark.String(s)
 	}
-	return starlark.NewList(row)
+	return starlark.NewList(values)
 }
 
-func question(q *PickRequest) starlark.Value {
+// requestValue returns a request as programs see it.
+func requestValue(q *PickRequest) starlark.Value {
 	return starlarkstruct.FromStringDict(starlark.String("ask"), starlark.StringDict{
 		"request": starlark.String(q.Request), "kind": starlark.String(q.Kind), "model": starlark.String(q.Model),
-		"adapters": names(q.Adapters), "part": starlark.String(q.Role), "zone": starlark.String(q.Zone),
-		"prompt": starlark.MakeInt(q.Prompt), "max": starlark.MakeInt(q.Max), "need": starlark.MakeInt(q.Need),
+		"adapters": stringList(q.Adapters), "part": starlark.String(q.Role), "zone": starlark.String(q.Zone),
+		"prompt": starlark.MakeInt(q.PromptTokens), "max": starlark.MakeInt(q.MaxTokens), "need": starlark.MakeInt(q.NeededTokens),
 	})
 }
 
-func candidate(c *Candidate) starlark.Value {
+// candidateValue returns a candidate as programs see it.
+func candidateValue(c *Candidate) starlark.Value {
 	return starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
 		"id": starlark.String(c.ID), "zone": starlark.String(c.Zone), "weights": starlark.String(c.Weights),
-		"adapters": names(c.Adapters), "free": starlark.MakeInt(c.Free), "room": starlark.MakeInt(c.Capacity),
-		"busy":     starlark.MakeInt(c.Busy),
+		"adapters": stringList(c.Adapters), "free": starlark.MakeInt(c.Free), "room": starlark.MakeInt(c.Capacity),
+		"busy":     starlark.MakeInt(c.Outstanding),
 		"cap":      starlark.MakeInt(c.MaxConcurrent),
 		"affinity": starlark.Float(c.Affinity), "cost": starlark.Float(c.Cost),
 	})
 }
 
-// Match keeps the candidates that the program says yes to.
+// Match returns the candidates for which the program returns True, or all if it does not define
+// match. One step limit covers the calls for all candidates.
 func (s *starlarkProgram) Match(q *PickRequest, list []Candidate) ([]Candidate, error) {
 	if s.match == nil {
 		return list, nil
 	}
-	thread, ask := s.thread(), question(q)
+	thread, request := s.thread(), requestValue(q)
 	var out []Candidate
 	for i := range list {
-		v, err := starlark.Call(thread, s.match, starlark.Tuple{ask, candidate(&list[i])}, nil)
+		v, err := starlark.Call(thread, s.match, starlark.Tuple{request, candidateValue(&list[i])}, nil)
 		if err != nil {
 			return nil, programError(err, "run program", s.name)
 		}
-		yes, ok := v.(starlark.Bool)
+		matches, ok := v.(starlark.Bool)
 		if !ok {
 			return nil, failure.New(
-				failure.InvalidArgument, "run program", s.name, "match gave %s, not True or False", v.Type(),
+				failure.InvalidArgument, "run program", s.name, "match returned %s, not True or False", v.Type(),
 			)
 		}
-		if yes {
+		if matches {
 			out = append(out, list[i])
 		}
 	}
 	return out, nil
 }
 
+// Order returns the ids that the program returns, or the built-in order if it does not define order.
 func (s *starlarkProgram) Order(q *PickRequest, list []Candidate) ([]ids.WorkerID, error) {
 	if s.order == nil {
 		return BuiltIn{}.Order(q, list)
 	}
-	row := make([]starlark.Value, len(list))
+	workers := make([]starlark.Value, len(list))
 	for i := range list {
-		row[i] = candidate(&list[i])
+		workers[i] = candidateValue(&list[i])
 	}
-	v, err := starlark.Call(s.thread(), s.order, starlark.Tuple{question(q), starlark.NewList(row)}, nil)
+	v, err := starlark.Call(s.thread(), s.order, starlark.Tuple{requestValue(q), starlark.NewList(workers)}, nil)
 	if err != nil {
 		return nil, programError(err, "run program", s.name)
 	}
-	seq, ok := v.(starlark.Iterable)
+	sequence, ok := v.(starlark.Iterable)
 	if !ok {
 		return nil, failure.New(
-			failure.InvalidArgument, "run program", s.name, "order gave %s, not a list of ids", v.Type(),
+			failure.InvalidArgument, "run program", s.name, "order returned %s, not a list of ids", v.Type(),
 		)
 	}
-	it := seq.Iterate()
-	defer it.Done()
+	iterator := sequence.Iterate()
+	defer iterator.Done()
 	var out []ids.WorkerID
-	var e starlark.Value
-	for it.Next(&e) {
-		id, ok := starlark.AsString(e)
+	var element starlark.Value
+	for iterator.Next(&element) {
+		id, ok := starlark.AsString(element)
 		if !ok || len(out) > len(list) {
 			return nil, failure.New(
-				failure.InvalidArgument, "run program", s.name, "order gave a list that is not ids of candidates",
+				failure.InvalidArgument, "run program", s.name, "order returned a list that does not consist of ids of candidates",
 			)
 		}
 		out = append(out, ids.WorkerID(id))
@@ -179,25 +186,26 @@
 	return out, nil
 }
 
-func (s *starlarkProgram) ProposesRoleChanges() bool { return s.proposeRole != nil }
+// ProposesRoleChanges reports whether the program defines turn.
+func (s *starlarkProgram) ProposesRoleChanges() bool { return s.proposeRoleChange != nil }
 
-// ProposeRoleChange takes None, or a pair of a worker's id and the part that it should have.
+// ProposeRoleChange calls turn, which returns None or a pair of a worker id and its new role.
 func (s *starlarkProgram) ProposeRoleChange(p *Pool) (RoleChange, bool, error) {
-	row := make([]starlark.Value, len(p.Workers))
+	workers := make([]starlark.Value, len(p.Workers))
 	for i, w := range p.Workers {
-		row[i] = starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
+		workers[i] = starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
 			"id":   starlark.String(w.ID),
 			"zone": starlark.String(w.Zone), "part": starlark.String(w.Role), "home": starlark.String(w.HomeRole),
-			"busy": starlark.MakeInt(w.Busy),
-			"work": starlark.MakeInt(w.Work), "cap": starlark.MakeInt(w.MaxConcurrent),
+			"busy": starlark.MakeInt(w.Outstanding),
+			"work": starlark.MakeInt(w.Running), "cap": starlark.MakeInt(w.MaxConcurrent),
 			"free": starlark.MakeInt(w.Free), "room": starlark.MakeInt(w.Capacity), "may": starlark.Bool(w.Allowed),
 		})
 	}
 	pool := starlarkstruct.FromStringDict(starlark.String("pool"), starlark.StringDict{
-		"model": starlark.String(p.Model), "since": starlark.Float(p.Since.Seconds()), "workers": starlark.NewList(row),
+		"model": starlark.String(p.Model), "since": starlark.Float(p.SinceRoleChange.Seconds()), "workers": starlark.NewList(workers),
 		"prefill": starlark.Float(p.Pressure[ids.Prefill]), "decode": starlark.Float(p.Pressure[ids.Decode]),
 	})
-	v, err := starlark.Call(s.thread(), s.proposeRole, starlark.Tuple{pool}, nil)
+	v, err := starlark.Call(s.thread(), s.proposeRoleChange, starlark.Tuple{pool}, nil)
 	if err != nil {
 		return RoleChange{}, false, programError(err, "run program", s.name)
 	}
@@ -205,13 +213,13 @@
 		return RoleChange{}, false, nil
 	}
 	if pair, ok := v.(starlark.Indexable); ok && pair.Len() == 2 {
-		id, a := starlark.AsString(pair.Index(0))
-		to, b := starlark.AsString(pair.Index(1))
-		if a && b {
+		id, idIsString := starlark.AsString(pair.Index(0))
+		to, roleIsString := starlark.AsString(pair.Index(1))
+		if idIsString && roleIsString {
 			return RoleChange{ids.WorkerID(id), ids.Role(to)}, true, nil
 		}
 	}
 	return RoleChange{}, false, failure.New(
-		failure.InvalidArgument, "run program", s.name, "turn gave %s, not None or (id, part)", v,
+		failure.InvalidArgument, "run program", s.name, "turn returned %s, not None or (id, part)", v,
 	)
 }
