--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -24,21 +24,21 @@
 	if serial == "" || verb == verbReserve {
 		return
 	}
-	h.steps = append(h.steps, fleetstate.AuditStep{
+	h.auditSteps = append(h.auditSteps, fleetstate.AuditStep{
 		Attempt: id.Attempt,
 		What:    verb,
 		Worker:  string(w),
 		Serial:  serial,
-		At:      h.node.clock().High,
+		At:      h.node.fleetTime().High,
 	})
 }
 
-// record writes the row's text; nothing for work that is not governed.
-func (h *transport) record(request, key, outcome string) []byte {
+// auditRecord writes the row's text; nothing for work that is not governed.
+func (h *transport) auditRecord(request, key, outcome string) []byte {
 	if h.regime == "" {
 		return nil
 	}
-	serial, _ := h.node.clears(h.regime, certification.Subject{Node: h.node.options.Name}, "")
+	serial, _ := h.node.clearance(h.regime, certification.Subject{Node: h.node.options.Name}, "")
 	b, _ := json.Marshal(&fleetstate.AuditRecord{
 		Request: request,
 		Key:     key,
@@ -46,39 +46,39 @@
 		Regime:  h.regime,
 		Node:    string(h.node.self.Node),
 		Serial:  serial,
-		Steps:   h.steps,
+		Steps:   h.auditSteps,
 		Outcome: outcome,
 	})
 	return b
 }
 
-// audit adds a row to the core's chain. The operation's id has it stand there once.
-func (n *Node) audit(ctx context.Context, op ids.OpID, record []byte) error {
+// appendAudit adds a row to the core's chain. The operation's id has it stand there once.
+func (n *Node) appendAudit(ctx context.Context, op ids.OpID, record []byte) error {
 	_, err := n.agent.Submit(ctx, op, fleetstate.AuditKind, coordination.MustMarshal(&fleetstate.Audit{Record: record}))
 	return err
 }
 
 func auditOp(request, what string) ids.OpID { return ids.OpID("audit/" + request + "/" + what) }
 
-// begin records governed work that claims no key, before anything is sent to a worker.
-func (h *transport) begin(ctx context.Context, request string) error {
-	if h.regime == "" || h.begun {
+// recordStart records governed work that claims no key, before anything is sent to a worker.
+func (h *transport) recordStart(ctx context.Context, request string) error {
+	if h.regime == "" || h.startRecorded {
 		return nil
 	}
 	callContext, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 	defer stop()
-	if err := h.node.audit(
-		callContext, auditOp(request, fleetstate.Begun), h.record(request, "", fleetstate.Begun),
+	if err := h.node.appendAudit(
+		callContext, auditOp(request, fleetstate.Begun), h.auditRecord(request, "", fleetstate.Begun),
 	); err != nil {
-		return h.node.later(http.StatusServiceUnavailable, "core-away", "the request cannot be recorded: %v", err)
+		return h.node.rejectRetryable(http.StatusServiceUnavailable, "core-away", "the request cannot be recorded: %v", err)
 	}
-	h.begun = true
+	h.startRecorded = true
 	return nil
 }
 
-// end records the outcome; where the core is away it is owed.
-func (h *transport) end(request string, err error, count int) {
-	if !h.begun {
+// recordEnd records the outcome; where the core is away it is owed.
+func (h *transport) recordEnd(request string, err error, count int) {
+	if !h.startRecorded {
 		return
 	}
 	outcome := api.Complete
@@ -88,22 +88,22 @@
 	case err != nil:
 		outcome = fleetstate.NotRun
 	}
-	d := unresolvedClaim{op: auditOp(request, "end"), audit: h.record(request, "", outcome)}
-	if !h.node.resolveClaim(context.Background(), d) {
+	d := unresolvedClaim{op: auditOp(request, "end"), audit: h.auditRecord(request, "", outcome)}
+	if !h.node.retryUnresolved(context.Background(), d) {
 		h.node.unresolved.add(d)
 	}
 }
 
-// takenOver is the record of an idempotency record that is settled for a node that died.
-func (n *Node) takenOver(d *fleetstate.IdempotencyRecord, fate string) []byte {
+// takeoverAuditRecord is the record of an idempotency record that is settled for a node that died.
+func (n *Node) takeoverAuditRecord(d *fleetstate.IdempotencyRecord, fate string) []byte {
 	kind, _, _ := strings.Cut(d.Key, "/")
 	h := &transport{node: n, kind: kind, regime: n.view.Current().Register.Governs(kind)}
 	if h.regime == "" {
 		return nil
 	}
-	serial, _ := n.clears(h.regime, certification.Subject{Worker: d.Worker}, ids.Decode)
-	h.steps = []fleetstate.AuditStep{{What: "settled", Worker: string(d.Worker), Serial: serial, At: n.clock().High}}
-	return h.record(Request(d.Key), d.Key, fate)
+	serial, _ := n.clearance(h.regime, certification.Subject{Worker: d.Worker}, ids.Decode)
+	h.auditSteps = []fleetstate.AuditStep{{What: "settled", Worker: string(d.Worker), Serial: serial, At: n.fleetTime().High}}
+	return h.auditRecord(Request(d.Key), d.Key, fate)
 }
 
 // Audits reads the core's chain.
@@ -120,7 +120,7 @@
 		}),
 	)
 	if err != nil {
-		return nil, n.outcomeOf(err)
+		return nil, n.operatorError(err)
 	}
 	var got fleetstate.AuditQueryReply
 	if _, err := got.UnmarshalMsg(r.Body); err != nil {
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -19,11 +19,11 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// claimed runs a ruling or verdict: once room is booked its key is claimed, before
+// runClaimed runs a ruling or verdict: once room is booked its key is claimed, before
 // anything is sent to a worker, and the outcome is recorded before the end line
 // is sent. It runs on when the origin goes away: the same key asked again is then
 // answered from the record.
-func (n *Node) claimed(
+func (n *Node) runClaimed(
 	ctx context.Context,
 	s *fleetstate.Snapshot,
 	t *handoff.Task,
@@ -32,16 +32,16 @@
 ) error {
 	key := ask.Kind + "/" + ask.Key
 	t.Identity.ID.Request = Request(key)
-	c, h, score := n.controller(s, t)
+	c, h, score := n.newController(s, t)
 	start, deaf, fresh := n.now(), false, false
 	var known error
 	t.Claim = func(w ids.WorkerID, incarnation ids.Incarnation) error {
 		if fresh {
-			return n.bind(key, w, incarnation)
+			return n.reassignClaim(key, w, incarnation)
 		}
-		record, err := n.claim(ctx, key, ask, w, incarnation)
+		record, err := n.claimKey(ctx, key, ask, w, incarnation)
 		if err == nil && record != nil {
-			err = n.replay(record, out)
+			err = n.replayRecord(record, out)
 			if err == nil {
 				err = errReplayed
 			}
@@ -69,24 +69,24 @@
 		return known
 	case !fresh:
 		score.Bounced.Add(1)
-		return n.retryAfterHint(http.StatusServiceUnavailable, "bounced", "%v", err)
+		return n.rejectForCapacity(http.StatusServiceUnavailable, "bounced", "%v", err)
 	}
 	end := &fleetstate.Resolve{Key: key, Owner: n.self.Node, Outcome: runOutcome(err, len(toks))}
-	end.Audit = h.record(t.Identity.ID.Request, key, end.Outcome)
+	end.Audit = h.auditRecord(t.Identity.ID.Request, key, end.Outcome)
 	if end.Outcome == fleetstate.Done {
-		end.Answer, _ = json.Marshal(record{toks, texts})
+		end.Answer, _ = json.Marshal(storedAnswer{toks, texts})
 	}
-	if e := n.resolve(end); e != nil {
-		return n.unrecorded(end, e, len(toks), out)
+	if e := n.submitOutcome(end); e != nil {
+		return n.reportUnrecorded(end, e, len(toks), out)
 	}
-	return n.conclude(end.Outcome, err, len(toks), score, out)
+	return n.finishClaimed(end.Outcome, err, len(toks), score, out)
 }
 
-// conclude ends the caller's stream once the outcome is on record.
-func (n *Node) conclude(outcome string, cause error, tokens int, score *routing.Score, out api.Sink) error {
+// finishClaimed ends the caller's stream once the outcome is on record.
+func (n *Node) finishClaimed(outcome string, cause error, tokens int, score *routing.Score, out api.Sink) error {
 	switch outcome {
 	case fleetstate.MayHaveRun:
-		n.counts.Unsure.Add(1)
+		n.counts.OutcomeUnknown.Add(1)
 		return out.Put(api.StreamEvent{
 			Index: tokens,
 			End:   api.Unknown,
@@ -95,9 +95,9 @@
 		})
 	case fleetstate.NotRun:
 		score.Bounced.Add(1)
-		return n.gone(tokens, out)
+		return n.rejectNotRun(tokens, out)
 	}
-	return n.finish(nil, tokens, score, out)
+	return n.finishStream(nil, tokens, score, out)
 }
 
 // runOutcome is the outcome of a run that gave so many tokens and ended with an error or none.
@@ -111,15 +111,15 @@
 	return fleetstate.NotRun
 }
 
-// unrecorded answers a caller whose outcome could not be recorded, and keeps the claim for a
+// reportUnrecorded answers a caller whose outcome could not be recorded, and keeps the claim for a
 // later try, unless another node resolves it.
-func (n *Node) unrecorded(end *fleetstate.Resolve, cause error, tokens int, out api.Sink) error {
-	n.counts.Unsure.Add(1)
+func (n *Node) reportUnrecorded(end *fleetstate.Resolve, cause error, tokens int, out api.Sink) error {
+	n.counts.OutcomeUnknown.Add(1)
 	if !failure.Is(cause, failure.Stale) {
 		n.unresolved.add(unresolvedClaim{resolve: end})
 	}
 	if tokens == 0 && end.Outcome == fleetstate.NotRun {
-		return n.later(http.StatusServiceUnavailable, "outcome-pending", "%v", cause)
+		return n.rejectRetryable(http.StatusServiceUnavailable, "outcome-pending", "%v", cause)
 	}
 	return out.Put(api.StreamEvent{
 		Index: tokens,
@@ -128,29 +128,29 @@
 		Error: &workerclient.Rejection{
 			Name:   "unrecorded",
 			Detail: "the outcome is not on record yet; ask again with the same key",
-			After:  n.after().Milliseconds(),
+			After:  n.retryDelay().Milliseconds(),
 		},
 	})
 }
 
-// gone answers for a key that ends as not run: no late copy of it can run, so
+// rejectNotRun answers for a key that ends as not run: no late copy of it can run, so
 // the caller comes back with a new key.
-func (n *Node) gone(count int, out api.Sink) error {
+func (n *Node) rejectNotRun(count int, out api.Sink) error {
 	no := workerclient.Rejection{
 		Name:   "not-run",
 		Field:  "key",
 		Detail: "it was not run and never will be; ask anew with another key",
-		After:  n.after().Milliseconds(),
+		After:  n.retryDelay().Milliseconds(),
 	}
-	n.counts.Bounced.Add(1)
+	n.counts.Rejected.Add(1)
 	if count == 0 {
 		return &api.Fault{Code: http.StatusServiceUnavailable, Rejection: no}
 	}
 	return out.Put(api.StreamEvent{Index: count, End: api.Broken, Count: count, Error: &no})
 }
 
-// claim takes the key; an idempotency record is given if it was taken before.
-func (n *Node) claim(
+// claimKey takes the key; an idempotency record is given if it was taken before.
+func (n *Node) claimKey(
 	ctx context.Context,
 	key string,
 	ask *api.StreamRequest,
@@ -165,7 +165,7 @@
 	if err != nil {
 		if failure.Is(err, failure.OutcomeUnknown) {
 			n.unresolved.add(unresolvedClaim{op: op, claim: claim})
-			return nil, n.later(
+			return nil, n.rejectRetryable(
 				http.StatusServiceUnavailable,
 				"claim-unknown",
 				"whether the key was claimed is not known; nothing runs on it: %v",
@@ -173,16 +173,16 @@
 			)
 		}
 		if failure.Is(err, failure.Stale) {
-			n.counts.Bounced.Add(1)
+			n.counts.Rejected.Add(1)
 			return nil, api.RetryLater(
 				http.StatusServiceUnavailable, "store-full", time.Minute, "nothing was run: %v", err,
 			)
 		}
-		return nil, n.later(http.StatusServiceUnavailable, "core-away", "%v", err)
+		return nil, n.rejectRetryable(http.StatusServiceUnavailable, "core-away", "%v", err)
 	}
 	var got fleetstate.ClaimReply
 	if _, err := got.UnmarshalMsg(r.Body); err != nil {
-		return nil, n.later(http.StatusServiceUnavailable, "core-away", "%v", err)
+		return nil, n.rejectRetryable(http.StatusServiceUnavailable, "core-away", "%v", err)
 	}
 	switch {
 	case got.Record.Digest != claim.Digest:
@@ -195,8 +195,8 @@
 	return nil, nil
 }
 
-// bind has a claimed key run elsewhere than it was claimed for.
-func (n *Node) bind(key string, w ids.WorkerID, incarnation ids.Incarnation) error {
+// reassignClaim has a claimed key run elsewhere than it was claimed for.
+func (n *Node) reassignClaim(key string, w ids.WorkerID, incarnation ids.Incarnation) error {
 	callContext, stop := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer stop()
 	b := &fleetstate.AssignWorker{Key: key, Owner: n.self.Node, Worker: w, Incarnation: incarnation}
@@ -212,7 +212,7 @@
 // Request is the request id that a key always has.
 func Request(key string) string { return "k-" + coordination.ShortHash(key) }
 
-func (n *Node) resolve(s *fleetstate.Resolve) error {
+func (n *Node) submitOutcome(s *fleetstate.Resolve) error {
 	callContext, stop := context.WithTimeout(context.Background(), 4*time.Second)
 	defer stop()
 	_, err := n.agent.Submit(
@@ -224,14 +224,14 @@
 	return err
 }
 
-// replay answers a key that is known already.
-func (n *Node) replay(d *fleetstate.IdempotencyRecord, out api.Sink) error {
+// replayRecord answers a key that is known already.
+func (n *Node) replayRecord(d *fleetstate.IdempotencyRecord, out api.Sink) error {
 	n.counts.Replayed.Add(1)
 	switch d.Outcome {
 	case fleetstate.Claimed:
-		return n.later(http.StatusConflict, "running", "the key is being run")
+		return n.rejectRetryable(http.StatusConflict, "running", "the key is being run")
 	case fleetstate.NotRun:
-		return n.gone(0, out)
+		return n.rejectNotRun(0, out)
 	case fleetstate.Done:
 		if d.Aged {
 			return api.WriteFault(
@@ -246,7 +246,7 @@
 			http.StatusGone, "may-have-run", "key", "whether it ran is not known; it will not be run again",
 		)
 	}
-	var r record
+	var r storedAnswer
 	if err := json.Unmarshal(d.Answer, &r); err != nil {
 		return failure.As(err, failure.InvalidArgument, "replay", d.Key)
 	}
@@ -258,7 +258,7 @@
 	return out.Put(api.StreamEvent{Index: len(r.Tokens), End: api.Complete, Count: len(r.Tokens), Replay: true})
 }
 
-type record struct {
+type storedAnswer struct {
 	Tokens []int32  `json:"tokens"`
 	Texts  []string `json:"texts"`
 }
--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -60,7 +60,7 @@
 
 // Foresee holds a change against the live state.
 func Foresee(st *router.NodeStatus, now *fleetstate.Configuration, c Change) (*Forecast, error) {
-	if err := known(st, now, c); err != nil {
+	if err := validate(st, now, c); err != nil {
 		return nil, err
 	}
 	f := &Forecast{
@@ -75,19 +75,19 @@
 	if c.Policy != nil {
 		next = c.Policy
 	}
-	f.workers(now, next)
-	f.shares(now, next)
-	f.keys(st, next, c)
-	f.rooms(st, now, next, c)
-	f.core(st, c)
-	f.deeds(st, next)
-	if err := f.regimes(st, now, next, c); err != nil {
+	f.compareWorkers(now, next)
+	f.compareShares(now, next)
+	f.compareKeys(st, next, c)
+	f.compareCapacity(st, now, next, c)
+	f.checkCore(st, c)
+	f.checkRecords(st, next)
+	if err := f.checkRegimes(st, now, next, c); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-func known(st *router.NodeStatus, p *fleetstate.Configuration, c Change) error {
+func validate(st *router.NodeStatus, p *fleetstate.Configuration, c Change) error {
 	for _, z := range []ids.Zone{c.Evacuate, c.LoseZone} {
 		ok := z == ""
 		for _, have := range p.Zones {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func workerIds(a, b *fleetstate.Configuration) []ids.WorkerID {
+func sortedWorkerIDs(a, b *fleetstate.Configuration) []ids.WorkerID {
 	set := map[ids.WorkerID]bool{}
 	for id := range a.Workers {
 		set[id] = true
@@ -132,8 +132,8 @@
 	return out
 }
 
-func (f *Forecast) workers(a, b *fleetstate.Configuration) {
-	for _, id := range workerIds(a, b) {
+func (f *Forecast) compareWorkers(a, b *fleetstate.Configuration) {
+	for _, id := range sortedWorkerIDs(a, b) {
 		x, was := a.Workers[id]
 		y, is := b.Workers[id]
 		switch {
@@ -152,7 +152,7 @@
 	}
 }
 
-func (f *Forecast) shares(a, b *fleetstate.Configuration) {
+func (f *Forecast) compareShares(a, b *fleetstate.Configuration) {
 	for i, p := range []*fleetstate.Configuration{a, b} {
 		plain := 100
 		put := func(name string, n int) {
@@ -170,16 +170,16 @@
 	}
 }
 
-// lost tells whether a change takes away what stands at an address in a zone.
-func (c Change) lost(zone ids.Zone, addr string) bool {
+// removes tells whether a change takes away what stands at an address in a zone.
+func (c Change) removes(zone ids.Zone, addr string) bool {
 	return c.LoseZone != "" && c.LoseZone == zone || c.LoseAddr != "" && c.LoseAddr == addr
 }
 
-func (f *Forecast) keys(st *router.NodeStatus, next *fleetstate.Configuration, c Change) {
+func (f *Forecast) compareKeys(st *router.NodeStatus, next *fleetstate.Configuration, c Change) {
 	var was, is []ids.NodeID
 	for _, m := range st.Members {
 		was = append(was, m.Node)
-		if !c.lost(m.Zone, m.Addr) {
+		if !c.removes(m.Zone, m.Addr) {
 			is = append(is, m.Node)
 		}
 	}
@@ -204,7 +204,7 @@
 	}
 }
 
-func (f *Forecast) rooms(st *router.NodeStatus, now, next *fleetstate.Configuration, c Change) {
+func (f *Forecast) compareCapacity(st *router.NodeStatus, now, next *fleetstate.Configuration, c Change) {
 	type group struct {
 		model string
 		role  ids.Role
@@ -239,7 +239,7 @@
 			}
 			if i == 0 {
 				rooms[g].Used += max(0, s.Capacity-s.Free)
-			} else if c.lost(w.Zone, "") || c.Evacuate == w.Zone && w.Zone != "" || c.Drain == id {
+			} else if c.removes(w.Zone, "") || c.Evacuate == w.Zone && w.Zone != "" || c.Drain == id {
 				continue
 			}
 			rooms[g].Workers[i]++
@@ -271,16 +271,16 @@
 }
 
 // idempotency records warns early of a store that fills up.
-func (f *Forecast) deeds(st *router.NodeStatus, next *fleetstate.Configuration) {
+func (f *Forecast) checkRecords(st *router.NodeStatus, next *fleetstate.Configuration) {
 	if n, limit := st.Deeds[0], next.Limits.MaxRecords; limit > 0 && n*10 >= limit*8 {
 		f.warn("%d of %d deeds are taken; at the last one new keys are bounced: raise limits.deeds", n, limit)
 	}
 }
 
-func (f *Forecast) core(st *router.NodeStatus, c Change) {
+func (f *Forecast) checkCore(st *router.NodeStatus, c Change) {
 	f.Disks[0] = len(st.Core.Voters)
 	for _, s := range st.Core.Voters {
-		if !c.lost(s.Zone, s.Addr) {
+		if !c.removes(s.Zone, s.Addr) {
 			f.Disks[1]++
 		}
 	}
--- a/internal/router/forecast/forecast_test.go
+++ b/internal/router/forecast/forecast_test.go
@@ -43,9 +43,9 @@
 	return st, p
 }
 
-// TestForesee: the loss of the larger zone moves its nodes' keys, takes two of
+// TestForecastWarnings: the loss of the larger zone moves its nodes' keys, takes two of
 // three disk machines and leaves too little room; all of it is warned of.
-func TestForesee(t *testing.T) {
+func TestForecastWarnings(t *testing.T) {
 	st, p := fixture()
 	f, err := Foresee(st, p, Change{LoseZone: "b"})
 	require.NoError(t, err)
@@ -75,8 +75,8 @@
 	require.Contains(t, f.Warnings, "no worker would be left for decode of m")
 }
 
-// TestUnknown: what does not exist is named.
-func TestUnknown(t *testing.T) {
+// TestUnknownNamesRejected: what does not exist is named.
+func TestUnknownNamesRejected(t *testing.T) {
 	st, p := fixture()
 	for _, c := range []Change{{Evacuate: "moon"}, {LoseZone: "moon"}, {Drain: "x9"}, {LoseAddr: "10.9.9.9:1"}} {
 		_, err := Foresee(st, p, c)
--- a/internal/router/forecast/regimes.go
+++ b/internal/router/forecast/regimes.go
@@ -14,11 +14,11 @@
 	"keelstair.example/internal/router"
 )
 
-// soon is how far ahead ends of certificates are warned of with any plan.
-const soon = 7 * 24 * time.Hour
+// expiryHorizon is how far ahead ends of certificates are warned of with any plan.
+const expiryHorizon = 7 * 24 * time.Hour
 
-// gone tells which subjects a change, or what stands already, takes away.
-func gone(st *router.NodeStatus, p *fleetstate.Configuration, c Change) func(certification.Subject) bool {
+// unavailableSubjects tells which subjects a change, or what stands already, takes away.
+func unavailableSubjects(st *router.NodeStatus, p *fleetstate.Configuration, c Change) func(certification.Subject) bool {
 	zones, nodes := map[ids.Zone]bool{}, map[string]bool{}
 	for _, z := range st.Evacuated {
 		zones[ids.Zone(z)] = true
@@ -38,7 +38,7 @@
 	}
 }
 
-func (f *Forecast) regimes(st *router.NodeStatus, now, next *fleetstate.Configuration, c Change) error {
+func (f *Forecast) checkRegimes(st *router.NodeStatus, now, next *fleetstate.Configuration, c Change) error {
 	before, _ := now.Register()
 	after, _ := next.Register()
 	if c.Revoke != "" {
@@ -57,8 +57,8 @@
 	if c.At > 0 {
 		then = certification.Now{Low: max(c.At, then.Low), High: max(c.At, then.High)}
 	}
-	late := certification.Now{Low: then.Low + int64(soon), High: then.High + int64(soon)}
-	was, is := gone(st, now, Change{}), gone(st, next, c)
+	late := certification.Now{Low: then.Low + int64(expiryHorizon), High: then.High + int64(expiryHorizon)}
+	was, is := unavailableSubjects(st, now, Change{}), unavailableSubjects(st, next, c)
 	there := func(f func(certification.Subject) bool) func(certification.Subject) bool {
 		return func(s certification.Subject) bool { return !f(s) }
 	}
@@ -78,7 +78,7 @@
 					"regime %s would have no certified %s within %d days, as certificates end",
 					g,
 					what,
-					soon/(24*time.Hour),
+					expiryHorizon/(24*time.Hour),
 				)
 			}
 		}
--- a/internal/router/forecast/regimes_test.go
+++ b/internal/router/forecast/regimes_test.go
@@ -14,9 +14,9 @@
 	"keelstair.example/internal/certification"
 )
 
-// TestShort: before a drain, a revocation, an expiry, an evacuation or the loss of a
+// TestRegimeWarnings: before a drain, a revocation, an expiry, an evacuation or the loss of a
 // machine leaves a regime without a part or a node, or with its last, that is said.
-func TestShort(t *testing.T) {
+func TestRegimeWarnings(t *testing.T) {
 	st, p := fixture()
 	for i := range st.Members {
 		st.Members[i] = coordination.Member{Node: st.Members[i].Node + "-0123", Addr: st.Members[i].Addr, Zone: st.Members[i].Zone}
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	passPath   = "/router/streams"
-	passSilent = 10 * time.Second // no step of a stream is silent for so long
+	forwardPath        = "/router/streams"
+	forwardIdleTimeout = 10 * time.Second // no step of a stream is silent for so long
 )
 
-// peerMembers lists, in a random order, the nodes that were heard lately, stand in no
+// certifiedPeers lists, in a random order, the nodes that were heard lately, stand in no
 // emptied zone, and are certified for a regime.
-func (n *Node) peerMembers(s *fleetstate.Snapshot, regime string) []coordination.Member {
+func (n *Node) certifiedPeers(s *fleetstate.Snapshot, regime string) []coordination.Member {
 	now := n.now()
 	var out []coordination.Member
 	for _, m := range n.agent.Members() {
 		v, ok := n.peers.Load(m.Node)
-		if m.Node == n.self.Node || !ok || now.Past(v.(peerStatus).at, time.Second) || s.Zones[m.Zone] {
+		if m.Node == n.self.Node || !ok || now.Past(v.(peerStatus).receivedAt, time.Second) || s.Zones[m.Zone] {
 			continue
 		}
-		if _, err := n.clears(regime, certification.Subject{Node: fleetstate.NodeName(m.Node)}, ""); err == nil {
+		if _, err := n.clearance(regime, certification.Subject{Node: fleetstate.NodeName(m.Node)}, ""); err == nil {
 			out = append(out, m)
 		}
 	}
@@ -40,19 +40,19 @@
 	return out
 }
 
-// pass has a certified node serve a request. The next one is asked only where the one
+// forward has a certified node serve a request. The next one is asked only where the one
 // before surely did nothing.
-func (n *Node) pass(
+func (n *Node) forward(
 	ctx context.Context,
 	s *fleetstate.Snapshot,
 	regime string,
 	ask *api.StreamRequest,
 	out api.Sink,
 ) error {
-	for _, m := range n.peerMembers(s, regime) {
-		count, err := api.Pass(ctx, n.httpClient, m.Addr, passPath, ask, passSilent, out)
+	for _, m := range n.certifiedPeers(s, regime) {
+		count, err := api.Pass(ctx, n.httpClient, m.Addr, forwardPath, ask, forwardIdleTimeout, out)
 		if err == nil {
-			n.counts.Passed.Add(1)
+			n.counts.Forwarded.Add(1)
 			return nil
 		}
 		f, refused := err.(*api.Fault)
@@ -60,17 +60,17 @@
 		case refused && (f.Name == "not-ready" || f.Name == "not-certified"), count == 0 && rpc.IsDialError(err):
 			continue
 		case refused:
-			n.counts.Passed.Add(1)
+			n.counts.Forwarded.Add(1)
 			return f
 		case count == 0 && s.Configuration.Kinds[ask.Kind].Claimed:
-			return n.later(
+			return n.rejectRetryable(
 				http.StatusServiceUnavailable,
 				"claim-unknown",
 				"the node that it was passed to is lost; ask again with the same key: %v",
 				err,
 			)
 		case count == 0:
-			return n.retryAfterHint(
+			return n.rejectForCapacity(
 				http.StatusServiceUnavailable, "bounced", "the node that it was passed to is lost: %v", err,
 			)
 		}
@@ -78,15 +78,15 @@
 		if s.Configuration.Kinds[ask.Kind].Claimed {
 			end = api.Unknown
 		}
-		n.counts.Broken.Add(1)
+		n.counts.Aborted.Add(1)
 		return out.Put(api.StreamEvent{
 			Index: count,
 			End:   end,
 			Count: count,
-			Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), After: n.after().Milliseconds()},
+			Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), After: n.retryDelay().Milliseconds()},
 		})
 	}
-	return n.later(
+	return n.rejectRetryable(
 		http.StatusServiceUnavailable,
 		"not-certified",
 		"this node is not certified for regime %q now, and reaches none that is",
@@ -94,7 +94,7 @@
 	)
 }
 
-// servePassed answers what another node passed on; it is passed no further.
-func (n *Node) servePassed(ctx context.Context, ask *api.StreamRequest, out api.Sink) error {
+// serveForwarded answers what another node passed on; it is passed no further.
+func (n *Node) serveForwarded(ctx context.Context, ask *api.StreamRequest, out api.Sink) error {
 	return n.serve(ctx, ask, out, true)
 }
--- a/internal/router/govern.go
+++ b/internal/router/govern.go
@@ -18,62 +18,62 @@
 // guardInterval is how often a running step is held against the register.
 const guardInterval = 50 * time.Millisecond
 
-// allows tells whether this node, and then a worker in a part, may handle a regime's
+// stepClearance tells whether this node, and then a worker in a part, may handle a regime's
 // work now, and gives the worker's serial. What no regime governs (any more) is allowed.
-func (n *Node) allows(regime string, w ids.WorkerID, part ids.Role) (string, error) {
+func (n *Node) stepClearance(regime string, w ids.WorkerID, part ids.Role) (string, error) {
 	if regime == "" || !n.view.Current().Register.Has(regime) {
 		return "", nil
 	}
-	if _, err := n.clears(regime, certification.Subject{Node: n.options.Name}, ""); err != nil {
+	if _, err := n.clearance(regime, certification.Subject{Node: n.options.Name}, ""); err != nil {
 		return "", err
 	}
-	return n.clears(regime, certification.Subject{Worker: w}, part)
+	return n.clearance(regime, certification.Subject{Worker: w}, part)
 }
 
-// bound gives the regime of a request now: the newest one that governs its kind, else
+// currentRegime gives the regime of a request now: the newest one that governs its kind, else
 // the one that it began under.
-func (h *transport) bound(s *fleetstate.Snapshot) string {
+func (h *transport) currentRegime(s *fleetstate.Snapshot) string {
 	if g := s.Register.Governs(h.kind); g != "" {
 		h.regime = g
 	}
 	return h.regime
 }
 
-// idleWorkers tells whether a stand has room for so many blocks beside what its worker keeps
+// fitsBesideReserve tells whether a stand has room for so many blocks beside what its worker keeps
 // for governed work.
-func (n *Node) idleWorkers(s *fleetstate.Snapshot, st WorkerStatus, need int) bool {
+func (n *Node) fitsBesideReserve(s *fleetstate.Snapshot, st WorkerStatus, need int) bool {
 	if s.Register == nil {
 		return true
 	}
-	keep := s.Register.RetentionOf(st.ID, st.Role, n.clock())
+	keep := s.Register.RetentionOf(st.ID, st.Role, n.fleetTime())
 	return st.Free-need >= st.Capacity*keep/100 && (keep == 0 || st.Busy < handoff.Beside(st.MaxConcurrent, keep))
 }
 
-// check is the holder's: an order for governed work is given only while the register
+// orderClearance is the holder's: an order for governed work is given only while the register
 // clears the holder itself, the worker, and where memory would move also its source. It
 // gives the worker's serial.
-func (n *Node) check(request *OrderRequest) (string, error) {
+func (n *Node) orderClearance(request *OrderRequest) (string, error) {
 	switch request.Verb {
 	case verbReserve, verbPrefill, verbExport, verbImport, verbResume:
 	default:
 		return "", nil // cancelling and freeing are always right
 	}
-	serial, err := n.allows(request.Regime, request.Worker, request.Role)
+	serial, err := n.stepClearance(request.Regime, request.Worker, request.Role)
 	if err != nil {
 		return "", failure.Wrap(err, request.Verb, string(request.Worker))
 	}
 	if request.Verb == verbImport {
-		if _, err := n.allows(request.Regime, request.Source, ids.Prefill); err != nil {
+		if _, err := n.stepClearance(request.Regime, request.Source, ids.Prefill); err != nil {
 			return "", failure.As(err, failure.DataLost, request.Verb, string(request.Source))
 		}
 	}
 	return serial, nil
 }
 
-// guard ends a step's context once the worker, or the one that memory comes from, is not
+// guardStep ends a step's context once the worker, or the one that memory comes from, is not
 // cleared any more. The function that it gives names the cause over an error that came of
 // it.
-func (h *transport) guard(
+func (h *transport) guardStep(
 	ctx context.Context,
 	w ids.WorkerID,
 	part ids.Role,
@@ -85,9 +85,9 @@
 	ctx, stop := context.WithCancelCause(ctx)
 	go func() {
 		for host.Sleep(ctx, guardInterval) {
-			_, err := h.node.allows(h.regime, w, part)
+			_, err := h.node.stepClearance(h.regime, w, part)
 			if err == nil && source != "" {
-				_, err = h.node.allows(h.regime, source, ids.Prefill)
+				_, err = h.node.stepClearance(h.regime, source, ids.Prefill)
 			}
 			if err != nil {
 				stop(err)
@@ -107,8 +107,8 @@
 
 // Clears is the register's answer at this node now, for those who look on.
 func (n *Node) Clears(regime string, s certification.Subject, part ids.Role) (string, error) {
-	return n.clears(regime, s, part)
+	return n.clearance(regime, s, part)
 }
 
 // Passed counts the requests that this node had another one serve.
-func (n *Node) Passed() int64 { return n.counts.Passed.Load() }
+func (n *Node) Passed() int64 { return n.counts.Forwarded.Load() }
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -18,22 +18,22 @@
 	"keelstair.example/rpc"
 )
 
-// currentTTL is no more than the wait for silent nodes and the quarter second in
+// confirmationTTL is no more than the wait for silent nodes and the quarter second in
 // which an older version may still be used.
-const currentTTL = 500 * time.Millisecond
+const confirmationTTL = 500 * time.Millisecond
 
 type peerStatus struct {
-	at      ids.Tick
-	version ids.Tick // when it was asked what it then answered
-	fresh   time.Duration
-	workers []WorkerStatus
-	leaving []ids.WorkerID
+	receivedAt     ids.Tick
+	requestedAt    ids.Tick // when it was asked what it then answered
+	sinceConfirmed time.Duration
+	workers        []WorkerStatus
+	leaving        []ids.WorkerID
 }
 
-func (n *Node) sendHeartbeat() *Heartbeat {
-	b := &Heartbeat{Node: n.self.Node, Version: n.view.HighestVersion(), Fresh: int64(n.agent.SinceConfirmed())}
+func (n *Node) newHeartbeat() *Heartbeat {
+	b := &Heartbeat{Node: n.self.Node, Version: n.view.HighestVersion(), SinceConfirmed: int64(n.agent.SinceConfirmed())}
 	now := n.now()
-	if !now.Past(ids.Tick(n.listed.Load()), time.Second) {
+	if !now.Past(ids.Tick(n.endpointsListedAt.Load()), time.Second) {
 		for id, l := range *n.endpoints.Load() {
 			if l.Leaving {
 				b.Leaving = append(b.Leaving, id)
@@ -43,7 +43,7 @@
 	n.duties.Range(func(k, v any) bool {
 		d := v.(*workerDuty)
 		if f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id)); ok && f == d.fence {
-			st := d.memory.State(now)
+			st := d.ledger.State(now)
 			b.Workers = append(b.Workers, WorkerStatus{
 				ID:            d.id,
 				Fence:         f,
@@ -69,8 +69,8 @@
 func (n *Node) heartbeatLoop(ctx context.Context) {
 	var rounds sync.WaitGroup
 	for host.Sleep(ctx, n.options.HeartbeatInterval) {
-		b := n.sendHeartbeat()
-		n.recordStatus(b, 0)
+		b := n.newHeartbeat()
+		n.recordPeer(b, 0)
 		asked := n.now()
 		var wg sync.WaitGroup
 		for _, m := range n.agent.Members() {
@@ -83,13 +83,13 @@
 				if r, err := rpc.Call[Heartbeat, Heartbeat](
 					callContext, n.caller, m.Addr, heartbeatMethod, b,
 				); err == nil {
-					n.learn(ctx, m, r, asked)
+					n.observePeer(ctx, m, r, asked)
 				}
 			})
 		}
 		rounds.Go(func() {
 			wg.Wait()
-			n.sum()
+			n.mergePeerStatus()
 		})
 	}
 	rounds.Wait()
@@ -98,31 +98,31 @@
 func (n *Node) handleHeartbeat(ctx context.Context, b *Heartbeat) (*Heartbeat, error) {
 	for _, m := range n.agent.Members() {
 		if m.Node == b.Node {
-			n.learn(context.WithoutCancel(ctx), m, b, 0)
+			n.observePeer(context.WithoutCancel(ctx), m, b, 0)
 		}
 	}
-	return n.sendHeartbeat(), nil
+	return n.newHeartbeat(), nil
 }
 
-func (n *Node) recordStatus(b *Heartbeat, told ids.Tick) {
+func (n *Node) recordPeer(b *Heartbeat, told ids.Tick) {
 	if v, ok := n.peers.Load(b.Node); ok {
-		told = max(told, v.(peerStatus).version)
+		told = max(told, v.(peerStatus).requestedAt)
 	}
-	n.peers.Store(b.Node, peerStatus{n.now(), told, time.Duration(b.Fresh), b.Workers, b.Leaving})
+	n.peers.Store(b.Node, peerStatus{n.now(), told, time.Duration(b.SinceConfirmed), b.Workers, b.Leaving})
 }
 
-// learn takes a peer's heartbeat; it counts as heard once its version is noted. A newer version than is staged here is
+// observePeer takes a peer's heartbeat; it counts as heard once its version is noted. A newer version than is staged here is
 // fetched from that peer at once.
-func (n *Node) learn(ctx context.Context, m coordination.Member, b *Heartbeat, told ids.Tick) {
+func (n *Node) observePeer(ctx context.Context, m coordination.Member, b *Heartbeat, told ids.Tick) {
 	if !n.view.NoteVersion(b.Version) {
 		go n.agent.Fetch(ctx, m.Addr)
 	}
-	n.recordStatus(b, told)
+	n.recordPeer(b, told)
 }
 
-// sum joins what was told lately: the stands, where the highest fence speaks for a
+// mergePeerStatus joins what was told lately: the stands, where the highest fence speaks for a
 // worker, and who leaves, since a node may be cut from the platform.
-func (n *Node) sum() {
+func (n *Node) mergePeerStatus() {
 	now := n.now()
 	live := map[ids.NodeID]bool{}
 	for _, m := range n.agent.Members() {
@@ -131,10 +131,10 @@
 	all, leave := map[ids.WorkerID]WorkerStatus{}, map[ids.WorkerID]bool{}
 	n.peers.Range(func(k, v any) bool {
 		m := v.(peerStatus)
-		if now.Past(m.at, 5*time.Second) && !live[k.(ids.NodeID)] {
+		if now.Past(m.receivedAt, 5*time.Second) && !live[k.(ids.NodeID)] {
 			n.peers.Delete(k)
 		}
-		if now.Past(m.at, time.Second) {
+		if now.Past(m.receivedAt, time.Second) {
 			return true
 		}
 		for _, id := range m.leaving {
@@ -147,8 +147,8 @@
 		}
 		return true
 	})
-	n.workerStatus.Store(&all)
-	n.leave.Store(&leave)
+	n.workerStatuses.Store(&all)
+	n.leaving.Store(&leave)
 }
 
 // coreUnreachable tells that the core itself is away: with this node, most of the members
@@ -166,10 +166,10 @@
 			continue
 		}
 		k := v.(peerStatus)
-		if now.Past(k.at, time.Second) {
+		if now.Past(k.receivedAt, time.Second) {
 			continue
 		}
-		if k.fresh < n.options.LeaseDuration/2 {
+		if k.sinceConfirmed < n.options.LeaseDuration/2 {
 			return false
 		}
 		heard++
@@ -187,7 +187,7 @@
 				all[l.ID] = l
 			}
 			n.endpoints.Store(&all)
-			n.listed.Store(int64(n.now()))
+			n.endpointsListedAt.Store(int64(n.now()))
 		}
 		if !host.Sleep(ctx, n.options.ListInterval) {
 			return
@@ -195,23 +195,23 @@
 	}
 }
 
-// current tells that no newer version than the one in force here was heard of, and that
+// versionCurrent tells that no newer version than the one in force here was heard of, and that
 // one would have been heard of.
-func (n *Node) current() bool { return n.view.UpToDate() && n.knowsNewest() }
+func (n *Node) versionCurrent() bool { return n.view.UpToDate() && n.recentlyConfirmed() }
 
-// knowsNewest tells that this node would have heard of a newer version: within the last
+// recentlyConfirmed tells that this node would have heard of a newer version: within the last
 // half second the core confirmed it, with all news up to then folded, or most members,
 // with it, answered what they were asked since. (A heartbeat that comes by itself may have
 // waited behind a cut and tell of the time before it.) A staged
 // version waits for silent nodes nearly as long before it is in force anywhere.
-func (n *Node) knowsNewest() bool {
-	if n.agent.CaughtUp(currentTTL) {
+func (n *Node) recentlyConfirmed() bool {
+	if n.agent.CaughtUp(confirmationTTL) {
 		return true
 	}
 	ms := n.agent.Members()
 	now, heard := n.now(), 1
 	for _, m := range ms {
-		if v, ok := n.peers.Load(m.Node); ok && m.Node != n.self.Node && !now.Past(v.(peerStatus).version, currentTTL) {
+		if v, ok := n.peers.Load(m.Node); ok && m.Node != n.self.Node && !now.Past(v.(peerStatus).requestedAt, confirmationTTL) {
 			heard++
 		}
 	}
--- a/internal/router/heartbeat_test.go
+++ b/internal/router/heartbeat_test.go
@@ -18,10 +18,10 @@
 	"keelstair.example/rpc"
 )
 
-// TestCurrentByAnswers: with the core away, a peer that heartbeats by itself may tell of a
+// TestRecentlyConfirmedByAnswers: with the core away, a peer that heartbeats by itself may tell of a
 // time before a cut and counts for nothing, nor does an answer to what was asked too long
 // ago; an answer to a late asking counts, also once a heartbeat came after it, for as long as from its asking.
-func TestCurrentByAnswers(t *testing.T) {
+func TestRecentlyConfirmedByAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		w := simulated.NewWorld(1)
@@ -47,29 +47,29 @@
 		}
 
 		hear()
-		require.False(t, n.knowsNewest(), "it came by itself")
-		n.learn(ctx, b, heartbeat, n.now().Add(-currentTTL-time.Millisecond))
-		require.False(t, n.knowsNewest(), "asked too long ago")
-		n.learn(ctx, b, heartbeat, n.now())
-		require.True(t, n.knowsNewest())
+		require.False(t, n.recentlyConfirmed(), "it came by itself")
+		n.observePeer(ctx, b, heartbeat, n.now().Add(-confirmationTTL-time.Millisecond))
+		require.False(t, n.recentlyConfirmed(), "asked too long ago")
+		n.observePeer(ctx, b, heartbeat, n.now())
+		require.True(t, n.recentlyConfirmed())
 		hear()
-		require.True(t, n.knowsNewest(), "the answer still counts")
-		time.Sleep(currentTTL + time.Millisecond)
+		require.True(t, n.recentlyConfirmed(), "the answer still counts")
+		time.Sleep(confirmationTTL + time.Millisecond)
 		hear()
-		require.False(t, n.knowsNewest(), "it was asked too long ago by now")
+		require.False(t, n.recentlyConfirmed(), "it was asked too long ago by now")
 		go n.heartbeatLoop(ctx)
 		time.Sleep(n.options.HeartbeatInterval + slow + 50*time.Millisecond)
-		require.True(t, n.knowsNewest(), "it asks by itself")
+		require.True(t, n.recentlyConfirmed(), "it asks by itself")
 		v, _ := n.peers.Load(b.Node)
-		require.GreaterOrEqual(t, v.(peerStatus).at.Since(v.(peerStatus).version), slow, "from the asking on, not from the answer")
+		require.GreaterOrEqual(t, v.(peerStatus).receivedAt.Since(v.(peerStatus).requestedAt), slow, "from the asking on, not from the answer")
 		n.caller.Close()
 	})
 }
 
-// TestLongestHold: with the core away and one of three members silent, a node whose other
+// TestLongestUnconfirmedPeriod: with the core away and one of three members silent, a node whose other
 // peer answers, however slowly within two heartbeats, never holds its picks; once that one
 // is silent too, it holds within the span and goes on as soon as it is answered again.
-func TestLongestHold(t *testing.T) {
+func TestLongestUnconfirmedPeriod(t *testing.T) {
 	for _, slow := range []time.Duration{0, 60 * time.Millisecond, 140 * time.Millisecond, 250 * time.Millisecond} {
 		t.Run(slow.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -99,7 +99,7 @@
 					var since time.Time
 					for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(time.Millisecond) {
 						switch {
-						case n.knowsNewest():
+						case n.recentlyConfirmed():
 							since = time.Time{}
 						case since.IsZero():
 							since = time.Now()
@@ -109,19 +109,19 @@
 					}
 					return limit
 				}
-				require.True(t, n.knowsNewest())
+				require.True(t, n.recentlyConfirmed())
 				got := longest(20 * time.Second)
 				t.Log("the longest hold:", got)
 				require.Zero(t, got)
 				w.Partition([]string{"10.0.0.2"}, []string{"10.0.0.1"}, true)
-				time.Sleep(currentTTL + time.Millisecond)
-				require.False(t, n.knowsNewest(), "it might not have heard")
+				time.Sleep(confirmationTTL + time.Millisecond)
+				require.False(t, n.recentlyConfirmed(), "it might not have heard")
 				require.Greater(t, longest(3*time.Second), 2900*time.Millisecond)
 				w.Partition([]string{"10.0.0.2"}, []string{"10.0.0.1"}, false)
 				got = longest(5 * time.Second)
 				t.Log("after the cut:", got)
 				require.Less(t, got, time.Second)
-				require.True(t, n.knowsNewest())
+				require.True(t, n.recentlyConfirmed())
 				n.caller.Close()
 			})
 		})
--- a/internal/router/holder.go
+++ b/internal/router/holder.go
@@ -21,11 +21,11 @@
 
 // workerDuty is the duty for one worker under one grant.
 type workerDuty struct {
-	id     ids.WorkerID
-	fence  ids.Fence
-	memory *handoff.MemoryLedger
-	known  bool // the worker knows the fence; the poll alone reads and sets it
-	stop   context.CancelFunc
+	id         ids.WorkerID
+	fence      ids.Fence
+	ledger     *handoff.MemoryLedger
+	fenceKnown bool // the worker knows the fence; the poll alone reads and sets it
+	stop       context.CancelFunc
 }
 
 // Verbs of orders.
@@ -55,7 +55,7 @@
 			mine[id] = true
 			if previous, ok := n.duties.Load(id); ok {
 				if d := previous.(*workerDuty); d.fence == f {
-					d.memory.Configure(lim.Lag(), lim.SlowStart(), lim.Queue)
+					d.ledger.Configure(lim.Lag(), lim.SlowStart(), lim.Queue)
 					continue
 				}
 				previous.(*workerDuty).stop()
@@ -65,10 +65,10 @@
 				id:     id,
 				fence:  f,
 				stop:   stop,
-				memory: handoff.NewMemoryLedger(lim.Lag(), lim.SlowStart(), lim.Queue),
+				ledger: handoff.NewMemoryLedger(lim.Lag(), lim.SlowStart(), lim.Queue),
 			}
 			n.duties.Store(id, d)
-			wg.Go(func() { n.poll(callContext, d) })
+			wg.Go(func() { n.pollReports(callContext, d) })
 		}
 		n.duties.Range(func(k, v any) bool {
 			if !mine[k.(ids.WorkerID)] {
@@ -85,19 +85,19 @@
 	wg.Wait()
 }
 
-func (n *Node) poll(ctx context.Context, d *workerDuty) {
+func (n *Node) pollReports(ctx context.Context, d *workerDuty) {
 	for {
 		if l, ok := (*n.endpoints.Load())[d.id]; ok {
 			asked := n.now()
 			r, err := n.workerClient.Report(ctx, l.Addr)
-			if err == nil && !d.known {
-				err = n.firstOrder(ctx, d, l.Addr, r.Role)
+			if err == nil && !d.fenceKnown {
+				err = n.establishFence(ctx, d, l.Addr, r.Role)
 			}
 			if err == nil {
-				d.memory.Report(r, asked)
+				d.ledger.Report(r, asked)
 				n.view.NoteVersion(r.Version)
 			} else {
-				d.memory.Missed()
+				d.ledger.Missed()
 			}
 		}
 		if !host.Sleep(ctx, n.options.PollInterval) {
@@ -106,15 +106,15 @@
 	}
 }
 
-// firstOrder names the worker the part that it has, under the new fence. From
+// establishFence names the worker the part that it has, under the new fence. From
 // then on it obeys no earlier holder, and only from then on is the time counted
 // after which a report surely shows all that the earlier one had ordered.
-func (n *Node) firstOrder(ctx context.Context, d *workerDuty, addr string, part ids.Role) error {
+func (n *Node) establishFence(ctx context.Context, d *workerDuty, addr string, part ids.Role) error {
 	f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id))
 	if !ok || f != d.fence {
 		return failure.New(failure.Unavailable, "first order", n.self.Addr, "the key of %s went to other hands", d.id)
 	}
-	if !n.current() {
+	if !n.versionCurrent() {
 		return failure.New(failure.Unavailable, "first order", n.self.Addr, "a newer version may be in force")
 	}
 	callContext, stop := context.WithTimeout(ctx, 800*time.Millisecond)
@@ -126,14 +126,14 @@
 	}); err != nil {
 		return err
 	}
-	d.known = true
-	d.memory.Begin(n.now())
+	d.fenceKnown = true
+	d.ledger.Begin(n.now())
 	return nil
 }
 
 // handleOrder answers an order that another node (or this one) asks the holder for.
 func (n *Node) handleOrder(ctx context.Context, request *OrderRequest) (*OrderResponse, error) {
-	a, err := n.act(ctx, request)
+	a, err := n.executeOrder(ctx, request)
 	if err != nil {
 		return nil, failure.Wrap(err, request.Verb, string(request.Worker))
 	}
@@ -147,18 +147,18 @@
 	return r, nil
 }
 
-func (n *Node) act(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
+func (n *Node) executeOrder(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
 	fence, end, ok := n.agent.BeginOperation(fleetstate.WorkerKey(request.Worker))
 	if !ok {
 		return nil, failure.New(failure.Unavailable, "hold key", n.self.Addr, "not the holder of %s", request.Worker)
 	}
 	defer end()
-	duty, err := n.dutyUnder(request.Worker, fence)
+	duty, err := n.dutyForFence(request.Worker, fence)
 	if err != nil {
 		return nil, err
 	}
-	led := duty.memory
-	if _, err := n.check(request); err != nil {
+	led := duty.ledger
+	if _, err := n.orderClearance(request); err != nil {
 		return nil, err
 	}
 	id := workerclient.ID{Request: request.Request, Attempt: request.Attempt}
@@ -168,7 +168,7 @@
 	}
 	settled := n.view.NoteVersion(request.Version)
 	lead := workerclient.OrderHeader{Fence: fence, Version: n.view.Current().Version}
-	in, err := identityOf(request)
+	in, err := decodeIdentity(request)
 	if err != nil {
 		return nil, err
 	}
@@ -178,7 +178,7 @@
 		return nil, n.reserveMemory(request, led, id, settled)
 	case verbPrefill:
 		if !led.Reserved(id) {
-			return nil, notReserved(request)
+			return nil, notReservedError(request)
 		}
 		led.Moved(id, n.now())
 		a, err = n.workerClient.Prefill(ctx, l.Addr, &workerclient.PrefillRequest{OrderHeader: lead, Identity: in})
@@ -206,8 +206,8 @@
 	return a, nil
 }
 
-// dutyUnder gives this node's duty of a worker if it is at work under a fencing token.
-func (n *Node) dutyUnder(worker ids.WorkerID, fence ids.Fence) (*workerDuty, error) {
+// dutyForFence gives this node's duty of a worker if it is at work under a fencing token.
+func (n *Node) dutyForFence(worker ids.WorkerID, fence ids.Fence) (*workerDuty, error) {
 	if v, ok := n.duties.Load(worker); ok && v.(*workerDuty).fence == fence {
 		return v.(*workerDuty), nil
 	}
@@ -225,21 +225,21 @@
 	id := workerclient.ID{Request: request.Request, Attempt: request.Attempt}
 	source, ok := (*n.endpoints.Load())[request.Source]
 	if !memory.Reserved(id) || !ok {
-		return nil, notReserved(request)
+		return nil, notReservedError(request)
 	}
 	memory.Moved(id, n.now())
 	order.Source = source.Addr
 	return n.workerClient.Import(ctx, addr, order)
 }
 
-// notReserved is the refusal of an order for which no memory was reserved.
-func notReserved(request *OrderRequest) error {
+// notReservedError is the refusal of an order for which no memory was reserved.
+func notReservedError(request *OrderRequest) error {
 	return failure.New(failure.NotExecuted, request.Verb, string(request.Worker),
 		"no memory is reserved for %s", request.Request)
 }
 
-// identityOf reads the identity that an order carries, if it does.
-func identityOf(request *OrderRequest) (workerclient.Identity, error) {
+// decodeIdentity reads the identity that an order carries, if it does.
+func decodeIdentity(request *OrderRequest) (workerclient.Identity, error) {
 	var identity workerclient.Identity
 	if len(request.Body) == 0 || request.Verb == verbRoleChange {
 		return identity, nil
@@ -260,22 +260,22 @@
 		return failure.New(failure.Stale, "reserve", string(request.Worker),
 			"picked under version %d, %d is in force", request.Version, s.Version)
 	}
-	if !n.fit(s, request.Worker) || !upToDate || !n.knowsNewest() {
+	if !n.acceptsWork(s, request.Worker) || !upToDate || !n.recentlyConfirmed() {
 		return failure.New(failure.NotExecuted, "reserve", string(request.Worker), "it may get no new work")
 	}
 	keep := 0
 	if request.Regime == "" {
-		keep = s.Register.RetentionOf(request.Worker, memory.Role(), n.clock())
+		keep = s.Register.RetentionOf(request.Worker, memory.Role(), n.fleetTime())
 	}
 	return memory.ReserveBeside(id, request.Need, keep, n.now())
 }
 
-// order sends an order to the worker's holder, wherever that is now. While the
+// sendOrder sends an order to the worker's holder, wherever that is now. While the
 // key is between two hands nothing was done, and it asks again until its time
 // is up; only a reservation is better made elsewhere.
-func (n *Node) order(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
+func (n *Node) sendOrder(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
 	for {
-		a, err := n.transferOrder(ctx, request)
+		a, err := n.sendOrderOnce(ctx, request)
 		if !failure.Is(err, failure.Unavailable) {
 			return a, err
 		}
@@ -285,7 +285,7 @@
 	}
 }
 
-func (n *Node) transferOrder(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
+func (n *Node) sendOrderOnce(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
 	if request.Version = n.view.HighestVersion(); request.Verb == verbReserve {
 		request.Version = n.view.Current().Version
 	}
@@ -294,7 +294,7 @@
 		return nil, failure.New(failure.Unavailable, request.Verb, string(request.Worker), "nobody holds its key now")
 	}
 	if m.Node == n.self.Node {
-		a, err := n.act(ctx, request)
+		a, err := n.executeOrder(ctx, request)
 		return a, failure.Wrap(err, request.Verb, string(request.Worker))
 	}
 	r, err := rpc.Call[OrderRequest, OrderResponse](ctx, n.caller, m.Addr, OrderMethod, request)
--- a/internal/router/messages.go
+++ b/internal/router/messages.go
@@ -34,7 +34,7 @@
 	Version ids.Version
 	Request string
 	Attempt int
-	Need    int
+	Need    int `msg:"Need"`
 	Source  ids.WorkerID
 	Body    []byte
 	Regime  string   `msg:"Regime,omitempty"`
@@ -56,11 +56,11 @@
 // it, how the workers stand whose ledgers it keeps, and which workers leave by the
 // platform's list, if that was had lately.
 type Heartbeat struct {
-	Node    ids.NodeID
-	Version ids.Version
-	Fresh   int64
-	Workers []WorkerStatus
-	Leaving []ids.WorkerID
+	Node           ids.NodeID
+	Version        ids.Version
+	SinceConfirmed int64 `msg:"Fresh"`
+	Workers        []WorkerStatus
+	Leaving        []ids.WorkerID
 }
 
 // WorkerStatus is one ledger's state.
@@ -71,8 +71,8 @@
 	Ready         bool
 	Free          int
 	Capacity      int `msg:"Room" json:"Room"`
-	Busy          int
-	Work          int
+	Busy          int `msg:"Busy" json:"Busy"`
+	Work          int `msg:"Work" json:"Work"`
 	Used          int
 	MaxConcurrent int `msg:"Cap" json:"Cap"`
 	Block         int
--- a/internal/router/messages_gen.go
+++ b/internal/router/messages_gen.go
@@ -19,7 +19,7 @@
 	o = msgp.AppendUint64(o, uint64(z.Version))
 	// string "Fresh"
 	o = append(o, 0xa5, 0x46, 0x72, 0x65, 0x73, 0x68)
-	o = msgp.AppendInt64(o, z.Fresh)
+	o = msgp.AppendInt64(o, z.SinceConfirmed)
 	// string "Workers"
 	o = append(o, 0xa7, 0x57, 0x6f, 0x72, 0x6b, 0x65, 0x72, 0x73)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Workers)))
@@ -78,9 +78,9 @@
 				z.Version = ids.Version(zb0003)
 			}
 		case "Fresh":
-			z.Fresh, bts, err = msgp.ReadInt64Bytes(bts)
+			z.SinceConfirmed, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Fresh")
+				err = msgp.WrapError(err, "SinceConfirmed")
 				return
 			}
 		case "Workers":
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -67,26 +67,26 @@
 	journal      *logging.Journal[handoff.Event]
 	counts       Counts
 
-	programSets  sync.Map // ids.Version -> *routing.Deck
-	endpoints    atomic.Pointer[map[ids.WorkerID]workerclient.ListedWorker]
-	listed       atomic.Int64 // when the endpoint list was had
-	workerStatus atomic.Pointer[map[ids.WorkerID]WorkerStatus]
-	leave        atomic.Pointer[map[ids.WorkerID]bool]
-	peers        sync.Map // ids.NodeID -> mate
-	duties       sync.Map // ids.WorkerID -> *desk
-	faults       sync.Map // ids.WorkerID -> blame
-	unresolved   unresolvedClaims
-	roleChanges  sync.Map // ids.WorkerID -> ids.Tick
-	inflight     atomic.Int64
-	kinds        sync.Map // kind -> *atomic.Int64
-	stopping     atomic.Bool
-	retryTokens  retryTokens
-	retryAfter   handoff.RetryAfterScheduler
+	programSets       sync.Map // ids.Version -> *routing.Deck
+	endpoints         atomic.Pointer[map[ids.WorkerID]workerclient.ListedWorker]
+	endpointsListedAt atomic.Int64 // when the endpoint list was had
+	workerStatuses    atomic.Pointer[map[ids.WorkerID]WorkerStatus]
+	leaving           atomic.Pointer[map[ids.WorkerID]bool]
+	peers             sync.Map // ids.NodeID -> mate
+	duties            sync.Map // ids.WorkerID -> *desk
+	faults            sync.Map // ids.WorkerID -> blame
+	unresolved        unresolvedClaims
+	roleChanges       sync.Map // ids.WorkerID -> ids.Tick
+	inflight          atomic.Int64
+	kinds             sync.Map // kind -> *atomic.Int64
+	stopping          atomic.Bool
+	retryBucket       retryBucket
+	retryAfter        handoff.RetryAfterScheduler
 }
 
 // Counts are the node's figures since it started.
 type Counts struct {
-	Asked, Done, Bounced, Broken, Unsure, Replayed, Moved, Again, Turned, Passed atomic.Int64
+	Requests, Completed, Rejected, Aborted, OutcomeUnknown, Replayed, HandedOver, Reattempts, RoleChanges, Forwarded atomic.Int64
 }
 
 // New returns a node with the given options, and defaults for those that are left at zero.
@@ -100,7 +100,7 @@
 		Zone: opt.Zone,
 	}
 	n.view = fleetstate.NewView(opt.Ring)
-	n.view.Ready = n.compile
+	n.view.Ready = n.compilePrograms
 	n.agent = coordination.NewAgent(coordination.AgentOptions{
 		Self:            n.self,
 		Host:            opt.Host,
@@ -115,22 +115,22 @@
 	n.workerClient = workerclient.New(opt.Host.Net)
 	n.httpClient = rpc.NewHTTPClient(opt.Host.Net)
 	n.endpoints.Store(&map[ids.WorkerID]workerclient.ListedWorker{})
-	n.workerStatus.Store(&map[ids.WorkerID]WorkerStatus{})
-	n.leave.Store(&map[ids.WorkerID]bool{})
-	n.journal.Subscribe(n.foldReport)
+	n.workerStatuses.Store(&map[ids.WorkerID]WorkerStatus{})
+	n.leaving.Store(&map[ids.WorkerID]bool{})
+	n.journal.Subscribe(n.countEvent)
 	if opt.Trace != nil {
 		n.journal.Subscribe(opt.Trace)
 	}
 	return n
 }
 
-func (n *Node) foldReport(e handoff.Event) {
+func (n *Node) countEvent(e handoff.Event) {
 	switch e.Step {
 	case handoff.Resumed:
-		n.counts.Moved.Add(1)
+		n.counts.HandedOver.Add(1)
 	case handoff.Granted:
 		if e.ID.Attempt > 1 {
-			n.counts.Again.Add(1)
+			n.counts.Reattempts.Add(1)
 		}
 	}
 }
@@ -148,8 +148,8 @@
 	n.agent.Mount(mux)
 	rpc.Handle(mux, OrderMethod, n.handleOrder)
 	rpc.Handle(mux, heartbeatMethod, n.handleHeartbeat)
-	rpc.Handle(mux, SpendMethod, n.handleSpend)
-	api.Streams(mux, passPath, n.servePassed)
+	rpc.Handle(mux, SpendMethod, n.handleSpendRetry)
+	api.Streams(mux, forwardPath, n.serveForwarded)
 }
 
 // Run works until the context ends; then it takes no new work, lets streams
@@ -158,8 +158,8 @@
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
 	for _, f := range []func(context.Context){
-		n.agent.Run, n.heartbeatLoop, n.watchEndpoints, n.dutyLoop, n.resolutionLoop, n.resolveLoop,
-		n.roleBalancer,
+		n.agent.Run, n.heartbeatLoop, n.watchEndpoints, n.dutyLoop, n.resolutionLoop, n.unresolvedClaimsLoop,
+		n.roleBalanceLoop,
 	} {
 		wg.Go(func() { f(inner) })
 	}
@@ -177,8 +177,8 @@
 	n.httpClient.CloseIdleConnections()
 }
 
-// compile readies the programs of a version before it is in force.
-func (n *Node) compile(v ids.Version, p *fleetstate.Configuration) {
+// compilePrograms readies the programs of a version before it is in force.
+func (n *Node) compilePrograms(v ids.Version, p *fleetstate.Configuration) {
 	programs, err := p.CompileSet(n.scores)
 	if err != nil {
 		n.options.Ring.Error().AnErr("cause", err).Uint64("version", uint64(v)).
@@ -210,8 +210,8 @@
 		return false, "the lease has lapsed"
 	}
 	ready := map[ids.Role]bool{}
-	for _, st := range *n.workerStatus.Load() {
-		if st.Ready && n.fit(s, st.ID) {
+	for _, st := range *n.workerStatuses.Load() {
+		if st.Ready && n.acceptsWork(s, st.ID) {
 			ready[st.Role] = true
 		}
 	}
@@ -221,12 +221,12 @@
 	return true, ""
 }
 
-// fit tells whether a worker may get new work under a snapshot.
-func (n *Node) fit(s *fleetstate.Snapshot, id ids.WorkerID) bool {
+// acceptsWork tells whether a worker may get new work under a snapshot.
+func (n *Node) acceptsWork(s *fleetstate.Snapshot, id ids.WorkerID) bool {
 	w, ok := s.Configuration.Workers[id]
 	if !ok || s.Drained[id] || s.Zones[w.Zone] {
 		return false
 	}
 	l, ok := (*n.endpoints.Load())[id]
-	return ok && !l.Leaving && !(*n.leave.Load())[id] && !s.Zones[l.Zone]
+	return ok && !l.Leaving && !(*n.leaving.Load())[id] && !s.Zones[l.Zone]
 }
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -32,8 +32,8 @@
 	revocationOps    = "revoke/"
 )
 
-// markOps gives the class of the operations that set a mark.
-func markOps(kind string) string {
+// opClass gives the class of the operations that set a mark.
+func opClass(kind string) string {
 	switch kind {
 	case fleetstate.EvacuateKind:
 		return evacuationOps
@@ -65,12 +65,12 @@
 			defer stop()
 			r, err := n.agent.Submit(callContext, ids.OpID(configurationOps+a.Op), fleetstate.QueryKind, nil)
 			if err == nil {
-				return n.versionApplied(ctx, r, true)
+				return n.awaitApplied(ctx, r, true)
 			}
 			if !failure.Is(err, failure.Stale) {
-				return nil, n.outcomeOf(err)
+				return nil, n.operatorError(err)
 			}
-			return nil, n.refuseStale(a.Base, s)
+			return nil, n.staleError(a.Base, s)
 		}
 		base = s.Text
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	now := n.clock()
+	now := n.fleetTime()
 	if now.High == 0 {
 		now = certification.At(n.options.Host.Clock.Wall()) // where the fleet's time will begin
 	}
@@ -101,22 +101,22 @@
 	)
 	if err != nil {
 		if failure.Is(err, failure.Stale) {
-			return nil, n.refuseStale(a.Base, n.view.Current())
+			return nil, n.staleError(a.Base, n.view.Current())
 		}
-		return nil, n.outcomeOf(err)
+		return nil, n.operatorError(err)
 	}
-	return n.versionApplied(ctx, r, true)
+	return n.awaitApplied(ctx, r, true)
 }
 
-func (n *Node) refuseStale(base uint64, s *fleetstate.Snapshot) error {
+func (n *Node) staleError(base uint64, s *fleetstate.Snapshot) error {
 	return api.Stale(base, uint64(max(s.Newest, s.Version)))
 }
 
-// outcomeOf tells an operator whether a thing was surely not done.
-func (n *Node) outcomeOf(err error) error { return api.OutcomeEvent(err, n.after()) }
+// operatorError tells an operator whether a thing was surely not done.
+func (n *Node) operatorError(err error) error { return api.OutcomeEvent(err, n.retryDelay()) }
 
-// versionApplied waits a while until this node has put the answer's version in force.
-func (n *Node) versionApplied(
+// awaitApplied waits a while until this node has put the answer's version in force.
+func (n *Node) awaitApplied(
 	ctx context.Context,
 	r *coordination.SubmitResponse,
 	wait bool,
@@ -136,14 +136,14 @@
 	return &api.ApplyResponse{Version: uint64(got.Version)}, nil
 }
 
-func (n *Node) mark(ctx context.Context, op, kind string, body []byte) (*api.ApplyResponse, error) {
+func (n *Node) submitMark(ctx context.Context, op, kind string, body []byte) (*api.ApplyResponse, error) {
 	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
-	r, err := n.agent.Submit(callContext, ids.OpID(markOps(kind)+op), kind, body)
+	r, err := n.agent.Submit(callContext, ids.OpID(opClass(kind)+op), kind, body)
 	if err != nil {
-		return nil, n.outcomeOf(err)
+		return nil, n.operatorError(err)
 	}
-	return n.versionApplied(ctx, r, false)
+	return n.awaitApplied(ctx, r, false)
 }
 
 // Evacuate empties a zone of new work, or takes that back.
@@ -155,7 +155,7 @@
 	if !known {
 		return nil, api.WriteFault(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
 	}
-	return n.mark(ctx, m.Op, fleetstate.EvacuateKind, coordination.MustMarshal(&fleetstate.Evacuate{
+	return n.submitMark(ctx, m.Op, fleetstate.EvacuateKind, coordination.MustMarshal(&fleetstate.Evacuate{
 		Zone:      ids.Zone(zone),
 		Evacuated: m.Out,
 	}))
@@ -166,7 +166,7 @@
 	if _, ok := n.view.Current().Configuration.Workers[ids.WorkerID(worker)]; !ok {
 		return nil, api.WriteFault(http.StatusNotFound, "unknown", "worker", "there is no worker %q", worker)
 	}
-	return n.mark(ctx, m.Op, fleetstate.DrainKind, coordination.MustMarshal(&fleetstate.Drain{
+	return n.submitMark(ctx, m.Op, fleetstate.DrainKind, coordination.MustMarshal(&fleetstate.Drain{
 		Worker:  ids.WorkerID(worker),
 		Drained: m.Out,
 	}))
@@ -246,7 +246,7 @@
 		st.Holds = append(st.Holds, g.Key)
 	}
 	sort.Slice(st.Holds, func(i, j int) bool { return st.Holds[i] < st.Holds[j] })
-	for _, s := range *n.workerStatus.Load() {
+	for _, s := range *n.workerStatuses.Load() {
 		st.Workers = append(st.Workers, s)
 	}
 	sort.Slice(st.Workers, func(i, j int) bool { return st.Workers[i].ID < st.Workers[j].ID })
@@ -270,7 +270,7 @@
 	})
 	st.Last, _ = n.journal.Last(8)
 	st.Deeds[0], st.Deeds[1] = n.view.RecordCount()
-	st.Time, st.Revoked = n.clock(), slices.Sorted(maps.Keys(n.view.Current().Revoked))
+	st.Time, st.Revoked = n.fleetTime(), slices.Sorted(maps.Keys(n.view.Current().Revoked))
 	return st
 }
 
@@ -278,16 +278,16 @@
 func (n *Node) countsByName() map[string]int64 {
 	c := &n.counts
 	return map[string]int64{
-		"asked":    c.Asked.Load(),
-		"done":     c.Done.Load(),
-		"bounced":  c.Bounced.Load(),
-		"broken":   c.Broken.Load(),
-		"unsure":   c.Unsure.Load(),
+		"asked":    c.Requests.Load(),
+		"done":     c.Completed.Load(),
+		"bounced":  c.Rejected.Load(),
+		"broken":   c.Aborted.Load(),
+		"unsure":   c.OutcomeUnknown.Load(),
 		"replayed": c.Replayed.Load(),
-		"moved":    c.Moved.Load(),
-		"again":    c.Again.Load(),
-		"turned":   c.Turned.Load(),
-		"passed":   c.Passed.Load(),
+		"moved":    c.HandedOver.Load(),
+		"again":    c.Reattempts.Load(),
+		"turned":   c.RoleChanges.Load(),
+		"passed":   c.Forwarded.Load(),
 		"inflight": n.inflight.Load(),
 	}
 }
--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -17,15 +17,15 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// clock gives what the fleet's time may be now.
-func (n *Node) clock() certification.Now {
+// fleetTime gives what the fleet's time may be now.
+func (n *Node) fleetTime() certification.Now {
 	low, high := n.agent.Time()
 	return certification.Now{Low: low, High: high}
 }
 
-// clears gives the serial by which a subject may handle a regime's work now. Nobody may
+// clearance gives the serial by which a subject may handle a regime's work now. Nobody may
 // while this node's word is too old to know of revocations and of the time.
-func (n *Node) clears(regime string, s certification.Subject, part ids.Role) (string, error) {
+func (n *Node) clearance(regime string, s certification.Subject, part ids.Role) (string, error) {
 	if !n.agent.Current() {
 		return "", failure.New(
 			failure.NotExecuted,
@@ -35,7 +35,7 @@
 			regime,
 		)
 	}
-	serial, ok := n.view.Current().Register.Clears(regime, s, part, n.clock())
+	serial, ok := n.view.Current().Register.Clears(regime, s, part, n.fleetTime())
 	if !ok {
 		return "", failure.New(
 			failure.NotExecuted, "clear", s.String(), "no certificate in force clears it for regime %q", regime,
@@ -61,24 +61,24 @@
 		coordination.MustMarshal(&fleetstate.Revoke{Serial: serial}),
 	)
 	if err != nil {
-		return nil, n.outcomeOf(err)
+		return nil, n.operatorError(err)
 	}
 	for !n.view.Current().Revoked[serial] {
 		if !host.Sleep(callContext, 10*time.Millisecond) {
 			return nil, api.RetryLater(
 				http.StatusGatewayTimeout,
 				"not-everywhere",
-				n.after(),
+				n.retryDelay(),
 				"the revocation is durable and not yet in force everywhere; ask again with the same op",
 			)
 		}
 	}
-	return n.versionApplied(ctx, r, false)
+	return n.awaitApplied(ctx, r, false)
 }
 
 // Regimes tells who is certified, until when, and what is short.
 func (n *Node) Regimes() *api.Regimes {
-	s, now := n.view.Current(), n.clock()
+	s, now := n.view.Current(), n.fleetTime()
 	out := &api.Regimes{
 		Version: uint64(s.Version),
 		Low:     now.Low,
@@ -93,14 +93,14 @@
 			Kinds: g.Kinds,
 			Keep:  g.Keep,
 			Rows:  s.Register.Rows(name, now),
-			Short: s.Register.Shortage(name, 1, now, n.able(s)),
+			Short: s.Register.Shortage(name, 1, now, n.canServe(s)),
 		})
 	}
 	return out
 }
 
-// able tells whether a certificate's subject could be picked now.
-func (n *Node) able(s *fleetstate.Snapshot) func(certification.Subject) bool {
+// canServe tells whether a certificate's subject could be picked now.
+func (n *Node) canServe(s *fleetstate.Snapshot) func(certification.Subject) bool {
 	names := map[string]bool{}
 	for _, m := range n.agent.Members() {
 		if !s.Zones[m.Zone] {
@@ -108,6 +108,6 @@
 		}
 	}
 	return func(one certification.Subject) bool {
-		return one.Worker != "" && n.fit(s, one.Worker) || names[one.Node]
+		return one.Worker != "" && n.acceptsWork(s, one.Worker) || names[one.Node]
 	}
 }
--- a/internal/router/regime_test.go
+++ b/internal/router/regime_test.go
@@ -13,9 +13,9 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestCovered: a worker that is the last of its part cleared for a regime does not turn;
+// TestRoleChangeKeepsRegimeCovered: a worker that is the last of its part cleared for a regime does not turn;
 // a second one frees it, and a revocation of the second binds it again.
-func TestCovered(t *testing.T) {
+func TestRoleChangeKeepsRegimeCovered(t *testing.T) {
 	key, _, err := certification.NewKey()
 	require.NoError(t, err)
 	now := time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC)
@@ -43,11 +43,11 @@
 	list := []WorkerStatus{{ID: "p1", Role: ids.Prefill}, {ID: "p2", Role: ids.Prefill}, {ID: "p3", Role: ids.Prefill}}
 	put("1", "p1")
 	at := certification.At(now)
-	require.False(t, covered(sight(nil), list, list[0], at))
-	require.True(t, covered(sight(nil), list, list[1], at), "it serves no regime")
-	require.True(t, covered(&fleetstate.Snapshot{}, list, list[0], at), "there is no regime")
+	require.False(t, regimesStayCovered(sight(nil), list, list[0], at))
+	require.True(t, regimesStayCovered(sight(nil), list, list[1], at), "it serves no regime")
+	require.True(t, regimesStayCovered(&fleetstate.Snapshot{}, list, list[0], at), "there is no regime")
 	put("2", "p2")
-	require.True(t, covered(sight(nil), list, list[0], at))
-	require.False(t, covered(sight(map[string]bool{"2": false}), list, list[0], at))
-	require.False(t, covered(sight(nil), []WorkerStatus{list[0], list[2]}, list[0], at), "the other one is not there")
+	require.True(t, regimesStayCovered(sight(nil), list, list[0], at))
+	require.False(t, regimesStayCovered(sight(map[string]bool{"2": false}), list, list[0], at))
+	require.False(t, regimesStayCovered(sight(nil), []WorkerStatus{list[0], list[2]}, list[0], at), "the other one is not there")
 }
--- a/internal/router/resolve.go
+++ b/internal/router/resolve.go
@@ -32,14 +32,14 @@
 		}
 		for _, d := range n.view.OpenClaims() {
 			if !live[d.Owner] {
-				n.close(ctx, d, fence)
+				n.takeOverClaim(ctx, d, fence)
 			}
 		}
 		end()
 	}
 }
 
-func (n *Node) close(ctx context.Context, d fleetstate.IdempotencyRecord, fence ids.Fence) {
+func (n *Node) takeOverClaim(ctx context.Context, d fleetstate.IdempotencyRecord, fence ids.Fence) {
 	callContext, stop := context.WithTimeout(ctx, 2*time.Second)
 	defer stop()
 	seize := &fleetstate.TakeOver{Key: d.Key, From: d.Owner, To: n.self.Node, Fence: fence}
@@ -52,8 +52,8 @@
 		return
 	}
 	fate, out := n.queryOutcome(ctx, &d)
-	s := &fleetstate.Resolve{Key: d.Key, Owner: n.self.Node, Outcome: fate, Answer: out, Audit: n.takenOver(&d, fate)}
-	if err := n.resolve(s); err != nil {
+	s := &fleetstate.Resolve{Key: d.Key, Owner: n.self.Node, Outcome: fate, Answer: out, Audit: n.takeoverAuditRecord(&d, fate)}
+	if err := n.submitOutcome(s); err != nil {
 		n.options.Ring.Warn().AnErr("cause", err).Str("key", d.Key).Msg("claim of a dead node not resolved yet")
 	}
 }
@@ -75,11 +75,11 @@
 			}
 		case a.Incarnation != d.Incarnation:
 			return fleetstate.MayHaveRun, nil
-		case a.Done && !n.mayRead(d.Key):
+		case a.Done && !n.mayReadOutcome(d.Key):
 			return fleetstate.MayHaveRun, nil
 		case a.Done:
 			texts := append(a.Texts, make([]string, len(a.Output))...)
-			out, _ := json.Marshal(record{a.Output, texts[:len(a.Output)]})
+			out, _ := json.Marshal(storedAnswer{a.Output, texts[:len(a.Output)]})
 			return fleetstate.Done, out
 		case a.Fate == workerclient.FateNever:
 			return fleetstate.NotRun, nil
@@ -90,41 +90,41 @@
 	return fleetstate.MayHaveRun, nil
 }
 
-// mayRead tells whether this node may read the outcome of an idempotency record: of a governed one only
+// mayReadOutcome tells whether this node may read the outcome of an idempotency record: of a governed one only
 // if it is certified.
-func (n *Node) mayRead(key string) bool {
+func (n *Node) mayReadOutcome(key string) bool {
 	kind, _, _ := strings.Cut(key, "/")
 	g := n.view.Current().Register.Governs(kind)
 	if g == "" {
 		return true
 	}
-	_, err := n.clears(g, certification.Subject{Node: n.options.Name}, "")
+	_, err := n.clearance(g, certification.Subject{Node: n.options.Name}, "")
 	return err == nil
 }
 
-type retryTokens struct {
-	mu     sync.Mutex
-	fence  ids.Fence
-	at     ids.Tick
-	tokens float64
+type retryBucket struct {
+	mu         sync.Mutex
+	fence      ids.Fence
+	refilledAt ids.Tick
+	tokens     float64
 }
 
-func (n *Node) handleSpend(_ context.Context, _ *coordination.Empty) (*RetrySpent, error) {
+func (n *Node) handleSpendRetry(_ context.Context, _ *coordination.Empty) (*RetrySpent, error) {
 	fence, end, ok := n.agent.BeginOperation(fleetstate.RetryBudgetKey)
 	if !ok {
 		return &RetrySpent{}, nil
 	}
 	defer end()
 	lim := n.view.Current().Configuration.Limits
-	p := &n.retryTokens
+	p := &n.retryBucket
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := n.now()
 	if p.fence != fence {
-		p.fence, p.at, p.tokens = fence, now, 0
+		p.fence, p.refilledAt, p.tokens = fence, now, 0
 	}
-	p.tokens = min(float64(lim.RetryBurst), p.tokens+lim.RetryRate*now.Since(p.at).Seconds())
-	p.at = now
+	p.tokens = min(float64(lim.RetryBurst), p.tokens+lim.RetryRate*now.Since(p.refilledAt).Seconds())
+	p.refilledAt = now
 	if p.tokens < 1 {
 		return &RetrySpent{}, nil
 	}
--- a/internal/router/role_balance.go
+++ b/internal/router/role_balance.go
@@ -26,21 +26,21 @@
 )
 
 const (
-	smooth             = 0.3
+	pressureSmoothing  = 0.3
 	roleChangeInterval = 500 * time.Millisecond
-	maxRoleChange      = 20 * time.Second
+	roleChangeTimeout  = 20 * time.Second
 )
 
 // rolePool is what the holder of a pool's key remembers; new hands start anew and
 // wait half a dwell.
 type rolePool struct {
-	fence    ids.Fence
-	last     ids.Tick
-	to       ids.Role
-	pressure map[ids.Role]float64
+	fence      ids.Fence
+	lastChange ids.Tick
+	lastRole   ids.Role
+	pressure   map[ids.Role]float64
 }
 
-func (n *Node) roleBalancer(ctx context.Context) {
+func (n *Node) roleBalanceLoop(ctx context.Context) {
 	pools := map[string]*rolePool{}
 	for host.Sleep(ctx, roleChangeInterval) {
 		s := n.view.Current()
@@ -56,12 +56,12 @@
 			}
 			p := pools[m]
 			if p == nil || p.fence != fence {
-				p = &rolePool{fence: fence, last: n.now(), pressure: map[ids.Role]float64{}}
+				p = &rolePool{fence: fence, lastChange: n.now(), pressure: map[ids.Role]float64{}}
 				pools[m] = p
 			}
 			if w, ok := n.pickRoleChange(s, m, p); ok {
 				if err := n.changeRole(ctx, w.Worker, w.To); err == nil {
-					n.counts.Turned.Add(1)
+					n.counts.RoleChanges.Add(1)
 				} else {
 					n.options.Ring.Info().AnErr("cause", err).Str("worker", string(w.Worker)).Msg("worker role not changed")
 				}
@@ -75,18 +75,18 @@
 func (n *Node) pickRoleChange(s *fleetstate.Snapshot, model string, p *rolePool) (routing.RoleChange, bool) {
 	now, dwell := n.now(), s.Configuration.Limits.Dwell()
 	by := map[ids.Role][]WorkerStatus{}
-	for id, st := range *n.workerStatus.Load() {
-		if w, ok := s.Configuration.Workers[id]; ok && w.Model == model && st.Ready && n.fit(s, id) {
+	for id, st := range *n.workerStatuses.Load() {
+		if w, ok := s.Configuration.Workers[id]; ok && w.Model == model && st.Ready && n.acceptsWork(s, id) {
 			by[st.Role] = append(by[st.Role], st)
 		}
 	}
-	view := &routing.Pool{Model: model, Pressure: p.pressure, Since: now.Since(p.last)}
+	view := &routing.Pool{Model: model, Pressure: p.pressure, Since: now.Since(p.lastChange)}
 	for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 		list := by[part]
 		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
-		p.pressure[part] += smooth * (pressureOf(list) - p.pressure[part])
+		p.pressure[part] += pressureSmoothing * (rolePressure(list) - p.pressure[part])
 		rest := dwell / 2
-		if routing.OtherRole(part) == p.to {
+		if routing.OtherRole(part) == p.lastRole {
 			rest = dwell / 4
 		}
 		for _, st := range list {
@@ -101,15 +101,15 @@
 				MaxConcurrent: st.MaxConcurrent,
 				Free:          st.Free,
 				Capacity:      st.Capacity,
-				Allowed: view.Since >= rest && spare(s, list, st.ID) && covered(s, list, st, n.clock()) &&
-					!n.changedWithin(st.ID, dwell),
+				Allowed: view.Since >= rest && canSpare(s, list, st.ID) && regimesStayCovered(s, list, st, n.fleetTime()) &&
+					!n.changedRoleWithin(st.ID, dwell),
 			})
 		}
 	}
 	change, ok := n.proposeRoleChange(s, view)
 	if ok {
 		n.roleChanges.Store(change.Worker, now)
-		p.last, p.to = now, change.To
+		p.lastChange, p.lastRole = now, change.To
 	}
 	return change, ok
 }
@@ -127,8 +127,8 @@
 	return routing.RoleChange{}, false
 }
 
-// pressureOf is the larger of the shares of starts and of room that are in use.
-func pressureOf(list []WorkerStatus) float64 {
+// rolePressure is the larger of the shares of starts and of room that are in use.
+func rolePressure(list []WorkerStatus) float64 {
 	var work, limit, used, room float64
 	for _, st := range list {
 		work, limit = work+float64(st.Work), limit+float64(st.MaxConcurrent)
@@ -137,9 +137,9 @@
 	return max(work/max(limit, 1), used/max(room, 1))
 }
 
-// spare tells whether a part can do without one of its workers: one of the same
+// canSpare tells whether a part can do without one of its workers: one of the same
 // weights stays, and two zones still have one if they had before.
-func spare(s *fleetstate.Snapshot, list []WorkerStatus, id ids.WorkerID) bool {
+func canSpare(s *fleetstate.Snapshot, list []WorkerStatus, id ids.WorkerID) bool {
 	me := s.Configuration.Workers[id]
 	before, after, same := map[ids.Zone]bool{}, map[ids.Zone]bool{}, 0
 	for _, st := range list {
@@ -156,9 +156,9 @@
 	return same >= 1 && len(after) >= min(2, len(before))
 }
 
-// covered tells whether every regime that a worker serves in its part keeps another one
+// regimesStayCovered tells whether every regime that a worker serves in its part keeps another one
 // there that is cleared too.
-func covered(s *fleetstate.Snapshot, list []WorkerStatus, me WorkerStatus, now certification.Now) bool {
+func regimesStayCovered(s *fleetstate.Snapshot, list []WorkerStatus, me WorkerStatus, now certification.Now) bool {
 	for _, g := range s.Register.Regimes() {
 		clear := func(st WorkerStatus) bool {
 			_, ok := s.Register.Clears(g, certification.Subject{Worker: st.ID}, me.Role, now)
@@ -171,14 +171,14 @@
 	return true
 }
 
-func (n *Node) changedWithin(id ids.WorkerID, dwell time.Duration) bool {
+func (n *Node) changedRoleWithin(id ids.WorkerID, dwell time.Duration) bool {
 	v, ok := n.roleChanges.Load(id)
 	return ok && n.now().Since(v.(ids.Tick)) < dwell
 }
 
 // changeRole asks the worker's holder to drain it and change its part.
 func (n *Node) changeRole(ctx context.Context, id ids.WorkerID, to ids.Role) error {
-	callContext, stop := context.WithTimeout(ctx, maxRoleChange+time.Second)
+	callContext, stop := context.WithTimeout(ctx, roleChangeTimeout+time.Second)
 	defer stop()
 	m, _, ok := n.agent.KeyOwner(fleetstate.WorkerKey(id))
 	if !ok {
@@ -186,7 +186,7 @@
 	}
 	request := &OrderRequest{Worker: id, Verb: verbRoleChange, Body: []byte(to)}
 	if m.Node == n.self.Node {
-		_, err := n.act(callContext, request)
+		_, err := n.executeOrder(callContext, request)
 		return err
 	}
 	_, err := rpc.Call[OrderRequest, OrderResponse](callContext, n.caller, m.Addr, OrderMethod, request)
@@ -201,26 +201,26 @@
 	lead workerclient.OrderHeader,
 	to ids.Role,
 ) (*workerclient.OrderResponse, error) {
-	d.memory.Reservation(true)
-	defer d.memory.Reservation(false)
-	callContext, stop := context.WithTimeout(ctx, maxRoleChange)
+	d.ledger.Reservation(true)
+	defer d.ledger.Reservation(false)
+	callContext, stop := context.WithTimeout(ctx, roleChangeTimeout)
 	defer stop()
 	for {
 		if f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id)); !ok || f != d.fence {
 			return nil, failure.New(failure.Unavailable, "turn", n.self.Addr, "the key of %s went to other hands", d.id)
 		}
 		lead.Version = n.view.Current().Version
-		if n.current() && d.memory.Empty() {
+		if n.versionCurrent() && d.ledger.Empty() {
 			a, err := n.workerClient.SetRole(callContext, addr, &workerclient.RoleRequest{OrderHeader: lead, Role: to})
 			if !failure.Is(err, failure.NotExecuted) {
 				return a, err
 			}
 		}
 		if !host.Sleep(callContext, 100*time.Millisecond) {
-			return nil, failure.New(failure.NotExecuted, "turn", string(d.id), "it did not drain in %s", maxRoleChange)
+			return nil, failure.New(failure.NotExecuted, "turn", string(d.id), "it did not drain in %s", roleChangeTimeout)
 		}
 	}
 }
 
 // RoleChanges counts the parts that this node has had changed.
-func (n *Node) RoleChanges() int64 { return n.counts.Turned.Load() }
+func (n *Node) RoleChanges() int64 { return n.counts.RoleChanges.Load() }
--- a/internal/router/role_balance_test.go
+++ b/internal/router/role_balance_test.go
@@ -16,8 +16,8 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// stage sets up a node that sees so many workers of each part, this busy.
-func stage(reads, writes, readBusy, writeBusy int) (*Node, *fleetstate.Snapshot) {
+// newRoleBalanceFixture sets up a node that sees so many workers of each part, this busy.
+func newRoleBalanceFixture(reads, writes, readBusy, writeBusy int) (*Node, *fleetstate.Snapshot) {
 	n := New(Options{Name: "n", Host: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host()})
 	s := &fleetstate.Snapshot{Configuration: &fleetstate.Configuration{
 		RoleChanges: true,
@@ -49,61 +49,61 @@
 		}
 		endpoints[id] = workerclient.ListedWorker{ID: id}
 	}
-	n.workerStatus.Store(&stands)
+	n.workerStatuses.Store(&stands)
 	n.endpoints.Store(&endpoints)
 	return n, s
 }
 
-// turns asks the switcher twice a second for so long.
-func turns(n *Node, s *fleetstate.Snapshot, duration time.Duration) []ids.Role {
-	p := &rolePool{last: n.now(), pressure: map[ids.Role]float64{}}
+// runRoleBalancer asks the switcher twice a second for so long.
+func runRoleBalancer(n *Node, s *fleetstate.Snapshot, duration time.Duration) []ids.Role {
+	p := &rolePool{lastChange: n.now(), pressure: map[ids.Role]float64{}}
 	var out []ids.Role
 	for end := n.now().Add(duration); n.now().Before(end); time.Sleep(roleChangeInterval) {
 		if w, ok := n.pickRoleChange(s, "m", p); ok {
 			out = append(out, w.To)
-			st := (*n.workerStatus.Load())[w.Worker]
+			st := (*n.workerStatuses.Load())[w.Worker]
 			st.Role = w.To
-			(*n.workerStatus.Load())[w.Worker] = st
+			(*n.workerStatuses.Load())[w.Worker] = st
 		}
 	}
 	return out
 }
 
-// TestTurns: a hard pressed part gets workers from an idle one, a quarter of a dwell apart,
+// TestRoleChanges: a hard pressed part gets workers from an idle one, a quarter of a dwell apart,
 // until the other part can spare none; where both are pressed, or neither is,
 // nothing turns; with turning off the workers go home.
-func TestTurns(t *testing.T) {
+func TestRoleChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, s := stage(4, 4, 14, 0)
-		got := turns(n, s, 60*time.Second)
+		n, s := newRoleBalanceFixture(4, 4, 14, 0)
+		got := runRoleBalancer(n, s, 60*time.Second)
 		require.Equal(t, []ids.Role{ids.Prefill, ids.Prefill}, got, "two zones keep a decode worker")
-		n, s = stage(4, 4, 14, 0)
-		require.Len(t, turns(n, s, 2900*time.Millisecond), 1, "half a dwell first, and a quarter between two")
-		n, s = stage(4, 4, 14, 0)
-		for id, st := range *n.workerStatus.Load() {
+		n, s = newRoleBalanceFixture(4, 4, 14, 0)
+		require.Len(t, runRoleBalancer(n, s, 2900*time.Millisecond), 1, "half a dwell first, and a quarter between two")
+		n, s = newRoleBalanceFixture(4, 4, 14, 0)
+		for id, st := range *n.workerStatuses.Load() {
 			if st.Role == ids.Decode {
 				st.Busy = 14
-				(*n.workerStatus.Load())[id] = st
+				(*n.workerStatuses.Load())[id] = st
 			}
 		}
-		require.NotEmpty(t, turns(n, s, 10*time.Second), "what is only booked at decode is no pressure there")
-		n, s = stage(1, 1, 14, 0)
-		require.Empty(t, turns(n, s, 60*time.Second), "never the last of a part")
-		n, s = stage(4, 4, 14, 14)
-		require.Empty(t, turns(n, s, 60*time.Second), "both are pressed")
-		n, s = stage(4, 4, 4, 0)
-		require.Empty(t, turns(n, s, 60*time.Second), "neither is pressed")
-		n, s = stage(4, 4, 0, 14)
-		require.Equal(t, ids.Decode, turns(n, s, 30*time.Second)[0])
+		require.NotEmpty(t, runRoleBalancer(n, s, 10*time.Second), "what is only booked at decode is no pressure there")
+		n, s = newRoleBalanceFixture(1, 1, 14, 0)
+		require.Empty(t, runRoleBalancer(n, s, 60*time.Second), "never the last of a part")
+		n, s = newRoleBalanceFixture(4, 4, 14, 14)
+		require.Empty(t, runRoleBalancer(n, s, 60*time.Second), "both are pressed")
+		n, s = newRoleBalanceFixture(4, 4, 4, 0)
+		require.Empty(t, runRoleBalancer(n, s, 60*time.Second), "neither is pressed")
+		n, s = newRoleBalanceFixture(4, 4, 0, 14)
+		require.Equal(t, ids.Decode, runRoleBalancer(n, s, 30*time.Second)[0])
 		s.Configuration.RoleChanges = false
-		for id, st := range *n.workerStatus.Load() {
+		for id, st := range *n.workerStatuses.Load() {
 			st.Busy = 0
-			(*n.workerStatus.Load())[id] = st
+			(*n.workerStatuses.Load())[id] = st
 		}
-		for _, to := range turns(n, s, 60*time.Second) {
+		for _, to := range runRoleBalancer(n, s, 60*time.Second) {
 			require.Equal(t, ids.Prefill, to)
 		}
-		for id, st := range *n.workerStatus.Load() {
+		for id, st := range *n.workerStatuses.Load() {
 			require.Equal(t, s.Configuration.Workers[id].Role, st.Role, "home again")
 		}
 	})
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -22,22 +22,22 @@
 	"keelstair.example/internal/workerclient"
 )
 
-func (n *Node) after() time.Duration {
+func (n *Node) retryDelay() time.Duration {
 	if ms := n.view.Current().Configuration.Limits.RetryAfterMs; ms > 0 {
 		return time.Duration(ms) * time.Millisecond
 	}
 	return time.Second
 }
 
-func (n *Node) later(code int, name, form string, args ...any) *api.Fault {
-	n.counts.Bounced.Add(1)
-	return api.RetryLater(code, name, n.after(), form, args...)
+func (n *Node) rejectRetryable(code int, name, form string, args ...any) *api.Fault {
+	n.counts.Rejected.Add(1)
+	return api.RetryLater(code, name, n.retryDelay(), form, args...)
 }
 
-// retryAfterHint bounces for want of room: the caller comes back when there should be some.
-func (n *Node) retryAfterHint(code int, name, form string, args ...any) *api.Fault {
-	f := n.later(code, name, form, args...)
-	f.After = n.retryAfter.Next(n.now(), n.counts.Done.Load(), n.after()).Milliseconds()
+// rejectForCapacity bounces for want of room: the caller comes back when there should be some.
+func (n *Node) rejectForCapacity(code int, name, form string, args ...any) *api.Fault {
+	f := n.rejectRetryable(code, name, form, args...)
+	f.After = n.retryAfter.Next(n.now(), n.counts.Completed.Load(), n.retryDelay()).Milliseconds()
 	return f
 }
 
@@ -48,9 +48,9 @@
 
 // serve answers what an origin asked, or what another node passed on.
 func (n *Node) serve(ctx context.Context, ask *api.StreamRequest, out api.Sink, passed bool) error {
-	n.counts.Asked.Add(1)
+	n.counts.Requests.Add(1)
 	if ok, reason := n.Ready(); !ok {
-		return n.later(http.StatusServiceUnavailable, "not-ready", "%s", reason)
+		return n.rejectRetryable(http.StatusServiceUnavailable, "not-ready", "%s", reason)
 	}
 	s := n.view.Current()
 	kind, ok := s.Configuration.Kinds[ask.Kind]
@@ -59,14 +59,14 @@
 		return api.WriteFault(http.StatusBadRequest, "unknown", "kind", "there is no kind %q", ask.Kind)
 	case ask.Model != "" && ask.Model != kind.Model:
 		return api.WriteFault(http.StatusBadRequest, "unknown", "model", "kind %q runs on %q", ask.Kind, kind.Model)
-	case !n.adapters(s, kind.Model, ask.Adapters):
+	case !n.offersAdapters(s, kind.Model, ask.Adapters):
 		return api.WriteFault(http.StatusBadRequest, "unknown", "adapters", "no worker offers them all")
 	}
 	if g := s.Register.Governs(ask.Kind); g != "" {
-		if _, err := n.clears(g, certification.Subject{Node: n.options.Name}, ""); err != nil && !passed {
-			return n.pass(ctx, s, g, ask, out)
+		if _, err := n.clearance(g, certification.Subject{Node: n.options.Name}, ""); err != nil && !passed {
+			return n.forward(ctx, s, g, ask, out)
 		} else if err != nil {
-			return n.later(http.StatusServiceUnavailable, "not-certified", "%v", err)
+			return n.rejectRetryable(http.StatusServiceUnavailable, "not-certified", "%v", err)
 		}
 	}
 	if f := ask.Check(kind.Claimed, kind.MaxTokens, kind.MaxPrompt); f != nil {
@@ -75,7 +75,7 @@
 	if ask.MaxTokens == 0 {
 		ask.MaxTokens = kind.MaxTokens
 	}
-	leave, f := n.grantEntry(s, ask.Kind)
+	leave, f := n.admit(s, ask.Kind)
 	if f != nil {
 		return f
 	}
@@ -95,12 +95,12 @@
 	}
 	t.Identity.ID.Request = coordination.NewID()
 	if !kind.Claimed {
-		return n.plain(ctx, s, t, out)
+		return n.runUnclaimed(ctx, s, t, out)
 	}
-	return n.claimed(ctx, s, t, ask, out)
+	return n.runClaimed(ctx, s, t, ask, out)
 }
 
-func (n *Node) adapters(s *fleetstate.Snapshot, model string, want []string) bool {
+func (n *Node) offersAdapters(s *fleetstate.Snapshot, model string, want []string) bool {
 	if len(want) == 0 {
 		return true
 	}
@@ -113,10 +113,10 @@
 	return false
 }
 
-// grantEntry bounds the streams carried at once. Once a node is half full, a kind
+// admit bounds the streams carried at once. Once a node is half full, a kind
 // may take no more than its share by weight, so a crowd of one cannot shut out
 // the other.
-func (n *Node) grantEntry(s *fleetstate.Snapshot, kind string) (func(), *api.Fault) {
+func (n *Node) admit(s *fleetstate.Snapshot, kind string) (func(), *api.Fault) {
 	v, _ := n.kinds.LoadOrStore(kind, new(atomic.Int64))
 	mine := v.(*atomic.Int64)
 	limit := int64(s.Configuration.Limits.Inflight)
@@ -129,7 +129,7 @@
 	share := limit * int64(s.Configuration.Kinds[kind].Weight) / max(sum, 1)
 	if all > limit || all > limit/2 && own > max(share, 1) {
 		leave()
-		return nil, n.retryAfterHint(http.StatusTooManyRequests, "crowded", "%d streams are carried here", all-1)
+		return nil, n.rejectForCapacity(http.StatusTooManyRequests, "crowded", "%d streams are carried here", all-1)
 	}
 	return leave, nil
 }
@@ -143,7 +143,7 @@
 	return d
 }
 
-func (n *Node) controller(s *fleetstate.Snapshot, t *handoff.Task) (*handoff.Controller, *transport, *routing.Score) {
+func (n *Node) newController(s *fleetstate.Snapshot, t *handoff.Task) (*handoff.Controller, *transport, *routing.Score) {
 	programs := n.programsAt(s)
 	h := &transport{
 		node:     n,
@@ -163,14 +163,14 @@
 		n.scores.Of(programs.ProgramFor(t.Identity.ID.Request))
 }
 
-// plain runs a request that needs no claim.
-func (n *Node) plain(ctx context.Context, s *fleetstate.Snapshot, t *handoff.Task, out api.Sink) error {
-	c, h, score := n.controller(s, t)
+// runUnclaimed runs a request that needs no claim.
+func (n *Node) runUnclaimed(ctx context.Context, s *fleetstate.Snapshot, t *handoff.Task, out api.Sink) error {
+	c, h, score := n.newController(s, t)
 	start, count := n.now(), 0
 	var known error
 	if t.Regime != "" {
 		t.Claim = func(ids.WorkerID, ids.Incarnation) error {
-			known = h.begin(ctx, t.Identity.ID.Request)
+			known = h.recordStart(ctx, t.Identity.ID.Request)
 			return known
 		}
 	}
@@ -183,31 +183,31 @@
 	if known != nil {
 		return known
 	}
-	h.end(t.Identity.ID.Request, err, count)
-	return n.finish(err, count, score, out)
+	h.recordEnd(t.Identity.ID.Request, err, count)
+	return n.finishStream(err, count, score, out)
 }
 
-// finish says how a stream ended; only a whole one looks complete.
-func (n *Node) finish(err error, count int, score *routing.Score, out api.Sink) error {
+// finishStream says how a stream ended; only a whole one looks complete.
+func (n *Node) finishStream(err error, count int, score *routing.Score, out api.Sink) error {
 	switch {
 	case err == nil:
-		n.counts.Done.Add(1)
+		n.counts.Completed.Add(1)
 		score.Done.Add(1)
 		return out.Put(api.StreamEvent{Index: count, End: api.Complete, Count: count})
 	case failure.Is(err, failure.InvalidArgument):
 		return api.WriteFault(http.StatusBadRequest, "refused", "", "%v", err)
 	case count == 0:
 		score.Bounced.Add(1)
-		return n.retryAfterHint(http.StatusServiceUnavailable, "bounced", "%v", err)
+		return n.rejectForCapacity(http.StatusServiceUnavailable, "bounced", "%v", err)
 	}
-	n.counts.Broken.Add(1)
+	n.counts.Aborted.Add(1)
 	score.Broken.Add(1)
 	n.options.Ring.Info().AnErr("cause", err).Int("tokens", count).Msg("stream aborted")
 	return out.Put(api.StreamEvent{
 		Index: count,
 		End:   api.Broken,
 		Count: count,
-		Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), After: n.after().Milliseconds()},
+		Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), After: n.retryDelay().Milliseconds()},
 	})
 }
 
--- a/internal/router/tracing/tracing.go
+++ b/internal/router/tracing/tracing.go
@@ -20,42 +20,42 @@
 	"keelstair.example/internal/workerclient"
 )
 
-const most = 4096
+const maxOpenHandovers = 4096
 
 // Writer gathers steps until a hand-over ends, then writes its line.
 type Writer struct {
-	mu    sync.Mutex
-	node  string
-	out   io.Writer
-	clock host.Clock
-	open  map[workerclient.ID][]handoff.Event
+	mu      sync.Mutex
+	node    string
+	out     io.Writer
+	clock   host.Clock
+	pending map[workerclient.ID][]handoff.Event
 }
 
 // New returns a writer of traces for a node, by its name. Ticks become wall time by the clock.
 func New(out io.Writer, node string, clock host.Clock) *Writer {
-	return &Writer{out: out, node: node, clock: clock, open: map[workerclient.ID][]handoff.Event{}}
+	return &Writer{out: out, node: node, clock: clock, pending: map[workerclient.ID][]handoff.Event{}}
 }
 
 // Tell takes one event of the journal.
 func (w *Writer) Tell(e handoff.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	rows := append(w.open[e.ID], e)
+	rows := append(w.pending[e.ID], e)
 	if e.Step != handoff.Ended && e.Step != handoff.Dropped {
-		if len(w.open) < most {
-			w.open[e.ID] = rows
+		if len(w.pending) < maxOpenHandovers {
+			w.pending[e.ID] = rows
 		}
 		return
 	}
-	delete(w.open, e.ID)
-	if line, err := form(w.trace(e.ID, rows)); err == nil {
+	delete(w.pending, e.ID)
+	if line, err := marshalTraces(w.buildTrace(e.ID, rows)); err == nil {
 		w.out.Write(append(line, '\n'))
 	}
 }
 
-// form gives the JSON form, in which enumerations are numbers and ids are hex, where the
+// marshalTraces gives the JSON form, in which enumerations are numbers and ids are hex, where the
 // library writes any bytes as base64.
-func form(t *trace.TracesData) ([]byte, error) {
+func marshalTraces(t *trace.TracesData) ([]byte, error) {
 	line, err := protojson.MarshalOptions{UseEnumNumbers: true}.Marshal(t)
 	if err != nil {
 		return nil, err
@@ -64,14 +64,14 @@
 	if err := json.Unmarshal(line, &doc); err != nil {
 		return nil, err
 	}
-	return json.Marshal(hexed(doc))
+	return json.Marshal(hexIDs(doc))
 }
 
-func hexed(v any) any {
+func hexIDs(v any) any {
 	switch v := v.(type) {
 	case []any:
 		for i := range v {
-			v[i] = hexed(v[i])
+			v[i] = hexIDs(v[i])
 		}
 	case map[string]any:
 		for k, one := range v {
@@ -80,22 +80,22 @@
 				json.Unmarshal([]byte(`"`+s+`"`), &id) == nil {
 				v[k] = hex.EncodeToString(id)
 			} else {
-				v[k] = hexed(one)
+				v[k] = hexIDs(one)
 			}
 		}
 	}
 	return v
 }
 
-func text(key, v string) *common.KeyValue {
+func stringAttribute(key, v string) *common.KeyValue {
 	return &common.KeyValue{Key: key, Value: &common.AnyValue{Value: &common.AnyValue_StringValue{StringValue: v}}}
 }
 
-func (w *Writer) trace(id workerclient.ID, rows []handoff.Event) *trace.TracesData {
+func (w *Writer) buildTrace(id workerclient.ID, rows []handoff.Event) *trace.TracesData {
 	scope := &trace.ScopeSpans{Scope: &common.InstrumentationScope{Name: "keelstair.example/internal/handoff"}}
 	res := &trace.ResourceSpans{ScopeSpans: []*trace.ScopeSpans{scope},
 		Resource: &resource.Resource{Attributes: []*common.KeyValue{
-			text("service.name", "keelstair"), text("service.instance.id", w.node),
+			stringAttribute("service.name", "keelstair"), stringAttribute("service.instance.id", w.node),
 		}}}
 	// Ticks become wall time by what the clocks show now.
 	now, wall := w.clock.Now(), w.clock.Wall()
@@ -114,7 +114,7 @@
 	}
 	last := rows[len(rows)-1]
 	complete := put("hand-over", 0, rows[0], last)
-	complete.Attributes = []*common.KeyValue{text("request", id.Request),
+	complete.Attributes = []*common.KeyValue{stringAttribute("request", id.Request),
 		{Key: "attempt", Value: &common.AnyValue{Value: &common.AnyValue_IntValue{IntValue: int64(id.Attempt)}}}}
 	if last.Step == handoff.Dropped {
 		complete.Status = &trace.Status{Code: trace.Status_STATUS_CODE_ERROR, Message: last.Reason}
@@ -122,7 +122,7 @@
 	for i := 1; i < len(rows); i++ {
 		s := put(string(rows[i].Step), i, rows[i-1], rows[i])
 		s.ParentSpanId = complete.SpanId
-		s.Attributes = []*common.KeyValue{text("worker", string(rows[i].Worker))}
+		s.Attributes = []*common.KeyValue{stringAttribute("worker", string(rows[i].Worker))}
 	}
 	return &trace.TracesData{ResourceSpans: []*trace.ResourceSpans{res}}
 }
--- a/internal/router/tracing/tracing_test.go
+++ b/internal/router/tracing/tracing_test.go
@@ -15,9 +15,9 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// TestSpans: one line a hand-over, one span a step, all under one parent, and a
+// TestHandoverTrace: one line a hand-over, one span a step, all under one parent, and a
 // dropped one is marked with its reason.
-func TestSpans(t *testing.T) {
+func TestHandoverTrace(t *testing.T) {
 	var out bytes.Buffer
 	clock := simulated.NewWorld(1).Machine("10.0.0.1").Start().Host().Clock
 	w := New(&out, "n1", clock)
@@ -58,5 +58,5 @@
 		require.Equal(t, spans[0].TraceID, s.TraceID)
 		require.Less(t, s.StartTimeUnixNano, s.EndTimeUnixNano)
 	}
-	require.Empty(t, w.open)
+	require.Empty(t, w.pending)
 }
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -21,17 +21,17 @@
 // transport act for one request under the snapshot it began with; whether a worker may
 // get new work is always asked of the newest.
 type transport struct {
-	node     *Node
-	snapshot *fleetstate.Snapshot
-	programs *routing.ProgramSet
-	prefix   uint64
-	picked   ids.Version
-	kind     string
-	regime   string       // that the request is bound to, if any
-	role     ids.Role     // that was picked for last
-	source   ids.WorkerID // where the memory that moves lies staged
-	steps    []fleetstate.AuditStep
-	begun    bool // its first row stands
+	node          *Node
+	snapshot      *fleetstate.Snapshot
+	programs      *routing.ProgramSet
+	prefix        uint64
+	pickedVersion ids.Version
+	kind          string
+	regime        string       // that the request is bound to, if any
+	pickedRole    ids.Role     // that was picked for last
+	memorySource  ids.WorkerID // where the memory that moves lies staged
+	auditSteps    []fleetstate.AuditStep
+	startRecorded bool // its first row stands
 }
 
 func (h *transport) Pick(
@@ -42,27 +42,27 @@
 	n := h.node
 	// While a newer version is heard of and not had yet, or could not be heard of,
 	// picks are held.
-	for end := n.now().Add(time.Second); !n.current(); {
+	for end := n.now().Add(time.Second); !n.versionCurrent(); {
 		if !n.now().Before(end) || !host.Sleep(context.Background(), 20*time.Millisecond) {
 			return nil
 		}
 	}
 	s := n.view.Current()
-	h.picked, h.role = s.Version, request.Role
-	regime := h.bound(s)
+	h.pickedVersion, h.pickedRole = s.Version, request.Role
+	regime := h.currentRegime(s)
 	cleared := func(st WorkerStatus) bool {
 		if regime == "" {
 			return true
 		}
-		_, err := n.allows(regime, st.ID, st.Role)
+		_, err := n.stepClearance(regime, st.ID, st.Role)
 		return err == nil
 	}
 	by := map[ids.WorkerID]handoff.Picked{}
 	var list, last []routing.Candidate
 	both := map[string]map[ids.Role]bool{}
-	for id, st := range *n.workerStatus.Load() {
+	for id, st := range *n.workerStatuses.Load() {
 		w, ok := s.Configuration.Workers[id]
-		if !ok || !st.Ready || !n.fit(s, id) || !cleared(st) {
+		if !ok || !st.Ready || !n.acceptsWork(s, id) || !cleared(st) {
 			continue
 		}
 		if both[w.Weights] == nil {
@@ -70,7 +70,7 @@
 		}
 		both[w.Weights][st.Role] = true
 	}
-	for id, st := range *n.workerStatus.Load() {
+	for id, st := range *n.workerStatuses.Load() {
 		w, ok := s.Configuration.Workers[id]
 		m := workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters}
 		want := on
@@ -78,8 +78,8 @@
 			want.Weights = w.Weights
 		}
 		need := ids.Blocks(request.Need, st.Block)
-		if !ok || st.Role != request.Role || !st.Ready || !n.fit(s, id) || !cleared(st) ||
-			regime == "" && !n.idleWorkers(s, st, need) || !m.Offers(want) || st.Busy >= st.MaxConcurrent ||
+		if !ok || st.Role != request.Role || !st.Ready || !n.acceptsWork(s, id) || !cleared(st) ||
+			regime == "" && !n.fitsBesideReserve(s, st, need) || !m.Offers(want) || st.Busy >= st.MaxConcurrent ||
 			!both[w.Weights][ids.Prefill] || !both[w.Weights][ids.Decode] || st.Free < need {
 			continue
 		}
@@ -111,7 +111,7 @@
 	return out
 }
 
-func (h *transport) ask(
+func (h *transport) issueOrder(
 	ctx context.Context,
 	verb string,
 	w ids.WorkerID,
@@ -132,25 +132,25 @@
 	// Cancelling and freeing may go on beside the next attempt, and need no regime.
 	if request.Role == "" || h.regime == "" {
 		request.Role = ""
-		return h.node.order(callContext, &request)
+		return h.node.sendOrder(callContext, &request)
 	}
 	request.Regime = h.regime
-	serial, err := h.node.check(&request)
+	serial, err := h.node.orderClearance(&request)
 	if err != nil {
 		return nil, err
 	}
 	h.recordStep(verb, w, id, serial)
-	source := h.source
+	source := h.memorySource
 	if verb != verbImport && verb != verbResume {
 		source = ""
 	}
-	callContext, end := h.guard(callContext, w, request.Role, source)
-	a, err := h.node.order(callContext, &request)
+	callContext, end := h.guardStep(callContext, w, request.Role, source)
+	a, err := h.node.sendOrder(callContext, &request)
 	return a, end(err)
 }
 
 func (h *transport) Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error {
-	_, err := h.ask(ctx, verbReserve, w, id, OrderRequest{Need: blocks, Role: h.role}, nil, 400*time.Millisecond)
+	_, err := h.issueOrder(ctx, verbReserve, w, id, OrderRequest{Need: blocks, Role: h.pickedRole}, nil, 400*time.Millisecond)
 	return err
 }
 
@@ -159,7 +159,7 @@
 	w ids.WorkerID,
 	m workerclient.Identity,
 ) (*workerclient.OrderResponse, error) {
-	return h.ask(ctx, verbPrefill, w, m.ID, OrderRequest{Role: ids.Prefill}, &m, 6*time.Second)
+	return h.issueOrder(ctx, verbPrefill, w, m.ID, OrderRequest{Role: ids.Prefill}, &m, 6*time.Second)
 }
 
 func (h *transport) Export(
@@ -167,7 +167,7 @@
 	w ids.WorkerID,
 	id workerclient.ID,
 ) (*workerclient.OrderResponse, error) {
-	return h.ask(ctx, verbExport, w, id, OrderRequest{Role: ids.Prefill}, nil, 1500*time.Millisecond)
+	return h.issueOrder(ctx, verbExport, w, id, OrderRequest{Role: ids.Prefill}, nil, 1500*time.Millisecond)
 }
 
 func (h *transport) Import(
@@ -176,8 +176,8 @@
 	m workerclient.Identity,
 	src ids.WorkerID,
 ) (*workerclient.OrderResponse, error) {
-	h.source = src
-	return h.ask(ctx, verbImport, w, m.ID, OrderRequest{Source: src, Role: ids.Decode}, &m, 1500*time.Millisecond)
+	h.memorySource = src
+	return h.issueOrder(ctx, verbImport, w, m.ID, OrderRequest{Source: src, Role: ids.Decode}, &m, 1500*time.Millisecond)
 }
 
 func (h *transport) Resume(
@@ -185,7 +185,7 @@
 	w ids.WorkerID,
 	id workerclient.ID,
 ) (*workerclient.OrderResponse, error) {
-	return h.ask(ctx, verbResume, w, id, OrderRequest{Role: ids.Decode}, nil, 3*time.Second)
+	return h.issueOrder(ctx, verbResume, w, id, OrderRequest{Role: ids.Decode}, nil, 3*time.Second)
 }
 
 func (h *transport) Cancel(
@@ -193,7 +193,7 @@
 	w ids.WorkerID,
 	id workerclient.ID,
 ) (*workerclient.OrderResponse, error) {
-	return h.ask(ctx, verbCancel, w, id, OrderRequest{}, nil, time.Second)
+	return h.issueOrder(ctx, verbCancel, w, id, OrderRequest{}, nil, time.Second)
 }
 
 // Done gives the room back without waiting; a lost one is found by reports.
@@ -202,7 +202,7 @@
 	if sure {
 		request.Need = 1
 	}
-	go h.ask(context.Background(), verbDone, w, id, request, nil, time.Second)
+	go h.issueOrder(context.Background(), verbDone, w, id, request, nil, time.Second)
 }
 
 func (h *transport) Stream(
@@ -216,10 +216,10 @@
 	if !ok {
 		return failure.New(failure.DataLost, "stream", string(w), "the platform does not list it")
 	}
-	ctx, end := h.guard(ctx, w, ids.Decode, "")
+	ctx, end := h.guardStep(ctx, w, ids.Decode, "")
 	return end(
 		h.node.workerClient.Stream(ctx, l.Addr, id, from, h.node.options.StreamTimeout, func(p workerclient.TokenEvent) error {
-			if _, err := h.node.allows(h.regime, w, ids.Decode); err != nil {
+			if _, err := h.node.stepClearance(h.regime, w, ids.Decode); err != nil {
 				return failure.As(err, failure.DataLost, "stream", string(w))
 			}
 			return put(p)
@@ -250,13 +250,13 @@
 
 // PickedUnderStaleVersion: what was picked may be outdated by now.
 func (h *transport) PickedUnderStaleVersion() bool {
-	return !h.node.current() || h.node.view.Current().Version != h.picked
+	return !h.node.versionCurrent() || h.node.view.Current().Version != h.pickedVersion
 }
 
 // faultCount is how often hand-overs were lost at a worker of late.
 type faultCount struct {
-	count int
-	at    ids.Tick
+	count  int
+	lastAt ids.Tick
 }
 
 const faultTTL = 3 * time.Second
@@ -267,7 +267,7 @@
 	n := h.node
 	now := n.now()
 	b := faultCount{1, now}
-	if v, ok := n.faults.Load(w); ok && !now.Past(v.(faultCount).at, faultTTL) {
+	if v, ok := n.faults.Load(w); ok && !now.Past(v.(faultCount).lastAt, faultTTL) {
 		b.count += v.(faultCount).count
 	}
 	n.faults.Store(w, b)
@@ -276,5 +276,5 @@
 // recentlyFaulted workers are picked last for a while.
 func (n *Node) recentlyFaulted(w ids.WorkerID) bool {
 	v, ok := n.faults.Load(w)
-	return ok && v.(faultCount).count >= 2 && !n.now().Past(v.(faultCount).at, faultTTL)
+	return ok && v.(faultCount).count >= 2 && !n.now().Past(v.(faultCount).lastAt, faultTTL)
 }
--- a/internal/router/unresolved_claims.go
+++ b/internal/router/unresolved_claims.go
@@ -35,7 +35,7 @@
 	d.claims = append(d.claims, one)
 }
 
-func (d *unresolvedClaims) all() []unresolvedClaim {
+func (d *unresolvedClaims) takeAll() []unresolvedClaim {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := d.claims
@@ -43,22 +43,22 @@
 	return out
 }
 
-func (n *Node) resolveLoop(ctx context.Context) {
+func (n *Node) unresolvedClaimsLoop(ctx context.Context) {
 	for host.Sleep(ctx, 250*time.Millisecond) {
-		for _, d := range n.unresolved.all() {
-			if !n.resolveClaim(ctx, d) {
+		for _, d := range n.unresolved.takeAll() {
+			if !n.retryUnresolved(ctx, d) {
 				n.unresolved.add(d)
 			}
 		}
 	}
 }
 
-// resolveClaim tells whether nothing more is owed.
-func (n *Node) resolveClaim(ctx context.Context, d unresolvedClaim) bool {
+// retryUnresolved tells whether nothing more is owed.
+func (n *Node) retryUnresolved(ctx context.Context, d unresolvedClaim) bool {
 	if d.audit != nil {
 		callContext, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 		defer stop()
-		err := n.audit(callContext, d.op, d.audit)
+		err := n.appendAudit(callContext, d.op, d.audit)
 		return err == nil || failure.Is(err, failure.InvalidArgument)
 	}
 	if d.resolve == nil {
@@ -75,6 +75,6 @@
 		// It was claimed for nothing: nothing ran, and now nothing can.
 		d.resolve = &fleetstate.Resolve{Key: d.claim.Key, Owner: n.self.Node, Outcome: fleetstate.NotRun}
 	}
-	err := n.resolve(d.resolve)
+	err := n.submitOutcome(d.resolve)
 	return err == nil || failure.Is(err, failure.Stale)
 }
