--- a/cmd/keelstair-plan/main.go
+++ b/cmd/keelstair-plan/main.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := forecast.Foresee(&st, now, c)
+	f, err := forecast.Compute(&st, now, c)
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 				"time", "%q is no time such as 2026-12-31T00:00:00Z", s.Expire.Name,
 			)
 		}
-		return forecast.Change{At: at.UnixNano()}, nil
+		return forecast.Change{FleetTime: at.UnixNano()}, nil
 	}
 	if s.Policy.Base != nil && *s.Policy.Base != sh.Newest {
 		return forecast.Change{}, fmt.Errorf(
@@ -133,21 +133,21 @@
 		return forecast.Change{}, err
 	}
 	_, err = p.CompileSet(&routing.Scores{})
-	return forecast.Change{Policy: p}, err
+	return forecast.Change{Configuration: p}, err
 }
 
 func tell(f *forecast.Forecast) {
 	fmt.Printf("over version %d\n\nworkers\n", f.Version)
-	for _, w := range f.Workers {
+	for _, w := range f.WorkerChanges {
 		fmt.Println("  " + w)
 	}
-	if len(f.Workers) == 0 {
+	if len(f.WorkerChanges) == 0 {
 		fmt.Println("  the catalogue stays")
 	}
-	fmt.Printf("\nnodes %d -> %d, disk machines %d -> %d\n", f.Nodes[0], f.Nodes[1], f.Disks[0], f.Disks[1])
-	fmt.Printf("\nkeys that change hands: %d\n", len(f.Keys))
+	fmt.Printf("\nnodes %d -> %d, disk machines %d -> %d\n", f.Nodes[0], f.Nodes[1], f.Voters[0], f.Voters[1])
+	fmt.Printf("\nkeys that change hands: %d\n", len(f.KeyMoves))
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	for _, m := range f.Keys {
+	for _, m := range f.KeyMoves {
 		fmt.Fprintf(out, "  %s\t%s\t-> %s\n", m.Key, m.From, m.To)
 	}
 	fmt.Fprintf(out, "\nroom\tworkers\tblocks\ttaken now\tzones\n")
@@ -167,7 +167,7 @@
 		)
 	}
 	fmt.Fprintf(out, "\nshares\n")
-	for n, p := range f.Shares {
+	for n, p := range f.TrafficShares {
 		fmt.Fprintf(out, "  %s\t%d -> %d\n", n, p[0], p[1])
 	}
 	out.Flush()
--- a/cmd/keelstair-router/main.go
+++ b/cmd/keelstair-router/main.go
@@ -77,7 +77,7 @@
 	if s.Trace != "" {
 		file, err := os.OpenFile(s.Trace, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		cli.Fail("keelstair-router", err)
-		opt.Trace = tracing.New(file, s.Name, host.Clock).Tell
+		opt.Trace = tracing.New(file, s.Name, host.Clock).Record
 	}
 	node := router.New(opt)
 	ctx, stop := cli.Signals()
--- a/cmd/keelstair-testbed/soak.go
+++ b/cmd/keelstair-testbed/soak.go
@@ -203,7 +203,7 @@
 	for _, o := range outcomes {
 		for key := o.Key; strings.HasSuffix(key, notRunSuffix); {
 			key = strings.TrimSuffix(key, notRunSuffix)
-			if n := books[router.Request(key)].Runs; n > 0 {
+			if n := books[router.RequestIDForKey(key)].Runs; n > 0 {
 				faults = append(faults, fmt.Errorf("%s was told not run, and ran %d times", key, n))
 			}
 		}
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -103,7 +103,7 @@
 	}
 	serial, _ := n.clearance(h.regime, certification.Subject{Worker: d.Worker}, ids.Decode)
 	h.auditSteps = []fleetstate.AuditStep{{What: "settled", Worker: string(d.Worker), Serial: serial, At: n.fleetTime().High}}
-	return h.auditRecord(Request(d.Key), d.Key, fate)
+	return h.auditRecord(RequestIDForKey(d.Key), d.Key, fate)
 }
 
 // Audits reads the core's chain.
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -31,7 +31,7 @@
 	out api.Sink,
 ) error {
 	key := ask.Kind + "/" + ask.Key
-	t.Identity.ID.Request = Request(key)
+	t.Identity.ID.Request = RequestIDForKey(key)
 	c, h, score := n.newController(s, t)
 	start, deaf, fresh := n.now(), false, false
 	var known error
@@ -209,8 +209,8 @@
 	return err
 }
 
-// Request is the request id that a key always has.
-func Request(key string) string { return "k-" + coordination.ShortHash(key) }
+// RequestIDForKey is the request id that a key always has.
+func RequestIDForKey(key string) string { return "k-" + coordination.ShortHash(key) }
 
 func (n *Node) submitOutcome(s *fleetstate.Resolve) error {
 	callContext, stop := context.WithTimeout(context.Background(), 4*time.Second)
--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -16,17 +16,17 @@
 
 // Change is what may be done; one of its fields is set.
 type Change struct {
-	Policy   *fleetstate.Configuration // a whole new configuration
-	Evacuate ids.Zone
-	LoseZone ids.Zone
-	LoseAddr string // a machine, by any of its addresses
-	Drain    ids.WorkerID
-	Revoke   string // a certificate's serial
-	At       int64  // the fleet's time moves on to this, in nanoseconds since 1970
+	Configuration *fleetstate.Configuration // a whole new configuration
+	Evacuate      ids.Zone
+	LoseZone      ids.Zone
+	LoseAddr      string // a machine, by any of its addresses
+	Drain         ids.WorkerID
+	Revoke        string // a certificate's serial
+	FleetTime     int64  // the fleet's time moves on to this, in nanoseconds since 1970
 }
 
-// Move is a key that would change hands.
-type Move struct {
+// KeyMove is a key that would change hands.
+type KeyMove struct {
 	Key  ids.Key    `json:"key"`
 	From ids.NodeID `json:"from"`
 	To   ids.NodeID `json:"to"`
@@ -44,36 +44,36 @@
 
 // Forecast is what would come of it; pairs are before and after.
 type Forecast struct {
-	Version  ids.Version       `json:"version"`
-	Workers  []string          `json:"workers"`
-	Keys     []Move            `json:"keys"`
-	Capacity []PoolCapacity    `json:"rooms"`
-	Shares   map[string][2]int `json:"shares"`
-	Nodes    [2]int            `json:"nodes"`
-	Disks    [2]int            `json:"disks"`
-	Warnings []string          `json:"warnings"`
+	Version       ids.Version       `json:"version"`
+	WorkerChanges []string          `json:"workers"`
+	KeyMoves      []KeyMove         `json:"keys"`
+	Capacity      []PoolCapacity    `json:"rooms"`
+	TrafficShares map[string][2]int `json:"shares"`
+	Nodes         [2]int            `json:"nodes"`
+	Voters        [2]int            `json:"disks"`
+	Warnings      []string          `json:"warnings"`
 }
 
 func (f *Forecast) warn(form string, args ...any) {
 	f.Warnings = append(f.Warnings, fmt.Sprintf(form, args...))
 }
 
-// Foresee holds a change against the live state.
-func Foresee(st *router.NodeStatus, now *fleetstate.Configuration, c Change) (*Forecast, error) {
+// Compute holds a change against the live state.
+func Compute(st *router.NodeStatus, now *fleetstate.Configuration, c Change) (*Forecast, error) {
 	if err := validate(st, now, c); err != nil {
 		return nil, err
 	}
 	f := &Forecast{
-		Version:  st.Version,
-		Workers:  []string{},
-		Keys:     []Move{},
-		Capacity: []PoolCapacity{},
-		Shares:   map[string][2]int{},
-		Warnings: []string{},
+		Version:       st.Version,
+		WorkerChanges: []string{},
+		KeyMoves:      []KeyMove{},
+		Capacity:      []PoolCapacity{},
+		TrafficShares: map[string][2]int{},
+		Warnings:      []string{},
 	}
 	next := now
-	if c.Policy != nil {
-		next = c.Policy
+	if c.Configuration != nil {
+		next = c.Configuration
 	}
 	f.compareWorkers(now, next)
 	f.compareShares(now, next)
@@ -138,16 +138,16 @@
 		y, is := b.Workers[id]
 		switch {
 		case !was:
-			f.Workers = append(
-				f.Workers,
+			f.WorkerChanges = append(
+				f.WorkerChanges,
 				fmt.Sprintf("+ %s: %s of %s %s in %s, %d blocks", id, y.Role, y.Model, y.Weights, y.Zone, y.Capacity),
 			)
 		case !is:
-			f.Workers = append(
-				f.Workers, fmt.Sprintf("- %s: %s of %s %s in %s", id, x.Role, x.Model, x.Weights, x.Zone),
+			f.WorkerChanges = append(
+				f.WorkerChanges, fmt.Sprintf("- %s: %s of %s %s in %s", id, x.Role, x.Model, x.Weights, x.Zone),
 			)
 		case fmt.Sprint(x) != fmt.Sprint(y):
-			f.Workers = append(f.Workers, fmt.Sprintf("~ %s: %v -> %v", id, x, y))
+			f.WorkerChanges = append(f.WorkerChanges, fmt.Sprintf("~ %s: %v -> %v", id, x, y))
 		}
 	}
 }
@@ -156,9 +156,9 @@
 	for i, p := range []*fleetstate.Configuration{a, b} {
 		plain := 100
 		put := func(name string, n int) {
-			pair := f.Shares[name]
+			pair := f.TrafficShares[name]
 			pair[i] = n
-			f.Shares[name] = pair
+			f.TrafficShares[name] = pair
 		}
 		for name, g := range p.Programs {
 			if !g.Shadow {
@@ -199,7 +199,7 @@
 	sort.Slice(keys, func(i, j int) bool { return keys[i] < keys[j] })
 	for _, k := range keys {
 		if from, to := coordination.Owner(k, was), coordination.Owner(k, is); from != to {
-			f.Keys = append(f.Keys, Move{k, from, to})
+			f.KeyMoves = append(f.KeyMoves, KeyMove{k, from, to})
 		}
 	}
 }
@@ -272,22 +272,22 @@
 
 // idempotency records warns early of a store that fills up.
 func (f *Forecast) checkRecords(st *router.NodeStatus, next *fleetstate.Configuration) {
-	if n, limit := st.Deeds[0], next.Limits.MaxRecords; limit > 0 && n*10 >= limit*8 {
+	if n, limit := st.Records[0], next.Limits.MaxRecords; limit > 0 && n*10 >= limit*8 {
 		f.warn("%d of %d deeds are taken; at the last one new keys are bounced: raise limits.deeds", n, limit)
 	}
 }
 
 func (f *Forecast) checkCore(st *router.NodeStatus, c Change) {
-	f.Disks[0] = len(st.Core.Voters)
+	f.Voters[0] = len(st.Core.Voters)
 	for _, s := range st.Core.Voters {
 		if !c.removes(s.Zone, s.Addr) {
-			f.Disks[1]++
+			f.Voters[1]++
 		}
 	}
 	switch {
-	case f.Disks[1]*2 <= f.Disks[0]:
-		f.warn("the core could not decide: %d of %d disk machines would be left", f.Disks[1], f.Disks[0])
-	case f.Disks[1] < f.Disks[0]:
+	case f.Voters[1]*2 <= f.Voters[0]:
+		f.warn("the core could not decide: %d of %d disk machines would be left", f.Voters[1], f.Voters[0])
+	case f.Voters[1] < f.Voters[0]:
 		f.warn("the core would bear no further loss until a spare disk machine joins")
 	}
 }
--- a/internal/router/forecast/forecast_test.go
+++ b/internal/router/forecast/forecast_test.go
@@ -47,11 +47,11 @@
 // three disk machines and leaves too little room; all of it is warned of.
 func TestForecastWarnings(t *testing.T) {
 	st, p := fixture()
-	f, err := Foresee(st, p, Change{LoseZone: "b"})
+	f, err := Compute(st, p, Change{LoseZone: "b"})
 	require.NoError(t, err)
 	require.Equal(t, [2]int{3, 1}, f.Nodes)
-	require.Equal(t, [2]int{3, 1}, f.Disks)
-	for _, m := range f.Keys {
+	require.Equal(t, [2]int{3, 1}, f.Voters)
+	for _, m := range f.KeyMoves {
 		require.Equal(t, ids.NodeID("n1"), m.To)
 		require.Equal(t, coordination.Owner(m.Key, []ids.NodeID{"n1", "n2", "n3"}), m.From)
 	}
@@ -59,19 +59,19 @@
 	require.Equal(t, [2]int{300, 100}, f.Capacity[0].Blocks)
 	require.Contains(t, f.Warnings, "the core could not decide: 1 of 3 disk machines would be left")
 	require.Contains(t, f.Warnings, "decode of m would have 100 blocks, 180 are taken now")
-	f, err = Foresee(st, p, Change{Evacuate: "a"})
+	f, err = Compute(st, p, Change{Evacuate: "a"})
 	require.NoError(t, err)
-	require.Empty(t, f.Keys, "an evacuation moves no duty")
+	require.Empty(t, f.KeyMoves, "an evacuation moves no duty")
 	require.Contains(t, f.Warnings, "prefill of m would be over four fifths full: 180 of 200 blocks")
-	f, err = Foresee(st, p, Change{LoseAddr: "10.0.1.1:1"})
+	f, err = Compute(st, p, Change{LoseAddr: "10.0.1.1:1"})
 	require.NoError(t, err)
-	require.Equal(t, [2]int{3, 2}, f.Disks)
+	require.Equal(t, [2]int{3, 2}, f.Voters)
 	require.Len(t, f.Warnings, 1)
 	next := *p
 	next.Workers = map[ids.WorkerID]fleetstate.Worker{"p1": p.Workers["p1"]}
-	f, err = Foresee(st, p, Change{Policy: &next})
+	f, err = Compute(st, p, Change{Configuration: &next})
 	require.NoError(t, err)
-	require.Len(t, f.Workers, 5)
+	require.Len(t, f.WorkerChanges, 5)
 	require.Contains(t, f.Warnings, "no worker would be left for decode of m")
 }
 
@@ -79,7 +79,7 @@
 func TestUnknownNamesRejected(t *testing.T) {
 	st, p := fixture()
 	for _, c := range []Change{{Evacuate: "moon"}, {LoseZone: "moon"}, {Drain: "x9"}, {LoseAddr: "10.9.9.9:1"}} {
-		_, err := Foresee(st, p, c)
+		_, err := Compute(st, p, c)
 		require.Error(t, err)
 	}
 }
--- a/internal/router/forecast/regimes.go
+++ b/internal/router/forecast/regimes.go
@@ -53,9 +53,9 @@
 	before = before.WithRevoked(maps.Clone(revoked))
 	revoked[c.Revoke] = true
 	after = after.WithRevoked(revoked)
-	then := st.Time
-	if c.At > 0 {
-		then = certification.Now{Low: max(c.At, then.Low), High: max(c.At, then.High)}
+	then := st.FleetTime
+	if c.FleetTime > 0 {
+		then = certification.Now{Low: max(c.FleetTime, then.Low), High: max(c.FleetTime, then.High)}
 	}
 	late := certification.Now{Low: then.Low + int64(expiryHorizon), High: then.High + int64(expiryHorizon)}
 	was, is := unavailableSubjects(st, now, Change{}), unavailableSubjects(st, next, c)
@@ -68,7 +68,7 @@
 			f.warn("regime %s would have no certified %s: its work would be bounced", g, what)
 		}
 		for _, what := range after.Shortage(g, 2, then, there(is)) {
-			if !slices.Contains(short, what) && !slices.Contains(before.Shortage(g, 2, st.Time, there(was)), what) {
+			if !slices.Contains(short, what) && !slices.Contains(before.Shortage(g, 2, st.FleetTime, there(was)), what) {
 				f.warn("regime %s would have one left of its certified %s", g, what)
 			}
 		}
--- a/internal/router/forecast/regimes_test.go
+++ b/internal/router/forecast/regimes_test.go
@@ -39,9 +39,9 @@
 	put("d3", certification.Certificate{Worker: "d3", Roles: []ids.Role{ids.Decode}}, 30)
 	put("n1", certification.Certificate{Node: "n1"}, 50)
 	put("n2", certification.Certificate{Node: "n2"}, 50)
-	st.Time = certification.At(now)
+	st.FleetTime = certification.At(now)
 	warned := func(c Change) (out []string) {
-		f, err := Foresee(st, p, c)
+		f, err := Compute(st, p, c)
 		require.NoError(t, err)
 		for _, w := range f.Warnings {
 			if len(w) > 6 && w[:6] == "regime" {
@@ -57,10 +57,10 @@
 	require.Equal(t, []string{"regime chair would have one left of its certified router nodes"}, warned(Change{LoseAddr: "10.0.0.1:1"}))
 	require.Contains(t, warned(Change{Evacuate: "b"}), "regime chair would have no certified decode workers: its work would be bounced")
 	require.Contains(t, warned(Change{LoseZone: "b"}), "regime chair would have one left of its certified router nodes")
-	require.Contains(t, warned(Change{At: now.AddDate(0, 0, 60).UnixNano()}), "regime chair would have no certified prefill workers: its work would be bounced")
-	require.True(t, slices.Contains(warned(Change{At: now.AddDate(0, 0, 45).UnixNano()}), "regime chair would have no certified prefill workers within 7 days, as certificates end"))
+	require.Contains(t, warned(Change{FleetTime: now.AddDate(0, 0, 60).UnixNano()}), "regime chair would have no certified prefill workers: its work would be bounced")
+	require.True(t, slices.Contains(warned(Change{FleetTime: now.AddDate(0, 0, 45).UnixNano()}), "regime chair would have no certified prefill workers within 7 days, as certificates end"))
 	st.Revoked = []string{"d2"}
 	require.Equal(t, []string{"regime chair would have no certified decode workers: its work would be bounced"}, warned(Change{Drain: "d3"}))
-	_, err = Foresee(st, p, Change{Revoke: "nobody"})
+	_, err = Compute(st, p, Change{Revoke: "nobody"})
 	require.ErrorContains(t, err, "no such certificate")
 }
--- a/internal/router/govern.go
+++ b/internal/router/govern.go
@@ -46,7 +46,7 @@
 		return true
 	}
 	keep := s.Register.RetentionOf(st.ID, st.Role, n.fleetTime())
-	return st.Free-need >= st.Capacity*keep/100 && (keep == 0 || st.Busy < handoff.Beside(st.MaxConcurrent, keep))
+	return st.Free-need >= st.Capacity*keep/100 && (keep == 0 || st.InFlight < handoff.Beside(st.MaxConcurrent, keep))
 }
 
 // orderClearance is the holder's: an order for governed work is given only while the register
@@ -105,10 +105,10 @@
 	}
 }
 
-// Clears is the register's answer at this node now, for those who look on.
-func (n *Node) Clears(regime string, s certification.Subject, part ids.Role) (string, error) {
+// Clearance is the register's answer at this node now, for those who look on.
+func (n *Node) Clearance(regime string, s certification.Subject, part ids.Role) (string, error) {
 	return n.clearance(regime, s, part)
 }
 
-// Passed counts the requests that this node had another one serve.
-func (n *Node) Passed() int64 { return n.counts.Forwarded.Load() }
+// Forwarded counts the requests that this node had another one serve.
+func (n *Node) Forwarded() int64 { return n.counts.Forwarded.Load() }
--- a/internal/router/holder.go
+++ b/internal/router/holder.go
@@ -194,7 +194,7 @@
 	case verbRoleChange:
 		return n.handleRoleChange(ctx, duty, l.Addr, lead, ids.Role(request.Body))
 	case verbDone:
-		led.Ended(id, request.Need > 0, n.now())
+		led.Ended(id, request.Blocks > 0, n.now())
 		return nil, nil
 	default:
 		return nil, failure.New(failure.InvalidArgument, "read order", n.self.Addr, "no verb %q", request.Verb)
@@ -267,7 +267,7 @@
 	if request.Regime == "" {
 		keep = s.Register.RetentionOf(request.Worker, memory.Role(), n.fleetTime())
 	}
-	return memory.ReserveBeside(id, request.Need, keep, n.now())
+	return memory.ReserveBeside(id, request.Blocks, keep, n.now())
 }
 
 // sendOrder sends an order to the worker's holder, wherever that is now. While the
--- a/internal/router/messages.go
+++ b/internal/router/messages.go
@@ -34,7 +34,7 @@
 	Version ids.Version
 	Request string
 	Attempt int
-	Need    int `msg:"Need"`
+	Blocks  int `msg:"Need"`
 	Source  ids.WorkerID
 	Body    []byte
 	Regime  string   `msg:"Regime,omitempty"`
@@ -47,8 +47,8 @@
 	Body    []byte
 }
 
-// RetrySpent answers an asking for a token of the retry budget.
-type RetrySpent struct {
+// RetryTokenResponse answers an asking for a token of the retry budget.
+type RetryTokenResponse struct {
 	OK bool `msg:"Ok"`
 }
 
@@ -71,8 +71,8 @@
 	Ready         bool
 	Free          int
 	Capacity      int `msg:"Room" json:"Room"`
-	Busy          int `msg:"Busy" json:"Busy"`
-	Work          int `msg:"Work" json:"Work"`
+	InFlight      int `msg:"Busy" json:"Busy"`
+	Started       int `msg:"Work" json:"Work"`
 	Used          int
 	MaxConcurrent int `msg:"Cap" json:"Cap"`
 	Block         int
--- a/internal/router/messages_gen.go
+++ b/internal/router/messages_gen.go
@@ -187,7 +187,7 @@
 		o = msgp.AppendInt(o, z.Attempt)
 		// string "Need"
 		o = append(o, 0xa4, 0x4e, 0x65, 0x65, 0x64)
-		o = msgp.AppendInt(o, z.Need)
+		o = msgp.AppendInt(o, z.Blocks)
 		// string "Source"
 		o = append(o, 0xa6, 0x53, 0x6f, 0x75, 0x72, 0x63, 0x65)
 		o = msgp.AppendString(o, string(z.Source))
@@ -265,9 +265,9 @@
 				return
 			}
 		case "Need":
-			z.Need, bts, err = msgp.ReadIntBytes(bts)
+			z.Blocks, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Need")
+				err = msgp.WrapError(err, "Blocks")
 				return
 			}
 		case "Source":
@@ -386,7 +386,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z RetrySpent) MarshalMsg(b []byte) (o []byte, err error) {
+func (z RetryTokenResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "Ok"
@@ -396,7 +396,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *RetrySpent) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *RetryTokenResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -432,7 +432,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z RetrySpent) Msgsize() (s int) {
+func (z RetryTokenResponse) Msgsize() (s int) {
 	s = 1 + 3 + msgp.BoolSize
 	return
 }
@@ -461,10 +461,10 @@
 	o = msgp.AppendInt(o, z.Capacity)
 	// string "Busy"
 	o = append(o, 0xa4, 0x42, 0x75, 0x73, 0x79)
-	o = msgp.AppendInt(o, z.Busy)
+	o = msgp.AppendInt(o, z.InFlight)
 	// string "Work"
 	o = append(o, 0xa4, 0x57, 0x6f, 0x72, 0x6b)
-	o = msgp.AppendInt(o, z.Work)
+	o = msgp.AppendInt(o, z.Started)
 	// string "Used"
 	o = append(o, 0xa4, 0x55, 0x73, 0x65, 0x64)
 	o = msgp.AppendInt(o, z.Used)
@@ -547,15 +547,15 @@
 				return
 			}
 		case "Busy":
-			z.Busy, bts, err = msgp.ReadIntBytes(bts)
+			z.InFlight, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Busy")
+				err = msgp.WrapError(err, "InFlight")
 				return
 			}
 		case "Work":
-			z.Work, bts, err = msgp.ReadIntBytes(bts)
+			z.Started, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Work")
+				err = msgp.WrapError(err, "Started")
 				return
 			}
 		case "Used":
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -137,8 +137,8 @@
 
 func (n *Node) now() ids.Tick { return n.options.Host.Clock.Now() }
 
-// Me is how the core knows this node.
-func (n *Node) Me() coordination.Member { return n.self }
+// Self is how the core knows this node.
+func (n *Node) Self() coordination.Member { return n.self }
 
 // View shows what the node knows of the state.
 func (n *Node) View() *fleetstate.View { return n.view }
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -201,25 +201,25 @@
 
 // NodeStatus is the answer of status.
 type NodeStatus struct {
-	Node      ids.NodeID                `json:"node"`
-	Zone      ids.Zone                  `json:"zone"`
-	Ready     bool                      `json:"ready"`
-	Why       string                    `json:"why,omitempty"`
-	Version   ids.Version               `json:"version"`
-	Seq       ids.Seq                   `json:"seq"`
-	Core      coordination.Record       `json:"core"`
-	Members   []coordination.Member     `json:"members"`
-	Holds     []ids.Key                 `json:"holds"`
-	Workers   []WorkerStatus            `json:"workers"`
-	Counts    map[string]int64          `json:"counts"`
-	Programs  map[string]map[string]any `json:"programs"`
-	Last      []handoff.Event           `json:"last"`
-	Listed    map[ids.WorkerID]ids.Zone `json:"listed"`
-	Evacuated []string                  `json:"evacuated"`
-	Drained   []string                  `json:"drained"`
-	Deeds     [2]int                    `json:"deeds"` // claimed so far, and how many may ever be
-	Time      certification.Now         `json:"time"`  // what the fleet's time may be; zeros without regimes
-	Revoked   []string                  `json:"revoked,omitempty"`
+	Node          ids.NodeID                `json:"node"`
+	Zone          ids.Zone                  `json:"zone"`
+	Ready         bool                      `json:"ready"`
+	Reason        string                    `json:"why,omitempty"`
+	Version       ids.Version               `json:"version"`
+	Seq           ids.Seq                   `json:"seq"`
+	Core          coordination.Record       `json:"core"`
+	Members       []coordination.Member     `json:"members"`
+	OwnedKeys     []ids.Key                 `json:"holds"`
+	Workers       []WorkerStatus            `json:"workers"`
+	Counts        map[string]int64          `json:"counts"`
+	Programs      map[string]map[string]any `json:"programs"`
+	RecentEvents  []handoff.Event           `json:"last"`
+	ListedWorkers map[ids.WorkerID]ids.Zone `json:"listed"`
+	Evacuated     []string                  `json:"evacuated"`
+	Drained       []string                  `json:"drained"`
+	Records       [2]int                    `json:"deeds"` // claimed so far, and how many may ever be
+	FleetTime     certification.Now         `json:"time"`  // what the fleet's time may be; zeros without regimes
+	Revoked       []string                  `json:"revoked,omitempty"`
 }
 
 // Status tells how the node stands.
@@ -227,31 +227,31 @@
 	ok, reason := n.Ready()
 	sh := n.Show()
 	st := &NodeStatus{
-		Node:      n.self.Node,
-		Zone:      n.self.Zone,
-		Ready:     ok,
-		Why:       reason,
-		Version:   n.view.Current().Version,
-		Seq:       n.agent.Seq(),
-		Core:      n.agent.Directory().Record(),
-		Members:   n.agent.Members(),
-		Programs:  map[string]map[string]any{},
-		Listed:    map[ids.WorkerID]ids.Zone{},
-		Evacuated: sh.Zones,
-		Drained:   sh.Drained,
-		Workers:   []WorkerStatus{},
-		Holds:     []ids.Key{},
+		Node:          n.self.Node,
+		Zone:          n.self.Zone,
+		Ready:         ok,
+		Reason:        reason,
+		Version:       n.view.Current().Version,
+		Seq:           n.agent.Seq(),
+		Core:          n.agent.Directory().Record(),
+		Members:       n.agent.Members(),
+		Programs:      map[string]map[string]any{},
+		ListedWorkers: map[ids.WorkerID]ids.Zone{},
+		Evacuated:     sh.Zones,
+		Drained:       sh.Drained,
+		Workers:       []WorkerStatus{},
+		OwnedKeys:     []ids.Key{},
 	}
 	for _, g := range n.agent.OwnedKeys() {
-		st.Holds = append(st.Holds, g.Key)
+		st.OwnedKeys = append(st.OwnedKeys, g.Key)
 	}
-	sort.Slice(st.Holds, func(i, j int) bool { return st.Holds[i] < st.Holds[j] })
+	sort.Slice(st.OwnedKeys, func(i, j int) bool { return st.OwnedKeys[i] < st.OwnedKeys[j] })
 	for _, s := range *n.workerStatuses.Load() {
 		st.Workers = append(st.Workers, s)
 	}
 	sort.Slice(st.Workers, func(i, j int) bool { return st.Workers[i].ID < st.Workers[j].ID })
 	for id, l := range *n.endpoints.Load() {
-		st.Listed[id] = l.Zone
+		st.ListedWorkers[id] = l.Zone
 	}
 	st.Counts = n.countsByName()
 	n.scores.Each(func(name string, s *routing.Score) {
@@ -268,9 +268,9 @@
 			"firstP99Ms":  float64(s.Quantile(0.99)) / 1e6,
 		}
 	})
-	st.Last, _ = n.journal.Last(8)
-	st.Deeds[0], st.Deeds[1] = n.view.RecordCount()
-	st.Time, st.Revoked = n.fleetTime(), slices.Sorted(maps.Keys(n.view.Current().Revoked))
+	st.RecentEvents, _ = n.journal.Last(8)
+	st.Records[0], st.Records[1] = n.view.RecordCount()
+	st.FleetTime, st.Revoked = n.fleetTime(), slices.Sorted(maps.Keys(n.view.Current().Revoked))
 	return st
 }
 
--- a/internal/router/resolve.go
+++ b/internal/router/resolve.go
@@ -67,7 +67,7 @@
 	}
 	h := &transport{node: n, snapshot: n.view.Current()}
 	for range 4 {
-		a, err := h.Cancel(ctx, d.Worker, workerclient.ID{Request: Request(d.Key), Attempt: 1 << 20})
+		a, err := h.Cancel(ctx, d.Worker, workerclient.ID{Request: RequestIDForKey(d.Key), Attempt: 1 << 20})
 		switch {
 		case err != nil:
 			if !host.Sleep(ctx, 500*time.Millisecond) {
@@ -109,10 +109,10 @@
 	tokens     float64
 }
 
-func (n *Node) handleSpendRetry(_ context.Context, _ *coordination.Empty) (*RetrySpent, error) {
+func (n *Node) handleSpendRetry(_ context.Context, _ *coordination.Empty) (*RetryTokenResponse, error) {
 	fence, end, ok := n.agent.BeginOperation(fleetstate.RetryBudgetKey)
 	if !ok {
-		return &RetrySpent{}, nil
+		return &RetryTokenResponse{}, nil
 	}
 	defer end()
 	lim := n.view.Current().Configuration.Limits
@@ -126,8 +126,8 @@
 	p.tokens = min(float64(lim.RetryBurst), p.tokens+lim.RetryRate*now.Since(p.refilledAt).Seconds())
 	p.refilledAt = now
 	if p.tokens < 1 {
-		return &RetrySpent{}, nil
+		return &RetryTokenResponse{}, nil
 	}
 	p.tokens--
-	return &RetrySpent{OK: true}, nil
+	return &RetryTokenResponse{OK: true}, nil
 }
--- a/internal/router/role_balance.go
+++ b/internal/router/role_balance.go
@@ -96,8 +96,8 @@
 				Zone:          w.Zone,
 				Role:          part,
 				HomeRole:      w.Role,
-				Busy:          st.Busy,
-				Work:          st.Work,
+				Busy:          st.InFlight,
+				Work:          st.Started,
 				MaxConcurrent: st.MaxConcurrent,
 				Free:          st.Free,
 				Capacity:      st.Capacity,
@@ -131,7 +131,7 @@
 func rolePressure(list []WorkerStatus) float64 {
 	var work, limit, used, room float64
 	for _, st := range list {
-		work, limit = work+float64(st.Work), limit+float64(st.MaxConcurrent)
+		work, limit = work+float64(st.Started), limit+float64(st.MaxConcurrent)
 		used, room = used+float64(st.Used), room+float64(st.Capacity)
 	}
 	return max(work/max(limit, 1), used/max(room, 1))
--- a/internal/router/role_balance_test.go
+++ b/internal/router/role_balance_test.go
@@ -43,8 +43,8 @@
 			Ready:         true,
 			Free:          90,
 			Capacity:      100,
-			Busy:          busy,
-			Work:          busy,
+			InFlight:      busy,
+			Started:       busy,
 			MaxConcurrent: 16,
 		}
 		endpoints[id] = workerclient.ListedWorker{ID: id}
@@ -82,7 +82,7 @@
 		n, s = newRoleBalanceFixture(4, 4, 14, 0)
 		for id, st := range *n.workerStatuses.Load() {
 			if st.Role == ids.Decode {
-				st.Busy = 14
+				st.InFlight = 14
 				(*n.workerStatuses.Load())[id] = st
 			}
 		}
@@ -97,7 +97,7 @@
 		require.Equal(t, ids.Decode, runRoleBalancer(n, s, 30*time.Second)[0])
 		s.Configuration.RoleChanges = false
 		for id, st := range *n.workerStatuses.Load() {
-			st.Busy = 0
+			st.InFlight = 0
 			(*n.workerStatuses.Load())[id] = st
 		}
 		for _, to := range runRoleBalancer(n, s, 60*time.Second) {
--- a/internal/router/tracing/tracing.go
+++ b/internal/router/tracing/tracing.go
@@ -36,8 +36,8 @@
 	return &Writer{out: out, node: node, clock: clock, pending: map[workerclient.ID][]handoff.Event{}}
 }
 
-// Tell takes one event of the journal.
-func (w *Writer) Tell(e handoff.Event) {
+// Record takes one event of the journal.
+func (w *Writer) Record(e handoff.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	rows := append(w.pending[e.ID], e)
--- a/internal/router/tracing/tracing_test.go
+++ b/internal/router/tracing/tracing_test.go
@@ -26,7 +26,7 @@
 		handoff.Granted, handoff.Prefilled, handoff.Exported, handoff.Imported, handoff.Dropped,
 	} {
 		require.Zero(t, out.Len())
-		w.Tell(handoff.Event{
+		w.Record(handoff.Event{
 			ID:     id,
 			Step:   s,
 			Worker: "d1",
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -79,7 +79,7 @@
 		}
 		need := ids.Blocks(request.Need, st.Block)
 		if !ok || st.Role != request.Role || !st.Ready || !n.acceptsWork(s, id) || !cleared(st) ||
-			regime == "" && !n.fitsBesideReserve(s, st, need) || !m.Offers(want) || st.Busy >= st.MaxConcurrent ||
+			regime == "" && !n.fitsBesideReserve(s, st, need) || !m.Offers(want) || st.InFlight >= st.MaxConcurrent ||
 			!both[w.Weights][ids.Prefill] || !both[w.Weights][ids.Decode] || st.Free < need {
 			continue
 		}
@@ -91,7 +91,7 @@
 			Adapters:      w.Adapters,
 			Free:          st.Free,
 			Capacity:      st.Capacity,
-			Busy:          st.Busy,
+			Busy:          st.InFlight,
 			MaxConcurrent: st.MaxConcurrent,
 			Affinity:      routing.Affinity(h.prefix, id),
 		}
@@ -150,7 +150,7 @@
 }
 
 func (h *transport) Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error {
-	_, err := h.issueOrder(ctx, verbReserve, w, id, OrderRequest{Need: blocks, Role: h.pickedRole}, nil, 400*time.Millisecond)
+	_, err := h.issueOrder(ctx, verbReserve, w, id, OrderRequest{Blocks: blocks, Role: h.pickedRole}, nil, 400*time.Millisecond)
 	return err
 }
 
@@ -200,7 +200,7 @@
 func (h *transport) Done(w ids.WorkerID, id workerclient.ID, sure bool) {
 	request := OrderRequest{}
 	if sure {
-		request.Need = 1
+		request.Blocks = 1
 	}
 	go h.issueOrder(context.Background(), verbDone, w, id, request, nil, time.Second)
 }
@@ -234,7 +234,7 @@
 	for end := n.now().Add(wait); ; {
 		if m, _, ok := n.agent.KeyOwner(fleetstate.RetryBudgetKey); ok {
 			callContext, stop := context.WithTimeout(ctx, 400*time.Millisecond)
-			r, err := rpc.Call[coordination.Empty, RetrySpent](
+			r, err := rpc.Call[coordination.Empty, RetryTokenResponse](
 				callContext, n.caller, m.Addr, SpendMethod, &coordination.Empty{},
 			)
 			stop()
--- a/internal/router/wire_test.go
+++ b/internal/router/wire_test.go
@@ -15,7 +15,7 @@
 		"Beat":       &Heartbeat{},
 		"OrderAsk":   &OrderRequest{},
 		"OrderReply": &OrderResponse{},
-		"Spent":      &RetrySpent{},
+		"Spent":      &RetryTokenResponse{},
 		"Stand":      &WorkerStatus{},
 	})
 }
--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -196,7 +196,7 @@
 	defer b.mu.Unlock()
 	for _, o := range all {
 		if o.Kind == "verdict" {
-			b.work[router.Request(o.Kind+"/"+o.Key)] = "chair"
+			b.work[router.RequestIDForKey(o.Kind+"/"+o.Key)] = "chair"
 		}
 	}
 	b.c.Recorder.mu.Lock()
@@ -276,4 +276,4 @@
 // usual certifies three of each part and four of the nodes.
 func (b *AuditModel) usual() { b.certify(append(upTo("p", 3), upTo("d", 3)...), upTo("router-", 4)) }
 
-func holds(b *Process) []ids.Key { return b.Node.Status().(*router.NodeStatus).Holds }
+func holds(b *Process) []ids.Key { return b.Node.Status().(*router.NodeStatus).OwnedKeys }
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -40,7 +40,7 @@
 			return nil
 		},
 		NotRun: func(b *Recorder) []standin.Outcome {
-			b.Life(fake{router.Request("verdict/c1"): {Runs: 1, Records: 1}})
+			b.Life(fake{router.RequestIDForKey("verdict/c1"): {Runs: 1, Records: 1}})
 			return []standin.Outcome{{Kind: "verdict", Key: "c1+", End: "complete"}}
 		},
 		Torn: func(*Recorder) []standin.Outcome {
--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -21,7 +21,7 @@
 // holder is the node that holds the key of a worker.
 func holder(c *Cluster, id ids.WorkerID) *Process {
 	for _, b := range c.Of("router") {
-		if b.Up && slices.Contains(b.Node.Status().(*router.NodeStatus).Holds, fleetstate.WorkerKey(id)) {
+		if b.Up && slices.Contains(b.Node.Status().(*router.NodeStatus).OwnedKeys, fleetstate.WorkerKey(id)) {
 			return b
 		}
 	}
@@ -32,7 +32,7 @@
 func able(c *Cluster) *Process {
 	for _, b := range c.Of("router") {
 		has := map[byte]bool{}
-		for _, k := range b.Node.Status().(*router.NodeStatus).Holds {
+		for _, k := range b.Node.Status().(*router.NodeStatus).OwnedKeys {
 			if id, ok := strings.CutPrefix(string(k), "worker/"); ok {
 				has[id[0]] = true
 			}
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -51,7 +51,7 @@
 				Worker: "p4",
 				Verb:   verb,
 				Role:   ids.Prefill,
-				Need:   1,
+				Blocks: 1,
 			}), "no certificate", verb)
 		}
 		for _, verb := range []string{"import", "resume"} {
@@ -72,9 +72,9 @@
 			Worker: "d1",
 			Verb:   "reserve",
 			Role:   ids.Prefill,
-			Need:   1,
+			Blocks: 1,
 		}), "no certificate", "another part")
-		require.NoError(t, ask(router.OrderRequest{Worker: "d1", Verb: "reserve", Role: ids.Decode, Need: 1}))
+		require.NoError(t, ask(router.OrderRequest{Worker: "d1", Verb: "reserve", Role: ids.Decode, Blocks: 1}))
 		require.NoError(t, ask(router.OrderRequest{Worker: "p4", Verb: "done"}))
 		require.NoError(t, ask(router.OrderRequest{Worker: "p4", Verb: "cancel"}))
 	})
@@ -139,7 +139,7 @@
 		all := c.Load(20, 4*time.Second, 1)
 		require.Equal(t, len(all), standin.Sum(all).Ends[api.Complete])
 		st := c.Of("router")[0].Node.Status().(*router.NodeStatus)
-		require.Zero(t, st.Time)
+		require.Zero(t, st.FleetTime)
 		got, err := c.Of("router")[0].Node.Audits(c.base, 1, 10)
 		require.NoError(t, err)
 		require.Zero(t, got.Count)
@@ -319,7 +319,7 @@
 	defer call.Close()
 	spend := func() bool {
 		for _, b := range c.Of("router") {
-			if r, err := rpc.Call[coordination.Empty, router.RetrySpent](
+			if r, err := rpc.Call[coordination.Empty, router.RetryTokenResponse](
 				c.base, call, b.Addr, router.SpendMethod, &coordination.Empty{},
 			); err == nil && r.OK {
 				return true
--- a/internal/simulation/idempotency_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -19,7 +19,7 @@
 	c.Recorder.mu.Lock()
 	defer c.Recorder.mu.Unlock()
 	for _, w := range c.Recorder.lives {
-		t := w.Tallies()[router.Request(key)]
+		t := w.Tallies()[router.RequestIDForKey(key)]
 		runs, records = runs+t.Runs, records+t.Records
 	}
 	return runs, records
@@ -133,7 +133,7 @@
 		var w *Process
 		require.True(t, c.Until(3*time.Second, func() bool {
 			for _, o := range c.Of("worker") {
-				if o.Worker.Tallies()[router.Request("verdict/q1")].Runs > 0 {
+				if o.Worker.Tallies()[router.RequestIDForKey("verdict/q1")].Runs > 0 {
 					w = o
 				}
 			}
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -189,7 +189,7 @@
 		require.NotEmpty(t, all)
 		require.Equal(t, api.Complete, all[len(all)-1].End)
 		// Its keys pass on by its goodbye, sooner than a lease would lapse.
-		me := b.Node.Me().Node
+		me := b.Node.Self().Node
 		require.True(t, c.Until(1500*time.Millisecond, func() bool {
 			for _, m := range c.Of("router")[1].Node.Status().(*router.NodeStatus).Members {
 				if m.Node == me {
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -186,7 +186,7 @@
 		// A caller that was told "not run" has moved on to a key with a plus.
 		for k := key; strings.HasSuffix(k, "+"); {
 			k = strings.TrimSuffix(k, "+")
-			if n := runs[router.Request(k)]; n > 0 {
+			if n := runs[router.RequestIDForKey(k)]; n > 0 {
 				f.say(NotRun, "%s was told not run, and ran %d times", k, n)
 			}
 		}
--- a/internal/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -85,7 +85,7 @@
 		require.Len(t, used, 8, "other work goes everywhere")
 		passed := int64(0)
 		for _, box := range c.Of("router") {
-			passed += box.Node.Passed()
+			passed += box.Node.Forwarded()
 		}
 		require.Positive(t, passed)
 	})
@@ -148,7 +148,7 @@
 		for _, o := range all {
 			switch {
 			case o.Kind == "verdict" && o.End == api.Complete:
-				r := ends[router.Request("verdict/"+o.Key)]
+				r := ends[router.RequestIDForKey("verdict/"+o.Key)]
 				require.Equal(t, fleetstate.Done, r.Outcome, "%+v", o)
 				require.Equal(t, "verdict/"+o.Key, r.Key)
 				require.GreaterOrEqual(t, len(r.Steps), 4)
@@ -278,7 +278,7 @@
 		require.NoError(t, b.Revoke("c-d2"))
 		require.Greater(t, b.revoke[0], 2*time.Second, "it waited for the lease of the one cut off")
 		require.Less(t, b.revoke[0], 5*time.Second)
-		_, err := partitioned.Node.Clears("chair", certification.Subject{Worker: "d3"}, ids.Decode)
+		_, err := partitioned.Node.Clearance("chair", certification.Subject{Worker: "d3"}, ids.Decode)
 		require.Error(t, err, "its word is too old for anybody")
 		time.Sleep(4 * time.Second)
 		require.Empty(t, b.Check(nil))
