--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -1,5 +1,6 @@
-// The audit record of governed work at its node: the steps as they are cleared, one row
-// at the core before anything runs, and one with the outcome.
+// Audit records of governed work. The node serving a request collects each step with its
+// clearance, appends one row to the audit chain in the core before anything runs, and one
+// with the outcome.
 
 package router
 
@@ -19,66 +20,71 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// recordStep notes a step that was cleared.
-func (h *transport) recordStep(verb string, w ids.WorkerID, id workerclient.ID, serial string) {
+// recordStep adds a step and the certificate that cleared it to the audit record. It ignores
+// ungoverned steps and reservations.
+func (t *transport) recordStep(verb string, w ids.WorkerID, id workerclient.ID, serial string) {
 	if serial == "" || verb == verbReserve {
 		return
 	}
-	h.auditSteps = append(h.auditSteps, fleetstate.AuditStep{
+	t.auditSteps = append(t.auditSteps, fleetstate.AuditStep{
 		Attempt: id.Attempt,
 		What:    verb,
 		Worker:  string(w),
 		Serial:  serial,
-		At:      h.node.fleetTime().High,
+		At:      t.node.fleetTime().High,
 	})
 }
 
-// auditRecord writes the row's text; nothing for work that is not governed.
-func (h *transport) auditRecord(request, key, outcome string) []byte {
-	if h.regime == "" {
+// auditRecord returns the encoded audit row of a request, or nil for work that no regime governs.
+func (t *transport) auditRecord(request, key, outcome string) []byte {
+	if t.regime == "" {
 		return nil
 	}
-	serial, _ := h.node.clearance(h.regime, certification.Subject{Node: h.node.options.Name}, "")
-	b, _ := json.Marshal(&fleetstate.AuditRecord{
+	serial, _ := t.node.clearance(t.regime, certification.Subject{Node: t.node.options.Name}, "")
+	row, _ := json.Marshal(&fleetstate.AuditRecord{
 		Request: request,
 		Key:     key,
-		Kind:    h.kind,
-		Regime:  h.regime,
-		Node:    string(h.node.self.Node),
+		Kind:    t.kind,
+		Regime:  t.regime,
+		Node:    string(t.node.self.Node),
 		Serial:  serial,
-		Steps:   h.auditSteps,
+		Steps:   t.auditSteps,
 		Outcome: outcome,
 	})
-	return b
+	return row
 }
 
-// appendAudit adds a row to the core's chain. The operation's id has it stand there once.
+// appendAudit appends a row to the core's audit chain. Repeating it with the same operation id
+// appends the row only once.
 func (n *Node) appendAudit(ctx context.Context, op ids.OpID, record []byte) error {
 	_, err := n.agent.Submit(ctx, op, fleetstate.AuditKind, coordination.MustMarshal(&fleetstate.Audit{Record: record}))
 	return err
 }
 
-func auditOp(request, what string) ids.OpID { return ids.OpID("audit/" + request + "/" + what) }
+// auditOp returns the id of the operation that appends one audit row of a request.
+func auditOp(request, row string) ids.OpID { return ids.OpID("audit/" + request + "/" + row) }
 
-// recordStart records governed work that claims no key, before anything is sent to a worker.
-func (h *transport) recordStart(ctx context.Context, request string) error {
-	if h.regime == "" || h.startRecorded {
+// recordStart records the start of governed work that claims no key, before anything is sent to
+// a worker.
+func (t *transport) recordStart(ctx context.Context, request string) error {
+	if t.regime == "" || t.startRecorded {
 		return nil
 	}
 	callContext, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 	defer stop()
-	if err := h.node.appendAudit(
-		callContext, auditOp(request, fleetstate.Begun), h.auditRecord(request, "", fleetstate.Begun),
+	if err := t.node.appendAudit(
+		callContext, auditOp(request, fleetstate.Begun), t.auditRecord(request, "", fleetstate.Begun),
 	); err != nil {
-		return h.node.rejectRetryable(http.StatusServiceUnavailable, "core-away", "the request cannot be recorded: %v", err)
+		return t.node.rejectRetryable(http.StatusServiceUnavailable, "core-away", "the request cannot be recorded: %v", err)
 	}
-	h.startRecorded = true
+	t.startRecorded = true
 	return nil
 }
 
-// recordEnd records the outcome; where the core is away it is owed.
-func (h *transport) recordEnd(request string, err error, count int) {
-	if !h.startRecorded {
+// recordEnd records the outcome of a request whose start was recorded. If the core is
+// unreachable, the row is kept and submitted again later.
+func (t *transport) recordEnd(request string, err error, count int) {
+	if !t.startRecorded {
 		return
 	}
 	outcome := api.Complete
@@ -88,25 +94,26 @@
 	case err != nil:
 		outcome = fleetstate.NotRun
 	}
-	d := unresolvedClaim{op: auditOp(request, "end"), audit: h.auditRecord(request, "", outcome)}
-	if !h.node.retryUnresolved(context.Background(), d) {
-		h.node.unresolved.add(d)
+	pending := unresolvedClaim{op: auditOp(request, "end"), audit: t.auditRecord(request, "", outcome)}
+	if !t.node.retryUnresolved(context.Background(), pending) {
+		t.node.unresolved.add(pending)
 	}
 }
 
-// takeoverAuditRecord is the record of an idempotency record that is settled for a node that died.
-func (n *Node) takeoverAuditRecord(d *fleetstate.IdempotencyRecord, fate string) []byte {
-	kind, _, _ := strings.Cut(d.Key, "/")
-	h := &transport{node: n, kind: kind, regime: n.view.Current().Register.Governs(kind)}
-	if h.regime == "" {
+// takeoverAuditRecord returns the audit row for a claim that this node resolves on behalf of a
+// dead node, or nil if no regime governs the claim.
+func (n *Node) takeoverAuditRecord(claim *fleetstate.IdempotencyRecord, outcome string) []byte {
+	kind, _, _ := strings.Cut(claim.Key, "/")
+	t := &transport{node: n, kind: kind, regime: n.view.Current().Register.Governs(kind)}
+	if t.regime == "" {
 		return nil
 	}
-	serial, _ := n.clearance(h.regime, certification.Subject{Worker: d.Worker}, ids.Decode)
-	h.auditSteps = []fleetstate.AuditStep{{What: "settled", Worker: string(d.Worker), Serial: serial, At: n.fleetTime().High}}
-	return h.auditRecord(RequestIDForKey(d.Key), d.Key, fate)
+	serial, _ := n.clearance(t.regime, certification.Subject{Worker: claim.Worker}, ids.Decode)
+	t.auditSteps = []fleetstate.AuditStep{{What: "settled", Worker: string(claim.Worker), Serial: serial, At: n.fleetTime().High}}
+	return t.auditRecord(RequestIDForKey(claim.Key), claim.Key, outcome)
 }
 
-// Audits reads the core's chain.
+// Audits reads up to limit rows of the core's audit chain, starting at row from.
 func (n *Node) Audits(ctx context.Context, from, limit int) (*api.Audits, error) {
 	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
@@ -122,13 +129,13 @@
 	if err != nil {
 		return nil, n.operatorError(err)
 	}
-	var got fleetstate.AuditQueryReply
-	if _, err := got.UnmarshalMsg(r.Body); err != nil {
+	var reply fleetstate.AuditQueryReply
+	if _, err := reply.UnmarshalMsg(r.Body); err != nil {
 		return nil, failure.As(err, failure.OutcomeUnknown, "read audit", "core")
 	}
-	out := &api.Audits{First: got.First, Count: got.Count, Head: got.Head, Rows: []json.RawMessage{}}
-	for _, l := range got.Lines {
-		out.Rows = append(out.Rows, l)
+	out := &api.Audits{First: reply.First, Count: reply.Count, Head: reply.Head, Rows: []json.RawMessage{}}
+	for _, line := range reply.Lines {
+		out.Rows = append(out.Rows, line)
 	}
 	return out, nil
 }
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -1,5 +1,5 @@
-// Keyed requests: a claim of the key precedes the run, and its outcome is recorded before the
-// caller hears of it.
+// Requests with an idempotency key. The key is claimed before the run, and the outcome is
+// recorded before it is reported to the caller.
 
 package router
 
@@ -19,70 +19,70 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// runClaimed runs a ruling or verdict: once room is booked its key is claimed, before
-// anything is sent to a worker, and the outcome is recorded before the end line
-// is sent. It runs on when the origin goes away: the same key asked again is then
-// answered from the record.
+// runClaimed runs a request of a kind that claims its idempotency key. The key is claimed once
+// memory is reserved and before anything is sent to a worker, and the outcome is recorded
+// before the final event is sent. The run continues if the caller disconnects: a repeated
+// request with the same key is then answered from the record.
 func (n *Node) runClaimed(
 	ctx context.Context,
 	s *fleetstate.Snapshot,
 	t *handoff.Task,
-	ask *api.StreamRequest,
+	request *api.StreamRequest,
 	out api.Sink,
 ) error {
-	key := ask.Kind + "/" + ask.Key
+	key := request.Kind + "/" + request.Key
 	t.Identity.ID.Request = RequestIDForKey(key)
-	c, h, score := n.newController(s, t)
-	start, deaf, fresh := n.now(), false, false
-	var known error
+	c, tr, score := n.newController(s, t)
+	start, disconnected, claimed := n.now(), false, false
+	var claimErr error
 	t.Claim = func(w ids.WorkerID, incarnation ids.Incarnation) error {
-		if fresh {
+		if claimed {
 			return n.reassignClaim(key, w, incarnation)
 		}
-		record, err := n.claimKey(ctx, key, ask, w, incarnation)
+		record, err := n.claimKey(ctx, key, request, w, incarnation)
 		if err == nil && record != nil {
 			err = n.replayRecord(record, out)
 			if err == nil {
 				err = errReplayed
 			}
 		}
-		fresh, known = err == nil, err
+		claimed, claimErr = err == nil, err
 		return err
 	}
-	var toks []int32
+	var tokens []int32
 	var texts []string
-	run, halt := context.WithTimeout(context.WithoutCancel(ctx), time.Minute)
-	defer halt()
-	err := c.Run(run, t, func(i int, tok int32, text string) error {
-		if toks, texts = append(toks, tok), append(texts, text); len(toks) == 1 {
+	runContext, stop := context.WithTimeout(context.WithoutCancel(ctx), time.Minute)
+	defer stop()
+	err := c.Run(runContext, t, func(i int, token int32, text string) error {
+		if tokens, texts = append(tokens, token), append(texts, text); len(tokens) == 1 {
 			score.ObserveFirstToken(n.now().Since(start))
 		}
-		if !deaf && out.Put(api.StreamEvent{Index: i, Token: tok, Text: text}) != nil {
-			deaf = true
+		if !disconnected && out.Put(api.StreamEvent{Index: i, Token: token, Text: text}) != nil {
+			disconnected = true
 		}
 		return nil
 	})
 	switch {
-	case known == errReplayed:
+	case claimErr == errReplayed:
 		return nil
-	case known != nil:
-		return known
-	case !fresh:
+	case claimErr != nil:
+		return claimErr
+	case !claimed:
 		score.Bounced.Add(1)
 		return n.rejectForCapacity(http.StatusServiceUnavailable, "bounced", "%v", err)
 	}
-	end := &fleetstate.Resolve{Key: key, Owner: n.self.Node, Outcome: runOutcome(err, len(toks))}
-	end.Audit = h.auditRecord(t.Identity.ID.Request, key, end.Outcome)
-	if end.Outcome == fleetstate.Done {
-		end.Answer, _ = json.Marshal(storedAnswer{toks, texts})
+	resolve := &fleetstate.Resolve{Key: key, Owner: n.self.Node, Outcome: runOutcome(err, len(tokens))}
+	resolve.Audit = tr.auditRecord(t.Identity.ID.Request, key, resolve.Outcome)
+	if resolve.Outcome == fleetstate.Done {
+		resolve.Answer, _ = json.Marshal(storedAnswer{tokens, texts})
 	}
-	if e := n.submitOutcome(end); e != nil {
-		return n.reportUnrecorded(end, e, len(toks), out)
+	if e := n.submitOutcome(resolve); e != nil {
+		return n.reportUnrecorded(resolve, e, len(tokens), out)
 	}
-	return n.finishClaimed(end.Outcome, err, len(toks), score, out)
+	return n.finishClaimed(resolve.Outcome, err, len(tokens), score, out)
 }
 
-// finishClaimed ends the caller's stream once the outcome is on record.
+// finishClaimed ends the caller's stream after the outcome has been recorded.
 func (n *Node) finishClaimed(outcome string, cause error, tokens int, score *routing.Score, out api.Sink) error {
 	switch outcome {
 	case fleetstate.MayHaveRun:
@@ -100,7 +100,8 @@
 	return n.finishStream(nil, tokens, score, out)
 }
 
-// runOutcome is the outcome of a run that gave so many tokens and ended with an error or none.
+// runOutcome returns the outcome to record for a run that produced the given number of tokens
+// and ended with err, which may be nil.
 func runOutcome(err error, tokens int) string {
 	switch {
 	case err == nil:
@@ -111,14 +112,14 @@
 	return fleetstate.NotRun
 }
 
-// reportUnrecorded answers a caller whose outcome could not be recorded, and keeps the claim for a
-// later try, unless another node resolves it.
-func (n *Node) reportUnrecorded(end *fleetstate.Resolve, cause error, tokens int, out api.Sink) error {
+// reportUnrecorded answers a caller whose outcome could not be recorded. The outcome is kept for
+// a later attempt unless the core has already assigned the claim to another node.
+func (n *Node) reportUnrecorded(resolve *fleetstate.Resolve, cause error, tokens int, out api.Sink) error {
 	n.counts.OutcomeUnknown.Add(1)
 	if !failure.Is(cause, failure.Stale) {
-		n.unresolved.add(unresolvedClaim{resolve: end})
+		n.unresolved.add(unresolvedClaim{resolve: resolve})
 	}
-	if tokens == 0 && end.Outcome == fleetstate.NotRun {
+	if tokens == 0 && resolve.Outcome == fleetstate.NotRun {
 		return n.rejectRetryable(http.StatusServiceUnavailable, "outcome-pending", "%v", cause)
 	}
 	return out.Put(api.StreamEvent{
@@ -133,10 +134,10 @@
 	})
 }
 
-// rejectNotRun answers for a key that ends as not run: no late copy of it can run, so
-// the caller comes back with a new key.
+// rejectNotRun answers a request whose key is recorded as not run. No delayed copy of it can run
+// any more, so the caller has to retry with a new key.
 func (n *Node) rejectNotRun(count int, out api.Sink) error {
-	no := workerclient.Rejection{
+	rejection := workerclient.Rejection{
 		Name:   "not-run",
 		Field:  "key",
 		Detail: "it was not run and never will be; ask anew with another key",
@@ -144,22 +145,23 @@
 	}
 	n.counts.Rejected.Add(1)
 	if count == 0 {
-		return &api.Fault{Code: http.StatusServiceUnavailable, Rejection: no}
+		return &api.Fault{Code: http.StatusServiceUnavailable, Rejection: rejection}
 	}
-	return out.Put(api.StreamEvent{Index: count, End: api.Broken, Count: count, Error: &no})
+	return out.Put(api.StreamEvent{Index: count, End: api.Broken, Count: count, Error: &rejection})
 }
 
-// claimKey takes the key; an idempotency record is given if it was taken before.
+// claimKey claims an idempotency key for this node. It returns the existing record if the key was
+// claimed before, else nil.
 func (n *Node) claimKey(
 	ctx context.Context,
 	key string,
-	ask *api.StreamRequest,
+	request *api.StreamRequest,
 	w ids.WorkerID,
 	incarnation ids.Incarnation,
 ) (*fleetstate.IdempotencyRecord, error) {
 	callContext, stop := context.WithTimeout(context.WithoutCancel(ctx), 1500*time.Millisecond)
 	defer stop()
-	claim := &fleetstate.Claim{Key: key, Owner: n.self.Node, Worker: w, Incarnation: incarnation, Digest: ask.Digest()}
+	claim := &fleetstate.Claim{Key: key, Owner: n.self.Node, Worker: w, Incarnation: incarnation, Digest: request.Digest()}
 	op := ids.OpID("claim/" + coordination.NewID())
 	r, err := n.agent.Submit(callContext, op, fleetstate.ClaimKind, coordination.MustMarshal(claim))
 	if err != nil {
@@ -180,60 +182,62 @@
 		}
 		return nil, n.rejectRetryable(http.StatusServiceUnavailable, "core-away", "%v", err)
 	}
-	var got fleetstate.ClaimReply
-	if _, err := got.UnmarshalMsg(r.Body); err != nil {
+	var reply fleetstate.ClaimReply
+	if _, err := reply.UnmarshalMsg(r.Body); err != nil {
 		return nil, n.rejectRetryable(http.StatusServiceUnavailable, "core-away", "%v", err)
 	}
 	switch {
-	case got.Record.Digest != claim.Digest:
+	case reply.Record.Digest != claim.Digest:
 		return nil, api.WriteFault(
 			http.StatusUnprocessableEntity, "key-reused", "key", "the key stands for another request",
 		)
-	case !got.Fresh:
-		return &got.Record, nil
+	case !reply.Fresh:
+		return &reply.Record, nil
 	}
 	return nil, nil
 }
 
-// reassignClaim has a claimed key run elsewhere than it was claimed for.
+// reassignClaim records that a claimed key now runs on another worker or incarnation than the one
+// it was claimed for.
 func (n *Node) reassignClaim(key string, w ids.WorkerID, incarnation ids.Incarnation) error {
 	callContext, stop := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer stop()
-	b := &fleetstate.AssignWorker{Key: key, Owner: n.self.Node, Worker: w, Incarnation: incarnation}
+	assign := &fleetstate.AssignWorker{Key: key, Owner: n.self.Node, Worker: w, Incarnation: incarnation}
 	_, err := n.agent.Submit(
 		callContext,
 		ids.OpID("bind/"+coordination.NewID()),
 		fleetstate.AssignWorkerKind,
-		coordination.MustMarshal(b),
+		coordination.MustMarshal(assign),
 	)
 	return err
 }
 
-// RequestIDForKey is the request id that a key always has.
+// RequestIDForKey returns the request id that every run of an idempotency key has.
 func RequestIDForKey(key string) string { return "k-" + coordination.ShortHash(key) }
 
-func (n *Node) submitOutcome(s *fleetstate.Resolve) error {
+// submitOutcome records the outcome of a claimed key in the core.
+func (n *Node) submitOutcome(resolve *fleetstate.Resolve) error {
 	callContext, stop := context.WithTimeout(context.Background(), 4*time.Second)
 	defer stop()
 	_, err := n.agent.Submit(
 		callContext,
-		ids.OpID("settle/"+s.Key+"/"+string(s.Owner)),
+		ids.OpID("settle/"+resolve.Key+"/"+string(resolve.Owner)),
 		fleetstate.ResolveKind,
-		coordination.MustMarshal(s),
+		coordination.MustMarshal(resolve),
 	)
 	return err
 }
 
-// replayRecord answers a key that is known already.
-func (n *Node) replayRecord(d *fleetstate.IdempotencyRecord, out api.Sink) error {
+// replayRecord answers a request from the record of an earlier request with the same key.
+func (n *Node) replayRecord(record *fleetstate.IdempotencyRecord, out api.Sink) error {
 	n.counts.Replayed.Add(1)
-	switch d.Outcome {
+	switch record.Outcome {
 	case fleetstate.Claimed:
 		return n.rejectRetryable(http.StatusConflict, "running", "the key is being run")
 	case fleetstate.NotRun:
 		return n.rejectNotRun(0, out)
 	case fleetstate.Done:
-		if d.Aged {
+		if record.Aged {
 			return api.WriteFault(
 				http.StatusGone,
 				"answer-aged",
@@ -246,18 +250,19 @@
 			http.StatusGone, "may-have-run", "key", "whether it ran is not known; it will not be run again",
 		)
 	}
-	var r storedAnswer
-	if err := json.Unmarshal(d.Answer, &r); err != nil {
-		return failure.As(err, failure.InvalidArgument, "replay", d.Key)
+	var answer storedAnswer
+	if err := json.Unmarshal(record.Answer, &answer); err != nil {
+		return failure.As(err, failure.InvalidArgument, "replay", record.Key)
 	}
-	for i, t := range r.Tokens {
-		if err := out.Put(api.StreamEvent{Index: i, Token: t, Text: r.Texts[i], Replay: true}); err != nil {
+	for i, token := range answer.Tokens {
+		if err := out.Put(api.StreamEvent{Index: i, Token: token, Text: answer.Texts[i], Replay: true}); err != nil {
 			return err
 		}
 	}
-	return out.Put(api.StreamEvent{Index: len(r.Tokens), End: api.Complete, Count: len(r.Tokens), Replay: true})
+	return out.Put(api.StreamEvent{Index: len(answer.Tokens), End: api.Complete, Count: len(answer.Tokens), Replay: true})
 }
 
+// storedAnswer is the answer of a completed run as it is stored in the idempotency record.
 type storedAnswer struct {
 	Tokens []int32  `json:"tokens"`
 	Texts  []string `json:"texts"`
--- /dev/null
+++ b/internal/router/clearance.go
@@ -0,0 +1,116 @@
+// Enforcement of regimes for governed work. A worker or node that the certificate register does
+// not clear is no candidate, gets no orders, and has its running steps ended at once.
+
+package router
+
+import (
+	"context"
+	"time"
+
+	"keelstair.example/failure"
+	"keelstair.example/host"
+	"keelstair.example/ids"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+)
+
+// guardInterval is how often the clearance of a running step is checked again.
+const guardInterval = 50 * time.Millisecond
+
+// stepClearance checks that this node and a worker in a role may handle a regime's work now, and
+// returns the serial of the worker's certificate. Work that no regime governs, or governs any
+// more, needs no certificate.
+func (n *Node) stepClearance(regime string, w ids.WorkerID, role ids.Role) (string, error) {
+	if regime == "" || !n.view.Current().Register.Has(regime) {
+		return "", nil
+	}
+	if _, err := n.clearance(regime, certification.Subject{Node: n.options.Name}, ""); err != nil {
+		return "", err
+	}
+	return n.clearance(regime, certification.Subject{Worker: w}, role)
+}
+
+// currentRegime returns the regime that governs the request under a snapshot: the one that governs
+// its kind there, else the one that the request started under.
+func (t *transport) currentRegime(s *fleetstate.Snapshot) string {
+	if regime := s.Register.Governs(t.kind); regime != "" {
+		t.regime = regime
+	}
+	return t.regime
+}
+
+// fitsBesideReserve reports whether a worker has capacity for an ungoverned request of the given
+// number of blocks beside the share that it keeps for governed work.
+func (n *Node) fitsBesideReserve(s *fleetstate.Snapshot, st WorkerStatus, blocks int) bool {
+	if s.Register == nil {
+		return true
+	}
+	keep := s.Register.RetentionOf(st.ID, st.Role, n.fleetTime())
+	return st.Free-blocks >= st.Capacity*keep/100 && (keep == 0 || st.InFlight < handoff.Beside(st.MaxConcurrent, keep))
+}
+
+// orderClearance checks an order for governed work: the register must clear this node, the worker
+// and, for an import of KV memory, also the source. It returns the serial of the worker's
+// certificate.
+func (n *Node) orderClearance(request *OrderRequest) (string, error) {
+	switch request.Verb {
+	case verbReserve, verbPrefill, verbExport, verbImport, verbResume:
+	default:
+		return "", nil // cancelling and freeing are always allowed
+	}
+	serial, err := n.stepClearance(request.Regime, request.Worker, request.Role)
+	if err != nil {
+		return "", failure.Wrap(err, request.Verb, string(request.Worker))
+	}
+	if request.Verb == verbImport {
+		if _, err := n.stepClearance(request.Regime, request.Source, ids.Prefill); err != nil {
+			return "", failure.As(err, failure.DataLost, request.Verb, string(request.Source))
+		}
+	}
+	return serial, nil
+}
+
+// guardStep returns a context that is canceled as soon as the worker, or the source of its KV
+// memory, is no longer cleared. The returned function ends the check; it replaces an error that
+// follows such a cancellation by one that names its cause.
+func (t *transport) guardStep(
+	ctx context.Context,
+	w ids.WorkerID,
+	role ids.Role,
+	source ids.WorkerID,
+) (context.Context, func(error) error) {
+	if t.regime == "" {
+		return ctx, func(err error) error { return err }
+	}
+	ctx, stop := context.WithCancelCause(ctx)
+	go func() {
+		for host.Sleep(ctx, guardInterval) {
+			_, err := t.node.stepClearance(t.regime, w, role)
+			if err == nil && source != "" {
+				_, err = t.node.stepClearance(t.regime, source, ids.Prefill)
+			}
+			if err != nil {
+				stop(err)
+				return
+			}
+		}
+	}()
+	return ctx, func(err error) error {
+		cause := context.Cause(ctx)
+		stop(nil)
+		if err != nil && cause != nil && failure.Step(cause) == "clear" {
+			return failure.As(cause, failure.DataLost, "governed step", string(w))
+		}
+		return err
+	}
+}
+
+// Clearance checks that a subject may handle a regime's work in a role now, as this node knows it,
+// and returns the serial of its certificate.
+func (n *Node) Clearance(regime string, s certification.Subject, role ids.Role) (string, error) {
+	return n.clearance(regime, s, role)
+}
+
+// Forwarded returns how many requests this node forwarded to another node.
+func (n *Node) Forwarded() int64 { return n.counts.Forwarded.Load() }
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -1,5 +1,5 @@
-// A node that is not certified itself handles no governed request: it passes it on,
-// untouched, to one that is, or bounces it at once.
+// Forwarding of governed requests. A node without a certificate for the regime does not handle
+// them: it forwards a request unchanged to a certified node, or rejects it at once.
 
 package router
 
@@ -19,11 +19,11 @@
 
 const (
 	forwardPath        = "/router/streams"
-	forwardIdleTimeout = 10 * time.Second // no step of a stream is silent for so long
+	forwardIdleTimeout = 10 * time.Second // longer than any step of a stream stays silent
 )
 
-// certifiedPeers lists, in a random order, the nodes that were heard lately, stand in no
-// emptied zone, and are certified for a regime.
+// certifiedPeers returns, in random order, the nodes that sent a heartbeat within the last second,
+// are in no evacuated zone, and are certified for a regime.
 func (n *Node) certifiedPeers(s *fleetstate.Snapshot, regime string) []coordination.Member {
 	now := n.now()
 	var out []coordination.Member
@@ -40,29 +40,29 @@
 	return out
 }
 
-// forward has a certified node serve a request. The next one is asked only where the one
-// before surely did nothing.
+// forward has a certified node serve a request. It tries the next node only if the previous one
+// certainly did nothing.
 func (n *Node) forward(
 	ctx context.Context,
 	s *fleetstate.Snapshot,
 	regime string,
-	ask *api.StreamRequest,
+	request *api.StreamRequest,
 	out api.Sink,
 ) error {
 	for _, m := range n.certifiedPeers(s, regime) {
-		count, err := api.Pass(ctx, n.httpClient, m.Addr, forwardPath, ask, forwardIdleTimeout, out)
+		count, err := api.Pass(ctx, n.httpClient, m.Addr, forwardPath, request, forwardIdleTimeout, out)
 		if err == nil {
 			n.counts.Forwarded.Add(1)
 			return nil
 		}
-		f, refused := err.(*api.Fault)
+		fault, rejected := err.(*api.Fault)
 		switch {
-		case refused && (f.Name == "not-ready" || f.Name == "not-certified"), count == 0 && rpc.IsDialError(err):
+		case rejected && (fault.Name == "not-ready" || fault.Name == "not-certified"), count == 0 && rpc.IsDialError(err):
 			continue
-		case refused:
+		case rejected:
 			n.counts.Forwarded.Add(1)
-			return f
-		case count == 0 && s.Configuration.Kinds[ask.Kind].Claimed:
+			return fault
+		case count == 0 && s.Configuration.Kinds[request.Kind].Claimed:
 			return n.rejectRetryable(
 				http.StatusServiceUnavailable,
 				"claim-unknown",
@@ -75,7 +75,7 @@
 			)
 		}
 		end := api.Broken
-		if s.Configuration.Kinds[ask.Kind].Claimed {
+		if s.Configuration.Kinds[request.Kind].Claimed {
 			end = api.Unknown
 		}
 		n.counts.Aborted.Add(1)
@@ -94,7 +94,7 @@
 	)
 }
 
-// serveForwarded answers what another node passed on; it is passed no further.
-func (n *Node) serveForwarded(ctx context.Context, ask *api.StreamRequest, out api.Sink) error {
-	return n.serve(ctx, ask, out, true)
+// serveForwarded serves a request that another node forwarded; it is not forwarded again.
+func (n *Node) serveForwarded(ctx context.Context, request *api.StreamRequest, out api.Sink) error {
+	return n.serve(ctx, request, out, true)
 }
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -1,7 +1,7 @@
-// Beats: every node tells every other, several times a second, which version it
-// has heard of, how fresh its word from the core is, and how its ledgers stand.
-// So a node cut from the core alone still learns, and nodes can tell the core's
-// own trouble from theirs.
+// Heartbeats between router nodes. Several times a second every node tells every other the
+// highest version it knows, how long ago the core last confirmed it, and the state of its
+// memory ledgers. A node that is partitioned from the core alone still learns of new versions,
+// and nodes can distinguish a failure of the core from a failure of their own connection.
 
 package router
 
@@ -18,25 +18,28 @@
 	"keelstair.example/rpc"
 )
 
-// confirmationTTL is no more than the wait for silent nodes and the quarter second in
-// which an older version may still be used.
+// confirmationTTL is how long a confirmation that this node knows the newest version counts. It
+// must not exceed the time that the core waits for silent nodes plus the 250 ms in which an older
+// version may still be used.
 const confirmationTTL = 500 * time.Millisecond
 
+// peerStatus is the last heartbeat of a peer.
 type peerStatus struct {
 	receivedAt     ids.Tick
-	requestedAt    ids.Tick // when it was asked what it then answered
+	requestedAt    ids.Tick // when the newest heartbeat request that it answered was sent
 	sinceConfirmed time.Duration
 	workers        []WorkerStatus
 	leaving        []ids.WorkerID
 }
 
+// newHeartbeat returns this node's heartbeat.
 func (n *Node) newHeartbeat() *Heartbeat {
-	b := &Heartbeat{Node: n.self.Node, Version: n.view.HighestVersion(), SinceConfirmed: int64(n.agent.SinceConfirmed())}
+	heartbeat := &Heartbeat{Node: n.self.Node, Version: n.view.HighestVersion(), SinceConfirmed: int64(n.agent.SinceConfirmed())}
 	now := n.now()
 	if !now.Past(ids.Tick(n.endpointsListedAt.Load()), time.Second) {
-		for id, l := range *n.endpoints.Load() {
-			if l.Leaving {
-				b.Leaving = append(b.Leaving, id)
+		for id, endpoint := range *n.endpoints.Load() {
+			if endpoint.Leaving {
+				heartbeat.Leaving = append(heartbeat.Leaving, id)
 			}
 		}
 	}
@@ -44,7 +47,7 @@
 		d := v.(*workerDuty)
 		if f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id)); ok && f == d.fence {
 			st := d.ledger.State(now)
-			b.Workers = append(b.Workers, WorkerStatus{
+			heartbeat.Workers = append(heartbeat.Workers, WorkerStatus{
 				ID:            d.id,
 				Fence:         f,
 				Role:          st.Role,
@@ -61,17 +64,17 @@
 		}
 		return true
 	})
-	return b
+	return heartbeat
 }
 
-// heartbeatLoop asks all peers at each heartbeat, whether or not the earlier askings are answered:
-// one that is silent keeps nobody from being asked.
+// heartbeatLoop sends a heartbeat to all peers at each interval, whether or not earlier ones have
+// been answered: a silent peer must not delay the heartbeats to the others.
 func (n *Node) heartbeatLoop(ctx context.Context) {
 	var rounds sync.WaitGroup
 	for host.Sleep(ctx, n.options.HeartbeatInterval) {
-		b := n.newHeartbeat()
-		n.recordPeer(b, 0)
-		asked := n.now()
+		heartbeat := n.newHeartbeat()
+		n.recordPeer(heartbeat, 0)
+		requestedAt := n.now()
 		var wg sync.WaitGroup
 		for _, m := range n.agent.Members() {
 			if m.Node == n.self.Node {
@@ -81,9 +84,9 @@
 				callContext, stop := context.WithTimeout(ctx, 2*n.options.HeartbeatInterval)
 				defer stop()
 				if r, err := rpc.Call[Heartbeat, Heartbeat](
-					callContext, n.caller, m.Addr, heartbeatMethod, b,
+					callContext, n.caller, m.Addr, heartbeatMethod, heartbeat,
 				); err == nil {
-					n.observePeer(ctx, m, r, asked)
+					n.observePeer(ctx, m, r, requestedAt)
 				}
 			})
 		}
@@ -95,69 +98,78 @@
 	rounds.Wait()
 }
 
-func (n *Node) handleHeartbeat(ctx context.Context, b *Heartbeat) (*Heartbeat, error) {
+// handleHeartbeat records a member's heartbeat and answers with this node's own. A heartbeat that
+// arrives as a request has no request time of this node's, so it confirms no version.
+func (n *Node) handleHeartbeat(ctx context.Context, heartbeat *Heartbeat) (*Heartbeat, error) {
 	for _, m := range n.agent.Members() {
-		if m.Node == b.Node {
-			n.observePeer(context.WithoutCancel(ctx), m, b, 0)
+		if m.Node == heartbeat.Node {
+			n.observePeer(context.WithoutCancel(ctx), m, heartbeat, 0)
 		}
 	}
 	return n.newHeartbeat(), nil
 }
 
-func (n *Node) recordPeer(b *Heartbeat, told ids.Tick) {
-	if v, ok := n.peers.Load(b.Node); ok {
-		told = max(told, v.(peerStatus).requestedAt)
+// recordPeer stores a heartbeat. requestedAt is when this node sent the request that it answers,
+// or 0 if it answers none.
+func (n *Node) recordPeer(heartbeat *Heartbeat, requestedAt ids.Tick) {
+	if v, ok := n.peers.Load(heartbeat.Node); ok {
+		requestedAt = max(requestedAt, v.(peerStatus).requestedAt)
 	}
-	n.peers.Store(b.Node, peerStatus{n.now(), told, time.Duration(b.SinceConfirmed), b.Workers, b.Leaving})
+	n.peers.Store(heartbeat.Node, peerStatus{
+		n.now(), requestedAt, time.Duration(heartbeat.SinceConfirmed), heartbeat.Workers, heartbeat.Leaving,
+	})
 }
 
-// observePeer takes a peer's heartbeat; it counts as heard once its version is noted. A newer version than is staged here is
-// fetched from that peer at once.
-func (n *Node) observePeer(ctx context.Context, m coordination.Member, b *Heartbeat, told ids.Tick) {
-	if !n.view.NoteVersion(b.Version) {
+// observePeer processes a peer's heartbeat. It notes the version before it records the heartbeat,
+// so that the heartbeat never counts as a confirmation while its version is unknown. A version
+// newer than any staged here is fetched from that peer at once.
+func (n *Node) observePeer(ctx context.Context, m coordination.Member, heartbeat *Heartbeat, requestedAt ids.Tick) {
+	if !n.view.NoteVersion(heartbeat.Version) {
 		go n.agent.Fetch(ctx, m.Addr)
 	}
-	n.recordPeer(b, told)
+	n.recordPeer(heartbeat, requestedAt)
 }
 
-// mergePeerStatus joins what was told lately: the stands, where the highest fence speaks for a
-// worker, and who leaves, since a node may be cut from the platform.
+// mergePeerStatus merges the heartbeats of the last second: for each worker the status under the
+// highest fencing token, and the set of leaving workers, which this node may not learn from the
+// platform while it is partitioned from it.
 func (n *Node) mergePeerStatus() {
 	now := n.now()
 	live := map[ids.NodeID]bool{}
 	for _, m := range n.agent.Members() {
 		live[m.Node] = true
 	}
-	all, leave := map[ids.WorkerID]WorkerStatus{}, map[ids.WorkerID]bool{}
+	statuses, leaving := map[ids.WorkerID]WorkerStatus{}, map[ids.WorkerID]bool{}
 	n.peers.Range(func(k, v any) bool {
-		m := v.(peerStatus)
-		if now.Past(m.receivedAt, 5*time.Second) && !live[k.(ids.NodeID)] {
+		peer := v.(peerStatus)
+		if now.Past(peer.receivedAt, 5*time.Second) && !live[k.(ids.NodeID)] {
 			n.peers.Delete(k)
 		}
-		if now.Past(m.receivedAt, time.Second) {
+		if now.Past(peer.receivedAt, time.Second) {
 			return true
 		}
-		for _, id := range m.leaving {
-			leave[id] = true
+		for _, id := range peer.leaving {
+			leaving[id] = true
 		}
-		for _, st := range m.workers {
-			if previous, ok := all[st.ID]; !ok || previous.Fence < st.Fence {
-				all[st.ID] = st
+		for _, st := range peer.workers {
+			if previous, ok := statuses[st.ID]; !ok || previous.Fence < st.Fence {
+				statuses[st.ID] = st
 			}
 		}
 		return true
 	})
-	n.workerStatuses.Store(&all)
-	n.leaving.Store(&leave)
+	n.workerStatuses.Store(&statuses)
+	n.leaving.Store(&leaving)
 }
 
-// coreUnreachable tells that the core itself is away: with this node, most of the members
-// are heard, and none has fresh word from the core.
+// coreUnreachable reports whether the core itself is unreachable, and not only from this node:
+// a majority of the members, counting this node, exchange heartbeats, and the core has confirmed
+// none of the others within the last half lease.
 func (n *Node) coreUnreachable() bool {
 	now := n.now()
-	ms := n.agent.Members()
+	members := n.agent.Members()
 	heard := 0
-	for _, m := range ms {
+	for _, m := range members {
 		if m.Node == n.self.Node {
 			continue
 		}
@@ -165,28 +177,28 @@
 		if !ok {
 			continue
 		}
-		k := v.(peerStatus)
-		if now.Past(k.receivedAt, time.Second) {
+		peer := v.(peerStatus)
+		if now.Past(peer.receivedAt, time.Second) {
 			continue
 		}
-		if k.sinceConfirmed < n.options.LeaseDuration/2 {
+		if peer.sinceConfirmed < n.options.LeaseDuration/2 {
 			return false
 		}
 		heard++
 	}
-	return len(ms) > 1 && (heard+1)*2 > len(ms)
+	return len(members) > 1 && (heard+1)*2 > len(members)
 }
 
-// watchEndpoints keeps asking the platform which workers there are. While it does not
-// answer, the last list is kept.
+// watchEndpoints polls the platform's list of workers. While the platform does not answer, the last
+// list stays in use.
 func (n *Node) watchEndpoints(ctx context.Context) {
 	for {
 		if list, err := n.workerClient.Workers(ctx, n.options.Platform); err == nil {
-			all := make(map[ids.WorkerID]workerclient.ListedWorker, len(list))
-			for _, l := range list {
-				all[l.ID] = l
+			endpoints := make(map[ids.WorkerID]workerclient.ListedWorker, len(list))
+			for _, endpoint := range list {
+				endpoints[endpoint.ID] = endpoint
 			}
-			n.endpoints.Store(&all)
+			n.endpoints.Store(&endpoints)
 			n.endpointsListedAt.Store(int64(n.now()))
 		}
 		if !host.Sleep(ctx, n.options.ListInterval) {
@@ -195,25 +207,26 @@
 	}
 }
 
-// versionCurrent tells that no newer version than the one in force here was heard of, and that
-// one would have been heard of.
+// versionCurrent reports whether the version in force here is the newest one that this node knows
+// and recentlyConfirmed holds, so that it would have learned of a newer one.
 func (n *Node) versionCurrent() bool { return n.view.UpToDate() && n.recentlyConfirmed() }
 
-// recentlyConfirmed tells that this node would have heard of a newer version: within the last
-// half second the core confirmed it, with all news up to then folded, or most members,
-// with it, answered what they were asked since. (A heartbeat that comes by itself may have
-// waited behind a cut and tell of the time before it.) A staged
-// version waits for silent nodes nearly as long before it is in force anywhere.
+// recentlyConfirmed reports whether this node would have learned of a newer version. Within the
+// last half second (confirmationTTL) either the core confirmed it and it has applied every update
+// up to then, or a majority of the members, counting itself, answered heartbeat requests that it
+// sent within that time. A heartbeat that a peer sends on its own does not count: it may have been
+// delayed by a partition and describe the time before it. A staged version waits nearly as long
+// for silent nodes before it is in force anywhere.
 func (n *Node) recentlyConfirmed() bool {
 	if n.agent.CaughtUp(confirmationTTL) {
 		return true
 	}
-	ms := n.agent.Members()
+	members := n.agent.Members()
 	now, heard := n.now(), 1
-	for _, m := range ms {
+	for _, m := range members {
 		if v, ok := n.peers.Load(m.Node); ok && m.Node != n.self.Node && !now.Past(v.(peerStatus).requestedAt, confirmationTTL) {
 			heard++
 		}
 	}
-	return heard*2 > len(ms)
+	return heard*2 > len(members)
 }
--- a/internal/router/messages.go
+++ b/internal/router/messages.go
@@ -1,7 +1,7 @@
-// Messages between nodes: orders for a worker's one duty holder, heartbeats, and tokens of the
-// retry budget. Their MessagePack forms are part of the protocol between releases: a field
-// that is renamed keeps its name there by a msg tag, and a new one is omitted while it is
-// empty. TestEncodings holds the forms.
+// RPC messages between nodes: orders for the holder of a worker's key, heartbeats, and requests
+// for retry tokens. Their MessagePack encodings are part of the protocol between releases: a
+// renamed field keeps its encoded name through a msg tag, and a new field is omitted while it is
+// empty. TestEncodings checks the encodings.
 
 package router
 
@@ -19,15 +19,17 @@
 
 // Names of the RPC methods. They are part of the protocol between releases.
 const (
-	// OrderMethod takes an OrderRequest at the holder of a worker's duty.
+	// OrderMethod sends an OrderRequest to the holder of a worker's key.
 	OrderMethod = "verge/order"
-	// SpendMethod asks the holder of the retry budget for a token.
+	// SpendMethod takes a token from the retry budget at the holder of its key.
 	SpendMethod     = "verge/spend"
 	heartbeatMethod = "verge/beat"
 )
 
-// OrderRequest is one order. Body is the identity, as the worker will read it. Regime and the
-// part that the worker plays are set for governed work alone.
+// OrderRequest is one order for a worker. Body is the JSON encoding of the request's identity, or
+// the new role in a role change. Regime and Role are set for governed work only. In a reservation
+// Blocks is the number of memory blocks; in a "done" order a positive value says that the attempt
+// has certainly ended.
 type OrderRequest struct {
 	Worker  ids.WorkerID
 	Verb    string
@@ -41,20 +43,20 @@
 	Role    ids.Role `msg:"Part,omitempty"`
 }
 
-// OrderResponse is the worker's answer.
+// OrderResponse is the worker's response in JSON and the highest version that the holder knows.
 type OrderResponse struct {
 	Version ids.Version
 	Body    []byte
 }
 
-// RetryTokenResponse answers an asking for a token of the retry budget.
+// RetryTokenResponse says whether a token was taken from the retry budget.
 type RetryTokenResponse struct {
 	OK bool `msg:"Ok"`
 }
 
-// Heartbeat says which version a node has heard of, how long ago the core confirmed
-// it, how the workers stand whose ledgers it keeps, and which workers leave by the
-// platform's list, if that was had lately.
+// Heartbeat describes a node to its peers: the highest version that it knows, the nanoseconds since
+// the core last confirmed it, the status of the workers whose keys it holds, and the workers that
+// the platform lists as leaving, if the list is at most one second old.
 type Heartbeat struct {
 	Node           ids.NodeID
 	Version        ids.Version
@@ -63,7 +65,9 @@
 	Leaving        []ids.WorkerID
 }
 
-// WorkerStatus is one ledger's state.
+// WorkerStatus is the state of one worker's memory ledger. Capacity, Free and Used count blocks.
+// InFlight counts reserved and running requests; Started counts those that have begun at the
+// worker, including ones that this holder did not order.
 type WorkerStatus struct {
 	ID            ids.WorkerID `msg:"Id" json:"Id"`
 	Fence         ids.Fence
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -1,6 +1,6 @@
-// Package router is the data plane: a router node that opens its door to
-// origins, carries their requests from worker to worker, and does the keyed
-// duties that fall to it. This file joins the parts of a node.
+// Package router is the data plane. A router node accepts requests from clients, relays them
+// between prefill and decode workers, and performs the duties of the coordination keys that it
+// holds. This file assembles a node from its components.
 package router
 
 import (
@@ -22,7 +22,7 @@
 	"keelstair.example/rpc"
 )
 
-// Options of a node; zero spans take the defaults named beside them.
+// Options configure a node. A duration of zero takes the default given in its comment.
 type Options struct {
 	Name              string
 	Addr              string
@@ -35,12 +35,13 @@
 	RenewInterval     time.Duration // 500ms
 	HeartbeatInterval time.Duration // 150ms between peers
 	PollInterval      time.Duration // 200ms between reports of a worker
-	ListInterval      time.Duration // 400ms between askings of the platform's list
+	ListInterval      time.Duration // 400ms between requests for the platform's worker list
 	OrphanTimeout     time.Duration // 2s, the same as the workers'
 	StreamTimeout     time.Duration // 1.2s of silence within a stream
 	Trace             func(handoff.Event)
 }
 
+// setDefaults replaces unset options by their defaults.
 func (o *Options) setDefaults() {
 	ids.SetDefault(&o.LeaseDuration, 3*time.Second)
 	ids.SetDefault(&o.RenewInterval, 500*time.Millisecond)
@@ -62,35 +63,35 @@
 	view         *fleetstate.View
 	workerClient *workerclient.Client
 	caller       *rpc.Caller
-	httpClient   *http.Client // for what is passed on
+	httpClient   *http.Client // for forwarded requests
 	scores       *routing.Scores
 	journal      *logging.Journal[handoff.Event]
 	counts       Counts
 
-	programSets       sync.Map // ids.Version -> *routing.Deck
+	programSets       sync.Map // ids.Version -> *routing.ProgramSet
 	endpoints         atomic.Pointer[map[ids.WorkerID]workerclient.ListedWorker]
-	endpointsListedAt atomic.Int64 // when the endpoint list was had
+	endpointsListedAt atomic.Int64 // when the endpoint list was last received
 	workerStatuses    atomic.Pointer[map[ids.WorkerID]WorkerStatus]
 	leaving           atomic.Pointer[map[ids.WorkerID]bool]
-	peers             sync.Map // ids.NodeID -> mate
-	duties            sync.Map // ids.WorkerID -> *desk
-	faults            sync.Map // ids.WorkerID -> blame
+	peers             sync.Map // ids.NodeID -> peerStatus
+	duties            sync.Map // ids.WorkerID -> *workerDuty
+	faults            sync.Map // ids.WorkerID -> faultCount
 	unresolved        unresolvedClaims
-	roleChanges       sync.Map // ids.WorkerID -> ids.Tick
+	roleChanges       sync.Map // ids.WorkerID -> ids.Tick of its last role change
 	inflight          atomic.Int64
-	kinds             sync.Map // kind -> *atomic.Int64
+	kinds             sync.Map // kind -> *atomic.Int64, its requests in flight
 	stopping          atomic.Bool
 	retryBucket       retryBucket
 	retryAfter        handoff.RetryAfterScheduler
 }
 
-// Counts are the node's figures since it started.
+// Counts are the node's request counters since it started. Rejected requests may be retried later,
+// aborted ones broke off after the first token, and HandedOver counts resumes at a decode worker.
 type Counts struct {
 	Requests, Completed, Rejected, Aborted, OutcomeUnknown, Replayed, HandedOver, Reattempts, RoleChanges, Forwarded atomic.Int64
 }
 
-// New returns a node with the given options, and defaults for those that are left at zero.
-// It starts nothing.
+// New returns a node that has not been started. Options left at zero take their defaults.
 func New(opt Options) *Node {
 	opt.setDefaults()
 	n := &Node{options: opt, scores: &routing.Scores{}, journal: logging.NewJournal[handoff.Event](1024)}
@@ -124,6 +125,7 @@
 	return n
 }
 
+// countEvent updates the counters from an event of the hand-over journal.
 func (n *Node) countEvent(e handoff.Event) {
 	switch e.Step {
 	case handoff.Resumed:
@@ -137,13 +139,13 @@
 
 func (n *Node) now() ids.Tick { return n.options.Host.Clock.Now() }
 
-// Self is how the core knows this node.
+// Self returns this node's entry in the membership.
 func (n *Node) Self() coordination.Member { return n.self }
 
-// View shows what the node knows of the state.
+// View returns the node's view of the replicated state.
 func (n *Node) View() *fleetstate.View { return n.view }
 
-// Mount puts the node's answers to its peers on a mux.
+// Mount registers the handlers for requests from other nodes.
 func (n *Node) Mount(mux *http.ServeMux) {
 	n.agent.Mount(mux)
 	rpc.Handle(mux, OrderMethod, n.handleOrder)
@@ -152,8 +154,9 @@
 	api.Streams(mux, forwardPath, n.serveForwarded)
 }
 
-// Run works until the context ends; then it takes no new work, lets streams
-// finish for a while, and says goodbye to the core.
+// Run runs the node until the context ends. It then accepts no new requests, waits up to the drain
+// time for running streams, and leaves the membership. With a drain time of zero it stops at once
+// and does not leave.
 func (n *Node) Run(ctx context.Context, drain time.Duration) {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
@@ -177,12 +180,13 @@
 	n.httpClient.CloseIdleConnections()
 }
 
-// compilePrograms readies the programs of a version before it is in force.
-func (n *Node) compilePrograms(v ids.Version, p *fleetstate.Configuration) {
-	programs, err := p.CompileSet(n.scores)
+// compilePrograms compiles the routing programs of a version before it is in force. It keeps those
+// of the eight versions before it.
+func (n *Node) compilePrograms(v ids.Version, configuration *fleetstate.Configuration) {
+	programs, err := configuration.CompileSet(n.scores)
 	if err != nil {
 		n.options.Ring.Error().AnErr("cause", err).Uint64("version", uint64(v)).
-			Msg("programs not compiled; built-in order serves")
+			Msg("failed to compile routing programs, using the built-in order")
 		programs, _ = routing.NewProgramSet(nil, 0, n.scores)
 	}
 	n.programSets.Store(v, programs)
@@ -194,7 +198,7 @@
 	})
 }
 
-// Ready tells whether new work can be served here now, and if not, why.
+// Ready reports whether this node can serve new requests now and, if not, the reason.
 func (n *Node) Ready() (bool, string) {
 	s := n.view.Current()
 	switch {
@@ -221,12 +225,12 @@
 	return true, ""
 }
 
-// acceptsWork tells whether a worker may get new work under a snapshot.
+// acceptsWork reports whether a worker may get new work under a snapshot.
 func (n *Node) acceptsWork(s *fleetstate.Snapshot, id ids.WorkerID) bool {
 	w, ok := s.Configuration.Workers[id]
 	if !ok || s.Drained[id] || s.Zones[w.Zone] {
 		return false
 	}
-	l, ok := (*n.endpoints.Load())[id]
-	return ok && !l.Leaving && !(*n.leaving.Load())[id] && !s.Zones[l.Zone]
+	endpoint, ok := (*n.endpoints.Load())[id]
+	return ok && !endpoint.Leaving && !(*n.leaving.Load())[id] && !s.Zones[endpoint.Zone]
 }
--- a/internal/router/operate.go
+++ b/internal/router/operator.go
@@ -1,5 +1,4 @@
-// What operators may ask of a node: configurations, evacuations, drains, and
-// how things stand.
+// Operator API of a node: configurations, evacuations, drains and status.
 
 package router
 
@@ -23,8 +22,8 @@
 	"keelstair.example/internal/routing"
 )
 
-// Operation ids are remembered by class, which stands before the slash: however many marks of
-// one kind there are, the ids of configurations and of the other kinds are not pushed out.
+// Prefixes of operation ids. The core remembers ids by the class before the slash, so that many
+// operations of one class don't evict the remembered ids of another.
 const (
 	configurationOps = "op/"
 	evacuationOps    = "zone/"
@@ -32,7 +31,7 @@
 	revocationOps    = "revoke/"
 )
 
-// opClass gives the class of the operations that set a mark.
+// opClass returns the prefix of the operation ids of a command kind.
 func opClass(kind string) string {
 	switch kind {
 	case fleetstate.EvacuateKind:
@@ -45,8 +44,8 @@
 	return configurationOps
 }
 
-// Apply checks the whole configuration before anything is written; then the
-// core takes it if it was made over the newest version.
+// Apply validates the whole configuration before anything is written. The core then accepts it if
+// its base is the newest version.
 func (n *Node) Apply(ctx context.Context, a *api.ApplyRequest) (*api.ApplyResponse, error) {
 	name := cmp.Or(a.Name, "policy")
 	var base []byte
@@ -60,7 +59,7 @@
 			s = n.view.Current()
 		}
 		if uint64(s.Version) != a.Base {
-			// The base has moved on, perhaps by this very operation.
+			// The version has changed since the base, perhaps by an earlier attempt of this operation.
 			callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 			defer stop()
 			r, err := n.agent.Submit(callContext, ids.OpID(configurationOps+a.Op), fleetstate.QueryKind, nil)
@@ -74,15 +73,15 @@
 		}
 		base = s.Text
 	}
-	p, complete, err := fleetstate.Draft(name, a.Source, text, base, a.Partial)
+	configuration, complete, err := fleetstate.Draft(name, a.Source, text, base, a.Partial)
 	if err != nil {
 		return nil, err
 	}
 	now := n.fleetTime()
 	if now.High == 0 {
-		now = certification.At(n.options.Host.Clock.Wall()) // where the fleet's time will begin
+		now = certification.At(n.options.Host.Clock.Wall()) // the fleet time will start here
 	}
-	if err := p.Follows(n.view.Current().Configuration, now); err != nil {
+	if err := configuration.Follows(n.view.Current().Configuration, now); err != nil {
 		return nil, fleetstate.Locate(name, []byte(a.Source), err)
 	}
 	if a.Dry {
@@ -108,34 +107,38 @@
 	return n.awaitApplied(ctx, r, true)
 }
 
+// staleError is the answer to a configuration whose base is not the newest version.
 func (n *Node) staleError(base uint64, s *fleetstate.Snapshot) error {
 	return api.Stale(base, uint64(max(s.Newest, s.Version)))
 }
 
-// operatorError tells an operator whether a thing was surely not done.
+// operatorError returns the answer for a failed operation, which says whether it certainly had no
+// effect.
 func (n *Node) operatorError(err error) error { return api.OutcomeEvent(err, n.retryDelay()) }
 
-// awaitApplied waits a while until this node has put the answer's version in force.
+// awaitApplied waits up to two seconds until this node has applied the operation and, if wait is
+// set, until the version in the reply is in force here. Active is set if it was.
 func (n *Node) awaitApplied(
 	ctx context.Context,
 	r *coordination.SubmitResponse,
 	wait bool,
 ) (*api.ApplyResponse, error) {
-	var got fleetstate.VersionReply
-	if _, err := got.UnmarshalMsg(r.Body); err != nil {
+	var reply fleetstate.VersionReply
+	if _, err := reply.UnmarshalMsg(r.Body); err != nil {
 		return nil, failure.As(err, failure.OutcomeUnknown, "read ruling", "core")
 	}
 	for range 80 {
-		if n.agent.Seq() >= r.Seq && (!wait || n.view.Current().Version >= got.Version) {
-			return &api.ApplyResponse{Version: uint64(got.Version), Active: true}, nil
+		if n.agent.Seq() >= r.Seq && (!wait || n.view.Current().Version >= reply.Version) {
+			return &api.ApplyResponse{Version: uint64(reply.Version), Active: true}, nil
 		}
 		if !host.Sleep(ctx, 25*time.Millisecond) {
 			break
 		}
 	}
-	return &api.ApplyResponse{Version: uint64(got.Version)}, nil
+	return &api.ApplyResponse{Version: uint64(reply.Version)}, nil
 }
 
+// submitMark submits an operation that sets or clears a mark, such as a drain.
 func (n *Node) submitMark(ctx context.Context, op, kind string, body []byte) (*api.ApplyResponse, error) {
 	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
@@ -146,7 +149,7 @@
 	return n.awaitApplied(ctx, r, false)
 }
 
-// Evacuate empties a zone of new work, or takes that back.
+// Evacuate stops new work in a zone, or allows it again.
 func (n *Node) Evacuate(ctx context.Context, zone string, m *api.MarkRequest) (*api.ApplyResponse, error) {
 	known := false
 	for _, z := range n.view.Current().Configuration.Zones {
@@ -161,7 +164,7 @@
 	}))
 }
 
-// Drain keeps new work from a worker, or takes that back.
+// Drain stops new work at a worker, or allows it again.
 func (n *Node) Drain(ctx context.Context, worker string, m *api.MarkRequest) (*api.ApplyResponse, error) {
 	if _, ok := n.view.Current().Configuration.Workers[ids.WorkerID(worker)]; !ok {
 		return nil, api.WriteFault(http.StatusNotFound, "unknown", "worker", "there is no worker %q", worker)
@@ -172,10 +175,10 @@
 	}))
 }
 
-// Shown gives operators what Show does.
+// Shown returns the result of Show for the operator API.
 func (n *Node) Shown(context.Context) (*api.Shown, error) { return n.Show(), nil }
 
-// Show gives the configuration in force.
+// Show returns the configuration in force, the evacuated zones and the drained workers.
 func (n *Node) Show() *api.Shown {
 	s := n.view.Current()
 	out := &api.Shown{
@@ -199,7 +202,7 @@
 	return out
 }
 
-// NodeStatus is the answer of status.
+// NodeStatus is the response of /v1/status.
 type NodeStatus struct {
 	Node          ids.NodeID                `json:"node"`
 	Zone          ids.Zone                  `json:"zone"`
@@ -217,15 +220,15 @@
 	ListedWorkers map[ids.WorkerID]ids.Zone `json:"listed"`
 	Evacuated     []string                  `json:"evacuated"`
 	Drained       []string                  `json:"drained"`
-	Records       [2]int                    `json:"deeds"` // claimed so far, and how many may ever be
-	FleetTime     certification.Now         `json:"time"`  // what the fleet's time may be; zeros without regimes
+	Records       [2]int                    `json:"deeds"` // stored idempotency records and their limit
+	FleetTime     certification.Now         `json:"time"`  // bounds of the fleet time; zeros without regimes
 	Revoked       []string                  `json:"revoked,omitempty"`
 }
 
-// Status tells how the node stands.
+// Status returns the node's NodeStatus.
 func (n *Node) Status() any {
 	ok, reason := n.Ready()
-	sh := n.Show()
+	shown := n.Show()
 	st := &NodeStatus{
 		Node:          n.self.Node,
 		Zone:          n.self.Zone,
@@ -237,21 +240,21 @@
 		Members:       n.agent.Members(),
 		Programs:      map[string]map[string]any{},
 		ListedWorkers: map[ids.WorkerID]ids.Zone{},
-		Evacuated:     sh.Zones,
-		Drained:       sh.Drained,
+		Evacuated:     shown.Zones,
+		Drained:       shown.Drained,
 		Workers:       []WorkerStatus{},
 		OwnedKeys:     []ids.Key{},
 	}
-	for _, g := range n.agent.OwnedKeys() {
-		st.OwnedKeys = append(st.OwnedKeys, g.Key)
+	for _, owned := range n.agent.OwnedKeys() {
+		st.OwnedKeys = append(st.OwnedKeys, owned.Key)
 	}
 	sort.Slice(st.OwnedKeys, func(i, j int) bool { return st.OwnedKeys[i] < st.OwnedKeys[j] })
 	for _, s := range *n.workerStatuses.Load() {
 		st.Workers = append(st.Workers, s)
 	}
 	sort.Slice(st.Workers, func(i, j int) bool { return st.Workers[i].ID < st.Workers[j].ID })
-	for id, l := range *n.endpoints.Load() {
-		st.ListedWorkers[id] = l.Zone
+	for id, endpoint := range *n.endpoints.Load() {
+		st.ListedWorkers[id] = endpoint.Zone
 	}
 	st.Counts = n.countsByName()
 	n.scores.Each(func(name string, s *routing.Score) {
@@ -274,7 +277,7 @@
 	return st
 }
 
-// countsByName gives the counters under the names that /v1/status has for them.
+// countsByName returns the counters under the names that /v1/status uses.
 func (n *Node) countsByName() map[string]int64 {
 	c := &n.counts
 	return map[string]int64{
--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -1,5 +1,5 @@
-// What a node knows of regimes: whom its register clears at the fleet's time, and only
-// while its word from the core is good; and what operators may ask of it.
+// Certificates and regimes at a node: which subjects its register clears at the current fleet time,
+// and the operator API for them. A node clears nobody while its state from the core is too old.
 
 package router
 
@@ -17,34 +17,35 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// fleetTime gives what the fleet's time may be now.
+// fleetTime returns the bounds of the current fleet time.
 func (n *Node) fleetTime() certification.Now {
 	low, high := n.agent.Time()
 	return certification.Now{Low: low, High: high}
 }
 
-// clearance gives the serial by which a subject may handle a regime's work now. Nobody may
-// while this node's word is too old to know of revocations and of the time.
-func (n *Node) clearance(regime string, s certification.Subject, part ids.Role) (string, error) {
+// clearance returns the serial of the certificate that allows a subject to handle a regime's work
+// in a role now. It clears nobody while this node's state from the core is too old to include
+// recent revocations and the fleet time.
+func (n *Node) clearance(regime string, s certification.Subject, role ids.Role) (string, error) {
 	if !n.agent.Current() {
 		return "", failure.New(
 			failure.NotExecuted,
 			"clear",
 			s.String(),
-			"this node's word from the core is too old for regime %q",
+			"this node's state from the core is too old for regime %q",
 			regime,
 		)
 	}
-	serial, ok := n.view.Current().Register.Clears(regime, s, part, n.fleetTime())
+	serial, ok := n.view.Current().Register.Clears(regime, s, role, n.fleetTime())
 	if !ok {
 		return "", failure.New(
-			failure.NotExecuted, "clear", s.String(), "no certificate in force clears it for regime %q", regime,
+			failure.NotExecuted, "clear", s.String(), "no valid certificate clears it for regime %q", regime,
 		)
 	}
 	return serial, nil
 }
 
-// Revoke ends a certificate for good. It answers once that is in force everywhere.
+// Revoke revokes a certificate permanently. It returns once the revocation is in force everywhere.
 func (n *Node) Revoke(ctx context.Context, serial string, m *api.MarkRequest) (*api.ApplyResponse, error) {
 	if _, ok := n.view.Current().Register.Find(serial); !ok {
 		return nil, api.WriteFault(http.StatusNotFound, "unknown", "serial", "there is no certificate %q", serial)
@@ -76,7 +77,8 @@
 	return n.awaitApplied(ctx, r, false)
 }
 
-// Regimes tells who is certified, until when, and what is short.
+// Regimes lists for each regime the certified subjects with their validity and the roles that lack
+// a certified subject.
 func (n *Node) Regimes() *api.Regimes {
 	s, now := n.view.Current(), n.fleetTime()
 	out := &api.Regimes{
@@ -87,11 +89,11 @@
 		Regimes: []api.Regime{},
 	}
 	for _, name := range s.Register.Regimes() {
-		g := s.Configuration.Regimes[name]
+		regime := s.Configuration.Regimes[name]
 		out.Regimes = append(out.Regimes, api.Regime{
 			Name:  name,
-			Kinds: g.Kinds,
-			Keep:  g.Keep,
+			Kinds: regime.Kinds,
+			Keep:  regime.Keep,
 			Rows:  s.Register.Rows(name, now),
 			Short: s.Register.Shortage(name, 1, now, n.canServe(s)),
 		})
@@ -99,15 +101,15 @@
 	return out
 }
 
-// canServe tells whether a certificate's subject could be picked now.
+// canServe returns a function that reports whether a subject is available for new work now.
 func (n *Node) canServe(s *fleetstate.Snapshot) func(certification.Subject) bool {
-	names := map[string]bool{}
+	nodes := map[string]bool{}
 	for _, m := range n.agent.Members() {
 		if !s.Zones[m.Zone] {
-			names[fleetstate.NodeName(m.Node)] = true
+			nodes[fleetstate.NodeName(m.Node)] = true
 		}
 	}
-	return func(one certification.Subject) bool {
-		return one.Worker != "" && n.acceptsWork(s, one.Worker) || names[one.Node]
+	return func(subject certification.Subject) bool {
+		return subject.Worker != "" && n.acceptsWork(s, subject.Worker) || nodes[subject.Node]
 	}
 }
--- a/internal/router/role_balance.go
+++ b/internal/router/role_balance.go
@@ -1,11 +1,15 @@
-// The switcher: for each pool one node decides when a worker changes its part. A
-// program may wish for a turn, else the built-in one; here stands what no wish can
-// break: a worker turns once a dwell, a pool's turns are half of it apart, a quarter
-// in one direction, so that each shows before the next, and the part that a worker
-// leaves keeps enough. Pressure counts what has begun at a worker. (Bookings counted
-// too, once; as room for the whole answer is booked at a decode worker while the
-// prompt still waits to be read, decode then looked as pressed as prefill was, and
-// nothing turned.) The worker's own holder drains it first.
+// Role changes. For each model's pool, the holder of the pool's key decides when a worker changes
+// between prefill and decode. A routing program or the built-in rule proposes a change; this file
+// enforces the limits that no proposal can exceed. A worker changes its role at most once per
+// dwell time. Changes in a pool are half a dwell time apart, or a quarter if they go in the same
+// direction, so that each shows its effect before the next. The role that a worker leaves must
+// keep enough workers.
+//
+// Pressure counts only requests that have started at a worker, not reservations: memory for the
+// whole answer is reserved at a decode worker while the prompt still waits for prefill, so with
+// reservations decode looked as loaded as prefill and no worker changed.
+//
+// The holder of the worker's key drains the worker before it changes the role.
 
 package router
 
@@ -26,13 +30,13 @@
 )
 
 const (
-	pressureSmoothing  = 0.3
+	pressureSmoothing  = 0.3 // weight of a new sample in the moving average of the pressure
 	roleChangeInterval = 500 * time.Millisecond
 	roleChangeTimeout  = 20 * time.Second
 )
 
-// rolePool is what the holder of a pool's key remembers; new hands start anew and
-// wait half a dwell.
+// rolePool is the state that the holder of a pool's key keeps. A new holder starts with an empty
+// state and waits half a dwell time before its first change.
 type rolePool struct {
 	fence      ids.Fence
 	lastChange ids.Tick
@@ -40,6 +44,7 @@
 	pressure   map[ids.Role]float64
 }
 
+// roleBalanceLoop makes role changes in the pools whose keys this node holds.
 func (n *Node) roleBalanceLoop(ctx context.Context) {
 	pools := map[string]*rolePool{}
 	for host.Sleep(ctx, roleChangeInterval) {
@@ -48,22 +53,22 @@
 		for _, w := range s.Configuration.Workers {
 			models[w.Model] = true
 		}
-		for m := range models {
-			fence, end, ok := n.agent.BeginOperation(fleetstate.PoolKey(m))
+		for model := range models {
+			fence, end, ok := n.agent.BeginOperation(fleetstate.PoolKey(model))
 			if !ok {
-				delete(pools, m)
+				delete(pools, model)
 				continue
 			}
-			p := pools[m]
-			if p == nil || p.fence != fence {
-				p = &rolePool{fence: fence, lastChange: n.now(), pressure: map[ids.Role]float64{}}
-				pools[m] = p
+			pool := pools[model]
+			if pool == nil || pool.fence != fence {
+				pool = &rolePool{fence: fence, lastChange: n.now(), pressure: map[ids.Role]float64{}}
+				pools[model] = pool
 			}
-			if w, ok := n.pickRoleChange(s, m, p); ok {
-				if err := n.changeRole(ctx, w.Worker, w.To); err == nil {
+			if change, ok := n.pickRoleChange(s, model, pool); ok {
+				if err := n.changeRole(ctx, change.Worker, change.To); err == nil {
 					n.counts.RoleChanges.Add(1)
 				} else {
-					n.options.Ring.Info().AnErr("cause", err).Str("worker", string(w.Worker)).Msg("worker role not changed")
+					n.options.Ring.Info().AnErr("cause", err).Str("worker", string(change.Worker)).Msg("failed to change worker role")
 				}
 			}
 			end()
@@ -71,37 +76,37 @@
 	}
 }
 
-// pickRoleChange names a worker that should turn now, if any.
-func (n *Node) pickRoleChange(s *fleetstate.Snapshot, model string, p *rolePool) (routing.RoleChange, bool) {
+// pickRoleChange returns the role change to make in a pool now, if any.
+func (n *Node) pickRoleChange(s *fleetstate.Snapshot, model string, pool *rolePool) (routing.RoleChange, bool) {
 	now, dwell := n.now(), s.Configuration.Limits.Dwell()
-	by := map[ids.Role][]WorkerStatus{}
+	byRole := map[ids.Role][]WorkerStatus{}
 	for id, st := range *n.workerStatuses.Load() {
 		if w, ok := s.Configuration.Workers[id]; ok && w.Model == model && st.Ready && n.acceptsWork(s, id) {
-			by[st.Role] = append(by[st.Role], st)
+			byRole[st.Role] = append(byRole[st.Role], st)
 		}
 	}
-	view := &routing.Pool{Model: model, Pressure: p.pressure, Since: now.Since(p.lastChange)}
-	for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
-		list := by[part]
-		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
-		p.pressure[part] += pressureSmoothing * (rolePressure(list) - p.pressure[part])
-		rest := dwell / 2
-		if routing.OtherRole(part) == p.lastRole {
-			rest = dwell / 4
+	view := &routing.Pool{Model: model, Pressure: pool.pressure, Since: now.Since(pool.lastChange)}
+	for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
+		workers := byRole[role]
+		sort.Slice(workers, func(i, j int) bool { return workers[i].ID < workers[j].ID })
+		pool.pressure[role] += pressureSmoothing * (rolePressure(workers) - pool.pressure[role])
+		interval := dwell / 2
+		if routing.OtherRole(role) == pool.lastRole {
+			interval = dwell / 4
 		}
-		for _, st := range list {
+		for _, st := range workers {
 			w := s.Configuration.Workers[st.ID]
 			view.Workers = append(view.Workers, routing.RoleCandidate{
 				ID:            st.ID,
 				Zone:          w.Zone,
-				Role:          part,
+				Role:          role,
 				HomeRole:      w.Role,
 				Busy:          st.InFlight,
 				Work:          st.Started,
 				MaxConcurrent: st.MaxConcurrent,
 				Free:          st.Free,
 				Capacity:      st.Capacity,
-				Allowed: view.Since >= rest && canSpare(s, list, st.ID) && regimesStayCovered(s, list, st, n.fleetTime()) &&
+				Allowed: view.Since >= interval && canSpare(s, workers, st.ID) && regimesStayCovered(s, workers, st, n.fleetTime()) &&
 					!n.changedRoleWithin(st.ID, dwell),
 			})
 		}
@@ -109,80 +114,85 @@
 	change, ok := n.proposeRoleChange(s, view)
 	if ok {
 		n.roleChanges.Store(change.Worker, now)
-		p.lastChange, p.lastRole = now, change.To
+		pool.lastChange, pool.lastRole = now, change.To
 	}
 	return change, ok
 }
 
-// proposeRoleChange asks the programs; with turning off, workers go home one by one.
+// proposeRoleChange asks the routing programs for a role change. If role changes are disabled, it
+// returns the workers to their configured roles one at a time.
 func (n *Node) proposeRoleChange(s *fleetstate.Snapshot, view *routing.Pool) (routing.RoleChange, bool) {
 	if s.Configuration.RoleChanges {
 		return n.programsAt(s).ProposeRoleChange(view)
 	}
 	for _, to := range []ids.Role{ids.Prefill, ids.Decode} {
-		if w, ok := routing.Idlest(view, to, func(t routing.RoleCandidate) bool { return t.HomeRole == to }); ok {
-			return w, true
+		if change, ok := routing.Idlest(view, to, func(c routing.RoleCandidate) bool { return c.HomeRole == to }); ok {
+			return change, true
 		}
 	}
 	return routing.RoleChange{}, false
 }
 
-// rolePressure is the larger of the shares of starts and of room that are in use.
-func rolePressure(list []WorkerStatus) float64 {
-	var work, limit, used, room float64
-	for _, st := range list {
-		work, limit = work+float64(st.Started), limit+float64(st.MaxConcurrent)
-		used, room = used+float64(st.Used), room+float64(st.Capacity)
+// rolePressure returns the load of a role's workers: the share of their concurrency or the share of
+// their memory that started requests use, whichever is larger.
+func rolePressure(workers []WorkerStatus) float64 {
+	var started, limit, used, capacity float64
+	for _, st := range workers {
+		started, limit = started+float64(st.Started), limit+float64(st.MaxConcurrent)
+		used, capacity = used+float64(st.Used), capacity+float64(st.Capacity)
 	}
-	return max(work/max(limit, 1), used/max(room, 1))
+	return max(started/max(limit, 1), used/max(capacity, 1))
 }
 
-// canSpare tells whether a part can do without one of its workers: one of the same
-// weights stays, and two zones still have one if they had before.
-func canSpare(s *fleetstate.Snapshot, list []WorkerStatus, id ids.WorkerID) bool {
-	me := s.Configuration.Workers[id]
+// canSpare reports whether a role can lose one of its workers: another one with the same weights
+// must remain, and if the role has workers in two or more zones, it must keep workers in two.
+func canSpare(s *fleetstate.Snapshot, workers []WorkerStatus, id ids.WorkerID) bool {
+	candidate := s.Configuration.Workers[id]
 	before, after, same := map[ids.Zone]bool{}, map[ids.Zone]bool{}, 0
-	for _, st := range list {
+	for _, st := range workers {
 		w := s.Configuration.Workers[st.ID]
 		before[w.Zone] = true
 		if st.ID == id {
 			continue
 		}
 		after[w.Zone] = true
-		if w.Weights == me.Weights {
+		if w.Weights == candidate.Weights {
 			same++
 		}
 	}
 	return same >= 1 && len(after) >= min(2, len(before))
 }
 
-// regimesStayCovered tells whether every regime that a worker serves in its part keeps another one
-// there that is cleared too.
-func regimesStayCovered(s *fleetstate.Snapshot, list []WorkerStatus, me WorkerStatus, now certification.Now) bool {
-	for _, g := range s.Register.Regimes() {
-		clear := func(st WorkerStatus) bool {
-			_, ok := s.Register.Clears(g, certification.Subject{Worker: st.ID}, me.Role, now)
+// regimesStayCovered reports whether every regime that clears a worker in its role also clears
+// another worker in that role.
+func regimesStayCovered(s *fleetstate.Snapshot, workers []WorkerStatus, candidate WorkerStatus, now certification.Now) bool {
+	for _, regime := range s.Register.Regimes() {
+		cleared := func(st WorkerStatus) bool {
+			_, ok := s.Register.Clears(regime, certification.Subject{Worker: st.ID}, candidate.Role, now)
 			return ok
 		}
-		if clear(me) && !slices.ContainsFunc(list, func(st WorkerStatus) bool { return st.ID != me.ID && clear(st) }) {
+		if cleared(candidate) && !slices.ContainsFunc(workers, func(st WorkerStatus) bool {
+			return st.ID != candidate.ID && cleared(st)
+		}) {
 			return false
 		}
 	}
 	return true
 }
 
+// changedRoleWithin reports whether this node had a worker change its role within the dwell time.
 func (n *Node) changedRoleWithin(id ids.WorkerID, dwell time.Duration) bool {
 	v, ok := n.roleChanges.Load(id)
 	return ok && n.now().Since(v.(ids.Tick)) < dwell
 }
 
-// changeRole asks the worker's holder to drain it and change its part.
+// changeRole asks the holder of a worker's key to drain the worker and change its role.
 func (n *Node) changeRole(ctx context.Context, id ids.WorkerID, to ids.Role) error {
 	callContext, stop := context.WithTimeout(ctx, roleChangeTimeout+time.Second)
 	defer stop()
 	m, _, ok := n.agent.KeyOwner(fleetstate.WorkerKey(id))
 	if !ok {
-		return failure.New(failure.Unavailable, "turn", string(id), "nobody holds its key now")
+		return failure.New(failure.Unavailable, "turn", string(id), "no node holds its key now")
 	}
 	request := &OrderRequest{Worker: id, Verb: verbRoleChange, Body: []byte(to)}
 	if m.Node == n.self.Node {
@@ -193,34 +203,35 @@
 	return failure.Wrap(err, "turn", string(id))
 }
 
-// handleRoleChange is the holder's side: no new work, wait until it is empty, order it.
+// handleRoleChange changes the role of a worker whose key this node holds. It stops new
+// reservations, waits until the worker is empty, and orders the change.
 func (n *Node) handleRoleChange(
 	ctx context.Context,
-	d *workerDuty,
+	duty *workerDuty,
 	addr string,
-	lead workerclient.OrderHeader,
+	header workerclient.OrderHeader,
 	to ids.Role,
 ) (*workerclient.OrderResponse, error) {
-	d.ledger.Reservation(true)
-	defer d.ledger.Reservation(false)
+	duty.ledger.Reservation(true)
+	defer duty.ledger.Reservation(false)
 	callContext, stop := context.WithTimeout(ctx, roleChangeTimeout)
 	defer stop()
 	for {
-		if f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id)); !ok || f != d.fence {
-			return nil, failure.New(failure.Unavailable, "turn", n.self.Addr, "the key of %s went to other hands", d.id)
+		if f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(duty.id)); !ok || f != duty.fence {
+			return nil, failure.New(failure.Unavailable, "turn", n.self.Addr, "the key of %s moved to another node", duty.id)
 		}
-		lead.Version = n.view.Current().Version
-		if n.versionCurrent() && d.ledger.Empty() {
-			a, err := n.workerClient.SetRole(callContext, addr, &workerclient.RoleRequest{OrderHeader: lead, Role: to})
+		header.Version = n.view.Current().Version
+		if n.versionCurrent() && duty.ledger.Empty() {
+			response, err := n.workerClient.SetRole(callContext, addr, &workerclient.RoleRequest{OrderHeader: header, Role: to})
 			if !failure.Is(err, failure.NotExecuted) {
-				return a, err
+				return response, err
 			}
 		}
 		if !host.Sleep(callContext, 100*time.Millisecond) {
-			return nil, failure.New(failure.NotExecuted, "turn", string(d.id), "it did not drain in %s", roleChangeTimeout)
+			return nil, failure.New(failure.NotExecuted, "turn", string(duty.id), "it did not drain within %s", roleChangeTimeout)
 		}
 	}
 }
 
-// RoleChanges counts the parts that this node has had changed.
+// RoleChanges returns how many role changes this node has had made.
 func (n *Node) RoleChanges() int64 { return n.counts.RoleChanges.Load() }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -1,6 +1,6 @@
-// How a node carries one origin's request: the gates, the claim where the kind
-// needs one, the run, and the record before the end line. What is given up gets
-// its answer at once, with when to come back.
+// Serving of client requests: admission, the claim of an idempotency key if the kind needs one, the
+// run, and the recorded outcome before the final event. A request that is given up is answered at
+// once, with the time after which to retry.
 
 package router
 
@@ -22,6 +22,7 @@
 	"keelstair.example/internal/workerclient"
 )
 
+// retryDelay returns the configured retry-after time, by default one second.
 func (n *Node) retryDelay() time.Duration {
 	if ms := n.view.Current().Configuration.Limits.RetryAfterMs; ms > 0 {
 		return time.Duration(ms) * time.Millisecond
@@ -29,77 +30,80 @@
 	return time.Second
 }
 
-func (n *Node) rejectRetryable(code int, name, form string, args ...any) *api.Fault {
+// rejectRetryable counts a rejection and returns it with the configured retry-after time.
+func (n *Node) rejectRetryable(code int, name, format string, args ...any) *api.Fault {
 	n.counts.Rejected.Add(1)
-	return api.RetryLater(code, name, n.retryDelay(), form, args...)
+	return api.RetryLater(code, name, n.retryDelay(), format, args...)
 }
 
-// rejectForCapacity bounces for want of room: the caller comes back when there should be some.
-func (n *Node) rejectForCapacity(code int, name, form string, args ...any) *api.Fault {
-	f := n.rejectRetryable(code, name, form, args...)
-	f.After = n.retryAfter.Next(n.now(), n.counts.Completed.Load(), n.retryDelay()).Milliseconds()
-	return f
+// rejectForCapacity rejects a request for lack of capacity. Its retry-after time is when the node
+// expects to have capacity for the caller.
+func (n *Node) rejectForCapacity(code int, name, format string, args ...any) *api.Fault {
+	fault := n.rejectRetryable(code, name, format, args...)
+	fault.After = n.retryAfter.Next(n.now(), n.counts.Completed.Load(), n.retryDelay()).Milliseconds()
+	return fault
 }
 
-// Serve is the door's Server.
-func (n *Node) Serve(ctx context.Context, ask *api.StreamRequest, out api.Sink) error {
-	return n.serve(ctx, ask, out, false)
+// Serve serves a client's request.
+func (n *Node) Serve(ctx context.Context, request *api.StreamRequest, out api.Sink) error {
+	return n.serve(ctx, request, out, false)
 }
 
-// serve answers what an origin asked, or what another node passed on.
-func (n *Node) serve(ctx context.Context, ask *api.StreamRequest, out api.Sink, passed bool) error {
+// serve serves a client's request, or one that another node forwarded.
+func (n *Node) serve(ctx context.Context, request *api.StreamRequest, out api.Sink, forwarded bool) error {
 	n.counts.Requests.Add(1)
 	if ok, reason := n.Ready(); !ok {
 		return n.rejectRetryable(http.StatusServiceUnavailable, "not-ready", "%s", reason)
 	}
 	s := n.view.Current()
-	kind, ok := s.Configuration.Kinds[ask.Kind]
+	kind, ok := s.Configuration.Kinds[request.Kind]
 	switch {
 	case !ok:
-		return api.WriteFault(http.StatusBadRequest, "unknown", "kind", "there is no kind %q", ask.Kind)
-	case ask.Model != "" && ask.Model != kind.Model:
-		return api.WriteFault(http.StatusBadRequest, "unknown", "model", "kind %q runs on %q", ask.Kind, kind.Model)
-	case !n.offersAdapters(s, kind.Model, ask.Adapters):
+		return api.WriteFault(http.StatusBadRequest, "unknown", "kind", "there is no kind %q", request.Kind)
+	case request.Model != "" && request.Model != kind.Model:
+		return api.WriteFault(http.StatusBadRequest, "unknown", "model", "kind %q runs on %q", request.Kind, kind.Model)
+	case !n.offersAdapters(s, kind.Model, request.Adapters):
 		return api.WriteFault(http.StatusBadRequest, "unknown", "adapters", "no worker offers them all")
 	}
-	if g := s.Register.Governs(ask.Kind); g != "" {
-		if _, err := n.clearance(g, certification.Subject{Node: n.options.Name}, ""); err != nil && !passed {
-			return n.forward(ctx, s, g, ask, out)
+	if regime := s.Register.Governs(request.Kind); regime != "" {
+		if _, err := n.clearance(regime, certification.Subject{Node: n.options.Name}, ""); err != nil && !forwarded {
+			return n.forward(ctx, s, regime, request, out)
 		} else if err != nil {
 			return n.rejectRetryable(http.StatusServiceUnavailable, "not-certified", "%v", err)
 		}
 	}
-	if f := ask.Check(kind.Claimed, kind.MaxTokens, kind.MaxPrompt); f != nil {
-		return f
+	if fault := request.Check(kind.Claimed, kind.MaxTokens, kind.MaxPrompt); fault != nil {
+		return fault
 	}
-	if ask.MaxTokens == 0 {
-		ask.MaxTokens = kind.MaxTokens
+	if request.MaxTokens == 0 {
+		request.MaxTokens = kind.MaxTokens
 	}
-	leave, f := n.admit(s, ask.Kind)
-	if f != nil {
-		return f
+	release, fault := n.admit(s, request.Kind)
+	if fault != nil {
+		return fault
 	}
-	defer leave()
+	defer release()
 	t := &handoff.Task{
-		Kind:        ask.Kind,
-		Regime:      s.Register.Governs(ask.Kind),
+		Kind:        request.Kind,
+		Regime:      s.Register.Governs(request.Kind),
 		Zone:        n.self.Zone,
 		Claimed:     kind.Claimed,
 		MaxAttempts: s.Configuration.Limits.Attempts,
 		GiveUp:      s.Configuration.Limits.GiveUp(),
 	}
 	t.Identity = workerclient.Identity{
-		Prompt: ask.Tokens(),
-		Model:  workerclient.Model{Name: kind.Model, Adapters: ask.Adapters},
-		Params: workerclient.Params{MaxTokens: ask.MaxTokens, Temperature: ask.Temperature, Seed: ask.Seed},
+		Prompt: request.Tokens(),
+		Model:  workerclient.Model{Name: kind.Model, Adapters: request.Adapters},
+		Params: workerclient.Params{MaxTokens: request.MaxTokens, Temperature: request.Temperature, Seed: request.Seed},
 	}
 	t.Identity.ID.Request = coordination.NewID()
 	if !kind.Claimed {
 		return n.runUnclaimed(ctx, s, t, out)
 	}
-	return n.runClaimed(ctx, s, t, ask, out)
+	return n.runClaimed(ctx, s, t, request, out)
 }
 
+// offersAdapters reports whether some worker of a model offers all the wanted adapters.
 func (n *Node) offersAdapters(s *fleetstate.Snapshot, model string, want []string) bool {
 	if len(want) == 0 {
 		return true
@@ -113,39 +117,42 @@
 	return false
 }
 
-// admit bounds the streams carried at once. Once a node is half full, a kind
-// may take no more than its share by weight, so a crowd of one cannot shut out
-// the other.
+// admit limits the streams that the node serves at once. Above half of that limit, each kind may use
+// only its share by weight, so that many requests of one kind cannot starve the others. It returns
+// a function that releases the stream's place.
 func (n *Node) admit(s *fleetstate.Snapshot, kind string) (func(), *api.Fault) {
 	v, _ := n.kinds.LoadOrStore(kind, new(atomic.Int64))
-	mine := v.(*atomic.Int64)
+	inflightOfKind := v.(*atomic.Int64)
 	limit := int64(s.Configuration.Limits.Inflight)
-	sum := int64(0)
+	weights := int64(0)
 	for _, k := range s.Configuration.Kinds {
-		sum += int64(k.Weight)
+		weights += int64(k.Weight)
 	}
-	all, own := n.inflight.Add(1), mine.Add(1)
-	leave := func() { n.inflight.Add(-1); mine.Add(-1) }
-	share := limit * int64(s.Configuration.Kinds[kind].Weight) / max(sum, 1)
-	if all > limit || all > limit/2 && own > max(share, 1) {
-		leave()
-		return nil, n.rejectForCapacity(http.StatusTooManyRequests, "crowded", "%d streams are carried here", all-1)
+	total, own := n.inflight.Add(1), inflightOfKind.Add(1)
+	release := func() { n.inflight.Add(-1); inflightOfKind.Add(-1) }
+	share := limit * int64(s.Configuration.Kinds[kind].Weight) / max(weights, 1)
+	if total > limit || total > limit/2 && own > max(share, 1) {
+		release()
+		return nil, n.rejectForCapacity(http.StatusTooManyRequests, "crowded", "%d streams are carried here", total-1)
 	}
-	return leave, nil
+	return release, nil
 }
 
-// programsAt gives the programs of a snapshot.
+// programsAt returns the compiled routing programs of a snapshot's version, or the built-in order if
+// there are none.
 func (n *Node) programsAt(s *fleetstate.Snapshot) *routing.ProgramSet {
 	if v, ok := n.programSets.Load(s.Version); ok {
 		return v.(*routing.ProgramSet)
 	}
-	d, _ := routing.NewProgramSet(nil, 0, n.scores)
-	return d
+	builtIn, _ := routing.NewProgramSet(nil, 0, n.scores)
+	return builtIn
 }
 
+// newController returns the controller and the transport that run a task under a snapshot, and the
+// score of the routing program that the request is assigned to.
 func (n *Node) newController(s *fleetstate.Snapshot, t *handoff.Task) (*handoff.Controller, *transport, *routing.Score) {
 	programs := n.programsAt(s)
-	h := &transport{
+	tr := &transport{
 		node:     n,
 		snapshot: s,
 		programs: programs,
@@ -154,40 +161,40 @@
 		prefix:   routing.Prefix(t.Identity.Prompt, s.Configuration.Limits.PrefixTokens),
 	}
 	return &handoff.Controller{
-			Transport:     h,
+			Transport:     tr,
 			Clock:         n.options.Host.Clock,
 			OrphanTimeout: n.options.OrphanTimeout,
 			StreamTimeout: n.options.StreamTimeout,
 			Trace:         n.journal.Append,
-		}, h,
+		}, tr,
 		n.scores.Of(programs.ProgramFor(t.Identity.ID.Request))
 }
 
-// runUnclaimed runs a request that needs no claim.
+// runUnclaimed runs a request of a kind that claims no idempotency key.
 func (n *Node) runUnclaimed(ctx context.Context, s *fleetstate.Snapshot, t *handoff.Task, out api.Sink) error {
-	c, h, score := n.newController(s, t)
+	c, tr, score := n.newController(s, t)
 	start, count := n.now(), 0
-	var known error
+	var recordErr error
 	if t.Regime != "" {
 		t.Claim = func(ids.WorkerID, ids.Incarnation) error {
-			known = h.recordStart(ctx, t.Identity.ID.Request)
-			return known
+			recordErr = tr.recordStart(ctx, t.Identity.ID.Request)
+			return recordErr
 		}
 	}
-	err := c.Run(ctx, t, func(i int, tok int32, text string) error {
+	err := c.Run(ctx, t, func(i int, token int32, text string) error {
 		if count++; count == 1 {
 			score.ObserveFirstToken(n.now().Since(start))
 		}
-		return out.Put(api.StreamEvent{Index: i, Token: tok, Text: text})
+		return out.Put(api.StreamEvent{Index: i, Token: token, Text: text})
 	})
-	if known != nil {
-		return known
+	if recordErr != nil {
+		return recordErr
 	}
-	h.recordEnd(t.Identity.ID.Request, err, count)
+	tr.recordEnd(t.Identity.ID.Request, err, count)
 	return n.finishStream(err, count, score, out)
 }
 
-// finishStream says how a stream ended; only a whole one looks complete.
+// finishStream ends the caller's stream. Only a stream with all of its tokens is marked complete.
 func (n *Node) finishStream(err error, count int, score *routing.Score, out api.Sink) error {
 	switch {
 	case err == nil:
@@ -202,7 +209,7 @@
 	}
 	n.counts.Aborted.Add(1)
 	score.Broken.Add(1)
-	n.options.Ring.Info().AnErr("cause", err).Int("tokens", count).Msg("stream aborted")
+	n.options.Ring.Info().AnErr("cause", err).Int("tokens", count).Msg("stream aborted before its last token")
 	return out.Put(api.StreamEvent{
 		Index: count,
 		End:   api.Broken,
@@ -211,5 +218,5 @@
 	})
 }
 
-// errReplayed ends a task whose answer came from the record.
+// errReplayed ends a task whose answer was replayed from the idempotency record.
 var errReplayed = errors.New("answered from the record")
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -1,4 +1,4 @@
-// The node's hands: how its controller picks cleared workers and reaches them.
+// Transport of the hand-over controller: it picks eligible workers and sends them orders.
 
 package router
 
@@ -18,8 +18,9 @@
 	"keelstair.example/rpc"
 )
 
-// transport act for one request under the snapshot it began with; whether a worker may
-// get new work is always asked of the newest.
+// transport picks workers and sends orders for one request. It uses the routing programs of the
+// snapshot that the request started with; whether a worker may get new work is always decided by
+// the newest snapshot.
 type transport struct {
 	node          *Node
 	snapshot      *fleetstate.Snapshot
@@ -27,29 +28,31 @@
 	prefix        uint64
 	pickedVersion ids.Version
 	kind          string
-	regime        string       // that the request is bound to, if any
-	pickedRole    ids.Role     // that was picked for last
-	memorySource  ids.WorkerID // where the memory that moves lies staged
+	regime        string       // the regime that governs the request, if any
+	pickedRole    ids.Role     // the role of the last pick
+	memorySource  ids.WorkerID // the worker that the KV memory is imported from
 	auditSteps    []fleetstate.AuditStep
-	startRecorded bool // its first row stands
+	startRecorded bool // the audit row of the start has been appended
 }
 
-func (h *transport) Pick(
+// Pick returns the workers that may serve a role of the request, in the order in which to try them.
+// Workers that are excluded or faulted recently are returned only if there is no other.
+func (t *transport) Pick(
 	request *routing.PickRequest,
-	on workerclient.Model,
+	model workerclient.Model,
 	excluded map[ids.WorkerID]bool,
 ) []handoff.Picked {
-	n := h.node
-	// While a newer version is heard of and not had yet, or could not be heard of,
-	// picks are held.
+	n := t.node
+	// Wait up to one second while a newer version is known and not yet in force here, or while
+	// this node might not have learned of one.
 	for end := n.now().Add(time.Second); !n.versionCurrent(); {
 		if !n.now().Before(end) || !host.Sleep(context.Background(), 20*time.Millisecond) {
 			return nil
 		}
 	}
 	s := n.view.Current()
-	h.pickedVersion, h.pickedRole = s.Version, request.Role
-	regime := h.currentRegime(s)
+	t.pickedVersion, t.pickedRole = s.Version, request.Role
+	regime := t.currentRegime(s)
 	cleared := func(st WorkerStatus) bool {
 		if regime == "" {
 			return true
@@ -57,34 +60,34 @@
 		_, err := n.stepClearance(regime, st.ID, st.Role)
 		return err == nil
 	}
-	by := map[ids.WorkerID]handoff.Picked{}
-	var list, last []routing.Candidate
-	both := map[string]map[ids.Role]bool{}
+	picked := map[ids.WorkerID]handoff.Picked{}
+	var candidates, fallbacks []routing.Candidate
+	rolesByWeights := map[string]map[ids.Role]bool{}
 	for id, st := range *n.workerStatuses.Load() {
 		w, ok := s.Configuration.Workers[id]
 		if !ok || !st.Ready || !n.acceptsWork(s, id) || !cleared(st) {
 			continue
 		}
-		if both[w.Weights] == nil {
-			both[w.Weights] = map[ids.Role]bool{}
+		if rolesByWeights[w.Weights] == nil {
+			rolesByWeights[w.Weights] = map[ids.Role]bool{}
 		}
-		both[w.Weights][st.Role] = true
+		rolesByWeights[w.Weights][st.Role] = true
 	}
 	for id, st := range *n.workerStatuses.Load() {
 		w, ok := s.Configuration.Workers[id]
 		m := workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters}
-		want := on
+		want := model
 		if want.Weights == "" {
 			want.Weights = w.Weights
 		}
-		need := ids.Blocks(request.Need, st.Block)
+		blocks := ids.Blocks(request.Need, st.Block)
 		if !ok || st.Role != request.Role || !st.Ready || !n.acceptsWork(s, id) || !cleared(st) ||
-			regime == "" && !n.fitsBesideReserve(s, st, need) || !m.Offers(want) || st.InFlight >= st.MaxConcurrent ||
-			!both[w.Weights][ids.Prefill] || !both[w.Weights][ids.Decode] || st.Free < need {
+			regime == "" && !n.fitsBesideReserve(s, st, blocks) || !m.Offers(want) || st.InFlight >= st.MaxConcurrent ||
+			!rolesByWeights[w.Weights][ids.Prefill] || !rolesByWeights[w.Weights][ids.Decode] || st.Free < blocks {
 			continue
 		}
-		by[id] = handoff.Picked{ID: id, Model: m, Block: st.Block, Incarnation: st.Incarnation}
-		c := routing.Candidate{
+		picked[id] = handoff.Picked{ID: id, Model: m, Block: st.Block, Incarnation: st.Incarnation}
+		candidate := routing.Candidate{
 			ID:            id,
 			Zone:          w.Zone,
 			Weights:       w.Weights,
@@ -93,152 +96,167 @@
 			Capacity:      st.Capacity,
 			Busy:          st.InFlight,
 			MaxConcurrent: st.MaxConcurrent,
-			Affinity:      routing.Affinity(h.prefix, id),
+			Affinity:      routing.Affinity(t.prefix, id),
 		}
 		if excluded[id] || n.recentlyFaulted(id) {
-			last = append(last, c)
+			fallbacks = append(fallbacks, candidate)
 		} else {
-			list = append(list, c)
+			candidates = append(candidates, candidate)
 		}
 	}
-	if len(list) == 0 {
-		list = last
+	if len(candidates) == 0 {
+		candidates = fallbacks
 	}
-	out := make([]handoff.Picked, 0, len(list))
-	for _, id := range h.programs.Order(request, list) {
-		out = append(out, by[id])
+	out := make([]handoff.Picked, 0, len(candidates))
+	for _, id := range t.programs.Order(request, candidates) {
+		out = append(out, picked[id])
 	}
 	return out
 }
 
-func (h *transport) issueOrder(
+// issueOrder sends an order to a worker through the holder of its key. For governed work it first
+// checks the clearance, records the step for the audit, and cancels the step when the clearance
+// ends.
+func (t *transport) issueOrder(
 	ctx context.Context,
 	verb string,
 	w ids.WorkerID,
 	id workerclient.ID,
 	request OrderRequest,
-	m *workerclient.Identity,
-	duration time.Duration,
+	identity *workerclient.Identity,
+	timeout time.Duration,
 ) (*workerclient.OrderResponse, error) {
-	callContext, stop := context.WithTimeout(ctx, duration)
+	callContext, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	request.Worker, request.Verb, request.Request, request.Attempt = w, verb, id.Request, id.Attempt
-	if m != nil {
+	if identity != nil {
 		var err error
-		if request.Body, err = json.Marshal(m); err != nil {
+		if request.Body, err = json.Marshal(identity); err != nil {
 			return nil, failure.As(err, failure.InvalidArgument, verb, string(w))
 		}
 	}
-	// Cancelling and freeing may go on beside the next attempt, and need no regime.
-	if request.Role == "" || h.regime == "" {
+	// Orders without a role cancel an attempt or free its memory. They may run concurrently with
+	// the next attempt and need no clearance.
+	if request.Role == "" || t.regime == "" {
 		request.Role = ""
-		return h.node.sendOrder(callContext, &request)
+		return t.node.sendOrder(callContext, &request)
 	}
-	request.Regime = h.regime
-	serial, err := h.node.orderClearance(&request)
+	request.Regime = t.regime
+	serial, err := t.node.orderClearance(&request)
 	if err != nil {
 		return nil, err
 	}
-	h.recordStep(verb, w, id, serial)
-	source := h.memorySource
+	t.recordStep(verb, w, id, serial)
+	source := t.memorySource
 	if verb != verbImport && verb != verbResume {
 		source = ""
 	}
-	callContext, end := h.guardStep(callContext, w, request.Role, source)
-	a, err := h.node.sendOrder(callContext, &request)
-	return a, end(err)
+	callContext, end := t.guardStep(callContext, w, request.Role, source)
+	response, err := t.node.sendOrder(callContext, &request)
+	return response, end(err)
 }
 
-func (h *transport) Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error {
-	_, err := h.issueOrder(ctx, verbReserve, w, id, OrderRequest{Blocks: blocks, Role: h.pickedRole}, nil, 400*time.Millisecond)
+// Reserve reserves blocks of memory at a worker.
+func (t *transport) Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error {
+	_, err := t.issueOrder(ctx, verbReserve, w, id, OrderRequest{Blocks: blocks, Role: t.pickedRole}, nil, 400*time.Millisecond)
 	return err
 }
 
-func (h *transport) Prefill(
+// Prefill starts the prefill of a prompt at a worker.
+func (t *transport) Prefill(
 	ctx context.Context,
 	w ids.WorkerID,
-	m workerclient.Identity,
+	identity workerclient.Identity,
 ) (*workerclient.OrderResponse, error) {
-	return h.issueOrder(ctx, verbPrefill, w, m.ID, OrderRequest{Role: ids.Prefill}, &m, 6*time.Second)
+	return t.issueOrder(ctx, verbPrefill, w, identity.ID, OrderRequest{Role: ids.Prefill}, &identity, 6*time.Second)
 }
 
-func (h *transport) Export(
+// Export has a prefill worker export the KV memory of an attempt.
+func (t *transport) Export(
 	ctx context.Context,
 	w ids.WorkerID,
 	id workerclient.ID,
 ) (*workerclient.OrderResponse, error) {
-	return h.issueOrder(ctx, verbExport, w, id, OrderRequest{Role: ids.Prefill}, nil, 1500*time.Millisecond)
+	return t.issueOrder(ctx, verbExport, w, id, OrderRequest{Role: ids.Prefill}, nil, 1500*time.Millisecond)
 }
 
-func (h *transport) Import(
+// Import has a decode worker import the KV memory of an attempt from the source worker.
+func (t *transport) Import(
 	ctx context.Context,
 	w ids.WorkerID,
-	m workerclient.Identity,
-	src ids.WorkerID,
+	identity workerclient.Identity,
+	source ids.WorkerID,
 ) (*workerclient.OrderResponse, error) {
-	h.memorySource = src
-	return h.issueOrder(ctx, verbImport, w, m.ID, OrderRequest{Source: src, Role: ids.Decode}, &m, 1500*time.Millisecond)
+	t.memorySource = source
+	return t.issueOrder(
+		ctx, verbImport, w, identity.ID, OrderRequest{Source: source, Role: ids.Decode}, &identity, 1500*time.Millisecond,
+	)
 }
 
-func (h *transport) Resume(
+// Resume starts decoding at a worker that has imported the KV memory.
+func (t *transport) Resume(
 	ctx context.Context,
 	w ids.WorkerID,
 	id workerclient.ID,
 ) (*workerclient.OrderResponse, error) {
-	return h.issueOrder(ctx, verbResume, w, id, OrderRequest{Role: ids.Decode}, nil, 3*time.Second)
+	return t.issueOrder(ctx, verbResume, w, id, OrderRequest{Role: ids.Decode}, nil, 3*time.Second)
 }
 
-func (h *transport) Cancel(
+// Cancel cancels an attempt at a worker.
+func (t *transport) Cancel(
 	ctx context.Context,
 	w ids.WorkerID,
 	id workerclient.ID,
 ) (*workerclient.OrderResponse, error) {
-	return h.issueOrder(ctx, verbCancel, w, id, OrderRequest{}, nil, time.Second)
+	return t.issueOrder(ctx, verbCancel, w, id, OrderRequest{}, nil, time.Second)
 }
 
-// Done gives the room back without waiting; a lost one is found by reports.
-func (h *transport) Done(w ids.WorkerID, id workerclient.ID, sure bool) {
+// Done frees the memory reserved for an attempt without waiting for the answer. If the order is
+// lost, the holder learns of it from the worker's reports. Certain says that the attempt has
+// certainly ended.
+func (t *transport) Done(w ids.WorkerID, id workerclient.ID, certain bool) {
 	request := OrderRequest{}
-	if sure {
+	if certain {
 		request.Blocks = 1
 	}
-	go h.issueOrder(context.Background(), verbDone, w, id, request, nil, time.Second)
+	go t.issueOrder(context.Background(), verbDone, w, id, request, nil, time.Second)
 }
 
-func (h *transport) Stream(
+// Stream passes the token events of an attempt to put, starting at index from.
+func (t *transport) Stream(
 	ctx context.Context,
 	w ids.WorkerID,
 	id workerclient.ID,
 	from int,
 	put func(workerclient.TokenEvent) error,
 ) error {
-	l, ok := (*h.node.endpoints.Load())[w]
+	endpoint, ok := (*t.node.endpoints.Load())[w]
 	if !ok {
 		return failure.New(failure.DataLost, "stream", string(w), "the platform does not list it")
 	}
-	ctx, end := h.guardStep(ctx, w, ids.Decode, "")
+	ctx, end := t.guardStep(ctx, w, ids.Decode, "")
 	return end(
-		h.node.workerClient.Stream(ctx, l.Addr, id, from, h.node.options.StreamTimeout, func(p workerclient.TokenEvent) error {
-			if _, err := h.node.stepClearance(h.regime, w, ids.Decode); err != nil {
+		t.node.workerClient.Stream(ctx, endpoint.Addr, id, from, t.node.options.StreamTimeout, func(event workerclient.TokenEvent) error {
+			if _, err := t.node.stepClearance(t.regime, w, ids.Decode); err != nil {
 				return failure.As(err, failure.DataLost, "stream", string(w))
 			}
-			return put(p)
+			return put(event)
 		}),
 	)
 }
 
-// SpendRetry asks the budget's holder for one recompute, until it has one or the
-// patience is over.
-func (h *transport) SpendRetry(ctx context.Context, wait time.Duration) bool {
-	n := h.node
+// SpendRetry asks the holder of the retry budget for one token until it gets one or the wait time is
+// over, and reports whether it got one.
+func (t *transport) SpendRetry(ctx context.Context, wait time.Duration) bool {
+	n := t.node
 	for end := n.now().Add(wait); ; {
 		if m, _, ok := n.agent.KeyOwner(fleetstate.RetryBudgetKey); ok {
 			callContext, stop := context.WithTimeout(ctx, 400*time.Millisecond)
-			r, err := rpc.Call[coordination.Empty, RetryTokenResponse](
+			response, err := rpc.Call[coordination.Empty, RetryTokenResponse](
 				callContext, n.caller, m.Addr, SpendMethod, &coordination.Empty{},
 			)
 			stop()
-			if err == nil && r.OK {
+			if err == nil && response.OK {
 				return true
 			}
 		}
@@ -248,12 +266,13 @@
 	}
 }
 
-// PickedUnderStaleVersion: what was picked may be outdated by now.
-func (h *transport) PickedUnderStaleVersion() bool {
-	return !h.node.versionCurrent() || h.node.view.Current().Version != h.pickedVersion
+// PickedUnderStaleVersion reports whether the last pick may be outdated: a newer version is in force
+// than the one it was made under, or this node might not know the newest version.
+func (t *transport) PickedUnderStaleVersion() bool {
+	return !t.node.versionCurrent() || t.node.view.Current().Version != t.pickedVersion
 }
 
-// faultCount is how often hand-overs were lost at a worker of late.
+// faultCount counts the hand-overs lost at a worker. It restarts after faultTTL without a loss.
 type faultCount struct {
 	count  int
 	lastAt ids.Tick
@@ -261,19 +280,20 @@
 
 const faultTTL = 3 * time.Second
 
-// ReportFault notes a lost hand-over. Which of its two workers was at fault is not
-// known; the one that is at fault again and again stands out.
-func (h *transport) ReportFault(w ids.WorkerID) {
-	n := h.node
+// ReportFault counts a lost hand-over against a worker. Which of the two workers of a hand-over
+// failed is not known, so both are counted; the faulty one accumulates counts.
+func (t *transport) ReportFault(w ids.WorkerID) {
+	n := t.node
 	now := n.now()
-	b := faultCount{1, now}
+	fault := faultCount{1, now}
 	if v, ok := n.faults.Load(w); ok && !now.Past(v.(faultCount).lastAt, faultTTL) {
-		b.count += v.(faultCount).count
+		fault.count += v.(faultCount).count
 	}
-	n.faults.Store(w, b)
+	n.faults.Store(w, fault)
 }
 
-// recentlyFaulted workers are picked last for a while.
+// recentlyFaulted reports whether a worker lost at least two hand-overs, the last of them within
+// faultTTL. Such a worker is picked only if there is no other.
 func (n *Node) recentlyFaulted(w ids.WorkerID) bool {
 	v, ok := n.faults.Load(w)
 	return ok && v.(faultCount).count >= 2 && !n.now().Past(v.(faultCount).lastAt, faultTTL)
--- a/internal/router/unresolved_claims.go
+++ b/internal/router/unresolved_claims.go
@@ -1,7 +1,7 @@
-// Unresolved claims: what a node owes the core's records. A claim whose fate was not learnt
-// in time, or an outcome that could not be recorded while the core was away, is
-// asked again with the same operation until it is known; so no key stays claimed
-// by a node that lives and does not run it.
+// Retries of submissions to the core. A claim whose result did not arrive in time, or an
+// outcome or audit row that could not be recorded while the core was unreachable, is submitted
+// again under the same operation id until it is accepted or refused. Otherwise a key could stay
+// claimed by a live node that does not run it.
 
 package router
 
@@ -17,6 +17,8 @@
 	"keelstair.example/internal/fleetstate"
 )
 
+// unresolvedClaim is one submission to repeat: an audit row if audit is set, else an outcome if
+// resolve is set, else a claim.
 type unresolvedClaim struct {
 	op      ids.OpID
 	claim   *fleetstate.Claim
@@ -24,57 +26,61 @@
 	audit   []byte
 }
 
+// unresolvedClaims is the queue of submissions to repeat.
 type unresolvedClaims struct {
 	mu     sync.Mutex
 	claims []unresolvedClaim
 }
 
-func (d *unresolvedClaims) add(one unresolvedClaim) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.claims = append(d.claims, one)
+func (u *unresolvedClaims) add(claim unresolvedClaim) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.claims = append(u.claims, claim)
 }
 
-func (d *unresolvedClaims) takeAll() []unresolvedClaim {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	out := d.claims
-	d.claims = nil
-	return out
+// takeAll empties the queue and returns what it held.
+func (u *unresolvedClaims) takeAll() []unresolvedClaim {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	claims := u.claims
+	u.claims = nil
+	return claims
 }
 
+// unresolvedClaimsLoop repeats the queued submissions every 250 ms.
 func (n *Node) unresolvedClaimsLoop(ctx context.Context) {
 	for host.Sleep(ctx, 250*time.Millisecond) {
-		for _, d := range n.unresolved.takeAll() {
-			if !n.retryUnresolved(ctx, d) {
-				n.unresolved.add(d)
+		for _, claim := range n.unresolved.takeAll() {
+			if !n.retryUnresolved(ctx, claim) {
+				n.unresolved.add(claim)
 			}
 		}
 	}
 }
 
-// retryUnresolved tells whether nothing more is owed.
-func (n *Node) retryUnresolved(ctx context.Context, d unresolvedClaim) bool {
-	if d.audit != nil {
+// retryUnresolved repeats one submission and reports whether it needs no further attempt.
+func (n *Node) retryUnresolved(ctx context.Context, pending unresolvedClaim) bool {
+	if pending.audit != nil {
 		callContext, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 		defer stop()
-		err := n.appendAudit(callContext, d.op, d.audit)
+		err := n.appendAudit(callContext, pending.op, pending.audit)
 		return err == nil || failure.Is(err, failure.InvalidArgument)
 	}
-	if d.resolve == nil {
+	if pending.resolve == nil {
 		callContext, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 		defer stop()
-		r, err := n.agent.Submit(callContext, d.op, fleetstate.ClaimKind, coordination.MustMarshal(d.claim))
+		r, err := n.agent.Submit(callContext, pending.op, fleetstate.ClaimKind, coordination.MustMarshal(pending.claim))
 		if err != nil {
 			return failure.Is(err, failure.Stale) || failure.Is(err, failure.InvalidArgument)
 		}
-		var got fleetstate.ClaimReply
-		if _, err := got.UnmarshalMsg(r.Body); err != nil || !got.Fresh {
+		var reply fleetstate.ClaimReply
+		if _, err := reply.UnmarshalMsg(r.Body); err != nil || !reply.Fresh {
 			return true
 		}
-		// It was claimed for nothing: nothing ran, and now nothing can.
-		d.resolve = &fleetstate.Resolve{Key: d.claim.Key, Owner: n.self.Node, Outcome: fleetstate.NotRun}
+		// The claim was accepted only now, after the request had been given up: nothing ran, and
+		// nothing can run on it any more.
+		pending.resolve = &fleetstate.Resolve{Key: pending.claim.Key, Owner: n.self.Node, Outcome: fleetstate.NotRun}
 	}
-	err := n.submitOutcome(d.resolve)
+	err := n.submitOutcome(pending.resolve)
 	return err == nil || failure.Is(err, failure.Stale)
 }
--- a/internal/router/holder.go
+++ b/internal/router/worker_duty.go
@@ -1,5 +1,5 @@
-// The holder's side of a worker's duty: it polls the worker's reports, keeps
-// the ledger, and gives the orders, each under the fence and each only while
+// Worker duties. The node that holds a worker's key polls the worker's reports, keeps the ledger of
+// its memory, and sends it all orders. Each order carries the fencing token and is sent only while
 // this node holds the key.
 
 package router
@@ -19,16 +19,16 @@
 	"keelstair.example/rpc"
 )
 
-// workerDuty is the duty for one worker under one grant.
+// workerDuty is the duty for one worker under one grant of its key.
 type workerDuty struct {
 	id         ids.WorkerID
 	fence      ids.Fence
 	ledger     *handoff.MemoryLedger
-	fenceKnown bool // the worker knows the fence; the poll alone reads and sets it
+	fenceKnown bool // the worker has accepted the fencing token; used by pollReports only
 	stop       context.CancelFunc
 }
 
-// Verbs of orders.
+// Verbs of orders, as OrderRequest.Verb has them.
 const (
 	verbReserve    = "reserve"
 	verbPrefill    = "prefill"
@@ -40,22 +40,22 @@
 	verbRoleChange = "turn"
 )
 
-// dutyLoop opens a desk for each worker whose key falls here and shuts those that
-// went elsewhere.
+// dutyLoop starts a duty for each worker whose key this node holds and stops the duties whose keys
+// it no longer holds.
 func (n *Node) dutyLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	for {
-		lim := n.view.Current().Configuration.Limits
-		mine := map[ids.WorkerID]bool{}
+		limits := n.view.Current().Configuration.Limits
+		held := map[ids.WorkerID]bool{}
 		for id := range n.view.Current().Configuration.Workers {
 			f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(id))
 			if !ok {
 				continue
 			}
-			mine[id] = true
+			held[id] = true
 			if previous, ok := n.duties.Load(id); ok {
 				if d := previous.(*workerDuty); d.fence == f {
-					d.ledger.Configure(lim.Lag(), lim.SlowStart(), lim.Queue)
+					d.ledger.Configure(limits.Lag(), limits.SlowStart(), limits.Queue)
 					continue
 				}
 				previous.(*workerDuty).stop()
@@ -65,13 +65,13 @@
 				id:     id,
 				fence:  f,
 				stop:   stop,
-				ledger: handoff.NewMemoryLedger(lim.Lag(), lim.SlowStart(), lim.Queue),
+				ledger: handoff.NewMemoryLedger(limits.Lag(), limits.SlowStart(), limits.Queue),
 			}
 			n.duties.Store(id, d)
 			wg.Go(func() { n.pollReports(callContext, d) })
 		}
 		n.duties.Range(func(k, v any) bool {
-			if !mine[k.(ids.WorkerID)] {
+			if !held[k.(ids.WorkerID)] {
 				v.(*workerDuty).stop()
 				n.duties.Delete(k)
 			}
@@ -85,17 +85,19 @@
 	wg.Wait()
 }
 
+// pollReports polls a worker's reports until the duty stops. It establishes the fencing token at the
+// worker before it uses the first report.
 func (n *Node) pollReports(ctx context.Context, d *workerDuty) {
 	for {
-		if l, ok := (*n.endpoints.Load())[d.id]; ok {
-			asked := n.now()
-			r, err := n.workerClient.Report(ctx, l.Addr)
+		if endpoint, ok := (*n.endpoints.Load())[d.id]; ok {
+			requestedAt := n.now()
+			report, err := n.workerClient.Report(ctx, endpoint.Addr)
 			if err == nil && !d.fenceKnown {
-				err = n.establishFence(ctx, d, l.Addr, r.Role)
+				err = n.establishFence(ctx, d, endpoint.Addr, report.Role)
 			}
 			if err == nil {
-				d.ledger.Report(r, asked)
-				n.view.NoteVersion(r.Version)
+				d.ledger.Report(report, requestedAt)
+				n.view.NoteVersion(report.Version)
 			} else {
 				d.ledger.Missed()
 			}
@@ -106,23 +108,23 @@
 	}
 }
 
-// establishFence names the worker the part that it has, under the new fence. From
-// then on it obeys no earlier holder, and only from then on is the time counted
-// after which a report surely shows all that the earlier one had ordered.
-func (n *Node) establishFence(ctx context.Context, d *workerDuty, addr string, part ids.Role) error {
+// establishFence orders the worker to keep its current role, under the new fencing token. From then
+// on the worker refuses orders of earlier holders. The time after which a report certainly shows
+// everything that an earlier holder ordered also counts from then on.
+func (n *Node) establishFence(ctx context.Context, d *workerDuty, addr string, role ids.Role) error {
 	f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id))
 	if !ok || f != d.fence {
-		return failure.New(failure.Unavailable, "first order", n.self.Addr, "the key of %s went to other hands", d.id)
+		return failure.New(failure.Unavailable, "first order", n.self.Addr, "the key of %s moved to another node", d.id)
 	}
 	if !n.versionCurrent() {
 		return failure.New(failure.Unavailable, "first order", n.self.Addr, "a newer version may be in force")
 	}
 	callContext, stop := context.WithTimeout(ctx, 800*time.Millisecond)
 	defer stop()
-	lead := workerclient.OrderHeader{Fence: f, Version: n.view.Current().Version}
+	header := workerclient.OrderHeader{Fence: f, Version: n.view.Current().Version}
 	if _, err := n.workerClient.SetRole(callContext, addr, &workerclient.RoleRequest{
-		OrderHeader: lead,
-		Role:        part,
+		OrderHeader: header,
+		Role:        role,
 	}); err != nil {
 		return err
 	}
@@ -131,70 +133,72 @@
 	return nil
 }
 
-// handleOrder answers an order that another node (or this one) asks the holder for.
+// handleOrder executes an order that a node sent to this node as the holder of the worker's key.
 func (n *Node) handleOrder(ctx context.Context, request *OrderRequest) (*OrderResponse, error) {
-	a, err := n.executeOrder(ctx, request)
+	workerResponse, err := n.executeOrder(ctx, request)
 	if err != nil {
 		return nil, failure.Wrap(err, request.Verb, string(request.Worker))
 	}
-	r := &OrderResponse{Version: n.view.HighestVersion()}
-	if a != nil {
-		r.Version = max(r.Version, a.Version)
-		if r.Body, err = json.Marshal(a); err != nil {
+	response := &OrderResponse{Version: n.view.HighestVersion()}
+	if workerResponse != nil {
+		response.Version = max(response.Version, workerResponse.Version)
+		if response.Body, err = json.Marshal(workerResponse); err != nil {
 			return nil, failure.As(err, failure.InvalidArgument, request.Verb, string(request.Worker))
 		}
 	}
-	return r, nil
+	return response, nil
 }
 
+// executeOrder executes an order under this node's fencing token. The response is nil for orders that
+// only change the ledger.
 func (n *Node) executeOrder(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
 	fence, end, ok := n.agent.BeginOperation(fleetstate.WorkerKey(request.Worker))
 	if !ok {
-		return nil, failure.New(failure.Unavailable, "hold key", n.self.Addr, "not the holder of %s", request.Worker)
+		return nil, failure.New(failure.Unavailable, "hold key", n.self.Addr, "this node does not hold the key of %s", request.Worker)
 	}
 	defer end()
 	duty, err := n.dutyForFence(request.Worker, fence)
 	if err != nil {
 		return nil, err
 	}
-	led := duty.ledger
+	ledger := duty.ledger
 	if _, err := n.orderClearance(request); err != nil {
 		return nil, err
 	}
 	id := workerclient.ID{Request: request.Request, Attempt: request.Attempt}
-	l, ok := (*n.endpoints.Load())[request.Worker]
+	endpoint, ok := (*n.endpoints.Load())[request.Worker]
 	if !ok {
 		return nil, failure.New(failure.DataLost, "find worker", string(request.Worker), "the platform does not list it")
 	}
-	settled := n.view.NoteVersion(request.Version)
-	lead := workerclient.OrderHeader{Fence: fence, Version: n.view.Current().Version}
-	in, err := decodeIdentity(request)
+	upToDate := n.view.NoteVersion(request.Version)
+	header := workerclient.OrderHeader{Fence: fence, Version: n.view.Current().Version}
+	identity, err := decodeIdentity(request)
 	if err != nil {
 		return nil, err
 	}
-	var a *workerclient.OrderResponse
+	var response *workerclient.OrderResponse
 	switch request.Verb {
 	case verbReserve:
-		return nil, n.reserveMemory(request, led, id, settled)
+		return nil, n.reserveMemory(request, ledger, id, upToDate)
 	case verbPrefill:
-		if !led.Reserved(id) {
+		if !ledger.Reserved(id) {
 			return nil, notReservedError(request)
 		}
-		led.Moved(id, n.now())
-		a, err = n.workerClient.Prefill(ctx, l.Addr, &workerclient.PrefillRequest{OrderHeader: lead, Identity: in})
+		ledger.Moved(id, n.now())
+		response, err = n.workerClient.Prefill(ctx, endpoint.Addr, &workerclient.PrefillRequest{OrderHeader: header, Identity: identity})
 	case verbExport:
-		a, err = n.workerClient.Export(ctx, l.Addr, &workerclient.ExportRequest{OrderHeader: lead, ID: id})
+		response, err = n.workerClient.Export(ctx, endpoint.Addr, &workerclient.ExportRequest{OrderHeader: header, ID: id})
 	case verbImport:
-		a, err = n.importMemory(ctx, request, led, l.Addr, &workerclient.ImportRequest{OrderHeader: lead, Identity: in})
+		response, err = n.importMemory(ctx, request, ledger, endpoint.Addr, &workerclient.ImportRequest{OrderHeader: header, Identity: identity})
 	case verbResume:
-		a, err = n.workerClient.Resume(ctx, l.Addr, &workerclient.IDRequest{OrderHeader: lead, ID: id})
+		response, err = n.workerClient.Resume(ctx, endpoint.Addr, &workerclient.IDRequest{OrderHeader: header, ID: id})
 	case verbCancel:
-		a, err = n.workerClient.Cancel(ctx, l.Addr, &workerclient.IDRequest{OrderHeader: lead, ID: id})
-		led.Ended(id, err == nil, n.now())
+		response, err = n.workerClient.Cancel(ctx, endpoint.Addr, &workerclient.IDRequest{OrderHeader: header, ID: id})
+		ledger.Ended(id, err == nil, n.now())
 	case verbRoleChange:
-		return n.handleRoleChange(ctx, duty, l.Addr, lead, ids.Role(request.Body))
+		return n.handleRoleChange(ctx, duty, endpoint.Addr, header, ids.Role(request.Body))
 	case verbDone:
-		led.Ended(id, request.Blocks > 0, n.now())
+		ledger.Ended(id, request.Blocks > 0, n.now())
 		return nil, nil
 	default:
 		return nil, failure.New(failure.InvalidArgument, "read order", n.self.Addr, "no verb %q", request.Verb)
@@ -202,43 +206,43 @@
 	if err != nil {
 		return nil, err
 	}
-	n.view.NoteVersion(a.Version)
-	return a, nil
+	n.view.NoteVersion(response.Version)
+	return response, nil
 }
 
-// dutyForFence gives this node's duty of a worker if it is at work under a fencing token.
+// dutyForFence returns this node's duty for a worker if it has started under the given fencing token.
 func (n *Node) dutyForFence(worker ids.WorkerID, fence ids.Fence) (*workerDuty, error) {
 	if v, ok := n.duties.Load(worker); ok && v.(*workerDuty).fence == fence {
 		return v.(*workerDuty), nil
 	}
-	return nil, failure.New(failure.Unavailable, "hold key", n.self.Addr, "the duty of %s has not begun yet", worker)
+	return nil, failure.New(failure.Unavailable, "hold key", n.self.Addr, "the duty for %s has not started yet", worker)
 }
 
-// importMemory has a worker fetch memory from the source that the order names.
+// importMemory has a worker import KV memory from the source that the order names.
 func (n *Node) importMemory(
 	ctx context.Context,
 	request *OrderRequest,
-	memory *handoff.MemoryLedger,
+	ledger *handoff.MemoryLedger,
 	addr string,
 	order *workerclient.ImportRequest,
 ) (*workerclient.OrderResponse, error) {
 	id := workerclient.ID{Request: request.Request, Attempt: request.Attempt}
 	source, ok := (*n.endpoints.Load())[request.Source]
-	if !memory.Reserved(id) || !ok {
+	if !ledger.Reserved(id) || !ok {
 		return nil, notReservedError(request)
 	}
-	memory.Moved(id, n.now())
+	ledger.Moved(id, n.now())
 	order.Source = source.Addr
 	return n.workerClient.Import(ctx, addr, order)
 }
 
-// notReservedError is the refusal of an order for which no memory was reserved.
+// notReservedError is the error for an order that has no reserved memory or no known source.
 func notReservedError(request *OrderRequest) error {
 	return failure.New(failure.NotExecuted, request.Verb, string(request.Worker),
 		"no memory is reserved for %s", request.Request)
 }
 
-// decodeIdentity reads the identity that an order carries, if it does.
+// decodeIdentity returns the request identity that an order carries, or a zero one if it carries none.
 func decodeIdentity(request *OrderRequest) (workerclient.Identity, error) {
 	var identity workerclient.Identity
 	if len(request.Body) == 0 || request.Verb == verbRoleChange {
@@ -248,10 +252,11 @@
 	return identity, failure.As(err, failure.InvalidArgument, "read order", string(request.Worker))
 }
 
-// reserveMemory books memory at a worker, unless the pick is stale or the worker gets no new work.
+// reserveMemory reserves memory at a worker. It refuses if the worker was picked under an older
+// version, may get no new work, or this node might not know the newest version.
 func (n *Node) reserveMemory(
 	request *OrderRequest,
-	memory *handoff.MemoryLedger,
+	ledger *handoff.MemoryLedger,
 	id workerclient.ID,
 	upToDate bool,
 ) error {
@@ -261,23 +266,23 @@
 			"picked under version %d, %d is in force", request.Version, s.Version)
 	}
 	if !n.acceptsWork(s, request.Worker) || !upToDate || !n.recentlyConfirmed() {
-		return failure.New(failure.NotExecuted, "reserve", string(request.Worker), "it may get no new work")
+		return failure.New(failure.NotExecuted, "reserve", string(request.Worker), "the worker may get no new work now")
 	}
 	keep := 0
 	if request.Regime == "" {
-		keep = s.Register.RetentionOf(request.Worker, memory.Role(), n.fleetTime())
+		keep = s.Register.RetentionOf(request.Worker, ledger.Role(), n.fleetTime())
 	}
-	return memory.ReserveBeside(id, request.Blocks, keep, n.now())
+	return ledger.ReserveBeside(id, request.Blocks, keep, n.now())
 }
 
-// sendOrder sends an order to the worker's holder, wherever that is now. While the
-// key is between two hands nothing was done, and it asks again until its time
-// is up; only a reservation is better made elsewhere.
+// sendOrder sends an order to the node that holds the worker's key. While the key moves between
+// nodes the order was not executed, so it is sent again until the context ends. A reservation is
+// not repeated, since another worker can be picked instead, and neither is a "done" order.
 func (n *Node) sendOrder(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
 	for {
-		a, err := n.sendOrderOnce(ctx, request)
+		response, err := n.sendOrderOnce(ctx, request)
 		if !failure.Is(err, failure.Unavailable) {
-			return a, err
+			return response, err
 		}
 		if request.Verb == verbReserve || request.Verb == verbDone || !host.Sleep(ctx, 60*time.Millisecond) {
 			return nil, failure.As(err, failure.NotExecuted, request.Verb, string(request.Worker))
@@ -285,31 +290,33 @@
 	}
 }
 
+// sendOrderOnce sends an order to the current holder of the worker's key, which may be this node. It
+// returns Unavailable if the holder is unknown or was not reached.
 func (n *Node) sendOrderOnce(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
 	if request.Version = n.view.HighestVersion(); request.Verb == verbReserve {
 		request.Version = n.view.Current().Version
 	}
 	m, _, ok := n.agent.KeyOwner(fleetstate.WorkerKey(request.Worker))
 	if !ok {
-		return nil, failure.New(failure.Unavailable, request.Verb, string(request.Worker), "nobody holds its key now")
+		return nil, failure.New(failure.Unavailable, request.Verb, string(request.Worker), "no node holds its key now")
 	}
 	if m.Node == n.self.Node {
-		a, err := n.executeOrder(ctx, request)
-		return a, failure.Wrap(err, request.Verb, string(request.Worker))
+		response, err := n.executeOrder(ctx, request)
+		return response, failure.Wrap(err, request.Verb, string(request.Worker))
 	}
-	r, err := rpc.Call[OrderRequest, OrderResponse](ctx, n.caller, m.Addr, OrderMethod, request)
+	reply, err := rpc.Call[OrderRequest, OrderResponse](ctx, n.caller, m.Addr, OrderMethod, request)
 	if rpc.IsDialError(err) {
 		return nil, failure.As(err, failure.Unavailable, request.Verb, string(request.Worker))
 	}
 	if err != nil {
 		return nil, failure.Wrap(err, request.Verb, string(request.Worker))
 	}
-	n.view.NoteVersion(r.Version)
-	a := &workerclient.OrderResponse{}
-	if len(r.Body) > 0 {
-		if err := json.Unmarshal(r.Body, a); err != nil {
+	n.view.NoteVersion(reply.Version)
+	response := &workerclient.OrderResponse{}
+	if len(reply.Body) > 0 {
+		if err := json.Unmarshal(reply.Body, response); err != nil {
 			return nil, failure.As(err, failure.OutcomeUnknown, request.Verb, m.Addr)
 		}
 	}
-	return a, nil
+	return response, nil
 }
