--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -1,6 +1,6 @@
-// Package forecast works out what a change would move, before it is made: workers,
-// keys, room, shares of traffic, and whether the core still decides. It only
-// reads; the state it is given is the live one, as a node shows it.
+// Package forecast predicts the effects of an operator's change before it is made: on the worker
+// catalog, the owners of coordination keys, memory capacity, the traffic shares of routing
+// programs, and the quorum of the core. It only reads the live state as a node reports it.
 package forecast
 
 import (
@@ -14,25 +14,26 @@
 	"keelstair.example/internal/router"
 )
 
-// Change is what may be done; one of its fields is set.
+// Change is a change to evaluate. Exactly one field is set.
 type Change struct {
-	Configuration *fleetstate.Configuration // a whole new configuration
+	Configuration *fleetstate.Configuration // a complete new configuration
 	Evacuate      ids.Zone
 	LoseZone      ids.Zone
-	LoseAddr      string // a machine, by any of its addresses
+	LoseAddr      string // the loss of the machine with this address
 	Drain         ids.WorkerID
-	Revoke        string // a certificate's serial
-	FleetTime     int64  // the fleet's time moves on to this, in nanoseconds since 1970
+	Revoke        string // the serial of a certificate
+	FleetTime     int64  // the fleet time to advance to, in nanoseconds since 1970
 }
 
-// KeyMove is a key that would change hands.
+// KeyMove is a coordination key whose owner would change.
 type KeyMove struct {
 	Key  ids.Key    `json:"key"`
 	From ids.NodeID `json:"from"`
 	To   ids.NodeID `json:"to"`
 }
 
-// PoolCapacity is what one part of a model can hold, in blocks.
+// PoolCapacity is the capacity of one role of a model's workers, in memory blocks. Pairs are the
+// values before and after the change.
 type PoolCapacity struct {
 	Model   string   `json:"model"`
 	Role    ids.Role `json:"part"`
@@ -42,7 +43,7 @@
 	Zones   [2]int   `json:"zones"`
 }
 
-// Forecast is what would come of it; pairs are before and after.
+// Forecast is the predicted effect of a change. Pairs are the values before and after it.
 type Forecast struct {
 	Version       ids.Version       `json:"version"`
 	WorkerChanges []string          `json:"workers"`
@@ -54,11 +55,13 @@
 	Warnings      []string          `json:"warnings"`
 }
 
-func (f *Forecast) warn(form string, args ...any) {
-	f.Warnings = append(f.Warnings, fmt.Sprintf(form, args...))
+// warn adds a warning.
+func (f *Forecast) warn(format string, args ...any) {
+	f.Warnings = append(f.Warnings, fmt.Sprintf(format, args...))
 }
 
-// Compute holds a change against the live state.
+// Compute returns the forecast for a change to the live state and the configuration in force. It
+// returns an error if the change names something that does not exist.
 func Compute(st *router.NodeStatus, now *fleetstate.Configuration, c Change) (*Forecast, error) {
 	if err := validate(st, now, c); err != nil {
 		return nil, err
@@ -87,18 +90,19 @@
 	return f, nil
 }
 
-func validate(st *router.NodeStatus, p *fleetstate.Configuration, c Change) error {
+// validate checks that the zone, the worker or the address that a change names exists.
+func validate(st *router.NodeStatus, configuration *fleetstate.Configuration, c Change) error {
 	for _, z := range []ids.Zone{c.Evacuate, c.LoseZone} {
-		ok := z == ""
-		for _, have := range p.Zones {
-			ok = ok || have == z
+		known := z == ""
+		for _, zone := range configuration.Zones {
+			known = known || zone == z
 		}
-		if !ok {
-			return failure.New(failure.InvalidArgument, "plan", string(z), "there is no such zone")
+		if !known {
+			return failure.New(failure.InvalidArgument, "plan", string(z), "the zone does not exist")
 		}
 	}
-	if _, ok := p.Workers[c.Drain]; !ok && c.Drain != "" {
-		return failure.New(failure.InvalidArgument, "plan", string(c.Drain), "there is no such worker")
+	if _, ok := configuration.Workers[c.Drain]; !ok && c.Drain != "" {
+		return failure.New(failure.InvalidArgument, "plan", string(c.Drain), "the worker does not exist")
 	}
 	if c.LoseAddr != "" {
 		for _, m := range st.Members {
@@ -106,16 +110,17 @@
 				return nil
 			}
 		}
-		for _, s := range st.Core.Voters {
-			if s.Addr == c.LoseAddr {
+		for _, voter := range st.Core.Voters {
+			if voter.Addr == c.LoseAddr {
 				return nil
 			}
 		}
-		return failure.New(failure.InvalidArgument, "plan", c.LoseAddr, "no node and no disk machine has this address")
+		return failure.New(failure.InvalidArgument, "plan", c.LoseAddr, "no router node and no disk machine of the core has this address")
 	}
 	return nil
 }
 
+// sortedWorkerIDs returns the ids of the workers in either configuration, in order.
 func sortedWorkerIDs(a, b *fleetstate.Configuration) []ids.WorkerID {
 	set := map[ids.WorkerID]bool{}
 	for id := range a.Workers {
@@ -132,122 +137,128 @@
 	return out
 }
 
-func (f *Forecast) compareWorkers(a, b *fleetstate.Configuration) {
-	for _, id := range sortedWorkerIDs(a, b) {
-		x, was := a.Workers[id]
-		y, is := b.Workers[id]
+// compareWorkers lists the workers that are added, removed or changed.
+func (f *Forecast) compareWorkers(now, next *fleetstate.Configuration) {
+	for _, id := range sortedWorkerIDs(now, next) {
+		before, existed := now.Workers[id]
+		after, exists := next.Workers[id]
 		switch {
-		case !was:
+		case !existed:
 			f.WorkerChanges = append(
 				f.WorkerChanges,
-				fmt.Sprintf("+ %s: %s of %s %s in %s, %d blocks", id, y.Role, y.Model, y.Weights, y.Zone, y.Capacity),
+				fmt.Sprintf("+ %s: %s of %s %s in %s, %d blocks", id, after.Role, after.Model, after.Weights, after.Zone, after.Capacity),
 			)
-		case !is:
+		case !exists:
 			f.WorkerChanges = append(
-				f.WorkerChanges, fmt.Sprintf("- %s: %s of %s %s in %s", id, x.Role, x.Model, x.Weights, x.Zone),
+				f.WorkerChanges, fmt.Sprintf("- %s: %s of %s %s in %s", id, before.Role, before.Model, before.Weights, before.Zone),
 			)
-		case fmt.Sprint(x) != fmt.Sprint(y):
-			f.WorkerChanges = append(f.WorkerChanges, fmt.Sprintf("~ %s: %v -> %v", id, x, y))
+		case fmt.Sprint(before) != fmt.Sprint(after):
+			f.WorkerChanges = append(f.WorkerChanges, fmt.Sprintf("~ %s: %v -> %v", id, before, after))
 		}
 	}
 }
 
-func (f *Forecast) compareShares(a, b *fleetstate.Configuration) {
-	for i, p := range []*fleetstate.Configuration{a, b} {
-		plain := 100
-		put := func(name string, n int) {
+// compareShares records the traffic share of each routing program in percent. Requests that no
+// program gets are "plain": the built-in order serves them.
+func (f *Forecast) compareShares(now, next *fleetstate.Configuration) {
+	for i, configuration := range []*fleetstate.Configuration{now, next} {
+		builtIn := 100
+		setShare := func(name string, percent int) {
 			pair := f.TrafficShares[name]
-			pair[i] = n
+			pair[i] = percent
 			f.TrafficShares[name] = pair
 		}
-		for name, g := range p.Programs {
-			if !g.Shadow {
-				put(name, g.Share)
-				plain -= g.Share
+		for name, program := range configuration.Programs {
+			if !program.Shadow {
+				setShare(name, program.Share)
+				builtIn -= program.Share
 			}
 		}
-		put("plain", plain)
+		setShare("plain", builtIn)
 	}
 }
 
-// removes tells whether a change takes away what stands at an address in a zone.
+// removes reports whether a change removes the machine with an address in a zone.
 func (c Change) removes(zone ids.Zone, addr string) bool {
 	return c.LoseZone != "" && c.LoseZone == zone || c.LoseAddr != "" && c.LoseAddr == addr
 }
 
+// compareKeys lists the keys whose owner changes when nodes are lost.
 func (f *Forecast) compareKeys(st *router.NodeStatus, next *fleetstate.Configuration, c Change) {
-	var was, is []ids.NodeID
+	var before, after []ids.NodeID
 	for _, m := range st.Members {
-		was = append(was, m.Node)
+		before = append(before, m.Node)
 		if !c.removes(m.Zone, m.Addr) {
-			is = append(is, m.Node)
+			after = append(after, m.Node)
 		}
 	}
-	f.Nodes = [2]int{len(was), len(is)}
-	if len(is) == 0 {
-		f.warn("no node would be left")
+	f.Nodes = [2]int{len(before), len(after)}
+	if len(after) == 0 {
+		f.warn("no router node would be left")
 	}
 	keys := []ids.Key{fleetstate.RetryBudgetKey, fleetstate.ResolutionKey}
-	pools := map[string]bool{}
+	models := map[string]bool{}
 	for id, w := range next.Workers {
 		keys = append(keys, fleetstate.WorkerKey(id))
-		pools[w.Model] = true
+		models[w.Model] = true
 	}
-	for m := range pools {
-		keys = append(keys, fleetstate.PoolKey(m))
+	for model := range models {
+		keys = append(keys, fleetstate.PoolKey(model))
 	}
 	sort.Slice(keys, func(i, j int) bool { return keys[i] < keys[j] })
 	for _, k := range keys {
-		if from, to := coordination.Owner(k, was), coordination.Owner(k, is); from != to {
+		if from, to := coordination.Owner(k, before), coordination.Owner(k, after); from != to {
 			f.KeyMoves = append(f.KeyMoves, KeyMove{k, from, to})
 		}
 	}
 }
 
+// compareCapacity computes the capacity of each role of each model and warns of roles that would have
+// too little. Workers that are drained, or in an evacuated zone, don't count on either side.
 func (f *Forecast) compareCapacity(st *router.NodeStatus, now, next *fleetstate.Configuration, c Change) {
 	type group struct {
 		model string
 		role  ids.Role
 	}
-	rooms := map[group]*PoolCapacity{}
+	capacities := map[group]*PoolCapacity{}
 	zones := map[group][2]map[ids.Zone]bool{}
-	stands := map[ids.WorkerID]router.WorkerStatus{}
-	for _, s := range st.Workers {
-		stands[s.ID] = s
+	statuses := map[ids.WorkerID]router.WorkerStatus{}
+	for _, status := range st.Workers {
+		statuses[status.ID] = status
 	}
-	out := map[string]bool{}
+	excluded := map[string]bool{}
 	for _, z := range st.Evacuated {
-		out[z] = true
+		excluded[z] = true
 	}
 	for _, w := range st.Drained {
-		out[w] = true
+		excluded[w] = true
 	}
-	for i, p := range []*fleetstate.Configuration{now, next} {
-		for id, w := range p.Workers {
-			part := w.Role
-			s, live := stands[id]
-			if live && s.Role != "" {
-				part = s.Role
+	for i, configuration := range []*fleetstate.Configuration{now, next} {
+		for id, w := range configuration.Workers {
+			role := w.Role
+			status, live := statuses[id]
+			if live && status.Role != "" {
+				role = status.Role
 			}
-			g := group{w.Model, part}
-			if rooms[g] == nil {
-				rooms[g] = &PoolCapacity{Model: w.Model, Role: part}
+			g := group{w.Model, role}
+			if capacities[g] == nil {
+				capacities[g] = &PoolCapacity{Model: w.Model, Role: role}
 				zones[g] = [2]map[ids.Zone]bool{{}, {}}
 			}
-			if out[string(w.Zone)] || out[string(id)] {
+			if excluded[string(w.Zone)] || excluded[string(id)] {
 				continue
 			}
 			if i == 0 {
-				rooms[g].Used += max(0, s.Capacity-s.Free)
+				capacities[g].Used += max(0, status.Capacity-status.Free)
 			} else if c.removes(w.Zone, "") || c.Evacuate == w.Zone && w.Zone != "" || c.Drain == id {
 				continue
 			}
-			rooms[g].Workers[i]++
-			rooms[g].Blocks[i] += w.Capacity
+			capacities[g].Workers[i]++
+			capacities[g].Blocks[i] += w.Capacity
 			zones[g][i][w.Zone] = true
 		}
 	}
-	for g, r := range rooms {
+	for g, r := range capacities {
 		r.Zones = [2]int{len(zones[g][0]), len(zones[g][1])}
 		f.Capacity = append(f.Capacity, *r)
 	}
@@ -256,31 +267,33 @@
 		return a.Model+string(a.Role) < b.Model+string(b.Role)
 	})
 	for _, r := range f.Capacity {
-		who := fmt.Sprintf("%s of %s", r.Role, r.Model)
+		pool := fmt.Sprintf("%s of %s", r.Role, r.Model)
 		switch {
 		case r.Workers[1] == 0 && r.Workers[0] > 0:
-			f.warn("no worker would be left for %s", who)
+			f.warn("no worker would be left for %s", pool)
 		case r.Used > r.Blocks[1]:
-			f.warn("%s would have %d blocks, %d are taken now", who, r.Blocks[1], r.Used)
+			f.warn("%s would have %d blocks, %d are taken now", pool, r.Blocks[1], r.Used)
 		case r.Used*10 > r.Blocks[1]*8:
-			f.warn("%s would be over four fifths full: %d of %d blocks", who, r.Used, r.Blocks[1])
+			f.warn("%s would be over four fifths full: %d of %d blocks", pool, r.Used, r.Blocks[1])
 		case r.Zones[1] < 2 && r.Zones[0] >= 2:
-			f.warn("%s would stand in one zone only", who)
+			f.warn("%s would have workers in one zone only", pool)
 		}
 	}
 }
 
-// idempotency records warns early of a store that fills up.
+// checkRecords warns when the store of idempotency records is at least 80% full.
 func (f *Forecast) checkRecords(st *router.NodeStatus, next *fleetstate.Configuration) {
 	if n, limit := st.Records[0], next.Limits.MaxRecords; limit > 0 && n*10 >= limit*8 {
-		f.warn("%d of %d deeds are taken; at the last one new keys are bounced: raise limits.deeds", n, limit)
+		f.warn("%d of %d idempotency records are in use; when all are, new keys are rejected: raise limits.deeds", n, limit)
 	}
 }
 
+// checkCore counts the core's remaining voters and warns if they are no majority, or if there are
+// fewer than before.
 func (f *Forecast) checkCore(st *router.NodeStatus, c Change) {
 	f.Voters[0] = len(st.Core.Voters)
-	for _, s := range st.Core.Voters {
-		if !c.removes(s.Zone, s.Addr) {
+	for _, voter := range st.Core.Voters {
+		if !c.removes(voter.Zone, voter.Addr) {
 			f.Voters[1]++
 		}
 	}
@@ -288,6 +301,6 @@
 	case f.Voters[1]*2 <= f.Voters[0]:
 		f.warn("the core could not decide: %d of %d disk machines would be left", f.Voters[1], f.Voters[0])
 	case f.Voters[1] < f.Voters[0]:
-		f.warn("the core would bear no further loss until a spare disk machine joins")
+		f.warn("the core would tolerate no further loss until a spare disk machine joins")
 	}
 }
--- a/internal/router/forecast/regimes.go
+++ b/internal/router/forecast/regimes.go
@@ -1,4 +1,4 @@
-// What a change would leave of the certified workers and nodes of each regime.
+// Effects of a change on the certified workers and nodes of each regime.
 
 package forecast
 
@@ -14,11 +14,12 @@
 	"keelstair.example/internal/router"
 )
 
-// expiryHorizon is how far ahead ends of certificates are warned of with any plan.
+// expiryHorizon is how far ahead every forecast warns of expiring certificates.
 const expiryHorizon = 7 * 24 * time.Hour
 
-// unavailableSubjects tells which subjects a change, or what stands already, takes away.
-func unavailableSubjects(st *router.NodeStatus, p *fleetstate.Configuration, c Change) func(certification.Subject) bool {
+// unavailableSubjects returns a function that reports whether a subject of a certificate would be
+// unavailable, because of the change or of the evacuations and drains already in force.
+func unavailableSubjects(st *router.NodeStatus, configuration *fleetstate.Configuration, c Change) func(certification.Subject) bool {
 	zones, nodes := map[ids.Zone]bool{}, map[string]bool{}
 	for _, z := range st.Evacuated {
 		zones[ids.Zone(z)] = true
@@ -33,17 +34,20 @@
 		if s.Node != "" {
 			return !nodes[s.Node]
 		}
-		w, ok := p.Workers[s.Worker]
+		w, ok := configuration.Workers[s.Worker]
 		return !ok || zones[w.Zone] || s.Worker == c.Drain || slices.Contains(st.Drained, string(s.Worker))
 	}
 }
 
+// checkRegimes warns of regimes that would have none or only one of the certified workers or nodes
+// that they need, now or when certificates expire. It warns of the last one only if the change
+// causes it.
 func (f *Forecast) checkRegimes(st *router.NodeStatus, now, next *fleetstate.Configuration, c Change) error {
 	before, _ := now.Register()
 	after, _ := next.Register()
 	if c.Revoke != "" {
 		if _, ok := before.Find(c.Revoke); !ok {
-			return failure.New(failure.InvalidArgument, "plan", c.Revoke, "there is no such certificate")
+			return failure.New(failure.InvalidArgument, "plan", c.Revoke, "no such certificate exists")
 		}
 	}
 	revoked := map[string]bool{}
@@ -58,25 +62,25 @@
 		then = certification.Now{Low: max(c.FleetTime, then.Low), High: max(c.FleetTime, then.High)}
 	}
 	late := certification.Now{Low: then.Low + int64(expiryHorizon), High: then.High + int64(expiryHorizon)}
-	was, is := unavailableSubjects(st, now, Change{}), unavailableSubjects(st, next, c)
-	there := func(f func(certification.Subject) bool) func(certification.Subject) bool {
-		return func(s certification.Subject) bool { return !f(s) }
+	unavailableBefore, unavailableAfter := unavailableSubjects(st, now, Change{}), unavailableSubjects(st, next, c)
+	available := func(unavailable func(certification.Subject) bool) func(certification.Subject) bool {
+		return func(s certification.Subject) bool { return !unavailable(s) }
 	}
-	for _, g := range after.Regimes() {
-		short := after.Shortage(g, 1, then, there(is))
+	for _, regime := range after.Regimes() {
+		short := after.Shortage(regime, 1, then, available(unavailableAfter))
 		for _, what := range short {
-			f.warn("regime %s would have no certified %s: its work would be bounced", g, what)
+			f.warn("regime %s would have no certified %s: its work would be bounced", regime, what)
 		}
-		for _, what := range after.Shortage(g, 2, then, there(is)) {
-			if !slices.Contains(short, what) && !slices.Contains(before.Shortage(g, 2, st.FleetTime, there(was)), what) {
-				f.warn("regime %s would have one left of its certified %s", g, what)
+		for _, what := range after.Shortage(regime, 2, then, available(unavailableAfter)) {
+			if !slices.Contains(short, what) && !slices.Contains(before.Shortage(regime, 2, st.FleetTime, available(unavailableBefore)), what) {
+				f.warn("regime %s would have one left of its certified %s", regime, what)
 			}
 		}
-		for _, what := range after.Shortage(g, 1, late, there(is)) {
+		for _, what := range after.Shortage(regime, 1, late, available(unavailableAfter)) {
 			if !slices.Contains(short, what) {
 				f.warn(
 					"regime %s would have no certified %s within %d days, as certificates end",
-					g,
+					regime,
 					what,
 					expiryHorizon/(24*time.Hour),
 				)
--- a/internal/router/forecast/regimes_test.go
+++ b/internal/router/forecast/regimes_test.go
@@ -1,4 +1,4 @@
-// Plans that would leave a regime short.
+// Warnings of changes that would leave a regime without enough certified workers or nodes.
 
 package forecast
 
@@ -14,10 +14,11 @@
 	"keelstair.example/internal/certification"
 )
 
-// TestRegimeWarnings: before a drain, a revocation, an expiry, an evacuation or the loss of a
-// machine leaves a regime without a part or a node, or with its last, that is said.
+// TestRegimeWarnings checks the warning before a drain, a revocation, an expiry, an evacuation or the
+// loss of a machine leaves a regime without a certified worker of a role or a certified node, or
+// with only one.
 func TestRegimeWarnings(t *testing.T) {
-	st, p := fixture()
+	st, configuration := fixture()
 	for i := range st.Members {
 		st.Members[i] = coordination.Member{Node: st.Members[i].Node + "-0123", Addr: st.Members[i].Addr, Zone: st.Members[i].Zone}
 	}
@@ -25,23 +26,23 @@
 	require.NoError(t, err)
 	now := time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC)
 	day := func(n int) string { return now.AddDate(0, 0, n).Format(time.RFC3339) }
-	p.Regimes = map[string]certification.Regime{"chair": {Kinds: []string{"verdict"}}}
-	p.Issuers = map[string]certification.Issuer{"k": {Key: certification.Public(key), From: day(-1), Until: day(100)}}
-	p.Certificates = map[string]certification.Certificate{}
-	put := func(serial string, c certification.Certificate, until int) {
+	configuration.Regimes = map[string]certification.Regime{"chair": {Kinds: []string{"verdict"}}}
+	configuration.Issuers = map[string]certification.Issuer{"k": {Key: certification.Public(key), From: day(-1), Until: day(100)}}
+	configuration.Certificates = map[string]certification.Certificate{}
+	addCertificate := func(serial string, c certification.Certificate, until int) {
 		c.Serial, c.Regime, c.Issuer, c.From, c.Until = serial, "chair", "k", day(-1), day(until)
 		c.Sign(key)
-		p.Certificates[serial] = c
+		configuration.Certificates[serial] = c
 	}
-	put("p1", certification.Certificate{Worker: "p1", Roles: []ids.Role{ids.Prefill}}, 50)
-	put("p2", certification.Certificate{Worker: "p2", Roles: []ids.Role{ids.Prefill}}, 50)
-	put("d2", certification.Certificate{Worker: "d2", Roles: []ids.Role{ids.Decode}}, 50)
-	put("d3", certification.Certificate{Worker: "d3", Roles: []ids.Role{ids.Decode}}, 30)
-	put("n1", certification.Certificate{Node: "n1"}, 50)
-	put("n2", certification.Certificate{Node: "n2"}, 50)
+	addCertificate("p1", certification.Certificate{Worker: "p1", Roles: []ids.Role{ids.Prefill}}, 50)
+	addCertificate("p2", certification.Certificate{Worker: "p2", Roles: []ids.Role{ids.Prefill}}, 50)
+	addCertificate("d2", certification.Certificate{Worker: "d2", Roles: []ids.Role{ids.Decode}}, 50)
+	addCertificate("d3", certification.Certificate{Worker: "d3", Roles: []ids.Role{ids.Decode}}, 30)
+	addCertificate("n1", certification.Certificate{Node: "n1"}, 50)
+	addCertificate("n2", certification.Certificate{Node: "n2"}, 50)
 	st.FleetTime = certification.At(now)
-	warned := func(c Change) (out []string) {
-		f, err := Compute(st, p, c)
+	regimeWarnings := func(c Change) (out []string) {
+		f, err := Compute(st, configuration, c)
 		require.NoError(t, err)
 		for _, w := range f.Warnings {
 			if len(w) > 6 && w[:6] == "regime" {
@@ -50,17 +51,17 @@
 		}
 		return out
 	}
-	require.Empty(t, warned(Change{}))
-	require.Empty(t, warned(Change{Drain: "p3"}))
-	require.Equal(t, []string{"regime chair would have one left of its certified prefill workers"}, warned(Change{Drain: "p1"}))
-	require.Equal(t, []string{"regime chair would have one left of its certified decode workers"}, warned(Change{Revoke: "d3"}))
-	require.Equal(t, []string{"regime chair would have one left of its certified router nodes"}, warned(Change{LoseAddr: "10.0.0.1:1"}))
-	require.Contains(t, warned(Change{Evacuate: "b"}), "regime chair would have no certified decode workers: its work would be bounced")
-	require.Contains(t, warned(Change{LoseZone: "b"}), "regime chair would have one left of its certified router nodes")
-	require.Contains(t, warned(Change{FleetTime: now.AddDate(0, 0, 60).UnixNano()}), "regime chair would have no certified prefill workers: its work would be bounced")
-	require.True(t, slices.Contains(warned(Change{FleetTime: now.AddDate(0, 0, 45).UnixNano()}), "regime chair would have no certified prefill workers within 7 days, as certificates end"))
+	require.Empty(t, regimeWarnings(Change{}))
+	require.Empty(t, regimeWarnings(Change{Drain: "p3"}))
+	require.Equal(t, []string{"regime chair would have one left of its certified prefill workers"}, regimeWarnings(Change{Drain: "p1"}))
+	require.Equal(t, []string{"regime chair would have one left of its certified decode workers"}, regimeWarnings(Change{Revoke: "d3"}))
+	require.Equal(t, []string{"regime chair would have one left of its certified router nodes"}, regimeWarnings(Change{LoseAddr: "10.0.0.1:1"}))
+	require.Contains(t, regimeWarnings(Change{Evacuate: "b"}), "regime chair would have no certified decode workers: its work would be bounced")
+	require.Contains(t, regimeWarnings(Change{LoseZone: "b"}), "regime chair would have one left of its certified router nodes")
+	require.Contains(t, regimeWarnings(Change{FleetTime: now.AddDate(0, 0, 60).UnixNano()}), "regime chair would have no certified prefill workers: its work would be bounced")
+	require.True(t, slices.Contains(regimeWarnings(Change{FleetTime: now.AddDate(0, 0, 45).UnixNano()}), "regime chair would have no certified prefill workers within 7 days, as certificates end"))
 	st.Revoked = []string{"d2"}
-	require.Equal(t, []string{"regime chair would have no certified decode workers: its work would be bounced"}, warned(Change{Drain: "d3"}))
-	_, err = Compute(st, p, Change{Revoke: "nobody"})
+	require.Equal(t, []string{"regime chair would have no certified decode workers: its work would be bounced"}, regimeWarnings(Change{Drain: "d3"}))
+	_, err = Compute(st, configuration, Change{Revoke: "unknown"})
 	require.ErrorContains(t, err, "no such certificate")
 }
--- a/internal/router/role_balance_test.go
+++ b/internal/router/role_balance_test.go
@@ -1,4 +1,4 @@
-// When the switcher turns a worker, and when it must not.
+// Decisions to change a worker's role.
 
 package router
 
@@ -16,50 +16,52 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// newRoleBalanceFixture sets up a node that sees so many workers of each part, this busy.
-func newRoleBalanceFixture(reads, writes, readBusy, writeBusy int) (*Node, *fleetstate.Snapshot) {
+// newRoleBalanceFixture returns a node that sees the given numbers of prefill and decode workers, each
+// with the given number of started requests.
+func newRoleBalanceFixture(prefills, decodes, prefillStarted, decodeStarted int) (*Node, *fleetstate.Snapshot) {
 	n := New(Options{Name: "n", Host: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host()})
 	s := &fleetstate.Snapshot{Configuration: &fleetstate.Configuration{
 		RoleChanges: true,
 		Workers:     map[ids.WorkerID]fleetstate.Worker{},
 		Limits:      fleetstate.Limits{DwellMs: 4000},
 	}}
-	stands, endpoints := map[ids.WorkerID]WorkerStatus{}, map[ids.WorkerID]workerclient.ListedWorker{}
-	for i := range reads + writes {
-		part, busy := ids.Prefill, readBusy
-		if i >= reads {
-			part, busy = ids.Decode, writeBusy
+	statuses, endpoints := map[ids.WorkerID]WorkerStatus{}, map[ids.WorkerID]workerclient.ListedWorker{}
+	for i := range prefills + decodes {
+		role, started := ids.Prefill, prefillStarted
+		if i >= prefills {
+			role, started = ids.Decode, decodeStarted
 		}
-		id := ids.WorkerID(fmt.Sprintf("%s%d", part[:1], i))
+		id := ids.WorkerID(fmt.Sprintf("%s%d", role[:1], i))
 		s.Configuration.Workers[id] = fleetstate.Worker{
-			Role:    part,
+			Role:    role,
 			Model:   "m",
 			Weights: "w",
 			Zone:    ids.Zone(fmt.Sprint(i % 3)),
 		}
-		stands[id] = WorkerStatus{
+		statuses[id] = WorkerStatus{
 			ID:            id,
-			Role:          part,
+			Role:          role,
 			Ready:         true,
 			Free:          90,
 			Capacity:      100,
-			InFlight:      busy,
-			Started:       busy,
+			InFlight:      started,
+			Started:       started,
 			MaxConcurrent: 16,
 		}
 		endpoints[id] = workerclient.ListedWorker{ID: id}
 	}
-	n.workerStatuses.Store(&stands)
+	n.workerStatuses.Store(&statuses)
 	n.endpoints.Store(&endpoints)
 	return n, s
 }
 
-// runRoleBalancer asks the switcher twice a second for so long.
+// runRoleBalancer has the node decide twice a second for the given time, applies its decisions and
+// returns the new roles.
 func runRoleBalancer(n *Node, s *fleetstate.Snapshot, duration time.Duration) []ids.Role {
-	p := &rolePool{lastChange: n.now(), pressure: map[ids.Role]float64{}}
+	pool := &rolePool{lastChange: n.now(), pressure: map[ids.Role]float64{}}
 	var out []ids.Role
 	for end := n.now().Add(duration); n.now().Before(end); time.Sleep(roleChangeInterval) {
-		if w, ok := n.pickRoleChange(s, "m", p); ok {
+		if w, ok := n.pickRoleChange(s, "m", pool); ok {
 			out = append(out, w.To)
 			st := (*n.workerStatuses.Load())[w.Worker]
 			st.Role = w.To
@@ -69,16 +71,16 @@
 	return out
 }
 
-// TestRoleChanges: a hard pressed part gets workers from an idle one, a quarter of a dwell apart,
-// until the other part can spare none; where both are pressed, or neither is,
-// nothing turns; with turning off the workers go home.
+// TestRoleChanges checks that a loaded role gets workers from an idle one, a quarter of the dwell time
+// apart, until the idle role can spare none. No worker changes if both roles are loaded or neither
+// is. With role changes disabled the workers return to their configured roles.
 func TestRoleChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := newRoleBalanceFixture(4, 4, 14, 0)
 		got := runRoleBalancer(n, s, 60*time.Second)
-		require.Equal(t, []ids.Role{ids.Prefill, ids.Prefill}, got, "two zones keep a decode worker")
+		require.Equal(t, []ids.Role{ids.Prefill, ids.Prefill}, got, "decode workers remain in two zones")
 		n, s = newRoleBalanceFixture(4, 4, 14, 0)
-		require.Len(t, runRoleBalancer(n, s, 2900*time.Millisecond), 1, "half a dwell first, and a quarter between two")
+		require.Len(t, runRoleBalancer(n, s, 2900*time.Millisecond), 1, "half a dwell time before the first change, a quarter between two")
 		n, s = newRoleBalanceFixture(4, 4, 14, 0)
 		for id, st := range *n.workerStatuses.Load() {
 			if st.Role == ids.Decode {
@@ -86,13 +88,13 @@
 				(*n.workerStatuses.Load())[id] = st
 			}
 		}
-		require.NotEmpty(t, runRoleBalancer(n, s, 10*time.Second), "what is only booked at decode is no pressure there")
+		require.NotEmpty(t, runRoleBalancer(n, s, 10*time.Second), "reservations at decode workers are not pressure")
 		n, s = newRoleBalanceFixture(1, 1, 14, 0)
-		require.Empty(t, runRoleBalancer(n, s, 60*time.Second), "never the last of a part")
+		require.Empty(t, runRoleBalancer(n, s, 60*time.Second), "the last worker of a role does not change")
 		n, s = newRoleBalanceFixture(4, 4, 14, 14)
-		require.Empty(t, runRoleBalancer(n, s, 60*time.Second), "both are pressed")
+		require.Empty(t, runRoleBalancer(n, s, 60*time.Second), "both roles are loaded")
 		n, s = newRoleBalanceFixture(4, 4, 4, 0)
-		require.Empty(t, runRoleBalancer(n, s, 60*time.Second), "neither is pressed")
+		require.Empty(t, runRoleBalancer(n, s, 60*time.Second), "neither role is loaded")
 		n, s = newRoleBalanceFixture(4, 4, 0, 14)
 		require.Equal(t, ids.Decode, runRoleBalancer(n, s, 30*time.Second)[0])
 		s.Configuration.RoleChanges = false
@@ -104,7 +106,7 @@
 			require.Equal(t, ids.Prefill, to)
 		}
 		for id, st := range *n.workerStatuses.Load() {
-			require.Equal(t, s.Configuration.Workers[id].Role, st.Role, "home again")
+			require.Equal(t, s.Configuration.Workers[id].Role, st.Role, "each worker is back in its configured role")
 		}
 	})
 }
--- a/internal/router/tracing/tracing.go
+++ b/internal/router/tracing/tracing.go
@@ -1,6 +1,6 @@
-// Package tracing writes hand-overs as traces in the OpenTelemetry JSON form, one
-// line each: a span for the whole hand-over and one for each of its steps. It
-// is a view folded from the node's journal, and off unless a writer is given.
+// Package tracing writes hand-overs as traces in the OpenTelemetry JSON format, one line per
+// hand-over, with a span for the whole hand-over and a child span for each step. The traces are
+// derived from the node's event journal. Tracing is off unless a writer is configured.
 package tracing
 
 import (
@@ -20,9 +20,11 @@
 	"keelstair.example/internal/workerclient"
 )
 
+// maxOpenHandovers limits the hand-overs that are collected at once. Of further ones only the last
+// event is written.
 const maxOpenHandovers = 4096
 
-// Writer gathers steps until a hand-over ends, then writes its line.
+// Writer collects the events of each hand-over and writes its trace when it ends.
 type Writer struct {
 	mu      sync.Mutex
 	node    string
@@ -31,30 +33,30 @@
 	pending map[workerclient.ID][]handoff.Event
 }
 
-// New returns a writer of traces for a node, by its name. Ticks become wall time by the clock.
+// New returns a trace writer for the node with the given name. The clock converts ticks to wall time.
 func New(out io.Writer, node string, clock host.Clock) *Writer {
 	return &Writer{out: out, node: node, clock: clock, pending: map[workerclient.ID][]handoff.Event{}}
 }
 
-// Record takes one event of the journal.
+// Record processes one event of the journal.
 func (w *Writer) Record(e handoff.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	rows := append(w.pending[e.ID], e)
+	events := append(w.pending[e.ID], e)
 	if e.Step != handoff.Ended && e.Step != handoff.Dropped {
 		if len(w.pending) < maxOpenHandovers {
-			w.pending[e.ID] = rows
+			w.pending[e.ID] = events
 		}
 		return
 	}
 	delete(w.pending, e.ID)
-	if line, err := marshalTraces(w.buildTrace(e.ID, rows)); err == nil {
+	if line, err := marshalTraces(w.buildTrace(e.ID, events)); err == nil {
 		w.out.Write(append(line, '\n'))
 	}
 }
 
-// marshalTraces gives the JSON form, in which enumerations are numbers and ids are hex, where the
-// library writes any bytes as base64.
+// marshalTraces returns the OpenTelemetry JSON encoding, with enumerations as numbers and ids in
+// hexadecimal. The protobuf library writes all bytes in base64, so the ids are converted.
 func marshalTraces(t *trace.TracesData) ([]byte, error) {
 	line, err := protojson.MarshalOptions{UseEnumNumbers: true}.Marshal(t)
 	if err != nil {
@@ -67,6 +69,7 @@
 	return json.Marshal(hexIDs(doc))
 }
 
+// hexIDs converts the base64 trace and span ids in a JSON document to hexadecimal.
 func hexIDs(v any) any {
 	switch v := v.(type) {
 	case []any:
@@ -74,55 +77,57 @@
 			v[i] = hexIDs(v[i])
 		}
 	case map[string]any:
-		for k, one := range v {
+		for k, value := range v {
 			var id []byte
-			if s, ok := one.(string); ok && (k == "traceId" || k == "spanId" || k == "parentSpanId") &&
+			if s, ok := value.(string); ok && (k == "traceId" || k == "spanId" || k == "parentSpanId") &&
 				json.Unmarshal([]byte(`"`+s+`"`), &id) == nil {
 				v[k] = hex.EncodeToString(id)
 			} else {
-				v[k] = hexIDs(one)
+				v[k] = hexIDs(value)
 			}
 		}
 	}
 	return v
 }
 
+// stringAttribute returns a string attribute.
 func stringAttribute(key, v string) *common.KeyValue {
 	return &common.KeyValue{Key: key, Value: &common.AnyValue{Value: &common.AnyValue_StringValue{StringValue: v}}}
 }
 
-func (w *Writer) buildTrace(id workerclient.ID, rows []handoff.Event) *trace.TracesData {
+// buildTrace returns the trace of a hand-over.
+func (w *Writer) buildTrace(id workerclient.ID, events []handoff.Event) *trace.TracesData {
 	scope := &trace.ScopeSpans{Scope: &common.InstrumentationScope{Name: "keelstair.example/internal/handoff"}}
-	res := &trace.ResourceSpans{ScopeSpans: []*trace.ScopeSpans{scope},
+	resourceSpans := &trace.ResourceSpans{ScopeSpans: []*trace.ScopeSpans{scope},
 		Resource: &resource.Resource{Attributes: []*common.KeyValue{
 			stringAttribute("service.name", "keelstair"), stringAttribute("service.instance.id", w.node),
 		}}}
-	// Ticks become wall time by what the clocks show now.
+	// The offset between ticks and wall time is taken from both clocks now.
 	now, wall := w.clock.Now(), w.clock.Wall()
-	at := func(e handoff.Event) uint64 { return uint64(wall.Add(-now.Since(e.At)).UnixNano()) }
-	sum := sha256.Sum256([]byte(id.Request))
-	put := func(name string, n int, from, to handoff.Event) *trace.Span {
+	unixNano := func(e handoff.Event) uint64 { return uint64(wall.Add(-now.Since(e.At)).UnixNano()) }
+	hash := sha256.Sum256([]byte(id.Request))
+	addSpan := func(name string, n int, from, to handoff.Event) *trace.Span {
 		s := &trace.Span{
-			TraceId:           sum[:16],
-			SpanId:            append([]byte{byte(id.Attempt), byte(n + 1)}, sum[16:22]...),
+			TraceId:           hash[:16],
+			SpanId:            append([]byte{byte(id.Attempt), byte(n + 1)}, hash[16:22]...),
 			Name:              name,
-			StartTimeUnixNano: at(from),
-			EndTimeUnixNano:   at(to),
+			StartTimeUnixNano: unixNano(from),
+			EndTimeUnixNano:   unixNano(to),
 		}
 		scope.Spans = append(scope.Spans, s)
 		return s
 	}
-	last := rows[len(rows)-1]
-	complete := put("hand-over", 0, rows[0], last)
-	complete.Attributes = []*common.KeyValue{stringAttribute("request", id.Request),
+	last := events[len(events)-1]
+	root := addSpan("hand-over", 0, events[0], last)
+	root.Attributes = []*common.KeyValue{stringAttribute("request", id.Request),
 		{Key: "attempt", Value: &common.AnyValue{Value: &common.AnyValue_IntValue{IntValue: int64(id.Attempt)}}}}
 	if last.Step == handoff.Dropped {
-		complete.Status = &trace.Status{Code: trace.Status_STATUS_CODE_ERROR, Message: last.Reason}
+		root.Status = &trace.Status{Code: trace.Status_STATUS_CODE_ERROR, Message: last.Reason}
 	}
-	for i := 1; i < len(rows); i++ {
-		s := put(string(rows[i].Step), i, rows[i-1], rows[i])
-		s.ParentSpanId = complete.SpanId
-		s.Attributes = []*common.KeyValue{stringAttribute("worker", string(rows[i].Worker))}
+	for i := 1; i < len(events); i++ {
+		s := addSpan(string(events[i].Step), i, events[i-1], events[i])
+		s.ParentSpanId = root.SpanId
+		s.Attributes = []*common.KeyValue{stringAttribute("worker", string(events[i].Worker))}
 	}
-	return &trace.TracesData{ResourceSpans: []*trace.ResourceSpans{res}}
+	return &trace.TracesData{ResourceSpans: []*trace.ResourceSpans{resourceSpans}}
 }
--- a/internal/router/tracing/tracing_test.go
+++ b/internal/router/tracing/tracing_test.go
@@ -1,4 +1,4 @@
-// The shape of a trace.
+// Format of the written traces.
 
 package tracing
 
@@ -15,8 +15,8 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// TestHandoverTrace: one line a hand-over, one span a step, all under one parent, and a
-// dropped one is marked with its reason.
+// TestHandoverTrace checks that a hand-over is written as one line when it ends, with one span per
+// step under a common parent, and that a dropped one has the error status and its reason.
 func TestHandoverTrace(t *testing.T) {
 	var out bytes.Buffer
 	clock := simulated.NewWorld(1).Machine("10.0.0.1").Start().Host().Clock
--- a/internal/router/wire_test.go
+++ b/internal/router/wire_test.go
@@ -1,3 +1,5 @@
+// Compatibility of encodings and method names between releases.
+
 package router
 
 import (
@@ -8,8 +10,8 @@
 	"keelstair.example/internal/golden"
 )
 
-// TestEncodings: every message and stored record of this package has the encoding that it had
-// in the first release with a rolling upgrade. The names on file are those of that release.
+// TestEncodings checks that every message of this package has the encoding that it had in the first
+// release with rolling upgrades. The names in the file are those of that release.
 func TestEncodings(t *testing.T) {
 	golden.Check(t, "testdata/encodings.txt", map[string]golden.Message{
 		"Beat":       &Heartbeat{},
@@ -20,12 +22,12 @@
 	})
 }
 
-// TestStatusJSON: the answer of /v1/status has the names that it had in earlier releases.
+// TestStatusJSON checks that the response of /v1/status has the field names of earlier releases.
 func TestStatusJSON(t *testing.T) {
 	golden.CheckJSON(t, "testdata/status.json", &NodeStatus{})
 }
 
-// TestMethodNames: the names of the RPC methods are those of earlier releases.
+// TestMethodNames checks that the RPC methods have the names of earlier releases.
 func TestMethodNames(t *testing.T) {
 	require.Equal(t, []string{
 		"verge/order", "verge/spend", "verge/beat",
