--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -109,7 +109,9 @@
 		return nil
 	}
 	serial, _ := n.clearance(t.regime, certification.Subject{Worker: claim.Worker}, ids.Decode)
-	t.auditSteps = []fleetstate.AuditStep{{What: "settled", Worker: string(claim.Worker), Serial: serial, At: n.fleetTime().High}}
+	t.auditSteps = []fleetstate.AuditStep{
+		{What: "settled", Worker: string(claim.Worker), Serial: serial, At: n.fleetTime().High},
+	}
 	return t.auditRecord(RequestIDForKey(claim.Key), claim.Key, outcome)
 }
 
--- a/internal/router/claim_takeover.go
+++ b/internal/router/claim_takeover.go
@@ -63,7 +63,8 @@
 		Audit:   n.takeoverAuditRecord(&claim, outcome),
 	}
 	if err := n.submitOutcome(resolve); err != nil {
-		n.options.Ring.Warn().AnErr("cause", err).Str("key", claim.Key).Msg("failed to resolve the claim of a dead node, will retry")
+		n.options.Ring.Warn().AnErr("cause", err).Str("key", claim.Key).
+			Msg("failed to resolve the claim of a dead node, will retry")
 	}
 }
 
--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -115,7 +115,7 @@
 				return nil
 			}
 		}
-		return failure.New(failure.InvalidArgument, "plan", c.LoseAddr, "no router node and no disk machine of the core has this address")
+		return failure.New(failure.InvalidArgument, "plan", c.LoseAddr, "no node and no disk machine has this address")
 	}
 	return nil
 }
@@ -146,7 +146,10 @@
 		case !existed:
 			f.WorkerChanges = append(
 				f.WorkerChanges,
-				fmt.Sprintf("+ %s: %s of %s %s in %s, %d blocks", id, after.Role, after.Model, after.Weights, after.Zone, after.Capacity),
+				fmt.Sprintf(
+					"+ %s: %s of %s %s in %s, %d blocks",
+					id, after.Role, after.Model, after.Weights, after.Zone, after.Capacity,
+				),
 			)
 		case !exists:
 			f.WorkerChanges = append(
@@ -272,9 +275,9 @@
 		case r.Workers[1] == 0 && r.Workers[0] > 0:
 			f.warn("no worker would be left for %s", pool)
 		case r.Used > r.Blocks[1]:
-			f.warn("%s would have %d blocks, %d are taken now", pool, r.Blocks[1], r.Used)
+			f.warn("%s would have %d blocks, %d are in use now", pool, r.Blocks[1], r.Used)
 		case r.Used*10 > r.Blocks[1]*8:
-			f.warn("%s would be over four fifths full: %d of %d blocks", pool, r.Used, r.Blocks[1])
+			f.warn("%s would be over 80%% full: %d of %d blocks", pool, r.Used, r.Blocks[1])
 		case r.Zones[1] < 2 && r.Zones[0] >= 2:
 			f.warn("%s would have workers in one zone only", pool)
 		}
@@ -299,7 +302,7 @@
 	}
 	switch {
 	case f.Voters[1]*2 <= f.Voters[0]:
-		f.warn("the core could not decide: %d of %d disk machines would be left", f.Voters[1], f.Voters[0])
+		f.warn("the core would have no quorum: %d of %d disk machines would be left", f.Voters[1], f.Voters[0])
 	case f.Voters[1] < f.Voters[0]:
 		f.warn("the core would tolerate no further loss until a spare disk machine joins")
 	}
--- a/internal/router/forecast/regimes.go
+++ b/internal/router/forecast/regimes.go
@@ -19,7 +19,11 @@
 
 // unavailableSubjects returns a function that reports whether a subject of a certificate would be
 // unavailable, because of the change or of the evacuations and drains already in force.
-func unavailableSubjects(st *router.NodeStatus, configuration *fleetstate.Configuration, c Change) func(certification.Subject) bool {
+func unavailableSubjects(
+	st *router.NodeStatus,
+	configuration *fleetstate.Configuration,
+	c Change,
+) func(certification.Subject) bool {
 	zones, nodes := map[ids.Zone]bool{}, map[string]bool{}
 	for _, z := range st.Evacuated {
 		zones[ids.Zone(z)] = true
@@ -62,21 +66,22 @@
 		then = certification.Now{Low: max(c.FleetTime, then.Low), High: max(c.FleetTime, then.High)}
 	}
 	late := certification.Now{Low: then.Low + int64(expiryHorizon), High: then.High + int64(expiryHorizon)}
-	unavailableBefore, unavailableAfter := unavailableSubjects(st, now, Change{}), unavailableSubjects(st, next, c)
-	available := func(unavailable func(certification.Subject) bool) func(certification.Subject) bool {
-		return func(s certification.Subject) bool { return !unavailable(s) }
+	excludedBefore, excludedAfter := unavailableSubjects(st, now, Change{}), unavailableSubjects(st, next, c)
+	available := func(excluded func(certification.Subject) bool) func(certification.Subject) bool {
+		return func(s certification.Subject) bool { return !excluded(s) }
 	}
 	for _, regime := range after.Regimes() {
-		short := after.Shortage(regime, 1, then, available(unavailableAfter))
+		short := after.Shortage(regime, 1, then, available(excludedAfter))
 		for _, what := range short {
-			f.warn("regime %s would have no certified %s: its work would be bounced", regime, what)
+			f.warn("regime %s would have no certified %s: its work would be rejected", regime, what)
 		}
-		for _, what := range after.Shortage(regime, 2, then, available(unavailableAfter)) {
-			if !slices.Contains(short, what) && !slices.Contains(before.Shortage(regime, 2, st.FleetTime, available(unavailableBefore)), what) {
+		for _, what := range after.Shortage(regime, 2, then, available(excludedAfter)) {
+			if !slices.Contains(short, what) &&
+				!slices.Contains(before.Shortage(regime, 2, st.FleetTime, available(excludedBefore)), what) {
 				f.warn("regime %s would have one left of its certified %s", regime, what)
 			}
 		}
-		for _, what := range after.Shortage(regime, 1, late, available(unavailableAfter)) {
+		for _, what := range after.Shortage(regime, 1, late, available(excludedAfter)) {
 			if !slices.Contains(short, what) {
 				f.warn(
 					"regime %s would have no certified %s within %d days, as certificates end",
--- a/internal/router/forecast/regimes_test.go
+++ b/internal/router/forecast/regimes_test.go
@@ -56,12 +56,12 @@
 	require.Equal(t, []string{"regime chair would have one left of its certified prefill workers"}, regimeWarnings(Change{Drain: "p1"}))
 	require.Equal(t, []string{"regime chair would have one left of its certified decode workers"}, regimeWarnings(Change{Revoke: "d3"}))
 	require.Equal(t, []string{"regime chair would have one left of its certified router nodes"}, regimeWarnings(Change{LoseAddr: "10.0.0.1:1"}))
-	require.Contains(t, regimeWarnings(Change{Evacuate: "b"}), "regime chair would have no certified decode workers: its work would be bounced")
+	require.Contains(t, regimeWarnings(Change{Evacuate: "b"}), "regime chair would have no certified decode workers: its work would be rejected")
 	require.Contains(t, regimeWarnings(Change{LoseZone: "b"}), "regime chair would have one left of its certified router nodes")
-	require.Contains(t, regimeWarnings(Change{FleetTime: now.AddDate(0, 0, 60).UnixNano()}), "regime chair would have no certified prefill workers: its work would be bounced")
+	require.Contains(t, regimeWarnings(Change{FleetTime: now.AddDate(0, 0, 60).UnixNano()}), "regime chair would have no certified prefill workers: its work would be rejected")
 	require.True(t, slices.Contains(regimeWarnings(Change{FleetTime: now.AddDate(0, 0, 45).UnixNano()}), "regime chair would have no certified prefill workers within 7 days, as certificates end"))
 	st.Revoked = []string{"d2"}
-	require.Equal(t, []string{"regime chair would have no certified decode workers: its work would be bounced"}, regimeWarnings(Change{Drain: "d3"}))
+	require.Equal(t, []string{"regime chair would have no certified decode workers: its work would be rejected"}, regimeWarnings(Change{Drain: "d3"}))
 	_, err = Compute(st, configuration, Change{Revoke: "unknown"})
 	require.ErrorContains(t, err, "no such certificate")
 }
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -34,7 +34,11 @@
 
 // newHeartbeat returns this node's heartbeat.
 func (n *Node) newHeartbeat() *Heartbeat {
-	heartbeat := &Heartbeat{Node: n.self.Node, Version: n.view.HighestVersion(), SinceConfirmed: int64(n.agent.SinceConfirmed())}
+	heartbeat := &Heartbeat{
+		Node:           n.self.Node,
+		Version:        n.view.HighestVersion(),
+		SinceConfirmed: int64(n.agent.SinceConfirmed()),
+	}
 	now := n.now()
 	if !now.Past(ids.Tick(n.endpointsListedAt.Load()), time.Second) {
 		for id, endpoint := range *n.endpoints.Load() {
@@ -168,7 +172,7 @@
 func (n *Node) coreUnreachable() bool {
 	now := n.now()
 	members := n.agent.Members()
-	heard := 0
+	unconfirmed := 0
 	for _, m := range members {
 		if m.Node == n.self.Node {
 			continue
@@ -184,9 +188,9 @@
 		if peer.sinceConfirmed < n.options.LeaseDuration/2 {
 			return false
 		}
-		heard++
+		unconfirmed++
 	}
-	return len(members) > 1 && (heard+1)*2 > len(members)
+	return len(members) > 1 && (unconfirmed+1)*2 > len(members)
 }
 
 // watchEndpoints polls the platform's list of workers. While the platform does not answer, the last
@@ -222,11 +226,12 @@
 		return true
 	}
 	members := n.agent.Members()
-	now, heard := n.now(), 1
+	now, confirming := n.now(), 1
 	for _, m := range members {
-		if v, ok := n.peers.Load(m.Node); ok && m.Node != n.self.Node && !now.Past(v.(peerStatus).requestedAt, confirmationTTL) {
-			heard++
+		if v, ok := n.peers.Load(m.Node); ok && m.Node != n.self.Node &&
+			!now.Past(v.(peerStatus).requestedAt, confirmationTTL) {
+			confirming++
 		}
 	}
-	return heard*2 > len(members)
+	return confirming*2 > len(members)
 }
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -88,7 +88,8 @@
 // Counts are the node's request counters since it started. Rejected requests may be retried later,
 // aborted ones broke off after the first token, and HandedOver counts resumes at a decode worker.
 type Counts struct {
-	Requests, Completed, Rejected, Aborted, OutcomeUnknown, Replayed, HandedOver, Reattempts, RoleChanges, Forwarded atomic.Int64
+	Requests, Completed, Rejected, Aborted, OutcomeUnknown,
+	Replayed, HandedOver, Reattempts, RoleChanges, Forwarded atomic.Int64
 }
 
 // New returns a node that has not been started. Options left at zero take their defaults.
--- a/internal/router/role_balance.go
+++ b/internal/router/role_balance.go
@@ -106,8 +106,8 @@
 				MaxConcurrent: st.MaxConcurrent,
 				Free:          st.Free,
 				Capacity:      st.Capacity,
-				Allowed: view.Since >= interval && canSpare(s, workers, st.ID) && regimesStayCovered(s, workers, st, n.fleetTime()) &&
-					!n.changedRoleWithin(st.ID, dwell),
+				Allowed: view.Since >= interval && canSpare(s, workers, st.ID) &&
+					regimesStayCovered(s, workers, st, n.fleetTime()) && !n.changedRoleWithin(st.ID, dwell),
 			})
 		}
 	}
@@ -165,7 +165,12 @@
 
 // regimesStayCovered reports whether every regime that clears a worker in its role also clears
 // another worker in that role.
-func regimesStayCovered(s *fleetstate.Snapshot, workers []WorkerStatus, candidate WorkerStatus, now certification.Now) bool {
+func regimesStayCovered(
+	s *fleetstate.Snapshot,
+	workers []WorkerStatus,
+	candidate WorkerStatus,
+	now certification.Now,
+) bool {
 	for _, regime := range s.Register.Regimes() {
 		cleared := func(st WorkerStatus) bool {
 			_, ok := s.Register.Clears(regime, certification.Subject{Worker: st.ID}, candidate.Role, now)
@@ -222,13 +227,17 @@
 		}
 		header.Version = n.view.Current().Version
 		if n.versionCurrent() && duty.ledger.Empty() {
-			response, err := n.workerClient.SetRole(callContext, addr, &workerclient.RoleRequest{OrderHeader: header, Role: to})
+			response, err := n.workerClient.SetRole(
+				callContext, addr, &workerclient.RoleRequest{OrderHeader: header, Role: to},
+			)
 			if !failure.Is(err, failure.NotExecuted) {
 				return response, err
 			}
 		}
 		if !host.Sleep(callContext, 100*time.Millisecond) {
-			return nil, failure.New(failure.NotExecuted, "turn", string(duty.id), "it did not drain within %s", roleChangeTimeout)
+			return nil, failure.New(
+				failure.NotExecuted, "turn", string(duty.id), "it did not drain within %s", roleChangeTimeout,
+			)
 		}
 	}
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -150,7 +150,10 @@
 
 // newController returns the controller and the transport that run a task under a snapshot, and the
 // score of the routing program that the request is assigned to.
-func (n *Node) newController(s *fleetstate.Snapshot, t *handoff.Task) (*handoff.Controller, *transport, *routing.Score) {
+func (n *Node) newController(
+	s *fleetstate.Snapshot,
+	t *handoff.Task,
+) (*handoff.Controller, *transport, *routing.Score) {
 	programs := n.programsAt(s)
 	tr := &transport{
 		node:     n,
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -158,7 +158,9 @@
 
 // Reserve reserves blocks of memory at a worker.
 func (t *transport) Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error {
-	_, err := t.issueOrder(ctx, verbReserve, w, id, OrderRequest{Blocks: blocks, Role: t.pickedRole}, nil, 400*time.Millisecond)
+	_, err := t.issueOrder(
+		ctx, verbReserve, w, id, OrderRequest{Blocks: blocks, Role: t.pickedRole}, nil, 400*time.Millisecond,
+	)
 	return err
 }
 
@@ -236,7 +238,9 @@
 	}
 	ctx, end := t.guardStep(ctx, w, ids.Decode, "")
 	return end(
-		t.node.workerClient.Stream(ctx, endpoint.Addr, id, from, t.node.options.StreamTimeout, func(event workerclient.TokenEvent) error {
+		t.node.workerClient.Stream(ctx, endpoint.Addr, id, from, t.node.options.StreamTimeout, func(
+			event workerclient.TokenEvent,
+		) error {
 			if _, err := t.node.stepClearance(t.regime, w, ids.Decode); err != nil {
 				return failure.As(err, failure.DataLost, "stream", string(w))
 			}
--- a/internal/router/worker_duty.go
+++ b/internal/router/worker_duty.go
@@ -154,7 +154,7 @@
 func (n *Node) executeOrder(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
 	fence, end, ok := n.agent.BeginOperation(fleetstate.WorkerKey(request.Worker))
 	if !ok {
-		return nil, failure.New(failure.Unavailable, "hold key", n.self.Addr, "this node does not hold the key of %s", request.Worker)
+		return nil, failure.New(failure.Unavailable, "hold key", n.self.Addr, "not the key holder of %s", request.Worker)
 	}
 	defer end()
 	duty, err := n.dutyForFence(request.Worker, fence)
@@ -185,11 +185,13 @@
 			return nil, notReservedError(request)
 		}
 		ledger.Moved(id, n.now())
-		response, err = n.workerClient.Prefill(ctx, endpoint.Addr, &workerclient.PrefillRequest{OrderHeader: header, Identity: identity})
+		response, err = n.workerClient.Prefill(
+			ctx, endpoint.Addr, &workerclient.PrefillRequest{OrderHeader: header, Identity: identity})
 	case verbExport:
 		response, err = n.workerClient.Export(ctx, endpoint.Addr, &workerclient.ExportRequest{OrderHeader: header, ID: id})
 	case verbImport:
-		response, err = n.importMemory(ctx, request, ledger, endpoint.Addr, &workerclient.ImportRequest{OrderHeader: header, Identity: identity})
+		response, err = n.importMemory(
+			ctx, request, ledger, endpoint.Addr, &workerclient.ImportRequest{OrderHeader: header, Identity: identity})
 	case verbResume:
 		response, err = n.workerClient.Resume(ctx, endpoint.Addr, &workerclient.IDRequest{OrderHeader: header, ID: id})
 	case verbCancel:
