--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -85,8 +85,9 @@
 	retryAfter        handoff.RetryAfterScheduler
 }
 
-// Counts are the node's request counters since it started. Rejected requests may be retried later,
-// aborted ones broke off after the first token, and HandedOver counts resumes at a decode worker.
+// Counts holds the node's counters since it started. Rejected requests may be retried later, Aborted
+// ones broke off after the first token, HandedOver counts resumes at a decode worker, and
+// RoleChanges counts role changes of workers.
 type Counts struct {
 	Requests, Completed, Rejected, Aborted, OutcomeUnknown,
 	Replayed, HandedOver, Reattempts, RoleChanges, Forwarded atomic.Int64
