--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -102,8 +102,8 @@
 	rounds.Wait()
 }
 
-// handleHeartbeat records a member's heartbeat and answers with this node's own. A heartbeat that
-// arrives as a request has no request time of this node's, so it confirms no version.
+// handleHeartbeat records a member's heartbeat and answers with this node's own. The received
+// heartbeat answers no request of this node, so it confirms no version.
 func (n *Node) handleHeartbeat(ctx context.Context, heartbeat *Heartbeat) (*Heartbeat, error) {
 	for _, m := range n.agent.Members() {
 		if m.Node == heartbeat.Node {
