--- a/internal/router/role_balance_test.go
+++ b/internal/router/role_balance_test.go
@@ -1,4 +1,4 @@
-// When the switcher turns a worker, and when it must not.
+// Decisions to change a worker's role.
 
 package router
 
@@ -16,95 +16,97 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// stage sets up a node that sees so many workers of each part, this busy.
-func stage(reads, writes, readBusy, writeBusy int) (*Node, *fleetstate.Snapshot) {
+// newRoleBalanceFixture returns a node that sees the given numbers of prefill and decode workers, each
+// with the given number of started requests.
+func newRoleBalanceFixture(prefills, decodes, prefillStarted, decodeStarted int) (*Node, *fleetstate.Snapshot) {
 	n := New(Options{Name: "n", Host: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host()})
 	s := &fleetstate.Snapshot{Configuration: &fleetstate.Configuration{
 		RoleChangesEnabled: true,
 		Workers:            map[ids.WorkerID]fleetstate.Worker{},
 		Limits:             fleetstate.Limits{MinRoleDwellMs: 4000},
 	}}
-	stands, endpoints := map[ids.WorkerID]WorkerStatus{}, map[ids.WorkerID]workerclient.ListedWorker{}
-	for i := range reads + writes {
-		part, busy := ids.Prefill, readBusy
-		if i >= reads {
-			part, busy = ids.Decode, writeBusy
+	statuses, endpoints := map[ids.WorkerID]WorkerStatus{}, map[ids.WorkerID]workerclient.ListedWorker{}
+	for i := range prefills + decodes {
+		role, started := ids.Prefill, prefillStarted
+		if i >= prefills {
+			role, started = ids.Decode, decodeStarted
 		}
-		id := ids.WorkerID(fmt.Sprintf("%s%d", part[:1], i))
+		id := ids.WorkerID(fmt.Sprintf("%s%d", role[:1], i))
 		s.Configuration.Workers[id] = fleetstate.Worker{
-			Role:    part,
+			Role:    role,
 			Model:   "m",
 			Weights: "w",
 			Zone:    ids.Zone(fmt.Sprint(i % 3)),
 		}
-		stands[id] = WorkerStatus{
+		statuses[id] = WorkerStatus{
 			ID:            id,
-			Role:          part,
+			Role:          role,
 			Ready:         true,
 			Free:          90,
 			Capacity:      100,
-			Busy:          busy,
-			Work:          busy,
+			InFlight:      started,
+			Started:       started,
 			MaxConcurrent: 16,
 		}
 		endpoints[id] = workerclient.ListedWorker{ID: id}
 	}
-	n.workerStatus.Store(&stands)
+	n.workerStatuses.Store(&statuses)
 	n.endpoints.Store(&endpoints)
 	return n, s
 }
 
-// turns asks the switcher twice a second for so long.
-func turns(n *Node, s *fleetstate.Snapshot, duration time.Duration) []ids.Role {
-	p := &rolePool{last: n.now(), pressure: map[ids.Role]float64{}}
+// runRoleBalancer has the node decide twice a second for the given time, applies its decisions and
+// returns the new roles.
+func runRoleBalancer(n *Node, s *fleetstate.Snapshot, duration time.Duration) []ids.Role {
+	pool := &rolePool{lastChange: n.now(), pressure: map[ids.Role]float64{}}
 	var out []ids.Role
 	for end := n.now().Add(duration); n.now().Before(end); time.Sleep(roleChangeInterval) {
-		if w, ok := n.pickRoleChange(s, "m", p); ok {
+		if w, ok := n.pickRoleChange(s, "m", pool); ok {
 			out = append(out, w.To)
-			st := (*n.workerStatus.Load())[w.Worker]
+			st := (*n.workerStatuses.Load())[w.Worker]
 			st.Role = w.To
-			(*n.workerStatus.Load())[w.Worker] = st
+			(*n.workerStatuses.Load())[w.Worker] = st
 		}
 	}
 	return out
 }
 
-// TestTurns: a hard pressed part gets workers from an idle one, a quarter of a dwell apart,
-// until the other part can spare none; where both are pressed, or neither is,
-// nothing turns; with turning off the workers go home.
-func TestTurns(t *testing.T) {
+// TestRoleChanges checks that a loaded role gets workers from an idle one, a quarter of the dwell time
+// apart, until the idle role can spare none. No worker changes if both roles are loaded or neither
+// is. With role changes disabled the workers return to their configured roles.
+func TestRoleChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, s := stage(4, 4, 14, 0)
-		got := turns(n, s, 60*time.Second)
-		require.Equal(t, []ids.Role{ids.Prefill, ids.Prefill}, got, "two zones keep a decode worker")
-		n, s = stage(4, 4, 14, 0)
-		require.Len(t, turns(n, s, 2900*time.Millisecond), 1, "half a dwell first, and a quarter between two")
-		n, s = stage(4, 4, 14, 0)
-		for id, st := range *n.workerStatus.Load() {
+		n, s := newRoleBalanceFixture(4, 4, 14, 0)
+		got := runRoleBalancer(n, s, 60*time.Second)
+		require.Equal(t, []ids.Role{ids.Prefill, ids.Prefill}, got, "decode workers remain in two zones")
+		n, s = newRoleBalanceFixture(4, 4, 14, 0)
+		require.Len(t, runRoleBalancer(n, s, 2900*time.Millisecond), 1, "half a dwell time before the first change, a quarter between two")
+		n, s = newRoleBalanceFixture(4, 4, 14, 0)
+		for id, st := range *n.workerStatuses.Load() {
 			if st.Role == ids.Decode {
-				st.Busy = 14
-				(*n.workerStatus.Load())[id] = st
+				st.InFlight = 14
+				(*n.workerStatuses.Load())[id] = st
 			}
 		}
-		require.NotEmpty(t, turns(n, s, 10*time.Second), "what is only booked at decode is no pressure there")
-		n, s = stage(1, 1, 14, 0)
-		require.Empty(t, turns(n, s, 60*time.Second), "never the last of a part")
-		n, s = stage(4, 4, 14, 14)
-		require.Empty(t, turns(n, s, 60*time.Second), "both are pressed")
-		n, s = stage(4, 4, 4, 0)
-		require.Empty(t, turns(n, s, 60*time.Second), "neither is pressed")
-		n, s = stage(4, 4, 0, 14)
-		require.Equal(t, ids.Decode, turns(n, s, 30*time.Second)[0])
+		require.NotEmpty(t, runRoleBalancer(n, s, 10*time.Second), "reservations at decode workers are not pressure")
+		n, s = newRoleBalanceFixture(1, 1, 14, 0)
+		require.Empty(t, runRoleBalancer(n, s, 60*time.Second), "the last worker of a role does not change")
+		n, s = newRoleBalanceFixture(4, 4, 14, 14)
+		require.Empty(t, runRoleBalancer(n, s, 60*time.Second), "both roles are loaded")
+		n, s = newRoleBalanceFixture(4, 4, 4, 0)
+		require.Empty(t, runRoleBalancer(n, s, 60*time.Second), "neither role is loaded")
+		n, s = newRoleBalanceFixture(4, 4, 0, 14)
+		require.Equal(t, ids.Decode, runRoleBalancer(n, s, 30*time.Second)[0])
 		s.Configuration.RoleChangesEnabled = false
-		for id, st := range *n.workerStatus.Load() {
-			st.Busy = 0
-			(*n.workerStatus.Load())[id] = st
+		for id, st := range *n.workerStatuses.Load() {
+			st.InFlight = 0
+			(*n.workerStatuses.Load())[id] = st
 		}
-		for _, to := range turns(n, s, 60*time.Second) {
+		for _, to := range runRoleBalancer(n, s, 60*time.Second) {
 			require.Equal(t, ids.Prefill, to)
 		}
-		for id, st := range *n.workerStatus.Load() {
-			require.Equal(t, s.Configuration.Workers[id].Role, st.Role, "home again")
+		for id, st := range *n.workerStatuses.Load() {
+			require.Equal(t, s.Configuration.Workers[id].Role, st.Role, "each worker is back in its configured role")
 		}
 	})
 }
--- a/internal/router/tracing/tracing_test.go
+++ b/internal/router/tracing/tracing_test.go
@@ -1,4 +1,4 @@
-// The shape of a trace.
+// Format of the written traces.
 
 package tracing
 
@@ -15,9 +15,9 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// TestSpans: one line a hand-over, one span a step, all under one parent, and a
-// dropped one is marked with its reason.
-func TestSpans(t *testing.T) {
+// TestHandoverTrace checks that a hand-over is written as one line when it ends, with one span per
+// step under a common parent, and that a dropped one has the error status and its reason.
+func TestHandoverTrace(t *testing.T) {
 	var out bytes.Buffer
 	clock := simulated.NewWorld(1).Machine("10.0.0.1").Start().Host().Clock
 	w := New(&out, "n1", clock)
@@ -26,7 +26,7 @@
 		handoff.Granted, handoff.Prefilled, handoff.Exported, handoff.Imported, handoff.Dropped,
 	} {
 		require.Zero(t, out.Len())
-		w.Tell(handoff.Event{
+		w.Record(handoff.Event{
 			ID:     id,
 			Step:   s,
 			Worker: "d1",
@@ -58,5 +58,5 @@
 		require.Equal(t, spans[0].TraceID, s.TraceID)
 		require.Less(t, s.StartTimeUnixNano, s.EndTimeUnixNano)
 	}
-	require.Empty(t, w.open)
+	require.Empty(t, w.pending)
 }
