--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -89,7 +89,7 @@
 // Delta makes a text from the one before it.
 type Delta struct {
 	Size  int
-	Sum   []byte
+	Sum   []byte `msg:"Sum"`
 	Hunks []Hunk
 }
 
@@ -133,7 +133,7 @@
 type Failback struct {
 	Zone   ids.Zone
 	Number uint64 `msg:"No"`
-	Ago    int64
+	Ago    int64  `msg:"Ago"`
 }
 
 // ZoneRevision is how often a zone was emptied or taken back in all.
@@ -267,7 +267,7 @@
 // Clock moves the fleet's time on; it never goes back. At is in nanoseconds since 1970,
 // and no answer of the primary goes beyond the newest one.
 type Clock struct {
-	At int64
+	At int64 `msg:"At"`
 }
 
 // Audit adds a record to the chain.
@@ -284,9 +284,9 @@
 // AuditQueryReply has the rows' lines, the number of the first row that is kept, how many
 // there ever were, and the newest row's hash.
 type AuditQueryReply struct {
-	First int
-	Count int
-	Head  string
+	First int    `msg:"First"`
+	Count int    `msg:"Count"`
+	Head  string `msg:"Head"`
 	Lines [][]byte
 }
 
@@ -294,13 +294,13 @@
 type EncodedState struct {
 	Active      VersionedText
 	Prepared    []VersionedText `msg:"Staged"`
-	Zones       []string
-	Drained     []string
-	RoleChanges []RoleChange `msg:"Turning"`
+	Zones       []string        `msg:"Zones"`
+	Drained     []string        `msg:"Drained"`
+	RoleChanges []RoleChange    `msg:"Turning"`
 	// Zones taken back of late, and how many times one ever was.
 	Failbacks     []Failback
-	FailbackCount uint64 `msg:"Returns"`
-	Fence         ids.Fence
+	FailbackCount uint64              `msg:"Returns"`
+	Fence         ids.Fence           `msg:"Fence"`
 	Records       []IdempotencyRecord `msg:"Deeds"`
 	// The program set in force, and those that are prepared.
 	Programs         VersionedText
@@ -309,8 +309,8 @@
 	AgedRows           []byte `msg:"Rows"`
 	RecordCount        int    `msg:"Count"`
 	CertificationState `msg:"Governed"`
-	OrderMemory
-	Duties []DutySubject `msg:"Duties,omitempty"`
+	OrderMemory        `msg:"OrderMemory"`
+	Duties             []DutySubject `msg:"Duties,omitempty"`
 }
 
 // CertificationState is empty without regimes.
