--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -69,7 +69,7 @@
 		Seeds: s.Seeds,
 		Ring:  ring,
 		Machine: func() coordination.StateMachine {
-			return fleetstate.NewMachine(fleetstate.MachineOptions{Wall: host.Clock.Wall})
+			return fleetstate.NewMachine(fleetstate.MachineOptions{WallClock: host.Clock.Wall})
 		},
 		HeartbeatInterval: ms(s.BeatMs),
 		ElectionTimeout:   ms(s.SilenceMs),
--- a/cmd/keelstairctl/audit.go
+++ b/cmd/keelstairctl/audit.go
@@ -31,7 +31,7 @@
 		if err := json.Unmarshal(lines.Bytes(), row); err != nil {
 			return nil, failure.As(err, failure.InvalidArgument, "check audit", fmt.Sprint("line ", n))
 		}
-		if err := fleetstate.ChainCheck(last, []fleetstate.AuditRow{*row}); err != nil {
+		if err := fleetstate.VerifyChain(last, []fleetstate.AuditRow{*row}); err != nil {
 			return nil, err
 		}
 		last = row
@@ -81,7 +81,7 @@
 			if err := json.Unmarshal(line, row); err != nil {
 				return wrote, failure.As(err, failure.InvalidArgument, "check audit", "")
 			}
-			if err := fleetstate.ChainCheck(last, []fleetstate.AuditRow{*row}); err != nil {
+			if err := fleetstate.VerifyChain(last, []fleetstate.AuditRow{*row}); err != nil {
 				return wrote, err
 			}
 			if _, err := out.Write(append(bytes.Clone(line), '\n')); err != nil {
--- a/internal/fleetstate/aged_keys.go
+++ b/internal/fleetstate/aged_keys.go
@@ -27,7 +27,7 @@
 	ChunkRows int // 65536
 }
 
-var outcomes = []string{Claimed, Done, NotRun, MayHaveRun}
+var outcomes = []string{OutcomeClaimed, OutcomeDone, OutcomeNotRun, OutcomeMayHaveRun}
 
 type agedKeys struct {
 	Retention
@@ -125,20 +125,20 @@
 // Chunks and RestoreChunks make the machine a coordination.ChunkStore: chunks of aged keys, and of
 // the audit record, which are told by how they begin.
 func (m *Machine) Chunks() []coordination.Chunk {
-	if len(m.audit.sealed) == 0 {
-		return m.aged.sealed
+	if len(m.auditLog.sealedChunks) == 0 {
+		return m.agedKeys.sealed
 	}
-	return slices.Concat(m.aged.sealed, m.audit.sealed)
+	return slices.Concat(m.agedKeys.sealed, m.auditLog.sealedChunks)
 }
 
 // RestoreChunks gives back the chunks that the next snapshot to be restored names.
 func (m *Machine) RestoreChunks(chunks []coordination.Chunk) {
-	m.aged.sealed, m.audit.sealed = nil, nil
+	m.agedKeys.sealed, m.auditLog.sealedChunks = nil, nil
 	for _, one := range chunks {
 		if bytes.HasPrefix(one.Body, []byte(auditMagic)) {
-			m.audit.sealed = append(m.audit.sealed, one)
+			m.auditLog.sealedChunks = append(m.auditLog.sealedChunks, one)
 		} else {
-			m.aged.sealed = append(m.aged.sealed, one)
+			m.agedKeys.sealed = append(m.agedKeys.sealed, one)
 		}
 	}
 }
--- a/internal/fleetstate/aged_keys_test.go
+++ b/internal/fleetstate/aged_keys_test.go
@@ -28,14 +28,14 @@
 func TestAgedKeys(t *testing.T) {
 	m := NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
 	key := func(i int) string { return fmt.Sprintf("verdict/%d", i) }
-	fate := []string{Done, NotRun, MayHaveRun}
+	fate := []string{OutcomeDone, OutcomeNotRun, OutcomeMayHaveRun}
 	copied := NewMachine(MachineOptions{Retention: Retention{Full: 4, ChunkRows: 8}})
 	for i := range 100 {
 		for _, x := range []*Machine{m, copied} {
 			got, err := claim(t, x.State, key(i), fmt.Sprint("body", i))
 			require.NoError(t, err)
 			require.True(t, got.Fresh)
-			require.NoError(t, do(t, x.State, ResolveKind, &Resolve{
+			require.NoError(t, applyCommand(t, x.State, ResolveKind, &Resolve{
 				Key:     key(i),
 				Owner:   "n1",
 				Outcome: fate[i%3],
@@ -62,7 +62,7 @@
 		require.ErrorIs(t, err, coordination.ErrUnchanged)
 		require.NotEqual(t, "another body", got.Record.Digest, "the key stands for another request")
 	}
-	_, ok := copied.aged.find("verdict/never", "x")
+	_, ok := copied.agedKeys.find("verdict/never", "x")
 	require.False(t, ok)
 }
 
@@ -73,14 +73,14 @@
 	for i := range 10 {
 		_, err := claim(t, s, fmt.Sprint(i), "b")
 		require.NoError(t, err)
-		require.NoError(t, do(t, s, ResolveKind, &Resolve{Key: fmt.Sprint(i), Owner: "n1", Outcome: Done}))
+		require.NoError(t, applyCommand(t, s, ResolveKind, &Resolve{Key: fmt.Sprint(i), Owner: "n1", Outcome: OutcomeDone}))
 	}
 	_, err := claim(t, s, "new", "b")
 	require.True(t, failure.Is(err, failure.Stale))
 	require.ErrorContains(t, err, "full")
 	got, err := claim(t, s, "0", "b")
 	require.ErrorIs(t, err, coordination.ErrUnchanged)
-	require.Equal(t, Done, got.Record.Outcome)
+	require.Equal(t, OutcomeDone, got.Record.Outcome)
 }
 
 // full makes a state of so many idempotency records.
@@ -91,11 +91,11 @@
 			Key:     fmt.Sprintf("verdict/call-%08d", i),
 			Owner:   "router-1-0123456789abcdef",
 			Digest:  "0123456789abcdef01234567",
-			Outcome: Done,
+			Outcome: OutcomeDone,
 			Answer:  make([]byte, 60),
 		}
 		m.records[d.Key] = d
-		m.resolvedOrder = append(m.resolvedOrder, d.Key)
+		m.resolvedKeys = append(m.resolvedKeys, d.Key)
 		m.ageRecords()
 	}
 	return m
@@ -115,7 +115,7 @@
 			b.Fatal(err)
 		}
 		b.ReportMetric(float64(len(body))/1e6, "picture-MB")
-		b.ReportMetric(float64(len(m.Chunks())*m.aged.ChunkRows*rowSize)/1e6, "sheets-MB")
+		b.ReportMetric(float64(len(m.Chunks())*m.agedKeys.ChunkRows*rowSize)/1e6, "sheets-MB")
 	}
 }
 
@@ -123,7 +123,7 @@
 func BenchmarkFresh(b *testing.B) {
 	m := full(5 * million)
 	for i := 0; b.Loop(); i++ {
-		if _, ok := m.aged.find(fmt.Sprintf("ruling/%d", i), ""); ok {
+		if _, ok := m.agedKeys.find(fmt.Sprintf("ruling/%d", i), ""); ok {
 			b.Fatal("found")
 		}
 	}
--- a/internal/fleetstate/audit.go
+++ b/internal/fleetstate/audit.go
@@ -22,11 +22,11 @@
 // AuditStep is one step of a request: what was done at whom, cleared by which serial,
 // at the fleet's time in nanoseconds since 1970.
 type AuditStep struct {
-	Attempt int    `json:"attempt,omitempty"`
-	What    string `json:"what"`
-	Worker  string `json:"worker"`
-	Serial  string `json:"serial"`
-	At      int64  `json:"at"`
+	Attempt   int    `json:"attempt,omitempty"`
+	Operation string `json:"what"`
+	Worker    string `json:"worker"`
+	Serial    string `json:"serial"`
+	At        int64  `json:"at"`
 }
 
 // AuditRecord is what is kept of a governed request: once as it begins, if its key is
@@ -42,8 +42,8 @@
 	Outcome string      `json:"outcome"`
 }
 
-// Begun is the outcome of a record that is written before anything runs.
-const Begun = "begun"
+// OutcomeBegun is the outcome of a record that is written before anything runs.
+const OutcomeBegun = "begun"
 
 // AuditRow is a line of the chain. Its hash is over the row before it, its number and
 // the record's own text.
@@ -61,9 +61,9 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// ChainCheck holds rows against each other, and against the one before them if it is
+// VerifyChain holds rows against each other, and against the one before them if it is
 // known.
-func ChainCheck(before *AuditRow, rows []AuditRow) error {
+func VerifyChain(before *AuditRow, rows []AuditRow) error {
 	for i := range rows {
 		r := &rows[i]
 		switch {
@@ -105,14 +105,14 @@
 	auditMagic  = "keelstair audit\n"
 )
 
-type audit struct {
-	count  int
-	head   string
-	open   [][]byte
-	sealed []coordination.Chunk
+type auditLog struct {
+	count        int
+	head         string
+	open         [][]byte
+	sealedChunks []coordination.Chunk
 }
 
-func (a *audit) add(record []byte) {
+func (a *auditLog) add(record []byte) {
 	a.count++
 	r := AuditRow{Index: a.count, Prev: a.head, Record: record}
 	r.Hash = r.sum()
@@ -125,26 +125,26 @@
 		return
 	}
 	body := append([]byte(auditMagic), bytes.Join(a.open, []byte{'\n'})...)
-	a.sealed = append(a.sealed[:len(a.sealed):len(a.sealed)], coordination.NewChunk(body))
+	a.sealedChunks = append(a.sealedChunks[:len(a.sealedChunks):len(a.sealedChunks)], coordination.NewChunk(body))
 	a.open = nil
-	if n := len(a.sealed) - auditLeaves; n > 0 {
-		a.sealed = a.sealed[n:]
+	if n := len(a.sealedChunks) - auditLeaves; n > 0 {
+		a.sealedChunks = a.sealedChunks[n:]
 	}
 }
 
 // first is the number of the first row that is kept.
-func (a *audit) first() int { return a.count - len(a.open) - len(a.sealed)*auditLeaf + 1 }
+func (a *auditLog) first() int { return a.count - len(a.open) - len(a.sealedChunks)*auditLeaf + 1 }
 
-func (a *audit) read(from, limit int) *AuditQueryReply {
-	out := &AuditQueryReply{First: a.first(), Count: a.count, Head: a.head}
-	for at := max(from, out.First); at <= a.count && len(out.Lines) < limit; {
-		i := at - out.First
+func (a *auditLog) read(from, limit int) *AuditQueryReply {
+	out := &AuditQueryReply{FirstIndex: a.first(), RowCount: a.count, LastHash: a.head}
+	for at := max(from, out.FirstIndex); at <= a.count && len(out.Lines) < limit; {
+		i := at - out.FirstIndex
 		leaf := a.open
-		if n := i / auditLeaf; n < len(a.sealed) {
-			leaf = bytes.Split(a.sealed[n].Body[len(auditMagic):], []byte{'\n'})
+		if n := i / auditLeaf; n < len(a.sealedChunks) {
+			leaf = bytes.Split(a.sealedChunks[n].Body[len(auditMagic):], []byte{'\n'})
 			i %= auditLeaf
 		} else {
-			i -= len(a.sealed) * auditLeaf
+			i -= len(a.sealedChunks) * auditLeaf
 		}
 		take := min(len(leaf)-i, limit-len(out.Lines))
 		out.Lines = append(out.Lines, leaf[i:i+take]...)
@@ -153,15 +153,15 @@
 	return out
 }
 
-func (c *Audit) apply(s *State) (msgp.Marshaler, error) {
+func (c *AppendAudit) apply(s *State) (msgp.Marshaler, error) {
 	// The text stands in a line as it is, so it must be as the encoder writes it.
 	if tight, err := json.Marshal(json.RawMessage(c.Record)); err != nil || !bytes.Equal(tight, c.Record) {
 		return nil, failure.New(failure.InvalidArgument, "audit", "", "a record must be compact JSON")
 	}
-	s.audit.add(c.Record)
+	s.auditLog.add(c.Record)
 	return nil, nil
 }
 
 func (c *AuditQuery) apply(s *State) (msgp.Marshaler, error) {
-	return s.audit.read(c.From, min(max(c.Limit, 1), auditLeaf)), coordination.ErrUnchanged
+	return s.auditLog.read(c.From, min(max(c.Limit, 1), auditLeaf)), coordination.ErrUnchanged
 }
--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -36,11 +36,11 @@
 			Request: fmt.Sprint("<r&", i),
 			Kind:    "verdict",
 			Regime:  "chair",
-			Outcome: Done,
+			Outcome: OutcomeDone,
 		})
 		require.NoError(t, err)
 		for _, x := range []*Machine{m, copied} {
-			_, err = x.Apply(1, AuditKind, coordination.MustMarshal(&Audit{body}))
+			_, err = x.Apply(1, AppendAuditKind, coordination.MustMarshal(&AppendAudit{body}))
 			require.NoError(t, err)
 		}
 		if i == auditLeaf+7 {
@@ -54,34 +54,34 @@
 	var all []AuditRow
 	for from := 1; from <= n; from += 700 {
 		got, rows := audits(t, copied, from, 700)
-		require.Equal(t, []int{1, n}, []int{got.First, got.Count})
+		require.Equal(t, []int{1, n}, []int{got.FirstIndex, got.RowCount})
 		all = append(all, rows...)
 		if len(all) == n {
-			require.Equal(t, got.Head, all[n-1].Hash)
+			require.Equal(t, got.LastHash, all[n-1].Hash)
 		}
 	}
 	require.Len(t, all, n)
-	require.NoError(t, ChainCheck(nil, all))
+	require.NoError(t, VerifyChain(nil, all))
 	var r AuditRecord
 	require.NoError(t, json.Unmarshal(all[1500].Record, &r))
 	require.Equal(t, "<r&1500", r.Request)
 	for _, text := range []string{"{} ", `{"a":"<"}`, "{", ""} {
-		_, err := m.Apply(1, AuditKind, coordination.MustMarshal(&Audit{[]byte(text)}))
+		_, err := m.Apply(1, AppendAuditKind, coordination.MustMarshal(&AppendAudit{[]byte(text)}))
 		require.True(t, failure.Is(err, failure.InvalidArgument), text)
 	}
 	for range auditLeaf * auditLeaves {
-		m.audit.add([]byte("{}"))
+		m.auditLog.add([]byte("{}"))
 	}
 	got, rows := audits(t, m, 1, 3)
-	require.Equal(t, got.First, rows[0].Index)
-	require.Equal(t, 2*auditLeaf+1, got.First)
+	require.Equal(t, got.FirstIndex, rows[0].Index)
+	require.Equal(t, 2*auditLeaf+1, got.FirstIndex)
 	require.Len(t, m.Chunks(), auditLeaves)
 }
 
 // TestChain: a row that was removed, changed, replaced or moved shows.
 func TestChain(t *testing.T) {
 	build := func(tag string) []AuditRow {
-		a := audit{}
+		a := auditLog{}
 		for i := range 10 {
 			a.add([]byte(fmt.Sprintf(`{"request":"%s%d"}`, tag, i)))
 		}
@@ -92,8 +92,8 @@
 		return rows
 	}
 	rows := build("a")
-	require.NoError(t, ChainCheck(nil, rows))
-	require.NoError(t, ChainCheck(&rows[3], rows[4:]))
+	require.NoError(t, VerifyChain(nil, rows))
+	require.NoError(t, VerifyChain(&rows[3], rows[4:]))
 	for says, spoil := range map[string]func(r []AuditRow) []AuditRow{
 		"rows were removed": func(r []AuditRow) []AuditRow { return append(r[:4], r[5:]...) },
 		"was changed":       func(r []AuditRow) []AuditRow { r[4].Record = json.RawMessage(`{}`); return r },
@@ -104,7 +104,7 @@
 		},
 		"row 5 does not follow": func(r []AuditRow) []AuditRow { return append(r[:4], build("b")[4:]...) },
 	} {
-		require.ErrorContains(t, ChainCheck(nil, spoil(build("a"))), says)
+		require.ErrorContains(t, VerifyChain(nil, spoil(build("a"))), says)
 	}
 }
 
@@ -114,19 +114,19 @@
 	s := newState(false, Retention{})
 	_, err := claim(t, s, "verdict/1", "b")
 	require.NoError(t, err)
-	require.Error(t, do(t, s, ResolveKind, &Resolve{
+	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{
 		Key:     "verdict/1",
 		Owner:   "n1",
-		Outcome: Done,
+		Outcome: OutcomeDone,
 		Audit:   []byte("{ }"),
 	}))
-	require.Equal(t, Claimed, s.records["verdict/1"].Outcome)
-	require.NoError(t, do(t, s, ResolveKind, &Resolve{
+	require.Equal(t, OutcomeClaimed, s.records["verdict/1"].Outcome)
+	require.NoError(t, applyCommand(t, s, ResolveKind, &Resolve{
 		Key:     "verdict/1",
 		Owner:   "n1",
-		Outcome: Done,
+		Outcome: OutcomeDone,
 		Audit:   []byte("{}"),
 	}))
-	require.Error(t, do(t, s, ResolveKind, &Resolve{Key: "verdict/1", Owner: "n1", Outcome: Done, Audit: []byte("{}")}))
-	require.Equal(t, 1, s.audit.count)
+	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "verdict/1", Owner: "n1", Outcome: OutcomeDone, Audit: []byte("{}")}))
+	require.Equal(t, 1, s.auditLog.count)
 }
--- a/internal/fleetstate/client.go
+++ b/internal/fleetstate/client.go
@@ -42,9 +42,9 @@
 	return own, nil
 }
 
-// Newest asks the core for the newest version, in force or prepared, and for the zones
+// ReadNewest asks the core for the newest version, in force or prepared, and for the zones
 // that are evacuated, until the context ends.
-func Newest(
+func ReadNewest(
 	ctx context.Context,
 	caller *rpc.Caller,
 	directory *coordination.Directory,
@@ -53,11 +53,11 @@
 	if err != nil {
 		return VersionedText{}, nil, err
 	}
-	return encoded.Newest(), encoded.Zones, nil
+	return encoded.NewestVersion(), encoded.EvacuatedZones, nil
 }
 
-// Newest gives the newest version, in force or prepared, with its text as it was put.
-func (encoded *EncodedState) Newest() VersionedText {
+// NewestVersion gives the newest version, in force or prepared, with its text as it was put.
+func (encoded *EncodedState) NewestVersion() VersionedText {
 	top := (&versionHistory{active: encoded.Active, prepared: encoded.Prepared}).latest()
 	top.Text = decompress(top.Text)
 	return top
@@ -71,12 +71,12 @@
 	}).latest(), len(encoded.ProgramsPrepared) == 0
 }
 
-// Put asks the core for a text as the version next (0: the one after base), made over
+// PutConfiguration asks the core for a text as the version next (0: the one after base), made over
 // base. Asked again under the same op, it gives the one outcome. Errors: Stale where
 // another version is the newest, Bad where the number is too low, Unknown where it may
 // have been taken, Away where it was not. A large text that differs little from the one
 // it was made over goes as a delta.
-func Put(
+func PutConfiguration(
 	ctx context.Context,
 	caller *rpc.Caller,
 	directory *coordination.Directory,
@@ -87,15 +87,15 @@
 	var newest VersionedText
 	if base > 0 && len(text) >= deltaFrom {
 		var err error
-		if newest, _, err = Newest(ctx, caller, directory); err != nil {
+		if newest, _, err = ReadNewest(ctx, caller, directory); err != nil {
 			return 0, err
 		}
 	}
-	return PutOver(ctx, caller, directory, op, base, next, text, newest)
+	return PutConfigurationOver(ctx, caller, directory, op, base, next, text, newest)
 }
 
-// PutOver is Put for a caller that has read the newest version already.
-func PutOver(
+// PutConfigurationOver is Put for a caller that has read the newest version already.
+func PutConfigurationOver(
 	ctx context.Context,
 	caller *rpc.Caller,
 	directory *coordination.Directory,
@@ -106,7 +106,7 @@
 ) (ids.Version, error) {
 	c := &PrepareVersion{Base: base, Text: compress(text), Next: next}
 	if base > 0 && len(text) >= deltaFrom && newest.Version == base {
-		c.Shorten(newest.Text, text)
+		c.UseDeltaIfSmaller(newest.Text, text)
 	}
 	return submitForVersion(ctx, caller, directory, &coordination.SubmitRequest{
 		Op:   op,
@@ -115,8 +115,8 @@
 	})
 }
 
-// Shorten makes it a delta where that is half as long at most, and gives the same text.
-func (c *PrepareVersion) Shorten(previous, text []byte) {
+// UseDeltaIfSmaller makes it a delta where that is half as long at most, and gives the same text.
+func (c *PrepareVersion) UseDeltaIfSmaller(previous, text []byte) {
 	d := diff(previous, text)
 	body := coordination.MustMarshal(d)
 	if 2*len(body) > len(c.Text) {
@@ -127,9 +127,9 @@
 	}
 }
 
-// Outcome tells the version that an operation made. Errors: Stale where none was taken,
+// QueryOutcome tells the version that an operation made. Errors: Stale where none was taken,
 // Unknown where one may have been, too long ago to tell.
-func Outcome(
+func QueryOutcome(
 	ctx context.Context,
 	caller *rpc.Caller,
 	directory *coordination.Directory,
@@ -150,7 +150,7 @@
 			revision = z.Count
 		}
 	}
-	return revision, slices.Contains(encoded.Zones, string(zone))
+	return revision, slices.Contains(encoded.EvacuatedZones, string(zone))
 }
 
 // SetEvacuated empties a zone of new work, or takes that back, once for an operation's id.
--- a/internal/fleetstate/clock.go
+++ b/internal/fleetstate/clock.go
@@ -54,7 +54,7 @@
 		return nil
 	}
 	c.drift = here + int64(clockLead)
-	return []coordination.Command{{Kind: ClockKind, Body: coordination.MustMarshal(&Clock{c.drift})}}
+	return []coordination.Command{{Kind: AdvanceClockKind, Body: coordination.MustMarshal(&AdvanceClock{c.drift})}}
 }
 
 // Time gives the fleet's time, in nanoseconds since 1970; 0 while it is not known.
--- a/internal/fleetstate/compression_test.go
+++ b/internal/fleetstate/compression_test.go
@@ -29,7 +29,7 @@
 	text := []byte(`{"limits":{"deeds":1234},"zones":["` + strings.Repeat("z", compressFrom) + `"]}`)
 	require.True(t, isCompressed(compress(text)))
 	s := newState(false, Retention{})
-	s.putInForce(VersionedText{Version: 3, Text: compress(text)})
+	s.activate(VersionedText{Version: 3, Text: compress(text)})
 	require.Equal(t, 1234, s.maxRecords)
 	m := NewMachine(MachineOptions{})
 	m.active = VersionedText{Version: 3, Text: compress(text)}
--- a/internal/fleetstate/configuration.go
+++ b/internal/fleetstate/configuration.go
@@ -95,7 +95,7 @@
 	Services     map[string]Service      `json:"services,omitempty"`
 	ClientLimits ClientLimits            `json:"intake,omitzero"`
 	Tenants      []Tenant                `json:"tenants,omitzero"` // nil: requests need no key
-	Certified
+	CertificationConfig
 }
 
 // ConfigurationReader makes a configuration of an operator's text.
--- a/internal/fleetstate/delta.go
+++ b/internal/fleetstate/delta.go
@@ -22,7 +22,7 @@
 // diff gives the delta from one text to another.
 func diff(previous, text []byte) *Delta {
 	sum := sha256.Sum256(text)
-	d := &Delta{Size: len(text), Sum: sum[:]}
+	d := &Delta{Size: len(text), Checksum: sum[:]}
 	at := map[string]int{}
 	pos := 0
 	for _, p := range splitSections(previous) {
@@ -64,7 +64,7 @@
 		}
 		out = append(append(out, previous[h.From:h.From+h.Len]...), h.Text...)
 	}
-	if sum := sha256.Sum256(out); len(out) != d.Size || !bytes.Equal(sum[:], d.Sum) {
+	if sum := sha256.Sum256(out); len(out) != d.Size || !bytes.Equal(sum[:], d.Checksum) {
 		return nil, fault("it gives another text than it stands for")
 	}
 	return out, nil
--- a/internal/fleetstate/delta_test.go
+++ b/internal/fleetstate/delta_test.go
@@ -104,11 +104,11 @@
 func TestPrepareDelta(t *testing.T) {
 	one, two := routesText(1400, 3), routesText(1400, 900)
 	c := &PrepareVersion{Base: 1, Text: compress(two)}
-	c.Shorten(one, two)
+	c.UseDeltaIfSmaller(one, two)
 	require.True(t, c.Delta)
 	require.Less(t, len(c.Text), 1000)
 	far := &PrepareVersion{Base: 1, Text: compress(two)}
-	far.Shorten([]byte(`{}`), two)
+	far.UseDeltaIfSmaller([]byte(`{}`), two)
 	require.False(t, far.Delta)
 	m, v := NewMachine(MachineOptions{}), NewView(logging.Discard())
 	both := func(kind string, body []byte) error {
@@ -118,7 +118,7 @@
 	}
 	require.NoError(t, both(PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: compress(one)})))
 	wrong := &PrepareVersion{Base: 1, Text: compress(two)}
-	wrong.Shorten(routesText(1400, 4), two)
+	wrong.UseDeltaIfSmaller(routesText(1400, 4), two)
 	require.True(t, wrong.Delta)
 	err := both(PrepareKind, coordination.MustMarshal(wrong))
 	require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
@@ -139,7 +139,7 @@
 	require.NoError(t, late.Restore(v.Snapshot()))
 	require.Equal(t, string(two), string(late.Current().Text))
 	back := &PrepareVersion{Base: 2, Text: compress(one)}
-	back.Shorten(two, one)
+	back.UseDeltaIfSmaller(two, one)
 	for _, w := range []*View{v, late} {
 		require.True(t, w.Observe(3, PrepareKind, coordination.MustMarshal(back)))
 		w.Observe(4, CommitKind, coordination.MustMarshal(&CommitVersion{3}))
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -14,7 +14,7 @@
 	"keelstair.example/logging"
 )
 
-const small = `{
+const smallConfiguration = `{
 	zones: ["a"]
 	workers: p1: {part: "prefill", model: "m", weights: "w1", room: 10, zone: "a"}
 	workers: d1: {part: "decode", model: "m", weights: "w1", room: 10, zone: "a"}
@@ -25,7 +25,7 @@
 
 // TestCheck: CUE text becomes a whole configuration with defaults; each fault is named.
 func TestCheck(t *testing.T) {
-	text, err := Source("f.cue", []byte(small))
+	text, err := Source("f.cue", []byte(smallConfiguration))
 	require.NoError(t, err)
 	p, complete, err := ParseComplete("f.cue", text)
 	require.NoError(t, err)
@@ -57,7 +57,7 @@
 	require.NotEmpty(t, rows)
 }
 
-func do(t *testing.T, s *State, kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) error {
+func applyCommand(t *testing.T, s *State, kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) error {
 	t.Helper()
 	body, err := c.MarshalMsg(nil)
 	require.NoError(t, err)
@@ -69,14 +69,14 @@
 // it was seized from can record nothing any more.
 func TestDeeds(t *testing.T) {
 	s := newState(false, Retention{})
-	require.NoError(t, do(t, s, ClaimKind, &Claim{Key: "k", Owner: "n1"}))
-	require.ErrorIs(t, do(t, s, ClaimKind, &Claim{Key: "k", Owner: "n2"}), coordination.ErrUnchanged)
-	require.Error(t, do(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n2", Outcome: Done}))
-	require.NoError(t, do(t, s, TakeOverKind, &TakeOver{Key: "k", From: "n1", To: "n3", Fence: 7}))
-	require.Error(t, do(t, s, TakeOverKind, &TakeOver{Key: "k", From: "n3", To: "n4", Fence: 6}), "an older settler")
-	require.Error(t, do(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n1", Outcome: Done}), "woken too late")
-	require.NoError(t, do(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n3", Outcome: NotRun}))
-	require.Error(t, do(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n3", Outcome: Done}), "a tombstone stays")
+	require.NoError(t, applyCommand(t, s, ClaimKind, &Claim{Key: "k", Owner: "n1"}))
+	require.ErrorIs(t, applyCommand(t, s, ClaimKind, &Claim{Key: "k", Owner: "n2"}), coordination.ErrUnchanged)
+	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n2", Outcome: OutcomeDone}))
+	require.NoError(t, applyCommand(t, s, TakeOverKind, &TakeOver{Key: "k", From: "n1", To: "n3", Fence: 7}))
+	require.Error(t, applyCommand(t, s, TakeOverKind, &TakeOver{Key: "k", From: "n3", To: "n4", Fence: 6}), "an older settler")
+	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n1", Outcome: OutcomeDone}), "woken too late")
+	require.NoError(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n3", Outcome: OutcomeNotRun}))
+	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n3", Outcome: OutcomeDone}), "a tombstone stays")
 	copied := newState(false, Retention{})
 	require.NoError(t, copied.decode(coordination.MustMarshal(s.encode(false))))
 	require.Equal(t, s.records, copied.records)
--- a/internal/fleetstate/idempotency.go
+++ b/internal/fleetstate/idempotency.go
@@ -14,7 +14,7 @@
 	if d, ok := s.records[c.Key]; ok {
 		return &ClaimReply{Record: d}, coordination.ErrUnchanged
 	}
-	if d, ok := s.aged.find(c.Key, c.Digest); ok {
+	if d, ok := s.agedKeys.find(c.Key, c.Digest); ok {
 		return &ClaimReply{Record: d}, coordination.ErrUnchanged
 	}
 	if !s.claimsOnly && s.maxRecords > 0 && s.recordCount >= s.maxRecords {
@@ -26,7 +26,7 @@
 		Worker:      c.Worker,
 		Incarnation: c.Incarnation,
 		Digest:      c.Digest,
-		Outcome:     Claimed,
+		Outcome:     OutcomeClaimed,
 	}
 	s.records[c.Key] = d
 	s.recordCount++
@@ -36,16 +36,16 @@
 // ageRecords puts the oldest settled idempotency records over the count that is kept in full on the
 // shelf.
 func (s *State) ageRecords() {
-	for len(s.resolvedOrder) > s.aged.Full {
-		s.aged.put(s.records[s.resolvedOrder[0]])
-		delete(s.records, s.resolvedOrder[0])
-		s.resolvedOrder = s.resolvedOrder[1:]
+	for len(s.resolvedKeys) > s.agedKeys.Full {
+		s.agedKeys.put(s.records[s.resolvedKeys[0]])
+		delete(s.records, s.resolvedKeys[0])
+		s.resolvedKeys = s.resolvedKeys[1:]
 	}
 }
 
 func (c *Resolve) apply(s *State) (msgp.Marshaler, error) {
 	d, ok := s.records[c.Key]
-	if !ok || d.Outcome != Claimed || d.Owner != c.Owner {
+	if !ok || d.Outcome != OutcomeClaimed || d.Owner != c.Owner {
 		return nil, failure.New(failure.Stale, "settle", c.Key, "it is %q and not this node's", d.Outcome)
 	}
 	if s.claimsOnly {
@@ -53,20 +53,20 @@
 		return nil, nil
 	}
 	if len(c.Audit) > 0 {
-		if _, err := (&Audit{c.Audit}).apply(s); err != nil {
+		if _, err := (&AppendAudit{c.Audit}).apply(s); err != nil {
 			return nil, err
 		}
 	}
 	d.Outcome, d.Answer = c.Outcome, c.Answer
 	s.records[c.Key] = d
-	s.resolvedOrder = append(s.resolvedOrder, c.Key)
+	s.resolvedKeys = append(s.resolvedKeys, c.Key)
 	s.ageRecords()
 	return &d, nil
 }
 
 func (c *AssignWorker) apply(s *State) (msgp.Marshaler, error) {
 	d, ok := s.records[c.Key]
-	if !ok || d.Outcome != Claimed || d.Owner != c.Owner {
+	if !ok || d.Outcome != OutcomeClaimed || d.Owner != c.Owner {
 		return nil, failure.New(failure.Stale, "bind", c.Key, "it is %q and not this node's", d.Outcome)
 	}
 	d.Worker, d.Incarnation = c.Worker, c.Incarnation
@@ -76,7 +76,7 @@
 
 func (c *TakeOver) apply(s *State) (msgp.Marshaler, error) {
 	d, ok := s.records[c.Key]
-	if !ok || d.Outcome != Claimed || d.Owner != c.From || c.Fence < s.fence {
+	if !ok || d.Outcome != OutcomeClaimed || d.Owner != c.From || c.Fence < s.fence {
 		return nil, failure.New(failure.Stale, "seize", c.Key, "it is %q of %s, fence %d", d.Outcome, d.Owner, s.fence)
 	}
 	s.fence = c.Fence
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -58,7 +58,7 @@
 	CommitTimeout time.Duration       // 300ms for silent nodes before a prepared version is put in force
 	Read          ConfigurationReader // Plain: makes a configuration of a text
 	Retention     Retention
-	Wall          func() time.Time // time.Now: read once, for the fleet's time to begin
+	WallClock     func() time.Time // time.Now: read once, for the fleet's time to begin
 	Metering      bool             // usage is reported, so that there is a key for it
 }
 
@@ -68,8 +68,8 @@
 	if opt.Read == nil {
 		opt.Read = ReadPlain
 	}
-	if opt.Wall == nil {
-		opt.Wall = time.Now
+	if opt.WallClock == nil {
+		opt.WallClock = time.Now
 	}
 	m := &Machine{
 		State:              newState(false, opt.Retention),
@@ -77,7 +77,7 @@
 		read:               opt.Read,
 		failbackSince:      map[uint64]ids.Tick{},
 		pendingRevocations: map[string]ids.Seq{},
-		clock:              clock{wall: opt.Wall},
+		clock:              clock{wall: opt.WallClock},
 		metering:           opt.Metering,
 	}
 	m.pendingCommits = []*pendingCommit{
@@ -117,7 +117,7 @@
 // Published reports whether watchers see a command: nodes hear of the time by their leases, of
 // the audit record when they ask, and of duty rounds by the answers.
 func (m *Machine) Published(kind string) bool {
-	return kind != ClockKind && kind != AuditKind && kind != DutyRoundKind
+	return kind != AdvanceClockKind && kind != AppendAuditKind && kind != DutyRoundKind
 }
 
 // Restore replaces the state by that of a snapshot.
@@ -127,7 +127,7 @@
 func (m *Machine) Snapshot(open bool) []byte {
 	encoded := m.encode(open)
 	for i, f := range encoded.Failbacks {
-		encoded.Failbacks[i].Ago = int64(m.sinceFailback(f))
+		encoded.Failbacks[i].ElapsedNs = int64(m.sinceFailback(f))
 	}
 	return coordination.MustMarshal(encoded)
 }
@@ -182,7 +182,7 @@
 // waiting lists revocations that may not be in force everywhere yet.
 func (s *State) waiting() []string {
 	var out []string
-	for serial, sure := range s.revoked {
+	for serial, sure := range s.revocations {
 		if !sure {
 			out = append(out, serial)
 		}
--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -19,15 +19,15 @@
 
 // Names of these commands in the log. Reading writes nothing.
 const (
-	AuditKind      = "lore.audit"
-	AuditQueryKind = "lore.audits"
+	AppendAuditKind = "lore.audit"
+	AuditQueryKind  = "lore.audits"
 )
 
 // Names of these commands in the log.
 const (
 	RevokeKind            = "lore.revoke"
 	ConfirmRevocationKind = "lore.seal"
-	ClockKind             = "lore.clock"
+	AdvanceClockKind      = "lore.clock"
 )
 
 // Kinds of command by their names in the log.
@@ -88,9 +88,9 @@
 
 // Delta makes a text from the one before it.
 type Delta struct {
-	Size  int
-	Sum   []byte `msg:"Sum"`
-	Hunks []Hunk
+	Size     int
+	Checksum []byte `msg:"Sum"`
+	Hunks    []Hunk
 }
 
 // Hunk is a piece of the older text, and what follows it.
@@ -131,9 +131,9 @@
 // long it surely has been so, in ns. That is counted on the clock of whoever leads, anew
 // after a takeover, and so is never too long.
 type Failback struct {
-	Zone   ids.Zone
-	Number uint64 `msg:"No"`
-	Ago    int64  `msg:"Ago"`
+	Zone      ids.Zone
+	Number    uint64 `msg:"No"`
+	ElapsedNs int64  `msg:"Ago"`
 }
 
 // ZoneRevision is how often a zone was emptied or taken back in all.
@@ -186,10 +186,10 @@
 
 // Fates of an idempotency record. Once it is not Claimed any more it never changes.
 const (
-	Claimed    = "claimed"
-	Done       = "done"
-	NotRun     = "notrun"
-	MayHaveRun = "unknown"
+	OutcomeClaimed    = "claimed"
+	OutcomeDone       = "done"
+	OutcomeNotRun     = "notrun"
+	OutcomeMayHaveRun = "unknown"
 )
 
 // IdempotencyRecord is one ruling or verdict by its caller's key. It runs at no other worker, and
@@ -264,14 +264,14 @@
 	Confirmed bool `msg:"Sure"`
 }
 
-// Clock moves the fleet's time on; it never goes back. At is in nanoseconds since 1970,
+// AdvanceClock moves the fleet's time on; it never goes back. At is in nanoseconds since 1970,
 // and no answer of the primary goes beyond the newest one.
-type Clock struct {
-	At int64 `msg:"At"`
+type AdvanceClock struct {
+	Bound int64 `msg:"At"`
 }
 
-// Audit adds a record to the chain.
-type Audit struct {
+// AppendAudit adds a record to the chain.
+type AppendAudit struct {
 	Record []byte
 }
 
@@ -284,24 +284,24 @@
 // AuditQueryReply has the rows' lines, the number of the first row that is kept, how many
 // there ever were, and the newest row's hash.
 type AuditQueryReply struct {
-	First int    `msg:"First"`
-	Count int    `msg:"Count"`
-	Head  string `msg:"Head"`
-	Lines [][]byte
+	FirstIndex int    `msg:"First"`
+	RowCount   int    `msg:"Count"`
+	LastHash   string `msg:"Head"`
+	Lines      [][]byte
 }
 
 // EncodedState is the state in a snapshot, or the part of it that watchers see.
 type EncodedState struct {
-	Active      VersionedText
-	Prepared    []VersionedText `msg:"Staged"`
-	Zones       []string        `msg:"Zones"`
-	Drained     []string        `msg:"Drained"`
-	RoleChanges []RoleChange    `msg:"Turning"`
+	Active         VersionedText
+	Prepared       []VersionedText `msg:"Staged"`
+	EvacuatedZones []string        `msg:"Zones"`
+	DrainedWorkers []string        `msg:"Drained"`
+	RoleChanges    []RoleChange    `msg:"Turning"`
 	// Zones taken back of late, and how many times one ever was.
-	Failbacks     []Failback
-	FailbackCount uint64              `msg:"Returns"`
-	Fence         ids.Fence           `msg:"Fence"`
-	Records       []IdempotencyRecord `msg:"Deeds"`
+	Failbacks       []Failback
+	FailbackCount   uint64              `msg:"Returns"`
+	ResolutionFence ids.Fence           `msg:"Fence"`
+	Records         []IdempotencyRecord `msg:"Deeds"`
 	// The program set in force, and those that are prepared.
 	Programs         VersionedText
 	ProgramsPrepared []VersionedText `msg:"ProgramsPending"`
@@ -309,7 +309,7 @@
 	AgedRows           []byte `msg:"Rows"`
 	RecordCount        int    `msg:"Count"`
 	CertificationState `msg:"Governed"`
-	OrderMemory        `msg:"OrderMemory"`
+	RevisionHistory    `msg:"OrderMemory"`
 	Duties             []DutySubject `msg:"Duties,omitempty"`
 }
 
@@ -324,9 +324,9 @@
 	AuditHead  string   `msg:"AuditHead,omitempty"`
 }
 
-// OrderMemory is the part of the image that tells late and repeated orders from new ones.
+// RevisionHistory is the part of the image that tells late and repeated orders from new ones.
 // Images of earlier releases lack it.
-type OrderMemory struct {
+type RevisionHistory struct {
 	ZoneRevisions      []ZoneRevision `msg:"ZoneRevisions,omitempty"`
 	Superseded         []ids.Version  `msg:"Superseded,omitempty"`
 	SupersededPrograms []ids.Version  `msg:"SupersededPrograms,omitempty"`
--- a/internal/fleetstate/messages_gen.go
+++ b/internal/fleetstate/messages_gen.go
@@ -7,6 +7,110 @@
 	"keelstair.example/ids"
 )
 
+// MarshalMsg implements msgp.Marshaler
+func (z AdvanceClock) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 1
+	// string "At"
+	o = append(o, 0x81, 0xa2, 0x41, 0x74)
+	o = msgp.AppendInt64(o, z.Bound)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *AdvanceClock) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "At":
+			z.Bound, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Bound")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z AdvanceClock) Msgsize() (s int) {
+	s = 1 + 3 + msgp.Int64Size
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *AppendAudit) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 1
+	// string "Record"
+	o = append(o, 0x81, 0xa6, 0x52, 0x65, 0x63, 0x6f, 0x72, 0x64)
+	o = msgp.AppendBytes(o, z.Record)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *AppendAudit) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "Record":
+			z.Record, bts, err = msgp.ReadBytesBytes(bts, z.Record)
+			if err != nil {
+				err = msgp.WrapError(err, "Record")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *AppendAudit) Msgsize() (s int) {
+	s = 1 + 7 + msgp.BytesPrefixSize + len(z.Record)
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *AssignWorker) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -98,58 +202,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z *Audit) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
-	// string "Record"
-	o = append(o, 0x81, 0xa6, 0x52, 0x65, 0x63, 0x6f, 0x72, 0x64)
-	o = msgp.AppendBytes(o, z.Record)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Audit) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "Record":
-			z.Record, bts, err = msgp.ReadBytesBytes(bts, z.Record)
-			if err != nil {
-				err = msgp.WrapError(err, "Record")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Audit) Msgsize() (s int) {
-	s = 1 + 7 + msgp.BytesPrefixSize + len(z.Record)
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z AuditQuery) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -217,13 +269,13 @@
 	// map header, size 4
 	// string "First"
 	o = append(o, 0x84, 0xa5, 0x46, 0x69, 0x72, 0x73, 0x74)
-	o = msgp.AppendInt(o, z.First)
+	o = msgp.AppendInt(o, z.FirstIndex)
 	// string "Count"
 	o = append(o, 0xa5, 0x43, 0x6f, 0x75, 0x6e, 0x74)
-	o = msgp.AppendInt(o, z.Count)
+	o = msgp.AppendInt(o, z.RowCount)
 	// string "Head"
 	o = append(o, 0xa4, 0x48, 0x65, 0x61, 0x64)
-	o = msgp.AppendString(o, z.Head)
+	o = msgp.AppendString(o, z.LastHash)
 	// string "Lines"
 	o = append(o, 0xa5, 0x4c, 0x69, 0x6e, 0x65, 0x73)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Lines)))
@@ -252,21 +304,21 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "First":
-			z.First, bts, err = msgp.ReadIntBytes(bts)
+			z.FirstIndex, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "First")
+				err = msgp.WrapError(err, "FirstIndex")
 				return
 			}
 		case "Count":
-			z.Count, bts, err = msgp.ReadIntBytes(bts)
+			z.RowCount, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Count")
+				err = msgp.WrapError(err, "RowCount")
 				return
 			}
 		case "Head":
-			z.Head, bts, err = msgp.ReadStringBytes(bts)
+			z.LastHash, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Head")
+				err = msgp.WrapError(err, "LastHash")
 				return
 			}
 		case "Lines":
@@ -302,7 +354,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *AuditQueryReply) Msgsize() (s int) {
-	s = 1 + 6 + msgp.IntSize + 6 + msgp.IntSize + 5 + msgp.StringPrefixSize + len(z.Head) + 6 + msgp.ArrayHeaderSize
+	s = 1 + 6 + msgp.IntSize + 6 + msgp.IntSize + 5 + msgp.StringPrefixSize + len(z.LastHash) + 6 + msgp.ArrayHeaderSize
 	for za0001 := range z.Lines {
 		s += msgp.BytesPrefixSize + len(z.Lines[za0001])
 	}
@@ -676,58 +728,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z Clock) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
-	// string "At"
-	o = append(o, 0x81, 0xa2, 0x41, 0x74)
-	o = msgp.AppendInt64(o, z.At)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Clock) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "At":
-			z.At, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "At")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Clock) Msgsize() (s int) {
-	s = 1 + 3 + msgp.Int64Size
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z CommitVersion) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -845,7 +845,7 @@
 	o = msgp.AppendInt(o, z.Size)
 	// string "Sum"
 	o = append(o, 0xa3, 0x53, 0x75, 0x6d)
-	o = msgp.AppendBytes(o, z.Sum)
+	o = msgp.AppendBytes(o, z.Checksum)
 	// string "Hunks"
 	o = append(o, 0xa5, 0x48, 0x75, 0x6e, 0x6b, 0x73)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Hunks)))
@@ -889,9 +889,9 @@
 				return
 			}
 		case "Sum":
-			z.Sum, bts, err = msgp.ReadBytesBytes(bts, z.Sum)
+			z.Checksum, bts, err = msgp.ReadBytesBytes(bts, z.Checksum)
 			if err != nil {
-				err = msgp.WrapError(err, "Sum")
+				err = msgp.WrapError(err, "Checksum")
 				return
 			}
 		case "Hunks":
@@ -962,7 +962,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Delta) Msgsize() (s int) {
-	s = 1 + 5 + msgp.IntSize + 4 + msgp.BytesPrefixSize + len(z.Sum) + 6 + msgp.ArrayHeaderSize
+	s = 1 + 5 + msgp.IntSize + 4 + msgp.BytesPrefixSize + len(z.Checksum) + 6 + msgp.ArrayHeaderSize
 	for za0001 := range z.Hunks {
 		s += 1 + 5 + msgp.IntSize + 4 + msgp.IntSize + 5 + msgp.BytesPrefixSize + len(z.Hunks[za0001].Text)
 	}
@@ -1503,15 +1503,15 @@
 		}
 		// string "Zones"
 		o = append(o, 0xa5, 0x5a, 0x6f, 0x6e, 0x65, 0x73)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Zones)))
-		for za0002 := range z.Zones {
-			o = msgp.AppendString(o, z.Zones[za0002])
+		o = msgp.AppendArrayHeader(o, uint32(len(z.EvacuatedZones)))
+		for za0002 := range z.EvacuatedZones {
+			o = msgp.AppendString(o, z.EvacuatedZones[za0002])
 		}
 		// string "Drained"
 		o = append(o, 0xa7, 0x44, 0x72, 0x61, 0x69, 0x6e, 0x65, 0x64)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Drained)))
-		for za0003 := range z.Drained {
-			o = msgp.AppendString(o, z.Drained[za0003])
+		o = msgp.AppendArrayHeader(o, uint32(len(z.DrainedWorkers)))
+		for za0003 := range z.DrainedWorkers {
+			o = msgp.AppendString(o, z.DrainedWorkers[za0003])
 		}
 		// string "Turning"
 		o = append(o, 0xa7, 0x54, 0x75, 0x72, 0x6e, 0x69, 0x6e, 0x67)
@@ -1541,14 +1541,14 @@
 			o = msgp.AppendUint64(o, z.Failbacks[za0005].Number)
 			// string "Ago"
 			o = append(o, 0xa3, 0x41, 0x67, 0x6f)
-			o = msgp.AppendInt64(o, z.Failbacks[za0005].Ago)
+			o = msgp.AppendInt64(o, z.Failbacks[za0005].ElapsedNs)
 		}
 		// string "Returns"
 		o = append(o, 0xa7, 0x52, 0x65, 0x74, 0x75, 0x72, 0x6e, 0x73)
 		o = msgp.AppendUint64(o, z.FailbackCount)
 		// string "Fence"
 		o = append(o, 0xa5, 0x46, 0x65, 0x6e, 0x63, 0x65)
-		o = msgp.AppendUint64(o, uint64(z.Fence))
+		o = msgp.AppendUint64(o, uint64(z.ResolutionFence))
 		// string "Deeds"
 		o = append(o, 0xa5, 0x44, 0x65, 0x65, 0x64, 0x73)
 		o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
@@ -1595,9 +1595,9 @@
 		}
 		// string "OrderMemory"
 		o = append(o, 0xab, 0x4f, 0x72, 0x64, 0x65, 0x72, 0x4d, 0x65, 0x6d, 0x6f, 0x72, 0x79)
-		o, err = z.OrderMemory.MarshalMsg(o)
+		o, err = z.RevisionHistory.MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "OrderMemory")
+			err = msgp.WrapError(err, "RevisionHistory")
 			return
 		}
 		if (zb0001Mask & 0x8000) == 0 { // if not omitted
@@ -1729,18 +1729,18 @@
 			var zb0007 uint32
 			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Zones")
+				err = msgp.WrapError(err, "EvacuatedZones")
 				return
 			}
-			if cap(z.Zones) >= int(zb0007) {
-				z.Zones = (z.Zones)[:zb0007]
+			if cap(z.EvacuatedZones) >= int(zb0007) {
+				z.EvacuatedZones = (z.EvacuatedZones)[:zb0007]
 			} else {
-				z.Zones = make([]string, zb0007)
+				z.EvacuatedZones = make([]string, zb0007)
 			}
-			for za0002 := range z.Zones {
-				z.Zones[za0002], bts, err = msgp.ReadStringBytes(bts)
+			for za0002 := range z.EvacuatedZones {
+				z.EvacuatedZones[za0002], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Zones", za0002)
+					err = msgp.WrapError(err, "EvacuatedZones", za0002)
 					return
 				}
 			}
@@ -1748,18 +1748,18 @@
 			var zb0008 uint32
 			zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Drained")
+				err = msgp.WrapError(err, "DrainedWorkers")
 				return
 			}
-			if cap(z.Drained) >= int(zb0008) {
-				z.Drained = (z.Drained)[:zb0008]
+			if cap(z.DrainedWorkers) >= int(zb0008) {
+				z.DrainedWorkers = (z.DrainedWorkers)[:zb0008]
 			} else {
-				z.Drained = make([]string, zb0008)
+				z.DrainedWorkers = make([]string, zb0008)
 			}
-			for za0003 := range z.Drained {
-				z.Drained[za0003], bts, err = msgp.ReadStringBytes(bts)
+			for za0003 := range z.DrainedWorkers {
+				z.DrainedWorkers[za0003], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Drained", za0003)
+					err = msgp.WrapError(err, "DrainedWorkers", za0003)
 					return
 				}
 			}
@@ -1869,9 +1869,9 @@
 							return
 						}
 					case "Ago":
-						z.Failbacks[za0005].Ago, bts, err = msgp.ReadInt64Bytes(bts)
+						z.Failbacks[za0005].ElapsedNs, bts, err = msgp.ReadInt64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Failbacks", za0005, "Ago")
+							err = msgp.WrapError(err, "Failbacks", za0005, "ElapsedNs")
 							return
 						}
 					default:
@@ -1894,10 +1894,10 @@
 				var zb0016 uint64
 				zb0016, bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Fence")
+					err = msgp.WrapError(err, "ResolutionFence")
 					return
 				}
-				z.Fence = ids.Fence(zb0016)
+				z.ResolutionFence = ids.Fence(zb0016)
 			}
 		case "Deeds":
 			var zb0017 uint32
@@ -2028,9 +2028,9 @@
 				return
 			}
 		case "OrderMemory":
-			bts, err = z.OrderMemory.UnmarshalMsg(bts)
+			bts, err = z.RevisionHistory.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "OrderMemory")
+				err = msgp.WrapError(err, "RevisionHistory")
 				return
 			}
 		case "Duties":
@@ -2071,12 +2071,12 @@
 		s += 1 + 8 + msgp.Uint64Size + 5 + msgp.BytesPrefixSize + len(z.Prepared[za0001].Text)
 	}
 	s += 6 + msgp.ArrayHeaderSize
-	for za0002 := range z.Zones {
-		s += msgp.StringPrefixSize + len(z.Zones[za0002])
+	for za0002 := range z.EvacuatedZones {
+		s += msgp.StringPrefixSize + len(z.EvacuatedZones[za0002])
 	}
 	s += 8 + msgp.ArrayHeaderSize
-	for za0003 := range z.Drained {
-		s += msgp.StringPrefixSize + len(z.Drained[za0003])
+	for za0003 := range z.DrainedWorkers {
+		s += msgp.StringPrefixSize + len(z.DrainedWorkers[za0003])
 	}
 	s += 8 + msgp.ArrayHeaderSize
 	for za0004 := range z.RoleChanges {
@@ -2094,7 +2094,7 @@
 	for za0007 := range z.ProgramsPrepared {
 		s += 1 + 8 + msgp.Uint64Size + 5 + msgp.BytesPrefixSize + len(z.ProgramsPrepared[za0007].Text)
 	}
-	s += 5 + msgp.BytesPrefixSize + len(z.AgedRows) + 6 + msgp.IntSize + 9 + z.CertificationState.Msgsize() + 12 + z.OrderMemory.Msgsize() + 7 + msgp.ArrayHeaderSize
+	s += 5 + msgp.BytesPrefixSize + len(z.AgedRows) + 6 + msgp.IntSize + 9 + z.CertificationState.Msgsize() + 12 + z.RevisionHistory.Msgsize() + 7 + msgp.ArrayHeaderSize
 	for za0008 := range z.Duties {
 		s += z.Duties[za0008].Msgsize()
 	}
@@ -2196,7 +2196,7 @@
 	o = msgp.AppendUint64(o, z.Number)
 	// string "Ago"
 	o = append(o, 0xa3, 0x41, 0x67, 0x6f)
-	o = msgp.AppendInt64(o, z.Ago)
+	o = msgp.AppendInt64(o, z.ElapsedNs)
 	return
 }
 
@@ -2235,9 +2235,9 @@
 				return
 			}
 		case "Ago":
-			z.Ago, bts, err = msgp.ReadInt64Bytes(bts)
+			z.ElapsedNs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ago")
+				err = msgp.WrapError(err, "ElapsedNs")
 				return
 			}
 		default:
@@ -2456,216 +2456,20 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *OrderMemory) MarshalMsg(b []byte) (o []byte, err error) {
+func (z OutcomeQuery) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(3)
-	var zb0001Mask uint8 /* 3 bits */
-	_ = zb0001Mask
-	if z.ZoneRevisions == nil {
-		zb0001Len--
-		zb0001Mask |= 0x1
-	}
-	if z.Superseded == nil {
-		zb0001Len--
-		zb0001Mask |= 0x2
-	}
-	if z.SupersededPrograms == nil {
-		zb0001Len--
-		zb0001Mask |= 0x4
-	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		if (zb0001Mask & 0x1) == 0 { // if not omitted
-			// string "ZoneRevisions"
-			o = append(o, 0xad, 0x5a, 0x6f, 0x6e, 0x65, 0x52, 0x65, 0x76, 0x69, 0x73, 0x69, 0x6f, 0x6e, 0x73)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.ZoneRevisions)))
-			for za0001 := range z.ZoneRevisions {
-				// map header, size 2
-				// string "Zone"
-				o = append(o, 0x82, 0xa4, 0x5a, 0x6f, 0x6e, 0x65)
-				o = msgp.AppendString(o, string(z.ZoneRevisions[za0001].Zone))
-				// string "Count"
-				o = append(o, 0xa5, 0x43, 0x6f, 0x75, 0x6e, 0x74)
-				o = msgp.AppendUint64(o, z.ZoneRevisions[za0001].Count)
-			}
-		}
-		if (zb0001Mask & 0x2) == 0 { // if not omitted
-			// string "Superseded"
-			o = append(o, 0xaa, 0x53, 0x75, 0x70, 0x65, 0x72, 0x73, 0x65, 0x64, 0x65, 0x64)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Superseded)))
-			for za0002 := range z.Superseded {
-				o = msgp.AppendUint64(o, uint64(z.Superseded[za0002]))
-			}
-		}
-		if (zb0001Mask & 0x4) == 0 { // if not omitted
-			// string "SupersededPrograms"
-			o = append(o, 0xb2, 0x53, 0x75, 0x70, 0x65, 0x72, 0x73, 0x65, 0x64, 0x65, 0x64, 0x50, 0x72, 0x6f, 0x67, 0x72, 0x61, 0x6d, 0x73)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.SupersededPrograms)))
-			for za0003 := range z.SupersededPrograms {
-				o = msgp.AppendUint64(o, uint64(z.SupersededPrograms[za0003]))
-			}
-		}
-	}
+	// map header, size 2
+	// string "Base"
+	o = append(o, 0x82, 0xa4, 0x42, 0x61, 0x73, 0x65)
+	o = msgp.AppendUint64(o, uint64(z.Base))
+	// string "Programs"
+	o = append(o, 0xa8, 0x50, 0x72, 0x6f, 0x67, 0x72, 0x61, 0x6d, 0x73)
+	o = msgp.AppendBool(o, z.Programs)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *OrderMemory) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "ZoneRevisions":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ZoneRevisions")
-				return
-			}
-			if cap(z.ZoneRevisions) >= int(zb0002) {
-				z.ZoneRevisions = (z.ZoneRevisions)[:zb0002]
-			} else {
-				z.ZoneRevisions = make([]ZoneRevision, zb0002)
-			}
-			for za0001 := range z.ZoneRevisions {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "ZoneRevisions", za0001)
-					return
-				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "ZoneRevisions", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "Zone":
-						{
-							var zb0004 string
-							zb0004, bts, err = msgp.ReadStringBytes(bts)
-							if err != nil {
-								err = msgp.WrapError(err, "ZoneRevisions", za0001, "Zone")
-								return
-							}
-							z.ZoneRevisions[za0001].Zone = ids.Zone(zb0004)
-						}
-					case "Count":
-						z.ZoneRevisions[za0001].Count, bts, err = msgp.ReadUint64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "ZoneRevisions", za0001, "Count")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "ZoneRevisions", za0001)
-							return
-						}
-					}
-				}
-			}
-		case "Superseded":
-			var zb0005 uint32
-			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Superseded")
-				return
-			}
-			if cap(z.Superseded) >= int(zb0005) {
-				z.Superseded = (z.Superseded)[:zb0005]
-			} else {
-				z.Superseded = make([]ids.Version, zb0005)
-			}
-			for za0002 := range z.Superseded {
-				{
-					var zb0006 uint64
-					zb0006, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Superseded", za0002)
-						return
-					}
-					z.Superseded[za0002] = ids.Version(zb0006)
-				}
-			}
-		case "SupersededPrograms":
-			var zb0007 uint32
-			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "SupersededPrograms")
-				return
-			}
-			if cap(z.SupersededPrograms) >= int(zb0007) {
-				z.SupersededPrograms = (z.SupersededPrograms)[:zb0007]
-			} else {
-				z.SupersededPrograms = make([]ids.Version, zb0007)
-			}
-			for za0003 := range z.SupersededPrograms {
-				{
-					var zb0008 uint64
-					zb0008, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "SupersededPrograms", za0003)
-						return
-					}
-					z.SupersededPrograms[za0003] = ids.Version(zb0008)
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *OrderMemory) Msgsize() (s int) {
-	s = 1 + 14 + msgp.ArrayHeaderSize
-	for za0001 := range z.ZoneRevisions {
-		s += 1 + 5 + msgp.StringPrefixSize + len(string(z.ZoneRevisions[za0001].Zone)) + 6 + msgp.Uint64Size
-	}
-	s += 11 + msgp.ArrayHeaderSize + (len(z.Superseded) * (msgp.Uint64Size)) + 19 + msgp.ArrayHeaderSize + (len(z.SupersededPrograms) * (msgp.Uint64Size))
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z OutcomeQuery) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "Base"
-	o = append(o, 0x82, 0xa4, 0x42, 0x61, 0x73, 0x65)
-	o = msgp.AppendUint64(o, uint64(z.Base))
-	// string "Programs"
-	o = append(o, 0xa8, 0x50, 0x72, 0x6f, 0x67, 0x72, 0x61, 0x6d, 0x73)
-	o = msgp.AppendBool(o, z.Programs)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *OutcomeQuery) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *OutcomeQuery) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2910,6 +2714,202 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z *RevisionHistory) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// check for omitted fields
+	zb0001Len := uint32(3)
+	var zb0001Mask uint8 /* 3 bits */
+	_ = zb0001Mask
+	if z.ZoneRevisions == nil {
+		zb0001Len--
+		zb0001Mask |= 0x1
+	}
+	if z.Superseded == nil {
+		zb0001Len--
+		zb0001Mask |= 0x2
+	}
+	if z.SupersededPrograms == nil {
+		zb0001Len--
+		zb0001Mask |= 0x4
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		if (zb0001Mask & 0x1) == 0 { // if not omitted
+			// string "ZoneRevisions"
+			o = append(o, 0xad, 0x5a, 0x6f, 0x6e, 0x65, 0x52, 0x65, 0x76, 0x69, 0x73, 0x69, 0x6f, 0x6e, 0x73)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.ZoneRevisions)))
+			for za0001 := range z.ZoneRevisions {
+				// map header, size 2
+				// string "Zone"
+				o = append(o, 0x82, 0xa4, 0x5a, 0x6f, 0x6e, 0x65)
+				o = msgp.AppendString(o, string(z.ZoneRevisions[za0001].Zone))
+				// string "Count"
+				o = append(o, 0xa5, 0x43, 0x6f, 0x75, 0x6e, 0x74)
+				o = msgp.AppendUint64(o, z.ZoneRevisions[za0001].Count)
+			}
+		}
+		if (zb0001Mask & 0x2) == 0 { // if not omitted
+			// string "Superseded"
+			o = append(o, 0xaa, 0x53, 0x75, 0x70, 0x65, 0x72, 0x73, 0x65, 0x64, 0x65, 0x64)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Superseded)))
+			for za0002 := range z.Superseded {
+				o = msgp.AppendUint64(o, uint64(z.Superseded[za0002]))
+			}
+		}
+		if (zb0001Mask & 0x4) == 0 { // if not omitted
+			// string "SupersededPrograms"
+			o = append(o, 0xb2, 0x53, 0x75, 0x70, 0x65, 0x72, 0x73, 0x65, 0x64, 0x65, 0x64, 0x50, 0x72, 0x6f, 0x67, 0x72, 0x61, 0x6d, 0x73)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.SupersededPrograms)))
+			for za0003 := range z.SupersededPrograms {
+				o = msgp.AppendUint64(o, uint64(z.SupersededPrograms[za0003]))
+			}
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *RevisionHistory) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "ZoneRevisions":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ZoneRevisions")
+				return
+			}
+			if cap(z.ZoneRevisions) >= int(zb0002) {
+				z.ZoneRevisions = (z.ZoneRevisions)[:zb0002]
+			} else {
+				z.ZoneRevisions = make([]ZoneRevision, zb0002)
+			}
+			for za0001 := range z.ZoneRevisions {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "ZoneRevisions", za0001)
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "ZoneRevisions", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "Zone":
+						{
+							var zb0004 string
+							zb0004, bts, err = msgp.ReadStringBytes(bts)
+							if err != nil {
+								err = msgp.WrapError(err, "ZoneRevisions", za0001, "Zone")
+								return
+							}
+							z.ZoneRevisions[za0001].Zone = ids.Zone(zb0004)
+						}
+					case "Count":
+						z.ZoneRevisions[za0001].Count, bts, err = msgp.ReadUint64Bytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "ZoneRevisions", za0001, "Count")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "ZoneRevisions", za0001)
+							return
+						}
+					}
+				}
+			}
+		case "Superseded":
+			var zb0005 uint32
+			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Superseded")
+				return
+			}
+			if cap(z.Superseded) >= int(zb0005) {
+				z.Superseded = (z.Superseded)[:zb0005]
+			} else {
+				z.Superseded = make([]ids.Version, zb0005)
+			}
+			for za0002 := range z.Superseded {
+				{
+					var zb0006 uint64
+					zb0006, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Superseded", za0002)
+						return
+					}
+					z.Superseded[za0002] = ids.Version(zb0006)
+				}
+			}
+		case "SupersededPrograms":
+			var zb0007 uint32
+			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "SupersededPrograms")
+				return
+			}
+			if cap(z.SupersededPrograms) >= int(zb0007) {
+				z.SupersededPrograms = (z.SupersededPrograms)[:zb0007]
+			} else {
+				z.SupersededPrograms = make([]ids.Version, zb0007)
+			}
+			for za0003 := range z.SupersededPrograms {
+				{
+					var zb0008 uint64
+					zb0008, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "SupersededPrograms", za0003)
+						return
+					}
+					z.SupersededPrograms[za0003] = ids.Version(zb0008)
+				}
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *RevisionHistory) Msgsize() (s int) {
+	s = 1 + 14 + msgp.ArrayHeaderSize
+	for za0001 := range z.ZoneRevisions {
+		s += 1 + 5 + msgp.StringPrefixSize + len(string(z.ZoneRevisions[za0001].Zone)) + 6 + msgp.Uint64Size
+	}
+	s += 11 + msgp.ArrayHeaderSize + (len(z.Superseded) * (msgp.Uint64Size)) + 19 + msgp.ArrayHeaderSize + (len(z.SupersededPrograms) * (msgp.Uint64Size))
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z Revocation) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
--- a/internal/fleetstate/order_memory.go
+++ b/internal/fleetstate/order_memory.go
@@ -28,10 +28,10 @@
 	}
 }
 
-// checkBase tells what became of an order made over a base: nil if that is the newest
+// checkBaseVersion tells what became of an order made over a base: nil if that is the newest
 // version, Unknown if the memory does not reach back to it, so that the order may have been
 // taken and its id forgotten, and else Stale, which says that it never was taken.
-func (l *versionHistory) checkBase(base ids.Version) error {
+func (l *versionHistory) checkBaseVersion(base ids.Version) error {
 	reach := l.newest()
 	if len(l.superseded) > 0 {
 		reach = l.superseded[0]
@@ -68,7 +68,7 @@
 	if request.Programs {
 		of = &s.programs
 	}
-	if err := of.checkBase(request.Base); err != nil {
+	if err := of.checkBaseVersion(request.Base); err != nil {
 		return err
 	}
 	return failure.New(
@@ -80,8 +80,8 @@
 	)
 }
 
-// checkZone refuses a compared evacuation if the zone changed since its base was read.
-func (s *State) checkZone(c *Evacuate) error {
+// checkZoneRevision refuses a compared evacuation if the zone changed since its base was read.
+func (s *State) checkZoneRevision(c *Evacuate) error {
 	if now := s.zoneRevisions[c.Zone]; c.Compare && c.BaseRevision != now {
 		return failure.New(
 			failure.Stale,
@@ -96,8 +96,8 @@
 }
 
 // orderMemory gives the part for an image.
-func (s *State) orderMemory() OrderMemory {
-	out := OrderMemory{Superseded: s.superseded, SupersededPrograms: s.programs.superseded}
+func (s *State) orderMemory() RevisionHistory {
+	out := RevisionHistory{Superseded: s.superseded, SupersededPrograms: s.programs.superseded}
 	for zone, count := range s.zoneRevisions {
 		out.ZoneRevisions = append(out.ZoneRevisions, ZoneRevision{zone, count})
 	}
@@ -106,7 +106,7 @@
 }
 
 // restoreOrderMemory takes the part from an image.
-func (s *State) restoreOrderMemory(m OrderMemory) {
+func (s *State) restoreOrderMemory(m RevisionHistory) {
 	for _, z := range m.ZoneRevisions {
 		s.zoneRevisions[z.Zone] = z.Count
 	}
--- a/internal/fleetstate/order_memory_test.go
+++ b/internal/fleetstate/order_memory_test.go
@@ -85,7 +85,7 @@
 	require.True(t, out)
 
 	encoded := m.encode(false)
-	encoded.OrderMemory = OrderMemory{}
+	encoded.RevisionHistory = RevisionHistory{}
 	require.NoError(t, m.Restore(coordination.MustMarshal(encoded)))
 	revision, out = m.encode(true).ZoneRevision("z")
 	require.Zero(t, revision)
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -77,7 +77,7 @@
 	} else if e := Explain(name, []byte(source), !partial); e != nil {
 		err = e
 	} else {
-		err = Locate(name, []byte(source), err)
+		err = LocateFault(name, []byte(source), err)
 	}
 	if err != nil {
 		return nil, nil, err
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -19,15 +19,15 @@
 	"keelstair.example/internal/certification"
 )
 
-// Certified is the part of a configuration that certified nodes are for.
-type Certified struct {
+// CertificationConfig is the part of a configuration that certified nodes are for.
+type CertificationConfig struct {
 	Regimes      map[string]certification.Regime      `json:"regimes,omitempty"`
 	Issuers      map[string]certification.Issuer      `json:"issuers,omitempty"`
 	Certificates map[string]certification.Certificate `json:"certificates,omitempty"`
 }
 
 // Register compiles what the configuration says of regimes; nil without any.
-func (c *Certified) Register() (*certification.Register, error) {
+func (c *CertificationConfig) Register() (*certification.Register, error) {
 	return certification.Compile(c.Regimes, c.Issuers, c.Certificates)
 }
 
@@ -92,9 +92,9 @@
 	return false
 }
 
-// Follows checks a configuration against the one that it replaces: a serial never stands for
+// CheckTransition checks a configuration against the one that it replaces: a serial never stands for
 // another certificate, and none comes in that has ended by now.
-func (p *Configuration) Follows(previous *Configuration, now certification.Now) error {
+func (p *Configuration) CheckTransition(previous *Configuration, now certification.Now) error {
 	for _, serial := range slices.Sorted(maps.Keys(p.Certificates)) {
 		c := p.Certificates[serial]
 		was, had := previous.Certificates[serial]
@@ -122,9 +122,9 @@
 	return false
 }
 
-// Locate gives the place of a fault's field in an operator's own text, or of the nearest
+// LocateFault gives the place of a fault's field in an operator's own text, or of the nearest
 // field around it, before the fault's line.
-func Locate(name string, text []byte, err error) error {
+func LocateFault(name string, text []byte, err error) error {
 	var at *certification.Fault
 	if !errors.As(err, &at) {
 		return err
@@ -195,7 +195,7 @@
 	if m.unrevoked == nil || !worker && key != ResolutionKey {
 		return true
 	}
-	register := m.unrevoked.WithRevoked(m.revoked)
+	register := m.unrevoked.WithRevoked(m.revocations)
 	now := certification.Now{Low: m.time - int64(clockLead), High: m.time}
 	for _, g := range register.Regimes() {
 		for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -33,7 +33,7 @@
 		c.Sign(key)
 		certs[serial] = c
 	}
-	text, err := Source("small", []byte(small))
+	text, err := Source("small", []byte(smallConfiguration))
 	require.NoError(t, err)
 	all := map[string]any{}
 	require.NoError(t, json.Unmarshal(text, &all))
@@ -137,7 +137,7 @@
 			if e := Explain("f.cue", text, true); e != nil {
 				err = e
 			}
-			err = Locate("f.cue", text, err)
+			err = LocateFault("f.cue", text, err)
 			require.ErrorContains(t, err, says)
 			n := lineNumberOf(text, one.at)
 			if one.at == `"kinds": [` || one.at == `"signature"` {
@@ -171,11 +171,11 @@
 	require.NoError(t, err)
 	early := certification.At(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
 	late := certification.At(time.Date(2027, 1, 30, 0, 0, 0, 0, time.UTC))
-	require.NoError(t, previous.Follows(previous, late))
-	require.ErrorContains(t, next.Follows(previous, early), "stands for another certificate")
-	require.NoError(t, previous.Follows(&Configuration{}, early))
-	require.ErrorContains(t, previous.Follows(&Configuration{}, late), "it has expired")
-	require.NoError(t, previous.Follows(&Configuration{}, certification.Now{}), "no word of the time")
+	require.NoError(t, previous.CheckTransition(previous, late))
+	require.ErrorContains(t, next.CheckTransition(previous, early), "stands for another certificate")
+	require.NoError(t, previous.CheckTransition(&Configuration{}, early))
+	require.ErrorContains(t, previous.CheckTransition(&Configuration{}, late), "it has expired")
+	require.NoError(t, previous.CheckTransition(&Configuration{}, certification.Now{}), "no word of the time")
 }
 
 // TestOverCertificates: a part that touches something else leaves certificates alone,
@@ -245,7 +245,7 @@
 func TestClock(t *testing.T) {
 	wall := time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC)
 	ms := func(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
-	build := func() *Machine { return NewMachine(MachineOptions{Wall: func() time.Time { return wall }}) }
+	build := func() *Machine { return NewMachine(MachineOptions{WallClock: func() time.Time { return wall }}) }
 	a, b := build(), build()
 	require.Empty(t, a.Due(ms(1), 1, 1), "nothing is written without regimes")
 	require.Zero(t, a.Time(ms(1)))
@@ -289,7 +289,7 @@
 	require.NoError(t, c.Restore(a.Snapshot(false)))
 	minTime, all = back, append(all, c)
 	require.Greater(t, lead(c, 10, 1000), back)
-	require.False(t, a.Published(ClockKind), "nodes hear of it by their leases")
+	require.False(t, a.Published(AdvanceClockKind), "nodes hear of it by their leases")
 	// What passed while nobody led is made up for by nodes, at first and up to a bound.
 	d := build()
 	require.NoError(t, d.Restore(c.Snapshot(false)))
@@ -314,7 +314,7 @@
 
 // TestMay: a certified worker's key falls to certified nodes alone.
 func TestMay(t *testing.T) {
-	m := NewMachine(MachineOptions{Wall: func() time.Time { return time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC) }})
+	m := NewMachine(MachineOptions{WallClock: func() time.Time { return time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC) }})
 	require.True(t, m.Eligible(WorkerKey("p1"), "v2-aa"))
 	for kind, body := range map[string][]byte{PrepareKind: coordination.MustMarshal(&PrepareVersion{Text: charter(t, nil)})} {
 		_, err := m.Apply(1, kind, body)
--- a/internal/fleetstate/revocation.go
+++ b/internal/fleetstate/revocation.go
@@ -10,25 +10,25 @@
 )
 
 func (c *Revoke) apply(s *State) (msgp.Marshaler, error) {
-	if _, ok := s.revoked[c.Serial]; ok {
+	if _, ok := s.revocations[c.Serial]; ok {
 		return &VersionReply{s.newest()}, coordination.ErrUnchanged
 	}
-	s.revoked[c.Serial] = false
+	s.revocations[c.Serial] = false
 	return &VersionReply{s.newest()}, nil
 }
 
 func (c *ConfirmRevocation) apply(s *State) (msgp.Marshaler, error) {
-	if sure, ok := s.revoked[c.Serial]; !ok || sure {
+	if sure, ok := s.revocations[c.Serial]; !ok || sure {
 		return nil, failure.New(failure.Stale, "seal", c.Serial, "no revocation of it waits")
 	}
-	s.revoked[c.Serial] = true
+	s.revocations[c.Serial] = true
 	return nil, nil
 }
 
-func (c *Clock) apply(s *State) (msgp.Marshaler, error) {
-	if c.At <= s.time {
+func (c *AdvanceClock) apply(s *State) (msgp.Marshaler, error) {
+	if c.Bound <= s.time {
 		return &VersionReply{s.newest()}, coordination.ErrUnchanged
 	}
-	s.time = c.At
+	s.time = c.Bound
 	return &VersionReply{s.newest()}, nil
 }
--- a/internal/fleetstate/role_change_test.go
+++ b/internal/fleetstate/role_change_test.go
@@ -17,13 +17,13 @@
 // nothing and is no error to those who asked; another part replaces the first.
 func TestRoleChange(t *testing.T) {
 	s := newState(false, Retention{})
-	require.ErrorIs(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "w", Done: true}), coordination.ErrUnchanged)
-	require.NoError(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "w", To: ids.Decode}))
-	require.ErrorIs(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "w", To: ids.Decode}), coordination.ErrUnchanged)
-	require.NoError(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "w", To: ids.Prefill}))
-	require.NoError(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "v", To: ids.Decode}))
+	require.ErrorIs(t, applyCommand(t, s, RoleChangeKind, &RoleChange{Worker: "w", Done: true}), coordination.ErrUnchanged)
+	require.NoError(t, applyCommand(t, s, RoleChangeKind, &RoleChange{Worker: "w", To: ids.Decode}))
+	require.ErrorIs(t, applyCommand(t, s, RoleChangeKind, &RoleChange{Worker: "w", To: ids.Decode}), coordination.ErrUnchanged)
+	require.NoError(t, applyCommand(t, s, RoleChangeKind, &RoleChange{Worker: "w", To: ids.Prefill}))
+	require.NoError(t, applyCommand(t, s, RoleChangeKind, &RoleChange{Worker: "v", To: ids.Decode}))
 	require.Equal(t, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "v": ids.Decode}, s.roleChanges)
-	require.NoError(t, do(t, s, RoleChangeKind, &RoleChange{Worker: "w", Done: true}))
+	require.NoError(t, applyCommand(t, s, RoleChangeKind, &RoleChange{Worker: "w", Done: true}))
 	require.Equal(t, map[ids.WorkerID]ids.Role{"v": ids.Decode}, s.roleChanges)
 	require.Equal(t, ids.Key("service/x"), ServiceKey("x"))
 }
@@ -33,14 +33,14 @@
 func TestRoleChangeInSnapshot(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	for _, w := range []ids.WorkerID{"c", "a", "b"} {
-		require.NoError(t, do(t, m.State, RoleChangeKind, &RoleChange{Worker: w, To: ids.Prefill}))
+		require.NoError(t, applyCommand(t, m.State, RoleChangeKind, &RoleChange{Worker: w, To: ids.Prefill}))
 	}
 	for _, open := range []bool{false, true} {
 		copied := NewMachine(MachineOptions{})
 		require.NoError(t, copied.Restore(m.Snapshot(open)))
 		require.Equal(t, m.roleChanges, copied.roleChanges)
 		require.Equal(t, m.Snapshot(open), copied.Snapshot(open))
-		require.NoError(t, do(t, copied.State, RoleChangeKind, &RoleChange{Worker: "a", Done: true}))
+		require.NoError(t, applyCommand(t, copied.State, RoleChangeKind, &RoleChange{Worker: "a", Done: true}))
 		require.Len(t, m.roleChanges, 3, "the copy is its own")
 	}
 }
@@ -97,10 +97,10 @@
 	v, err = prepare(1000, 0)
 	require.NoError(t, err)
 	require.EqualValues(t, 1001, v)
-	require.NoError(t, do(t, s, CommitKind, &CommitVersion{1000}))
+	require.NoError(t, applyCommand(t, s, CommitKind, &CommitVersion{1000}))
 	require.EqualValues(t, 1000, s.active.Version)
 	require.Len(t, s.prepared, 1)
-	require.Error(t, do(t, s, CommitKind, &CommitVersion{6}), "an older one is not put in force any more")
+	require.Error(t, applyCommand(t, s, CommitKind, &CommitVersion{6}), "an older one is not put in force any more")
 }
 
 // TestServiceKeys: each service of the configuration in force has a duty of its own, and one more
--- a/internal/fleetstate/route.go
+++ b/internal/fleetstate/route.go
@@ -14,29 +14,29 @@
 	"keelstair.example/ids"
 )
 
-// Share is one service of a split, by weight.
-type Share struct {
+// WeightedService is one service of a split, by weight.
+type WeightedService struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
 }
 
 // Route says which service carries a request, and how. Times are in milliseconds.
 type Route struct {
-	Name            string  `json:"name"`
-	Host            string  `json:"host"`
-	Prefix          string  `json:"prefix"`
-	Service         string  `json:"service,omitempty"`
-	Split           []Share `json:"split,omitempty"`
-	Stream          bool    `json:"stream,omitempty"`
-	Idempotent      bool    `json:"repeatable,omitempty"` // a try may run more than once
-	Resumable       bool    `json:"resumable,omitempty"`  // a stream may go on elsewhere
-	Disaggregated   bool    `json:"apart,omitempty"`      // prompts are read at one worker and answered at another
-	MaxAttempts     int     `json:"tries"`
-	DeadlineMs      int     `json:"deadlineMs"`
-	LatencyTargetMs int     `json:"aimMs"`
-	TokenIntervalMs int     `json:"gapMs,omitempty"`
-	Urgency         int     `json:"urgency"`
-	Public          bool    `json:"public,omitempty"` // requests need no key of a tenant
+	Name            string            `json:"name"`
+	Host            string            `json:"host"`
+	Prefix          string            `json:"prefix"`
+	Service         string            `json:"service,omitempty"`
+	Split           []WeightedService `json:"split,omitempty"`
+	Stream          bool              `json:"stream,omitempty"`
+	Idempotent      bool              `json:"repeatable,omitempty"` // a try may run more than once
+	Resumable       bool              `json:"resumable,omitempty"`  // a stream may go on elsewhere
+	Disaggregated   bool              `json:"apart,omitempty"`      // prompts are read at one worker and answered at another
+	MaxAttempts     int               `json:"tries"`
+	DeadlineMs      int               `json:"deadlineMs"`
+	LatencyTargetMs int               `json:"aimMs"`
+	TokenIntervalMs int               `json:"gapMs,omitempty"`
+	Urgency         int               `json:"urgency"`
+	Public          bool              `json:"public,omitempty"` // requests need no key of a tenant
 }
 
 // MayRetry tells whether a try that may have run may be sent once more.
@@ -50,8 +50,8 @@
 	return time.Duration(r.LatencyTargetMs) * time.Millisecond
 }
 
-// Pick gives the service that a request falls to; the same id always falls to the same.
-func (r *Route) Pick(id string) string {
+// SelectService gives the service that a request falls to; the same id always falls to the same.
+func (r *Route) SelectService(id string) string {
 	sum := uint64(0)
 	for _, s := range r.Split {
 		sum += uint64(s.Weight)
@@ -134,14 +134,14 @@
 	return nil
 }
 
-// Table finds routes; it is made once for each version.
-type Table struct {
+// RouteTable finds routes; it is made once for each version.
+type RouteTable struct {
 	hosts map[string][]*Route // longest prefix first
 }
 
-// NewTable sorts a configuration's routes for look-ups.
-func NewTable(p *Configuration) *Table {
-	t := &Table{hosts: map[string][]*Route{}}
+// NewRouteTable sorts a configuration's routes for look-ups.
+func NewRouteTable(p *Configuration) *RouteTable {
+	t := &RouteTable{hosts: map[string][]*Route{}}
 	for i := range p.Routes {
 		h := strings.ToLower(p.Routes[i].Host)
 		t.hosts[h] = append(t.hosts[h], &p.Routes[i])
@@ -153,7 +153,7 @@
 }
 
 // Find gives the route for a host (a port is passed over) and a path, or nil.
-func (t *Table) Find(host, path string) *Route {
+func (t *RouteTable) Find(host, path string) *Route {
 	host = strings.ToLower(host)
 	if u := (&url.URL{Host: host}); u.Port() != "" {
 		host = u.Hostname()
--- a/internal/fleetstate/route_test.go
+++ b/internal/fleetstate/route_test.go
@@ -17,7 +17,7 @@
 // its port and in any case; a path that only begins like a prefix without its slash, or
 // another host, finds nothing.
 func TestFind(t *testing.T) {
-	table := NewTable(&Configuration{Routes: []Route{
+	table := NewRouteTable(&Configuration{Routes: []Route{
 		{Name: "root", Host: "A.example", Prefix: "/"},
 		{Name: "deep", Host: "a.example", Prefix: "/v1/chat/long/"},
 		{Name: "chat", Host: "a.example", Prefix: "/v1/chat/"},
@@ -49,26 +49,26 @@
 		require.NotNil(t, got, "%v", at)
 		require.Equal(t, want, got.Name, "%v", at)
 	}
-	require.Nil(t, NewTable(&Configuration{}).Find("a.example", "/"))
+	require.Nil(t, NewRouteTable(&Configuration{}).Find("a.example", "/"))
 }
 
 // TestPick: requests fall to services by their weights, each id always to the same one, and
 // none to a weight of 0; without a split the route's own service has all.
 func TestPick(t *testing.T) {
-	r := &Route{Service: "x", Split: []Share{{"a", 6}, {"none", 0}, {"b", 3}, {"c", 1}}}
+	r := &Route{Service: "x", Split: []WeightedService{{"a", 6}, {"none", 0}, {"b", 3}, {"c", 1}}}
 	count := map[string]int{}
 	for i := range 20000 {
 		id := fmt.Sprint("try-", i)
-		to := r.Pick(id)
-		require.Equal(t, to, r.Pick(id))
+		to := r.SelectService(id)
+		require.Equal(t, to, r.SelectService(id))
 		count[to]++
 	}
 	require.InDelta(t, 12000, count["a"], 600)
 	require.InDelta(t, 6000, count["b"], 500)
 	require.InDelta(t, 2000, count["c"], 300)
 	require.Len(t, count, 3)
-	for _, plain := range []*Route{{Service: "x"}, {Service: "x", Split: []Share{{"a", 0}}}} {
-		require.Equal(t, "x", plain.Pick("try"))
+	for _, plain := range []*Route{{Service: "x"}, {Service: "x", Split: []WeightedService{{"a", 0}}}} {
+		require.Equal(t, "x", plain.SelectService("try"))
 	}
 }
 
@@ -94,7 +94,7 @@
 				Name:        "two",
 				Host:        "a.example",
 				Prefix:      "/x/",
-				Split:       []Share{{"s", 0}, {"t", 2}},
+				Split:       []WeightedService{{"s", 0}, {"t", 2}},
 				MaxAttempts: 2,
 				DeadlineMs:  5,
 			},
@@ -103,8 +103,8 @@
 	require.NoError(t, sound().CheckRoutes())
 	require.NoError(t, (&Configuration{}).CheckRoutes())
 	for says, f := range map[string]func(r *Route){
-		`unknown service "gone"`:                 func(r *Route) { r.Split = []Share{{"gone", 1}} },
-		`a weight is below 0`:                    func(r *Route) { r.Split = []Share{{"s", 3}, {"t", -1}} },
+		`unknown service "gone"`:                 func(r *Route) { r.Split = []WeightedService{{"gone", 1}} },
+		`a weight is below 0`:                    func(r *Route) { r.Split = []WeightedService{{"s", 3}, {"t", -1}} },
 		`name is missing or stands twice`:        func(r *Route) { r.Name = "one" },
 		`routes.: its name is missing`:           func(r *Route) { r.Name = "" },
 		`its host is missing`:                    func(r *Route) { r.Host = "" },
@@ -112,7 +112,7 @@
 		`"/x" does not begin and end`:            func(r *Route) { r.Prefix = "/x" },
 		`"" does not begin and end`:              func(r *Route) { r.Prefix = "" },
 		`host and prefix stand twice`:            func(r *Route) { r.Host, r.Prefix = "A.Example", "/" },
-		`the weights add up to 0`:                func(r *Route) { r.Split = []Share{{"s", 0}, {"t", 0}} },
+		`the weights add up to 0`:                func(r *Route) { r.Split = []WeightedService{{"s", 0}, {"t", 0}} },
 		`unknown service "nobody"`:               func(r *Route) { r.Split, r.Service = nil, "nobody" },
 		`unknown service ""`:                     func(r *Route) { r.Split = nil },
 		`deadlineMs must be above 0`:             func(r *Route) { r.DeadlineMs = 0 },
@@ -155,7 +155,7 @@
 		Name:            "two",
 		Host:            "a.example",
 		Prefix:          "/v1/",
-		Split:           []Share{{"s", 3}, {"t", 1}},
+		Split:           []WeightedService{{"s", 3}, {"t", 1}},
 		Stream:          true,
 		Resumable:       true,
 		Disaggregated:   true,
@@ -177,13 +177,13 @@
 	again, second, err := ParseComplete("r.json", text)
 	require.NoError(t, err)
 	require.JSONEq(t, string(text), string(second))
-	require.Equal(t, NewTable(p).Find("a.example", "/v1/x").Name, NewTable(again).Find("a.example", "/v1/x").Name)
+	require.Equal(t, NewRouteTable(p).Find("a.example", "/v1/x").Name, NewRouteTable(again).Find("a.example", "/v1/x").Name)
 	read, err := ReadPlain(text)
 	require.NoError(t, err)
 	require.NoError(t, read.CheckRoutes())
 	require.Equal(t, two, read.Routes[1])
 
-	bare, text, err := ParseComplete("s.cue", []byte(small))
+	bare, text, err := ParseComplete("s.cue", []byte(smallConfiguration))
 	require.NoError(t, err)
 	require.Empty(t, bare.Routes)
 	var fields map[string]any
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -18,42 +18,42 @@
 	versionHistory                // the configuration
 	programs       versionHistory // the program sets
 	claimsOnly     bool
-	zones          map[ids.Zone]bool
+	evacuatedZones map[ids.Zone]bool
 	zoneRevisions  map[ids.Zone]uint64
-	drained        map[ids.WorkerID]bool
+	drainedWorkers map[ids.WorkerID]bool
 	roleChanges    map[ids.WorkerID]ids.Role
 	failbacks      map[ids.Zone]Failback
 	failbackCount  uint64
 	fence          ids.Fence
 	records        map[string]IdempotencyRecord
-	resolvedOrder  []string // settled, oldest first
-	aged           agedKeys
+	resolvedKeys   []string // settled, oldest first
+	agedKeys       agedKeys
 	recordCount    int             // of all idempotency records there ever were
 	maxRecords     int             // that the configuration in force allows
-	revoked        map[string]bool // serials; true once in force everywhere
+	revocations    map[string]bool // serials; true once in force everywhere
 	time           int64           // bound of the fleet's time
 	governed       bool            // the configuration in force has regimes
-	audit          audit
+	auditLog       auditLog
 	duties         map[string]DutySubject
 }
 
 func newState(lean bool, d Retention) *State {
 	return &State{
-		claimsOnly:    lean,
-		zones:         map[ids.Zone]bool{},
-		zoneRevisions: map[ids.Zone]uint64{},
-		drained:       map[ids.WorkerID]bool{},
-		failbacks:     map[ids.Zone]Failback{},
-		roleChanges:   map[ids.WorkerID]ids.Role{},
-		records:       map[string]IdempotencyRecord{},
-		aged:          newAgedKeys(d),
-		revoked:       map[string]bool{},
-		duties:        map[string]DutySubject{},
+		claimsOnly:     lean,
+		evacuatedZones: map[ids.Zone]bool{},
+		zoneRevisions:  map[ids.Zone]uint64{},
+		drainedWorkers: map[ids.WorkerID]bool{},
+		failbacks:      map[ids.Zone]Failback{},
+		roleChanges:    map[ids.WorkerID]ids.Role{},
+		records:        map[string]IdempotencyRecord{},
+		agedKeys:       newAgedKeys(d),
+		revocations:    map[string]bool{},
+		duties:         map[string]DutySubject{},
 	}
 }
 
-// putInForce puts a version in force. A lean state has no need of its bounds.
-func (s *State) putInForce(r VersionedText) {
+// activate puts a version in force. A lean state has no need of its bounds.
+func (s *State) activate(r VersionedText) {
 	if s.active = r; s.claimsOnly {
 		return
 	}
@@ -100,10 +100,10 @@
 		return &Revoke{}
 	case ConfirmRevocationKind:
 		return &ConfirmRevocation{}
-	case ClockKind:
-		return &Clock{}
-	case AuditKind:
-		return &Audit{}
+	case AdvanceClockKind:
+		return &AdvanceClock{}
+	case AppendAuditKind:
+		return &AppendAudit{}
 	case AuditQueryKind:
 		return &AuditQuery{}
 	case DutyRoundKind:
--- a/internal/fleetstate/state_encoding.go
+++ b/internal/fleetstate/state_encoding.go
@@ -17,13 +17,13 @@
 		Prepared:         s.prepared,
 		Programs:         s.programs.active,
 		ProgramsPrepared: s.programs.prepared,
-		Fence:            s.fence,
+		ResolutionFence:  s.fence,
 		RecordCount:      s.recordCount,
 	}
-	for z := range s.zones {
-		encoded.Zones = append(encoded.Zones, string(z))
+	for z := range s.evacuatedZones {
+		encoded.EvacuatedZones = append(encoded.EvacuatedZones, string(z))
 	}
-	sort.Strings(encoded.Zones)
+	sort.Strings(encoded.EvacuatedZones)
 	encoded.FailbackCount = s.failbackCount
 	for _, f := range s.failbacks {
 		encoded.Failbacks = append(encoded.Failbacks, f)
@@ -31,14 +31,14 @@
 	sort.Slice(encoded.Failbacks, func(i, j int) bool {
 		return encoded.Failbacks[i].Number < encoded.Failbacks[j].Number
 	})
-	for w := range s.drained {
-		encoded.Drained = append(encoded.Drained, string(w))
+	for w := range s.drainedWorkers {
+		encoded.DrainedWorkers = append(encoded.DrainedWorkers, string(w))
 	}
-	sort.Strings(encoded.Drained)
+	sort.Strings(encoded.DrainedWorkers)
 	for w, to := range s.roleChanges {
 		encoded.RoleChanges = append(encoded.RoleChanges, RoleChange{Worker: w, To: to})
 	}
-	for serial, sure := range s.revoked {
+	for serial, sure := range s.revocations {
 		encoded.Revoked = append(encoded.Revoked, Revocation{serial, sure})
 	}
 	sort.Slice(encoded.Revoked, func(i, j int) bool { return encoded.Revoked[i].Serial < encoded.Revoked[j].Serial })
@@ -46,19 +46,19 @@
 	sort.Slice(encoded.RoleChanges, func(i, j int) bool {
 		return encoded.RoleChanges[i].Worker < encoded.RoleChanges[j].Worker
 	})
-	encoded.OrderMemory = s.orderMemory()
+	encoded.RevisionHistory = s.orderMemory()
 	if !open && !s.claimsOnly {
-		for _, k := range s.resolvedOrder {
+		for _, k := range s.resolvedKeys {
 			encoded.Records = append(encoded.Records, s.records[k])
 		}
 		encoded.Duties = s.encodeDuties()
-		encoded.Audits, encoded.AuditCount, encoded.AuditHead = s.audit.open, s.audit.count, s.audit.head
-		for _, r := range s.aged.rows {
+		encoded.Audits, encoded.AuditCount, encoded.AuditHead = s.auditLog.open, s.auditLog.count, s.auditLog.head
+		for _, r := range s.agedKeys.rows {
 			encoded.AgedRows = append(encoded.AgedRows, r[:]...)
 		}
 	}
 	for _, d := range s.records {
-		if d.Outcome == Claimed {
+		if d.Outcome == OutcomeClaimed {
 			encoded.Records = append(encoded.Records, d)
 		}
 	}
@@ -70,43 +70,43 @@
 	if _, err := encoded.UnmarshalMsg(body); err != nil {
 		return failure.As(err, failure.InvalidArgument, "restore state", "")
 	}
-	next := newState(s.claimsOnly, s.aged.Retention)
-	next.putInForce(encoded.Active)
+	next := newState(s.claimsOnly, s.agedKeys.Retention)
+	next.activate(encoded.Active)
 	next.prepared = encoded.Prepared
-	next.fence = encoded.Fence
+	next.fence = encoded.ResolutionFence
 	next.recordCount = encoded.RecordCount
-	next.aged.sealed = s.aged.sealed
+	next.agedKeys.sealed = s.agedKeys.sealed
 	next.programs = versionHistory{active: encoded.Programs, prepared: encoded.ProgramsPrepared}
-	next.restoreOrderMemory(encoded.OrderMemory)
-	for _, z := range encoded.Zones {
-		next.zones[ids.Zone(z)] = true
+	next.restoreOrderMemory(encoded.RevisionHistory)
+	for _, z := range encoded.EvacuatedZones {
+		next.evacuatedZones[ids.Zone(z)] = true
 	}
 	next.failbackCount = encoded.FailbackCount
 	for _, f := range encoded.Failbacks {
 		next.failbacks[f.Zone] = f
 	}
-	for _, w := range encoded.Drained {
-		next.drained[ids.WorkerID(w)] = true
+	for _, w := range encoded.DrainedWorkers {
+		next.drainedWorkers[ids.WorkerID(w)] = true
 	}
 	for _, t := range encoded.RoleChanges {
 		next.roleChanges[t.Worker] = t.To
 	}
 	for _, r := range encoded.Revoked {
-		next.revoked[r.Serial] = r.Confirmed
+		next.revocations[r.Serial] = r.Confirmed
 	}
 	next.time = encoded.Time
-	next.audit = audit{encoded.AuditCount, encoded.AuditHead, encoded.Audits, s.audit.sealed}
+	next.auditLog = auditLog{encoded.AuditCount, encoded.AuditHead, encoded.Audits, s.auditLog.sealedChunks}
 	for _, d := range encoded.Records {
 		next.records[d.Key] = d
-		if d.Outcome != Claimed {
-			next.resolvedOrder = append(next.resolvedOrder, d.Key)
+		if d.Outcome != OutcomeClaimed {
+			next.resolvedKeys = append(next.resolvedKeys, d.Key)
 		}
 	}
 	for _, d := range encoded.Duties {
 		next.duties[d.Name] = d
 	}
 	for at := 0; at+rowSize <= len(encoded.AgedRows); at += rowSize {
-		next.aged.add([rowSize]byte(encoded.AgedRows[at : at+rowSize]))
+		next.agedKeys.add([rowSize]byte(encoded.AgedRows[at : at+rowSize]))
 	}
 	*s = *next
 	return nil
--- a/internal/fleetstate/version_history.go
+++ b/internal/fleetstate/version_history.go
@@ -41,7 +41,7 @@
 func (l *versionHistory) newest() ids.Version { return l.latest().Version }
 
 func (l *versionHistory) prepare(c *PrepareVersion) (msgp.Marshaler, error) {
-	if err := l.checkBase(c.Base); err != nil {
+	if err := l.checkBaseVersion(c.Base); err != nil {
 		return nil, err
 	}
 	v := l.newest() + 1
@@ -87,7 +87,7 @@
 func (c *CommitVersion) apply(s *State) (msgp.Marshaler, error) {
 	r, err := s.commit(c.Version)
 	if err == nil {
-		s.putInForce(r)
+		s.activate(r)
 	}
 	return &VersionReply{c.Version}, err
 }
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -21,7 +21,7 @@
 type Snapshot struct {
 	Version       ids.Version
 	Configuration *Configuration
-	Table         *Table
+	Table         *RouteTable
 	Keys          *KeyIndex // of tenants
 	Text          []byte
 	Newest        ids.Version
@@ -79,7 +79,7 @@
 	}
 	v.current.Store(&Snapshot{
 		Configuration: &Configuration{},
-		Table:         NewTable(&Configuration{}),
+		Table:         NewRouteTable(&Configuration{}),
 		Keys:          NewKeyIndex(&Configuration{}),
 		Zones:         map[ids.Zone]bool{},
 		Drained:       map[ids.WorkerID]bool{},
@@ -263,10 +263,10 @@
 		Programs:      v.compilePrograms(),
 	}
 	v.indexConfiguration(s)
-	for z := range v.state.zones {
+	for z := range v.state.evacuatedZones {
 		s.Zones[z] = true
 	}
-	for w := range v.state.drained {
+	for w := range v.state.drainedWorkers {
 		s.Drained[w] = true
 	}
 	return s
@@ -278,14 +278,14 @@
 	if previous := v.current.Load(); previous.Configuration == s.Configuration && previous.Table != nil {
 		s.Table, s.Keys, s.Unrevoked = previous.Table, previous.Keys, previous.Unrevoked
 	} else {
-		s.Table, s.Keys = NewTable(s.Configuration), previous.Keys.next(s.Configuration)
+		s.Table, s.Keys = NewRouteTable(s.Configuration), previous.Keys.next(s.Configuration)
 		var err error
 		if s.Unrevoked, err = s.Configuration.Register(); err != nil {
 			v.Ring.Error().AnErr("cause", err).Msg("invalid certificates left out")
 		}
 	}
 	if s.Unrevoked != nil {
-		s.Revoked = maps.Clone(v.state.revoked)
+		s.Revoked = maps.Clone(v.state.revocations)
 		s.Register = s.Unrevoked.WithRevoked(s.Revoked)
 	}
 }
--- a/internal/fleetstate/zones.go
+++ b/internal/fleetstate/zones.go
@@ -13,17 +13,17 @@
 )
 
 func (c *Evacuate) apply(s *State) (msgp.Marshaler, error) {
-	if s.zones[c.Zone] == c.Evacuated {
+	if s.evacuatedZones[c.Zone] == c.Evacuated {
 		return s.unchanged(c.Compare)
 	}
-	if err := s.checkZone(c); err != nil {
+	if err := s.checkZoneRevision(c); err != nil {
 		return nil, err
 	}
 	s.zoneRevisions[c.Zone]++
-	if s.zones[c.Zone] = c.Evacuated; c.Evacuated {
+	if s.evacuatedZones[c.Zone] = c.Evacuated; c.Evacuated {
 		delete(s.failbacks, c.Zone)
 	} else {
-		delete(s.zones, c.Zone)
+		delete(s.evacuatedZones, c.Zone)
 		s.failbackCount++
 		s.failbacks[c.Zone] = Failback{Zone: c.Zone, Number: s.failbackCount}
 	}
@@ -41,11 +41,11 @@
 }
 
 func (c *Drain) apply(s *State) (msgp.Marshaler, error) {
-	if s.drained[c.Worker] == c.Drained {
+	if s.drainedWorkers[c.Worker] == c.Drained {
 		return s.unchanged(false)
 	}
-	if s.drained[c.Worker] = c.Drained; !c.Drained {
-		delete(s.drained, c.Worker)
+	if s.drainedWorkers[c.Worker] = c.Drained; !c.Drained {
+		delete(s.drainedWorkers, c.Worker)
 	}
 	return &VersionReply{s.newest()}, nil
 }
@@ -68,7 +68,7 @@
 
 // sinceFailback is for how long a zone surely has been back.
 func (m *Machine) sinceFailback(f Failback) time.Duration {
-	out := time.Duration(f.Ago)
+	out := time.Duration(f.ElapsedNs)
 	if at, ok := m.failbackSince[f.Number]; ok {
 		out += m.now.Since(at)
 	}
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -32,7 +32,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
 	b := f.up()[0]
-	got, _, err := fleetstate.Newest(ctx, b.agent.Caller(), b.Directory())
+	got, _, err := fleetstate.ReadNewest(ctx, b.agent.Caller(), b.Directory())
 	require.NoError(t, err)
 	return got
 }
@@ -50,12 +50,12 @@
 		put := func(op ids.OpID, base, next ids.Version, text string) (ids.Version, error) {
 			ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 			defer stop()
-			return fleetstate.Put(ctx, b.agent.Caller(), b.Directory(), op, base, next, []byte(text))
+			return fleetstate.PutConfiguration(ctx, b.agent.Caller(), b.Directory(), op, base, next, []byte(text))
 		}
 		outcome := func(op ids.OpID, base ids.Version) (ids.Version, error) {
 			ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 			defer stop()
-			return fleetstate.Outcome(ctx, b.agent.Caller(), b.Directory(), op, fleetstate.OutcomeQuery{Base: base})
+			return fleetstate.QueryOutcome(ctx, b.agent.Caller(), b.Directory(), op, fleetstate.OutcomeQuery{Base: base})
 		}
 		require.True(t, f.until(3*time.Second, func() bool { return f.inForce(1) }))
 		v, err := put("seven", 1, 7, `{"zones":["seven"]}`)
@@ -354,7 +354,7 @@
 			Name:   "r",
 			Host:   routeHost,
 			Prefix: "/once/",
-			Split: []fleetstate.Share{
+			Split: []fleetstate.WeightedService{
 				{Service: "svc", Weight: 3},
 				{Service: "other", Weight: 1},
 				{Service: "svc", Weight: 0},
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -81,7 +81,7 @@
 	if route == nil {
 		return n.rejectUnknown("no route")
 	}
-	service, ok := s.Configuration.Services[route.Pick(r.ID)]
+	service, ok := s.Configuration.Services[route.SelectService(r.ID)]
 	if !ok {
 		return n.rejectUnknown("no service")
 	}
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -280,7 +280,7 @@
 func (f *fleet) putAt(n *testNode, op ids.OpID, base, next ids.Version, text []byte) error {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
-	_, err := fleetstate.Put(ctx, n.agent.Caller(), n.Directory(), op, base, next, text)
+	_, err := fleetstate.PutConfiguration(ctx, n.agent.Caller(), n.Directory(), op, base, next, text)
 	return err
 }
 
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -320,7 +320,7 @@
 	defer n.snapshotMu.Unlock()
 	for z, f := range s.Failbacks {
 		if v, ok := n.failbacks.Load(z); !ok || v.(failback).number != f.Number {
-			n.failbacks.Store(z, failback{f.Number, n.now().Add(-time.Duration(f.Ago))})
+			n.failbacks.Store(z, failback{f.Number, n.now().Add(-time.Duration(f.ElapsedNs))})
 		}
 	}
 	if previous := n.lastSnapshot.Swap(s); previous == nil || previous.Version != s.Version {
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -59,7 +59,7 @@
 		top, _ := img.ProgramSet()
 		if uint64(top.Version) != a.Base {
 			// The base has moved on, perhaps by this very operation.
-			v, err := fleetstate.Outcome(callContext, o.Caller, o.Directory, op, fleetstate.OutcomeQuery{
+			v, err := fleetstate.QueryOutcome(callContext, o.Caller, o.Directory, op, fleetstate.OutcomeQuery{
 				Base:     ids.Version(a.Base),
 				Programs: true,
 			})
@@ -161,8 +161,8 @@
 		Version: uint64(img.Programs.Version),
 		Newest:  uint64(top.Version),
 		Policy:  fleetstate.SetText(img.Programs),
-		Zones:   append([]string{}, img.Zones...),
-		Drained: append([]string{}, img.Drained...),
+		Zones:   append([]string{}, img.EvacuatedZones...),
+		Drained: append([]string{}, img.DrainedWorkers...),
 	}, nil
 }
 
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -25,11 +25,11 @@
 		return
 	}
 	h.steps = append(h.steps, fleetstate.AuditStep{
-		Attempt: id.Attempt,
-		What:    verb,
-		Worker:  string(w),
-		Serial:  serial,
-		At:      h.node.clock().High,
+		Attempt:   id.Attempt,
+		Operation: verb,
+		Worker:    string(w),
+		Serial:    serial,
+		At:        h.node.clock().High,
 	})
 }
 
@@ -54,7 +54,7 @@
 
 // audit adds a row to the core's chain. The operation's id has it stand there once.
 func (n *Node) audit(ctx context.Context, op ids.OpID, record []byte) error {
-	_, err := n.agent.Submit(ctx, op, fleetstate.AuditKind, coordination.MustMarshal(&fleetstate.Audit{Record: record}))
+	_, err := n.agent.Submit(ctx, op, fleetstate.AppendAuditKind, coordination.MustMarshal(&fleetstate.AppendAudit{Record: record}))
 	return err
 }
 
@@ -68,7 +68,7 @@
 	callContext, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 	defer stop()
 	if err := h.node.audit(
-		callContext, auditOp(request, fleetstate.Begun), h.record(request, "", fleetstate.Begun),
+		callContext, auditOp(request, fleetstate.OutcomeBegun), h.record(request, "", fleetstate.OutcomeBegun),
 	); err != nil {
 		return h.node.later(http.StatusServiceUnavailable, "core-away", "the request cannot be recorded: %v", err)
 	}
@@ -86,7 +86,7 @@
 	case err != nil && count > 0:
 		outcome = api.Broken
 	case err != nil:
-		outcome = fleetstate.NotRun
+		outcome = fleetstate.OutcomeNotRun
 	}
 	d := unresolvedClaim{op: auditOp(request, "end"), audit: h.record(request, "", outcome)}
 	if !h.node.resolveClaim(context.Background(), d) {
@@ -102,7 +102,7 @@
 		return nil
 	}
 	serial, _ := n.clears(h.regime, certification.Subject{Worker: d.Worker}, ids.Decode)
-	h.steps = []fleetstate.AuditStep{{What: "settled", Worker: string(d.Worker), Serial: serial, At: n.clock().High}}
+	h.steps = []fleetstate.AuditStep{{Operation: "settled", Worker: string(d.Worker), Serial: serial, At: n.clock().High}}
 	return h.record(Request(d.Key), d.Key, fate)
 }
 
@@ -126,7 +126,7 @@
 	if _, err := got.UnmarshalMsg(r.Body); err != nil {
 		return nil, failure.As(err, failure.OutcomeUnknown, "read audit", "core")
 	}
-	out := &api.Audits{First: got.First, Count: got.Count, Head: got.Head, Rows: []json.RawMessage{}}
+	out := &api.Audits{First: got.FirstIndex, Count: got.RowCount, Head: got.LastHash, Rows: []json.RawMessage{}}
 	for _, l := range got.Lines {
 		out.Rows = append(out.Rows, l)
 	}
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -73,7 +73,7 @@
 	}
 	end := &fleetstate.Resolve{Key: key, Owner: n.self.Node, Outcome: runOutcome(err, len(toks))}
 	end.Audit = h.record(t.Identity.ID.Request, key, end.Outcome)
-	if end.Outcome == fleetstate.Done {
+	if end.Outcome == fleetstate.OutcomeDone {
 		end.Answer, _ = json.Marshal(record{toks, texts})
 	}
 	if e := n.resolve(end); e != nil {
@@ -85,7 +85,7 @@
 // conclude ends the caller's stream once the outcome is on record.
 func (n *Node) conclude(outcome string, cause error, tokens int, score *routing.Score, out api.Sink) error {
 	switch outcome {
-	case fleetstate.MayHaveRun:
+	case fleetstate.OutcomeMayHaveRun:
 		n.counts.Unsure.Add(1)
 		return out.Put(api.StreamEvent{
 			Index: tokens,
@@ -93,7 +93,7 @@
 			Count: tokens,
 			Error: &workerclient.Rejection{Name: "may-have-run", Detail: cause.Error()},
 		})
-	case fleetstate.NotRun:
+	case fleetstate.OutcomeNotRun:
 		score.Bounced.Add(1)
 		return n.gone(tokens, out)
 	}
@@ -104,11 +104,11 @@
 func runOutcome(err error, tokens int) string {
 	switch {
 	case err == nil:
-		return fleetstate.Done
+		return fleetstate.OutcomeDone
 	case failure.Is(err, failure.OutcomeUnknown), tokens > 0:
-		return fleetstate.MayHaveRun
+		return fleetstate.OutcomeMayHaveRun
 	}
-	return fleetstate.NotRun
+	return fleetstate.OutcomeNotRun
 }
 
 // unrecorded answers a caller whose outcome could not be recorded, and keeps the claim for a
@@ -118,7 +118,7 @@
 	if !failure.Is(cause, failure.Stale) {
 		n.unresolved.add(unresolvedClaim{resolve: end})
 	}
-	if tokens == 0 && end.Outcome == fleetstate.NotRun {
+	if tokens == 0 && end.Outcome == fleetstate.OutcomeNotRun {
 		return n.later(http.StatusServiceUnavailable, "outcome-pending", "%v", cause)
 	}
 	return out.Put(api.StreamEvent{
@@ -228,11 +228,11 @@
 func (n *Node) replay(d *fleetstate.IdempotencyRecord, out api.Sink) error {
 	n.counts.Replayed.Add(1)
 	switch d.Outcome {
-	case fleetstate.Claimed:
+	case fleetstate.OutcomeClaimed:
 		return n.later(http.StatusConflict, "running", "the key is being run")
-	case fleetstate.NotRun:
+	case fleetstate.OutcomeNotRun:
 		return n.gone(0, out)
-	case fleetstate.Done:
+	case fleetstate.OutcomeDone:
 		if d.Aged {
 			return api.WriteFault(
 				http.StatusGone,
@@ -241,7 +241,7 @@
 				"it ran and was answered; so old an answer is not kept, and it will not be run again",
 			)
 		}
-	case fleetstate.MayHaveRun:
+	case fleetstate.OutcomeMayHaveRun:
 		return api.WriteFault(
 			http.StatusGone, "may-have-run", "key", "whether it ran is not known; it will not be run again",
 		)
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -82,8 +82,8 @@
 	if now.High == 0 {
 		now = certification.At(n.options.Host.Clock.Wall()) // where the fleet's time will begin
 	}
-	if err := p.Follows(n.view.Current().Configuration, now); err != nil {
-		return nil, fleetstate.Locate(name, []byte(a.Source), err)
+	if err := p.CheckTransition(n.view.Current().Configuration, now); err != nil {
+		return nil, fleetstate.LocateFault(name, []byte(a.Source), err)
 	}
 	if a.Dry {
 		return &api.ApplyResponse{Version: a.Base, Policy: complete}, nil
--- a/internal/router/resolve.go
+++ b/internal/router/resolve.go
@@ -63,7 +63,7 @@
 // since, may have run it.
 func (n *Node) queryOutcome(ctx context.Context, d *fleetstate.IdempotencyRecord) (string, []byte) {
 	if _, ok := (*n.endpoints.Load())[d.Worker]; !ok {
-		return fleetstate.MayHaveRun, nil
+		return fleetstate.OutcomeMayHaveRun, nil
 	}
 	h := &transport{node: n, snapshot: n.view.Current()}
 	for range 4 {
@@ -71,23 +71,23 @@
 		switch {
 		case err != nil:
 			if !host.Sleep(ctx, 500*time.Millisecond) {
-				return fleetstate.MayHaveRun, nil
+				return fleetstate.OutcomeMayHaveRun, nil
 			}
 		case a.Incarnation != d.Incarnation:
-			return fleetstate.MayHaveRun, nil
+			return fleetstate.OutcomeMayHaveRun, nil
 		case a.Done && !n.mayRead(d.Key):
-			return fleetstate.MayHaveRun, nil
+			return fleetstate.OutcomeMayHaveRun, nil
 		case a.Done:
 			texts := append(a.Texts, make([]string, len(a.Output))...)
 			out, _ := json.Marshal(record{a.Output, texts[:len(a.Output)]})
-			return fleetstate.Done, out
+			return fleetstate.OutcomeDone, out
 		case a.Fate == workerclient.FateNever:
-			return fleetstate.NotRun, nil
+			return fleetstate.OutcomeNotRun, nil
 		default:
-			return fleetstate.MayHaveRun, nil
+			return fleetstate.OutcomeMayHaveRun, nil
 		}
 	}
-	return fleetstate.MayHaveRun, nil
+	return fleetstate.OutcomeMayHaveRun, nil
 }
 
 // mayRead tells whether this node may read the outcome of an idempotency record: of a governed one only
--- a/internal/router/unresolved_claims.go
+++ b/internal/router/unresolved_claims.go
@@ -73,7 +73,7 @@
 			return true
 		}
 		// It was claimed for nothing: nothing ran, and now nothing can.
-		d.resolve = &fleetstate.Resolve{Key: d.claim.Key, Owner: n.self.Node, Outcome: fleetstate.NotRun}
+		d.resolve = &fleetstate.Resolve{Key: d.claim.Key, Owner: n.self.Node, Outcome: fleetstate.OutcomeNotRun}
 	}
 	err := n.resolve(d.resolve)
 	return err == nil || failure.Is(err, failure.Stale)
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -142,7 +142,7 @@
 				Seeds: c.Seeds,
 				Ring:  c.ring(name),
 				Machine: func() coordination.StateMachine {
-					return fleetstate.NewMachine(fleetstate.MachineOptions{Retention: c.Depth, Wall: host.Clock.Wall})
+					return fleetstate.NewMachine(fleetstate.MachineOptions{Retention: c.Depth, WallClock: host.Clock.Wall})
 				},
 			})
 			if err != nil {
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -199,7 +199,7 @@
 		Host:  machine,
 		Seeds: h.seeds,
 		Machine: func() coordination.StateMachine {
-			return fleetstate.NewMachine(fleetstate.MachineOptions{Wall: machine.Clock.Wall})
+			return fleetstate.NewMachine(fleetstate.MachineOptions{WallClock: machine.Clock.Wall})
 		},
 	})
 	require.NoError(h.t, err)
@@ -254,7 +254,7 @@
 	op := ids.OpID(fmt.Sprint("op/change-", h.changes))
 	text := largeDocument(h.changes/changesPerGeneration, h.changes*131%historyRoutes, h.changes)
 	h.agree(func(ctx context.Context) error {
-		version, err := fleetstate.Put(ctx, h.operator.Caller(), h.operator.Directory(), op, h.newest, 0, text)
+		version, err := fleetstate.PutConfiguration(ctx, h.operator.Caller(), h.operator.Directory(), op, h.newest, 0, text)
 		if err == nil {
 			h.newest = version
 		}
--- a/internal/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -106,7 +106,7 @@
 			rows = append(rows, r)
 		}
 	}
-	require.NoError(t, fleetstate.ChainCheck(nil, rows))
+	require.NoError(t, fleetstate.VerifyChain(nil, rows))
 	out := make([]fleetstate.AuditRecord, len(rows))
 	for i, r := range rows {
 		require.NoError(t, json.Unmarshal(r.Record, &out[i]))
@@ -133,7 +133,7 @@
 			require.Equal(t, "chair", r.Regime)
 			require.Contains(t, []string{"verdict", "speech"}, r.Kind)
 			require.NotEmpty(t, r.Serial)
-			if r.Outcome == fleetstate.Begun {
+			if r.Outcome == fleetstate.OutcomeBegun {
 				begun[r.Request] = true
 				continue
 			}
@@ -149,7 +149,7 @@
 			switch {
 			case o.Kind == "verdict" && o.End == api.Complete:
 				r := ends[router.Request("verdict/"+o.Key)]
-				require.Equal(t, fleetstate.Done, r.Outcome, "%+v", o)
+				require.Equal(t, fleetstate.OutcomeDone, r.Outcome, "%+v", o)
 				require.Equal(t, "verdict/"+o.Key, r.Key)
 				require.GreaterOrEqual(t, len(r.Steps), 4)
 			case o.Kind == "speech" && o.End == api.Complete:
