--- a/internal/fleetstate/audit.go
+++ b/internal/fleetstate/audit.go
@@ -54,7 +54,7 @@
 	Record json.RawMessage `json:"record"`
 }
 
-func (r *AuditRow) sum() string {
+func (r *AuditRow) computeHash() string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\n%d\n", r.Prev, r.Index)
 	h.Write(r.Record)
@@ -85,7 +85,7 @@
 				r.Index,
 				before.Index,
 			)
-		case r.Hash != r.sum():
+		case r.Hash != r.computeHash():
 			return failure.New(
 				failure.InvalidArgument,
 				"check audit",
@@ -100,51 +100,53 @@
 }
 
 const (
-	auditLeaf   = 1024
-	auditLeaves = 100 // sealed ones that are kept
-	auditMagic  = "keelstair audit\n"
+	auditChunkRows = 1024
+	maxAuditChunks = 100 // sealed ones that are kept
+	auditMagic     = "keelstair audit\n"
 )
 
 type auditLog struct {
-	count        int
-	head         string
-	open         [][]byte
+	rowCount     int
+	lastHash     string
+	openRows     [][]byte
 	sealedChunks []coordination.Chunk
 }
 
 func (a *auditLog) add(record []byte) {
-	a.count++
-	r := AuditRow{Index: a.count, Prev: a.head, Record: record}
-	r.Hash = r.sum()
+	a.rowCount++
+	r := AuditRow{Index: a.rowCount, Prev: a.lastHash, Record: record}
+	r.Hash = r.computeHash()
 	line, err := json.Marshal(&r)
 	if err != nil {
 		return // a record that is no JSON is refused before
 	}
-	a.head = r.Hash
-	if a.open = append(a.open, line); len(a.open) < auditLeaf {
+	a.lastHash = r.Hash
+	if a.openRows = append(a.openRows, line); len(a.openRows) < auditChunkRows {
 		return
 	}
-	body := append([]byte(auditMagic), bytes.Join(a.open, []byte{'\n'})...)
+	body := append([]byte(auditMagic), bytes.Join(a.openRows, []byte{'\n'})...)
 	a.sealedChunks = append(a.sealedChunks[:len(a.sealedChunks):len(a.sealedChunks)], coordination.NewChunk(body))
-	a.open = nil
-	if n := len(a.sealedChunks) - auditLeaves; n > 0 {
+	a.openRows = nil
+	if n := len(a.sealedChunks) - maxAuditChunks; n > 0 {
 		a.sealedChunks = a.sealedChunks[n:]
 	}
 }
 
-// first is the number of the first row that is kept.
-func (a *auditLog) first() int { return a.count - len(a.open) - len(a.sealedChunks)*auditLeaf + 1 }
+// firstIndex is the number of the first row that is kept.
+func (a *auditLog) firstIndex() int {
+	return a.rowCount - len(a.openRows) - len(a.sealedChunks)*auditChunkRows + 1
+}
 
 func (a *auditLog) read(from, limit int) *AuditQueryReply {
-	out := &AuditQueryReply{FirstIndex: a.first(), RowCount: a.count, LastHash: a.head}
-	for at := max(from, out.FirstIndex); at <= a.count && len(out.Lines) < limit; {
+	out := &AuditQueryReply{FirstIndex: a.firstIndex(), RowCount: a.rowCount, LastHash: a.lastHash}
+	for at := max(from, out.FirstIndex); at <= a.rowCount && len(out.Lines) < limit; {
 		i := at - out.FirstIndex
-		leaf := a.open
-		if n := i / auditLeaf; n < len(a.sealedChunks) {
+		leaf := a.openRows
+		if n := i / auditChunkRows; n < len(a.sealedChunks) {
 			leaf = bytes.Split(a.sealedChunks[n].Body[len(auditMagic):], []byte{'\n'})
-			i %= auditLeaf
+			i %= auditChunkRows
 		} else {
-			i -= len(a.sealedChunks) * auditLeaf
+			i -= len(a.sealedChunks) * auditChunkRows
 		}
 		take := min(len(leaf)-i, limit-len(out.Lines))
 		out.Lines = append(out.Lines, leaf[i:i+take]...)
@@ -163,5 +165,5 @@
 }
 
 func (c *AuditQuery) apply(s *State) (msgp.Marshaler, error) {
-	return s.auditLog.read(c.From, min(max(c.Limit, 1), auditLeaf)), coordination.ErrUnchanged
+	return s.auditLog.read(c.From, min(max(c.Limit, 1), auditChunkRows)), coordination.ErrUnchanged
 }
--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -13,7 +13,7 @@
 	"keelstair.example/failure"
 )
 
-func audits(t *testing.T, m *Machine, from, limit int) (AuditQueryReply, []AuditRow) {
+func queryAudit(t *testing.T, m *Machine, from, limit int) (AuditQueryReply, []AuditRow) {
 	out, err := m.State.Apply(AuditQueryKind, coordination.MustMarshal(&AuditQuery{From: from, Limit: limit}))
 	require.ErrorIs(t, err, coordination.ErrUnchanged, "reading writes nothing")
 	var got AuditQueryReply
@@ -26,11 +26,11 @@
 	return got, rows
 }
 
-// TestAudit: rows come back whole and in order from every copy, also those of sealed
+// TestAuditLog: rows come back whole and in order from every copy, also those of sealed
 // leaves; the oldest leaves go in the end, which shows by the first number.
-func TestAudit(t *testing.T) {
+func TestAuditLog(t *testing.T) {
 	m, copied := NewMachine(MachineOptions{}), NewMachine(MachineOptions{})
-	n := auditLeaf*2 + 100
+	n := auditChunkRows*2 + 100
 	for i := range n {
 		body, err := json.Marshal(&AuditRecord{
 			Request: fmt.Sprint("<r&", i),
@@ -43,7 +43,7 @@
 			_, err = x.Apply(1, AppendAuditKind, coordination.MustMarshal(&AppendAudit{body}))
 			require.NoError(t, err)
 		}
-		if i == auditLeaf+7 {
+		if i == auditChunkRows+7 {
 			copied = NewMachine(MachineOptions{})
 			copied.RestoreChunks(m.Chunks())
 			require.NoError(t, copied.Restore(m.Snapshot(false)))
@@ -53,7 +53,7 @@
 	require.Len(t, m.Chunks(), 2)
 	var all []AuditRow
 	for from := 1; from <= n; from += 700 {
-		got, rows := audits(t, copied, from, 700)
+		got, rows := queryAudit(t, copied, from, 700)
 		require.Equal(t, []int{1, n}, []int{got.FirstIndex, got.RowCount})
 		all = append(all, rows...)
 		if len(all) == n {
@@ -69,17 +69,17 @@
 		_, err := m.Apply(1, AppendAuditKind, coordination.MustMarshal(&AppendAudit{[]byte(text)}))
 		require.True(t, failure.Is(err, failure.InvalidArgument), text)
 	}
-	for range auditLeaf * auditLeaves {
+	for range auditChunkRows * maxAuditChunks {
 		m.auditLog.add([]byte("{}"))
 	}
-	got, rows := audits(t, m, 1, 3)
+	got, rows := queryAudit(t, m, 1, 3)
 	require.Equal(t, got.FirstIndex, rows[0].Index)
-	require.Equal(t, 2*auditLeaf+1, got.FirstIndex)
-	require.Len(t, m.Chunks(), auditLeaves)
+	require.Equal(t, 2*auditChunkRows+1, got.FirstIndex)
+	require.Len(t, m.Chunks(), maxAuditChunks)
 }
 
-// TestChain: a row that was removed, changed, replaced or moved shows.
-func TestChain(t *testing.T) {
+// TestVerifyChain: a row that was removed, changed, replaced or moved shows.
+func TestVerifyChain(t *testing.T) {
 	build := func(tag string) []AuditRow {
 		a := auditLog{}
 		for i := range 10 {
@@ -99,7 +99,7 @@
 		"was changed":       func(r []AuditRow) []AuditRow { r[4].Record = json.RawMessage(`{}`); return r },
 		"does not follow": func(r []AuditRow) []AuditRow {
 			r[4].Record = json.RawMessage(`{}`)
-			r[4].Hash = r[4].sum()
+			r[4].Hash = r[4].computeHash()
 			return r
 		},
 		"row 5 does not follow": func(r []AuditRow) []AuditRow { return append(r[:4], build("b")[4:]...) },
@@ -128,5 +128,5 @@
 		Audit:   []byte("{}"),
 	}))
 	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "verdict/1", Owner: "n1", Outcome: OutcomeDone, Audit: []byte("{}")}))
-	require.Equal(t, 1, s.auditLog.count)
+	require.Equal(t, 1, s.auditLog.rowCount)
 }
--- a/internal/fleetstate/client.go
+++ b/internal/fleetstate/client.go
@@ -18,9 +18,9 @@
 	// attemptTimeout is for one attempt at the primary. It is longer than a primary takes to
 	// replace a silent backup, and short enough for two attempts within a second.
 	attemptTimeout = 420 * time.Millisecond
-	// attemptPerKB is added for a command's body: at 10 Mbit/s a kilobyte takes 0.8 ms to the
+	// attemptTimeoutPerKB is added for a command's body: at 10 Mbit/s a kilobyte takes 0.8 ms to the
 	// primary, and as long from there to a backup.
-	attemptPerKB = 2 * time.Millisecond
+	attemptTimeoutPerKB = 2 * time.Millisecond
 )
 
 // ReadState asks the core for all that is agreed on, until the context ends.
@@ -206,7 +206,7 @@
 	directory *coordination.Directory,
 	request *coordination.SubmitRequest,
 ) (ids.Version, error) {
-	attempt := attemptTimeout + time.Duration(len(request.Body)/1024)*attemptPerKB
+	attempt := attemptTimeout + time.Duration(len(request.Body)/1024)*attemptTimeoutPerKB
 	r, err := coordination.SubmitWithin(ctx, caller, directory, attempt, request)
 	if err != nil {
 		return 0, err
--- a/internal/fleetstate/duty_round.go
+++ b/internal/fleetstate/duty_round.go
@@ -23,39 +23,39 @@
 const maxDutyActs = 16
 
 func (c *DutyRound) apply(s *State) (msgp.Marshaler, error) {
-	subject := s.duties[c.Subject]
+	subject := s.dutySubjects[c.Subject]
 	if c.Fence < subject.Fence || c.Fence == subject.Fence && c.Owner != subject.Owner {
 		return nil, failure.New(failure.Stale, "win round", c.Subject,
 			"fence %d of %s is not above %d of %s", c.Fence, c.Owner, subject.Fence, subject.Owner)
 	}
 	number := c.Number
 	if number == 0 {
-		number = subject.newest() + 1
+		number = subject.newestAct() + 1
 	}
 	if number <= subject.Forgotten {
 		return nil, failure.New(failure.Stale, "win round", c.Subject,
 			"act %d is not remembered; those up to %d are not", number, subject.Forgotten)
 	}
-	next, act, changed := subject.with(number, c)
+	next, act, changed := subject.withRound(number, c)
 	if !changed && c.Fence == subject.Fence {
 		return &DutyRoundReply{act}, coordination.ErrUnchanged
 	}
 	next.Name, next.Owner, next.Fence = c.Subject, c.Owner, c.Fence
-	s.duties[c.Subject] = next
+	s.dutySubjects[c.Subject] = next
 	return &DutyRoundReply{act}, nil
 }
 
-// newest is the number of the newest act.
-func (d *DutySubject) newest() uint64 {
+// newestAct is the number of the newest act.
+func (d *DutySubject) newestAct() uint64 {
 	if len(d.Acts) == 0 {
 		return d.Forgotten
 	}
 	return d.Acts[len(d.Acts)-1].Number
 }
 
-// with gives the subject after a round for the act of a number, and that act. The subject itself
+// withRound gives the subject after a round for the act of a number, and that act. The subject itself
 // stays as it is.
-func (d *DutySubject) with(number uint64, c *DutyRound) (next DutySubject, act DutyAct, changed bool) {
+func (d *DutySubject) withRound(number uint64, c *DutyRound) (next DutySubject, act DutyAct, changed bool) {
 	next = *d
 	next.Acts = slices.Clone(d.Acts)
 	at := sort.Search(len(next.Acts), func(i int) bool { return next.Acts[i].Number >= number })
@@ -76,8 +76,8 @@
 }
 
 func (s *State) encodeDuties() []DutySubject {
-	out := make([]DutySubject, 0, len(s.duties))
-	for _, d := range s.duties {
+	out := make([]DutySubject, 0, len(s.dutySubjects))
+	for _, d := range s.dutySubjects {
 		out = append(out, d)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
--- a/internal/fleetstate/duty_round_test.go
+++ b/internal/fleetstate/duty_round_test.go
@@ -72,7 +72,7 @@
 		_, err := winRound(t, s, DutyRound{Subject: "usage", Number: 100 + i, Owner: "a", Fence: 1})
 		require.NoError(t, err)
 	}
-	require.Len(t, s.duties["usage"].Acts, maxDutyActs)
+	require.Len(t, s.dutySubjects["usage"].Acts, maxDutyActs)
 	_, err := winRound(t, s, DutyRound{Subject: "usage", Number: 102, Owner: "a", Fence: 1})
 	require.True(t, failure.Is(err, failure.Stale), "%v", err)
 	act, err := winRound(t, s, DutyRound{Subject: "usage", Owner: "a", Fence: 1, Content: []byte("next")})
@@ -90,13 +90,13 @@
 	}
 	copied := NewMachine(MachineOptions{})
 	require.NoError(t, copied.Restore(m.Snapshot(false)))
-	require.Equal(t, m.duties, copied.duties)
+	require.Equal(t, m.dutySubjects, copied.dutySubjects)
 	require.Equal(t, m.Snapshot(false), copied.Snapshot(false))
 	_, err := winRound(t, copied.State, DutyRound{Subject: "a", Number: 6, Owner: "m", Fence: 8})
 	require.True(t, failure.Is(err, failure.Stale), "%v", err)
 	open := NewMachine(MachineOptions{})
 	require.NoError(t, open.Restore(m.Snapshot(true)))
-	require.Empty(t, open.duties)
+	require.Empty(t, open.dutySubjects)
 	require.False(t, m.Published(DutyRoundKind))
 }
 
@@ -106,11 +106,11 @@
 	for _, metering := range []bool{false, true} {
 		m := NewMachine(MachineOptions{Metering: metering})
 		m.active = VersionedText{Version: 1, Text: compress(text)}
-		require.Equal(t, metering, contains(m.Keys(), MeteringKey))
+		require.Equal(t, metering, containsKey(m.Keys(), MeteringKey))
 	}
 }
 
-func contains(keys []ids.Key, key ids.Key) bool {
+func containsKey(keys []ids.Key, key ids.Key) bool {
 	for _, k := range keys {
 		if k == key {
 			return true
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -23,8 +23,8 @@
 	limits: {}
 }`
 
-// TestCheck: CUE text becomes a whole configuration with defaults; each fault is named.
-func TestCheck(t *testing.T) {
+// TestConfigurationCheck: CUE text becomes a whole configuration with defaults; each fault is named.
+func TestConfigurationCheck(t *testing.T) {
 	text, err := Source("f.cue", []byte(smallConfiguration))
 	require.NoError(t, err)
 	p, complete, err := ParseComplete("f.cue", text)
@@ -65,9 +65,9 @@
 	return err
 }
 
-// TestDeeds: one claim, one outcome; a seizure needs the newest fence; the one
+// TestClaimTakeOverResolve: one claim, one outcome; a seizure needs the newest fence; the one
 // it was seized from can record nothing any more.
-func TestDeeds(t *testing.T) {
+func TestClaimTakeOverResolve(t *testing.T) {
 	s := newState(false, Retention{})
 	require.NoError(t, applyCommand(t, s, ClaimKind, &Claim{Key: "k", Owner: "n1"}))
 	require.ErrorIs(t, applyCommand(t, s, ClaimKind, &Claim{Key: "k", Owner: "n2"}), coordination.ErrUnchanged)
@@ -82,9 +82,9 @@
 	require.Equal(t, s.records, copied.records)
 }
 
-// TestActivation: a prepared version waits for all to have seen it, and not for
+// TestCommitWaitsForNodes: a prepared version waits for all to have seen it, and not for
 // what came after it, at most the wait; a storm cannot put it off for ever.
-func TestActivation(t *testing.T) {
+func TestCommitWaitsForNodes(t *testing.T) {
 	prepare := func(m *Machine, seq ids.Seq, base ids.Version) error {
 		_, err := m.Apply(seq, PrepareKind, coordination.MustMarshal(&PrepareVersion{Base: base, Text: []byte(`{}`)}))
 		return err
@@ -104,9 +104,9 @@
 	require.Equal(t, []coordination.Command{{Kind: CommitKind, Body: coordination.MustMarshal(&CommitVersion{1})}}, got)
 }
 
-// TestHeard: a version heard of is put in force if it is prepared here; else the
+// TestViewCommitsNotedVersion: a version heard of is put in force if it is prepared here; else the
 // node holds its picks.
-func TestHeard(t *testing.T) {
+func TestViewCommitsNotedVersion(t *testing.T) {
 	v := NewView(logging.Discard())
 	fold := func(kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) {
 		b, _ := c.MarshalMsg(nil)
@@ -124,9 +124,9 @@
 	require.Len(t, v.Current().Configuration.Zones, 2)
 }
 
-// TestSightPinned: the core is founded anew from a copy that lacks the newest version: a
+// TestViewKeepsServedVersion: the core is founded anew from a copy that lacks the newest version: a
 // node that has served it does not go back, and takes the next one that is above it.
-func TestSightPinned(t *testing.T) {
+func TestViewKeepsServedVersion(t *testing.T) {
 	m, v := NewMachine(MachineOptions{}), NewView(logging.Discard())
 	seq := ids.Seq(0)
 	do := func(kind string, body []byte, views ...*View) {
--- a/internal/fleetstate/idempotency.go
+++ b/internal/fleetstate/idempotency.go
@@ -76,10 +76,10 @@
 
 func (c *TakeOver) apply(s *State) (msgp.Marshaler, error) {
 	d, ok := s.records[c.Key]
-	if !ok || d.Outcome != OutcomeClaimed || d.Owner != c.From || c.Fence < s.fence {
-		return nil, failure.New(failure.Stale, "seize", c.Key, "it is %q of %s, fence %d", d.Outcome, d.Owner, s.fence)
+	if !ok || d.Outcome != OutcomeClaimed || d.Owner != c.From || c.Fence < s.resolutionFence {
+		return nil, failure.New(failure.Stale, "seize", c.Key, "it is %q of %s, fence %d", d.Outcome, d.Owner, s.resolutionFence)
 	}
-	s.fence = c.Fence
+	s.resolutionFence = c.Fence
 	d.Owner = c.To
 	s.records[c.Key] = d
 	return &d, nil
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -24,23 +24,23 @@
 // PoolKey is the key of the duty to balance the roles of a model's workers.
 func PoolKey(model string) ids.Key { return ids.Key("pool/" + model) }
 
-type preparedAt struct {
-	at  ids.Tick
-	seq ids.Seq
+type prepareProgress struct {
+	firstConsidered ids.Tick
+	seq             ids.Seq
 }
 
 // pendingCommit is when the prepared versions of a line may be put in force.
 type pendingCommit struct {
 	*versionHistory
 	prepareKind, commitKind string // the kinds of its commands
-	due                     map[ids.Version]preparedAt
+	progress                map[ids.Version]prepareProgress
 }
 
 // Machine is what controllers run over the core.
 type Machine struct {
 	*State
 	commitTimeout      time.Duration
-	read               ConfigurationReader
+	readConfiguration  ConfigurationReader
 	pendingCommits     []*pendingCommit
 	keys               []ids.Key
 	keysVersion        ids.Version
@@ -48,9 +48,9 @@
 	failbackSince      map[uint64]ids.Tick // since when the failback of a number is seen here, while this leads
 	now                ids.Tick
 	pendingRevocations map[string]ids.Seq // revocations that wait for nodes to have seen them
-	clock              clock
-	unrevoked          *certification.Register // of the active configuration
-	metering           bool
+	clock              fleetClock
+	unrevokedRegister  *certification.Register // of the active configuration
+	meteringEnabled    bool
 }
 
 // MachineOptions of a machine; what is zero takes the default named beside it.
@@ -74,24 +74,24 @@
 	m := &Machine{
 		State:              newState(false, opt.Retention),
 		commitTimeout:      opt.CommitTimeout,
-		read:               opt.Read,
+		readConfiguration:  opt.Read,
 		failbackSince:      map[uint64]ids.Tick{},
 		pendingRevocations: map[string]ids.Seq{},
-		clock:              clock{wall: opt.WallClock},
-		metering:           opt.Metering,
+		clock:              fleetClock{wallClock: opt.WallClock},
+		meteringEnabled:    opt.Metering,
 	}
 	m.pendingCommits = []*pendingCommit{
 		{
 			versionHistory: &m.versionHistory,
 			prepareKind:    PrepareKind,
 			commitKind:     CommitKind,
-			due:            map[ids.Version]preparedAt{},
+			progress:       map[ids.Version]prepareProgress{},
 		},
 		{
 			versionHistory: &m.programs,
 			prepareKind:    PrepareProgramsKind,
 			commitKind:     CommitProgramsKind,
-			due:            map[ids.Version]preparedAt{},
+			progress:       map[ids.Version]prepareProgress{},
 		},
 	}
 	return m
@@ -103,7 +103,7 @@
 	out, err := m.State.Apply(kind, body)
 	for _, w := range m.pendingCommits {
 		if err == nil && kind == w.prepareKind {
-			w.due[w.newest()] = preparedAt{seq: seq}
+			w.progress[w.newest()] = prepareProgress{seq: seq}
 		}
 	}
 	if err == nil && kind == RevokeKind {
@@ -138,9 +138,9 @@
 		return m.keys
 	}
 	m.keysVersion = m.active.Version
-	m.keys, m.unrevoked, m.maxSlowStart = []ids.Key{RetryBudgetKey, ResolutionKey}, nil, 0
-	if p, err := m.read(decompress(m.active.Text)); len(m.active.Text) > 0 && err == nil {
-		m.unrevoked, _ = p.Register()
+	m.keys, m.unrevokedRegister, m.maxSlowStart = []ids.Key{RetryBudgetKey, ResolutionKey}, nil, 0
+	if p, err := m.readConfiguration(decompress(m.active.Text)); len(m.active.Text) > 0 && err == nil {
+		m.unrevokedRegister, _ = p.Register()
 		pools := map[string]bool{}
 		for id, w := range p.Workers {
 			m.keys = append(m.keys, WorkerKey(id))
@@ -149,7 +149,7 @@
 		if len(p.Services) > 0 {
 			m.keys = append(m.keys, WorkerListKey)
 		}
-		if len(p.Services) > 0 && m.metering {
+		if len(p.Services) > 0 && m.meteringEnabled {
 			m.keys = append(m.keys, MeteringKey)
 		}
 		for n, svc := range p.Services {
@@ -167,9 +167,9 @@
 // Due moves the fleet's time on, seals revocations that every node with a lease has
 // seen, names zones that are warm again, and activates what may be.
 func (m *Machine) Due(now ids.Tick, seq, seen ids.Seq) []coordination.Command {
-	out := append(append(m.tick(now), m.confirmRevocations(seq, seen)...), m.endedSlowStarts(now)...)
+	out := append(append(m.advanceClock(now), m.confirmRevocations(seq, seen)...), m.endedSlowStarts(now)...)
 	for _, w := range m.pendingCommits {
-		if top := w.ready(now, seq, seen, m.commitTimeout); top != 0 {
+		if top := w.newestCommittable(now, seq, seen, m.commitTimeout); top != 0 {
 			out = append(out, coordination.Command{
 				Kind: w.commitKind,
 				Body: coordination.MustMarshal(&CommitVersion{top}),
@@ -179,8 +179,8 @@
 	return out
 }
 
-// waiting lists revocations that may not be in force everywhere yet.
-func (s *State) waiting() []string {
+// unconfirmedRevocations lists revocations that may not be in force everywhere yet.
+func (s *State) unconfirmedRevocations() []string {
 	var out []string
 	for serial, sure := range s.revocations {
 		if !sure {
@@ -193,7 +193,7 @@
 
 func (m *Machine) confirmRevocations(seq, seen ids.Seq) []coordination.Command {
 	var out []coordination.Command
-	for _, r := range m.waiting() {
+	for _, r := range m.unconfirmedRevocations() {
 		at, ok := m.pendingRevocations[r]
 		if !ok {
 			at = seq
@@ -210,27 +210,27 @@
 	return out
 }
 
-// ready names the newest prepared version that all live nodes have seen, or that has waited
+// newestCommittable names the newest prepared version that all live nodes have seen, or that has waited
 // long enough for silent ones.
-func (w *pendingCommit) ready(now ids.Tick, seq, seen ids.Seq, wait time.Duration) ids.Version {
+func (w *pendingCommit) newestCommittable(now ids.Tick, seq, seen ids.Seq, wait time.Duration) ids.Version {
 	var top ids.Version
 	for _, r := range w.prepared {
-		d, ok := w.due[r.Version]
+		d, ok := w.progress[r.Version]
 		if !ok {
 			d.seq = seq
 		}
-		if d.at == 0 {
-			d.at = now
-			w.due[r.Version] = d
+		if d.firstConsidered == 0 {
+			d.firstConsidered = now
+			w.progress[r.Version] = d
 		}
-		if seen >= d.seq || now.Past(d.at, wait) {
+		if seen >= d.seq || now.Past(d.firstConsidered, wait) {
 			top = r.Version
 		}
 	}
 	if top != 0 {
-		for v := range w.due {
+		for v := range w.progress {
 			if v <= top {
-				delete(w.due, v)
+				delete(w.progress, v)
 			}
 		}
 	}
--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -319,7 +319,7 @@
 	Revoked []Revocation `msg:"Revoked,omitempty"`
 	Time    int64        `msg:"Time,omitempty"`
 	// The open leaf of the audit record, how many rows there were, the newest one's hash.
-	Audits     [][]byte `msg:"Audits,omitempty"`
+	AuditRows  [][]byte `msg:"Audits,omitempty"`
 	AuditCount int      `msg:"AuditCount,omitempty"`
 	AuditHead  string   `msg:"AuditHead,omitempty"`
 }
--- a/internal/fleetstate/messages_gen.go
+++ b/internal/fleetstate/messages_gen.go
@@ -376,7 +376,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x2
 	}
-	if z.Audits == nil {
+	if z.AuditRows == nil {
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
@@ -415,9 +415,9 @@
 		if (zb0001Mask & 0x4) == 0 { // if not omitted
 			// string "Audits"
 			o = append(o, 0xa6, 0x41, 0x75, 0x64, 0x69, 0x74, 0x73)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Audits)))
-			for za0002 := range z.Audits {
-				o = msgp.AppendBytes(o, z.Audits[za0002])
+			o = msgp.AppendArrayHeader(o, uint32(len(z.AuditRows)))
+			for za0002 := range z.AuditRows {
+				o = msgp.AppendBytes(o, z.AuditRows[za0002])
 			}
 		}
 		if (zb0001Mask & 0x8) == 0 { // if not omitted
@@ -510,18 +510,18 @@
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Audits")
+				err = msgp.WrapError(err, "AuditRows")
 				return
 			}
-			if cap(z.Audits) >= int(zb0004) {
-				z.Audits = (z.Audits)[:zb0004]
+			if cap(z.AuditRows) >= int(zb0004) {
+				z.AuditRows = (z.AuditRows)[:zb0004]
 			} else {
-				z.Audits = make([][]byte, zb0004)
+				z.AuditRows = make([][]byte, zb0004)
 			}
-			for za0002 := range z.Audits {
-				z.Audits[za0002], bts, err = msgp.ReadBytesBytes(bts, z.Audits[za0002])
+			for za0002 := range z.AuditRows {
+				z.AuditRows[za0002], bts, err = msgp.ReadBytesBytes(bts, z.AuditRows[za0002])
 				if err != nil {
-					err = msgp.WrapError(err, "Audits", za0002)
+					err = msgp.WrapError(err, "AuditRows", za0002)
 					return
 				}
 			}
@@ -556,8 +556,8 @@
 		s += 1 + 7 + msgp.StringPrefixSize + len(z.Revoked[za0001].Serial) + 5 + msgp.BoolSize
 	}
 	s += 5 + msgp.Int64Size + 7 + msgp.ArrayHeaderSize
-	for za0002 := range z.Audits {
-		s += msgp.BytesPrefixSize + len(z.Audits[za0002])
+	for za0002 := range z.AuditRows {
+		s += msgp.BytesPrefixSize + len(z.AuditRows[za0002])
 	}
 	s += 11 + msgp.IntSize + 10 + msgp.StringPrefixSize + len(z.AuditHead)
 	return
--- a/internal/fleetstate/order_memory.go
+++ b/internal/fleetstate/order_memory.go
@@ -54,8 +54,8 @@
 	)
 }
 
-// outcome answers QueryKind for an operation whose id is not known.
-func (s *State) outcome(body []byte) error {
+// queryOutcome answers QueryKind for an operation whose id is not known.
+func (s *State) queryOutcome(body []byte) error {
 	never := failure.New(failure.Stale, "ask for an outcome", "", "no operation of this id was taken")
 	if len(body) == 0 {
 		return never // asked by an earlier release
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// orderMemory gives the part for an image.
-func (s *State) orderMemory() RevisionHistory {
+// encodeRevisionHistory gives the part for an image.
+func (s *State) encodeRevisionHistory() RevisionHistory {
 	out := RevisionHistory{Superseded: s.superseded, SupersededPrograms: s.programs.superseded}
 	for zone, count := range s.zoneRevisions {
 		out.ZoneRevisions = append(out.ZoneRevisions, ZoneRevision{zone, count})
@@ -105,8 +105,8 @@
 	return out
 }
 
-// restoreOrderMemory takes the part from an image.
-func (s *State) restoreOrderMemory(m RevisionHistory) {
+// restoreRevisionHistory takes the part from an image.
+func (s *State) restoreRevisionHistory(m RevisionHistory) {
 	for _, z := range m.ZoneRevisions {
 		s.zoneRevisions[z.Zone] = z.Count
 	}
--- a/internal/fleetstate/order_memory_test.go
+++ b/internal/fleetstate/order_memory_test.go
@@ -16,20 +16,20 @@
 // replicas are copies of one machine that take the same commands.
 type replicas struct {
 	*testing.T
-	seq ids.Seq
-	all []*Machine
+	seq      ids.Seq
+	machines []*Machine
 }
 
 func newReplicas(t *testing.T) *replicas {
-	return &replicas{T: t, all: []*Machine{NewMachine(MachineOptions{})}}
+	return &replicas{T: t, machines: []*Machine{NewMachine(MachineOptions{})}}
 }
 
 // apply applies a command to every replica; all must agree on its outcome.
 func (r *replicas) apply(kind string, c msgp.Marshaler) error {
 	r.Helper()
 	r.seq++
-	_, first := r.all[0].Apply(r.seq, kind, coordination.MustMarshal(c))
-	for _, m := range r.all[1:] {
+	_, first := r.machines[0].Apply(r.seq, kind, coordination.MustMarshal(c))
+	for _, m := range r.machines[1:] {
 		_, err := m.Apply(r.seq, kind, coordination.MustMarshal(c))
 		require.Equal(r, failure.KindOf(first), failure.KindOf(err))
 		require.Equal(r, first == nil, err == nil)
@@ -37,43 +37,43 @@
 	return first
 }
 
-// snapshot adds a replica that is restored from the first one's image.
-func (r *replicas) snapshot() {
+// addFromSnapshot adds a replica that is restored from the first one's image.
+func (r *replicas) addFromSnapshot() {
 	m := NewMachine(MachineOptions{})
-	require.NoError(r, m.Restore(r.all[0].Snapshot(false)))
-	r.all = append(r.all, m)
+	require.NoError(r, m.Restore(r.machines[0].Snapshot(false)))
+	r.machines = append(r.machines, m)
 }
 
-func (r *replicas) zone(z ids.Zone) (revision uint64, out bool) {
-	return r.all[0].encode(true).ZoneRevision(z)
+func (r *replicas) zoneRevision(z ids.Zone) (revision uint64, out bool) {
+	return r.machines[0].encode(true).ZoneRevision(z)
 }
 
-// TestVacateCompared: an evacuation over a revision of its zone is applied if the zone has
+// TestCompareAndSetEvacuated: an evacuation over a revision of its zone is applied if the zone has
 // not changed since, is nothing to do if the zone already is as asked, and is stale
 // otherwise; a replica from a snapshot decides alike. Other zones do not matter.
-func TestVacateCompared(t *testing.T) {
+func TestCompareAndSetEvacuated(t *testing.T) {
 	r := newReplicas(t)
 	over := func(base uint64, out bool) error {
 		return r.apply(EvacuateKind, &Evacuate{Zone: "z", Evacuated: out, Compare: true, BaseRevision: base})
 	}
 	require.NoError(t, over(0, true))
 	require.Equal(t, coordination.ErrUnchanged, over(0, true), "as asked already")
-	r.snapshot()
+	r.addFromSnapshot()
 	require.NoError(t, over(1, false))
 	require.True(t, failure.Is(over(0, true), failure.Stale), "a copy of the first that was held up")
 	require.True(t, failure.Is(over(1, true), failure.Stale))
-	r.snapshot()
+	r.addFromSnapshot()
 	require.True(t, failure.Is(over(0, true), failure.Stale))
 	require.NoError(t, r.apply(EvacuateKind, &Evacuate{Zone: "y", Evacuated: true, Compare: true}))
-	revision, out := r.zone("z")
+	revision, out := r.zoneRevision("z")
 	require.EqualValues(t, 2, revision)
 	require.False(t, out)
 	require.NoError(t, over(2, true))
 }
 
-// TestVacateOfEarlierReleases: a log entry without a base is applied as it was when it was
+// TestEvacuateOfEarlierReleases: a log entry without a base is applied as it was when it was
 // written, and counts; an image without revisions is read.
-func TestVacateOfEarlierReleases(t *testing.T) {
+func TestEvacuateOfEarlierReleases(t *testing.T) {
 	previous := msgp.AppendMapHeader(nil, 2)
 	previous = msgp.AppendString(msgp.AppendString(previous, "Zone"), "z")
 	previous = msgp.AppendBool(msgp.AppendString(previous, "Out"), true)
@@ -92,37 +92,37 @@
 	require.True(t, out)
 }
 
-// TestUnchangedIsWritten: an order that is known by its operation's id alone is written even
+// TestUnchangedCommandLogged: an order that is known by its operation's id alone is written even
 // if it changes nothing, so that the core remembers the id.
-func TestUnchangedIsWritten(t *testing.T) {
+func TestUnchangedCommandLogged(t *testing.T) {
 	r := newReplicas(t)
 	for range 2 {
 		require.NoError(t, r.apply(EvacuateKind, &Evacuate{Zone: "z", Evacuated: true}))
 		require.NoError(t, r.apply(DrainKind, &Drain{Worker: "w", Drained: true}))
 	}
-	revision, _ := r.zone("z")
+	revision, _ := r.zoneRevision("z")
 	require.EqualValues(t, 1, revision, "nothing changed the second time")
 }
 
-// stage stages a document of the configuration's line or of the program sets'.
-func (r *replicas) stage(kind string, base, next ids.Version) error {
+// prepare stages a document of the configuration's line or of the program sets'.
+func (r *replicas) prepare(kind string, base, next ids.Version) error {
 	return r.apply(kind, &PrepareVersion{Base: base, Next: next, Text: []byte(`{}`)})
 }
 
-// TestForgottenBase: an order made over a version that is superseded is stale while the
+// TestSupersededBaseVersion: an order made over a version that is superseded is stale while the
 // versions since then are remembered, and of unknown outcome before that, on both lines, asked
 // for as an outcome too, also at a replica from a snapshot. One over a number that never
 // was a version is stale if it lies within what is remembered.
-func TestForgottenBase(t *testing.T) {
+func TestSupersededBaseVersion(t *testing.T) {
 	for _, kind := range []string{PrepareKind, PrepareProgramsKind} {
 		r := newReplicas(t)
 		for v := range ids.Version(maxSuperseded + 100) {
-			require.NoError(t, r.stage(kind, 2*v, 2*v+2))
+			require.NoError(t, r.prepare(kind, 2*v, 2*v+2))
 			if v == 700 {
-				r.snapshot()
+				r.addFromSnapshot()
 			}
 		}
-		r.snapshot()
+		r.addFromSnapshot()
 		newest := ids.Version(2 * (maxSuperseded + 100))
 		oldest := newest - 2*maxSuperseded
 		for base, want := range map[ids.Version]failure.Kind{
@@ -130,12 +130,12 @@
 			oldest: failure.Stale, oldest + 1: failure.Stale, newest - 2: failure.Stale, newest + 2: failure.Stale,
 		} {
 			ask := &OutcomeQuery{Base: base, Programs: kind == PrepareProgramsKind}
-			require.Equal(t, want, failure.KindOf(r.stage(kind, base, 0)), "base %d", base)
+			require.Equal(t, want, failure.KindOf(r.prepare(kind, base, 0)), "base %d", base)
 			require.Equal(t, want, failure.KindOf(r.apply(QueryKind, ask)), "base %d", base)
 		}
 		ask := &OutcomeQuery{Base: newest, Programs: kind == PrepareProgramsKind}
 		require.Equal(t, failure.NotExecuted, failure.KindOf(r.apply(QueryKind, ask)), "it is still to be done")
-		require.NoError(t, r.stage(kind, newest, 0))
+		require.NoError(t, r.prepare(kind, newest, 0))
 	}
 }
 
@@ -144,24 +144,24 @@
 func TestShortHistory(t *testing.T) {
 	r := newReplicas(t)
 	for v := range ids.Version(10) {
-		require.NoError(t, r.stage(PrepareKind, v, 0))
+		require.NoError(t, r.prepare(PrepareKind, v, 0))
 	}
 	for v := range ids.Version(10) {
-		require.Equal(t, failure.Stale, failure.KindOf(r.stage(PrepareKind, v, 0)))
+		require.Equal(t, failure.Stale, failure.KindOf(r.prepare(PrepareKind, v, 0)))
 	}
-	require.Equal(t, failure.Stale, failure.KindOf(r.stage(PrepareKind, 11, 0)))
+	require.Equal(t, failure.Stale, failure.KindOf(r.prepare(PrepareKind, 11, 0)))
 }
 
-// TestHistoryOfEarlierReleases: an image without superseded versions tells nothing of what
+// TestSnapshotWithoutSupersededVersions: an image without superseded versions tells nothing of what
 // was made over older ones than its newest.
-func TestHistoryOfEarlierReleases(t *testing.T) {
+func TestSnapshotWithoutSupersededVersions(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	encoded := &EncodedState{Active: VersionedText{Version: 7, Text: []byte(`{}`)}}
 	require.NoError(t, m.Restore(coordination.MustMarshal(encoded)))
-	r := &replicas{T: t, all: []*Machine{m}}
-	require.Equal(t, failure.OutcomeUnknown, failure.KindOf(r.stage(PrepareKind, 5, 0)))
-	require.NoError(t, r.stage(PrepareKind, 7, 9))
-	require.Equal(t, failure.OutcomeUnknown, failure.KindOf(r.stage(PrepareKind, 5, 0)))
-	require.Equal(t, failure.Stale, failure.KindOf(r.stage(PrepareKind, 7, 0)))
+	r := &replicas{T: t, machines: []*Machine{m}}
+	require.Equal(t, failure.OutcomeUnknown, failure.KindOf(r.prepare(PrepareKind, 5, 0)))
+	require.NoError(t, r.prepare(PrepareKind, 7, 9))
+	require.Equal(t, failure.OutcomeUnknown, failure.KindOf(r.prepare(PrepareKind, 5, 0)))
+	require.Equal(t, failure.Stale, failure.KindOf(r.prepare(PrepareKind, 7, 0)))
 	require.Equal(t, failure.Stale, failure.KindOf(r.apply(QueryKind, &OutcomeQuery{Base: 7})))
 }
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -61,7 +61,7 @@
 				return invalidRegime([]string{"regimes", name, "kinds"}, "unknown kind "+quote(kind))
 			}
 			for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
-				if !p.certified(name, k.Model, part) {
+				if !p.hasCertifiedWorker(name, k.Model, part) {
 					return invalidRegime([]string{
 						"regimes", name,
 					}, "no certified "+string(part)+" worker offers "+quote(k.Model)+" for kind "+quote(kind))
@@ -81,8 +81,8 @@
 
 func quote(s string) string { return `"` + s + `"` }
 
-// certified tells whether a worker of the catalogue, in its own part, has a certificate.
-func (p *Configuration) certified(regime, model string, part ids.Role) bool {
+// hasCertifiedWorker tells whether a worker of the catalogue, in its own part, has a certificate.
+func (p *Configuration) hasCertifiedWorker(regime, model string, part ids.Role) bool {
 	for _, c := range p.Certificates {
 		if w, ok := p.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Role == part &&
 			slices.Contains(c.Roles, part) {
@@ -103,7 +103,7 @@
 			return invalidRegime([]string{
 				"certificates", serial,
 			}, "serial "+quote(serial)+" stands for another certificate already; a new one needs a new serial")
-		case !had && now.High > 0 && expired(p, serial, now):
+		case !had && now.High > 0 && certificateExpired(p, serial, now):
 			return invalidRegime([]string{
 				"certificates", serial, "until",
 			}, "it has expired: its end "+c.Until+" is past")
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func expired(p *Configuration, serial string, now certification.Now) bool {
+func certificateExpired(p *Configuration, serial string, now certification.Now) bool {
 	r, _ := p.Register()
 	for _, row := range r.Rows(p.Certificates[serial].Regime, now) {
 		if row.Serial == serial {
@@ -192,11 +192,11 @@
 // outcomes, to those certified for all.
 func (m *Machine) Eligible(key ids.Key, node ids.NodeID) bool {
 	id, worker := strings.CutPrefix(string(key), string(WorkerKey("")))
-	if m.unrevoked == nil || !worker && key != ResolutionKey {
+	if m.unrevokedRegister == nil || !worker && key != ResolutionKey {
 		return true
 	}
-	register := m.unrevoked.WithRevoked(m.revocations)
-	now := certification.Now{Low: m.time - int64(clockLead), High: m.time}
+	register := m.unrevokedRegister.WithRevoked(m.revocations)
+	now := certification.Now{Low: m.timeBound - int64(clockBoundLead), High: m.timeBound}
 	for _, g := range register.Regimes() {
 		for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
 			if _, ok := register.Clears(g, certification.Subject{Worker: ids.WorkerID(id)}, part, now); !ok && worker {
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -18,8 +18,8 @@
 	"keelstair.example/logging"
 )
 
-// charter gives the small configuration with one regime, as its operators' text, a field a line.
-func charter(t *testing.T, change func(all map[string]any, certs map[string]certification.Certificate)) []byte {
+// regimeConfiguration gives the small configuration with one regime, as its operators' text, a field a line.
+func regimeConfiguration(t *testing.T, change func(all map[string]any, certs map[string]certification.Certificate)) []byte {
 	key, _, err := certification.NewKey()
 	require.NoError(t, err)
 	day := func(n int) string { return time.Date(2026, 12, 1+n, 0, 0, 0, 0, time.UTC).Format(time.RFC3339) }
@@ -65,7 +65,7 @@
 // TestRegimes: a whole configuration with regimes checks, checks to itself again, and compiles;
 // each fault is refused with file, line and reason.
 func TestRegimes(t *testing.T) {
-	p, complete, err := ParseComplete("f.cue", charter(t, nil))
+	p, complete, err := ParseComplete("f.cue", regimeConfiguration(t, nil))
 	require.NoError(t, err)
 	again, _, err := ParseComplete("f.cue", complete)
 	require.NoError(t, err)
@@ -130,7 +130,7 @@
 		}, `"certificates"`},
 	} {
 		t.Run(says, func(t *testing.T) {
-			text := charter(t, one.change)
+			text := regimeConfiguration(t, one.change)
 			_, _, err := ParseComplete("f.cue", text)
 			require.Error(t, err)
 			require.True(t, failure.Is(err, failure.InvalidArgument))
@@ -156,18 +156,18 @@
 	}
 	_, _, err = ParseComplete(
 		"f.cue",
-		[]byte(strings.Replace(string(charter(t, nil)), `"certificates": {`, `"certificates": {"s1": {}, `, 1)),
+		[]byte(strings.Replace(string(regimeConfiguration(t, nil)), `"certificates": {`, `"certificates": {"s1": {}, `, 1)),
 	)
 	require.ErrorContains(t, err, "f.cue:3:")
 	require.ErrorContains(t, err, "certificates.s1 stands twice")
 }
 
-// TestFollows: a serial never stands for another certificate, and none comes in that has
+// TestCheckTransition: a serial never stands for another certificate, and none comes in that has
 // ended; one that ends while it stands does not hinder a later change.
-func TestFollows(t *testing.T) {
-	previous, _, err := ParseComplete("f", charter(t, nil))
+func TestCheckTransition(t *testing.T) {
+	previous, _, err := ParseComplete("f", regimeConfiguration(t, nil))
 	require.NoError(t, err)
-	next, _, err := ParseComplete("f", charter(t, nil)) // other keys, so other signatures
+	next, _, err := ParseComplete("f", regimeConfiguration(t, nil)) // other keys, so other signatures
 	require.NoError(t, err)
 	early := certification.At(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
 	late := certification.At(time.Date(2027, 1, 30, 0, 0, 0, 0, time.UTC))
@@ -178,10 +178,10 @@
 	require.NoError(t, previous.CheckTransition(&Configuration{}, certification.Now{}), "no word of the time")
 }
 
-// TestOverCertificates: a part that touches something else leaves certificates alone,
+// TestOverlayWithCertificates: a part that touches something else leaves certificates alone,
 // and one that takes away a regime's last worker is refused.
-func TestOverCertificates(t *testing.T) {
-	_, complete, err := ParseComplete("f", charter(t, nil))
+func TestOverlayWithCertificates(t *testing.T) {
+	_, complete, err := ParseComplete("f", regimeConfiguration(t, nil))
 	require.NoError(t, err)
 	p, _, err := Overlay("f", complete, []byte(`{"limits":{"queue":3}}`))
 	require.NoError(t, err)
@@ -198,7 +198,7 @@
 	require.NoError(t, err)
 }
 
-func run(t *testing.T, m *Machine, list []coordination.Command) (out []string) {
+func applyAll(t *testing.T, m *Machine, list []coordination.Command) (out []string) {
 	for _, c := range list {
 		_, err := m.Apply(9, c.Kind, c.Body)
 		require.NoError(t, err)
@@ -207,9 +207,9 @@
 	return out
 }
 
-// TestSeal: a revocation is sealed once every node with a lease has seen it, also by a
+// TestRevocationConfirmed: a revocation is sealed once every node with a lease has seen it, also by a
 // primary that did not take it; it outlives snapshots.
-func TestSeal(t *testing.T) {
+func TestRevocationConfirmed(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	_, err := m.Apply(7, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
 	require.NoError(t, err)
@@ -219,13 +219,13 @@
 	other := NewMachine(MachineOptions{})
 	require.NoError(t, other.Restore(m.Snapshot(false)))
 	require.Empty(t, other.Due(1, 9, 8), "what the nodes saw before may have been anything")
-	require.Equal(t, []string{ConfirmRevocationKind}, run(t, m, m.Due(1, 9, 7)))
-	require.Equal(t, []string{ConfirmRevocationKind}, run(t, other, other.Due(1, 12, 9)))
+	require.Equal(t, []string{ConfirmRevocationKind}, applyAll(t, m, m.Due(1, 9, 7)))
+	require.Equal(t, []string{ConfirmRevocationKind}, applyAll(t, other, other.Due(1, 12, 9)))
 	require.Empty(t, m.Due(1, 10, 10))
 	_, err = m.Apply(11, ConfirmRevocationKind, coordination.MustMarshal(&ConfirmRevocation{"s1"}))
 	require.True(t, failure.Is(err, failure.Stale))
 	v := NewView(logging.Discard())
-	v.Observe(1, PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: charter(t, nil)}))
+	v.Observe(1, PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: regimeConfiguration(t, nil)}))
 	v.NoteVersion(1)
 	require.Empty(t, v.Current().Revoked)
 	v.Observe(2, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
@@ -256,7 +256,7 @@
 			require.NoError(t, err)
 		}
 	}
-	apply(PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: charter(t, nil)}))
+	apply(PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: regimeConfiguration(t, nil)}))
 	apply(CommitKind, coordination.MustMarshal(&CommitVersion{1}))
 	writes, minTime := 0, int64(0)
 	lead := func(m *Machine, from, to int) int64 {
@@ -312,17 +312,17 @@
 	require.LessOrEqual(t, time.Duration(lead(d, 90000, 90200)-before), 3*time.Second)
 }
 
-// TestMay: a certified worker's key falls to certified nodes alone.
-func TestMay(t *testing.T) {
+// TestEligible: a certified worker's key falls to certified nodes alone.
+func TestEligible(t *testing.T) {
 	m := NewMachine(MachineOptions{WallClock: func() time.Time { return time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC) }})
 	require.True(t, m.Eligible(WorkerKey("p1"), "v2-aa"))
-	for kind, body := range map[string][]byte{PrepareKind: coordination.MustMarshal(&PrepareVersion{Text: charter(t, nil)})} {
+	for kind, body := range map[string][]byte{PrepareKind: coordination.MustMarshal(&PrepareVersion{Text: regimeConfiguration(t, nil)})} {
 		_, err := m.Apply(1, kind, body)
 		require.NoError(t, err)
 	}
 	_, err := m.Apply(1, CommitKind, coordination.MustMarshal(&CommitVersion{1}))
 	require.NoError(t, err)
-	run(t, m, m.Due(1, 1, 1))
+	applyAll(t, m, m.Due(1, 1, 1))
 	m.Keys()
 	require.True(t, m.Eligible(WorkerKey("p1"), "v1-0123456789abcdef"))
 	require.False(t, m.Eligible(WorkerKey("p1"), "v2-0123456789abcdef"))
--- a/internal/fleetstate/revocation.go
+++ b/internal/fleetstate/revocation.go
@@ -26,9 +26,9 @@
 }
 
 func (c *AdvanceClock) apply(s *State) (msgp.Marshaler, error) {
-	if c.Bound <= s.time {
+	if c.Bound <= s.timeBound {
 		return &VersionReply{s.newest()}, coordination.ErrUnchanged
 	}
-	s.time = c.Bound
+	s.timeBound = c.Bound
 	return &VersionReply{s.newest()}, nil
 }
--- a/internal/fleetstate/role_change_test.go
+++ b/internal/fleetstate/role_change_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestRoleChangeInFeed: a view shows a role change as soon as it is folded, loudly, whether it came as
+// TestRoleChangeInView: a view shows a role change as soon as it is folded, loudly, whether it came as
 // news or in a snapshot, and no longer once it is done; an older snapshot stays as it was.
-func TestRoleChangeInFeed(t *testing.T) {
+func TestRoleChangeInView(t *testing.T) {
 	v := NewView(logging.Discard())
 	require.True(t, v.Observe(1, RoleChangeKind, coordination.MustMarshal(&RoleChange{Worker: "w", To: ids.Decode})))
 	first := v.Current()
@@ -62,9 +62,9 @@
 	require.Empty(t, other.Current().RoleChanges)
 }
 
-// TestNext: a version gets the number it asks for if that is above the newest, prepared ones
+// TestRequestedVersionNumber: a version gets the number it asks for if that is above the newest, prepared ones
 // included; else, or over another base, nothing changes.
-func TestNext(t *testing.T) {
+func TestRequestedVersionNumber(t *testing.T) {
 	s := newState(false, Retention{})
 	prepare := func(base, next ids.Version) (ids.Version, error) {
 		out, err := s.Apply(PrepareKind, coordination.MustMarshal(&PrepareVersion{
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -15,26 +15,26 @@
 
 // State holds it all. A lean one (on nodes) keeps open claims only.
 type State struct {
-	versionHistory                // the configuration
-	programs       versionHistory // the program sets
-	claimsOnly     bool
-	evacuatedZones map[ids.Zone]bool
-	zoneRevisions  map[ids.Zone]uint64
-	drainedWorkers map[ids.WorkerID]bool
-	roleChanges    map[ids.WorkerID]ids.Role
-	failbacks      map[ids.Zone]Failback
-	failbackCount  uint64
-	fence          ids.Fence
-	records        map[string]IdempotencyRecord
-	resolvedKeys   []string // settled, oldest first
-	agedKeys       agedKeys
-	recordCount    int             // of all idempotency records there ever were
-	maxRecords     int             // that the configuration in force allows
-	revocations    map[string]bool // serials; true once in force everywhere
-	time           int64           // bound of the fleet's time
-	governed       bool            // the configuration in force has regimes
-	auditLog       auditLog
-	duties         map[string]DutySubject
+	versionHistory                 // the configuration
+	programs        versionHistory // the program sets
+	claimsOnly      bool
+	evacuatedZones  map[ids.Zone]bool
+	zoneRevisions   map[ids.Zone]uint64
+	drainedWorkers  map[ids.WorkerID]bool
+	roleChanges     map[ids.WorkerID]ids.Role
+	failbacks       map[ids.Zone]Failback
+	failbackCount   uint64
+	resolutionFence ids.Fence
+	records         map[string]IdempotencyRecord
+	resolvedKeys    []string // settled, oldest first
+	agedKeys        agedKeys
+	recordCount     int             // of all idempotency records there ever were
+	maxRecords      int             // that the configuration in force allows
+	revocations     map[string]bool // serials; true once in force everywhere
+	timeBound       int64           // bound of the fleet's time
+	hasRegimes      bool            // the configuration in force has regimes
+	auditLog        auditLog
+	dutySubjects    map[string]DutySubject
 }
 
 func newState(lean bool, d Retention) *State {
@@ -48,7 +48,7 @@
 		records:        map[string]IdempotencyRecord{},
 		agedKeys:       newAgedKeys(d),
 		revocations:    map[string]bool{},
-		duties:         map[string]DutySubject{},
+		dutySubjects:   map[string]DutySubject{},
 	}
 }
 
@@ -62,7 +62,7 @@
 		Regimes map[string]json.RawMessage
 	}
 	json.Unmarshal(decompress(r.Text), &p)
-	s.maxRecords, s.governed = p.Limits.MaxRecords, len(p.Regimes) > 0
+	s.maxRecords, s.hasRegimes = p.Limits.MaxRecords, len(p.Regimes) > 0
 }
 
 type command interface {
@@ -70,7 +70,7 @@
 	apply(*State) (msgp.Marshaler, error)
 }
 
-func parse(kind string) command {
+func newCommand(kind string) command {
 	switch kind {
 	case PrepareKind:
 		return &PrepareVersion{}
@@ -115,9 +115,9 @@
 // Apply reads a command by its kind and applies it.
 func (s *State) Apply(kind string, body []byte) ([]byte, error) {
 	if kind == QueryKind {
-		return nil, s.outcome(body)
+		return nil, s.queryOutcome(body)
 	}
-	c := parse(kind)
+	c := newCommand(kind)
 	if c == nil {
 		return nil, failure.New(failure.InvalidArgument, "apply", kind, "no such command")
 	}
--- a/internal/fleetstate/state_encoding.go
+++ b/internal/fleetstate/state_encoding.go
@@ -17,7 +17,7 @@
 		Prepared:         s.prepared,
 		Programs:         s.programs.active,
 		ProgramsPrepared: s.programs.prepared,
-		ResolutionFence:  s.fence,
+		ResolutionFence:  s.resolutionFence,
 		RecordCount:      s.recordCount,
 	}
 	for z := range s.evacuatedZones {
@@ -42,17 +42,17 @@
 		encoded.Revoked = append(encoded.Revoked, Revocation{serial, sure})
 	}
 	sort.Slice(encoded.Revoked, func(i, j int) bool { return encoded.Revoked[i].Serial < encoded.Revoked[j].Serial })
-	encoded.Time = s.time
+	encoded.Time = s.timeBound
 	sort.Slice(encoded.RoleChanges, func(i, j int) bool {
 		return encoded.RoleChanges[i].Worker < encoded.RoleChanges[j].Worker
 	})
-	encoded.RevisionHistory = s.orderMemory()
+	encoded.RevisionHistory = s.encodeRevisionHistory()
 	if !open && !s.claimsOnly {
 		for _, k := range s.resolvedKeys {
 			encoded.Records = append(encoded.Records, s.records[k])
 		}
 		encoded.Duties = s.encodeDuties()
-		encoded.Audits, encoded.AuditCount, encoded.AuditHead = s.auditLog.open, s.auditLog.count, s.auditLog.head
+		encoded.AuditRows, encoded.AuditCount, encoded.AuditHead = s.auditLog.openRows, s.auditLog.rowCount, s.auditLog.lastHash
 		for _, r := range s.agedKeys.rows {
 			encoded.AgedRows = append(encoded.AgedRows, r[:]...)
 		}
@@ -73,11 +73,11 @@
 	next := newState(s.claimsOnly, s.agedKeys.Retention)
 	next.activate(encoded.Active)
 	next.prepared = encoded.Prepared
-	next.fence = encoded.ResolutionFence
+	next.resolutionFence = encoded.ResolutionFence
 	next.recordCount = encoded.RecordCount
 	next.agedKeys.sealed = s.agedKeys.sealed
 	next.programs = versionHistory{active: encoded.Programs, prepared: encoded.ProgramsPrepared}
-	next.restoreOrderMemory(encoded.RevisionHistory)
+	next.restoreRevisionHistory(encoded.RevisionHistory)
 	for _, z := range encoded.EvacuatedZones {
 		next.evacuatedZones[ids.Zone(z)] = true
 	}
@@ -94,8 +94,8 @@
 	for _, r := range encoded.Revoked {
 		next.revocations[r.Serial] = r.Confirmed
 	}
-	next.time = encoded.Time
-	next.auditLog = auditLog{encoded.AuditCount, encoded.AuditHead, encoded.Audits, s.auditLog.sealedChunks}
+	next.timeBound = encoded.Time
+	next.auditLog = auditLog{encoded.AuditCount, encoded.AuditHead, encoded.AuditRows, s.auditLog.sealedChunks}
 	for _, d := range encoded.Records {
 		next.records[d.Key] = d
 		if d.Outcome != OutcomeClaimed {
@@ -103,7 +103,7 @@
 		}
 	}
 	for _, d := range encoded.Duties {
-		next.duties[d.Name] = d
+		next.dutySubjects[d.Name] = d
 	}
 	for at := 0; at+rowSize <= len(encoded.AgedRows); at += rowSize {
 		next.agedKeys.add([rowSize]byte(encoded.AgedRows[at : at+rowSize]))
