--- a/internal/fleetstate/audit.go
+++ b/internal/fleetstate/audit.go
@@ -1,6 +1,7 @@
-// The audit record of governed work: a row for each request's begin and outcome, each
-// with a hash over the row before it, so that a row that is removed or changed shows.
-// Full leaves are sealed as chunks; the oldest leave the store once there are too many.
+// The audit log of work that a regime governs has a row for the beginning and for the outcome of
+// each request. Each row has a hash that covers the hash of the row before it, so that a removed or
+// changed row is detected. Full groups of rows are sealed as chunks; the oldest chunks are dropped
+// beyond maxAuditChunks.
 
 package fleetstate
 
@@ -19,8 +20,8 @@
 
 //msgp:ignore AuditRow AuditRecord AuditStep audit
 
-// AuditStep is one step of a request: what was done at whom, cleared by which serial,
-// at the fleet's time in nanoseconds since 1970.
+// AuditStep is one step of a request: the operation, the worker that ran it, the serial of the
+// certificate that allowed it, and the fleet's time in nanoseconds since 1970.
 type AuditStep struct {
 	Attempt   int    `json:"attempt,omitempty"`
 	Operation string `json:"what"`
@@ -29,8 +30,8 @@
 	At        int64  `json:"at"`
 }
 
-// AuditRecord is what is kept of a governed request: once as it begins, if its key is
-// not claimed, and once with its outcome.
+// AuditRecord is what the audit log holds of a governed request. A record is written with the
+// request's outcome, and for a request without a claimed key also before it runs.
 type AuditRecord struct {
 	Request string      `json:"request"`
 	Key     string      `json:"key,omitempty"`
@@ -42,11 +43,11 @@
 	Outcome string      `json:"outcome"`
 }
 
-// OutcomeBegun is the outcome of a record that is written before anything runs.
+// OutcomeBegun is the outcome in a record that is written before the request runs.
 const OutcomeBegun = "begun"
 
-// AuditRow is a line of the chain. Its hash is over the row before it, its number and
-// the record's own text.
+// AuditRow is one row of the hash chain. Its hash covers the previous row's hash, its own index
+// and the text of the record.
 type AuditRow struct {
 	Index  int             `json:"index"`
 	Prev   string          `json:"prev"`
@@ -61,8 +62,8 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// VerifyChain holds rows against each other, and against the one before them if it is
-// known.
+// VerifyChain checks that rows are consecutive and unchanged, and that they follow the row
+// before, unless that is nil.
 func VerifyChain(before *AuditRow, rows []AuditRow) error {
 	for i := range rows {
 		r := &rows[i]
@@ -101,10 +102,11 @@
 
 const (
 	auditChunkRows = 1024
-	maxAuditChunks = 100 // sealed ones that are kept
+	maxAuditChunks = 100 // sealed chunks that are kept
 	auditMagic     = "keelstair audit\n"
 )
 
+// auditLog is the hash chain of audit rows: sealed chunks and the open rows after them.
 type auditLog struct {
 	rowCount     int
 	lastHash     string
@@ -118,7 +120,7 @@
 	r.Hash = r.computeHash()
 	line, err := json.Marshal(&r)
 	if err != nil {
-		return // a record that is no JSON is refused before
+		return // unreachable: AppendAudit refuses a record that isn't JSON
 	}
 	a.lastHash = r.Hash
 	if a.openRows = append(a.openRows, line); len(a.openRows) < auditChunkRows {
@@ -132,33 +134,35 @@
 	}
 }
 
-// firstIndex is the number of the first row that is kept.
+// firstIndex returns the index of the oldest row that is kept.
 func (a *auditLog) firstIndex() int {
 	return a.rowCount - len(a.openRows) - len(a.sealedChunks)*auditChunkRows + 1
 }
 
+// read returns up to limit rows, beginning with index from or the oldest row that is kept.
 func (a *auditLog) read(from, limit int) *AuditQueryReply {
 	out := &AuditQueryReply{FirstIndex: a.firstIndex(), RowCount: a.rowCount, LastHash: a.lastHash}
-	for at := max(from, out.FirstIndex); at <= a.rowCount && len(out.Lines) < limit; {
-		i := at - out.FirstIndex
-		leaf := a.openRows
+	for index := max(from, out.FirstIndex); index <= a.rowCount && len(out.Lines) < limit; {
+		i := index - out.FirstIndex
+		rows := a.openRows
 		if n := i / auditChunkRows; n < len(a.sealedChunks) {
-			leaf = bytes.Split(a.sealedChunks[n].Body[len(auditMagic):], []byte{'\n'})
+			rows = bytes.Split(a.sealedChunks[n].Body[len(auditMagic):], []byte{'\n'})
 			i %= auditChunkRows
 		} else {
 			i -= len(a.sealedChunks) * auditChunkRows
 		}
-		take := min(len(leaf)-i, limit-len(out.Lines))
-		out.Lines = append(out.Lines, leaf[i:i+take]...)
-		at += take
+		take := min(len(rows)-i, limit-len(out.Lines))
+		out.Lines = append(out.Lines, rows[i:i+take]...)
+		index += take
 	}
 	return out
 }
 
 func (c *AppendAudit) apply(s *State) (msgp.Marshaler, error) {
-	// The text stands in a line as it is, so it must be as the encoder writes it.
-	if tight, err := json.Marshal(json.RawMessage(c.Record)); err != nil || !bytes.Equal(tight, c.Record) {
-		return nil, failure.New(failure.InvalidArgument, "audit", "", "a record must be compact JSON")
+	// The record is embedded in its row unchanged, so it must have the form that the JSON encoder
+	// writes.
+	if compact, err := json.Marshal(json.RawMessage(c.Record)); err != nil || !bytes.Equal(compact, c.Record) {
+		return nil, failure.New(failure.InvalidArgument, "audit", "", "the audit record is not JSON in compact form")
 	}
 	s.auditLog.add(c.Record)
 	return nil, nil
--- a/internal/fleetstate/client.go
+++ b/internal/fleetstate/client.go
@@ -1,5 +1,6 @@
-// Reading back what was acknowledged: the primary answers only once its backup has
-// confirmed its epoch, so a deposed one tells nothing old.
+// Client calls of the coordination service that read and change the fleet's state. Reads return
+// everything that was acknowledged before: the primary replies only once its backup has confirmed
+// its epoch, so that a deposed primary returns no old state.
 
 package fleetstate
 
@@ -15,15 +16,15 @@
 )
 
 const (
-	// attemptTimeout is for one attempt at the primary. It is longer than a primary takes to
+	// attemptTimeout bounds one attempt to call the primary. It is longer than a primary takes to
 	// replace a silent backup, and short enough for two attempts within a second.
 	attemptTimeout = 420 * time.Millisecond
-	// attemptTimeoutPerKB is added for a command's body: at 10 Mbit/s a kilobyte takes 0.8 ms to the
-	// primary, and as long from there to a backup.
+	// attemptTimeoutPerKB is added for each KiB of a command's body: at 10 Mbit/s a kilobyte takes
+	// 0.8 ms to the primary, and as long again from there to a backup.
 	attemptTimeoutPerKB = 2 * time.Millisecond
 )
 
-// ReadState asks the core for all that is agreed on, until the context ends.
+// ReadState reads the fleet's state from the primary. It retries until ctx ends.
 func ReadState(ctx context.Context, caller *rpc.Caller, directory *coordination.Directory) (*EncodedState, error) {
 	r, addr, err := coordination.CallPrimary[coordination.WatchRequest, coordination.WatchResponse](
 		ctx, caller, directory, attemptTimeout, coordination.WatchMethod, &coordination.WatchRequest{}, nil,
@@ -31,19 +32,19 @@
 	if err != nil {
 		return nil, failure.As(err, failure.Unavailable, "read newest", addr)
 	}
-	var encoded coordination.Snapshot
-	own := &EncodedState{}
-	if _, err := encoded.UnmarshalMsg(r.Snapshot); err != nil {
-		return nil, failure.As(err, failure.InvalidArgument, "read picture", addr)
+	var snapshot coordination.Snapshot
+	encoded := &EncodedState{}
+	if _, err := snapshot.UnmarshalMsg(r.Snapshot); err != nil {
+		return nil, failure.As(err, failure.InvalidArgument, "read state", addr)
 	}
-	if _, err := own.UnmarshalMsg(encoded.State); err != nil {
-		return nil, failure.As(err, failure.InvalidArgument, "read picture", addr)
+	if _, err := encoded.UnmarshalMsg(snapshot.State); err != nil {
+		return nil, failure.As(err, failure.InvalidArgument, "read state", addr)
 	}
-	return own, nil
+	return encoded, nil
 }
 
-// ReadNewest asks the core for the newest version, in force or prepared, and for the zones
-// that are evacuated, until the context ends.
+// ReadNewest reads the newest version, active or prepared, and the evacuated zones from the
+// primary. It retries until ctx ends.
 func ReadNewest(
 	ctx context.Context,
 	caller *rpc.Caller,
@@ -56,14 +57,14 @@
 	return encoded.NewestVersion(), encoded.EvacuatedZones, nil
 }
 
-// NewestVersion gives the newest version, in force or prepared, with its text as it was put.
+// NewestVersion returns the newest version, active or prepared, with its text uncompressed.
 func (encoded *EncodedState) NewestVersion() VersionedText {
-	top := (&versionHistory{active: encoded.Active, prepared: encoded.Prepared}).latest()
-	top.Text = decompress(top.Text)
-	return top
+	newest := (&versionHistory{active: encoded.Active, prepared: encoded.Prepared}).latest()
+	newest.Text = decompress(newest.Text)
+	return newest
 }
 
-// ProgramSet gives the newest program set, in force or prepared, and whether it is in force.
+// ProgramSet returns the newest program set, active or prepared, and whether it is active.
 func (encoded *EncodedState) ProgramSet() (VersionedText, bool) {
 	return (&versionHistory{
 		active:   encoded.Programs,
@@ -71,11 +72,11 @@
 	}).latest(), len(encoded.ProgramsPrepared) == 0
 }
 
-// PutConfiguration asks the core for a text as the version next (0: the one after base), made over
-// base. Asked again under the same op, it gives the one outcome. Errors: Stale where
-// another version is the newest, Bad where the number is too low, Unknown where it may
-// have been taken, Away where it was not. A large text that differs little from the one
-// it was made over goes as a delta.
+// PutConfiguration submits a configuration text that was derived from the version base, as the
+// version next (0 stands for the one after base). Repeated calls with the same op have one outcome.
+// The kind of the error is Stale if base is not the newest version, InvalidArgument if the number
+// next is too low, OutcomeUnknown if the text may have been accepted, and Unavailable if it was
+// not. A large text that differs little from the text of base is sent as a delta.
 func PutConfiguration(
 	ctx context.Context,
 	caller *rpc.Caller,
@@ -94,7 +95,7 @@
 	return PutConfigurationOver(ctx, caller, directory, op, base, next, text, newest)
 }
 
-// PutConfigurationOver is Put for a caller that has read the newest version already.
+// PutConfigurationOver is PutConfiguration for a caller that has already read the newest version.
 func PutConfigurationOver(
 	ctx context.Context,
 	caller *rpc.Caller,
@@ -115,7 +116,8 @@
 	})
 }
 
-// UseDeltaIfSmaller makes it a delta where that is half as long at most, and gives the same text.
+// UseDeltaIfSmaller replaces the command's text by a delta from the previous text if the delta is at
+// most half as long and reproduces the text.
 func (c *PrepareVersion) UseDeltaIfSmaller(previous, text []byte) {
 	d := diff(previous, text)
 	body := coordination.MustMarshal(d)
@@ -127,8 +129,9 @@
 	}
 }
 
-// QueryOutcome tells the version that an operation made. Errors: Stale where none was taken,
-// Unknown where one may have been, too long ago to tell.
+// QueryOutcome returns the version that an earlier operation created. The kind of the error is
+// Stale if the operation was never accepted, and OutcomeUnknown if it may have been accepted too
+// long ago to be remembered.
 func QueryOutcome(
 	ctx context.Context,
 	caller *rpc.Caller,
@@ -143,8 +146,8 @@
 	})
 }
 
-// ZoneRevision tells how often a zone has changed, and whether it is evacuated.
-func (encoded *EncodedState) ZoneRevision(zone ids.Zone) (revision uint64, out bool) {
+// ZoneRevision returns how often a zone was evacuated or failed back, and whether it is evacuated.
+func (encoded *EncodedState) ZoneRevision(zone ids.Zone) (revision uint64, evacuated bool) {
 	for _, z := range encoded.ZoneRevisions {
 		if z.Zone == zone {
 			revision = z.Count
@@ -153,37 +156,38 @@
 	return revision, slices.Contains(encoded.EvacuatedZones, string(zone))
 }
 
-// SetEvacuated empties a zone of new work, or takes that back, once for an operation's id.
+// SetEvacuated evacuates a zone or fails back to it. It takes effect once for each op.
 func SetEvacuated(
 	ctx context.Context,
 	caller *rpc.Caller,
 	directory *coordination.Directory,
 	op ids.OpID,
 	zone ids.Zone,
-	out bool,
+	evacuated bool,
 ) error {
-	return submitEvacuate(ctx, caller, directory, op, &Evacuate{Zone: zone, Evacuated: out})
+	return submitEvacuate(ctx, caller, directory, op, &Evacuate{Zone: zone, Evacuated: evacuated})
 }
 
-// CompareAndSetEvacuated empties a zone of new work, or takes that back, if the zone has changed so many
-// times as revision says. Else it is Stale, unless the zone already is as asked.
+// CompareAndSetEvacuated evacuates a zone or fails back to it if the zone's revision is the given
+// one. Otherwise the kind of the error is Stale, unless the zone is already in the requested state.
 func CompareAndSetEvacuated(
 	ctx context.Context,
 	caller *rpc.Caller,
 	directory *coordination.Directory,
 	zone ids.Zone,
-	out bool,
+	evacuated bool,
 	revision uint64,
 ) error {
 	op := ids.OpID("mark/" + coordination.NewID())
 	return submitEvacuate(ctx, caller, directory, op, &Evacuate{
 		Zone:         zone,
-		Evacuated:    out,
+		Evacuated:    evacuated,
 		Compare:      true,
 		BaseRevision: revision,
 	})
 }
 
+// submitEvacuate submits an Evacuate command under the operation id op.
 func submitEvacuate(
 	ctx context.Context,
 	caller *rpc.Caller,
@@ -199,7 +203,8 @@
 	return err
 }
 
-// submitForVersion submits a decree, and gives the version that it ruled.
+// submitForVersion submits a command and returns the version in its reply. The attempt timeout
+// grows with the size of the command.
 func submitForVersion(
 	ctx context.Context,
 	caller *rpc.Caller,
@@ -211,7 +216,7 @@
 	if err != nil {
 		return 0, err
 	}
-	var got VersionReply
-	_, err = got.UnmarshalMsg(r.Body)
-	return got.Version, failure.As(err, failure.OutcomeUnknown, "read ruling", "core")
+	var reply VersionReply
+	_, err = reply.UnmarshalMsg(r.Body)
+	return reply.Version, failure.As(err, failure.OutcomeUnknown, "read reply", "core")
 }
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -1,5 +1,5 @@
-// The machine puts the state under the core: it says which duties there are
-// and when a prepared version is due.
+// Machine connects State to the coordination service: it lists the duties to assign to nodes
+// and proposes the commands that follow from time and from what nodes have seen.
 
 package fleetstate
 
@@ -12,31 +12,32 @@
 	"keelstair.example/internal/certification"
 )
 
-// The keys of duties that do not hang on a worker.
+// Keys of the duties that exist whatever workers and services are configured.
 const (
 	RetryBudgetKey ids.Key = "budget"
 	ResolutionKey  ids.Key = "settle"
 )
 
-// WorkerKey is the key of the duty to order one worker.
+// WorkerKey is the key of the duty of dispatching requests to one worker.
 func WorkerKey(id ids.WorkerID) ids.Key { return ids.Key("worker/" + string(id)) }
 
-// PoolKey is the key of the duty to balance the roles of a model's workers.
+// PoolKey is the key of the duty of balancing the prefill and decode roles of a model's workers.
 func PoolKey(model string) ids.Key { return ids.Key("pool/" + model) }
 
+// prepareProgress records how far a prepared version has got towards its commit.
 type prepareProgress struct {
-	firstConsidered ids.Tick
-	seq             ids.Seq
+	firstConsidered ids.Tick // when Due first considered the version on this machine
+	seq             ids.Seq  // the log entry that nodes must have seen
 }
 
-// pendingCommit is when the prepared versions of a line may be put in force.
+// pendingCommit tracks when the prepared versions of one version history may be committed.
 type pendingCommit struct {
 	*versionHistory
-	prepareKind, commitKind string // the kinds of its commands
+	prepareKind, commitKind string // the command kinds of this history
 	progress                map[ids.Version]prepareProgress
 }
 
-// Machine is what controllers run over the core.
+// Machine is the coordination.StateMachine that controllers replicate.
 type Machine struct {
 	*State
 	commitTimeout      time.Duration
@@ -44,25 +45,25 @@
 	pendingCommits     []*pendingCommit
 	keys               []ids.Key
 	keysVersion        ids.Version
-	maxSlowStart       time.Duration       // the longest that a zone that was taken back may hold cold workers
-	failbackSince      map[uint64]ids.Tick // since when the failback of a number is seen here, while this leads
+	maxSlowStart       time.Duration       // upper bound over all services of how long a failed-back zone has cold workers
+	failbackSince      map[uint64]ids.Tick // by failback number: when this machine, as the primary, first saw the failback
 	now                ids.Tick
-	pendingRevocations map[string]ids.Seq // revocations that wait for nodes to have seen them
+	pendingRevocations map[string]ids.Seq // by serial: the log entry that nodes must have seen before the revocation is confirmed
 	clock              fleetClock
-	unrevokedRegister  *certification.Register // of the active configuration
+	unrevokedRegister  *certification.Register // certificates of the active configuration, without revocations
 	meteringEnabled    bool
 }
 
-// MachineOptions of a machine; what is zero takes the default named beside it.
+// MachineOptions are the options of NewMachine. A zero field takes the default named beside it.
 type MachineOptions struct {
-	CommitTimeout time.Duration       // 300ms for silent nodes before a prepared version is put in force
-	Read          ConfigurationReader // Plain: makes a configuration of a text
+	CommitTimeout time.Duration       // 300ms: how long a commit waits for nodes that have not seen the prepared version
+	Read          ConfigurationReader // ReadPlain: parses the text of a configuration
 	Retention     Retention
-	WallClock     func() time.Time // time.Now: read once, for the fleet's time to begin
-	Metering      bool             // usage is reported, so that there is a key for it
+	WallClock     func() time.Time // time.Now: read once, to initialize the fleet's time
+	Metering      bool             // usage is reported, so MeteringKey is listed
 }
 
-// NewMachine returns an empty machine; zero options take their defaults.
+// NewMachine returns a Machine with an empty state.
 func NewMachine(opt MachineOptions) *Machine {
 	ids.SetDefault(&opt.CommitTimeout, 300*time.Millisecond)
 	if opt.Read == nil {
@@ -97,13 +98,14 @@
 	return m
 }
 
-// Apply notes at which number a version was prepared: that is what nodes must have
-// seen, not the claims that come after it.
+// Apply applies the command of the log entry seq. It records the entries that prepare a version
+// or revoke a certificate, since nodes need to have seen only these before Due proposes the commit
+// or the confirmation, not the claims that follow them in the log.
 func (m *Machine) Apply(seq ids.Seq, kind string, body []byte) ([]byte, error) {
 	out, err := m.State.Apply(kind, body)
-	for _, w := range m.pendingCommits {
-		if err == nil && kind == w.prepareKind {
-			w.progress[w.newest()] = prepareProgress{seq: seq}
+	for _, pending := range m.pendingCommits {
+		if err == nil && kind == pending.prepareKind {
+			pending.progress[pending.newest()] = prepareProgress{seq: seq}
 		}
 	}
 	if err == nil && kind == RevokeKind {
@@ -114,16 +116,16 @@
 	return out, err
 }
 
-// Published reports whether watchers see a command: nodes hear of the time by their leases, of
-// the audit record when they ask, and of duty rounds by the answers.
+// Published reports whether commands of a kind are sent to watchers. Nodes get the time with
+// their leases, audit rows by query, and the result of a duty round in the reply.
 func (m *Machine) Published(kind string) bool {
 	return kind != AdvanceClockKind && kind != AppendAuditKind && kind != DutyRoundKind
 }
 
-// Restore replaces the state by that of a snapshot.
+// Restore replaces the state with that of a snapshot.
 func (m *Machine) Restore(body []byte) error { m.keysVersion = 0; m.keys = nil; return m.decode(body) }
 
-// Snapshot encodes the state: all of it, or only what watchers see.
+// Snapshot encodes the whole state or, with open, only the part that is sent to watchers.
 func (m *Machine) Snapshot(open bool) []byte {
 	encoded := m.encode(open)
 	for i, f := range encoded.Failbacks {
@@ -132,58 +134,61 @@
 	return coordination.MustMarshal(encoded)
 }
 
-// Keys names a duty for each worker and each model of the active configuration.
+// Keys lists the keys of all duties under the active configuration: those of its workers, models
+// and services, and the fixed ones.
 func (m *Machine) Keys() []ids.Key {
 	if m.keys != nil && m.keysVersion == m.active.Version {
 		return m.keys
 	}
 	m.keysVersion = m.active.Version
 	m.keys, m.unrevokedRegister, m.maxSlowStart = []ids.Key{RetryBudgetKey, ResolutionKey}, nil, 0
-	if p, err := m.readConfiguration(decompress(m.active.Text)); len(m.active.Text) > 0 && err == nil {
-		m.unrevokedRegister, _ = p.Register()
-		pools := map[string]bool{}
-		for id, w := range p.Workers {
+	if configuration, err := m.readConfiguration(decompress(m.active.Text)); len(m.active.Text) > 0 && err == nil {
+		m.unrevokedRegister, _ = configuration.Register()
+		models := map[string]bool{}
+		for id, worker := range configuration.Workers {
 			m.keys = append(m.keys, WorkerKey(id))
-			pools[w.Model] = true
+			models[worker.Model] = true
 		}
-		if len(p.Services) > 0 {
+		if len(configuration.Services) > 0 {
 			m.keys = append(m.keys, WorkerListKey)
 		}
-		if len(p.Services) > 0 && m.meteringEnabled {
+		if len(configuration.Services) > 0 && m.meteringEnabled {
 			m.keys = append(m.keys, MeteringKey)
 		}
-		for n, svc := range p.Services {
-			m.maxSlowStart = max(m.maxSlowStart, svc.SlowStart())
-			m.keys = append(m.keys, ServiceKey(n))
+		for name, service := range configuration.Services {
+			m.maxSlowStart = max(m.maxSlowStart, service.SlowStart())
+			m.keys = append(m.keys, ServiceKey(name))
 		}
-		for n := range pools {
-			m.keys = append(m.keys, PoolKey(n))
+		for model := range models {
+			m.keys = append(m.keys, PoolKey(model))
 		}
 	}
 	sort.Slice(m.keys, func(i, j int) bool { return m.keys[i] < m.keys[j] })
 	return m.keys
 }
 
-// Due moves the fleet's time on, seals revocations that every node with a lease has
-// seen, names zones that are warm again, and activates what may be.
-func (m *Machine) Due(now ids.Tick, seq, seen ids.Seq) []coordination.Command {
-	out := append(append(m.advanceClock(now), m.confirmRevocations(seq, seen)...), m.endedSlowStarts(now)...)
-	for _, w := range m.pendingCommits {
-		if top := w.newestCommittable(now, seq, seen, m.commitTimeout); top != 0 {
+// Due returns the commands to propose now: those that advance the fleet's time, confirm
+// revocations that every node with a lease has seen, end the slow start of zones whose workers are
+// warm, and commit prepared versions. Every node with a lease has applied the log up to applied;
+// seq is its newest entry.
+func (m *Machine) Due(now ids.Tick, seq, applied ids.Seq) []coordination.Command {
+	out := append(append(m.advanceClock(now), m.confirmRevocations(seq, applied)...), m.endedSlowStarts(now)...)
+	for _, pending := range m.pendingCommits {
+		if version := pending.newestCommittable(now, seq, applied, m.commitTimeout); version != 0 {
 			out = append(out, coordination.Command{
-				Kind: w.commitKind,
-				Body: coordination.MustMarshal(&CommitVersion{top}),
+				Kind: pending.commitKind,
+				Body: coordination.MustMarshal(&CommitVersion{version}),
 			})
 		}
 	}
 	return out
 }
 
-// unconfirmedRevocations lists revocations that may not be in force everywhere yet.
+// unconfirmedRevocations lists the serials whose revocation some node may not enforce yet.
 func (s *State) unconfirmedRevocations() []string {
 	var out []string
-	for serial, sure := range s.revocations {
-		if !sure {
+	for serial, confirmed := range s.revocations {
+		if !confirmed {
 			out = append(out, serial)
 		}
 	}
@@ -191,48 +196,51 @@
 	return out
 }
 
-func (m *Machine) confirmRevocations(seq, seen ids.Seq) []coordination.Command {
+// confirmRevocations returns the commands that confirm the revocations seen by every node with a
+// lease. For a revocation that this machine did not apply itself, such as one from a snapshot, the
+// entry is unknown, so that nodes must have seen the whole log up to seq.
+func (m *Machine) confirmRevocations(seq, applied ids.Seq) []coordination.Command {
 	var out []coordination.Command
-	for _, r := range m.unconfirmedRevocations() {
-		at, ok := m.pendingRevocations[r]
+	for _, serial := range m.unconfirmedRevocations() {
+		required, ok := m.pendingRevocations[serial]
 		if !ok {
-			at = seq
-			m.pendingRevocations[r] = at
+			required = seq
+			m.pendingRevocations[serial] = required
 		}
-		if seen >= at {
-			delete(m.pendingRevocations, r)
+		if applied >= required {
+			delete(m.pendingRevocations, serial)
 			out = append(out, coordination.Command{
 				Kind: ConfirmRevocationKind,
-				Body: coordination.MustMarshal(&ConfirmRevocation{r}),
+				Body: coordination.MustMarshal(&ConfirmRevocation{serial}),
 			})
 		}
 	}
 	return out
 }
 
-// newestCommittable names the newest prepared version that all live nodes have seen, or that has waited
-// long enough for silent ones.
-func (w *pendingCommit) newestCommittable(now ids.Tick, seq, seen ids.Seq, wait time.Duration) ids.Version {
-	var top ids.Version
-	for _, r := range w.prepared {
-		d, ok := w.progress[r.Version]
+// newestCommittable returns the newest prepared version that all live nodes have seen, or that
+// has waited long enough for silent ones. It returns 0 if there is none.
+func (p *pendingCommit) newestCommittable(now ids.Tick, seq, applied ids.Seq, timeout time.Duration) ids.Version {
+	var newest ids.Version
+	for _, r := range p.prepared {
+		progress, ok := p.progress[r.Version]
 		if !ok {
-			d.seq = seq
+			progress.seq = seq
 		}
-		if d.firstConsidered == 0 {
-			d.firstConsidered = now
-			w.progress[r.Version] = d
+		if progress.firstConsidered == 0 {
+			progress.firstConsidered = now
+			p.progress[r.Version] = progress
 		}
-		if seen >= d.seq || now.Past(d.firstConsidered, wait) {
-			top = r.Version
+		if applied >= progress.seq || now.Past(progress.firstConsidered, timeout) {
+			newest = r.Version
 		}
 	}
-	if top != 0 {
-		for v := range w.progress {
-			if v <= top {
-				delete(w.progress, v)
+	if newest != 0 {
+		for v := range p.progress {
+			if v <= newest {
+				delete(p.progress, v)
 			}
 		}
 	}
-	return top
+	return newest
 }
--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -1,6 +1,6 @@
-// Commands of the log, their answers, and the encoded state. Their MessagePack forms and the
-// names of the commands are part of the protocol between releases: a field that is renamed
-// keeps its name there by a msg tag, and a new one is omitted while it is empty.
+// The commands of the replicated log, their replies, and the encoded state. Their MessagePack
+// forms and the command kinds are part of the protocol between releases: a renamed field keeps its
+// encoded name by a msg tag, and a new field is omitted while it is empty.
 
 package fleetstate
 
@@ -17,20 +17,20 @@
 //msgp:shim ids.WorkerID as:string using:string/ids.WorkerID
 //msgp:shim ids.Zone as:string using:string/ids.Zone
 
-// Names of these commands in the log. Reading writes nothing.
+// Command kinds of the audit log. AuditQueryKind reads and is not written to the log.
 const (
 	AppendAuditKind = "lore.audit"
 	AuditQueryKind  = "lore.audits"
 )
 
-// Names of these commands in the log.
+// Command kinds of revocations and of the fleet's time.
 const (
 	RevokeKind            = "lore.revoke"
 	ConfirmRevocationKind = "lore.seal"
 	AdvanceClockKind      = "lore.clock"
 )
 
-// Kinds of command by their names in the log.
+// Command kinds of the configuration, of zones and workers, and of idempotency records.
 const (
 	PrepareKind      = "lore.stage"
 	CommitKind       = "lore.activate"
@@ -40,29 +40,29 @@
 	ResolveKind      = "lore.settle"
 	TakeOverKind     = "lore.seize"
 	AssignWorkerKind = "lore.bind"
-	// QueryKind changes nothing and is always refused: asked under an operation's
-	// id, it gives the outcome that the operation had, if it had one.
+	// QueryKind changes nothing and is always refused. Submitted under the id of an earlier
+	// operation, it returns the remembered outcome of that operation, if there is one.
 	QueryKind = "lore.ask"
 )
 
-// Kinds of command for program sets.
+// Command kinds of program sets.
 const (
 	PrepareProgramsKind = "lore.programs.stage"
 	CommitProgramsKind  = "lore.programs.activate"
 )
 
-// SlowStartEndedKind is the name of SlowStartEnded in the log.
+// SlowStartEndedKind is the command kind of SlowStartEnded.
 const SlowStartEndedKind = "lore.warmed"
 
-// RoleChangeKind is the name of RoleChange in the log.
+// RoleChangeKind is the command kind of RoleChange.
 const RoleChangeKind = "lore.turn"
 
-// DutyRoundKind is the name of DutyRound in the log.
+// DutyRoundKind is the command kind of DutyRound.
 const DutyRoundKind = "lore.duty"
 
-// PrepareVersion brings a whole, checked configuration, made over the version Base.
-// Next is the number it gets; 0 is the one after Base. With Delta, Text is a Delta from
-// the text of Base.
+// PrepareVersion adds a complete, checked configuration that was derived from the version Base.
+// Next is the number that the new version gets; 0 stands for the one after Base. With Delta, Text
+// is an encoded Delta from the text of Base.
 type PrepareVersion struct {
 	Base  ids.Version
 	Text  []byte
@@ -70,44 +70,47 @@
 	Delta bool
 }
 
-// CommitVersion puts a prepared version in force.
+// CommitVersion makes a prepared version the active one.
 type CommitVersion struct {
 	Version ids.Version
 }
 
-// VersionedText is a version with its text.
+// VersionedText is a version of a configuration or a program set with its text.
 type VersionedText struct {
 	Version ids.Version
 	Text    []byte
 }
 
-// VersionReply answers a decree.
+// VersionReply is the reply to the commands that change the configuration, zones or workers. It
+// has the version that the command prepared, or else the newest one.
 type VersionReply struct {
 	Version ids.Version
 }
 
-// Delta makes a text from the one before it.
+// Delta describes a text by its differences from the previous one. Size and Checksum are those of
+// the new text.
 type Delta struct {
 	Size     int
 	Checksum []byte `msg:"Sum"`
 	Hunks    []Hunk
 }
 
-// Hunk is a piece of the older text, and what follows it.
+// Hunk is a copied range of the previous text, followed by new text.
 type Hunk struct {
 	From, Len int
 	Text      []byte
 }
 
-// OutcomeQuery is the body of an QueryKind command: the version that the operation was made
-// over, and whether it was for the line of program sets.
+// OutcomeQuery is the body of a QueryKind command: the version that the operation was based on,
+// and whether it was a version of the program sets rather than of the configuration.
 type OutcomeQuery struct {
 	Base     ids.Version
 	Programs bool
 }
 
-// Evacuate empties a zone, or takes that back. With Compare it is refused as stale unless the
-// zone has changed BaseRevision times so far; without, its operation's id alone tells a repetition.
+// Evacuate evacuates a zone or, with Evacuated false, fails back to it. With Compare it is refused
+// as stale unless the zone's revision is BaseRevision; without Compare, a repetition is recognized
+// only by its operation id.
 type Evacuate struct {
 	Zone         ids.Zone
 	Evacuated    bool `msg:"Out"`
@@ -115,44 +118,45 @@
 	BaseRevision uint64 `msg:"Base"`
 }
 
-// Drain keeps new work from a worker, or takes that back.
+// Drain stops new work for a worker or, with Drained false, allows it again.
 type Drain struct {
 	Worker  ids.WorkerID
 	Drained bool `msg:"Out"`
 }
 
-// SlowStartEnded says that the workers of a zone that was taken back are warm by now.
+// SlowStartEnded records that the workers of a failed-back zone are warm. Number is that of the
+// failback.
 type SlowStartEnded struct {
 	Zone   ids.Zone
 	Number uint64 `msg:"No"`
 }
 
-// Failback is a zone that was taken back, the how-manieth of all times that was, and for how
-// long it surely has been so, in ns. That is counted on the clock of whoever leads, anew
-// after a takeover, and so is never too long.
+// Failback is a zone that serves again after an evacuation. Number counts the failbacks of all
+// zones. ElapsedNs is a lower bound of the time since the failback: the primary measures it with its
+// own clock, and a new primary continues from the value in the snapshot that it restored.
 type Failback struct {
 	Zone      ids.Zone
 	Number    uint64 `msg:"No"`
 	ElapsedNs int64  `msg:"Ago"`
 }
 
-// ZoneRevision is how often a zone was emptied or taken back in all.
+// ZoneRevision counts how often a zone was evacuated or failed back.
 type ZoneRevision struct {
 	Zone  ids.Zone
 	Count uint64
 }
 
-// RoleChange says that a worker is about to take another role, or, with Done, that the role change
-// is over, however it went.
+// RoleChange records that a worker is about to change its role to To or, with Done, that the role
+// change has ended, whether or not it succeeded.
 type RoleChange struct {
 	Worker ids.WorkerID
 	To     ids.Role
 	Done   bool
 }
 
-// DutyRound asks for the right to one act of a duty: the act of a number for a subject, with
-// its content. The first round for an act fixes the content. Number 0 stands for the act after
-// the newest. Done says that the act was accepted outside, and brings no content.
+// DutyRound requests the right to perform one act of a duty, which is identified by its subject and
+// number. The first round for an act fixes its content. Number 0 stands for the act after the newest.
+// Done reports that the receiver outside the fleet accepted the act; it comes without content.
 type DutyRound struct {
 	Subject string
 	Number  uint64
@@ -162,20 +166,20 @@
 	Done    bool
 }
 
-// DutyRoundReply is the act as it stands.
+// DutyRoundReply is the reply to DutyRound: the current state of the act.
 type DutyRoundReply struct {
 	Act DutyAct
 }
 
-// DutyAct is one act of a subject. Content is dropped once it is done.
+// DutyAct is one act of a subject. Its content is dropped once it is done.
 type DutyAct struct {
 	Number  uint64
 	Content []byte
 	Done    bool
 }
 
-// DutySubject is what is kept of a subject: who won a round for it last, the newest acts in the
-// order of their numbers, and the number up to which acts are not kept any more.
+// DutySubject is the state of a subject: the owner and fencing token of the last round won for it,
+// and the newest acts in the order of their numbers. Acts up to the number Forgotten were dropped.
 type DutySubject struct {
 	Name      string
 	Owner     ids.NodeID
@@ -184,7 +188,7 @@
 	Acts      []DutyAct
 }
 
-// Fates of an idempotency record. Once it is not Claimed any more it never changes.
+// Outcomes of an idempotency record. Only OutcomeClaimed can change to another one.
 const (
 	OutcomeClaimed    = "claimed"
 	OutcomeDone       = "done"
@@ -192,8 +196,8 @@
 	OutcomeMayHaveRun = "unknown"
 )
 
-// IdempotencyRecord is one ruling or verdict by its caller's key. It runs at no other worker, and
-// in no other life of that one, than it names.
+// IdempotencyRecord is the record of one request by its idempotency key. The request runs only at
+// the named worker, and only in the named incarnation of it.
 type IdempotencyRecord struct {
 	Key         string
 	Owner       ids.NodeID
@@ -202,12 +206,13 @@
 	Digest      string
 	Outcome     string `msg:"Fate"`
 	Answer      []byte `msg:"Out"`
-	// Aged: only the outcome is known any more, and the digest if it is the asker's.
+	// Aged is set on an old record of which only the outcome was kept, and a part of the digest:
+	// Digest is set if it matches that of the request.
 	Aged bool
 }
 
-// Claim takes a key for a node, to run at a worker in its present life; the answer says whether it is fresh, and the
-// idempotency record as it stands.
+// Claim claims an idempotency key for a node, whose request is to run at the worker's current
+// incarnation. Its reply is a ClaimReply.
 type Claim struct {
 	Key         string
 	Owner       ids.NodeID
@@ -216,13 +221,13 @@
 	Digest      string
 }
 
-// ClaimReply is the record as it stands; Fresh tells that this claim made it.
+// ClaimReply is the current record of the key. Fresh is set if this claim created it.
 type ClaimReply struct {
 	Fresh  bool
 	Record IdempotencyRecord `msg:"Deed"`
 }
 
-// AssignWorker has an open claim run elsewhere, before it is resumed there.
+// AssignWorker moves an open claim to another worker before the request resumes there.
 type AssignWorker struct {
 	Key         string
 	Owner       ids.NodeID
@@ -230,7 +235,8 @@
 	Incarnation ids.Incarnation `msg:"Life"`
 }
 
-// Resolve records the one outcome, and of governed work its audit record.
+// Resolve records the final outcome of a claim and, if a regime governs the request, its audit
+// record.
 type Resolve struct {
 	Key     string
 	Owner   ids.NodeID
@@ -239,7 +245,7 @@
 	Audit   []byte `msg:"Audit,omitempty"`
 }
 
-// TakeOver passes a dead node's claim to the holder of the settling duty.
+// TakeOver transfers a dead node's claim to the holder of the duty ResolutionKey.
 type TakeOver struct {
 	Key   string
 	From  ids.NodeID
@@ -247,42 +253,42 @@
 	Fence ids.Fence
 }
 
-// Revoke ends a certificate for good. A node holds to it from when it has folded it.
+// Revoke revokes a certificate for good. A node enforces it once it has applied this command.
 type Revoke struct {
 	Serial string
 }
 
-// ConfirmRevocation notes that a revocation is in force everywhere: every node has folded it, or
-// its lease, and with it its word for governed work, has run out.
+// ConfirmRevocation records that every node enforces a revocation: each has applied it, or has lost
+// its lease and with it the right to handle governed work.
 type ConfirmRevocation struct {
 	Serial string
 }
 
-// Revocation as snapshots hold it; Confirmed once it is in force everywhere.
+// Revocation is a revoked certificate in a snapshot. Confirmed is set once every node enforces it.
 type Revocation struct {
 	Serial    string
 	Confirmed bool `msg:"Sure"`
 }
 
-// AdvanceClock moves the fleet's time on; it never goes back. At is in nanoseconds since 1970,
-// and no answer of the primary goes beyond the newest one.
+// AdvanceClock raises the upper bound of the fleet's time, which never goes back. Bound is in
+// nanoseconds since 1970. The primary reports no time beyond the newest bound.
 type AdvanceClock struct {
 	Bound int64 `msg:"At"`
 }
 
-// AppendAudit adds a record to the chain.
+// AppendAudit appends a record to the audit log.
 type AppendAudit struct {
 	Record []byte
 }
 
-// AuditQuery reads so many rows from a number on.
+// AuditQuery reads up to Limit audit rows, beginning with the index From.
 type AuditQuery struct {
 	From  int
 	Limit int `msg:"Most"`
 }
 
-// AuditQueryReply has the rows' lines, the number of the first row that is kept, how many
-// there ever were, and the newest row's hash.
+// AuditQueryReply has the rows as JSON, the index of the oldest row that is kept, the number of
+// rows ever written, and the newest row's hash.
 type AuditQueryReply struct {
 	FirstIndex int    `msg:"First"`
 	RowCount   int    `msg:"Count"`
@@ -290,22 +296,23 @@
 	Lines      [][]byte
 }
 
-// EncodedState is the state in a snapshot, or the part of it that watchers see.
+// EncodedState is the state in a snapshot, or the part of it that is sent to watchers.
 type EncodedState struct {
 	Active         VersionedText
 	Prepared       []VersionedText `msg:"Staged"`
 	EvacuatedZones []string        `msg:"Zones"`
 	DrainedWorkers []string        `msg:"Drained"`
 	RoleChanges    []RoleChange    `msg:"Turning"`
-	// Zones taken back of late, and how many times one ever was.
+	// Failbacks are the zones in slow start; FailbackCount counts all failbacks ever.
 	Failbacks       []Failback
 	FailbackCount   uint64              `msg:"Returns"`
 	ResolutionFence ids.Fence           `msg:"Fence"`
 	Records         []IdempotencyRecord `msg:"Deeds"`
-	// The program set in force, and those that are prepared.
+	// Programs is the active program set, ProgramsPrepared those that are prepared.
 	Programs         VersionedText
 	ProgramsPrepared []VersionedText `msg:"ProgramsPending"`
-	// AgedRows of the open leaf, and how many idempotency records there are in all.
+	// AgedRows are the rows of aged keys that are not sealed in a chunk yet; RecordCount counts
+	// all idempotency records ever made.
 	AgedRows           []byte `msg:"Rows"`
 	RecordCount        int    `msg:"Count"`
 	CertificationState `msg:"Governed"`
@@ -313,19 +320,20 @@
 	Duties             []DutySubject `msg:"Duties,omitempty"`
 }
 
-// CertificationState is empty without regimes.
+// CertificationState is the part of EncodedState for regimes. It is empty without them.
 type CertificationState struct {
-	// Certificates that were revoked, and the fleet's time.
+	// Revoked are the revoked certificates; Time is the upper bound of the fleet's time.
 	Revoked []Revocation `msg:"Revoked,omitempty"`
 	Time    int64        `msg:"Time,omitempty"`
-	// The open leaf of the audit record, how many rows there were, the newest one's hash.
+	// AuditRows are the audit rows that are not sealed in a chunk yet, AuditCount is the number
+	// of rows ever written, and AuditHead the newest row's hash.
 	AuditRows  [][]byte `msg:"Audits,omitempty"`
 	AuditCount int      `msg:"AuditCount,omitempty"`
 	AuditHead  string   `msg:"AuditHead,omitempty"`
 }
 
-// RevisionHistory is the part of the image that tells late and repeated orders from new ones.
-// Images of earlier releases lack it.
+// RevisionHistory is the part of EncodedState that tells late and repeated commands from new ones.
+// Snapshots of earlier releases lack it.
 type RevisionHistory struct {
 	ZoneRevisions      []ZoneRevision `msg:"ZoneRevisions,omitempty"`
 	Superseded         []ids.Version  `msg:"Superseded,omitempty"`
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -1,5 +1,5 @@
-// The state that the decrees and idempotency records build, the same on every copy. Commands
-// are types with an apply method; one that is refused changes nothing.
+// State is built by applying the commands of the replicated log, and so is the same on every
+// replica. Each command is a type with an apply method; a command that is refused changes nothing.
 
 package fleetstate
 
@@ -13,10 +13,11 @@
 	"keelstair.example/ids"
 )
 
-// State holds it all. A lean one (on nodes) keeps open claims only.
+// State is the replicated state of the fleet. With claimsOnly, as on router nodes, it keeps of the
+// idempotency records only those that are still claimed.
 type State struct {
-	versionHistory                 // the configuration
-	programs        versionHistory // the program sets
+	versionHistory                 // of the configuration
+	programs        versionHistory // of the program sets
 	claimsOnly      bool
 	evacuatedZones  map[ids.Zone]bool
 	zoneRevisions   map[ids.Zone]uint64
@@ -26,50 +27,53 @@
 	failbackCount   uint64
 	resolutionFence ids.Fence
 	records         map[string]IdempotencyRecord
-	resolvedKeys    []string // settled, oldest first
+	resolvedKeys    []string // keys of the resolved records that are kept in full, oldest first
 	agedKeys        agedKeys
-	recordCount     int             // of all idempotency records there ever were
-	maxRecords      int             // that the configuration in force allows
-	revocations     map[string]bool // serials; true once in force everywhere
-	timeBound       int64           // bound of the fleet's time
-	hasRegimes      bool            // the configuration in force has regimes
+	recordCount     int             // all idempotency records ever made
+	maxRecords      int             // limit from the active configuration
+	revocations     map[string]bool // by serial; true once every node enforces the revocation
+	timeBound       int64           // upper bound of the fleet's time, in ns since 1970
+	hasRegimes      bool            // the active configuration has regimes
 	auditLog        auditLog
 	dutySubjects    map[string]DutySubject
 }
 
-func newState(lean bool, d Retention) *State {
+func newState(claimsOnly bool, retention Retention) *State {
 	return &State{
-		claimsOnly:     lean,
+		claimsOnly:     claimsOnly,
 		evacuatedZones: map[ids.Zone]bool{},
 		zoneRevisions:  map[ids.Zone]uint64{},
 		drainedWorkers: map[ids.WorkerID]bool{},
 		failbacks:      map[ids.Zone]Failback{},
 		roleChanges:    map[ids.WorkerID]ids.Role{},
 		records:        map[string]IdempotencyRecord{},
-		agedKeys:       newAgedKeys(d),
+		agedKeys:       newAgedKeys(retention),
 		revocations:    map[string]bool{},
 		dutySubjects:   map[string]DutySubject{},
 	}
 }
 
-// activate puts a version in force. A lean state has no need of its bounds.
+// activate makes a version the active configuration. A state with claimsOnly doesn't need the
+// limits, so it doesn't parse the text.
 func (s *State) activate(r VersionedText) {
 	if s.active = r; s.claimsOnly {
 		return
 	}
-	var p struct {
+	var configuration struct {
 		Limits  Limits
 		Regimes map[string]json.RawMessage
 	}
-	json.Unmarshal(decompress(r.Text), &p)
-	s.maxRecords, s.hasRegimes = p.Limits.MaxRecords, len(p.Regimes) > 0
+	json.Unmarshal(decompress(r.Text), &configuration)
+	s.maxRecords, s.hasRegimes = configuration.Limits.MaxRecords, len(configuration.Regimes) > 0
 }
 
+// command is a log command that is applied to a State.
 type command interface {
 	msgp.Unmarshaler
 	apply(*State) (msgp.Marshaler, error)
 }
 
+// newCommand returns an empty command of a kind, or nil for an unknown kind.
 func newCommand(kind string) command {
 	switch kind {
 	case PrepareKind:
@@ -112,14 +116,14 @@
 	return nil
 }
 
-// Apply reads a command by its kind and applies it.
+// Apply decodes a command by its kind, applies it, and returns its encoded reply.
 func (s *State) Apply(kind string, body []byte) ([]byte, error) {
 	if kind == QueryKind {
 		return nil, s.queryOutcome(body)
 	}
 	c := newCommand(kind)
 	if c == nil {
-		return nil, failure.New(failure.InvalidArgument, "apply", kind, "no such command")
+		return nil, failure.New(failure.InvalidArgument, "apply", kind, "unknown command kind")
 	}
 	if _, err := c.UnmarshalMsg(body); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "apply", kind)
