--- a/internal/fleetstate/duty_round.go
+++ b/internal/fleetstate/duty_round.go
@@ -1,7 +1,7 @@
-// Rounds of duties. An act outside the fleet, such as a call to the platform, may only follow a
-// round that was won for it. The log orders the rounds: once a holder with a higher fence has won
-// one for a subject, earlier holders win none for it, and the content of an act is the same for
-// whoever performs it.
+// A duty round is the permission for one act outside the fleet, such as a call to the platform: the
+// holder of a duty may perform the act only after it has won a round for it. The log orders the
+// rounds. Once a holder with a higher fencing token has won a round for a subject, earlier holders
+// win none for it, and the content of an act is the same for every holder that performs it.
 
 package fleetstate
 
@@ -16,17 +16,17 @@
 	"keelstair.example/ids"
 )
 
-// MeteringKey is the duty of reporting the usage.
+// MeteringKey is the key of the duty of reporting usage.
 const MeteringKey ids.Key = "metering"
 
-// maxDutyActs is how many acts are kept of a subject.
+// maxDutyActs is how many acts are kept for each subject.
 const maxDutyActs = 16
 
 func (c *DutyRound) apply(s *State) (msgp.Marshaler, error) {
 	subject := s.dutySubjects[c.Subject]
 	if c.Fence < subject.Fence || c.Fence == subject.Fence && c.Owner != subject.Owner {
 		return nil, failure.New(failure.Stale, "win round", c.Subject,
-			"fence %d of %s is not above %d of %s", c.Fence, c.Owner, subject.Fence, subject.Owner)
+			"fence %d of %s is not above fence %d of %s", c.Fence, c.Owner, subject.Fence, subject.Owner)
 	}
 	number := c.Number
 	if number == 0 {
@@ -34,7 +34,7 @@
 	}
 	if number <= subject.Forgotten {
 		return nil, failure.New(failure.Stale, "win round", c.Subject,
-			"act %d is not remembered; those up to %d are not", number, subject.Forgotten)
+			"act %d was dropped, as were all acts up to %d", number, subject.Forgotten)
 	}
 	next, act, changed := subject.withRound(number, c)
 	if !changed && c.Fence == subject.Fence {
@@ -45,7 +45,7 @@
 	return &DutyRoundReply{act}, nil
 }
 
-// newestAct is the number of the newest act.
+// newestAct returns the number of the newest act, kept or dropped.
 func (d *DutySubject) newestAct() uint64 {
 	if len(d.Acts) == 0 {
 		return d.Forgotten
@@ -53,21 +53,21 @@
 	return d.Acts[len(d.Acts)-1].Number
 }
 
-// withRound gives the subject after a round for the act of a number, and that act. The subject itself
-// stays as it is.
+// withRound returns the subject as it is after a round for the act of the given number, that act,
+// and whether the acts changed. It does not modify d.
 func (d *DutySubject) withRound(number uint64, c *DutyRound) (next DutySubject, act DutyAct, changed bool) {
 	next = *d
 	next.Acts = slices.Clone(d.Acts)
-	at := sort.Search(len(next.Acts), func(i int) bool { return next.Acts[i].Number >= number })
-	if at == len(next.Acts) || next.Acts[at].Number != number {
-		next.Acts = slices.Insert(next.Acts, at, DutyAct{Number: number, Content: c.Content})
+	index := sort.Search(len(next.Acts), func(i int) bool { return next.Acts[i].Number >= number })
+	if index == len(next.Acts) || next.Acts[index].Number != number {
+		next.Acts = slices.Insert(next.Acts, index, DutyAct{Number: number, Content: c.Content})
 		changed = true
 	}
-	if c.Done && !next.Acts[at].Done {
-		next.Acts[at] = DutyAct{Number: number, Done: true}
+	if c.Done && !next.Acts[index].Done {
+		next.Acts[index] = DutyAct{Number: number, Done: true}
 		changed = true
 	}
-	act = next.Acts[at]
+	act = next.Acts[index]
 	if extra := len(next.Acts) - maxDutyActs; extra > 0 {
 		next.Forgotten = next.Acts[extra-1].Number
 		next.Acts = next.Acts[extra:]
@@ -75,6 +75,7 @@
 	return next, act, changed
 }
 
+// encodeDuties returns the subjects of all duties, sorted by name.
 func (s *State) encodeDuties() []DutySubject {
 	out := make([]DutySubject, 0, len(s.dutySubjects))
 	for _, d := range s.dutySubjects {
--- a/internal/fleetstate/idempotency.go
+++ b/internal/fleetstate/idempotency.go
@@ -1,5 +1,6 @@
-// Idempotency records: one execution for each key. A claim precedes the run, one outcome ends
-// it; the answers of the newest keys are kept in full, of older ones only the outcome.
+// Idempotency records allow one execution for each key. A claim precedes the execution and one
+// outcome ends it. The answers of the newest keys are kept in full; of older keys only the outcome
+// is kept.
 
 package fleetstate
 
@@ -11,16 +12,18 @@
 )
 
 func (c *Claim) apply(s *State) (msgp.Marshaler, error) {
-	if d, ok := s.records[c.Key]; ok {
-		return &ClaimReply{Record: d}, coordination.ErrUnchanged
+	if record, ok := s.records[c.Key]; ok {
+		return &ClaimReply{Record: record}, coordination.ErrUnchanged
 	}
-	if d, ok := s.agedKeys.find(c.Key, c.Digest); ok {
-		return &ClaimReply{Record: d}, coordination.ErrUnchanged
+	if record, ok := s.agedKeys.find(c.Key, c.Digest); ok {
+		return &ClaimReply{Record: record}, coordination.ErrUnchanged
 	}
 	if !s.claimsOnly && s.maxRecords > 0 && s.recordCount >= s.maxRecords {
-		return nil, failure.New(failure.Stale, "claim", c.Key, "the store of deeds is full: %d", s.recordCount)
+		return nil, failure.New(
+			failure.Stale, "claim", c.Key, "the store of idempotency records is full: it holds %d", s.recordCount,
+		)
 	}
-	d := IdempotencyRecord{
+	record := IdempotencyRecord{
 		Key:         c.Key,
 		Owner:       c.Owner,
 		Worker:      c.Worker,
@@ -28,13 +31,12 @@
 		Digest:      c.Digest,
 		Outcome:     OutcomeClaimed,
 	}
-	s.records[c.Key] = d
+	s.records[c.Key] = record
 	s.recordCount++
-	return &ClaimReply{Fresh: true, Record: d}, nil
+	return &ClaimReply{Fresh: true, Record: record}, nil
 }
 
-// ageRecords puts the oldest settled idempotency records over the count that is kept in full on the
-// shelf.
+// ageRecords moves the oldest resolved records beyond the number that is kept in full to agedKeys.
 func (s *State) ageRecords() {
 	for len(s.resolvedKeys) > s.agedKeys.Full {
 		s.agedKeys.put(s.records[s.resolvedKeys[0]])
@@ -44,9 +46,11 @@
 }
 
 func (c *Resolve) apply(s *State) (msgp.Marshaler, error) {
-	d, ok := s.records[c.Key]
-	if !ok || d.Outcome != OutcomeClaimed || d.Owner != c.Owner {
-		return nil, failure.New(failure.Stale, "settle", c.Key, "it is %q and not this node's", d.Outcome)
+	record, ok := s.records[c.Key]
+	if !ok || record.Outcome != OutcomeClaimed || record.Owner != c.Owner {
+		return nil, failure.New(
+			failure.Stale, "settle", c.Key, "no open claim of this node; the outcome is %q", record.Outcome,
+		)
 	}
 	if s.claimsOnly {
 		delete(s.records, c.Key)
@@ -57,30 +61,34 @@
 			return nil, err
 		}
 	}
-	d.Outcome, d.Answer = c.Outcome, c.Answer
-	s.records[c.Key] = d
+	record.Outcome, record.Answer = c.Outcome, c.Answer
+	s.records[c.Key] = record
 	s.resolvedKeys = append(s.resolvedKeys, c.Key)
 	s.ageRecords()
-	return &d, nil
+	return &record, nil
 }
 
 func (c *AssignWorker) apply(s *State) (msgp.Marshaler, error) {
-	d, ok := s.records[c.Key]
-	if !ok || d.Outcome != OutcomeClaimed || d.Owner != c.Owner {
-		return nil, failure.New(failure.Stale, "bind", c.Key, "it is %q and not this node's", d.Outcome)
+	record, ok := s.records[c.Key]
+	if !ok || record.Outcome != OutcomeClaimed || record.Owner != c.Owner {
+		return nil, failure.New(
+			failure.Stale, "bind", c.Key, "no open claim of this node; the outcome is %q", record.Outcome,
+		)
 	}
-	d.Worker, d.Incarnation = c.Worker, c.Incarnation
-	s.records[c.Key] = d
-	return &d, nil
+	record.Worker, record.Incarnation = c.Worker, c.Incarnation
+	s.records[c.Key] = record
+	return &record, nil
 }
 
 func (c *TakeOver) apply(s *State) (msgp.Marshaler, error) {
-	d, ok := s.records[c.Key]
-	if !ok || d.Outcome != OutcomeClaimed || d.Owner != c.From || c.Fence < s.resolutionFence {
-		return nil, failure.New(failure.Stale, "seize", c.Key, "it is %q of %s, fence %d", d.Outcome, d.Owner, s.resolutionFence)
+	record, ok := s.records[c.Key]
+	if !ok || record.Outcome != OutcomeClaimed || record.Owner != c.From || c.Fence < s.resolutionFence {
+		return nil, failure.New(failure.Stale, "seize", c.Key,
+			"the record has outcome %q and owner %q; the newest fence is %d",
+			record.Outcome, record.Owner, s.resolutionFence)
 	}
 	s.resolutionFence = c.Fence
-	d.Owner = c.To
-	s.records[c.Key] = d
-	return &d, nil
+	record.Owner = c.To
+	s.records[c.Key] = record
+	return &record, nil
 }
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -1,5 +1,6 @@
-// Regimes in a configuration: which kinds are governed, by whose certificates they may be
-// handled, and what is refused beforehand, with its place in the operator's text.
+// Regimes in a configuration: a regime governs kinds of requests, which only workers and router
+// nodes with a certificate for the regime may handle. This file checks regimes and certificates
+// before a configuration is accepted, and locates errors in the operator's text.
 
 package fleetstate
 
@@ -19,18 +20,19 @@
 	"keelstair.example/internal/certification"
 )
 
-// CertificationConfig is the part of a configuration that certified nodes are for.
+// CertificationConfig is the part of a configuration that defines regimes and their certificates.
 type CertificationConfig struct {
 	Regimes      map[string]certification.Regime      `json:"regimes,omitempty"`
 	Issuers      map[string]certification.Issuer      `json:"issuers,omitempty"`
 	Certificates map[string]certification.Certificate `json:"certificates,omitempty"`
 }
 
-// Register compiles what the configuration says of regimes; nil without any.
+// Register compiles the regimes, issuers and certificates. It returns nil if there are no regimes.
 func (c *CertificationConfig) Register() (*certification.Register, error) {
 	return certification.Compile(c.Regimes, c.Issuers, c.Certificates)
 }
 
+// invalidRegime returns the error for an invalid field at a path of the configuration.
 func invalidRegime(path []string, reason string) error {
 	return failure.As(&certification.Fault{
 		Path:   path,
@@ -38,8 +40,9 @@
 	}, failure.InvalidArgument, "check regimes", strings.Join(path, "."))
 }
 
-// checkRegimes: every certificate holds, every governed kind exists, and each regime has
-// a certified worker of each part for each of its kinds, and a certified router node.
+// checkRegimes checks that every certificate is valid, that every governed kind exists, and that
+// each regime has a certified router node and, for each of its kinds, a certified worker of each
+// role.
 func (p *Configuration) checkRegimes() error {
 	if len(p.Regimes)+len(p.Certificates)+len(p.Issuers) == 0 {
 		return nil
@@ -60,19 +63,19 @@
 			if !ok {
 				return invalidRegime([]string{"regimes", name, "kinds"}, "unknown kind "+quote(kind))
 			}
-			for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
-				if !p.hasCertifiedWorker(name, k.Model, part) {
+			for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
+				if !p.hasCertifiedWorker(name, k.Model, role) {
 					return invalidRegime([]string{
 						"regimes", name,
-					}, "no certified "+string(part)+" worker offers "+quote(k.Model)+" for kind "+quote(kind))
+					}, "no certified "+string(role)+" worker offers "+quote(k.Model)+" for kind "+quote(kind))
 				}
 			}
 		}
-		node := false
+		hasNode := false
 		for _, c := range p.Certificates {
-			node = node || c.Regime == name && c.Node != ""
+			hasNode = hasNode || c.Regime == name && c.Node != ""
 		}
-		if !node {
+		if !hasNode {
 			return invalidRegime([]string{"regimes", name}, "no router node is certified")
 		}
 	}
@@ -81,29 +84,30 @@
 
 func quote(s string) string { return `"` + s + `"` }
 
-// hasCertifiedWorker tells whether a worker of the catalogue, in its own part, has a certificate.
-func (p *Configuration) hasCertifiedWorker(regime, model string, part ids.Role) bool {
+// hasCertifiedWorker reports whether a configured worker of the model has a certificate for its own
+// role in the regime.
+func (p *Configuration) hasCertifiedWorker(regime, model string, role ids.Role) bool {
 	for _, c := range p.Certificates {
-		if w, ok := p.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Role == part &&
-			slices.Contains(c.Roles, part) {
+		if w, ok := p.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Role == role &&
+			slices.Contains(c.Roles, role) {
 			return true
 		}
 	}
 	return false
 }
 
-// CheckTransition checks a configuration against the one that it replaces: a serial never stands for
-// another certificate, and none comes in that has ended by now.
+// CheckTransition checks a configuration against the one that it replaces: a serial is never reused
+// for another certificate, and no certificate that has already expired is added.
 func (p *Configuration) CheckTransition(previous *Configuration, now certification.Now) error {
 	for _, serial := range slices.Sorted(maps.Keys(p.Certificates)) {
 		c := p.Certificates[serial]
-		was, had := previous.Certificates[serial]
+		old, exists := previous.Certificates[serial]
 		switch {
-		case had && was.Signature != c.Signature:
+		case exists && old.Signature != c.Signature:
 			return invalidRegime([]string{
 				"certificates", serial,
 			}, "serial "+quote(serial)+" stands for another certificate already; a new one needs a new serial")
-		case !had && now.High > 0 && certificateExpired(p, serial, now):
+		case !exists && now.High > 0 && certificateExpired(p, serial, now):
 			return invalidRegime([]string{
 				"certificates", serial, "until",
 			}, "it has expired: its end "+c.Until+" is past")
@@ -112,9 +116,10 @@
 	return nil
 }
 
+// certificateExpired reports whether the certificate of a serial has expired.
 func certificateExpired(p *Configuration, serial string, now certification.Now) bool {
-	r, _ := p.Register()
-	for _, row := range r.Rows(p.Certificates[serial].Regime, now) {
+	register, _ := p.Register()
+	for _, row := range register.Rows(p.Certificates[serial].Regime, now) {
 		if row.Serial == serial {
 			return row.State == certification.Expired
 		}
@@ -122,34 +127,34 @@
 	return false
 }
 
-// LocateFault gives the place of a fault's field in an operator's own text, or of the nearest
-// field around it, before the fault's line.
+// LocateFault adds to an error that wraps a certification.Fault the position of the faulty field in
+// the operator's text, or of the nearest field that encloses it. It returns other errors unchanged.
 func LocateFault(name string, text []byte, err error) error {
-	var at *certification.Fault
-	if !errors.As(err, &at) {
+	var fault *certification.Fault
+	if !errors.As(err, &fault) {
 		return err
 	}
-	f, bad := parser.ParseFile(name, text)
-	if bad != nil {
+	file, parseErr := parser.ParseFile(name, text)
+	if parseErr != nil {
 		return err
 	}
-	where := name
-	if pos, _ := findPosition(f.Decls, at.Path); pos.IsValid() {
-		where = pos.Position().String()
+	position := name
+	if pos, _ := findPosition(file.Decls, fault.Path); pos.IsValid() {
+		position = pos.Position().String()
 	}
 	return failure.New(
-		failure.InvalidArgument, "check policy", "", "%s: %s: %s", where, strings.Join(at.Path, "."), at.Reason,
+		failure.InvalidArgument, "check policy", "", "%s: %s: %s", position, strings.Join(fault.Path, "."), fault.Reason,
 	)
 }
 
-// findPosition finds the deepest field along a path, and how deep it is.
-func findPosition(row []ast.Decl, path []string) (pos token.Pos, depth int) {
+// findPosition returns the position of the deepest field along a path, and its depth.
+func findPosition(declarations []ast.Decl, path []string) (pos token.Pos, depth int) {
 	type found struct {
 		pos   token.Pos
 		depth int
 	}
 	var all []found
-	for _, d := range row {
+	for _, d := range declarations {
 		if e, ok := d.(*ast.EmbedDecl); ok {
 			if lit, ok := e.Expr.(*ast.StructLit); ok {
 				p, n := findPosition(lit.Elts, path)
@@ -177,8 +182,8 @@
 	return all[0].pos, all[0].depth
 }
 
-// NodeName is the name that a node's certificate bears: its id without the part that
-// changes at each start.
+// NodeName returns the name by which certificates identify a node: its id without the suffix that
+// changes with each start.
 func NodeName(id ids.NodeID) string {
 	if i := strings.LastIndexByte(string(id), '-'); i > 0 {
 		return string(id)[:i]
@@ -186,23 +191,23 @@
 	return string(id)
 }
 
-// Eligible reports whether a key may fall to a node. A certified worker's key falls to nodes
-// that are certified for every regime that it may serve, since its holder hands on what is
-// governed; and settling, which reads
-// outcomes, to those certified for all.
+// Eligible reports whether the duty of a key may be assigned to a node. The duty of a certified
+// worker goes only to nodes that are certified for every regime that the worker may serve, since its
+// holder passes on governed requests. ResolutionKey, whose holder reads outcomes, goes only to nodes
+// that are certified for all regimes.
 func (m *Machine) Eligible(key ids.Key, node ids.NodeID) bool {
-	id, worker := strings.CutPrefix(string(key), string(WorkerKey("")))
-	if m.unrevokedRegister == nil || !worker && key != ResolutionKey {
+	id, isWorkerKey := strings.CutPrefix(string(key), string(WorkerKey("")))
+	if m.unrevokedRegister == nil || !isWorkerKey && key != ResolutionKey {
 		return true
 	}
 	register := m.unrevokedRegister.WithRevoked(m.revocations)
 	now := certification.Now{Low: m.timeBound - int64(clockBoundLead), High: m.timeBound}
-	for _, g := range register.Regimes() {
-		for _, part := range []ids.Role{ids.Prefill, ids.Decode} {
-			if _, ok := register.Clears(g, certification.Subject{Worker: ids.WorkerID(id)}, part, now); !ok && worker {
+	for _, regime := range register.Regimes() {
+		for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
+			if _, ok := register.Clears(regime, certification.Subject{Worker: ids.WorkerID(id)}, role, now); !ok && isWorkerKey {
 				continue
 			}
-			if _, ok := register.Clears(g, certification.Subject{Node: NodeName(node)}, "", now); !ok {
+			if _, ok := register.Clears(regime, certification.Subject{Node: NodeName(node)}, "", now); !ok {
 				return false
 			}
 		}
--- a/internal/fleetstate/revision_history.go
+++ b/internal/fleetstate/revision_history.go
@@ -1,4 +1,5 @@
-// What the state remembers so that a late or repeated order is told from a new one.
+// The state remembers zone revisions and superseded versions, by which it tells a late or repeated
+// command from a new one.
 
 package fleetstate
 
@@ -11,16 +12,17 @@
 
 //msgp:ignore supersededVersions
 
-// maxSuperseded is how many superseded versions a line remembers. The core remembers the
-// ids of the newest 2,048 operations of a class. Each version of a line is one of them, so
-// an order that was taken over a version remembered here is always answered by its id.
+// maxSuperseded is how many superseded versions a version history remembers. The coordination
+// service remembers the ids of the newest 2,048 operations of a class. Each version of a history is
+// one of those operations, so a command that was accepted on top of a version remembered here is
+// always recognized by its operation id.
 const maxSuperseded = 1024
 
-// supersededVersions are the newest versions that another one was prepared over, oldest
-// first. A line that began empty starts with 0.
+// supersededVersions are the newest versions on top of which another version was prepared, oldest
+// first. For a history that began empty the first one is 0.
 type supersededVersions []ids.Version
 
-// push remembers one more and forgets the oldest beyond the bound.
+// push appends a version and drops the oldest ones beyond maxSuperseded.
 func (s *supersededVersions) push(v ids.Version) {
 	*s = append(*s, v)
 	if extra := len(*s) - maxSuperseded; extra > 0 {
@@ -28,25 +30,26 @@
 	}
 }
 
-// checkBaseVersion tells what became of an order made over a base: nil if that is the newest
-// version, Unknown if the memory does not reach back to it, so that the order may have been
-// taken and its id forgotten, and else Stale, which says that it never was taken.
+// checkBaseVersion checks the base version of a command whose operation id is not remembered. It
+// returns nil if base is the newest version. The error has the kind OutcomeUnknown if base is older
+// than all remembered versions, so that the command may have been accepted and its id forgotten, and
+// otherwise Stale, which means that the command was never accepted.
 func (l *versionHistory) checkBaseVersion(base ids.Version) error {
-	reach := l.newest()
+	oldest := l.newest()
 	if len(l.superseded) > 0 {
-		reach = l.superseded[0]
+		oldest = l.superseded[0]
 	}
 	switch {
 	case base == l.newest():
 		return nil
-	case base < reach:
+	case base < oldest:
 		return failure.New(
 			failure.OutcomeUnknown,
 			"apply policy",
 			"",
 			"it was made over version %d; what was made over versions below %d is not remembered",
 			base,
-			reach,
+			oldest,
 		)
 	}
 	return failure.New(
@@ -54,21 +57,22 @@
 	)
 }
 
-// queryOutcome answers QueryKind for an operation whose id is not known.
+// queryOutcome returns the error that answers a QueryKind command for an operation whose id is not
+// remembered.
 func (s *State) queryOutcome(body []byte) error {
-	never := failure.New(failure.Stale, "ask for an outcome", "", "no operation of this id was taken")
+	neverAccepted := failure.New(failure.Stale, "ask for an outcome", "", "no operation of this id was taken")
 	if len(body) == 0 {
-		return never // asked by an earlier release
+		return neverAccepted // a query from an earlier release
 	}
 	var request OutcomeQuery
 	if _, err := request.UnmarshalMsg(body); err != nil {
 		return failure.As(err, failure.InvalidArgument, "ask for an outcome", "")
 	}
-	of := &s.versionHistory
+	history := &s.versionHistory
 	if request.Programs {
-		of = &s.programs
+		history = &s.programs
 	}
-	if err := of.checkBaseVersion(request.Base); err != nil {
+	if err := history.checkBaseVersion(request.Base); err != nil {
 		return err
 	}
 	return failure.New(
@@ -80,22 +84,23 @@
 	)
 }
 
-// checkZoneRevision refuses a compared evacuation if the zone changed since its base was read.
+// checkZoneRevision refuses an evacuation with Compare if the zone has changed since its revision
+// was read.
 func (s *State) checkZoneRevision(c *Evacuate) error {
-	if now := s.zoneRevisions[c.Zone]; c.Compare && c.BaseRevision != now {
+	if current := s.zoneRevisions[c.Zone]; c.Compare && c.BaseRevision != current {
 		return failure.New(
 			failure.Stale,
 			"evacuate",
 			string(c.Zone),
 			"it was asked for at change %d of the zone, which is at %d",
 			c.BaseRevision,
-			now,
+			current,
 		)
 	}
 	return nil
 }
 
-// encodeRevisionHistory gives the part for an image.
+// encodeRevisionHistory returns the revision history for a snapshot.
 func (s *State) encodeRevisionHistory() RevisionHistory {
 	out := RevisionHistory{Superseded: s.superseded, SupersededPrograms: s.programs.superseded}
 	for zone, count := range s.zoneRevisions {
@@ -105,7 +110,7 @@
 	return out
 }
 
-// restoreRevisionHistory takes the part from an image.
+// restoreRevisionHistory sets the revision history from a snapshot.
 func (s *State) restoreRevisionHistory(m RevisionHistory) {
 	for _, z := range m.ZoneRevisions {
 		s.zoneRevisions[z.Zone] = z.Count
--- a/internal/fleetstate/revocation.go
+++ b/internal/fleetstate/revocation.go
@@ -1,4 +1,4 @@
-// The messages of revocations and of the fleet's time.
+// Commands that revoke certificates and that advance the fleet's time.
 
 package fleetstate
 
@@ -18,8 +18,8 @@
 }
 
 func (c *ConfirmRevocation) apply(s *State) (msgp.Marshaler, error) {
-	if sure, ok := s.revocations[c.Serial]; !ok || sure {
-		return nil, failure.New(failure.Stale, "seal", c.Serial, "no revocation of it waits")
+	if confirmed, ok := s.revocations[c.Serial]; !ok || confirmed {
+		return nil, failure.New(failure.Stale, "seal", c.Serial, "the certificate has no unconfirmed revocation")
 	}
 	s.revocations[c.Serial] = true
 	return nil, nil
--- a/internal/fleetstate/role_change.go
+++ b/internal/fleetstate/role_change.go
@@ -1,4 +1,4 @@
-// The messages of role changes: a worker that changes its part gets no new work meanwhile.
+// Role changes: a worker gets no new work while it changes between prefill and decode.
 
 package fleetstate
 
@@ -9,10 +9,10 @@
 	"keelstair.example/ids"
 )
 
-// WorkerListKey is the duty of asking the platform which workers there are.
+// WorkerListKey is the key of the duty of listing the platform's workers.
 const WorkerListKey ids.Key = "roster"
 
-// ServiceKey is the duty of a service's workers: who may order them.
+// ServiceKey is the key of the duty of controlling a service's workers.
 func ServiceKey(name string) ids.Key { return ids.Key("service/" + name) }
 
 func (c *RoleChange) apply(s *State) (msgp.Marshaler, error) {
--- a/internal/fleetstate/state_encoding.go
+++ b/internal/fleetstate/state_encoding.go
@@ -1,4 +1,4 @@
-// The state as one message, for snapshots and for watchers.
+// Conversion of State to and from EncodedState, for snapshots and for watchers.
 
 package fleetstate
 
@@ -9,6 +9,8 @@
 	"keelstair.example/ids"
 )
 
+// encode returns the whole state or, with open, only the part that is sent to watchers. It compresses
+// the texts of the versions in place.
 func (s *State) encode(open bool) *EncodedState {
 	s.compress()
 	s.programs.compress()
@@ -38,8 +40,8 @@
 	for w, to := range s.roleChanges {
 		encoded.RoleChanges = append(encoded.RoleChanges, RoleChange{Worker: w, To: to})
 	}
-	for serial, sure := range s.revocations {
-		encoded.Revoked = append(encoded.Revoked, Revocation{serial, sure})
+	for serial, confirmed := range s.revocations {
+		encoded.Revoked = append(encoded.Revoked, Revocation{serial, confirmed})
 	}
 	sort.Slice(encoded.Revoked, func(i, j int) bool { return encoded.Revoked[i].Serial < encoded.Revoked[j].Serial })
 	encoded.Time = s.timeBound
@@ -65,6 +67,7 @@
 	return encoded
 }
 
+// decode replaces the state by an encoded one. Sealed chunks are kept: a snapshot names them only.
 func (s *State) decode(body []byte) error {
 	var encoded EncodedState
 	if _, err := encoded.UnmarshalMsg(body); err != nil {
