--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -56,18 +56,18 @@
 
 // MachineOptions are the options of NewMachine. A zero field takes the default named beside it.
 type MachineOptions struct {
-	CommitTimeout time.Duration       // 300ms: how long a commit waits for nodes that have not seen the prepared version
-	Read          ConfigurationReader // ReadPlain: parses the text of a configuration
-	Retention     Retention
-	WallClock     func() time.Time // time.Now: read once, to initialize the fleet's time
-	Metering      bool             // usage is reported, so MeteringKey is listed
+	CommitTimeout     time.Duration       // 300ms: how long a commit waits for nodes that have not seen the prepared version
+	ReadConfiguration ConfigurationReader // ReadPlain: parses the text of a configuration
+	Retention         Retention
+	WallClock         func() time.Time // time.Now: read once, to initialize the fleet's time
+	Metering          bool             // usage is reported, so MeteringKey is listed
 }
 
 // NewMachine returns a Machine with an empty state.
 func NewMachine(opt MachineOptions) *Machine {
 	ids.SetDefault(&opt.CommitTimeout, 300*time.Millisecond)
-	if opt.Read == nil {
-		opt.Read = ReadPlain
+	if opt.ReadConfiguration == nil {
+		opt.ReadConfiguration = ReadPlain
 	}
 	if opt.WallClock == nil {
 		opt.WallClock = time.Now
@@ -75,7 +75,7 @@
 	m := &Machine{
 		State:              newState(false, opt.Retention),
 		commitTimeout:      opt.CommitTimeout,
-		readConfiguration:  opt.Read,
+		readConfiguration:  opt.ReadConfiguration,
 		failbackSince:      map[uint64]ids.Tick{},
 		pendingRevocations: map[string]ids.Seq{},
 		clock:              fleetClock{wallClock: opt.WallClock},
--- a/internal/fleetstate/route.go
+++ b/internal/fleetstate/route.go
@@ -77,7 +77,7 @@
 	SlowStartMs     int      `json:"warmMs,omitempty"`    // how long a worker is cold after its start
 	SlowStartRate   float64  `json:"warmRate,omitempty"`  // requests per second that a cold worker can handle
 	Concurrency     int      `json:"slots,omitempty"`     // requests that a worker processes at once
-	Memory          int      `json:"memory,omitempty"`    // of a worker, in tokens
+	MemoryTokens    int      `json:"memory,omitempty"`    // of a worker, in tokens
 	TokenSize       int      `json:"tokenSize,omitempty"` // bytes per token
 	RetentionMs     int      `json:"holdMs,omitempty"`    // how long a worker keeps a KV cache handle
 	RoleChangeMs    int      `json:"turnMs,omitempty"`    // how long a role change takes
@@ -86,10 +86,10 @@
 
 // ClientLimits bounds what clients may send, and how slowly.
 type ClientLimits struct {
-	HeaderBytes  int `json:"headerBytes,omitempty"`
-	BodyBytes    int `json:"bodyBytes,omitempty"`
-	HeaderWaitMs int `json:"headerWaitMs,omitempty"`
-	IdleMs       int `json:"idleMs,omitempty"`
+	HeaderBytes     int `json:"headerBytes,omitempty"`
+	BodyBytes       int `json:"bodyBytes,omitempty"`
+	HeaderTimeoutMs int `json:"headerWaitMs,omitempty"`
+	IdleTimeoutMs   int `json:"idleMs,omitempty"`
 }
 
 // CheckRoutes checks the routes: that their services exist, that names and pairs of host and prefix
--- a/internal/fleetstate/route_test.go
+++ b/internal/fleetstate/route_test.go
@@ -169,10 +169,10 @@
 	require.Equal(t, 2.5, p.Services["t"].SlowStartRate)
 	require.Equal(t, []string{"m"}, p.Services["t"].Models)
 	require.Equal(t, ClientLimits{
-		HeaderBytes:  16384,
-		BodyBytes:    4194304,
-		HeaderWaitMs: 3000,
-		IdleMs:       15000,
+		HeaderBytes:     16384,
+		BodyBytes:       4194304,
+		HeaderTimeoutMs: 3000,
+		IdleTimeoutMs:   15000,
 	}, p.ClientLimits)
 	again, second, err := ParseComplete("r.json", text)
 	require.NoError(t, err)
