--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -1,4 +1,4 @@
-// The chain of the audit record, over leaves, snapshots and tampering.
+// Tests of the audit log's hash chain, with sealed chunks, snapshots and tampering.
 
 package fleetstate
 
@@ -13,9 +13,10 @@
 	"keelstair.example/failure"
 )
 
+// queryAudit reads audit rows through an AuditQuery command.
 func queryAudit(t *testing.T, m *Machine, from, limit int) (AuditQueryReply, []AuditRow) {
 	out, err := m.State.Apply(AuditQueryKind, coordination.MustMarshal(&AuditQuery{From: from, Limit: limit}))
-	require.ErrorIs(t, err, coordination.ErrUnchanged, "reading writes nothing")
+	require.ErrorIs(t, err, coordination.ErrUnchanged, "a query is not written to the log")
 	var got AuditQueryReply
 	_, err = got.UnmarshalMsg(out)
 	require.NoError(t, err)
@@ -26,10 +27,11 @@
 	return got, rows
 }
 
-// TestAuditLog: rows come back whole and in order from every copy, also those of sealed
-// leaves; the oldest leaves go in the end, which shows by the first number.
+// TestAuditLog: every replica returns all rows unchanged and in order, also those in sealed chunks
+// and after a restore from a snapshot. Beyond maxAuditChunks the oldest chunks are dropped, and
+// FirstIndex reports that.
 func TestAuditLog(t *testing.T) {
-	m, copied := NewMachine(MachineOptions{}), NewMachine(MachineOptions{})
+	m, replica := NewMachine(MachineOptions{}), NewMachine(MachineOptions{})
 	n := auditChunkRows*2 + 100
 	for i := range n {
 		body, err := json.Marshal(&AuditRecord{
@@ -39,21 +41,21 @@
 			Outcome: OutcomeDone,
 		})
 		require.NoError(t, err)
-		for _, x := range []*Machine{m, copied} {
+		for _, x := range []*Machine{m, replica} {
 			_, err = x.Apply(1, AppendAuditKind, coordination.MustMarshal(&AppendAudit{body}))
 			require.NoError(t, err)
 		}
 		if i == auditChunkRows+7 {
-			copied = NewMachine(MachineOptions{})
-			copied.RestoreChunks(m.Chunks())
-			require.NoError(t, copied.Restore(m.Snapshot(false)))
+			replica = NewMachine(MachineOptions{})
+			replica.RestoreChunks(m.Chunks())
+			require.NoError(t, replica.Restore(m.Snapshot(false)))
 		}
 	}
-	require.Equal(t, m.Chunks(), copied.Chunks())
+	require.Equal(t, m.Chunks(), replica.Chunks())
 	require.Len(t, m.Chunks(), 2)
 	var all []AuditRow
 	for from := 1; from <= n; from += 700 {
-		got, rows := queryAudit(t, copied, from, 700)
+		got, rows := queryAudit(t, replica, from, 700)
 		require.Equal(t, []int{1, n}, []int{got.FirstIndex, got.RowCount})
 		all = append(all, rows...)
 		if len(all) == n {
@@ -78,7 +80,8 @@
 	require.Len(t, m.Chunks(), maxAuditChunks)
 }
 
-// TestVerifyChain: a row that was removed, changed, replaced or moved shows.
+// TestVerifyChain: VerifyChain reports a row that was removed or changed, and rows that were replaced
+// by those of another chain.
 func TestVerifyChain(t *testing.T) {
 	build := func(tag string) []AuditRow {
 		a := auditLog{}
@@ -94,7 +97,7 @@
 	rows := build("a")
 	require.NoError(t, VerifyChain(nil, rows))
 	require.NoError(t, VerifyChain(&rows[3], rows[4:]))
-	for says, spoil := range map[string]func(r []AuditRow) []AuditRow{
+	for wantError, tamper := range map[string]func(r []AuditRow) []AuditRow{
 		"rows were removed": func(r []AuditRow) []AuditRow { return append(r[:4], r[5:]...) },
 		"was changed":       func(r []AuditRow) []AuditRow { r[4].Record = json.RawMessage(`{}`); return r },
 		"does not follow": func(r []AuditRow) []AuditRow {
@@ -104,12 +107,12 @@
 		},
 		"row 5 does not follow": func(r []AuditRow) []AuditRow { return append(r[:4], build("b")[4:]...) },
 	} {
-		require.ErrorContains(t, VerifyChain(nil, spoil(build("a"))), says)
+		require.ErrorContains(t, VerifyChain(nil, tamper(build("a"))), wantError)
 	}
 }
 
-// TestResolveAudits: an outcome and its audit record are one entry; a bad record leaves
-// the claim as it was.
+// TestResolveAudits: an outcome and its audit record are written by one log entry; an invalid record
+// leaves the claim unchanged.
 func TestResolveAudits(t *testing.T) {
 	s := newState(false, Retention{})
 	_, err := claim(t, s, "verdict/1", "b")
--- a/internal/fleetstate/duty_round_test.go
+++ b/internal/fleetstate/duty_round_test.go
@@ -1,4 +1,4 @@
-// Rounds of duties on the state alone.
+// Tests of duty rounds on the state machine alone.
 
 package fleetstate
 
@@ -12,6 +12,8 @@
 	"keelstair.example/ids"
 )
 
+// winRound submits a round and returns the act of the reply. The error is nil or ErrUnchanged if the
+// round was won.
 func winRound(t *testing.T, s *State, c DutyRound) (DutyAct, error) {
 	t.Helper()
 	out, err := s.Apply(DutyRoundKind, coordination.MustMarshal(&c))
@@ -24,7 +26,8 @@
 	return reply.Act, err
 }
 
-// TestDutyContentFixedByFirstRound: a later holder takes over the content of an act as it is.
+// TestDutyContentFixedByFirstRound: the first round for an act fixes its content; a later holder gets
+// that content, not its own, and none once the act is done.
 func TestDutyContentFixedByFirstRound(t *testing.T) {
 	s := newState(false, Retention{})
 	first := DutyRound{Subject: "usage", Number: 7, Owner: "a", Fence: 3, Content: []byte("x")}
@@ -44,8 +47,9 @@
 	require.Equal(t, DutyAct{Number: 7, Done: true}, act)
 }
 
-// TestDutyRoundOfEarlierHolder: once a later holder has won, an earlier one wins no round of the
-// subject, nor does another one under the same fence, and neither changes anything.
+// TestDutyRoundOfEarlierHolder: after a later holder has won a round, neither an earlier holder nor
+// another holder with the same fencing token wins a round of the subject, and a refused round
+// changes nothing.
 func TestDutyRoundOfEarlierHolder(t *testing.T) {
 	s := newState(false, Retention{})
 	_, err := winRound(t, s, DutyRound{Subject: "usage", Number: 1, Owner: "b", Fence: 4})
@@ -61,11 +65,11 @@
 		require.Equal(t, before, coordination.MustMarshal(s.encode(false)))
 	}
 	_, err = winRound(t, s, DutyRound{Subject: "other", Number: 2, Owner: "a", Fence: 3})
-	require.NoError(t, err, "subjects are apart")
+	require.NoError(t, err, "subjects are independent")
 }
 
-// TestDutyActsBounded: the oldest acts are forgotten, and no round is won for them again, whatever
-// the order in which acts came.
+// TestDutyActsBounded: the oldest acts beyond maxDutyActs are dropped, and no round is won for them
+// again.
 func TestDutyActsBounded(t *testing.T) {
 	s := newState(false, Retention{})
 	for i := range uint64(maxDutyActs + 3) {
@@ -80,19 +84,19 @@
 	require.EqualValues(t, 100+maxDutyActs+3, act.Number)
 }
 
-// TestDutyRoundsInSnapshot: a copy made from a whole snapshot holds later rounds to the same; nodes are
-// told nothing of them.
+// TestDutyRoundsInSnapshot: a replica restored from a whole snapshot decides later rounds alike.
+// Watchers get neither the rounds nor the duties.
 func TestDutyRoundsInSnapshot(t *testing.T) {
 	m := NewMachine(MachineOptions{Metering: true})
 	for _, subject := range []string{"b", "a"} {
 		_, err := winRound(t, m.State, DutyRound{Subject: subject, Number: 5, Owner: "n", Fence: 9, Content: []byte(subject)})
 		require.NoError(t, err)
 	}
-	copied := NewMachine(MachineOptions{})
-	require.NoError(t, copied.Restore(m.Snapshot(false)))
-	require.Equal(t, m.dutySubjects, copied.dutySubjects)
-	require.Equal(t, m.Snapshot(false), copied.Snapshot(false))
-	_, err := winRound(t, copied.State, DutyRound{Subject: "a", Number: 6, Owner: "m", Fence: 8})
+	replica := NewMachine(MachineOptions{})
+	require.NoError(t, replica.Restore(m.Snapshot(false)))
+	require.Equal(t, m.dutySubjects, replica.dutySubjects)
+	require.Equal(t, m.Snapshot(false), replica.Snapshot(false))
+	_, err := winRound(t, replica.State, DutyRound{Subject: "a", Number: 6, Owner: "m", Fence: 8})
 	require.True(t, failure.Is(err, failure.Stale), "%v", err)
 	open := NewMachine(MachineOptions{})
 	require.NoError(t, open.Restore(m.Snapshot(true)))
@@ -100,7 +104,7 @@
 	require.False(t, m.Published(DutyRoundKind))
 }
 
-// TestMeteringKey: there is a key for metering only where usage is reported.
+// TestMeteringKey: MeteringKey is listed only if usage is reported.
 func TestMeteringKey(t *testing.T) {
 	text := []byte(`{"services":{"svc":{"concurrency":1}}}`)
 	for _, metering := range []bool{false, true} {
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -1,4 +1,4 @@
-// Policies, idempotency records and activation, without a fleet round them.
+// Tests of configurations, idempotency records and commits, without a running fleet.
 
 package fleetstate
 
@@ -23,7 +23,8 @@
 	limits: {}
 }`
 
-// TestConfigurationCheck: CUE text becomes a whole configuration with defaults; each fault is named.
+// TestConfigurationCheck: a CUE text is completed with defaults and parsed, and the completed text
+// parses to the same configuration. The error for each invalid change names the field or the reason.
 func TestConfigurationCheck(t *testing.T) {
 	text, err := Source("f.cue", []byte(smallConfiguration))
 	require.NoError(t, err)
@@ -33,8 +34,8 @@
 	require.Equal(t, 500*time.Millisecond, p.Limits.Lag())
 	again, _, err := ParseComplete("f.cue", complete)
 	require.NoError(t, err)
-	require.Equal(t, p, again, "what was filled in checks to itself")
-	for part, says := range map[string]string{
+	require.Equal(t, p, again, "the completed text parses to the same configuration")
+	for change, wantError := range map[string]string{
 		`{workers: p1: part: "both"}`:                        "workers.p1.part",
 		`{workers: p1: room: 0}`:                             "workers.p1.room",
 		`{workers: p1: zone: "b"}`:                           `unknown zone "b"`,
@@ -44,12 +45,12 @@
 		`{limits: queue: 1.5}`:                               "limits.queue",
 		`{programs: x: {share: 30, source: "def order..."}}`: "30, not to 100",
 	} {
-		b, err := Source("part.cue", []byte(part))
-		require.NoError(t, err, part)
+		b, err := Source("part.cue", []byte(change))
+		require.NoError(t, err, change)
 		merged, err := Merge(complete, b)
 		require.NoError(t, err)
 		_, err = Check("part.cue", merged)
-		require.ErrorContains(t, err, says, part)
+		require.ErrorContains(t, err, wantError, change)
 		require.True(t, failure.Is(err, failure.InvalidArgument))
 	}
 	rows, err := Diff(complete, []byte(`{}`))
@@ -57,6 +58,7 @@
 	require.NotEmpty(t, rows)
 }
 
+// applyCommand applies a command to a state and returns its error.
 func applyCommand(t *testing.T, s *State, kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) error {
 	t.Helper()
 	body, err := c.MarshalMsg(nil)
@@ -65,25 +67,26 @@
 	return err
 }
 
-// TestClaimTakeOverResolve: one claim, one outcome; a seizure needs the newest fence; the one
-// it was seized from can record nothing any more.
+// TestClaimTakeOverResolve: a key has one claim and one outcome. A takeover needs a fencing token that
+// is not older than the newest one, and the previous owner can't record an outcome afterwards.
 func TestClaimTakeOverResolve(t *testing.T) {
 	s := newState(false, Retention{})
 	require.NoError(t, applyCommand(t, s, ClaimKind, &Claim{Key: "k", Owner: "n1"}))
 	require.ErrorIs(t, applyCommand(t, s, ClaimKind, &Claim{Key: "k", Owner: "n2"}), coordination.ErrUnchanged)
 	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n2", Outcome: OutcomeDone}))
 	require.NoError(t, applyCommand(t, s, TakeOverKind, &TakeOver{Key: "k", From: "n1", To: "n3", Fence: 7}))
-	require.Error(t, applyCommand(t, s, TakeOverKind, &TakeOver{Key: "k", From: "n3", To: "n4", Fence: 6}), "an older settler")
-	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n1", Outcome: OutcomeDone}), "woken too late")
+	require.Error(t, applyCommand(t, s, TakeOverKind, &TakeOver{Key: "k", From: "n3", To: "n4", Fence: 6}), "an older fencing token")
+	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n1", Outcome: OutcomeDone}), "the previous owner, after the takeover")
 	require.NoError(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n3", Outcome: OutcomeNotRun}))
-	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n3", Outcome: OutcomeDone}), "a tombstone stays")
-	copied := newState(false, Retention{})
-	require.NoError(t, copied.decode(coordination.MustMarshal(s.encode(false))))
-	require.Equal(t, s.records, copied.records)
+	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "k", Owner: "n3", Outcome: OutcomeDone}), "the outcome is final")
+	replica := newState(false, Retention{})
+	require.NoError(t, replica.decode(coordination.MustMarshal(s.encode(false))))
+	require.Equal(t, s.records, replica.records)
 }
 
-// TestCommitWaitsForNodes: a prepared version waits for all to have seen it, and not for
-// what came after it, at most the wait; a storm cannot put it off for ever.
+// TestCommitWaitsForNodes: a prepared version is committed once all nodes have seen its log entry,
+// not later entries, or after CommitTimeout. Versions that are prepared in quick succession can't
+// delay the commit of the first one.
 func TestCommitWaitsForNodes(t *testing.T) {
 	prepare := func(m *Machine, seq ids.Seq, base ids.Version) error {
 		_, err := m.Apply(seq, PrepareKind, coordination.MustMarshal(&PrepareVersion{Base: base, Text: []byte(`{}`)}))
@@ -92,7 +95,7 @@
 	ms := func(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
 	m := NewMachine(MachineOptions{CommitTimeout: time.Second})
 	require.NoError(t, prepare(m, 5, 0))
-	require.Error(t, prepare(m, 6, 0), "the loser of two")
+	require.Error(t, prepare(m, 6, 0), "the base version is superseded")
 	require.Empty(t, m.Due(ms(1), 9, 4))
 	require.Len(t, m.Due(ms(2), 9, 5), 1, "entries 6 to 9 need not be seen")
 	m = NewMachine(MachineOptions{CommitTimeout: time.Second})
@@ -104,32 +107,32 @@
 	require.Equal(t, []coordination.Command{{Kind: CommitKind, Body: coordination.MustMarshal(&CommitVersion{1})}}, got)
 }
 
-// TestViewCommitsNotedVersion: a version heard of is put in force if it is prepared here; else the
-// node holds its picks.
+// TestViewCommitsNotedVersion: a view activates a version that NoteVersion reports if it has that
+// version prepared. Otherwise it is not up to date until the version arrives.
 func TestViewCommitsNotedVersion(t *testing.T) {
 	v := NewView(logging.Discard())
-	fold := func(kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) {
+	observe := func(kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) {
 		b, _ := c.MarshalMsg(nil)
 		v.Observe(0, kind, b)
 	}
-	fold(PrepareKind, &PrepareVersion{Base: 0, Text: []byte(`{"zones":["a"]}`)})
+	observe(PrepareKind, &PrepareVersion{Base: 0, Text: []byte(`{"zones":["a"]}`)})
 	require.Zero(t, v.Current().Version)
-	require.True(t, v.NoteVersion(1), "staged, so it is in force now")
+	require.True(t, v.NoteVersion(1), "the prepared version is active now")
 	require.EqualValues(t, 1, v.Current().Version)
-	require.False(t, v.NoteVersion(2), "not known here: picks are held")
-	fold(CommitKind, &CommitVersion{1})
+	require.False(t, v.NoteVersion(2), "the version is not prepared here")
+	observe(CommitKind, &CommitVersion{1})
 	require.False(t, v.UpToDate())
-	fold(PrepareKind, &PrepareVersion{Base: 1, Text: []byte(`{"zones":["a","b"]}`)})
+	observe(PrepareKind, &PrepareVersion{Base: 1, Text: []byte(`{"zones":["a","b"]}`)})
 	require.True(t, v.UpToDate())
 	require.Len(t, v.Current().Configuration.Zones, 2)
 }
 
-// TestViewKeepsServedVersion: the core is founded anew from a copy that lacks the newest version: a
-// node that has served it does not go back, and takes the next one that is above it.
+// TestViewKeepsServedVersion: the coordination service is restored from a copy that lacks the newest
+// version. A node that has served this version does not go back, and takes the next higher one.
 func TestViewKeepsServedVersion(t *testing.T) {
 	m, v := NewMachine(MachineOptions{}), NewView(logging.Discard())
 	seq := ids.Seq(0)
-	do := func(kind string, body []byte, views ...*View) {
+	apply := func(kind string, body []byte, views ...*View) {
 		t.Helper()
 		seq++
 		_, err := m.Apply(seq, kind, body)
@@ -138,21 +141,21 @@
 			w.Observe(seq, kind, body)
 		}
 	}
-	rule := func(base, next ids.Version, text string, views ...*View) {
+	commit := func(base, next ids.Version, text string, views ...*View) {
 		t.Helper()
-		do(PrepareKind, coordination.MustMarshal(&PrepareVersion{Base: base, Text: []byte(text), Next: next}), views...)
-		do(CommitKind, coordination.MustMarshal(&CommitVersion{next}), views...)
+		apply(PrepareKind, coordination.MustMarshal(&PrepareVersion{Base: base, Text: []byte(text), Next: next}), views...)
+		apply(CommitKind, coordination.MustMarshal(&CommitVersion{next}), views...)
 	}
-	rule(0, 1, `{"zones":["one"]}`, v)
+	commit(0, 1, `{"zones":["one"]}`, v)
 	previous := m.Snapshot(false)
-	rule(1, 2, `{"zones":["two"]}`, v)
+	commit(1, 2, `{"zones":["two"]}`, v)
 	require.EqualValues(t, 2, v.Current().Version)
 	require.NoError(t, m.Restore(previous))
 	require.NoError(t, v.Restore(m.Snapshot(true)))
 	require.EqualValues(t, 2, v.Current().Version)
 	require.Equal(t, []ids.Zone{"two"}, v.Current().Configuration.Zones)
 	require.Equal(t, `{"zones":["two"]}`, string(v.Current().Text))
-	rule(1, 3, `{"zones":["three"]}`, v)
+	commit(1, 3, `{"zones":["three"]}`, v)
 	require.EqualValues(t, 3, v.Current().Version)
 	require.Equal(t, []ids.Zone{"three"}, v.Current().Configuration.Zones)
 }
--- a/internal/fleetstate/revision_history_test.go
+++ b/internal/fleetstate/revision_history_test.go
@@ -1,4 +1,4 @@
-// What is remembered of orders, and how late and repeated ones are told from new ones.
+// Tests that late and repeated commands are told from new ones.
 
 package fleetstate
 
@@ -13,7 +13,7 @@
 	"keelstair.example/ids"
 )
 
-// replicas are copies of one machine that take the same commands.
+// replicas are machines that apply the same commands.
 type replicas struct {
 	*testing.T
 	seq      ids.Seq
@@ -24,7 +24,7 @@
 	return &replicas{T: t, machines: []*Machine{NewMachine(MachineOptions{})}}
 }
 
-// apply applies a command to every replica; all must agree on its outcome.
+// apply applies a command to every replica and checks that all agree on its outcome.
 func (r *replicas) apply(kind string, c msgp.Marshaler) error {
 	r.Helper()
 	r.seq++
@@ -37,63 +37,63 @@
 	return first
 }
 
-// addFromSnapshot adds a replica that is restored from the first one's image.
+// addFromSnapshot adds a replica that is restored from a snapshot of the first one.
 func (r *replicas) addFromSnapshot() {
 	m := NewMachine(MachineOptions{})
 	require.NoError(r, m.Restore(r.machines[0].Snapshot(false)))
 	r.machines = append(r.machines, m)
 }
 
-func (r *replicas) zoneRevision(z ids.Zone) (revision uint64, out bool) {
+func (r *replicas) zoneRevision(z ids.Zone) (revision uint64, evacuated bool) {
 	return r.machines[0].encode(true).ZoneRevision(z)
 }
 
-// TestCompareAndSetEvacuated: an evacuation over a revision of its zone is applied if the zone has
-// not changed since, is nothing to do if the zone already is as asked, and is stale
-// otherwise; a replica from a snapshot decides alike. Other zones do not matter.
+// TestCompareAndSetEvacuated: an evacuation with a base revision is applied if the zone has not changed
+// since, changes nothing if the zone is already in the requested state, and is stale otherwise. A
+// replica from a snapshot decides alike, and changes of other zones have no influence.
 func TestCompareAndSetEvacuated(t *testing.T) {
 	r := newReplicas(t)
-	over := func(base uint64, out bool) error {
-		return r.apply(EvacuateKind, &Evacuate{Zone: "z", Evacuated: out, Compare: true, BaseRevision: base})
+	evacuate := func(base uint64, evacuated bool) error {
+		return r.apply(EvacuateKind, &Evacuate{Zone: "z", Evacuated: evacuated, Compare: true, BaseRevision: base})
 	}
-	require.NoError(t, over(0, true))
-	require.Equal(t, coordination.ErrUnchanged, over(0, true), "as asked already")
+	require.NoError(t, evacuate(0, true))
+	require.Equal(t, coordination.ErrUnchanged, evacuate(0, true), "the zone is evacuated already")
 	r.addFromSnapshot()
-	require.NoError(t, over(1, false))
-	require.True(t, failure.Is(over(0, true), failure.Stale), "a copy of the first that was held up")
-	require.True(t, failure.Is(over(1, true), failure.Stale))
+	require.NoError(t, evacuate(1, false))
+	require.True(t, failure.Is(evacuate(0, true), failure.Stale), "a delayed duplicate of the first command")
+	require.True(t, failure.Is(evacuate(1, true), failure.Stale))
 	r.addFromSnapshot()
-	require.True(t, failure.Is(over(0, true), failure.Stale))
+	require.True(t, failure.Is(evacuate(0, true), failure.Stale))
 	require.NoError(t, r.apply(EvacuateKind, &Evacuate{Zone: "y", Evacuated: true, Compare: true}))
-	revision, out := r.zoneRevision("z")
+	revision, evacuated := r.zoneRevision("z")
 	require.EqualValues(t, 2, revision)
-	require.False(t, out)
-	require.NoError(t, over(2, true))
+	require.False(t, evacuated)
+	require.NoError(t, evacuate(2, true))
 }
 
-// TestEvacuateOfEarlierReleases: a log entry without a base is applied as it was when it was
-// written, and counts; an image without revisions is read.
+// TestEvacuateOfEarlierReleases: a log entry of an earlier release, without a base revision, is applied
+// and increments the revision. A snapshot without revisions can be restored.
 func TestEvacuateOfEarlierReleases(t *testing.T) {
-	previous := msgp.AppendMapHeader(nil, 2)
-	previous = msgp.AppendString(msgp.AppendString(previous, "Zone"), "z")
-	previous = msgp.AppendBool(msgp.AppendString(previous, "Out"), true)
+	entry := msgp.AppendMapHeader(nil, 2)
+	entry = msgp.AppendString(msgp.AppendString(entry, "Zone"), "z")
+	entry = msgp.AppendBool(msgp.AppendString(entry, "Out"), true)
 	m := NewMachine(MachineOptions{})
-	_, err := m.Apply(1, EvacuateKind, previous)
+	_, err := m.Apply(1, EvacuateKind, entry)
 	require.NoError(t, err)
-	revision, out := m.encode(true).ZoneRevision("z")
+	revision, evacuated := m.encode(true).ZoneRevision("z")
 	require.EqualValues(t, 1, revision)
-	require.True(t, out)
+	require.True(t, evacuated)
 
 	encoded := m.encode(false)
 	encoded.RevisionHistory = RevisionHistory{}
 	require.NoError(t, m.Restore(coordination.MustMarshal(encoded)))
-	revision, out = m.encode(true).ZoneRevision("z")
+	revision, evacuated = m.encode(true).ZoneRevision("z")
 	require.Zero(t, revision)
-	require.True(t, out)
+	require.True(t, evacuated)
 }
 
-// TestUnchangedCommandLogged: an order that is known by its operation's id alone is written even
-// if it changes nothing, so that the core remembers the id.
+// TestUnchangedCommandLogged: a command that is recognized only by its operation id is written to the
+// log even if it changes nothing, so that the coordination service remembers the id.
 func TestUnchangedCommandLogged(t *testing.T) {
 	r := newReplicas(t)
 	for range 2 {
@@ -101,18 +101,18 @@
 		require.NoError(t, r.apply(DrainKind, &Drain{Worker: "w", Drained: true}))
 	}
 	revision, _ := r.zoneRevision("z")
-	require.EqualValues(t, 1, revision, "nothing changed the second time")
+	require.EqualValues(t, 1, revision, "the repetition changes nothing")
 }
 
-// prepare stages a document of the configuration's line or of the program sets'.
+// prepare prepares a version of the configuration or of the program sets, depending on kind.
 func (r *replicas) prepare(kind string, base, next ids.Version) error {
 	return r.apply(kind, &PrepareVersion{Base: base, Next: next, Text: []byte(`{}`)})
 }
 
-// TestSupersededBaseVersion: an order made over a version that is superseded is stale while the
-// versions since then are remembered, and of unknown outcome before that, on both lines, asked
-// for as an outcome too, also at a replica from a snapshot. One over a number that never
-// was a version is stale if it lies within what is remembered.
+// TestSupersededBaseVersion: a command with a superseded base version is stale while all versions since
+// then are remembered, and has an unknown outcome before that. This holds for the configuration and
+// the program sets, for outcome queries, and for a replica from a snapshot. A base number that never
+// was a version is stale if it lies within the remembered range.
 func TestSupersededBaseVersion(t *testing.T) {
 	for _, kind := range []string{PrepareKind, PrepareProgramsKind} {
 		r := newReplicas(t)
@@ -129,18 +129,17 @@
 			0: failure.OutcomeUnknown, oldest - 2: failure.OutcomeUnknown, oldest - 1: failure.OutcomeUnknown,
 			oldest: failure.Stale, oldest + 1: failure.Stale, newest - 2: failure.Stale, newest + 2: failure.Stale,
 		} {
-			ask := &OutcomeQuery{Base: base, Programs: kind == PrepareProgramsKind}
+			query := &OutcomeQuery{Base: base, Programs: kind == PrepareProgramsKind}
 			require.Equal(t, want, failure.KindOf(r.prepare(kind, base, 0)), "base %d", base)
-			require.Equal(t, want, failure.KindOf(r.apply(QueryKind, ask)), "base %d", base)
+			require.Equal(t, want, failure.KindOf(r.apply(QueryKind, query)), "base %d", base)
 		}
-		ask := &OutcomeQuery{Base: newest, Programs: kind == PrepareProgramsKind}
-		require.Equal(t, failure.NotExecuted, failure.KindOf(r.apply(QueryKind, ask)), "it is still to be done")
+		query := &OutcomeQuery{Base: newest, Programs: kind == PrepareProgramsKind}
+		require.Equal(t, failure.NotExecuted, failure.KindOf(r.apply(QueryKind, query)), "nothing was accepted on top of the newest version")
 		require.NoError(t, r.prepare(kind, newest, 0))
 	}
 }
 
-// TestShortHistory: while all versions there ever were are remembered, nothing is of unknown
-// outcome.
+// TestShortHistory: while all versions ever made are remembered, no outcome is unknown.
 func TestShortHistory(t *testing.T) {
 	r := newReplicas(t)
 	for v := range ids.Version(10) {
@@ -152,8 +151,9 @@
 	require.Equal(t, failure.Stale, failure.KindOf(r.prepare(PrepareKind, 11, 0)))
 }
 
-// TestSnapshotWithoutSupersededVersions: an image without superseded versions tells nothing of what
-// was made over older ones than its newest.
+// TestSnapshotWithoutSupersededVersions: after a restore from a snapshot of an earlier release, which
+// lacks superseded versions, commands based on a version older than its newest have an unknown
+// outcome.
 func TestSnapshotWithoutSupersededVersions(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	encoded := &EncodedState{Active: VersionedText{Version: 7, Text: []byte(`{}`)}}
