--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -1,4 +1,4 @@
-// Regimes in a configuration, revocations that are sealed, and the fleet's time.
+// Tests of regimes in a configuration, of revocations and of the fleet's time.
 
 package fleetstate
 
@@ -18,7 +18,8 @@
 	"keelstair.example/logging"
 )
 
-// regimeConfiguration gives the small configuration with one regime, as its operators' text, a field a line.
+// regimeConfiguration returns the text of smallConfiguration with one regime and its certificates, one
+// field per line.
 func regimeConfiguration(t *testing.T, change func(all map[string]any, certs map[string]certification.Certificate)) []byte {
 	key, _, err := certification.NewKey()
 	require.NoError(t, err)
@@ -52,18 +53,18 @@
 	return out
 }
 
-// lineNumberOf gives the first line of a text that has something.
-func lineNumberOf(text []byte, has string) int {
-	for i, row := range strings.Split(string(text), "\n") {
-		if strings.Contains(row, has) {
+// lineNumberOf returns the number of the first line that contains substring, or 0.
+func lineNumberOf(text []byte, substring string) int {
+	for i, line := range strings.Split(string(text), "\n") {
+		if strings.Contains(line, substring) {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// TestRegimes: a whole configuration with regimes checks, checks to itself again, and compiles;
-// each fault is refused with file, line and reason.
+// TestRegimes: a configuration with regimes is accepted, its completed text parses to the same
+// configuration, and its certificates compile. Each fault is refused with file, line and reason.
 func TestRegimes(t *testing.T) {
 	p, complete, err := ParseComplete("f.cue", regimeConfiguration(t, nil))
 	require.NoError(t, err)
@@ -81,9 +82,9 @@
 	set := func(f func(c *certification.Certificate)) func(map[string]any, certs) {
 		return func(_ map[string]any, all certs) { c := all["s2"]; f(&c); all["s2"] = c }
 	}
-	for says, one := range map[string]struct {
+	for wantError, test := range map[string]struct {
 		change func(map[string]any, certs)
-		at     string
+		at     string // text of the line that the error names
 	}{
 		`unknown regime "x"`: {set(func(c *certification.Certificate) {
 			c.Regime = "x"
@@ -129,8 +130,8 @@
 			delete(all, "regimes")
 		}, `"certificates"`},
 	} {
-		t.Run(says, func(t *testing.T) {
-			text := regimeConfiguration(t, one.change)
+		t.Run(wantError, func(t *testing.T) {
+			text := regimeConfiguration(t, test.change)
 			_, _, err := ParseComplete("f.cue", text)
 			require.Error(t, err)
 			require.True(t, failure.Is(err, failure.InvalidArgument))
@@ -138,17 +139,17 @@
 				err = e
 			}
 			err = LocateFault("f.cue", text, err)
-			require.ErrorContains(t, err, says)
-			n := lineNumberOf(text, one.at)
-			if one.at == `"kinds": [` || one.at == `"signature"` {
-				n = strings.Count(string(text[:strings.LastIndex(string(text), one.at)]), "\n") + 1
-				if one.at == `"signature"` {
+			require.ErrorContains(t, err, wantError)
+			n := lineNumberOf(text, test.at)
+			if test.at == `"kinds": [` || test.at == `"signature"` {
+				n = strings.Count(string(text[:strings.LastIndex(string(text), test.at)]), "\n") + 1
+				if test.at == `"signature"` {
 					s2 := strings.Index(string(text), `"s2"`)
-					n = strings.Count(string(text[:s2+strings.Index(string(text[s2:]), one.at)]), "\n") + 1
+					n = strings.Count(string(text[:s2+strings.Index(string(text[s2:]), test.at)]), "\n") + 1
 				}
 			}
-			if one.at == `"regimes"` || one.at == `"s9"` {
-				n++ // the next line has it
+			if test.at == `"regimes"` || test.at == `"s9"` {
+				n++ // the error names the next line
 			}
 			require.ErrorContains(t, err, fmt.Sprintf("f.cue:%d:", n))
 			require.NotContains(t, err.Error(), "\n")
@@ -162,12 +163,12 @@
 	require.ErrorContains(t, err, "certificates.s1 stands twice")
 }
 
-// TestCheckTransition: a serial never stands for another certificate, and none comes in that has
-// ended; one that ends while it stands does not hinder a later change.
+// TestCheckTransition: a serial can't be reused for another certificate, and an expired certificate
+// can't be added. A certificate that expires while it is configured doesn't block later changes.
 func TestCheckTransition(t *testing.T) {
 	previous, _, err := ParseComplete("f", regimeConfiguration(t, nil))
 	require.NoError(t, err)
-	next, _, err := ParseComplete("f", regimeConfiguration(t, nil)) // other keys, so other signatures
+	next, _, err := ParseComplete("f", regimeConfiguration(t, nil)) // another key, hence other signatures
 	require.NoError(t, err)
 	early := certification.At(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
 	late := certification.At(time.Date(2027, 1, 30, 0, 0, 0, 0, time.UTC))
@@ -175,11 +176,11 @@
 	require.ErrorContains(t, next.CheckTransition(previous, early), "stands for another certificate")
 	require.NoError(t, previous.CheckTransition(&Configuration{}, early))
 	require.ErrorContains(t, previous.CheckTransition(&Configuration{}, late), "it has expired")
-	require.NoError(t, previous.CheckTransition(&Configuration{}, certification.Now{}), "no word of the time")
+	require.NoError(t, previous.CheckTransition(&Configuration{}, certification.Now{}), "the time is not known")
 }
 
-// TestOverlayWithCertificates: a part that touches something else leaves certificates alone,
-// and one that takes away a regime's last worker is refused.
+// TestOverlayWithCertificates: an overlay of other fields keeps the certificates, and an overlay that
+// removes the last certified worker of a regime is refused.
 func TestOverlayWithCertificates(t *testing.T) {
 	_, complete, err := ParseComplete("f", regimeConfiguration(t, nil))
 	require.NoError(t, err)
@@ -198,8 +199,9 @@
 	require.NoError(t, err)
 }
 
-func applyAll(t *testing.T, m *Machine, list []coordination.Command) (out []string) {
-	for _, c := range list {
+// applyAll applies commands to a machine and returns their kinds.
+func applyAll(t *testing.T, m *Machine, commands []coordination.Command) (out []string) {
+	for _, c := range commands {
 		_, err := m.Apply(9, c.Kind, c.Body)
 		require.NoError(t, err)
 		out = append(out, c.Kind)
@@ -207,8 +209,8 @@
 	return out
 }
 
-// TestRevocationConfirmed: a revocation is sealed once every node with a lease has seen it, also by a
-// primary that did not take it; it outlives snapshots.
+// TestRevocationConfirmed: a revocation is confirmed once every node with a lease has applied it, also by
+// a primary that restored it from a snapshot. A view enforces it at once.
 func TestRevocationConfirmed(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	_, err := m.Apply(7, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
@@ -218,7 +220,7 @@
 	require.Empty(t, m.Due(1, 9, 6))
 	other := NewMachine(MachineOptions{})
 	require.NoError(t, other.Restore(m.Snapshot(false)))
-	require.Empty(t, other.Due(1, 9, 8), "what the nodes saw before may have been anything")
+	require.Empty(t, other.Due(1, 9, 8), "the entry of the revocation is not known after a restore")
 	require.Equal(t, []string{ConfirmRevocationKind}, applyAll(t, m, m.Due(1, 9, 7)))
 	require.Equal(t, []string{ConfirmRevocationKind}, applyAll(t, other, other.Due(1, 12, 9)))
 	require.Empty(t, m.Due(1, 10, 10))
@@ -239,9 +241,9 @@
 	require.Equal(t, map[string]bool{"s1": true}, v.Current().Revoked)
 }
 
-// TestClock: the fleet's time runs with the primary's steady clock, whatever the wall
-// does; whoever leads next goes on from the bound, and no answer is lower than an
-// earlier one. Without regimes there is none.
+// TestClock: the fleet's time advances with the primary's monotonic clock, whatever its wall clock does.
+// A new primary continues from the bound, and no reported time is lower than an earlier one. Without
+// regimes there is no fleet time.
 func TestClock(t *testing.T) {
 	wall := time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC)
 	ms := func(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
@@ -249,9 +251,9 @@
 	a, b := build(), build()
 	require.Empty(t, a.Due(ms(1), 1, 1), "nothing is written without regimes")
 	require.Zero(t, a.Time(ms(1)))
-	all := []*Machine{a, b}
+	machines := []*Machine{a, b}
 	apply := func(kind string, body []byte) {
-		for _, m := range all {
+		for _, m := range machines {
 			_, err := m.Apply(1, kind, body)
 			require.NoError(t, err)
 		}
@@ -259,7 +261,7 @@
 	apply(PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: regimeConfiguration(t, nil)}))
 	apply(CommitKind, coordination.MustMarshal(&CommitVersion{1}))
 	writes, minTime := 0, int64(0)
-	lead := func(m *Machine, from, to int) int64 {
+	runPrimary := func(m *Machine, from, to int) int64 {
 		var now int64
 		for at := from; at < to; at += 200 {
 			for _, c := range m.Due(ms(at), 1, 1) {
@@ -272,47 +274,47 @@
 		}
 		return now
 	}
-	first := lead(a, 1000, 11200)
+	first := runPrimary(a, 1000, 11200)
 	require.Equal(t, 10*time.Second, time.Duration(first-wall.UnixNano()))
-	require.InDelta(t, 10, writes, 1, "a write a second")
+	require.InDelta(t, 10, writes, 1, "one write per second")
 	wall = wall.AddDate(1, 0, 0)
-	then := lead(a, 11200, 21200)
-	require.Equal(t, 10*time.Second, time.Duration(then-first), "the wall jumped")
-	require.Zero(t, b.Time(ms(21200)), "it does not lead")
-	// The other machine's ticks have nothing to do with these.
-	next := lead(b, 500000, 510200)
-	require.LessOrEqual(t, time.Duration(next-then), 12*time.Second)
-	back := lead(a, 60000, 61200)
-	require.Greater(t, back, next)
-	require.LessOrEqual(t, time.Duration(back-next), 3200*time.Millisecond)
+	second := runPrimary(a, 11200, 21200)
+	require.Equal(t, 10*time.Second, time.Duration(second-first), "a step of the wall clock has no effect")
+	require.Zero(t, b.Time(ms(21200)), "it is not the primary")
+	// The monotonic clocks of two machines are unrelated.
+	afterTakeover := runPrimary(b, 500000, 510200)
+	require.LessOrEqual(t, time.Duration(afterTakeover-second), 12*time.Second)
+	afterReturn := runPrimary(a, 60000, 61200)
+	require.Greater(t, afterReturn, afterTakeover)
+	require.LessOrEqual(t, time.Duration(afterReturn-afterTakeover), 3200*time.Millisecond)
 	c := build()
 	require.NoError(t, c.Restore(a.Snapshot(false)))
-	minTime, all = back, append(all, c)
-	require.Greater(t, lead(c, 10, 1000), back)
-	require.False(t, a.Published(AdvanceClockKind), "nodes hear of it by their leases")
-	// What passed while nobody led is made up for by nodes, at first and up to a bound.
+	minTime, machines = afterReturn, append(machines, c)
+	require.Greater(t, runPrimary(c, 10, 1000), afterReturn)
+	require.False(t, a.Published(AdvanceClockKind), "nodes get the time with their leases")
+	// Time that passed without a primary is caught up from nodes, only at first and up to a limit.
 	d := build()
 	require.NoError(t, d.Restore(c.Snapshot(false)))
-	all = append(all, d)
+	machines = append(machines, d)
 	minTime = 0
-	was := lead(d, 1000, 1200)
-	d.Observe(ms(1200), was+int64(12*time.Second))
-	require.Equal(t, was, lead(d, 1200, 1201)-int64(200*time.Millisecond), "a clock that leapt")
-	d.Observe(ms(1400), was+int64(6*time.Second))
-	later := lead(d, 1400, 2600)
-	require.InDelta(t, 7, time.Duration(later-was).Seconds(), 0.5)
+	start := runPrimary(d, 1000, 1200)
+	d.Observe(ms(1200), start+int64(12*time.Second))
+	require.Equal(t, start, runPrimary(d, 1200, 1201)-int64(200*time.Millisecond), "a report beyond the limit is ignored")
+	d.Observe(ms(1400), start+int64(6*time.Second))
+	later := runPrimary(d, 1400, 2600)
+	require.InDelta(t, 7, time.Duration(later-start).Seconds(), 0.5)
 	d.Observe(ms(2600), later+int64(6*time.Second))
 	d.Observe(ms(2600), later-int64(6*time.Second))
-	require.InDelta(t, 1, time.Duration(lead(d, 2600, 3800)-later).Seconds(), 0.5)
-	later = lead(d, 3800, 6200)
+	require.InDelta(t, 1, time.Duration(runPrimary(d, 2600, 3800)-later).Seconds(), 0.5)
+	later = runPrimary(d, 3800, 6200)
 	d.Observe(ms(6200), later+int64(2*time.Second))
-	require.Equal(t, later+int64(200*time.Millisecond), lead(d, 6200, 6201), "it has led for long")
-	// A machine that slept for a while as the primary jumps no further than the bound.
+	require.Equal(t, later+int64(200*time.Millisecond), runPrimary(d, 6200, 6201), "reports are ignored after the catch-up window")
+	// The time of a primary that start suspended advances no further than the bound.
 	before := minTime
-	require.LessOrEqual(t, time.Duration(lead(d, 90000, 90200)-before), 3*time.Second)
+	require.LessOrEqual(t, time.Duration(runPrimary(d, 90000, 90200)-before), 3*time.Second)
 }
 
-// TestEligible: a certified worker's key falls to certified nodes alone.
+// TestEligible: the duty of a certified worker is assigned only to certified nodes.
 func TestEligible(t *testing.T) {
 	m := NewMachine(MachineOptions{WallClock: func() time.Time { return time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC) }})
 	require.True(t, m.Eligible(WorkerKey("p1"), "v2-aa"))
@@ -332,5 +334,5 @@
 	require.False(t, m.Eligible(WorkerKey("p1"), "v1-0123456789abcdef"))
 	_, err = m.Apply(3, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
 	require.NoError(t, err)
-	require.True(t, m.Eligible(WorkerKey("p1"), "v2-0123456789abcdef"), "nothing governed runs there")
+	require.True(t, m.Eligible(WorkerKey("p1"), "v2-0123456789abcdef"), "the worker is not certified any more")
 }
--- a/internal/fleetstate/role_change_test.go
+++ b/internal/fleetstate/role_change_test.go
@@ -1,4 +1,4 @@
-// Turns, and versions that ask for their numbers, on the state alone.
+// Tests of role changes and of requested version numbers, on the state alone.
 
 package fleetstate
 
@@ -13,8 +13,8 @@
 	"keelstair.example/logging"
 )
 
-// TestRoleChange: a role change stands until it is done; the same one again, or the end of none, changes
-// nothing and is no error to those who asked; another part replaces the first.
+// TestRoleChange: a role change is kept until it is done. Repeating it, or ending one that doesn't exist,
+// changes nothing and is not an error for the caller. A change to another role replaces the first.
 func TestRoleChange(t *testing.T) {
 	s := newState(false, Retention{})
 	require.ErrorIs(t, applyCommand(t, s, RoleChangeKind, &RoleChange{Worker: "w", Done: true}), coordination.ErrUnchanged)
@@ -28,25 +28,26 @@
 	require.Equal(t, ids.Key("service/x"), ServiceKey("x"))
 }
 
-// TestRoleChangeInSnapshot: a copy made from a snapshot, whole or open, has the same role changes, and
-// snapshots of equal states are equal bytes.
+// TestRoleChangeInSnapshot: a replica restored from a whole snapshot or from one for watchers has the
+// same role changes, and snapshots of equal states are equal bytes.
 func TestRoleChangeInSnapshot(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	for _, w := range []ids.WorkerID{"c", "a", "b"} {
 		require.NoError(t, applyCommand(t, m.State, RoleChangeKind, &RoleChange{Worker: w, To: ids.Prefill}))
 	}
 	for _, open := range []bool{false, true} {
-		copied := NewMachine(MachineOptions{})
-		require.NoError(t, copied.Restore(m.Snapshot(open)))
-		require.Equal(t, m.roleChanges, copied.roleChanges)
-		require.Equal(t, m.Snapshot(open), copied.Snapshot(open))
-		require.NoError(t, applyCommand(t, copied.State, RoleChangeKind, &RoleChange{Worker: "a", Done: true}))
-		require.Len(t, m.roleChanges, 3, "the copy is its own")
+		replica := NewMachine(MachineOptions{})
+		require.NoError(t, replica.Restore(m.Snapshot(open)))
+		require.Equal(t, m.roleChanges, replica.roleChanges)
+		require.Equal(t, m.Snapshot(open), replica.Snapshot(open))
+		require.NoError(t, applyCommand(t, replica.State, RoleChangeKind, &RoleChange{Worker: "a", Done: true}))
+		require.Len(t, m.roleChanges, 3, "the replica shares no state with the original")
 	}
 }
 
-// TestRoleChangeInView: a view shows a role change as soon as it is folded, loudly, whether it came as
-// news or in a snapshot, and no longer once it is done; an older snapshot stays as it was.
+// TestRoleChangeInView: a view shows a role change as soon as it is applied, as an entry or from a
+// snapshot, reports the entry as urgent, and drops it once it is done. Earlier view snapshots don't
+// change.
 func TestRoleChangeInView(t *testing.T) {
 	v := NewView(logging.Discard())
 	require.True(t, v.Observe(1, RoleChangeKind, coordination.MustMarshal(&RoleChange{Worker: "w", To: ids.Decode})))
@@ -62,8 +63,8 @@
 	require.Empty(t, other.Current().RoleChanges)
 }
 
-// TestRequestedVersionNumber: a version gets the number it asks for if that is above the newest, prepared ones
-// included; else, or over another base, nothing changes.
+// TestRequestedVersionNumber: a version gets its requested number if that is above the newest active or
+// prepared version. Otherwise, or with another base version, it is refused and nothing changes.
 func TestRequestedVersionNumber(t *testing.T) {
 	s := newState(false, Retention{})
 	prepare := func(base, next ids.Version) (ids.Version, error) {
@@ -72,12 +73,12 @@
 			Next: next,
 			Text: []byte(`{}`),
 		}))
-		var got VersionReply
+		var reply VersionReply
 		if err == nil {
-			_, err = got.UnmarshalMsg(out)
+			_, err = reply.UnmarshalMsg(out)
 			require.NoError(t, err)
 		}
-		return got.Version, err
+		return reply.Version, err
 	}
 	v, err := prepare(0, 5)
 	require.NoError(t, err)
@@ -100,11 +101,11 @@
 	require.NoError(t, applyCommand(t, s, CommitKind, &CommitVersion{1000}))
 	require.EqualValues(t, 1000, s.active.Version)
 	require.Len(t, s.prepared, 1)
-	require.Error(t, applyCommand(t, s, CommitKind, &CommitVersion{6}), "an older one is not put in force any more")
+	require.Error(t, applyCommand(t, s, CommitKind, &CommitVersion{6}), "an older version can't be committed any more")
 }
 
-// TestServiceKeys: each service of the configuration in force has a duty of its own, and one more
-// stands for asking which workers there are; none where there is no service.
+// TestServiceKeys: each service of the active configuration has a duty, and there is one more duty for
+// listing the workers. Without services there is neither.
 func TestServiceKeys(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	require.NotContains(t, m.Keys(), WorkerListKey)
