--- a/internal/fleetstate/audit.go
+++ b/internal/fleetstate/audit.go
@@ -18,7 +18,7 @@
 	"keelstair.example/failure"
 )
 
-//msgp:ignore AuditRow AuditRecord AuditStep audit
+//msgp:ignore AuditRow AuditRecord AuditStep auditLog
 
 // AuditStep is one step of a request: the operation, the worker that ran it, the serial of the
 // certificate that allowed it, and the fleet's time in nanoseconds since 1970.
--- a/internal/fleetstate/idempotency.go
+++ b/internal/fleetstate/idempotency.go
@@ -19,9 +19,7 @@
 		return &ClaimReply{Record: record}, coordination.ErrUnchanged
 	}
 	if !s.claimsOnly && s.maxRecords > 0 && s.recordCount >= s.maxRecords {
-		return nil, failure.New(
-			failure.Stale, "claim", c.Key, "the store of idempotency records is full: it holds %d", s.recordCount,
-		)
+		return nil, failure.New(failure.Stale, "claim", c.Key, "the store of deeds is full: %d", s.recordCount)
 	}
 	record := IdempotencyRecord{
 		Key:         c.Key,
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -45,10 +45,10 @@
 	pendingCommits     []*pendingCommit
 	keys               []ids.Key
 	keysVersion        ids.Version
-	maxSlowStart       time.Duration       // upper bound over all services of how long a failed-back zone has cold workers
-	failbackSince      map[uint64]ids.Tick // by failback number: when this machine, as the primary, first saw the failback
+	maxSlowStart       time.Duration       // the longest slow start of a failed-back zone, over all services
+	failbackSince      map[uint64]ids.Tick // by failback number: when Due first saw the failback here
 	now                ids.Tick
-	pendingRevocations map[string]ids.Seq // by serial: the log entry that nodes must have seen before the revocation is confirmed
+	pendingRevocations map[string]ids.Seq // by serial: the entry that nodes must have applied
 	clock              fleetClock
 	unrevokedRegister  *certification.Register // certificates of the active configuration, without revocations
 	meteringEnabled    bool
@@ -125,9 +125,9 @@
 // Restore replaces the state with that of a snapshot.
 func (m *Machine) Restore(body []byte) error { m.keysVersion = 0; m.keys = nil; return m.decode(body) }
 
-// Snapshot encodes the whole state or, with open, only the part that is sent to watchers.
-func (m *Machine) Snapshot(open bool) []byte {
-	encoded := m.encode(open)
+// Snapshot encodes the whole state or, with forWatchers, only the part that is sent to watchers.
+func (m *Machine) Snapshot(forWatchers bool) []byte {
+	encoded := m.encode(forWatchers)
 	for i, f := range encoded.Failbacks {
 		encoded.Failbacks[i].ElapsedNs = int64(m.sinceFailback(f))
 	}
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -309,7 +309,7 @@
 	later = runPrimary(d, 3800, 6200)
 	d.Observe(ms(6200), later+int64(2*time.Second))
 	require.Equal(t, later+int64(200*time.Millisecond), runPrimary(d, 6200, 6201), "reports are ignored after the catch-up window")
-	// The time of a primary that start suspended advances no further than the bound.
+	// The time of a primary that was suspended advances no further than the bound.
 	before := minTime
 	require.LessOrEqual(t, time.Duration(runPrimary(d, 90000, 90200)-before), 3*time.Second)
 }
--- a/internal/fleetstate/revision_history_test.go
+++ b/internal/fleetstate/revision_history_test.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestShortHistory: while all versions ever made are remembered, no outcome is unknown.
-func TestShortHistory(t *testing.T) {
+// TestAllVersionsRemembered: while all versions ever made are remembered, no outcome is unknown.
+func TestAllVersionsRemembered(t *testing.T) {
 	r := newReplicas(t)
 	for v := range ids.Version(10) {
 		require.NoError(t, r.prepare(PrepareKind, v, 0))
--- a/internal/fleetstate/state_encoding.go
+++ b/internal/fleetstate/state_encoding.go
@@ -9,9 +9,9 @@
 	"keelstair.example/ids"
 )
 
-// encode returns the whole state or, with open, only the part that is sent to watchers. It compresses
-// the texts of the versions in place.
-func (s *State) encode(open bool) *EncodedState {
+// encode returns the whole state or, with forWatchers, only the part that is sent to watchers. It
+// compresses the texts of the versions in place.
+func (s *State) encode(forWatchers bool) *EncodedState {
 	s.compress()
 	s.programs.compress()
 	encoded := &EncodedState{
@@ -49,7 +49,7 @@
 		return encoded.RoleChanges[i].Worker < encoded.RoleChanges[j].Worker
 	})
 	encoded.RevisionHistory = s.encodeRevisionHistory()
-	if !open && !s.claimsOnly {
+	if !forWatchers && !s.claimsOnly {
 		for _, k := range s.resolvedKeys {
 			encoded.Records = append(encoded.Records, s.records[k])
 		}
@@ -59,15 +59,16 @@
 			encoded.AgedRows = append(encoded.AgedRows, r[:]...)
 		}
 	}
-	for _, d := range s.records {
-		if d.Outcome == OutcomeClaimed {
-			encoded.Records = append(encoded.Records, d)
+	for _, record := range s.records {
+		if record.Outcome == OutcomeClaimed {
+			encoded.Records = append(encoded.Records, record)
 		}
 	}
 	return encoded
 }
 
-// decode replaces the state by an encoded one. Sealed chunks are kept: a snapshot names them only.
+// decode replaces the state with an encoded one. Sealed chunks are kept, since a snapshot only names
+// them.
 func (s *State) decode(body []byte) error {
 	var encoded EncodedState
 	if _, err := encoded.UnmarshalMsg(body); err != nil {
@@ -91,22 +92,22 @@
 	for _, w := range encoded.DrainedWorkers {
 		next.drainedWorkers[ids.WorkerID(w)] = true
 	}
-	for _, t := range encoded.RoleChanges {
-		next.roleChanges[t.Worker] = t.To
+	for _, change := range encoded.RoleChanges {
+		next.roleChanges[change.Worker] = change.To
 	}
 	for _, r := range encoded.Revoked {
 		next.revocations[r.Serial] = r.Confirmed
 	}
 	next.timeBound = encoded.Time
 	next.auditLog = auditLog{encoded.AuditCount, encoded.AuditHead, encoded.AuditRows, s.auditLog.sealedChunks}
-	for _, d := range encoded.Records {
-		next.records[d.Key] = d
-		if d.Outcome != OutcomeClaimed {
-			next.resolvedKeys = append(next.resolvedKeys, d.Key)
+	for _, record := range encoded.Records {
+		next.records[record.Key] = record
+		if record.Outcome != OutcomeClaimed {
+			next.resolvedKeys = append(next.resolvedKeys, record.Key)
 		}
 	}
-	for _, d := range encoded.Duties {
-		next.dutySubjects[d.Name] = d
+	for _, subject := range encoded.Duties {
+		next.dutySubjects[subject.Name] = subject
 	}
 	for at := 0; at+rowSize <= len(encoded.AgedRows); at += rowSize {
 		next.agedKeys.add([rowSize]byte(encoded.AgedRows[at : at+rowSize]))
