--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -133,7 +133,7 @@
 
 // Failback is a zone that serves again after an evacuation. Number counts the failbacks of all
 // zones. ElapsedNs is a lower bound of the time since the failback: the primary measures it with its
-// own clock, and a new primary continues from the value in the snapshot that it restored.
+// own clock, and a new primary starts from the value in the snapshot that it restored, or from 0.
 type Failback struct {
 	Zone      ids.Zone
 	Number    uint64 `msg:"No"`
