--- a/internal/fleetstate/aged_keys.go
+++ b/internal/fleetstate/aged_keys.go
@@ -29,7 +29,7 @@
 }
 
 // outcomeCodes lists the outcomes; an entry stores the index.
-var outcomeCodes = []string{Claimed, Done, NotRun, MayHaveRun}
+var outcomeCodes = []string{OutcomeClaimed, OutcomeDone, OutcomeNotRun, OutcomeMayHaveRun}
 
 // agedKeys stores the entries of old records. Until its chunk is full, an entry is open.
 type agedKeys struct {
@@ -131,21 +131,21 @@
 // Chunks returns the sealed chunks of aged keys followed by those of the audit record. Together
 // with RestoreChunks it implements coordination.ChunkStore.
 func (m *Machine) Chunks() []coordination.Chunk {
-	if len(m.audit.sealed) == 0 {
-		return m.aged.sealed
+	if len(m.auditLog.sealedChunks) == 0 {
+		return m.agedKeys.sealed
 	}
-	return slices.Concat(m.aged.sealed, m.audit.sealed)
+	return slices.Concat(m.agedKeys.sealed, m.auditLog.sealedChunks)
 }
 
 // RestoreChunks sets the chunks to which the next restored snapshot refers. The chunks of the audit
 // record are recognized by their prefix.
 func (m *Machine) RestoreChunks(chunks []coordination.Chunk) {
-	m.aged.sealed, m.audit.sealed = nil, nil
+	m.agedKeys.sealed, m.auditLog.sealedChunks = nil, nil
 	for _, chunk := range chunks {
 		if bytes.HasPrefix(chunk.Body, []byte(auditMagic)) {
-			m.audit.sealed = append(m.audit.sealed, chunk)
+			m.auditLog.sealedChunks = append(m.auditLog.sealedChunks, chunk)
 		} else {
-			m.aged.sealed = append(m.aged.sealed, chunk)
+			m.agedKeys.sealed = append(m.agedKeys.sealed, chunk)
 		}
 	}
 }
--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -1,4 +1,4 @@
-// The chain of the audit record, over leaves, snapshots and tampering.
+// Tests of the audit log's hash chain, with sealed chunks, snapshots and tampering.
 
 package fleetstate
 
@@ -13,9 +13,10 @@
 	"keelstair.example/failure"
 )
 
-func audits(t *testing.T, m *Machine, from, limit int) (AuditQueryReply, []AuditRow) {
+// queryAudit reads audit rows through an AuditQuery command.
+func queryAudit(t *testing.T, m *Machine, from, limit int) (AuditQueryReply, []AuditRow) {
 	out, err := m.State.Apply(AuditQueryKind, coordination.MustMarshal(&AuditQuery{From: from, Limit: limit}))
-	require.ErrorIs(t, err, coordination.ErrUnchanged, "reading writes nothing")
+	require.ErrorIs(t, err, coordination.ErrUnchanged, "a query is not written to the log")
 	var got AuditQueryReply
 	_, err = got.UnmarshalMsg(out)
 	require.NoError(t, err)
@@ -26,62 +27,64 @@
 	return got, rows
 }
 
-// TestAudit: rows come back whole and in order from every copy, also those of sealed
-// leaves; the oldest leaves go in the end, which shows by the first number.
-func TestAudit(t *testing.T) {
-	m, copied := NewMachine(MachineOptions{}), NewMachine(MachineOptions{})
-	n := auditLeaf*2 + 100
+// TestAuditLog: every replica returns all rows unchanged and in order, also those in sealed chunks
+// and after a restore from a snapshot. Beyond maxAuditChunks the oldest chunks are dropped, and
+// FirstIndex reports that.
+func TestAuditLog(t *testing.T) {
+	m, replica := NewMachine(MachineOptions{}), NewMachine(MachineOptions{})
+	n := auditChunkRows*2 + 100
 	for i := range n {
 		body, err := json.Marshal(&AuditRecord{
 			Request: fmt.Sprint("<r&", i),
 			Kind:    "verdict",
 			Regime:  "chair",
-			Outcome: Done,
+			Outcome: OutcomeDone,
 		})
 		require.NoError(t, err)
-		for _, x := range []*Machine{m, copied} {
-			_, err = x.Apply(1, AuditKind, coordination.MustMarshal(&Audit{body}))
+		for _, x := range []*Machine{m, replica} {
+			_, err = x.Apply(1, AppendAuditKind, coordination.MustMarshal(&AppendAudit{body}))
 			require.NoError(t, err)
 		}
-		if i == auditLeaf+7 {
-			copied = NewMachine(MachineOptions{})
-			copied.RestoreChunks(m.Chunks())
-			require.NoError(t, copied.Restore(m.Snapshot(false)))
+		if i == auditChunkRows+7 {
+			replica = NewMachine(MachineOptions{})
+			replica.RestoreChunks(m.Chunks())
+			require.NoError(t, replica.Restore(m.Snapshot(false)))
 		}
 	}
-	require.Equal(t, m.Chunks(), copied.Chunks())
+	require.Equal(t, m.Chunks(), replica.Chunks())
 	require.Len(t, m.Chunks(), 2)
 	var all []AuditRow
 	for from := 1; from <= n; from += 700 {
-		got, rows := audits(t, copied, from, 700)
-		require.Equal(t, []int{1, n}, []int{got.First, got.Count})
+		got, rows := queryAudit(t, replica, from, 700)
+		require.Equal(t, []int{1, n}, []int{got.FirstIndex, got.RowCount})
 		all = append(all, rows...)
 		if len(all) == n {
-			require.Equal(t, got.Head, all[n-1].Hash)
+			require.Equal(t, got.LastHash, all[n-1].Hash)
 		}
 	}
 	require.Len(t, all, n)
-	require.NoError(t, ChainCheck(nil, all))
+	require.NoError(t, VerifyChain(nil, all))
 	var r AuditRecord
 	require.NoError(t, json.Unmarshal(all[1500].Record, &r))
 	require.Equal(t, "<r&1500", r.Request)
 	for _, text := range []string{"{} ", `{"a":"<"}`, "{", ""} {
-		_, err := m.Apply(1, AuditKind, coordination.MustMarshal(&Audit{[]byte(text)}))
+		_, err := m.Apply(1, AppendAuditKind, coordination.MustMarshal(&AppendAudit{[]byte(text)}))
 		require.True(t, failure.Is(err, failure.InvalidArgument), text)
 	}
-	for range auditLeaf * auditLeaves {
-		m.audit.add([]byte("{}"))
+	for range auditChunkRows * maxAuditChunks {
+		m.auditLog.add([]byte("{}"))
 	}
-	got, rows := audits(t, m, 1, 3)
-	require.Equal(t, got.First, rows[0].Index)
-	require.Equal(t, 2*auditLeaf+1, got.First)
-	require.Len(t, m.Chunks(), auditLeaves)
+	got, rows := queryAudit(t, m, 1, 3)
+	require.Equal(t, got.FirstIndex, rows[0].Index)
+	require.Equal(t, 2*auditChunkRows+1, got.FirstIndex)
+	require.Len(t, m.Chunks(), maxAuditChunks)
 }
 
-// TestChain: a row that was removed, changed, replaced or moved shows.
-func TestChain(t *testing.T) {
+// TestVerifyChain: VerifyChain reports a row that was removed or changed, and rows that were replaced
+// by those of another chain.
+func TestVerifyChain(t *testing.T) {
 	build := func(tag string) []AuditRow {
-		a := audit{}
+		a := auditLog{}
 		for i := range 10 {
 			a.add([]byte(fmt.Sprintf(`{"request":"%s%d"}`, tag, i)))
 		}
@@ -92,41 +95,41 @@
 		return rows
 	}
 	rows := build("a")
-	require.NoError(t, ChainCheck(nil, rows))
-	require.NoError(t, ChainCheck(&rows[3], rows[4:]))
-	for says, spoil := range map[string]func(r []AuditRow) []AuditRow{
+	require.NoError(t, VerifyChain(nil, rows))
+	require.NoError(t, VerifyChain(&rows[3], rows[4:]))
+	for wantError, tamper := range map[string]func(r []AuditRow) []AuditRow{
 		"rows were removed": func(r []AuditRow) []AuditRow { return append(r[:4], r[5:]...) },
 		"was changed":       func(r []AuditRow) []AuditRow { r[4].Record = json.RawMessage(`{}`); return r },
 		"does not follow": func(r []AuditRow) []AuditRow {
 			r[4].Record = json.RawMessage(`{}`)
-			r[4].Hash = r[4].sum()
+			r[4].Hash = r[4].computeHash()
 			return r
 		},
 		"row 5 does not follow": func(r []AuditRow) []AuditRow { return append(r[:4], build("b")[4:]...) },
 	} {
-		require.ErrorContains(t, ChainCheck(nil, spoil(build("a"))), says)
+		require.ErrorContains(t, VerifyChain(nil, tamper(build("a"))), wantError)
 	}
 }
 
-// TestResolveAudits: an outcome and its audit record are one entry; a bad record leaves
-// the claim as it was.
+// TestResolveAudits: an outcome and its audit record are written by one log entry; an invalid record
+// leaves the claim unchanged.
 func TestResolveAudits(t *testing.T) {
 	s := newState(false, Retention{})
 	_, err := applyClaim(t, s, "verdict/1", "b")
 	require.NoError(t, err)
-	require.Error(t, do(t, s, ResolveKind, &Resolve{
+	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{
 		Key:     "verdict/1",
 		Owner:   "n1",
-		Outcome: Done,
+		Outcome: OutcomeDone,
 		Audit:   []byte("{ }"),
 	}))
-	require.Equal(t, Claimed, s.records["verdict/1"].Outcome)
-	require.NoError(t, do(t, s, ResolveKind, &Resolve{
+	require.Equal(t, OutcomeClaimed, s.records["verdict/1"].Outcome)
+	require.NoError(t, applyCommand(t, s, ResolveKind, &Resolve{
 		Key:     "verdict/1",
 		Owner:   "n1",
-		Outcome: Done,
+		Outcome: OutcomeDone,
 		Audit:   []byte("{}"),
 	}))
-	require.Error(t, do(t, s, ResolveKind, &Resolve{Key: "verdict/1", Owner: "n1", Outcome: Done, Audit: []byte("{}")}))
-	require.Equal(t, 1, s.audit.count)
+	require.Error(t, applyCommand(t, s, ResolveKind, &Resolve{Key: "verdict/1", Owner: "n1", Outcome: OutcomeDone, Audit: []byte("{}")}))
+	require.Equal(t, 1, s.auditLog.rowCount)
 }
--- a/internal/fleetstate/configuration.go
+++ b/internal/fleetstate/configuration.go
@@ -102,7 +102,7 @@
 	Services           map[string]Service      `json:"services,omitempty"`
 	ClientLimits       ClientLimits            `json:"intake,omitzero"`
 	Tenants            []Tenant                `json:"tenants,omitzero"` // nil means that requests need no key
-	Certified
+	CertificationConfig
 }
 
 // ConfigurationParser parses an operator's document into a configuration.
--- a/internal/fleetstate/delta_test.go
+++ b/internal/fleetstate/delta_test.go
@@ -105,11 +105,11 @@
 func TestPrepareDelta(t *testing.T) {
 	one, two := routesText(1400, 3), routesText(1400, 900)
 	c := &PrepareVersion{Base: 1, Text: compress(two)}
-	c.Shorten(one, two)
+	c.UseDeltaIfSmaller(one, two)
 	require.True(t, c.Delta)
 	require.Less(t, len(c.Text), 1000)
 	unrelated := &PrepareVersion{Base: 1, Text: compress(two)}
-	unrelated.Shorten([]byte(`{}`), two)
+	unrelated.UseDeltaIfSmaller([]byte(`{}`), two)
 	require.False(t, unrelated.Delta)
 	m, v := NewMachine(MachineOptions{}), NewView(logging.Discard())
 	applyToBoth := func(kind string, body []byte) error {
@@ -119,7 +119,7 @@
 	}
 	require.NoError(t, applyToBoth(PrepareKind, coordination.MustMarshal(&PrepareVersion{Text: compress(one)})))
 	wrong := &PrepareVersion{Base: 1, Text: compress(two)}
-	wrong.Shorten(routesText(1400, 4), two)
+	wrong.UseDeltaIfSmaller(routesText(1400, 4), two)
 	require.True(t, wrong.Delta)
 	err := applyToBoth(PrepareKind, coordination.MustMarshal(wrong))
 	require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
@@ -140,7 +140,7 @@
 	require.NoError(t, restored.Restore(v.Snapshot()))
 	require.Equal(t, string(two), string(restored.Current().Text))
 	revert := &PrepareVersion{Base: 2, Text: compress(one)}
-	revert.Shorten(two, one)
+	revert.UseDeltaIfSmaller(two, one)
 	for _, view := range []*View{v, restored} {
 		require.True(t, view.Observe(3, PrepareKind, coordination.MustMarshal(revert)))
 		view.Observe(4, CommitKind, coordination.MustMarshal(&CommitVersion{3}))
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -78,7 +78,7 @@
 	} else if e := ValidateSource(name, []byte(source), !partial); e != nil {
 		err = e
 	} else {
-		err = Locate(name, []byte(source), err)
+		err = LocateFault(name, []byte(source), err)
 	}
 	if err != nil {
 		return nil, nil, err
--- a/internal/fleetstate/revocation.go
+++ b/internal/fleetstate/revocation.go
@@ -1,4 +1,4 @@
-// The messages of revocations and of the fleet's time.
+// Commands that revoke certificates and that advance the fleet's time.
 
 package fleetstate
 
@@ -10,25 +10,25 @@
 )
 
 func (c *Revoke) apply(s *State) (msgp.Marshaler, error) {
-	if _, ok := s.revoked[c.Serial]; ok {
+	if _, ok := s.revocations[c.Serial]; ok {
 		return &VersionReply{s.newest()}, coordination.ErrUnchanged
 	}
-	s.revoked[c.Serial] = false
+	s.revocations[c.Serial] = false
 	return &VersionReply{s.newest()}, nil
 }
 
 func (c *ConfirmRevocation) apply(s *State) (msgp.Marshaler, error) {
-	if sure, ok := s.revoked[c.Serial]; !ok || sure {
-		return nil, failure.New(failure.Stale, "seal", c.Serial, "no revocation of it waits")
+	if confirmed, ok := s.revocations[c.Serial]; !ok || confirmed {
+		return nil, failure.New(failure.Stale, "seal", c.Serial, "the certificate has no unconfirmed revocation")
 	}
-	s.revoked[c.Serial] = true
+	s.revocations[c.Serial] = true
 	return nil, nil
 }
 
-func (c *Clock) apply(s *State) (msgp.Marshaler, error) {
-	if c.At <= s.time {
+func (c *AdvanceClock) apply(s *State) (msgp.Marshaler, error) {
+	if c.Bound <= s.timeBound {
 		return &VersionReply{s.newest()}, coordination.ErrUnchanged
 	}
-	s.time = c.At
+	s.timeBound = c.Bound
 	return &VersionReply{s.newest()}, nil
 }
--- a/internal/fleetstate/route_test.go
+++ b/internal/fleetstate/route_test.go
@@ -17,7 +17,7 @@
 // and that the host is compared without its port and case-insensitively. A path that matches a
 // prefix only without its trailing slash, or an unknown host, finds no route.
 func TestRouteTableFind(t *testing.T) {
-	table := NewTable(&Configuration{Routes: []Route{
+	table := NewRouteTable(&Configuration{Routes: []Route{
 		{Name: "root", Host: "A.example", Prefix: "/"},
 		{Name: "deep", Host: "a.example", Prefix: "/v1/chat/long/"},
 		{Name: "chat", Host: "a.example", Prefix: "/v1/chat/"},
@@ -49,27 +49,27 @@
 		require.NotNil(t, got, "%v", request)
 		require.Equal(t, want, got.Name, "%v", request)
 	}
-	require.Nil(t, NewTable(&Configuration{}).Find("a.example", "/"))
+	require.Nil(t, NewRouteTable(&Configuration{}).Find("a.example", "/"))
 }
 
 // TestRoutePick checks that requests are split over services by weight, that an id is always assigned
 // to the same service, and that a weight of 0 receives none. Without a split, or with only weights
 // of 0, the route's own service receives all requests.
 func TestRoutePick(t *testing.T) {
-	r := &Route{Service: "x", Split: []Share{{"a", 6}, {"none", 0}, {"b", 3}, {"c", 1}}}
+	r := &Route{Service: "x", Split: []WeightedService{{"a", 6}, {"none", 0}, {"b", 3}, {"c", 1}}}
 	counts := map[string]int{}
 	for i := range 20000 {
 		id := fmt.Sprint("try-", i)
-		service := r.Pick(id)
-		require.Equal(t, service, r.Pick(id))
+		service := r.SelectService(id)
+		require.Equal(t, service, r.SelectService(id))
 		counts[service]++
 	}
 	require.InDelta(t, 12000, counts["a"], 600)
 	require.InDelta(t, 6000, counts["b"], 500)
 	require.InDelta(t, 2000, counts["c"], 300)
 	require.Len(t, counts, 3)
-	for _, unsplit := range []*Route{{Service: "x"}, {Service: "x", Split: []Share{{"a", 0}}}} {
-		require.Equal(t, "x", unsplit.Pick("try"))
+	for _, unsplit := range []*Route{{Service: "x"}, {Service: "x", Split: []WeightedService{{"a", 0}}}} {
+		require.Equal(t, "x", unsplit.SelectService("try"))
 	}
 }
 
@@ -95,7 +95,7 @@
 				Name:        "two",
 				Host:        "a.example",
 				Prefix:      "/x/",
-				Split:       []Share{{"s", 0}, {"t", 2}},
+				Split:       []WeightedService{{"s", 0}, {"t", 2}},
 				MaxAttempts: 2,
 				DeadlineMs:  5,
 			},
@@ -104,8 +104,8 @@
 	require.NoError(t, validConfiguration().CheckRoutes())
 	require.NoError(t, (&Configuration{}).CheckRoutes())
 	for message, change := range map[string]func(r *Route){
-		`unknown service "gone"`:                 func(r *Route) { r.Split = []Share{{"gone", 1}} },
-		`a weight is below 0`:                    func(r *Route) { r.Split = []Share{{"s", 3}, {"t", -1}} },
+		`unknown service "gone"`:                 func(r *Route) { r.Split = []WeightedService{{"gone", 1}} },
+		`a weight is below 0`:                    func(r *Route) { r.Split = []WeightedService{{"s", 3}, {"t", -1}} },
 		`name is missing or stands twice`:        func(r *Route) { r.Name = "one" },
 		`routes.: its name is missing`:           func(r *Route) { r.Name = "" },
 		`its host is missing`:                    func(r *Route) { r.Host = "" },
@@ -113,7 +113,7 @@
 		`"/x" does not begin and end`:            func(r *Route) { r.Prefix = "/x" },
 		`"" does not begin and end`:              func(r *Route) { r.Prefix = "" },
 		`host and prefix stand twice`:            func(r *Route) { r.Host, r.Prefix = "A.Example", "/" },
-		`the weights add up to 0`:                func(r *Route) { r.Split = []Share{{"s", 0}, {"t", 0}} },
+		`the weights add up to 0`:                func(r *Route) { r.Split = []WeightedService{{"s", 0}, {"t", 0}} },
 		`unknown service "nobody"`:               func(r *Route) { r.Split, r.Service = nil, "nobody" },
 		`unknown service ""`:                     func(r *Route) { r.Split = nil },
 		`deadlineMs must be above 0`:             func(r *Route) { r.DeadlineMs = 0 },
@@ -157,7 +157,7 @@
 		Name:            "two",
 		Host:            "a.example",
 		Prefix:          "/v1/",
-		Split:           []Share{{"s", 3}, {"t", 1}},
+		Split:           []WeightedService{{"s", 3}, {"t", 1}},
 		Stream:          true,
 		Resumable:       true,
 		Disaggregated:   true,
@@ -171,21 +171,21 @@
 	require.Equal(t, 2.5, p.Services["t"].SlowStartRate)
 	require.Equal(t, []string{"m"}, p.Services["t"].Models)
 	require.Equal(t, ClientLimits{
-		HeaderBytes:  16384,
-		BodyBytes:    4194304,
-		HeaderWaitMs: 3000,
-		IdleMs:       15000,
+		HeaderBytes:     16384,
+		BodyBytes:       4194304,
+		HeaderTimeoutMs: 3000,
+		IdleTimeoutMs:   15000,
 	}, p.ClientLimits)
 	again, second, err := ParseComplete("r.json", text)
 	require.NoError(t, err)
 	require.JSONEq(t, string(text), string(second))
-	require.Equal(t, NewTable(p).Find("a.example", "/v1/x").Name, NewTable(again).Find("a.example", "/v1/x").Name)
+	require.Equal(t, NewRouteTable(p).Find("a.example", "/v1/x").Name, NewRouteTable(again).Find("a.example", "/v1/x").Name)
 	decoded, err := ParseJSON(text)
 	require.NoError(t, err)
 	require.NoError(t, decoded.CheckRoutes())
 	require.Equal(t, two, decoded.Routes[1])
 
-	withoutRoutes, text, err := ParseComplete("s.cue", []byte(small))
+	withoutRoutes, text, err := ParseComplete("s.cue", []byte(smallConfiguration))
 	require.NoError(t, err)
 	require.Empty(t, withoutRoutes.Routes)
 	var fields map[string]any
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -21,7 +21,7 @@
 type Snapshot struct {
 	Version        ids.Version
 	Configuration  *Configuration
-	RouteTable     *Table
+	RouteTable     *RouteTable
 	TenantKeys     *KeyIndex
 	Text           []byte
 	NewestVersion  ids.Version
@@ -80,7 +80,7 @@
 	}
 	v.current.Store(&Snapshot{
 		Configuration:  &Configuration{},
-		RouteTable:     NewTable(&Configuration{}),
+		RouteTable:     NewRouteTable(&Configuration{}),
 		TenantKeys:     NewKeyIndex(&Configuration{}),
 		EvacuatedZones: map[ids.Zone]bool{},
 		DrainedWorkers: map[ids.WorkerID]bool{},
@@ -265,10 +265,10 @@
 		Programs:       v.compilePrograms(),
 	}
 	v.indexConfiguration(s)
-	for z := range v.state.zones {
+	for z := range v.state.evacuatedZones {
 		s.EvacuatedZones[z] = true
 	}
-	for w := range v.state.drained {
+	for w := range v.state.drainedWorkers {
 		s.DrainedWorkers[w] = true
 	}
 	return s
@@ -280,14 +280,14 @@
 	if previous := v.current.Load(); previous.Configuration == s.Configuration && previous.RouteTable != nil {
 		s.RouteTable, s.TenantKeys, s.BaseRegister = previous.RouteTable, previous.TenantKeys, previous.BaseRegister
 	} else {
-		s.RouteTable, s.TenantKeys = NewTable(s.Configuration), previous.TenantKeys.forConfiguration(s.Configuration)
+		s.RouteTable, s.TenantKeys = NewRouteTable(s.Configuration), previous.TenantKeys.forConfiguration(s.Configuration)
 		var err error
 		if s.BaseRegister, err = s.Configuration.Register(); err != nil {
 			v.Ring.Error().AnErr("cause", err).Msg("invalid certificates are ignored")
 		}
 	}
 	if s.BaseRegister != nil {
-		s.RevokedSerials = maps.Clone(v.state.revoked)
+		s.RevokedSerials = maps.Clone(v.state.revocations)
 		s.Register = s.BaseRegister.WithRevoked(s.RevokedSerials)
 	}
 }
--- a/internal/fleetstate/wire_test.go
+++ b/internal/fleetstate/wire_test.go
@@ -6,18 +6,18 @@
 	"keelstair.example/internal/golden"
 )
 
-// TestEncodings: every message and stored record of this package has the encoding that it had
-// in the first release with a rolling upgrade. The names on file are those of that release.
+// TestEncodings: every message and stored record of this package has the same encoding as in the first
+// release that supports rolling upgrades. The file names the messages as that release did.
 func TestEncodings(t *testing.T) {
 	golden.Check(t, "testdata/encodings.txt", map[string]golden.Message{
 		"Activate":     &CommitVersion{},
-		"Audit":        &Audit{},
+		"Audit":        &AppendAudit{},
 		"Audits":       &AuditQuery{},
 		"AuditsReply":  &AuditQueryReply{},
 		"Bind":         &AssignWorker{},
 		"Claim":        &Claim{},
 		"ClaimReply":   &ClaimReply{},
-		"Clock":        &Clock{},
+		"Clock":        &AdvanceClock{},
 		"Deed":         &IdempotencyRecord{},
 		"Delta":        &Delta{},
 		"Drain":        &Drain{},
@@ -29,7 +29,7 @@
 		"Governed":     &CertificationState{},
 		"Hunk":         &Hunk{},
 		"Image":        &EncodedState{},
-		"OrderMemory":  &OrderMemory{},
+		"OrderMemory":  &RevisionHistory{},
 		"OutcomeAsk":   &OutcomeQuery{},
 		"Revocation":   &Revocation{},
 		"Revoke":       &Revoke{},
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -294,7 +294,7 @@
 func (f *fleet) putConfigurationVia(n *testNode, op ids.OpID, base, next ids.Version, text []byte) error {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
-	_, err := fleetstate.Put(ctx, n.agent.Caller(), n.Directory(), op, base, next, text)
+	_, err := fleetstate.PutConfiguration(ctx, n.agent.Caller(), n.Directory(), op, base, next, text)
 	return err
 }
 
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -60,7 +60,7 @@
 		newest, _ := state.ProgramSet()
 		if uint64(newest.Version) != request.Base {
 			// The base is no longer the newest version, perhaps because of this very operation.
-			version, err := fleetstate.Outcome(callContext, o.Caller, o.Directory, op, fleetstate.OutcomeQuery{
+			version, err := fleetstate.QueryOutcome(callContext, o.Caller, o.Directory, op, fleetstate.OutcomeQuery{
 				Base:     ids.Version(request.Base),
 				Programs: true,
 			})
@@ -163,8 +163,8 @@
 		Version: uint64(state.Programs.Version),
 		Newest:  uint64(newest.Version),
 		Policy:  fleetstate.ProgramSetJSON(state.Programs),
-		Zones:   append([]string{}, state.Zones...),
-		Drained: append([]string{}, state.Drained...),
+		Zones:   append([]string{}, state.EvacuatedZones...),
+		Drained: append([]string{}, state.DrainedWorkers...),
 	}, nil
 }
 
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -27,11 +27,11 @@
 		return
 	}
 	t.auditSteps = append(t.auditSteps, fleetstate.AuditStep{
-		Attempt: id.Attempt,
-		What:    verb,
-		Worker:  string(w),
-		Serial:  serial,
-		At:      t.node.fleetTime().High,
+		Attempt:   id.Attempt,
+		Operation: verb,
+		Worker:    string(w),
+		Serial:    serial,
+		At:        t.node.fleetTime().High,
 	})
 }
 
@@ -57,7 +57,7 @@
 // appendAudit appends a row to the core's audit chain. Repeating it with the same operation id
 // appends the row only once.
 func (n *Node) appendAudit(ctx context.Context, op ids.OpID, record []byte) error {
-	_, err := n.agent.Submit(ctx, op, fleetstate.AuditKind, coordination.MustMarshal(&fleetstate.Audit{Record: record}))
+	_, err := n.agent.Submit(ctx, op, fleetstate.AppendAuditKind, coordination.MustMarshal(&fleetstate.AppendAudit{Record: record}))
 	return err
 }
 
@@ -73,7 +73,7 @@
 	callContext, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 	defer stop()
 	if err := t.node.appendAudit(
-		callContext, auditOp(request, fleetstate.Begun), t.auditRecord(request, "", fleetstate.Begun),
+		callContext, auditOp(request, fleetstate.OutcomeBegun), t.auditRecord(request, "", fleetstate.OutcomeBegun),
 	); err != nil {
 		return t.node.rejectRetryable(http.StatusServiceUnavailable, "core-away", "the request cannot be recorded: %v", err)
 	}
@@ -92,7 +92,7 @@
 	case err != nil && count > 0:
 		outcome = api.Broken
 	case err != nil:
-		outcome = fleetstate.NotRun
+		outcome = fleetstate.OutcomeNotRun
 	}
 	pending := unresolvedClaim{op: auditOp(request, "end"), audit: t.auditRecord(request, "", outcome)}
 	if !t.node.retryUnresolved(context.Background(), pending) {
@@ -110,7 +110,7 @@
 	}
 	serial, _ := n.clearance(t.regime, certification.Subject{Worker: claim.Worker}, ids.Decode)
 	t.auditSteps = []fleetstate.AuditStep{
-		{What: "settled", Worker: string(claim.Worker), Serial: serial, At: n.fleetTime().High},
+		{Operation: "settled", Worker: string(claim.Worker), Serial: serial, At: n.fleetTime().High},
 	}
 	return t.auditRecord(RequestIDForKey(claim.Key), claim.Key, outcome)
 }
@@ -135,7 +135,7 @@
 	if _, err := reply.UnmarshalMsg(r.Body); err != nil {
 		return nil, failure.As(err, failure.OutcomeUnknown, "read audit", "core")
 	}
-	out := &api.Audits{First: reply.First, Count: reply.Count, Head: reply.Head, Rows: []json.RawMessage{}}
+	out := &api.Audits{First: reply.FirstIndex, Count: reply.RowCount, Head: reply.LastHash, Rows: []json.RawMessage{}}
 	for _, line := range reply.Lines {
 		out.Rows = append(out.Rows, line)
 	}
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -73,7 +73,7 @@
 	}
 	resolve := &fleetstate.Resolve{Key: key, Owner: n.self.Node, Outcome: runOutcome(err, len(tokens))}
 	resolve.Audit = tr.auditRecord(t.Identity.ID.Request, key, resolve.Outcome)
-	if resolve.Outcome == fleetstate.Done {
+	if resolve.Outcome == fleetstate.OutcomeDone {
 		resolve.Answer, _ = json.Marshal(storedAnswer{tokens, texts})
 	}
 	if e := n.submitOutcome(resolve); e != nil {
@@ -85,7 +85,7 @@
 // finishClaimed ends the caller's stream after the outcome has been recorded.
 func (n *Node) finishClaimed(outcome string, cause error, tokens int, score *routing.Score, out api.Sink) error {
 	switch outcome {
-	case fleetstate.MayHaveRun:
+	case fleetstate.OutcomeMayHaveRun:
 		n.counts.OutcomeUnknown.Add(1)
 		return out.Put(api.StreamEvent{
 			Index: tokens,
@@ -93,7 +93,7 @@
 			Count: tokens,
 			Error: &workerclient.Rejection{Name: "may-have-run", Detail: cause.Error()},
 		})
-	case fleetstate.NotRun:
+	case fleetstate.OutcomeNotRun:
 		score.NotExecuted.Add(1)
 		return n.rejectNotRun(tokens, out)
 	}
@@ -105,11 +105,11 @@
 func runOutcome(err error, tokens int) string {
 	switch {
 	case err == nil:
-		return fleetstate.Done
+		return fleetstate.OutcomeDone
 	case failure.Is(err, failure.OutcomeUnknown), tokens > 0:
-		return fleetstate.MayHaveRun
+		return fleetstate.OutcomeMayHaveRun
 	}
-	return fleetstate.NotRun
+	return fleetstate.OutcomeNotRun
 }
 
 // reportUnrecorded answers a caller whose outcome could not be recorded. The outcome is kept for
@@ -119,7 +119,7 @@
 	if !failure.Is(cause, failure.Stale) {
 		n.unresolved.add(unresolvedClaim{resolve: resolve})
 	}
-	if tokens == 0 && resolve.Outcome == fleetstate.NotRun {
+	if tokens == 0 && resolve.Outcome == fleetstate.OutcomeNotRun {
 		return n.rejectRetryable(http.StatusServiceUnavailable, "outcome-pending", "%v", cause)
 	}
 	return out.Put(api.StreamEvent{
@@ -232,11 +232,11 @@
 func (n *Node) replayRecord(record *fleetstate.IdempotencyRecord, out api.Sink) error {
 	n.counts.Replayed.Add(1)
 	switch record.Outcome {
-	case fleetstate.Claimed:
+	case fleetstate.OutcomeClaimed:
 		return n.rejectRetryable(http.StatusConflict, "running", "the key is being run")
-	case fleetstate.NotRun:
+	case fleetstate.OutcomeNotRun:
 		return n.rejectNotRun(0, out)
-	case fleetstate.Done:
+	case fleetstate.OutcomeDone:
 		if record.Aged {
 			return api.WriteFault(
 				http.StatusGone,
@@ -245,7 +245,7 @@
 				"it ran and was answered; so old an answer is not kept, and it will not be run again",
 			)
 		}
-	case fleetstate.MayHaveRun:
+	case fleetstate.OutcomeMayHaveRun:
 		return api.WriteFault(
 			http.StatusGone, "may-have-run", "key", "whether it ran is not known; it will not be run again",
 		)
--- a/internal/router/claim_takeover.go
+++ b/internal/router/claim_takeover.go
@@ -73,7 +73,7 @@
 // asked, or has restarted since, the request may have run.
 func (n *Node) queryOutcome(ctx context.Context, claim *fleetstate.IdempotencyRecord) (string, []byte) {
 	if _, ok := (*n.endpoints.Load())[claim.Worker]; !ok {
-		return fleetstate.MayHaveRun, nil
+		return fleetstate.OutcomeMayHaveRun, nil
 	}
 	tr := &transport{node: n, snapshot: n.view.Current()}
 	for range 4 {
@@ -81,23 +81,23 @@
 		switch {
 		case err != nil:
 			if !host.Sleep(ctx, 500*time.Millisecond) {
-				return fleetstate.MayHaveRun, nil
+				return fleetstate.OutcomeMayHaveRun, nil
 			}
 		case response.Incarnation != claim.Incarnation:
-			return fleetstate.MayHaveRun, nil
+			return fleetstate.OutcomeMayHaveRun, nil
 		case response.Done && !n.mayReadOutcome(claim.Key):
-			return fleetstate.MayHaveRun, nil
+			return fleetstate.OutcomeMayHaveRun, nil
 		case response.Done:
 			texts := append(response.Texts, make([]string, len(response.Output))...)
 			answer, _ := json.Marshal(storedAnswer{response.Output, texts[:len(response.Output)]})
-			return fleetstate.Done, answer
+			return fleetstate.OutcomeDone, answer
 		case response.Fate == workerclient.FateNever:
-			return fleetstate.NotRun, nil
+			return fleetstate.OutcomeNotRun, nil
 		default:
-			return fleetstate.MayHaveRun, nil
+			return fleetstate.OutcomeMayHaveRun, nil
 		}
 	}
-	return fleetstate.MayHaveRun, nil
+	return fleetstate.OutcomeMayHaveRun, nil
 }
 
 // mayReadOutcome reports whether this node may read the outcome of a claimed request. If a regime
--- a/internal/router/unresolved_claims.go
+++ b/internal/router/unresolved_claims.go
@@ -79,7 +79,7 @@
 		}
 		// The claim was accepted only now, after the request had been given up: nothing ran, and
 		// nothing can run on it any more.
-		pending.resolve = &fleetstate.Resolve{Key: pending.claim.Key, Owner: n.self.Node, Outcome: fleetstate.NotRun}
+		pending.resolve = &fleetstate.Resolve{Key: pending.claim.Key, Owner: n.self.Node, Outcome: fleetstate.OutcomeNotRun}
 	}
 	err := n.submitOutcome(pending.resolve)
 	return err == nil || failure.Is(err, failure.Stale)
