--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -42,10 +42,10 @@
 		os.Exit(2)
 	}
 	hangUps := catchHangUps()
-	s, err := platform.Load()
+	s, err := platform.LoadSettings()
 	cli.Fail("keelstair-platform "+role, err)
-	if s.Memory > 0 {
-		debug.SetMemoryLimit(s.Memory * 3 / 4)
+	if s.MemoryBytes > 0 {
+		debug.SetMemoryLimit(s.MemoryBytes * 3 / 4)
 	}
 	cli.Fail("keelstair-platform "+role, run(s, hangUps))
 }
@@ -66,7 +66,7 @@
 			case <-ctx.Done():
 				return
 			case <-hangUps:
-				if s, err := platform.Load(); err == nil {
+				if s, err := platform.LoadSettings(); err == nil {
 					setSeeds(s.Seeds)
 				}
 			}
@@ -82,16 +82,16 @@
 )
 
 func runController(s *platform.Settings, hangUps <-chan os.Signal) error {
-	if err := s.ForCore(); err != nil {
+	if err := s.ValidateCore(); err != nil {
 		return err
 	}
-	host, err := host.Real(s.Dir)
+	host, err := host.Real(s.StateDir)
 	if err != nil {
 		return err
 	}
 	ring := cli.Ring("controller " + s.Name)
 	log.SetOutput(ring)
-	if s.Dir == "" {
+	if s.StateDir == "" {
 		return runDiskless(s, hangUps, host, ring)
 	}
 	documents := &platform.DocumentReader{}
@@ -116,7 +116,7 @@
 	}
 	asked, stop := cli.Signals()
 	defer stop()
-	ctx := cli.HandOver(asked, c, min(maxHandOver, s.Grace-handOverReserve))
+	ctx := cli.HandOver(asked, c, min(maxHandOver, s.GracePeriod-handOverReserve))
 	watch(ctx, hangUps, c.Directory().SetSeeds)
 	mux := http.NewServeMux()
 	c.Mount(mux)
@@ -134,7 +134,7 @@
 	directory *coordination.Directory,
 	ring *logging.Ring,
 ) {
-	(&platform.Operator{Caller: call, Directory: directory, Zones: s.Zones, Ring: ring}).Mount(mux)
+	(&platform.Operator{Caller: call, Directory: directory, Zones: s.Zones, Log: ring}).Mount(mux)
 	api.MountOperator(mux, &proxy.Operator{Caller: call, Directory: directory, Zones: s.Zones})
 }
 
@@ -176,7 +176,7 @@
 	fail := func(err error) { cli.Fail("keelstair-platform router", err) }
 	peers := http.NewServeMux()
 	n.Mount(peers)
-	cli.Serve(ctx, h, s.Peer(), peers, fail)
+	cli.Serve(ctx, h, s.PeerAddr(), peers, fail)
 	ready := http.NewServeMux()
 	ready.Handle("GET /readiness", platform.Readiness(n))
 	cli.Serve(ctx, h, s.ReadinessAddr, ready, fail)
@@ -185,13 +185,13 @@
 // setDuties has a node do the duties at the platform that the settings name.
 func setDuties(options *proxy.Options, s *platform.Settings) {
 	if s.Metering {
-		options.UsageReporter = platform.NewDuties(options.Host.Net, s.CloudAddr)
+		options.UsageReporter = platform.NewDutyClient(options.Host.Net, s.CloudAPIAddr)
 		options.UsageWindow = s.ReportWindow
 	}
 }
 
 func runRouter(s *platform.Settings, hangUps <-chan os.Signal) error {
-	if err := s.ForNode(); err != nil {
+	if err := s.ValidateNode(); err != nil {
 		return err
 	}
 	host, err := host.Real("")
@@ -207,17 +207,17 @@
 	server := platform.NewClientServer()
 	options := proxy.Options{
 		Name:               s.Name,
-		Addr:               s.Peer(),
+		Addr:               s.PeerAddr(),
 		Zone:               ids.Zone(s.Zone),
 		Seeds:              s.Seeds,
 		Host:               host,
 		Ring:               ring,
-		Backend:            platform.NewWorkerBackend(host.Net, s.CloudAddr),
+		Backend:            platform.NewWorkerBackend(host.Net, s.CloudAPIAddr),
 		ReadConfiguration:  (&platform.DocumentReader{}).Read,
 		Programs:           programs,
 		LeaseDuration:      s.LeaseDuration,
-		ApplyMax:           s.ApplyMax,
-		ListRate:           s.ListRate,
+		ApplyMax:           s.MaxApplyDelay,
+		ListRate:           s.ListsPerSecond,
 		RetryRatio:         s.RetryRatio,
 		RetryWindow:        s.RetryWindow,
 		RetryAllowance:     s.RetryAllowance,
@@ -244,7 +244,7 @@
 		return err
 	}
 	go server.ServeClients(l, &platform.Frontend{Node: n, Clock: host.Clock})
-	n.Run(ctx, 2500*time.Millisecond, s.Grace-1500*time.Millisecond)
+	n.Run(ctx, 2500*time.Millisecond, s.GracePeriod-1500*time.Millisecond)
 	fmt.Println(n.Summary())
 	return nil
 }
--- a/cmd/keelstair-platform/main_test.go
+++ b/cmd/keelstair-platform/main_test.go
@@ -51,7 +51,7 @@
 	settings := "nodeName=a\nip=10.0.0.1\nzone=north\nzones.north=land\ninternalPorts=7300,7315\nseedNodes=10.0.0.1:1,10.0.0.2:1\n"
 	require.NoError(t, os.WriteFile(at, []byte(settings), 0o600))
 	t.Setenv(platform.SettingsVariable, at)
-	_, err := platform.Load()
+	_, err := platform.LoadSettings()
 	require.NoError(t, err)
 	hangUps := catchHangUps()
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
