--- a/internal/proxy/version_age.go
+++ b/internal/proxy/version_age.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// versionAgeMargin is kept from MaxApplyDelay for the way of an acknowledgement and of a request.
+	// versionAgeMargin is kept from ApplyMax for the way of an acknowledgement and of a request.
 	versionAgeMargin = 250 * time.Millisecond
 	// preparedWait is how long the core's word is waited for before a prepared version is put in
 	// force without it: it is durable, and acknowledged.
