--- a/coordination/catch_up.go
+++ b/coordination/catch_up.go
@@ -1,6 +1,7 @@
-// Catch-up prepares a backup for an epoch. A backup whose log equals the proposer's receives
-// nothing; one that is a few entries behind receives those entries; any other receives a full
-// snapshot, preceded by the chunks that it is missing.
+// Catch-up brings a backup to the proposer's state before the epoch in which it serves. A backup whose
+// log equals the proposer's receives no data; one that is a few entries behind receives those entries;
+// any other receives a full snapshot, preceded by the chunks (named pieces of the state machine's data)
+// that it is missing.
 
 package coordination
 
@@ -14,23 +15,24 @@
 	"keelstair.example/rpc"
 )
 
-// A catch-up message may take catchUpTimeout plus its size divided by slowLinkRate, which is what a
-// link of 10 Mbit/s carries beside other traffic, in bytes per second.
+// A catch-up call may take minCatchUpTimeout plus the size of its message divided by slowLinkRate, which
+// is in bytes per second: a fifth of a 10 Mbit/s link, which carries other traffic, too.
 const (
-	catchUpTimeout = 2 * time.Second
-	slowLinkRate   = 250_000
+	minCatchUpTimeout = 2 * time.Second
+	slowLinkRate      = 250_000
 )
 
-// sendTimeout returns the timeout for sending a message of the given size to a replica.
-func sendTimeout(bytes int) time.Duration {
-	return catchUpTimeout + time.Duration(bytes)*time.Second/slowLinkRate
+// catchUpCallTimeout returns the timeout of a call that sends a message of the given size in bytes,
+// including the time that the receiver takes to write it to disk.
+func catchUpCallTimeout(size int) time.Duration {
+	return minCatchUpTimeout + time.Duration(size)*time.Second/slowLinkRate
 }
 
-// stateAtSeq is a proposer's state at one position in the log. The full snapshot is encoded only if
-// a backup needs it.
-type stateAtSeq struct {
+// capturedState refers to a proposer's state at one position in the log, without a copy of it. The full
+// snapshot is encoded only if a backup needs it.
+type capturedState struct {
 	core     *Core
-	locked   bool // the caller holds dataMu
+	locked   bool // the caller of catchUp holds dataMu
 	state    *replicatedState
 	seq      ids.Seq
 	digest   []byte
@@ -38,17 +40,18 @@
 	chunks   []Chunk
 }
 
-// captureState captures the current state. From here on only a newer epoch changes it.
-func (c *Core) captureState(locked bool) *stateAtSeq {
+// captureState captures the current state. If a newer epoch changes the core's state later, withState
+// returns an error. If locked is true, the caller holds dataMu until the last use of the capture.
+func (c *Core) captureState(locked bool) *capturedState {
 	if !locked {
 		c.dataMu.Lock()
 		defer c.dataMu.Unlock()
 	}
-	return &stateAtSeq{core: c, locked: locked, state: c.state, seq: c.state.seq, digest: c.state.digest}
+	return &capturedState{core: c, locked: locked, state: c.state, seq: c.state.seq, digest: c.state.digest}
 }
 
 // withState calls f with dataMu held, or returns an error if the state has changed since its capture.
-func (s *stateAtSeq) withState(f func()) error {
+func (s *capturedState) withState(f func()) error {
 	if !s.locked {
 		s.core.dataMu.Lock()
 		defer s.core.dataMu.Unlock()
@@ -61,13 +64,13 @@
 }
 
 // entriesAfter returns the entries that a replica with this sequence number and log digest is missing.
-func (s *stateAtSeq) entriesAfter(seq ids.Seq, digest []byte) (entries []Entry, ok bool) {
+func (s *capturedState) entriesAfter(seq ids.Seq, digest []byte) (entries []Entry, ok bool) {
 	err := s.withState(func() { entries, ok = s.state.history.entriesAfter(seq, digest) })
 	return entries, ok && err == nil
 }
 
 // encodedSnapshot returns the encoded snapshot and its chunks.
-func (s *stateAtSeq) encodedSnapshot() ([]byte, []Chunk, error) {
+func (s *capturedState) encodedSnapshot() ([]byte, []Chunk, error) {
 	if s.snapshot != nil {
 		return s.snapshot, s.chunks, nil
 	}
@@ -75,20 +78,24 @@
 	return s.snapshot, s.chunks, err
 }
 
-// catchUp prepares a replica to be a backup in an epoch.
-func (c *Core) catchUp(ctx context.Context, e ids.Epoch, to Replica, state *stateAtSeq) error {
-	request := &SnapshotRequest{Epoch: e, From: c.self, Seq: state.seq, Digest: state.digest}
+// catchUp brings a replica to the captured state, so that it can be a backup in an epoch. It first sends
+// only the position and digest of the log. If the replica is behind, it sends the missing entries, or
+// else the full snapshot.
+func (c *Core) catchUp(ctx context.Context, e ids.Epoch, to Replica, captured *capturedState) error {
+	request := &CatchUpRequest{Epoch: e, From: c.self, Seq: captured.seq, Digest: captured.digest}
 	r, err := c.sendCatchUp(ctx, to, request)
 	if err == nil && r.Behind {
-		if entries, ok := state.entriesAfter(r.LastSeq, r.Digest); ok {
+		if entries, ok := captured.entriesAfter(r.LastSeq, r.Digest); ok {
 			request.Entries = entries
 			r, err = c.sendCatchUp(ctx, to, request)
 		}
 	}
+	// InvalidArgument comes from a replica that cannot apply the entries, or whose release requires a
+	// snapshot in every request. It may still be able to use a snapshot.
 	if err == nil && !r.Behind || err != nil && !failure.Is(err, failure.InvalidArgument) {
 		return refusalError(r, err, to)
 	}
-	body, chunks, err := state.encodedSnapshot()
+	body, chunks, err := captured.encodedSnapshot()
 	if err != nil {
 		return err
 	}
@@ -99,7 +106,7 @@
 func (c *Core) sendSnapshot(ctx context.Context, e ids.Epoch, to Replica, body []byte, chunks []Chunk) error {
 	c.snapshotsSent.Add(1)
 	c.options.Ring.Info().Str("peer", to.Addr).Int("bytes", len(body)).Msg("sending snapshot")
-	request := &SnapshotRequest{Epoch: e, From: c.self, State: body}
+	request := &CatchUpRequest{Epoch: e, From: c.self, State: body}
 	r, err := c.sendCatchUp(ctx, to, request)
 	if err == nil && len(r.MissingChunks) > 0 {
 		if err = c.sendChunks(ctx, e, to, r.MissingChunks, chunks); err == nil {
@@ -109,23 +116,25 @@
 	return refusalError(r, err, to)
 }
 
-func (c *Core) sendCatchUp(ctx context.Context, to Replica, request *SnapshotRequest) (*AppendResponse, error) {
-	ctx, stop := context.WithTimeout(ctx, sendTimeout(request.Msgsize()))
+func (c *Core) sendCatchUp(ctx context.Context, to Replica, request *CatchUpRequest) (*AppendResponse, error) {
+	ctx, stop := context.WithTimeout(ctx, catchUpCallTimeout(request.Msgsize()))
 	defer stop()
-	return rpc.Call[SnapshotRequest, AppendResponse](ctx, c.caller, c.directory.Addr(to), snapshotMethod, request)
+	return rpc.Call[CatchUpRequest, AppendResponse](ctx, c.caller, c.directory.Addr(to), catchUpMethod, request)
 }
 
-// refusalError returns err, or an error if the replica refused the request.
+// refusalError returns err, or an error if the replica refused a catch-up request.
 func refusalError(r *AppendResponse, err error, by Replica) error {
 	if err == nil && !r.OK {
-		return failure.New(failure.Stale, "send snapshot", by.Addr, "refused, promised %d", r.Promised)
+		return failure.New(failure.Stale, "send snapshot", by.Addr, "the replica refused; it has promised epoch %d", r.Promised)
 	}
 	return err
 }
 
-// handleSnapshot prepares this core to be a backup and syncs the data before it answers. Only the
-// proposer to which this register has promised the epoch may request it.
-func (c *Core) handleSnapshot(_ context.Context, request *SnapshotRequest) (*AppendResponse, error) {
+// handleCatchUp brings this core to the state of a proposer, so that it can be a backup in the proposer's
+// epoch. The data is on disk before it answers. Only the proposer to which this register has promised
+// the epoch may request it. The proposer's disk id is not checked in firstEpoch, which needs no promise,
+// or if the register does not name the proposer.
+func (c *Core) handleCatchUp(_ context.Context, request *CatchUpRequest) (*AppendResponse, error) {
 	c.dataMu.Lock()
 	defer c.dataMu.Unlock()
 	c.registerMu.Lock()
@@ -142,7 +151,7 @@
 }
 
 // appendMissing appends the entries that this core is missing, if they directly follow its log.
-func (c *Core) appendMissing(request *SnapshotRequest) (*AppendResponse, error) {
+func (c *Core) appendMissing(request *CatchUpRequest) (*AppendResponse, error) {
 	if c.reloadNeeded {
 		return &AppendResponse{Promised: request.Epoch, Behind: true}, nil
 	}
@@ -184,8 +193,9 @@
 	return nil
 }
 
-// restore replaces all data with the proposer's snapshot, or returns the names of the missing chunks.
-func (c *Core) restore(request *SnapshotRequest, promised ids.Epoch) (*AppendResponse, error) {
+// restore replaces all data with the proposer's snapshot. If chunks that the snapshot names are missing,
+// it changes nothing and returns their names.
+func (c *Core) restore(request *CatchUpRequest, promised ids.Epoch) (*AppendResponse, error) {
 	var snapshot Snapshot
 	if _, err := snapshot.UnmarshalMsg(request.State); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "read snapshot", request.From.Addr)
--- a/coordination/chunks.go
+++ b/coordination/chunks.go
@@ -150,7 +150,7 @@
 		if !want[chunk.Name] {
 			continue
 		}
-		callContext, stop := context.WithTimeout(ctx, sendTimeout(len(chunk.Body)))
+		callContext, stop := context.WithTimeout(ctx, catchUpCallTimeout(len(chunk.Body)))
 		r, err := rpc.Call[ChunkRequest, ChunkResponse](
 			callContext,
 			c.caller,
--- a/coordination/core.go
+++ b/coordination/core.go
@@ -152,7 +152,7 @@
 	c.directory.Serve(mux)
 	rpc.Handle(mux, ballotMethod, c.handleBallot)
 	rpc.Handle(mux, appendMethod, c.handleAppend)
-	rpc.Handle(mux, snapshotMethod, c.handleSnapshot)
+	rpc.Handle(mux, catchUpMethod, c.handleCatchUp)
 	rpc.Handle(mux, chunkMethod, c.handleChunk)
 	rpc.Handle(mux, SubmitMethod, c.handleSubmit)
 	rpc.Handle(mux, RenewMethod, c.handleRenew)
@@ -197,7 +197,7 @@
 	record, _ := c.acceptedRecord()
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
-	return containsDisk(record.Voters, c.self.Disk) && c.recentlyHeard(record.Primary.Disk, c.options.Host.Clock.Now())
+	return containsDisk(record.Voters, c.self.Disk) && c.recentlyHeardFrom(record.Primary.Disk, c.options.Host.Clock.Now())
 }
 
 // saveDirectory saves the directory every 2 s if it has changed, so that a restarted core finds its
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -1,6 +1,8 @@
-// The proposer's side of the ballots. A proposer holds the data: it is the primary or a backup of
-// the newest record that it knows. It must promise the new epoch itself, then brings its backups up
-// to date, and is the primary once a majority of each quorum has accepted the record.
+// The proposer's side of the ballots, which decide a record in two rounds, prepare and accept. A
+// proposer holds the data: it is the primary or a backup of the newest record that it knows. In the
+// first round it also promises the new epoch itself. It then brings the new backups up to date, and
+// becomes the primary once a majority of the voters and, during a change of voters, a majority of the
+// outgoing voters have accepted the record.
 
 package coordination
 
@@ -17,8 +19,8 @@
 )
 
 const (
-	voteTimeout = 700 * time.Millisecond // for the responses of one round
-	voteGrace   = 60 * time.Millisecond  // for further responses once a quorum has agreed
+	ballotRoundTimeout = 700 * time.Millisecond // for the responses of one round
+	lateResponseWait   = 60 * time.Millisecond  // for further responses once enough replicas have agreed
 )
 
 // ballotOptions describes the change that a ballot proposes.
@@ -30,7 +32,7 @@
 	notBackup    ids.DiskID // a replica that must not become a backup
 }
 
-// observeEpoch records an epoch that is in use, so that the next ballot proposes a higher one.
+// observeEpoch records that an epoch is in use, so that the next ballot proposes a higher one.
 func (c *Core) observeEpoch(e ids.Epoch) {
 	for {
 		previous := c.highestEpoch.Load()
@@ -40,50 +42,52 @@
 	}
 }
 
-// vote is one replica's response in a round.
-type vote struct {
+// replicaResponse is one replica's response to a ballot request, a refusal included.
+type replicaResponse struct {
 	from     Replica
 	response *BallotResponse
 }
 
-// collectVotes sends a ballot request of either round to the replicas. It returns the newest record
-// in their responses and the replicas that agreed. Once enough have agreed, it waits for the others
-// for voteGrace only; if enough is nil, it waits for all of them.
-func (c *Core) collectVotes(
+// collectResponses sends a ballot request of either round to the replicas. It returns the newest record
+// in their responses and the replicas that agreed. Once enough reports true for those that agreed, it
+// waits only lateResponseWait for the others. If enough is nil, it waits for all of them. It never waits
+// longer than ballotRoundTimeout.
+func (c *Core) collectResponses(
 	ctx context.Context,
 	request *BallotRequest,
 	voters []Replica,
 	enough func(yes []Replica) bool,
 ) (Record, []Replica) {
-	ctx, stop := context.WithTimeout(ctx, voteTimeout)
+	ctx, stop := context.WithTimeout(ctx, ballotRoundTimeout)
 	defer stop()
-	votes := make(chan vote, len(voters))
+	responses := make(chan replicaResponse, len(voters))
 	for _, s := range voters {
-		go func() { votes <- vote{s, c.requestVote(ctx, s, request)} }()
+		go func() { responses <- replicaResponse{s, c.sendBallotRequest(ctx, s, request)} }()
 	}
 	var newest Record
 	var yes []Replica
 	var graceOver <-chan time.Time
 	for range voters {
 		select {
-		case v := <-votes:
-			c.observeEpoch(v.response.Promised)
-			newest = newerRecord(newest, v.response.Accepted)
-			if v.response.OK {
-				yes = append(yes, v.from)
+		case r := <-responses:
+			c.observeEpoch(r.response.Promised)
+			newest = newerRecord(newest, r.response.Accepted)
+			if r.response.OK {
+				yes = append(yes, r.from)
 			}
 		case <-graceOver:
 			return newest, yes
 		}
 		if graceOver == nil && enough != nil && enough(yes) {
-			graceOver = host.NewTimer(voteGrace).C
+			graceOver = host.NewTimer(lateResponseWait).C
 		}
 	}
 	return newest, yes
 }
 
-// requestVote returns a replica's response, or an empty response, which is a refusal, on an error.
-func (c *Core) requestVote(ctx context.Context, s Replica, request *BallotRequest) *BallotResponse {
+// sendBallotRequest sends a ballot request to a replica, which may be this core, and returns its response.
+// If the call fails, it returns an empty response, which counts as a refusal.
+func (c *Core) sendBallotRequest(ctx context.Context, s Replica, request *BallotRequest) *BallotResponse {
 	var reply *BallotResponse
 	var err error
 	if s.Disk == c.self.Disk {
@@ -106,6 +110,7 @@
 	return a
 }
 
+// isMajority reports whether more than half of the set are in yes.
 func isMajority(set, yes []Replica) bool {
 	n := 0
 	for _, s := range set {
@@ -116,25 +121,28 @@
 	return 2*n > len(set)
 }
 
-// campaign makes this core the primary of a new epoch with up-to-date backups, in two rounds over the
-// registers. A caller that is already the primary must hold dataMu.
-func (c *Core) campaign(ctx context.Context, p ballotOptions) (Record, error) {
+// runBallot makes this core the primary of a new epoch with up-to-date backups, in two rounds over the
+// voters' registers, and returns the new record. A core that is already the primary calls it to change
+// its voters or backups, and must hold dataMu.
+func (c *Core) runBallot(ctx context.Context, opts ballotOptions) (Record, error) {
 	current, promised := c.acceptedRecord()
 	c.observeEpoch(promised)
-	if !c.isDataReplica(current) || p.leadingEpoch != 0 && current.Epoch != p.leadingEpoch {
-		return current, failure.New(failure.Stale, "ascend", c.self.Addr, "the newest record names other replicas")
+	if !c.isDataReplica(current) || opts.leadingEpoch != 0 && current.Epoch != opts.leadingEpoch {
+		return current, failure.New(
+			failure.Stale, "ascend", c.self.Addr, "the newest record names other data replicas or is of a later epoch",
+		)
 	}
-	next := c.draftRecord(current, p)
-	yes, err := c.prepare(ctx, current, &next, p)
+	next := c.draftRecord(current, opts)
+	yes, err := c.runFirstRound(ctx, current, &next, opts)
 	if err != nil {
 		return current, err
 	}
-	ready, err := c.prepareBackups(ctx, next, yes, p)
+	ready, err := c.catchUpBackups(ctx, next, yes, opts)
 	if err != nil {
 		return current, err
 	}
 	next.setBackups(ready)
-	if err := c.commitRecord(ctx, next, ready); err != nil {
+	if err := c.runSecondRound(ctx, next, ready); err != nil {
 		return current, err
 	}
 	c.registerMu.Lock()
@@ -144,18 +152,18 @@
 	return next, nil
 }
 
-// draftRecord returns the record to propose, without its backups. Voters change only relative to a
-// record that is known to be decided, and only its primary knows that; so a takeover keeps the
-// voters, together with an undecided change of them.
-func (c *Core) draftRecord(current Record, p ballotOptions) Record {
+// draftRecord returns the record to propose, without its backups. Only the primary may change the
+// voters or clear OutgoingVoters, since only the primary knows that its record is decided. A takeover
+// keeps both lists: a change of voters that was in progress stays undecided.
+func (c *Core) draftRecord(current Record, opts ballotOptions) Record {
 	next := current
 	next.Epoch = ids.Epoch(c.highestEpoch.Load() + 1)
 	next.Primary = c.self
 	next.setBackups(nil)
 	next.Voters = nil
 	for _, s := range current.Voters {
-		if s.Disk == p.removed {
-			s = p.added
+		if s.Disk == opts.removed {
+			s = opts.added
 		}
 		s.Addr = c.directory.Addr(s)
 		if s.Disk == c.self.Disk {
@@ -164,31 +172,34 @@
 		next.Voters = append(next.Voters, s)
 	}
 	switch {
-	case p.removed != "":
+	case opts.removed != "":
 		next.OutgoingVoters = current.Voters
-	case p.leadingEpoch != 0:
+	case opts.leadingEpoch != 0:
 		next.OutgoingVoters = nil
 	}
 	return next
 }
 
-// prepare runs the first round: a majority of each quorum and the proposer itself must promise the
-// epoch. The proposer's own promise keeps the previous primary from acknowledging more commands.
-func (c *Core) prepare(ctx context.Context, current Record, next *Record, p ballotOptions) ([]Replica, error) {
+// runFirstRound asks the voters to promise the epoch and returns those that did. A majority of each
+// voter set and the proposer itself must promise it. The proposer is a data replica: a previous primary
+// needs its acknowledgement for every command, and gets none for an older epoch after the promise. If a
+// voter reports that the change of voters in the current record is decided, runFirstRound clears
+// next.OutgoingVoters, unless this ballot changes the voters itself.
+func (c *Core) runFirstRound(ctx context.Context, current Record, next *Record, opts ballotOptions) ([]Replica, error) {
 	request := &BallotRequest{
 		Epoch:    next.Epoch,
 		From:     c.self,
-		Takeover: p.leadingEpoch == 0 && !p.transfer,
+		Takeover: opts.leadingEpoch == 0 && !opts.transfer,
 		Record:   *next,
 	}
 	enough := func(yes []Replica) bool { return containsDisk(yes, c.self.Disk) && next.decidedBy(yes) }
-	newest, yes := c.collectVotes(ctx, request, next.allVoters(), enough)
+	newest, yes := c.collectResponses(ctx, request, next.allVoters(), enough)
 	if newest.Epoch > current.Epoch {
 		c.directory.Merge(&PeerExchange{Record: newest})
 		c.adoptRecord(newest)
 		return nil, failure.New(failure.Stale, "ascend", c.self.Addr, "epoch %d is newer", newest.Epoch)
 	}
-	if newest.Epoch == current.Epoch && len(newest.OutgoingVoters) == 0 && p.removed == "" {
+	if newest.Epoch == current.Epoch && len(newest.OutgoingVoters) == 0 && opts.removed == "" {
 		next.OutgoingVoters = nil
 	}
 	if !enough(yes) {
@@ -196,7 +207,7 @@
 			failure.Unavailable,
 			"ascend",
 			c.self.Addr,
-			"%d of %d registers promised",
+			"%d of %d voters promised",
 			len(yes),
 			len(next.allVoters()),
 		)
@@ -204,13 +215,14 @@
 	return yes, nil
 }
 
-// prepareBackups brings as many backups as the record needs up to this core's state. It tries the
-// replicas of the current record first and those that are shutting down last.
-func (c *Core) prepareBackups(ctx context.Context, next Record, yes []Replica, p ballotOptions) ([]Replica, error) {
+// catchUpBackups chooses as many backups as the record needs among the replicas that promised, brings
+// them up to this core's state, and returns them. It tries the data replicas of the current record first
+// and replicas that are shutting down last.
+func (c *Core) catchUpBackups(ctx context.Context, next Record, yes []Replica, opts ballotOptions) ([]Replica, error) {
 	current, _ := c.acceptedRecord()
 	priority := func(s Replica) int {
 		switch {
-		case s.Disk == p.notBackup || c.directory.isLeaving(s.Disk):
+		case s.Disk == opts.notBackup || c.directory.isLeaving(s.Disk):
 			return 2
 		case isDataReplicaOf(current, s):
 			return 0
@@ -218,11 +230,11 @@
 		return 1
 	}
 	sort.SliceStable(yes, func(i, j int) bool { return priority(yes[i]) < priority(yes[j]) })
-	state := c.captureState(p.leadingEpoch != 0)
+	captured := c.captureState(opts.leadingEpoch != 0)
 	var ready []Replica
 	for _, s := range yes {
-		if len(ready) < next.faultTolerance() && s.Disk != c.self.Disk && s.Disk != p.notBackup &&
-			containsDisk(next.Voters, s.Disk) && c.catchUp(ctx, next.Epoch, s, state) == nil {
+		if len(ready) < next.faultTolerance() && s.Disk != c.self.Disk && s.Disk != opts.notBackup &&
+			containsDisk(next.Voters, s.Disk) && c.catchUp(ctx, next.Epoch, s, captured) == nil {
 			ready = append(ready, s)
 		}
 	}
@@ -239,11 +251,11 @@
 	return ready, nil
 }
 
-// commitRecord runs the second round. The backups must accept before the other voters are asked: a
-// record that the voters have decided relies on its backups.
-func (c *Core) commitRecord(ctx context.Context, next Record, ready []Replica) error {
+// runSecondRound asks the voters to accept the record. The backups accept first: once a majority has
+// accepted, the record is in force, and all its backups must already have accepted it.
+func (c *Core) runSecondRound(ctx context.Context, next Record, ready []Replica) error {
 	request := &BallotRequest{Epoch: next.Epoch, From: c.self, Accept: true, Record: next}
-	if _, yes := c.collectVotes(ctx, request, ready, nil); len(yes) < len(ready) {
+	if _, yes := c.collectResponses(ctx, request, ready, nil); len(yes) < len(ready) {
 		return failure.New(
 			failure.OutcomeUnknown, "ascend", next.Backup.Addr, "%d of %d backups accepted", len(yes), len(ready),
 		)
@@ -257,14 +269,15 @@
 	enough := func(yes []Replica) bool {
 		return containsDisk(yes, c.self.Disk) && next.decidedBy(append(slices.Clone(yes), ready...))
 	}
-	if _, yes := c.collectVotes(ctx, request, rest, enough); !enough(yes) {
+	if _, yes := c.collectResponses(ctx, request, rest, enough); !enough(yes) {
 		return failure.New(
-			failure.OutcomeUnknown, "ascend", c.self.Addr, "only %d registers accepted", len(yes)+len(ready),
+			failure.OutcomeUnknown, "ascend", c.self.Addr, "only %d voters accepted", len(yes)+len(ready),
 		)
 	}
 	return nil
 }
 
+// isDataReplicaOf reports whether a replica is the primary or a backup of a record.
 func isDataReplicaOf(r Record, s Replica) bool {
 	return s.Disk == r.Primary.Disk || r.backupRank(s.Disk) >= 0
 }
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -36,7 +36,7 @@
 		now := c.options.Host.Clock.Now()
 		record, _ := c.acceptedRecord()
 		known := c.directory.Record()
-		if f := c.directory.ForeignCluster(); f != "" && record.ClusterID != "" && c.orphaned(now, record) {
+		if f := c.directory.ForeignCluster(); f != "" && record.ClusterID != "" && c.outOfContactWithVoters(now, record) {
 			c.fatal <- failure.New(failure.InvalidArgument, "meet peers", f,
 				"this disk belongs to founding %s; the seeds belong to another", record.ClusterID)
 			return
@@ -64,7 +64,7 @@
 		if !transferRequested && (!now.Past(idle, wait) || now.Before(notBefore)) {
 			continue
 		}
-		elected, err := c.campaign(ctx, ballotOptions{transfer: transferRequested})
+		elected, err := c.runBallot(ctx, ballotOptions{transfer: transferRequested})
 		if err != nil {
 			c.options.Ring.Warn().AnErr("cause", err).Msg("election failed")
 			notBefore = c.electionBackoff(now)
@@ -75,8 +75,8 @@
 	}
 }
 
-// electionWait returns for how long after the tick idle this core does not stand for election. On a
-// backup it first advances idle to when the primary was last heard.
+// electionWait returns how long after the tick idle this core waits before it stands for election. On a
+// backup it first advances idle to when this core last heard from the primary.
 func (c *Core) electionWait(record Record, idle *ids.Tick) time.Duration {
 	wait := time.Duration(0)
 	if rank := record.backupRank(c.self.Disk); rank >= 0 {
@@ -123,8 +123,8 @@
 	return true
 }
 
-// orphaned reports whether no voter of this core's cluster was heard for 5 s.
-func (c *Core) orphaned(now ids.Tick, record Record) bool {
+// outOfContactWithVoters reports whether this core has heard from no voter of its cluster for 5 s.
+func (c *Core) outOfContactWithVoters(now ids.Tick, record Record) bool {
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
 	for _, s := range record.Voters {
--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -1,6 +1,6 @@
 // A forced new cluster: the operation with which an operator recovers when two of three voters are
 // lost for good. One disk with the data continues with two empty machines, in an epoch far above all
-// earlier ones. It is refused where it could do harm: while another voter is heard, on a disk that is
+// earlier ones. It is refused where it could do harm: while another voter is reachable, on a disk that is
 // behind, and on a disk without the data.
 
 package coordination
@@ -65,8 +65,8 @@
 	return failure.New(failure.InvalidArgument, "found anew", c.self.Addr, format, args...)
 }
 
-// awaitSpares waits until enough empty machines are heard. It listens for newClusterMinWait at least,
-// and returns an error if another voter or a newer record is heard.
+// awaitSpares waits until it has heard from enough empty machines, and for newClusterMinWait at least. It
+// returns an error if it hears from another voter or of a newer record.
 func (c *Core) awaitSpares(ctx context.Context, record Record) ([]Replica, error) {
 	needed := 2 * record.faultTolerance()
 	start := c.options.Host.Clock.Now()
@@ -123,7 +123,7 @@
 // backups install the snapshot, and the backups accept before the other voters.
 func (c *Core) bootstrapRecord(ctx context.Context, record Record, body []byte, chunks []Chunk) bool {
 	request := &BallotRequest{Epoch: record.Epoch, From: c.self, Record: record}
-	if _, yes := c.collectVotes(ctx, request, record.Voters, nil); len(yes) < len(record.Voters) {
+	if _, yes := c.collectResponses(ctx, request, record.Voters, nil); len(yes) < len(record.Voters) {
 		if _, promised := c.acceptedRecord(); promised != record.Epoch {
 			return false
 		}
@@ -141,7 +141,7 @@
 		}
 	}
 	for _, s := range append(order, c.self) {
-		if _, yes := c.collectVotes(ctx, request, []Replica{s}, nil); len(yes) < 1 {
+		if _, yes := c.collectResponses(ctx, request, []Replica{s}, nil); len(yes) < 1 {
 			return false
 		}
 	}
--- a/coordination/invalid_message_test.go
+++ b/coordination/invalid_message_test.go
@@ -75,7 +75,7 @@
 			require.NoError(t, c.store.saveChunk(chunk))
 		}
 		for size := range body {
-			r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{
+			r, err := c.handleCatchUp(context.Background(), &CatchUpRequest{
 				Epoch: 2,
 				From:  proposer,
 				State: body[:size],
@@ -86,7 +86,7 @@
 			}
 			requireUnchanged(t, c)
 		}
-		r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{Epoch: 2, From: proposer, State: body})
+		r, err := c.handleCatchUp(context.Background(), &CatchUpRequest{Epoch: 2, From: proposer, State: body})
 		require.NoError(t, err)
 		require.True(t, r.OK)
 		require.Equal(t, strings.Repeat("other,", 6)+"other", c.state.machine.(*listStateMachine).all())
@@ -101,7 +101,7 @@
 		changed := bytes.ToUpper(chunks[0].Body)
 		_, err := c.handleChunk(context.Background(), &ChunkRequest{Epoch: 2, Name: chunks[0].Name, Body: changed})
 		require.ErrorContains(t, err, "does not fit its name")
-		r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{Epoch: 2, From: proposer, State: body})
+		r, err := c.handleCatchUp(context.Background(), &CatchUpRequest{Epoch: 2, From: proposer, State: body})
 		require.NoError(t, err)
 		require.Equal(t, []string{chunks[0].Name}, r.MissingChunks)
 		requireUnchanged(t, c)
@@ -115,7 +115,7 @@
 		body, chunks := snapshotOf(t)
 		require.NoError(t, c.store.saveChunk(chunks[0]))
 		for _, epoch := range []ids.Epoch{0, 1, 3} {
-			r, err := c.handleSnapshot(context.Background(), &SnapshotRequest{
+			r, err := c.handleCatchUp(context.Background(), &CatchUpRequest{
 				Epoch: epoch,
 				From:  proposer,
 				State: body,
--- a/coordination/leader.go
+++ b/coordination/leader.go
@@ -23,7 +23,7 @@
 	renew     *RenewRequest
 	readState bool
 	leaver    *Replica // a replica that is shutting down
-	transfer  bool     // hand leadership over to a backup
+	transfer  bool     // hand the primary role over to a backup
 
 	result   []byte
 	renewal  *RenewResponse
@@ -32,7 +32,7 @@
 	done     chan struct{}
 }
 
-// leader is the state of one term as primary.
+// leader is the state of one term as primary; a core leads while it is the primary.
 type leader struct {
 	core   *Core
 	record Record
@@ -222,8 +222,9 @@
 	}
 }
 
-// replicate returns only once all copies are synced. If a backup fails, it decides a new record with
-// backups that are brought up to date, these entries included; all operations wait meanwhile.
+// replicate returns nil only once the entries are synced to disk here and at every backup. If a backup
+// fails, it runs a ballot for a record with other backups, which are brought up to date with these
+// entries included. All operations wait meanwhile.
 func (l *leader) replicate(ctx context.Context, prev ids.Seq, entries []Entry) error {
 	c := l.core
 	var wg sync.WaitGroup
@@ -252,7 +253,7 @@
 		return nil
 	}
 	for attempt := 0; ; attempt++ {
-		record, err := c.campaign(ctx, ballotOptions{leadingEpoch: l.record.Epoch})
+		record, err := c.runBallot(ctx, ballotOptions{leadingEpoch: l.record.Epoch})
 		if err == nil {
 			l.record = record
 			return nil
@@ -276,7 +277,7 @@
 		if r.Promised > request.Epoch {
 			l.core.observeEpoch(r.Promised)
 		}
-		return failure.New(failure.Stale, "append", s.Addr, "refused, promised %d", r.Promised)
+		return failure.New(failure.Stale, "append", s.Addr, "the backup refused; it has promised epoch %d", r.Promised)
 	}
 	l.core.recordContactFrom(s.Disk)
 	return nil
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -1,5 +1,6 @@
-// Changes of membership by consensus, one voter at a time: a lost voter is replaced by a spare
-// replica, and a replica that is shutting down first hands over its roles.
+// Changes of the membership record, which names the primary, backups and voters of an epoch. The
+// primary replaces a lost voter by a spare replica and spreads the voters over the zones, one voter per
+// ballot. A replica that is shutting down first hands over its roles.
 
 package coordination
 
@@ -16,19 +17,19 @@
 )
 
 const (
-	spareMaxSilence       = 5 * time.Second         // within which a spare must have been heard
-	handOverRetryInterval = 150 * time.Millisecond  // between two attempts to hand over
+	spareMaxSilence       = 5 * time.Second         // a spare silent for longer is not used
+	handOverRetryInterval = 150 * time.Millisecond  // between two attempts to hand over the roles
 	handOverTimeout       = 1500 * time.Millisecond // timeout of one attempt
-	// rebalanceDelay is the age from which a record's voters may be rebalanced over the zones: more
-	// than a process takes to restart.
+	// rebalanceDelay is how long the membership must be unchanged before voters are rebalanced over the
+	// zones. It is longer than a process takes to restart.
 	rebalanceDelay = 10 * time.Second
 )
 
-// errLeadershipTransferred ends the term of a primary that has asked a backup to take over.
-var errLeadershipTransferred = failure.New(failure.Stale, "lead", "", "leadership was transferred to a backup")
+// errPrimaryRoleTransferred ends the term of a primary after a backup has agreed to take over.
+var errPrimaryRoleTransferred = failure.New(failure.Stale, "lead", "", "the primary role was transferred to a backup")
 
-// reconcileMembership replaces a voter that was silent for too long by a spare, or else rebalances
-// the voters over the zones.
+// reconcileMembership replaces a voter that has been silent for too long by a spare. If there is none
+// to replace, it rebalances the voters over the zones.
 func (l *leader) reconcileMembership(ctx context.Context) error {
 	now := l.core.options.Host.Clock.Now()
 	l.core.directory.SetMembers(l.members())
@@ -39,7 +40,7 @@
 				leadingEpoch: l.record.Epoch,
 				removed:      s.Disk,
 				added:        spare,
-			}, "replacing voter")
+			}, "ballot to replace a lost voter ended")
 		}
 	}
 	if out, in, ok := l.zoneImbalance(spares, now); ok {
@@ -47,30 +48,32 @@
 			leadingEpoch: l.record.Epoch,
 			removed:      out.Disk,
 			added:        in,
-		}, "rebalancing voters over zones")
+		}, "ballot to rebalance voters over zones ended")
 	}
 	return nil
 }
 
 // zoneImbalance returns a voter to replace, and as its replacement a spare in a zone that has at
-// least two voters fewer, so that the loss of a zone takes as few voters as possible. It requires
-// that all voters are heard and that the record is older than rebalanceDelay.
+// least two voters fewer, so that the loss of a zone loses as few voters as possible. It never
+// replaces this core. It returns false unless the membership has not changed for rebalanceDelay and
+// this core has recently heard from all other voters.
 func (l *leader) zoneImbalance(spares []Replica, now ids.Tick) (out, in Replica, ok bool) {
-	if !now.Past(max(l.ledSince, l.membershipChangedAt), rebalanceDelay) || len(spares) == 0 || !l.allHeard(now) {
+	if !now.Past(max(l.ledSince, l.membershipChangedAt), rebalanceDelay) || len(spares) == 0 || !l.recentlyHeardFromAll(now) {
 		return Replica{}, Replica{}, false
 	}
 	perZone := countByZone(l.record.Voters, "")
 	in = inSmallestZone(spares, perZone)
 	for _, s := range l.record.Voters {
-		better := perZone[in.Zone]+2 <= perZone[s.Zone]
-		if better && s.Disk != l.core.self.Disk && (out.Disk == "" || l.record.backupRank(out.Disk) >= 0) {
-			out = s // prefers a voter without data
+		evensZones := perZone[in.Zone]+2 <= perZone[s.Zone]
+		// A backup is chosen only if no other voter qualifies: replacing a voter without data is cheaper.
+		if evensZones && s.Disk != l.core.self.Disk && (out.Disk == "" || l.record.backupRank(out.Disk) >= 0) {
+			out = s
 		}
 	}
 	return out, in, out.Disk != ""
 }
 
-// countByZone counts the replicas in each zone, except one replica.
+// countByZone returns the number of replicas in each zone, not counting the one with the given disk.
 func countByZone(list []Replica, without ids.DiskID) map[ids.Zone]int {
 	perZone := map[ids.Zone]int{}
 	for _, s := range list {
@@ -81,33 +84,33 @@
 	return perZone
 }
 
-// inSmallestZone returns the spare whose zone has the fewest voters; of several, the one with the
-// lowest disk id.
+// inSmallestZone returns the spare whose zone has the fewest voters. Ties go to the lowest disk id.
 func inSmallestZone(spares []Replica, perZone map[ids.Zone]int) Replica {
 	return slices.MinFunc(spares, func(a, b Replica) int {
 		return cmp.Or(cmp.Compare(perZone[a.Zone], perZone[b.Zone]), cmp.Compare(a.Disk, b.Disk))
 	})
 }
 
-// allHeard reports whether every other voter was recently heard.
-func (l *leader) allHeard(now ids.Tick) bool {
+// recentlyHeardFromAll reports whether this core has recently heard from every other voter.
+func (l *leader) recentlyHeardFromAll(now ids.Tick) bool {
 	l.core.registerMu.Lock()
 	defer l.core.registerMu.Unlock()
 	for _, s := range l.record.Voters {
-		if s.Disk != l.core.self.Disk && !l.core.recentlyHeard(s.Disk, now) {
+		if s.Disk != l.core.self.Disk && !l.core.recentlyHeardFrom(s.Disk, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// changeMembership runs a ballot that changes the membership, and logs it under the given message.
-func (l *leader) changeMembership(ctx context.Context, p ballotOptions, message string) error {
+// changeMembership runs a ballot that changes the membership, and logs its end under the given
+// message, with the cause if it failed.
+func (l *leader) changeMembership(ctx context.Context, opts ballotOptions, message string) error {
 	c := l.core
 	c.dataMu.Lock()
-	record, err := c.campaign(ctx, p)
+	record, err := c.runBallot(ctx, opts)
 	c.dataMu.Unlock()
-	c.options.Ring.Warn().AnErr("cause", err).Str("removed", string(p.removed)).Str("added", p.added.Addr).Msg(message)
+	c.options.Ring.Warn().AnErr("cause", err).Str("removed", string(opts.removed)).Str("added", opts.added.Addr).Msg(message)
 	if err == nil {
 		l.record = record
 		l.membershipChangedAt = c.options.Host.Clock.Now()
@@ -115,7 +118,8 @@
 	return err
 }
 
-// spareReplicas returns the recently heard replicas that are not voters and not shutting down.
+// spareReplicas returns the replicas that were heard from within spareMaxSilence and are neither voters
+// nor shutting down.
 func (c *Core) spareReplicas(record Record) []Replica {
 	all, _ := c.directory.recentReplicas(spareMaxSilence)
 	var out []Replica
@@ -127,9 +131,9 @@
 	return out
 }
 
-// replacementFor returns the spare that replaces a voter that is considered lost. A spare at the
-// voter's own address replaces it after ElectionTimeout, since the previous disk there will not come
-// back; any other spare replaces it after ReplaceAfter.
+// replacementFor returns the spare that should replace a voter, if the voter has been silent for too
+// long. A spare at the voter's own address replaces it after ElectionTimeout, since the previous disk
+// at that address will not come back; any other spare replaces it after ReplaceAfter.
 func (l *leader) replacementFor(s Replica, spares []Replica, now ids.Tick) (Replica, bool) {
 	c := l.core
 	c.registerMu.Lock()
@@ -150,10 +154,10 @@
 	return inSmallestZone(spares, countByZone(l.record.Voters, s.Disk)), true
 }
 
-// Leave hands over this core's roles, so that it can shut down: leadership to an up-to-date backup,
-// its copy of the data to another voter, its register to a spare. It returns nil once that is done,
-// or the last error when the context ends. The core keeps serving meanwhile; a process that
-// restarts on the same disk participates as before.
+// Leave hands over this core's roles, so that it can shut down: the primary role to an up-to-date
+// backup, the backup role to another voter, and its place as a voter to a spare. It returns nil once
+// that is done, or the last error when the context ends. The core keeps serving meanwhile. A process
+// that restarts on the same disk participates as before.
 func (c *Core) Leave(ctx context.Context) error {
 	c.leaving.Store(true)
 	c.directory.setLeaving()
@@ -161,17 +165,18 @@
 	for {
 		done, err := c.handOver(ctx)
 		if done {
-			c.options.Ring.Info().Msg("shutdown: handed over")
+			c.options.Ring.Info().Msg("shutting down: all roles handed over")
 			return nil
 		}
 		if !host.Sleep(ctx, handOverRetryInterval) {
-			c.options.Ring.Warn().AnErr("cause", err).Msg("shutdown: not handed over")
+			c.options.Ring.Warn().AnErr("cause", err).Msg("shutting down: not all roles were handed over")
 			return failure.Wrap(err, "leave", c.self.Addr)
 		}
 	}
 }
 
-// handOver takes the next step of Leave. It returns true once nothing depends on this core.
+// handOver takes the next step of Leave. It returns true once the membership no longer depends on this
+// core.
 func (c *Core) handOver(ctx context.Context) (bool, error) {
 	record, _ := c.acceptedRecord()
 	if known := c.directory.Record(); known.Epoch > record.Epoch {
@@ -201,7 +206,7 @@
 	return r.Done, nil
 }
 
-// handleLeave releases a replica that is shutting down from the record.
+// handleLeave removes a replica that is shutting down from the membership.
 func (c *Core) handleLeave(ctx context.Context, request *LeaveRequest) (*LeaveResponse, error) {
 	l := c.leader.Load()
 	if l == nil {
@@ -223,63 +228,65 @@
 	for _, op := range batch {
 		switch {
 		case op.leaver != nil:
-			err := l.releaseReplica(ctx, op, *op.leaver)
+			err := l.removeLeavingReplica(ctx, op, *op.leaver)
 			if err != nil {
 				return err
 			}
 		case op.transfer:
-			if op.err = l.transferLeadership(ctx); op.err == nil {
-				return errLeadershipTransferred
+			if op.err = l.transferPrimaryRole(ctx); op.err == nil {
+				return errPrimaryRoleTransferred
 			}
 		}
 	}
 	return nil
 }
 
-// releaseReplica removes a replica that is shutting down from the record: a spare, if there is one,
-// becomes a voter in its place, and another voter becomes a backup in its place.
-func (l *leader) releaseReplica(ctx context.Context, op *operation, leaver Replica) error {
+// removeLeavingReplica removes a replica that is shutting down from the membership. A spare, if there is
+// one, becomes a voter in its place. If the replica is a backup, another voter becomes a backup in its
+// place.
+func (l *leader) removeLeavingReplica(ctx context.Context, op *operation, leaver Replica) error {
 	c := l.core
 	if !containsDisk(l.record.Voters, leaver.Disk) || leaver.Disk == c.self.Disk {
 		return nil
 	}
-	p := ballotOptions{leadingEpoch: l.record.Epoch, notBackup: leaver.Disk}
+	opts := ballotOptions{leadingEpoch: l.record.Epoch, notBackup: leaver.Disk}
 	if spares := c.spareReplicas(l.record); len(spares) > 0 {
-		p.removed, p.added = leaver.Disk, inSmallestZone(spares, countByZone(l.record.Voters, leaver.Disk))
+		opts.removed, opts.added = leaver.Disk, inSmallestZone(spares, countByZone(l.record.Voters, leaver.Disk))
 	} else if l.record.backupRank(leaver.Disk) < 0 {
 		return nil
 	}
-	if !l.canRelease(leaver.Disk) {
+	if !l.canRemove(leaver.Disk) {
 		op.err = failure.New(
 			failure.Unavailable, "leave", c.self.Addr, "not enough other replicas are reachable to hold the data",
 		)
 		return nil
 	}
-	err := l.changeMembership(ctx, p, "releasing replica")
+	err := l.changeMembership(ctx, opts, "ballot to remove a leaving replica ended")
 	if err != nil {
 		op.err = err
 	}
 	return err
 }
 
-// canRelease reports whether enough voters other than this core and the leaver are heard to be the
-// backups.
-func (l *leader) canRelease(leaver ids.DiskID) bool {
+// canRemove reports whether this core has recently heard from enough voters other than the leaver for
+// them to be the backups.
+func (l *leader) canRemove(leaver ids.DiskID) bool {
 	c := l.core
 	now := c.options.Host.Clock.Now()
 	c.registerMu.Lock()
 	defer c.registerMu.Unlock()
 	n := 0
 	for _, s := range l.record.Voters {
-		if s.Disk != c.self.Disk && s.Disk != leaver && c.recentlyHeard(s.Disk, now) {
+		if s.Disk != c.self.Disk && s.Disk != leaver && c.recentlyHeardFrom(s.Disk, now) {
 			n++
 		}
 	}
 	return n >= l.record.faultTolerance()
 }
 
-// transferLeadership asks a backup to take over at once. Every backup has all acknowledged entries.
-func (l *leader) transferLeadership(ctx context.Context) error {
+// transferPrimaryRole asks the backups, in the order of their rank, to take over at once, until one agrees.
+// Every backup has all acknowledged entries.
+func (l *leader) transferPrimaryRole(ctx context.Context) error {
 	c := l.core
 	err := failure.New(failure.Unavailable, "hand over", c.self.Addr, "no backup is available to take over")
 	for _, s := range l.record.backups() {
@@ -304,8 +311,8 @@
 	return err
 }
 
-// handleTransfer accepts a primary's request to take over and makes the election loop start an
-// election at once.
+// handleTransfer handles a primary's request to take over. If this core is a backup of that primary and
+// not shutting down, it agrees, and its election loop starts an election at once.
 func (c *Core) handleTransfer(_ context.Context, request *TransferRequest) (*TransferResponse, error) {
 	record, _ := c.acceptedRecord()
 	if record.Epoch != request.Epoch || record.Primary.Disk != request.From.Disk ||
--- a/coordination/messages.go
+++ b/coordination/messages.go
@@ -21,7 +21,7 @@
 	ballotMethod    = "crux/ballot"
 	appendMethod    = "crux/append"
 	heartbeatMethod = "crux/beat"
-	snapshotMethod  = "crux/picture"
+	catchUpMethod   = "crux/picture"
 	chunkMethod     = "crux/sheet"
 	transferMethod  = "crux/lead"
 	leaveMethod     = "crux/leave"
@@ -104,10 +104,10 @@
 	Digest        []byte   `msg:"Digest,omitempty"` // of the log up to LastSeq
 }
 
-// SnapshotRequest prepares a backup for an epoch, in one of three ways: with Seq and Digest alone if
+// CatchUpRequest brings a backup to the proposer's state, in one of three ways: with Seq and Digest alone if
 // the backup's log equals the proposer's, with the entries that follow the backup's log, or with the
 // full state.
-type SnapshotRequest struct {
+type CatchUpRequest struct {
 	Epoch   ids.Epoch
 	From    Replica
 	State   []byte  `msg:"Body"`
@@ -137,7 +137,7 @@
 	Self Replica `msg:"Me"`
 }
 
-// LeaveResponse reports whether the replica has been released, and in which record.
+// LeaveResponse reports whether the replica has been removed from the membership, with the newest record.
 type LeaveResponse struct {
 	Done   bool
 	Record Record
--- a/coordination/messages_gen.go
+++ b/coordination/messages_gen.go
@@ -718,6 +718,213 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z *CatchUpRequest) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// check for omitted fields
+	zb0001Len := uint32(6)
+	var zb0001Mask uint8 /* 6 bits */
+	_ = zb0001Mask
+	if z.Seq == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x8
+	}
+	if z.Digest == nil {
+		zb0001Len--
+		zb0001Mask |= 0x10
+	}
+	if z.Entries == nil {
+		zb0001Len--
+		zb0001Mask |= 0x20
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "Epoch"
+		o = append(o, 0xa5, 0x45, 0x70, 0x6f, 0x63, 0x68)
+		o = msgp.AppendUint64(o, uint64(z.Epoch))
+		// string "From"
+		o = append(o, 0xa4, 0x46, 0x72, 0x6f, 0x6d)
+		// map header, size 3
+		// string "Disk"
+		o = append(o, 0x83, 0xa4, 0x44, 0x69, 0x73, 0x6b)
+		o = msgp.AppendString(o, string(z.From.Disk))
+		// string "Addr"
+		o = append(o, 0xa4, 0x41, 0x64, 0x64, 0x72)
+		o = msgp.AppendString(o, z.From.Addr)
+		// string "Zone"
+		o = append(o, 0xa4, 0x5a, 0x6f, 0x6e, 0x65)
+		o = msgp.AppendString(o, string(z.From.Zone))
+		// string "Body"
+		o = append(o, 0xa4, 0x42, 0x6f, 0x64, 0x79)
+		o = msgp.AppendBytes(o, z.State)
+		if (zb0001Mask & 0x8) == 0 { // if not omitted
+			// string "Seq"
+			o = append(o, 0xa3, 0x53, 0x65, 0x71)
+			o = msgp.AppendUint64(o, uint64(z.Seq))
+		}
+		if (zb0001Mask & 0x10) == 0 { // if not omitted
+			// string "Digest"
+			o = append(o, 0xa6, 0x44, 0x69, 0x67, 0x65, 0x73, 0x74)
+			o = msgp.AppendBytes(o, z.Digest)
+		}
+		if (zb0001Mask & 0x20) == 0 { // if not omitted
+			// string "Entries"
+			o = append(o, 0xa7, 0x45, 0x6e, 0x74, 0x72, 0x69, 0x65, 0x73)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Entries)))
+			for za0001 := range z.Entries {
+				o, err = z.Entries[za0001].MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "Entries", za0001)
+					return
+				}
+			}
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *CatchUpRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "Epoch":
+			{
+				var zb0002 uint64
+				zb0002, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Epoch")
+					return
+				}
+				z.Epoch = ids.Epoch(zb0002)
+			}
+		case "From":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "From")
+				return
+			}
+			for zb0003 > 0 {
+				zb0003--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "From")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "Disk":
+					{
+						var zb0004 string
+						zb0004, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "From", "Disk")
+							return
+						}
+						z.From.Disk = ids.DiskID(zb0004)
+					}
+				case "Addr":
+					z.From.Addr, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "From", "Addr")
+						return
+					}
+				case "Zone":
+					{
+						var zb0005 string
+						zb0005, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "From", "Zone")
+							return
+						}
+						z.From.Zone = ids.Zone(zb0005)
+					}
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "From")
+						return
+					}
+				}
+			}
+		case "Body":
+			z.State, bts, err = msgp.ReadBytesBytes(bts, z.State)
+			if err != nil {
+				err = msgp.WrapError(err, "State")
+				return
+			}
+		case "Seq":
+			{
+				var zb0006 uint64
+				zb0006, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Seq")
+					return
+				}
+				z.Seq = ids.Seq(zb0006)
+			}
+		case "Digest":
+			z.Digest, bts, err = msgp.ReadBytesBytes(bts, z.Digest)
+			if err != nil {
+				err = msgp.WrapError(err, "Digest")
+				return
+			}
+		case "Entries":
+			var zb0007 uint32
+			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Entries")
+				return
+			}
+			if cap(z.Entries) >= int(zb0007) {
+				z.Entries = (z.Entries)[:zb0007]
+			} else {
+				z.Entries = make([]Entry, zb0007)
+			}
+			for za0001 := range z.Entries {
+				bts, err = z.Entries[za0001].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Entries", za0001)
+					return
+				}
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *CatchUpRequest) Msgsize() (s int) {
+	s = 1 + 6 + msgp.Uint64Size + 5 + 1 + 5 + msgp.StringPrefixSize + len(string(z.From.Disk)) + 5 + msgp.StringPrefixSize + len(z.From.Addr) + 5 + msgp.StringPrefixSize + len(string(z.From.Zone)) + 5 + msgp.BytesPrefixSize + len(z.State) + 4 + msgp.Uint64Size + 7 + msgp.BytesPrefixSize + len(z.Digest) + 8 + msgp.ArrayHeaderSize
+	for za0001 := range z.Entries {
+		s += z.Entries[za0001].Msgsize()
+	}
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *ChunkRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -3421,213 +3628,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z *SnapshotRequest) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(6)
-	var zb0001Mask uint8 /* 6 bits */
-	_ = zb0001Mask
-	if z.Seq == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x8
-	}
-	if z.Digest == nil {
-		zb0001Len--
-		zb0001Mask |= 0x10
-	}
-	if z.Entries == nil {
-		zb0001Len--
-		zb0001Mask |= 0x20
-	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "Epoch"
-		o = append(o, 0xa5, 0x45, 0x70, 0x6f, 0x63, 0x68)
-		o = msgp.AppendUint64(o, uint64(z.Epoch))
-		// string "From"
-		o = append(o, 0xa4, 0x46, 0x72, 0x6f, 0x6d)
-		// map header, size 3
-		// string "Disk"
-		o = append(o, 0x83, 0xa4, 0x44, 0x69, 0x73, 0x6b)
-		o = msgp.AppendString(o, string(z.From.Disk))
-		// string "Addr"
-		o = append(o, 0xa4, 0x41, 0x64, 0x64, 0x72)
-		o = msgp.AppendString(o, z.From.Addr)
-		// string "Zone"
-		o = append(o, 0xa4, 0x5a, 0x6f, 0x6e, 0x65)
-		o = msgp.AppendString(o, string(z.From.Zone))
-		// string "Body"
-		o = append(o, 0xa4, 0x42, 0x6f, 0x64, 0x79)
-		o = msgp.AppendBytes(o, z.State)
-		if (zb0001Mask & 0x8) == 0 { // if not omitted
-			// string "Seq"
-			o = append(o, 0xa3, 0x53, 0x65, 0x71)
-			o = msgp.AppendUint64(o, uint64(z.Seq))
-		}
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// string "Digest"
-			o = append(o, 0xa6, 0x44, 0x69, 0x67, 0x65, 0x73, 0x74)
-			o = msgp.AppendBytes(o, z.Digest)
-		}
-		if (zb0001Mask & 0x20) == 0 { // if not omitted
-			// string "Entries"
-			o = append(o, 0xa7, 0x45, 0x6e, 0x74, 0x72, 0x69, 0x65, 0x73)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Entries)))
-			for za0001 := range z.Entries {
-				o, err = z.Entries[za0001].MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "Entries", za0001)
-					return
-				}
-			}
-		}
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *SnapshotRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "Epoch":
-			{
-				var zb0002 uint64
-				zb0002, bts, err = msgp.ReadUint64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Epoch")
-					return
-				}
-				z.Epoch = ids.Epoch(zb0002)
-			}
-		case "From":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-			for zb0003 > 0 {
-				zb0003--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "From")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "Disk":
-					{
-						var zb0004 string
-						zb0004, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "From", "Disk")
-							return
-						}
-						z.From.Disk = ids.DiskID(zb0004)
-					}
-				case "Addr":
-					z.From.Addr, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "From", "Addr")
-						return
-					}
-				case "Zone":
-					{
-						var zb0005 string
-						zb0005, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "From", "Zone")
-							return
-						}
-						z.From.Zone = ids.Zone(zb0005)
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "From")
-						return
-					}
-				}
-			}
-		case "Body":
-			z.State, bts, err = msgp.ReadBytesBytes(bts, z.State)
-			if err != nil {
-				err = msgp.WrapError(err, "State")
-				return
-			}
-		case "Seq":
-			{
-				var zb0006 uint64
-				zb0006, bts, err = msgp.ReadUint64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Seq")
-					return
-				}
-				z.Seq = ids.Seq(zb0006)
-			}
-		case "Digest":
-			z.Digest, bts, err = msgp.ReadBytesBytes(bts, z.Digest)
-			if err != nil {
-				err = msgp.WrapError(err, "Digest")
-				return
-			}
-		case "Entries":
-			var zb0007 uint32
-			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Entries")
-				return
-			}
-			if cap(z.Entries) >= int(zb0007) {
-				z.Entries = (z.Entries)[:zb0007]
-			} else {
-				z.Entries = make([]Entry, zb0007)
-			}
-			for za0001 := range z.Entries {
-				bts, err = z.Entries[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Entries", za0001)
-					return
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *SnapshotRequest) Msgsize() (s int) {
-	s = 1 + 6 + msgp.Uint64Size + 5 + 1 + 5 + msgp.StringPrefixSize + len(string(z.From.Disk)) + 5 + msgp.StringPrefixSize + len(z.From.Addr) + 5 + msgp.StringPrefixSize + len(string(z.From.Zone)) + 5 + msgp.BytesPrefixSize + len(z.State) + 4 + msgp.Uint64Size + 7 + msgp.BytesPrefixSize + len(z.Digest) + 8 + msgp.ArrayHeaderSize
-	for za0001 := range z.Entries {
-		s += z.Entries[za0001].Msgsize()
-	}
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *SubmitRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
--- a/coordination/record.go
+++ b/coordination/record.go
@@ -34,17 +34,17 @@
 	return -1
 }
 
-// quorums returns the sets of replicas of which a ballot for this record needs a majority each: the
+// voterSets returns the sets of replicas, of each of which a ballot for this record needs a majority: the
 // voters and, while a change of the voters is not known to be decided, the outgoing voters (joint
 // consensus). Any two ballots thus share a register.
-func (r Record) quorums() [][]Replica {
+func (r Record) voterSets() [][]Replica {
 	if len(r.OutgoingVoters) == 0 {
 		return [][]Replica{r.Voters}
 	}
 	return [][]Replica{r.Voters, r.OutgoingVoters}
 }
 
-// allVoters returns the replicas of all quorums, each once.
+// allVoters returns the replicas of all voter sets, each once.
 func (r Record) allVoters() []Replica {
 	out := append([]Replica(nil), r.Voters...)
 	for _, s := range r.OutgoingVoters {
@@ -55,9 +55,9 @@
 	return out
 }
 
-// decidedBy reports whether the replicas that accepted the record are a majority of each quorum set.
+// decidedBy reports whether the replicas that accepted the record include a majority of each voter set.
 func (r Record) decidedBy(accepted []Replica) bool {
-	for _, set := range r.quorums() {
+	for _, set := range r.voterSets() {
 		if !isMajority(set, accepted) {
 			return false
 		}
--- a/coordination/redundant_checks_test.go
+++ b/coordination/redundant_checks_test.go
@@ -66,7 +66,7 @@
 	withServingCores(t, func(world *simulated.World, cores []*Core) {
 		world.Machine("10.0.0.1").StallDisk(true)
 		cores[0].dataMu.Lock()
-		_, err := cores[0].campaign(context.Background(), ballotOptions{leadingEpoch: firstEpoch})
+		_, err := cores[0].runBallot(context.Background(), ballotOptions{leadingEpoch: firstEpoch})
 		cores[0].dataMu.Unlock()
 		require.Error(t, err)
 		for _, c := range cores[1:3] {
@@ -79,10 +79,10 @@
 	})
 }
 
-// TestCommitNeedsEachQuorum checks that a record that changes the voters is not decided by the
+// TestCommitNeedsMajorityOfEachVoterSet checks that a record that changes the voters is not decided by the
 // proposer and its new backup alone: they are a majority of the new voters but not of the outgoing
 // ones.
-func TestCommitNeedsEachQuorum(t *testing.T) {
+func TestCommitNeedsMajorityOfEachVoterSet(t *testing.T) {
 	withServingCores(t, func(world *simulated.World, cores []*Core) {
 		next, _ := cores[0].acceptedRecord()
 		next.Epoch = 2
@@ -92,18 +92,18 @@
 		cores[3].readyEpoch.Store(2)
 		others := []string{"10.0.0.2", "10.0.0.3"}
 		world.Partition([]string{"10.0.0.1"}, others, true)
-		err := cores[0].commitRecord(context.Background(), next, next.backups())
+		err := cores[0].runSecondRound(context.Background(), next, next.backups())
 		require.True(t, failure.Is(err, failure.OutcomeUnknown), "%v", err)
 		record, _ := cores[3].acceptedRecord()
 		require.Equal(t, ids.Epoch(2), record.Epoch, "the backup has accepted")
 		world.Partition([]string{"10.0.0.1"}, others, false)
-		require.NoError(t, cores[0].commitRecord(context.Background(), next, next.backups()))
+		require.NoError(t, cores[0].runSecondRound(context.Background(), next, next.backups()))
 	})
 }
 
-// TestBackupMustBePrepared checks that a replica accepts a record that names it as a backup only after it
-// was prepared for exactly that epoch.
-func TestBackupMustBePrepared(t *testing.T) {
+// TestBackupMustBeReadyForEpoch checks that a replica accepts a record that names it as a backup only after
+// it was brought up to date for exactly that epoch.
+func TestBackupMustBeReadyForEpoch(t *testing.T) {
 	withVoter(t, func(c *Core, record Record) {
 		next := record
 		next.Epoch = 2
@@ -133,7 +133,6 @@
 
 // TestNewPrimaryWaitsForLeases checks that a primary that took over assigns no keys until every lease that its
 // predecessor may have granted has expired, while the first primary of a cluster assigns at once.
-
 func TestNewPrimaryWaitsForLeases(t *testing.T) {
 	withVoter(t, func(c *Core, record Record) {
 		c.state = newReplicatedState(&keyMachine{})
--- a/coordination/register.go
+++ b/coordination/register.go
@@ -72,7 +72,7 @@
 		return answer("a newer epoch is promised")
 	case request.Accept && c.register.rejectionReason(request.Record) != "":
 		return answer(c.register.rejectionReason(request.Record))
-	case request.Takeover && request.From.Disk != primary && c.recentlyHeard(primary, now):
+	case request.Takeover && request.From.Disk != primary && c.recentlyHeardFrom(primary, now):
 		return answer("the primary is heard")
 	case request.Accept && request.Record.backupRank(c.self.Disk) >= 0 && ready != request.Epoch:
 		return answer("the snapshot of this epoch is missing")
@@ -139,7 +139,7 @@
 	return &AppendResponse{Disk: c.self.Disk, OK: true, Promised: c.register.Promised}, nil
 }
 
-// recordContact records that another replica was heard. The caller holds registerMu.
+// recordContact records that this core has heard from another replica. The caller holds registerMu.
 func (c *Core) recordContact(d ids.DiskID) { c.lastHeard[d] = c.options.Host.Clock.Now() }
 
 // recordContactFrom is like recordContact and acquires registerMu.
@@ -149,9 +149,9 @@
 	c.recordContact(d)
 }
 
-// recentlyHeard reports whether a replica was heard within two thirds of the election timeout. For
-// this core, it reports whether it is the primary. The caller holds registerMu.
-func (c *Core) recentlyHeard(d ids.DiskID, now ids.Tick) bool {
+// recentlyHeardFrom reports whether this core has heard from a replica within two thirds of the election
+// timeout. For this core itself, it reports whether it is the primary. The caller holds registerMu.
+func (c *Core) recentlyHeardFrom(d ids.DiskID, now ids.Tick) bool {
 	if d == c.self.Disk {
 		return c.Leads()
 	}
--- a/coordination/register_test.go
+++ b/coordination/register_test.go
@@ -108,21 +108,21 @@
 		}
 		_, err := c.handleBallot(t.Context(), &BallotRequest{Epoch: 2, From: record.Primary, Record: record})
 		require.NoError(t, err)
-		request := &SnapshotRequest{Epoch: 2, From: record.Primary, Seq: theirs.seq, Digest: theirs.digest}
-		r, err := c.handleSnapshot(t.Context(), request)
+		request := &CatchUpRequest{Epoch: 2, From: record.Primary, Seq: theirs.seq, Digest: theirs.digest}
+		r, err := c.handleCatchUp(t.Context(), request)
 		require.NoError(t, err)
 		require.True(t, r.Behind && !r.OK)
 		_, ok := theirs.history.entriesAfter(r.LastSeq, r.Digest)
 		require.False(t, ok, "the log differs at that sequence number")
 		require.NotEqual(t, ids.Epoch(c.readyEpoch.Load()), ids.Epoch(2))
 		request.Digest = c.state.digest
-		r, err = c.handleSnapshot(t.Context(), request)
+		r, err = c.handleCatchUp(t.Context(), request)
 		require.NoError(t, err)
 		require.True(t, r.OK)
 		other := *request
 		other.From = Replica{Disk: "y"}
-		r, err = c.handleSnapshot(t.Context(), &other)
+		r, err = c.handleCatchUp(t.Context(), &other)
 		require.NoError(t, err)
-		require.False(t, r.OK, "only the proposer to which the epoch is promised may prepare the backup")
+		require.False(t, r.OK, "only the proposer to which the epoch is promised may bring the backup up to date")
 	})
 }
--- a/coordination/statemachine_test.go
+++ b/coordination/statemachine_test.go
@@ -76,7 +76,7 @@
 	accepted  []Replica // all replicas that accepted
 	abandoned bool      // none of its messages is delivered any more
 	closed    bool      // its proposer no longer waits for answers
-	chosen    bool      // a majority of each quorum has accepted
+	chosen    bool      // a majority of each voter set has accepted
 }
 
 // registerModel models the registers of modelReplicas replicas and the proposer's side of every
@@ -177,28 +177,28 @@
 	current, promised := c.acceptedRecord()
 	c.observeEpoch(promised)
 	time.Sleep(2 * c.options.ElectionTimeout) // the primary counts as silent, so a takeover is allowed
-	b := ballotOptions{}
+	opts := ballotOptions{}
 	if m.leads[i] == current.Epoch {
-		b.leadingEpoch = current.Epoch
+		opts.leadingEpoch = current.Epoch
 		if rapid.IntRange(0, 2).Draw(t, "change a voter") > 0 {
-			b.removed = current.Voters[rapid.IntRange(0, len(current.Voters)-1).Draw(t, "removed")].Disk
+			opts.removed = current.Voters[rapid.IntRange(0, len(current.Voters)-1).Draw(t, "removed")].Disk
 			for _, spare := range m.cores {
 				if !containsDisk(current.Voters, spare.self.Disk) {
-					b.added = spare.self
+					opts.added = spare.self
 				}
 			}
-			if b.removed == c.self.Disk {
-				b.removed, b.added = "", Replica{}
+			if opts.removed == c.self.Disk {
+				opts.removed, opts.added = "", Replica{}
 			}
 		}
 	}
 	m.closeProposals(i)
 	p := &proposal{
 		proposer: i,
-		record:   c.draftRecord(current, b),
+		record:   c.draftRecord(current, opts),
 		parent:   current.Epoch,
-		takeover: b.leadingEpoch == 0,
-		removes:  b.removed != "",
+		takeover: opts.leadingEpoch == 0,
+		removes:  opts.removed != "",
 	}
 	m.proposals = append(m.proposals, p)
 	m.prepareAtSome(t, p)
@@ -281,7 +281,7 @@
 	}
 }
 
-// startSecondRound brings a backup up to date if the first round has a quorum, and starts the second round. It
+// startSecondRound brings a backup up to date if enough replicas have promised, and starts the second round. It
 // reports whether the second round was started.
 func (m *registerModel) startSecondRound(t *rapid.T, p *proposal) bool {
 	proposer := m.cores[p.proposer].self
@@ -293,7 +293,7 @@
 			continue
 		}
 		c := m.coreOf(s)
-		r, err := c.handleSnapshot(t.Context(), &SnapshotRequest{
+		r, err := c.handleCatchUp(t.Context(), &CatchUpRequest{
 			Epoch:  p.record.Epoch,
 			From:   proposer,
 			Digest: c.state.digest,
@@ -399,7 +399,7 @@
 }
 
 // TestRegisterStateMachine checks that each chosen record, that is, one accepted by a majority of each
-// of its quorums, descends from the chosen record before it, while messages are lost, delayed or
+// of its voter sets, descends from the chosen record before it, while messages are lost, delayed or
 // duplicated, replicas restart and voters change.
 func TestRegisterStateMachine(t *testing.T) {
 	checkActions(t, func(t *rapid.T) (map[string]func(*rapid.T), func()) {
--- a/coordination/wire_test.go
+++ b/coordination/wire_test.go
@@ -35,7 +35,7 @@
 		"Replica":     &Replica{},
 		"SheetAsk":    &ChunkRequest{},
 		"SheetReply":  &ChunkResponse{},
-		"SnapshotAsk": &SnapshotRequest{},
+		"SnapshotAsk": &CatchUpRequest{},
 		"SubmitAsk":   &SubmitRequest{},
 		"SubmitReply": &SubmitResponse{},
 		"WhereAsk":    &PeerExchange{},
@@ -49,13 +49,12 @@
 		"crux/ballot", "crux/append", "crux/beat", "crux/picture", "crux/sheet", "crux/lead", "crux/leave",
 		"crux/submit", "crux/renew", "crux/news", "crux/where",
 	}, []string{
-		ballotMethod, appendMethod, heartbeatMethod, snapshotMethod, chunkMethod, transferMethod, leaveMethod,
+		ballotMethod, appendMethod, heartbeatMethod, catchUpMethod, chunkMethod, transferMethod, leaveMethod,
 		SubmitMethod, RenewMethod, WatchMethod, ExchangeMethod,
 	})
 }
 
 // TestExchangeJSON checks that a controller's /v1/status uses the JSON names of earlier releases.
-
 func TestExchangeJSON(t *testing.T) {
 	golden.CheckJSON(t, "testdata/exchange.json", &PeerExchange{})
 }
