--- a/coordination/core.go
+++ b/coordination/core.go
@@ -113,7 +113,7 @@
 	}
 	c.caller = rpc.NewCaller(opt.Host.Net)
 	c.directory = NewDirectory(opt.Host, c.caller, opt.Seeds, c.self)
-	c.directory.self.Empty = c.register.Accepted.ClusterID == ""
+	c.directory.own.Empty = c.register.Accepted.ClusterID == ""
 	c.directory.Merge(&PeerExchange{Record: c.register.Accepted})
 	if body, err := opt.Host.Disk.Load(directoryFile); err == nil {
 		var p PeerExchange
--- a/coordination/directory.go
+++ b/coordination/directory.go
@@ -1,6 +1,7 @@
-// Every process keeps a directory of the newest record, the known replicas and the members, and
-// exchanges it with other processes. The three seed addresses are needed only for the first exchange:
-// every process that answers is queried again later, so a directory survives the replacement of all seeds.
+// Every process keeps a directory: the newest record (the cluster's id, epoch, primary, backups and
+// voters), the known replicas, and the members (the nodes that hold a lease). It exchanges the directory
+// with other processes. The three seed addresses are needed only for the first exchange: every process
+// that answers is queried again later, so a directory survives the replacement of all seeds.
 
 package coordination
 
@@ -17,14 +18,15 @@
 	"keelstair.example/rpc"
 )
 
-// membersInterval is the time between two queries of a process that ask for the members.
+// membersInterval is the least time between two requests for the members that a process sends, to whichever
+// other process.
 const membersInterval = 2 * time.Second
 
-// replicaContact is a replica and what it last said of itself.
+// replicaContact is a replica with the state that it last reported.
 type replicaContact struct {
 	Replica
 	empty   bool // its disk holds no accepted record
-	leaving bool // it is about to end
+	leaving bool // it is shutting down
 	heardAt ids.Tick
 }
 
@@ -33,26 +35,26 @@
 	mu                 sync.Mutex
 	host               host.Host
 	seeds              []string
-	self               PeerExchange
+	own                PeerExchange // what this process reports of itself
 	record             Record
 	replicas           map[ids.DiskID]replicaContact
 	members            []Member
 	seq                ids.Seq // sequence number of the log that the members correspond to
 	caller             *rpc.Caller
-	foreignCluster     string
+	foreignCluster     string        // id of another cluster that a message was received from
 	recordChanged      chan struct{} // closed when a newer record is received
 	lastContact        ids.Tick      // when another process was last heard from
 	membersRequestedAt ids.Tick      // when the members were last requested from another process
 }
 
-// NewDirectory returns the directory of a process. self is the replica of the process, or only its address.
-// Until the first exchange the directory knows nothing but the seeds.
+// NewDirectory returns the directory of a process. self is the replica of the process; if the process has
+// none, only its address is set. Until the first exchange the directory contains nothing but the seeds.
 func NewDirectory(host host.Host, caller *rpc.Caller, seeds []string, self Replica) *Directory {
 	return &Directory{
 		host:               host,
 		caller:             caller,
 		seeds:              seeds,
-		self:               PeerExchange{Self: self},
+		own:                PeerExchange{Self: self},
 		replicas:           map[ids.DiskID]replicaContact{},
 		recordChanged:      make(chan struct{}),
 		membersRequestedAt: host.Clock.Now(),
@@ -62,14 +64,14 @@
 // newRequest returns the request to send to another process. Only one request per membersInterval asks for
 // the members, since a process that follows the change feed learns them from the feed.
 func (d *Directory) newRequest() *PeerExchangeRequest {
-	p := d.Exchange()
+	exchange := d.Exchange()
 	request := &PeerExchangeRequest{
-		Self:      p.Self,
-		Empty:     p.Empty,
-		Record:    p.Record,
-		Replicas:  p.Replicas,
-		Leaving:   p.Leaving,
-		KnownSeq:  p.Seq,
+		Self:      exchange.Self,
+		Empty:     exchange.Empty,
+		Record:    exchange.Record,
+		Replicas:  exchange.Replicas,
+		Leaving:   exchange.Leaving,
+		KnownSeq:  exchange.Seq,
 		NoMembers: true,
 	}
 	d.mu.Lock()
@@ -91,55 +93,55 @@
 		Seq:      request.Seq,
 		Leaving:  request.Leaving,
 	})
-	p := d.Exchange()
-	if request.NoMembers || p.Seq <= request.KnownSeq {
-		p.Members, p.Seq = nil, 0
+	exchange := d.Exchange()
+	if request.NoMembers || exchange.Seq <= request.KnownSeq {
+		exchange.Members, exchange.Seq = nil, 0
 	}
-	return p
+	return exchange
 }
 
-// Exchange returns all that the directory knows now. Replicas that were not heard of for 10 s are left out.
+// Exchange returns the current content of the directory, without replicas whose heardAt is more than 10 s ago.
 func (d *Directory) Exchange() *PeerExchange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p := d.self
-	p.Empty = p.Empty && d.record.ClusterID == ""
-	p.Record, p.Members, p.Seq = d.record, d.members, d.seq
+	exchange := d.own
+	exchange.Empty = exchange.Empty && d.record.ClusterID == ""
+	exchange.Record, exchange.Members, exchange.Seq = d.record, d.members, d.seq
 	now := d.host.Clock.Now()
-	for _, s := range d.replicas {
-		if !now.Past(s.heardAt, 10*time.Second) {
-			p.Replicas = append(p.Replicas, s.Replica)
+	for _, contact := range d.replicas {
+		if !now.Past(contact.heardAt, 10*time.Second) {
+			exchange.Replicas = append(exchange.Replicas, contact.Replica)
 		}
 	}
-	sort.Slice(p.Replicas, func(i, j int) bool { return p.Replicas[i].Disk < p.Replicas[j].Disk })
-	return &p
+	sort.Slice(exchange.Replicas, func(i, j int) bool { return exchange.Replicas[i].Disk < exchange.Replicas[j].Disk })
+	return &exchange
 }
 
-// Merge merges the exchange of another process. Only what the sender says of itself counts as heard now;
-// a replica that is new to the directory counts as heard 5 s ago.
-func (d *Directory) Merge(p *PeerExchange) {
+// Merge merges the exchange of another process into the directory. heardAt is set to now only for the
+// sender. A replica that is known only from others gets a heardAt 5 s ago, so that it expires sooner.
+func (d *Directory) Merge(exchange *PeerExchange) {
 	d.mu.Lock()
-	if d.record.ClusterID != "" && p.Record.ClusterID != "" && p.Record.ClusterID != d.record.ClusterID {
-		d.foreignCluster = p.Record.ClusterID
+	if d.record.ClusterID != "" && exchange.Record.ClusterID != "" && exchange.Record.ClusterID != d.record.ClusterID {
+		d.foreignCluster = exchange.Record.ClusterID
 		d.mu.Unlock()
 		return
 	}
-	newer := p.Record.Epoch > d.record.Epoch
+	newer := exchange.Record.Epoch > d.record.Epoch
 	if newer {
-		d.record = p.Record
+		d.record = exchange.Record
 	}
-	if p.Self.Addr != "" && p.Self.Addr != d.self.Self.Addr {
+	if exchange.Self.Addr != "" && exchange.Self.Addr != d.own.Self.Addr {
 		d.lastContact = d.host.Clock.Now()
 	}
-	if p.Self.Disk != "" && p.Self.Disk != d.self.Self.Disk {
-		d.replicas[p.Self.Disk] = replicaContact{p.Self, p.Empty, p.Leaving, d.host.Clock.Now()}
+	if exchange.Self.Disk != "" && exchange.Self.Disk != d.own.Self.Disk {
+		d.replicas[exchange.Self.Disk] = replicaContact{exchange.Self, exchange.Empty, exchange.Leaving, d.host.Clock.Now()}
 	}
-	for _, s := range p.Replicas {
-		if _, ok := d.replicas[s.Disk]; !ok && s.Disk != d.self.Self.Disk {
-			d.replicas[s.Disk] = replicaContact{Replica: s, heardAt: d.host.Clock.Now().Add(-5 * time.Second)}
+	for _, replica := range exchange.Replicas {
+		if _, ok := d.replicas[replica.Disk]; !ok && replica.Disk != d.own.Self.Disk {
+			d.replicas[replica.Disk] = replicaContact{Replica: replica, heardAt: d.host.Clock.Now().Add(-5 * time.Second)}
 		}
 	}
-	d.updateMembers(p.Seq, p.Members)
+	d.updateMembers(exchange.Seq, exchange.Members)
 	if newer {
 		close(d.recordChanged)
 		d.recordChanged = make(chan struct{})
@@ -170,7 +172,7 @@
 }
 
 // updateMembers replaces the members by newer ones. Epochs cannot decide which are newer: a process that
-// has heard of a newer epoch may still have old members.
+// has received a newer epoch may still have old members.
 func (d *Directory) updateMembers(seq ids.Seq, members []Member) {
 	if seq > d.seq {
 		d.seq, d.members = seq, members
@@ -191,20 +193,21 @@
 	return d.recordChanged
 }
 
-// Broadcast sends this directory to all known processes, so that they need not query for it.
+// Broadcast sends the record and the known replicas, without the members, to all known processes, so that
+// they need not query for them.
 func (d *Directory) Broadcast(ctx context.Context) {
-	p := d.newRequest()
-	p.NoMembers = true
-	for _, a := range d.addresses() {
+	request := d.newRequest()
+	request.NoMembers = true
+	for _, addr := range d.addresses() {
 		go func() {
 			callContext, stop := context.WithTimeout(ctx, 700*time.Millisecond)
 			defer stop()
-			rpc.Call[PeerExchangeRequest, PeerExchange](callContext, d.caller, a, ExchangeMethod, p)
+			rpc.Call[PeerExchangeRequest, PeerExchange](callContext, d.caller, addr, ExchangeMethod, request)
 		}()
 	}
 }
 
-// ForeignCluster returns the cluster id of another fleet, if a process of one was met.
+// ForeignCluster returns the id of another cluster from which a message was received, or an empty string.
 func (d *Directory) ForeignCluster() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -212,13 +215,13 @@
 }
 
 // Addr returns the newest known address of a replica.
-func (d *Directory) Addr(s Replica) string {
+func (d *Directory) Addr(replica Replica) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if got, ok := d.replicas[s.Disk]; ok {
-		return got.Addr
+	if contact, ok := d.replicas[replica.Disk]; ok {
+		return contact.Addr
 	}
-	return s.Addr
+	return replica.Addr
 }
 
 // recentReplicas returns the replicas that were heard from within a duration, and those of them whose
@@ -227,26 +230,26 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.host.Clock.Now()
-	for _, s := range d.replicas {
-		if now.Past(s.heardAt, duration) {
+	for _, contact := range d.replicas {
+		if now.Past(contact.heardAt, duration) {
 			continue
 		}
-		all = append(all, s.Replica)
-		if s.empty {
-			empty = append(empty, s.Replica)
+		all = append(all, contact.Replica)
+		if contact.empty {
+			empty = append(empty, contact.Replica)
 		}
 	}
 	return all, empty
 }
 
-// setLeaving makes all further exchanges say that this process is about to end.
+// setLeaving makes all further exchanges report that this process is shutting down.
 func (d *Directory) setLeaving() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.self.Leaving = true
+	d.own.Leaving = true
 }
 
-// isLeaving reports whether a replica said that it is about to end.
+// isLeaving reports whether a replica has reported that it is shutting down.
 func (d *Directory) isLeaving(disk ids.DiskID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -259,22 +262,22 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	set := map[string]bool{}
-	for _, a := range d.seeds {
-		set[a] = true
+	for _, addr := range d.seeds {
+		set[addr] = true
 	}
-	for _, s := range d.replicas {
-		set[s.Addr] = true
+	for _, replica := range d.replicas {
+		set[replica.Addr] = true
 	}
-	for _, m := range d.members {
-		set[m.Addr] = true
+	for _, member := range d.members {
+		set[member.Addr] = true
 	}
-	for _, s := range d.record.allVoters() {
-		set[s.Addr] = true
+	for _, replica := range d.record.allVoters() {
+		set[replica.Addr] = true
 	}
-	delete(set, d.self.Self.Addr)
+	delete(set, d.own.Self.Addr)
 	var out []string
-	for a := range set {
-		out = append(out, a)
+	for addr := range set {
+		out = append(out, addr)
 	}
 	sort.Strings(out)
 	return out
@@ -287,26 +290,26 @@
 	if len(list) > limit {
 		list = list[:limit]
 	}
-	if p := d.Record().Primary; p.Disk != "" && p.Disk != d.self.Self.Disk {
-		list = append(list, d.Addr(p))
+	if primary := d.Record().Primary; primary.Disk != "" && primary.Disk != d.own.Self.Disk {
+		list = append(list, d.Addr(primary))
 	}
 	var wg sync.WaitGroup
-	for _, a := range list {
+	for _, addr := range list {
 		wg.Go(func() {
 			c, stop := context.WithTimeout(ctx, 700*time.Millisecond)
 			defer stop()
-			if p, err := rpc.Call[PeerExchangeRequest, PeerExchange](
-				c, d.caller, a, ExchangeMethod, d.newRequest(),
+			if exchange, err := rpc.Call[PeerExchangeRequest, PeerExchange](
+				c, d.caller, addr, ExchangeMethod, d.newRequest(),
 			); err == nil {
-				d.Merge(p)
+				d.Merge(exchange)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// Run queries until the context ends: often while no cluster is known, less often afterwards, and least
-// while stable reports true, since a process that changes its address queries the others itself.
+// Run calls Query until the context ends: often while no cluster is known, less often afterwards, and least
+// often while stable reports true, since a process that changes its address queries the others itself.
 func (d *Directory) Run(ctx context.Context, stable func() bool) {
 	for {
 		limit, wait := 4, time.Second
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -128,9 +128,7 @@
 	current, promised := c.acceptedRecord()
 	c.observeEpoch(promised)
 	if !c.isDataReplica(current) || opts.leadingEpoch != 0 && current.Epoch != opts.leadingEpoch {
-		return current, failure.New(
-			failure.Stale, "ascend", c.self.Addr, "the newest record names other data replicas or is of a later epoch",
-		)
+		return current, failure.New(failure.Stale, "ascend", c.self.Addr, "a newer record excludes or deposes this replica")
 	}
 	next := c.draftRecord(current, opts)
 	yes, err := c.runFirstRound(ctx, current, &next, opts)
--- a/coordination/powerloss_test.go
+++ b/coordination/powerloss_test.go
@@ -27,7 +27,7 @@
 
 // listStateMachine appends each value to a list and moves the older values into chunks.
 type listStateMachine struct {
-	sealed []Chunk
+	chunks []Chunk
 	values []string
 }
 
@@ -39,7 +39,7 @@
 	}
 	m.values = append(m.values, string(body))
 	if len(m.values) == valuesPerChunk {
-		m.sealed = append(m.sealed, NewChunk([]byte(strings.Join(m.values, ","))))
+		m.chunks = append(m.chunks, NewChunk([]byte(strings.Join(m.values, ","))))
 		m.values = nil
 	}
 	return nil, nil
@@ -47,7 +47,7 @@
 
 func (m *listStateMachine) all() string {
 	var parts []string
-	for _, one := range m.sealed {
+	for _, one := range m.chunks {
 		parts = append(parts, string(one.Body))
 	}
 	return strings.Join(append(parts, m.values...), ",")
@@ -67,98 +67,100 @@
 
 func (m *listStateMachine) Keys() []ids.Key                                  { return nil }
 func (m *listStateMachine) DueCommands(ids.Tick, ids.Seq, ids.Seq) []Command { return nil }
-func (m *listStateMachine) Chunks() []Chunk                                  { return m.sealed }
-func (m *listStateMachine) RestoreChunks(all []Chunk)                        { m.sealed = all }
+func (m *listStateMachine) Chunks() []Chunk                                  { return m.chunks }
+func (m *listStateMachine) RestoreChunks(all []Chunk)                        { m.chunks = all }
 
 // storeRun drives a store and records what it has acknowledged.
 type storeRun struct {
-	store                   *store
-	state                   *replicatedState
-	acknowledged, requested string   // the list after the last acknowledged and the last requested append
-	register, written       register // the last acknowledged and the last requested register
-	next                    int      // the last value appended
+	store                                   *store
+	state                                   *replicatedState
+	acknowledged, requested                 string   // the list after the last acknowledged and the last requested append
+	acknowledgedRegister, requestedRegister register // the last saved and the last requested register
+	lastValue                               int      // the last value appended
 }
 
 func newStore(disk host.Disk) *store { return &store{disk: disk, timeout: 20 * time.Second} }
 
 // check reads the store back and compares it with the acknowledged and the requested state.
-func (h *storeRun) check(disk host.Disk) error {
+func (run *storeRun) check(disk host.Disk) error {
 	s, r := newStore(disk), newReplicatedState(&listStateMachine{})
 	if err := s.load(r); err != nil {
 		return err
 	}
 	defer s.log.Close()
-	if got := r.machine.(*listStateMachine).all(); got != h.acknowledged && got != h.requested {
-		return fmt.Errorf("the state is %q, but want the acknowledged %q or the requested %q", got, h.acknowledged, h.requested)
+	if got := r.machine.(*listStateMachine).all(); got != run.acknowledged && got != run.requested {
+		return fmt.Errorf("the state is %q, but want the acknowledged %q or the requested %q", got, run.acknowledged, run.requested)
 	}
 	reg, err := s.loadRegister()
 	if err != nil {
 		return err
 	}
-	if reg.Promised != h.register.Promised && reg.Promised != h.written.Promised {
+	if reg.Promised != run.acknowledgedRegister.Promised && reg.Promised != run.requestedRegister.Promised {
 		return fmt.Errorf(
 			"the register promises %d, but want the acknowledged %d or the requested %d",
 			reg.Promised,
-			h.register.Promised,
-			h.written.Promised,
+			run.acknowledgedRegister.Promised,
+			run.requestedRegister.Promised,
 		)
 	}
 	return nil
 }
 
-func (h *storeRun) appendRandom(random *rand.Rand) error { return h.appendCount(1 + random.IntN(3)) }
+func (run *storeRun) appendRandom(random *rand.Rand) error {
+	return run.appendCount(1 + random.IntN(3))
+}
 
-func (h *storeRun) appendCount(count int) error {
+func (run *storeRun) appendCount(count int) error {
 	var entries []Entry
 	for range count {
-		h.next++
-		e := Entry{Kind: "put", Body: []byte(strconv.Itoa(h.next))}
-		if _, err := h.state.apply(&e); err != nil {
+		run.lastValue++
+		e := Entry{Kind: "put", Body: []byte(strconv.Itoa(run.lastValue))}
+		if _, err := run.state.apply(&e); err != nil {
 			return err
 		}
 		entries = append(entries, e)
 	}
-	h.requested = h.state.machine.(*listStateMachine).all()
-	err := h.store.append(entries)
+	run.requested = run.state.machine.(*listStateMachine).all()
+	err := run.store.append(entries)
 	if err == nil {
-		h.acknowledged = h.requested
+		run.acknowledged = run.requested
 	}
 	return err
 }
 
-func (h *storeRun) promise() error {
-	h.written.Promised++
-	err := h.store.saveRegister(h.written)
+func (run *storeRun) promise() error {
+	run.requestedRegister.Promised++
+	err := run.store.saveRegister(run.requestedRegister)
 	if err == nil {
-		h.register = h.written
+		run.acknowledgedRegister = run.requestedRegister
 	}
 	return err
 }
 
-func (h *storeRun) compact() error {
-	return h.store.compact(h.state.snapshot(false), chunksOf(h.state.machine))
+func (run *storeRun) compact() error {
+	return run.store.compact(run.state.snapshot(false), chunksOf(run.state.machine))
 }
 
-func (h *storeRun) reload() error {
-	h.state = newReplicatedState(&listStateMachine{})
-	return h.store.load(h.state)
+func (run *storeRun) reload() error {
+	run.state = newReplicatedState(&listStateMachine{})
+	return run.store.load(run.state)
 }
 
-func (h *storeRun) step(random *rand.Rand) error {
+func (run *storeRun) step(random *rand.Rand) error {
 	switch random.IntN(6) {
 	case 0:
-		return h.compact()
+		return run.compact()
 	case 1:
-		return h.promise()
+		return run.promise()
 	case 2:
-		return h.reload()
+		return run.reload()
 	}
-	return h.appendRandom(random)
+	return run.appendRandom(random)
 }
 
 // restartWithPowerLoss restarts from a state left by a power loss, and simulates another power loss
 // right before each sync of the restart.
-func (h *storeRun) restartWithPowerLoss(t *testing.T, dir string, seed uint64) {
+func (run *storeRun) restartWithPowerLoss(t *testing.T, dir string, seed uint64) {
 	loss, err := simulated.NewPowerLoss(dir, seed)
 	if err != nil {
 		t.Error(err)
@@ -166,22 +168,22 @@
 	}
 	defer loss.Close()
 	disk, err := host.OpenObservedDisk(dir, func(path string) {
-		if err := loss.BeforeSync(path, func(dir string) { h.restart(t, dir) }); err != nil {
+		if err := loss.BeforeSync(path, func(dir string) { run.checkSecondRestart(t, dir) }); err != nil {
 			t.Error(err)
 		}
 	})
 	if err == nil {
-		err = h.check(disk)
+		err = run.check(disk)
 	}
 	if err != nil {
 		t.Errorf("seed %d: %v", seed, err)
 	}
 }
 
-func (h *storeRun) restart(t *testing.T, dir string) {
+func (run *storeRun) checkSecondRestart(t *testing.T, dir string) {
 	disk, err := host.OpenDisk(dir)
 	if err == nil {
-		err = h.check(disk)
+		err = run.check(disk)
 	}
 	if err != nil {
 		t.Errorf("at the second restart: %v", err)
@@ -209,23 +211,23 @@
 	require.NoError(t, err)
 	defer loss.Close()
 	random := rand.New(rand.NewPCG(seed, 1))
-	h := &storeRun{}
+	run := &storeRun{}
 	states := 0
 	disk, err := host.OpenObservedDisk(dir, func(path string) {
 		err := loss.BeforeSync(path, func(dir string) {
 			states++
-			h.restartWithPowerLoss(t, dir, seed)
+			run.restartWithPowerLoss(t, dir, seed)
 		})
 		if err != nil {
 			t.Error(err)
 		}
 	})
 	require.NoError(t, err)
-	h.store = newStore(disk)
-	require.NoError(t, h.reload())
-	require.NoError(t, h.promise())
+	run.store = newStore(disk)
+	require.NoError(t, run.reload())
+	require.NoError(t, run.promise())
 	for i := range 30 {
-		require.NoError(t, h.step(random), "seed %d step %d", seed, i)
+		require.NoError(t, run.step(random), "seed %d step %d", seed, i)
 		if t.Failed() {
 			break
 		}
@@ -237,9 +239,9 @@
 func TestUnusedChunksDropped(t *testing.T) {
 	disk, err := host.OpenDisk(t.TempDir())
 	require.NoError(t, err)
-	h := &storeRun{store: newStore(disk)}
-	require.NoError(t, h.reload())
-	kept := func() (count int) {
+	run := &storeRun{store: newStore(disk)}
+	require.NoError(t, run.reload())
+	countChunkFiles := func() (count int) {
 		names, err := disk.List()
 		require.NoError(t, err)
 		for _, name := range names {
@@ -250,36 +252,36 @@
 		return count
 	}
 	for range 3 * valuesPerChunk {
-		_, err := h.state.apply(&Entry{Kind: "put", Body: []byte("x")})
+		_, err := run.state.apply(&Entry{Kind: "put", Body: []byte("x")})
 		require.NoError(t, err)
-		require.NoError(t, h.compact())
+		require.NoError(t, run.compact())
 	}
-	machine := h.state.machine.(*listStateMachine)
-	require.Equal(t, 1, kept(), "chunks with equal content share one file")
-	machine.sealed = []Chunk{NewChunk([]byte("another"))}
-	require.NoError(t, h.compact())
-	require.Equal(t, 1, kept())
+	machine := run.state.machine.(*listStateMachine)
+	require.Equal(t, 1, countChunkFiles(), "chunks with equal content share one file")
+	machine.chunks = []Chunk{NewChunk([]byte("another"))}
+	require.NoError(t, run.compact())
+	require.Equal(t, 1, countChunkFiles())
 }
 
 // TestCompletedStepNotPending checks that a disk step no longer counts as pending once it has returned.
 // Otherwise a snapshot right after it would be refused as stalled, and the primary would step down.
 func TestCompletedStepNotPending(t *testing.T) {
 	var wg sync.WaitGroup
-	var late atomic.Int32
+	var stillPending atomic.Int32
 	for range 8 * runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
 			s := newStore(nil)
 			for range 8_000 {
 				s.runStep("no step", func() error { return nil })
-				late.Add(s.pendingSteps.Load())
+				stillPending.Add(s.pendingSteps.Load())
 			}
 		})
 	}
 	wg.Wait()
-	require.Zero(t, late.Load(), "completed steps still counted as pending")
+	require.Zero(t, stillPending.Load(), "completed steps still counted as pending")
 }
 
-// corruption is one change to a file on disk and a part of the error with which reading it fails.
+// corruption is a change to a file on disk. reason is a part of the error with which reading it fails.
 type corruption struct {
 	name, file string
 	change     func([]byte) []byte
@@ -290,7 +292,7 @@
 
 // corruptions returns the ways to corrupt a disk written by fillStore; chunk is the file of its chunk.
 func corruptions(chunk string) []corruption {
-	sealed := func(body []byte) func([]byte) []byte {
+	withChecksum := func(body []byte) func([]byte) []byte {
 		return func([]byte) []byte { return host.Seal(body) }
 	}
 	half := func(b []byte) []byte { return b[:len(b)/2] }
@@ -311,17 +313,17 @@
 		{"snapshot cut short", "picture", half, "counts as lost"},
 		{"snapshot empty", "picture", none, "counts as lost"},
 		{"snapshot changed", "picture", flip, "counts as lost"},
-		{"snapshot of another kind", "picture", sealed([]byte{0x80}), "not that of a snapshot"},
-		{"snapshot is not a message", "picture", sealed([]byte("hello")), "read snapshot"},
+		{"snapshot with an empty message", "picture", withChecksum([]byte{0x80}), "not that of a snapshot"},
+		{"snapshot is not a message", "picture", withChecksum([]byte("hello")), "read snapshot"},
 		{"snapshot with trailing bytes", "picture", func(b []byte) []byte {
-			return host.Seal(append(b[4:len(b):len(b)], 0))
+			return host.Seal(append(b[4:len(b):len(b)], 0)) // the first 4 bytes are the checksum
 		}, "not that of a snapshot"},
 		{"register cut short", "register", half, "counts as lost"},
 		{"register empty", "register", none, "counts as lost"},
 		{"register changed", "register", flip, "counts as lost"},
-		{"register of another kind", "register", sealed([]byte{0x80}), "not that of a register"},
-		{"register is not a message", "register", sealed([]byte("hello")), "read register"},
-		{"register with an accepted epoch above the promised one", "register", sealed(MustMarshal(&BallotResponse{
+		{"register with an empty message", "register", withChecksum([]byte{0x80}), "not that of a register"},
+		{"register is not a message", "register", withChecksum([]byte("hello")), "read register"},
+		{"register with an accepted epoch above the promised one", "register", withChecksum(MustMarshal(&BallotResponse{
 			Promised: 1,
 			Accepted: Record{Epoch: 2, ClusterID: "f"},
 		})), "not that of a register"},
@@ -331,7 +333,7 @@
 			return b
 		}, "counts as lost"},
 		{"log with missing entries", filledLog, appended(MustMarshal(&entry)), "follows"},
-		{"log with an entry of another kind", filledLog, appended([]byte{0x80}), "follows"},
+		{"log with an empty message as entry", filledLog, appended([]byte{0x80}), "follows"},
 		{"log with an entry that is not a message", filledLog, appended([]byte("hello")), "read log"},
 		{
 			"log with trailing bytes after an entry",
@@ -342,7 +344,7 @@
 		{"log with an unknown command", filledLog, appended(MustMarshal(&Entry{Seq: 9, Kind: "newer"})), "replay log"},
 		{"chunk cut short", chunk, half, "read chunk"},
 		{"chunk changed", chunk, flip, "read chunk"},
-		{"chunk of another name", chunk, sealed([]byte("other")), "the content is that of chunk"},
+		{"chunk of another name", chunk, withChecksum([]byte("other")), "the content is that of chunk"},
 	}
 }
 
@@ -361,7 +363,7 @@
 }
 
 // TestDamagedDisk checks that a snapshot, register, log or chunk that is truncated, changed, or of another
-// kind or version is rejected with a one-line error and never loaded as state.
+// type or version is rejected with a one-line error and never loaded as state.
 func TestDamagedDisk(t *testing.T) {
 	healthy, chunk := newFilledDisk(t)
 	for _, c := range corruptions(chunk) {
@@ -398,19 +400,19 @@
 func fillStore(t *testing.T, dir string) {
 	disk, err := host.OpenDisk(dir)
 	require.NoError(t, err)
-	h := &storeRun{store: newStore(disk)}
-	require.NoError(t, h.reload())
-	require.NoError(t, h.promise())
+	run := &storeRun{store: newStore(disk)}
+	require.NoError(t, run.reload())
+	require.NoError(t, run.promise())
 	for number := 1; number <= 8; number++ {
 		e := Entry{Kind: "put", Body: []byte(strconv.Itoa(number))}
-		_, err := h.state.apply(&e)
+		_, err := run.state.apply(&e)
 		require.NoError(t, err)
-		require.NoError(t, h.store.append([]Entry{e}))
+		require.NoError(t, run.store.append([]Entry{e}))
 		if number == 6 {
-			require.NoError(t, h.compact())
+			require.NoError(t, run.compact())
 		}
 	}
-	require.NoError(t, h.store.log.Close())
+	require.NoError(t, run.store.log.Close())
 }
 
 // requireRefused checks that loading a disk fails with a one-line error that contains reason.
@@ -442,20 +444,20 @@
 		maxUsed = max(maxUsed, used)
 	})
 	require.NoError(t, err)
-	h := &storeRun{store: newStore(disk)}
-	require.NoError(t, h.reload())
-	machine := h.state.machine.(*listStateMachine)
+	run := &storeRun{store: newStore(disk)}
+	require.NoError(t, run.reload())
+	machine := run.state.machine.(*listStateMachine)
 	compactions := 0
 	for range entries {
 		e := Entry{Kind: "put", Body: bytes.Repeat([]byte("x"), entrySize)}
-		_, err := h.state.apply(&e)
+		_, err := run.state.apply(&e)
 		require.NoError(t, err)
-		require.NoError(t, h.store.append([]Entry{e}))
-		if last := len(machine.sealed); last > 1 {
-			machine.sealed = machine.sealed[last-1:]
+		require.NoError(t, run.store.append([]Entry{e}))
+		if last := len(machine.chunks); last > 1 {
+			machine.chunks = machine.chunks[last-1:]
 		}
-		if h.store.logUnits > compactionThreshold {
-			require.NoError(t, h.compact())
+		if run.store.logUnits > compactionThreshold {
+			require.NoError(t, run.compact())
 			compactions++
 		}
 	}
--- a/coordination/statemachine_test.go
+++ b/coordination/statemachine_test.go
@@ -440,9 +440,9 @@
 	require.True(t, isPrefix(got, m.requested), "loaded %q, but only %q was requested", got, m.requested)
 	kept, err := m.store.loadRegister()
 	require.NoError(t, err)
-	require.Contains(t, []ids.Epoch{m.register.Promised, m.written.Promised}, kept.Promised)
+	require.Contains(t, []ids.Epoch{m.acknowledgedRegister.Promised, m.requestedRegister.Promised}, kept.Promised)
 	m.acknowledged, m.requested = got, got
-	m.register, m.written = kept, kept
+	m.acknowledgedRegister, m.requestedRegister = kept, kept
 }
 
 // isPrefix reports whether a comma-separated list of values begins with another.
--- a/coordination/store.go
+++ b/coordination/store.go
@@ -1,7 +1,8 @@
-// A core stores on disk its identity, its register, a snapshot and the log that follows the
-// snapshot. The snapshot names its log, so that saving a new snapshot replaces both in one rename.
-// A log is synced before anything that depends on it, so a missing log means that the disk is
-// damaged. Every disk step has a time limit: a replica whose step exceeds it steps down.
+// A core (one replica) stores on disk its identity, its register (the promised epoch and the accepted
+// record), a snapshot, its chunks, and the log that follows the snapshot. The snapshot names its log, so
+// that saving a new snapshot replaces both in one rename. A log is synced before anything that depends
+// on it, so a missing log means that the disk is damaged. Writes of a running core have a time limit,
+// and a primary whose write exceeds it steps down; loading has no limit.
 
 package coordination
 
@@ -18,6 +19,7 @@
 )
 
 const (
+	// File names. They are part of the disk format of earlier releases, so some differ from the names here.
 	snapshotFile  = "picture"
 	registerFile  = "register"
 	identityFile  = "identity"
@@ -46,18 +48,19 @@
 	chunks               sync.Map // the names of the chunks on disk
 }
 
-// runStep runs one disk step. If the step stalls, runStep returns an error while the step goes on.
+// runStep runs one disk operation with the store's time limit. If the limit is exceeded, runStep returns
+// an error of kind DataLost, since a stalled disk is treated as lost, while the operation goes on.
 func (s *store) runStep(step string, f func() error) error {
 	return s.runStepWithin(s.timeout, step, f)
 }
 
-// runStepWithin is runStep with its own time limit.
+// runStepWithin is runStep with the given time limit.
 func (s *store) runStepWithin(limit time.Duration, step string, f func() error) error {
 	done := make(chan error, 1)
 	s.pendingSteps.Add(1)
 	go func() {
 		err := f()
-		// Decremented before the result is sent, or the next step would take this one for stalled.
+		// Decremented before the result is sent. Otherwise the next step would consider this one stalled.
 		s.pendingSteps.Add(-1)
 		done <- err
 	}()
@@ -134,7 +137,7 @@
 	}
 	log, entries, err := s.disk.Open(name)
 	if errors.Is(err, host.ErrNotExist) {
-		if err := s.checkNewDisk(snapshot, name); err != nil {
+		if err := s.requireNewDisk(snapshot, name); err != nil {
 			return nil, err
 		}
 		log, err = s.disk.Create(name)
@@ -146,9 +149,9 @@
 	return entries, nil
 }
 
-// checkNewDisk returns an error unless the disk has neither a snapshot nor a register. missing is the
+// requireNewDisk returns an error unless the disk has neither a snapshot nor a register. missing is the
 // name of the log that does not exist.
-func (s *store) checkNewDisk(snapshot *Snapshot, missing string) error {
+func (s *store) requireNewDisk(snapshot *Snapshot, missing string) error {
 	_, err := s.disk.Load(registerFile)
 	switch {
 	case snapshot != nil:
@@ -259,7 +262,7 @@
 			return err
 		}
 	}
-	log, name, err := s.swapLog(snapshot)
+	log, name, err := s.saveSnapshotWithNewLog(snapshot)
 	if err != nil {
 		return err
 	}
@@ -268,16 +271,16 @@
 	if previous != nil {
 		previous.Close()
 	}
-	return s.runStep("drop what the snapshot replaces", func() error {
+	return s.runStep("remove old log and chunks", func() error {
 		s.dropChunks(snapshot)
 		return s.disk.Remove(previousName)
 	})
 }
 
-// swapLog creates a new log and saves the snapshot that names it. If that fails or stalls, the
-// snapshot on disk may name either log: the store must be loaded again before it is used, and the
-// new log is closed once the step has ended.
-func (s *store) swapLog(snapshot *Snapshot) (host.Log, string, error) {
+// saveSnapshotWithNewLog creates a new log and saves the snapshot that names it. If that fails or stalls,
+// the snapshot on disk may name either log. The store must then be loaded again before it is used; the
+// new log is closed once it has been created.
+func (s *store) saveSnapshotWithNewLog(snapshot *Snapshot) (host.Log, string, error) {
 	var n int
 	fmt.Sscanf(s.logName, logPrefix+"%d", &n)
 	name := fmt.Sprintf(logPrefix+"%d", n+1)
@@ -300,14 +303,15 @@
 	return <-created, name, nil
 }
 
-// closeWhenCreated waits until a log was created and closes it.
+// closeWhenCreated waits until a log has been created and closes it.
 func closeWhenCreated(created <-chan host.Log) {
 	if log := <-created; log != nil {
 		log.Close()
 	}
 }
 
-// loadRegister returns the register on disk, or an empty one if there is none yet.
+// loadRegister returns the register on disk, or an empty one if there is none yet. The file contains a
+// BallotResponse.
 func (s *store) loadRegister() (register, error) {
 	var b BallotResponse
 	body, err := s.disk.Load(registerFile)
@@ -321,7 +325,7 @@
 	if err != nil {
 		return register{}, failure.As(err, failure.InvalidArgument, "read register", "disk")
 	}
-	// A register is saved only with a promise, and an accepted epoch was promised before.
+	// Every saved register has a promised epoch, and its accepted epoch is never above the promised one.
 	if len(rest) > 0 || b.Promised == 0 || b.Promised < b.Accepted.Epoch {
 		return register{}, failure.New(
 			failure.InvalidArgument,
@@ -333,7 +337,7 @@
 	return register{Promised: b.Promised, PromisedTo: b.PromisedTo, Accepted: b.Accepted}, nil
 }
 
-// saveRegister writes the register to disk.
+// saveRegister writes the register to disk, encoded as a BallotResponse.
 func (s *store) saveRegister(r register) error {
 	if s.pendingRegisterSaves.Load() > 0 {
 		return failure.New(failure.DataLost, "save register", "disk", "an earlier save is still stalled")
