--- a/coordination/agent.go
+++ b/coordination/agent.go
@@ -26,8 +26,8 @@
 	Snapshot() []byte
 }
 
-// Batcher is a Watcher that is told which entries arrived together: Batch must call observe,
-// which calls Observe for each entry of the batch.
+// Batcher is an optional interface of a Watcher that processes entries which arrived together as one
+// batch. Batch must call observe, which calls Observe for each entry of the batch.
 type Batcher interface {
 	Batch(observe func())
 }
@@ -42,7 +42,7 @@
 	LeaseDuration   time.Duration // 3s, the same as the core's
 	RenewInterval   time.Duration // 500ms
 	MaxTickGap      time.Duration // 1s: a longer time between ticks means that the process was suspended
-	CoreUnreachable func() bool   // reports that the core, not this node, is cut off
+	CoreUnreachable func() bool   // reports whether the core as a whole is unreachable, not only from this node
 }
 
 // clusterView is the core's own state as of a log entry.
@@ -53,7 +53,8 @@
 	grants  map[ids.Key]Grant
 }
 
-// Agent is safe for concurrent use. NewAgent creates one, Mount and Run start it.
+// Agent holds a node's lease, follows the change feed and submits commands. NewAgent creates one, Mount and
+// Run start it. It is safe for concurrent use.
 type Agent struct {
 	options   AgentOptions
 	caller    *rpc.Caller
@@ -185,13 +186,13 @@
 // Leased reports whether the lease holds now.
 func (a *Agent) Leased() bool { return a.LeaseValid() }
 
-// SinceConfirmed returns the time since the last renewal that the core confirmed was sent.
+// SinceConfirmed returns the time since this node sent the last renewal that the core has confirmed.
 func (a *Agent) SinceConfirmed() time.Duration {
 	return a.options.Host.Clock.Now().Since(ids.Tick(a.confirmedAt.Load()))
 }
 
-// CaughtUp reports whether the core confirmed this node within a duration and this node has applied the
-// change feed up to that confirmation.
+// CaughtUp reports whether the last confirmed renewal was sent within a duration and this node has applied
+// the change feed up to that confirmation.
 func (a *Agent) CaughtUp(duration time.Duration) bool {
 	return a.SinceConfirmed() <= duration && uint64(a.Seq()) >= a.confirmedSeq.Load()
 }
--- a/coordination/agent_clock_test.go
+++ b/coordination/agent_clock_test.go
@@ -16,8 +16,8 @@
 	"keelstair.example/rpc"
 )
 
-// TestTimeBoundsAndCurrent checks that the time bounds hold at whatever moment between request and response
-// the core read its time, and that the upper bound never decreases while the clock runs steadily. Current
+// TestTimeBoundsAndCurrent checks that the time bounds hold whenever the core read its time between request
+// and response, and that the upper bound never decreases while the clock runs steadily. Current
 // must end with the lease and return only once the feed up to the renewal has been applied.
 func TestTimeBoundsAndCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/coordination/election.go
+++ b/coordination/election.go
@@ -50,8 +50,8 @@
 
 // collectResponses sends a ballot request of either round to the replicas. It returns the newest record
 // in their responses and the replicas that agreed. Once enough reports true for those that agreed, it
-// waits only lateResponseWait for the others. If enough is nil, it waits for all of them. It never waits
-// longer than ballotRoundTimeout.
+// waits only lateResponseWait for the others. If enough is nil, it waits for all of them. Calls to
+// other replicas end after ballotRoundTimeout.
 func (c *Core) collectResponses(
 	ctx context.Context,
 	request *BallotRequest,
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -94,9 +94,9 @@
 }
 
 // electionBackoff returns when this core may stand again after an election that began at the given
-// tick and failed. Where sending the state takes long, two candidates would interrupt each other's
-// elections for ever; so a candidate that has promised a newer epoch to a rival waits for a random
-// time of up to twice what it has spent.
+// tick and failed. If sending the state takes long, two candidates could interrupt each other's
+// elections forever, so a candidate that has promised a newer epoch to a rival waits for a random
+// time of up to twice the duration of its own election.
 func (c *Core) electionBackoff(began ids.Tick) ids.Tick {
 	now := c.options.Host.Clock.Now()
 	spent := now.Since(began)
--- a/coordination/lease.go
+++ b/coordination/lease.go
@@ -51,8 +51,8 @@
 	return ids.Mix(ids.Hash(string(n) + "\x00" + string(key)))
 }
 
-// assumeLeases assumes that every member, and every owner of a key that is no longer a member,
-// renewed its lease just now, the latest it can have done so with the previous primary. The caller
+// assumeLeases treats every member, and every owner of a key that is no longer a member, as if it had
+// renewed its lease now, since the previous primary may have confirmed renewals until now. The caller
 // holds dataMu.
 func (l *leader) assumeLeases(now ids.Tick) {
 	for _, g := range l.core.state.grants {
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -65,7 +65,7 @@
 	in = inSmallestZone(spares, perZone)
 	for _, s := range l.record.Voters {
 		evensZones := perZone[in.Zone]+2 <= perZone[s.Zone]
-		// A backup is chosen only if no other voter qualifies: replacing a voter without data is cheaper.
+		// A backup is chosen only if no voter without data qualifies.
 		if evensZones && s.Disk != l.core.self.Disk && (out.Disk == "" || l.record.backupRank(out.Disk) >= 0) {
 			out = s
 		}
@@ -284,8 +284,8 @@
 	return n >= l.record.faultTolerance()
 }
 
-// transferPrimaryRole asks the backups, in the order of their rank, to take over at once, until one agrees.
-// Every backup has all acknowledged entries.
+// transferPrimaryRole asks the backups that are not shutting down, in the order of their rank, to take over
+// at once, until one agrees. Every backup has all acknowledged entries.
 func (l *leader) transferPrimaryRole(ctx context.Context) error {
 	c := l.core
 	err := failure.New(failure.Unavailable, "hand over", c.self.Addr, "no backup is available to take over")
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -111,7 +111,7 @@
 	f.world.Partition(group, rest, partitioned)
 }
 
-// leave makes a core hand over and then powers it off; its disk stays.
+// leave makes a core hand over its roles and then powers it off; its disk stays.
 func (f *testCluster) leave(ip string, duration time.Duration) error {
 	ctx, stop := context.WithTimeout(context.Background(), duration)
 	defer stop()
--- a/coordination/powerloss_test.go
+++ b/coordination/powerloss_test.go
@@ -70,7 +70,7 @@
 func (m *listStateMachine) Chunks() []Chunk                                  { return m.chunks }
 func (m *listStateMachine) RestoreChunks(all []Chunk)                        { m.chunks = all }
 
-// storeRun drives a store and records what it has acknowledged.
+// storeRun drives a store and records its acknowledged and requested writes.
 type storeRun struct {
 	store                                   *store
 	state                                   *replicatedState
@@ -81,7 +81,8 @@
 
 func newStore(disk host.Disk) *store { return &store{disk: disk, timeout: 20 * time.Second} }
 
-// check reads the store back and compares it with the acknowledged and the requested state.
+// check loads the store from a disk and checks that its list and register are the acknowledged or the
+// requested ones.
 func (run *storeRun) check(disk host.Disk) error {
 	s, r := newStore(disk), newReplicatedState(&listStateMachine{})
 	if err := s.load(r); err != nil {
@@ -180,6 +181,7 @@
 	}
 }
 
+// checkSecondRestart checks the state that a power loss during the first restart left.
 func (run *storeRun) checkSecondRestart(t *testing.T, dir string) {
 	disk, err := host.OpenDisk(dir)
 	if err == nil {
--- a/coordination/statemachine_test.go
+++ b/coordination/statemachine_test.go
@@ -415,7 +415,7 @@
 	})
 }
 
-// storeModel is a store on a simulated disk, with what it has acknowledged.
+// storeModel is a store on a simulated disk, with its acknowledged and requested writes.
 type storeModel struct {
 	storeRun
 	machine *simulated.Machine
@@ -429,8 +429,8 @@
 	return m
 }
 
-// start starts a process on the disk and compares what it loads with what was acknowledged: of an
-// interrupted step, a prefix of the rows may be there. The model continues from what is on disk.
+// start starts a process on the disk and compares the loaded state with the acknowledged one. A prefix of
+// the entries of an interrupted append may also be on disk. The model continues from the loaded state.
 func (m *storeModel) start(t *rapid.T) {
 	m.process = m.machine.Start()
 	m.store = newStore(m.process.Host().Disk)
--- a/coordination/watch.go
+++ b/coordination/watch.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	fetchIdleTimeout = 700 * time.Millisecond // a fetch that receives no byte for so long is abandoned
+	fetchIdleTimeout = 700 * time.Millisecond // a fetch that receives no byte for this long is abandoned
 	fetchTimeout     = 30 * time.Second       // for a whole fetch
 )
 
