--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -268,8 +268,8 @@
 	return err
 }
 
-// canRemove reports whether this core has recently heard from enough voters other than the leaver for
-// them to be the backups.
+// canRemove reports whether this core has recently heard from enough other voters, not counting the
+// leaver, for them to be the backups.
 func (l *leader) canRemove(leaver ids.DiskID) bool {
 	c := l.core
 	now := c.options.Host.Clock.Now()
