--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -39,7 +39,7 @@
 	serial, ok := n.view.Current().Register.Clears(regime, s, role, n.fleetTime())
 	if !ok {
 		return "", failure.New(
-			failure.NotExecuted, "clear", s.String(), "no valid certificate clears it for regime %q", regime,
+			failure.NotExecuted, "clear", s.String(), "no certificate in force clears it for regime %q", regime,
 		)
 	}
 	return serial, nil
