--- a/internal/proxy/candidate_index.go
+++ b/internal/proxy/candidate_index.go
@@ -12,8 +12,8 @@
 	"keelstair.example/internal/routing"
 )
 
-// candidate is a worker's index in the list with the data that is the same for all requests.
-type candidate struct {
+// indexedWorker is a worker's index in the list with the data that is the same for all requests.
+type indexedWorker struct {
 	index int
 	id    ids.WorkerID
 	role  ids.Role
@@ -31,7 +31,7 @@
 type candidateIndex struct {
 	seq       uint64
 	snapshot  *fleetstate.Snapshot
-	byRole    map[serviceRole][]candidate
+	byRole    map[serviceRole][]indexedWorker
 	urgencies map[string][]int // by service: the urgencies of its routes, least urgent first
 }
 
@@ -40,10 +40,10 @@
 	if t := n.candidates.Load(); t != nil && t.seq == list.seq && t.snapshot == s {
 		return t
 	}
-	t := &candidateIndex{seq: list.seq, snapshot: s, byRole: map[serviceRole][]candidate{}, urgencies: urgencyClasses(s)}
+	t := &candidateIndex{seq: list.seq, snapshot: s, byRole: map[serviceRole][]indexedWorker{}, urgencies: urgencyClasses(s)}
 	for i := range list.workers {
 		if w := &list.workers[i]; acceptsWork(s, w) {
-			e := candidate{i, w.ID, w.Role, routing.WorkerHash(w.ID), n.state(w.ID)}
+			e := indexedWorker{i, w.ID, w.Role, routing.WorkerHash(w.ID), n.state(w.ID)}
 			for _, p := range []ids.Role{ids.Prefill, ids.Decode} {
 				if k := (serviceRole{w.Service, p}); w.Role == p || w.Role == "" {
 					t.byRole[k] = append(t.byRole[k], e)
@@ -94,9 +94,9 @@
 	return slices.Compact(out)
 }
 
-// prefixHome returns the prefill worker that a prefix hash is assigned to by rendezvous hashing, among
+// preferredWorker returns the prefill worker that a prefix hash is assigned to by rendezvous hashing, among
 // those that are not ejected.
-func prefixHome(prefix uint64, rows []candidate, ejected func(ids.WorkerID) bool) ids.WorkerID {
+func preferredWorker(prefix uint64, rows []indexedWorker, ejected func(ids.WorkerID) bool) ids.WorkerID {
 	var home ids.WorkerID
 	best := -1.0
 	for i := range rows {
--- a/internal/proxy/decode_exchange.go
+++ b/internal/proxy/decode_exchange.go
@@ -14,7 +14,7 @@
 
 // decode sends the request to a decode worker. An Unavailable failure means that there is no worker or
 // no attempt left.
-func (t *exchange) decode(ctx context.Context, source *Source) (*pick, *Response, error) {
+func (t *exchange) decode(ctx context.Context, source *Source) (*candidate, *Response, error) {
 	for round := 0; ; round++ {
 		picked, again := t.node.now(), false
 		var from *Worker
@@ -72,15 +72,15 @@
 
 // offer sends the request to one worker. A silent worker is abandoned for another only if the request
 // may be retried.
-func (t *exchange) offer(ctx context.Context, c *pick, source *Source) (*Response, error) {
+func (t *exchange) offer(ctx context.Context, c *candidate, source *Source) (*Response, error) {
 	callContext, stop := context.WithCancelCause(ctx)
-	body := &supervisedBody{exchange: t, pick: c, stop: stop}
+	body := &supervisedBody{exchange: t, candidate: c, stop: stop}
 	if t.mayRetryDecode() {
 		body.attempt = &attempt{stop}
 		c.state.addAttempt(body.attempt)
-		body.deadlineTimer = time.AfterFunc(t.decodeSilenceTimeout(), func() { stop(errWorkerSilent) })
+		body.cancelTimer = time.AfterFunc(t.decodeSilenceTimeout(), func() { stop(errWorkerSilent) })
 	} else {
-		body.silenceTimer = time.AfterFunc(t.decodeSilenceTimeout(), func() { t.node.recordOutcome(c, false) })
+		body.firstByteTimer = time.AfterFunc(t.decodeSilenceTimeout(), func() { t.node.recordOutcome(c, false) })
 	}
 	times := t.node.serviceTimesFor(t.service.Name)
 	body.times, body.lastByteAt = times, t.node.now()
--- a/internal/proxy/event_gap.go
+++ b/internal/proxy/event_gap.go
@@ -51,7 +51,7 @@
 
 // addSlowDecodeCost adds a cost to workers whose pauses between events are far longer than those of
 // others.
-func addSlowDecodeCost(list []pick) {
+func addSlowDecodeCost(list []candidate) {
 	var gaps []time.Duration
 	for i := range list {
 		if list[i].meanEventGap > 0 {
--- a/internal/proxy/event_gap_test.go
+++ b/internal/proxy/event_gap_test.go
@@ -62,12 +62,12 @@
 // TestSlowDecodeCost: only workers that are slow compared with the fastest quarter get a cost.
 func TestSlowDecodeCost(t *testing.T) {
 	ms := time.Millisecond
-	list := []pick{{meanEventGap: 20 * ms}, {meanEventGap: 30 * ms}, {meanEventGap: 80 * ms}, {meanEventGap: 0}, {meanEventGap: 25 * ms}}
+	list := []candidate{{meanEventGap: 20 * ms}, {meanEventGap: 30 * ms}, {meanEventGap: 80 * ms}, {meanEventGap: 0}, {meanEventGap: 25 * ms}}
 	addSlowDecodeCost(list)
 	for i, want := range []float64{0, 0, 200, 0, 0} {
 		require.InDelta(t, want, list[i].cost, 1e-9, "worker %d", i)
 	}
-	single := []pick{{meanEventGap: 500 * ms}, {meanEventGap: 0}}
+	single := []candidate{{meanEventGap: 500 * ms}, {meanEventGap: 0}}
 	addSlowDecodeCost(single)
 	require.Zero(t, single[0].cost)
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -44,15 +44,15 @@
 	prefixes []uint64
 	tried    map[ids.WorkerID]bool
 
-	prefilledAt            *pick  // the worker whose prompt memory has not been fetched yet
-	failedPrefillUncounted bool   // a failed prefill has not been charged to the retry budget yet
-	retryPaid              bool   // the next attempt was already charged, by a hedge
-	attemptsMade           int    // decodes, and prefills that were rejected or repeated
-	mayHaveRun             bool   // a worker may have run the request
-	sourceLost             bool   // a worker rejected the request because it could not fetch the prompt's memory
-	headSent               bool   // the caller has the response head
-	usageCounted           bool   // the request is counted for usage metering
-	lastEventID            string // id of the last event sent to the caller
+	prefilledAt            *candidate // the worker whose prompt memory has not been fetched yet
+	failedPrefillUncounted bool       // a failed prefill has not been charged to the retry budget yet
+	retryPaid              bool       // the next attempt was already charged, by a hedge
+	attemptsMade           int        // decodes, and prefills that were rejected or repeated
+	mayHaveRun             bool       // a worker may have run the request
+	sourceLost             bool       // a worker rejected the request because it could not fetch the prompt's memory
+	headSent               bool       // the caller has the response head
+	usageCounted           bool       // the request is counted for usage metering
+	lastEventID            string     // id of the last event sent to the caller
 	timing                 exchangeTiming
 }
 
@@ -314,7 +314,7 @@
 // reserveWorker reserves a worker for one attempt: a prefill of that many tokens, or a decode if
 // prefillTokens is 0. It returns false if the worker may not get new requests any more, or is cold
 // and its slow-start rate is used up.
-func (t *exchange) reserveWorker(c *pick, prefillTokens int) bool {
+func (t *exchange) reserveWorker(c *candidate, prefillTokens int) bool {
 	gap, ok := t.node.slowStartDelay(c.worker.ID, t.service)
 	if !ok || gap > 0 && !t.node.slowStart.reserve(c.worker.ID, gap, t.node.now()) {
 		return false
@@ -344,7 +344,7 @@
 }
 
 // recordWorkerError records a failed attempt in the worker's state, by the kind of failure.
-func (t *exchange) recordWorkerError(ctx context.Context, c *pick, err error, now ids.Tick) {
+func (t *exchange) recordWorkerError(ctx context.Context, c *candidate, err error, now ids.Tick) {
 	switch {
 	case failure.Is(err, failure.DataLost):
 	case failure.Is(err, failure.Stale):
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -57,7 +57,7 @@
 }
 
 // hedgeDelay returns how long a prefill may take before it is hedged; false if it must not be hedged.
-func (t *exchange) hedgeDelay(first *pick) (time.Duration, bool) {
+func (t *exchange) hedgeDelay(first *candidate) (time.Duration, bool) {
 	usualOverhead, ok := t.node.serviceTimesFor(t.service.Name).overhead.median()
 	if !ok || t.node.options.HedgeFactor < 0 || t.route.MaxAttempts < 2 || t.attemptsMade > 0 {
 		return 0, false
@@ -67,7 +67,7 @@
 
 // hedgeCandidate reserves a second worker that can meet the latency target and charges the hedge; nil if
 // there is none.
-func (t *exchange) hedgeCandidate(first *pick) *pick {
+func (t *exchange) hedgeCandidate(first *candidate) *candidate {
 	if t.authenticate(t.node.snapshot()) != nil {
 		return nil
 	}
@@ -95,13 +95,13 @@
 
 // prefillHedged prefills the prompt on one worker, and on a second one too if the first is slow. It
 // returns false if no connection to the first was established.
-func (t *exchange) prefillHedged(ctx context.Context, first *pick) (*Source, bool, error) {
+func (t *exchange) prefillHedged(ctx context.Context, first *candidate) (*Source, bool, error) {
 	delay, ok := t.hedgeDelay(first)
 	if !ok {
 		return t.settlePrefill(ctx, t.prefillOn(ctx, first))
 	}
 	outcomes := make(chan prefillOutcome, 2)
-	begin := func(c *pick) context.CancelCauseFunc {
+	begin := func(c *candidate) context.CancelCauseFunc {
 		prefillContext, cancel := context.WithCancelCause(ctx)
 		go func() { outcomes <- t.prefillOn(prefillContext, c) }()
 		return cancel
@@ -129,7 +129,7 @@
 		t.recordFailedPrefill(ctx, outcome)
 		return t.settlePrefill(ctx, <-outcomes)
 	}
-	if outcome.pick == second {
+	if outcome.candidate == second {
 		// The first prefill is canceled before its own silence timer would report the worker.
 		t.node.suspect(*first.worker)
 	}
@@ -143,8 +143,8 @@
 func (t *exchange) discardPrefill(outcome prefillOutcome) {
 	now := t.node.now()
 	if outcome.err == nil {
-		outcome.pick.state.recordSuccess(outcome.memory.Load, now)
-		t.freeSource(&Source{Worker: *outcome.pick.worker, Handle: outcome.memory.Handle})
+		outcome.candidate.state.recordAnswer(outcome.memory.Load, now)
+		t.freeSource(&Source{Worker: *outcome.candidate.worker, Handle: outcome.memory.Handle})
 	}
-	outcome.pick.release(outcome.err == nil || failure.Is(outcome.err, failure.OutcomeUnknown), now)
+	outcome.candidate.release(outcome.err == nil || failure.Is(outcome.err, failure.OutcomeUnknown), now)
 }
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -91,12 +91,12 @@
 		request := f.newRequest("late", "/x", 400, 2)
 		exchange := &exchange{node: n, request: request}
 		worker := &n.endpoints.Load().workers[0]
-		c := &pick{worker: worker, state: n.state(worker.ID)}
+		c := &candidate{worker: worker, state: n.state(worker.ID)}
 		c.reserve(request, 0, n.now())
 		platform.withLock(func() {
 			platform.handles["kv"] = &memoryHandle{worker: worker.ID, requestID: "late", release: func() {}}
 		})
-		exchange.discardPrefill(prefillOutcome{pick: c, memory: &PrefillResult{Handle: "kv"}})
+		exchange.discardPrefill(prefillOutcome{candidate: c, memory: &PrefillResult{Handle: "kv"}})
 		time.Sleep(time.Second)
 		platform.mu.Lock()
 		defer platform.mu.Unlock()
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -440,6 +440,6 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.outlier.local.decay(n.now(), outcomeTimeConstant)
-	st.outlier.local.sent++
+	st.outlier.local.total++
 	st.outlier.local.failed++
 }
--- a/internal/proxy/metering.go
+++ b/internal/proxy/metering.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// countStarted counts the request as started, once, when the first part of its answer arrives.
-func (t *exchange) countStarted() {
+// countAnswerStarted counts the request as started, once, when the first part of its answer arrives.
+func (t *exchange) countAnswerStarted() {
 	if meter := t.node.usage; meter != nil && t.tenant != nil && !t.usageCounted {
 		t.usageCounted = true
 		meter.ledger.Add(meter.windows.At(meter.clock.Now()), t.tenant.Name)
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -141,7 +141,7 @@
 	failbacks       sync.Map // ids.Zone -> failback, for zones that were evacuated
 	peerOutcomes    outcomeSums
 	outcomesChanged atomic.Bool  // an outcome has not been evaluated yet
-	ejections       atomic.Int64 // number of workers that are ejected or on probation
+	notServing      atomic.Int64 // number of workers that are ejected or on probation
 	peerOutcomesAt  atomic.Int64 // ids.Tick at which peers' outcomes last arrived
 	isolatedAt      atomic.Int64 // ids.Tick at which the node was last found isolated
 	loads           loadBoard
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -29,21 +29,21 @@
 	probationSuccesses    = 5                // successes that end probation
 	probationQuietPeriod  = 2 * time.Second  // time without a failure that ends probation too
 	probationPickInterval = 5                // a worker on probation is available to one in this many picks
-	strikeTTL             = 10 * time.Second // serving time that removes one strike
+	strikeDecayTime       = 10 * time.Second // serving time that removes one strike
 	maxEjection           = 16 * time.Second
 	evaluateInterval      = 100 * time.Millisecond
 )
 
 // decayingCount counts completed requests with exponential decay.
 type decayingCount struct {
-	sent, failed float64
-	at           ids.Tick
+	total, failed float64
+	at            ids.Tick
 }
 
 // decay applies the decay since the last call.
 func (r *decayingCount) decay(now ids.Tick, timeConstant time.Duration) {
 	f := math.Exp(-float64(now.Since(r.at)) / float64(timeConstant))
-	r.sent, r.failed, r.at = r.sent*f, r.failed*f, now
+	r.total, r.failed, r.at = r.total*f, r.failed*f, now
 }
 
 // phase is a worker's state in outlier ejection.
@@ -76,7 +76,7 @@
 
 // recordOutcome records the outcome of a request to a worker, once. Failures while the worker is known
 // to be down are due to the link or the machine and do not count against its answers.
-func (n *Node) recordOutcome(c *pick, ok bool) {
+func (n *Node) recordOutcome(c *candidate, ok bool) {
 	if n.options.BaseEjection < 0 || !c.outcomeRecorded.CompareAndSwap(false, true) {
 		return
 	}
@@ -91,7 +91,7 @@
 	}
 	v := &st.outlier
 	v.local.decay(now, outcomeTimeConstant)
-	v.local.sent++
+	v.local.total++
 	if !ok {
 		v.local.failed++
 		n.outcomesChanged.Store(true)
@@ -119,7 +119,7 @@
 		st.down = true
 		n.noteOutage()
 		v.outages.decay(now, outageTimeConstant)
-		v.outages.sent++
+		v.outages.total++
 	}
 }
 
@@ -129,16 +129,16 @@
 	defer st.mu.Unlock()
 	v := &st.outlier
 	v.outages.decay(n.now(), outageTimeConstant)
-	if st.down && v.outages.sent > maxOutages {
+	if st.down && v.outages.total > maxOutages {
 		v.flapping = true
 		n.outcomesChanged.Store(true)
 	}
 	st.down = false
 }
 
-// blocked reports whether this pick must skip the worker. During probation it admits one in
+// skipPick reports whether this pick must skip the worker. During probation it admits one in
 // probationPickInterval picks, at least trialInterval apart. The caller holds the state's lock.
-func (v *outlierState) blocked(now ids.Tick, trialInterval time.Duration) bool {
+func (v *outlierState) skipPick(now ids.Tick, trialInterval time.Duration) bool {
 	if v.phase != probation {
 		return v.phase == ejected
 	}
@@ -150,11 +150,11 @@
 	return false
 }
 
-// rates returns the failures and requests seen by this node and its peers. Peers' reports of failures
+// weightedCounts returns the failures and requests seen by this node and its peers. Peers' reports of failures
 // count only if at least two nodes saw failures, and for no more than maxPeerWeight requests.
-func (v *outlierState) rates(now ids.Tick) (failed, sent float64) {
+func (v *outlierState) weightedCounts(now ids.Tick) (failed, sent float64) {
 	v.local.decay(now, outcomeTimeConstant)
-	failed, sent = v.local.failed, v.local.sent
+	failed, sent = v.local.failed, v.local.total
 	reporters := v.peers.Nodes
 	if v.local.failed > 0.3 {
 		reporters++
@@ -168,17 +168,17 @@
 
 // outlierCandidate is a worker under evaluation, with its failures and requests.
 type outlierCandidate struct {
-	worker       *Worker
-	state        *workerState
-	failed, sent float64
+	worker           *Worker
+	state            *workerState
+	failed, requests float64
 }
 
-func (a *outlierCandidate) rate() float64 { return a.failed / max(1, a.sent) }
+func (a *outlierCandidate) rate() float64 { return a.failed / max(1, a.requests) }
 
 // isOutlier reports whether the failure rate exceeds the other workers' mean rate by more than chance.
 func (a *outlierCandidate) isOutlier(othersRate float64) bool {
-	return a.sent >= outlierMinRequests && a.failed > 1.5 &&
-		a.failed-0.8*math.Sqrt(a.failed) > (outlierMinRate+outlierRatio*othersRate)*a.sent
+	return a.requests >= outlierMinRequests && a.failed > 1.5 &&
+		a.failed-0.8*math.Sqrt(a.failed) > (outlierMinRate+outlierRatio*othersRate)*a.requests
 }
 
 // runOutlierDetection evaluates the workers while there are new outcomes or ejected workers.
@@ -187,7 +187,7 @@
 		return
 	}
 	for host.Sleep(ctx, evaluateInterval) {
-		if n.outcomesChanged.Swap(false) || n.ejections.Load() > 0 {
+		if n.outcomesChanged.Swap(false) || n.notServing.Load() > 0 {
 			n.evaluateOutliers(n.snapshot())
 		}
 	}
@@ -208,7 +208,7 @@
 		w := &list.workers[i]
 		a := &outlierCandidate{worker: w, state: n.state(w.ID)}
 		a.state.mu.Lock()
-		a.failed, a.sent = a.state.outlier.rates(now)
+		a.failed, a.requests = a.state.outlier.weightedCounts(now)
 		a.state.mu.Unlock()
 		if acceptsWork(s, w) {
 			k := workerGroup{w.Service, w.Role}
@@ -221,7 +221,7 @@
 	for _, rows := range groups {
 		out += n.evaluateGroup(rows, now)
 	}
-	n.ejections.Store(int64(out))
+	n.notServing.Store(int64(out))
 }
 
 // evaluateGroup evaluates the workers of one service and role, and returns how many are ejected or on
@@ -235,7 +235,7 @@
 	peersReport := n.peerOutcomesAt.Load() != 0 && !now.Past(ids.Tick(n.peerOutcomesAt.Load()), 2*prefillLoadTTL)
 	for _, a := range rows {
 		sum += a.rate()
-		if peersReport || a.sent >= 0.5 { // if peers report, a worker that none of them names does not fail
+		if peersReport || a.requests >= 0.5 { // if peers report, a worker that none of them names does not fail
 			known++
 		}
 	}
@@ -303,14 +303,14 @@
 	defer a.state.mu.Unlock()
 	v := &a.state.outlier
 	if v.phase == serving {
-		v.strikes = max(0, v.strikes-int(now.Since(v.phaseStartedAt)/strikeTTL))
+		v.strikes = max(0, v.strikes-int(now.Since(v.phaseStartedAt)/strikeDecayTime))
 	}
 	duration := min(n.options.BaseEjection<<min(v.strikes, 10), maxEjection)
 	v.strikes++
 	v.phase, v.phaseStartedAt, v.ejectedUntil, v.flapping = ejected, now, now.Add(duration), false
 	v.failureRate = a.rate()
 	n.counts.Ejected.Add(1)
-	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Float64("failed", a.failed).Float64("sent", a.sent).
+	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Float64("failed", a.failed).Float64("sent", a.requests).
 		Dur("duration", duration).Msg("ejecting worker")
 }
 
@@ -327,9 +327,9 @@
 	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Str("reason", reason).Msg("readmitting worker")
 }
 
-// isEjected reports whether a worker is ejected or on probation.
-func (n *Node) isEjected(id ids.WorkerID) bool {
-	if n.ejections.Load() == 0 {
+// isNotServing reports whether a worker is ejected or on probation.
+func (n *Node) isNotServing(id ids.WorkerID) bool {
+	if n.notServing.Load() == 0 {
 		return false
 	}
 	st := n.state(id)
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -115,7 +115,7 @@
 				samples[group] = &ejectionSample{at: now, node: node.ip, group: group}
 			}
 			samples[group].total++
-			if node.isEjected(worker.ID) {
+			if node.isNotServing(worker.ID) {
 				samples[group].ejected++
 			}
 		}
@@ -772,10 +772,10 @@
 			n.recordOutage(st)
 			require.Zero(t, st.outlier.local.failed)
 			require.Equal(t, previous, now.Before(st.outlier.ejectedUntil))
-			n.recordOutcome(&pick{state: st, outcomeRecorded: new(atomic.Bool)}, false)
+			n.recordOutcome(&candidate{state: st, outcomeRecorded: new(atomic.Bool)}, false)
 			require.Zero(t, st.outlier.local.failed, "while the worker is known to be down")
 			n.recordRecovery(st)
-			n.recordOutcome(&pick{state: st, outcomeRecorded: new(atomic.Bool)}, false)
+			n.recordOutcome(&candidate{state: st, outcomeRecorded: new(atomic.Bool)}, false)
 			require.Positive(t, st.outlier.local.failed)
 		}
 	})
--- a/internal/proxy/peer_outcomes.go
+++ b/internal/proxy/peer_outcomes.go
@@ -32,16 +32,16 @@
 		st.mu.Lock()
 		defer st.mu.Unlock()
 		r := &st.outlier.local
-		if r.sent == 0 {
+		if r.total == 0 {
 			return true
 		}
 		r.decay(now, outcomeTimeConstant)
-		if r.sent > 0.1 && (r.failed > 0.1 || st.outlier.peers.Nodes > 0 && !now.Past(
+		if r.total > 0.1 && (r.failed > 0.1 || st.outlier.peers.Nodes > 0 && !now.Past(
 			st.outlier.peersAt, outcomesTTL,
 		)) {
 			out = append(out, Outcomes{
 				ID:     k.(ids.WorkerID),
-				Sent:   int(10*r.sent + 0.5),
+				Sent:   int(10*r.total + 0.5),
 				Failed: int(10*r.failed + 0.5),
 			})
 		}
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -52,8 +52,8 @@
 	return hashes, tokens
 }
 
-// pick is a candidate worker for one request, and what was reserved for the request there.
-type pick struct {
+// candidate is a candidate worker for one request, and what was reserved for the request there.
+type candidate struct {
 	worker          *Worker
 	state           *workerState
 	hash            uint64
@@ -80,7 +80,7 @@
 }
 
 // reserve reserves memory for a request's prompt and up to maxGrowth further tokens.
-func (c *pick) reserve(r *Request, maxGrowth int, now ids.Tick) {
+func (c *candidate) reserve(r *Request, maxGrowth int, now ids.Tick) {
 	own := r.Prompt
 	for i := 0; i+1 < len(r.Segments); i++ {
 		own -= r.Segments[i].Tokens
@@ -91,7 +91,7 @@
 }
 
 // release ends the reservation; used reports whether the worker may have allocated the memory.
-func (c *pick) release(used bool, now ids.Tick) {
+func (c *candidate) release(used bool, now ids.Tick) {
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
 	c.state.memory.release(c.reservation, used, now)
@@ -99,7 +99,7 @@
 
 // applyMemory records the free memory and adds the cost of a shortage. The caller holds the
 // state's lock.
-func (c *pick) applyMemory(needed int, noCapacityCost float64, now ids.Tick) {
+func (c *candidate) applyMemory(needed int, noCapacityCost float64, now ids.Tick) {
 	free, ok := c.state.memory.free(now)
 	if !ok {
 		return
@@ -118,25 +118,25 @@
 	service *fleetstate.Service,
 	role ids.Role,
 	tried map[ids.WorkerID]bool,
-) []pick {
-	var healthy, held, avoided []pick
+) []candidate {
+	var healthy, held, avoided []candidate
 	now := n.now()
 	list := n.endpoints.Load()
 	rows := n.candidateIndexFor(list, s).byRole[serviceRole{service.Name, role}]
-	healthy = make([]pick, 0, len(rows))
+	healthy = make([]candidate, 0, len(rows))
 	for i := range rows {
 		e := &rows[i]
 		if tried[e.id] {
 			continue
 		}
 		w := &list.workers[e.index]
-		c := pick{worker: w, state: e.state, hash: e.hash}
+		c := candidate{worker: w, state: e.state, hash: e.hash}
 		if _, ok := n.slowStartAllows(w, service, list.receivedAt, now); !ok {
 			continue
 		}
 		c.state.mu.Lock()
 		avoid, wasReplaced := now.Before(c.state.avoidUntil), c.state.replaced
-		hold := !avoid && (c.state.suspected || c.state.outlier.blocked(now, n.options.ShareInterval))
+		hold := !avoid && (c.state.suspected || c.state.outlier.skipPick(now, n.options.ShareInterval))
 		c.failureRate = c.state.outlier.failureRate
 		c.state.mu.Unlock()
 		if wasReplaced {
@@ -210,13 +210,13 @@
 	service *fleetstate.Service,
 	r *Request,
 	tried map[ids.WorkerID]bool,
-) []pick {
+) []candidate {
 	list := n.eligibleWorkers(s, service, ids.Prefill, tried)
 	prefixes, prefixTokens := prefixHashes(r)
 	rows := n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{service.Name, ids.Prefill}]
 	homes := make([]ids.WorkerID, len(prefixes))
 	for i, prefix := range prefixes {
-		homes[i] = prefixHome(prefix, rows, n.isEjected)
+		homes[i] = preferredWorker(prefix, rows, n.isNotServing)
 	}
 	now := n.now()
 	for i := range list {
@@ -254,7 +254,7 @@
 	r *Request,
 	prefillWorker *Worker,
 	tried map[ids.WorkerID]bool,
-) []pick {
+) []candidate {
 	list := n.eligibleWorkers(s, service, ids.Decode, tried)
 	now := n.now()
 	for i := range list {
@@ -284,7 +284,7 @@
 }
 
 // orderCandidates sorts the candidates by cost and has the routing programs reorder the cheapest.
-func (n *Node) orderCandidates(programs *routing.ProgramSet, r *Request, role ids.Role, list []pick) []pick {
+func (n *Node) orderCandidates(programs *routing.ProgramSet, r *Request, role ids.Role, list []candidate) []candidate {
 	// The request's hash breaks ties, so that nodes with little load information do not all choose
 	// the same worker.
 	requestHash := ids.Hash(r.ID)
@@ -296,7 +296,7 @@
 	slices.SortFunc(keys, func(a, b sortKey) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(b.tie, a.tie))
 	})
-	sorted := make([]pick, len(list))
+	sorted := make([]candidate, len(list))
 	for i, k := range keys {
 		sorted[i] = list[k.index]
 	}
@@ -320,7 +320,7 @@
 	for i := range head {
 		inBlocks = inBlocks && head[i].capacityBlocks > 0
 	}
-	byID := make(map[ids.WorkerID]pick, len(head))
+	byID := make(map[ids.WorkerID]candidate, len(head))
 	for i, c := range head {
 		candidates[i] = routing.Candidate{
 			ID:            c.worker.ID,
@@ -337,7 +337,7 @@
 		}
 		byID[c.worker.ID] = c
 	}
-	out := make([]pick, 0, len(list))
+	out := make([]candidate, 0, len(list))
 	for _, id := range programs.Order(request, candidates) {
 		out = append(out, byID[id])
 		delete(byID, id)
@@ -345,10 +345,10 @@
 	return out
 }
 
-// urgencyRank returns the rank of a prefill in its worker's queue, 0 first. A long prefill delays
+// prefillQueueRank returns the rank of a prefill in its worker's queue, 0 first. A long prefill delays
 // the short ones behind it, so each factor of four in uncached tokens adds two to the route's
 // urgency.
-func urgencyRank(urgency, uncachedTokens int) int {
+func prefillQueueRank(urgency, uncachedTokens int) int {
 	for limit := shortPrompt; uncachedTokens > limit && limit < longPrompt; limit *= 4 {
 		urgency += 2
 	}
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -57,9 +57,9 @@
 					require.Same(t, n.state(c.worker.ID), c.state)
 				}
 				require.Equal(t, want, got)
-				require.Equal(t, home, prefixHome(77, n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{
+				require.Equal(t, home, preferredWorker(77, n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{
 					"s", role,
-				}], n.isEjected))
+				}], n.isNotServing))
 			}
 		}
 	}
--- a/internal/proxy/prefill_exchange.go
+++ b/internal/proxy/prefill_exchange.go
@@ -66,14 +66,14 @@
 
 // prefillOutcome is the outcome of one worker's prefill.
 type prefillOutcome struct {
-	pick   *pick
-	memory *PrefillResult
-	err    error
+	candidate *candidate
+	memory    *PrefillResult
+	err       error
 }
 
 // prefillOn prefills the prompt on one worker. It does not change the exchange, so that two prefills may
 // run concurrently.
-func (t *exchange) prefillOn(ctx context.Context, c *pick) prefillOutcome {
+func (t *exchange) prefillOn(ctx context.Context, c *candidate) prefillOutcome {
 	t.trace(handoff.Granted, c.worker.ID, "")
 	began := t.node.now()
 	timeout := min(t.node.options.PrefillSilence+prefillTimeoutFactor*c.expectedLatency, t.remaining())
@@ -86,7 +86,7 @@
 		t.node.suspect(*c.worker)
 	})
 	memory, err := t.node.options.Backend.Prefill(
-		callContext, *c.worker, c.request, timeout, urgencyRank(c.urgency, c.uncachedTokens),
+		callContext, *c.worker, c.request, timeout, prefillQueueRank(c.urgency, c.uncachedTokens),
 	)
 	probeTimer.Stop()
 	if err != nil && errors.Is(context.Cause(callContext), errWorkerSilent) {
@@ -107,9 +107,9 @@
 // settlePrefill applies the outcome of a prefill to the exchange. It returns false if no connection was
 // established.
 func (t *exchange) settlePrefill(ctx context.Context, outcome prefillOutcome) (*Source, bool, error) {
-	c := outcome.pick
+	c := outcome.candidate
 	if outcome.err == nil {
-		c.state.recordSuccess(outcome.memory.Load, t.node.now())
+		c.state.recordAnswer(outcome.memory.Load, t.node.now())
 		t.node.recordOutcome(c, true)
 		t.prefilledAt = c
 		t.trace(handoff.Prefilled, c.worker.ID, "")
@@ -131,7 +131,7 @@
 // recordFailedPrefill releases the reservation of a failed prefill and records the failure of its worker.
 func (t *exchange) recordFailedPrefill(ctx context.Context, outcome prefillOutcome) {
 	now := t.node.now()
-	outcome.pick.release(failure.Is(outcome.err, failure.OutcomeUnknown), now)
-	t.recordWorkerError(ctx, outcome.pick, outcome.err, now)
-	t.trace(handoff.Dropped, outcome.pick.worker.ID, outcome.err.Error())
+	outcome.candidate.release(failure.Is(outcome.err, failure.OutcomeUnknown), now)
+	t.recordWorkerError(ctx, outcome.candidate, outcome.err, now)
+	t.trace(handoff.Dropped, outcome.candidate.worker.ID, outcome.err.Error())
 }
--- a/internal/proxy/rate_test.go
+++ b/internal/proxy/rate_test.go
@@ -63,13 +63,13 @@
 	for urgency := range 10 {
 		last := urgency
 		for need := 1; need < 1<<20; need += 97 {
-			r := urgencyRank(urgency, need)
+			r := prefillQueueRank(urgency, need)
 			require.GreaterOrEqual(t, r, last)
 			require.LessOrEqual(t, r, 9)
 			last = r
 		}
-		require.Equal(t, urgency, urgencyRank(urgency, shortPrompt))
+		require.Equal(t, urgency, prefillQueueRank(urgency, shortPrompt))
 		require.Equal(t, min(9, urgency+6), last)
 	}
-	require.Less(t, urgencyRank(1, 633), urgencyRank(0, 4486), "a rider's question before a long ruling")
+	require.Less(t, prefillQueueRank(1, 633), prefillQueueRank(0, 4486), "a rider's question before a long ruling")
 }
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -24,16 +24,16 @@
 // its report, and if the request may be retried elsewhere, a longer silence cancels it.
 type supervisedBody struct {
 	io.ReadCloser
-	exchange      *exchange
-	pick          *pick
-	stop          context.CancelCauseFunc
-	attempt       *attempt
-	probeTimer    *time.Timer
-	deadlineTimer *time.Timer
-	silenceTimer  *time.Timer // runs until the first byte if the request cannot be retried elsewhere
-	times         *serviceTimes
-	lastByteAt    ids.Tick // of the last byte, or when the request was sent
-	answered      bool     // a byte has arrived
+	exchange       *exchange
+	candidate      *candidate
+	stop           context.CancelCauseFunc
+	attempt        *attempt
+	probeTimer     *time.Timer
+	cancelTimer    *time.Timer
+	firstByteTimer *time.Timer // runs until the first byte if the request cannot be retried elsewhere
+	times          *serviceTimes
+	lastByteAt     ids.Tick // of the last byte, or when the request was sent
+	answered       bool     // a byte has arrived
 }
 
 // observePause records the pause that ends with newly arrived bytes.
@@ -42,7 +42,7 @@
 	pause := now.Since(g.lastByteAt)
 	if g.answered {
 		g.times.nextEvent.Observe(pause)
-		g.pick.state.observeEventGap(pause, now)
+		g.candidate.state.observeEventGap(pause, now)
 	} else {
 		g.times.firstEvent.Observe(pause)
 	}
@@ -52,16 +52,16 @@
 func (g *supervisedBody) Read(p []byte) (int, error) {
 	k, err := g.ReadCloser.Read(p)
 	if k > 0 && err == nil {
-		g.pick.state.lastSuccess.Store(int64(g.exchange.node.now()))
-		if g.silenceTimer != nil {
-			g.silenceTimer.Stop()
+		g.candidate.state.lastSuccess.Store(int64(g.exchange.node.now()))
+		if g.firstByteTimer != nil {
+			g.firstByteTimer.Stop()
 		}
 		g.observePause()
 		g.probeTimer.Reset(g.times.nextEvent.Suspicious(
 			healthCheckSilence + time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond,
 		))
-		if g.deadlineTimer != nil {
-			g.deadlineTimer.Reset(max(
+		if g.cancelTimer != nil {
+			g.cancelTimer.Reset(max(
 				600*time.Millisecond, 3*time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond,
 			))
 		}
@@ -72,14 +72,14 @@
 // stopTimers stops all timers and releases the request's context.
 func (g *supervisedBody) stopTimers() {
 	g.probeTimer.Stop()
-	if g.silenceTimer != nil {
-		g.silenceTimer.Stop()
+	if g.firstByteTimer != nil {
+		g.firstByteTimer.Stop()
 	}
-	if g.deadlineTimer != nil {
-		g.deadlineTimer.Stop()
+	if g.cancelTimer != nil {
+		g.cancelTimer.Stop()
 	}
 	if g.attempt != nil {
-		g.pick.state.removeAttempt(g.attempt)
+		g.candidate.state.removeAttempt(g.attempt)
 	}
 	g.stop(nil)
 }
@@ -91,19 +91,19 @@
 }
 
 // relay copies an answer to the caller. An OutcomeUnknown failure means that the answer broke off.
-func (t *exchange) relay(ctx context.Context, c *pick, reply *Response) error {
+func (t *exchange) relay(ctx context.Context, c *candidate, reply *Response) error {
 	defer reply.Body.Close()
 	defer func() {
 		c.state.endRequest(0)
 		c.release(true, t.node.now())
 	}()
-	c.state.recordSuccess(reply.Load, t.node.now())
+	c.state.recordAnswer(reply.Load, t.node.now())
 	t.mayHaveRun = true
 	if reply.Status/100 == 2 && !reply.FromWorker {
 		t.node.recordOutcome(c, false)
 		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "a success without the worker's stamp")
 	}
-	if promisesNotRun(reply.Status) {
+	if impliesNotRun(reply.Status) {
 		t.node.recordOutcome(c, false)
 		return failure.New(
 			failure.OutcomeUnknown,
@@ -141,9 +141,9 @@
 	return err
 }
 
-// promisesNotRun reports whether a status tells a caller that its request has not run. A worker that
+// impliesNotRun reports whether a status tells a caller that its request has not run. A worker that
 // did not run a request says so by other means, which the backend adapter reads.
-func promisesNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -179,7 +179,7 @@
 			return failure.As(err, failure.OutcomeUnknown, "pass", "worker")
 		}
 		if k > 0 || err == io.EOF {
-			t.countStarted()
+			t.countAnswerStarted()
 			if err := t.writeHead(reply, reply.Length); err != nil {
 				return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
 			}
@@ -196,7 +196,7 @@
 }
 
 // relayEvents copies complete events.
-func (t *exchange) relayEvents(c *pick, reply *Response) error {
+func (t *exchange) relayEvents(c *candidate, reply *Response) error {
 	var pending []byte
 	buf := make([]byte, 8<<10)
 	resumed := t.headSent
@@ -220,7 +220,7 @@
 
 // forward sends complete events to the caller and records the id of the last one. A worker that resumes
 // a stream must not repeat events up to the last one that the caller has.
-func (t *exchange) forward(c *pick, reply *Response, events []byte, resumed bool) error {
+func (t *exchange) forward(c *candidate, reply *Response, events []byte, resumed bool) error {
 	first, last := eventIDs(events)
 	if resumed && !isLaterEvent(first, t.lastEventID) {
 		return failure.New(
@@ -228,7 +228,7 @@
 		)
 	}
 	t.timing.recordEvents(t.node.now())
-	t.countStarted()
+	t.countAnswerStarted()
 	if err := t.writeHead(reply, -1); err != nil {
 		return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
 	}
--- a/internal/proxy/worker_state.go
+++ b/internal/proxy/worker_state.go
@@ -112,8 +112,8 @@
 	s.avoidUntil = max(s.avoidUntil, now.Add(150*time.Millisecond))
 }
 
-// recordSuccess resets the failure count and records the load that came with an answer, if any.
-func (s *workerState) recordSuccess(l *Load, now ids.Tick) {
+// recordAnswer resets the failure count and records the load that came with an answer, if any.
+func (s *workerState) recordAnswer(l *Load, now ids.Tick) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failures = 0
