--- a/coordination/restarted_node_test.go
+++ b/coordination/restarted_node_test.go
@@ -27,7 +27,7 @@
 	return a, v
 }
 
-// memberNames returns the ids of the members that a node knows.
+// memberIDs returns the ids of the members that a node knows.
 func memberNames(a *coordination.Agent) []string {
 	var out []string
 	for _, m := range a.Members() {
--- a/internal/proxy/endpoint_list.go
+++ b/internal/proxy/endpoint_list.go
@@ -41,13 +41,13 @@
 			continue
 		default:
 			sources := n.treeShape().sourcesOf(n.self, owner, n.agent.Members())
-			if f.follow(ctx, &sources) || !f.mayQueryPlatform(ctx, &sources) {
+			if f.follow(ctx, &sources) || !f.queryActingOwner(ctx, &sources) {
 				continue
 			}
 			wait = f.retryDelay(&sources)
 		}
 		n.fetchList(ctx)
-		n.waitAsOwner(ctx, wait*4/5+rand.N(wait*2/5))
+		n.waitUpdatingTotals(ctx, wait*4/5+rand.N(wait*2/5))
 	}
 }
 
@@ -73,8 +73,8 @@
 	return max(minimum, time.Duration(1.5/share/rate*float64(time.Second)))
 }
 
-// waitAsOwner waits and meanwhile updates the totals of running prefills and of outcomes.
-func (n *Node) waitAsOwner(ctx context.Context, wait time.Duration) {
+// waitUpdatingTotals waits and meanwhile updates the totals of running prefills and of outcomes.
+func (n *Node) waitUpdatingTotals(ctx context.Context, wait time.Duration) {
 	for end := n.now().Add(wait); n.now().Before(end) && host.Sleep(ctx, min(n.options.ShareInterval, wait)); {
 		n.recordPeerPrefills(n.prefillsWithout(n.self.Node, true))
 		n.recordPeerOutcomes(n.outcomesWithout(n.self.Node))
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -141,13 +141,13 @@
 	ip := nodeIP(i)
 	p := f.world.Machine(ip).Start()
 	options := Options{
-		Name:               fmt.Sprint("n", i),
-		Addr:               ip + ":2",
-		Zone:               ids.Zone([]string{"a", "b"}[i%2]),
-		Seeds:              f.seeds,
-		Host:               p.Host(),
-		Backend:            &fakeBackend{f.platform, ip},
-		RoleChangeInterval: -1,
+		Name:              fmt.Sprint("n", i),
+		Addr:              ip + ":2",
+		Zone:              ids.Zone([]string{"a", "b"}[i%2]),
+		Seeds:             f.seeds,
+		Host:              p.Host(),
+		Backend:           &fakeBackend{f.platform, ip},
+		RoleCheckInterval: -1,
 	}
 	if f.adjustOptions != nil {
 		f.adjustOptions(&options)
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -36,7 +36,7 @@
 			runInBubble(t, func(t *testing.T) {
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
 				f := startFleet(t, 78, 2, platform, hedgeConfiguration(maxAttempts), func(o *Options) {
-					o.RetryAllowance, o.RoleChangeInterval = 40, -1
+					o.RetryAllowance, o.RoleCheckInterval = 40, -1
 				})
 				defer f.close()
 				request := func(prefix string) func(i int) *Request {
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -16,14 +16,14 @@
 
 // listFollower is a node's state about its list sources, the nodes that it gets the list from.
 type listFollower struct {
-	node        *Node
-	failedAt    map[ids.NodeID]ids.Tick // when a source last failed to answer
-	source      ids.NodeID
-	sourceSince ids.Tick // when that source was chosen
-	answered    bool     // the source answered the last request
-	flat        bool     // all nodes get the list from the owner
-	loadSeq     uint64   // the source's sequence number up to which it sent worker loads
-	reportedSeq uint64   // this node's sequence number up to which it sent worker loads to the source
+	node            *Node
+	failedAt        map[ids.NodeID]ids.Tick // when a source last failed to answer
+	source          ids.NodeID
+	sourceSince     ids.Tick // when that source was chosen
+	answered        bool     // the source answered the last request
+	flat            bool     // all nodes get the list from the owner
+	receivedLoadSeq uint64   // the source's sequence number up to which it sent worker loads
+	sentLoadSeq     uint64   // this node's sequence number up to which it sent worker loads to the source
 }
 
 // listResult is the result of a list request to a source.
@@ -44,7 +44,7 @@
 		if f.hasFailed(parent.Node) && !s.flat() {
 			continue
 		}
-		switch f.query(ctx, parent, s.freshFor(i)) {
+		switch f.query(ctx, parent, s.maxFreshAge(i)) {
 		case listFresh:
 			return true
 		case listNone:
@@ -115,11 +115,11 @@
 	return out
 }
 
-// mayQueryPlatform reports whether this node queries the platform when no source has a fresh list. It
+// queryActingOwner reports whether this node queries the platform when no source has a fresh list. It
 // does in a small fleet, and as acting owner of its zone. Otherwise it requests the list from the
 // acting owner, and queries the platform, after a random wait, only if its own list is older than
 // listLostAge and it has used its current source for longer than that.
-func (f *listFollower) mayQueryPlatform(ctx context.Context, s *listSources) bool {
+func (f *listFollower) queryActingOwner(ctx context.Context, s *listSources) bool {
 	if s.flat() || f.isActingOwner(s) {
 		return true
 	}
@@ -137,7 +137,7 @@
 		host.Sleep(ctx, f.node.options.ShareInterval/2)
 		return false
 	}
-	f.node.waitAsOwner(ctx, rand.N(f.retryDelay(s)))
+	f.node.waitUpdatingTotals(ctx, rand.N(f.retryDelay(s)))
 	return true
 }
 
@@ -167,11 +167,11 @@
 }
 
 // query requests the list from one source and then waits until the next request is due. A list that is
-// older than freshFor, plus an allowance for a slow platform, counts as stale.
+// older than maxFreshAge, plus an allowance for a slow platform, counts as stale.
 func (f *listFollower) query(ctx context.Context, m coordination.Member, freshFor time.Duration) listResult {
 	n := f.node
 	if m.Node != f.source {
-		f.source, f.sourceSince, f.answered, f.loadSeq, f.reportedSeq = m.Node, n.now(), false, 0, 0
+		f.source, f.sourceSince, f.answered, f.receivedLoadSeq, f.sentLoadSeq = m.Node, n.now(), false, 0, 0
 	}
 	startedAt := n.now()
 	interval := n.options.ShareInterval*4/5 + rand.N(n.options.ShareInterval*2/5)
@@ -215,15 +215,15 @@
 		Prefills:        n.prefillsWithout("", false),
 		Outcomes:        n.localOutcomes(),
 		SubtreeOutcomes: n.subtreeOutcomes(),
-		LoadSeq:         f.loadSeq,
+		LoadSeq:         f.receivedLoadSeq,
 		Deltas:          true,
 		MaxWait:         int64(maxWait),
 	}
 	var loadSeq uint64
-	loadSeq, request.Loads = n.loads.since(f.reportedSeq, list.workers, n.now(), n.ownsService)
+	loadSeq, request.Loads = n.loads.since(f.sentLoadSeq, list.workers, n.now(), n.ownsService)
 	r, err := rpc.Call[ListRequest, ListResponse](callContext, n.agent.Caller(), addr, listMethod, request)
 	if err == nil && r.Version == request.Version {
-		f.reportedSeq = loadSeq
+		f.sentLoadSeq = loadSeq
 	}
 	return r, err
 }
@@ -246,7 +246,7 @@
 		}
 		n.installListVersion(list, r.Version, requestedAt, now)
 	}
-	f.loadSeq = r.LoadSeq
+	f.receivedLoadSeq = r.LoadSeq
 	if r.Early {
 		return
 	}
--- a/internal/proxy/list_tree.go
+++ b/internal/proxy/list_tree.go
@@ -141,9 +141,9 @@
 // flat reports whether all nodes get the list from the owner.
 func (s *listSources) flat() bool { return len(s.zone) == 0 }
 
-// freshFor is the age up to which the list of the parent with the given index counts as fresh, not
+// maxFreshAge is the age up to which the list of the parent with the given index counts as fresh, not
 // counting the platform's latency. Each level below the owner adds levelDelay.
-func (s *listSources) freshFor(parent int) time.Duration {
+func (s *listSources) maxFreshAge(parent int) time.Duration {
 	return listMaxAge + time.Duration(len(s.parents)-1-parent)*levelDelay
 }
 
--- a/internal/proxy/load_board.go
+++ b/internal/proxy/load_board.go
@@ -148,7 +148,7 @@
 // ownsService reports whether this node requests the reports of a service's workers itself.
 func (n *Node) ownsService(service string) bool {
 	_, ok := n.agent.OwnsKey(fleetstate.ServiceKey(service))
-	return ok && n.options.RoleChangeInterval >= 0
+	return ok && n.options.RoleCheckInterval >= 0
 }
 
 func everyService(string) bool { return true }
--- a/internal/proxy/metering.go
+++ b/internal/proxy/metering.go
@@ -200,7 +200,7 @@
 	now := meter.clock.Now()
 	current := meter.windows.At(now)
 	first := meter.collector.First()
-	if first == 0 || !meter.collector.HeardMost(n.memberNames()) {
+	if first == 0 || !meter.collector.HeardMost(n.memberIDs()) {
 		return next
 	}
 	if current > metering.KeptWindows {
@@ -222,8 +222,8 @@
 	return next
 }
 
-// memberNames returns the IDs of the nodes that hold a lease.
-func (n *Node) memberNames() []ids.NodeID {
+// memberIDs returns the IDs of the nodes that hold a lease.
+func (n *Node) memberIDs() []ids.NodeID {
 	var out []ids.NodeID
 	for _, m := range n.agent.Members() {
 		out = append(out, m.Node)
@@ -241,7 +241,7 @@
 	if elapsed >= windowMaxWait {
 		return true
 	}
-	return n.usage.collector.Complete(n.usage.windows.End(window), n.memberNames())
+	return n.usage.collector.Complete(n.usage.windows.End(window), n.memberIDs())
 }
 
 // usageContent converts counts to the content of a report, sorted by tenant name.
--- a/internal/proxy/metering_test.go
+++ b/internal/proxy/metering_test.go
@@ -171,7 +171,7 @@
 	y.metering = true
 	j := &usageJudge{}
 	f := startFleet(t, seed, nodes, y, tenantPolicy("amber", "cobalt"), func(o *Options) {
-		o.RoleChangeInterval = -1
+		o.RoleCheckInterval = -1
 		o.UsageReporter, o.UsageWindow = &usageLine{o.Host.Net}, usageWindow
 	})
 	p := f.world.Machine(usageIP).Start()
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -52,7 +52,7 @@
 	DecodeSilence      time.Duration // 900ms: silence after which a decode worker is given up, if the request may be retried
 	PrefillTokensPerMs float64       // 50: prompt tokens that a worker prefills in a ms
 	// 500ms between decisions on role changes; negative disables them
-	RoleChangeInterval time.Duration
+	RoleCheckInterval time.Duration
 	// 0.667: share of a service's workers in the prefill role while it is idle; negative makes no role
 	// changes for it
 	IdlePrefillShare float64
@@ -89,7 +89,7 @@
 	ids.SetDefault(&o.ListInterval, 700*time.Millisecond)
 	ids.SetDefault(&o.ApplyMax, 2*time.Second)
 	ids.SetDefault(&o.RetryWindow, 10*time.Second)
-	ids.SetDefault(&o.RoleChangeInterval, 500*time.Millisecond)
+	ids.SetDefault(&o.RoleCheckInterval, 500*time.Millisecond)
 	ids.SetDefault(&o.PrefillSilence, 2*time.Second)
 	ids.SetDefault(&o.HedgeFactor, hedgeDelayFactor)
 	ids.SetDefault(&o.DecodeSilence, 900*time.Millisecond)
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -20,43 +20,43 @@
 )
 
 const (
-	roleChangeInterval = 1200 * time.Millisecond // between two role changes of a service
-	roleChangeTick     = 100 * time.Millisecond  // between two checks while workers change roles
-	outageGathering    = 80 * time.Millisecond   // after an outage, before roles are checked
-	roleChangeTimeout  = 8 * time.Second         // after which an unfinished role change is abandoned
-	roleChangeNotice   = 350 * time.Millisecond  // for all nodes to learn of a role change
+	roleChangeInterval      = 1200 * time.Millisecond // between two role changes of a service
+	activeRoleCheckInterval = 100 * time.Millisecond  // between two checks while workers change roles
+	outageCheckDelay        = 80 * time.Millisecond   // after an outage, before roles are checked
+	roleChangeTimeout       = 8 * time.Second         // after which an unfinished role change is abandoned
+	roleChangeNotice        = 350 * time.Millisecond  // for all nodes to learn of a role change
 )
 
 // roleBalance is the state of role balancing for one service while this node owns its duty.
 type roleBalance struct {
-	fence           ids.Fence
-	ownedSince      ids.Tick
-	lastChange      ids.Tick // when the last role change ended
-	prefillPressure float64  // smoothed
-	decodePressure  float64
-	lastReport      ids.Tick
-	roleChangedAt   map[ids.WorkerID]ids.Tick // when a worker last began to change its role
-	liveCounts      roleCounts                // in the last round
-	lostCounts      roleCounts                // between the last two rounds
-	workersWentDown bool                      // since the last round, a worker was found to be down
+	fence              ids.Fence
+	ownedSince         ids.Tick
+	lastChangeEndedAt  ids.Tick // when the last role change ended
+	prefillPressure    float64  // smoothed
+	decodePressure     float64
+	reportsCollectedAt ids.Tick
+	roleChangedAt      map[ids.WorkerID]ids.Tick // when a worker last began to change its role
+	liveCounts         roleCounts                // in the last round
+	lostCounts         roleCounts                // between the last two rounds
+	workersWentDown    bool                      // since the last round, a worker was found to be down
 }
 
 // roleChange is a running role change of a worker.
 type roleChange struct {
 	startedAt      ids.Tick
 	orderSent      bool
-	expectedOrders int
+	acceptedOrders int
 }
 
 // roleBalancer balances the roles of the services whose duties this node owns.
 func (n *Node) roleBalancer(ctx context.Context) {
-	if n.options.RoleChangeInterval < 0 {
+	if n.options.RoleCheckInterval < 0 {
 		return
 	}
 	duties := map[string]*roleBalance{}
 	changes := map[ids.WorkerID]*roleChange{}
 	for {
-		urgent, ok := n.awaitRoleTick(ctx, len(changes) > 0)
+		urgent, ok := n.awaitRoleCheck(ctx, len(changes) > 0)
 		if !ok {
 			return
 		}
@@ -71,12 +71,12 @@
 			balance := duties[name]
 			if balance == nil || balance.fence != fence {
 				balance = &roleBalance{
-					fence:           fence,
-					ownedSince:      n.now(),
-					lastChange:      n.now(),
-					prefillPressure: 0.5,
-					decodePressure:  0.2,
-					roleChangedAt:   map[ids.WorkerID]ids.Tick{},
+					fence:             fence,
+					ownedSince:        n.now(),
+					lastChangeEndedAt: n.now(),
+					prefillPressure:   0.5,
+					decodePressure:    0.2,
+					roleChangedAt:     map[ids.WorkerID]ids.Tick{},
 				}
 				duties[name] = balance
 			}
@@ -93,12 +93,12 @@
 	return now.Past(d.ownedSince, lease+lease/5)
 }
 
-// awaitRoleTick waits until the roles are due to be checked: sooner while workers change roles, and
+// awaitRoleCheck waits until the roles are due to be checked: sooner while workers change roles, and
 // urgently when a worker was found to be down. ok is false once the context has ended.
-func (n *Node) awaitRoleTick(ctx context.Context, changing bool) (urgent, ok bool) {
-	wait := n.options.RoleChangeInterval
+func (n *Node) awaitRoleCheck(ctx context.Context, changing bool) (urgent, ok bool) {
+	wait := n.options.RoleCheckInterval
 	if changing {
-		wait = min(wait, roleChangeTick)
+		wait = min(wait, activeRoleCheckInterval)
 	}
 	timer := host.NewTimer(wait)
 	defer timer.Stop()
@@ -106,7 +106,7 @@
 	case <-ctx.Done():
 		return false, false
 	case <-n.outages:
-		return true, host.Sleep(ctx, outageGathering) // several workers may fail at once
+		return true, host.Sleep(ctx, outageCheckDelay) // several workers may fail at once
 	case <-timer.C:
 		return false, true
 	}
@@ -162,19 +162,19 @@
 	}
 	mayOrder := balance.mayOrder(n.now(), n.options.LeaseDuration)
 	if mayOrder {
-		n.finishRoleChanges(ctx, s, listed, key, balance, changes)
+		n.advanceRoleChanges(ctx, s, listed, key, balance, changes)
 	}
 	urgent := balance.workersWentDown
 	if !urgent && (changeRunning ||
-		!n.now().Past(balance.lastReport, 2*n.options.RoleChangeInterval-50*time.Millisecond)) {
+		!n.now().Past(balance.reportsCollectedAt, 2*n.options.RoleCheckInterval-50*time.Millisecond)) {
 		return
 	}
-	balance.lastReport, balance.workersWentDown = n.now(), false
+	balance.reportsCollectedAt, balance.workersWentDown = n.now(), false
 	reports := n.reports(ctx, s, listed)
 	balance.recordCounts(n.workersUp(s, listed))
-	n.recordReports(service.Name, balance.lastReport, reports)
+	n.recordReports(service.Name, balance.reportsCollectedAt, reports)
 	prefillPressure, decodePressure := balance.smoothPressure(reports, service)
-	if !mayOrder || !urgent && !n.now().Past(balance.lastChange, roleChangeInterval) {
+	if !mayOrder || !urgent && !n.now().Past(balance.lastChangeEndedAt, roleChangeInterval) {
 		return
 	}
 	for id := range balance.roleChangedAt {
@@ -188,7 +188,7 @@
 	selected, to = n.proposeRoleChange(n.programsFor(s), service, balance, reports, selected, to)
 	for _, w := range selected {
 		if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: w.worker.ID, To: to}) {
-			changes[w.worker.ID] = &roleChange{startedAt: n.now(), expectedOrders: w.Orders}
+			changes[w.worker.ID] = &roleChange{startedAt: n.now(), acceptedOrders: w.Orders}
 			balance.roleChangedAt[w.worker.ID] = n.now()
 			balance.liveCounts.move(to)
 			n.options.Ring.Info().Str("worker", string(w.worker.ID)).Str("role", string(to)).
@@ -198,9 +198,9 @@
 	}
 }
 
-// finishRoleChanges ends the role changes that are over, of the service's workers and of workers that
+// advanceRoleChanges ends the role changes that are over, of the service's workers and of workers that
 // are no longer listed.
-func (n *Node) finishRoleChanges(
+func (n *Node) advanceRoleChanges(
 	ctx context.Context,
 	s *fleetstate.Snapshot,
 	listed map[ids.WorkerID]*Worker,
@@ -218,12 +218,12 @@
 		}
 		wg.Go(func() {
 			if w == nil && !n.mayBeListedElsewhere(id) ||
-				w != nil && n.finishRoleChange(ctx, w, to, key, balance, change) {
+				w != nil && n.advanceRoleChange(ctx, w, to, key, balance, change) {
 				if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: id, Done: true}) {
 					mu.Lock()
 					defer mu.Unlock()
 					delete(changes, id)
-					balance.lastChange = n.now()
+					balance.lastChangeEndedAt = n.now()
 				}
 			}
 		})
@@ -238,9 +238,9 @@
 	return len(list.workers) == 0 || list.find(id) != nil
 }
 
-// finishRoleChange sends the order of a role change once all nodes have learned of it. It reports
+// advanceRoleChange sends the order of a role change once all nodes have learned of it. It reports
 // whether the role change is over.
-func (n *Node) finishRoleChange(
+func (n *Node) advanceRoleChange(
 	ctx context.Context,
 	w *Worker,
 	to ids.Role,
@@ -270,7 +270,7 @@
 		To:       to,
 		Owner:    n.self.Node,
 		Fence:    fence,
-		Expected: change.expectedOrders,
+		Expected: change.acceptedOrders,
 	})
 	return failure.Is(err, failure.NotExecuted)
 }
--- a/internal/proxy/role_balance_test.go
+++ b/internal/proxy/role_balance_test.go
@@ -19,7 +19,7 @@
 // turning has nodes look at the workers' reports.
 // turning has a fleet change roles; half of its workers read while it is idle.
 func turning(o *Options) {
-	o.RoleChangeInterval, o.RetryAllowance, o.IdlePrefillShare = 500*time.Millisecond, 20, 0.55
+	o.RoleCheckInterval, o.RetryAllowance, o.IdlePrefillShare = 500*time.Millisecond, 20, 0.55
 }
 
 // pressed makes the workers of a part busy by their reports.
@@ -269,7 +269,7 @@
 func TestTurnWarned(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 45, 3, y, defaultConfiguration(), func(o *Options) { turning(o); o.RoleChangeInterval = 50 * time.Millisecond })
+		f := startFleet(t, 45, 3, y, defaultConfiguration(), func(o *Options) { turning(o); o.RoleCheckInterval = 50 * time.Millisecond })
 		defer f.close()
 		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.holder() >= 0 }))
 		late := f.nodes[(f.holder()+1)%3]
--- a/internal/proxy/role_programs.go
+++ b/internal/proxy/role_programs.go
@@ -69,7 +69,7 @@
 	now := n.now()
 	pool := &routing.Pool{
 		Model:           service.Name,
-		SinceRoleChange: now.Since(balance.lastChange),
+		SinceRoleChange: now.Since(balance.lastChangeEndedAt),
 		Pressure: map[ids.Role]float64{
 			ids.Prefill: min(1, balance.prefillPressure*decodePressureLimit/prefillPressureLimit),
 			ids.Decode:  min(1, balance.decodePressure),
