--- a/internal/proxy/candidate_index.go
+++ b/internal/proxy/candidate_index.go
@@ -94,18 +94,18 @@
 	return slices.Compact(out)
 }
 
-// preferredWorker returns the prefill worker that a prefix hash is assigned to by rendezvous hashing, among
-// those that are not ejected.
-func preferredWorker(prefix uint64, rows []indexedWorker, ejected func(ids.WorkerID) bool) ids.WorkerID {
-	var home ids.WorkerID
+// preferredWorker returns the prefill worker that a prefix hash is assigned to by rendezvous hashing,
+// among those that are neither ejected nor on probation.
+func preferredWorker(prefix uint64, rows []indexedWorker, notServing func(ids.WorkerID) bool) ids.WorkerID {
+	var preferred ids.WorkerID
 	best := -1.0
 	for i := range rows {
-		if rows[i].role != ids.Prefill || ejected(rows[i].id) {
+		if rows[i].role != ids.Prefill || notServing(rows[i].id) {
 			continue
 		}
 		if weight := routing.AffinityFromHash(prefix, rows[i].hash); weight > best {
-			best, home = weight, rows[i].id
+			best, preferred = weight, rows[i].id
 		}
 	}
-	return home
+	return preferred
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -315,8 +315,8 @@
 // prefillTokens is 0. It returns false if the worker may not get new requests any more, or is cold
 // and its slow-start rate is used up.
 func (t *exchange) reserveWorker(c *candidate, prefillTokens int) bool {
-	gap, ok := t.node.slowStartDelay(c.worker.ID, t.service)
-	if !ok || gap > 0 && !t.node.slowStart.reserve(c.worker.ID, gap, t.node.now()) {
+	interval, ok := t.node.slowStartDelay(c.worker.ID, t.service)
+	if !ok || interval > 0 && !t.node.slowStart.reserve(c.worker.ID, interval, t.node.now()) {
 		return false
 	}
 	var hashes []uint64
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -1,4 +1,7 @@
-// Fetching the worker list from another node.
+// Fetching the worker list from another node. The list owner fetches it from the platform. In a large
+// fleet the nodes of each zone form a tree below the owner, and a node's sources are its parents in the
+// tree, nearest first (list_tree.go). If they have no fresh list, the first responsive node of a zone
+// queries the platform as the zone's acting owner.
 
 package proxy
 
@@ -14,16 +17,16 @@
 	"keelstair.example/rpc"
 )
 
-// listFollower is a node's state about its list sources, the nodes that it gets the list from.
+// listFollower gets the list from other nodes, its list sources, and remembers which of them failed.
 type listFollower struct {
 	node            *Node
 	failedAt        map[ids.NodeID]ids.Tick // when a source last failed to answer
 	source          ids.NodeID
 	sourceSince     ids.Tick // when that source was chosen
 	answered        bool     // the source answered the last request
-	flat            bool     // all nodes get the list from the owner
-	receivedLoadSeq uint64   // the source's sequence number up to which it sent worker loads
-	sentLoadSeq     uint64   // this node's sequence number up to which it sent worker loads to the source
+	flat            bool     // small fleet without a tree: all nodes get the list from the owner
+	receivedLoadSeq uint64   // sequence number of the last worker loads received from the source
+	sentLoadSeq     uint64   // sequence number of the last worker loads sent to the source
 }
 
 // listResult is the result of a list request to a source.
@@ -37,7 +40,8 @@
 )
 
 // follow gets the list from the nearest source with a fresh one and then waits until the next request
-// is due. It returns false if no source has a fresh list.
+// is due. It also returns true, after a short wait, if a source is about to have a fresh list, and false
+// if the platform may have to be queried instead.
 func (f *listFollower) follow(ctx context.Context, s *listSources) bool {
 	f.flat = s.flat()
 	for i, parent := range s.parents {
@@ -66,8 +70,8 @@
 	return false
 }
 
-// probe pings the sources concurrently and marks those that don't answer as failed, since many may
-// fail together.
+// probe pings all sources concurrently, since many may fail together, and marks those that don't answer
+// as failed.
 func (f *listFollower) probe(ctx context.Context, s *listSources) {
 	if s.flat() {
 		return
@@ -115,10 +119,10 @@
 	return out
 }
 
-// queryActingOwner reports whether this node queries the platform when no source has a fresh list. It
-// does in a small fleet, and as acting owner of its zone. Otherwise it requests the list from the
-// acting owner, and queries the platform, after a random wait, only if its own list is older than
-// listLostAge and it has used its current source for longer than that.
+// queryActingOwner requests the list from the acting owner of the zone when no source has a fresh list.
+// It returns true if this node must query the platform itself: in a small fleet, as acting owner, and,
+// after a random wait, if its own list is older than listLostAge and it has used its current source for
+// longer than that.
 func (f *listFollower) queryActingOwner(ctx context.Context, s *listSources) bool {
 	if s.flat() || f.isActingOwner(s) {
 		return true
@@ -166,9 +170,10 @@
 	return ok
 }
 
-// query requests the list from one source and then waits until the next request is due. A list that is
-// older than maxFreshAge, plus an allowance for a slow platform, counts as stale.
-func (f *listFollower) query(ctx context.Context, m coordination.Member, freshFor time.Duration) listResult {
+// query requests the list from one source and, if the list is fresh and the response not an early one,
+// waits until the next request is due. A list that is older than maxAge, plus an allowance for a slow
+// platform, counts as stale.
+func (f *listFollower) query(ctx context.Context, m coordination.Member, maxAge time.Duration) listResult {
 	n := f.node
 	if m.Node != f.source {
 		f.source, f.sourceSince, f.answered, f.receivedLoadSeq, f.sentLoadSeq = m.Node, n.now(), false, 0, 0
@@ -194,10 +199,10 @@
 	if !n.now().Add(-time.Duration(r.Age)).Before(n.endpoints.Load().requestedAt) {
 		f.apply(r)
 	}
-	if r.Age > int64(freshFor+min(2*time.Duration(r.Latency), maxListLatency)) {
+	if r.Age > int64(maxAge+min(2*time.Duration(r.Latency), maxListLatency)) {
 		return listStale
 	}
-	if !r.Early {
+	if !r.Early { // an early response came before the end of the interval, because the list changed
 		host.Sleep(ctx, interval-n.now().Since(startedAt))
 	}
 	return listFresh
@@ -212,7 +217,7 @@
 	request := &ListRequest{
 		Node:            n.self.Node,
 		Version:         list.version,
-		Prefills:        n.prefillsWithout("", false),
+		Prefills:        n.prefillsWithout("", false), // of this node and its subtree
 		Outcomes:        n.localOutcomes(),
 		SubtreeOutcomes: n.subtreeOutcomes(),
 		LoadSeq:         f.receivedLoadSeq,
@@ -236,9 +241,9 @@
 	n.listLatency.Store(r.Latency)
 	list := n.endpoints.Load().workers
 	if previous := n.endpoints.Load(); r.Version == previous.version {
-		fresh := *previous
-		fresh.requestedAt = requestedAt
-		n.endpoints.Store(&fresh)
+		updated := *previous
+		updated.requestedAt = requestedAt
+		n.endpoints.Store(&updated)
 	} else {
 		list = workersFromRows(r.Rows)
 		if r.Delta {
@@ -247,7 +252,7 @@
 		n.installListVersion(list, r.Version, requestedAt, now)
 	}
 	f.receivedLoadSeq = r.LoadSeq
-	if r.Early {
+	if r.Early { // it has no totals
 		return
 	}
 	n.parentSums.Store(&parentSums{now, r.Prefills, r.Outcomes})
--- a/internal/proxy/list_tree.go
+++ b/internal/proxy/list_tree.go
@@ -138,10 +138,10 @@
 	})
 }
 
-// flat reports whether all nodes get the list from the owner.
+// flat reports whether the fleet has no list tree, so that all nodes get the list from the owner.
 func (s *listSources) flat() bool { return len(s.zone) == 0 }
 
-// maxFreshAge is the age up to which the list of the parent with the given index counts as fresh, not
+// maxFreshAge returns the age up to which the list of the parent with the given index counts as fresh, not
 // counting the platform's latency. Each level below the owner adds levelDelay.
 func (s *listSources) maxFreshAge(parent int) time.Duration {
 	return listMaxAge + time.Duration(len(s.parents)-1-parent)*levelDelay
--- a/internal/proxy/load_board.go
+++ b/internal/proxy/load_board.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// recordReports publishes a round that this node requested as the holder of a service's duty.
+// recordReports publishes a round that this node requested as the owner of a service's duty.
 func (n *Node) recordReports(service string, at ids.Tick, all []workerReport) {
 	rows := make(map[ids.WorkerID]reportedLoad, len(all))
 	for _, r := range all {
--- a/internal/proxy/metering.go
+++ b/internal/proxy/metering.go
@@ -1,5 +1,6 @@
-// Usage metering. Each node counts the tenants' requests that started and sends the counts to the
-// owner of the metering duty, which reports each window to the platform once it is over.
+// Usage metering. Each node counts each tenant's requests whose answer has begun, and sends the counts
+// to the owner of the metering duty, a task that the coordination service leases to one node at a time.
+// The owner reports each window of time to the platform once it is over.
 
 package proxy
 
@@ -23,10 +24,10 @@
 
 const (
 	usageInterval        = time.Second            // between two messages of a node
-	usageIntervalPerNode = 10 * time.Millisecond  // lower bound of the interval for each node in the fleet
+	usageIntervalPerNode = 10 * time.Millisecond  // the interval is at least this times the number of nodes
 	usageTimeout         = 600 * time.Millisecond // for the owner to accept the counts
 	maxClockRoundTrip    = 300 * time.Millisecond // an answer that took longer doesn't set the clock
-	meteringTick         = 250 * time.Millisecond // between checks for windows that are due
+	meteringInterval     = 250 * time.Millisecond // between checks for windows that are due
 	windowSettleDelay    = 500 * time.Millisecond // after the end, before a window is summed up
 	windowMaxWait        = 3 * time.Second        // after the end, for nodes that have not sent their counts
 	meteringSubject      = "metering"
@@ -43,10 +44,10 @@
 type usageMeter struct {
 	windows        metering.Windows
 	clock          *metering.Clock
-	ledger         *metering.Ledger
-	collector      *metering.Collector
-	startWindow    uint64    // in which this node started
-	collectorFence ids.Fence // of the collecting owner whose acknowledgements the ledger has
+	ledger         *metering.Ledger    // this node's own counts, and which of them the owner has acknowledged
+	collector      *metering.Collector // the counts that this node received as owner or successor
+	startWindow    uint64              // the window in which this node started
+	collectorFence ids.Fence           // fence of the owner whose acknowledgements the ledger has recorded
 }
 
 // newUsageMeter returns nil if the options don't enable usage reports.
@@ -90,7 +91,7 @@
 		if owner, fence, ok := n.agent.KeyOwner(fleetstate.MeteringKey); ok {
 			if meter.collectorFence != fence {
 				meter.collectorFence = fence
-				meter.ledger.NewCollector()
+				meter.ledger.NewCollector() // forgets the acknowledgements of the previous owner
 			}
 			meter.send(ctx, n, owner)
 		}
@@ -160,18 +161,18 @@
 	_, owned := n.agent.OwnsKey(fleetstate.MeteringKey)
 	owner, _, known := n.agent.KeyOwner(fleetstate.MeteringKey)
 	if n.usage == nil || !owned && !(known && owner.Node == request.Node) {
-		return nil, failure.New(failure.Unavailable, "take usage", string(request.Node), "the duty is not held here")
+		return nil, failure.New(failure.Unavailable, "take usage", string(request.Node), "this node does not own the metering duty")
 	}
-	report := &metering.Told{
+	nodeCounts := &metering.Told{
 		Node:  request.Node,
 		Since: request.StartWindow,
 		Own:   request.OwnTime,
 		Now:   request.EstimatedTime,
 	}
 	for _, r := range request.Rows {
-		report.Rows = append(report.Rows, metering.Row(r))
+		nodeCounts.Rows = append(nodeCounts.Rows, metering.Row(r))
 	}
-	return &UsageResponse{Time: n.usage.collector.Take(report)}, nil
+	return &UsageResponse{Time: n.usage.collector.Take(nodeCounts)}, nil
 }
 
 // reportUsage reports the windows that are over while this node owns the metering duty.
@@ -181,7 +182,7 @@
 	}
 	holder := duty.NewHolder(n.agent, n.options.Host.Clock, fleetstate.MeteringKey, n.options.LeaseDuration)
 	next := uint64(0) // all earlier windows are reported or skipped
-	for host.Sleep(ctx, meteringTick) {
+	for host.Sleep(ctx, meteringInterval) {
 		owned, mayAct := holder.Owned()
 		if !owned {
 			next = 0
@@ -194,7 +195,8 @@
 }
 
 // reportWindows reports the windows that are due, oldest first, and returns the first one that is still
-// to be reported.
+// to be reported. Each report is recorded in the replicated log as an act of the duty before and after
+// it is sent, so that a window whose report is recorded as done is not sent again.
 func (n *Node) reportWindows(ctx context.Context, holder *duty.Holder, next uint64) uint64 {
 	meter := n.usage
 	now := meter.clock.Now()
@@ -213,8 +215,8 @@
 			continue
 		}
 		n.options.Ring.Warn().AnErr("cause", err).Uint64("window", next).Msg("could not report usage")
-		// A window that is no longer in the log is skipped, unless the error is due to an outdated
-		// fence of this node.
+		// Stale means that the replicated log no longer has the window, which is then skipped, or that
+		// this node's fence is outdated, in which case it may not act any more.
 		if _, mayAct := holder.Owned(); !mayAct || !failure.Is(err, failure.Stale) {
 			return next
 		}
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -51,7 +51,7 @@
 	HedgeFactor        float64       // 1.2: multiple of the usual prefill time after which a prefill is hedged; negative disables hedging
 	DecodeSilence      time.Duration // 900ms: silence after which a decode worker is given up, if the request may be retried
 	PrefillTokensPerMs float64       // 50: prompt tokens that a worker prefills in a ms
-	// 500ms between decisions on role changes; negative disables them
+	// 500ms between two checks of the workers' roles; negative disables role changes
 	RoleCheckInterval time.Duration
 	// 0.667: share of a service's workers in the prefill role while it is idle; negative makes no role
 	// changes for it
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -1,8 +1,8 @@
 // Outlier ejection: a worker's health is judged by the outcomes of requests to it, not by what it
 // reports. A worker whose failure rate is an outlier among the workers of its service and role is
 // ejected for a period that grows with each ejection; then a few trial requests decide. Two rules
-// limit the cost of a wrong ejection: the number of ejected workers is bounded, and ejected workers
-// are used if no other is left.
+// limit the cost of a wrong ejection: the number of workers that are ejected or on probation is
+// bounded, and they are used if no other is left.
 
 package proxy
 
@@ -25,16 +25,17 @@
 	outlierMinRate        = 0.1              // failure rate up to which no worker is an outlier
 	outlierRatio          = 1.5              // multiple of the other workers' mean rate, added to outlierMinRate
 	outlierMinRequests    = 4.0              // requests needed before a worker can be an outlier
-	maxPeerWeight         = 10.0             // requests that all peers' outcomes of a worker count for at most
+	maxPeerWeight         = 10.0             // maximum number of requests that the peers' outcomes of a worker count for
 	probationSuccesses    = 5                // successes that end probation
-	probationQuietPeriod  = 2 * time.Second  // time without a failure that ends probation too
+	probationQuietPeriod  = 2 * time.Second  // time on probation that ends it without enough successes, if no request failed
 	probationPickInterval = 5                // a worker on probation is available to one in this many picks
 	strikeDecayTime       = 10 * time.Second // serving time that removes one strike
 	maxEjection           = 16 * time.Second
 	evaluateInterval      = 100 * time.Millisecond
 )
 
-// decayingCount counts completed requests with exponential decay.
+// decayingCount counts events (completed requests, or outages) and the failed ones among them, with
+// exponential decay.
 type decayingCount struct {
 	total, failed float64
 	at            ids.Tick
@@ -66,16 +67,16 @@
 	phase          phase
 	phaseStartedAt ids.Tick
 	ejectedUntil   ids.Tick
-	strikes        int
-	successes      int
+	strikes        int  // recent ejections, one less for each strikeDecayTime of serving
+	successes      int  // during probation
 	failedTrial    bool // a request failed during probation
 	probationPicks int
 	lastTrial      ids.Tick
 	failureRate    float64 // failure rate while it is an outlier, else 0
 }
 
-// recordOutcome records the outcome of a request to a worker, once. Failures while the worker is known
-// to be down are due to the link or the machine and do not count against its answers.
+// recordOutcome records the outcome of a request to a worker, once. Outcomes are not counted while the
+// worker is known to be down, since its failures then come from the link or the machine.
 func (n *Node) recordOutcome(c *candidate, ok bool) {
 	if n.options.BaseEjection < 0 || !c.outcomeRecorded.CompareAndSwap(false, true) {
 		return
@@ -136,8 +137,9 @@
 	st.down = false
 }
 
-// skipPick reports whether this pick must skip the worker. During probation it admits one in
-// probationPickInterval picks, at least trialInterval apart. The caller holds the state's lock.
+// skipPick counts a pick and reports whether it must skip the worker. During probation one in
+// probationPickInterval picks may use the worker as a trial, and trials are at least trialInterval
+// apart. The caller holds the state's lock.
 func (v *outlierState) skipPick(now ids.Tick, trialInterval time.Duration) bool {
 	if v.phase != probation {
 		return v.phase == ejected
@@ -150,23 +152,23 @@
 	return false
 }
 
-// weightedCounts returns the failures and requests seen by this node and its peers. Peers' reports of failures
-// count only if at least two nodes saw failures, and for no more than maxPeerWeight requests.
-func (v *outlierState) weightedCounts(now ids.Tick) (failed, sent float64) {
+// weightedCounts returns the numbers of failures and requests seen by this node and its peers. Peers'
+// reports count only if at least two nodes saw failures, and for no more than maxPeerWeight requests.
+func (v *outlierState) weightedCounts(now ids.Tick) (failed, total float64) {
 	v.local.decay(now, outcomeTimeConstant)
-	failed, sent = v.local.failed, v.local.total
+	failed, total = v.local.failed, v.local.total
 	reporters := v.peers.Nodes
 	if v.local.failed > 0.3 {
 		reporters++
 	}
 	if v.peers.Nodes > 0 && reporters > 1 && !now.Past(v.peersAt, 2*prefillLoadTTL) {
-		f := min(1, 10*maxPeerWeight/float64(max(1, v.peers.Sent))) / 10
-		failed, sent = failed+f*float64(v.peers.Failed), sent+f*float64(v.peers.Sent)
+		f := min(1, 10*maxPeerWeight/float64(max(1, v.peers.Sent))) / 10 // Outcomes counts tenths
+		failed, total = failed+f*float64(v.peers.Failed), total+f*float64(v.peers.Sent)
 	}
-	return failed, sent
+	return failed, total
 }
 
-// outlierCandidate is a worker under evaluation, with its failures and requests.
+// outlierCandidate is a worker under evaluation, with its weighted failures and requests.
 type outlierCandidate struct {
 	worker           *Worker
 	state            *workerState
@@ -181,7 +183,8 @@
 		a.failed-0.8*math.Sqrt(a.failed) > (outlierMinRate+outlierRatio*othersRate)*a.requests
 }
 
-// runOutlierDetection evaluates the workers while there are new outcomes or ejected workers.
+// runOutlierDetection evaluates the workers while there are new outcomes, or workers that are ejected
+// or on probation.
 func (n *Node) runOutlierDetection(ctx context.Context) {
 	if n.options.BaseEjection < 0 {
 		return
@@ -214,14 +217,14 @@
 			k := workerGroup{w.Service, w.Role}
 			groups[k] = append(groups[k], a)
 		} else {
-			n.readmit(a, now, "not accepting new requests")
+			n.readmit(a, now, "worker gets no new requests")
 		}
 	}
-	out := 0
+	count := 0
 	for _, rows := range groups {
-		out += n.evaluateGroup(rows, now)
+		count += n.evaluateGroup(rows, now)
 	}
-	n.notServing.Store(int64(out))
+	n.notServing.Store(int64(count))
 }
 
 // evaluateGroup evaluates the workers of one service and role, and returns how many are ejected or on
@@ -235,7 +238,7 @@
 	peersReport := n.peerOutcomesAt.Load() != 0 && !now.Past(ids.Tick(n.peerOutcomesAt.Load()), 2*prefillLoadTTL)
 	for _, a := range rows {
 		sum += a.rate()
-		if peersReport || a.requests >= 0.5 { // if peers report, a worker that none of them names does not fail
+		if peersReport || a.requests >= 0.5 { // peers report only workers that failed, so one that none of them lists has a known rate of 0
 			known++
 		}
 	}
@@ -245,7 +248,7 @@
 		outlying := a.isOutlier((sum - a.rate()) / float64(max(1, known-1)))
 		if n.advancePhase(a, outlying, now) {
 			if notServing++; notServing > limit { // the group shrank, and this is the one with the lowest failure rate
-				n.readmit(a, now, "too many ejected")
+				n.readmit(a, now, "ejection limit exceeded")
 				notServing--
 			}
 		} else if outlying || a.state.flapping() {
@@ -290,7 +293,7 @@
 		return true
 	case was == probation && (v.successes >= probationSuccesses || now.Past(v.phaseStartedAt, probationQuietPeriod)):
 		a.state.mu.Unlock()
-		n.readmit(a, now, "trial requests succeeded")
+		n.readmit(a, now, "no failure during probation")
 		return false
 	}
 	a.state.mu.Unlock()
@@ -324,7 +327,7 @@
 	}
 	v.phase, v.phaseStartedAt, v.failureRate = serving, now, 0
 	n.counts.Readmitted.Add(1)
-	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Str("reason", reason).Msg("readmitting worker")
+	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Str("reason", reason).Msg("worker ejection ended")
 }
 
 // isNotServing reports whether a worker is ejected or on probation.
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -1,7 +1,7 @@
 // Worker selection: every eligible worker gets a cost in milliseconds (uncached prompt tokens,
-// queue and zone distance), and the routing programs order the candidates. Prompts with a common
-// prefix go to the same prefill worker from every node, unless its queue costs more than
-// prefilling the prefix again elsewhere.
+// queue and zone distance), and the routing programs order the candidates. Each shared prompt prefix
+// has a preferred worker, the same on every node, which is assumed to have the prefix cached. It gets
+// the prompts with that prefix, unless its queue costs more than prefilling the prefix again elsewhere.
 
 package proxy
 
@@ -28,9 +28,9 @@
 	reprefillWeight       = 16.0
 	crossZoneCost         = 4.0                    // ms for a worker in another zone
 	crossZoneKilobyteCost = 0.8                    // ms for each KB sent to another zone
-	unhealthyCost         = 500.0                  // ms for a worker that fails every request but is used for lack of others
+	unhealthyCost         = 500.0                  // ms times the failure rate of an outlier that is still a candidate
 	pickMaxAge            = 100 * time.Millisecond // age of a pick above which a failed dial causes a new one
-	maxCandidates         = 8                      // candidates that are passed to the routing programs
+	maxCandidates         = 8                      // cheapest candidates, which the routing programs order; the others are dropped
 	shortPrompt           = 1024                   // prompt tokens up to which a prefill delays no other request noticeably
 	longPrompt            = 64 * shortPrompt       // prompt tokens above which all prompts have the same rank
 )
@@ -52,7 +52,7 @@
 	return hashes, tokens
 }
 
-// candidate is a candidate worker for one request, and what was reserved for the request there.
+// candidate is a worker that may get a request, and what was reserved for the request there.
 type candidate struct {
 	worker          *Worker
 	state           *workerState
@@ -61,8 +61,8 @@
 	uncachedTokens  int           // prompt tokens without a cached prefix here
 	prefillTime     time.Duration // estimated time to prefill uncachedTokens
 	expectedLatency time.Duration // prefillTime and the estimated queueing time
-	affinity        float64
-	activeRequests  int
+	affinity        float64       // rendezvous weight of the longest shared prefix at this worker; 0 if there is none
+	activeRequests  int           // queued prompts (prefill), or running and waiting requests (decode)
 	reservation     *reservation
 	capacityBlocks  int // 0 without a recent report
 	freeBlocks      int
@@ -70,10 +70,10 @@
 	failureRate     float64       // failure rate if it is an outlier, else 0
 	outcomeRecorded *atomic.Bool  // set once the outcome is recorded
 	request         *Request      // the request as sent to this worker
-	urgency         int           // the urgency it is sent with
+	urgency         int           // the urgency it is sent with; 0 is the most urgent
 }
 
-// sortKey is sorted in place of a pick because it is small and holds no pointers.
+// sortKey is sorted in place of a candidate because it is small and holds no pointers.
 type sortKey struct {
 	cost, tie float64
 	index     int
@@ -81,13 +81,13 @@
 
 // reserve reserves memory for a request's prompt and up to maxGrowth further tokens.
 func (c *candidate) reserve(r *Request, maxGrowth int, now ids.Tick) {
-	own := r.Prompt
+	unsharedTokens := r.Prompt // those of the last segment, which no other request shares
 	for i := 0; i+1 < len(r.Segments); i++ {
-		own -= r.Segments[i].Tokens
+		unsharedTokens -= r.Segments[i].Tokens
 	}
 	c.state.mu.Lock()
 	defer c.state.mu.Unlock()
-	c.reservation = c.state.memory.reserve(ids.Blocks(r.Prompt+maxGrowth, blockSize), max(0, own)/blockSize, now)
+	c.reservation = c.state.memory.reserve(ids.Blocks(r.Prompt+maxGrowth, blockSize), max(0, unsharedTokens)/blockSize, now)
 }
 
 // release ends the reservation; used reports whether the worker may have allocated the memory.
@@ -119,7 +119,7 @@
 	role ids.Role,
 	tried map[ids.WorkerID]bool,
 ) []candidate {
-	var healthy, held, avoided []candidate
+	var healthy, unhealthy, avoided []candidate
 	now := n.now()
 	list := n.endpoints.Load()
 	rows := n.candidateIndexFor(list, s).byRole[serviceRole{service.Name, role}]
@@ -136,7 +136,7 @@
 		}
 		c.state.mu.Lock()
 		avoid, wasReplaced := now.Before(c.state.avoidUntil), c.state.replaced
-		hold := !avoid && (c.state.suspected || c.state.outlier.skipPick(now, n.options.ShareInterval))
+		isUnhealthy := !avoid && (c.state.suspected || c.state.outlier.skipPick(now, n.options.ShareInterval))
 		c.failureRate = c.state.outlier.failureRate
 		c.state.mu.Unlock()
 		if wasReplaced {
@@ -144,8 +144,8 @@
 		}
 		if avoid {
 			avoided = append(avoided, c)
-		} else if hold {
-			held = append(held, c)
+		} else if isUnhealthy {
+			unhealthy = append(unhealthy, c)
 		} else {
 			healthy = append(healthy, c)
 		}
@@ -153,8 +153,8 @@
 	if len(healthy) > 0 {
 		return healthy
 	}
-	if len(held) > 0 {
-		return held
+	if len(unhealthy) > 0 {
+		return unhealthy
 	}
 	return avoided
 }
@@ -165,8 +165,8 @@
 	if n.coldFor(w, service, received, now) <= 0 && (service.SlowStartRate <= 0 || !n.isolated(now)) {
 		return 0, true
 	}
-	gap, ok := n.slowStartInterval(w.ID, service)
-	return gap, ok && n.slowStart.allows(w.ID, gap, now)
+	interval, ok := n.slowStartInterval(w.ID, service)
+	return interval, ok && n.slowStart.allows(w.ID, interval, now)
 }
 
 // slowStartDelay repeats the check of slowStartAllows for a worker that was picked some time ago,
@@ -181,18 +181,20 @@
 }
 
 // slowStartInterval returns the minimum interval between this node's requests to a cold worker, so
-// that all nodes together stay below the worker's slow-start rate. If there are more nodes than the
-// worker may get requests a second, only some nodes may send to it; false for the others.
+// that all nodes together stay below the worker's slow-start rate, with a margin of 2 requests a
+// second for the fleet, 1 for each node, and 20 or 50 ms on the interval. If the nodes outnumber the
+// requests that the worker may get a second, only the highest ranked nodes may send to it, and the
+// result is false for the others.
 func (n *Node) slowStartInterval(id ids.WorkerID, service *fleetstate.Service) (time.Duration, bool) {
-	bound := int(service.SlowStartRate*n.options.SlowStartOvershoot) + n.options.SlowStartAllowance - 2
-	peers := int(math.Round(1 / n.nodeShare()))
-	if per := bound / peers; per > 1 {
-		return time.Second/time.Duration(per-1) + 20*time.Millisecond, true
+	fleetLimit := int(service.SlowStartRate*n.options.SlowStartOvershoot) + n.options.SlowStartAllowance - 2
+	nodes := int(math.Round(1 / n.nodeShare()))
+	if perNode := fleetLimit / nodes; perNode > 1 {
+		return time.Second/time.Duration(perNode-1) + 20*time.Millisecond, true
 	}
-	if bound >= peers {
+	if fleetLimit >= nodes {
 		return 1050 * time.Millisecond, true
 	}
-	return 1050 * time.Millisecond, coordination.Rank(fleetstate.WorkerKey(id), n.self.Node, n.agent.Members()) < bound
+	return 1050 * time.Millisecond, coordination.Rank(fleetstate.WorkerKey(id), n.self.Node, n.agent.Members()) < fleetLimit
 }
 
 // zoneCost returns the cost in ms of sending a body to a worker in another zone.
@@ -214,9 +216,9 @@
 	list := n.eligibleWorkers(s, service, ids.Prefill, tried)
 	prefixes, prefixTokens := prefixHashes(r)
 	rows := n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{service.Name, ids.Prefill}]
-	homes := make([]ids.WorkerID, len(prefixes))
+	preferred := make([]ids.WorkerID, len(prefixes))
 	for i, prefix := range prefixes {
-		homes[i] = preferredWorker(prefix, rows, n.isNotServing)
+		preferred[i] = preferredWorker(prefix, rows, n.isNotServing)
 	}
 	now := n.now()
 	for i := range list {
@@ -224,7 +226,7 @@
 		c.uncachedTokens = r.Prompt
 		c.state.mu.Lock()
 		for k := len(prefixes) - 1; k >= 0; k-- {
-			if _, ok := c.state.cached[prefixes[k]]; ok || homes[k] == c.worker.ID {
+			if _, ok := c.state.cached[prefixes[k]]; ok || preferred[k] == c.worker.ID {
 				c.uncachedTokens = max(1, r.Prompt-prefixTokens[k])
 				break
 			}
@@ -283,7 +285,8 @@
 	return n.orderCandidates(programs, r, ids.Decode, list)
 }
 
-// orderCandidates sorts the candidates by cost and has the routing programs reorder the cheapest.
+// orderCandidates sorts the candidates by cost and returns the cheapest maxCandidates in the order of
+// the routing programs. Without programs, a single candidate is returned as it is.
 func (n *Node) orderCandidates(programs *routing.ProgramSet, r *Request, role ids.Role, list []candidate) []candidate {
 	// The request's hash breaks ties, so that nodes with little load information do not all choose
 	// the same worker.
@@ -345,9 +348,9 @@
 	return out
 }
 
-// prefillQueueRank returns the rank of a prefill in its worker's queue, 0 first. A long prefill delays
-// the short ones behind it, so each factor of four in uncached tokens adds two to the route's
-// urgency.
+// prefillQueueRank returns the rank of a prefill in its worker's queue; lower ranks are served first.
+// The rank is the request's urgency, of which 0 is the most urgent, plus two for each factor of four in
+// uncached tokens above shortPrompt, since a long prefill delays the short ones behind it.
 func prefillQueueRank(urgency, uncachedTokens int) int {
 	for limit := shortPrompt; uncachedTokens > limit && limit < longPrompt; limit *= 4 {
 		urgency += 2
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -14,7 +14,7 @@
 	"keelstair.example/internal/routing"
 )
 
-// TestCandidateIndexMatchesWorkerList: the candidate index yields the same workers and prefix homes as a scan
+// TestCandidateIndexMatchesWorkerList: the candidate index yields the same workers and preferred workers as a scan
 // of the worker list, for several versions of the list and of the snapshot.
 func TestCandidateIndexMatchesWorkerList(t *testing.T) {
 	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
@@ -40,7 +40,7 @@
 		for _, s := range snapshots {
 			for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
 				var want, got []ids.WorkerID
-				var home ids.WorkerID
+				var preferred ids.WorkerID
 				best := -1.0
 				for i := range list {
 					w := &list[i]
@@ -49,7 +49,7 @@
 					}
 					want = append(want, w.ID)
 					if a := routing.Affinity(77, w.ID); w.Role == ids.Prefill && a > best {
-						best, home = a, w.ID
+						best, preferred = a, w.ID
 					}
 				}
 				for _, c := range n.eligibleWorkers(s, service("s"), role, nil) {
@@ -57,7 +57,7 @@
 					require.Same(t, n.state(c.worker.ID), c.state)
 				}
 				require.Equal(t, want, got)
-				require.Equal(t, home, preferredWorker(77, n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{
+				require.Equal(t, preferred, preferredWorker(77, n.candidateIndexFor(n.endpoints.Load(), s).byRole[serviceRole{
 					"s", role,
 				}], n.isNotServing))
 			}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -91,7 +91,7 @@
 	Capacity     int
 }
 
-// RoleOrder tells a worker to change its role. Only the holder of the service's duty sends one.
+// RoleOrder tells a worker to change its role. Only the owner of the service's duty sends one.
 type RoleOrder struct {
 	To       ids.Role
 	Owner    ids.NodeID
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -20,8 +20,9 @@
 
 var errWorkerSilent = errors.New("the worker says nothing")
 
-// supervisedBody is an answer's body with silence timers: after a first silence the worker is asked for
-// its report, and if the request may be retried elsewhere, a longer silence cancels it.
+// supervisedBody is an answer's body with timers that detect a silent worker. After a first silence the
+// worker is asked for its report. A longer one cancels the attempt if the request may be retried on
+// another worker; if not, a long silence before the first byte counts as a failure.
 type supervisedBody struct {
 	io.ReadCloser
 	exchange       *exchange
@@ -30,7 +31,7 @@
 	attempt        *attempt
 	probeTimer     *time.Timer
 	cancelTimer    *time.Timer
-	firstByteTimer *time.Timer // runs until the first byte if the request cannot be retried elsewhere
+	firstByteTimer *time.Timer // records a failure; set instead of cancelTimer if the request cannot be retried elsewhere
 	times          *serviceTimes
 	lastByteAt     ids.Tick // of the last byte, or when the request was sent
 	answered       bool     // a byte has arrived
@@ -90,11 +91,12 @@
 	return err
 }
 
-// relay copies an answer to the caller. An OutcomeUnknown failure means that the answer broke off.
+// relay copies an answer to the caller. An OutcomeUnknown failure means that the worker may have run the
+// request but the caller has no complete answer.
 func (t *exchange) relay(ctx context.Context, c *candidate, reply *Response) error {
 	defer reply.Body.Close()
 	defer func() {
-		c.state.endRequest(0)
+		c.state.endRequest(0) // 0: a decode
 		c.release(true, t.node.now())
 	}()
 	c.state.recordAnswer(reply.Load, t.node.now())
@@ -123,7 +125,7 @@
 		c.state.recordFailure(t.node.now())
 		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "status %d", reply.Status)
 	}
-	t.trace(handoff.Resumed, c.worker.ID, "")
+	t.trace(handoff.Resumed, c.worker.ID, "") // every answer that is relayed, also the first one
 	var err error
 	if reply.Events {
 		err = t.relayEvents(c, reply)
@@ -141,8 +143,9 @@
 	return err
 }
 
-// impliesNotRun reports whether a status tells a caller that its request has not run. A worker that
-// did not run a request says so by other means, which the backend adapter reads.
+// impliesNotRun reports whether a caller would take a status to mean that its request has not run. A
+// worker confirms that with the header Keelstair-Not-Executed, which the backend adapter turns into an
+// error, so a Response with such a status lacks the confirmation.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
@@ -152,7 +155,7 @@
 	return false
 }
 
-var errCallerDisconnected = errors.New("the caller went away")
+var errCallerDisconnected = errors.New("caller disconnected")
 
 func (t *exchange) writeHead(reply *Response, length int64) error {
 	if t.headSent {
@@ -195,7 +198,7 @@
 	}
 }
 
-// relayEvents copies complete events.
+// relayEvents copies each event to the caller once it is complete.
 func (t *exchange) relayEvents(c *candidate, reply *Response) error {
 	var pending []byte
 	buf := make([]byte, 8<<10)
@@ -241,7 +244,7 @@
 	return nil
 }
 
-// finish ends a stream that its worker has ended. Bytes after the last complete event are passed on
+// finish ends a stream that its worker has ended. Bytes after the last complete event are written
 // unchanged.
 func (t *exchange) finish(reply *Response, rest []byte) error {
 	if err := t.writeHead(reply, -1); err != nil {
@@ -279,8 +282,8 @@
 	return first, last
 }
 
-// isLaterEvent reports whether an event may come after another. Ids that are not numbers cannot be
-// compared and are accepted.
+// isLaterEvent reports whether an event id is greater than an earlier one. Ids that are not numbers
+// cannot be compared, and the result is true for them.
 func isLaterEvent(id, before string) bool {
 	n, err := strconv.ParseInt(id, 10, 64)
 	last, errLast := strconv.ParseInt(before, 10, 64)
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -1,8 +1,9 @@
-// Role balancing. The node that owns a service's duty collects the workers' reports and changes the
-// role of workers when the other role is overloaded. Workers need not check fences, so only the lease
-// protects against two owners: an owner sends its first order only once the lease of any earlier
-// owner has certainly expired. All nodes learn of a role change before the order is sent, so that no
-// new work reaches the worker meanwhile.
+// Role balancing. The coordination service leases the balancing of each service to one node, the owner
+// of the service's duty. The owner collects the workers' reports and changes the role of workers when
+// the other role is overloaded. Workers need not check fences, so only the lease protects against two
+// owners: an owner sends its first order only once the lease of any earlier owner has certainly
+// expired. All nodes learn of a role change before the order is sent, so that no new work reaches the
+// worker meanwhile.
 
 package proxy
 
@@ -21,8 +22,8 @@
 
 const (
 	roleChangeInterval      = 1200 * time.Millisecond // between two role changes of a service
-	activeRoleCheckInterval = 100 * time.Millisecond  // between two checks while workers change roles
-	outageCheckDelay        = 80 * time.Millisecond   // after an outage, before roles are checked
+	activeRoleCheckInterval = 100 * time.Millisecond  // between two checks of the roles while workers change them
+	outageCheckDelay        = 80 * time.Millisecond   // wait after an outage before roles are checked, as several workers may fail at once
 	roleChangeTimeout       = 8 * time.Second         // after which an unfinished role change is abandoned
 	roleChangeNotice        = 350 * time.Millisecond  // for all nodes to learn of a role change
 )
@@ -32,20 +33,20 @@
 	fence              ids.Fence
 	ownedSince         ids.Tick
 	lastChangeEndedAt  ids.Tick // when the last role change ended
-	prefillPressure    float64  // smoothed
+	prefillPressure    float64  // exponentially smoothed, like decodePressure
 	decodePressure     float64
-	reportsCollectedAt ids.Tick
-	roleChangedAt      map[ids.WorkerID]ids.Tick // when a worker last began to change its role
-	liveCounts         roleCounts                // in the last round
-	lostCounts         roleCounts                // between the last two rounds
-	workersWentDown    bool                      // since the last round, a worker was found to be down
+	reportsCollectedAt ids.Tick                  // the last time
+	roleChangedAt      map[ids.WorkerID]ids.Tick // when each worker's last role change began
+	liveCounts         roleCounts                // when reports were last collected
+	lostCounts         roleCounts                // between the last two collections of reports
+	workersWentDown    bool                      // a worker was found to be down since reports were last collected
 }
 
 // roleChange is a running role change of a worker.
 type roleChange struct {
 	startedAt      ids.Tick
 	orderSent      bool
-	acceptedOrders int
+	acceptedOrders int // role orders that the worker had accepted when the change began
 }
 
 // roleBalancer balances the roles of the services whose duties this node owns.
@@ -89,8 +90,8 @@
 
 // mayOrder reports whether the lease of any earlier owner has certainly expired. Until then this owner
 // only requests reports, which all nodes need.
-func (d *roleBalance) mayOrder(now ids.Tick, lease time.Duration) bool {
-	return now.Past(d.ownedSince, lease+lease/5)
+func (b *roleBalance) mayOrder(now ids.Tick, lease time.Duration) bool {
+	return now.Past(b.ownedSince, lease+lease/5)
 }
 
 // awaitRoleCheck waits until the roles are due to be checked: sooner while workers change roles, and
@@ -106,7 +107,7 @@
 	case <-ctx.Done():
 		return false, false
 	case <-n.outages:
-		return true, host.Sleep(ctx, outageCheckDelay) // several workers may fail at once
+		return true, host.Sleep(ctx, outageCheckDelay)
 	case <-timer.C:
 		return false, true
 	}
@@ -139,7 +140,7 @@
 	worker *Worker
 }
 
-// balanceRoles ends role changes that are over, collects the workers' reports, and begins the role
+// balanceRoles advances the running role changes, collects the workers' reports, and begins the role
 // changes that chooseRoleChange or a routing program selects.
 func (n *Node) balanceRoles(
 	ctx context.Context,
@@ -198,8 +199,8 @@
 	}
 }
 
-// advanceRoleChanges ends the role changes that are over, of the service's workers and of workers that
-// are no longer listed.
+// advanceRoleChanges advances the role changes of the service's workers: it sends the orders that are
+// due and ends the changes that are over. It also ends those of workers that no service lists any more.
 func (n *Node) advanceRoleChanges(
 	ctx context.Context,
 	s *fleetstate.Snapshot,
@@ -238,8 +239,9 @@
 	return len(list.workers) == 0 || list.find(id) != nil
 }
 
-// advanceRoleChange sends the order of a role change once all nodes have learned of it. It reports
-// whether the role change is over.
+// advanceRoleChange sends the order of a role change once all nodes have learned of the change. It
+// reports whether the change is over: done, timed out, refused by the worker, or abandoned because the
+// worker is leaving or this node has lost the duty.
 func (n *Node) advanceRoleChange(
 	ctx context.Context,
 	w *Worker,
--- a/internal/proxy/role_choice.go
+++ b/internal/proxy/role_choice.go
@@ -24,7 +24,7 @@
 
 // smoothPressure returns the smoothed number of prompts per prefill worker, and the smoothed share of the
 // decode workers' concurrency or memory that is in use, whichever is larger.
-func (d *roleBalance) smoothPressure(rows []workerReport, service *fleetstate.Service) (prefill, decode float64) {
+func (b *roleBalance) smoothPressure(rows []workerReport, service *fleetstate.Service) (prefill, decode float64) {
 	var prefillWorkers, decodeWorkers, prompts, streams, used, capacity int
 	for _, r := range rows {
 		if r.Role == ids.Prefill {
@@ -34,14 +34,14 @@
 		}
 	}
 	if prefillWorkers > 0 {
-		d.prefillPressure += 0.4 * (float64(prompts)/float64(prefillWorkers) - d.prefillPressure)
+		b.prefillPressure += 0.4 * (float64(prompts)/float64(prefillWorkers) - b.prefillPressure)
 	}
 	if decodeWorkers > 0 && capacity > 0 {
 		utilization := max(float64(streams)/float64(decodeWorkers*max(1, service.Concurrency)),
 			float64(used)/float64(capacity))
-		d.decodePressure += 0.4 * (utilization - d.decodePressure)
+		b.decodePressure += 0.4 * (utilization - b.decodePressure)
 	}
-	return d.prefillPressure, d.decodePressure
+	return b.prefillPressure, b.decodePressure
 }
 
 // move counts a worker that is ordered to change to a role.
@@ -83,15 +83,15 @@
 
 // recordCounts records the worker counts of a round. The requests of lost workers move to the remaining
 // ones, so the pressure is scaled up at once instead of only when reports show it.
-func (d *roleBalance) recordCounts(up roleCounts) {
-	d.lostCounts = roleCounts{max(0, d.liveCounts.prefill-up.prefill), max(0, d.liveCounts.decode-up.decode)}
-	if d.lostCounts.prefill > 0 && up.prefill > 0 {
-		d.prefillPressure *= float64(d.liveCounts.prefill) / float64(up.prefill)
+func (b *roleBalance) recordCounts(up roleCounts) {
+	b.lostCounts = roleCounts{max(0, b.liveCounts.prefill-up.prefill), max(0, b.liveCounts.decode-up.decode)}
+	if b.lostCounts.prefill > 0 && up.prefill > 0 {
+		b.prefillPressure *= float64(b.liveCounts.prefill) / float64(up.prefill)
 	}
-	if d.lostCounts.decode > 0 && up.decode > 0 {
-		d.decodePressure *= float64(d.liveCounts.decode) / float64(up.decode)
+	if b.lostCounts.decode > 0 && up.decode > 0 {
+		b.decodePressure *= float64(b.liveCounts.decode) / float64(up.decode)
 	}
-	d.liveCounts = up
+	b.liveCounts = up
 }
 
 // minPerRole returns how many of the workers each role keeps at least.
--- a/internal/proxy/worker_state.go
+++ b/internal/proxy/worker_state.go
@@ -112,7 +112,8 @@
 	s.avoidUntil = max(s.avoidUntil, now.Add(150*time.Millisecond))
 }
 
-// recordAnswer resets the failure count and records the load that came with an answer, if any.
+// recordAnswer resets the failure count, since the worker answered with whichever status, and records
+// the load that came with the answer, if any.
 func (s *workerState) recordAnswer(l *Load, now ids.Tick) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +126,8 @@
 // maxCachedPrefixes bounds the prefixes that are recorded of a worker.
 const maxCachedPrefixes = 4096
 
-// beginRequest counts a request in flight: a prefill of that many tokens, or a decode if tokens is 0. It records the prompt's prefixes as cached.
+// beginRequest counts a request in flight: a prefill of that many tokens, or a decode if tokens is 0.
+// It records the prompt's prefixes as cached.
 func (s *workerState) beginRequest(tokens int, hashes []uint64, now ids.Tick) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +145,7 @@
 	}
 }
 
-// endRequest ends what beginRequest counted.
+// endRequest uncounts a request that beginRequest counted with the same tokens.
 func (s *workerState) endRequest(tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
