--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -36,7 +36,7 @@
 			runInBubble(t, func(t *testing.T) {
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
 				f := startFleet(t, 78, 2, platform, hedgeConfiguration(maxAttempts), func(o *Options) {
-					o.RetryAllowance, o.RoleChangeInterval = 40, -1
+					o.RetryAllowance, o.RoleCheckInterval = 40, -1
 				})
 				defer f.close()
 				request := func(prefix string) func(i int) *Request {
@@ -91,12 +91,12 @@
 		request := f.newRequest("late", "/x", 400, 2)
 		exchange := &exchange{node: n, request: request}
 		worker := &n.endpoints.Load().workers[0]
-		c := &pick{worker: worker, state: n.state(worker.ID)}
+		c := &candidate{worker: worker, state: n.state(worker.ID)}
 		c.reserve(request, 0, n.now())
 		platform.withLock(func() {
 			platform.handles["kv"] = &memoryHandle{worker: worker.ID, requestID: "late", release: func() {}}
 		})
-		exchange.discardPrefill(prefillOutcome{pick: c, memory: &PrefillResult{Handle: "kv"}})
+		exchange.discardPrefill(prefillOutcome{candidate: c, memory: &PrefillResult{Handle: "kv"}})
 		time.Sleep(time.Second)
 		platform.mu.Lock()
 		defer platform.mu.Unlock()
--- a/internal/proxy/load_board.go
+++ b/internal/proxy/load_board.go
@@ -148,7 +148,7 @@
 // ownsService reports whether this node requests the reports of a service's workers itself.
 func (n *Node) ownsService(service string) bool {
 	_, ok := n.agent.OwnsKey(fleetstate.ServiceKey(service))
-	return ok && n.options.RoleChangeInterval >= 0
+	return ok && n.options.RoleCheckInterval >= 0
 }
 
 func everyService(string) bool { return true }
@@ -170,7 +170,7 @@
 	}
 }
 
-// recordReports publishes a round that this node requested as the holder of a service's duty.
+// recordReports publishes a round that this node requested as the owner of a service's duty.
 func (n *Node) recordReports(service string, at ids.Tick, all []workerReport) {
 	rows := make(map[ids.WorkerID]reportedLoad, len(all))
 	for _, r := range all {
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -51,8 +51,8 @@
 	HedgeFactor        float64       // 1.2: multiple of the usual prefill time after which a prefill is hedged; negative disables hedging
 	DecodeSilence      time.Duration // 900ms: silence after which a decode worker is given up, if the request may be retried
 	PrefillTokensPerMs float64       // 50: prompt tokens that a worker prefills in a ms
-	// 500ms between decisions on role changes; negative disables them
-	RoleChangeInterval time.Duration
+	// 500ms between two checks of the workers' roles; negative disables role changes
+	RoleCheckInterval time.Duration
 	// 0.667: share of a service's workers in the prefill role while it is idle; negative makes no role
 	// changes for it
 	IdlePrefillShare float64
@@ -89,7 +89,7 @@
 	ids.SetDefault(&o.ListInterval, 700*time.Millisecond)
 	ids.SetDefault(&o.ApplyMax, 2*time.Second)
 	ids.SetDefault(&o.RetryWindow, 10*time.Second)
-	ids.SetDefault(&o.RoleChangeInterval, 500*time.Millisecond)
+	ids.SetDefault(&o.RoleCheckInterval, 500*time.Millisecond)
 	ids.SetDefault(&o.PrefillSilence, 2*time.Second)
 	ids.SetDefault(&o.HedgeFactor, hedgeDelayFactor)
 	ids.SetDefault(&o.DecodeSilence, 900*time.Millisecond)
@@ -141,7 +141,7 @@
 	failbacks       sync.Map // ids.Zone -> failback, for zones that were evacuated
 	peerOutcomes    outcomeSums
 	outcomesChanged atomic.Bool  // an outcome has not been evaluated yet
-	ejections       atomic.Int64 // number of workers that are ejected or on probation
+	notServing      atomic.Int64 // number of workers that are ejected or on probation
 	peerOutcomesAt  atomic.Int64 // ids.Tick at which peers' outcomes last arrived
 	isolatedAt      atomic.Int64 // ids.Tick at which the node was last found isolated
 	loads           loadBoard
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -1,8 +1,8 @@
 // Outlier ejection: a worker's health is judged by the outcomes of requests to it, not by what it
 // reports. A worker whose failure rate is an outlier among the workers of its service and role is
 // ejected for a period that grows with each ejection; then a few trial requests decide. Two rules
-// limit the cost of a wrong ejection: the number of ejected workers is bounded, and ejected workers
-// are used if no other is left.
+// limit the cost of a wrong ejection: the number of workers that are ejected or on probation is
+// bounded, and they are used if no other is left.
 
 package proxy
 
@@ -25,25 +25,26 @@
 	outlierMinRate        = 0.1              // failure rate up to which no worker is an outlier
 	outlierRatio          = 1.5              // multiple of the other workers' mean rate, added to outlierMinRate
 	outlierMinRequests    = 4.0              // requests needed before a worker can be an outlier
-	maxPeerWeight         = 10.0             // requests that all peers' outcomes of a worker count for at most
+	maxPeerWeight         = 10.0             // maximum number of requests that the peers' outcomes of a worker count for
 	probationSuccesses    = 5                // successes that end probation
-	probationQuietPeriod  = 2 * time.Second  // time without a failure that ends probation too
+	probationQuietPeriod  = 2 * time.Second  // time on probation that ends it without enough successes, if no request failed
 	probationPickInterval = 5                // a worker on probation is available to one in this many picks
-	strikeTTL             = 10 * time.Second // serving time that removes one strike
+	strikeDecayTime       = 10 * time.Second // serving time that removes one strike
 	maxEjection           = 16 * time.Second
 	evaluateInterval      = 100 * time.Millisecond
 )
 
-// decayingCount counts completed requests with exponential decay.
+// decayingCount counts events (completed requests, or outages) and the failed ones among them, with
+// exponential decay.
 type decayingCount struct {
-	sent, failed float64
-	at           ids.Tick
+	total, failed float64
+	at            ids.Tick
 }
 
 // decay applies the decay since the last call.
 func (r *decayingCount) decay(now ids.Tick, timeConstant time.Duration) {
 	f := math.Exp(-float64(now.Since(r.at)) / float64(timeConstant))
-	r.sent, r.failed, r.at = r.sent*f, r.failed*f, now
+	r.total, r.failed, r.at = r.total*f, r.failed*f, now
 }
 
 // phase is a worker's state in outlier ejection.
@@ -66,17 +67,17 @@
 	phase          phase
 	phaseStartedAt ids.Tick
 	ejectedUntil   ids.Tick
-	strikes        int
-	successes      int
+	strikes        int  // recent ejections, one less for each strikeDecayTime of serving
+	successes      int  // during probation
 	failedTrial    bool // a request failed during probation
 	probationPicks int
 	lastTrial      ids.Tick
 	failureRate    float64 // failure rate while it is an outlier, else 0
 }
 
-// recordOutcome records the outcome of a request to a worker, once. Failures while the worker is known
-// to be down are due to the link or the machine and do not count against its answers.
-func (n *Node) recordOutcome(c *pick, ok bool) {
+// recordOutcome records the outcome of a request to a worker, once. Outcomes are not counted while the
+// worker is known to be down, since its failures then come from the link or the machine.
+func (n *Node) recordOutcome(c *candidate, ok bool) {
 	if n.options.BaseEjection < 0 || !c.outcomeRecorded.CompareAndSwap(false, true) {
 		return
 	}
@@ -91,7 +92,7 @@
 	}
 	v := &st.outlier
 	v.local.decay(now, outcomeTimeConstant)
-	v.local.sent++
+	v.local.total++
 	if !ok {
 		v.local.failed++
 		n.outcomesChanged.Store(true)
@@ -119,7 +120,7 @@
 		st.down = true
 		n.noteOutage()
 		v.outages.decay(now, outageTimeConstant)
-		v.outages.sent++
+		v.outages.total++
 	}
 }
 
@@ -129,16 +130,17 @@
 	defer st.mu.Unlock()
 	v := &st.outlier
 	v.outages.decay(n.now(), outageTimeConstant)
-	if st.down && v.outages.sent > maxOutages {
+	if st.down && v.outages.total > maxOutages {
 		v.flapping = true
 		n.outcomesChanged.Store(true)
 	}
 	st.down = false
 }
 
-// blocked reports whether this pick must skip the worker. During probation it admits one in
-// probationPickInterval picks, at least trialInterval apart. The caller holds the state's lock.
-func (v *outlierState) blocked(now ids.Tick, trialInterval time.Duration) bool {
+// skipPick counts a pick and reports whether it must skip the worker. During probation one in
+// probationPickInterval picks may use the worker as a trial, and trials are at least trialInterval
+// apart. The caller holds the state's lock.
+func (v *outlierState) skipPick(now ids.Tick, trialInterval time.Duration) bool {
 	if v.phase != probation {
 		return v.phase == ejected
 	}
@@ -150,44 +152,45 @@
 	return false
 }
 
-// rates returns the failures and requests seen by this node and its peers. Peers' reports of failures
-// count only if at least two nodes saw failures, and for no more than maxPeerWeight requests.
-func (v *outlierState) rates(now ids.Tick) (failed, sent float64) {
+// weightedCounts returns the numbers of failures and requests seen by this node and its peers. Peers'
+// reports count only if at least two nodes saw failures, and for no more than maxPeerWeight requests.
+func (v *outlierState) weightedCounts(now ids.Tick) (failed, total float64) {
 	v.local.decay(now, outcomeTimeConstant)
-	failed, sent = v.local.failed, v.local.sent
+	failed, total = v.local.failed, v.local.total
 	reporters := v.peers.Nodes
 	if v.local.failed > 0.3 {
 		reporters++
 	}
 	if v.peers.Nodes > 0 && reporters > 1 && !now.Past(v.peersAt, 2*prefillLoadTTL) {
-		f := min(1, 10*maxPeerWeight/float64(max(1, v.peers.Sent))) / 10
-		failed, sent = failed+f*float64(v.peers.Failed), sent+f*float64(v.peers.Sent)
+		f := min(1, 10*maxPeerWeight/float64(max(1, v.peers.Sent))) / 10 // Outcomes counts tenths
+		failed, total = failed+f*float64(v.peers.Failed), total+f*float64(v.peers.Sent)
 	}
-	return failed, sent
+	return failed, total
 }
 
-// outlierCandidate is a worker under evaluation, with its failures and requests.
+// outlierCandidate is a worker under evaluation, with its weighted failures and requests.
 type outlierCandidate struct {
-	worker       *Worker
-	state        *workerState
-	failed, sent float64
+	worker           *Worker
+	state            *workerState
+	failed, requests float64
 }
 
-func (a *outlierCandidate) rate() float64 { return a.failed / max(1, a.sent) }
+func (a *outlierCandidate) rate() float64 { return a.failed / max(1, a.requests) }
 
 // isOutlier reports whether the failure rate exceeds the other workers' mean rate by more than chance.
 func (a *outlierCandidate) isOutlier(othersRate float64) bool {
-	return a.sent >= outlierMinRequests && a.failed > 1.5 &&
-		a.failed-0.8*math.Sqrt(a.failed) > (outlierMinRate+outlierRatio*othersRate)*a.sent
+	return a.requests >= outlierMinRequests && a.failed > 1.5 &&
+		a.failed-0.8*math.Sqrt(a.failed) > (outlierMinRate+outlierRatio*othersRate)*a.requests
 }
 
-// runOutlierDetection evaluates the workers while there are new outcomes or ejected workers.
+// runOutlierDetection evaluates the workers while there are new outcomes, or workers that are ejected
+// or on probation.
 func (n *Node) runOutlierDetection(ctx context.Context) {
 	if n.options.BaseEjection < 0 {
 		return
 	}
 	for host.Sleep(ctx, evaluateInterval) {
-		if n.outcomesChanged.Swap(false) || n.ejections.Load() > 0 {
+		if n.outcomesChanged.Swap(false) || n.notServing.Load() > 0 {
 			n.evaluateOutliers(n.snapshot())
 		}
 	}
@@ -208,20 +211,20 @@
 		w := &list.workers[i]
 		a := &outlierCandidate{worker: w, state: n.state(w.ID)}
 		a.state.mu.Lock()
-		a.failed, a.sent = a.state.outlier.rates(now)
+		a.failed, a.requests = a.state.outlier.weightedCounts(now)
 		a.state.mu.Unlock()
 		if acceptsWork(s, w) {
 			k := workerGroup{w.Service, w.Role}
 			groups[k] = append(groups[k], a)
 		} else {
-			n.readmit(a, now, "not accepting new requests")
+			n.readmit(a, now, "worker gets no new requests")
 		}
 	}
-	out := 0
+	count := 0
 	for _, rows := range groups {
-		out += n.evaluateGroup(rows, now)
+		count += n.evaluateGroup(rows, now)
 	}
-	n.ejections.Store(int64(out))
+	n.notServing.Store(int64(count))
 }
 
 // evaluateGroup evaluates the workers of one service and role, and returns how many are ejected or on
@@ -235,7 +238,7 @@
 	peersReport := n.peerOutcomesAt.Load() != 0 && !now.Past(ids.Tick(n.peerOutcomesAt.Load()), 2*prefillLoadTTL)
 	for _, a := range rows {
 		sum += a.rate()
-		if peersReport || a.sent >= 0.5 { // if peers report, a worker that none of them names does not fail
+		if peersReport || a.requests >= 0.5 { // peers report only workers that failed, so one that none of them lists has a known rate of 0
 			known++
 		}
 	}
@@ -245,7 +248,7 @@
 		outlying := a.isOutlier((sum - a.rate()) / float64(max(1, known-1)))
 		if n.advancePhase(a, outlying, now) {
 			if notServing++; notServing > limit { // the group shrank, and this is the one with the lowest failure rate
-				n.readmit(a, now, "too many ejected")
+				n.readmit(a, now, "ejection limit exceeded")
 				notServing--
 			}
 		} else if outlying || a.state.flapping() {
@@ -290,7 +293,7 @@
 		return true
 	case was == probation && (v.successes >= probationSuccesses || now.Past(v.phaseStartedAt, probationQuietPeriod)):
 		a.state.mu.Unlock()
-		n.readmit(a, now, "trial requests succeeded")
+		n.readmit(a, now, "no failure during probation")
 		return false
 	}
 	a.state.mu.Unlock()
@@ -303,14 +306,14 @@
 	defer a.state.mu.Unlock()
 	v := &a.state.outlier
 	if v.phase == serving {
-		v.strikes = max(0, v.strikes-int(now.Since(v.phaseStartedAt)/strikeTTL))
+		v.strikes = max(0, v.strikes-int(now.Since(v.phaseStartedAt)/strikeDecayTime))
 	}
 	duration := min(n.options.BaseEjection<<min(v.strikes, 10), maxEjection)
 	v.strikes++
 	v.phase, v.phaseStartedAt, v.ejectedUntil, v.flapping = ejected, now, now.Add(duration), false
 	v.failureRate = a.rate()
 	n.counts.Ejected.Add(1)
-	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Float64("failed", a.failed).Float64("sent", a.sent).
+	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Float64("failed", a.failed).Float64("sent", a.requests).
 		Dur("duration", duration).Msg("ejecting worker")
 }
 
@@ -324,12 +327,12 @@
 	}
 	v.phase, v.phaseStartedAt, v.failureRate = serving, now, 0
 	n.counts.Readmitted.Add(1)
-	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Str("reason", reason).Msg("readmitting worker")
+	n.options.Ring.Info().Str("worker", string(a.worker.ID)).Str("reason", reason).Msg("worker ejection ended")
 }
 
-// isEjected reports whether a worker is ejected or on probation.
-func (n *Node) isEjected(id ids.WorkerID) bool {
-	if n.ejections.Load() == 0 {
+// isNotServing reports whether a worker is ejected or on probation.
+func (n *Node) isNotServing(id ids.WorkerID) bool {
+	if n.notServing.Load() == 0 {
 		return false
 	}
 	st := n.state(id)
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -20,20 +20,21 @@
 
 var errWorkerSilent = errors.New("the worker says nothing")
 
-// supervisedBody is an answer's body with silence timers: after a first silence the worker is asked for
-// its report, and if the request may be retried elsewhere, a longer silence cancels it.
+// supervisedBody is an answer's body with timers that detect a silent worker. After a first silence the
+// worker is asked for its report. A longer one cancels the attempt if the request may be retried on
+// another worker; if not, a long silence before the first byte counts as a failure.
 type supervisedBody struct {
 	io.ReadCloser
-	exchange      *exchange
-	pick          *pick
-	stop          context.CancelCauseFunc
-	attempt       *attempt
-	probeTimer    *time.Timer
-	deadlineTimer *time.Timer
-	silenceTimer  *time.Timer // runs until the first byte if the request cannot be retried elsewhere
-	times         *serviceTimes
-	lastByteAt    ids.Tick // of the last byte, or when the request was sent
-	answered      bool     // a byte has arrived
+	exchange       *exchange
+	candidate      *candidate
+	stop           context.CancelCauseFunc
+	attempt        *attempt
+	probeTimer     *time.Timer
+	cancelTimer    *time.Timer
+	firstByteTimer *time.Timer // records a failure; set instead of cancelTimer if the request cannot be retried elsewhere
+	times          *serviceTimes
+	lastByteAt     ids.Tick // of the last byte, or when the request was sent
+	answered       bool     // a byte has arrived
 }
 
 // observePause records the pause that ends with newly arrived bytes.
@@ -42,7 +43,7 @@
 	pause := now.Since(g.lastByteAt)
 	if g.answered {
 		g.times.nextEvent.Observe(pause)
-		g.pick.state.observeEventGap(pause, now)
+		g.candidate.state.observeEventGap(pause, now)
 	} else {
 		g.times.firstEvent.Observe(pause)
 	}
@@ -52,16 +53,16 @@
 func (g *supervisedBody) Read(p []byte) (int, error) {
 	k, err := g.ReadCloser.Read(p)
 	if k > 0 && err == nil {
-		g.pick.state.lastSuccess.Store(int64(g.exchange.node.now()))
-		if g.silenceTimer != nil {
-			g.silenceTimer.Stop()
+		g.candidate.state.lastSuccess.Store(int64(g.exchange.node.now()))
+		if g.firstByteTimer != nil {
+			g.firstByteTimer.Stop()
 		}
 		g.observePause()
 		g.probeTimer.Reset(g.times.nextEvent.Suspicious(
 			healthCheckSilence + time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond,
 		))
-		if g.deadlineTimer != nil {
-			g.deadlineTimer.Reset(max(
+		if g.cancelTimer != nil {
+			g.cancelTimer.Reset(max(
 				600*time.Millisecond, 3*time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond,
 			))
 		}
@@ -72,14 +73,14 @@
 // stopTimers stops all timers and releases the request's context.
 func (g *supervisedBody) stopTimers() {
 	g.probeTimer.Stop()
-	if g.silenceTimer != nil {
-		g.silenceTimer.Stop()
+	if g.firstByteTimer != nil {
+		g.firstByteTimer.Stop()
 	}
-	if g.deadlineTimer != nil {
-		g.deadlineTimer.Stop()
+	if g.cancelTimer != nil {
+		g.cancelTimer.Stop()
 	}
 	if g.attempt != nil {
-		g.pick.state.removeAttempt(g.attempt)
+		g.candidate.state.removeAttempt(g.attempt)
 	}
 	g.stop(nil)
 }
@@ -90,20 +91,21 @@
 	return err
 }
 
-// relay copies an answer to the caller. An OutcomeUnknown failure means that the answer broke off.
-func (t *exchange) relay(ctx context.Context, c *pick, reply *Response) error {
+// relay copies an answer to the caller. An OutcomeUnknown failure means that the worker may have run the
+// request but the caller has no complete answer.
+func (t *exchange) relay(ctx context.Context, c *candidate, reply *Response) error {
 	defer reply.Body.Close()
 	defer func() {
-		c.state.endRequest(0)
+		c.state.endRequest(0) // 0: a decode
 		c.release(true, t.node.now())
 	}()
-	c.state.recordSuccess(reply.Load, t.node.now())
+	c.state.recordAnswer(reply.Load, t.node.now())
 	t.mayHaveRun = true
 	if reply.Status/100 == 2 && !reply.FromWorker {
 		t.node.recordOutcome(c, false)
 		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "a success without the worker's stamp")
 	}
-	if promisesNotRun(reply.Status) {
+	if impliesNotRun(reply.Status) {
 		t.node.recordOutcome(c, false)
 		return failure.New(
 			failure.OutcomeUnknown,
@@ -123,7 +125,7 @@
 		c.state.recordFailure(t.node.now())
 		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "status %d", reply.Status)
 	}
-	t.trace(handoff.Resumed, c.worker.ID, "")
+	t.trace(handoff.Resumed, c.worker.ID, "") // every answer that is relayed, also the first one
 	var err error
 	if reply.Events {
 		err = t.relayEvents(c, reply)
@@ -141,9 +143,10 @@
 	return err
 }
 
-// promisesNotRun reports whether a status tells a caller that its request has not run. A worker that
-// did not run a request says so by other means, which the backend adapter reads.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether a caller would take a status to mean that its request has not run. A
+// worker confirms that with the header Keelstair-Not-Executed, which the backend adapter turns into an
+// error, so a Response with such a status lacks the confirmation.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -152,7 +155,7 @@
 	return false
 }
 
-var errCallerDisconnected = errors.New("the caller went away")
+var errCallerDisconnected = errors.New("caller disconnected")
 
 func (t *exchange) writeHead(reply *Response, length int64) error {
 	if t.headSent {
@@ -179,7 +182,7 @@
 			return failure.As(err, failure.OutcomeUnknown, "pass", "worker")
 		}
 		if k > 0 || err == io.EOF {
-			t.countStarted()
+			t.countAnswerStarted()
 			if err := t.writeHead(reply, reply.Length); err != nil {
 				return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
 			}
@@ -195,8 +198,8 @@
 	}
 }
 
-// relayEvents copies complete events.
-func (t *exchange) relayEvents(c *pick, reply *Response) error {
+// relayEvents copies each event to the caller once it is complete.
+func (t *exchange) relayEvents(c *candidate, reply *Response) error {
 	var pending []byte
 	buf := make([]byte, 8<<10)
 	resumed := t.headSent
@@ -220,7 +223,7 @@
 
 // forward sends complete events to the caller and records the id of the last one. A worker that resumes
 // a stream must not repeat events up to the last one that the caller has.
-func (t *exchange) forward(c *pick, reply *Response, events []byte, resumed bool) error {
+func (t *exchange) forward(c *candidate, reply *Response, events []byte, resumed bool) error {
 	first, last := eventIDs(events)
 	if resumed && !isLaterEvent(first, t.lastEventID) {
 		return failure.New(
@@ -228,7 +231,7 @@
 		)
 	}
 	t.timing.recordEvents(t.node.now())
-	t.countStarted()
+	t.countAnswerStarted()
 	if err := t.writeHead(reply, -1); err != nil {
 		return failure.As(errors.Join(errCallerDisconnected, err), failure.OutcomeUnknown, "pass", "caller")
 	}
@@ -241,7 +244,7 @@
 	return nil
 }
 
-// finish ends a stream that its worker has ended. Bytes after the last complete event are passed on
+// finish ends a stream that its worker has ended. Bytes after the last complete event are written
 // unchanged.
 func (t *exchange) finish(reply *Response, rest []byte) error {
 	if err := t.writeHead(reply, -1); err != nil {
@@ -279,8 +282,8 @@
 	return first, last
 }
 
-// isLaterEvent reports whether an event may come after another. Ids that are not numbers cannot be
-// compared and are accepted.
+// isLaterEvent reports whether an event id is greater than an earlier one. Ids that are not numbers
+// cannot be compared, and the result is true for them.
 func isLaterEvent(id, before string) bool {
 	n, err := strconv.ParseInt(id, 10, 64)
 	last, errLast := strconv.ParseInt(before, 10, 64)
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -1,8 +1,9 @@
-// Role balancing. The node that owns a service's duty collects the workers' reports and changes the
-// role of workers when the other role is overloaded. Workers need not check fences, so only the lease
-// protects against two owners: an owner sends its first order only once the lease of any earlier
-// owner has certainly expired. All nodes learn of a role change before the order is sent, so that no
-// new work reaches the worker meanwhile.
+// Role balancing. The coordination service leases the balancing of each service to one node, the owner
+// of the service's duty. The owner collects the workers' reports and changes the role of workers when
+// the other role is overloaded. Workers need not check fences, so only the lease protects against two
+// owners: an owner sends its first order only once the lease of any earlier owner has certainly
+// expired. All nodes learn of a role change before the order is sent, so that no new work reaches the
+// worker meanwhile.
 
 package proxy
 
@@ -20,43 +21,43 @@
 )
 
 const (
-	roleChangeInterval = 1200 * time.Millisecond // between two role changes of a service
-	roleChangeTick     = 100 * time.Millisecond  // between two checks while workers change roles
-	outageGathering    = 80 * time.Millisecond   // after an outage, before roles are checked
-	roleChangeTimeout  = 8 * time.Second         // after which an unfinished role change is abandoned
-	roleChangeNotice   = 350 * time.Millisecond  // for all nodes to learn of a role change
+	roleChangeInterval      = 1200 * time.Millisecond // between two role changes of a service
+	activeRoleCheckInterval = 100 * time.Millisecond  // between two checks of the roles while workers change them
+	outageCheckDelay        = 80 * time.Millisecond   // wait after an outage before roles are checked, as several workers may fail at once
+	roleChangeTimeout       = 8 * time.Second         // after which an unfinished role change is abandoned
+	roleChangeNotice        = 350 * time.Millisecond  // for all nodes to learn of a role change
 )
 
 // roleBalance is the state of role balancing for one service while this node owns its duty.
 type roleBalance struct {
-	fence           ids.Fence
-	ownedSince      ids.Tick
-	lastChange      ids.Tick // when the last role change ended
-	prefillPressure float64  // smoothed
-	decodePressure  float64
-	lastReport      ids.Tick
-	roleChangedAt   map[ids.WorkerID]ids.Tick // when a worker last began to change its role
-	liveCounts      roleCounts                // in the last round
-	lostCounts      roleCounts                // between the last two rounds
-	workersWentDown bool                      // since the last round, a worker was found to be down
+	fence              ids.Fence
+	ownedSince         ids.Tick
+	lastChangeEndedAt  ids.Tick // when the last role change ended
+	prefillPressure    float64  // exponentially smoothed, like decodePressure
+	decodePressure     float64
+	reportsCollectedAt ids.Tick                  // the last time
+	roleChangedAt      map[ids.WorkerID]ids.Tick // when each worker's last role change began
+	liveCounts         roleCounts                // when reports were last collected
+	lostCounts         roleCounts                // between the last two collections of reports
+	workersWentDown    bool                      // a worker was found to be down since reports were last collected
 }
 
 // roleChange is a running role change of a worker.
 type roleChange struct {
 	startedAt      ids.Tick
 	orderSent      bool
-	expectedOrders int
+	acceptedOrders int // role orders that the worker had accepted when the change began
 }
 
 // roleBalancer balances the roles of the services whose duties this node owns.
 func (n *Node) roleBalancer(ctx context.Context) {
-	if n.options.RoleChangeInterval < 0 {
+	if n.options.RoleCheckInterval < 0 {
 		return
 	}
 	duties := map[string]*roleBalance{}
 	changes := map[ids.WorkerID]*roleChange{}
 	for {
-		urgent, ok := n.awaitRoleTick(ctx, len(changes) > 0)
+		urgent, ok := n.awaitRoleCheck(ctx, len(changes) > 0)
 		if !ok {
 			return
 		}
@@ -71,12 +72,12 @@
 			balance := duties[name]
 			if balance == nil || balance.fence != fence {
 				balance = &roleBalance{
-					fence:           fence,
-					ownedSince:      n.now(),
-					lastChange:      n.now(),
-					prefillPressure: 0.5,
-					decodePressure:  0.2,
-					roleChangedAt:   map[ids.WorkerID]ids.Tick{},
+					fence:             fence,
+					ownedSince:        n.now(),
+					lastChangeEndedAt: n.now(),
+					prefillPressure:   0.5,
+					decodePressure:    0.2,
+					roleChangedAt:     map[ids.WorkerID]ids.Tick{},
 				}
 				duties[name] = balance
 			}
@@ -89,16 +90,16 @@
 
 // mayOrder reports whether the lease of any earlier owner has certainly expired. Until then this owner
 // only requests reports, which all nodes need.
-func (d *roleBalance) mayOrder(now ids.Tick, lease time.Duration) bool {
-	return now.Past(d.ownedSince, lease+lease/5)
+func (b *roleBalance) mayOrder(now ids.Tick, lease time.Duration) bool {
+	return now.Past(b.ownedSince, lease+lease/5)
 }
 
-// awaitRoleTick waits until the roles are due to be checked: sooner while workers change roles, and
+// awaitRoleCheck waits until the roles are due to be checked: sooner while workers change roles, and
 // urgently when a worker was found to be down. ok is false once the context has ended.
-func (n *Node) awaitRoleTick(ctx context.Context, changing bool) (urgent, ok bool) {
-	wait := n.options.RoleChangeInterval
+func (n *Node) awaitRoleCheck(ctx context.Context, changing bool) (urgent, ok bool) {
+	wait := n.options.RoleCheckInterval
 	if changing {
-		wait = min(wait, roleChangeTick)
+		wait = min(wait, activeRoleCheckInterval)
 	}
 	timer := host.NewTimer(wait)
 	defer timer.Stop()
@@ -106,7 +107,7 @@
 	case <-ctx.Done():
 		return false, false
 	case <-n.outages:
-		return true, host.Sleep(ctx, outageGathering) // several workers may fail at once
+		return true, host.Sleep(ctx, outageCheckDelay)
 	case <-timer.C:
 		return false, true
 	}
@@ -139,7 +140,7 @@
 	worker *Worker
 }
 
-// balanceRoles ends role changes that are over, collects the workers' reports, and begins the role
+// balanceRoles advances the running role changes, collects the workers' reports, and begins the role
 // changes that chooseRoleChange or a routing program selects.
 func (n *Node) balanceRoles(
 	ctx context.Context,
@@ -162,19 +163,19 @@
 	}
 	mayOrder := balance.mayOrder(n.now(), n.options.LeaseDuration)
 	if mayOrder {
-		n.finishRoleChanges(ctx, s, listed, key, balance, changes)
+		n.advanceRoleChanges(ctx, s, listed, key, balance, changes)
 	}
 	urgent := balance.workersWentDown
 	if !urgent && (changeRunning ||
-		!n.now().Past(balance.lastReport, 2*n.options.RoleChangeInterval-50*time.Millisecond)) {
+		!n.now().Past(balance.reportsCollectedAt, 2*n.options.RoleCheckInterval-50*time.Millisecond)) {
 		return
 	}
-	balance.lastReport, balance.workersWentDown = n.now(), false
+	balance.reportsCollectedAt, balance.workersWentDown = n.now(), false
 	reports := n.reports(ctx, s, listed)
 	balance.recordCounts(n.workersUp(s, listed))
-	n.recordReports(service.Name, balance.lastReport, reports)
+	n.recordReports(service.Name, balance.reportsCollectedAt, reports)
 	prefillPressure, decodePressure := balance.smoothPressure(reports, service)
-	if !mayOrder || !urgent && !n.now().Past(balance.lastChange, roleChangeInterval) {
+	if !mayOrder || !urgent && !n.now().Past(balance.lastChangeEndedAt, roleChangeInterval) {
 		return
 	}
 	for id := range balance.roleChangedAt {
@@ -188,7 +189,7 @@
 	selected, to = n.proposeRoleChange(n.programsFor(s), service, balance, reports, selected, to)
 	for _, w := range selected {
 		if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: w.worker.ID, To: to}) {
-			changes[w.worker.ID] = &roleChange{startedAt: n.now(), expectedOrders: w.Orders}
+			changes[w.worker.ID] = &roleChange{startedAt: n.now(), acceptedOrders: w.Orders}
 			balance.roleChangedAt[w.worker.ID] = n.now()
 			balance.liveCounts.move(to)
 			n.options.Ring.Info().Str("worker", string(w.worker.ID)).Str("role", string(to)).
@@ -198,9 +199,9 @@
 	}
 }
 
-// finishRoleChanges ends the role changes that are over, of the service's workers and of workers that
-// are no longer listed.
-func (n *Node) finishRoleChanges(
+// advanceRoleChanges advances the role changes of the service's workers: it sends the orders that are
+// due and ends the changes that are over. It also ends those of workers that no service lists any more.
+func (n *Node) advanceRoleChanges(
 	ctx context.Context,
 	s *fleetstate.Snapshot,
 	listed map[ids.WorkerID]*Worker,
@@ -218,12 +219,12 @@
 		}
 		wg.Go(func() {
 			if w == nil && !n.mayBeListedElsewhere(id) ||
-				w != nil && n.finishRoleChange(ctx, w, to, key, balance, change) {
+				w != nil && n.advanceRoleChange(ctx, w, to, key, balance, change) {
 				if n.submitRoleChange(ctx, &fleetstate.RoleChange{Worker: id, Done: true}) {
 					mu.Lock()
 					defer mu.Unlock()
 					delete(changes, id)
-					balance.lastChange = n.now()
+					balance.lastChangeEndedAt = n.now()
 				}
 			}
 		})
@@ -238,9 +239,10 @@
 	return len(list.workers) == 0 || list.find(id) != nil
 }
 
-// finishRoleChange sends the order of a role change once all nodes have learned of it. It reports
-// whether the role change is over.
-func (n *Node) finishRoleChange(
+// advanceRoleChange sends the order of a role change once all nodes have learned of the change. It
+// reports whether the change is over: done, timed out, refused by the worker, or abandoned because the
+// worker is leaving or this node has lost the duty.
+func (n *Node) advanceRoleChange(
 	ctx context.Context,
 	w *Worker,
 	to ids.Role,
@@ -270,7 +272,7 @@
 		To:       to,
 		Owner:    n.self.Node,
 		Fence:    fence,
-		Expected: change.expectedOrders,
+		Expected: change.acceptedOrders,
 	})
 	return failure.Is(err, failure.NotExecuted)
 }
