--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -57,7 +57,7 @@
 		}
 	}
 	platform := newFakePlatform(workers...)
-	if raced {
+	if raceDetectorEnabled {
 		s.duration /= 3
 	}
 	platform.reportDelay, platform.queueLimit, platform.directTokensPerMs = 300*time.Millisecond, 40, 25
@@ -248,10 +248,10 @@
 					scenario := prefillOverload
 					scenario.rate, scenario.impatientShare, scenario.admitFactor = 72*factor, 0.3, admitFactor
 					callers, calls, results := scenario.run(t, seed)
-					require.Empty(t, onceOnly(calls, results))
-					require.Empty(t, ended(results, 3200*time.Millisecond))
-					require.Empty(t, answers(results))
-					require.Empty(t, extras(calls, results, 0.2, 60, window))
+					require.Empty(t, checkExecutions(calls, results))
+					require.Empty(t, checkCompletions(results, 3200*time.Millisecond))
+					require.Empty(t, checkResponses(results))
+					require.Empty(t, checkRetryBudget(calls, results, 0.2, 60, retryBudgetWindow))
 					require.Empty(t, retryAfterViolations(results))
 					require.Empty(t, urgencyViolations(callers))
 					_, urgentOnTime, servedShare, n := summarizeCallers(callers, func(caller *overloadCaller) bool { return caller.urgent })
@@ -274,7 +274,7 @@
 					}
 				})
 			}
-			if factor > 2 && !raced {
+			if factor > 2 && !raceDetectorEnabled {
 				require.Greater(t, urgentServed[1], urgentServed[0])
 			}
 		})
@@ -310,7 +310,7 @@
 
 // newAdmissionFixture returns a node with eight workers and an urgent and a normal route.
 func newAdmissionFixture(t *testing.T) *admissionFixture {
-	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
+	n, err := New(Options{Name: "n", Zone: "a", Host: newSimulatedHost()})
 	require.NoError(t, err)
 	n.options.AdmitFactor = 2
 	fixture := &admissionFixture{t: t, node: n, workers: newWorkers(8)}
--- a/internal/proxy/check_test.go
+++ b/internal/proxy/check_test.go
@@ -15,9 +15,9 @@
 	"keelstair.example/ids"
 )
 
-// onceOnly: what may not be repeated runs once at most, and does not end in a refusal
+// checkExecutions: what may not be repeated runs once at most, and does not end in a refusal
 // once it was offered and not turned away; a refusal means that nothing ran.
-func onceOnly(rows []callRecord, ends []*requestResult) []string {
+func checkExecutions(rows []callRecord, ends []*requestResult) []string {
 	var out []string
 	ran, took := map[string]int{}, map[string]int{}
 	for _, k := range rows {
@@ -44,8 +44,8 @@
 	return out
 }
 
-// ended: every request has an end, in time, of one of the three sorts.
-func ended(ends []*requestResult, limit time.Duration) []string {
+// checkCompletions: every request has an end, in time, of one of the three sorts.
+func checkCompletions(ends []*requestResult, limit time.Duration) []string {
 	var out []string
 	for _, a := range ends {
 		switch a.err.(type) {
@@ -60,10 +60,10 @@
 	return out
 }
 
-// answers: a success has the whole answer, each event once and in order, after the one
+// checkResponses: a success has the whole answer, each event once and in order, after the one
 // that the caller had; a broken one has whole events of it only (or whole bytes of a
 // plain answer); a refused one has nothing.
-func answers(ends []*requestResult) []string {
+func checkResponses(ends []*requestResult) []string {
 	var out []string
 	for _, a := range ends {
 		got, first := a.response.bodyText(), 0
@@ -109,9 +109,9 @@
 	return out
 }
 
-// extras: arrivals beyond the first of each request, apart from one reading that worked,
+// checkRetryBudget: arrivals beyond the first of each request, apart from one reading that worked,
 // stay within ratio x requests + allowance in every window.
-func extras(rows []callRecord, ends []*requestResult, ratio, allow float64, window time.Duration) []string {
+func checkRetryBudget(rows []callRecord, ends []*requestResult, ratio, allow float64, window time.Duration) []string {
 	var out []string
 	type step struct {
 		at    time.Duration
@@ -174,9 +174,9 @@
 	return out
 }
 
-// leftAlone: nothing new goes to a worker that the node has known for a moment to be
+// checkUnavailableWorkers: nothing new goes to a worker that the node has known for a moment to be
 // leaving, turning, drained or in an evacuated zone.
-func leftAlone(rows []callRecord, moment time.Duration) []string {
+func checkUnavailableWorkers(rows []callRecord, moment time.Duration) []string {
 	var out []string
 	for _, k := range rows {
 		if (k.Kind == "read" || k.Kind == "emit") && k.UnavailableFor > moment {
@@ -189,8 +189,8 @@
 	return out
 }
 
-// sentTo lists arrivals at a worker within a span.
-func sentTo(rows []callRecord, id ids.WorkerID, from, to time.Duration) []string {
+// callsToWorker lists arrivals at a worker within a span.
+func callsToWorker(rows []callRecord, id ids.WorkerID, from, to time.Duration) []string {
 	var out []string
 	for _, k := range rows {
 		if (k.Kind == "read" || k.Kind == "emit") && k.Worker == id && k.At >= from && k.At < to {
@@ -234,9 +234,9 @@
 	return out
 }
 
-// thirds: each part keeps a third of the workers (rounded up, one at least), by what
+// checkMinimumPerRole: each part keeps a third of the workers (rounded up, one at least), by what
 // orders make of them.
-func thirds(rows []callRecord, parts map[ids.WorkerID]ids.Role) []string {
+func checkMinimumPerRole(rows []callRecord, parts map[ids.WorkerID]ids.Role) []string {
 	var out []string
 	now := map[ids.WorkerID]ids.Role{}
 	for id, p := range parts {
@@ -259,8 +259,8 @@
 	return out
 }
 
-// kept lists handles that were neither fetched nor freed.
-func kept(y *fakePlatform) []string {
+// leakedHandles lists handles that were neither fetched nor freed.
+func leakedHandles(y *fakePlatform) []string {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	var out []string
@@ -295,44 +295,44 @@
 	silent.Executed = false
 	plainText := "word-1 of r;word-2 of r;"
 
-	require.Empty(t, onceOnly([]callRecord{emit}, end(nil, "/once/", plainText)))
-	require.Empty(t, onceOnly([]callRecord{{Kind: "emit", RequestID: "r"}}, end(&RejectedError{}, "/once/", "")))
-	require.NotEmpty(t, onceOnly([]callRecord{emit, emit}, end(nil, "/once/", plainText)), "ran twice")
-	require.NotEmpty(t, onceOnly([]callRecord{emit}, end(&RejectedError{}, "/once/", "")), "ran and refused")
-	require.NotEmpty(t, onceOnly([]callRecord{silent}, end(&RejectedError{}, "/once/", "")), "offered and refused")
-	require.NotEmpty(t, onceOnly(nil, end(nil, "/once/", plainText)), "never ran")
+	require.Empty(t, checkExecutions([]callRecord{emit}, end(nil, "/once/", plainText)))
+	require.Empty(t, checkExecutions([]callRecord{{Kind: "emit", RequestID: "r"}}, end(&RejectedError{}, "/once/", "")))
+	require.NotEmpty(t, checkExecutions([]callRecord{emit, emit}, end(nil, "/once/", plainText)), "ran twice")
+	require.NotEmpty(t, checkExecutions([]callRecord{emit}, end(&RejectedError{}, "/once/", "")), "ran and refused")
+	require.NotEmpty(t, checkExecutions([]callRecord{silent}, end(&RejectedError{}, "/once/", "")), "offered and refused")
+	require.NotEmpty(t, checkExecutions(nil, end(nil, "/once/", plainText)), "never ran")
 
-	require.Empty(t, ended(end(nil, "/once/", plainText), 2*time.Second))
-	require.NotEmpty(t, ended(end(nil, "/once/", plainText), time.Millisecond), "late")
-	require.NotEmpty(t, ended(end(errConnectionReset, "/once/", ""), 2*time.Second), "another sort of end")
+	require.Empty(t, checkCompletions(end(nil, "/once/", plainText), 2*time.Second))
+	require.NotEmpty(t, checkCompletions(end(nil, "/once/", plainText), time.Millisecond), "late")
+	require.NotEmpty(t, checkCompletions(end(errConnectionReset, "/once/", ""), 2*time.Second), "another sort of end")
 
-	require.Empty(t, answers(end(nil, "/once/", plainText)))
-	require.Empty(t, answers(end(&AbortedError{HeadSent: true}, "/stream/", event(1))))
-	require.Empty(t, answers(end(nil, "/stream/", event(1)+event(2))))
-	require.NotEmpty(t, answers(end(nil, "/once/", "word-1 of r;")), "a part as a whole")
-	require.NotEmpty(t, answers(end(nil, "/stream/", event(1))), "a part as a whole")
-	require.NotEmpty(t, answers(end(nil, "/stream/", event(1)+event(1)+event(2))), "an event twice")
-	require.NotEmpty(t, answers(end(nil, "/stream/", event(2)+event(1))), "out of order")
+	require.Empty(t, checkResponses(end(nil, "/once/", plainText)))
+	require.Empty(t, checkResponses(end(&AbortedError{HeadSent: true}, "/stream/", event(1))))
+	require.Empty(t, checkResponses(end(nil, "/stream/", event(1)+event(2))))
+	require.NotEmpty(t, checkResponses(end(nil, "/once/", "word-1 of r;")), "a part as a whole")
+	require.NotEmpty(t, checkResponses(end(nil, "/stream/", event(1))), "a part as a whole")
+	require.NotEmpty(t, checkResponses(end(nil, "/stream/", event(1)+event(1)+event(2))), "an event twice")
+	require.NotEmpty(t, checkResponses(end(nil, "/stream/", event(2)+event(1))), "out of order")
 	require.NotEmpty(
-		t, answers(end(&AbortedError{HeadSent: true}, "/stream/", event(1)+"id: 2\nda")), "a partial event",
+		t, checkResponses(end(&AbortedError{HeadSent: true}, "/stream/", event(1)+"id: 2\nda")), "a partial event",
 	)
-	require.NotEmpty(t, answers(end(&RejectedError{}, "/stream/", event(1))), "a refusal with bytes")
-	require.NotEmpty(t, answers(end(&AbortedError{}, "/stream/", event(1))), "begun and not told")
+	require.NotEmpty(t, checkResponses(end(&RejectedError{}, "/stream/", event(1))), "a refusal with bytes")
+	require.NotEmpty(t, checkResponses(end(&AbortedError{}, "/stream/", event(1))), "begun and not told")
 
 	second := emit
 	second.At = 3 * time.Second
-	require.Empty(t, extras([]callRecord{emit, second}, end(nil, "/again/", plainText), 1, 0, 10*time.Second))
-	require.NotEmpty(t, extras([]callRecord{
+	require.Empty(t, checkRetryBudget([]callRecord{emit, second}, end(nil, "/again/", plainText), 1, 0, 10*time.Second))
+	require.NotEmpty(t, checkRetryBudget([]callRecord{
 		emit, second,
 	}, end(nil, "/again/", plainText), 0.5, 0, 10*time.Second), "one extra for one request")
-	require.NotEmpty(t, extras([]callRecord{
+	require.NotEmpty(t, checkRetryBudget([]callRecord{
 		emit, second,
 	}, end(nil, "/again/", plainText), 1, 0, time.Second), "the request is out of the window")
-	require.NotEmpty(t, extras([]callRecord{
+	require.NotEmpty(t, checkRetryBudget([]callRecord{
 		{Kind: "read", RequestID: "r"},
 		second,
 	}, end(nil, "/again/", plainText), 0.5, 0, 10*time.Second), "a failed reading")
-	require.Empty(t, extras([]callRecord{
+	require.Empty(t, checkRetryBudget([]callRecord{
 		{Kind: "read", RequestID: "r", Executed: true},
 		second,
 	}, end(nil, "/again/", plainText), 0.5, 0, 10*time.Second))
@@ -341,10 +341,10 @@
 	require.Empty(t, coldRate([]callRecord{cold, cold}, 2))
 	require.NotEmpty(t, coldRate([]callRecord{cold, cold, cold}, 2))
 	off := callRecord{Kind: "emit", Worker: "w", UnavailableFor: time.Second}
-	require.Empty(t, leftAlone([]callRecord{emit, off}, 2*time.Second))
-	require.NotEmpty(t, leftAlone([]callRecord{emit, off}, 100*time.Millisecond))
-	require.Empty(t, sentTo([]callRecord{second}, "w", 0, time.Second))
-	require.NotEmpty(t, sentTo([]callRecord{second}, "w", 3*time.Second, 4*time.Second))
+	require.Empty(t, checkUnavailableWorkers([]callRecord{emit, off}, 2*time.Second))
+	require.NotEmpty(t, checkUnavailableWorkers([]callRecord{emit, off}, 100*time.Millisecond))
+	require.Empty(t, callsToWorker([]callRecord{second}, "w", 0, time.Second))
+	require.NotEmpty(t, callsToWorker([]callRecord{second}, "w", 3*time.Second, 4*time.Second))
 
 	order := func(at time.Duration, owner ids.NodeID, fence ids.Fence) callRecord {
 		return callRecord{Kind: "order", At: at, Worker: "w", Owner: owner, Fence: fence, TargetRole: ids.Decode, Accepted: true}
@@ -357,13 +357,13 @@
 		order(0, "a", 2), order(4*time.Second, "b", 1),
 	}, 3*time.Second), "a lower fence")
 	parts := map[ids.WorkerID]ids.Role{"v": ids.Prefill, "w": ids.Prefill, "x": ids.Decode}
-	require.Empty(t, thirds([]callRecord{order(0, "a", 1)}, parts))
-	require.NotEmpty(t, thirds([]callRecord{order(0, "a", 1)}, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "x": ids.Decode}))
+	require.Empty(t, checkMinimumPerRole([]callRecord{order(0, "a", 1)}, parts))
+	require.NotEmpty(t, checkMinimumPerRole([]callRecord{order(0, "a", 1)}, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "x": ids.Decode}))
 
 	y := newFakePlatform()
 	y.handles["h"] = &memoryHandle{fetches: 1}
 	y.handles["i"] = &memoryHandle{freed: true}
-	require.Empty(t, kept(y))
+	require.Empty(t, leakedHandles(y))
 	y.handles["j"] = &memoryHandle{}
-	require.NotEmpty(t, kept(y))
+	require.NotEmpty(t, leakedHandles(y))
 }
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -19,7 +19,7 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-func (f *fleet) inForce(v ids.Version) bool {
+func (f *fleet) currentOnAllNodes(v ids.Version) bool {
 	for _, b := range f.runningNodes() {
 		if b.view.Current().Version != v {
 			return false
@@ -57,7 +57,7 @@
 			defer stop()
 			return fleetstate.Outcome(ctx, b.agent.Caller(), b.Directory(), op, fleetstate.OutcomeQuery{Base: base})
 		}
-		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.inForce(1) }))
+		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.currentOnAllNodes(1) }))
 		v, err := put("seven", 1, 7, `{"zones":["seven"]}`)
 		require.NoError(t, err)
 		require.EqualValues(t, 7, v)
@@ -88,7 +88,7 @@
 		require.EqualValues(t, 12, v)
 		_, err = outcome("never", 7)
 		require.True(t, failure.Is(err, failure.Stale))
-		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.inForce(13) }))
+		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.currentOnAllNodes(13) }))
 	})
 }
 
@@ -99,7 +99,7 @@
 		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
 		f := startFleet(t, 74, 2, y, defaultConfiguration(), nil)
 		defer f.close()
-		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.inForce(1) }))
+		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.currentOnAllNodes(1) }))
 		routes := defaultRoutes()
 		for i := range 1400 {
 			routes = append(routes, fleetstate.Route{
@@ -111,7 +111,7 @@
 		}
 		text := encodeConfiguration(routes, fleetstate.Service{Name: "svc", Concurrency: 16})
 		require.NoError(t, f.putConfiguration("large", 1, 2, text))
-		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.inForce(2) }))
+		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.currentOnAllNodes(2) }))
 		require.Equal(t, text, f.newest(t).Text)
 		for _, b := range f.nodes {
 			require.Equal(t, text, b.view.Current().Text)
@@ -132,7 +132,7 @@
 		require.EqualValues(t, 2, f.newest(t).Version)
 		require.EqualValues(t, 1, f.nodes[0].view.Current().Version, "only staged yet")
 		f.setFrozen(2, false)
-		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.inForce(2) }))
+		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.currentOnAllNodes(2) }))
 	})
 }
 
@@ -220,7 +220,7 @@
 			}
 			time.Sleep(2 * time.Second)
 		}
-		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.inForce(v) }))
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.currentOnAllNodes(v) }))
 		halt()
 		mu.Lock()
 		defer mu.Unlock()
@@ -255,7 +255,7 @@
 						encodeConfiguration(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"}),
 					),
 				)
-				require.True(t, f.waitUntil(2*time.Second, func() bool { return f.inForce(2) }))
+				require.True(t, f.waitUntil(2*time.Second, func() bool { return f.currentOnAllNodes(2) }))
 				late := f.send(f.nodes[0], f.newRequest("late", "/sresume/x", 400, 3))
 				for _, k := range y.recordedCalls() {
 					if k.Kind == "emit" && k.RequestID == "long" {
@@ -264,7 +264,7 @@
 				}
 				a := <-long
 				require.NoError(t, a.err)
-				require.Empty(t, answers([]*requestResult{a}))
+				require.Empty(t, checkResponses([]*requestResult{a}))
 				emits := 0
 				for _, k := range y.recordedCalls() {
 					if k.Kind == "emit" && k.RequestID == "long" {
@@ -337,7 +337,7 @@
 			t,
 			f.putConfiguration("two", 1, 2, encodeConfiguration(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})),
 		)
-		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.inForce(2) }))
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.currentOnAllNodes(2) }))
 		require.Equal(t, []string{"svc", "svc", "svc"}, try("c", "/new/x"))
 		require.Equal(t, []string{"404", "404", "404"}, try("d", "/once/x"))
 		require.Equal(t, []string{"svc", "svc", "svc"}, try("e", "/again/x"))
@@ -459,7 +459,7 @@
 		require.Equal(t, http.StatusServiceUnavailable, status("c", "/none/x"))
 		require.Equal(t, http.StatusOK, status("d", "/again/x"), "what it knows is served")
 		f.world.Partition([]string{cut.ip}, peers, false)
-		require.True(t, f.waitUntil(5*time.Second, func() bool { return f.inForce(2) }))
+		require.True(t, f.waitUntil(5*time.Second, func() bool { return f.currentOnAllNodes(2) }))
 		require.True(t, f.waitUntil(5*time.Second, func() bool { return cut.agent.CaughtUp(caughtUpMaxAge) }))
 		require.Equal(t, http.StatusOK, status("e", "/new/x"))
 		require.Equal(t, http.StatusNotFound, status("g", "/none/x"))
--- a/internal/proxy/delta_test.go
+++ b/internal/proxy/delta_test.go
@@ -51,7 +51,7 @@
 			require.True(t, f.waitUntil(20*time.Second, func() bool {
 				return f.putConfiguration(ids.OpID(fmt.Sprint("op", i)), v, v+1, text(i)) == nil
 			}))
-			require.True(t, f.waitUntil(2*time.Second, func() bool { return f.inForce(v + 1) }))
+			require.True(t, f.waitUntil(2*time.Second, func() bool { return f.currentOnAllNodes(v + 1) }))
 			if !f.nodes[2].running {
 				f.startNode(2)
 			}
@@ -60,7 +60,7 @@
 					f.startCore(ip)
 				}
 			}
-			require.True(t, f.waitUntil(10*time.Second, func() bool { return f.inForce(v + 1) }))
+			require.True(t, f.waitUntil(10*time.Second, func() bool { return f.currentOnAllNodes(v + 1) }))
 			for _, b := range f.runningNodes() {
 				require.Equal(t, string(text(i)), string(b.view.Current().Text))
 			}
--- a/internal/proxy/event_gap_test.go
+++ b/internal/proxy/event_gap_test.go
@@ -29,7 +29,7 @@
 					total++
 				}
 			}
-			return float64(len(sentTo(platform.recordedCalls(), "svc-decode-1.1", from, time.Hour))) / float64(total)
+			return float64(len(callsToWorker(platform.recordedCalls(), "svc-decode-1.1", from, time.Hour))) / float64(total)
 		}
 		require.InDelta(t, 0.33, slowWorkerShare(4*time.Second), 0.1)
 		platform.withLock(func() {
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -27,10 +27,10 @@
 		defer f.close()
 		results := f.generateLoad(60, 8*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 1500, 8) })
 		calls := platform.recordedCalls()
-		require.Empty(t, onceOnly(calls, results))
-		require.Empty(t, ended(results, 4*time.Second))
-		require.Empty(t, answers(results))
-		require.Empty(t, kept(platform))
+		require.Empty(t, checkExecutions(calls, results))
+		require.Empty(t, checkCompletions(results, 4*time.Second))
+		require.Empty(t, checkResponses(results))
+		require.Empty(t, leakedHandles(platform))
 		prefills, decodes := map[string]int{}, map[string]int{}
 		for _, call := range calls {
 			switch call.Kind {
@@ -125,9 +125,9 @@
 				results := f.generateLoad(4, 5*time.Second, func(i int) *Request {
 					return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 500, 8)
 				})
-				require.Empty(t, onceOnly(platform.recordedCalls(), results))
-				require.Empty(t, ended(results, 8500*time.Millisecond))
-				require.Empty(t, answers(results))
+				require.Empty(t, checkExecutions(platform.recordedCalls(), results))
+				require.Empty(t, checkCompletions(results, 8500*time.Millisecond))
+				require.Empty(t, checkResponses(results))
 				for _, result := range results {
 					if _, isRejected := result.err.(*RejectedError); isRejected {
 						require.NotContains(t, []callOutcome{resetAfterRun, silentAfterRun, resetMidResponse, foreignResponse, unstampedResponse, serverError}, outcome)
@@ -182,10 +182,10 @@
 		})
 		time.Sleep(15 * time.Second)
 		calls := platform.recordedCalls()
-		require.Empty(t, onceOnly(calls, results))
-		require.Empty(t, ended(results, 8500*time.Millisecond))
-		require.Empty(t, answers(results))
-		require.Empty(t, extras(calls, results, 0.2, 20, 10*time.Second))
+		require.Empty(t, checkExecutions(calls, results))
+		require.Empty(t, checkCompletions(results, 8500*time.Millisecond))
+		require.Empty(t, checkResponses(results))
+		require.Empty(t, checkRetryBudget(calls, results, 0.2, 20, 10*time.Second))
 		answered := 0
 		for _, result := range results {
 			if result.err == nil {
@@ -231,7 +231,7 @@
 				}
 				result := f.send(f.nodes[0], f.newRequest("r", "/sresume/x", 500, 60))
 				require.NoError(t, result.err)
-				require.Empty(t, answers([]*requestResult{result}))
+				require.Empty(t, checkResponses([]*requestResult{result}))
 				lastEventID, workers := "", map[ids.WorkerID]bool{}
 				for _, call := range platform.recordedCalls() {
 					if call.Kind == "emit" {
@@ -260,7 +260,7 @@
 		r.LastEventID = "7"
 		result := f.send(f.nodes[0], r)
 		require.NoError(t, result.err)
-		require.Empty(t, answers([]*requestResult{result}))
+		require.Empty(t, checkResponses([]*requestResult{result}))
 		calls := platform.recordedCalls()
 		require.Len(t, calls, 1)
 		require.Equal(t, "7", calls[0].LastEventID)
@@ -283,8 +283,8 @@
 		result := f.send(f.nodes[0], f.newRequest("r", "/stream/x", 500, 20))
 		require.IsType(t, &AbortedError{}, result.err)
 		require.True(t, result.err.(*AbortedError).HeadSent)
-		require.Empty(t, answers([]*requestResult{result}))
-		require.Empty(t, onceOnly(platform.recordedCalls(), []*requestResult{result}))
+		require.Empty(t, checkResponses([]*requestResult{result}))
+		require.Empty(t, checkExecutions(platform.recordedCalls(), []*requestResult{result}))
 		require.Contains(t, result.response.bodyText(), "id: 10\n")
 		require.NotContains(t, result.response.bodyText(), "id: 11")
 	})
@@ -331,7 +331,7 @@
 				require.IsType(t, &RejectedError{}, result.err)
 			}
 			time.Sleep(2 * time.Second)
-			require.Empty(t, kept(platform))
+			require.Empty(t, leakedHandles(platform))
 			require.NotEmpty(t, platform.handles)
 		})
 	}
@@ -358,7 +358,7 @@
 		result := f.send(f.nodes[0], r)
 		require.IsType(t, &RejectedError{}, result.err)
 		time.Sleep(2 * time.Second)
-		require.Empty(t, kept(platform))
+		require.Empty(t, leakedHandles(platform))
 	})
 }
 
@@ -373,10 +373,10 @@
 		platform.withLock(func() { platform.afterPrefill = func(*Request) { stop() } })
 		result := f.sendWith(ctx, f.nodes[0], f.newRequest("r", "/once/x", 500, 6), &responseRecorder{})
 		require.IsType(t, &RejectedError{}, result.err)
-		require.Empty(t, onceOnly(platform.recordedCalls(), []*requestResult{result}))
+		require.Empty(t, checkExecutions(platform.recordedCalls(), []*requestResult{result}))
 		time.Sleep(2 * time.Second)
 		require.NotEmpty(t, platform.handles)
-		require.Empty(t, kept(platform))
+		require.Empty(t, leakedHandles(platform))
 	})
 }
 
@@ -398,7 +398,7 @@
 		for i, path := range []string{"/again/x", "/once/x"} {
 			f.send(f.nodes[0], f.newRequest(fmt.Sprint("r", i), path, 500, 6))
 			time.Sleep(2 * time.Second)
-			require.Empty(t, kept(platform), path)
+			require.Empty(t, leakedHandles(platform), path)
 		}
 	})
 }
@@ -445,7 +445,7 @@
 		result = f.send(f.nodes[0], f.newRequest("r1", "/again/x", 500, 6))
 		require.NoError(t, result.err)
 		require.Equal(t, 200, result.response.status)
-		require.Empty(t, answers([]*requestResult{result}))
+		require.Empty(t, checkResponses([]*requestResult{result}))
 	})
 }
 
@@ -457,11 +457,11 @@
 		f := startFleet(t, 14, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
 		results := f.generateLoad(20, 4*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 500, 6) })
-		require.Empty(t, onceOnly(platform.recordedCalls(), results))
-		require.Empty(t, answers(results))
+		require.Empty(t, checkExecutions(platform.recordedCalls(), results))
+		require.Empty(t, checkResponses(results))
 		for _, result := range results {
 			require.NoError(t, result.err)
 		}
-		require.Empty(t, kept(platform))
+		require.Empty(t, leakedHandles(platform))
 	})
 }
--- a/internal/proxy/fault_notice_test.go
+++ b/internal/proxy/fault_notice_test.go
@@ -39,10 +39,10 @@
 		}
 		f.withLock(func() { f.nodes = append(f.nodes, quiet) })
 		rows := y.recordedCalls()
-		require.NotEmpty(t, sentTo(rows, "svc-decode-1.1", 0, dark))
-		require.Empty(t, sentTo(rows, "svc-decode-1.1", dark+1500*time.Millisecond, time.Hour))
-		require.Empty(t, onceOnly(rows, all))
-		require.Empty(t, answers(all))
+		require.NotEmpty(t, callsToWorker(rows, "svc-decode-1.1", 0, dark))
+		require.Empty(t, callsToWorker(rows, "svc-decode-1.1", dark+1500*time.Millisecond, time.Hour))
+		require.Empty(t, checkExecutions(rows, all))
+		require.Empty(t, checkResponses(all))
 		for _, a := range all {
 			if a.resumable {
 				require.NoError(t, a.err, a.ID)
@@ -63,7 +63,7 @@
 		time.Sleep(3 * time.Second)
 		from := y.elapsed()
 		f.generateLoad(60, 4*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("s", i), "/once/x", 400, 10) })
-		require.NotEmpty(t, sentTo(y.recordedCalls(), "svc-decode-1.1", from, time.Hour), "it is back")
+		require.NotEmpty(t, callsToWorker(y.recordedCalls(), "svc-decode-1.1", from, time.Hour), "it is back")
 	})
 }
 
@@ -79,14 +79,14 @@
 			y.withLock(func() { y.worker("svc-prefill-0").silent = true })
 		})
 		all := f.generateLoad(30, 6*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
-		require.Empty(t, onceOnly(y.recordedCalls(), all))
-		require.Empty(t, answers(all))
-		require.NotEmpty(t, sentTo(y.recordedCalls(), "svc-prefill-0.1", 0, 3*time.Second))
+		require.Empty(t, checkExecutions(y.recordedCalls(), all))
+		require.Empty(t, checkResponses(all))
+		require.NotEmpty(t, callsToWorker(y.recordedCalls(), "svc-prefill-0.1", 0, 3*time.Second))
 		for _, a := range all {
 			require.NoError(t, a.err, a.ID)
 			require.Less(t, a.endedAt-a.sentAt, 2500*time.Millisecond, a.ID)
 		}
-		require.Empty(t, sentTo(y.recordedCalls(), "svc-prefill-0.1", 4*time.Second, time.Hour))
+		require.Empty(t, callsToWorker(y.recordedCalls(), "svc-prefill-0.1", 4*time.Second, time.Hour))
 	})
 }
 
@@ -147,9 +147,9 @@
 		require.Positive(t, warned, "peers were warned and asked for themselves")
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		require.Empty(t, onceOnly(y.recordedCalls(), f.results))
-		require.Empty(t, ended(f.results, 8500*time.Millisecond))
-		require.Empty(t, answers(f.results))
+		require.Empty(t, checkExecutions(y.recordedCalls(), f.results))
+		require.Empty(t, checkCompletions(f.results, 8500*time.Millisecond))
+		require.Empty(t, checkResponses(f.results))
 	})
 }
 
@@ -173,12 +173,12 @@
 		from := y.elapsed()
 		f.generateLoad(40, 2*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
 		for _, id := range []ids.WorkerID{"svc-decode-0.1", "svc-decode-1.1"} {
-			require.NotEmpty(t, sentTo(y.recordedCalls(), id, from, time.Hour), id)
+			require.NotEmpty(t, callsToWorker(y.recordedCalls(), id, from, time.Hour), id)
 		}
 		time.Sleep(4 * time.Second)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		require.Empty(t, onceOnly(y.recordedCalls(), f.results))
+		require.Empty(t, checkExecutions(y.recordedCalls(), f.results))
 	})
 }
 
@@ -205,7 +205,7 @@
 		}
 		require.Equal(t, 4, fell)
 		f.generateLoad(40, 400*time.Millisecond, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
-		require.NotEmpty(t, sentTo(y.recordedCalls(), "svc-decode-0.1", from, from+400*time.Millisecond))
+		require.NotEmpty(t, callsToWorker(y.recordedCalls(), "svc-decode-0.1", from, from+400*time.Millisecond))
 	})
 }
 
@@ -226,12 +226,12 @@
 		all := f.generateLoad(60, 250*time.Millisecond, func(i int) *Request {
 			return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 20)
 		})
-		require.NotEmpty(t, sentTo(y.recordedCalls(), "svc-decode-0.1", 0, time.Hour))
+		require.NotEmpty(t, callsToWorker(y.recordedCalls(), "svc-decode-0.1", 0, time.Hour))
 		for _, a := range all {
 			require.NoError(t, a.err, a.ID)
 			require.Less(t, a.endedAt-a.sentAt, 2*time.Second, a.ID)
 		}
-		require.Empty(t, answers(all))
+		require.Empty(t, checkResponses(all))
 	})
 }
 
@@ -260,7 +260,7 @@
 			return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 4)
 		})
 		f.withLock(func() { f.nodes = append([]*testNode{quiet}, busy...) })
-		require.Empty(t, onceOnly(y.recordedCalls(), all))
+		require.Empty(t, checkExecutions(y.recordedCalls(), all))
 		for i, b := range f.nodes {
 			require.LessOrEqual(t, b.counts.FaultNotices.Load(), int64(silent*maxNotices), "node %d", i)
 		}
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -503,7 +503,7 @@
 
 // forEachSeed runs a subtest with each of n seeds, and with at most two under the race detector.
 func forEachSeed(t *testing.T, n int, f func(t *testing.T, seed uint64)) {
-	if raced { // all seeds run without the detector
+	if raceDetectorEnabled { // all seeds run without the detector
 		n = min(n, 2)
 	}
 	for seed := uint64(1); seed <= uint64(n); seed++ {
@@ -519,10 +519,10 @@
 }
 
 // skipUnderRaceDetector skips a test of a large fleet under the race detector, which exceeds its own limits
-// there: it failed an internal check in TestTreeOutcomes.
+// there: it failed an internal check in TestTreeSumsOutcomes.
 func skipUnderRaceDetector(t *testing.T) {
 	t.Helper()
-	if raced {
+	if raceDetectorEnabled {
 		t.Skip("runs only without the race detector")
 	}
 }
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -49,8 +49,8 @@
 				platform.withLock(func() { platform.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": 2 * time.Second} })
 				results := f.generateLoad(40, 4*time.Second, request("r"))
 				time.Sleep(4 * time.Second)
-				require.Empty(t, onceOnly(platform.recordedCalls(), results))
-				require.Empty(t, answers(results))
+				require.Empty(t, checkExecutions(platform.recordedCalls(), results))
+				require.Empty(t, checkResponses(results))
 				hedges, slowRequests := int64(0), 0
 				for _, node := range f.nodes {
 					hedges += node.counts.Hedges.Load()
--- a/internal/proxy/lease_takeover_test.go
+++ b/internal/proxy/lease_takeover_test.go
@@ -31,12 +31,12 @@
 	const limit = 1500 * time.Millisecond // one round of reports and one list interval
 	forEachSeed(t, 2, func(t *testing.T, seed uint64) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-		f := startFleet(t, seed, 4, platform, defaultConfiguration(), turning)
+		f := startFleet(t, seed, 4, platform, defaultConfiguration(), withRoleChanges)
 		defer f.close()
-		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.holder() >= 0 }))
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.roleDutyHolder() >= 0 }))
 		time.Sleep(5 * time.Second)
-		f.killNode(f.holder())
-		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.holder() >= 0 }), "no node acquires the lease")
+		f.killNode(f.roleDutyHolder())
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.roleDutyHolder() >= 0 }), "no node acquires the lease")
 		since := map[*testNode]ids.Tick{}
 		for _, node := range f.runningNodes() {
 			since[node] = node.now()
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -86,9 +86,9 @@
 func TestListDelta(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		sender, err := New(Options{Name: "sender", Host: quietHost()})
+		sender, err := New(Options{Name: "sender", Host: newSimulatedHost()})
 		require.NoError(t, err)
-		reader, err := New(Options{Name: "reader", Host: quietHost()})
+		reader, err := New(Options{Name: "reader", Host: newSimulatedHost()})
 		require.NoError(t, err)
 		f := &listFollower{node: reader}
 		list := newWorkers(60)
@@ -126,9 +126,9 @@
 // TestListVersionsAgree: nodes that asked the platform apart have the same version of the same
 // list, in whatever order it came, so that what follows is a delta for each.
 func TestListVersionsAgree(t *testing.T) {
-	a, err := New(Options{Name: "a", Host: quietHost()})
+	a, err := New(Options{Name: "a", Host: newSimulatedHost()})
 	require.NoError(t, err)
-	b, err := New(Options{Name: "b", Host: quietHost()})
+	b, err := New(Options{Name: "b", Host: newSimulatedHost()})
 	require.NoError(t, err)
 	list := newWorkers(20)
 	a.installList(list, a.now(), a.now())
@@ -168,7 +168,7 @@
 // each node that hears of it a few hundred bytes, and all readings a few thousand.
 func TestListBytes(t *testing.T) {
 	skipUnderRaceDetector(t)
-	n, err := New(Options{Name: "n", Host: quietHost()})
+	n, err := New(Options{Name: "n", Host: newSimulatedHost()})
 	require.NoError(t, err)
 	list := newWorkers(3000)
 	n.installList(list, n.now(), n.now())
@@ -390,9 +390,9 @@
 	})
 }
 
-// TestTreeOutcomes: a worker that every third node saw fail is known to all as failing, and
+// TestTreeSumsOutcomes: a worker that every third node saw fail is known to all as failing, and
 // what one node alone saw counts as one node's word.
-func TestTreeOutcomes(t *testing.T) {
+func TestTreeSumsOutcomes(t *testing.T) {
 	skipUnderRaceDetector(t)
 	runInBubble(t, func(t *testing.T) {
 		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 6)...)
--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -83,19 +83,19 @@
 // TestMemoryAccountOfRestartedWorker: nothing is known of a new incarnation of a worker; reports and
 // reservations of the previous one don't count.
 func TestMemoryAccountOfRestartedWorker(t *testing.T) {
-	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
+	n, err := New(Options{Name: "n", Zone: "a", Host: newSimulatedHost()})
 	require.NoError(t, err)
 	now := n.now()
 	previous := []Worker{{ID: "w.1", Service: "s", Zone: "a", Role: ids.Decode, Concurrency: 8}}
 	n.installList(previous, now, now)
 	n.publishLoads("s", now, map[ids.WorkerID]reportedLoad{"w.1": {Used: 999, Capacity: 1000, Running: 5}}, true)
 	r := &Request{ID: "r", Prompt: 800, MaxTokens: 16}
-	picks := n.decodeCandidates(n.startupPrograms.Set, n.view.Current(), service("s"), r, nil, nil)
+	picks := n.decodeCandidates(n.startupPrograms.Set, n.view.Current(), newService("s"), r, nil, nil)
 	require.Equal(t, 1, picks[0].freeBlocks)
 	require.Greater(t, picks[0].cost, n.options.NoCapacityCost)
 	picks[0].reserve(r, r.MaxTokens, now)
 	n.installList([]Worker{{ID: "w.2", Service: "s", Zone: "a", Role: ids.Decode, Concurrency: 8}}, now, now)
-	picks = n.decodeCandidates(n.startupPrograms.Set, n.view.Current(), service("s"), r, nil, nil)
+	picks = n.decodeCandidates(n.startupPrograms.Set, n.view.Current(), newService("s"), r, nil, nil)
 	require.Zero(t, picks[0].capacityBlocks, "nothing is known of the new incarnation")
 	require.Less(t, picks[0].cost, n.options.NoCapacityCost)
 	_, loads := n.loads.since(0, previous, now, everyService)
@@ -140,7 +140,7 @@
 			worker.memoryCapacity, worker.memoryUsed = 160_000, 16_000*i
 		}
 		platform := newFakePlatform(workers...)
-		f := startFleet(t, seed, 4, platform, defaultConfiguration(), turning)
+		f := startFleet(t, seed, 4, platform, defaultConfiguration(), withRoleChanges)
 		defer f.close()
 		knows := func(node *testNode, id ids.WorkerID, want int) bool {
 			st := node.state(id)
@@ -168,9 +168,9 @@
 			}
 		})
 		require.True(t, f.waitUntil(2*time.Second, allNodesKnow(func(int) int { return 5000 })), "a change doesn't reach all nodes")
-		separate := f.holder() >= 0 && f.holder() != f.workerListOwner()
+		separate := f.roleDutyHolder() >= 0 && f.roleDutyHolder() != f.workerListOwner()
 		t.Log("the leases have different holders:", separate)
-		f.killNode(f.holder())
+		f.killNode(f.roleDutyHolder())
 		platform.withLock(func() {
 			for _, worker := range workers {
 				worker.memoryUsed = 32_000
@@ -219,10 +219,10 @@
 			for _, worker := range workers {
 				worker.memoryCapacity, worker.memoryUsed = 160_000, 80_000
 			}
-			f := startFleet(t, seed, 4, newFakePlatform(workers...), defaultConfiguration(), turning)
+			f := startFleet(t, seed, 4, newFakePlatform(workers...), defaultConfiguration(), withRoleChanges)
 			defer f.close()
 			time.Sleep(8 * time.Second)
-			if separate = f.holder() >= 0 && f.workerListOwner() >= 0 && f.holder() != f.workerListOwner(); !separate {
+			if separate = f.roleDutyHolder() >= 0 && f.workerListOwner() >= 0 && f.roleDutyHolder() != f.workerListOwner(); !separate {
 				return
 			}
 			for _, node := range f.runningNodes() {
@@ -249,7 +249,7 @@
 	n, err := New(Options{
 		Name:     "n",
 		Zone:     "a",
-		Host:     quietHost(),
+		Host:     newSimulatedHost(),
 		Programs: []routing.Source{{Name: "roomy", Share: 100, Text: text}},
 	})
 	require.NoError(t, err)
@@ -257,18 +257,18 @@
 	var list []Worker
 	loads := map[ids.WorkerID]reportedLoad{}
 	for i := range 4 {
-		list = append(list, Worker{ID: wid(i), Service: "s", Zone: "a", Role: ids.Decode, Concurrency: 8})
-		loads[wid(i)] = reportedLoad{Used: 1000 - 100*i, Capacity: 4000}
+		list = append(list, Worker{ID: workerID(i), Service: "s", Zone: "a", Role: ids.Decode, Concurrency: 8})
+		loads[workerID(i)] = reportedLoad{Used: 1000 - 100*i, Capacity: 4000}
 	}
 	n.installList(list, now, now)
 	n.publishLoads("s", now, loads, true)
-	picks := n.decodeCandidates(n.startupPrograms.Set, n.view.Current(), service("s"), &Request{
+	picks := n.decodeCandidates(n.startupPrograms.Set, n.view.Current(), newService("s"), &Request{
 		ID:        "r",
 		Prompt:    800,
 		MaxTokens: 16,
 	}, nil, nil)
 	for i, c := range picks {
-		require.Equal(t, wid(3-i), c.worker.ID)
+		require.Equal(t, workerID(3-i), c.worker.ID)
 		require.Equal(t, 4000-1000+100*(3-i), c.freeBlocks)
 	}
 }
@@ -299,10 +299,10 @@
 		return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], prompt, maxTokens)
 	})
 	calls := platform.recordedCalls()
-	require.Empty(t, onceOnly(calls, results))
-	require.Empty(t, ended(results, 8500*time.Millisecond))
-	require.Empty(t, answers(results))
-	require.Empty(t, extras(calls, results, 0.2, 60, window))
+	require.Empty(t, checkExecutions(calls, results))
+	require.Empty(t, checkCompletions(results, 8500*time.Millisecond))
+	require.Empty(t, checkResponses(results))
+	require.Empty(t, checkRetryBudget(calls, results, 0.2, 60, retryBudgetWindow))
 	for _, call := range calls {
 		if call.Kind == "emit" && !call.Accepted {
 			rejected++
@@ -321,7 +321,7 @@
 // requests are answered, if nodes take their free memory into account.
 func TestFreeMemoryReducesRejections(t *testing.T) {
 	seeds := uint64(2)
-	if raced {
+	if raceDetectorEnabled {
 		seeds = 1
 	}
 	var rejected, answered [2]int
@@ -356,7 +356,7 @@
 		for _, level := range []string{"no", "usual", "full"} {
 			list := make([]Worker, c.workers)
 			for i := range list {
-				list[i].ID = wid(i)
+				list[i].ID = workerID(i)
 			}
 			rng := rand.New(rand.NewPCG(1, 2))
 			var board loadBoard
--- a/internal/proxy/metering_test.go
+++ b/internal/proxy/metering_test.go
@@ -216,8 +216,8 @@
 	return out
 }
 
-// missing lists windows between the first and the last reported one that were not reported in time.
-func missing(calls []usageCall) []string {
+// lateWindows lists windows between the first and the last reported one that were not reported in time.
+func lateWindows(calls []usageCall) []string {
 	first := reported(calls)
 	if len(first) == 0 {
 		return []string{"nothing was reported"}
@@ -244,7 +244,7 @@
 		time.Sleep(20 * time.Second)
 		calls := j.all()
 		require.Empty(t, oneReporter(calls, usageLease))
-		require.Empty(t, missing(calls))
+		require.Empty(t, lateWindows(calls))
 		require.Len(t, reported(calls), len(calls), "no window is reported again")
 		sums, empty := map[string]int{}, 0
 		for _, c := range calls {
@@ -286,7 +286,7 @@
 		time.Sleep(25 * time.Second)
 		calls := j.all()
 		require.Empty(t, oneReporter(calls, usageLease))
-		require.Empty(t, missing(calls))
+		require.Empty(t, lateWindows(calls))
 		require.GreaterOrEqual(t, len(reported(calls)), 9)
 	})
 }
@@ -316,7 +316,7 @@
 		time.Sleep(15 * time.Second)
 		calls := j.all()
 		require.Empty(t, oneReporter(calls, usageLease))
-		require.Empty(t, missing(calls))
+		require.Empty(t, lateWindows(calls))
 		require.Equal(t, map[string]int{"amber": asks}, reported(calls)[window].Counts)
 	})
 }
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -143,9 +143,9 @@
 
 // checkInvariants checks what must hold whichever workers are unhealthy.
 func (s *ejectionScenario) checkInvariants(t *testing.T) {
-	require.Empty(t, onceOnly(s.calls, s.results))
-	require.Empty(t, ended(s.results, 8500*time.Millisecond))
-	require.Empty(t, answers(s.results))
+	require.Empty(t, checkExecutions(s.calls, s.results))
+	require.Empty(t, checkCompletions(s.results, 8500*time.Millisecond))
+	require.Empty(t, checkResponses(s.results))
 	require.Empty(t, ejectionLimitViolations(s.samples, 0.34))
 }
 
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -17,7 +17,7 @@
 // TestCandidateIndexMatchesWorkerList: the candidate index yields the same workers and prefix homes as a scan
 // of the worker list, for several versions of the list and of the snapshot.
 func TestCandidateIndexMatchesWorkerList(t *testing.T) {
-	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
+	n, err := New(Options{Name: "n", Zone: "a", Host: newSimulatedHost()})
 	require.NoError(t, err)
 	list := newWorkers(40)
 	list[7].Role = ""
@@ -34,7 +34,7 @@
 			list = append([]Worker(nil), list...)
 			list[3*round].Leaving = true
 			list[5*round].Role = ids.Prefill
-			list = append(list[1:], Worker{ID: wid(round), Service: "s", Zone: "c", Role: ids.Decode, Concurrency: 8})
+			list = append(list[1:], Worker{ID: workerID(round), Service: "s", Zone: "c", Role: ids.Decode, Concurrency: 8})
 		}
 		n.installList(list, now, now)
 		for _, s := range snapshots {
@@ -52,7 +52,7 @@
 						best, home = a, w.ID
 					}
 				}
-				for _, c := range n.eligibleWorkers(s, service("s"), role, nil) {
+				for _, c := range n.eligibleWorkers(s, newService("s"), role, nil) {
 					got = append(got, c.worker.ID)
 					require.Same(t, n.state(c.worker.ID), c.state)
 				}
@@ -93,7 +93,7 @@
 				}
 			}
 			require.Greater(t, slowRequests, 5, "few requests dialed the unreachable worker")
-			require.Empty(t, leftAlone(platform.recordedCalls(), 100*time.Millisecond))
+			require.Empty(t, checkUnavailableWorkers(platform.recordedCalls(), 100*time.Millisecond))
 		})
 	}
 }
@@ -102,10 +102,10 @@
 func BenchmarkPick(b *testing.B) {
 	for _, workers := range []int{12, 140} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
+			n, err := New(Options{Name: "n", Zone: "a", Host: newSimulatedHost()})
 			require.NoError(b, err)
 			n.installList(newWorkers(workers), n.now(), n.now())
-			s, service := n.view.Current(), service("s")
+			s, service := n.view.Current(), newService("s")
 			r := &Request{
 				ID:        "9c41d07be2a35f68",
 				Prompt:    9190,
--- a/internal/proxy/program_set_test.go
+++ b/internal/proxy/program_set_test.go
@@ -119,8 +119,8 @@
 			return f.newRequest(fmt.Sprint("r", i), routePaths[i%2], 400, 4)
 		})
 		require.Less(t, swapDone-swapStarted, 2*time.Second)
-		require.Empty(t, onceOnly(platform.recordedCalls(), results))
-		require.Empty(t, answers(results))
+		require.Empty(t, checkExecutions(platform.recordedCalls(), results))
+		require.Empty(t, checkResponses(results))
 		spanning, firstWorker := 0, firstDecodeWorkers(platform.recordedCalls())
 		var countsBefore, countsAfter [4]float64
 		for _, result := range results {
@@ -162,7 +162,7 @@
 		platform.restartWorker("svc-decode-0")
 		result := <-long
 		require.NoError(t, result.err)
-		require.Empty(t, answers([]*requestResult{result}))
+		require.Empty(t, checkResponses([]*requestResult{result}))
 		var decodeWorkers []ids.WorkerID
 		for _, call := range platform.recordedCalls() {
 			if call.Kind == "emit" {
@@ -270,14 +270,14 @@
 		defer f.close()
 		f.wg.Go(func() {
 			time.Sleep(2 * time.Second)
-			_, err := f.applyProgramSet("faulty", 0, encodeProgramSet(programs...))
+			_, err := f.applyProgramSet("faulty", 0, encodeProgramSet(testPrograms...))
 			require.NoError(t, err)
 		})
 		results := f.generateLoad(40, 6*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
 		for _, result := range results {
 			require.NoError(t, result.err)
 		}
-		require.Empty(t, answers(results))
+		require.Empty(t, checkResponses(results))
 		f.nodes[0].Scores().Each(func(name string, s *routing.Score) {
 			if name == "endless" || name == "stranger" {
 				require.Equal(t, s.Picks.Load(), s.Fallbacks.Load(), name)
@@ -354,7 +354,7 @@
 		for _, result := range results {
 			require.NoError(t, result.err)
 		}
-		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(8) && f.inForce(9) }))
+		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.programSetActive(8) && f.currentOnAllNodes(9) }))
 		errs := make([]error, 2)
 		for i := range errs {
 			wg.Go(func() {
@@ -418,26 +418,26 @@
 		t.Run(name, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 5, 4)...)
-				f := startFleet(t, 87, 2, platform, defaultConfiguration(), turning)
+				f := startFleet(t, 87, 2, platform, defaultConfiguration(), withRoleChanges)
 				defer f.close()
-				roles := parts(platform)
+				roles := workerRoles(platform)
 				_, err := f.applyProgramSet(name, 0, encodeProgramSet(routing.Source{Name: name, ChangesRoles: true, Text: c.text}))
 				require.NoError(t, err)
 				results := f.generateLoad(20, 40*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
 				calls := platform.recordedCalls()
-				require.Greater(t, len(orders(calls)), c.minOrders)
+				require.Greater(t, len(recordedOrders(calls)), c.minOrders)
 				lastOrder, lastOrderOfAny := map[ids.WorkerID]time.Duration{}, time.Duration(-time.Hour)
-				for _, call := range orders(calls) {
+				for _, call := range recordedOrders(calls) {
 					if at, ok := lastOrder[call.Worker]; ok {
 						require.Greater(t, call.At-at, 4*time.Second, "dwell time of %s", call.Worker)
 					}
 					require.Greater(t, call.At-lastOrderOfAny, roleChangeInterval, "interval between role changes of a service")
 					lastOrder[call.Worker], lastOrderOfAny = call.At, call.At
 				}
-				require.Empty(t, thirds(calls, roles))
-				require.Empty(t, leftAlone(calls, 100*time.Millisecond))
-				require.Empty(t, untouched(calls, time.Second))
-				require.Empty(t, onceOnly(calls, results))
+				require.Empty(t, checkMinimumPerRole(calls, roles))
+				require.Empty(t, checkUnavailableWorkers(calls, 100*time.Millisecond))
+				require.Empty(t, checkChangingWorkersIdle(calls, time.Second))
+				require.Empty(t, checkExecutions(calls, results))
 				for _, result := range results {
 					require.NoError(t, result.err)
 				}
@@ -465,19 +465,19 @@
 		t.Run(name, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 5)...)
-				f := startFleet(t, 88, 2, platform, defaultConfiguration(), turning)
+				f := startFleet(t, 88, 2, platform, defaultConfiguration(), withRoleChanges)
 				defer f.close()
 				c.program.Name = name
 				_, err := f.applyProgramSet("op", 0, encodeProgramSet(c.program))
 				require.NoError(t, err)
 				time.Sleep(2 * time.Second)
-				platform.pressed(ids.Prefill, 6)
+				platform.setExtraRunning(ids.Prefill, 6)
 				time.Sleep(10 * time.Second)
-				require.Equal(t, c.changesRole, len(orders(platform.recordedCalls())) > 0)
-				for _, call := range orders(platform.recordedCalls()) {
+				require.Equal(t, c.changesRole, len(recordedOrders(platform.recordedCalls())) > 0)
+				for _, call := range recordedOrders(platform.recordedCalls()) {
 					require.Equal(t, ids.Prefill, call.TargetRole)
 				}
-				owner := f.nodes[max(0, f.holder())]
+				owner := f.nodes[max(0, f.roleDutyHolder())]
 				score := owner.Scores().Of(name)
 				require.NotZero(t, score.RoleChangeCalls.Load())
 				require.Equal(t, name == "fails" || name == "endless" || name == "stranger" || name == "same", score.Fallbacks.Load() > 0)
--- a/internal/proxy/program_test.go
+++ b/internal/proxy/program_test.go
@@ -12,7 +12,7 @@
 	"keelstair.example/internal/routing"
 )
 
-var programs = []routing.Source{
+var testPrograms = []routing.Source{
 	{
 		Name:  "dear",
 		Share: 40,
@@ -53,7 +53,7 @@
 			n.startupPrograms.Set = programs
 		}
 		f := startFleet(t, 61, 2, y, defaultConfiguration(), func(o *Options) {
-			o.Programs = programs
+			o.Programs = testPrograms
 			o.ProgramSteps = 5000
 			o.RetryAllowance = 40
 		})
@@ -70,10 +70,10 @@
 		})
 		all := f.generateLoad(50, 12*1e9, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 6) })
 		rows := y.recordedCalls()
-		require.Empty(t, onceOnly(rows, all))
-		require.Empty(t, answers(all))
-		require.Empty(t, leftAlone(rows, 0))
-		require.Empty(t, extras(rows, all, 0.2, 40, window))
+		require.Empty(t, checkExecutions(rows, all))
+		require.Empty(t, checkResponses(all))
+		require.Empty(t, checkUnavailableWorkers(rows, 0))
+		require.Empty(t, checkRetryBudget(rows, all, 0.2, 40, retryBudgetWindow))
 		picks := map[string]int64{}
 		scores.Each(func(name string, s *routing.Score) {
 			picks[name] = s.Picks.Load()
@@ -86,7 +86,7 @@
 		})
 		total := picks["watcher"]
 		require.Greater(t, total, int64(900), "the shadow one is asked each time")
-		for _, p := range programs[:4] {
+		for _, p := range testPrograms[:4] {
 			require.InDelta(t, float64(p.Share)/100, float64(picks[p.Name])/float64(total), 0.08, p.Name)
 		}
 		require.Zero(t, picks[routing.BuiltInName], "the shares add up to all")
--- a/internal/proxy/raced_test.go
+++ b/internal/proxy/raced_test.go
@@ -2,4 +2,4 @@
 
 package proxy
 
-const raced = true
+const raceDetectorEnabled = true
--- a/internal/proxy/rate_test.go
+++ b/internal/proxy/rate_test.go
@@ -31,17 +31,17 @@
 // TestTies: where nothing is known of the workers, requests spread over all of them, and
 // not over those that the list names first.
 func TestTies(t *testing.T) {
-	n, err := New(Options{Name: "n", Zone: "a", Host: quietHost()})
+	n, err := New(Options{Name: "n", Zone: "a", Host: newSimulatedHost()})
 	require.NoError(t, err)
 	list := make([]Worker, 60)
 	for i := range list {
-		list[i] = Worker{ID: wid(i), Service: "s", Zone: "a", Role: "decode", Concurrency: 8}
+		list[i] = Worker{ID: workerID(i), Service: "s", Zone: "a", Role: "decode", Concurrency: 8}
 	}
 	n.installList(list, 1, 1)
 	got := map[string]int{}
 	for i := range 3000 {
 		rows := n.decodeCandidates(
-			n.startupPrograms.Set, n.view.Current(), service("s"), &Request{ID: string(wid(i)) + "q"}, nil, nil,
+			n.startupPrograms.Set, n.view.Current(), newService("s"), &Request{ID: string(workerID(i)) + "q"}, nil, nil,
 		)
 		got[string(rows[0].worker.ID)]++
 	}
@@ -51,11 +51,11 @@
 	}
 }
 
-func quietHost() host.Host { return simulated.NewWorld(1).Machine("10.0.0.9").Start().Host() }
+func newSimulatedHost() host.Host { return simulated.NewWorld(1).Machine("10.0.0.9").Start().Host() }
 
-func wid(i int) ids.WorkerID { return ids.WorkerID("w" + strconv.Itoa(i)) }
+func workerID(i int) ids.WorkerID { return ids.WorkerID("w" + strconv.Itoa(i)) }
 
-func service(name string) *fleetstate.Service { return &fleetstate.Service{Name: name} }
+func newService(name string) *fleetstate.Service { return &fleetstate.Service{Name: name} }
 
 // TestRank: a longer reading is never more urgent than a shorter one of the same route, a
 // short one keeps its route's urgency, and none passes the worker's scale.
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -15,7 +15,7 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-const window = 10 * time.Second
+const retryBudgetWindow = 10 * time.Second
 
 // TestBudget: however many calls fail, the extra arrivals of all nodes together stay
 // within ratio x requests + allowance in every window, with the core away as well, and
@@ -45,9 +45,9 @@
 						return f.newRequest(fmt.Sprint("r", i), []string{"/again/x", "/sresume/x", "/once/x"}[i%3], 400, 4)
 					})
 					rows := y.recordedCalls()
-					require.Empty(t, extras(rows, all, 0.2, 6, window))
-					require.Empty(t, onceOnly(rows, all))
-					require.NotEmpty(t, extras(rows, all, 0.05, 0, window), "repeats were made")
+					require.Empty(t, checkRetryBudget(rows, all, 0.2, 6, retryBudgetWindow))
+					require.Empty(t, checkExecutions(rows, all))
+					require.NotEmpty(t, checkRetryBudget(rows, all, 0.05, 0, retryBudgetWindow), "repeats were made")
 				})
 			})
 		}
@@ -80,20 +80,20 @@
 						all = append(all, a)
 					})
 				}
-				time.Sleep(window + 50*time.Millisecond)
+				time.Sleep(retryBudgetWindow + 50*time.Millisecond)
 				for i := range 3 {
 					y.restartWorker(fmt.Sprint("svc-decode-", i))
 				}
 				wg.Wait()
-				require.Empty(t, answers(all))
-				require.Empty(t, extras(y.recordedCalls(), all, 0.2, 0, window))
+				require.Empty(t, checkResponses(all))
+				require.Empty(t, checkRetryBudget(y.recordedCalls(), all, 0.2, 0, retryBudgetWindow))
 			})
 		})
 	}
 }
 
-// warming is a service whose cold workers bear four requests a second.
-func warming() []byte {
+// slowStartConfiguration is a service whose cold workers bear four requests a second.
+func slowStartConfiguration() []byte {
 	return encodeConfiguration(defaultRoutes(), fleetstate.Service{Name: "svc", Concurrency: 16, SlowStartMs: 6000, SlowStartRate: 4})
 }
 
@@ -106,7 +106,7 @@
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-				f := startFleet(t, 23, nodes, y, warming(), nil)
+				f := startFleet(t, 23, nodes, y, slowStartConfiguration(), nil)
 				defer f.close()
 				y.restartWorker("svc-decode-1")
 				y.restartWorker("svc-prefill-2")
@@ -122,8 +122,8 @@
 				})
 				rows := y.recordedCalls()
 				require.Empty(t, coldRate(rows, maxSlowStartRate))
-				require.NotEmpty(t, sentTo(rows, "svc-decode-1.2", from, from+4*time.Second), "it is warmed")
-				require.Empty(t, onceOnly(rows, all))
+				require.NotEmpty(t, callsToWorker(rows, "svc-decode-1.2", from, from+4*time.Second), "it is warmed")
+				require.Empty(t, checkExecutions(rows, all))
 			})
 		})
 	}
@@ -151,7 +151,7 @@
 		all := f.generateLoad(200, 5*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 300, 2) })
 		rows := y.recordedCalls()
 		require.Empty(t, coldRate(rows, 5)) // 1.5 x 0.4 + 5
-		require.NotEmpty(t, sentTo(rows, "svc-decode-1.1", from, from+4*time.Second), "it is warmed")
+		require.NotEmpty(t, callsToWorker(rows, "svc-decode-1.1", from, from+4*time.Second), "it is warmed")
 		for _, a := range all {
 			require.NoError(t, a.err)
 		}
@@ -187,8 +187,8 @@
 					return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 4)
 				})
 				rows := y.recordedCalls()
-				require.Empty(t, extras(rows, all, 0.2, allow, window))
-				require.NotEmpty(t, extras(rows, all, 0.2, allow/2, window), "both spend their parts")
+				require.Empty(t, checkRetryBudget(rows, all, 0.2, allow, retryBudgetWindow))
+				require.NotEmpty(t, checkRetryBudget(rows, all, 0.2, allow/2, retryBudgetWindow), "both spend their parts")
 			})
 		})
 	}
@@ -202,7 +202,7 @@
 		for _, w := range y.workers {
 			w.warmAt = time.Now().Add(20 * time.Second)
 		}
-		f := startFleet(t, 24, 3, y, warming(), nil)
+		f := startFleet(t, 24, 3, y, slowStartConfiguration(), nil)
 		defer f.close()
 		f.generateLoad(200, 6*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 300, 2) })
 		require.Empty(t, coldRate(y.recordedCalls(), maxSlowStartRate))
@@ -214,7 +214,7 @@
 func TestColdSlowList(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
-		f := startFleet(t, 25, 2, y, warming(), nil)
+		f := startFleet(t, 25, 2, y, slowStartConfiguration(), nil)
 		defer f.close()
 		y.withLock(func() {
 			y.listDelay = func() time.Duration { return 400 * time.Millisecond }
@@ -235,7 +235,7 @@
 func TestColdZoneBack(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-		f := startFleet(t, 26, 2, y, warming(), nil)
+		f := startFleet(t, 26, 2, y, slowStartConfiguration(), nil)
 		defer f.close()
 		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 		time.Sleep(3 * time.Second)
@@ -279,7 +279,7 @@
 		t.Run(fmt.Sprint("takeover-", over), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-				f := startFleet(t, 27, 3, y, warming(), nil)
+				f := startFleet(t, 27, 3, y, slowStartConfiguration(), nil)
 				defer f.close()
 				f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 				time.Sleep(3 * time.Second)
@@ -328,7 +328,7 @@
 func TestColdZoneBackLate(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-		f := startFleet(t, 28, 3, y, warming(), nil)
+		f := startFleet(t, 28, 3, y, slowStartConfiguration(), nil)
 		defer f.close()
 		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 		time.Sleep(3 * time.Second)
@@ -354,7 +354,7 @@
 func TestColdZoneBackUnheard(t *testing.T) {
 	forEachSeed(t, 6, func(t *testing.T, seed uint64) {
 		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-		f := startFleet(t, seed, 3, y, warming(), nil)
+		f := startFleet(t, seed, 3, y, slowStartConfiguration(), nil)
 		defer f.close()
 		time.Sleep(2 * time.Second)
 		rest := append([]string{nodeIP(0), nodeIP(2)}, coreIPs...)
--- a/internal/proxy/role_balance_test.go
+++ b/internal/proxy/role_balance_test.go
@@ -16,14 +16,14 @@
 
 var svcKey = fleetstate.ServiceKey("svc")
 
-// turning has nodes look at the workers' reports.
+// withRoleChanges has nodes look at the workers' reports.
 // turning has a fleet change roles; half of its workers read while it is idle.
-func turning(o *Options) {
+func withRoleChanges(o *Options) {
 	o.RoleChangeInterval, o.RetryAllowance, o.IdlePrefillShare = 500*time.Millisecond, 20, 0.55
 }
 
-// pressed makes the workers of a part busy by their reports.
-func (p *fakePlatform) pressed(role ids.Role, by int) {
+// setExtraRunning makes the workers of a part busy by their reports.
+func (p *fakePlatform) setExtraRunning(role ids.Role, by int) {
 	p.withLock(func() {
 		p.extraRunning = func(s *fakeWorker) int {
 			if s.Role == role {
@@ -34,7 +34,7 @@
 	})
 }
 
-func parts(y *fakePlatform) map[ids.WorkerID]ids.Role {
+func workerRoles(y *fakePlatform) map[ids.WorkerID]ids.Role {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	out := map[ids.WorkerID]ids.Role{}
@@ -44,8 +44,8 @@
 	return out
 }
 
-// holder gives the number of the node that holds the duty, or -1.
-func (f *fleet) holder() int {
+// roleDutyHolder gives the number of the node that holds the duty, or -1.
+func (f *fleet) roleDutyHolder() int {
 	for i, b := range f.nodes {
 		if _, ok := b.agent.OwnsKey(svcKey); ok && b.running {
 			return i
@@ -54,7 +54,7 @@
 	return -1
 }
 
-func orders(rows []callRecord) []callRecord {
+func recordedOrders(rows []callRecord) []callRecord {
 	var out []callRecord
 	for _, k := range rows {
 		if k.Kind == "order" {
@@ -64,12 +64,12 @@
 	return out
 }
 
-// untouched: nothing is sent to a worker from its order until its turn is over.
-func untouched(rows []callRecord, duration time.Duration) []string {
+// checkChangingWorkersIdle: nothing is sent to a worker from its order until its turn is over.
+func checkChangingWorkersIdle(rows []callRecord, duration time.Duration) []string {
 	var out []string
-	for _, k := range orders(rows) {
+	for _, k := range recordedOrders(rows) {
 		if k.Accepted {
-			out = append(out, sentTo(rows, k.Worker, k.At, k.At+duration)...)
+			out = append(out, callsToWorker(rows, k.Worker, k.At, k.At+duration)...)
 		}
 	}
 	return out
@@ -81,36 +81,36 @@
 func TestTurnBothWays(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 5)...)
-		f := startFleet(t, 41, 3, y, defaultConfiguration(), turning)
+		f := startFleet(t, 41, 3, y, defaultConfiguration(), withRoleChanges)
 		defer f.close()
-		was := parts(y)
+		was := workerRoles(y)
 		f.wg.Go(func() {
-			y.pressed(ids.Prefill, 6)
+			y.setExtraRunning(ids.Prefill, 6)
 			time.Sleep(14 * time.Second)
-			y.pressed(ids.Decode, 14)
+			y.setExtraRunning(ids.Decode, 14)
 			time.Sleep(25 * time.Second)
-			y.pressed(ids.Prefill, 6)
+			y.setExtraRunning(ids.Prefill, 6)
 		})
 		all := f.generateLoad(25, 50*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 6) })
 		rows := y.recordedCalls()
 		to := map[ids.Role]int{}
 		by := map[ids.NodeID]bool{}
 		var flips []ids.Role
-		for _, k := range orders(rows) {
+		for _, k := range recordedOrders(rows) {
 			to[k.TargetRole]++
 			by[k.Owner] = true
 			if n := len(flips); n == 0 || flips[n-1] != k.TargetRole {
 				flips = append(flips, k.TargetRole)
 			}
 		}
-		require.Equal(t, []ids.Role{ids.Prefill, ids.Decode, ids.Prefill}, flips, "%v", orders(rows))
+		require.Equal(t, []ids.Role{ids.Prefill, ids.Decode, ids.Prefill}, flips, "%v", recordedOrders(rows))
 		require.Len(t, by, 1, "one node orders")
-		require.Empty(t, thirds(rows, was))
-		require.Empty(t, leftAlone(rows, 100*time.Millisecond))
-		require.Empty(t, untouched(rows, time.Second))
+		require.Empty(t, checkMinimumPerRole(rows, was))
+		require.Empty(t, checkUnavailableWorkers(rows, 100*time.Millisecond))
+		require.Empty(t, checkChangingWorkersIdle(rows, time.Second))
 		require.Empty(t, ordersApart(rows, 3*time.Second))
-		require.Empty(t, onceOnly(rows, all))
-		require.Empty(t, answers(all))
+		require.Empty(t, checkExecutions(rows, all))
+		require.Empty(t, checkResponses(all))
 		for _, a := range all {
 			require.NoError(t, a.err)
 		}
@@ -133,12 +133,12 @@
 			Name:        "svc",
 			Concurrency: 16,
 		}, fleetstate.Service{Name: "free", Concurrency: 16})
-		f := startFleet(t, 42, 2, y, text, turning)
+		f := startFleet(t, 42, 2, y, text, withRoleChanges)
 		defer f.close()
 		f.generateLoad(20, 10*time.Second, func(i int) *Request {
 			return f.newRequest(fmt.Sprint("r", i), []string{"/once/x", "/free/x"}[i%2], 400, 4)
 		})
-		require.Empty(t, orders(y.recordedCalls()))
+		require.Empty(t, recordedOrders(y.recordedCalls()))
 	})
 }
 
@@ -148,14 +148,14 @@
 func TestOneOrders(t *testing.T) {
 	forEachSeed(t, 8, func(t *testing.T, seed uint64) {
 		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, seed, 3, y, defaultConfiguration(), turning)
+		f := startFleet(t, seed, 3, y, defaultConfiguration(), withRoleChanges)
 		defer f.close()
-		was := parts(y)
+		was := workerRoles(y)
 		for i := range 7 {
-			y.pressed([]ids.Role{ids.Prefill, ids.Decode}[i%2], []int{6, 14}[i%2])
-			f.waitUntil(12*time.Second, func() bool { return f.holder() >= 0 && len(orders(y.recordedCalls())) > i })
+			y.setExtraRunning([]ids.Role{ids.Prefill, ids.Decode}[i%2], []int{6, 14}[i%2])
+			f.waitUntil(12*time.Second, func() bool { return f.roleDutyHolder() >= 0 && len(recordedOrders(y.recordedCalls())) > i })
 			time.Sleep(time.Duration(seed*131%17+uint64(i)*7%5) * 100 * time.Millisecond)
-			h := f.holder()
+			h := f.roleDutyHolder()
 			if h < 0 {
 				continue
 			}
@@ -194,11 +194,11 @@
 			return true
 		}), "every turn comes to an end")
 		rows := y.recordedCalls()
-		require.Greater(t, len(orders(rows)), 3)
+		require.Greater(t, len(recordedOrders(rows)), 3)
 		require.Empty(t, ordersApart(rows, 3*time.Second))
-		require.Empty(t, thirds(rows, was))
+		require.Empty(t, checkMinimumPerRole(rows, was))
 		owner, last := map[ids.Fence]ids.NodeID{}, ids.Fence(0)
-		for _, k := range orders(rows) {
+		for _, k := range recordedOrders(rows) {
 			if previous, ok := owner[k.Fence]; ok {
 				require.Equal(t, previous, k.Owner)
 			}
@@ -216,13 +216,13 @@
 		t.Run(fmt.Sprint("ordered-", ordered), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-				f := startFleet(t, 43, 3, y, defaultConfiguration(), turning)
+				f := startFleet(t, 43, 3, y, defaultConfiguration(), withRoleChanges)
 				defer f.close()
-				y.pressed(ids.Prefill, 6)
+				y.setExtraRunning(ids.Prefill, 6)
 				require.True(t, f.waitUntil(15*time.Second, func() bool {
-					return len(f.nodes[0].view.Current().RoleChanges) > 0 && (!ordered || len(orders(y.recordedCalls())) > 0)
+					return len(f.nodes[0].view.Current().RoleChanges) > 0 && (!ordered || len(recordedOrders(y.recordedCalls())) > 0)
 				}))
-				h := f.holder()
+				h := f.roleDutyHolder()
 				require.GreaterOrEqual(t, h, 0)
 				f.killNode(h)
 				y.withLock(func() { y.extraRunning = nil })
@@ -232,10 +232,10 @@
 				for _, b := range f.runningNodes() {
 					require.Empty(t, b.view.Current().RoleChanges, "the next holder ended it")
 				}
-				require.Empty(t, leftAlone(y.recordedCalls(), 100*time.Millisecond))
-				require.Empty(t, onceOnly(y.recordedCalls(), all))
+				require.Empty(t, checkUnavailableWorkers(y.recordedCalls(), 100*time.Millisecond))
+				require.Empty(t, checkExecutions(y.recordedCalls(), all))
 				if !ordered {
-					require.Empty(t, orders(y.recordedCalls()))
+					require.Empty(t, recordedOrders(y.recordedCalls()))
 				}
 			})
 		})
@@ -247,18 +247,18 @@
 func TestNewHolderWaits(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 44, 3, y, defaultConfiguration(), turning)
+		f := startFleet(t, 44, 3, y, defaultConfiguration(), withRoleChanges)
 		defer f.close()
 		time.Sleep(3 * time.Second)
-		h := f.holder()
+		h := f.roleDutyHolder()
 		require.GreaterOrEqual(t, h, 0)
 		f.world.Partition([]string{nodeIP(h)}, coreIPs, true)
 		next := -1
-		require.True(t, f.waitUntil(20*time.Second, func() bool { next = f.holder(); return next >= 0 && next != h }))
+		require.True(t, f.waitUntil(20*time.Second, func() bool { next = f.roleDutyHolder(); return next >= 0 && next != h }))
 		since := y.elapsed()
-		y.pressed(ids.Prefill, 6)
-		require.True(t, f.waitUntil(20*time.Second, func() bool { return len(orders(y.recordedCalls())) > 0 }))
-		first := orders(y.recordedCalls())[0]
+		y.setExtraRunning(ids.Prefill, 6)
+		require.True(t, f.waitUntil(20*time.Second, func() bool { return len(recordedOrders(y.recordedCalls())) > 0 }))
+		first := recordedOrders(y.recordedCalls())[0]
 		require.Equal(t, nodeIP(next), first.Node)
 		require.Greater(t, first.At-since, 3*time.Second)
 	})
@@ -269,20 +269,20 @@
 func TestTurnWarned(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 45, 3, y, defaultConfiguration(), func(o *Options) { turning(o); o.RoleChangeInterval = 50 * time.Millisecond })
+		f := startFleet(t, 45, 3, y, defaultConfiguration(), func(o *Options) { withRoleChanges(o); o.RoleChangeInterval = 50 * time.Millisecond })
 		defer f.close()
-		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.holder() >= 0 }))
-		late := f.nodes[(f.holder()+1)%3]
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.roleDutyHolder() >= 0 }))
+		late := f.nodes[(f.roleDutyHolder()+1)%3]
 		for _, ip := range coreIPs {
 			f.world.SetLink(ip, late.ip, simulated.Link{Delay: 200 * time.Millisecond})
 		}
 		time.Sleep(4 * time.Second)
-		y.pressed(ids.Prefill, 6)
+		y.setExtraRunning(ids.Prefill, 6)
 		all := f.generateLoad(60, 8*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
 		rows := y.recordedCalls()
-		require.NotEmpty(t, orders(rows))
-		require.Empty(t, untouched(rows, time.Second))
-		require.Empty(t, onceOnly(rows, all))
+		require.NotEmpty(t, recordedOrders(rows))
+		require.Empty(t, checkChangingWorkersIdle(rows, time.Second))
+		require.Empty(t, checkExecutions(rows, all))
 		for _, a := range all {
 			require.NoError(t, a.err)
 		}
--- a/internal/proxy/silent_workers_test.go
+++ b/internal/proxy/silent_workers_test.go
@@ -53,9 +53,9 @@
 		defer f.close()
 		silentFrom := silenceAfter(f, platform, silenceDelay, "svc-decode-1")
 		results := f.generateLoad(60, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 2) })
-		require.NotEmpty(t, sentTo(platform.recordedCalls(), "svc-decode-1.1", silentFrom, time.Hour))
+		require.NotEmpty(t, callsToWorker(platform.recordedCalls(), "svc-decode-1.1", silentFrom, time.Hour))
 		require.Empty(t, directDecodes(platform.recordedCalls(), 0, time.Hour))
-		require.Empty(t, answers(results))
+		require.Empty(t, checkResponses(results))
 		for _, result := range results {
 			require.NoError(t, result.err, result.ID)
 		}
@@ -85,7 +85,7 @@
 		}
 		results := f.generateLoad(20, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 2) })
 		require.NotEmpty(t, directDecodes(platform.recordedCalls(), 0, time.Hour))
-		require.Empty(t, answers(results))
+		require.Empty(t, checkResponses(results))
 		for _, result := range results {
 			require.NoError(t, result.err, result.ID)
 		}
@@ -103,11 +103,11 @@
 		defer f.close()
 		silentFrom := silenceAfter(f, platform, silenceDelay, "svc-prefill-0")
 		results := f.generateLoad(30, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
-		require.NotEmpty(t, sentTo(platform.recordedCalls(), "svc-prefill-0.1", silentFrom, time.Hour))
+		require.NotEmpty(t, callsToWorker(platform.recordedCalls(), "svc-prefill-0.1", silentFrom, time.Hour))
 		require.Empty(t, directDecodes(platform.recordedCalls(), 0, time.Hour))
-		require.Empty(t, onceOnly(platform.recordedCalls(), results))
-		require.Empty(t, answers(results))
-		require.Empty(t, extras(platform.recordedCalls(), results, 0.2, allowance, window))
+		require.Empty(t, checkExecutions(platform.recordedCalls(), results))
+		require.Empty(t, checkResponses(results))
+		require.Empty(t, checkRetryBudget(platform.recordedCalls(), results, 0.2, allowance, retryBudgetWindow))
 		for _, result := range results {
 			require.NoError(t, result.err, result.ID)
 		}
@@ -126,11 +126,11 @@
 		silentFrom := silenceAfter(f, platform, silenceDelay, "svc-prefill-0", "svc-prefill-1")
 		results := f.generateLoad(90, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 4) })
 		lostPrefills := append(
-			sentTo(platform.recordedCalls(), "svc-prefill-0.1", silentFrom, time.Hour),
-			sentTo(platform.recordedCalls(), "svc-prefill-1.1", silentFrom, time.Hour)...,
+			callsToWorker(platform.recordedCalls(), "svc-prefill-0.1", silentFrom, time.Hour),
+			callsToWorker(platform.recordedCalls(), "svc-prefill-1.1", silentFrom, time.Hour)...,
 		)
 		require.Greater(t, len(lostPrefills), allowance)
-		require.Empty(t, extras(platform.recordedCalls(), results, ratio, allowance, window))
+		require.Empty(t, checkRetryBudget(platform.recordedCalls(), results, ratio, allowance, retryBudgetWindow))
 	})
 }
 
@@ -144,8 +144,8 @@
 		silentFrom := silenceAfter(f, platform, silenceDelay, "svc-decode-1")
 		f.generateLoad(60, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
 		const detectionTime = silence.Floor + 150*time.Millisecond
-		require.NotEmpty(t, sentTo(platform.recordedCalls(), "svc-decode-1.1", silentFrom, time.Hour))
-		require.Empty(t, sentTo(platform.recordedCalls(), "svc-decode-1.1", silentFrom+detectionTime, silentFrom+time.Second))
+		require.NotEmpty(t, callsToWorker(platform.recordedCalls(), "svc-decode-1.1", silentFrom, time.Hour))
+		require.Empty(t, callsToWorker(platform.recordedCalls(), "svc-decode-1.1", silentFrom+detectionTime, silentFrom+time.Second))
 	})
 }
 
@@ -155,15 +155,15 @@
 	forEachSeed(t, 6, func(t *testing.T, seed uint64) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 6, 3)...)
 		f := startFleet(t, seed, 3, platform, defaultConfiguration(), func(o *Options) {
-			turning(o)
+			withRoleChanges(o)
 			o.IdlePrefillShare = 0.667
 		})
 		defer f.close()
-		platform.pressed(ids.Decode, 4) // a quarter of their slots, all the time
+		platform.setExtraRunning(ids.Decode, 4) // a quarter of their slots, all the time
 		silentFrom := silenceAfter(f, platform, 8*time.Second, "svc-decode-0", "svc-decode-1")
 		f.generateLoad(40, 12*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 3) })
 		var roleOrders []callRecord
-		for _, call := range orders(platform.recordedCalls()) {
+		for _, call := range recordedOrders(platform.recordedCalls()) {
 			if call.TargetRole == ids.Decode && call.At >= silentFrom {
 				roleOrders = append(roleOrders, call)
 			}
--- a/internal/proxy/stale_version_test.go
+++ b/internal/proxy/stale_version_test.go
@@ -51,7 +51,7 @@
 			require.NoError(t, f.putConfiguration(ids.OpID(fmt.Sprint("storm", v)), v, v+1, largePolicy(200, 3000+int(v))))
 		}
 		f.setFrozen(1, false)
-		require.True(t, f.waitUntil(5*time.Second, func() bool { return f.inForce(versions) }))
+		require.True(t, f.waitUntil(5*time.Second, func() bool { return f.currentOnAllNodes(versions) }))
 		require.LessOrEqual(t, parsed[1].Load()-before, int64(2))
 	})
 }
--- a/internal/proxy/tenant_test.go
+++ b/internal/proxy/tenant_test.go
@@ -154,7 +154,7 @@
 		require.Equal(t, http.StatusServiceUnavailable, statusOf(t, late.err))
 		require.Positive(t, late.err.(*RejectedError).RetryAfter)
 		f.world.Partition([]string{cut.ip}, peers, false)
-		require.True(t, f.waitUntil(5*time.Second, func() bool { return f.inForce(2) }))
+		require.True(t, f.waitUntil(5*time.Second, func() bool { return f.currentOnAllNodes(2) }))
 		require.True(t, f.waitUntil(5*time.Second, func() bool { return cut.agent.CaughtUp(caughtUpMaxAge) }))
 		require.Equal(t, http.StatusOK, status("c", "birch"))
 		require.Equal(t, http.StatusUnauthorized, status("d", "cedar"))
@@ -196,7 +196,7 @@
 				f.wg.Go(func() { ended <- f.send(f.nodes[0], f.keyed("r", "/again/x", "amber")) })
 				time.Sleep(200 * time.Millisecond)
 				require.NoError(t, f.putConfiguration("two", 1, 2, tenantPolicy("birch")))
-				require.True(t, f.waitUntil(500*time.Millisecond, func() bool { return f.inForce(2) }))
+				require.True(t, f.waitUntil(500*time.Millisecond, func() bool { return f.currentOnAllNodes(2) }))
 				y.withLock(func() { y.unreachable = nil })
 				a := <-ended
 				require.Equal(t, waiting.status, statusOf(t, a.err))
@@ -209,7 +209,7 @@
 				require.Equal(t, waiting.emits, emits)
 				require.EqualValues(t, 1, f.nodes[0].counts.Unauthenticated.Load())
 				time.Sleep(2 * time.Second)
-				require.Empty(t, kept(y), "the memory of its prompt is given back")
+				require.Empty(t, leakedHandles(y), "the memory of its prompt is given back")
 			})
 		})
 	}
@@ -245,7 +245,7 @@
 					tenants = []string{"amber", "birch"}
 				}
 				require.NoError(t, f.putConfiguration("two", 1, 2, patient(tenants...)))
-				require.True(t, f.waitUntil(500*time.Millisecond, func() bool { return f.inForce(2) }))
+				require.True(t, f.waitUntil(500*time.Millisecond, func() bool { return f.currentOnAllNodes(2) }))
 				require.Len(t, y.callsOf("r"), 1)
 				time.Sleep(2 * time.Second)
 				if dropped {
--- a/internal/proxy/unavailable_workers_test.go
+++ b/internal/proxy/unavailable_workers_test.go
@@ -52,12 +52,12 @@
 				})
 				calls := platform.recordedCalls()
 				require.NotEmpty(t, unavailable)
-				require.Empty(t, leftAlone(calls, 100*time.Millisecond))
+				require.Empty(t, checkUnavailableWorkers(calls, 100*time.Millisecond))
 				for _, id := range unavailable {
-					require.NotEmpty(t, sentTo(calls, id, 0, since), id)
-					require.Empty(t, sentTo(calls, id, since+2*time.Second, time.Hour), id)
+					require.NotEmpty(t, callsToWorker(calls, id, 0, since), id)
+					require.Empty(t, callsToWorker(calls, id, since+2*time.Second, time.Hour), id)
 				}
-				require.Empty(t, answers(results))
+				require.Empty(t, checkResponses(results))
 				for _, result := range results {
 					require.NoError(t, result.err)
 				}
@@ -77,7 +77,7 @@
 		platform.restartWorker("svc-decode-1")
 		platform.restartWorker("svc-prefill-1")
 		results := f.generateLoad(30, 10*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
-		require.Empty(t, onceOnly(platform.recordedCalls(), results))
+		require.Empty(t, checkExecutions(platform.recordedCalls(), results))
 		calls := map[string]int{}
 		for _, call := range platform.recordedCalls() {
 			if (call.Kind == "emit" || call.Kind == "read") && strings.HasSuffix(string(call.Worker), "-1.1") {
@@ -109,6 +109,6 @@
 		}
 		time.Sleep(time.Second)
 		f.generateLoad(20, 3*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
-		require.Empty(t, sentTo(platform.recordedCalls(), "svc-decode-1.1", 0, time.Hour))
+		require.Empty(t, callsToWorker(platform.recordedCalls(), "svc-decode-1.1", 0, time.Hour))
 	})
 }
--- a/internal/proxy/unraced_test.go
+++ b/internal/proxy/unraced_test.go
@@ -2,4 +2,4 @@
 
 package proxy
 
-const raced = false
+const raceDetectorEnabled = false
