--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -1,4 +1,4 @@
-// Configurations: staged at the core, in force at the nodes.
+// Configurations: they are staged at the core and become current on the nodes.
 
 package proxy
 
@@ -19,43 +19,45 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-func (f *fleet) currentOnAllNodes(v ids.Version) bool {
-	for _, b := range f.runningNodes() {
-		if b.view.Current().Version != v {
+// currentOnAllNodes reports whether every running node uses the version.
+func (f *fleet) currentOnAllNodes(version ids.Version) bool {
+	for _, node := range f.runningNodes() {
+		if node.view.Current().Version != version {
 			return false
 		}
 	}
 	return true
 }
 
-func (f *fleet) newest(t *testing.T) fleetstate.VersionedText {
+// newestConfiguration returns the newest configuration that the core has, staged or current.
+func (f *fleet) newestConfiguration(t *testing.T) fleetstate.VersionedText {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	b := f.runningNodes()[0]
-	got, _, err := fleetstate.Newest(ctx, b.agent.Caller(), b.Directory())
+	node := f.runningNodes()[0]
+	got, _, err := fleetstate.Newest(ctx, node.agent.Caller(), node.Directory())
 	require.NoError(t, err)
 	return got
 }
 
-// TestPut: a version gets the number that it asks for, uneven steps included; one over a
-// stale base, or with a number that is not above the newest, changes nothing; the same
-// operation asked again gives its one outcome, also after others came. Newest reads what
-// was staged at once, and the outcome of an operation can be asked for.
-func TestPut(t *testing.T) {
+// TestPutConfiguration: a version gets the number that the caller requests, even if numbers are skipped. A
+// version based on a stale one, or with a number that is not above the newest, changes nothing. An
+// operation that is repeated returns its first outcome, even after later operations. Newest returns a
+// staged version immediately, and the outcome of an operation can be queried.
+func TestPutConfiguration(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 71, 2, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 71, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
-		b := f.nodes[0]
+		node := f.nodes[0]
 		put := func(op ids.OpID, base, next ids.Version, text string) (ids.Version, error) {
 			ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 			defer stop()
-			return fleetstate.Put(ctx, b.agent.Caller(), b.Directory(), op, base, next, []byte(text))
+			return fleetstate.Put(ctx, node.agent.Caller(), node.Directory(), op, base, next, []byte(text))
 		}
 		outcome := func(op ids.OpID, base ids.Version) (ids.Version, error) {
 			ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 			defer stop()
-			return fleetstate.Outcome(ctx, b.agent.Caller(), b.Directory(), op, fleetstate.OutcomeQuery{Base: base})
+			return fleetstate.Outcome(ctx, node.agent.Caller(), node.Directory(), op, fleetstate.OutcomeQuery{Base: base})
 		}
 		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.currentOnAllNodes(1) }))
 		v, err := put("seven", 1, 7, `{"zones":["seven"]}`)
@@ -64,7 +66,7 @@
 		require.Equal(t, fleetstate.VersionedText{
 			Version: 7,
 			Text:    []byte(`{"zones":["seven"]}`),
-		}, f.newest(t), "staged or in force, at once")
+		}, f.newestConfiguration(t), "a put version is readable immediately")
 		_, err = put("stale", 1, 9, `{}`)
 		require.True(t, failure.Is(err, failure.Stale), "%v", err)
 		for _, low := range []ids.Version{3, 7} {
@@ -75,14 +77,14 @@
 		require.NoError(t, err)
 		require.EqualValues(t, 12, v)
 		v, err = put("seven", 1, 7, `{"zones":["seven"]}`)
-		require.NoError(t, err, "asked again")
+		require.NoError(t, err, "the operation is repeated")
 		require.EqualValues(t, 7, v)
 		v, err = put("plain", 12, 0, `{"zones":["thirteen"]}`)
 		require.NoError(t, err)
 		require.EqualValues(t, 13, v)
-		require.Equal(t, `{"zones":["thirteen"]}`, string(f.newest(t).Text))
+		require.Equal(t, `{"zones":["thirteen"]}`, string(f.newestConfiguration(t).Text))
 		_, err = put("stale", 1, 9, `{}`)
-		require.True(t, failure.Is(err, failure.Stale), "a refusal stays one")
+		require.True(t, failure.Is(err, failure.Stale), "a repeated operation is rejected again")
 		v, err = outcome("twelve", 7)
 		require.NoError(t, err)
 		require.EqualValues(t, 12, v)
@@ -92,12 +94,12 @@
 	})
 }
 
-// TestPutPacked: a large text is kept and sent on short, and is in force and read back byte
-// for byte.
-func TestPutPacked(t *testing.T) {
+// TestLargeConfigurationIsCompressed: a large text is stored and sent compressed to less than a fifth of
+// its size, and the current text and the text that is read back are identical to it byte for byte.
+func TestLargeConfigurationIsCompressed(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 74, 2, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 74, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
 		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.currentOnAllNodes(1) }))
 		routes := defaultRoutes()
@@ -112,89 +114,89 @@
 		text := encodeConfiguration(routes, fleetstate.Service{Name: "svc", Concurrency: 16})
 		require.NoError(t, f.putConfiguration("large", 1, 2, text))
 		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.currentOnAllNodes(2) }))
-		require.Equal(t, text, f.newest(t).Text)
-		for _, b := range f.nodes {
-			require.Equal(t, text, b.view.Current().Text)
-			require.Less(t, len(b.view.Snapshot()), len(text)/5)
+		require.Equal(t, text, f.newestConfiguration(t).Text)
+		for _, node := range f.nodes {
+			require.Equal(t, text, node.view.Current().Text)
+			require.Less(t, len(node.view.Snapshot()), len(text)/5)
 		}
 	})
 }
 
-// TestNewestReadsStaged: while a node is frozen and a version only staged, Newest gives it
-// already, though the nodes still serve the older one.
-func TestNewestReadsStaged(t *testing.T) {
+// TestNewestReturnsStagedVersion: while one node is frozen and a version is only staged, Newest already
+// returns that version, although the nodes still use the older one.
+func TestNewestReturnsStagedVersion(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 72, 3, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 72, 3, platform, defaultConfiguration(), nil)
 		defer f.close()
 		f.setFrozen(2, true)
 		require.NoError(t, f.putConfiguration("two", 1, 2, defaultConfiguration()))
-		require.EqualValues(t, 2, f.newest(t).Version)
-		require.EqualValues(t, 1, f.nodes[0].view.Current().Version, "only staged yet")
+		require.EqualValues(t, 2, f.newestConfiguration(t).Version)
+		require.EqualValues(t, 1, f.nodes[0].view.Current().Version, "version 2 is only staged")
 		f.setFrozen(2, false)
 		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.currentOnAllNodes(2) }))
 	})
 }
 
-// TestNeverBack: versions come while leaders lose power, nodes are cut off from the core
-// and follow their peers, and nodes start anew: the version in force at a node never
-// falls, the same number has the same text at all, and in the end all have the newest.
-func TestNeverBack(t *testing.T) {
+// TestCurrentVersionNeverDecreases: new versions are put while leaders lose power, nodes are partitioned
+// from the core and follow their peers, and nodes restart. The current version of a node never decreases, a
+// version number has the same text on all nodes, and in the end all nodes have the newest version.
+func TestCurrentVersionNeverDecreases(t *testing.T) {
 	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, seed, 3, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, seed, 3, platform, defaultConfiguration(), nil)
 		defer f.close()
 		var mu sync.Mutex
 		texts := map[ids.Version]string{}
 		var faults []string
-		over := make(chan bool)
-		halt := sync.OnceFunc(func() { close(over) })
-		defer halt()
+		done := make(chan bool)
+		stop := sync.OnceFunc(func() { close(done) })
+		defer stop()
 		f.wg.Go(func() {
 			last := map[*Node]ids.Version{}
 			for {
 				mu.Lock()
-				for _, b := range f.runningNodes() {
-					s := b.view.Current()
-					if s.Version < last[b.Node] {
-						faults = append(faults, fmt.Sprintf("%s went from %d to %d", b.ip, last[b.Node], s.Version))
+				for _, node := range f.runningNodes() {
+					snapshot := node.view.Current()
+					if snapshot.Version < last[node.Node] {
+						faults = append(faults, fmt.Sprintf("%s: version changed from %d to %d", node.ip, last[node.Node], snapshot.Version))
 					}
-					if previous, ok := texts[s.Version]; ok && previous != string(s.Text) {
-						faults = append(faults, fmt.Sprintf("two texts of %d", s.Version))
+					if previous, ok := texts[snapshot.Version]; ok && previous != string(snapshot.Text) {
+						faults = append(faults, fmt.Sprintf("version %d has two texts", snapshot.Version))
 					}
-					texts[s.Version], last[b.Node] = string(s.Text), s.Version
+					texts[snapshot.Version], last[node.Node] = string(snapshot.Text), snapshot.Version
 				}
 				mu.Unlock()
 				select {
-				case <-over:
+				case <-done:
 					return
 				case <-host.NewTimer(3 * time.Millisecond).C:
 				}
 			}
 		})
-		v := ids.Version(1)
+		version := ids.Version(1)
 		for i := range 8 {
-			n := (int(seed) + i) % 3
-			ip := []string{nodeIP(n)}
+			faulty := (int(seed) + i) % 3
+			ip := []string{nodeIP(faulty)}
 			switch (int(seed) + i) % 4 {
 			case 0:
-				if l := f.leader(); l != "" {
-					f.powerOffCore(l)
+				if leader := f.leader(); leader != "" {
+					f.powerOffCore(leader)
 				}
 			case 1:
 				f.world.Partition(ip, coreIPs, true)
 			case 2:
-				f.setFrozen(n, true)
+				f.setFrozen(faulty, true)
 			case 3:
-				f.killNode(n)
+				f.killNode(faulty)
 			}
-			next := v + ids.Version(1+i%3)
+			next := version + ids.Version(1+i%3)
 			var err error
 			f.waitUntil(20*time.Second, func() bool {
 				err = f.putConfigurationVia(
-					f.nodes[(n+1)%3],
+					f.nodes[(faulty+1)%3],
 					ids.OpID(fmt.Sprint("op", i)),
-					v,
+					version,
 					next,
 					encodeConfiguration(append(defaultRoutes(), fleetstate.Route{
 						Name:    fmt.Sprint("x", next),
@@ -206,12 +208,12 @@
 				return err == nil
 			})
 			require.NoError(t, err)
-			v = next
+			version = next
 			time.Sleep(2 * time.Second)
 			f.world.Partition(ip, coreIPs, false)
-			f.setFrozen(n, false)
-			if !f.nodes[n].running {
-				f.startNode(n)
+			f.setFrozen(faulty, false)
+			if !f.nodes[faulty].running {
+				f.startNode(faulty)
 			}
 			for _, core := range coreIPs {
 				if f.cores[core] == nil {
@@ -220,26 +222,26 @@
 			}
 			time.Sleep(2 * time.Second)
 		}
-		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.currentOnAllNodes(v) }))
-		halt()
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.currentOnAllNodes(version) }))
+		stop()
 		mu.Lock()
 		defer mu.Unlock()
 		require.Empty(t, faults)
 	})
 }
 
-// TestKeepsRoute: a request keeps the route and the service that it began with, though the
-// route goes elsewhere or is dropped meanwhile; it is taken up again by the old one's
-// rules. A request that comes after goes by the new ones.
-func TestKeepsRoute(t *testing.T) {
+// TestRunningRequestKeepsItsRoute: a request keeps the route and the service that it started with, although
+// the route is moved to another service or removed meanwhile, and it is resumed by the old route's rules. A
+// later request follows the new configuration.
+func TestRunningRequestKeepsItsRoute(t *testing.T) {
 	for _, dropped := range []bool{false, true} {
 		t.Run(fmt.Sprint("dropped-", dropped), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
-				f := startFleet(t, 73, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
+				platform := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
+				f := startFleet(t, 73, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
 				defer f.close()
-				long := make(chan *requestResult, 1)
-				f.wg.Go(func() { long <- f.send(f.nodes[0], f.newRequest("long", "/sresume/x", 400, 150)) })
+				earlyResult := make(chan *requestResult, 1)
+				f.wg.Go(func() { earlyResult <- f.send(f.nodes[0], f.newRequest("long", "/sresume/x", 400, 150)) })
 				time.Sleep(500 * time.Millisecond)
 				routes := defaultRoutes()
 				routes[3].Service, routes[3].Resumable = "other", false
@@ -256,63 +258,63 @@
 					),
 				)
 				require.True(t, f.waitUntil(2*time.Second, func() bool { return f.currentOnAllNodes(2) }))
-				late := f.send(f.nodes[0], f.newRequest("late", "/sresume/x", 400, 3))
-				for _, k := range y.recordedCalls() {
-					if k.Kind == "emit" && k.RequestID == "long" {
-						y.restartWorker(string(k.Worker[:len(k.Worker)-2]))
+				lateResult := f.send(f.nodes[0], f.newRequest("late", "/sresume/x", 400, 3))
+				for _, call := range platform.recordedCalls() {
+					if call.Kind == "emit" && call.RequestID == "long" {
+						platform.restartWorker(string(call.Worker[:len(call.Worker)-2]))
 					}
 				}
-				a := <-long
-				require.NoError(t, a.err)
-				require.Empty(t, checkResponses([]*requestResult{a}))
-				emits := 0
-				for _, k := range y.recordedCalls() {
-					if k.Kind == "emit" && k.RequestID == "long" {
-						require.Contains(t, string(k.Worker), "svc")
-						emits++
+				result := <-earlyResult
+				require.NoError(t, result.err)
+				require.Empty(t, checkResponses([]*requestResult{result}))
+				decodes := 0
+				for _, call := range platform.recordedCalls() {
+					if call.Kind == "emit" && call.RequestID == "long" {
+						require.Contains(t, string(call.Worker), "svc")
+						decodes++
 					}
-					if k.RequestID == "late" {
-						require.Contains(t, string(k.Worker), "other")
+					if call.RequestID == "late" {
+						require.Contains(t, string(call.Worker), "other")
 					}
 				}
-				require.Equal(t, 2, emits)
+				require.Equal(t, 2, decodes)
 				if dropped {
-					require.Equal(t, 404, late.err.(*RejectedError).Code)
+					require.Equal(t, 404, lateResult.err.(*RejectedError).Code)
 				} else {
-					require.NoError(t, late.err)
+					require.NoError(t, lateResult.err)
 				}
 			})
 		})
 	}
 }
 
-// TestRoutesComeAndGo: a route that is added is found at every node, one that is dropped
-// is not, and the longest prefix wins; a request without a route never reaches a worker.
-func TestRoutesComeAndGo(t *testing.T) {
+// TestAddedAndRemovedRoutes: every node finds an added route and no longer finds a removed one, and the
+// longest matching prefix wins. A request without a route never reaches a worker.
+func TestAddedAndRemovedRoutes(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
-		f := startFleet(t, 74, 3, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
+		f := startFleet(t, 74, 3, platform, defaultConfiguration(), nil)
 		defer f.close()
-		try := func(id, path string) []string {
+		servingServices := func(id, path string) []string {
 			var out []string
-			for _, b := range f.nodes {
-				a := f.send(b, f.newRequest(id+b.ip, path, 400, 2))
-				if no, ok := a.err.(*RejectedError); ok {
-					require.Equal(t, 404, no.Code)
+			for _, node := range f.nodes {
+				result := f.send(node, f.newRequest(id+node.ip, path, 400, 2))
+				if rejected, ok := result.err.(*RejectedError); ok {
+					require.Equal(t, 404, rejected.Code)
 					out = append(out, "404")
 					continue
 				}
-				require.NoError(t, a.err)
-				for _, k := range y.recordedCalls() {
-					if k.Kind == "emit" && k.RequestID == a.ID {
-						out = append(out, string(k.Worker[:3]))
+				require.NoError(t, result.err)
+				for _, call := range platform.recordedCalls() {
+					if call.Kind == "emit" && call.RequestID == result.ID {
+						out = append(out, string(call.Worker[:3]))
 					}
 				}
 			}
 			return out
 		}
-		require.Equal(t, []string{"404", "404", "404"}, try("a", "/new/x"))
-		require.Equal(t, []string{"svc", "svc", "svc"}, try("b", "/once/deep/x"))
+		require.Equal(t, []string{"404", "404", "404"}, servingServices("a", "/new/x"))
+		require.Equal(t, []string{"svc", "svc", "svc"}, servingServices("b", "/once/deep/x"))
 		routes := append(defaultRoutes()[1:], fleetstate.Route{
 			Name:            "new",
 			Host:            routeHost,
@@ -338,18 +340,18 @@
 			f.putConfiguration("two", 1, 2, encodeConfiguration(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})),
 		)
 		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.currentOnAllNodes(2) }))
-		require.Equal(t, []string{"svc", "svc", "svc"}, try("c", "/new/x"))
-		require.Equal(t, []string{"404", "404", "404"}, try("d", "/once/x"))
-		require.Equal(t, []string{"svc", "svc", "svc"}, try("e", "/again/x"))
-		require.Equal(t, []string{"oth", "oth", "oth"}, try("g", "/again/deep/x"))
+		require.Equal(t, []string{"svc", "svc", "svc"}, servingServices("c", "/new/x"))
+		require.Equal(t, []string{"404", "404", "404"}, servingServices("d", "/once/x"))
+		require.Equal(t, []string{"svc", "svc", "svc"}, servingServices("e", "/again/x"))
+		require.Equal(t, []string{"oth", "oth", "oth"}, servingServices("g", "/again/deep/x"))
 	})
 }
 
-// TestSplit: a route's requests fall to its services by their weights, each by its id, so
-// that the same try falls to the same service on every node.
-func TestSplit(t *testing.T) {
+// TestTrafficSplitByWeight: a route's requests are divided among its services by weight and by request ID,
+// so that the attempts of a request reach the same service on every node.
+func TestTrafficSplitByWeight(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 3), prefillAndDecodeWorkers("other", 2, 3)...)...)
+		platform := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 3), prefillAndDecodeWorkers("other", 2, 3)...)...)
 		split := fleetstate.Route{
 			Name:   "r",
 			Host:   routeHost,
@@ -368,80 +370,81 @@
 			t,
 			75,
 			2,
-			y,
+			platform,
 			encodeConfiguration([]fleetstate.Route{split}, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"}),
 			nil,
 		)
 		defer f.close()
-		all := f.generateLoad(80, 5*time.Second, func(i int) *Request {
+		results := f.generateLoad(80, 5*time.Second, func(i int) *Request {
 			return f.newRequest(fmt.Sprint("try-", i/2), "/once/x", 200, 2)
 		})
-		at := map[string]string{}
+		serviceOf := map[string]string{}
 		count := map[string]int{}
-		for _, k := range y.recordedCalls() {
-			if k.Kind == "emit" {
-				to := string(k.Worker[:3])
-				if previous, ok := at[k.RequestID]; ok {
-					require.Equal(t, previous, to, k.RequestID)
+		for _, call := range platform.recordedCalls() {
+			if call.Kind == "emit" {
+				service := string(call.Worker[:3])
+				if previous, ok := serviceOf[call.RequestID]; ok {
+					require.Equal(t, previous, service, call.RequestID)
 				}
-				at[k.RequestID] = to
-				count[to]++
+				serviceOf[call.RequestID] = service
+				count[service]++
 			}
 		}
-		require.InDelta(t, 0.75, float64(count["svc"])/float64(len(all)), 0.08)
+		require.InDelta(t, 0.75, float64(count["svc"])/float64(len(results)), 0.08)
 	})
 }
 
-// TestNotReady: a node without a configuration, or without a worker on its list, is not
-// ready, and refuses without reaching any worker; a node that lost the core goes on.
-func TestNotReady(t *testing.T) {
+// TestNodeWithoutConfigurationIsNotReady: a node that has no configuration, or no worker on its list, is
+// not ready and rejects requests without reaching a worker. A node that loses the core after it was ready
+// continues to serve.
+func TestNodeWithoutConfigurationIsNotReady(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 76, 2, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 76, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
 		for _, ip := range coreIPs {
 			f.powerOffCore(ip)
 		}
-		y.withLock(func() { y.listFails = true })
+		platform.withLock(func() { platform.listFails = true })
 		time.Sleep(10 * time.Second)
-		all := f.generateLoad(20, 4*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 3) })
-		for _, a := range all {
-			require.NoError(t, a.err, "the last list and configuration are kept")
+		results := f.generateLoad(20, 4*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 3) })
+		for _, result := range results {
+			require.NoError(t, result.err, "the node keeps its last list and configuration")
 		}
 		f.killNode(0)
 		f.killNode(1)
-		b := f.startNode(0)
+		node := f.startNode(0)
 		time.Sleep(2 * time.Second)
-		ok, reason := b.Ready()
-		require.False(t, ok)
+		ready, reason := node.Ready()
+		require.False(t, ready)
 		require.NotEmpty(t, reason)
-		a := f.send(b, f.newRequest("late", "/once/x", 400, 3))
-		require.Equal(t, 503, a.err.(*RejectedError).Code)
+		result := f.send(node, f.newRequest("late", "/once/x", 400, 3))
+		require.Equal(t, 503, result.err.(*RejectedError).Code)
 	})
 }
 
-// TestUnknownRouteWhileBehind: a node that is cut off from the core cannot tell whether a newer
-// version has a route. Once it may be behind it says when to come back, and not that there is
-// no such route; in touch again it serves a route that was added meanwhile, and is sure of one
-// that there is not.
+// TestUnknownRouteWhileBehind: a node that is partitioned from the core can't know whether a newer version
+// has a route. Once its configuration may be outdated, it responds to an unknown route with 503, so that
+// callers retry, and not with 404. After the partition heals it serves a route that was added meanwhile, and responds with 404 to
+// one that doesn't exist.
 func TestUnknownRouteWhileBehind(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 76, 3, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 76, 3, platform, defaultConfiguration(), nil)
 		defer f.close()
-		cut := f.nodes[2]
+		partitioned := f.nodes[2]
 		status := func(id, path string) int {
-			a := f.send(cut, f.newRequest(id, path, 400, 2))
+			result := f.send(partitioned, f.newRequest(id, path, 400, 2))
 			var rejected *RejectedError
-			if errors.As(a.err, &rejected) {
+			if errors.As(result.err, &rejected) {
 				return rejected.Code
 			}
-			require.NoError(t, a.err)
+			require.NoError(t, result.err)
 			return http.StatusOK
 		}
 		require.Equal(t, http.StatusNotFound, status("a", "/new/x"))
 		peers := append([]string{f.nodes[0].ip, f.nodes[1].ip}, coreIPs...)
-		f.world.Partition([]string{cut.ip}, peers, true)
+		f.world.Partition([]string{partitioned.ip}, peers, true)
 		time.Sleep(time.Second)
 		routes := append(defaultRoutes(), fleetstate.Route{
 			Name:            "new",
@@ -457,10 +460,10 @@
 		time.Sleep(caughtUpMaxAge)
 		require.Equal(t, http.StatusServiceUnavailable, status("b", "/new/x"))
 		require.Equal(t, http.StatusServiceUnavailable, status("c", "/none/x"))
-		require.Equal(t, http.StatusOK, status("d", "/again/x"), "what it knows is served")
-		f.world.Partition([]string{cut.ip}, peers, false)
+		require.Equal(t, http.StatusOK, status("d", "/again/x"), "known routes are still served")
+		f.world.Partition([]string{partitioned.ip}, peers, false)
 		require.True(t, f.waitUntil(5*time.Second, func() bool { return f.currentOnAllNodes(2) }))
-		require.True(t, f.waitUntil(5*time.Second, func() bool { return cut.agent.CaughtUp(caughtUpMaxAge) }))
+		require.True(t, f.waitUntil(5*time.Second, func() bool { return partitioned.agent.CaughtUp(caughtUpMaxAge) }))
 		require.Equal(t, http.StatusOK, status("e", "/new/x"))
 		require.Equal(t, http.StatusNotFound, status("g", "/none/x"))
 	})
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/encodings_test.go
@@ -8,8 +8,8 @@
 	"keelstair.example/internal/golden"
 )
 
-// TestEncodings: every message and stored record of this package has the encoding that it had
-// in the first release with a rolling upgrade. The names on file are those of that release.
+// TestEncodings: every message and stored record of this package is encoded as in the first release that
+// supports rolling upgrades. The names in the file are those of that release.
 func TestEncodings(t *testing.T) {
 	golden.Check(t, "testdata/encodings.txt", map[string]golden.Message{
 		"Alarm":     &FaultNotice{},
@@ -30,7 +30,7 @@
 	})
 }
 
-// TestMethodNames: the names of the RPC methods are those of earlier releases.
+// TestMethodNames: the RPC methods have the same names as in earlier releases.
 func TestMethodNames(t *testing.T) {
 	require.Equal(t, []string{
 		"relay/alarm", "relay/list", "relay/alive", "relay/usage",
--- a/internal/proxy/fault_notice_test.go
+++ b/internal/proxy/fault_notice_test.go
@@ -1,4 +1,4 @@
-// Workers that are silent, and nodes that are cut off.
+// Workers that stop responding, partitioned nodes, and the fault notices between nodes.
 
 package proxy
 
@@ -14,115 +14,116 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestDark: an emitting worker goes silent: soon no node sends there, also those that had
-// nothing there and were warned by a peer; what may run elsewhere is taken from it at once
-// and completes; what may not is neither repeated nor refused. Later it is used again.
-func TestDark(t *testing.T) {
+// TestSilentDecodeWorker: a decode worker stops responding. Soon no node sends requests to it, including
+// nodes that had no requests there and only got a peer's fault notice. Requests that may be retried are
+// moved immediately and complete; the others are neither retried nor rejected. When the worker responds
+// again, it gets requests again.
+func TestSilentDecodeWorker(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 51, 3, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 40 })
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 51, 3, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
 		// Only nodes 0 and 1 have traffic at first.
-		var all []*requestResult
-		quiet := f.nodes[2]
+		var results []*requestResult
+		unloaded := f.nodes[2]
 		f.withLock(func() { f.nodes = f.nodes[:2] })
-		var dark time.Duration
+		var silentFrom time.Duration
 		f.wg.Go(func() {
 			time.Sleep(2 * time.Second)
-			y.withLock(func() { y.worker("svc-decode-1").silent = true; dark = y.elapsed() })
+			platform.withLock(func() { platform.worker("svc-decode-1").silent = true; silentFrom = platform.elapsed() })
 		})
-		all = append(all, f.generateLoad(60, 4*time.Second, func(i int) *Request {
+		results = append(results, f.generateLoad(60, 4*time.Second, func(i int) *Request {
 			return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 15)
 		})...)
 		for i := range 40 {
-			all = append(all, f.send(quiet, f.newRequest(fmt.Sprint("q", i), "/once/x", 400, 1)))
+			results = append(results, f.send(unloaded, f.newRequest(fmt.Sprint("q", i), "/once/x", 400, 1)))
 		}
-		f.withLock(func() { f.nodes = append(f.nodes, quiet) })
-		rows := y.recordedCalls()
-		require.NotEmpty(t, callsToWorker(rows, "svc-decode-1.1", 0, dark))
-		require.Empty(t, callsToWorker(rows, "svc-decode-1.1", dark+1500*time.Millisecond, time.Hour))
-		require.Empty(t, checkExecutions(rows, all))
-		require.Empty(t, checkResponses(all))
-		for _, a := range all {
-			if a.resumable {
-				require.NoError(t, a.err, a.ID)
-				require.Less(t, a.endedAt-a.sentAt, 3*time.Second, "it does not wait for the deadline")
+		f.withLock(func() { f.nodes = append(f.nodes, unloaded) })
+		calls := platform.recordedCalls()
+		require.NotEmpty(t, callsToWorker(calls, "svc-decode-1.1", 0, silentFrom))
+		require.Empty(t, callsToWorker(calls, "svc-decode-1.1", silentFrom+1500*time.Millisecond, time.Hour))
+		require.Empty(t, checkExecutions(calls, results))
+		require.Empty(t, checkResponses(results))
+		for _, result := range results {
+			if result.resumable {
+				require.NoError(t, result.err, result.ID)
+				require.Less(t, result.endedAt-result.sentAt, 3*time.Second, "the request does not wait for its deadline")
 			}
-			if a.sentAt > dark+1500*time.Millisecond {
-				require.NoError(t, a.err, a.ID)
+			if result.sentAt > silentFrom+1500*time.Millisecond {
+				require.NoError(t, result.err, result.ID)
 			}
 		}
-		asks := map[string]int{}
-		for _, k := range rows {
-			if k.Kind == "report" && k.Worker == "svc-decode-1.1" && k.At > dark {
-				asks[k.Node]++
+		reports := map[string]int{}
+		for _, call := range calls {
+			if call.Kind == "report" && call.Worker == "svc-decode-1.1" && call.At > silentFrom {
+				reports[call.Node]++
 			}
 		}
-		require.Greater(t, asks[quiet.ip], 0, "it asked for itself")
-		y.withLock(func() { y.worker("svc-decode-1").silent = false })
+		require.Greater(t, reports[unloaded.ip], 0, "the node requested the report itself")
+		platform.withLock(func() { platform.worker("svc-decode-1").silent = false })
 		time.Sleep(3 * time.Second)
-		from := y.elapsed()
+		from := platform.elapsed()
 		f.generateLoad(60, 4*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("s", i), "/once/x", 400, 10) })
-		require.NotEmpty(t, callsToWorker(y.recordedCalls(), "svc-decode-1.1", from, time.Hour), "it is back")
+		require.NotEmpty(t, callsToWorker(platform.recordedCalls(), "svc-decode-1.1", from, time.Hour), "the worker gets requests again")
 	})
 }
 
-// TestDarkReader: a reading worker goes silent: every request that was to be read there is
-// answered all the same, soon, and nothing runs twice.
-func TestDarkReader(t *testing.T) {
+// TestSilentPrefillWorker: a prefill worker stops responding. Every request that was to be prefilled there
+// still gets its response soon, and no request is executed twice.
+func TestSilentPrefillWorker(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 52, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 60 })
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 52, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 60 })
 		defer f.close()
 		f.wg.Go(func() {
 			time.Sleep(2 * time.Second)
-			y.withLock(func() { y.worker("svc-prefill-0").silent = true })
+			platform.withLock(func() { platform.worker("svc-prefill-0").silent = true })
 		})
-		all := f.generateLoad(30, 6*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
-		require.Empty(t, checkExecutions(y.recordedCalls(), all))
-		require.Empty(t, checkResponses(all))
-		require.NotEmpty(t, callsToWorker(y.recordedCalls(), "svc-prefill-0.1", 0, 3*time.Second))
-		for _, a := range all {
-			require.NoError(t, a.err, a.ID)
-			require.Less(t, a.endedAt-a.sentAt, 2500*time.Millisecond, a.ID)
+		results := f.generateLoad(30, 6*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
+		require.Empty(t, checkExecutions(platform.recordedCalls(), results))
+		require.Empty(t, checkResponses(results))
+		require.NotEmpty(t, callsToWorker(platform.recordedCalls(), "svc-prefill-0.1", 0, 3*time.Second))
+		for _, result := range results {
+			require.NoError(t, result.err, result.ID)
+			require.Less(t, result.endedAt-result.sentAt, 2500*time.Millisecond, result.ID)
 		}
-		require.Empty(t, callsToWorker(y.recordedCalls(), "svc-prefill-0.1", 4*time.Second, time.Hour))
+		require.Empty(t, callsToWorker(platform.recordedCalls(), "svc-prefill-0.1", 4*time.Second, time.Hour))
 	})
 }
 
-// TestCutNode: a node that reaches no worker warns its peers of all of them; the peers ask
-// for themselves and leave no worker alone for it, at no moment.
-func TestCutNode(t *testing.T) {
+// TestFaultNoticesOfPartitionedNode: a node that reaches no worker sends its peers notices of all workers.
+// The peers check the workers themselves and never avoid a worker because of the notices.
+func TestFaultNoticesOfPartitionedNode(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-		f := startFleet(t, 53, 3, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 40 })
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+		f := startFleet(t, 53, 3, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
-		cut := f.nodes[0]
+		partitioned := f.nodes[0]
 		f.wg.Go(func() {
 			time.Sleep(2 * time.Second)
-			y.withLock(func() { y.partitionedNodes[cut.ip] = true })
+			platform.withLock(func() { platform.partitionedNodes[partitioned.ip] = true })
 			for i := range 40 {
-				f.wg.Go(func() { f.send(cut, f.newRequest(fmt.Sprint("c", i), routePaths[i%4], 400, 10)) })
+				f.wg.Go(func() { f.send(partitioned, f.newRequest(fmt.Sprint("c", i), routePaths[i%4], 400, 10)) })
 				time.Sleep(50 * time.Millisecond)
 			}
 		})
-		shunned := map[ids.WorkerID]bool{}
-		over := make(chan bool)
+		avoided := map[ids.WorkerID]bool{}
+		done := make(chan bool)
 		f.wg.Go(func() {
 			for {
-				for _, b := range f.nodes[1:3] {
-					b.states.Range(func(k, v any) bool {
-						st := v.(*workerState)
-						st.mu.Lock()
-						defer st.mu.Unlock()
-						if b.now().Before(st.avoidUntil) {
-							shunned[k.(ids.WorkerID)] = true
+				for _, node := range f.nodes[1:3] {
+					node.states.Range(func(id, v any) bool {
+						state := v.(*workerState)
+						state.mu.Lock()
+						defer state.mu.Unlock()
+						if node.now().Before(state.avoidUntil) {
+							avoided[id.(ids.WorkerID)] = true
 						}
 						return true
 					})
 				}
 				select {
-				case <-over:
+				case <-done:
 					return
 				case <-host.NewTimer(10 * time.Millisecond).C:
 				}
@@ -132,37 +133,37 @@
 		for i := range 160 {
 			peers = append(peers, f.send(f.nodes[1+i%2], f.newRequest(fmt.Sprint("p", i), routePaths[i%4], 400, 2)))
 		}
-		close(over)
+		close(done)
 		time.Sleep(10 * time.Second)
-		for _, a := range peers {
-			require.NoError(t, a.err)
+		for _, result := range peers {
+			require.NoError(t, result.err)
 		}
-		require.Empty(t, shunned)
-		warned := 0
-		for _, k := range y.recordedCalls() {
-			if k.Kind == "report" && k.Node != cut.ip {
-				warned++
+		require.Empty(t, avoided)
+		reports := 0
+		for _, call := range platform.recordedCalls() {
+			if call.Kind == "report" && call.Node != partitioned.ip {
+				reports++
 			}
 		}
-		require.Positive(t, warned, "peers were warned and asked for themselves")
+		require.Positive(t, reports, "peers got notices and requested reports themselves")
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		require.Empty(t, checkExecutions(y.recordedCalls(), f.results))
+		require.Empty(t, checkExecutions(platform.recordedCalls(), f.results))
 		require.Empty(t, checkCompletions(f.results, 8500*time.Millisecond))
 		require.Empty(t, checkResponses(f.results))
 	})
 }
 
-// TestSilentCall: one call is not answered though its worker is well: the worker's report
-// clears it, and others go on being sent there.
-func TestSilentCall(t *testing.T) {
+// TestReportClearsUnansweredCall: one call gets no response although its worker is healthy. The worker's
+// report clears the suspicion, and other requests are still sent there.
+func TestReportClearsUnansweredCall(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 54, 2, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 54, 2, platform, defaultConfiguration(), nil)
 		defer f.close()
-		y.withLock(func() {
-			y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-				if k.Kind == "emit" && k.RequestID == "mute" {
+		platform.withLock(func() {
+			platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+				if call.Kind == "emit" && call.RequestID == "mute" {
 					return silentBeforeRun
 				}
 				return succeeds
@@ -170,138 +171,138 @@
 		})
 		f.wg.Go(func() { f.send(f.nodes[0], f.newRequest("mute", "/once/x", 400, 4)) })
 		time.Sleep(time.Second)
-		from := y.elapsed()
+		from := platform.elapsed()
 		f.generateLoad(40, 2*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
 		for _, id := range []ids.WorkerID{"svc-decode-0.1", "svc-decode-1.1"} {
-			require.NotEmpty(t, callsToWorker(y.recordedCalls(), id, from, time.Hour), id)
+			require.NotEmpty(t, callsToWorker(platform.recordedCalls(), id, from, time.Hour), id)
 		}
 		time.Sleep(4 * time.Second)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		require.Empty(t, checkExecutions(y.recordedCalls(), f.results))
+		require.Empty(t, checkExecutions(platform.recordedCalls(), f.results))
 	})
 }
 
-// TestReportClears: calls fail at a worker again and again, and each time its report says
-// that it is well: it is not left alone for longer than a moment.
-func TestReportClears(t *testing.T) {
+// TestReportEndsAvoidance: calls to a worker fail repeatedly, and each time its report shows that it is
+// healthy. The node avoids it only briefly.
+func TestReportEndsAvoidance(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 55, 1, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 40 })
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 55, 1, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
-		y.withLock(func() {
-			y.outcome = func(k callRecord, s *fakeWorker) callOutcome {
-				if k.Kind == "emit" && s.name == "svc-decode-0" && k.RequestID[0] == 'b' {
+		platform.withLock(func() {
+			platform.outcome = func(call callRecord, worker *fakeWorker) callOutcome {
+				if call.Kind == "emit" && worker.name == "svc-decode-0" && call.RequestID[0] == 'b' {
 					return resetBeforeRun
 				}
 				return succeeds
 			}
 		})
-		from, fell := y.elapsed(), 0
-		for i := 0; i < 200 && fell < 4; i++ {
-			if a := f.send(f.nodes[0], f.newRequest(fmt.Sprint("b", i), "/once/x", 400, 4)); a.err != nil {
-				from, fell = y.elapsed()+time.Millisecond, fell+1
+		from, failures := platform.elapsed(), 0
+		for i := 0; i < 200 && failures < 4; i++ {
+			if result := f.send(f.nodes[0], f.newRequest(fmt.Sprint("b", i), "/once/x", 400, 4)); result.err != nil {
+				from, failures = platform.elapsed()+time.Millisecond, failures+1
 			}
 		}
-		require.Equal(t, 4, fell)
+		require.Equal(t, 4, failures)
 		f.generateLoad(40, 400*time.Millisecond, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
-		require.NotEmpty(t, callsToWorker(y.recordedCalls(), "svc-decode-0.1", from, from+400*time.Millisecond))
+		require.NotEmpty(t, callsToWorker(platform.recordedCalls(), "svc-decode-0.1", from, from+400*time.Millisecond))
 	})
 }
 
-// TestTakenFromSilent: requests wait for the first word of a worker that goes silent, by
-// routes that give it seconds: once its report does not come either, what may run elsewhere
-// is taken there at once.
-func TestTakenFromSilent(t *testing.T) {
+// TestRequestsMoveFromSilentWorker: requests wait for the first token of a worker that stops responding, on
+// routes with a latency target of seconds. Once its report is missing too, requests that may be retried
+// move to another worker immediately.
+func TestRequestsMoveFromSilentWorker(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
 		routes := defaultRoutes()
 		routes[1].LatencyTargetMs, routes[1].DeadlineMs = 3000, 9000
-		f := startFleet(t, 56, 1, y, encodeConfiguration(routes, fleetstate.Service{
+		f := startFleet(t, 56, 1, platform, encodeConfiguration(routes, fleetstate.Service{
 			Name:        "svc",
 			Concurrency: 16,
 		}), func(o *Options) { o.RetryAllowance = 60 })
 		defer f.close()
-		y.withLock(func() { y.worker("svc-decode-0").silent = true })
-		all := f.generateLoad(60, 250*time.Millisecond, func(i int) *Request {
+		platform.withLock(func() { platform.worker("svc-decode-0").silent = true })
+		results := f.generateLoad(60, 250*time.Millisecond, func(i int) *Request {
 			return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 20)
 		})
-		require.NotEmpty(t, callsToWorker(y.recordedCalls(), "svc-decode-0.1", 0, time.Hour))
-		for _, a := range all {
-			require.NoError(t, a.err, a.ID)
-			require.Less(t, a.endedAt-a.sentAt, 2*time.Second, a.ID)
+		require.NotEmpty(t, callsToWorker(platform.recordedCalls(), "svc-decode-0.1", 0, time.Hour))
+		for _, result := range results {
+			require.NoError(t, result.err, result.ID)
+			require.Less(t, result.endedAt-result.sentAt, 2*time.Second, result.ID)
 		}
-		require.Empty(t, checkResponses(all))
+		require.Empty(t, checkResponses(results))
 	})
 }
 
-// TestFaultNoticesAreBounded: most workers go silent at once under load at every node, and half
-// of the nodes are lost at the same moment. What a node sends for one worker does not grow with
-// the fleet, and a node without load hears of the workers all the same.
+// TestFaultNoticesAreBounded: half of the decode workers stop responding at once under load on every node
+// but one, and half of the nodes are killed at the same moment. The number of notices that a node sends
+// about one worker does not grow with the fleet, and the node without load still learns of the workers.
 func TestFaultNoticesAreBounded(t *testing.T) {
 	skipUnderRaceDetector(t)
 	runInBubble(t, func(t *testing.T) {
-		const nodes, silent, maxNotices = 24, 5, 12 // notices of one worker, by one node
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 2*silent)...)
-		f := startFleet(t, 57, nodes, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 200 })
+		const nodes, silent, maxNotices = 24, 5, 12 // maxNotices: notices about one worker from one node
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 2*silent)...)
+		f := startFleet(t, 57, nodes, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 200 })
 		defer f.close()
-		quiet := f.nodes[0]
-		busy := f.nodes[1 : nodes/2]
+		unloaded := f.nodes[0]
+		loaded := f.nodes[1 : nodes/2]
 		for i := nodes / 2; i < nodes; i++ {
 			f.killNode(i)
 		}
-		f.withLock(func() { f.nodes = busy })
-		y.withLock(func() {
+		f.withLock(func() { f.nodes = loaded })
+		platform.withLock(func() {
 			for i := range silent {
-				y.worker(fmt.Sprint("svc-decode-", i)).silent = true
+				platform.worker(fmt.Sprint("svc-decode-", i)).silent = true
 			}
 		})
-		all := f.generateLoad(200, 2*time.Second, func(i int) *Request {
+		results := f.generateLoad(200, 2*time.Second, func(i int) *Request {
 			return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 4)
 		})
-		f.withLock(func() { f.nodes = append([]*testNode{quiet}, busy...) })
-		require.Empty(t, checkExecutions(y.recordedCalls(), all))
-		for i, b := range f.nodes {
-			require.LessOrEqual(t, b.counts.FaultNotices.Load(), int64(silent*maxNotices), "node %d", i)
+		f.withLock(func() { f.nodes = append([]*testNode{unloaded}, loaded...) })
+		require.Empty(t, checkExecutions(platform.recordedCalls(), results))
+		for i, node := range f.nodes {
+			require.LessOrEqual(t, node.counts.FaultNotices.Load(), int64(silent*maxNotices), "node %d", i)
 		}
 		known := 0
 		for i := range silent {
-			st := quiet.state(ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", i)))
-			st.mu.Lock()
-			if st.down {
+			state := unloaded.state(ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", i)))
+			state.mu.Lock()
+			if state.down {
 				known++
 			}
-			st.mu.Unlock()
+			state.mu.Unlock()
 		}
-		require.Equal(t, silent, known, "the node without load was warned and asked for itself")
+		require.Equal(t, silent, known, "the node without load got notices and requested reports itself")
 	})
 }
 
-// TestFaultNoticesEnd: a node is told of a worker that is well, as by one that is cut off: it asks
-// the worker once and the warning goes no further; it does not go round among the nodes.
+// TestFaultNoticesEnd: a node gets a notice about a healthy worker, as from a partitioned node. It checks
+// the worker once and does not forward the notice, so that notices do not circulate among the nodes.
 func TestFaultNoticesEnd(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
-		f := startFleet(t, 58, 8, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 58, 8, platform, defaultConfiguration(), nil)
 		defer f.close()
-		asked := func() int {
+		reportCalls := func() int {
 			n := 0
-			for _, k := range y.recordedCalls() {
-				if k.Kind == "report" {
+			for _, call := range platform.recordedCalls() {
+				if call.Kind == "report" {
 					n++
 				}
 			}
 			return n
 		}
-		before := asked()
-		for _, b := range f.nodes[:2] {
-			_, err := b.handleFaultNotice(t.Context(), &FaultNotice{"svc-decode-0.1"})
+		before := reportCalls()
+		for _, node := range f.nodes[:2] {
+			_, err := node.handleFaultNotice(t.Context(), &FaultNotice{"svc-decode-0.1"})
 			require.NoError(t, err)
 		}
 		time.Sleep(10 * time.Second)
-		require.LessOrEqual(t, asked()-before, 2)
-		for i, b := range f.nodes {
-			require.Zero(t, b.counts.FaultNotices.Load(), "node %d", i)
+		require.LessOrEqual(t, reportCalls()-before, 2)
+		for i, node := range f.nodes {
+			require.Zero(t, node.counts.FaultNotices.Load(), "node %d", i)
 		}
 	})
 }
--- /dev/null
+++ b/internal/proxy/list_interval_test.go
@@ -0,0 +1,78 @@
+// The rate of list calls, the choice among equal workers, and the urgency of prompts.
+
+package proxy
+
+import (
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"keelstair.example/host"
+	"keelstair.example/host/simulated"
+	"keelstair.example/ids"
+	"keelstair.example/internal/fleetstate"
+)
+
+// TestListInterval: however many nodes list the workers themselves, all together stay within the rate.
+// Without a rate limit, or below it, each node uses the minimum interval.
+func TestListInterval(t *testing.T) {
+	minimum := 700 * time.Millisecond
+	require.Equal(t, minimum, listInterval(minimum, 0, 0.01))
+	require.Equal(t, minimum, listInterval(minimum, 42, 0.1))
+	for _, nodes := range []float64{1, 10, 88, 650} {
+		for _, rate := range []float64{0.5, 5, 42, 310} {
+			require.LessOrEqual(t, nodes/listInterval(minimum, rate, 1/nodes).Seconds(), rate+0.001)
+		}
+	}
+}
+
+// TestDecodeTiesSpreadOverWorkers: while nothing is known about the workers, requests are spread over all
+// of them and do not prefer the first ones of the list.
+func TestDecodeTiesSpreadOverWorkers(t *testing.T) {
+	node, err := New(Options{Name: "n", Zone: "a", Host: newSimulatedHost()})
+	require.NoError(t, err)
+	workers := make([]Worker, 60)
+	for i := range workers {
+		workers[i] = Worker{ID: workerID(i), Service: "s", Zone: "a", Role: "decode", Concurrency: 8}
+	}
+	node.installList(workers, 1, 1)
+	counts := map[string]int{}
+	for i := range 3000 {
+		candidates := node.decodeCandidates(
+			node.startupPrograms.Set, node.view.Current(), newService("s"), &Request{ID: string(workerID(i)) + "q"}, nil, nil,
+		)
+		counts[string(candidates[0].worker.ID)]++
+	}
+	require.Len(t, counts, 60)
+	for id, count := range counts {
+		require.Less(t, count, 150, id)
+	}
+}
+
+// newSimulatedHost returns the host of a process on a simulated machine.
+func newSimulatedHost() host.Host { return simulated.NewWorld(1).Machine("10.0.0.9").Start().Host() }
+
+// workerID returns the ID of worker i.
+func workerID(i int) ids.WorkerID { return ids.WorkerID("w" + strconv.Itoa(i)) }
+
+// newService returns a service without limits.
+func newService(name string) *fleetstate.Service { return &fleetstate.Service{Name: name} }
+
+// TestUrgencyRank: a longer prefill is never more urgent than a shorter one of the same route, a short one
+// keeps its route's urgency, and no rank exceeds 9, the end of the workers' scale.
+func TestUrgencyRank(t *testing.T) {
+	for urgency := range 10 {
+		last := urgency
+		for tokens := 1; tokens < 1<<20; tokens += 97 {
+			rank := urgencyRank(urgency, tokens)
+			require.GreaterOrEqual(t, rank, last)
+			require.LessOrEqual(t, rank, 9)
+			last = rank
+		}
+		require.Equal(t, urgency, urgencyRank(urgency, shortPrompt))
+		require.Equal(t, min(9, urgency+6), last)
+	}
+	require.Less(t, urgencyRank(1, 633), urgencyRank(0, 4486), "a short prompt of a less urgent route before a long one of a more urgent route")
+}
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -1,4 +1,4 @@
-// Who asks the platform for the list of workers, and how the others come by it.
+// Which node lists the workers at the platform, and how the other nodes get the list.
 
 package proxy
 
@@ -12,131 +12,132 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// lists counts the askings for the list by node since a time.
-func (p *fakePlatform) lists(since time.Duration) map[string]int {
+// listCallsSince counts the list calls of each node since a time.
+func (p *fakePlatform) listCallsSince(since time.Duration) map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]int{}
-	for _, k := range p.listCalls {
-		if k.At >= since {
-			out[k.Node]++
+	for _, call := range p.listCalls {
+		if call.At >= since {
+			out[call.Node]++
 		}
 	}
 	return out
 }
 
-func (f *fleet) lister() int {
-	for i, b := range f.nodes {
-		if _, ok := b.agent.OwnsKey(fleetstate.WorkerListKey); ok && b.running {
+// listHolder returns the index of the node that holds the list duty, or -1.
+func (f *fleet) listHolder() int {
+	for i, node := range f.nodes {
+		if _, ok := node.agent.OwnsKey(fleetstate.WorkerListKey); ok && node.running {
 			return i
 		}
 	}
 	return -1
 }
 
-// heard tells whether all nodes that are up know that a worker leaves.
-func (f *fleet) heard(y *fakePlatform, name string) bool {
-	id := y.worker(name).ID
-	for _, b := range f.runningNodes() {
-		if w := b.endpoints.Load().find(id); w == nil || !w.Leaving {
+// allNodesKnowLeaving reports whether all running nodes know that a worker is leaving.
+func (f *fleet) allNodesKnowLeaving(platform *fakePlatform, name string) bool {
+	id := platform.worker(name).ID
+	for _, node := range f.runningNodes() {
+		if w := node.endpoints.Load().find(id); w == nil || !w.Leaving {
 			return false
 		}
 	}
 	return true
 }
 
-// TestOneAsker: while all is well the holder of the duty alone asks, and the others hear
-// of a change from it.
-func TestOneAsker(t *testing.T) {
+// TestOnlyHolderListsWorkers: without faults only the holder of the list duty calls the platform, and the
+// other nodes get changes from it.
+func TestOnlyHolderListsWorkers(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
-		f := startFleet(t, 61, 4, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 61, 4, platform, defaultConfiguration(), nil)
 		defer f.close()
 		time.Sleep(6 * time.Second)
-		h := f.lister()
-		require.GreaterOrEqual(t, h, 0)
-		from := y.elapsed()
+		holder := f.listHolder()
+		require.GreaterOrEqual(t, holder, 0)
+		from := platform.elapsed()
 		time.Sleep(10 * time.Second)
-		got := y.lists(from)
-		require.Len(t, got, 1, "%v", got)
-		require.InDelta(t, 14, got[nodeIP(h)], 4)
-		y.withLock(func() { y.worker("svc-decode-1").Leaving = true })
-		require.True(t, f.waitUntil(1500*time.Millisecond, func() bool { return f.heard(y, "svc-decode-1") }))
-		require.Len(t, y.lists(from), 1)
+		counts := platform.listCallsSince(from)
+		require.Len(t, counts, 1, "%v", counts)
+		require.InDelta(t, 14, counts[nodeIP(holder)], 4)
+		platform.withLock(func() { platform.worker("svc-decode-1").Leaving = true })
+		require.True(t, f.waitUntil(1500*time.Millisecond, func() bool { return f.allNodesKnowLeaving(platform, "svc-decode-1") }))
+		require.Len(t, platform.listCallsSince(from), 1)
 	})
 }
 
-// TestListWithoutHolder: the holder dies, or cannot have the list itself: the others ask by
-// themselves until there is a fresh one again, and know of a change in time.
+// TestListWithoutHolder: the holder is killed or frozen, or cannot get the list itself. The other nodes
+// call the platform until a holder has a fresh list again, and learn of changes in time.
 func TestListWithoutHolder(t *testing.T) {
-	for _, how := range []string{"killed", "frozen", "no list"} {
-		t.Run(how, func(t *testing.T) {
+	for _, fault := range []string{"killed", "frozen", "no list"} {
+		t.Run(fault, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
-				f := startFleet(t, 62, 4, y, defaultConfiguration(), nil)
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+				f := startFleet(t, 62, 4, platform, defaultConfiguration(), nil)
 				defer f.close()
 				time.Sleep(6 * time.Second)
-				h := f.lister()
-				require.GreaterOrEqual(t, h, 0)
-				held := f.nodes[h]
-				switch how {
+				holder := f.listHolder()
+				require.GreaterOrEqual(t, holder, 0)
+				holderNode := f.nodes[holder]
+				switch fault {
 				case "killed":
-					f.killNode(h)
+					f.killNode(holder)
 				case "frozen":
-					f.setFrozen(h, true)
+					f.setFrozen(holder, true)
 				default:
-					y.withLock(func() { y.partitionedNodes[nodeIP(h)] = true })
+					platform.withLock(func() { platform.partitionedNodes[nodeIP(holder)] = true })
 				}
-				f.withLock(func() { held.running = false })
+				f.withLock(func() { holderNode.running = false })
 				defer func() {
-					f.withLock(func() { held.running = how != "killed" })
-					f.setFrozen(h, false)
+					f.withLock(func() { holderNode.running = fault != "killed" })
+					f.setFrozen(holder, false)
 				}()
-				from := y.elapsed()
+				from := platform.elapsed()
 				for i, name := range []string{"svc-decode-0", "svc-prefill-0", "svc-decode-2"} {
-					y.withLock(func() { y.worker(name).Leaving = true })
-					require.True(t, f.waitUntil(3*time.Second, func() bool { return f.heard(y, name) }), "change %d", i)
+					platform.withLock(func() { platform.worker(name).Leaving = true })
+					require.True(t, f.waitUntil(3*time.Second, func() bool { return f.allNodesKnowLeaving(platform, name) }), "change %d", i)
 					time.Sleep(300 * time.Millisecond)
 				}
-				require.GreaterOrEqual(t, len(y.lists(from)), 1)
-				for _, b := range f.runningNodes() {
-					require.Less(t, b.now().Since(b.endpoints.Load().requestedAt), 3*time.Second, fmt.Sprint(b.ip))
+				require.GreaterOrEqual(t, len(platform.listCallsSince(from)), 1)
+				for _, node := range f.runningNodes() {
+					require.Less(t, node.now().Since(node.endpoints.Load().requestedAt), 3*time.Second, fmt.Sprint(node.ip))
 				}
 			})
 		})
 	}
 }
 
-// TestSlowList: where a listing takes long, as one of many pages does, the holder's list is
-// old by that alone: the others still hear from it and do not all ask the platform.
+// TestSlowList: if a list call takes long, as it does for a list of many pages, the holder's list is old
+// for that reason alone. The other nodes still get it from the holder and do not all call the platform.
 func TestSlowList(t *testing.T) {
-	for _, long := range []time.Duration{700 * time.Millisecond, time.Second} {
-		t.Run(long.String(), func(t *testing.T) {
+	for _, duration := range []time.Duration{700 * time.Millisecond, time.Second} {
+		t.Run(duration.String(), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
-				y.listDelay = func() time.Duration { return long }
-				f := startFleet(t, 63, 6, y, defaultConfiguration(), nil)
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+				platform.listDelay = func() time.Duration { return duration }
+				f := startFleet(t, 63, 6, platform, defaultConfiguration(), nil)
 				defer f.close()
 				time.Sleep(10 * time.Second)
-				from := y.elapsed()
+				from := platform.elapsed()
 				time.Sleep(10 * time.Second)
-				require.Len(t, y.lists(from), 1, "%v", y.lists(from))
-				y.withLock(func() { y.worker("svc-decode-1").Leaving = true })
-				require.True(t, f.waitUntil(2*long+1500*time.Millisecond, func() bool {
-					return f.heard(y, "svc-decode-1")
+				require.Len(t, platform.listCallsSince(from), 1, "%v", platform.listCallsSince(from))
+				platform.withLock(func() { platform.worker("svc-decode-1").Leaving = true })
+				require.True(t, f.waitUntil(2*duration+1500*time.Millisecond, func() bool {
+					return f.allNodesKnowLeaving(platform, "svc-decode-1")
 				}))
 			})
 		})
 	}
 }
 
-// TestListAfterAllKilled: all nodes are killed and start again at their addresses. The core
-// still names the holder of before, at whose address another process now answers that has no
-// list: each node has one soon all the same.
+// TestListAfterAllKilled: all nodes are killed and restart at their addresses. The core still names the
+// previous holder, and the process that now answers at its address has no list. Every node still gets a
+// list soon.
 func TestListAfterAllKilled(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
-		f := startFleet(t, 69, 5, y, defaultConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 69, 5, platform, defaultConfiguration(), nil)
 		defer f.close()
 		time.Sleep(6 * time.Second)
 		for i := range f.nodes {
@@ -146,8 +147,8 @@
 			f.startNode(i)
 		}
 		require.True(t, f.waitUntil(700*time.Millisecond, func() bool {
-			for _, b := range f.runningNodes() {
-				if ready, _ := b.Ready(); !ready {
+			for _, node := range f.runningNodes() {
+				if ready, _ := node.Ready(); !ready {
 					return false
 				}
 			}
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -1,4 +1,5 @@
-// The retry budget and cold workers: bounds over all nodes that need no message.
+// The retry budget and slow start: limits for the whole fleet that the nodes keep without exchanging
+// messages.
 
 package proxy
 
@@ -17,304 +18,303 @@
 
 const retryBudgetWindow = 10 * time.Second
 
-// TestBudget: however many calls fail, the extra arrivals of all nodes together stay
-// within ratio x requests + allowance in every window, with the core away as well, and
-// whether it is emissions or readings that fail.
-func TestBudget(t *testing.T) {
+// TestRetryBudget: however many calls fail, the extra calls of all nodes together stay within ratio *
+// requests + allowance in every window, also without the core, and whether decodes, prefills or both fail.
+func TestRetryBudget(t *testing.T) {
 	for _, kind := range []string{"emit", "read", "any"} {
-		for _, away := range []bool{false, true} {
-			t.Run(fmt.Sprint(kind, " core-away-", away), func(t *testing.T) {
+		for _, coreOff := range []bool{false, true} {
+			t.Run(fmt.Sprint(kind, " core-away-", coreOff), func(t *testing.T) {
 				runInBubble(t, func(t *testing.T) {
-					y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+					platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
 					rng := rand.New(rand.NewPCG(1, 2))
-					y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-						if (kind == "any" || kind == k.Kind) && rng.IntN(10) < 6 {
+					platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+						if (kind == "any" || kind == call.Kind) && rng.IntN(10) < 6 {
 							return []callOutcome{resetAfterRun, resetBeforeRun, notExecuted, resetMidResponse, memoryLost, foreignResponse}[rng.IntN(6)]
 						}
 						return succeeds
 					}
-					f := startFleet(t, 21, 3, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 6 })
+					f := startFleet(t, 21, 3, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 6 })
 					defer f.close()
-					if away {
+					if coreOff {
 						for _, ip := range coreIPs {
 							f.powerOffCore(ip)
 						}
 						time.Sleep(time.Second)
 					}
-					all := f.generateLoad(40, 25*time.Second, func(i int) *Request {
+					results := f.generateLoad(40, 25*time.Second, func(i int) *Request {
 						return f.newRequest(fmt.Sprint("r", i), []string{"/again/x", "/sresume/x", "/once/x"}[i%3], 400, 4)
 					})
-					rows := y.recordedCalls()
-					require.Empty(t, checkRetryBudget(rows, all, 0.2, 6, retryBudgetWindow))
-					require.Empty(t, checkExecutions(rows, all))
-					require.NotEmpty(t, checkRetryBudget(rows, all, 0.05, 0, retryBudgetWindow), "repeats were made")
+					calls := platform.recordedCalls()
+					require.Empty(t, checkRetryBudget(calls, results, 0.2, 6, retryBudgetWindow))
+					require.Empty(t, checkExecutions(calls, results))
+					require.NotEmpty(t, checkRetryBudget(calls, results, 0.05, 0, retryBudgetWindow), "calls were retried")
 				})
 			})
 		}
 	}
 }
 
-// TestBudgetAfterBurst: a burst of requests does not buy repeats that come once the burst
-// has left the window, wherever the window's slices begin.
-func TestBudgetAfterBurst(t *testing.T) {
+// TestRetryBudgetAfterBurst: a burst of requests doesn't pay for retries that come after the burst has left
+// the window, wherever the window's slices begin.
+func TestRetryBudgetAfterBurst(t *testing.T) {
 	for phase := range 2 {
 		t.Run(fmt.Sprint(phase), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
-				for _, w := range y.workers {
-					w.Concurrency = 200
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+				for _, worker := range platform.workers {
+					worker.Concurrency = 200
 				}
 				routes := defaultRoutes()
 				routes[3].DeadlineMs = 30000
-				f := startFleet(t, 22, 2, y, encodeConfiguration(routes, fleetstate.Service{Name: "svc"}), nil)
+				f := startFleet(t, 22, 2, platform, encodeConfiguration(routes, fleetstate.Service{Name: "svc"}), nil)
 				defer f.close()
 				time.Sleep(12*time.Second + time.Duration(phase)*250*time.Millisecond)
 				var wg sync.WaitGroup
 				var mu sync.Mutex
-				var all []*requestResult
+				var results []*requestResult
 				for i := range 100 {
 					wg.Go(func() {
-						a := f.send(f.nodes[i%2], f.newRequest(fmt.Sprint("r", i), "/sresume/x", 100, 700))
+						result := f.send(f.nodes[i%2], f.newRequest(fmt.Sprint("r", i), "/sresume/x", 100, 700))
 						mu.Lock()
 						defer mu.Unlock()
-						all = append(all, a)
+						results = append(results, result)
 					})
 				}
 				time.Sleep(retryBudgetWindow + 50*time.Millisecond)
 				for i := range 3 {
-					y.restartWorker(fmt.Sprint("svc-decode-", i))
+					platform.restartWorker(fmt.Sprint("svc-decode-", i))
 				}
 				wg.Wait()
-				require.Empty(t, checkResponses(all))
-				require.Empty(t, checkRetryBudget(y.recordedCalls(), all, 0.2, 0, retryBudgetWindow))
+				require.Empty(t, checkResponses(results))
+				require.Empty(t, checkRetryBudget(platform.recordedCalls(), results, 0.2, 0, retryBudgetWindow))
 			})
 		})
 	}
 }
 
-// slowStartConfiguration is a service whose cold workers bear four requests a second.
+// slowStartConfiguration has a service whose cold workers take four requests per second.
 func slowStartConfiguration() []byte {
 	return encodeConfiguration(defaultRoutes(), fleetstate.Service{Name: "svc", Concurrency: 16, SlowStartMs: 6000, SlowStartRate: 4})
 }
 
-const maxSlowStartRate = 11 // 1.5 x 4 + 5
+const maxSlowStartRate = 11 // 1.5 * SlowStartRate + 5
 
-// TestCold: no cold worker gets more than rate x over + spare in any second, however many
-// nodes there are and however fast requests come; it gets some.
-func TestCold(t *testing.T) {
+// TestSlowStartRate: no cold worker gets more than maxSlowStartRate requests in any second, however many
+// nodes there are and however fast requests arrive, but it gets some.
+func TestSlowStartRate(t *testing.T) {
 	for _, nodes := range []int{1, 2, 4} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-				f := startFleet(t, 23, nodes, y, slowStartConfiguration(), nil)
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+				f := startFleet(t, 23, nodes, platform, slowStartConfiguration(), nil)
 				defer f.close()
-				y.restartWorker("svc-decode-1")
-				y.restartWorker("svc-prefill-2")
-				y.withLock(func() {
+				platform.restartWorker("svc-decode-1")
+				platform.restartWorker("svc-prefill-2")
+				platform.withLock(func() {
 					for _, name := range []string{"svc-decode-1", "svc-prefill-2", "svc-decode-2"} {
-						y.worker(name).warmAt = time.Now().Add(6 * time.Second)
+						platform.worker(name).warmAt = time.Now().Add(6 * time.Second)
 					}
 				})
 				time.Sleep(1500 * time.Millisecond)
-				from := y.elapsed()
-				all := f.generateLoad(250, 7*time.Second, func(i int) *Request {
+				from := platform.elapsed()
+				results := f.generateLoad(250, 7*time.Second, func(i int) *Request {
 					return f.newRequest(fmt.Sprint("r", i), "/once/x", 300, 2)
 				})
-				rows := y.recordedCalls()
-				require.Empty(t, coldRate(rows, maxSlowStartRate))
-				require.NotEmpty(t, callsToWorker(rows, "svc-decode-1.2", from, from+4*time.Second), "it is warmed")
-				require.Empty(t, checkExecutions(rows, all))
+				calls := platform.recordedCalls()
+				require.Empty(t, checkSlowStartRate(calls, maxSlowStartRate))
+				require.NotEmpty(t, callsToWorker(calls, "svc-decode-1.2", from, from+4*time.Second), "the cold worker gets requests")
+				require.Empty(t, checkExecutions(calls, results))
 			})
 		})
 	}
 }
 
-// TestColdManyNodes: there are more nodes than a cold worker bears requests: only some send
-// there, so that all together stay within what it bears; the others serve elsewhere.
-func TestColdManyNodes(t *testing.T) {
+// TestSlowStartRateWithManyNodes: there are more nodes than requests that a cold worker can take. Only some
+// of the nodes send requests to it, so that all together stay within its limit; the others use other
+// workers.
+func TestSlowStartRateWithManyNodes(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
-		f := startFleet(t, 29, 9, y, encodeConfiguration(defaultRoutes(), fleetstate.Service{
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 29, 9, platform, encodeConfiguration(defaultRoutes(), fleetstate.Service{
 			Name:          "svc",
 			Concurrency:   16,
 			SlowStartMs:   6000,
 			SlowStartRate: 0.4,
 		}), nil)
 		defer f.close()
-		y.withLock(func() {
+		platform.withLock(func() {
 			for _, name := range []string{"svc-decode-1", "svc-prefill-2"} {
-				y.worker(name).warmAt = time.Now().Add(9 * time.Second)
+				platform.worker(name).warmAt = time.Now().Add(9 * time.Second)
 			}
 		})
 		time.Sleep(2 * time.Second)
-		from := y.elapsed()
-		all := f.generateLoad(200, 5*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 300, 2) })
-		rows := y.recordedCalls()
-		require.Empty(t, coldRate(rows, 5)) // 1.5 x 0.4 + 5
-		require.NotEmpty(t, callsToWorker(rows, "svc-decode-1.1", from, from+4*time.Second), "it is warmed")
-		for _, a := range all {
-			require.NoError(t, a.err)
+		from := platform.elapsed()
+		results := f.generateLoad(200, 5*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 300, 2) })
+		calls := platform.recordedCalls()
+		require.Empty(t, checkSlowStartRate(calls, 5)) // 1.5 * SlowStartRate + 5
+		require.NotEmpty(t, callsToWorker(calls, "svc-decode-1.1", from, from+4*time.Second), "the cold worker gets requests")
+		for _, result := range results {
+			require.NoError(t, result.err)
 		}
 	})
 }
 
-// TestBudgetCutOff: a node is cut off from the core and no longer counts as a member, but
-// goes on serving: the others do not take its part of the allowance meanwhile, also when
-// that goes on for a while. After longer than they remember it, it repeats nothing beyond its
-// ratio.
-func TestBudgetCutOff(t *testing.T) {
-	for _, after := range []time.Duration{0, 60 * time.Second, 5 * time.Minute} {
-		t.Run(after.String(), func(t *testing.T) {
+// TestRetryBudgetOfPartitionedNode: a node that is partitioned from the core no longer counts as a member
+// but continues to serve. The other nodes don't use its share of the allowance, also when the partition
+// lasts a while. After longer than they remember it, the partitioned node retries no more than its ratio.
+func TestRetryBudgetOfPartitionedNode(t *testing.T) {
+	for _, partitionedFor := range []time.Duration{0, 60 * time.Second, 5 * time.Minute} {
+		t.Run(partitionedFor.String(), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				const allow = 100
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
+				const allowance = 100
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
 				rng := rand.New(rand.NewPCG(3, 4))
-				y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-					if k.Kind == "emit" && rng.IntN(10) < 9 {
+				platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+					if call.Kind == "emit" && rng.IntN(10) < 9 {
 						return notExecuted
 					}
 					return succeeds
 				}
-				f := startFleet(t, 30, 2, y, defaultConfiguration(), func(o *Options) { o.RetryAllowance = allow })
+				f := startFleet(t, 30, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = allowance })
 				defer f.close()
 				time.Sleep(time.Second)
 				f.world.Partition([]string{nodeIP(0)}, append([]string{nodeIP(1)}, coreIPs...), true)
 				require.True(t, f.waitUntil(10*time.Second, func() bool { return len(f.nodes[1].agent.Members()) == 1 }))
-				if after > 0 { // the number of nodes is looked at when something is repeated
-					f.generateLoad(2, after, func(i int) *Request { return f.newRequest(fmt.Sprint("b", i), "/again/x", 400, 4) })
+				if partitionedFor > 0 { // a node checks the number of nodes only when it retries
+					f.generateLoad(2, partitionedFor, func(i int) *Request { return f.newRequest(fmt.Sprint("b", i), "/again/x", 400, 4) })
 				}
-				all := f.generateLoad(30, 9*time.Second, func(i int) *Request {
+				results := f.generateLoad(30, 9*time.Second, func(i int) *Request {
 					return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 4)
 				})
-				rows := y.recordedCalls()
-				require.Empty(t, checkRetryBudget(rows, all, 0.2, allow, retryBudgetWindow))
-				require.NotEmpty(t, checkRetryBudget(rows, all, 0.2, allow/2, retryBudgetWindow), "both spend their parts")
+				calls := platform.recordedCalls()
+				require.Empty(t, checkRetryBudget(calls, results, 0.2, allowance, retryBudgetWindow))
+				require.NotEmpty(t, checkRetryBudget(calls, results, 0.2, allowance/2, retryBudgetWindow), "both nodes use their shares")
 			})
 		})
 	}
 }
 
-// TestColdAllNodesStart: workers are cold from the first request on, and all nodes begin
-// at once with no history.
-func TestColdAllNodesStart(t *testing.T) {
+// TestSlowStartWhenAllNodesStart: the workers are cold from the first request on, and all nodes start at
+// once without any history.
+func TestSlowStartWhenAllNodesStart(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		for _, w := range y.workers {
-			w.warmAt = time.Now().Add(20 * time.Second)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		for _, worker := range platform.workers {
+			worker.warmAt = time.Now().Add(20 * time.Second)
 		}
-		f := startFleet(t, 24, 3, y, slowStartConfiguration(), nil)
+		f := startFleet(t, 24, 3, platform, slowStartConfiguration(), nil)
 		defer f.close()
 		f.generateLoad(200, 6*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 300, 2) })
-		require.Empty(t, coldRate(y.recordedCalls(), maxSlowStartRate))
+		require.Empty(t, checkSlowStartRate(platform.recordedCalls(), maxSlowStartRate))
 	})
 }
 
-// TestColdSlowList: the answer to the asking for the list takes its time: a worker does
-// not count as warm before it is.
-func TestColdSlowList(t *testing.T) {
+// TestSlowStartWithSlowList: the list response takes 400 ms. A worker is not treated as warm before it is.
+func TestSlowStartWithSlowList(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
-		f := startFleet(t, 25, 2, y, slowStartConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
+		f := startFleet(t, 25, 2, platform, slowStartConfiguration(), nil)
 		defer f.close()
-		y.withLock(func() {
-			y.listDelay = func() time.Duration { return 400 * time.Millisecond }
-			for _, w := range y.workers {
-				if w.Role == ids.Decode {
-					w.warmAt = time.Now().Add(5 * time.Second)
+		platform.withLock(func() {
+			platform.listDelay = func() time.Duration { return 400 * time.Millisecond }
+			for _, worker := range platform.workers {
+				if worker.Role == ids.Decode {
+					worker.warmAt = time.Now().Add(5 * time.Second)
 				}
 			}
 		})
 		time.Sleep(3 * time.Second)
 		f.generateLoad(200, 5*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 300, 2) })
-		require.Empty(t, coldRate(y.recordedCalls(), maxSlowStartRate))
+		require.Empty(t, checkSlowStartRate(platform.recordedCalls(), maxSlowStartRate))
 	})
 }
 
-// TestColdZoneBack: the workers of a zone that is taken back count as cold from the first
-// request on.
-func TestColdZoneBack(t *testing.T) {
+// TestSlowStartAfterFailback: the workers of a zone whose evacuation ends are treated as cold from the
+// first request on.
+func TestSlowStartAfterFailback(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-		f := startFleet(t, 26, 2, y, slowStartConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+		f := startFleet(t, 26, 2, platform, slowStartConfiguration(), nil)
 		defer f.close()
 		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 		time.Sleep(3 * time.Second)
 		f.wg.Go(func() {
 			time.Sleep(2 * time.Second)
-			y.withLock(func() {
-				for _, w := range y.workers {
-					if w.Zone == "b" {
-						w.warmAt = time.Now().Add(6 * time.Second)
+			platform.withLock(func() {
+				for _, worker := range platform.workers {
+					if worker.Zone == "b" {
+						worker.warmAt = time.Now().Add(6 * time.Second)
 					}
 				}
 			})
 			f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: false})
 		})
 		f.generateLoad(400, 6*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 300, 2) })
-		require.Empty(t, coldRate(y.recordedCalls(), maxSlowStartRate))
+		require.Empty(t, checkSlowStartRate(platform.recordedCalls(), maxSlowStartRate))
 	})
 }
 
-// chilled takes a zone back, of which all workers turn cold at their first request.
-func (f *fleet) chilled(z ids.Zone) {
-	f.platform.withLock(func() { f.platform.coldPeriods = map[ids.Zone]time.Duration{z: 6 * time.Second} })
-	f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: z, Evacuated: false})
+// failBackCold ends the evacuation of a zone whose workers all become cold at their first request.
+func (f *fleet) failBackCold(zone ids.Zone) {
+	f.platform.withLock(func() { f.platform.coldPeriods = map[ids.Zone]time.Duration{zone: 6 * time.Second} })
+	f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: zone, Evacuated: false})
 }
 
-func (f *fleet) ready() bool {
-	for _, n := range f.runningNodes() {
-		if ok, _ := n.Ready(); !ok || len(n.endpoints.Load().workers) == 0 {
+// allNodesReady reports whether all running nodes are ready and have workers on their lists.
+func (f *fleet) allNodesReady() bool {
+	for _, node := range f.runningNodes() {
+		if ready, _ := node.Ready(); !ready || len(node.endpoints.Load().workers) == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// TestColdZoneBackAllStart: a zone is evacuated and taken back, and all nodes lose power and
-// start again at once, with a takeover in between or not: what the workers turn out to be
-// is not on the list yet, and they get no more than cold ones bear. Once the zone is
-// surely warm, nodes that start know nothing of it any more.
-func TestColdZoneBackAllStart(t *testing.T) {
-	for _, over := range []bool{false, true} {
-		t.Run(fmt.Sprint("takeover-", over), func(t *testing.T) {
+// TestSlowStartAfterFailbackAndRestart: a zone is evacuated and failed back, and all nodes are killed and
+// start again at once, with or without a takeover at the core. The list doesn't show yet that the zone's
+// workers are cold, but they get no more requests than cold workers can take. Once the zone must be warm,
+// nodes that start no longer know of the failback.
+func TestSlowStartAfterFailbackAndRestart(t *testing.T) {
+	for _, takeover := range []bool{false, true} {
+		t.Run(fmt.Sprint("takeover-", takeover), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-				f := startFleet(t, 27, 3, y, slowStartConfiguration(), nil)
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+				f := startFleet(t, 27, 3, platform, slowStartConfiguration(), nil)
 				defer f.close()
 				f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 				time.Sleep(3 * time.Second)
-				f.chilled("b")
-				anew := func() {
+				f.failBackCold("b")
+				restartNodes := func() {
 					for i := range f.nodes {
 						f.killNode(i)
 					}
-					if l := f.leader(); over && l != "" {
-						f.powerOffCore(l)
-						defer f.startCore(l)
+					if leader := f.leader(); takeover && leader != "" {
+						f.powerOffCore(leader)
+						defer f.startCore(leader)
 					}
 					for i := range f.nodes {
 						f.startNode(i)
 					}
-					require.True(t, f.waitUntil(10*time.Second, f.ready))
+					require.True(t, f.waitUntil(10*time.Second, f.allNodesReady))
 				}
-				anew()
+				restartNodes()
 				f.generateLoad(400, 4*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 300, 2) })
-				rows := y.recordedCalls()
-				require.Empty(t, coldRate(rows, maxSlowStartRate))
+				calls := platform.recordedCalls()
+				require.Empty(t, checkSlowStartRate(calls, maxSlowStartRate))
 				cold := 0
-				for _, k := range rows {
-					if k.Cold {
+				for _, call := range calls {
+					if call.Cold {
 						cold++
 					}
 				}
-				require.Greater(t, cold, 20, "they are warmed")
+				require.Greater(t, cold, 20, "cold workers get requests")
 				time.Sleep(12 * time.Second)
-				anew()
-				for _, n := range f.runningNodes() {
-					require.Empty(t, n.snapshot().Failbacks)
+				restartNodes()
+				for _, node := range f.runningNodes() {
+					require.Empty(t, node.snapshot().Failbacks)
 					require.Zero(
 						t,
-						n.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{SlowStartMs: 6000}, n.now(), n.now()),
+						node.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{SlowStartMs: 6000}, node.now(), node.now()),
 					)
 				}
 			})
@@ -322,57 +322,56 @@
 	}
 }
 
-// TestColdZoneBackLate: a node that starts some seconds after a zone was taken back, by the
-// core's news or by a peer's with the core away, counts its workers as cold for what
-// is left of their time, not anew.
-func TestColdZoneBackLate(t *testing.T) {
+// TestSlowStartOnNodeStartedAfterFailback: a node that starts some seconds after the failback of a zone
+// treats its workers as cold only for the rest of their slow start, which does not begin again.
+func TestSlowStartOnNodeStartedAfterFailback(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-		f := startFleet(t, 28, 3, y, slowStartConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+		f := startFleet(t, 28, 3, platform, slowStartConfiguration(), nil)
 		defer f.close()
 		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 		time.Sleep(3 * time.Second)
 		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: false})
 		from := time.Now()
 		time.Sleep(4 * time.Second)
-		left := func(i int) time.Duration {
+		remainingAfterStart := func(i int) time.Duration {
 			f.killNode(i)
-			n := f.startNode(i)
-			require.True(t, f.waitUntil(10*time.Second, f.ready))
-			n.snapshot()
-			return n.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{SlowStartMs: 6000}, n.now(), n.now())
+			node := f.startNode(i)
+			require.True(t, f.waitUntil(10*time.Second, f.allNodesReady))
+			node.snapshot()
+			return node.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{SlowStartMs: 6000}, node.now(), node.now())
 		}
-		got := left(0)
-		require.GreaterOrEqual(t, got, time.Until(from.Add(7*time.Second)))
-		require.Less(t, got, time.Until(from.Add(8*time.Second)))
+		remaining := remainingAfterStart(0)
+		require.GreaterOrEqual(t, remaining, time.Until(from.Add(7*time.Second)))
+		require.Less(t, remaining, time.Until(from.Add(8*time.Second)))
 	})
 }
 
-// TestColdZoneBackUnheard: a machine is cut off from all while a zone is evacuated and
-// taken back, and comes back to a load that it has to carry: it sends the zone's workers
-// no more than cold ones bear, from the first request on. Many seeds.
-func TestColdZoneBackUnheard(t *testing.T) {
+// TestSlowStartAfterMissedFailback: a machine is partitioned from all others while a zone is evacuated and
+// failed back, and then returns to a high load. From its first request on it sends the zone's workers no
+// more than cold workers can take.
+func TestSlowStartAfterMissedFailback(t *testing.T) {
 	forEachSeed(t, 6, func(t *testing.T, seed uint64) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-		f := startFleet(t, seed, 3, y, slowStartConfiguration(), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+		f := startFleet(t, seed, 3, platform, slowStartConfiguration(), nil)
 		defer f.close()
 		time.Sleep(2 * time.Second)
-		rest := append([]string{nodeIP(0), nodeIP(2)}, coreIPs...)
-		cut := func(on bool) {
-			f.world.Partition([]string{nodeIP(1)}, rest, on)
-			y.withLock(func() { y.partitionedNodes[nodeIP(1)] = on })
+		others := append([]string{nodeIP(0), nodeIP(2)}, coreIPs...)
+		setPartitioned := func(on bool) {
+			f.world.Partition([]string{nodeIP(1)}, others, on)
+			platform.withLock(func() { platform.partitionedNodes[nodeIP(1)] = on })
 		}
-		cut(true)
+		setPartitioned(true)
 		time.Sleep(time.Second)
 		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 		time.Sleep(5*time.Second + time.Duration(seed)*270*time.Millisecond)
-		f.chilled("b")
+		f.failBackCold("b")
 		time.Sleep(200 * time.Millisecond)
 		f.wg.Go(func() {
 			time.Sleep(700 * time.Millisecond)
-			cut(false)
+			setPartitioned(false)
 		})
 		f.generateLoad(600, 5*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 300, 2) })
-		require.Empty(t, coldRate(y.recordedCalls(), maxSlowStartRate))
+		require.Empty(t, checkSlowStartRate(platform.recordedCalls(), maxSlowStartRate))
 	})
 }
--- a/internal/proxy/tenant_test.go
+++ b/internal/proxy/tenant_test.go
@@ -1,5 +1,5 @@
-// Keys of tenants at the nodes: who is let in, under whose name workers are asked, and what becomes
-// of requests whose key is taken away.
+// Tenant keys on the nodes: which requests are accepted, which tenant the workers see, and what happens to
+// requests whose key is removed.
 
 package proxy
 
@@ -18,38 +18,38 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// tenantPolicy has the usual routes, one that is public, and tenants with a key each: that of
+// tenantConfiguration has the default routes, a public route, and tenants with one key each: the key of
 // amber is key-amber.
-func tenantPolicy(tenants ...string) []byte {
-	p := &fleetstate.Configuration{
+func tenantConfiguration(tenants ...string) []byte {
+	configuration := &fleetstate.Configuration{
 		Routes:   defaultRoutes(),
 		Services: map[string]fleetstate.Service{"svc": {Name: "svc", Concurrency: 16, RoleChangeMs: 1000}},
 		Tenants:  []fleetstate.Tenant{},
 	}
-	open := p.Routes[1]
-	open.Name, open.Prefix, open.Public = "open", "/open/", true
-	p.Routes = append(p.Routes, open)
+	publicRoute := configuration.Routes[1]
+	publicRoute.Name, publicRoute.Prefix, publicRoute.Public = "open", "/open/", true
+	configuration.Routes = append(configuration.Routes, publicRoute)
 	urgent := 0
 	for _, name := range tenants {
 		tenant := fleetstate.Tenant{Name: name, Keys: []string{"key-" + name}}
 		if name == "amber" {
 			tenant.Urgency = &urgent
 		}
-		p.Tenants = append(p.Tenants, tenant)
+		configuration.Tenants = append(configuration.Tenants, tenant)
 	}
-	text, _ := json.Marshal(p)
+	text, _ := json.Marshal(configuration)
 	return text
 }
 
-// keyed is a request that bears a tenant's key.
-func (f *fleet) keyed(id, path, tenant string) *Request {
-	r := f.newRequest(id, path, 400, 3)
-	r.Key = "key-" + tenant
-	return r
+// newTenantRequest returns a request with the key of a tenant.
+func (f *fleet) newTenantRequest(id, path, tenant string) *Request {
+	request := f.newRequest(id, path, 400, 3)
+	request.Key = "key-" + tenant
+	return request
 }
 
-// statusOf is what a caller learns: 200 for a whole answer.
-func statusOf(t *testing.T, err error) int {
+// responseStatus returns the HTTP status that the caller gets: 200 for a complete response.
+func responseStatus(t *testing.T, err error) int {
 	t.Helper()
 	var rejected *RejectedError
 	var aborted *AbortedError
@@ -63,123 +63,125 @@
 	return http.StatusOK
 }
 
-// callsOf lists what came to workers under an id.
-func (p *fakePlatform) callsOf(id string) []callRecord {
+// callsOfRequest lists the prefills and decodes that workers received for a request.
+func (p *fakePlatform) callsOfRequest(id string) []callRecord {
 	var out []callRecord
-	for _, k := range p.recordedCalls() {
-		if k.RequestID == id && (k.Kind == "read" || k.Kind == "emit") {
-			out = append(out, k)
+	for _, call := range p.recordedCalls() {
+		if call.RequestID == id && (call.Kind == "read" || call.Kind == "emit") {
+			out = append(out, call)
 		}
 	}
 	return out
 }
 
-// TestTenantAtWorkers: reads, hedged reads and decodes name the tenant and bear no key, with the
-// tenant's urgency in place of the route's.
-func TestTenantAtWorkers(t *testing.T) {
+// TestWorkersReceiveTenantWithoutKey: prefills, hedged prefills and decodes name the tenant, carry no key,
+// and have the tenant's urgency in place of the route's.
+func TestWorkersReceiveTenantWithoutKey(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
-		f := startFleet(t, 78, 2, y, tenantPolicy("amber", "birch"), func(o *Options) { o.RetryAllowance = 40 })
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
+		f := startFleet(t, 78, 2, platform, tenantConfiguration("amber", "birch"), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
-		form := func(prefix string) func(i int) *Request {
+		request := func(prefix string) func(i int) *Request {
 			return func(i int) *Request {
-				return f.keyed(fmt.Sprint(prefix, i), "/again/x", []string{"amber", "birch"}[i%2])
+				return f.newTenantRequest(fmt.Sprint(prefix, i), "/again/x", []string{"amber", "birch"}[i%2])
 			}
 		}
-		f.generateLoad(40, 2*time.Second, form("warm"))
-		y.withLock(func() { y.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": 2 * time.Second} })
-		all := f.generateLoad(40, 4*time.Second, form("r"))
+		f.generateLoad(40, 2*time.Second, request("warm"))
+		platform.withLock(func() { platform.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": 2 * time.Second} })
+		results := f.generateLoad(40, 4*time.Second, request("r"))
 		time.Sleep(4 * time.Second)
 		hedges := int64(0)
-		for _, b := range f.nodes {
-			hedges += b.counts.Hedges.Load()
+		for _, node := range f.nodes {
+			hedges += node.counts.Hedges.Load()
 		}
 		require.Positive(t, hedges)
-		for _, a := range all {
-			require.NoError(t, a.err)
-			for _, k := range y.callsOf(a.ID) {
-				require.Empty(t, k.Key)
-				require.Equal(t, a.Key, "key-"+k.Tenant)
-				if k.Tenant == "amber" {
-					require.Equal(t, 0, k.Urgency)
+		for _, result := range results {
+			require.NoError(t, result.err)
+			for _, call := range platform.callsOfRequest(result.ID) {
+				require.Empty(t, call.Key)
+				require.Equal(t, result.Key, "key-"+call.Tenant)
+				if call.Tenant == "amber" {
+					require.Equal(t, 0, call.Urgency)
 				} else {
-					require.Equal(t, 5, k.Urgency, "the route's own")
+					require.Equal(t, 5, call.Urgency, "the urgency of the route")
 				}
 			}
 		}
 	})
 }
 
-// TestUnknownKeyRejected: without a known key nothing reaches a worker, but on a public route; a
-// known key names its tenant there too.
+// TestUnknownKeyRejected: a request without a known key reaches a worker only on a public route. On a
+// public route, too, a known key sets the tenant.
 func TestUnknownKeyRejected(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 79, 2, y, tenantPolicy("amber"), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 79, 2, platform, tenantConfiguration("amber"), nil)
 		defer f.close()
-		require.Equal(t, http.StatusUnauthorized, statusOf(t, f.send(f.nodes[0], f.keyed("a", "/once/x", "birch")).err))
-		require.Equal(t, http.StatusUnauthorized, statusOf(t, f.send(f.nodes[1], f.newRequest("b", "/stream/x", 400, 2)).err))
-		for _, b := range f.nodes {
-			require.EqualValues(t, 1, b.counts.Unauthenticated.Load())
+		require.Equal(t, http.StatusUnauthorized, responseStatus(t, f.send(f.nodes[0], f.newTenantRequest("a", "/once/x", "birch")).err))
+		require.Equal(t, http.StatusUnauthorized, responseStatus(t, f.send(f.nodes[1], f.newRequest("b", "/stream/x", 400, 2)).err))
+		for _, node := range f.nodes {
+			require.EqualValues(t, 1, node.counts.Unauthenticated.Load())
 		}
-		require.Empty(t, y.callsOf("a"))
-		require.Empty(t, y.callsOf("b"))
+		require.Empty(t, platform.callsOfRequest("a"))
+		require.Empty(t, platform.callsOfRequest("b"))
 		require.NoError(t, f.send(f.nodes[0], f.newRequest("c", "/open/x", 400, 2)).err)
-		require.NoError(t, f.send(f.nodes[0], f.keyed("d", "/open/x", "amber")).err)
-		for _, k := range y.callsOf("c") {
-			require.Empty(t, k.Tenant)
+		require.NoError(t, f.send(f.nodes[0], f.newTenantRequest("d", "/open/x", "amber")).err)
+		for _, call := range platform.callsOfRequest("c") {
+			require.Empty(t, call.Tenant)
 		}
-		for _, k := range y.callsOf("d") {
-			require.Equal(t, "amber", k.Tenant)
+		for _, call := range platform.callsOfRequest("d") {
+			require.Equal(t, "amber", call.Tenant)
 		}
 	})
 }
 
-// TestUnknownKeyWhileBehind: a node that may be behind cannot tell whether a newer version has a
-// key: it says when to come back, and not that there is no such key.
+// TestUnknownKeyWhileBehind: a node whose configuration may be outdated can't know whether a newer version
+// has a key. It responds with 503 and a retry time, and not with 401.
 func TestUnknownKeyWhileBehind(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-		f := startFleet(t, 80, 3, y, tenantPolicy("amber"), nil)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 80, 3, platform, tenantConfiguration("amber"), nil)
 		defer f.close()
-		cut := f.nodes[2]
-		status := func(id, tenant string) int { return statusOf(t, f.send(cut, f.keyed(id, "/again/x", tenant)).err) }
+		partitioned := f.nodes[2]
+		status := func(id, tenant string) int {
+			return responseStatus(t, f.send(partitioned, f.newTenantRequest(id, "/again/x", tenant)).err)
+		}
 		require.Equal(t, http.StatusUnauthorized, status("a", "birch"))
 		peers := append([]string{f.nodes[0].ip, f.nodes[1].ip}, coreIPs...)
-		f.world.Partition([]string{cut.ip}, peers, true)
+		f.world.Partition([]string{partitioned.ip}, peers, true)
 		time.Sleep(time.Second)
-		require.NoError(t, f.putConfiguration("two", 1, 2, tenantPolicy("amber", "birch")))
+		require.NoError(t, f.putConfiguration("two", 1, 2, tenantConfiguration("amber", "birch")))
 		time.Sleep(caughtUpMaxAge)
-		late := f.send(cut, f.keyed("b", "/again/x", "birch"))
-		require.Equal(t, http.StatusServiceUnavailable, statusOf(t, late.err))
-		require.Positive(t, late.err.(*RejectedError).RetryAfter)
-		f.world.Partition([]string{cut.ip}, peers, false)
+		result := f.send(partitioned, f.newTenantRequest("b", "/again/x", "birch"))
+		require.Equal(t, http.StatusServiceUnavailable, responseStatus(t, result.err))
+		require.Positive(t, result.err.(*RejectedError).RetryAfter)
+		f.world.Partition([]string{partitioned.ip}, peers, false)
 		require.True(t, f.waitUntil(5*time.Second, func() bool { return f.currentOnAllNodes(2) }))
-		require.True(t, f.waitUntil(5*time.Second, func() bool { return cut.agent.CaughtUp(caughtUpMaxAge) }))
+		require.True(t, f.waitUntil(5*time.Second, func() bool { return partitioned.agent.CaughtUp(caughtUpMaxAge) }))
 		require.Equal(t, http.StatusOK, status("c", "birch"))
 		require.Equal(t, http.StatusUnauthorized, status("d", "cedar"))
 	})
 }
 
-// TestDroppedKeyIsNotSentAgain: a request whose key is taken away while it waits for its prompt, for
-// a connection or for a worker that says nothing is not sent any more; its caller learns that from
-// the status only where it has run nowhere.
-func TestDroppedKeyIsNotSentAgain(t *testing.T) {
+// TestRequestWithRemovedKeyIsNotRetried: the key of a request is removed while the request waits for its
+// prefill, for a connection or for a worker that does not respond. The request is not sent again, and its
+// caller gets 401 only if it was executed nowhere.
+func TestRequestWithRemovedKeyIsNotRetried(t *testing.T) {
 	const wait = 1500 * time.Millisecond
 	for name, waiting := range map[string]struct {
-		arrange func(y *fakePlatform)
-		emits   int
+		arrange func(platform *fakePlatform)
+		decodes int
 		status  int
 	}{
-		"prompt": {func(y *fakePlatform) {
-			y.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": wait, "svc-prefill-1": wait}
+		"prompt": {func(platform *fakePlatform) {
+			platform.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": wait, "svc-prefill-1": wait}
 		}, 0, http.StatusUnauthorized},
-		"connection": {func(y *fakePlatform) {
-			y.unreachable = map[string]time.Duration{"svc-decode-0:90": wait, "svc-decode-1:90": wait, "svc-decode-2:90": wait}
+		"connection": {func(platform *fakePlatform) {
+			platform.unreachable = map[string]time.Duration{"svc-decode-0:90": wait, "svc-decode-1:90": wait, "svc-decode-2:90": wait}
 		}, 0, http.StatusUnauthorized},
-		"silence": {func(y *fakePlatform) {
-			y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-				if k.Kind == "emit" {
+		"silence": {func(platform *fakePlatform) {
+			platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+				if call.Kind == "emit" {
 					return silentBeforeRun
 				}
 				return succeeds
@@ -188,70 +190,70 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
-				f := startFleet(t, 81, 2, y, tenantPolicy("amber", "birch"), func(o *Options) { o.RetryAllowance = 40 })
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+				f := startFleet(t, 81, 2, platform, tenantConfiguration("amber", "birch"), func(o *Options) { o.RetryAllowance = 40 })
 				defer f.close()
-				y.withLock(func() { waiting.arrange(y) })
-				ended := make(chan *requestResult, 1)
-				f.wg.Go(func() { ended <- f.send(f.nodes[0], f.keyed("r", "/again/x", "amber")) })
+				platform.withLock(func() { waiting.arrange(platform) })
+				done := make(chan *requestResult, 1)
+				f.wg.Go(func() { done <- f.send(f.nodes[0], f.newTenantRequest("r", "/again/x", "amber")) })
 				time.Sleep(200 * time.Millisecond)
-				require.NoError(t, f.putConfiguration("two", 1, 2, tenantPolicy("birch")))
+				require.NoError(t, f.putConfiguration("two", 1, 2, tenantConfiguration("birch")))
 				require.True(t, f.waitUntil(500*time.Millisecond, func() bool { return f.currentOnAllNodes(2) }))
-				y.withLock(func() { y.unreachable = nil })
-				a := <-ended
-				require.Equal(t, waiting.status, statusOf(t, a.err))
-				emits := 0
-				for _, k := range y.callsOf("r") {
-					if k.Kind == "emit" {
-						emits++
+				platform.withLock(func() { platform.unreachable = nil })
+				result := <-done
+				require.Equal(t, waiting.status, responseStatus(t, result.err))
+				decodes := 0
+				for _, call := range platform.callsOfRequest("r") {
+					if call.Kind == "emit" {
+						decodes++
 					}
 				}
-				require.Equal(t, waiting.emits, emits)
+				require.Equal(t, waiting.decodes, decodes)
 				require.EqualValues(t, 1, f.nodes[0].counts.Unauthenticated.Load())
 				time.Sleep(2 * time.Second)
-				require.Empty(t, leakedHandles(y), "the memory of its prompt is given back")
+				require.Empty(t, leakedHandles(platform), "the memory of its prompt is freed")
 			})
 		})
 	}
 }
 
-// TestDroppedKeyIsNotHedged: a prompt that takes long is not read at a second worker besides once
-// the key of its request has been taken away.
-func TestDroppedKeyIsNotHedged(t *testing.T) {
-	patient := func(tenants ...string) []byte {
-		var p fleetstate.Configuration
-		require.NoError(t, json.Unmarshal(tenantPolicy(tenants...), &p))
-		for i := range p.Routes {
-			p.Routes[i].LatencyTargetMs = p.Routes[i].DeadlineMs
+// TestRequestWithRemovedKeyIsNotHedged: a slow prefill is not hedged at a second worker once the key of its
+// request has been removed.
+func TestRequestWithRemovedKeyIsNotHedged(t *testing.T) {
+	withTargetAtDeadline := func(tenants ...string) []byte {
+		var configuration fleetstate.Configuration
+		require.NoError(t, json.Unmarshal(tenantConfiguration(tenants...), &configuration))
+		for i := range configuration.Routes {
+			configuration.Routes[i].LatencyTargetMs = configuration.Routes[i].DeadlineMs
 		}
-		text, _ := json.Marshal(&p)
+		text, _ := json.Marshal(&configuration)
 		return text
 	}
 	for _, dropped := range []bool{false, true} {
 		t.Run(fmt.Sprint("dropped-", dropped), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
-				y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
-				f := startFleet(t, 83, 1, y, patient("amber", "birch"), func(o *Options) {
+				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+				f := startFleet(t, 83, 1, platform, withTargetAtDeadline("amber", "birch"), func(o *Options) {
 					o.RetryAllowance, o.HedgeFactor = 40, 40
 				})
 				defer f.close()
-				f.generateLoad(40, time.Second, func(i int) *Request { return f.keyed(fmt.Sprint("warm", i), "/again/x", "amber") })
-				y.withLock(func() {
-					y.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": 3 * time.Second, "svc-prefill-1": 3 * time.Second}
+				f.generateLoad(40, time.Second, func(i int) *Request { return f.newTenantRequest(fmt.Sprint("warm", i), "/again/x", "amber") })
+				platform.withLock(func() {
+					platform.extraPrefillTime = map[string]time.Duration{"svc-prefill-0": 3 * time.Second, "svc-prefill-1": 3 * time.Second}
 				})
-				f.wg.Go(func() { f.send(f.nodes[0], f.keyed("r", "/again/x", "amber")) })
+				f.wg.Go(func() { f.send(f.nodes[0], f.newTenantRequest("r", "/again/x", "amber")) })
 				tenants := []string{"birch"}
 				if !dropped {
 					tenants = []string{"amber", "birch"}
 				}
-				require.NoError(t, f.putConfiguration("two", 1, 2, patient(tenants...)))
+				require.NoError(t, f.putConfiguration("two", 1, 2, withTargetAtDeadline(tenants...)))
 				require.True(t, f.waitUntil(500*time.Millisecond, func() bool { return f.currentOnAllNodes(2) }))
-				require.Len(t, y.callsOf("r"), 1)
+				require.Len(t, platform.callsOfRequest("r"), 1)
 				time.Sleep(2 * time.Second)
 				if dropped {
-					require.Len(t, y.callsOf("r"), 1)
+					require.Len(t, platform.callsOfRequest("r"), 1)
 				} else {
-					require.Len(t, y.callsOf("r"), 2)
+					require.Len(t, platform.callsOfRequest("r"), 2)
 				}
 				time.Sleep(4 * time.Second)
 			})
@@ -259,74 +261,74 @@
 	}
 }
 
-// TestMovedKeyNamesItsNewTenant: a request that is sent again after its key went to another tenant
-// names that one.
-func TestMovedKeyNamesItsNewTenant(t *testing.T) {
+// TestRetryUsesNewTenantOfKey: a request that is retried after its key moved to another tenant names the
+// new tenant.
+func TestRetryUsesNewTenantOfKey(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
-		f := startFleet(t, 84, 2, y, tenantPolicy("amber"), func(o *Options) { o.RetryAllowance = 40 })
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
+		f := startFleet(t, 84, 2, platform, tenantConfiguration("amber"), func(o *Options) { o.RetryAllowance = 40 })
 		defer f.close()
-		y.withLock(func() {
+		platform.withLock(func() {
 			silent := true
-			y.outcome = func(k callRecord, _ *fakeWorker) callOutcome {
-				if k.Kind != "emit" || !silent {
+			platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
+				if call.Kind != "emit" || !silent {
 					return succeeds
 				}
 				silent = false
 				return silentBeforeRun
 			}
 		})
-		ended := make(chan *requestResult, 1)
-		f.wg.Go(func() { ended <- f.send(f.nodes[0], f.keyed("r", "/again/x", "amber")) })
+		done := make(chan *requestResult, 1)
+		f.wg.Go(func() { done <- f.send(f.nodes[0], f.newTenantRequest("r", "/again/x", "amber")) })
 		time.Sleep(200 * time.Millisecond)
-		moved := bytes.Replace(tenantPolicy("amber"), []byte(`"name":"amber"`), []byte(`"name":"birch"`), 1)
+		moved := bytes.Replace(tenantConfiguration("amber"), []byte(`"name":"amber"`), []byte(`"name":"birch"`), 1)
 		require.NoError(t, f.putConfiguration("two", 1, 2, moved))
-		require.NoError(t, (<-ended).err)
+		require.NoError(t, (<-done).err)
 		var names []string
-		for _, k := range y.callsOf("r") {
-			if k.Kind == "emit" {
-				names = append(names, k.Tenant)
+		for _, call := range platform.callsOfRequest("r") {
+			if call.Kind == "emit" {
+				names = append(names, call.Tenant)
 			}
 		}
 		require.Equal(t, []string{"amber", "birch"}, names)
 	})
 }
 
-// TestAddedKeyIsNotMissed: while versions that add keys come one after the other, a request with a
-// key is never rejected for it once its version is in force at the node that takes the request.
-func TestAddedKeyIsNotMissed(t *testing.T) {
+// TestAddedKeyIsAccepted: while successive versions add keys, a request with an added key is never rejected
+// once its version is current on the node that gets the request.
+func TestAddedKeyIsAccepted(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		y := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
 		names := []string{"amber"}
-		f := startFleet(t, 82, 2, y, tenantPolicy(names...), nil)
+		f := startFleet(t, 82, 2, platform, tenantConfiguration(names...), nil)
 		defer f.close()
 		for i := range 10 {
 			name := fmt.Sprint("tenant-", i)
 			names = append(names, name)
 			version := ids.Version(i + 1)
-			require.NoError(t, f.putConfiguration(ids.OpID(name), version, version+1, tenantPolicy(names...)))
-			for j, b := range f.nodes {
-				require.True(t, f.waitUntil(2*time.Second, func() bool { return b.view.Current().Version > version }))
-				require.NoError(t, f.send(b, f.keyed(fmt.Sprint(name, "-", j), "/once/x", name)).err)
+			require.NoError(t, f.putConfiguration(ids.OpID(name), version, version+1, tenantConfiguration(names...)))
+			for j, node := range f.nodes {
+				require.True(t, f.waitUntil(2*time.Second, func() bool { return node.view.Current().Version > version }))
+				require.NoError(t, f.send(node, f.newTenantRequest(fmt.Sprint(name, "-", j), "/once/x", name)).err)
 			}
 		}
 	})
 }
 
-// TestUrgencyClassesOfTenants: the classes by which requests are refused early are those of the
-// tenants where they have an urgency, and of the route for others and for requests without a key.
+// TestUrgencyClassesOfTenants: the classes for early rejection are the urgencies of the tenants that have
+// one, and the route's urgency for other tenants and for requests without a key.
 func TestUrgencyClassesOfTenants(t *testing.T) {
 	urgency := func(n int) *int { return &n }
-	c := &fleetstate.Configuration{
+	configuration := &fleetstate.Configuration{
 		Routes: []fleetstate.Route{{Service: "closed", Urgency: 5}, {Service: "open", Urgency: 6, Public: true}},
 		Tenants: []fleetstate.Tenant{
 			{Name: "amber", Urgency: urgency(1)}, {Name: "birch", Urgency: urgency(1)}, {Name: "cedar", Urgency: urgency(3)},
 		},
 	}
-	classes := func() map[string][]int { return urgencyClasses(&fleetstate.Snapshot{Configuration: c}) }
+	classes := func() map[string][]int { return urgencyClasses(&fleetstate.Snapshot{Configuration: configuration}) }
 	require.Equal(t, map[string][]int{"closed": {3, 1}, "open": {6, 3, 1}}, classes())
-	c.Tenants[1].Urgency = nil
+	configuration.Tenants[1].Urgency = nil
 	require.Equal(t, map[string][]int{"closed": {5, 3, 1}, "open": {6, 3, 1}}, classes())
-	c.Tenants = nil
+	configuration.Tenants = nil
 	require.Equal(t, map[string][]int{"closed": {5}, "open": {6}}, classes())
 }
--- /dev/null
+++ b/internal/proxy/unconfirmed_core_test.go
@@ -0,0 +1,62 @@
+// Nodes while the primary of the core can't confirm versions to any node, or can't renew one node in time.
+
+package proxy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"keelstair.example/host/simulated"
+	"keelstair.example/internal/fleetstate"
+)
+
+// TestCoreWithoutBackupsMakesNoNodeRefuse: the primary accepts connections but can't confirm any node
+// without its backups. No node rejects requests.
+func TestCoreWithoutBackupsMakesNoNodeRefuse(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
+		f := startFleet(t, 1, 3, platform, defaultConfiguration(), nil)
+		defer f.close()
+		leader := f.leader()
+		for _, ip := range coreIPs {
+			if ip != leader {
+				f.powerOffCore(ip)
+			}
+		}
+		f.generateLoad(20, 8*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 2) })
+		for _, node := range f.nodes {
+			require.Zero(t, node.counts.RejectedStale.Load(), node.ip)
+		}
+	})
+}
+
+// TestNodeWithoutRenewalsServesNoOldVersion: the renewals of one node arrive late although it can reach the
+// primary. It doesn't serve a version longer than ApplyMax after a newer one was acknowledged.
+func TestNodeWithoutRenewalsServesNoOldVersion(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		const answerRate = 100 // bytes per second
+		platform := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
+		f := startFleet(t, 2, 3, platform, defaultConfiguration(), nil)
+		defer f.close()
+		slowNode := f.nodes[1]
+		f.world.SetLink(f.leader(), slowNode.ip, simulated.Link{Delay: time.Millisecond, BytesPerSecond: answerRate})
+		time.Sleep(100 * time.Millisecond)
+		routes := defaultRoutes()
+		routes[0].Service = "other"
+		require.NoError(t, f.putConfiguration("two", 1, 2, encodeConfiguration(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})))
+		acknowledged := time.Now()
+		for i := 0; time.Since(acknowledged) < 6*time.Second; i++ {
+			since := time.Since(acknowledged)
+			result := f.send(slowNode, f.newRequest(fmt.Sprint("late-", i), "/once/x", 400, 2))
+			for _, call := range platform.recordedCalls() {
+				if since > slowNode.options.ApplyMax && call.RequestID == result.ID {
+					require.Contains(t, string(call.Worker), "other", "sent %v after the acknowledgement", since)
+				}
+			}
+			time.Sleep(100 * time.Millisecond)
+		}
+	})
+}
--- a/internal/proxy/unraced_test.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build !race
-
-package proxy
-
-const raceDetectorEnabled = false
