--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -196,11 +196,11 @@
 // a flat fleet and down a tree of three levels.
 func TestLeavingWorkerIsPushed(t *testing.T) {
 	// In a flat fleet the nodes poll the holder every 200 to 300 ms; in a tree a response waits for a change.
-	for flat, limit := range map[int]time.Duration{96: 350 * time.Millisecond, 1: 100 * time.Millisecond} {
-		t.Run(fmt.Sprint(flat), func(t *testing.T) {
+	for maxFlatNodes, limit := range map[int]time.Duration{96: 350 * time.Millisecond, 1: 100 * time.Millisecond} {
+		t.Run(fmt.Sprint(maxFlatNodes), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 6, 6)...)
-				f := startFleet(t, 64, 12, platform, defaultConfiguration(), withListTree(flat))
+				f := startFleet(t, 64, 12, platform, defaultConfiguration(), withListTree(maxFlatNodes))
 				defer f.close()
 				time.Sleep(6 * time.Second)
 				slowest := time.Duration(0)
