--- a/failure/failure.go
+++ b/failure/failure.go
@@ -1,10 +1,10 @@
-// Package failure is the typed error of all parts of keelstair. An Error carries a kind that
-// callers may branch on, the step at which it arose, the peer that was spoken to, and its
-// cause. errors.As finds the outermost one, errors.Is its cause.
+// Package failure defines the error type that all components of keelstair use. An Error has a
+// kind that callers may branch on, the step at which it occurred, the peer involved, and its
+// cause. errors.As finds the outermost Error of a chain, and errors.Is finds its cause.
 //
-// Kinds are few on purpose. Each states what has happened, above all whether the operation may
-// have been executed, and so whether it may be retried. An error of another source has the
-// kind OutcomeUnknown until it is given one with As.
+// There are few kinds on purpose. Each states what has happened, above all whether the operation
+// may have been executed, and therefore whether it may be retried. An error of another type has
+// the kind OutcomeUnknown until As assigns it another one.
 package failure
 
 import (
@@ -12,30 +12,33 @@
 	"fmt"
 )
 
-// Kind classifies an error by what is known of the operation that failed.
+// Kind classifies an error by what is known about the failed operation.
 type Kind string
 
 // The kinds of errors. Their values are part of the protocol between processes.
 const (
-	// NotExecuted: it was certainly not done; it may be retried, also elsewhere.
+	// NotExecuted means that the operation was certainly not executed. It may be retried, on the
+	// same or on another peer.
 	NotExecuted Kind = "bounced"
-	// OutcomeUnknown: it may have been done. Only what is idempotent may be retried.
+	// OutcomeUnknown means that the operation may have been executed. It may be retried only if it
+	// is idempotent.
 	OutcomeUnknown Kind = "unknown"
-	// Stale: it was not done, since a newer version, fencing token or epoch is in force.
+	// Stale means that the operation was not executed, because a newer version, fencing token or
+	// epoch is in force.
 	Stale Kind = "stale"
-	// DataLost: the peer, or the memory that the operation needs, is gone for good.
+	// DataLost means that the peer, or the memory that the operation needs, is permanently lost.
 	DataLost Kind = "lost"
-	// InvalidArgument: the request is wrong and fails wherever it is sent.
+	// InvalidArgument means that the request is invalid and fails on every peer.
 	InvalidArgument Kind = "bad"
-	// Unavailable: nobody can serve it at this time.
+	// Unavailable means that no peer can serve the request at present.
 	Unavailable Kind = "away"
 )
 
-// Error is an error of a kind.
+// Error is an error with a kind.
 type Error struct {
 	Kind Kind
-	Step string // at which it arose
-	Peer string // that was spoken to, by address or id; may be empty
+	Step string // at which the error occurred
+	Peer string // address or ID of the peer involved; may be empty
 	Err  error  // the cause; never nil
 }
 
@@ -50,20 +53,20 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// New returns an Error of a kind that arose at a step. The peer may be empty. The cause is the
-// formatted text.
+// New returns an Error with the given kind, step and peer, whose cause is the formatted text.
+// The peer may be empty.
 func New(kind Kind, step, peer, format string, args ...any) error {
 	return &Error{Kind: kind, Step: step, Peer: peer, Err: fmt.Errorf(format, args...)}
 }
 
-// Wrap adds the step and the peer at which err arose, and keeps its kind. It returns nil for
-// nil.
+// Wrap returns err with the step and the peer at which it occurred, and keeps its kind. It
+// returns nil if err is nil.
 func Wrap(err error, step, peer string) error {
 	return As(err, KindOf(err), step, peer)
 }
 
 // As returns err with the given kind instead of its own, and adds the step and the peer. It
-// returns nil for nil.
+// returns nil if err is nil.
 func As(err error, kind Kind, step, peer string) error {
 	if err == nil {
 		return nil
@@ -71,8 +74,8 @@
 	return &Error{Kind: kind, Step: step, Peer: peer, Err: err}
 }
 
-// KindOf returns the kind of err, or OutcomeUnknown where it has none. Of several kinds in a
-// chain of wrapped errors it is the outermost.
+// KindOf returns the kind of the outermost Error in the chain of err, or OutcomeUnknown if there
+// is none.
 func KindOf(err error) Kind {
 	if e := outermost(err); e != nil {
 		return e.Kind
@@ -80,7 +83,7 @@
 	return OutcomeUnknown
 }
 
-// Step returns the outermost step at which err arose, or "" where it carries none.
+// Step returns the step of the outermost Error in the chain of err, or "" if there is none.
 func Step(err error) string {
 	if e := outermost(err); e != nil {
 		return e.Step
@@ -88,7 +91,7 @@
 	return ""
 }
 
-// Peer returns the outermost peer that err names, or "" where it carries none.
+// Peer returns the peer of the outermost Error in the chain of err, or "" if there is none.
 func Peer(err error) string {
 	if e := outermost(err); e != nil {
 		return e.Peer
@@ -96,16 +99,16 @@
 	return ""
 }
 
-// outermost returns the first Error in a chain of wrapped errors, or nil; of joined errors the
-// first one counts.
+// outermost returns the first Error in the chain of err, or nil. It searches joined errors in
+// order.
 func outermost(err error) *Error {
 	var e *Error
 	errors.As(err, &e)
 	return e
 }
 
-// Is reports whether err is an error of the kind. It is false for nil.
+// Is reports whether err has the kind. It returns false if err is nil.
 func Is(err error, kind Kind) bool { return err != nil && KindOf(err) == kind }
 
-// Join returns an error that wraps all the given ones, like errors.Join: nil where all are.
+// Join returns an error that wraps all given errors, like errors.Join, or nil if all are nil.
 func Join(errs ...error) error { return errors.Join(errs...) }
--- a/failure/failure_test.go
+++ b/failure/failure_test.go
@@ -8,27 +8,27 @@
 )
 
 func TestKindOf(t *testing.T) {
-	made := New(NotExecuted, "dial", "10.0.0.1:80", "%d tries", 3)
+	created := New(NotExecuted, "dial", "10.0.0.1:80", "%d tries", 3)
 	for _, c := range []struct {
 		name string
 		err  error
 		want Kind
 	}{
-		{"foreign", io.EOF, OutcomeUnknown},
-		{"made", made, NotExecuted},
-		{"wrapped", Wrap(made, "send", ""), NotExecuted},
-		{"foreign wrapped", Wrap(io.EOF, "send", ""), OutcomeUnknown},
-		{"given another", As(made, DataLost, "send", ""), DataLost},
-		{"foreign given one", As(io.EOF, Stale, "read", ""), Stale},
-		{"wrapped by fmt", fmt.Errorf("again: %w", made), NotExecuted},
-		{"joined", Join(made, New(Stale, "send", "", "old")), NotExecuted},
+		{"other type", io.EOF, OutcomeUnknown},
+		{"created by New", created, NotExecuted},
+		{"wrapped", Wrap(created, "send", ""), NotExecuted},
+		{"other type, wrapped", Wrap(io.EOF, "send", ""), OutcomeUnknown},
+		{"given another kind", As(created, DataLost, "send", ""), DataLost},
+		{"other type, given a kind", As(io.EOF, Stale, "read", ""), Stale},
+		{"wrapped by fmt", fmt.Errorf("again: %w", created), NotExecuted},
+		{"joined", Join(created, New(Stale, "send", "", "old")), NotExecuted},
 	} {
 		if got := KindOf(c.err); got != c.want || !Is(c.err, c.want) {
-			t.Errorf("%s: %s, not %s", c.name, got, c.want)
+			t.Errorf("%s: got kind %s, want %s", c.name, got, c.want)
 		}
 	}
 	if Is(nil, OutcomeUnknown) {
-		t.Error("nil is of no kind")
+		t.Error("Is(nil) is true, but nil has no kind")
 	}
 }
 
@@ -51,13 +51,13 @@
 
 func TestCauseAndNil(t *testing.T) {
 	if !errors.Is(As(Wrap(io.EOF, "read", "a"), DataLost, "stream", "b"), io.EOF) {
-		t.Error("the cause is lost")
+		t.Error("errors.Is does not find the cause")
 	}
 	if Wrap(nil, "read", "a") != nil || As(nil, DataLost, "read", "a") != nil || Join(nil, nil) != nil {
-		t.Error("nil became an error")
+		t.Error("Wrap, As or Join of nil is not nil")
 	}
 	if !errors.Is(Join(io.EOF, io.ErrClosedPipe), io.ErrClosedPipe) {
-		t.Error("a joined error is lost")
+		t.Error("errors.Is does not find a joined error")
 	}
 }
 
@@ -66,6 +66,6 @@
 	if !errors.As(
 		fmt.Errorf("again: %w", New(Stale, "apply", "a", "old")), &e,
 	) || e.Kind != Stale || e.Step != "apply" || e.Peer != "a" {
-		t.Errorf("errors.As gave %+v", e)
+		t.Errorf("errors.As found %+v", e)
 	}
 }
--- a/ids/doc.go
+++ b/ids/doc.go
@@ -1,6 +1,6 @@
-// Package ids holds the small types that all planes of keelstair share: identifiers,
-// versions, fencing tokens and times, and hashes that are equal on every machine.
+// Package ids defines small types that all components of keelstair share: identifiers,
+// versions, fencing tokens and times, and hash functions with the same results on every machine.
 //
-// Each is a type of its own, so that an epoch is never taken for a fence nor a wall time
-// for a tick.
+// Each is a distinct type, so that the compiler rejects an epoch where a fencing token is
+// expected, or a wall time where a tick is expected.
 package ids
--- a/ids/hash_test.go
+++ b/ids/hash_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestHash: assignments that are derived from hashes must not change with a version of the
-// code.
+// TestHash compares results of Hash and Mix with fixed values, because assignments derived from
+// them must be the same in all versions of the code.
 func TestHash(t *testing.T) {
 	for s, want := range map[string]uint64{
 		"":       14695981039346656037,
@@ -11,10 +11,10 @@
 		"foobar": 0x85944171f73967e8,
 	} {
 		if got := Hash(s); got != want {
-			t.Errorf("%q: %x, not %x", s, got, want)
+			t.Errorf("Hash(%q) = %x, want %x", s, got, want)
 		}
 	}
 	if got := Mix(1); got != 0xb456bcfc34c2cb2c {
-		t.Errorf("%x", got)
+		t.Errorf("Mix(1) = %x", got)
 	}
 }
--- a/ids/ids.go
+++ b/ids/ids.go
@@ -2,54 +2,55 @@
 
 import "cmp"
 
-// Epoch numbers the terms of leadership of the coordination core. It only grows.
+// Epoch is the number of a leadership term of the coordination core. It only increases.
 type Epoch uint64
 
-// Seq is the position of an entry in the core's log. Each entry has one more than the last.
+// Seq is the position of an entry in the core's log. Positions are consecutive.
 type Seq uint64
 
-// Fence is a fencing token: the core gives a greater one with every grant of a lease, and
-// whoever obeys the holder refuses an order with a smaller one than it has seen.
+// Fence is a fencing token. The core issues a greater one with every grant of a lease, and the
+// recipients of the lease holder's orders reject an order whose token is smaller than one that
+// they have seen.
 type Fence uint64
 
-// Version numbers the configurations of the fleet in the order in which they were staged.
+// Version is the number of a fleet configuration, in the order in which configurations were staged.
 type Version uint64
 
-// NodeID names one run of a node's process: its configured name and a random part that is
-// drawn at each start.
+// NodeID identifies one run of a node's process. It consists of the configured name and a random
+// part that is generated at each start.
 type NodeID string
 
-// DiskID names the disk of a machine of the core. It is drawn when the disk is first used
-// and stored there, so it stays the same over restarts and changes of address.
+// DiskID identifies the disk of a core member's machine. It is generated when the disk is first
+// used and stored on it, so it survives restarts and changes of address.
 type DiskID string
 
-// WorkerID names a worker, as the platform lists it.
+// WorkerID identifies a worker, as listed by the platform.
 type WorkerID string
 
-// Incarnation names one run of a worker's process; it is another one after every start.
+// Incarnation identifies one run of a worker's process. It changes with every start.
 type Incarnation string
 
-// Zone names a failure domain of the platform.
+// Zone is the name of a failure domain of the platform.
 type Zone string
 
-// Key names a duty of which the core leases at most one holder at a time.
+// Key identifies a duty, which the core leases to at most one holder at a time.
 type Key string
 
-// OpID names an operation on the core's state. An operation that is submitted again under
-// the same id is applied once, as long as the core remembers the id.
+// OpID identifies an operation on the core's state. An operation that is submitted repeatedly
+// with the same ID is applied once, as long as the core remembers the ID.
 type OpID string
 
-// Role is the part that a worker plays in serving requests.
+// Role is the phase of request processing that a worker performs.
 type Role string
 
-// The parts of workers.
+// Roles of workers.
 const (
-	Prefill Role = "prefill" // reads prompts into KV cache
+	Prefill Role = "prefill" // processes prompts into KV cache
 	Decode  Role = "decode"  // generates tokens
 )
 
-// Blocks returns how many KV cache blocks of size tokens each are needed for so many
-// tokens. It is 0 where size isn't positive.
+// Blocks returns the number of KV cache blocks of size tokens each that are needed for the given
+// number of tokens. It returns 0 if size isn't positive.
 func Blocks(tokens, size int) int {
 	if size <= 0 {
 		return 0
@@ -57,7 +58,7 @@
 	return (tokens + size - 1) / size
 }
 
-// SetDefault sets a value that is zero to its default.
+// SetDefault sets *value to fallback if it is the zero value.
 func SetDefault[T comparable](value *T, fallback T) {
 	*value = cmp.Or(*value, fallback)
 }
--- a/ids/tick.go
+++ b/ids/tick.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Tick is a reading of a machine's monotonic clock in nanoseconds. That clock never steps
-// back and goes on while the machine sleeps. Ticks of different machines, or from before
-// and after a restart of a machine, can't be compared. Wall time is for logs only.
+// Tick is a reading of a machine's monotonic clock in nanoseconds. The clock never goes
+// backwards and continues to run while the machine is suspended. Ticks of different machines,
+// or from before and after a restart of a machine, can't be compared. Wall time is used for
+// logs only.
 type Tick int64
 
 // Add returns the tick that is d after t.
 func (t Tick) Add(d time.Duration) Tick { return t + Tick(d) }
 
-// Since returns the time from u to t; it is negative if u is the later one.
+// Since returns the time from u to t. It is negative if u is later than t.
 func (t Tick) Since(u Tick) time.Duration { return time.Duration(t - u) }
 
 // Before reports whether t is earlier than u.
--- a/logging/doc.go
+++ b/logging/doc.go
@@ -1,4 +1,4 @@
-// Package logging keeps what a process has seen in bounded memory: a ring of log lines that
-// is written out only when an error is logged (warnings are written out at once), and a journal
-// of typed events from which views are computed.
+// Package logging keeps recent log lines and events of a process in bounded memory: a ring
+// buffer of log lines, which is written out only when an error is logged (warnings are written
+// out immediately), and a journal of typed events from which views are computed.
 package logging
--- a/logging/journal.go
+++ b/logging/journal.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Journal is a sequence of events in memory. Views are computed from it as events come; it
-// keeps the newest events only, and the views keep what they need. It is safe for
-// concurrent use.
+// Journal is a sequence of events in memory. Its subscribers compute views from the events as
+// they are appended. The journal keeps only the newest events; views keep whatever else they
+// need. It is safe for concurrent use.
 type Journal[E any] struct {
 	mu          sync.Mutex
 	capacity    int
@@ -13,19 +13,19 @@
 	subscribers []func(E)
 }
 
-// NewJournal returns an empty journal that keeps at least the newest keep events, and fewer
-// than twice as many.
-func NewJournal[E any](keep int) *Journal[E] { return &Journal[E]{capacity: keep} }
+// NewJournal returns an empty journal that keeps at least the newest capacity events, and fewer
+// than twice that number.
+func NewJournal[E any](capacity int) *Journal[E] { return &Journal[E]{capacity: capacity} }
 
-// Subscribe adds a function that is called with every event from now on, in order and one at a
-// time. It must not use the journal.
-func (j *Journal[E]) Subscribe(fold func(E)) {
+// Subscribe registers a function that is called with every later event, in order and one at a
+// time. The function must not use the journal.
+func (j *Journal[E]) Subscribe(handle func(E)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.subscribers = append(j.subscribers, fold)
+	j.subscribers = append(j.subscribers, handle)
 }
 
-// Append adds an event, and returns once every view has seen it.
+// Append adds an event and returns after every subscriber has handled it.
 func (j *Journal[E]) Append(e E) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -34,13 +34,13 @@
 	if len(j.events) >= 2*j.capacity {
 		j.events = append([]E(nil), j.events[j.capacity:]...)
 	}
-	for _, f := range j.subscribers {
-		f(e)
+	for _, handle := range j.subscribers {
+		handle(e)
 	}
 }
 
-// Last returns a copy of the newest n events, or of all that are kept if those are fewer, the
-// oldest first, and the count of all events so far.
+// Last returns a copy of the newest n events, or of all kept events if there are fewer, oldest
+// first, and the number of all events appended so far.
 func (j *Journal[E]) Last(n int) ([]E, uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -14,34 +14,35 @@
 		r.Info().Msg(message)
 	}
 	if out.Len() != 0 {
-		t.Errorf("written before an error: %s", &out)
+		t.Errorf("lines were written before an error: %s", &out)
 	}
 	r.Error().Msg("five")
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 3 {
-		t.Fatalf("%d lines, not 3", len(lines))
+		t.Fatalf("got %d lines, want 3", len(lines))
 	}
 	for i, message := range []string{"three", "four", "five"} {
 		if !strings.Contains(lines[i], message) || !strings.Contains(lines[i], `"node":"n"`) {
-			t.Errorf("line %d is %s", i, lines[i])
+			t.Errorf("line %d is wrong: %s", i, lines[i])
 		}
 	}
 	out.Reset()
 	r.Error().Msg("six")
 	if n := strings.Count(out.String(), "\n"); n != 1 {
-		t.Errorf("%d lines, not the newest alone: what was written out leaves the ring", n)
+		t.Errorf("got %d lines, want only the newest: lines that were written out must leave the ring", n)
 	}
 }
 
-// TestWarningsShowWithoutAnError: what an operator has to see of a day without errors, such as who
-// became primary, is not lost with the process.
-func TestWarningsShowWithoutAnError(t *testing.T) {
+// TestWarningsAreWrittenImmediately checks that a warning is written out without an error, and only
+// once. Otherwise messages that an operator needs, such as which node became primary, would be
+// lost with a process that logs no errors.
+func TestWarningsAreWrittenImmediately(t *testing.T) {
 	var out bytes.Buffer
 	r := NewRing(3, &out, "n")
 	r.Info().Msg("one")
 	r.Warn().Msg("two")
 	if lines := out.String(); !strings.Contains(lines, "two") || strings.Contains(lines, "one") {
-		t.Errorf("written out: %s", lines)
+		t.Errorf("want only the warning written out, got: %s", lines)
 	}
 	r.Error().Msg("three")
 	if n := strings.Count(out.String(), "two"); n != 1 {
@@ -50,23 +51,23 @@
 }
 
 func TestJournal(t *testing.T) {
-	const keep, events = 4, 50
-	j := NewJournal[int](keep)
-	var seen []int
-	j.Subscribe(func(e int) { seen = append(seen, e) })
+	const capacity, events = 4, 50
+	j := NewJournal[int](capacity)
+	var handled []int
+	j.Subscribe(func(e int) { handled = append(handled, e) })
 	for i := range events {
 		j.Append(i)
 		kept, count := j.Last(events)
-		if count != uint64(i+1) || len(kept) < min(i+1, keep) || len(kept) >= 2*keep || kept[len(kept)-1] != i {
+		if count != uint64(i+1) || len(kept) < min(i+1, capacity) || len(kept) >= 2*capacity || kept[len(kept)-1] != i {
 			t.Fatalf("after %d events: count %d, kept %v", i+1, count, kept)
 		}
 	}
-	if len(seen) != events {
-		t.Errorf("the view saw %d events of %d", len(seen), events)
+	if len(handled) != events {
+		t.Errorf("the subscriber handled %d events of %d", len(handled), events)
 	}
 	newest, _ := j.Last(2)
 	newest[0] = 0
 	if again, _ := j.Last(2); !slices.Equal(again, []int{events - 2, events - 1}) {
-		t.Errorf("%v: what is given out is no copy", again)
+		t.Errorf("%v: Last did not return a copy", again)
 	}
 }
--- a/logging/ring.go
+++ b/logging/ring.go
@@ -7,12 +7,12 @@
 	"github.com/rs/zerolog"
 )
 
-// discardSize is how many lines the ring of Discard holds.
+// discardSize is the number of lines that the ring of Discard holds.
 const discardSize = 8
 
-// Ring is a logger that holds the newest lines in memory. A line of level warning is written out
-// at once, alone. A line of level error or above writes all out that are held, oldest first, and
-// empties the ring. It is safe for concurrent use.
+// Ring is a logger that keeps the newest lines in memory. A line of level warning is written out
+// immediately and not kept. A line of level error or above causes all kept lines, including itself,
+// to be written out, oldest first, and removed from the ring. It is safe for concurrent use.
 type Ring struct {
 	mu    sync.Mutex
 	lines [][]byte
@@ -21,22 +21,23 @@
 	zerolog.Logger
 }
 
-// NewRing returns a ring of size lines, at least 1, that writes to out. Each line carries a
-// time stamp and, as "node", the name.
+// NewRing returns a ring that keeps size lines, which must be at least 1, and writes to out. Each
+// line has a timestamp and the name as its field "node".
 func NewRing(size int, out io.Writer, name string) *Ring {
 	r := &Ring{lines: make([][]byte, size), out: out}
 	r.Logger = zerolog.New(r).With().Timestamp().Str("node", name).Logger()
 	return r
 }
 
-// Discard returns a ring that never writes anything out.
+// Discard returns a ring whose output is discarded.
 func Discard() *Ring { return NewRing(discardSize, io.Discard, "") }
 
-// Write keeps a line of unknown level, as io.Writer. It never fails.
+// Write implements io.Writer. It keeps a line without a level and never fails.
 func (r *Ring) Write(p []byte) (int, error) { return r.WriteLevel(zerolog.InfoLevel, p) }
 
-// WriteLevel keeps a line, as zerolog.LevelWriter, or writes it out where its level is warning; it
-// writes the ring out where the level is error or above. It never fails: what the output does not take is dropped.
+// WriteLevel implements zerolog.LevelWriter. It writes a warning out, keeps any other line, and
+// writes the ring out if the level is error or above. It never fails: lines that the output does
+// not accept are dropped.
 func (r *Ring) WriteLevel(level zerolog.Level, p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/rpc/progress_test.go
+++ b/rpc/progress_test.go
@@ -10,64 +10,69 @@
 	"github.com/stretchr/testify/require"
 )
 
-// respondSlowly sends an answer in pieces that come apart.
-func respondSlowly(p *serverConn, a receivedCall) bool {
-	text := p.response(a.text, a.id)
+// respondSlowly sends a response in small pieces with pauses.
+func respondSlowly(s *serverConn, c receivedCall) bool {
+	text := s.response(c.text, c.id)
 	for i := 0; i < len(text); i += 20 {
 		time.Sleep(40 * time.Millisecond)
-		p.write(text[i:min(i+20, len(text))])
+		s.write(text[i:min(i+20, len(text))])
 	}
 	return true
 }
 
-// respondPartlyThenStall sends the beginning of an answer and no more.
-func respondPartlyThenStall(p *serverConn, a receivedCall) bool {
-	text := p.response(a.text, a.id)
-	p.write(text[:len(text)-5])
-	return neverRespond(p, a)
+// respondPartlyThenStall sends all but the end of a response.
+func respondPartlyThenStall(s *serverConn, c receivedCall) bool {
+	text := s.response(c.text, c.id)
+	s.write(text[:len(text)-5])
+	return neverRespond(s, c)
 }
 
-// TestCallUntilSilent: an answer that goes on coming is waited for, one that stops coming is not.
+// TestCallUntilSilent checks that a call succeeds while its response keeps arriving, and fails when
+// the response stops arriving or never starts.
 func TestCallUntilSilent(t *testing.T) {
-	o := startFakeServer(t)
-	o.behaviors["slow"], o.behaviors["half"], o.behaviors["silent"] = respondSlowly, respondPartlyThenStall, neverRespond
+	server := startFakeServer(t)
+	server.behaviors["slow"], server.behaviors["partial"], server.behaviors["silent"] =
+		respondSlowly, respondPartlyThenStall, neverRespond
 	c := NewCaller(loopback{failWrites: &atomic.Bool{}})
 	defer c.Close()
-	ask := func(text string, first, silence time.Duration) (string, error) {
-		got, err := CallUntilSilent[textMessage, textMessage](context.Background(), c, o.addr, "note", &textMessage{text}, first, silence)
+	call := func(text string, first, silence time.Duration) (string, error) {
+		got, err := CallUntilSilent[textMessage, textMessage](
+			context.Background(), c, server.addr, "note", &textMessage{text}, first, silence,
+		)
 		if err != nil {
 			return "", err
 		}
 		return got.Text, nil
 	}
 	const short = 100 * time.Millisecond
-	for _, text := range []string{"slow", "calm"} {
-		got, err := ask(text, answeredTimeout, answeredTimeout)
+	for _, text := range []string{"slow", "immediate"} {
+		got, err := call(text, responseTimeout, responseTimeout)
 		require.NoError(t, err)
-		require.Equal(t, "answer to "+text, got)
+		require.Equal(t, "response to "+text, got)
 	}
-	_, err := ask("half", time.Second, short)
+	_, err := call("partial", time.Second, short)
 	require.Error(t, err)
-	_, err = ask("silent", short, answeredTimeout)
+	_, err = call("silent", short, responseTimeout)
 	require.Error(t, err)
 }
 
-// TestSilenceCountsFromTheLastBytes: the bound is moved on by whatever arrives, to the moment.
-func TestSilenceCountsFromTheLastBytes(t *testing.T) {
+// TestSilenceTimeoutRestartsOnArrival checks that the silence timeout runs from the exact time of
+// the last arrival.
+func TestSilenceTimeoutRestartsOnArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const first, silence, gap = 300 * time.Millisecond, 150 * time.Millisecond, 100 * time.Millisecond
-		watched := func(pieces int) time.Duration {
+		const first, silence, interval = 300 * time.Millisecond, 150 * time.Millisecond, 100 * time.Millisecond
+		timeUntilSilent := func(arrivals int) time.Duration {
 			p := &progress{start: time.Now()}
 			go func() {
-				for range pieces {
-					time.Sleep(gap)
+				for range arrivals {
+					time.Sleep(interval)
 					p.recordArrival()
 				}
 			}()
 			p.waitUntilSilent(t.Context(), first, silence)
 			return time.Since(p.start)
 		}
-		require.Equal(t, first, watched(0))
-		require.Equal(t, 20*gap+silence, watched(20))
+		require.Equal(t, first, timeUntilSilent(0))
+		require.Equal(t, 20*interval+silence, timeUntilSilent(20))
 	})
 }
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -20,7 +20,7 @@
 	"keelstair.example/failure"
 )
 
-// textMessage is a message of the tests.
+// textMessage is the request and response message of these tests.
 type textMessage struct{ Text string }
 
 func (n *textMessage) MarshalMsg(b []byte) ([]byte, error) { return msgp.AppendString(b, n.Text), nil }
@@ -30,8 +30,8 @@
 	return rest, err
 }
 
-// loopback is the machine's own network. While torn is set, nothing can be written on the
-// connections that it has made.
+// loopback is the loopback network. While failWrites is set, writes to the connections that it
+// has dialed fail.
 type loopback struct{ failWrites *atomic.Bool }
 
 func (loopback) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
@@ -44,6 +44,7 @@
 	return &failingConn{Conn: conn, failWrites: l.failWrites}, nil
 }
 
+// failingConn is a connection whose writes fail while failWrites is set.
 type failingConn struct {
 	net.Conn
 	failWrites *atomic.Bool
@@ -56,7 +57,7 @@
 	return c.Conn.Write(p)
 }
 
-// receivedCall is one call as the other process got it.
+// receivedCall is a call as the server received it. conn is the number of its connection.
 type receivedCall struct {
 	text   string
 	id     string
@@ -64,17 +65,17 @@
 	header http.Header
 }
 
-// fakeServer is a process that speaks HTTP by hand, so that it can also speak it wrongly.
+// fakeServer writes HTTP responses by hand, so that it can also violate the protocol.
 type fakeServer struct {
 	addr           string
 	mu             sync.Mutex
 	received       []receivedCall
-	behaviors      map[string]func(p *serverConn, a receivedCall) bool // by the call's text
-	earlyResponder func(p *serverConn, q *http.Request) bool           // answers before the body is read
-	omitCallIDs    bool                                                // it echoes no ids, as the release before
+	behaviors      map[string]func(s *serverConn, c receivedCall) bool // by the text of the call
+	earlyResponder func(s *serverConn, request *http.Request) bool     // responds before the body is read; used once
+	omitCallIDs    bool                                                // as the release before call IDs
 }
 
-// serverConn is one connection to it.
+// serverConn is one connection to a fakeServer. Connections are numbered from 0.
 type serverConn struct {
 	*fakeServer
 	conn   net.Conn
@@ -85,74 +86,74 @@
 func startFakeServer(t *testing.T) *fakeServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	o := &fakeServer{addr: l.Addr().String(), behaviors: map[string]func(*serverConn, receivedCall) bool{}}
+	server := &fakeServer{addr: l.Addr().String(), behaviors: map[string]func(*serverConn, receivedCall) bool{}}
 	t.Cleanup(func() { l.Close() })
 	go func() {
-		for no := 0; ; no++ {
+		for number := 0; ; number++ {
 			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go (&serverConn{o, conn, bufio.NewReader(conn), no}).serve()
+			go (&serverConn{server, conn, bufio.NewReader(conn), number}).serve()
 		}
 	}()
-	return o
+	return server
 }
 
-func (p *serverConn) serve() {
-	defer p.conn.Close()
+func (s *serverConn) serve() {
+	defer s.conn.Close()
 	for {
-		q, err := http.ReadRequest(p.reader)
+		request, err := http.ReadRequest(s.reader)
 		if err != nil {
 			return
 		}
-		p.mu.Lock()
-		early := p.earlyResponder
-		p.earlyResponder = nil
-		p.mu.Unlock()
-		if early != nil {
-			if !early(p, q) {
+		s.mu.Lock()
+		respondEarly := s.earlyResponder
+		s.earlyResponder = nil
+		s.mu.Unlock()
+		if respondEarly != nil {
+			if !respondEarly(s, request) {
 				return
 			}
 			continue
 		}
-		body, err := io.ReadAll(q.Body)
+		body, err := io.ReadAll(request.Body)
 		if err != nil {
 			return
 		}
 		text, _, _ := msgp.ReadStringBytes(body)
-		a := receivedCall{text, q.Header.Get(callIDHeader), p.number, q.Header}
-		p.mu.Lock()
-		p.received = append(p.received, a)
-		fault := p.behaviors[text]
-		p.mu.Unlock()
-		if fault == nil {
-			fault = respond
+		c := receivedCall{text, request.Header.Get(callIDHeader), s.number, request.Header}
+		s.mu.Lock()
+		s.received = append(s.received, c)
+		behavior := s.behaviors[text]
+		s.mu.Unlock()
+		if behavior == nil {
+			behavior = respond
 		}
-		if !fault(p, a) {
+		if !behavior(s, c) {
 			return
 		}
 	}
 }
 
-// callsWithText lists the arrivals of a call.
-func (o *fakeServer) callsWithText(text string) []receivedCall {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// callsWithText returns the calls received with the text.
+func (s *fakeServer) callsWithText(text string) []receivedCall {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []receivedCall
-	for _, a := range o.received {
-		if a.text == text {
-			out = append(out, a)
+	for _, c := range s.received {
+		if c.text == text {
+			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// response is a whole answer to a call, under an id.
-func (o *fakeServer) response(text, id string) string {
-	body, _ := (&textMessage{"answer to " + text}).MarshalMsg(nil)
+// response returns a complete response to the call with the text and ID.
+func (s *fakeServer) response(text, id string) string {
+	body, _ := (&textMessage{"response to " + text}).MarshalMsg(nil)
 	echo := ""
-	if id != "" && !o.omitCallIDs {
+	if id != "" && !s.omitCallIDs {
 		echo = callIDHeader + ": " + id + "\r\n"
 	}
 	return fmt.Sprintf(
@@ -163,104 +164,104 @@
 	)
 }
 
-func (p *serverConn) write(text string) { io.WriteString(p.conn, text) }
+func (s *serverConn) write(text string) { io.WriteString(s.conn, text) }
 
-func (p *serverConn) reset() bool {
-	p.conn.(*net.TCPConn).SetLinger(0)
-	p.conn.Close()
+func (s *serverConn) reset() bool {
+	s.conn.(*net.TCPConn).SetLinger(0)
+	s.conn.Close()
 	return false
 }
 
-// What an other process may do with a call; each tells whether the connection goes on.
+// Behaviors of a fakeServer on receiving a call. Each reports whether the connection continues.
 
-func respond(p *serverConn, a receivedCall) bool {
-	p.write(p.response(a.text, a.id))
+func respond(s *serverConn, c receivedCall) bool {
+	s.write(s.response(c.text, c.id))
 	return true
 }
 
-func resetConnection(p *serverConn, _ receivedCall) bool { return p.reset() }
+func resetConnection(s *serverConn, _ receivedCall) bool { return s.reset() }
 
 func closeConnection(*serverConn, receivedCall) bool { return false }
 
-func neverRespond(p *serverConn, _ receivedCall) bool {
-	io.Copy(io.Discard, p.reader)
+func neverRespond(s *serverConn, _ receivedCall) bool {
+	io.Copy(io.Discard, s.reader)
 	return false
 }
 
-func truncateHeader(p *serverConn, a receivedCall) bool {
-	p.write(p.response(a.text, a.id)[:40])
+func truncateHeader(s *serverConn, c receivedCall) bool {
+	s.write(s.response(c.text, c.id)[:40])
 	return false
 }
 
-func truncateBody(p *serverConn, a receivedCall) bool {
-	complete := p.response(a.text, a.id)
-	p.write(complete[:len(complete)-5])
+func truncateBody(s *serverConn, c receivedCall) bool {
+	complete := s.response(c.text, c.id)
+	s.write(complete[:len(complete)-5])
 	return false
 }
 
-func truncateBodyAndReset(p *serverConn, a receivedCall) bool {
-	complete := p.response(a.text, a.id)
-	p.write(complete[:len(complete)-5])
+func truncateBodyAndReset(s *serverConn, c receivedCall) bool {
+	complete := s.response(c.text, c.id)
+	s.write(complete[:len(complete)-5])
 	time.Sleep(20 * time.Millisecond)
-	return p.reset()
+	return s.reset()
 }
 
-func sendGarbage(p *serverConn, _ receivedCall) bool {
-	p.write("\x16\x03\x01 what is this\r\n\r\n")
+func sendGarbage(s *serverConn, _ receivedCall) bool {
+	s.write("\x16\x03\x01 what is this\r\n\r\n")
 	return false
 }
 
-// sendOtherResponseFirst sends another call's answer in the place of this one's, and then this one's.
-func sendOtherResponseFirst(p *serverConn, a receivedCall) bool {
-	p.write(p.response("another", "00000000deadbeef") + p.response(a.text, a.id))
+// sendOtherResponseFirst sends another call's response before the response to this one.
+func sendOtherResponseFirst(s *serverConn, c receivedCall) bool {
+	s.write(s.response("another", "00000000deadbeef") + s.response(c.text, c.id))
 	return true
 }
 
-// sendResponseWithoutID sends an answer that bears no id.
-func sendResponseWithoutID(p *serverConn, a receivedCall) bool {
-	p.write(p.response("another", "") + p.response(a.text, a.id))
+// sendResponseWithoutID sends a response without an ID before the response to this call.
+func sendResponseWithoutID(s *serverConn, c receivedCall) bool {
+	s.write(s.response("another", "") + s.response(c.text, c.id))
 	return true
 }
 
-// sendOtherRefusalFirst sends the refusal of another call in the place of the answer.
-func sendOtherRefusalFirst(p *serverConn, a receivedCall) bool {
+// sendOtherRefusalFirst sends the refusal of another call before the response to this one.
+func sendOtherRefusalFirst(s *serverConn, c receivedCall) bool {
 	body := `{"code":"resource_exhausted","message":"not done"}`
-	p.write(fmt.Sprintf(
+	s.write(fmt.Sprintf(
 		"HTTP/1.1 429 Too Many Requests\r\nContent-Type: application/json\r\n%s: 00000000deadbeef\r\nContent-Length: %d\r\n\r\n%s",
 		callIDHeader,
 		len(body),
 		body,
 	))
-	return respond(p, a)
+	return respond(s, c)
 }
 
-// sendOtherEmptyRefusal sends the refusal of another call, which has no body, and nothing behind it.
-func sendOtherEmptyRefusal(p *serverConn, _ receivedCall) bool {
-	p.write("HTTP/1.1 503 Service Unavailable\r\n" + callIDHeader + ": 00000000deadbeef\r\nContent-Length: 0\r\n\r\n")
+// sendOtherEmptyRefusal sends the refusal of another call, which has no body, and nothing else.
+func sendOtherEmptyRefusal(s *serverConn, _ receivedCall) bool {
+	s.write("HTTP/1.1 503 Service Unavailable\r\n" + callIDHeader + ": 00000000deadbeef\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
-// redirect answers that the call is to be sent to another place.
-func redirect(p *serverConn, a receivedCall) bool {
-	p.write("HTTP/1.1 307 Temporary Redirect\r\nLocation: http://" + p.addr + "/elsewhere\r\n" + callIDHeader + ": " +
-		a.id + "\r\nContent-Length: 0\r\n\r\n")
+// redirect redirects the call to another URL.
+func redirect(s *serverConn, c receivedCall) bool {
+	s.write("HTTP/1.1 307 Temporary Redirect\r\nLocation: http://" + s.addr + "/elsewhere\r\n" + callIDHeader + ": " +
+		c.id + "\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
-// Bounds of calls in tests: short where no answer is to come, long where one is.
+// Timeouts of calls in tests: short if no response is expected, long if one is.
 const (
-	unansweredTimeout = 300 * time.Millisecond
-	answeredTimeout   = 30 * time.Second
+	noResponseTimeout = 300 * time.Millisecond
+	responseTimeout   = 30 * time.Second
 )
 
-// call makes a call that may get no answer.
+// call makes a call that may get no response.
 func call(c *Caller, addr, text string) (string, error) {
-	return callWithin(c, addr, text, unansweredTimeout)
+	return callWithin(c, addr, text, noResponseTimeout)
 }
 
-// mustCall makes a call that has to be answered, however slow the machine is.
+// mustCall makes a call that must succeed, however slow the machine is.
 func mustCall(t *testing.T, c *Caller, addr, text string) string {
-	got, err := callWithin(c, addr, text, answeredTimeout)
+	got, err := callWithin(c, addr, text, responseTimeout)
 	require.NoError(t, err)
 	return got
 }
@@ -275,219 +276,229 @@
 	return got.Text, nil
 }
 
-// TestCallOnce: whatever becomes of a call, it arrives once at most, its error says that it
-// may have been done, its connection is not used again, and the calls after it have their
-// own answers.
-func TestCallOnce(t *testing.T) {
-	for name, fault := range map[string]func(*serverConn, receivedCall) bool{
-		"reset":   resetConnection,
-		"closed":  closeConnection,
-		"silence": neverRespond, "half a head": truncateHeader, "half a body": truncateBody, "half a body, reset": truncateBodyAndReset,
+// TestFailedCallIsNotRepeated checks that a call whose response is missing or wrong arrives only
+// once and fails with OutcomeUnknown, that its connection is not reused except after a
+// redirect, and that later calls receive their own responses.
+func TestFailedCallIsNotRepeated(t *testing.T) {
+	for name, behavior := range map[string]func(*serverConn, receivedCall) bool{
+		"connection reset":  resetConnection,
+		"connection closed": closeConnection,
+		"no response":       neverRespond,
+		"truncated header":  truncateHeader, "truncated body": truncateBody, "truncated body, reset": truncateBodyAndReset,
 		"garbage":                 sendGarbage,
-		"another's answer":        sendOtherResponseFirst,
-		"an answer without an id": sendResponseWithoutID,
-		"another's refusal":       sendOtherRefusalFirst, "another's empty refusal": sendOtherEmptyRefusal, "redirect": redirect,
+		"another call's response": sendOtherResponseFirst,
+		"response without an ID":  sendResponseWithoutID,
+		"another call's refusal":  sendOtherRefusalFirst, "another call's empty refusal": sendOtherEmptyRefusal, "redirect": redirect,
 	} {
-		for _, used := range []bool{true, false} {
-			if name == "an answer without an id" && !used {
-				continue // TestOlderRelease
+		for _, reuseConnection := range []bool{true, false} {
+			if name == "response without an ID" && !reuseConnection {
+				continue // covered by TestPeerWithoutCallIDs
 			}
-			t.Run(fmt.Sprint(name, " ", used), func(t *testing.T) {
-				o := startFakeServer(t)
+			t.Run(fmt.Sprint(name, " ", reuseConnection), func(t *testing.T) {
+				server := startFakeServer(t)
 				c := NewCaller(loopback{new(atomic.Bool)})
 				defer c.Close()
-				if used {
-					got := mustCall(t, c, o.addr, "before")
-					require.Equal(t, "answer to before", got)
+				if reuseConnection {
+					got := mustCall(t, c, server.addr, "before")
+					require.Equal(t, "response to before", got)
 				}
-				o.behaviors["this"] = fault
-				_, err := call(c, o.addr, "this")
+				server.behaviors["this"] = behavior
+				_, err := call(c, server.addr, "this")
 				require.True(t, failure.Is(err, failure.OutcomeUnknown), "%v", err)
 				for i := range 3 {
 					text := fmt.Sprint("after", i)
-					got := mustCall(t, c, o.addr, text)
-					require.Equal(t, "answer to "+text, got)
+					got := mustCall(t, c, server.addr, text)
+					require.Equal(t, "response to "+text, got)
 					if name != "redirect" {
-						require.NotEqual(t, o.callsWithText("this")[0].conn, o.callsWithText(text)[0].conn)
+						require.NotEqual(t, server.callsWithText("this")[0].conn, server.callsWithText(text)[0].conn)
 					}
 				}
-				require.Len(t, o.callsWithText("this"), 1)
-				if used {
-					require.Equal(t, o.callsWithText("before")[0].conn, o.callsWithText("this")[0].conn, "the connection was used before")
+				require.Len(t, server.callsWithText("this"), 1)
+				if reuseConnection {
+					require.Equal(
+						t,
+						server.callsWithText("before")[0].conn,
+						server.callsWithText("this")[0].conn,
+						"the call must use the earlier connection",
+					)
 				}
 			})
 		}
 	}
 }
 
-// TestAnsweredTwice: a second answer to a call, which comes as the next call is under way, is
-// not that one's: it ends as one that may have been done, and the calls after it are sound.
-func TestAnsweredTwice(t *testing.T) {
-	o := startFakeServer(t)
+// TestDuplicateResponseDuringNextCall checks that a duplicate response to a call, which arrives
+// during the next call, is not taken as the response to that one: it fails with OutcomeUnknown,
+// and later calls succeed.
+func TestDuplicateResponseDuringNextCall(t *testing.T) {
+	server := startFakeServer(t)
 	c := NewCaller(loopback{new(atomic.Bool)})
 	defer c.Close()
-	mustCall(t, c, o.addr, "first")
-	o.behaviors["second"] = func(p *serverConn, a receivedCall) bool {
-		p.write(p.response("first", o.callsWithText("first")[0].id))
-		return respond(p, a)
+	mustCall(t, c, server.addr, "first")
+	server.behaviors["second"] = func(s *serverConn, c receivedCall) bool {
+		s.write(s.response("first", server.callsWithText("first")[0].id))
+		return respond(s, c)
 	}
-	got, err := call(c, o.addr, "second")
+	got, err := call(c, server.addr, "second")
 	require.True(t, failure.Is(err, failure.OutcomeUnknown), "%q %v", got, err)
-	require.Len(t, o.callsWithText("second"), 1)
-	got = mustCall(t, c, o.addr, "third")
-	require.Equal(t, "answer to third", got)
+	require.Len(t, server.callsWithText("second"), 1)
+	got = mustCall(t, c, server.addr, "third")
+	require.Equal(t, "response to third", got)
 }
 
-// TestAnsweredTwiceAtOnce: the same with the second answer right behind the first.
-func TestAnsweredTwiceAtOnce(t *testing.T) {
-	o := startFakeServer(t)
+// TestImmediateDuplicateResponse checks that a duplicate response sent directly after the first
+// one is not taken as the response to a later call.
+func TestImmediateDuplicateResponse(t *testing.T) {
+	server := startFakeServer(t)
 	c := NewCaller(loopback{new(atomic.Bool)})
 	defer c.Close()
-	o.behaviors["twice"] = func(p *serverConn, a receivedCall) bool {
-		p.write(p.response(a.text, a.id) + p.response(a.text, a.id))
+	server.behaviors["twice"] = func(s *serverConn, c receivedCall) bool {
+		s.write(s.response(c.text, c.id) + s.response(c.text, c.id))
 		return true
 	}
 	for i := range 20 {
-		got, err := call(c, o.addr, "twice")
+		got, err := call(c, server.addr, "twice")
 		require.True(
 			t,
-			err == nil && got == "answer to twice" || failure.Is(err, failure.OutcomeUnknown),
+			err == nil && got == "response to twice" || failure.Is(err, failure.OutcomeUnknown),
 			"%q %v",
 			got,
 			err,
 		)
 		text := fmt.Sprint("next", i)
-		got, err = call(c, o.addr, text)
+		got, err = call(c, server.addr, text)
 		require.True(
 			t,
-			err == nil && got == "answer to "+text || failure.Is(err, failure.OutcomeUnknown),
+			err == nil && got == "response to "+text || failure.Is(err, failure.OutcomeUnknown),
 			"%q %v",
 			got,
 			err,
 		)
-		require.LessOrEqual(t, len(o.callsWithText(text)), 1)
+		require.LessOrEqual(t, len(server.callsWithText(text)), 1)
 	}
 }
 
-// TestCallNeverLeft: a connection on which nothing could be written carried nothing, so the
-// call may go out on another one; it arrives once.
-func TestCallNeverLeft(t *testing.T) {
+// TestCallAfterFailedWrites checks that a call whose connection accepts no writes does not arrive,
+// and that the same call made again arrives once, without an Idempotency-Key header.
+func TestCallAfterFailedWrites(t *testing.T) {
 	torn := new(atomic.Bool)
-	o := startFakeServer(t)
+	server := startFakeServer(t)
 	c := NewCaller(loopback{torn})
 	defer c.Close()
-	mustCall(t, c, o.addr, "before")
+	mustCall(t, c, server.addr, "before")
 	torn.Store(true)
-	_, err := call(c, o.addr, "this")
+	_, err := call(c, server.addr, "this")
 	require.Error(t, err)
-	require.Empty(t, o.callsWithText("this"))
+	require.Empty(t, server.callsWithText("this"))
 	torn.Store(false)
-	mustCall(t, c, o.addr, "this")
-	require.Len(t, o.callsWithText("this"), 1)
-	require.Empty(t, o.callsWithText("this")[0].header.Get("Idempotency-Key"))
+	mustCall(t, c, server.addr, "this")
+	require.Len(t, server.callsWithText("this"), 1)
+	require.Empty(t, server.callsWithText("this")[0].header.Get("Idempotency-Key"))
 }
 
-// TestAnsweredEarly: an answer that comes before a long call is read leaves the rest of its
-// place in the connection to that call: no other call's bytes stand there.
-func TestAnsweredEarly(t *testing.T) {
-	o := startFakeServer(t)
+// TestResponseBeforeRequestIsRead checks that no later call is sent on a connection on which the
+// response to a long call arrived before the whole request was sent. The peer would read that
+// call as part of the long request.
+func TestResponseBeforeRequestIsRead(t *testing.T) {
+	server := startFakeServer(t)
 	c := NewCaller(loopback{new(atomic.Bool)})
 	defer c.Close()
 	rest := make(chan string, 1)
-	var begun atomic.Bool
-	o.earlyResponder = func(p *serverConn, q *http.Request) bool {
-		begun.Store(true)
-		p.write(p.response("long", q.Header.Get(callIDHeader)))
+	var arrived atomic.Bool
+	server.earlyResponder = func(s *serverConn, request *http.Request) bool {
+		arrived.Store(true)
+		s.write(s.response("long", request.Header.Get(callIDHeader)))
 		time.Sleep(100 * time.Millisecond)
-		p.conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
-		got, _ := io.ReadAll(p.reader)
+		s.conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
+		got, _ := io.ReadAll(s.reader)
 		rest <- string(got)
 		return false
 	}
 	long := strings.Repeat("l", 32<<20)
-	for range 20 { // on a busy machine a call may be over before any of it was sent
-		call(c, o.addr, long)
-		if begun.Load() {
+	for range 20 { // on a busy machine a call may time out before any of it is sent
+		call(c, server.addr, long)
+		if arrived.Load() {
 			break
 		}
 	}
-	require.True(t, begun.Load(), "the long call reached the peer")
+	require.True(t, arrived.Load(), "the long call must reach the peer")
 	for i := range 3 {
-		got := mustCall(t, c, o.addr, fmt.Sprint("next", i))
-		require.Equal(t, fmt.Sprint("answer to next", i), got)
+		got := mustCall(t, c, server.addr, fmt.Sprint("next", i))
+		require.Equal(t, fmt.Sprint("response to next", i), got)
 	}
 	require.NotContains(t, <-rest, "next")
 }
 
-// TestOlderRelease: a process of the release before echoes no ids, and is understood.
-func TestOlderRelease(t *testing.T) {
-	o := startFakeServer(t)
-	o.omitCallIDs = true
+// TestPeerWithoutCallIDs checks that calls to a process of the release before call IDs, which
+// echoes none, succeed.
+func TestPeerWithoutCallIDs(t *testing.T) {
+	server := startFakeServer(t)
+	server.omitCallIDs = true
 	c := NewCaller(loopback{new(atomic.Bool)})
 	defer c.Close()
 	for i := range 3 {
 		text := fmt.Sprint("n", i)
-		got := mustCall(t, c, o.addr, text)
-		require.Equal(t, "answer to "+text, got)
+		got := mustCall(t, c, server.addr, text)
+		require.Equal(t, "response to "+text, got)
 	}
-	require.Equal(t, 0, o.callsWithText("n2")[0].conn, "one connection")
+	require.Equal(t, 0, server.callsWithText("n2")[0].conn, "all calls must use one connection")
 }
 
-// TestEcho: a process echoes the ids of calls, also of those that fail or that it does not
-// know, and answers one that bears none.
-func TestEcho(t *testing.T) {
+// TestServerEchoesCallIDs checks that a server echoes the IDs of calls, including failed calls and
+// calls of unknown methods, and responds to a call without an ID.
+func TestServerEchoesCallIDs(t *testing.T) {
 	mux := http.NewServeMux()
-	Handle(mux, "test/note", func(_ context.Context, q *textMessage) (*textMessage, error) {
-		if q.Text == "bad" {
+	Handle(mux, "test/note", func(_ context.Context, request *textMessage) (*textMessage, error) {
+		if request.Text == "bad" {
 			return nil, failure.New(failure.Stale, "test", "", "stale")
 		}
-		return &textMessage{"answer to " + q.Text}, nil
+		return &textMessage{"response to " + request.Text}, nil
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan error)
-	go func() { ended <- Serve(ctx, l, mux) }()
+	served := make(chan error)
+	go func() { served <- Serve(ctx, l, mux) }()
 	c := NewCaller(loopback{new(atomic.Bool)})
 	got := mustCall(t, c, l.Addr().String(), "this")
-	require.Equal(t, "answer to this", got)
+	require.Equal(t, "response to this", got)
 	_, err = call(c, l.Addr().String(), "bad")
 	require.True(t, failure.Is(err, failure.Stale), "%v", err)
-	for _, row := range []struct{ path, id string }{
+	for _, test := range []struct{ path, id string }{
 		{"/test/note", "abc"},
 		{"/test/note", ""},
 		{"/test/unknown", "abc"},
 	} {
 		body, _ := (&textMessage{"this"}).MarshalMsg(nil)
-		q, err := http.NewRequest(
-			http.MethodPost, "http://"+l.Addr().String()+row.path, strings.NewReader(string(body)),
+		request, err := http.NewRequest(
+			http.MethodPost, "http://"+l.Addr().String()+test.path, strings.NewReader(string(body)),
 		)
 		require.NoError(t, err)
-		q.Header.Set("Content-Type", "application/msgp")
-		if row.id != "" {
-			q.Header.Set(callIDHeader, row.id)
+		request.Header.Set("Content-Type", "application/msgp")
+		if test.id != "" {
+			request.Header.Set(callIDHeader, test.id)
 		}
-		a, err := http.DefaultClient.Do(q)
+		response, err := http.DefaultClient.Do(request)
 		require.NoError(t, err)
-		a.Body.Close()
-		require.Equal(t, row.id, a.Header.Get(callIDHeader))
-		require.Equal(t, row.path == "/test/note", a.StatusCode == http.StatusOK)
+		response.Body.Close()
+		require.Equal(t, test.id, response.Header.Get(callIDHeader))
+		require.Equal(t, test.path == "/test/note", response.StatusCode == http.StatusOK)
 	}
 	c.Close()
 	http.DefaultClient.CloseIdleConnections()
 	stop()
-	require.NoError(t, <-ended)
+	require.NoError(t, <-served)
 }
 
-// TestMessageTrailing: bytes behind a message, in a call or in an answer, mean that it was
-// spoilt; it is not taken.
-func TestMessageTrailing(t *testing.T) {
-	spoilt, _ := (&textMessage{"this"}).MarshalMsg(nil)
-	require.NoError(t, codec{}.Unmarshal(spoilt, &textMessage{}))
-	for _, tail := range []string{"\x00", "this", string(spoilt)} {
-		require.Error(t, codec{}.Unmarshal(append(spoilt[:len(spoilt):len(spoilt)], tail...), &textMessage{}), "%q", tail)
+// TestUnmarshalRejectsCorruptMessages checks that messages with trailing bytes and truncated
+// messages, as requests or responses, are rejected.
+func TestUnmarshalRejectsCorruptMessages(t *testing.T) {
+	message, _ := (&textMessage{"this"}).MarshalMsg(nil)
+	require.NoError(t, codec{}.Unmarshal(message, &textMessage{}))
+	for _, tail := range []string{"\x00", "this", string(message)} {
+		require.Error(t, codec{}.Unmarshal(append(message[:len(message):len(message)], tail...), &textMessage{}), "%q", tail)
 	}
-	for truncated := range spoilt {
-		require.Error(t, codec{}.Unmarshal(spoilt[:truncated], &textMessage{}), "%d bytes", truncated)
+	for size := range message {
+		require.Error(t, codec{}.Unmarshal(message[:size], &textMessage{}), "%d bytes", size)
 	}
 }
