--- a/host/simulated/disk.go
+++ b/host/simulated/disk.go
@@ -93,10 +93,10 @@
 		<-changed
 		w.mu.Lock()
 	}
-	delay := d.delay
+	wait := d.delay
 	w.mu.Unlock()
-	if write && delay > 0 {
-		t := host.NewTimer(delay)
+	if write && wait > 0 {
+		t := host.NewTimer(wait)
 		select {
 		case <-t.C:
 		case <-p.process.done:
--- a/host/simulated/net.go
+++ b/host/simulated/net.go
@@ -80,43 +80,43 @@
 
 func (c *connection) Read(b []byte) (int, error) {
 	w := c.process.machine.world
-	in := c.in
+	inbound := c.in
 	for {
 		if !c.process.waitWhileFrozen() {
 			return 0, errReset
 		}
 		w.mu.Lock()
 		now := time.Now()
-		blocked := w.link(in.sender, in.receiver).Blocked
-		if in.chunks.Len() > 0 && !blocked {
-			if front := in.chunks.Front(); !front.arrivesAt.After(now) {
+		blocked := w.link(inbound.sender, inbound.receiver).Blocked
+		if inbound.chunks.Len() > 0 && !blocked {
+			if front := inbound.chunks.Front(); !front.arrivesAt.After(now) {
 				n := copy(b, front.data)
 				if n == len(front.data) {
-					in.chunks.PopFront()
+					inbound.chunks.PopFront()
 				} else {
-					in.chunks.Set(0, chunk{front.arrivesAt, front.data[n:]})
+					inbound.chunks.Set(0, chunk{front.arrivesAt, front.data[n:]})
 				}
 				w.mu.Unlock()
 				return n, nil
 			}
 		}
-		if in.err != nil && (in.chunks.Len() == 0 || in.err == errReset) {
-			err := in.err
+		if inbound.err != nil && (inbound.chunks.Len() == 0 || inbound.err == errReset) {
+			readErr := inbound.err
 			w.mu.Unlock()
-			return 0, err
+			return 0, readErr
 		}
-		if !in.deadline.IsZero() && !in.deadline.After(now) {
+		if !inbound.deadline.IsZero() && !inbound.deadline.After(now) {
 			w.mu.Unlock()
 			return 0, os.ErrDeadlineExceeded
 		}
 		wait := time.Hour
-		if in.chunks.Len() > 0 && !blocked {
-			wait = in.chunks.Front().arrivesAt.Sub(now)
+		if inbound.chunks.Len() > 0 && !blocked {
+			wait = inbound.chunks.Front().arrivesAt.Sub(now)
 		}
-		if !in.deadline.IsZero() {
-			wait = min(wait, in.deadline.Sub(now))
+		if !inbound.deadline.IsZero() {
+			wait = min(wait, inbound.deadline.Sub(now))
 		}
-		pipeChanged, worldChanged := in.changed, w.changed
+		pipeChanged, worldChanged := inbound.changed, w.changed
 		w.mu.Unlock()
 		t := host.NewTimer(wait)
 		select {
@@ -135,24 +135,24 @@
 	w := c.process.machine.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := c.out
-	if out.err != nil {
+	outbound := c.out
+	if outbound.err != nil {
 		return 0, &net.OpError{Op: "write", Net: "simulated", Err: syscall.EPIPE}
 	}
-	link := w.link(out.sender, out.receiver)
+	l := w.link(outbound.sender, outbound.receiver)
 	for segment := range slices.Chunk(b, segmentSize) {
-		arrivesAt := w.machines[out.sender].link.send(time.Now(), len(segment)).Add(link.Delay)
-		arrivesAt = w.machines[out.receiver].link.receive(arrivesAt, len(segment))
-		if arrivesAt.Before(out.nextArrival) {
-			arrivesAt = out.nextArrival
+		arrivesAt := w.machines[outbound.sender].link.send(time.Now(), len(segment)).Add(l.Delay)
+		arrivesAt = w.machines[outbound.receiver].link.receive(arrivesAt, len(segment))
+		if arrivesAt.Before(outbound.nextArrival) {
+			arrivesAt = outbound.nextArrival
 		}
-		if link.BytesPerSecond > 0 {
-			arrivesAt = arrivesAt.Add(time.Duration(len(segment)) * time.Second / time.Duration(link.BytesPerSecond))
+		if l.BytesPerSecond > 0 {
+			arrivesAt = arrivesAt.Add(time.Duration(len(segment)) * time.Second / time.Duration(l.BytesPerSecond))
 		}
-		out.nextArrival = arrivesAt
-		out.chunks.PushBack(chunk{arrivesAt, append([]byte(nil), segment...)})
+		outbound.nextArrival = arrivesAt
+		outbound.chunks.PushBack(chunk{arrivesAt, append([]byte(nil), segment...)})
 	}
-	out.notify()
+	outbound.notify()
 	return len(b), nil
 }
 
--- a/host/simulated/powerloss.go
+++ b/host/simulated/powerloss.go
@@ -20,9 +20,9 @@
 
 // fileState is the content of a file or the entries of a directory.
 type fileState struct {
-	isDirectory bool
-	content     []byte
-	entries     map[string]inode
+	isDir    bool
+	content  []byte
+	children map[string]inode
 }
 
 // PowerLoss tracks the durable state of one directory.
@@ -53,8 +53,8 @@
 // scan reads the directory as processes see it now.
 func (p *PowerLoss) scan() (map[inode]fileState, error) {
 	current := map[inode]fileState{}
-	rootInode, err := p.scanPath(p.root, current)
-	p.rootInode = rootInode
+	ino, err := p.scanPath(p.root, current)
+	p.rootInode = ino
 	return current, err
 }
 
@@ -70,21 +70,21 @@
 		}
 	}
 	if !info.IsDir() {
-		body, err := os.ReadFile(path)
-		current[ino] = fileState{content: body}
+		content, err := os.ReadFile(path)
+		current[ino] = fileState{content: content}
 		return ino, err
 	}
 	entries, err := os.ReadDir(path)
 	if err != nil {
 		return 0, err
 	}
-	state := fileState{isDirectory: true, entries: map[string]inode{}}
+	state := fileState{isDir: true, children: map[string]inode{}}
 	for _, entry := range entries {
 		child, err := p.scanPath(filepath.Join(path, entry.Name()), current)
 		if err != nil {
 			return 0, err
 		}
-		state.entries[entry.Name()] = child
+		state.children[entry.Name()] = child
 	}
 	current[ino] = state
 	return ino, nil
@@ -164,7 +164,7 @@
 
 // writeState writes one possible state of a directory and everything below it to dir.
 func (p *PowerLoss) writeState(dir string, ino inode, current map[inode]fileState, choose chooser) error {
-	previous, now := p.durable[ino].entries, current[ino].entries
+	previous, now := p.durable[ino].children, current[ino].children
 	for _, name := range unionOfNames(previous, now) {
 		child := previous[name]
 		if currentChild := now[name]; currentChild != child && choose(2) == 1 {
@@ -191,7 +191,7 @@
 }
 
 func (p *PowerLoss) isDirectory(ino inode, current map[inode]fileState) bool {
-	return p.durable[ino].isDirectory || current[ino].isDirectory
+	return p.durable[ino].isDir || current[ino].isDir
 }
 
 func (p *PowerLoss) chooseFileContent(ino inode, current map[inode]fileState, choose chooser) []byte {
--- a/logging/journal.go
+++ b/logging/journal.go
@@ -13,9 +13,9 @@
 	subscribers []func(E)
 }
 
-// NewJournal returns an empty journal that keeps at least the newest capacity events, and fewer
+// NewJournal returns an empty journal that keeps at least the newest minEvents events, and fewer
 // than twice that number.
-func NewJournal[E any](capacity int) *Journal[E] { return &Journal[E]{capacity: capacity} }
+func NewJournal[E any](minEvents int) *Journal[E] { return &Journal[E]{capacity: minEvents} }
 
 // Subscribe registers a function that is called with every later event, in order and one at a
 // time. The function must not use the journal.
--- a/rpc/progress.go
+++ b/rpc/progress.go
@@ -27,8 +27,8 @@
 func (p *progress) waitUntilSilent(ctx context.Context, first, silence time.Duration) {
 	wait := first
 	for host.Sleep(ctx, wait) {
-		last := time.Duration(p.lastArrival.Load())
-		if wait = last + silence - time.Since(p.start); last == 0 || wait <= 0 {
+		lastArrival := time.Duration(p.lastArrival.Load())
+		if wait = lastArrival + silence - time.Since(p.start); lastArrival == 0 || wait <= 0 {
 			return
 		}
 	}
--- a/rpc/progress_test.go
+++ b/rpc/progress_test.go
@@ -36,9 +36,8 @@
 	c := NewCaller(loopback{failWrites: &atomic.Bool{}})
 	defer c.Close()
 	call := func(text string, first, silence time.Duration) (string, error) {
-		got, err := CallUntilSilent[textMessage, textMessage](
-			context.Background(), c, server.addr, "note", &textMessage{text}, first, silence,
-		)
+		got, err := CallUntilSilent[textMessage, textMessage](context.Background(), c, server.addr, "note",
+			&textMessage{text}, first, silence)
 		if err != nil {
 			return "", err
 		}
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -108,11 +108,11 @@
 			return
 		}
 		s.mu.Lock()
-		respondEarly := s.earlyResponder
+		earlyResponder := s.earlyResponder
 		s.earlyResponder = nil
 		s.mu.Unlock()
-		if respondEarly != nil {
-			if !respondEarly(s, request) {
+		if earlyResponder != nil {
+			if !earlyResponder(s, request) {
 				return
 			}
 			continue
@@ -315,12 +315,8 @@
 				}
 				require.Len(t, server.callsWithText("this"), 1)
 				if reuseConnection {
-					require.Equal(
-						t,
-						server.callsWithText("before")[0].conn,
-						server.callsWithText("this")[0].conn,
-						"the call must use the earlier connection",
-					)
+					require.Equal(t, server.callsWithText("before")[0].conn, server.callsWithText("this")[0].conn,
+						"the call must use the earlier connection")
 				}
 			})
 		}
@@ -335,9 +331,9 @@
 	c := NewCaller(loopback{new(atomic.Bool)})
 	defer c.Close()
 	mustCall(t, c, server.addr, "first")
-	server.behaviors["second"] = func(s *serverConn, c receivedCall) bool {
+	server.behaviors["second"] = func(s *serverConn, received receivedCall) bool {
 		s.write(s.response("first", server.callsWithText("first")[0].id))
-		return respond(s, c)
+		return respond(s, received)
 	}
 	got, err := call(c, server.addr, "second")
 	require.True(t, failure.Is(err, failure.OutcomeUnknown), "%q %v", got, err)
@@ -352,8 +348,8 @@
 	server := startFakeServer(t)
 	c := NewCaller(loopback{new(atomic.Bool)})
 	defer c.Close()
-	server.behaviors["twice"] = func(s *serverConn, c receivedCall) bool {
-		s.write(s.response(c.text, c.id) + s.response(c.text, c.id))
+	server.behaviors["twice"] = func(s *serverConn, received receivedCall) bool {
+		s.write(s.response(received.text, received.id) + s.response(received.text, received.id))
 		return true
 	}
 	for i := range 20 {
