--- a/host/disk_test.go
+++ b/host/disk_test.go
@@ -35,8 +35,8 @@
 		l, err = d.Create("log-0")
 	}
 	require.NoError(t, err)
-	for _, r := range entries {
-		require.NoError(t, l.Append([][]byte{[]byte(r)}))
+	for _, entry := range entries {
+		require.NoError(t, l.Append([][]byte{[]byte(entry)}))
 	}
 	require.NoError(t, l.Close())
 }
--- a/host/simulated/disk.go
+++ b/host/simulated/disk.go
@@ -177,8 +177,8 @@
 
 func (l *processLog) Append(entries [][]byte) error {
 	appendFirst := func(d *disk, n int) {
-		for _, r := range entries[:n] {
-			d.logs[l.name] = append(d.logs[l.name], slices.Clone(r))
+		for _, entry := range entries[:n] {
+			d.logs[l.name] = append(d.logs[l.name], slices.Clone(entry))
 		}
 	}
 	return l.disk.perform("append "+l.name, true, func(d *disk) { appendFirst(d, len(entries)) },
--- a/rpc/progress.go
+++ b/rpc/progress.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// CallUntilSilent calls the method name of the process at addr. It fails when no data of the
+// CallUntilSilent calls the named method of the process at addr. It fails when no data of the
 // response arrives within first, when no more arrives within silence, or when ctx is done.
 func CallUntilSilent[Req, Resp any](
 	ctx context.Context,
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -132,7 +132,7 @@
 // Close closes the connections that carry no call.
 func (c *Caller) Close() { c.httpClient.CloseIdleConnections() }
 
-// Call calls the method name of the process at addr. If ctx has no deadline, the
+// Call calls the named method of the process at addr. If ctx has no deadline, the
 // call times out after one second.
 func Call[Req, Resp any](ctx context.Context, c *Caller, addr, name string, request *Req) (*Resp, error) {
 	if _, ok := ctx.Deadline(); !ok {
@@ -193,8 +193,8 @@
 // Serve serves HTTP requests on l until ctx is done.
 func Serve(ctx context.Context, l net.Listener, handler http.Handler) error {
 	srv := &http.Server{Handler: echoCallID(handler), ReadHeaderTimeout: headerTimeout}
-	end := context.AfterFunc(ctx, func() { srv.Close() })
-	defer end()
+	stop := context.AfterFunc(ctx, func() { srv.Close() })
+	defer stop()
 	err := srv.Serve(l)
 	if ctx.Err() != nil || errors.Is(err, http.ErrServerClosed) {
 		return nil
