--- a/internal/fleetstate/aged_keys.go
+++ b/internal/fleetstate/aged_keys.go
@@ -101,7 +101,7 @@
 	if !ok {
 		return IdempotencyRecord{}, false
 	}
-	d := IdempotencyRecord{Key: key, Outcome: outcomeCodes[entry[entrySize-1]], Aged: true}
+	d := IdempotencyRecord{Key: key, Outcome: outcomeCodes[entry[entrySize-1]], AnswerExpired: true}
 	if bytes.Equal(entry[keyHashSize:entrySize-1], digestPrefix(digest)) {
 		d.Digest = digest
 	}
--- a/internal/fleetstate/aged_keys_test.go
+++ b/internal/fleetstate/aged_keys_test.go
@@ -57,7 +57,7 @@
 		require.False(t, got.Fresh)
 		require.Equal(t, outcomes[i%3], got.Record.Outcome)
 		require.Equal(t, fmt.Sprint("body", i), got.Record.Digest)
-		require.Equal(t, i < 96, got.Record.Aged)
+		require.Equal(t, i < 96, got.Record.AnswerExpired)
 		got, err = applyClaim(t, copied.State, key(i), "another body")
 		require.ErrorIs(t, err, coordination.ErrUnchanged)
 		require.NotEqual(t, "another body", got.Record.Digest, "the key belongs to another request")
@@ -66,7 +66,8 @@
 	require.False(t, ok)
 }
 
-// TestFullStoreRejectsNewKeys checks that a full store rejects new keys and still finds the old ones.
+// TestFullStoreRejectsNewKeys checks that a full store rejects new keys and still finds the old
+// ones.
 func TestFullStoreRejectsNewKeys(t *testing.T) {
 	s := newState(false, Retention{FullRecords: 2, ChunkEntries: 4})
 	s.maxRecords = 10
--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -155,8 +155,9 @@
 }
 
 // DutyRound requests the right to perform one act of a duty, which is identified by its subject and
-// number. The first round for an act fixes its content. Number 0 stands for the act after the newest.
-// Done reports that the receiver outside the fleet accepted the act; it comes without content.
+// number. The first round for an act fixes its content. Number 0 stands for the act after the
+// newest. Done reports that the receiver outside the fleet accepted the act; it comes without
+// content.
 type DutyRound struct {
 	Subject string
 	Number  uint64
@@ -206,9 +207,9 @@
 	Digest      string
 	Outcome     string `msg:"Fate"`
 	Answer      []byte `msg:"Out"`
-	// Aged is set on an old record of which only the outcome was kept, and a part of the digest:
-	// Digest is set if it matches that of the request.
-	Aged bool
+	// AnswerExpired is set on an old record of which only the outcome and a part of the digest were
+	// kept. Digest is then set only if that part matches the digest of the request.
+	AnswerExpired bool `msg:"Aged"`
 }
 
 // Claim claims an idempotency key for a node, whose request is to run at the worker's current
--- a/internal/fleetstate/messages_gen.go
+++ b/internal/fleetstate/messages_gen.go
@@ -2355,7 +2355,7 @@
 	o = msgp.AppendBytes(o, z.Answer)
 	// string "Aged"
 	o = append(o, 0xa4, 0x41, 0x67, 0x65, 0x64)
-	o = msgp.AppendBool(o, z.Aged)
+	o = msgp.AppendBool(o, z.AnswerExpired)
 	return
 }
 
@@ -2432,9 +2432,9 @@
 				return
 			}
 		case "Aged":
-			z.Aged, bts, err = msgp.ReadBoolBytes(bts)
+			z.AnswerExpired, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Aged")
+				err = msgp.WrapError(err, "AnswerExpired")
 				return
 			}
 		default:
--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -26,16 +26,16 @@
 	Import(ctx context.Context, w ids.WorkerID, m workerclient.Identity, source ids.WorkerID) (*workerclient.OrderResponse, error)
 	Resume(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
 	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
-	// Release frees the reservation of an attempt. confirmed tells that the worker itself
-	// said that it holds no memory for the attempt any more.
+	// Release frees the reservation of an attempt. The parameter confirmed says that the worker
+	// itself reported that it holds no more memory for the attempt.
 	Release(w ids.WorkerID, id workerclient.ID, confirmed bool)
 	Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.TokenEvent) error) error
 	// SpendRetry reports whether the retry budget granted a recompute within the wait.
 	SpendRetry(ctx context.Context, wait time.Duration) bool
 	ReportFault(w ids.WorkerID)
-	// PickedUnderStaleVersion reports whether the last pick was made under a configuration
-	// version that may no longer be in force.
-	PickedUnderStaleVersion() bool
+	// PickMayBeOutdated reports whether the last pick was made under a configuration version
+	// that may no longer be in force.
+	PickMayBeOutdated() bool
 }
 
 // PickedWorker is an eligible worker, with its model and memory block size.
@@ -247,7 +247,7 @@
 		}
 	}
 	// The claim may have taken long enough for the version to change.
-	if transport.PickedUnderStaleVersion() {
+	if transport.PickMayBeOutdated() {
 		return failure.New(failure.Stale, "pick", m.ID.Request, "a newer version may be in force")
 	}
 	f.prefillWorker = prefill.ID
--- a/internal/handoff/controller_test.go
+++ b/internal/handoff/controller_test.go
@@ -132,8 +132,8 @@
 func (s *fakeTransport) Release(w ids.WorkerID, id workerclient.ID, _ bool) {
 	s.reserved[string(w)+id.Request] = 0
 }
-func (s *fakeTransport) ReportFault(ids.WorkerID)      {}
-func (s *fakeTransport) PickedUnderStaleVersion() bool { s.stalePicks--; return s.stalePicks >= 0 }
+func (s *fakeTransport) ReportFault(ids.WorkerID) {}
+func (s *fakeTransport) PickMayBeOutdated() bool  { s.stalePicks--; return s.stalePicks >= 0 }
 
 func (s *fakeTransport) Stream(
 	_ context.Context,
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -1,6 +1,6 @@
-// Audit records of governed work. The node serving a request collects each step with its
-// clearance, appends one row to the audit chain in the core before anything runs, and one
-// with the outcome.
+// This file keeps the audit records of requests under a regime. The node that serves a request
+// collects each step with the certificate that cleared it, appends one row to the audit chain in the
+// coordination service before anything runs, and one with the outcome.
 
 package router
 
@@ -21,7 +21,7 @@
 )
 
 // recordStep adds a step and the certificate that cleared it to the audit record. It ignores
-// ungoverned steps and reservations.
+// steps of requests without a regime, and reservations.
 func (t *transport) recordStep(verb string, w ids.WorkerID, id workerclient.ID, serial string) {
 	if serial == "" || verb == verbReserve {
 		return
@@ -35,7 +35,7 @@
 	})
 }
 
-// auditRecord returns the encoded audit row of a request, or nil for work that no regime governs.
+// auditRecord returns the encoded audit row of a request, or nil if no regime governs it.
 func (t *transport) auditRecord(request, key, outcome string) []byte {
 	if t.regime == "" {
 		return nil
@@ -54,8 +54,8 @@
 	return row
 }
 
-// appendAudit appends a row to the core's audit chain. Repeating it with the same operation id
-// appends the row only once.
+// appendAudit appends a row to the audit chain in the coordination service. Repeating it with
+// the same operation id appends the row only once.
 func (n *Node) appendAudit(ctx context.Context, op ids.OpID, record []byte) error {
 	_, err := n.agent.Submit(ctx, op, fleetstate.AppendAuditKind, coordination.MustMarshal(&fleetstate.AppendAudit{Record: record}))
 	return err
@@ -64,8 +64,8 @@
 // auditOp returns the id of the operation that appends one audit row of a request.
 func auditOp(request, row string) ids.OpID { return ids.OpID("audit/" + request + "/" + row) }
 
-// recordStart records the start of governed work that claims no key, before anything is sent to
-// a worker.
+// recordStart records the start of a request that is under a regime and claims no key, before
+// anything is sent to a worker.
 func (t *transport) recordStart(ctx context.Context, request string) error {
 	if t.regime == "" || t.startRecorded {
 		return nil
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// recordEnd records the outcome of a request whose start was recorded. If the core is
-// unreachable, the row is kept and submitted again later.
+// recordEnd records the outcome of a request whose start was recorded. If the coordination
+// service is unreachable, the row is kept and submitted again later.
 func (t *transport) recordEnd(request string, err error, count int) {
 	if !t.startRecorded {
 		return
@@ -115,7 +115,7 @@
 	return t.auditRecord(RequestIDForKey(claim.Key), claim.Key, outcome)
 }
 
-// Audits reads up to limit rows of the core's audit chain, starting at row from.
+// Audits reads up to limit rows of the audit chain, starting at row from.
 func (n *Node) Audits(ctx context.Context, from, limit int) (*api.Audits, error) {
 	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -1,5 +1,5 @@
-// Requests with an idempotency key. The key is claimed before the run, and the outcome is
-// recorded before it is reported to the caller.
+// This file runs requests with an idempotency key. The key is claimed before the run, and the
+// outcome is recorded before it is reported to the caller.
 
 package router
 
@@ -19,11 +19,11 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// runClaimed runs a request of a kind that claims its idempotency key. The key is claimed once
-// memory is reserved and before anything is sent to a worker, and the outcome is recorded
-// before the final event is sent. The run continues if the caller disconnects: a repeated
-// request with the same key is then answered from the record.
-func (n *Node) runClaimed(
+// runClaimedRequest runs a request of a kind that claims its idempotency key. The key is claimed
+// once memory is reserved and before anything is sent to a worker, and the outcome is recorded
+// before the final event is sent. The run continues if the caller disconnects: a repeated request
+// with the same key is then answered from the record.
+func (n *Node) runClaimedRequest(
 	ctx context.Context,
 	s *fleetstate.Snapshot,
 	t *handoff.Task,
@@ -37,7 +37,7 @@
 	var claimErr error
 	t.Claim = func(w ids.WorkerID, incarnation ids.Incarnation) error {
 		if claimed {
-			return n.reassignClaim(key, w, incarnation)
+			return n.recordClaimWorker(key, w, incarnation)
 		}
 		record, err := n.claimKey(ctx, key, request, w, incarnation)
 		if err == nil && record != nil {
@@ -71,19 +71,19 @@
 		score.NotExecuted.Add(1)
 		return n.rejectForCapacity(http.StatusServiceUnavailable, "bounced", "%v", err)
 	}
-	resolve := &fleetstate.Resolve{Key: key, Owner: n.self.Node, Outcome: runOutcome(err, len(tokens))}
-	resolve.Audit = tr.auditRecord(t.Identity.ID.Request, key, resolve.Outcome)
-	if resolve.Outcome == fleetstate.OutcomeDone {
-		resolve.Answer, _ = json.Marshal(storedAnswer{tokens, texts})
+	resolution := &fleetstate.Resolve{Key: key, Owner: n.self.Node, Outcome: runOutcome(err, len(tokens))}
+	resolution.Audit = tr.auditRecord(t.Identity.ID.Request, key, resolution.Outcome)
+	if resolution.Outcome == fleetstate.OutcomeDone {
+		resolution.Answer, _ = json.Marshal(storedAnswer{tokens, texts})
 	}
-	if e := n.submitOutcome(resolve); e != nil {
-		return n.reportUnrecorded(resolve, e, len(tokens), out)
+	if e := n.submitResolution(resolution); e != nil {
+		return n.reportUnrecorded(resolution, e, len(tokens), out)
 	}
-	return n.finishClaimed(resolve.Outcome, err, len(tokens), score, out)
+	return n.finishClaimedRequest(resolution.Outcome, err, len(tokens), score, out)
 }
 
-// finishClaimed ends the caller's stream after the outcome has been recorded.
-func (n *Node) finishClaimed(outcome string, cause error, tokens int, score *routing.Score, out api.Sink) error {
+// finishClaimedRequest ends the caller's stream after the outcome has been recorded.
+func (n *Node) finishClaimedRequest(outcome string, cause error, tokens int, score *routing.Score, out api.Sink) error {
 	switch outcome {
 	case fleetstate.OutcomeMayHaveRun:
 		n.counts.OutcomeUnknown.Add(1)
@@ -112,14 +112,15 @@
 	return fleetstate.OutcomeNotRun
 }
 
-// reportUnrecorded answers a caller whose outcome could not be recorded. The outcome is kept for
-// a later attempt unless the core has already assigned the claim to another node.
-func (n *Node) reportUnrecorded(resolve *fleetstate.Resolve, cause error, tokens int, out api.Sink) error {
+// reportUnrecorded answers the caller when the outcome of its request could not be recorded. The
+// resolution is queued and submitted again later, unless the coordination service has already
+// assigned the claim to another node.
+func (n *Node) reportUnrecorded(resolution *fleetstate.Resolve, cause error, tokens int, out api.Sink) error {
 	n.counts.OutcomeUnknown.Add(1)
 	if !failure.Is(cause, failure.Stale) {
-		n.unresolved.add(unresolvedClaim{resolve: resolve})
+		n.unresolved.add(unresolvedClaim{resolution: resolution})
 	}
-	if tokens == 0 && resolve.Outcome == fleetstate.OutcomeNotRun {
+	if tokens == 0 && resolution.Outcome == fleetstate.OutcomeNotRun {
 		return n.rejectRetryable(http.StatusServiceUnavailable, "outcome-pending", "%v", cause)
 	}
 	return out.Put(api.StreamEvent{
@@ -134,8 +135,8 @@
 	})
 }
 
-// rejectNotRun answers a request whose key is recorded as not run. No delayed copy of it can run
-// any more, so the caller has to retry with a new key.
+// rejectNotRun answers a request whose key is recorded as not run. No delayed copy of the request
+// can run any more, so the caller has to retry with a new key.
 func (n *Node) rejectNotRun(count int, out api.Sink) error {
 	rejection := workerclient.Rejection{
 		Name:   "not-run",
@@ -174,7 +175,7 @@
 				err,
 			)
 		}
-		if failure.Is(err, failure.Stale) {
+		if failure.Is(err, failure.Stale) { // the store of idempotency records is full
 			n.counts.Rejected.Add(1)
 			return nil, api.RetryLater(
 				http.StatusServiceUnavailable, "store-full", time.Minute, "nothing was run: %v", err,
@@ -197,9 +198,9 @@
 	return nil, nil
 }
 
-// reassignClaim records that a claimed key now runs on another worker or incarnation than the one
-// it was claimed for.
-func (n *Node) reassignClaim(key string, w ids.WorkerID, incarnation ids.Incarnation) error {
+// recordClaimWorker records that the request of a claimed key now runs on another worker or
+// incarnation than the one that the key was claimed for.
+func (n *Node) recordClaimWorker(key string, w ids.WorkerID, incarnation ids.Incarnation) error {
 	callContext, stop := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer stop()
 	assign := &fleetstate.AssignWorker{Key: key, Owner: n.self.Node, Worker: w, Incarnation: incarnation}
@@ -212,23 +213,24 @@
 	return err
 }
 
-// RequestIDForKey returns the request id that every run of an idempotency key has.
+// RequestIDForKey returns the request id that every run of a request with an idempotency key has.
 func RequestIDForKey(key string) string { return "k-" + coordination.ShortHash(key) }
 
-// submitOutcome records the outcome of a claimed key in the core.
-func (n *Node) submitOutcome(resolve *fleetstate.Resolve) error {
+// submitResolution resolves a claim, that is, records the outcome of its request in the
+// coordination service.
+func (n *Node) submitResolution(resolution *fleetstate.Resolve) error {
 	callContext, stop := context.WithTimeout(context.Background(), 4*time.Second)
 	defer stop()
 	_, err := n.agent.Submit(
 		callContext,
-		ids.OpID("settle/"+resolve.Key+"/"+string(resolve.Owner)),
+		ids.OpID("settle/"+resolution.Key+"/"+string(resolution.Owner)),
 		fleetstate.ResolveKind,
-		coordination.MustMarshal(resolve),
+		coordination.MustMarshal(resolution),
 	)
 	return err
 }
 
-// replayRecord answers a request from the record of an earlier request with the same key.
+// replayRecord answers a request from the idempotency record of an earlier one with the same key.
 func (n *Node) replayRecord(record *fleetstate.IdempotencyRecord, out api.Sink) error {
 	n.counts.Replayed.Add(1)
 	switch record.Outcome {
@@ -237,7 +239,7 @@
 	case fleetstate.OutcomeNotRun:
 		return n.rejectNotRun(0, out)
 	case fleetstate.OutcomeDone:
-		if record.Aged {
+		if record.AnswerExpired {
 			return api.WriteFault(
 				http.StatusGone,
 				"answer-aged",
--- a/internal/router/claim_takeover.go
+++ b/internal/router/claim_takeover.go
@@ -1,8 +1,8 @@
-// Resolution of claims held by dead nodes, and the shared retry budget. One node holds the
-// resolution duty: it takes over each such claim under its fencing token, cancels the request
-// on the worker that may run it, and records the outcome that the worker reports. The retry
-// budget is a token bucket shared by all nodes and kept by the holder of its key; it starts
-// empty when the key moves to another node.
+// This file resolves the claims of dead nodes and keeps the shared retry budget. One node holds the
+// resolution duty: it takes over each such claim under its fencing token, cancels the request on
+// the worker that may run it, and records the outcome that the worker reports. The retry budget is
+// a token bucket shared by all nodes and kept by the holder of its key; it starts empty when the
+// key moves to another node.
 
 package router
 
@@ -50,19 +50,20 @@
 	if err != nil {
 		return
 	}
-	// The core's record says on which worker the request may run; the local view may be behind.
+	// The record in the coordination service says on which worker the request may run; the local
+	// view may be behind.
 	if _, err := claim.UnmarshalMsg(r.Body); err != nil {
 		return
 	}
 	outcome, answer := n.queryOutcome(ctx, &claim)
-	resolve := &fleetstate.Resolve{
+	resolution := &fleetstate.Resolve{
 		Key:     claim.Key,
 		Owner:   n.self.Node,
 		Outcome: outcome,
 		Answer:  answer,
 		Audit:   n.takeoverAuditRecord(&claim, outcome),
 	}
-	if err := n.submitOutcome(resolve); err != nil {
+	if err := n.submitResolution(resolution); err != nil {
 		n.options.Ring.Warn().AnErr("cause", err).Str("key", claim.Key).
 			Msg("failed to resolve the claim of a dead node, will retry")
 	}
@@ -70,7 +71,7 @@
 
 // queryOutcome permanently cancels a request at the one worker that may run it and returns the
 // outcome that the worker reports, with the answer if it completed. If the worker cannot be
-// asked, or has restarted since, the request may have run.
+// reached, or has restarted since, the outcome is that the request may have run.
 func (n *Node) queryOutcome(ctx context.Context, claim *fleetstate.IdempotencyRecord) (string, []byte) {
 	if _, ok := (*n.endpoints.Load())[claim.Worker]; !ok {
 		return fleetstate.OutcomeMayHaveRun, nil
@@ -120,7 +121,8 @@
 	tokens     float64
 }
 
-// handleSpendRetry takes one token from the retry budget if this node keeps it and one is left.
+// handleSpendRetry takes one token from the retry budget if this node keeps the budget and a token
+// is left.
 func (n *Node) handleSpendRetry(_ context.Context, _ *coordination.Empty) (*RetryTokenResponse, error) {
 	fence, end, ok := n.agent.BeginOperation(fleetstate.RetryBudgetKey)
 	if !ok {
--- a/internal/router/clearance.go
+++ b/internal/router/clearance.go
@@ -1,5 +1,8 @@
-// Enforcement of regimes for governed work. A worker or node that the certificate register does
-// not clear is no candidate, gets no orders, and has its running steps ended at once.
+// This file enforces certification regimes. A regime governs some kinds of requests, which only
+// nodes and workers with a valid certificate for it may handle. A clearance is the permission that
+// such a certificate gives a node, or a worker in one role. A worker or node that the certificate
+// register does not clear is no candidate, gets no orders, and its running steps are canceled at
+// once.
 
 package router
 
@@ -18,9 +21,9 @@
 // guardInterval is how often the clearance of a running step is checked again.
 const guardInterval = 50 * time.Millisecond
 
-// stepClearance checks that this node and a worker in a role may handle a regime's work now, and
-// returns the serial of the worker's certificate. Work that no regime governs, or governs any
-// more, needs no certificate.
+// stepClearance checks that this node, and a worker in a role, may handle the requests of a regime
+// now, and returns the serial of the worker's certificate. A request without a regime, or whose
+// regime has been removed, needs no certificate.
 func (n *Node) stepClearance(regime string, w ids.WorkerID, role ids.Role) (string, error) {
 	if regime == "" || !n.view.Current().Register.Has(regime) {
 		return "", nil
@@ -40,18 +43,20 @@
 	return t.regime
 }
 
-// fitsBesideReserve reports whether a worker has capacity for an ungoverned request of the given
-// number of blocks beside the share that it keeps for governed work.
-func (n *Node) fitsBesideReserve(s *fleetstate.Snapshot, st WorkerStatus, blocks int) bool {
+// fitsWithHeadroom reports whether a worker has capacity for a request without a regime that needs
+// the given number of blocks, in addition to the headroom that the worker keeps free for requests
+// under a regime.
+func (n *Node) fitsWithHeadroom(s *fleetstate.Snapshot, st WorkerStatus, blocks int) bool {
 	if s.Register == nil {
 		return true
 	}
-	keep := s.Register.RetentionOf(st.ID, st.Role, n.fleetTime())
-	return st.Free-blocks >= st.Capacity*keep/100 && (keep == 0 || st.InFlight < handoff.LimitWithHeadroom(st.MaxConcurrent, keep))
+	headroomPercent := s.Register.RetentionOf(st.ID, st.Role, n.fleetTime())
+	return st.Free-blocks >= st.Capacity*headroomPercent/100 &&
+		(headroomPercent == 0 || st.InFlight < handoff.LimitWithHeadroom(st.MaxConcurrent, headroomPercent))
 }
 
-// orderClearance checks an order for governed work: the register must clear this node, the worker
-// and, for an import of KV memory, also the source. It returns the serial of the worker's
+// orderClearance checks an order for a request under a regime: the register must clear this node,
+// the worker and, for an import of KV memory, also the source. It returns the serial of the worker's
 // certificate.
 func (n *Node) orderClearance(request *OrderRequest) (string, error) {
 	switch request.Verb {
@@ -73,7 +78,7 @@
 
 // guardStep returns a context that is canceled as soon as the worker, or the source of its KV
 // memory, is no longer cleared. The returned function ends the check; it replaces an error that
-// follows such a cancellation by one that names its cause.
+// results from such a cancellation by one that names the cause.
 func (t *transport) guardStep(
 	ctx context.Context,
 	w ids.WorkerID,
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -1,5 +1,6 @@
-// Forwarding of governed requests. A node without a certificate for the regime does not handle
-// them: it forwards a request unchanged to a certified node, or rejects it at once.
+// This file forwards requests that a certification regime governs. A node without a certificate for
+// the regime does not handle them: it forwards a request unchanged to a certified node, or rejects
+// it at once.
 
 package router
 
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -1,7 +1,8 @@
-// Heartbeats between router nodes. Several times a second every node tells every other the
-// highest version it knows, how long ago the core last confirmed it, and the state of its
-// memory ledgers. A node that is partitioned from the core alone still learns of new versions,
-// and nodes can distinguish a failure of the core from a failure of their own connection.
+// This file sends heartbeats between router nodes. Several times a second, every node sends every
+// other node the highest version that it knows, the time since the coordination service (the core)
+// last confirmed the sender's lease, and the state of the sender's memory ledgers. A node that is
+// partitioned from the core alone still learns of new versions, and nodes can distinguish a failure
+// of the core from a failure of their own connection.
 
 package router
 
@@ -18,7 +19,7 @@
 	"keelstair.example/rpc"
 )
 
-// confirmationTTL is how long a confirmation that this node knows the newest version counts. It
+// confirmationTTL is how long a confirmation that this node knows the newest version is valid. It
 // must not exceed the time that the core waits for silent nodes plus the 250 ms in which an older
 // version may still be used.
 const confirmationTTL = 500 * time.Millisecond
@@ -126,7 +127,7 @@
 
 // observePeer processes a peer's heartbeat. It notes the version before it records the heartbeat,
 // so that the heartbeat never counts as a confirmation while its version is unknown. A version
-// newer than any staged here is fetched from that peer at once.
+// newer than any prepared here is fetched from that peer at once.
 func (n *Node) observePeer(ctx context.Context, m coordination.Member, heartbeat *Heartbeat, requestedAt ids.Tick) {
 	if !n.view.NoteVersion(heartbeat.Version) {
 		go n.agent.Fetch(ctx, m.Addr)
@@ -211,16 +212,16 @@
 	}
 }
 
-// versionCurrent reports whether the version in force here is the newest one that this node knows
-// and recentlyConfirmed holds, so that it would have learned of a newer one.
+// versionCurrent reports whether the version in force here is the newest one that this node knows,
+// and whether the node would have learned of a newer one (see recentlyConfirmed).
 func (n *Node) versionCurrent() bool { return n.view.UpToDate() && n.recentlyConfirmed() }
 
 // recentlyConfirmed reports whether this node would have learned of a newer version. Within the
 // last half second (confirmationTTL) either the core confirmed it and it has applied every update
 // up to then, or a majority of the members, counting itself, answered heartbeat requests that it
 // sent within that time. A heartbeat that a peer sends on its own does not count: it may have been
-// delayed by a partition and describe the time before it. A staged version waits nearly as long
-// for silent nodes before it is in force anywhere.
+// delayed by a partition and describe the time before the partition. A prepared version waits
+// nearly as long for silent nodes before it is in force anywhere.
 func (n *Node) recentlyConfirmed() bool {
 	if n.agent.CaughtUp(confirmationTTL) {
 		return true
--- a/internal/router/heartbeat_test.go
+++ b/internal/router/heartbeat_test.go
@@ -18,10 +18,10 @@
 	"keelstair.example/rpc"
 )
 
-// TestRecentlyConfirmedByAnswers checks which heartbeats count while the core is unreachable. One that
-// a peer sends on its own may describe the time before a partition and must not count, nor must the
-// answer to a request sent too long ago. The answer to a recent request counts for confirmationTTL
-// after the request was sent, even if another heartbeat arrives after it.
+// TestRecentlyConfirmedByAnswers checks which heartbeats count while the core is unreachable. One
+// that a peer sends on its own may describe the time before a partition and must not count, nor
+// must the answer to a request sent too long ago. The answer to a recent request counts for
+// confirmationTTL after the request was sent, even if another heartbeat arrives after it.
 func TestRecentlyConfirmedByAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -67,10 +67,10 @@
 	})
 }
 
-// TestLongestUnconfirmedPeriod checks when a node stops picking workers while the core is unreachable
-// and one of three members is silent. While the other peer answers within two heartbeat intervals,
-// the node is always confirmed. When that peer falls silent too, the node is unconfirmed after
-// confirmationTTL, and confirmed again within a second after the peer answers again.
+// TestLongestUnconfirmedPeriod checks when a node stops picking workers while the core is
+// unreachable and one of three members is silent. While the other peer answers within two heartbeat
+// intervals, the node is always confirmed. When that peer falls silent too, the node is unconfirmed
+// after confirmationTTL, and confirmed again within a second after the peer answers again.
 func TestLongestUnconfirmedPeriod(t *testing.T) {
 	for _, delay := range []time.Duration{0, 60 * time.Millisecond, 140 * time.Millisecond, 250 * time.Millisecond} {
 		t.Run(delay.String(), func(t *testing.T) {
--- a/internal/router/messages.go
+++ b/internal/router/messages.go
@@ -27,9 +27,9 @@
 )
 
 // OrderRequest is one order for a worker. Body is the JSON encoding of the request's identity, or
-// the new role in a role change. Regime and Role are set for governed work only. In a reservation
-// Blocks is the number of memory blocks; in a "done" order a positive value says that the attempt
-// has certainly ended.
+// the new role in a role change. Regime and Role are set only if a regime governs the request. In a
+// reservation Blocks is the number of memory blocks; in a "done" order a positive value says that
+// the worker itself reported that it holds no more memory for the attempt.
 type OrderRequest struct {
 	Worker  ids.WorkerID
 	Verb    string
@@ -49,14 +49,15 @@
 	Body    []byte
 }
 
-// RetryTokenResponse says whether a token was taken from the retry budget.
+// RetryTokenResponse says whether the retry budget granted a retry.
 type RetryTokenResponse struct {
 	OK bool `msg:"Ok"`
 }
 
 // Heartbeat describes a node to its peers: the highest version that it knows, the nanoseconds since
-// the core last confirmed it, the status of the workers whose keys it holds, and the workers that
-// the platform lists as leaving, if the list is at most one second old.
+// it sent the last lease renewal that the coordination service confirmed, the status of the workers
+// whose keys it holds, and the workers that the platform lists as leaving, if the list is at most
+// one second old.
 type Heartbeat struct {
 	Node           ids.NodeID
 	Version        ids.Version
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -1,6 +1,7 @@
 // Package router is the data plane. A router node accepts requests from clients, relays them
 // between prefill and decode workers, and performs the duties of the coordination keys that it
-// holds. This file assembles a node from its components.
+// holds. The replicated coordination service, of which a node is a member, is called the core in
+// names and messages. This file assembles a node from its components.
 package router
 
 import (
@@ -157,7 +158,7 @@
 }
 
 // Run runs the node until the context ends. It then accepts no new requests, waits up to the drain
-// time for running streams, and leaves the membership. With a drain time of zero it stops at once
+// time for running streams, and leaves the membership. If the drain time is zero, it stops at once
 // and does not leave.
 func (n *Node) Run(ctx context.Context, drain time.Duration) {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -171,7 +172,7 @@
 	<-ctx.Done()
 	n.stopping.Store(true)
 	if drain > 0 {
-		for end := n.now().Add(drain); n.inflight.Load() > 0 && n.now().Before(end); {
+		for deadline := n.now().Add(drain); n.inflight.Load() > 0 && n.now().Before(deadline); {
 			host.Sleep(inner, 50*time.Millisecond)
 		}
 		n.agent.Leave()
--- a/internal/router/operator.go
+++ b/internal/router/operator.go
@@ -1,4 +1,4 @@
-// Operator API of a node: configurations, evacuations, drains and status.
+// This file implements the operator API of a node: configurations, evacuations, drains and status.
 
 package router
 
@@ -22,8 +22,8 @@
 	"keelstair.example/internal/routing"
 )
 
-// Prefixes of operation ids. The core remembers ids by the class before the slash, so that many
-// operations of one class don't evict the remembered ids of another.
+// These are prefixes of operation ids. The core remembers ids by the class before the slash, so
+// that many operations of one class don't evict the remembered ids of another.
 const (
 	configurationOps = "op/"
 	evacuationOps    = "zone/"
@@ -59,7 +59,8 @@
 			s = n.view.Current()
 		}
 		if uint64(s.Version) != a.Base {
-			// The version has changed since the base, perhaps by an earlier attempt of this operation.
+			// The version has changed since the base, perhaps by an earlier attempt of this
+			// operation.
 			callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 			defer stop()
 			r, err := n.agent.Submit(callContext, ids.OpID(configurationOps+a.Op), fleetstate.QueryKind, nil)
@@ -107,7 +108,7 @@
 	return n.awaitApplied(ctx, r, true)
 }
 
-// staleError is the answer to a configuration whose base is not the newest version.
+// staleError returns the answer to a configuration whose base is not the newest version.
 func (n *Node) staleError(base uint64, s *fleetstate.Snapshot) error {
 	return api.Stale(base, uint64(max(s.NewestVersion, s.Version)))
 }
--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -1,5 +1,6 @@
-// Certificates and regimes at a node: which subjects its register clears at the current fleet time,
-// and the operator API for them. A node clears nobody while its state from the core is too old.
+// This file decides which subjects (nodes and workers) a node's certificate register clears at the
+// current fleet time, and implements the operator API for certificates and regimes. A node clears no
+// subject while its state from the coordination service (the core) is too old.
 
 package router
 
@@ -23,9 +24,9 @@
 	return certification.Now{Low: low, High: high}
 }
 
-// clearance returns the serial of the certificate that allows a subject to handle a regime's work
-// in a role now. It clears nobody while this node's state from the core is too old to include
-// recent revocations and the fleet time.
+// clearance returns the serial of the certificate that allows a subject to handle requests of a
+// regime in a role now. It clears no subject while this node's state from the core is too old to
+// include recent revocations and the fleet time.
 func (n *Node) clearance(regime string, s certification.Subject, role ids.Role) (string, error) {
 	if !n.agent.Current() {
 		return "", failure.New(
--- a/internal/router/regime_test.go
+++ b/internal/router/regime_test.go
@@ -13,9 +13,9 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestRoleChangeKeepsRegimeCovered checks that a worker does not change its role while it is the last
-// one in that role that is cleared for a regime. A second cleared worker allows the change, and a
-// revocation of the second one's certificate forbids it again.
+// TestRoleChangeKeepsRegimeCovered checks that a worker does not change its role while it is the
+// last one in that role that is cleared for a regime. A second cleared worker allows the change,
+// and a revocation of the second one's certificate forbids it again.
 func TestRoleChangeKeepsRegimeCovered(t *testing.T) {
 	key, _, err := certification.NewKey()
 	require.NoError(t, err)
--- a/internal/router/role_balance.go
+++ b/internal/router/role_balance.go
@@ -1,9 +1,9 @@
-// Role changes. For each model's pool, the holder of the pool's key decides when a worker changes
-// between prefill and decode. A routing program or the built-in rule proposes a change; this file
-// enforces the limits that no proposal can exceed. A worker changes its role at most once per
-// dwell time. Changes in a pool are half a dwell time apart, or a quarter if they go in the same
-// direction, so that each shows its effect before the next. The role that a worker leaves must
-// keep enough workers.
+// This file changes the roles of workers. For each model's pool, the holder of the pool's key
+// decides when a worker changes between prefill and decode. A routing program or the built-in rule
+// proposes a change; this file enforces the limits that no proposal can exceed. A worker changes
+// its role at most once per dwell time. Changes in a pool are half a dwell time apart, or a quarter
+// if they go in the same direction, so that each shows its effect before the next. The role that a
+// worker leaves must keep enough workers.
 //
 // Pressure counts only requests that have started at a worker, not reservations: memory for the
 // whole answer is reserved at a decode worker while the prompt still waits for prefill, so with
@@ -185,7 +185,7 @@
 	return true
 }
 
-// changedRoleWithin reports whether this node had a worker change its role within the dwell time.
+// changedRoleWithin reports whether this node changed the role of a worker within the dwell time.
 func (n *Node) changedRoleWithin(id ids.WorkerID, dwell time.Duration) bool {
 	v, ok := n.roleChanges.Load(id)
 	return ok && n.now().Since(v.(ids.Tick)) < dwell
@@ -236,11 +236,11 @@
 		}
 		if !host.Sleep(callContext, 100*time.Millisecond) {
 			return nil, failure.New(
-				failure.NotExecuted, "turn", string(duty.id), "it did not drain within %s", roleChangeTimeout,
+				failure.NotExecuted, "turn", string(duty.id), "the worker did not drain within %s", roleChangeTimeout,
 			)
 		}
 	}
 }
 
-// RoleChanges returns how many role changes this node has had made.
+// RoleChanges returns the number of role changes that this node has carried out.
 func (n *Node) RoleChanges() int64 { return n.counts.RoleChanges.Load() }
--- a/internal/router/role_balance_test.go
+++ b/internal/router/role_balance_test.go
@@ -16,8 +16,8 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// newRoleBalanceFixture returns a node that sees the given numbers of prefill and decode workers, each
-// with the given number of started requests.
+// newRoleBalanceFixture returns a node that sees the given numbers of prefill and decode workers,
+// each with the given number of started requests.
 func newRoleBalanceFixture(prefills, decodes, prefillStarted, decodeStarted int) (*Node, *fleetstate.Snapshot) {
 	n := New(Options{Name: "n", Host: simulated.NewWorld(1).Machine("10.0.0.1").Start().Host()})
 	s := &fleetstate.Snapshot{Configuration: &fleetstate.Configuration{
@@ -71,9 +71,9 @@
 	return out
 }
 
-// TestRoleChanges checks that a loaded role gets workers from an idle one, a quarter of the dwell time
-// apart, until the idle role can spare none. No worker changes if both roles are loaded or neither
-// is. With role changes disabled the workers return to their configured roles.
+// TestRoleChanges checks that a loaded role gets workers from an idle one, a quarter of the dwell
+// time apart, until the idle role can spare none. No worker changes if both roles are loaded or
+// neither is. With role changes disabled the workers return to their configured roles.
 func TestRoleChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := newRoleBalanceFixture(4, 4, 14, 0)
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -1,6 +1,6 @@
-// Serving of client requests: admission, the claim of an idempotency key if the kind needs one, the
-// run, and the recorded outcome before the final event. A request that is given up is answered at
-// once, with the time after which to retry.
+// This file serves client requests: it admits a request, claims its idempotency key if the kind
+// needs one, runs it, and records the outcome before it sends the final event. A request that is
+// given up is answered at once, with the time after which to retry.
 
 package router
 
@@ -98,9 +98,9 @@
 	}
 	t.Identity.ID.Request = coordination.NewID()
 	if !kind.Claimed {
-		return n.runUnclaimed(ctx, s, t, out)
+		return n.runUnclaimedRequest(ctx, s, t, out)
 	}
-	return n.runClaimed(ctx, s, t, request, out)
+	return n.runClaimedRequest(ctx, s, t, request, out)
 }
 
 // offersAdapters reports whether some worker of a model offers all the wanted adapters.
@@ -173,8 +173,8 @@
 		n.scores.Of(programs.ProgramFor(t.Identity.ID.Request))
 }
 
-// runUnclaimed runs a request of a kind that claims no idempotency key.
-func (n *Node) runUnclaimed(ctx context.Context, s *fleetstate.Snapshot, t *handoff.Task, out api.Sink) error {
+// runUnclaimedRequest runs a request of a kind that claims no idempotency key.
+func (n *Node) runUnclaimedRequest(ctx context.Context, s *fleetstate.Snapshot, t *handoff.Task, out api.Sink) error {
 	c, tr, score := n.newController(s, t)
 	start, count := n.now(), 0
 	var recordErr error
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -1,4 +1,5 @@
-// Transport of the hand-over controller: it picks eligible workers and sends them orders.
+// This file implements the transport of the hand-over controller, which picks eligible workers and
+// sends them orders.
 
 package router
 
@@ -28,7 +29,7 @@
 	prefix        uint64
 	pickedVersion ids.Version
 	kind          string
-	regime        string       // the regime that governs the request, if any
+	regime        string       // the certification regime that governs the request; empty if it needs no certified worker
 	pickedRole    ids.Role     // the role of the last pick
 	memorySource  ids.WorkerID // the worker that the KV memory is imported from
 	auditSteps    []fleetstate.AuditStep
@@ -45,8 +46,8 @@
 	n := t.node
 	// Wait up to one second while a newer version is known and not yet in force here, or while
 	// this node might not have learned of one.
-	for end := n.now().Add(time.Second); !n.versionCurrent(); {
-		if !n.now().Before(end) || !host.Sleep(context.Background(), 20*time.Millisecond) {
+	for deadline := n.now().Add(time.Second); !n.versionCurrent(); {
+		if !n.now().Before(deadline) || !host.Sleep(context.Background(), 20*time.Millisecond) {
 			return nil
 		}
 	}
@@ -62,16 +63,18 @@
 	}
 	picked := map[ids.WorkerID]handoff.PickedWorker{}
 	var candidates, fallbacks []routing.Candidate
-	rolesByWeights := map[string]map[ids.Role]bool{}
+	// A request needs a prefill and a decode worker with the same model weights. Weights that lack
+	// a ready worker in one of the roles are skipped.
+	rolesByModelWeights := map[string]map[ids.Role]bool{}
 	for id, st := range *n.workerStatuses.Load() {
 		w, ok := s.Configuration.Workers[id]
 		if !ok || !st.Ready || !n.acceptsWork(s, id) || !cleared(st) {
 			continue
 		}
-		if rolesByWeights[w.Weights] == nil {
-			rolesByWeights[w.Weights] = map[ids.Role]bool{}
+		if rolesByModelWeights[w.Weights] == nil {
+			rolesByModelWeights[w.Weights] = map[ids.Role]bool{}
 		}
-		rolesByWeights[w.Weights][st.Role] = true
+		rolesByModelWeights[w.Weights][st.Role] = true
 	}
 	for id, st := range *n.workerStatuses.Load() {
 		w, ok := s.Configuration.Workers[id]
@@ -82,8 +85,8 @@
 		}
 		blocks := ids.Blocks(request.NeededTokens, st.Block)
 		if !ok || st.Role != request.Role || !st.Ready || !n.acceptsWork(s, id) || !cleared(st) ||
-			regime == "" && !n.fitsBesideReserve(s, st, blocks) || !m.Offers(want) || st.InFlight >= st.MaxConcurrent ||
-			!rolesByWeights[w.Weights][ids.Prefill] || !rolesByWeights[w.Weights][ids.Decode] || st.Free < blocks {
+			regime == "" && !n.fitsWithHeadroom(s, st, blocks) || !m.Offers(want) || st.InFlight >= st.MaxConcurrent ||
+			!rolesByModelWeights[w.Weights][ids.Prefill] || !rolesByModelWeights[w.Weights][ids.Decode] || st.Free < blocks {
 			continue
 		}
 		picked[id] = handoff.PickedWorker{ID: id, Model: m, TokensPerBlock: st.Block, Incarnation: st.Incarnation}
@@ -114,9 +117,9 @@
 	return out
 }
 
-// issueOrder sends an order to a worker through the holder of its key. For governed work it first
-// checks the clearance, records the step for the audit, and cancels the step when the clearance
-// ends.
+// issueOrder sends an order to a worker through the node that holds the worker's key. If a regime
+// governs the request, issueOrder first checks that the regime clears this node and the worker for
+// the order, records the order for the audit, and cancels it when the clearance ends.
 func (t *transport) issueOrder(
 	ctx context.Context,
 	verb string,
@@ -136,7 +139,8 @@
 		}
 	}
 	// Orders without a role cancel an attempt or free its memory. They may run concurrently with
-	// the next attempt and need no clearance.
+	// the next attempt and need no clearance. Neither do orders for a request without a regime;
+	// their role is not sent.
 	if request.Role == "" || t.regime == "" {
 		request.Role = ""
 		return t.node.sendOrder(callContext, &request)
@@ -151,9 +155,9 @@
 	if verb != verbImport && verb != verbResume {
 		source = ""
 	}
-	callContext, end := t.guardStep(callContext, w, request.Role, source)
+	callContext, endStep := t.guardStep(callContext, w, request.Role, source)
 	response, err := t.node.sendOrder(callContext, &request)
-	return response, end(err)
+	return response, endStep(err)
 }
 
 // Reserve reserves blocks of memory at a worker.
@@ -214,12 +218,13 @@
 }
 
 // Release frees the memory reserved for an attempt without waiting for the answer. If the order is
-// lost, the holder learns of it from the worker's reports. Certain says that the attempt has
-// certainly ended.
-func (t *transport) Release(w ids.WorkerID, id workerclient.ID, certain bool) {
+// lost, the node that holds the worker's key sees from the worker's reports that the memory is free.
+// The parameter confirmed says that the worker itself reported that it holds no more memory for
+// the attempt.
+func (t *transport) Release(w ids.WorkerID, id workerclient.ID, confirmed bool) {
 	request := OrderRequest{}
-	if certain {
-		request.Blocks = 1
+	if confirmed {
+		request.Blocks = 1 // in a "done" order, a positive value is this flag and no number of blocks
 	}
 	go t.issueOrder(context.Background(), verbDone, w, id, request, nil, time.Second)
 }
@@ -236,8 +241,8 @@
 	if !ok {
 		return failure.New(failure.DataLost, "stream", string(w), "the platform does not list it")
 	}
-	ctx, end := t.guardStep(ctx, w, ids.Decode, "")
-	return end(
+	ctx, endStep := t.guardStep(ctx, w, ids.Decode, "")
+	return endStep(
 		t.node.workerClient.Stream(ctx, endpoint.Addr, id, from, t.node.options.StreamTimeout, func(
 			event workerclient.TokenEvent,
 		) error {
@@ -249,11 +254,11 @@
 	)
 }
 
-// SpendRetry asks the holder of the retry budget for one token until it gets one or the wait time is
-// over, and reports whether it got one.
+// SpendRetry asks the node that keeps the retry budget for one retry until the node grants it or
+// the wait time is over, and reports whether the retry was granted.
 func (t *transport) SpendRetry(ctx context.Context, wait time.Duration) bool {
 	n := t.node
-	for end := n.now().Add(wait); ; {
+	for deadline := n.now().Add(wait); ; {
 		if m, _, ok := n.agent.KeyOwner(fleetstate.RetryBudgetKey); ok {
 			callContext, stop := context.WithTimeout(ctx, 400*time.Millisecond)
 			response, err := rpc.Call[coordination.Empty, RetryTokenResponse](
@@ -264,15 +269,15 @@
 				return true
 			}
 		}
-		if !n.now().Before(end) || !host.Sleep(ctx, 150*time.Millisecond) {
+		if !n.now().Before(deadline) || !host.Sleep(ctx, 150*time.Millisecond) {
 			return false
 		}
 	}
 }
 
-// PickedUnderStaleVersion reports whether the last pick may be outdated: a newer version is in force
-// than the one it was made under, or this node might not know the newest version.
-func (t *transport) PickedUnderStaleVersion() bool {
+// PickMayBeOutdated reports whether the last pick may be outdated, because a newer version is in
+// force than the one it was made under or because this node might not know the newest version.
+func (t *transport) PickMayBeOutdated() bool {
 	return !t.node.versionCurrent() || t.node.view.Current().Version != t.pickedVersion
 }
 
@@ -285,7 +290,7 @@
 const faultTTL = 3 * time.Second
 
 // ReportFault counts a lost hand-over against a worker. Which of the two workers of a hand-over
-// failed is not known, so both are counted; the faulty one accumulates counts.
+// failed is not known, so the caller reports both; the faulty one accumulates counts.
 func (t *transport) ReportFault(w ids.WorkerID) {
 	n := t.node
 	now := n.now()
--- a/internal/router/unresolved_claims.go
+++ b/internal/router/unresolved_claims.go
@@ -1,7 +1,7 @@
-// Retries of submissions to the core. A claim whose result did not arrive in time, or an
-// outcome or audit row that could not be recorded while the core was unreachable, is submitted
-// again under the same operation id until it is accepted or refused. Otherwise a key could stay
-// claimed by a live node that does not run it.
+// This file retries submissions to the coordination service. A claim whose result did not arrive in
+// time, or an outcome or audit row that could not be recorded while the service was unreachable, is
+// submitted again under the same operation id until it is accepted or refused. Otherwise a key could
+// stay claimed by a live node that does not run its request.
 
 package router
 
@@ -20,10 +20,10 @@
 // unresolvedClaim is one submission to repeat: an audit row if audit is set, else an outcome if
 // resolve is set, else a claim.
 type unresolvedClaim struct {
-	op      ids.OpID
-	claim   *fleetstate.Claim
-	resolve *fleetstate.Resolve
-	audit   []byte
+	op         ids.OpID
+	claim      *fleetstate.Claim
+	resolution *fleetstate.Resolve
+	audit      []byte
 }
 
 // unresolvedClaims is the queue of submissions to repeat.
@@ -66,7 +66,7 @@
 		err := n.appendAudit(callContext, pending.op, pending.audit)
 		return err == nil || failure.Is(err, failure.InvalidArgument)
 	}
-	if pending.resolve == nil {
+	if pending.resolution == nil {
 		callContext, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 		defer stop()
 		r, err := n.agent.Submit(callContext, pending.op, fleetstate.ClaimKind, coordination.MustMarshal(pending.claim))
@@ -77,10 +77,10 @@
 		if _, err := reply.UnmarshalMsg(r.Body); err != nil || !reply.Fresh {
 			return true
 		}
-		// The claim was accepted only now, after the request had been given up: nothing ran, and
-		// nothing can run on it any more.
-		pending.resolve = &fleetstate.Resolve{Key: pending.claim.Key, Owner: n.self.Node, Outcome: fleetstate.OutcomeNotRun}
+		// The claim was accepted only now, after the request had been given up: it has not run and
+		// can no longer run.
+		pending.resolution = &fleetstate.Resolve{Key: pending.claim.Key, Owner: n.self.Node, Outcome: fleetstate.OutcomeNotRun}
 	}
-	err := n.submitOutcome(pending.resolve)
+	err := n.submitResolution(pending.resolution)
 	return err == nil || failure.Is(err, failure.Stale)
 }
--- a/internal/router/worker_duty.go
+++ b/internal/router/worker_duty.go
@@ -1,6 +1,6 @@
-// Worker duties. The node that holds a worker's key polls the worker's reports, keeps the ledger of
-// its memory, and sends it all orders. Each order carries the fencing token and is sent only while
-// this node holds the key.
+// This file implements worker duties. The node that holds a worker's key polls the worker's reports,
+// keeps the ledger of the worker's memory, and sends the worker all orders. Each order carries the
+// fencing token and is sent only while this node holds the key.
 
 package router
 
@@ -19,7 +19,8 @@
 	"keelstair.example/rpc"
 )
 
-// workerDuty is the duty for one worker under one grant of its key.
+// workerDuty is the state that this node keeps for a worker while it holds the worker's key under
+// one fencing token.
 type workerDuty struct {
 	id         ids.WorkerID
 	fence      ids.Fence
@@ -28,7 +29,7 @@
 	stop       context.CancelFunc
 }
 
-// Verbs of orders, as OrderRequest.Verb has them.
+// These are the values of OrderRequest.Verb.
 const (
 	verbReserve    = "reserve"
 	verbPrefill    = "prefill"
@@ -60,7 +61,7 @@
 				}
 				previous.(*workerDuty).stop()
 			}
-			callContext, stop := context.WithCancel(ctx)
+			dutyContext, stop := context.WithCancel(ctx)
 			d := &workerDuty{
 				id:     id,
 				fence:  f,
@@ -68,7 +69,7 @@
 				ledger: handoff.NewMemoryLedger(limits.MaxReportLag(), limits.SlowStart(), limits.MaxQueued),
 			}
 			n.duties.Store(id, d)
-			wg.Go(func() { n.pollReports(callContext, d) })
+			wg.Go(func() { n.pollReports(dutyContext, d) })
 		}
 		n.duties.Range(func(k, v any) bool {
 			if !held[k.(ids.WorkerID)] {
@@ -109,8 +110,8 @@
 }
 
 // establishFence orders the worker to keep its current role, under the new fencing token. From then
-// on the worker refuses orders of earlier holders. The time after which a report certainly shows
-// everything that an earlier holder ordered also counts from then on.
+// on the worker refuses orders of earlier key holders. Their last orders may still be missing from
+// the worker's reports for a while; the ledger measures that waiting time from then on, too.
 func (n *Node) establishFence(ctx context.Context, d *workerDuty, addr string, role ids.Role) error {
 	f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id))
 	if !ok || f != d.fence {
@@ -149,8 +150,8 @@
 	return response, nil
 }
 
-// executeOrder executes an order under this node's fencing token. The response is nil for orders that
-// only change the ledger.
+// executeOrder executes an order under this node's fencing token. The response is nil for orders
+// that only change the ledger.
 func (n *Node) executeOrder(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
 	fence, end, ok := n.agent.BeginOperation(fleetstate.WorkerKey(request.Worker))
 	if !ok {
@@ -170,6 +171,7 @@
 	if !ok {
 		return nil, failure.New(failure.DataLost, "find worker", string(request.Worker), "the platform does not list it")
 	}
+	// NoteVersion reports whether no version newer than the one in force here is known.
 	upToDate := n.view.NoteVersion(request.Version)
 	header := workerclient.OrderHeader{Fence: fence, Version: n.view.Current().Version}
 	identity, err := decodeIdentity(request)
@@ -199,7 +201,7 @@
 		ledger.MarkEnded(id, err == nil, n.now())
 	case verbRoleChange:
 		return n.handleRoleChange(ctx, duty, endpoint.Addr, header, ids.Role(request.Body))
-	case verbDone:
+	case verbDone: // Release; a positive Blocks says that the worker freed the memory
 		ledger.MarkEnded(id, request.Blocks > 0, n.now())
 		return nil, nil
 	default:
@@ -212,7 +214,8 @@
 	return response, nil
 }
 
-// dutyForFence returns this node's duty for a worker if it has started under the given fencing token.
+// dutyForFence returns this node's duty for a worker if it has started under the given fencing
+// token.
 func (n *Node) dutyForFence(worker ids.WorkerID, fence ids.Fence) (*workerDuty, error) {
 	if v, ok := n.duties.Load(worker); ok && v.(*workerDuty).fence == fence {
 		return v.(*workerDuty), nil
@@ -241,10 +244,11 @@
 // notReservedError is the error for an order that has no reserved memory or no known source.
 func notReservedError(request *OrderRequest) error {
 	return failure.New(failure.NotExecuted, request.Verb, string(request.Worker),
-		"no memory is reserved for %s", request.Request)
+		"no memory is reserved for %s, or the source worker is not listed", request.Request)
 }
 
-// decodeIdentity returns the request identity that an order carries, or a zero one if it carries none.
+// decodeIdentity returns the request identity that an order carries, or a zero one if it carries
+// none.
 func decodeIdentity(request *OrderRequest) (workerclient.Identity, error) {
 	var identity workerclient.Identity
 	if len(request.Body) == 0 || request.Verb == verbRoleChange {
@@ -255,7 +259,7 @@
 }
 
 // reserveMemory reserves memory at a worker. It refuses if the worker was picked under an older
-// version, may get no new work, or this node might not know the newest version.
+// version or must not get new work, or if this node might not know the newest version.
 func (n *Node) reserveMemory(
 	request *OrderRequest,
 	ledger *handoff.MemoryLedger,
@@ -268,18 +272,21 @@
 			"picked under version %d, %d is in force", request.Version, s.Version)
 	}
 	if !n.acceptsWork(s, request.Worker) || !upToDate || !n.recentlyConfirmed() {
-		return failure.New(failure.NotExecuted, "reserve", string(request.Worker), "the worker may get no new work now")
+		return failure.New(failure.NotExecuted, "reserve", string(request.Worker),
+			"the worker must not get new work now, or this node may not know the newest version")
 	}
-	keep := 0
+	// Requests without a regime must leave headroom, the share of the worker that is kept free for
+	// requests under a regime.
+	headroomPercent := 0
 	if request.Regime == "" {
-		keep = s.Register.RetentionOf(request.Worker, ledger.Role(), n.fleetTime())
+		headroomPercent = s.Register.RetentionOf(request.Worker, ledger.Role(), n.fleetTime())
 	}
-	return ledger.ReserveWithHeadroom(id, request.Blocks, keep, n.now())
+	return ledger.ReserveWithHeadroom(id, request.Blocks, headroomPercent, n.now())
 }
 
-// sendOrder sends an order to the node that holds the worker's key. While the key moves between
-// nodes the order was not executed, so it is sent again until the context ends. A reservation is
-// not repeated, since another worker can be picked instead, and neither is a "done" order.
+// sendOrder sends an order to the node that holds the worker's key. If the key is moving between
+// nodes, the order has not been executed, so it is sent again until the context ends. A reservation
+// is not repeated, since another worker can be picked instead, and neither is a "done" order.
 func (n *Node) sendOrder(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
 	for {
 		response, err := n.sendOrderOnce(ctx, request)
