--- a/internal/fleetstate/configuration.go
+++ b/internal/fleetstate/configuration.go
@@ -24,8 +24,8 @@
 //go:embed policy.cue
 var schema string
 
-// Worker describes one worker. Capacity is the size of its KV cache in blocks, BlockSize the number
-// of tokens in a block.
+// Worker describes one worker. Weights identifies its model weights. Capacity is the size of its KV
+// cache in blocks, BlockSize the number of tokens in a block.
 type Worker struct {
 	Role      ids.Role `json:"part"`
 	Model     string   `json:"model"`
@@ -36,8 +36,9 @@
 	Zone      ids.Zone `json:"zone"`
 }
 
-// StreamKind is a class of streams that share a model and limits. With Claimed, a request's key
-// is claimed before the request runs.
+// StreamKind is a class of streams that share a model and limits. If Claimed is set, the idempotency
+// key of a request is claimed before the request runs. Weight is the share of the kind in a loaded
+// node's streams, relative to the weights of the other kinds.
 type StreamKind struct {
 	Claimed   bool   `json:"claimed"`
 	Model     string `json:"model"`
@@ -46,8 +47,9 @@
 	Weight    int    `json:"weight"`
 }
 
-// Program is a routing program and its share of the traffic in percent. With ChangesRoles, it
-// decides when workers change between prefill and decode.
+// Program is a routing program and its share of the traffic in percent. If Shadow is set, the
+// program is run and counted but its order is not used. If ChangesRoles is set, the program decides
+// when workers change between prefill and decode.
 type Program struct {
 	Source       string `json:"source"`
 	Share        int    `json:"share"`
@@ -101,7 +103,7 @@
 	Routes             []Route                 `json:"routes,omitempty"`
 	Services           map[string]Service      `json:"services,omitempty"`
 	ClientLimits       ClientLimits            `json:"intake,omitzero"`
-	Tenants            []Tenant                `json:"tenants,omitzero"` // nil means that requests need no key
+	Tenants            []Tenant                `json:"tenants,omitzero"` // nil means that requests need no API key
 	CertificationConfig
 }
 
@@ -110,14 +112,14 @@
 
 // ParseJSON decodes the complete JSON form that ParseComplete returns. It does not validate.
 func ParseJSON(text []byte) (*Configuration, error) {
-	p := &Configuration{}
-	return p, json.Unmarshal(text, p)
+	cfg := &Configuration{}
+	return cfg, json.Unmarshal(text, cfg)
 }
 
 // ProgramNames returns the names of the programs in sorted order.
-func (p *Configuration) ProgramNames() []string {
+func (cfg *Configuration) ProgramNames() []string {
 	var out []string
-	for n := range p.Programs {
+	for n := range cfg.Programs {
 		out = append(out, n)
 	}
 	sort.Strings(out)
@@ -191,6 +193,7 @@
 					key,
 				)
 			}
+			// The 100 allows for fields that are not entries, which are counted here as well.
 			if seen[key] = true; len(seen) > maxEntries+100 {
 				return failure.New(
 					failure.InvalidArgument,
@@ -229,11 +232,11 @@
 
 // ParseConfiguration validates a configuration in JSON or CUE and fills in the defaults.
 func ParseConfiguration(name string, text []byte) (*Configuration, error) {
-	p, err := parseWithSchema(name, text)
+	cfg, err := parseWithSchema(name, text)
 	if err != nil {
 		return nil, err
 	}
-	return p, p.validate()
+	return cfg, cfg.validate()
 }
 
 // parseWithSchema validates a text against the schema only and fills in the defaults.
@@ -249,11 +252,11 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Configuration{}
-	if err := v.Decode(p); err != nil {
+	cfg := &Configuration{}
+	if err := v.Decode(cfg); err != nil {
 		return nil, invalidCUE(err)
 	}
-	return p, nil
+	return cfg, nil
 }
 
 // buildValue unifies a document with the schema. Unless complete is set, fields may be missing.
@@ -284,30 +287,30 @@
 // ParseComplete validates a complete configuration and also returns it as JSON with all defaults
 // filled in.
 func ParseComplete(name string, text []byte) (*Configuration, []byte, error) {
-	p, err := parseWithSchema(name, text)
+	cfg, err := parseWithSchema(name, text)
 	if err != nil {
 		return nil, nil, err
 	}
-	return p.validateAndEncode()
+	return cfg.validateAndEncode()
 }
 
 // validate checks the constraints between fields, which the schema does not express.
-func (p *Configuration) validate() error {
+func (cfg *Configuration) validate() error {
 	fault := func(field, format string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check policy", "", field+": "+format, args...)
 	}
-	if n := len(p.Workers) + len(p.Kinds) + len(p.Programs) + len(p.Certificates); n > maxEntries {
+	if n := len(cfg.Workers) + len(cfg.Kinds) + len(cfg.Programs) + len(cfg.Certificates); n > maxEntries {
 		return fault("workers, kinds, programs, certificates", "%d entries in all, over %d", n, maxEntries)
 	}
 	zones := map[ids.Zone]bool{}
-	for _, z := range p.Zones {
+	for _, z := range cfg.Zones {
 		if zones[z] {
 			return fault("zones", "%s stands twice", z)
 		}
 		zones[z] = true
 	}
 	rolesByModel := map[string]map[ids.Role]bool{}
-	for id, w := range p.Workers {
+	for id, w := range cfg.Workers {
 		if !zones[w.Zone] {
 			return fault(fmt.Sprintf("workers.%s.zone", id), "unknown zone %q", w.Zone)
 		}
@@ -316,42 +319,42 @@
 		}
 		rolesByModel[w.Model][w.Role] = true
 	}
-	for name, k := range p.Kinds {
+	for name, k := range cfg.Kinds {
 		if roles := rolesByModel[k.Model]; !(roles[ids.Prefill] && roles[ids.Decode]) {
 			return fault(fmt.Sprintf("kinds.%s.model", name), "no prefill and decode worker offers %q", k.Model)
 		}
 	}
-	if err := p.CheckPrograms(); err != nil {
+	if err := cfg.CheckPrograms(); err != nil {
 		return err
 	}
-	if err := p.checkRegimes(); err != nil {
+	if err := cfg.checkRegimes(); err != nil {
 		return err
 	}
-	if err := p.CheckTenants(); err != nil {
+	if err := cfg.CheckTenants(); err != nil {
 		return err
 	}
-	return p.CheckRoutes()
+	return cfg.CheckRoutes()
 }
 
 // CheckPrograms checks that the traffic shares add up to 100 percent and that at most one program
 // changes the roles of workers.
-func (p *Configuration) CheckPrograms() error {
+func (cfg *Configuration) CheckPrograms() error {
 	fault := func(format string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check policy", "", "programs: "+format, args...)
 	}
-	sum, shares, roleChangers := 0, 0, 0
-	for _, g := range p.Programs {
-		if g.ChangesRoles {
+	sum, programsWithShare, roleChangers := 0, 0, 0
+	for _, program := range cfg.Programs {
+		if program.ChangesRoles {
 			roleChangers++
 		}
-		if !g.Shadow && (g.Share > 0 || !g.ChangesRoles) {
-			sum, shares = sum+g.Share, shares+1
+		if !program.Shadow && (program.Share > 0 || !program.ChangesRoles) {
+			sum, programsWithShare = sum+program.Share, programsWithShare+1
 		}
 	}
 	if roleChangers > 1 {
 		return fault("%d are in charge of turning; one may be", roleChangers)
 	}
-	if shares > 0 && sum != 100 {
+	if programsWithShare > 0 && sum != 100 {
 		return fault("the shares add up to %d, not to 100", sum)
 	}
 	return nil
--- a/internal/fleetstate/overlay.go
+++ b/internal/fleetstate/overlay.go
@@ -1,5 +1,5 @@
-// Applying a partial configuration to one that is already validated. Only the entries that the
-// partial configuration changes are validated against the schema again, so that many small
+// This file applies a partial configuration to one that is already validated. Only the entries that
+// the partial configuration changes are validated against the schema again, so that many small
 // changes to a large configuration stay fast. Constraints between fields are checked on the whole
 // configuration.
 
@@ -30,17 +30,18 @@
 	if json.Unmarshal(merged, &mergedFields) != nil || json.Unmarshal(partial, &changedFields) != nil {
 		return ParseComplete(name, merged)
 	}
+	// Changes to these sections are validated together with the whole configuration.
 	for _, k := range []string{"routes", "services", "intake", "tenants", "regimes", "issuers", "certificates"} {
 		if _, ok := changedFields[k]; ok {
 			return ParseComplete(name, merged)
 		}
 	}
-	subset := maps.Clone(changedFields)
+	toValidate := maps.Clone(changedFields)
 	for _, k := range []string{"zones", "limits", "switch"} {
 		if v, ok := mergedFields[k]; ok {
-			subset[k] = v
+			toValidate[k] = v
 		} else {
-			delete(subset, k)
+			delete(toValidate, k)
 		}
 	}
 	removedEntries := map[string][]string{}
@@ -50,27 +51,27 @@
 			return ParseComplete(name, merged)
 		}
 		removedEntries[section] = removed
-		if subset[section], err = json.Marshal(changed); err != nil {
+		if toValidate[section], err = json.Marshal(changed); err != nil {
 			return nil, nil, failure.As(err, failure.InvalidArgument, "check policy", name)
 		}
 	}
-	text, err := json.Marshal(subset)
+	text, err := json.Marshal(toValidate)
 	if err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "check policy", name)
 	}
-	changes, err := parseWithSchema(name, text)
+	validated, err := parseWithSchema(name, text)
 	if err != nil {
 		return nil, nil, err
 	}
-	p := &Configuration{}
-	if err := json.Unmarshal(complete, p); err != nil {
+	cfg := &Configuration{}
+	if err := json.Unmarshal(complete, cfg); err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "read policy", name)
 	}
-	applyEntries(p.Workers, changes.Workers, removedEntries["workers"])
-	applyEntries(p.Kinds, changes.Kinds, removedEntries["kinds"])
-	applyEntries(p.Programs, changes.Programs, removedEntries["programs"])
-	p.Zones, p.Limits, p.RoleChangesEnabled = changes.Zones, changes.Limits, changes.RoleChangesEnabled
-	return p.validateAndEncode()
+	applyEntries(cfg.Workers, validated.Workers, removedEntries["workers"])
+	applyEntries(cfg.Kinds, validated.Kinds, removedEntries["kinds"])
+	applyEntries(cfg.Programs, validated.Programs, removedEntries["programs"])
+	cfg.Zones, cfg.Limits, cfg.RoleChangesEnabled = validated.Zones, validated.Limits, validated.RoleChangesEnabled
+	return cfg.validateAndEncode()
 }
 
 // changedEntries returns the merged form of the entries that a section of a partial configuration
@@ -107,10 +108,10 @@
 
 // validateAndEncode checks the constraints between fields and returns the configuration with its
 // JSON form.
-func (p *Configuration) validateAndEncode() (*Configuration, []byte, error) {
-	if err := p.validate(); err != nil {
+func (cfg *Configuration) validateAndEncode() (*Configuration, []byte, error) {
+	if err := cfg.validate(); err != nil {
 		return nil, nil, err
 	}
-	b, err := json.Marshal(p)
-	return p, b, failure.As(err, failure.InvalidArgument, "check policy", "")
+	b, err := json.Marshal(cfg)
+	return cfg, b, failure.As(err, failure.InvalidArgument, "check policy", "")
 }
--- a/internal/fleetstate/programs.go
+++ b/internal/fleetstate/programs.go
@@ -1,5 +1,5 @@
-// Program sets: routing programs with their traffic shares, versioned separately from the
-// configuration, for fleets whose operators' document cannot contain programs. A set is a
+// This file handles program sets: routing programs with their traffic shares, versioned separately
+// from the configuration, for fleets whose operators' document cannot contain programs. A set is a
 // Configuration in which only the programs and their limits are given. It is sent over the same
 // log, and is prepared, compiled and committed in the same way as the configuration.
 
@@ -40,41 +40,41 @@
 )
 
 // ProgramSources returns the sources of a configuration's programs, sorted by name.
-func (p *Configuration) ProgramSources() []routing.Source {
+func (cfg *Configuration) ProgramSources() []routing.Source {
 	var out []routing.Source
-	for _, name := range p.ProgramNames() {
-		g := p.Programs[name]
+	for _, name := range cfg.ProgramNames() {
+		program := cfg.Programs[name]
 		out = append(out, routing.Source{
 			Name:         name,
-			Text:         g.Source,
-			Share:        g.Share,
-			Shadow:       g.Shadow,
-			ChangesRoles: g.ChangesRoles,
+			Text:         program.Source,
+			Share:        program.Share,
+			Shadow:       program.Shadow,
+			ChangesRoles: program.ChangesRoles,
 		})
 	}
 	return out
 }
 
 // CompilePrograms compiles a configuration's programs. Its errors give file, line and reason.
-func (p *Configuration) CompilePrograms(scores *routing.Scores) (*routing.ProgramSet, error) {
-	return routing.NewProgramSet(p.ProgramSources(), p.Limits.MaxProgramSteps, scores)
+func (cfg *Configuration) CompilePrograms(scores *routing.Scores) (*routing.ProgramSet, error) {
+	return routing.NewProgramSet(cfg.ProgramSources(), cfg.Limits.MaxProgramSteps, scores)
 }
 
 // ParseUpdate validates an operator's update and compiles its programs. The text is the output of
-// CUEToJSON for source; it is a complete configuration or, with partial set, one that is merged
+// CUEToJSON for source; it is a complete configuration or, if partial is set, one that is merged
 // into base. If a fault can be located in source, the error gives its position there. The
 // configuration is also returned as JSON with all defaults filled in.
 func ParseUpdate(name, source string, text, base []byte, partial bool) (*Configuration, []byte, error) {
-	var p *Configuration
+	var cfg *Configuration
 	var complete []byte
 	var err error
 	if partial && len(base) > 0 {
-		p, complete, err = Overlay(name, base, text)
+		cfg, complete, err = Overlay(name, base, text)
 	} else {
-		p, complete, err = ParseComplete(name, text)
+		cfg, complete, err = ParseComplete(name, text)
 	}
 	if err == nil {
-		_, err = p.CompilePrograms(&routing.Scores{})
+		_, err = cfg.CompilePrograms(&routing.Scores{})
 	} else if e := ValidateSource(name, []byte(source), !partial); e != nil {
 		err = e
 	} else {
@@ -83,51 +83,51 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return p, complete, nil
+	return cfg, complete, nil
 }
 
 // CheckProgramSet checks that a configuration is a program set and within the limits of one.
-func (p *Configuration) CheckProgramSet() error {
+func (cfg *Configuration) CheckProgramSet() error {
 	fault := func(format string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check programs", "", format, args...)
 	}
 	sourceBytes := 0
-	for _, g := range p.Programs {
-		sourceBytes += len(g.Source)
+	for _, program := range cfg.Programs {
+		sourceBytes += len(program.Source)
 	}
 	switch {
-	case len(p.Programs) > maxPrograms:
-		return fault("programs: %d, over %d", len(p.Programs), maxPrograms)
+	case len(cfg.Programs) > maxPrograms:
+		return fault("programs: %d, over %d", len(cfg.Programs), maxPrograms)
 	case sourceBytes > maxSourceBytes:
 		return fault("programs: %d bytes of source, over %d", sourceBytes, maxSourceBytes)
-	case p.Limits.MaxProgramSteps > maxStepsPerRequest:
-		return fault("limits.steps: %d, over %d", p.Limits.MaxProgramSteps, maxStepsPerRequest)
+	case cfg.Limits.MaxProgramSteps > maxStepsPerRequest:
+		return fault("limits.steps: %d, over %d", cfg.Limits.MaxProgramSteps, maxStepsPerRequest)
 	}
 	defaults, _, err := ParseComplete("set", []byte("{}"))
 	if err != nil {
 		return err
 	}
-	defaults.Programs, defaults.Limits.MaxProgramSteps, defaults.Limits.MinRoleDwellMs = p.Programs, p.Limits.MaxProgramSteps, p.Limits.MinRoleDwellMs
-	if !reflect.DeepEqual(defaults.Limits, p.Limits) {
+	defaults.Programs, defaults.Limits.MaxProgramSteps, defaults.Limits.MinRoleDwellMs = cfg.Programs, cfg.Limits.MaxProgramSteps, cfg.Limits.MinRoleDwellMs
+	if !reflect.DeepEqual(defaults.Limits, cfg.Limits) {
 		return fault("limits: only steps and dwellMs rule here")
 	}
-	if len(p.Workers)+len(p.Zones)+len(p.Kinds)+len(p.Routes)+len(p.Services) > 0 ||
-		p.RoleChangesEnabled != defaults.RoleChangesEnabled || p.ClientLimits != defaults.ClientLimits {
+	if len(cfg.Workers)+len(cfg.Zones)+len(cfg.Kinds)+len(cfg.Routes)+len(cfg.Services) > 0 ||
+		cfg.RoleChangesEnabled != defaults.RoleChangesEnabled || cfg.ClientLimits != defaults.ClientLimits {
 		return fault(
 			"only programs, limits.steps and limits.dwellMs may be given here; the rest comes with the fleet's own document",
 		)
 	}
-	return p.CheckPrograms()
+	return cfg.CheckPrograms()
 }
 
 // CompileProgramSet parses the text of a program set, which may be compressed, and compiles it.
 func CompileProgramSet(text []byte, scores *routing.Scores) (*Configuration, *routing.ProgramSet, error) {
-	p, err := ParseJSON(decompress(text))
+	cfg, err := ParseJSON(decompress(text))
 	if err != nil {
 		return nil, nil, failure.As(err, failure.InvalidArgument, "read programs", "")
 	}
-	set, err := p.CompilePrograms(scores)
-	return p, set, err
+	set, err := cfg.CompilePrograms(scores)
+	return cfg, set, err
 }
 
 // PutPrograms submits a program set, in JSON, that is based on the version base. It returns the
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -43,28 +43,28 @@
 // checkRegimes checks that every certificate is valid, that every governed kind exists, and that
 // each regime has a certified router node and, for each of its kinds, a certified worker of each
 // role.
-func (p *Configuration) checkRegimes() error {
-	if len(p.Regimes)+len(p.Certificates)+len(p.Issuers) == 0 {
+func (cfg *Configuration) checkRegimes() error {
+	if len(cfg.Regimes)+len(cfg.Certificates)+len(cfg.Issuers) == 0 {
 		return nil
 	}
-	if _, err := p.Register(); err != nil {
+	if _, err := cfg.Register(); err != nil {
 		var f *certification.Fault
 		if errors.As(err, &f) {
 			return invalidRegime(f.Path, f.Reason)
 		}
 		return err
 	}
-	for _, name := range slices.Sorted(maps.Keys(p.Regimes)) {
-		if len(p.Regimes[name].Kinds) == 0 {
+	for _, name := range slices.Sorted(maps.Keys(cfg.Regimes)) {
+		if len(cfg.Regimes[name].Kinds) == 0 {
 			return invalidRegime([]string{"regimes", name, "kinds"}, "it governs no kind")
 		}
-		for _, kind := range p.Regimes[name].Kinds {
-			k, ok := p.Kinds[kind]
+		for _, kind := range cfg.Regimes[name].Kinds {
+			k, ok := cfg.Kinds[kind]
 			if !ok {
 				return invalidRegime([]string{"regimes", name, "kinds"}, "unknown kind "+quote(kind))
 			}
 			for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
-				if !p.hasCertifiedWorker(name, k.Model, role) {
+				if !cfg.hasCertifiedWorker(name, k.Model, role) {
 					return invalidRegime([]string{
 						"regimes", name,
 					}, "no certified "+string(role)+" worker offers "+quote(k.Model)+" for kind "+quote(kind))
@@ -72,7 +72,7 @@
 			}
 		}
 		hasNode := false
-		for _, c := range p.Certificates {
+		for _, c := range cfg.Certificates {
 			hasNode = hasNode || c.Regime == name && c.Node != ""
 		}
 		if !hasNode {
@@ -86,9 +86,9 @@
 
 // hasCertifiedWorker reports whether a configured worker of the model has a certificate for its own
 // role in the regime.
-func (p *Configuration) hasCertifiedWorker(regime, model string, role ids.Role) bool {
-	for _, c := range p.Certificates {
-		if w, ok := p.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Role == role &&
+func (cfg *Configuration) hasCertifiedWorker(regime, model string, role ids.Role) bool {
+	for _, c := range cfg.Certificates {
+		if w, ok := cfg.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Role == role &&
 			slices.Contains(c.Roles, role) {
 			return true
 		}
@@ -98,16 +98,16 @@
 
 // CheckTransition checks a configuration against the one that it replaces: a serial is never reused
 // for another certificate, and no certificate that has already expired is added.
-func (p *Configuration) CheckTransition(previous *Configuration, now certification.Now) error {
-	for _, serial := range slices.Sorted(maps.Keys(p.Certificates)) {
-		c := p.Certificates[serial]
+func (cfg *Configuration) CheckTransition(previous *Configuration, now certification.Now) error {
+	for _, serial := range slices.Sorted(maps.Keys(cfg.Certificates)) {
+		c := cfg.Certificates[serial]
 		old, exists := previous.Certificates[serial]
 		switch {
 		case exists && old.Signature != c.Signature:
 			return invalidRegime([]string{
 				"certificates", serial,
 			}, "serial "+quote(serial)+" stands for another certificate already; a new one needs a new serial")
-		case !exists && now.High > 0 && certificateExpired(p, serial, now):
+		case !exists && now.High > 0 && certificateExpired(cfg, serial, now):
 			return invalidRegime([]string{
 				"certificates", serial, "until",
 			}, "it has expired: its end "+c.Until+" is past")
@@ -117,9 +117,9 @@
 }
 
 // certificateExpired reports whether the certificate of a serial has expired.
-func certificateExpired(p *Configuration, serial string, now certification.Now) bool {
-	register, _ := p.Register()
-	for _, row := range register.Rows(p.Certificates[serial].Regime, now) {
+func certificateExpired(cfg *Configuration, serial string, now certification.Now) bool {
+	register, _ := cfg.Register()
+	for _, row := range register.Rows(cfg.Certificates[serial].Regime, now) {
 		if row.Serial == serial {
 			return row.State == certification.Expired
 		}
--- a/internal/fleetstate/route.go
+++ b/internal/fleetstate/route.go
@@ -94,16 +94,16 @@
 
 // CheckRoutes checks the routes: that their services exist, that names and pairs of host and prefix
 // are unique, and that weights, deadlines and numbers of attempts are in range.
-func (p *Configuration) CheckRoutes() error {
+func (cfg *Configuration) CheckRoutes() error {
 	routeError := func(r *Route, format string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check routes", "", "routes."+r.Name+": "+format, args...)
 	}
 	names, matches := map[string]bool{}, map[string]bool{}
-	for i := range p.Routes {
-		r := &p.Routes[i]
+	for i := range cfg.Routes {
+		r := &cfg.Routes[i]
 		totalWeight, match := 0, strings.ToLower(r.Host)+" "+r.Prefix
 		for _, s := range r.Split {
-			if _, ok := p.Services[s.Service]; !ok {
+			if _, ok := cfg.Services[s.Service]; !ok {
 				return routeError(r, "unknown service %q", s.Service)
 			}
 			if s.Weight < 0 {
@@ -111,7 +111,7 @@
 			}
 			totalWeight += s.Weight
 		}
-		_, known := p.Services[r.Service]
+		_, known := cfg.Services[r.Service]
 		switch {
 		case r.Name == "" || names[r.Name]:
 			return routeError(r, "its name is missing or stands twice")
@@ -141,11 +141,11 @@
 }
 
 // NewRouteTable builds the table of a configuration's routes.
-func NewRouteTable(p *Configuration) *RouteTable {
+func NewRouteTable(cfg *Configuration) *RouteTable {
 	t := &RouteTable{hosts: map[string][]*Route{}}
-	for i := range p.Routes {
-		host := strings.ToLower(p.Routes[i].Host)
-		t.hosts[host] = append(t.hosts[host], &p.Routes[i])
+	for i := range cfg.Routes {
+		host := strings.ToLower(cfg.Routes[i].Host)
+		t.hosts[host] = append(t.hosts[host], &cfg.Routes[i])
 	}
 	for _, routes := range t.hosts {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
--- a/internal/fleetstate/tenants.go
+++ b/internal/fleetstate/tenants.go
@@ -24,13 +24,13 @@
 }
 
 // CheckTenants checks that tenant names are unique and that no key belongs to two tenants.
-func (p *Configuration) CheckTenants() error {
+func (cfg *Configuration) CheckTenants() error {
 	fault := func(field, format string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check tenants", "", field+": "+format, args...)
 	}
 	names, owners := map[string]bool{}, map[string]string{}
-	for i := range p.Tenants {
-		tenant := &p.Tenants[i]
+	for i := range cfg.Tenants {
+		tenant := &cfg.Tenants[i]
 		if tenant.Name == "" {
 			return fault(fmt.Sprintf("tenants[%d].name", i), "it is missing")
 		}
@@ -82,11 +82,11 @@
 }
 
 // NewKeyIndex builds the index of a configuration's tenants.
-func NewKeyIndex(p *Configuration) *KeyIndex {
-	index := &KeyIndex{tenantList: p.Tenants, byDigest: map[keyDigest]*Tenant{}}
-	for i := range p.Tenants {
-		for _, key := range p.Tenants[i].Keys {
-			index.byDigest[digestKey(key)] = &p.Tenants[i]
+func NewKeyIndex(cfg *Configuration) *KeyIndex {
+	index := &KeyIndex{tenantList: cfg.Tenants, byDigest: map[keyDigest]*Tenant{}}
+	for i := range cfg.Tenants {
+		for _, key := range cfg.Tenants[i].Keys {
+			index.byDigest[digestKey(key)] = &cfg.Tenants[i]
 		}
 	}
 	return index
@@ -94,11 +94,11 @@
 
 // forConfiguration returns the index for the next configuration. It is the same index if the
 // tenants are unchanged.
-func (x *KeyIndex) forConfiguration(p *Configuration) *KeyIndex {
-	if x != nil && reflect.DeepEqual(x.tenantList, p.Tenants) {
+func (x *KeyIndex) forConfiguration(cfg *Configuration) *KeyIndex {
+	if x != nil && reflect.DeepEqual(x.tenantList, cfg.Tenants) {
 		return x
 	}
-	return NewKeyIndex(p)
+	return NewKeyIndex(cfg)
 }
 
 // KeyRequired reports whether requests on routes that are not public need a key. An empty list of
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -1,6 +1,6 @@
-// The view of the replicated state on a router node. Requests read its current snapshot without
-// locks. A version that is mentioned in any message takes effect as soon as it is prepared on
-// this node; until then the view reports that new picks must wait.
+// This file implements the view of the replicated state on a router node. Requests read its current
+// snapshot without locks. A version that is mentioned in any message takes effect as soon as this
+// node has received and parsed it; until then the view reports that new picks must wait.
 
 package fleetstate
 
@@ -29,10 +29,11 @@
 	DrainedWorkers map[ids.WorkerID]bool
 	RoleChanges    map[ids.WorkerID]ids.Role
 	Failbacks      map[ids.Zone]Failback
-	Programs       *CompiledPrograms // the active program set; nil if the core has none
-	// Register holds the valid certificates for governed work; it is nil without regimes.
-	// BaseRegister is the same register without revocations applied. RevokedSerials maps the
-	// serial of each revoked certificate to whether the revocation is in force on all nodes.
+	Programs       *CompiledPrograms // the active program set; nil if there is none
+	// Register holds the valid certificates for the kinds of requests that a certification regime
+	// governs; it is nil if there are no regimes. BaseRegister is the same register without
+	// revocations applied. RevokedSerials maps the serial of each revoked certificate to whether
+	// the revocation is in force on all nodes.
 	Register       *certification.Register
 	BaseRegister   *certification.Register
 	RevokedSerials map[string]bool
@@ -60,21 +61,21 @@
 	// Scores are passed to compiled programs; if nil, program sets are not compiled.
 	Scores *routing.Scores
 
-	mu          sync.Mutex
-	state       *State
-	parsed      map[ids.Version]parsedVersion
-	programSets map[ids.Version]*CompiledPrograms
-	batching    bool // a batch of entries is being observed
-	unpublished bool // an entry of the batch changes the snapshot
-	current     atomic.Pointer[Snapshot]
-	highest     atomic.Uint64
+	mu               sync.Mutex
+	state            *State
+	parsed           map[ids.Version]parsedVersion
+	programSets      map[ids.Version]*CompiledPrograms
+	batching         bool // a batch of entries is being observed
+	unpublished      bool // an entry of the batch changes the snapshot
+	current          atomic.Pointer[Snapshot]
+	highestMentioned atomic.Uint64
 }
 
 // NewView returns a view with an empty configuration.
 func NewView(ring *logging.Ring) *View {
 	v := &View{
 		Ring:        ring,
-		state:       newState(true, Retention{}),
+		state:       newState(true, Retention{}), // keeps open claims only
 		parsed:      map[ids.Version]parsedVersion{},
 		programSets: map[ids.Version]*CompiledPrograms{},
 	}
@@ -95,39 +96,40 @@
 // may pick workers with the version that it has.
 func (v *View) NoteVersion(n ids.Version) bool {
 	for {
-		previous := v.highest.Load()
+		previous := v.highestMentioned.Load()
 		if uint64(n) <= previous {
 			break
 		}
-		if v.highest.CompareAndSwap(previous, uint64(n)) {
+		if v.highestMentioned.CompareAndSwap(previous, uint64(n)) {
 			v.mu.Lock()
 			v.publish()
 			v.mu.Unlock()
 			break
 		}
 	}
-	return uint64(v.current.Load().Version) >= v.highest.Load()
+	return uint64(v.current.Load().Version) >= v.highestMentioned.Load()
 }
 
-// HighestVersion returns the newest version that any message has mentioned.
-func (v *View) HighestVersion() ids.Version { return ids.Version(v.highest.Load()) }
+// HighestMentionedVersion returns the highest version that any message has mentioned. This node may
+// not have received it yet.
+func (v *View) HighestMentionedVersion() ids.Version { return ids.Version(v.highestMentioned.Load()) }
 
 // UpToDate reports whether no message has mentioned a version newer than the active one.
-func (v *View) UpToDate() bool { return uint64(v.current.Load().Version) >= v.highest.Load() }
+func (v *View) UpToDate() bool { return uint64(v.current.Load().Version) >= v.highestMentioned.Load() }
 
 // Restore replaces the view's state. It implements coordination.Watcher.
-func (v *View) Restore(open []byte) error {
+func (v *View) Restore(encoded []byte) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if err := v.state.decode(open); err != nil {
+	if err := v.state.decode(encoded); err != nil {
 		return err
 	}
 	v.publish()
 	return nil
 }
 
-// Observe applies an entry and reports whether it is urgent, that is, whether the core waits for
-// nodes to have applied it. It implements coordination.Watcher.
+// Observe applies an entry and reports whether it is urgent, that is, whether the coordination
+// service waits until nodes have applied it. It implements coordination.Watcher.
 func (v *View) Observe(_ ids.Seq, kind string, body []byte) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -167,10 +169,10 @@
 func (v *View) Snapshot() []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return coordination.MustMarshal(v.state.encode(true))
+	return coordination.MustMarshal(v.state.encode(true)) // only the part that watchers need
 }
 
-// OpenClaims returns the records of open claims by key.
+// OpenClaims returns the records of open claims by key. The view keeps no other records.
 func (v *View) OpenClaims() map[string]IdempotencyRecord {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -181,7 +183,8 @@
 	return out
 }
 
-// RecordCount returns the number of idempotency records ever made and the configured maximum.
+// RecordCount returns the number of idempotency records ever made, and the configured maximum of
+// that number.
 func (v *View) RecordCount() (count, limit int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -191,7 +194,7 @@
 // publish replaces the current snapshot. Running streams keep the snapshot they started with.
 func (v *View) publish() {
 	versions := v.state.versions()
-	active := v.newestServable(versions)
+	active := v.versionToActivate(versions)
 	if previous := v.current.Load(); previous.Version > active.Version {
 		active = VersionedText{previous.Version, previous.Text}
 	}
@@ -203,23 +206,23 @@
 	next := v.buildSnapshot(active)
 	next.NewestVersion = versions[len(versions)-1].Version
 	v.current.Store(next)
-	if uint64(active.Version) > v.highest.Load() {
-		v.highest.Store(uint64(active.Version))
+	if uint64(active.Version) > v.highestMentioned.Load() {
+		v.highestMentioned.Store(uint64(active.Version))
 	}
 }
 
-// newestServable returns the version to activate on this node: the newest one that can be parsed
-// among those that are committed or have been mentioned in a message. It parses that version and,
-// ahead of time, the newest version of all, which is activated next.
-func (v *View) newestServable(versions []VersionedText) VersionedText {
+// versionToActivate returns the version to activate on this node: the newest one that can be parsed
+// among the committed one, which is the first of versions, and those that a message has mentioned.
+// It parses that version and, ahead of time, the newest version of all, which is activated next.
+func (v *View) versionToActivate(versions []VersionedText) VersionedText {
 	newestParsed := false
 	for i, version := range slices.Backward(versions) {
-		mayServe := i == 0 || uint64(version.Version) <= v.highest.Load()
-		if newestParsed && !mayServe || !v.parse(version) {
+		mayActivate := i == 0 || uint64(version.Version) <= v.highestMentioned.Load()
+		if newestParsed && !mayActivate || !v.parse(version) {
 			continue
 		}
 		newestParsed = true
-		if mayServe {
+		if mayActivate {
 			return version
 		}
 	}
@@ -283,7 +286,7 @@
 		s.RouteTable, s.TenantKeys = NewRouteTable(s.Configuration), previous.TenantKeys.forConfiguration(s.Configuration)
 		var err error
 		if s.BaseRegister, err = s.Configuration.Register(); err != nil {
-			v.Ring.Error().AnErr("cause", err).Msg("invalid certificates are ignored")
+			v.Ring.Error().AnErr("cause", err).Msg("certificates that are not valid are left out")
 		}
 	}
 	if s.BaseRegister != nil {
@@ -303,14 +306,14 @@
 		if _, ok := v.programSets[r.Version]; ok || r.Version == 0 {
 			continue
 		}
-		p, set, err := CompileProgramSet(r.Text, v.Scores)
+		cfg, set, err := CompileProgramSet(r.Text, v.Scores)
 		if err != nil {
 			v.Ring.Error().AnErr("cause", err).Uint64("version", uint64(r.Version)).
 				Msg("programs do not compile; the previous set stays active")
 			v.programSets[r.Version] = nil
 			continue
 		}
-		v.programSets[r.Version] = &CompiledPrograms{r.Version, p, set}
+		v.programSets[r.Version] = &CompiledPrograms{r.Version, cfg, set}
 	}
 	active := v.state.programs.active.Version
 	for n := range v.programSets {
--- a/internal/handoff/cleanup.go
+++ b/internal/handoff/cleanup.go
@@ -1,6 +1,6 @@
-// Cleanup after a failed attempt. Nothing is recomputed before the earlier attempt is confirmed
-// cancelled or has certainly timed out, and a claimed task whose run may have begun is never
-// run again.
+// This file cleans up after a failed attempt. Nothing is recomputed before the earlier attempt is
+// confirmed cancelled or has certainly timed out, and a task with AtMostOnce whose run may have
+// begun is never run again.
 
 package handoff
 
@@ -34,7 +34,7 @@
 	}
 	response, err := f.cancelAttempt(ctx, f.decodeWorker)
 	switch {
-	case err != nil && f.task.Claimed && f.resumeOrdered:
+	case err != nil && f.task.AtMostOnce && f.resumeOrdered:
 		return failure.As(cause, failure.OutcomeUnknown, "hand-over", f.attemptID.Request), false
 	case err != nil && !clientGone:
 		// The worker cannot be reached. Once the orphan timeout has passed, it has dropped
@@ -50,7 +50,7 @@
 			return f.finalError(err), false
 		}
 		return nil, false
-	case f.task.Claimed && f.resumeOrdered && response.Fate != workerclient.FateNever:
+	case f.task.AtMostOnce && f.resumeOrdered && response.Fate != workerclient.FateNever:
 		return failure.As(cause, failure.OutcomeUnknown, "hand-over", f.attemptID.Request), false
 	}
 	return nil, true
--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -1,7 +1,8 @@
 // The controller takes one request through the steps of a hand-over: granted, prefilled,
 // exported, imported, resumed, ended, or dropped at any of them. Memory for the whole answer
-// is reserved before anything runs. Resume, ordered once the KV cache has arrived completely,
-// is the point of no return; no token is sent to the client before it.
+// is reserved before anything runs. Resume waits until the KV cache has arrived completely and is
+// the point of no return: from then on the decode worker may generate tokens. No token is sent to
+// the client before it.
 
 package handoff
 
@@ -17,9 +18,10 @@
 )
 
 // Transport picks workers and sends them the orders of the controller. Every order goes
-// through the one node that holds the duty for the worker.
+// through the one node that currently has the exclusive right to send orders to the worker.
 type Transport interface {
-	Pick(q *routing.PickRequest, on workerclient.Model, excluded map[ids.WorkerID]bool) []PickedWorker
+	// Pick returns eligible workers. It returns the avoided ones only if there are no others.
+	Pick(q *routing.PickRequest, on workerclient.Model, avoided map[ids.WorkerID]bool) []PickedWorker
 	Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error
 	Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.OrderResponse, error)
 	Export(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
@@ -50,10 +52,10 @@
 type Step string
 
 const (
-	Granted   Step = "granted"   // a prefill worker has been chosen
+	Granted   Step = "granted"   // workers have been picked, and a prefill is ordered next
 	Prefilled Step = "prefilled" // the prefill worker has computed the KV cache
 	Exported  Step = "exported"  // the prefill worker holds the KV cache ready for transfer
-	Imported  Step = "imported"  // the decode worker has reserved memory for the KV cache
+	Imported  Step = "imported"  // the decode worker has allocated memory for the KV cache and begun to fetch it
 	Resumed   Step = "resumed"   // the decode worker has the whole KV cache and generates
 	Ended     Step = "ended"     // the token stream is complete
 	Dropped   Step = "dropped"   // the attempt was abandoned
@@ -74,14 +76,14 @@
 	Identity     workerclient.Identity
 	Kind         string
 	Zone         ids.Zone
-	Claimed      bool // the task may run at most once
+	AtMostOnce   bool // no new attempt is made if a decode worker may have run the task
 	Regime       string
 	MaxAttempts  int
 	RetryTimeout time.Duration // how long new attempts are made before the first token
 	// Claim is called once memory is reserved at both workers and before anything is sent to
-	// either, with the decode worker and its incarnation; an error then ends the task with
-	// nothing run. It is called again before a resume at another worker or incarnation than
-	// it was last given, so that it is recorded where a run may have begun.
+	// either, with the decode worker and its incarnation; an error then ends the task before
+	// anything has run. Claim is called again before a resume at another worker or incarnation,
+	// to record every place where the task may have run.
 	Claim func(w ids.WorkerID, incarnation ids.Incarnation) error
 }
 
@@ -132,21 +134,22 @@
 // Run serves a task to its end. It returns nil if the answer is complete and every token was
 // put. Of the kinds of errors, NotExecuted means that nothing was put and nothing runs;
 // DataLost, that some tokens were put and the rest will not follow; OutcomeUnknown, that a
-// claimed task may have run.
+// task with AtMostOnce may have run; InvalidArgument, that the task or its claim was refused
+// and a retry is no use.
 func (c *Controller) Run(ctx context.Context, t *Task, put PutToken) error {
 	f := &handoffTask{Controller: c, task: t, put: put}
 	start := c.Clock.Now()
-	excluded := map[ids.WorkerID]bool{}
+	avoided := map[ids.WorkerID]bool{}
 	attempts, waitingSince := 0, ids.Tick(0)
 	for n := 1; ; n++ {
 		f.attemptID = workerclient.ID{Request: t.Identity.ID.Request, Attempt: n}
 		f.prefillWorker, f.decodeWorker, f.incarnation, f.resumeOrdered = "", "", "", false
-		err := f.attempt(ctx, excluded)
+		err := f.attempt(ctx, avoided)
 		// If the workers were picked under a version that is no longer in force, they are
 		// picked again once this node has the newer one.
 		for failure.Is(err, failure.Stale) && f.prefillWorker == "" && !c.Clock.Now().Past(start, t.RetryTimeout) &&
 			host.Sleep(ctx, 30*time.Millisecond) {
-			err = f.attempt(ctx, excluded)
+			err = f.attempt(ctx, avoided)
 		}
 		if err == nil {
 			f.trace(Ended, f.decodeWorker, nil)
@@ -158,7 +161,8 @@
 			return finalErr
 		}
 		timedOut := len(f.sent) == 0 && c.Clock.Now().Past(start, t.RetryTimeout)
-		// Few workers are certified to take over a stream under a regime, so it waits for one.
+		// Few workers are certified to take over a stream under a regime. While the stream waits
+		// for one, at most for retryWait, its attempts are not counted.
 		switch attempts++; {
 		case t.Regime == "" || f.prefillWorker != "" || f.decodeWorker != "" || len(f.sent) == 0:
 			waitingSince = 0
@@ -184,7 +188,7 @@
 		for _, w := range []ids.WorkerID{f.prefillWorker, f.decodeWorker} {
 			if w != "" {
 				c.Transport.ReportFault(w)
-				excluded[w] = failure.Is(err, failure.DataLost) || failure.Is(err, failure.OutcomeUnknown)
+				avoided[w] = failure.Is(err, failure.DataLost) || failure.Is(err, failure.OutcomeUnknown)
 			}
 		}
 	}
@@ -211,7 +215,7 @@
 }
 
 // attempt goes through all steps once.
-func (f *handoffTask) attempt(ctx context.Context, excluded map[ids.WorkerID]bool) error {
+func (f *handoffTask) attempt(ctx context.Context, avoided map[ids.WorkerID]bool) error {
 	t, transport := f.task, f.Transport
 	m := t.Identity
 	m.ID, m.Output = f.attemptID, append([]int32(nil), f.sent...)
@@ -226,7 +230,7 @@
 		Role:         ids.Decode,
 	}
 	totalTokens := len(m.Prompt) + m.Params.MaxTokens
-	decode, err := f.reserve(ctx, request, m.Model, totalTokens, excluded)
+	decode, err := f.reserve(ctx, request, m.Model, totalTokens, avoided)
 	if err != nil {
 		return err
 	}
@@ -235,7 +239,7 @@
 	ended := false // the worker itself reported the end of the run
 	defer func(w ids.WorkerID) { transport.Release(w, f.attemptID, ended) }(decode.ID)
 	request.Role = ids.Prefill
-	prefill, err := f.reserve(ctx, request, m.Model, len(m.Prompt)+len(m.Output)+1, excluded)
+	prefill, err := f.reserve(ctx, request, m.Model, len(m.Prompt)+len(m.Output)+1, avoided)
 	if err != nil {
 		return err
 	}
@@ -243,7 +247,7 @@
 	if !f.claimCalled && t.Claim != nil {
 		f.claimCalled, f.claimedTarget = true, decodeTarget{decode.ID, decode.Incarnation}
 		if err := t.Claim(decode.ID, decode.Incarnation); err != nil {
-			return failure.As(err, failure.InvalidArgument, "claim", m.ID.Request)
+			return failure.As(err, failure.InvalidArgument, "claim", m.ID.Request) // Run does not retry this kind
 		}
 	}
 	// The claim may have taken long enough for the version to change.
@@ -277,15 +281,16 @@
 		}
 		// The import was refused before any token was decoded: the next worker is tried.
 		f.decodeWorker = ""
-		excluded[decode.ID], refused[decode.ID] = true, true
+		avoided[decode.ID], refused[decode.ID] = true, true
 		transport.Release(decode.ID, f.attemptID, true)
 		request.Role = ids.Decode
 		refusal := err
-		if decode, err = f.reserve(ctx, request, m.Model, totalTokens, excluded); err != nil {
+		if decode, err = f.reserve(ctx, request, m.Model, totalTokens, avoided); err != nil {
 			return err
 		}
 		defer func(w ids.WorkerID) { transport.Release(w, f.attemptID, ended) }(decode.ID)
-		// If all workers are excluded they are picked nevertheless, but none twice in an attempt.
+		// Pick returns avoided workers if there are no others, but none is tried twice in an
+		// attempt.
 		if refused[decode.ID] {
 			return refusal
 		}
@@ -343,10 +348,10 @@
 	request *routing.PickRequest,
 	model workerclient.Model,
 	tokens int,
-	excluded map[ids.WorkerID]bool,
+	avoided map[ids.WorkerID]bool,
 ) (PickedWorker, error) {
 	request.NeededTokens = tokens
-	workers := f.Transport.Pick(request, model, excluded)
+	workers := f.Transport.Pick(request, model, avoided)
 	err := failure.New(failure.NotExecuted, "pick "+string(request.Role), "", "no worker is eligible")
 	for _, c := range workers {
 		if err = f.Transport.Reserve(ctx, c.ID, f.attemptID, ids.Blocks(tokens, c.TokensPerBlock)); err == nil {
--- a/internal/handoff/controller_test.go
+++ b/internal/handoff/controller_test.go
@@ -39,13 +39,13 @@
 	picks         int
 	regime        string
 	emptyPicks    int  // this many picks find no eligible worker, once a run was resumed
-	pickExcluded  bool // if all workers are excluded they are picked nevertheless
+	pickAvoided   bool // Pick returns the avoided workers if there are no others
 }
 
 func dataLostError() error    { return failure.New(failure.DataLost, "test", "w", "lost") }
 func notExecutedError() error { return failure.New(failure.NotExecuted, "test", "w", "bounced") }
 
-func (s *fakeTransport) Pick(q *routing.PickRequest, _ workerclient.Model, excluded map[ids.WorkerID]bool) []PickedWorker {
+func (s *fakeTransport) Pick(q *routing.PickRequest, _ workerclient.Model, avoided map[ids.WorkerID]bool) []PickedWorker {
 	s.picks++
 	if s.emptyPicks > 0 && s.resumes > 0 {
 		s.emptyPicks--
@@ -54,11 +54,11 @@
 	var out []PickedWorker
 	for _, id := range []ids.WorkerID{"1", "2"} {
 		w := ids.WorkerID(q.Role[:1]) + id
-		if !excluded[w] {
+		if !avoided[w] {
 			out = append(out, PickedWorker{ID: w, Model: workerclient.Model{Name: "m", Weights: "w1"}, TokensPerBlock: 16})
 		}
 	}
-	if len(out) == 0 && s.pickExcluded {
+	if len(out) == 0 && s.pickAvoided {
 		return s.Pick(q, workerclient.Model{}, nil)
 	}
 	return out
@@ -186,7 +186,7 @@
 		start := time.Now()
 		err = c.Run(context.Background(), &Task{
 			Identity:     testIdentity(),
-			Claimed:      claimed,
+			AtMostOnce:   claimed,
 			Regime:       s.regime,
 			Claim:        s.onClaim,
 			MaxAttempts:  3,
@@ -230,10 +230,10 @@
 }
 
 // TestAllDecodeWorkersFull checks that each decode worker is tried once per attempt, and that the
-// task fails as not executed, if all refuse the import and the node picks excluded workers as a
+// task fails as not executed, if all refuse the import and the node picks avoided workers as a
 // last resort. Otherwise the same workers would be tried without end.
 func TestAllDecodeWorkersFull(t *testing.T) {
-	s := &fakeTransport{fullWorkers: map[ids.WorkerID]bool{"d1": true, "d2": true}, pickExcluded: true, retryBudget: 5}
+	s := &fakeTransport{fullWorkers: map[ids.WorkerID]bool{"d1": true, "d2": true}, pickAvoided: true, retryBudget: 5}
 	got, _, err := runTask(t, s, false)
 	require.True(t, failure.Is(err, failure.NotExecuted), "%v", err)
 	require.Empty(t, got)
--- a/internal/handoff/memory_ledger.go
+++ b/internal/handoff/memory_ledger.go
@@ -1,10 +1,11 @@
 // Package handoff moves a running request from the worker that prefilled its prompt to the
 // worker that decodes the rest.
 //
-// This file has the ledger in which the one node that holds the duty for a worker accounts for
-// the worker's memory blocks. Reports of workers lag behind, so the ledger adds what a report
-// cannot show yet and does not count blocks as free that a report may still miss. Its errors
-// make a worker look fuller than it is, never emptier.
+// This file implements the ledger that tracks a worker's memory blocks. It is kept by the duty
+// holder, the one node that currently has the exclusive right to send orders to the worker. Reports
+// of workers lag behind, so the ledger adds what a report cannot show yet and does not count blocks
+// as free that a report may still miss. Where it is inexact, it overestimates the use of memory and
+// never underestimates it.
 package handoff
 
 import (
@@ -26,11 +27,11 @@
 	confirmedFree bool     // the worker itself said that it has freed the blocks
 }
 
-// MemoryLedger accounts for the memory blocks and the concurrent requests of one worker, under
-// one grant of its duty.
+// MemoryLedger accounts for the memory blocks and the concurrent requests of one worker, for as long
+// as this node holds the worker's duty without a break.
 type MemoryLedger struct {
 	mu                sync.Mutex
-	exclusiveSince    ids.Tick // from when the worker obeys this holder alone
+	exclusiveSince    ids.Tick // since when the worker accepts orders from this duty holder alone
 	slowStartBegin    ids.Tick // when the worker was taken over, changed its role or answered again
 	maxReportLag      time.Duration
 	slowStart         time.Duration
@@ -43,7 +44,8 @@
 	draining          bool
 }
 
-// NewMemoryLedger returns an empty ledger, which is not ready before SetExclusiveFrom.
+// NewMemoryLedger returns an empty ledger. It is not ready until SetExclusiveSince has been called
+// and a report has been recorded that was requested at least maxReportLag later.
 func NewMemoryLedger(maxReportLag, slowStart time.Duration, maxConcurrent int) *MemoryLedger {
 	return &MemoryLedger{
 		exclusiveSince: math.MaxInt64,
@@ -54,9 +56,10 @@
 	}
 }
 
-// SetExclusiveFrom records that the worker obeys this holder alone from now on. The first report
-// that is certainly younger shows everything that an earlier holder ordered.
-func (l *MemoryLedger) SetExclusiveFrom(now ids.Tick) {
+// SetExclusiveSince records that the worker accepts orders from this duty holder alone from now on.
+// The first report requested at least maxReportLag after now shows everything that an earlier holder
+// ordered.
+func (l *MemoryLedger) SetExclusiveSince(now ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.exclusiveSince, l.slowStartBegin = now, now
@@ -69,9 +72,11 @@
 	l.maxReportLag, l.slowStart, l.maxConcurrent = maxReportLag, slowStart, maxConcurrent
 }
 
-// SetReport records a report that was requested at a tick. It deletes the reservations that ended
-// more than the report lag before it, or were sent that long before and are not listed, and those
-// not sent within 15 s.
+// SetReport records a report that was requested at a tick. It deletes these reservations:
+//   - those that ended more than maxReportLag before the report was requested
+//   - those that were sent to the worker more than maxReportLag before that, have not ended, and are
+//     not in the report
+//   - those that were not sent to the worker within 15 s of being made
 func (l *MemoryLedger) SetReport(r *workerclient.Report, requestedAt ids.Tick) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,7 +133,7 @@
 	Ready          bool
 	FreeBlocks     int
 	Capacity       int
-	Outstanding    int // requests reserved or running
+	Outstanding    int // reservations that have not ended; requests that only the report shows are not counted
 	Running        int // requests sent to the worker or reported by it
 	RunningBlocks  int // blocks that the running requests hold or may grow by
 	MaxConcurrent  int
@@ -226,7 +231,7 @@
 	}
 	switch {
 	case !s.Ready:
-		return failure.New(failure.NotExecuted, "reserve", "", "no report is recent enough")
+		return failure.New(failure.NotExecuted, "reserve", "", "the worker is draining, or no report is recent enough")
 	case s.Outstanding >= s.MaxConcurrent:
 		return failure.New(
 			failure.NotExecuted, "reserve", "", "%d requests are outstanding, the limit is %d", s.Outstanding, s.MaxConcurrent,
--- a/internal/handoff/memory_ledger_test.go
+++ b/internal/handoff/memory_ledger_test.go
@@ -23,7 +23,7 @@
 
 func newHeldLedger(ms int, ramp time.Duration, limit int) *MemoryLedger {
 	l := NewMemoryLedger(testReportLag, ramp, limit)
-	l.SetExclusiveFrom(tickAt(ms))
+	l.SetExclusiveSince(tickAt(ms))
 	return l
 }
 
--- a/internal/handoff/retry_after.go
+++ b/internal/handoff/retry_after.go
@@ -1,7 +1,7 @@
-// Retry-After times for rejected requests. The node books retries into the coming seconds: each
-// second takes about as many as the node has recently completed per second, and a rejected
-// request gets a random time within the first second that is not full. Many requests rejected
-// at once so return at the rate at which they can be served, and not all together.
+// This file assigns Retry-After times to rejected requests. The node books retries into the coming
+// seconds: each second takes about as many as the node has recently completed per second, and a
+// rejected request gets a random time within the first second that is not full. Requests that are
+// rejected at once therefore return at the rate at which they can be served, and not all together.
 
 package handoff
 
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -37,7 +37,7 @@
 func (n *Node) newHeartbeat() *Heartbeat {
 	heartbeat := &Heartbeat{
 		Node:           n.self.Node,
-		Version:        n.view.HighestVersion(),
+		Version:        n.view.HighestMentionedVersion(),
 		SinceConfirmed: int64(n.agent.SinceConfirmed()),
 	}
 	now := n.now()
--- a/internal/router/operator.go
+++ b/internal/router/operator.go
@@ -268,8 +268,8 @@
 			"done":        s.Completed.Load(),
 			"broken":      s.Aborted.Load(),
 			"bounced":     s.NotExecuted.Load(),
-			"firstP50Ms":  float64(s.Quantile(0.5)) / 1e6,
-			"firstP99Ms":  float64(s.Quantile(0.99)) / 1e6,
+			"firstP50Ms":  float64(s.FirstTokenQuantile(0.5)) / 1e6,
+			"firstP99Ms":  float64(s.FirstTokenQuantile(0.99)) / 1e6,
 		}
 	})
 	st.RecentEvents, _ = n.journal.Last(8)
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -87,7 +87,7 @@
 		Kind:         request.Kind,
 		Regime:       s.Register.Governs(request.Kind),
 		Zone:         n.self.Zone,
-		Claimed:      kind.Claimed,
+		AtMostOnce:   kind.Claimed,
 		MaxAttempts:  s.Configuration.Limits.MaxAttempts,
 		RetryTimeout: s.Configuration.Limits.PickTimeout(),
 	}
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -37,11 +37,11 @@
 }
 
 // Pick returns the workers that may serve a role of the request, in the order in which to try them.
-// Workers that are excluded or faulted recently are returned only if there is no other.
+// Workers that are avoided or faulted recently are returned only if there is no other.
 func (t *transport) Pick(
 	request *routing.PickRequest,
 	model workerclient.Model,
-	excluded map[ids.WorkerID]bool,
+	avoided map[ids.WorkerID]bool,
 ) []handoff.PickedWorker {
 	n := t.node
 	// Wait up to one second while a newer version is known and not yet in force here, or while
@@ -101,7 +101,7 @@
 			MaxConcurrent: st.MaxConcurrent,
 			Affinity:      routing.Affinity(t.prefix, id),
 		}
-		if excluded[id] || n.recentlyFaulted(id) {
+		if avoided[id] || n.recentlyFaulted(id) {
 			fallbacks = append(fallbacks, candidate)
 		} else {
 			candidates = append(candidates, candidate)
@@ -199,7 +199,7 @@
 	)
 }
 
-// Resume starts decoding at a worker that has imported the KV memory.
+// Resume starts decoding at a worker once the KV memory that it imports has arrived.
 func (t *transport) Resume(
 	ctx context.Context,
 	w ids.WorkerID,
--- a/internal/router/worker_duty.go
+++ b/internal/router/worker_duty.go
@@ -130,7 +130,7 @@
 		return err
 	}
 	d.fenceKnown = true
-	d.ledger.SetExclusiveFrom(n.now())
+	d.ledger.SetExclusiveSince(n.now())
 	return nil
 }
 
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, failure.Wrap(err, request.Verb, string(request.Worker))
 	}
-	response := &OrderResponse{Version: n.view.HighestVersion()}
+	response := &OrderResponse{Version: n.view.HighestMentionedVersion()}
 	if workerResponse != nil {
 		response.Version = max(response.Version, workerResponse.Version)
 		if response.Body, err = json.Marshal(workerResponse); err != nil {
@@ -302,7 +302,7 @@
 // sendOrderOnce sends an order to the current holder of the worker's key, which may be this node. It
 // returns Unavailable if the holder is unknown or was not reached.
 func (n *Node) sendOrderOnce(ctx context.Context, request *OrderRequest) (*workerclient.OrderResponse, error) {
-	if request.Version = n.view.HighestVersion(); request.Verb == verbReserve {
+	if request.Version = n.view.HighestMentionedVersion(); request.Verb == verbReserve {
 		request.Version = n.view.Current().Version
 	}
 	m, _, ok := n.agent.KeyOwner(fleetstate.WorkerKey(request.Worker))
--- a/internal/routing/program_set.go
+++ b/internal/routing/program_set.go
@@ -1,5 +1,6 @@
-// The programs of one configuration version with their shares of the traffic, and their scores.
-// Scores are kept across versions, so that a program can be compared before and after a change.
+// This file holds the routing programs of one configuration version with their shares of the
+// traffic, and the scores of programs. Scores are kept across versions, so that a program can be
+// compared before and after a change.
 
 package routing
 
@@ -15,8 +16,10 @@
 	"keelstair.example/ids"
 )
 
-// Score counts the results of a program. Its counters are atomic because they are updated on the
-// request path.
+// Score holds the counters and the latest times to first token of a program. Its counters are atomic
+// because they are updated on the request path. Picks counts the runs of the program, also as a
+// shadow; Fallbacks the runs that failed, so that the built-in order was used; Agreed the runs as a
+// shadow whose first choice, or role change, was the one that was used.
 type Score struct {
 	Picks, Fallbacks, Agreed, Completed, Aborted, NotExecuted atomic.Int64
 	RoleChangeCalls, RoleChangeProposals                      atomic.Int64 // calls for a role change, and calls that proposed one
@@ -40,9 +43,9 @@
 	s.nextSample++
 }
 
-// Quantile returns the quantile q, from 0 to 1, of the latest times to first token, or 0 if there
-// are none.
-func (s *Score) Quantile(q float64) time.Duration {
+// FirstTokenQuantile returns the quantile q, from 0 to 1, of the latest times to first token, or 0
+// if there are none.
+func (s *Score) FirstTokenQuantile(q float64) time.Duration {
 	s.mu.Lock()
 	times := slices.Clone(s.firstTokenTimes)
 	s.mu.Unlock()
@@ -98,10 +101,10 @@
 }
 
 // NewProgramSet compiles all sources. An error in one of them rejects the whole set.
-func NewProgramSet(list []Source, steps uint64, scores *Scores) (*ProgramSet, error) {
+func NewProgramSet(list []Source, maxSteps uint64, scores *Scores) (*ProgramSet, error) {
 	set := &ProgramSet{scores: scores}
 	for _, s := range list {
-		p, err := Compile(s.Name, s.Text, steps)
+		p, err := Compile(s.Name, s.Text, maxSteps)
 		if err == nil && s.ChangesRoles && !p.ProposesRoleChanges() {
 			err = failure.New(
 				failure.InvalidArgument,
@@ -123,12 +126,12 @@
 func (set *ProgramSet) ProgramFor(request string) string {
 	h := fnv.New32a()
 	h.Write([]byte(request))
-	percentile := int(h.Sum32() % 100)
+	bucket := int(h.Sum32() % 100)
 	for _, s := range set.programs {
 		if s.shadow {
 			continue
 		}
-		if percentile -= s.share; percentile < 0 {
+		if bucket -= s.share; bucket < 0 {
 			return s.name
 		}
 	}
@@ -152,7 +155,8 @@
 }
 
 // Order returns the candidates in the order of the request's program. It also runs the shadow
-// programs, of which it only counts whether their first choice agrees.
+// programs and counts their runs, their failures and how often their first choice is the same, but
+// it does not use their order.
 func (set *ProgramSet) Order(q *PickRequest, list []Candidate) []ids.WorkerID {
 	name := set.ProgramFor(q.Request)
 	builtIn, _ := BuiltIn{}.Order(q, list)
--- a/internal/routing/programs.go
+++ b/internal/routing/programs.go
@@ -1,4 +1,4 @@
-// The routing programs that are shipped with keelstair.
+// This file embeds the routing programs that are shipped with keelstair.
 
 package routing
 
--- a/internal/routing/role_change.go
+++ b/internal/routing/role_change.go
@@ -1,6 +1,6 @@
-// Proposals to change the role of a worker. Which workers may change at all is decided before, by
-// the dwell time, by whether a worker is the last one with its role or weights, and by the need for
-// a second zone. A program can only name workers that may change.
+// This file proposes role changes of workers. The caller decides beforehand which workers may
+// change at all: by the dwell time, by whether a worker is the last one with its role or weights,
+// and by the need for a second zone. A program can only name workers that may change.
 
 package routing
 
@@ -75,7 +75,7 @@
 }
 
 // LeastLoaded proposes the worker with the fewest outstanding requests that may change to a role
-// and is eligible. Of equals it prefers one that returns to its home role.
+// and is eligible. Among equals it prefers one that returns to its home role.
 func LeastLoaded(p *Pool, to ids.Role, eligible func(RoleCandidate) bool) (RoleChange, bool) {
 	var best *RoleCandidate
 	for i, w := range p.Workers {
@@ -117,8 +117,8 @@
 }
 
 // ResolveRoleChange returns the role change of the program that decides on role changes, with
-// decided set. Without one, or if it fails, the built-in proposal, out and ok, stands and decided
-// is not set. The other programs that propose role changes are only counted.
+// decided set. Without one, or if it fails, it returns the built-in proposal, out and ok, with
+// decided not set. The other programs that propose role changes are only counted.
 func (set *ProgramSet) ResolveRoleChange(p *Pool, out RoleChange, ok bool) (_ RoleChange, proposed, decided bool) {
 	type proposal struct {
 		score  *Score
--- a/internal/routing/starlark.go
+++ b/internal/routing/starlark.go
@@ -1,5 +1,5 @@
-// Routing programs in Starlark. They terminate, because execution steps are limited; they keep no
-// state between calls, because their globals are frozen; and they are deterministic.
+// This file runs routing programs in Starlark. They terminate, because execution steps are limited;
+// they keep no state between calls, because their globals are frozen; and they are deterministic.
 
 package routing
 
@@ -27,15 +27,15 @@
 var dialect = &syntax.FileOptions{}
 
 // Compile compiles a program. Its errors name the file, the line and the reason.
-func Compile(name, source string, steps uint64) (Program, error) {
+func Compile(name, source string, maxSteps uint64) (Program, error) {
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
-	thread.SetMaxExecutionSteps(steps)
+	thread.SetMaxExecutionSteps(maxSteps)
 	globals, err := starlark.ExecFileOptions(dialect, thread, name+".star", source, nil)
 	if err != nil {
 		return nil, programError(err, "compile program", name)
 	}
 	globals.Freeze()
-	s := &starlarkProgram{name: name, maxSteps: steps}
+	s := &starlarkProgram{name: name, maxSteps: maxSteps}
 	for _, function := range []struct {
 		signature string
 		params    int
