--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -19,17 +19,17 @@
 
 // Snapshot is one immutable state of the view.
 type Snapshot struct {
-	Version        ids.Version
-	Configuration  *Configuration
-	RouteTable     *RouteTable
-	TenantKeys     *KeyIndex
-	Text           []byte
-	NewestVersion  ids.Version
-	EvacuatedZones map[ids.Zone]bool
-	DrainedWorkers map[ids.WorkerID]bool
-	RoleChanges    map[ids.WorkerID]ids.Role
-	Failbacks      map[ids.Zone]Failback
-	Programs       *CompiledPrograms // the active program set; nil if there is none
+	Version               ids.Version
+	Configuration         *Configuration
+	RouteTable            *RouteTable
+	TenantKeys            *KeyIndex
+	Text                  []byte
+	NewestReceivedVersion ids.Version
+	EvacuatedZones        map[ids.Zone]bool
+	DrainedWorkers        map[ids.WorkerID]bool
+	RoleChanges           map[ids.WorkerID]ids.Role
+	Failbacks             map[ids.Zone]Failback
+	Programs              *CompiledPrograms // the active program set; nil if there is none
 	// Register holds the valid certificates for the kinds of requests that a certification regime
 	// governs; it is nil if there are no regimes. BaseRegister is the same register without
 	// revocations applied. RevokedSerials maps the serial of each revoked certificate to whether
@@ -204,7 +204,7 @@
 		}
 	}
 	next := v.buildSnapshot(active)
-	next.NewestVersion = versions[len(versions)-1].Version
+	next.NewestReceivedVersion = versions[len(versions)-1].Version
 	v.current.Store(next)
 	if uint64(active.Version) > v.highestMentioned.Load() {
 		v.highestMentioned.Store(uint64(active.Version))
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -326,7 +326,7 @@
 		}
 	}
 	if previous := n.lastSnapshot.Swap(s); previous == nil || previous.Version != s.Version {
-		n.options.Ring.Info().Uint64("version", uint64(s.Version)).Uint64("newest", uint64(s.NewestVersion)).
+		n.options.Ring.Info().Uint64("version", uint64(s.Version)).Uint64("newest", uint64(s.NewestReceivedVersion)).
 			Msg("configuration in force")
 	}
 	if n.options.ClientLimitsChanged != nil {
--- a/internal/proxy/program_set_test.go
+++ b/internal/proxy/program_set_test.go
@@ -280,8 +280,8 @@
 		require.Empty(t, answers(results))
 		f.nodes[0].Scores().Each(func(name string, s *routing.Score) {
 			if name == "endless" || name == "stranger" {
-				require.Equal(t, s.Picks.Load(), s.Fallbacks.Load(), name)
-				require.NotZero(t, s.Picks.Load(), name)
+				require.Equal(t, s.Runs.Load(), s.Fallbacks.Load(), name)
+				require.NotZero(t, s.Runs.Load(), name)
 			} else {
 				require.Zero(t, s.Fallbacks.Load(), name)
 			}
--- a/internal/proxy/program_test.go
+++ b/internal/proxy/program_test.go
@@ -76,10 +76,10 @@
 		require.Empty(t, extras(rows, all, 0.2, 40, window))
 		picks := map[string]int64{}
 		scores.Each(func(name string, s *routing.Score) {
-			picks[name] = s.Picks.Load()
+			picks[name] = s.Runs.Load()
 			switch name {
 			case "endless", "stranger":
-				require.Equal(t, s.Picks.Load(), s.Fallbacks.Load(), name)
+				require.Equal(t, s.Runs.Load(), s.Fallbacks.Load(), name)
 			default:
 				require.Zero(t, s.Fallbacks.Load(), name)
 			}
--- a/internal/proxy/stale_version_test.go
+++ b/internal/proxy/stale_version_test.go
@@ -175,18 +175,18 @@
 func TestPreparedVersionIsPutInForceWithoutTheCommit(t *testing.T) {
 	var age versionAge
 	at := func(ms int) ids.Tick { return ids.Tick(time.Duration(ms) * time.Millisecond) }
-	old := &fleetstate.Snapshot{Version: 1, NewestVersion: 1}
+	old := &fleetstate.Snapshot{Version: 1, NewestReceivedVersion: 1}
 	require.Zero(t, age.update(at(1000), at(900), old))
 	require.Equal(t, int64(at(900)), age.currentAt.Load())
 	for newest := ids.Version(2); newest < 5; newest++ {
-		staged := &fleetstate.Snapshot{Version: 1, NewestVersion: newest}
+		staged := &fleetstate.Snapshot{Version: 1, NewestReceivedVersion: newest}
 		require.Zero(t, age.update(at(1000+100*int(newest)), at(1000+100*int(newest)), staged))
 	}
-	require.EqualValues(t, 2, age.update(at(1701), at(1700), &fleetstate.Snapshot{Version: 1, NewestVersion: 5}))
+	require.EqualValues(t, 2, age.update(at(1701), at(1700), &fleetstate.Snapshot{Version: 1, NewestReceivedVersion: 5}))
 	require.Equal(t, int64(at(900)), age.currentAt.Load())
-	require.Zero(t, age.update(at(1800), at(1800), &fleetstate.Snapshot{Version: 2, NewestVersion: 5}))
+	require.Zero(t, age.update(at(1800), at(1800), &fleetstate.Snapshot{Version: 2, NewestReceivedVersion: 5}))
 	require.Equal(t, int64(at(1200)), age.currentAt.Load(), "as of when the second was seen")
-	require.Zero(t, age.update(at(1900), at(1900), &fleetstate.Snapshot{Version: 5, NewestVersion: 5}))
+	require.Zero(t, age.update(at(1900), at(1900), &fleetstate.Snapshot{Version: 5, NewestReceivedVersion: 5}))
 	require.Equal(t, int64(at(1900)), age.currentAt.Load())
 }
 
--- a/internal/proxy/version_age.go
+++ b/internal/proxy/version_age.go
@@ -54,11 +54,11 @@
 		v.awaitedVersion = 0
 	}
 	switch {
-	case s.Version >= s.NewestVersion:
+	case s.Version >= s.NewestReceivedVersion:
 		v.currentAt.Store(int64(viewCurrentAt))
 		v.awaitedVersion = 0
 	case v.awaitedVersion == 0:
-		v.awaitedVersion, v.awaitedAt, v.awaitedCurrentAt = s.NewestVersion, now, viewCurrentAt
+		v.awaitedVersion, v.awaitedAt, v.awaitedCurrentAt = s.NewestReceivedVersion, now, viewCurrentAt
 	case now.Past(v.awaitedAt, commitWait):
 		return v.awaitedVersion
 	}
--- a/internal/router/operator.go
+++ b/internal/router/operator.go
@@ -110,7 +110,7 @@
 
 // staleError returns the answer to a configuration whose base is not the newest version.
 func (n *Node) staleError(base uint64, s *fleetstate.Snapshot) error {
-	return api.Stale(base, uint64(max(s.NewestVersion, s.Version)))
+	return api.Stale(base, uint64(max(s.NewestReceivedVersion, s.Version)))
 }
 
 // operatorError returns the answer for a failed operation, which says whether it certainly had no
@@ -184,7 +184,7 @@
 	s := n.view.Current()
 	out := &api.Shown{
 		Version: uint64(s.Version),
-		Newest:  uint64(max(s.NewestVersion, s.Version)),
+		Newest:  uint64(max(s.NewestReceivedVersion, s.Version)),
 		Policy:  s.Text,
 		Zones:   []string{},
 		Drained: []string{},
@@ -260,7 +260,7 @@
 	st.Counts = n.countsByName()
 	n.scores.Each(func(name string, s *routing.Score) {
 		st.Programs[name] = map[string]any{
-			"picks":       s.Picks.Load(),
+			"picks":       s.Runs.Load(),
 			"fallbacks":   s.Fallbacks.Load(),
 			"agreed":      s.Agreed.Load(),
 			"turnsAsked":  s.RoleChangeCalls.Load(),
--- a/internal/routing/program_set.go
+++ b/internal/routing/program_set.go
@@ -21,8 +21,8 @@
 // shadow; Fallbacks the runs that failed, so that the built-in order was used; Agreed the runs as a
 // shadow whose first choice, or role change, was the one that was used.
 type Score struct {
-	Picks, Fallbacks, Agreed, Completed, Aborted, NotExecuted atomic.Int64
-	RoleChangeCalls, RoleChangeProposals                      atomic.Int64 // calls for a role change, and calls that proposed one
+	Runs, Fallbacks, Agreed, Completed, Aborted, NotExecuted atomic.Int64
+	RoleChangeCalls, RoleChangeProposals                     atomic.Int64 // calls for a role change, and calls that proposed one
 
 	mu              sync.Mutex
 	firstTokenTimes []time.Duration
@@ -167,7 +167,7 @@
 		}
 		order, err := matchAndOrder(s.program, q, list)
 		score := set.scores.Of(s.name)
-		if score.Picks.Add(1); err != nil {
+		if score.Runs.Add(1); err != nil {
 			score.Fallbacks.Add(1)
 			order = builtIn
 		}
@@ -183,7 +183,7 @@
 		}
 	}
 	if name == BuiltInName {
-		set.scores.Of(name).Picks.Add(1)
+		set.scores.Of(name).Runs.Add(1)
 	}
 	return out
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -106,7 +106,7 @@
 	for i := range 2000 {
 		set.Order(&PickRequest{Role: ids.Decode, Request: fmt.Sprint("r", i)}, testCandidates(3))
 	}
-	a, b, c := scores.Of("a").Picks.Load(), scores.Of("b").Picks.Load(), scores.Of("c").Picks.Load()
+	a, b, c := scores.Of("a").Runs.Load(), scores.Of("b").Runs.Load(), scores.Of("c").Runs.Load()
 	require.EqualValues(t, 2000, a+b)
 	require.InDelta(t, 600, a, 90)
 	require.EqualValues(t, 2000, c)
