--- a/internal/fleetstate/aged_keys.go
+++ b/internal/fleetstate/aged_keys.go
@@ -1,8 +1,8 @@
-// Compact storage of old idempotency records. The full answer of a resolved record is kept for a
-// while. Afterwards only an entry of 24 bytes with the hash of its key, the digest of its request
-// body and its outcome remains. It is kept permanently, so that a forgotten answer never leads to
-// a second execution. Entries are collected into chunks; a full chunk is sorted, sealed and never
-// changed again, and snapshots only refer to it.
+// This file stores old idempotency records compactly. The full answer of a resolved record is kept
+// for a while. Afterwards only an entry of 24 bytes with the hash of its key, the digest of its
+// request body and its outcome remains. It is kept permanently, so that a forgotten answer never
+// leads to a second execution. Entries are collected into chunks; a full chunk is sorted, sealed
+// and never changed again, and snapshots only refer to it.
 
 package fleetstate
 
--- a/internal/fleetstate/audit.go
+++ b/internal/fleetstate/audit.go
@@ -30,7 +30,7 @@
 	At      int64  `json:"at"`
 }
 
-// AuditRecord is what the audit log holds of a governed request. A record is written with the
+// AuditRecord is the audit log's record of a request under a regime. It is written with the
 // request's outcome, and for a request without a claimed key also before it runs.
 type AuditRecord struct {
 	Request string      `json:"request"`
--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -27,9 +27,9 @@
 	return got, rows
 }
 
-// TestAuditLog: every replica returns all rows unchanged and in order, also those in sealed chunks
-// and after a restore from a snapshot. Beyond maxAuditChunks the oldest chunks are dropped, and
-// FirstIndex reports that.
+// TestAuditLog checks that every replica returns all rows unchanged and in order, also those in
+// sealed chunks and after a restore from a snapshot. Beyond maxAuditChunks the oldest chunks are
+// dropped, and FirstIndex reports that.
 func TestAuditLog(t *testing.T) {
 	m, replica := NewMachine(MachineOptions{}), NewMachine(MachineOptions{})
 	n := auditChunkRows*2 + 100
@@ -80,8 +80,8 @@
 	require.Len(t, m.Chunks(), maxAuditChunks)
 }
 
-// TestVerifyChain: VerifyChain reports a row that was removed or changed, and rows that were replaced
-// by those of another chain.
+// TestVerifyChain checks that VerifyChain reports a row that was removed or changed, and rows that
+// were replaced by those of another chain.
 func TestVerifyChain(t *testing.T) {
 	build := func(tag string) []AuditRow {
 		a := auditLog{}
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestResolveAudits: an outcome and its audit record are written by one log entry; an invalid record
-// leaves the claim unchanged.
+// TestResolveAudits checks that an outcome and its audit record are written by one log entry; an
+// invalid record leaves the claim unchanged.
 func TestResolveAudits(t *testing.T) {
 	s := newState(false, Retention{})
 	_, err := applyClaim(t, s, "verdict/1", "b")
--- a/internal/fleetstate/client.go
+++ b/internal/fleetstate/client.go
@@ -1,6 +1,6 @@
-// Client calls of the coordination service that read and change the fleet's state. Reads return
-// everything that was acknowledged before: the primary replies only once its backup has confirmed
-// its epoch, so that a deposed primary returns no old state.
+// This file has the client calls to the coordination service that read and change the fleet's
+// state. Reads return everything that was acknowledged before: the primary replies only once its
+// backup has confirmed its epoch, so that a deposed primary returns no old state.
 
 package fleetstate
 
@@ -73,10 +73,10 @@
 }
 
 // PutConfiguration submits a configuration text that was derived from the version base, as the
-// version next (0 stands for the one after base). Repeated calls with the same op have one outcome.
-// The kind of the error is Stale if base is not the newest version, InvalidArgument if the number
-// next is too low, OutcomeUnknown if the text may have been accepted, and Unavailable if it was
-// not. A large text that differs little from the text of base is sent as a delta.
+// version next (0 stands for the one after base). Repeated calls with the same op have one
+// outcome. The kind of the error is Stale if base is not the newest version, InvalidArgument if
+// the number next is too low, OutcomeUnknown if the text may have been accepted, and Unavailable
+// if it was not. A large text that differs little from the text of base is sent as a delta.
 func PutConfiguration(
 	ctx context.Context,
 	caller *rpc.Caller,
@@ -116,8 +116,8 @@
 	})
 }
 
-// UseDeltaIfSmaller replaces the command's text by a delta from the previous text if the delta is at
-// most half as long and reproduces the text.
+// UseDeltaIfSmaller replaces the command's text by a delta from the previous text if the delta is
+// at most half as long and reproduces the text.
 func (c *PrepareVersion) UseDeltaIfSmaller(previous, text []byte) {
 	d := computeDelta(previous, text)
 	body := coordination.MustMarshal(d)
@@ -169,7 +169,8 @@
 }
 
 // CompareAndSetEvacuated evacuates a zone or fails back to it if the zone's revision is the given
-// one. Otherwise the kind of the error is Stale, unless the zone is already in the requested state.
+// one. Otherwise the kind of the error is Stale, unless the zone is already in the requested
+// state.
 func CompareAndSetEvacuated(
 	ctx context.Context,
 	caller *rpc.Caller,
--- a/internal/fleetstate/clock.go
+++ b/internal/fleetstate/clock.go
@@ -17,7 +17,7 @@
 const (
 	clockBoundLead       = 2 * time.Second  // how far the bound is ahead of the time
 	clockAdvanceInterval = time.Second      // how often the bound is advanced
-	maxClockCatchUp      = 10 * time.Second // the most that reports of nodes advance the time by
+	maxClockCatchUp      = 10 * time.Second // maximum by which reports of nodes advance the time
 	clockCatchUpWindow   = 4 * time.Second  // how long a new primary accepts reports of nodes
 )
 
--- a/internal/fleetstate/compression.go
+++ b/internal/fleetstate/compression.go
@@ -1,5 +1,5 @@
-// Compression of configuration texts. They are stored and sent compressed, since a large text goes to
-// every node.
+// This file compresses configuration texts. They are stored and sent compressed, since a large text
+// goes to every node.
 
 package fleetstate
 
@@ -11,8 +11,8 @@
 
 const minCompressBytes = 2048 // shorter texts are not compressed
 
-// compress compresses a text with gzip before it is sent to the core. It returns the text itself if
-// that is short, already compressed, or would not get smaller.
+// compress compresses a text with gzip before it is sent to the coordination service. It returns
+// the text itself if that is short, already compressed, or would not get smaller.
 func compress(text []byte) []byte {
 	if len(text) < minCompressBytes || isCompressed(text) {
 		return text
--- a/internal/fleetstate/delta.go
+++ b/internal/fleetstate/delta.go
@@ -1,6 +1,7 @@
-// Deltas between texts. A large text with few changes is sent to every replica and node as ranges
-// to copy from the previous text, and new text. The receiver verifies the result against the
-// digest of the complete text, so that a delta never produces a different text.
+// This file computes and applies deltas between texts. A large text with few changes is sent to
+// every replica and node as ranges to copy from the previous text, and new text. The receiver
+// verifies the result against the digest of the complete text, so that a delta never produces a
+// different text.
 
 package fleetstate
 
--- a/internal/fleetstate/diff.go
+++ b/internal/fleetstate/diff.go
@@ -1,4 +1,4 @@
-// Field-by-field differences between two configurations.
+// This file lists the differences between two configurations field by field.
 
 package fleetstate
 
--- a/internal/fleetstate/duty_round_test.go
+++ b/internal/fleetstate/duty_round_test.go
@@ -26,8 +26,8 @@
 	return reply.Act, err
 }
 
-// TestDutyContentFixedByFirstRound: the first round for an act fixes its content; a later holder gets
-// that content, not its own, and none once the act is done.
+// TestDutyContentFixedByFirstRound checks that the first round for an act fixes its content; a
+// later holder gets that content, not its own, and none once the act is done.
 func TestDutyContentFixedByFirstRound(t *testing.T) {
 	s := newState(false, Retention{})
 	first := DutyRound{Subject: "usage", Number: 7, Owner: "a", Fence: 3, Content: []byte("x")}
@@ -47,9 +47,9 @@
 	require.Equal(t, DutyAct{Number: 7, Done: true}, act)
 }
 
-// TestDutyRoundOfEarlierHolder: after a later holder has won a round, neither an earlier holder nor
-// another holder with the same fencing token wins a round of the subject, and a refused round
-// changes nothing.
+// TestDutyRoundOfEarlierHolder checks that after a later holder has won a round, neither an earlier
+// holder nor another holder with the same fencing token wins a round of the subject, and a refused
+// round changes nothing.
 func TestDutyRoundOfEarlierHolder(t *testing.T) {
 	s := newState(false, Retention{})
 	_, err := winRound(t, s, DutyRound{Subject: "usage", Number: 1, Owner: "b", Fence: 4})
@@ -68,8 +68,8 @@
 	require.NoError(t, err, "subjects are independent")
 }
 
-// TestDutyActsBounded: the oldest acts beyond maxDutyActs are dropped, and no round is won for them
-// again.
+// TestDutyActsBounded checks that the oldest acts beyond maxDutyActs are dropped, and no round is
+// won for them again.
 func TestDutyActsBounded(t *testing.T) {
 	s := newState(false, Retention{})
 	for i := range uint64(maxDutyActs + 3) {
@@ -84,8 +84,8 @@
 	require.EqualValues(t, 100+maxDutyActs+3, act.Number)
 }
 
-// TestDutyRoundsInSnapshot: a replica restored from a whole snapshot decides later rounds alike.
-// Watchers get neither the rounds nor the duties.
+// TestDutyRoundsInSnapshot checks that a replica restored from a whole snapshot decides later
+// rounds alike. Watchers get neither the rounds nor the duties.
 func TestDutyRoundsInSnapshot(t *testing.T) {
 	m := NewMachine(MachineOptions{Metering: true})
 	for _, subject := range []string{"b", "a"} {
@@ -104,7 +104,7 @@
 	require.False(t, m.Published(DutyRoundKind))
 }
 
-// TestMeteringKey: MeteringKey is listed only if usage is reported.
+// TestMeteringKey checks that MeteringKey is listed only if usage is reported.
 func TestMeteringKey(t *testing.T) {
 	text := []byte(`{"services":{"svc":{"concurrency":1}}}`)
 	for _, metering := range []bool{false, true} {
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -23,8 +23,9 @@
 	limits: {}
 }`
 
-// TestConfigurationCheck: a CUE text is completed with defaults and parsed, and the completed text
-// parses to the same configuration. The error for each invalid change names the field or the reason.
+// TestConfigurationCheck checks that a CUE text is completed with defaults and parsed, and the
+// completed text parses to the same configuration. The error for each invalid change names the
+// field or the reason.
 func TestConfigurationCheck(t *testing.T) {
 	text, err := CUEToJSON("f.cue", []byte(smallConfiguration))
 	require.NoError(t, err)
@@ -67,8 +68,9 @@
 	return err
 }
 
-// TestClaimTakeOverResolve: a key has one claim and one outcome. A takeover needs a fencing token that
-// is not older than the newest one, and the previous owner can't record an outcome afterwards.
+// TestClaimTakeOverResolve checks that a key has one claim and one outcome. A takeover needs a
+// fencing token that is not older than the newest one, and the previous owner can't record an
+// outcome afterwards.
 func TestClaimTakeOverResolve(t *testing.T) {
 	s := newState(false, Retention{})
 	require.NoError(t, applyCommand(t, s, ClaimKind, &Claim{Key: "k", Owner: "n1"}))
@@ -84,9 +86,9 @@
 	require.Equal(t, s.records, replica.records)
 }
 
-// TestCommitWaitsForNodes: a prepared version is committed once all nodes have seen its log entry,
-// not later entries, or after CommitTimeout. Versions that are prepared in quick succession can't
-// delay the commit of the first one.
+// TestCommitWaitsForNodes checks that a prepared version is committed once all nodes have seen its
+// log entry, not later entries, or after CommitTimeout. Versions that are prepared in quick
+// succession can't delay the commit of the first one.
 func TestCommitWaitsForNodes(t *testing.T) {
 	prepare := func(m *Machine, seq ids.Seq, base ids.Version) error {
 		_, err := m.Apply(seq, PrepareKind, coordination.MustMarshal(&PrepareVersion{Base: base, Text: []byte(`{}`)}))
@@ -107,8 +109,8 @@
 	require.Equal(t, []coordination.Command{{Kind: CommitKind, Body: coordination.MustMarshal(&CommitVersion{1})}}, got)
 }
 
-// TestViewCommitsNotedVersion: a view activates a version that NoteVersion reports if it has that
-// version prepared. Otherwise it is not up to date until the version arrives.
+// TestViewCommitsNotedVersion checks that a view activates a version that is passed to NoteVersion
+// if it has received that version. Otherwise it is not up to date until the version arrives.
 func TestViewCommitsNotedVersion(t *testing.T) {
 	v := NewView(logging.Discard())
 	observe := func(kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) {
@@ -127,8 +129,9 @@
 	require.Len(t, v.Current().Configuration.Zones, 2)
 }
 
-// TestViewKeepsServedVersion: the coordination service is restored from a copy that lacks the newest
-// version. A node that has served this version does not go back, and takes the next higher one.
+// TestViewKeepsServedVersion checks that a node that has served the newest version does not go back
+// when the coordination service is restored from a copy that lacks this version, and takes the next
+// higher one.
 func TestViewKeepsServedVersion(t *testing.T) {
 	m, v := NewMachine(MachineOptions{}), NewView(logging.Discard())
 	seq := ids.Seq(0)
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -12,7 +12,7 @@
 	"keelstair.example/internal/certification"
 )
 
-// Keys of the duties that exist whatever workers and services are configured.
+// These are the keys of the duties that exist under every configuration.
 const (
 	RetryBudgetKey ids.Key = "budget"
 	ResolutionKey  ids.Key = "settle"
--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -1,6 +1,6 @@
-// The commands of the replicated log, their replies, and the encoded state. Their MessagePack
-// forms and the command kinds are part of the protocol between releases: a renamed field keeps its
-// encoded name by a msg tag, and a new field is omitted while it is empty.
+// This file defines the commands of the replicated log, their replies, and the encoded state. Their
+// MessagePack forms and the command kinds are part of the protocol between releases: a renamed
+// field keeps its encoded name by a msg tag, and a new field is omitted while it is empty.
 
 package fleetstate
 
@@ -61,8 +61,8 @@
 const DutyRoundKind = "lore.duty"
 
 // PrepareVersion adds a complete, checked configuration that was derived from the version Base.
-// Next is the number that the new version gets; 0 stands for the one after Base. With Delta, Text
-// is an encoded Delta from the text of Base.
+// Next is the number that the new version gets; 0 stands for the one after Base. If Delta is set,
+// Text is an encoded Delta from the text of Base.
 type PrepareVersion struct {
 	Base  ids.Version
 	Text  []byte
@@ -108,9 +108,9 @@
 	Programs bool
 }
 
-// Evacuate evacuates a zone or, with Evacuated false, fails back to it. With Compare it is refused
-// as stale unless the zone's revision is BaseRevision; without Compare, a repetition is recognized
-// only by its operation id.
+// Evacuate evacuates a zone or, if Evacuated is false, fails back to it. If Compare is set, the
+// command is refused as stale unless the zone's revision is BaseRevision; otherwise a repetition is
+// recognized only by its operation id.
 type Evacuate struct {
 	Zone         ids.Zone
 	Evacuated    bool `msg:"Out"`
@@ -118,7 +118,7 @@
 	BaseRevision uint64 `msg:"Base"`
 }
 
-// Drain stops new work for a worker or, with Drained false, allows it again.
+// Drain stops new work for a worker or, if Drained is false, allows it again.
 type Drain struct {
 	Worker  ids.WorkerID
 	Drained bool `msg:"Out"`
@@ -146,8 +146,8 @@
 	Count uint64
 }
 
-// RoleChange records that a worker is about to change its role to To or, with Done, that the role
-// change has ended, whether or not it succeeded.
+// RoleChange records that a worker is about to change its role to To or, if Done is set, that the
+// role change has ended, whether or not it succeeded.
 type RoleChange struct {
 	Worker ids.WorkerID
 	To     ids.Role
@@ -254,13 +254,13 @@
 	Fence ids.Fence
 }
 
-// Revoke revokes a certificate for good. A node enforces it once it has applied this command.
+// Revoke revokes a certificate permanently. A node enforces it once it has applied this command.
 type Revoke struct {
 	Serial string
 }
 
 // ConfirmRevocation records that every node enforces a revocation: each has applied it, or has lost
-// its lease and with it the right to handle governed work.
+// its lease and with it the right to handle requests under a regime.
 type ConfirmRevocation struct {
 	Serial string
 }
@@ -333,7 +333,8 @@
 	AuditHead  string   `msg:"AuditHead,omitempty"`
 }
 
-// RevisionHistory is the part of EncodedState that tells late and repeated commands from new ones.
+// RevisionHistory is the part of EncodedState by which late and repeated commands are distinguished
+// from new ones.
 // Snapshots of earlier releases lack it.
 type RevisionHistory struct {
 	ZoneRevisions      []ZoneRevision `msg:"ZoneRevisions,omitempty"`
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -1,6 +1,6 @@
-// Regimes in a configuration: a regime governs kinds of requests, which only workers and router
-// nodes with a certificate for the regime may handle. This file checks regimes and certificates
-// before a configuration is accepted, and locates errors in the operator's text.
+// A certification regime governs some kinds of requests, which only workers and router nodes with
+// a certificate for the regime may handle. This file checks regimes and certificates before a
+// configuration is accepted, and locates errors in the operator's text.
 
 package fleetstate
 
@@ -40,9 +40,9 @@
 	}, failure.InvalidArgument, "check regimes", strings.Join(path, "."))
 }
 
-// checkRegimes checks that every certificate is valid, that every governed kind exists, and that
-// each regime has a certified router node and, for each of its kinds, a certified worker of each
-// role.
+// checkRegimes checks that every certificate is valid, that every kind that a regime governs
+// exists, and that each regime has a certified router node and, for each of its kinds, a certified
+// worker of each role.
 func (cfg *Configuration) checkRegimes() error {
 	if len(cfg.Regimes)+len(cfg.Certificates)+len(cfg.Issuers) == 0 {
 		return nil
@@ -84,8 +84,8 @@
 
 func quote(s string) string { return `"` + s + `"` }
 
-// hasCertifiedWorker reports whether a configured worker of the model has a certificate for its own
-// role in the regime.
+// hasCertifiedWorker reports whether a configured worker of the model has a certificate for its
+// own role in the regime.
 func (cfg *Configuration) hasCertifiedWorker(regime, model string, role ids.Role) bool {
 	for _, c := range cfg.Certificates {
 		if w, ok := cfg.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Role == role &&
@@ -96,8 +96,8 @@
 	return false
 }
 
-// CheckTransition checks a configuration against the one that it replaces: a serial is never reused
-// for another certificate, and no certificate that has already expired is added.
+// CheckTransition checks a configuration against the one that it replaces: a serial is never
+// reused for another certificate, and no certificate that has already expired is added.
 func (cfg *Configuration) CheckTransition(previous *Configuration, now certification.Now) error {
 	for _, serial := range slices.Sorted(maps.Keys(cfg.Certificates)) {
 		c := cfg.Certificates[serial]
@@ -127,8 +127,9 @@
 	return false
 }
 
-// LocateFault adds to an error that wraps a certification.Fault the position of the faulty field in
-// the operator's text, or of the nearest field that encloses it. It returns other errors unchanged.
+// LocateFault adds to an error that wraps a certification.Fault the position of the faulty field
+// in the operator's text, or of the nearest field that encloses it. It returns other errors
+// unchanged.
 func LocateFault(name string, text []byte, err error) error {
 	var fault *certification.Fault
 	if !errors.As(err, &fault) {
@@ -192,9 +193,9 @@
 }
 
 // Eligible reports whether the duty of a key may be assigned to a node. The duty of a certified
-// worker goes only to nodes that are certified for every regime that the worker may serve, since its
-// holder passes on governed requests. ResolutionKey, whose holder reads outcomes, goes only to nodes
-// that are certified for all regimes.
+// worker goes only to nodes that are certified for every regime that the worker may serve, since
+// its holder passes on requests under a regime. ResolutionKey, whose holder reads outcomes, goes
+// only to nodes that are certified for all regimes.
 func (m *Machine) Eligible(key ids.Key, node ids.NodeID) bool {
 	id, isWorkerKey := strings.CutPrefix(string(key), string(WorkerKey("")))
 	if m.unrevokedRegister == nil || !isWorkerKey && key != ResolutionKey {
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -18,8 +18,8 @@
 	"keelstair.example/logging"
 )
 
-// regimeConfiguration returns the text of smallConfiguration with one regime and its certificates, one
-// field per line.
+// regimeConfiguration returns the text of smallConfiguration with one regime and its certificates,
+// one field per line.
 func regimeConfiguration(t *testing.T, change func(all map[string]any, certs map[string]certification.Certificate)) []byte {
 	key, _, err := certification.NewKey()
 	require.NoError(t, err)
@@ -63,8 +63,9 @@
 	return 0
 }
 
-// TestRegimes: a configuration with regimes is accepted, its completed text parses to the same
-// configuration, and its certificates compile. Each fault is refused with file, line and reason.
+// TestRegimes checks that a configuration with regimes is accepted, its completed text parses to
+// the same configuration, and its certificates compile. Each fault is refused with file, line and
+// reason.
 func TestRegimes(t *testing.T) {
 	p, complete, err := ParseComplete("f.cue", regimeConfiguration(t, nil))
 	require.NoError(t, err)
@@ -163,8 +164,9 @@
 	require.ErrorContains(t, err, "certificates.s1 stands twice")
 }
 
-// TestCheckTransition: a serial can't be reused for another certificate, and an expired certificate
-// can't be added. A certificate that expires while it is configured doesn't block later changes.
+// TestCheckTransition checks that a serial can't be reused for another certificate, and an expired
+// certificate can't be added. A certificate that expires while it is configured doesn't block later
+// changes.
 func TestCheckTransition(t *testing.T) {
 	previous, _, err := ParseComplete("f", regimeConfiguration(t, nil))
 	require.NoError(t, err)
@@ -179,8 +181,8 @@
 	require.NoError(t, previous.CheckTransition(&Configuration{}, certification.Now{}), "the time is not known")
 }
 
-// TestOverlayWithCertificates: an overlay of other fields keeps the certificates, and an overlay that
-// removes the last certified worker of a regime is refused.
+// TestOverlayWithCertificates checks that an overlay of other fields keeps the certificates, and an
+// overlay that removes the last certified worker of a regime is refused.
 func TestOverlayWithCertificates(t *testing.T) {
 	_, complete, err := ParseComplete("f", regimeConfiguration(t, nil))
 	require.NoError(t, err)
@@ -209,8 +211,8 @@
 	return out
 }
 
-// TestRevocationConfirmed: a revocation is confirmed once every node with a lease has applied it, also by
-// a primary that restored it from a snapshot. A view enforces it at once.
+// TestRevocationConfirmed checks that a revocation is confirmed once every node with a lease has
+// applied it, also by a primary that restored it from a snapshot. A view enforces it at once.
 func TestRevocationConfirmed(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	_, err := m.Apply(7, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
@@ -241,9 +243,9 @@
 	require.Equal(t, map[string]bool{"s1": true}, v.Current().RevokedSerials)
 }
 
-// TestClock: the fleet's time advances with the primary's monotonic clock, whatever its wall clock does.
-// A new primary continues from the bound, and no reported time is lower than an earlier one. Without
-// regimes there is no fleet time.
+// TestClock checks that the fleet's time advances with the primary's monotonic clock, whatever its
+// wall clock does. A new primary continues from the bound, and no reported time is lower than an
+// earlier one. Without regimes there is no fleet time.
 func TestClock(t *testing.T) {
 	wall := time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC)
 	ms := func(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
@@ -314,7 +316,7 @@
 	require.LessOrEqual(t, time.Duration(runPrimary(d, 90000, 90200)-before), 3*time.Second)
 }
 
-// TestEligible: the duty of a certified worker is assigned only to certified nodes.
+// TestEligible checks that the duty of a certified worker is assigned only to certified nodes.
 func TestEligible(t *testing.T) {
 	m := NewMachine(MachineOptions{WallClock: func() time.Time { return time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC) }})
 	require.True(t, m.Eligible(WorkerKey("p1"), "v2-aa"))
--- a/internal/fleetstate/revision_history.go
+++ b/internal/fleetstate/revision_history.go
@@ -1,5 +1,5 @@
-// The state remembers zone revisions and superseded versions, by which it tells a late or repeated
-// command from a new one.
+// The state remembers zone revisions and superseded versions, by which it distinguishes a late or
+// repeated command from a new one.
 
 package fleetstate
 
@@ -13,9 +13,9 @@
 //msgp:ignore supersededVersions
 
 // maxSuperseded is how many superseded versions a version history remembers. The coordination
-// service remembers the ids of the newest 2,048 operations of a class. Each version of a history is
-// one of those operations, so a command that was accepted on top of a version remembered here is
-// always recognized by its operation id.
+// service remembers the ids of the newest 2,048 operations of a class. Each version of a history
+// is one of those operations, so a command that was accepted on top of a version remembered here
+// is always recognized by its operation id.
 const maxSuperseded = 1024
 
 // supersededVersions are the newest versions on top of which another version was prepared, oldest
@@ -31,9 +31,9 @@
 }
 
 // checkBaseVersion checks the base version of a command whose operation id is not remembered. It
-// returns nil if base is the newest version. The error has the kind OutcomeUnknown if base is older
-// than all remembered versions, so that the command may have been accepted and its id forgotten, and
-// otherwise Stale, which means that the command was never accepted.
+// returns nil if base is the newest version. The error has the kind OutcomeUnknown if base is
+// older than all remembered versions, so that the command may have been accepted and its id
+// forgotten, and otherwise Stale, which means that the command was never accepted.
 func (l *versionHistory) checkBaseVersion(base ids.Version) error {
 	oldest := l.newest()
 	if len(l.superseded) > 0 {
--- a/internal/fleetstate/revision_history_test.go
+++ b/internal/fleetstate/revision_history_test.go
@@ -1,4 +1,4 @@
-// Tests that late and repeated commands are told from new ones.
+// Tests that late and repeated commands are distinguished from new ones.
 
 package fleetstate
 
@@ -48,9 +48,10 @@
 	return r.machines[0].encode(true).ZoneRevision(z)
 }
 
-// TestCompareAndSetEvacuated: an evacuation with a base revision is applied if the zone has not changed
-// since, changes nothing if the zone is already in the requested state, and is stale otherwise. A
-// replica from a snapshot decides alike, and changes of other zones have no influence.
+// TestCompareAndSetEvacuated checks that an evacuation with a base revision is applied if the zone
+// has not changed since, changes nothing if the zone is already in the requested state, and is
+// stale otherwise. A replica from a snapshot decides alike, and changes of other zones have no
+// influence.
 func TestCompareAndSetEvacuated(t *testing.T) {
 	r := newReplicas(t)
 	evacuate := func(base uint64, evacuated bool) error {
@@ -71,8 +72,8 @@
 	require.NoError(t, evacuate(2, true))
 }
 
-// TestEvacuateOfEarlierReleases: a log entry of an earlier release, without a base revision, is applied
-// and increments the revision. A snapshot without revisions can be restored.
+// TestEvacuateOfEarlierReleases checks that a log entry of an earlier release, without a base
+// revision, is applied and increments the revision. A snapshot without revisions can be restored.
 func TestEvacuateOfEarlierReleases(t *testing.T) {
 	entry := msgp.AppendMapHeader(nil, 2)
 	entry = msgp.AppendString(msgp.AppendString(entry, "Zone"), "z")
@@ -92,8 +93,8 @@
 	require.True(t, evacuated)
 }
 
-// TestUnchangedCommandLogged: a command that is recognized only by its operation id is written to the
-// log even if it changes nothing, so that the coordination service remembers the id.
+// TestUnchangedCommandLogged checks that a command that is recognized only by its operation id is
+// written to the log even if it changes nothing, so that the coordination service remembers the id.
 func TestUnchangedCommandLogged(t *testing.T) {
 	r := newReplicas(t)
 	for range 2 {
@@ -109,10 +110,10 @@
 	return r.apply(kind, &PrepareVersion{Base: base, Next: next, Text: []byte(`{}`)})
 }
 
-// TestSupersededBaseVersion: a command with a superseded base version is stale while all versions since
-// then are remembered, and has an unknown outcome before that. This holds for the configuration and
-// the program sets, for outcome queries, and for a replica from a snapshot. A base number that never
-// was a version is stale if it lies within the remembered range.
+// TestSupersededBaseVersion checks that a command with a superseded base version is stale while all
+// versions since then are remembered, and has an unknown outcome before that. This holds for the
+// configuration and the program sets, for outcome queries, and for a replica from a snapshot. A
+// base number that never was a version is stale if it lies within the remembered range.
 func TestSupersededBaseVersion(t *testing.T) {
 	for _, kind := range []string{PrepareKind, PrepareProgramsKind} {
 		r := newReplicas(t)
@@ -139,7 +140,8 @@
 	}
 }
 
-// TestAllVersionsRemembered: while all versions ever made are remembered, no outcome is unknown.
+// TestAllVersionsRemembered checks that while all versions ever made are remembered, no outcome is
+// unknown.
 func TestAllVersionsRemembered(t *testing.T) {
 	r := newReplicas(t)
 	for v := range ids.Version(10) {
@@ -151,9 +153,9 @@
 	require.Equal(t, failure.Stale, failure.KindOf(r.prepare(PrepareKind, 11, 0)))
 }
 
-// TestSnapshotWithoutSupersededVersions: after a restore from a snapshot of an earlier release, which
-// lacks superseded versions, commands based on a version older than its newest have an unknown
-// outcome.
+// TestSnapshotWithoutSupersededVersions checks that after a restore from a snapshot of an earlier
+// release, which lacks superseded versions, commands based on a version older than its newest have
+// an unknown outcome.
 func TestSnapshotWithoutSupersededVersions(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	encoded := &EncodedState{Active: VersionedText{Version: 7, Text: []byte(`{}`)}}
--- a/internal/fleetstate/revocation.go
+++ b/internal/fleetstate/revocation.go
@@ -1,4 +1,4 @@
-// Commands that revoke certificates and that advance the fleet's time.
+// This file applies the commands that revoke certificates and that advance the fleet's time.
 
 package fleetstate
 
--- a/internal/fleetstate/role_change.go
+++ b/internal/fleetstate/role_change.go
@@ -1,4 +1,5 @@
-// Role changes: a worker gets no new work while it changes between prefill and decode.
+// This file records role changes of workers: a worker gets no new work while it changes between
+// prefill and decode.
 
 package fleetstate
 
--- a/internal/fleetstate/role_change_test.go
+++ b/internal/fleetstate/role_change_test.go
@@ -13,8 +13,9 @@
 	"keelstair.example/logging"
 )
 
-// TestRoleChange: a role change is kept until it is done. Repeating it, or ending one that doesn't exist,
-// changes nothing and is not an error for the caller. A change to another role replaces the first.
+// TestRoleChange checks that a role change is kept until it is done. Repeating it, or ending one
+// that doesn't exist, changes nothing and is not an error for the caller. A change to another role
+// replaces the first.
 func TestRoleChange(t *testing.T) {
 	s := newState(false, Retention{})
 	require.ErrorIs(t, applyCommand(t, s, RoleChangeKind, &RoleChange{Worker: "w", Done: true}), coordination.ErrUnchanged)
@@ -28,8 +29,8 @@
 	require.Equal(t, ids.Key("service/x"), ServiceKey("x"))
 }
 
-// TestRoleChangeInSnapshot: a replica restored from a whole snapshot or from one for watchers has the
-// same role changes, and snapshots of equal states are equal bytes.
+// TestRoleChangeInSnapshot checks that a replica restored from a whole snapshot or from one for
+// watchers has the same role changes, and snapshots of equal states are equal bytes.
 func TestRoleChangeInSnapshot(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	for _, w := range []ids.WorkerID{"c", "a", "b"} {
@@ -45,9 +46,9 @@
 	}
 }
 
-// TestRoleChangeInView: a view shows a role change as soon as it is applied, as an entry or from a
-// snapshot, reports the entry as urgent, and drops it once it is done. Earlier view snapshots don't
-// change.
+// TestRoleChangeInView checks that a view shows a role change as soon as it is applied, as an entry
+// or from a snapshot, reports the entry as urgent, and drops it once it is done. Earlier view
+// snapshots don't change.
 func TestRoleChangeInView(t *testing.T) {
 	v := NewView(logging.Discard())
 	require.True(t, v.Observe(1, RoleChangeKind, coordination.MustMarshal(&RoleChange{Worker: "w", To: ids.Decode})))
@@ -63,8 +64,9 @@
 	require.Empty(t, other.Current().RoleChanges)
 }
 
-// TestRequestedVersionNumber: a version gets its requested number if that is above the newest active or
-// prepared version. Otherwise, or with another base version, it is refused and nothing changes.
+// TestRequestedVersionNumber checks that a version gets its requested number if that is above the
+// newest active or prepared version. Otherwise, or with another base version, it is refused and
+// nothing changes.
 func TestRequestedVersionNumber(t *testing.T) {
 	s := newState(false, Retention{})
 	prepare := func(base, next ids.Version) (ids.Version, error) {
@@ -104,8 +106,8 @@
 	require.Error(t, applyCommand(t, s, CommitKind, &CommitVersion{6}), "an older version can't be committed any more")
 }
 
-// TestServiceKeys: each service of the active configuration has a duty, and there is one more duty for
-// listing the workers. Without services there is neither.
+// TestServiceKeys checks that each service of the active configuration has a duty, and there is one
+// more duty for listing the workers. Without services there is neither.
 func TestServiceKeys(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	require.NotContains(t, m.Keys(), WorkerListKey)
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -13,8 +13,8 @@
 	"keelstair.example/ids"
 )
 
-// State is the replicated state of the fleet. With claimsOnly, as on router nodes, it keeps of the
-// idempotency records only those that are still claimed.
+// State is the replicated state of the fleet. If claimsOnly is set, as on router nodes, it keeps
+// only those idempotency records that are still claimed.
 type State struct {
 	versionHistory                 // of the configuration
 	programs        versionHistory // of the program sets
--- a/internal/fleetstate/state_encoding.go
+++ b/internal/fleetstate/state_encoding.go
@@ -1,4 +1,4 @@
-// Conversion of State to and from EncodedState, for snapshots and for watchers.
+// This file converts State to and from EncodedState, for snapshots and for watchers.
 
 package fleetstate
 
--- a/internal/fleetstate/tenants.go
+++ b/internal/fleetstate/tenants.go
@@ -1,6 +1,6 @@
-// Tenants and the keys that authenticate their requests. A key is a secret: errors give its
-// position in the configuration and never the key itself, and lookups take the same time for any
-// key.
+// This file handles tenants and the API keys that authenticate their requests. A key is a secret:
+// errors give its position in the configuration and never the key itself, and lookups take the same
+// time for any key.
 
 package fleetstate
 
--- a/internal/fleetstate/version_history.go
+++ b/internal/fleetstate/version_history.go
@@ -1,5 +1,5 @@
-// Version histories: each version is prepared on top of the latest one, and versions become active
-// in order. The configuration and the program sets each have a history.
+// This file keeps version histories. Each version is prepared on top of the latest one, and versions
+// become active in order. The configuration and the program sets each have a history.
 
 package fleetstate
 
--- a/internal/fleetstate/wire_test.go
+++ b/internal/fleetstate/wire_test.go
@@ -6,8 +6,9 @@
 	"keelstair.example/internal/golden"
 )
 
-// TestEncodings: every message and stored record of this package has the same encoding as in the first
-// release that supports rolling upgrades. The file names the messages as that release did.
+// TestEncodings checks that every message and stored record of this package has the same encoding
+// as in the first release that supports rolling upgrades. The file names the messages as that
+// release did.
 func TestEncodings(t *testing.T) {
 	golden.Check(t, "testdata/encodings.txt", map[string]golden.Message{
 		"Activate":     &CommitVersion{},
--- a/internal/fleetstate/zones.go
+++ b/internal/fleetstate/zones.go
@@ -1,5 +1,5 @@
-// Zones and workers that receive no new work: evacuated zones, drained workers, and the slow start
-// of zones after a failback, that is, after an evacuation has ended.
+// This file tracks the zones and workers that receive no new work: evacuated zones, drained
+// workers, and the slow start of zones after a failback, that is, after an evacuation has ended.
 
 package fleetstate
 
@@ -76,8 +76,8 @@
 	return elapsed
 }
 
-// slowStartEndedCommands returns a command for each zone whose slow start after a failback has ended.
-// The call to Keys updates maxSlowStart.
+// slowStartEndedCommands returns a command for each zone whose slow start after a failback has
+// ended. The call to Keys updates maxSlowStart.
 func (m *Machine) slowStartEndedCommands(now ids.Tick) []coordination.Command {
 	m.now = now
 	if len(m.failbacks) == 0 {
--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -1,8 +1,7 @@
-// The controller takes one request through the steps of a hand-over: granted, prefilled,
-// exported, imported, resumed, ended, or dropped at any of them. Memory for the whole answer
-// is reserved before anything runs. Resume waits until the KV cache has arrived completely and is
-// the point of no return: from then on the decode worker may generate tokens. No token is sent to
-// the client before it.
+// The controller takes one request through the steps of a hand-over: granted, prefilled, exported,
+// imported, resumed, ended, or dropped at any of them. Memory for the whole answer is reserved
+// before anything runs. Resume waits for the complete KV cache and is the point of no return,
+// after which the decode worker may generate. No token is sent to the client before it.
 
 package handoff
 
@@ -17,10 +16,10 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// Transport picks workers and sends them the orders of the controller. Every order goes
-// through the one node that currently has the exclusive right to send orders to the worker.
+// Transport picks workers and sends them the orders of the controller. Every order goes through
+// the one node that currently has the exclusive right to send orders to the worker.
 type Transport interface {
-	// Pick returns eligible workers. It returns the avoided ones only if there are no others.
+	// Pick returns the avoided workers only if no others are eligible.
 	Pick(q *routing.PickRequest, on workerclient.Model, avoided map[ids.WorkerID]bool) []PickedWorker
 	Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error
 	Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.OrderResponse, error)
@@ -35,8 +34,8 @@
 	// SpendRetry reports whether the retry budget granted a recompute within the wait.
 	SpendRetry(ctx context.Context, wait time.Duration) bool
 	ReportFault(w ids.WorkerID)
-	// PickMayBeOutdated reports whether the last pick was made under a configuration version
-	// that may no longer be in force.
+	// PickMayBeOutdated reports whether the last pick was made under a configuration version that
+	// may no longer be in force.
 	PickMayBeOutdated() bool
 }
 
@@ -80,10 +79,10 @@
 	Regime       string
 	MaxAttempts  int
 	RetryTimeout time.Duration // how long new attempts are made before the first token
-	// Claim is called once memory is reserved at both workers and before anything is sent to
-	// either, with the decode worker and its incarnation; an error then ends the task before
-	// anything has run. Claim is called again before a resume at another worker or incarnation,
-	// to record every place where the task may have run.
+	// Claim is called with the decode worker and its incarnation once memory is reserved at both
+	// workers and before anything is sent to either; an error then ends the task with nothing run.
+	// It is called again before a resume at another worker or incarnation, so that every place
+	// where the task may run is recorded.
 	Claim func(w ids.WorkerID, incarnation ids.Incarnation) error
 }
 
@@ -131,11 +130,10 @@
 	f.Trace(e)
 }
 
-// Run serves a task to its end. It returns nil if the answer is complete and every token was
-// put. Of the kinds of errors, NotExecuted means that nothing was put and nothing runs;
-// DataLost, that some tokens were put and the rest will not follow; OutcomeUnknown, that a
-// task with AtMostOnce may have run; InvalidArgument, that the task or its claim was refused
-// and a retry is no use.
+// Run serves a task to its end. It returns nil if the answer is complete and every token was put.
+// Of the kinds of errors, NotExecuted means that nothing was put and nothing runs; DataLost, that
+// some tokens were put and the rest will not follow; OutcomeUnknown, that a task with AtMostOnce
+// may have run; InvalidArgument, that the task or its claim was refused and a retry is no use.
 func (c *Controller) Run(ctx context.Context, t *Task, put PutToken) error {
 	f := &handoffTask{Controller: c, task: t, put: put}
 	start := c.Clock.Now()
@@ -145,8 +143,8 @@
 		f.attemptID = workerclient.ID{Request: t.Identity.ID.Request, Attempt: n}
 		f.prefillWorker, f.decodeWorker, f.incarnation, f.resumeOrdered = "", "", "", false
 		err := f.attempt(ctx, avoided)
-		// If the workers were picked under a version that is no longer in force, they are
-		// picked again once this node has the newer one.
+		// If the workers were picked under a version that is no longer in force, they are picked
+		// again once this node has the newer one.
 		for failure.Is(err, failure.Stale) && f.prefillWorker == "" && !c.Clock.Now().Past(start, t.RetryTimeout) &&
 			host.Sleep(ctx, 30*time.Millisecond) {
 			err = f.attempt(ctx, avoided)
@@ -194,10 +192,9 @@
 	}
 }
 
-// retryWait returns how long a task waits for the retry budget or, under a regime, for an
-// eligible worker. Pausing a stream that has begun is better than breaking it, so it waits
-// long enough for a budget that moves from one holder to another. Before the first token it
-// is better to fail fast.
+// retryWait returns how long a task waits for the retry budget or, under a regime, for an eligible
+// worker. Pausing a stream that has begun is better than breaking it, so it waits long enough for
+// a budget that moves between holders. Before the first token it is better to fail fast.
 func (f *handoffTask) retryWait() time.Duration {
 	if len(f.sent) > 0 {
 		return 6 * time.Second
@@ -289,8 +286,7 @@
 			return err
 		}
 		defer func(w ids.WorkerID) { transport.Release(w, f.attemptID, ended) }(decode.ID)
-		// Pick returns avoided workers if there are no others, but none is tried twice in an
-		// attempt.
+		// Pick may return avoided workers again, but none is tried twice in an attempt.
 		if refused[decode.ID] {
 			return refusal
 		}
@@ -341,8 +337,8 @@
 	return true
 }
 
-// reserve reserves memory for a number of tokens on the first worker that has enough, in the
-// order of the routing program.
+// reserve reserves memory for a number of tokens on the first worker that has enough, in the order
+// of the routing program.
 func (f *handoffTask) reserve(
 	ctx context.Context,
 	request *routing.PickRequest,
--- a/internal/handoff/controller_test.go
+++ b/internal/handoff/controller_test.go
@@ -20,8 +20,8 @@
 
 var testAnswer = []int32{11, 12, 13, 14, 15}
 
-// fakeTransport stands for two prefill workers, p1 and p2, and two decode workers, d1 and d2,
-// whose answers a test sets.
+// fakeTransport simulates two prefill workers, p1 and p2, and two decode workers, d1 and d2, whose
+// answers a test sets.
 type fakeTransport struct {
 	fullWorkers   map[ids.WorkerID]bool // refuse imports
 	alterIdentity func(m *workerclient.Identity)
--- a/internal/router/heartbeat_test.go
+++ b/internal/router/heartbeat_test.go
@@ -1,4 +1,4 @@
-// Heartbeats that confirm that a node knows the newest version.
+// Tests of the heartbeats that confirm that a node knows the newest version.
 
 package router
 
--- a/internal/router/messages.go
+++ b/internal/router/messages.go
@@ -1,7 +1,7 @@
-// RPC messages between nodes: orders for the holder of a worker's key, heartbeats, and requests
-// for retry tokens. Their MessagePack encodings are part of the protocol between releases: a
-// renamed field keeps its encoded name through a msg tag, and a new field is omitted while it is
-// empty. TestEncodings checks the encodings.
+// This file defines the RPC messages between nodes: orders for the holder of a worker's key,
+// heartbeats, and requests for retry tokens. Their MessagePack encodings are part of the protocol
+// between releases: a renamed field keeps its encoded name through a msg tag, and a new field is
+// omitted while it is empty. TestEncodings checks the encodings.
 
 package router
 
--- a/internal/router/operator.go
+++ b/internal/router/operator.go
@@ -221,7 +221,7 @@
 	ListedWorkers map[ids.WorkerID]ids.Zone `json:"listed"`
 	Evacuated     []string                  `json:"evacuated"`
 	Drained       []string                  `json:"drained"`
-	Records       [2]int                    `json:"deeds"` // idempotency keys claimed so far, and the most that may ever be
+	Records       [2]int                    `json:"deeds"` // idempotency keys claimed so far, and the maximum
 	FleetTime     certification.Now         `json:"time"`  // bounds of the fleet time; zeros without regimes
 	Revoked       []string                  `json:"revoked,omitempty"`
 }
--- a/internal/router/regime_test.go
+++ b/internal/router/regime_test.go
@@ -1,4 +1,4 @@
-// Role changes of workers that regimes need.
+// Tests of role changes of workers that certification regimes need.
 
 package router
 
--- a/internal/router/role_balance_test.go
+++ b/internal/router/role_balance_test.go
@@ -1,4 +1,4 @@
-// Decisions to change a worker's role.
+// Tests of the decisions to change a worker's role.
 
 package router
 
--- a/internal/router/wire_test.go
+++ b/internal/router/wire_test.go
@@ -1,4 +1,4 @@
-// Compatibility of encodings and method names between releases.
+// Tests that encodings and method names are compatible between releases.
 
 package router
 
--- a/internal/router/worker_duty.go
+++ b/internal/router/worker_duty.go
@@ -171,8 +171,7 @@
 	if !ok {
 		return nil, failure.New(failure.DataLost, "find worker", string(request.Worker), "the platform does not list it")
 	}
-	// NoteVersion reports whether no version newer than the one in force here is known.
-	upToDate := n.view.NoteVersion(request.Version)
+	upToDate := n.view.NoteVersion(request.Version) // no version newer than the one in force here is known
 	header := workerclient.OrderHeader{Fence: fence, Version: n.view.Current().Version}
 	identity, err := decodeIdentity(request)
 	if err != nil {
--- a/internal/routing/program_set.go
+++ b/internal/routing/program_set.go
@@ -17,7 +17,7 @@
 )
 
 // Score holds the counters and the latest times to first token of a program. Its counters are atomic
-// because they are updated on the request path. Picks counts the runs of the program, also as a
+// because they are updated on the request path. Runs counts the runs of the program, also as a
 // shadow; Fallbacks the runs that failed, so that the built-in order was used; Agreed the runs as a
 // shadow whose first choice, or role change, was the one that was used.
 type Score struct {
