--- a/internal/router/operator.go
+++ b/internal/router/operator.go
@@ -59,8 +59,7 @@
 			s = n.view.Current()
 		}
 		if uint64(s.Version) != a.Base {
-			// The version has changed since the base, perhaps by an earlier attempt of this
-			// operation.
+			// The version has changed since the base, perhaps by an earlier attempt of this operation.
 			callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 			defer stop()
 			r, err := n.agent.Submit(callContext, ids.OpID(configurationOps+a.Op), fleetstate.QueryKind, nil)
--- a/internal/routing/program_set.go
+++ b/internal/routing/program_set.go
@@ -101,10 +101,10 @@
 }
 
 // NewProgramSet compiles all sources. An error in one of them rejects the whole set.
-func NewProgramSet(list []Source, maxSteps uint64, scores *Scores) (*ProgramSet, error) {
+func NewProgramSet(list []Source, stepLimit uint64, scores *Scores) (*ProgramSet, error) {
 	set := &ProgramSet{scores: scores}
 	for _, s := range list {
-		p, err := Compile(s.Name, s.Text, maxSteps)
+		p, err := Compile(s.Name, s.Text, stepLimit)
 		if err == nil && s.ChangesRoles && !p.ProposesRoleChanges() {
 			err = failure.New(
 				failure.InvalidArgument,
--- a/internal/routing/starlark.go
+++ b/internal/routing/starlark.go
@@ -27,15 +27,15 @@
 var dialect = &syntax.FileOptions{}
 
 // Compile compiles a program. Its errors name the file, the line and the reason.
-func Compile(name, source string, maxSteps uint64) (Program, error) {
+func Compile(name, source string, stepLimit uint64) (Program, error) {
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
-	thread.SetMaxExecutionSteps(maxSteps)
+	thread.SetMaxExecutionSteps(stepLimit)
 	globals, err := starlark.ExecFileOptions(dialect, thread, name+".star", source, nil)
 	if err != nil {
 		return nil, programError(err, "compile program", name)
 	}
 	globals.Freeze()
-	s := &starlarkProgram{name: name, maxSteps: maxSteps}
+	s := &starlarkProgram{name: name, maxSteps: stepLimit}
 	for _, function := range []struct {
 		signature string
 		params    int
