--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -1,7 +1,7 @@
-// The controller takes one request through the steps of a hand-over: granted, prefilled,
-// exported, imported, resumed, ended, or dropped at any of them. Memory for the whole answer
-// is reserved before anything runs. Resume, ordered once the KV cache has arrived completely,
-// is the point of no return; no token is sent to the client before it.
+// The controller takes one request through the steps of a hand-over: granted, prefilled, exported,
+// imported, resumed, ended, or dropped at any of them. Memory for the whole answer is reserved
+// before anything runs. Resume waits for the complete KV cache and is the point of no return,
+// after which the decode worker may generate. No token is sent to the client before it.
 
 package handoff
 
@@ -16,26 +16,27 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// Transport picks workers and sends them the orders of the controller. Every order goes
-// through the one node that holds the duty for the worker.
+// Transport picks workers and sends them the orders of the controller. Every order goes through
+// the one node that currently has the exclusive right to send orders to the worker.
 type Transport interface {
-	Pick(q *routing.PickRequest, on workerclient.Model, excluded map[ids.WorkerID]bool) []PickedWorker
+	// Pick returns the avoided workers only if no others are eligible.
+	Pick(q *routing.PickRequest, on workerclient.Model, avoided map[ids.WorkerID]bool) []PickedWorker
 	Reserve(ctx context.Context, w ids.WorkerID, id workerclient.ID, blocks int) error
 	Prefill(ctx context.Context, w ids.WorkerID, m workerclient.Identity) (*workerclient.OrderResponse, error)
 	Export(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
 	Import(ctx context.Context, w ids.WorkerID, m workerclient.Identity, source ids.WorkerID) (*workerclient.OrderResponse, error)
 	Resume(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
 	Cancel(ctx context.Context, w ids.WorkerID, id workerclient.ID) (*workerclient.OrderResponse, error)
-	// Release frees the reservation of an attempt. confirmed tells that the worker itself
-	// said that it holds no memory for the attempt any more.
+	// Release frees the reservation of an attempt. The parameter confirmed says that the worker
+	// itself reported that it holds no more memory for the attempt.
 	Release(w ids.WorkerID, id workerclient.ID, confirmed bool)
 	Stream(ctx context.Context, w ids.WorkerID, id workerclient.ID, from int, put func(workerclient.TokenEvent) error) error
 	// SpendRetry reports whether the retry budget granted a recompute within the wait.
 	SpendRetry(ctx context.Context, wait time.Duration) bool
 	ReportFault(w ids.WorkerID)
-	// PickedUnderStaleVersion reports whether the last pick was made under a configuration
-	// version that may no longer be in force.
-	PickedUnderStaleVersion() bool
+	// PickMayBeOutdated reports whether the last pick was made under a configuration version that
+	// may no longer be in force.
+	PickMayBeOutdated() bool
 }
 
 // PickedWorker is an eligible worker, with its model and memory block size.
@@ -50,10 +51,10 @@
 type Step string
 
 const (
-	Granted   Step = "granted"   // a prefill worker has been chosen
+	Granted   Step = "granted"   // workers have been picked, and a prefill is ordered next
 	Prefilled Step = "prefilled" // the prefill worker has computed the KV cache
 	Exported  Step = "exported"  // the prefill worker holds the KV cache ready for transfer
-	Imported  Step = "imported"  // the decode worker has reserved memory for the KV cache
+	Imported  Step = "imported"  // the decode worker has allocated memory for the KV cache and begun to fetch it
 	Resumed   Step = "resumed"   // the decode worker has the whole KV cache and generates
 	Ended     Step = "ended"     // the token stream is complete
 	Dropped   Step = "dropped"   // the attempt was abandoned
@@ -74,14 +75,14 @@
 	Identity     workerclient.Identity
 	Kind         string
 	Zone         ids.Zone
-	Claimed      bool // the task may run at most once
+	AtMostOnce   bool // no new attempt is made if a decode worker may have run the task
 	Regime       string
 	MaxAttempts  int
 	RetryTimeout time.Duration // how long new attempts are made before the first token
-	// Claim is called once memory is reserved at both workers and before anything is sent to
-	// either, with the decode worker and its incarnation; an error then ends the task with
-	// nothing run. It is called again before a resume at another worker or incarnation than
-	// it was last given, so that it is recorded where a run may have begun.
+	// Claim is called with the decode worker and its incarnation once memory is reserved at both
+	// workers and before anything is sent to either; an error then ends the task with nothing run.
+	// It is called again before a resume at another worker or incarnation, so that every place
+	// where the task may run is recorded.
 	Claim func(w ids.WorkerID, incarnation ids.Incarnation) error
 }
 
@@ -129,24 +130,24 @@
 	f.Trace(e)
 }
 
-// Run serves a task to its end. It returns nil if the answer is complete and every token was
-// put. Of the kinds of errors, NotExecuted means that nothing was put and nothing runs;
-// DataLost, that some tokens were put and the rest will not follow; OutcomeUnknown, that a
-// claimed task may have run.
+// Run serves a task to its end. It returns nil if the answer is complete and every token was put.
+// Of the kinds of errors, NotExecuted means that nothing was put and nothing runs; DataLost, that
+// some tokens were put and the rest will not follow; OutcomeUnknown, that a task with AtMostOnce
+// may have run; InvalidArgument, that the task or its claim was refused and a retry is no use.
 func (c *Controller) Run(ctx context.Context, t *Task, put PutToken) error {
 	f := &handoffTask{Controller: c, task: t, put: put}
 	start := c.Clock.Now()
-	excluded := map[ids.WorkerID]bool{}
+	avoided := map[ids.WorkerID]bool{}
 	attempts, waitingSince := 0, ids.Tick(0)
 	for n := 1; ; n++ {
 		f.attemptID = workerclient.ID{Request: t.Identity.ID.Request, Attempt: n}
 		f.prefillWorker, f.decodeWorker, f.incarnation, f.resumeOrdered = "", "", "", false
-		err := f.attempt(ctx, excluded)
-		// If the workers were picked under a version that is no longer in force, they are
-		// picked again once this node has the newer one.
+		err := f.attempt(ctx, avoided)
+		// If the workers were picked under a version that is no longer in force, they are picked
+		// again once this node has the newer one.
 		for failure.Is(err, failure.Stale) && f.prefillWorker == "" && !c.Clock.Now().Past(start, t.RetryTimeout) &&
 			host.Sleep(ctx, 30*time.Millisecond) {
-			err = f.attempt(ctx, excluded)
+			err = f.attempt(ctx, avoided)
 		}
 		if err == nil {
 			f.trace(Ended, f.decodeWorker, nil)
@@ -158,7 +159,8 @@
 			return finalErr
 		}
 		timedOut := len(f.sent) == 0 && c.Clock.Now().Past(start, t.RetryTimeout)
-		// Few workers are certified to take over a stream under a regime, so it waits for one.
+		// Few workers are certified to take over a stream under a regime. While the stream waits
+		// for one, at most for retryWait, its attempts are not counted.
 		switch attempts++; {
 		case t.Regime == "" || f.prefillWorker != "" || f.decodeWorker != "" || len(f.sent) == 0:
 			waitingSince = 0
@@ -184,16 +186,15 @@
 		for _, w := range []ids.WorkerID{f.prefillWorker, f.decodeWorker} {
 			if w != "" {
 				c.Transport.ReportFault(w)
-				excluded[w] = failure.Is(err, failure.DataLost) || failure.Is(err, failure.OutcomeUnknown)
+				avoided[w] = failure.Is(err, failure.DataLost) || failure.Is(err, failure.OutcomeUnknown)
 			}
 		}
 	}
 }
 
-// retryWait returns how long a task waits for the retry budget or, under a regime, for an
-// eligible worker. Pausing a stream that has begun is better than breaking it, so it waits
-// long enough for a budget that moves from one holder to another. Before the first token it
-// is better to fail fast.
+// retryWait returns how long a task waits for the retry budget or, under a regime, for an eligible
+// worker. Pausing a stream that has begun is better than breaking it, so it waits long enough for
+// a budget that moves between holders. Before the first token it is better to fail fast.
 func (f *handoffTask) retryWait() time.Duration {
 	if len(f.sent) > 0 {
 		return 6 * time.Second
@@ -211,7 +212,7 @@
 }
 
 // attempt goes through all steps once.
-func (f *handoffTask) attempt(ctx context.Context, excluded map[ids.WorkerID]bool) error {
+func (f *handoffTask) attempt(ctx context.Context, avoided map[ids.WorkerID]bool) error {
 	t, transport := f.task, f.Transport
 	m := t.Identity
 	m.ID, m.Output = f.attemptID, append([]int32(nil), f.sent...)
@@ -226,7 +227,7 @@
 		Role:         ids.Decode,
 	}
 	totalTokens := len(m.Prompt) + m.Params.MaxTokens
-	decode, err := f.reserve(ctx, request, m.Model, totalTokens, excluded)
+	decode, err := f.reserve(ctx, request, m.Model, totalTokens, avoided)
 	if err != nil {
 		return err
 	}
@@ -235,7 +236,7 @@
 	ended := false // the worker itself reported the end of the run
 	defer func(w ids.WorkerID) { transport.Release(w, f.attemptID, ended) }(decode.ID)
 	request.Role = ids.Prefill
-	prefill, err := f.reserve(ctx, request, m.Model, len(m.Prompt)+len(m.Output)+1, excluded)
+	prefill, err := f.reserve(ctx, request, m.Model, len(m.Prompt)+len(m.Output)+1, avoided)
 	if err != nil {
 		return err
 	}
@@ -243,11 +244,11 @@
 	if !f.claimCalled && t.Claim != nil {
 		f.claimCalled, f.claimedTarget = true, decodeTarget{decode.ID, decode.Incarnation}
 		if err := t.Claim(decode.ID, decode.Incarnation); err != nil {
-			return failure.As(err, failure.InvalidArgument, "claim", m.ID.Request)
+			return failure.As(err, failure.InvalidArgument, "claim", m.ID.Request) // Run does not retry this kind
 		}
 	}
 	// The claim may have taken long enough for the version to change.
-	if transport.PickedUnderStaleVersion() {
+	if transport.PickMayBeOutdated() {
 		return failure.New(failure.Stale, "pick", m.ID.Request, "a newer version may be in force")
 	}
 	f.prefillWorker = prefill.ID
@@ -277,15 +278,15 @@
 		}
 		// The import was refused before any token was decoded: the next worker is tried.
 		f.decodeWorker = ""
-		excluded[decode.ID], refused[decode.ID] = true, true
+		avoided[decode.ID], refused[decode.ID] = true, true
 		transport.Release(decode.ID, f.attemptID, true)
 		request.Role = ids.Decode
 		refusal := err
-		if decode, err = f.reserve(ctx, request, m.Model, totalTokens, excluded); err != nil {
+		if decode, err = f.reserve(ctx, request, m.Model, totalTokens, avoided); err != nil {
 			return err
 		}
 		defer func(w ids.WorkerID) { transport.Release(w, f.attemptID, ended) }(decode.ID)
-		// If all workers are excluded they are picked nevertheless, but none twice in an attempt.
+		// Pick may return avoided workers again, but none is tried twice in an attempt.
 		if refused[decode.ID] {
 			return refusal
 		}
@@ -336,17 +337,17 @@
 	return true
 }
 
-// reserve reserves memory for a number of tokens on the first worker that has enough, in the
-// order of the routing program.
+// reserve reserves memory for a number of tokens on the first worker that has enough, in the order
+// of the routing program.
 func (f *handoffTask) reserve(
 	ctx context.Context,
 	request *routing.PickRequest,
 	model workerclient.Model,
 	tokens int,
-	excluded map[ids.WorkerID]bool,
+	avoided map[ids.WorkerID]bool,
 ) (PickedWorker, error) {
 	request.NeededTokens = tokens
-	workers := f.Transport.Pick(request, model, excluded)
+	workers := f.Transport.Pick(request, model, avoided)
 	err := failure.New(failure.NotExecuted, "pick "+string(request.Role), "", "no worker is eligible")
 	for _, c := range workers {
 		if err = f.Transport.Reserve(ctx, c.ID, f.attemptID, ids.Blocks(tokens, c.TokensPerBlock)); err == nil {
--- a/internal/proxy/routing_program_test.go
+++ b/internal/proxy/routing_program_test.go
@@ -76,10 +76,10 @@
 		require.Empty(t, checkRetryBudget(calls, results, 0.2, 40, retryBudgetWindow))
 		picks := map[string]int64{}
 		scores.Each(func(name string, score *routing.Score) {
-			picks[name] = score.Picks.Load()
+			picks[name] = score.Runs.Load()
 			switch name {
 			case "endless", "stranger":
-				require.Equal(t, score.Picks.Load(), score.Fallbacks.Load(), name)
+				require.Equal(t, score.Runs.Load(), score.Fallbacks.Load(), name)
 			default:
 				require.Zero(t, score.Fallbacks.Load(), name)
 			}
--- a/internal/router/operator.go
+++ b/internal/router/operator.go
@@ -1,4 +1,4 @@
-// Operator API of a node: configurations, evacuations, drains and status.
+// This file implements the operator API of a node: configurations, evacuations, drains and status.
 
 package router
 
@@ -22,8 +22,8 @@
 	"keelstair.example/internal/routing"
 )
 
-// Prefixes of operation ids. The core remembers ids by the class before the slash, so that many
-// operations of one class don't evict the remembered ids of another.
+// These are prefixes of operation ids. The core remembers ids by the class before the slash, so
+// that many operations of one class don't evict the remembered ids of another.
 const (
 	configurationOps = "op/"
 	evacuationOps    = "zone/"
@@ -107,9 +107,9 @@
 	return n.awaitApplied(ctx, r, true)
 }
 
-// staleError is the answer to a configuration whose base is not the newest version.
+// staleError returns the answer to a configuration whose base is not the newest version.
 func (n *Node) staleError(base uint64, s *fleetstate.Snapshot) error {
-	return api.Stale(base, uint64(max(s.NewestVersion, s.Version)))
+	return api.Stale(base, uint64(max(s.NewestReceivedVersion, s.Version)))
 }
 
 // operatorError returns the answer for a failed operation, which says whether it certainly had no
@@ -183,7 +183,7 @@
 	s := n.view.Current()
 	out := &api.Shown{
 		Version: uint64(s.Version),
-		Newest:  uint64(max(s.NewestVersion, s.Version)),
+		Newest:  uint64(max(s.NewestReceivedVersion, s.Version)),
 		Policy:  s.Text,
 		Zones:   []string{},
 		Drained: []string{},
@@ -220,7 +220,7 @@
 	ListedWorkers map[ids.WorkerID]ids.Zone `json:"listed"`
 	Evacuated     []string                  `json:"evacuated"`
 	Drained       []string                  `json:"drained"`
-	Records       [2]int                    `json:"deeds"` // idempotency keys claimed so far, and the most that may ever be
+	Records       [2]int                    `json:"deeds"` // idempotency keys claimed so far, and the maximum
 	FleetTime     certification.Now         `json:"time"`  // bounds of the fleet time; zeros without regimes
 	Revoked       []string                  `json:"revoked,omitempty"`
 }
@@ -259,7 +259,7 @@
 	st.Counts = n.countsByName()
 	n.scores.Each(func(name string, s *routing.Score) {
 		st.Programs[name] = map[string]any{
-			"picks":       s.Picks.Load(),
+			"picks":       s.Runs.Load(),
 			"fallbacks":   s.Fallbacks.Load(),
 			"agreed":      s.Agreed.Load(),
 			"turnsAsked":  s.RoleChangeCalls.Load(),
@@ -267,8 +267,8 @@
 			"done":        s.Completed.Load(),
 			"broken":      s.Aborted.Load(),
 			"bounced":     s.NotExecuted.Load(),
-			"firstP50Ms":  float64(s.Quantile(0.5)) / 1e6,
-			"firstP99Ms":  float64(s.Quantile(0.99)) / 1e6,
+			"firstP50Ms":  float64(s.FirstTokenQuantile(0.5)) / 1e6,
+			"firstP99Ms":  float64(s.FirstTokenQuantile(0.99)) / 1e6,
 		}
 	})
 	st.RecentEvents, _ = n.journal.Last(8)
