--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -144,7 +144,7 @@
 }
 
 // impliesNotRun reports whether a caller would take a status to mean that its request has not run. A
-// worker confirms that with the header Keelstair-Not-Executed, which the backend adapter turns into an
+// worker confirms that with a response header, which the backend adapter turns into an
 // error, so a Response with such a status lacks the confirmation.
 func impliesNotRun(status int) bool {
 	switch status {
