--- a/internal/proxy/fake_platform_test.go
+++ b/internal/proxy/fake_platform_test.go
@@ -40,13 +40,13 @@
 // callRecord is one recorded call.
 type callRecord struct {
 	At             time.Duration
-	Kind           string // read, emit, free, order, report
+	Kind           string // read (a prefill call), emit (a decode call), free, order or report
 	Node           string
 	Worker         ids.WorkerID
 	RequestID      string
 	LastEventID    string
 	Accepted       bool          // the worker didn't reject it
-	Executed       bool          // the decode began, or the prefill returned its memory
+	Executed       bool          // the decode began, or the node got the prefill's response
 	Direct         bool          // a decode without memory: the worker prefills the prompt itself
 	Cold           bool          // the worker was still warming up
 	UnavailableFor time.Duration // how long the node had known that the worker must get no new work
@@ -55,16 +55,16 @@
 	TargetRole     ids.Role
 	// What the worker was told about the caller.
 	Key, Tenant string
-	Urgency     int
+	Urgency     int // 0 is the most urgent
 }
 
-// memoryHandle is prefilled memory that a worker holds.
+// memoryHandle is the KV cache of a prefilled prompt that a worker holds.
 type memoryHandle struct {
 	worker    ids.WorkerID
 	requestID string
 	fetches   int
 	freed     bool
-	release   func() // returns the memory to the worker
+	release   func() // frees the tokens that it occupies in the worker's memory
 }
 
 // fakeWorker is a simulated worker.
@@ -99,10 +99,10 @@
 	workers            []*fakeWorker
 	calls              []callRecord
 	handles            map[string]*memoryHandle
-	partitionedNodes   map[string]bool                                       // by node address: it reaches no worker
-	frozenNodes        map[string]bool                                       // by node address
-	unavailableSince   map[string]map[ids.WorkerID]time.Time                 // by node address: when it learned that a worker must get no new work
-	knowsUnavailable   map[string]func(id ids.WorkerID) bool                 // by node address: whether it knows now that a worker must get no new work
+	partitionedNodes   map[string]bool                                       // by node address: whether the node can't reach any worker
+	frozenNodes        map[string]bool                                       // by node address: whether the node's process is paused
+	unavailableSince   map[string]map[ids.WorkerID]time.Time                 // by node address: when the node learned that a worker must get no new work
+	knowsUnavailable   map[string]func(id ids.WorkerID) bool                 // by node address: whether the node knows now that a worker must get no new work
 	outcome            func(call callRecord, worker *fakeWorker) callOutcome // nil: all calls succeed
 	listDelay          func() time.Duration                                  // duration of a list call
 	listFails          bool
@@ -158,7 +158,7 @@
 	f()
 }
 
-// worker returns the current worker of a name.
+// worker returns the current incarnation of the worker with the given name, or nil. The platform must be locked.
 func (p *fakePlatform) worker(name string) *fakeWorker {
 	for _, worker := range p.workers {
 		if worker.name == name {
@@ -215,7 +215,7 @@
 	}
 }
 
-// sleepContext sleeps and reports whether the context lasted as long.
+// sleepContext sleeps for d and reports whether it slept that long before the context ended.
 func sleepContext(ctx context.Context, d time.Duration) bool {
 	t := host.NewTimer(d)
 	defer t.Stop()
@@ -277,7 +277,8 @@
 	return 0
 }
 
-// recordCall records a call and returns its outcome. The platform must be locked.
+// recordCall records a call that reaches the worker. It returns the record, the outcome, and an error if the
+// connection is refused, which is not recorded, or the worker rejects the call. The platform must be locked.
 func (b *fakeBackend) recordCall(call callRecord, worker *fakeWorker, w Worker) (*callRecord, callOutcome, error) {
 	platform := b.platform
 	if duration, ok := platform.coldPeriods[worker.Zone]; ok && worker.warmAt.IsZero() {
@@ -313,7 +314,7 @@
 	return 2 * worker.Concurrency
 }
 
-// recordLoad saves the worker's load for delayed reports. The platform must be locked.
+// recordLoad saves the worker's load for reports with an old load. The platform must be locked.
 func (p *fakePlatform) recordLoad(worker *fakeWorker) {
 	for p.reportDelay > 0 && len(worker.loadHistory) > 1 && time.Since(worker.loadHistory[1].at) > p.reportDelay {
 		worker.loadHistory = worker.loadHistory[1:]
@@ -344,7 +345,7 @@
 		worker.waiting++
 		p.recordLoad(worker)
 	})
-	isMostUrgent := func() bool {
+	noneMoreUrgent := func() bool {
 		for u, n := range worker.waitingByUrgency {
 			if u < urgency && n > 0 {
 				return false
@@ -354,7 +355,7 @@
 	}
 	for {
 		p.mu.Lock()
-		if worker.running < worker.Concurrency && !worker.silent && !worker.terminated && (worker.memoryCapacity == 0 || worker.memoryUsed+tokens <= worker.memoryCapacity) && isMostUrgent() {
+		if worker.running < worker.Concurrency && !worker.silent && !worker.terminated && (worker.memoryCapacity == 0 || worker.memoryUsed+tokens <= worker.memoryCapacity) && noneMoreUrgent() {
 			worker.waitingByUrgency[urgency]--
 			worker.waiting, worker.running, worker.memoryUsed = worker.waiting-1, worker.running+1, worker.memoryUsed+tokens
 			p.recordLoad(worker)
@@ -377,7 +378,8 @@
 	return &Load{Running: worker.running, Waiting: worker.waiting, Concurrency: worker.Concurrency}
 }
 
-// outcomeWithoutReply reports whether an outcome has no response, and returns its error.
+// outcomeWithoutReply returns the error of an outcome in which the node gets no usable response, and whether it
+// is such an outcome. For a silent outcome it waits until ctx ends.
 func outcomeWithoutReply(ctx context.Context, outcome callOutcome, w Worker) (error, bool) {
 	switch outcome {
 	case resetAfterRun, resetBeforeRun:
@@ -423,7 +425,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err, ended := outcomeWithoutReply(ctx, outcome, w); ended {
+	if err, failed := outcomeWithoutReply(ctx, outcome, w); failed {
 		return nil, err
 	}
 	releaseSlot, releaseMemory, err := platform.acquireSlot(ctx, worker, r.Prompt, urgency)
@@ -440,9 +442,9 @@
 	}
 	platform.mu.Lock()
 	platform.lastHandle++
-	name := fmt.Sprint("kv-", platform.lastHandle)
+	handle := fmt.Sprint("kv-", platform.lastHandle)
 	if !worker.terminated {
-		platform.handles[name] = &memoryHandle{worker: worker.ID, requestID: r.ID, release: releaseMemory}
+		platform.handles[handle] = &memoryHandle{worker: worker.ID, requestID: r.ID, release: releaseMemory}
 	}
 	afterPrefill := platform.afterPrefill
 	platform.mu.Unlock()
@@ -453,7 +455,7 @@
 		afterPrefill(r)
 	}
 	platform.withLock(func() { platform.calls[index].Executed = true })
-	return &PrefillResult{Handle: name, Tokens: r.Prompt, Load: platform.currentLoad(worker)}, nil
+	return &PrefillResult{Handle: handle, Tokens: r.Prompt, Load: platform.currentLoad(worker)}, nil
 }
 
 // fetchMemory fetches the memory of a source and reports whether it was available; a handle can be fetched
@@ -499,7 +501,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err, ended := outcomeWithoutReply(ctx, outcome, w); ended {
+	if err, failed := outcomeWithoutReply(ctx, outcome, w); failed {
 		return nil, err
 	}
 	releaseSlot, releaseMemory, err := platform.acquireSlot(ctx, worker, r.Prompt+r.MaxTokens, urgency)
@@ -599,7 +601,7 @@
 
 func (b *responseBody) Close() error { b.release(); return nil }
 
-func (b *fakeBackend) Free(ctx context.Context, w Worker, name string) error {
+func (b *fakeBackend) Free(ctx context.Context, w Worker, handleID string) error {
 	worker, err := b.connect(ctx, w)
 	if err != nil {
 		return err
@@ -607,7 +609,7 @@
 	b.platform.mu.Lock()
 	defer b.platform.mu.Unlock()
 	b.platform.calls = append(b.platform.calls, callRecord{At: b.platform.elapsed(), Kind: "free", Node: b.nodeIP, Worker: worker.ID})
-	if handle := b.platform.handles[name]; handle != nil && handle.worker == worker.ID {
+	if handle := b.platform.handles[handleID]; handle != nil && handle.worker == worker.ID {
 		handle.freed = true
 		go handle.release()
 	}
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -19,16 +19,16 @@
 	"keelstair.example/ids"
 )
 
-// ejectionSample is the number of workers of a group that a node has ejected at a time.
+// ejectionSample is how many workers of a group a node keeps ejected or on probation at one moment.
 type ejectionSample struct {
 	at             time.Duration
 	node           string
 	group          workerGroup
-	ejected, total int
+	ejected, total int // ejected includes workers on probation
 }
 
-// ejectionScenario is a load on workers of which some are unhealthy, and its results. Times in the results
-// count from the start of the load.
+// ejectionScenario describes a load test in which some workers are unhealthy, and holds its results. Times in
+// the results count from the start of the load.
 type ejectionScenario struct {
 	seed           uint64
 	nodes          int
@@ -105,7 +105,7 @@
 	return s
 }
 
-// sampleEjections adds a sample for each node and group with ejected workers.
+// sampleEjections adds a sample for each node and group with workers that are ejected or on probation.
 func (s *ejectionScenario) sampleEjections(f *fleet, now time.Duration) {
 	for _, node := range f.runningNodes() {
 		samples := map[workerGroup]*ejectionSample{}
@@ -232,7 +232,7 @@
 			rate:           80,
 			duration:       30 * time.Second,
 			outcome:        outcomeOf,
-			adjustOptions:  func(o *Options) { o.BaseEjection = -1 },
+			adjustOptions:  func(o *Options) { o.BaseEjection = -1 }, // no ejection
 		}).run(t)
 		answeredWithout, total := withoutEjection.countAnswered(5*time.Second, 13*time.Second)
 		answeredWith, _ := withEjection.countAnswered(5*time.Second, 13*time.Second)
@@ -328,7 +328,7 @@
 						},
 						adjustOptions: func(o *Options) {
 							if !ejection {
-								o.BaseEjection = -1
+								o.BaseEjection = -1 // no ejection
 							}
 						},
 					}).run(t)
@@ -350,7 +350,8 @@
 }
 
 // TestFlappingWorkerEjectedLonger: a worker stops responding and recovers repeatedly. From the second time on it
-// is ejected for longer than it is down; a worker that was down once returns at once.
+// is ejected for longer than it is down; a worker that was down only one time is used again
+// immediately.
 func TestFlappingWorkerEjectedLonger(t *testing.T) {
 	forEachSeed(t, 3, func(t *testing.T, seed uint64) {
 		run := func(adjustOptions func(*Options)) *ejectionScenario {
@@ -376,7 +377,7 @@
 			}).run(t)
 		}
 		flapping, silentOnce := map[ids.WorkerID]bool{"svc-decode-1.1": true}, map[ids.WorkerID]bool{"svc-decode-3.1": true}
-		withEjection, withoutEjection := run(nil), run(func(o *Options) { o.BaseEjection = -1 })
+		withEjection, withoutEjection := run(nil), run(func(o *Options) { o.BaseEjection = -1 }) // no ejection
 		withEjection.checkInvariants(t)
 		from, to := 6*time.Second, 14*time.Second
 		answeredWith, total := withEjection.countAnswered(from, to)
@@ -396,10 +397,10 @@
 }
 
 // TestUniformFailuresEjectNoWorker: if all workers fail at the same rate, none is an outlier and none is ejected,
-// except by chance. If many fail, the ejection limit holds. Ejection causes no rejections: no fewer requests
-// are rejected without it.
+// except by chance. If many fail, the ejection limit holds. With ejection, no more requests are rejected than
+// without it, except by chance.
 func TestUniformFailuresEjectNoWorker(t *testing.T) {
-	for name, failing := range map[string]int{"all": 6, "four": 4} {
+	for name, failingPerRole := range map[string]int{"all": 6, "four": 4} {
 		t.Run(name, func(t *testing.T) {
 			forEachSeed(t, 3, func(t *testing.T, seed uint64) {
 				fails := failsAtRandom(seed, 0.45)
@@ -412,14 +413,15 @@
 						duration:       12 * time.Second,
 						adjustOptions:  adjustOptions,
 						outcome: func(call callRecord) callOutcome {
-							if int(call.Worker[len(call.Worker)-3]-'0') < failing && call.At > 2*time.Second && fails(call) {
+							// The third character from the end is the worker's index, as in svc-decode-2.1.
+							if int(call.Worker[len(call.Worker)-3]-'0') < failingPerRole && call.At > 2*time.Second && fails(call) {
 								return resetAfterRun
 							}
 							return succeeds
 						},
 					}).run(t)
 				}
-				withEjection, withoutEjection := run(nil), run(func(o *Options) { o.BaseEjection = -1 })
+				withEjection, withoutEjection := run(nil), run(func(o *Options) { o.BaseEjection = -1 }) // no ejection
 				withEjection.checkInvariants(t)
 				countRejected := func(scenario *ejectionScenario) (rejected int) {
 					for _, result := range scenario.results {
@@ -430,12 +432,12 @@
 					return rejected
 				}
 				t.Logf("%s: ejections %d, rejected %d, without ejection %d", name, withEjection.ejections, countRejected(withEjection), countRejected(withoutEjection))
-				if failing < 6 {
+				if failingPerRole < 6 {
 					require.Less(t, countRejected(withEjection), countRejected(withoutEjection))
 				} else { // equal except for chance
 					require.LessOrEqual(t, countRejected(withEjection), countRejected(withoutEjection)*6/5)
 					require.LessOrEqual(
-						t, withEjection.ejections, int64(6), "in 10 s at three nodes, by chance when the failures begin",
+						t, withEjection.ejections, int64(6), "three nodes eject at most 6 workers in 10 s, by chance when the failures begin",
 					)
 				}
 			})
@@ -489,12 +491,12 @@
 						return succeeds
 					},
 					disrupt: func(f *fleet, platform *fakePlatform) {
-						lost := failure.New(failure.Unavailable, "report", "", "no response")
+						noResponse := failure.New(failure.Unavailable, "report", "", "no response")
 						time.Sleep(3 * time.Second)
 						platform.withLock(func() {
 							platform.reportError = func(node string, worker *fakeWorker) error {
 								if worker.name == "svc-decode-1" && isAffected(node) {
-									return lost
+									return noResponse
 								}
 								return nil
 							}
@@ -559,7 +561,8 @@
 }
 
 // TestPeerOutcomeWeightsAreCapped: the weight of a peer's outcomes of one worker is limited, and outcomes that
-// blame more workers of a group than may be ejected are ignored.
+// blame more workers of a group than may be ejected are ignored. The numbers of an Outcomes are the attempts,
+// the failed attempts and the nodes that saw failures.
 func TestPeerOutcomeWeightsAreCapped(t *testing.T) {
 	n := &Node{options: Options{MaxEjectedShare: 0.34, PeerWeight: 4}}
 	var list []Worker
@@ -581,7 +584,7 @@
 // TestOutcomesNotBlamedOnWorker: a disconnected caller, a passed deadline, a rejection, lost memory and a failed
 // connection don't count as failures of the worker.
 func TestOutcomesNotBlamedOnWorker(t *testing.T) {
-	for _, cause := range []string{"caller", "deadline", "full", "lost", "unreached"} {
+	for _, cause := range []string{"caller disconnected", "deadline passed", "rejected", "memory lost", "connection refused"} {
 		t.Run(cause, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
@@ -593,20 +596,20 @@
 							return succeeds
 						}
 						return map[string]callOutcome{
-							"caller":    succeeds,
-							"deadline":  silentBeforeRun,
-							"full":      notExecuted,
-							"lost":      memoryLost,
-							"unreached": connectionRefused,
+							"caller disconnected": succeeds,
+							"deadline passed":     silentBeforeRun,
+							"rejected":            notExecuted,
+							"memory lost":         memoryLost,
+							"connection refused":  connectionRefused,
 						}[cause]
 					}
 				})
 				for i := range 20 {
 					r := f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 6)
-					if cause == "deadline" {
+					if cause == "deadline passed" {
 						r.Timeout = 200 * time.Millisecond
 					}
-					f.sendWith(t.Context(), f.nodes[0], r, &responseRecorder{callerGone: cause == "caller"})
+					f.sendWith(t.Context(), f.nodes[0], r, &responseRecorder{callerGone: cause == "caller disconnected"})
 				}
 				n := f.nodes[0]
 				n.states.Range(func(k, v any) bool {
@@ -655,7 +658,7 @@
 			return scenario
 		}
 		from, to := 4*time.Second, 9500*time.Millisecond
-		pooled, unpooled := run(nil), run(func(o *Options) { o.PeerWeight = -1 })
+		pooled, unpooled := run(nil), run(func(o *Options) { o.PeerWeight = -1 }) // no outcomes of peers
 		scenarios := map[string]*ejectionScenario{"pooled": pooled, "unpooled": unpooled}
 		if large {
 			scenarios["no ejection"] = run(func(o *Options) { o.BaseEjection = -1 })
@@ -711,11 +714,11 @@
 	})
 }
 
-// TestShortOutageRestoresShareAtOnce: workers that are disconnected once for a short time, with all their running
-// requests, get their share again at once, because the outage explains the failures.
+// TestShortOutageRestoresShareAtOnce: workers that are disconnected once for a short time, and lose all their
+// running requests, get their share again immediately, because the outage explains the failures.
 func TestShortOutageRestoresShareAtOnce(t *testing.T) {
 	forEachSeed(t, 3, func(t *testing.T, seed uint64) {
-		cut := map[ids.WorkerID]bool{"svc-decode-0.1": true, "svc-decode-3.1": true}
+		disconnected := map[ids.WorkerID]bool{"svc-decode-0.1": true, "svc-decode-3.1": true}
 		scenario := (&ejectionScenario{
 			seed:           seed,
 			nodes:          16,
@@ -726,7 +729,7 @@
 				setSilent := func(on bool) {
 					platform.withLock(func() {
 						for _, worker := range platform.workers {
-							if cut[worker.ID] {
+							if disconnected[worker.ID] {
 								worker.silent = on
 							}
 						}
@@ -738,27 +741,27 @@
 				setSilent(false)
 			},
 			outcome: func(call callRecord) callOutcome {
-				if cut[call.Worker] && call.At > 3*time.Second && call.At < 4500*time.Millisecond {
-					return resetAfterRun // nodes notice it at once
+				if disconnected[call.Worker] && call.At > 3*time.Second && call.At < 4500*time.Millisecond {
+					return resetAfterRun // nodes notice it immediately
 				}
 				return succeeds
 			},
 		}).run(t)
 		scenario.checkInvariants(t)
-		shareBefore, shareAfter := callShare(scenario.calls, cut, 0, 3*time.Second), callShare(scenario.calls, cut, 5500*time.Millisecond, 9*time.Second)
+		shareBefore, shareAfter := callShare(scenario.calls, disconnected, 0, 3*time.Second), callShare(scenario.calls, disconnected, 5500*time.Millisecond, 9*time.Second)
 		t.Logf("ejections %d, share %.3f, before %.3f", scenario.ejections, shareAfter, shareBefore)
 		require.Greater(t, shareAfter, 0.6*shareBefore)
 	})
 }
 
 // TestOutageClearsRecentFailures: failures just before a worker is found to be down no longer count, and an
-// ejection for them ends in probation; an earlier ejection stays.
+// ejection because of them ends immediately and probation begins. An ejection that began earlier isn't shortened.
 func TestOutageClearsRecentFailures(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f := startFleet(t, 9, 1, newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...), defaultConfiguration(), nil)
 		defer f.close()
 		n := f.nodes[0]
-		for _, previous := range []bool{false, true} {
+		for _, ejectedEarlier := range []bool{false, true} {
 			st, now := &workerState{}, n.now()
 			st.outlier = outlierState{
 				local:          decayingCount{8, 7, now},
@@ -766,12 +769,12 @@
 				phaseStartedAt: now,
 				ejectedUntil:   now.Add(8 * time.Second),
 			}
-			if previous {
+			if ejectedEarlier {
 				st.outlier.phaseStartedAt = now.Add(-3 * time.Second)
 			}
 			n.recordOutage(st)
 			require.Zero(t, st.outlier.local.failed)
-			require.Equal(t, previous, now.Before(st.outlier.ejectedUntil))
+			require.Equal(t, ejectedEarlier, now.Before(st.outlier.ejectedUntil))
 			n.recordOutcome(&candidate{state: st, outcomeRecorded: new(atomic.Bool)}, false)
 			require.Zero(t, st.outlier.local.failed, "while the worker is known to be down")
 			n.recordRecovery(st)
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -1,5 +1,5 @@
-// The retry budget and slow start: limits for the whole fleet that the nodes keep without exchanging
-// messages.
+// Tests of the retry budget and slow start: limits that all nodes together comply with, although they exchange
+// no messages about them.
 
 package proxy
 
@@ -19,7 +19,8 @@
 const retryBudgetWindow = 10 * time.Second
 
 // TestRetryBudget: however many calls fail, the extra calls of all nodes together stay within ratio *
-// requests + allowance in every window, also without the core, and whether decodes, prefills or both fail.
+// requests + allowance in every window, also while the coordination service is down,
+// and whether decodes, prefills or both fail.
 func TestRetryBudget(t *testing.T) {
 	for _, kind := range []string{"emit", "read", "any"} {
 		for _, coreOff := range []bool{false, true} {
@@ -54,11 +55,11 @@
 	}
 }
 
-// TestRetryBudgetAfterBurst: a burst of requests doesn't pay for retries that come after the burst has left
-// the window, wherever the window's slices begin.
+// TestRetryBudgetAfterBurst: a burst of requests earns no budget for retries that come after the burst has
+// left the window, whatever the alignment of the window's buckets.
 func TestRetryBudgetAfterBurst(t *testing.T) {
-	for phase := range 2 {
-		t.Run(fmt.Sprint(phase), func(t *testing.T) {
+	for bucketOffset := range 2 {
+		t.Run(fmt.Sprint(bucketOffset), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
 				for _, worker := range platform.workers {
@@ -68,7 +69,7 @@
 				routes[3].DeadlineMs = 30000
 				f := startFleet(t, 22, 2, platform, encodeConfiguration(routes, fleetstate.Service{Name: "svc"}), nil)
 				defer f.close()
-				time.Sleep(12*time.Second + time.Duration(phase)*250*time.Millisecond)
+				time.Sleep(12*time.Second + time.Duration(bucketOffset)*250*time.Millisecond)
 				var wg sync.WaitGroup
 				var mu sync.Mutex
 				var results []*requestResult
@@ -92,7 +93,7 @@
 	}
 }
 
-// slowStartConfiguration has a service whose cold workers take four requests per second.
+// slowStartConfiguration returns a configuration with one service whose cold workers take four requests per second.
 func slowStartConfiguration() []byte {
 	return encodeConfiguration(defaultRoutes(), fleetstate.Service{Name: "svc", Concurrency: 16, SlowStartMs: 6000, SlowStartRate: 4})
 }
@@ -129,7 +130,7 @@
 	}
 }
 
-// TestSlowStartRateWithManyNodes: there are more nodes than requests that a cold worker can take. Only some
+// TestSlowStartRateWithManyNodes: there are more nodes than requests per second that a cold worker can take. Only some
 // of the nodes send requests to it, so that all together stay within its limit; the others use other
 // workers.
 func TestSlowStartRateWithManyNodes(t *testing.T) {
@@ -159,12 +160,13 @@
 	})
 }
 
-// TestRetryBudgetOfPartitionedNode: a node that is partitioned from the core no longer counts as a member
+// TestRetryBudgetOfPartitionedNode: a node that is partitioned from the coordination service no longer counts as a member
 // but continues to serve. The other nodes don't use its share of the allowance, also when the partition
-// lasts a while. After longer than they remember it, the partitioned node retries no more than its ratio.
+// lasts a while. Once the other nodes may have forgotten the partitioned
+// node, it retries no more than ratio * its requests, without an allowance.
 func TestRetryBudgetOfPartitionedNode(t *testing.T) {
-	for _, partitionedFor := range []time.Duration{0, 60 * time.Second, 5 * time.Minute} {
-		t.Run(partitionedFor.String(), func(t *testing.T) {
+	for _, partitionedBeforeLoad := range []time.Duration{0, 60 * time.Second, 5 * time.Minute} {
+		t.Run(partitionedBeforeLoad.String(), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				const allowance = 100
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
@@ -180,8 +182,8 @@
 				time.Sleep(time.Second)
 				f.world.Partition([]string{nodeIP(0)}, append([]string{nodeIP(1)}, coreIPs...), true)
 				require.True(t, f.waitUntil(10*time.Second, func() bool { return len(f.nodes[1].agent.Members()) == 1 }))
-				if partitionedFor > 0 { // a node checks the number of nodes only when it retries
-					f.generateLoad(2, partitionedFor, func(i int) *Request { return f.newRequest(fmt.Sprint("b", i), "/again/x", 400, 4) })
+				if partitionedBeforeLoad > 0 { // a node checks the number of nodes only when it retries
+					f.generateLoad(2, partitionedBeforeLoad, func(i int) *Request { return f.newRequest(fmt.Sprint("b", i), "/again/x", 400, 4) })
 				}
 				results := f.generateLoad(30, 9*time.Second, func(i int) *Request {
 					return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 4)
@@ -254,7 +256,7 @@
 	})
 }
 
-// failBackCold ends the evacuation of a zone whose workers all become cold at their first request.
+// failBackCold ends the evacuation of a zone whose workers are cold and begin to warm up at their first request.
 func (f *fleet) failBackCold(zone ids.Zone) {
 	f.platform.withLock(func() { f.platform.coldPeriods = map[ids.Zone]time.Duration{zone: 6 * time.Second} })
 	f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: zone, Evacuated: false})
@@ -271,8 +273,8 @@
 }
 
 // TestSlowStartAfterFailbackAndRestart: a zone is evacuated and failed back, and all nodes are killed and
-// start again at once, with or without a takeover at the core. The list doesn't show yet that the zone's
-// workers are cold, but they get no more requests than cold workers can take. Once the zone must be warm,
+// start again immediately, with or without a leader change of the coordination service. The list doesn't show yet that the zone's
+// workers are cold, but they get no more requests than cold workers can take. Once the zone's workers have certainly warmed up,
 // nodes that start no longer know of the failback.
 func TestSlowStartAfterFailbackAndRestart(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
@@ -314,6 +316,7 @@
 					require.Empty(t, node.snapshot().Failbacks)
 					require.Zero(
 						t,
+						// The worker list was received just now.
 						node.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{SlowStartMs: 6000}, node.now(), node.now()),
 					)
 				}
@@ -334,20 +337,21 @@
 		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: false})
 		from := time.Now()
 		time.Sleep(4 * time.Second)
-		remainingAfterStart := func(i int) time.Duration {
+		remainingColdTime := func(i int) time.Duration {
 			f.killNode(i)
 			node := f.startNode(i)
 			require.True(t, f.waitUntil(10*time.Second, f.allNodesReady))
-			node.snapshot()
+			node.snapshot() // records the failback that coldFor uses
 			return node.coldFor(&Worker{Zone: "b"}, &fleetstate.Service{SlowStartMs: 6000}, node.now(), node.now())
 		}
-		remaining := remainingAfterStart(0)
+		remaining := remainingColdTime(0)
+		// The 6 s count from the latest time at which the failback may have happened, 1 to 2 s after from.
 		require.GreaterOrEqual(t, remaining, time.Until(from.Add(7*time.Second)))
 		require.Less(t, remaining, time.Until(from.Add(8*time.Second)))
 	})
 }
 
-// TestSlowStartAfterMissedFailback: a machine is partitioned from all others while a zone is evacuated and
+// TestSlowStartAfterMissedFailback: a node is partitioned from all others while a zone is evacuated and
 // failed back, and then returns to a high load. From its first request on it sends the zone's workers no
 // more than cold workers can take.
 func TestSlowStartAfterMissedFailback(t *testing.T) {
