--- a/internal/proxy/fake_platform_test.go
+++ b/internal/proxy/fake_platform_test.go
@@ -55,7 +55,7 @@
 	TargetRole     ids.Role
 	// What the worker was told about the caller.
 	Key, Tenant string
-	Urgency     int // 0 is the most urgent
+	Urgency     int // a lower number is more urgent
 }
 
 // memoryHandle is the KV cache of a prefilled prompt that a worker holds.
@@ -277,9 +277,9 @@
 	return 0
 }
 
-// recordCall records a call that reaches the worker. It returns the record, the outcome, and an error if the
+// admitCall records a call that reaches the worker. It returns the record, the outcome, and an error if the
 // connection is refused, which is not recorded, or the worker rejects the call. The platform must be locked.
-func (b *fakeBackend) recordCall(call callRecord, worker *fakeWorker, w Worker) (*callRecord, callOutcome, error) {
+func (b *fakeBackend) admitCall(call callRecord, worker *fakeWorker, w Worker) (*callRecord, callOutcome, error) {
 	platform := b.platform
 	if duration, ok := platform.coldPeriods[worker.Zone]; ok && worker.warmAt.IsZero() {
 		worker.warmAt = time.Now().Add(duration)
@@ -378,9 +378,9 @@
 	return &Load{Running: worker.running, Waiting: worker.waiting, Concurrency: worker.Concurrency}
 }
 
-// outcomeWithoutReply returns the error of an outcome in which the node gets no usable response, and whether it
+// failureBeforeResponse returns the error of an outcome in which the node gets no usable response, and whether it
 // is such an outcome. For a silent outcome it waits until ctx ends.
-func outcomeWithoutReply(ctx context.Context, outcome callOutcome, w Worker) (error, bool) {
+func failureBeforeResponse(ctx context.Context, outcome callOutcome, w Worker) (error, bool) {
 	switch outcome {
 	case resetAfterRun, resetBeforeRun:
 		return outcomeUnknown(w, "reset"), true
@@ -393,8 +393,8 @@
 	return nil, false
 }
 
-// checkReplyPath returns an error if a response can't reach the node. It waits while the node is frozen.
-func (b *fakeBackend) checkReplyPath(ctx context.Context, worker *fakeWorker) error {
+// checkResponsePath returns an error if a response can't reach the node. It waits while the node is frozen.
+func (b *fakeBackend) checkResponsePath(ctx context.Context, worker *fakeWorker) error {
 	b.waitWhileFrozen()
 	b.platform.mu.Lock()
 	lost := b.platform.partitionedNodes[b.nodeIP] || worker.silent
@@ -419,13 +419,13 @@
 		return nil, err
 	}
 	platform.mu.Lock()
-	_, outcome, err := b.recordCall(callRecord{Kind: "read", RequestID: r.ID, UnavailableFor: unavailableFor, Key: r.Key, Tenant: r.Tenant, Urgency: urgency}, worker, w)
+	_, outcome, err := b.admitCall(callRecord{Kind: "read", RequestID: r.ID, UnavailableFor: unavailableFor, Key: r.Key, Tenant: r.Tenant, Urgency: urgency}, worker, w)
 	index := len(platform.calls) - 1
 	platform.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	if err, failed := outcomeWithoutReply(ctx, outcome, w); failed {
+	if err, failed := failureBeforeResponse(ctx, outcome, w); failed {
 		return nil, err
 	}
 	releaseSlot, releaseMemory, err := platform.acquireSlot(ctx, worker, r.Prompt, urgency)
@@ -448,7 +448,7 @@
 	}
 	afterPrefill := platform.afterPrefill
 	platform.mu.Unlock()
-	if err := b.checkReplyPath(ctx, worker); err != nil {
+	if err := b.checkResponsePath(ctx, worker); err != nil {
 		return nil, err
 	}
 	if afterPrefill != nil {
@@ -489,7 +489,7 @@
 		return nil, err
 	}
 	platform.mu.Lock()
-	record, outcome, err := b.recordCall(decodeRecord(r, lastEventID, source == nil && lastEventID == "", unavailableFor, urgency), worker, w)
+	record, outcome, err := b.admitCall(decodeRecord(r, lastEventID, source == nil && lastEventID == "", unavailableFor, urgency), worker, w)
 	if err == nil && source != nil && outcome != resetBeforeRun && outcome != silentBeforeRun && (outcome == memoryLost || !platform.fetchMemory(source)) {
 		record.Accepted = false
 		err = failure.New(failure.DataLost, "fetch memory", w.Addr, "memory not available")
@@ -501,7 +501,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err, failed := outcomeWithoutReply(ctx, outcome, w); failed {
+	if err, failed := failureBeforeResponse(ctx, outcome, w); failed {
 		return nil, err
 	}
 	releaseSlot, releaseMemory, err := platform.acquireSlot(ctx, worker, r.Prompt+r.MaxTokens, urgency)
@@ -513,7 +513,7 @@
 		release()
 		return nil, outcomeUnknown(w, "canceled")
 	}
-	if err := b.checkReplyPath(ctx, worker); err != nil {
+	if err := b.checkResponsePath(ctx, worker); err != nil {
 		release()
 		return nil, err
 	}
@@ -577,7 +577,7 @@
 			b.release()
 			return 0, b.ctx.Err()
 		}
-		if err := b.backend.checkReplyPath(b.ctx, b.worker); err != nil {
+		if err := b.backend.checkResponsePath(b.ctx, b.worker); err != nil {
 			b.release()
 			return 0, err
 		}
@@ -624,7 +624,7 @@
 	b.platform.withLock(func() {
 		b.platform.calls = append(b.platform.calls, callRecord{At: b.platform.elapsed(), Kind: "report", Node: b.nodeIP, Worker: worker.ID})
 	})
-	if err := b.checkReplyPath(ctx, worker); err != nil {
+	if err := b.checkResponsePath(ctx, worker); err != nil {
 		return nil, err
 	}
 	b.platform.mu.Lock()
@@ -668,7 +668,7 @@
 	worker.nextRole = order.To
 	platform.mu.Unlock()
 	time.AfterFunc(platform.roleChangeTime, func() { platform.withLock(func() { worker.Role, worker.nextRole = worker.nextRole, "" }) })
-	return b.checkReplyPath(ctx, worker)
+	return b.checkResponsePath(ctx, worker)
 }
 
 func (b *fakeBackend) List(ctx context.Context) ([]Worker, error) {
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -30,21 +30,21 @@
 // ejectionScenario describes a load test in which some workers are unhealthy, and holds its results. Times in
 // the results count from the start of the load.
 type ejectionScenario struct {
-	seed           uint64
-	nodes          int
-	workersPerRole int
-	rate           float64
-	duration       time.Duration
-	outcome        func(call callRecord) callOutcome // called while the platform is locked; nil: all calls succeed
-	adjustOptions  func(*Options)
-	disrupt        func(f *fleet, platform *fakePlatform)
-	route          string // path of the requests; empty: all of routePaths in turn
-	prompt         int
-	samples        []ejectionSample
-	calls          []callRecord
-	results        []*requestResult
-	ejections      int64
-	readmissions   int64
+	seed            uint64
+	nodes           int
+	workersPerRole  int
+	rate            float64
+	duration        time.Duration
+	injectedOutcome func(call callRecord) callOutcome // called while the platform is locked; nil: all calls succeed
+	adjustOptions   func(*Options)
+	disrupt         func(f *fleet, platform *fakePlatform)
+	route           string // path of the requests; empty: all of routePaths in turn
+	prompt          int
+	samples         []ejectionSample
+	calls           []callRecord
+	results         []*requestResult
+	ejections       int64
+	readmissions    int64
 }
 
 // run runs the scenario and returns it with its results.
@@ -61,10 +61,10 @@
 	platform.withLock(func() {
 		platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
 			call.At -= start
-			if s.outcome == nil {
+			if s.injectedOutcome == nil {
 				return succeeds
 			}
-			return s.outcome(call)
+			return s.injectedOutcome(call)
 		}
 	})
 	finished := make(chan bool)
@@ -223,16 +223,16 @@
 			}
 			return succeeds
 		}
-		withEjection := (&ejectionScenario{seed: seed, nodes: 4, workersPerRole: 6, rate: 80, duration: 30 * time.Second, outcome: outcomeOf}).run(t)
+		withEjection := (&ejectionScenario{seed: seed, nodes: 4, workersPerRole: 6, rate: 80, duration: 30 * time.Second, injectedOutcome: outcomeOf}).run(t)
 		withEjection.checkInvariants(t)
 		withoutEjection := (&ejectionScenario{
-			seed:           seed,
-			nodes:          4,
-			workersPerRole: 6,
-			rate:           80,
-			duration:       30 * time.Second,
-			outcome:        outcomeOf,
-			adjustOptions:  func(o *Options) { o.BaseEjection = -1 }, // no ejection
+			seed:            seed,
+			nodes:           4,
+			workersPerRole:  6,
+			rate:            80,
+			duration:        30 * time.Second,
+			injectedOutcome: outcomeOf,
+			adjustOptions:   func(o *Options) { o.BaseEjection = -1 }, // no ejection
 		}).run(t)
 		answeredWithout, total := withoutEjection.countAnswered(5*time.Second, 13*time.Second)
 		answeredWith, _ := withEjection.countAnswered(5*time.Second, 13*time.Second)
@@ -269,7 +269,7 @@
 			workersPerRole: 5,
 			rate:           100,
 			duration:       12 * time.Second,
-			outcome: func(call callRecord) callOutcome {
+			injectedOutcome: func(call callRecord) callOutcome {
 				if call.Worker == "svc-decode-1.1" && call.Node == nodeIP(1) && call.At > 3*time.Second && fails(call) {
 					return resetAfterRun
 				}
@@ -305,7 +305,7 @@
 						workersPerRole: 3,
 						rate:           60,
 						duration:       14 * time.Second,
-						outcome: func(call callRecord) callOutcome {
+						injectedOutcome: func(call callRecord) callOutcome {
 							// Every 30th response is missing, so that the node requests a report.
 							if call.Kind != "emit" {
 								return succeeds
@@ -412,7 +412,7 @@
 						rate:           40,
 						duration:       12 * time.Second,
 						adjustOptions:  adjustOptions,
-						outcome: func(call callRecord) callOutcome {
+						injectedOutcome: func(call callRecord) callOutcome {
 							// The third character from the end is the worker's index, as in svc-decode-2.1.
 							if int(call.Worker[len(call.Worker)-3]-'0') < failingPerRole && call.At > 2*time.Second && fails(call) {
 								return resetAfterRun
@@ -484,7 +484,7 @@
 					workersPerRole: 4,
 					rate:           60,
 					duration:       18 * time.Second,
-					outcome: func(call callRecord) callOutcome {
+					injectedOutcome: func(call callRecord) callOutcome {
 						if call.Worker == "svc-decode-1.1" && call.At > 3*time.Second && call.At < 8*time.Second && isAffected(call.Node) {
 							return silentBeforeRun
 						}
@@ -535,7 +535,7 @@
 			workersPerRole: 4,
 			rate:           60,
 			duration:       10 * time.Second,
-			outcome: func(call callRecord) callOutcome {
+			injectedOutcome: func(call callRecord) callOutcome {
 				if call.Node == nodeIP(0) && call.At > 2*time.Second {
 					return resetAfterRun
 				}
@@ -647,7 +647,7 @@
 				rate:           rate,
 				duration:       11 * time.Second,
 				adjustOptions:  adjustOptions,
-				outcome: func(call callRecord) callOutcome {
+				injectedOutcome: func(call callRecord) callOutcome {
 					if unhealthy[call.Worker] && call.At > 3*time.Second && call.At < 9500*time.Millisecond && fails(call) {
 						return resetAfterRun
 					}
@@ -692,7 +692,7 @@
 			workersPerRole: 4,
 			rate:           60,
 			duration:       40 * time.Second,
-			outcome: func(call callRecord) callOutcome {
+			injectedOutcome: func(call callRecord) callOutcome {
 				if unhealthy[call.Worker] && call.At > 2*time.Second && call.At < 30*time.Second {
 					return resetAfterRun
 				}
@@ -740,7 +740,7 @@
 				time.Sleep(1500 * time.Millisecond)
 				setSilent(false)
 			},
-			outcome: func(call callRecord) callOutcome {
+			injectedOutcome: func(call callRecord) callOutcome {
 				if disconnected[call.Worker] && call.At > 3*time.Second && call.At < 4500*time.Millisecond {
 					return resetAfterRun // nodes notice it immediately
 				}
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -66,7 +66,7 @@
 					worker.Concurrency = 200
 				}
 				routes := defaultRoutes()
-				routes[3].DeadlineMs = 30000
+				routes[3].DeadlineMs = 30000 // the route of /sresume/
 				f := startFleet(t, 22, 2, platform, encodeConfiguration(routes, fleetstate.Service{Name: "svc"}), nil)
 				defer f.close()
 				time.Sleep(12*time.Second + time.Duration(bucketOffset)*250*time.Millisecond)
@@ -256,8 +256,8 @@
 	})
 }
 
-// failBackCold ends the evacuation of a zone whose workers are cold and begin to warm up at their first request.
-func (f *fleet) failBackCold(zone ids.Zone) {
+// failBackWithColdWorkers ends the evacuation of a zone whose workers are cold and begin to warm up at their first request.
+func (f *fleet) failBackWithColdWorkers(zone ids.Zone) {
 	f.platform.withLock(func() { f.platform.coldPeriods = map[ids.Zone]time.Duration{zone: 6 * time.Second} })
 	f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: zone, Evacuated: false})
 }
@@ -285,7 +285,7 @@
 				defer f.close()
 				f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 				time.Sleep(3 * time.Second)
-				f.failBackCold("b")
+				f.failBackWithColdWorkers("b")
 				restartNodes := func() {
 					for i := range f.nodes {
 						f.killNode(i)
@@ -369,7 +369,7 @@
 		time.Sleep(time.Second)
 		f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: "b", Evacuated: true})
 		time.Sleep(5*time.Second + time.Duration(seed)*270*time.Millisecond)
-		f.failBackCold("b")
+		f.failBackWithColdWorkers("b")
 		time.Sleep(200 * time.Millisecond)
 		f.wg.Go(func() {
 			time.Sleep(700 * time.Millisecond)
