--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -60,7 +60,7 @@
 	if raceDetectorEnabled {
 		s.duration /= 3
 	}
-	platform.reportDelay, platform.queueLimit, platform.directTokensPerMs = 300*time.Millisecond, 40, 25
+	platform.reportedLoadAge, platform.queueLimit, platform.directTokensPerMs = 300*time.Millisecond, 40, 25
 	f := startFleet(t, seed, 4, platform, s.configuration(), func(o *Options) {
 		o.RoleCheckInterval, o.IdlePrefillShare, o.RetryAllowance, o.AdmitFactor, o.PrefillTokensPerMs = 500*time.Millisecond, -1, 60, s.admitFactor, float64(50*s.prefillConcurrency)
 	})
--- a/internal/proxy/checkers_test.go
+++ b/internal/proxy/checkers_test.go
@@ -179,10 +179,10 @@
 func checkUnavailableWorkers(calls []callRecord, tolerance time.Duration) []string {
 	var out []string
 	for _, call := range calls {
-		if (call.Kind == "read" || call.Kind == "emit") && call.UnavailableFor > tolerance {
+		if (call.Kind == "read" || call.Kind == "emit") && call.KnownUnavailableFor > tolerance {
 			out = append(
 				out,
-				fmt.Sprintf("at %s: %s sends a %s to %s, known to be unavailable for %s", call.At, call.Node, call.Kind, call.Worker, call.UnavailableFor),
+				fmt.Sprintf("at %s: %s sends a %s to %s, known to be unavailable for %s", call.At, call.Node, call.Kind, call.Worker, call.KnownUnavailableFor),
 			)
 		}
 	}
@@ -341,7 +341,7 @@
 	cold := callRecord{Kind: "read", Worker: "w", Cold: true}
 	require.Empty(t, checkSlowStartRate([]callRecord{cold, cold}, 2))
 	require.NotEmpty(t, checkSlowStartRate([]callRecord{cold, cold, cold}, 2))
-	unavailable := callRecord{Kind: "emit", Worker: "w", UnavailableFor: time.Second}
+	unavailable := callRecord{Kind: "emit", Worker: "w", KnownUnavailableFor: time.Second}
 	require.Empty(t, checkUnavailableWorkers([]callRecord{decode, unavailable}, 2*time.Second))
 	require.NotEmpty(t, checkUnavailableWorkers([]callRecord{decode, unavailable}, 100*time.Millisecond))
 	require.Empty(t, callsToWorker([]callRecord{second}, "w", 0, time.Second))
--- a/internal/proxy/fake_platform_test.go
+++ b/internal/proxy/fake_platform_test.go
@@ -39,20 +39,20 @@
 
 // callRecord is one recorded call.
 type callRecord struct {
-	At             time.Duration
-	Kind           string // read (a prefill call), emit (a decode call), free, order or report
-	Node           string
-	Worker         ids.WorkerID
-	RequestID      string
-	LastEventID    string
-	Accepted       bool          // the worker didn't reject it
-	Executed       bool          // the decode began, or the node got the prefill's response
-	Direct         bool          // a decode without memory: the worker prefills the prompt itself
-	Cold           bool          // the worker was still warming up
-	UnavailableFor time.Duration // how long the node had known that the worker must get no new work
-	Owner          ids.NodeID
-	Fence          ids.Fence
-	TargetRole     ids.Role
+	At                  time.Duration
+	Kind                string // read (a prefill call), emit (a decode call), free, order or report
+	Node                string
+	Worker              ids.WorkerID
+	RequestID           string
+	LastEventID         string
+	Accepted            bool          // the worker didn't reject it
+	Executed            bool          // the decode began, or the node got the prefill's response
+	Direct              bool          // a decode without memory: the worker prefills the prompt itself
+	Cold                bool          // the worker was still warming up
+	KnownUnavailableFor time.Duration // how long the node had known that the worker must get no new work
+	Owner               ids.NodeID
+	Fence               ids.Fence
+	TargetRole          ids.Role
 	// What the worker was told about the caller.
 	Key, Tenant string
 	Urgency     int // a lower number is more urgent
@@ -93,40 +93,40 @@
 
 // fakePlatform holds the workers, what goes wrong with them, and the calls that they received.
 type fakePlatform struct {
-	mu                 sync.Mutex
-	metering           bool // the fleet meters usage
-	start              time.Time
-	workers            []*fakeWorker
-	calls              []callRecord
-	handles            map[string]*memoryHandle
-	partitionedNodes   map[string]bool                                       // by node address: whether the node can't reach any worker
-	frozenNodes        map[string]bool                                       // by node address: whether the node's process is paused
-	unavailableSince   map[string]map[ids.WorkerID]time.Time                 // by node address: when the node learned that a worker must get no new work
-	knowsUnavailable   map[string]func(id ids.WorkerID) bool                 // by node address: whether the node knows now that a worker must get no new work
-	outcome            func(call callRecord, worker *fakeWorker) callOutcome // nil: all calls succeed
-	listDelay          func() time.Duration                                  // duration of a list call
-	listFails          bool
-	listCalls          []callRecord               // received list calls
-	coldPeriods        map[ids.Zone]time.Duration // by zone: how long a worker warms up after its first request
-	eventInterval      time.Duration              // time between events of a stream
-	roleChangeTime     time.Duration
-	lastHandle         int
-	afterPrefill       func(r *Request)
-	beforeRun          func(n *Node)                               // called before a node runs
-	extraRunning       func(worker *fakeWorker) int                // added to the running requests in a worker's reports
-	reportError        func(node string, worker *fakeWorker) error // an error that a node gets instead of a report
-	reportDelay        time.Duration                               // age of the load in reports
-	unreachable        map[string]time.Duration                    // by address: how long a dial takes until it fails
-	directTokensPerMs  int                                         // prefill speed of a decode worker
-	extraPrefillTime   map[string]time.Duration                    // by worker name: added to each prefill
-	slowEventIntervals map[string]time.Duration                    // by worker name: replaces eventInterval
-	queueLimit         int                                         // most requests that wait at a worker; 0 means twice its concurrency
+	mu                      sync.Mutex
+	metering                bool // the fleet meters usage
+	start                   time.Time
+	workers                 []*fakeWorker
+	calls                   []callRecord
+	handles                 map[string]*memoryHandle
+	partitionedNodes        map[string]bool                                       // by node address: whether the node can't reach any worker
+	frozenNodes             map[string]bool                                       // by node address: whether the node's process is paused
+	unavailabilityLearnedAt map[string]map[ids.WorkerID]time.Time                 // by node address: when the node learned that a worker must get no new work
+	knowsUnavailable        map[string]func(id ids.WorkerID) bool                 // by node address: whether the node knows now that a worker must get no new work
+	outcome                 func(call callRecord, worker *fakeWorker) callOutcome // nil: all calls succeed
+	listDelay               func() time.Duration                                  // duration of a list call
+	listFails               bool
+	listCalls               []callRecord               // received list calls
+	coldPeriods             map[ids.Zone]time.Duration // by zone: how long a worker warms up after its first request
+	eventInterval           time.Duration              // time between events of a stream
+	roleChangeTime          time.Duration
+	lastHandle              int
+	afterPrefill            func(r *Request)
+	beforeRun               func(n *Node)                               // called before a node runs
+	extraRunning            func(worker *fakeWorker) int                // added to the running requests in a worker's reports
+	reportError             func(node string, worker *fakeWorker) error // an error that a node gets instead of a report
+	reportedLoadAge         time.Duration                               // age of the load in reports
+	unreachable             map[string]time.Duration                    // by address: how long a dial takes until it fails
+	directTokensPerMs       int                                         // prefill speed of a decode worker
+	extraPrefillTime        map[string]time.Duration                    // by worker name: added to each prefill
+	slowEventIntervals      map[string]time.Duration                    // by worker name: replaces eventInterval
+	queueLimit              int                                         // most requests that wait at a worker; 0 means twice its concurrency
 }
 
 // newFakePlatform returns a platform whose workers respond to all calls.
 func newFakePlatform(workers ...*fakeWorker) *fakePlatform {
 	return &fakePlatform{start: time.Now(), workers: workers, handles: map[string]*memoryHandle{}, partitionedNodes: map[string]bool{}, frozenNodes: map[string]bool{},
-		unavailableSince: map[string]map[ids.WorkerID]time.Time{}, knowsUnavailable: map[string]func(ids.WorkerID) bool{}, directTokensPerMs: 50, eventInterval: 20 * time.Millisecond, roleChangeTime: time.Second}
+		unavailabilityLearnedAt: map[string]map[ids.WorkerID]time.Time{}, knowsUnavailable: map[string]func(ids.WorkerID) bool{}, directTokensPerMs: 50, eventInterval: 20 * time.Millisecond, roleChangeTime: time.Second}
 }
 
 // newFakeWorkers returns n workers of a role, alternating between two zones.
@@ -271,7 +271,7 @@
 	}
 	b.platform.mu.Lock()
 	defer b.platform.mu.Unlock()
-	if at, ok := b.platform.unavailableSince[b.nodeIP][w.ID]; ok {
+	if at, ok := b.platform.unavailabilityLearnedAt[b.nodeIP][w.ID]; ok {
 		return time.Since(at)
 	}
 	return 0
@@ -316,17 +316,17 @@
 
 // recordLoad saves the worker's load for reports with an old load. The platform must be locked.
 func (p *fakePlatform) recordLoad(worker *fakeWorker) {
-	for p.reportDelay > 0 && len(worker.loadHistory) > 1 && time.Since(worker.loadHistory[1].at) > p.reportDelay {
+	for p.reportedLoadAge > 0 && len(worker.loadHistory) > 1 && time.Since(worker.loadHistory[1].at) > p.reportedLoadAge {
 		worker.loadHistory = worker.loadHistory[1:]
 	}
 	worker.loadHistory = append(worker.loadHistory, loadSample{time.Now(), worker.running, worker.waiting, worker.memoryUsed})
 }
 
-// delayedLoad returns the worker's load reportDelay ago. The platform must be locked.
+// delayedLoad returns the worker's load reportedLoadAge ago. The platform must be locked.
 func (p *fakePlatform) delayedLoad(worker *fakeWorker) loadSample {
 	out := loadSample{running: worker.running, waiting: worker.waiting, memoryUsed: worker.memoryUsed}
-	for i := len(worker.loadHistory) - 1; p.reportDelay > 0 && i >= 0; i-- {
-		if out = worker.loadHistory[i]; time.Since(out.at) >= p.reportDelay {
+	for i := len(worker.loadHistory) - 1; p.reportedLoadAge > 0 && i >= 0; i-- {
+		if out = worker.loadHistory[i]; time.Since(out.at) >= p.reportedLoadAge {
 			break
 		}
 	}
@@ -419,7 +419,7 @@
 		return nil, err
 	}
 	platform.mu.Lock()
-	_, outcome, err := b.admitCall(callRecord{Kind: "read", RequestID: r.ID, UnavailableFor: unavailableFor, Key: r.Key, Tenant: r.Tenant, Urgency: urgency}, worker, w)
+	_, outcome, err := b.admitCall(callRecord{Kind: "read", RequestID: r.ID, KnownUnavailableFor: unavailableFor, Key: r.Key, Tenant: r.Tenant, Urgency: urgency}, worker, w)
 	index := len(platform.calls) - 1
 	platform.mu.Unlock()
 	if err != nil {
@@ -478,7 +478,7 @@
 // decodeRecord returns the record of a decode call.
 func decodeRecord(r *Request, lastEventID string, direct bool, unavailableFor time.Duration, urgency int) callRecord {
 	return callRecord{
-		Kind: "emit", RequestID: r.ID, LastEventID: lastEventID, UnavailableFor: unavailableFor, Direct: direct, Key: r.Key, Tenant: r.Tenant, Urgency: urgency,
+		Kind: "emit", RequestID: r.ID, LastEventID: lastEventID, KnownUnavailableFor: unavailableFor, Direct: direct, Key: r.Key, Tenant: r.Tenant, Urgency: urgency,
 	}
 }
 
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -230,10 +230,10 @@
 		for _, node := range f.runningNodes() {
 			unavailable := node.unavailableWorkers()
 			f.platform.withLock(func() {
-				since := f.platform.unavailableSince[node.ip]
+				since := f.platform.unavailabilityLearnedAt[node.ip]
 				if since == nil {
 					since = map[ids.WorkerID]time.Time{}
-					f.platform.unavailableSince[node.ip] = since
+					f.platform.unavailabilityLearnedAt[node.ip] = since
 				}
 				for id, isUnavailable := range unavailable {
 					if _, was := since[id]; isUnavailable && !was {
--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -284,7 +284,7 @@
 		}
 	}
 	platform := newFakePlatform(workers...)
-	platform.reportDelay, platform.queueLimit, platform.eventInterval = 300*time.Millisecond, 2, 50*time.Millisecond
+	platform.reportedLoadAge, platform.queueLimit, platform.eventInterval = 300*time.Millisecond, 2, 50*time.Millisecond
 	f := startFleet(t, seed, 6, platform, defaultConfiguration(), func(o *Options) {
 		o.RoleCheckInterval, o.RetryAllowance, o.NoCapacityCost, o.IdlePrefillShare = 500*time.Millisecond, 60, noCapacityCost, -1
 	})
