--- a/internal/proxy/fake_platform_test.go
+++ b/internal/proxy/fake_platform_test.go
@@ -158,7 +158,8 @@
 	f()
 }
 
-// worker returns the current incarnation of the worker with the given name, or nil. The platform must be locked.
+// worker returns the current incarnation of the worker with the given name, or nil. The
+// platform must be locked while other goroutines use it.
 func (p *fakePlatform) worker(name string) *fakeWorker {
 	for _, worker := range p.workers {
 		if worker.name == name {
@@ -314,7 +315,7 @@
 	return 2 * worker.Concurrency
 }
 
-// recordLoad saves the worker's load for reports with an old load. The platform must be locked.
+// recordLoad saves the worker's load for reports whose load is reportedLoadAge old. The platform must be locked.
 func (p *fakePlatform) recordLoad(worker *fakeWorker) {
 	for p.reportedLoadAge > 0 && len(worker.loadHistory) > 1 && time.Since(worker.loadHistory[1].at) > p.reportedLoadAge {
 		worker.loadHistory = worker.loadHistory[1:]
