--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -350,8 +350,7 @@
 }
 
 // TestFlappingWorkerEjectedLonger: a worker stops responding and recovers repeatedly. From the second time on it
-// is ejected for longer than it is down; a worker that was down only one time is used again
-// immediately.
+// is ejected for longer than it is down; a worker that was down only one time is used again immediately.
 func TestFlappingWorkerEjectedLonger(t *testing.T) {
 	forEachSeed(t, 3, func(t *testing.T, seed uint64) {
 		run := func(adjustOptions func(*Options)) *ejectionScenario {
@@ -755,7 +754,8 @@
 }
 
 // TestOutageClearsRecentFailures: failures just before a worker is found to be down no longer count, and an
-// ejection because of them ends immediately and probation begins. An ejection that began earlier isn't shortened.
+// ejection because of them ends immediately and probation begins. An ejection that began earlier isn't
+// shortened.
 func TestOutageClearsRecentFailures(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f := startFleet(t, 9, 1, newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...), defaultConfiguration(), nil)
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -19,8 +19,8 @@
 const retryBudgetWindow = 10 * time.Second
 
 // TestRetryBudget: however many calls fail, the extra calls of all nodes together stay within ratio *
-// requests + allowance in every window, also while the coordination service is down,
-// and whether decodes, prefills or both fail.
+// requests + allowance in every window, also while the coordination service is down, and whether
+// decodes, prefills or both fail.
 func TestRetryBudget(t *testing.T) {
 	for _, kind := range []string{"emit", "read", "any"} {
 		for _, coreOff := range []bool{false, true} {
@@ -93,7 +93,8 @@
 	}
 }
 
-// slowStartConfiguration returns a configuration with one service whose cold workers take four requests per second.
+// slowStartConfiguration returns a configuration with one service whose cold workers take four requests per
+// second.
 func slowStartConfiguration() []byte {
 	return encodeConfiguration(defaultRoutes(), fleetstate.Service{Name: "svc", Concurrency: 16, SlowStartMs: 6000, SlowStartRate: 4})
 }
@@ -130,9 +131,9 @@
 	}
 }
 
-// TestSlowStartRateWithManyNodes: there are more nodes than requests per second that a cold worker can take. Only some
-// of the nodes send requests to it, so that all together stay within its limit; the others use other
-// workers.
+// TestSlowStartRateWithManyNodes: there are more nodes than requests per second that a cold worker can take.
+// Only some of the nodes send requests to it, so that all together stay within its limit; the others use
+// other workers.
 func TestSlowStartRateWithManyNodes(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
@@ -160,10 +161,10 @@
 	})
 }
 
-// TestRetryBudgetOfPartitionedNode: a node that is partitioned from the coordination service no longer counts as a member
-// but continues to serve. The other nodes don't use its share of the allowance, also when the partition
-// lasts a while. Once the other nodes may have forgotten the partitioned
-// node, it retries no more than ratio * its requests, without an allowance.
+// TestRetryBudgetOfPartitionedNode: a node that is partitioned from the coordination service no longer counts
+// as a member but continues to serve. The other nodes don't use its share of the allowance, also when the
+// partition lasts a while. Once the other nodes may have forgotten the partitioned node, it retries no more
+// than ratio * its requests, without an allowance.
 func TestRetryBudgetOfPartitionedNode(t *testing.T) {
 	for _, partitionedBeforeLoad := range []time.Duration{0, 60 * time.Second, 5 * time.Minute} {
 		t.Run(partitionedBeforeLoad.String(), func(t *testing.T) {
@@ -256,7 +257,8 @@
 	})
 }
 
-// failBackWithColdWorkers ends the evacuation of a zone whose workers are cold and begin to warm up at their first request.
+// failBackWithColdWorkers ends the evacuation of a zone whose workers are cold and begin to warm up at their
+// first request.
 func (f *fleet) failBackWithColdWorkers(zone ids.Zone) {
 	f.platform.withLock(func() { f.platform.coldPeriods = map[ids.Zone]time.Duration{zone: 6 * time.Second} })
 	f.submit(fleetstate.EvacuateKind, &fleetstate.Evacuate{Zone: zone, Evacuated: false})
@@ -273,9 +275,9 @@
 }
 
 // TestSlowStartAfterFailbackAndRestart: a zone is evacuated and failed back, and all nodes are killed and
-// start again immediately, with or without a leader change of the coordination service. The list doesn't show yet that the zone's
-// workers are cold, but they get no more requests than cold workers can take. Once the zone's workers have certainly warmed up,
-// nodes that start no longer know of the failback.
+// start again immediately, with or without a leader change of the coordination service. The list doesn't show
+// yet that the zone's workers are cold, but they get no more requests than cold workers can take. Once the
+// zone's workers have certainly warmed up, nodes that start no longer know of the failback.
 func TestSlowStartAfterFailbackAndRestart(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		t.Run(fmt.Sprint("takeover-", takeover), func(t *testing.T) {
