--- a/internal/proxy/fake_platform_test.go
+++ b/internal/proxy/fake_platform_test.go
@@ -39,32 +39,32 @@
 
 // callRecord is one recorded call.
 type callRecord struct {
-	At             time.Duration
-	Kind           string // read, emit, free, order, report
-	Node           string
-	Worker         ids.WorkerID
-	RequestID      string
-	LastEventID    string
-	Accepted       bool          // the worker didn't reject it
-	Executed       bool          // the decode began, or the prefill returned its memory
-	Direct         bool          // a decode without memory: the worker prefills the prompt itself
-	Cold           bool          // the worker was still warming up
-	UnavailableFor time.Duration // how long the node had known that the worker must get no new work
-	Owner          ids.NodeID
-	Fence          ids.Fence
-	TargetRole     ids.Role
+	At                  time.Duration
+	Kind                string // read (a prefill call), emit (a decode call), free, order or report
+	Node                string
+	Worker              ids.WorkerID
+	RequestID           string
+	LastEventID         string
+	Accepted            bool          // the worker didn't reject it
+	Executed            bool          // the decode began, or the node got the prefill's response
+	Direct              bool          // a decode without memory: the worker prefills the prompt itself
+	Cold                bool          // the worker was still warming up
+	KnownUnavailableFor time.Duration // how long the node had known that the worker must get no new work
+	Owner               ids.NodeID
+	Fence               ids.Fence
+	TargetRole          ids.Role
 	// What the worker was told about the caller.
 	Key, Tenant string
-	Urgency     int
+	Urgency     int // a lower number is more urgent
 }
 
-// memoryHandle is prefilled memory that a worker holds.
+// memoryHandle is the KV cache of a prefilled prompt that a worker holds.
 type memoryHandle struct {
 	worker    ids.WorkerID
 	requestID string
 	fetches   int
 	freed     bool
-	release   func() // returns the memory to the worker
+	release   func() // frees the tokens that it occupies in the worker's memory
 }
 
 // fakeWorker is a simulated worker.
@@ -93,40 +93,40 @@
 
 // fakePlatform holds the workers, what goes wrong with them, and the calls that they received.
 type fakePlatform struct {
-	mu                 sync.Mutex
-	metering           bool // the fleet meters usage
-	start              time.Time
-	workers            []*fakeWorker
-	calls              []callRecord
-	handles            map[string]*memoryHandle
-	partitionedNodes   map[string]bool                                       // by node address: it reaches no worker
-	frozenNodes        map[string]bool                                       // by node address
-	unavailableSince   map[string]map[ids.WorkerID]time.Time                 // by node address: when it learned that a worker must get no new work
-	knowsUnavailable   map[string]func(id ids.WorkerID) bool                 // by node address: whether it knows now that a worker must get no new work
-	outcome            func(call callRecord, worker *fakeWorker) callOutcome // nil: all calls succeed
-	listDelay          func() time.Duration                                  // duration of a list call
-	listFails          bool
-	listCalls          []callRecord               // received list calls
-	coldPeriods        map[ids.Zone]time.Duration // by zone: how long a worker warms up after its first request
-	eventInterval      time.Duration              // time between events of a stream
-	roleChangeTime     time.Duration
-	lastHandle         int
-	afterPrefill       func(r *Request)
-	beforeRun          func(n *Node)                               // called before a node runs
-	extraRunning       func(worker *fakeWorker) int                // added to the running requests in a worker's reports
-	reportError        func(node string, worker *fakeWorker) error // an error that a node gets instead of a report
-	reportDelay        time.Duration                               // age of the load in reports
-	unreachable        map[string]time.Duration                    // by address: how long a dial takes until it fails
-	directTokensPerMs  int                                         // prefill speed of a decode worker
-	extraPrefillTime   map[string]time.Duration                    // by worker name: added to each prefill
-	slowEventIntervals map[string]time.Duration                    // by worker name: replaces eventInterval
-	queueLimit         int                                         // most requests that wait at a worker; 0 means twice its concurrency
+	mu                      sync.Mutex
+	metering                bool // the fleet meters usage
+	start                   time.Time
+	workers                 []*fakeWorker
+	calls                   []callRecord
+	handles                 map[string]*memoryHandle
+	partitionedNodes        map[string]bool                                       // by node address: whether the node can't reach any worker
+	frozenNodes             map[string]bool                                       // by node address: whether the node's process is paused
+	unavailabilityLearnedAt map[string]map[ids.WorkerID]time.Time                 // by node address: when the node learned that a worker must get no new work
+	knowsUnavailable        map[string]func(id ids.WorkerID) bool                 // by node address: whether the node knows now that a worker must get no new work
+	outcome                 func(call callRecord, worker *fakeWorker) callOutcome // nil: all calls succeed
+	listDelay               func() time.Duration                                  // duration of a list call
+	listFails               bool
+	listCalls               []callRecord               // received list calls
+	coldPeriods             map[ids.Zone]time.Duration // by zone: how long a worker warms up after its first request
+	eventInterval           time.Duration              // time between events of a stream
+	roleChangeTime          time.Duration
+	lastHandle              int
+	afterPrefill            func(r *Request)
+	beforeRun               func(n *Node)                               // called before a node runs
+	extraRunning            func(worker *fakeWorker) int                // added to the running requests in a worker's reports
+	reportError             func(node string, worker *fakeWorker) error // an error that a node gets instead of a report
+	reportedLoadAge         time.Duration                               // age of the load in reports
+	unreachable             map[string]time.Duration                    // by address: how long a dial takes until it fails
+	directTokensPerMs       int                                         // prefill speed of a decode worker
+	extraPrefillTime        map[string]time.Duration                    // by worker name: added to each prefill
+	slowEventIntervals      map[string]time.Duration                    // by worker name: replaces eventInterval
+	queueLimit              int                                         // most requests that wait at a worker; 0 means twice its concurrency
 }
 
 // newFakePlatform returns a platform whose workers respond to all calls.
 func newFakePlatform(workers ...*fakeWorker) *fakePlatform {
 	return &fakePlatform{start: time.Now(), workers: workers, handles: map[string]*memoryHandle{}, partitionedNodes: map[string]bool{}, frozenNodes: map[string]bool{},
-		unavailableSince: map[string]map[ids.WorkerID]time.Time{}, knowsUnavailable: map[string]func(ids.WorkerID) bool{}, directTokensPerMs: 50, eventInterval: 20 * time.Millisecond, roleChangeTime: time.Second}
+		unavailabilityLearnedAt: map[string]map[ids.WorkerID]time.Time{}, knowsUnavailable: map[string]func(ids.WorkerID) bool{}, directTokensPerMs: 50, eventInterval: 20 * time.Millisecond, roleChangeTime: time.Second}
 }
 
 // newFakeWorkers returns n workers of a role, alternating between two zones.
@@ -158,7 +158,8 @@
 	f()
 }
 
-// worker returns the current worker of a name.
+// worker returns the current incarnation of the worker with the given name, or nil. The
+// platform must be locked while other goroutines use it.
 func (p *fakePlatform) worker(name string) *fakeWorker {
 	for _, worker := range p.workers {
 		if worker.name == name {
@@ -215,7 +216,7 @@
 	}
 }
 
-// sleepContext sleeps and reports whether the context lasted as long.
+// sleepContext sleeps for d and reports whether it slept that long before the context ended.
 func sleepContext(ctx context.Context, d time.Duration) bool {
 	t := host.NewTimer(d)
 	defer t.Stop()
@@ -271,14 +272,15 @@
 	}
 	b.platform.mu.Lock()
 	defer b.platform.mu.Unlock()
-	if at, ok := b.platform.unavailableSince[b.nodeIP][w.ID]; ok {
+	if at, ok := b.platform.unavailabilityLearnedAt[b.nodeIP][w.ID]; ok {
 		return time.Since(at)
 	}
 	return 0
 }
 
-// recordCall records a call and returns its outcome. The platform must be locked.
-func (b *fakeBackend) recordCall(call callRecord, worker *fakeWorker, w Worker) (*callRecord, callOutcome, error) {
+// admitCall records a call that reaches the worker. It returns the record, the outcome, and an error if the
+// connection is refused, which is not recorded, or the worker rejects the call. The platform must be locked.
+func (b *fakeBackend) admitCall(call callRecord, worker *fakeWorker, w Worker) (*callRecord, callOutcome, error) {
 	platform := b.platform
 	if duration, ok := platform.coldPeriods[worker.Zone]; ok && worker.warmAt.IsZero() {
 		worker.warmAt = time.Now().Add(duration)
@@ -313,19 +315,19 @@
 	return 2 * worker.Concurrency
 }
 
-// recordLoad saves the worker's load for delayed reports. The platform must be locked.
+// recordLoad saves the worker's load for reports whose load is reportedLoadAge old. The platform must be locked.
 func (p *fakePlatform) recordLoad(worker *fakeWorker) {
-	for p.reportDelay > 0 && len(worker.loadHistory) > 1 && time.Since(worker.loadHistory[1].at) > p.reportDelay {
+	for p.reportedLoadAge > 0 && len(worker.loadHistory) > 1 && time.Since(worker.loadHistory[1].at) > p.reportedLoadAge {
 		worker.loadHistory = worker.loadHistory[1:]
 	}
 	worker.loadHistory = append(worker.loadHistory, loadSample{time.Now(), worker.running, worker.waiting, worker.memoryUsed})
 }
 
-// delayedLoad returns the worker's load reportDelay ago. The platform must be locked.
+// delayedLoad returns the worker's load reportedLoadAge ago. The platform must be locked.
 func (p *fakePlatform) delayedLoad(worker *fakeWorker) loadSample {
 	out := loadSample{running: worker.running, waiting: worker.waiting, memoryUsed: worker.memoryUsed}
-	for i := len(worker.loadHistory) - 1; p.reportDelay > 0 && i >= 0; i-- {
-		if out = worker.loadHistory[i]; time.Since(out.at) >= p.reportDelay {
+	for i := len(worker.loadHistory) - 1; p.reportedLoadAge > 0 && i >= 0; i-- {
+		if out = worker.loadHistory[i]; time.Since(out.at) >= p.reportedLoadAge {
 			break
 		}
 	}
@@ -344,7 +346,7 @@
 		worker.waiting++
 		p.recordLoad(worker)
 	})
-	isMostUrgent := func() bool {
+	noneMoreUrgent := func() bool {
 		for u, n := range worker.waitingByUrgency {
 			if u < urgency && n > 0 {
 				return false
@@ -354,7 +356,7 @@
 	}
 	for {
 		p.mu.Lock()
-		if worker.running < worker.Concurrency && !worker.silent && !worker.terminated && (worker.memoryCapacity == 0 || worker.memoryUsed+tokens <= worker.memoryCapacity) && isMostUrgent() {
+		if worker.running < worker.Concurrency && !worker.silent && !worker.terminated && (worker.memoryCapacity == 0 || worker.memoryUsed+tokens <= worker.memoryCapacity) && noneMoreUrgent() {
 			worker.waitingByUrgency[urgency]--
 			worker.waiting, worker.running, worker.memoryUsed = worker.waiting-1, worker.running+1, worker.memoryUsed+tokens
 			p.recordLoad(worker)
@@ -377,8 +379,9 @@
 	return &Load{Running: worker.running, Waiting: worker.waiting, Concurrency: worker.Concurrency}
 }
 
-// outcomeWithoutReply reports whether an outcome has no response, and returns its error.
-func outcomeWithoutReply(ctx context.Context, outcome callOutcome, w Worker) (error, bool) {
+// failureBeforeResponse returns the error of an outcome in which the node gets no usable response, and whether it
+// is such an outcome. For a silent outcome it waits until ctx ends.
+func failureBeforeResponse(ctx context.Context, outcome callOutcome, w Worker) (error, bool) {
 	switch outcome {
 	case resetAfterRun, resetBeforeRun:
 		return outcomeUnknown(w, "reset"), true
@@ -391,8 +394,8 @@
 	return nil, false
 }
 
-// checkReplyPath returns an error if a response can't reach the node. It waits while the node is frozen.
-func (b *fakeBackend) checkReplyPath(ctx context.Context, worker *fakeWorker) error {
+// checkResponsePath returns an error if a response can't reach the node. It waits while the node is frozen.
+func (b *fakeBackend) checkResponsePath(ctx context.Context, worker *fakeWorker) error {
 	b.waitWhileFrozen()
 	b.platform.mu.Lock()
 	lost := b.platform.partitionedNodes[b.nodeIP] || worker.silent
@@ -417,13 +420,13 @@
 		return nil, err
 	}
 	platform.mu.Lock()
-	_, outcome, err := b.recordCall(callRecord{Kind: "read", RequestID: r.ID, UnavailableFor: unavailableFor, Key: r.Key, Tenant: r.Tenant, Urgency: urgency}, worker, w)
+	_, outcome, err := b.admitCall(callRecord{Kind: "read", RequestID: r.ID, KnownUnavailableFor: unavailableFor, Key: r.Key, Tenant: r.Tenant, Urgency: urgency}, worker, w)
 	index := len(platform.calls) - 1
 	platform.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	if err, ended := outcomeWithoutReply(ctx, outcome, w); ended {
+	if err, failed := failureBeforeResponse(ctx, outcome, w); failed {
 		return nil, err
 	}
 	releaseSlot, releaseMemory, err := platform.acquireSlot(ctx, worker, r.Prompt, urgency)
@@ -440,20 +443,20 @@
 	}
 	platform.mu.Lock()
 	platform.lastHandle++
-	name := fmt.Sprint("kv-", platform.lastHandle)
+	handle := fmt.Sprint("kv-", platform.lastHandle)
 	if !worker.terminated {
-		platform.handles[name] = &memoryHandle{worker: worker.ID, requestID: r.ID, release: releaseMemory}
+		platform.handles[handle] = &memoryHandle{worker: worker.ID, requestID: r.ID, release: releaseMemory}
 	}
 	afterPrefill := platform.afterPrefill
 	platform.mu.Unlock()
-	if err := b.checkReplyPath(ctx, worker); err != nil {
+	if err := b.checkResponsePath(ctx, worker); err != nil {
 		return nil, err
 	}
 	if afterPrefill != nil {
 		afterPrefill(r)
 	}
 	platform.withLock(func() { platform.calls[index].Executed = true })
-	return &PrefillResult{Handle: name, Tokens: r.Prompt, Load: platform.currentLoad(worker)}, nil
+	return &PrefillResult{Handle: handle, Tokens: r.Prompt, Load: platform.currentLoad(worker)}, nil
 }
 
 // fetchMemory fetches the memory of a source and reports whether it was available; a handle can be fetched
@@ -476,7 +479,7 @@
 // decodeRecord returns the record of a decode call.
 func decodeRecord(r *Request, lastEventID string, direct bool, unavailableFor time.Duration, urgency int) callRecord {
 	return callRecord{
-		Kind: "emit", RequestID: r.ID, LastEventID: lastEventID, UnavailableFor: unavailableFor, Direct: direct, Key: r.Key, Tenant: r.Tenant, Urgency: urgency,
+		Kind: "emit", RequestID: r.ID, LastEventID: lastEventID, KnownUnavailableFor: unavailableFor, Direct: direct, Key: r.Key, Tenant: r.Tenant, Urgency: urgency,
 	}
 }
 
@@ -487,7 +490,7 @@
 		return nil, err
 	}
 	platform.mu.Lock()
-	record, outcome, err := b.recordCall(decodeRecord(r, lastEventID, source == nil && lastEventID == "", unavailableFor, urgency), worker, w)
+	record, outcome, err := b.admitCall(decodeRecord(r, lastEventID, source == nil && lastEventID == "", unavailableFor, urgency), worker, w)
 	if err == nil && source != nil && outcome != resetBeforeRun && outcome != silentBeforeRun && (outcome == memoryLost || !platform.fetchMemory(source)) {
 		record.Accepted = false
 		err = failure.New(failure.DataLost, "fetch memory", w.Addr, "memory not available")
@@ -499,7 +502,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err, ended := outcomeWithoutReply(ctx, outcome, w); ended {
+	if err, failed := failureBeforeResponse(ctx, outcome, w); failed {
 		return nil, err
 	}
 	releaseSlot, releaseMemory, err := platform.acquireSlot(ctx, worker, r.Prompt+r.MaxTokens, urgency)
@@ -511,7 +514,7 @@
 		release()
 		return nil, outcomeUnknown(w, "canceled")
 	}
-	if err := b.checkReplyPath(ctx, worker); err != nil {
+	if err := b.checkResponsePath(ctx, worker); err != nil {
 		release()
 		return nil, err
 	}
@@ -575,7 +578,7 @@
 			b.release()
 			return 0, b.ctx.Err()
 		}
-		if err := b.backend.checkReplyPath(b.ctx, b.worker); err != nil {
+		if err := b.backend.checkResponsePath(b.ctx, b.worker); err != nil {
 			b.release()
 			return 0, err
 		}
@@ -599,7 +602,7 @@
 
 func (b *responseBody) Close() error { b.release(); return nil }
 
-func (b *fakeBackend) Free(ctx context.Context, w Worker, name string) error {
+func (b *fakeBackend) Free(ctx context.Context, w Worker, handleID string) error {
 	worker, err := b.connect(ctx, w)
 	if err != nil {
 		return err
@@ -607,7 +610,7 @@
 	b.platform.mu.Lock()
 	defer b.platform.mu.Unlock()
 	b.platform.calls = append(b.platform.calls, callRecord{At: b.platform.elapsed(), Kind: "free", Node: b.nodeIP, Worker: worker.ID})
-	if handle := b.platform.handles[name]; handle != nil && handle.worker == worker.ID {
+	if handle := b.platform.handles[handleID]; handle != nil && handle.worker == worker.ID {
 		handle.freed = true
 		go handle.release()
 	}
@@ -622,7 +625,7 @@
 	b.platform.withLock(func() {
 		b.platform.calls = append(b.platform.calls, callRecord{At: b.platform.elapsed(), Kind: "report", Node: b.nodeIP, Worker: worker.ID})
 	})
-	if err := b.checkReplyPath(ctx, worker); err != nil {
+	if err := b.checkResponsePath(ctx, worker); err != nil {
 		return nil, err
 	}
 	b.platform.mu.Lock()
@@ -666,7 +669,7 @@
 	worker.nextRole = order.To
 	platform.mu.Unlock()
 	time.AfterFunc(platform.roleChangeTime, func() { platform.withLock(func() { worker.Role, worker.nextRole = worker.nextRole, "" }) })
-	return b.checkReplyPath(ctx, worker)
+	return b.checkResponsePath(ctx, worker)
 }
 
 func (b *fakeBackend) List(ctx context.Context) ([]Worker, error) {
