--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -106,8 +106,8 @@
 		FaultTolerance: s.FaultTolerance,
 		Machine: func() coordination.StateMachine {
 			return fleetstate.NewMachine(fleetstate.MachineOptions{
-				ReadConfiguration: documents.Read,
-				Metering:          s.Metering,
+				ParseConfiguration: documents.Read,
+				Metering:           s.Metering,
 			})
 		},
 	})
--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -27,10 +27,10 @@
 	return got, rows
 }
 
-// TestAuditLog checks that every replica returns all rows unchanged and in order, also those in
+// TestAuditLogKeepsRows checks that every replica returns all rows unchanged and in order, also those in
 // sealed chunks and after a restore from a snapshot. Beyond maxAuditChunks the oldest chunks are
 // dropped, and FirstIndex reports that.
-func TestAuditLog(t *testing.T) {
+func TestAuditLogKeepsRows(t *testing.T) {
 	m, replica := NewMachine(MachineOptions{}), NewMachine(MachineOptions{})
 	n := auditChunkRows*2 + 100
 	for i := range n {
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestResolveAudits checks that an outcome and its audit record are written by one log entry; an
+// TestResolveWritesAuditRecord checks that an outcome and its audit record are written by one log entry; an
 // invalid record leaves the claim unchanged.
-func TestResolveAudits(t *testing.T) {
+func TestResolveWritesAuditRecord(t *testing.T) {
 	s := newState(false, Retention{})
 	_, err := applyClaim(t, s, "verdict/1", "b")
 	require.NoError(t, err)
--- a/internal/fleetstate/clock.go
+++ b/internal/fleetstate/clock.go
@@ -37,9 +37,9 @@
 	return c.bound == bound && c.bound != 0 && !now.Past(c.lastHeartbeat, time.Second)
 }
 
-// advanceClock returns the command that advances the bound, if it is due. It begins a new count
+// advanceClockCommands returns the command that advances the bound, if it is due. It begins a new count
 // from the bound, or from the wall clock if there is none, unless this machine led continuously.
-func (m *Machine) advanceClock(now ids.Tick) []coordination.Command {
+func (m *Machine) advanceClockCommands(now ids.Tick) []coordination.Command {
 	c := &m.clock
 	if m.timeBound == 0 && !m.hasRegimes {
 		return nil
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -14,8 +14,8 @@
 
 // These are the keys of the duties that exist under every configuration.
 const (
-	RetryBudgetKey ids.Key = "budget"
-	ResolutionKey  ids.Key = "settle"
+	RetryBudgetKey     ids.Key = "budget"
+	ClaimResolutionKey ids.Key = "settle"
 )
 
 // WorkerKey is the key of the duty of dispatching requests to one worker.
@@ -30,8 +30,8 @@
 	seq             ids.Seq  // the log entry that nodes must have seen
 }
 
-// pendingCommit tracks when the prepared versions of one version history may be committed.
-type pendingCommit struct {
+// commitTracker tracks when the prepared versions of one version history may be committed.
+type commitTracker struct {
 	*versionHistory
 	prepareKind, commitKind string // the command kinds of this history
 	progress                map[ids.Version]prepareProgress
@@ -41,33 +41,33 @@
 type Machine struct {
 	*State
 	commitTimeout      time.Duration
-	readConfiguration  ConfigurationParser
-	pendingCommits     []*pendingCommit
+	parseConfiguration ConfigurationParser
+	commitTrackers     []*commitTracker
 	keys               []ids.Key
 	keysVersion        ids.Version
 	maxSlowStart       time.Duration       // the longest slow start of a failed-back zone, over all services
-	failbackSince      map[uint64]ids.Tick // by failback number: when Due first saw the failback here
+	failbackFirstSeen  map[uint64]ids.Tick // by failback number: when Due first saw the failback here
 	now                ids.Tick
 	pendingRevocations map[string]ids.Seq // by serial: the entry that nodes must have applied
 	clock              fleetClock
-	unrevokedRegister  *certification.Register // certificates of the active configuration, without revocations
+	configuredRegister *certification.Register // certificates of the active configuration, without revocations
 	meteringEnabled    bool
 }
 
 // MachineOptions are the options of NewMachine. A zero field takes the default named beside it.
 type MachineOptions struct {
-	CommitTimeout     time.Duration       // 300ms: how long a commit waits for nodes that have not seen the prepared version
-	ReadConfiguration ConfigurationParser // ReadPlain: parses the text of a configuration
-	Retention         Retention
-	WallClock         func() time.Time // time.Now: read once, to initialize the fleet's time
-	Metering          bool             // usage is reported, so MeteringKey is listed
+	CommitTimeout      time.Duration       // 300ms: how long a commit waits for nodes that have not seen the prepared version
+	ParseConfiguration ConfigurationParser // ReadPlain: parses the text of a configuration
+	Retention          Retention
+	WallClock          func() time.Time // time.Now: read once, to initialize the fleet's time
+	Metering           bool             // usage is reported, so MeteringKey is listed
 }
 
 // NewMachine returns a Machine with an empty state.
 func NewMachine(opt MachineOptions) *Machine {
 	ids.SetDefault(&opt.CommitTimeout, 300*time.Millisecond)
-	if opt.ReadConfiguration == nil {
-		opt.ReadConfiguration = ParseJSON
+	if opt.ParseConfiguration == nil {
+		opt.ParseConfiguration = ParseJSON
 	}
 	if opt.WallClock == nil {
 		opt.WallClock = time.Now
@@ -75,13 +75,13 @@
 	m := &Machine{
 		State:              newState(false, opt.Retention),
 		commitTimeout:      opt.CommitTimeout,
-		readConfiguration:  opt.ReadConfiguration,
-		failbackSince:      map[uint64]ids.Tick{},
+		parseConfiguration: opt.ParseConfiguration,
+		failbackFirstSeen:  map[uint64]ids.Tick{},
 		pendingRevocations: map[string]ids.Seq{},
 		clock:              fleetClock{wallClock: opt.WallClock},
 		meteringEnabled:    opt.Metering,
 	}
-	m.pendingCommits = []*pendingCommit{
+	m.commitTrackers = []*commitTracker{
 		{
 			versionHistory: &m.versionHistory,
 			prepareKind:    PrepareKind,
@@ -103,9 +103,9 @@
 // or the confirmation, not the claims that follow them in the log.
 func (m *Machine) Apply(seq ids.Seq, kind string, body []byte) ([]byte, error) {
 	out, err := m.State.Apply(kind, body)
-	for _, pending := range m.pendingCommits {
-		if err == nil && kind == pending.prepareKind {
-			pending.progress[pending.newest()] = prepareProgress{seq: seq}
+	for _, tracker := range m.commitTrackers {
+		if err == nil && kind == tracker.prepareKind {
+			tracker.progress[tracker.newest()] = prepareProgress{seq: seq}
 		}
 	}
 	if err == nil && kind == RevokeKind {
@@ -141,9 +141,9 @@
 		return m.keys
 	}
 	m.keysVersion = m.active.Version
-	m.keys, m.unrevokedRegister, m.maxSlowStart = []ids.Key{RetryBudgetKey, ResolutionKey}, nil, 0
-	if configuration, err := m.readConfiguration(decompress(m.active.Text)); len(m.active.Text) > 0 && err == nil {
-		m.unrevokedRegister, _ = configuration.Register()
+	m.keys, m.configuredRegister, m.maxSlowStart = []ids.Key{RetryBudgetKey, ClaimResolutionKey}, nil, 0
+	if configuration, err := m.parseConfiguration(decompress(m.active.Text)); len(m.active.Text) > 0 && err == nil {
+		m.configuredRegister, _ = configuration.CompileRegister()
 		models := map[string]bool{}
 		for id, worker := range configuration.Workers {
 			m.keys = append(m.keys, WorkerKey(id))
@@ -172,11 +172,11 @@
 // warm, and commit prepared versions. Every node with a lease has applied the log up to applied;
 // seq is its newest entry.
 func (m *Machine) DueCommands(now ids.Tick, seq, applied ids.Seq) []coordination.Command {
-	out := append(append(m.advanceClock(now), m.confirmRevocations(seq, applied)...), m.slowStartEndedCommands(now)...)
-	for _, pending := range m.pendingCommits {
-		if version := pending.newestCommittable(now, seq, applied, m.commitTimeout); version != 0 {
+	out := append(append(m.advanceClockCommands(now), m.confirmRevocationCommands(seq, applied)...), m.slowStartEndedCommands(now)...)
+	for _, tracker := range m.commitTrackers {
+		if version := tracker.newestCommittable(now, seq, applied, m.commitTimeout); version != 0 {
 			out = append(out, coordination.Command{
-				Kind: pending.commitKind,
+				Kind: tracker.commitKind,
 				Body: coordination.MustMarshal(&CommitVersion{version}),
 			})
 		}
@@ -196,10 +196,10 @@
 	return out
 }
 
-// confirmRevocations returns the commands that confirm the revocations seen by every node with a
+// confirmRevocationCommands returns the commands that confirm the revocations seen by every node with a
 // lease. For a revocation that this machine did not apply itself, such as one from a snapshot, the
 // entry is unknown, so that nodes must have seen the whole log up to seq.
-func (m *Machine) confirmRevocations(seq, applied ids.Seq) []coordination.Command {
+func (m *Machine) confirmRevocationCommands(seq, applied ids.Seq) []coordination.Command {
 	var out []coordination.Command
 	for _, serial := range m.unconfirmedRevocations() {
 		required, ok := m.pendingRevocations[serial]
@@ -220,7 +220,7 @@
 
 // newestCommittable returns the newest prepared version that all live nodes have seen, or that
 // has waited long enough for silent ones. It returns 0 if there is none.
-func (p *pendingCommit) newestCommittable(now ids.Tick, seq, applied ids.Seq, timeout time.Duration) ids.Version {
+func (p *commitTracker) newestCommittable(now ids.Tick, seq, applied ids.Seq, timeout time.Duration) ids.Version {
 	var newest ids.Version
 	for _, r := range p.prepared {
 		progress, ok := p.progress[r.Version]
--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -246,7 +246,7 @@
 	Audit   []byte `msg:"Audit,omitempty"`
 }
 
-// TakeOver transfers a dead node's claim to the holder of the duty ResolutionKey.
+// TakeOver transfers a dead node's claim to the holder of the duty ClaimResolutionKey.
 type TakeOver struct {
 	Key   string
 	From  ids.NodeID
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -27,13 +27,13 @@
 	Certificates map[string]certification.Certificate `json:"certificates,omitempty"`
 }
 
-// Register compiles the regimes, issuers and certificates. It returns nil if there are no regimes.
-func (c *CertificationConfig) Register() (*certification.Register, error) {
+// CompileRegister compiles the regimes, issuers and certificates. It returns nil if there are no regimes.
+func (c *CertificationConfig) CompileRegister() (*certification.Register, error) {
 	return certification.Compile(c.Regimes, c.Issuers, c.Certificates)
 }
 
-// invalidRegime returns the error for an invalid field at a path of the configuration.
-func invalidRegime(path []string, reason string) error {
+// invalidCertificationField returns the error for an invalid field at a path of the configuration.
+func invalidCertificationField(path []string, reason string) error {
 	return failure.As(&certification.Fault{
 		Path:   path,
 		Reason: reason,
@@ -47,25 +47,25 @@
 	if len(cfg.Regimes)+len(cfg.Certificates)+len(cfg.Issuers) == 0 {
 		return nil
 	}
-	if _, err := cfg.Register(); err != nil {
+	if _, err := cfg.CompileRegister(); err != nil {
 		var f *certification.Fault
 		if errors.As(err, &f) {
-			return invalidRegime(f.Path, f.Reason)
+			return invalidCertificationField(f.Path, f.Reason)
 		}
 		return err
 	}
 	for _, name := range slices.Sorted(maps.Keys(cfg.Regimes)) {
 		if len(cfg.Regimes[name].Kinds) == 0 {
-			return invalidRegime([]string{"regimes", name, "kinds"}, "it governs no kind")
+			return invalidCertificationField([]string{"regimes", name, "kinds"}, "it governs no kind")
 		}
 		for _, kind := range cfg.Regimes[name].Kinds {
 			k, ok := cfg.Kinds[kind]
 			if !ok {
-				return invalidRegime([]string{"regimes", name, "kinds"}, "unknown kind "+quote(kind))
+				return invalidCertificationField([]string{"regimes", name, "kinds"}, "unknown kind "+quote(kind))
 			}
 			for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
 				if !cfg.hasCertifiedWorker(name, k.Model, role) {
-					return invalidRegime([]string{
+					return invalidCertificationField([]string{
 						"regimes", name,
 					}, "no certified "+string(role)+" worker offers "+quote(k.Model)+" for kind "+quote(kind))
 				}
@@ -76,7 +76,7 @@
 			hasNode = hasNode || c.Regime == name && c.Node != ""
 		}
 		if !hasNode {
-			return invalidRegime([]string{"regimes", name}, "no router node is certified")
+			return invalidCertificationField([]string{"regimes", name}, "no router node is certified")
 		}
 	}
 	return nil
@@ -96,19 +96,19 @@
 	return false
 }
 
-// CheckTransition checks a configuration against the one that it replaces: a serial is never
+// CheckCertificateChanges checks a configuration against the one that it replaces: a serial is never
 // reused for another certificate, and no certificate that has already expired is added.
-func (cfg *Configuration) CheckTransition(previous *Configuration, now certification.Now) error {
+func (cfg *Configuration) CheckCertificateChanges(previous *Configuration, now certification.Now) error {
 	for _, serial := range slices.Sorted(maps.Keys(cfg.Certificates)) {
 		c := cfg.Certificates[serial]
 		old, exists := previous.Certificates[serial]
 		switch {
 		case exists && old.Signature != c.Signature:
-			return invalidRegime([]string{
+			return invalidCertificationField([]string{
 				"certificates", serial,
 			}, "serial "+quote(serial)+" stands for another certificate already; a new one needs a new serial")
 		case !exists && now.High > 0 && certificateExpired(cfg, serial, now):
-			return invalidRegime([]string{
+			return invalidCertificationField([]string{
 				"certificates", serial, "until",
 			}, "it has expired: its end "+c.Until+" is past")
 		}
@@ -118,7 +118,7 @@
 
 // certificateExpired reports whether the certificate of a serial has expired.
 func certificateExpired(cfg *Configuration, serial string, now certification.Now) bool {
-	register, _ := cfg.Register()
+	register, _ := cfg.CompileRegister()
 	for _, row := range register.Rows(cfg.Certificates[serial].Regime, now) {
 		if row.Serial == serial {
 			return row.State == certification.Expired
@@ -130,16 +130,16 @@
 // LocateFault adds to an error that wraps a certification.Fault the position of the faulty field
 // in the operator's text, or of the nearest field that encloses it. It returns other errors
 // unchanged.
-func LocateFault(name string, text []byte, err error) error {
+func LocateFault(filename string, text []byte, err error) error {
 	var fault *certification.Fault
 	if !errors.As(err, &fault) {
 		return err
 	}
-	file, parseErr := parser.ParseFile(name, text)
+	file, parseErr := parser.ParseFile(filename, text)
 	if parseErr != nil {
 		return err
 	}
-	position := name
+	position := filename
 	if pos, _ := findPosition(file.Decls, fault.Path); pos.IsValid() {
 		position = pos.Position().String()
 	}
@@ -194,14 +194,14 @@
 
 // Eligible reports whether the duty of a key may be assigned to a node. The duty of a certified
 // worker goes only to nodes that are certified for every regime that the worker may serve, since
-// its holder passes on requests under a regime. ResolutionKey, whose holder reads outcomes, goes
+// its holder passes on requests under a regime. ClaimResolutionKey, whose holder reads outcomes, goes
 // only to nodes that are certified for all regimes.
 func (m *Machine) Eligible(key ids.Key, node ids.NodeID) bool {
 	id, isWorkerKey := strings.CutPrefix(string(key), string(WorkerKey("")))
-	if m.unrevokedRegister == nil || !isWorkerKey && key != ResolutionKey {
+	if m.configuredRegister == nil || !isWorkerKey && key != ClaimResolutionKey {
 		return true
 	}
-	register := m.unrevokedRegister.WithRevoked(m.revocations)
+	register := m.configuredRegister.WithRevoked(m.revocations)
 	now := certification.Now{Low: m.timeBound - int64(clockBoundLead), High: m.timeBound}
 	for _, regime := range register.Regimes() {
 		for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -73,7 +73,7 @@
 	require.NoError(t, err)
 	require.Equal(t, p, again)
 	require.Equal(t, 20, p.Regimes["chair"].Keep)
-	r, err := p.Register()
+	r, err := p.CompileRegister()
 	require.NoError(t, err)
 	now := certification.At(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
 	serial, ok := r.Clears("chair", certification.Subject{Worker: "d1"}, ids.Decode, now)
@@ -164,21 +164,21 @@
 	require.ErrorContains(t, err, "certificates.s1 stands twice")
 }
 
-// TestCheckTransition checks that a serial can't be reused for another certificate, and an expired
+// TestCheckCertificateChanges checks that a serial can't be reused for another certificate, and an expired
 // certificate can't be added. A certificate that expires while it is configured doesn't block later
 // changes.
-func TestCheckTransition(t *testing.T) {
+func TestCheckCertificateChanges(t *testing.T) {
 	previous, _, err := ParseComplete("f", regimeConfiguration(t, nil))
 	require.NoError(t, err)
 	next, _, err := ParseComplete("f", regimeConfiguration(t, nil)) // another key, hence other signatures
 	require.NoError(t, err)
 	early := certification.At(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
 	late := certification.At(time.Date(2027, 1, 30, 0, 0, 0, 0, time.UTC))
-	require.NoError(t, previous.CheckTransition(previous, late))
-	require.ErrorContains(t, next.CheckTransition(previous, early), "stands for another certificate")
-	require.NoError(t, previous.CheckTransition(&Configuration{}, early))
-	require.ErrorContains(t, previous.CheckTransition(&Configuration{}, late), "it has expired")
-	require.NoError(t, previous.CheckTransition(&Configuration{}, certification.Now{}), "the time is not known")
+	require.NoError(t, previous.CheckCertificateChanges(previous, late))
+	require.ErrorContains(t, next.CheckCertificateChanges(previous, early), "stands for another certificate")
+	require.NoError(t, previous.CheckCertificateChanges(&Configuration{}, early))
+	require.ErrorContains(t, previous.CheckCertificateChanges(&Configuration{}, late), "it has expired")
+	require.NoError(t, previous.CheckCertificateChanges(&Configuration{}, certification.Now{}), "the time is not known")
 }
 
 // TestOverlayWithCertificates checks that an overlay of other fields keeps the certificates, and an
--- a/internal/fleetstate/role_change_test.go
+++ b/internal/fleetstate/role_change_test.go
@@ -120,6 +120,6 @@
 	_, err = m.Apply(2, CommitKind, coordination.MustMarshal(&CommitVersion{1}))
 	require.NoError(t, err)
 	require.Equal(t, []ids.Key{
-		RetryBudgetKey, WorkerListKey, ServiceKey("s"), ServiceKey("t"), ResolutionKey,
+		RetryBudgetKey, WorkerListKey, ServiceKey("s"), ServiceKey("t"), ClaimResolutionKey,
 	}, m.Keys())
 }
--- a/internal/fleetstate/route_test.go
+++ b/internal/fleetstate/route_test.go
@@ -52,10 +52,10 @@
 	require.Nil(t, NewRouteTable(&Configuration{}).Find("a.example", "/"))
 }
 
-// TestRoutePick checks that requests are split over services by weight, that an id is always assigned
+// TestSelectService checks that requests are split over services by weight, that an id is always assigned
 // to the same service, and that a weight of 0 receives none. Without a split, or with only weights
 // of 0, the route's own service receives all requests.
-func TestRoutePick(t *testing.T) {
+func TestSelectService(t *testing.T) {
 	r := &Route{Service: "x", Split: []WeightedService{{"a", 6}, {"none", 0}, {"b", 3}, {"c", 1}}}
 	counts := map[string]int{}
 	for i := range 20000 {
--- a/internal/fleetstate/view.go
+++ b/internal/fleetstate/view.go
@@ -285,7 +285,7 @@
 	} else {
 		s.RouteTable, s.TenantKeys = NewRouteTable(s.Configuration), previous.TenantKeys.forConfiguration(s.Configuration)
 		var err error
-		if s.BaseRegister, err = s.Configuration.Register(); err != nil {
+		if s.BaseRegister, err = s.Configuration.CompileRegister(); err != nil {
 			v.Ring.Error().AnErr("cause", err).Msg("certificates that are not valid are left out")
 		}
 	}
--- a/internal/fleetstate/zones.go
+++ b/internal/fleetstate/zones.go
@@ -70,7 +70,7 @@
 // timeSinceFailback returns a lower bound of the time since the failback of a zone.
 func (m *Machine) timeSinceFailback(f Failback) time.Duration {
 	elapsed := time.Duration(f.ElapsedNs)
-	if at, ok := m.failbackSince[f.Number]; ok {
+	if at, ok := m.failbackFirstSeen[f.Number]; ok {
 		elapsed += m.now.Since(at)
 	}
 	return elapsed
@@ -81,14 +81,14 @@
 func (m *Machine) slowStartEndedCommands(now ids.Tick) []coordination.Command {
 	m.now = now
 	if len(m.failbacks) == 0 {
-		clear(m.failbackSince)
+		clear(m.failbackFirstSeen)
 		return nil
 	}
 	m.Keys()
 	var out []coordination.Command
 	for z, f := range m.failbacks {
-		if _, ok := m.failbackSince[f.Number]; !ok {
-			m.failbackSince[f.Number] = now
+		if _, ok := m.failbackFirstSeen[f.Number]; !ok {
+			m.failbackFirstSeen[f.Number] = now
 		}
 		if m.timeSinceFailback(f) > m.maxSlowStart {
 			out = append(out, coordination.Command{
--- a/internal/router/claim_takeover.go
+++ b/internal/router/claim_takeover.go
@@ -24,7 +24,7 @@
 // resolutionLoop takes over the open claims of dead nodes while this node holds the resolution key.
 func (n *Node) resolutionLoop(ctx context.Context) {
 	for host.Sleep(ctx, 300*time.Millisecond) {
-		fence, end, ok := n.agent.BeginOperation(fleetstate.ResolutionKey)
+		fence, end, ok := n.agent.BeginOperation(fleetstate.ClaimResolutionKey)
 		if !ok {
 			continue
 		}
--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -199,7 +199,7 @@
 	if len(after) == 0 {
 		f.warn("no router node would be left")
 	}
-	keys := []ids.Key{fleetstate.RetryBudgetKey, fleetstate.ResolutionKey}
+	keys := []ids.Key{fleetstate.RetryBudgetKey, fleetstate.ClaimResolutionKey}
 	models := map[string]bool{}
 	for id, w := range next.Workers {
 		keys = append(keys, fleetstate.WorkerKey(id))
--- a/internal/router/forecast/regimes.go
+++ b/internal/router/forecast/regimes.go
@@ -47,8 +47,8 @@
 // that they need, now or when certificates expire. It warns of the last one only if the change
 // causes it.
 func (f *Forecast) checkRegimes(st *router.NodeStatus, now, next *fleetstate.Configuration, c Change) error {
-	before, _ := now.Register()
-	after, _ := next.Register()
+	before, _ := now.CompileRegister()
+	after, _ := next.CompileRegister()
 	if c.Revoke != "" {
 		if _, ok := before.Find(c.Revoke); !ok {
 			return failure.New(failure.InvalidArgument, "plan", c.Revoke, "no such certificate exists")
--- a/internal/router/operator.go
+++ b/internal/router/operator.go
@@ -81,7 +81,7 @@
 	if now.High == 0 {
 		now = certification.At(n.options.Host.Clock.Wall()) // the fleet time will start here
 	}
-	if err := configuration.CheckTransition(n.view.Current().Configuration, now); err != nil {
+	if err := configuration.CheckCertificateChanges(n.view.Current().Configuration, now); err != nil {
 		return nil, fleetstate.LocateFault(name, []byte(a.Source), err)
 	}
 	if a.Dry {
