--- a/internal/fleetstate/aged_keys.go
+++ b/internal/fleetstate/aged_keys.go
@@ -1,8 +1,8 @@
-// This file stores old idempotency records compactly. The full answer of a resolved record is kept
-// for a while. Afterwards only an entry of 24 bytes with the hash of its key, the digest of its
-// request body and its outcome remains. It is kept permanently, so that a forgotten answer never
-// leads to a second execution. Entries are collected into chunks; a full chunk is sorted, sealed
-// and never changed again, and snapshots only refer to it.
+// This file stores old idempotency records compactly. The newest resolved records are kept in full.
+// An older record is replaced by an entry of 24 bytes with a hash of its key, a hash of its request
+// digest and its outcome. Entries are kept permanently, so that a request is not executed a second
+// time after its answer was dropped. Entries are collected into chunks; a full chunk is sorted and
+// sealed. A sealed chunk never changes, and snapshots only refer to it.
 
 package fleetstate
 
@@ -17,7 +17,7 @@
 )
 
 const (
-	entrySize   = 24 // bytes: 16 for the key's hash, 7 for the body's digest, 1 for the outcome
+	entrySize   = 24 // bytes: 16 for the key's hash, 7 for the hash of the request digest, 1 for the outcome
 	keyHashSize = 16
 )
 
@@ -28,10 +28,11 @@
 	ChunkEntries int // default 65536
 }
 
-// outcomeCodes lists the outcomes; an entry stores the index.
+// outcomeCodes lists the outcomes; an entry stores the index of its outcome.
 var outcomeCodes = []string{OutcomeClaimed, OutcomeDone, OutcomeNotRun, OutcomeMayHaveRun}
 
-// agedKeys stores the entries of old records. Until its chunk is full, an entry is open.
+// agedKeys stores the entries of old records. Entries are open until they fill a chunk, which is then
+// sealed.
 type agedKeys struct {
 	Retention
 	sealed      []coordination.Chunk
@@ -54,7 +55,7 @@
 	return [keyHashSize]byte(sum[:keyHashSize])
 }
 
-// digestPrefix returns the part of a body digest's hash that an entry stores.
+// digestPrefix returns the part of the hash of a request digest that an entry stores.
 func digestPrefix(digest string) []byte {
 	sum := sha256.Sum256([]byte(digest))
 	return sum[:entrySize-keyHashSize-1]
@@ -74,7 +75,7 @@
 	s.addEntry(entry)
 }
 
-// addEntry adds an entry to the open chunk, and seals the chunk if that fills it.
+// addEntry adds an entry to the open entries, and seals them as a chunk once there are ChunkEntries.
 func (s *agedKeys) addEntry(entry [entrySize]byte) {
 	s.openIndex[[keyHashSize]byte(entry[:keyHashSize])] = entry
 	s.openEntries = append(s.openEntries, entry)
@@ -90,8 +91,8 @@
 	s.openIndex, s.openEntries = map[[keyHashSize]byte][entrySize]byte{}, nil
 }
 
-// lookup returns the stored part of an old key's record, which has no answer. Its Digest is set
-// only if the given digest matches.
+// lookup returns the record of an old key as far as it is stored, without its answer. The record's
+// Digest is set only if the stored hash matches that of the given digest.
 func (s *agedKeys) lookup(key, digest string) (IdempotencyRecord, bool) {
 	k := hashKey(key)
 	entry, ok := s.openIndex[k]
@@ -128,7 +129,7 @@
 	return [entrySize]byte(chunk[at*entrySize : (at+1)*entrySize]), true
 }
 
-// Chunks returns the sealed chunks of aged keys followed by those of the audit record. Together
+// Chunks returns the sealed chunks of aged keys followed by those of the audit log. Together
 // with RestoreChunks it implements coordination.ChunkStore.
 func (m *Machine) Chunks() []coordination.Chunk {
 	if len(m.auditLog.sealedChunks) == 0 {
@@ -138,7 +139,7 @@
 }
 
 // RestoreChunks sets the chunks to which the next restored snapshot refers. The chunks of the audit
-// record are recognized by their prefix.
+// log are recognized by their prefix.
 func (m *Machine) RestoreChunks(chunks []coordination.Chunk) {
 	m.agedKeys.sealed, m.auditLog.sealedChunks = nil, nil
 	for _, chunk := range chunks {
--- a/internal/fleetstate/aged_keys_test.go
+++ b/internal/fleetstate/aged_keys_test.go
@@ -1,4 +1,4 @@
-// Tests of the compact storage of old idempotency records.
+// These tests check the compact storage of old idempotency records.
 
 package fleetstate
 
@@ -22,9 +22,10 @@
 	return got, err
 }
 
-// TestAgedKeys checks that a key that was claimed once is never fresh again, however many keys
-// follow it, both on the replica that stored it and on one restored from a snapshot, and that both
-// replicas seal identical chunks.
+// TestAgedKeys checks that a key that was claimed once cannot be claimed again on a replica that was
+// restored from a snapshot, regardless of the number of keys claimed since, and that the record of the
+// key keeps its outcome. The replica has the same chunks and snapshot as the one that it was copied
+// from.
 func TestAgedKeys(t *testing.T) {
 	m := NewMachine(MachineOptions{Retention: Retention{FullRecords: 4, ChunkEntries: 8}})
 	key := func(i int) string { return fmt.Sprintf("verdict/%d", i) }
@@ -66,8 +67,8 @@
 	require.False(t, ok)
 }
 
-// TestFullStoreRejectsNewKeys checks that a full store rejects new keys and still finds the old
-// ones.
+// TestFullStoreRejectsNewKeys checks that a state with the maximum number of idempotency records
+// rejects new keys and still finds the old ones.
 func TestFullStoreRejectsNewKeys(t *testing.T) {
 	s := newState(false, Retention{FullRecords: 2, ChunkEntries: 4})
 	s.maxRecords = 10
--- a/internal/fleetstate/audit.go
+++ b/internal/fleetstate/audit.go
@@ -1,7 +1,7 @@
-// The audit log of work that a regime governs has a row for the beginning and for the outcome of
-// each request. Each row has a hash that covers the hash of the row before it, so that a removed or
-// changed row is detected. Full groups of rows are sealed as chunks; the oldest chunks are dropped
-// beyond maxAuditChunks.
+// The audit log has rows for the requests that a regime governs: one for the outcome of each request
+// and, if its key is not claimed, one for its start. The hash of each row covers the hash of the row
+// before it, so that a removed or changed row is detected. Every auditChunkRows rows are sealed as a
+// chunk; beyond maxAuditChunks the oldest chunks are dropped.
 
 package fleetstate
 
@@ -62,8 +62,8 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// VerifyChain checks that rows are consecutive and unchanged, and that they follow the row
-// before, unless that is nil.
+// VerifyChain checks that rows are consecutive and unchanged, and that they follow the row before. If
+// before is nil, the first row may have any index and any previous hash.
 func VerifyChain(before *AuditRow, rows []AuditRow) error {
 	for i := range rows {
 		r := &rows[i]
@@ -102,15 +102,15 @@
 
 const (
 	auditChunkRows = 1024
-	maxAuditChunks = 100 // sealed chunks that are kept
-	auditMagic     = "keelstair audit\n"
+	maxAuditChunks = 100                 // maximum number of sealed chunks that are kept
+	auditMagic     = "keelstair audit\n" // prefix of a sealed chunk, by which RestoreChunks recognizes it
 )
 
 // auditLog is the hash chain of audit rows: sealed chunks and the open rows after them.
 type auditLog struct {
 	rowCount     int
 	lastHash     string
-	openRows     [][]byte
+	openRows     [][]byte // JSON of the rows that are not sealed yet
 	sealedChunks []coordination.Chunk
 }
 
@@ -120,7 +120,7 @@
 	r.Hash = r.computeHash()
 	line, err := json.Marshal(&r)
 	if err != nil {
-		return // unreachable: AppendAudit refuses a record that isn't JSON
+		return // unreachable: AppendAudit rejects a record that isn't JSON
 	}
 	a.lastHash = r.Hash
 	if a.openRows = append(a.openRows, line); len(a.openRows) < auditChunkRows {
@@ -139,7 +139,8 @@
 	return a.rowCount - len(a.openRows) - len(a.sealedChunks)*auditChunkRows + 1
 }
 
-// read returns up to limit rows, beginning with index from or the oldest row that is kept.
+// read returns up to limit rows, starting at the index from or, if that row was dropped, at the oldest
+// row that is kept.
 func (a *auditLog) read(from, limit int) *AuditQueryReply {
 	out := &AuditQueryReply{FirstIndex: a.firstIndex(), RowCount: a.rowCount, LastHash: a.lastHash}
 	for index := max(from, out.FirstIndex); index <= a.rowCount && len(out.Lines) < limit; {
@@ -159,8 +160,8 @@
 }
 
 func (c *AppendAudit) apply(s *State) (msgp.Marshaler, error) {
-	// The record is embedded in its row unchanged, so it must have the form that the JSON encoder
-	// writes.
+	// The record must have the form that the JSON encoder writes, since VerifyChain checks the hash of
+	// the record as encoded in its row.
 	if compact, err := json.Marshal(json.RawMessage(c.Record)); err != nil || !bytes.Equal(compact, c.Record) {
 		return nil, failure.New(failure.InvalidArgument, "audit", "", "the audit record is not JSON in compact form")
 	}
--- a/internal/fleetstate/audit_test.go
+++ b/internal/fleetstate/audit_test.go
@@ -1,4 +1,5 @@
-// Tests of the audit log's hash chain, with sealed chunks, snapshots and tampering.
+// These tests check the audit log: reading rows, sealed chunks, snapshots, detection of tampering, and
+// the records that Resolve writes.
 
 package fleetstate
 
@@ -16,7 +17,7 @@
 // queryAudit reads audit rows through an AuditQuery command.
 func queryAudit(t *testing.T, m *Machine, from, limit int) (AuditQueryReply, []AuditRow) {
 	out, err := m.State.Apply(AuditQueryKind, coordination.MustMarshal(&AuditQuery{From: from, Limit: limit}))
-	require.ErrorIs(t, err, coordination.ErrUnchanged, "a query is not written to the log")
+	require.ErrorIs(t, err, coordination.ErrUnchanged, "a query must not add an entry to the command log")
 	var got AuditQueryReply
 	_, err = got.UnmarshalMsg(out)
 	require.NoError(t, err)
@@ -27,9 +28,10 @@
 	return got, rows
 }
 
-// TestAuditLogKeepsRows checks that every replica returns all rows unchanged and in order, also those in
-// sealed chunks and after a restore from a snapshot. Beyond maxAuditChunks the oldest chunks are
-// dropped, and FirstIndex reports that.
+// TestAuditLogKeepsRows checks that a replica that was restored from a snapshot returns all rows
+// unchanged and in order, including those in sealed chunks. A record that does not have the form that
+// json.Marshal writes is rejected. Beyond maxAuditChunks the oldest chunks are dropped, and FirstIndex
+// is the index of the oldest remaining row.
 func TestAuditLogKeepsRows(t *testing.T) {
 	m, replica := NewMachine(MachineOptions{}), NewMachine(MachineOptions{})
 	n := auditChunkRows*2 + 100
@@ -80,8 +82,8 @@
 	require.Len(t, m.Chunks(), maxAuditChunks)
 }
 
-// TestVerifyChain checks that VerifyChain reports a row that was removed or changed, and rows that
-// were replaced by those of another chain.
+// TestVerifyChain checks that VerifyChain reports a removed row, a changed row, a changed row whose
+// hash was recomputed, and rows that were replaced by those of another chain.
 func TestVerifyChain(t *testing.T) {
 	build := func(tag string) []AuditRow {
 		a := auditLog{}
@@ -111,8 +113,8 @@
 	}
 }
 
-// TestResolveWritesAuditRecord checks that an outcome and its audit record are written by one log entry; an
-// invalid record leaves the claim unchanged.
+// TestResolveWritesAuditRecord checks that one Resolve command writes an outcome and its audit record
+// together. If the record is invalid, or the claim has an outcome already, the command writes neither.
 func TestResolveWritesAuditRecord(t *testing.T) {
 	s := newState(false, Retention{})
 	_, err := applyClaim(t, s, "verdict/1", "b")
--- a/internal/fleetstate/clock.go
+++ b/internal/fleetstate/clock.go
@@ -1,9 +1,9 @@
-// The fleet's time is kept by the primary with its monotonic clock. The primary logs an upper
-// bound ahead of the time, never reports a time beyond the newest bound, and a new primary
-// continues from that bound. The time therefore never goes back, whoever is primary, and steps of
-// wall clocks have no effect: the wall clock is read once, when regimes first become active. Time
-// that passes without a primary is caught up from the nodes, which keep counting, by at most
-// maxClockCatchUp, as long as a takeover may take.
+// The primary keeps the fleet's time with its monotonic clock. It logs an upper bound that is ahead of
+// the time and never reports a time beyond the newest bound. A new primary continues from that bound,
+// so the time does not go back when the primary changes. Steps of wall clocks have no effect: the wall
+// clock is read only to start the time, when regimes first become active. Nodes extrapolate the time
+// while there is no primary; a new primary advances its time according to their reports, by at most
+// maxClockCatchUp, which is the time that a takeover may take.
 
 package fleetstate
 
@@ -15,8 +15,8 @@
 )
 
 const (
-	clockBoundLead       = 2 * time.Second  // how far the bound is ahead of the time
-	clockAdvanceInterval = time.Second      // how often the bound is advanced
+	clockBoundLead       = 2 * time.Second  // how far a new bound is ahead of the time
+	clockAdvanceInterval = time.Second      // how often the primary advances the bound
 	maxClockCatchUp      = 10 * time.Second // maximum by which reports of nodes advance the time
 	clockCatchUpWindow   = 4 * time.Second  // how long a new primary accepts reports of nodes
 )
@@ -25,20 +25,21 @@
 type fleetClock struct {
 	wallClock     func() time.Time
 	baseTime      int64    // the fleet's time at baseTick
-	baseTick      ids.Tick // the monotonic time that belongs to baseTime
-	lastHeartbeat ids.Tick // monotonic time of the newest heartbeat
-	bound         int64    // the bound that this primary proposed last, or began with
-	catchUp       int64    // the time caught up from nodes since baseTick was set
+	baseTick      ids.Tick // the monotonic time at which the fleet's time was baseTime
+	lastHeartbeat ids.Tick // monotonic time of the newest heartbeat, at which DueCommands was called
+	bound         int64    // the bound that this primary proposed last, or the logged bound that it started from
+	catchUp       int64    // by how much reports of nodes have advanced the time since baseTick was set
 }
 
-// ledContinuously reports whether this machine has been the primary without a break since the
-// newest heartbeat and no other primary has advanced the bound.
+// ledContinuously reports whether this replica has been the primary without interruption: its newest
+// heartbeat is at most one second old, and no other primary has advanced the bound.
 func (c *fleetClock) ledContinuously(now ids.Tick, bound int64) bool {
 	return c.bound == bound && c.bound != 0 && !now.Past(c.lastHeartbeat, time.Second)
 }
 
-// advanceClockCommands returns the command that advances the bound, if it is due. It begins a new count
-// from the bound, or from the wall clock if there is none, unless this machine led continuously.
+// advanceClockCommands returns the command that advances the bound, if it is due. Unless this replica
+// led continuously, the time continues from the logged bound, or starts from the wall clock if there
+// is no bound yet. Without a bound and without regimes, there is no fleet time to advance.
 func (m *Machine) advanceClockCommands(now ids.Tick) []coordination.Command {
 	c := &m.clock
 	if m.timeBound == 0 && !m.hasRegimes {
@@ -59,7 +60,8 @@
 	return []coordination.Command{{Kind: AdvanceClockKind, Body: coordination.MustMarshal(&AdvanceClock{c.bound})}}
 }
 
-// Time returns the fleet's time in nanoseconds since 1970, or 0 while it is not known.
+// Time returns the fleet's time in nanoseconds since 1970, or 0 if this replica did not lead
+// continuously and so does not know it.
 func (m *Machine) Time(now ids.Tick) int64 {
 	if !m.clock.ledContinuously(now, m.timeBound) {
 		return 0
@@ -67,9 +69,10 @@
 	return min(m.clock.baseTime+int64(now.Since(m.clock.baseTick)), m.timeBound)
 }
 
-// Observe takes a node's report that the fleet's time is at least minTime. Reports count only
+// Observe processes a node's report that the fleet's time is at least minTime. Reports are used only
 // during the first clockCatchUpWindow of this primary, and advance the time by at most
-// maxClockCatchUp in all, so that a node whose clock jumped has a bounded effect.
+// maxClockCatchUp in total, so that a node whose clock jumped has a bounded effect. A report that
+// would exceed this total is ignored.
 func (m *Machine) Observe(now ids.Tick, minTime int64) {
 	c := &m.clock
 	if !c.ledContinuously(now, m.timeBound) || now.Past(c.baseTick, clockCatchUpWindow) {
--- a/internal/fleetstate/compression.go
+++ b/internal/fleetstate/compression.go
@@ -1,5 +1,5 @@
-// This file compresses configuration texts. They are stored and sent compressed, since a large text
-// goes to every node.
+// This file compresses configuration texts for storage and transmission, since each text is sent to
+// every node and may be large.
 
 package fleetstate
 
@@ -25,7 +25,7 @@
 	return b.Bytes()
 }
 
-// isCompressed reports whether a text starts with the gzip header, with which no JSON text starts.
+// isCompressed reports whether a text starts with the gzip header. No JSON text starts with it.
 func isCompressed(text []byte) bool { return len(text) > 2 && text[0] == 0x1f && text[1] == 0x8b }
 
 // decompress returns the original text of a possibly compressed one. It returns a corrupt text
--- a/internal/fleetstate/compression_test.go
+++ b/internal/fleetstate/compression_test.go
@@ -1,4 +1,4 @@
-// Tests of compressed configuration texts.
+// These tests check the compression of configuration texts.
 
 package fleetstate
 
--- a/internal/fleetstate/delta.go
+++ b/internal/fleetstate/delta.go
@@ -1,7 +1,7 @@
 // This file computes and applies deltas between texts. A large text with few changes is sent to
-// every replica and node as ranges to copy from the previous text, and new text. The receiver
-// verifies the result against the digest of the complete text, so that a delta never produces a
-// different text.
+// every replica and node as a list of hunks. Each hunk is a range to copy from the previous text,
+// followed by new text. The receiver verifies the result against the size and the SHA-256 checksum of
+// the complete text, so that a delta never produces a different text.
 
 package fleetstate
 
@@ -49,25 +49,25 @@
 	return d
 }
 
-// patch applies the delta to previous. It returns InvalidArgument if the result is not the text that
-// the delta was made for.
+// patch applies the delta to previous. It returns an error of kind InvalidArgument if the result is
+// not the text for which the delta was computed.
 func (d *Delta) patch(previous []byte) ([]byte, error) {
 	fault := func(reason string) error {
 		return failure.New(failure.InvalidArgument, "apply delta", "", "%s", reason)
 	}
 	if d.Size < 0 || d.Size > maxDeltaResultBytes {
-		return nil, fault("its size is out of bounds")
+		return nil, fault("the size of the result is out of bounds")
 	}
 	out := make([]byte, 0, d.Size)
 	for _, h := range d.Hunks {
 		if h.From < 0 || h.Len < 0 || h.From > len(previous) || h.Len > len(previous)-h.From ||
 			h.Len+len(h.Text) > d.Size-len(out) {
-			return nil, fault("it does not fit the text before it")
+			return nil, fault("a hunk exceeds the previous text or the size of the result")
 		}
 		out = append(append(out, previous[h.From:h.From+h.Len]...), h.Text...)
 	}
 	if sum := sha256.Sum256(out); len(out) != d.Size || !bytes.Equal(sum[:], d.Checksum) {
-		return nil, fault("it gives another text than it stands for")
+		return nil, fault("the result does not match the size and checksum of the delta")
 	}
 	return out, nil
 }
--- a/internal/fleetstate/delta_test.go
+++ b/internal/fleetstate/delta_test.go
@@ -1,4 +1,4 @@
-// Tests of deltas between texts.
+// These tests check deltas between texts.
 
 package fleetstate
 
@@ -16,8 +16,8 @@
 	"keelstair.example/logging"
 )
 
-// routesText returns the JSON of a configuration with n+1 routes. The route with index changed has
-// another number of attempts, and the zone is named after it.
+// routesText returns the JSON of a configuration with n+1 routes. The route with the index changed has
+// 7 attempts instead of 1, and the zone's name contains the index.
 func routesText(n, changed int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"zones":["z%d"],"routes":[`, changed)
@@ -38,8 +38,9 @@
 	return []byte(b.String() + `{"name":"last","prefix":"/"}]}`)
 }
 
-// TestDeltaRoundTrip checks that the delta between any two texts reproduces the second one byte for
-// byte, and that a corrupt delta, or one applied to another text, is rejected.
+// TestDeltaRoundTrip checks that the delta between two texts reproduces the second one byte for byte. A
+// delta that is applied to another text, or that has an invalid size or hunk, is rejected. A corrupt
+// encoding of a delta is rejected or still produces the correct text.
 func TestDeltaRoundTrip(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	texts := [][]byte{
@@ -99,9 +100,9 @@
 }
 
 // TestPrepareDelta checks that a small change of a large text is sent as a delta that is little
-// larger than the change, and that replicas and nodes reconstruct the complete text, also from
-// snapshots, which are compressed. A delta that does not apply is rejected and changes nothing, and
-// a text that differs much is sent in full.
+// larger than the change, and that replicas and nodes reconstruct the complete text, also after a
+// restore from a snapshot, which is compressed. A delta that does not apply is rejected and changes
+// nothing. A text that differs too much from the previous one is sent in full.
 func TestPrepareDelta(t *testing.T) {
 	one, two := routesText(1400, 3), routesText(1400, 900)
 	c := &PrepareVersion{Base: 1, Text: compress(two)}
--- a/internal/fleetstate/duty_round.go
+++ b/internal/fleetstate/duty_round.go
@@ -1,7 +1,9 @@
-// A duty round is the permission for one act outside the fleet, such as a call to the platform: the
-// holder of a duty may perform the act only after it has won a round for it. The log orders the
-// rounds. Once a holder with a higher fencing token has won a round for a subject, earlier holders
-// win none for it, and the content of an act is the same for every holder that performs it.
+// A duty round is a request for permission to perform one act outside the fleet, such as a call to the
+// platform. The node that holds a duty submits a DutyRound command for the act, and may perform the
+// act only if the command is accepted, that is, if it wins the round. An act is identified by its
+// subject and number. The log orders the rounds. Once a holder with a higher fencing token has won a
+// round for a subject, the rounds of earlier holders for that subject are rejected. The first round
+// for an act fixes its content, so that every holder performs the act with the same content.
 
 package fleetstate
 
@@ -19,14 +21,15 @@
 // MeteringKey is the key of the duty of reporting usage.
 const MeteringKey ids.Key = "metering"
 
-// maxDutyActs is how many acts are kept for each subject.
+// maxDutyActs is the maximum number of acts that are kept for each subject. Those with the lowest
+// numbers are dropped first.
 const maxDutyActs = 16
 
 func (c *DutyRound) apply(s *State) (msgp.Marshaler, error) {
 	subject := s.dutySubjects[c.Subject]
 	if c.Fence < subject.Fence || c.Fence == subject.Fence && c.Owner != subject.Owner {
 		return nil, failure.New(failure.Stale, "win round", c.Subject,
-			"fence %d of %s is not above fence %d of %s", c.Fence, c.Owner, subject.Fence, subject.Owner)
+			"fencing token %d of %s is not higher than fencing token %d of %s", c.Fence, c.Owner, subject.Fence, subject.Owner)
 	}
 	number := c.Number
 	if number == 0 {
@@ -53,8 +56,8 @@
 	return d.Acts[len(d.Acts)-1].Number
 }
 
-// withRound returns the subject as it is after a round for the act of the given number, that act,
-// and whether the acts changed. It does not modify d.
+// withRound returns the subject after a round for the act with the given number, that act, and whether
+// the acts changed. It does not modify d.
 func (d *DutySubject) withRound(number uint64, c *DutyRound) (next DutySubject, act DutyAct, changed bool) {
 	next = *d
 	next.Acts = slices.Clone(d.Acts)
--- a/internal/fleetstate/duty_round_test.go
+++ b/internal/fleetstate/duty_round_test.go
@@ -1,4 +1,4 @@
-// Tests of duty rounds on the state machine alone.
+// These tests check duty rounds on the state machine, without a running fleet.
 
 package fleetstate
 
@@ -12,8 +12,8 @@
 	"keelstair.example/ids"
 )
 
-// winRound submits a round and returns the act of the reply. The error is nil or ErrUnchanged if the
-// round was won.
+// winRound applies a DutyRound command and returns the act of the reply. The error is nil or
+// ErrUnchanged if the round was won.
 func winRound(t *testing.T, s *State, c DutyRound) (DutyAct, error) {
 	t.Helper()
 	out, err := s.Apply(DutyRoundKind, coordination.MustMarshal(&c))
@@ -26,8 +26,8 @@
 	return reply.Act, err
 }
 
-// TestDutyContentFixedByFirstRound checks that the first round for an act fixes its content; a
-// later holder gets that content, not its own, and none once the act is done.
+// TestDutyContentFixedByFirstRound checks that the first round for an act fixes its content. A later
+// holder gets that content instead of its own, and no content once the act is done.
 func TestDutyContentFixedByFirstRound(t *testing.T) {
 	s := newState(false, Retention{})
 	first := DutyRound{Subject: "usage", Number: 7, Owner: "a", Fence: 3, Content: []byte("x")}
@@ -48,8 +48,8 @@
 }
 
 // TestDutyRoundOfEarlierHolder checks that after a later holder has won a round, neither an earlier
-// holder nor another holder with the same fencing token wins a round of the subject, and a refused
-// round changes nothing.
+// holder nor another holder with the same fencing token wins a round for the subject, and that a
+// rejected round changes nothing.
 func TestDutyRoundOfEarlierHolder(t *testing.T) {
 	s := newState(false, Retention{})
 	_, err := winRound(t, s, DutyRound{Subject: "usage", Number: 1, Owner: "b", Fence: 4})
@@ -68,8 +68,8 @@
 	require.NoError(t, err, "subjects are independent")
 }
 
-// TestDutyActsBounded checks that the oldest acts beyond maxDutyActs are dropped, and no round is
-// won for them again.
+// TestDutyActsBounded checks that the oldest acts beyond maxDutyActs are dropped, and that no round can
+// be won for them again.
 func TestDutyActsBounded(t *testing.T) {
 	s := newState(false, Retention{})
 	for i := range uint64(maxDutyActs + 3) {
@@ -84,8 +84,9 @@
 	require.EqualValues(t, 100+maxDutyActs+3, act.Number)
 }
 
-// TestDutyRoundsInSnapshot checks that a replica restored from a whole snapshot decides later
-// rounds alike. Watchers get neither the rounds nor the duties.
+// TestDutyRoundsInSnapshot checks that a replica that was restored from a complete snapshot has the
+// same subjects and rejects a round of an earlier holder. Watchers receive neither the DutyRound
+// commands nor the subjects.
 func TestDutyRoundsInSnapshot(t *testing.T) {
 	m := NewMachine(MachineOptions{Metering: true})
 	for _, subject := range []string{"b", "a"} {
@@ -98,13 +99,13 @@
 	require.Equal(t, m.Snapshot(false), replica.Snapshot(false))
 	_, err := winRound(t, replica.State, DutyRound{Subject: "a", Number: 6, Owner: "m", Fence: 8})
 	require.True(t, failure.Is(err, failure.Stale), "%v", err)
-	open := NewMachine(MachineOptions{})
-	require.NoError(t, open.Restore(m.Snapshot(true)))
-	require.Empty(t, open.dutySubjects)
+	watcher := NewMachine(MachineOptions{})
+	require.NoError(t, watcher.Restore(m.Snapshot(true)))
+	require.Empty(t, watcher.dutySubjects)
 	require.False(t, m.Published(DutyRoundKind))
 }
 
-// TestMeteringKey checks that MeteringKey is listed only if usage is reported.
+// TestMeteringKey checks that Keys lists MeteringKey only if metering is enabled.
 func TestMeteringKey(t *testing.T) {
 	text := []byte(`{"services":{"svc":{"concurrency":1}}}`)
 	for _, metering := range []bool{false, true} {
--- a/internal/fleetstate/fleetstate_test.go
+++ b/internal/fleetstate/fleetstate_test.go
@@ -1,4 +1,4 @@
-// Tests of configurations, idempotency records and commits, without a running fleet.
+// These tests check configurations, idempotency records and commits, without a running fleet.
 
 package fleetstate
 
@@ -23,9 +23,9 @@
 	limits: {}
 }`
 
-// TestConfigurationCheck checks that a CUE text is completed with defaults and parsed, and the
-// completed text parses to the same configuration. The error for each invalid change names the
-// field or the reason.
+// TestConfigurationCheck checks that the defaults are filled into a CUE text, and that the completed
+// text parses to the same configuration. The error for each invalid change names the field or the
+// reason.
 func TestConfigurationCheck(t *testing.T) {
 	text, err := CUEToJSON("f.cue", []byte(smallConfiguration))
 	require.NoError(t, err)
@@ -86,9 +86,9 @@
 	require.Equal(t, s.records, replica.records)
 }
 
-// TestCommitWaitsForNodes checks that a prepared version is committed once all nodes have seen its
-// log entry, not later entries, or after CommitTimeout. Versions that are prepared in quick
-// succession can't delay the commit of the first one.
+// TestCommitWaitsForNodes checks that a prepared version is committed once all nodes have applied its
+// log entry, even if they have not applied later ones, or after CommitTimeout. Versions that are
+// prepared in quick succession can't delay the commit of the first one.
 func TestCommitWaitsForNodes(t *testing.T) {
 	prepare := func(m *Machine, seq ids.Seq, base ids.Version) error {
 		_, err := m.Apply(seq, PrepareKind, coordination.MustMarshal(&PrepareVersion{Base: base, Text: []byte(`{}`)}))
@@ -99,7 +99,7 @@
 	require.NoError(t, prepare(m, 5, 0))
 	require.Error(t, prepare(m, 6, 0), "the base version is superseded")
 	require.Empty(t, m.DueCommands(ms(1), 9, 4))
-	require.Len(t, m.DueCommands(ms(2), 9, 5), 1, "entries 6 to 9 need not be seen")
+	require.Len(t, m.DueCommands(ms(2), 9, 5), 1, "entries 6 to 9 need not be applied")
 	m = NewMachine(MachineOptions{CommitTimeout: time.Second})
 	for v := range 3 {
 		require.NoError(t, prepare(m, ids.Seq(v+1), ids.Version(v)))
@@ -110,7 +110,8 @@
 }
 
 // TestViewCommitsNotedVersion checks that a view activates a version that is passed to NoteVersion
-// if it has received that version. Otherwise it is not up to date until the version arrives.
+// if that version is prepared in the view. Otherwise the view is not up to date until the version
+// arrives.
 func TestViewCommitsNotedVersion(t *testing.T) {
 	v := NewView(logging.Discard())
 	observe := func(kind string, c interface{ MarshalMsg([]byte) ([]byte, error) }) {
@@ -129,9 +130,9 @@
 	require.Len(t, v.Current().Configuration.Zones, 2)
 }
 
-// TestViewKeepsServedVersion checks that a node that has served the newest version does not go back
-// when the coordination service is restored from a copy that lacks this version, and takes the next
-// higher one.
+// TestViewKeepsServedVersion checks that a view keeps the newest version that it has activated when the
+// coordination service is restored from a copy that lacks this version, and that the view activates
+// the next higher version.
 func TestViewKeepsServedVersion(t *testing.T) {
 	m, v := NewMachine(MachineOptions{}), NewView(logging.Discard())
 	seq := ids.Seq(0)
--- a/internal/fleetstate/idempotency.go
+++ b/internal/fleetstate/idempotency.go
@@ -1,6 +1,6 @@
-// Idempotency records allow one execution for each key. A claim precedes the execution and one
-// outcome ends it. The answers of the newest keys are kept in full; of older keys only the outcome
-// is kept.
+// An idempotency record allows one execution for its key: a node claims the key before it runs the
+// request, and one outcome is recorded afterwards. The newest resolved records are kept with their
+// answers; of older ones only the outcome and hashes of the key and digest are kept.
 
 package fleetstate
 
@@ -19,7 +19,7 @@
 		return &ClaimReply{Record: record}, coordination.ErrUnchanged
 	}
 	if !s.claimsOnly && s.maxRecords > 0 && s.recordCount >= s.maxRecords {
-		return nil, failure.New(failure.Stale, "claim", c.Key, "the store of deeds is full: %d", s.recordCount)
+		return nil, failure.New(failure.Stale, "claim", c.Key, "the store of idempotency records is full: %d", s.recordCount)
 	}
 	record := IdempotencyRecord{
 		Key:         c.Key,
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -1,5 +1,7 @@
-// Machine connects State to the coordination service: it lists the duties to assign to nodes
-// and proposes the commands that follow from time and from what nodes have seen.
+// This file connects State to the coordination service. Machine lists the duties to assign to nodes
+// and proposes the commands that are due because time has passed or because nodes have applied the
+// log up to an entry. A duty is a singleton role: the coordination service assigns its key to one
+// node at a time.
 
 package fleetstate
 
@@ -14,8 +16,8 @@
 
 // These are the keys of the duties that exist under every configuration.
 const (
-	RetryBudgetKey     ids.Key = "budget"
-	ClaimResolutionKey ids.Key = "settle"
+	RetryBudgetKey     ids.Key = "budget" // the duty of granting retries from the fleet's retry budget
+	ClaimResolutionKey ids.Key = "settle" // the duty of recording the outcomes of claims whose nodes are dead
 )
 
 // WorkerKey is the key of the duty of dispatching requests to one worker.
@@ -24,16 +26,16 @@
 // PoolKey is the key of the duty of balancing the prefill and decode roles of a model's workers.
 func PoolKey(model string) ids.Key { return ids.Key("pool/" + model) }
 
-// prepareProgress records how far a prepared version has got towards its commit.
+// prepareProgress records what the commit of a prepared version waits for.
 type prepareProgress struct {
-	firstConsidered ids.Tick // when Due first considered the version on this machine
-	seq             ids.Seq  // the log entry that nodes must have seen
+	firstConsidered ids.Tick // when DueCommands of this replica first considered the version, or 0
+	seq             ids.Seq  // the log entry that nodes must have applied
 }
 
 // commitTracker tracks when the prepared versions of one version history may be committed.
 type commitTracker struct {
 	*versionHistory
-	prepareKind, commitKind string // the command kinds of this history
+	prepareKind, commitKind string // the kinds of the commands that prepare and commit its versions
 	progress                map[ids.Version]prepareProgress
 }
 
@@ -46,21 +48,21 @@
 	keys               []ids.Key
 	keysVersion        ids.Version
 	maxSlowStart       time.Duration       // the longest slow start of a failed-back zone, over all services
-	failbackFirstSeen  map[uint64]ids.Tick // by failback number: when Due first saw the failback here
+	failbackFirstSeen  map[uint64]ids.Tick // by failback number: when DueCommands of this replica first saw the failback
 	now                ids.Tick
-	pendingRevocations map[string]ids.Seq // by serial: the entry that nodes must have applied
+	pendingRevocations map[string]ids.Seq // by serial: the log entry that nodes must have applied
 	clock              fleetClock
-	configuredRegister *certification.Register // certificates of the active configuration, without revocations
+	configuredRegister *certification.Register // certificates of the active configuration; revocations are not applied
 	meteringEnabled    bool
 }
 
 // MachineOptions are the options of NewMachine. A zero field takes the default named beside it.
 type MachineOptions struct {
-	CommitTimeout      time.Duration       // 300ms: how long a commit waits for nodes that have not seen the prepared version
-	ParseConfiguration ConfigurationParser // ReadPlain: parses the text of a configuration
+	CommitTimeout      time.Duration       // 300ms: how long a commit waits for nodes that have not applied the prepared version
+	ParseConfiguration ConfigurationParser // ParseJSON: parses the text of a configuration
 	Retention          Retention
-	WallClock          func() time.Time // time.Now: read once, to initialize the fleet's time
-	Metering           bool             // usage is reported, so MeteringKey is listed
+	WallClock          func() time.Time // time.Now: read to initialize the fleet's time
+	Metering           bool             // Keys lists MeteringKey if the configuration has services
 }
 
 // NewMachine returns a Machine with an empty state.
@@ -98,9 +100,9 @@
 	return m
 }
 
-// Apply applies the command of the log entry seq. It records the entries that prepare a version
-// or revoke a certificate, since nodes need to have seen only these before Due proposes the commit
-// or the confirmation, not the claims that follow them in the log.
+// Apply applies the command of the log entry seq. It records the number of each entry that prepares
+// a version or revokes a certificate. Before DueCommands proposes the commit or the confirmation,
+// nodes must have applied the log up to that entry; they need not have applied later ones.
 func (m *Machine) Apply(seq ids.Seq, kind string, body []byte) ([]byte, error) {
 	out, err := m.State.Apply(kind, body)
 	for _, tracker := range m.commitTrackers {
@@ -116,8 +118,9 @@
 	return out, err
 }
 
-// Published reports whether commands of a kind are sent to watchers. Nodes get the time with
-// their leases, audit rows by query, and the result of a duty round in the reply.
+// Published reports whether commands of a kind are sent to watchers. It excludes the commands whose
+// effect nodes learn in another way: the time comes with lease renewals, audit rows are queried, and
+// the result of a DutyRoundKind command is in its reply.
 func (m *Machine) Published(kind string) bool {
 	return kind != AdvanceClockKind && kind != AppendAuditKind && kind != DutyRoundKind
 }
@@ -125,7 +128,7 @@
 // Restore replaces the state with that of a snapshot.
 func (m *Machine) Restore(body []byte) error { m.keysVersion = 0; m.keys = nil; return m.decode(body) }
 
-// Snapshot encodes the whole state or, with forWatchers, only the part that is sent to watchers.
+// Snapshot encodes the complete state or, with forWatchers, only the part that is sent to watchers.
 func (m *Machine) Snapshot(forWatchers bool) []byte {
 	encoded := m.encode(forWatchers)
 	for i, f := range encoded.Failbacks {
@@ -134,8 +137,11 @@
 	return coordination.MustMarshal(encoded)
 }
 
-// Keys lists the keys of all duties under the active configuration: those of its workers, models
-// and services, and the fixed ones.
+// Keys returns the sorted keys of all duties under the active configuration: those of each worker,
+// model and service, those that exist under every configuration, and, if there are services,
+// WorkerListKey and, with metering, MeteringKey. If the configuration cannot be parsed, only the keys
+// that exist under every configuration are listed. Keys builds the list when the active version has
+// changed or a snapshot was restored, and then also sets configuredRegister and maxSlowStart.
 func (m *Machine) Keys() []ids.Key {
 	if m.keys != nil && m.keysVersion == m.active.Version {
 		return m.keys
@@ -168,9 +174,9 @@
 }
 
 // DueCommands returns the commands to propose now: those that advance the fleet's time, confirm
-// revocations that every node with a lease has seen, end the slow start of zones whose workers are
-// warm, and commit prepared versions. Every node with a lease has applied the log up to applied;
-// seq is its newest entry.
+// revocations that every node with a lease has applied, end the slow start of zones after a
+// failback, and commit prepared versions. Every node with a lease has applied the log up to the
+// entry applied; seq is the newest entry of the log.
 func (m *Machine) DueCommands(now ids.Tick, seq, applied ids.Seq) []coordination.Command {
 	out := append(append(m.advanceClockCommands(now), m.confirmRevocationCommands(seq, applied)...), m.slowStartEndedCommands(now)...)
 	for _, tracker := range m.commitTrackers {
@@ -196,9 +202,10 @@
 	return out
 }
 
-// confirmRevocationCommands returns the commands that confirm the revocations seen by every node with a
-// lease. For a revocation that this machine did not apply itself, such as one from a snapshot, the
-// entry is unknown, so that nodes must have seen the whole log up to seq.
+// confirmRevocationCommands returns the commands that confirm the revocations that every node with a
+// lease has applied. It stops tracking the revocations for which it returns a command. If this
+// replica did not apply a revocation itself, for example because it came with a snapshot, its entry
+// is unknown; nodes must then have applied the log up to the entry seq of the first call.
 func (m *Machine) confirmRevocationCommands(seq, applied ids.Seq) []coordination.Command {
 	var out []coordination.Command
 	for _, serial := range m.unconfirmedRevocations() {
@@ -218,8 +225,10 @@
 	return out
 }
 
-// newestCommittable returns the newest prepared version that all live nodes have seen, or that
-// has waited long enough for silent ones. It returns 0 if there is none.
+// newestCommittable returns the newest prepared version whose entry every node with a lease has
+// applied, or that was first considered more than timeout ago. It returns 0 if there is none. It
+// also starts the timeout of versions that it has not considered before, and stops tracking the
+// returned version and all older ones.
 func (p *commitTracker) newestCommittable(now ids.Tick, seq, applied ids.Seq, timeout time.Duration) ids.Version {
 	var newest ids.Version
 	for _, r := range p.prepared {
--- a/internal/fleetstate/overlay.go
+++ b/internal/fleetstate/overlay.go
@@ -1,6 +1,6 @@
 // This file applies a partial configuration to one that is already validated. Only the entries that
 // the partial configuration changes are validated against the schema again, so that many small
-// changes to a large configuration stay fast. Constraints between fields are checked on the whole
+// changes to a large configuration stay fast. Constraints between fields are checked on the complete
 // configuration.
 
 package fleetstate
@@ -16,7 +16,7 @@
 // complete configuration of this size takes about half a second.
 const maxEntries = 3000
 
-// keyedSections are the sections that can be validated entry by entry.
+// keyedSections are the sections of a configuration that are validated entry by entry.
 var keyedSections = []string{"workers", "kinds", "programs"}
 
 // Overlay merges a partial configuration into a validated complete one. The result is the one that
@@ -30,7 +30,7 @@
 	if json.Unmarshal(merged, &mergedFields) != nil || json.Unmarshal(partial, &changedFields) != nil {
 		return ParseComplete(name, merged)
 	}
-	// Changes to these sections are validated together with the whole configuration.
+	// A change to one of these sections requires the validation of the complete configuration.
 	for _, k := range []string{"routes", "services", "intake", "tenants", "regimes", "issuers", "certificates"} {
 		if _, ok := changedFields[k]; ok {
 			return ParseComplete(name, merged)
@@ -75,8 +75,8 @@
 }
 
 // changedEntries returns the merged form of the entries that a section of a partial configuration
-// changes, and the ids of those that it removes. It returns false for ok if the section cannot be
-// processed entry by entry.
+// changes, and the ids of those that it removes. If the section cannot be processed entry by entry,
+// ok is false.
 func changedEntries(
 	partial, merged json.RawMessage,
 ) (changed map[string]json.RawMessage, removed []string, ok bool) {
--- a/internal/fleetstate/overlay_test.go
+++ b/internal/fleetstate/overlay_test.go
@@ -1,4 +1,4 @@
-// Tests of partial configurations and of large ones.
+// These tests check partial configurations and large ones.
 
 package fleetstate
 
@@ -47,7 +47,7 @@
 		`{kinds: {k1: null, k2: maxTokens: 9, fresh: {model: "m", maxTokens: 3}}}`,
 		`{zones: ["a", "b", "c"], switch: false}`,
 		`{programs: p: {share: 100, source: "x"}}`, `{limits: null}`, `{}`,
-		// rejected
+		// These are rejected.
 		`{workers: w3: room: 0}`,
 		`{workers: w3: zone: "z"}`, `{colour: 3}`, `{workers: null}`, `{kinds: k1: model: "other"}`, `{zones: ["b"]}`,
 		`{workers: bare: {}}`,
@@ -58,15 +58,16 @@
 		require.NoError(t, err, part)
 		merged, err := Merge(complete, partial)
 		require.NoError(t, err, part)
-		_, want, e1 := ParseComplete("part", merged)
-		_, got, e2 := Overlay("part", complete, partial)
-		require.Equal(t, e1 == nil, e2 == nil, "%s: %v / %v", part, e1, e2)
+		_, want, wantErr := ParseComplete("part", merged)
+		_, got, gotErr := Overlay("part", complete, partial)
+		require.Equal(t, wantErr == nil, gotErr == nil, "%s: %v / %v", part, wantErr, gotErr)
 		require.Equal(t, string(want), string(got), part)
 	}
 }
 
-// TestEntryLimit checks that a configuration with too many entries is rejected by their number,
-// before all of them are validated against the schema, and that one at the limit is accepted.
+// TestEntryLimit checks that a configuration with more than maxEntries entries is rejected with their
+// number in the error, and that one at the limit is accepted. A much larger text is rejected with the
+// limit in the error, before it is validated against the schema.
 func TestEntryLimit(t *testing.T) {
 	_, complete, err := ParseComplete("w", largeConfiguration(maxEntries/2))
 	require.NoError(t, err)
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -1,6 +1,7 @@
 // A certification regime governs some kinds of requests, which only workers and router nodes with
 // a certificate for the regime may handle. This file checks regimes and certificates before a
-// configuration is accepted, and locates errors in the operator's text.
+// configuration is accepted, locates errors in the operator's text, and decides which nodes may hold
+// the duties that need a certificate.
 
 package fleetstate
 
@@ -32,7 +33,8 @@
 	return certification.Compile(c.Regimes, c.Issuers, c.Certificates)
 }
 
-// invalidCertificationField returns the error for an invalid field at a path of the configuration.
+// invalidCertificationField returns the error for an invalid field of a regime, issuer or certificate,
+// at a path of the configuration.
 func invalidCertificationField(path []string, reason string) error {
 	return failure.As(&certification.Fault{
 		Path:   path,
@@ -40,9 +42,10 @@
 	}, failure.InvalidArgument, "check regimes", strings.Join(path, "."))
 }
 
-// checkRegimes checks that every certificate is valid, that every kind that a regime governs
-// exists, and that each regime has a certified router node and, for each of its kinds, a certified
-// worker of each role.
+// checkRegimes checks that the certificates compile, that every kind that a regime governs exists,
+// and that each regime has a certificate for a router node and, for each of its kinds, a certificate
+// for a prefill worker and one for a decode worker of the kind's model. Certificates that have
+// expired, are not in force yet or were revoked count as well.
 func (cfg *Configuration) checkRegimes() error {
 	if len(cfg.Regimes)+len(cfg.Certificates)+len(cfg.Issuers) == 0 {
 		return nil
@@ -84,8 +87,8 @@
 
 func quote(s string) string { return `"` + s + `"` }
 
-// hasCertifiedWorker reports whether a configured worker of the model has a certificate for its
-// own role in the regime.
+// hasCertifiedWorker reports whether a configured worker of the model and role has a certificate of
+// the regime for that role.
 func (cfg *Configuration) hasCertifiedWorker(regime, model string, role ids.Role) bool {
 	for _, c := range cfg.Certificates {
 		if w, ok := cfg.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Role == role &&
@@ -96,8 +99,9 @@
 	return false
 }
 
-// CheckCertificateChanges checks a configuration against the one that it replaces: a serial is never
-// reused for another certificate, and no certificate that has already expired is added.
+// CheckCertificateChanges checks the certificates of a configuration against those of the one that it
+// replaces: a serial of the previous configuration must not identify another certificate, and an
+// added certificate must not have expired. While the time is unknown, expiry is not checked.
 func (cfg *Configuration) CheckCertificateChanges(previous *Configuration, now certification.Now) error {
 	for _, serial := range slices.Sorted(maps.Keys(cfg.Certificates)) {
 		c := cfg.Certificates[serial]
@@ -116,7 +120,8 @@
 	return nil
 }
 
-// certificateExpired reports whether the certificate of a serial has expired.
+// certificateExpired reports whether the certificate with a serial has expired at now. It returns
+// false if the register compiled from cfg has no such serial.
 func certificateExpired(cfg *Configuration, serial string, now certification.Now) bool {
 	register, _ := cfg.CompileRegister()
 	for _, row := range register.Rows(cfg.Certificates[serial].Regime, now) {
@@ -127,9 +132,10 @@
 	return false
 }
 
-// LocateFault adds to an error that wraps a certification.Fault the position of the faulty field
-// in the operator's text, or of the nearest field that encloses it. It returns other errors
-// unchanged.
+// LocateFault returns an error that gives the position of a faulty field in the operator's text, if
+// err wraps a certification.Fault. The position is that of the field or of the nearest enclosing
+// field that is found; if none is found, only the filename is given. The new error does not wrap
+// err. LocateFault returns err unchanged if it wraps no Fault or if the text cannot be parsed.
 func LocateFault(filename string, text []byte, err error) error {
 	var fault *certification.Fault
 	if !errors.As(err, &fault) {
@@ -148,7 +154,8 @@
 	)
 }
 
-// findPosition returns the position of the deepest field along a path, and its depth.
+// findPosition returns the position of the deepest field that is found along a path, and the number
+// of path elements that lead to it.
 func findPosition(declarations []ast.Decl, path []string) (pos token.Pos, depth int) {
 	type found struct {
 		pos   token.Pos
@@ -183,8 +190,8 @@
 	return all[0].pos, all[0].depth
 }
 
-// NodeName returns the name by which certificates identify a node: its id without the suffix that
-// changes with each start.
+// NodeName returns the name by which certificates identify a node: its id without the part from the
+// last hyphen on, which changes with each start of the node.
 func NodeName(id ids.NodeID) string {
 	if i := strings.LastIndexByte(string(id), '-'); i > 0 {
 		return string(id)[:i]
@@ -192,10 +199,12 @@
 	return string(id)
 }
 
-// Eligible reports whether the duty of a key may be assigned to a node. The duty of a certified
-// worker goes only to nodes that are certified for every regime that the worker may serve, since
-// its holder passes on requests under a regime. ClaimResolutionKey, whose holder reads outcomes, goes
-// only to nodes that are certified for all regimes.
+// Eligible reports whether the duty of a key may be assigned to a node. For the duty of a worker,
+// the node must be certified for every regime for which the worker is certified now, since the
+// holder forwards requests under these regimes. For the duty of ClaimResolutionKey, whose holder
+// reads the outcomes of claims, the node must be certified for all regimes. Every node is eligible
+// for other duties, and for all duties while there is no register, which Keys compiles. If no live
+// node is eligible, the coordination service assigns the duty to any of them.
 func (m *Machine) Eligible(key ids.Key, node ids.NodeID) bool {
 	id, isWorkerKey := strings.CutPrefix(string(key), string(WorkerKey("")))
 	if m.configuredRegister == nil || !isWorkerKey && key != ClaimResolutionKey {
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -1,4 +1,4 @@
-// Tests of regimes in a configuration, of revocations and of the fleet's time.
+// These tests check regimes in a configuration, revocations and the fleet's time.
 
 package fleetstate
 
@@ -63,9 +63,9 @@
 	return 0
 }
 
-// TestRegimes checks that a configuration with regimes is accepted, its completed text parses to
-// the same configuration, and its certificates compile. Each fault is refused with file, line and
-// reason.
+// TestRegimes checks that a configuration with regimes is accepted, that its completed text parses to
+// the same configuration, and that its certificates compile. Each fault is rejected with the file,
+// the line and the reason.
 func TestRegimes(t *testing.T) {
 	p, complete, err := ParseComplete("f.cue", regimeConfiguration(t, nil))
 	require.NoError(t, err)
@@ -164,9 +164,9 @@
 	require.ErrorContains(t, err, "certificates.s1 stands twice")
 }
 
-// TestCheckCertificateChanges checks that a serial can't be reused for another certificate, and an expired
-// certificate can't be added. A certificate that expires while it is configured doesn't block later
-// changes.
+// TestCheckCertificateChanges checks that a serial of the previous configuration can't be reused for
+// another certificate, and that an expired certificate can't be added unless the time is unknown. A
+// certificate that expires while it is configured doesn't block later changes.
 func TestCheckCertificateChanges(t *testing.T) {
 	previous, _, err := ParseComplete("f", regimeConfiguration(t, nil))
 	require.NoError(t, err)
@@ -181,8 +181,9 @@
 	require.NoError(t, previous.CheckCertificateChanges(&Configuration{}, certification.Now{}), "the time is not known")
 }
 
-// TestOverlayWithCertificates checks that an overlay of other fields keeps the certificates, and an
-// overlay that removes the last certified worker of a regime is refused.
+// TestOverlayWithCertificates checks that an overlay of other fields keeps the certificates, that an
+// overlay that removes the certificate of the last certified decode worker of a regime is rejected,
+// and that one that removes the regime with its certificates is accepted.
 func TestOverlayWithCertificates(t *testing.T) {
 	_, complete, err := ParseComplete("f", regimeConfiguration(t, nil))
 	require.NoError(t, err)
@@ -212,7 +213,8 @@
 }
 
 // TestRevocationConfirmed checks that a revocation is confirmed once every node with a lease has
-// applied it, also by a primary that restored it from a snapshot. A view enforces it at once.
+// applied it, also by a primary that restored it from a snapshot. A view enforces the revocation as
+// soon as it has applied it.
 func TestRevocationConfirmed(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	_, err := m.Apply(7, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
@@ -243,9 +245,9 @@
 	require.Equal(t, map[string]bool{"s1": true}, v.Current().RevokedSerials)
 }
 
-// TestClock checks that the fleet's time advances with the primary's monotonic clock, whatever its
-// wall clock does. A new primary continues from the bound, and no reported time is lower than an
-// earlier one. Without regimes there is no fleet time.
+// TestClock checks that the fleet's time advances with the primary's monotonic clock and is not
+// affected by steps of the wall clock. A new primary continues from the bound, and no time that is
+// returned is lower than an earlier one. Without regimes there is no fleet time.
 func TestClock(t *testing.T) {
 	wall := time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC)
 	ms := func(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
@@ -283,7 +285,7 @@
 	second := runPrimary(a, 11200, 21200)
 	require.Equal(t, 10*time.Second, time.Duration(second-first), "a step of the wall clock has no effect")
 	require.Zero(t, b.Time(ms(21200)), "it is not the primary")
-	// The monotonic clocks of two machines are unrelated.
+	// The monotonic clocks of two replicas are unrelated.
 	afterTakeover := runPrimary(b, 500000, 510200)
 	require.LessOrEqual(t, time.Duration(afterTakeover-second), 12*time.Second)
 	afterReturn := runPrimary(a, 60000, 61200)
@@ -294,7 +296,8 @@
 	minTime, machines = afterReturn, append(machines, c)
 	require.Greater(t, runPrimary(c, 10, 1000), afterReturn)
 	require.False(t, a.Published(AdvanceClockKind), "nodes get the time with their leases")
-	// Time that passed without a primary is caught up from nodes, only at first and up to a limit.
+	// A new primary advances its time according to reports of nodes, only within clockCatchUpWindow and
+	// by at most maxClockCatchUp.
 	d := build()
 	require.NoError(t, d.Restore(c.Snapshot(false)))
 	machines = append(machines, d)
@@ -316,7 +319,8 @@
 	require.LessOrEqual(t, time.Duration(runPrimary(d, 90000, 90200)-before), 3*time.Second)
 }
 
-// TestEligible checks that the duty of a certified worker is assigned only to certified nodes.
+// TestEligible checks that only certified nodes are eligible for the duty of a certified worker, and
+// that all nodes are eligible for the duties of other workers and for RetryBudgetKey.
 func TestEligible(t *testing.T) {
 	m := NewMachine(MachineOptions{WallClock: func() time.Time { return time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC) }})
 	require.True(t, m.Eligible(WorkerKey("p1"), "v2-aa"))
--- a/internal/fleetstate/revision_history.go
+++ b/internal/fleetstate/revision_history.go
@@ -1,5 +1,5 @@
-// The state remembers zone revisions and superseded versions, by which it distinguishes a late or
-// repeated command from a new one.
+// This file keeps zone revisions and superseded versions, which distinguish a late or repeated command
+// from a new one.
 
 package fleetstate
 
@@ -12,7 +12,7 @@
 
 //msgp:ignore supersededVersions
 
-// maxSuperseded is how many superseded versions a version history remembers. The coordination
+// maxSuperseded is the maximum number of superseded versions that a history keeps. The coordination
 // service remembers the ids of the newest 2,048 operations of a class. Each version of a history
 // is one of those operations, so a command that was accepted on top of a version remembered here
 // is always recognized by its operation id.
@@ -32,8 +32,8 @@
 
 // checkBaseVersion checks the base version of a command whose operation id is not remembered. It
 // returns nil if base is the newest version. The error has the kind OutcomeUnknown if base is
-// older than all remembered versions, so that the command may have been accepted and its id
-// forgotten, and otherwise Stale, which means that the command was never accepted.
+// older than all remembered versions: the command may have been accepted and its operation id dropped
+// since. Otherwise the error has the kind Stale: the command was never accepted.
 func (l *versionHistory) checkBaseVersion(base ids.Version) error {
 	oldest := l.newest()
 	if len(l.superseded) > 0 {
@@ -47,7 +47,7 @@
 			failure.OutcomeUnknown,
 			"apply policy",
 			"",
-			"it was made over version %d; what was made over versions below %d is not remembered",
+			"the command is based on version %d; commands based on versions below %d are not remembered",
 			base,
 			oldest,
 		)
@@ -60,7 +60,7 @@
 // queryOutcome returns the error that answers a QueryKind command for an operation whose id is not
 // remembered.
 func (s *State) queryOutcome(body []byte) error {
-	neverAccepted := failure.New(failure.Stale, "ask for an outcome", "", "no operation of this id was taken")
+	neverAccepted := failure.New(failure.Stale, "ask for an outcome", "", "no operation with this id was accepted")
 	if len(body) == 0 {
 		return neverAccepted // a query from an earlier release
 	}
@@ -79,20 +79,20 @@
 		failure.NotExecuted,
 		"ask for an outcome",
 		"",
-		"version %d is the newest; nothing was made over it",
+		"version %d is the newest; no command based on it was accepted",
 		request.Base,
 	)
 }
 
-// checkZoneRevision refuses an evacuation with Compare if the zone has changed since its revision
-// was read.
+// checkZoneRevision rejects an Evacuate command that has Compare set if the revision of the zone is
+// not the base revision of the command.
 func (s *State) checkZoneRevision(c *Evacuate) error {
 	if current := s.zoneRevisions[c.Zone]; c.Compare && c.BaseRevision != current {
 		return failure.New(
 			failure.Stale,
 			"evacuate",
 			string(c.Zone),
-			"it was asked for at change %d of the zone, which is at %d",
+			"the command is based on revision %d of the zone; the current revision is %d",
 			c.BaseRevision,
 			current,
 		)
--- a/internal/fleetstate/revision_history_test.go
+++ b/internal/fleetstate/revision_history_test.go
@@ -1,4 +1,4 @@
-// Tests that late and repeated commands are distinguished from new ones.
+// These tests check that late and repeated commands are distinguished from new ones.
 
 package fleetstate
 
@@ -50,8 +50,8 @@
 
 // TestCompareAndSetEvacuated checks that an evacuation with a base revision is applied if the zone
 // has not changed since, changes nothing if the zone is already in the requested state, and is
-// stale otherwise. A replica from a snapshot decides alike, and changes of other zones have no
-// influence.
+// stale otherwise. A replica that was restored from a snapshot returns the same results, and changes
+// of other zones have no influence.
 func TestCompareAndSetEvacuated(t *testing.T) {
 	r := newReplicas(t)
 	evacuate := func(base uint64, evacuated bool) error {
@@ -111,9 +111,10 @@
 }
 
 // TestSupersededBaseVersion checks that a command with a superseded base version is stale while all
-// versions since then are remembered, and has an unknown outcome before that. This holds for the
-// configuration and the program sets, for outcome queries, and for a replica from a snapshot. A
-// base number that never was a version is stale if it lies within the remembered range.
+// versions since then are remembered, and has an unknown outcome if its base version is older. This
+// holds for the configuration and the program sets, for outcome queries, and for a replica that was
+// restored from a snapshot. A base number that never was a version is stale if it is not below the
+// remembered range.
 func TestSupersededBaseVersion(t *testing.T) {
 	for _, kind := range []string{PrepareKind, PrepareProgramsKind} {
 		r := newReplicas(t)
@@ -140,8 +141,8 @@
 	}
 }
 
-// TestAllVersionsRemembered checks that while all versions ever made are remembered, no outcome is
-// unknown.
+// TestAllVersionsRemembered checks that no outcome is unknown while all versions that were ever
+// prepared are remembered.
 func TestAllVersionsRemembered(t *testing.T) {
 	r := newReplicas(t)
 	for v := range ids.Version(10) {
--- a/internal/fleetstate/role_change.go
+++ b/internal/fleetstate/role_change.go
@@ -1,5 +1,5 @@
-// This file records role changes of workers: a worker gets no new work while it changes between
-// prefill and decode.
+// This file records which workers are changing between the prefill and the decode role. A worker gets
+// no new work during the change.
 
 package fleetstate
 
--- a/internal/fleetstate/role_change_test.go
+++ b/internal/fleetstate/role_change_test.go
@@ -1,4 +1,5 @@
-// Tests of role changes and of requested version numbers, on the state alone.
+// These tests check role changes, requested version numbers and the keys of services, without a running
+// fleet.
 
 package fleetstate
 
@@ -13,9 +14,9 @@
 	"keelstair.example/logging"
 )
 
-// TestRoleChange checks that a role change is kept until it is done. Repeating it, or ending one
-// that doesn't exist, changes nothing and is not an error for the caller. A change to another role
-// replaces the first.
+// TestRoleChange checks that a role change is kept until it is done. Repeating it, or ending one that
+// doesn't exist, returns ErrUnchanged, which is not an error for the caller. A change to another role
+// replaces the earlier one.
 func TestRoleChange(t *testing.T) {
 	s := newState(false, Retention{})
 	require.ErrorIs(t, applyCommand(t, s, RoleChangeKind, &RoleChange{Worker: "w", Done: true}), coordination.ErrUnchanged)
@@ -29,26 +30,26 @@
 	require.Equal(t, ids.Key("service/x"), ServiceKey("x"))
 }
 
-// TestRoleChangeInSnapshot checks that a replica restored from a whole snapshot or from one for
-// watchers has the same role changes, and snapshots of equal states are equal bytes.
+// TestRoleChangeInSnapshot checks that a replica that was restored from a complete snapshot or from one
+// for watchers has the same role changes, and that snapshots of equal states have equal bytes.
 func TestRoleChangeInSnapshot(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	for _, w := range []ids.WorkerID{"c", "a", "b"} {
 		require.NoError(t, applyCommand(t, m.State, RoleChangeKind, &RoleChange{Worker: w, To: ids.Prefill}))
 	}
-	for _, open := range []bool{false, true} {
+	for _, forWatchers := range []bool{false, true} {
 		replica := NewMachine(MachineOptions{})
-		require.NoError(t, replica.Restore(m.Snapshot(open)))
+		require.NoError(t, replica.Restore(m.Snapshot(forWatchers)))
 		require.Equal(t, m.roleChanges, replica.roleChanges)
-		require.Equal(t, m.Snapshot(open), replica.Snapshot(open))
+		require.Equal(t, m.Snapshot(forWatchers), replica.Snapshot(forWatchers))
 		require.NoError(t, applyCommand(t, replica.State, RoleChangeKind, &RoleChange{Worker: "a", Done: true}))
 		require.Len(t, m.roleChanges, 3, "the replica shares no state with the original")
 	}
 }
 
-// TestRoleChangeInView checks that a view shows a role change as soon as it is applied, as an entry
-// or from a snapshot, reports the entry as urgent, and drops it once it is done. Earlier view
-// snapshots don't change.
+// TestRoleChangeInView checks that a view contains a role change as soon as the log entry is applied or
+// a snapshot with it is restored, reports the entry as urgent, and drops the change once it is done.
+// Values that Current returned earlier don't change.
 func TestRoleChangeInView(t *testing.T) {
 	v := NewView(logging.Discard())
 	require.True(t, v.Observe(1, RoleChangeKind, coordination.MustMarshal(&RoleChange{Worker: "w", To: ids.Decode})))
@@ -65,8 +66,8 @@
 }
 
 // TestRequestedVersionNumber checks that a version gets its requested number if that is above the
-// newest active or prepared version. Otherwise, or with another base version, it is refused and
-// nothing changes.
+// newest active or prepared version. A command with another number or another base version is
+// rejected and changes nothing.
 func TestRequestedVersionNumber(t *testing.T) {
 	s := newState(false, Retention{})
 	prepare := func(base, next ids.Version) (ids.Version, error) {
@@ -106,8 +107,8 @@
 	require.Error(t, applyCommand(t, s, CommitKind, &CommitVersion{6}), "an older version can't be committed any more")
 }
 
-// TestServiceKeys checks that each service of the active configuration has a duty, and there is one
-// more duty for listing the workers. Without services there is neither.
+// TestServiceKeys checks that each service of the active configuration has a duty, and that there is
+// one more duty for listing the workers. Without services there is no duty for listing them.
 func TestServiceKeys(t *testing.T) {
 	m := NewMachine(MachineOptions{})
 	require.NotContains(t, m.Keys(), WorkerListKey)
--- a/internal/fleetstate/route.go
+++ b/internal/fleetstate/route.go
@@ -28,9 +28,9 @@
 	Service         string            `json:"service,omitempty"`
 	Split           []WeightedService `json:"split,omitempty"`
 	Stream          bool              `json:"stream,omitempty"`
-	Idempotent      bool              `json:"repeatable,omitempty"` // a request may run more than once
-	Resumable       bool              `json:"resumable,omitempty"`  // an interrupted stream may continue at another worker
-	Disaggregated   bool              `json:"apart,omitempty"`      // prefill and decode run at different workers
+	Idempotent      bool              `json:"repeatable,omitempty"` // a request may be executed more than once
+	Resumable       bool              `json:"resumable,omitempty"`  // an interrupted stream may continue on another worker
+	Disaggregated   bool              `json:"apart,omitempty"`      // prefill and decode run on different workers
 	MaxAttempts     int               `json:"tries"`
 	DeadlineMs      int               `json:"deadlineMs"`
 	LatencyTargetMs int               `json:"aimMs"`
@@ -39,13 +39,13 @@
 	Public          bool              `json:"public,omitempty"` // requests need no tenant key
 }
 
-// MayRetry reports whether a request whose attempt may have run may be sent again.
+// MayRetry reports whether a request may be sent again after an attempt that may have been executed.
 func (r *Route) MayRetry() bool { return r.Idempotent || r.Stream && r.Resumable }
 
-// Deadline returns the longest time that a request may be held.
+// Deadline returns the maximum duration of a request.
 func (r *Route) Deadline() time.Duration { return time.Duration(r.DeadlineMs) * time.Millisecond }
 
-// LatencyTarget returns the time within which a response has its full value.
+// LatencyTarget returns the latency up to which a response has its full value to the client.
 func (r *Route) LatencyTarget() time.Duration {
 	return time.Duration(r.LatencyTargetMs) * time.Millisecond
 }
@@ -74,17 +74,17 @@
 	Name            string   `json:"name"`
 	HealthCheckPath string   `json:"probe,omitempty"`
 	MaxConnections  int      `json:"conns,omitempty"`     // connections that a worker accepts from all router nodes together
-	SlowStartMs     int      `json:"warmMs,omitempty"`    // how long a worker is cold after its start
-	SlowStartRate   float64  `json:"warmRate,omitempty"`  // requests per second that a cold worker can handle
+	SlowStartMs     int      `json:"warmMs,omitempty"`    // how long a worker is in slow start after it started
+	SlowStartRate   float64  `json:"warmRate,omitempty"`  // requests per second that a worker can handle in slow start
 	Concurrency     int      `json:"slots,omitempty"`     // requests that a worker processes at once
-	MemoryTokens    int      `json:"memory,omitempty"`    // of a worker, in tokens
+	MemoryTokens    int      `json:"memory,omitempty"`    // memory of a worker, in tokens
 	TokenSize       int      `json:"tokenSize,omitempty"` // bytes per token
 	RetentionMs     int      `json:"holdMs,omitempty"`    // how long a worker keeps a KV cache handle
 	RoleChangeMs    int      `json:"turnMs,omitempty"`    // how long a role change takes
 	Models          []string `json:"models,omitempty"`
 }
 
-// ClientLimits bounds what clients may send, and how slowly.
+// ClientLimits limits the size of client requests and the time that clients may take to send them.
 type ClientLimits struct {
 	HeaderBytes     int `json:"headerBytes,omitempty"`
 	BodyBytes       int `json:"bodyBytes,omitempty"`
@@ -92,8 +92,9 @@
 	IdleTimeoutMs   int `json:"idleMs,omitempty"`
 }
 
-// CheckRoutes checks the routes: that their services exist, that names and pairs of host and prefix
-// are unique, and that weights, deadlines and numbers of attempts are in range.
+// CheckRoutes checks that the services of routes exist, that their names and their pairs of host and
+// prefix are unique, that prefixes begin and end with a slash, and that weights, deadlines and numbers
+// of attempts are in range.
 func (cfg *Configuration) CheckRoutes() error {
 	routeError := func(r *Route, format string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check routes", "", "routes."+r.Name+": "+format, args...)
@@ -140,7 +141,7 @@
 	hosts map[string][]*Route // by host in lower case, longest prefix first
 }
 
-// NewRouteTable builds the table of a configuration's routes.
+// NewRouteTable builds the route table of a configuration.
 func NewRouteTable(cfg *Configuration) *RouteTable {
 	t := &RouteTable{hosts: map[string][]*Route{}}
 	for i := range cfg.Routes {
--- a/internal/fleetstate/route_test.go
+++ b/internal/fleetstate/route_test.go
@@ -1,4 +1,4 @@
-// Tests of routes and services: lookup, parsing and validation.
+// These tests check the lookup, parsing and validation of routes and services.
 
 package fleetstate
 
@@ -13,9 +13,9 @@
 	"keelstair.example/failure"
 )
 
-// TestRouteTableFind checks that the longest matching prefix wins, whatever the order of the routes,
-// and that the host is compared without its port and case-insensitively. A path that matches a
-// prefix only without its trailing slash, or an unknown host, finds no route.
+// TestRouteTableFind checks that the longest matching prefix is selected regardless of the order of the
+// routes, and that the host is compared without its port and case-insensitively. A path that lacks
+// the trailing slash of a prefix does not match that prefix, and an unknown host has no route.
 func TestRouteTableFind(t *testing.T) {
 	table := NewRouteTable(&Configuration{Routes: []Route{
 		{Name: "root", Host: "A.example", Prefix: "/"},
@@ -52,9 +52,9 @@
 	require.Nil(t, NewRouteTable(&Configuration{}).Find("a.example", "/"))
 }
 
-// TestSelectService checks that requests are split over services by weight, that an id is always assigned
-// to the same service, and that a weight of 0 receives none. Without a split, or with only weights
-// of 0, the route's own service receives all requests.
+// TestSelectService checks that requests are split over services by weight, that an id is always
+// assigned to the same service, and that a service with weight 0 receives no requests. Without a
+// split, or with only weights of 0, the route's own service receives all requests.
 func TestSelectService(t *testing.T) {
 	r := &Route{Service: "x", Split: []WeightedService{{"a", 6}, {"none", 0}, {"b", 3}, {"c", 1}}}
 	counts := map[string]int{}
@@ -86,7 +86,7 @@
 }
 
 // TestCheckRoutes checks that a configuration with valid routes is accepted and that each single
-// fault is rejected with the route's name and the cause.
+// fault is rejected with its cause in the error.
 func TestCheckRoutes(t *testing.T) {
 	validConfiguration := func() *Configuration {
 		return &Configuration{Services: map[string]Service{"s": {Name: "s"}, "t": {Name: "t"}}, Routes: []Route{
@@ -143,8 +143,8 @@
 }`
 
 // TestParseRoutes checks that the defaults are filled into a CUE configuration with routes and
-// services, that its given values are kept, and that it survives a round trip through JSON. A
-// configuration without routes and services does not get the fields.
+// services, that given values are kept, and that parsing the resulting JSON gives the same routes. A
+// configuration without routes and services is encoded without these fields.
 func TestParseRoutes(t *testing.T) {
 	p, text, err := ParseComplete("r.cue", []byte(configurationWithRoutes))
 	require.NoError(t, err)
@@ -230,9 +230,9 @@
 	}
 }
 
-// TestOverlayRoutesEqualsFullParse checks that Overlay gives the same result as a full parse, also for
-// changes of routes, services or client limits: no change is silently lost, and none that a full
-// parse rejects is accepted.
+// TestOverlayRoutesEqualsFullParse checks that Overlay gives the same result as a full parse also for
+// changes of routes, services or client limits: no change is silently lost, and every change that a
+// full parse rejects is rejected.
 func TestOverlayRoutesEqualsFullParse(t *testing.T) {
 	_, complete, err := ParseComplete("r.cue", []byte(configurationWithRoutes))
 	require.NoError(t, err)
@@ -242,7 +242,7 @@
 		`{routes: [{name: "x", host: "h", prefix: "/", service: "t", deadlineMs: 5}]}`,
 		`{routes: []}`, `{routes: [], services: t: null}`,
 		`{workers: p: {part: "prefill", model: "m", weights: "w", room: 9, zone: "a"}}`,
-		// rejected
+		// These are rejected.
 		`{services: t: null}`,
 		`{routes: [{name: "x", host: "h", prefix: "/", split: [{service: "s", weight: 0}], deadlineMs: 5}]}`,
 		`{routes: [{name: "x", host: "h", prefix: "/", service: "gone", deadlineMs: 5}]}`, `{intake: bodyBytes: 0}`,
@@ -251,9 +251,9 @@
 		require.NoError(t, err, part)
 		merged, err := Merge(complete, partial)
 		require.NoError(t, err, part)
-		_, want, e1 := ParseComplete("part", merged)
-		_, got, e2 := Overlay("part", complete, partial)
-		require.Equal(t, e1 == nil, e2 == nil, "%s: %v / %v", part, e1, e2)
+		_, want, wantErr := ParseComplete("part", merged)
+		_, got, gotErr := Overlay("part", complete, partial)
+		require.Equal(t, wantErr == nil, gotErr == nil, "%s: %v / %v", part, wantErr, gotErr)
 		require.Equal(t, string(want), string(got), part)
 	}
 }
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -1,5 +1,6 @@
-// State is built by applying the commands of the replicated log, and so is the same on every
-// replica. Each command is a type with an apply method; a command that is refused changes nothing.
+// This file defines State, which is built by applying the commands of the replicated log and is
+// therefore the same on every replica. Each command is a type with an apply method. A command that is
+// rejected changes nothing.
 
 package fleetstate
 
@@ -29,8 +30,8 @@
 	records         map[string]IdempotencyRecord
 	resolvedKeys    []string // keys of the resolved records that are kept in full, oldest first
 	agedKeys        agedKeys
-	recordCount     int             // all idempotency records ever made
-	maxRecords      int             // limit from the active configuration
+	recordCount     int             // number of idempotency records ever created
+	maxRecords      int             // limit of recordCount from the active configuration; 0 for none
 	revocations     map[string]bool // by serial; true once every node enforces the revocation
 	timeBound       int64           // upper bound of the fleet's time, in ns since 1970
 	hasRegimes      bool            // the active configuration has regimes
@@ -53,8 +54,8 @@
 	}
 }
 
-// activate makes a version the active configuration. A state with claimsOnly doesn't need the
-// limits, so it doesn't parse the text.
+// activate makes a version the active configuration. A state with claimsOnly doesn't use the limits or
+// regimes, so the text isn't parsed for it.
 func (s *State) activate(r VersionedText) {
 	if s.active = r; s.claimsOnly {
 		return
--- a/internal/fleetstate/state_encoding.go
+++ b/internal/fleetstate/state_encoding.go
@@ -9,7 +9,7 @@
 	"keelstair.example/ids"
 )
 
-// encode returns the whole state or, with forWatchers, only the part that is sent to watchers. It
+// encode returns the complete state or, with forWatchers, only the part that is sent to watchers. It
 // compresses the texts of the versions in place.
 func (s *State) encode(forWatchers bool) *EncodedState {
 	s.compress()
@@ -67,8 +67,8 @@
 	return encoded
 }
 
-// decode replaces the state with an encoded one. Sealed chunks are kept, since a snapshot only names
-// them.
+// decode replaces the state with an encoded one. Sealed chunks are kept, since a snapshot only refers
+// to them.
 func (s *State) decode(body []byte) error {
 	var encoded EncodedState
 	if _, err := encoded.UnmarshalMsg(body); err != nil {
--- a/internal/fleetstate/wire_test.go
+++ b/internal/fleetstate/wire_test.go
@@ -7,8 +7,8 @@
 )
 
 // TestEncodings checks that every message and stored record of this package has the same encoding
-// as in the first release that supports rolling upgrades. The file names the messages as that
-// release did.
+// as in the first release that supports rolling upgrades. The file uses the names that the messages
+// had in that release.
 func TestEncodings(t *testing.T) {
 	golden.Check(t, "testdata/encodings.txt", map[string]golden.Message{
 		"Activate":     &CommitVersion{},
