--- a/internal/fleetstate/aged_keys.go
+++ b/internal/fleetstate/aged_keys.go
@@ -75,7 +75,8 @@
 	s.addEntry(entry)
 }
 
-// addEntry adds an entry to the open entries, and seals them as a chunk once there are ChunkEntries.
+// addEntry adds an entry to the open entries, and seals them as a chunk once there are ChunkEntries of
+// them.
 func (s *agedKeys) addEntry(entry [entrySize]byte) {
 	s.openIndex[[keyHashSize]byte(entry[:keyHashSize])] = entry
 	s.openEntries = append(s.openEntries, entry)
--- a/internal/fleetstate/route.go
+++ b/internal/fleetstate/route.go
@@ -92,9 +92,9 @@
 	IdleTimeoutMs   int `json:"idleMs,omitempty"`
 }
 
-// CheckRoutes checks that the services of routes exist, that their names and their pairs of host and
-// prefix are unique, that prefixes begin and end with a slash, and that weights, deadlines and numbers
-// of attempts are in range.
+// CheckRoutes checks that the services of routes exist, that the names of routes and their pairs of
+// host and prefix are unique, that prefixes begin and end with a slash, and that weights, deadlines and
+// numbers of attempts are in range.
 func (cfg *Configuration) CheckRoutes() error {
 	routeError := func(r *Route, format string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check routes", "", "routes."+r.Name+": "+format, args...)
