--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -1,6 +1,7 @@
 // A certification regime governs some kinds of requests, which only workers and router nodes with
 // a certificate for the regime may handle. This file checks regimes and certificates before a
-// configuration is accepted, and locates errors in the operator's text.
+// configuration is accepted, locates errors in the operator's text, and decides which nodes may hold
+// the duties that need a certificate.
 
 package fleetstate
 
@@ -27,45 +28,47 @@
 	Certificates map[string]certification.Certificate `json:"certificates,omitempty"`
 }
 
-// Register compiles the regimes, issuers and certificates. It returns nil if there are no regimes.
-func (c *CertificationConfig) Register() (*certification.Register, error) {
+// CompileRegister compiles the regimes, issuers and certificates. It returns nil if there are no regimes.
+func (c *CertificationConfig) CompileRegister() (*certification.Register, error) {
 	return certification.Compile(c.Regimes, c.Issuers, c.Certificates)
 }
 
-// invalidRegime returns the error for an invalid field at a path of the configuration.
-func invalidRegime(path []string, reason string) error {
+// invalidCertificationField returns the error for an invalid field of a regime, issuer or certificate,
+// at a path of the configuration.
+func invalidCertificationField(path []string, reason string) error {
 	return failure.As(&certification.Fault{
 		Path:   path,
 		Reason: reason,
 	}, failure.InvalidArgument, "check regimes", strings.Join(path, "."))
 }
 
-// checkRegimes checks that every certificate is valid, that every kind that a regime governs
-// exists, and that each regime has a certified router node and, for each of its kinds, a certified
-// worker of each role.
+// checkRegimes checks that the certificates compile, that every kind that a regime governs exists,
+// and that each regime has a certificate for a router node and, for each of its kinds, a certificate
+// for a prefill worker and one for a decode worker of the kind's model. Certificates that have
+// expired, are not in force yet or were revoked count as well.
 func (cfg *Configuration) checkRegimes() error {
 	if len(cfg.Regimes)+len(cfg.Certificates)+len(cfg.Issuers) == 0 {
 		return nil
 	}
-	if _, err := cfg.Register(); err != nil {
+	if _, err := cfg.CompileRegister(); err != nil {
 		var f *certification.Fault
 		if errors.As(err, &f) {
-			return invalidRegime(f.Path, f.Reason)
+			return invalidCertificationField(f.Path, f.Reason)
 		}
 		return err
 	}
 	for _, name := range slices.Sorted(maps.Keys(cfg.Regimes)) {
 		if len(cfg.Regimes[name].Kinds) == 0 {
-			return invalidRegime([]string{"regimes", name, "kinds"}, "it governs no kind")
+			return invalidCertificationField([]string{"regimes", name, "kinds"}, "it governs no kind")
 		}
 		for _, kind := range cfg.Regimes[name].Kinds {
 			k, ok := cfg.Kinds[kind]
 			if !ok {
-				return invalidRegime([]string{"regimes", name, "kinds"}, "unknown kind "+quote(kind))
+				return invalidCertificationField([]string{"regimes", name, "kinds"}, "unknown kind "+quote(kind))
 			}
 			for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
 				if !cfg.hasCertifiedWorker(name, k.Model, role) {
-					return invalidRegime([]string{
+					return invalidCertificationField([]string{
 						"regimes", name,
 					}, "no certified "+string(role)+" worker offers "+quote(k.Model)+" for kind "+quote(kind))
 				}
@@ -76,7 +79,7 @@
 			hasNode = hasNode || c.Regime == name && c.Node != ""
 		}
 		if !hasNode {
-			return invalidRegime([]string{"regimes", name}, "no router node is certified")
+			return invalidCertificationField([]string{"regimes", name}, "no router node is certified")
 		}
 	}
 	return nil
@@ -84,8 +87,8 @@
 
 func quote(s string) string { return `"` + s + `"` }
 
-// hasCertifiedWorker reports whether a configured worker of the model has a certificate for its
-// own role in the regime.
+// hasCertifiedWorker reports whether a configured worker of the model and role has a certificate of
+// the regime for that role.
 func (cfg *Configuration) hasCertifiedWorker(regime, model string, role ids.Role) bool {
 	for _, c := range cfg.Certificates {
 		if w, ok := cfg.Workers[c.Worker]; ok && c.Regime == regime && w.Model == model && w.Role == role &&
@@ -96,19 +99,20 @@
 	return false
 }
 
-// CheckTransition checks a configuration against the one that it replaces: a serial is never
-// reused for another certificate, and no certificate that has already expired is added.
-func (cfg *Configuration) CheckTransition(previous *Configuration, now certification.Now) error {
+// CheckCertificateChanges checks the certificates of a configuration against those of the one that it
+// replaces: a serial of the previous configuration must not identify another certificate, and an
+// added certificate must not have expired. While the time is unknown, expiry is not checked.
+func (cfg *Configuration) CheckCertificateChanges(previous *Configuration, now certification.Now) error {
 	for _, serial := range slices.Sorted(maps.Keys(cfg.Certificates)) {
 		c := cfg.Certificates[serial]
 		old, exists := previous.Certificates[serial]
 		switch {
 		case exists && old.Signature != c.Signature:
-			return invalidRegime([]string{
+			return invalidCertificationField([]string{
 				"certificates", serial,
 			}, "serial "+quote(serial)+" stands for another certificate already; a new one needs a new serial")
 		case !exists && now.High > 0 && certificateExpired(cfg, serial, now):
-			return invalidRegime([]string{
+			return invalidCertificationField([]string{
 				"certificates", serial, "until",
 			}, "it has expired: its end "+c.Until+" is past")
 		}
@@ -116,9 +120,10 @@
 	return nil
 }
 
-// certificateExpired reports whether the certificate of a serial has expired.
+// certificateExpired reports whether the certificate with a serial has expired at now. It returns
+// false if the register compiled from cfg has no such serial.
 func certificateExpired(cfg *Configuration, serial string, now certification.Now) bool {
-	register, _ := cfg.Register()
+	register, _ := cfg.CompileRegister()
 	for _, row := range register.Rows(cfg.Certificates[serial].Regime, now) {
 		if row.Serial == serial {
 			return row.State == certification.Expired
@@ -127,19 +132,20 @@
 	return false
 }
 
-// LocateFault adds to an error that wraps a certification.Fault the position of the faulty field
-// in the operator's text, or of the nearest field that encloses it. It returns other errors
-// unchanged.
-func LocateFault(name string, text []byte, err error) error {
+// LocateFault returns an error that gives the position of a faulty field in the operator's text, if
+// err wraps a certification.Fault. The position is that of the field or of the nearest enclosing
+// field that is found; if none is found, only the filename is given. The new error does not wrap
+// err. LocateFault returns err unchanged if it wraps no Fault or if the text cannot be parsed.
+func LocateFault(filename string, text []byte, err error) error {
 	var fault *certification.Fault
 	if !errors.As(err, &fault) {
 		return err
 	}
-	file, parseErr := parser.ParseFile(name, text)
+	file, parseErr := parser.ParseFile(filename, text)
 	if parseErr != nil {
 		return err
 	}
-	position := name
+	position := filename
 	if pos, _ := findPosition(file.Decls, fault.Path); pos.IsValid() {
 		position = pos.Position().String()
 	}
@@ -148,7 +154,8 @@
 	)
 }
 
-// findPosition returns the position of the deepest field along a path, and its depth.
+// findPosition returns the position of the deepest field that is found along a path, and the number
+// of path elements that lead to it.
 func findPosition(declarations []ast.Decl, path []string) (pos token.Pos, depth int) {
 	type found struct {
 		pos   token.Pos
@@ -183,8 +190,8 @@
 	return all[0].pos, all[0].depth
 }
 
-// NodeName returns the name by which certificates identify a node: its id without the suffix that
-// changes with each start.
+// NodeName returns the name by which certificates identify a node: its id without the part from the
+// last hyphen on, which changes with each start of the node.
 func NodeName(id ids.NodeID) string {
 	if i := strings.LastIndexByte(string(id), '-'); i > 0 {
 		return string(id)[:i]
@@ -192,16 +199,18 @@
 	return string(id)
 }
 
-// Eligible reports whether the duty of a key may be assigned to a node. The duty of a certified
-// worker goes only to nodes that are certified for every regime that the worker may serve, since
-// its holder passes on requests under a regime. ResolutionKey, whose holder reads outcomes, goes
-// only to nodes that are certified for all regimes.
+// Eligible reports whether the duty of a key may be assigned to a node. For the duty of a worker,
+// the node must be certified for every regime for which the worker is certified now, since the
+// holder forwards requests under these regimes. For the duty of ClaimResolutionKey, whose holder
+// reads the outcomes of claims, the node must be certified for all regimes. Every node is eligible
+// for other duties, and for all duties while there is no register, which Keys compiles. If no live
+// node is eligible, the coordination service assigns the duty to any of them.
 func (m *Machine) Eligible(key ids.Key, node ids.NodeID) bool {
 	id, isWorkerKey := strings.CutPrefix(string(key), string(WorkerKey("")))
-	if m.unrevokedRegister == nil || !isWorkerKey && key != ResolutionKey {
+	if m.configuredRegister == nil || !isWorkerKey && key != ClaimResolutionKey {
 		return true
 	}
-	register := m.unrevokedRegister.WithRevoked(m.revocations)
+	register := m.configuredRegister.WithRevoked(m.revocations)
 	now := certification.Now{Low: m.timeBound - int64(clockBoundLead), High: m.timeBound}
 	for _, regime := range register.Regimes() {
 		for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
