--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -90,10 +90,10 @@
 		if !ok {
 			code = http.StatusServiceUnavailable
 		}
-		api.Write(w, code, map[string]any{"ready": ok, "leads": core.Leads()})
+		api.WriteJSON(w, code, map[string]any{"ready": ok, "leads": core.Leads()})
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
-		api.Write(w, http.StatusOK, map[string]any{"leads": core.Leads(), "page": core.Directory().Exchange()})
+		api.WriteJSON(w, http.StatusOK, map[string]any{"leads": core.Leads(), "page": core.Directory().Exchange()})
 	})
 	cli.Serve(ctx, host, s.Addr, mux, func(err error) { cli.Fail("keelstair-controller", err) })
 	cli.Fail("keelstair-controller", core.Run(ctx))
--- a/cmd/keelstair-plan/main.go
+++ b/cmd/keelstair-plan/main.go
@@ -63,7 +63,7 @@
 
 func (s *options) run() error {
 	var st router.NodeStatus
-	var sh api.Shown
+	var sh api.ActivePolicy
 	if err := s.get("/v1/status", &st); err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func (s *options) change(sh *api.Shown) (forecast.Change, error) {
+func (s *options) change(sh *api.ActivePolicy) (forecast.Change, error) {
 	switch {
 	case s.Evacuate != nil:
 		return forecast.Change{Evacuate: ids.Zone(s.Evacuate.Name)}, nil
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -135,7 +135,7 @@
 	ring *logging.Ring,
 ) {
 	(&platform.Operator{Caller: call, Directory: directory, Zones: s.Zones, Log: ring}).Mount(mux)
-	api.MountOperator(mux, &proxy.Operator{Caller: call, Directory: directory, Zones: s.Zones})
+	api.RegisterOperatorAPI(mux, &proxy.Operator{Caller: call, Directory: directory, Zones: s.Zones})
 }
 
 // runDiskless serves the operator on a machine without a disk: it holds nothing and asks the core.
--- a/cmd/keelstair-router/main.go
+++ b/cmd/keelstair-router/main.go
@@ -86,8 +86,8 @@
 	defer shut()
 	inner, outer := http.NewServeMux(), http.NewServeMux()
 	node.Mount(inner)
-	api.Mount(outer, node)
-	api.MountOperator(outer, node)
+	api.RegisterClientAPI(outer, node)
+	api.RegisterOperatorAPI(outer, node)
 	fail := func(err error) { cli.Fail("keelstair-router", err) }
 	cli.Serve(listen, host, s.Addr, inner, fail)
 	cli.Serve(listen, host, s.Door, outer, fail)
--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -85,13 +85,13 @@
 	case s.Worker != nil:
 		c := s.Worker
 		w := standin.NewWorker(standin.WorkerOptions{
-			ID:       ids.WorkerID(c.ID),
-			Addr:     c.Addr,
-			Role:     ids.Role(c.Role),
-			Capacity: c.Capacity,
-			Block:    c.Block,
-			Model:    workerclient.Model{Name: c.Model, Weights: c.Weights, Adapters: c.Adapter},
-			Host:     host,
+			ID:        ids.WorkerID(c.ID),
+			Addr:      c.Addr,
+			Role:      ids.Role(c.Role),
+			Capacity:  c.Capacity,
+			BlockSize: c.Block,
+			Model:     workerclient.Model{Name: c.Model, Weights: c.Weights, Adapters: c.Adapter},
+			Host:      host,
 		})
 		mux := http.NewServeMux()
 		mux.Handle("/", w.Handler())
@@ -112,13 +112,13 @@
 	site := standin.Sites[c.Site]
 	doors := func(ids.Zone) []string { return strings.Split(c.Doors, ",") }
 	if c.Doors == "" {
-		doors = standin.Asked(ctx, host, c.Platform, site.Zones)
+		doors = standin.PollNodes(ctx, host, c.Platform, site.Zones)
 	}
 	all := standin.Load(ctx, standin.LoadOptions{
 		Host:     host,
-		Doors:    doors,
+		Nodes:    doors,
 		Zones:    site.Zones,
-		Shapes:   site.Shapes,
+		Classes:  site.Classes,
 		Rate:     c.Rate,
 		Duration: time.Duration(c.Seconds) * time.Second,
 		Seed:     c.Seed,
@@ -126,6 +126,6 @@
 		Weights:  strings.Split(c.Weights, ","),
 		Retries:  c.Retries,
 	})
-	b, _ := json.MarshalIndent(standin.Sum(all), "", "  ")
+	b, _ := json.MarshalIndent(standin.Summarize(all), "", "  ")
 	fmt.Println(string(b))
 }
--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -22,7 +22,7 @@
 // change applies a part over what is in force, as keelstairctl does, and tells how long it
 // took until it was in force.
 func (f *fleet) change(ctx context.Context, name, part string) error {
-	var sh api.Shown
+	var sh api.ActivePolicy
 	if err := cli.Ask(f.doors(), http.MethodGet, "/v1/policy", nil, &sh); err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 // lagging gives the first node that lacks a limit that was acknowledged, as an error.
 func (f *fleet) lagging(what string, want int) error {
 	for _, p := range f.of("router") {
-		var sh api.Shown
+		var sh api.ActivePolicy
 		var v struct{ Limits struct{ RetryAfterMs int } }
 		err := cli.Ask([]string{p.Door}, http.MethodGet, "/v1/policy", nil, &sh)
 		if err == nil {
@@ -102,11 +102,11 @@
 	}
 	reads := func() (n int) {
 		for _, p := range f.of("worker-") {
-			var book map[string]standin.Tally
+			var book map[string]standin.RequestCounts
 			r, err := web.Get("http://" + p.Addr + "/tally")
 			if p.Zone == z && read(r, err, &book) == nil {
 				for _, t := range book {
-					n += t.Reads + t.Runs
+					n += t.Prefills + t.Runs
 				}
 			}
 		}
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -144,7 +144,7 @@
 	if err := os.MkdirAll(opt.Dir, 0o755); err != nil {
 		return f, err
 	}
-	names := site.Names()
+	names := site.WorkerIDs()
 	free, err := ports(1 + 3 + 2*site.Nodes + len(names))
 	if err != nil {
 		return f, err
@@ -205,7 +205,7 @@
 // planWorkers describes the site's stand-in workers.
 func (f *fleet) planWorkers(next func() string) {
 	site := f.site
-	for i, id := range site.Names() {
+	for i, id := range site.WorkerIDs() {
 		w := site.Worker(i)
 		p := &proc{Name: "worker-" + string(id), Kind: "standin", Zone: w.Zone, Addr: next()}
 		p.args = []string{
--- a/cmd/keelstair-testbed/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -42,7 +42,7 @@
 		c.Sign(key)
 		certs[c.Serial] = c
 	}
-	for i, id := range f.site.Names() {
+	for i, id := range f.site.WorkerIDs() {
 		if i != f.site.Prefill-1 && i != f.site.Prefill+f.site.Decode-1 {
 			put(certification.Certificate{Worker: id, Roles: []ids.Role{f.site.Worker(i).Role}}, string(id))
 		}
@@ -51,17 +51,17 @@
 		put(certification.Certificate{Node: fmt.Sprintf("router-%d", i+1)}, fmt.Sprintf("router-%d", i+1))
 	}
 	var kinds []string
-	for _, sh := range f.site.Shapes {
-		if sh.Claimed {
+	for _, sh := range f.site.Classes {
+		if sh.KeyRequired {
 			kinds = append(kinds, sh.Kind)
 		}
 	}
 	part, err := json.Marshal(map[string]any{
 		"switch":       false,
 		"certificates": certs,
-		"regimes":      map[string]any{regime: certification.Regime{Kinds: kinds, Keep: 20}},
+		"regimes":      map[string]any{regime: certification.Regime{Kinds: kinds, ReservedPercent: 20}},
 		"issuers": map[string]any{"k1": certification.Issuer{
-			Key:   certification.Public(key),
+			Key:   certification.EncodePublicKey(key),
 			From:  from,
 			Until: until,
 		}},
@@ -85,7 +85,7 @@
 		if err := f.until(ctx, 10*time.Second, func() error {
 			var g api.Regimes
 			err := cli.Ask([]string{d}, http.MethodGet, "/v1/regimes", nil, &g)
-			if err == nil && (g.High == 0 || len(g.Regimes) == 0 || len(g.Regimes[0].Short) > 0) {
+			if err == nil && (g.Latest == 0 || len(g.Regimes) == 0 || len(g.Regimes[0].Shortages) > 0) {
 				err = fmt.Errorf("%s does not clear all yet", d)
 			}
 			return err
@@ -101,7 +101,7 @@
 func (f *fleet) governed() map[string]int {
 	out := map[string]int{}
 	for _, p := range f.of("worker-") {
-		var book map[string]standin.Tally
+		var book map[string]standin.RequestCounts
 		r, err := web.Get("http://" + p.Addr + "/tally")
 		if read(r, err, &book) != nil {
 			continue
@@ -110,7 +110,7 @@
 		out[name] += 0
 		for id, t := range book {
 			if strings.HasPrefix(id, "k-") {
-				out[name] += t.Reads + t.Runs
+				out[name] += t.Prefills + t.Runs
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 	if !f.opt.Regimes {
 		return
 	}
-	names := f.site.Names()
+	names := f.site.WorkerIDs()
 	f.revoked[string(names[f.site.Prefill-1])], f.revoked[string(names[len(names)-1])] = 0, 0
 	all, wrong := 0, 0
 	for name, n := range f.governed() {
--- a/cmd/keelstair-testbed/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -33,7 +33,7 @@
 	}()
 	begun := time.Now()
 	all := f.load(ctx, machine, c.Seed, c.Rate, duration)
-	b, err := json.MarshalIndent(standin.Sum(all), "", "  ")
+	b, err := json.MarshalIndent(standin.Summarize(all), "", "  ")
 	if err != nil {
 		return err
 	}
@@ -61,9 +61,9 @@
 	defer stop()
 	return standin.Load(ctx, standin.LoadOptions{
 		Host:     machine,
-		Doors:    standin.Asked(asking, machine, f.platform, f.site.Zones),
+		Nodes:    standin.PollNodes(asking, machine, f.platform, f.site.Zones),
 		Zones:    f.site.Zones,
-		Shapes:   f.site.Shapes,
+		Classes:  f.site.Classes,
 		Rate:     rate,
 		Duration: duration,
 		Seed:     seed,
@@ -78,9 +78,9 @@
 func (f *fleet) gaps(all []standin.Outcome, from, to time.Duration) []string {
 	var out []string
 	record := func(name string, counts func(standin.Outcome) bool) {
-		out = append(out, fmt.Sprintf("%s %.2f s", name, standin.Back(all, from, to, counts).Seconds()))
+		out = append(out, fmt.Sprintf("%s %.2f s", name, standin.LongestOutage(all, from, to, counts).Seconds()))
 	}
-	for _, sh := range f.site.Shapes {
+	for _, sh := range f.site.Classes {
 		record(sh.Kind, func(o standin.Outcome) bool { return o.Kind == sh.Kind })
 	}
 	for _, z := range f.site.Zones {
@@ -98,10 +98,10 @@
 }
 
 // books sums what the workers that still run have counted, by request.
-func (f *fleet) books() map[string]standin.Tally {
-	sums := map[string]standin.Tally{}
+func (f *fleet) books() map[string]standin.RequestCounts {
+	sums := map[string]standin.RequestCounts{}
 	for _, p := range f.of("worker-") {
-		var book map[string]standin.Tally
+		var book map[string]standin.RequestCounts
 		r, err := web.Get("http://" + p.Addr + "/tally")
 		if read(r, err, &book) != nil {
 			continue
@@ -109,7 +109,7 @@
 		for id, t := range book {
 			sum := sums[id]
 			sum.Runs += t.Runs
-			sum.Records += t.Records
+			sum.Finished += t.Finished
 			sums[id] = sum
 		}
 	}
@@ -120,7 +120,7 @@
 func (f *fleet) tallies() (runs, doubles int) {
 	for _, t := range f.books() {
 		runs += t.Runs
-		if t.Records > 1 {
+		if t.Finished > 1 {
 			doubles++
 		}
 	}
--- a/cmd/keelstair-testbed/soak.go
+++ b/cmd/keelstair-testbed/soak.go
@@ -167,7 +167,7 @@
 			faults = append(faults, fmt.Errorf("a caller of %s got a wrong answer: %s", o.Kind, o.Detail))
 		case o.End == "cut" && o.Detail == "the stream stopped" && ordered[o.Node] != "":
 			faults = append(faults, fmt.Errorf("%s cut a stream that it had begun", ordered[o.Node]))
-		case o.Kind != "" && o.Complete > 0:
+		case o.Kind != "" && o.Duration > 0:
 			complete++
 		}
 	}
@@ -196,8 +196,8 @@
 	var faults []error
 	books := s.books()
 	for id, t := range books {
-		if strings.HasPrefix(id, claimedPrefix) && (t.Runs > 1 || t.Records > 1) {
-			faults = append(faults, fmt.Errorf("claimed request %s has %d runs and %d records", id, t.Runs, t.Records))
+		if strings.HasPrefix(id, claimedPrefix) && (t.Runs > 1 || t.Finished > 1) {
+			faults = append(faults, fmt.Errorf("claimed request %s has %d runs and %d records", id, t.Runs, t.Finished))
 		}
 	}
 	for _, o := range outcomes {
--- a/cmd/keelstairctl/audit.go
+++ b/cmd/keelstairctl/audit.go
@@ -41,7 +41,7 @@
 
 // follow reads the fleet's rows after the last one that is known, and writes each once
 // it is checked. It gives how many there were.
-func follow(last *fleetstate.AuditRow, ask func(from int) (*api.Audits, error), out io.Writer) (int, error) {
+func follow(last *fleetstate.AuditRow, ask func(from int) (*api.AuditPage, error), out io.Writer) (int, error) {
 	bad := func(form string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check audit", "", form, args...)
 	}
@@ -106,8 +106,8 @@
 		}
 		out = file
 	}
-	n, err := follow(last, func(from int) (*api.Audits, error) {
-		got := &api.Audits{}
+	n, err := follow(last, func(from int) (*api.AuditPage, error) {
+		got := &api.AuditPage{}
 		return got, s.ask(http.MethodGet, fmt.Sprintf("/v1/audit?from=%d", from), nil, got)
 	}, out)
 	if err == nil {
--- a/cmd/keelstairctl/certificates.go
+++ b/cmd/keelstairctl/certificates.go
@@ -67,12 +67,12 @@
 	if err != nil {
 		return err
 	}
-	private, err := certification.ReadKey(text)
+	private, err := certification.ParsePrivateKey(text)
 	if err != nil {
 		return err
 	}
 	return print(map[string]any{"issuers": map[string]certification.Issuer{c.Issuer: {
-		Key:   certification.Public(private),
+		Key:   certification.EncodePublicKey(private),
 		From:  from.Format(time.RFC3339),
 		Until: from.AddDate(0, 0, c.Days).Format(time.RFC3339),
 	}}})
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	private, err := certification.ReadKey(text)
+	private, err := certification.ParsePrivateKey(text)
 	if err != nil {
 		return nil, err
 	}
@@ -174,26 +174,26 @@
 	if err := s.ask(http.MethodGet, "/v1/regimes", nil, &g); err != nil {
 		return err
 	}
-	if g.High == 0 {
+	if g.Latest == 0 {
 		fmt.Println("the fleet's time is not known at this node: it clears nobody")
 	} else {
 		fmt.Printf(
 			"the fleet's time is %s; this node's own clock differs by %.1f s\n",
-			day(g.High),
-			math.Abs(float64(g.Wall-g.High))/1e9,
+			day(g.Latest),
+			math.Abs(float64(g.Wall-g.Latest))/1e9,
 		)
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	for _, one := range g.Regimes {
-		fmt.Fprintf(out, "\n%s governs %s, keeps %d%% free\n", one.Name, strings.Join(one.Kinds, ", "), one.Keep)
-		for _, r := range one.Rows {
+		fmt.Fprintf(out, "\n%s governs %s, keeps %d%% free\n", one.Name, strings.Join(one.Kinds, ", "), one.ReservedPercent)
+		for _, r := range one.Certificates {
 			who := r.Subject().String()
 			for _, p := range r.Roles {
 				who += " " + string(p)
 			}
 			fmt.Fprintf(out, "  %s\t%s\tuntil %s\t%s\tby %s\n", r.Serial, who, day(r.Ends), r.State, r.Issuer)
 		}
-		for _, short := range one.Short {
+		for _, short := range one.Shortages {
 			fmt.Fprintf(out, "  short: no certified %s\n", short)
 		}
 	}
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -133,8 +133,8 @@
 	return file, string(b), err
 }
 
-func (s *options) now() (*api.Shown, error) {
-	var out api.Shown
+func (s *options) now() (*api.ActivePolicy, error) {
+	var out api.ActivePolicy
 	return &out, s.ask(http.MethodGet, "/v1/policy", nil, &out)
 }
 
--- a/cmd/keelstairctl/main_test.go
+++ b/cmd/keelstairctl/main_test.go
@@ -42,9 +42,9 @@
 }
 
 // fleet answers as a fleet that has so many rows and keeps those from a number on.
-func fleet(all []json.RawMessage, first int) func(int) (*api.Audits, error) {
-	return func(from int) (*api.Audits, error) {
-		got := &api.Audits{First: first, Count: len(all)}
+func fleet(all []json.RawMessage, first int) func(int) (*api.AuditPage, error) {
+	return func(from int) (*api.AuditPage, error) {
+		got := &api.AuditPage{First: first, Count: len(all)}
 		for i := max(from, first); i <= len(all) && len(got.Rows) < 3; i++ {
 			got.Rows = append(got.Rows, all[i-1])
 		}
@@ -81,7 +81,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 6, n, "without an export it begins at the first that is kept")
 	short := append(append([]json.RawMessage{}, all[:8]...), all[9])
-	for says, ask := range map[string]func(int) (*api.Audits, error){
+	for says, ask := range map[string]func(int) (*api.AuditPage, error){
 		"ends at row 8":          fleet(all[:8], 1),
 		"is not the one":         fleet(lines(10, "b"), 1),
 		"does not follow row 10": fleet(lines(12, "b"), 1),
@@ -120,14 +120,14 @@
 	r, err := certification.Compile(
 		map[string]certification.Regime{"chair": {Kinds: []string{"verdict"}}},
 		map[string]certification.Issuer{"k1": {
-			Key:   certification.Public(private),
+			Key:   certification.EncodePublicKey(private),
 			From:  "2026-01-01T00:00:00Z",
 			Until: "2028-01-01T00:00:00Z",
 		}},
 		certs,
 	)
 	require.NoError(t, err)
-	require.Empty(t, r.Shortage("chair", 1, certification.At(now), nil))
+	require.Empty(t, r.Shortages("chair", 1, certification.ExactTime(now), nil))
 	for says, spoil := range map[string]func(c *certifyCmd){
 		"is neither":          func(c *certifyCmd) { c.Roles = []string{"both"} },
 		"at least one":        func(c *certifyCmd) { c.Worker, c.Node = nil, nil },
--- a/internal/api/fault.go
+++ b/internal/api/fault.go
@@ -20,45 +20,45 @@
 // Error returns the refusal's name, field and text.
 func (f *Fault) Error() string { return f.Name + " " + f.Field + " " + f.Detail }
 
-// WriteFault returns a refusal with a status. name is for programs, field the one at fault or "", and
+// NewFault returns a refusal with a status. name is for programs, field the one at fault or "", and
 // the formatted text for people.
-func WriteFault(code int, name, field, form string, args ...any) *Fault {
+func NewFault(code int, name, field, form string, args ...any) *Fault {
 	return &Fault{code, workerclient.Rejection{Name: name, Field: field, Detail: fmt.Sprintf(form, args...)}}
 }
 
 // RetryLater returns a refusal that also says after how long to come back.
 func RetryLater(code int, name string, after time.Duration, form string, args ...any) *Fault {
-	f := WriteFault(code, name, "", form, args...)
+	f := NewFault(code, name, "", form, args...)
 	f.After = after.Milliseconds()
 	return f
 }
 
-// refusal is the body of an answer other than 200.
-type refusal struct {
+// errorBody is the body of an answer other than 200.
+type errorBody struct {
 	Error workerclient.Rejection `json:"error"`
 }
 
-// retryUnavailable is when to come back where an error doesn't say it.
-const retryUnavailable = time.Second
+// defaultRetryAfter is when to come back where an error doesn't say it.
+const defaultRetryAfter = time.Second
 
-// NotExecuted answers with an error: a Fault as it is, and others with the status for their kind of
+// WriteError answers with an error: a Fault as it is, and others with the status for their kind of
 // package failure. A time to come back is also given as Retry-After, in full seconds.
-func NotExecuted(w http.ResponseWriter, err error) {
+func WriteError(w http.ResponseWriter, err error) {
 	var f *Fault
 	if !errors.As(err, &f) {
 		switch failure.KindOf(err) {
 		case failure.InvalidArgument:
-			f = WriteFault(http.StatusBadRequest, "bad", "", "%v", err)
+			f = NewFault(http.StatusBadRequest, "bad", "", "%v", err)
 		case failure.Stale:
-			f = WriteFault(http.StatusConflict, "stale", "", "%v", err)
+			f = NewFault(http.StatusConflict, "stale", "", "%v", err)
 		case failure.OutcomeUnknown:
-			f = WriteFault(http.StatusGatewayTimeout, "unknown-fate", "", "%v", err)
+			f = NewFault(http.StatusGatewayTimeout, "unknown-fate", "", "%v", err)
 		default:
-			f = RetryLater(http.StatusServiceUnavailable, "away", retryUnavailable, "%v", err)
+			f = RetryLater(http.StatusServiceUnavailable, "away", defaultRetryAfter, "%v", err)
 		}
 	}
 	if f.After > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((f.After+999)/1000, 10))
 	}
-	Write(w, f.Code, refusal{f.Rejection})
+	WriteJSON(w, f.Code, errorBody{f.Rejection})
 }
--- a/internal/api/fault_test.go
+++ b/internal/api/fault_test.go
@@ -11,9 +11,9 @@
 	"keelstair.example/failure"
 )
 
-// TestBounce: the status, the body and the time to come back of each kind of error, as
+// TestWriteError: the status, the body and the time to come back of each kind of error, as
 // origins and operators rely on them.
-func TestBounce(t *testing.T) {
+func TestWriteError(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		err   error
@@ -23,7 +23,7 @@
 	}{
 		{
 			"fault",
-			WriteFault(http.StatusNotFound, "unknown", "zone", "no %s", "a"),
+			NewFault(http.StatusNotFound, "unknown", "zone", "no %s", "a"),
 			404, "", `{"error":{"name":"unknown","field":"zone","detail":"no a"}}`,
 		},
 		{
@@ -47,7 +47,7 @@
 		},
 	} {
 		w := httptest.NewRecorder()
-		NotExecuted(w, c.err)
+		WriteError(w, c.err)
 		if w.Code != c.code || w.Header().Get("Retry-After") != c.after ||
 			strings.TrimSpace(w.Body.String()) != c.body {
 			t.Errorf("%s: %d, Retry-After %q, %s", c.name, w.Code, w.Header().Get("Retry-After"), w.Body)
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestFate: an order that may have been carried out is never told as one that was not.
-func TestFate(t *testing.T) {
+// TestSubmitError: an order that may have been carried out is never told as one that was not.
+func TestSubmitError(t *testing.T) {
 	for kind, code := range map[failure.Kind]int{
 		failure.OutcomeUnknown: 504,
 		failure.NotExecuted:    503,
@@ -64,21 +64,21 @@
 		failure.DataLost:       503,
 	} {
 		var f *Fault
-		if err := OutcomeEvent(
+		if err := SubmitError(
 			failure.New(kind, "submit", "", "x"), time.Second,
 		); !errors.As(err, &f) || f.Code != code || f.After != 1000 {
 			t.Errorf("%s: %v", kind, err)
 		}
 	}
 	for _, kind := range []failure.Kind{failure.InvalidArgument, failure.Stale} {
-		if err := failure.New(kind, "submit", "", "x"); OutcomeEvent(err, time.Second) != err {
+		if err := failure.New(kind, "submit", "", "x"); SubmitError(err, time.Second) != err {
 			t.Errorf("%s is changed", kind)
 		}
 	}
 }
 
-// TestRead: a body is one value of known fields within its bound.
-func TestRead(t *testing.T) {
+// TestReadJSON: a body is one value of known fields within its bound.
+func TestReadJSON(t *testing.T) {
 	for body, want := range map[string]string{
 		`{"op":"a"}`:                        "",
 		`{"op":"a"} {}`:                     "malformed ",
@@ -89,7 +89,7 @@
 	} {
 		var m MarkRequest
 		got := ""
-		if f := Read(httptest.NewRequest(http.MethodPost, "/", strings.NewReader(body)), &m, 32); f != nil {
+		if f := ReadJSON(httptest.NewRequest(http.MethodPost, "/", strings.NewReader(body)), &m, 32); f != nil {
 			got = f.Name + " " + f.Field
 		}
 		if got != want {
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -12,53 +12,53 @@
 	"keelstair.example/failure"
 )
 
-// Pass forwards an origin's request unchanged to the node at addr, on a path that nodes use
+// Forward forwards an origin's request unchanged to the node at addr, on a path that nodes use
 // among themselves, and puts every line of its answer to out. It returns how many lines were
 // put. A refusal comes back as the Fault that the node answered with; a node that is silent
 // for the given time is given up. The request is sent once.
-func Pass(
+func Forward(
 	ctx context.Context,
-	web *http.Client,
+	client *http.Client,
 	addr, path string,
-	ask *StreamRequest,
-	silent time.Duration,
+	request *StreamRequest,
+	idleTimeout time.Duration,
 	out Sink,
 ) (int, error) {
-	body, err := json.Marshal(ask)
+	body, err := json.Marshal(request)
 	if err != nil {
 		return 0, failure.As(err, failure.InvalidArgument, "pass on", addr)
 	}
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, failure.As(err, failure.InvalidArgument, "pass on", addr)
 	}
-	watch := time.AfterFunc(silent, stop)
-	defer watch.Stop()
-	r, err := web.Do(q)
+	idleTimer := time.AfterFunc(idleTimeout, cancel)
+	defer idleTimer.Stop()
+	resp, err := client.Do(req)
 	if err != nil {
 		return 0, failure.As(err, failure.OutcomeUnknown, "pass on", addr)
 	}
-	defer r.Body.Close()
-	if r.StatusCode != http.StatusOK {
-		b, err := io.ReadAll(r.Body)
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		b, err := io.ReadAll(resp.Body)
 		if err != nil {
 			return 0, failure.As(err, failure.OutcomeUnknown, "pass on", addr)
 		}
-		return 0, Refusal(r.StatusCode, b)
+		return 0, DecodeFault(resp.StatusCode, b)
 	}
-	rows := json.NewDecoder(r.Body)
+	decoder := json.NewDecoder(resp.Body)
 	for n := 0; ; n++ {
-		var l StreamEvent
-		if err := rows.Decode(&l); err != nil {
+		var event StreamEvent
+		if err := decoder.Decode(&event); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = failure.New(failure.DataLost, "pass on", addr, "it stopped without an end")
 			}
 			return n, failure.As(err, failure.DataLost, "pass on", addr)
 		}
-		watch.Reset(silent)
-		if err := out.Put(l); err != nil || l.End != "" {
+		idleTimer.Reset(idleTimeout)
+		if err := out.Put(event); err != nil || event.End != "" {
 			return n + 1, err
 		}
 	}
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -39,9 +39,9 @@
 	Out bool   `json:"out"`
 }
 
-// Shown is the configuration that is in force at a node, the newest version that it knows of,
+// ActivePolicy is the configuration that is in force at a node, the newest version that it knows of,
 // and the zones and workers that are taken out of use.
-type Shown struct {
+type ActivePolicy struct {
 	Version uint64          `json:"version"`
 	Newest  uint64          `json:"newest"`
 	Policy  json.RawMessage `json:"policy"`
@@ -52,32 +52,32 @@
 // Regimes lists the certified workers and nodes. Low and High bound the fleet's time; Wall is
 // the node's own clock, which decides nothing. All are in nanoseconds since 1970.
 type Regimes struct {
-	Version uint64   `json:"version"`
-	Low     int64    `json:"low"`
-	High    int64    `json:"high"`
-	Wall    int64    `json:"wall"`
-	Regimes []Regime `json:"regimes"`
+	Version  uint64   `json:"version"`
+	Earliest int64    `json:"low"`
+	Latest   int64    `json:"high"`
+	Wall     int64    `json:"wall"`
+	Regimes  []Regime `json:"regimes"`
 }
 
 // Regime is one regime with its certificates and, in Short, what it lacks now.
 type Regime struct {
-	Name  string              `json:"name"`
-	Kinds []string            `json:"kinds"`
-	Keep  int                 `json:"keep"`
-	Rows  []certification.Row `json:"certificates"`
-	Short []string            `json:"short"`
+	Name            string                            `json:"name"`
+	Kinds           []string                          `json:"kinds"`
+	ReservedPercent int                               `json:"keep"`
+	Certificates    []certification.CertificateStatus `json:"certificates"`
+	Shortages       []string                          `json:"short"`
 }
 
-// Audits is a part of the audit record: its rows, the number of the first one that is kept, how
+// AuditPage is a part of the audit record: its rows, the number of the first one that is kept, how
 // many there have been, and the hash of the newest.
-type Audits struct {
+type AuditPage struct {
 	First int               `json:"first"`
 	Count int               `json:"count"`
 	Head  string            `json:"head"`
 	Rows  []json.RawMessage `json:"rows"`
 }
 
-// Operator carries out operators' orders. Its errors are answered as NotExecuted says; OutcomeEvent makes
+// Operator carries out operators' orders. Its errors are answered as WriteError says; SubmitError makes
 // them where an order may have been carried out.
 type Operator interface {
 	// Apply checks a configuration and puts it in force.
@@ -91,24 +91,24 @@
 	// Regimes lists the regimes and their certificates.
 	Regimes() *Regimes
 	// Audits returns at most so many rows of the audit record, from the one with number from on.
-	Audits(ctx context.Context, from, limit int) (*Audits, error)
+	AuditRows(ctx context.Context, from, limit int) (*AuditPage, error)
 	// Shown returns the configuration in force.
-	Shown(ctx context.Context) (*Shown, error)
+	ActivePolicy(ctx context.Context) (*ActivePolicy, error)
 	// Status returns the node's state, to be written as JSON.
 	Status() any
 }
 
 // Stale returns the refusal of a configuration that builds on another version than the newest.
 func Stale(base, newest uint64) error {
-	return WriteFault(
+	return NewFault(
 		http.StatusConflict, "stale", "base", "it was made over version %d; the newest is %d", base, newest,
 	)
 }
 
-// OutcomeEvent turns an error of package failure into the refusal of an order: 504 if it may have been
+// SubmitError turns an error of package failure into the refusal of an order: 504 if it may have been
 // carried out, 503 if it was not, each with when to send it again. Errors of kind Bad and
 // Stale stay as they are.
-func OutcomeEvent(err error, after time.Duration) error {
+func SubmitError(err error, after time.Duration) error {
 	switch failure.KindOf(err) {
 	case failure.OutcomeUnknown:
 		return RetryLater(
@@ -126,79 +126,79 @@
 
 // Bounds on what operators send and get.
 const (
-	maxPolicy    = 8 << 20 // bytes of a configuration
-	maxMarkBytes = 4096    // bytes of another order
-	maxAuditRows = 500     // rows of the audit record in an answer
+	maxPolicyBytes = 8 << 20 // bytes of a configuration
+	maxMarkBytes   = 4096    // bytes of another order
+	maxAuditRows   = 500     // rows of the audit record in an answer
 )
 
-// MountOperator registers the operators' side of the interface, under /v1.
-func MountOperator(mux *http.ServeMux, o Operator) {
+// RegisterOperatorAPI registers the operators' side of the interface, under /v1.
+func RegisterOperatorAPI(mux *http.ServeMux, o Operator) {
 	mux.HandleFunc("GET /v1/policy", func(w http.ResponseWriter, r *http.Request) {
-		got, err := o.Shown(r.Context())
-		answer(w, got, err)
+		got, err := o.ActivePolicy(r.Context())
+		writeResult(w, got, err)
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
-		Write(w, http.StatusOK, o.Status())
+		WriteJSON(w, http.StatusOK, o.Status())
 	})
 	mux.HandleFunc("POST /v1/policy", func(w http.ResponseWriter, r *http.Request) {
 		var a ApplyRequest
-		if f := Read(r, &a, maxPolicy); f != nil {
-			NotExecuted(w, f)
+		if f := ReadJSON(r, &a, maxPolicyBytes); f != nil {
+			WriteError(w, f)
 			return
 		}
 		if a.Op == "" {
-			NotExecuted(w, WriteFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
+			WriteError(w, NewFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
 			return
 		}
 		got, err := o.Apply(r.Context(), &a)
-		answer(w, got, err)
+		writeResult(w, got, err)
 	})
 	mux.HandleFunc("POST /v1/zones/{name}", markHandler(o.Evacuate))
 	mux.HandleFunc("POST /v1/workers/{name}", markHandler(o.Drain))
 	mux.HandleFunc("POST /v1/certificates/{name}", markHandler(o.Revoke))
 	mux.HandleFunc("GET /v1/regimes", func(w http.ResponseWriter, _ *http.Request) {
-		Write(w, http.StatusOK, o.Regimes())
+		WriteJSON(w, http.StatusOK, o.Regimes())
 	})
 	mux.HandleFunc("GET /v1/audit", func(w http.ResponseWriter, r *http.Request) {
 		from, err := strconv.Atoi(r.FormValue("from"))
 		if err != nil || from < 1 {
-			NotExecuted(
+			WriteError(
 				w,
-				WriteFault(http.StatusBadRequest, "out-of-range", "from", "a row's number is needed, from 1 on"),
+				NewFault(http.StatusBadRequest, "out-of-range", "from", "a row's number is needed, from 1 on"),
 			)
 			return
 		}
-		got, err := o.Audits(r.Context(), from, maxAuditRows)
+		got, err := o.AuditRows(r.Context(), from, maxAuditRows)
 		if err != nil {
-			NotExecuted(w, err)
+			WriteError(w, err)
 			return
 		}
-		Write(w, http.StatusOK, got)
+		WriteJSON(w, http.StatusOK, got)
 	})
 }
 
 // markHandler reads an order about one zone, worker or certificate and has f carry it out.
-func markHandler(f func(context.Context, string, *MarkRequest) (*ApplyResponse, error)) http.HandlerFunc {
+func markHandler(apply func(context.Context, string, *MarkRequest) (*ApplyResponse, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var m MarkRequest
-		if fault := Read(r, &m, maxMarkBytes); fault != nil {
-			NotExecuted(w, fault)
+		if fault := ReadJSON(r, &m, maxMarkBytes); fault != nil {
+			WriteError(w, fault)
 			return
 		}
 		if m.Op == "" {
-			NotExecuted(w, WriteFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
+			WriteError(w, NewFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
 			return
 		}
-		got, err := f(r.Context(), r.PathValue("name"), &m)
-		answer(w, got, err)
+		got, err := apply(r.Context(), r.PathValue("name"), &m)
+		writeResult(w, got, err)
 	}
 }
 
-// answer writes the answer a, or the error.
-func answer(w http.ResponseWriter, a any, err error) {
+// writeResult writes the answer a, or the error.
+func writeResult(w http.ResponseWriter, result any, err error) {
 	if err != nil {
-		NotExecuted(w, err)
+		WriteError(w, err)
 		return
 	}
-	Write(w, http.StatusOK, a)
+	WriteJSON(w, http.StatusOK, result)
 }
--- a/internal/api/streams.go
+++ b/internal/api/streams.go
@@ -15,13 +15,13 @@
 // Bounds on an origin's request.
 const (
 	maxRequestBytes = 4 << 20 // bytes of its body
-	maxKey          = 200     // bytes of its key
+	maxKeyBytes     = 200     // bytes of its key
 	maxTemperature  = 10
 )
 
 const (
-	vocabulary  = 50000 // ids that the words of a prompt are mapped to
-	digestBytes = 12    // of the SHA-256 hash of a request
+	vocabularySize = 50000 // ids that the words of a prompt are mapped to
+	digestBytes    = 12    // of the SHA-256 hash of a request
 )
 
 // StreamRequest is an origin's request. The prompt is given either as text or as token ids. Key, by
@@ -53,12 +53,12 @@
 	if len(a.PromptIds) > 0 {
 		return a.PromptIds
 	}
-	rows := strings.Fields(a.Prompt)
-	out := make([]int32, len(rows))
-	for i, w := range rows {
+	words := strings.Fields(a.Prompt)
+	out := make([]int32, len(words))
+	for i, w := range words {
 		h := fnv.New32a()
 		h.Write([]byte(w))
-		out[i] = int32(h.Sum32()%vocabulary) + 1
+		out[i] = int32(h.Sum32()%vocabularySize) + 1
 	}
 	return out
 }
@@ -92,7 +92,7 @@
 // Server serves origins' requests.
 type Server interface {
 	// Serve runs a request and puts its answer to out. An error before the first line becomes
-	// the HTTP status (see NotExecuted); after it, the last line says how the stream ended.
+	// the HTTP status (see WriteError); after it, the last line says how the stream ended.
 	Serve(ctx context.Context, ask *StreamRequest, out Sink) error
 	// Ready reports whether the node can serve, and else why not.
 	Ready() (bool, string)
@@ -104,66 +104,66 @@
 	Why   string `json:"why"`
 }
 
-// Streams registers a handler for origins' requests on a path.
-func Streams(mux *http.ServeMux, path string, serve func(context.Context, *StreamRequest, Sink) error) {
+// HandleStreams registers a handler for origins' requests on a path.
+func HandleStreams(mux *http.ServeMux, path string, serve func(context.Context, *StreamRequest, Sink) error) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-		var ask StreamRequest
-		if f := Read(r, &ask, maxRequestBytes); f != nil {
-			NotExecuted(w, f)
+		var request StreamRequest
+		if f := ReadJSON(r, &request, maxRequestBytes); f != nil {
+			WriteError(w, f)
 			return
 		}
-		out := &eventWriter{w: w, rows: json.NewEncoder(w)}
-		if err := serve(r.Context(), &ask, out); err != nil && !out.begun {
-			NotExecuted(w, err)
+		out := &eventWriter{w: w, encoder: json.NewEncoder(w)}
+		if err := serve(r.Context(), &request, out); err != nil && !out.started {
+			WriteError(w, err)
 		}
 	})
 }
 
-// Mount registers the origins' side of the interface: POST /v1/streams and GET /ready.
-func Mount(mux *http.ServeMux, s Server) {
-	Streams(mux, "/v1/streams", s.Serve)
+// RegisterClientAPI registers the origins' side of the interface: POST /v1/streams and GET /ready.
+func RegisterClientAPI(mux *http.ServeMux, s Server) {
+	HandleStreams(mux, "/v1/streams", s.Serve)
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
 		ok, why := s.Ready()
 		code := http.StatusOK
 		if !ok {
 			code = http.StatusServiceUnavailable
 		}
-		Write(w, code, Readiness{ok, why})
+		WriteJSON(w, code, Readiness{ok, why})
 	})
 }
 
 // eventWriter is the sink that writes to an origin, one line of JSON each.
 type eventWriter struct {
-	w     http.ResponseWriter
-	rows  *json.Encoder
-	begun bool // the status and headers are written
+	w       http.ResponseWriter
+	encoder *json.Encoder
+	started bool // the status and headers are written
 }
 
-func (l *eventWriter) Put(event StreamEvent) error {
-	if !l.begun {
-		l.begun = true
-		l.w.Header().Set("Content-Type", "application/x-ndjson")
-		l.w.WriteHeader(http.StatusOK)
+func (w *eventWriter) Put(event StreamEvent) error {
+	if !w.started {
+		w.started = true
+		w.w.Header().Set("Content-Type", "application/x-ndjson")
+		w.w.WriteHeader(http.StatusOK)
 	}
-	if err := l.rows.Encode(event); err != nil {
+	if err := w.encoder.Encode(event); err != nil {
 		return err
 	}
-	if f, ok := l.w.(http.Flusher); ok {
+	if f, ok := w.w.(http.Flusher); ok {
 		f.Flush()
 	}
 	return nil
 }
 
-// Check returns what is wrong with a request, or nil. claimed tells that its kind needs a key;
+// Validate returns what is wrong with a request, or nil. claimed tells that its kind needs a key;
 // maxTokens and maxPrompt bound the tokens of its answer and of its prompt.
-func (a *StreamRequest) Check(claimed bool, maxTokens, maxPrompt int) *Fault {
+func (a *StreamRequest) Validate(keyRequired bool, maxTokens, maxPrompt int) *Fault {
 	switch {
 	case a.Prompt != "" && len(a.PromptIds) > 0:
-		return WriteFault(http.StatusBadRequest, "both", "promptIds", "give prompt or promptIds, not both")
+		return NewFault(http.StatusBadRequest, "both", "promptIds", "give prompt or promptIds, not both")
 	case len(a.Tokens()) == 0:
-		return WriteFault(http.StatusBadRequest, "missing", "prompt", "the prompt is empty")
+		return NewFault(http.StatusBadRequest, "missing", "prompt", "the prompt is empty")
 	case len(a.Tokens()) > maxPrompt:
-		return WriteFault(
+		return NewFault(
 			http.StatusRequestEntityTooLarge,
 			"too-large",
 			"prompt",
@@ -172,17 +172,17 @@
 			maxPrompt,
 		)
 	case a.MaxTokens < 0 || a.MaxTokens > maxTokens:
-		return WriteFault(http.StatusBadRequest, "out-of-range", "maxTokens", "at most %d", maxTokens)
+		return NewFault(http.StatusBadRequest, "out-of-range", "maxTokens", "at most %d", maxTokens)
 	case a.Temperature < 0 || a.Temperature > maxTemperature:
-		return WriteFault(http.StatusBadRequest, "out-of-range", "temperature", "from 0 to %d", maxTemperature)
-	case claimed && a.Key == "":
-		return WriteFault(http.StatusBadRequest, "missing", "key", "kind %q needs the caller's key", a.Kind)
-	case len(a.Key) > maxKey:
-		return WriteFault(http.StatusBadRequest, "too-large", "key", "at most %d bytes", maxKey)
+		return NewFault(http.StatusBadRequest, "out-of-range", "temperature", "from 0 to %d", maxTemperature)
+	case keyRequired && a.Key == "":
+		return NewFault(http.StatusBadRequest, "missing", "key", "kind %q needs the caller's key", a.Kind)
+	case len(a.Key) > maxKeyBytes:
+		return NewFault(http.StatusBadRequest, "too-large", "key", "at most %d bytes", maxKeyBytes)
 	}
 	for _, t := range a.PromptIds {
 		if t <= 0 {
-			return WriteFault(http.StatusBadRequest, "out-of-range", "promptIds", "ids are above 0")
+			return NewFault(http.StatusBadRequest, "out-of-range", "promptIds", "ids are above 0")
 		}
 	}
 	return nil
--- a/internal/certification/certification.go
+++ b/internal/certification/certification.go
@@ -18,8 +18,8 @@
 // Regime governs the kinds that it names. Keep is the share of a certified worker's
 // room, in percent, that work which is not governed leaves free.
 type Regime struct {
-	Kinds []string `json:"kinds"`
-	Keep  int      `json:"keep"`
+	Kinds           []string `json:"kinds"`
+	ReservedPercent int      `json:"keep"`
 }
 
 // Issuer is a public key (base64 of 32 bytes) and the span in which what it signed
@@ -62,24 +62,24 @@
 // Subject returns whom the certificate clears.
 func (c *Certificate) Subject() Subject { return Subject{c.Worker, c.Node} }
 
-// domain keeps a signature from standing for any other kind of text.
-const domain = "keelstair certificate 1\n"
+// signatureDomain keeps a signature from standing for any other kind of text.
+const signatureDomain = "keelstair certificate 1\n"
 
-// text is the canonical encoding that is signed: all fields but the signature, in the
+// signedBytes is the canonical encoding that is signed: all fields but the signature, in the
 // fixed order of the struct, none left to the writer's taste.
-func (c *Certificate) text() []byte {
-	bare := *c
-	bare.Signature = ""
-	b, err := json.Marshal(&bare)
+func (c *Certificate) signedBytes() []byte {
+	unsigned := *c
+	unsigned.Signature = ""
+	b, err := json.Marshal(&unsigned)
 	if err != nil {
 		panic(err) // strings alone; it cannot fail
 	}
-	return append([]byte(domain), b...)
+	return append([]byte(signatureDomain), b...)
 }
 
 // Sign puts the issuer's signature under a certificate.
 func (c *Certificate) Sign(key ed25519.PrivateKey) {
-	c.Signature = base64.StdEncoding.EncodeToString(ed25519.Sign(key, c.text()))
+	c.Signature = base64.StdEncoding.EncodeToString(ed25519.Sign(key, c.signedBytes()))
 }
 
 // Fault is one thing wrong with a field, with its place in the configuration.
@@ -111,12 +111,12 @@
 	return x.UnixNano(), y.UnixNano(), nil
 }
 
-type key struct {
+type issuerKey struct {
 	public      ed25519.PublicKey
 	from, until int64
 }
 
-func (i Issuer) read(path []string) (*key, error) {
+func (i Issuer) parse(path []string) (*issuerKey, error) {
 	raw, err := base64.StdEncoding.DecodeString(i.Key)
 	if err != nil || len(raw) != ed25519.PublicKeySize {
 		return nil, invalid(
@@ -126,12 +126,12 @@
 		)
 	}
 	from, until, err := parseValidity(path, i.From, i.Until)
-	return &key{raw, from, until}, err
+	return &issuerKey{raw, from, until}, err
 }
 
 // verify holds a certificate against the issuers; the span that it gives is cut to
 // its issuer's.
-func (c *Certificate) verify(path []string, keys map[string]*key) (from, until int64, err error) {
+func (c *Certificate) verify(path []string, keys map[string]*issuerKey) (from, until int64, err error) {
 	if from, until, err = parseValidity(path, c.From, c.Until); err != nil {
 		return 0, 0, err
 	}
@@ -149,7 +149,7 @@
 		return 0, 0, invalid(
 			append(path, "signature"), "it is truncated: %d bytes of %d", len(sig), ed25519.SignatureSize,
 		)
-	case !ed25519.Verify(k.public, c.text(), sig):
+	case !ed25519.Verify(k.public, c.signedBytes(), sig):
 		return 0, 0, invalid(
 			append(path, "signature"),
 			"the signature of issuer %q does not fit this certificate of %s: it was forged, altered, copied from another subject, or signed by another key",
--- a/internal/certification/key.go
+++ b/internal/certification/key.go
@@ -25,17 +25,17 @@
 	return private, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
 
-// ReadKey reads a key file's text.
-func ReadKey(text []byte) (ed25519.PrivateKey, error) {
+// ParsePrivateKey reads a key file's text.
+func ParsePrivateKey(text []byte) (ed25519.PrivateKey, error) {
 	block, _ := pem.Decode(text)
 	if block == nil || block.Type != "PRIVATE KEY" {
 		return nil, failure.New(failure.InvalidArgument, "read key", "", "it is no PEM file with a PRIVATE KEY")
 	}
-	any, err := x509.ParsePKCS8PrivateKey(block.Bytes)
+	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "read key", "")
 	}
-	private, ok := any.(ed25519.PrivateKey)
+	private, ok := parsed.(ed25519.PrivateKey)
 	if !ok {
 		return nil, failure.New(
 			failure.InvalidArgument, "read key", "", "it is a key of another sort; an Ed25519 key is needed",
@@ -44,7 +44,7 @@
 	return private, nil
 }
 
-// Public gives a key's public half as issuers name it.
-func Public(k ed25519.PrivateKey) string {
+// EncodePublicKey gives a key's public half as issuers name it.
+func EncodePublicKey(k ed25519.PrivateKey) string {
 	return base64.StdEncoding.EncodeToString(k.Public().(ed25519.PublicKey))
 }
--- a/internal/certification/register.go
+++ b/internal/certification/register.go
@@ -12,38 +12,38 @@
 	"keelstair.example/ids"
 )
 
-// Now is what the fleet's time may be at this moment: two bounds, in nanoseconds since
+// TimeBounds is what the fleet's time may be at this moment: two bounds, in nanoseconds since
 // 1970. What begins counts from the lower one, and what ends by the upper one.
-type Now struct{ Low, High int64 }
+type TimeBounds struct{ Low, High int64 }
 
-// At is a time that is known exactly.
-func At(t time.Time) Now { return Now{t.UnixNano(), t.UnixNano()} }
+// ExactTime is a time that is known exactly.
+func ExactTime(t time.Time) TimeBounds { return TimeBounds{t.UnixNano(), t.UnixNano()} }
 
-type coverage struct {
+type grantKey struct {
 	regime  string
 	subject Subject
 	role    ids.Role
 }
 
-type entry struct {
+type grant struct {
 	serial      string
 	from, until int64
 }
 
 // Register is immutable; a nil one governs nothing.
 type Register struct {
-	regimes  map[string]Regime
-	kinds    map[string]string
-	coverage map[coverage][]entry
-	all      map[string]*Certificate
-	validity map[string]entry
-	revoked  map[string]bool // by their presence
+	regimes      map[string]Regime
+	kinds        map[string]string
+	grants       map[grantKey][]grant
+	certificates map[string]*Certificate
+	validity     map[string]grant
+	revoked      map[string]bool // by their presence
 }
 
 // Compile makes a register. Every certificate that does not hold is left out of it and
 // named in the error, in the order of the serials. Without regimes the register is nil.
 func Compile(regimes map[string]Regime, issuers map[string]Issuer, certs map[string]Certificate) (*Register, error) {
-	var bad []error
+	var errs []error
 	if len(regimes) == 0 {
 		if len(certs) > 0 {
 			return nil, invalid([]string{"certificates"}, "there are certificates and no regime")
@@ -51,16 +51,16 @@
 		return nil, nil
 	}
 	r := &Register{
-		regimes:  regimes,
-		kinds:    map[string]string{},
-		coverage: map[coverage][]entry{},
-		all:      map[string]*Certificate{},
-		validity: map[string]entry{},
+		regimes:      regimes,
+		kinds:        map[string]string{},
+		grants:       map[grantKey][]grant{},
+		certificates: map[string]*Certificate{},
+		validity:     map[string]grant{},
 	}
-	for _, name := range sorted(regimes) {
+	for _, name := range sortedKeys(regimes) {
 		for _, k := range regimes[name].Kinds {
 			if other, ok := r.kinds[k]; ok {
-				bad = append(bad, invalid([]string{
+				errs = append(errs, invalid([]string{
 					"regimes", name, "kinds",
 				}, "kind %q is governed by %q already", k, other))
 				continue
@@ -68,26 +68,26 @@
 			r.kinds[k] = name
 		}
 	}
-	keys := map[string]*key{}
-	for _, id := range sorted(issuers) {
-		k, err := issuers[id].read([]string{"issuers", id})
+	keys := map[string]*issuerKey{}
+	for _, id := range sortedKeys(issuers) {
+		k, err := issuers[id].parse([]string{"issuers", id})
 		if err != nil {
-			bad = append(bad, err)
+			errs = append(errs, err)
 			continue
 		}
 		keys[id] = k
 	}
 	signed := map[string]string{}
-	for _, serial := range sorted(certs) {
+	for _, serial := range sortedKeys(certs) {
 		c := certs[serial]
-		if err := r.admit(serial, &c, keys, signed); err != nil {
-			bad = append(bad, err)
+		if err := r.addCertificate(serial, &c, keys, signed); err != nil {
+			errs = append(errs, err)
 		}
 	}
-	return r, errors.Join(bad...)
+	return r, errors.Join(errs...)
 }
 
-func (r *Register) admit(serial string, c *Certificate, keys map[string]*key, signed map[string]string) error {
+func (r *Register) addCertificate(serial string, c *Certificate, keys map[string]*issuerKey, signed map[string]string) error {
 	path := []string{"certificates", serial}
 	switch other, twice := signed[c.Signature]; {
 	case c.Serial != serial:
@@ -111,16 +111,16 @@
 	if c.Node != "" {
 		roles = []ids.Role{""}
 	}
-	e := entry{serial, from, until}
+	e := grant{serial, from, until}
 	for _, p := range roles {
-		at := coverage{c.Regime, c.Subject(), p}
-		r.coverage[at] = append(r.coverage[at], e)
+		at := grantKey{c.Regime, c.Subject(), p}
+		r.grants[at] = append(r.grants[at], e)
 	}
-	r.all[serial], r.validity[serial] = c, e
+	r.certificates[serial], r.validity[serial] = c, e
 	return nil
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
 		out = append(out, k)
@@ -140,8 +140,8 @@
 	return &next
 }
 
-// Governs names the regime of a kind, or none.
-func (r *Register) Governs(kind string) string {
+// RegimeOf names the regime of a kind, or none.
+func (r *Register) RegimeOf(kind string) string {
 	if r == nil {
 		return ""
 	}
@@ -153,8 +153,8 @@
 	return ok
 }
 
-// Has tells whether there is such a regime.
-func (r *Register) Has(regime string) bool {
+// HasRegime tells whether there is such a regime.
+func (r *Register) HasRegime(regime string) bool {
 	if r == nil {
 		return false
 	}
@@ -162,14 +162,14 @@
 	return ok
 }
 
-// Clears tells whether a subject may play a part (none for a node) in a regime now, and
+// Authorizes tells whether a subject may play a part (none for a node) in a regime now, and
 // by which serial: of several the one that ends last.
-func (r *Register) Clears(regime string, s Subject, role ids.Role, now Now) (serial string, ok bool) {
+func (r *Register) Authorizes(regime string, s Subject, role ids.Role, now TimeBounds) (serial string, ok bool) {
 	if r == nil || now.High == 0 {
 		return "", false
 	}
 	var last int64
-	for _, e := range r.coverage[coverage{regime, s, role}] {
+	for _, e := range r.grants[grantKey{regime, s, role}] {
 		if e.from <= now.Low && now.High < e.until && !r.isRevoked(e.serial) && e.until > last {
 			serial, last, ok = e.serial, e.until, true
 		}
@@ -177,68 +177,68 @@
 	return serial, ok
 }
 
-// RetentionOf is the share of a worker's room, in percent, that is kept free for governed
+// ReservedPercent is the share of a worker's room, in percent, that is kept free for governed
 // work: the largest of the regimes that it may serve now in a part.
-func (r *Register) RetentionOf(w ids.WorkerID, role ids.Role, now Now) int {
+func (r *Register) ReservedPercent(w ids.WorkerID, role ids.Role, now TimeBounds) int {
 	most := 0
 	if r != nil {
-		for name, g := range r.regimes {
-			if _, ok := r.Clears(name, Subject{Worker: w}, role, now); ok {
-				most = max(most, g.Keep)
+		for name, regime := range r.regimes {
+			if _, ok := r.Authorizes(name, Subject{Worker: w}, role, now); ok {
+				most = max(most, regime.ReservedPercent)
 			}
 		}
 	}
 	return most
 }
 
-// Regimes lists the names in order.
-func (r *Register) Regimes() []string {
+// RegimeNames lists the names in order.
+func (r *Register) RegimeNames() []string {
 	if r == nil {
 		return nil
 	}
-	return sorted(r.regimes)
+	return sortedKeys(r.regimes)
 }
 
 // State is that of a certificate at a time.
 type State string
 
 const (
-	Valid   State = "valid"         // in force
-	Early   State = "not yet valid" // its span may not have begun yet
-	Expired State = "expired"       // its span may have ended
-	Revoked State = "revoked"       // void for good, whatever its span
+	Valid       State = "valid"         // in force
+	NotYetValid State = "not yet valid" // its span may not have begun yet
+	Expired     State = "expired"       // its span may have ended
+	Revoked     State = "revoked"       // void for good, whatever its span
 )
 
-// Row is one certificate with its state and the end of its span, cut to its issuer's.
-type Row struct {
+// CertificateStatus is one certificate with its state and the end of its span, cut to its issuer's.
+type CertificateStatus struct {
 	Certificate
 	State State `json:"state"`
 	Ends  int64 `json:"ends"` // nanoseconds since 1970
 }
 
-// Rows lists the certificates of a regime in the order of their ends.
-func (r *Register) Rows(regime string, now Now) []Row {
-	var out []Row
+// CertificateStatuses lists the certificates of a regime in the order of their ends.
+func (r *Register) CertificateStatuses(regime string, now TimeBounds) []CertificateStatus {
+	var out []CertificateStatus
 	if r == nil {
 		return out
 	}
-	for serial, c := range r.all {
+	for serial, c := range r.certificates {
 		e := r.validity[serial]
 		if c.Regime != regime {
 			continue
 		}
-		row := Row{Certificate: *c, State: Valid, Ends: e.until}
+		row := CertificateStatus{Certificate: *c, State: Valid, Ends: e.until}
 		switch {
 		case r.isRevoked(serial):
 			row.State = Revoked
 		case now.High >= e.until:
 			row.State = Expired
 		case now.Low < e.from:
-			row.State = Early
+			row.State = NotYetValid
 		}
 		out = append(out, row)
 	}
-	slices.SortFunc(out, func(a, b Row) int {
+	slices.SortFunc(out, func(a, b CertificateStatus) int {
 		if a.Ends != b.Ends {
 			return int(min(max(a.Ends-b.Ends, -1), 1))
 		}
@@ -252,34 +252,34 @@
 
 // Find gives a certificate by its serial.
 func (r *Register) Find(serial string) (Certificate, bool) {
-	if r == nil || r.all[serial] == nil {
+	if r == nil || r.certificates[serial] == nil {
 		return Certificate{}, false
 	}
-	return *r.all[serial], true
+	return *r.certificates[serial], true
 }
 
-// Shortage lists what a regime lacks at a time, among the workers that can be picked:
+// Shortages lists what a regime lacks at a time, among the workers that can be picked:
 // fewer than want of a part, or no node. A nil alive counts all.
-func (r *Register) Shortage(regime string, want int, now Now, alive func(Subject) bool) []string {
+func (r *Register) Shortages(regime string, minimum int, now TimeBounds, available func(Subject) bool) []string {
 	count := map[ids.Role]map[Subject]bool{ids.Prefill: {}, ids.Decode: {}, "": {}}
-	for _, row := range r.Rows(regime, now) {
-		if row.State != Valid || alive != nil && !alive(row.Subject()) {
+	for _, row := range r.CertificateStatuses(regime, now) {
+		if row.State != Valid || available != nil && !available(row.Subject()) {
 			continue
 		}
 		if row.Node != "" {
 			count[""][row.Subject()] = true
 		}
-		for _, p := range row.Roles {
-			count[p][row.Subject()] = true
+		for _, role := range row.Roles {
+			count[role][row.Subject()] = true
 		}
 	}
 	var out []string
-	for _, p := range []ids.Role{ids.Prefill, ids.Decode} {
-		if n := len(count[p]); n < want {
-			out = append(out, string(p)+" workers")
+	for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
+		if n := len(count[role]); n < minimum {
+			out = append(out, string(role)+" workers")
 		}
 	}
-	if len(count[""]) < want {
+	if len(count[""]) < minimum {
 		out = append(out, "router nodes")
 	}
 	return out
--- a/internal/cli/ask.go
+++ b/internal/cli/ask.go
@@ -44,7 +44,7 @@
 func Ask(endpoints []string, method, path string, in, out any) error {
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	err := api.Put(ctx, &http.Client{}, endpoints, method, path, in, out)
+	err := api.Send(ctx, &http.Client{}, endpoints, method, path, in, out)
 	var f *api.Fault
 	if !errors.As(err, &f) {
 		if err != nil && method == http.MethodPost && !rpc.IsDialError(err) {
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -98,7 +98,7 @@
 
 // CheckTransition checks a configuration against the one that it replaces: a serial is never
 // reused for another certificate, and no certificate that has already expired is added.
-func (cfg *Configuration) CheckTransition(previous *Configuration, now certification.Now) error {
+func (cfg *Configuration) CheckTransition(previous *Configuration, now certification.TimeBounds) error {
 	for _, serial := range slices.Sorted(maps.Keys(cfg.Certificates)) {
 		c := cfg.Certificates[serial]
 		old, exists := previous.Certificates[serial]
@@ -117,9 +117,9 @@
 }
 
 // certificateExpired reports whether the certificate of a serial has expired.
-func certificateExpired(cfg *Configuration, serial string, now certification.Now) bool {
+func certificateExpired(cfg *Configuration, serial string, now certification.TimeBounds) bool {
 	register, _ := cfg.Register()
-	for _, row := range register.Rows(cfg.Certificates[serial].Regime, now) {
+	for _, row := range register.CertificateStatuses(cfg.Certificates[serial].Regime, now) {
 		if row.Serial == serial {
 			return row.State == certification.Expired
 		}
@@ -202,13 +202,13 @@
 		return true
 	}
 	register := m.unrevokedRegister.WithRevoked(m.revocations)
-	now := certification.Now{Low: m.timeBound - int64(clockBoundLead), High: m.timeBound}
-	for _, regime := range register.Regimes() {
+	now := certification.TimeBounds{Low: m.timeBound - int64(clockBoundLead), High: m.timeBound}
+	for _, regime := range register.RegimeNames() {
 		for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
-			if _, ok := register.Clears(regime, certification.Subject{Worker: ids.WorkerID(id)}, role, now); !ok && isWorkerKey {
+			if _, ok := register.Authorizes(regime, certification.Subject{Worker: ids.WorkerID(id)}, role, now); !ok && isWorkerKey {
 				continue
 			}
-			if _, ok := register.Clears(regime, certification.Subject{Node: NodeName(node)}, "", now); !ok {
+			if _, ok := register.Authorizes(regime, certification.Subject{Node: NodeName(node)}, "", now); !ok {
 				return false
 			}
 		}
--- a/internal/fleetstate/regime_test.go
+++ b/internal/fleetstate/regime_test.go
@@ -40,7 +40,7 @@
 	require.NoError(t, json.Unmarshal(text, &all))
 	all["regimes"] = map[string]any{"chair": map[string]any{"kinds": []string{"verdict"}}}
 	all["issuers"] = map[string]any{"k1": certification.Issuer{
-		Key:   certification.Public(key),
+		Key:   certification.EncodePublicKey(key),
 		From:  day(-1),
 		Until: day(100),
 	}}
@@ -72,11 +72,11 @@
 	again, _, err := ParseComplete("f.cue", complete)
 	require.NoError(t, err)
 	require.Equal(t, p, again)
-	require.Equal(t, 20, p.Regimes["chair"].Keep)
+	require.Equal(t, 20, p.Regimes["chair"].ReservedPercent)
 	r, err := p.Register()
 	require.NoError(t, err)
-	now := certification.At(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
-	serial, ok := r.Clears("chair", certification.Subject{Worker: "d1"}, ids.Decode, now)
+	now := certification.ExactTime(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
+	serial, ok := r.Authorizes("chair", certification.Subject{Worker: "d1"}, ids.Decode, now)
 	require.True(t, ok)
 	require.Equal(t, "s2", serial)
 	type certs = map[string]certification.Certificate
@@ -172,13 +172,13 @@
 	require.NoError(t, err)
 	next, _, err := ParseComplete("f", regimeConfiguration(t, nil)) // another key, hence other signatures
 	require.NoError(t, err)
-	early := certification.At(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
-	late := certification.At(time.Date(2027, 1, 30, 0, 0, 0, 0, time.UTC))
+	early := certification.ExactTime(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
+	late := certification.ExactTime(time.Date(2027, 1, 30, 0, 0, 0, 0, time.UTC))
 	require.NoError(t, previous.CheckTransition(previous, late))
 	require.ErrorContains(t, next.CheckTransition(previous, early), "stands for another certificate")
 	require.NoError(t, previous.CheckTransition(&Configuration{}, early))
 	require.ErrorContains(t, previous.CheckTransition(&Configuration{}, late), "it has expired")
-	require.NoError(t, previous.CheckTransition(&Configuration{}, certification.Now{}), "the time is not known")
+	require.NoError(t, previous.CheckTransition(&Configuration{}, certification.TimeBounds{}), "the time is not known")
 }
 
 // TestOverlayWithCertificates checks that an overlay of other fields keeps the certificates, and an
@@ -233,10 +233,10 @@
 	v.NoteVersion(1)
 	require.Empty(t, v.Current().RevokedSerials)
 	v.Observe(2, RevokeKind, coordination.MustMarshal(&Revoke{"s1"}))
-	now := certification.At(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
-	_, ok := v.Current().Register.Clears("chair", certification.Subject{Worker: "p1"}, ids.Prefill, now)
+	now := certification.ExactTime(time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC))
+	_, ok := v.Current().Register.Authorizes("chair", certification.Subject{Worker: "p1"}, ids.Prefill, now)
 	require.False(t, ok)
-	_, ok = v.Current().Register.Clears("chair", certification.Subject{Worker: "d1"}, ids.Decode, now)
+	_, ok = v.Current().Register.Authorizes("chair", certification.Subject{Worker: "d1"}, ids.Decode, now)
 	require.True(t, ok)
 	require.Equal(t, map[string]bool{"s1": false}, v.Current().RevokedSerials)
 	v.Observe(3, ConfirmRevocationKind, coordination.MustMarshal(&ConfirmRevocation{"s1"}))
--- a/internal/handoff/cleanup.go
+++ b/internal/handoff/cleanup.go
@@ -50,7 +50,7 @@
 			return f.finalError(err), false
 		}
 		return nil, false
-	case f.task.AtMostOnce && f.resumeOrdered && response.Fate != workerclient.FateNever:
+	case f.task.AtMostOnce && f.resumeOrdered && response.Fate != workerclient.FateNotStarted:
 		return failure.As(cause, failure.OutcomeUnknown, "hand-over", f.attemptID.Request), false
 	}
 	return nil, true
--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -321,7 +321,7 @@
 // identityMatches reports whether the exported identity, out, continues the one sent, in.
 func (f *handoffTask) identityMatches(in, out *workerclient.Identity) bool {
 	if out.ID != in.ID || len(out.Prompt) != len(in.Prompt) || len(out.Output) < len(in.Output) ||
-		!in.Model.Offers(out.Model) || out.Params != in.Params || out.Computed < len(in.Prompt) {
+		!in.Model.Serves(out.Model) || out.Params != in.Params || out.Computed < len(in.Prompt) {
 		return false
 	}
 	for i := range in.Prompt {
--- a/internal/handoff/controller_test.go
+++ b/internal/handoff/controller_test.go
@@ -120,13 +120,13 @@
 
 func (s *fakeTransport) Cancel(_ context.Context, w ids.WorkerID, _ workerclient.ID) (*workerclient.OrderResponse, error) {
 	if w[0] == 'p' {
-		return &workerclient.OrderResponse{Fate: workerclient.FateNever}, nil
+		return &workerclient.OrderResponse{Fate: workerclient.FateNotStarted}, nil
 	}
 	s.cancels++
 	if s.onCancel != nil {
 		return s.onCancel(s.cancels)
 	}
-	return &workerclient.OrderResponse{Fate: workerclient.FateNever, Incarnation: "one"}, nil
+	return &workerclient.OrderResponse{Fate: workerclient.FateNotStarted, Incarnation: "one"}, nil
 }
 
 func (s *fakeTransport) Release(w ids.WorkerID, id workerclient.ID, _ bool) {
@@ -312,7 +312,7 @@
 		"cannot be reached": func(int) (*workerclient.OrderResponse, error) { return nil, notExecutedError() },
 		"memory lost":       func(int) (*workerclient.OrderResponse, error) { return nil, dataLostError() },
 		"new incarnation": func(int) (*workerclient.OrderResponse, error) {
-			return &workerclient.OrderResponse{Fate: workerclient.FateNever, Incarnation: "two"}, nil
+			return &workerclient.OrderResponse{Fate: workerclient.FateNotStarted, Incarnation: "two"}, nil
 		},
 		"stopped midway": func(int) (*workerclient.OrderResponse, error) {
 			return &workerclient.OrderResponse{Fate: workerclient.FateStopped, Incarnation: "one"}, nil
--- a/internal/handoff/memory_ledger.go
+++ b/internal/handoff/memory_ledger.go
@@ -155,7 +155,7 @@
 	if r == nil || l.exclusiveSince == math.MaxInt64 {
 		return s
 	}
-	s.Role, s.Capacity, s.TokensPerBlock, s.Model, s.Incarnation = r.Role, r.Capacity, r.Block, r.Model, r.Incarnation
+	s.Role, s.Capacity, s.TokensPerBlock, s.Model, s.Incarnation = r.Role, r.Capacity, r.BlockSize, r.Model, r.Incarnation
 	// The first report that is sure to show all orders of an earlier holder is one requested a
 	// full report lag after the worker learned this holder's fencing token.
 	s.Ready = !l.draining && l.missedReports < 3 && !now.Past(l.reportRequestedAt, 2*time.Second) &&
--- a/internal/handoff/memory_ledger_test.go
+++ b/internal/handoff/memory_ledger_test.go
@@ -18,7 +18,7 @@
 func tickAt(ms int) ids.Tick { return ids.Tick(time.Duration(ms) * time.Millisecond) }
 
 func newReport(used int, on ...workerclient.Running) *workerclient.Report {
-	return &workerclient.Report{Role: ids.Decode, Used: used, Capacity: 100, Block: 16, Running: on}
+	return &workerclient.Report{Role: ids.Decode, Used: used, Capacity: 100, BlockSize: 16, Running: on}
 }
 
 func newHeldLedger(ms int, ramp time.Duration, limit int) *MemoryLedger {
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -55,7 +55,7 @@
 	if request.Partial {
 		state, err := fleetstate.ReadState(callContext, o.Caller, o.Directory)
 		if err != nil {
-			return nil, api.OutcomeEvent(err, operatorRetryAfter)
+			return nil, api.SubmitError(err, operatorRetryAfter)
 		}
 		newest, _ := state.ProgramSet()
 		if uint64(newest.Version) != request.Base {
@@ -88,7 +88,7 @@
 // versionApplied waits up to activationWait for a version to take effect.
 func (o *Operator) versionApplied(ctx context.Context, version ids.Version, err error) (*api.ApplyResponse, error) {
 	if err != nil {
-		return nil, api.OutcomeEvent(err, operatorRetryAfter)
+		return nil, api.SubmitError(err, operatorRetryAfter)
 	}
 	callContext, stop := context.WithTimeout(ctx, activationWait)
 	defer stop()
@@ -107,21 +107,21 @@
 // Evacuate stops sending new work to a zone, or resumes it.
 func (o *Operator) Evacuate(ctx context.Context, zone string, request *api.MarkRequest) (*api.ApplyResponse, error) {
 	if !slices.Contains(o.Zones, zone) {
-		return nil, api.WriteFault(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
+		return nil, api.NewFault(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
 	}
 	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
 	if err := fleetstate.SetEvacuated(
 		callContext, o.Caller, o.Directory, ids.OpID(zoneOpPrefix+request.Op), ids.Zone(zone), request.Out,
 	); err != nil {
-		return nil, api.OutcomeEvent(err, operatorRetryAfter)
+		return nil, api.SubmitError(err, operatorRetryAfter)
 	}
 	return &api.ApplyResponse{Active: true}, nil
 }
 
 // Drain is refused, since the fleet's worker list says which workers leave.
 func (o *Operator) Drain(_ context.Context, worker string, _ *api.MarkRequest) (*api.ApplyResponse, error) {
-	return nil, api.WriteFault(
+	return nil, api.NewFault(
 		http.StatusNotFound,
 		"unknown",
 		"worker",
@@ -132,7 +132,7 @@
 
 // Revoke is refused, since no regime, and so no certificate, governs these routes.
 func (o *Operator) Revoke(_ context.Context, serial string, _ *api.MarkRequest) (*api.ApplyResponse, error) {
-	return nil, api.WriteFault(
+	return nil, api.NewFault(
 		http.StatusNotFound,
 		"unknown",
 		"certificate",
@@ -144,14 +144,14 @@
 // Regimes returns an empty list.
 func (o *Operator) Regimes() *api.Regimes { return &api.Regimes{} }
 
-// Audits returns an empty list, since no regime governs these routes.
-func (o *Operator) Audits(context.Context, int, int) (*api.Audits, error) {
-	return &api.Audits{}, nil
+// AuditRows returns an empty list, since no regime governs these routes.
+func (o *Operator) AuditRows(context.Context, int, int) (*api.AuditPage, error) {
+	return &api.AuditPage{}, nil
 }
 
-// Shown returns the program set in force, the newest version, and the evacuated zones and drained
+// ActivePolicy returns the program set in force, the newest version, and the evacuated zones and drained
 // workers.
-func (o *Operator) Shown(ctx context.Context) (*api.Shown, error) {
+func (o *Operator) ActivePolicy(ctx context.Context) (*api.ActivePolicy, error) {
 	callContext, stop := context.WithTimeout(ctx, operatorTimeout)
 	defer stop()
 	state, err := fleetstate.ReadState(callContext, o.Caller, o.Directory)
@@ -159,7 +159,7 @@
 		return nil, err
 	}
 	newest, _ := state.ProgramSet()
-	return &api.Shown{
+	return &api.ActivePolicy{
 		Version: uint64(state.Programs.Version),
 		Newest:  uint64(newest.Version),
 		Policy:  fleetstate.ProgramSetJSON(state.Programs),
--- a/internal/proxy/program_set_test.go
+++ b/internal/proxy/program_set_test.go
@@ -55,10 +55,10 @@
 }
 
 // currentProgramSet returns what the operators' interface shows.
-func (f *fleet) currentProgramSet() *api.Shown {
+func (f *fleet) currentProgramSet() *api.ActivePolicy {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
-	got, err := f.operator(f.runningNodes()[0]).Shown(ctx)
+	got, err := f.operator(f.runningNodes()[0]).ActivePolicy(ctx)
 	require.NoError(f.t, err)
 	return got
 }
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -104,7 +104,7 @@
 // dead node, or nil if no regime governs the claim.
 func (n *Node) takeoverAuditRecord(claim *fleetstate.IdempotencyRecord, outcome string) []byte {
 	kind, _, _ := strings.Cut(claim.Key, "/")
-	t := &transport{node: n, kind: kind, regime: n.view.Current().Register.Governs(kind)}
+	t := &transport{node: n, kind: kind, regime: n.view.Current().Register.RegimeOf(kind)}
 	if t.regime == "" {
 		return nil
 	}
@@ -115,8 +115,8 @@
 	return t.auditRecord(RequestIDForKey(claim.Key), claim.Key, outcome)
 }
 
-// Audits reads up to limit rows of the audit chain, starting at row from.
-func (n *Node) Audits(ctx context.Context, from, limit int) (*api.Audits, error) {
+// AuditRows reads up to limit rows of the audit chain, starting at row from.
+func (n *Node) AuditRows(ctx context.Context, from, limit int) (*api.AuditPage, error) {
 	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
 	r, err := n.agent.Submit(
@@ -135,7 +135,7 @@
 	if _, err := reply.UnmarshalMsg(r.Body); err != nil {
 		return nil, failure.As(err, failure.OutcomeUnknown, "read audit", "core")
 	}
-	out := &api.Audits{First: reply.FirstIndex, Count: reply.RowCount, Head: reply.LastHash, Rows: []json.RawMessage{}}
+	out := &api.AuditPage{First: reply.FirstIndex, Count: reply.RowCount, Head: reply.LastHash, Rows: []json.RawMessage{}}
 	for _, line := range reply.Lines {
 		out.Rows = append(out.Rows, line)
 	}
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -189,7 +189,7 @@
 	}
 	switch {
 	case reply.Record.Digest != claim.Digest:
-		return nil, api.WriteFault(
+		return nil, api.NewFault(
 			http.StatusUnprocessableEntity, "key-reused", "key", "the key stands for another request",
 		)
 	case !reply.Fresh:
@@ -240,7 +240,7 @@
 		return n.rejectNotRun(0, out)
 	case fleetstate.OutcomeDone:
 		if record.AnswerExpired {
-			return api.WriteFault(
+			return api.NewFault(
 				http.StatusGone,
 				"answer-aged",
 				"key",
@@ -248,7 +248,7 @@
 			)
 		}
 	case fleetstate.OutcomeMayHaveRun:
-		return api.WriteFault(
+		return api.NewFault(
 			http.StatusGone, "may-have-run", "key", "whether it ran is not known; it will not be run again",
 		)
 	}
--- a/internal/router/claim_takeover.go
+++ b/internal/router/claim_takeover.go
@@ -92,7 +92,7 @@
 			texts := append(response.Texts, make([]string, len(response.Output))...)
 			answer, _ := json.Marshal(storedAnswer{response.Output, texts[:len(response.Output)]})
 			return fleetstate.OutcomeDone, answer
-		case response.Fate == workerclient.FateNever:
+		case response.Fate == workerclient.FateNotStarted:
 			return fleetstate.OutcomeNotRun, nil
 		default:
 			return fleetstate.OutcomeMayHaveRun, nil
@@ -105,7 +105,7 @@
 // governs the request, the node must be certified for it.
 func (n *Node) mayReadOutcome(key string) bool {
 	kind, _, _ := strings.Cut(key, "/")
-	regime := n.view.Current().Register.Governs(kind)
+	regime := n.view.Current().Register.RegimeOf(kind)
 	if regime == "" {
 		return true
 	}
--- a/internal/router/clearance.go
+++ b/internal/router/clearance.go
@@ -25,7 +25,7 @@
 // now, and returns the serial of the worker's certificate. A request without a regime, or whose
 // regime has been removed, needs no certificate.
 func (n *Node) stepClearance(regime string, w ids.WorkerID, role ids.Role) (string, error) {
-	if regime == "" || !n.view.Current().Register.Has(regime) {
+	if regime == "" || !n.view.Current().Register.HasRegime(regime) {
 		return "", nil
 	}
 	if _, err := n.clearance(regime, certification.Subject{Node: n.options.Name}, ""); err != nil {
@@ -37,7 +37,7 @@
 // currentRegime returns the regime that governs the request under a snapshot: the one that governs
 // its kind there, else the one that the request started under.
 func (t *transport) currentRegime(s *fleetstate.Snapshot) string {
-	if regime := s.Register.Governs(t.kind); regime != "" {
+	if regime := s.Register.RegimeOf(t.kind); regime != "" {
 		t.regime = regime
 	}
 	return t.regime
@@ -50,7 +50,7 @@
 	if s.Register == nil {
 		return true
 	}
-	headroomPercent := s.Register.RetentionOf(st.ID, st.Role, n.fleetTime())
+	headroomPercent := s.Register.ReservedPercent(st.ID, st.Role, n.fleetTime())
 	return st.Free-blocks >= st.Capacity*headroomPercent/100 &&
 		(headroomPercent == 0 || st.InFlight < handoff.LimitWithHeadroom(st.MaxConcurrent, headroomPercent))
 }
--- a/internal/router/forecast/regimes.go
+++ b/internal/router/forecast/regimes.go
@@ -63,25 +63,25 @@
 	after = after.WithRevoked(revoked)
 	then := st.FleetTime
 	if c.FleetTime > 0 {
-		then = certification.Now{Low: max(c.FleetTime, then.Low), High: max(c.FleetTime, then.High)}
+		then = certification.TimeBounds{Low: max(c.FleetTime, then.Low), High: max(c.FleetTime, then.High)}
 	}
-	late := certification.Now{Low: then.Low + int64(expiryHorizon), High: then.High + int64(expiryHorizon)}
+	late := certification.TimeBounds{Low: then.Low + int64(expiryHorizon), High: then.High + int64(expiryHorizon)}
 	excludedBefore, excludedAfter := unavailableSubjects(st, now, Change{}), unavailableSubjects(st, next, c)
 	available := func(excluded func(certification.Subject) bool) func(certification.Subject) bool {
 		return func(s certification.Subject) bool { return !excluded(s) }
 	}
-	for _, regime := range after.Regimes() {
-		short := after.Shortage(regime, 1, then, available(excludedAfter))
+	for _, regime := range after.RegimeNames() {
+		short := after.Shortages(regime, 1, then, available(excludedAfter))
 		for _, what := range short {
 			f.warn("regime %s would have no certified %s: its work would be rejected", regime, what)
 		}
-		for _, what := range after.Shortage(regime, 2, then, available(excludedAfter)) {
+		for _, what := range after.Shortages(regime, 2, then, available(excludedAfter)) {
 			if !slices.Contains(short, what) &&
-				!slices.Contains(before.Shortage(regime, 2, st.FleetTime, available(excludedBefore)), what) {
+				!slices.Contains(before.Shortages(regime, 2, st.FleetTime, available(excludedBefore)), what) {
 				f.warn("regime %s would have one left of its certified %s", regime, what)
 			}
 		}
-		for _, what := range after.Shortage(regime, 1, late, available(excludedAfter)) {
+		for _, what := range after.Shortages(regime, 1, late, available(excludedAfter)) {
 			if !slices.Contains(short, what) {
 				f.warn(
 					"regime %s would have no certified %s within %d days, as certificates end",
--- a/internal/router/forecast/regimes_test.go
+++ b/internal/router/forecast/regimes_test.go
@@ -27,7 +27,7 @@
 	now := time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC)
 	day := func(n int) string { return now.AddDate(0, 0, n).Format(time.RFC3339) }
 	configuration.Regimes = map[string]certification.Regime{"chair": {Kinds: []string{"verdict"}}}
-	configuration.Issuers = map[string]certification.Issuer{"k": {Key: certification.Public(key), From: day(-1), Until: day(100)}}
+	configuration.Issuers = map[string]certification.Issuer{"k": {Key: certification.EncodePublicKey(key), From: day(-1), Until: day(100)}}
 	configuration.Certificates = map[string]certification.Certificate{}
 	addCertificate := func(serial string, c certification.Certificate, until int) {
 		c.Serial, c.Regime, c.Issuer, c.From, c.Until = serial, "chair", "k", day(-1), day(until)
@@ -40,7 +40,7 @@
 	addCertificate("d3", certification.Certificate{Worker: "d3", Roles: []ids.Role{ids.Decode}}, 30)
 	addCertificate("n1", certification.Certificate{Node: "n1"}, 50)
 	addCertificate("n2", certification.Certificate{Node: "n2"}, 50)
-	st.FleetTime = certification.At(now)
+	st.FleetTime = certification.ExactTime(now)
 	regimeWarnings := func(c Change) (out []string) {
 		f, err := Compute(st, configuration, c)
 		require.NoError(t, err)
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -51,7 +51,7 @@
 	out api.Sink,
 ) error {
 	for _, m := range n.certifiedPeers(s, regime) {
-		count, err := api.Pass(ctx, n.httpClient, m.Addr, forwardPath, request, forwardIdleTimeout, out)
+		count, err := api.Forward(ctx, n.httpClient, m.Addr, forwardPath, request, forwardIdleTimeout, out)
 		if err == nil {
 			n.counts.Forwarded.Add(1)
 			return nil
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -154,7 +154,7 @@
 	rpc.Handle(mux, OrderMethod, n.handleOrder)
 	rpc.Handle(mux, heartbeatMethod, n.handleHeartbeat)
 	rpc.Handle(mux, SpendMethod, n.handleSpendRetry)
-	api.Streams(mux, forwardPath, n.serveForwarded)
+	api.HandleStreams(mux, forwardPath, n.serveForwarded)
 }
 
 // Run runs the node until the context ends. It then accepts no new requests, waits up to the drain
--- a/internal/router/operator.go
+++ b/internal/router/operator.go
@@ -79,7 +79,7 @@
 	}
 	now := n.fleetTime()
 	if now.High == 0 {
-		now = certification.At(n.options.Host.Clock.Wall()) // the fleet time will start here
+		now = certification.ExactTime(n.options.Host.Clock.Wall()) // the fleet time will start here
 	}
 	if err := configuration.CheckTransition(n.view.Current().Configuration, now); err != nil {
 		return nil, fleetstate.LocateFault(name, []byte(a.Source), err)
@@ -114,7 +114,7 @@
 
 // operatorError returns the answer for a failed operation, which says whether it certainly had no
 // effect.
-func (n *Node) operatorError(err error) error { return api.OutcomeEvent(err, n.retryDelay()) }
+func (n *Node) operatorError(err error) error { return api.SubmitError(err, n.retryDelay()) }
 
 // awaitApplied waits up to two seconds until this node has applied the operation and, if wait is
 // set, until the version in the reply is in force here. Active is set if it was.
@@ -156,7 +156,7 @@
 		known = known || string(z) == zone
 	}
 	if !known {
-		return nil, api.WriteFault(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
+		return nil, api.NewFault(http.StatusNotFound, "unknown", "zone", "there is no zone %q", zone)
 	}
 	return n.submitMark(ctx, m.Op, fleetstate.EvacuateKind, coordination.MustMarshal(&fleetstate.Evacuate{
 		Zone:      ids.Zone(zone),
@@ -167,7 +167,7 @@
 // Drain stops new work at a worker, or allows it again.
 func (n *Node) Drain(ctx context.Context, worker string, m *api.MarkRequest) (*api.ApplyResponse, error) {
 	if _, ok := n.view.Current().Configuration.Workers[ids.WorkerID(worker)]; !ok {
-		return nil, api.WriteFault(http.StatusNotFound, "unknown", "worker", "there is no worker %q", worker)
+		return nil, api.NewFault(http.StatusNotFound, "unknown", "worker", "there is no worker %q", worker)
 	}
 	return n.submitMark(ctx, m.Op, fleetstate.DrainKind, coordination.MustMarshal(&fleetstate.Drain{
 		Worker:  ids.WorkerID(worker),
@@ -175,13 +175,13 @@
 	}))
 }
 
-// Shown returns the result of Show for the operator API.
-func (n *Node) Shown(context.Context) (*api.Shown, error) { return n.Show(), nil }
+// ActivePolicy returns the result of Show for the operator API.
+func (n *Node) ActivePolicy(context.Context) (*api.ActivePolicy, error) { return n.Show(), nil }
 
 // Show returns the configuration in force, the evacuated zones and the drained workers.
-func (n *Node) Show() *api.Shown {
+func (n *Node) Show() *api.ActivePolicy {
 	s := n.view.Current()
-	out := &api.Shown{
+	out := &api.ActivePolicy{
 		Version: uint64(s.Version),
 		Newest:  uint64(max(s.NewestReceivedVersion, s.Version)),
 		Policy:  s.Text,
@@ -221,7 +221,7 @@
 	Evacuated     []string                  `json:"evacuated"`
 	Drained       []string                  `json:"drained"`
 	Records       [2]int                    `json:"deeds"` // idempotency keys claimed so far, and the maximum
-	FleetTime     certification.Now         `json:"time"`  // bounds of the fleet time; zeros without regimes
+	FleetTime     certification.TimeBounds  `json:"time"`  // bounds of the fleet time; zeros without regimes
 	Revoked       []string                  `json:"revoked,omitempty"`
 }
 
--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -19,9 +19,9 @@
 )
 
 // fleetTime returns the bounds of the current fleet time.
-func (n *Node) fleetTime() certification.Now {
+func (n *Node) fleetTime() certification.TimeBounds {
 	low, high := n.agent.Time()
-	return certification.Now{Low: low, High: high}
+	return certification.TimeBounds{Low: low, High: high}
 }
 
 // clearance returns the serial of the certificate that allows a subject to handle requests of a
@@ -37,7 +37,7 @@
 			regime,
 		)
 	}
-	serial, ok := n.view.Current().Register.Clears(regime, s, role, n.fleetTime())
+	serial, ok := n.view.Current().Register.Authorizes(regime, s, role, n.fleetTime())
 	if !ok {
 		return "", failure.New(
 			failure.NotExecuted, "clear", s.String(), "no certificate in force clears it for regime %q", regime,
@@ -49,10 +49,10 @@
 // Revoke revokes a certificate permanently. It returns once the revocation is in force everywhere.
 func (n *Node) Revoke(ctx context.Context, serial string, m *api.MarkRequest) (*api.ApplyResponse, error) {
 	if _, ok := n.view.Current().Register.Find(serial); !ok {
-		return nil, api.WriteFault(http.StatusNotFound, "unknown", "serial", "there is no certificate %q", serial)
+		return nil, api.NewFault(http.StatusNotFound, "unknown", "serial", "there is no certificate %q", serial)
 	}
 	if !m.Out {
-		return nil, api.WriteFault(http.StatusBadRequest, "out-of-range", "out", "a revocation is for good")
+		return nil, api.NewFault(http.StatusBadRequest, "out-of-range", "out", "a revocation is for good")
 	}
 	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
@@ -83,20 +83,20 @@
 func (n *Node) Regimes() *api.Regimes {
 	s, now := n.view.Current(), n.fleetTime()
 	out := &api.Regimes{
-		Version: uint64(s.Version),
-		Low:     now.Low,
-		High:    now.High,
-		Wall:    n.options.Host.Clock.Wall().UnixNano(),
-		Regimes: []api.Regime{},
+		Version:  uint64(s.Version),
+		Earliest: now.Low,
+		Latest:   now.High,
+		Wall:     n.options.Host.Clock.Wall().UnixNano(),
+		Regimes:  []api.Regime{},
 	}
-	for _, name := range s.Register.Regimes() {
+	for _, name := range s.Register.RegimeNames() {
 		regime := s.Configuration.Regimes[name]
 		out.Regimes = append(out.Regimes, api.Regime{
-			Name:  name,
-			Kinds: regime.Kinds,
-			Keep:  regime.Keep,
-			Rows:  s.Register.Rows(name, now),
-			Short: s.Register.Shortage(name, 1, now, n.canServe(s)),
+			Name:            name,
+			Kinds:           regime.Kinds,
+			ReservedPercent: regime.ReservedPercent,
+			Certificates:    s.Register.CertificateStatuses(name, now),
+			Shortages:       s.Register.Shortages(name, 1, now, n.canServe(s)),
 		})
 	}
 	return out
--- a/internal/router/regime_test.go
+++ b/internal/router/regime_test.go
@@ -37,13 +37,13 @@
 	}
 	snapshotWith := func(revoked map[string]bool) *fleetstate.Snapshot {
 		r, err := certification.Compile(map[string]certification.Regime{"chair": {Kinds: []string{"verdict"}}},
-			map[string]certification.Issuer{"k": {Key: certification.Public(key), From: from, Until: until}}, certs)
+			map[string]certification.Issuer{"k": {Key: certification.EncodePublicKey(key), From: from, Until: until}}, certs)
 		require.NoError(t, err)
 		return &fleetstate.Snapshot{Register: r.WithRevoked(revoked)}
 	}
 	workers := []WorkerStatus{{ID: "p1", Role: ids.Prefill}, {ID: "p2", Role: ids.Prefill}, {ID: "p3", Role: ids.Prefill}}
 	addCertificate("1", "p1")
-	at := certification.At(now)
+	at := certification.ExactTime(now)
 	require.False(t, regimesStayCovered(snapshotWith(nil), workers, workers[0], at))
 	require.True(t, regimesStayCovered(snapshotWith(nil), workers, workers[1], at), "the worker is cleared for no regime")
 	require.True(t, regimesStayCovered(&fleetstate.Snapshot{}, workers, workers[0], at), "no regime is configured")
--- a/internal/router/role_balance.go
+++ b/internal/router/role_balance.go
@@ -169,11 +169,11 @@
 	s *fleetstate.Snapshot,
 	workers []WorkerStatus,
 	candidate WorkerStatus,
-	now certification.Now,
+	now certification.TimeBounds,
 ) bool {
-	for _, regime := range s.Register.Regimes() {
+	for _, regime := range s.Register.RegimeNames() {
 		cleared := func(st WorkerStatus) bool {
-			_, ok := s.Register.Clears(regime, certification.Subject{Worker: st.ID}, candidate.Role, now)
+			_, ok := s.Register.Authorizes(regime, certification.Subject{Worker: st.ID}, candidate.Role, now)
 			return ok
 		}
 		if cleared(candidate) && !slices.ContainsFunc(workers, func(st WorkerStatus) bool {
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -59,20 +59,20 @@
 	kind, ok := s.Configuration.Kinds[request.Kind]
 	switch {
 	case !ok:
-		return api.WriteFault(http.StatusBadRequest, "unknown", "kind", "there is no kind %q", request.Kind)
+		return api.NewFault(http.StatusBadRequest, "unknown", "kind", "there is no kind %q", request.Kind)
 	case request.Model != "" && request.Model != kind.Model:
-		return api.WriteFault(http.StatusBadRequest, "unknown", "model", "kind %q runs on %q", request.Kind, kind.Model)
+		return api.NewFault(http.StatusBadRequest, "unknown", "model", "kind %q runs on %q", request.Kind, kind.Model)
 	case !n.offersAdapters(s, kind.Model, request.Adapters):
-		return api.WriteFault(http.StatusBadRequest, "unknown", "adapters", "no worker offers them all")
+		return api.NewFault(http.StatusBadRequest, "unknown", "adapters", "no worker offers them all")
 	}
-	if regime := s.Register.Governs(request.Kind); regime != "" {
+	if regime := s.Register.RegimeOf(request.Kind); regime != "" {
 		if _, err := n.clearance(regime, certification.Subject{Node: n.options.Name}, ""); err != nil && !forwarded {
 			return n.forward(ctx, s, regime, request, out)
 		} else if err != nil {
 			return n.rejectRetryable(http.StatusServiceUnavailable, "not-certified", "%v", err)
 		}
 	}
-	if fault := request.Check(kind.Claimed, kind.MaxTokens, kind.MaxPrompt); fault != nil {
+	if fault := request.Validate(kind.Claimed, kind.MaxTokens, kind.MaxPrompt); fault != nil {
 		return fault
 	}
 	if request.MaxTokens == 0 {
@@ -85,7 +85,7 @@
 	defer release()
 	t := &handoff.Task{
 		Kind:         request.Kind,
-		Regime:       s.Register.Governs(request.Kind),
+		Regime:       s.Register.RegimeOf(request.Kind),
 		Zone:         n.self.Zone,
 		AtMostOnce:   kind.Claimed,
 		MaxAttempts:  s.Configuration.Limits.MaxAttempts,
@@ -110,7 +110,7 @@
 	}
 	for _, w := range s.Configuration.Workers {
 		m := workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters}
-		if m.Offers(workerclient.Model{Name: model, Weights: w.Weights, Adapters: want}) {
+		if m.Serves(workerclient.Model{Name: model, Weights: w.Weights, Adapters: want}) {
 			return true
 		}
 	}
@@ -205,7 +205,7 @@
 		score.Completed.Add(1)
 		return out.Put(api.StreamEvent{Index: count, End: api.Complete, Count: count})
 	case failure.Is(err, failure.InvalidArgument):
-		return api.WriteFault(http.StatusBadRequest, "refused", "", "%v", err)
+		return api.NewFault(http.StatusBadRequest, "refused", "", "%v", err)
 	case count == 0:
 		score.NotExecuted.Add(1)
 		return n.rejectForCapacity(http.StatusServiceUnavailable, "bounced", "%v", err)
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -85,7 +85,7 @@
 		}
 		blocks := ids.Blocks(request.NeededTokens, st.Block)
 		if !ok || st.Role != request.Role || !st.Ready || !n.acceptsWork(s, id) || !cleared(st) ||
-			regime == "" && !n.fitsWithHeadroom(s, st, blocks) || !m.Offers(want) || st.InFlight >= st.MaxConcurrent ||
+			regime == "" && !n.fitsWithHeadroom(s, st, blocks) || !m.Serves(want) || st.InFlight >= st.MaxConcurrent ||
 			!rolesByModelWeights[w.Weights][ids.Prefill] || !rolesByModelWeights[w.Weights][ids.Decode] || st.Free < blocks {
 			continue
 		}
--- a/internal/router/worker_duty.go
+++ b/internal/router/worker_duty.go
@@ -278,7 +278,7 @@
 	// requests under a regime.
 	headroomPercent := 0
 	if request.Regime == "" {
-		headroomPercent = s.Register.RetentionOf(request.Worker, ledger.Role(), n.fleetTime())
+		headroomPercent = s.Register.ReservedPercent(request.Worker, ledger.Role(), n.fleetTime())
 	}
 	return ledger.ReserveWithHeadroom(id, request.Blocks, headroomPercent, n.now())
 }
--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -34,14 +34,14 @@
 	Prefill: 4,
 	Decode:  4,
 	Model:   "m",
-	Shapes: []standin.Shape{{Kind: "verdict", Claimed: true, Share: 30, Shared: 64, Own: 64, Max: 2},
+	Classes: []standin.StreamClass{{Kind: "verdict", KeyRequired: true, Percent: 30, SharedPrefix: 64, MaxSuffix: 64, MaxTokens: 2},
 		{
-			Kind:   "speech",
-			Share:  30,
-			Shared: 64,
-			Own:    32,
-			Max:    40,
-		}, {Kind: "clarification", Share: 40, Shared: 64, Own: 16, Max: 16}},
+			Kind:         "speech",
+			Percent:      30,
+			SharedPrefix: 64,
+			MaxSuffix:    32,
+			MaxTokens:    40,
+		}, {Kind: "clarification", Percent: 40, SharedPrefix: 64, MaxSuffix: 16, MaxTokens: 16}},
 }
 
 // grant is a certificate's span at a worker, in the book's time.
@@ -84,7 +84,7 @@
 	c.Tune = func(o *standin.WorkerOptions) { o.StagingTTL = 2 * time.Second }
 	now := time.Now().UTC()
 	b.issuer = certification.Issuer{
-		Key:   certification.Public(b.key),
+		Key:   certification.EncodePublicKey(b.key),
 		From:  now.AddDate(0, 0, -1).Format(time.RFC3339),
 		Until: now.AddDate(1, 0, 0).Format(time.RFC3339),
 	}
@@ -146,7 +146,7 @@
 	}
 	if !b.c.Until(10*time.Second, func() bool {
 		for _, box := range running(b.c, "router") {
-			if g := box.Node.Regimes(); g.High == 0 || len(g.Regimes) == 0 || len(g.Regimes[0].Short) > 0 {
+			if g := box.Node.Regimes(); g.Latest == 0 || len(g.Regimes) == 0 || len(g.Regimes[0].Shortages) > 0 {
 				return false
 			}
 		}
--- a/internal/simulation/back_test.go
+++ b/internal/simulation/back_test.go
@@ -22,10 +22,10 @@
 	out := map[string]time.Duration{}
 	note := func(name string, counts func(standin.Outcome) bool) {
 		for _, s := range spans {
-			out[name] = max(out[name], standin.Back(all, s[0], s[1], counts))
+			out[name] = max(out[name], standin.LongestOutage(all, s[0], s[1], counts))
 		}
 	}
-	for _, sh := range c.Site.Shapes {
+	for _, sh := range c.Site.Classes {
 		note(sh.Kind, func(o standin.Outcome) bool { return o.Kind == sh.Kind })
 	}
 	zones := map[string]ids.Zone{}
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -14,9 +14,9 @@
 	"keelstair.example/internal/workerclient"
 )
 
-type fake map[string]standin.Tally
+type fake map[string]standin.RequestCounts
 
-func (f fake) Tallies() map[string]standin.Tally { return f }
+func (f fake) RequestCounts() map[string]standin.RequestCounts { return f }
 
 // TestCheckersCatch plants one violation of each line and sees it caught, under
 // its own name and no other.
@@ -35,12 +35,12 @@
 	}
 	for line, plant := range map[string]func(b *Recorder) []standin.Outcome{
 		Twice: func(b *Recorder) []standin.Outcome {
-			b.Life(fake{"k-1": {Runs: 1, Records: 1}})
+			b.Life(fake{"k-1": {Runs: 1, Finished: 1}})
 			b.Life(fake{"k-1": {Runs: 1}})
 			return nil
 		},
 		NotRun: func(b *Recorder) []standin.Outcome {
-			b.Life(fake{router.RequestIDForKey("verdict/c1"): {Runs: 1, Records: 1}})
+			b.Life(fake{router.RequestIDForKey("verdict/c1"): {Runs: 1, Finished: 1}})
 			return []standin.Outcome{{Kind: "verdict", Key: "c1+", End: "complete"}}
 		},
 		Torn: func(*Recorder) []standin.Outcome {
@@ -49,7 +49,7 @@
 		Differs: func(*Recorder) []standin.Outcome {
 			return []standin.Outcome{{Kind: "rider", End: "wrong", Detail: "tokens [1]"}}
 		},
-		Starved: func(b *Recorder) []standin.Outcome { b.Life(fake{"x": {Starved: 1}}); return nil },
+		Starved: func(b *Recorder) []standin.Outcome { b.Life(fake{"x": {OutOfBlocks: 1}}); return nil },
 		LateLeave: func(b *Recorder) []standin.Outcome {
 			b.marks = append(b.marks, Mark{"leave", "p1", time.Second})
 			event(b, "prefill", "p1", 1, 1, 3900*time.Millisecond)
@@ -93,7 +93,7 @@
 	require.Equal(t, SlowLaw, b.Check(nil)[0].Line)
 	b.picks = b.picks[:1]
 	require.Empty(t, b.Check(nil))
-	require.Equal(t, 5*time.Second, standin.Back([]standin.Outcome{
+	require.Equal(t, 5*time.Second, standin.LongestOutage([]standin.Outcome{
 		{End: "complete", At: time.Second},
 		{End: "broken", At: 3 * time.Second}, {End: "complete", At: 6 * time.Second},
 	}, time.Second, 7*time.Second, nil))
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -94,7 +94,7 @@
 	for i := range site.Nodes {
 		c.add(c.Router(fmt.Sprintf("router-%d", i+1), fmt.Sprintf("10.2.0.%d", i+1), site.Zones[i%len(site.Zones)]))
 	}
-	for i, id := range site.Names() {
+	for i, id := range site.WorkerIDs() {
 		c.add(c.Worker(id, site.Worker(i), fmt.Sprintf("10.3.0.%d", i+1)))
 	}
 	return c
@@ -187,8 +187,8 @@
 			c.nodes.Store(n, name)
 			in, out := http.NewServeMux(), http.NewServeMux()
 			n.Mount(in)
-			api.Mount(out, n)
-			api.MountOperator(out, n)
+			api.RegisterClientAPI(out, n)
+			api.RegisterOperatorAPI(out, n)
 			cx, leave := context.WithCancel(ctx)
 			b.Leave = leave
 			c.wg.Go(func() { n.Run(cx, 3*time.Second) })
@@ -211,25 +211,25 @@
 		Machine: c.World.Machine(ip),
 		begin: func(b *Process, ctx context.Context, host host.Host) error {
 			opt := standin.WorkerOptions{
-				ID:       id,
-				Addr:     b.Addr,
-				Role:     w.Role,
-				Capacity: w.Capacity,
-				Block:    w.BlockSize,
-				Host:     host,
-				Model:    workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters},
+				ID:        id,
+				Addr:      b.Addr,
+				Role:      w.Role,
+				Capacity:  w.Capacity,
+				BlockSize: w.BlockSize,
+				Host:      host,
+				Model:     workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters},
 			}
 			// Slow enough that a breakdown finds work in flight.
-			opt.Step, opt.Read = 10*time.Millisecond, 80*time.Microsecond
+			opt.StepTime, opt.PrefillPerToken = 10*time.Millisecond, 80*time.Microsecond
 			if c.Tune != nil {
 				c.Tune(&opt)
 			}
 			k := standin.NewWorker(opt)
-			k.Tell = c.Recorder.Worker
+			k.OnEvent = c.Recorder.Worker
 			b.Worker = k
 			c.Recorder.Life(k)
 			c.wg.Go(func() { k.Run(ctx) })
-			c.Platform.List(workerclient.ListedWorker{ID: id, Addr: b.Addr, Zone: w.Zone})
+			c.Platform.SetWorker(workerclient.ListedWorker{ID: id, Addr: b.Addr, Zone: w.Zone})
 			return c.serve(ctx, host, b.Addr, k.Handler())
 		},
 	}
@@ -336,7 +336,7 @@
 				return false
 			}
 		}
-		return len(c.Platform.Nodes("")) > 0
+		return len(c.Platform.ReadyNodes("")) > 0
 	}) {
 		return fmt.Errorf("the nodes did not become ready")
 	}
@@ -362,28 +362,28 @@
 	}
 	cx, stop := context.WithTimeout(c.base, 8*time.Second)
 	defer stop()
-	return api.Put(cx, c.web, doors, http.MethodPost, path, in, out)
+	return api.Send(cx, c.web, doors, http.MethodPost, path, in, out)
 }
 
 // At asks one node's door.
 func (c *Cluster) At(b *Process, path string, in, out any) error {
 	cx, stop := context.WithTimeout(c.base, 6*time.Second)
 	defer stop()
-	return api.Put(cx, c.web, []string{b.FrontendAddr}, http.MethodPost, path, in, out)
+	return api.Send(cx, c.web, []string{b.FrontendAddr}, http.MethodPost, path, in, out)
 }
 
 // Load sends the site's mix for a span and waits for every answer.
 func (c *Cluster) Load(rate float64, span time.Duration, seed uint64) []standin.Outcome {
-	return c.Mix(c.Site.Shapes, rate, span, seed)
+	return c.Mix(c.Site.Classes, rate, span, seed)
 }
 
 // Mix sends another mix of shapes.
-func (c *Cluster) Mix(shapes []standin.Shape, rate float64, span time.Duration, seed uint64) []standin.Outcome {
+func (c *Cluster) Mix(shapes []standin.StreamClass, rate float64, span time.Duration, seed uint64) []standin.Outcome {
 	return standin.Load(c.base, standin.LoadOptions{
 		Host:     c.out.Host(),
-		Doors:    c.Platform.Nodes,
+		Nodes:    c.Platform.ReadyNodes,
 		Zones:    c.Site.Zones,
-		Shapes:   shapes,
+		Classes:  shapes,
 		Rate:     rate,
 		Duration: span,
 		Seed:     seed,
--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -51,18 +51,18 @@
 						defer c.Close()
 						require.NoError(t, c.Found())
 						rate := 15.0 * float64(site.Prefill)
-						shapes := slices.Clone(site.Shapes)
+						shapes := slices.Clone(site.Classes)
 						stems, _ := strconv.Atoi(os.Getenv("KEELSTAIR_STEMS"))
 						for i := range shapes {
-							shapes[i].Stems = stems
+							shapes[i].Prefixes = stems
 						}
-						sum := standin.Sum(c.Mix(shapes, rate, 12*time.Second, seed))
+						sum := standin.Summarize(c.Mix(shapes, rate, 12*time.Second, seed))
 						warm, read := 0, 0
 						for _, b := range c.Of("worker") {
-							w, n := b.Worker.Hits()
+							w, n := b.Worker.PrefixHits()
 							warm, read = warm+w, read+n
 						}
-						a, b := sum.Kinds[site.Shapes[0].Kind], sum.Kinds[site.Shapes[1].Kind]
+						a, b := sum.Kinds[site.Classes[0].Kind], sum.Kinds[site.Classes[1].Kind]
 						fmt.Printf(
 							"| %s | %s | %d | %d of %d | %.0f / %.0f | %.0f / %.0f | %.0f%% |\n",
 							name,
--- a/internal/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -185,29 +185,29 @@
 	}},
 	{"links slow, then a controller dies with memory in flight", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for _, b := range c.Of("worker") {
-			b.Worker.Order(standin.Faults{Speed: 60_000 + r.IntN(300_000)})
+			b.Worker.SetFaults(standin.Faults{TransferRate: 60_000 + r.IntN(300_000)})
 		}
 		time.Sleep(span(r, 300, 1200))
 		err := cycle(c, hit(r, c.Of("router")), span(r, 200, 2500), false)
 		for _, b := range c.Of("worker") {
-			b.Worker.Order(standin.Faults{})
+			b.Worker.SetFaults(standin.Faults{})
 		}
 		return err
 	}},
 	{"memory lost or spoilt", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		b := hit(r, c.Of("worker"))
-		b.Worker.Order(standin.Faults{Drop: r.IntN(2) == 0, Corrupt: true})
+		b.Worker.SetFaults(standin.Faults{Drop: r.IntN(2) == 0, Corrupt: true})
 		time.Sleep(span(r, 500, 3000))
-		b.Worker.Order(standin.Faults{})
+		b.Worker.SetFaults(standin.Faults{})
 		return nil
 	}},
 	{"reports lag", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for _, b := range c.Of("worker") {
-			b.Worker.Order(standin.Faults{LagMs: 450})
+			b.Worker.SetFaults(standin.Faults{ReportLagMs: 450})
 		}
 		time.Sleep(span(r, 1000, 4000))
 		for _, b := range c.Of("worker") {
-			b.Worker.Order(standin.Faults{})
+			b.Worker.SetFaults(standin.Faults{})
 		}
 		return nil
 	}},
@@ -245,8 +245,8 @@
 		return nil
 	}},
 	{"a worker leaves", "zone", func(c *Cluster, r *rand.Rand, _ string) error {
-		id := hit(r, c.Site.Names())
-		c.Platform.Leave(id)
+		id := hit(r, c.Site.WorkerIDs())
+		c.Platform.MarkLeaving(id)
 		c.Recorder.Mark("leave", string(id))
 		time.Sleep(3 * time.Second)
 		return nil
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -47,35 +47,37 @@
 		c := Build(seed, standin.Sites["vatuloa"], func(c *Cluster) {
 			c.Fixed = !turn
 			// Slow workers, so that few calls make a crowd.
-			c.Tune = func(o *standin.WorkerOptions) { o.Read, o.Each = 320*time.Microsecond, 4*time.Millisecond }
+			c.Tune = func(o *standin.WorkerOptions) {
+				o.PrefillPerToken, o.StepPerRun = 320*time.Microsecond, 4*time.Millisecond
+			}
 		})
 		defer c.Close()
 		require.NoError(t, c.Found())
-		read := c.Mix([]standin.Shape{{
-			Kind:  "clarification",
-			Share: 100,
-			Own:   400,
-			Max:   2,
-			Long:  1400,
+		read := c.Mix([]standin.StreamClass{{
+			Kind:      "clarification",
+			Percent:   100,
+			MaxSuffix: 400,
+			MaxTokens: 2,
+			MinSuffix: 1400,
 		}}, 14.5, span, seed)
-		write := c.Mix([]standin.Shape{{
-			Kind:  "clarification",
-			Share: 100,
-			Own:   40,
-			Max:   64,
-			Long:  10,
+		write := c.Mix([]standin.StreamClass{{
+			Kind:      "clarification",
+			Percent:   100,
+			MaxSuffix: 40,
+			MaxTokens: 64,
+			MinSuffix: 10,
 		}}, 75, span, seed+100)
-		out.read, out.write = standin.Sum(read), standin.Sum(write)
+		out.read, out.write = standin.Summarize(read), standin.Summarize(write)
 		for _, b := range c.Of("router") {
 			out.turns += b.Node.RoleChanges()
 		}
 		for _, b := range c.Of("worker") {
-			out.parts[b.Worker.Part()]++
+			out.parts[b.Worker.Role()]++
 		}
 		all := append(read, write...)
 		require.Empty(t, c.Recorder.Check(all))
 		for _, o := range all {
-			require.Contains(t, []string{"complete", "bounced", standin.Left}, o.End, "no stream breaks: %s", o.Detail)
+			require.Contains(t, []string{"complete", "bounced", standin.TimedOut}, o.End, "no stream breaks: %s", o.Detail)
 		}
 	})
 	return out
--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -50,7 +50,7 @@
 		go func() {
 			time.Sleep(time.Duration(i) * 50 * time.Millisecond)
 			c.stream(b, api.StreamRequest{
-				Kind:      c.Site.Shapes[1].Kind,
+				Kind:      c.Site.Classes[1].Kind,
 				Prompt:    fmt.Sprint("is it still so ", i),
 				MaxTokens: 2,
 			})
@@ -178,12 +178,12 @@
 		b := holder(c, ids.WorkerID(w.Name))
 		c.World.Partition(ips(b), []string{"10.8.0.1"}, true)
 		time.Sleep(time.Second)
-		c.Platform.Leave(ids.WorkerID(w.Name))
+		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
 		c.Recorder.Mark("leave", w.Name)
 		// The platform hands nobody to this door now; who knows it still comes.
 		for i := range 40 {
 			c.stream(b, api.StreamRequest{
-				Kind:      c.Site.Shapes[1].Kind,
+				Kind:      c.Site.Classes[1].Kind,
 				Prompt:    fmt.Sprint("who still comes here ", i),
 				MaxTokens: 4,
 			})
@@ -195,7 +195,7 @@
 	{Name: "workers-leave-while-leader-and-holder-die", Run: func(c *Cluster, r *rand.Rand) error {
 		w := hit(r, c.Of("worker"))
 		b, l := holder(c, ids.WorkerID(w.Name)), leader(c)
-		c.Platform.Leave(ids.WorkerID(w.Name))
+		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
 		c.Recorder.Mark("leave", w.Name)
 		time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond)
 		c.Kill(l)
@@ -249,15 +249,15 @@
 			}
 			for _, b := range c.Of("worker") {
 				id := ids.WorkerID(b.Name)
-				c.Platform.Leave(id)
+				c.Platform.MarkLeaving(id)
 				c.Recorder.Mark("leave", b.Name)
-				if !c.Until(6*time.Second, func() bool { return b.Worker.Used() == 0 }) {
+				if !c.Until(6*time.Second, func() bool { return b.Worker.UsedBlocks() == 0 }) {
 					return fmt.Errorf("%s did not drain", b.Name)
 				}
 				time.Sleep(time.Second)
 				c.Kill(b)
 				c.Recorder.Mark("return", b.Name)
-				c.Platform.Strike(id)
+				c.Platform.RemoveWorker(id)
 				time.Sleep(500 * time.Millisecond)
 				if err := c.Start(b); err != nil {
 					return err
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -137,10 +137,10 @@
 	unraced(t)
 	inBubble(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		all := c.Load(20, 4*time.Second, 1)
-		require.Equal(t, len(all), standin.Sum(all).Ends[api.Complete])
+		require.Equal(t, len(all), standin.Summarize(all).Ends[api.Complete])
 		st := c.Of("router")[0].Node.Status().(*router.NodeStatus)
 		require.Zero(t, st.FleetTime)
-		got, err := c.Of("router")[0].Node.Audits(c.base, 1, 10)
+		got, err := c.Of("router")[0].Node.AuditRows(c.base, 1, 10)
 		require.NoError(t, err)
 		require.Zero(t, got.Count)
 	})
@@ -218,7 +218,7 @@
 // slow has all workers send memory at so many bytes a second.
 func (c *Cluster) slow(speed int) {
 	for _, b := range c.Of("worker") {
-		b.Worker.Order(standin.Faults{Speed: speed})
+		b.Worker.SetFaults(standin.Faults{TransferRate: speed})
 	}
 }
 
@@ -234,20 +234,20 @@
 			c := Build(1, governedWork, func(c *Cluster) {
 				b.tune(c)
 				c.Tune = func(o *standin.WorkerOptions) {
-					o.Capacity, o.Step, o.StagingTTL = 220, 20*time.Millisecond, 2*time.Second
+					o.Capacity, o.StepTime, o.StagingTTL = 220, 20*time.Millisecond, 2*time.Second
 				}
 			})
 			defer c.Close()
 			require.NoError(t, c.Found())
 			b.usual()
 			require.NoError(t, b.Open())
-			load := func(sh standin.Shape, rate float64, seed uint64) []standin.Outcome {
-				sh.Share = 100
+			load := func(sh standin.StreamClass, rate float64, seed uint64) []standin.Outcome {
+				sh.Percent = 100
 				return standin.Load(c.base, standin.LoadOptions{
 					Host:     c.out.Host(),
-					Doors:    c.Platform.Nodes,
+					Nodes:    c.Platform.ReadyNodes,
 					Zones:    c.Site.Zones,
-					Shapes:   []standin.Shape{sh},
+					Classes:  []standin.StreamClass{sh},
 					Rate:     rate,
 					Duration: 4 * time.Second,
 					Seed:     seed,
@@ -256,13 +256,13 @@
 				})
 			}
 			other := make(chan []standin.Outcome, 1)
-			go func() { other <- load(governedWork.Shapes[2], 500, 2) }()
-			all := load(governedWork.Shapes[0], 15, 3)
-			crowd := standin.Sum(<-other)
+			go func() { other <- load(governedWork.Classes[2], 500, 2) }()
+			all := load(governedWork.Classes[0], 15, 3)
+			crowd := standin.Summarize(<-other)
 			require.Positive(t, crowd.Ends["bounced"], "it is a crowd")
 			require.Positive(t, crowd.Ends[api.Complete])
 			require.Empty(t, b.Check(all))
-			served[keep] = float64(standin.Sum(all).Ends[api.Complete]) / float64(len(all))
+			served[keep] = float64(standin.Summarize(all).Ends[api.Complete]) / float64(len(all))
 		})
 	}
 	t.Logf("share of governed calls served at once: %v", served)
--- a/internal/simulation/governed_work_test.go
+++ b/internal/simulation/governed_work_test.go
@@ -185,10 +185,10 @@
 	time.Sleep(3 * time.Second)
 	require.Empty(t, b.Check(append(all, then...)))
 	require.Empty(t, c.Recorder.Check(append(all, then...)))
-	sum := standin.Sum(then)
+	sum := standin.Summarize(then)
 	require.Equal(t, len(then), sum.Ends[api.Complete], "after the script: %+v", sum)
 	audited(t, c)
-	t.Logf("%s seed %d: %v %v, revocations %v", s.Name, seed, standin.Sum(all).Ends, standin.Sum(all).Details, b.revoke)
+	t.Logf("%s seed %d: %v %v, revocations %v", s.Name, seed, standin.Summarize(all).Ends, standin.Summarize(all).Details, b.revoke)
 }
 
 // TestSittings runs every script with its seeds.
--- a/internal/simulation/idempotency_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -19,8 +19,8 @@
 	c.Recorder.mu.Lock()
 	defer c.Recorder.mu.Unlock()
 	for _, w := range c.Recorder.lives {
-		t := w.Tallies()[router.RequestIDForKey(key)]
-		runs, records = runs+t.Runs, records+t.Records
+		t := w.RequestCounts()[router.RequestIDForKey(key)]
+		runs, records = runs+t.Runs, records+t.Finished
 	}
 	return runs, records
 }
@@ -58,7 +58,7 @@
 		require.Positive(t, complete)
 		first, err := c.stream(c.Of("router")[0], verdict)
 		require.NoError(t, err)
-		solo := standin.Solo(verdict.Tokens(), 3, 5, 0, c.Site.Model, standin.SiteWeights, nil)
+		solo := standin.ReferenceOutput(verdict.Tokens(), 3, 5, 0, c.Site.Model, standin.SiteWeights, nil)
 		require.Len(t, first, len(solo)+1)
 		for i, tok := range solo {
 			require.Equal(t, tok, first[i].Token)
@@ -133,7 +133,7 @@
 		var w *Process
 		require.True(t, c.Until(3*time.Second, func() bool {
 			for _, o := range c.Of("worker") {
-				if o.Worker.Tallies()[router.RequestIDForKey("verdict/q1")].Runs > 0 {
+				if o.Worker.RequestCounts()[router.RequestIDForKey("verdict/q1")].Runs > 0 {
 					w = o
 				}
 			}
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -75,7 +75,7 @@
 			require.Equal(t, k.name, name)
 		}
 		for _, w := range c.Of("worker") {
-			require.Empty(t, w.Worker.Tallies())
+			require.Empty(t, w.Worker.RequestCounts())
 		}
 	})
 }
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -18,8 +18,8 @@
 
 // shown gives the newest that any node has in force, once nothing newer is on its way
 // there.
-func shown(c *Cluster) *api.Shown {
-	sh := &api.Shown{}
+func shown(c *Cluster) *api.ActivePolicy {
+	sh := &api.ActivePolicy{}
 	c.Until(3*time.Second, func() bool {
 		for _, b := range running(c, "router") {
 			if s := b.Node.Show(); s.Version >= sh.Version {
@@ -32,7 +32,7 @@
 }
 
 // expected is the whole text that a partial one over what is shown comes to.
-func expected(sh *api.Shown, part string) (string, error) {
+func expected(sh *api.ActivePolicy, part string) (string, error) {
 	src, err := fleetstate.CUEToJSON("part", []byte(part))
 	if err != nil {
 		return "", err
--- a/internal/simulation/others_test.go
+++ b/internal/simulation/others_test.go
@@ -108,9 +108,9 @@
 				time.Sleep(4 * time.Second)
 				b.Machine.Freeze(false)
 			} else {
-				b.Worker.Order(standin.Faults{Dark: true})
+				b.Worker.SetFaults(standin.Faults{Unresponsive: true})
 				time.Sleep(4 * time.Second)
-				b.Worker.Order(standin.Faults{})
+				b.Worker.SetFaults(standin.Faults{})
 			}
 		}
 		return nil
@@ -119,7 +119,7 @@
 		pause(r)
 		for _, b := range c.Of("worker") {
 			if r.IntN(2) == 0 {
-				b.Worker.Order(standin.Faults{Speed: 100_000 + r.IntN(400_000)})
+				b.Worker.SetFaults(standin.Faults{TransferRate: 100_000 + r.IntN(400_000)})
 			}
 		}
 		time.Sleep(time.Second)
@@ -127,32 +127,32 @@
 		c.Kill(b)
 		time.Sleep(3 * time.Second)
 		for _, o := range c.Of("worker") {
-			o.Worker.Order(standin.Faults{})
+			o.Worker.SetFaults(standin.Faults{})
 		}
 		return c.Start(b)
 	}},
 	{Name: "memory-lost-or-spoilt", Run: func(c *Cluster, r *rand.Rand) error {
 		for _, b := range c.Of("worker")[:3] {
-			b.Worker.Order(standin.Faults{Drop: r.IntN(2) == 0, Corrupt: true})
+			b.Worker.SetFaults(standin.Faults{Drop: r.IntN(2) == 0, Corrupt: true})
 		}
 		time.Sleep(3 * time.Second)
 		for _, b := range c.Of("worker")[:3] {
-			b.Worker.Order(standin.Faults{})
+			b.Worker.SetFaults(standin.Faults{})
 		}
 		return nil
 	}},
 	{Name: "worker-speaks-garbage", Run: func(c *Cluster, r *rand.Rand) error {
 		b := hit(r, c.Of("worker"))
-		b.Worker.Order(standin.Faults{Garbage: true})
+		b.Worker.SetFaults(standin.Faults{Garbage: true})
 		time.Sleep(3 * time.Second)
-		b.Worker.Order(standin.Faults{})
+		b.Worker.SetFaults(standin.Faults{})
 		return nil
 	}},
 	{
 		Name: "reports-lag",
 		Run: func(c *Cluster, r *rand.Rand) error {
 			for _, b := range c.Of("worker") {
-				b.Worker.Order(standin.Faults{LagMs: 450})
+				b.Worker.SetFaults(standin.Faults{ReportLagMs: 450})
 			}
 			time.Sleep(5 * time.Second)
 			return nil
@@ -164,7 +164,7 @@
 		Run: func(c *Cluster, r *rand.Rand) error {
 			for _, id := range []string{"p1", "d1"} {
 				pause(r)
-				c.Platform.Leave(ids.WorkerID(id))
+				c.Platform.MarkLeaving(ids.WorkerID(id))
 				c.Recorder.Mark("leave", id)
 			}
 			time.Sleep(5 * time.Second)
--- a/internal/simulation/plain_test.go
+++ b/internal/simulation/plain_test.go
@@ -38,7 +38,7 @@
 		require.Less(t, time.Since(begun), 10*time.Second)
 		time.Sleep(10*time.Second - time.Since(begun))
 		all := c.Load(40, 5*time.Second, 7)
-		sum := standin.Sum(all)
+		sum := standin.Summarize(all)
 		require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
 		for _, o := range all {
 			require.Equal(t, 1, o.Attempts, "nobody is sent away")
@@ -58,7 +58,7 @@
 				defer c.Close()
 				require.NoError(t, c.Found())
 				all := c.Load(20, 10*time.Second, 1)
-				sum := standin.Sum(all)
+				sum := standin.Summarize(all)
 				require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
 				require.Empty(t, c.Recorder.Check(all))
 				t.Logf("%+v", sum)
--- a/internal/simulation/price_test.go
+++ b/internal/simulation/price_test.go
@@ -46,9 +46,9 @@
 				}
 				time.Sleep(5 * time.Second)
 				all := c.Load(30, 30*time.Second, 4)
-				sum := standin.Sum(all)
+				sum := standin.Summarize(all)
 				require.Equal(t, len(all), sum.Ends[api.Complete])
-				for _, sh := range governedWork.Shapes {
+				for _, sh := range governedWork.Classes {
 					k := sum.Kinds[sh.Kind]
 					fmt.Printf(
 						"| first piece, ms | %s | %s | %.1f / %.1f | %d |\n",
--- a/internal/simulation/program_test.go
+++ b/internal/simulation/program_test.go
@@ -66,7 +66,7 @@
 		}()
 		all := c.Load(50, 9*time.Second, 3)
 		require.NoError(t, <-done)
-		sum := standin.Sum(all)
+		sum := standin.Summarize(all)
 		require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
 		require.Empty(t, c.Recorder.Check(all))
 		picks, falls := map[string]int64{}, map[string]int64{}
@@ -106,7 +106,7 @@
 			time.Sleep(2 * time.Second)
 			_, err := c.Apply(&api.ApplyRequest{Op: "add", Base: 1, Partial: true, Source: string(add)})
 			time.Sleep(3 * time.Second)
-			for _, id := range site.Names() {
+			for _, id := range site.WorkerIDs() {
 				if err == nil {
 					err = c.Mark("/v1/workers/"+string(id), "drain-"+string(id), true)
 				}
@@ -115,18 +115,18 @@
 		}()
 		all := c.Load(40, 10*time.Second, 3)
 		require.NoError(t, <-done)
-		sum := standin.Sum(all)
+		sum := standin.Summarize(all)
 		require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
 		require.Empty(t, c.Recorder.Check(all))
 		late := c.Load(40, 3*time.Second, 4)
-		require.Equal(t, len(late), standin.Sum(late).Ends["complete"])
+		require.Equal(t, len(late), standin.Summarize(late).Ends["complete"])
 		runs := 0
 		for _, b := range c.Of("worker") {
 			if b.Name[0] == 'n' {
-				runs += len(b.Worker.Tallies())
+				runs += len(b.Worker.RequestCounts())
 			}
 			if b.Name[0] == 'd' {
-				require.Zero(t, b.Worker.Used(), "%s is drained", b.Name)
+				require.Zero(t, b.Worker.UsedBlocks(), "%s is drained", b.Name)
 			}
 		}
 		require.Positive(t, runs)
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -52,7 +52,7 @@
 
 // Teller is a worker that keeps a count of its own.
 type Teller interface {
-	Tallies() map[string]standin.Tally
+	RequestCounts() map[string]standin.RequestCounts
 }
 
 // Pick is a hand-over granted by a node, under the version it has in force.
@@ -166,11 +166,11 @@
 func (b *Recorder) twice(f *finder, all []standin.Outcome) {
 	runs, records, starved := map[string]int{}, map[string]int{}, 0
 	for _, w := range b.lives {
-		for id, t := range w.Tallies() {
-			starved += t.Starved
+		for id, t := range w.RequestCounts() {
+			starved += t.OutOfBlocks
 			if strings.HasPrefix(id, "k-") {
 				runs[id] += t.Runs
-				records[id] += t.Records
+				records[id] += t.Finished
 			}
 		}
 	}
--- a/internal/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -50,7 +50,7 @@
 // long gives an asking whose answer has fifty tokens or more.
 func long(ask api.StreamRequest) api.StreamRequest {
 	ask.MaxTokens = 64
-	for len(standin.Solo(ask.Tokens(), ask.MaxTokens, ask.Seed, 0, governedWork.Model, standin.SiteWeights, nil)) < 50 {
+	for len(standin.ReferenceOutput(ask.Tokens(), ask.MaxTokens, ask.Seed, 0, governedWork.Model, standin.SiteWeights, nil)) < 50 {
 		ask.Seed++
 	}
 	return ask
@@ -59,7 +59,7 @@
 // whole checks a stream against a run that never moved.
 func whole(t *testing.T, c *Cluster, ask api.StreamRequest, got []api.StreamEvent) {
 	t.Helper()
-	solo := standin.Solo(ask.Tokens(), ask.MaxTokens, ask.Seed, 0, c.Site.Model, standin.SiteWeights, nil)
+	solo := standin.ReferenceOutput(ask.Tokens(), ask.MaxTokens, ask.Seed, 0, c.Site.Model, standin.SiteWeights, nil)
 	require.Len(t, got, len(solo)+1, "%+v", got[len(got)-1].Error)
 	for i, tok := range solo {
 		require.Equal(t, tok, got[i].Token)
@@ -74,7 +74,7 @@
 		all := c.Load(30, 10*time.Second, 1)
 		require.Empty(t, b.Check(all))
 		require.Empty(t, c.Recorder.Check(all))
-		sum := standin.Sum(all)
+		sum := standin.Summarize(all)
 		require.Equal(t, len(all), sum.Ends[api.Complete], "%+v", sum)
 		require.Greater(t, b.governed(), 100)
 		require.Less(t, standin.Quantile(b.stays, 1), 200.0, "staged memory is freed once it is in")
@@ -95,7 +95,7 @@
 func audited(t *testing.T, c *Cluster) []fleetstate.AuditRecord {
 	var rows []fleetstate.AuditRow
 	for {
-		got, err := c.Of("router")[0].Node.Audits(c.base, len(rows)+1, 500)
+		got, err := c.Of("router")[0].Node.AuditRows(c.base, len(rows)+1, 500)
 		require.NoError(t, err)
 		if len(got.Rows) == 0 {
 			break
@@ -308,7 +308,7 @@
 		all := c.Load(30, 24*time.Second, 1)
 		require.Empty(t, b.Check(all))
 		require.Empty(t, c.Recorder.Check(all))
-		sum := standin.Sum(all)
+		sum := standin.Summarize(all)
 		require.Equal(t, len(all), sum.Ends[api.Complete]+sum.Ends[api.Unknown], "%+v", sum)
 		last := map[string]time.Duration{}
 		for _, e := range c.Recorder.rows {
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -18,15 +18,15 @@
 func TestRetryStorm(t *testing.T) {
 	unraced(t)
 	inBubble(t, "almaty", func(c *Cluster) {
-		c.Tune = func(o *standin.WorkerOptions) { o.Capacity = 220; o.Step = 20 * time.Millisecond }
+		c.Tune = func(o *standin.WorkerOptions) { o.Capacity = 220; o.StepTime = 20 * time.Millisecond }
 	}, func(t *testing.T, c *Cluster) {
 		before := c.Load(20, 2*time.Second, 1)
-		require.Equal(t, len(before), standin.Sum(before).Ends[api.Complete])
+		require.Equal(t, len(before), standin.Summarize(before).Ends[api.Complete])
 		crowd := standin.Load(c.base, standin.LoadOptions{
 			Host:     c.out.Host(),
-			Doors:    c.Platform.Nodes,
+			Nodes:    c.Platform.ReadyNodes,
 			Zones:    c.Site.Zones,
-			Shapes:   c.Site.Shapes,
+			Classes:  c.Site.Classes,
 			Rate:     700,
 			Duration: 3 * time.Second,
 			Seed:     2,
@@ -34,7 +34,7 @@
 			Weights:  []string{standin.SiteWeights},
 			Retries:  0,
 		})
-		sum := standin.Sum(crowd)
+		sum := standin.Summarize(crowd)
 		t.Logf("%+v", sum)
 		require.Empty(t, c.Recorder.Check(crowd))
 		require.Positive(t, sum.Ends["bounced"])
@@ -46,7 +46,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		after := c.Load(20, 3*time.Second, 3)
-		require.Equal(t, len(after), standin.Sum(after).Ends[api.Complete], "%+v", standin.Sum(after))
+		require.Equal(t, len(after), standin.Summarize(after).Ends[api.Complete], "%+v", standin.Summarize(after))
 	})
 }
 
@@ -69,7 +69,7 @@
 		require.True(t, c.Until(6*time.Second, func() bool { ok, _ := late.Node.Ready(); return ok }))
 		require.NoError(t, change(c, "seedless", 2300))
 		all := c.Load(30, 4*time.Second, 9)
-		require.Equal(t, len(all), standin.Sum(all).Ends[api.Complete], "%+v", standin.Sum(all))
+		require.Equal(t, len(all), standin.Summarize(all).Ends[api.Complete], "%+v", standin.Summarize(all))
 		require.Empty(t, c.Recorder.Check(all))
 		require.Empty(t, c.laws())
 	})
@@ -81,7 +81,7 @@
 func TestRetryStormReturns(t *testing.T) {
 	unraced(t)
 	inBubble(t, "almaty", func(c *Cluster) {
-		c.Tune = func(o *standin.WorkerOptions) { o.Capacity = 220; o.Step = 20 * time.Millisecond }
+		c.Tune = func(o *standin.WorkerOptions) { o.Capacity = 220; o.StepTime = 20 * time.Millisecond }
 	}, func(t *testing.T, c *Cluster) {
 		c.Load(20, 2*time.Second, 1)
 		all := c.Load(450, 3*time.Second, 2)
@@ -89,9 +89,9 @@
 		last := time.Duration(0)
 		for _, o := range all {
 			tries, most = tries+o.Attempts, max(most, o.Attempts)
-			last = max(last, o.At+o.Complete)
+			last = max(last, o.At+o.Duration)
 		}
-		sum := standin.Sum(all)
+		sum := standin.Summarize(all)
 		t.Logf(
 			"%d calls, %v, %d askings, at most %d by one, the last ended after %s; %+v",
 			len(all),
--- a/internal/simulation/script_test.go
+++ b/internal/simulation/script_test.go
@@ -36,9 +36,9 @@
 	Prefill: 2,
 	Decode:  2,
 	Model:   "m",
-	Shapes: []standin.Shape{
-		{Kind: "verdict", Claimed: true, Share: 45, Shared: 64, Own: 64, Max: 2},
-		{Kind: "clarification", Share: 55, Shared: 64, Own: 16, Max: 16},
+	Classes: []standin.StreamClass{
+		{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefix: 64, MaxSuffix: 64, MaxTokens: 2},
+		{Kind: "clarification", Percent: 55, SharedPrefix: 64, MaxSuffix: 16, MaxTokens: 16},
 	},
 }
 
--- a/internal/simulation/stream_test.go
+++ b/internal/simulation/stream_test.go
@@ -44,7 +44,7 @@
 	defer r.Body.Close()
 	if r.StatusCode != http.StatusOK {
 		b, _ := io.ReadAll(r.Body)
-		return nil, api.Refusal(r.StatusCode, b)
+		return nil, api.DecodeFault(r.StatusCode, b)
 	}
 	var out []api.StreamEvent
 	for rows := json.NewDecoder(r.Body); ; {
--- a/internal/simulation/trial_test.go
+++ b/internal/simulation/trial_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		v.Faults = append(v.Faults, Fault{NotBack, "script: " + err.Error()})
 	}
-	v.Sum = standin.Sum(all)
+	v.Sum = standin.Summarize(all)
 	still()
 	v.Back = c.backs(all, [][2]time.Duration{{struck, span}, {rest + 500*time.Millisecond, rest + pace.Then}})
 	bound := s.Bound
--- a/internal/standin/move.go
+++ b/internal/standin/decode.go
@@ -19,11 +19,11 @@
 	"keelstair.example/internal/workerclient"
 )
 
-func (w *Worker) take(_ context.Context, q *workerclient.ImportRequest) (*workerclient.OrderResponse, error) {
+func (w *Worker) importKV(_ context.Context, q *workerclient.ImportRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := q.Identity
-	if err := w.heed("import", q.OrderHeader, m.ID); err != nil {
+	if err := w.checkOrder("import", q.OrderHeader, m.ID); err != nil {
 		return nil, err
 	}
 	if w.live[m.ID] != nil {
@@ -32,51 +32,51 @@
 	bill := ids.Blocks(m.Computed, w.pool.size)
 	complete := max(bill, ids.Blocks(len(m.Prompt)+m.Params.MaxTokens, w.pool.size))
 	switch {
-	case w.part != ids.Decode:
-		return nil, no(http.StatusConflict, "this worker prefills")
-	case !w.opt.Model.Offers(m.Model):
-		return nil, no(http.StatusUnprocessableEntity, "another model")
+	case w.role != ids.Decode:
+		return nil, reject(http.StatusConflict, "this worker prefills")
+	case !w.opt.Model.Serves(m.Model):
+		return nil, reject(http.StatusUnprocessableEntity, "another model")
 	case m.Length != int64(kvTokenBytes*m.Computed):
-		return nil, no(http.StatusUnprocessableEntity, "%d bytes for %d tokens", m.Length, m.Computed)
+		return nil, reject(http.StatusUnprocessableEntity, "%d bytes for %d tokens", m.Length, m.Computed)
 	case !w.pool.fits(complete):
-		w.count(m.ID.Request).Bounced++
-		w.tell("bounced", m.ID, q.OrderHeader)
-		return nil, no(http.StatusInsufficientStorage, "no room for %d blocks", complete)
+		w.requestCounts(m.ID.Request).RejectedImports++
+		w.emit("bounced", m.ID, q.OrderHeader)
+		return nil, reject(http.StatusInsufficientStorage, "no room for %d blocks", complete)
 	}
-	r := &run{ident: m, tab: w.pool.take(bill), pledge: complete - bill, touched: w.now(), changed: make(chan struct{})}
-	w.pool.pledge += r.pledge
+	r := &run{state: m, blocks: w.pool.allocate(bill), reserved: complete - bill, lastActive: w.now(), changed: make(chan struct{})}
+	w.pool.reserved += r.reserved
 	w.live[m.ID] = r
-	go w.fetch(r, q.Source)
+	go w.fetchKV(r, q.Source)
 	return &workerclient.OrderResponse{}, nil
 }
 
 // kvTokenBytes is how many bytes of KV the stand-in keeps for a token.
 const kvTokenBytes = 8
 
-// fetch fills the blocks of a run from the worker at source, and gives the run up if that
+// fetchKV fills the blocks of a run from the worker at source, and gives the run up if that
 // fails.
-func (w *Worker) fetch(r *run, source string) {
-	err := w.receive(r, source)
+func (w *Worker) fetchKV(r *run, source string) {
+	err := w.downloadKV(r, source)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		r.lost = true
-		w.tell("lost", r.ident.ID, workerclient.OrderHeader{})
+		r.transferFailed = true
+		w.emit("lost", r.state.ID, workerclient.OrderHeader{})
 		if !r.arrived {
-			w.drop(r, workerclient.FateNever)
+			w.drop(r, workerclient.FateNotStarted)
 		}
 		return
 	}
 	r.arrived = true
-	r.touched = w.now()
-	w.flash(r)
-	w.kick()
+	r.lastActive = w.now()
+	w.notify(r)
+	w.wakeEngine()
 }
 
-// receive reads the KV of a run into its blocks, and holds its length and digest against
+// downloadKV reads the KV of a run into its blocks, and holds its length and digest against
 // the identity.
-func (w *Worker) receive(r *run, source string) error {
-	id := r.ident.ID
+func (w *Worker) downloadKV(r *run, source string) error {
+	id := r.state.ID
 	cx, stop := context.WithTimeout(context.Background(), w.opt.StagingTTL)
 	defer stop()
 	q, err := http.NewRequestWithContext(
@@ -94,28 +94,28 @@
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
-		return no(a.StatusCode, "source gave %d", a.StatusCode)
+		return reject(a.StatusCode, "source gave %d", a.StatusCode)
 	}
-	all, err := w.fill(r, a.Body)
+	all, err := w.readKV(r, a.Body)
 	if err != nil {
 		return err
 	}
-	if int64(len(all)) != r.ident.Length || digest(all) != r.ident.Digest {
-		return no(0, "the digest does not fit")
+	if int64(len(all)) != r.state.Length || digest(all) != r.state.Digest {
+		return reject(0, "the digest does not fit")
 	}
 	return nil
 }
 
-// fill puts the bytes into the blocks as they come in, and returns all of them.
-func (w *Worker) fill(r *run, body io.Reader) (all []byte, err error) {
+// readKV puts the bytes into the blocks as they come in, and returns all of them.
+func (w *Worker) readKV(r *run, body io.Reader) (all []byte, err error) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := body.Read(buf)
 		all = append(all, buf[:n]...)
-		if int64(len(all)) > r.ident.Length {
-			return nil, no(0, "too many bytes")
+		if int64(len(all)) > r.state.Length {
+			return nil, reject(0, "too many bytes")
 		}
-		if err := w.put(r, all, len(all)-n); err != nil {
+		if err := w.storeKV(r, all, len(all)-n); err != nil {
 			return nil, err
 		}
 		if err == io.EOF {
@@ -127,20 +127,20 @@
 	}
 }
 
-// put puts the tokens into the blocks that are whole by now and were not after the first
+// storeKV puts the tokens into the blocks that are whole by now and were not after the first
 // before bytes.
-func (w *Worker) put(r *run, all []byte, before int) error {
+func (w *Worker) storeKV(r *run, all []byte, before int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if r.tab == nil {
-		return no(0, "dropped meanwhile")
+	if r.blocks == nil {
+		return reject(0, "dropped meanwhile")
 	}
 	for i := before / kvTokenBytes; i < len(all)/kvTokenBytes; i++ {
-		w.pool.put(r.tab, i, binary.LittleEndian.Uint64(all[kvTokenBytes*i:]))
+		w.pool.set(r.blocks, i, binary.LittleEndian.Uint64(all[kvTokenBytes*i:]))
 	}
-	if w.fault.Hurry && len(all) > 0 {
+	if w.faults.SkipArrivalCheck && len(all) > 0 {
 		r.arrived = true
-		w.flash(r)
+		w.notify(r)
 	}
 	return nil
 }
@@ -150,14 +150,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.live[q.ID]
-	if err := w.heed("resume", q.OrderHeader, q.ID); err != nil {
+	if err := w.checkOrder("resume", q.OrderHeader, q.ID); err != nil {
 		return nil, err
 	}
 	if r == nil {
-		if f := w.fates[q.ID.Request]; f != nil && f.Fate != workerclient.FateNever {
+		if f := w.fates[q.ID.Request]; f != nil && f.Fate != workerclient.FateNotStarted {
 			return f, nil
 		}
-		return nil, no(http.StatusGone, "nothing to resume")
+		return nil, reject(http.StatusGone, "nothing to resume")
 	}
 	for !r.arrived && !r.stopped {
 		news := r.changed
@@ -167,31 +167,31 @@
 			w.mu.Lock()
 		case <-ctx.Done():
 			w.mu.Lock()
-			return nil, no(http.StatusGone, "the asker went away")
+			return nil, reject(http.StatusGone, "the asker went away")
 		}
 	}
 	if r.stopped {
-		return nil, no(http.StatusGone, "the memory was lost")
+		return nil, reject(http.StatusGone, "the memory was lost")
 	}
-	if err := w.heed("resumed", q.OrderHeader, q.ID); err != nil {
+	if err := w.checkOrder("resumed", q.OrderHeader, q.ID); err != nil {
 		return nil, err
 	}
 	if !r.resumed {
 		r.resumed = true
-		t := w.count(q.ID.Request)
+		t := w.requestCounts(q.ID.Request)
 		t.Runs++
-		t.First = append(t.First, len(r.ident.Output))
+		t.FirstTokens = append(t.FirstTokens, len(r.state.Output))
 	}
-	r.touched = w.now()
-	w.kick()
+	r.lastActive = w.now()
+	w.wakeEngine()
 	return &workerclient.OrderResponse{Fate: workerclient.FateRunning}, nil
 }
 
-// cancel stops an attempt for good and tells what came of the request here.
-func (w *Worker) cancel(_ context.Context, q *workerclient.IDRequest) (*workerclient.OrderResponse, error) {
+// cancelAttempt stops an attempt for good and tells what came of the request here.
+func (w *Worker) cancelAttempt(_ context.Context, q *workerclient.IDRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.heed("cancel", q.OrderHeader, q.ID); err != nil {
+	if err := w.checkOrder("cancel", q.OrderHeader, q.ID); err != nil {
 		return nil, err
 	}
 	if n, ok := w.tombstones[q.ID.Request]; !ok || q.ID.Attempt > n {
@@ -209,7 +209,7 @@
 		if r.resumed {
 			w.drop(r, workerclient.FateStopped)
 		} else {
-			w.drop(r, workerclient.FateNever)
+			w.drop(r, workerclient.FateNotStarted)
 		}
 	}
 	if f := w.fates[q.ID.Request]; f != nil {
@@ -217,12 +217,12 @@
 		cop.Texts = nil
 		return &cop, nil
 	}
-	return &workerclient.OrderResponse{Fate: workerclient.FateNever}, nil
+	return &workerclient.OrderResponse{Fate: workerclient.FateNotStarted}, nil
 }
 
-// stream hands out pieces from an index on. A line goes out at least every
+// serveStream hands out pieces from an index on. A line goes out at least every
 // half second, so a reader knows a silent worker from a slow one.
-func (w *Worker) stream(rw http.ResponseWriter, q *http.Request) {
+func (w *Worker) serveStream(rw http.ResponseWriter, q *http.Request) {
 	n, _ := strconv.Atoi(q.FormValue("attempt"))
 	at, _ := strconv.Atoi(q.FormValue("from"))
 	id := workerclient.ID{Request: q.FormValue("request"), Attempt: n}
@@ -231,13 +231,13 @@
 	f := w.fates[id.Request]
 	w.mu.Unlock()
 	if r == nil && (f == nil || !f.Done) {
-		reply(rw, http.StatusGone, workerclient.Rejection{Name: "no such run"})
+		writeJSON(rw, http.StatusGone, workerclient.Rejection{Name: "no such run"})
 		return
 	}
 	rows := json.NewEncoder(rw)
 	put := func(out []int32, ended bool) {
 		for ; at < len(out); at++ {
-			rows.Encode(workerclient.TokenEvent{Index: at, Token: out[at], Text: say(out[at])})
+			rows.Encode(workerclient.TokenEvent{Index: at, Token: out[at], Text: tokenText(out[at])})
 		}
 		if ended {
 			rows.Encode(workerclient.TokenEvent{Index: at, End: "stop", Count: len(out)})
@@ -250,8 +250,8 @@
 	}
 	for {
 		w.mu.Lock()
-		out, ended, stopped, news, now := r.ident.Output, r.ended, r.stopped, r.changed, w.now()
-		r.touched = now
+		out, ended, stopped, news, now := r.state.Output, r.ended, r.stopped, r.changed, w.now()
+		r.lastActive = now
 		w.mu.Unlock()
 		put(out, ended)
 		if ended || stopped {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,9 +13,9 @@
 	"keelstair.example/internal/workerclient"
 )
 
-func (w *Worker) engine(ctx context.Context) {
+func (w *Worker) runEngine(ctx context.Context) {
 	for {
-		spent := w.changeRole()
+		spent := w.stepDuration()
 		if spent == 0 {
 			select {
 			case <-ctx.Done():
@@ -31,17 +31,17 @@
 			return
 		case <-t.C:
 		}
-		w.recordOutcome()
+		w.finishStep()
 	}
 }
 
-// changeRole begins a step and tells how long it takes; settle shows its results.
-func (w *Worker) changeRole() time.Duration {
+// stepDuration begins a step and tells how long it takes; settle shows its results.
+func (w *Worker) stepDuration() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.queue) > 0 {
 		r := w.queue[0]
-		return w.opt.Step + time.Duration(len(r.ident.Prompt)-w.cached(r))*w.opt.Read
+		return w.opt.StepTime + time.Duration(len(r.state.Prompt)-w.cachedTokens(r))*w.opt.PrefillPerToken
 	}
 	n := 0
 	for _, r := range w.live {
@@ -52,36 +52,36 @@
 	if n == 0 {
 		return 0
 	}
-	return w.opt.Step + time.Duration(n)*w.opt.Each
+	return w.opt.StepTime + time.Duration(n)*w.opt.StepPerRun
 }
 
-func (w *Worker) recordOutcome() {
+func (w *Worker) finishStep() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.queue) > 0 {
 		r := w.queue[0]
 		w.queue = w.queue[1:]
-		w.read(r)
+		w.finishPrefill(r)
 		return
 	}
 	for _, r := range w.live {
 		if r.resumed && r.arrived && !r.ended {
-			w.step(r)
+			w.decodeStep(r)
 		}
 	}
 }
 
 const prefixBlock = 32
 
-// cached tells how many prompt tokens are warm from earlier prompts.
-func (w *Worker) cached(r *run) int {
-	base := stem(r.ident.Model.Name, r.ident.Model.Weights, r.ident.Model.Adapters)
+// cachedTokens tells how many prompt tokens are warm from earlier prompts.
+func (w *Worker) cachedTokens(r *run) int {
+	base := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
 	n := 0
-	for i := 0; i+prefixBlock <= len(r.ident.Prompt); i += prefixBlock {
-		for _, t := range r.ident.Prompt[i : i+prefixBlock] {
+	for i := 0; i+prefixBlock <= len(r.state.Prompt); i += prefixBlock {
+		for _, t := range r.state.Prompt[i : i+prefixBlock] {
 			base = mix(base, uint64(uint32(t)))
 		}
-		if _, ok := w.warm[base]; !ok {
+		if _, ok := w.prefixCache[base]; !ok {
 			break
 		}
 		n = i + prefixBlock
@@ -89,100 +89,100 @@
 	return n
 }
 
-func (w *Worker) heat(r *run) {
-	base := stem(r.ident.Model.Name, r.ident.Model.Weights, r.ident.Model.Adapters)
-	for i := 0; i+prefixBlock <= len(r.ident.Prompt); i += prefixBlock {
-		for _, t := range r.ident.Prompt[i : i+prefixBlock] {
+func (w *Worker) cachePrefix(r *run) {
+	base := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
+	for i := 0; i+prefixBlock <= len(r.state.Prompt); i += prefixBlock {
+		for _, t := range r.state.Prompt[i : i+prefixBlock] {
 			base = mix(base, uint64(uint32(t)))
 		}
-		w.warm[base] = w.now()
+		w.prefixCache[base] = w.now()
 	}
-	for len(w.warm) > 512 {
+	for len(w.prefixCache) > 512 {
 		var previous uint64
 		at := ids.Tick(1 << 62)
-		for k, t := range w.warm {
+		for k, t := range w.prefixCache {
 			if t < at {
 				previous, at = k, t
 			}
 		}
-		delete(w.warm, previous)
+		delete(w.prefixCache, previous)
 	}
 }
 
-// read is the one step of prefill: every prompt token's cell, and one token.
-func (w *Worker) read(r *run) {
+// finishPrefill is the one step of prefill: every prompt token's cell, and one token.
+func (w *Worker) finishPrefill(r *run) {
 	if r.stopped {
 		return
 	}
-	base := stem(r.ident.Model.Name, r.ident.Model.Weights, r.ident.Model.Adapters)
-	for i, t := range r.ident.Prompt {
-		r.last = cell(base, r.last, i, t)
-		w.pool.put(r.tab, i, r.last)
+	base := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
+	for i, t := range r.state.Prompt {
+		r.lastCell = kvCell(base, r.lastCell, i, t)
+		w.pool.set(r.blocks, i, r.lastCell)
 	}
-	r.ident.Computed = len(r.ident.Prompt)
-	if len(r.ident.Output) > 0 {
+	r.state.Computed = len(r.state.Prompt)
+	if len(r.state.Output) > 0 {
 		// A recompute reads what was delivered before as if it were prompt.
-		for i, t := range r.ident.Output[:len(r.ident.Output)-1] {
-			r.last = cell(base, r.last, len(r.ident.Prompt)+i, t)
-			w.pool.put(r.tab, len(r.ident.Prompt)+i, r.last)
-			r.ident.Computed++
+		for i, t := range r.state.Output[:len(r.state.Output)-1] {
+			r.lastCell = kvCell(base, r.lastCell, len(r.state.Prompt)+i, t)
+			w.pool.set(r.blocks, len(r.state.Prompt)+i, r.lastCell)
+			r.state.Computed++
 		}
-	} else if t := token(
-		w.pool.attend(r.tab, r.ident.Computed, base, r.ident.Params.Seed, r.ident.Params.Temperature), 0,
+	} else if t := sampleToken(
+		w.pool.attention(r.blocks, r.state.Computed, base, r.state.Params.Seed, r.state.Params.Temperature), 0,
 	); t != 0 {
-		r.ident.Output = append(r.ident.Output, t)
+		r.state.Output = append(r.state.Output, t)
 	}
-	w.hits[0], w.hits[1] = w.hits[0]+w.cached(r), w.hits[1]+len(r.ident.Prompt)
-	w.heat(r)
-	r.read = true
-	r.touched = w.now()
-	w.flash(r)
+	w.prefixHits[0], w.prefixHits[1] = w.prefixHits[0]+w.cachedTokens(r), w.prefixHits[1]+len(r.state.Prompt)
+	w.cachePrefix(r)
+	r.prefilled = true
+	r.lastActive = w.now()
+	w.notify(r)
 }
 
-// step computes the newest token's cell and makes the next token.
-func (w *Worker) step(r *run) {
-	base := stem(r.ident.Model.Name, r.ident.Model.Weights, r.ident.Model.Adapters)
-	out := r.ident.Output
-	if len(out) >= r.ident.Params.MaxTokens || len(out) == 0 {
-		w.end(r)
+// decodeStep computes the newest token's cell and makes the next token.
+func (w *Worker) decodeStep(r *run) {
+	base := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
+	out := r.state.Output
+	if len(out) >= r.state.Params.MaxTokens || len(out) == 0 {
+		w.finish(r)
 		return
 	}
-	n := r.ident.Computed
-	if n/w.pool.size >= len(r.tab) {
-		more := w.pool.take(1)
+	n := r.state.Computed
+	if n/w.pool.size >= len(r.blocks) {
+		more := w.pool.allocate(1)
 		if more == nil {
-			w.count(r.ident.ID.Request).Starved++
-			w.tell("starved", r.ident.ID, workerclient.OrderHeader{})
+			w.requestCounts(r.state.ID.Request).OutOfBlocks++
+			w.emit("starved", r.state.ID, workerclient.OrderHeader{})
 			w.drop(r, workerclient.FateStopped)
 			return
 		}
-		r.tab = append(r.tab, more...)
-		if r.pledge > 0 {
-			r.pledge--
-			w.pool.pledge--
+		r.blocks = append(r.blocks, more...)
+		if r.reserved > 0 {
+			r.reserved--
+			w.pool.reserved--
 		}
 	}
-	if r.last == 0 && n > 0 {
-		r.last = w.pool.get(r.tab, n-1)
+	if r.lastCell == 0 && n > 0 {
+		r.lastCell = w.pool.get(r.blocks, n-1)
 	}
-	r.last = cell(base, r.last, n, out[len(out)-1])
-	w.pool.put(r.tab, n, r.last)
-	r.ident.Computed++
-	t := token(w.pool.attend(r.tab, r.ident.Computed, base, r.ident.Params.Seed, r.ident.Params.Temperature), len(out))
+	r.lastCell = kvCell(base, r.lastCell, n, out[len(out)-1])
+	w.pool.set(r.blocks, n, r.lastCell)
+	r.state.Computed++
+	t := sampleToken(w.pool.attention(r.blocks, r.state.Computed, base, r.state.Params.Seed, r.state.Params.Temperature), len(out))
 	if t == 0 {
-		w.end(r)
+		w.finish(r)
 		return
 	}
-	r.ident.Output = append(out[:len(out):len(out)], t)
-	w.flash(r)
-	if len(r.ident.Output) >= r.ident.Params.MaxTokens {
-		w.end(r)
+	r.state.Output = append(out[:len(out):len(out)], t)
+	w.notify(r)
+	if len(r.state.Output) >= r.state.Params.MaxTokens {
+		w.finish(r)
 	}
 }
 
-func (w *Worker) end(r *run) {
+func (w *Worker) finish(r *run) {
 	r.ended = true
-	w.count(r.ident.ID.Request).Records++
-	w.tell("record", r.ident.ID, workerclient.OrderHeader{})
+	w.requestCounts(r.state.ID.Request).Finished++
+	w.emit("record", r.state.ID, workerclient.OrderHeader{})
 	w.drop(r, workerclient.FateFinished)
 }
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -22,104 +22,104 @@
 	"keelstair.example/rpc"
 )
 
-// Shape is one kind of stream as callers send it.
-type Shape struct {
-	Kind    string
-	Claimed bool
-	Share   int // of 100
-	Shared  int // prompt tokens that all of the kind share
-	Own     int // prompt tokens of the caller's own, at most
-	Max     int
-	Long    int // the least of the caller's own tokens
-	Stems   int // how many shared beginnings there are, if not one
+// StreamClass is one kind of stream as callers send it.
+type StreamClass struct {
+	Kind         string
+	KeyRequired  bool
+	Percent      int // of 100
+	SharedPrefix int // prompt tokens that all of the kind share
+	MaxSuffix    int // prompt tokens of the caller's own, at most
+	MaxTokens    int
+	MinSuffix    int // the least of the caller's own tokens
+	Prefixes     int // how many shared beginnings there are, if not one
 }
 
 // LoadOptions say what to send.
 type LoadOptions struct {
 	Host     host.Host
-	Doors    func(zone ids.Zone) []string // ready ones, those of the caller's zone if it has any
+	Nodes    func(zone ids.Zone) []string // ready ones, those of the caller's zone if it has any
 	Zones    []ids.Zone                   // where callers are; none: anywhere
-	Shapes   []Shape
+	Classes  []StreamClass
 	Rate     float64 // arrivals a second
 	Duration time.Duration
 	Seed     uint64
 	Model    string
 	Weights  []string // any that may answer
 	Retries  int      // how often a bounced caller comes back when told
-	Patient  time.Duration
+	Timeout  time.Duration
 }
 
-// Left is the end of a call whose caller's own patience was over first.
-const Left = "left"
+// TimedOut is the end of a call whose caller's own patience was over first.
+const TimedOut = "left"
 
 // Outcome of one call.
 type Outcome struct {
-	Kind     string
-	Key      string
-	At       time.Duration
-	First    time.Duration
-	Complete time.Duration
-	End      string // complete, broken, unknown, bounced, cut, left, wrong
-	Detail   string
-	Tokens   []int32
-	Attempts int
-	Node     string // the last that was asked
+	Kind       string
+	Key        string
+	At         time.Duration
+	FirstToken time.Duration
+	Duration   time.Duration
+	End        string // complete, broken, unknown, bounced, cut, left, wrong
+	Detail     string
+	Tokens     []int32
+	Attempts   int
+	Node       string // the last that was asked
 }
 
 // Summary is what a load comes to.
 type Summary struct {
-	Sent    int                `json:"sent"`
-	Ends    map[string]int     `json:"ends"`
-	Kinds   map[string]KindSum `json:"kinds"`
-	Details map[string]int     `json:"details,omitempty"`
+	Sent    int                    `json:"sent"`
+	Ends    map[string]int         `json:"ends"`
+	Kinds   map[string]KindSummary `json:"kinds"`
+	Details map[string]int         `json:"details,omitempty"`
 }
 
-// KindSum is the part of a summary for one kind of stream. Times are in milliseconds from the
+// KindSummary is the part of a summary for one kind of stream. Times are in milliseconds from the
 // planned arrival: to the first piece, and to the end.
-type KindSum struct {
-	Sent     int     `json:"sent"`
-	Complete int     `json:"complete"`
-	FirstP50 float64 `json:"firstP50Ms"`
-	FirstP99 float64 `json:"firstP99Ms"`
-	WholeP99 float64 `json:"wholeP99Ms"`
+type KindSummary struct {
+	Sent        int     `json:"sent"`
+	Complete    int     `json:"complete"`
+	FirstP50    float64 `json:"firstP50Ms"`
+	FirstP99    float64 `json:"firstP99Ms"`
+	DurationP99 float64 `json:"wholeP99Ms"`
 }
 
-type call struct {
-	at    time.Duration
-	shape Shape
-	ask   api.StreamRequest
+type plannedRequest struct {
+	at      time.Duration
+	class   StreamClass
+	request api.StreamRequest
 }
 
-func plan(o *LoadOptions) []call {
+func planRequests(o *LoadOptions) []plannedRequest {
 	rng := rand.New(rand.NewPCG(o.Seed, 7))
-	var out []call
+	var out []plannedRequest
 	for at, i := time.Duration(0), 0; ; i++ {
 		at += time.Duration(rng.ExpFloat64() / o.Rate * float64(time.Second))
 		if at >= o.Duration {
 			return out
 		}
-		n, sh := rng.IntN(100), o.Shapes[len(o.Shapes)-1]
-		for _, s := range o.Shapes {
-			if n -= s.Share; n < 0 {
+		n, sh := rng.IntN(100), o.Classes[len(o.Classes)-1]
+		for _, s := range o.Classes {
+			if n -= s.Percent; n < 0 {
 				sh = s
 				break
 			}
 		}
-		a := api.StreamRequest{Kind: sh.Kind, MaxTokens: sh.Max, Seed: rng.Uint64() >> 12}
+		a := api.StreamRequest{Kind: sh.Kind, MaxTokens: sh.MaxTokens, Seed: rng.Uint64() >> 12}
 		base := int32(len(sh.Kind) * 1000)
-		if sh.Stems > 1 {
-			base += int32(rng.IntN(sh.Stems) * 7919)
+		if sh.Prefixes > 1 {
+			base += int32(rng.IntN(sh.Prefixes) * 7919)
 		}
-		for j := range sh.Shared {
+		for j := range sh.SharedPrefix {
 			a.PromptIds = append(a.PromptIds, base+int32(j)+1)
 		}
-		for range max(1, sh.Long) + rng.IntN(sh.Own) {
+		for range max(1, sh.MinSuffix) + rng.IntN(sh.MaxSuffix) {
 			a.PromptIds = append(a.PromptIds, 1+rng.Int32N(50000))
 		}
-		if sh.Claimed {
+		if sh.KeyRequired {
 			a.Key = fmt.Sprintf("c%d-%d", o.Seed, i)
 		}
-		out = append(out, call{at, sh, a})
+		out = append(out, plannedRequest{at, sh, a})
 	}
 }
 
@@ -127,10 +127,10 @@
 func Load(ctx context.Context, o LoadOptions) []Outcome {
 	web := rpc.NewHTTPClient(o.Host.Net)
 	defer web.CloseIdleConnections()
-	if o.Patient == 0 {
-		o.Patient = 20 * time.Second
+	if o.Timeout == 0 {
+		o.Timeout = 20 * time.Second
 	}
-	calls := plan(&o)
+	calls := planRequests(&o)
 	out := make([]Outcome, len(calls))
 	start := time.Now()
 	var wg sync.WaitGroup
@@ -139,42 +139,42 @@
 			out = out[:i]
 			break
 		}
-		wg.Go(func() { out[i] = one(ctx, &o, web, &c, start, uint64(i)) })
+		wg.Go(func() { out[i] = sendWithRetries(ctx, &o, web, &c, start, uint64(i)) })
 	}
 	wg.Wait()
 	return out
 }
 
-func one(ctx context.Context, o *LoadOptions, web *http.Client, c *call, start time.Time, n uint64) Outcome {
+func sendWithRetries(ctx context.Context, o *LoadOptions, web *http.Client, c *plannedRequest, start time.Time, n uint64) Outcome {
 	rng := rand.New(rand.NewPCG(o.Seed, n+100))
-	r := Outcome{Kind: c.ask.Kind, Key: c.ask.Key, At: c.at}
+	r := Outcome{Kind: c.request.Kind, Key: c.request.Key, At: c.at}
 	zone := ids.Zone("")
 	if len(o.Zones) > 0 {
 		zone = o.Zones[rng.IntN(len(o.Zones))]
 	}
-	cx, stop := context.WithTimeout(ctx, o.Patient)
+	cx, stop := context.WithTimeout(ctx, o.Timeout)
 	defer stop()
 	due := start.Add(c.at)
 	for {
 		r.Attempts++
-		again := knock(cx, o, web, c, &r, due, rng, zone)
+		again := sendOnce(cx, o, web, c, &r, due, rng, zone)
 		if again <= 0 || r.Attempts > o.Retries || !host.Sleep(cx, again) {
 			break
 		}
 	}
 	if r.End == "cut" && cx.Err() != nil && ctx.Err() == nil {
-		r.End = Left
+		r.End = TimedOut
 	}
-	if r.End == api.Complete && !o.complete(c, r.Tokens) {
+	if r.End == api.Complete && !o.matchesReference(c, r.Tokens) {
 		r.End, r.Detail = "wrong", fmt.Sprintf("tokens %v", r.Tokens)
 	}
 	return r
 }
 
-// complete holds an answer against the run that never moved.
-func (o *LoadOptions) complete(c *call, toks []int32) bool {
+// matchesReference holds an answer against the run that never moved.
+func (o *LoadOptions) matchesReference(c *plannedRequest, toks []int32) bool {
 	for _, w := range o.Weights {
-		solo := Solo(c.ask.PromptIds, c.ask.MaxTokens, c.ask.Seed, c.ask.Temperature, o.Model, w, c.ask.Adapters)
+		solo := ReferenceOutput(c.request.PromptIds, c.request.MaxTokens, c.request.Seed, c.request.Temperature, o.Model, w, c.request.Adapters)
 		if len(solo) == len(toks) {
 			same := true
 			for i := range solo {
@@ -192,60 +192,60 @@
 const (
 	delayNoNode     = 500 * time.Millisecond
 	delayNotDialled = 300 * time.Millisecond
-	delayAfterReset = time.Second // claimed kinds only
+	delayAfterCut   = time.Second // claimed kinds only
 )
 
-// knock asks once; it returns how long to wait before asking again, if at all.
-func knock(
+// sendOnce asks once; it returns how long to wait before asking again, if at all.
+func sendOnce(
 	ctx context.Context,
 	o *LoadOptions,
 	web *http.Client,
-	c *call,
+	c *plannedRequest,
 	r *Outcome,
 	due time.Time,
 	rng *rand.Rand,
 	zone ids.Zone,
 ) time.Duration {
-	doors := o.Doors(zone)
+	doors := o.Nodes(zone)
 	if len(doors) == 0 {
 		r.End, r.Detail = "bounced", "no door"
 		return delayNoNode
 	}
-	body, _ := json.Marshal(c.ask)
+	body, _ := json.Marshal(c.request)
 	r.Node = doors[rng.IntN(len(doors))]
 	q, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Node+"/v1/streams", bytes.NewReader(body))
 	a, err := web.Do(q)
 	if err != nil {
-		return r.unanswered(err, c)
+		return r.recordNoResponse(err, c)
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
-		return r.refused(a.Body, c)
+		return r.recordRejection(a.Body, c)
 	}
-	return r.read(a.Body, c, due)
+	return r.readStream(a.Body, c, due)
 }
 
-// unanswered notes that a call had no answer at all.
-func (r *Outcome) unanswered(err error, c *call) time.Duration {
+// recordNoResponse notes that a call had no answer at all.
+func (r *Outcome) recordNoResponse(err error, c *plannedRequest) time.Duration {
 	if rpc.IsDialError(err) {
 		r.End, r.Detail = "bounced", "door is shut"
 		return delayNotDialled
 	}
 	r.End, r.Detail = "cut", "no answer"
-	return c.afterReset()
+	return c.delayAfterCut()
 }
 
-// afterReset is when a caller comes back after an answer that was cut: only a request with a
+// delayAfterCut is when a caller comes back after an answer that was cut: only a request with a
 // key may be repeated.
-func (c *call) afterReset() time.Duration {
-	if c.shape.Claimed {
-		return delayAfterReset
+func (c *plannedRequest) delayAfterCut() time.Duration {
+	if c.class.KeyRequired {
+		return delayAfterCut
 	}
 	return 0
 }
 
-// refused notes a refusal. A caller whose claimed request was surely not run takes a new key.
-func (r *Outcome) refused(body io.Reader, c *call) time.Duration {
+// recordRejection notes a refusal. A caller whose claimed request was surely not run takes a new key.
+func (r *Outcome) recordRejection(body io.Reader, c *plannedRequest) time.Duration {
 	var f struct {
 		Error struct {
 			Name  string
@@ -256,14 +256,14 @@
 	json.Unmarshal(b, &f)
 	r.End, r.Detail = "bounced", f.Error.Name
 	if f.Error.Name == "not-run" {
-		c.ask.Key += "+"
-		r.Key = c.ask.Key
+		c.request.Key += "+"
+		r.Key = c.request.Key
 	}
 	return time.Duration(f.Error.After) * time.Millisecond
 }
 
-// read takes the lines of a stream up to its end.
-func (r *Outcome) read(body io.Reader, c *call, due time.Time) time.Duration {
+// readStream takes the lines of a stream up to its end.
+func (r *Outcome) readStream(body io.Reader, c *plannedRequest, due time.Time) time.Duration {
 	r.Tokens, r.End, r.Detail = nil, "cut", "the stream stopped"
 	rows := bufio.NewScanner(body)
 	for rows.Scan() {
@@ -277,19 +277,19 @@
 			return 0
 		}
 		if l.End != "" {
-			r.Complete = time.Since(due)
-			return r.finish(&l, c)
+			r.Duration = time.Since(due)
+			return r.recordEnd(&l, c)
 		}
-		if len(r.Tokens) == 0 && r.First == 0 {
-			r.First = time.Since(due)
+		if len(r.Tokens) == 0 && r.FirstToken == 0 {
+			r.FirstToken = time.Since(due)
 		}
 		r.Tokens = append(r.Tokens, l.Token)
 	}
-	return c.afterReset()
+	return c.delayAfterCut()
 }
 
-// finish takes the last line of a stream.
-func (r *Outcome) finish(last *api.StreamEvent, c *call) time.Duration {
+// recordEnd takes the last line of a stream.
+func (r *Outcome) recordEnd(last *api.StreamEvent, c *plannedRequest) time.Duration {
 	r.End, r.Detail = last.End, ""
 	if last.Error != nil {
 		r.Detail = last.Error.Name
@@ -297,15 +297,15 @@
 	if last.End == api.Complete && last.Count != len(r.Tokens) {
 		r.End = "wrong"
 	}
-	if last.End == api.Unknown && c.shape.Claimed && last.Error != nil && last.Error.After > 0 {
+	if last.End == api.Unknown && c.class.KeyRequired && last.Error != nil && last.Error.After > 0 {
 		return time.Duration(last.Error.After) * time.Millisecond
 	}
 	return 0
 }
 
-// Sum counts outcomes and gives percentiles by kind.
-func Sum(all []Outcome) Summary {
-	s := Summary{Sent: len(all), Ends: map[string]int{}, Kinds: map[string]KindSum{}, Details: map[string]int{}}
+// Summarize counts outcomes and gives percentiles by kind.
+func Summarize(all []Outcome) Summary {
+	s := Summary{Sent: len(all), Ends: map[string]int{}, Kinds: map[string]KindSummary{}, Details: map[string]int{}}
 	first, complete := map[string][]time.Duration{}, map[string][]time.Duration{}
 	for _, o := range all {
 		s.Ends[o.End]++
@@ -316,13 +316,13 @@
 		k.Sent++
 		if o.End == api.Complete {
 			k.Complete++
-			first[o.Kind] = append(first[o.Kind], o.First)
-			complete[o.Kind] = append(complete[o.Kind], o.Complete)
+			first[o.Kind] = append(first[o.Kind], o.FirstToken)
+			complete[o.Kind] = append(complete[o.Kind], o.Duration)
 		}
 		s.Kinds[o.Kind] = k
 	}
 	for n, k := range s.Kinds {
-		k.FirstP50, k.FirstP99, k.WholeP99 = Quantile(first[n], 0.5), Quantile(first[n], 0.99), Quantile(complete[n], 0.99)
+		k.FirstP50, k.FirstP99, k.DurationP99 = Quantile(first[n], 0.5), Quantile(first[n], 0.99), Quantile(complete[n], 0.99)
 		s.Kinds[n] = k
 	}
 	return s
@@ -346,7 +346,7 @@
 	Prefill int
 	Decode  int
 	Model   string
-	Shapes  []Shape
+	Classes []StreamClass
 }
 
 // Sites are the two.
@@ -358,9 +358,9 @@
 		Prefill: 6,
 		Decode:  6,
 		Model:   "bridge-8b",
-		Shapes: []Shape{
-			{Kind: "verdict", Claimed: true, Share: 45, Shared: 384, Own: 640, Max: 2},
-			{Kind: "clarification", Share: 55, Shared: 96, Own: 48, Max: 24},
+		Classes: []StreamClass{
+			{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefix: 384, MaxSuffix: 640, MaxTokens: 2},
+			{Kind: "clarification", Percent: 55, SharedPrefix: 96, MaxSuffix: 48, MaxTokens: 24},
 		},
 	},
 	"almaty": {
@@ -370,9 +370,9 @@
 		Prefill: 4,
 		Decode:  5,
 		Model:   "scooter-8b",
-		Shapes: []Shape{
-			{Kind: "ruling", Claimed: true, Share: 45, Shared: 320, Own: 480, Max: 2},
-			{Kind: "rider", Share: 55, Shared: 128, Own: 48, Max: 24},
+		Classes: []StreamClass{
+			{Kind: "ruling", KeyRequired: true, Percent: 45, SharedPrefix: 320, MaxSuffix: 480, MaxTokens: 2},
+			{Kind: "rider", Percent: 55, SharedPrefix: 128, MaxSuffix: 48, MaxTokens: 24},
 		},
 	},
 }
--- a/internal/standin/back.go
+++ b/internal/standin/outage.go
@@ -9,19 +9,19 @@
 	"keelstair.example/internal/api"
 )
 
-// Back tells the longest span after a moment without a completed call among those
+// LongestOutage tells the longest span after a moment without a completed call among those
 // that count.
-func Back(all []Outcome, from, to time.Duration, counts func(Outcome) bool) time.Duration {
+func LongestOutage(all []Outcome, from, to time.Duration, counts func(Outcome) bool) time.Duration {
 	var ends []time.Duration
 	for _, o := range all {
-		if at := o.At + o.Complete; o.End == api.Complete && at > from && at < to && (counts == nil || counts(o)) {
+		if at := o.At + o.Duration; o.End == api.Complete && at > from && at < to && (counts == nil || counts(o)) {
 			ends = append(ends, at)
 		}
 	}
 	slices.Sort(ends)
-	limit := time.Duration(0)
+	longest := time.Duration(0)
 	for _, at := range append(ends, to) {
-		limit, from = max(limit, at-from), at
+		longest, from = max(longest, at-from), at
 	}
-	return limit
+	return longest
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -41,22 +41,22 @@
 	}
 }
 
-// List puts a worker on the list, or changes its line.
-func (p *Platform) List(l workerclient.ListedWorker) {
+// SetWorker puts a worker on the list, or changes its line.
+func (p *Platform) SetWorker(l workerclient.ListedWorker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.workers[l.ID] = l
 }
 
-// Strike takes a worker off the list.
-func (p *Platform) Strike(id ids.WorkerID) {
+// RemoveWorker takes a worker off the list.
+func (p *Platform) RemoveWorker(id ids.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.workers, id)
 }
 
-// Leave marks a worker as leaving.
-func (p *Platform) Leave(id ids.WorkerID) {
+// MarkLeaving marks a worker as leaving.
+func (p *Platform) MarkLeaving(id ids.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l, ok := p.workers[id]; ok {
@@ -72,8 +72,8 @@
 	p.nodes[addr] = &Node{Addr: addr, Zone: zone}
 }
 
-// Nodes lists the doors that were ready when last asked.
-func (p *Platform) Nodes(zone ids.Zone) []string {
+// ReadyNodes lists the doors that were ready when last asked.
+func (p *Platform) ReadyNodes(zone ids.Zone) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var near, far []string
@@ -132,47 +132,47 @@
 			out = append(out, l)
 		}
 		p.mu.Unlock()
-		reply(w, http.StatusOK, out)
+		writeJSON(w, http.StatusOK, out)
 	})
 	mux.HandleFunc("POST /workers", func(w http.ResponseWriter, r *http.Request) {
 		var l workerclient.ListedWorker
 		if err := json.NewDecoder(r.Body).Decode(&l); err != nil || l.ID == "" {
-			reply(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
+			writeJSON(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
 			return
 		}
-		p.List(l)
-		reply(w, http.StatusOK, l)
+		p.SetWorker(l)
+		writeJSON(w, http.StatusOK, l)
 	})
 	mux.HandleFunc("POST /workers/{id}/leave", func(w http.ResponseWriter, r *http.Request) {
-		p.Leave(ids.WorkerID(r.PathValue("id")))
-		reply(w, http.StatusOK, "leaving")
+		p.MarkLeaving(ids.WorkerID(r.PathValue("id")))
+		writeJSON(w, http.StatusOK, "leaving")
 	})
 	mux.HandleFunc("DELETE /workers/{id}", func(w http.ResponseWriter, r *http.Request) {
-		p.Strike(ids.WorkerID(r.PathValue("id")))
-		reply(w, http.StatusOK, "gone")
+		p.RemoveWorker(ids.WorkerID(r.PathValue("id")))
+		writeJSON(w, http.StatusOK, "gone")
 	})
 	mux.HandleFunc("POST /doors", func(w http.ResponseWriter, r *http.Request) {
 		var d Node
 		if err := json.NewDecoder(r.Body).Decode(&d); err != nil || d.Addr == "" {
-			reply(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
+			writeJSON(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
 			return
 		}
 		p.AddNode(d.Addr, d.Zone)
-		reply(w, http.StatusOK, d)
+		writeJSON(w, http.StatusOK, d)
 	})
 	mux.HandleFunc("GET /doors", func(w http.ResponseWriter, r *http.Request) {
-		out := p.Nodes(ids.Zone(r.FormValue("zone")))
+		out := p.ReadyNodes(ids.Zone(r.FormValue("zone")))
 		if out == nil {
 			out = []string{}
 		}
-		reply(w, http.StatusOK, out)
+		writeJSON(w, http.StatusOK, out)
 	})
 	return mux
 }
 
-// Asked gives the doors that a platform names ready for a zone, asked anew twice a
+// PollNodes gives the doors that a platform names ready for a zone, asked anew twice a
 // second.
-func Asked(ctx context.Context, machine host.Host, addr string, zones []ids.Zone) func(ids.Zone) []string {
+func PollNodes(ctx context.Context, machine host.Host, addr string, zones []ids.Zone) func(ids.Zone) []string {
 	web := rpc.NewHTTPClient(machine.Net)
 	var mu sync.Mutex
 	kept := map[ids.Zone][]string{}
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -13,10 +13,10 @@
 )
 
 type pool struct {
-	size   int
-	cells  [][]uint64
-	free   []int
-	pledge int
+	size     int
+	cells    [][]uint64
+	free     []int
+	reserved int
 }
 
 func newPool(room, size int) *pool {
@@ -31,9 +31,9 @@
 func (p *pool) used() int { return len(p.cells) - len(p.free) }
 
 // fits tells whether so many blocks can be had beside all pledged growth.
-func (p *pool) fits(n int) bool { return len(p.free)-p.pledge >= n }
+func (p *pool) fits(n int) bool { return len(p.free)-p.reserved >= n }
 
-func (p *pool) take(n int) []int {
+func (p *pool) allocate(n int) []int {
 	if n > len(p.free) {
 		return nil
 	}
@@ -43,9 +43,9 @@
 	return out
 }
 
-func (p *pool) give(tab []int) { p.free = append(p.free, tab...) }
+func (p *pool) release(tab []int) { p.free = append(p.free, tab...) }
 
-func (p *pool) put(tab []int, pos int, v uint64) { p.cells[tab[pos/p.size]][pos%p.size] = v }
+func (p *pool) set(tab []int, pos int, v uint64) { p.cells[tab[pos/p.size]][pos%p.size] = v }
 func (p *pool) get(tab []int, pos int) uint64    { return p.cells[tab[pos/p.size]][pos%p.size] }
 
 func mix(a, b uint64) uint64 {
@@ -55,7 +55,7 @@
 	return v ^ v>>32
 }
 
-func text(s string) uint64 {
+func hashString(s string) uint64 {
 	v := uint64(14695981039346656037)
 	for _, c := range []byte(s) {
 		v = (v ^ uint64(c)) * 1099511628211
@@ -63,17 +63,17 @@
 	return v
 }
 
-// cell is what a token's KV is on given weights and adapters.
-func cell(base, last uint64, pos int, tok int32) uint64 {
+// kvCell is what a token's KV is on given weights and adapters.
+func kvCell(base, last uint64, pos int, tok int32) uint64 {
 	return mix(mix(base, last), uint64(pos)<<32|uint64(uint32(tok)))
 }
 
-// attend reads every cell below n through the table; the next token hangs on
+// attention reads every cell below n through the table; the next token hangs on
 // all of it, on the seed and on the temperature.
-func (p *pool) attend(tab []int, n int, base, seed uint64, warmth float64) uint64 {
+func (p *pool) attention(tab []int, n int, base, seed uint64, temperature float64) uint64 {
 	v := mix(base, seed)
-	if warmth > 0 {
-		v = mix(v, uint64(warmth*1000))
+	if temperature > 0 {
+		v = mix(v, uint64(temperature*1000))
 	}
 	for i := range n {
 		v = mix(v, p.get(tab, i))
@@ -81,8 +81,8 @@
 	return v
 }
 
-// token turns what was attended to into a token; 0 ends the answer.
-func token(v uint64, at int) int32 {
+// sampleToken turns what was attended to into a token; 0 ends the answer.
+func sampleToken(v uint64, at int) int32 {
 	if at > 2 && v%23 == 0 {
 		return 0
 	}
@@ -103,33 +103,33 @@
 	return hex.EncodeToString(sum[:12])
 }
 
-// Solo is the answer of a run that never moves: the measure for all others.
-func Solo(prompt []int32, max int, seed uint64, warmth float64, model, weights string, adapters []string) []int32 {
+// ReferenceOutput is the answer of a run that never moves: the measure for all others.
+func ReferenceOutput(prompt []int32, max int, seed uint64, temperature float64, model, weights string, adapters []string) []int32 {
 	p := newPool(ids.Blocks(len(prompt)+max+1, 16), 16)
-	tab := p.take(len(p.cells))
-	base := stem(model, weights, adapters)
+	tab := p.allocate(len(p.cells))
+	base := modelHash(model, weights, adapters)
 	var last uint64
 	for i, t := range prompt {
-		last = cell(base, last, i, t)
-		p.put(tab, i, last)
+		last = kvCell(base, last, i, t)
+		p.set(tab, i, last)
 	}
 	var out []int32
 	for n := len(prompt); len(out) < max; n++ {
-		t := token(p.attend(tab, n, base, seed, warmth), len(out))
+		t := sampleToken(p.attention(tab, n, base, seed, temperature), len(out))
 		if t == 0 {
 			break
 		}
 		out = append(out, t)
-		last = cell(base, last, n, t)
-		p.put(tab, n, last)
+		last = kvCell(base, last, n, t)
+		p.set(tab, n, last)
 	}
 	return out
 }
 
-func stem(model, weights string, adapters []string) uint64 {
-	v := mix(text(model), text(weights))
+func modelHash(model, weights string, adapters []string) uint64 {
+	v := mix(hashString(model), hashString(weights))
 	for _, a := range adapters {
-		v = mix(v, text(a))
+		v = mix(v, hashString(a))
 	}
 	return v
 }
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -12,22 +12,22 @@
 
 // Room and Block of every stand-in worker.
 const (
-	SiteCapacity = 2048
-	SiteBlock    = 16
-	SiteWeights  = "w1"
+	SiteCapacity  = 2048
+	SiteBlockSize = 16
+	SiteWeights   = "w1"
 )
 
-// Names lists a site's workers, part by part, spread over its zones.
-func (s Site) Names() []ids.WorkerID {
+// WorkerIDs lists a site's workers, part by part, spread over its zones.
+func (s Site) WorkerIDs() []ids.WorkerID {
 	var out []ids.WorkerID
 	for i := range s.Prefill + s.Decode {
-		out = append(out, s.Name1(i))
+		out = append(out, s.WorkerID(i))
 	}
 	return out
 }
 
-// Name1 names the i-th worker.
-func (s Site) Name1(i int) ids.WorkerID {
+// WorkerID names the i-th worker.
+func (s Site) WorkerID(i int) ids.WorkerID {
 	if i < s.Prefill {
 		return ids.WorkerID(fmt.Sprintf("p%d", i+1))
 	}
@@ -47,7 +47,7 @@
 		Weights:   SiteWeights,
 		Adapters:  []string{},
 		Capacity:  SiteCapacity,
-		BlockSize: SiteBlock,
+		BlockSize: SiteBlockSize,
 		Zone:      s.Zones[at%len(s.Zones)],
 	}
 }
@@ -55,12 +55,12 @@
 // Policy is the whole configuration as JSON text.
 func (s Site) Policy(programs map[string]fleetstate.Program) string {
 	workers := map[ids.WorkerID]fleetstate.Worker{}
-	for i, id := range s.Names() {
+	for i, id := range s.WorkerIDs() {
 		workers[id] = s.Worker(i)
 	}
 	kinds := map[string]any{}
-	for _, sh := range s.Shapes {
-		kinds[sh.Kind] = map[string]any{"claimed": sh.Claimed, "model": s.Model, "maxTokens": 64, "weight": 1}
+	for _, sh := range s.Classes {
+		kinds[sh.Kind] = map[string]any{"claimed": sh.KeyRequired, "model": s.Model, "maxTokens": 64, "weight": 1}
 	}
 	if programs == nil {
 		programs = map[string]fleetstate.Program{}
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -19,19 +19,19 @@
 	"keelstair.example/rpc"
 )
 
-// pairOf runs a prefill and a decode worker and gives a client to drive them.
-type pairOf struct {
-	p, d   *Worker
-	pa, da string
-	r      *workerclient.Client
-	ctx    context.Context
+// fixture runs a prefill and a decode worker and gives a client to drive them.
+type fixture struct {
+	prefill, decode         *Worker
+	prefillAddr, decodeAddr string
+	client                  *workerclient.Client
+	ctx                     context.Context
 }
 
-func twin(t *testing.T, room int, f func(*pairOf)) {
+func withWorkers(t *testing.T, room int, f func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := simulated.NewWorld(1)
 		ctx, stop := context.WithCancel(context.Background())
-		x := &pairOf{pa: "10.0.0.1:90", da: "10.0.0.2:90", ctx: ctx}
+		x := &fixture{prefillAddr: "10.0.0.1:90", decodeAddr: "10.0.0.2:90", ctx: ctx}
 		for i, part := range []ids.Role{ids.Prefill, ids.Decode} {
 			host := w.Machine(fmt.Sprintf("10.0.0.%d", i+1)).Start().Host()
 			addr := fmt.Sprintf("10.0.0.%d:90", i+1)
@@ -48,16 +48,16 @@
 			go rpc.Serve(ctx, l, k.Handler())
 			go k.Run(ctx)
 			if part == ids.Prefill {
-				x.p = k
+				x.prefill = k
 			} else {
-				x.d = k
+				x.decode = k
 			}
 		}
 		me := w.Machine("10.0.0.9").Start()
-		x.r = workerclient.New(me.Host().Net)
+		x.client = workerclient.New(me.Host().Net)
 		defer func() {
 			stop()
-			x.r.Close()
+			x.client.Close()
 			me.Kill()
 			for i := range 2 {
 				w.Machine(fmt.Sprintf("10.0.0.%d", i+1)).PowerOff()
@@ -68,7 +68,7 @@
 	})
 }
 
-func (x *pairOf) identity(name string, prompt, max int) workerclient.Identity {
+func (x *fixture) identity(name string, prompt, max int) workerclient.Identity {
 	m := workerclient.Identity{
 		ID:     workerclient.ID{Request: name, Attempt: 1},
 		Params: workerclient.Params{MaxTokens: max, Seed: 7},
@@ -80,13 +80,13 @@
 	return m
 }
 
-func (x *pairOf) read(t *testing.T, m workerclient.Identity) workerclient.Identity {
-	_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillRequest{
+func (x *fixture) prefillAndExport(t *testing.T, m workerclient.Identity) workerclient.Identity {
+	_, err := x.client.Prefill(x.ctx, x.prefillAddr, &workerclient.PrefillRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
 		Identity:    m,
 	})
 	require.NoError(t, err)
-	a, err := x.r.Export(x.ctx, x.pa, &workerclient.ExportRequest{
+	a, err := x.client.Export(x.ctx, x.prefillAddr, &workerclient.ExportRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
 		ID:          m.ID,
 	})
@@ -94,26 +94,26 @@
 	return *a.Identity
 }
 
-func (x *pairOf) move(m workerclient.Identity) error {
-	_, err := x.r.Import(x.ctx, x.da, &workerclient.ImportRequest{
+func (x *fixture) importKV(m workerclient.Identity) error {
+	_, err := x.client.Import(x.ctx, x.decodeAddr, &workerclient.ImportRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
 		Identity:    m,
-		Source:      x.pa,
+		Source:      x.prefillAddr,
 	})
 	return err
 }
 
-func (x *pairOf) resume(m workerclient.Identity) error {
-	_, err := x.r.Resume(x.ctx, x.da, &workerclient.IDRequest{
+func (x *fixture) resume(m workerclient.Identity) error {
+	_, err := x.client.Resume(x.ctx, x.decodeAddr, &workerclient.IDRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
 		ID:          m.ID,
 	})
 	return err
 }
 
-func (x *pairOf) rest(t *testing.T, m workerclient.Identity) []int32 {
+func (x *fixture) streamRest(t *testing.T, m workerclient.Identity) []int32 {
 	out := append([]int32(nil), m.Output...)
-	require.NoError(t, x.r.Stream(x.ctx, x.da, m.ID, len(out), time.Second, func(p workerclient.TokenEvent) error {
+	require.NoError(t, x.client.Stream(x.ctx, x.decodeAddr, m.ID, len(out), time.Second, func(p workerclient.TokenEvent) error {
 		if p.End == "" {
 			out = append(out, p.Token)
 		}
@@ -122,8 +122,8 @@
 	return out
 }
 
-func solo(m workerclient.Identity) []int32 {
-	return Solo(
+func referenceOutput(m workerclient.Identity) []int32 {
+	return ReferenceOutput(
 		m.Prompt,
 		m.Params.MaxTokens,
 		m.Params.Seed,
@@ -138,65 +138,65 @@
 // request that moved gives what a run that never moved gives. The source is
 // clean, and the destination pays exactly the block bill.
 func TestSameTokens(t *testing.T) {
-	twin(t, 64, func(x *pairOf) {
+	withWorkers(t, 64, func(x *fixture) {
 		for _, sent := range []int{0, 1, 3, 5} {
 			m := x.identity(fmt.Sprintf("r%d", sent), 100, 8)
-			complete := solo(m)
+			complete := referenceOutput(m)
 			require.Greater(t, len(complete), sent)
 			m.Output = complete[:sent:sent]
-			got := x.read(t, m)
-			require.Zero(t, x.p.Used(), "the source must come back clean")
-			require.NoError(t, x.move(got))
-			require.Equal(t, ids.Blocks(got.Computed, 16), x.d.Used(), "the bill is ceil(computed / block size)")
+			got := x.prefillAndExport(t, m)
+			require.Zero(t, x.prefill.UsedBlocks(), "the source must come back clean")
+			require.NoError(t, x.importKV(got))
+			require.Equal(t, ids.Blocks(got.Computed, 16), x.decode.UsedBlocks(), "the bill is ceil(computed / block size)")
 			require.NoError(t, x.resume(got))
-			require.Equal(t, complete, x.rest(t, got))
-			require.Zero(t, x.d.Used())
+			require.Equal(t, complete, x.streamRest(t, got))
+			require.Zero(t, x.decode.UsedBlocks())
 		}
 	})
 }
 
-// TestLoudImport: what does not fit whole, answer included, is refused at the
+// TestImportWithoutCapacity: what does not fit whole, answer included, is refused at the
 // import, before any token; and nothing is taken.
-func TestLoudImport(t *testing.T) {
-	twin(t, 8, func(x *pairOf) {
+func TestImportWithoutCapacity(t *testing.T) {
+	withWorkers(t, 8, func(x *fixture) {
 		m := x.identity("big", 100, 40)
-		got := x.read(t, m)
-		err := x.move(got)
+		got := x.prefillAndExport(t, m)
+		err := x.importKV(got)
 		require.True(t, failure.Is(err, failure.NotExecuted), "%v", err)
-		require.Zero(t, x.d.Used())
-		require.Equal(t, 1, x.d.Tallies()["big"].Bounced)
-		fit := x.read(t, x.identity("fits", 100, 20))
-		require.NoError(t, x.move(fit))
+		require.Zero(t, x.decode.UsedBlocks())
+		require.Equal(t, 1, x.decode.RequestCounts()["big"].RejectedImports)
+		fit := x.prefillAndExport(t, x.identity("fits", 100, 20))
+		require.NoError(t, x.importKV(fit))
 	})
 }
 
-// TestArrivalFence: attention waits for every byte. The planted worker that
+// TestDecodeWaitsForKV: attention waits for every byte. The planted worker that
 // hurries gives other tokens, so the check can fail.
-func TestArrivalFence(t *testing.T) {
-	twin(t, 64, func(x *pairOf) {
-		x.p.Order(Faults{Speed: 20_000})
-		m := x.read(t, x.identity("slow", 200, 8))
-		require.NoError(t, x.move(m))
+func TestDecodeWaitsForKV(t *testing.T) {
+	withWorkers(t, 64, func(x *fixture) {
+		x.prefill.SetFaults(Faults{TransferRate: 20_000})
+		m := x.prefillAndExport(t, x.identity("slow", 200, 8))
+		require.NoError(t, x.importKV(m))
 		require.NoError(t, x.resume(m))
-		require.Equal(t, solo(m), x.rest(t, m))
-		x.d.Order(Faults{Hurry: true})
-		m = x.read(t, x.identity("hurried", 200, 8))
-		require.NoError(t, x.move(m))
+		require.Equal(t, referenceOutput(m), x.streamRest(t, m))
+		x.decode.SetFaults(Faults{SkipArrivalCheck: true})
+		m = x.prefillAndExport(t, x.identity("hurried", 200, 8))
+		require.NoError(t, x.importKV(m))
 		require.NoError(t, x.resume(m))
-		require.NotEqual(t, solo(m), x.rest(t, m))
+		require.NotEqual(t, referenceOutput(m), x.streamRest(t, m))
 	})
 }
 
-// TestSpoilt: memory whose digest is off, or that breaks off, is never resumed.
-func TestSpoilt(t *testing.T) {
+// TestFailedTransfer: memory whose digest is off, or that breaks off, is never resumed.
+func TestFailedTransfer(t *testing.T) {
 	for _, f := range []Faults{{Corrupt: true}, {Drop: true}} {
-		twin(t, 64, func(x *pairOf) {
-			x.p.Order(f)
-			m := x.read(t, x.identity("spoilt", 100, 8))
-			require.NoError(t, x.move(m))
+		withWorkers(t, 64, func(x *fixture) {
+			x.prefill.SetFaults(f)
+			m := x.prefillAndExport(t, x.identity("spoilt", 100, 8))
+			require.NoError(t, x.importKV(m))
 			require.True(t, failure.Is(x.resume(m), failure.DataLost))
-			require.Zero(t, x.d.Used())
-			require.Zero(t, x.d.Tallies()["spoilt"].Runs)
+			require.Zero(t, x.decode.UsedBlocks())
+			require.Zero(t, x.decode.RequestCounts()["spoilt"].Runs)
 		})
 	}
 }
@@ -204,50 +204,50 @@
 // TestOrphans: an import that is never resumed and a run that nobody reads end
 // by themselves, and a cancelled attempt can never start.
 func TestOrphans(t *testing.T) {
-	twin(t, 64, func(x *pairOf) {
-		m := x.read(t, x.identity("left", 100, 8))
-		require.NoError(t, x.move(m))
+	withWorkers(t, 64, func(x *fixture) {
+		m := x.prefillAndExport(t, x.identity("left", 100, 8))
+		require.NoError(t, x.importKV(m))
 		time.Sleep(3 * time.Second)
-		require.Zero(t, x.d.Used())
+		require.Zero(t, x.decode.UsedBlocks())
 		require.True(t, failure.Is(x.resume(m), failure.DataLost))
-		m = x.read(t, x.identity("stopped", 100, 8))
-		a, err := x.r.Cancel(x.ctx, x.da, &workerclient.IDRequest{
+		m = x.prefillAndExport(t, x.identity("stopped", 100, 8))
+		a, err := x.client.Cancel(x.ctx, x.decodeAddr, &workerclient.IDRequest{
 			OrderHeader: workerclient.OrderHeader{Fence: 1},
 			ID:          m.ID,
 		})
 		require.NoError(t, err)
-		require.Equal(t, workerclient.FateNever, a.Fate)
-		require.True(t, failure.Is(x.move(m), failure.DataLost))
+		require.Equal(t, workerclient.FateNotStarted, a.Fate)
+		require.True(t, failure.Is(x.importKV(m), failure.DataLost))
 	})
 }
 
 // TestFence: an order under an older fence is refused and changes nothing.
 func TestFence(t *testing.T) {
-	twin(t, 64, func(x *pairOf) {
-		_, err := x.r.SetRole(x.ctx, x.da, &workerclient.RoleRequest{
+	withWorkers(t, 64, func(x *fixture) {
+		_, err := x.client.SetRole(x.ctx, x.decodeAddr, &workerclient.RoleRequest{
 			OrderHeader: workerclient.OrderHeader{Fence: 5},
 			Role:        ids.Decode,
 		})
 		require.NoError(t, err)
-		m := x.read(t, x.identity("old", 100, 8))
-		require.True(t, failure.Is(x.move(m), failure.Stale))
-		require.Zero(t, x.d.Used())
+		m := x.prefillAndExport(t, x.identity("old", 100, 8))
+		require.True(t, failure.Is(x.importKV(m), failure.Stale))
+		require.Zero(t, x.decode.UsedBlocks())
 	})
 }
 
-// TestBadOrders: what is malformed or for another model is named and refused.
-func TestBadOrders(t *testing.T) {
-	twin(t, 64, func(x *pairOf) {
+// TestInvalidOrders: what is malformed or for another model is named and refused.
+func TestInvalidOrders(t *testing.T) {
+	withWorkers(t, 64, func(x *fixture) {
 		m := x.identity("other", 10, 4)
 		m.Model.Weights = "w9"
-		_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillRequest{
+		_, err := x.client.Prefill(x.ctx, x.prefillAddr, &workerclient.PrefillRequest{
 			OrderHeader: workerclient.OrderHeader{Fence: 1},
 			Identity:    m,
 		})
 		require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
-		x.d.Order(Faults{Garbage: true})
-		_, err = x.r.Report(x.ctx, x.da)
+		x.decode.SetFaults(Faults{Garbage: true})
+		_, err = x.client.Report(x.ctx, x.decodeAddr)
 		require.ErrorContains(t, err, "garbage")
-		require.Equal(t, x.da, failure.Peer(err))
+		require.Equal(t, x.decodeAddr, failure.Peer(err))
 	})
 }
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -20,28 +20,28 @@
 // Time limits of the calls, where the caller's context has no deadline. Prefill computes
 // before it answers, and resume waits for the KV to arrive; the others answer at once.
 const (
-	prefillTimeout = 10 * time.Second
-	resumeTimeout  = 5 * time.Second
-	moveTimeout    = 2 * time.Second // export and import
-	shortTimeout   = time.Second     // cancel and change of part
-	readTimeout    = 800 * time.Millisecond
+	prefillTimeout  = 10 * time.Second
+	resumeTimeout   = 5 * time.Second
+	transferTimeout = 2 * time.Second // export and import
+	orderTimeout    = time.Second     // cancel and change of part
+	readTimeout     = 800 * time.Millisecond
 )
 
 // Bounds on what is read of an answer, in bytes.
 const (
-	maxResponseBytes = 32 << 20
-	maxEventBytes    = 1 << 20 // one line of a stream
-	firstBuffer      = 4096    // of a line, grown as needed
+	maxResponseBytes  = 32 << 20
+	maxEventBytes     = 1 << 20 // one line of a stream
+	initialLineBuffer = 4096    // of a line, grown as needed
 )
 
 // Client calls workers and the platform. It is safe for concurrent use.
-type Client struct{ web *http.Client }
+type Client struct{ http *http.Client }
 
 // New returns a client that dials through the host's network.
-func New(n host.Net) *Client { return &Client{web: rpc.NewHTTPClient(n)} }
+func New(n host.Net) *Client { return &Client{http: rpc.NewHTTPClient(n)} }
 
 // Close closes the connections that are idle. Calls under way are not affected.
-func (c *Client) Close() { c.web.CloseIdleConnections() }
+func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Rejection is the body of a refusal, of a worker or of a node: a name for programs, the field
 // that is at fault if any, a text for people, and After, in how many milliseconds to come
@@ -68,9 +68,9 @@
 	return failure.OutcomeUnknown
 }
 
-// ask makes one call and decodes its answer into out, unless that is nil. timeout counts
+// call makes one call and decodes its answer into out, unless that is nil. timeout counts
 // where the context has no deadline.
-func (c *Client) ask(ctx context.Context, method, addr, path string, in, out any, timeout time.Duration) error {
+func (c *Client) call(ctx context.Context, method, addr, path string, in, out any, timeout time.Duration) error {
 	if _, ok := ctx.Deadline(); !ok {
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeout(ctx, timeout)
@@ -84,24 +84,24 @@
 		}
 		body = bytes.NewReader(b)
 	}
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
 	if err != nil {
 		return failure.As(err, failure.InvalidArgument, path, addr)
 	}
-	q.Header.Set("Content-Type", "application/json")
-	a, err := c.web.Do(q)
+	req.Header.Set("Content-Type", "application/json")
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return failure.As(err, sendErrorKind(err), path, addr)
 	}
-	defer a.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
+	defer resp.Body.Close()
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return failure.As(err, failure.OutcomeUnknown, path, addr)
 	}
-	if a.StatusCode != http.StatusOK {
-		var no Rejection
-		json.Unmarshal(b, &no)
-		return failure.New(statusKind(a.StatusCode), path, addr, "%d %s %s", a.StatusCode, no.Name, no.Detail)
+	if resp.StatusCode != http.StatusOK {
+		var rejection Rejection
+		json.Unmarshal(b, &rejection)
+		return failure.New(statusKind(resp.StatusCode), path, addr, "%d %s %s", resp.StatusCode, rejection.Name, rejection.Detail)
 	}
 	if out == nil {
 		return nil
@@ -121,31 +121,31 @@
 	return failure.OutcomeUnknown
 }
 
-func (c *Client) order(ctx context.Context, addr, path string, in any, timeout time.Duration) (*OrderResponse, error) {
+func (c *Client) postOrder(ctx context.Context, addr, path string, in any, timeout time.Duration) (*OrderResponse, error) {
 	out := &OrderResponse{}
-	return out, c.ask(ctx, http.MethodPost, addr, path, in, out, timeout)
+	return out, c.call(ctx, http.MethodPost, addr, path, in, out, timeout)
 }
 
 // Prefill has a worker compute the KV of a request. It returns after the computation.
 func (c *Client) Prefill(ctx context.Context, addr string, q *PrefillRequest) (*OrderResponse, error) {
-	return c.order(ctx, addr, "/prefill", q, prefillTimeout)
+	return c.postOrder(ctx, addr, "/prefill", q, prefillTimeout)
 }
 
 // Export has a worker keep the KV of an attempt ready to be fetched. Its answer has the
 // request's identity with the length and digest of that KV, and the tokens made so far.
 func (c *Client) Export(ctx context.Context, addr string, q *ExportRequest) (*OrderResponse, error) {
-	return c.order(ctx, addr, "/export", q, moveTimeout)
+	return c.postOrder(ctx, addr, "/export", q, transferTimeout)
 }
 
 // Import has a worker reserve room and begin to fetch the KV. Without room it is refused with
 // kind Bounced.
 func (c *Client) Import(ctx context.Context, addr string, q *ImportRequest) (*OrderResponse, error) {
-	return c.order(ctx, addr, "/import", q, moveTimeout)
+	return c.postOrder(ctx, addr, "/import", q, transferTimeout)
 }
 
 // Resume has a worker run an attempt that was imported, once its KV has arrived whole.
 func (c *Client) Resume(ctx context.Context, addr string, q *IDRequest) (*OrderResponse, error) {
-	return c.order(ctx, addr, "/resume", q, resumeTimeout)
+	return c.postOrder(ctx, addr, "/resume", q, resumeTimeout)
 }
 
 // Cancel ends an attempt and all earlier ones of its request for good: none can start or go on
@@ -153,7 +153,7 @@
 // Where the connection is refused no process is left that could go on with it, so the kind is
 // Lost, which says more than Bounced.
 func (c *Client) Cancel(ctx context.Context, addr string, q *IDRequest) (*OrderResponse, error) {
-	a, err := c.order(ctx, addr, "/cancel", q, shortTimeout)
+	a, err := c.postOrder(ctx, addr, "/cancel", q, orderTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		err = failure.As(err, failure.DataLost, "cancel", addr)
 	}
@@ -162,19 +162,19 @@
 
 // SetRole has a worker change its part.
 func (c *Client) SetRole(ctx context.Context, addr string, q *RoleRequest) (*OrderResponse, error) {
-	return c.order(ctx, addr, "/part", q, shortTimeout)
+	return c.postOrder(ctx, addr, "/part", q, orderTimeout)
 }
 
 // Report asks a worker for its report.
 func (c *Client) Report(ctx context.Context, addr string) (*Report, error) {
 	out := &Report{}
-	return out, c.ask(ctx, http.MethodGet, addr, "/report", nil, out, readTimeout)
+	return out, c.call(ctx, http.MethodGet, addr, "/report", nil, out, readTimeout)
 }
 
 // Workers asks the platform for its list of workers.
 func (c *Client) Workers(ctx context.Context, addr string) ([]ListedWorker, error) {
 	var out []ListedWorker
-	return out, c.ask(ctx, http.MethodGet, addr, "/workers", nil, &out, readTimeout)
+	return out, c.call(ctx, http.MethodGet, addr, "/workers", nil, &out, readTimeout)
 }
 
 // Stream calls put with the pieces of a resumed attempt from index from on, until it has
@@ -186,45 +186,45 @@
 	addr string,
 	id ID,
 	from int,
-	pulse time.Duration,
-	put func(TokenEvent) error,
+	maxSilence time.Duration,
+	handle func(TokenEvent) error,
 ) error {
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	path := fmt.Sprintf("/stream?request=%s&attempt=%d&from=%d", id.Request, id.Attempt, from)
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
 		return failure.As(err, failure.InvalidArgument, "stream", addr)
 	}
-	watch := time.AfterFunc(pulse, stop)
-	defer watch.Stop()
-	a, err := c.web.Do(q)
+	silenceTimer := time.AfterFunc(maxSilence, cancel)
+	defer silenceTimer.Stop()
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return failure.As(err, failure.DataLost, "stream", addr)
 	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		return failure.New(statusKind(a.StatusCode), "stream", addr, "%d", a.StatusCode)
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return failure.New(statusKind(resp.StatusCode), "stream", addr, "%d", resp.StatusCode)
 	}
-	rows := bufio.NewScanner(a.Body)
-	rows.Buffer(make([]byte, firstBuffer), maxEventBytes)
-	for rows.Scan() {
-		watch.Reset(pulse)
-		if len(rows.Bytes()) == 0 {
+	lines := bufio.NewScanner(resp.Body)
+	lines.Buffer(make([]byte, initialLineBuffer), maxEventBytes)
+	for lines.Scan() {
+		silenceTimer.Reset(maxSilence)
+		if len(lines.Bytes()) == 0 {
 			continue
 		}
-		var p TokenEvent
-		if err := json.Unmarshal(rows.Bytes(), &p); err != nil {
+		var event TokenEvent
+		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
 			return failure.As(err, failure.DataLost, "stream gave garbage", addr)
 		}
-		if err := put(p); err != nil {
+		if err := handle(event); err != nil {
 			return err
 		}
-		if p.End != "" {
+		if event.End != "" {
 			return nil
 		}
 	}
-	if err := rows.Err(); err != nil {
+	if err := lines.Err(); err != nil {
 		return failure.As(err, failure.DataLost, "stream", addr)
 	}
 	return failure.New(failure.DataLost, "stream", addr, "it stopped without an end")
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -23,9 +23,9 @@
 
 func (loopback) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-// forgetfulWorker answers the first request of each connection; at the second it reads the
+// unresponsiveWorker answers the first request of each connection; at the second it reads the
 // whole request, counts it and closes the connection without an answer.
-func forgetfulWorker(t *testing.T) (addr string, cut *atomic.Int64) {
+func unresponsiveWorker(t *testing.T) (addr string, cut *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 // TestOrderNotRepeated: an order that was written and got no answer is not sent again, also
 // on a connection that was used before, and may have been carried out.
 func TestOrderNotRepeated(t *testing.T) {
-	addr, cut := forgetfulWorker(t)
+	addr, cut := unresponsiveWorker(t)
 	c := New(loopback{})
 	defer c.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestUndialledOrder: an order for which no connection could be made was not carried out.
-func TestUndialledOrder(t *testing.T) {
+// TestOrderNotExecutedWithoutConnection: an order for which no connection could be made was not carried out.
+func TestOrderNotExecutedWithoutConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/workerclient/messages.go
+++ b/internal/workerclient/messages.go
@@ -28,9 +28,9 @@
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// Offers reports whether a worker with m can run a request for o: model and weights are the
+// Serves reports whether a worker with m can run a request for o: model and weights are the
 // same, and m has every adapter of o.
-func (m Model) Offers(o Model) bool {
+func (m Model) Serves(o Model) bool {
 	for _, a := range o.Adapters {
 		if !slices.Contains(m.Adapters, a) {
 			return false
@@ -107,10 +107,10 @@
 
 // The fates of an attempt, as its decode worker knows them.
 const (
-	FateNever    = "never"    // never came to run here, and never will
-	FateStopped  = "stopped"  // ran in part, and was stopped
-	FateFinished = "finished" // ran to its end
-	FateRunning  = "running"  // runs now
+	FateNotStarted = "never"    // never came to run here, and never will
+	FateStopped    = "stopped"  // ran in part, and was stopped
+	FateFinished   = "finished" // ran to its end
+	FateRunning    = "running"  // runs now
 )
 
 // Running is one request on a worker: the cache blocks that it holds, and Reserved, how many more
@@ -128,7 +128,7 @@
 	Model       Model           `json:"on"`
 	Used        int             `json:"cacheUsed"`
 	Capacity    int             `json:"cacheCapacity"`
-	Block       int             `json:"blockSize"`
+	BlockSize   int             `json:"blockSize"`
 	Queue       int             `json:"queue"`
 	Version     ids.Version     `json:"version"`
 	Running     []Running       `json:"running"`
