--- a/internal/api/fault.go
+++ b/internal/api/fault.go
@@ -22,13 +22,13 @@
 
 // NewFault returns a refusal with a status. name is for programs, field the one at fault or "", and
 // the formatted text for people.
-func NewFault(code int, name, field, form string, args ...any) *Fault {
-	return &Fault{code, workerclient.Rejection{Name: name, Field: field, Detail: fmt.Sprintf(form, args...)}}
+func NewFault(code int, name, field, format string, args ...any) *Fault {
+	return &Fault{code, workerclient.Rejection{Name: name, Field: field, Detail: fmt.Sprintf(format, args...)}}
 }
 
 // RetryLater returns a refusal that also says after how long to come back.
-func RetryLater(code int, name string, after time.Duration, form string, args ...any) *Fault {
-	f := NewFault(code, name, "", form, args...)
+func RetryLater(code int, name string, after time.Duration, format string, args ...any) *Fault {
+	f := NewFault(code, name, "", format, args...)
 	f.After = after.Milliseconds()
 	return f
 }
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -134,8 +134,8 @@
 // RegisterOperatorAPI registers the operators' side of the interface, under /v1.
 func RegisterOperatorAPI(mux *http.ServeMux, o Operator) {
 	mux.HandleFunc("GET /v1/policy", func(w http.ResponseWriter, r *http.Request) {
-		got, err := o.ActivePolicy(r.Context())
-		writeResult(w, got, err)
+		result, err := o.ActivePolicy(r.Context())
+		writeResult(w, result, err)
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, o.Status())
@@ -150,8 +150,8 @@
 			WriteError(w, NewFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
 			return
 		}
-		got, err := o.Apply(r.Context(), &a)
-		writeResult(w, got, err)
+		result, err := o.Apply(r.Context(), &a)
+		writeResult(w, result, err)
 	})
 	mux.HandleFunc("POST /v1/zones/{name}", markHandler(o.Evacuate))
 	mux.HandleFunc("POST /v1/workers/{name}", markHandler(o.Drain))
@@ -168,12 +168,12 @@
 			)
 			return
 		}
-		got, err := o.AuditRows(r.Context(), from, maxAuditRows)
+		result, err := o.AuditRows(r.Context(), from, maxAuditRows)
 		if err != nil {
 			WriteError(w, err)
 			return
 		}
-		WriteJSON(w, http.StatusOK, got)
+		WriteJSON(w, http.StatusOK, result)
 	})
 }
 
@@ -189,8 +189,8 @@
 			WriteError(w, NewFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
 			return
 		}
-		got, err := apply(r.Context(), r.PathValue("name"), &m)
-		writeResult(w, got, err)
+		result, err := apply(r.Context(), r.PathValue("name"), &m)
+		writeResult(w, result, err)
 	}
 }
 
--- a/internal/certification/certification.go
+++ b/internal/certification/certification.go
@@ -91,24 +91,24 @@
 // Error returns the reason alone; where it applies is in Path.
 func (f *Fault) Error() string { return f.Reason }
 
-func invalid(path []string, form string, args ...any) error {
-	return failure.As(&Fault{path, fmt.Sprintf(form, args...)}, failure.InvalidArgument, "check regimes", "")
+func invalid(path []string, format string, args ...any) error {
+	return failure.As(&Fault{path, fmt.Sprintf(format, args...)}, failure.InvalidArgument, "check regimes", "")
 }
 
 // parseValidity reads the two ends of a validity, in nanoseconds since 1970.
 func parseValidity(path []string, from, until string) (a, b int64, err error) {
-	x, e := time.Parse(time.RFC3339, from)
+	start, e := time.Parse(time.RFC3339, from)
 	if e != nil {
 		return 0, 0, invalid(append(path, "from"), "%q is no time such as 2026-12-31T00:00:00Z", from)
 	}
-	y, e := time.Parse(time.RFC3339, until)
+	end, e := time.Parse(time.RFC3339, until)
 	if e != nil {
 		return 0, 0, invalid(append(path, "until"), "%q is no time such as 2026-12-31T00:00:00Z", until)
 	}
-	if !x.Before(y) {
+	if !start.Before(end) {
 		return 0, 0, invalid(append(path, "until"), "its end %s is not after its start %s", until, from)
 	}
-	return x.UnixNano(), y.UnixNano(), nil
+	return start.UnixNano(), end.UnixNano(), nil
 }
 
 type issuerKey struct {
--- a/internal/certification/certification_test.go
+++ b/internal/certification/certification_test.go
@@ -70,7 +70,7 @@
 	require.Equal(t, "chair", r.RegimeOf("verdict"))
 	require.Empty(t, r.RegimeOf("clarification"))
 	p1, d1 := Subject{Worker: "p1"}, Subject{Worker: "d1"}
-	for _, one := range []struct {
+	for _, tc := range []struct {
 		regime  string
 		subject Subject
 		part    ids.Role
@@ -94,12 +94,12 @@
 		{"chair", d1, ids.Decode, exactDay(95), "4"},  // both keys are valid
 		{"chair", d1, ids.Decode, TimeBounds{}, ""},   // no word of the time
 	} {
-		serial, ok := r.Authorizes(one.regime, one.subject, one.part, one.now)
-		require.Equal(t, one.serial, serial, "%+v", one)
-		require.Equal(t, one.serial != "", ok)
+		serial, ok := r.Authorizes(tc.regime, tc.subject, tc.part, tc.now)
+		require.Equal(t, tc.serial, serial, "%+v", tc)
+		require.Equal(t, tc.serial != "", ok)
 	}
-	cut := r.WithRevoked(map[string]bool{"3": true})
-	serial, _ := cut.Authorizes("chair", p1, ids.Prefill, exactDay(6))
+	revoked := r.WithRevoked(map[string]bool{"3": true})
+	serial, _ := revoked.Authorizes("chair", p1, ids.Prefill, exactDay(6))
 	require.Equal(t, "1", serial, "the other certificate still holds")
 	_, ok := r.WithRevoked(map[string]bool{"1": true, "3": true}).Authorizes("chair", p1, ids.Prefill, exactDay(6))
 	require.False(t, ok)
@@ -108,7 +108,7 @@
 	require.Equal(t, []string{"decode workers"}, r.Shortages("chair", 1, exactDay(20), nil))
 	require.Equal(t, []string{"prefill workers", "decode workers", "router nodes"}, r.Shortages("fines", 1, exactDay(20), nil))
 	states := map[string]State{}
-	for _, row := range cut.CertificateStatuses("chair", exactDay(20)) {
+	for _, row := range revoked.CertificateStatuses("chair", exactDay(20)) {
 		states[row.Serial] = row.State
 	}
 	require.Equal(t, map[string]State{"1": Expired, "2": Valid, "3": Revoked, "4": NotYetValid}, states)
@@ -131,7 +131,7 @@
 	alter := func(f func(c *Certificate)) func(*authority) {
 		return func(o *authority) { c := o.certs["1"]; f(&c); o.certs["1"] = c }
 	}
-	for name, one := range map[string]struct {
+	for name, tc := range map[string]struct {
 		do   func(o *authority)
 		path string
 		says string
@@ -163,15 +163,15 @@
 		t.Run(name, func(t *testing.T) {
 			o := newAuthority(t)
 			o.regimes, o.certs = maps.Clone(o.regimes), maps.Clone(o.certs)
-			one.do(o)
+			tc.do(o)
 			r, err := o.compile()
-			require.ErrorContains(t, err, one.says)
+			require.ErrorContains(t, err, tc.says)
 			require.True(t, failure.Is(firstError(err), failure.InvalidArgument))
 			var f *Fault
 			require.ErrorAs(t, err, &f)
-			require.Equal(t, one.path, strings.Join(f.Path, "."))
+			require.Equal(t, tc.path, strings.Join(f.Path, "."))
 			require.NotContains(t, f.Reason, "\n")
-			if strings.HasPrefix(one.path, "certificates.1") || strings.HasPrefix(one.path, "issuers") {
+			if strings.HasPrefix(tc.path, "certificates.1") || strings.HasPrefix(tc.path, "issuers") {
 				for _, w := range []ids.WorkerID{"p1", "p2"} {
 					_, ok := r.Authorizes("chair", Subject{Worker: w}, ids.Prefill, exactDay(2))
 					require.False(t, ok)
@@ -182,8 +182,8 @@
 }
 
 func firstError(err error) error {
-	if many, ok := err.(interface{ Unwrap() []error }); ok {
-		return many.Unwrap()[0]
+	if joined, ok := err.(interface{ Unwrap() []error }); ok {
+		return joined.Unwrap()[0]
 	}
 	return err
 }
--- a/internal/certification/register.go
+++ b/internal/certification/register.go
@@ -89,10 +89,10 @@
 
 func (r *Register) addCertificate(serial string, c *Certificate, keys map[string]*issuerKey, signed map[string]string) error {
 	path := []string{"certificates", serial}
-	switch other, twice := signed[c.Signature]; {
+	switch other, duplicate := signed[c.Signature]; {
 	case c.Serial != serial:
 		return invalid(path, "serial %q stands under the name %q: each serial stands once", c.Serial, serial)
-	case twice:
+	case duplicate:
 		return invalid(append(path, "signature"), "it is replayed: serial %q has the same signature", other)
 	case (c.Worker == "") == (c.Node == ""):
 		return invalid(path, "its subject is one worker or one node")
@@ -112,9 +112,9 @@
 		roles = []ids.Role{""}
 	}
 	e := grant{serial, from, until}
-	for _, p := range roles {
-		at := grantKey{c.Regime, c.Subject(), p}
-		r.grants[at] = append(r.grants[at], e)
+	for _, role := range roles {
+		key := grantKey{c.Regime, c.Subject(), role}
+		r.grants[key] = append(r.grants[key], e)
 	}
 	r.certificates[serial], r.validity[serial] = c, e
 	return nil
@@ -180,15 +180,15 @@
 // ReservedPercent is the share of a worker's room, in percent, that is kept free for governed
 // work: the largest of the regimes that it may serve now in a part.
 func (r *Register) ReservedPercent(w ids.WorkerID, role ids.Role, now TimeBounds) int {
-	most := 0
+	percent := 0
 	if r != nil {
 		for name, regime := range r.regimes {
 			if _, ok := r.Authorizes(name, Subject{Worker: w}, role, now); ok {
-				most = max(most, regime.ReservedPercent)
+				percent = max(percent, regime.ReservedPercent)
 			}
 		}
 	}
-	return most
+	return percent
 }
 
 // RegimeNames lists the names in order.
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -22,30 +22,30 @@
 func (w *Worker) importKV(_ context.Context, q *workerclient.ImportRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	m := q.Identity
-	if err := w.checkOrder("import", q.OrderHeader, m.ID); err != nil {
+	state := q.Identity
+	if err := w.checkOrder("import", q.OrderHeader, state.ID); err != nil {
 		return nil, err
 	}
-	if w.live[m.ID] != nil {
+	if w.live[state.ID] != nil {
 		return &workerclient.OrderResponse{}, nil
 	}
-	bill := ids.Blocks(m.Computed, w.pool.size)
-	complete := max(bill, ids.Blocks(len(m.Prompt)+m.Params.MaxTokens, w.pool.size))
+	importBlocks := ids.Blocks(state.Computed, w.pool.size)
+	totalBlocks := max(importBlocks, ids.Blocks(len(state.Prompt)+state.Params.MaxTokens, w.pool.size))
 	switch {
 	case w.role != ids.Decode:
 		return nil, reject(http.StatusConflict, "this worker prefills")
-	case !w.opt.Model.Serves(m.Model):
+	case !w.opt.Model.Serves(state.Model):
 		return nil, reject(http.StatusUnprocessableEntity, "another model")
-	case m.Length != int64(kvTokenBytes*m.Computed):
-		return nil, reject(http.StatusUnprocessableEntity, "%d bytes for %d tokens", m.Length, m.Computed)
-	case !w.pool.fits(complete):
-		w.requestCounts(m.ID.Request).RejectedImports++
-		w.emit("bounced", m.ID, q.OrderHeader)
-		return nil, reject(http.StatusInsufficientStorage, "no room for %d blocks", complete)
+	case state.Length != int64(kvTokenBytes*state.Computed):
+		return nil, reject(http.StatusUnprocessableEntity, "%d bytes for %d tokens", state.Length, state.Computed)
+	case !w.pool.fits(totalBlocks):
+		w.requestCounts(state.ID.Request).RejectedImports++
+		w.emit("bounced", state.ID, q.OrderHeader)
+		return nil, reject(http.StatusInsufficientStorage, "no room for %d blocks", totalBlocks)
 	}
-	r := &run{state: m, blocks: w.pool.allocate(bill), reserved: complete - bill, lastActive: w.now(), changed: make(chan struct{})}
+	r := &run{state: state, blocks: w.pool.allocate(importBlocks), reserved: totalBlocks - importBlocks, lastActive: w.now(), changed: make(chan struct{})}
 	w.pool.reserved += r.reserved
-	w.live[m.ID] = r
+	w.live[state.ID] = r
 	go w.fetchKV(r, q.Source)
 	return &workerclient.OrderResponse{}, nil
 }
@@ -77,10 +77,10 @@
 // the identity.
 func (w *Worker) downloadKV(r *run, source string) error {
 	id := r.state.ID
-	cx, stop := context.WithTimeout(context.Background(), w.opt.StagingTTL)
-	defer stop()
-	q, err := http.NewRequestWithContext(
-		cx,
+	fetchCtx, cancel := context.WithTimeout(context.Background(), w.opt.StagingTTL)
+	defer cancel()
+	req, err := http.NewRequestWithContext(
+		fetchCtx,
 		http.MethodGet,
 		fmt.Sprintf("http://%s/kv?request=%s&attempt=%d", source, id.Request, id.Attempt),
 		nil,
@@ -88,38 +88,38 @@
 	if err != nil {
 		return err
 	}
-	a, err := w.web.Do(q)
+	resp, err := w.httpClient.Do(req)
 	if err != nil {
 		return err
 	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		return reject(a.StatusCode, "source gave %d", a.StatusCode)
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return reject(resp.StatusCode, "source gave %d", resp.StatusCode)
 	}
-	all, err := w.readKV(r, a.Body)
+	data, err := w.readKV(r, resp.Body)
 	if err != nil {
 		return err
 	}
-	if int64(len(all)) != r.state.Length || digest(all) != r.state.Digest {
+	if int64(len(data)) != r.state.Length || digest(data) != r.state.Digest {
 		return reject(0, "the digest does not fit")
 	}
 	return nil
 }
 
 // readKV puts the bytes into the blocks as they come in, and returns all of them.
-func (w *Worker) readKV(r *run, body io.Reader) (all []byte, err error) {
+func (w *Worker) readKV(r *run, body io.Reader) (data []byte, err error) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := body.Read(buf)
-		all = append(all, buf[:n]...)
-		if int64(len(all)) > r.state.Length {
+		data = append(data, buf[:n]...)
+		if int64(len(data)) > r.state.Length {
 			return nil, reject(0, "too many bytes")
 		}
-		if err := w.storeKV(r, all, len(all)-n); err != nil {
+		if err := w.storeKV(r, data, len(data)-n); err != nil {
 			return nil, err
 		}
 		if err == io.EOF {
-			return all, nil
+			return data, nil
 		}
 		if err != nil {
 			return nil, err
@@ -129,16 +129,16 @@
 
 // storeKV puts the tokens into the blocks that are whole by now and were not after the first
 // before bytes.
-func (w *Worker) storeKV(r *run, all []byte, before int) error {
+func (w *Worker) storeKV(r *run, data []byte, before int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r.blocks == nil {
 		return reject(0, "dropped meanwhile")
 	}
-	for i := before / kvTokenBytes; i < len(all)/kvTokenBytes; i++ {
-		w.pool.set(r.blocks, i, binary.LittleEndian.Uint64(all[kvTokenBytes*i:]))
+	for i := before / kvTokenBytes; i < len(data)/kvTokenBytes; i++ {
+		w.pool.set(r.blocks, i, binary.LittleEndian.Uint64(data[kvTokenBytes*i:]))
 	}
-	if w.faults.SkipArrivalCheck && len(all) > 0 {
+	if w.faults.SkipArrivalCheck && len(data) > 0 {
 		r.arrived = true
 		w.notify(r)
 	}
@@ -160,10 +160,10 @@
 		return nil, reject(http.StatusGone, "nothing to resume")
 	}
 	for !r.arrived && !r.stopped {
-		news := r.changed
+		changed := r.changed
 		w.mu.Unlock()
 		select {
-		case <-news:
+		case <-changed:
 			w.mu.Lock()
 		case <-ctx.Done():
 			w.mu.Lock()
@@ -213,9 +213,9 @@
 		}
 	}
 	if f := w.fates[q.ID.Request]; f != nil {
-		cop := *f
-		cop.Texts = nil
-		return &cop, nil
+		result := *f
+		result.Texts = nil
+		return &result, nil
 	}
 	return &workerclient.OrderResponse{Fate: workerclient.FateNotStarted}, nil
 }
@@ -224,7 +224,7 @@
 // half second, so a reader knows a silent worker from a slow one.
 func (w *Worker) serveStream(rw http.ResponseWriter, q *http.Request) {
 	n, _ := strconv.Atoi(q.FormValue("attempt"))
-	at, _ := strconv.Atoi(q.FormValue("from"))
+	index, _ := strconv.Atoi(q.FormValue("from"))
 	id := workerclient.ID{Request: q.FormValue("request"), Attempt: n}
 	w.mu.Lock()
 	r := w.live[id]
@@ -234,26 +234,26 @@
 		writeJSON(rw, http.StatusGone, workerclient.Rejection{Name: "no such run"})
 		return
 	}
-	rows := json.NewEncoder(rw)
-	put := func(out []int32, ended bool) {
-		for ; at < len(out); at++ {
-			rows.Encode(workerclient.TokenEvent{Index: at, Token: out[at], Text: tokenText(out[at])})
+	encoder := json.NewEncoder(rw)
+	send := func(out []int32, ended bool) {
+		for ; index < len(out); index++ {
+			encoder.Encode(workerclient.TokenEvent{Index: index, Token: out[index], Text: tokenText(out[index])})
 		}
 		if ended {
-			rows.Encode(workerclient.TokenEvent{Index: at, End: "stop", Count: len(out)})
+			encoder.Encode(workerclient.TokenEvent{Index: index, End: "stop", Count: len(out)})
 		}
 		rw.(http.Flusher).Flush()
 	}
 	if r == nil {
-		put(f.Output, true)
+		send(f.Output, true)
 		return
 	}
 	for {
 		w.mu.Lock()
-		out, ended, stopped, news, now := r.state.Output, r.ended, r.stopped, r.changed, w.now()
+		out, ended, stopped, changed, now := r.state.Output, r.ended, r.stopped, r.changed, w.now()
 		r.lastActive = now
 		w.mu.Unlock()
-		put(out, ended)
+		send(out, ended)
 		if ended || stopped {
 			if stopped {
 				panic(http.ErrAbortHandler)
@@ -261,7 +261,7 @@
 			return
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-q.Context().Done():
 			return
 		case <-host.NewTimer(400 * time.Millisecond).C:
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,8 +15,8 @@
 
 func (w *Worker) runEngine(ctx context.Context) {
 	for {
-		spent := w.stepDuration()
-		if spent == 0 {
+		duration := w.stepDuration()
+		if duration == 0 {
 			select {
 			case <-ctx.Done():
 				return
@@ -24,12 +24,12 @@
 			}
 			continue
 		}
-		t := host.NewTimer(spent)
+		timer := host.NewTimer(duration)
 		select {
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return
-		case <-t.C:
+		case <-timer.C:
 		}
 		w.finishStep()
 	}
@@ -43,16 +43,16 @@
 		r := w.queue[0]
 		return w.opt.StepTime + time.Duration(len(r.state.Prompt)-w.cachedTokens(r))*w.opt.PrefillPerToken
 	}
-	n := 0
+	running := 0
 	for _, r := range w.live {
 		if r.resumed && r.arrived && !r.ended {
-			n++
+			running++
 		}
 	}
-	if n == 0 {
+	if running == 0 {
 		return 0
 	}
-	return w.opt.StepTime + time.Duration(n)*w.opt.StepPerRun
+	return w.opt.StepTime + time.Duration(running)*w.opt.StepPerRun
 }
 
 func (w *Worker) finishStep() {
@@ -75,13 +75,13 @@
 
 // cachedTokens tells how many prompt tokens are warm from earlier prompts.
 func (w *Worker) cachedTokens(r *run) int {
-	base := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
+	hash := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
 	n := 0
 	for i := 0; i+prefixBlock <= len(r.state.Prompt); i += prefixBlock {
 		for _, t := range r.state.Prompt[i : i+prefixBlock] {
-			base = mix(base, uint64(uint32(t)))
+			hash = mix(hash, uint64(uint32(t)))
 		}
-		if _, ok := w.prefixCache[base]; !ok {
+		if _, ok := w.prefixCache[hash]; !ok {
 			break
 		}
 		n = i + prefixBlock
@@ -90,22 +90,22 @@
 }
 
 func (w *Worker) cachePrefix(r *run) {
-	base := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
+	hash := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
 	for i := 0; i+prefixBlock <= len(r.state.Prompt); i += prefixBlock {
 		for _, t := range r.state.Prompt[i : i+prefixBlock] {
-			base = mix(base, uint64(uint32(t)))
+			hash = mix(hash, uint64(uint32(t)))
 		}
-		w.prefixCache[base] = w.now()
+		w.prefixCache[hash] = w.now()
 	}
 	for len(w.prefixCache) > 512 {
-		var previous uint64
-		at := ids.Tick(1 << 62)
+		var oldest uint64
+		oldestUse := ids.Tick(1 << 62)
 		for k, t := range w.prefixCache {
-			if t < at {
-				previous, at = k, t
+			if t < oldestUse {
+				oldest, oldestUse = k, t
 			}
 		}
-		delete(w.prefixCache, previous)
+		delete(w.prefixCache, oldest)
 	}
 }
 
@@ -114,21 +114,21 @@
 	if r.stopped {
 		return
 	}
-	base := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
+	model := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
 	for i, t := range r.state.Prompt {
-		r.lastCell = kvCell(base, r.lastCell, i, t)
+		r.lastCell = kvCell(model, r.lastCell, i, t)
 		w.pool.set(r.blocks, i, r.lastCell)
 	}
 	r.state.Computed = len(r.state.Prompt)
 	if len(r.state.Output) > 0 {
 		// A recompute reads what was delivered before as if it were prompt.
 		for i, t := range r.state.Output[:len(r.state.Output)-1] {
-			r.lastCell = kvCell(base, r.lastCell, len(r.state.Prompt)+i, t)
+			r.lastCell = kvCell(model, r.lastCell, len(r.state.Prompt)+i, t)
 			w.pool.set(r.blocks, len(r.state.Prompt)+i, r.lastCell)
 			r.state.Computed++
 		}
 	} else if t := sampleToken(
-		w.pool.attention(r.blocks, r.state.Computed, base, r.state.Params.Seed, r.state.Params.Temperature), 0,
+		w.pool.attention(r.blocks, r.state.Computed, model, r.state.Params.Seed, r.state.Params.Temperature), 0,
 	); t != 0 {
 		r.state.Output = append(r.state.Output, t)
 	}
@@ -141,7 +141,7 @@
 
 // decodeStep computes the newest token's cell and makes the next token.
 func (w *Worker) decodeStep(r *run) {
-	base := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
+	model := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
 	out := r.state.Output
 	if len(out) >= r.state.Params.MaxTokens || len(out) == 0 {
 		w.finish(r)
@@ -165,10 +165,10 @@
 	if r.lastCell == 0 && n > 0 {
 		r.lastCell = w.pool.get(r.blocks, n-1)
 	}
-	r.lastCell = kvCell(base, r.lastCell, n, out[len(out)-1])
+	r.lastCell = kvCell(model, r.lastCell, n, out[len(out)-1])
 	w.pool.set(r.blocks, n, r.lastCell)
 	r.state.Computed++
-	t := sampleToken(w.pool.attention(r.blocks, r.state.Computed, base, r.state.Params.Seed, r.state.Params.Temperature), len(out))
+	t := sampleToken(w.pool.attention(r.blocks, r.state.Computed, model, r.state.Params.Seed, r.state.Params.Temperature), len(out))
 	if t == 0 {
 		w.finish(r)
 		return
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -98,87 +98,87 @@
 		if at >= o.Duration {
 			return out
 		}
-		n, sh := rng.IntN(100), o.Classes[len(o.Classes)-1]
-		for _, s := range o.Classes {
-			if n -= s.Percent; n < 0 {
-				sh = s
+		draw, class := rng.IntN(100), o.Classes[len(o.Classes)-1]
+		for _, candidate := range o.Classes {
+			if draw -= candidate.Percent; draw < 0 {
+				class = candidate
 				break
 			}
 		}
-		a := api.StreamRequest{Kind: sh.Kind, MaxTokens: sh.MaxTokens, Seed: rng.Uint64() >> 12}
-		base := int32(len(sh.Kind) * 1000)
-		if sh.Prefixes > 1 {
-			base += int32(rng.IntN(sh.Prefixes) * 7919)
+		request := api.StreamRequest{Kind: class.Kind, MaxTokens: class.MaxTokens, Seed: rng.Uint64() >> 12}
+		base := int32(len(class.Kind) * 1000)
+		if class.Prefixes > 1 {
+			base += int32(rng.IntN(class.Prefixes) * 7919)
 		}
-		for j := range sh.SharedPrefix {
-			a.PromptIds = append(a.PromptIds, base+int32(j)+1)
+		for j := range class.SharedPrefix {
+			request.PromptIds = append(request.PromptIds, base+int32(j)+1)
 		}
-		for range max(1, sh.MinSuffix) + rng.IntN(sh.MaxSuffix) {
-			a.PromptIds = append(a.PromptIds, 1+rng.Int32N(50000))
+		for range max(1, class.MinSuffix) + rng.IntN(class.MaxSuffix) {
+			request.PromptIds = append(request.PromptIds, 1+rng.Int32N(50000))
 		}
-		if sh.KeyRequired {
-			a.Key = fmt.Sprintf("c%d-%d", o.Seed, i)
+		if class.KeyRequired {
+			request.Key = fmt.Sprintf("c%d-%d", o.Seed, i)
 		}
-		out = append(out, plannedRequest{at, sh, a})
+		out = append(out, plannedRequest{at, class, request})
 	}
 }
 
 // Load sends it all and waits for every answer.
 func Load(ctx context.Context, o LoadOptions) []Outcome {
-	web := rpc.NewHTTPClient(o.Host.Net)
-	defer web.CloseIdleConnections()
+	client := rpc.NewHTTPClient(o.Host.Net)
+	defer client.CloseIdleConnections()
 	if o.Timeout == 0 {
 		o.Timeout = 20 * time.Second
 	}
-	calls := planRequests(&o)
-	out := make([]Outcome, len(calls))
+	planned := planRequests(&o)
+	out := make([]Outcome, len(planned))
 	start := time.Now()
 	var wg sync.WaitGroup
-	for i, c := range calls {
+	for i, c := range planned {
 		if !host.Sleep(ctx, time.Until(start.Add(c.at))) {
 			out = out[:i]
 			break
 		}
-		wg.Go(func() { out[i] = sendWithRetries(ctx, &o, web, &c, start, uint64(i)) })
+		wg.Go(func() { out[i] = sendWithRetries(ctx, &o, client, &c, start, uint64(i)) })
 	}
 	wg.Wait()
 	return out
 }
 
-func sendWithRetries(ctx context.Context, o *LoadOptions, web *http.Client, c *plannedRequest, start time.Time, n uint64) Outcome {
-	rng := rand.New(rand.NewPCG(o.Seed, n+100))
-	r := Outcome{Kind: c.request.Kind, Key: c.request.Key, At: c.at}
+func sendWithRetries(ctx context.Context, o *LoadOptions, client *http.Client, planned *plannedRequest, start time.Time, index uint64) Outcome {
+	rng := rand.New(rand.NewPCG(o.Seed, index+100))
+	outcome := Outcome{Kind: planned.request.Kind, Key: planned.request.Key, At: planned.at}
 	zone := ids.Zone("")
 	if len(o.Zones) > 0 {
 		zone = o.Zones[rng.IntN(len(o.Zones))]
 	}
-	cx, stop := context.WithTimeout(ctx, o.Timeout)
-	defer stop()
-	due := start.Add(c.at)
+	callCtx, cancel := context.WithTimeout(ctx, o.Timeout)
+	defer cancel()
+	due := start.Add(planned.at)
 	for {
-		r.Attempts++
-		again := sendOnce(cx, o, web, c, &r, due, rng, zone)
-		if again <= 0 || r.Attempts > o.Retries || !host.Sleep(cx, again) {
+		outcome.Attempts++
+		delay := sendOnce(callCtx, o, client, planned, &outcome, due, rng, zone)
+		if delay <= 0 || outcome.Attempts > o.Retries || !host.Sleep(callCtx, delay) {
 			break
 		}
 	}
-	if r.End == "cut" && cx.Err() != nil && ctx.Err() == nil {
-		r.End = TimedOut
+	if outcome.End == "cut" && callCtx.Err() != nil && ctx.Err() == nil {
+		outcome.End = TimedOut
 	}
-	if r.End == api.Complete && !o.matchesReference(c, r.Tokens) {
-		r.End, r.Detail = "wrong", fmt.Sprintf("tokens %v", r.Tokens)
+	if outcome.End == api.Complete && !o.matchesReference(planned, outcome.Tokens) {
+		outcome.End, outcome.Detail = "wrong", fmt.Sprintf("tokens %v", outcome.Tokens)
 	}
-	return r
+	return outcome
 }
 
 // matchesReference holds an answer against the run that never moved.
-func (o *LoadOptions) matchesReference(c *plannedRequest, toks []int32) bool {
+func (o *LoadOptions) matchesReference(planned *plannedRequest, tokens []int32) bool {
 	for _, w := range o.Weights {
-		solo := ReferenceOutput(c.request.PromptIds, c.request.MaxTokens, c.request.Seed, c.request.Temperature, o.Model, w, c.request.Adapters)
-		if len(solo) == len(toks) {
+		reference := ReferenceOutput(planned.request.PromptIds, planned.request.MaxTokens, planned.request.Seed, planned.request.Temperature, o.Model, w, planned.request.Adapters)
+		if len(reference) == len(tokens) {
 			same := true
-			for i := range solo {
-				same = same && solo[i] == toks[i]
+			for i := range reference {
+				same = same && reference[i] == tokens[i]
 			}
 			if same {
 				return true
@@ -199,40 +199,40 @@
 func sendOnce(
 	ctx context.Context,
 	o *LoadOptions,
-	web *http.Client,
-	c *plannedRequest,
-	r *Outcome,
+	client *http.Client,
+	planned *plannedRequest,
+	outcome *Outcome,
 	due time.Time,
 	rng *rand.Rand,
 	zone ids.Zone,
 ) time.Duration {
-	doors := o.Nodes(zone)
-	if len(doors) == 0 {
-		r.End, r.Detail = "bounced", "no door"
+	addrs := o.Nodes(zone)
+	if len(addrs) == 0 {
+		outcome.End, outcome.Detail = "bounced", "no door"
 		return delayNoNode
 	}
-	body, _ := json.Marshal(c.request)
-	r.Node = doors[rng.IntN(len(doors))]
-	q, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Node+"/v1/streams", bytes.NewReader(body))
-	a, err := web.Do(q)
+	body, _ := json.Marshal(planned.request)
+	outcome.Node = addrs[rng.IntN(len(addrs))]
+	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+outcome.Node+"/v1/streams", bytes.NewReader(body))
+	resp, err := client.Do(req)
 	if err != nil {
-		return r.recordNoResponse(err, c)
+		return outcome.recordNoResponse(err, planned)
 	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		return r.recordRejection(a.Body, c)
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return outcome.recordRejection(resp.Body, planned)
 	}
-	return r.readStream(a.Body, c, due)
+	return outcome.readStream(resp.Body, planned, due)
 }
 
 // recordNoResponse notes that a call had no answer at all.
-func (r *Outcome) recordNoResponse(err error, c *plannedRequest) time.Duration {
+func (r *Outcome) recordNoResponse(err error, planned *plannedRequest) time.Duration {
 	if rpc.IsDialError(err) {
 		r.End, r.Detail = "bounced", "door is shut"
 		return delayNotDialled
 	}
 	r.End, r.Detail = "cut", "no answer"
-	return c.delayAfterCut()
+	return planned.delayAfterCut()
 }
 
 // delayAfterCut is when a caller comes back after an answer that was cut: only a request with a
@@ -245,7 +245,7 @@
 }
 
 // recordRejection notes a refusal. A caller whose claimed request was surely not run takes a new key.
-func (r *Outcome) recordRejection(body io.Reader, c *plannedRequest) time.Duration {
+func (r *Outcome) recordRejection(body io.Reader, planned *plannedRequest) time.Duration {
 	var f struct {
 		Error struct {
 			Name  string
@@ -256,40 +256,40 @@
 	json.Unmarshal(b, &f)
 	r.End, r.Detail = "bounced", f.Error.Name
 	if f.Error.Name == "not-run" {
-		c.request.Key += "+"
-		r.Key = c.request.Key
+		planned.request.Key += "+"
+		r.Key = planned.request.Key
 	}
 	return time.Duration(f.Error.After) * time.Millisecond
 }
 
 // readStream takes the lines of a stream up to its end.
-func (r *Outcome) readStream(body io.Reader, c *plannedRequest, due time.Time) time.Duration {
+func (r *Outcome) readStream(body io.Reader, planned *plannedRequest, due time.Time) time.Duration {
 	r.Tokens, r.End, r.Detail = nil, "cut", "the stream stopped"
-	rows := bufio.NewScanner(body)
-	for rows.Scan() {
-		var l api.StreamEvent
-		if err := json.Unmarshal(rows.Bytes(), &l); err != nil {
+	lines := bufio.NewScanner(body)
+	for lines.Scan() {
+		var event api.StreamEvent
+		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
 			r.End, r.Detail = "wrong", "garbage"
 			return 0
 		}
-		if l.Index != len(r.Tokens) {
-			r.End, r.Detail = "wrong", fmt.Sprintf("piece %d where %d was due", l.Index, len(r.Tokens))
+		if event.Index != len(r.Tokens) {
+			r.End, r.Detail = "wrong", fmt.Sprintf("piece %d where %d was due", event.Index, len(r.Tokens))
 			return 0
 		}
-		if l.End != "" {
+		if event.End != "" {
 			r.Duration = time.Since(due)
-			return r.recordEnd(&l, c)
+			return r.recordEnd(&event, planned)
 		}
 		if len(r.Tokens) == 0 && r.FirstToken == 0 {
 			r.FirstToken = time.Since(due)
 		}
-		r.Tokens = append(r.Tokens, l.Token)
+		r.Tokens = append(r.Tokens, event.Token)
 	}
-	return c.delayAfterCut()
+	return planned.delayAfterCut()
 }
 
 // recordEnd takes the last line of a stream.
-func (r *Outcome) recordEnd(last *api.StreamEvent, c *plannedRequest) time.Duration {
+func (r *Outcome) recordEnd(last *api.StreamEvent, planned *plannedRequest) time.Duration {
 	r.End, r.Detail = last.End, ""
 	if last.Error != nil {
 		r.Detail = last.Error.Name
@@ -297,7 +297,7 @@
 	if last.End == api.Complete && last.Count != len(r.Tokens) {
 		r.End = "wrong"
 	}
-	if last.End == api.Unknown && c.class.KeyRequired && last.Error != nil && last.Error.After > 0 {
+	if last.End == api.Unknown && planned.class.KeyRequired && last.Error != nil && last.Error.After > 0 {
 		return time.Duration(last.Error.After) * time.Millisecond
 	}
 	return 0
@@ -305,37 +305,37 @@
 
 // Summarize counts outcomes and gives percentiles by kind.
 func Summarize(all []Outcome) Summary {
-	s := Summary{Sent: len(all), Ends: map[string]int{}, Kinds: map[string]KindSummary{}, Details: map[string]int{}}
+	summary := Summary{Sent: len(all), Ends: map[string]int{}, Kinds: map[string]KindSummary{}, Details: map[string]int{}}
 	first, complete := map[string][]time.Duration{}, map[string][]time.Duration{}
 	for _, o := range all {
-		s.Ends[o.End]++
+		summary.Ends[o.End]++
 		if o.End != api.Complete {
-			s.Details[o.End+": "+o.Detail]++
+			summary.Details[o.End+": "+o.Detail]++
 		}
-		k := s.Kinds[o.Kind]
+		k := summary.Kinds[o.Kind]
 		k.Sent++
 		if o.End == api.Complete {
 			k.Complete++
 			first[o.Kind] = append(first[o.Kind], o.FirstToken)
 			complete[o.Kind] = append(complete[o.Kind], o.Duration)
 		}
-		s.Kinds[o.Kind] = k
+		summary.Kinds[o.Kind] = k
 	}
-	for n, k := range s.Kinds {
+	for n, k := range summary.Kinds {
 		k.FirstP50, k.FirstP99, k.DurationP99 = Quantile(first[n], 0.5), Quantile(first[n], 0.99), Quantile(complete[n], 0.99)
-		s.Kinds[n] = k
+		summary.Kinds[n] = k
 	}
-	return s
+	return summary
 }
 
 // Quantile in milliseconds.
-func Quantile(row []time.Duration, q float64) float64 {
-	if len(row) == 0 {
+func Quantile(samples []time.Duration, q float64) float64 {
+	if len(samples) == 0 {
 		return 0
 	}
-	row = append([]time.Duration(nil), row...)
-	sort.Slice(row, func(i, j int) bool { return row[i] < row[j] })
-	return float64(row[int(q*float64(len(row)-1))].Microseconds()) / 1000
+	samples = append([]time.Duration(nil), samples...)
+	sort.Slice(samples, func(i, j int) bool { return samples[i] < samples[j] })
+	return float64(samples[int(q*float64(len(samples)-1))].Microseconds()) / 1000
 }
 
 // Site is one of the two deployments, in the sizes of today.
--- a/internal/standin/outage.go
+++ b/internal/standin/outage.go
@@ -11,16 +11,16 @@
 
 // LongestOutage tells the longest span after a moment without a completed call among those
 // that count.
-func LongestOutage(all []Outcome, from, to time.Duration, counts func(Outcome) bool) time.Duration {
-	var ends []time.Duration
-	for _, o := range all {
-		if at := o.At + o.Duration; o.End == api.Complete && at > from && at < to && (counts == nil || counts(o)) {
-			ends = append(ends, at)
+func LongestOutage(outcomes []Outcome, from, to time.Duration, include func(Outcome) bool) time.Duration {
+	var completions []time.Duration
+	for _, o := range outcomes {
+		if at := o.At + o.Duration; o.End == api.Complete && at > from && at < to && (include == nil || include(o)) {
+			completions = append(completions, at)
 		}
 	}
-	slices.Sort(ends)
+	slices.Sort(completions)
 	longest := time.Duration(0)
-	for _, at := range append(ends, to) {
+	for _, at := range append(completions, to) {
 		longest, from = max(longest, at-from), at
 	}
 	return longest
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -26,18 +26,18 @@
 
 // Platform lists workers and doors.
 type Platform struct {
-	mu      sync.Mutex
-	web     *http.Client
-	workers map[ids.WorkerID]workerclient.ListedWorker
-	nodes   map[string]*Node
+	mu         sync.Mutex
+	httpClient *http.Client
+	workers    map[ids.WorkerID]workerclient.ListedWorker
+	nodes      map[string]*Node
 }
 
 // NewPlatform returns a platform without workers or nodes. It asks nodes over the host's network.
 func NewPlatform(host host.Host) *Platform {
 	return &Platform{
-		web:     rpc.NewHTTPClient(host.Net),
-		workers: map[ids.WorkerID]workerclient.ListedWorker{},
-		nodes:   map[string]*Node{},
+		httpClient: rpc.NewHTTPClient(host.Net),
+		workers:    map[ids.WorkerID]workerclient.ListedWorker{},
+		nodes:      map[string]*Node{},
 	}
 }
 
@@ -76,20 +76,20 @@
 func (p *Platform) ReadyNodes(zone ids.Zone) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var near, far []string
-	for _, d := range p.nodes {
+	var sameZone, otherZones []string
+	for _, node := range p.nodes {
 		switch {
-		case !d.Ready:
-		case d.Zone == zone || zone == "":
-			near = append(near, d.Addr)
+		case !node.Ready:
+		case node.Zone == zone || zone == "":
+			sameZone = append(sameZone, node.Addr)
 		default:
-			far = append(far, d.Addr)
+			otherZones = append(otherZones, node.Addr)
 		}
 	}
-	if len(near) > 0 {
-		return near
+	if len(sameZone) > 0 {
+		return sameZone
 	}
-	return far
+	return otherZones
 }
 
 // Run checks readiness every second until the context ends.
@@ -104,13 +104,13 @@
 		var wg sync.WaitGroup
 		for _, a := range all {
 			wg.Go(func() {
-				cx, stop := context.WithTimeout(ctx, 700*time.Millisecond)
-				defer stop()
-				q, _ := http.NewRequestWithContext(cx, http.MethodGet, "http://"+a+"/ready", nil)
-				r, err := p.web.Do(q)
-				ok := err == nil && r.StatusCode == http.StatusOK
+				pollCtx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
+				defer cancel()
+				req, _ := http.NewRequestWithContext(pollCtx, http.MethodGet, "http://"+a+"/ready", nil)
+				resp, err := p.httpClient.Do(req)
+				ok := err == nil && resp.StatusCode == http.StatusOK
 				if err == nil {
-					r.Body.Close()
+					resp.Body.Close()
 				}
 				p.mu.Lock()
 				p.nodes[a].Ready = ok
@@ -119,7 +119,7 @@
 		}
 		wg.Wait()
 	}
-	p.web.CloseIdleConnections()
+	p.httpClient.CloseIdleConnections()
 }
 
 // Handler serves the platform's interface over HTTP.
@@ -173,45 +173,45 @@
 // PollNodes gives the doors that a platform names ready for a zone, asked anew twice a
 // second.
 func PollNodes(ctx context.Context, machine host.Host, addr string, zones []ids.Zone) func(ids.Zone) []string {
-	web := rpc.NewHTTPClient(machine.Net)
+	client := rpc.NewHTTPClient(machine.Net)
 	var mu sync.Mutex
-	kept := map[ids.Zone][]string{}
-	ask := func(zone ids.Zone) {
-		cx, stop := context.WithTimeout(ctx, 700*time.Millisecond)
-		defer stop()
-		q, err := http.NewRequestWithContext(
-			cx, http.MethodGet, "http://"+addr+"/doors?zone="+url.QueryEscape(string(zone)), nil,
+	latest := map[ids.Zone][]string{}
+	poll := func(zone ids.Zone) {
+		pollCtx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
+		defer cancel()
+		req, err := http.NewRequestWithContext(
+			pollCtx, http.MethodGet, "http://"+addr+"/doors?zone="+url.QueryEscape(string(zone)), nil,
 		)
 		if err != nil {
 			return
 		}
-		r, err := web.Do(q)
+		resp, err := client.Do(req)
 		if err != nil {
 			return
 		}
-		defer r.Body.Close()
+		defer resp.Body.Close()
 		var out []string
-		if json.NewDecoder(r.Body).Decode(&out) == nil {
+		if json.NewDecoder(resp.Body).Decode(&out) == nil {
 			mu.Lock()
-			kept[zone] = out
+			latest[zone] = out
 			mu.Unlock()
 		}
 	}
-	every := func() {
+	pollAll := func() {
 		for _, z := range zones {
-			ask(z)
+			poll(z)
 		}
 	}
-	every()
+	pollAll()
 	go func() {
 		for host.Sleep(ctx, 500*time.Millisecond) {
-			every()
+			pollAll()
 		}
-		web.CloseIdleConnections()
+		client.CloseIdleConnections()
 	}()
 	return func(zone ids.Zone) []string {
 		mu.Lock()
 		defer mu.Unlock()
-		return kept[zone]
+		return latest[zone]
 	}
 }
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -19,11 +19,11 @@
 	reserved int
 }
 
-func newPool(room, size int) *pool {
+func newPool(capacity, size int) *pool {
 	p := &pool{size: size}
-	for i := range room {
+	for i := range capacity {
 		p.cells = append(p.cells, make([]uint64, size))
-		p.free = append(p.free, room-1-i)
+		p.free = append(p.free, capacity-1-i)
 	}
 	return p
 }
@@ -43,10 +43,10 @@
 	return out
 }
 
-func (p *pool) release(tab []int) { p.free = append(p.free, tab...) }
+func (p *pool) release(blocks []int) { p.free = append(p.free, blocks...) }
 
-func (p *pool) set(tab []int, pos int, v uint64) { p.cells[tab[pos/p.size]][pos%p.size] = v }
-func (p *pool) get(tab []int, pos int) uint64    { return p.cells[tab[pos/p.size]][pos%p.size] }
+func (p *pool) set(blocks []int, pos int, v uint64) { p.cells[blocks[pos/p.size]][pos%p.size] = v }
+func (p *pool) get(blocks []int, pos int) uint64    { return p.cells[blocks[pos/p.size]][pos%p.size] }
 
 func mix(a, b uint64) uint64 {
 	v := a*0x9e3779b97f4a7c15 ^ (b + 0x7f4a7c15f39cc060)
@@ -64,19 +64,19 @@
 }
 
 // kvCell is what a token's KV is on given weights and adapters.
-func kvCell(base, last uint64, pos int, tok int32) uint64 {
-	return mix(mix(base, last), uint64(pos)<<32|uint64(uint32(tok)))
+func kvCell(model, previous uint64, pos int, token int32) uint64 {
+	return mix(mix(model, previous), uint64(pos)<<32|uint64(uint32(token)))
 }
 
 // attention reads every cell below n through the table; the next token hangs on
 // all of it, on the seed and on the temperature.
-func (p *pool) attention(tab []int, n int, base, seed uint64, temperature float64) uint64 {
-	v := mix(base, seed)
+func (p *pool) attention(blocks []int, n int, model, seed uint64, temperature float64) uint64 {
+	v := mix(model, seed)
 	if temperature > 0 {
 		v = mix(v, uint64(temperature*1000))
 	}
 	for i := range n {
-		v = mix(v, p.get(tab, i))
+		v = mix(v, p.get(blocks, i))
 	}
 	return v
 }
@@ -90,10 +90,10 @@
 }
 
 // kvBytes is the KV as it crosses the wire.
-func (p *pool) kvBytes(tab []int, n int) ([]byte, string) {
+func (p *pool) kvBytes(blocks []int, n int) ([]byte, string) {
 	out := make([]byte, 0, 8*n)
 	for i := range n {
-		out = binary.LittleEndian.AppendUint64(out, p.get(tab, i))
+		out = binary.LittleEndian.AppendUint64(out, p.get(blocks, i))
 	}
 	return out, digest(out)
 }
@@ -104,24 +104,24 @@
 }
 
 // ReferenceOutput is the answer of a run that never moves: the measure for all others.
-func ReferenceOutput(prompt []int32, max int, seed uint64, temperature float64, model, weights string, adapters []string) []int32 {
-	p := newPool(ids.Blocks(len(prompt)+max+1, 16), 16)
-	tab := p.allocate(len(p.cells))
-	base := modelHash(model, weights, adapters)
+func ReferenceOutput(prompt []int32, maxTokens int, seed uint64, temperature float64, name, weights string, adapters []string) []int32 {
+	p := newPool(ids.Blocks(len(prompt)+maxTokens+1, 16), 16)
+	blocks := p.allocate(len(p.cells))
+	model := modelHash(name, weights, adapters)
 	var last uint64
 	for i, t := range prompt {
-		last = kvCell(base, last, i, t)
-		p.set(tab, i, last)
+		last = kvCell(model, last, i, t)
+		p.set(blocks, i, last)
 	}
 	var out []int32
-	for n := len(prompt); len(out) < max; n++ {
-		t := sampleToken(p.attention(tab, n, base, seed, temperature), len(out))
+	for n := len(prompt); len(out) < maxTokens; n++ {
+		t := sampleToken(p.attention(blocks, n, model, seed, temperature), len(out))
 		if t == 0 {
 			break
 		}
 		out = append(out, t)
-		last = kvCell(base, last, n, t)
-		p.set(tab, n, last)
+		last = kvCell(model, last, n, t)
+		p.set(blocks, n, last)
 	}
 	return out
 }
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -81,30 +81,30 @@
 
 func (r *rejection) Error() string { return r.name }
 
-func reject(code int, form string, args ...any) error {
-	return &rejection{code, fmt.Sprintf(form, args...)}
+func reject(code int, format string, args ...any) error {
+	return &rejection{code, fmt.Sprintf(format, args...)}
 }
 
 // orderHandler reads an order and turns a refusal into its code.
-func orderHandler[Q any](w *Worker, f func(context.Context, *Q) (*workerclient.OrderResponse, error)) http.HandlerFunc {
+func orderHandler[Q any](w *Worker, handle func(context.Context, *Q) (*workerclient.OrderResponse, error)) http.HandlerFunc {
 	return func(rw http.ResponseWriter, q *http.Request) {
 		var in Q
 		if err := json.NewDecoder(io.LimitReader(q.Body, 16<<20)).Decode(&in); err != nil {
 			writeJSON(rw, http.StatusBadRequest, workerclient.Rejection{Name: "malformed", Detail: err.Error()})
 			return
 		}
-		a, err := f(q.Context(), &in)
+		a, err := handle(q.Context(), &in)
 		if r, ok := err.(*rejection); ok {
 			writeJSON(rw, r.code, workerclient.Rejection{Name: r.name})
 			return
 		}
 		w.mu.Lock()
 		a.Version, a.Incarnation = w.version, w.incarnation
-		toks := a.Output
+		tokens := a.Output
 		if a.Identity != nil {
-			toks = a.Identity.Output
+			tokens = a.Identity.Output
 		}
-		for _, t := range toks {
+		for _, t := range tokens {
 			a.Texts = append(a.Texts, tokenText(t))
 		}
 		w.mu.Unlock()
@@ -116,15 +116,15 @@
 func tokenText(t int32) string { return fmt.Sprintf("t%d ", t) }
 
 // checkOrder checks the fence and notes the version. The caller holds mu.
-func (w *Worker) checkOrder(what string, l workerclient.OrderHeader, id workerclient.ID) error {
-	if l.Fence < w.fence && !w.faults.IgnoreFencing {
-		return reject(http.StatusPreconditionFailed, "fence %d is older than %d", l.Fence, w.fence)
+func (w *Worker) checkOrder(event string, header workerclient.OrderHeader, id workerclient.ID) error {
+	if header.Fence < w.fence && !w.faults.IgnoreFencing {
+		return reject(http.StatusPreconditionFailed, "fence %d is older than %d", header.Fence, w.fence)
 	}
-	if n, ok := w.tombstones[id.Request]; ok && what != "cancel" && id.Attempt <= n && !w.faults.IgnoreFencing {
+	if n, ok := w.tombstones[id.Request]; ok && event != "cancel" && id.Attempt <= n && !w.faults.IgnoreFencing {
 		return reject(http.StatusGone, "attempt %d was cancelled", id.Attempt)
 	}
-	w.fence, w.version = max(w.fence, l.Fence), max(w.version, l.Version)
-	w.emit(what, id, l)
+	w.fence, w.version = max(w.fence, header.Fence), max(w.version, header.Version)
+	w.emit(event, id, header)
 	return nil
 }
 
@@ -156,10 +156,10 @@
 		w.wakeEngine()
 	}
 	for !r.prefilled && !r.stopped {
-		news := r.changed
+		changed := r.changed
 		w.mu.Unlock()
 		select {
-		case <-news:
+		case <-changed:
 		case <-ctx.Done():
 			w.mu.Lock()
 			w.drop(r, workerclient.FateNotStarted)
@@ -205,21 +205,21 @@
 	id := workerclient.ID{Request: q.FormValue("request"), Attempt: n}
 	w.mu.Lock()
 	p, ok := w.staged[id]
-	f, speed := w.faults, w.opt.TransferRate
+	f, rate := w.faults, w.opt.TransferRate
 	w.mu.Unlock()
 	if !ok {
 		writeJSON(rw, http.StatusGone, workerclient.Rejection{Name: "not staged"})
 		return
 	}
 	if f.TransferRate > 0 {
-		speed = f.TransferRate
+		rate = f.TransferRate
 	}
 	body := append([]byte(nil), p.body...)
 	if f.Corrupt && len(body) > 0 {
 		body[len(body)/2] ^= 1
 	}
 	rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	duration := time.Duration(len(body)/8*w.opt.WireBytesPerToken) * time.Second / time.Duration(speed)
+	duration := time.Duration(len(body)/8*w.opt.WireBytesPerToken) * time.Second / time.Duration(rate)
 	const parts = 4
 	for i := range parts {
 		if f.Drop && i == parts/2 {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -82,7 +82,7 @@
 // Worker is one stand-in.
 type Worker struct {
 	opt         WorkerOptions
-	web         *http.Client
+	httpClient  *http.Client
 	incarnation ids.Incarnation
 	OnEvent     func(Event)
 
@@ -138,7 +138,7 @@
 	return &Worker{
 		opt:         opt,
 		incarnation: ids.Incarnation(rand.Text()),
-		web:         rpc.NewHTTPClient(opt.Host.Net),
+		httpClient:  rpc.NewHTTPClient(opt.Host.Net),
 		role:        opt.Role,
 		pool:        newPool(opt.Capacity, opt.BlockSize),
 		live:        map[workerclient.ID]*run{},
@@ -163,12 +163,12 @@
 		}
 	})
 	wg.Wait()
-	w.web.CloseIdleConnections()
+	w.httpClient.CloseIdleConnections()
 }
 
-func (w *Worker) emit(what string, id workerclient.ID, l workerclient.OrderHeader) {
+func (w *Worker) emit(event string, id workerclient.ID, header workerclient.OrderHeader) {
 	if w.OnEvent != nil {
-		w.OnEvent(Event{what, w.opt.ID, id, l.Fence, l.Version, w.now()})
+		w.OnEvent(Event{event, w.opt.ID, id, header.Fence, header.Version, w.now()})
 	}
 }
 
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -27,44 +27,44 @@
 	ctx                     context.Context
 }
 
-func withWorkers(t *testing.T, room int, f func(*fixture)) {
+func withWorkers(t *testing.T, capacity int, test func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := simulated.NewWorld(1)
+		world := simulated.NewWorld(1)
 		ctx, stop := context.WithCancel(context.Background())
 		x := &fixture{prefillAddr: "10.0.0.1:90", decodeAddr: "10.0.0.2:90", ctx: ctx}
-		for i, part := range []ids.Role{ids.Prefill, ids.Decode} {
-			host := w.Machine(fmt.Sprintf("10.0.0.%d", i+1)).Start().Host()
+		for i, role := range []ids.Role{ids.Prefill, ids.Decode} {
+			host := world.Machine(fmt.Sprintf("10.0.0.%d", i+1)).Start().Host()
 			addr := fmt.Sprintf("10.0.0.%d:90", i+1)
-			k := NewWorker(WorkerOptions{
-				ID:       ids.WorkerID(part),
+			worker := NewWorker(WorkerOptions{
+				ID:       ids.WorkerID(role),
 				Addr:     addr,
-				Role:     part,
-				Capacity: room,
+				Role:     role,
+				Capacity: capacity,
 				Host:     host,
 				Model:    workerclient.Model{Name: "m", Weights: "w1"},
 			})
 			l, err := host.Net.Listen(addr)
 			require.NoError(t, err)
-			go rpc.Serve(ctx, l, k.Handler())
-			go k.Run(ctx)
-			if part == ids.Prefill {
-				x.prefill = k
+			go rpc.Serve(ctx, l, worker.Handler())
+			go worker.Run(ctx)
+			if role == ids.Prefill {
+				x.prefill = worker
 			} else {
-				x.decode = k
+				x.decode = worker
 			}
 		}
-		me := w.Machine("10.0.0.9").Start()
-		x.client = workerclient.New(me.Host().Net)
+		clientMachine := world.Machine("10.0.0.9").Start()
+		x.client = workerclient.New(clientMachine.Host().Net)
 		defer func() {
 			stop()
 			x.client.Close()
-			me.Kill()
+			clientMachine.Kill()
 			for i := range 2 {
-				w.Machine(fmt.Sprintf("10.0.0.%d", i+1)).PowerOff()
+				world.Machine(fmt.Sprintf("10.0.0.%d", i+1)).PowerOff()
 			}
 			time.Sleep(10 * time.Second) // simulated: what is under way runs out
 		}()
-		f(x)
+		test(x)
 	})
 }
 
@@ -141,15 +141,15 @@
 	withWorkers(t, 64, func(x *fixture) {
 		for _, sent := range []int{0, 1, 3, 5} {
 			m := x.identity(fmt.Sprintf("r%d", sent), 100, 8)
-			complete := referenceOutput(m)
-			require.Greater(t, len(complete), sent)
-			m.Output = complete[:sent:sent]
+			reference := referenceOutput(m)
+			require.Greater(t, len(reference), sent)
+			m.Output = reference[:sent:sent]
 			got := x.prefillAndExport(t, m)
 			require.Zero(t, x.prefill.UsedBlocks(), "the source must come back clean")
 			require.NoError(t, x.importKV(got))
 			require.Equal(t, ids.Blocks(got.Computed, 16), x.decode.UsedBlocks(), "the bill is ceil(computed / block size)")
 			require.NoError(t, x.resume(got))
-			require.Equal(t, complete, x.streamRest(t, got))
+			require.Equal(t, reference, x.streamRest(t, got))
 			require.Zero(t, x.decode.UsedBlocks())
 		}
 	})
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -153,11 +153,11 @@
 // Where the connection is refused no process is left that could go on with it, so the kind is
 // Lost, which says more than Bounced.
 func (c *Client) Cancel(ctx context.Context, addr string, q *IDRequest) (*OrderResponse, error) {
-	a, err := c.postOrder(ctx, addr, "/cancel", q, orderTimeout)
+	resp, err := c.postOrder(ctx, addr, "/cancel", q, orderTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		err = failure.As(err, failure.DataLost, "cancel", addr)
 	}
-	return a, err
+	return resp, err
 }
 
 // SetRole has a worker change its part.
