--- a/internal/api/client.go
+++ b/internal/api/client.go
@@ -13,17 +13,18 @@
 	"keelstair.example/host"
 )
 
-// HedgeDelay is how long a silent node is waited for before the next is asked too.
+// HedgeDelay is how long Send waits for a node's response before it also sends the request to the next node.
 const HedgeDelay = 700 * time.Millisecond
 
-// isFinal reports whether an outcome is certain, so that no other node has to be asked.
+// isFinal reports whether err states the outcome of the operation, so that no other node has to be tried: the
+// operation succeeded, or a node rejected it with a status below 500.
 func isFinal(err error) bool {
 	f, ok := err.(*Fault)
 	return err == nil || ok && f.Code < http.StatusInternalServerError
 }
 
-// errorPrecedence ranks the errors of several nodes by what the caller has to know: first that the
-// operation may have been carried out, then what a node answered, then that none answered.
+// errorPrecedence ranks the errors of several nodes by their importance to the caller: highest is a response
+// that the operation may have been executed, then any other response of a node, then the lack of a response.
 func errorPrecedence(err error) int {
 	f, ok := err.(*Fault)
 	switch {
@@ -35,11 +36,10 @@
 	return 1
 }
 
-// Send sends a request to the nodes at the addresses doors until one gives a final answer, and
-// decodes that into out unless it is nil. The next node is asked as soon as one answers that
-// it can't tell, or is silent for Stagger. So several nodes may get the request: an operation
-// must carry its own id, by which it has one outcome however often it is sent. Without a final
-// answer the error that tells most is returned.
+// Send sends a request to the nodes at addrs until one returns a final result, and decodes that result into
+// out unless out is nil. It tries the next node when a node returns an error that is not final or has not
+// responded within HedgeDelay. Since several nodes may receive the request, an operation must carry an ID that
+// makes it idempotent. Without a final result, Send returns the error of the highest precedence.
 func Send(ctx context.Context, client *http.Client, addrs []string, method, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -52,7 +52,7 @@
 		err  error
 	}
 	responses := make(chan response, len(addrs))
-	lastErr := failure.New(failure.Unavailable, "ask doors", "", "no door is known")
+	lastErr := failure.New(failure.Unavailable, "ask doors", "", "no node address is known")
 	next, pending := 0, 0
 	for {
 		if next < len(addrs) {
@@ -84,8 +84,14 @@
 	}
 }
 
-// sendTo sends the request to one node. The body is sent only if full is set.
-func sendTo(ctx context.Context, client *http.Client, addr, method, path string, body []byte, hasBody bool) ([]byte, error) {
+// sendTo sends the request to one node. The body is sent only if hasBody is set.
+func sendTo(
+	ctx context.Context,
+	client *http.Client,
+	addr, method, path string,
+	body []byte,
+	hasBody bool,
+) ([]byte, error) {
 	var reader io.Reader
 	if hasBody {
 		reader = bytes.NewReader(body)
@@ -106,7 +112,8 @@
 	return nil, DecodeFault(resp.StatusCode, b)
 }
 
-// DecodeFault decodes a node's answer with another status than 200.
+// DecodeFault decodes a node's response whose status is not 200. A body that is not a JSON error becomes the
+// detail text.
 func DecodeFault(code int, body []byte) *Fault {
 	var v struct{ Error Fault }
 	if json.Unmarshal(body, &v); v.Error.Name == "" {
--- a/internal/api/doc.go
+++ b/internal/api/doc.go
@@ -1,8 +1,8 @@
-// Package api is the published interface of a router node: HTTP/1.1 with JSON, for origins,
-// which send requests and read streams of tokens, and for operators, who change and read the
-// fleet's configuration. It is the only package that knows that interface.
+// Package api implements the public interface of a router node, which is HTTP/1.1 with JSON. Clients send
+// requests and read streams of tokens; operators read and change the fleet's configuration. No other package
+// depends on the encoding of this interface.
 //
-// It reads and checks what they send and writes what they get; what is done with it stands
-// behind the interfaces Server and Operator. It also holds the clients of that interface: Put
-// for operators' programs, and Pass, by which a node forwards a request to another.
+// The package decodes and validates requests and encodes responses. The interfaces Server and Operator
+// execute them. It also contains the clients of the interface: Send for operators' programs, and Forward, with
+// which a node forwards a request to another node.
 package api
--- a/internal/api/fault.go
+++ b/internal/api/fault.go
@@ -11,38 +11,39 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// Fault is a refusal that an origin or an operator gets, with its HTTP status.
+// Fault is an error response to a client or an operator, with its HTTP status.
 type Fault struct {
 	Code int
 	workerclient.Rejection
 }
 
-// Error returns the refusal's name, field and text.
+// Error returns the error's name, field and detail text.
 func (f *Fault) Error() string { return f.Name + " " + f.Field + " " + f.Detail }
 
-// NewFault returns a refusal with a status. name is for programs, field the one at fault or "", and
-// the formatted text for people.
+// NewFault returns a Fault with the HTTP status code. name identifies the error to programs, field is the
+// invalid field of the request or "", and the formatted text is for people.
 func NewFault(code int, name, field, format string, args ...any) *Fault {
 	return &Fault{code, workerclient.Rejection{Name: name, Field: field, Detail: fmt.Sprintf(format, args...)}}
 }
 
-// RetryLater returns a refusal that also says after how long to come back.
+// RetryLater returns a Fault that tells the client to retry after the given delay.
 func RetryLater(code int, name string, after time.Duration, format string, args ...any) *Fault {
 	f := NewFault(code, name, "", format, args...)
 	f.After = after.Milliseconds()
 	return f
 }
 
-// errorBody is the body of an answer other than 200.
+// errorBody is the body of a response whose status is not 200.
 type errorBody struct {
 	Error workerclient.Rejection `json:"error"`
 }
 
-// defaultRetryAfter is when to come back where an error doesn't say it.
+// defaultRetryAfter is the retry delay for errors of the fleet that have none of their own.
 const defaultRetryAfter = time.Second
 
-// WriteError answers with an error: a Fault as it is, and others with the status for their kind of
-// package failure. A time to come back is also given as Retry-After, in full seconds.
+// WriteError writes an error response. A Fault is written as it is; any other error gets the status that
+// corresponds to its kind in package failure. A retry delay is also sent in the Retry-After header, rounded up
+// to whole seconds.
 func WriteError(w http.ResponseWriter, err error) {
 	var f *Fault
 	if !errors.As(err, &f) {
--- a/internal/api/fault_test.go
+++ b/internal/api/fault_test.go
@@ -11,8 +11,8 @@
 	"keelstair.example/failure"
 )
 
-// TestWriteError: the status, the body and the time to come back of each kind of error, as
-// origins and operators rely on them.
+// TestWriteError checks the status, the body and the Retry-After header for each kind of error. Clients and
+// operators' programs depend on them.
 func TestWriteError(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestSubmitError: an order that may have been carried out is never told as one that was not.
+// TestSubmitError checks that an operation that may have been executed is never reported as not executed.
 func TestSubmitError(t *testing.T) {
 	for kind, code := range map[failure.Kind]int{
 		failure.OutcomeUnknown: 504,
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestReadJSON: a body is one value of known fields within its bound.
+// TestReadJSON checks that a body must be a single JSON value with known fields only, within the size limit.
 func TestReadJSON(t *testing.T) {
 	for body, want := range map[string]string{
 		`{"op":"a"}`:                        "",
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -12,10 +12,10 @@
 	"keelstair.example/failure"
 )
 
-// Forward forwards an origin's request unchanged to the node at addr, on a path that nodes use
-// among themselves, and puts every line of its answer to out. It returns how many lines were
-// put. A refusal comes back as the Fault that the node answered with; a node that is silent
-// for the given time is given up. The request is sent once.
+// Forward sends a client's request unchanged to the node at addr, on a path that is internal to the fleet, and
+// writes every event of the response stream to out. It returns the number of events written. An error response
+// is returned as the Fault that the node sent. The call fails when the node sends nothing for idleTimeout. The
+// request is sent once, without retries.
 func Forward(
 	ctx context.Context,
 	client *http.Client,
@@ -53,7 +53,7 @@
 		var event StreamEvent
 		if err := decoder.Decode(&event); err != nil {
 			if errors.Is(err, io.EOF) {
-				err = failure.New(failure.DataLost, "pass on", addr, "it stopped without an end")
+				err = failure.New(failure.DataLost, "pass on", addr, "the stream ended without an end event")
 			}
 			return n, failure.As(err, failure.DataLost, "pass on", addr)
 		}
--- a/internal/api/json.go
+++ b/internal/api/json.go
@@ -8,18 +8,18 @@
 	"strings"
 )
 
-// unknownFieldPrefix begins the error of encoding/json for a field that the type does not have.
+// unknownFieldPrefix is the prefix of the encoding/json error for a field that the type does not have.
 const unknownFieldPrefix = "json: unknown field "
 
-// ReadJSON decodes a request's body into a value: one JSON value with known fields only, of at
-// most so many bytes. What is wrong with it comes back as a fault with status 400 or 413.
+// ReadJSON decodes a request's body into out. The body must be a single JSON value with known fields only, of
+// at most limit bytes. An invalid body is returned as a Fault with status 400 or 413.
 func ReadJSON(r *http.Request, out any, limit int64) *Fault {
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
 		return NewFault(http.StatusBadRequest, "unreadable", "", "%v", err)
 	}
 	if int64(len(body)) > limit {
-		return NewFault(http.StatusRequestEntityTooLarge, "too-large", "", "a body may have %d bytes", limit)
+		return NewFault(http.StatusRequestEntityTooLarge, "too-large", "", "the body exceeds the limit of %d bytes", limit)
 	}
 	decoder := json.NewDecoder(strings.NewReader(string(body)))
 	decoder.DisallowUnknownFields()
@@ -27,23 +27,23 @@
 	var typeErr *json.UnmarshalTypeError
 	switch {
 	case err == nil && decoder.More():
-		return NewFault(http.StatusBadRequest, "malformed", "", "more than one value")
+		return NewFault(http.StatusBadRequest, "malformed", "", "the body has more than one JSON value")
 	case err == nil:
 		return nil
 	case errors.As(err, &typeErr):
-		return NewFault(http.StatusBadRequest, "wrong-type", typeErr.Field, "%s is no %s", typeErr.Value, typeErr.Type)
+		return NewFault(http.StatusBadRequest, "wrong-type", typeErr.Field, "a JSON %s cannot be decoded as %s", typeErr.Value, typeErr.Type)
 	case strings.HasPrefix(err.Error(), unknownFieldPrefix):
 		return NewFault(
 			http.StatusBadRequest,
 			"unknown-field",
 			strings.Trim(strings.TrimPrefix(err.Error(), unknownFieldPrefix), `"`),
-			"no such field",
+			"the field does not exist",
 		)
 	}
 	return NewFault(http.StatusBadRequest, "malformed", "", "%v", err)
 }
 
-// WriteJSON answers with a status and a JSON value.
+// WriteJSON writes a response with the status code and v as JSON.
 func WriteJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -11,10 +11,10 @@
 	"keelstair.example/internal/certification"
 )
 
-// ApplyRequest is an order for a whole or partial configuration. Source is CUE or JSON text, Name what
-// it is called in errors, and Base the version that it builds on. Op is the operation's id, by
-// which an operator who got no answer may send it again and learns its one outcome. Dry only
-// checks it.
+// ApplyRequest applies a configuration, or with Partial a change to the current one. Source is CUE or JSON
+// text, Name is how error messages refer to it, and Base is the version that it was derived from. Op is the
+// operation's ID: a request that got no response may be repeated with the same ID and returns the outcome of
+// the first. With Dry the configuration is only validated.
 type ApplyRequest struct {
 	Op      string `json:"op"`
 	Base    uint64 `json:"base"`
@@ -24,23 +24,23 @@
 	Dry     bool   `json:"dry,omitempty"`
 }
 
-// ApplyResponse answers an order: the version that it led to, and whether that is in force at the
-// node. Policy is the whole configuration, after a dry run only.
+// ApplyResponse is the response to a change: the resulting version, and whether that version is active on the
+// node. Policy is the complete configuration and is set after a dry run only.
 type ApplyResponse struct {
 	Version uint64          `json:"version"`
 	Active  bool            `json:"active"`
 	Policy  json.RawMessage `json:"policy,omitempty"`
 }
 
-// MarkRequest is an order to take a zone, a worker or a certificate out of use or, with Out false,
-// to take that back (not of a certificate). Op is the operation's id, as in ApplyRequest.
+// MarkRequest takes a zone, a worker or a certificate out of service or, with Out false, returns it to service.
+// The revocation of a certificate cannot be undone. Op is the operation's ID, as in ApplyRequest.
 type MarkRequest struct {
 	Op  string `json:"op"`
 	Out bool   `json:"out"`
 }
 
-// ActivePolicy is the configuration that is in force at a node, the newest version that it knows of,
-// and the zones and workers that are taken out of use.
+// ActivePolicy is the configuration that is active on a node, the newest version that the node knows, and the
+// zones and workers that are out of service.
 type ActivePolicy struct {
 	Version uint64          `json:"version"`
 	Newest  uint64          `json:"newest"`
@@ -49,8 +49,8 @@
 	Drained []string        `json:"drained"`
 }
 
-// Regimes lists the certified workers and nodes. Low and High bound the fleet's time; Wall is
-// the node's own clock, which decides nothing. All are in nanoseconds since 1970.
+// Regimes lists the certified workers and nodes. Earliest and Latest are the bounds of the fleet's time; Wall
+// is the node's own clock, which is informational only. All are in nanoseconds since 1970.
 type Regimes struct {
 	Version  uint64   `json:"version"`
 	Earliest int64    `json:"low"`
@@ -59,7 +59,8 @@
 	Regimes  []Regime `json:"regimes"`
 }
 
-// Regime is one regime with its certificates and, in Short, what it lacks now.
+// Regime is a regime with its certificates. Shortages names the roles that have too few certified workers or
+// nodes at present.
 type Regime struct {
 	Name            string                            `json:"name"`
 	Kinds           []string                          `json:"kinds"`
@@ -68,8 +69,8 @@
 	Shortages       []string                          `json:"short"`
 }
 
-// AuditPage is a part of the audit record: its rows, the number of the first one that is kept, how
-// many there have been, and the hash of the newest.
+// AuditPage is a page of the audit log: its rows, the number of the oldest row retained, the number of rows
+// ever written, and the hash of the newest row.
 type AuditPage struct {
 	First int               `json:"first"`
 	Count int               `json:"count"`
@@ -77,37 +78,37 @@
 	Rows  []json.RawMessage `json:"rows"`
 }
 
-// Operator carries out operators' orders. Its errors are answered as WriteError says; SubmitError makes
-// them where an order may have been carried out.
+// Operator executes operators' requests. WriteError writes its errors to the response. The errors of changes,
+// which may have been executed, come from SubmitError.
 type Operator interface {
-	// Apply checks a configuration and puts it in force.
+	// Apply validates a configuration and activates it.
 	Apply(ctx context.Context, a *ApplyRequest) (*ApplyResponse, error)
-	// Evacuate keeps new work from a zone, or takes that back.
+	// Evacuate stops assigning new requests to a zone, or undoes that.
 	Evacuate(ctx context.Context, zone string, m *MarkRequest) (*ApplyResponse, error)
-	// Drain keeps new work from a worker, or takes that back.
+	// Drain stops assigning new requests to a worker, or undoes that.
 	Drain(ctx context.Context, worker string, m *MarkRequest) (*ApplyResponse, error)
-	// Revoke makes a certificate void for good.
+	// Revoke revokes a certificate permanently.
 	Revoke(ctx context.Context, serial string, m *MarkRequest) (*ApplyResponse, error)
-	// Regimes lists the regimes and their certificates.
+	// Regimes returns the regimes with their certificates.
 	Regimes() *Regimes
 	// Audits returns at most so many rows of the audit record, from the one with number from on.
 	AuditRows(ctx context.Context, from, limit int) (*AuditPage, error)
-	// Shown returns the configuration in force.
+	// ActivePolicy returns the active configuration.
 	ActivePolicy(ctx context.Context) (*ActivePolicy, error)
-	// Status returns the node's state, to be written as JSON.
+	// Status returns the node's state, which must be encodable as JSON.
 	Status() any
 }
 
-// Stale returns the refusal of a configuration that builds on another version than the newest.
+// Stale returns the error for a configuration that was not derived from the newest version.
 func Stale(base, newest uint64) error {
 	return NewFault(
 		http.StatusConflict, "stale", "base", "it was made over version %d; the newest is %d", base, newest,
 	)
 }
 
-// SubmitError turns an error of package failure into the refusal of an order: 504 if it may have been
-// carried out, 503 if it was not, each with when to send it again. Errors of kind Bad and
-// Stale stay as they are.
+// SubmitError converts an error of package failure into the response to a change: 504 if the change may have
+// been executed and 503 if it was not, both with after as the retry delay. Errors of kind InvalidArgument and
+// Stale are returned unchanged.
 func SubmitError(err error, after time.Duration) error {
 	switch failure.KindOf(err) {
 	case failure.OutcomeUnknown:
@@ -115,23 +116,23 @@
 			http.StatusGatewayTimeout,
 			"unknown-fate",
 			after,
-			"it may have been taken; ask again with the same op: %v",
+			"the operation may have been executed; retry it with the same op: %v",
 			err,
 		)
 	case failure.InvalidArgument, failure.Stale:
 		return err
 	}
-	return RetryLater(http.StatusServiceUnavailable, "core-away", after, "it was not taken: %v", err)
+	return RetryLater(http.StatusServiceUnavailable, "core-away", after, "the operation was not executed: %v", err)
 }
 
-// Bounds on what operators send and get.
+// Limits on operators' requests and their responses.
 const (
-	maxPolicyBytes = 8 << 20 // bytes of a configuration
-	maxMarkBytes   = 4096    // bytes of another order
-	maxAuditRows   = 500     // rows of the audit record in an answer
+	maxPolicyBytes = 8 << 20 // bytes of a request that applies a configuration
+	maxMarkBytes   = 4096    // bytes of any other request
+	maxAuditRows   = 500     // rows of the audit log in a response
 )
 
-// RegisterOperatorAPI registers the operators' side of the interface, under /v1.
+// RegisterOperatorAPI registers the handlers of the operator API, under /v1.
 func RegisterOperatorAPI(mux *http.ServeMux, o Operator) {
 	mux.HandleFunc("GET /v1/policy", func(w http.ResponseWriter, r *http.Request) {
 		result, err := o.ActivePolicy(r.Context())
@@ -147,7 +148,7 @@
 			return
 		}
 		if a.Op == "" {
-			WriteError(w, NewFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
+			WriteError(w, NewFault(http.StatusBadRequest, "missing", "op", "an operation ID is required"))
 			return
 		}
 		result, err := o.Apply(r.Context(), &a)
@@ -164,7 +165,7 @@
 		if err != nil || from < 1 {
 			WriteError(
 				w,
-				NewFault(http.StatusBadRequest, "out-of-range", "from", "a row's number is needed, from 1 on"),
+				NewFault(http.StatusBadRequest, "out-of-range", "from", "the number of the first row is required and must be at least 1"),
 			)
 			return
 		}
@@ -177,7 +178,7 @@
 	})
 }
 
-// markHandler reads an order about one zone, worker or certificate and has f carry it out.
+// markHandler decodes a MarkRequest for the zone, worker or certificate in the path and executes it with apply.
 func markHandler(apply func(context.Context, string, *MarkRequest) (*ApplyResponse, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var m MarkRequest
@@ -186,7 +187,7 @@
 			return
 		}
 		if m.Op == "" {
-			WriteError(w, NewFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
+			WriteError(w, NewFault(http.StatusBadRequest, "missing", "op", "an operation ID is required"))
 			return
 		}
 		result, err := apply(r.Context(), r.PathValue("name"), &m)
@@ -194,7 +195,7 @@
 	}
 }
 
-// writeResult writes the answer a, or the error.
+// writeResult writes the result, or the error if it is not nil.
 func writeResult(w http.ResponseWriter, result any, err error) {
 	if err != nil {
 		WriteError(w, err)
--- a/internal/api/streams.go
+++ b/internal/api/streams.go
@@ -12,21 +12,21 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// Bounds on an origin's request.
+// Limits on a client's request.
 const (
-	maxRequestBytes = 4 << 20 // bytes of its body
-	maxKeyBytes     = 200     // bytes of its key
+	maxRequestBytes = 4 << 20 // bytes of the body
+	maxKeyBytes     = 200     // bytes of the key
 	maxTemperature  = 10
 )
 
 const (
-	vocabularySize = 50000 // ids that the words of a prompt are mapped to
-	digestBytes    = 12    // of the SHA-256 hash of a request
+	vocabularySize = 50000 // number of token IDs that the words of a text prompt are hashed to
+	digestBytes    = 12    // prefix length of a request's SHA-256 hash
 )
 
-// StreamRequest is an origin's request. The prompt is given either as text or as token ids. Key, by
-// which a repeat is recognized, is needed for the kinds that the configuration says; Adapters
-// are those that the worker must have.
+// StreamRequest is a client's request. The prompt is given either as text or as token IDs. Key is the
+// idempotency key; the configuration states which kinds of request require one. Adapters lists the adapters
+// that the worker must have loaded.
 type StreamRequest struct {
 	Kind        string   `json:"kind"`
 	Key         string   `json:"key,omitempty"`
@@ -39,16 +39,15 @@
 	Seed        uint64   `json:"seed,omitempty"`
 }
 
-// Digest returns a hash of the whole request in hex. A request with the key of an earlier one
-// is its repeat only if the digests are equal.
+// Digest returns a hash of all fields of the request, in hex. A request with the key of an earlier one is a
+// repetition of it only if the digests are equal.
 func (a *StreamRequest) Digest() string {
 	b, _ := json.Marshal(a)
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:digestBytes])
 }
 
-// Tokens returns the ids of the prompt's tokens: those that were sent, or one for each word of
-// its text.
+// Tokens returns the token IDs of the prompt: PromptIds if set, else one hashed ID per word of the text.
 func (a *StreamRequest) Tokens() []int32 {
 	if len(a.PromptIds) > 0 {
 		return a.PromptIds
@@ -63,9 +62,9 @@
 	return out
 }
 
-// StreamEvent is one line of the stream that an origin reads: the token at Index or, where End is set,
-// the end of the stream after Count tokens. Replay marks a line that comes from the record of
-// an earlier request with the same key.
+// StreamEvent is one line of the response stream: the token at Index or, if End is set, the end of the stream
+// after Count tokens. Replay marks an event that is replayed from the record of an earlier request with the
+// same key.
 type StreamEvent struct {
 	Index  int                     `json:"index"`
 	Token  int32                   `json:"token,omitempty"`
@@ -76,35 +75,35 @@
 	Replay bool                    `json:"replay,omitempty"`
 }
 
-// Ends of a stream.
+// Values of StreamEvent.End.
 const (
-	Complete = "complete" // the answer is whole
-	Broken   = "broken"   // it stops midway and won't go on
-	Unknown  = "unknown"  // it stops, and whether the request ran to its end isn't known
+	Complete = "complete" // all tokens were sent
+	Broken   = "broken"   // the stream stopped early and cannot be continued
+	Unknown  = "unknown"  // the stream stopped early, and it is not known whether the request ran to completion
 )
 
-// Sink takes the lines of a stream.
+// Sink receives the events of a stream.
 type Sink interface {
-	// Put writes a line out at once. After an error nobody reads the stream any more.
+	// Put writes and flushes an event. An error means that the reader has disconnected.
 	Put(StreamEvent) error
 }
 
-// Server serves origins' requests.
+// Server serves clients' requests.
 type Server interface {
-	// Serve runs a request and puts its answer to out. An error before the first line becomes
-	// the HTTP status (see WriteError); after it, the last line says how the stream ended.
+	// Serve executes a request and writes its events to out. An error before the first event sets the HTTP
+	// status (see WriteError); after it, the last event states how the stream ended.
 	Serve(ctx context.Context, ask *StreamRequest, out Sink) error
-	// Ready reports whether the node can serve, and else why not.
+	// Ready reports whether the node can serve requests, and the reason if it cannot.
 	Ready() (bool, string)
 }
 
-// Readiness is the body of the answer to GET /ready, whose status is 200 or 503.
+// Readiness is the body of the response to GET /ready, whose status is 200 or 503.
 type Readiness struct {
 	Ready bool   `json:"ready"`
 	Why   string `json:"why"`
 }
 
-// HandleStreams registers a handler for origins' requests on a path.
+// HandleStreams registers a handler for clients' requests on a path.
 func HandleStreams(mux *http.ServeMux, path string, serve func(context.Context, *StreamRequest, Sink) error) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var request StreamRequest
@@ -119,7 +118,7 @@
 	})
 }
 
-// RegisterClientAPI registers the origins' side of the interface: POST /v1/streams and GET /ready.
+// RegisterClientAPI registers the handlers of the client API: POST /v1/streams and GET /ready.
 func RegisterClientAPI(mux *http.ServeMux, s Server) {
 	HandleStreams(mux, "/v1/streams", s.Serve)
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -132,11 +131,11 @@
 	})
 }
 
-// eventWriter is the sink that writes to an origin, one line of JSON each.
+// eventWriter is a Sink that writes each event as one line of JSON to an HTTP response.
 type eventWriter struct {
 	w       http.ResponseWriter
 	encoder *json.Encoder
-	started bool // the status and headers are written
+	started bool // the status and headers have been written
 }
 
 func (w *eventWriter) Put(event StreamEvent) error {
@@ -154,12 +153,12 @@
 	return nil
 }
 
-// Validate returns what is wrong with a request, or nil. claimed tells that its kind needs a key;
-// maxTokens and maxPrompt bound the tokens of its answer and of its prompt.
+// Validate returns a Fault if the request is invalid. keyRequired states that its kind requires a key;
+// maxTokens and maxPrompt limit the number of tokens of the output and of the prompt.
 func (a *StreamRequest) Validate(keyRequired bool, maxTokens, maxPrompt int) *Fault {
 	switch {
 	case a.Prompt != "" && len(a.PromptIds) > 0:
-		return NewFault(http.StatusBadRequest, "both", "promptIds", "give prompt or promptIds, not both")
+		return NewFault(http.StatusBadRequest, "both", "promptIds", "prompt and promptIds are mutually exclusive")
 	case len(a.Tokens()) == 0:
 		return NewFault(http.StatusBadRequest, "missing", "prompt", "the prompt is empty")
 	case len(a.Tokens()) > maxPrompt:
@@ -167,22 +166,22 @@
 			http.StatusRequestEntityTooLarge,
 			"too-large",
 			"prompt",
-			"%d tokens, at most %d",
+			"%d tokens exceed the limit of %d",
 			len(a.Tokens()),
 			maxPrompt,
 		)
 	case a.MaxTokens < 0 || a.MaxTokens > maxTokens:
-		return NewFault(http.StatusBadRequest, "out-of-range", "maxTokens", "at most %d", maxTokens)
+		return NewFault(http.StatusBadRequest, "out-of-range", "maxTokens", "the value must be from 0 to %d", maxTokens)
 	case a.Temperature < 0 || a.Temperature > maxTemperature:
-		return NewFault(http.StatusBadRequest, "out-of-range", "temperature", "from 0 to %d", maxTemperature)
+		return NewFault(http.StatusBadRequest, "out-of-range", "temperature", "the value must be from 0 to %d", maxTemperature)
 	case keyRequired && a.Key == "":
-		return NewFault(http.StatusBadRequest, "missing", "key", "kind %q needs the caller's key", a.Kind)
+		return NewFault(http.StatusBadRequest, "missing", "key", "requests of kind %q require a key", a.Kind)
 	case len(a.Key) > maxKeyBytes:
-		return NewFault(http.StatusBadRequest, "too-large", "key", "at most %d bytes", maxKeyBytes)
+		return NewFault(http.StatusBadRequest, "too-large", "key", "the key exceeds the limit of %d bytes", maxKeyBytes)
 	}
 	for _, t := range a.PromptIds {
 		if t <= 0 {
-			return NewFault(http.StatusBadRequest, "out-of-range", "promptIds", "ids are above 0")
+			return NewFault(http.StatusBadRequest, "out-of-range", "promptIds", "token IDs must be greater than 0")
 		}
 	}
 	return nil
