--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -91,7 +91,7 @@
 	Revoke(ctx context.Context, serial string, m *MarkRequest) (*ApplyResponse, error)
 	// Regimes returns the regimes with their certificates.
 	Regimes() *Regimes
-	// Audits returns at most so many rows of the audit record, from the one with number from on.
+	// AuditRows returns at most limit rows of the audit log, starting with the row number from.
 	AuditRows(ctx context.Context, from, limit int) (*AuditPage, error)
 	// ActivePolicy returns the active configuration.
 	ActivePolicy(ctx context.Context) (*ActivePolicy, error)
--- a/internal/certification/certification.go
+++ b/internal/certification/certification.go
@@ -1,7 +1,7 @@
-// Package certification says which nodes may handle which governed work. A regime names the
-// kinds of request that it governs; a certificate, signed by an issuer's Ed25519 key,
-// clears one worker or router node for one regime during a span. This file holds the
-// types, and how a certificate is signed and verified.
+// Package certification decides which workers and router nodes may process regulated requests. A regime lists
+// the kinds of request that it governs. A certificate, signed with an issuer's Ed25519 key, authorizes one
+// worker or router node for one regime during its validity period. This file contains the types, and the
+// signing and verification of certificates.
 package certification
 
 import (
@@ -15,24 +15,23 @@
 	"keelstair.example/ids"
 )
 
-// Regime governs the kinds that it names. Keep is the share of a certified worker's
-// room, in percent, that work which is not governed leaves free.
+// Regime governs the listed kinds of request. ReservedPercent is the percentage of a certified worker's cache
+// blocks that requests of no regime must leave free.
 type Regime struct {
 	Kinds           []string `json:"kinds"`
 	ReservedPercent int      `json:"keep"`
 }
 
-// Issuer is a public key (base64 of 32 bytes) and the span in which what it signed
-// counts. While a key is rolled over, two have spans that overlap. Times are RFC 3339.
+// Issuer is a public key (base64 of 32 bytes) and its validity period; certificates that it signed are valid
+// only within that period. During a key rotation the periods of two keys overlap. Times are RFC 3339.
 type Issuer struct {
 	Key   string `json:"key"`
 	From  string `json:"from"`
 	Until string `json:"until"`
 }
 
-// Certificate clears its one subject, a worker or a router node, for a regime. Parts
-// are a worker's; a node has none. Times are RFC 3339; the span begins with From and
-// ends just before Until.
+// Certificate authorizes its single subject, a worker or a router node, for a regime. Roles are set for a
+// worker only. Times are RFC 3339; the validity period includes From and excludes Until.
 type Certificate struct {
 	Serial    string       `json:"serial"`
 	Worker    ids.WorkerID `json:"worker,omitempty"`
@@ -45,13 +44,13 @@
 	Signature string       `json:"signature,omitempty"`
 }
 
-// Subject is who a certificate speaks of; one of the two is set.
+// Subject is the worker or the router node that a certificate authorizes; exactly one field is set.
 type Subject struct {
 	Worker ids.WorkerID
 	Node   string
 }
 
-// String returns what the subject is and its name, as in "worker w-1".
+// String returns the type and the name of the subject, as in "worker w-1".
 func (s Subject) String() string {
 	if s.Node != "" {
 		return "node " + s.Node
@@ -59,43 +58,43 @@
 	return "worker " + string(s.Worker)
 }
 
-// Subject returns whom the certificate clears.
+// Subject returns the subject of the certificate.
 func (c *Certificate) Subject() Subject { return Subject{c.Worker, c.Node} }
 
-// signatureDomain keeps a signature from standing for any other kind of text.
+// signatureDomain prefixes the signed bytes, so that a signature is not valid for any other kind of data.
 const signatureDomain = "keelstair certificate 1\n"
 
-// signedBytes is the canonical encoding that is signed: all fields but the signature, in the
-// fixed order of the struct, none left to the writer's taste.
+// signedBytes returns the canonical encoding that is signed: all fields except the signature, as JSON in the
+// fixed order of the struct.
 func (c *Certificate) signedBytes() []byte {
 	unsigned := *c
 	unsigned.Signature = ""
 	b, err := json.Marshal(&unsigned)
 	if err != nil {
-		panic(err) // strings alone; it cannot fail
+		panic(err) // cannot fail: all fields are strings
 	}
 	return append([]byte(signatureDomain), b...)
 }
 
-// Sign puts the issuer's signature under a certificate.
+// Sign sets the signature of the certificate, made with the issuer's key.
 func (c *Certificate) Sign(key ed25519.PrivateKey) {
 	c.Signature = base64.StdEncoding.EncodeToString(ed25519.Sign(key, c.signedBytes()))
 }
 
-// Fault is one thing wrong with a field, with its place in the configuration.
+// Fault describes an invalid field of the configuration; Path is the location of the field.
 type Fault struct {
 	Path   []string
 	Reason string
 }
 
-// Error returns the reason alone; where it applies is in Path.
+// Error returns the reason without the path.
 func (f *Fault) Error() string { return f.Reason }
 
 func invalid(path []string, format string, args ...any) error {
 	return failure.As(&Fault{path, fmt.Sprintf(format, args...)}, failure.InvalidArgument, "check regimes", "")
 }
 
-// parseValidity reads the two ends of a validity, in nanoseconds since 1970.
+// parseValidity parses the start and the end of a validity period, in nanoseconds since 1970.
 func parseValidity(path []string, from, until string) (a, b int64, err error) {
 	start, e := time.Parse(time.RFC3339, from)
 	if e != nil {
@@ -121,7 +120,7 @@
 	if err != nil || len(raw) != ed25519.PublicKeySize {
 		return nil, invalid(
 			append(path, "key"),
-			"it is no Ed25519 public key: base64 of %d bytes is needed",
+			"it is not an Ed25519 public key: base64 of %d bytes is required",
 			ed25519.PublicKeySize,
 		)
 	}
@@ -129,8 +128,8 @@
 	return &issuerKey{raw, from, until}, err
 }
 
-// verify holds a certificate against the issuers; the span that it gives is cut to
-// its issuer's.
+// verify checks the signature of the certificate against the issuers' keys. The validity period that it returns
+// is the intersection of the certificate's and the issuer's.
 func (c *Certificate) verify(path []string, keys map[string]*issuerKey) (from, until int64, err error) {
 	if from, until, err = parseValidity(path, c.From, c.Until); err != nil {
 		return 0, 0, err
@@ -138,13 +137,13 @@
 	k := keys[c.Issuer]
 	if k == nil {
 		return 0, 0, invalid(
-			append(path, "issuer"), "issuer %q is foreign: it is none of the configuration's issuers", c.Issuer,
+			append(path, "issuer"), "issuer %q is foreign: the configuration has no such issuer", c.Issuer,
 		)
 	}
 	sig, err := base64.StdEncoding.DecodeString(c.Signature)
 	switch {
 	case err != nil:
-		return 0, 0, invalid(append(path, "signature"), "it is no base64 text")
+		return 0, 0, invalid(append(path, "signature"), "it is not valid base64")
 	case len(sig) != ed25519.SignatureSize:
 		return 0, 0, invalid(
 			append(path, "signature"), "it is truncated: %d bytes of %d", len(sig), ed25519.SignatureSize,
@@ -152,7 +151,7 @@
 	case !ed25519.Verify(k.public, c.signedBytes(), sig):
 		return 0, 0, invalid(
 			append(path, "signature"),
-			"the signature of issuer %q does not fit this certificate of %s: it was forged, altered, copied from another subject, or signed by another key",
+			"the signature of issuer %q does not match this certificate of %s: it was forged, altered, copied from another subject, or signed by another key",
 			c.Issuer,
 			c.Subject(),
 		)
--- a/internal/certification/certification_test.go
+++ b/internal/certification/certification_test.go
@@ -1,4 +1,5 @@
-// Certificates that hold, and each that does not, with its one clear line.
+// These tests check that valid certificates authorize their subject, and that each kind of invalid certificate
+// is rejected with a one-line error.
 
 package certification
 
@@ -34,8 +35,8 @@
 	sign    map[string]func(*Certificate)
 }
 
-// newAuthority sets up two issuers, the second of which follows the first with ten days in
-// which both are valid.
+// newAuthority returns a configuration with two issuers, whose validity periods overlap by ten days, and a
+// certificate each for a worker and a node.
 func newAuthority(t *testing.T) *authority {
 	o := &authority{regimes: map[string]Regime{"chair": {Kinds: []string{"verdict"}, ReservedPercent: 20}, "fines": {Kinds: []string{"ruling"}}},
 		issuers: map[string]Issuer{}, certs: map[string]Certificate{}, sign: map[string]func(*Certificate){}}
@@ -59,8 +60,9 @@
 
 func (o *authority) compile() (*Register, error) { return Compile(o.regimes, o.issuers, o.certs) }
 
-// TestAuthorizes: by regime, subject, part and time; an end by the upper bound of time, a
-// start by the lower; revoked at once; the key that signed must be in force too.
+// TestAuthorizes checks authorization by regime, subject, role and time. The start of a validity period is
+// compared with the lower bound of the time and its end with the upper bound. A revocation takes effect at once,
+// and the signing key must be valid too.
 func TestAuthorizes(t *testing.T) {
 	o := newAuthority(t)
 	o.issue("k1", Certificate{Serial: "3", Worker: "p1", Regime: "chair", Roles: []ids.Role{ids.Prefill}, From: dayString(5), Until: dayString(150)})
@@ -89,10 +91,10 @@
 		{"chair", p1, ids.Decode, TimeBounds{exactDay(9).Low, exactDay(10).High}, ""},
 		{"chair", p1, ids.Decode, TimeBounds{exactDay(9).Low, exactDay(10).High - 1}, "1"},
 		{"chair", p1, ids.Prefill, exactDay(99), "3"},
-		{"chair", p1, ids.Prefill, exactDay(100), ""}, // k1 is over
-		{"chair", d1, ids.Decode, exactDay(85), ""},   // k2 is not yet
+		{"chair", p1, ids.Prefill, exactDay(100), ""}, // k1 has expired
+		{"chair", d1, ids.Decode, exactDay(85), ""},   // k2 is not valid yet
 		{"chair", d1, ids.Decode, exactDay(95), "4"},  // both keys are valid
-		{"chair", d1, ids.Decode, TimeBounds{}, ""},   // no word of the time
+		{"chair", d1, ids.Decode, TimeBounds{}, ""},   // the time is unknown
 	} {
 		serial, ok := r.Authorizes(tc.regime, tc.subject, tc.part, tc.now)
 		require.Equal(t, tc.serial, serial, "%+v", tc)
@@ -100,7 +102,7 @@
 	}
 	revoked := r.WithRevoked(map[string]bool{"3": true})
 	serial, _ := revoked.Authorizes("chair", p1, ids.Prefill, exactDay(6))
-	require.Equal(t, "1", serial, "the other certificate still holds")
+	require.Equal(t, "1", serial, "the other certificate is still valid")
 	_, ok := r.WithRevoked(map[string]bool{"1": true, "3": true}).Authorizes("chair", p1, ids.Prefill, exactDay(6))
 	require.False(t, ok)
 	require.Equal(t, 20, r.ReservedPercent("p1", ids.Decode, exactDay(2)))
@@ -114,7 +116,7 @@
 	require.Equal(t, map[string]State{"1": Expired, "2": Valid, "3": Revoked, "4": NotYetValid}, states)
 }
 
-// TestNoRegimes: without regimes there is no register, and nothing is governed.
+// TestNoRegimes checks that without regimes the register is nil and governs no request.
 func TestNoRegimes(t *testing.T) {
 	r, err := Compile(nil, nil, nil)
 	require.NoError(t, err)
@@ -125,9 +127,9 @@
 	require.Empty(t, r.RegimeNames())
 }
 
-// TestRefused: what does not hold is refused in one line that says why and where, and
-// clears nobody.
-func TestRefused(t *testing.T) {
+// TestRejectedCertificates checks that an invalid configuration is rejected with a one-line error that names the
+// reason and the field, and that an invalid certificate authorizes no subject.
+func TestRejectedCertificates(t *testing.T) {
 	alter := func(f func(c *Certificate)) func(*authority) {
 		return func(o *authority) { c := o.certs["1"]; f(&c); o.certs["1"] = c }
 	}
@@ -151,7 +153,7 @@
 		"no subject":     {alter(func(c *Certificate) { c.Worker = "" }), "certificates.1", "one worker or one node"},
 		"two subjects":   {alter(func(c *Certificate) { c.Node = "v" }), "certificates.1", "one worker or one node"},
 		"no parts":       {alter(func(c *Certificate) { c.Roles = nil }), "certificates.1", "names its parts"},
-		"two serials":    {func(o *authority) { o.certs["7"] = o.certs["1"] }, "certificates.7", "each serial stands once"},
+		"two serials":    {func(o *authority) { o.certs["7"] = o.certs["1"] }, "certificates.7", "each serial must be unique"},
 		"replayed": {func(o *authority) { c := o.certs["1"]; c.Serial, c.Worker = "7", "p7"; o.certs["7"] = c },
 			"certificates.7.signature", `replayed: serial "1"`},
 		"short key": {func(o *authority) { o.issuers["k1"] = Issuer{Key: "AAAA", From: dayString(0), Until: dayString(1)} }, "issuers.k1.key", "32 bytes"},
@@ -188,7 +190,7 @@
 	return err
 }
 
-// TestKeyFiles: a file of another sort is refused.
+// TestKeyFiles checks that a file that does not contain an Ed25519 private key is rejected.
 func TestKeyFiles(t *testing.T) {
 	ec, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -198,7 +200,7 @@
 	require.NoError(t, err)
 	for says, text := range map[string][]byte{
 		"no PEM file":  []byte("hello"),
-		"another sort": pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}),
+		"another type": pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}),
 		"read key":     good[:len(good)/2],
 	} {
 		_, err := ParsePrivateKey(text)
--- a/internal/certification/key.go
+++ b/internal/certification/key.go
@@ -1,4 +1,4 @@
-// Key files: PKCS #8 in PEM, as openssl genpkey -algorithm ed25519 writes them too.
+// Private key files are PKCS #8 in PEM, the format of openssl genpkey -algorithm ed25519.
 
 package certification
 
@@ -12,7 +12,7 @@
 	"keelstair.example/failure"
 )
 
-// NewKey makes a key and gives its file's text.
+// NewKey generates a private key and returns it with the content of its key file.
 func NewKey() (ed25519.PrivateKey, []byte, error) {
 	_, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return private, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
 
-// ParsePrivateKey reads a key file's text.
+// ParsePrivateKey parses the content of a key file.
 func ParsePrivateKey(text []byte) (ed25519.PrivateKey, error) {
 	block, _ := pem.Decode(text)
 	if block == nil || block.Type != "PRIVATE KEY" {
@@ -38,13 +38,13 @@
 	private, ok := parsed.(ed25519.PrivateKey)
 	if !ok {
 		return nil, failure.New(
-			failure.InvalidArgument, "read key", "", "it is a key of another sort; an Ed25519 key is needed",
+			failure.InvalidArgument, "read key", "", "it is a key of another type; an Ed25519 key is required",
 		)
 	}
 	return private, nil
 }
 
-// EncodePublicKey gives a key's public half as issuers name it.
+// EncodePublicKey returns the public key of k in the encoding of Issuer.Key.
 func EncodePublicKey(k ed25519.PrivateKey) string {
 	return base64.StdEncoding.EncodeToString(k.Public().(ed25519.PublicKey))
 }
--- a/internal/certification/register.go
+++ b/internal/certification/register.go
@@ -1,5 +1,5 @@
-// The register is compiled once for each configuration: it answers on the path of a
-// request whether a subject is cleared for a regime at this time, and by which serial.
+// The register is compiled once per configuration. While a request is processed, it answers whether a subject is
+// currently authorized for a regime, and by which certificate.
 
 package certification
 
@@ -12,11 +12,11 @@
 	"keelstair.example/ids"
 )
 
-// TimeBounds is what the fleet's time may be at this moment: two bounds, in nanoseconds since
-// 1970. What begins counts from the lower one, and what ends by the upper one.
+// TimeBounds is the interval that contains the fleet's current time, in nanoseconds since 1970. A validity
+// period has begun when its start is not after Low, and has ended when its end is not after High.
 type TimeBounds struct{ Low, High int64 }
 
-// ExactTime is a time that is known exactly.
+// ExactTime returns the bounds of a time that is known exactly.
 func ExactTime(t time.Time) TimeBounds { return TimeBounds{t.UnixNano(), t.UnixNano()} }
 
 type grantKey struct {
@@ -30,18 +30,19 @@
 	from, until int64
 }
 
-// Register is immutable; a nil one governs nothing.
+// Register holds the regimes and the valid certificates of a configuration. It is immutable. A nil Register has
+// no regimes.
 type Register struct {
 	regimes      map[string]Regime
 	kinds        map[string]string
 	grants       map[grantKey][]grant
 	certificates map[string]*Certificate
 	validity     map[string]grant
-	revoked      map[string]bool // by their presence
+	revoked      map[string]bool // by serial; the values are ignored
 }
 
-// Compile makes a register. Every certificate that does not hold is left out of it and
-// named in the error, in the order of the serials. Without regimes the register is nil.
+// Compile returns the register of a configuration. Invalid certificates are omitted from it and reported in
+// the error, in the order of their serials. Without regimes the register is nil.
 func Compile(regimes map[string]Regime, issuers map[string]Issuer, certs map[string]Certificate) (*Register, error) {
 	var errs []error
 	if len(regimes) == 0 {
@@ -91,11 +92,11 @@
 	path := []string{"certificates", serial}
 	switch other, duplicate := signed[c.Signature]; {
 	case c.Serial != serial:
-		return invalid(path, "serial %q stands under the name %q: each serial stands once", c.Serial, serial)
+		return invalid(path, "serial %q is stored under the name %q: each serial must be unique and match its name", c.Serial, serial)
 	case duplicate:
 		return invalid(append(path, "signature"), "it is replayed: serial %q has the same signature", other)
 	case (c.Worker == "") == (c.Node == ""):
-		return invalid(path, "its subject is one worker or one node")
+		return invalid(path, "its subject must be one worker or one node")
 	case (c.Worker == "") != (len(c.Roles) == 0):
 		return invalid(path, "a worker's certificate names its parts, and a node's has none")
 	}
@@ -129,8 +130,8 @@
 	return out
 }
 
-// WithRevoked gives the register under another set of revoked serials: those that the map has,
-// whatever it says of them.
+// WithRevoked returns a copy of the register in which exactly the serials that are keys of revoked are revoked,
+// whatever their values.
 func (r *Register) WithRevoked(revoked map[string]bool) *Register {
 	if r == nil {
 		return nil
@@ -140,7 +141,7 @@
 	return &next
 }
 
-// RegimeOf names the regime of a kind, or none.
+// RegimeOf returns the name of the regime that governs a kind of request, or "".
 func (r *Register) RegimeOf(kind string) string {
 	if r == nil {
 		return ""
@@ -153,7 +154,7 @@
 	return ok
 }
 
-// HasRegime tells whether there is such a regime.
+// HasRegime reports whether the configuration has the regime.
 func (r *Register) HasRegime(regime string) bool {
 	if r == nil {
 		return false
@@ -162,8 +163,8 @@
 	return ok
 }
 
-// Authorizes tells whether a subject may play a part (none for a node) in a regime now, and
-// by which serial: of several the one that ends last.
+// Authorizes reports whether a subject may now process requests of a regime in a role, which is "" for a node,
+// and returns the serial of the certificate. Of several valid certificates it returns the one that expires last.
 func (r *Register) Authorizes(regime string, s Subject, role ids.Role, now TimeBounds) (serial string, ok bool) {
 	if r == nil || now.High == 0 {
 		return "", false
@@ -177,8 +178,8 @@
 	return serial, ok
 }
 
-// ReservedPercent is the share of a worker's room, in percent, that is kept free for governed
-// work: the largest of the regimes that it may serve now in a part.
+// ReservedPercent returns the percentage of a worker's cache blocks that is reserved for governed requests: the
+// largest value of all regimes for which the worker is currently authorized in the role.
 func (r *Register) ReservedPercent(w ids.WorkerID, role ids.Role, now TimeBounds) int {
 	percent := 0
 	if r != nil {
@@ -191,7 +192,7 @@
 	return percent
 }
 
-// RegimeNames lists the names in order.
+// RegimeNames returns the names of the regimes in sorted order.
 func (r *Register) RegimeNames() []string {
 	if r == nil {
 		return nil
@@ -199,24 +200,25 @@
 	return sortedKeys(r.regimes)
 }
 
-// State is that of a certificate at a time.
+// State is the state of a certificate at a given time.
 type State string
 
 const (
-	Valid       State = "valid"         // in force
-	NotYetValid State = "not yet valid" // its span may not have begun yet
-	Expired     State = "expired"       // its span may have ended
-	Revoked     State = "revoked"       // void for good, whatever its span
+	Valid       State = "valid"         // within the validity period and not revoked
+	NotYetValid State = "not yet valid" // the validity period may not have begun yet
+	Expired     State = "expired"       // the validity period may have ended
+	Revoked     State = "revoked"       // revoked permanently, whatever the validity period
 )
 
-// CertificateStatus is one certificate with its state and the end of its span, cut to its issuer's.
+// CertificateStatus is a certificate with its state and the end of its validity period, which is limited by that
+// of its issuer.
 type CertificateStatus struct {
 	Certificate
 	State State `json:"state"`
 	Ends  int64 `json:"ends"` // nanoseconds since 1970
 }
 
-// CertificateStatuses lists the certificates of a regime in the order of their ends.
+// CertificateStatuses returns the certificates of a regime, ordered by expiry.
 func (r *Register) CertificateStatuses(regime string, now TimeBounds) []CertificateStatus {
 	var out []CertificateStatus
 	if r == nil {
@@ -250,7 +252,7 @@
 	return out
 }
 
-// Find gives a certificate by its serial.
+// Find returns the certificate with the given serial.
 func (r *Register) Find(serial string) (Certificate, bool) {
 	if r == nil || r.certificates[serial] == nil {
 		return Certificate{}, false
@@ -258,8 +260,9 @@
 	return *r.certificates[serial], true
 }
 
-// Shortages lists what a regime lacks at a time, among the workers that can be picked:
-// fewer than want of a part, or no node. A nil alive counts all.
+// Shortages lists the roles for which a regime has fewer than minimum valid subjects at a given time: prefill
+// workers, decode workers and router nodes. Only subjects for which available returns true are counted; a nil
+// available counts all.
 func (r *Register) Shortages(regime string, minimum int, now TimeBounds, available func(Subject) bool) []string {
 	count := map[ids.Role]map[Subject]bool{ids.Prefill: {}, ids.Decode: {}, "": {}}
 	for _, row := range r.CertificateStatuses(regime, now) {
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -17,21 +17,21 @@
 	"keelstair.example/rpc"
 )
 
-// Time limits of the calls, where the caller's context has no deadline. Prefill computes
-// before it answers, and resume waits for the KV to arrive; the others answer at once.
+// Timeouts of the calls, used if the caller's context has no deadline. A worker responds to prefill after the
+// computation and to resume after the KV cache has arrived; to the other calls it responds at once.
 const (
 	prefillTimeout  = 10 * time.Second
 	resumeTimeout   = 5 * time.Second
 	transferTimeout = 2 * time.Second // export and import
-	orderTimeout    = time.Second     // cancel and change of part
+	orderTimeout    = time.Second     // cancel and role change
 	readTimeout     = 800 * time.Millisecond
 )
 
-// Bounds on what is read of an answer, in bytes.
+// Limits on the size of responses, in bytes.
 const (
 	maxResponseBytes  = 32 << 20
 	maxEventBytes     = 1 << 20 // one line of a stream
-	initialLineBuffer = 4096    // of a line, grown as needed
+	initialLineBuffer = 4096    // initial buffer for a line, grown as needed
 )
 
 // Client calls workers and the platform. It is safe for concurrent use.
@@ -40,12 +40,12 @@
 // New returns a client that dials through the host's network.
 func New(n host.Net) *Client { return &Client{http: rpc.NewHTTPClient(n)} }
 
-// Close closes the connections that are idle. Calls under way are not affected.
+// Close closes idle connections. Calls in progress are not affected.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Rejection is the body of a refusal, of a worker or of a node: a name for programs, the field
-// that is at fault if any, a text for people, and After, in how many milliseconds to come
-// back (0: not said).
+// Rejection is the body of an error response of a worker or a node. Name identifies the error to programs, Field
+// is the invalid field of the request if any, Detail is a text for people, and After is the retry delay in
+// milliseconds, or 0 if there is none.
 type Rejection struct {
 	Name   string `json:"name"`
 	Field  string `json:"field,omitempty"`
@@ -53,7 +53,7 @@
 	After  int64  `json:"retryAfterMs,omitempty"`
 }
 
-// statusKind returns what a worker's HTTP status tells of the order.
+// statusKind returns the failure kind that corresponds to a worker's HTTP status.
 func statusKind(code int) failure.Kind {
 	switch code {
 	case http.StatusPreconditionFailed:
@@ -68,8 +68,8 @@
 	return failure.OutcomeUnknown
 }
 
-// call makes one call and decodes its answer into out, unless that is nil. timeout counts
-// where the context has no deadline.
+// call makes one call and decodes its response into out, unless out is nil. timeout applies if the context has
+// no deadline.
 func (c *Client) call(ctx context.Context, method, addr, path string, in, out any, timeout time.Duration) error {
 	if _, ok := ctx.Deadline(); !ok {
 		var stop context.CancelFunc
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// sendErrorKind returns the kind of an error of the transport: an order for which no connection was
-// made was certainly not taken.
+// sendErrorKind returns the failure kind of a transport error. If no connection was established, the order was
+// certainly not executed.
 func sendErrorKind(err error) failure.Kind {
 	if rpc.IsDialError(err) {
 		return failure.NotExecuted
@@ -126,32 +126,32 @@
 	return out, c.call(ctx, http.MethodPost, addr, path, in, out, timeout)
 }
 
-// Prefill has a worker compute the KV of a request. It returns after the computation.
+// Prefill makes a worker compute the KV cache of a request. It returns after the computation.
 func (c *Client) Prefill(ctx context.Context, addr string, q *PrefillRequest) (*OrderResponse, error) {
 	return c.postOrder(ctx, addr, "/prefill", q, prefillTimeout)
 }
 
-// Export has a worker keep the KV of an attempt ready to be fetched. Its answer has the
-// request's identity with the length and digest of that KV, and the tokens made so far.
+// Export makes a worker stage the KV cache of an attempt, to be fetched by another worker. The response contains
+// the request's identity with the length and digest of that KV cache, and the tokens generated so far.
 func (c *Client) Export(ctx context.Context, addr string, q *ExportRequest) (*OrderResponse, error) {
 	return c.postOrder(ctx, addr, "/export", q, transferTimeout)
 }
 
-// Import has a worker reserve room and begin to fetch the KV. Without room it is refused with
-// kind Bounced.
+// Import makes a worker reserve cache blocks and start to fetch the KV cache. Without enough free blocks it fails
+// with kind NotExecuted.
 func (c *Client) Import(ctx context.Context, addr string, q *ImportRequest) (*OrderResponse, error) {
 	return c.postOrder(ctx, addr, "/import", q, transferTimeout)
 }
 
-// Resume has a worker run an attempt that was imported, once its KV has arrived whole.
+// Resume makes a worker decode an imported attempt, once its KV cache has arrived completely.
 func (c *Client) Resume(ctx context.Context, addr string, q *IDRequest) (*OrderResponse, error) {
 	return c.postOrder(ctx, addr, "/resume", q, resumeTimeout)
 }
 
-// Cancel ends an attempt and all earlier ones of its request for good: none can start or go on
-// afterwards. The answer has the request's fate at this worker.
-// Where the connection is refused no process is left that could go on with it, so the kind is
-// Lost, which says more than Bounced.
+// Cancel permanently stops an attempt and all earlier attempts of its request: none of them can start or continue
+// afterwards. The response contains the request's fate on this worker. If the connection is refused, no process
+// is left that could continue the attempt, so the error has kind DataLost, which is more specific than
+// NotExecuted.
 func (c *Client) Cancel(ctx context.Context, addr string, q *IDRequest) (*OrderResponse, error) {
 	resp, err := c.postOrder(ctx, addr, "/cancel", q, orderTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -160,27 +160,26 @@
 	return resp, err
 }
 
-// SetRole has a worker change its part.
+// SetRole makes a worker change its role.
 func (c *Client) SetRole(ctx context.Context, addr string, q *RoleRequest) (*OrderResponse, error) {
 	return c.postOrder(ctx, addr, "/part", q, orderTimeout)
 }
 
-// Report asks a worker for its report.
+// Report requests a worker's report.
 func (c *Client) Report(ctx context.Context, addr string) (*Report, error) {
 	out := &Report{}
 	return out, c.call(ctx, http.MethodGet, addr, "/report", nil, out, readTimeout)
 }
 
-// Workers asks the platform for its list of workers.
+// Workers requests the platform's list of workers.
 func (c *Client) Workers(ctx context.Context, addr string) ([]ListedWorker, error) {
 	var out []ListedWorker
 	return out, c.call(ctx, http.MethodGet, addr, "/workers", nil, &out, readTimeout)
 }
 
-// Stream calls put with the pieces of a resumed attempt from index from on, until it has
-// ended; an error of put ends it, and is returned as it is. Other errors are mostly of kind
-// Lost. The worker writes at least once every pulse, if only an empty line; a longer silence
-// counts as its loss.
+// Stream calls handle for each token event of a resumed attempt, starting at index from, until the attempt has
+// ended. An error of handle stops the stream and is returned unchanged. Most other errors have kind DataLost. The
+// worker writes at least one line, possibly empty, per maxSilence; after a longer silence it is considered lost.
 func (c *Client) Stream(
 	ctx context.Context,
 	addr string,
@@ -227,5 +226,5 @@
 	if err := lines.Err(); err != nil {
 		return failure.As(err, failure.DataLost, "stream", addr)
 	}
-	return failure.New(failure.DataLost, "stream", addr, "it stopped without an end")
+	return failure.New(failure.DataLost, "stream", addr, "the stream ended without an end event")
 }
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -14,7 +14,7 @@
 	"keelstair.example/ids"
 )
 
-// loopback dials and listens without a host.
+// loopback is a host.Net on the TCP loopback interface.
 type loopback struct{}
 
 func (loopback) Dial(ctx context.Context, addr string) (net.Conn, error) {
@@ -23,8 +23,8 @@
 
 func (loopback) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-// unresponsiveWorker answers the first request of each connection; at the second it reads the
-// whole request, counts it and closes the connection without an answer.
+// unresponsiveWorker starts a server that responds to the first request on each connection. It reads the second
+// request completely, counts it and closes the connection without a response.
 func unresponsiveWorker(t *testing.T) (addr string, cut *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestOrderNotRepeated: an order that was written and got no answer is not sent again, also
-// on a connection that was used before, and may have been carried out.
+// TestOrderNotRepeated checks that an order that was written but got no response is not sent again, even on a
+// reused connection, and is reported as possibly executed.
 func TestOrderNotRepeated(t *testing.T) {
 	addr, cut := unresponsiveWorker(t)
 	c := New(loopback{})
@@ -77,11 +77,12 @@
 		t.Errorf("kind %s of %v, not unknown", failure.KindOf(err), err)
 	}
 	if n := cut.Load(); n != 1 {
-		t.Errorf("the order that got no answer was sent %d times on a used connection", n)
+		t.Errorf("the order without a response was sent %d times on a reused connection", n)
 	}
 }
 
-// TestOrderNotExecutedWithoutConnection: an order for which no connection could be made was not carried out.
+// TestOrderNotExecutedWithoutConnection checks that an order for which no connection could be established is
+// reported as not executed.
 func TestOrderNotExecutedWithoutConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/workerclient/doc.go
+++ b/internal/workerclient/doc.go
@@ -1,9 +1,8 @@
-// Package workerclient is the client of the workers' and the platform's published interface:
-// HTTP/1.1 with JSON. It is the only package that knows that interface; one that differs is
-// met here alone.
+// Package workerclient is the client of the workers' and the platform's public interface, which is HTTP/1.1 with
+// JSON. No other package depends on that interface, so a different one requires changes here only.
 //
-// Every order to a worker carries the fence of its giver (see OrderHeader). Orders are POST requests
-// and aren't repeated once a byte of them has been written; reports, lists and streams are
-// GET requests, which net/http may send again on a new connection. An error has a kind of
-// package failure, which tells whether the order may have been carried out.
+// Every order to a worker carries the fencing token of its sender (see OrderHeader). Orders are POST requests and
+// are not repeated once a byte of them has been written; reports, lists and streams are GET requests, which
+// net/http may send again on a new connection. An error has a kind of package failure, which states whether the
+// order may have been executed.
 package workerclient
--- a/internal/workerclient/messages.go
+++ b/internal/workerclient/messages.go
@@ -6,13 +6,13 @@
 	"keelstair.example/ids"
 )
 
-// ID names one attempt at handing one request over to a decode worker. Attempts count from 1.
+// ID identifies one attempt to hand a request over to a decode worker. Attempts are numbered from 1.
 type ID struct {
 	Request string `json:"request"`
 	Attempt int    `json:"attempt"`
 }
 
-// Params are a request's sampling parameters. They are passed on whole, so that any worker
+// Params are a request's sampling parameters. All of them are passed to the next worker, so that every worker
 // generates the same tokens.
 type Params struct {
 	MaxTokens   int     `json:"maxTokens"`
@@ -20,16 +20,16 @@
 	Seed        uint64  `json:"seed,omitempty"`
 }
 
-// Model names what a request runs on: a model, the version of its weights, and adapters. All
-// three must be the same wherever a request continues.
+// Model identifies a model, the version of its weights and the adapters. All three must be the same on every
+// worker that continues a request.
 type Model struct {
 	Name     string   `json:"model"`
 	Weights  string   `json:"weights"`
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// Serves reports whether a worker with m can run a request for o: model and weights are the
-// same, and m has every adapter of o.
+// Serves reports whether a worker with m can run a request for o: model and weights are the same, and m has every
+// adapter of o.
 func (m Model) Serves(o Model) bool {
 	for _, a := range o.Adapters {
 		if !slices.Contains(m.Adapters, a) {
@@ -39,9 +39,9 @@
 	return m.Name == o.Name && m.Weights == o.Weights
 }
 
-// Identity is the whole state of a request as it is handed from worker to worker. Computed
-// counts the tokens whose KV is there; Length (bytes) and Digest are those of that KV.
-// The ids of cache blocks are local to a worker and no part of it.
+// Identity is the complete state of a request as it is handed from one worker to another. Computed is the number
+// of tokens whose KV cache exists; Length (bytes) and Digest describe that KV cache. The IDs of cache blocks are
+// local to a worker and not included.
 type Identity struct {
 	ID       ID      `json:"id"`
 	Prompt   []int32 `json:"prompt"`
@@ -53,26 +53,26 @@
 	Digest   string  `json:"kvDigest"`
 }
 
-// OrderHeader is part of every order: the fence of the lease under which it is given, and the newest
-// configuration that its giver knows. A worker refuses a smaller fence than it has seen.
+// OrderHeader is part of every order: the fencing token of the sender's lease, and the newest configuration
+// version that the sender knows. A worker rejects a fencing token that is smaller than one it has seen.
 type OrderHeader struct {
 	Fence   ids.Fence   `json:"fence"`
 	Version ids.Version `json:"version"`
 }
 
-// PrefillRequest orders a prefill worker to read a request's prompt and output so far.
+// PrefillRequest orders a prefill worker to process a request's prompt and the output generated so far.
 type PrefillRequest struct {
 	OrderHeader
 	Identity Identity `json:"identity"`
 }
 
-// ExportRequest orders a prefill worker to keep a request's KV ready for the decode worker.
+// ExportRequest orders a worker to stage a request's KV cache for the decode worker.
 type ExportRequest struct {
 	OrderHeader
 	ID ID `json:"id"`
 }
 
-// ImportRequest orders a decode worker to reserve room for a request and to fetch its KV from the
+// ImportRequest orders a decode worker to reserve cache blocks for a request and to fetch its KV cache from the
 // worker at address Source.
 type ImportRequest struct {
 	OrderHeader
@@ -86,15 +86,15 @@
 	ID ID `json:"id"`
 }
 
-// RoleRequest orders a worker to change its part.
+// RoleRequest orders a worker to change its role.
 type RoleRequest struct {
 	OrderHeader
 	Role ids.Role `json:"part"`
 }
 
-// OrderResponse is a worker's answer to any order. Texts are those of the tokens in Output, and Fate
-// is one of the constants below. Life is another one after every start of the worker, so
-// that a fresh process is not taken for one that remembers.
+// OrderResponse is a worker's response to any order. Texts are the texts of the tokens in Output, and Fate is one
+// of the constants below. Incarnation differs after every start of the worker, so that a restarted process is
+// not mistaken for one that still has its state.
 type OrderResponse struct {
 	Version     ids.Version     `json:"version"`
 	Identity    *Identity       `json:"identity,omitempty"`
@@ -105,24 +105,24 @@
 	Incarnation ids.Incarnation `json:"life"`
 }
 
-// The fates of an attempt, as its decode worker knows them.
+// Values of OrderResponse.Fate: the state of an attempt on its decode worker.
 const (
-	FateNotStarted = "never"    // never came to run here, and never will
-	FateStopped    = "stopped"  // ran in part, and was stopped
-	FateFinished   = "finished" // ran to its end
-	FateRunning    = "running"  // runs now
+	FateNotStarted = "never"    // has not run on this worker and never will
+	FateStopped    = "stopped"  // ran partially and was stopped
+	FateFinished   = "finished" // ran to completion
+	FateRunning    = "running"  // is running
 )
 
-// Running is one request on a worker: the cache blocks that it holds, and Reserved, how many more
-// it may come to need.
+// Running is a request on a worker, with the number of cache blocks that it holds. Reserved is the number of
+// further blocks that are reserved for its growth.
 type Running struct {
 	ID       ID  `json:"id"`
 	Blocks   int `json:"blocks"`
 	Reserved int `json:"room"`
 }
 
-// Report is a worker's account of itself, which may lag behind its state. Used and Capacity
-// count cache blocks of Block tokens each; Queue counts requests that wait.
+// Report is a worker's report of its state, which may be out of date. Used and Capacity are numbers of cache
+// blocks, which hold BlockSize tokens each; Queue is the number of waiting requests.
 type Report struct {
 	Role        ids.Role        `json:"part"`
 	Model       Model           `json:"on"`
@@ -135,8 +135,8 @@
 	Incarnation ids.Incarnation `json:"life"`
 }
 
-// TokenEvent is one line of a worker's stream: the token at Index of the output or, where End is
-// set, the end of the stream after Count tokens.
+// TokenEvent is one line of a worker's stream: the token at Index of the output or, if End is set, the end of
+// the stream after Count tokens.
 type TokenEvent struct {
 	Index int    `json:"index"`
 	Token int32  `json:"token"`
@@ -145,7 +145,7 @@
 	Count int    `json:"count,omitempty"`
 }
 
-// ListedWorker is one worker on the platform's list. Leaving tells that it ends soon.
+// ListedWorker is a worker on the platform's list. Leaving states that it will shut down soon.
 type ListedWorker struct {
 	ID      ids.WorkerID `json:"id"`
 	Addr    string       `json:"addr"`
