--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -1,6 +1,6 @@
-// The decode side of the stand-in: import pays the whole block bill first or
-// fails loudly, attention waits for every byte, for the digest and for the
-// resume, and a cancelled attempt can never start again.
+// This file contains the decode side of the stand-in worker. An import first allocates or reserves all blocks that
+// the request may need, and fails if there are too few. Decoding starts only after all bytes have arrived, their
+// digest has been verified and the attempt has been resumed. A cancelled attempt can never start again.
 
 package standin
 
@@ -43,18 +43,23 @@
 		w.emit("bounced", state.ID, q.OrderHeader)
 		return nil, reject(http.StatusInsufficientStorage, "no room for %d blocks", totalBlocks)
 	}
-	r := &run{state: state, blocks: w.pool.allocate(importBlocks), reserved: totalBlocks - importBlocks, lastActive: w.now(), changed: make(chan struct{})}
+	r := &run{
+		state:      state,
+		blocks:     w.pool.allocate(importBlocks),
+		reserved:   totalBlocks - importBlocks,
+		lastActive: w.now(),
+		changed:    make(chan struct{}),
+	}
 	w.pool.reserved += r.reserved
 	w.live[state.ID] = r
 	go w.fetchKV(r, q.Source)
 	return &workerclient.OrderResponse{}, nil
 }
 
-// kvTokenBytes is how many bytes of KV the stand-in keeps for a token.
+// kvTokenBytes is the size of a token's KV cache in the stand-in.
 const kvTokenBytes = 8
 
-// fetchKV fills the blocks of a run from the worker at source, and gives the run up if that
-// fails.
+// fetchKV copies the KV cache of a run from the worker at source, and drops the run if that fails.
 func (w *Worker) fetchKV(r *run, source string) {
 	err := w.downloadKV(r, source)
 	w.mu.Lock()
@@ -73,8 +78,8 @@
 	w.wakeEngine()
 }
 
-// downloadKV reads the KV of a run into its blocks, and holds its length and digest against
-// the identity.
+// downloadKV copies the KV cache of a run from the worker at source into its blocks, and compares its length and
+// digest with the request's identity.
 func (w *Worker) downloadKV(r *run, source string) error {
 	id := r.state.ID
 	fetchCtx, cancel := context.WithTimeout(context.Background(), w.opt.StagingTTL)
@@ -106,7 +111,7 @@
 	return nil
 }
 
-// readKV puts the bytes into the blocks as they come in, and returns all of them.
+// readKV stores the bytes in the run's blocks as they arrive, and returns all of them.
 func (w *Worker) readKV(r *run, body io.Reader) (data []byte, err error) {
 	buf := make([]byte, 4096)
 	for {
@@ -127,8 +132,7 @@
 	}
 }
 
-// storeKV puts the tokens into the blocks that are whole by now and were not after the first
-// before bytes.
+// storeKV stores the tokens that are complete in data but were not complete in its first before bytes.
 func (w *Worker) storeKV(r *run, data []byte, before int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -145,7 +149,8 @@
 	return nil
 }
 
-// resume is the point of no return.
+// resume starts to decode an imported attempt, once its KV cache has arrived. This is the point of no return: from
+// here on the attempt counts as run, even if it is stopped.
 func (w *Worker) resume(ctx context.Context, q *workerclient.IDRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -187,7 +192,8 @@
 	return &workerclient.OrderResponse{Fate: workerclient.FateRunning}, nil
 }
 
-// cancelAttempt stops an attempt for good and tells what came of the request here.
+// cancelAttempt permanently stops an attempt and all earlier attempts of its request, and returns the request's
+// fate on this worker.
 func (w *Worker) cancelAttempt(_ context.Context, q *workerclient.IDRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -220,8 +226,8 @@
 	return &workerclient.OrderResponse{Fate: workerclient.FateNotStarted}, nil
 }
 
-// serveStream hands out pieces from an index on. A line goes out at least every
-// half second, so a reader knows a silent worker from a slow one.
+// serveStream sends the tokens of an attempt, starting at an index. It writes a line at least every half second, so
+// that the reader can distinguish a slow worker from a failed one.
 func (w *Worker) serveStream(rw http.ResponseWriter, q *http.Request) {
 	n, _ := strconv.Atoi(q.FormValue("attempt"))
 	index, _ := strconv.Atoi(q.FormValue("from"))
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,6 +1,6 @@
-// The stand-in's schedule: one loop reads queued prompts, or makes one token for
-// each resumed run a step, growing block tables out of the room that the import
-// was pledged.
+// This file contains the scheduler of the stand-in worker. In each step a single loop either prefills the oldest
+// queued prompt or generates one token for every resumed run. Block tables grow from the blocks that were
+// reserved at import.
 
 package standin
 
@@ -35,7 +35,8 @@
 	}
 }
 
-// stepDuration begins a step and tells how long it takes; settle shows its results.
+// stepDuration returns how long the next step takes, or 0 if there is nothing to do. finishStep applies the
+// results of the step.
 func (w *Worker) stepDuration() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -73,7 +74,7 @@
 
 const prefixBlock = 32
 
-// cachedTokens tells how many prompt tokens are warm from earlier prompts.
+// cachedTokens returns how many tokens of a run's prompt are in the prefix cache.
 func (w *Worker) cachedTokens(r *run) int {
 	hash := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
 	n := 0
@@ -109,7 +110,8 @@
 	}
 }
 
-// finishPrefill is the one step of prefill: every prompt token's cell, and one token.
+// finishPrefill applies the prefill step, which computes the KV cell of every prompt token and generates one
+// token.
 func (w *Worker) finishPrefill(r *run) {
 	if r.stopped {
 		return
@@ -121,7 +123,7 @@
 	}
 	r.state.Computed = len(r.state.Prompt)
 	if len(r.state.Output) > 0 {
-		// A recompute reads what was delivered before as if it were prompt.
+		// A recomputation processes the tokens that were already delivered as if they were part of the prompt.
 		for i, t := range r.state.Output[:len(r.state.Output)-1] {
 			r.lastCell = kvCell(model, r.lastCell, len(r.state.Prompt)+i, t)
 			w.pool.set(r.blocks, len(r.state.Prompt)+i, r.lastCell)
@@ -139,7 +141,7 @@
 	w.notify(r)
 }
 
-// decodeStep computes the newest token's cell and makes the next token.
+// decodeStep computes the KV cell of the newest token and generates the next token.
 func (w *Worker) decodeStep(r *run) {
 	model := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
 	out := r.state.Output
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -1,5 +1,5 @@
-// Stand-in callers: an open loop whose arrivals are fixed beforehand, so that
-// waiting is counted; each answer is held against a run that never moved.
+// This file contains the load generator. It is an open loop: arrival times are planned in advance, so that measured
+// latencies include queueing delays. Every output is compared with that of a run on a single worker.
 
 package standin
 
@@ -22,37 +22,38 @@
 	"keelstair.example/rpc"
 )
 
-// StreamClass is one kind of stream as callers send it.
+// StreamClass is a class of requests that the load generator sends.
 type StreamClass struct {
 	Kind         string
 	KeyRequired  bool
-	Percent      int // of 100
-	SharedPrefix int // prompt tokens that all of the kind share
-	MaxSuffix    int // prompt tokens of the caller's own, at most
+	Percent      int // percentage of the requests
+	SharedPrefix int // prompt tokens that all requests with the same prefix share
+	MaxSuffix    int // random prompt tokens: from MinSuffix, or 1 if that is 0, to less than MinSuffix + MaxSuffix
 	MaxTokens    int
-	MinSuffix    int // the least of the caller's own tokens
-	Prefixes     int // how many shared beginnings there are, if not one
+	MinSuffix    int // see MaxSuffix
+	Prefixes     int // number of different shared prefixes; 0 means 1
 }
 
-// LoadOptions say what to send.
+// LoadOptions configure a load.
 type LoadOptions struct {
 	Host     host.Host
-	Nodes    func(zone ids.Zone) []string // ready ones, those of the caller's zone if it has any
-	Zones    []ids.Zone                   // where callers are; none: anywhere
+	Nodes    func(zone ids.Zone) []string // returns the ready nodes, those of the zone if there are any
+	Zones    []ids.Zone                   // zones of the clients; empty for clients without a zone
 	Classes  []StreamClass
-	Rate     float64 // arrivals a second
+	Rate     float64 // arrivals per second
 	Duration time.Duration
 	Seed     uint64
 	Model    string
-	Weights  []string // any that may answer
-	Retries  int      // how often a bounced caller comes back when told
-	Timeout  time.Duration
+	Weights  []string      // model weights whose outputs are accepted
+	Retries  int           // maximum number of retries of a request
+	Timeout  time.Duration // of a request including its retries; 20s if 0
 }
 
-// TimedOut is the end of a call whose caller's own patience was over first.
+// TimedOut is the end of a request whose client timed out before the stream ended.
 const TimedOut = "left"
 
-// Outcome of one call.
+// Outcome is the outcome of one request. At is the planned arrival since the start of the load; FirstToken and
+// Duration are measured from that arrival.
 type Outcome struct {
 	Kind       string
 	Key        string
@@ -63,10 +64,10 @@
 	Detail     string
 	Tokens     []int32
 	Attempts   int
-	Node       string // the last that was asked
+	Node       string // the node of the last attempt
 }
 
-// Summary is what a load comes to.
+// Summary summarizes the outcomes of a load.
 type Summary struct {
 	Sent    int                    `json:"sent"`
 	Ends    map[string]int         `json:"ends"`
@@ -74,8 +75,8 @@
 	Details map[string]int         `json:"details,omitempty"`
 }
 
-// KindSummary is the part of a summary for one kind of stream. Times are in milliseconds from the
-// planned arrival: to the first piece, and to the end.
+// KindSummary summarizes the outcomes of one kind of request. Times are in milliseconds from the planned arrival to
+// the first token, and to the end of the stream.
 type KindSummary struct {
 	Sent        int     `json:"sent"`
 	Complete    int     `json:"complete"`
@@ -123,7 +124,7 @@
 	}
 }
 
-// Load sends it all and waits for every answer.
+// Load sends all requests at their planned times and waits for their outcomes.
 func Load(ctx context.Context, o LoadOptions) []Outcome {
 	client := rpc.NewHTTPClient(o.Host.Net)
 	defer client.CloseIdleConnections()
@@ -145,7 +146,15 @@
 	return out
 }
 
-func sendWithRetries(ctx context.Context, o *LoadOptions, client *http.Client, planned *plannedRequest, start time.Time, index uint64) Outcome {
+// sendWithRetries sends a request, retries it as configured, and checks its output.
+func sendWithRetries(
+	ctx context.Context,
+	o *LoadOptions,
+	client *http.Client,
+	planned *plannedRequest,
+	start time.Time,
+	index uint64,
+) Outcome {
 	rng := rand.New(rand.NewPCG(o.Seed, index+100))
 	outcome := Outcome{Kind: planned.request.Kind, Key: planned.request.Key, At: planned.at}
 	zone := ids.Zone("")
@@ -171,10 +180,19 @@
 	return outcome
 }
 
-// matchesReference holds an answer against the run that never moved.
+// matchesReference reports whether the tokens are the output of a run on a single worker with any of the accepted
+// weights.
 func (o *LoadOptions) matchesReference(planned *plannedRequest, tokens []int32) bool {
 	for _, w := range o.Weights {
-		reference := ReferenceOutput(planned.request.PromptIds, planned.request.MaxTokens, planned.request.Seed, planned.request.Temperature, o.Model, w, planned.request.Adapters)
+		reference := ReferenceOutput(
+			planned.request.PromptIds,
+			planned.request.MaxTokens,
+			planned.request.Seed,
+			planned.request.Temperature,
+			o.Model,
+			w,
+			planned.request.Adapters,
+		)
 		if len(reference) == len(tokens) {
 			same := true
 			for i := range reference {
@@ -188,14 +206,15 @@
 	return false
 }
 
-// Pauses of a caller before it comes back, where no answer said how long.
+// Retry delays for attempts whose response has no retry delay.
 const (
 	delayNoNode     = 500 * time.Millisecond
 	delayNotDialled = 300 * time.Millisecond
-	delayAfterCut   = time.Second // claimed kinds only
+	delayAfterCut   = time.Second // only for requests with a key
 )
 
-// sendOnce asks once; it returns how long to wait before asking again, if at all.
+// sendOnce sends a request once. It returns the delay before the next attempt, or 0 if the request must not be
+// retried.
 func sendOnce(
 	ctx context.Context,
 	o *LoadOptions,
@@ -208,7 +227,7 @@
 ) time.Duration {
 	addrs := o.Nodes(zone)
 	if len(addrs) == 0 {
-		outcome.End, outcome.Detail = "bounced", "no door"
+		outcome.End, outcome.Detail = "bounced", "no ready node"
 		return delayNoNode
 	}
 	body, _ := json.Marshal(planned.request)
@@ -225,18 +244,18 @@
 	return outcome.readStream(resp.Body, planned, due)
 }
 
-// recordNoResponse notes that a call had no answer at all.
+// recordNoResponse records that an attempt got no response.
 func (r *Outcome) recordNoResponse(err error, planned *plannedRequest) time.Duration {
 	if rpc.IsDialError(err) {
-		r.End, r.Detail = "bounced", "door is shut"
+		r.End, r.Detail = "bounced", "no connection"
 		return delayNotDialled
 	}
-	r.End, r.Detail = "cut", "no answer"
+	r.End, r.Detail = "cut", "no response"
 	return planned.delayAfterCut()
 }
 
-// delayAfterCut is when a caller comes back after an answer that was cut: only a request with a
-// key may be repeated.
+// delayAfterCut returns the retry delay after an attempt whose outcome is unknown, or 0 if the request has no key:
+// only a request with a key may be repeated.
 func (c *plannedRequest) delayAfterCut() time.Duration {
 	if c.class.KeyRequired {
 		return delayAfterCut
@@ -244,7 +263,8 @@
 	return 0
 }
 
-// recordRejection notes a refusal. A caller whose claimed request was surely not run takes a new key.
+// recordRejection records an error response. If the response states that a request with a key did not run, the
+// retry uses a new key.
 func (r *Outcome) recordRejection(body io.Reader, planned *plannedRequest) time.Duration {
 	var f struct {
 		Error struct {
@@ -262,18 +282,18 @@
 	return time.Duration(f.Error.After) * time.Millisecond
 }
 
-// readStream takes the lines of a stream up to its end.
+// readStream reads the events of a stream up to its end.
 func (r *Outcome) readStream(body io.Reader, planned *plannedRequest, due time.Time) time.Duration {
 	r.Tokens, r.End, r.Detail = nil, "cut", "the stream stopped"
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		var event api.StreamEvent
 		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
-			r.End, r.Detail = "wrong", "garbage"
+			r.End, r.Detail = "wrong", "invalid event"
 			return 0
 		}
 		if event.Index != len(r.Tokens) {
-			r.End, r.Detail = "wrong", fmt.Sprintf("piece %d where %d was due", event.Index, len(r.Tokens))
+			r.End, r.Detail = "wrong", fmt.Sprintf("token %d where %d was expected", event.Index, len(r.Tokens))
 			return 0
 		}
 		if event.End != "" {
@@ -288,7 +308,7 @@
 	return planned.delayAfterCut()
 }
 
-// recordEnd takes the last line of a stream.
+// recordEnd records the last event of a stream.
 func (r *Outcome) recordEnd(last *api.StreamEvent, planned *plannedRequest) time.Duration {
 	r.End, r.Detail = last.End, ""
 	if last.Error != nil {
@@ -303,7 +323,7 @@
 	return 0
 }
 
-// Summarize counts outcomes and gives percentiles by kind.
+// Summarize counts the outcomes and computes latency percentiles by kind.
 func Summarize(all []Outcome) Summary {
 	summary := Summary{Sent: len(all), Ends: map[string]int{}, Kinds: map[string]KindSummary{}, Details: map[string]int{}}
 	first, complete := map[string][]time.Duration{}, map[string][]time.Duration{}
@@ -328,7 +348,7 @@
 	return summary
 }
 
-// Quantile in milliseconds.
+// Quantile returns the q-quantile of the samples in milliseconds, or 0 if there are none.
 func Quantile(samples []time.Duration, q float64) float64 {
 	if len(samples) == 0 {
 		return 0
@@ -338,18 +358,18 @@
 	return float64(samples[int(q*float64(len(samples)-1))].Microseconds()) / 1000
 }
 
-// Site is one of the two deployments, in the sizes of today.
+// Site is a deployment with its current size and load.
 type Site struct {
 	Name    string
 	Zones   []ids.Zone
-	Nodes   int // machines without a disk
+	Nodes   int // number of router nodes, which have no disk
 	Prefill int
 	Decode  int
 	Model   string
 	Classes []StreamClass
 }
 
-// Sites are the two.
+// Sites contains the two deployments by name.
 var Sites = map[string]Site{
 	"vatuloa": {
 		Name:    "vatuloa",
--- a/internal/standin/outage.go
+++ b/internal/standin/outage.go
@@ -1,4 +1,4 @@
-// The longest span without service, as callers see it.
+// This file measures the longest outage that clients observe.
 
 package standin
 
@@ -9,8 +9,8 @@
 	"keelstair.example/internal/api"
 )
 
-// LongestOutage tells the longest span after a moment without a completed call among those
-// that count.
+// LongestOutage returns the longest period between from and to in which no request completed. include selects the
+// outcomes to consider; nil selects all.
 func LongestOutage(outcomes []Outcome, from, to time.Duration, include func(Outcome) bool) time.Duration {
 	var completions []time.Duration
 	for _, o := range outcomes {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,5 +1,5 @@
-// The stand-in platform: it lists workers as they come and go, checks every
-// node's readiness each second, and hands callers to ready nodes in their zone.
+// This file contains the stand-in platform. It keeps the list of workers, checks the readiness of every node once per
+// second, and tells clients the addresses of the ready nodes in their zone.
 
 package standin
 
@@ -17,14 +17,14 @@
 	"keelstair.example/rpc"
 )
 
-// Node is a node as the platform knows it.
+// Node is a router node that is registered with the platform.
 type Node struct {
 	Addr  string   `json:"addr"`
 	Zone  ids.Zone `json:"zone"`
 	Ready bool     `json:"ready"`
 }
 
-// Platform lists workers and doors.
+// Platform is a registry of workers and router nodes.
 type Platform struct {
 	mu         sync.Mutex
 	httpClient *http.Client
@@ -32,7 +32,7 @@
 	nodes      map[string]*Node
 }
 
-// NewPlatform returns a platform without workers or nodes. It asks nodes over the host's network.
+// NewPlatform returns a platform without workers or nodes. It checks nodes over the host's network.
 func NewPlatform(host host.Host) *Platform {
 	return &Platform{
 		httpClient: rpc.NewHTTPClient(host.Net),
@@ -41,21 +41,21 @@
 	}
 }
 
-// SetWorker puts a worker on the list, or changes its line.
+// SetWorker adds a worker to the list, or replaces its entry.
 func (p *Platform) SetWorker(l workerclient.ListedWorker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.workers[l.ID] = l
 }
 
-// RemoveWorker takes a worker off the list.
+// RemoveWorker removes a worker from the list.
 func (p *Platform) RemoveWorker(id ids.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.workers, id)
 }
 
-// MarkLeaving marks a worker as leaving.
+// MarkLeaving marks a worker as about to shut down.
 func (p *Platform) MarkLeaving(id ids.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,14 +65,15 @@
 	}
 }
 
-// AddNode adds a node's door.
+// AddNode registers a node. It counts as not ready until the next check.
 func (p *Platform) AddNode(addr string, zone ids.Zone) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nodes[addr] = &Node{Addr: addr, Zone: zone}
 }
 
-// ReadyNodes lists the doors that were ready when last asked.
+// ReadyNodes returns the addresses of the nodes that were ready at the last check: those in the zone, or all others
+// if there are none in the zone. An empty zone selects all nodes.
 func (p *Platform) ReadyNodes(zone ids.Zone) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +93,7 @@
 	return otherZones
 }
 
-// Run checks readiness every second until the context ends.
+// Run checks the readiness of all nodes every second until the context is cancelled.
 func (p *Platform) Run(ctx context.Context) {
 	for host.Sleep(ctx, time.Second) {
 		p.mu.Lock()
@@ -170,8 +171,8 @@
 	return mux
 }
 
-// PollNodes gives the doors that a platform names ready for a zone, asked anew twice a
-// second.
+// PollNodes requests the ready nodes of each zone from the platform at addr twice per second, until the context is
+// cancelled. The returned function returns the latest result for a zone.
 func PollNodes(ctx context.Context, machine host.Host, addr string, zones []ids.Zone) func(ids.Zone) []string {
 	client := rpc.NewHTTPClient(machine.Net)
 	var mu sync.Mutex
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -1,7 +1,9 @@
-// Package standin holds the stand-ins: a model worker, callers, a platform. This
-// file is the worker's memory: a pool of blocks of KV cells, and block tables
-// that put them in the order of tokens. Freed blocks keep their old cells, as
-// real memory does, so reading what was never filled gives foreign content.
+// Package standin contains stand-ins for the systems around the routers: a model worker, clients that generate
+// load, and the platform.
+//
+// This file implements the worker's memory: a pool of blocks of KV cells, and block tables that list the blocks of
+// a run in token order. As in real memory, freed blocks keep their content, so a read of cells that were never
+// written returns the content of another request.
 package standin
 
 import (
@@ -12,11 +14,12 @@
 	"keelstair.example/ids"
 )
 
+// pool is a fixed number of blocks of KV cells.
 type pool struct {
-	size     int
+	size     int // cells per block
 	cells    [][]uint64
-	free     []int
-	reserved int
+	free     []int // indices of the free blocks
+	reserved int   // free blocks that are reserved for the growth of runs
 }
 
 func newPool(capacity, size int) *pool {
@@ -30,7 +33,7 @@
 
 func (p *pool) used() int { return len(p.cells) - len(p.free) }
 
-// fits tells whether so many blocks can be had beside all pledged growth.
+// fits reports whether n blocks are free in addition to those that are reserved.
 func (p *pool) fits(n int) bool { return len(p.free)-p.reserved >= n }
 
 func (p *pool) allocate(n int) []int {
@@ -63,13 +66,13 @@
 	return v
 }
 
-// kvCell is what a token's KV is on given weights and adapters.
+// kvCell returns the KV cell of a token, which depends on the model, on the previous cell and on the position.
 func kvCell(model, previous uint64, pos int, token int32) uint64 {
 	return mix(mix(model, previous), uint64(pos)<<32|uint64(uint32(token)))
 }
 
-// attention reads every cell below n through the table; the next token hangs on
-// all of it, on the seed and on the temperature.
+// attention returns a hash of the model, the seed, the temperature and the first n cells of a block table. The next
+// token is derived from it, so it depends on each of them.
 func (p *pool) attention(blocks []int, n int, model, seed uint64, temperature float64) uint64 {
 	v := mix(model, seed)
 	if temperature > 0 {
@@ -81,7 +84,7 @@
 	return v
 }
 
-// sampleToken turns what was attended to into a token; 0 ends the answer.
+// sampleToken derives the token at position at of the output from the result of attention. 0 ends the output.
 func sampleToken(v uint64, at int) int32 {
 	if at > 2 && v%23 == 0 {
 		return 0
@@ -89,7 +92,7 @@
 	return int32(v%50000) + 1
 }
 
-// kvBytes is the KV as it crosses the wire.
+// kvBytes returns the first n cells of a block table as transferred between workers, with their digest.
 func (p *pool) kvBytes(blocks []int, n int) ([]byte, string) {
 	out := make([]byte, 0, 8*n)
 	for i := range n {
@@ -103,8 +106,16 @@
 	return hex.EncodeToString(sum[:12])
 }
 
-// ReferenceOutput is the answer of a run that never moves: the measure for all others.
-func ReferenceOutput(prompt []int32, maxTokens int, seed uint64, temperature float64, name, weights string, adapters []string) []int32 {
+// ReferenceOutput returns the output of a request that is processed by a single worker without a hand-over. The
+// output of every other run must be equal to it.
+func ReferenceOutput(
+	prompt []int32,
+	maxTokens int,
+	seed uint64,
+	temperature float64,
+	name, weights string,
+	adapters []string,
+) []int32 {
 	p := newPool(ids.Blocks(len(prompt)+maxTokens+1, 16), 16)
 	blocks := p.allocate(len(p.cells))
 	model := modelHash(name, weights, adapters)
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -1,5 +1,5 @@
-// The stand-in's HTTP side: orders under a fence, the late report, the stream,
-// and the KV that another worker fetches.
+// This file contains the HTTP interface of the stand-in worker: orders with a fencing token, the delayed report, the
+// prefill and export orders, and the transfer of KV cache to another worker.
 
 package standin
 
@@ -57,7 +57,7 @@
 		switch {
 		case q.URL.Path == "/fault" || q.URL.Path == "/tally":
 		case f.Unresponsive:
-			io.Copy(io.Discard, q.Body) // else the server would not notice a caller that leaves
+			io.Copy(io.Discard, q.Body) // the server detects a disconnect only after the body has been read
 			<-q.Context().Done()
 			return
 		case f.Garbage:
@@ -85,8 +85,12 @@
 	return &rejection{code, fmt.Sprintf(format, args...)}
 }
 
-// orderHandler reads an order and turns a refusal into its code.
-func orderHandler[Q any](w *Worker, handle func(context.Context, *Q) (*workerclient.OrderResponse, error)) http.HandlerFunc {
+// orderHandler returns a handler that decodes an order, executes it with handle and writes the response. A rejection
+// is written with its status.
+func orderHandler[Q any](
+	w *Worker,
+	handle func(context.Context, *Q) (*workerclient.OrderResponse, error),
+) http.HandlerFunc {
 	return func(rw http.ResponseWriter, q *http.Request) {
 		var in Q
 		if err := json.NewDecoder(io.LimitReader(q.Body, 16<<20)).Decode(&in); err != nil {
@@ -112,10 +116,11 @@
 	}
 }
 
-// tokenText is a token as text.
+// tokenText returns the text of a token.
 func tokenText(t int32) string { return fmt.Sprintf("t%d ", t) }
 
-// checkOrder checks the fence and notes the version. The caller holds mu.
+// checkOrder rejects an order whose fencing token is outdated or whose attempt was cancelled, and otherwise records
+// its fencing token and configuration version. The caller holds mu.
 func (w *Worker) checkOrder(event string, header workerclient.OrderHeader, id workerclient.ID) error {
 	if header.Fence < w.fence && !w.faults.IgnoreFencing {
 		return reject(http.StatusPreconditionFailed, "fence %d is older than %d", header.Fence, w.fence)
@@ -176,8 +181,8 @@
 	return &workerclient.OrderResponse{Identity: &got}, nil
 }
 
-// export snapshots the token state, takes the request off the schedule and
-// frees all its blocks; the bytes wait in the staging buffer for a while.
+// export copies a run's KV cache to the staging buffer, removes the run and frees its blocks. The copy is kept for
+// StagingTTL.
 func (w *Worker) export(_ context.Context, q *workerclient.ExportRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -1,4 +1,4 @@
-// A site's configuration, as its operators would write it.
+// This file generates a site's configuration in the form in which its operators write it.
 
 package standin
 
@@ -10,14 +10,14 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// Room and Block of every stand-in worker.
+// Cache blocks, tokens per block and weights of every stand-in worker.
 const (
 	SiteCapacity  = 2048
 	SiteBlockSize = 16
 	SiteWeights   = "w1"
 )
 
-// WorkerIDs lists a site's workers, part by part, spread over its zones.
+// WorkerIDs returns the IDs of a site's workers: first the prefill workers, then the decode workers.
 func (s Site) WorkerIDs() []ids.WorkerID {
 	var out []ids.WorkerID
 	for i := range s.Prefill + s.Decode {
@@ -26,7 +26,7 @@
 	return out
 }
 
-// WorkerID names the i-th worker.
+// WorkerID returns the ID of the i-th worker.
 func (s Site) WorkerID(i int) ids.WorkerID {
 	if i < s.Prefill {
 		return ids.WorkerID(fmt.Sprintf("p%d", i+1))
@@ -34,7 +34,8 @@
 	return ids.WorkerID(fmt.Sprintf("d%d", i-s.Prefill+1))
 }
 
-// Worker gives the i-th worker's catalogue line.
+// Worker returns the configuration entry of the i-th worker. The workers of a role are distributed over the zones
+// in turn.
 func (s Site) Worker(i int) fleetstate.Worker {
 	part := ids.Prefill
 	at := i
@@ -52,7 +53,7 @@
 	}
 }
 
-// Policy is the whole configuration as JSON text.
+// Policy returns the complete configuration as JSON text.
 func (s Site) Policy(programs map[string]fleetstate.Program) string {
 	workers := map[ids.WorkerID]fleetstate.Worker{}
 	for i, id := range s.WorkerIDs() {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -1,5 +1,5 @@
-// The stand-in worker: what it is set up as, the faults it can be ordered to
-// have, and its own count of runs and records, by which a double shows.
+// This file contains the stand-in worker: its options, the faults that can be injected, and its own counts per
+// request, which reveal a request that was executed twice.
 
 package standin
 
@@ -16,22 +16,22 @@
 	"keelstair.example/rpc"
 )
 
-// WorkerOptions set up a stand-in worker.
+// WorkerOptions configure a stand-in worker. The comments give the defaults of options that are left at zero.
 type WorkerOptions struct {
 	ID                ids.WorkerID
 	Addr              string
 	Role              ids.Role
 	Model             workerclient.Model
-	Capacity          int           // blocks
-	BlockSize         int           // tokens a block
-	PrefillPerToken   time.Duration // a prompt token's prefill, 40us
-	StepTime          time.Duration // a decode step, 4ms
-	StepPerRun        time.Duration // what each run adds to a step, 200us
-	ReportLag         time.Duration // how old its reports are, 300ms
-	StagingTTL        time.Duration // how long outgoing KV waits, 5s
-	OrphanTimeout     time.Duration // import without resume, or run without reader, 2s
-	WireBytesPerToken int           // bytes a token's KV weighs on the wire, 64
-	TransferRate      int           // bytes a second between workers, 64 MB
+	Capacity          int           // cache blocks
+	BlockSize         int           // tokens per cache block; 16
+	PrefillPerToken   time.Duration // prefill time per prompt token; 40us
+	StepTime          time.Duration // base time of a step; 4ms
+	StepPerRun        time.Duration // additional decode step time per run; 200us
+	ReportLag         time.Duration // age of the reports; 300ms
+	StagingTTL        time.Duration // how long exported KV cache stays staged; 5s
+	OrphanTimeout     time.Duration // after which an import without a resume, or a run without a reader, ends; 2s
+	WireBytesPerToken int           // determines the duration of a KV cache transfer; 64
+	TransferRate      int           // bytes per second between workers; 64 MiB
 	Host              host.Host
 }
 
@@ -47,29 +47,29 @@
 	ids.SetDefault(&o.TransferRate, 64<<20)
 }
 
-// Faults are ordered over POST /fault.
+// Faults are the faults that a worker injects. They are set with POST /fault or with SetFaults.
 type Faults struct {
-	TransferRate     int  `json:"speed,omitempty"`   // bytes a second of outgoing KV
-	Corrupt          bool `json:"corrupt,omitempty"` // flips a byte of outgoing KV
-	Drop             bool `json:"drop,omitempty"`    // breaks outgoing KV half way
-	ReportLagMs      int  `json:"lagMs,omitempty"`
-	Unresponsive     bool `json:"dark,omitempty"` // hears orders, answers nothing
-	Garbage          bool `json:"garbage,omitempty"`
-	SkipArrivalCheck bool `json:"hurry,omitempty"`  // planted: attends before all bytes are in
-	IgnoreFencing    bool `json:"forget,omitempty"` // planted: ignores fences and tombstones
+	TransferRate     int  `json:"speed,omitempty"`   // bytes per second of outgoing KV cache
+	Corrupt          bool `json:"corrupt,omitempty"` // flips a bit of outgoing KV cache
+	Drop             bool `json:"drop,omitempty"`    // aborts a KV cache transfer half way
+	ReportLagMs      int  `json:"lagMs,omitempty"`   // age of the reports
+	Unresponsive     bool `json:"dark,omitempty"`    // accepts requests, sends no response
+	Garbage          bool `json:"garbage,omitempty"` // sends responses that are not JSON
+	SkipArrivalCheck bool `json:"hurry,omitempty"`   // deliberate bug: decodes before all bytes have arrived
+	IgnoreFencing    bool `json:"forget,omitempty"`  // deliberate bug: ignores fencing tokens and tombstones
 }
 
-// RequestCounts is the worker's own book of what it did for one request.
+// RequestCounts counts what the worker did for one request.
 type RequestCounts struct {
-	Runs            int   `json:"runs"`    // resumes that began to decode
-	Finished        int   `json:"records"` // runs that came to their end
-	Prefills        int   `json:"reads"`   // prefills
-	RejectedImports int   `json:"bounced"` // imports refused for room
-	OutOfBlocks     int   `json:"starved"` // decodes that ran out of room midway
-	FirstTokens     []int `json:"first,omitempty"`
+	Runs            int   `json:"runs"`            // resumes that started to decode
+	Finished        int   `json:"records"`         // runs that completed
+	Prefills        int   `json:"reads"`           // prefills started
+	RejectedImports int   `json:"bounced"`         // imports rejected for lack of free blocks
+	OutOfBlocks     int   `json:"starved"`         // runs stopped for lack of free blocks
+	FirstTokens     []int `json:"first,omitempty"` // per run, the length of the output at resume
 }
 
-// Event is one line for a checker.
+// Event is an event on a worker, for the checkers of a test.
 type Event struct {
 	What    string
 	Worker  ids.WorkerID
@@ -79,7 +79,7 @@
 	At      ids.Tick
 }
 
-// Worker is one stand-in.
+// Worker is a stand-in for a model worker. OnEvent, if set, is called for each event.
 type Worker struct {
 	opt         WorkerOptions
 	httpClient  *http.Client
@@ -99,23 +99,25 @@
 	fates       map[string]*workerclient.OrderResponse
 	counts      map[string]*RequestCounts
 	prefixCache map[uint64]ids.Tick
-	prefixHits  [2]int // prompt tokens that were warm, and all
+	prefixHits  [2]int // prompt tokens found in prefixCache, and all prompt tokens
 	pastReports []timedReport
 	wake        chan struct{}
 }
 
+// timedReport is a report with the time at which it was made.
 type timedReport struct {
 	at     ids.Tick
 	report workerclient.Report
 }
 
+// stagedKV is exported KV cache that another worker may fetch until it expires.
 type stagedKV struct {
 	state workerclient.Identity
 	body  []byte
 	until ids.Tick
 }
 
-// run is one request on this worker.
+// run is one attempt of a request on this worker.
 type run struct {
 	state          workerclient.Identity
 	blocks         []int
@@ -131,8 +133,8 @@
 	changed        chan struct{}
 }
 
-// NewWorker returns a worker with the given options, and defaults for those that are left at
-// zero. It runs nothing before Run.
+// NewWorker returns a worker with the given options, with defaults for those that are zero. The worker is idle until
+// Run is called.
 func NewWorker(opt WorkerOptions) *Worker {
 	opt.setDefaults()
 	return &Worker{
@@ -153,7 +155,7 @@
 
 func (w *Worker) now() ids.Tick { return w.opt.Host.Clock.Now() }
 
-// Run works until the context ends.
+// Run processes requests until the context is cancelled.
 func (w *Worker) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { w.runEngine(ctx) })
@@ -181,7 +183,7 @@
 	return t
 }
 
-// RequestCounts copies the worker's book.
+// RequestCounts returns a copy of the worker's counts by request.
 func (w *Worker) RequestCounts() map[string]RequestCounts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -192,21 +194,22 @@
 	return out
 }
 
-// PrefixHits tells how many prompt tokens were warm when they were read, of how many.
+// PrefixHits returns how many of the processed prompt tokens were in the prefix cache, and how many there were in
+// total.
 func (w *Worker) PrefixHits() (warm, all int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.prefixHits[0], w.prefixHits[1]
 }
 
-// UsedBlocks tells how many blocks are taken.
+// UsedBlocks returns the number of allocated blocks.
 func (w *Worker) UsedBlocks() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.pool.used()
 }
 
-// SetFaults sets the faults.
+// SetFaults replaces the injected faults.
 func (w *Worker) SetFaults(f Faults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -220,7 +223,7 @@
 	}
 }
 
-// drop frees all that a run holds. The caller holds mu.
+// drop removes a run, frees its blocks and records its fate. The caller holds mu.
 func (w *Worker) drop(r *run, fate string) {
 	if _, ok := w.live[r.state.ID]; !ok {
 		return
@@ -249,20 +252,20 @@
 	w.notify(r)
 }
 
-// notify tells the readers of a run that it went on.
+// notify wakes the goroutines that wait for progress of a run. The caller holds mu.
 func (w *Worker) notify(r *run) {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// unstage frees outgoing KV. The caller holds mu.
+// unstage frees staged KV cache. The caller holds mu.
 func (w *Worker) unstage(id workerclient.ID) {
 	delete(w.staged, id)
 	w.emit("unstaged", id, workerclient.OrderHeader{})
 }
 
-// expire ends what nobody came for: staged KV, imports never resumed, runs that
-// nobody reads. It also keeps the late reports.
+// expire removes staged KV cache that was not fetched in time, imports that were not resumed and runs without a
+// reader. It also records the current report, which is served after the report lag.
 func (w *Worker) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -313,7 +316,7 @@
 	return r
 }
 
-// Role tells what the worker does now.
+// Role returns the worker's current role.
 func (w *Worker) Role() ids.Role {
 	w.mu.Lock()
 	defer w.mu.Unlock()
