--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -34,14 +34,14 @@
 	Prefill: 4,
 	Decode:  4,
 	Model:   "m",
-	Classes: []standin.StreamClass{{Kind: "verdict", KeyRequired: true, Percent: 30, SharedPrefix: 64, MaxSuffix: 64, MaxTokens: 2},
+	Classes: []standin.StreamClass{{Kind: "verdict", KeyRequired: true, Percent: 30, SharedPrefix: 64, SuffixRange: 64, MaxTokens: 2},
 		{
 			Kind:         "speech",
 			Percent:      30,
 			SharedPrefix: 64,
-			MaxSuffix:    32,
+			SuffixRange:  32,
 			MaxTokens:    40,
-		}, {Kind: "clarification", Percent: 40, SharedPrefix: 64, MaxSuffix: 16, MaxTokens: 16}},
+		}, {Kind: "clarification", Percent: 40, SharedPrefix: 64, SuffixRange: 16, MaxTokens: 16}},
 }
 
 // grant is a certificate's span at a worker, in the book's time.
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -54,18 +54,18 @@
 		defer c.Close()
 		require.NoError(t, c.Found())
 		read := c.Mix([]standin.StreamClass{{
-			Kind:      "clarification",
-			Percent:   100,
-			MaxSuffix: 400,
-			MaxTokens: 2,
-			MinSuffix: 1400,
+			Kind:        "clarification",
+			Percent:     100,
+			SuffixRange: 400,
+			MaxTokens:   2,
+			MinSuffix:   1400,
 		}}, 14.5, span, seed)
 		write := c.Mix([]standin.StreamClass{{
-			Kind:      "clarification",
-			Percent:   100,
-			MaxSuffix: 40,
-			MaxTokens: 64,
-			MinSuffix: 10,
+			Kind:        "clarification",
+			Percent:     100,
+			SuffixRange: 40,
+			MaxTokens:   64,
+			MinSuffix:   10,
 		}}, 75, span, seed+100)
 		out.read, out.write = standin.Summarize(read), standin.Summarize(write)
 		for _, b := range c.Of("router") {
--- a/internal/simulation/script_test.go
+++ b/internal/simulation/script_test.go
@@ -37,8 +37,8 @@
 	Decode:  2,
 	Model:   "m",
 	Classes: []standin.StreamClass{
-		{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefix: 64, MaxSuffix: 64, MaxTokens: 2},
-		{Kind: "clarification", Percent: 55, SharedPrefix: 64, MaxSuffix: 16, MaxTokens: 16},
+		{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefix: 64, SuffixRange: 64, MaxTokens: 2},
+		{Kind: "clarification", Percent: 55, SharedPrefix: 64, SuffixRange: 16, MaxTokens: 16},
 	},
 }
 
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -28,9 +28,9 @@
 	KeyRequired  bool
 	Percent      int // percentage of the requests
 	SharedPrefix int // prompt tokens that all requests with the same prefix share
-	MaxSuffix    int // random prompt tokens: from MinSuffix, or 1 if that is 0, to less than MinSuffix + MaxSuffix
+	SuffixRange  int // the suffix has max(1, MinSuffix) + n random tokens, n < SuffixRange
 	MaxTokens    int
-	MinSuffix    int // see MaxSuffix
+	MinSuffix    int // see SuffixRange
 	Prefixes     int // number of different shared prefixes; 0 means 1
 }
 
@@ -114,7 +114,7 @@
 		for j := range class.SharedPrefix {
 			request.PromptIds = append(request.PromptIds, base+int32(j)+1)
 		}
-		for range max(1, class.MinSuffix) + rng.IntN(class.MaxSuffix) {
+		for range max(1, class.MinSuffix) + rng.IntN(class.SuffixRange) {
 			request.PromptIds = append(request.PromptIds, 1+rng.Int32N(50000))
 		}
 		if class.KeyRequired {
@@ -379,8 +379,8 @@
 		Decode:  6,
 		Model:   "bridge-8b",
 		Classes: []StreamClass{
-			{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefix: 384, MaxSuffix: 640, MaxTokens: 2},
-			{Kind: "clarification", Percent: 55, SharedPrefix: 96, MaxSuffix: 48, MaxTokens: 24},
+			{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefix: 384, SuffixRange: 640, MaxTokens: 2},
+			{Kind: "clarification", Percent: 55, SharedPrefix: 96, SuffixRange: 48, MaxTokens: 24},
 		},
 	},
 	"almaty": {
@@ -391,8 +391,8 @@
 		Decode:  5,
 		Model:   "scooter-8b",
 		Classes: []StreamClass{
-			{Kind: "ruling", KeyRequired: true, Percent: 45, SharedPrefix: 320, MaxSuffix: 480, MaxTokens: 2},
-			{Kind: "rider", Percent: 55, SharedPrefix: 128, MaxSuffix: 48, MaxTokens: 24},
+			{Kind: "ruling", KeyRequired: true, Percent: 45, SharedPrefix: 320, SuffixRange: 480, MaxTokens: 2},
+			{Kind: "rider", Percent: 55, SharedPrefix: 128, SuffixRange: 48, MaxTokens: 24},
 		},
 	},
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -29,8 +29,8 @@
 	StepPerRun        time.Duration // additional decode step time per run; 200us
 	ReportLag         time.Duration // age of the reports; 300ms
 	StagingTTL        time.Duration // how long exported KV cache stays staged; 5s
-	OrphanTimeout     time.Duration // after which an import without a resume, or a run without a reader, ends; 2s
-	WireBytesPerToken int           // determines the duration of a KV cache transfer; 64
+	OrphanTimeout     time.Duration // limit for an import without a resume and for a run without a reader; 2s
+	WireBytesPerToken int           // nominal KV cache size, for the duration of a transfer; 64
 	TransferRate      int           // bytes per second between workers; 64 MiB
 	Host              host.Host
 }
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -1,5 +1,5 @@
-// The stand-in worker, held against what the hand-over paper's own tests prove and
-// what the paper leaves open: arrival, lost memory, orphans, fences.
+// These tests check the stand-in worker against the guarantees that the tests of the hand-over paper establish, and
+// against those that the paper leaves open: arrival of the KV cache, lost memory, orphaned runs and fencing.
 
 package standin
 
@@ -19,7 +19,7 @@
 	"keelstair.example/rpc"
 )
 
-// fixture runs a prefill and a decode worker and gives a client to drive them.
+// fixture is a prefill and a decode worker on a simulated network, with a client that sends them orders.
 type fixture struct {
 	prefill, decode         *Worker
 	prefillAddr, decodeAddr string
@@ -31,7 +31,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		world := simulated.NewWorld(1)
 		ctx, stop := context.WithCancel(context.Background())
-		x := &fixture{prefillAddr: "10.0.0.1:90", decodeAddr: "10.0.0.2:90", ctx: ctx}
+		fx := &fixture{prefillAddr: "10.0.0.1:90", decodeAddr: "10.0.0.2:90", ctx: ctx}
 		for i, role := range []ids.Role{ids.Prefill, ids.Decode} {
 			host := world.Machine(fmt.Sprintf("10.0.0.%d", i+1)).Start().Host()
 			addr := fmt.Sprintf("10.0.0.%d:90", i+1)
@@ -43,100 +43,100 @@
 				Host:     host,
 				Model:    workerclient.Model{Name: "m", Weights: "w1"},
 			})
-			l, err := host.Net.Listen(addr)
+			listener, err := host.Net.Listen(addr)
 			require.NoError(t, err)
-			go rpc.Serve(ctx, l, worker.Handler())
+			go rpc.Serve(ctx, listener, worker.Handler())
 			go worker.Run(ctx)
 			if role == ids.Prefill {
-				x.prefill = worker
+				fx.prefill = worker
 			} else {
-				x.decode = worker
+				fx.decode = worker
 			}
 		}
 		clientMachine := world.Machine("10.0.0.9").Start()
-		x.client = workerclient.New(clientMachine.Host().Net)
+		fx.client = workerclient.New(clientMachine.Host().Net)
 		defer func() {
 			stop()
-			x.client.Close()
+			fx.client.Close()
 			clientMachine.Kill()
 			for i := range 2 {
 				world.Machine(fmt.Sprintf("10.0.0.%d", i+1)).PowerOff()
 			}
-			time.Sleep(10 * time.Second) // simulated: what is under way runs out
+			time.Sleep(10 * time.Second) // simulated time: goroutines in progress end
 		}()
-		test(x)
+		test(fx)
 	})
 }
 
 func (x *fixture) identity(name string, prompt, max int) workerclient.Identity {
-	m := workerclient.Identity{
+	state := workerclient.Identity{
 		ID:     workerclient.ID{Request: name, Attempt: 1},
 		Params: workerclient.Params{MaxTokens: max, Seed: 7},
 		Model:  workerclient.Model{Name: "m", Weights: "w1"},
 	}
 	for i := range prompt {
-		m.Prompt = append(m.Prompt, int32(i*31%997+len(name)))
+		state.Prompt = append(state.Prompt, int32(i*31%997+len(name)))
 	}
-	return m
+	return state
 }
 
-func (x *fixture) prefillAndExport(t *testing.T, m workerclient.Identity) workerclient.Identity {
+func (x *fixture) prefillAndExport(t *testing.T, state workerclient.Identity) workerclient.Identity {
 	_, err := x.client.Prefill(x.ctx, x.prefillAddr, &workerclient.PrefillRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
-		Identity:    m,
+		Identity:    state,
 	})
 	require.NoError(t, err)
-	a, err := x.client.Export(x.ctx, x.prefillAddr, &workerclient.ExportRequest{
+	resp, err := x.client.Export(x.ctx, x.prefillAddr, &workerclient.ExportRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
-		ID:          m.ID,
+		ID:          state.ID,
 	})
 	require.NoError(t, err)
-	return *a.Identity
+	return *resp.Identity
 }
 
-func (x *fixture) importKV(m workerclient.Identity) error {
+func (x *fixture) importKV(state workerclient.Identity) error {
 	_, err := x.client.Import(x.ctx, x.decodeAddr, &workerclient.ImportRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
-		Identity:    m,
+		Identity:    state,
 		Source:      x.prefillAddr,
 	})
 	return err
 }
 
-func (x *fixture) resume(m workerclient.Identity) error {
+func (x *fixture) resume(state workerclient.Identity) error {
 	_, err := x.client.Resume(x.ctx, x.decodeAddr, &workerclient.IDRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
-		ID:          m.ID,
+		ID:          state.ID,
 	})
 	return err
 }
 
-func (x *fixture) streamRest(t *testing.T, m workerclient.Identity) []int32 {
-	out := append([]int32(nil), m.Output...)
-	require.NoError(t, x.client.Stream(x.ctx, x.decodeAddr, m.ID, len(out), time.Second, func(p workerclient.TokenEvent) error {
-		if p.End == "" {
-			out = append(out, p.Token)
+func (x *fixture) streamRest(t *testing.T, state workerclient.Identity) []int32 {
+	out := append([]int32(nil), state.Output...)
+	require.NoError(t, x.client.Stream(x.ctx, x.decodeAddr, state.ID, len(out), time.Second, func(event workerclient.TokenEvent) error {
+		if event.End == "" {
+			out = append(out, event.Token)
 		}
 		return nil
 	}))
 	return out
 }
 
-func referenceOutput(m workerclient.Identity) []int32 {
+func referenceOutput(state workerclient.Identity) []int32 {
 	return ReferenceOutput(
-		m.Prompt,
-		m.Params.MaxTokens,
-		m.Params.Seed,
-		m.Params.Temperature,
-		m.Model.Name,
-		m.Model.Weights,
-		m.Model.Adapters,
+		state.Prompt,
+		state.Params.MaxTokens,
+		state.Params.Seed,
+		state.Params.Temperature,
+		state.Model.Name,
+		state.Model.Weights,
+		state.Model.Adapters,
 	)
 }
 
-// TestSameTokens: after prefill plus one step, and again in mid-decode, the
-// request that moved gives what a run that never moved gives. The source is
-// clean, and the destination pays exactly the block bill.
+// TestSameTokens checks that a request that is handed over, after prefill or in the middle of decode, has the same
+// output as one that runs on a single worker. The source must have freed all blocks, and the destination must
+// allocate exactly the blocks of the computed tokens.
 func TestSameTokens(t *testing.T) {
 	withWorkers(t, 64, func(x *fixture) {
 		for _, sent := range []int{0, 1, 3, 5} {
@@ -145,9 +145,9 @@
 			require.Greater(t, len(reference), sent)
 			m.Output = reference[:sent:sent]
 			got := x.prefillAndExport(t, m)
-			require.Zero(t, x.prefill.UsedBlocks(), "the source must come back clean")
+			require.Zero(t, x.prefill.UsedBlocks(), "the source must free all blocks")
 			require.NoError(t, x.importKV(got))
-			require.Equal(t, ids.Blocks(got.Computed, 16), x.decode.UsedBlocks(), "the bill is ceil(computed / block size)")
+			require.Equal(t, ids.Blocks(got.Computed, 16), x.decode.UsedBlocks(), "the import takes ceil(computed / block size) blocks")
 			require.NoError(t, x.resume(got))
 			require.Equal(t, reference, x.streamRest(t, got))
 			require.Zero(t, x.decode.UsedBlocks())
@@ -155,8 +155,8 @@
 	})
 }
 
-// TestImportWithoutCapacity: what does not fit whole, answer included, is refused at the
-// import, before any token; and nothing is taken.
+// TestImportWithoutCapacity checks that a request whose prompt and output do not fit is rejected at import, before any
+// token is generated, and that no block is allocated.
 func TestImportWithoutCapacity(t *testing.T) {
 	withWorkers(t, 8, func(x *fixture) {
 		m := x.identity("big", 100, 40)
@@ -170,8 +170,8 @@
 	})
 }
 
-// TestDecodeWaitsForKV: attention waits for every byte. The planted worker that
-// hurries gives other tokens, so the check can fail.
+// TestDecodeWaitsForKV checks that decoding waits until every byte of the KV cache has arrived. A worker with the
+// SkipArrivalCheck fault must generate different tokens, which shows that the check can fail.
 func TestDecodeWaitsForKV(t *testing.T) {
 	withWorkers(t, 64, func(x *fixture) {
 		x.prefill.SetFaults(Faults{TransferRate: 20_000})
@@ -187,7 +187,8 @@
 	})
 }
 
-// TestFailedTransfer: memory whose digest is off, or that breaks off, is never resumed.
+// TestFailedTransfer checks that an attempt is never resumed if its KV cache has a wrong digest or the transfer was
+// aborted.
 func TestFailedTransfer(t *testing.T) {
 	for _, f := range []Faults{{Corrupt: true}, {Drop: true}} {
 		withWorkers(t, 64, func(x *fixture) {
@@ -201,8 +202,8 @@
 	}
 }
 
-// TestOrphans: an import that is never resumed and a run that nobody reads end
-// by themselves, and a cancelled attempt can never start.
+// TestOrphans checks that an import that is never resumed is dropped after a timeout, and that a cancelled attempt can
+// never start.
 func TestOrphans(t *testing.T) {
 	withWorkers(t, 64, func(x *fixture) {
 		m := x.prefillAndExport(t, x.identity("left", 100, 8))
@@ -221,7 +222,7 @@
 	})
 }
 
-// TestFence: an order under an older fence is refused and changes nothing.
+// TestFence checks that an order with an outdated fencing token is rejected and has no effect.
 func TestFence(t *testing.T) {
 	withWorkers(t, 64, func(x *fixture) {
 		_, err := x.client.SetRole(x.ctx, x.decodeAddr, &workerclient.RoleRequest{
@@ -235,7 +236,8 @@
 	})
 }
 
-// TestInvalidOrders: what is malformed or for another model is named and refused.
+// TestInvalidOrders checks that an order for another model is rejected, and that a malformed response is reported with
+// the worker's address.
 func TestInvalidOrders(t *testing.T) {
 	withWorkers(t, 64, func(x *fixture) {
 		m := x.identity("other", 10, 4)
