--- a/internal/api/json.go
+++ b/internal/api/json.go
@@ -31,7 +31,14 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &typeErr):
-		return NewFault(http.StatusBadRequest, "wrong-type", typeErr.Field, "a JSON %s cannot be decoded as %s", typeErr.Value, typeErr.Type)
+		return NewFault(
+			http.StatusBadRequest,
+			"wrong-type",
+			typeErr.Field,
+			"a JSON %s cannot be decoded as %s",
+			typeErr.Value,
+			typeErr.Type,
+		)
 	case strings.HasPrefix(err.Error(), unknownFieldPrefix):
 		return NewFault(
 			http.StatusBadRequest,
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -165,7 +165,12 @@
 		if err != nil || from < 1 {
 			WriteError(
 				w,
-				NewFault(http.StatusBadRequest, "out-of-range", "from", "the number of the first row is required and must be at least 1"),
+				NewFault(
+					http.StatusBadRequest,
+					"out-of-range",
+					"from",
+					"the number of the first row is required and must be at least 1",
+				),
 			)
 			return
 		}
--- a/internal/certification/certification_test.go
+++ b/internal/certification/certification_test.go
@@ -38,36 +38,36 @@
 // newAuthority returns a configuration with two issuers, whose validity periods overlap by ten days, and a
 // certificate each for a worker and a node.
 func newAuthority(t *testing.T) *authority {
-	o := &authority{regimes: map[string]Regime{"chair": {Kinds: []string{"verdict"}, ReservedPercent: 20}, "fines": {Kinds: []string{"ruling"}}},
+	a := &authority{regimes: map[string]Regime{"chair": {Kinds: []string{"verdict"}, ReservedPercent: 20}, "fines": {Kinds: []string{"ruling"}}},
 		issuers: map[string]Issuer{}, certs: map[string]Certificate{}, sign: map[string]func(*Certificate){}}
 	for id, days := range map[string][2]int{"k1": {0, 100}, "k2": {90, 200}} {
 		key, text, err := NewKey()
 		require.NoError(t, err)
 		key, err = ParsePrivateKey(text)
 		require.NoError(t, err)
-		o.issuers[id] = Issuer{Key: EncodePublicKey(key), From: dayString(days[0]), Until: dayString(days[1])}
-		o.sign[id] = func(c *Certificate) { c.Issuer = id; c.Sign(key) }
+		a.issuers[id] = Issuer{Key: EncodePublicKey(key), From: dayString(days[0]), Until: dayString(days[1])}
+		a.sign[id] = func(c *Certificate) { c.Issuer = id; c.Sign(key) }
 	}
-	o.issue("k1", Certificate{Serial: "1", Worker: "p1", Regime: "chair", Roles: bothRoles, From: dayString(1), Until: dayString(10)})
-	o.issue("k1", Certificate{Serial: "2", Node: "v1", Regime: "chair", From: dayString(1), Until: dayString(50)})
-	return o
+	a.issue("k1", Certificate{Serial: "1", Worker: "p1", Regime: "chair", Roles: bothRoles, From: dayString(1), Until: dayString(10)})
+	a.issue("k1", Certificate{Serial: "2", Node: "v1", Regime: "chair", From: dayString(1), Until: dayString(50)})
+	return a
 }
 
-func (o *authority) issue(issuer string, c Certificate) {
-	o.sign[issuer](&c)
-	o.certs[c.Serial] = c
+func (a *authority) issue(issuer string, c Certificate) {
+	a.sign[issuer](&c)
+	a.certs[c.Serial] = c
 }
 
-func (o *authority) compile() (*Register, error) { return Compile(o.regimes, o.issuers, o.certs) }
+func (a *authority) compile() (*Register, error) { return Compile(a.regimes, a.issuers, a.certs) }
 
 // TestAuthorizes checks authorization by regime, subject, role and time. The start of a validity period is
 // compared with the lower bound of the time and its end with the upper bound. A revocation takes effect at once,
 // and the signing key must be valid too.
 func TestAuthorizes(t *testing.T) {
-	o := newAuthority(t)
-	o.issue("k1", Certificate{Serial: "3", Worker: "p1", Regime: "chair", Roles: []ids.Role{ids.Prefill}, From: dayString(5), Until: dayString(150)})
-	o.issue("k2", Certificate{Serial: "4", Worker: "d1", Regime: "chair", Roles: []ids.Role{ids.Decode}, From: dayString(80), Until: dayString(150)})
-	r, err := o.compile()
+	a := newAuthority(t)
+	a.issue("k1", Certificate{Serial: "3", Worker: "p1", Regime: "chair", Roles: []ids.Role{ids.Prefill}, From: dayString(5), Until: dayString(150)})
+	a.issue("k2", Certificate{Serial: "4", Worker: "d1", Regime: "chair", Roles: []ids.Role{ids.Decode}, From: dayString(80), Until: dayString(150)})
+	r, err := a.compile()
 	require.NoError(t, err)
 	require.Equal(t, "chair", r.RegimeOf("verdict"))
 	require.Empty(t, r.RegimeOf("clarification"))
@@ -75,7 +75,7 @@
 	for _, tc := range []struct {
 		regime  string
 		subject Subject
-		part    ids.Role
+		role    ids.Role
 		now     TimeBounds
 		serial  string
 	}{
@@ -96,7 +96,7 @@
 		{"chair", d1, ids.Decode, exactDay(95), "4"},  // both keys are valid
 		{"chair", d1, ids.Decode, TimeBounds{}, ""},   // the time is unknown
 	} {
-		serial, ok := r.Authorizes(tc.regime, tc.subject, tc.part, tc.now)
+		serial, ok := r.Authorizes(tc.regime, tc.subject, tc.role, tc.now)
 		require.Equal(t, tc.serial, serial, "%+v", tc)
 		require.Equal(t, tc.serial != "", ok)
 	}
@@ -131,12 +131,12 @@
 // reason and the field, and that an invalid certificate authorizes no subject.
 func TestRejectedCertificates(t *testing.T) {
 	alter := func(f func(c *Certificate)) func(*authority) {
-		return func(o *authority) { c := o.certs["1"]; f(&c); o.certs["1"] = c }
+		return func(a *authority) { c := a.certs["1"]; f(&c); a.certs["1"] = c }
 	}
 	for name, tc := range map[string]struct {
-		do   func(o *authority)
-		path string
-		says string
+		modify  func(a *authority)
+		path    string
+		message string
 	}{
 		"forged":         {alter(func(c *Certificate) { c.Until = dayString(99) }), "certificates.1.signature", "forged, altered"},
 		"other subject":  {alter(func(c *Certificate) { c.Worker = "p2" }), "certificates.1.signature", "worker p2"},
@@ -144,30 +144,30 @@
 		"other regime":   {alter(func(c *Certificate) { c.Regime = "fines" }), "certificates.1.signature", "forged, altered"},
 		"truncated":      {alter(func(c *Certificate) { c.Signature = c.Signature[:40] }), "certificates.1.signature", "truncated: 30 bytes of 64"},
 		"no base64":      {alter(func(c *Certificate) { c.Signature = "§" }), "certificates.1.signature", "base64"},
-		"wrong key":      {func(o *authority) { c := o.certs["1"]; o.sign["k2"](&c); c.Issuer = "k1"; o.certs["1"] = c }, "certificates.1.signature", "another key"},
-		"foreign":        {func(o *authority) { c := o.certs["1"]; c.Issuer = "k9"; o.certs["1"] = c }, "certificates.1.issuer", `"k9" is foreign`},
-		"never in force": {func(o *authority) { c := o.certs["1"]; o.sign["k2"](&c); o.certs["1"] = c }, "certificates.1.issuer", "never in force"},
+		"wrong key":      {func(a *authority) { c := a.certs["1"]; a.sign["k2"](&c); c.Issuer = "k1"; a.certs["1"] = c }, "certificates.1.signature", "another key"},
+		"foreign":        {func(a *authority) { c := a.certs["1"]; c.Issuer = "k9"; a.certs["1"] = c }, "certificates.1.issuer", `"k9" is foreign`},
+		"never in force": {func(a *authority) { c := a.certs["1"]; a.sign["k2"](&c); a.certs["1"] = c }, "certificates.1.issuer", "never in force"},
 		"end first":      {alter(func(c *Certificate) { c.Until = dayString(0) }), "certificates.1.until", "not after its start"},
 		"no time":        {alter(func(c *Certificate) { c.From = "soon" }), "certificates.1.from", `"soon" is no time`},
 		"unknown regime": {alter(func(c *Certificate) { c.Regime = "x" }), "certificates.1.regime", `unknown regime "x"`},
 		"no subject":     {alter(func(c *Certificate) { c.Worker = "" }), "certificates.1", "one worker or one node"},
 		"two subjects":   {alter(func(c *Certificate) { c.Node = "v" }), "certificates.1", "one worker or one node"},
 		"no parts":       {alter(func(c *Certificate) { c.Roles = nil }), "certificates.1", "names its parts"},
-		"two serials":    {func(o *authority) { o.certs["7"] = o.certs["1"] }, "certificates.7", "each serial must be unique"},
-		"replayed": {func(o *authority) { c := o.certs["1"]; c.Serial, c.Worker = "7", "p7"; o.certs["7"] = c },
+		"two serials":    {func(a *authority) { a.certs["7"] = a.certs["1"] }, "certificates.7", "each serial must be unique"},
+		"replayed": {func(a *authority) { c := a.certs["1"]; c.Serial, c.Worker = "7", "p7"; a.certs["7"] = c },
 			"certificates.7.signature", `replayed: serial "1"`},
-		"short key": {func(o *authority) { o.issuers["k1"] = Issuer{Key: "AAAA", From: dayString(0), Until: dayString(1)} }, "issuers.k1.key", "32 bytes"},
-		"key's end": {func(o *authority) { i := o.issuers["k1"]; i.Until = dayString(-1); o.issuers["k1"] = i }, "issuers.k1.until", "not after its start"},
-		"kind twice": {func(o *authority) { o.regimes["fines"] = Regime{Kinds: []string{"verdict"}} }, "regimes.fines.kinds",
+		"short key": {func(a *authority) { a.issuers["k1"] = Issuer{Key: "AAAA", From: dayString(0), Until: dayString(1)} }, "issuers.k1.key", "32 bytes"},
+		"key's end": {func(a *authority) { i := a.issuers["k1"]; i.Until = dayString(-1); a.issuers["k1"] = i }, "issuers.k1.until", "not after its start"},
+		"kind twice": {func(a *authority) { a.regimes["fines"] = Regime{Kinds: []string{"verdict"}} }, "regimes.fines.kinds",
 			`governed by "chair" already`},
-		"no regime": {func(o *authority) { o.regimes = nil }, "certificates", "no regime"},
+		"no regime": {func(a *authority) { a.regimes = nil }, "certificates", "no regime"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := newAuthority(t)
-			o.regimes, o.certs = maps.Clone(o.regimes), maps.Clone(o.certs)
-			tc.do(o)
-			r, err := o.compile()
-			require.ErrorContains(t, err, tc.says)
+			a := newAuthority(t)
+			a.regimes, a.certs = maps.Clone(a.regimes), maps.Clone(a.certs)
+			tc.modify(a)
+			r, err := a.compile()
+			require.ErrorContains(t, err, tc.message)
 			require.True(t, failure.Is(firstError(err), failure.InvalidArgument))
 			var f *Fault
 			require.ErrorAs(t, err, &f)
@@ -198,13 +198,13 @@
 	require.NoError(t, err)
 	_, good, err := NewKey()
 	require.NoError(t, err)
-	for says, text := range map[string][]byte{
+	for message, text := range map[string][]byte{
 		"no PEM file":  []byte("hello"),
 		"another type": pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}),
 		"read key":     good[:len(good)/2],
 	} {
 		_, err := ParsePrivateKey(text)
-		require.ErrorContains(t, err, says)
+		require.ErrorContains(t, err, message)
 		require.True(t, failure.Is(err, failure.InvalidArgument))
 	}
 }
--- a/internal/certification/register.go
+++ b/internal/certification/register.go
@@ -88,11 +88,23 @@
 	return r, errors.Join(errs...)
 }
 
-func (r *Register) addCertificate(serial string, c *Certificate, keys map[string]*issuerKey, signed map[string]string) error {
+// addCertificate verifies a certificate and adds it to the register. signed maps the signatures seen so far to their
+// serials.
+func (r *Register) addCertificate(
+	serial string,
+	c *Certificate,
+	keys map[string]*issuerKey,
+	signed map[string]string,
+) error {
 	path := []string{"certificates", serial}
 	switch other, duplicate := signed[c.Signature]; {
 	case c.Serial != serial:
-		return invalid(path, "serial %q is stored under the name %q: each serial must be unique and match its name", c.Serial, serial)
+		return invalid(
+			path,
+			"serial %q is stored under the name %q: each serial must be unique and match its name",
+			c.Serial,
+			serial,
+		)
 	case duplicate:
 		return invalid(append(path, "signature"), "it is replayed: serial %q has the same signature", other)
 	case (c.Worker == "") == (c.Node == ""):
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -229,9 +229,9 @@
 // serveStream sends the tokens of an attempt, starting at an index. It writes a line at least every half second, so
 // that the reader can distinguish a slow worker from a failed one.
 func (w *Worker) serveStream(rw http.ResponseWriter, q *http.Request) {
-	n, _ := strconv.Atoi(q.FormValue("attempt"))
+	attempt, _ := strconv.Atoi(q.FormValue("attempt"))
 	index, _ := strconv.Atoi(q.FormValue("from"))
-	id := workerclient.ID{Request: q.FormValue("request"), Attempt: n}
+	id := workerclient.ID{Request: q.FormValue("request"), Attempt: attempt}
 	w.mu.Lock()
 	r := w.live[id]
 	f := w.fates[id.Request]
@@ -241,12 +241,12 @@
 		return
 	}
 	encoder := json.NewEncoder(rw)
-	send := func(out []int32, ended bool) {
-		for ; index < len(out); index++ {
-			encoder.Encode(workerclient.TokenEvent{Index: index, Token: out[index], Text: tokenText(out[index])})
+	send := func(output []int32, ended bool) {
+		for ; index < len(output); index++ {
+			encoder.Encode(workerclient.TokenEvent{Index: index, Token: output[index], Text: tokenText(output[index])})
 		}
 		if ended {
-			encoder.Encode(workerclient.TokenEvent{Index: index, End: "stop", Count: len(out)})
+			encoder.Encode(workerclient.TokenEvent{Index: index, End: "stop", Count: len(output)})
 		}
 		rw.(http.Flusher).Flush()
 	}
@@ -256,10 +256,10 @@
 	}
 	for {
 		w.mu.Lock()
-		out, ended, stopped, changed, now := r.state.Output, r.ended, r.stopped, r.changed, w.now()
+		output, ended, stopped, changed, now := r.state.Output, r.ended, r.stopped, r.changed, w.now()
 		r.lastActive = now
 		w.mu.Unlock()
-		send(out, ended)
+		send(output, ended)
 		if ended || stopped {
 			if stopped {
 				panic(http.ErrAbortHandler)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -170,7 +170,10 @@
 	r.lastCell = kvCell(model, r.lastCell, n, out[len(out)-1])
 	w.pool.set(r.blocks, n, r.lastCell)
 	r.state.Computed++
-	t := sampleToken(w.pool.attention(r.blocks, r.state.Computed, model, r.state.Params.Seed, r.state.Params.Temperature), len(out))
+	t := sampleToken(
+		w.pool.attention(r.blocks, r.state.Computed, model, r.state.Params.Seed, r.state.Params.Temperature),
+		len(out),
+	)
 	if t == 0 {
 		w.finish(r)
 		return
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -92,27 +92,27 @@
 	handle func(context.Context, *Q) (*workerclient.OrderResponse, error),
 ) http.HandlerFunc {
 	return func(rw http.ResponseWriter, q *http.Request) {
-		var in Q
-		if err := json.NewDecoder(io.LimitReader(q.Body, 16<<20)).Decode(&in); err != nil {
+		var order Q
+		if err := json.NewDecoder(io.LimitReader(q.Body, 16<<20)).Decode(&order); err != nil {
 			writeJSON(rw, http.StatusBadRequest, workerclient.Rejection{Name: "malformed", Detail: err.Error()})
 			return
 		}
-		a, err := handle(q.Context(), &in)
+		resp, err := handle(q.Context(), &order)
 		if r, ok := err.(*rejection); ok {
 			writeJSON(rw, r.code, workerclient.Rejection{Name: r.name})
 			return
 		}
 		w.mu.Lock()
-		a.Version, a.Incarnation = w.version, w.incarnation
-		tokens := a.Output
-		if a.Identity != nil {
-			tokens = a.Identity.Output
+		resp.Version, resp.Incarnation = w.version, w.incarnation
+		tokens := resp.Output
+		if resp.Identity != nil {
+			tokens = resp.Identity.Output
 		}
 		for _, t := range tokens {
-			a.Texts = append(a.Texts, tokenText(t))
+			resp.Texts = append(resp.Texts, tokenText(t))
 		}
 		w.mu.Unlock()
-		writeJSON(rw, http.StatusOK, a)
+		writeJSON(rw, http.StatusOK, resp)
 	}
 }
 
@@ -142,7 +142,7 @@
 	}
 	r := w.live[id]
 	if r == nil {
-		n := ids.Blocks(len(q.Identity.Prompt)+len(q.Identity.Output)+1, w.pool.size)
+		blocks := ids.Blocks(len(q.Identity.Prompt)+len(q.Identity.Output)+1, w.pool.size)
 		switch {
 		case w.role != ids.Prefill:
 			w.mu.Unlock()
@@ -150,11 +150,11 @@
 		case !w.opt.Model.Serves(q.Identity.Model):
 			w.mu.Unlock()
 			return nil, reject(http.StatusUnprocessableEntity, "another model")
-		case !w.pool.fits(n):
+		case !w.pool.fits(blocks):
 			w.mu.Unlock()
-			return nil, reject(http.StatusInsufficientStorage, "no room for %d blocks", n)
+			return nil, reject(http.StatusInsufficientStorage, "no room for %d blocks", blocks)
 		}
-		r = &run{state: q.Identity, blocks: w.pool.allocate(n), lastActive: w.now(), changed: make(chan struct{})}
+		r = &run{state: q.Identity, blocks: w.pool.allocate(blocks), lastActive: w.now(), changed: make(chan struct{})}
 		w.live[id] = r
 		w.queue = append(w.queue, r)
 		w.requestCounts(id.Request).Prefills++
@@ -177,8 +177,8 @@
 	if r.stopped {
 		return nil, reject(http.StatusGone, "stopped while reading")
 	}
-	got := r.state
-	return &workerclient.OrderResponse{Identity: &got}, nil
+	state := r.state
+	return &workerclient.OrderResponse{Identity: &state}, nil
 }
 
 // export copies a run's KV cache to the staging buffer, removes the run and frees its blocks. The copy is kept for
@@ -189,9 +189,9 @@
 	if err := w.checkOrder("export", q.OrderHeader, q.ID); err != nil {
 		return nil, err
 	}
-	if p, ok := w.staged[q.ID]; ok {
-		got := p.state
-		return &workerclient.OrderResponse{Identity: &got}, nil
+	if staged, ok := w.staged[q.ID]; ok {
+		state := staged.state
+		return &workerclient.OrderResponse{Identity: &state}, nil
 	}
 	r := w.live[q.ID]
 	if r == nil || w.role == ids.Prefill && !r.prefilled {
@@ -200,16 +200,16 @@
 	body, sum := w.pool.kvBytes(r.blocks, r.state.Computed)
 	r.state.Length, r.state.Digest = int64(len(body)), sum
 	w.staged[q.ID] = &stagedKV{r.state, body, w.now().Add(w.opt.StagingTTL)}
-	got := r.state
+	state := r.state
 	w.drop(r, workerclient.FateNotStarted)
-	return &workerclient.OrderResponse{Identity: &got}, nil
+	return &workerclient.OrderResponse{Identity: &state}, nil
 }
 
 func (w *Worker) serveKV(rw http.ResponseWriter, q *http.Request) {
-	n, _ := strconv.Atoi(q.FormValue("attempt"))
-	id := workerclient.ID{Request: q.FormValue("request"), Attempt: n}
+	attempt, _ := strconv.Atoi(q.FormValue("attempt"))
+	id := workerclient.ID{Request: q.FormValue("request"), Attempt: attempt}
 	w.mu.Lock()
-	p, ok := w.staged[id]
+	staged, ok := w.staged[id]
 	f, rate := w.faults, w.opt.TransferRate
 	w.mu.Unlock()
 	if !ok {
@@ -219,7 +219,7 @@
 	if f.TransferRate > 0 {
 		rate = f.TransferRate
 	}
-	body := append([]byte(nil), p.body...)
+	body := append([]byte(nil), staged.body...)
 	if f.Corrupt && len(body) > 0 {
 		body[len(body)/2] ^= 1
 	}
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -68,7 +68,7 @@
 	})
 }
 
-func (x *fixture) identity(name string, prompt, max int) workerclient.Identity {
+func (fx *fixture) identity(name string, prompt, max int) workerclient.Identity {
 	state := workerclient.Identity{
 		ID:     workerclient.ID{Request: name, Attempt: 1},
 		Params: workerclient.Params{MaxTokens: max, Seed: 7},
@@ -80,13 +80,13 @@
 	return state
 }
 
-func (x *fixture) prefillAndExport(t *testing.T, state workerclient.Identity) workerclient.Identity {
-	_, err := x.client.Prefill(x.ctx, x.prefillAddr, &workerclient.PrefillRequest{
+func (fx *fixture) prefillAndExport(t *testing.T, state workerclient.Identity) workerclient.Identity {
+	_, err := fx.client.Prefill(fx.ctx, fx.prefillAddr, &workerclient.PrefillRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
 		Identity:    state,
 	})
 	require.NoError(t, err)
-	resp, err := x.client.Export(x.ctx, x.prefillAddr, &workerclient.ExportRequest{
+	resp, err := fx.client.Export(fx.ctx, fx.prefillAddr, &workerclient.ExportRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
 		ID:          state.ID,
 	})
@@ -94,26 +94,26 @@
 	return *resp.Identity
 }
 
-func (x *fixture) importKV(state workerclient.Identity) error {
-	_, err := x.client.Import(x.ctx, x.decodeAddr, &workerclient.ImportRequest{
+func (fx *fixture) importKV(state workerclient.Identity) error {
+	_, err := fx.client.Import(fx.ctx, fx.decodeAddr, &workerclient.ImportRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
 		Identity:    state,
-		Source:      x.prefillAddr,
+		Source:      fx.prefillAddr,
 	})
 	return err
 }
 
-func (x *fixture) resume(state workerclient.Identity) error {
-	_, err := x.client.Resume(x.ctx, x.decodeAddr, &workerclient.IDRequest{
+func (fx *fixture) resume(state workerclient.Identity) error {
+	_, err := fx.client.Resume(fx.ctx, fx.decodeAddr, &workerclient.IDRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
 		ID:          state.ID,
 	})
 	return err
 }
 
-func (x *fixture) streamRest(t *testing.T, state workerclient.Identity) []int32 {
+func (fx *fixture) streamRest(t *testing.T, state workerclient.Identity) []int32 {
 	out := append([]int32(nil), state.Output...)
-	require.NoError(t, x.client.Stream(x.ctx, x.decodeAddr, state.ID, len(out), time.Second, func(event workerclient.TokenEvent) error {
+	require.NoError(t, fx.client.Stream(fx.ctx, fx.decodeAddr, state.ID, len(out), time.Second, func(event workerclient.TokenEvent) error {
 		if event.End == "" {
 			out = append(out, event.Token)
 		}
@@ -138,19 +138,19 @@
 // output as one that runs on a single worker. The source must have freed all blocks, and the destination must
 // allocate exactly the blocks of the computed tokens.
 func TestSameTokens(t *testing.T) {
-	withWorkers(t, 64, func(x *fixture) {
+	withWorkers(t, 64, func(fx *fixture) {
 		for _, sent := range []int{0, 1, 3, 5} {
-			m := x.identity(fmt.Sprintf("r%d", sent), 100, 8)
-			reference := referenceOutput(m)
+			state := fx.identity(fmt.Sprintf("r%d", sent), 100, 8)
+			reference := referenceOutput(state)
 			require.Greater(t, len(reference), sent)
-			m.Output = reference[:sent:sent]
-			got := x.prefillAndExport(t, m)
-			require.Zero(t, x.prefill.UsedBlocks(), "the source must free all blocks")
-			require.NoError(t, x.importKV(got))
-			require.Equal(t, ids.Blocks(got.Computed, 16), x.decode.UsedBlocks(), "the import takes ceil(computed / block size) blocks")
-			require.NoError(t, x.resume(got))
-			require.Equal(t, reference, x.streamRest(t, got))
-			require.Zero(t, x.decode.UsedBlocks())
+			state.Output = reference[:sent:sent]
+			exported := fx.prefillAndExport(t, state)
+			require.Zero(t, fx.prefill.UsedBlocks(), "the source must free all blocks")
+			require.NoError(t, fx.importKV(exported))
+			require.Equal(t, ids.Blocks(exported.Computed, 16), fx.decode.UsedBlocks(), "the import takes ceil(computed / block size) blocks")
+			require.NoError(t, fx.resume(exported))
+			require.Equal(t, reference, fx.streamRest(t, exported))
+			require.Zero(t, fx.decode.UsedBlocks())
 		}
 	})
 }
@@ -158,32 +158,32 @@
 // TestImportWithoutCapacity checks that a request whose prompt and output do not fit is rejected at import, before any
 // token is generated, and that no block is allocated.
 func TestImportWithoutCapacity(t *testing.T) {
-	withWorkers(t, 8, func(x *fixture) {
-		m := x.identity("big", 100, 40)
-		got := x.prefillAndExport(t, m)
-		err := x.importKV(got)
+	withWorkers(t, 8, func(fx *fixture) {
+		state := fx.identity("big", 100, 40)
+		exported := fx.prefillAndExport(t, state)
+		err := fx.importKV(exported)
 		require.True(t, failure.Is(err, failure.NotExecuted), "%v", err)
-		require.Zero(t, x.decode.UsedBlocks())
-		require.Equal(t, 1, x.decode.RequestCounts()["big"].RejectedImports)
-		fit := x.prefillAndExport(t, x.identity("fits", 100, 20))
-		require.NoError(t, x.importKV(fit))
+		require.Zero(t, fx.decode.UsedBlocks())
+		require.Equal(t, 1, fx.decode.RequestCounts()["big"].RejectedImports)
+		fit := fx.prefillAndExport(t, fx.identity("fits", 100, 20))
+		require.NoError(t, fx.importKV(fit))
 	})
 }
 
 // TestDecodeWaitsForKV checks that decoding waits until every byte of the KV cache has arrived. A worker with the
 // SkipArrivalCheck fault must generate different tokens, which shows that the check can fail.
 func TestDecodeWaitsForKV(t *testing.T) {
-	withWorkers(t, 64, func(x *fixture) {
-		x.prefill.SetFaults(Faults{TransferRate: 20_000})
-		m := x.prefillAndExport(t, x.identity("slow", 200, 8))
-		require.NoError(t, x.importKV(m))
-		require.NoError(t, x.resume(m))
-		require.Equal(t, referenceOutput(m), x.streamRest(t, m))
-		x.decode.SetFaults(Faults{SkipArrivalCheck: true})
-		m = x.prefillAndExport(t, x.identity("hurried", 200, 8))
-		require.NoError(t, x.importKV(m))
-		require.NoError(t, x.resume(m))
-		require.NotEqual(t, referenceOutput(m), x.streamRest(t, m))
+	withWorkers(t, 64, func(fx *fixture) {
+		fx.prefill.SetFaults(Faults{TransferRate: 20_000})
+		state := fx.prefillAndExport(t, fx.identity("slow", 200, 8))
+		require.NoError(t, fx.importKV(state))
+		require.NoError(t, fx.resume(state))
+		require.Equal(t, referenceOutput(state), fx.streamRest(t, state))
+		fx.decode.SetFaults(Faults{SkipArrivalCheck: true})
+		state = fx.prefillAndExport(t, fx.identity("hurried", 200, 8))
+		require.NoError(t, fx.importKV(state))
+		require.NoError(t, fx.resume(state))
+		require.NotEqual(t, referenceOutput(state), fx.streamRest(t, state))
 	})
 }
 
@@ -191,13 +191,13 @@
 // aborted.
 func TestFailedTransfer(t *testing.T) {
 	for _, f := range []Faults{{Corrupt: true}, {Drop: true}} {
-		withWorkers(t, 64, func(x *fixture) {
-			x.prefill.SetFaults(f)
-			m := x.prefillAndExport(t, x.identity("spoilt", 100, 8))
-			require.NoError(t, x.importKV(m))
-			require.True(t, failure.Is(x.resume(m), failure.DataLost))
-			require.Zero(t, x.decode.UsedBlocks())
-			require.Zero(t, x.decode.RequestCounts()["spoilt"].Runs)
+		withWorkers(t, 64, func(fx *fixture) {
+			fx.prefill.SetFaults(f)
+			state := fx.prefillAndExport(t, fx.identity("spoilt", 100, 8))
+			require.NoError(t, fx.importKV(state))
+			require.True(t, failure.Is(fx.resume(state), failure.DataLost))
+			require.Zero(t, fx.decode.UsedBlocks())
+			require.Zero(t, fx.decode.RequestCounts()["spoilt"].Runs)
 		})
 	}
 }
@@ -205,51 +205,51 @@
 // TestOrphans checks that an import that is never resumed is dropped after a timeout, and that a cancelled attempt can
 // never start.
 func TestOrphans(t *testing.T) {
-	withWorkers(t, 64, func(x *fixture) {
-		m := x.prefillAndExport(t, x.identity("left", 100, 8))
-		require.NoError(t, x.importKV(m))
+	withWorkers(t, 64, func(fx *fixture) {
+		state := fx.prefillAndExport(t, fx.identity("left", 100, 8))
+		require.NoError(t, fx.importKV(state))
 		time.Sleep(3 * time.Second)
-		require.Zero(t, x.decode.UsedBlocks())
-		require.True(t, failure.Is(x.resume(m), failure.DataLost))
-		m = x.prefillAndExport(t, x.identity("stopped", 100, 8))
-		a, err := x.client.Cancel(x.ctx, x.decodeAddr, &workerclient.IDRequest{
+		require.Zero(t, fx.decode.UsedBlocks())
+		require.True(t, failure.Is(fx.resume(state), failure.DataLost))
+		state = fx.prefillAndExport(t, fx.identity("stopped", 100, 8))
+		resp, err := fx.client.Cancel(fx.ctx, fx.decodeAddr, &workerclient.IDRequest{
 			OrderHeader: workerclient.OrderHeader{Fence: 1},
-			ID:          m.ID,
+			ID:          state.ID,
 		})
 		require.NoError(t, err)
-		require.Equal(t, workerclient.FateNotStarted, a.Fate)
-		require.True(t, failure.Is(x.importKV(m), failure.DataLost))
+		require.Equal(t, workerclient.FateNotStarted, resp.Fate)
+		require.True(t, failure.Is(fx.importKV(state), failure.DataLost))
 	})
 }
 
 // TestFence checks that an order with an outdated fencing token is rejected and has no effect.
 func TestFence(t *testing.T) {
-	withWorkers(t, 64, func(x *fixture) {
-		_, err := x.client.SetRole(x.ctx, x.decodeAddr, &workerclient.RoleRequest{
+	withWorkers(t, 64, func(fx *fixture) {
+		_, err := fx.client.SetRole(fx.ctx, fx.decodeAddr, &workerclient.RoleRequest{
 			OrderHeader: workerclient.OrderHeader{Fence: 5},
 			Role:        ids.Decode,
 		})
 		require.NoError(t, err)
-		m := x.prefillAndExport(t, x.identity("old", 100, 8))
-		require.True(t, failure.Is(x.importKV(m), failure.Stale))
-		require.Zero(t, x.decode.UsedBlocks())
+		state := fx.prefillAndExport(t, fx.identity("old", 100, 8))
+		require.True(t, failure.Is(fx.importKV(state), failure.Stale))
+		require.Zero(t, fx.decode.UsedBlocks())
 	})
 }
 
 // TestInvalidOrders checks that an order for another model is rejected, and that a malformed response is reported with
 // the worker's address.
 func TestInvalidOrders(t *testing.T) {
-	withWorkers(t, 64, func(x *fixture) {
-		m := x.identity("other", 10, 4)
-		m.Model.Weights = "w9"
-		_, err := x.client.Prefill(x.ctx, x.prefillAddr, &workerclient.PrefillRequest{
+	withWorkers(t, 64, func(fx *fixture) {
+		state := fx.identity("other", 10, 4)
+		state.Model.Weights = "w9"
+		_, err := fx.client.Prefill(fx.ctx, fx.prefillAddr, &workerclient.PrefillRequest{
 			OrderHeader: workerclient.OrderHeader{Fence: 1},
-			Identity:    m,
+			Identity:    state,
 		})
 		require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
-		x.decode.SetFaults(Faults{Garbage: true})
-		_, err = x.client.Report(x.ctx, x.decodeAddr)
+		fx.decode.SetFaults(Faults{Garbage: true})
+		_, err = fx.client.Report(fx.ctx, fx.decodeAddr)
 		require.ErrorContains(t, err, "garbage")
-		require.Equal(t, x.decodeAddr, failure.Peer(err))
+		require.Equal(t, fx.decodeAddr, failure.Peer(err))
 	})
 }
