--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -113,12 +113,19 @@
 
 func (fx *fixture) streamRest(t *testing.T, state workerclient.Identity) []int32 {
 	out := append([]int32(nil), state.Output...)
-	require.NoError(t, fx.client.Stream(fx.ctx, fx.decodeAddr, state.ID, len(out), time.Second, func(event workerclient.TokenEvent) error {
-		if event.End == "" {
-			out = append(out, event.Token)
-		}
-		return nil
-	}))
+	require.NoError(t, fx.client.Stream(
+		fx.ctx,
+		fx.decodeAddr,
+		state.ID,
+		len(out),
+		time.Second,
+		func(event workerclient.TokenEvent) error {
+			if event.End == "" {
+				out = append(out, event.Token)
+			}
+			return nil
+		},
+	))
 	return out
 }
 
@@ -147,7 +154,12 @@
 			exported := fx.prefillAndExport(t, state)
 			require.Zero(t, fx.prefill.UsedBlocks(), "the source must free all blocks")
 			require.NoError(t, fx.importKV(exported))
-			require.Equal(t, ids.Blocks(exported.Computed, 16), fx.decode.UsedBlocks(), "the import takes ceil(computed / block size) blocks")
+			require.Equal(
+				t,
+				ids.Blocks(exported.Computed, 16),
+				fx.decode.UsedBlocks(),
+				"the import takes ceil(computed / block size) blocks",
+			)
 			require.NoError(t, fx.resume(exported))
 			require.Equal(t, reference, fx.streamRest(t, exported))
 			require.Zero(t, fx.decode.UsedBlocks())
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -101,7 +101,9 @@
 	if resp.StatusCode != http.StatusOK {
 		var rejection Rejection
 		json.Unmarshal(b, &rejection)
-		return failure.New(statusKind(resp.StatusCode), path, addr, "%d %s %s", resp.StatusCode, rejection.Name, rejection.Detail)
+		return failure.New(
+			statusKind(resp.StatusCode), path, addr, "%d %s %s", resp.StatusCode, rejection.Name, rejection.Detail,
+		)
 	}
 	if out == nil {
 		return nil
@@ -121,7 +123,13 @@
 	return failure.OutcomeUnknown
 }
 
-func (c *Client) postOrder(ctx context.Context, addr, path string, in any, timeout time.Duration) (*OrderResponse, error) {
+// postOrder sends an order and returns the worker's response.
+func (c *Client) postOrder(
+	ctx context.Context,
+	addr, path string,
+	in any,
+	timeout time.Duration,
+) (*OrderResponse, error) {
 	out := &OrderResponse{}
 	return out, c.call(ctx, http.MethodPost, addr, path, in, out, timeout)
 }
