--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -19,11 +19,11 @@
 	"keelstair.example/internal/workerclient"
 )
 
-func (w *Worker) importKV(_ context.Context, q *workerclient.ImportRequest) (*workerclient.OrderResponse, error) {
+func (w *Worker) importKV(_ context.Context, req *workerclient.ImportRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	state := q.Identity
-	if err := w.checkOrder("import", q.OrderHeader, state.ID); err != nil {
+	state := req.Identity
+	if err := w.checkOrder("import", req.OrderHeader, state.ID); err != nil {
 		return nil, err
 	}
 	if w.live[state.ID] != nil {
@@ -40,7 +40,7 @@
 		return nil, reject(http.StatusUnprocessableEntity, "%d bytes for %d tokens", state.Length, state.Computed)
 	case !w.pool.fits(totalBlocks):
 		w.requestCounts(state.ID.Request).RejectedImports++
-		w.emit("bounced", state.ID, q.OrderHeader)
+		w.emit("bounced", state.ID, req.OrderHeader)
 		return nil, reject(http.StatusInsufficientStorage, "no room for %d blocks", totalBlocks)
 	}
 	r := &run{
@@ -52,7 +52,7 @@
 	}
 	w.pool.reserved += r.reserved
 	w.live[state.ID] = r
-	go w.fetchKV(r, q.Source)
+	go w.fetchKV(r, req.Source)
 	return &workerclient.OrderResponse{}, nil
 }
 
@@ -151,16 +151,16 @@
 
 // resume starts to decode an imported attempt, once its KV cache has arrived. This is the point of no return: from
 // here on the attempt counts as run, even if it is stopped.
-func (w *Worker) resume(ctx context.Context, q *workerclient.IDRequest) (*workerclient.OrderResponse, error) {
+func (w *Worker) resume(ctx context.Context, req *workerclient.IDRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := w.live[q.ID]
-	if err := w.checkOrder("resume", q.OrderHeader, q.ID); err != nil {
+	r := w.live[req.ID]
+	if err := w.checkOrder("resume", req.OrderHeader, req.ID); err != nil {
 		return nil, err
 	}
 	if r == nil {
-		if f := w.fates[q.ID.Request]; f != nil && f.Fate != workerclient.FateNotStarted {
-			return f, nil
+		if fate := w.fates[req.ID.Request]; fate != nil && fate.Fate != workerclient.FateNotStarted {
+			return fate, nil
 		}
 		return nil, reject(http.StatusGone, "nothing to resume")
 	}
@@ -178,14 +178,14 @@
 	if r.stopped {
 		return nil, reject(http.StatusGone, "the memory was lost")
 	}
-	if err := w.checkOrder("resumed", q.OrderHeader, q.ID); err != nil {
+	if err := w.checkOrder("resumed", req.OrderHeader, req.ID); err != nil {
 		return nil, err
 	}
 	if !r.resumed {
 		r.resumed = true
-		t := w.requestCounts(q.ID.Request)
-		t.Runs++
-		t.FirstTokens = append(t.FirstTokens, len(r.state.Output))
+		counts := w.requestCounts(req.ID.Request)
+		counts.Runs++
+		counts.FirstTokens = append(counts.FirstTokens, len(r.state.Output))
 	}
 	r.lastActive = w.now()
 	w.wakeEngine()
@@ -194,22 +194,22 @@
 
 // cancelAttempt permanently stops an attempt and all earlier attempts of its request, and returns the request's
 // fate on this worker.
-func (w *Worker) cancelAttempt(_ context.Context, q *workerclient.IDRequest) (*workerclient.OrderResponse, error) {
+func (w *Worker) cancelAttempt(_ context.Context, req *workerclient.IDRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.checkOrder("cancel", q.OrderHeader, q.ID); err != nil {
+	if err := w.checkOrder("cancel", req.OrderHeader, req.ID); err != nil {
 		return nil, err
 	}
-	if n, ok := w.tombstones[q.ID.Request]; !ok || q.ID.Attempt > n {
-		w.tombstones[q.ID.Request] = q.ID.Attempt
+	if latest, ok := w.tombstones[req.ID.Request]; !ok || req.ID.Attempt > latest {
+		w.tombstones[req.ID.Request] = req.ID.Attempt
 	}
 	for id := range w.staged {
-		if id.Request == q.ID.Request && id.Attempt <= q.ID.Attempt {
+		if id.Request == req.ID.Request && id.Attempt <= req.ID.Attempt {
 			w.unstage(id)
 		}
 	}
 	for id, r := range w.live {
-		if id.Request != q.ID.Request || id.Attempt > q.ID.Attempt {
+		if id.Request != req.ID.Request || id.Attempt > req.ID.Attempt {
 			continue
 		}
 		if r.resumed {
@@ -218,8 +218,8 @@
 			w.drop(r, workerclient.FateNotStarted)
 		}
 	}
-	if f := w.fates[q.ID.Request]; f != nil {
-		result := *f
+	if fate := w.fates[req.ID.Request]; fate != nil {
+		result := *fate
 		result.Texts = nil
 		return &result, nil
 	}
@@ -228,15 +228,15 @@
 
 // serveStream sends the tokens of an attempt, starting at an index. It writes a line at least every half second, so
 // that the reader can distinguish a slow worker from a failed one.
-func (w *Worker) serveStream(rw http.ResponseWriter, q *http.Request) {
-	attempt, _ := strconv.Atoi(q.FormValue("attempt"))
-	index, _ := strconv.Atoi(q.FormValue("from"))
-	id := workerclient.ID{Request: q.FormValue("request"), Attempt: attempt}
+func (w *Worker) serveStream(rw http.ResponseWriter, req *http.Request) {
+	attempt, _ := strconv.Atoi(req.FormValue("attempt"))
+	index, _ := strconv.Atoi(req.FormValue("from"))
+	id := workerclient.ID{Request: req.FormValue("request"), Attempt: attempt}
 	w.mu.Lock()
 	r := w.live[id]
-	f := w.fates[id.Request]
+	fate := w.fates[id.Request]
 	w.mu.Unlock()
-	if r == nil && (f == nil || !f.Done) {
+	if r == nil && (fate == nil || !fate.Done) {
 		writeJSON(rw, http.StatusGone, workerclient.Rejection{Name: "no such run"})
 		return
 	}
@@ -251,7 +251,7 @@
 		rw.(http.Flusher).Flush()
 	}
 	if r == nil {
-		send(f.Output, true)
+		send(fate.Output, true)
 		return
 	}
 	for {
@@ -268,7 +268,7 @@
 		}
 		select {
 		case <-changed:
-		case <-q.Context().Done():
+		case <-req.Context().Done():
 			return
 		case <-host.NewTimer(400 * time.Millisecond).C:
 			rw.Write([]byte("\n"))
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -256,8 +256,8 @@
 
 // delayAfterCut returns the retry delay after an attempt whose outcome is unknown, or 0 if the request has no key:
 // only a request with a key may be repeated.
-func (c *plannedRequest) delayAfterCut() time.Duration {
-	if c.class.KeyRequired {
+func (p *plannedRequest) delayAfterCut() time.Duration {
+	if p.class.KeyRequired {
 		return delayAfterCut
 	}
 	return 0
@@ -266,20 +266,20 @@
 // recordRejection records an error response. If the response states that a request with a key did not run, the
 // retry uses a new key.
 func (r *Outcome) recordRejection(body io.Reader, planned *plannedRequest) time.Duration {
-	var f struct {
+	var response struct {
 		Error struct {
 			Name  string
 			After int64 `json:"retryAfterMs"`
 		}
 	}
 	b, _ := io.ReadAll(body)
-	json.Unmarshal(b, &f)
-	r.End, r.Detail = "bounced", f.Error.Name
-	if f.Error.Name == "not-run" {
+	json.Unmarshal(b, &response)
+	r.End, r.Detail = "bounced", response.Error.Name
+	if response.Error.Name == "not-run" {
 		planned.request.Key += "+"
 		r.Key = planned.request.Key
 	}
-	return time.Duration(f.Error.After) * time.Millisecond
+	return time.Duration(response.Error.After) * time.Millisecond
 }
 
 // readStream reads the events of a stream up to its end.
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -42,10 +42,10 @@
 }
 
 // SetWorker adds a worker to the list, or replaces its entry.
-func (p *Platform) SetWorker(l workerclient.ListedWorker) {
+func (p *Platform) SetWorker(worker workerclient.ListedWorker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.workers[l.ID] = l
+	p.workers[worker.ID] = worker
 }
 
 // RemoveWorker removes a worker from the list.
@@ -59,9 +59,9 @@
 func (p *Platform) MarkLeaving(id ids.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l, ok := p.workers[id]; ok {
-		l.Leaving = true
-		p.workers[id] = l
+	if worker, ok := p.workers[id]; ok {
+		worker.Leaving = true
+		p.workers[id] = worker
 	}
 }
 
@@ -129,20 +129,20 @@
 	mux.HandleFunc("GET /workers", func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
 		out := []workerclient.ListedWorker{}
-		for _, l := range p.workers {
-			out = append(out, l)
+		for _, worker := range p.workers {
+			out = append(out, worker)
 		}
 		p.mu.Unlock()
 		writeJSON(w, http.StatusOK, out)
 	})
 	mux.HandleFunc("POST /workers", func(w http.ResponseWriter, r *http.Request) {
-		var l workerclient.ListedWorker
-		if err := json.NewDecoder(r.Body).Decode(&l); err != nil || l.ID == "" {
+		var worker workerclient.ListedWorker
+		if err := json.NewDecoder(r.Body).Decode(&worker); err != nil || worker.ID == "" {
 			writeJSON(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
 			return
 		}
-		p.SetWorker(l)
-		writeJSON(w, http.StatusOK, l)
+		p.SetWorker(worker)
+		writeJSON(w, http.StatusOK, worker)
 	})
 	mux.HandleFunc("POST /workers/{id}/leave", func(w http.ResponseWriter, r *http.Request) {
 		p.MarkLeaving(ids.WorkerID(r.PathValue("id")))
@@ -153,13 +153,13 @@
 		writeJSON(w, http.StatusOK, "gone")
 	})
 	mux.HandleFunc("POST /doors", func(w http.ResponseWriter, r *http.Request) {
-		var d Node
-		if err := json.NewDecoder(r.Body).Decode(&d); err != nil || d.Addr == "" {
+		var node Node
+		if err := json.NewDecoder(r.Body).Decode(&node); err != nil || node.Addr == "" {
 			writeJSON(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
 			return
 		}
-		p.AddNode(d.Addr, d.Zone)
-		writeJSON(w, http.StatusOK, d)
+		p.AddNode(node.Addr, node.Zone)
+		writeJSON(w, http.StatusOK, node)
 	})
 	mux.HandleFunc("GET /doors", func(w http.ResponseWriter, r *http.Request) {
 		out := p.ReadyNodes(ids.Zone(r.FormValue("zone")))
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -43,28 +43,28 @@
 	mux.HandleFunc("GET /tally", func(rw http.ResponseWriter, _ *http.Request) {
 		writeJSON(rw, http.StatusOK, w.RequestCounts())
 	})
-	mux.HandleFunc("POST /fault", func(rw http.ResponseWriter, q *http.Request) {
-		var f Faults
-		if json.NewDecoder(q.Body).Decode(&f) == nil {
-			w.SetFaults(f)
+	mux.HandleFunc("POST /fault", func(rw http.ResponseWriter, req *http.Request) {
+		var faults Faults
+		if json.NewDecoder(req.Body).Decode(&faults) == nil {
+			w.SetFaults(faults)
 		}
-		writeJSON(rw, http.StatusOK, f)
+		writeJSON(rw, http.StatusOK, faults)
 	})
-	return http.HandlerFunc(func(rw http.ResponseWriter, q *http.Request) {
+	return http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
 		w.mu.Lock()
-		f := w.faults
+		faults := w.faults
 		w.mu.Unlock()
 		switch {
-		case q.URL.Path == "/fault" || q.URL.Path == "/tally":
-		case f.Unresponsive:
-			io.Copy(io.Discard, q.Body) // the server detects a disconnect only after the body has been read
-			<-q.Context().Done()
+		case req.URL.Path == "/fault" || req.URL.Path == "/tally":
+		case faults.Unresponsive:
+			io.Copy(io.Discard, req.Body) // the server detects a disconnect only after the body has been read
+			<-req.Context().Done()
 			return
-		case f.Garbage:
+		case faults.Garbage:
 			rw.Write([]byte("<<garbage>>"))
 			return
 		}
-		mux.ServeHTTP(rw, q)
+		mux.ServeHTTP(rw, req)
 	})
 }
 
@@ -91,15 +91,15 @@
 	w *Worker,
 	handle func(context.Context, *Q) (*workerclient.OrderResponse, error),
 ) http.HandlerFunc {
-	return func(rw http.ResponseWriter, q *http.Request) {
+	return func(rw http.ResponseWriter, req *http.Request) {
 		var order Q
-		if err := json.NewDecoder(io.LimitReader(q.Body, 16<<20)).Decode(&order); err != nil {
+		if err := json.NewDecoder(io.LimitReader(req.Body, 16<<20)).Decode(&order); err != nil {
 			writeJSON(rw, http.StatusBadRequest, workerclient.Rejection{Name: "malformed", Detail: err.Error()})
 			return
 		}
-		resp, err := handle(q.Context(), &order)
-		if r, ok := err.(*rejection); ok {
-			writeJSON(rw, r.code, workerclient.Rejection{Name: r.name})
+		resp, err := handle(req.Context(), &order)
+		if rejected, ok := err.(*rejection); ok {
+			writeJSON(rw, rejected.code, workerclient.Rejection{Name: rejected.name})
 			return
 		}
 		w.mu.Lock()
@@ -125,7 +125,7 @@
 	if header.Fence < w.fence && !w.faults.IgnoreFencing {
 		return reject(http.StatusPreconditionFailed, "fence %d is older than %d", header.Fence, w.fence)
 	}
-	if n, ok := w.tombstones[id.Request]; ok && event != "cancel" && id.Attempt <= n && !w.faults.IgnoreFencing {
+	if cancelled, ok := w.tombstones[id.Request]; ok && event != "cancel" && id.Attempt <= cancelled && !w.faults.IgnoreFencing {
 		return reject(http.StatusGone, "attempt %d was cancelled", id.Attempt)
 	}
 	w.fence, w.version = max(w.fence, header.Fence), max(w.version, header.Version)
@@ -133,28 +133,28 @@
 	return nil
 }
 
-func (w *Worker) prefill(ctx context.Context, q *workerclient.PrefillRequest) (*workerclient.OrderResponse, error) {
-	id := q.Identity.ID
+func (w *Worker) prefill(ctx context.Context, req *workerclient.PrefillRequest) (*workerclient.OrderResponse, error) {
+	id := req.Identity.ID
 	w.mu.Lock()
-	if err := w.checkOrder("prefill", q.OrderHeader, id); err != nil {
+	if err := w.checkOrder("prefill", req.OrderHeader, id); err != nil {
 		w.mu.Unlock()
 		return nil, err
 	}
 	r := w.live[id]
 	if r == nil {
-		blocks := ids.Blocks(len(q.Identity.Prompt)+len(q.Identity.Output)+1, w.pool.size)
+		blocks := ids.Blocks(len(req.Identity.Prompt)+len(req.Identity.Output)+1, w.pool.size)
 		switch {
 		case w.role != ids.Prefill:
 			w.mu.Unlock()
 			return nil, reject(http.StatusConflict, "this worker decodes")
-		case !w.opt.Model.Serves(q.Identity.Model):
+		case !w.opt.Model.Serves(req.Identity.Model):
 			w.mu.Unlock()
 			return nil, reject(http.StatusUnprocessableEntity, "another model")
 		case !w.pool.fits(blocks):
 			w.mu.Unlock()
 			return nil, reject(http.StatusInsufficientStorage, "no room for %d blocks", blocks)
 		}
-		r = &run{state: q.Identity, blocks: w.pool.allocate(blocks), lastActive: w.now(), changed: make(chan struct{})}
+		r = &run{state: req.Identity, blocks: w.pool.allocate(blocks), lastActive: w.now(), changed: make(chan struct{})}
 		w.live[id] = r
 		w.queue = append(w.queue, r)
 		w.requestCounts(id.Request).Prefills++
@@ -183,56 +183,56 @@
 
 // export copies a run's KV cache to the staging buffer, removes the run and frees its blocks. The copy is kept for
 // StagingTTL.
-func (w *Worker) export(_ context.Context, q *workerclient.ExportRequest) (*workerclient.OrderResponse, error) {
+func (w *Worker) export(_ context.Context, req *workerclient.ExportRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.checkOrder("export", q.OrderHeader, q.ID); err != nil {
+	if err := w.checkOrder("export", req.OrderHeader, req.ID); err != nil {
 		return nil, err
 	}
-	if staged, ok := w.staged[q.ID]; ok {
+	if staged, ok := w.staged[req.ID]; ok {
 		state := staged.state
 		return &workerclient.OrderResponse{Identity: &state}, nil
 	}
-	r := w.live[q.ID]
+	r := w.live[req.ID]
 	if r == nil || w.role == ids.Prefill && !r.prefilled {
 		return nil, reject(http.StatusNotFound, "nothing to export")
 	}
 	body, sum := w.pool.kvBytes(r.blocks, r.state.Computed)
 	r.state.Length, r.state.Digest = int64(len(body)), sum
-	w.staged[q.ID] = &stagedKV{r.state, body, w.now().Add(w.opt.StagingTTL)}
+	w.staged[req.ID] = &stagedKV{r.state, body, w.now().Add(w.opt.StagingTTL)}
 	state := r.state
 	w.drop(r, workerclient.FateNotStarted)
 	return &workerclient.OrderResponse{Identity: &state}, nil
 }
 
-func (w *Worker) serveKV(rw http.ResponseWriter, q *http.Request) {
-	attempt, _ := strconv.Atoi(q.FormValue("attempt"))
-	id := workerclient.ID{Request: q.FormValue("request"), Attempt: attempt}
+func (w *Worker) serveKV(rw http.ResponseWriter, req *http.Request) {
+	attempt, _ := strconv.Atoi(req.FormValue("attempt"))
+	id := workerclient.ID{Request: req.FormValue("request"), Attempt: attempt}
 	w.mu.Lock()
 	staged, ok := w.staged[id]
-	f, rate := w.faults, w.opt.TransferRate
+	faults, rate := w.faults, w.opt.TransferRate
 	w.mu.Unlock()
 	if !ok {
 		writeJSON(rw, http.StatusGone, workerclient.Rejection{Name: "not staged"})
 		return
 	}
-	if f.TransferRate > 0 {
-		rate = f.TransferRate
+	if faults.TransferRate > 0 {
+		rate = faults.TransferRate
 	}
 	body := append([]byte(nil), staged.body...)
-	if f.Corrupt && len(body) > 0 {
+	if faults.Corrupt && len(body) > 0 {
 		body[len(body)/2] ^= 1
 	}
 	rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	duration := time.Duration(len(body)/8*w.opt.WireBytesPerToken) * time.Second / time.Duration(rate)
 	const parts = 4
 	for i := range parts {
-		if f.Drop && i == parts/2 {
+		if faults.Drop && i == parts/2 {
 			panic(http.ErrAbortHandler)
 		}
 		select {
 		case <-host.NewTimer(duration / parts).C:
-		case <-q.Context().Done():
+		case <-req.Context().Done():
 			return
 		}
 		rw.Write(body[i*len(body)/parts : (i+1)*len(body)/parts])
@@ -240,18 +240,18 @@
 	}
 }
 
-func (w *Worker) setRole(_ context.Context, q *workerclient.RoleRequest) (*workerclient.OrderResponse, error) {
+func (w *Worker) setRole(_ context.Context, req *workerclient.RoleRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.checkOrder("part", q.OrderHeader, workerclient.ID{}); err != nil {
+	if err := w.checkOrder("part", req.OrderHeader, workerclient.ID{}); err != nil {
 		return nil, err
 	}
-	if q.Role != ids.Prefill && q.Role != ids.Decode {
+	if req.Role != ids.Prefill && req.Role != ids.Decode {
 		return nil, reject(http.StatusBadRequest, "no such part")
 	}
-	if q.Role != w.role && len(w.live) > 0 {
+	if req.Role != w.role && len(w.live) > 0 {
 		return nil, reject(http.StatusConflict, "%d requests are still here", len(w.live))
 	}
-	w.role = q.Role
+	w.role = req.Role
 	return &workerclient.OrderResponse{}, nil
 }
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -37,19 +37,19 @@
 // Worker returns the configuration entry of the i-th worker. The workers of a role are distributed over the zones
 // in turn.
 func (s Site) Worker(i int) fleetstate.Worker {
-	part := ids.Prefill
-	at := i
+	role := ids.Prefill
+	index := i
 	if i >= s.Prefill {
-		part, at = ids.Decode, i-s.Prefill
+		role, index = ids.Decode, i-s.Prefill
 	}
 	return fleetstate.Worker{
-		Role:      part,
+		Role:      role,
 		Model:     s.Model,
 		Weights:   SiteWeights,
 		Adapters:  []string{},
 		Capacity:  SiteCapacity,
 		BlockSize: SiteBlockSize,
-		Zone:      s.Zones[at%len(s.Zones)],
+		Zone:      s.Zones[index%len(s.Zones)],
 	}
 }
 
@@ -60,8 +60,8 @@
 		workers[id] = s.Worker(i)
 	}
 	kinds := map[string]any{}
-	for _, sh := range s.Classes {
-		kinds[sh.Kind] = map[string]any{"claimed": sh.KeyRequired, "model": s.Model, "maxTokens": 64, "weight": 1}
+	for _, class := range s.Classes {
+		kinds[class.Kind] = map[string]any{"claimed": class.KeyRequired, "model": s.Model, "maxTokens": 64, "weight": 1}
 	}
 	if programs == nil {
 		programs = map[string]fleetstate.Program{}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -93,13 +93,13 @@
 	version     ids.Version
 	faults      Faults
 	live        map[workerclient.ID]*run
-	queue       []*run
+	queue       []*run // waiting for prefill, oldest first
 	staged      map[workerclient.ID]*stagedKV
-	tombstones  map[string]int
+	tombstones  map[string]int // by request, the latest cancelled attempt
 	fates       map[string]*workerclient.OrderResponse
 	counts      map[string]*RequestCounts
-	prefixCache map[uint64]ids.Tick
-	prefixHits  [2]int // prompt tokens found in prefixCache, and all prompt tokens
+	prefixCache map[uint64]ids.Tick // by prefix hash, the time of the last use
+	prefixHits  [2]int              // prompt tokens found in prefixCache, and all prompt tokens
 	pastReports []timedReport
 	wake        chan struct{}
 }
@@ -120,17 +120,17 @@
 // run is one attempt of a request on this worker.
 type run struct {
 	state          workerclient.Identity
-	blocks         []int
-	reserved       int
-	lastCell       uint64
-	prefilled      bool
-	arrived        bool
-	transferFailed bool
-	resumed        bool
-	ended          bool
-	stopped        bool
-	lastActive     ids.Tick
-	changed        chan struct{}
+	blocks         []int         // the block table; nil after the run was dropped
+	reserved       int           // blocks reserved for the growth of the table
+	lastCell       uint64        // KV cell of the last computed token; 0 if it must be read from the table
+	prefilled      bool          // the prefill step is complete
+	arrived        bool          // the imported KV cache is complete and verified
+	transferFailed bool          // the transfer of the KV cache failed
+	resumed        bool          // decoding was started by a resume order
+	ended          bool          // the run completed
+	stopped        bool          // the run was dropped before it completed
+	lastActive     ids.Tick      // last progress or read of the stream
+	changed        chan struct{} // closed and replaced on progress
 }
 
 // NewWorker returns a worker with the given options, with defaults for those that are zero. The worker is idle until
@@ -175,12 +175,12 @@
 }
 
 func (w *Worker) requestCounts(request string) *RequestCounts {
-	t := w.counts[request]
-	if t == nil {
-		t = &RequestCounts{}
-		w.counts[request] = t
+	counts := w.counts[request]
+	if counts == nil {
+		counts = &RequestCounts{}
+		w.counts[request] = counts
 	}
-	return t
+	return counts
 }
 
 // RequestCounts returns a copy of the worker's counts by request.
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -135,33 +135,33 @@
 }
 
 // Prefill makes a worker compute the KV cache of a request. It returns after the computation.
-func (c *Client) Prefill(ctx context.Context, addr string, q *PrefillRequest) (*OrderResponse, error) {
-	return c.postOrder(ctx, addr, "/prefill", q, prefillTimeout)
+func (c *Client) Prefill(ctx context.Context, addr string, req *PrefillRequest) (*OrderResponse, error) {
+	return c.postOrder(ctx, addr, "/prefill", req, prefillTimeout)
 }
 
 // Export makes a worker stage the KV cache of an attempt, to be fetched by another worker. The response contains
 // the request's identity with the length and digest of that KV cache, and the tokens generated so far.
-func (c *Client) Export(ctx context.Context, addr string, q *ExportRequest) (*OrderResponse, error) {
-	return c.postOrder(ctx, addr, "/export", q, transferTimeout)
+func (c *Client) Export(ctx context.Context, addr string, req *ExportRequest) (*OrderResponse, error) {
+	return c.postOrder(ctx, addr, "/export", req, transferTimeout)
 }
 
 // Import makes a worker reserve cache blocks and start to fetch the KV cache. Without enough free blocks it fails
 // with kind NotExecuted.
-func (c *Client) Import(ctx context.Context, addr string, q *ImportRequest) (*OrderResponse, error) {
-	return c.postOrder(ctx, addr, "/import", q, transferTimeout)
+func (c *Client) Import(ctx context.Context, addr string, req *ImportRequest) (*OrderResponse, error) {
+	return c.postOrder(ctx, addr, "/import", req, transferTimeout)
 }
 
 // Resume makes a worker decode an imported attempt, once its KV cache has arrived completely.
-func (c *Client) Resume(ctx context.Context, addr string, q *IDRequest) (*OrderResponse, error) {
-	return c.postOrder(ctx, addr, "/resume", q, resumeTimeout)
+func (c *Client) Resume(ctx context.Context, addr string, req *IDRequest) (*OrderResponse, error) {
+	return c.postOrder(ctx, addr, "/resume", req, resumeTimeout)
 }
 
 // Cancel permanently stops an attempt and all earlier attempts of its request: none of them can start or continue
 // afterwards. The response contains the request's fate on this worker. If the connection is refused, no process
 // is left that could continue the attempt, so the error has kind DataLost, which is more specific than
 // NotExecuted.
-func (c *Client) Cancel(ctx context.Context, addr string, q *IDRequest) (*OrderResponse, error) {
-	resp, err := c.postOrder(ctx, addr, "/cancel", q, orderTimeout)
+func (c *Client) Cancel(ctx context.Context, addr string, req *IDRequest) (*OrderResponse, error) {
+	resp, err := c.postOrder(ctx, addr, "/cancel", req, orderTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		err = failure.As(err, failure.DataLost, "cancel", addr)
 	}
@@ -169,8 +169,8 @@
 }
 
 // SetRole makes a worker change its role.
-func (c *Client) SetRole(ctx context.Context, addr string, q *RoleRequest) (*OrderResponse, error) {
-	return c.postOrder(ctx, addr, "/part", q, orderTimeout)
+func (c *Client) SetRole(ctx context.Context, addr string, req *RoleRequest) (*OrderResponse, error) {
+	return c.postOrder(ctx, addr, "/part", req, orderTimeout)
 }
 
 // Report requests a worker's report.
