--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -125,7 +125,8 @@
 	if header.Fence < w.fence && !w.faults.IgnoreFencing {
 		return reject(http.StatusPreconditionFailed, "fence %d is older than %d", header.Fence, w.fence)
 	}
-	if cancelled, ok := w.tombstones[id.Request]; ok && event != "cancel" && id.Attempt <= cancelled && !w.faults.IgnoreFencing {
+	if cancelled, ok := w.tombstones[id.Request]; ok && event != "cancel" &&
+		id.Attempt <= cancelled && !w.faults.IgnoreFencing {
 		return reject(http.StatusGone, "attempt %d was cancelled", id.Attempt)
 	}
 	w.fence, w.version = max(w.fence, header.Fence), max(w.version, header.Version)
