--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -148,7 +148,7 @@
 			return
 		}
 		if a.Op == "" {
-			WriteError(w, NewFault(http.StatusBadRequest, "missing", "op", "an operation ID is required"))
+			WriteError(w, NewFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
 			return
 		}
 		result, err := o.Apply(r.Context(), &a)
@@ -192,7 +192,7 @@
 			return
 		}
 		if m.Op == "" {
-			WriteError(w, NewFault(http.StatusBadRequest, "missing", "op", "an operation ID is required"))
+			WriteError(w, NewFault(http.StatusBadRequest, "missing", "op", "an operation needs an id of its own"))
 			return
 		}
 		result, err := apply(r.Context(), r.PathValue("name"), &m)
