--- a/internal/certification/key.go
+++ b/internal/certification/key.go
@@ -1,4 +1,4 @@
-// Key files: PKCS #8 in PEM, as openssl genpkey -algorithm ed25519 writes them too.
+// Private key files are PKCS #8 in PEM, the format of openssl genpkey -algorithm ed25519.
 
 package certification
 
@@ -12,7 +12,7 @@
 	"keelstair.example/failure"
 )
 
-// NewKey makes a key and gives its file's text.
+// NewKey generates a private key and returns it with the content of its key file.
 func NewKey() (ed25519.PrivateKey, []byte, error) {
 	_, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -25,26 +25,26 @@
 	return private, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
 
-// ReadKey reads a key file's text.
-func ReadKey(text []byte) (ed25519.PrivateKey, error) {
+// ParsePrivateKey parses the content of a key file.
+func ParsePrivateKey(text []byte) (ed25519.PrivateKey, error) {
 	block, _ := pem.Decode(text)
 	if block == nil || block.Type != "PRIVATE KEY" {
 		return nil, failure.New(failure.InvalidArgument, "read key", "", "it is no PEM file with a PRIVATE KEY")
 	}
-	any, err := x509.ParsePKCS8PrivateKey(block.Bytes)
+	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "read key", "")
 	}
-	private, ok := any.(ed25519.PrivateKey)
+	private, ok := parsed.(ed25519.PrivateKey)
 	if !ok {
 		return nil, failure.New(
-			failure.InvalidArgument, "read key", "", "it is a key of another sort; an Ed25519 key is needed",
+			failure.InvalidArgument, "read key", "", "it is a key of another type; an Ed25519 key is required",
 		)
 	}
 	return private, nil
 }
 
-// Public gives a key's public half as issuers name it.
-func Public(k ed25519.PrivateKey) string {
+// EncodePublicKey returns the public key of k in the encoding of Issuer.Key.
+func EncodePublicKey(k ed25519.PrivateKey) string {
 	return base64.StdEncoding.EncodeToString(k.Public().(ed25519.PublicKey))
 }
--- a/internal/certification/register.go
+++ b/internal/certification/register.go
@@ -1,5 +1,5 @@
-// The register is compiled once for each configuration: it answers on the path of a
-// request whether a subject is cleared for a regime at this time, and by which serial.
+// The register is compiled once per configuration. While a request is processed, it answers whether a subject is
+// currently authorized for a regime, and by which certificate.
 
 package certification
 
@@ -12,38 +12,39 @@
 	"keelstair.example/ids"
 )
 
-// Now is what the fleet's time may be at this moment: two bounds, in nanoseconds since
-// 1970. What begins counts from the lower one, and what ends by the upper one.
-type Now struct{ Low, High int64 }
+// TimeBounds is the interval that contains the fleet's current time, in nanoseconds since 1970. A validity
+// period has begun when its start is not after Low, and has ended when its end is not after High.
+type TimeBounds struct{ Low, High int64 }
 
-// At is a time that is known exactly.
-func At(t time.Time) Now { return Now{t.UnixNano(), t.UnixNano()} }
+// ExactTime returns the bounds of a time that is known exactly.
+func ExactTime(t time.Time) TimeBounds { return TimeBounds{t.UnixNano(), t.UnixNano()} }
 
-type coverage struct {
+type grantKey struct {
 	regime  string
 	subject Subject
 	role    ids.Role
 }
 
-type entry struct {
+type grant struct {
 	serial      string
 	from, until int64
 }
 
-// Register is immutable; a nil one governs nothing.
+// Register holds the regimes and the valid certificates of a configuration. It is immutable. A nil Register has
+// no regimes.
 type Register struct {
-	regimes  map[string]Regime
-	kinds    map[string]string
-	coverage map[coverage][]entry
-	all      map[string]*Certificate
-	validity map[string]entry
-	revoked  map[string]bool // by their presence
+	regimes      map[string]Regime
+	kinds        map[string]string
+	grants       map[grantKey][]grant
+	certificates map[string]*Certificate
+	validity     map[string]grant
+	revoked      map[string]bool // by serial; the values are ignored
 }
 
-// Compile makes a register. Every certificate that does not hold is left out of it and
-// named in the error, in the order of the serials. Without regimes the register is nil.
+// Compile returns the register of a configuration. Invalid certificates are omitted from it and reported in
+// the error, in the order of their serials. Without regimes the register is nil.
 func Compile(regimes map[string]Regime, issuers map[string]Issuer, certs map[string]Certificate) (*Register, error) {
-	var bad []error
+	var errs []error
 	if len(regimes) == 0 {
 		if len(certs) > 0 {
 			return nil, invalid([]string{"certificates"}, "there are certificates and no regime")
@@ -51,16 +52,16 @@
 		return nil, nil
 	}
 	r := &Register{
-		regimes:  regimes,
-		kinds:    map[string]string{},
-		coverage: map[coverage][]entry{},
-		all:      map[string]*Certificate{},
-		validity: map[string]entry{},
+		regimes:      regimes,
+		kinds:        map[string]string{},
+		grants:       map[grantKey][]grant{},
+		certificates: map[string]*Certificate{},
+		validity:     map[string]grant{},
 	}
-	for _, name := range sorted(regimes) {
+	for _, name := range sortedKeys(regimes) {
 		for _, k := range regimes[name].Kinds {
 			if other, ok := r.kinds[k]; ok {
-				bad = append(bad, invalid([]string{
+				errs = append(errs, invalid([]string{
 					"regimes", name, "kinds",
 				}, "kind %q is governed by %q already", k, other))
 				continue
@@ -68,34 +69,46 @@
 			r.kinds[k] = name
 		}
 	}
-	keys := map[string]*key{}
-	for _, id := range sorted(issuers) {
-		k, err := issuers[id].read([]string{"issuers", id})
+	keys := map[string]*issuerKey{}
+	for _, id := range sortedKeys(issuers) {
+		k, err := issuers[id].parse([]string{"issuers", id})
 		if err != nil {
-			bad = append(bad, err)
+			errs = append(errs, err)
 			continue
 		}
 		keys[id] = k
 	}
 	signed := map[string]string{}
-	for _, serial := range sorted(certs) {
+	for _, serial := range sortedKeys(certs) {
 		c := certs[serial]
-		if err := r.admit(serial, &c, keys, signed); err != nil {
-			bad = append(bad, err)
+		if err := r.addCertificate(serial, &c, keys, signed); err != nil {
+			errs = append(errs, err)
 		}
 	}
-	return r, errors.Join(bad...)
+	return r, errors.Join(errs...)
 }
 
-func (r *Register) admit(serial string, c *Certificate, keys map[string]*key, signed map[string]string) error {
+// addCertificate verifies a certificate and adds it to the register. signed maps the signatures seen so far to their
+// serials.
+func (r *Register) addCertificate(
+	serial string,
+	c *Certificate,
+	keys map[string]*issuerKey,
+	signed map[string]string,
+) error {
 	path := []string{"certificates", serial}
-	switch other, twice := signed[c.Signature]; {
+	switch other, duplicate := signed[c.Signature]; {
 	case c.Serial != serial:
-		return invalid(path, "serial %q stands under the name %q: each serial stands once", c.Serial, serial)
-	case twice:
+		return invalid(
+			path,
+			"serial %q is stored under the name %q: each serial must be unique and match its name",
+			c.Serial,
+			serial,
+		)
+	case duplicate:
 		return invalid(append(path, "signature"), "it is replayed: serial %q has the same signature", other)
 	case (c.Worker == "") == (c.Node == ""):
-		return invalid(path, "its subject is one worker or one node")
+		return invalid(path, "its subject must be one worker or one node")
 	case (c.Worker == "") != (len(c.Roles) == 0):
 		return invalid(path, "a worker's certificate names its parts, and a node's has none")
 	}
@@ -111,16 +124,16 @@
 	if c.Node != "" {
 		roles = []ids.Role{""}
 	}
-	e := entry{serial, from, until}
-	for _, p := range roles {
-		at := coverage{c.Regime, c.Subject(), p}
-		r.coverage[at] = append(r.coverage[at], e)
+	e := grant{serial, from, until}
+	for _, role := range roles {
+		key := grantKey{c.Regime, c.Subject(), role}
+		r.grants[key] = append(r.grants[key], e)
 	}
-	r.all[serial], r.validity[serial] = c, e
+	r.certificates[serial], r.validity[serial] = c, e
 	return nil
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
 		out = append(out, k)
@@ -129,8 +142,8 @@
 	return out
 }
 
-// WithRevoked gives the register under another set of revoked serials: those that the map has,
-// whatever it says of them.
+// WithRevoked returns a copy of the register in which exactly the serials that are keys of revoked are revoked,
+// whatever their values.
 func (r *Register) WithRevoked(revoked map[string]bool) *Register {
 	if r == nil {
 		return nil
@@ -140,8 +153,8 @@
 	return &next
 }
 
-// Governs names the regime of a kind, or none.
-func (r *Register) Governs(kind string) string {
+// RegimeOf returns the name of the regime that governs a kind of request, or "".
+func (r *Register) RegimeOf(kind string) string {
 	if r == nil {
 		return ""
 	}
@@ -153,8 +166,8 @@
 	return ok
 }
 
-// Has tells whether there is such a regime.
-func (r *Register) Has(regime string) bool {
+// HasRegime reports whether the configuration has the regime.
+func (r *Register) HasRegime(regime string) bool {
 	if r == nil {
 		return false
 	}
@@ -162,14 +175,14 @@
 	return ok
 }
 
-// Clears tells whether a subject may play a part (none for a node) in a regime now, and
-// by which serial: of several the one that ends last.
-func (r *Register) Clears(regime string, s Subject, role ids.Role, now Now) (serial string, ok bool) {
+// Authorizes reports whether a subject may now process requests of a regime in a role, which is "" for a node,
+// and returns the serial of the certificate. Of several valid certificates it returns the one that expires last.
+func (r *Register) Authorizes(regime string, s Subject, role ids.Role, now TimeBounds) (serial string, ok bool) {
 	if r == nil || now.High == 0 {
 		return "", false
 	}
 	var last int64
-	for _, e := range r.coverage[coverage{regime, s, role}] {
+	for _, e := range r.grants[grantKey{regime, s, role}] {
 		if e.from <= now.Low && now.High < e.until && !r.isRevoked(e.serial) && e.until > last {
 			serial, last, ok = e.serial, e.until, true
 		}
@@ -177,68 +190,69 @@
 	return serial, ok
 }
 
-// RetentionOf is the share of a worker's room, in percent, that is kept free for governed
-// work: the largest of the regimes that it may serve now in a part.
-func (r *Register) RetentionOf(w ids.WorkerID, role ids.Role, now Now) int {
-	most := 0
+// ReservedPercent returns the percentage of a worker's cache blocks that is reserved for governed requests: the
+// largest value of all regimes for which the worker is currently authorized in the role.
+func (r *Register) ReservedPercent(w ids.WorkerID, role ids.Role, now TimeBounds) int {
+	percent := 0
 	if r != nil {
-		for name, g := range r.regimes {
-			if _, ok := r.Clears(name, Subject{Worker: w}, role, now); ok {
-				most = max(most, g.Keep)
+		for name, regime := range r.regimes {
+			if _, ok := r.Authorizes(name, Subject{Worker: w}, role, now); ok {
+				percent = max(percent, regime.ReservedPercent)
 			}
 		}
 	}
-	return most
+	return percent
 }
 
-// Regimes lists the names in order.
-func (r *Register) Regimes() []string {
+// RegimeNames returns the names of the regimes in sorted order.
+func (r *Register) RegimeNames() []string {
 	if r == nil {
 		return nil
 	}
-	return sorted(r.regimes)
+	return sortedKeys(r.regimes)
 }
 
-// State is that of a certificate at a time.
+// State is the state of a certificate at a given time.
 type State string
 
 const (
-	Valid   State = "valid"         // in force
-	Early   State = "not yet valid" // its span may not have begun yet
-	Expired State = "expired"       // its span may have ended
-	Revoked State = "revoked"       // void for good, whatever its span
+	Valid       State = "valid"         // within the validity period and not revoked
+	NotYetValid State = "not yet valid" // the validity period may not have begun yet
+	Expired     State = "expired"       // the validity period may have ended
+	Revoked     State = "revoked"       // revoked permanently, whatever the validity period
 )
 
-// Row is one certificate with its state and the end of its span, cut to its issuer's.
-type Row struct {
+// CertificateStatus is a certificate with its state and the end of its validity period, which is limited by that
+// of its issuer.
+type CertificateStatus struct {
 	Certificate
 	State State `json:"state"`
 	Ends  int64 `json:"ends"` // nanoseconds since 1970
 }
 
-// Rows lists the certificates of a regime in the order of their ends.
-func (r *Register) Rows(regime string, now Now) []Row {
-	var out []Row
+// CertificateStatuses returns the certificates of a regime, ordered by expiry.
+func (r *Register) CertificateStatuses(regime string, now TimeBounds) []CertificateStatus {
+	var out []CertificateStatus
 	if r == nil {
 		return out
 	}
-	for serial, c := range r.all {
+	for serial, c := range r.certificates {
 		e := r.validity[serial]
 		if c.Regime != regime {
 			continue
 		}
-		row := Row{Certificate: *c, State: Valid, Ends: e.until}
+		row := CertificateStatus{Certificate: *c, State: Valid, Ends: e.until}
 		switch {
 		case r.isRevoked(serial):
 			row.State = Revoked
 		case now.High >= e.until:
 			row.State = Expired
 		case now.Low < e.from:
-			row.State = Early
+			row.State = NotYetValid
 		}
 		out = append(out, row)
 	}
-	slices.SortFunc(out, func(a, b Row) int {
+	slices.SortFunc(out, func(a, b CertificateStatus) int {
 		if a.Ends != b.Ends {
 			return int(min(max(a.Ends-b.Ends, -1), 1))
 		}
@@ -250,36 +264,37 @@
 	return out
 }
 
-// Find gives a certificate by its serial.
+// Find returns the certificate with the given serial.
 func (r *Register) Find(serial string) (Certificate, bool) {
-	if r == nil || r.all[serial] == nil {
+	if r == nil || r.certificates[serial] == nil {
 		return Certificate{}, false
 	}
-	return *r.all[serial], true
+	return *r.certificates[serial], true
 }
 
-// Shortage lists what a regime lacks at a time, among the workers that can be picked:
-// fewer than want of a part, or no node. A nil alive counts all.
-func (r *Register) Shortage(regime string, want int, now Now, alive func(Subject) bool) []string {
+// Shortages lists the roles for which a regime has fewer than minimum valid subjects at a given time: prefill
+// workers, decode workers and router nodes. Only subjects for which available returns true are counted; a nil
+// available counts all.
+func (r *Register) Shortages(regime string, minimum int, now TimeBounds, available func(Subject) bool) []string {
 	count := map[ids.Role]map[Subject]bool{ids.Prefill: {}, ids.Decode: {}, "": {}}
-	for _, row := range r.Rows(regime, now) {
-		if row.State != Valid || alive != nil && !alive(row.Subject()) {
+	for _, row := range r.CertificateStatuses(regime, now) {
+		if row.State != Valid || available != nil && !available(row.Subject()) {
 			continue
 		}
 		if row.Node != "" {
 			count[""][row.Subject()] = true
 		}
-		for _, p := range row.Roles {
-			count[p][row.Subject()] = true
+		for _, role := range row.Roles {
+			count[role][row.Subject()] = true
 		}
 	}
 	var out []string
-	for _, p := range []ids.Role{ids.Prefill, ids.Decode} {
-		if n := len(count[p]); n < want {
-			out = append(out, string(p)+" workers")
+	for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
+		if n := len(count[role]); n < minimum {
+			out = append(out, string(role)+" workers")
 		}
 	}
-	if len(count[""]) < want {
+	if len(count[""]) < minimum {
 		out = append(out, "router nodes")
 	}
 	return out
--- a/internal/fleetstate/regime.go
+++ b/internal/fleetstate/regime.go
@@ -102,7 +102,7 @@
 // CheckCertificateChanges checks the certificates of a configuration against those of the one that it
 // replaces: a serial of the previous configuration must not identify another certificate, and an
 // added certificate must not have expired. While the time is unknown, expiry is not checked.
-func (cfg *Configuration) CheckCertificateChanges(previous *Configuration, now certification.Now) error {
+func (cfg *Configuration) CheckCertificateChanges(previous *Configuration, now certification.TimeBounds) error {
 	for _, serial := range slices.Sorted(maps.Keys(cfg.Certificates)) {
 		c := cfg.Certificates[serial]
 		old, exists := previous.Certificates[serial]
@@ -122,9 +122,9 @@
 
 // certificateExpired reports whether the certificate with a serial has expired at now. It returns
 // false if the register compiled from cfg has no such serial.
-func certificateExpired(cfg *Configuration, serial string, now certification.Now) bool {
+func certificateExpired(cfg *Configuration, serial string, now certification.TimeBounds) bool {
 	register, _ := cfg.CompileRegister()
-	for _, row := range register.Rows(cfg.Certificates[serial].Regime, now) {
+	for _, row := range register.CertificateStatuses(cfg.Certificates[serial].Regime, now) {
 		if row.Serial == serial {
 			return row.State == certification.Expired
 		}
@@ -211,13 +211,13 @@
 		return true
 	}
 	register := m.configuredRegister.WithRevoked(m.revocations)
-	now := certification.Now{Low: m.timeBound - int64(clockBoundLead), High: m.timeBound}
-	for _, regime := range register.Regimes() {
+	now := certification.TimeBounds{Low: m.timeBound - int64(clockBoundLead), High: m.timeBound}
+	for _, regime := range register.RegimeNames() {
 		for _, role := range []ids.Role{ids.Prefill, ids.Decode} {
-			if _, ok := register.Clears(regime, certification.Subject{Worker: ids.WorkerID(id)}, role, now); !ok && isWorkerKey {
+			if _, ok := register.Authorizes(regime, certification.Subject{Worker: ids.WorkerID(id)}, role, now); !ok && isWorkerKey {
 				continue
 			}
-			if _, ok := register.Clears(regime, certification.Subject{Node: NodeName(node)}, "", now); !ok {
+			if _, ok := register.Authorizes(regime, certification.Subject{Node: NodeName(node)}, "", now); !ok {
 				return false
 			}
 		}
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -1,5 +1,5 @@
-// Stand-in callers: an open loop whose arrivals are fixed beforehand, so that
-// waiting is counted; each answer is held against a run that never moved.
+// This file contains the load generator. It is an open loop: arrival times are planned in advance, so that measured
+// latencies include queueing delays. Every output is compared with that of a run on a single worker.
 
 package standin
 
@@ -22,163 +22,181 @@
 	"keelstair.example/rpc"
 )
 
-// Shape is one kind of stream as callers send it.
-type Shape struct {
-	Kind    string
-	Claimed bool
-	Share   int // of 100
-	Shared  int // prompt tokens that all of the kind share
-	Own     int // prompt tokens of the caller's own, at most
-	Max     int
-	Long    int // the least of the caller's own tokens
-	Stems   int // how many shared beginnings there are, if not one
+// StreamClass is a class of requests that the load generator sends.
+type StreamClass struct {
+	Kind         string
+	KeyRequired  bool
+	Percent      int // percentage of the requests
+	SharedPrefix int // prompt tokens that all requests with the same prefix share
+	SuffixRange  int // the suffix has max(1, MinSuffix) + n random tokens, n < SuffixRange
+	MaxTokens    int
+	MinSuffix    int // see SuffixRange
+	Prefixes     int // number of different shared prefixes; 0 means 1
 }
 
-// LoadOptions say what to send.
+// LoadOptions configure a load.
 type LoadOptions struct {
 	Host     host.Host
-	Doors    func(zone ids.Zone) []string // ready ones, those of the caller's zone if it has any
-	Zones    []ids.Zone                   // where callers are; none: anywhere
-	Shapes   []Shape
-	Rate     float64 // arrivals a second
+	Nodes    func(zone ids.Zone) []string // returns the ready nodes, those of the zone if there are any
+	Zones    []ids.Zone                   // zones of the clients; empty for clients without a zone
+	Classes  []StreamClass
+	Rate     float64 // arrivals per second
 	Duration time.Duration
 	Seed     uint64
 	Model    string
-	Weights  []string // any that may answer
-	Retries  int      // how often a bounced caller comes back when told
-	Patient  time.Duration
+	Weights  []string      // model weights whose outputs are accepted
+	Retries  int           // maximum number of retries of a request
+	Timeout  time.Duration // of a request including its retries; 20s if 0
 }
 
-// Left is the end of a call whose caller's own patience was over first.
-const Left = "left"
+// TimedOut is the end of a request whose client timed out before the stream ended.
+const TimedOut = "left"
 
-// Outcome of one call.
+// Outcome is the outcome of one request. At is the planned arrival since the start of the load; FirstToken and
+// Duration are measured from that arrival.
 type Outcome struct {
-	Kind     string
-	Key      string
-	At       time.Duration
-	First    time.Duration
-	Complete time.Duration
-	End      string // complete, broken, unknown, bounced, cut, left, wrong
-	Detail   string
-	Tokens   []int32
-	Attempts int
-	Node     string // the last that was asked
+	Kind       string
+	Key        string
+	At         time.Duration
+	FirstToken time.Duration
+	Duration   time.Duration
+	End        string // complete, broken, unknown, bounced, cut, left, wrong
+	Detail     string
+	Tokens     []int32
+	Attempts   int
+	Node       string // the node of the last attempt
 }
 
-// Summary is what a load comes to.
+// Summary summarizes the outcomes of a load.
 type Summary struct {
-	Sent    int                `json:"sent"`
-	Ends    map[string]int     `json:"ends"`
-	Kinds   map[string]KindSum `json:"kinds"`
-	Details map[string]int     `json:"details,omitempty"`
+	Sent    int                    `json:"sent"`
+	Ends    map[string]int         `json:"ends"`
+	Kinds   map[string]KindSummary `json:"kinds"`
+	Details map[string]int         `json:"details,omitempty"`
 }
 
-// KindSum is the part of a summary for one kind of stream. Times are in milliseconds from the
-// planned arrival: to the first piece, and to the end.
-type KindSum struct {
-	Sent     int     `json:"sent"`
-	Complete int     `json:"complete"`
-	FirstP50 float64 `json:"firstP50Ms"`
-	FirstP99 float64 `json:"firstP99Ms"`
-	WholeP99 float64 `json:"wholeP99Ms"`
+// KindSummary summarizes the outcomes of one kind of request. Times are in milliseconds from the planned arrival to
+// the first token, and to the end of the stream.
+type KindSummary struct {
+	Sent        int     `json:"sent"`
+	Complete    int     `json:"complete"`
+	FirstP50    float64 `json:"firstP50Ms"`
+	FirstP99    float64 `json:"firstP99Ms"`
+	DurationP99 float64 `json:"wholeP99Ms"`
 }
 
-type call struct {
-	at    time.Duration
-	shape Shape
-	ask   api.StreamRequest
+type plannedRequest struct {
+	at      time.Duration
+	class   StreamClass
+	request api.StreamRequest
 }
 
-func plan(o *LoadOptions) []call {
+func planRequests(o *LoadOptions) []plannedRequest {
 	rng := rand.New(rand.NewPCG(o.Seed, 7))
-	var out []call
+	var out []plannedRequest
 	for at, i := time.Duration(0), 0; ; i++ {
 		at += time.Duration(rng.ExpFloat64() / o.Rate * float64(time.Second))
 		if at >= o.Duration {
 			return out
 		}
-		n, sh := rng.IntN(100), o.Shapes[len(o.Shapes)-1]
-		for _, s := range o.Shapes {
-			if n -= s.Share; n < 0 {
-				sh = s
+		draw, class := rng.IntN(100), o.Classes[len(o.Classes)-1]
+		for _, candidate := range o.Classes {
+			if draw -= candidate.Percent; draw < 0 {
+				class = candidate
 				break
 			}
 		}
-		a := api.StreamRequest{Kind: sh.Kind, MaxTokens: sh.Max, Seed: rng.Uint64() >> 12}
-		base := int32(len(sh.Kind) * 1000)
-		if sh.Stems > 1 {
-			base += int32(rng.IntN(sh.Stems) * 7919)
+		request := api.StreamRequest{Kind: class.Kind, MaxTokens: class.MaxTokens, Seed: rng.Uint64() >> 12}
+		base := int32(len(class.Kind) * 1000)
+		if class.Prefixes > 1 {
+			base += int32(rng.IntN(class.Prefixes) * 7919)
 		}
-		for j := range sh.Shared {
-			a.PromptIds = append(a.PromptIds, base+int32(j)+1)
+		for j := range class.SharedPrefix {
+			request.PromptIds = append(request.PromptIds, base+int32(j)+1)
 		}
-		for range max(1, sh.Long) + rng.IntN(sh.Own) {
-			a.PromptIds = append(a.PromptIds, 1+rng.Int32N(50000))
+		for range max(1, class.MinSuffix) + rng.IntN(class.SuffixRange) {
+			request.PromptIds = append(request.PromptIds, 1+rng.Int32N(50000))
 		}
-		if sh.Claimed {
-			a.Key = fmt.Sprintf("c%d-%d", o.Seed, i)
+		if class.KeyRequired {
+			request.Key = fmt.Sprintf("c%d-%d", o.Seed, i)
 		}
-		out = append(out, call{at, sh, a})
+		out = append(out, plannedRequest{at, class, request})
 	}
 }
 
-// Load sends it all and waits for every answer.
+// Load sends all requests at their planned times and waits for their outcomes.
 func Load(ctx context.Context, o LoadOptions) []Outcome {
-	web := rpc.NewHTTPClient(o.Host.Net)
-	defer web.CloseIdleConnections()
-	if o.Patient == 0 {
-		o.Patient = 20 * time.Second
+	client := rpc.NewHTTPClient(o.Host.Net)
+	defer client.CloseIdleConnections()
+	if o.Timeout == 0 {
+		o.Timeout = 20 * time.Second
 	}
-	calls := plan(&o)
-	out := make([]Outcome, len(calls))
+	planned := planRequests(&o)
+	out := make([]Outcome, len(planned))
 	start := time.Now()
 	var wg sync.WaitGroup
-	for i, c := range calls {
+	for i, c := range planned {
 		if !host.Sleep(ctx, time.Until(start.Add(c.at))) {
 			out = out[:i]
 			break
 		}
-		wg.Go(func() { out[i] = one(ctx, &o, web, &c, start, uint64(i)) })
+		wg.Go(func() { out[i] = sendWithRetries(ctx, &o, client, &c, start, uint64(i)) })
 	}
 	wg.Wait()
 	return out
 }
 
-func one(ctx context.Context, o *LoadOptions, web *http.Client, c *call, start time.Time, n uint64) Outcome {
-	rng := rand.New(rand.NewPCG(o.Seed, n+100))
-	r := Outcome{Kind: c.ask.Kind, Key: c.ask.Key, At: c.at}
+// sendWithRetries sends a request, retries it as configured, and checks its output.
+func sendWithRetries(
+	ctx context.Context,
+	o *LoadOptions,
+	client *http.Client,
+	planned *plannedRequest,
+	start time.Time,
+	index uint64,
+) Outcome {
+	rng := rand.New(rand.NewPCG(o.Seed, index+100))
+	outcome := Outcome{Kind: planned.request.Kind, Key: planned.request.Key, At: planned.at}
 	zone := ids.Zone("")
 	if len(o.Zones) > 0 {
 		zone = o.Zones[rng.IntN(len(o.Zones))]
 	}
-	cx, stop := context.WithTimeout(ctx, o.Patient)
-	defer stop()
-	due := start.Add(c.at)
+	callCtx, cancel := context.WithTimeout(ctx, o.Timeout)
+	defer cancel()
+	due := start.Add(planned.at)
 	for {
-		r.Attempts++
-		again := knock(cx, o, web, c, &r, due, rng, zone)
-		if again <= 0 || r.Attempts > o.Retries || !host.Sleep(cx, again) {
+		outcome.Attempts++
+		delay := sendOnce(callCtx, o, client, planned, &outcome, due, rng, zone)
+		if delay <= 0 || outcome.Attempts > o.Retries || !host.Sleep(callCtx, delay) {
 			break
 		}
 	}
-	if r.End == "cut" && cx.Err() != nil && ctx.Err() == nil {
-		r.End = Left
+	if outcome.End == "cut" && callCtx.Err() != nil && ctx.Err() == nil {
+		outcome.End = TimedOut
 	}
-	if r.End == api.Complete && !o.complete(c, r.Tokens) {
-		r.End, r.Detail = "wrong", fmt.Sprintf("tokens %v", r.Tokens)
+	if outcome.End == api.Complete && !o.matchesReference(planned, outcome.Tokens) {
+		outcome.End, outcome.Detail = "wrong", fmt.Sprintf("tokens %v", outcome.Tokens)
 	}
-	return r
+	return outcome
 }
 
-// complete holds an answer against the run that never moved.
-func (o *LoadOptions) complete(c *call, toks []int32) bool {
+// matchesReference reports whether the tokens are the output of a run on a single worker with any of the accepted
+// weights.
+func (o *LoadOptions) matchesReference(planned *plannedRequest, tokens []int32) bool {
 	for _, w := range o.Weights {
-		solo := Solo(c.ask.PromptIds, c.ask.MaxTokens, c.ask.Seed, c.ask.Temperature, o.Model, w, c.ask.Adapters)
-		if len(solo) == len(toks) {
+		reference := ReferenceOutput(
+			planned.request.PromptIds,
+			planned.request.MaxTokens,
+			planned.request.Seed,
+			planned.request.Temperature,
+			o.Model,
+			w,
+			planned.request.Adapters,
+		)
+		if len(reference) == len(tokens) {
 			same := true
-			for i := range solo {
-				same = same && solo[i] == toks[i]
+			for i := range reference {
+				same = same && reference[i] == tokens[i]
 			}
 			if same {
 				return true
@@ -188,108 +206,110 @@
 	return false
 }
 
-// Pauses of a caller before it comes back, where no answer said how long.
+// Retry delays for attempts whose response has no retry delay.
 const (
 	delayNoNode     = 500 * time.Millisecond
 	delayNotDialled = 300 * time.Millisecond
-	delayAfterReset = time.Second // claimed kinds only
+	delayAfterCut   = time.Second // only for requests with a key
 )
 
-// knock asks once; it returns how long to wait before asking again, if at all.
-func knock(
+// sendOnce sends a request once. It returns the delay before the next attempt, or 0 if the request must not be
+// retried.
+func sendOnce(
 	ctx context.Context,
 	o *LoadOptions,
-	web *http.Client,
-	c *call,
-	r *Outcome,
+	client *http.Client,
+	planned *plannedRequest,
+	outcome *Outcome,
 	due time.Time,
 	rng *rand.Rand,
 	zone ids.Zone,
 ) time.Duration {
-	doors := o.Doors(zone)
-	if len(doors) == 0 {
-		r.End, r.Detail = "bounced", "no door"
+	addrs := o.Nodes(zone)
+	if len(addrs) == 0 {
+		outcome.End, outcome.Detail = "bounced", "no ready node"
 		return delayNoNode
 	}
-	body, _ := json.Marshal(c.ask)
-	r.Node = doors[rng.IntN(len(doors))]
-	q, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Node+"/v1/streams", bytes.NewReader(body))
-	a, err := web.Do(q)
+	body, _ := json.Marshal(planned.request)
+	outcome.Node = addrs[rng.IntN(len(addrs))]
+	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+outcome.Node+"/v1/streams", bytes.NewReader(body))
+	resp, err := client.Do(req)
 	if err != nil {
-		return r.unanswered(err, c)
+		return outcome.recordNoResponse(err, planned)
 	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		return r.refused(a.Body, c)
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return outcome.recordRejection(resp.Body, planned)
 	}
-	return r.read(a.Body, c, due)
+	return outcome.readStream(resp.Body, planned, due)
 }
 
-// unanswered notes that a call had no answer at all.
-func (r *Outcome) unanswered(err error, c *call) time.Duration {
+// recordNoResponse records that an attempt got no response.
+func (r *Outcome) recordNoResponse(err error, planned *plannedRequest) time.Duration {
 	if rpc.IsDialError(err) {
-		r.End, r.Detail = "bounced", "door is shut"
+		r.End, r.Detail = "bounced", "no connection"
 		return delayNotDialled
 	}
-	r.End, r.Detail = "cut", "no answer"
-	return c.afterReset()
+	r.End, r.Detail = "cut", "no response"
+	return planned.delayAfterCut()
 }
 
-// afterReset is when a caller comes back after an answer that was cut: only a request with a
-// key may be repeated.
-func (c *call) afterReset() time.Duration {
-	if c.shape.Claimed {
-		return delayAfterReset
+// delayAfterCut returns the retry delay after an attempt whose outcome is unknown, or 0 if the request has no key:
+// only a request with a key may be repeated.
+func (p *plannedRequest) delayAfterCut() time.Duration {
+	if p.class.KeyRequired {
+		return delayAfterCut
 	}
 	return 0
 }
 
-// refused notes a refusal. A caller whose claimed request was surely not run takes a new key.
-func (r *Outcome) refused(body io.Reader, c *call) time.Duration {
-	var f struct {
+// recordRejection records an error response. If the response states that a request with a key did not run, the
+// retry uses a new key.
+func (r *Outcome) recordRejection(body io.Reader, planned *plannedRequest) time.Duration {
+	var response struct {
 		Error struct {
 			Name  string
 			After int64 `json:"retryAfterMs"`
 		}
 	}
 	b, _ := io.ReadAll(body)
-	json.Unmarshal(b, &f)
-	r.End, r.Detail = "bounced", f.Error.Name
-	if f.Error.Name == "not-run" {
-		c.ask.Key += "+"
-		r.Key = c.ask.Key
+	json.Unmarshal(b, &response)
+	r.End, r.Detail = "bounced", response.Error.Name
+	if response.Error.Name == "not-run" {
+		planned.request.Key += "+"
+		r.Key = planned.request.Key
 	}
-	return time.Duration(f.Error.After) * time.Millisecond
+	return time.Duration(response.Error.After) * time.Millisecond
 }
 
-// read takes the lines of a stream up to its end.
-func (r *Outcome) read(body io.Reader, c *call, due time.Time) time.Duration {
+// readStream reads the events of a stream up to its end.
+func (r *Outcome) readStream(body io.Reader, planned *plannedRequest, due time.Time) time.Duration {
 	r.Tokens, r.End, r.Detail = nil, "cut", "the stream stopped"
-	rows := bufio.NewScanner(body)
-	for rows.Scan() {
-		var l api.StreamEvent
-		if err := json.Unmarshal(rows.Bytes(), &l); err != nil {
-			r.End, r.Detail = "wrong", "garbage"
+	lines := bufio.NewScanner(body)
+	for lines.Scan() {
+		var event api.StreamEvent
+		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
+			r.End, r.Detail = "wrong", "invalid event"
 			return 0
 		}
-		if l.Index != len(r.Tokens) {
-			r.End, r.Detail = "wrong", fmt.Sprintf("piece %d where %d was due", l.Index, len(r.Tokens))
+		if event.Index != len(r.Tokens) {
+			r.End, r.Detail = "wrong", fmt.Sprintf("token %d where %d was expected", event.Index, len(r.Tokens))
 			return 0
 		}
-		if l.End != "" {
-			r.Complete = time.Since(due)
-			return r.finish(&l, c)
+		if event.End != "" {
+			r.Duration = time.Since(due)
+			return r.recordEnd(&event, planned)
 		}
-		if len(r.Tokens) == 0 && r.First == 0 {
-			r.First = time.Since(due)
+		if len(r.Tokens) == 0 && r.FirstToken == 0 {
+			r.FirstToken = time.Since(due)
 		}
-		r.Tokens = append(r.Tokens, l.Token)
+		r.Tokens = append(r.Tokens, event.Token)
 	}
-	return c.afterReset()
+	return planned.delayAfterCut()
 }
 
-// finish takes the last line of a stream.
-func (r *Outcome) finish(last *api.StreamEvent, c *call) time.Duration {
+// recordEnd records the last event of a stream.
+func (r *Outcome) recordEnd(last *api.StreamEvent, planned *plannedRequest) time.Duration {
 	r.End, r.Detail = last.End, ""
 	if last.Error != nil {
 		r.Detail = last.Error.Name
@@ -297,59 +317,59 @@
 	if last.End == api.Complete && last.Count != len(r.Tokens) {
 		r.End = "wrong"
 	}
-	if last.End == api.Unknown && c.shape.Claimed && last.Error != nil && last.Error.After > 0 {
+	if last.End == api.Unknown && planned.class.KeyRequired && last.Error != nil && last.Error.After > 0 {
 		return time.Duration(last.Error.After) * time.Millisecond
 	}
 	return 0
 }
 
-// Sum counts outcomes and gives percentiles by kind.
-func Sum(all []Outcome) Summary {
-	s := Summary{Sent: len(all), Ends: map[string]int{}, Kinds: map[string]KindSum{}, Details: map[string]int{}}
+// Summarize counts the outcomes and computes latency percentiles by kind.
+func Summarize(all []Outcome) Summary {
+	summary := Summary{Sent: len(all), Ends: map[string]int{}, Kinds: map[string]KindSummary{}, Details: map[string]int{}}
 	first, complete := map[string][]time.Duration{}, map[string][]time.Duration{}
 	for _, o := range all {
-		s.Ends[o.End]++
+		summary.Ends[o.End]++
 		if o.End != api.Complete {
-			s.Details[o.End+": "+o.Detail]++
+			summary.Details[o.End+": "+o.Detail]++
 		}
-		k := s.Kinds[o.Kind]
+		k := summary.Kinds[o.Kind]
 		k.Sent++
 		if o.End == api.Complete {
 			k.Complete++
-			first[o.Kind] = append(first[o.Kind], o.First)
-			complete[o.Kind] = append(complete[o.Kind], o.Complete)
+			first[o.Kind] = append(first[o.Kind], o.FirstToken)
+			complete[o.Kind] = append(complete[o.Kind], o.Duration)
 		}
-		s.Kinds[o.Kind] = k
+		summary.Kinds[o.Kind] = k
 	}
-	for n, k := range s.Kinds {
-		k.FirstP50, k.FirstP99, k.WholeP99 = Quantile(first[n], 0.5), Quantile(first[n], 0.99), Quantile(complete[n], 0.99)
-		s.Kinds[n] = k
+	for n, k := range summary.Kinds {
+		k.FirstP50, k.FirstP99, k.DurationP99 = Quantile(first[n], 0.5), Quantile(first[n], 0.99), Quantile(complete[n], 0.99)
+		summary.Kinds[n] = k
 	}
-	return s
+	return summary
 }
 
-// Quantile in milliseconds.
-func Quantile(row []time.Duration, q float64) float64 {
-	if len(row) == 0 {
+// Quantile returns the q-quantile of the samples in milliseconds, or 0 if there are none.
+func Quantile(samples []time.Duration, q float64) float64 {
+	if len(samples) == 0 {
 		return 0
 	}
-	row = append([]time.Duration(nil), row...)
-	sort.Slice(row, func(i, j int) bool { return row[i] < row[j] })
-	return float64(row[int(q*float64(len(row)-1))].Microseconds()) / 1000
+	samples = append([]time.Duration(nil), samples...)
+	sort.Slice(samples, func(i, j int) bool { return samples[i] < samples[j] })
+	return float64(samples[int(q*float64(len(samples)-1))].Microseconds()) / 1000
 }
 
-// Site is one of the two deployments, in the sizes of today.
+// Site is a deployment with its current size and load.
 type Site struct {
 	Name    string
 	Zones   []ids.Zone
-	Nodes   int // machines without a disk
+	Nodes   int // number of router nodes, which have no disk
 	Prefill int
 	Decode  int
 	Model   string
-	Shapes  []Shape
+	Classes []StreamClass
 }
 
-// Sites are the two.
+// Sites contains the two deployments by name.
 var Sites = map[string]Site{
 	"vatuloa": {
 		Name:    "vatuloa",
@@ -358,9 +378,9 @@
 		Prefill: 6,
 		Decode:  6,
 		Model:   "bridge-8b",
-		Shapes: []Shape{
-			{Kind: "verdict", Claimed: true, Share: 45, Shared: 384, Own: 640, Max: 2},
-			{Kind: "clarification", Share: 55, Shared: 96, Own: 48, Max: 24},
+		Classes: []StreamClass{
+			{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefix: 384, SuffixRange: 640, MaxTokens: 2},
+			{Kind: "clarification", Percent: 55, SharedPrefix: 96, SuffixRange: 48, MaxTokens: 24},
 		},
 	},
 	"almaty": {
@@ -370,9 +390,9 @@
 		Prefill: 4,
 		Decode:  5,
 		Model:   "scooter-8b",
-		Shapes: []Shape{
-			{Kind: "ruling", Claimed: true, Share: 45, Shared: 320, Own: 480, Max: 2},
-			{Kind: "rider", Share: 55, Shared: 128, Own: 48, Max: 24},
+		Classes: []StreamClass{
+			{Kind: "ruling", KeyRequired: true, Percent: 45, SharedPrefix: 320, SuffixRange: 480, MaxTokens: 2},
+			{Kind: "rider", Percent: 55, SharedPrefix: 128, SuffixRange: 48, MaxTokens: 24},
 		},
 	},
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,5 +1,5 @@
-// The stand-in platform: it lists workers as they come and go, checks every
-// node's readiness each second, and hands callers to ready nodes in their zone.
+// This file contains the stand-in platform. It keeps the list of workers, checks the readiness of every node once per
+// second, and tells clients the addresses of the ready nodes in their zone.
 
 package standin
 
@@ -17,82 +17,83 @@
 	"keelstair.example/rpc"
 )
 
-// Node is a node as the platform knows it.
+// Node is a router node that is registered with the platform.
 type Node struct {
 	Addr  string   `json:"addr"`
 	Zone  ids.Zone `json:"zone"`
 	Ready bool     `json:"ready"`
 }
 
-// Platform lists workers and doors.
+// Platform is a registry of workers and router nodes.
 type Platform struct {
-	mu      sync.Mutex
-	web     *http.Client
-	workers map[ids.WorkerID]workerclient.ListedWorker
-	nodes   map[string]*Node
+	mu         sync.Mutex
+	httpClient *http.Client
+	workers    map[ids.WorkerID]workerclient.ListedWorker
+	nodes      map[string]*Node
 }
 
-// NewPlatform returns a platform without workers or nodes. It asks nodes over the host's network.
+// NewPlatform returns a platform without workers or nodes. It checks nodes over the host's network.
 func NewPlatform(host host.Host) *Platform {
 	return &Platform{
-		web:     rpc.NewHTTPClient(host.Net),
-		workers: map[ids.WorkerID]workerclient.ListedWorker{},
-		nodes:   map[string]*Node{},
+		httpClient: rpc.NewHTTPClient(host.Net),
+		workers:    map[ids.WorkerID]workerclient.ListedWorker{},
+		nodes:      map[string]*Node{},
 	}
 }
 
-// List puts a worker on the list, or changes its line.
-func (p *Platform) List(l workerclient.ListedWorker) {
+// SetWorker adds a worker to the list, or replaces its entry.
+func (p *Platform) SetWorker(worker workerclient.ListedWorker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.workers[l.ID] = l
+	p.workers[worker.ID] = worker
 }
 
-// Strike takes a worker off the list.
-func (p *Platform) Strike(id ids.WorkerID) {
+// RemoveWorker removes a worker from the list.
+func (p *Platform) RemoveWorker(id ids.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.workers, id)
 }
 
-// Leave marks a worker as leaving.
-func (p *Platform) Leave(id ids.WorkerID) {
+// MarkLeaving marks a worker as about to shut down.
+func (p *Platform) MarkLeaving(id ids.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l, ok := p.workers[id]; ok {
-		l.Leaving = true
-		p.workers[id] = l
+	if worker, ok := p.workers[id]; ok {
+		worker.Leaving = true
+		p.workers[id] = worker
 	}
 }
 
-// AddNode adds a node's door.
+// AddNode registers a node. It counts as not ready until the next check.
 func (p *Platform) AddNode(addr string, zone ids.Zone) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nodes[addr] = &Node{Addr: addr, Zone: zone}
 }
 
-// Nodes lists the doors that were ready when last asked.
-func (p *Platform) Nodes(zone ids.Zone) []string {
+// ReadyNodes returns the addresses of the nodes that were ready at the last check: those in the zone, or all others
+// if there are none in the zone. An empty zone selects all nodes.
+func (p *Platform) ReadyNodes(zone ids.Zone) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var near, far []string
-	for _, d := range p.nodes {
+	var sameZone, otherZones []string
+	for _, node := range p.nodes {
 		switch {
-		case !d.Ready:
-		case d.Zone == zone || zone == "":
-			near = append(near, d.Addr)
+		case !node.Ready:
+		case node.Zone == zone || zone == "":
+			sameZone = append(sameZone, node.Addr)
 		default:
-			far = append(far, d.Addr)
+			otherZones = append(otherZones, node.Addr)
 		}
 	}
-	if len(near) > 0 {
-		return near
+	if len(sameZone) > 0 {
+		return sameZone
 	}
-	return far
+	return otherZones
 }
 
-// Run checks readiness every second until the context ends.
+// Run checks the readiness of all nodes every second until the context is cancelled.
 func (p *Platform) Run(ctx context.Context) {
 	for host.Sleep(ctx, time.Second) {
 		p.mu.Lock()
@@ -104,13 +105,13 @@
 		var wg sync.WaitGroup
 		for _, a := range all {
 			wg.Go(func() {
-				cx, stop := context.WithTimeout(ctx, 700*time.Millisecond)
-				defer stop()
-				q, _ := http.NewRequestWithContext(cx, http.MethodGet, "http://"+a+"/ready", nil)
-				r, err := p.web.Do(q)
-				ok := err == nil && r.StatusCode == http.StatusOK
+				pollCtx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
+				defer cancel()
+				req, _ := http.NewRequestWithContext(pollCtx, http.MethodGet, "http://"+a+"/ready", nil)
+				resp, err := p.httpClient.Do(req)
+				ok := err == nil && resp.StatusCode == http.StatusOK
 				if err == nil {
-					r.Body.Close()
+					resp.Body.Close()
 				}
 				p.mu.Lock()
 				p.nodes[a].Ready = ok
@@ -119,7 +120,7 @@
 		}
 		wg.Wait()
 	}
-	p.web.CloseIdleConnections()
+	p.httpClient.CloseIdleConnections()
 }
 
 // Handler serves the platform's interface over HTTP.
@@ -128,90 +129,90 @@
 	mux.HandleFunc("GET /workers", func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
 		out := []workerclient.ListedWorker{}
-		for _, l := range p.workers {
-			out = append(out, l)
+		for _, worker := range p.workers {
+			out = append(out, worker)
 		}
 		p.mu.Unlock()
-		reply(w, http.StatusOK, out)
+		writeJSON(w, http.StatusOK, out)
 	})
 	mux.HandleFunc("POST /workers", func(w http.ResponseWriter, r *http.Request) {
-		var l workerclient.ListedWorker
-		if err := json.NewDecoder(r.Body).Decode(&l); err != nil || l.ID == "" {
-			reply(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
+		var worker workerclient.ListedWorker
+		if err := json.NewDecoder(r.Body).Decode(&worker); err != nil || worker.ID == "" {
+			writeJSON(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
 			return
 		}
-		p.List(l)
-		reply(w, http.StatusOK, l)
+		p.SetWorker(worker)
+		writeJSON(w, http.StatusOK, worker)
 	})
 	mux.HandleFunc("POST /workers/{id}/leave", func(w http.ResponseWriter, r *http.Request) {
-		p.Leave(ids.WorkerID(r.PathValue("id")))
-		reply(w, http.StatusOK, "leaving")
+		p.MarkLeaving(ids.WorkerID(r.PathValue("id")))
+		writeJSON(w, http.StatusOK, "leaving")
 	})
 	mux.HandleFunc("DELETE /workers/{id}", func(w http.ResponseWriter, r *http.Request) {
-		p.Strike(ids.WorkerID(r.PathValue("id")))
-		reply(w, http.StatusOK, "gone")
+		p.RemoveWorker(ids.WorkerID(r.PathValue("id")))
+		writeJSON(w, http.StatusOK, "gone")
 	})
 	mux.HandleFunc("POST /doors", func(w http.ResponseWriter, r *http.Request) {
-		var d Node
-		if err := json.NewDecoder(r.Body).Decode(&d); err != nil || d.Addr == "" {
-			reply(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
+		var node Node
+		if err := json.NewDecoder(r.Body).Decode(&node); err != nil || node.Addr == "" {
+			writeJSON(w, http.StatusBadRequest, workerclient.Rejection{Name: "malformed"})
 			return
 		}
-		p.AddNode(d.Addr, d.Zone)
-		reply(w, http.StatusOK, d)
+		p.AddNode(node.Addr, node.Zone)
+		writeJSON(w, http.StatusOK, node)
 	})
 	mux.HandleFunc("GET /doors", func(w http.ResponseWriter, r *http.Request) {
-		out := p.Nodes(ids.Zone(r.FormValue("zone")))
+		out := p.ReadyNodes(ids.Zone(r.FormValue("zone")))
 		if out == nil {
 			out = []string{}
 		}
-		reply(w, http.StatusOK, out)
+		writeJSON(w, http.StatusOK, out)
 	})
 	return mux
 }
 
-// Asked gives the doors that a platform names ready for a zone, asked anew twice a
-// second.
-func Asked(ctx context.Context, machine host.Host, addr string, zones []ids.Zone) func(ids.Zone) []string {
-	web := rpc.NewHTTPClient(machine.Net)
+// PollNodes requests the ready nodes of each zone from the platform at addr twice per second, until the context is
+// cancelled. The returned function returns the latest result for a zone.
+func PollNodes(ctx context.Context, machine host.Host, addr string, zones []ids.Zone) func(ids.Zone) []string {
+	client := rpc.NewHTTPClient(machine.Net)
 	var mu sync.Mutex
-	kept := map[ids.Zone][]string{}
-	ask := func(zone ids.Zone) {
-		cx, stop := context.WithTimeout(ctx, 700*time.Millisecond)
-		defer stop()
-		q, err := http.NewRequestWithContext(
-			cx, http.MethodGet, "http://"+addr+"/doors?zone="+url.QueryEscape(string(zone)), nil,
+	latest := map[ids.Zone][]string{}
+	poll := func(zone ids.Zone) {
+		pollCtx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
+		defer cancel()
+		req, err := http.NewRequestWithContext(
+			pollCtx, http.MethodGet, "http://"+addr+"/doors?zone="+url.QueryEscape(string(zone)), nil,
 		)
 		if err != nil {
 			return
 		}
-		r, err := web.Do(q)
+		resp, err := client.Do(req)
 		if err != nil {
 			return
 		}
-		defer r.Body.Close()
+		defer resp.Body.Close()
 		var out []string
-		if json.NewDecoder(r.Body).Decode(&out) == nil {
+		if json.NewDecoder(resp.Body).Decode(&out) == nil {
 			mu.Lock()
-			kept[zone] = out
+			latest[zone] = out
 			mu.Unlock()
 		}
 	}
-	every := func() {
+	pollAll := func() {
 		for _, z := range zones {
-			ask(z)
+			poll(z)
 		}
 	}
-	every()
+	pollAll()
 	go func() {
 		for host.Sleep(ctx, 500*time.Millisecond) {
-			every()
+			pollAll()
 		}
-		web.CloseIdleConnections()
+		client.CloseIdleConnections()
 	}()
 	return func(zone ids.Zone) []string {
 		mu.Lock()
 		defer mu.Unlock()
-		return kept[zone]
+		return latest[zone]
 	}
 }
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -1,7 +1,9 @@
-// Package standin holds the stand-ins: a model worker, callers, a platform. This
-// file is the worker's memory: a pool of blocks of KV cells, and block tables
-// that put them in the order of tokens. Freed blocks keep their old cells, as
-// real memory does, so reading what was never filled gives foreign content.
+// Package standin contains stand-ins for the systems around the routers: a model worker, clients that generate
+// load, and the platform.
+//
+// This file implements the worker's memory: a pool of blocks of KV cells, and block tables that list the blocks of
+// a run in token order. As in real memory, freed blocks keep their content, so a read of cells that were never
+// written returns the content of another request.
 package standin
 
 import (
@@ -12,28 +14,29 @@
 	"keelstair.example/ids"
 )
 
+// pool is a fixed number of blocks of KV cells.
 type pool struct {
-	size   int
-	cells  [][]uint64
-	free   []int
-	pledge int
+	size     int // cells per block
+	cells    [][]uint64
+	free     []int // indices of the free blocks
+	reserved int   // free blocks that are reserved for the growth of runs
 }
 
-func newPool(room, size int) *pool {
+func newPool(capacity, size int) *pool {
 	p := &pool{size: size}
-	for i := range room {
+	for i := range capacity {
 		p.cells = append(p.cells, make([]uint64, size))
-		p.free = append(p.free, room-1-i)
+		p.free = append(p.free, capacity-1-i)
 	}
 	return p
 }
 
 func (p *pool) used() int { return len(p.cells) - len(p.free) }
 
-// fits tells whether so many blocks can be had beside all pledged growth.
-func (p *pool) fits(n int) bool { return len(p.free)-p.pledge >= n }
+// fits reports whether n blocks are free in addition to those that are reserved.
+func (p *pool) fits(n int) bool { return len(p.free)-p.reserved >= n }
 
-func (p *pool) take(n int) []int {
+func (p *pool) allocate(n int) []int {
 	if n > len(p.free) {
 		return nil
 	}
@@ -43,10 +46,10 @@
 	return out
 }
 
-func (p *pool) give(tab []int) { p.free = append(p.free, tab...) }
+func (p *pool) release(blocks []int) { p.free = append(p.free, blocks...) }
 
-func (p *pool) put(tab []int, pos int, v uint64) { p.cells[tab[pos/p.size]][pos%p.size] = v }
-func (p *pool) get(tab []int, pos int) uint64    { return p.cells[tab[pos/p.size]][pos%p.size] }
+func (p *pool) set(blocks []int, pos int, v uint64) { p.cells[blocks[pos/p.size]][pos%p.size] = v }
+func (p *pool) get(blocks []int, pos int) uint64    { return p.cells[blocks[pos/p.size]][pos%p.size] }
 
 func mix(a, b uint64) uint64 {
 	v := a*0x9e3779b97f4a7c15 ^ (b + 0x7f4a7c15f39cc060)
@@ -55,7 +58,7 @@
 	return v ^ v>>32
 }
 
-func text(s string) uint64 {
+func hashString(s string) uint64 {
 	v := uint64(14695981039346656037)
 	for _, c := range []byte(s) {
 		v = (v ^ uint64(c)) * 1099511628211
@@ -63,37 +66,37 @@
 	return v
 }
 
-// cell is what a token's KV is on given weights and adapters.
-func cell(base, last uint64, pos int, tok int32) uint64 {
-	return mix(mix(base, last), uint64(pos)<<32|uint64(uint32(tok)))
+// kvCell returns the KV cell of a token, which depends on the model, on the previous cell and on the position.
+func kvCell(model, previous uint64, pos int, token int32) uint64 {
+	return mix(mix(model, previous), uint64(pos)<<32|uint64(uint32(token)))
 }
 
-// attend reads every cell below n through the table; the next token hangs on
-// all of it, on the seed and on the temperature.
-func (p *pool) attend(tab []int, n int, base, seed uint64, warmth float64) uint64 {
-	v := mix(base, seed)
-	if warmth > 0 {
-		v = mix(v, uint64(warmth*1000))
+// attention returns a hash of the model, the seed, the temperature and the first n cells of a block table. The next
+// token is derived from it, so it depends on each of them.
+func (p *pool) attention(blocks []int, n int, model, seed uint64, temperature float64) uint64 {
+	v := mix(model, seed)
+	if temperature > 0 {
+		v = mix(v, uint64(temperature*1000))
 	}
 	for i := range n {
-		v = mix(v, p.get(tab, i))
+		v = mix(v, p.get(blocks, i))
 	}
 	return v
 }
 
-// token turns what was attended to into a token; 0 ends the answer.
-func token(v uint64, at int) int32 {
+// sampleToken derives the token at position at of the output from the result of attention. 0 ends the output.
+func sampleToken(v uint64, at int) int32 {
 	if at > 2 && v%23 == 0 {
 		return 0
 	}
 	return int32(v%50000) + 1
 }
 
-// kvBytes is the KV as it crosses the wire.
-func (p *pool) kvBytes(tab []int, n int) ([]byte, string) {
+// kvBytes returns the first n cells of a block table as transferred between workers, with their digest.
+func (p *pool) kvBytes(blocks []int, n int) ([]byte, string) {
 	out := make([]byte, 0, 8*n)
 	for i := range n {
-		out = binary.LittleEndian.AppendUint64(out, p.get(tab, i))
+		out = binary.LittleEndian.AppendUint64(out, p.get(blocks, i))
 	}
 	return out, digest(out)
 }
@@ -103,33 +106,41 @@
 	return hex.EncodeToString(sum[:12])
 }
 
-// Solo is the answer of a run that never moves: the measure for all others.
-func Solo(prompt []int32, max int, seed uint64, warmth float64, model, weights string, adapters []string) []int32 {
-	p := newPool(ids.Blocks(len(prompt)+max+1, 16), 16)
-	tab := p.take(len(p.cells))
-	base := stem(model, weights, adapters)
+// ReferenceOutput returns the output of a request that is processed by a single worker without a hand-over. The
+// output of every other run must be equal to it.
+func ReferenceOutput(
+	prompt []int32,
+	maxTokens int,
+	seed uint64,
+	temperature float64,
+	name, weights string,
+	adapters []string,
+) []int32 {
+	p := newPool(ids.Blocks(len(prompt)+maxTokens+1, 16), 16)
+	blocks := p.allocate(len(p.cells))
+	model := modelHash(name, weights, adapters)
 	var last uint64
 	for i, t := range prompt {
-		last = cell(base, last, i, t)
-		p.put(tab, i, last)
+		last = kvCell(model, last, i, t)
+		p.set(blocks, i, last)
 	}
 	var out []int32
-	for n := len(prompt); len(out) < max; n++ {
-		t := token(p.attend(tab, n, base, seed, warmth), len(out))
+	for n := len(prompt); len(out) < maxTokens; n++ {
+		t := sampleToken(p.attention(blocks, n, model, seed, temperature), len(out))
 		if t == 0 {
 			break
 		}
 		out = append(out, t)
-		last = cell(base, last, n, t)
-		p.put(tab, n, last)
+		last = kvCell(model, last, n, t)
+		p.set(blocks, n, last)
 	}
 	return out
 }
 
-func stem(model, weights string, adapters []string) uint64 {
-	v := mix(text(model), text(weights))
+func modelHash(model, weights string, adapters []string) uint64 {
+	v := mix(hashString(model), hashString(weights))
 	for _, a := range adapters {
-		v = mix(v, text(a))
+		v = mix(v, hashString(a))
 	}
 	return v
 }
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -1,5 +1,5 @@
-// The stand-in's HTTP side: orders under a fence, the late report, the stream,
-// and the KV that another worker fetches.
+// This file contains the HTTP interface of the stand-in worker: orders with a fencing token, the delayed report, the
+// prefill and export orders, and the transfer of KV cache to another worker.
 
 package standin
 
@@ -20,212 +20,220 @@
 // Handler serves the worker's interface over HTTP, with POST /fault and GET /tally for tests.
 func (w *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /prefill", order(w, w.prefill))
-	mux.HandleFunc("POST /export", order(w, w.export))
-	mux.HandleFunc("POST /import", order(w, w.take))
-	mux.HandleFunc("POST /resume", order(w, w.resume))
-	mux.HandleFunc("POST /cancel", order(w, w.cancel))
-	mux.HandleFunc("POST /part", order(w, w.orderRole))
+	mux.HandleFunc("POST /prefill", orderHandler(w, w.prefill))
+	mux.HandleFunc("POST /export", orderHandler(w, w.export))
+	mux.HandleFunc("POST /import", orderHandler(w, w.importKV))
+	mux.HandleFunc("POST /resume", orderHandler(w, w.resume))
+	mux.HandleFunc("POST /cancel", orderHandler(w, w.cancelAttempt))
+	mux.HandleFunc("POST /part", orderHandler(w, w.setRole))
 	mux.HandleFunc("GET /report", func(rw http.ResponseWriter, _ *http.Request) {
 		w.mu.Lock()
 		var r workerclient.Report
-		if len(w.late) > 0 {
-			r = w.late[0].r
+		if len(w.pastReports) > 0 {
+			r = w.pastReports[0].report
 		} else {
 			r = w.report()
 		}
 		r.Version = w.version
 		w.mu.Unlock()
-		reply(rw, http.StatusOK, r)
+		writeJSON(rw, http.StatusOK, r)
 	})
-	mux.HandleFunc("GET /stream", w.stream)
-	mux.HandleFunc("GET /kv", w.kvTransfer)
+	mux.HandleFunc("GET /stream", w.serveStream)
+	mux.HandleFunc("GET /kv", w.serveKV)
 	mux.HandleFunc("GET /tally", func(rw http.ResponseWriter, _ *http.Request) {
-		reply(rw, http.StatusOK, w.Tallies())
+		writeJSON(rw, http.StatusOK, w.RequestCounts())
 	})
-	mux.HandleFunc("POST /fault", func(rw http.ResponseWriter, q *http.Request) {
-		var f Faults
-		if json.NewDecoder(q.Body).Decode(&f) == nil {
-			w.Order(f)
+	mux.HandleFunc("POST /fault", func(rw http.ResponseWriter, req *http.Request) {
+		var faults Faults
+		if json.NewDecoder(req.Body).Decode(&faults) == nil {
+			w.SetFaults(faults)
 		}
-		reply(rw, http.StatusOK, f)
+		writeJSON(rw, http.StatusOK, faults)
 	})
-	return http.HandlerFunc(func(rw http.ResponseWriter, q *http.Request) {
+	return http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
 		w.mu.Lock()
-		f := w.fault
+		faults := w.faults
 		w.mu.Unlock()
 		switch {
-		case q.URL.Path == "/fault" || q.URL.Path == "/tally":
-		case f.Dark:
-			io.Copy(io.Discard, q.Body) // else the server would not notice a caller that leaves
-			<-q.Context().Done()
+		case req.URL.Path == "/fault" || req.URL.Path == "/tally":
+		case faults.Unresponsive:
+			io.Copy(io.Discard, req.Body) // the server detects a disconnect only after the body has been read
+			<-req.Context().Done()
 			return
-		case f.Garbage:
+		case faults.Garbage:
 			rw.Write([]byte("<<garbage>>"))
 			return
 		}
-		mux.ServeHTTP(rw, q)
+		mux.ServeHTTP(rw, req)
 	})
 }
 
-func reply(rw http.ResponseWriter, code int, v any) {
+func writeJSON(rw http.ResponseWriter, code int, v any) {
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(code)
 	json.NewEncoder(rw).Encode(v)
 }
 
-type refusal struct {
+type rejection struct {
 	code int
 	name string
 }
 
-func (r *refusal) Error() string { return r.name }
+func (r *rejection) Error() string { return r.name }
 
-func no(code int, form string, args ...any) error { return &refusal{code, fmt.Sprintf(form, args...)} }
+func reject(code int, format string, args ...any) error {
+	return &rejection{code, fmt.Sprintf(format, args...)}
+}
 
-// order reads an order and turns a refusal into its code.
-func order[Q any](w *Worker, f func(context.Context, *Q) (*workerclient.OrderResponse, error)) http.HandlerFunc {
-	return func(rw http.ResponseWriter, q *http.Request) {
-		var in Q
-		if err := json.NewDecoder(io.LimitReader(q.Body, 16<<20)).Decode(&in); err != nil {
-			reply(rw, http.StatusBadRequest, workerclient.Rejection{Name: "malformed", Detail: err.Error()})
+// orderHandler returns a handler that decodes an order, executes it with handle and writes the response. A rejection
+// is written with its status.
+func orderHandler[Q any](
+	w *Worker,
+	handle func(context.Context, *Q) (*workerclient.OrderResponse, error),
+) http.HandlerFunc {
+	return func(rw http.ResponseWriter, req *http.Request) {
+		var order Q
+		if err := json.NewDecoder(io.LimitReader(req.Body, 16<<20)).Decode(&order); err != nil {
+			writeJSON(rw, http.StatusBadRequest, workerclient.Rejection{Name: "malformed", Detail: err.Error()})
 			return
 		}
-		a, err := f(q.Context(), &in)
-		if r, ok := err.(*refusal); ok {
-			reply(rw, r.code, workerclient.Rejection{Name: r.name})
+		resp, err := handle(req.Context(), &order)
+		if rejected, ok := err.(*rejection); ok {
+			writeJSON(rw, rejected.code, workerclient.Rejection{Name: rejected.name})
 			return
 		}
 		w.mu.Lock()
-		a.Version, a.Incarnation = w.version, w.incarnation
-		toks := a.Output
-		if a.Identity != nil {
-			toks = a.Identity.Output
+		resp.Version, resp.Incarnation = w.version, w.incarnation
+		tokens := resp.Output
+		if resp.Identity != nil {
+			tokens = resp.Identity.Output
 		}
-		for _, t := range toks {
-			a.Texts = append(a.Texts, say(t))
+		for _, t := range tokens {
+			resp.Texts = append(resp.Texts, tokenText(t))
 		}
 		w.mu.Unlock()
-		reply(rw, http.StatusOK, a)
+		writeJSON(rw, http.StatusOK, resp)
 	}
 }
 
-// say is a token as text.
-func say(t int32) string { return fmt.Sprintf("t%d ", t) }
+// tokenText returns the text of a token.
+func tokenText(t int32) string { return fmt.Sprintf("t%d ", t) }
 
-// heed checks the fence and notes the version. The caller holds mu.
-func (w *Worker) heed(what string, l workerclient.OrderHeader, id workerclient.ID) error {
-	if l.Fence < w.fence && !w.fault.Forget {
-		return no(http.StatusPreconditionFailed, "fence %d is older than %d", l.Fence, w.fence)
+// checkOrder rejects an order whose fencing token is outdated or whose attempt was cancelled, and otherwise records
+// its fencing token and configuration version. The caller holds mu.
+func (w *Worker) checkOrder(event string, header workerclient.OrderHeader, id workerclient.ID) error {
+	if header.Fence < w.fence && !w.faults.IgnoreFencing {
+		return reject(http.StatusPreconditionFailed, "fence %d is older than %d", header.Fence, w.fence)
 	}
-	if n, ok := w.tombstones[id.Request]; ok && what != "cancel" && id.Attempt <= n && !w.fault.Forget {
-		return no(http.StatusGone, "attempt %d was cancelled", id.Attempt)
+	if cancelled, ok := w.tombstones[id.Request]; ok && event != "cancel" &&
+		id.Attempt <= cancelled && !w.faults.IgnoreFencing {
+		return reject(http.StatusGone, "attempt %d was cancelled", id.Attempt)
 	}
-	w.fence, w.version = max(w.fence, l.Fence), max(w.version, l.Version)
-	w.tell(what, id, l)
+	w.fence, w.version = max(w.fence, header.Fence), max(w.version, header.Version)
+	w.emit(event, id, header)
 	return nil
 }
 
-func (w *Worker) prefill(ctx context.Context, q *workerclient.PrefillRequest) (*workerclient.OrderResponse, error) {
-	id := q.Identity.ID
+func (w *Worker) prefill(ctx context.Context, req *workerclient.PrefillRequest) (*workerclient.OrderResponse, error) {
+	id := req.Identity.ID
 	w.mu.Lock()
-	if err := w.heed("prefill", q.OrderHeader, id); err != nil {
+	if err := w.checkOrder("prefill", req.OrderHeader, id); err != nil {
 		w.mu.Unlock()
 		return nil, err
 	}
 	r := w.live[id]
 	if r == nil {
-		n := ids.Blocks(len(q.Identity.Prompt)+len(q.Identity.Output)+1, w.pool.size)
+		blocks := ids.Blocks(len(req.Identity.Prompt)+len(req.Identity.Output)+1, w.pool.size)
 		switch {
-		case w.part != ids.Prefill:
+		case w.role != ids.Prefill:
 			w.mu.Unlock()
-			return nil, no(http.StatusConflict, "this worker decodes")
-		case !w.opt.Model.Offers(q.Identity.Model):
+			return nil, reject(http.StatusConflict, "this worker decodes")
+		case !w.opt.Model.Serves(req.Identity.Model):
 			w.mu.Unlock()
-			return nil, no(http.StatusUnprocessableEntity, "another model")
-		case !w.pool.fits(n):
+			return nil, reject(http.StatusUnprocessableEntity, "another model")
+		case !w.pool.fits(blocks):
 			w.mu.Unlock()
-			return nil, no(http.StatusInsufficientStorage, "no room for %d blocks", n)
+			return nil, reject(http.StatusInsufficientStorage, "no room for %d blocks", blocks)
 		}
-		r = &run{ident: q.Identity, tab: w.pool.take(n), touched: w.now(), changed: make(chan struct{})}
+		r = &run{state: req.Identity, blocks: w.pool.allocate(blocks), lastActive: w.now(), changed: make(chan struct{})}
 		w.live[id] = r
 		w.queue = append(w.queue, r)
-		w.count(id.Request).Reads++
-		w.kick()
+		w.requestCounts(id.Request).Prefills++
+		w.wakeEngine()
 	}
-	for !r.read && !r.stopped {
-		news := r.changed
+	for !r.prefilled && !r.stopped {
+		changed := r.changed
 		w.mu.Unlock()
 		select {
-		case <-news:
+		case <-changed:
 		case <-ctx.Done():
 			w.mu.Lock()
-			w.drop(r, workerclient.FateNever)
+			w.drop(r, workerclient.FateNotStarted)
 			w.mu.Unlock()
-			return nil, no(http.StatusGone, "the asker went away")
+			return nil, reject(http.StatusGone, "the asker went away")
 		}
 		w.mu.Lock()
 	}
 	defer w.mu.Unlock()
 	if r.stopped {
-		return nil, no(http.StatusGone, "stopped while reading")
+		return nil, reject(http.StatusGone, "stopped while reading")
 	}
-	got := r.ident
-	return &workerclient.OrderResponse{Identity: &got}, nil
+	state := r.state
+	return &workerclient.OrderResponse{Identity: &state}, nil
 }
 
-// export snapshots the token state, takes the request off the schedule and
-// frees all its blocks; the bytes wait in the staging buffer for a while.
-func (w *Worker) export(_ context.Context, q *workerclient.ExportRequest) (*workerclient.OrderResponse, error) {
+// export copies a run's KV cache to the staging buffer, removes the run and frees its blocks. The copy is kept for
+// StagingTTL.
+func (w *Worker) export(_ context.Context, req *workerclient.ExportRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.heed("export", q.OrderHeader, q.ID); err != nil {
+	if err := w.checkOrder("export", req.OrderHeader, req.ID); err != nil {
 		return nil, err
 	}
-	if p, ok := w.staged[q.ID]; ok {
-		got := p.ident
-		return &workerclient.OrderResponse{Identity: &got}, nil
+	if staged, ok := w.staged[req.ID]; ok {
+		state := staged.state
+		return &workerclient.OrderResponse{Identity: &state}, nil
 	}
-	r := w.live[q.ID]
-	if r == nil || w.part == ids.Prefill && !r.read {
-		return nil, no(http.StatusNotFound, "nothing to export")
+	r := w.live[req.ID]
+	if r == nil || w.role == ids.Prefill && !r.prefilled {
+		return nil, reject(http.StatusNotFound, "nothing to export")
 	}
-	body, sum := w.pool.kvBytes(r.tab, r.ident.Computed)
-	r.ident.Length, r.ident.Digest = int64(len(body)), sum
-	w.staged[q.ID] = &parcel{r.ident, body, w.now().Add(w.opt.StagingTTL)}
-	got := r.ident
-	w.drop(r, workerclient.FateNever)
-	return &workerclient.OrderResponse{Identity: &got}, nil
+	body, sum := w.pool.kvBytes(r.blocks, r.state.Computed)
+	r.state.Length, r.state.Digest = int64(len(body)), sum
+	w.staged[req.ID] = &stagedKV{r.state, body, w.now().Add(w.opt.StagingTTL)}
+	state := r.state
+	w.drop(r, workerclient.FateNotStarted)
+	return &workerclient.OrderResponse{Identity: &state}, nil
 }
 
-func (w *Worker) kvTransfer(rw http.ResponseWriter, q *http.Request) {
-	n, _ := strconv.Atoi(q.FormValue("attempt"))
-	id := workerclient.ID{Request: q.FormValue("request"), Attempt: n}
+func (w *Worker) serveKV(rw http.ResponseWriter, req *http.Request) {
+	attempt, _ := strconv.Atoi(req.FormValue("attempt"))
+	id := workerclient.ID{Request: req.FormValue("request"), Attempt: attempt}
 	w.mu.Lock()
-	p, ok := w.staged[id]
-	f, speed := w.fault, w.opt.Speed
+	staged, ok := w.staged[id]
+	faults, rate := w.faults, w.opt.TransferRate
 	w.mu.Unlock()
 	if !ok {
-		reply(rw, http.StatusGone, workerclient.Rejection{Name: "not staged"})
+		writeJSON(rw, http.StatusGone, workerclient.Rejection{Name: "not staged"})
 		return
 	}
-	if f.Speed > 0 {
-		speed = f.Speed
+	if faults.TransferRate > 0 {
+		rate = faults.TransferRate
 	}
-	body := append([]byte(nil), p.body...)
-	if f.Corrupt && len(body) > 0 {
+	body := append([]byte(nil), staged.body...)
+	if faults.Corrupt && len(body) > 0 {
 		body[len(body)/2] ^= 1
 	}
 	rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	duration := time.Duration(len(body)/8*w.opt.Weight) * time.Second / time.Duration(speed)
+	duration := time.Duration(len(body)/8*w.opt.WireBytesPerToken) * time.Second / time.Duration(rate)
 	const parts = 4
 	for i := range parts {
-		if f.Drop && i == parts/2 {
+		if faults.Drop && i == parts/2 {
 			panic(http.ErrAbortHandler)
 		}
 		select {
 		case <-host.NewTimer(duration / parts).C:
-		case <-q.Context().Done():
+		case <-req.Context().Done():
 			return
 		}
 		rw.Write(body[i*len(body)/parts : (i+1)*len(body)/parts])
@@ -233,18 +241,18 @@
 	}
 }
 
-func (w *Worker) orderRole(_ context.Context, q *workerclient.RoleRequest) (*workerclient.OrderResponse, error) {
+func (w *Worker) setRole(_ context.Context, req *workerclient.RoleRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.heed("part", q.OrderHeader, workerclient.ID{}); err != nil {
+	if err := w.checkOrder("part", req.OrderHeader, workerclient.ID{}); err != nil {
 		return nil, err
 	}
-	if q.Role != ids.Prefill && q.Role != ids.Decode {
-		return nil, no(http.StatusBadRequest, "no such part")
+	if req.Role != ids.Prefill && req.Role != ids.Decode {
+		return nil, reject(http.StatusBadRequest, "no such part")
 	}
-	if q.Role != w.part && len(w.live) > 0 {
-		return nil, no(http.StatusConflict, "%d requests are still here", len(w.live))
+	if req.Role != w.role && len(w.live) > 0 {
+		return nil, reject(http.StatusConflict, "%d requests are still here", len(w.live))
 	}
-	w.part = q.Role
+	w.role = req.Role
 	return &workerclient.OrderResponse{}, nil
 }
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -1,4 +1,4 @@
-// A site's configuration, as its operators would write it.
+// This file generates a site's configuration in the form in which its operators write it.
 
 package standin
 
@@ -10,57 +10,58 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// Room and Block of every stand-in worker.
+// Cache blocks, tokens per block and weights of every stand-in worker.
 const (
-	SiteCapacity = 2048
-	SiteBlock    = 16
-	SiteWeights  = "w1"
+	SiteCapacity  = 2048
+	SiteBlockSize = 16
+	SiteWeights   = "w1"
 )
 
-// Names lists a site's workers, part by part, spread over its zones.
-func (s Site) Names() []ids.WorkerID {
+// WorkerIDs returns the IDs of a site's workers: first the prefill workers, then the decode workers.
+func (s Site) WorkerIDs() []ids.WorkerID {
 	var out []ids.WorkerID
 	for i := range s.Prefill + s.Decode {
-		out = append(out, s.Name1(i))
+		out = append(out, s.WorkerID(i))
 	}
 	return out
 }
 
-// Name1 names the i-th worker.
-func (s Site) Name1(i int) ids.WorkerID {
+// WorkerID returns the ID of the i-th worker.
+func (s Site) WorkerID(i int) ids.WorkerID {
 	if i < s.Prefill {
 		return ids.WorkerID(fmt.Sprintf("p%d", i+1))
 	}
 	return ids.WorkerID(fmt.Sprintf("d%d", i-s.Prefill+1))
 }
 
-// Worker gives the i-th worker's catalogue line.
+// Worker returns the configuration entry of the i-th worker. The workers of a role are distributed over the zones
+// in turn.
 func (s Site) Worker(i int) fleetstate.Worker {
-	part := ids.Prefill
-	at := i
+	role := ids.Prefill
+	index := i
 	if i >= s.Prefill {
-		part, at = ids.Decode, i-s.Prefill
+		role, index = ids.Decode, i-s.Prefill
 	}
 	return fleetstate.Worker{
-		Role:      part,
+		Role:      role,
 		Model:     s.Model,
 		Weights:   SiteWeights,
 		Adapters:  []string{},
 		Capacity:  SiteCapacity,
-		BlockSize: SiteBlock,
-		Zone:      s.Zones[at%len(s.Zones)],
+		BlockSize: SiteBlockSize,
+		Zone:      s.Zones[index%len(s.Zones)],
 	}
 }
 
-// Policy is the whole configuration as JSON text.
+// Policy returns the complete configuration as JSON text.
 func (s Site) Policy(programs map[string]fleetstate.Program) string {
 	workers := map[ids.WorkerID]fleetstate.Worker{}
-	for i, id := range s.Names() {
+	for i, id := range s.WorkerIDs() {
 		workers[id] = s.Worker(i)
 	}
 	kinds := map[string]any{}
-	for _, sh := range s.Shapes {
-		kinds[sh.Kind] = map[string]any{"claimed": sh.Claimed, "model": s.Model, "maxTokens": 64, "weight": 1}
+	for _, class := range s.Classes {
+		kinds[class.Kind] = map[string]any{"claimed": class.KeyRequired, "model": s.Model, "maxTokens": 64, "weight": 1}
 	}
 	if programs == nil {
 		programs = map[string]fleetstate.Program{}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -1,5 +1,5 @@
-// The stand-in worker: what it is set up as, the faults it can be ordered to
-// have, and its own count of runs and records, by which a double shows.
+// This file contains the stand-in worker: its options, the faults that can be injected, and its own counts per
+// request, which reveal a request that was executed twice.
 
 package standin
 
@@ -16,60 +16,60 @@
 	"keelstair.example/rpc"
 )
 
-// WorkerOptions set up a stand-in worker.
+// WorkerOptions configure a stand-in worker. The comments give the defaults of options that are left at zero.
 type WorkerOptions struct {
-	ID         ids.WorkerID
-	Addr       string
-	Role       ids.Role
-	Model      workerclient.Model
-	Capacity   int           // blocks
-	Block      int           // tokens a block
-	Read       time.Duration // a prompt token's prefill, 40us
-	Step       time.Duration // a decode step, 4ms
-	Each       time.Duration // what each run adds to a step, 200us
-	Lag        time.Duration // how old its reports are, 300ms
-	StagingTTL time.Duration // how long outgoing KV waits, 5s
-	Orphan     time.Duration // import without resume, or run without reader, 2s
-	Weight     int           // bytes a token's KV weighs on the wire, 64
-	Speed      int           // bytes a second between workers, 64 MB
-	Host       host.Host
+	ID                ids.WorkerID
+	Addr              string
+	Role              ids.Role
+	Model             workerclient.Model
+	Capacity          int           // cache blocks
+	BlockSize         int           // tokens per cache block; 16
+	PrefillPerToken   time.Duration // prefill time per prompt token; 40us
+	StepTime          time.Duration // base time of a step; 4ms
+	StepPerRun        time.Duration // additional decode step time per run; 200us
+	ReportLag         time.Duration // age of the reports; 300ms
+	StagingTTL        time.Duration // how long exported KV cache stays staged; 5s
+	OrphanTimeout     time.Duration // limit for an import without a resume and for a run without a reader; 2s
+	WireBytesPerToken int           // nominal KV cache size, for the duration of a transfer; 64
+	TransferRate      int           // bytes per second between workers; 64 MiB
+	Host              host.Host
 }
 
-func (o *WorkerOptions) fill() {
-	ids.SetDefault(&o.Read, 40*time.Microsecond)
-	ids.SetDefault(&o.Step, 4*time.Millisecond)
-	ids.SetDefault(&o.Each, 200*time.Microsecond)
-	ids.SetDefault(&o.Lag, 300*time.Millisecond)
+func (o *WorkerOptions) setDefaults() {
+	ids.SetDefault(&o.PrefillPerToken, 40*time.Microsecond)
+	ids.SetDefault(&o.StepTime, 4*time.Millisecond)
+	ids.SetDefault(&o.StepPerRun, 200*time.Microsecond)
+	ids.SetDefault(&o.ReportLag, 300*time.Millisecond)
 	ids.SetDefault(&o.StagingTTL, 5*time.Second)
-	ids.SetDefault(&o.Orphan, 2*time.Second)
-	ids.SetDefault(&o.Block, 16)
-	ids.SetDefault(&o.Weight, 64)
-	ids.SetDefault(&o.Speed, 64<<20)
+	ids.SetDefault(&o.OrphanTimeout, 2*time.Second)
+	ids.SetDefault(&o.BlockSize, 16)
+	ids.SetDefault(&o.WireBytesPerToken, 64)
+	ids.SetDefault(&o.TransferRate, 64<<20)
 }
 
-// Faults are ordered over POST /fault.
+// Faults are the faults that a worker injects. They are set with POST /fault or with SetFaults.
 type Faults struct {
-	Speed   int  `json:"speed,omitempty"`   // bytes a second of outgoing KV
-	Corrupt bool `json:"corrupt,omitempty"` // flips a byte of outgoing KV
-	Drop    bool `json:"drop,omitempty"`    // breaks outgoing KV half way
-	LagMs   int  `json:"lagMs,omitempty"`
-	Dark    bool `json:"dark,omitempty"` // hears orders, answers nothing
-	Garbage bool `json:"garbage,omitempty"`
-	Hurry   bool `json:"hurry,omitempty"`  // planted: attends before all bytes are in
-	Forget  bool `json:"forget,omitempty"` // planted: ignores fences and tombstones
+	TransferRate     int  `json:"speed,omitempty"`   // bytes per second of outgoing KV cache
+	Corrupt          bool `json:"corrupt,omitempty"` // flips a bit of outgoing KV cache
+	Drop             bool `json:"drop,omitempty"`    // aborts a KV cache transfer half way
+	ReportLagMs      int  `json:"lagMs,omitempty"`   // age of the reports
+	Unresponsive     bool `json:"dark,omitempty"`    // accepts requests, sends no response
+	Garbage          bool `json:"garbage,omitempty"` // sends responses that are not JSON
+	SkipArrivalCheck bool `json:"hurry,omitempty"`   // deliberate bug: decodes before all bytes have arrived
+	IgnoreFencing    bool `json:"forget,omitempty"`  // deliberate bug: ignores fencing tokens and tombstones
 }
 
-// Tally is the worker's own book of what it did for one request.
-type Tally struct {
-	Runs    int   `json:"runs"`    // resumes that began to decode
-	Records int   `json:"records"` // runs that came to their end
-	Reads   int   `json:"reads"`   // prefills
-	Bounced int   `json:"bounced"` // imports refused for room
-	Starved int   `json:"starved"` // decodes that ran out of room midway
-	First   []int `json:"first,omitempty"`
+// RequestCounts counts what the worker did for one request.
+type RequestCounts struct {
+	Runs            int   `json:"runs"`            // resumes that started to decode
+	Finished        int   `json:"records"`         // runs that completed
+	Prefills        int   `json:"reads"`           // prefills started
+	RejectedImports int   `json:"bounced"`         // imports rejected for lack of free blocks
+	OutOfBlocks     int   `json:"starved"`         // runs stopped for lack of free blocks
+	FirstTokens     []int `json:"first,omitempty"` // per run, the length of the output at resume
 }
 
-// Event is one line for a checker.
+// Event is an event on a worker, for the checkers of a test.
 type Event struct {
 	What    string
 	Worker  ids.WorkerID
@@ -79,191 +79,194 @@
 	At      ids.Tick
 }
 
-// Worker is one stand-in.
+// Worker is a stand-in for a model worker. OnEvent, if set, is called for each event.
 type Worker struct {
 	opt         WorkerOptions
-	web         *http.Client
+	httpClient  *http.Client
 	incarnation ids.Incarnation
-	Tell        func(Event)
+	OnEvent     func(Event)
 
-	mu         sync.Mutex
-	part       ids.Role
-	pool       *pool
-	fence      ids.Fence
-	version    ids.Version
-	fault      Faults
-	live       map[workerclient.ID]*run
-	queue      []*run
-	staged     map[workerclient.ID]*parcel
-	tombstones map[string]int
-	fates      map[string]*workerclient.OrderResponse
-	tally      map[string]*Tally
-	warm       map[uint64]ids.Tick
-	hits       [2]int // prompt tokens that were warm, and all
-	late       []dated
-	wake       chan struct{}
+	mu          sync.Mutex
+	role        ids.Role
+	pool        *pool
+	fence       ids.Fence
+	version     ids.Version
+	faults      Faults
+	live        map[workerclient.ID]*run
+	queue       []*run // waiting for prefill, oldest first
+	staged      map[workerclient.ID]*stagedKV
+	tombstones  map[string]int // by request, the latest cancelled attempt
+	fates       map[string]*workerclient.OrderResponse
+	counts      map[string]*RequestCounts
+	prefixCache map[uint64]ids.Tick // by prefix hash, the time of the last use
+	prefixHits  [2]int              // prompt tokens found in prefixCache, and all prompt tokens
+	pastReports []timedReport
+	wake        chan struct{}
 }
 
-type dated struct {
-	at ids.Tick
-	r  workerclient.Report
+// timedReport is a report with the time at which it was made.
+type timedReport struct {
+	at     ids.Tick
+	report workerclient.Report
 }
 
-type parcel struct {
-	ident workerclient.Identity
+// stagedKV is exported KV cache that another worker may fetch until it expires.
+type stagedKV struct {
+	state workerclient.Identity
 	body  []byte
 	until ids.Tick
 }
 
-// run is one request on this worker.
+// run is one attempt of a request on this worker.
 type run struct {
-	ident   workerclient.Identity
-	tab     []int
-	pledge  int
-	last    uint64
-	read    bool
-	arrived bool
-	lost    bool
-	resumed bool
-	ended   bool
-	stopped bool
-	touched ids.Tick
-	changed chan struct{}
+	state          workerclient.Identity
+	blocks         []int         // the block table; nil after the run was dropped
+	reserved       int           // blocks reserved for the growth of the table
+	lastCell       uint64        // KV cell of the last computed token; 0 if it must be read from the table
+	prefilled      bool          // the prefill step is complete
+	arrived        bool          // the imported KV cache is complete and verified
+	transferFailed bool          // the transfer of the KV cache failed
+	resumed        bool          // decoding was started by a resume order
+	ended          bool          // the run completed
+	stopped        bool          // the run was dropped before it completed
+	lastActive     ids.Tick      // last progress or read of the stream
+	changed        chan struct{} // closed and replaced on progress
 }
 
-// NewWorker returns a worker with the given options, and defaults for those that are left at
-// zero. It runs nothing before Run.
+// NewWorker returns a worker with the given options, with defaults for those that are zero. The worker is idle until
+// Run is called.
 func NewWorker(opt WorkerOptions) *Worker {
-	opt.fill()
+	opt.setDefaults()
 	return &Worker{
 		opt:         opt,
 		incarnation: ids.Incarnation(rand.Text()),
-		web:         rpc.NewHTTPClient(opt.Host.Net),
-		part:        opt.Role,
-		pool:        newPool(opt.Capacity, opt.Block),
+		httpClient:  rpc.NewHTTPClient(opt.Host.Net),
+		role:        opt.Role,
+		pool:        newPool(opt.Capacity, opt.BlockSize),
 		live:        map[workerclient.ID]*run{},
-		staged:      map[workerclient.ID]*parcel{},
+		staged:      map[workerclient.ID]*stagedKV{},
 		tombstones:  map[string]int{},
-		tally:       map[string]*Tally{},
+		counts:      map[string]*RequestCounts{},
 		fates:       map[string]*workerclient.OrderResponse{},
-		warm:        map[uint64]ids.Tick{},
+		prefixCache: map[uint64]ids.Tick{},
 		wake:        make(chan struct{}, 1),
 	}
 }
 
 func (w *Worker) now() ids.Tick { return w.opt.Host.Clock.Now() }
 
-// Run works until the context ends.
+// Run processes requests until the context is cancelled.
 func (w *Worker) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { w.engine(ctx) })
+	wg.Go(func() { w.runEngine(ctx) })
 	wg.Go(func() {
 		for host.Sleep(ctx, 50*time.Millisecond) {
-			w.expireStaged()
+			w.expire()
 		}
 	})
 	wg.Wait()
-	w.web.CloseIdleConnections()
+	w.httpClient.CloseIdleConnections()
 }
 
-func (w *Worker) tell(what string, id workerclient.ID, l workerclient.OrderHeader) {
-	if w.Tell != nil {
-		w.Tell(Event{what, w.opt.ID, id, l.Fence, l.Version, w.now()})
+func (w *Worker) emit(event string, id workerclient.ID, header workerclient.OrderHeader) {
+	if w.OnEvent != nil {
+		w.OnEvent(Event{event, w.opt.ID, id, header.Fence, header.Version, w.now()})
 	}
 }
 
-func (w *Worker) count(request string) *Tally {
-	t := w.tally[request]
-	if t == nil {
-		t = &Tally{}
-		w.tally[request] = t
+func (w *Worker) requestCounts(request string) *RequestCounts {
+	counts := w.counts[request]
+	if counts == nil {
+		counts = &RequestCounts{}
+		w.counts[request] = counts
 	}
-	return t
+	return counts
 }
 
-// Tallies copies the worker's book.
-func (w *Worker) Tallies() map[string]Tally {
+// RequestCounts returns a copy of the worker's counts by request.
+func (w *Worker) RequestCounts() map[string]RequestCounts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := map[string]Tally{}
-	for k, t := range w.tally {
+	out := map[string]RequestCounts{}
+	for k, t := range w.counts {
 		out[k] = *t
 	}
 	return out
 }
 
-// Hits tells how many prompt tokens were warm when they were read, of how many.
-func (w *Worker) Hits() (warm, all int) {
+// PrefixHits returns how many of the processed prompt tokens were in the prefix cache, and how many there were in
+// total.
+func (w *Worker) PrefixHits() (warm, all int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.hits[0], w.hits[1]
+	return w.prefixHits[0], w.prefixHits[1]
 }
 
-// Used tells how many blocks are taken.
-func (w *Worker) Used() int {
+// UsedBlocks returns the number of allocated blocks.
+func (w *Worker) UsedBlocks() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.pool.used()
 }
 
-// Order sets the faults.
-func (w *Worker) Order(f Faults) {
+// SetFaults replaces the injected faults.
+func (w *Worker) SetFaults(f Faults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fault = f
+	w.faults = f
 }
 
-func (w *Worker) kick() {
+func (w *Worker) wakeEngine() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// drop frees all that a run holds. The caller holds mu.
+// drop removes a run, frees its blocks and records its fate. The caller holds mu.
 func (w *Worker) drop(r *run, fate string) {
-	if _, ok := w.live[r.ident.ID]; !ok {
+	if _, ok := w.live[r.state.ID]; !ok {
 		return
 	}
-	delete(w.live, r.ident.ID)
+	delete(w.live, r.state.ID)
 	for i, q := range w.queue {
 		if q == r {
 			w.queue = append(w.queue[:i:i], w.queue[i+1:]...)
 			break
 		}
 	}
-	w.pool.give(r.tab)
-	w.pool.pledge -= r.pledge
-	r.tab, r.pledge = nil, 0
-	if f := w.fates[r.ident.ID.Request]; f == nil || f.Fate == workerclient.FateNever ||
+	w.pool.release(r.blocks)
+	w.pool.reserved -= r.reserved
+	r.blocks, r.reserved = nil, 0
+	if f := w.fates[r.state.ID.Request]; f == nil || f.Fate == workerclient.FateNotStarted ||
 		fate == workerclient.FateFinished {
-		w.fates[r.ident.ID.Request] = &workerclient.OrderResponse{
+		w.fates[r.state.ID.Request] = &workerclient.OrderResponse{
 			Fate:   fate,
-			Output: r.ident.Output,
+			Output: r.state.Output,
 			Done:   fate == workerclient.FateFinished,
 		}
 	}
 	if !r.ended {
 		r.stopped = true
 	}
-	w.flash(r)
+	w.notify(r)
 }
 
-// flash tells the readers of a run that it went on.
-func (w *Worker) flash(r *run) {
+// notify wakes the goroutines that wait for progress of a run. The caller holds mu.
+func (w *Worker) notify(r *run) {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// unstage frees outgoing KV. The caller holds mu.
+// unstage frees staged KV cache. The caller holds mu.
 func (w *Worker) unstage(id workerclient.ID) {
 	delete(w.staged, id)
-	w.tell("unstaged", id, workerclient.OrderHeader{})
+	w.emit("unstaged", id, workerclient.OrderHeader{})
 }
 
-// expireStaged ends what nobody came for: staged KV, imports never resumed, runs that
-// nobody reads. It also keeps the late reports.
-func (w *Worker) expireStaged() {
+// expire removes staged KV cache that was not fetched in time, imports that were not resumed and runs without a
+// reader. It also records the current report, which is served after the report lag.
+func (w *Worker) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.now()
@@ -273,49 +276,49 @@
 		}
 	}
 	for _, r := range w.live {
-		if !now.Past(r.touched, w.opt.Orphan) {
+		if !now.Past(r.lastActive, w.opt.OrphanTimeout) {
 			continue
 		}
 		switch {
 		case r.resumed && !r.ended:
-			w.tell("orphan-run", r.ident.ID, workerclient.OrderHeader{})
+			w.emit("orphan-run", r.state.ID, workerclient.OrderHeader{})
 			w.drop(r, workerclient.FateStopped)
-		case !r.resumed && (w.part == ids.Decode || r.read):
-			w.tell("orphan-import", r.ident.ID, workerclient.OrderHeader{})
-			w.drop(r, workerclient.FateNever)
+		case !r.resumed && (w.role == ids.Decode || r.prefilled):
+			w.emit("orphan-import", r.state.ID, workerclient.OrderHeader{})
+			w.drop(r, workerclient.FateNotStarted)
 		}
 	}
-	w.late = append(w.late, dated{now, w.report()})
-	lag := w.opt.Lag
-	if w.fault.LagMs > 0 {
-		lag = time.Duration(w.fault.LagMs) * time.Millisecond
+	w.pastReports = append(w.pastReports, timedReport{now, w.report()})
+	lag := w.opt.ReportLag
+	if w.faults.ReportLagMs > 0 {
+		lag = time.Duration(w.faults.ReportLagMs) * time.Millisecond
 	}
-	for len(w.late) > 1 && now.Past(w.late[1].at, lag) {
-		w.late = w.late[1:]
+	for len(w.pastReports) > 1 && now.Past(w.pastReports[1].at, lag) {
+		w.pastReports = w.pastReports[1:]
 	}
 }
 
 func (w *Worker) report() workerclient.Report {
 	r := workerclient.Report{
-		Role:        w.part,
+		Role:        w.role,
 		Model:       w.opt.Model,
 		Used:        w.pool.used(),
 		Capacity:    len(w.pool.cells),
-		Block:       w.pool.size,
+		BlockSize:   w.pool.size,
 		Queue:       len(w.queue),
 		Version:     w.version,
 		Running:     []workerclient.Running{},
 		Incarnation: w.incarnation,
 	}
 	for id, v := range w.live {
-		r.Running = append(r.Running, workerclient.Running{ID: id, Blocks: len(v.tab), Reserved: v.pledge})
+		r.Running = append(r.Running, workerclient.Running{ID: id, Blocks: len(v.blocks), Reserved: v.reserved})
 	}
 	return r
 }
 
-// Part tells what the worker does now.
-func (w *Worker) Part() ids.Role {
+// Role returns the worker's current role.
+func (w *Worker) Role() ids.Role {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.part
+	return w.role
 }
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -1,5 +1,5 @@
-// The stand-in worker, held against what the hand-over paper's own tests prove and
-// what the paper leaves open: arrival, lost memory, orphans, fences.
+// These tests check the stand-in worker against the guarantees that the tests of the hand-over paper establish, and
+// against those that the paper leaves open: arrival of the KV cache, lost memory, orphaned runs and fencing.
 
 package standin
 
@@ -19,235 +19,249 @@
 	"keelstair.example/rpc"
 )
 
-// pairOf runs a prefill and a decode worker and gives a client to drive them.
-type pairOf struct {
-	p, d   *Worker
-	pa, da string
-	r      *workerclient.Client
-	ctx    context.Context
+// fixture is a prefill and a decode worker on a simulated network, with a client that sends them orders.
+type fixture struct {
+	prefill, decode         *Worker
+	prefillAddr, decodeAddr string
+	client                  *workerclient.Client
+	ctx                     context.Context
 }
 
-func twin(t *testing.T, room int, f func(*pairOf)) {
+func withWorkers(t *testing.T, capacity int, test func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := simulated.NewWorld(1)
+		world := simulated.NewWorld(1)
 		ctx, stop := context.WithCancel(context.Background())
-		x := &pairOf{pa: "10.0.0.1:90", da: "10.0.0.2:90", ctx: ctx}
-		for i, part := range []ids.Role{ids.Prefill, ids.Decode} {
-			host := w.Machine(fmt.Sprintf("10.0.0.%d", i+1)).Start().Host()
+		fx := &fixture{prefillAddr: "10.0.0.1:90", decodeAddr: "10.0.0.2:90", ctx: ctx}
+		for i, role := range []ids.Role{ids.Prefill, ids.Decode} {
+			host := world.Machine(fmt.Sprintf("10.0.0.%d", i+1)).Start().Host()
 			addr := fmt.Sprintf("10.0.0.%d:90", i+1)
-			k := NewWorker(WorkerOptions{
-				ID:       ids.WorkerID(part),
+			worker := NewWorker(WorkerOptions{
+				ID:       ids.WorkerID(role),
 				Addr:     addr,
-				Role:     part,
-				Capacity: room,
+				Role:     role,
+				Capacity: capacity,
 				Host:     host,
 				Model:    workerclient.Model{Name: "m", Weights: "w1"},
 			})
-			l, err := host.Net.Listen(addr)
+			listener, err := host.Net.Listen(addr)
 			require.NoError(t, err)
-			go rpc.Serve(ctx, l, k.Handler())
-			go k.Run(ctx)
-			if part == ids.Prefill {
-				x.p = k
+			go rpc.Serve(ctx, listener, worker.Handler())
+			go worker.Run(ctx)
+			if role == ids.Prefill {
+				fx.prefill = worker
 			} else {
-				x.d = k
+				fx.decode = worker
 			}
 		}
-		me := w.Machine("10.0.0.9").Start()
-		x.r = workerclient.New(me.Host().Net)
+		clientMachine := world.Machine("10.0.0.9").Start()
+		fx.client = workerclient.New(clientMachine.Host().Net)
 		defer func() {
 			stop()
-			x.r.Close()
-			me.Kill()
+			fx.client.Close()
+			clientMachine.Kill()
 			for i := range 2 {
-				w.Machine(fmt.Sprintf("10.0.0.%d", i+1)).PowerOff()
+				world.Machine(fmt.Sprintf("10.0.0.%d", i+1)).PowerOff()
 			}
-			time.Sleep(10 * time.Second) // simulated: what is under way runs out
+			time.Sleep(10 * time.Second) // simulated time: goroutines in progress end
 		}()
-		f(x)
+		test(fx)
 	})
 }
 
-func (x *pairOf) identity(name string, prompt, max int) workerclient.Identity {
-	m := workerclient.Identity{
+func (fx *fixture) identity(name string, prompt, max int) workerclient.Identity {
+	state := workerclient.Identity{
 		ID:     workerclient.ID{Request: name, Attempt: 1},
 		Params: workerclient.Params{MaxTokens: max, Seed: 7},
 		Model:  workerclient.Model{Name: "m", Weights: "w1"},
 	}
 	for i := range prompt {
-		m.Prompt = append(m.Prompt, int32(i*31%997+len(name)))
+		state.Prompt = append(state.Prompt, int32(i*31%997+len(name)))
 	}
-	return m
+	return state
 }
 
-func (x *pairOf) read(t *testing.T, m workerclient.Identity) workerclient.Identity {
-	_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillRequest{
+func (fx *fixture) prefillAndExport(t *testing.T, state workerclient.Identity) workerclient.Identity {
+	_, err := fx.client.Prefill(fx.ctx, fx.prefillAddr, &workerclient.PrefillRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
-		Identity:    m,
+		Identity:    state,
 	})
 	require.NoError(t, err)
-	a, err := x.r.Export(x.ctx, x.pa, &workerclient.ExportRequest{
+	resp, err := fx.client.Export(fx.ctx, fx.prefillAddr, &workerclient.ExportRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
-		ID:          m.ID,
+		ID:          state.ID,
 	})
 	require.NoError(t, err)
-	return *a.Identity
+	return *resp.Identity
 }
 
-func (x *pairOf) move(m workerclient.Identity) error {
-	_, err := x.r.Import(x.ctx, x.da, &workerclient.ImportRequest{
+func (fx *fixture) importKV(state workerclient.Identity) error {
+	_, err := fx.client.Import(fx.ctx, fx.decodeAddr, &workerclient.ImportRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
-		Identity:    m,
-		Source:      x.pa,
+		Identity:    state,
+		Source:      fx.prefillAddr,
 	})
 	return err
 }
 
-func (x *pairOf) resume(m workerclient.Identity) error {
-	_, err := x.r.Resume(x.ctx, x.da, &workerclient.IDRequest{
+func (fx *fixture) resume(state workerclient.Identity) error {
+	_, err := fx.client.Resume(fx.ctx, fx.decodeAddr, &workerclient.IDRequest{
 		OrderHeader: workerclient.OrderHeader{Fence: 1},
-		ID:          m.ID,
+		ID:          state.ID,
 	})
 	return err
 }
 
-func (x *pairOf) rest(t *testing.T, m workerclient.Identity) []int32 {
-	out := append([]int32(nil), m.Output...)
-	require.NoError(t, x.r.Stream(x.ctx, x.da, m.ID, len(out), time.Second, func(p workerclient.TokenEvent) error {
-		if p.End == "" {
-			out = append(out, p.Token)
-		}
-		return nil
-	}))
+func (fx *fixture) streamRest(t *testing.T, state workerclient.Identity) []int32 {
+	out := append([]int32(nil), state.Output...)
+	require.NoError(t, fx.client.Stream(
+		fx.ctx,
+		fx.decodeAddr,
+		state.ID,
+		len(out),
+		time.Second,
+		func(event workerclient.TokenEvent) error {
+			if event.End == "" {
+				out = append(out, event.Token)
+			}
+			return nil
+		},
+	))
 	return out
 }
 
-func solo(m workerclient.Identity) []int32 {
-	return Solo(
-		m.Prompt,
-		m.Params.MaxTokens,
-		m.Params.Seed,
-		m.Params.Temperature,
-		m.Model.Name,
-		m.Model.Weights,
-		m.Model.Adapters,
+func referenceOutput(state workerclient.Identity) []int32 {
+	return ReferenceOutput(
+		state.Prompt,
+		state.Params.MaxTokens,
+		state.Params.Seed,
+		state.Params.Temperature,
+		state.Model.Name,
+		state.Model.Weights,
+		state.Model.Adapters,
 	)
 }
 
-// TestSameTokens: after prefill plus one step, and again in mid-decode, the
-// request that moved gives what a run that never moved gives. The source is
-// clean, and the destination pays exactly the block bill.
+// TestSameTokens checks that a request that is handed over, after prefill or in the middle of decode, has the same
+// output as one that runs on a single worker. The source must have freed all blocks, and the destination must
+// allocate exactly the blocks of the computed tokens.
 func TestSameTokens(t *testing.T) {
-	twin(t, 64, func(x *pairOf) {
+	withWorkers(t, 64, func(fx *fixture) {
 		for _, sent := range []int{0, 1, 3, 5} {
-			m := x.identity(fmt.Sprintf("r%d", sent), 100, 8)
-			complete := solo(m)
-			require.Greater(t, len(complete), sent)
-			m.Output = complete[:sent:sent]
-			got := x.read(t, m)
-			require.Zero(t, x.p.Used(), "the source must come back clean")
-			require.NoError(t, x.move(got))
-			require.Equal(t, ids.Blocks(got.Computed, 16), x.d.Used(), "the bill is ceil(computed / block size)")
-			require.NoError(t, x.resume(got))
-			require.Equal(t, complete, x.rest(t, got))
-			require.Zero(t, x.d.Used())
+			state := fx.identity(fmt.Sprintf("r%d", sent), 100, 8)
+			reference := referenceOutput(state)
+			require.Greater(t, len(reference), sent)
+			state.Output = reference[:sent:sent]
+			exported := fx.prefillAndExport(t, state)
+			require.Zero(t, fx.prefill.UsedBlocks(), "the source must free all blocks")
+			require.NoError(t, fx.importKV(exported))
+			require.Equal(
+				t,
+				ids.Blocks(exported.Computed, 16),
+				fx.decode.UsedBlocks(),
+				"the import takes ceil(computed / block size) blocks",
+			)
+			require.NoError(t, fx.resume(exported))
+			require.Equal(t, reference, fx.streamRest(t, exported))
+			require.Zero(t, fx.decode.UsedBlocks())
 		}
 	})
 }
 
-// TestLoudImport: what does not fit whole, answer included, is refused at the
-// import, before any token; and nothing is taken.
-func TestLoudImport(t *testing.T) {
-	twin(t, 8, func(x *pairOf) {
-		m := x.identity("big", 100, 40)
-		got := x.read(t, m)
-		err := x.move(got)
+// TestImportWithoutCapacity checks that a request whose prompt and output do not fit is rejected at import, before any
+// token is generated, and that no block is allocated.
+func TestImportWithoutCapacity(t *testing.T) {
+	withWorkers(t, 8, func(fx *fixture) {
+		state := fx.identity("big", 100, 40)
+		exported := fx.prefillAndExport(t, state)
+		err := fx.importKV(exported)
 		require.True(t, failure.Is(err, failure.NotExecuted), "%v", err)
-		require.Zero(t, x.d.Used())
-		require.Equal(t, 1, x.d.Tallies()["big"].Bounced)
-		fit := x.read(t, x.identity("fits", 100, 20))
-		require.NoError(t, x.move(fit))
+		require.Zero(t, fx.decode.UsedBlocks())
+		require.Equal(t, 1, fx.decode.RequestCounts()["big"].RejectedImports)
+		fit := fx.prefillAndExport(t, fx.identity("fits", 100, 20))
+		require.NoError(t, fx.importKV(fit))
 	})
 }
 
-// TestArrivalFence: attention waits for every byte. The planted worker that
-// hurries gives other tokens, so the check can fail.
-func TestArrivalFence(t *testing.T) {
-	twin(t, 64, func(x *pairOf) {
-		x.p.Order(Faults{Speed: 20_000})
-		m := x.read(t, x.identity("slow", 200, 8))
-		require.NoError(t, x.move(m))
-		require.NoError(t, x.resume(m))
-		require.Equal(t, solo(m), x.rest(t, m))
-		x.d.Order(Faults{Hurry: true})
-		m = x.read(t, x.identity("hurried", 200, 8))
-		require.NoError(t, x.move(m))
-		require.NoError(t, x.resume(m))
-		require.NotEqual(t, solo(m), x.rest(t, m))
+// TestDecodeWaitsForKV checks that decoding waits until every byte of the KV cache has arrived. A worker with the
+// SkipArrivalCheck fault must generate different tokens, which shows that the check can fail.
+func TestDecodeWaitsForKV(t *testing.T) {
+	withWorkers(t, 64, func(fx *fixture) {
+		fx.prefill.SetFaults(Faults{TransferRate: 20_000})
+		state := fx.prefillAndExport(t, fx.identity("slow", 200, 8))
+		require.NoError(t, fx.importKV(state))
+		require.NoError(t, fx.resume(state))
+		require.Equal(t, referenceOutput(state), fx.streamRest(t, state))
+		fx.decode.SetFaults(Faults{SkipArrivalCheck: true})
+		state = fx.prefillAndExport(t, fx.identity("hurried", 200, 8))
+		require.NoError(t, fx.importKV(state))
+		require.NoError(t, fx.resume(state))
+		require.NotEqual(t, referenceOutput(state), fx.streamRest(t, state))
 	})
 }
 
-// TestSpoilt: memory whose digest is off, or that breaks off, is never resumed.
-func TestSpoilt(t *testing.T) {
+// TestFailedTransfer checks that an attempt is never resumed if its KV cache has a wrong digest or the transfer was
+// aborted.
+func TestFailedTransfer(t *testing.T) {
 	for _, f := range []Faults{{Corrupt: true}, {Drop: true}} {
-		twin(t, 64, func(x *pairOf) {
-			x.p.Order(f)
-			m := x.read(t, x.identity("spoilt", 100, 8))
-			require.NoError(t, x.move(m))
-			require.True(t, failure.Is(x.resume(m), failure.DataLost))
-			require.Zero(t, x.d.Used())
-			require.Zero(t, x.d.Tallies()["spoilt"].Runs)
+		withWorkers(t, 64, func(fx *fixture) {
+			fx.prefill.SetFaults(f)
+			state := fx.prefillAndExport(t, fx.identity("spoilt", 100, 8))
+			require.NoError(t, fx.importKV(state))
+			require.True(t, failure.Is(fx.resume(state), failure.DataLost))
+			require.Zero(t, fx.decode.UsedBlocks())
+			require.Zero(t, fx.decode.RequestCounts()["spoilt"].Runs)
 		})
 	}
 }
 
-// TestOrphans: an import that is never resumed and a run that nobody reads end
-// by themselves, and a cancelled attempt can never start.
+// TestOrphans checks that an import that is never resumed is dropped after a timeout, and that a cancelled attempt can
+// never start.
 func TestOrphans(t *testing.T) {
-	twin(t, 64, func(x *pairOf) {
-		m := x.read(t, x.identity("left", 100, 8))
-		require.NoError(t, x.move(m))
+	withWorkers(t, 64, func(fx *fixture) {
+		state := fx.prefillAndExport(t, fx.identity("left", 100, 8))
+		require.NoError(t, fx.importKV(state))
 		time.Sleep(3 * time.Second)
-		require.Zero(t, x.d.Used())
-		require.True(t, failure.Is(x.resume(m), failure.DataLost))
-		m = x.read(t, x.identity("stopped", 100, 8))
-		a, err := x.r.Cancel(x.ctx, x.da, &workerclient.IDRequest{
+		require.Zero(t, fx.decode.UsedBlocks())
+		require.True(t, failure.Is(fx.resume(state), failure.DataLost))
+		state = fx.prefillAndExport(t, fx.identity("stopped", 100, 8))
+		resp, err := fx.client.Cancel(fx.ctx, fx.decodeAddr, &workerclient.IDRequest{
 			OrderHeader: workerclient.OrderHeader{Fence: 1},
-			ID:          m.ID,
+			ID:          state.ID,
 		})
 		require.NoError(t, err)
-		require.Equal(t, workerclient.FateNever, a.Fate)
-		require.True(t, failure.Is(x.move(m), failure.DataLost))
+		require.Equal(t, workerclient.FateNotStarted, resp.Fate)
+		require.True(t, failure.Is(fx.importKV(state), failure.DataLost))
 	})
 }
 
-// TestFence: an order under an older fence is refused and changes nothing.
+// TestFence checks that an order with an outdated fencing token is rejected and has no effect.
 func TestFence(t *testing.T) {
-	twin(t, 64, func(x *pairOf) {
-		_, err := x.r.SetRole(x.ctx, x.da, &workerclient.RoleRequest{
+	withWorkers(t, 64, func(fx *fixture) {
+		_, err := fx.client.SetRole(fx.ctx, fx.decodeAddr, &workerclient.RoleRequest{
 			OrderHeader: workerclient.OrderHeader{Fence: 5},
 			Role:        ids.Decode,
 		})
 		require.NoError(t, err)
-		m := x.read(t, x.identity("old", 100, 8))
-		require.True(t, failure.Is(x.move(m), failure.Stale))
-		require.Zero(t, x.d.Used())
+		state := fx.prefillAndExport(t, fx.identity("old", 100, 8))
+		require.True(t, failure.Is(fx.importKV(state), failure.Stale))
+		require.Zero(t, fx.decode.UsedBlocks())
 	})
 }
 
-// TestBadOrders: what is malformed or for another model is named and refused.
-func TestBadOrders(t *testing.T) {
-	twin(t, 64, func(x *pairOf) {
-		m := x.identity("other", 10, 4)
-		m.Model.Weights = "w9"
-		_, err := x.r.Prefill(x.ctx, x.pa, &workerclient.PrefillRequest{
+// TestInvalidOrders checks that an order for another model is rejected, and that a malformed response is reported with
+// the worker's address.
+func TestInvalidOrders(t *testing.T) {
+	withWorkers(t, 64, func(fx *fixture) {
+		state := fx.identity("other", 10, 4)
+		state.Model.Weights = "w9"
+		_, err := fx.client.Prefill(fx.ctx, fx.prefillAddr, &workerclient.PrefillRequest{
 			OrderHeader: workerclient.OrderHeader{Fence: 1},
-			Identity:    m,
+			Identity:    state,
 		})
 		require.True(t, failure.Is(err, failure.InvalidArgument), "%v", err)
-		x.d.Order(Faults{Garbage: true})
-		_, err = x.r.Report(x.ctx, x.da)
+		fx.decode.SetFaults(Faults{Garbage: true})
+		_, err = fx.client.Report(fx.ctx, fx.decodeAddr)
 		require.ErrorContains(t, err, "garbage")
-		require.Equal(t, x.da, failure.Peer(err))
+		require.Equal(t, fx.decodeAddr, failure.Peer(err))
 	})
 }
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -17,35 +17,35 @@
 	"keelstair.example/rpc"
 )
 
-// Time limits of the calls, where the caller's context has no deadline. Prefill computes
-// before it answers, and resume waits for the KV to arrive; the others answer at once.
+// Timeouts of the calls, used if the caller's context has no deadline. A worker responds to prefill after the
+// computation and to resume after the KV cache has arrived; to the other calls it responds at once.
 const (
-	prefillTimeout = 10 * time.Second
-	resumeTimeout  = 5 * time.Second
-	moveTimeout    = 2 * time.Second // export and import
-	shortTimeout   = time.Second     // cancel and change of part
-	readTimeout    = 800 * time.Millisecond
+	prefillTimeout  = 10 * time.Second
+	resumeTimeout   = 5 * time.Second
+	transferTimeout = 2 * time.Second // export and import
+	orderTimeout    = time.Second     // cancel and role change
+	readTimeout     = 800 * time.Millisecond
 )
 
-// Bounds on what is read of an answer, in bytes.
+// Limits on the size of responses, in bytes.
 const (
-	maxResponseBytes = 32 << 20
-	maxEventBytes    = 1 << 20 // one line of a stream
-	firstBuffer      = 4096    // of a line, grown as needed
+	maxResponseBytes  = 32 << 20
+	maxEventBytes     = 1 << 20 // one line of a stream
+	initialLineBuffer = 4096    // initial buffer for a line, grown as needed
 )
 
 // Client calls workers and the platform. It is safe for concurrent use.
-type Client struct{ web *http.Client }
+type Client struct{ http *http.Client }
 
 // New returns a client that dials through the host's network.
-func New(n host.Net) *Client { return &Client{web: rpc.NewHTTPClient(n)} }
+func New(n host.Net) *Client { return &Client{http: rpc.NewHTTPClient(n)} }
 
-// Close closes the connections that are idle. Calls under way are not affected.
-func (c *Client) Close() { c.web.CloseIdleConnections() }
+// Close closes idle connections. Calls in progress are not affected.
+func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Rejection is the body of a refusal, of a worker or of a node: a name for programs, the field
-// that is at fault if any, a text for people, and After, in how many milliseconds to come
-// back (0: not said).
+// Rejection is the body of an error response of a worker or a node. Name identifies the error to programs, Field
+// is the invalid field of the request if any, Detail is a text for people, and After is the retry delay in
+// milliseconds, or 0 if there is none.
 type Rejection struct {
 	Name   string `json:"name"`
 	Field  string `json:"field,omitempty"`
@@ -53,7 +53,7 @@
 	After  int64  `json:"retryAfterMs,omitempty"`
 }
 
-// statusKind returns what a worker's HTTP status tells of the order.
+// statusKind returns the failure kind that corresponds to a worker's HTTP status.
 func statusKind(code int) failure.Kind {
 	switch code {
 	case http.StatusPreconditionFailed:
@@ -68,9 +68,9 @@
 	return failure.OutcomeUnknown
 }
 
-// ask makes one call and decodes its answer into out, unless that is nil. timeout counts
-// where the context has no deadline.
-func (c *Client) ask(ctx context.Context, method, addr, path string, in, out any, timeout time.Duration) error {
+// call makes one call and decodes its response into out, unless out is nil. timeout applies if the context has
+// no deadline.
+func (c *Client) call(ctx context.Context, method, addr, path string, in, out any, timeout time.Duration) error {
 	if _, ok := ctx.Deadline(); !ok {
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeout(ctx, timeout)
@@ -84,24 +84,26 @@
 		}
 		body = bytes.NewReader(b)
 	}
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
 	if err != nil {
 		return failure.As(err, failure.InvalidArgument, path, addr)
 	}
-	q.Header.Set("Content-Type", "application/json")
-	a, err := c.web.Do(q)
+	req.Header.Set("Content-Type", "application/json")
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return failure.As(err, sendErrorKind(err), path, addr)
 	}
-	defer a.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
+	defer resp.Body.Close()
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return failure.As(err, failure.OutcomeUnknown, path, addr)
 	}
-	if a.StatusCode != http.StatusOK {
-		var no Rejection
-		json.Unmarshal(b, &no)
-		return failure.New(statusKind(a.StatusCode), path, addr, "%d %s %s", a.StatusCode, no.Name, no.Detail)
+	if resp.StatusCode != http.StatusOK {
+		var rejection Rejection
+		json.Unmarshal(b, &rejection)
+		return failure.New(
+			statusKind(resp.StatusCode), path, addr, "%d %s %s", resp.StatusCode, rejection.Name, rejection.Detail,
+		)
 	}
 	if out == nil {
 		return nil
@@ -112,8 +114,8 @@
 	return nil
 }
 
-// sendErrorKind returns the kind of an error of the transport: an order for which no connection was
-// made was certainly not taken.
+// sendErrorKind returns the failure kind of a transport error. If no connection was established, the order was
+// certainly not executed.
 func sendErrorKind(err error) failure.Kind {
 	if rpc.IsDialError(err) {
 		return failure.NotExecuted
@@ -121,111 +123,116 @@
 	return failure.OutcomeUnknown
 }
 
-func (c *Client) order(ctx context.Context, addr, path string, in any, timeout time.Duration) (*OrderResponse, error) {
+// postOrder sends an order and returns the worker's response.
+func (c *Client) postOrder(
+	ctx context.Context,
+	addr, path string,
+	in any,
+	timeout time.Duration,
+) (*OrderResponse, error) {
 	out := &OrderResponse{}
-	return out, c.ask(ctx, http.MethodPost, addr, path, in, out, timeout)
+	return out, c.call(ctx, http.MethodPost, addr, path, in, out, timeout)
 }
 
-// Prefill has a worker compute the KV of a request. It returns after the computation.
-func (c *Client) Prefill(ctx context.Context, addr string, q *PrefillRequest) (*OrderResponse, error) {
-	return c.order(ctx, addr, "/prefill", q, prefillTimeout)
+// Prefill makes a worker compute the KV cache of a request. It returns after the computation.
+func (c *Client) Prefill(ctx context.Context, addr string, req *PrefillRequest) (*OrderResponse, error) {
+	return c.postOrder(ctx, addr, "/prefill", req, prefillTimeout)
 }
 
-// Export has a worker keep the KV of an attempt ready to be fetched. Its answer has the
-// request's identity with the length and digest of that KV, and the tokens made so far.
-func (c *Client) Export(ctx context.Context, addr string, q *ExportRequest) (*OrderResponse, error) {
-	return c.order(ctx, addr, "/export", q, moveTimeout)
+// Export makes a worker stage the KV cache of an attempt, to be fetched by another worker. The response contains
+// the request's identity with the length and digest of that KV cache, and the tokens generated so far.
+func (c *Client) Export(ctx context.Context, addr string, req *ExportRequest) (*OrderResponse, error) {
+	return c.postOrder(ctx, addr, "/export", req, transferTimeout)
 }
 
-// Import has a worker reserve room and begin to fetch the KV. Without room it is refused with
-// kind Bounced.
-func (c *Client) Import(ctx context.Context, addr string, q *ImportRequest) (*OrderResponse, error) {
-	return c.order(ctx, addr, "/import", q, moveTimeout)
+// Import makes a worker reserve cache blocks and start to fetch the KV cache. Without enough free blocks it fails
+// with kind NotExecuted.
+func (c *Client) Import(ctx context.Context, addr string, req *ImportRequest) (*OrderResponse, error) {
+	return c.postOrder(ctx, addr, "/import", req, transferTimeout)
 }
 
-// Resume has a worker run an attempt that was imported, once its KV has arrived whole.
-func (c *Client) Resume(ctx context.Context, addr string, q *IDRequest) (*OrderResponse, error) {
-	return c.order(ctx, addr, "/resume", q, resumeTimeout)
+// Resume makes a worker decode an imported attempt, once its KV cache has arrived completely.
+func (c *Client) Resume(ctx context.Context, addr string, req *IDRequest) (*OrderResponse, error) {
+	return c.postOrder(ctx, addr, "/resume", req, resumeTimeout)
 }
 
-// Cancel ends an attempt and all earlier ones of its request for good: none can start or go on
-// afterwards. The answer has the request's fate at this worker.
-// Where the connection is refused no process is left that could go on with it, so the kind is
-// Lost, which says more than Bounced.
-func (c *Client) Cancel(ctx context.Context, addr string, q *IDRequest) (*OrderResponse, error) {
-	a, err := c.order(ctx, addr, "/cancel", q, shortTimeout)
+// Cancel permanently stops an attempt and all earlier attempts of its request: none of them can start or continue
+// afterwards. The response contains the request's fate on this worker. If the connection is refused, no process
+// is left that could continue the attempt, so the error has kind DataLost, which is more specific than
+// NotExecuted.
+func (c *Client) Cancel(ctx context.Context, addr string, req *IDRequest) (*OrderResponse, error) {
+	resp, err := c.postOrder(ctx, addr, "/cancel", req, orderTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		err = failure.As(err, failure.DataLost, "cancel", addr)
 	}
-	return a, err
+	return resp, err
 }
 
-// SetRole has a worker change its part.
-func (c *Client) SetRole(ctx context.Context, addr string, q *RoleRequest) (*OrderResponse, error) {
-	return c.order(ctx, addr, "/part", q, shortTimeout)
+// SetRole makes a worker change its role.
+func (c *Client) SetRole(ctx context.Context, addr string, req *RoleRequest) (*OrderResponse, error) {
+	return c.postOrder(ctx, addr, "/part", req, orderTimeout)
 }
 
-// Report asks a worker for its report.
+// Report requests a worker's report.
 func (c *Client) Report(ctx context.Context, addr string) (*Report, error) {
 	out := &Report{}
-	return out, c.ask(ctx, http.MethodGet, addr, "/report", nil, out, readTimeout)
+	return out, c.call(ctx, http.MethodGet, addr, "/report", nil, out, readTimeout)
 }
 
-// Workers asks the platform for its list of workers.
+// Workers requests the platform's list of workers.
 func (c *Client) Workers(ctx context.Context, addr string) ([]ListedWorker, error) {
 	var out []ListedWorker
-	return out, c.ask(ctx, http.MethodGet, addr, "/workers", nil, &out, readTimeout)
+	return out, c.call(ctx, http.MethodGet, addr, "/workers", nil, &out, readTimeout)
 }
 
-// Stream calls put with the pieces of a resumed attempt from index from on, until it has
-// ended; an error of put ends it, and is returned as it is. Other errors are mostly of kind
-// Lost. The worker writes at least once every pulse, if only an empty line; a longer silence
-// counts as its loss.
+// Stream calls handle for each token event of a resumed attempt, starting at index from, until the attempt has
+// ended. An error of handle stops the stream and is returned unchanged. Most other errors have kind DataLost. The
+// worker writes at least one line, possibly empty, per maxSilence; after a longer silence it is considered lost.
 func (c *Client) Stream(
 	ctx context.Context,
 	addr string,
 	id ID,
 	from int,
-	pulse time.Duration,
-	put func(TokenEvent) error,
+	maxSilence time.Duration,
+	handle func(TokenEvent) error,
 ) error {
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	path := fmt.Sprintf("/stream?request=%s&attempt=%d&from=%d", id.Request, id.Attempt, from)
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
 		return failure.As(err, failure.InvalidArgument, "stream", addr)
 	}
-	watch := time.AfterFunc(pulse, stop)
-	defer watch.Stop()
-	a, err := c.web.Do(q)
+	silenceTimer := time.AfterFunc(maxSilence, cancel)
+	defer silenceTimer.Stop()
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return failure.As(err, failure.DataLost, "stream", addr)
 	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		return failure.New(statusKind(a.StatusCode), "stream", addr, "%d", a.StatusCode)
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return failure.New(statusKind(resp.StatusCode), "stream", addr, "%d", resp.StatusCode)
 	}
-	rows := bufio.NewScanner(a.Body)
-	rows.Buffer(make([]byte, firstBuffer), maxEventBytes)
-	for rows.Scan() {
-		watch.Reset(pulse)
-		if len(rows.Bytes()) == 0 {
+	lines := bufio.NewScanner(resp.Body)
+	lines.Buffer(make([]byte, initialLineBuffer), maxEventBytes)
+	for lines.Scan() {
+		silenceTimer.Reset(maxSilence)
+		if len(lines.Bytes()) == 0 {
 			continue
 		}
-		var p TokenEvent
-		if err := json.Unmarshal(rows.Bytes(), &p); err != nil {
+		var event TokenEvent
+		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
 			return failure.As(err, failure.DataLost, "stream gave garbage", addr)
 		}
-		if err := put(p); err != nil {
+		if err := handle(event); err != nil {
 			return err
 		}
-		if p.End != "" {
+		if event.End != "" {
 			return nil
 		}
 	}
-	if err := rows.Err(); err != nil {
+	if err := lines.Err(); err != nil {
 		return failure.As(err, failure.DataLost, "stream", addr)
 	}
-	return failure.New(failure.DataLost, "stream", addr, "it stopped without an end")
+	return failure.New(failure.DataLost, "stream", addr, "the stream ended without an end event")
 }
