--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -7,6 +7,7 @@
 	"crypto/ed25519"
 	"fmt"
 	"maps"
+	"slices"
 	"sync"
 	"time"
 
@@ -14,6 +15,7 @@
 	"keelstair.example/ids"
 	"keelstair.example/internal/api"
 	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
 	"keelstair.example/internal/handoff"
 	"keelstair.example/internal/router"
 	"keelstair.example/internal/standin"
@@ -157,6 +159,54 @@
 	return nil
 }
 
+// Settle waits until certified nodes hold the keys of all certified workers and every node
+// knows these workers as ready. When the regimes come into force, a node without a
+// certificate gives up such keys; until the duties have begun at the next holders,
+// governed requests are refused with a time to come back. All must hold for a second,
+// since for shorter than that nodes may still list what the previous holder last said.
+func (b *AuditModel) Settle() error {
+	b.mu.Lock()
+	var workers, nodes []string
+	for _, c := range b.certs {
+		if c.Worker != "" {
+			workers = append(workers, string(c.Worker))
+		} else {
+			nodes = append(nodes, c.Node)
+		}
+	}
+	b.mu.Unlock()
+	settled := func() bool {
+		held := map[ids.Key]bool{}
+		for _, box := range running(b.c, "router") {
+			ready := map[string]bool{}
+			for _, w := range box.Node.Status().(*router.NodeStatus).Workers {
+				ready[string(w.ID)] = w.Ready
+			}
+			for _, w := range workers {
+				if !ready[w] {
+					return false
+				}
+			}
+			if slices.Contains(nodes, box.Name) {
+				for _, k := range holds(box) {
+					held[k] = true
+				}
+			}
+		}
+		return !slices.ContainsFunc(workers, func(w string) bool { return !held[fleetstate.WorkerKey(ids.WorkerID(w))] })
+	}
+	since := time.Now()
+	if !b.c.Until(10*time.Second, func() bool {
+		if !settled() {
+			since = time.Now()
+		}
+		return time.Since(since) >= time.Second
+	}) {
+		return fmt.Errorf("the keys of certified workers have not moved to certified nodes")
+	}
+	return nil
+}
+
 // Revoke ends a certificate as keelstairctl does, until it is acknowledged.
 func (b *AuditModel) Revoke(serial string) error {
 	op, begun := coordination.NewID(), b.c.Recorder.Now()
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -110,6 +110,7 @@
 // first one after the revocation was folded already comes from a certified worker.
 func TestNextEvent(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
+		require.NoError(t, b.Settle())
 		ask, n := long(speech), node(c, "router-1")
 		done := c.startStream(n, ask)
 		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Resumed)) == 1 }))
@@ -166,6 +167,7 @@
 		require.NoError(t, c.Found())
 		b.usual()
 		require.NoError(t, b.Open())
+		require.NoError(t, b.Settle())
 		ask := speech
 		for i := range 20 {
 			ask.Seed = uint64(i)
--- a/internal/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -174,6 +174,7 @@
 // certified worker.
 func TestPassed(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
+		require.NoError(t, b.Settle())
 		lone := node(c, "router-5")
 		got, err := c.stream(lone, speech)
 		require.NoError(t, err)
@@ -216,6 +217,7 @@
 // one, each piece once; within two seconds of the acknowledgement the worker has none.
 func TestRevokedMidStream(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
+		require.NoError(t, b.Settle())
 		ask := long(speech)
 		done := c.startStream(node(c, "router-1"), ask)
 		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Resumed)) == 1 }))
@@ -236,6 +238,7 @@
 // ends whole, or as unknown, and its key says so later.
 func TestRevokedVerdict(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
+		require.NoError(t, b.Settle())
 		ask := long(verdict)
 		done := c.startStream(node(c, "router-1"), ask)
 		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Resumed)) == 1 }))
