--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -216,7 +216,7 @@
 				f.startNode(faulty)
 			}
 			for _, core := range coreIPs {
-				if f.cores[core] == nil {
+				if !f.coreRunning(core) {
 					f.startCore(core)
 				}
 			}
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -41,16 +41,16 @@
 	world         *simulated.World
 	platform      *fakePlatform
 	seeds         []string
-	cores         map[string]*coordination.Core
-	processes     map[string]*simulated.Process
-	cancels       map[string]context.CancelFunc
 	adjustOptions func(*Options)
 
-	mu      sync.Mutex
-	nodes   []*testNode
-	results []*requestResult
-	stopped chan struct{}
-	wg      sync.WaitGroup
+	mu        sync.Mutex
+	cores     map[string]*coordination.Core
+	processes map[string]*simulated.Process
+	cancels   map[string]context.CancelFunc
+	nodes     []*testNode
+	results   []*requestResult
+	stopped   chan struct{}
+	wg        sync.WaitGroup
 }
 
 // coreIPs are the addresses of the cores' machines.
@@ -104,7 +104,7 @@
 		},
 	})
 	require.NoError(f.t, err)
-	f.cores[ip], f.processes[ip], f.cancels[ip] = c, p, stop
+	f.withLock(func() { f.cores[ip], f.processes[ip], f.cancels[ip] = c, p, stop })
 	l, err := p.Host().Net.Listen(ip + ":1")
 	require.NoError(f.t, err)
 	mux := http.NewServeMux()
@@ -115,6 +115,8 @@
 
 // powerOffCore cuts the power of a core's machine. It does nothing if the core isn't running.
 func (f *fleet) powerOffCore(ip string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	if f.cores[ip] == nil {
 		return
 	}
@@ -123,8 +125,17 @@
 	delete(f.cores, ip)
 }
 
+// coreRunning reports whether a core's process was started and its machine has had power since.
+func (f *fleet) coreRunning(ip string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.cores[ip] != nil
+}
+
 // leader returns the address of the leading core, or "".
 func (f *fleet) leader() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	for ip, c := range f.cores {
 		if c.Leads() {
 			return ip
--- a/internal/proxy/large_configuration_test.go
+++ b/internal/proxy/large_configuration_test.go
@@ -56,7 +56,7 @@
 				f.startNode(2)
 			}
 			for _, ip := range coreIPs {
-				if f.cores[ip] == nil {
+				if !f.coreRunning(ip) {
 					f.startCore(ip)
 				}
 			}
