--- a/internal/simulation/aged_keys_test.go
+++ b/internal/simulation/aged_keys_test.go
@@ -17,23 +17,23 @@
 // primary, after a takeover, after the machine that wrote it was replaced by an
 // empty one, and after the whole core lost power.
 func TestAgedKeys(t *testing.T) {
-	unraced(t)
-	inBubble(t, "vatuloa", func(c *Cluster) {
-		c.Depth = fleetstate.Retention{
+	skipUnderRace(t)
+	withCluster(t, "vatuloa", func(c *Cluster) {
+		c.Retention = fleetstate.Retention{
 			FullRecords:  4,
 			ChunkEntries: 8,
 		}
 	}, func(t *testing.T, c *Cluster) {
 		node := func(i int) *Process { return c.Of("router")[i%len(c.Of("router"))] }
 		ask := func(i int) api.StreamRequest {
-			a := verdict
+			a := verdictRequest
 			a.Key = fmt.Sprint("old-", i)
 			return a
 		}
 		next := 0
 		serve := func(n int) {
 			for end := next + n; next < end; next++ {
-				require.True(t, c.Until(8*time.Second, func() bool {
+				require.True(t, c.WaitUntil(8*time.Second, func() bool {
 					got, err := c.stream(node(next), ask(next))
 					return err == nil && got[len(got)-1].End == api.Complete
 				}))
@@ -42,7 +42,7 @@
 		previous := func() {
 			for i := 0; i < next-4; i++ {
 				var last error
-				require.True(t, c.Until(8*time.Second, func() bool {
+				require.True(t, c.WaitUntil(8*time.Second, func() bool {
 					_, last = c.stream(node(i), ask(i))
 					r, ok := last.(*api.Fault)
 					return ok && r.Code != 503
@@ -65,7 +65,7 @@
 		previous()
 		b = c.Leader()
 		c.PowerOff(b)
-		require.True(t, c.Until(8*time.Second, func() bool { l := c.Leader(); return l != nil && l != b }))
+		require.True(t, c.WaitUntil(8*time.Second, func() bool { l := c.Leader(); return l != nil && l != b }))
 		time.Sleep(time.Second)
 		previous()
 		for _, b := range c.Of("controller") {
@@ -74,12 +74,12 @@
 		for _, b := range c.Of("controller")[1:] {
 			require.NoError(t, c.Start(b))
 		}
-		require.True(t, c.Until(8*time.Second, func() bool { return c.Leader() != nil }))
+		require.True(t, c.WaitUntil(8*time.Second, func() bool { return c.Leader() != nil }))
 		time.Sleep(2 * time.Second)
 		serve(4)
 		previous()
 		for i := range next {
-			runs, records := runsOf(c, fmt.Sprint("verdict/old-", i))
+			runs, records := countRuns(c, fmt.Sprint("verdict/old-", i))
 			require.Equal(t, []int{1, 1}, []int{runs, records}, "key %d", i)
 		}
 	})
--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -79,16 +79,16 @@
 
 // tune hooks the bureau to a fleet.
 func (b *AuditModel) tune(c *Cluster) {
-	b.c, c.Fixed = c, true
+	b.c, c.FixedRoles = c, true
 	// What nobody comes for lies staged no longer than an orphan runs.
-	c.Tune = func(o *standin.WorkerOptions) { o.StagingTTL = 2 * time.Second }
+	c.TuneWorker = func(o *standin.WorkerOptions) { o.StagingTTL = 2 * time.Second }
 	now := time.Now().UTC()
 	b.issuer = certification.Issuer{
 		Key:   certification.Public(b.key),
 		From:  now.AddDate(0, 0, -1).Format(time.RFC3339),
 		Until: now.AddDate(1, 0, 0).Format(time.RFC3339),
 	}
-	c.Steps = func(e handoff.Event) {
+	c.OnHandoffEvent = func(e handoff.Event) {
 		if e.Regime != "" {
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -132,7 +132,7 @@
 func (b *AuditModel) part() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return partOf(map[string]any{
+	return marshalPartial(map[string]any{
 		"issuers":      map[string]any{"k1": b.issuer},
 		"certificates": maps.Clone(b.certs),
 		"regimes":      map[string]any{"chair": map[string]any{"kinds": []string{"verdict", "speech"}, "keep": b.keep}},
@@ -141,10 +141,10 @@
 
 // Open applies the part and waits until every certified node clears somebody.
 func (b *AuditModel) Open() error {
-	if err := alter(b.c, "regimes", b.part()); err != nil {
+	if err := applyPartial(b.c, "regimes", b.part()); err != nil {
 		return err
 	}
-	if !b.c.Until(10*time.Second, func() bool {
+	if !b.c.WaitUntil(10*time.Second, func() bool {
 		for _, box := range running(b.c, "router") {
 			if g := box.Node.Regimes(); g.High == 0 || len(g.Regimes) == 0 || len(g.Regimes[0].Short) > 0 {
 				return false
@@ -161,8 +161,8 @@
 func (b *AuditModel) Revoke(serial string) error {
 	op, begun := coordination.NewID(), b.c.Recorder.Now()
 	var err error
-	b.c.Until(20*time.Second, func() bool {
-		err = b.c.Operate("/v1/certificates/"+serial, &api.MarkRequest{Op: op, Out: true}, nil)
+	b.c.WaitUntil(20*time.Second, func() bool {
+		err = b.c.Post("/v1/certificates/"+serial, &api.MarkRequest{Op: op, Out: true}, nil)
 		return err == nil
 	})
 	if err != nil {
@@ -191,7 +191,7 @@
 
 // Check holds the workers' books against the certificates: no order for governed work,
 // and no run of it, at a worker that was not certified then.
-func (b *AuditModel) Check(all []standin.Outcome) []Fault {
+func (b *AuditModel) Check(all []standin.Outcome) []Violation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, o := range all {
@@ -201,9 +201,9 @@
 	}
 	b.c.Recorder.mu.Lock()
 	defer b.c.Recorder.mu.Unlock()
-	f := &finder{}
-	begun, staged := map[string]Seen{}, map[string]Seen{}
-	for _, e := range b.c.Recorder.rows {
+	f := &violationList{}
+	begun, staged := map[string]RecordedEvent{}, map[string]RecordedEvent{}
+	for _, e := range b.c.Recorder.events {
 		if b.work[e.ID.Request] == "" {
 			continue
 		}
@@ -211,7 +211,7 @@
 		switch e.What {
 		case "prefill", "import", "export", "resume", "resumed", "record":
 			if !b.cleared(e.Worker, e.When) {
-				f.say(Uncertified, "%s had %s of %s at %s", e.Worker, e.What, e.ID.Request, e.When)
+				f.add(Uncertified, "%s had %s of %s at %s", e.Worker, e.What, e.ID.Request, e.When)
 			}
 		}
 		switch e.What {
@@ -219,7 +219,7 @@
 			begun[run] = e
 		case "export", "cancel", "record", "lost", "bounced", "orphan-run", "orphan-import":
 			if previous, ok := begun[run]; ok && !b.cleared(e.Worker, e.When) {
-				f.say(
+				f.add(
 					Uncertified,
 					"%s still held %s, begun at %s, at %s",
 					e.Worker,
@@ -235,14 +235,14 @@
 			staged[run] = e
 		case "unstaged":
 			if !b.cleared(e.Worker, e.When) {
-				f.say(Uncertified, "%s had %s staged until %s", e.Worker, e.ID.Request, e.When)
+				f.add(Uncertified, "%s had %s staged until %s", e.Worker, e.ID.Request, e.When)
 			}
 			if previous, ok := staged[run]; ok {
 				b.stays = append(b.stays, e.When-previous.When)
 			}
 		}
 	}
-	return f.out
+	return f.found
 }
 
 // governed counts the requests that were found to be so.
--- a/internal/simulation/back_test.go
+++ b/internal/simulation/back_test.go
@@ -70,21 +70,21 @@
 		*most = max(*most, now.Sub(last))
 		c.nodes.Range(func(k, name any) bool {
 			if s := k.(*router.Node).View().Current(); s.Version > 0 {
-				c.Recorder.Force(name.(string), s.Version, s.Text)
+				c.Recorder.RecordActive(name.(string), s.Version, s.Text)
 			}
 			return true
 		})
 	}
 }
 
-func late(backs map[string]time.Duration, bound time.Duration) []Fault {
-	f := &finder{}
+func late(backs map[string]time.Duration, bound time.Duration) []Violation {
+	f := &violationList{}
 	for name, d := range backs {
 		if d > bound {
-			f.say(NotBack, "%s: %.2f s without a completed call", name, d.Seconds())
+			f.add(ServiceNotRestored, "%s: %.2f s without a completed call", name, d.Seconds())
 		}
 	}
-	return f.out
+	return f.found
 }
 
 func worst(backs map[string]time.Duration) string {
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -39,52 +39,52 @@
 	Node         *router.Node
 	Worker       *standin.Worker
 	Up           bool
-	Leave        context.CancelFunc // a node's SIGTERM
+	Terminate    context.CancelFunc // a node's SIGTERM
 
-	mu    host.ChannelMutex // of what begins and ends it
-	proc  *simulated.Process
-	stop  context.CancelFunc
-	begin func(b *Process, ctx context.Context, host host.Host) error
+	mu      host.ChannelMutex // of what begins and ends it
+	process *simulated.Process
+	cancel  context.CancelFunc
+	start   func(p *Process, ctx context.Context, host host.Host) error
 }
 
 // Cluster is a fleet.
 type Cluster struct {
-	World     *simulated.World
-	Site      standin.Site
-	Processes []*Process
-	Platform  *standin.Platform
-	Recorder  *Recorder
-	Seeds     []string
-	Tune      func(*standin.WorkerOptions)
-	Programs  map[string]fleetstate.Program
-	Steps     func(handoff.Event) // told of every step of every hand-over
-	Fixed     bool                // workers keep their parts
-	Slack     time.Duration       // on top of the bound for an apply, where takeovers come between
-	Depth     fleetstate.Retention
+	World          *simulated.World
+	Site           standin.Site
+	Processes      []*Process
+	Platform       *standin.Platform
+	Recorder       *Recorder
+	Seeds          []string
+	TuneWorker     func(*standin.WorkerOptions)
+	Programs       map[string]fleetstate.Program
+	OnHandoffEvent func(handoff.Event) // told of every step of every hand-over
+	FixedRoles     bool                // workers keep their parts
+	ApplySlack     time.Duration       // on top of the bound for an apply, where takeovers come between
+	Retention      fleetstate.Retention
 
-	base  context.Context
-	shut  context.CancelFunc
-	wg    sync.WaitGroup
-	cores sync.Map   // *coordination.Core, every one that was started
-	nodes sync.Map   // *router.Node -> name, likewise
-	mu    sync.Mutex // of Processes
-	out   *simulated.Process
-	web   *http.Client
+	ctx           context.Context
+	cancel        context.CancelFunc
+	wg            sync.WaitGroup
+	cores         sync.Map   // *coordination.Core, every one that was started
+	nodes         sync.Map   // *router.Node -> name, likewise
+	mu            sync.Mutex // of Processes
+	clientProcess *simulated.Process
+	httpClient    *http.Client
 }
 
 // Build sets up a site's fleet and starts all of it but the load.
 func Build(seed uint64, site standin.Site, tune func(*Cluster)) *Cluster {
 	c := &Cluster{World: simulated.NewWorld(seed), Site: site, Recorder: NewRecorder()}
-	c.base, c.shut = context.WithCancel(context.Background())
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	if tune != nil {
 		tune(c)
 	}
 	p := c.World.Machine("10.8.0.1").Start()
 	c.Platform = standin.NewPlatform(p.Host())
-	c.serve(c.base, p.Host(), "10.8.0.1:80", c.Platform.Handler())
-	c.wg.Go(func() { c.Platform.Run(c.base) })
-	c.out = c.World.Machine("10.9.0.1").Start()
-	c.web = rpc.NewHTTPClient(c.out.Host().Net)
+	c.serve(c.ctx, p.Host(), "10.8.0.1:80", c.Platform.Handler())
+	c.wg.Go(func() { c.Platform.Run(c.ctx) })
+	c.clientProcess = c.World.Machine("10.9.0.1").Start()
+	c.httpClient = rpc.NewHTTPClient(c.clientProcess.Host().Net)
 	for i := range 3 {
 		c.Seeds = append(c.Seeds, fmt.Sprintf("10.1.0.%d:700", i+1))
 	}
@@ -100,13 +100,13 @@
 	return c
 }
 
-func (c *Cluster) add(b *Process) *Process {
-	b.mu = host.NewChannelMutex()
+func (c *Cluster) add(p *Process) *Process {
+	p.mu = host.NewChannelMutex()
 	c.mu.Lock()
-	c.Processes = append(c.Processes, b)
+	c.Processes = append(c.Processes, p)
 	c.mu.Unlock()
-	c.Start(b)
-	return b
+	c.Start(p)
+	return p
 }
 
 func (c *Cluster) serve(ctx context.Context, host host.Host, addr string, h http.Handler) error {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func (c *Cluster) ring(name string) *logging.Ring {
+func (c *Cluster) logRing(name string) *logging.Ring {
 	if os.Getenv("KEELSTAIR_TALK") != "" {
 		return logging.NewRing(64, os.Stderr, name)
 	}
@@ -134,21 +134,21 @@
 		Zone:    zone,
 		Addr:    addr,
 		Machine: c.World.Machine(ip),
-		begin: func(b *Process, ctx context.Context, host host.Host) error {
+		start: func(p *Process, ctx context.Context, host host.Host) error {
 			core, err := coordination.New(coordination.Options{
 				Addr:  addr,
 				Zone:  zone,
 				Host:  host,
 				Seeds: c.Seeds,
-				Ring:  c.ring(name),
+				Ring:  c.logRing(name),
 				Machine: func() coordination.StateMachine {
-					return fleetstate.NewMachine(fleetstate.MachineOptions{Retention: c.Depth, WallClock: host.Clock.Wall})
+					return fleetstate.NewMachine(fleetstate.MachineOptions{Retention: c.Retention, WallClock: host.Clock.Wall})
 				},
 			})
 			if err != nil {
 				return err
 			}
-			b.Core = core
+			p.Core = core
 			c.cores.Store(core, true)
 			mux := http.NewServeMux()
 			core.Mount(mux)
@@ -167,36 +167,36 @@
 		Addr:         ip + ":701",
 		FrontendAddr: ip + ":80",
 		Machine:      c.World.Machine(ip),
-		begin: func(b *Process, ctx context.Context, host host.Host) error {
+		start: func(p *Process, ctx context.Context, host host.Host) error {
 			n := router.New(router.Options{
 				Name:     name,
-				Addr:     b.Addr,
+				Addr:     p.Addr,
 				Zone:     zone,
 				Seeds:    c.Seeds,
 				Platform: "10.8.0.1:80",
 				Host:     host,
-				Ring:     c.ring(name),
+				Ring:     c.logRing(name),
 				Trace: func(e handoff.Event) {
-					c.Recorder.Step(name, e, b.Node.View().Current().Version)
-					if c.Steps != nil {
-						c.Steps(e)
+					c.Recorder.RecordHandoffEvent(name, e, p.Node.View().Current().Version)
+					if c.OnHandoffEvent != nil {
+						c.OnHandoffEvent(e)
 					}
 				},
 			})
-			b.Node = n
+			p.Node = n
 			c.nodes.Store(n, name)
 			in, out := http.NewServeMux(), http.NewServeMux()
 			n.Mount(in)
 			api.Mount(out, n)
 			api.MountOperator(out, n)
 			cx, leave := context.WithCancel(ctx)
-			b.Leave = leave
+			p.Terminate = leave
 			c.wg.Go(func() { n.Run(cx, 3*time.Second) })
-			c.Platform.AddNode(b.FrontendAddr, zone)
-			if err := c.serve(ctx, host, b.Addr, in); err != nil {
+			c.Platform.AddNode(p.FrontendAddr, zone)
+			if err := c.serve(ctx, host, p.Addr, in); err != nil {
 				return err
 			}
-			return c.serve(ctx, host, b.FrontendAddr, out)
+			return c.serve(ctx, host, p.FrontendAddr, out)
 		},
 	}
 }
@@ -209,10 +209,10 @@
 		Zone:    w.Zone,
 		Addr:    ip + ":90",
 		Machine: c.World.Machine(ip),
-		begin: func(b *Process, ctx context.Context, host host.Host) error {
+		start: func(p *Process, ctx context.Context, host host.Host) error {
 			opt := standin.WorkerOptions{
 				ID:       id,
-				Addr:     b.Addr,
+				Addr:     p.Addr,
 				Role:     w.Role,
 				Capacity: w.Capacity,
 				Block:    w.BlockSize,
@@ -221,60 +221,60 @@
 			}
 			// Slow enough that a breakdown finds work in flight.
 			opt.Step, opt.Read = 10*time.Millisecond, 80*time.Microsecond
-			if c.Tune != nil {
-				c.Tune(&opt)
+			if c.TuneWorker != nil {
+				c.TuneWorker(&opt)
 			}
 			k := standin.NewWorker(opt)
-			k.Tell = c.Recorder.Worker
-			b.Worker = k
-			c.Recorder.Life(k)
+			k.Tell = c.Recorder.RecordWorkerEvent
+			p.Worker = k
+			c.Recorder.AddWorker(k)
 			c.wg.Go(func() { k.Run(ctx) })
-			c.Platform.List(workerclient.ListedWorker{ID: id, Addr: b.Addr, Zone: w.Zone})
-			return c.serve(ctx, host, b.Addr, k.Handler())
+			c.Platform.List(workerclient.ListedWorker{ID: id, Addr: p.Addr, Zone: w.Zone})
+			return c.serve(ctx, host, p.Addr, k.Handler())
 		},
 	}
 }
 
 // Start begins a box's process.
-func (c *Cluster) Start(b *Process) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.Up {
+func (c *Cluster) Start(p *Process) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.Up {
 		return nil
 	}
-	ctx, stop := context.WithCancel(c.base)
-	b.proc, b.stop, b.Up = b.Machine.Start(), stop, true
-	err := b.begin(b, ctx, b.proc.Host())
+	ctx, stop := context.WithCancel(c.ctx)
+	p.process, p.cancel, p.Up = p.Machine.Start(), stop, true
+	err := p.start(p, ctx, p.process.Host())
 	if err != nil {
-		b.kill()
+		p.kill()
 	}
 	return err
 }
 
 // Kill ends a box's process at once, as kill -9 does.
-func (c *Cluster) Kill(b *Process) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.kill()
+func (c *Cluster) Kill(p *Process) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.kill()
 }
 
-func (b *Process) kill() {
-	if b.Up {
-		b.Up = false
-		b.proc.Kill()
-		b.stop()
+func (p *Process) kill() {
+	if p.Up {
+		p.Up = false
+		p.process.Kill()
+		p.cancel()
 	}
 }
 
 // PowerOff takes a box's power: nobody is told, and a disk step that was under
 // way is left as chance has it.
-func (c *Cluster) PowerOff(b *Process) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.Up {
-		b.Up = false
-		b.Machine.PowerOff()
-		b.stop()
+func (c *Cluster) PowerOff(p *Process) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.Up {
+		p.Up = false
+		p.Machine.PowerOff()
+		p.cancel()
 	}
 }
 
@@ -283,9 +283,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*Process
-	for _, b := range c.Processes {
-		if b.Kind == kind {
-			out = append(out, b)
+	for _, p := range c.Processes {
+		if p.Kind == kind {
+			out = append(out, p)
 		}
 	}
 	return out
@@ -293,16 +293,16 @@
 
 // Leader is the controller that leads, or nil.
 func (c *Cluster) Leader() *Process {
-	for _, b := range c.Of("controller") {
-		if b.Up && b.Core.Leads() {
-			return b
+	for _, p := range c.Of("controller") {
+		if p.Up && p.Core.Leads() {
+			return p
 		}
 	}
 	return nil
 }
 
-// Until waits for something to become true.
-func (c *Cluster) Until(span time.Duration, f func() bool) bool {
+// WaitUntil waits for something to become true.
+func (c *Cluster) WaitUntil(span time.Duration, f func() bool) bool {
 	end := time.Now().Add(span)
 	for !f() {
 		if time.Now().After(end) {
@@ -313,26 +313,26 @@
 	return true
 }
 
-// Found waits for the core and applies the site's first configuration.
-func (c *Cluster) Found() error {
-	if !c.Until(10*time.Second, func() bool { return c.Leader() != nil }) {
+// Bootstrap waits for the core and applies the site's first configuration.
+func (c *Cluster) Bootstrap() error {
+	if !c.WaitUntil(10*time.Second, func() bool { return c.Leader() != nil }) {
 		return fmt.Errorf("no core was founded")
 	}
 	text := c.Site.Policy(c.Programs)
-	if c.Fixed {
+	if c.FixedRoles {
 		text = strings.Replace(text, "{", `{"switch": false,`, 1)
 	}
 	var err error
-	c.Until(10*time.Second, func() bool {
+	c.WaitUntil(10*time.Second, func() bool {
 		_, err = c.Apply(&api.ApplyRequest{Op: "first", Base: 0, Source: text})
 		return err == nil
 	})
 	if err != nil {
 		return err
 	}
-	if !c.Until(10*time.Second, func() bool {
-		for _, b := range c.Of("router") {
-			if ok, _ := b.Node.Ready(); b.Up && !ok {
+	if !c.WaitUntil(10*time.Second, func() bool {
+		for _, p := range c.Of("router") {
+			if ok, _ := p.Node.Ready(); p.Up && !ok {
 				return false
 			}
 		}
@@ -346,41 +346,41 @@
 // Apply asks the first door that answers.
 func (c *Cluster) Apply(a *api.ApplyRequest) (*api.ApplyResponse, error) {
 	got := &api.ApplyResponse{}
-	return got, c.Operate("/v1/policy", a, got)
+	return got, c.Post("/v1/policy", a, got)
 }
 
 // Mark evacuates, drains, or takes that back.
 func (c *Cluster) Mark(path, op string, out bool) error {
-	return c.Operate(path, &api.MarkRequest{Op: op, Out: out}, nil)
+	return c.Post(path, &api.MarkRequest{Op: op, Out: out}, nil)
 }
 
-// Operate asks the doors of the nodes that are up, as keelstairctl does.
-func (c *Cluster) Operate(path string, in, out any) error {
-	var doors []string
-	for _, b := range running(c, "router") {
-		doors = append(doors, b.FrontendAddr)
+// Post asks the doors of the nodes that are up, as keelstairctl does.
+func (c *Cluster) Post(path string, in, out any) error {
+	var frontends []string
+	for _, p := range running(c, "router") {
+		frontends = append(frontends, p.FrontendAddr)
 	}
-	cx, stop := context.WithTimeout(c.base, 8*time.Second)
+	ctx, stop := context.WithTimeout(c.ctx, 8*time.Second)
 	defer stop()
-	return api.Put(cx, c.web, doors, http.MethodPost, path, in, out)
+	return api.Put(ctx, c.httpClient, frontends, http.MethodPost, path, in, out)
 }
 
-// At asks one node's door.
-func (c *Cluster) At(b *Process, path string, in, out any) error {
-	cx, stop := context.WithTimeout(c.base, 6*time.Second)
+// PostTo asks one node's door.
+func (c *Cluster) PostTo(p *Process, path string, in, out any) error {
+	ctx, stop := context.WithTimeout(c.ctx, 6*time.Second)
 	defer stop()
-	return api.Put(cx, c.web, []string{b.FrontendAddr}, http.MethodPost, path, in, out)
+	return api.Put(ctx, c.httpClient, []string{p.FrontendAddr}, http.MethodPost, path, in, out)
 }
 
 // Load sends the site's mix for a span and waits for every answer.
 func (c *Cluster) Load(rate float64, span time.Duration, seed uint64) []standin.Outcome {
-	return c.Mix(c.Site.Shapes, rate, span, seed)
+	return c.LoadShapes(c.Site.Shapes, rate, span, seed)
 }
 
-// Mix sends another mix of shapes.
-func (c *Cluster) Mix(shapes []standin.Shape, rate float64, span time.Duration, seed uint64) []standin.Outcome {
-	return standin.Load(c.base, standin.LoadOptions{
-		Host:     c.out.Host(),
+// LoadShapes sends another mix of shapes.
+func (c *Cluster) LoadShapes(shapes []standin.Shape, rate float64, span time.Duration, seed uint64) []standin.Outcome {
+	return standin.Load(c.ctx, standin.LoadOptions{
+		Host:     c.clientProcess.Host(),
 		Doors:    c.Platform.Nodes,
 		Zones:    c.Site.Zones,
 		Shapes:   shapes,
@@ -395,14 +395,14 @@
 
 // Close ends the fleet and everything in it.
 func (c *Cluster) Close() {
-	for _, b := range c.Processes {
-		b.Machine.Freeze(false)
-		b.Machine.StallDisk(false)
-		c.Kill(b)
+	for _, p := range c.Processes {
+		p.Machine.Freeze(false)
+		p.Machine.StallDisk(false)
+		c.Kill(p)
 	}
-	c.shut()
-	c.web.CloseIdleConnections()
-	c.out.Kill()
+	c.cancel()
+	c.httpClient.CloseIdleConnections()
+	c.clientProcess.Kill()
 	for _, ip := range []string{"10.8.0.1", "10.9.0.1"} {
 		c.World.Machine(ip).PowerOff()
 	}
--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -49,14 +49,14 @@
 							}
 						})
 						defer c.Close()
-						require.NoError(t, c.Found())
+						require.NoError(t, c.Bootstrap())
 						rate := 15.0 * float64(site.Prefill)
 						shapes := slices.Clone(site.Shapes)
 						stems, _ := strconv.Atoi(os.Getenv("KEELSTAIR_STEMS"))
 						for i := range shapes {
 							shapes[i].Stems = stems
 						}
-						sum := standin.Sum(c.Mix(shapes, rate, 12*time.Second, seed))
+						sum := standin.Sum(c.LoadShapes(shapes, rate, 12*time.Second, seed))
 						warm, read := 0, 0
 						for _, b := range c.Of("worker") {
 							w, n := b.Worker.Hits()
--- a/internal/simulation/day_end_test.go
+++ b/internal/simulation/day_end_test.go
@@ -18,11 +18,11 @@
 // power, also those that count for no quorum. What was acknowledged is read back at any router,
 // and the key runs no second time. Each controller in turn.
 func TestPowerAndDiskLost(t *testing.T) {
-	unraced(t)
+	skipUnderRace(t)
 	for lost := range 3 {
 		t.Run(fmt.Sprintf("controller-%d", lost+1), func(t *testing.T) {
-			inBubble(t, "almaty", nil, func(t *testing.T, c *Cluster) {
-				ask := verdict
+			withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
+				ask := verdictRequest
 				ask.Kind, ask.Key = "ruling", "day-end"
 				first, refusal := c.answer(t, 0, ask)
 				require.Nil(t, refusal)
@@ -30,12 +30,12 @@
 				require.NoError(t, c.Mark("/v1/zones/"+zone, "day-end-zone", true))
 				applied, err := c.Apply(&api.ApplyRequest{
 					Op:      "day-end",
-					Base:    shown(c).Version,
+					Base:    latestShown(c).Version,
 					Partial: true,
 					Source:  "{limits: queue: 12}",
 				})
 				require.NoError(t, err)
-				text := shown(c).Policy
+				text := latestShown(c).Policy
 
 				for _, process := range c.Processes {
 					c.PowerOff(process)
@@ -46,8 +46,8 @@
 					require.NoError(t, c.Start(process))
 				}
 
-				require.True(t, c.Until(20*time.Second, func() bool { return shown(c).Version == applied.Version }))
-				state := shown(c)
+				require.True(t, c.WaitUntil(20*time.Second, func() bool { return latestShown(c).Version == applied.Version }))
+				state := latestShown(c)
 				require.JSONEq(t, string(text), string(state.Policy))
 				require.Equal(t, []string{zone}, state.Zones)
 				again, refusal := c.answer(t, 1, ask)
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -45,20 +45,20 @@
 	out := swung{parts: map[ids.Role]int{}}
 	synctest.Test(t, func(t *testing.T) {
 		c := Build(seed, standin.Sites["vatuloa"], func(c *Cluster) {
-			c.Fixed = !turn
+			c.FixedRoles = !turn
 			// Slow workers, so that few calls make a crowd.
-			c.Tune = func(o *standin.WorkerOptions) { o.Read, o.Each = 320*time.Microsecond, 4*time.Millisecond }
+			c.TuneWorker = func(o *standin.WorkerOptions) { o.Read, o.Each = 320*time.Microsecond, 4*time.Millisecond }
 		})
 		defer c.Close()
-		require.NoError(t, c.Found())
-		read := c.Mix([]standin.Shape{{
+		require.NoError(t, c.Bootstrap())
+		read := c.LoadShapes([]standin.Shape{{
 			Kind:  "clarification",
 			Share: 100,
 			Own:   400,
 			Max:   2,
 			Long:  1400,
 		}}, 14.5, span, seed)
-		write := c.Mix([]standin.Shape{{
+		write := c.LoadShapes([]standin.Shape{{
 			Kind:  "clarification",
 			Share: 100,
 			Own:   40,
@@ -85,7 +85,7 @@
 // neither flap nor lose a part nor break a stream. make compare prints the figures of
 // several seeds.
 func TestTurning(t *testing.T) {
-	unraced(t)
+	skipUnderRace(t)
 	seeds, span := 1, 24*time.Second
 	if os.Getenv("KEELSTAIR_COMPARE") != "" {
 		seeds, span = 2, 30*time.Second
--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -60,23 +60,23 @@
 
 // emptied evacuates a zone, holds it empty for a while, and takes that back.
 func emptied(c *Cluster, z ids.Zone, op string, least time.Duration) error {
-	if err := empty(c, z, op+"-out", true); err != nil {
+	if err := setEvacuated(c, z, op+"-out", true); err != nil {
 		return err
 	}
 	time.Sleep(least)
-	return empty(c, z, op+"-back", false)
+	return setEvacuated(c, z, op+"-back", false)
 }
 
 // stopped ends a node as the platform does: told first, killed when it had its time,
 // and started again.
 func stopped(c *Cluster, b *Process) error {
-	b.Leave()
+	b.Terminate()
 	time.Sleep(3500 * time.Millisecond)
 	c.Kill(b)
 	if err := c.Start(b); err != nil {
 		return err
 	}
-	if !c.Until(8*time.Second, func() bool { ok, _ := b.Node.Ready(); return ok }) {
+	if !c.WaitUntil(8*time.Second, func() bool { ok, _ := b.Node.Ready(); return ok }) {
 		return fmt.Errorf("%s did not become ready again", b.Name)
 	}
 	return nil
@@ -102,18 +102,18 @@
 		if n > 3 {
 			kinds[fmt.Sprintf("kind-%d-7", n-3)], workers[fmt.Sprintf("ghost-%d-7", n-3)] = nil, nil
 		}
-		sh := shown(c)
-		b := hit(r, c.Of("router"))
+		sh := latestShown(c)
+		b := pickOne(r, c.Of("router"))
 		bad := &api.ApplyRequest{
 			Op:      fmt.Sprint("bad-", n),
 			Base:    sh.Version,
 			Partial: true,
 			Source:  `{"workers":{"p1":{"room":0}}}`,
 		}
-		if err := c.At(b, "/v1/policy", bad, nil); err == nil {
+		if err := c.PostTo(b, "/v1/policy", bad, nil); err == nil {
 			return fmt.Errorf("round %d: a bad part was taken", n)
 		}
-		if err := alter(c, fmt.Sprint("grow-", n), partOf(map[string]any{
+		if err := applyPartial(c, fmt.Sprint("grow-", n), marshalPartial(map[string]any{
 			"kinds":   kinds,
 			"workers": workers,
 		})); err != nil {
@@ -125,7 +125,7 @@
 			Partial: true,
 			Source:  `{"limits":{"queue":3}}`,
 		}
-		if err := c.At(hit(r, c.Of("router")), "/v1/policy", late, nil); err == nil {
+		if err := c.PostTo(pickOne(r, c.Of("router")), "/v1/policy", late, nil); err == nil {
 			return fmt.Errorf("round %d: a part over an old version was taken", n)
 		}
 	}
@@ -139,7 +139,7 @@
 		done := make(chan error, 1)
 		go func() {
 			time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
-			done <- emptied(c, hit(r, c.Site.Zones), "die", 7*time.Second)
+			done <- emptied(c, pickOne(r, c.Site.Zones), "die", 7*time.Second)
 		}()
 		time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
 		c.Kill(b)
@@ -147,7 +147,7 @@
 		return errors.Join(c.Start(b), <-done)
 	}},
 	{Name: "zones-emptied-by-two-at-once", Run: func(c *Cluster, r *rand.Rand) error {
-		pause(r)
+		randomPause(r)
 		list := r.Perm(len(c.Site.Zones))
 		var wg sync.WaitGroup
 		errs := make([]error, 3)
@@ -159,27 +159,27 @@
 		return errors.Join(errs...)
 	}},
 	{Name: "zone-emptied-with-a-holder-cut", Run: func(c *Cluster, r *rand.Rand) error {
-		pause(r)
+		randomPause(r)
 		// The node that is cut is also the one that the operator asks first.
-		w, b := hit(r, c.Of("worker")), c.Of("router")[0]
+		w, b := pickOne(r, c.Of("worker")), c.Of("router")[0]
 		for _, o := range c.Of("worker") {
 			if holder(c, ids.WorkerID(o.Name)) == b {
 				w = o
 			}
 		}
-		peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
-		c.World.Partition(ips(b), peers, true)
+		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		c.World.Partition(addresses(b), peers, true)
 		err := emptied(c, w.Zone, "cut", 7*time.Second)
-		c.World.Partition(ips(b), peers, false)
+		c.World.Partition(addresses(b), peers, false)
 		return err
 	}},
 	{Name: "worker-leaves-its-holder-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
-		w := hit(r, c.Of("worker"))
+		w := pickOne(r, c.Of("worker"))
 		b := holder(c, ids.WorkerID(w.Name))
-		c.World.Partition(ips(b), []string{"10.8.0.1"}, true)
+		c.World.Partition(addresses(b), []string{"10.8.0.1"}, true)
 		time.Sleep(time.Second)
 		c.Platform.Leave(ids.WorkerID(w.Name))
-		c.Recorder.Mark("leave", w.Name)
+		c.Recorder.RecordMark("leave", w.Name)
 		// The platform hands nobody to this door now; who knows it still comes.
 		for i := range 40 {
 			c.stream(b, api.StreamRequest{
@@ -189,14 +189,14 @@
 			})
 			time.Sleep(100 * time.Millisecond)
 		}
-		c.World.Partition(ips(b), []string{"10.8.0.1"}, false)
+		c.World.Partition(addresses(b), []string{"10.8.0.1"}, false)
 		return nil
 	}},
 	{Name: "workers-leave-while-leader-and-holder-die", Run: func(c *Cluster, r *rand.Rand) error {
-		w := hit(r, c.Of("worker"))
+		w := pickOne(r, c.Of("worker"))
 		b, l := holder(c, ids.WorkerID(w.Name)), leader(c)
 		c.Platform.Leave(ids.WorkerID(w.Name))
-		c.Recorder.Mark("leave", w.Name)
+		c.Recorder.RecordMark("leave", w.Name)
 		time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond)
 		c.Kill(l)
 		c.Kill(b)
@@ -206,27 +206,27 @@
 	{Name: "storm-with-a-node-cut-from-its-kind", Run: func(c *Cluster, r *rand.Rand) error {
 		// Callers and workers still reach it; nobody tells it what is new.
 		b := able(c)
-		peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
+		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		for n := range 3 {
-			c.World.Partition(ips(b), peers, true)
+			c.World.Partition(addresses(b), peers, true)
 			insist(c, b)
-			pause(r)
+			randomPause(r)
 			for k := range 3 {
-				if err := change(c, fmt.Sprintf("alone-%d-%d", n, k), 6000+10*n+k); err != nil {
+				if err := changeRetryAfter(c, fmt.Sprintf("alone-%d-%d", n, k), 6000+10*n+k); err != nil {
 					return err
 				}
 			}
 			time.Sleep(time.Second)
-			c.World.Partition(ips(b), peers, false)
+			c.World.Partition(addresses(b), peers, false)
 			time.Sleep(time.Second)
 		}
 		return nil
 	}},
-	{Name: "configuration-grows", Run: grow, Calm: true},
+	{Name: "configuration-grows", Run: grow, NoFailures: true},
 	{
-		Name: "nodes-stopped-one-by-one",
-		Span: 38 * time.Second,
-		Calm: true,
+		Name:         "nodes-stopped-one-by-one",
+		LoadDuration: 38 * time.Second,
+		NoFailures:   true,
 		Run: func(c *Cluster, _ *rand.Rand) error {
 			for _, b := range c.Of("router") {
 				if err := stopped(c, b); err != nil {
@@ -237,12 +237,12 @@
 		},
 	},
 	{
-		Name: "workers-and-controllers-stopped-one-by-one",
-		Span: 45 * time.Second,
-		Calm: true,
+		Name:         "workers-and-controllers-stopped-one-by-one",
+		LoadDuration: 45 * time.Second,
+		NoFailures:   true,
 		Run: func(c *Cluster, r *rand.Rand) error {
 			for _, b := range c.Of("controller") {
-				if err := cycle(c, b, 2*time.Second, false); err != nil {
+				if err := restartAfter(c, b, 2*time.Second, false); err != nil {
 					return err
 				}
 				time.Sleep(2 * time.Second)
@@ -250,13 +250,13 @@
 			for _, b := range c.Of("worker") {
 				id := ids.WorkerID(b.Name)
 				c.Platform.Leave(id)
-				c.Recorder.Mark("leave", b.Name)
-				if !c.Until(6*time.Second, func() bool { return b.Worker.Used() == 0 }) {
+				c.Recorder.RecordMark("leave", b.Name)
+				if !c.WaitUntil(6*time.Second, func() bool { return b.Worker.Used() == 0 }) {
 					return fmt.Errorf("%s did not drain", b.Name)
 				}
 				time.Sleep(time.Second)
 				c.Kill(b)
-				c.Recorder.Mark("return", b.Name)
+				c.Recorder.RecordMark("return", b.Name)
 				c.Platform.Strike(id)
 				time.Sleep(500 * time.Millisecond)
 				if err := c.Start(b); err != nil {
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -28,7 +28,7 @@
 func TestOwnerChecks(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		for _, w := range []ids.WorkerID{"p4", "d4", "d1"} {
-			require.True(t, c.Until(5*time.Second, func() bool {
+			require.True(t, c.WaitUntil(5*time.Second, func() bool {
 				return slices.Contains(holds(holder(c, w)), ids.Key("worker/"+w))
 			}))
 		}
@@ -39,10 +39,10 @@
 			if q.Body == nil {
 				q.Body, _ = json.Marshal(map[string]any{})
 			}
-			call := rpc.NewCaller(c.out.Host().Net)
+			call := rpc.NewCaller(c.clientProcess.Host().Net)
 			defer call.Close()
 			_, err := rpc.Call[router.OrderRequest, router.OrderResponse](
-				c.base, call, holder(c, q.Worker).Addr, router.OrderMethod, &q,
+				c.ctx, call, holder(c, q.Worker).Addr, router.OrderMethod, &q,
 			)
 			return err
 		}
@@ -91,14 +91,14 @@
 			ask.PromptIds[i] = int32(i%4000) + 1
 		}
 		done := c.startStream(node(c, "router-1"), ask)
-		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Granted)) == 1 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Granted)) == 1 }))
 		at := b.serves(handoff.Granted)[0]
 		time.Sleep(100 * time.Millisecond)
 		require.NoError(t, b.Revoke("c-"+at))
 		acked := c.Recorder.Now()
-		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Dropped)) >= 1 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Dropped)) >= 1 }))
 		require.Less(t, c.Recorder.Now()-acked, 300*time.Millisecond)
-		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Granted)) >= 2 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Granted)) >= 2 }))
 		require.NotEqual(t, at, b.serves(handoff.Granted)[1])
 		got := <-done
 		require.Equal(t, api.Complete, got[len(got)-1].End)
@@ -112,7 +112,7 @@
 	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		ask, n := long(speech), node(c, "router-1")
 		done := c.startStream(n, ask)
-		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Resumed)) == 1 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Resumed)) == 1 }))
 		at := b.serves(handoff.Resumed)[0]
 		time.Sleep(30 * time.Millisecond)
 		go b.Revoke("c-" + at)
@@ -120,7 +120,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		folded := time.Now()
-		require.True(t, c.Until(time.Second, func() bool { return len(b.serves(handoff.Dropped)) >= 1 }))
+		require.True(t, c.WaitUntil(time.Second, func() bool { return len(b.serves(handoff.Dropped)) >= 1 }))
 		require.Less(t, time.Since(folded), 45*time.Millisecond, "a step of the worker takes ten")
 		whole(t, c, ask, <-done)
 	})
@@ -134,13 +134,13 @@
 // TestPlainFleet: without regimes no time is kept, nothing is recorded, and nobody is
 // asked for a certificate.
 func TestPlainFleet(t *testing.T) {
-	unraced(t)
-	inBubble(t, "almaty", nil, func(t *testing.T, c *Cluster) {
+	skipUnderRace(t)
+	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		all := c.Load(20, 4*time.Second, 1)
 		require.Equal(t, len(all), standin.Sum(all).Ends[api.Complete])
 		st := c.Of("router")[0].Node.Status().(*router.NodeStatus)
 		require.Zero(t, st.FleetTime)
-		got, err := c.Of("router")[0].Node.Audits(c.base, 1, 10)
+		got, err := c.Of("router")[0].Node.Audits(c.ctx, 1, 10)
 		require.NoError(t, err)
 		require.Zero(t, got.Count)
 	})
@@ -149,7 +149,7 @@
 // TestProgramsSeeCleared: a routing program never sees a worker that is not cleared for
 // a governed request; for others it sees all.
 func TestProgramsSeeCleared(t *testing.T) {
-	unraced(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		b := NewAuditModel()
 		c := Build(1, governedWork, func(c *Cluster) {
@@ -163,7 +163,7 @@
 `}}
 		})
 		defer c.Close()
-		require.NoError(t, c.Found())
+		require.NoError(t, c.Bootstrap())
 		b.usual()
 		require.NoError(t, b.Open())
 		ask := speech
@@ -193,19 +193,19 @@
 			ask.PromptIds[i] = int32(i) + 1
 		}
 		done := c.startStream(node(c, "router-1"), ask)
-		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Imported)) == 1 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Imported)) == 1 }))
 		from := b.serves(handoff.Granted)[0]
 		require.NoError(t, b.Revoke("c-"+from))
 		acked := c.Recorder.Now()
-		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Dropped)) >= 1 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Dropped)) >= 1 }))
 		require.Less(t, c.Recorder.Now()-acked, 300*time.Millisecond)
-		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Granted)) >= 2 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Granted)) >= 2 }))
 		got := <-done
 		require.Equal(t, api.Complete, got[len(got)-1].End)
 		require.Empty(t, b.Check(nil))
 		c.Recorder.mu.Lock()
 		defer c.Recorder.mu.Unlock()
-		for _, e := range c.Recorder.rows {
+		for _, e := range c.Recorder.events {
 			if e.What == "unstaged" && string(e.Worker) == from {
 				require.Less(t, e.When-acked, time.Second)
 				return
@@ -225,7 +225,7 @@
 // TestCapacity: in a crowd of work that no regime governs, what a regime keeps free on its
 // workers carries the governed work; without it most of that is bounced.
 func TestCapacity(t *testing.T) {
-	unraced(t)
+	skipUnderRace(t)
 	served := map[int]float64{}
 	for _, keep := range []int{0, 50} {
 		synctest.Test(t, func(t *testing.T) {
@@ -233,18 +233,18 @@
 			b.keep = keep
 			c := Build(1, governedWork, func(c *Cluster) {
 				b.tune(c)
-				c.Tune = func(o *standin.WorkerOptions) {
+				c.TuneWorker = func(o *standin.WorkerOptions) {
 					o.Capacity, o.Step, o.StagingTTL = 220, 20*time.Millisecond, 2*time.Second
 				}
 			})
 			defer c.Close()
-			require.NoError(t, c.Found())
+			require.NoError(t, c.Bootstrap())
 			b.usual()
 			require.NoError(t, b.Open())
 			load := func(sh standin.Shape, rate float64, seed uint64) []standin.Outcome {
 				sh.Share = 100
-				return standin.Load(c.base, standin.LoadOptions{
-					Host:     c.out.Host(),
+				return standin.Load(c.ctx, standin.LoadOptions{
+					Host:     c.clientProcess.Host(),
 					Doors:    c.Platform.Nodes,
 					Zones:    c.Site.Zones,
 					Shapes:   []standin.Shape{sh},
@@ -273,12 +273,12 @@
 // TestBadCertificates: a door refuses a bad first part, with file, line and reason, and
 // nothing of it takes force; a revocation of nobody's certificate is refused.
 func TestBadCertificates(t *testing.T) {
-	unraced(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		b := NewAuditModel()
 		c := Build(1, governedWork, b.tune)
 		defer c.Close()
-		require.NoError(t, c.Found())
+		require.NoError(t, c.Bootstrap())
 		b.usual()
 		for says, spoil := range map[string]func(*certification.Certificate){
 			"regimes.json:1:": func(one *certification.Certificate) { one.Worker = "p4" },
@@ -291,14 +291,14 @@
 			one := good
 			spoil(&one)
 			b.certs["c-p1"] = one
-			err := c.Operate("/v1/policy", &api.ApplyRequest{
+			err := c.Post("/v1/policy", &api.ApplyRequest{
 				Op:      coordination.NewID(),
-				Base:    shown(c).Version,
+				Base:    latestShown(c).Version,
 				Partial: true,
 				Name:    "regimes.json",
 				Source:  b.part(),
 			}, nil)
-			n, name, detail := code(t, err)
+			n, name, detail := faultFields(t, err)
 			require.Equal(t, http.StatusBadRequest, n, detail)
 			require.Equal(t, "bad", name)
 			require.Contains(t, detail, says)
@@ -306,7 +306,7 @@
 			b.certs["c-p1"] = good
 		}
 		require.Empty(t, c.Of("router")[0].Node.Regimes().Regimes)
-		n, _, _ := code(t, c.Operate("/v1/certificates/c-p1", &api.MarkRequest{Op: "x", Out: true}, nil))
+		n, _, _ := faultFields(t, c.Post("/v1/certificates/c-p1", &api.MarkRequest{Op: "x", Out: true}, nil))
 		require.Equal(t, http.StatusNotFound, n)
 		require.NoError(t, b.Open())
 	})
@@ -315,18 +315,18 @@
 // rich waits until the shared retry budget has coins: in new hands it is empty, and what
 // has not put a piece is then told at once to come back.
 func rich(t *testing.T, c *Cluster) {
-	call := rpc.NewCaller(c.out.Host().Net)
+	call := rpc.NewCaller(c.clientProcess.Host().Net)
 	defer call.Close()
 	spend := func() bool {
 		for _, b := range c.Of("router") {
 			if r, err := rpc.Call[coordination.Empty, router.RetryTokenResponse](
-				c.base, call, b.Addr, router.SpendMethod, &coordination.Empty{},
+				c.ctx, call, b.Addr, router.SpendMethod, &coordination.Empty{},
 			); err == nil && r.OK {
 				return true
 			}
 		}
 		return false
 	}
-	require.True(t, c.Until(10*time.Second, spend))
+	require.True(t, c.WaitUntil(10*time.Second, spend))
 	time.Sleep(2 * time.Second)
 }
--- a/internal/simulation/governed_work_test.go
+++ b/internal/simulation/governed_work_test.go
@@ -68,10 +68,10 @@
 	{"worker-joins", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		// The fourth pair, so far uncertified, is certified under load.
 		b.certify([]string{"p4", "d4"}, []string{"router-5"})
-		return alter(c, "join", partOf(map[string]any{"certificates": b.certs}))
+		return applyPartial(c, "join", marshalPartial(map[string]any{"certificates": b.certs}))
 	}},
 	{"zone-lost", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
-		z := hit(r, c.Site.Zones)
+		z := pickOne(r, c.Site.Zones)
 		var down []*Process
 		for _, box := range c.Processes {
 			if box.Zone == z && box.Up {
@@ -91,18 +91,18 @@
 			if err := b.Revoke("c-" + certifiedBox(c, r, sort).Name); err != nil {
 				return err
 			}
-			pause(r)
+			randomPause(r)
 		}
 		return b.Revoke("c-router-" + strconv.Itoa(1+r.IntN(4)))
 	}},
 	{"revoked-while-cut", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		box := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
-		peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
-		c.World.Partition(ips(box), peers, true)
+		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		c.World.Partition(addresses(box), peers, true)
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
 		err := b.Revoke("c-" + certifiedBox(c, r, "d").Name)
 		time.Sleep(time.Second)
-		c.World.Partition(ips(box), peers, false)
+		c.World.Partition(addresses(box), peers, false)
 		return err
 	}},
 	{"expiry-while-cut", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
@@ -117,18 +117,18 @@
 				Roles:  []ids.Role{part},
 			}, 5*time.Second)
 		}
-		if err := alter(c, "short", partOf(map[string]any{"certificates": b.certs})); err != nil {
+		if err := applyPartial(c, "short", marshalPartial(map[string]any{"certificates": b.certs})); err != nil {
 			return err
 		}
 		if err := errors.Join(b.Revoke("c-d1"), b.Revoke("c-p1")); err != nil {
 			return err
 		}
 		box := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
-		peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
+		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		time.Sleep(time.Duration(1500+r.IntN(1000)) * time.Millisecond)
-		c.World.Partition(ips(box), peers, true)
+		c.World.Partition(addresses(box), peers, true)
 		time.Sleep(5 * time.Second)
-		c.World.Partition(ips(box), peers, false)
+		c.World.Partition(addresses(box), peers, false)
 		return nil
 	}},
 	{"leader-dies-in-a-revocation", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
@@ -146,18 +146,18 @@
 		errs := make([]error, 4)
 		for i, serial := range []string{"c-d1", "c-d1", "c-p1", "c-router-1"} {
 			wg.Go(func() {
-				pause(r)
+				randomPause(r)
 				errs[i] = b.Revoke(serial)
 			})
 		}
 		b.certify([]string{"p4", "d4"}, nil)
-		err := alter(c, "race", partOf(map[string]any{"certificates": b.certs}))
+		err := applyPartial(c, "race", marshalPartial(map[string]any{"certificates": b.certs}))
 		wg.Wait()
 		return errors.Join(append(errs, err)...)
 	}},
 	{"clocks-leap", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		for range 3 {
-			hit(
+			pickOne(
 				r, append(c.Of("router"), c.Of("controller")...),
 			).Machine.JumpClock(time.Duration(r.IntN(1000)) * time.Hour)
 			time.Sleep(2 * time.Second)
@@ -171,7 +171,7 @@
 	b := NewAuditModel()
 	c := Build(seed, governedWork, b.tune)
 	defer c.Close()
-	require.NoError(t, c.Found())
+	require.NoError(t, c.Bootstrap())
 	b.usual()
 	require.NoError(t, b.Open())
 	done := make(chan error, 1)
@@ -193,7 +193,7 @@
 
 // TestSittings runs every script with its seeds.
 func TestSittings(t *testing.T) {
-	unraced(t)
+	skipUnderRace(t)
 	for _, s := range Sittings {
 		for _, seed := range seeds() {
 			t.Run(s.Name+"/"+strconv.Itoa(int(seed)), func(t *testing.T) {
@@ -207,18 +207,18 @@
 // TestAuditModelCatches plants violations of the line of certified nodes.
 func TestAuditModelCatches(t *testing.T) {
 	for name, one := range map[string]struct {
-		rows  []Seen
+		rows  []RecordedEvent
 		wrong bool
 	}{
-		"on a certified one":            {[]Seen{row("prefill", "p1", 5), row("export", "p1", 6)}, false},
-		"never certified":               {[]Seen{row("import", "d9", 5)}, true},
-		"before it was":                 {[]Seen{row("prefill", "p1", 1)}, true},
-		"within two seconds of its end": {[]Seen{row("import", "p1", 11)}, false},
-		"later":                         {[]Seen{row("import", "p1", 13)}, true},
-		"runs on":                       {[]Seen{row("import", "p1", 9), row("cancel", "p1", 13)}, true},
-		"ends in time":                  {[]Seen{row("import", "p1", 9), row("cancel", "p1", 11)}, false},
+		"on a certified one":            {[]RecordedEvent{row("prefill", "p1", 5), row("export", "p1", 6)}, false},
+		"never certified":               {[]RecordedEvent{row("import", "d9", 5)}, true},
+		"before it was":                 {[]RecordedEvent{row("prefill", "p1", 1)}, true},
+		"within two seconds of its end": {[]RecordedEvent{row("import", "p1", 11)}, false},
+		"later":                         {[]RecordedEvent{row("import", "p1", 13)}, true},
+		"runs on":                       {[]RecordedEvent{row("import", "p1", 9), row("cancel", "p1", 13)}, true},
+		"ends in time":                  {[]RecordedEvent{row("import", "p1", 9), row("cancel", "p1", 11)}, false},
 		"not governed": {
-			[]Seen{{standin.Event{What: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}},
+			[]RecordedEvent{{standin.Event{What: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}},
 			false,
 		},
 	} {
@@ -228,10 +228,10 @@
 			b.certs["s"] = certification.Certificate{Worker: "p1"}
 			b.spans["s"] = grant{2 * time.Second, 10 * time.Second}
 			b.work["r"] = "chair"
-			b.c.Recorder.rows = one.rows
+			b.c.Recorder.events = one.rows
 			if got := b.Check(nil); one.wrong {
 				require.NotEmpty(t, got)
-				require.Equal(t, Uncertified, got[0].Line)
+				require.Equal(t, Uncertified, got[0].Rule)
 			} else {
 				require.Empty(t, got)
 			}
@@ -239,8 +239,8 @@
 	}
 }
 
-func row(what, worker string, second int) Seen {
-	return Seen{
+func row(what, worker string, second int) RecordedEvent {
+	return RecordedEvent{
 		standin.Event{What: what, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r", Attempt: 1}},
 		time.Duration(second) * time.Second,
 	}
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -40,8 +40,8 @@
 // ratedNet is a network whose machine sends at a limited rate, and counts.
 type ratedNet struct {
 	host.Net
-	latch host.ChannelMutex
-	sent  *int
+	mu   host.ChannelMutex
+	sent *int
 }
 
 func (n *ratedNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
@@ -79,8 +79,8 @@
 }
 
 func (c *ratedConn) Write(b []byte) (int, error) {
-	c.net.latch.Lock()
-	defer c.net.latch.Unlock()
+	c.net.mu.Lock()
+	defer c.net.mu.Unlock()
 	*c.net.sent += len(b)
 	time.Sleep(time.Duration(len(b)) * time.Second / linkRate)
 	return c.Conn.Write(b)
@@ -124,12 +124,12 @@
 	return []byte(b.String())
 }
 
-// counter is a follower that wants the numbers only.
-type counter struct{}
+// noopWatcher is a follower that wants the numbers only.
+type noopWatcher struct{}
 
-func (counter) Restore([]byte) error                 { return nil }
-func (counter) Observe(ids.Seq, string, []byte) bool { return false }
-func (counter) Snapshot() []byte                     { return nil }
+func (noopWatcher) Restore([]byte) error                 { return nil }
+func (noopWatcher) Observe(ids.Seq, string, []byte) bool { return false }
+func (noopWatcher) Snapshot() []byte                     { return nil }
 
 // history is a core with its operator.
 type history struct {
@@ -167,7 +167,7 @@
 		Self:    coordination.Member{Node: "node-1", Addr: "10.0.1.1:1"},
 		Host:    process.Host(),
 		Seeds:   h.seeds,
-		Watcher: counter{},
+		Watcher: noopWatcher{},
 	})
 	h.run("10.0.1.1:1", process, process.Host().Net, h.operator.Mount, h.operator.Run)
 	return h
@@ -231,8 +231,8 @@
 	return ""
 }
 
-// agree asks until there is a clear answer, for half a minute at most.
-func (h *history) agree(ask func(ctx context.Context) error) {
+// retryUntilDone asks until there is a clear answer, for half a minute at most.
+func (h *history) retryUntilDone(ask func(ctx context.Context) error) {
 	began := time.Now()
 	var err error
 	for time.Since(began) < 30*time.Second {
@@ -253,7 +253,7 @@
 	h.changes++
 	op := ids.OpID(fmt.Sprint("op/change-", h.changes))
 	text := largeDocument(h.changes/changesPerGeneration, h.changes*131%historyRoutes, h.changes)
-	h.agree(func(ctx context.Context) error {
+	h.retryUntilDone(func(ctx context.Context) error {
 		version, err := fleetstate.PutConfiguration(ctx, h.operator.Caller(), h.operator.Directory(), op, h.newest, 0, text)
 		if err == nil {
 			h.newest = version
@@ -262,7 +262,7 @@
 	})
 	if h.changes%7 == 0 {
 		h.evacuated = !h.evacuated
-		h.agree(func(ctx context.Context) error {
+		h.retryUntilDone(func(ctx context.Context) error {
 			return fleetstate.SetEvacuated(
 				ctx, h.operator.Caller(), h.operator.Directory(), op+"-zone", "zone-1", h.evacuated,
 			)
@@ -273,8 +273,8 @@
 	}
 }
 
-// caughtUp gives the time until a member leads or is the backup, while changes go on.
-func (h *history) caughtUp(addr string) time.Duration {
+// waitCaughtUp gives the time until a member leads or is the backup, while changes go on.
+func (h *history) waitCaughtUp(addr string) time.Duration {
 	began := time.Now()
 	for {
 		record := h.cores[addr].Directory().Record()
@@ -318,7 +318,7 @@
 	if other != in {
 		h.stop(other)
 	}
-	took, sent = h.caughtUp(in), h.sent-before
+	took, sent = h.waitCaughtUp(in), h.sent-before
 	if other != in {
 		h.start(other)
 	}
@@ -339,7 +339,7 @@
 // is new catches up in bounded time while changes go on, and leads with all that was
 // acknowledged. Its disk stays far below 64 MB. KEELSTAIR_CHANGES sets how many.
 func TestLongHistory(t *testing.T) {
-	unraced(t)
+	skipUnderRace(t)
 	changes := 60
 	if more, err := strconv.Atoi(os.Getenv("KEELSTAIR_CHANGES")); err == nil {
 		changes = more
--- a/internal/simulation/idempotency_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -15,17 +15,17 @@
 	"keelstair.example/internal/standin"
 )
 
-func runsOf(c *Cluster, key string) (runs, records int) {
+func countRuns(c *Cluster, key string) (runs, records int) {
 	c.Recorder.mu.Lock()
 	defer c.Recorder.mu.Unlock()
-	for _, w := range c.Recorder.lives {
+	for _, w := range c.Recorder.workers {
 		t := w.Tallies()[router.RequestIDForKey(key)]
 		runs, records = runs+t.Runs, records+t.Records
 	}
 	return runs, records
 }
 
-var verdict = api.StreamRequest{
+var verdictRequest = api.StreamRequest{
 	Kind:      "verdict",
 	Key:       "q1",
 	Prompt:    "was the binding resolution carried by the chairs present",
@@ -36,14 +36,14 @@
 // TestSameKey: one key asked of every node at once, and again later, runs once
 // and gives one record; another body under the key is refused.
 func TestSameKey(t *testing.T) {
-	unraced(t)
-	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
+	skipUnderRace(t)
+	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		complete, running := 0, 0
 		for _, b := range c.Of("router") {
 			wg.Go(func() {
-				got, err := c.stream(b, verdict)
+				got, err := c.stream(b, verdictRequest)
 				mu.Lock()
 				defer mu.Unlock()
 				if r, ok := err.(*api.Fault); ok && r.Name == "running" {
@@ -56,17 +56,17 @@
 		wg.Wait()
 		require.Equal(t, len(c.Of("router")), complete+running)
 		require.Positive(t, complete)
-		first, err := c.stream(c.Of("router")[0], verdict)
+		first, err := c.stream(c.Of("router")[0], verdictRequest)
 		require.NoError(t, err)
-		solo := standin.Solo(verdict.Tokens(), 3, 5, 0, c.Site.Model, standin.SiteWeights, nil)
+		solo := standin.Solo(verdictRequest.Tokens(), 3, 5, 0, c.Site.Model, standin.SiteWeights, nil)
 		require.Len(t, first, len(solo)+1)
 		for i, tok := range solo {
 			require.Equal(t, tok, first[i].Token)
 			require.True(t, first[i].Replay)
 		}
-		runs, records := runsOf(c, "verdict/q1")
+		runs, records := countRuns(c, "verdict/q1")
 		require.Equal(t, []int{1, 1}, []int{runs, records})
-		other := verdict
+		other := verdictRequest
 		other.Seed++
 		_, err = c.stream(c.Of("router")[1], other)
 		require.Equal(t, "key-reused", err.(*api.Fault).Name)
@@ -77,11 +77,11 @@
 // claim is settled by another; the key then gives the record, or says that it
 // was not run, or may have; it never runs twice, and a tombstone holds.
 func TestDeadController(t *testing.T) {
-	unraced(t)
-	inBubble(t, "almaty", nil, func(t *testing.T, c *Cluster) {
+	skipUnderRace(t)
+	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		fates := map[string]int{}
 		for i := range 12 {
-			ask := verdict
+			ask := verdictRequest
 			ask.Kind, ask.Key = "ruling", "dead"+string(rune('a'+i))
 			b := c.Of("router")[i%len(c.Of("router"))]
 			done := make(chan struct{})
@@ -91,7 +91,7 @@
 			<-done
 			require.NoError(t, c.Start(b))
 			var last string
-			ok := c.Until(12*time.Second, func() bool {
+			ok := c.WaitUntil(12*time.Second, func() bool {
 				for _, o := range c.Of("router") {
 					if o == b {
 						continue
@@ -108,7 +108,7 @@
 			})
 			require.True(t, ok, "round %d is not settled: %s", i, last)
 			fates[last]++
-			runs, records := runsOf(c, "ruling/"+ask.Key)
+			runs, records := countRuns(c, "ruling/"+ask.Key)
 			require.LessOrEqual(t, runs, 1)
 			require.LessOrEqual(t, records, 1)
 			if last == "not-run" {
@@ -124,14 +124,14 @@
 // together, and the worker comes back with another life, in which it knows of
 // nothing. What became of the run is not known, so it may not be called not run.
 func TestRunLostWithBoth(t *testing.T) {
-	unraced(t)
-	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		ask := verdict
+	skipUnderRace(t)
+	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
+		ask := verdictRequest
 		ask.MaxTokens = 60
 		b := c.Of("router")[2]
 		go c.stream(b, ask)
 		var w *Process
-		require.True(t, c.Until(3*time.Second, func() bool {
+		require.True(t, c.WaitUntil(3*time.Second, func() bool {
 			for _, o := range c.Of("worker") {
 				if o.Worker.Tallies()[router.RequestIDForKey("verdict/q1")].Runs > 0 {
 					w = o
@@ -143,7 +143,7 @@
 		c.PowerOff(b)
 		require.NoError(t, c.Start(w))
 		var last string
-		require.True(t, c.Until(12*time.Second, func() bool {
+		require.True(t, c.WaitUntil(12*time.Second, func() bool {
 			_, err := c.stream(c.Of("router")[0], ask)
 			if r, ok := err.(*api.Fault); ok {
 				last = r.Name
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -17,26 +17,26 @@
 	"keelstair.example/internal/standin"
 )
 
-// inBubble runs a founded fleet of a site.
-func inBubble(t *testing.T, site string, tune func(*Cluster), f func(t *testing.T, c *Cluster)) {
+// withCluster runs a founded fleet of a site.
+func withCluster(t *testing.T, site string, tune func(*Cluster), f func(t *testing.T, c *Cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := Build(1, standin.Sites[site], tune)
 		defer c.Close()
-		require.NoError(t, c.Found())
+		require.NoError(t, c.Bootstrap())
 		f(t, c)
 	})
 }
 
-func code(t *testing.T, err error) (int, string, string) {
+func faultFields(t *testing.T, err error) (int, string, string) {
 	var r *api.Fault
 	require.True(t, errors.As(err, &r), "%v", err)
 	return r.Code, r.Name, r.Detail
 }
 
-// TestBadAsks: each is refused with a named error, and nothing runs.
-func TestBadAsks(t *testing.T) {
-	unraced(t)
-	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
+// TestInvalidRequests: each is refused with a named error, and nothing runs.
+func TestInvalidRequests(t *testing.T) {
+	skipUnderRace(t)
+	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		big := make([]int32, 40000)
 		for i := range big {
 			big[i] = 1
@@ -70,7 +70,7 @@
 				"too-large",
 			},
 		} {
-			got, name, _ := code(t, c.At(c.Of("router")[0], "/v1/streams", k.ask, nil))
+			got, name, _ := faultFields(t, c.PostTo(c.Of("router")[0], "/v1/streams", k.ask, nil))
 			require.Equal(t, k.code, got, "%v", k.name)
 			require.Equal(t, k.name, name)
 		}
@@ -82,8 +82,8 @@
 
 // TestBadPolicies: refused whole, with place and reason; the old one stays.
 func TestBadPolicies(t *testing.T) {
-	unraced(t)
-	inBubble(t, "almaty", nil, func(t *testing.T, c *Cluster) {
+	skipUnderRace(t)
+	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		for _, k := range []struct {
 			a    api.ApplyRequest
 			code int
@@ -127,12 +127,12 @@
 			{api.ApplyRequest{Op: "", Base: 1, Source: `{}`}, 400, "id of its own"},
 		} {
 			_, err := c.Apply(&k.a)
-			got, name, text := code(t, err)
+			got, name, text := faultFields(t, err)
 			require.Equal(t, k.code, got, "%s %s %s", k.a.Op, name, text)
 			require.Contains(t, text, k.says, k.a.Op)
 		}
 		require.Equal(t, uint64(1), c.Of("router")[0].Node.Show().Newest)
-		got, _, _ := code(t, c.Mark("/v1/zones/moon", "z", true))
+		got, _, _ := faultFields(t, c.Mark("/v1/zones/moon", "z", true))
 		require.Equal(t, 404, got)
 	})
 }
@@ -140,8 +140,8 @@
 // TestOperationIds: the same operation asked again has the one outcome it had,
 // even after the leader was lost; another id over the old base loses.
 func TestOperationIds(t *testing.T) {
-	unraced(t)
-	inBubble(t, "almaty", nil, func(t *testing.T, c *Cluster) {
+	skipUnderRace(t)
+	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		a := &api.ApplyRequest{Op: "once", Base: 1, Partial: true, Source: `{limits: {queue: 9}}`}
 		one, err := c.Apply(a)
 		require.NoError(t, err)
@@ -156,7 +156,7 @@
 		require.Equal(t, one.Version, two.Version)
 		for _, partial := range []bool{true, false} {
 			_, err = c.Apply(&api.ApplyRequest{Op: "other", Base: 1, Partial: partial, Source: a.Source})
-			got, _, _ := code(t, err)
+			got, _, _ := faultFields(t, err)
 			require.Equal(t, 409, got)
 		}
 		require.Equal(t, one.Version, c.Of("router")[0].Node.Show().Newest)
@@ -166,31 +166,31 @@
 // TestReady: a node is ready only while new work can be served there. One that
 // is told to end takes none, but what it carries comes to its end.
 func TestReady(t *testing.T) {
-	unraced(t)
-	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
+	skipUnderRace(t)
+	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		b := c.Of("router")[0]
 		ready := func(want bool) func() bool {
 			return func() bool { ok, _ := b.Node.Ready(); return ok == want }
 		}
 		require.NoError(t, c.Mark("/v1/zones/"+string(b.Zone), "out", true))
-		require.True(t, c.Until(2*time.Second, ready(false)))
-		_, err := c.stream(b, verdict)
-		got, name, _ := code(t, err)
+		require.True(t, c.WaitUntil(2*time.Second, ready(false)))
+		_, err := c.stream(b, verdictRequest)
+		got, name, _ := faultFields(t, err)
 		require.Equal(t, []any{503, "not-ready"}, []any{got, name})
 		require.NoError(t, c.Mark("/v1/zones/"+string(b.Zone), "back", false))
-		require.True(t, c.Until(4*time.Second, ready(true)))
+		require.True(t, c.WaitUntil(4*time.Second, ready(true)))
 		long := api.StreamRequest{Kind: "clarification", Prompt: "what was the last point", MaxTokens: 40, Seed: 11}
 		lines := make(chan []api.StreamEvent, 1)
 		go func() { l, _ := c.stream(b, long); lines <- l }()
 		time.Sleep(150 * time.Millisecond)
-		b.Leave()
-		require.True(t, c.Until(time.Second, ready(false)))
+		b.Terminate()
+		require.True(t, c.WaitUntil(time.Second, ready(false)))
 		all := <-lines
 		require.NotEmpty(t, all)
 		require.Equal(t, api.Complete, all[len(all)-1].End)
 		// Its keys pass on by its goodbye, sooner than a lease would lapse.
 		me := b.Node.Self().Node
-		require.True(t, c.Until(1500*time.Millisecond, func() bool {
+		require.True(t, c.WaitUntil(1500*time.Millisecond, func() bool {
 			for _, m := range c.Of("router")[1].Node.Status().(*router.NodeStatus).Members {
 				if m.Node == me {
 					return false
--- a/internal/simulation/kv_transfer_test.go
+++ b/internal/simulation/kv_transfer_test.go
@@ -36,8 +36,8 @@
 				begun := map[workerclient.ID]ids.Tick{}
 				took := map[string]map[handoff.Step][]time.Duration{"claimed": {}, "other": {}}
 				c := Build(3, standin.Sites["vatuloa"], func(c *Cluster) {
-					c.Tune = func(o *standin.WorkerOptions) { o.Weight, o.Speed = 128<<10, link.speed }
-					c.Steps = func(e handoff.Event) {
+					c.TuneWorker = func(o *standin.WorkerOptions) { o.Weight, o.Speed = 128<<10, link.speed }
+					c.OnHandoffEvent = func(e handoff.Event) {
 						mu.Lock()
 						defer mu.Unlock()
 						kind := "other"
@@ -52,7 +52,7 @@
 					}
 				})
 				defer c.Close()
-				require.NoError(t, c.Found())
+				require.NoError(t, c.Bootstrap())
 				all := c.Load(20, 12*time.Second, 3)
 				sum := standin.Sum(all)
 				require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
--- a/internal/simulation/large_test.go
+++ b/internal/simulation/large_test.go
@@ -25,7 +25,7 @@
 // TestLargeSnapshot: a state whose snapshot takes longer than two seconds on a link of
 // 10 Mbit/s still has a leader after the one before it stops, and takes changes.
 func TestLargeSnapshot(t *testing.T) {
-	unraced(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		h := newHistory(t)
 		defer h.close()
@@ -36,7 +36,7 @@
 			for j := range name {
 				name[j] = byte('a' + random.IntN(26))
 			}
-			h.agree(func(ctx context.Context) error {
+			h.retryUntilDone(func(ctx context.Context) error {
 				body := coordination.MustMarshal(&fleetstate.Drain{Worker: ids.WorkerID(name), Drained: true})
 				_, err := h.operator.Submit(ctx, ids.OpID(fmt.Sprint("drain/", i)), fleetstate.DrainKind, body)
 				return err
--- a/internal/simulation/machines_test.go
+++ b/internal/simulation/machines_test.go
@@ -13,80 +13,80 @@
 // Script breaks a fleet. It runs beside the load and may take its time; it
 // returns when the last breakdown has been caused or healed.
 type Script struct {
-	Name  string
-	Run   func(c *Cluster, r *rand.Rand) error
-	Tune  func(c *Cluster)
-	Bound time.Duration // service must be back within it; 12 s unless set
-	Calm  bool          // nothing may break or be lost to callers
-	Span  time.Duration // of the load beside it, if it needs another than the trial's
+	Name         string
+	Run          func(c *Cluster, r *rand.Rand) error
+	Configure    func(c *Cluster)
+	Bound        time.Duration // service must be back within it; 12 s unless set
+	NoFailures   bool          // nothing may break or be lost to callers
+	LoadDuration time.Duration // of the load beside it, if it needs another than the trial's
 }
 
-func hit[T any](r *rand.Rand, list []T) T { return list[r.IntN(len(list))] }
+func pickOne[T any](r *rand.Rand, list []T) T { return list[r.IntN(len(list))] }
 
-func pause(r *rand.Rand) { time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond) }
+func randomPause(r *rand.Rand) { time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond) }
 
 // follower is a controller that does not lead.
 func follower(c *Cluster, r *rand.Rand) *Process {
 	var rest []*Process
-	for _, b := range c.Of("controller") {
-		if b.Up && !b.Core.Leads() {
-			rest = append(rest, b)
+	for _, p := range c.Of("controller") {
+		if p.Up && !p.Core.Leads() {
+			rest = append(rest, p)
 		}
 	}
-	return hit(r, rest)
+	return pickOne(r, rest)
 }
 
 func leader(c *Cluster) *Process {
-	c.Until(5*time.Second, func() bool { return c.Leader() != nil })
-	if b := c.Leader(); b != nil {
-		return b
+	c.WaitUntil(5*time.Second, func() bool { return c.Leader() != nil })
+	if p := c.Leader(); p != nil {
+		return p
 	}
 	return c.Of("controller")[0]
 }
 
-// Machines are the scripts of killed, lost and replaced machines.
-var Machines = []Script{
+// MachineScripts are the scripts of killed, lost and replaced machines.
+var MachineScripts = []Script{
 	{Name: "leader-killed", Run: func(c *Cluster, r *rand.Rand) error {
-		pause(r)
-		b := leader(c)
-		c.Kill(b)
+		randomPause(r)
+		p := leader(c)
+		c.Kill(p)
 		time.Sleep(5 * time.Second)
-		return c.Start(b)
+		return c.Start(p)
 	}},
 	{Name: "leader-loses-power", Run: func(c *Cluster, r *rand.Rand) error {
-		pause(r)
-		b := leader(c)
-		c.PowerOff(b)
+		randomPause(r)
+		p := leader(c)
+		c.PowerOff(p)
 		time.Sleep(6 * time.Second)
-		return c.Start(b)
+		return c.Start(p)
 	}},
 	{Name: "follower-loses-power", Run: func(c *Cluster, r *rand.Rand) error {
-		pause(r)
+		randomPause(r)
 		c.PowerOff(follower(c, r))
-		return change(c, "after-loss", 1200)
+		return changeRetryAfter(c, "after-loss", 1200)
 	}},
 	{Name: "power-lost-right-after-ack", Run: func(c *Cluster, r *rand.Rand) error {
-		pause(r)
-		if err := change(c, "before-loss", 1300); err != nil {
+		randomPause(r)
+		if err := changeRetryAfter(c, "before-loss", 1300); err != nil {
 			return err
 		}
-		b := leader(c)
-		c.PowerOff(b)
+		p := leader(c)
+		c.PowerOff(p)
 		time.Sleep(5 * time.Second)
-		return c.Start(b)
+		return c.Start(p)
 	}},
 	{Name: "leader-replaced-by-empty", Run: func(c *Cluster, r *rand.Rand) error {
-		pause(r)
-		if err := change(c, "before-wipe", 1400); err != nil {
+		randomPause(r)
+		if err := changeRetryAfter(c, "before-wipe", 1400); err != nil {
 			return err
 		}
-		b := leader(c)
-		c.PowerOff(b)
-		b.Machine.WipeDisk()
+		p := leader(c)
+		c.PowerOff(p)
+		p.Machine.WipeDisk()
 		time.Sleep(time.Second)
-		c.add(c.Controller("controller-new", "10.1.0.9:700", b.Zone))
+		c.add(c.Controller("controller-new", "10.1.0.9:700", p.Zone))
 		time.Sleep(7 * time.Second)
-		return change(c, "after-wipe", 1500)
+		return changeRetryAfter(c, "after-wipe", 1500)
 	}},
 	{
 		Name:  "rolling-replacement",
@@ -94,104 +94,104 @@
 		Run: func(c *Cluster, r *rand.Rand) error {
 			previous := append([]*Process(nil), c.Of("controller")...)
 			r.Shuffle(len(previous), func(i, j int) { previous[i], previous[j] = previous[j], previous[i] })
-			for i, b := range previous {
-				if err := change(c, fmt.Sprintf("roll-%d", i), 1600+i); err != nil {
+			for i, p := range previous {
+				if err := changeRetryAfter(c, fmt.Sprintf("roll-%d", i), 1600+i); err != nil {
 					return fmt.Errorf("before round %d: %w", i, err)
 				}
-				c.PowerOff(b)
-				b.Machine.WipeDisk()
-				c.add(c.Controller(fmt.Sprintf("controller-r%d", i), fmt.Sprintf("10.1.0.%d:700", 20+i), b.Zone))
+				c.PowerOff(p)
+				p.Machine.WipeDisk()
+				c.add(c.Controller(fmt.Sprintf("controller-r%d", i), fmt.Sprintf("10.1.0.%d:700", 20+i), p.Zone))
 				time.Sleep(9 * time.Second)
 			}
-			if err := change(c, "roll-last", 1700); err != nil {
+			if err := changeRetryAfter(c, "roll-last", 1700); err != nil {
 				return fmt.Errorf("after the rounds: %w", err)
 			}
 			return nil
 		},
 	},
 	{Name: "core-restarts-whole", Run: func(c *Cluster, r *rand.Rand) error {
-		pause(r)
-		if err := change(c, "before-total", 1800); err != nil {
+		randomPause(r)
+		if err := changeRetryAfter(c, "before-total", 1800); err != nil {
 			return err
 		}
-		for _, b := range c.Of("controller") {
-			c.PowerOff(b)
+		for _, p := range c.Of("controller") {
+			c.PowerOff(p)
 		}
 		time.Sleep(time.Duration(300+r.IntN(1500)) * time.Millisecond)
-		for _, b := range c.Of("controller") {
-			if err := c.Start(b); err != nil {
+		for _, p := range c.Of("controller") {
+			if err := c.Start(p); err != nil {
 				return err
 			}
-			pause(r)
+			randomPause(r)
 		}
 		time.Sleep(5 * time.Second)
-		return change(c, "after-total", 1900)
+		return changeRetryAfter(c, "after-total", 1900)
 	}},
 	{Name: "zone-lost", Run: func(c *Cluster, r *rand.Rand) error {
-		pause(r)
-		z := hit(r, c.Site.Zones)
-		for _, b := range c.Processes {
-			if b.Zone == z {
-				c.PowerOff(b)
+		randomPause(r)
+		z := pickOne(r, c.Site.Zones)
+		for _, p := range c.Processes {
+			if p.Zone == z {
+				c.PowerOff(p)
 			}
 		}
 		return nil
 	}},
 	{Name: "routers-killed", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 3 {
-			pause(r)
-			b := hit(r, c.Of("router"))
-			c.Kill(b)
+			randomPause(r)
+			p := pickOne(r, c.Of("router"))
+			c.Kill(p)
 			time.Sleep(1500 * time.Millisecond)
-			if err := c.Start(b); err != nil {
+			if err := c.Start(p); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
 	{Name: "everything-but-workers-killed", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, b := range append(c.Of("controller"), c.Of("router")...) {
-			c.Kill(b)
+		for _, p := range append(c.Of("controller"), c.Of("router")...) {
+			c.Kill(p)
 		}
 		time.Sleep(200 * time.Millisecond)
-		for _, b := range append(c.Of("controller"), c.Of("router")...) {
-			if err := c.Start(b); err != nil {
+		for _, p := range append(c.Of("controller"), c.Of("router")...) {
+			if err := c.Start(p); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
 	{Name: "leader-and-router-freeze", Run: func(c *Cluster, r *rand.Rand) error {
-		pause(r)
-		b, v := leader(c), hit(r, c.Of("router"))
-		b.Machine.Freeze(true)
+		randomPause(r)
+		p, v := leader(c), pickOne(r, c.Of("router"))
+		p.Machine.Freeze(true)
 		v.Machine.Freeze(true)
 		time.Sleep(time.Duration(2000+r.IntN(5000)) * time.Millisecond)
-		b.Machine.Freeze(false)
+		p.Machine.Freeze(false)
 		v.Machine.Freeze(false)
 		return nil
 	}},
 	{Name: "disk-stalls", Run: func(c *Cluster, r *rand.Rand) error {
-		pause(r)
-		b := hit(r, c.Of("controller"))
-		b.Machine.StallDisk(true)
+		randomPause(r)
+		p := pickOne(r, c.Of("controller"))
+		p.Machine.StallDisk(true)
 		time.Sleep(6 * time.Second)
-		b.Machine.StallDisk(false)
+		p.Machine.StallDisk(false)
 		time.Sleep(3 * time.Second)
-		return change(c, "after-stall", 2000)
+		return changeRetryAfter(c, "after-stall", 2000)
 	}},
 	{Name: "slow-disks", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, b := range c.Of("controller") {
-			b.Machine.SetDiskDelay(time.Duration(20+r.IntN(120)) * time.Millisecond)
+		for _, p := range c.Of("controller") {
+			p.Machine.SetDiskDelay(time.Duration(20+r.IntN(120)) * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		return change(c, "slow-disk", 2100)
+		return changeRetryAfter(c, "slow-disk", 2100)
 	}},
 	{Name: "closing-fault", Run: func(c *Cluster, r *rand.Rand) error {
 		time.Sleep(9 * time.Second)
 		c.PowerOff(leader(c))
-		c.Kill(hit(r, c.Of("router")))
-		c.Kill(hit(r, c.Of("worker")))
+		c.Kill(pickOne(r, c.Of("router")))
+		c.Kill(pickOne(r, c.Of("worker")))
 		return nil
 	}},
 }
--- a/internal/simulation/operation_class_test.go
+++ b/internal/simulation/operation_class_test.go
@@ -14,8 +14,8 @@
 // TestApplyAmongEvacuations: a configuration's operation that is sent again after more evacuations
 // than are remembered is acknowledged with the version that it made, and not refused.
 func TestApplyAmongEvacuations(t *testing.T) {
-	unraced(t)
-	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
+	skipUnderRace(t)
+	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		a := &api.ApplyRequest{Op: "once", Base: 1, Partial: true, Source: `{limits: {queue: 9}}`}
 		one, err := c.Apply(a)
 		require.NoError(t, err)
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -16,11 +16,11 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// shown gives the newest that any node has in force, once nothing newer is on its way
+// latestShown gives the newest that any node has in force, once nothing newer is on its way
 // there.
-func shown(c *Cluster) *api.Shown {
+func latestShown(c *Cluster) *api.Shown {
 	sh := &api.Shown{}
-	c.Until(3*time.Second, func() bool {
+	c.WaitUntil(3*time.Second, func() bool {
 		for _, b := range running(c, "router") {
 			if s := b.Node.Show(); s.Version >= sh.Version {
 				sh = s
@@ -31,8 +31,8 @@
 	return sh
 }
 
-// expected is the whole text that a partial one over what is shown comes to.
-func expected(sh *api.Shown, part string) (string, error) {
+// mergedText is the whole text that a partial one over what is shown comes to.
+func mergedText(sh *api.Shown, part string) (string, error) {
 	src, err := fleetstate.CUEToJSON("part", []byte(part))
 	if err != nil {
 		return "", err
@@ -45,19 +45,19 @@
 	return string(complete), err
 }
 
-var errLost = errors.New("another operator was first")
+var errConflict = errors.New("another operator was first")
 
-// alter applies a partial configuration, asking again under the one operation while
+// applyPartial applies a partial configuration, asking again under the one operation while
 // its fate is not known, and notes what it was told.
-func alter(c *Cluster, op, part string) error {
-	sh := shown(c)
-	text, err := expected(sh, part)
+func applyPartial(c *Cluster, op, part string) error {
+	sh := latestShown(c)
+	text, err := mergedText(sh, part)
 	if err != nil {
 		return err
 	}
 	begun := c.Recorder.Now()
 	var got *api.ApplyResponse
-	c.Until(12*time.Second, func() bool {
+	c.WaitUntil(12*time.Second, func() bool {
 		got, err = c.Apply(&api.ApplyRequest{Op: op, Base: sh.Version, Partial: true, Source: part})
 		var r *api.Fault
 		return err == nil || errors.As(err, &r) && r.Code < 500
@@ -66,54 +66,54 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &r) && r.Code == http.StatusConflict:
-		c.Recorder.Refuse(text)
-		return errLost
+		c.Recorder.RecordRefused(text)
+		return errConflict
 	default:
 		return err
 	}
-	c.Recorder.Ack(ids.Version(got.Version), text)
+	c.Recorder.RecordAck(ids.Version(got.Version), text)
 	took := c.Recorder.Now() - begun
-	c.Recorder.Took(took)
+	c.Recorder.RecordApplyTime(took)
 	// While no node can reach the core, none can learn what it took.
-	if (took > 2*time.Second+c.Slack || !got.Active && c.Slack == 0) && !c.Recorder.apart(begun) {
-		c.Recorder.Mark("slow-apply", fmt.Sprintf("version %d took %s, in force: %v", got.Version, took, got.Active))
+	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) && !c.Recorder.corePartitionedSince(begun) {
+		c.Recorder.RecordMark("slow-apply", fmt.Sprintf("version %d took %s, in force: %v", got.Version, took, got.Active))
 	}
 	return nil
 }
 
-// change applies a small change that is told from all others.
-func change(c *Cluster, op string, ms int) error {
-	return alter(c, op, fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, ms))
+// changeRetryAfter applies a small change that is told from all others.
+func changeRetryAfter(c *Cluster, op string, ms int) error {
+	return applyPartial(c, op, fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, ms))
 }
 
-// empty evacuates a zone or takes that back, until it is answered; the time counts
+// setEvacuated evacuates a zone or takes that back, until it is answered; the time counts
 // from the asking.
-func empty(c *Cluster, z ids.Zone, op string, out bool) error {
+func setEvacuated(c *Cluster, z ids.Zone, op string, out bool) error {
 	what := "return"
 	if out {
 		what = "evacuate"
 	}
 	for _, b := range c.Of("worker") {
 		if b.Zone == z {
-			c.Recorder.Mark(what, b.Name)
+			c.Recorder.RecordMark(what, b.Name)
 		}
 	}
 	var err error
-	c.Until(12*time.Second, func() bool {
+	c.WaitUntil(12*time.Second, func() bool {
 		err = c.Mark("/v1/zones/"+string(z), op, out)
 		return err == nil
 	})
 	return err
 }
 
-// Apart cuts the core from all nodes, or joins them again.
-func (c *Cluster) Apart(on bool) {
-	c.Recorder.Mark(map[bool]string{true: "apart", false: "joined"}[on], "core")
-	c.World.Partition(ips(c.Of("controller")...), ips(c.Of("router")...), on)
+// PartitionCore cuts the core from all nodes, or joins them again.
+func (c *Cluster) PartitionCore(on bool) {
+	c.Recorder.RecordMark(map[bool]string{true: "apart", false: "joined"}[on], "core")
+	c.World.Partition(addresses(c.Of("controller")...), addresses(c.Of("router")...), on)
 }
 
-// apart tells whether the core was cut from all nodes at any time since a moment.
-func (b *Recorder) apart(since time.Duration) bool {
+// corePartitionedSince tells whether the core was cut from all nodes at any time since a moment.
+func (b *Recorder) corePartitionedSince(since time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	on := false
@@ -131,30 +131,30 @@
 	return on
 }
 
-// Refuse notes a text that an operator was told is not taken.
-func (b *Recorder) Refuse(text string) {
+// RecordRefused notes a text that an operator was told is not taken.
+func (b *Recorder) RecordRefused(text string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.nays = append(b.nays, text)
+	b.refused = append(b.refused, text)
 }
 
-// Force notes what a node has in force.
-func (b *Recorder) Force(node string, v ids.Version, text []byte) {
+// RecordActive notes what a node has in force.
+func (b *Recorder) RecordActive(node string, v ids.Version, text []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.force[v] == nil {
-		b.force[v] = map[string]string{}
+	if b.active[v] == nil {
+		b.active[v] = map[string]string{}
 	}
-	if _, ok := b.force[v][string(text)]; !ok {
-		b.force[v][string(text)] = node
+	if _, ok := b.active[v][string(text)]; !ok {
+		b.active[v][string(text)] = node
 	}
 }
 
-// laws holds what was acknowledged and refused against all that was ever in force
+// checkConfigurations holds what was acknowledged and refused against all that was ever in force
 // anywhere: one text for a version, each acknowledged one with its own text, none
 // that was refused; and at the end every node has the newest.
-func (c *Cluster) laws() []Fault {
-	f := &finder{}
+func (c *Cluster) checkConfigurations() []Violation {
+	f := &violationList{}
 	c.Recorder.mu.Lock()
 	acks, marks := c.Recorder.acks, c.Recorder.marks
 	taken := map[string]bool{}
@@ -162,38 +162,38 @@
 	for _, a := range acks {
 		taken[a.Text] = true
 		last = max(last, a.Version)
-		for text, node := range c.Recorder.force[a.Version] {
+		for text, node := range c.Recorder.active[a.Version] {
 			if text != a.Text {
-				f.say(LostLaw, "version %d was acknowledged, but %s had another text in force", a.Version, node)
+				f.add(ConfigurationLost, "version %d was acknowledged, but %s had another text in force", a.Version, node)
 			}
 		}
 	}
-	for v, texts := range c.Recorder.force {
+	for v, texts := range c.Recorder.active {
 		if len(texts) > 1 {
-			f.say(LostLaw, "version %d had %d texts", v, len(texts))
+			f.add(ConfigurationLost, "version %d had %d texts", v, len(texts))
 		}
-		for _, no := range c.Recorder.nays {
+		for _, no := range c.Recorder.refused {
 			if node, ok := texts[no]; ok && !taken[no] {
-				f.say(LostLaw, "%s had version %d in force, whose text was refused", node, v)
+				f.add(ConfigurationLost, "%s had version %d in force, whose text was refused", node, v)
 			}
 		}
 	}
 	c.Recorder.mu.Unlock()
 	for _, b := range c.Of("router") {
-		if b.Up && !c.Until(5*time.Second, func() bool { return ids.Version(b.Node.Show().Version) >= last }) {
-			f.say(LostLaw, "%s has version %d, version %d was acknowledged", b.Name, b.Node.Show().Version, last)
+		if b.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(b.Node.Show().Version) >= last }) {
+			f.add(ConfigurationLost, "%s has version %d, version %d was acknowledged", b.Name, b.Node.Show().Version, last)
 		}
 	}
 	for _, m := range marks {
 		if m.What == "slow-apply" {
-			f.say(SlowLaw, "%s", m.Name)
+			f.add(ConfigurationSlow, "%s", m.Name)
 		}
 	}
-	return f.out
+	return f.found
 }
 
-// partOf writes a partial configuration.
-func partOf(v map[string]any) string {
+// marshalPartial writes a partial configuration.
+func marshalPartial(v map[string]any) string {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
--- a/internal/simulation/plain_test.go
+++ b/internal/simulation/plain_test.go
@@ -16,7 +16,7 @@
 // though the disks are slow, one disk machine and one node come late, and operators
 // apply the configuration as soon as a door takes it.
 func TestTenthSecond(t *testing.T) {
-	unraced(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
 		c := Build(7, standin.Sites["vatuloa"], nil)
@@ -34,7 +34,7 @@
 				c.Start(b)
 			}
 		}()
-		require.NoError(t, c.Found())
+		require.NoError(t, c.Bootstrap())
 		require.Less(t, time.Since(begun), 10*time.Second)
 		time.Sleep(10*time.Second - time.Since(begun))
 		all := c.Load(40, 5*time.Second, 7)
@@ -50,13 +50,13 @@
 // TestPlainDay: with nothing broken, every call completes, token for token, at
 // both sites.
 func TestPlainDay(t *testing.T) {
-	unraced(t)
+	skipUnderRace(t)
 	for name, site := range standin.Sites {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := Build(1, site, nil)
 				defer c.Close()
-				require.NoError(t, c.Found())
+				require.NoError(t, c.Bootstrap())
 				all := c.Load(20, 10*time.Second, 1)
 				sum := standin.Sum(all)
 				require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
--- a/internal/simulation/price_test.go
+++ b/internal/simulation/price_test.go
@@ -34,7 +34,7 @@
 				b := NewAuditModel()
 				c := Build(4, governedWork, b.tune)
 				defer c.Close()
-				require.NoError(t, c.Found())
+				require.NoError(t, c.Bootstrap())
 				switch way {
 				case "all certified":
 					b.certify(append(upTo("p", 4), upTo("d", 4)...), upTo("router-", 5))
@@ -78,7 +78,7 @@
 				b := NewAuditModel()
 				c := Build(5, governedWork, b.tune)
 				defer c.Close()
-				require.NoError(t, c.Found())
+				require.NoError(t, c.Bootstrap())
 				b.usual()
 				for i := range n {
 					b.sign(fmt.Sprint("x", i), certification.Certificate{
@@ -89,10 +89,10 @@
 				require.NoError(t, b.Open())
 				for i := range n {
 					partitioned, lead := node(c, "router-2"), leader(c)
-					peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
+					peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 					switch way {
 					case "a node cut off":
-						c.World.Partition(ips(partitioned), peers, true)
+						c.World.Partition(addresses(partitioned), peers, true)
 					case "the leader killed":
 						go func() {
 							time.Sleep(time.Duration(i) * 3 * time.Millisecond)
@@ -100,7 +100,7 @@
 						}()
 					}
 					require.NoError(t, b.Revoke(fmt.Sprint("x", i)))
-					c.World.Partition(ips(partitioned), peers, false)
+					c.World.Partition(addresses(partitioned), peers, false)
 					time.Sleep(2 * time.Second)
 					require.NoError(t, c.Start(lead))
 					time.Sleep(4*time.Second + time.Duration(i)*7*time.Millisecond)
--- a/internal/simulation/program_test.go
+++ b/internal/simulation/program_test.go
@@ -28,8 +28,8 @@
 // call breaks, whichever idea rules, a hostile one included; the shares show in
 // the comparison.
 func TestSwap(t *testing.T) {
-	unraced(t)
-	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
+	skipUnderRace(t)
+	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		hostile := "def order(ask, workers):\n    return ['p1']\n"
 		rounds := []string{
 			programs(t, map[string]fleetstate.Program{
@@ -87,8 +87,8 @@
 // TestRollOut: a new weight version runs beside the old one, then the old one
 // drains away. Streams never cross versions: each answer is one of the two.
 func TestRollOut(t *testing.T) {
-	unraced(t)
-	inBubble(t, "almaty", nil, func(t *testing.T, c *Cluster) {
+	skipUnderRace(t)
+	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		site := standin.Sites["almaty"]
 		news := map[string]any{}
 		for i, part := range []int{0, 4, 1, 5} {
--- a/internal/simulation/raced_test.go
+++ b/internal/simulation/raced_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const raced = true
+const raceEnabled = true
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -22,25 +22,25 @@
 	At   time.Duration
 }
 
-// Seen is a worker's event at a simulated time.
-type Seen struct {
+// RecordedEvent is a worker's event at a simulated time.
+type RecordedEvent struct {
 	standin.Event
 	When time.Duration
 }
 
 // Recorder gathers it all.
 type Recorder struct {
-	mu    sync.Mutex
-	start time.Time
-	rows  []Seen
-	lives []Teller
-	marks []Mark
-	picks []Pick
-	again []time.Duration
-	acks  []Acked
-	laws  []time.Duration                   // how long each apply took, until it was in force
-	nays  []string                          // texts that were refused
-	force map[ids.Version]map[string]string // texts in force anywhere, and who had them
+	mu         sync.Mutex
+	start      time.Time
+	events     []RecordedEvent
+	workers    []TallySource
+	marks      []Mark
+	grants     []Grant
+	recomputes []time.Duration
+	acks       []Acked
+	applyTimes []time.Duration                   // how long each apply took, until it was in force
+	refused    []string                          // texts that were refused
+	active     map[ids.Version]map[string]string // texts in force anywhere, and who had them
 }
 
 // Acked is a configuration that an operator was told is taken.
@@ -50,110 +50,110 @@
 	At      time.Duration
 }
 
-// Teller is a worker that keeps a count of its own.
-type Teller interface {
+// TallySource is a worker that keeps a count of its own.
+type TallySource interface {
 	Tallies() map[string]standin.Tally
 }
 
-// Pick is a hand-over granted by a node, under the version it has in force.
-type Pick struct {
+// Grant is a hand-over granted by a node, under the version it has in force.
+type Grant struct {
 	Node    string
 	Version ids.Version
 	At      time.Duration
 }
 
 func NewRecorder() *Recorder {
-	return &Recorder{start: time.Now(), force: map[ids.Version]map[string]string{}}
+	return &Recorder{start: time.Now(), active: map[ids.Version]map[string]string{}}
 }
 
 // Now is the time since the book was opened.
 func (b *Recorder) Now() time.Duration { return time.Since(b.start) }
 
-func (b *Recorder) Worker(e standin.Event) {
+func (b *Recorder) RecordWorkerEvent(e standin.Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rows = append(b.rows, Seen{e, b.Now()})
+	b.events = append(b.events, RecordedEvent{e, b.Now()})
 }
 
-func (b *Recorder) Life(w Teller) {
+func (b *Recorder) AddWorker(w TallySource) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lives = append(b.lives, w)
+	b.workers = append(b.workers, w)
 }
 
-// Step takes a hand-over's event, with the version that its node has in force.
-func (b *Recorder) Step(node string, e handoff.Event, v ids.Version) {
+// RecordHandoffEvent takes a hand-over's event, with the version that its node has in force.
+func (b *Recorder) RecordHandoffEvent(node string, e handoff.Event, v ids.Version) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e.Step == handoff.Granted {
-		b.picks = append(b.picks, Pick{node, v, b.Now()})
+		b.grants = append(b.grants, Grant{node, v, b.Now()})
 	}
 	if e.Step == handoff.Granted && e.ID.Attempt > 1 {
-		b.again = append(b.again, b.Now())
+		b.recomputes = append(b.recomputes, b.Now())
 	}
 }
 
-func (b *Recorder) Mark(what, name string) {
+func (b *Recorder) RecordMark(what, name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.marks = append(b.marks, Mark{what, name, b.Now()})
 }
 
-func (b *Recorder) Ack(v ids.Version, text string) {
+func (b *Recorder) RecordAck(v ids.Version, text string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.acks = append(b.acks, Acked{v, text, b.Now()})
 }
 
-// Took notes how long an apply was under way.
-func (b *Recorder) Took(d time.Duration) {
+// RecordApplyTime notes how long an apply was under way.
+func (b *Recorder) RecordApplyTime(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.laws = append(b.laws, d)
+	b.applyTimes = append(b.applyTimes, d)
 }
 
-// Fault is one violation found.
-type Fault struct{ Line, What string }
+// Violation is one violation found.
+type Violation struct{ Rule, Detail string }
 
-func (f Fault) String() string { return f.Line + ": " + f.What }
+func (f Violation) String() string { return f.Rule + ": " + f.Detail }
 
-type finder struct{ out []Fault }
+type violationList struct{ found []Violation }
 
-func (f *finder) say(line, form string, args ...any) {
-	f.out = append(f.out, Fault{line, fmt.Sprintf(form, args...)})
+func (f *violationList) add(line, form string, args ...any) {
+	f.found = append(f.found, Violation{line, fmt.Sprintf(form, args...)})
 }
 
 // The lines of what must never happen, by short names.
 const (
-	Twice     = "run twice or two records"
-	NotRun    = "not run was run"
-	Torn      = "stream lost, repeated, joined or falsely whole"
-	Differs   = "output differs"
-	Starved   = "import failed mid-decode"
-	LateLeave = "leaving worker got new work"
-	LateZone  = "evacuated zone got work"
-	SlowLaw   = "configuration slow or fell back"
-	LostLaw   = "acknowledged configuration lost"
-	Conflict  = "conflicting orders"
-	Overspent = "recomputes beyond the budget"
-	NotBack   = "service not back"
+	RunTwice                = "run twice or two records"
+	RanDespiteNotRun        = "not run was run"
+	StreamCorrupted         = "stream lost, repeated, joined or falsely whole"
+	OutputDiffers           = "output differs"
+	ImportFailedMidDecode   = "import failed mid-decode"
+	WorkAfterLeave          = "leaving worker got new work"
+	WorkAfterEvacuation     = "evacuated zone got work"
+	ConfigurationSlow       = "configuration slow or fell back"
+	ConfigurationLost       = "acknowledged configuration lost"
+	ConflictingOrders       = "conflicting orders"
+	RecomputeBudgetExceeded = "recomputes beyond the budget"
+	ServiceNotRestored      = "service not back"
 )
 
 // Check reads the book and the callers' outcomes.
-func (b *Recorder) Check(all []standin.Outcome) []Fault {
+func (b *Recorder) Check(all []standin.Outcome) []Violation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	f := &finder{}
-	b.twice(f, all)
-	streams(f, all)
-	b.places(f)
-	b.order(f)
-	b.behind(f)
-	b.spent(f)
-	return f.out
+	f := &violationList{}
+	b.checkRuns(f, all)
+	checkStreams(f, all)
+	b.checkPlacement(f)
+	b.checkOrders(f)
+	b.checkGrantVersions(f)
+	b.checkRecomputeBudget(f)
+	return f.found
 }
 
-func requests(all []standin.Outcome) map[string]standin.Outcome {
+func outcomesByKey(all []standin.Outcome) map[string]standin.Outcome {
 	out := map[string]standin.Outcome{}
 	for _, o := range all {
 		if o.Key != "" {
@@ -163,9 +163,9 @@
 	return out
 }
 
-func (b *Recorder) twice(f *finder, all []standin.Outcome) {
+func (b *Recorder) checkRuns(f *violationList, all []standin.Outcome) {
 	runs, records, starved := map[string]int{}, map[string]int{}, 0
-	for _, w := range b.lives {
+	for _, w := range b.workers {
 		for id, t := range w.Tallies() {
 			starved += t.Starved
 			if strings.HasPrefix(id, "k-") {
@@ -176,39 +176,39 @@
 	}
 	for id, n := range runs {
 		if n > 1 || records[id] > 1 {
-			f.say(Twice, "%s: %d runs, %d records", id, n, records[id])
+			f.add(RunTwice, "%s: %d runs, %d records", id, n, records[id])
 		}
 	}
 	if starved > 0 {
-		f.say(Starved, "%d decodes ran out of room", starved)
+		f.add(ImportFailedMidDecode, "%d decodes ran out of room", starved)
 	}
-	for key := range requests(all) {
+	for key := range outcomesByKey(all) {
 		// A caller that was told "not run" has moved on to a key with a plus.
 		for k := key; strings.HasSuffix(k, "+"); {
 			k = strings.TrimSuffix(k, "+")
 			if n := runs[router.RequestIDForKey(k)]; n > 0 {
-				f.say(NotRun, "%s was told not run, and ran %d times", k, n)
+				f.add(RanDespiteNotRun, "%s was told not run, and ran %d times", k, n)
 			}
 		}
 	}
 }
 
-// streams reads what the callers themselves found off.
-func streams(f *finder, all []standin.Outcome) {
+// checkStreams reads what the callers themselves found off.
+func checkStreams(f *violationList, all []standin.Outcome) {
 	for _, o := range all {
 		if o.End != "wrong" {
 			continue
 		}
 		if strings.HasPrefix(o.Detail, "tokens") {
-			f.say(Differs, "%s at %s: %s", o.Kind, o.At, o.Detail)
+			f.add(OutputDiffers, "%s at %s: %s", o.Kind, o.At, o.Detail)
 		} else {
-			f.say(Torn, "%s at %s: %s", o.Kind, o.At, o.Detail)
+			f.add(StreamCorrupted, "%s at %s: %s", o.Kind, o.At, o.Detail)
 		}
 	}
 }
 
-// until tells when a mark was taken back.
-func (b *Recorder) until(m Mark) time.Duration {
+// returnTime tells when a mark was taken back.
+func (b *Recorder) returnTime(m Mark) time.Duration {
 	end := time.Duration(1 << 62)
 	for _, r := range b.marks {
 		if r.What == "return" && r.Name == m.Name && r.At > m.At {
@@ -218,38 +218,38 @@
 	return end
 }
 
-// places: no new work at a worker that leaves, or in a zone that was emptied.
-func (b *Recorder) places(f *finder) {
+// checkPlacement: no new work at a worker that leaves, or in a zone that was emptied.
+func (b *Recorder) checkPlacement(f *violationList) {
 	for _, m := range b.marks {
-		bound, line := 3*time.Second, LateLeave
+		bound, line := 3*time.Second, WorkAfterLeave
 		switch m.What {
 		case "leave":
 		case "evacuate":
-			bound, line = 5*time.Second, LateZone
+			bound, line = 5*time.Second, WorkAfterEvacuation
 		default:
 			continue
 		}
-		until := b.until(m)
-		for _, e := range b.rows {
+		until := b.returnTime(m)
+		for _, e := range b.events {
 			if (e.What == "prefill" || e.What == "import") && string(e.Worker) == m.Name && e.When > m.At+bound &&
 				e.When < until {
-				f.say(line, "%s got a %s %.2f s after", m.Name, e.What, (e.When - m.At).Seconds())
+				f.add(line, "%s got a %s %.2f s after", m.Name, e.What, (e.When - m.At).Seconds())
 				break
 			}
 		}
 	}
 }
 
-// order: at each worker fences never go down, and no order carries a version
+// checkOrders: at each worker fences never go down, and no order carries a version
 // older than one the worker had seen a quarter second before.
-func (b *Recorder) order(f *finder) {
+func (b *Recorder) checkOrders(f *violationList) {
 	fence := map[ids.WorkerID]ids.Fence{}
 	type since struct {
 		v  ids.Version
 		at time.Duration
 	}
 	seen := map[ids.WorkerID][]since{}
-	for _, e := range b.rows {
+	for _, e := range b.events {
 		if e.Fence == 0 {
 			continue
 		}
@@ -258,13 +258,13 @@
 			continue
 		}
 		if e.Fence < fence[e.Worker] {
-			f.say(Conflict, "%s took %s under fence %d after %d", e.Worker, e.What, e.Fence, fence[e.Worker])
+			f.add(ConflictingOrders, "%s took %s under fence %d after %d", e.Worker, e.What, e.Fence, fence[e.Worker])
 		}
 		fence[e.Worker] = max(fence[e.Worker], e.Fence)
 		for _, s := range seen[e.Worker] {
 			if e.Version < s.v && e.When > s.at+250*time.Millisecond {
-				f.say(
-					SlowLaw,
+				f.add(
+					ConfigurationSlow,
 					"%s got %s under version %d, %.2f s after it saw %d",
 					e.Worker,
 					e.What,
@@ -281,20 +281,20 @@
 	}
 }
 
-// behind: no node grants anything under a version older than one that some worker
+// checkGrantVersions: no node grants anything under a version older than one that some worker
 // had seen a quarter second before.
-func (b *Recorder) behind(f *finder) {
+func (b *Recorder) checkGrantVersions(f *violationList) {
 	first := map[ids.Version]time.Duration{}
-	for _, e := range b.rows {
+	for _, e := range b.events {
 		if at, ok := first[e.Version]; e.Version > 0 && (!ok || e.When < at) {
 			first[e.Version] = e.When
 		}
 	}
-	for _, p := range b.picks {
+	for _, p := range b.grants {
 		for v, at := range first {
 			if v > p.Version && p.At > at+250*time.Millisecond {
-				f.say(
-					SlowLaw,
+				f.add(
+					ConfigurationSlow,
 					"%s granted under version %d, %.2f s after a worker saw %d",
 					p.Node,
 					p.Version,
@@ -307,22 +307,22 @@
 	}
 }
 
-// spent holds recomputes against the bucket of the default budget.
-func (b *Recorder) spent(f *finder) {
+// checkRecomputeBudget holds recomputes against the bucket of the default budget.
+func (b *Recorder) checkRecomputeBudget(f *violationList) {
 	const rate, burst = 4.0, 12
-	for i := range b.again {
-		for j := i; j < len(b.again); j++ {
-			if n := float64(j - i + 1); n > burst+1+rate*(b.again[j]-b.again[i]).Seconds() {
-				f.say(Overspent, "%d recomputes within %s", j-i+1, b.again[j]-b.again[i])
+	for i := range b.recomputes {
+		for j := i; j < len(b.recomputes); j++ {
+			if n := float64(j - i + 1); n > burst+1+rate*(b.recomputes[j]-b.recomputes[i]).Seconds() {
+				f.add(RecomputeBudgetExceeded, "%d recomputes within %s", j-i+1, b.recomputes[j]-b.recomputes[i])
 				return
 			}
 		}
 	}
 }
 
-// Late tells how long after it was marked each leaving worker, and each worker of
+// LastWorkAfter tells how long after it was marked each leaving worker, and each worker of
 // an emptied zone, last got new work.
-func (b *Recorder) Late(what string) []time.Duration {
+func (b *Recorder) LastWorkAfter(what string) []time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []time.Duration
@@ -330,9 +330,9 @@
 		if m.What != what {
 			continue
 		}
-		until := b.until(m)
+		until := b.returnTime(m)
 		last := time.Duration(0)
-		for _, e := range b.rows {
+		for _, e := range b.events {
 			if (e.What == "prefill" || e.What == "import") && string(e.Worker) == m.Name && e.When > m.At &&
 				e.When < until {
 				last = e.When - m.At
@@ -343,14 +343,14 @@
 	return out
 }
 
-// FellBack is the longest that any worker, having seen a version, still got an
+// LongestStaleOrder is the longest that any worker, having seen a version, still got an
 // order under an older one.
-func (b *Recorder) FellBack() time.Duration {
+func (b *Recorder) LongestStaleOrder() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	first := map[ids.WorkerID]map[ids.Version]time.Duration{}
 	most := time.Duration(0)
-	for _, e := range b.rows {
+	for _, e := range b.events {
 		if e.Fence == 0 || e.What == "resumed" {
 			continue
 		}
--- a/internal/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -23,12 +23,12 @@
 
 // withGovernedWork runs a fleet with a regime in force.
 func withGovernedWork(t *testing.T, prepare func(b *AuditModel), f func(t *testing.T, c *Cluster, b *AuditModel)) {
-	unraced(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		b := NewAuditModel()
 		c := Build(1, governedWork, b.tune)
 		defer c.Close()
-		require.NoError(t, c.Found())
+		require.NoError(t, c.Bootstrap())
 		prepare(b)
 		require.NoError(t, b.Open())
 		f(t, c, b)
@@ -79,7 +79,7 @@
 		require.Greater(t, b.governed(), 100)
 		require.Less(t, standin.Quantile(b.stays, 1), 200.0, "staged memory is freed once it is in")
 		used := map[ids.WorkerID]bool{}
-		for _, e := range c.Recorder.rows {
+		for _, e := range c.Recorder.events {
 			used[e.Worker] = true
 		}
 		require.Len(t, used, 8, "other work goes everywhere")
@@ -95,7 +95,7 @@
 func audited(t *testing.T, c *Cluster) []fleetstate.AuditRecord {
 	var rows []fleetstate.AuditRow
 	for {
-		got, err := c.Of("router")[0].Node.Audits(c.base, len(rows)+1, 500)
+		got, err := c.Of("router")[0].Node.Audits(c.ctx, len(rows)+1, 500)
 		require.NoError(t, err)
 		if len(got.Rows) == 0 {
 			break
@@ -178,7 +178,7 @@
 		got, err := c.stream(lone, speech)
 		require.NoError(t, err)
 		whole(t, c, speech, got)
-		ask := verdict
+		ask := verdictRequest
 		first, err := c.stream(lone, ask)
 		require.NoError(t, err)
 		again, err := c.stream(lone, ask)
@@ -187,7 +187,7 @@
 		require.Equal(t, first[0].Token, again[0].Token)
 		_, err = c.stream(lone, api.StreamRequest{Kind: "verdict", Key: "q1", Prompt: "another body", MaxTokens: 2})
 		require.Equal(t, "key-reused", err.(*api.Fault).Name, "a refusal comes back as it was")
-		require.True(t, c.Until(10*time.Second, func() bool {
+		require.True(t, c.WaitUntil(10*time.Second, func() bool {
 			for _, k := range holds(lone) {
 				for _, w := range append(upTo("p", 3), upTo("d", 3)...) {
 					if k == ids.Key("worker/"+w) {
@@ -218,7 +218,7 @@
 	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		ask := long(speech)
 		done := c.startStream(node(c, "router-1"), ask)
-		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Resumed)) == 1 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Resumed)) == 1 }))
 		at := b.serves(handoff.Resumed)[0]
 		time.Sleep(100 * time.Millisecond)
 		require.NoError(t, b.Revoke("c-"+at))
@@ -236,22 +236,22 @@
 // ends whole, or as unknown, and its key says so later.
 func TestRevokedVerdict(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
-		ask := long(verdict)
+		ask := long(verdictRequest)
 		done := c.startStream(node(c, "router-1"), ask)
-		require.True(t, c.Until(3*time.Second, func() bool { return len(b.serves(handoff.Resumed)) == 1 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Resumed)) == 1 }))
 		time.Sleep(50 * time.Millisecond)
 		require.NoError(t, b.Revoke("c-"+b.serves(handoff.Resumed)[0]))
 		got := <-done
 		require.Equal(t, api.Unknown, got[len(got)-1].End)
 		// A key between two hands has it bounced at first; the caller comes back.
 		name := ""
-		c.Until(5*time.Second, func() bool {
+		c.WaitUntil(5*time.Second, func() bool {
 			_, err := c.stream(node(c, "router-2"), ask)
 			name = err.(*api.Fault).Name
 			return name != "bounced"
 		})
 		require.Equal(t, "may-have-run", name)
-		runs, _ := runsOf(c, "verdict/q1")
+		runs, _ := countRuns(c, "verdict/q1")
 		require.Equal(t, 1, runs)
 		time.Sleep(3 * time.Second)
 		require.Empty(t, b.Check(nil))
@@ -263,7 +263,7 @@
 func TestRevokedWhilePartitioned(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		partitioned := node(c, "router-1")
-		peers := append(ips(c.Of("controller")...), ips(c.Of("router")...)...)
+		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		ask := long(speech)
 		go func() {
 			for range 40 {
@@ -272,7 +272,7 @@
 			}
 		}()
 		time.Sleep(time.Second)
-		c.World.Partition(ips(partitioned), peers, true)
+		c.World.Partition(addresses(partitioned), peers, true)
 		time.Sleep(50 * time.Millisecond)
 		require.NoError(t, b.Revoke("c-d1"))
 		require.NoError(t, b.Revoke("c-d2"))
@@ -282,8 +282,8 @@
 		require.Error(t, err, "its word is too old for anybody")
 		time.Sleep(4 * time.Second)
 		require.Empty(t, b.Check(nil))
-		c.World.Partition(ips(partitioned), peers, false)
-		require.True(t, c.Until(8*time.Second, func() bool {
+		c.World.Partition(addresses(partitioned), peers, false)
+		require.True(t, c.WaitUntil(8*time.Second, func() bool {
 			got, err := c.stream(partitioned, speech)
 			return err == nil && got[len(got)-1].End == api.Complete
 		}), "it serves again")
@@ -311,7 +311,7 @@
 		sum := standin.Sum(all)
 		require.Equal(t, len(all), sum.Ends[api.Complete]+sum.Ends[api.Unknown], "%+v", sum)
 		last := map[string]time.Duration{}
-		for _, e := range c.Recorder.rows {
+		for _, e := range c.Recorder.events {
 			if b.work[e.ID.Request] != "" && e.What == "resumed" || e.What == "import" {
 				last[string(e.Worker)] = e.When
 			}
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -39,7 +39,7 @@
 }
 
 func releaseAsk(i int) api.StreamRequest {
-	ask := verdict
+	ask := verdictRequest
 	ask.Key = fmt.Sprint("release-", i)
 	return ask
 }
@@ -51,7 +51,7 @@
 	var refusal *api.Fault
 	nodes := c.Of("router")
 	attempt := i
-	require.True(t, c.Until(8*time.Second, func() bool {
+	require.True(t, c.WaitUntil(8*time.Second, func() bool {
 		got, err := c.stream(nodes[attempt%len(nodes)], ask)
 		attempt++ // a node of an evacuated zone refuses
 		lines = got
@@ -65,7 +65,7 @@
 }
 
 func withReleaseDepth(c *Cluster) {
-	c.Depth = fleetstate.Retention{FullRecords: releaseDepth, ChunkEntries: 8}
+	c.Retention = fleetstate.Retention{FullRecords: releaseDepth, ChunkEntries: 8}
 }
 
 // TestWriteRelease records the data directories of the running code. It does so on request
@@ -74,12 +74,12 @@
 	if os.Getenv(writeRelease) == "" {
 		t.Skip("records " + releaseFolder + " where " + writeRelease + " is set")
 	}
-	inBubble(t, "vatuloa", withReleaseDepth, func(t *testing.T, c *Cluster) {
+	withCluster(t, "vatuloa", withReleaseDepth, func(t *testing.T, c *Cluster) {
 		var newest []api.StreamEvent
 		for i := range releaseKeys {
 			newest, _ = c.answer(t, i, releaseAsk(i))
 		}
-		shownAtFirst := shown(c)
+		shownAtFirst := latestShown(c)
 		_, err := c.Apply(&api.ApplyRequest{
 			Op:      "release",
 			Base:    shownAtFirst.Version,
@@ -89,7 +89,7 @@
 		require.NoError(t, err)
 		require.NoError(t, c.Mark("/v1/zones/"+string(c.Site.Zones[0]), "release-zone", true))
 		time.Sleep(2 * time.Second)
-		state := shown(c)
+		state := latestShown(c)
 		record := releaseState{Version: state.Version, Policy: state.Policy, Evacuated: state.Zones}
 		for _, line := range newest[:len(newest)-1] {
 			record.Tokens = append(record.Tokens, line.Token)
@@ -139,7 +139,7 @@
 // leads; the configuration, the evacuation and the newest answer are those that were read from
 // that release; older keys are known to have been answered; and new calls are served.
 func TestOpensRelease(t *testing.T) {
-	unraced(t)
+	skipUnderRace(t)
 	body, err := os.ReadFile(filepath.Join(releaseFolder, "state.json"))
 	require.NoError(t, err)
 	var record releaseState
@@ -159,9 +159,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := Build(2, standin.Sites["vatuloa"], tune)
 		defer c.Close()
-		require.True(t, c.Until(10*time.Second, func() bool { return c.Leader() != nil }))
-		require.True(t, c.Until(10*time.Second, func() bool { return shown(c).Version == record.Version }))
-		state := shown(c)
+		require.True(t, c.WaitUntil(10*time.Second, func() bool { return c.Leader() != nil }))
+		require.True(t, c.WaitUntil(10*time.Second, func() bool { return latestShown(c).Version == record.Version }))
+		state := latestShown(c)
 		require.JSONEq(t, string(record.Policy), string(state.Policy))
 		require.Equal(t, record.Evacuated, state.Zones)
 		newest, refusal := c.answer(t, 1, releaseAsk(releaseKeys-1))
@@ -175,7 +175,7 @@
 			require.NotNil(t, refusal, "key %d", i)
 			require.Equal(t, "answer-aged", refusal.Name, "key %d", i)
 		}
-		fresh := verdict
+		fresh := verdictRequest
 		fresh.Key = "after the release"
 		_, refusal = c.answer(t, 2, fresh)
 		require.Nil(t, refusal)
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -16,14 +16,14 @@
 // given up is told at once, with when to come back; both kinds get their part;
 // what is carried is right; and when the crowd has gone all is as before.
 func TestRetryStorm(t *testing.T) {
-	unraced(t)
-	inBubble(t, "almaty", func(c *Cluster) {
-		c.Tune = func(o *standin.WorkerOptions) { o.Capacity = 220; o.Step = 20 * time.Millisecond }
+	skipUnderRace(t)
+	withCluster(t, "almaty", func(c *Cluster) {
+		c.TuneWorker = func(o *standin.WorkerOptions) { o.Capacity = 220; o.Step = 20 * time.Millisecond }
 	}, func(t *testing.T, c *Cluster) {
 		before := c.Load(20, 2*time.Second, 1)
 		require.Equal(t, len(before), standin.Sum(before).Ends[api.Complete])
-		crowd := standin.Load(c.base, standin.LoadOptions{
-			Host:     c.out.Host(),
+		crowd := standin.Load(c.ctx, standin.LoadOptions{
+			Host:     c.clientProcess.Host(),
 			Doors:    c.Platform.Nodes,
 			Zones:    c.Site.Zones,
 			Shapes:   c.Site.Shapes,
@@ -54,24 +54,24 @@
 // an empty one elsewhere; nodes that were running go on, and a node started
 // later finds the fleet by one living address.
 func TestSeedsGone(t *testing.T) {
-	unraced(t)
-	inBubble(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
+	skipUnderRace(t)
+	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		for i, b := range append([]*Process(nil), c.Of("controller")...) {
 			c.PowerOff(b)
 			b.Machine.WipeDisk()
 			c.add(c.Controller("controller-"+string(rune('x'+i)), "10.1.0.3"+string(rune('0'+i))+":700", b.Zone))
 			time.Sleep(9 * time.Second)
 		}
-		require.True(t, c.Until(5*time.Second, func() bool { return c.Leader() != nil }))
+		require.True(t, c.WaitUntil(5*time.Second, func() bool { return c.Leader() != nil }))
 		c.Kill(c.Of("router")[0])
 		c.Seeds = []string{c.Of("router")[1].Addr, "10.1.0.1:700", "10.1.0.2:700"}
 		late := c.add(c.Router("router-late", "10.2.0.40", c.Site.Zones[0]))
-		require.True(t, c.Until(6*time.Second, func() bool { ok, _ := late.Node.Ready(); return ok }))
-		require.NoError(t, change(c, "seedless", 2300))
+		require.True(t, c.WaitUntil(6*time.Second, func() bool { ok, _ := late.Node.Ready(); return ok }))
+		require.NoError(t, changeRetryAfter(c, "seedless", 2300))
 		all := c.Load(30, 4*time.Second, 9)
 		require.Equal(t, len(all), standin.Sum(all).Ends[api.Complete], "%+v", standin.Sum(all))
 		require.Empty(t, c.Recorder.Check(all))
-		require.Empty(t, c.laws())
+		require.Empty(t, c.checkConfigurations())
 	})
 }
 
@@ -79,9 +79,9 @@
 // the seconds in which it can be served; nearly all are served in the end, and few
 // had to ask often.
 func TestRetryStormReturns(t *testing.T) {
-	unraced(t)
-	inBubble(t, "almaty", func(c *Cluster) {
-		c.Tune = func(o *standin.WorkerOptions) { o.Capacity = 220; o.Step = 20 * time.Millisecond }
+	skipUnderRace(t)
+	withCluster(t, "almaty", func(c *Cluster) {
+		c.TuneWorker = func(o *standin.WorkerOptions) { o.Capacity = 220; o.Step = 20 * time.Millisecond }
 	}, func(t *testing.T, c *Cluster) {
 		c.Load(20, 2*time.Second, 1)
 		all := c.Load(450, 3*time.Second, 2)
--- a/internal/simulation/script_test.go
+++ b/internal/simulation/script_test.go
@@ -27,9 +27,9 @@
 	return out
 }
 
-// hamlet is a site small enough for the race detector, under which a whole
+// smallSite is a site small enough for the race detector, under which a whole
 // deployment takes some twenty times as long.
-var hamlet = standin.Site{
+var smallSite = standin.Site{
 	Name:    "hamlet",
 	Zones:   []ids.Zone{"a", "b", "c"},
 	Nodes:   3,
@@ -42,20 +42,20 @@
 	},
 }
 
-func unraced(t *testing.T) {
-	if raced {
+func skipUnderRace(t *testing.T) {
+	if raceEnabled {
 		t.Skip("runs without the race detector in the same make test")
 	}
 }
 
 // TestScripts runs every script; odd seeds at one site, even ones at the other.
 func TestScripts(t *testing.T) {
-	pace := Pace{40, 14 * time.Second, 14 * time.Second}
-	if raced {
-		pace = Pace{10, 7 * time.Second, 2 * time.Second}
+	pace := LoadPlan{40, 14 * time.Second, 14 * time.Second}
+	if raceEnabled {
+		pace = LoadPlan{10, 7 * time.Second, 2 * time.Second}
 	}
-	for i, s := range slices.Concat(Machines, Others, Duties) {
-		if raced && !slices.Contains([]string{"leader-killed", "workers-crash", "operators-race"}, s.Name) {
+	for i, s := range slices.Concat(MachineScripts, OtherScripts, Duties) {
+		if raceEnabled && !slices.Contains([]string{"leader-killed", "workers-crash", "operators-race"}, s.Name) {
 			continue
 		}
 		for _, seed := range seeds() {
@@ -65,25 +65,25 @@
 				if (uint64(i)+seed)%2 == 0 {
 					site = standin.Sites["almaty"]
 				}
-				if raced {
-					site = hamlet
+				if raceEnabled {
+					site = smallSite
 				}
 				synctest.Test(t, func(t *testing.T) {
-					v := Trial(s, site, seed, pace)
-					assert.Empty(t, v.Faults)
+					v := RunTrial(s, site, seed, pace)
+					assert.Empty(t, v.Violations)
 					t.Logf(
 						"%s seed %d at %s: back %s, lead %.2fs, again %d, %v %v %v",
 						s.Name,
 						seed,
 						site.Name,
-						worst(v.Back),
-						v.Lead.Seconds(),
-						v.Again,
-						v.Sum.Ends,
-						v.Sum.Details,
-						v.Back,
+						worst(v.Outages),
+						v.WithoutPrimary.Seconds(),
+						v.Recomputes,
+						v.Summary.Ends,
+						v.Summary.Details,
+						v.Outages,
 					)
-					t.Logf("bounds: left %v out %v laws %v old %v", v.Left, v.Out, v.Laws, v.Old)
+					t.Logf("bounds: left %v out %v laws %v old %v", v.AfterLeave, v.AfterEvacuation, v.ApplyTimes, v.StaleOrders)
 				})
 			})
 		}
@@ -92,7 +92,7 @@
 
 // TestTogether: breakdowns and operators' acts drawn by a seed, overlapping.
 func TestTogether(t *testing.T) {
-	unraced(t)
+	skipUnderRace(t)
 	list := seeds()
 	if len(list) == 1 {
 		list = []uint64{1, 2, 3, 4, 5, 6}
@@ -105,18 +105,18 @@
 				site = standin.Sites["almaty"]
 			}
 			synctest.Test(t, func(t *testing.T) {
-				s := Together(seed)
-				v := Trial(s, site, seed, Pace{40, 14 * time.Second, 14 * time.Second})
-				assert.Empty(t, v.Faults, s.Name)
+				s := ComposedScript(seed)
+				v := RunTrial(s, site, seed, LoadPlan{40, 14 * time.Second, 14 * time.Second})
+				assert.Empty(t, v.Violations, s.Name)
 				t.Logf(
 					"together seed %d at %s: back %s, lead %.2fs, again %d, %v %v [%s]",
 					seed,
 					site.Name,
-					worst(v.Back),
-					v.Lead.Seconds(),
-					v.Again,
-					v.Sum.Ends,
-					v.Sum.Details,
+					worst(v.Outages),
+					v.WithoutPrimary.Seconds(),
+					v.Recomputes,
+					v.Summary.Ends,
+					v.Summary.Details,
 					s.Name,
 				)
 			})
--- a/internal/simulation/stream_test.go
+++ b/internal/simulation/stream_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cx, stop := context.WithTimeout(c.base, 20*time.Second)
+	cx, stop := context.WithTimeout(c.ctx, 20*time.Second)
 	defer stop()
 	q, err := http.NewRequestWithContext(
 		cx, http.MethodPost, "http://"+b.FrontendAddr+"/v1/streams", strings.NewReader(string(body)),
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := c.web.Do(q)
+	r, err := c.httpClient.Do(q)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simulation/trial_test.go
+++ b/internal/simulation/trial_test.go
@@ -12,41 +12,41 @@
 	"keelstair.example/internal/standin"
 )
 
-// Verdict of a trial.
-type Verdict struct {
-	Faults []Fault
-	Sum    standin.Summary
-	Back   map[string]time.Duration // longest spans without a completion, by kind and by zone of the door
-	Lead   time.Duration            // longest span without a primary
-	Again  int
-	Left   []time.Duration // leaving workers' last new work
-	Out    []time.Duration // the same in emptied zones
-	Laws   []time.Duration // applies, until in force
-	Old    time.Duration   // orders under an older version
+// TrialResult of a trial.
+type TrialResult struct {
+	Violations      []Violation
+	Summary         standin.Summary
+	Outages         map[string]time.Duration // longest spans without a completion, by kind and by zone of the door
+	WithoutPrimary  time.Duration            // longest span without a primary
+	Recomputes      int
+	AfterLeave      []time.Duration // leaving workers' last new work
+	AfterEvacuation []time.Duration // the same in emptied zones
+	ApplyTimes      []time.Duration // applies, until in force
+	StaleOrders     time.Duration   // orders under an older version
 }
 
-// Pace is how much load a trial has, and for how long before and after.
-type Pace struct {
-	Rate  float64
-	First time.Duration
-	Then  time.Duration
+// LoadPlan is how much load a trial has, and for how long before and after.
+type LoadPlan struct {
+	Rate         float64
+	DuringScript time.Duration
+	AfterScript  time.Duration
 }
 
-// Trial runs a script. It must be called within a synctest bubble.
-func Trial(s Script, site standin.Site, seed uint64, pace Pace) Verdict {
-	c := Build(seed, site, s.Tune)
+// RunTrial runs a script. It must be called within a synctest bubble.
+func RunTrial(s Script, site standin.Site, seed uint64, pace LoadPlan) TrialResult {
+	c := Build(seed, site, s.Configure)
 	defer c.Close()
-	v := Verdict{}
-	if err := c.Found(); err != nil {
-		v.Faults = append(v.Faults, Fault{NotBack, err.Error()})
+	v := TrialResult{}
+	if err := c.Bootstrap(); err != nil {
+		v.Violations = append(v.Violations, Violation{ServiceNotRestored, err.Error()})
 		return v
 	}
 	r := rand.New(rand.NewPCG(seed, 99))
-	span := max(pace.First, s.Span)
+	span := max(pace.DuringScript, s.LoadDuration)
 	done := make(chan error, 1)
 	begun := time.Now()
-	cx, still := context.WithCancel(c.base)
-	c.wg.Go(func() { c.watch(cx, &v.Lead) })
+	cx, still := context.WithCancel(c.ctx)
+	c.wg.Go(func() { c.watch(cx, &v.WithoutPrimary) })
 	go func() {
 		time.Sleep(2 * time.Second)
 		done <- s.Run(c, r)
@@ -56,30 +56,30 @@
 	struck := 2 * time.Second
 	// After the script the fleet must serve again, whatever happened.
 	rest := time.Since(begun)
-	all2 := c.Load(pace.Rate, pace.Then, seed+1000)
+	all2 := c.Load(pace.Rate, pace.AfterScript, seed+1000)
 	for i := range all2 {
 		all2[i].At += rest
 	}
 	all = append(all, all2...)
 	if err != nil {
-		v.Faults = append(v.Faults, Fault{NotBack, "script: " + err.Error()})
+		v.Violations = append(v.Violations, Violation{ServiceNotRestored, "script: " + err.Error()})
 	}
-	v.Sum = standin.Sum(all)
+	v.Summary = standin.Sum(all)
 	still()
-	v.Back = c.backs(all, [][2]time.Duration{{struck, span}, {rest + 500*time.Millisecond, rest + pace.Then}})
+	v.Outages = c.backs(all, [][2]time.Duration{{struck, span}, {rest + 500*time.Millisecond, rest + pace.AfterScript}})
 	bound := s.Bound
 	if bound == 0 {
 		bound = 12 * time.Second
 	}
-	v.Faults = append(v.Faults, late(v.Back, bound)...)
-	if n := v.Sum.Ends[api.Complete]; s.Calm && n != len(all) {
-		v.Faults = append(v.Faults, Fault{
-			NotBack, fmt.Sprintf("only %d of %d calls completed on a calm day: %v", n, len(all), v.Sum.Details),
+	v.Violations = append(v.Violations, late(v.Outages, bound)...)
+	if n := v.Summary.Ends[api.Complete]; s.NoFailures && n != len(all) {
+		v.Violations = append(v.Violations, Violation{
+			ServiceNotRestored, fmt.Sprintf("only %d of %d calls completed on a calm day: %v", n, len(all), v.Summary.Details),
 		})
 	}
-	v.Faults = append(v.Faults, c.Recorder.Check(all)...)
-	v.Faults = append(v.Faults, c.laws()...)
-	v.Again = len(c.Recorder.again)
-	v.Left, v.Out, v.Laws, v.Old = c.Recorder.Late("leave"), c.Recorder.Late("evacuate"), c.Recorder.laws, c.Recorder.FellBack()
+	v.Violations = append(v.Violations, c.Recorder.Check(all)...)
+	v.Violations = append(v.Violations, c.checkConfigurations()...)
+	v.Recomputes = len(c.Recorder.recomputes)
+	v.AfterLeave, v.AfterEvacuation, v.ApplyTimes, v.StaleOrders = c.Recorder.LastWorkAfter("leave"), c.Recorder.LastWorkAfter("evacuate"), c.Recorder.applyTimes, c.Recorder.LongestStaleOrder()
 	return v
 }
--- a/internal/simulation/unraced_test.go
+++ b/internal/simulation/unraced_test.go
@@ -2,4 +2,4 @@
 
 package simulation
 
-const raced = false
+const raceEnabled = false
