--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -189,9 +189,9 @@
 			n.Mount(in)
 			api.Mount(out, n)
 			api.MountOperator(out, n)
-			cx, leave := context.WithCancel(ctx)
+			nodeCtx, leave := context.WithCancel(ctx)
 			p.Terminate = leave
-			c.wg.Go(func() { n.Run(cx, 3*time.Second) })
+			c.wg.Go(func() { n.Run(nodeCtx, 3*time.Second) })
 			c.Platform.AddNode(p.FrontendAddr, zone)
 			if err := c.serve(ctx, host, p.Addr, in); err != nil {
 				return err
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -233,9 +233,9 @@
 
 // retryUntilDone asks until there is a clear answer, for half a minute at most.
 func (h *history) retryUntilDone(ask func(ctx context.Context) error) {
-	began := time.Now()
+	start := time.Now()
 	var err error
-	for time.Since(began) < 30*time.Second {
+	for time.Since(start) < 30*time.Second {
 		ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 		err = ask(ctx)
 		stop()
@@ -245,7 +245,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	require.NoError(h.t, err, "change %d", h.changes)
-	h.slowest = max(h.slowest, time.Since(began))
+	h.slowest = max(h.slowest, time.Since(start))
 }
 
 // change makes one change of the document, every fifth of all of it, and every seventh time one of a zone.
@@ -275,13 +275,13 @@
 
 // waitCaughtUp gives the time until a member leads or is the backup, while changes go on.
 func (h *history) waitCaughtUp(addr string) time.Duration {
-	began := time.Now()
+	start := time.Now()
 	for {
 		record := h.cores[addr].Directory().Record()
 		if record.Primary.Addr == addr || record.Backup.Addr == addr {
-			return time.Since(began)
+			return time.Since(start)
 		}
-		require.Less(h.t, time.Since(began), catchUpBound, "%s has not caught up", addr)
+		require.Less(h.t, time.Since(start), catchUpBound, "%s has not caught up", addr)
 		h.change()
 	}
 }
--- a/internal/simulation/idempotency_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -41,9 +41,9 @@
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		complete, running := 0, 0
-		for _, b := range c.Of("router") {
+		for _, p := range c.Of("router") {
 			wg.Go(func() {
-				got, err := c.stream(b, verdictRequest)
+				got, err := c.stream(p, verdictRequest)
 				mu.Lock()
 				defer mu.Unlock()
 				if r, ok := err.(*api.Fault); ok && r.Name == "running" {
@@ -81,22 +81,22 @@
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		fates := map[string]int{}
 		for i := range 12 {
-			ask := verdictRequest
-			ask.Kind, ask.Key = "ruling", "dead"+string(rune('a'+i))
-			b := c.Of("router")[i%len(c.Of("router"))]
+			request := verdictRequest
+			request.Kind, request.Key = "ruling", "dead"+string(rune('a'+i))
+			p := c.Of("router")[i%len(c.Of("router"))]
 			done := make(chan struct{})
-			go func() { c.stream(b, ask); close(done) }()
+			go func() { c.stream(p, request); close(done) }()
 			time.Sleep(time.Duration(2+i*4) * time.Millisecond)
-			c.Kill(b)
+			c.Kill(p)
 			<-done
-			require.NoError(t, c.Start(b))
+			require.NoError(t, c.Start(p))
 			var last string
 			ok := c.WaitUntil(12*time.Second, func() bool {
 				for _, o := range c.Of("router") {
-					if o == b {
+					if o == p {
 						continue
 					}
-					got, err := c.stream(o, ask)
+					got, err := c.stream(o, request)
 					if r, is := err.(*api.Fault); is {
 						last = r.Name
 					} else if err == nil && len(got) > 0 {
@@ -108,7 +108,7 @@
 			})
 			require.True(t, ok, "round %d is not settled: %s", i, last)
 			fates[last]++
-			runs, records := countRuns(c, "ruling/"+ask.Key)
+			runs, records := countRuns(c, "ruling/"+request.Key)
 			require.LessOrEqual(t, runs, 1)
 			require.LessOrEqual(t, records, 1)
 			if last == "not-run" {
@@ -126,10 +126,10 @@
 func TestRunLostWithBoth(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		ask := verdictRequest
-		ask.MaxTokens = 60
-		b := c.Of("router")[2]
-		go c.stream(b, ask)
+		request := verdictRequest
+		request.MaxTokens = 60
+		p := c.Of("router")[2]
+		go c.stream(p, request)
 		var w *Process
 		require.True(t, c.WaitUntil(3*time.Second, func() bool {
 			for _, o := range c.Of("worker") {
@@ -140,11 +140,11 @@
 			return w != nil
 		}))
 		c.PowerOff(w)
-		c.PowerOff(b)
+		c.PowerOff(p)
 		require.NoError(t, c.Start(w))
 		var last string
 		require.True(t, c.WaitUntil(12*time.Second, func() bool {
-			_, err := c.stream(c.Of("router")[0], ask)
+			_, err := c.stream(c.Of("router")[0], request)
 			if r, ok := err.(*api.Fault); ok {
 				last = r.Name
 			}
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -168,28 +168,28 @@
 func TestReady(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		b := c.Of("router")[0]
+		p := c.Of("router")[0]
 		ready := func(want bool) func() bool {
-			return func() bool { ok, _ := b.Node.Ready(); return ok == want }
+			return func() bool { ok, _ := p.Node.Ready(); return ok == want }
 		}
-		require.NoError(t, c.Mark("/v1/zones/"+string(b.Zone), "out", true))
+		require.NoError(t, c.Mark("/v1/zones/"+string(p.Zone), "out", true))
 		require.True(t, c.WaitUntil(2*time.Second, ready(false)))
-		_, err := c.stream(b, verdictRequest)
+		_, err := c.stream(p, verdictRequest)
 		got, name, _ := faultFields(t, err)
 		require.Equal(t, []any{503, "not-ready"}, []any{got, name})
-		require.NoError(t, c.Mark("/v1/zones/"+string(b.Zone), "back", false))
+		require.NoError(t, c.Mark("/v1/zones/"+string(p.Zone), "back", false))
 		require.True(t, c.WaitUntil(4*time.Second, ready(true)))
 		long := api.StreamRequest{Kind: "clarification", Prompt: "what was the last point", MaxTokens: 40, Seed: 11}
 		lines := make(chan []api.StreamEvent, 1)
-		go func() { l, _ := c.stream(b, long); lines <- l }()
+		go func() { l, _ := c.stream(p, long); lines <- l }()
 		time.Sleep(150 * time.Millisecond)
-		b.Terminate()
+		p.Terminate()
 		require.True(t, c.WaitUntil(time.Second, ready(false)))
 		all := <-lines
 		require.NotEmpty(t, all)
 		require.Equal(t, api.Complete, all[len(all)-1].End)
 		// Its keys pass on by its goodbye, sooner than a lease would lapse.
-		me := b.Node.Self().Node
+		me := p.Node.Self().Node
 		require.True(t, c.WaitUntil(1500*time.Millisecond, func() bool {
 			for _, m := range c.Of("router")[1].Node.Status().(*router.NodeStatus).Members {
 				if m.Node == me {
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -19,25 +19,25 @@
 // latestShown gives the newest that any node has in force, once nothing newer is on its way
 // there.
 func latestShown(c *Cluster) *api.Shown {
-	sh := &api.Shown{}
+	state := &api.Shown{}
 	c.WaitUntil(3*time.Second, func() bool {
-		for _, b := range running(c, "router") {
-			if s := b.Node.Show(); s.Version >= sh.Version {
-				sh = s
+		for _, p := range running(c, "router") {
+			if s := p.Node.Show(); s.Version >= state.Version {
+				state = s
 			}
 		}
-		return sh.Version > 0 && sh.Version == sh.Newest
+		return state.Version > 0 && state.Version == state.Newest
 	})
-	return sh
+	return state
 }
 
 // mergedText is the whole text that a partial one over what is shown comes to.
-func mergedText(sh *api.Shown, part string) (string, error) {
+func mergedText(state *api.Shown, part string) (string, error) {
 	src, err := fleetstate.CUEToJSON("part", []byte(part))
 	if err != nil {
 		return "", err
 	}
-	text, err := fleetstate.Merge(sh.Policy, src)
+	text, err := fleetstate.Merge(state.Policy, src)
 	if err != nil {
 		return "", err
 	}
@@ -50,15 +50,15 @@
 // applyPartial applies a partial configuration, asking again under the one operation while
 // its fate is not known, and notes what it was told.
 func applyPartial(c *Cluster, op, part string) error {
-	sh := latestShown(c)
-	text, err := mergedText(sh, part)
+	state := latestShown(c)
+	text, err := mergedText(state, part)
 	if err != nil {
 		return err
 	}
-	begun := c.Recorder.Now()
+	start := c.Recorder.Now()
 	var got *api.ApplyResponse
 	c.WaitUntil(12*time.Second, func() bool {
-		got, err = c.Apply(&api.ApplyRequest{Op: op, Base: sh.Version, Partial: true, Source: part})
+		got, err = c.Apply(&api.ApplyRequest{Op: op, Base: state.Version, Partial: true, Source: part})
 		var r *api.Fault
 		return err == nil || errors.As(err, &r) && r.Code < 500
 	})
@@ -72,10 +72,10 @@
 		return err
 	}
 	c.Recorder.RecordAck(ids.Version(got.Version), text)
-	took := c.Recorder.Now() - begun
+	took := c.Recorder.Now() - start
 	c.Recorder.RecordApplyTime(took)
 	// While no node can reach the core, none can learn what it took.
-	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) && !c.Recorder.corePartitionedSince(begun) {
+	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) && !c.Recorder.corePartitionedSince(start) {
 		c.Recorder.RecordMark("slow-apply", fmt.Sprintf("version %d took %s, in force: %v", got.Version, took, got.Active))
 	}
 	return nil
@@ -93,9 +93,9 @@
 	if out {
 		what = "evacuate"
 	}
-	for _, b := range c.Of("worker") {
-		if b.Zone == z {
-			c.Recorder.RecordMark(what, b.Name)
+	for _, p := range c.Of("worker") {
+		if p.Zone == z {
+			c.Recorder.RecordMark(what, p.Name)
 		}
 	}
 	var err error
@@ -113,11 +113,11 @@
 }
 
 // corePartitionedSince tells whether the core was cut from all nodes at any time since a moment.
-func (b *Recorder) corePartitionedSince(since time.Duration) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Recorder) corePartitionedSince(since time.Duration) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	on := false
-	for _, m := range b.marks {
+	for _, m := range r.marks {
 		switch m.What {
 		case "apart":
 			on = true
@@ -132,21 +132,21 @@
 }
 
 // RecordRefused notes a text that an operator was told is not taken.
-func (b *Recorder) RecordRefused(text string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.refused = append(b.refused, text)
+func (r *Recorder) RecordRefused(text string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.refused = append(r.refused, text)
 }
 
 // RecordActive notes what a node has in force.
-func (b *Recorder) RecordActive(node string, v ids.Version, text []byte) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.active[v] == nil {
-		b.active[v] = map[string]string{}
+func (r *Recorder) RecordActive(node string, v ids.Version, text []byte) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.active[v] == nil {
+		r.active[v] = map[string]string{}
 	}
-	if _, ok := b.active[v][string(text)]; !ok {
-		b.active[v][string(text)] = node
+	if _, ok := r.active[v][string(text)]; !ok {
+		r.active[v][string(text)] = node
 	}
 }
 
@@ -179,9 +179,9 @@
 		}
 	}
 	c.Recorder.mu.Unlock()
-	for _, b := range c.Of("router") {
-		if b.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(b.Node.Show().Version) >= last }) {
-			f.add(ConfigurationLost, "%s has version %d, version %d was acknowledged", b.Name, b.Node.Show().Version, last)
+	for _, p := range c.Of("router") {
+		if p.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(p.Node.Show().Version) >= last }) {
+			f.add(ConfigurationLost, "%s has version %d, version %d was acknowledged", p.Name, p.Node.Show().Version, last)
 		}
 	}
 	for _, m := range marks {
@@ -194,9 +194,9 @@
 
 // marshalPartial writes a partial configuration.
 func marshalPartial(v map[string]any) string {
-	b, err := json.Marshal(v)
+	text, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
 	}
-	return string(b)
+	return string(text)
 }
--- a/internal/simulation/others_test.go
+++ b/internal/simulation/others_test.go
@@ -192,16 +192,16 @@
 				var wg sync.WaitGroup
 				var mu sync.Mutex
 				won := 0
-				sh := latestShown(c)
+				state := latestShown(c)
 				for k := range 2 {
 					wg.Go(func() {
 						part := fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, 3000+10*n+k)
-						text, _ := mergedText(sh, part)
+						text, _ := mergedText(state, part)
 						got := &api.ApplyResponse{}
 						p := c.Of("router")[k]
 						err := c.PostTo(p, "/v1/policy", &api.ApplyRequest{
 							Op:      fmt.Sprintf("race-%d-%d", n, k),
-							Base:    sh.Version,
+							Base:    state.Version,
 							Partial: true,
 							Source:  part,
 						}, got)
@@ -219,7 +219,7 @@
 				if won != 1 {
 					return fmt.Errorf("round %d: %d of two racing operators won", n, won)
 				}
-				c.WaitUntil(3*time.Second, func() bool { return c.Of("router")[0].Node.Show().Version > sh.Version })
+				c.WaitUntil(3*time.Second, func() bool { return c.Of("router")[0].Node.Show().Version > state.Version })
 			}
 			return nil
 		},
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -67,49 +67,49 @@
 }
 
 // Now is the time since the book was opened.
-func (b *Recorder) Now() time.Duration { return time.Since(b.start) }
+func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
-func (b *Recorder) RecordWorkerEvent(e standin.Event) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.events = append(b.events, RecordedEvent{e, b.Now()})
+func (r *Recorder) RecordWorkerEvent(e standin.Event) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.events = append(r.events, RecordedEvent{e, r.Now()})
 }
 
-func (b *Recorder) AddWorker(w TallySource) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.workers = append(b.workers, w)
+func (r *Recorder) AddWorker(w TallySource) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.workers = append(r.workers, w)
 }
 
 // RecordHandoffEvent takes a hand-over's event, with the version that its node has in force.
-func (b *Recorder) RecordHandoffEvent(node string, e handoff.Event, v ids.Version) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Recorder) RecordHandoffEvent(node string, e handoff.Event, v ids.Version) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if e.Step == handoff.Granted {
-		b.grants = append(b.grants, Grant{node, v, b.Now()})
+		r.grants = append(r.grants, Grant{node, v, r.Now()})
 	}
 	if e.Step == handoff.Granted && e.ID.Attempt > 1 {
-		b.recomputes = append(b.recomputes, b.Now())
+		r.recomputes = append(r.recomputes, r.Now())
 	}
 }
 
-func (b *Recorder) RecordMark(what, name string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.marks = append(b.marks, Mark{what, name, b.Now()})
+func (r *Recorder) RecordMark(what, name string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.marks = append(r.marks, Mark{what, name, r.Now()})
 }
 
-func (b *Recorder) RecordAck(v ids.Version, text string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.acks = append(b.acks, Acked{v, text, b.Now()})
+func (r *Recorder) RecordAck(v ids.Version, text string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.acks = append(r.acks, Acked{v, text, r.Now()})
 }
 
 // RecordApplyTime notes how long an apply was under way.
-func (b *Recorder) RecordApplyTime(d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.applyTimes = append(b.applyTimes, d)
+func (r *Recorder) RecordApplyTime(d time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.applyTimes = append(r.applyTimes, d)
 }
 
 // Violation is one violation found.
@@ -140,16 +140,16 @@
 )
 
 // Check reads the book and the callers' outcomes.
-func (b *Recorder) Check(all []standin.Outcome) []Violation {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Recorder) Check(all []standin.Outcome) []Violation {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	f := &violationList{}
-	b.checkRuns(f, all)
+	r.checkRuns(f, all)
 	checkStreams(f, all)
-	b.checkPlacement(f)
-	b.checkOrders(f)
-	b.checkGrantVersions(f)
-	b.checkRecomputeBudget(f)
+	r.checkPlacement(f)
+	r.checkOrders(f)
+	r.checkGrantVersions(f)
+	r.checkRecomputeBudget(f)
 	return f.found
 }
 
@@ -163,9 +163,9 @@
 	return out
 }
 
-func (b *Recorder) checkRuns(f *violationList, all []standin.Outcome) {
+func (r *Recorder) checkRuns(f *violationList, all []standin.Outcome) {
 	runs, records, starved := map[string]int{}, map[string]int{}, 0
-	for _, w := range b.workers {
+	for _, w := range r.workers {
 		for id, t := range w.Tallies() {
 			starved += t.Starved
 			if strings.HasPrefix(id, "k-") {
@@ -208,19 +208,19 @@
 }
 
 // returnTime tells when a mark was taken back.
-func (b *Recorder) returnTime(m Mark) time.Duration {
+func (r *Recorder) returnTime(m Mark) time.Duration {
 	end := time.Duration(1 << 62)
-	for _, r := range b.marks {
-		if r.What == "return" && r.Name == m.Name && r.At > m.At {
-			end = min(end, r.At)
+	for _, mark := range r.marks {
+		if mark.What == "return" && mark.Name == m.Name && mark.At > m.At {
+			end = min(end, mark.At)
 		}
 	}
 	return end
 }
 
 // checkPlacement: no new work at a worker that leaves, or in a zone that was emptied.
-func (b *Recorder) checkPlacement(f *violationList) {
-	for _, m := range b.marks {
+func (r *Recorder) checkPlacement(f *violationList) {
+	for _, m := range r.marks {
 		bound, line := 3*time.Second, WorkAfterLeave
 		switch m.What {
 		case "leave":
@@ -229,8 +229,8 @@
 		default:
 			continue
 		}
-		until := b.returnTime(m)
-		for _, e := range b.events {
+		until := r.returnTime(m)
+		for _, e := range r.events {
 			if (e.What == "prefill" || e.What == "import") && string(e.Worker) == m.Name && e.When > m.At+bound &&
 				e.When < until {
 				f.add(line, "%s got a %s %.2f s after", m.Name, e.What, (e.When - m.At).Seconds())
@@ -242,14 +242,14 @@
 
 // checkOrders: at each worker fences never go down, and no order carries a version
 // older than one the worker had seen a quarter second before.
-func (b *Recorder) checkOrders(f *violationList) {
+func (r *Recorder) checkOrders(f *violationList) {
 	fence := map[ids.WorkerID]ids.Fence{}
 	type since struct {
 		v  ids.Version
 		at time.Duration
 	}
 	seen := map[ids.WorkerID][]since{}
-	for _, e := range b.events {
+	for _, e := range r.events {
 		if e.Fence == 0 {
 			continue
 		}
@@ -283,14 +283,14 @@
 
 // checkGrantVersions: no node grants anything under a version older than one that some worker
 // had seen a quarter second before.
-func (b *Recorder) checkGrantVersions(f *violationList) {
+func (r *Recorder) checkGrantVersions(f *violationList) {
 	first := map[ids.Version]time.Duration{}
-	for _, e := range b.events {
+	for _, e := range r.events {
 		if at, ok := first[e.Version]; e.Version > 0 && (!ok || e.When < at) {
 			first[e.Version] = e.When
 		}
 	}
-	for _, p := range b.grants {
+	for _, p := range r.grants {
 		for v, at := range first {
 			if v > p.Version && p.At > at+250*time.Millisecond {
 				f.add(
@@ -308,12 +308,12 @@
 }
 
 // checkRecomputeBudget holds recomputes against the bucket of the default budget.
-func (b *Recorder) checkRecomputeBudget(f *violationList) {
+func (r *Recorder) checkRecomputeBudget(f *violationList) {
 	const rate, burst = 4.0, 12
-	for i := range b.recomputes {
-		for j := i; j < len(b.recomputes); j++ {
-			if n := float64(j - i + 1); n > burst+1+rate*(b.recomputes[j]-b.recomputes[i]).Seconds() {
-				f.add(RecomputeBudgetExceeded, "%d recomputes within %s", j-i+1, b.recomputes[j]-b.recomputes[i])
+	for i := range r.recomputes {
+		for j := i; j < len(r.recomputes); j++ {
+			if n := float64(j - i + 1); n > burst+1+rate*(r.recomputes[j]-r.recomputes[i]).Seconds() {
+				f.add(RecomputeBudgetExceeded, "%d recomputes within %s", j-i+1, r.recomputes[j]-r.recomputes[i])
 				return
 			}
 		}
@@ -322,17 +322,17 @@
 
 // LastWorkAfter tells how long after it was marked each leaving worker, and each worker of
 // an emptied zone, last got new work.
-func (b *Recorder) LastWorkAfter(what string) []time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Recorder) LastWorkAfter(what string) []time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []time.Duration
-	for _, m := range b.marks {
+	for _, m := range r.marks {
 		if m.What != what {
 			continue
 		}
-		until := b.returnTime(m)
+		until := r.returnTime(m)
 		last := time.Duration(0)
-		for _, e := range b.events {
+		for _, e := range r.events {
 			if (e.What == "prefill" || e.What == "import") && string(e.Worker) == m.Name && e.When > m.At &&
 				e.When < until {
 				last = e.When - m.At
@@ -345,12 +345,12 @@
 
 // LongestStaleOrder is the longest that any worker, having seen a version, still got an
 // order under an older one.
-func (b *Recorder) LongestStaleOrder() time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Recorder) LongestStaleOrder() time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	first := map[ids.WorkerID]map[ids.Version]time.Duration{}
 	most := time.Duration(0)
-	for _, e := range b.events {
+	for _, e := range r.events {
 		if e.Fence == 0 || e.What == "resumed" {
 			continue
 		}
--- a/internal/simulation/stream_test.go
+++ b/internal/simulation/stream_test.go
@@ -14,44 +14,44 @@
 )
 
 // startStream asks one door in the background; the lines come once the stream has ended.
-func (c *Cluster) startStream(b *Process, ask api.StreamRequest) <-chan []api.StreamEvent {
+func (c *Cluster) startStream(p *Process, request api.StreamRequest) <-chan []api.StreamEvent {
 	done := make(chan []api.StreamEvent, 1)
 	go func() {
-		got, _ := c.stream(b, ask)
+		got, _ := c.stream(p, request)
 		done <- got
 	}()
 	return done
 }
 
 // stream asks one door and gives the lines, or the refusal.
-func (c *Cluster) stream(b *Process, ask api.StreamRequest) ([]api.StreamEvent, error) {
-	body, err := json.Marshal(ask)
+func (c *Cluster) stream(p *Process, request api.StreamRequest) ([]api.StreamEvent, error) {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, err
 	}
-	cx, stop := context.WithTimeout(c.ctx, 20*time.Second)
+	ctx, stop := context.WithTimeout(c.ctx, 20*time.Second)
 	defer stop()
-	q, err := http.NewRequestWithContext(
-		cx, http.MethodPost, "http://"+b.FrontendAddr+"/v1/streams", strings.NewReader(string(body)),
+	post, err := http.NewRequestWithContext(
+		ctx, http.MethodPost, "http://"+p.FrontendAddr+"/v1/streams", strings.NewReader(string(body)),
 	)
 	if err != nil {
 		return nil, err
 	}
-	r, err := c.httpClient.Do(q)
+	response, err := c.httpClient.Do(post)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Body.Close()
-	if r.StatusCode != http.StatusOK {
-		b, _ := io.ReadAll(r.Body)
-		return nil, api.Refusal(r.StatusCode, b)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		text, _ := io.ReadAll(response.Body)
+		return nil, api.Refusal(response.StatusCode, text)
 	}
 	var out []api.StreamEvent
-	for rows := json.NewDecoder(r.Body); ; {
-		var l api.StreamEvent
-		if rows.Decode(&l) != nil {
+	for decoder := json.NewDecoder(response.Body); ; {
+		var event api.StreamEvent
+		if decoder.Decode(&event) != nil {
 			return out, nil
 		}
-		out = append(out, l)
+		out = append(out, event)
 	}
 }
--- a/internal/simulation/trial_test.go
+++ b/internal/simulation/trial_test.go
@@ -44,29 +44,29 @@
 	r := rand.New(rand.NewPCG(seed, 99))
 	span := max(pace.DuringScript, s.LoadDuration)
 	done := make(chan error, 1)
-	begun := time.Now()
-	cx, still := context.WithCancel(c.ctx)
-	c.wg.Go(func() { c.watch(cx, &v.WithoutPrimary) })
+	start := time.Now()
+	ctx, stopWatching := context.WithCancel(c.ctx)
+	c.wg.Go(func() { c.watch(ctx, &v.WithoutPrimary) })
 	go func() {
 		time.Sleep(2 * time.Second)
 		done <- s.Run(c, r)
 	}()
 	all := c.Load(pace.Rate, span, seed)
 	err := <-done
-	struck := 2 * time.Second
+	firstFault := 2 * time.Second
 	// After the script the fleet must serve again, whatever happened.
-	rest := time.Since(begun)
-	all2 := c.Load(pace.Rate, pace.AfterScript, seed+1000)
-	for i := range all2 {
-		all2[i].At += rest
+	elapsed := time.Since(start)
+	after := c.Load(pace.Rate, pace.AfterScript, seed+1000)
+	for i := range after {
+		after[i].At += elapsed
 	}
-	all = append(all, all2...)
+	all = append(all, after...)
 	if err != nil {
 		v.Violations = append(v.Violations, Violation{ServiceNotRestored, "script: " + err.Error()})
 	}
 	v.Summary = standin.Sum(all)
-	still()
-	v.Outages = c.backs(all, [][2]time.Duration{{struck, span}, {rest + 500*time.Millisecond, rest + pace.AfterScript}})
+	stopWatching()
+	v.Outages = c.backs(all, [][2]time.Duration{{firstFault, span}, {elapsed + 500*time.Millisecond, elapsed + pace.AfterScript}})
 	bound := s.Bound
 	if bound == 0 {
 		bound = 12 * time.Second
