--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -1,4 +1,4 @@
-// The checkers themselves: each catches a planted violation of its line.
+// Tests of the checkers: each one reports a violation of its rule that is put into a recording.
 
 package simulation
 
@@ -18,8 +18,8 @@
 
 func (f fakeTallies) Tallies() map[string]standin.Tally { return f }
 
-// TestCheckersCatch plants one violation of each line and sees it caught, under
-// its own name and no other.
+// TestCheckersCatch records one violation of each rule and requires that exactly this rule is
+// reported.
 func TestCheckersCatch(t *testing.T) {
 	event := func(r *Recorder, what, worker string, fence ids.Fence, v ids.Version, at time.Duration) {
 		r.events = append(r.events, RecordedEvent{
@@ -33,7 +33,7 @@
 			at,
 		})
 	}
-	for line, plant := range map[string]func(r *Recorder) []standin.Outcome{
+	for rule, violate := range map[string]func(r *Recorder) []standin.Outcome{
 		RunTwice: func(r *Recorder) []standin.Outcome {
 			r.AddWorker(fakeTallies{"k-1": {Runs: 1, Records: 1}})
 			r.AddWorker(fakeTallies{"k-1": {Runs: 1}})
@@ -44,7 +44,7 @@
 			return []standin.Outcome{{Kind: "verdict", Key: "c1+", End: "complete"}}
 		},
 		StreamCorrupted: func(*Recorder) []standin.Outcome {
-			return []standin.Outcome{{Kind: "rider", End: "wrong", Detail: "piece 4 where 3 was due"}}
+			return []standin.Outcome{{Kind: "rider", End: "wrong", Detail: "piece 4 where 3 was expected"}}
 		},
 		OutputDiffers: func(*Recorder) []standin.Outcome {
 			return []standin.Outcome{{Kind: "rider", End: "wrong", Detail: "tokens [1]"}}
@@ -80,11 +80,11 @@
 			return nil
 		},
 	} {
-		t.Run(line, func(t *testing.T) {
+		t.Run(rule, func(t *testing.T) {
 			r := NewRecorder()
-			got := r.Check(plant(r))
+			got := r.Check(violate(r))
 			require.Len(t, got, 1, "%v", got)
-			require.Equal(t, line, got[0].Rule)
+			require.Equal(t, rule, got[0].Rule)
 		})
 	}
 	r := NewRecorder()
@@ -99,19 +99,20 @@
 	}, time.Second, 7*time.Second, nil))
 }
 
-// TestConfigurationChecks plants what must be caught of configurations, and what must not.
+// TestConfigurationChecks records acknowledged, refused and active configurations: contradictions
+// among them must be reported, and consistent recordings must not.
 func TestConfigurationChecks(t *testing.T) {
-	for name, plant := range map[string]func(r *Recorder){
-		"another text":        func(r *Recorder) { r.RecordAck(3, "a"); r.RecordActive("n1", 3, []byte("b")) },
-		"two texts":           func(r *Recorder) { r.RecordActive("n1", 3, []byte("a")); r.RecordActive("n2", 3, []byte("b")) },
-		"a refused text":      func(r *Recorder) { r.RecordRefused("x"); r.RecordActive("n1", 4, []byte("x")) },
-		"a slow apply":        func(r *Recorder) { r.RecordMark("slow-apply", "version 3") },
-		"":                    func(r *Recorder) { r.RecordAck(3, "a"); r.RecordActive("n1", 3, []byte("a")); r.RecordRefused("b") },
-		"refused, then taken": func(r *Recorder) { r.RecordRefused("a"); r.RecordAck(4, "a"); r.RecordActive("n1", 4, []byte("a")) },
+	for name, record := range map[string]func(r *Recorder){
+		"different text":         func(r *Recorder) { r.RecordAck(3, "a"); r.RecordActive("n1", 3, []byte("b")) },
+		"two texts":              func(r *Recorder) { r.RecordActive("n1", 3, []byte("a")); r.RecordActive("n2", 3, []byte("b")) },
+		"refused text":           func(r *Recorder) { r.RecordRefused("x"); r.RecordActive("n1", 4, []byte("x")) },
+		"slow apply":             func(r *Recorder) { r.RecordMark("slow-apply", "version 3") },
+		"":                       func(r *Recorder) { r.RecordAck(3, "a"); r.RecordActive("n1", 3, []byte("a")); r.RecordRefused("b") },
+		"refused, then accepted": func(r *Recorder) { r.RecordRefused("a"); r.RecordAck(4, "a"); r.RecordActive("n1", 4, []byte("a")) },
 	} {
 		c := &Cluster{Recorder: NewRecorder()}
-		plant(c.Recorder)
-		if got := c.checkConfigurations(); name == "" || name == "refused, then taken" {
+		record(c.Recorder)
+		if got := c.checkConfigurations(); name == "" || name == "refused, then accepted" {
 			require.Empty(t, got, name)
 		} else {
 			require.Len(t, got, 1, name)
@@ -119,8 +120,8 @@
 	}
 	r := NewRecorder()
 	require.False(t, r.corePartitionedSince(0))
-	r.marks = []Mark{{"apart", "core", 2}, {"joined", "core", 5}}
+	r.marks = []Mark{{"partition", "core", 2}, {"heal", "core", 5}}
 	require.True(t, r.corePartitionedSince(3))
 	require.False(t, r.corePartitionedSince(6))
-	require.True(t, r.corePartitionedSince(1), "it came after the asking")
+	require.True(t, r.corePartitionedSince(1), "the partition began after the start of the interval")
 }
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -1,7 +1,7 @@
-// Package simulation runs whole fleets in one process, on the simulated machines of
-// host/simulated and the real HTTP and connect-go stacks, breaks them as a seed says,
-// and holds what was recorded against every line of what must never happen.
-// This file builds a fleet; it is meant for a testing/synctest bubble.
+// Package simulation runs complete fleets in one process, on the simulated machines of
+// host/simulated and the real HTTP and connect-go stacks. It injects failures that are chosen
+// by a seed and checks the recorded events against every safety and liveness rule.
+// This file builds a fleet, which must run within a testing/synctest bubble.
 package simulation
 
 import (
@@ -27,7 +27,7 @@
 	"keelstair.example/rpc"
 )
 
-// Process is one machine of the fleet with its process.
+// Process is a machine of the fleet and the process that runs on it.
 type Process struct {
 	Name         string
 	Kind         string
@@ -39,15 +39,15 @@
 	Node         *router.Node
 	Worker       *standin.Worker
 	Up           bool
-	Terminate    context.CancelFunc // a node's SIGTERM
+	Terminate    context.CancelFunc // starts a router's graceful shutdown, as SIGTERM does
 
-	mu      host.ChannelMutex // of what begins and ends it
+	mu      host.ChannelMutex // serializes starting and stopping
 	process *simulated.Process
 	cancel  context.CancelFunc
 	start   func(p *Process, ctx context.Context, host host.Host) error
 }
 
-// Cluster is a fleet.
+// Cluster is a simulated fleet of controllers, routers and workers with their platform and clients.
 type Cluster struct {
 	World          *simulated.World
 	Site           standin.Site
@@ -57,22 +57,22 @@
 	Seeds          []string
 	TuneWorker     func(*standin.WorkerOptions)
 	Programs       map[string]fleetstate.Program
-	OnHandoffEvent func(handoff.Event) // told of every step of every hand-over
-	FixedRoles     bool                // workers keep their parts
-	ApplySlack     time.Duration       // on top of the bound for an apply, where takeovers come between
+	OnHandoffEvent func(handoff.Event) // called for every step of every hand-off, if set
+	FixedRoles     bool                // disables role changes of workers
+	ApplySlack     time.Duration       // extra time allowed for an apply in scripts with leader takeovers
 	Retention      fleetstate.Retention
 
 	ctx           context.Context
 	cancel        context.CancelFunc
 	wg            sync.WaitGroup
-	cores         sync.Map   // *coordination.Core, every one that was started
-	nodes         sync.Map   // *router.Node -> name, likewise
-	mu            sync.Mutex // of Processes
+	cores         sync.Map   // *coordination.Core -> true, including those that have stopped
+	nodes         sync.Map   // *router.Node -> name, including those that have stopped
+	mu            sync.Mutex // guards Processes
 	clientProcess *simulated.Process
 	httpClient    *http.Client
 }
 
-// Build sets up a site's fleet and starts all of it but the load.
+// Build creates a site's fleet and starts all its processes, but sends no load.
 func Build(seed uint64, site standin.Site, tune func(*Cluster)) *Cluster {
 	c := &Cluster{World: simulated.NewWorld(seed), Site: site, Recorder: NewRecorder()}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
@@ -125,7 +125,7 @@
 	return logging.Discard()
 }
 
-// Controller describes a disk machine.
+// Controller describes a controller, which stores the coordination state on its disk.
 func (c *Cluster) Controller(name, addr string, zone ids.Zone) *Process {
 	ip := addr[:len(addr)-4]
 	return &Process{
@@ -201,7 +201,7 @@
 	}
 }
 
-// Worker describes a stand-in worker.
+// Worker describes a worker that simulates inference.
 func (c *Cluster) Worker(id ids.WorkerID, w fleetstate.Worker, ip string) *Process {
 	return &Process{
 		Name:    string(id),
@@ -219,7 +219,7 @@
 				Host:     host,
 				Model:    workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters},
 			}
-			// Slow enough that a breakdown finds work in flight.
+			// Slow enough that requests are in flight when a failure is injected.
 			opt.Step, opt.Read = 10*time.Millisecond, 80*time.Microsecond
 			if c.TuneWorker != nil {
 				c.TuneWorker(&opt)
@@ -235,7 +235,7 @@
 	}
 }
 
-// Start begins a box's process.
+// Start starts the process of a machine unless it is running.
 func (c *Cluster) Start(p *Process) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -251,7 +251,7 @@
 	return err
 }
 
-// Kill ends a box's process at once, as kill -9 does.
+// Kill ends a process at once, as kill -9 does.
 func (c *Cluster) Kill(p *Process) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -266,8 +266,8 @@
 	}
 }
 
-// PowerOff takes a box's power: nobody is told, and a disk step that was under
-// way is left as chance has it.
+// PowerOff cuts a machine's power. Its connections aren't closed, and an unfinished disk write may
+// be lost, partial or complete, as the seed decides.
 func (c *Cluster) PowerOff(p *Process) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -278,7 +278,7 @@
 	}
 }
 
-// Of lists boxes of a kind.
+// Of lists the processes of a kind, running or not.
 func (c *Cluster) Of(kind string) []*Process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -291,7 +291,7 @@
 	return out
 }
 
-// Leader is the controller that leads, or nil.
+// Leader returns the controller that leads, or nil.
 func (c *Cluster) Leader() *Process {
 	for _, p := range c.Of("controller") {
 		if p.Up && p.Core.Leads() {
@@ -301,7 +301,7 @@
 	return nil
 }
 
-// WaitUntil waits for something to become true.
+// WaitUntil polls until f returns true, and returns false if that takes longer than span.
 func (c *Cluster) WaitUntil(span time.Duration, f func() bool) bool {
 	end := time.Now().Add(span)
 	for !f() {
@@ -313,10 +313,11 @@
 	return true
 }
 
-// Bootstrap waits for the core and applies the site's first configuration.
+// Bootstrap waits until the core has a leader, applies the site's first configuration and waits
+// until all routers are ready.
 func (c *Cluster) Bootstrap() error {
 	if !c.WaitUntil(10*time.Second, func() bool { return c.Leader() != nil }) {
-		return fmt.Errorf("no core was founded")
+		return fmt.Errorf("no controller became the leader")
 	}
 	text := c.Site.Policy(c.Programs)
 	if c.FixedRoles {
@@ -338,23 +339,23 @@
 		}
 		return len(c.Platform.Nodes("")) > 0
 	}) {
-		return fmt.Errorf("the nodes did not become ready")
+		return fmt.Errorf("the routers did not become ready")
 	}
 	return nil
 }
 
-// Apply asks the first door that answers.
+// Apply sends an apply request to the first frontend that answers.
 func (c *Cluster) Apply(a *api.ApplyRequest) (*api.ApplyResponse, error) {
 	got := &api.ApplyResponse{}
 	return got, c.Post("/v1/policy", a, got)
 }
 
-// Mark evacuates, drains, or takes that back.
+// Mark takes a zone or worker out of use, or back into use if out is false.
 func (c *Cluster) Mark(path, op string, out bool) error {
 	return c.Post(path, &api.MarkRequest{Op: op, Out: out}, nil)
 }
 
-// Post asks the doors of the nodes that are up, as keelstairctl does.
+// Post sends an operator's request to the frontends of the running routers, as keelstairctl does.
 func (c *Cluster) Post(path string, in, out any) error {
 	var frontends []string
 	for _, p := range running(c, "router") {
@@ -365,19 +366,19 @@
 	return api.Put(ctx, c.httpClient, frontends, http.MethodPost, path, in, out)
 }
 
-// PostTo asks one node's door.
+// PostTo sends an operator's request to one router's frontend.
 func (c *Cluster) PostTo(p *Process, path string, in, out any) error {
 	ctx, stop := context.WithTimeout(c.ctx, 6*time.Second)
 	defer stop()
 	return api.Put(ctx, c.httpClient, []string{p.FrontendAddr}, http.MethodPost, path, in, out)
 }
 
-// Load sends the site's mix for a span and waits for every answer.
+// Load sends the site's request shapes for a time and waits until every request has ended.
 func (c *Cluster) Load(rate float64, span time.Duration, seed uint64) []standin.Outcome {
 	return c.LoadShapes(c.Site.Shapes, rate, span, seed)
 }
 
-// LoadShapes sends another mix of shapes.
+// LoadShapes is Load with the given request shapes.
 func (c *Cluster) LoadShapes(shapes []standin.Shape, rate float64, span time.Duration, seed uint64) []standin.Outcome {
 	return standin.Load(c.ctx, standin.LoadOptions{
 		Host:     c.clientProcess.Host(),
@@ -393,7 +394,7 @@
 	})
 }
 
-// Close ends the fleet and everything in it.
+// Close stops all processes of the fleet and waits until their goroutines have ended.
 func (c *Cluster) Close() {
 	for _, p := range c.Processes {
 		p.Machine.Freeze(false)
@@ -407,5 +408,5 @@
 		c.World.Machine(ip).PowerOff()
 	}
 	c.wg.Wait()
-	time.Sleep(30 * time.Second) // simulated: what is under way runs out
+	time.Sleep(30 * time.Second) // simulated time: pending calls time out
 }
--- a/internal/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -1,6 +1,6 @@
-// The composer draws several breakdowns and operators' acts and lets them overlap
-// as a seed says, within what is to be borne: one disk machine away for long at a
-// time, one zone at a time; any number of processes killed and started again.
+// This file combines randomly chosen failures and operator actions into one script in which they
+// overlap, within the failures that the fleet must tolerate: at most one controller and one zone
+// are unavailable for long at a time, while any number of processes may be killed and restarted.
 
 package simulation
 
@@ -16,25 +16,25 @@
 	"keelstair.example/internal/standin"
 )
 
-// action is one thing that happens. Acts of the same turn wait for one another.
+// action is a failure or an operator's change. Actions of the same group never overlap.
 type action struct {
 	name  string
-	group string // disk, zone, links or none
+	group string // disk, zone, links or empty
 	run   func(c *Cluster, r *rand.Rand, op string) error
 }
 
-func randomDuration(r *rand.Rand, least, most int) time.Duration {
-	return time.Duration(least+r.IntN(most-least)) * time.Millisecond
+func randomDuration(r *rand.Rand, minMs, maxMs int) time.Duration {
+	return time.Duration(minMs+r.IntN(maxMs-minMs)) * time.Millisecond
 }
 
-// restartAfter takes a box away for a while and starts it again.
-func restartAfter(c *Cluster, p *Process, away time.Duration, power bool) error {
+// restartAfter kills a process or cuts its machine's power, and restarts it after a time.
+func restartAfter(c *Cluster, p *Process, downtime time.Duration, power bool) error {
 	if power {
 		c.PowerOff(p)
 	} else {
 		c.Kill(p)
 	}
-	time.Sleep(away)
+	time.Sleep(downtime)
 	return c.Start(p)
 }
 
@@ -48,7 +48,7 @@
 	return out
 }
 
-// changeIgnoringConflict applies a change; one that another operator forestalled is no breakdown.
+// changeIgnoringConflict applies a change. Losing to a concurrent operator's change isn't an error.
 func changeIgnoringConflict(c *Cluster, op, part string) error {
 	if err := applyPartial(c, op, part); err != nil && !errors.Is(err, errConflict) {
 		return fmt.Errorf("%s: %w", op, err)
@@ -60,10 +60,10 @@
 	{"leader killed", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		return restartAfter(c, leader(c), randomDuration(r, 200, 4000), false)
 	}},
-	{"a controller's power lost", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"a controller loses power", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		return restartAfter(c, pickOne(r, running(c, "controller")), randomDuration(r, 500, 5000), true)
 	}},
-	{"leader lost in mid-takeover", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"leader lost during a takeover", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := leader(c)
 		c.Kill(p)
 		time.Sleep(randomDuration(r, 900, 2200))
@@ -75,7 +75,7 @@
 		}
 		return nil
 	}},
-	{"disk wiped right after an acknowledgement", "disk", func(c *Cluster, r *rand.Rand, op string) error {
+	{"disk wiped right after an acknowledged change", "disk", func(c *Cluster, r *rand.Rand, op string) error {
 		if err := changeIgnoringConflict(
 			c, op, marshalPartial(map[string]any{"limits": map[string]any{"retryAfterMs": 1000 + r.IntN(900)}}),
 		); err != nil {
@@ -109,14 +109,14 @@
 		p.Machine.StallDisk(false)
 		return nil
 	}},
-	{"a controller freezes and wakes", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"a controller freezes and resumes", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := pickOne(r, running(c, "controller"))
 		p.Machine.Freeze(true)
 		time.Sleep(randomDuration(r, 500, 5000))
 		p.Machine.Freeze(false)
 		return nil
 	}},
-	{"the core is split", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"the leader partitioned from the other controllers", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := leader(c)
 		var rest []*Process
 		for _, o := range c.Of("controller") {
@@ -139,7 +139,7 @@
 		}
 		return nil
 	}},
-	{"nodes killed one by one", "", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"routers killed one by one", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 1 + r.IntN(3) {
 			if err := restartAfter(c, pickOne(r, c.Of("router")), randomDuration(r, 100, 2500), false); err != nil {
 				return err
@@ -147,21 +147,21 @@
 		}
 		return nil
 	}},
-	{"a node freezes and wakes after its keys went elsewhere", "", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"a router freezes and resumes after its keys moved", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := pickOne(r, c.Of("router"))
 		p.Machine.Freeze(true)
 		time.Sleep(randomDuration(r, 3500, 6500))
 		p.Machine.Freeze(false)
 		return nil
 	}},
-	{"clocks leap", "", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"clocks jump", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 3 {
 			pickOne(r, append(c.Of("router"), c.Of("controller")...)).Machine.JumpClock(randomDuration(r, 500, 20000))
 			time.Sleep(randomDuration(r, 0, 900))
 		}
 		return nil
 	}},
-	{"a node cut from its kind", "links", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"a router partitioned from controllers and routers", "links", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := pickOne(r, c.Of("router"))
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
@@ -169,7 +169,7 @@
 		c.World.Partition(addresses(p), peers, false)
 		return nil
 	}},
-	{"all leases lapse", "links", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"all leases expire", "links", func(c *Cluster, r *rand.Rand, _ string) error {
 		c.PartitionCore(true)
 		time.Sleep(randomDuration(r, 3000, 5500))
 		c.PartitionCore(false)
@@ -183,7 +183,7 @@
 		}
 		return nil
 	}},
-	{"links slow, then a controller dies with memory in flight", "", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"slow links, then a router killed during KV transfers", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for _, p := range c.Of("worker") {
 			p.Worker.Order(standin.Faults{Speed: 60_000 + r.IntN(300_000)})
 		}
@@ -194,14 +194,14 @@
 		}
 		return err
 	}},
-	{"memory lost or spoilt", "", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"KV cache lost or corrupted", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := pickOne(r, c.Of("worker"))
 		p.Worker.Order(standin.Faults{Drop: r.IntN(2) == 0, Corrupt: true})
 		time.Sleep(randomDuration(r, 500, 3000))
 		p.Worker.Order(standin.Faults{})
 		return nil
 	}},
-	{"reports lag", "", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"worker reports delayed", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for _, p := range c.Of("worker") {
 			p.Worker.Order(standin.Faults{LagMs: 450})
 		}
@@ -211,7 +211,7 @@
 		}
 		return nil
 	}},
-	{"operators change much at once", "", func(c *Cluster, r *rand.Rand, op string) error {
+	{"operators make many changes", "", func(c *Cluster, r *rand.Rand, op string) error {
 		for i := range 4 {
 			if err := changeIgnoringConflict(c, fmt.Sprint(op, "-", i), catalogueChange(r, op, i)); err != nil {
 				return err
@@ -219,7 +219,7 @@
 		}
 		return nil
 	}},
-	{"a zone emptied and taken back", "zone", func(c *Cluster, r *rand.Rand, op string) error {
+	{"a zone evacuated and restored", "zone", func(c *Cluster, r *rand.Rand, op string) error {
 		z := pickOne(r, c.Site.Zones)
 		if err := setEvacuated(c, z, op+"-out", true); err != nil {
 			return err
@@ -229,15 +229,15 @@
 	}},
 	{"a zone loses power", "zone", func(c *Cluster, r *rand.Rand, _ string) error {
 		z := pickOne(r, c.Site.Zones)
-		var gone []*Process
+		var lost []*Process
 		for _, p := range append(append(c.Of("controller"), c.Of("router")...), c.Of("worker")...) {
 			if p.Zone == z && p.Up {
-				gone = append(gone, p)
+				lost = append(lost, p)
 				c.PowerOff(p)
 			}
 		}
 		time.Sleep(randomDuration(r, 2000, 5000))
-		for _, p := range gone {
+		for _, p := range lost {
 			if err := c.Start(p); err != nil {
 				return err
 			}
@@ -253,8 +253,7 @@
 	}},
 }
 
-// catalogueChange is a partial configuration that adds to and takes from the catalogue, the
-// kinds, the programs and the zones.
+// catalogueChange is a partial configuration that adds or removes workers, zones or programs.
 func catalogueChange(r *rand.Rand, op string, i int) string {
 	name := fmt.Sprintf("%s-%d", op, i)
 	part := map[string]any{"limits": map[string]any{"retryAfterMs": 900 + r.IntN(5000)}}
@@ -283,41 +282,41 @@
 	return marshalPartial(part)
 }
 
-// ComposedScript draws two to four acts for a seed and gives them as one script.
+// ComposedScript combines two to four actions, chosen by the seed, into one script.
 func ComposedScript(seed uint64) Script {
 	r := rand.New(rand.NewPCG(seed, 2026))
 	var names []string
-	list := r.Perm(len(actions))[:2+r.IntN(3)]
-	for _, i := range list {
+	chosen := r.Perm(len(actions))[:2+r.IntN(3)]
+	for _, i := range chosen {
 		names = append(names, actions[i].name)
 	}
 	return Script{
 		Name:      strings.Join(names, " + "),
 		Configure: func(c *Cluster) { c.ApplySlack = 2 * time.Second },
 		Run: func(c *Cluster, _ *rand.Rand) error {
-			turns := map[string]host.ChannelMutex{}
+			locks := map[string]host.ChannelMutex{}
 			for _, a := range actions {
-				turns[a.group] = host.NewChannelMutex()
+				locks[a.group] = host.NewChannelMutex()
 			}
-			done := make(chan error, len(list))
-			for n, i := range list {
-				own := rand.New(rand.NewPCG(seed, uint64(n)))
+			done := make(chan error, len(chosen))
+			for n, i := range chosen {
+				random := rand.New(rand.NewPCG(seed, uint64(n)))
 				go func() {
-					time.Sleep(randomDuration(own, 0, 4000))
-					if t := actions[i].group; t != "" {
-						// A zone that is away takes a disk machine with it.
-						for _, turn := range []string{"disk", "zone", "links"} {
-							if turn == t || t == "zone" && turn == "disk" {
-								turns[turn].Lock()
-								defer turns[turn].Unlock()
+					time.Sleep(randomDuration(random, 0, 4000))
+					if own := actions[i].group; own != "" {
+						// A zone that is unavailable includes a controller.
+						for _, group := range []string{"disk", "zone", "links"} {
+							if group == own || own == "zone" && group == "disk" {
+								locks[group].Lock()
+								defer locks[group].Unlock()
 							}
 						}
 					}
-					done <- actions[i].run(c, own, fmt.Sprintf("op%d", n))
+					done <- actions[i].run(c, random, fmt.Sprintf("op%d", n))
 				}()
 			}
 			var err error
-			for range list {
+			for range chosen {
 				err = errors.Join(err, <-done)
 			}
 			return err
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -1,7 +1,7 @@
-// Long histories: thousands of changes of a large document with evacuations between
-// them, while members of the core restart, come back with empty disks, or are new.
-// Every change is made over the newest acknowledged version, so one that is refused
-// shows a leader that lacks acknowledged state.
+// Long histories: thousands of changes of a large document and of evacuations, while members of
+// the core restart, return with empty disks or are replaced by new ones. Every change is based on
+// the newest acknowledged version, so a refused change reveals a leader that lacks acknowledged
+// state.
 
 package simulation
 
@@ -29,15 +29,15 @@
 )
 
 const (
-	linkRate      = 10_000_000 / 8 // bytes a second of each machine's link
-	diskBound     = 40_000_000     // bytes that a member's disk holds at most; the disk has 64 MB
+	linkRate      = 10_000_000 / 8 // bytes per second of each machine's link
+	diskBound     = 40_000_000     // limit on the bytes stored by a member, whose disk has 64 MB
 	catchUpBound  = 10 * time.Second
 	historyRoutes = 1400
 
 	changesPerGeneration = 5
 )
 
-// ratedNet is a network whose machine sends at a limited rate, and counts.
+// ratedNet limits the rate at which a machine sends, and counts the bytes sent.
 type ratedNet struct {
 	host.Net
 	mu   host.ChannelMutex
@@ -86,9 +86,9 @@
 	return c.Conn.Write(b)
 }
 
-// largeDocument has many routes of about 290 bytes. All differ from one generation to
-// the next, so that this change goes as a whole text; others change one route.
-func largeDocument(generation, changed, mark int) []byte {
+// largeDocument has many routes of about 290 bytes. All routes differ between generations, so that
+// such a change is replicated as a complete text; other changes affect a single route.
+func largeDocument(generation, changed, change int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"routes":[`)
 	for i := range historyRoutes {
@@ -98,7 +98,7 @@
 		h := uint32(i+1) * 2654435761
 		deadline := 2000 + int(h%9)*500 + generation
 		if i == changed {
-			deadline = 100_000 + mark
+			deadline = 100_000 + change
 		}
 		fmt.Fprintf(
 			&b,
@@ -124,14 +124,14 @@
 	return []byte(b.String())
 }
 
-// noopWatcher is a follower that wants the numbers only.
+// noopWatcher ignores the state: the operator's agent needs the sequence numbers only.
 type noopWatcher struct{}
 
 func (noopWatcher) Restore([]byte) error                 { return nil }
 func (noopWatcher) Observe(ids.Seq, string, []byte) bool { return false }
 func (noopWatcher) Snapshot() []byte                     { return nil }
 
-// history is a core with its operator.
+// history is a core of three members and an operator that changes its state.
 type history struct {
 	t         *testing.T
 	world     *simulated.World
@@ -142,8 +142,8 @@
 	operator  *coordination.Agent
 	newest    ids.Version
 	evacuated bool
-	sent      int // bytes that members sent
-	disk      int // bytes that a disk held at most
+	sent      int // bytes sent by all members
+	disk      int // most bytes that any disk held
 	changes   int
 	slowest   time.Duration
 }
@@ -221,7 +221,7 @@
 	time.Sleep(30 * time.Second)
 }
 
-// leader is the address of the member that leads, or empty.
+// leader returns the address of the leader, or an empty string if there is none.
 func (h *history) leader() string {
 	for addr, core := range h.cores {
 		if core.Leads() {
@@ -231,13 +231,13 @@
 	return ""
 }
 
-// retryUntilDone asks until there is a clear answer, for half a minute at most.
-func (h *history) retryUntilDone(ask func(ctx context.Context) error) {
+// retryUntilDone repeats a call until it succeeds, for 30 s at most.
+func (h *history) retryUntilDone(call func(ctx context.Context) error) {
 	start := time.Now()
 	var err error
 	for time.Since(start) < 30*time.Second {
 		ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
-		err = ask(ctx)
+		err = call(ctx)
 		stop()
 		if err == nil {
 			break
@@ -248,7 +248,8 @@
 	h.slowest = max(h.slowest, time.Since(start))
 }
 
-// change makes one change of the document, every fifth of all of it, and every seventh time one of a zone.
+// change makes one change to the document, every fifth time to all its routes, and every seventh time
+// also evacuates or restores a zone.
 func (h *history) change() {
 	h.changes++
 	op := ids.OpID(fmt.Sprint("op/change-", h.changes))
@@ -273,7 +274,7 @@
 	}
 }
 
-// waitCaughtUp gives the time until a member leads or is the backup, while changes go on.
+// waitCaughtUp makes changes until a member is the primary or backup, and returns the time that took.
 func (h *history) waitCaughtUp(addr string) time.Duration {
 	start := time.Now()
 	for {
@@ -286,9 +287,9 @@
 	}
 }
 
-// replace stops the backup and has it come back, with its disk or without; or one that
-// is new comes in its place. The remaining member then stops, so that the one that
-// caught up must lead.
+// replace stops the backup and restarts it, with its disk or with an empty one, or starts a new
+// member in its place. Once that member has caught up, the leader stops, so that the member must
+// lead.
 func (h *history) replace(kind string) (took time.Duration, sent int) {
 	out := h.cores[h.leader()].Directory().Record().Backup.Addr
 	h.stop(out)
@@ -307,13 +308,13 @@
 	}
 	before := h.sent
 	h.start(in)
-	// It counts as lost until it has had time to take its register back, or one of a
-	// member that is gone.
+	// The member counts as lost until it has had time to take over its own register again, or
+	// that of a member that is gone.
 	for range 4 {
 		h.change()
 		time.Sleep(time.Second)
 	}
-	// The one that became the backup meanwhile goes, so that this one must take its place.
+	// Stop the member that has become the backup meanwhile, so that this one must replace it.
 	other := h.cores[h.leader()].Directory().Record().Backup.Addr
 	if other != in {
 		h.stop(other)
@@ -335,9 +336,9 @@
 	return took, sent
 }
 
-// TestLongHistory: after however many changes a member that restarts, lost its disk or
-// is new catches up in bounded time while changes go on, and leads with all that was
-// acknowledged. Its disk stays far below 64 MB. KEELSTAIR_CHANGES sets how many.
+// TestLongHistory: after any number of changes, a member that restarts, has lost its disk or is new
+// catches up in bounded time while changes continue, and then leads with all acknowledged state.
+// Its disk usage stays far below 64 MB. KEELSTAIR_CHANGES sets the number of changes.
 func TestLongHistory(t *testing.T) {
 	skipUnderRace(t)
 	changes := 60
@@ -367,7 +368,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&memory)
 		t.Logf(
-			"version %d; slowest answer %s; a disk held %d bytes at most; heap of all %d MB",
+			"version %d; slowest change %s; most bytes on a disk: %d; heap of the whole test %d MB",
 			h.newest,
 			h.slowest,
 			h.disk,
--- a/internal/simulation/idempotency_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -1,5 +1,5 @@
-// Rulings and verdicts: one key asked everywhere, and controllers that die at every
-// step of a hand-over.
+// Idempotency of keyed requests: the same key sent to every router, and routers that die at each
+// step of a hand-off.
 
 package simulation
 
@@ -33,8 +33,8 @@
 	Seed:      5,
 }
 
-// TestSameKey: one key asked of every node at once, and again later, runs once
-// and gives one record; another body under the key is refused.
+// TestSameKey: a key that is sent to every router at once, and again later, runs once and leaves
+// one record. Another request body under the same key is refused.
 func TestSameKey(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
@@ -73,13 +73,13 @@
 	})
 }
 
-// TestDeadController: a node dies at every point of a hand-over in turn. Its
-// claim is settled by another; the key then gives the record, or says that it
-// was not run, or may have; it never runs twice, and a tombstone holds.
+// TestDeadController: a router is killed at different points of a hand-off and another router settles
+// its claim. The key then returns the record, or reports that it was not run or may have run. It
+// never runs twice, and a key that is reported as not run has a tombstone and no run.
 func TestDeadController(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
-		fates := map[string]int{}
+		outcomes := map[string]int{}
 		for i := range 12 {
 			request := verdictRequest
 			request.Kind, request.Key = "ruling", "dead"+string(rune('a'+i))
@@ -106,24 +106,24 @@
 				}
 				return false
 			})
-			require.True(t, ok, "round %d is not settled: %s", i, last)
-			fates[last]++
+			require.True(t, ok, "round %d has no final outcome: %s", i, last)
+			outcomes[last]++
 			runs, records := countRuns(c, "ruling/"+request.Key)
 			require.LessOrEqual(t, runs, 1)
 			require.LessOrEqual(t, records, 1)
 			if last == "not-run" {
-				require.Zero(t, runs, "told not run")
+				require.Zero(t, runs, "reported as not run")
 			}
 		}
-		t.Logf("%v", fates)
-		require.Greater(t, len(fates), 1)
+		t.Logf("%v", outcomes)
+		require.Greater(t, len(outcomes), 1)
 	})
 }
 
-// TestRunLostWithBoth: a verdict runs when its node and its worker lose power
-// together, and the worker comes back with another life, in which it knows of
-// nothing. What became of the run is not known, so it may not be called not run.
-func TestRunLostWithBoth(t *testing.T) {
+// TestRunLostWithRouterAndWorker: the router and the worker of a running request lose power together,
+// and the worker restarts as a new incarnation without any state. The outcome of the run is unknown,
+// so it must not be reported as not run.
+func TestRunLostWithRouterAndWorker(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		request := verdictRequest
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -1,4 +1,4 @@
-// Bad input at the door, operations asked again, and what ready means.
+// Invalid input at the frontend, repeated operations, and readiness.
 
 package simulation
 
@@ -17,7 +17,7 @@
 	"keelstair.example/internal/standin"
 )
 
-// withCluster runs a founded fleet of a site.
+// withCluster runs f with a site's fleet that serves requests.
 func withCluster(t *testing.T, site string, tune func(*Cluster), f func(t *testing.T, c *Cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := Build(1, standin.Sites[site], tune)
@@ -33,7 +33,7 @@
 	return r.Code, r.Name, r.Detail
 }
 
-// TestInvalidRequests: each is refused with a named error, and nothing runs.
+// TestInvalidRequests: each invalid request is refused with a named error, and no worker runs anything.
 func TestInvalidRequests(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
@@ -42,9 +42,9 @@
 			big[i] = 1
 		}
 		for _, k := range []struct {
-			ask  any
-			code int
-			name string
+			request any
+			code    int
+			name    string
 		}{
 			{"text", http.StatusBadRequest, "wrong-type"},
 			{map[string]any{"kind": "clarification", "colour": 1}, http.StatusBadRequest, "unknown-field"},
@@ -70,7 +70,7 @@
 				"too-large",
 			},
 		} {
-			got, name, _ := faultFields(t, c.PostTo(c.Of("router")[0], "/v1/streams", k.ask, nil))
+			got, name, _ := faultFields(t, c.PostTo(c.Of("router")[0], "/v1/streams", k.request, nil))
 			require.Equal(t, k.code, got, "%v", k.name)
 			require.Equal(t, k.name, name)
 		}
@@ -80,14 +80,15 @@
 	})
 }
 
-// TestBadPolicies: refused whole, with place and reason; the old one stays.
+// TestBadPolicies: an invalid policy is refused entirely, with the position and the reason, and the
+// policy in force stays.
 func TestBadPolicies(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		for _, k := range []struct {
 			a    api.ApplyRequest
 			code int
-			says string
+			text string
 		}{
 			{api.ApplyRequest{Op: "a", Base: 1, Source: "{workers: {"}, 400, "policy:1"},
 			{
@@ -129,7 +130,7 @@
 			_, err := c.Apply(&k.a)
 			got, name, text := faultFields(t, err)
 			require.Equal(t, k.code, got, "%s %s %s", k.a.Op, name, text)
-			require.Contains(t, text, k.says, k.a.Op)
+			require.Contains(t, text, k.text, k.a.Op)
 		}
 		require.Equal(t, uint64(1), c.Of("router")[0].Node.Show().Newest)
 		got, _, _ := faultFields(t, c.Mark("/v1/zones/moon", "z", true))
@@ -137,8 +138,8 @@
 	})
 }
 
-// TestOperationIds: the same operation asked again has the one outcome it had,
-// even after the leader was lost; another id over the old base loses.
+// TestOperationIds: an operation that is repeated under its ID returns its first outcome, even after
+// the leader was lost. An operation with another ID on the outdated base version is refused.
 func TestOperationIds(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
@@ -148,11 +149,11 @@
 		c.PowerOff(c.Leader())
 		time.Sleep(4 * time.Second)
 		two, err := c.Apply(a)
-		require.NoError(t, err, "the base has moved on by this very operation")
+		require.NoError(t, err, "the base is outdated only because of this operation")
 		require.Equal(t, one.Version, two.Version)
 		a.Partial, a.Source = false, string(c.Of("router")[0].Node.Show().Policy)
 		two, err = c.Apply(a)
-		require.NoError(t, err, "and so for a whole one")
+		require.NoError(t, err, "the same holds for a complete policy")
 		require.Equal(t, one.Version, two.Version)
 		for _, partial := range []bool{true, false} {
 			_, err = c.Apply(&api.ApplyRequest{Op: "other", Base: 1, Partial: partial, Source: a.Source})
@@ -163,8 +164,8 @@
 	})
 }
 
-// TestReady: a node is ready only while new work can be served there. One that
-// is told to end takes none, but what it carries comes to its end.
+// TestReady: a router is ready only while it can serve new requests. A router that is shutting down
+// accepts none, but completes the streams that it serves.
 func TestReady(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
@@ -188,11 +189,11 @@
 		all := <-lines
 		require.NotEmpty(t, all)
 		require.Equal(t, api.Complete, all[len(all)-1].End)
-		// Its keys pass on by its goodbye, sooner than a lease would lapse.
-		me := p.Node.Self().Node
+		// A router that shuts down announces it, so its keys move before its lease would expire.
+		self := p.Node.Self().Node
 		require.True(t, c.WaitUntil(1500*time.Millisecond, func() bool {
 			for _, m := range c.Of("router")[1].Node.Status().(*router.NodeStatus).Members {
-				if m.Node == me {
+				if m.Node == self {
 					return false
 				}
 			}
--- a/internal/simulation/machines_test.go
+++ b/internal/simulation/machine_scripts_test.go
@@ -1,6 +1,6 @@
-// Scripts are the brief's failures, each a function over a fleet under load. A
-// seed picks whom a script strikes. This file holds those of machines, disks
-// and the core; others_test.go those of links, clocks, workers and operators.
+// Each script injects one kind of failure into a fleet under load. A seed chooses the machines that
+// are affected. This file has the scripts of machines, disks and the core; those of links, clocks,
+// workers and operators are in other_scripts_test.go.
 
 package simulation
 
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// Script breaks a fleet. It runs beside the load and may take its time; it
-// returns when the last breakdown has been caused or healed.
+// Script injects failures into a fleet. Run is called while the load is sent, and returns when the
+// last failure has been injected or repaired.
 type Script struct {
 	Name         string
 	Run          func(c *Cluster, r *rand.Rand) error
 	Configure    func(c *Cluster)
-	Bound        time.Duration // service must be back within it; 12 s unless set
-	NoFailures   bool          // nothing may break or be lost to callers
-	LoadDuration time.Duration // of the load beside it, if it needs another than the trial's
+	Bound        time.Duration // longest permitted outage, 12 s if zero
+	NoFailures   bool          // every request must complete
+	LoadDuration time.Duration // minimum duration of the load while Run is called
 }
 
 func pickOne[T any](r *rand.Rand, list []T) T { return list[r.IntN(len(list))] }
 
 func randomPause(r *rand.Rand) { time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond) }
 
-// follower is a controller that does not lead.
+// follower returns a random running controller that isn't the leader.
 func follower(c *Cluster, r *rand.Rand) *Process {
 	var rest []*Process
 	for _, p := range c.Of("controller") {
@@ -75,7 +75,7 @@
 		time.Sleep(5 * time.Second)
 		return c.Start(p)
 	}},
-	{Name: "leader-replaced-by-empty", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "leader-replaced-with-empty-disk", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		if err := changeRetryAfter(c, "before-wipe", 1400); err != nil {
 			return err
@@ -109,7 +109,7 @@
 			return nil
 		},
 	},
-	{Name: "core-restarts-whole", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "entire-core-restarts", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		if err := changeRetryAfter(c, "before-total", 1800); err != nil {
 			return err
@@ -187,7 +187,7 @@
 		time.Sleep(5 * time.Second)
 		return changeRetryAfter(c, "slow-disk", 2100)
 	}},
-	{Name: "closing-fault", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "leader-router-and-worker-lost", Run: func(c *Cluster, r *rand.Rand) error {
 		time.Sleep(9 * time.Second)
 		c.PowerOff(leader(c))
 		c.Kill(pickOne(r, c.Of("router")))
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -1,6 +1,5 @@
-// What operators do to a fleet, written down as they are told of it: whole texts of
-// configurations that were acknowledged or refused, and zones from the moment at
-// which their emptying was asked for.
+// Operators' changes to a fleet, recorded with the responses: the complete texts of configurations
+// that were acknowledged or refused, and evacuations from the time at which they were requested.
 
 package simulation
 
@@ -16,8 +15,8 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// latestShown gives the newest that any node has in force, once nothing newer is on its way
-// there.
+// latestShown returns the newest configuration that is in force at any router. It waits up to 3 s
+// until that router knows of no newer version.
 func latestShown(c *Cluster) *api.Shown {
 	state := &api.Shown{}
 	c.WaitUntil(3*time.Second, func() bool {
@@ -31,7 +30,7 @@
 	return state
 }
 
-// mergedText is the whole text that a partial one over what is shown comes to.
+// mergedText returns the complete text that results from merging a partial one into the shown policy.
 func mergedText(state *api.Shown, part string) (string, error) {
 	src, err := fleetstate.CUEToJSON("part", []byte(part))
 	if err != nil {
@@ -45,10 +44,10 @@
 	return string(complete), err
 }
 
-var errConflict = errors.New("another operator was first")
+var errConflict = errors.New("another operator's change was applied first")
 
-// applyPartial applies a partial configuration, asking again under the one operation while
-// its fate is not known, and notes what it was told.
+// applyPartial applies a partial configuration and records the response. It retries under the same
+// operation ID while the outcome is unknown.
 func applyPartial(c *Cluster, op, part string) error {
 	state := latestShown(c)
 	text, err := mergedText(state, part)
@@ -74,23 +73,23 @@
 	c.Recorder.RecordAck(ids.Version(got.Version), text)
 	took := c.Recorder.Now() - start
 	c.Recorder.RecordApplyTime(took)
-	// While no node can reach the core, none can learn what it took.
+	// While the core is partitioned from all routers, none of them can receive the version.
 	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) && !c.Recorder.corePartitionedSince(start) {
 		c.Recorder.RecordMark("slow-apply", fmt.Sprintf("version %d took %s, in force: %v", got.Version, took, got.Active))
 	}
 	return nil
 }
 
-// changeRetryAfter applies a small change that is told from all others.
+// changeRetryAfter applies a small change, distinguished from others by its value.
 func changeRetryAfter(c *Cluster, op string, ms int) error {
 	return applyPartial(c, op, fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, ms))
 }
 
-// setEvacuated evacuates a zone or takes that back, until it is answered; the time counts
-// from the asking.
-func setEvacuated(c *Cluster, z ids.Zone, op string, out bool) error {
+// setEvacuated evacuates or restores a zone, and retries until that is acknowledged. The recorded
+// time is that of the first request.
+func setEvacuated(c *Cluster, z ids.Zone, op string, evacuated bool) error {
 	what := "return"
-	if out {
+	if evacuated {
 		what = "evacuate"
 	}
 	for _, p := range c.Of("worker") {
@@ -100,28 +99,28 @@
 	}
 	var err error
 	c.WaitUntil(12*time.Second, func() bool {
-		err = c.Mark("/v1/zones/"+string(z), op, out)
+		err = c.Mark("/v1/zones/"+string(z), op, evacuated)
 		return err == nil
 	})
 	return err
 }
 
-// PartitionCore cuts the core from all nodes, or joins them again.
+// PartitionCore partitions the core from all routers, or removes the partition.
 func (c *Cluster) PartitionCore(on bool) {
-	c.Recorder.RecordMark(map[bool]string{true: "apart", false: "joined"}[on], "core")
+	c.Recorder.RecordMark(map[bool]string{true: "partition", false: "heal"}[on], "core")
 	c.World.Partition(addresses(c.Of("controller")...), addresses(c.Of("router")...), on)
 }
 
-// corePartitionedSince tells whether the core was cut from all nodes at any time since a moment.
+// corePartitionedSince reports whether the core was partitioned from all routers at any time since then.
 func (r *Recorder) corePartitionedSince(since time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	on := false
 	for _, m := range r.marks {
 		switch m.What {
-		case "apart":
+		case "partition":
 			on = true
-		case "joined":
+		case "heal":
 			if m.At >= since {
 				return true
 			}
@@ -131,14 +130,14 @@
 	return on
 }
 
-// RecordRefused notes a text that an operator was told is not taken.
+// RecordRefused records a configuration that was refused to an operator.
 func (r *Recorder) RecordRefused(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refused = append(r.refused, text)
 }
 
-// RecordActive notes what a node has in force.
+// RecordActive records the configuration that is in force at a router.
 func (r *Recorder) RecordActive(node string, v ids.Version, text []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,38 +149,38 @@
 	}
 }
 
-// checkConfigurations holds what was acknowledged and refused against all that was ever in force
-// anywhere: one text for a version, each acknowledged one with its own text, none
-// that was refused; and at the end every node has the newest.
+// checkConfigurations compares the acknowledged and refused configurations with all that were in
+// force at any router. A version has a single text, which is the acknowledged one if there is one; a
+// refused text is never in force; and within 5 s every running router has the newest version.
 func (c *Cluster) checkConfigurations() []Violation {
 	f := &violationList{}
 	c.Recorder.mu.Lock()
 	acks, marks := c.Recorder.acks, c.Recorder.marks
-	taken := map[string]bool{}
+	accepted := map[string]bool{}
 	var last ids.Version
 	for _, a := range acks {
-		taken[a.Text] = true
+		accepted[a.Text] = true
 		last = max(last, a.Version)
 		for text, node := range c.Recorder.active[a.Version] {
 			if text != a.Text {
-				f.add(ConfigurationLost, "version %d was acknowledged, but %s had another text in force", a.Version, node)
+				f.add(ConfigurationLost, "version %d was acknowledged, but %s had a different text in force", a.Version, node)
 			}
 		}
 	}
 	for v, texts := range c.Recorder.active {
 		if len(texts) > 1 {
-			f.add(ConfigurationLost, "version %d had %d texts", v, len(texts))
+			f.add(ConfigurationLost, "version %d had %d different texts", v, len(texts))
 		}
-		for _, no := range c.Recorder.refused {
-			if node, ok := texts[no]; ok && !taken[no] {
-				f.add(ConfigurationLost, "%s had version %d in force, whose text was refused", node, v)
+		for _, refused := range c.Recorder.refused {
+			if node, ok := texts[refused]; ok && !accepted[refused] {
+				f.add(ConfigurationLost, "%s had version %d in force, but its text was refused", node, v)
 			}
 		}
 	}
 	c.Recorder.mu.Unlock()
 	for _, p := range c.Of("router") {
 		if p.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(p.Node.Show().Version) >= last }) {
-			f.add(ConfigurationLost, "%s has version %d, version %d was acknowledged", p.Name, p.Node.Show().Version, last)
+			f.add(ConfigurationLost, "%s has version %d, but version %d was acknowledged", p.Name, p.Node.Show().Version, last)
 		}
 	}
 	for _, m := range marks {
@@ -192,7 +191,7 @@
 	return f.found
 }
 
-// marshalPartial writes a partial configuration.
+// marshalPartial encodes a partial configuration.
 func marshalPartial(v map[string]any) string {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/simulation/others_test.go
+++ b/internal/simulation/other_scripts_test.go
@@ -1,4 +1,4 @@
-// Scripts of links, clocks, workers and operators.
+// Scripts that inject failures of links, clocks and workers, or act as operators.
 
 package simulation
 
@@ -61,24 +61,24 @@
 		c.World.Partition(addresses(p), rest, false)
 		return nil
 	}},
-	{Name: "lone-router-cut", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "router-isolated-from-peers", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		p := pickOne(r, c.Of("router"))
-		// Its workers and callers still reach it: only its own kind does not.
+		// Workers and clients still reach the router, but controllers and other routers don't.
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(7 * time.Second)
 		c.World.Partition(addresses(p), peers, false)
 		return nil
 	}},
-	{Name: "all-leases-lapse", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "all-leases-expire", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		c.PartitionCore(true)
 		time.Sleep(time.Duration(4000+r.IntN(3000)) * time.Millisecond)
 		c.PartitionCore(false)
 		return nil
 	}},
-	{Name: "clocks-leap", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "clocks-jump", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 6 {
 			randomPause(r)
 			pickOne(
@@ -99,7 +99,7 @@
 		}
 		return nil
 	}},
-	{Name: "worker-goes-dark", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "worker-unresponsive", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 2 {
 			randomPause(r)
 			p := pickOne(r, c.Of("worker"))
@@ -131,7 +131,7 @@
 		}
 		return c.Start(p)
 	}},
-	{Name: "memory-lost-or-spoilt", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "kv-cache-lost-or-corrupted", Run: func(c *Cluster, r *rand.Rand) error {
 		for _, p := range c.Of("worker")[:3] {
 			p.Worker.Order(standin.Faults{Drop: r.IntN(2) == 0, Corrupt: true})
 		}
@@ -141,7 +141,7 @@
 		}
 		return nil
 	}},
-	{Name: "worker-speaks-garbage", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "worker-sends-garbage", Run: func(c *Cluster, r *rand.Rand) error {
 		p := pickOne(r, c.Of("worker"))
 		p.Worker.Order(standin.Faults{Garbage: true})
 		time.Sleep(3 * time.Second)
@@ -149,7 +149,7 @@
 		return nil
 	}},
 	{
-		Name: "reports-lag",
+		Name: "reports-delayed",
 		Run: func(c *Cluster, r *rand.Rand) error {
 			for _, p := range c.Of("worker") {
 				p.Worker.Order(standin.Faults{LagMs: 450})
@@ -217,7 +217,7 @@
 				}
 				wg.Wait()
 				if won != 1 {
-					return fmt.Errorf("round %d: %d of two racing operators won", n, won)
+					return fmt.Errorf("round %d: %d of two concurrent changes were acknowledged", n, won)
 				}
 				c.WaitUntil(3*time.Second, func() bool { return c.Of("router")[0].Node.Show().Version > state.Version })
 			}
@@ -230,7 +230,7 @@
 		Run: func(c *Cluster, r *rand.Rand) error {
 			for n := range 25 {
 				if err := changeRetryAfter(c, fmt.Sprintf("storm-%d", n), 4000+n); err != nil {
-					return fmt.Errorf("storm %d: %w", n, err)
+					return fmt.Errorf("change %d: %w", n, err)
 				}
 			}
 			return nil
