--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -151,7 +151,8 @@
 
 // checkConfigurations compares the acknowledged and refused configurations with all that were in
 // force at any router. A version has a single text, which is the acknowledged one if there is one; a
-// refused text is never in force; and within 5 s every running router has the newest version.
+// refused text is never in force; and within 5 s every running router has the newest acknowledged
+// version.
 func (c *Cluster) checkConfigurations() []Violation {
 	f := &violationList{}
 	c.Recorder.mu.Lock()
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -1,5 +1,5 @@
-// The book records what workers and controllers say they did; the checkers read
-// it afterwards, one for each line of what must never happen.
+// The recorder collects the events that workers and routers report. The checkers read them after
+// the run; each rule names a violation that must never occur.
 
 package simulation
 
@@ -15,20 +15,20 @@
 	"keelstair.example/internal/standin"
 )
 
-// Mark is a thing the script did, with when it was known to be done.
+// Mark is an action of the script, with the time at which it was recorded.
 type Mark struct {
-	What string // leave, evacuate, return, fault
+	What string // such as leave, evacuate, return, partition, heal or slow-apply
 	Name string
 	At   time.Duration
 }
 
-// RecordedEvent is a worker's event at a simulated time.
+// RecordedEvent is a worker's event with the simulated time at which it was recorded.
 type RecordedEvent struct {
 	standin.Event
 	When time.Duration
 }
 
-// Recorder gathers it all.
+// Recorder collects the events, marks and configurations of a run.
 type Recorder struct {
 	mu         sync.Mutex
 	start      time.Time
@@ -38,24 +38,24 @@
 	grants     []Grant
 	recomputes []time.Duration
 	acks       []Acked
-	applyTimes []time.Duration                   // how long each apply took, until it was in force
-	refused    []string                          // texts that were refused
-	active     map[ids.Version]map[string]string // texts in force anywhere, and who had them
+	applyTimes []time.Duration                   // duration of each successful apply, until its version was in force
+	refused    []string                          // texts of refused configurations
+	active     map[ids.Version]map[string]string // text -> first router that had it in force, by version
 }
 
-// Acked is a configuration that an operator was told is taken.
+// Acked is a configuration that was acknowledged to an operator.
 type Acked struct {
 	Version ids.Version
 	Text    string
 	At      time.Duration
 }
 
-// TallySource is a worker that keeps a count of its own.
+// TallySource is an incarnation of a worker, which counts its work for each request.
 type TallySource interface {
 	Tallies() map[string]standin.Tally
 }
 
-// Grant is a hand-over granted by a node, under the version it has in force.
+// Grant is a hand-off that a router granted, with the configuration version that it had in force.
 type Grant struct {
 	Node    string
 	Version ids.Version
@@ -66,7 +66,7 @@
 	return &Recorder{start: time.Now(), active: map[ids.Version]map[string]string{}}
 }
 
-// Now is the time since the book was opened.
+// Now returns the time since the recorder was created.
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
 func (r *Recorder) RecordWorkerEvent(e standin.Event) {
@@ -81,7 +81,8 @@
 	r.workers = append(r.workers, w)
 }
 
-// RecordHandoffEvent takes a hand-over's event, with the version that its node has in force.
+// RecordHandoffEvent records grants and, among them, recomputes: grants after the first attempt.
+// The version is the one that the router has in force.
 func (r *Recorder) RecordHandoffEvent(node string, e handoff.Event, v ids.Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,41 +106,41 @@
 	r.acks = append(r.acks, Acked{v, text, r.Now()})
 }
 
-// RecordApplyTime notes how long an apply was under way.
+// RecordApplyTime records how long an apply took.
 func (r *Recorder) RecordApplyTime(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.applyTimes = append(r.applyTimes, d)
 }
 
-// Violation is one violation found.
+// Violation is a broken rule, with the details of the case.
 type Violation struct{ Rule, Detail string }
 
 func (f Violation) String() string { return f.Rule + ": " + f.Detail }
 
 type violationList struct{ found []Violation }
 
-func (f *violationList) add(line, form string, args ...any) {
-	f.found = append(f.found, Violation{line, fmt.Sprintf(form, args...)})
+func (f *violationList) add(rule, format string, args ...any) {
+	f.found = append(f.found, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// The lines of what must never happen, by short names.
+// Rules, named after the violation that must never occur.
 const (
-	RunTwice                = "run twice or two records"
-	RanDespiteNotRun        = "not run was run"
-	StreamCorrupted         = "stream lost, repeated, joined or falsely whole"
+	RunTwice                = "request run twice or recorded twice"
+	RanDespiteNotRun        = "request reported as not run was run"
+	StreamCorrupted         = "stream with lost, repeated or mixed tokens, or falsely complete"
 	OutputDiffers           = "output differs"
-	ImportFailedMidDecode   = "import failed mid-decode"
-	WorkAfterLeave          = "leaving worker got new work"
-	WorkAfterEvacuation     = "evacuated zone got work"
-	ConfigurationSlow       = "configuration slow or fell back"
+	ImportFailedMidDecode   = "decode ran out of memory"
+	WorkAfterLeave          = "new work at a leaving worker"
+	WorkAfterEvacuation     = "new work in an evacuated zone"
+	ConfigurationSlow       = "configuration slow or reverted"
 	ConfigurationLost       = "acknowledged configuration lost"
 	ConflictingOrders       = "conflicting orders"
-	RecomputeBudgetExceeded = "recomputes beyond the budget"
-	ServiceNotRestored      = "service not back"
+	RecomputeBudgetExceeded = "recompute budget exceeded"
+	ServiceNotRestored      = "service not restored"
 )
 
-// Check reads the book and the callers' outcomes.
+// Check returns all violations in the recorded events and the clients' outcomes.
 func (r *Recorder) Check(all []standin.Outcome) []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -180,20 +181,20 @@
 		}
 	}
 	if starved > 0 {
-		f.add(ImportFailedMidDecode, "%d decodes ran out of room", starved)
+		f.add(ImportFailedMidDecode, "%d decodes ran out of memory", starved)
 	}
 	for key := range outcomesByKey(all) {
-		// A caller that was told "not run" has moved on to a key with a plus.
+		// A client whose request is reported as not run appends a plus to the key and retries.
 		for k := key; strings.HasSuffix(k, "+"); {
 			k = strings.TrimSuffix(k, "+")
 			if n := runs[router.RequestIDForKey(k)]; n > 0 {
-				f.add(RanDespiteNotRun, "%s was told not run, and ran %d times", k, n)
+				f.add(RanDespiteNotRun, "%s was reported as not run, but ran %d times", k, n)
 			}
 		}
 	}
 }
 
-// checkStreams reads what the callers themselves found off.
+// checkStreams reports the wrong streams that the clients detected.
 func checkStreams(f *violationList, all []standin.Outcome) {
 	for _, o := range all {
 		if o.End != "wrong" {
@@ -207,7 +208,7 @@
 	}
 }
 
-// returnTime tells when a mark was taken back.
+// returnTime returns when a worker was returned to use after a mark, or a time beyond any run.
 func (r *Recorder) returnTime(m Mark) time.Duration {
 	end := time.Duration(1 << 62)
 	for _, mark := range r.marks {
@@ -218,14 +219,15 @@
 	return end
 }
 
-// checkPlacement: no new work at a worker that leaves, or in a zone that was emptied.
+// checkPlacement: a worker gets no new work more than 3 s after it left, or 5 s after its zone was
+// evacuated.
 func (r *Recorder) checkPlacement(f *violationList) {
 	for _, m := range r.marks {
-		bound, line := 3*time.Second, WorkAfterLeave
+		bound, rule := 3*time.Second, WorkAfterLeave
 		switch m.What {
 		case "leave":
 		case "evacuate":
-			bound, line = 5*time.Second, WorkAfterEvacuation
+			bound, rule = 5*time.Second, WorkAfterEvacuation
 		default:
 			continue
 		}
@@ -233,56 +235,56 @@
 		for _, e := range r.events {
 			if (e.What == "prefill" || e.What == "import") && string(e.Worker) == m.Name && e.When > m.At+bound &&
 				e.When < until {
-				f.add(line, "%s got a %s %.2f s after", m.Name, e.What, (e.When - m.At).Seconds())
+				f.add(rule, "%s got a %s %.2f s after the mark", m.Name, e.What, (e.When - m.At).Seconds())
 				break
 			}
 		}
 	}
 }
 
-// checkOrders: at each worker fences never go down, and no order carries a version
-// older than one the worker had seen a quarter second before.
+// checkOrders: at each worker, fencing tokens never decrease, and no order has an older version than
+// one that the worker received more than 250 ms before.
 func (r *Recorder) checkOrders(f *violationList) {
 	fence := map[ids.WorkerID]ids.Fence{}
-	type since struct {
-		v  ids.Version
-		at time.Duration
+	type receivedVersion struct {
+		version ids.Version
+		at      time.Duration
 	}
-	seen := map[ids.WorkerID][]since{}
+	seen := map[ids.WorkerID][]receivedVersion{}
 	for _, e := range r.events {
 		if e.Fence == 0 {
 			continue
 		}
-		// A resume that waited for its memory is judged as it came, not as it began.
+		// A resume waits for its KV cache; its order was checked when it arrived, not when it starts.
 		if e.What == "resumed" {
 			continue
 		}
 		if e.Fence < fence[e.Worker] {
-			f.add(ConflictingOrders, "%s took %s under fence %d after %d", e.Worker, e.What, e.Fence, fence[e.Worker])
+			f.add(ConflictingOrders, "%s accepted %s with fence %d after fence %d", e.Worker, e.What, e.Fence, fence[e.Worker])
 		}
 		fence[e.Worker] = max(fence[e.Worker], e.Fence)
 		for _, s := range seen[e.Worker] {
-			if e.Version < s.v && e.When > s.at+250*time.Millisecond {
+			if e.Version < s.version && e.When > s.at+250*time.Millisecond {
 				f.add(
 					ConfigurationSlow,
-					"%s got %s under version %d, %.2f s after it saw %d",
+					"%s got %s with version %d, %.2f s after it received version %d",
 					e.Worker,
 					e.What,
 					e.Version,
 					(e.When - s.at).Seconds(),
-					s.v,
+					s.version,
 				)
 				break
 			}
 		}
-		if n := len(seen[e.Worker]); n == 0 || seen[e.Worker][n-1].v < e.Version {
-			seen[e.Worker] = append(seen[e.Worker], since{e.Version, e.When})
+		if n := len(seen[e.Worker]); n == 0 || seen[e.Worker][n-1].version < e.Version {
+			seen[e.Worker] = append(seen[e.Worker], receivedVersion{e.Version, e.When})
 		}
 	}
 }
 
-// checkGrantVersions: no node grants anything under a version older than one that some worker
-// had seen a quarter second before.
+// checkGrantVersions: no router grants a hand-off under an older version than one that any worker
+// received more than 250 ms before.
 func (r *Recorder) checkGrantVersions(f *violationList) {
 	first := map[ids.Version]time.Duration{}
 	for _, e := range r.events {
@@ -295,7 +297,7 @@
 			if v > p.Version && p.At > at+250*time.Millisecond {
 				f.add(
 					ConfigurationSlow,
-					"%s granted under version %d, %.2f s after a worker saw %d",
+					"%s granted a hand-off under version %d, %.2f s after a worker received version %d",
 					p.Node,
 					p.Version,
 					(p.At - at).Seconds(),
@@ -307,7 +309,7 @@
 	}
 }
 
-// checkRecomputeBudget holds recomputes against the bucket of the default budget.
+// checkRecomputeBudget compares the recomputes with the token bucket of the default budget.
 func (r *Recorder) checkRecomputeBudget(f *violationList) {
 	const rate, burst = 4.0, 12
 	for i := range r.recomputes {
@@ -320,8 +322,8 @@
 	}
 }
 
-// LastWorkAfter tells how long after it was marked each leaving worker, and each worker of
-// an emptied zone, last got new work.
+// LastWorkAfter returns, for each mark of a kind (leave or evacuate), how long after it the worker
+// last got new work.
 func (r *Recorder) LastWorkAfter(what string) []time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -343,13 +345,13 @@
 	return out
 }
 
-// LongestStaleOrder is the longest that any worker, having seen a version, still got an
-// order under an older one.
+// LongestStaleOrder returns the longest time after which a worker that had received a version
+// still got an order with an older one.
 func (r *Recorder) LongestStaleOrder() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	first := map[ids.WorkerID]map[ids.Version]time.Duration{}
-	most := time.Duration(0)
+	longest := time.Duration(0)
 	for _, e := range r.events {
 		if e.Fence == 0 || e.What == "resumed" {
 			continue
@@ -361,12 +363,12 @@
 		}
 		for v, at := range seen {
 			if v > e.Version {
-				most = max(most, e.When-at)
+				longest = max(longest, e.When-at)
 			}
 		}
 		if _, ok := seen[e.Version]; !ok {
 			seen[e.Version] = e.When
 		}
 	}
-	return most
+	return longest
 }
--- a/internal/simulation/script_test.go
+++ b/internal/simulation/script_test.go
@@ -1,4 +1,4 @@
-// Every script as a test, with one seed or many.
+// Tests that run every script with one or more seeds.
 
 package simulation
 
@@ -16,7 +16,7 @@
 	"keelstair.example/internal/standin"
 )
 
-// seeds gives the fixed handful, or as many as KEELSTAIR_SEEDS asks for.
+// seeds returns KEELSTAIR_SEEDS consecutive seeds, 1 by default, starting after KEELSTAIR_FROM.
 func seeds() []uint64 {
 	n, _ := strconv.Atoi(os.Getenv("KEELSTAIR_SEEDS"))
 	from, _ := strconv.Atoi(os.Getenv("KEELSTAIR_FROM"))
@@ -27,8 +27,8 @@
 	return out
 }
 
-// smallSite is a site small enough for the race detector, under which a whole
-// deployment takes some twenty times as long.
+// smallSite is a deployment for runs under the race detector, in which one of the usual size takes
+// about twenty times as long.
 var smallSite = standin.Site{
 	Name:    "hamlet",
 	Zones:   []ids.Zone{"a", "b", "c"},
@@ -44,15 +44,15 @@
 
 func skipUnderRace(t *testing.T) {
 	if raceEnabled {
-		t.Skip("runs without the race detector in the same make test")
+		t.Skip("make test also runs this test without the race detector")
 	}
 }
 
-// TestScripts runs every script; odd seeds at one site, even ones at the other.
+// TestScripts runs every script at one of two sites, which alternate with the script and the seed.
 func TestScripts(t *testing.T) {
-	pace := LoadPlan{40, 14 * time.Second, 14 * time.Second}
+	plan := LoadPlan{40, 14 * time.Second, 14 * time.Second}
 	if raceEnabled {
-		pace = LoadPlan{10, 7 * time.Second, 2 * time.Second}
+		plan = LoadPlan{10, 7 * time.Second, 2 * time.Second}
 	}
 	for i, s := range slices.Concat(MachineScripts, OtherScripts, Duties) {
 		if raceEnabled && !slices.Contains([]string{"leader-killed", "workers-crash", "operators-race"}, s.Name) {
@@ -69,28 +69,34 @@
 					site = smallSite
 				}
 				synctest.Test(t, func(t *testing.T) {
-					v := RunTrial(s, site, seed, pace)
-					assert.Empty(t, v.Violations)
+					result := RunTrial(s, site, seed, plan)
+					assert.Empty(t, result.Violations)
 					t.Logf(
-						"%s seed %d at %s: back %s, lead %.2fs, again %d, %v %v %v",
+						"%s seed %d at %s: longest outage %s, without primary %.2fs, recomputes %d, %v %v %v",
 						s.Name,
 						seed,
 						site.Name,
-						worst(v.Outages),
-						v.WithoutPrimary.Seconds(),
-						v.Recomputes,
-						v.Summary.Ends,
-						v.Summary.Details,
-						v.Outages,
+						worst(result.Outages),
+						result.WithoutPrimary.Seconds(),
+						result.Recomputes,
+						result.Summary.Ends,
+						result.Summary.Details,
+						result.Outages,
+					)
+					t.Logf(
+						"last new work after leaving %v, after evacuation %v; apply times %v; stale orders %v",
+						result.AfterLeave,
+						result.AfterEvacuation,
+						result.ApplyTimes,
+						result.StaleOrders,
 					)
-					t.Logf("bounds: left %v out %v laws %v old %v", v.AfterLeave, v.AfterEvacuation, v.ApplyTimes, v.StaleOrders)
 				})
 			})
 		}
 	}
 }
 
-// TestTogether: breakdowns and operators' acts drawn by a seed, overlapping.
+// TestTogether runs composed scripts: overlapping failures and operator actions chosen by the seed.
 func TestTogether(t *testing.T) {
 	skipUnderRace(t)
 	list := seeds()
@@ -106,17 +112,17 @@
 			}
 			synctest.Test(t, func(t *testing.T) {
 				s := ComposedScript(seed)
-				v := RunTrial(s, site, seed, LoadPlan{40, 14 * time.Second, 14 * time.Second})
-				assert.Empty(t, v.Violations, s.Name)
+				result := RunTrial(s, site, seed, LoadPlan{40, 14 * time.Second, 14 * time.Second})
+				assert.Empty(t, result.Violations, s.Name)
 				t.Logf(
-					"together seed %d at %s: back %s, lead %.2fs, again %d, %v %v [%s]",
+					"composed script, seed %d at %s: longest outage %s, without primary %.2fs, recomputes %d, %v %v [%s]",
 					seed,
 					site.Name,
-					worst(v.Outages),
-					v.WithoutPrimary.Seconds(),
-					v.Recomputes,
-					v.Summary.Ends,
-					v.Summary.Details,
+					worst(result.Outages),
+					result.WithoutPrimary.Seconds(),
+					result.Recomputes,
+					result.Summary.Ends,
+					result.Summary.Details,
 					s.Name,
 				)
 			})
--- a/internal/simulation/stream_test.go
+++ b/internal/simulation/stream_test.go
@@ -1,4 +1,4 @@
-// One origin's call at one door, line by line.
+// Streams of a client, sent to a given router's frontend.
 
 package simulation
 
@@ -13,7 +13,7 @@
 	"keelstair.example/internal/api"
 )
 
-// startStream asks one door in the background; the lines come once the stream has ended.
+// startStream sends a request in the background. The events are delivered once the stream has ended.
 func (c *Cluster) startStream(p *Process, request api.StreamRequest) <-chan []api.StreamEvent {
 	done := make(chan []api.StreamEvent, 1)
 	go func() {
@@ -23,7 +23,7 @@
 	return done
 }
 
-// stream asks one door and gives the lines, or the refusal.
+// stream sends a request to one frontend and returns the events of its stream, or the refusal.
 func (c *Cluster) stream(p *Process, request api.StreamRequest) ([]api.StreamEvent, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
--- a/internal/simulation/trial_test.go
+++ b/internal/simulation/trial_test.go
@@ -1,4 +1,4 @@
-// A trial is one script against one site under one seed, with its verdict.
+// A trial runs one script against one site with one seed and checks the results.
 
 package simulation
 
@@ -12,74 +12,83 @@
 	"keelstair.example/internal/standin"
 )
 
-// TrialResult of a trial.
+// TrialResult has the violations and the measurements of a trial.
 type TrialResult struct {
 	Violations      []Violation
 	Summary         standin.Summary
-	Outages         map[string]time.Duration // longest spans without a completion, by kind and by zone of the door
-	WithoutPrimary  time.Duration            // longest span without a primary
+	Outages         map[string]time.Duration // longest times without a completed request, by kind and by the frontend's zone
+	WithoutPrimary  time.Duration            // longest time without a primary
 	Recomputes      int
-	AfterLeave      []time.Duration // leaving workers' last new work
-	AfterEvacuation []time.Duration // the same in emptied zones
-	ApplyTimes      []time.Duration // applies, until in force
-	StaleOrders     time.Duration   // orders under an older version
+	AfterLeave      []time.Duration // last new work of each leaving worker, after it left
+	AfterEvacuation []time.Duration // last new work of each evacuated worker, after the request
+	ApplyTimes      []time.Duration // durations of applies, until in force
+	StaleOrders     time.Duration   // longest delay of an order with an older version
 }
 
-// LoadPlan is how much load a trial has, and for how long before and after.
+// LoadPlan sets the load of a trial: its rate, and its durations during and after the script.
 type LoadPlan struct {
 	Rate         float64
 	DuringScript time.Duration
 	AfterScript  time.Duration
 }
 
-// RunTrial runs a script. It must be called within a synctest bubble.
-func RunTrial(s Script, site standin.Site, seed uint64, pace LoadPlan) TrialResult {
+// RunTrial runs a script and checks its results. It must be called within a synctest bubble.
+func RunTrial(s Script, site standin.Site, seed uint64, plan LoadPlan) TrialResult {
 	c := Build(seed, site, s.Configure)
 	defer c.Close()
-	v := TrialResult{}
+	result := TrialResult{}
 	if err := c.Bootstrap(); err != nil {
-		v.Violations = append(v.Violations, Violation{ServiceNotRestored, err.Error()})
-		return v
+		result.Violations = append(result.Violations, Violation{ServiceNotRestored, err.Error()})
+		return result
 	}
 	r := rand.New(rand.NewPCG(seed, 99))
-	span := max(pace.DuringScript, s.LoadDuration)
+	span := max(plan.DuringScript, s.LoadDuration)
 	done := make(chan error, 1)
 	start := time.Now()
 	ctx, stopWatching := context.WithCancel(c.ctx)
-	c.wg.Go(func() { c.watch(ctx, &v.WithoutPrimary) })
+	c.wg.Go(func() { c.watch(ctx, &result.WithoutPrimary) })
 	go func() {
 		time.Sleep(2 * time.Second)
 		done <- s.Run(c, r)
 	}()
-	all := c.Load(pace.Rate, span, seed)
+	outcomes := c.Load(plan.Rate, span, seed)
 	err := <-done
 	firstFault := 2 * time.Second
-	// After the script the fleet must serve again, whatever happened.
+	// Once the script has ended, the fleet must serve requests again.
 	elapsed := time.Since(start)
-	after := c.Load(pace.Rate, pace.AfterScript, seed+1000)
+	after := c.Load(plan.Rate, plan.AfterScript, seed+1000)
 	for i := range after {
 		after[i].At += elapsed
 	}
-	all = append(all, after...)
+	outcomes = append(outcomes, after...)
 	if err != nil {
-		v.Violations = append(v.Violations, Violation{ServiceNotRestored, "script: " + err.Error()})
+		result.Violations = append(result.Violations, Violation{ServiceNotRestored, "script: " + err.Error()})
 	}
-	v.Summary = standin.Sum(all)
+	result.Summary = standin.Sum(outcomes)
 	stopWatching()
-	v.Outages = c.backs(all, [][2]time.Duration{{firstFault, span}, {elapsed + 500*time.Millisecond, elapsed + pace.AfterScript}})
+	result.Outages = c.backs(
+		outcomes,
+		[][2]time.Duration{{firstFault, span}, {elapsed + 500*time.Millisecond, elapsed + plan.AfterScript}},
+	)
 	bound := s.Bound
 	if bound == 0 {
 		bound = 12 * time.Second
 	}
-	v.Violations = append(v.Violations, late(v.Outages, bound)...)
-	if n := v.Summary.Ends[api.Complete]; s.NoFailures && n != len(all) {
-		v.Violations = append(v.Violations, Violation{
-			ServiceNotRestored, fmt.Sprintf("only %d of %d calls completed on a calm day: %v", n, len(all), v.Summary.Details),
+	result.Violations = append(result.Violations, late(result.Outages, bound)...)
+	if n := result.Summary.Ends[api.Complete]; s.NoFailures && n != len(outcomes) {
+		result.Violations = append(result.Violations, Violation{
+			ServiceNotRestored, fmt.Sprintf(
+				"only %d of %d requests completed in a script without failures: %v",
+				n,
+				len(outcomes),
+				result.Summary.Details,
+			),
 		})
 	}
-	v.Violations = append(v.Violations, c.Recorder.Check(all)...)
-	v.Violations = append(v.Violations, c.checkConfigurations()...)
-	v.Recomputes = len(c.Recorder.recomputes)
-	v.AfterLeave, v.AfterEvacuation, v.ApplyTimes, v.StaleOrders = c.Recorder.LastWorkAfter("leave"), c.Recorder.LastWorkAfter("evacuate"), c.Recorder.applyTimes, c.Recorder.LongestStaleOrder()
-	return v
+	result.Violations = append(result.Violations, c.Recorder.Check(outcomes)...)
+	result.Violations = append(result.Violations, c.checkConfigurations()...)
+	result.Recomputes = len(c.Recorder.recomputes)
+	result.AfterLeave, result.AfterEvacuation, result.ApplyTimes, result.StaleOrders = c.Recorder.LastWorkAfter("leave"),
+		c.Recorder.LastWorkAfter("evacuate"), c.Recorder.applyTimes, c.Recorder.LongestStaleOrder()
+	return result
 }
