--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -49,7 +49,7 @@
 		OutputDiffers: func(*Recorder) []standin.Outcome {
 			return []standin.Outcome{{Kind: "rider", End: "wrong", Detail: "tokens [1]"}}
 		},
-		ImportFailedMidDecode: func(r *Recorder) []standin.Outcome { r.AddWorker(fakeTallies{"x": {Starved: 1}}); return nil },
+		DecodeOutOfMemory: func(r *Recorder) []standin.Outcome { r.AddWorker(fakeTallies{"x": {Starved: 1}}); return nil },
 		WorkAfterLeave: func(r *Recorder) []standin.Outcome {
 			r.marks = append(r.marks, Mark{"leave", "p1", time.Second})
 			event(r, "prefill", "p1", 1, 1, 3900*time.Millisecond)
@@ -103,12 +103,23 @@
 // among them must be reported, and consistent recordings must not.
 func TestConfigurationChecks(t *testing.T) {
 	for name, record := range map[string]func(r *Recorder){
-		"different text":         func(r *Recorder) { r.RecordAck(3, "a"); r.RecordActive("n1", 3, []byte("b")) },
-		"two texts":              func(r *Recorder) { r.RecordActive("n1", 3, []byte("a")); r.RecordActive("n2", 3, []byte("b")) },
-		"refused text":           func(r *Recorder) { r.RecordRefused("x"); r.RecordActive("n1", 4, []byte("x")) },
-		"slow apply":             func(r *Recorder) { r.RecordMark("slow-apply", "version 3") },
-		"":                       func(r *Recorder) { r.RecordAck(3, "a"); r.RecordActive("n1", 3, []byte("a")); r.RecordRefused("b") },
-		"refused, then accepted": func(r *Recorder) { r.RecordRefused("a"); r.RecordAck(4, "a"); r.RecordActive("n1", 4, []byte("a")) },
+		"different text": func(r *Recorder) { r.RecordAck(3, "a"); r.RecordActive("n1", 3, []byte("b")) },
+		"two texts": func(r *Recorder) {
+			r.RecordActive("n1", 3, []byte("a"))
+			r.RecordActive("n2", 3, []byte("b"))
+		},
+		"refused text": func(r *Recorder) { r.RecordRefused("x"); r.RecordActive("n1", 4, []byte("x")) },
+		"slow apply":   func(r *Recorder) { r.RecordMark("slow-apply", "version 3") },
+		"": func(r *Recorder) {
+			r.RecordAck(3, "a")
+			r.RecordActive("n1", 3, []byte("a"))
+			r.RecordRefused("b")
+		},
+		"refused, then accepted": func(r *Recorder) {
+			r.RecordRefused("a")
+			r.RecordAck(4, "a")
+			r.RecordActive("n1", 4, []byte("a"))
+		},
 	} {
 		c := &Cluster{Recorder: NewRecorder()}
 		record(c.Recorder)
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -39,7 +39,7 @@
 	Node         *router.Node
 	Worker       *standin.Worker
 	Up           bool
-	Terminate    context.CancelFunc // starts a router's graceful shutdown, as SIGTERM does
+	Shutdown     context.CancelFunc // starts a router's graceful shutdown, as SIGTERM does
 
 	mu      host.ChannelMutex // serializes starting and stopping
 	process *simulated.Process
@@ -185,18 +185,18 @@
 			})
 			p.Node = n
 			c.nodes.Store(n, name)
-			in, out := http.NewServeMux(), http.NewServeMux()
-			n.Mount(in)
-			api.Mount(out, n)
-			api.MountOperator(out, n)
-			nodeCtx, leave := context.WithCancel(ctx)
-			p.Terminate = leave
+			peerMux, clientMux := http.NewServeMux(), http.NewServeMux()
+			n.Mount(peerMux)
+			api.Mount(clientMux, n)
+			api.MountOperator(clientMux, n)
+			nodeCtx, shutdown := context.WithCancel(ctx)
+			p.Shutdown = shutdown
 			c.wg.Go(func() { n.Run(nodeCtx, 3*time.Second) })
 			c.Platform.AddNode(p.FrontendAddr, zone)
-			if err := c.serve(ctx, host, p.Addr, in); err != nil {
+			if err := c.serve(ctx, host, p.Addr, peerMux); err != nil {
 				return err
 			}
-			return c.serve(ctx, host, p.FrontendAddr, out)
+			return c.serve(ctx, host, p.FrontendAddr, clientMux)
 		},
 	}
 }
--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -70,7 +70,7 @@
 // stopped ends a node as the platform does: told first, killed when it had its time,
 // and started again.
 func stopped(c *Cluster, b *Process) error {
-	b.Terminate()
+	b.Shutdown()
 	time.Sleep(3500 * time.Millisecond)
 	c.Kill(b)
 	if err := c.Start(b); err != nil {
--- a/internal/simulation/governed_work_test.go
+++ b/internal/simulation/governed_work_test.go
@@ -195,7 +195,7 @@
 func TestSittings(t *testing.T) {
 	skipUnderRace(t)
 	for _, s := range Sittings {
-		for _, seed := range seeds() {
+		for _, seed := range testSeeds() {
 			t.Run(s.Name+"/"+strconv.Itoa(int(seed)), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) { sit(t, s, seed) })
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -184,7 +184,7 @@
 		lines := make(chan []api.StreamEvent, 1)
 		go func() { l, _ := c.stream(p, long); lines <- l }()
 		time.Sleep(150 * time.Millisecond)
-		p.Terminate()
+		p.Shutdown()
 		require.True(t, c.WaitUntil(time.Second, ready(false)))
 		all := <-lines
 		require.NotEmpty(t, all)
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -75,12 +75,14 @@
 	c.Recorder.RecordApplyTime(took)
 	// While the core is partitioned from all routers, none of them can receive the version.
 	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) && !c.Recorder.corePartitionedSince(start) {
-		c.Recorder.RecordMark("slow-apply", fmt.Sprintf("version %d took %s, in force: %v", got.Version, took, got.Active))
+		c.Recorder.RecordMark(
+			"slow-apply", fmt.Sprintf("version %d took %s, in force: %v", got.Version, took, got.Active),
+		)
 	}
 	return nil
 }
 
-// changeRetryAfter applies a small change, distinguished from others by its value.
+// changeRetryAfter sets the clients' retry delay. Callers pass a value that no other change uses.
 func changeRetryAfter(c *Cluster, op string, ms int) error {
 	return applyPartial(c, op, fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, ms))
 }
@@ -151,8 +153,8 @@
 
 // checkConfigurations compares the acknowledged and refused configurations with all that were in
 // force at any router. A version has a single text, which is the acknowledged one if there is one; a
-// refused text is never in force; and within 5 s every running router has the newest acknowledged
-// version.
+// refused text is never in force unless it was also acknowledged; and within 5 s every running router
+// has the newest acknowledged version.
 func (c *Cluster) checkConfigurations() []Violation {
 	f := &violationList{}
 	c.Recorder.mu.Lock()
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -116,7 +116,7 @@
 // Violation is a broken rule, with the details of the case.
 type Violation struct{ Rule, Detail string }
 
-func (f Violation) String() string { return f.Rule + ": " + f.Detail }
+func (v Violation) String() string { return v.Rule + ": " + v.Detail }
 
 type violationList struct{ found []Violation }
 
@@ -128,9 +128,9 @@
 const (
 	RunTwice                = "request run twice or recorded twice"
 	RanDespiteNotRun        = "request reported as not run was run"
-	StreamCorrupted         = "stream with lost, repeated or mixed tokens, or falsely complete"
+	StreamCorrupted         = "stream lost, repeated, spliced or falsely complete"
 	OutputDiffers           = "output differs"
-	ImportFailedMidDecode   = "decode ran out of memory"
+	DecodeOutOfMemory       = "decode ran out of memory"
 	WorkAfterLeave          = "new work at a leaving worker"
 	WorkAfterEvacuation     = "new work in an evacuated zone"
 	ConfigurationSlow       = "configuration slow or reverted"
@@ -181,7 +181,7 @@
 		}
 	}
 	if starved > 0 {
-		f.add(ImportFailedMidDecode, "%d decodes ran out of memory", starved)
+		f.add(DecodeOutOfMemory, "%d decodes ran out of memory", starved)
 	}
 	for key := range outcomesByKey(all) {
 		// A client whose request is reported as not run appends a plus to the key and retries.
@@ -292,15 +292,15 @@
 			first[e.Version] = e.When
 		}
 	}
-	for _, p := range r.grants {
+	for _, g := range r.grants {
 		for v, at := range first {
-			if v > p.Version && p.At > at+250*time.Millisecond {
+			if v > g.Version && g.At > at+250*time.Millisecond {
 				f.add(
 					ConfigurationSlow,
 					"%s granted a hand-off under version %d, %.2f s after a worker received version %d",
-					p.Node,
-					p.Version,
-					(p.At - at).Seconds(),
+					g.Node,
+					g.Version,
+					(g.At - at).Seconds(),
 					v,
 				)
 				return
--- a/internal/simulation/script_test.go
+++ b/internal/simulation/script_test.go
@@ -16,8 +16,8 @@
 	"keelstair.example/internal/standin"
 )
 
-// seeds returns KEELSTAIR_SEEDS consecutive seeds, 1 by default, starting after KEELSTAIR_FROM.
-func seeds() []uint64 {
+// testSeeds returns KEELSTAIR_SEEDS consecutive seeds, 1 by default, starting after KEELSTAIR_FROM.
+func testSeeds() []uint64 {
 	n, _ := strconv.Atoi(os.Getenv("KEELSTAIR_SEEDS"))
 	from, _ := strconv.Atoi(os.Getenv("KEELSTAIR_FROM"))
 	var out []uint64
@@ -58,7 +58,7 @@
 		if raceEnabled && !slices.Contains([]string{"leader-killed", "workers-crash", "operators-race"}, s.Name) {
 			continue
 		}
-		for _, seed := range seeds() {
+		for _, seed := range testSeeds() {
 			t.Run(s.Name+"/"+strconv.Itoa(int(seed)), func(t *testing.T) {
 				t.Parallel()
 				site := standin.Sites["vatuloa"]
@@ -99,7 +99,7 @@
 // TestTogether runs composed scripts: overlapping failures and operator actions chosen by the seed.
 func TestTogether(t *testing.T) {
 	skipUnderRace(t)
-	list := seeds()
+	list := testSeeds()
 	if len(list) == 1 {
 		list = []uint64{1, 2, 3, 4, 5, 6}
 	}
--- a/internal/simulation/trial_test.go
+++ b/internal/simulation/trial_test.go
@@ -16,7 +16,7 @@
 type TrialResult struct {
 	Violations      []Violation
 	Summary         standin.Summary
-	Outages         map[string]time.Duration // longest times without a completed request, by kind and by the frontend's zone
+	Outages         map[string]time.Duration // longest times without a completion, by kind and by frontend zone
 	WithoutPrimary  time.Duration            // longest time without a primary
 	Recomputes      int
 	AfterLeave      []time.Duration // last new work of each leaving worker, after it left
