--- a/internal/simulation/idempotency_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -73,10 +73,10 @@
 	})
 }
 
-// TestDeadController: a router is killed at different points of a hand-off and another router settles
+// TestRouterKilledDuringHandoff: a router is killed at different points of a hand-off and another router settles
 // its claim. The key then returns the record, or reports that it was not run or may have run. It
 // never runs twice, and a key that is reported as not run has a tombstone and no run.
-func TestDeadController(t *testing.T) {
+func TestRouterKilledDuringHandoff(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		outcomes := map[string]int{}
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -80,9 +80,9 @@
 	})
 }
 
-// TestBadPolicies: an invalid policy is refused entirely, with the position and the reason, and the
+// TestInvalidPolicies: an invalid policy is refused entirely, with the position and the reason, and the
 // policy in force stays.
-func TestBadPolicies(t *testing.T) {
+func TestInvalidPolicies(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		for _, k := range []struct {
