--- a/internal/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -267,7 +267,7 @@
 			"zone":    "hall-a",
 		}}
 		part["zones"] = []ids.Zone{
-			"hall-a", "hall-p", "hall-c", "alatau", "medeu", "bostandyk", ids.Zone("zone-" + name),
+			"hall-a", "hall-b", "hall-c", "alatau", "medeu", "bostandyk", ids.Zone("zone-" + name),
 		}
 	case 1:
 		part["programs"] = map[string]any{"idea-" + op: map[string]any{
