--- a/internal/proxy/checkers_test.go
+++ b/internal/proxy/checkers_test.go
@@ -200,9 +200,9 @@
 	return out
 }
 
-// checkRoleOrders: orders of different owners to one worker are at least a lease apart, and fences never
+// checkRoleOrderFencing: orders of different owners to one worker are at least a lease apart, and fences never
 // decrease.
-func checkRoleOrders(calls []callRecord, lease time.Duration) []string {
+func checkRoleOrderFencing(calls []callRecord, lease time.Duration) []string {
 	var out []string
 	last := map[ids.WorkerID]callRecord{}
 	for _, call := range calls {
@@ -350,11 +350,11 @@
 	order := func(at time.Duration, owner ids.NodeID, fence ids.Fence) callRecord {
 		return callRecord{Kind: "order", At: at, Worker: "w", Owner: owner, Fence: fence, TargetRole: ids.Decode, Accepted: true}
 	}
-	require.Empty(t, checkRoleOrders([]callRecord{
+	require.Empty(t, checkRoleOrderFencing([]callRecord{
 		order(0, "a", 1), order(1, "a", 1), order(4*time.Second, "b", 2),
 	}, 3*time.Second))
-	require.NotEmpty(t, checkRoleOrders([]callRecord{order(0, "a", 1), order(2*time.Second, "b", 2)}, 3*time.Second), "within a lease")
-	require.NotEmpty(t, checkRoleOrders([]callRecord{
+	require.NotEmpty(t, checkRoleOrderFencing([]callRecord{order(0, "a", 1), order(2*time.Second, "b", 2)}, 3*time.Second), "within a lease")
+	require.NotEmpty(t, checkRoleOrderFencing([]callRecord{
 		order(0, "a", 2), order(4*time.Second, "b", 1),
 	}, 3*time.Second), "a lower fence")
 	roles := map[ids.WorkerID]ids.Role{"v": ids.Prefill, "w": ids.Prefill, "x": ids.Decode}
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -122,9 +122,9 @@
 	})
 }
 
-// TestNewestReturnsStagedVersion: while one node is frozen and a version is only staged, Newest already
+// TestReadNewestReturnsStagedVersion: while one node is frozen and a version is only staged, Newest already
 // returns that version, although the nodes still use the older one.
-func TestNewestReturnsStagedVersion(t *testing.T) {
+func TestReadNewestReturnsStagedVersion(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
 		f := startFleet(t, 72, 3, platform, defaultConfiguration(), nil)
@@ -394,10 +394,10 @@
 	})
 }
 
-// TestNodeWithoutConfigurationIsNotReady: a node that has no configuration, or no worker on its list, is
+// TestReadinessWithoutCore: a node that has no configuration, or no worker on its list, is
 // not ready and rejects requests without reaching a worker. A node that loses the core after it was ready
 // continues to serve.
-func TestNodeWithoutConfigurationIsNotReady(t *testing.T) {
+func TestReadinessWithoutCore(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
 		f := startFleet(t, 76, 2, platform, defaultConfiguration(), nil)
@@ -423,11 +423,11 @@
 	})
 }
 
-// TestUnknownRouteWhileBehind: a node that is partitioned from the core can't know whether a newer version
+// TestUnknownRouteWithOutdatedConfiguration: a node that is partitioned from the core can't know whether a newer version
 // has a route. Once its configuration may be outdated, it responds to an unknown route with 503, so that
 // callers retry, and not with 404. After the partition heals it serves a route that was added meanwhile, and responds with 404 to
 // one that doesn't exist.
-func TestUnknownRouteWhileBehind(t *testing.T) {
+func TestUnknownRouteWithOutdatedConfiguration(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
 		f := startFleet(t, 76, 3, platform, defaultConfiguration(), nil)
--- a/internal/proxy/fault_notice_test.go
+++ b/internal/proxy/fault_notice_test.go
@@ -278,9 +278,9 @@
 	})
 }
 
-// TestFaultNoticesEnd: a node gets a notice about a healthy worker, as from a partitioned node. It checks
+// TestFaultNoticesAreNotForwarded: a node gets a notice about a healthy worker, as from a partitioned node. It checks
 // the worker once and does not forward the notice, so that notices do not circulate among the nodes.
-func TestFaultNoticesEnd(t *testing.T) {
+func TestFaultNoticesAreNotForwarded(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
 		f := startFleet(t, 58, 8, platform, defaultConfiguration(), nil)
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -519,7 +519,7 @@
 }
 
 // skipUnderRaceDetector skips a test of a large fleet under the race detector, which exceeds its own limits
-// there: it failed an internal check in TestTreeSumsOutcomes.
+// there: it failed an internal check in TestTreeSumsCallOutcomes.
 func skipUnderRaceDetector(t *testing.T) {
 	t.Helper()
 	if raceDetectorEnabled {
--- a/internal/proxy/lease_takeover_test.go
+++ b/internal/proxy/lease_takeover_test.go
@@ -33,10 +33,10 @@
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
 		f := startFleet(t, seed, 4, platform, defaultConfiguration(), withRoleChanges)
 		defer f.close()
-		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.roleDutyHolder() >= 0 }))
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.roleLeaseHolder() >= 0 }))
 		time.Sleep(5 * time.Second)
-		f.killNode(f.roleDutyHolder())
-		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.roleDutyHolder() >= 0 }), "no node acquires the lease")
+		f.killNode(f.roleLeaseHolder())
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.roleLeaseHolder() >= 0 }), "no node acquires the lease")
 		since := map[*testNode]ids.Tick{}
 		for _, node := range f.runningNodes() {
 			since[node] = node.now()
--- a/internal/proxy/list_interval_test.go
+++ b/internal/proxy/list_interval_test.go
@@ -60,9 +60,9 @@
 // newService returns a service without limits.
 func newService(name string) *fleetstate.Service { return &fleetstate.Service{Name: name} }
 
-// TestUrgencyRank: a longer prefill is never more urgent than a shorter one of the same route, a short one
+// TestPrefillQueueRank: a longer prefill is never more urgent than a shorter one of the same route, a short one
 // keeps its route's urgency, and no rank exceeds 9, the end of the workers' scale.
-func TestUrgencyRank(t *testing.T) {
+func TestPrefillQueueRank(t *testing.T) {
 	for urgency := range 10 {
 		last := urgency
 		for tokens := 1; tokens < 1<<20; tokens += 97 {
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -12,8 +12,8 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// listCallsSince counts the list calls of each node since a time.
-func (p *fakePlatform) listCallsSince(since time.Duration) map[string]int {
+// listCallersSince counts the list calls of each node since a time.
+func (p *fakePlatform) listCallersSince(since time.Duration) map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]int{}
@@ -58,12 +58,12 @@
 		require.GreaterOrEqual(t, holder, 0)
 		from := platform.elapsed()
 		time.Sleep(10 * time.Second)
-		counts := platform.listCallsSince(from)
+		counts := platform.listCallersSince(from)
 		require.Len(t, counts, 1, "%v", counts)
 		require.InDelta(t, 14, counts[nodeIP(holder)], 4)
 		platform.withLock(func() { platform.worker("svc-decode-1").Leaving = true })
 		require.True(t, f.waitUntil(1500*time.Millisecond, func() bool { return f.allNodesKnowLeaving(platform, "svc-decode-1") }))
-		require.Len(t, platform.listCallsSince(from), 1)
+		require.Len(t, platform.listCallersSince(from), 1)
 	})
 }
 
@@ -99,7 +99,7 @@
 					require.True(t, f.waitUntil(3*time.Second, func() bool { return f.allNodesKnowLeaving(platform, name) }), "change %d", i)
 					time.Sleep(300 * time.Millisecond)
 				}
-				require.GreaterOrEqual(t, len(platform.listCallsSince(from)), 1)
+				require.GreaterOrEqual(t, len(platform.listCallersSince(from)), 1)
 				for _, node := range f.runningNodes() {
 					require.Less(t, node.now().Since(node.endpoints.Load().requestedAt), 3*time.Second, fmt.Sprint(node.ip))
 				}
@@ -121,7 +121,7 @@
 				time.Sleep(10 * time.Second)
 				from := platform.elapsed()
 				time.Sleep(10 * time.Second)
-				require.Len(t, platform.listCallsSince(from), 1, "%v", platform.listCallsSince(from))
+				require.Len(t, platform.listCallersSince(from), 1, "%v", platform.listCallersSince(from))
 				platform.withLock(func() { platform.worker("svc-decode-1").Leaving = true })
 				require.True(t, f.waitUntil(2*duration+1500*time.Millisecond, func() bool {
 					return f.allNodesKnowLeaving(platform, "svc-decode-1")
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -192,9 +192,9 @@
 	require.Less(t, loadBytes, 12_000)
 }
 
-// TestLeavingWorkerIsPushed: all nodes know that a worker is leaving shortly after the list holder does, in
+// TestNodesLearnOfLeavingWorker: all nodes know that a worker is leaving shortly after the list holder does, in
 // a flat fleet and down a tree of three levels.
-func TestLeavingWorkerIsPushed(t *testing.T) {
+func TestNodesLearnOfLeavingWorker(t *testing.T) {
 	// In a flat fleet the nodes poll the holder every 200 to 300 ms; in a tree a response waits for a change.
 	for maxFlatNodes, limit := range map[int]time.Duration{96: 350 * time.Millisecond, 1: 100 * time.Millisecond} {
 		t.Run(fmt.Sprint(maxFlatNodes), func(t *testing.T) {
@@ -230,8 +230,8 @@
 	return func(o *Options) { o.FlatListNodes, o.TreeWidth = maxFlatNodes, 2 }
 }
 
-// TestTreeOnlyHolderListsWorkers: in a tree, too, only the holder lists the workers at the platform.
-func TestTreeOnlyHolderListsWorkers(t *testing.T) {
+// TestOneNodeListsWorkersInTree: in a tree, too, only the holder lists the workers at the platform.
+func TestOneNodeListsWorkersInTree(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
 		f := startFleet(t, 65, 12, platform, defaultConfiguration(), withListTree(1))
@@ -239,13 +239,13 @@
 		time.Sleep(8 * time.Second)
 		from := platform.elapsed()
 		time.Sleep(10 * time.Second)
-		require.Len(t, platform.listCallsSince(from), 1, "%v", platform.listCallsSince(from))
+		require.Len(t, platform.listCallersSince(from), 1, "%v", platform.listCallersSince(from))
 	})
 }
 
-// firstTreeNode returns the index of a running node outside the holder's zone whose parent is the holder,
+// holderChildInOtherZone returns the index of a running node outside the holder's zone whose parent is the holder,
 // or -1.
-func (f *fleet) firstTreeNode() int {
+func (f *fleet) holderChildInOtherZone() int {
 	owner := f.nodes[f.listHolder()]
 	members := owner.agent.Members()
 	for i, node := range f.nodes {
@@ -282,7 +282,7 @@
 		lostNodes = append(lostNodes, f.listHolder())
 	}
 	if lost != "holder" {
-		lostNodes = append(lostNodes, f.firstTreeNode())
+		lostNodes = append(lostNodes, f.holderChildInOtherZone())
 	}
 	require.NotContains(t, lostNodes, -1)
 	from := platform.elapsed()
@@ -304,7 +304,7 @@
 		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.allNodesKnowLeaving(platform, name) }), "change %d", i)
 		time.Sleep(300 * time.Millisecond)
 	}
-	listCalls := platform.listCallsSince(from)
+	listCalls := platform.listCallersSince(from)
 	for _, i := range lostNodes { // ignore list calls that a process sent while it was being killed or frozen
 		delete(listCalls, nodeIP(i))
 	}
@@ -364,7 +364,7 @@
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
 		f := startFleet(t, 68, 12, platform, defaultConfiguration(), withListTree(1))
 		defer f.close()
-		require.LessOrEqual(t, len(platform.listCallsSince(0)), 3, "%v", platform.listCallsSince(0))
+		require.LessOrEqual(t, len(platform.listCallersSince(0)), 3, "%v", platform.listCallersSince(0))
 	})
 }
 
@@ -394,9 +394,9 @@
 	})
 }
 
-// TestTreeSumsOutcomes: if every third node sees a worker fail, all nodes learn from the tree how many
+// TestTreeSumsCallOutcomes: if every third node sees a worker fail, all nodes learn from the tree how many
 // nodes saw it. A failure that only one node saw counts as the report of one node.
-func TestTreeSumsOutcomes(t *testing.T) {
+func TestTreeSumsCallOutcomes(t *testing.T) {
 	skipUnderRaceDetector(t)
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 6)...)
--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -168,9 +168,9 @@
 			}
 		})
 		require.True(t, f.waitUntil(2*time.Second, allNodesKnow(func(int) int { return 5000 })), "a change doesn't reach all nodes")
-		separate := f.roleDutyHolder() >= 0 && f.roleDutyHolder() != f.workerListOwner()
+		separate := f.roleLeaseHolder() >= 0 && f.roleLeaseHolder() != f.workerListHolder()
 		t.Log("the leases have different holders:", separate)
-		f.killNode(f.roleDutyHolder())
+		f.killNode(f.roleLeaseHolder())
 		platform.withLock(func() {
 			for _, worker := range workers {
 				worker.memoryUsed = 32_000
@@ -199,8 +199,8 @@
 	})
 }
 
-// workerListOwner returns the number of the node that holds the lease of the worker list, or -1.
-func (f *fleet) workerListOwner() int {
+// workerListHolder returns the number of the node that holds the lease of the worker list, or -1.
+func (f *fleet) workerListHolder() int {
 	for i, node := range f.nodes {
 		if _, ok := node.agent.OwnsKey(fleetstate.WorkerListKey); ok && node.running {
 			return i
@@ -222,7 +222,7 @@
 			f := startFleet(t, seed, 4, newFakePlatform(workers...), defaultConfiguration(), withRoleChanges)
 			defer f.close()
 			time.Sleep(8 * time.Second)
-			if separate = f.roleDutyHolder() >= 0 && f.workerListOwner() >= 0 && f.roleDutyHolder() != f.workerListOwner(); !separate {
+			if separate = f.roleLeaseHolder() >= 0 && f.workerListHolder() >= 0 && f.roleLeaseHolder() != f.workerListHolder(); !separate {
 				return
 			}
 			for _, node := range f.runningNodes() {
@@ -273,10 +273,10 @@
 	}
 }
 
-// runShortMemoryLoad sends load to decode workers that run out of memory before they run out of slots. It
+// runMemoryShortageLoad sends load to decode workers that run out of memory before they run out of slots. It
 // returns the rejected decode calls, the answered requests, all requests, and the mean time to the first byte
 // of the answered ones.
-func runShortMemoryLoad(t *testing.T, seed uint64, rate, noCapacityCost float64) (rejected, answered, total int, meanFirstByte time.Duration) {
+func runMemoryShortageLoad(t *testing.T, seed uint64, rate, noCapacityCost float64) (rejected, answered, total int, meanFirstByte time.Duration) {
 	workers := prefillAndDecodeWorkers("svc", 4, 6)
 	for i, worker := range workers {
 		if worker.memoryCapacity = 400_000; worker.Role == ids.Decode {
@@ -329,7 +329,7 @@
 		for seed := uint64(1); seed <= seeds; seed++ {
 			for k, noCapacityCost := range []float64{-1, 0} {
 				runInBubble(t, func(t *testing.T) {
-					rejectedNow, answeredNow, total, meanFirstByte := runShortMemoryLoad(t, seed, rate, noCapacityCost)
+					rejectedNow, answeredNow, total, meanFirstByte := runMemoryShortageLoad(t, seed, rate, noCapacityCost)
 					t.Logf(
 						"%.0f requests/s, seed %d, free memory used %t: %d rejected, %d of %d answered, first byte after %s",
 						rate,
--- a/internal/proxy/metering_test.go
+++ b/internal/proxy/metering_test.go
@@ -45,7 +45,7 @@
 	mu     sync.Mutex
 	calls  []usageCall
 	delay  time.Duration // before each response
-	refuse int           // number of next reports to reject
+	rejectNext int           // number of next reports to reject
 }
 
 func (recorder *usageRecorder) serve(p *simulated.Process) {
@@ -71,9 +71,9 @@
 	report.From, _, _ = net.SplitHostPort(conn.RemoteAddr().String())
 	report.At = time.Now()
 	recorder.mu.Lock()
-	refused := recorder.refuse > 0
+	refused := recorder.rejectNext > 0
 	if refused {
-		recorder.refuse--
+		recorder.rejectNext--
 	} else {
 		recorder.calls = append(recorder.calls, report)
 	}
@@ -383,7 +383,7 @@
 		f.startNode(holder)
 		recorder.withLock(func() { recorder.delay = 0 })
 	case 6:
-		recorder.withLock(func() { recorder.refuse = 5 })
+		recorder.withLock(func() { recorder.rejectNext = 5 })
 		f.world.Block(ip, coreIPs, true)
 		time.Sleep(8 * time.Second)
 		f.world.Block(ip, coreIPs, false)
--- a/internal/proxy/program_set_test.go
+++ b/internal/proxy/program_set_test.go
@@ -425,9 +425,9 @@
 				require.NoError(t, err)
 				results := f.generateLoad(20, 40*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
 				calls := platform.recordedCalls()
-				require.Greater(t, len(recordedOrders(calls)), c.minOrders)
+				require.Greater(t, len(recordedRoleOrders(calls)), c.minOrders)
 				lastOrder, lastOrderOfAny := map[ids.WorkerID]time.Duration{}, time.Duration(-time.Hour)
-				for _, call := range recordedOrders(calls) {
+				for _, call := range recordedRoleOrders(calls) {
 					if at, ok := lastOrder[call.Worker]; ok {
 						require.Greater(t, call.At-at, 4*time.Second, "dwell time of %s", call.Worker)
 					}
@@ -473,11 +473,11 @@
 				time.Sleep(2 * time.Second)
 				platform.setExtraRunning(ids.Prefill, 6)
 				time.Sleep(10 * time.Second)
-				require.Equal(t, c.changesRole, len(recordedOrders(platform.recordedCalls())) > 0)
-				for _, call := range recordedOrders(platform.recordedCalls()) {
+				require.Equal(t, c.changesRole, len(recordedRoleOrders(platform.recordedCalls())) > 0)
+				for _, call := range recordedRoleOrders(platform.recordedCalls()) {
 					require.Equal(t, ids.Prefill, call.TargetRole)
 				}
-				owner := f.nodes[max(0, f.roleDutyHolder())]
+				owner := f.nodes[max(0, f.roleLeaseHolder())]
 				score := owner.Scores().Of(name)
 				require.NotZero(t, score.RoleChangeCalls.Load())
 				require.Equal(t, name == "fails" || name == "endless" || name == "stranger" || name == "same", score.Fallbacks.Load() > 0)
--- a/internal/proxy/role_balance_test.go
+++ b/internal/proxy/role_balance_test.go
@@ -14,7 +14,7 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-var serviceDutyKey = fleetstate.ServiceKey("svc")
+var serviceLeaseKey = fleetstate.ServiceKey("svc")
 
 // withRoleChanges enables role changes; slightly more than half of the workers of an idle fleet are prefill
 // workers.
@@ -45,18 +45,18 @@
 	return out
 }
 
-// roleDutyHolder returns the index of the node that holds the service's duty, or -1.
-func (f *fleet) roleDutyHolder() int {
+// roleLeaseHolder returns the index of the node that holds the service's duty, or -1.
+func (f *fleet) roleLeaseHolder() int {
 	for i, node := range f.nodes {
-		if _, ok := node.agent.OwnsKey(serviceDutyKey); ok && node.running {
+		if _, ok := node.agent.OwnsKey(serviceLeaseKey); ok && node.running {
 			return i
 		}
 	}
 	return -1
 }
 
-// recordedOrders returns the role orders among the calls.
-func recordedOrders(calls []callRecord) []callRecord {
+// recordedRoleOrders returns the role orders among the calls.
+func recordedRoleOrders(calls []callRecord) []callRecord {
 	var orders []callRecord
 	for _, call := range calls {
 		if call.Kind == "order" {
@@ -70,7 +70,7 @@
 // order.
 func checkChangingWorkersIdle(calls []callRecord, duration time.Duration) []string {
 	var out []string
-	for _, call := range recordedOrders(calls) {
+	for _, call := range recordedRoleOrders(calls) {
 		if call.Accepted {
 			out = append(out, callsToWorker(calls, call.Worker, call.At, call.At+duration)...)
 		}
@@ -99,19 +99,19 @@
 		orderCounts := map[ids.Role]int{}
 		owners := map[ids.NodeID]bool{}
 		var directions []ids.Role
-		for _, call := range recordedOrders(calls) {
+		for _, call := range recordedRoleOrders(calls) {
 			orderCounts[call.TargetRole]++
 			owners[call.Owner] = true
 			if n := len(directions); n == 0 || directions[n-1] != call.TargetRole {
 				directions = append(directions, call.TargetRole)
 			}
 		}
-		require.Equal(t, []ids.Role{ids.Prefill, ids.Decode, ids.Prefill}, directions, "%v", recordedOrders(calls))
+		require.Equal(t, []ids.Role{ids.Prefill, ids.Decode, ids.Prefill}, directions, "%v", recordedRoleOrders(calls))
 		require.Len(t, owners, 1, "one node sends all orders")
 		require.Empty(t, checkMinimumPerRole(calls, initialRoles))
 		require.Empty(t, checkUnavailableWorkers(calls, 100*time.Millisecond))
 		require.Empty(t, checkChangingWorkersIdle(calls, time.Second))
-		require.Empty(t, checkRoleOrders(calls, 3*time.Second))
+		require.Empty(t, checkRoleOrderFencing(calls, 3*time.Second))
 		require.Empty(t, checkExecutions(calls, results))
 		require.Empty(t, checkResponses(results))
 		for _, result := range results {
@@ -141,7 +141,7 @@
 		f.generateLoad(20, 10*time.Second, func(i int) *Request {
 			return f.newRequest(fmt.Sprint("r", i), []string{"/once/x", "/free/x"}[i%2], 400, 4)
 		})
-		require.Empty(t, recordedOrders(platform.recordedCalls()))
+		require.Empty(t, recordedRoleOrders(platform.recordedCalls()))
 	})
 }
 
@@ -156,9 +156,9 @@
 		initialRoles := workerRoles(platform)
 		for i := range 7 {
 			platform.setExtraRunning([]ids.Role{ids.Prefill, ids.Decode}[i%2], []int{6, 14}[i%2])
-			f.waitUntil(12*time.Second, func() bool { return f.roleDutyHolder() >= 0 && len(recordedOrders(platform.recordedCalls())) > i })
+			f.waitUntil(12*time.Second, func() bool { return f.roleLeaseHolder() >= 0 && len(recordedRoleOrders(platform.recordedCalls())) > i })
 			time.Sleep(time.Duration(seed*131%17+uint64(i)*7%5) * 100 * time.Millisecond)
-			holder := f.roleDutyHolder()
+			holder := f.roleLeaseHolder()
 			if holder < 0 {
 				continue
 			}
@@ -197,11 +197,11 @@
 			return true
 		}), "every role change ends")
 		calls := platform.recordedCalls()
-		require.Greater(t, len(recordedOrders(calls)), 3)
-		require.Empty(t, checkRoleOrders(calls, 3*time.Second))
+		require.Greater(t, len(recordedRoleOrders(calls)), 3)
+		require.Empty(t, checkRoleOrderFencing(calls, 3*time.Second))
 		require.Empty(t, checkMinimumPerRole(calls, initialRoles))
 		owner, last := map[ids.Fence]ids.NodeID{}, ids.Fence(0)
-		for _, call := range recordedOrders(calls) {
+		for _, call := range recordedRoleOrders(calls) {
 			if previous, ok := owner[call.Fence]; ok {
 				require.Equal(t, previous, call.Owner)
 			}
@@ -224,9 +224,9 @@
 				defer f.close()
 				platform.setExtraRunning(ids.Prefill, 6)
 				require.True(t, f.waitUntil(15*time.Second, func() bool {
-					return len(f.nodes[0].view.Current().RoleChanges) > 0 && (!ordered || len(recordedOrders(platform.recordedCalls())) > 0)
+					return len(f.nodes[0].view.Current().RoleChanges) > 0 && (!ordered || len(recordedRoleOrders(platform.recordedCalls())) > 0)
 				}))
-				holder := f.roleDutyHolder()
+				holder := f.roleLeaseHolder()
 				require.GreaterOrEqual(t, holder, 0)
 				f.killNode(holder)
 				platform.withLock(func() { platform.extraRunning = nil })
@@ -239,7 +239,7 @@
 				require.Empty(t, checkUnavailableWorkers(platform.recordedCalls(), 100*time.Millisecond))
 				require.Empty(t, checkExecutions(platform.recordedCalls(), results))
 				if !ordered {
-					require.Empty(t, recordedOrders(platform.recordedCalls()))
+					require.Empty(t, recordedRoleOrders(platform.recordedCalls()))
 				}
 			})
 		})
@@ -254,15 +254,15 @@
 		f := startFleet(t, 44, 3, platform, defaultConfiguration(), withRoleChanges)
 		defer f.close()
 		time.Sleep(3 * time.Second)
-		holder := f.roleDutyHolder()
+		holder := f.roleLeaseHolder()
 		require.GreaterOrEqual(t, holder, 0)
 		f.world.Partition([]string{nodeIP(holder)}, coreIPs, true)
 		next := -1
-		require.True(t, f.waitUntil(20*time.Second, func() bool { next = f.roleDutyHolder(); return next >= 0 && next != holder }))
+		require.True(t, f.waitUntil(20*time.Second, func() bool { next = f.roleLeaseHolder(); return next >= 0 && next != holder }))
 		assignedAt := platform.elapsed()
 		platform.setExtraRunning(ids.Prefill, 6)
-		require.True(t, f.waitUntil(20*time.Second, func() bool { return len(recordedOrders(platform.recordedCalls())) > 0 }))
-		first := recordedOrders(platform.recordedCalls())[0]
+		require.True(t, f.waitUntil(20*time.Second, func() bool { return len(recordedRoleOrders(platform.recordedCalls())) > 0 }))
+		first := recordedRoleOrders(platform.recordedCalls())[0]
 		require.Equal(t, nodeIP(next), first.Node)
 		require.Greater(t, first.At-assignedAt, 3*time.Second)
 	})
@@ -276,8 +276,8 @@
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
 		f := startFleet(t, 45, 3, platform, defaultConfiguration(), func(o *Options) { withRoleChanges(o); o.RoleCheckInterval = 50 * time.Millisecond })
 		defer f.close()
-		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.roleDutyHolder() >= 0 }))
-		slowNode := f.nodes[(f.roleDutyHolder()+1)%3]
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.roleLeaseHolder() >= 0 }))
+		slowNode := f.nodes[(f.roleLeaseHolder()+1)%3]
 		for _, ip := range coreIPs {
 			f.world.SetLink(ip, slowNode.ip, simulated.Link{Delay: 200 * time.Millisecond})
 		}
@@ -285,7 +285,7 @@
 		platform.setExtraRunning(ids.Prefill, 6)
 		results := f.generateLoad(60, 8*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
 		calls := platform.recordedCalls()
-		require.NotEmpty(t, recordedOrders(calls))
+		require.NotEmpty(t, recordedRoleOrders(calls))
 		require.Empty(t, checkChangingWorkersIdle(calls, time.Second))
 		require.Empty(t, checkExecutions(calls, results))
 		for _, result := range results {
--- a/internal/proxy/silent_workers_test.go
+++ b/internal/proxy/silent_workers_test.go
@@ -163,7 +163,7 @@
 		silentFrom := silenceAfter(f, platform, 8*time.Second, "svc-decode-0", "svc-decode-1")
 		f.generateLoad(40, 12*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/sresume/x", 400, 3) })
 		var roleOrders []callRecord
-		for _, call := range recordedOrders(platform.recordedCalls()) {
+		for _, call := range recordedRoleOrders(platform.recordedCalls()) {
 			if call.TargetRole == ids.Decode && call.At >= silentFrom {
 				roleOrders = append(roleOrders, call)
 			}
--- a/internal/proxy/stale_version_test.go
+++ b/internal/proxy/stale_version_test.go
@@ -63,9 +63,9 @@
 	return ok && rejected.Code == http.StatusServiceUnavailable
 }
 
-// TestNodeBehindDoesNotServe: a node that applies a version slowly rejects requests from the time at which
+// TestOutdatedNodeRejectsRequests: a node that applies a version slowly rejects requests from the time at which
 // the version must be current until it has applied it.
-func TestNodeBehindDoesNotServe(t *testing.T) {
+func TestOutdatedNodeRejectsRequests(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		const applying = 6 * time.Second
 		platform := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
@@ -140,9 +140,9 @@
 	})
 }
 
-// TestTakeoverMakesNoNodeRefuse: while no core can acknowledge a new version, nodes serve the version that
+// TestCoreFailureCausesNoRejections: while no core can acknowledge a new version, nodes serve the version that
 // they have.
-func TestTakeoverMakesNoNodeRefuse(t *testing.T) {
+func TestCoreFailureCausesNoRejections(t *testing.T) {
 	for name, fault := range map[string]func(f *fleet, leader string){
 		"power":  func(f *fleet, leader string) { f.powerOffCore(leader) },
 		"frozen": func(f *fleet, leader string) { f.world.Machine(leader).Freeze(true) },
--- a/internal/proxy/tenant_test.go
+++ b/internal/proxy/tenant_test.go
@@ -135,9 +135,9 @@
 	})
 }
 
-// TestUnknownKeyWhileBehind: a node whose configuration may be outdated can't know whether a newer version
+// TestUnknownKeyWithOutdatedConfiguration: a node whose configuration may be outdated can't know whether a newer version
 // has a key. It responds with 503 and a retry time, and not with 401.
-func TestUnknownKeyWhileBehind(t *testing.T) {
+func TestUnknownKeyWithOutdatedConfiguration(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
 		f := startFleet(t, 80, 3, platform, tenantConfiguration("amber"), nil)
--- a/internal/proxy/unconfirmed_core_test.go
+++ b/internal/proxy/unconfirmed_core_test.go
@@ -13,9 +13,9 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestCoreWithoutBackupsMakesNoNodeRefuse: the primary accepts connections but can't confirm any node
+// TestCoreWithoutBackupsCausesNoRejections: the primary accepts connections but can't confirm any node
 // without its backups. No node rejects requests.
-func TestCoreWithoutBackupsMakesNoNodeRefuse(t *testing.T) {
+func TestCoreWithoutBackupsCausesNoRejections(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
 		f := startFleet(t, 1, 3, platform, defaultConfiguration(), nil)
@@ -33,9 +33,9 @@
 	})
 }
 
-// TestNodeWithoutRenewalsServesNoOldVersion: the renewals of one node arrive late although it can reach the
+// TestNodeWithLateRenewalsServesNoOldVersion: the renewals of one node arrive late although it can reach the
 // primary. It doesn't serve a version longer than ApplyMax after a newer one was acknowledged.
-func TestNodeWithoutRenewalsServesNoOldVersion(t *testing.T) {
+func TestNodeWithLateRenewalsServesNoOldVersion(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		const answerRate = 100 // bytes per second
 		platform := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
