--- a/internal/proxy/checkers_test.go
+++ b/internal/proxy/checkers_test.go
@@ -1,5 +1,6 @@
-// Checkers of the calls recorded by the fake platform and of the results that callers got, and a test that
-// each checker finds its violations.
+// Checkers of the calls that the fake platform recorded and of the results that callers got. Each returns one
+// line for each violation found, and a test verifies that it reports violations and accepts valid records.
+// In the records, Kind is "read" for a prefill, "emit" for a decode and "order" for a role change.
 
 package proxy
 
@@ -61,15 +62,16 @@
 }
 
 // checkResponses: a successful request has its complete response, with each event once and in order,
-// starting after the last event that the caller already had. An aborted one has only complete events of it
-// (or a prefix of a response that is not streamed). A rejected one has nothing.
+// starting after the last event that the caller already had. An aborted request has only complete events of
+// that response (or a prefix of a response that is not streamed). A rejected request has neither a response
+// head nor body bytes. The body of a response with a status other than 200 is not checked.
 func checkResponses(results []*requestResult) []string {
 	var out []string
 	for _, result := range results {
 		got, lastEvent := result.response.bodyText(), 0
 		fmt.Sscan(result.LastEventID, &lastEvent)
 		if _, ok := result.err.(*RejectedError); ok && (got != "" || result.response.headCount > 0) {
-			out = append(out, result.ID+" was rejected but has response bytes")
+			out = append(out, result.ID+" was rejected but has a response")
 		}
 		if aborted, ok := result.err.(*AbortedError); ok && aborted.HeadSent != (result.response.headCount > 0) {
 			out = append(out, result.ID+" was aborted with a wrong HeadSent")
@@ -113,16 +115,15 @@
 // within ratio * requests + allowance in every window.
 func checkRetryBudget(calls []callRecord, results []*requestResult, ratio, allowance float64, window time.Duration) []string {
 	var out []string
-	type step struct {
+	type budgetEvent struct {
 		at    time.Duration
 		extra bool
 	}
-	var steps []step
+	var events []budgetEvent
 	for _, result := range results {
-		steps = append(steps, step{result.sentAt, false})
+		events = append(events, budgetEvent{result.sentAt, false})
 	}
-	// The first successful prefill of a request does not count; all others do.
-	count, prefilled := map[string]int{}, map[string]bool{}
+	callsOf, prefilled := map[string]int{}, map[string]bool{}
 	for _, call := range calls {
 		if call.Kind != "emit" && call.Kind != "read" {
 			continue
@@ -131,27 +132,27 @@
 			prefilled[call.RequestID] = true
 			continue
 		}
-		if count[call.RequestID]++; count[call.RequestID] > 1 {
-			steps = append(steps, step{call.At, true})
+		if callsOf[call.RequestID]++; callsOf[call.RequestID] > 1 {
+			events = append(events, budgetEvent{call.At, true})
 		}
 	}
-	sort.SliceStable(steps, func(i, j int) bool { return steps[i].at < steps[j].at })
-	first, requests, extra := 0, 0, 0
-	for _, s := range steps {
-		if s.extra {
+	sort.SliceStable(events, func(i, j int) bool { return events[i].at < events[j].at })
+	oldest, requests, extra := 0, 0, 0
+	for _, event := range events {
+		if event.extra {
 			extra++
 		} else {
 			requests++
 		}
-		for ; s.at-steps[first].at > window; first++ {
-			if steps[first].extra {
+		for ; event.at-events[oldest].at > window; oldest++ {
+			if events[oldest].extra {
 				extra--
 			} else {
 				requests--
 			}
 		}
-		if s.extra && float64(extra) > ratio*float64(requests)+allowance {
-			out = append(out, fmt.Sprintf("at %s: %d extra calls for %d requests", s.at, extra, requests))
+		if event.extra && float64(extra) > ratio*float64(requests)+allowance {
+			out = append(out, fmt.Sprintf("at %s: %d extra calls for %d requests", event.at, extra, requests))
 		}
 	}
 	return out
@@ -182,7 +183,7 @@
 		if (call.Kind == "read" || call.Kind == "emit") && call.KnownUnavailableFor > tolerance {
 			out = append(
 				out,
-				fmt.Sprintf("at %s: %s sends a %s to %s, known to be unavailable for %s", call.At, call.Node, call.Kind, call.Worker, call.KnownUnavailableFor),
+				fmt.Sprintf("at %s: %s sends %s to %s, which it has known for %s to be unavailable", call.At, call.Node, call.Kind, call.Worker, call.KnownUnavailableFor),
 			)
 		}
 	}
@@ -200,8 +201,8 @@
 	return out
 }
 
-// checkRoleOrderFencing: orders of different owners to one worker are at least a lease apart, and fences never
-// decrease.
+// checkRoleOrderFencing: role-change orders that different holders of the service's lease send to one worker
+// are at least one lease duration apart, and their fencing tokens never decrease.
 func checkRoleOrderFencing(calls []callRecord, lease time.Duration) []string {
 	var out []string
 	last := map[ids.WorkerID]callRecord{}
@@ -225,7 +226,7 @@
 			}
 			if call.Fence < previous.Fence {
 				out = append(
-					out, fmt.Sprintf("at %s: fence %d follows %d at %s", call.At, call.Fence, previous.Fence, call.Worker),
+					out, fmt.Sprintf("at %s: fencing token %d follows %d at %s", call.At, call.Fence, previous.Fence, call.Worker),
 				)
 			}
 		}
@@ -234,8 +235,8 @@
 	return out
 }
 
-// checkMinimumPerRole: as orders change the roles, each role keeps a third of the workers (rounded up, at
-// least one).
+// checkMinimumPerRole: after each accepted role-change order, each role has at least a third of the workers
+// (rounded up).
 func checkMinimumPerRole(calls []callRecord, initialRoles map[ids.WorkerID]ids.Role) []string {
 	var out []string
 	roles := map[ids.WorkerID]ids.Role{}
@@ -272,8 +273,8 @@
 	return out
 }
 
-// TestCheckersFindViolations: each checker reports nothing for valid records and finds each violation that
-// it checks for.
+// TestCheckersFindViolations: each checker reports nothing for valid records and reports the violations
+// listed here, which are not all those that it checks for.
 func TestCheckersFindViolations(t *testing.T) {
 	event := func(i int) string { return fmt.Sprintf("id: %d\ndata: word-%d of r\n\n", i, i) }
 	resultOf := func(err error, path, got string) []*requestResult {
@@ -285,7 +286,7 @@
 			Request:  &Request{ID: "r", Path: path, MaxTokens: 2},
 			err:      err,
 			response: response,
-			stream:   strings.HasPrefix(path, "/s"),
+			stream:   strings.HasPrefix(path, "/s"), // the paths of the streaming routes start with /s
 			finished: true,
 			sentAt:   time.Second,
 			endedAt:  2 * time.Second,
@@ -294,20 +295,20 @@
 	decode := callRecord{Kind: "emit", RequestID: "r", Accepted: true, Executed: true, Worker: "w"}
 	acceptedOnly := decode
 	acceptedOnly.Executed = false
-	plainText := "word-1 of r;word-2 of r;"
+	completeBody := "word-1 of r;word-2 of r;"
 
-	require.Empty(t, checkExecutions([]callRecord{decode}, resultOf(nil, "/once/", plainText)))
+	require.Empty(t, checkExecutions([]callRecord{decode}, resultOf(nil, "/once/", completeBody)))
 	require.Empty(t, checkExecutions([]callRecord{{Kind: "emit", RequestID: "r"}}, resultOf(&RejectedError{}, "/once/", "")))
-	require.NotEmpty(t, checkExecutions([]callRecord{decode, decode}, resultOf(nil, "/once/", plainText)), "executed twice")
+	require.NotEmpty(t, checkExecutions([]callRecord{decode, decode}, resultOf(nil, "/once/", completeBody)), "executed twice")
 	require.NotEmpty(t, checkExecutions([]callRecord{decode}, resultOf(&RejectedError{}, "/once/", "")), "executed and rejected")
 	require.NotEmpty(t, checkExecutions([]callRecord{acceptedOnly}, resultOf(&RejectedError{}, "/once/", "")), "accepted by a worker and rejected")
-	require.NotEmpty(t, checkExecutions(nil, resultOf(nil, "/once/", plainText)), "never executed")
+	require.NotEmpty(t, checkExecutions(nil, resultOf(nil, "/once/", completeBody)), "never executed")
 
-	require.Empty(t, checkCompletions(resultOf(nil, "/once/", plainText), 2*time.Second))
-	require.NotEmpty(t, checkCompletions(resultOf(nil, "/once/", plainText), time.Millisecond), "late")
+	require.Empty(t, checkCompletions(resultOf(nil, "/once/", completeBody), 2*time.Second))
+	require.NotEmpty(t, checkCompletions(resultOf(nil, "/once/", completeBody), time.Millisecond), "late")
 	require.NotEmpty(t, checkCompletions(resultOf(errConnectionReset, "/once/", ""), 2*time.Second), "an unexpected error type")
 
-	require.Empty(t, checkResponses(resultOf(nil, "/once/", plainText)))
+	require.Empty(t, checkResponses(resultOf(nil, "/once/", completeBody)))
 	require.Empty(t, checkResponses(resultOf(&AbortedError{HeadSent: true}, "/stream/", event(1))))
 	require.Empty(t, checkResponses(resultOf(nil, "/stream/", event(1)+event(2))))
 	require.NotEmpty(t, checkResponses(resultOf(nil, "/once/", "word-1 of r;")), "a partial response as a success")
@@ -320,23 +321,23 @@
 	require.NotEmpty(t, checkResponses(resultOf(&RejectedError{}, "/stream/", event(1))), "a rejection with response bytes")
 	require.NotEmpty(t, checkResponses(resultOf(&AbortedError{}, "/stream/", event(1))), "HeadSent is not set")
 
-	second := decode
-	second.At = 3 * time.Second
-	require.Empty(t, checkRetryBudget([]callRecord{decode, second}, resultOf(nil, "/again/", plainText), 1, 0, 10*time.Second))
+	laterDecode := decode
+	laterDecode.At = 3 * time.Second
+	require.Empty(t, checkRetryBudget([]callRecord{decode, laterDecode}, resultOf(nil, "/again/", completeBody), 1, 0, 10*time.Second))
 	require.NotEmpty(t, checkRetryBudget([]callRecord{
-		decode, second,
-	}, resultOf(nil, "/again/", plainText), 0.5, 0, 10*time.Second), "one extra call for one request")
+		decode, laterDecode,
+	}, resultOf(nil, "/again/", completeBody), 0.5, 0, 10*time.Second), "one extra call for one request")
 	require.NotEmpty(t, checkRetryBudget([]callRecord{
-		decode, second,
-	}, resultOf(nil, "/again/", plainText), 1, 0, time.Second), "the request has left the window")
+		decode, laterDecode,
+	}, resultOf(nil, "/again/", completeBody), 1, 0, time.Second), "the request has left the window")
 	require.NotEmpty(t, checkRetryBudget([]callRecord{
 		{Kind: "read", RequestID: "r"},
-		second,
-	}, resultOf(nil, "/again/", plainText), 0.5, 0, 10*time.Second), "a failed prefill")
+		laterDecode,
+	}, resultOf(nil, "/again/", completeBody), 0.5, 0, 10*time.Second), "a failed prefill")
 	require.Empty(t, checkRetryBudget([]callRecord{
 		{Kind: "read", RequestID: "r", Executed: true},
-		second,
-	}, resultOf(nil, "/again/", plainText), 0.5, 0, 10*time.Second))
+		laterDecode,
+	}, resultOf(nil, "/again/", completeBody), 0.5, 0, 10*time.Second))
 
 	cold := callRecord{Kind: "read", Worker: "w", Cold: true}
 	require.Empty(t, checkSlowStartRate([]callRecord{cold, cold}, 2))
@@ -344,22 +345,22 @@
 	unavailable := callRecord{Kind: "emit", Worker: "w", KnownUnavailableFor: time.Second}
 	require.Empty(t, checkUnavailableWorkers([]callRecord{decode, unavailable}, 2*time.Second))
 	require.NotEmpty(t, checkUnavailableWorkers([]callRecord{decode, unavailable}, 100*time.Millisecond))
-	require.Empty(t, callsToWorker([]callRecord{second}, "w", 0, time.Second))
-	require.NotEmpty(t, callsToWorker([]callRecord{second}, "w", 3*time.Second, 4*time.Second))
+	require.Empty(t, callsToWorker([]callRecord{laterDecode}, "w", 0, time.Second))
+	require.NotEmpty(t, callsToWorker([]callRecord{laterDecode}, "w", 3*time.Second, 4*time.Second))
 
-	order := func(at time.Duration, owner ids.NodeID, fence ids.Fence) callRecord {
+	roleOrder := func(at time.Duration, owner ids.NodeID, fence ids.Fence) callRecord {
 		return callRecord{Kind: "order", At: at, Worker: "w", Owner: owner, Fence: fence, TargetRole: ids.Decode, Accepted: true}
 	}
 	require.Empty(t, checkRoleOrderFencing([]callRecord{
-		order(0, "a", 1), order(1, "a", 1), order(4*time.Second, "b", 2),
+		roleOrder(0, "a", 1), roleOrder(1, "a", 1), roleOrder(4*time.Second, "b", 2),
 	}, 3*time.Second))
-	require.NotEmpty(t, checkRoleOrderFencing([]callRecord{order(0, "a", 1), order(2*time.Second, "b", 2)}, 3*time.Second), "within a lease")
+	require.NotEmpty(t, checkRoleOrderFencing([]callRecord{roleOrder(0, "a", 1), roleOrder(2*time.Second, "b", 2)}, 3*time.Second), "within a lease")
 	require.NotEmpty(t, checkRoleOrderFencing([]callRecord{
-		order(0, "a", 2), order(4*time.Second, "b", 1),
-	}, 3*time.Second), "a lower fence")
+		roleOrder(0, "a", 2), roleOrder(4*time.Second, "b", 1),
+	}, 3*time.Second), "a lower fencing token")
 	roles := map[ids.WorkerID]ids.Role{"v": ids.Prefill, "w": ids.Prefill, "x": ids.Decode}
-	require.Empty(t, checkMinimumPerRole([]callRecord{order(0, "a", 1)}, roles))
-	require.NotEmpty(t, checkMinimumPerRole([]callRecord{order(0, "a", 1)}, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "x": ids.Decode}))
+	require.Empty(t, checkMinimumPerRole([]callRecord{roleOrder(0, "a", 1)}, roles))
+	require.NotEmpty(t, checkMinimumPerRole([]callRecord{roleOrder(0, "a", 1)}, map[ids.WorkerID]ids.Role{"w": ids.Prefill, "x": ids.Decode}))
 
 	platform := newFakePlatform()
 	platform.handles["h"] = &memoryHandle{fetches: 1}
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -1,4 +1,5 @@
-// Configurations: they are staged at the core and become current on the nodes.
+// Tests of how configurations are staged at the coordination service (the core) and become current on the
+// nodes, and of their effect on requests.
 
 package proxy
 
@@ -31,18 +32,18 @@
 
 // newestConfiguration returns the newest configuration that the core has, staged or current.
 func (f *fleet) newestConfiguration(t *testing.T) fleetstate.VersionedText {
-	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
 	node := f.runningNodes()[0]
 	got, _, err := fleetstate.ReadNewest(ctx, node.agent.Caller(), node.Directory())
 	require.NoError(t, err)
 	return got
 }
 
-// TestPutConfiguration: a version gets the number that the caller requests, even if numbers are skipped. A
-// version based on a stale one, or with a number that is not above the newest, changes nothing. An
-// operation that is repeated returns its first outcome, even after later operations. Newest returns a
-// staged version immediately, and the outcome of an operation can be queried.
+// TestPutConfiguration: a version gets the number that the caller requests, even if numbers are skipped, or
+// the next number if the caller requests 0. A version based on an outdated one, or with a number that is not
+// above the newest, is rejected. An operation that is repeated returns its first outcome, even after later
+// operations. ReadNewest returns a new version immediately, and the outcome of an operation can be queried.
 func TestPutConfiguration(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -50,13 +51,13 @@
 		defer f.close()
 		node := f.nodes[0]
 		put := func(op ids.OpID, base, next ids.Version, text string) (ids.Version, error) {
-			ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
-			defer stop()
+			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+			defer cancel()
 			return fleetstate.PutConfiguration(ctx, node.agent.Caller(), node.Directory(), op, base, next, []byte(text))
 		}
 		outcome := func(op ids.OpID, base ids.Version) (ids.Version, error) {
-			ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
-			defer stop()
+			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+			defer cancel()
 			return fleetstate.QueryOutcome(ctx, node.agent.Caller(), node.Directory(), op, fleetstate.OutcomeQuery{Base: base})
 		}
 		require.True(t, f.waitUntil(3*time.Second, func() bool { return f.currentOnAllNodes(1) }))
@@ -66,7 +67,7 @@
 		require.Equal(t, fleetstate.VersionedText{
 			Version: 7,
 			Text:    []byte(`{"zones":["seven"]}`),
-		}, f.newestConfiguration(t), "a put version is readable immediately")
+		}, f.newestConfiguration(t), "a version can be read as soon as it was put")
 		_, err = put("stale", 1, 9, `{}`)
 		require.True(t, failure.Is(err, failure.Stale), "%v", err)
 		for _, low := range []ids.Version{3, 7} {
@@ -94,8 +95,9 @@
 	})
 }
 
-// TestLargeConfigurationIsCompressed: a large text is stored and sent compressed to less than a fifth of
-// its size, and the current text and the text that is read back are identical to it byte for byte.
+// TestLargeConfigurationIsCompressed: the encoded state of a node, which its peers get, contains a large
+// configuration in less than a fifth of its size. The current text and the text that is read back are
+// identical to it byte for byte.
 func TestLargeConfigurationIsCompressed(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -122,8 +124,8 @@
 	})
 }
 
-// TestReadNewestReturnsStagedVersion: while one node is frozen and a version is only staged, Newest already
-// returns that version, although the nodes still use the older one.
+// TestReadNewestReturnsStagedVersion: while one node is frozen, a version is only staged. ReadNewest already
+// returns it, although the nodes still use the older one.
 func TestReadNewestReturnsStagedVersion(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -139,8 +141,9 @@
 }
 
 // TestCurrentVersionNeverDecreases: new versions are put while leaders lose power, nodes are partitioned
-// from the core and follow their peers, and nodes restart. The current version of a node never decreases, a
-// version number has the same text on all nodes, and in the end all nodes have the newest version.
+// from the core and get updates from their peers, and nodes restart. The current version of a node process
+// never decreases, a version number has the same text on all nodes, and in the end all nodes have the newest
+// version.
 func TestCurrentVersionNeverDecreases(t *testing.T) {
 	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -148,7 +151,7 @@
 		defer f.close()
 		var mu sync.Mutex
 		texts := map[ids.Version]string{}
-		var faults []string
+		var violations []string
 		done := make(chan bool)
 		stop := sync.OnceFunc(func() { close(done) })
 		defer stop()
@@ -157,14 +160,14 @@
 			for {
 				mu.Lock()
 				for _, node := range f.runningNodes() {
-					snapshot := node.view.Current()
-					if snapshot.Version < last[node.Node] {
-						faults = append(faults, fmt.Sprintf("%s: version changed from %d to %d", node.ip, last[node.Node], snapshot.Version))
+					current := node.view.Current()
+					if current.Version < last[node.Node] {
+						violations = append(violations, fmt.Sprintf("%s: version changed from %d to %d", node.ip, last[node.Node], current.Version))
 					}
-					if previous, ok := texts[snapshot.Version]; ok && previous != string(snapshot.Text) {
-						faults = append(faults, fmt.Sprintf("version %d has two texts", snapshot.Version))
+					if previous, ok := texts[current.Version]; ok && previous != string(current.Text) {
+						violations = append(violations, fmt.Sprintf("version %d has two texts", current.Version))
 					}
-					texts[snapshot.Version], last[node.Node] = string(snapshot.Text), snapshot.Version
+					texts[current.Version], last[node.Node] = string(current.Text), current.Version
 				}
 				mu.Unlock()
 				select {
@@ -177,14 +180,14 @@
 		version := ids.Version(1)
 		for i := range 8 {
 			faulty := (int(seed) + i) % 3
-			ip := []string{nodeIP(faulty)}
+			faultyIPs := []string{nodeIP(faulty)}
 			switch (int(seed) + i) % 4 {
 			case 0:
 				if leader := f.leader(); leader != "" {
 					f.powerOffCore(leader)
 				}
 			case 1:
-				f.world.Partition(ip, coreIPs, true)
+				f.world.Partition(faultyIPs, coreIPs, true)
 			case 2:
 				f.setFrozen(faulty, true)
 			case 3:
@@ -210,7 +213,7 @@
 			require.NoError(t, err)
 			version = next
 			time.Sleep(2 * time.Second)
-			f.world.Partition(ip, coreIPs, false)
+			f.world.Partition(faultyIPs, coreIPs, false)
 			f.setFrozen(faulty, false)
 			if !f.nodes[faulty].running {
 				f.startNode(faulty)
@@ -226,16 +229,16 @@
 		stop()
 		mu.Lock()
 		defer mu.Unlock()
-		require.Empty(t, faults)
+		require.Empty(t, violations)
 	})
 }
 
 // TestRunningRequestKeepsItsRoute: a request keeps the route and the service that it started with, although
-// the route is moved to another service or removed meanwhile, and it is resumed by the old route's rules. A
-// later request follows the new configuration.
+// the route is moved to another service or removed meanwhile, and it is resumed according to the old route.
+// A later request follows the new configuration.
 func TestRunningRequestKeepsItsRoute(t *testing.T) {
-	for _, dropped := range []bool{false, true} {
-		t.Run(fmt.Sprint("dropped-", dropped), func(t *testing.T) {
+	for _, removed := range []bool{false, true} {
+		t.Run(fmt.Sprint("removed-", removed), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				platform := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
 				f := startFleet(t, 73, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 10 })
@@ -244,8 +247,9 @@
 				f.wg.Go(func() { earlyResult <- f.send(f.nodes[0], f.newRequest("long", "/sresume/x", 400, 150)) })
 				time.Sleep(500 * time.Millisecond)
 				routes := defaultRoutes()
+				// The route of /sresume/ is the last one.
 				routes[3].Service, routes[3].Resumable = "other", false
-				if dropped {
+				if removed {
 					routes = routes[:3]
 				}
 				require.NoError(
@@ -261,6 +265,7 @@
 				lateResult := f.send(f.nodes[0], f.newRequest("late", "/sresume/x", 400, 3))
 				for _, call := range platform.recordedCalls() {
 					if call.Kind == "emit" && call.RequestID == "long" {
+						// A worker ID is the worker's name and its incarnation, such as svc-decode-0.1.
 						platform.restartWorker(string(call.Worker[:len(call.Worker)-2]))
 					}
 				}
@@ -278,7 +283,7 @@
 					}
 				}
 				require.Equal(t, 2, decodes)
-				if dropped {
+				if removed {
 					require.Equal(t, 404, lateResult.err.(*RejectedError).Code)
 				} else {
 					require.NoError(t, lateResult.err)
@@ -289,13 +294,14 @@
 }
 
 // TestAddedAndRemovedRoutes: every node finds an added route and no longer finds a removed one, and the
-// longest matching prefix wins. A request without a route never reaches a worker.
+// longest matching prefix wins. A request without a route is rejected with 404.
 func TestAddedAndRemovedRoutes(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
 		f := startFleet(t, 74, 3, platform, defaultConfiguration(), nil)
 		defer f.close()
-		servingServices := func(id, path string) []string {
+		// It returns for each node the first three letters of the service that served the request, or 404.
+		serviceOrStatusPerNode := func(id, path string) []string {
 			var out []string
 			for _, node := range f.nodes {
 				result := f.send(node, f.newRequest(id+node.ip, path, 400, 2))
@@ -313,8 +319,8 @@
 			}
 			return out
 		}
-		require.Equal(t, []string{"404", "404", "404"}, servingServices("a", "/new/x"))
-		require.Equal(t, []string{"svc", "svc", "svc"}, servingServices("b", "/once/deep/x"))
+		require.Equal(t, []string{"404", "404", "404"}, serviceOrStatusPerNode("a", "/new/x"))
+		require.Equal(t, []string{"svc", "svc", "svc"}, serviceOrStatusPerNode("b", "/once/deep/x"))
 		routes := append(defaultRoutes()[1:], fleetstate.Route{
 			Name:            "new",
 			Host:            routeHost,
@@ -340,15 +346,15 @@
 			f.putConfiguration("two", 1, 2, encodeConfiguration(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})),
 		)
 		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.currentOnAllNodes(2) }))
-		require.Equal(t, []string{"svc", "svc", "svc"}, servingServices("c", "/new/x"))
-		require.Equal(t, []string{"404", "404", "404"}, servingServices("d", "/once/x"))
-		require.Equal(t, []string{"svc", "svc", "svc"}, servingServices("e", "/again/x"))
-		require.Equal(t, []string{"oth", "oth", "oth"}, servingServices("g", "/again/deep/x"))
+		require.Equal(t, []string{"svc", "svc", "svc"}, serviceOrStatusPerNode("c", "/new/x"))
+		require.Equal(t, []string{"404", "404", "404"}, serviceOrStatusPerNode("d", "/once/x"))
+		require.Equal(t, []string{"svc", "svc", "svc"}, serviceOrStatusPerNode("e", "/again/x"))
+		require.Equal(t, []string{"oth", "oth", "oth"}, serviceOrStatusPerNode("g", "/again/deep/x"))
 	})
 }
 
-// TestTrafficSplitByWeight: a route's requests are divided among its services by weight and by request ID,
-// so that the attempts of a request reach the same service on every node.
+// TestTrafficSplitByWeight: a route's requests are divided among its services by weight. The request ID
+// determines the service, so that all attempts with one ID reach the same service, on whichever node.
 func TestTrafficSplitByWeight(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 3), prefillAndDecodeWorkers("other", 2, 3)...)...)
@@ -382,7 +388,7 @@
 		count := map[string]int{}
 		for _, call := range platform.recordedCalls() {
 			if call.Kind == "emit" {
-				service := string(call.Worker[:3])
+				service := string(call.Worker[:3]) // the first letters of the worker's service
 				if previous, ok := serviceOf[call.RequestID]; ok {
 					require.Equal(t, previous, service, call.RequestID)
 				}
@@ -394,9 +400,9 @@
 	})
 }
 
-// TestReadinessWithoutCore: a node that has no configuration, or no worker on its list, is
-// not ready and rejects requests without reaching a worker. A node that loses the core after it was ready
-// continues to serve.
+// TestReadinessWithoutCore: nodes that lose the core and the platform's list of workers after they were ready
+// continue to serve. A node that starts in this situation, with neither a configuration nor workers, is not
+// ready and rejects requests with 503.
 func TestReadinessWithoutCore(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -424,9 +430,9 @@
 }
 
 // TestUnknownRouteWithOutdatedConfiguration: a node that is partitioned from the core can't know whether a newer version
-// has a route. Once its configuration may be outdated, it responds to an unknown route with 503, so that
-// callers retry, and not with 404. After the partition heals it serves a route that was added meanwhile, and responds with 404 to
-// one that doesn't exist.
+// has a route. Once its configuration may be outdated, it responds to an unknown route with 503 and not with
+// 404, so that callers retry. After the partition ends, it serves a route that was added meanwhile, and
+// responds with 404 to one that doesn't exist.
 func TestUnknownRouteWithOutdatedConfiguration(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
--- a/internal/proxy/encodings_test.go
+++ b/internal/proxy/encodings_test.go
@@ -9,7 +9,8 @@
 )
 
 // TestEncodings: every message and stored record of this package is encoded as in the first release that
-// supports rolling upgrades. The names in the file are those of that release.
+// supports rolling upgrades. The keys are the names that the messages had in that release, under which
+// testdata/encodings.txt lists them.
 func TestEncodings(t *testing.T) {
 	golden.Check(t, "testdata/encodings.txt", map[string]golden.Message{
 		"Alarm":     &FaultNotice{},
--- a/internal/proxy/fault_notice_test.go
+++ b/internal/proxy/fault_notice_test.go
@@ -1,4 +1,5 @@
-// Workers that stop responding, partitioned nodes, and the fault notices between nodes.
+// Tests of workers that stop responding, of partitioned nodes, and of fault notices: messages in which a node
+// reports to its peers that a worker does not respond.
 
 package proxy
 
@@ -14,10 +15,10 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestSilentDecodeWorker: a decode worker stops responding. Soon no node sends requests to it, including
-// nodes that had no requests there and only got a peer's fault notice. Requests that may be retried are
-// moved immediately and complete; the others are neither retried nor rejected. When the worker responds
-// again, it gets requests again.
+// TestSilentDecodeWorker: a decode worker stops responding. After 1.5 s no node sends requests to it, including
+// a node that had no requests there and only got a peer's fault notice. Requests of resumable streams are
+// moved to another worker without waiting for their deadlines and complete; requests that must not be retried
+// are executed at most once. When the worker responds again, it gets requests again.
 func TestSilentDecodeWorker(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
@@ -25,7 +26,7 @@
 		defer f.close()
 		// Only nodes 0 and 1 have traffic at first.
 		var results []*requestResult
-		unloaded := f.nodes[2]
+		idleNode := f.nodes[2]
 		f.withLock(func() { f.nodes = f.nodes[:2] })
 		var silentFrom time.Duration
 		f.wg.Go(func() {
@@ -36,9 +37,9 @@
 			return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 15)
 		})...)
 		for i := range 40 {
-			results = append(results, f.send(unloaded, f.newRequest(fmt.Sprint("q", i), "/once/x", 400, 1)))
+			results = append(results, f.send(idleNode, f.newRequest(fmt.Sprint("q", i), "/once/x", 400, 1)))
 		}
-		f.withLock(func() { f.nodes = append(f.nodes, unloaded) })
+		f.withLock(func() { f.nodes = append(f.nodes, idleNode) })
 		calls := platform.recordedCalls()
 		require.NotEmpty(t, callsToWorker(calls, "svc-decode-1.1", 0, silentFrom))
 		require.Empty(t, callsToWorker(calls, "svc-decode-1.1", silentFrom+1500*time.Millisecond, time.Hour))
@@ -59,7 +60,7 @@
 				reports[call.Node]++
 			}
 		}
-		require.Greater(t, reports[unloaded.ip], 0, "the node requested the report itself")
+		require.Greater(t, reports[idleNode.ip], 0, "the idle node requested the worker's report itself")
 		platform.withLock(func() { platform.worker("svc-decode-1").silent = false })
 		time.Sleep(3 * time.Second)
 		from := platform.elapsed()
@@ -69,7 +70,7 @@
 }
 
 // TestSilentPrefillWorker: a prefill worker stops responding. Every request that was to be prefilled there
-// still gets its response soon, and no request is executed twice.
+// still gets its response within 2.5 s, and none that must not be retried is executed twice.
 func TestSilentPrefillWorker(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
@@ -91,8 +92,8 @@
 	})
 }
 
-// TestFaultNoticesOfPartitionedNode: a node that reaches no worker sends its peers notices of all workers.
-// The peers check the workers themselves and never avoid a worker because of the notices.
+// TestFaultNoticesOfPartitionedNode: a node that reaches no worker sends its peers notices about all workers.
+// The peers request the workers' reports themselves and never avoid a worker because of the notices.
 func TestFaultNoticesOfPartitionedNode(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
@@ -129,13 +130,13 @@
 				}
 			}
 		})
-		var peers []*requestResult
+		var peerResults []*requestResult
 		for i := range 160 {
-			peers = append(peers, f.send(f.nodes[1+i%2], f.newRequest(fmt.Sprint("p", i), routePaths[i%4], 400, 2)))
+			peerResults = append(peerResults, f.send(f.nodes[1+i%2], f.newRequest(fmt.Sprint("p", i), routePaths[i%4], 400, 2)))
 		}
 		close(done)
 		time.Sleep(10 * time.Second)
-		for _, result := range peers {
+		for _, result := range peerResults {
 			require.NoError(t, result.err)
 		}
 		require.Empty(t, avoided)
@@ -145,7 +146,7 @@
 				reports++
 			}
 		}
-		require.Positive(t, reports, "peers got notices and requested reports themselves")
+		require.Positive(t, reports, "peers get notices and request reports themselves")
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		require.Empty(t, checkExecutions(platform.recordedCalls(), f.results))
@@ -154,8 +155,8 @@
 	})
 }
 
-// TestReportClearsUnansweredCall: one call gets no response although its worker is healthy. The worker's
-// report clears the suspicion, and other requests are still sent there.
+// TestReportClearsUnansweredCall: one call gets no response although its worker is healthy. The node requests
+// the worker's report, gets it, and still sends other requests there.
 func TestReportClearsUnansweredCall(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -183,8 +184,8 @@
 	})
 }
 
-// TestReportEndsAvoidance: calls to a worker fail repeatedly, and each time its report shows that it is
-// healthy. The node avoids it only briefly.
+// TestReportEndsAvoidance: four calls to a worker fail, and each time its report shows that it is healthy. The
+// node sends it requests again within 400 ms.
 func TestReportEndsAvoidance(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -210,9 +211,9 @@
 	})
 }
 
-// TestRequestsMoveFromSilentWorker: requests wait for the first token of a worker that stops responding, on
-// routes with a latency target of seconds. Once its report is missing too, requests that may be retried
-// move to another worker immediately.
+// TestRequestsMoveFromSilentWorker: on a route with a latency target of 3 s, requests wait for the first token
+// of a worker that does not respond. Once its report is missing as well, requests that may be retried move to
+// another worker without waiting for the target, and complete within 2 s.
 func TestRequestsMoveFromSilentWorker(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -236,17 +237,17 @@
 	})
 }
 
-// TestFaultNoticesAreBounded: half of the decode workers stop responding at once under load on every node
-// but one, and half of the nodes are killed at the same moment. The number of notices that a node sends
-// about one worker does not grow with the fleet, and the node without load still learns of the workers.
+// TestFaultNoticesAreBounded: half of the decode workers stop responding at once, and half of the nodes are
+// killed at the same moment. All remaining nodes but one have load. A node sends on average at most 12 notices
+// about each worker, although the fleet had 24 nodes, and the idle node still learns of the workers.
 func TestFaultNoticesAreBounded(t *testing.T) {
 	skipUnderRaceDetector(t)
 	runInBubble(t, func(t *testing.T) {
-		const nodes, silent, maxNotices = 24, 5, 12 // maxNotices: notices about one worker from one node
+		const nodes, silent, maxNotices = 24, 5, 12 // maxNotices: from one node about one worker, on average
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 2*silent)...)
 		f := startFleet(t, 57, nodes, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 200 })
 		defer f.close()
-		unloaded := f.nodes[0]
+		idleNode := f.nodes[0]
 		loaded := f.nodes[1 : nodes/2]
 		for i := nodes / 2; i < nodes; i++ {
 			f.killNode(i)
@@ -260,26 +261,27 @@
 		results := f.generateLoad(200, 2*time.Second, func(i int) *Request {
 			return f.newRequest(fmt.Sprint("r", i), "/again/x", 400, 4)
 		})
-		f.withLock(func() { f.nodes = append([]*testNode{unloaded}, loaded...) })
+		f.withLock(func() { f.nodes = append([]*testNode{idleNode}, loaded...) })
 		require.Empty(t, checkExecutions(platform.recordedCalls(), results))
 		for i, node := range f.nodes {
 			require.LessOrEqual(t, node.counts.FaultNotices.Load(), int64(silent*maxNotices), "node %d", i)
 		}
 		known := 0
 		for i := range silent {
-			state := unloaded.state(ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", i)))
+			state := idleNode.state(ids.WorkerID(fmt.Sprintf("svc-decode-%d.1", i)))
 			state.mu.Lock()
 			if state.down {
 				known++
 			}
 			state.mu.Unlock()
 		}
-		require.Equal(t, silent, known, "the node without load got notices and requested reports itself")
+		require.Equal(t, silent, known, "the idle node got notices and requested reports itself")
 	})
 }
 
-// TestFaultNoticesAreNotForwarded: a node gets a notice about a healthy worker, as from a partitioned node. It checks
-// the worker once and does not forward the notice, so that notices do not circulate among the nodes.
+// TestFaultNoticesAreNotForwarded: two nodes get a notice about a healthy worker, such as a partitioned node
+// sends. Each requests the worker's report at most once and does not forward the notice, so that notices do
+// not circulate among the nodes.
 func TestFaultNoticesAreNotForwarded(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
--- a/internal/proxy/large_configuration_test.go
+++ b/internal/proxy/large_configuration_test.go
@@ -1,4 +1,4 @@
-// Small changes of large configurations.
+// Test of small changes to a large configuration, which are stored and sent as deltas.
 
 package proxy
 
@@ -15,7 +15,8 @@
 
 // TestSmallChangesOfLargeConfiguration: one of many routes changes repeatedly while leaders lose power and
 // nodes are killed and rejoin. An acknowledged version is current on all running nodes within two seconds,
-// and on restarted ones within ten more, byte for byte, and it is read back complete.
+// and on restarted ones within ten more. All of them have it byte for byte, and so does the version that is
+// read back from the coordination service.
 func TestSmallChangesOfLargeConfiguration(t *testing.T) {
 	forEachSeed(t, 3, func(t *testing.T, seed uint64) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
--- a/internal/proxy/list_interval_test.go
+++ b/internal/proxy/list_interval_test.go
@@ -1,4 +1,5 @@
-// The rate of list calls, the choice among equal workers, and the urgency of prompts.
+// Tests of the rate of list calls to the platform, of the choice among equal decode workers, and of the rank of
+// prefills in the workers' queues.
 
 package proxy
 
@@ -15,8 +16,8 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestListInterval: however many nodes list the workers themselves, all together stay within the rate.
-// Without a rate limit, or below it, each node uses the minimum interval.
+// TestListInterval: however many nodes request the worker list from the platform themselves, all of them
+// together stay within the rate limit. Without a limit, or below it, each node uses the minimum interval.
 func TestListInterval(t *testing.T) {
 	minimum := 700 * time.Millisecond
 	require.Equal(t, minimum, listInterval(minimum, 0, 0.01))
@@ -29,7 +30,7 @@
 }
 
 // TestDecodeTiesSpreadOverWorkers: while nothing is known about the workers, requests are spread over all
-// of them and do not prefer the first ones of the list.
+// of them and not concentrated on the first ones of the list.
 func TestDecodeTiesSpreadOverWorkers(t *testing.T) {
 	node, err := New(Options{Name: "n", Zone: "a", Host: newSimulatedHost()})
 	require.NoError(t, err)
@@ -60,8 +61,9 @@
 // newService returns a service without limits.
 func newService(name string) *fleetstate.Service { return &fleetstate.Service{Name: name} }
 
-// TestPrefillQueueRank: a longer prefill is never more urgent than a shorter one of the same route, a short one
-// keeps its route's urgency, and no rank exceeds 9, the end of the workers' scale.
+// TestPrefillQueueRank: a longer prefill never has a lower (more urgent) rank than a shorter one of the same
+// route, the rank of a short one is its route's urgency, and no rank exceeds 9, the highest that workers
+// support.
 func TestPrefillQueueRank(t *testing.T) {
 	for urgency := range 10 {
 		last := urgency
@@ -74,5 +76,5 @@
 		require.Equal(t, urgency, prefillQueueRank(urgency, shortPrompt))
 		require.Equal(t, min(9, urgency+6), last)
 	}
-	require.Less(t, prefillQueueRank(1, 633), prefillQueueRank(0, 4486), "a short prompt of a less urgent route before a long one of a more urgent route")
+	require.Less(t, prefillQueueRank(1, 633), prefillQueueRank(0, 4486), "a short prompt of a less urgent route precedes a long one of a more urgent route")
 }
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -1,4 +1,4 @@
-// Which node lists the workers at the platform, and how the other nodes get the list.
+// Tests of which node requests the worker list from the platform, and of how the other nodes get the list.
 
 package proxy
 
@@ -12,7 +12,7 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// listCallersSince counts the list calls of each node since a time.
+// listCallersSince returns the number of list calls since a time, by the address of the calling node.
 func (p *fakePlatform) listCallersSince(since time.Duration) map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -25,7 +25,7 @@
 	return out
 }
 
-// listHolder returns the index of the node that holds the list duty, or -1.
+// listHolder returns the index of the running node that holds the lease of the worker list, or -1.
 func (f *fleet) listHolder() int {
 	for i, node := range f.nodes {
 		if _, ok := node.agent.OwnsKey(fleetstate.WorkerListKey); ok && node.running {
@@ -39,15 +39,15 @@
 func (f *fleet) allNodesKnowLeaving(platform *fakePlatform, name string) bool {
 	id := platform.worker(name).ID
 	for _, node := range f.runningNodes() {
-		if w := node.endpoints.Load().find(id); w == nil || !w.Leaving {
+		if worker := node.endpoints.Load().find(id); worker == nil || !worker.Leaving {
 			return false
 		}
 	}
 	return true
 }
 
-// TestOnlyHolderListsWorkers: without faults only the holder of the list duty calls the platform, and the
-// other nodes get changes from it.
+// TestOnlyHolderListsWorkers: without faults only the holder of the worker list's lease calls the platform, and
+// the other nodes get changes from it.
 func TestOnlyHolderListsWorkers(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
@@ -58,17 +58,17 @@
 		require.GreaterOrEqual(t, holder, 0)
 		from := platform.elapsed()
 		time.Sleep(10 * time.Second)
-		counts := platform.listCallersSince(from)
-		require.Len(t, counts, 1, "%v", counts)
-		require.InDelta(t, 14, counts[nodeIP(holder)], 4)
+		callers := platform.listCallersSince(from)
+		require.Len(t, callers, 1, "%v", callers)
+		require.InDelta(t, 14, callers[nodeIP(holder)], 4)
 		platform.withLock(func() { platform.worker("svc-decode-1").Leaving = true })
 		require.True(t, f.waitUntil(1500*time.Millisecond, func() bool { return f.allNodesKnowLeaving(platform, "svc-decode-1") }))
 		require.Len(t, platform.listCallersSince(from), 1)
 	})
 }
 
-// TestListWithoutHolder: the holder is killed or frozen, or cannot get the list itself. The other nodes
-// call the platform until a holder has a fresh list again, and learn of changes in time.
+// TestListWithoutHolder: the holder is killed or frozen, or cannot get the list itself. At least one other node
+// calls the platform, and all of them learn of changes within 3 s.
 func TestListWithoutHolder(t *testing.T) {
 	for _, fault := range []string{"killed", "frozen", "no list"} {
 		t.Run(fault, func(t *testing.T) {
@@ -88,7 +88,7 @@
 				default:
 					platform.withLock(func() { platform.partitionedNodes[nodeIP(holder)] = true })
 				}
-				f.withLock(func() { holderNode.running = false })
+				f.withLock(func() { holderNode.running = false }) // the fleet's helpers then ignore it
 				defer func() {
 					f.withLock(func() { holderNode.running = fault != "killed" })
 					f.setFrozen(holder, false)
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestSlowList: if a list call takes long, as it does for a list of many pages, the holder's list is old
-// for that reason alone. The other nodes still get it from the holder and do not all call the platform.
+// TestSlowList: a list call takes long, as it does for a list of many pages, so that the holder's list is always
+// old. The other nodes still get it from the holder and do not call the platform themselves.
 func TestSlowList(t *testing.T) {
 	for _, duration := range []time.Duration{700 * time.Millisecond, time.Second} {
 		t.Run(duration.String(), func(t *testing.T) {
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestListAfterAllKilled: all nodes are killed and restart at their addresses. The core still names the
-// previous holder, and the process that now answers at its address has no list. Every node still gets a
-// list soon.
+// TestListAfterAllKilled: all nodes are killed and restart at their addresses. The coordination service still
+// names the previous holder, and the process that now has its address has no list. Every node is still ready,
+// which requires a list, within 700 ms.
 func TestListAfterAllKilled(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -1,4 +1,6 @@
-// Distribution of the worker list to many nodes: by deltas, by push, and through a tree of nodes.
+// Tests of the distribution of the worker list to many nodes: as deltas, by polling the holder of the list's
+// lease, and by long polls along a tree of nodes, whose root is the holder. The holder is the node that
+// requests the list from the platform.
 
 package proxy
 
@@ -29,43 +31,44 @@
 }
 
 // TestListTreeShape: in a large fleet each node has a bounded number of children, each path leads to the
-// list holder in few steps, one node of each other zone has a parent in the holder's zone, and the outcomes
-// that a node reports are counted at its own parent and nowhere else.
+// list holder in few steps, and few nodes have a parent in another zone: at most one for each zone other
+// than the holder's, plus the direct nodes, which request the list from the holder wherever they are. The
+// outcomes of calls to workers that a node reports are counted at its own parent and nowhere else.
 func TestListTreeShape(t *testing.T) {
 	shape := treeShape{maxFlatNodes: 96, width: 12, direct: map[ids.NodeID]bool{"node-040": true, "node-041": true}}
 	for _, size := range []int{97, 300, 651} {
 		members := newMembers(size)
-		owner := members[5]
+		holder := members[5]
 		children := map[ids.NodeID]int{}
 		parentOf := map[ids.NodeID]ids.NodeID{}
-		crossing := 0
+		crossZoneLinks := 0
 		for _, member := range members {
-			if member.Node == owner.Node {
+			if member.Node == holder.Node {
 				continue
 			}
-			sources := shape.sourcesOf(member, owner, members)
+			sources := shape.sourcesOf(member, holder, members)
 			require.False(t, sources.flat())
 			parent := sources.parents[0]
 			children[parent.Node]++
 			parentOf[member.Node] = parent.Node
 			if parent.Zone != member.Zone {
-				crossing++
+				crossZoneLinks++
 			}
 			require.LessOrEqual(t, len(sources.parents), 4)
-			require.Equal(t, owner.Node, sources.parents[len(sources.parents)-1].Node)
+			require.Equal(t, holder.Node, sources.parents[len(sources.parents)-1].Node)
 		}
-		require.LessOrEqual(t, crossing, 3+len(shape.direct))
+		require.LessOrEqual(t, crossZoneLinks, 3+len(shape.direct))
 		for node, count := range children {
 			limit := shape.width
-			if node == owner.Node {
+			if node == holder.Node {
 				limit += 3 + len(shape.direct)
 			}
 			require.LessOrEqual(t, count, limit)
 		}
 		for _, member := range members {
-			counts := shape.outcomeReporters(member, owner, members)
+			countsReportsOf := shape.outcomeReporters(member, holder, members)
 			for _, other := range members {
-				require.Equal(t, parentOf[other.Node] == member.Node && other.Node != owner.Node, counts(other.Node))
+				require.Equal(t, parentOf[other.Node] == member.Node && other.Node != holder.Node, countsReportsOf(other.Node))
 			}
 		}
 	}
@@ -124,8 +127,9 @@
 	}
 }
 
-// TestListVersionsAgree: nodes that listed the workers separately have the same version of the same list,
-// in whatever order it arrived, so that each of them can apply the next delta.
+// TestListVersionsAgree: nodes that separately got the same list from the platform give it the same version,
+// whatever the order of its workers, so that each of them can apply the next delta. A change of SlowStart
+// alone leads to a new version.
 func TestListVersionsAgree(t *testing.T) {
 	first, err := New(Options{Name: "a", Host: newSimulatedHost()})
 	require.NoError(t, err)
@@ -147,11 +151,11 @@
 	workers = append([]Worker(nil), workers...)
 	workers[3].SlowStart = time.Second
 	first.installList(workers, first.now(), first.now())
-	require.NotEqual(t, previous, first.endpoints.Load().version, "a change of SlowStart alone is a new version")
+	require.NotEqual(t, previous, first.endpoints.Load().version, "a change of SlowStart alone leads to a new version")
 }
 
-// withRandomChange returns a copy of the list with a new worker, in which another worker may be removed or
-// may change whether it is leaving.
+// withRandomChange returns a copy of the list with one worker added and, at random, another one removed or
+// its Leaving flag toggled.
 func withRandomChange(rng *rand.Rand, workers []Worker, round int) []Worker {
 	workers = append([]Worker(nil), workers...)
 	i := rng.IntN(len(workers))
@@ -166,9 +170,8 @@
 	return append(workers, added)
 }
 
-// TestListMessageSizes: with 3,000 workers, of which a third have prefills, a worker that starts to leave
-// costs fewer than 400 bytes for each node that is notified, and all prefill loads together cost fewer than
-// 12,000 bytes.
+// TestListMessageSizes: with 3,000 workers, of which a third have prefills, the delta for a worker that starts
+// to leave takes fewer than 400 bytes per node, and all prefill loads together take fewer than 12,000 bytes.
 func TestListMessageSizes(t *testing.T) {
 	skipUnderRaceDetector(t)
 	node, err := New(Options{Name: "n", Host: newSimulatedHost()})
@@ -192,10 +195,10 @@
 	require.Less(t, loadBytes, 12_000)
 }
 
-// TestNodesLearnOfLeavingWorker: all nodes know that a worker is leaving shortly after the list holder does, in
-// a flat fleet and down a tree of three levels.
+// TestNodesLearnOfLeavingWorker: all nodes know that a worker is leaving shortly after the list holder does,
+// in a flat fleet (every node polls the holder) and in a tree of three levels.
 func TestNodesLearnOfLeavingWorker(t *testing.T) {
-	// In a flat fleet the nodes poll the holder every 200 to 300 ms; in a tree a response waits for a change.
+	// In a flat fleet the nodes poll the holder every 200 to 300 ms; in a tree they long-poll their parents.
 	for maxFlatNodes, limit := range map[int]time.Duration{96: 350 * time.Millisecond, 1: 100 * time.Millisecond} {
 		t.Run(fmt.Sprint(maxFlatNodes), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
@@ -225,12 +228,12 @@
 	}
 }
 
-// withListTree sets a tree of width 2, used in fleets of more than maxFlatNodes nodes.
+// withListTree sets a tree with a fan-out of 2, used in fleets of more than maxFlatNodes nodes.
 func withListTree(maxFlatNodes int) func(*Options) {
 	return func(o *Options) { o.FlatListNodes, o.TreeWidth = maxFlatNodes, 2 }
 }
 
-// TestOneNodeListsWorkersInTree: in a tree, too, only the holder lists the workers at the platform.
+// TestOneNodeListsWorkersInTree: in a tree, too, only one node requests the worker list from the platform.
 func TestOneNodeListsWorkersInTree(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
@@ -246,20 +249,20 @@
 // holderChildInOtherZone returns the index of a running node outside the holder's zone whose parent is the holder,
 // or -1.
 func (f *fleet) holderChildInOtherZone() int {
-	owner := f.nodes[f.listHolder()]
-	members := owner.agent.Members()
+	holder := f.nodes[f.listHolder()]
+	members := holder.agent.Members()
 	for i, node := range f.nodes {
-		if node.running && node.self.Zone != owner.self.Zone &&
-			node.treeShape().sourcesOf(node.self, owner.self, members).parents[0].Node == owner.self.Node {
+		if node.running && node.self.Zone != holder.self.Zone &&
+			node.treeShape().sourcesOf(node.self, holder.self, members).parents[0].Node == holder.self.Node {
 			return i
 		}
 	}
 	return -1
 }
 
-// TestListTreeAfterNodeLosses: the list holder, the first node of the other zone, or both at once are
+// TestListTreeAfterNodeLosses: the list holder, its child in the other of the two zones, or both at once are
 // killed or frozen, and workers leave at that moment and afterwards. All nodes learn of it in time, and few
-// nodes list the workers at the platform meanwhile.
+// nodes request the worker list from the platform meanwhile.
 func TestListTreeAfterNodeLosses(t *testing.T) {
 	skipUnderRaceDetector(t)
 	for _, lost := range []string{"holder", "first node", "both"} {
@@ -293,7 +296,7 @@
 			continue
 		}
 		f.setFrozen(i, true)
-		f.withLock(func() { node.running = false })
+		f.withLock(func() { node.running = false }) // the fleet's helpers then ignore the frozen node
 		defer func() {
 			f.withLock(func() { node.running = true })
 			f.setFrozen(i, false)
@@ -305,7 +308,7 @@
 		time.Sleep(300 * time.Millisecond)
 	}
 	listCalls := platform.listCallersSince(from)
-	for _, i := range lostNodes { // ignore list calls that a process sent while it was being killed or frozen
+	for _, i := range lostNodes { // ignore list calls of a process that was being killed or frozen
 		delete(listCalls, nodeIP(i))
 	}
 	limit := 4
@@ -316,9 +319,9 @@
 	require.True(t, f.waitUntil(4*time.Second, func() bool { return f.listHolder() >= 0 }), "the list has a holder again")
 }
 
-// TestListTreeAfterLossOfMostNodes: three of five nodes, the list holder among them, and the core are
-// killed or frozen at once while a worker starts to leave. The remaining nodes learn of it in time,
-// although there is no holder until the core is back.
+// TestListTreeAfterLossOfMostNodes: three fifths of the nodes, the list holder and the coordination service
+// (the core) are killed or frozen at once while a worker starts to leave. The remaining nodes learn of it in
+// time, although there is no holder while the core is down.
 func TestListTreeAfterLossOfMostNodes(t *testing.T) {
 	skipUnderRaceDetector(t)
 	for _, fault := range []string{"killed", "frozen"} {
@@ -328,7 +331,7 @@
 				f := startFleet(t, seed, 30, platform, defaultConfiguration(), withListTree(1))
 				defer f.close()
 				time.Sleep(8 * time.Second)
-				owner := f.listHolder()
+				holderIndex := f.listHolder()
 				for _, ip := range coreIPs {
 					if fault == "killed" {
 						f.powerOffCore(ip)
@@ -338,12 +341,12 @@
 				}
 				for i, node := range f.nodes {
 					switch {
-					case i != owner && i%5 > 2:
+					case i != holderIndex && i%5 > 2:
 					case fault == "killed":
 						f.killNode(i)
 					default:
 						f.setFrozen(i, true)
-						f.withLock(func() { node.running = false })
+						f.withLock(func() { node.running = false }) // the fleet's helpers then ignore the frozen node
 						defer func() {
 							f.withLock(func() { node.running = true })
 							f.setFrozen(i, false)
@@ -357,8 +360,8 @@
 	}
 }
 
-// TestSimultaneousStartLimitsListCalls: nodes that start at the same time do not all list the workers at
-// the platform before they know who holds the list.
+// TestSimultaneousStartLimitsListCalls: of twelve nodes that start at the same time, at most three request the
+// worker list from the platform before they know which node is the holder.
 func TestSimultaneousStartLimitsListCalls(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
@@ -368,8 +371,8 @@
 	})
 }
 
-// TestTreeSumsPrefillLoads: the tree passes the running prefills of each node to all others, and each is
-// counted once.
+// TestTreeSumsPrefillLoads: the tree passes the prefill load of each node to all others, and each is counted
+// once.
 func TestTreeSumsPrefillLoads(t *testing.T) {
 	skipUnderRaceDetector(t)
 	runInBubble(t, func(t *testing.T) {
@@ -379,15 +382,15 @@
 		time.Sleep(8 * time.Second)
 		id := platform.worker("svc-prefill-0").ID
 		for i, node := range f.nodes {
-			st := node.state(id)
-			st.beginRequest(100+i, nil, node.now())
+			state := node.state(id)
+			state.beginRequest(100+i, nil, node.now())
 		}
 		time.Sleep(2 * time.Second)
 		for i, node := range f.nodes {
-			st := node.state(id)
-			st.mu.Lock()
-			tokens, count := st.queuedPrefills(node.now())
-			st.mu.Unlock()
+			state := node.state(id)
+			state.mu.Lock()
+			tokens, count := state.queuedPrefills(node.now())
+			state.mu.Unlock()
 			require.Equal(t, 12*100+66, tokens, "node %d", i)
 			require.Equal(t, 12, count)
 		}
@@ -395,7 +398,8 @@
 }
 
 // TestTreeSumsCallOutcomes: if every third node sees a worker fail, all nodes learn from the tree how many
-// nodes saw it. A failure that only one node saw counts as the report of one node.
+// nodes saw it. A failure that one node saw is counted for one node at all others, however often the tree
+// passes it on.
 func TestTreeSumsCallOutcomes(t *testing.T) {
 	skipUnderRaceDetector(t)
 	runInBubble(t, func(t *testing.T) {
@@ -406,44 +410,44 @@
 		})
 		defer f.close()
 		time.Sleep(8 * time.Second)
-		seenByFour, seenByOneNode := platform.worker("svc-decode-1").ID, platform.worker("svc-decode-2").ID
-		stop := time.Now().Add(2 * time.Second)
-		for time.Now().Before(stop) {
+		failedAtFourNodes, failedAtOneNode := platform.worker("svc-decode-1").ID, platform.worker("svc-decode-2").ID
+		failuresEnd := time.Now().Add(2 * time.Second)
+		for time.Now().Before(failuresEnd) {
 			for i, node := range f.nodes {
 				if i%3 == 0 {
-					node.recordFailure(seenByFour)
+					node.recordFailure(failedAtFourNodes)
 				}
 				if i == 1 {
-					node.recordFailure(seenByOneNode)
+					node.recordFailure(failedAtOneNode)
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		for i, node := range f.nodes {
 			reportingPeers := func(id ids.WorkerID) int {
-				st := node.state(id)
-				st.mu.Lock()
-				defer st.mu.Unlock()
-				return st.outlier.peers.Nodes
+				state := node.state(id)
+				state.mu.Lock()
+				defer state.mu.Unlock()
+				return state.outlier.peers.Nodes
 			}
 			ownReports := 0
 			if i%3 == 0 {
 				ownReports = 1
 			}
-			require.Equal(t, 4-ownReports, reportingPeers(seenByFour), "node %d", i)
+			require.Equal(t, 4-ownReports, reportingPeers(failedAtFourNodes), "node %d", i)
 			if i != 1 {
-				require.Equal(t, 1, reportingPeers(seenByOneNode), "node %d", i)
+				require.Equal(t, 1, reportingPeers(failedAtOneNode), "node %d", i)
 			}
 		}
 	})
 }
 
-// recordFailure records one failed call to a worker on the node.
+// recordFailure records on the node that one call to the worker failed.
 func (n *testNode) recordFailure(id ids.WorkerID) {
-	st := n.state(id)
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	st.outlier.local.decay(n.now(), outcomeTimeConstant)
-	st.outlier.local.total++
-	st.outlier.local.failed++
+	state := n.state(id)
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	state.outlier.local.decay(n.now(), outcomeTimeConstant)
+	state.outlier.local.total++
+	state.outlier.local.failed++
 }
--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -1,5 +1,5 @@
-// The free memory of workers: estimated from delayed reports and this node's own reservations, distributed to
-// all nodes, and used to rank workers.
+// Tests of the free memory of workers, which a node estimates from delayed reports and its own reservations.
+// The reports are distributed to all nodes, and the free memory is used to rank workers.
 
 package proxy
 
@@ -17,12 +17,12 @@
 	"keelstair.example/internal/routing"
 )
 
-// tickMs returns n milliseconds as a tick.
+// tickMs converts n milliseconds to an ids.Tick.
 func tickMs(n int) ids.Tick { return ids.Tick(time.Duration(n) * time.Millisecond) }
 
 // TestMemoryAccount: memory that a report can't show yet counts as used. Memory that the report still shows
-// although the request ended here is subtracted, unless other requests may share it. If a report may or may
-// not show a request, the account assumes the higher use.
+// although the request ended on this node is subtracted, unless other requests may share it. If a report may
+// or may not show a request, the account assumes the higher use.
 func TestMemoryAccount(t *testing.T) {
 	load := reportedLoad{Used: 300, Capacity: 1000}
 	requestedAt := 10_000
@@ -102,8 +102,8 @@
 	require.Empty(t, loads[0].Rows, "loads of the previous incarnation aren't sent")
 }
 
-// TestLoadBoard: a node gets each change once, and it doesn't get small changes or expired rounds. It is told
-// that a worker sent no report.
+// TestLoadBoard: a node gets each change once, and it doesn't get small changes or expired rounds. For a worker
+// that sent no report in a complete round, it gets a row of zeros.
 func TestLoadBoard(t *testing.T) {
 	list := []Worker{{ID: "v"}, {ID: "w"}, {ID: "x"}}
 	loads := func(v, w int) map[ids.WorkerID]reportedLoad {
@@ -132,7 +132,8 @@
 }
 
 // TestFreeMemoryReachesAllNodes: every node knows the free memory of every worker within two seconds of a
-// change, whichever nodes hold the leases. Without reports, no node assumes a value.
+// change, or within 20 s if the holder of the service's lease was killed just before. Without reports, no node
+// assumes a value.
 func TestFreeMemoryReachesAllNodes(t *testing.T) {
 	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
 		workers := prefillAndDecodeWorkers("svc", 3, 3)
@@ -143,10 +144,10 @@
 		f := startFleet(t, seed, 4, platform, defaultConfiguration(), withRoleChanges)
 		defer f.close()
 		knows := func(node *testNode, id ids.WorkerID, want int) bool {
-			st := node.state(id)
-			st.mu.Lock()
-			defer st.mu.Unlock()
-			free, ok := st.memory.free(node.now())
+			state := node.state(id)
+			state.mu.Lock()
+			defer state.mu.Unlock()
+			free, ok := state.memory.free(node.now())
 			return ok && free == want
 		}
 		allNodesKnow := func(used func(i int) int) func() bool {
@@ -185,10 +186,10 @@
 		require.True(t, f.waitUntil(6*time.Second, func() bool {
 			for _, node := range f.runningNodes() {
 				for _, worker := range workers {
-					st := node.state(worker.ID)
-					st.mu.Lock()
-					_, ok := st.memory.free(node.now())
-					st.mu.Unlock()
+					state := node.state(worker.ID)
+					state.mu.Lock()
+					_, ok := state.memory.free(node.now())
+					state.mu.Unlock()
 					if ok {
 						return false
 					}
@@ -199,7 +200,7 @@
 	})
 }
 
-// workerListHolder returns the number of the node that holds the lease of the worker list, or -1.
+// workerListHolder returns the index of the running node that holds the lease of the worker list, or -1.
 func (f *fleet) workerListHolder() int {
 	for i, node := range f.nodes {
 		if _, ok := node.agent.OwnsKey(fleetstate.WorkerListKey); ok && node.running {
@@ -210,7 +211,8 @@
 }
 
 // TestLoadsReachNodesWithSeparateLeaseHolders: if one node holds the lease of the service and another that of
-// the worker list, the first one sends the loads to the second, from which all nodes get them.
+// the worker list, the first one sends the loads to the second, from which all nodes get them. The test uses
+// the first seed with which the leases have different holders.
 func TestLoadsReachNodesWithSeparateLeaseHolders(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		separate := false
@@ -227,10 +229,10 @@
 			}
 			for _, node := range f.runningNodes() {
 				for _, worker := range workers {
-					st := node.state(worker.ID)
-					st.mu.Lock()
-					free, ok := st.memory.free(node.now())
-					st.mu.Unlock()
+					state := node.state(worker.ID)
+					state.mu.Lock()
+					free, ok := state.memory.free(node.now())
+					state.mu.Unlock()
 					require.True(t, ok)
 					require.Equal(t, 5000, free)
 				}
@@ -240,7 +242,7 @@
 			return
 		}
 	}
-	t.Fatal("no seed has the leases at two nodes")
+	t.Fatal("no seed leads to different holders of the two leases")
 }
 
 // TestProgramsSeeFreeMemory: routing programs see the free memory of workers, in blocks.
@@ -274,9 +276,9 @@
 }
 
 // runMemoryShortageLoad sends load to decode workers that run out of memory before they run out of slots. It
-// returns the rejected decode calls, the answered requests, all requests, and the mean time to the first byte
-// of the answered ones.
-func runMemoryShortageLoad(t *testing.T, seed uint64, rate, noCapacityCost float64) (rejected, answered, total int, meanFirstByte time.Duration) {
+// returns the numbers of rejected decode calls, of successful requests and of all requests, and the mean time
+// to the first byte of the successful ones.
+func runMemoryShortageLoad(t *testing.T, seed uint64, rate, noCapacityCost float64) (rejected, successful, total int, meanFirstByte time.Duration) {
 	workers := prefillAndDecodeWorkers("svc", 4, 6)
 	for i, worker := range workers {
 		if worker.memoryCapacity = 400_000; worker.Role == ids.Decode {
@@ -310,47 +312,48 @@
 	}
 	for _, result := range results {
 		if result.err == nil {
-			answered++
+			successful++
 			meanFirstByte += result.response.writeTimes[0]
 		}
 	}
-	return rejected, answered, len(results), meanFirstByte / time.Duration(max(1, answered))
+	return rejected, successful, len(results), meanFirstByte / time.Duration(max(1, successful))
 }
 
 // TestFreeMemoryReducesRejections: decode workers that are short of memory reject fewer requests, and more
-// requests are answered, if nodes take their free memory into account.
+// requests succeed, if nodes take the workers' free memory into account.
 func TestFreeMemoryReducesRejections(t *testing.T) {
 	seeds := uint64(2)
 	if raceDetectorEnabled {
 		seeds = 1
 	}
-	var rejected, answered [2]int
+	var rejected, successful [2]int
 	for _, rate := range []float64{85, 110} {
 		for seed := uint64(1); seed <= seeds; seed++ {
 			for k, noCapacityCost := range []float64{-1, 0} {
 				runInBubble(t, func(t *testing.T) {
-					rejectedNow, answeredNow, total, meanFirstByte := runMemoryShortageLoad(t, seed, rate, noCapacityCost)
+					rejectedInRun, successfulInRun, total, meanFirstByte := runMemoryShortageLoad(t, seed, rate, noCapacityCost)
 					t.Logf(
-						"%.0f requests/s, seed %d, free memory used %t: %d rejected, %d of %d answered, first byte after %s",
+						"%.0f requests/s, seed %d, free memory used %t: %d rejected, %d of %d successful, first byte after %s",
 						rate,
 						seed,
 						k == 1,
-						rejectedNow,
-						answeredNow,
+						rejectedInRun,
+						successfulInRun,
 						total,
 						meanFirstByte,
 					)
-					rejected[k], answered[k] = rejected[k]+rejectedNow, answered[k]+answeredNow
+					rejected[k], successful[k] = rejected[k]+rejectedInRun, successful[k]+successfulInRun
 				})
 			}
 		}
 	}
 	require.Less(t, rejected[1], rejected[0])
-	require.Greater(t, answered[1], answered[0])
+	require.Greater(t, successful[1], successful[0])
 }
 
-// TestLoadUpdateSize: the workers' loads add at most 13 bytes a second per worker, plus 120, to the list
-// responses that a node fetches anyway, even if all workers are busy and all loads change.
+// TestLoadUpdateSize: the workers' loads add fewer than 13 bytes per second and worker, plus 120, to the list
+// requests and responses that a node exchanges anyway, even if all workers are busy and all loads change.
+// While the workers are idle or have few requests, they add fewer than 6 bytes per second and worker, plus 120.
 func TestLoadUpdateSize(t *testing.T) {
 	for _, c := range []struct{ nodes, workers, slots int }{{10, 12, 64}, {72, 140, 24}} {
 		for _, level := range []string{"no", "usual", "full"} {
--- a/internal/proxy/metering_test.go
+++ b/internal/proxy/metering_test.go
@@ -42,9 +42,9 @@
 
 // usageRecorder is a platform that accepts usage reports without checking fences and records them.
 type usageRecorder struct {
-	mu     sync.Mutex
-	calls  []usageCall
-	delay  time.Duration // before each response
+	mu         sync.Mutex
+	calls      []usageCall
+	delay      time.Duration // before each response
 	rejectNext int           // number of next reports to reject
 }
 
