--- a/internal/proxy/fault_notice_test.go
+++ b/internal/proxy/fault_notice_test.go
@@ -280,8 +280,8 @@
 }
 
 // TestFaultNoticesAreNotForwarded: two nodes get a notice about a healthy worker, such as a partitioned node
-// sends. Each requests the worker's report at most once and does not forward the notice, so that notices do
-// not circulate among the nodes.
+// sends. All nodes together request the worker's report at most twice, and none forwards the notice, so that
+// notices do not circulate among the nodes.
 func TestFaultNoticesAreNotForwarded(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
--- a/internal/proxy/large_configuration_test.go
+++ b/internal/proxy/large_configuration_test.go
@@ -1,4 +1,4 @@
-// Test of small changes to a large configuration, which are stored and sent as deltas.
+// Test of small changes to a large configuration, which are sent to the coordination service as deltas.
 
 package proxy
 
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// TestListWithoutHolder: the holder is killed or frozen, or cannot get the list itself. At least one other node
-// calls the platform, and all of them learn of changes within 3 s.
+// TestListWithoutHolder: the holder is killed or frozen, or cannot get the list itself. At least one node
+// calls the platform meanwhile, and all other nodes learn of each change within 3 s.
 func TestListWithoutHolder(t *testing.T) {
 	for _, fault := range []string{"killed", "frozen", "no list"} {
 		t.Run(fault, func(t *testing.T) {
--- a/internal/proxy/metering_test.go
+++ b/internal/proxy/metering_test.go
@@ -1,4 +1,5 @@
-// Usage metering of a fleet that reports over the network to a platform outside the fleet.
+// Tests of usage metering: one node at a time, the holder of the metering lease, reports the request counts of
+// each tenant per time window, over the network to a platform outside the fleet.
 
 package proxy
 
@@ -27,7 +28,7 @@
 	meteringIP     = "10.0.9.1"
 	usageLease     = 3 * time.Second
 	usageWindow    = 5 * time.Second
-	maxReportDelay = 10 * time.Second // latest report of a window after its end
+	maxReportDelay = 10 * time.Second // from the end of a window to its first report
 )
 
 // usageCall is one usage report as the platform receives it.
@@ -40,7 +41,7 @@
 	At     time.Time
 }
 
-// usageRecorder is a platform that accepts usage reports without checking fences and records them.
+// usageRecorder is a platform that accepts usage reports without checking fencing tokens and records them.
 type usageRecorder struct {
 	mu         sync.Mutex
 	calls      []usageCall
@@ -64,23 +65,23 @@
 
 func (recorder *usageRecorder) handle(conn net.Conn) {
 	defer conn.Close()
-	var report usageCall
-	if json.NewDecoder(conn).Decode(&report) != nil {
+	var received usageCall
+	if json.NewDecoder(conn).Decode(&received) != nil {
 		return
 	}
-	report.From, _, _ = net.SplitHostPort(conn.RemoteAddr().String())
-	report.At = time.Now()
+	received.From, _, _ = net.SplitHostPort(conn.RemoteAddr().String())
+	received.At = time.Now()
 	recorder.mu.Lock()
-	refused := recorder.rejectNext > 0
-	if refused {
+	rejected := recorder.rejectNext > 0
+	if rejected {
 		recorder.rejectNext--
 	} else {
-		recorder.calls = append(recorder.calls, report)
+		recorder.calls = append(recorder.calls, received)
 	}
 	delay := recorder.delay
 	recorder.mu.Unlock()
 	time.Sleep(delay)
-	json.NewEncoder(conn).Encode(!refused)
+	json.NewEncoder(conn).Encode(!rejected)
 }
 
 func (recorder *usageRecorder) recordedCalls() []usageCall {
@@ -108,7 +109,7 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	body, _ := json.Marshal(usageCall{Owner: act.Owner, Fence: act.Fence, Window: window, Counts: counts})
 	if !act.MayStart() {
-		return errors.New("too late to start an act of the duty")
+		return errors.New("the lease was lost or too much time has passed to start the report")
 	}
 	if _, err := conn.Write(body); err != nil {
 		return err
@@ -121,8 +122,9 @@
 }
 
 // checkSingleReporter returns violations of the rule that one node at a time reports: a window with two
-// contents, a fence with two owners, a fence that is lower than an earlier one, and an owner that reports
-// again within a lease of its last report although another owner reported in between.
+// contents, a fencing token with two owners, a fencing token that is lower than an earlier one, and an owner
+// that reports again less than a lease duration after its last report although another owner reported in
+// between.
 func checkSingleReporter(calls []usageCall, lease time.Duration) []string {
 	var out []string
 	contents := map[uint64]string{}
@@ -131,16 +133,16 @@
 	var highest ids.Fence
 	for i, call := range calls {
 		body, _ := json.Marshal(call.Counts)
-		if before, ok := contents[call.Window]; ok && before != string(body) {
-			out = append(out, fmt.Sprintf("window %d: reported %s after %s", call.Window, body, before))
+		if previous, ok := contents[call.Window]; ok && previous != string(body) {
+			out = append(out, fmt.Sprintf("window %d: reported %s after %s", call.Window, body, previous))
 		}
 		contents[call.Window] = string(body)
-		if before, ok := owners[call.Fence]; ok && before != call.Owner {
-			out = append(out, fmt.Sprintf("fence %d has owners %s and %s", call.Fence, before, call.Owner))
+		if previous, ok := owners[call.Fence]; ok && previous != call.Owner {
+			out = append(out, fmt.Sprintf("fencing token %d has owners %s and %s", call.Fence, previous, call.Owner))
 		}
 		owners[call.Fence] = call.Owner
 		if call.Fence < highest {
-			out = append(out, fmt.Sprintf("fence %d follows fence %d", call.Fence, highest))
+			out = append(out, fmt.Sprintf("fencing token %d follows %d", call.Fence, highest))
 		}
 		highest = max(highest, call.Fence)
 		if at, ok := lastIndex[call.Owner]; ok && at < i-1 && call.At.Sub(calls[at].At) < lease {
@@ -167,7 +169,7 @@
 	require.NotEmpty(t, checkSingleReporter([]usageCall{at(0, "a", 1, 1, 5), at(1, "b", 2, 2, 5), at(2, "a", 3, 3, 5)}, lease))
 }
 
-// startMeteredFleet starts a fleet that reports its usage to a usageRecorder.
+// startMeteredFleet starts a fleet of nodes that report their usage to a usageRecorder.
 func startMeteredFleet(t *testing.T, seed uint64, nodes int) (*fleet, *usageRecorder) {
 	platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
 	platform.metering = true
@@ -187,7 +189,7 @@
 	f.close()
 }
 
-// meteringHolder returns the index of the node that holds the metering duty, or -1.
+// meteringHolder returns the index of the running node that holds the metering lease, or -1.
 func (f *fleet) meteringHolder() int {
 	for i, node := range f.nodes {
 		if _, ok := node.agent.OwnsKey(fleetstate.MeteringKey); ok && node.running {
@@ -295,8 +297,9 @@
 	})
 }
 
-// TestUsageCountsSurviveHolderLoss: the holder of the metering duty is killed before its report. The nodes
-// send their counts to the next holder, which already has the killed node's own counts.
+// TestUsageCountsSurviveHolderLoss: the holder of the metering lease is killed before it reports a window. The
+// next holder reports all counts: the other nodes send theirs again, and it already has those of the killed
+// node.
 func TestUsageCountsSurviveHolderLoss(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f, recorder := startMeteredFleet(t, 73, 4)
@@ -326,8 +329,9 @@
 }
 
 // TestSingleUsageReporter: reporting nodes are killed, stopped, frozen, or partitioned from the core in one
-// or both directions or from the platform, while the platform is slow or rejects reports and the core loses
-// its primary. One node at a time reports, and no window is reported with two contents.
+// or both directions or from the platform, while the platform is slow or rejects reports, or after the core
+// (the coordination service) lost its primary. One node at a time reports, and no window is reported with two
+// contents.
 func TestSingleUsageReporter(t *testing.T) {
 	forEachSeed(t, 12, func(t *testing.T, seed uint64) {
 		f, recorder := startMeteredFleet(t, seed, 4)
@@ -351,9 +355,12 @@
 	})
 }
 
-// injectReporterFault causes one kind of fault at a node and ends it.
+// injectReporterFault causes one kind of fault at the reporting node and ends it. Kinds 0 to 6 are: killed,
+// frozen, partitioned from the core, no messages from the core, no messages to the platform, killed while the
+// platform is slow, and no messages to the core while the platform rejects reports. Kind 7 is an orderly
+// shutdown, and kind 8 a power loss of the core's primary followed by a kill of the node.
 func (f *fleet) injectReporterFault(recorder *usageRecorder, holder, kind int) {
-	ip := []string{nodeIP(holder)}
+	holderIPs := []string{nodeIP(holder)}
 	switch kind {
 	case 0:
 		f.killNode(holder)
@@ -364,17 +371,17 @@
 		time.Sleep(9 * time.Second)
 		f.setFrozen(holder, false)
 	case 2:
-		f.world.Partition(ip, coreIPs, true)
+		f.world.Partition(holderIPs, coreIPs, true)
 		time.Sleep(10 * time.Second)
-		f.world.Partition(ip, coreIPs, false)
+		f.world.Partition(holderIPs, coreIPs, false)
 	case 3:
-		f.world.Block(coreIPs, ip, true)
+		f.world.Block(coreIPs, holderIPs, true)
 		time.Sleep(10 * time.Second)
-		f.world.Block(coreIPs, ip, false)
+		f.world.Block(coreIPs, holderIPs, false)
 	case 4:
-		f.world.Block(ip, []string{meteringIP}, true)
+		f.world.Block(holderIPs, []string{meteringIP}, true)
 		time.Sleep(6 * time.Second)
-		f.world.Block(ip, []string{meteringIP}, false)
+		f.world.Block(holderIPs, []string{meteringIP}, false)
 	case 5:
 		recorder.withLock(func() { recorder.delay = 3 * time.Second })
 		time.Sleep(4 * time.Second)
@@ -384,9 +391,9 @@
 		recorder.withLock(func() { recorder.delay = 0 })
 	case 6:
 		recorder.withLock(func() { recorder.rejectNext = 5 })
-		f.world.Block(ip, coreIPs, true)
+		f.world.Block(holderIPs, coreIPs, true)
 		time.Sleep(8 * time.Second)
-		f.world.Block(ip, coreIPs, false)
+		f.world.Block(holderIPs, coreIPs, false)
 	case 7:
 		node := f.nodes[holder]
 		f.withLock(func() { node.running = false })
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -18,13 +18,13 @@
 
 const retryBudgetWindow = 10 * time.Second
 
-// TestRetryBudget: however many calls fail, the extra calls of all nodes together stay within ratio *
-// requests + allowance in every window, also while the coordination service is down, and whether
-// decodes, prefills or both fail.
+// TestRetryBudget: however many calls fail, the extra calls of all nodes together stay within ratio * requests
+// + allowance in every window, whether decodes, prefills or both fail, and also while the coordination service
+// (the core) is down.
 func TestRetryBudget(t *testing.T) {
 	for _, kind := range []string{"emit", "read", "any"} {
-		for _, coreOff := range []bool{false, true} {
-			t.Run(fmt.Sprint(kind, " core-away-", coreOff), func(t *testing.T) {
+		for _, coreDown := range []bool{false, true} {
+			t.Run(fmt.Sprint(kind, " core-down-", coreDown), func(t *testing.T) {
 				runInBubble(t, func(t *testing.T) {
 					platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
 					rng := rand.New(rand.NewPCG(1, 2))
@@ -36,7 +36,7 @@
 					}
 					f := startFleet(t, 21, 3, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = 6 })
 					defer f.close()
-					if coreOff {
+					if coreDown {
 						for _, ip := range coreIPs {
 							f.powerOffCore(ip)
 						}
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestRetryBudgetAfterBurst: a burst of requests earns no budget for retries that come after the burst has
-// left the window, whatever the alignment of the window's buckets.
+// TestRetryBudgetAfterBurst: a burst of requests gives no budget for retries once the burst has left the
+// window, whatever the alignment of the window's buckets.
 func TestRetryBudgetAfterBurst(t *testing.T) {
 	for bucketOffset := range 2 {
 		t.Run(fmt.Sprint(bucketOffset), func(t *testing.T) {
@@ -93,16 +93,16 @@
 	}
 }
 
-// slowStartConfiguration returns a configuration with one service whose cold workers take four requests per
-// second.
+// slowStartConfiguration returns a configuration with one service whose workers are cold for 6 s, during which
+// each takes four requests per second.
 func slowStartConfiguration() []byte {
 	return encodeConfiguration(defaultRoutes(), fleetstate.Service{Name: "svc", Concurrency: 16, SlowStartMs: 6000, SlowStartRate: 4})
 }
 
 const maxSlowStartRate = 11 // 1.5 * SlowStartRate + 5, at a rate of 4
 
-// TestSlowStartRate: no cold worker gets more than maxSlowStartRate requests in any second, however many
-// nodes there are and however fast requests arrive, but it gets some.
+// TestSlowStartRate: no cold worker gets more than maxSlowStartRate requests in any second, however many nodes
+// there are, at 250 requests per second in total. A cold decode worker gets at least one request.
 func TestSlowStartRate(t *testing.T) {
 	for _, nodes := range []int{1, 2, 4} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
@@ -162,9 +162,9 @@
 }
 
 // TestRetryBudgetOfPartitionedNode: a node that is partitioned from the coordination service no longer counts
-// as a member but continues to serve. The other nodes don't use its share of the allowance, also when the
-// partition lasts a while. Once the other nodes may have forgotten the partitioned node, it retries no more
-// than ratio * its requests, without an allowance.
+// as a member but continues to serve. The other node does not take over its share of the allowance, however
+// long the partition lasts. Once the other node may no longer count the partitioned one, the latter retries at
+// most ratio * its requests, without an allowance. The test checks the calls of both nodes together.
 func TestRetryBudgetOfPartitionedNode(t *testing.T) {
 	for _, partitionedBeforeLoad := range []time.Duration{0, 60 * time.Second, 5 * time.Minute} {
 		t.Run(partitionedBeforeLoad.String(), func(t *testing.T) {
@@ -183,7 +183,7 @@
 				time.Sleep(time.Second)
 				f.world.Partition([]string{nodeIP(0)}, append([]string{nodeIP(1)}, coreIPs...), true)
 				require.True(t, f.waitUntil(10*time.Second, func() bool { return len(f.nodes[1].agent.Members()) == 1 }))
-				if partitionedBeforeLoad > 0 { // a node checks the number of nodes only when it retries
+				if partitionedBeforeLoad > 0 { // a node updates its estimate of the number of nodes only when it retries
 					f.generateLoad(2, partitionedBeforeLoad, func(i int) *Request { return f.newRequest(fmt.Sprint("b", i), "/again/x", 400, 4) })
 				}
 				results := f.generateLoad(30, 9*time.Second, func(i int) *Request {
@@ -197,8 +197,8 @@
 	}
 }
 
-// TestSlowStartWhenAllNodesStart: the workers are cold from the first request on, and all nodes start at
-// once without any history.
+// TestSlowStartWhenAllNodesStart: all nodes start at once, without any history, while all workers are cold.
+// From the first request on, no worker gets more than cold workers can take.
 func TestSlowStartWhenAllNodesStart(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -212,7 +212,8 @@
 	})
 }
 
-// TestSlowStartWithSlowList: the list response takes 400 ms. A worker is not treated as warm before it is.
+// TestSlowStartWithSlowList: the platform's response with the worker list takes 400 ms. Nodes do not treat a
+// worker as warm before it is.
 func TestSlowStartWithSlowList(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 3)...)
@@ -275,9 +276,9 @@
 }
 
 // TestSlowStartAfterFailbackAndRestart: a zone is evacuated and failed back, and all nodes are killed and
-// start again immediately, with or without a leader change of the coordination service. The list doesn't show
-// yet that the zone's workers are cold, but they get no more requests than cold workers can take. Once the
-// zone's workers have certainly warmed up, nodes that start no longer know of the failback.
+// start again immediately, with or without a leader change of the coordination service. The worker list does
+// not show yet that the zone's workers are cold, but they get no more requests than cold workers can take. Once
+// their slow start is over, nodes that start no longer have a record of the failback.
 func TestSlowStartAfterFailbackAndRestart(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		t.Run(fmt.Sprint("takeover-", takeover), func(t *testing.T) {
@@ -328,7 +329,7 @@
 }
 
 // TestSlowStartOnNodeStartedAfterFailback: a node that starts some seconds after the failback of a zone
-// treats its workers as cold only for the rest of their slow start, which does not begin again.
+// treats the zone's workers as cold only for the rest of their slow start, which does not begin again.
 func TestSlowStartOnNodeStartedAfterFailback(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
@@ -354,8 +355,8 @@
 }
 
 // TestSlowStartAfterMissedFailback: a node is partitioned from all others while a zone is evacuated and
-// failed back, and then returns to a high load. From its first request on it sends the zone's workers no
-// more than cold workers can take.
+// failed back, and gets many requests when the partition ends. From its first request on, it sends the zone's
+// workers no more than cold workers can take.
 func TestSlowStartAfterMissedFailback(t *testing.T) {
 	forEachSeed(t, 6, func(t *testing.T, seed uint64) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 4)...)
--- a/internal/proxy/role_balance_test.go
+++ b/internal/proxy/role_balance_test.go
@@ -1,4 +1,5 @@
-// Role changes of workers, ordered by the node that holds the service's duty.
+// Tests of role changes of workers between prefill and decode. The node that holds the service's lease sends
+// the orders to change roles.
 
 package proxy
 
@@ -16,8 +17,7 @@
 
 var serviceLeaseKey = fleetstate.ServiceKey("svc")
 
-// withRoleChanges enables role changes; slightly more than half of the workers of an idle fleet are prefill
-// workers.
+// withRoleChanges enables role changes, with a target share of 0.55 of prefill workers in an idle fleet.
 func withRoleChanges(o *Options) {
 	o.RoleCheckInterval, o.RetryAllowance, o.IdlePrefillShare = 500*time.Millisecond, 20, 0.55
 }
@@ -45,7 +45,7 @@
 	return out
 }
 
-// roleLeaseHolder returns the index of the node that holds the service's duty, or -1.
+// roleLeaseHolder returns the index of the running node that holds the service's lease, or -1.
 func (f *fleet) roleLeaseHolder() int {
 	for i, node := range f.nodes {
 		if _, ok := node.agent.OwnsKey(serviceLeaseKey); ok && node.running {
@@ -55,7 +55,7 @@
 	return -1
 }
 
-// recordedRoleOrders returns the role orders among the calls.
+// recordedRoleOrders returns the role-change orders among the calls.
 func recordedRoleOrders(calls []callRecord) []callRecord {
 	var orders []callRecord
 	for _, call := range calls {
@@ -66,8 +66,8 @@
 	return orders
 }
 
-// checkChangingWorkersIdle: a worker gets no requests for the duration of its role change after an accepted
-// order.
+// checkChangingWorkersIdle: a worker gets no requests from the time at which it accepts a role-change order
+// until the duration is over.
 func checkChangingWorkersIdle(calls []callRecord, duration time.Duration) []string {
 	var out []string
 	for _, call := range recordedRoleOrders(calls) {
@@ -78,9 +78,9 @@
 	return out
 }
 
-// TestRoleChangesInBothDirections: workers change to the role that is under load, and back when the other
-// role is. A worker that is changing gets no requests, each role keeps a third of the workers, one node
-// sends all orders, and all requests succeed.
+// TestRoleChangesInBothDirections: workers change to the role that is under load, and back when the other role
+// is under load. A worker gets no requests during its role change, each role keeps a third of the workers, one
+// node sends all orders, and all requests succeed.
 func TestRoleChangesInBothDirections(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 5)...)
@@ -145,9 +145,10 @@
 	})
 }
 
-// TestSingleOwnerSendsRoleOrders: holders are killed, frozen and partitioned from the core in turn. Orders
-// of different owners to one worker are at least a lease apart, fences never decrease, a fence belongs to
-// one owner, no role gets fewer than a third of the workers, and every role change ends.
+// TestSingleOwnerSendsRoleOrders: holders of the service's lease are killed, frozen and partitioned from the
+// core (the coordination service) in turn. Orders of different holders to one worker are at least a lease
+// duration apart, fencing tokens never decrease, a fencing token belongs to one holder, no role gets fewer than
+// a third of the workers, and every role change ends.
 func TestSingleOwnerSendsRoleOrders(t *testing.T) {
 	forEachSeed(t, 8, func(t *testing.T, seed uint64) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
@@ -162,7 +163,7 @@
 			if holder < 0 {
 				continue
 			}
-			ip := []string{nodeIP(holder)}
+			holderIPs := []string{nodeIP(holder)}
 			switch (int(seed) + i) % 4 {
 			case 0:
 				f.killNode(holder)
@@ -173,9 +174,9 @@
 				time.Sleep(5 * time.Second)
 				f.setFrozen(holder, false)
 			case 2:
-				f.world.Partition(ip, coreIPs, true)
+				f.world.Partition(holderIPs, coreIPs, true)
 				time.Sleep(6 * time.Second)
-				f.world.Partition(ip, coreIPs, false)
+				f.world.Partition(holderIPs, coreIPs, false)
 			case 3:
 				f.setFrozen(holder, true)
 				time.Sleep(2 * time.Second)
@@ -206,7 +207,7 @@
 				require.Equal(t, previous, call.Owner)
 			}
 			owner[call.Fence] = call.Owner
-			require.GreaterOrEqual(t, call.Fence, last, "fences of all workers of the service")
+			require.GreaterOrEqual(t, call.Fence, last, "fencing tokens of all orders of the service")
 			last = call.Fence
 		}
 	})
@@ -246,8 +247,8 @@
 	}
 }
 
-// TestNewHolderWaitsForLease: a new holder sends no order until more than a lease has passed since it got
-// the duty, even if the previous holder is only partitioned and still running.
+// TestNewHolderWaitsForLease: a new holder sends no order until more than a lease duration has passed since it
+// got the lease, also if the previous holder is only partitioned and still running.
 func TestNewHolderWaitsForLease(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
@@ -269,8 +270,8 @@
 }
 
 // TestRoleOrderWaitsForSlowNode: one node gets updates late, and the holder checks loads often. The holder
-// sends its order only once that node knows of the role change, too, and no requests are sent to the worker
-// meanwhile.
+// sends its order only once that node also knows of the role change, so that no node sends the worker requests
+// after it accepted the order.
 func TestRoleOrderWaitsForSlowNode(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
--- a/internal/proxy/routing_program_test.go
+++ b/internal/proxy/routing_program_test.go
@@ -1,4 +1,4 @@
-// Routing programs for opaque requests.
+// Tests of routing programs, which order and filter the candidate workers of a request.
 
 package proxy
 
@@ -40,9 +40,9 @@
 	},
 }
 
-// TestRoutingPrograms: two programs run side by side by their shares, with two faulty ones (an endless loop
-// and one that names unknown workers) and a shadow program. Picks of the faulty programs fall back and are
-// counted, the shadow program is run for every pick without effect, and all guarantees for requests hold.
+// TestRoutingPrograms: four programs divide the picks by their shares. Two of them are faulty: one loops
+// endlessly and one names unknown workers. Their picks fall back to the built-in order and are counted as
+// fallbacks. A shadow program is run for every pick, and all guarantees for requests hold.
 func TestRoutingPrograms(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
@@ -117,8 +117,8 @@
 	})
 }
 
-// TestProgramMatchesNoWorker: a request for which its program matches no worker is rejected and reaches
-// none, however many workers there are.
+// TestProgramMatchesNoWorker: a request for which its program matches no worker is rejected without a call to
+// any worker, whether there are three workers of each role or one.
 func TestProgramMatchesNoWorker(t *testing.T) {
 	for _, workers := range []int{3, 1} {
 		t.Run(fmt.Sprint(workers), func(t *testing.T) {
--- a/internal/proxy/stale_version_test.go
+++ b/internal/proxy/stale_version_test.go
@@ -1,4 +1,4 @@
-// Nodes that get configuration versions late, or many at once.
+// Tests of nodes that get configuration versions late, or many at once.
 
 package proxy
 
@@ -28,8 +28,8 @@
 	return encodeConfiguration(routes, fleetstate.Service{Name: "svc", Concurrency: 16, RoleChangeMs: 1000})
 }
 
-// TestSupersededVersionsAreNotParsed: a node is frozen while 40 versions are put. It parses at most two
-// versions afterwards, not all that were superseded.
+// TestSupersededVersionsAreNotParsed: a node is frozen while 39 new versions are put. It then parses at most two
+// of them, and not all those that were superseded.
 func TestSupersededVersionsAreNotParsed(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		const versions = 40
@@ -57,14 +57,16 @@
 	})
 }
 
-// rejectedStale reports whether a request was rejected because the current version may be outdated.
+// rejectedStale reports whether a request was rejected with 503, the status with which a node rejects requests
+// while its configuration may be outdated.
 func rejectedStale(result *requestResult) bool {
 	rejected, ok := result.err.(*RejectedError)
 	return ok && rejected.Code == http.StatusServiceUnavailable
 }
 
-// TestOutdatedNodeRejectsRequests: a node that applies a version slowly rejects requests from the time at which
-// the version must be current until it has applied it.
+// TestOutdatedNodeRejectsRequests: a node takes 6 s to apply a version, which must be current on all nodes
+// after 2 s. From then on, the node serves no request with the older version: it rejects requests and is not
+// ready until it has applied the new one. The other node serves all requests.
 func TestOutdatedNodeRejectsRequests(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		const applying = 6 * time.Second
@@ -104,8 +106,8 @@
 	})
 }
 
-// TestNodesStartedAfterPowerLossServeNoOlderVersion: a version was acknowledged, and all machines lost
-// power before it was current. No restarted node is ready with an older version.
+// TestNodesStartedAfterPowerLossServeNoOlderVersion: all machines lose power right after a version was
+// acknowledged. No restarted node is ready with an older version.
 func TestNodesStartedAfterPowerLossServeNoOlderVersion(t *testing.T) {
 	forEachSeed(t, 5, func(t *testing.T, seed uint64) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -140,8 +142,8 @@
 	})
 }
 
-// TestCoreFailureCausesNoRejections: while no core can acknowledge a new version, nodes serve the version that
-// they have.
+// TestCoreFailureCausesNoRejections: while the core (the coordination service) fails or the nodes cannot reach
+// it, nodes are ready, serve the version that they have and reject no request as outdated.
 func TestCoreFailureCausesNoRejections(t *testing.T) {
 	for name, fault := range map[string]func(f *fleet, leader string){
 		"power":  func(f *fleet, leader string) { f.powerOffCore(leader) },
@@ -175,27 +177,29 @@
 	}
 }
 
-// TestPreparedVersionActivatedWithoutCommit: the core is late in activating an acknowledged version,
-// so the node activates it by itself.
+// TestPreparedVersionActivatedWithoutCommit: if the core's commit of an acknowledged version is late, update
+// returns that version, so that the node makes it current by itself. currentAt follows the versions that are
+// current.
 func TestPreparedVersionActivatedWithoutCommit(t *testing.T) {
 	var age versionAge
-	at := func(ms int) ids.Tick { return ids.Tick(time.Duration(ms) * time.Millisecond) }
+	tickAt := func(ms int) ids.Tick { return ids.Tick(time.Duration(ms) * time.Millisecond) }
 	snapshot := &fleetstate.Snapshot{Version: 1, NewestReceivedVersion: 1}
-	require.Zero(t, age.update(at(1000), at(900), snapshot))
-	require.Equal(t, int64(at(900)), age.currentAt.Load())
+	require.Zero(t, age.update(tickAt(1000), tickAt(900), snapshot))
+	require.Equal(t, int64(tickAt(900)), age.currentAt.Load())
 	for newest := ids.Version(2); newest < 5; newest++ {
 		staged := &fleetstate.Snapshot{Version: 1, NewestReceivedVersion: newest}
-		require.Zero(t, age.update(at(1000+100*int(newest)), at(1000+100*int(newest)), staged))
+		require.Zero(t, age.update(tickAt(1000+100*int(newest)), tickAt(1000+100*int(newest)), staged))
 	}
-	require.EqualValues(t, 2, age.update(at(1701), at(1700), &fleetstate.Snapshot{Version: 1, NewestReceivedVersion: 5}))
-	require.Equal(t, int64(at(900)), age.currentAt.Load())
-	require.Zero(t, age.update(at(1800), at(1800), &fleetstate.Snapshot{Version: 2, NewestReceivedVersion: 5}))
-	require.Equal(t, int64(at(1200)), age.currentAt.Load(), "the time at which the second version was seen")
-	require.Zero(t, age.update(at(1900), at(1900), &fleetstate.Snapshot{Version: 5, NewestReceivedVersion: 5}))
-	require.Equal(t, int64(at(1900)), age.currentAt.Load())
+	require.EqualValues(t, 2, age.update(tickAt(1701), tickAt(1700), &fleetstate.Snapshot{Version: 1, NewestReceivedVersion: 5}))
+	require.Equal(t, int64(tickAt(900)), age.currentAt.Load())
+	require.Zero(t, age.update(tickAt(1800), tickAt(1800), &fleetstate.Snapshot{Version: 2, NewestReceivedVersion: 5}))
+	require.Equal(t, int64(tickAt(1200)), age.currentAt.Load(), "the time tickAt which the second version was seen")
+	require.Zero(t, age.update(tickAt(1900), tickAt(1900), &fleetstate.Snapshot{Version: 5, NewestReceivedVersion: 5}))
+	require.Equal(t, int64(tickAt(1900)), age.currentAt.Load())
 }
 
-// TestCoreReachable: an outdated version is rejected if the core can be reached, and served if it can't.
+// TestCoreReachable: coreReachable decides whether a node with an outdated version rejects requests, because the
+// core can be reached, or serves them, because it can't.
 func TestCoreReachable(t *testing.T) {
 	const now, anHour = ids.Tick(100 * time.Second), time.Hour
 	ago := func(d time.Duration) ids.Tick { return now.Add(-d) }
--- a/internal/proxy/tenant_test.go
+++ b/internal/proxy/tenant_test.go
@@ -1,5 +1,5 @@
-// Tenant keys on the nodes: which requests are accepted, which tenant the workers see, and what happens to
-// requests whose key is removed.
+// Tests of tenant keys on the nodes: which requests are accepted, which tenant the workers see, and what
+// happens to requests whose key is removed.
 
 package proxy
 
@@ -18,8 +18,8 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// tenantConfiguration has the default routes, a public route, and tenants with one key each: the key of
-// amber is key-amber.
+// tenantConfiguration returns a configuration as JSON with the default routes, a public route, and tenants with
+// one key each. The key of amber is key-amber, and only amber has an urgency of its own, 0.
 func tenantConfiguration(tenants ...string) []byte {
 	configuration := &fleetstate.Configuration{
 		Routes:   defaultRoutes(),
@@ -110,8 +110,8 @@
 	})
 }
 
-// TestUnknownKeyRejected: a request without a known key reaches a worker only on a public route. On a
-// public route, too, a known key sets the tenant.
+// TestUnknownKeyRejected: a request without a known key is rejected with 401 and sent to no worker, except on a
+// public route. On a public route, too, a known key sets the tenant.
 func TestUnknownKeyRejected(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -136,7 +136,7 @@
 }
 
 // TestUnknownKeyWithOutdatedConfiguration: a node whose configuration may be outdated can't know whether a newer version
-// has a key. It responds with 503 and a retry time, and not with 401.
+// has a key. It responds with 503 and a time to retry after, and not with 401.
 func TestUnknownKeyWithOutdatedConfiguration(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -168,7 +168,7 @@
 // caller gets 401 only if it was executed nowhere.
 func TestRequestWithRemovedKeyIsNotRetried(t *testing.T) {
 	const wait = 1500 * time.Millisecond
-	for name, waiting := range map[string]struct {
+	for name, c := range map[string]struct {
 		arrange func(platform *fakePlatform)
 		decodes int
 		status  int
@@ -193,7 +193,7 @@
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
 				f := startFleet(t, 81, 2, platform, tenantConfiguration("amber", "birch"), func(o *Options) { o.RetryAllowance = 40 })
 				defer f.close()
-				platform.withLock(func() { waiting.arrange(platform) })
+				platform.withLock(func() { c.arrange(platform) })
 				done := make(chan *requestResult, 1)
 				f.wg.Go(func() { done <- f.send(f.nodes[0], f.newTenantRequest("r", "/again/x", "amber")) })
 				time.Sleep(200 * time.Millisecond)
@@ -201,17 +201,17 @@
 				require.True(t, f.waitUntil(500*time.Millisecond, func() bool { return f.currentOnAllNodes(2) }))
 				platform.withLock(func() { platform.unreachable = nil })
 				result := <-done
-				require.Equal(t, waiting.status, responseStatus(t, result.err))
+				require.Equal(t, c.status, responseStatus(t, result.err))
 				decodes := 0
 				for _, call := range platform.callsOfRequest("r") {
 					if call.Kind == "emit" {
 						decodes++
 					}
 				}
-				require.Equal(t, waiting.decodes, decodes)
+				require.Equal(t, c.decodes, decodes)
 				require.EqualValues(t, 1, f.nodes[0].counts.Unauthenticated.Load())
 				time.Sleep(2 * time.Second)
-				require.Empty(t, leakedHandles(platform), "the memory of its prompt is freed")
+				require.Empty(t, leakedHandles(platform), "the KV cache of its prompt is freed")
 			})
 		})
 	}
@@ -229,8 +229,8 @@
 		text, _ := json.Marshal(&configuration)
 		return text
 	}
-	for _, dropped := range []bool{false, true} {
-		t.Run(fmt.Sprint("dropped-", dropped), func(t *testing.T) {
+	for _, removed := range []bool{false, true} {
+		t.Run(fmt.Sprint("removed-", removed), func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
 				platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
 				f := startFleet(t, 83, 1, platform, withTargetAtDeadline("amber", "birch"), func(o *Options) {
@@ -243,14 +243,14 @@
 				})
 				f.wg.Go(func() { f.send(f.nodes[0], f.newTenantRequest("r", "/again/x", "amber")) })
 				tenants := []string{"birch"}
-				if !dropped {
+				if !removed {
 					tenants = []string{"amber", "birch"}
 				}
 				require.NoError(t, f.putConfiguration("two", 1, 2, withTargetAtDeadline(tenants...)))
 				require.True(t, f.waitUntil(500*time.Millisecond, func() bool { return f.currentOnAllNodes(2) }))
 				require.Len(t, platform.callsOfRequest("r"), 1)
 				time.Sleep(2 * time.Second)
-				if dropped {
+				if removed {
 					require.Len(t, platform.callsOfRequest("r"), 1)
 				} else {
 					require.Len(t, platform.callsOfRequest("r"), 2)
@@ -294,8 +294,8 @@
 	})
 }
 
-// TestAddedKeyIsAccepted: while successive versions add keys, a request with an added key is never rejected
-// once its version is current on the node that gets the request.
+// TestAddedKeyIsAccepted: while successive versions add keys, a request with an added key is accepted as soon
+// as the version with that key is current on the node that gets the request.
 func TestAddedKeyIsAccepted(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -315,8 +315,9 @@
 	})
 }
 
-// TestUrgencyClassesOfTenants: the classes for early rejection are the urgencies of the tenants that have
-// one, and the route's urgency for other tenants and for requests without a key.
+// TestUrgencyClassesOfTenants: the urgency classes of a service, by which requests are rejected early, are the
+// urgencies of the tenants that have one, and the route's urgency if there are other tenants or requests
+// without a key.
 func TestUrgencyClassesOfTenants(t *testing.T) {
 	urgency := func(n int) *int { return &n }
 	configuration := &fleetstate.Configuration{
--- a/internal/proxy/unconfirmed_core_test.go
+++ b/internal/proxy/unconfirmed_core_test.go
@@ -1,4 +1,5 @@
-// Nodes while the primary of the core can't confirm versions to any node, or can't renew one node in time.
+// Tests of nodes while the primary of the coordination service (the core) can't confirm to any node that its
+// configuration is the newest, or confirms it to one node too late.
 
 package proxy
 
@@ -13,8 +14,8 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestCoreWithoutBackupsCausesNoRejections: the primary accepts connections but can't confirm any node
-// without its backups. No node rejects requests.
+// TestCoreWithoutBackupsCausesNoRejections: the primary accepts connections but, without its backups, can't
+// confirm any node's version. No node rejects requests because its version may be outdated.
 func TestCoreWithoutBackupsCausesNoRejections(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
@@ -33,27 +34,28 @@
 	})
 }
 
-// TestNodeWithLateRenewalsServesNoOldVersion: the renewals of one node arrive late although it can reach the
-// primary. It doesn't serve a version longer than ApplyMax after a newer one was acknowledged.
+// TestNodeWithLateRenewalsServesNoOldVersion: the responses of the primary reach one node late, because their
+// link transfers 100 bytes per second. The node serves no request with an old version later than ApplyMax
+// after a newer one was acknowledged.
 func TestNodeWithLateRenewalsServesNoOldVersion(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		const answerRate = 100 // bytes per second
+		const responseRate = 100 // bytes per second
 		platform := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
 		f := startFleet(t, 2, 3, platform, defaultConfiguration(), nil)
 		defer f.close()
 		slowNode := f.nodes[1]
-		f.world.SetLink(f.leader(), slowNode.ip, simulated.Link{Delay: time.Millisecond, BytesPerSecond: answerRate})
+		f.world.SetLink(f.leader(), slowNode.ip, simulated.Link{Delay: time.Millisecond, BytesPerSecond: responseRate})
 		time.Sleep(100 * time.Millisecond)
 		routes := defaultRoutes()
 		routes[0].Service = "other"
 		require.NoError(t, f.putConfiguration("two", 1, 2, encodeConfiguration(routes, fleetstate.Service{Name: "svc"}, fleetstate.Service{Name: "other"})))
-		acknowledged := time.Now()
-		for i := 0; time.Since(acknowledged) < 6*time.Second; i++ {
-			since := time.Since(acknowledged)
+		acknowledgedAt := time.Now()
+		for i := 0; time.Since(acknowledgedAt) < 6*time.Second; i++ {
+			elapsed := time.Since(acknowledgedAt)
 			result := f.send(slowNode, f.newRequest(fmt.Sprint("late-", i), "/once/x", 400, 2))
 			for _, call := range platform.recordedCalls() {
-				if since > slowNode.options.ApplyMax && call.RequestID == result.ID {
-					require.Contains(t, string(call.Worker), "other", "sent %v after the acknowledgement", since)
+				if elapsed > slowNode.options.ApplyMax && call.RequestID == result.ID {
+					require.Contains(t, string(call.Worker), "other", "sent %v after the acknowledgement", elapsed)
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
