--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -429,9 +429,9 @@
 	})
 }
 
-// TestUnknownRouteWithOutdatedConfiguration: a node that is partitioned from the core can't know whether a newer version
-// has a route. Once its configuration may be outdated, it responds to an unknown route with 503 and not with
-// 404, so that callers retry. After the partition ends, it serves a route that was added meanwhile, and
+// TestUnknownRouteWithOutdatedConfiguration: a node that is partitioned from the core can't know whether a newer
+// version has a route. Once its configuration may be outdated, it responds to an unknown route with 503 and not
+// with 404, so that callers retry. After the partition ends, it serves a route that was added meanwhile, and
 // responds with 404 to one that doesn't exist.
 func TestUnknownRouteWithOutdatedConfiguration(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
--- a/internal/proxy/stale_version_test.go
+++ b/internal/proxy/stale_version_test.go
@@ -193,7 +193,7 @@
 	require.EqualValues(t, 2, age.update(tickAt(1701), tickAt(1700), &fleetstate.Snapshot{Version: 1, NewestReceivedVersion: 5}))
 	require.Equal(t, int64(tickAt(900)), age.currentAt.Load())
 	require.Zero(t, age.update(tickAt(1800), tickAt(1800), &fleetstate.Snapshot{Version: 2, NewestReceivedVersion: 5}))
-	require.Equal(t, int64(tickAt(1200)), age.currentAt.Load(), "the time tickAt which the second version was seen")
+	require.Equal(t, int64(tickAt(1200)), age.currentAt.Load(), "the time at which the second version was seen")
 	require.Zero(t, age.update(tickAt(1900), tickAt(1900), &fleetstate.Snapshot{Version: 5, NewestReceivedVersion: 5}))
 	require.Equal(t, int64(tickAt(1900)), age.currentAt.Load())
 }
--- a/internal/proxy/tenant_test.go
+++ b/internal/proxy/tenant_test.go
@@ -135,8 +135,8 @@
 	})
 }
 
-// TestUnknownKeyWithOutdatedConfiguration: a node whose configuration may be outdated can't know whether a newer version
-// has a key. It responds with 503 and a time to retry after, and not with 401.
+// TestUnknownKeyWithOutdatedConfiguration: a node whose configuration may be outdated can't know whether a newer
+// version has a key. It responds with 503 and a time to retry after, and not with 401.
 func TestUnknownKeyWithOutdatedConfiguration(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
