--- a/internal/proxy/fault_notice_test.go
+++ b/internal/proxy/fault_notice_test.go
@@ -70,7 +70,8 @@
 }
 
 // TestSilentPrefillWorker: a prefill worker stops responding. Every request that was to be prefilled there
-// still gets its response within 2.5 s, and none that must not be retried is executed twice.
+// still gets its response within 2.5 s, and no request that must not be retried is
+// executed twice.
 func TestSilentPrefillWorker(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -132,8 +132,8 @@
 }
 
 // TestFreeMemoryReachesAllNodes: every node knows the free memory of every worker within two seconds of a
-// change, or within 20 s if the holder of the service's lease was killed just before. Without reports, no node
-// assumes a value.
+// change, whichever nodes hold the leases, or within 20 s if the holder of the service's lease was killed just
+// before. Without reports, no node assumes a value.
 func TestFreeMemoryReachesAllNodes(t *testing.T) {
 	forEachSeed(t, 4, func(t *testing.T, seed uint64) {
 		workers := prefillAndDecodeWorkers("svc", 3, 3)
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -278,7 +278,7 @@
 // TestSlowStartAfterFailbackAndRestart: a zone is evacuated and failed back, and all nodes are killed and
 // start again immediately, with or without a leader change of the coordination service. The worker list does
 // not show yet that the zone's workers are cold, but they get no more requests than cold workers can take. Once
-// their slow start is over, nodes that start no longer have a record of the failback.
+// they have certainly warmed up, nodes that start no longer have a record of the failback.
 func TestSlowStartAfterFailbackAndRestart(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		t.Run(fmt.Sprint("takeover-", takeover), func(t *testing.T) {
