--- a/internal/proxy/unconfirmed_core_test.go
+++ b/internal/proxy/unconfirmed_core_test.go
@@ -14,9 +14,9 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestCoreWithoutBackupsCausesNoRejections: the primary accepts connections but, without its backups, can't
+// TestCoreWithoutBackupsMakesNoNodeRefuse: the primary accepts connections but, without its backups, can't
 // confirm any node's version. No node rejects requests because its version may be outdated.
-func TestCoreWithoutBackupsCausesNoRejections(t *testing.T) {
+func TestCoreWithoutBackupsMakesNoNodeRefuse(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 2)...)
 		f := startFleet(t, 1, 3, platform, defaultConfiguration(), nil)
@@ -34,10 +34,10 @@
 	})
 }
 
-// TestNodeWithLateRenewalsServesNoOldVersion: the responses of the primary reach one node late, because their
+// TestNodeWithoutRenewalsServesNoOldVersion: the responses of the primary reach one node late, because their
 // link transfers 100 bytes per second. The node serves no request with an old version later than ApplyMax
 // after a newer one was acknowledged.
-func TestNodeWithLateRenewalsServesNoOldVersion(t *testing.T) {
+func TestNodeWithoutRenewalsServesNoOldVersion(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		const responseRate = 100 // bytes per second
 		platform := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
