--- a/internal/proxy/role_balance_test.go
+++ b/internal/proxy/role_balance_test.go
@@ -1,4 +1,5 @@
-// Role changes of workers, ordered by the node that holds the service's duty.
+// Tests of role changes of workers between prefill and decode. The node that holds the service's lease sends
+// the orders to change roles.
 
 package proxy
 
@@ -14,10 +15,9 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-var serviceDutyKey = fleetstate.ServiceKey("svc")
+var serviceLeaseKey = fleetstate.ServiceKey("svc")
 
-// withRoleChanges enables role changes; slightly more than half of the workers of an idle fleet are prefill
-// workers.
+// withRoleChanges enables role changes, with a target share of 0.55 of prefill workers in an idle fleet.
 func withRoleChanges(o *Options) {
 	o.RoleCheckInterval, o.RetryAllowance, o.IdlePrefillShare = 500*time.Millisecond, 20, 0.55
 }
@@ -45,18 +45,18 @@
 	return out
 }
 
-// roleDutyHolder returns the index of the node that holds the service's duty, or -1.
-func (f *fleet) roleDutyHolder() int {
+// roleLeaseHolder returns the index of the running node that holds the service's lease, or -1.
+func (f *fleet) roleLeaseHolder() int {
 	for i, node := range f.nodes {
-		if _, ok := node.agent.OwnsKey(serviceDutyKey); ok && node.running {
+		if _, ok := node.agent.OwnsKey(serviceLeaseKey); ok && node.running {
 			return i
 		}
 	}
 	return -1
 }
 
-// recordedOrders returns the role orders among the calls.
-func recordedOrders(calls []callRecord) []callRecord {
+// recordedRoleOrders returns the role-change orders among the calls.
+func recordedRoleOrders(calls []callRecord) []callRecord {
 	var orders []callRecord
 	for _, call := range calls {
 		if call.Kind == "order" {
@@ -66,11 +66,11 @@
 	return orders
 }
 
-// checkChangingWorkersIdle: a worker gets no requests for the duration of its role change after an accepted
-// order.
+// checkChangingWorkersIdle: a worker gets no requests from the time at which it accepts a role-change order
+// until the duration is over.
 func checkChangingWorkersIdle(calls []callRecord, duration time.Duration) []string {
 	var out []string
-	for _, call := range recordedOrders(calls) {
+	for _, call := range recordedRoleOrders(calls) {
 		if call.Accepted {
 			out = append(out, callsToWorker(calls, call.Worker, call.At, call.At+duration)...)
 		}
@@ -78,9 +78,9 @@
 	return out
 }
 
-// TestRoleChangesInBothDirections: workers change to the role that is under load, and back when the other
-// role is. A worker that is changing gets no requests, each role keeps a third of the workers, one node
-// sends all orders, and all requests succeed.
+// TestRoleChangesInBothDirections: workers change to the role that is under load, and back when the other role
+// is under load. A worker gets no requests during its role change, each role keeps a third of the workers, one
+// node sends all orders, and all requests succeed.
 func TestRoleChangesInBothDirections(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 4, 5)...)
@@ -99,19 +99,19 @@
 		orderCounts := map[ids.Role]int{}
 		owners := map[ids.NodeID]bool{}
 		var directions []ids.Role
-		for _, call := range recordedOrders(calls) {
+		for _, call := range recordedRoleOrders(calls) {
 			orderCounts[call.TargetRole]++
 			owners[call.Owner] = true
 			if n := len(directions); n == 0 || directions[n-1] != call.TargetRole {
 				directions = append(directions, call.TargetRole)
 			}
 		}
-		require.Equal(t, []ids.Role{ids.Prefill, ids.Decode, ids.Prefill}, directions, "%v", recordedOrders(calls))
+		require.Equal(t, []ids.Role{ids.Prefill, ids.Decode, ids.Prefill}, directions, "%v", recordedRoleOrders(calls))
 		require.Len(t, owners, 1, "one node sends all orders")
 		require.Empty(t, checkMinimumPerRole(calls, initialRoles))
 		require.Empty(t, checkUnavailableWorkers(calls, 100*time.Millisecond))
 		require.Empty(t, checkChangingWorkersIdle(calls, time.Second))
-		require.Empty(t, checkRoleOrders(calls, 3*time.Second))
+		require.Empty(t, checkRoleOrderFencing(calls, 3*time.Second))
 		require.Empty(t, checkExecutions(calls, results))
 		require.Empty(t, checkResponses(results))
 		for _, result := range results {
@@ -141,13 +141,14 @@
 		f.generateLoad(20, 10*time.Second, func(i int) *Request {
 			return f.newRequest(fmt.Sprint("r", i), []string{"/once/x", "/free/x"}[i%2], 400, 4)
 		})
-		require.Empty(t, recordedOrders(platform.recordedCalls()))
+		require.Empty(t, recordedRoleOrders(platform.recordedCalls()))
 	})
 }
 
-// TestSingleOwnerSendsRoleOrders: holders are killed, frozen and partitioned from the core in turn. Orders
-// of different owners to one worker are at least a lease apart, fences never decrease, a fence belongs to
-// one owner, no role gets fewer than a third of the workers, and every role change ends.
+// TestSingleOwnerSendsRoleOrders: holders of the service's lease are killed, frozen and partitioned from the
+// core (the coordination service) in turn. Orders of different holders to one worker are at least a lease
+// duration apart, fencing tokens never decrease, a fencing token belongs to one holder, no role gets fewer than
+// a third of the workers, and every role change ends.
 func TestSingleOwnerSendsRoleOrders(t *testing.T) {
 	forEachSeed(t, 8, func(t *testing.T, seed uint64) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
@@ -156,13 +157,13 @@
 		initialRoles := workerRoles(platform)
 		for i := range 7 {
 			platform.setExtraRunning([]ids.Role{ids.Prefill, ids.Decode}[i%2], []int{6, 14}[i%2])
-			f.waitUntil(12*time.Second, func() bool { return f.roleDutyHolder() >= 0 && len(recordedOrders(platform.recordedCalls())) > i })
+			f.waitUntil(12*time.Second, func() bool { return f.roleLeaseHolder() >= 0 && len(recordedRoleOrders(platform.recordedCalls())) > i })
 			time.Sleep(time.Duration(seed*131%17+uint64(i)*7%5) * 100 * time.Millisecond)
-			holder := f.roleDutyHolder()
+			holder := f.roleLeaseHolder()
 			if holder < 0 {
 				continue
 			}
-			ip := []string{nodeIP(holder)}
+			holderIPs := []string{nodeIP(holder)}
 			switch (int(seed) + i) % 4 {
 			case 0:
 				f.killNode(holder)
@@ -173,9 +174,9 @@
 				time.Sleep(5 * time.Second)
 				f.setFrozen(holder, false)
 			case 2:
-				f.world.Partition(ip, coreIPs, true)
+				f.world.Partition(holderIPs, coreIPs, true)
 				time.Sleep(6 * time.Second)
-				f.world.Partition(ip, coreIPs, false)
+				f.world.Partition(holderIPs, coreIPs, false)
 			case 3:
 				f.setFrozen(holder, true)
 				time.Sleep(2 * time.Second)
@@ -197,16 +198,16 @@
 			return true
 		}), "every role change ends")
 		calls := platform.recordedCalls()
-		require.Greater(t, len(recordedOrders(calls)), 3)
-		require.Empty(t, checkRoleOrders(calls, 3*time.Second))
+		require.Greater(t, len(recordedRoleOrders(calls)), 3)
+		require.Empty(t, checkRoleOrderFencing(calls, 3*time.Second))
 		require.Empty(t, checkMinimumPerRole(calls, initialRoles))
 		owner, last := map[ids.Fence]ids.NodeID{}, ids.Fence(0)
-		for _, call := range recordedOrders(calls) {
+		for _, call := range recordedRoleOrders(calls) {
 			if previous, ok := owner[call.Fence]; ok {
 				require.Equal(t, previous, call.Owner)
 			}
 			owner[call.Fence] = call.Owner
-			require.GreaterOrEqual(t, call.Fence, last, "fences of all workers of the service")
+			require.GreaterOrEqual(t, call.Fence, last, "fencing tokens of all orders of the service")
 			last = call.Fence
 		}
 	})
@@ -224,9 +225,9 @@
 				defer f.close()
 				platform.setExtraRunning(ids.Prefill, 6)
 				require.True(t, f.waitUntil(15*time.Second, func() bool {
-					return len(f.nodes[0].view.Current().RoleChanges) > 0 && (!ordered || len(recordedOrders(platform.recordedCalls())) > 0)
+					return len(f.nodes[0].view.Current().RoleChanges) > 0 && (!ordered || len(recordedRoleOrders(platform.recordedCalls())) > 0)
 				}))
-				holder := f.roleDutyHolder()
+				holder := f.roleLeaseHolder()
 				require.GreaterOrEqual(t, holder, 0)
 				f.killNode(holder)
 				platform.withLock(func() { platform.extraRunning = nil })
@@ -239,45 +240,45 @@
 				require.Empty(t, checkUnavailableWorkers(platform.recordedCalls(), 100*time.Millisecond))
 				require.Empty(t, checkExecutions(platform.recordedCalls(), results))
 				if !ordered {
-					require.Empty(t, recordedOrders(platform.recordedCalls()))
+					require.Empty(t, recordedRoleOrders(platform.recordedCalls()))
 				}
 			})
 		})
 	}
 }
 
-// TestNewHolderWaitsForLease: a new holder sends no order until more than a lease has passed since it got
-// the duty, even if the previous holder is only partitioned and still running.
+// TestNewHolderWaitsForLease: a new holder sends no order until more than a lease duration has passed since it
+// got the lease, also if the previous holder is only partitioned and still running.
 func TestNewHolderWaitsForLease(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
 		f := startFleet(t, 44, 3, platform, defaultConfiguration(), withRoleChanges)
 		defer f.close()
 		time.Sleep(3 * time.Second)
-		holder := f.roleDutyHolder()
+		holder := f.roleLeaseHolder()
 		require.GreaterOrEqual(t, holder, 0)
 		f.world.Partition([]string{nodeIP(holder)}, coreIPs, true)
 		next := -1
-		require.True(t, f.waitUntil(20*time.Second, func() bool { next = f.roleDutyHolder(); return next >= 0 && next != holder }))
+		require.True(t, f.waitUntil(20*time.Second, func() bool { next = f.roleLeaseHolder(); return next >= 0 && next != holder }))
 		assignedAt := platform.elapsed()
 		platform.setExtraRunning(ids.Prefill, 6)
-		require.True(t, f.waitUntil(20*time.Second, func() bool { return len(recordedOrders(platform.recordedCalls())) > 0 }))
-		first := recordedOrders(platform.recordedCalls())[0]
+		require.True(t, f.waitUntil(20*time.Second, func() bool { return len(recordedRoleOrders(platform.recordedCalls())) > 0 }))
+		first := recordedRoleOrders(platform.recordedCalls())[0]
 		require.Equal(t, nodeIP(next), first.Node)
 		require.Greater(t, first.At-assignedAt, 3*time.Second)
 	})
 }
 
 // TestRoleOrderWaitsForSlowNode: one node gets updates late, and the holder checks loads often. The holder
-// sends its order only once that node knows of the role change, too, and no requests are sent to the worker
-// meanwhile.
+// sends its order only once that node also knows of the role change, so that no node sends the worker requests
+// after it accepted the order.
 func TestRoleOrderWaitsForSlowNode(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 4)...)
 		f := startFleet(t, 45, 3, platform, defaultConfiguration(), func(o *Options) { withRoleChanges(o); o.RoleCheckInterval = 50 * time.Millisecond })
 		defer f.close()
-		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.roleDutyHolder() >= 0 }))
-		slowNode := f.nodes[(f.roleDutyHolder()+1)%3]
+		require.True(t, f.waitUntil(10*time.Second, func() bool { return f.roleLeaseHolder() >= 0 }))
+		slowNode := f.nodes[(f.roleLeaseHolder()+1)%3]
 		for _, ip := range coreIPs {
 			f.world.SetLink(ip, slowNode.ip, simulated.Link{Delay: 200 * time.Millisecond})
 		}
@@ -285,7 +286,7 @@
 		platform.setExtraRunning(ids.Prefill, 6)
 		results := f.generateLoad(60, 8*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), routePaths[i%4], 400, 4) })
 		calls := platform.recordedCalls()
-		require.NotEmpty(t, recordedOrders(calls))
+		require.NotEmpty(t, recordedRoleOrders(calls))
 		require.Empty(t, checkChangingWorkersIdle(calls, time.Second))
 		require.Empty(t, checkExecutions(calls, results))
 		for _, result := range results {
