--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -17,50 +17,50 @@
 )
 
 type options struct {
-	Settings  string   `arg:"--settings" help:"a JSON file with these same settings; flags stand over it" json:"-"`
+	SettingsFile  string   `arg:"--settings" help:"a JSON file with these same settings; flags stand over it" json:"-"`
 	Addr      string   `arg:"--addr" help:"IP number and port to listen on" json:"addr"`
 	Zone      string   `arg:"--zone" help:"the hall or district this machine stands in" json:"zone"`
 	Seeds     []string `arg:"--seeds" help:"three addresses of other processes" json:"seeds"`
-	Data      string   `arg:"--data" help:"the folder for all files" json:"data"`
-	BeatMs    int      `arg:"--beat-ms" default:"200" help:"primary to backup and witness" json:"beatMs"`
-	SilenceMs int      `arg:"--silence-ms" default:"900" help:"after so long the backup takes over" json:"silenceMs"`
+	DataDir      string   `arg:"--data" help:"the folder for all files" json:"data"`
+	HeartbeatMs    int      `arg:"--beat-ms" default:"200" help:"primary to backup and witness" json:"beatMs"`
+	ElectionTimeoutMs int      `arg:"--silence-ms" default:"900" help:"after so long the backup takes over" json:"silenceMs"`
 	LeaseMs   int      `arg:"--lease-ms" default:"3000" help:"of every node; the nodes must have the same" json:"leaseMs"`
-	StallMs   int      `arg:"--stall-ms" default:"1000" help:"a disk step that takes longer makes this machine stand down" json:"stallMs"`
-	GraceMs   int      `arg:"--grace-ms" default:"4000" help:"a machine that is stopped hands over what it holds within this span" json:"graceMs"`
-	FoundAnew bool     `arg:"--found-anew" help:"two of three disk machines are lost for good: go on from this disk with two empty ones; see the operators' page" json:"-"`
-	ReplaceMs int      `arg:"--replace-ms" default:"4000" help:"a register holder silent so long may be replaced by a spare" json:"replaceMs"`
+	DiskTimeoutMs   int      `arg:"--stall-ms" default:"1000" help:"a disk step that takes longer makes this machine stand down" json:"stallMs"`
+	HandOverTimeoutMs   int      `arg:"--grace-ms" default:"4000" help:"a machine that is stopped hands over what it holds within this span" json:"graceMs"`
+	ForceNewCluster bool     `arg:"--found-anew" help:"two of three disk machines are lost for good: go on from this disk with two empty ones; see the operators' page" json:"-"`
+	ReplaceAfterMs int      `arg:"--replace-ms" default:"4000" help:"a register holder silent so long may be replaced by a spare" json:"replaceMs"`
 }
 
-func (s *options) File() string { return s.Settings }
+func (s *options) File() string { return s.SettingsFile }
 
 func (s *options) Check() error {
-	duration := func(field string, ms, least, most int) error {
-		if ms < least || ms > most {
-			return settings.Invalid(field, "%d ms is not from %d to %d", ms, least, most)
+	checkDuration := func(field string, ms, minimum, maximum int) error {
+		if ms < minimum || ms > maximum {
+			return settings.Invalid(field, "%d ms is not from %d to %d", ms, minimum, maximum)
 		}
 		return nil
 	}
-	if s.Data == "" {
+	if s.DataDir == "" {
 		return settings.Invalid("data", "it is missing")
 	}
 	if s.Zone == "" {
 		return settings.Invalid("zone", "it is missing")
 	}
 	return settings.FirstError(settings.Addr("addr", s.Addr), settings.Seeds("seeds", s.Seeds),
-		duration("beatMs", s.BeatMs, 20, 1000), duration("silenceMs", s.SilenceMs, 4*s.BeatMs, 30000),
-		duration(
-			"leaseMs", s.LeaseMs, 2*s.SilenceMs, 60000,
-		), duration(
-			"stallMs", s.StallMs, 50, 30000,
-		), duration("graceMs", s.GraceMs, 0, 600000), duration("replaceMs", s.ReplaceMs, s.SilenceMs, 600000))
+		checkDuration("beatMs", s.HeartbeatMs, 20, 1000), checkDuration("silenceMs", s.ElectionTimeoutMs, 4*s.HeartbeatMs, 30000),
+		checkDuration(
+			"leaseMs", s.LeaseMs, 2*s.ElectionTimeoutMs, 60000,
+		), checkDuration(
+			"stallMs", s.DiskTimeoutMs, 50, 30000,
+		), checkDuration("graceMs", s.HandOverTimeoutMs, 0, 600000), checkDuration("replaceMs", s.ReplaceAfterMs, s.ElectionTimeoutMs, 600000))
 }
 
 func main() {
 	s := &options{}
 	settings.Read(s, "keelstair-controller", "Keelstair-controller is keelstair's control plane.", os.Args[1:])
-	host, err := host.Real(s.Data)
-	cli.Fail("keelstair-controller", err)
-	ring := cli.Ring("controller " + s.Addr)
+	host, err := host.Real(s.DataDir)
+	cli.ExitOnError("keelstair-controller", err)
+	ring := cli.NewRing("controller " + s.Addr)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	core, err := coordination.New(coordination.Options{
 		Addr:  s.Addr,
@@ -71,17 +71,17 @@
 		Machine: func() coordination.StateMachine {
 			return fleetstate.NewMachine(fleetstate.MachineOptions{WallClock: host.Clock.Wall})
 		},
-		HeartbeatInterval: ms(s.BeatMs),
-		ElectionTimeout:   ms(s.SilenceMs),
+		HeartbeatInterval: ms(s.HeartbeatMs),
+		ElectionTimeout:   ms(s.ElectionTimeoutMs),
 		LeaseDuration:     ms(s.LeaseMs),
-		DiskTimeout:       ms(s.StallMs),
-		ReplaceAfter:      ms(s.ReplaceMs),
-		ForceNewCluster:   s.FoundAnew,
+		DiskTimeout:       ms(s.DiskTimeoutMs),
+		ReplaceAfter:      ms(s.ReplaceAfterMs),
+		ForceNewCluster:   s.ForceNewCluster,
 	})
-	cli.Fail("keelstair-controller", err)
-	asked, stop := cli.Signals()
+	cli.ExitOnError("keelstair-controller", err)
+	shutdown, stop := cli.SignalContext()
 	defer stop()
-	ctx := cli.HandOver(asked, core, ms(s.GraceMs))
+	ctx := cli.HandOverContext(shutdown, core, ms(s.HandOverTimeoutMs))
 	mux := http.NewServeMux()
 	core.Mount(mux)
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -95,6 +95,6 @@
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		api.WriteJSON(w, http.StatusOK, map[string]any{"leads": core.Leads(), "page": core.Directory().Exchange()})
 	})
-	cli.Serve(ctx, host, s.Addr, mux, func(err error) { cli.Fail("keelstair-controller", err) })
-	cli.Fail("keelstair-controller", core.Run(ctx))
+	cli.Serve(ctx, host, s.Addr, mux, func(err error) { cli.ExitOnError("keelstair-controller", err) })
+	cli.ExitOnError("keelstair-controller", core.Run(ctx))
 }
--- a/cmd/keelstair-plan/main.go
+++ b/cmd/keelstair-plan/main.go
@@ -19,7 +19,7 @@
 	"keelstair.example/internal/settings"
 )
 
-type policyCmd struct {
+type applyCmd struct {
 	File    string  `arg:"positional,required" help:"CUE or JSON"`
 	Partial bool    `arg:"--partial" help:"it is laid over the configuration in force"`
 	Base    *uint64 `arg:"--base" help:"the version it was made over"`
@@ -30,12 +30,12 @@
 }
 
 type options struct {
-	Doors    []string   `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
+	Frontends    []string   `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
 	JSON     bool       `arg:"--json" help:"print JSON"`
-	Policy   *policyCmd `arg:"subcommand:apply" help:"a configuration"`
+	Apply   *applyCmd `arg:"subcommand:apply" help:"a configuration"`
 	Evacuate *nameCmd   `arg:"subcommand:evacuate" help:"the evacuation of a zone"`
-	Zone     *nameCmd   `arg:"subcommand:lose-zone" help:"the loss of a zone"`
-	Machine  *nameCmd   `arg:"subcommand:lose-machine" help:"the loss of a machine, by its address"`
+	LoseZone     *nameCmd   `arg:"subcommand:lose-zone" help:"the loss of a zone"`
+	LoseMachine  *nameCmd   `arg:"subcommand:lose-machine" help:"the loss of a machine, by its address"`
 	Drain    *nameCmd   `arg:"subcommand:drain" help:"the draining of a worker"`
 	Revoke   *nameCmd   `arg:"subcommand:revoke" help:"the revocation of a certificate, by its serial"`
 	Expire   *nameCmd   `arg:"subcommand:expire" help:"the end of certificates up to a time, in RFC 3339"`
@@ -44,41 +44,41 @@
 func (s *options) File() string { return "" }
 
 func (s *options) Check() error {
-	if s.Policy == nil && s.Evacuate == nil && s.Zone == nil && s.Machine == nil && s.Drain == nil && s.Revoke == nil &&
+	if s.Apply == nil && s.Evacuate == nil && s.LoseZone == nil && s.LoseMachine == nil && s.Drain == nil && s.Revoke == nil &&
 		s.Expire == nil {
 		return settings.Invalid("command", "one is needed; see keelstair-plan --help")
 	}
-	return cli.CheckEndpoints(&s.Doors)
+	return cli.CheckEndpoints(&s.Frontends)
 }
 
 func main() {
 	s := &options{}
 	settings.Read(s, "keelstair-plan", "Keelstair-plan shows what a change would move.", os.Args[1:])
-	cli.Fail("keelstair-plan", s.run())
+	cli.ExitOnError("keelstair-plan", s.run())
 }
 
 func (s *options) get(path string, into any) error {
-	return cli.Ask(s.Doors, http.MethodGet, path, nil, into)
+	return cli.Request(s.Frontends, http.MethodGet, path, nil, into)
 }
 
 func (s *options) run() error {
-	var st router.NodeStatus
-	var sh api.ActivePolicy
-	if err := s.get("/v1/status", &st); err != nil {
+	var status router.NodeStatus
+	var active api.ActivePolicy
+	if err := s.get("/v1/status", &status); err != nil {
 		return err
 	}
-	if err := s.get("/v1/policy", &sh); err != nil {
+	if err := s.get("/v1/policy", &active); err != nil {
 		return err
 	}
-	now := &fleetstate.Configuration{}
-	if err := json.Unmarshal(sh.Policy, now); err != nil {
+	current := &fleetstate.Configuration{}
+	if err := json.Unmarshal(active.Policy, current); err != nil {
 		return err
 	}
-	c, err := s.change(&sh)
+	change, err := s.parseChange(&active)
 	if err != nil {
 		return err
 	}
-	f, err := forecast.Compute(&st, now, c)
+	f, err := forecast.Compute(&status, current, change)
 	if err != nil {
 		return err
 	}
@@ -87,18 +87,18 @@
 		fmt.Println(string(b))
 		return err
 	}
-	tell(f)
+	printForecast(f)
 	return nil
 }
 
-func (s *options) change(sh *api.ActivePolicy) (forecast.Change, error) {
+func (s *options) parseChange(active *api.ActivePolicy) (forecast.Change, error) {
 	switch {
 	case s.Evacuate != nil:
 		return forecast.Change{Evacuate: ids.Zone(s.Evacuate.Name)}, nil
-	case s.Zone != nil:
-		return forecast.Change{LoseZone: ids.Zone(s.Zone.Name)}, nil
-	case s.Machine != nil:
-		return forecast.Change{LoseAddr: s.Machine.Name}, nil
+	case s.LoseZone != nil:
+		return forecast.Change{LoseZone: ids.Zone(s.LoseZone.Name)}, nil
+	case s.LoseMachine != nil:
+		return forecast.Change{LoseAddr: s.LoseMachine.Name}, nil
 	case s.Drain != nil:
 		return forecast.Change{Drain: ids.WorkerID(s.Drain.Name)}, nil
 	case s.Revoke != nil:
@@ -112,31 +112,31 @@
 		}
 		return forecast.Change{FleetTime: at.UnixNano()}, nil
 	}
-	if s.Policy.Base != nil && *s.Policy.Base != sh.Newest {
+	if s.Apply.Base != nil && *s.Apply.Base != active.Newest {
 		return forecast.Change{}, fmt.Errorf(
-			"the plan was made over version %d; the newest is %d", *s.Policy.Base, sh.Newest,
+			"the plan was made over version %d; the newest is %d", *s.Apply.Base, active.Newest,
 		)
 	}
-	text, err := os.ReadFile(s.Policy.File)
+	text, err := os.ReadFile(s.Apply.File)
 	if err != nil {
 		return forecast.Change{}, err
 	}
-	body, err := fleetstate.CUEToJSON(s.Policy.File, text)
-	if err == nil && s.Policy.Partial {
-		body, err = fleetstate.Merge(sh.Policy, body)
+	body, err := fleetstate.CUEToJSON(s.Apply.File, text)
+	if err == nil && s.Apply.Partial {
+		body, err = fleetstate.Merge(active.Policy, body)
 	}
 	if err != nil {
 		return forecast.Change{}, err
 	}
-	p, err := fleetstate.ParseConfiguration(s.Policy.File, body)
+	configuration, err := fleetstate.ParseConfiguration(s.Apply.File, body)
 	if err != nil {
 		return forecast.Change{}, err
 	}
-	_, err = p.CompilePrograms(&routing.Scores{})
-	return forecast.Change{Configuration: p}, err
+	_, err = configuration.CompilePrograms(&routing.Scores{})
+	return forecast.Change{Configuration: configuration}, err
 }
 
-func tell(f *forecast.Forecast) {
+func printForecast(f *forecast.Forecast) {
 	fmt.Printf("over version %d\n\nworkers\n", f.Version)
 	for _, w := range f.WorkerChanges {
 		fmt.Println("  " + w)
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -41,31 +41,31 @@
 		)
 		os.Exit(2)
 	}
-	hangUps := catchHangUps()
+	hangups := notifySIGHUP()
 	s, err := platform.LoadSettings()
-	cli.Fail("keelstair-platform "+role, err)
+	cli.ExitOnError("keelstair-platform "+role, err)
 	if s.MemoryBytes > 0 {
 		debug.SetMemoryLimit(s.MemoryBytes * 3 / 4)
 	}
-	cli.Fail("keelstair-platform "+role, run(s, hangUps))
+	cli.ExitOnError("keelstair-platform "+role, run(s, hangups))
 }
 
-// catchHangUps has every later SIGHUP kept for watch: one that comes while the process still
+// notifySIGHUP has every later SIGHUP kept for watch: one that comes while the process still
 // starts would end it.
-func catchHangUps() <-chan os.Signal {
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
-	return hangUps
+func notifySIGHUP() <-chan os.Signal {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	return hangups
 }
 
-// watch reads the settings again at a hang-up, for the seeds they name.
-func watch(ctx context.Context, hangUps <-chan os.Signal, setSeeds func(seeds []string)) {
+// reloadSeedsOnSIGHUP reads the settings again at a hang-up, for the seeds they name.
+func reloadSeedsOnSIGHUP(ctx context.Context, hangups <-chan os.Signal, setSeeds func(seeds []string)) {
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hangUps:
+			case <-hangups:
 				if s, err := platform.LoadSettings(); err == nil {
 					setSeeds(s.Seeds)
 				}
@@ -78,10 +78,10 @@
 // of the platform's grace time for ending.
 const (
 	maxHandOver     = 4 * time.Second
-	handOverReserve = 2500 * time.Millisecond
+	shutdownReserve = 2500 * time.Millisecond
 )
 
-func runController(s *platform.Settings, hangUps <-chan os.Signal) error {
+func runController(s *platform.Settings, hangups <-chan os.Signal) error {
 	if err := s.ValidateCore(); err != nil {
 		return err
 	}
@@ -89,13 +89,13 @@
 	if err != nil {
 		return err
 	}
-	ring := cli.Ring("controller " + s.Name)
+	ring := cli.NewRing("controller " + s.Name)
 	log.SetOutput(ring)
 	if s.StateDir == "" {
-		return runDiskless(s, hangUps, host, ring)
+		return runDiskless(s, hangups, host, ring)
 	}
-	documents := &platform.DocumentReader{}
-	c, err := coordination.New(coordination.Options{
+	documentReader := &platform.DocumentReader{}
+	core, err := coordination.New(coordination.Options{
 		Addr:           s.ControlAddr,
 		Zone:           ids.Zone(s.Zone),
 		Host:           host,
@@ -106,7 +106,7 @@
 		FaultTolerance: s.FaultTolerance,
 		Machine: func() coordination.StateMachine {
 			return fleetstate.NewMachine(fleetstate.MachineOptions{
-				ParseConfiguration: documents.Read,
+				ParseConfiguration: documentReader.Read,
 				Metering:           s.Metering,
 			})
 		},
@@ -114,48 +114,48 @@
 	if err != nil {
 		return err
 	}
-	asked, stop := cli.Signals()
+	shutdown, stop := cli.SignalContext()
 	defer stop()
-	ctx := cli.HandOver(asked, c, min(maxHandOver, s.GracePeriod-handOverReserve))
-	watch(ctx, hangUps, c.Directory().SetSeeds)
+	ctx := cli.HandOverContext(shutdown, core, min(maxHandOver, s.GracePeriod-shutdownReserve))
+	reloadSeedsOnSIGHUP(ctx, hangups, core.Directory().SetSeeds)
 	mux := http.NewServeMux()
-	c.Mount(mux)
-	operate(mux, s, c.Caller(), c.Directory(), ring)
-	cli.Serve(ctx, host, s.ControlAddr, mux, func(err error) { cli.Fail("keelstair-platform controller", err) })
-	return c.Run(ctx)
+	core.Mount(mux)
+	mountOperatorAPIs(mux, s, core.Caller(), core.Directory(), ring)
+	cli.Serve(ctx, host, s.ControlAddr, mux, func(err error) { cli.ExitOnError("keelstair-platform controller", err) })
+	return core.Run(ctx)
 }
 
-// operate puts the operators' calls on a mux: the platform's, and the product's own for
+// mountOperatorAPIs puts the operators' calls on a mux: the platform's, and the product's own for
 // the program set.
-func operate(
+func mountOperatorAPIs(
 	mux *http.ServeMux,
 	s *platform.Settings,
-	call *rpc.Caller,
+	caller *rpc.Caller,
 	directory *coordination.Directory,
 	ring *logging.Ring,
 ) {
-	(&platform.Operator{Caller: call, Directory: directory, Zones: s.Zones, Log: ring}).Mount(mux)
-	api.RegisterOperatorAPI(mux, &proxy.Operator{Caller: call, Directory: directory, Zones: s.Zones})
+	(&platform.Operator{Caller: caller, Directory: directory, Zones: s.Zones, Log: ring}).Mount(mux)
+	api.RegisterOperatorAPI(mux, &proxy.Operator{Caller: caller, Directory: directory, Zones: s.Zones})
 }
 
 // runDiskless serves the operator on a machine without a disk: it holds nothing and asks the core.
-func runDiskless(s *platform.Settings, hangUps <-chan os.Signal, host host.Host, ring *logging.Ring) error {
-	ctx, stop := cli.Signals()
+func runDiskless(s *platform.Settings, hangups <-chan os.Signal, host host.Host, ring *logging.Ring) error {
+	ctx, stop := cli.SignalContext()
 	defer stop()
-	call := rpc.NewCaller(host.Net)
-	defer call.Close()
-	directory := coordination.NewDirectory(host, call, s.Seeds, coordination.Replica{Addr: s.ControlAddr})
-	watch(ctx, hangUps, directory.SetSeeds)
+	caller := rpc.NewCaller(host.Net)
+	defer caller.Close()
+	directory := coordination.NewDirectory(host, caller, s.Seeds, coordination.Replica{Addr: s.ControlAddr})
+	reloadSeedsOnSIGHUP(ctx, hangups, directory.SetSeeds)
 	mux := http.NewServeMux()
 	directory.Serve(mux)
-	operate(mux, s, call, directory, ring)
-	cli.Serve(ctx, host, s.ControlAddr, mux, func(err error) { cli.Fail("keelstair-platform controller", err) })
+	mountOperatorAPIs(mux, s, caller, directory, ring)
+	cli.Serve(ctx, host, s.ControlAddr, mux, func(err error) { cli.ExitOnError("keelstair-platform controller", err) })
 	directory.Run(ctx, func() bool { return false })
 	return nil
 }
 
-// programs are those of the policy that the command line names.
-func programs() ([]routing.Source, error) {
+// loadPrograms are those of the policy that the command line names.
+func loadPrograms() ([]routing.Source, error) {
 	if len(os.Args) < 3 {
 		return nil, nil
 	}
@@ -172,25 +172,25 @@
 
 // serveInternal serves what is not for clients: the node's peers, and the platform's question
 // whether it is ready.
-func serveInternal(ctx context.Context, s *platform.Settings, h host.Host, n *proxy.Node) {
-	fail := func(err error) { cli.Fail("keelstair-platform router", err) }
+func serveInternal(ctx context.Context, s *platform.Settings, h host.Host, node *proxy.Node) {
+	fail := func(err error) { cli.ExitOnError("keelstair-platform router", err) }
 	peers := http.NewServeMux()
-	n.Mount(peers)
+	node.Mount(peers)
 	cli.Serve(ctx, h, s.PeerAddr(), peers, fail)
 	ready := http.NewServeMux()
-	ready.Handle("GET /readiness", platform.Readiness(n))
+	ready.Handle("GET /readiness", platform.Readiness(node))
 	cli.Serve(ctx, h, s.ReadinessAddr, ready, fail)
 }
 
-// setDuties has a node do the duties at the platform that the settings name.
-func setDuties(options *proxy.Options, s *platform.Settings) {
+// configureMetering has a node do the duties at the platform that the settings name.
+func configureMetering(options *proxy.Options, s *platform.Settings) {
 	if s.Metering {
 		options.UsageReporter = platform.NewDutyClient(options.Host.Net, s.CloudAPIAddr)
 		options.UsageWindow = s.ReportWindow
 	}
 }
 
-func runRouter(s *platform.Settings, hangUps <-chan os.Signal) error {
+func runRouter(s *platform.Settings, hangups <-chan os.Signal) error {
 	if err := s.ValidateNode(); err != nil {
 		return err
 	}
@@ -198,11 +198,11 @@
 	if err != nil {
 		return err
 	}
-	programs, err := programs()
+	programs, err := loadPrograms()
 	if err != nil {
 		return err
 	}
-	ring := cli.Ring(s.Name)
+	ring := cli.NewRing(s.Name)
 	log.SetOutput(ring)
 	server := platform.NewClientServer()
 	options := proxy.Options{
@@ -228,23 +228,23 @@
 		},
 		ClientLimitsChanged: server.SetLimits,
 	}
-	setDuties(&options, s)
-	n, err := proxy.New(options)
+	configureMetering(&options, s)
+	node, err := proxy.New(options)
 	if err != nil {
 		return err
 	}
-	ctx, stop := cli.Signals()
+	ctx, stop := cli.SignalContext()
 	defer stop()
-	listen, shut := context.WithCancel(context.Background())
-	defer shut()
-	watch(listen, hangUps, n.Directory().SetSeeds)
-	serveInternal(listen, s, host, n)
-	l, err := host.Net.Listen(s.FrontendAddr)
+	serveCtx, stopServing := context.WithCancel(context.Background())
+	defer stopServing()
+	reloadSeedsOnSIGHUP(serveCtx, hangups, node.Directory().SetSeeds)
+	serveInternal(serveCtx, s, host, node)
+	listener, err := host.Net.Listen(s.FrontendAddr)
 	if err != nil {
 		return err
 	}
-	go server.ServeClients(l, &platform.Frontend{Node: n, Clock: host.Clock})
-	n.Run(ctx, 2500*time.Millisecond, s.GracePeriod-1500*time.Millisecond)
-	fmt.Println(n.Summary())
+	go server.ServeClients(listener, &platform.Frontend{Node: node, Clock: host.Clock})
+	node.Run(ctx, 2500*time.Millisecond, s.GracePeriod-1500*time.Millisecond)
+	fmt.Println(node.Summary())
 	return nil
 }
--- a/cmd/keelstair-router/main.go
+++ b/cmd/keelstair-router/main.go
@@ -18,21 +18,21 @@
 )
 
 type options struct {
-	Settings string   `arg:"--settings" help:"a JSON file with these same settings; flags stand over it" json:"-"`
+	SettingsFile string   `arg:"--settings" help:"a JSON file with these same settings; flags stand over it" json:"-"`
 	Name     string   `arg:"--name" help:"a name for logs" json:"name"`
 	Addr     string   `arg:"--addr" help:"IP number and port for neighbours" json:"addr"`
-	Door     string   `arg:"--door" help:"IP number and port for origins and operators" json:"door"`
+	Frontend     string   `arg:"--door" help:"IP number and port for origins and operators" json:"door"`
 	Zone     string   `arg:"--zone" help:"the hall or district this machine stands in" json:"zone"`
 	Seeds    []string `arg:"--seeds" help:"three addresses of other processes" json:"seeds"`
 	Platform string   `arg:"--platform" help:"where the platform lists workers" json:"platform"`
 	LeaseMs  int      `arg:"--lease-ms" default:"3000" help:"the same as the controllers'" json:"leaseMs"`
-	OrphanMs int      `arg:"--orphan-ms" default:"2000" help:"after so long a worker drops what nobody came for" json:"orphanMs"`
-	PulseMs  int      `arg:"--pulse-ms" default:"1200" help:"a worker silent for so long in a stream is lost" json:"pulseMs"`
-	Trace    string   `arg:"--trace" help:"append OpenTelemetry JSON lines to this file" json:"trace"`
-	DrainMs  int      `arg:"--drain-ms" default:"10000" help:"how long streams may finish after SIGTERM" json:"drainMs"`
+	OrphanTimeoutMs int      `arg:"--orphan-ms" default:"2000" help:"after so long a worker drops what nobody came for" json:"orphanMs"`
+	StreamTimeoutMs  int      `arg:"--pulse-ms" default:"1200" help:"a worker silent for so long in a stream is lost" json:"pulseMs"`
+	TraceFile    string   `arg:"--trace" help:"append OpenTelemetry JSON lines to this file" json:"trace"`
+	DrainTimeoutMs  int      `arg:"--drain-ms" default:"10000" help:"how long streams may finish after SIGTERM" json:"drainMs"`
 }
 
-func (s *options) File() string { return s.Settings }
+func (s *options) File() string { return s.SettingsFile }
 
 func (s *options) Check() error {
 	switch {
@@ -40,14 +40,14 @@
 		return settings.Invalid("zone", "it is missing")
 	case s.LeaseMs < 500 || s.LeaseMs > 60000:
 		return settings.Invalid("leaseMs", "%d ms is not from 500 to 60000", s.LeaseMs)
-	case s.OrphanMs < 100 || s.PulseMs < 500:
+	case s.OrphanTimeoutMs < 100 || s.StreamTimeoutMs < 500:
 		return settings.Invalid("orphanMs, pulseMs", "too short to be of use")
-	case s.DrainMs < 0:
+	case s.DrainTimeoutMs < 0:
 		return settings.Invalid("drainMs", "it is below 0")
 	}
 	return settings.FirstError(
 		settings.Addr("addr", s.Addr),
-		settings.Addr("door", s.Door),
+		settings.Addr("door", s.Frontend),
 		settings.Addr("platform", s.Platform),
 		settings.Seeds("seeds", s.Seeds),
 	)
@@ -60,7 +60,7 @@
 		s.Name = s.Addr
 	}
 	host, err := host.Real("")
-	cli.Fail("keelstair-router", err)
+	cli.ExitOnError("keelstair-router", err)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	opt := router.Options{
 		Name:          s.Name,
@@ -69,27 +69,27 @@
 		Seeds:         s.Seeds,
 		Platform:      s.Platform,
 		Host:          host,
-		Ring:          cli.Ring(s.Name),
+		Ring:          cli.NewRing(s.Name),
 		LeaseDuration: ms(s.LeaseMs),
-		OrphanTimeout: ms(s.OrphanMs),
-		StreamTimeout: ms(s.PulseMs),
+		OrphanTimeout: ms(s.OrphanTimeoutMs),
+		StreamTimeout: ms(s.StreamTimeoutMs),
 	}
-	if s.Trace != "" {
-		file, err := os.OpenFile(s.Trace, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-		cli.Fail("keelstair-router", err)
+	if s.TraceFile != "" {
+		file, err := os.OpenFile(s.TraceFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+		cli.ExitOnError("keelstair-router", err)
 		opt.Trace = tracing.New(file, s.Name, host.Clock).Record
 	}
 	node := router.New(opt)
-	ctx, stop := cli.Signals()
+	ctx, stop := cli.SignalContext()
 	defer stop()
-	listen, shut := context.WithCancel(context.Background())
-	defer shut()
-	inner, outer := http.NewServeMux(), http.NewServeMux()
-	node.Mount(inner)
-	api.RegisterClientAPI(outer, node)
-	api.RegisterOperatorAPI(outer, node)
-	fail := func(err error) { cli.Fail("keelstair-router", err) }
-	cli.Serve(listen, host, s.Addr, inner, fail)
-	cli.Serve(listen, host, s.Door, outer, fail)
-	node.Run(ctx, ms(s.DrainMs))
+	serveCtx, stopServing := context.WithCancel(context.Background())
+	defer stopServing()
+	peerMux, frontendMux := http.NewServeMux(), http.NewServeMux()
+	node.Mount(peerMux)
+	api.RegisterClientAPI(frontendMux, node)
+	api.RegisterOperatorAPI(frontendMux, node)
+	fail := func(err error) { cli.ExitOnError("keelstair-router", err) }
+	cli.Serve(serveCtx, host, s.Addr, peerMux, fail)
+	cli.Serve(serveCtx, host, s.Frontend, frontendMux, fail)
+	node.Run(ctx, ms(s.DrainTimeoutMs))
 }
--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -24,9 +24,9 @@
 	Role     string   `arg:"--part" default:"prefill" help:"prefill or decode"`
 	Model    string   `arg:"--model,required"`
 	Weights  string   `arg:"--weights" default:"w1"`
-	Adapter  []string `arg:"--adapter,separate"`
+	Adapters  []string `arg:"--adapter,separate"`
 	Capacity int      `arg:"--room" default:"2048" help:"blocks of KV"`
-	Block    int      `arg:"--block" default:"16" help:"tokens a block"`
+	BlockSize    int      `arg:"--block" default:"16" help:"tokens a block"`
 }
 
 type platformCmd struct {
@@ -35,7 +35,7 @@
 
 type loadCmd struct {
 	Site     string  `arg:"--site" default:"vatuloa" help:"vatuloa or almaty"`
-	Doors    string  `arg:"--doors" help:"comma-separated doors; without them the platform is asked"`
+	Frontends    string  `arg:"--doors" help:"comma-separated doors; without them the platform is asked"`
 	Platform string  `arg:"--platform" help:"the platform's address"`
 	Rate     float64 `arg:"--rate" default:"30" help:"arrivals a second"`
 	Seconds  int     `arg:"--seconds" default:"10"`
@@ -77,10 +77,10 @@
 	s := &options{}
 	settings.Read(s, "standin", "Keelstair-standin runs keelstair's stand-ins.", os.Args[1:])
 	host, err := host.Real("")
-	cli.Fail("standin", err)
-	ctx, stop := cli.Signals()
+	cli.ExitOnError("standin", err)
+	ctx, stop := cli.SignalContext()
 	defer stop()
-	fail := func(err error) { cli.Fail("standin", err) }
+	fail := func(err error) { cli.ExitOnError("standin", err) }
 	switch {
 	case s.Worker != nil:
 		c := s.Worker
@@ -89,8 +89,8 @@
 			Addr:      c.Addr,
 			Role:      ids.Role(c.Role),
 			Capacity:  c.Capacity,
-			BlockSize: c.Block,
-			Model:     workerclient.Model{Name: c.Model, Weights: c.Weights, Adapters: c.Adapter},
+			BlockSize: c.BlockSize,
+			Model:     workerclient.Model{Name: c.Model, Weights: c.Weights, Adapters: c.Adapters},
 			Host:      host,
 		})
 		mux := http.NewServeMux()
@@ -104,19 +104,19 @@
 		cli.Serve(ctx, host, s.Platform.Addr, mux, fail)
 		p.Run(ctx)
 	case s.Load != nil:
-		load(ctx, host, s.Load)
+		runLoad(ctx, host, s.Load)
 	}
 }
 
-func load(ctx context.Context, host host.Host, c *loadCmd) {
+func runLoad(ctx context.Context, host host.Host, c *loadCmd) {
 	site := standin.Sites[c.Site]
-	doors := func(ids.Zone) []string { return strings.Split(c.Doors, ",") }
-	if c.Doors == "" {
-		doors = standin.PollNodes(ctx, host, c.Platform, site.Zones)
+	frontends := func(ids.Zone) []string { return strings.Split(c.Frontends, ",") }
+	if c.Frontends == "" {
+		frontends = standin.PollNodes(ctx, host, c.Platform, site.Zones)
 	}
-	all := standin.Load(ctx, standin.LoadOptions{
+	outcomes := standin.Load(ctx, standin.LoadOptions{
 		Host:     host,
-		Nodes:    doors,
+		Nodes:    frontends,
 		Zones:    site.Zones,
 		Classes:  site.Classes,
 		Rate:     c.Rate,
@@ -126,6 +126,6 @@
 		Weights:  strings.Split(c.Weights, ","),
 		Retries:  c.Retries,
 	})
-	b, _ := json.MarshalIndent(standin.Summarize(all), "", "  ")
+	b, _ := json.MarshalIndent(standin.Summarize(outcomes), "", "  ")
 	fmt.Println(string(b))
 }
--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -19,130 +19,130 @@
 	"keelstair.example/internal/standin"
 )
 
-// change applies a part over what is in force, as keelstairctl does, and tells how long it
+// applyPartial applies a part over what is in force, as keelstairctl does, and tells how long it
 // took until it was in force.
-func (f *fleet) change(ctx context.Context, name, part string) error {
-	var sh api.ActivePolicy
-	if err := cli.Ask(f.doors(), http.MethodGet, "/v1/policy", nil, &sh); err != nil {
+func (f *fleet) applyPartial(ctx context.Context, name, source string) error {
+	var active api.ActivePolicy
+	if err := cli.Request(f.frontends(), http.MethodGet, "/v1/policy", nil, &active); err != nil {
 		return err
 	}
-	begun := time.Now()
-	var got api.ApplyResponse
-	a := api.ApplyRequest{Op: coordination.NewID(), Base: sh.Newest, Partial: true, Name: name, Source: part}
-	if err := cli.Ask(f.doors(), http.MethodPost, "/v1/policy", a, &got); err != nil {
+	started := time.Now()
+	var response api.ApplyResponse
+	request := api.ApplyRequest{Op: coordination.NewID(), Base: active.Newest, Partial: true, Name: name, Source: source}
+	if err := cli.Request(f.frontends(), http.MethodPost, "/v1/policy", request, &response); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	logf("%s: version %d, in force %v after %.2f s", name, got.Version, got.Active, time.Since(begun).Seconds())
+	logf("%s: version %d, in force %v after %.2f s", name, response.Version, response.Active, time.Since(started).Seconds())
 	return nil
 }
 
-// expect looks at every node for a limit that was acknowledged.
-func (f *fleet) expect(what string, want int) {
-	if err := f.lagging(what, want); err != nil {
+// reportLimit looks at every node for a limit that was acknowledged.
+func (f *fleet) reportLimit(field string, want int) {
+	if err := f.checkLimit(field, want); err != nil {
 		logf("LOST: %v", err)
 		return
 	}
-	logf("every node has %s %d", what, want)
+	logf("every node has %s %d", field, want)
 }
 
-// lagging gives the first node that lacks a limit that was acknowledged, as an error.
-func (f *fleet) lagging(what string, want int) error {
-	for _, p := range f.of("router") {
-		var sh api.ActivePolicy
-		var v struct{ Limits struct{ RetryAfterMs int } }
-		err := cli.Ask([]string{p.Door}, http.MethodGet, "/v1/policy", nil, &sh)
+// checkLimit gives the first node that lacks a limit that was acknowledged, as an error.
+func (f *fleet) checkLimit(field string, want int) error {
+	for _, p := range f.processes("router") {
+		var active api.ActivePolicy
+		var configuration struct{ Limits struct{ RetryAfterMs int } }
+		err := cli.Request([]string{p.Frontend}, http.MethodGet, "/v1/policy", nil, &active)
 		if err == nil {
-			err = json.Unmarshal(sh.Policy, &v)
+			err = json.Unmarshal(active.Policy, &configuration)
 		}
-		if err != nil || v.Limits.RetryAfterMs != want {
-			return fmt.Errorf("at %s %s is %d, %d was acknowledged (%v)", p.Name, what, v.Limits.RetryAfterMs, want, err)
+		if err != nil || configuration.Limits.RetryAfterMs != want {
+			return fmt.Errorf("at %s %s is %d, %d was acknowledged (%v)", p.Name, field, configuration.Limits.RetryAfterMs, want, err)
 		}
 	}
 	return nil
 }
 
-// race lets two operators change one version at once, several times: one must win.
-func (f *fleet) race(ctx context.Context) {
-	for n := range 6 {
+// raceOperators lets two operators change one version at once, several times: one must win.
+func (f *fleet) raceOperators(ctx context.Context) {
+	for round := range 6 {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		won := 0
-		for k := range 2 {
+		successes := 0
+		for operator := range 2 {
 			wg.Go(func() {
-				err := f.change(
+				err := f.applyPartial(
 					ctx,
-					fmt.Sprintf("race %d, operator %d", n, k),
-					fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, 2000+10*n+k),
+					fmt.Sprintf("race %d, operator %d", round, operator),
+					fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, 2000+10*round+operator),
 				)
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
-					won++
+					successes++
 				}
 			})
 		}
 		wg.Wait()
-		logf("round %d: %d won", n, won)
+		logf("round %d: %d won", round, successes)
 		if !host.Sleep(ctx, 500*time.Millisecond) {
 			return
 		}
 	}
 }
 
-// empty evacuates a zone, counts what its workers still begin, and takes it back.
-func (f *fleet) empty(ctx context.Context) {
-	z := f.site.Zones[1]
-	path := "/v1/zones/" + string(z)
-	begun := time.Now()
-	if err := cli.Ask(f.doors(), http.MethodPost, path, api.MarkRequest{
+// evacuateZone evacuates a zone, counts what its workers still begin, and takes it back.
+func (f *fleet) evacuateZone(ctx context.Context) {
+	zone := f.site.Zones[1]
+	path := "/v1/zones/" + string(zone)
+	evacuated := time.Now()
+	if err := cli.Request(f.frontends(), http.MethodPost, path, api.MarkRequest{
 		Op:  coordination.NewID(),
 		Out: true,
 	}, nil); err != nil {
 		logf("%v", err)
 	}
-	reads := func() (n int) {
-		for _, p := range f.of("worker-") {
-			var book map[string]standin.RequestCounts
-			r, err := web.Get("http://" + p.Addr + "/tally")
-			if p.Zone == z && read(r, err, &book) == nil {
-				for _, t := range book {
+	countStarts := func() (n int) {
+		for _, p := range f.processes("worker-") {
+			var counts map[string]standin.RequestCounts
+			r, err := httpClient.Get("http://" + p.Addr + "/tally")
+			if p.Zone == zone && decodeResponse(r, err, &counts) == nil {
+				for _, t := range counts {
 					n += t.Prefills + t.Runs
 				}
 			}
 		}
 		return n
 	}
-	last, at := reads(), time.Since(begun)
-	for time.Since(begun) < 6*time.Second && host.Sleep(ctx, 100*time.Millisecond) {
-		if n := reads(); n > last {
-			last, at = n, time.Since(begun)
+	last, at := countStarts(), time.Since(evacuated)
+	for time.Since(evacuated) < 6*time.Second && host.Sleep(ctx, 100*time.Millisecond) {
+		if n := countStarts(); n > last {
+			last, at = n, time.Since(evacuated)
 		}
 	}
 	logf("the zone's workers last began something %.2f s after the asking", at.Seconds())
-	if err := cli.Ask(f.doors(), http.MethodPost, path, api.MarkRequest{Op: coordination.NewID()}, nil); err != nil {
+	if err := cli.Request(f.frontends(), http.MethodPost, path, api.MarkRequest{Op: coordination.NewID()}, nil); err != nil {
 		logf("%v", err)
 	}
 }
 
-// roll replaces each controller by an empty one at a new address, and looks for what was
+// replaceControllers replaces each controller by an empty one at a new address, and looks for what was
 // acknowledged before.
-func (f *fleet) roll(ctx context.Context) {
-	for i, previous := range f.of("controller") {
+func (f *fleet) replaceControllers(ctx context.Context) {
+	for i, previous := range f.processes("controller") {
 		want := 1300 + i
-		if err := f.change(
+		if err := f.applyPartial(
 			ctx, fmt.Sprint("roll ", i), fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, want),
 		); err != nil {
 			logf("%v", err)
 		}
 		previous.kill()
 		os.RemoveAll(previous.Data)
-		free, err := ports(1)
+		free, err := freeAddrs(1)
 		if err != nil {
 			logf("%v", err)
 			return
 		}
-		p := f.controller(fmt.Sprintf("controller-new-%d", i), free[0], previous.Zone)
-		if err := f.begin(p); err != nil {
+		p := f.newController(fmt.Sprintf("controller-new-%d", i), free[0], previous.Zone)
+		if err := f.startProcess(p); err != nil {
 			logf("%v", err)
 			return
 		}
@@ -152,75 +152,75 @@
 		if !host.Sleep(ctx, 8*time.Second) {
 			return
 		}
-		f.expect("limits.retryAfterMs", want)
+		f.reportLimit("limits.retryAfterMs", want)
 	}
 }
 
 // injectFault breaks the fleet once, as asked.
-func (f *fleet) injectFault(ctx context.Context, how string) {
-	lead := f.leadingController()
-	logf("breaking: %s", how)
-	back := func(p *proc, wait time.Duration) {
+func (f *fleet) injectFault(ctx context.Context, fault string) {
+	leader := f.leadingController()
+	logf("breaking: %s", fault)
+	restart := func(p *process, wait time.Duration) {
 		if host.Sleep(ctx, wait) {
-			if err := f.begin(p); err != nil {
+			if err := f.startProcess(p); err != nil {
 				logf("%v", err)
 			}
 		}
 	}
-	switch how {
+	switch fault {
 	case "controller":
-		lead.kill()
-		back(lead, 5*time.Second)
+		leader.kill()
+		restart(leader, 5*time.Second)
 	case "wipe":
-		lead.kill()
-		os.RemoveAll(lead.Data)
-		back(lead, 2*time.Second)
+		leader.kill()
+		os.RemoveAll(leader.Data)
+		restart(leader, 2*time.Second)
 	case "core":
-		for _, p := range f.of("controller") {
+		for _, p := range f.processes("controller") {
 			p.kill()
 		}
-		for _, p := range f.of("controller") {
-			back(p, 300*time.Millisecond)
+		for _, p := range f.processes("controller") {
+			restart(p, 300*time.Millisecond)
 		}
 	case "router":
-		f.of("router")[0].kill()
+		f.processes("router")[0].kill()
 	case "worker":
-		f.of("worker-d")[0].kill()
+		f.processes("worker-d")[0].kill()
 	case "freeze":
-		lead.signal(syscall.SIGSTOP)
-		v := f.of("router")[0]
+		leader.signal(syscall.SIGSTOP)
+		v := f.processes("router")[0]
 		v.signal(syscall.SIGSTOP)
 		host.Sleep(ctx, 6*time.Second)
-		lead.signal(syscall.SIGCONT)
+		leader.signal(syscall.SIGCONT)
 		v.signal(syscall.SIGCONT)
 	case "ack":
 		// Killed right after it acknowledged a change, and wiped.
-		if err := f.change(ctx, "ack", `{"limits":{"retryAfterMs":1234}}`); err != nil {
+		if err := f.applyPartial(ctx, "ack", `{"limits":{"retryAfterMs":1234}}`); err != nil {
 			logf("%v", err)
 		}
-		lead.kill()
-		os.RemoveAll(lead.Data)
+		leader.kill()
+		os.RemoveAll(leader.Data)
 		host.Sleep(ctx, 3*time.Second)
-		f.expect("limits.retryAfterMs", 1234)
-		back(lead, 0)
+		f.reportLimit("limits.retryAfterMs", 1234)
+		restart(leader, 0)
 	case "race":
-		f.race(ctx)
+		f.raceOperators(ctx)
 	case "evacuate":
-		f.empty(ctx)
+		f.evacuateZone(ctx)
 	case "roll":
-		f.roll(ctx)
+		f.replaceControllers(ctx)
 	case "revoke":
-		f.revoke(ctx)
+		f.revokeCertificates(ctx)
 	case "stop":
-		for _, p := range f.of("router") {
+		for _, p := range f.processes("router") {
 			p.signal(syscall.SIGTERM)
 			select {
-			case <-p.gone:
+			case <-p.exited:
 			case <-ctx.Done():
 				return
 			}
-			back(p, 200*time.Millisecond)
-			f.until(ctx, 8*time.Second, func() error { return get(p.Door, "/ready") })
+			restart(p, 200*time.Millisecond)
+			f.retry(ctx, 8*time.Second, func() error { return get(p.Frontend, "/ready") })
 		}
 	case "hall":
 		for _, p := range f.procs {
@@ -229,12 +229,12 @@
 			}
 		}
 	case "all":
-		for _, p := range append(f.of("controller"), f.of("router")...) {
+		for _, p := range append(f.processes("controller"), f.processes("router")...) {
 			p.signal(syscall.SIGKILL)
 		}
-		for _, p := range append(f.of("controller"), f.of("router")...) {
-			<-p.gone
-			back(p, 0)
+		for _, p := range append(f.processes("controller"), f.processes("router")...) {
+			<-p.exited
+			restart(p, 0)
 		}
 	}
 }
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -23,72 +23,72 @@
 	"keelstair.example/internal/workerclient"
 )
 
-type proc struct {
+type process struct {
 	Name string   `json:"name"`
 	Kind string   `json:"kind"`
 	Zone ids.Zone `json:"zone"`
 	Addr string   `json:"addr"`
-	Door string   `json:"door,omitempty"`
+	Frontend string   `json:"door,omitempty"`
 	Data string   `json:"data,omitempty"`
 	Pid  int      `json:"pid"`
 
 	args []string
 	cmd  *exec.Cmd
-	gone chan struct{}
+	exited chan struct{}
 }
 
 type fleet struct {
 	opt      *upCmd
 	site     standin.Site
 	mu       sync.Mutex
-	procs    []*proc
+	procs    []*process
 	seeds    []string
 	platform string
 	revoked  map[string]int // workers without a certificate, with what they had begun by then
 }
 
-func (f *fleet) begin(p *proc) error {
-	log, err := os.OpenFile(filepath.Join(f.opt.Dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (f *fleet) startProcess(p *process) error {
+	logFile, err := os.OpenFile(filepath.Join(f.opt.Dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	defer log.Close()
-	p.cmd = exec.Command(filepath.Join(f.opt.Bin, "keelstair-"+p.Kind), p.args...)
-	p.cmd.Stdout, p.cmd.Stderr = log, log
+	defer logFile.Close()
+	p.cmd = exec.Command(filepath.Join(f.opt.BinDir, "keelstair-"+p.Kind), p.args...)
+	p.cmd.Stdout, p.cmd.Stderr = logFile, logFile
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
-	p.Pid, p.gone = p.cmd.Process.Pid, make(chan struct{})
-	go func(c *exec.Cmd, gone chan struct{}) { c.Wait(); close(gone) }(p.cmd, p.gone)
+	p.Pid, p.exited = p.cmd.Process.Pid, make(chan struct{})
+	go func(c *exec.Cmd, gone chan struct{}) { c.Wait(); close(gone) }(p.cmd, p.exited)
 	return nil
 }
 
 // signal reaches only a process that this fleet started and that still runs.
-func (p *proc) signal(s syscall.Signal) {
-	if p.up() {
+func (p *process) signal(s syscall.Signal) {
+	if p.running() {
 		p.cmd.Process.Signal(s)
 	}
 }
 
-// up tells whether it runs.
-func (p *proc) up() bool {
+// running tells whether it runs.
+func (p *process) running() bool {
 	select {
-	case <-p.gone:
+	case <-p.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-func (p *proc) kill() {
+func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
-	<-p.gone
+	<-p.exited
 }
 
-func (f *fleet) of(kind string) []*proc {
+func (f *fleet) processes(kind string) []*process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []*proc
+	var out []*process
 	for _, p := range f.procs {
 		if p.Kind == kind || strings.HasPrefix(p.Name, kind) {
 			out = append(out, p)
@@ -105,23 +105,23 @@
 		}
 	}
 	for _, p := range f.procs {
-		if p.gone != nil {
-			<-p.gone
+		if p.exited != nil {
+			<-p.exited
 		}
 	}
 }
 
-func (f *fleet) doors() []string {
+func (f *fleet) frontends() []string {
 	var out []string
-	for _, p := range f.of("router") {
-		out = append(out, p.Door)
+	for _, p := range f.processes("router") {
+		out = append(out, p.Frontend)
 	}
 	return out
 }
 
-func (f *fleet) controller(name, addr string, zone ids.Zone) *proc {
+func (f *fleet) newController(name, addr string, zone ids.Zone) *process {
 	data := filepath.Join(f.opt.Dir, name)
-	return &proc{
+	return &process{
 		Name: name,
 		Kind: "controller",
 		Zone: zone,
@@ -131,8 +131,8 @@
 	}
 }
 
-// start starts a fleet with so many router nodes; 0 is as many as the site has.
-func start(ctx context.Context, opt *upCmd, nodes int) (*fleet, error) {
+// startFleet starts a fleet with so many router nodes; 0 is as many as the site has.
+func startFleet(ctx context.Context, opt *upCmd, nodes int) (*fleet, error) {
 	site := standin.Sites[opt.Site]
 	if nodes > 0 {
 		site.Nodes = nodes
@@ -144,58 +144,58 @@
 	if err := os.MkdirAll(opt.Dir, 0o755); err != nil {
 		return f, err
 	}
-	names := site.WorkerIDs()
-	free, err := ports(1 + 3 + 2*site.Nodes + len(names))
+	workerIDs := site.WorkerIDs()
+	addrs, err := freeAddrs(1 + 3 + 2*site.Nodes + len(workerIDs))
 	if err != nil {
 		return f, err
 	}
-	next := func() string { a := free[0]; free = free[1:]; return a }
-	f.platform = next()
-	f.planControllers(next)
-	f.planRouters(next)
-	f.planWorkers(next)
+	nextAddr := func() string { a := addrs[0]; addrs = addrs[1:]; return a }
+	f.platform = nextAddr()
+	f.planControllers(nextAddr)
+	f.planRouters(nextAddr)
+	f.planWorkers(nextAddr)
 	for _, p := range f.procs {
-		if err := f.begin(p); err != nil {
+		if err := f.startProcess(p); err != nil {
 			return f, err
 		}
 	}
-	if err := save(opt.Dir, "keelstair-testbed.json", f.procs); err != nil {
+	if err := writeJSON(opt.Dir, "keelstair-testbed.json", f.procs); err != nil {
 		return f, err
 	}
-	if err := f.awaitReady(ctx, names); err != nil || !opt.Regimes {
+	if err := f.awaitReady(ctx, workerIDs); err != nil || !opt.Regimes {
 		return f, err
 	}
 	return f, f.certify(ctx)
 }
 
 // planControllers describes the stand-in of the platform and three controllers.
-func (f *fleet) planControllers(next func() string) {
-	f.procs = append(f.procs, &proc{
+func (f *fleet) planControllers(nextAddr func() string) {
+	f.procs = append(f.procs, &process{
 		Name: "platform",
 		Kind: "standin",
 		Addr: f.platform,
 		args: []string{"platform", "--addr", f.platform},
 	})
-	f.seeds = []string{next(), next(), next()}
+	f.seeds = []string{nextAddr(), nextAddr(), nextAddr()}
 	zones := f.site.Zones
 	for i, a := range f.seeds {
-		f.procs = append(f.procs, f.controller(fmt.Sprintf("controller-%d", i+1), a, zones[i%len(zones)]))
+		f.procs = append(f.procs, f.newController(fmt.Sprintf("controller-%d", i+1), a, zones[i%len(zones)]))
 	}
 }
 
 // planRouters describes the site's router nodes.
-func (f *fleet) planRouters(next func() string) {
+func (f *fleet) planRouters(nextAddr func() string) {
 	site := f.site
 	for i := range site.Nodes {
-		p := &proc{
+		p := &process{
 			Name: fmt.Sprintf("router-%d", i+1),
 			Kind: "router",
 			Zone: site.Zones[i%len(site.Zones)],
-			Addr: next(),
-			Door: next(),
+			Addr: nextAddr(),
+			Frontend: nextAddr(),
 		}
 		p.args = append([]string{
-			"--name", p.Name, "--addr", p.Addr, "--door", p.Door, "--zone", string(p.Zone), "--platform",
+			"--name", p.Name, "--addr", p.Addr, "--door", p.Frontend, "--zone", string(p.Zone), "--platform",
 			f.platform, "--seeds",
 		}, f.seeds...)
 		f.procs = append(f.procs, p)
@@ -203,11 +203,11 @@
 }
 
 // planWorkers describes the site's stand-in workers.
-func (f *fleet) planWorkers(next func() string) {
+func (f *fleet) planWorkers(nextAddr func() string) {
 	site := f.site
 	for i, id := range site.WorkerIDs() {
 		w := site.Worker(i)
-		p := &proc{Name: "worker-" + string(id), Kind: "standin", Zone: w.Zone, Addr: next()}
+		p := &process{Name: "worker-" + string(id), Kind: "standin", Zone: w.Zone, Addr: nextAddr()}
 		p.args = []string{
 			"worker", "--id", string(id), "--addr", p.Addr, "--part", string(w.Role), "--model", w.Model,
 			"--weights", w.Weights,
@@ -219,88 +219,88 @@
 
 // awaitReady lists all at the platform, applies the configuration, and waits until
 // every node is ready.
-func (f *fleet) awaitReady(ctx context.Context, names []ids.WorkerID) error {
-	begun := time.Now()
-	for _, p := range f.of("worker-") {
-		l := workerclient.ListedWorker{
+func (f *fleet) awaitReady(ctx context.Context, workerIDs []ids.WorkerID) error {
+	started := time.Now()
+	for _, p := range f.processes("worker-") {
+		listed := workerclient.ListedWorker{
 			ID:   ids.WorkerID(strings.TrimPrefix(p.Name, "worker-")),
 			Addr: p.Addr,
 			Zone: p.Zone,
 		}
-		if err := f.until(ctx, 10*time.Second, func() error {
-			return post(f.platform, "/workers", l, nil)
+		if err := f.retry(ctx, 10*time.Second, func() error {
+			return postJSON(f.platform, "/workers", listed, nil)
 		}); err != nil {
 			return err
 		}
 	}
-	for _, p := range f.of("router") {
-		if err := post(f.platform, "/doors", standin.Node{Addr: p.Door, Zone: p.Zone}, nil); err != nil {
+	for _, p := range f.processes("router") {
+		if err := postJSON(f.platform, "/doors", standin.Node{Addr: p.Frontend, Zone: p.Zone}, nil); err != nil {
 			return err
 		}
 	}
-	logf("%d processes run; the %d workers are listed", len(f.procs), len(names))
-	text := f.site.Policy(nil)
-	if err := os.WriteFile(filepath.Join(f.opt.Dir, "policy.json"), []byte(text+"\n"), 0o644); err != nil {
+	logf("%d processes run; the %d workers are listed", len(f.procs), len(workerIDs))
+	source := f.site.Policy(nil)
+	if err := os.WriteFile(filepath.Join(f.opt.Dir, "policy.json"), []byte(source+"\n"), 0o644); err != nil {
 		return err
 	}
-	err := f.until(ctx, 20*time.Second, func() error {
-		return post(f.doors()[0], "/v1/policy", map[string]any{
+	err := f.retry(ctx, 20*time.Second, func() error {
+		return postJSON(f.frontends()[0], "/v1/policy", map[string]any{
 			"op":     "keelstair-testbed-first",
 			"base":   0,
-			"source": text,
+			"source": source,
 		}, nil)
 	})
 	if err != nil {
 		return err
 	}
-	logf("the configuration is in force, %.1f s after the start", time.Since(begun).Seconds())
-	for _, d := range f.doors() {
-		if err := f.until(ctx, 20*time.Second, func() error { return get(d, "/ready") }); err != nil {
+	logf("the configuration is in force, %.1f s after the start", time.Since(started).Seconds())
+	for _, frontend := range f.frontends() {
+		if err := f.retry(ctx, 20*time.Second, func() error { return get(frontend, "/ready") }); err != nil {
 			return err
 		}
 	}
-	if err := f.until(ctx, 5*time.Second, func() error {
-		var list []string
-		r, err := web.Get("http://" + f.platform + "/doors")
-		if err = read(r, err, &list); err == nil && len(list) < len(f.doors()) {
-			err = fmt.Errorf("the platform finds %d doors ready", len(list))
+	if err := f.retry(ctx, 5*time.Second, func() error {
+		var ready []string
+		r, err := httpClient.Get("http://" + f.platform + "/doors")
+		if err = decodeResponse(r, err, &ready); err == nil && len(ready) < len(f.frontends()) {
+			err = fmt.Errorf("the platform finds %d doors ready", len(ready))
 		}
 		return err
 	}); err != nil {
 		return err
 	}
-	logf("all %d nodes are ready, %.1f s after the start", len(f.doors()), time.Since(begun).Seconds())
+	logf("all %d nodes are ready, %.1f s after the start", len(f.frontends()), time.Since(started).Seconds())
 	return nil
 }
 
-func (f *fleet) until(ctx context.Context, duration time.Duration, try func() error) error {
-	end := time.Now().Add(duration)
+func (f *fleet) retry(ctx context.Context, timeout time.Duration, try func() error) error {
+	deadline := time.Now().Add(timeout)
 	for {
 		err := try()
-		if err == nil || time.Now().After(end) || ctx.Err() != nil {
+		if err == nil || time.Now().After(deadline) || ctx.Err() != nil {
 			return err
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-var web = &http.Client{Timeout: 8 * time.Second}
+var httpClient = &http.Client{Timeout: 8 * time.Second}
 
-func post(addr, path string, in, out any) error {
+func postJSON(addr, path string, in, out any) error {
 	b, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	r, err := web.Post("http://"+addr+path, "application/json", bytes.NewReader(b))
-	return read(r, err, out)
+	r, err := httpClient.Post("http://"+addr+path, "application/json", bytes.NewReader(b))
+	return decodeResponse(r, err, out)
 }
 
 func get(addr, path string) error {
-	r, err := web.Get("http://" + addr + path)
-	return read(r, err, nil)
+	r, err := httpClient.Get("http://" + addr + path)
+	return decodeResponse(r, err, nil)
 }
 
-func read(r *http.Response, err error, out any) error {
+func decodeResponse(r *http.Response, err error, out any) error {
 	if err != nil {
 		return err
 	}
@@ -322,8 +322,8 @@
 	fmt.Fprintf(w, "platform   %s\n", f.platform)
 	for _, p := range f.procs {
 		if p.Kind == "router" || p.Kind == "controller" {
-			fmt.Fprintf(w, "%-10s %s pid %d zone %s door %s\n", p.Name, p.Addr, p.Pid, p.Zone, p.Door)
+			fmt.Fprintf(w, "%-10s %s pid %d zone %s door %s\n", p.Name, p.Addr, p.Pid, p.Zone, p.Frontend)
 		}
 	}
-	fmt.Fprintf(w, "\nexport KEELSTAIR_DOORS=%s\n", strings.Join(f.doors(), ","))
+	fmt.Fprintf(w, "\nexport KEELSTAIR_DOORS=%s\n", strings.Join(f.frontends(), ","))
 }
--- a/cmd/keelstair-testbed/main.go
+++ b/cmd/keelstair-testbed/main.go
@@ -18,7 +18,7 @@
 type upCmd struct {
 	Site    string `arg:"--site" default:"vatuloa" help:"vatuloa or almaty"`
 	Dir     string `arg:"--dir" default:"testbed-data" help:"folder for data, logs and keelstair-testbed.json"`
-	Bin     string `arg:"--bin" default:"bin" help:"folder with the programs"`
+	BinDir     string `arg:"--bin" default:"bin" help:"folder with the programs"`
 	Regimes bool   `arg:"--regimes" help:"certify all but one of each sort for the kinds with claims"`
 	Seconds int    `arg:"--seconds" default:"0" help:"end by itself after so long; 0 for a signal"`
 }
@@ -26,9 +26,9 @@
 type runCmd struct {
 	upCmd
 	Rate  float64 `arg:"--rate" default:"40" help:"arrivals a second"`
-	Load  int     `arg:"--load" default:"30" help:"seconds of load"`
+	LoadSeconds  int     `arg:"--load" default:"30" help:"seconds of load"`
 	Seed  uint64  `arg:"--seed" default:"1"`
-	Break string  `arg:"--break" default:"none" help:"none, controller, wipe, ack, core, roll, router, stop, worker, freeze, hall, all, race, evacuate or revoke"`
+	Fault string  `arg:"--break" default:"none" help:"none, controller, wipe, ack, core, roll, router, stop, worker, freeze, hall, all, race, evacuate or revoke"`
 }
 
 type options struct {
@@ -46,7 +46,7 @@
 		site = s.Up.Site
 	case s.Run != nil:
 		site = s.Run.Site
-		s.Run.Regimes = s.Run.Regimes || s.Run.Break == "revoke"
+		s.Run.Regimes = s.Run.Regimes || s.Run.Fault == "revoke"
 	case s.Soak != nil:
 		site = s.Soak.Site
 	default:
@@ -61,19 +61,19 @@
 func main() {
 	s := &options{}
 	settings.Read(s, "keelstair-testbed", "Keelstair-testbed starts and breaks a fleet on this machine.", os.Args[1:])
-	ctx, stop := cli.Signals()
+	ctx, stop := cli.SignalContext()
 	defer stop()
 	if s.Run != nil {
-		cli.Fail("keelstair-testbed", run(ctx, s.Run))
+		cli.ExitOnError("keelstair-testbed", runOnce(ctx, s.Run))
 		return
 	}
 	if s.Soak != nil {
-		cli.Fail("keelstair-testbed", runSoak(ctx, s.Soak))
+		cli.ExitOnError("keelstair-testbed", runSoak(ctx, s.Soak))
 		return
 	}
-	f, err := start(ctx, s.Up, 0)
+	f, err := startFleet(ctx, s.Up, 0)
 	defer f.stop()
-	cli.Fail("keelstair-testbed", err)
+	cli.ExitOnError("keelstair-testbed", err)
 	f.describe(os.Stdout)
 	if s.Up.Seconds > 0 {
 		select {
@@ -85,12 +85,12 @@
 	<-ctx.Done()
 }
 
-// ports finds free ones.
-func ports(n int) ([]string, error) {
-	var out []string
-	var held []net.Listener
+// freeAddrs finds free ones.
+func freeAddrs(n int) ([]string, error) {
+	var addrs []string
+	var listeners []net.Listener
 	defer func() {
-		for _, l := range held {
+		for _, l := range listeners {
 			l.Close()
 		}
 	}()
@@ -99,13 +99,13 @@
 		if err != nil {
 			return nil, err
 		}
-		held = append(held, l)
-		out = append(out, l.Addr().String())
+		listeners = append(listeners, l)
+		addrs = append(addrs, l.Addr().String())
 	}
-	return out, nil
+	return addrs, nil
 }
 
-func save(dir, name string, v any) error {
+func writeJSON(dir, name string, v any) error {
 	b, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return err
@@ -113,6 +113,6 @@
 	return os.WriteFile(filepath.Join(dir, name), append(b, '\n'), 0o644)
 }
 
-func logf(form string, args ...any) {
-	fmt.Printf("%s "+form+"\n", append([]any{time.Now().Format("15:04:05.000")}, args...)...)
+func logf(format string, args ...any) {
+	fmt.Printf("%s "+format+"\n", append([]any{time.Now().Format("15:04:05.000")}, args...)...)
 }
--- a/cmd/keelstair-testbed/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -23,7 +23,7 @@
 	"keelstair.example/internal/standin"
 )
 
-const regime = "chair"
+const regimeName = "chair"
 
 // certify signs for the fleet, applies the part, and waits until every node clears all.
 func (f *fleet) certify(ctx context.Context) error {
@@ -37,29 +37,29 @@
 	from := time.Now().Add(-time.Hour).UTC().Format(time.RFC3339)
 	until := time.Now().AddDate(0, 1, 0).UTC().Format(time.RFC3339)
 	certs := map[string]certification.Certificate{}
-	put := func(c certification.Certificate, name string) {
-		c.Serial, c.Regime, c.Issuer, c.From, c.Until = "c-"+name, regime, "k1", from, until
+	add := func(c certification.Certificate, name string) {
+		c.Serial, c.Regime, c.Issuer, c.From, c.Until = "c-"+name, regimeName, "k1", from, until
 		c.Sign(key)
 		certs[c.Serial] = c
 	}
 	for i, id := range f.site.WorkerIDs() {
 		if i != f.site.Prefill-1 && i != f.site.Prefill+f.site.Decode-1 {
-			put(certification.Certificate{Worker: id, Roles: []ids.Role{f.site.Worker(i).Role}}, string(id))
+			add(certification.Certificate{Worker: id, Roles: []ids.Role{f.site.Worker(i).Role}}, string(id))
 		}
 	}
 	for i := range f.site.Nodes - 1 {
-		put(certification.Certificate{Node: fmt.Sprintf("router-%d", i+1)}, fmt.Sprintf("router-%d", i+1))
+		add(certification.Certificate{Node: fmt.Sprintf("router-%d", i+1)}, fmt.Sprintf("router-%d", i+1))
 	}
 	var kinds []string
-	for _, sh := range f.site.Classes {
-		if sh.KeyRequired {
-			kinds = append(kinds, sh.Kind)
+	for _, class := range f.site.Classes {
+		if class.KeyRequired {
+			kinds = append(kinds, class.Kind)
 		}
 	}
-	part, err := json.Marshal(map[string]any{
+	source, err := json.Marshal(map[string]any{
 		"switch":       false,
 		"certificates": certs,
-		"regimes":      map[string]any{regime: certification.Regime{Kinds: kinds, ReservedPercent: 20}},
+		"regimes":      map[string]any{regimeName: certification.Regime{Kinds: kinds, ReservedPercent: 20}},
 		"issuers": map[string]any{"k1": certification.Issuer{
 			Key:   certification.EncodePublicKey(key),
 			From:  from,
@@ -69,24 +69,24 @@
 	if err != nil {
 		return err
 	}
-	if err := f.change(ctx, "regimes", string(part)); err != nil {
+	if err := f.applyPartial(ctx, "regimes", string(source)); err != nil {
 		return err
 	}
 	if err := f.awaitCertified(ctx); err != nil {
 		return err
 	}
-	logf("%d certificates are in force; %s governs %s", len(certs), regime, strings.Join(kinds, ", "))
+	logf("%d certificates are in force; %s governs %s", len(certs), regimeName, strings.Join(kinds, ", "))
 	return nil
 }
 
 // awaitCertified waits until every node clears all certified workers.
 func (f *fleet) awaitCertified(ctx context.Context) error {
-	for _, d := range f.doors() {
-		if err := f.until(ctx, 10*time.Second, func() error {
-			var g api.Regimes
-			err := cli.Ask([]string{d}, http.MethodGet, "/v1/regimes", nil, &g)
-			if err == nil && (g.Latest == 0 || len(g.Regimes) == 0 || len(g.Regimes[0].Shortages) > 0) {
-				err = fmt.Errorf("%s does not clear all yet", d)
+	for _, frontend := range f.frontends() {
+		if err := f.retry(ctx, 10*time.Second, func() error {
+			var regimes api.Regimes
+			err := cli.Request([]string{frontend}, http.MethodGet, "/v1/regimes", nil, &regimes)
+			if err == nil && (regimes.Latest == 0 || len(regimes.Regimes) == 0 || len(regimes.Regimes[0].Shortages) > 0) {
+				err = fmt.Errorf("%s does not clear all yet", frontend)
 			}
 			return err
 		}); err != nil {
@@ -96,19 +96,19 @@
 	return nil
 }
 
-// governed counts what each worker has begun of governed work: reads and runs under a
+// governedStarts counts what each worker has begun of governed work: reads and runs under a
 // key, whose requests are named by it.
-func (f *fleet) governed() map[string]int {
+func (f *fleet) governedStarts() map[string]int {
 	out := map[string]int{}
-	for _, p := range f.of("worker-") {
-		var book map[string]standin.RequestCounts
-		r, err := web.Get("http://" + p.Addr + "/tally")
-		if read(r, err, &book) != nil {
+	for _, p := range f.processes("worker-") {
+		var counts map[string]standin.RequestCounts
+		r, err := httpClient.Get("http://" + p.Addr + "/tally")
+		if decodeResponse(r, err, &counts) != nil {
 			continue
 		}
 		name := strings.TrimPrefix(p.Name, "worker-")
 		out[name] += 0
-		for id, t := range book {
+		for id, t := range counts {
 			if strings.HasPrefix(id, "k-") {
 				out[name] += t.Prefills + t.Runs
 			}
@@ -117,27 +117,27 @@
 	return out
 }
 
-// revoke ends certificates one after the other, the second while the leader dies, and
+// revokeCertificates ends certificates one after the other, the second while the leader dies, and
 // looks for what their workers still begin two seconds after the acknowledgement.
-func (f *fleet) revoke(ctx context.Context) {
+func (f *fleet) revokeCertificates(ctx context.Context) {
 	for i, name := range []string{"d1", "p1", "d2"} {
 		if i == 1 {
-			lead := f.leadingController()
+			leader := f.leadingController()
 			go func() {
-				lead.kill()
+				leader.kill()
 				if host.Sleep(ctx, 2*time.Second) {
-					f.begin(lead)
+					f.startProcess(leader)
 				}
 			}()
 		}
-		begun, op := time.Now(), coordination.NewID()
-		err := f.until(ctx, 20*time.Second, func() error {
-			return cli.Ask(f.doors(), http.MethodPost, "/v1/certificates/c-"+name, api.MarkRequest{
+		started, op := time.Now(), coordination.NewID()
+		err := f.retry(ctx, 20*time.Second, func() error {
+			return cli.Request(f.frontends(), http.MethodPost, "/v1/certificates/c-"+name, api.MarkRequest{
 				Op:  op,
 				Out: true,
 			}, nil)
 		})
-		took := time.Since(begun)
+		took := time.Since(started)
 		if err != nil {
 			logf("%s was not revoked: %v", name, err)
 			return
@@ -145,28 +145,28 @@
 		if !host.Sleep(ctx, 2*time.Second) {
 			return
 		}
-		had := f.governed()[name]
+		count := f.governedStarts()[name]
 		f.mu.Lock()
-		f.revoked[name] = had
+		f.revoked[name] = count
 		f.mu.Unlock()
 		logf("the certificate of %s is revoked, acknowledged after %.3f s", name, took.Seconds())
 	}
 }
 
-// hold tells what workers began of governed work that they were not certified for.
-func (f *fleet) hold() {
+// reportUncertified tells what workers began of governed work that they were not certified for.
+func (f *fleet) reportUncertified() {
 	if !f.opt.Regimes {
 		return
 	}
 	names := f.site.WorkerIDs()
 	f.revoked[string(names[f.site.Prefill-1])], f.revoked[string(names[len(names)-1])] = 0, 0
-	all, wrong := 0, 0
-	for name, n := range f.governed() {
-		all += n
-		if was, ok := f.revoked[name]; ok && n > was {
-			wrong += n - was
-			logf("WRONG: %s began %d governed steps without a certificate", name, n-was)
+	total, uncertified := 0, 0
+	for name, n := range f.governedStarts() {
+		total += n
+		if allowed, ok := f.revoked[name]; ok && n > allowed {
+			uncertified += n - allowed
+			logf("WRONG: %s began %d governed steps without a certificate", name, n-allowed)
 		}
 	}
-	logf("workers' own books: %d governed steps, %d on workers without a certificate", all, wrong)
+	logf("workers' own books: %d governed steps, %d on workers without a certificate", total, uncertified)
 }
--- a/cmd/keelstair-testbed/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -13,55 +13,55 @@
 	"keelstair.example/internal/standin"
 )
 
-func run(ctx context.Context, c *runCmd) error {
-	f, err := start(ctx, &c.upCmd, 0)
+func runOnce(ctx context.Context, c *runCmd) error {
+	f, err := startFleet(ctx, &c.upCmd, 0)
 	defer f.stop()
 	if err != nil {
 		return err
 	}
-	machine, err := host.Real("")
+	realHost, err := host.Real("")
 	if err != nil {
 		return err
 	}
-	cx, stop := context.WithCancel(ctx)
+	faultCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	duration := time.Duration(c.Load) * time.Second
+	duration := time.Duration(c.LoadSeconds) * time.Second
 	go func() {
-		if host.Sleep(cx, duration/3) {
-			f.injectFault(cx, c.Break)
+		if host.Sleep(faultCtx, duration/3) {
+			f.injectFault(faultCtx, c.Fault)
 		}
 	}()
-	begun := time.Now()
-	all := f.load(ctx, machine, c.Seed, c.Rate, duration)
-	b, err := json.MarshalIndent(standin.Summarize(all), "", "  ")
+	started := time.Now()
+	outcomes := f.runLoad(ctx, realHost, c.Seed, c.Rate, duration)
+	b, err := json.MarshalIndent(standin.Summarize(outcomes), "", "  ")
 	if err != nil {
 		return err
 	}
 	fmt.Println(string(b))
 	logf(
 		"load took %.1f s; longest spans without a completed call from the breakdown on: %s",
-		time.Since(begun).Seconds(),
-		strings.Join(f.gaps(all, duration/3, duration), ", "),
+		time.Since(started).Seconds(),
+		strings.Join(f.longestOutages(outcomes, duration/3, duration), ", "),
 	)
-	runs, doubles := f.tallies()
-	logf("workers' own books: %d runs began, %d requests with two records", runs, doubles)
-	f.hold()
+	runs, duplicates := f.countRuns()
+	logf("workers' own books: %d runs began, %d requests with two records", runs, duplicates)
+	f.reportUncertified()
 	return nil
 }
 
-// load has callers of the site ask its nodes for so long, and gives what became of each call.
-func (f *fleet) load(
+// runLoad has callers of the site ask its nodes for so long, and gives what became of each call.
+func (f *fleet) runLoad(
 	ctx context.Context,
-	machine host.Host,
+	realHost host.Host,
 	seed uint64,
 	rate float64,
 	duration time.Duration,
 ) []standin.Outcome {
-	asking, stop := context.WithCancel(ctx)
+	pollCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	return standin.Load(ctx, standin.LoadOptions{
-		Host:     machine,
-		Nodes:    standin.PollNodes(asking, machine, f.platform, f.site.Zones),
+		Host:     realHost,
+		Nodes:    standin.PollNodes(pollCtx, realHost, f.platform, f.site.Zones),
 		Zones:    f.site.Zones,
 		Classes:  f.site.Classes,
 		Rate:     rate,
@@ -73,67 +73,67 @@
 	})
 }
 
-// gaps are the longest spans without a completion from the breakdown on: of each
+// longestOutages are the longest spans without a completion from the breakdown on: of each
 // kind, and of the doors of each zone that still has a node.
-func (f *fleet) gaps(all []standin.Outcome, from, to time.Duration) []string {
+func (f *fleet) longestOutages(outcomes []standin.Outcome, from, to time.Duration) []string {
 	var out []string
 	record := func(name string, counts func(standin.Outcome) bool) {
-		out = append(out, fmt.Sprintf("%s %.2f s", name, standin.LongestOutage(all, from, to, counts).Seconds()))
+		out = append(out, fmt.Sprintf("%s %.2f s", name, standin.LongestOutage(outcomes, from, to, counts).Seconds()))
 	}
-	for _, sh := range f.site.Classes {
-		record(sh.Kind, func(o standin.Outcome) bool { return o.Kind == sh.Kind })
+	for _, class := range f.site.Classes {
+		record(class.Kind, func(o standin.Outcome) bool { return o.Kind == class.Kind })
 	}
 	for _, z := range f.site.Zones {
-		doors := map[string]bool{}
-		for _, p := range f.of("router") {
-			if p.Zone == z && p.up() {
-				doors[p.Door] = true
+		frontends := map[string]bool{}
+		for _, p := range f.processes("router") {
+			if p.Zone == z && p.running() {
+				frontends[p.Frontend] = true
 			}
 		}
-		if len(doors) > 0 {
-			record("doors of "+string(z), func(o standin.Outcome) bool { return doors[o.Node] })
+		if len(frontends) > 0 {
+			record("doors of "+string(z), func(o standin.Outcome) bool { return frontends[o.Node] })
 		}
 	}
 	return out
 }
 
-// books sums what the workers that still run have counted, by request.
-func (f *fleet) books() map[string]standin.RequestCounts {
-	sums := map[string]standin.RequestCounts{}
-	for _, p := range f.of("worker-") {
-		var book map[string]standin.RequestCounts
-		r, err := web.Get("http://" + p.Addr + "/tally")
-		if read(r, err, &book) != nil {
+// requestCounts sums what the workers that still run have counted, by request.
+func (f *fleet) requestCounts() map[string]standin.RequestCounts {
+	totals := map[string]standin.RequestCounts{}
+	for _, p := range f.processes("worker-") {
+		var counts map[string]standin.RequestCounts
+		r, err := httpClient.Get("http://" + p.Addr + "/tally")
+		if decodeResponse(r, err, &counts) != nil {
 			continue
 		}
-		for id, t := range book {
-			sum := sums[id]
+		for id, t := range counts {
+			sum := totals[id]
 			sum.Runs += t.Runs
 			sum.Finished += t.Finished
-			sums[id] = sum
+			totals[id] = sum
 		}
 	}
-	return sums
+	return totals
 }
 
-// tallies counts the runs that began and the requests with two records.
-func (f *fleet) tallies() (runs, doubles int) {
-	for _, t := range f.books() {
+// countRuns counts the runs that began and the requests with two records.
+func (f *fleet) countRuns() (runs, duplicates int) {
+	for _, t := range f.requestCounts() {
 		runs += t.Runs
 		if t.Finished > 1 {
-			doubles++
+			duplicates++
 		}
 	}
-	return runs, doubles
+	return runs, duplicates
 }
 
-func (f *fleet) leadingController() *proc {
-	for _, p := range f.of("controller") {
-		var st struct{ Leads bool }
-		r, err := web.Get("http://" + p.Addr + "/v1/status")
-		if read(r, err, &st) == nil && st.Leads {
+func (f *fleet) leadingController() *process {
+	for _, p := range f.processes("controller") {
+		var status struct{ Leads bool }
+		r, err := httpClient.Get("http://" + p.Addr + "/v1/status")
+		if decodeResponse(r, err, &status) == nil && status.Leads {
 			return p
 		}
 	}
-	return f.of("controller")[0]
+	return f.processes("controller")[0]
 }
--- a/cmd/keelstairctl/audit.go
+++ b/cmd/keelstairctl/audit.go
@@ -21,8 +21,8 @@
 	File string `arg:"positional" help:"an export: it is checked, and what it lacks is added; else all rows are printed"`
 }
 
-// exported checks an earlier export and gives its last row.
-func exported(r io.Reader) (*fleetstate.AuditRow, error) {
+// verifyExport checks an earlier export and gives its last row.
+func verifyExport(r io.Reader) (*fleetstate.AuditRow, error) {
 	var last *fleetstate.AuditRow
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 8<<20)
@@ -39,55 +39,55 @@
 	return last, lines.Err()
 }
 
-// follow reads the fleet's rows after the last one that is known, and writes each once
+// fetchRows reads the fleet's rows after the last one that is known, and writes each once
 // it is checked. It gives how many there were.
-func follow(last *fleetstate.AuditRow, ask func(from int) (*api.AuditPage, error), out io.Writer) (int, error) {
-	bad := func(form string, args ...any) error {
-		return failure.New(failure.InvalidArgument, "check audit", "", form, args...)
+func fetchRows(last *fleetstate.AuditRow, fetch func(from int) (*api.AuditPage, error), out io.Writer) (int, error) {
+	invalid := func(format string, args ...any) error {
+		return failure.New(failure.InvalidArgument, "check audit", "", format, args...)
 	}
 	next := 1
 	if last != nil {
 		next = last.Index + 1
 	}
-	for wrote := 0; ; {
-		got, err := ask(next)
+	for written := 0; ; {
+		page, err := fetch(next)
 		switch {
 		case err != nil:
-			return wrote, err
-		case last != nil && got.Count < last.Index:
-			return wrote, bad(
+			return written, err
+		case last != nil && page.Count < last.Index:
+			return written, invalid(
 				"the fleet's record ends at row %d, the export at row %d: rows were removed",
-				got.Count,
+				page.Count,
 				last.Index,
 			)
-		case last != nil && got.First > next:
-			return wrote, bad(
+		case last != nil && page.First > next:
+			return written, invalid(
 				"the fleet keeps rows from %d on, the export ends at row %d: what lies between is gone",
-				got.First,
+				page.First,
 				last.Index,
 			)
-		case got.Count >= next && len(got.Rows) == 0:
-			return wrote, bad("row %d is missing", next)
-		case len(got.Rows) == 0 && last != nil && got.Head != last.Hash:
-			return wrote, bad(
+		case page.Count >= next && len(page.Rows) == 0:
+			return written, invalid("row %d is missing", next)
+		case len(page.Rows) == 0 && last != nil && page.Head != last.Hash:
+			return written, invalid(
 				"the fleet's newest row %d is not the one that follows here: one was changed or replaced",
-				got.Count,
+				page.Count,
 			)
-		case len(got.Rows) == 0:
-			return wrote, nil
+		case len(page.Rows) == 0:
+			return written, nil
 		}
-		for _, line := range got.Rows {
+		for _, line := range page.Rows {
 			row := &fleetstate.AuditRow{}
 			if err := json.Unmarshal(line, row); err != nil {
-				return wrote, failure.As(err, failure.InvalidArgument, "check audit", "")
+				return written, failure.As(err, failure.InvalidArgument, "check audit", "")
 			}
 			if err := fleetstate.VerifyChain(last, []fleetstate.AuditRow{*row}); err != nil {
-				return wrote, err
+				return written, err
 			}
 			if _, err := out.Write(append(bytes.Clone(line), '\n')); err != nil {
-				return wrote, err
+				return written, err
 			}
-			last, next, wrote = row, row.Index+1, wrote+1
+			last, next, written = row, row.Index+1, written+1
 		}
 	}
 }
@@ -101,14 +101,14 @@
 			return err
 		}
 		defer file.Close()
-		if last, err = exported(file); err != nil {
+		if last, err = verifyExport(file); err != nil {
 			return err
 		}
 		out = file
 	}
-	n, err := follow(last, func(from int) (*api.AuditPage, error) {
-		got := &api.AuditPage{}
-		return got, s.ask(http.MethodGet, fmt.Sprintf("/v1/audit?from=%d", from), nil, got)
+	n, err := fetchRows(last, func(from int) (*api.AuditPage, error) {
+		page := &api.AuditPage{}
+		return page, s.request(http.MethodGet, fmt.Sprintf("/v1/audit?from=%d", from), nil, page)
 	}, out)
 	if err == nil {
 		fmt.Fprintf(os.Stderr, "%d rows, the chain is whole\n", n)
--- a/cmd/keelstairctl/certificates.go
+++ b/cmd/keelstairctl/certificates.go
@@ -27,11 +27,11 @@
 }
 
 type certifyCmd struct {
-	Key    string   `arg:"--key,required" help:"the issuer's key file"`
+	KeyFile    string   `arg:"--key,required" help:"the issuer's key file"`
 	Issuer string   `arg:"--issuer,required" help:"the issuer's name in the configuration"`
 	Regime string   `arg:"--regime,required"`
-	Worker []string `arg:"--worker" help:"workers, each with a certificate of its own"`
-	Node   []string `arg:"--node" help:"router nodes by name"`
+	Workers []string `arg:"--worker" help:"workers, each with a certificate of its own"`
+	Nodes   []string `arg:"--node" help:"router nodes by name"`
 	Roles  []string `arg:"--parts" help:"of workers: prefill, decode or both, which is the default"`
 	From   string   `arg:"--from" help:"RFC 3339; else an hour ago"`
 	Until  string   `arg:"--until" help:"RFC 3339; else --days from the start"`
@@ -40,10 +40,10 @@
 	Op     string   `arg:"--op" help:"ask again for the outcome of this operation"`
 }
 
-// start reads a time, or gives one that was left out.
-func start(field, text string, other time.Time) (time.Time, error) {
+// parseTime reads a time, or gives one that was left out.
+func parseTime(field, text string, fallback time.Time) (time.Time, error) {
 	if text == "" {
-		return other.UTC().Truncate(time.Second), nil
+		return fallback.UTC().Truncate(time.Second), nil
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
@@ -52,9 +52,9 @@
 	return t, nil
 }
 
-// key writes a fresh key file, unless one is there, and prints the issuer's part.
-func (s *options) key(c *keyCmd) error {
-	from, err := start("from", c.From, time.Now().Add(-time.Hour))
+// writeKey writes a fresh key file, unless one is there, and prints the issuer's part.
+func (s *options) writeKey(c *keyCmd) error {
+	from, err := parseTime("from", c.From, time.Now().Add(-time.Hour))
 	if err != nil {
 		return err
 	}
@@ -67,47 +67,47 @@
 	if err != nil {
 		return err
 	}
-	private, err := certification.ParsePrivateKey(text)
+	privateKey, err := certification.ParsePrivateKey(text)
 	if err != nil {
 		return err
 	}
-	return print(map[string]any{"issuers": map[string]certification.Issuer{c.Issuer: {
-		Key:   certification.EncodePublicKey(private),
+	return printJSON(map[string]any{"issuers": map[string]certification.Issuer{c.Issuer: {
+		Key:   certification.EncodePublicKey(privateKey),
 		From:  from.Format(time.RFC3339),
 		Until: from.AddDate(0, 0, c.Days).Format(time.RFC3339),
 	}}})
 }
 
-// signed makes the certificates that a command asks for.
-func (c *certifyCmd) signed(now time.Time) (map[string]certification.Certificate, error) {
-	text, err := os.ReadFile(c.Key)
+// sign makes the certificates that a command asks for.
+func (c *certifyCmd) sign(now time.Time) (map[string]certification.Certificate, error) {
+	text, err := os.ReadFile(c.KeyFile)
 	if err != nil {
 		return nil, err
 	}
-	private, err := certification.ParsePrivateKey(text)
+	privateKey, err := certification.ParsePrivateKey(text)
 	if err != nil {
 		return nil, err
 	}
-	from, err := start("from", c.From, now.Add(-time.Hour))
+	from, err := parseTime("from", c.From, now.Add(-time.Hour))
 	if err != nil {
 		return nil, err
 	}
-	until, err := start("until", c.Until, from.AddDate(0, 0, c.Days))
+	until, err := parseTime("until", c.Until, from.AddDate(0, 0, c.Days))
 	if err != nil {
 		return nil, err
 	}
-	parts := []ids.Role{ids.Prefill, ids.Decode}
+	roles := []ids.Role{ids.Prefill, ids.Decode}
 	if len(c.Roles) > 0 {
-		parts = nil
+		roles = nil
 	}
 	for _, p := range c.Roles {
 		if p != string(ids.Prefill) && p != string(ids.Decode) {
 			return nil, settings.Invalid("parts", "%q is neither prefill nor decode", p)
 		}
-		parts = append(parts, ids.Role(p))
+		roles = append(roles, ids.Role(p))
 	}
 	switch {
-	case len(c.Worker)+len(c.Node) == 0:
+	case len(c.Workers)+len(c.Nodes) == 0:
 		return nil, settings.Invalid("worker, node", "at least one is needed")
 	case !from.Before(until):
 		return nil, settings.Invalid(
@@ -119,82 +119,82 @@
 	case !now.Before(until):
 		return nil, settings.Invalid("until", "the end %s is past", until.Format(time.RFC3339))
 	}
-	out := map[string]certification.Certificate{}
-	put := func(one certification.Certificate) {
-		one.Serial, one.Regime, one.Issuer = coordination.NewID(), c.Regime, c.Issuer
-		one.From, one.Until = from.Format(time.RFC3339), until.Format(time.RFC3339)
-		one.Sign(private)
-		out[one.Serial] = one
+	signed := map[string]certification.Certificate{}
+	add := func(certificate certification.Certificate) {
+		certificate.Serial, certificate.Regime, certificate.Issuer = coordination.NewID(), c.Regime, c.Issuer
+		certificate.From, certificate.Until = from.Format(time.RFC3339), until.Format(time.RFC3339)
+		certificate.Sign(privateKey)
+		signed[certificate.Serial] = certificate
 	}
-	for _, w := range c.Worker {
-		put(certification.Certificate{Worker: ids.WorkerID(w), Roles: parts})
+	for _, w := range c.Workers {
+		add(certification.Certificate{Worker: ids.WorkerID(w), Roles: roles})
 	}
-	for _, n := range c.Node {
-		put(certification.Certificate{Node: n})
+	for _, n := range c.Nodes {
+		add(certification.Certificate{Node: n})
 	}
-	return out, nil
+	return signed, nil
 }
 
 func (s *options) certify(c *certifyCmd) error {
-	certs, err := c.signed(time.Now())
+	certificates, err := c.sign(time.Now())
 	if err != nil {
 		return err
 	}
-	part := map[string]any{"certificates": certs}
+	source := map[string]any{"certificates": certificates}
 	if !c.Apply {
-		return print(part)
+		return printJSON(source)
 	}
-	text, err := json.MarshalIndent(part, "", "  ")
+	text, err := json.MarshalIndent(source, "", "  ")
 	if err != nil {
 		return err
 	}
-	for serial, one := range certs {
-		fmt.Printf("serial %s: %s\n", serial, one.Subject())
+	for serial, certificate := range certificates {
+		fmt.Printf("serial %s: %s\n", serial, certificate.Subject())
 	}
-	return s.put(&applyCmd{Partial: true, Op: c.Op}, "certify", string(text))
+	return s.applySource(&applyCmd{Partial: true, Op: c.Op}, "certify", string(text))
 }
 
 func (s *options) revoke(c *nameCmd) error {
-	m := api.MarkRequest{Op: c.Op, Out: true}
-	if m.Op == "" {
-		m.Op = coordination.NewID()
+	request := api.MarkRequest{Op: c.Op, Out: true}
+	if request.Op == "" {
+		request.Op = coordination.NewID()
 	}
-	fmt.Printf("operation %s\n", m.Op)
-	if err := s.ask(http.MethodPost, "/v1/certificates/"+c.Name, m, nil); err != nil {
+	fmt.Printf("operation %s\n", request.Op)
+	if err := s.request(http.MethodPost, "/v1/certificates/"+c.Name, request, nil); err != nil {
 		return err
 	}
 	fmt.Println("it is in force everywhere")
 	return nil
 }
 
-func day(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339) }
+func formatTime(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339) }
 
-func (s *options) regimes() error {
-	var g api.Regimes
-	if err := s.ask(http.MethodGet, "/v1/regimes", nil, &g); err != nil {
+func (s *options) printRegimes() error {
+	var response api.Regimes
+	if err := s.request(http.MethodGet, "/v1/regimes", nil, &response); err != nil {
 		return err
 	}
-	if g.Latest == 0 {
+	if response.Latest == 0 {
 		fmt.Println("the fleet's time is not known at this node: it clears nobody")
 	} else {
 		fmt.Printf(
 			"the fleet's time is %s; this node's own clock differs by %.1f s\n",
-			day(g.Latest),
-			math.Abs(float64(g.Wall-g.Latest))/1e9,
+			formatTime(response.Latest),
+			math.Abs(float64(response.Wall-response.Latest))/1e9,
 		)
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	for _, one := range g.Regimes {
-		fmt.Fprintf(out, "\n%s governs %s, keeps %d%% free\n", one.Name, strings.Join(one.Kinds, ", "), one.ReservedPercent)
-		for _, r := range one.Certificates {
-			who := r.Subject().String()
-			for _, p := range r.Roles {
-				who += " " + string(p)
+	for _, regime := range response.Regimes {
+		fmt.Fprintf(out, "\n%s governs %s, keeps %d%% free\n", regime.Name, strings.Join(regime.Kinds, ", "), regime.ReservedPercent)
+		for _, certificate := range regime.Certificates {
+			subject := certificate.Subject().String()
+			for _, role := range certificate.Roles {
+				subject += " " + string(role)
 			}
-			fmt.Fprintf(out, "  %s\t%s\tuntil %s\t%s\tby %s\n", r.Serial, who, day(r.Ends), r.State, r.Issuer)
+			fmt.Fprintf(out, "  %s\t%s\tuntil %s\t%s\tby %s\n", certificate.Serial, subject, formatTime(certificate.Ends), certificate.State, certificate.Issuer)
 		}
-		for _, short := range one.Shortages {
-			fmt.Fprintf(out, "  short: no certified %s\n", short)
+		for _, shortage := range regime.Shortages {
+			fmt.Fprintf(out, "  short: no certified %s\n", shortage)
 		}
 	}
 	return out.Flush()
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -40,7 +40,7 @@
 }
 
 type options struct {
-	Doors    []string    `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
+	Frontends    []string    `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
 	Apply    *applyCmd   `arg:"subcommand:apply" help:"apply a whole or partial configuration"`
 	Show     *showCmd    `arg:"subcommand:show" help:"show the configuration in force"`
 	Diff     *diffCmd    `arg:"subcommand:diff" help:"what a configuration would change"`
@@ -62,7 +62,7 @@
 	if s.Key != nil || s.Certify != nil && !s.Certify.Apply {
 		return nil // nobody is asked
 	}
-	return cli.CheckEndpoints(&s.Doors)
+	return cli.CheckEndpoints(&s.Frontends)
 }
 
 func main() {
@@ -70,9 +70,9 @@
 	settings.Read(s, "keelstairctl", "Keelstairctl is keelstair's operators' command line.", os.Args[1:])
 	if err := s.run(); err != nil {
 		fmt.Fprintf(os.Stderr, "keelstairctl: %v\n", err)
-		var t *cli.ExitError
-		if errors.As(err, &t) {
-			os.Exit(t.Code)
+		var exitErr *cli.ExitError
+		if errors.As(err, &exitErr) {
+			os.Exit(exitErr.Code)
 		}
 		os.Exit(1)
 	}
@@ -95,36 +95,36 @@
 	case s.Undrain != nil:
 		return s.mark("workers", s.Undrain, false)
 	case s.Key != nil:
-		return s.key(s.Key)
+		return s.writeKey(s.Key)
 	case s.Certify != nil:
 		return s.certify(s.Certify)
 	case s.Revoke != nil:
 		return s.revoke(s.Revoke)
 	case s.Regimes != nil:
-		return s.regimes()
+		return s.printRegimes()
 	case s.Audit != nil:
 		return s.audit(s.Audit)
 	case s.Status != nil:
 		var v any
-		if err := s.ask(http.MethodGet, "/v1/status", nil, &v); err != nil {
+		if err := s.request(http.MethodGet, "/v1/status", nil, &v); err != nil {
 			return err
 		}
-		return print(v)
+		return printJSON(v)
 	}
 	return settings.Invalid("command", "one is needed; see keelstairctl --help")
 }
 
-func print(v any) error {
+func printJSON(v any) error {
 	b, err := json.MarshalIndent(v, "", "  ")
 	fmt.Println(string(b))
 	return err
 }
 
-func (s *options) ask(method, path string, in, out any) error {
-	return cli.Ask(s.Doors, method, path, in, out)
+func (s *options) request(method, path string, in, out any) error {
+	return cli.Request(s.Frontends, method, path, in, out)
 }
 
-func read(file string) (string, string, error) {
+func readSource(file string) (string, string, error) {
 	if file == "-" {
 		b, err := io.ReadAll(os.Stdin)
 		return "stdin", string(b), err
@@ -133,87 +133,87 @@
 	return file, string(b), err
 }
 
-func (s *options) now() (*api.ActivePolicy, error) {
+func (s *options) activePolicy() (*api.ActivePolicy, error) {
 	var out api.ActivePolicy
-	return &out, s.ask(http.MethodGet, "/v1/policy", nil, &out)
+	return &out, s.request(http.MethodGet, "/v1/policy", nil, &out)
 }
 
 func (s *options) apply(c *applyCmd) error {
-	name, text, err := read(c.File)
+	name, text, err := readSource(c.File)
 	if err != nil {
 		return err
 	}
-	return s.put(c, name, text)
+	return s.applySource(c, name, text)
 }
 
-func (s *options) put(c *applyCmd, name, text string) error {
-	a := api.ApplyRequest{Op: c.Op, Partial: c.Partial, Name: name, Source: text, Dry: c.Dry}
-	if a.Op == "" {
-		a.Op = coordination.NewID()
+func (s *options) applySource(c *applyCmd, name, text string) error {
+	request := api.ApplyRequest{Op: c.Op, Partial: c.Partial, Name: name, Source: text, Dry: c.Dry}
+	if request.Op == "" {
+		request.Op = coordination.NewID()
 	}
 	if c.Base != nil {
-		a.Base = *c.Base
+		request.Base = *c.Base
 	} else {
-		sh, err := s.now()
+		active, err := s.activePolicy()
 		if err != nil {
 			return err
 		}
-		a.Base = sh.Newest
+		request.Base = active.Newest
 	}
-	fmt.Printf("operation %s over version %d\n", a.Op, a.Base)
-	var out api.ApplyResponse
-	if err := s.ask(http.MethodPost, "/v1/policy", a, &out); err != nil {
+	fmt.Printf("operation %s over version %d\n", request.Op, request.Base)
+	var response api.ApplyResponse
+	if err := s.request(http.MethodPost, "/v1/policy", request, &response); err != nil {
 		return err
 	}
 	switch {
 	case c.Dry:
 		fmt.Println("it is sound; nothing was written")
-	case out.Active:
-		fmt.Printf("version %d is in force\n", out.Version)
+	case response.Active:
+		fmt.Printf("version %d is in force\n", response.Version)
 	default:
-		fmt.Printf("version %d is taken and durable; it is not in force everywhere yet\n", out.Version)
+		fmt.Printf("version %d is taken and durable; it is not in force everywhere yet\n", response.Version)
 	}
 	return nil
 }
 
 func (s *options) show(file string) error {
-	sh, err := s.now()
+	active, err := s.activePolicy()
 	if err != nil {
 		return err
 	}
 	if file == "" {
-		return print(sh)
+		return printJSON(active)
 	}
-	var complete bytes.Buffer
-	if err := json.Indent(&complete, sh.Policy, "", "  "); err != nil {
+	var indented bytes.Buffer
+	if err := json.Indent(&indented, active.Policy, "", "  "); err != nil {
 		return err
 	}
-	fmt.Printf("version %d\n", sh.Version)
-	return os.WriteFile(file, append(complete.Bytes(), '\n'), 0o644)
+	fmt.Printf("version %d\n", active.Version)
+	return os.WriteFile(file, append(indented.Bytes(), '\n'), 0o644)
 }
 
 func (s *options) diff(c *diffCmd) error {
-	name, text, err := read(c.File)
+	name, text, err := readSource(c.File)
 	if err != nil {
 		return err
 	}
-	sh, err := s.now()
+	active, err := s.activePolicy()
 	if err != nil {
 		return err
 	}
-	var out api.ApplyResponse
-	a := api.ApplyRequest{
+	var response api.ApplyResponse
+	request := api.ApplyRequest{
 		Op:      coordination.NewID(),
-		Base:    sh.Newest,
+		Base:    active.Newest,
 		Partial: c.Partial,
 		Name:    name,
 		Source:  text,
 		Dry:     true,
 	}
-	if err := s.ask(http.MethodPost, "/v1/policy", a, &out); err != nil {
+	if err := s.request(http.MethodPost, "/v1/policy", request, &response); err != nil {
 		return err
 	}
-	rows, err := fleetstate.DiffJSON(sh.Policy, out.Policy)
+	rows, err := fleetstate.DiffJSON(active.Policy, response.Policy)
 	if err != nil {
 		return err
 	}
@@ -226,14 +226,14 @@
 	return nil
 }
 
-func (s *options) mark(what string, c *nameCmd, out bool) error {
-	m := api.MarkRequest{Op: c.Op, Out: out}
-	if m.Op == "" {
-		m.Op = coordination.NewID()
+func (s *options) mark(resource string, c *nameCmd, out bool) error {
+	request := api.MarkRequest{Op: c.Op, Out: out}
+	if request.Op == "" {
+		request.Op = coordination.NewID()
 	}
-	fmt.Printf("operation %s\n", m.Op)
-	var got api.ApplyResponse
-	if err := s.ask(http.MethodPost, "/v1/"+what+"/"+c.Name, m, &got); err != nil {
+	fmt.Printf("operation %s\n", request.Op)
+	var response api.ApplyResponse
+	if err := s.request(http.MethodPost, "/v1/"+resource+"/"+c.Name, request, &response); err != nil {
 		return err
 	}
 	fmt.Println("done")
--- a/internal/cli/ask.go
+++ b/internal/cli/request.go
@@ -25,41 +25,41 @@
 func (t *ExitError) Error() string { return t.text }
 
 // CheckEndpoints checks a list of doors, given one by one or with commas.
-func CheckEndpoints(list *[]string) error {
-	if len(*list) == 1 {
-		*list = strings.Split((*list)[0], ",")
+func CheckEndpoints(endpoints *[]string) error {
+	if len(*endpoints) == 1 {
+		*endpoints = strings.Split((*endpoints)[0], ",")
 	}
-	if len(*list) == 0 {
+	if len(*endpoints) == 0 {
 		return settings.Invalid("doors", "at least one is needed (--doors or KEELSTAIR_DOORS)")
 	}
-	for _, d := range *list {
-		if err := settings.Addr("doors", d); err != nil {
+	for _, endpoint := range *endpoints {
+		if err := settings.Addr("doors", endpoint); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Ask asks doors until one answers for good; a no carries its exit code.
-func Ask(endpoints []string, method, path string, in, out any) error {
+// Request asks doors until one answers for good; a no carries its exit code.
+func Request(endpoints []string, method, path string, in, out any) error {
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
 	err := api.Send(ctx, &http.Client{}, endpoints, method, path, in, out)
-	var f *api.Fault
-	if !errors.As(err, &f) {
+	var fault *api.Fault
+	if !errors.As(err, &fault) {
 		if err != nil && method == http.MethodPost && !rpc.IsDialError(err) {
 			return &ExitError{5, err.Error()}
 		}
 		return err
 	}
-	t := &ExitError{2, strings.TrimSpace(f.Name + " " + f.Field + ": " + f.Detail)}
-	switch f.Code {
+	exitErr := &ExitError{2, strings.TrimSpace(fault.Name + " " + fault.Field + ": " + fault.Detail)}
+	switch fault.Code {
 	case http.StatusServiceUnavailable:
-		t.Code = 4
+		exitErr.Code = 4
 	case http.StatusConflict:
-		t.Code = 3
+		exitErr.Code = 3
 	case http.StatusGatewayTimeout:
-		t.Code = 5
+		exitErr.Code = 5
 	}
-	return t
+	return exitErr
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -15,8 +15,8 @@
 	"keelstair.example/rpc"
 )
 
-// Signals ends the context on SIGTERM or an interrupt.
-func Signals() (context.Context, context.CancelFunc) {
+// SignalContext ends the context on SIGTERM or an interrupt.
+func SignalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
@@ -25,22 +25,22 @@
 	Leave(ctx context.Context) error
 }
 
-// HandOver gives a context for a process that is to hand over when it is asked to end. It ends
+// HandOverContext gives a context for a process that is to hand over when it is asked to end. It ends
 // once that is done, or a span after the asking.
-func HandOver(asked context.Context, l Leaver, span time.Duration) context.Context {
+func HandOverContext(shutdown context.Context, leaver Leaver, timeout time.Duration) context.Context {
 	ctx, end := context.WithCancel(context.Background())
 	go func() {
 		defer end()
-		<-asked.Done()
-		within, stop := context.WithTimeout(context.Background(), span)
+		<-shutdown.Done()
+		leaveCtx, stop := context.WithTimeout(context.Background(), timeout)
 		defer stop()
-		l.Leave(within) // it logs what stood in its way; the process ends all the same
+		leaver.Leave(leaveCtx) // it logs what stood in its way; the process ends all the same
 	}()
 	return ctx
 }
 
-// Fail prints one clear line and ends the process.
-func Fail(program string, err error) {
+// ExitOnError prints one clear line and ends the process.
+func ExitOnError(program string, err error) {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
 		os.Exit(1)
@@ -50,18 +50,18 @@
 // Serve listens and answers in the background until the context ends; fail gets
 // what goes wrong.
 func Serve(ctx context.Context, host host.Host, addr string, mux *http.ServeMux, fail func(error)) {
-	l, err := host.Net.Listen(addr)
+	listener, err := host.Net.Listen(addr)
 	if err != nil {
 		fail(err)
 		return
 	}
 	go func() {
-		if err := rpc.Serve(ctx, l, mux); err != nil {
+		if err := rpc.Serve(ctx, listener, mux); err != nil {
 			fail(err)
 		}
 	}()
 }
 
-// Ring is the program's log: it pours to the error output when something goes
+// NewRing is the program's log: it pours to the error output when something goes
 // wrong.
-func Ring(name string) *logging.Ring { return logging.NewRing(512, os.Stderr, name) }
+func NewRing(name string) *logging.Ring { return logging.NewRing(512, os.Stderr, name) }
--- a/internal/conntimeout/conntimeout_test.go
+++ b/internal/conntimeout/conntimeout_test.go
@@ -30,8 +30,8 @@
 func (l *oneConn) Close() error   { return nil }
 func (l *oneConn) Addr() net.Addr { return l.addr }
 
-// accepted gives a guarded connection and the client's end of it.
-func accepted(t *testing.T, g *Guard) (*conn, net.Conn) {
+// acceptGuarded gives a guarded connection and the client's end of it.
+func acceptGuarded(t *testing.T, g *Guard) (*conn, net.Conn) {
 	client, server := net.Pipe()
 	l := &oneConn{conns: make(chan net.Conn, 1)}
 	l.conns <- server
@@ -45,7 +45,7 @@
 func TestExpiredIsNotServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(Limits{Header: time.Second})
-		c, client := accepted(t, g)
+		c, client := acceptGuarded(t, g)
 		go client.Write([]byte("G"))
 		_, err := c.Read(make([]byte, 1))
 		require.NoError(t, err)
@@ -68,7 +68,7 @@
 func TestServingHasNoLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(Limits{Header: time.Second, Idle: time.Second})
-		c, client := accepted(t, g)
+		c, client := acceptGuarded(t, g)
 		c.serverState(http.StateActive)
 		time.Sleep(time.Hour)
 		require.False(t, c.timedOut())
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -49,8 +49,8 @@
 	case err != nil:
 		return failure.As(err, failure.InvalidArgument, "read flags", program)
 	}
-	if f := s.File(); f != "" {
-		if err := load(f, s); err != nil {
+	if path := s.File(); path != "" {
+		if err := loadFile(path, s); err != nil {
 			return err
 		}
 		// Flags stand over the file, and the file over the defaults.
@@ -64,19 +64,19 @@
 	return s.Check()
 }
 
-func load(path string, s Settings) error {
+func loadFile(path string, s Settings) error {
 	body, err := os.ReadFile(path)
 	if err != nil {
 		return failure.As(err, failure.InvalidArgument, "read settings", path)
 	}
-	rows := json.NewDecoder(strings.NewReader(string(body)))
-	rows.DisallowUnknownFields()
-	return failure.As(rows.Decode(s), failure.InvalidArgument, "read settings", path)
+	decoder := json.NewDecoder(strings.NewReader(string(body)))
+	decoder.DisallowUnknownFields()
+	return failure.As(decoder.Decode(s), failure.InvalidArgument, "read settings", path)
 }
 
 // Invalid names a field that is off.
-func Invalid(field, form string, args ...any) error {
-	return failure.New(failure.InvalidArgument, "check settings", field, form, args...)
+func Invalid(field, format string, args ...any) error {
+	return failure.New(failure.InvalidArgument, "check settings", field, format, args...)
 }
 
 // Addr checks an address by IP number and port.
@@ -91,11 +91,11 @@
 }
 
 // Seeds checks the three seed addresses.
-func Seeds(field string, list []string) error {
-	if len(list) != 3 {
-		return Invalid(field, "three are needed, %d given", len(list))
+func Seeds(field string, seeds []string) error {
+	if len(seeds) != 3 {
+		return Invalid(field, "three are needed, %d given", len(seeds))
 	}
-	for i, a := range list {
+	for i, a := range seeds {
 		if err := Addr(fmt.Sprintf("%s[%d]", field, i), a); err != nil {
 			return err
 		}
