--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -1,5 +1,5 @@
-// Keelstair-controller is the control plane: on a disk machine it holds a register and is the
-// primary, the backup or a spare.
+// Keelstair-controller runs the control plane. On a machine with a disk it stores one copy of the
+// election register and acts as the primary, the backup or a spare.
 package main
 
 import (
@@ -17,18 +17,18 @@
 )
 
 type options struct {
-	SettingsFile  string   `arg:"--settings" help:"a JSON file with these same settings; flags stand over it" json:"-"`
-	Addr      string   `arg:"--addr" help:"IP number and port to listen on" json:"addr"`
-	Zone      string   `arg:"--zone" help:"the hall or district this machine stands in" json:"zone"`
-	Seeds     []string `arg:"--seeds" help:"three addresses of other processes" json:"seeds"`
-	DataDir      string   `arg:"--data" help:"the folder for all files" json:"data"`
-	HeartbeatMs    int      `arg:"--beat-ms" default:"200" help:"primary to backup and witness" json:"beatMs"`
+	SettingsFile      string   `arg:"--settings" help:"a JSON file with these same settings; flags stand over it" json:"-"`
+	Addr              string   `arg:"--addr" help:"IP number and port to listen on" json:"addr"`
+	Zone              string   `arg:"--zone" help:"the hall or district this machine stands in" json:"zone"`
+	Seeds             []string `arg:"--seeds" help:"three addresses of other processes" json:"seeds"`
+	DataDir           string   `arg:"--data" help:"the folder for all files" json:"data"`
+	HeartbeatMs       int      `arg:"--beat-ms" default:"200" help:"primary to backup and witness" json:"beatMs"`
 	ElectionTimeoutMs int      `arg:"--silence-ms" default:"900" help:"after so long the backup takes over" json:"silenceMs"`
-	LeaseMs   int      `arg:"--lease-ms" default:"3000" help:"of every node; the nodes must have the same" json:"leaseMs"`
-	DiskTimeoutMs   int      `arg:"--stall-ms" default:"1000" help:"a disk step that takes longer makes this machine stand down" json:"stallMs"`
-	HandOverTimeoutMs   int      `arg:"--grace-ms" default:"4000" help:"a machine that is stopped hands over what it holds within this span" json:"graceMs"`
-	ForceNewCluster bool     `arg:"--found-anew" help:"two of three disk machines are lost for good: go on from this disk with two empty ones; see the operators' page" json:"-"`
-	ReplaceAfterMs int      `arg:"--replace-ms" default:"4000" help:"a register holder silent so long may be replaced by a spare" json:"replaceMs"`
+	LeaseMs           int      `arg:"--lease-ms" default:"3000" help:"of every node; the nodes must have the same" json:"leaseMs"`
+	DiskTimeoutMs     int      `arg:"--stall-ms" default:"1000" help:"a disk step that takes longer makes this machine stand down" json:"stallMs"`
+	HandOverTimeoutMs int      `arg:"--grace-ms" default:"4000" help:"a machine that is stopped hands over what it holds within this span" json:"graceMs"`
+	ForceNewCluster   bool     `arg:"--found-anew" help:"two of three disk machines are lost for good: go on from this disk with two empty ones; see the operators' page" json:"-"`
+	ReplaceAfterMs    int      `arg:"--replace-ms" default:"4000" help:"a register holder silent so long may be replaced by a spare" json:"replaceMs"`
 }
 
 func (s *options) File() string { return s.SettingsFile }
@@ -36,15 +36,15 @@
 func (s *options) Check() error {
 	checkDuration := func(field string, ms, minimum, maximum int) error {
 		if ms < minimum || ms > maximum {
-			return settings.Invalid(field, "%d ms is not from %d to %d", ms, minimum, maximum)
+			return settings.Invalid(field, "%d ms is not between %d and %d ms", ms, minimum, maximum)
 		}
 		return nil
 	}
 	if s.DataDir == "" {
-		return settings.Invalid("data", "it is missing")
+		return settings.Invalid("data", "a value is required")
 	}
 	if s.Zone == "" {
-		return settings.Invalid("zone", "it is missing")
+		return settings.Invalid("zone", "a value is required")
 	}
 	return settings.FirstError(settings.Addr("addr", s.Addr), settings.Seeds("seeds", s.Seeds),
 		checkDuration("beatMs", s.HeartbeatMs, 20, 1000), checkDuration("silenceMs", s.ElectionTimeoutMs, 4*s.HeartbeatMs, 30000),
@@ -57,7 +57,7 @@
 
 func main() {
 	s := &options{}
-	settings.Read(s, "keelstair-controller", "Keelstair-controller is keelstair's control plane.", os.Args[1:])
+	settings.Read(s, "keelstair-controller", "Keelstair-controller runs the control plane of keelstair.", os.Args[1:])
 	host, err := host.Real(s.DataDir)
 	cli.ExitOnError("keelstair-controller", err)
 	ring := cli.NewRing("controller " + s.Addr)
--- a/cmd/keelstair-plan/main.go
+++ b/cmd/keelstair-plan/main.go
@@ -1,4 +1,5 @@
-// Keelstair-plan is the planner: it shows what a change would move before it is applied.
+// Keelstair-plan predicts the effects of a change before it is applied: on workers, nodes, key owners,
+// capacity and traffic shares.
 package main
 
 import (
@@ -30,15 +31,15 @@
 }
 
 type options struct {
-	Frontends    []string   `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
-	JSON     bool       `arg:"--json" help:"print JSON"`
-	Apply   *applyCmd `arg:"subcommand:apply" help:"a configuration"`
-	Evacuate *nameCmd   `arg:"subcommand:evacuate" help:"the evacuation of a zone"`
-	LoseZone     *nameCmd   `arg:"subcommand:lose-zone" help:"the loss of a zone"`
-	LoseMachine  *nameCmd   `arg:"subcommand:lose-machine" help:"the loss of a machine, by its address"`
-	Drain    *nameCmd   `arg:"subcommand:drain" help:"the draining of a worker"`
-	Revoke   *nameCmd   `arg:"subcommand:revoke" help:"the revocation of a certificate, by its serial"`
-	Expire   *nameCmd   `arg:"subcommand:expire" help:"the end of certificates up to a time, in RFC 3339"`
+	Frontends   []string  `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
+	JSON        bool      `arg:"--json" help:"print JSON"`
+	Apply       *applyCmd `arg:"subcommand:apply" help:"a configuration"`
+	Evacuate    *nameCmd  `arg:"subcommand:evacuate" help:"the evacuation of a zone"`
+	LoseZone    *nameCmd  `arg:"subcommand:lose-zone" help:"the loss of a zone"`
+	LoseMachine *nameCmd  `arg:"subcommand:lose-machine" help:"the loss of a machine, by its address"`
+	Drain       *nameCmd  `arg:"subcommand:drain" help:"the draining of a worker"`
+	Revoke      *nameCmd  `arg:"subcommand:revoke" help:"the revocation of a certificate, by its serial"`
+	Expire      *nameCmd  `arg:"subcommand:expire" help:"the end of certificates up to a time, in RFC 3339"`
 }
 
 func (s *options) File() string { return "" }
@@ -46,14 +47,14 @@
 func (s *options) Check() error {
 	if s.Apply == nil && s.Evacuate == nil && s.LoseZone == nil && s.LoseMachine == nil && s.Drain == nil && s.Revoke == nil &&
 		s.Expire == nil {
-		return settings.Invalid("command", "one is needed; see keelstair-plan --help")
+		return settings.Invalid("command", "a command is required; see keelstair-plan --help")
 	}
 	return cli.CheckEndpoints(&s.Frontends)
 }
 
 func main() {
 	s := &options{}
-	settings.Read(s, "keelstair-plan", "Keelstair-plan shows what a change would move.", os.Args[1:])
+	settings.Read(s, "keelstair-plan", "Keelstair-plan predicts the effects of a change.", os.Args[1:])
 	cli.ExitOnError("keelstair-plan", s.run())
 }
 
@@ -107,14 +108,14 @@
 		at, err := time.Parse(time.RFC3339, s.Expire.Name)
 		if err != nil {
 			return forecast.Change{}, settings.Invalid(
-				"time", "%q is no time such as 2026-12-31T00:00:00Z", s.Expire.Name,
+				"time", "%q is not a time in RFC 3339 format, such as 2026-12-31T00:00:00Z", s.Expire.Name,
 			)
 		}
 		return forecast.Change{FleetTime: at.UnixNano()}, nil
 	}
 	if s.Apply.Base != nil && *s.Apply.Base != active.Newest {
 		return forecast.Change{}, fmt.Errorf(
-			"the plan was made over version %d; the newest is %d", *s.Apply.Base, active.Newest,
+			"the plan is based on version %d, but the newest version is %d", *s.Apply.Base, active.Newest,
 		)
 	}
 	text, err := os.ReadFile(s.Apply.File)
@@ -137,20 +138,20 @@
 }
 
 func printForecast(f *forecast.Forecast) {
-	fmt.Printf("over version %d\n\nworkers\n", f.Version)
+	fmt.Printf("based on version %d\n\nworkers\n", f.Version)
 	for _, w := range f.WorkerChanges {
 		fmt.Println("  " + w)
 	}
 	if len(f.WorkerChanges) == 0 {
-		fmt.Println("  the catalogue stays")
+		fmt.Println("  no worker changes")
 	}
 	fmt.Printf("\nnodes %d -> %d, disk machines %d -> %d\n", f.Nodes[0], f.Nodes[1], f.Voters[0], f.Voters[1])
-	fmt.Printf("\nkeys that change hands: %d\n", len(f.KeyMoves))
+	fmt.Printf("\nkeys that change owner: %d\n", len(f.KeyMoves))
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	for _, m := range f.KeyMoves {
 		fmt.Fprintf(out, "  %s\t%s\t-> %s\n", m.Key, m.From, m.To)
 	}
-	fmt.Fprintf(out, "\nroom\tworkers\tblocks\ttaken now\tzones\n")
+	fmt.Fprintf(out, "\ncapacity\tworkers\tblocks\tin use\tzones\n")
 	for _, r := range f.Capacity {
 		fmt.Fprintf(
 			out,
@@ -166,7 +167,7 @@
 			r.Zones[1],
 		)
 	}
-	fmt.Fprintf(out, "\nshares\n")
+	fmt.Fprintf(out, "\ntraffic shares\n")
 	for n, p := range f.TrafficShares {
 		fmt.Fprintf(out, "  %s\t%d -> %d\n", n, p[0], p[1])
 	}
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -1,6 +1,6 @@
-// Keelstair-platform runs keelstair on the users' platform: "keelstair-platform controller" is a
-// control process, "keelstair-platform router" a router node. What it is told stands in the
-// platform's settings file; the options are those of the product's own programs.
+// Keelstair-platform runs keelstair on the users' platform: "keelstair-platform controller" runs a
+// control plane process, "keelstair-platform router" a router node. It reads its configuration from
+// the platform's settings file and maps it to the options that keelstair's own programs use.
 package main
 
 import (
@@ -37,7 +37,7 @@
 	if !ok {
 		fmt.Fprintln(
 			os.Stderr,
-			"usage: keelstair-platform controller | keelstair-platform router [POLICY]\nPOLICY is a file of the product's own configuration, in plain JSON; its programs route, by their shares, until the core has a set (keelstairctl apply).\nThe settings file is named by the variable "+platform.SettingsVariable+".",
+			"usage: keelstair-platform controller | keelstair-platform router [POLICY]\nPOLICY is a configuration file of keelstair in JSON. Its programs route requests, according to their shares, until the core has a program set (keelstairctl apply).\nThe environment variable "+platform.SettingsVariable+" names the settings file.",
 		)
 		os.Exit(2)
 	}
@@ -50,15 +50,16 @@
 	cli.ExitOnError("keelstair-platform "+role, run(s, hangups))
 }
 
-// notifySIGHUP has every later SIGHUP kept for watch: one that comes while the process still
-// starts would end it.
+// notifySIGHUP returns a channel that receives SIGHUP for reloadSeedsOnSIGHUP. It must be called
+// early, because a SIGHUP without a handler would terminate the process during startup.
 func notifySIGHUP() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// reloadSeedsOnSIGHUP reads the settings again at a hang-up, for the seeds they name.
+// reloadSeedsOnSIGHUP reloads the settings on each SIGHUP and passes their seed addresses to setSeeds. If
+// the settings cannot be loaded, the seeds stay as they are.
 func reloadSeedsOnSIGHUP(ctx context.Context, hangups <-chan os.Signal, setSeeds func(seeds []string)) {
 	go func() {
 		for {
@@ -74,10 +75,11 @@
 	}()
 }
 
-// A core process that is asked to end hands over within the first span, and keeps the second
-// of the platform's grace time for ending.
 const (
-	maxHandOver     = 4 * time.Second
+	// maxHandOver limits how long a core process takes to hand over its roles at shutdown.
+	maxHandOver = 4 * time.Second
+	// shutdownReserve is the share of the platform's grace period that remains for the rest of the
+	// shutdown.
 	shutdownReserve = 2500 * time.Millisecond
 )
 
@@ -125,8 +127,8 @@
 	return core.Run(ctx)
 }
 
-// mountOperatorAPIs puts the operators' calls on a mux: the platform's, and the product's own for
-// the program set.
+// mountOperatorAPIs registers the handlers for operators: those of the platform's API, and those of
+// keelstair's own API for the program set.
 func mountOperatorAPIs(
 	mux *http.ServeMux,
 	s *platform.Settings,
@@ -138,7 +140,8 @@
 	api.RegisterOperatorAPI(mux, &proxy.Operator{Caller: caller, Directory: directory, Zones: s.Zones})
 }
 
-// runDiskless serves the operator on a machine without a disk: it holds nothing and asks the core.
+// runDiskless serves the operator APIs on a machine without a disk. It stores nothing and forwards
+// operations to the core.
 func runDiskless(s *platform.Settings, hangups <-chan os.Signal, host host.Host, ring *logging.Ring) error {
 	ctx, stop := cli.SignalContext()
 	defer stop()
@@ -154,7 +157,8 @@
 	return nil
 }
 
-// loadPrograms are those of the policy that the command line names.
+// loadPrograms returns the routing programs of the policy file on the command line, or none without such
+// a file.
 func loadPrograms() ([]routing.Source, error) {
 	if len(os.Args) < 3 {
 		return nil, nil
@@ -170,8 +174,8 @@
 	return p.ProgramSources(), failure.As(err, failure.InvalidArgument, "read policy", os.Args[2])
 }
 
-// serveInternal serves what is not for clients: the node's peers, and the platform's question
-// whether it is ready.
+// serveInternal starts the node's internal servers: one for its peers, and one for the platform's
+// readiness check.
 func serveInternal(ctx context.Context, s *platform.Settings, h host.Host, node *proxy.Node) {
 	fail := func(err error) { cli.ExitOnError("keelstair-platform router", err) }
 	peers := http.NewServeMux()
@@ -182,7 +186,7 @@
 	cli.Serve(ctx, h, s.ReadinessAddr, ready, fail)
 }
 
-// configureMetering has a node do the duties at the platform that the settings name.
+// configureMetering makes a node report usage to the platform if the settings enable metering.
 func configureMetering(options *proxy.Options, s *platform.Settings) {
 	if s.Metering {
 		options.UsageReporter = platform.NewDutyClient(options.Host.Net, s.CloudAPIAddr)
--- a/cmd/keelstair-platform/main_test.go
+++ b/cmd/keelstair-platform/main_test.go
@@ -1,4 +1,4 @@
-// The command line's policy.
+// Tests of the policy file on the command line and of SIGHUP.
 
 package main
 
@@ -13,8 +13,9 @@
 	"keelstair.example/platform"
 )
 
-// TestLoadPrograms: the programs of the named policy are taken with their shares; without one
-// there are none, and one that is missing, malformed or off in its shares is refused.
+// TestLoadPrograms checks that the programs of the policy file are loaded with their shares, that
+// there are none without a policy file, and that a file is rejected if it is missing, is malformed
+// or has shares that do not add up to 100.
 func TestLoadPrograms(t *testing.T) {
 	old := os.Args
 	defer func() { os.Args = old }()
@@ -44,8 +45,8 @@
 	require.Len(t, got, 3)
 }
 
-// TestSIGHUPDuringStartup: a SIGHUP that comes before the process has started does not end it, and
-// the settings are read once it has.
+// TestSIGHUPDuringStartup checks that a SIGHUP during startup does not terminate the process, and that
+// the settings are reloaded once startup is complete.
 func TestSIGHUPDuringStartup(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.conf")
 	settings := "nodeName=a\nip=10.0.0.1\nzone=north\nzones.north=land\ninternalPorts=7300,7315\nseedNodes=10.0.0.1:1,10.0.0.2:1\n"
--- a/cmd/keelstair-router/main.go
+++ b/cmd/keelstair-router/main.go
@@ -1,5 +1,5 @@
-// Keelstair-router is a router node: the origins' door, the hand-over controller and the
-// keyed duties. It needs no disk.
+// Keelstair-router runs a router node. It serves clients and operators on its frontend, controls the
+// handoff from prefill to decode workers, and owns a share of the coordination keys. It needs no disk.
 package main
 
 import (
@@ -18,17 +18,17 @@
 )
 
 type options struct {
-	SettingsFile string   `arg:"--settings" help:"a JSON file with these same settings; flags stand over it" json:"-"`
-	Name     string   `arg:"--name" help:"a name for logs" json:"name"`
-	Addr     string   `arg:"--addr" help:"IP number and port for neighbours" json:"addr"`
-	Frontend     string   `arg:"--door" help:"IP number and port for origins and operators" json:"door"`
-	Zone     string   `arg:"--zone" help:"the hall or district this machine stands in" json:"zone"`
-	Seeds    []string `arg:"--seeds" help:"three addresses of other processes" json:"seeds"`
-	Platform string   `arg:"--platform" help:"where the platform lists workers" json:"platform"`
-	LeaseMs  int      `arg:"--lease-ms" default:"3000" help:"the same as the controllers'" json:"leaseMs"`
+	SettingsFile    string   `arg:"--settings" help:"a JSON file with these same settings; flags stand over it" json:"-"`
+	Name            string   `arg:"--name" help:"a name for logs" json:"name"`
+	Addr            string   `arg:"--addr" help:"IP number and port for neighbours" json:"addr"`
+	Frontend        string   `arg:"--door" help:"IP number and port for origins and operators" json:"door"`
+	Zone            string   `arg:"--zone" help:"the hall or district this machine stands in" json:"zone"`
+	Seeds           []string `arg:"--seeds" help:"three addresses of other processes" json:"seeds"`
+	Platform        string   `arg:"--platform" help:"where the platform lists workers" json:"platform"`
+	LeaseMs         int      `arg:"--lease-ms" default:"3000" help:"the same as the controllers'" json:"leaseMs"`
 	OrphanTimeoutMs int      `arg:"--orphan-ms" default:"2000" help:"after so long a worker drops what nobody came for" json:"orphanMs"`
-	StreamTimeoutMs  int      `arg:"--pulse-ms" default:"1200" help:"a worker silent for so long in a stream is lost" json:"pulseMs"`
-	TraceFile    string   `arg:"--trace" help:"append OpenTelemetry JSON lines to this file" json:"trace"`
+	StreamTimeoutMs int      `arg:"--pulse-ms" default:"1200" help:"a worker silent for so long in a stream is lost" json:"pulseMs"`
+	TraceFile       string   `arg:"--trace" help:"append OpenTelemetry JSON lines to this file" json:"trace"`
 	DrainTimeoutMs  int      `arg:"--drain-ms" default:"10000" help:"how long streams may finish after SIGTERM" json:"drainMs"`
 }
 
@@ -37,13 +37,13 @@
 func (s *options) Check() error {
 	switch {
 	case s.Zone == "":
-		return settings.Invalid("zone", "it is missing")
+		return settings.Invalid("zone", "a value is required")
 	case s.LeaseMs < 500 || s.LeaseMs > 60000:
-		return settings.Invalid("leaseMs", "%d ms is not from 500 to 60000", s.LeaseMs)
+		return settings.Invalid("leaseMs", "%d ms is not between 500 and 60000 ms", s.LeaseMs)
 	case s.OrphanTimeoutMs < 100 || s.StreamTimeoutMs < 500:
-		return settings.Invalid("orphanMs, pulseMs", "too short to be of use")
+		return settings.Invalid("orphanMs, pulseMs", "orphanMs must be at least 100 and pulseMs at least 500")
 	case s.DrainTimeoutMs < 0:
-		return settings.Invalid("drainMs", "it is below 0")
+		return settings.Invalid("drainMs", "must not be negative")
 	}
 	return settings.FirstError(
 		settings.Addr("addr", s.Addr),
@@ -55,7 +55,7 @@
 
 func main() {
 	s := &options{}
-	settings.Read(s, "keelstair-router", "Keelstair-router is keelstair's router node.", os.Args[1:])
+	settings.Read(s, "keelstair-router", "Keelstair-router runs a router node of keelstair.", os.Args[1:])
 	if s.Name == "" {
 		s.Name = s.Addr
 	}
--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -1,4 +1,4 @@
-// Keelstair-standin runs the stand-ins: a worker, the platform, or a load of callers.
+// Keelstair-standin runs stand-ins for tests: a model worker, the platform, or a load of clients.
 package main
 
 import (
@@ -19,14 +19,14 @@
 )
 
 type workerCmd struct {
-	ID       string   `arg:"--id,required" help:"the worker's name"`
-	Addr     string   `arg:"--addr,required" help:"IP number and port"`
-	Role     string   `arg:"--part" default:"prefill" help:"prefill or decode"`
-	Model    string   `arg:"--model,required"`
-	Weights  string   `arg:"--weights" default:"w1"`
+	ID        string   `arg:"--id,required" help:"the worker's name"`
+	Addr      string   `arg:"--addr,required" help:"IP number and port"`
+	Role      string   `arg:"--part" default:"prefill" help:"prefill or decode"`
+	Model     string   `arg:"--model,required"`
+	Weights   string   `arg:"--weights" default:"w1"`
 	Adapters  []string `arg:"--adapter,separate"`
-	Capacity int      `arg:"--room" default:"2048" help:"blocks of KV"`
-	BlockSize    int      `arg:"--block" default:"16" help:"tokens a block"`
+	Capacity  int      `arg:"--room" default:"2048" help:"blocks of KV"`
+	BlockSize int      `arg:"--block" default:"16" help:"tokens a block"`
 }
 
 type platformCmd struct {
@@ -34,14 +34,14 @@
 }
 
 type loadCmd struct {
-	Site     string  `arg:"--site" default:"vatuloa" help:"vatuloa or almaty"`
-	Frontends    string  `arg:"--doors" help:"comma-separated doors; without them the platform is asked"`
-	Platform string  `arg:"--platform" help:"the platform's address"`
-	Rate     float64 `arg:"--rate" default:"30" help:"arrivals a second"`
-	Seconds  int     `arg:"--seconds" default:"10"`
-	Seed     uint64  `arg:"--seed" default:"1"`
-	Retries  int     `arg:"--retries" default:"6" help:"how often a bounced caller comes back"`
-	Weights  string  `arg:"--weights" default:"w1" help:"comma-separated weight versions that may answer"`
+	Site      string  `arg:"--site" default:"vatuloa" help:"vatuloa or almaty"`
+	Frontends string  `arg:"--doors" help:"comma-separated doors; without them the platform is asked"`
+	Platform  string  `arg:"--platform" help:"the platform's address"`
+	Rate      float64 `arg:"--rate" default:"30" help:"arrivals a second"`
+	Seconds   int     `arg:"--seconds" default:"10"`
+	Seed      uint64  `arg:"--seed" default:"1"`
+	Retries   int     `arg:"--retries" default:"6" help:"how often a bounced caller comes back"`
+	Weights   string  `arg:"--weights" default:"w1" help:"comma-separated weight versions that may answer"`
 }
 
 type options struct {
@@ -63,19 +63,19 @@
 		return settings.Addr("addr", s.Platform.Addr)
 	case s.Load != nil:
 		if _, ok := standin.Sites[s.Load.Site]; !ok {
-			return settings.Invalid("site", "there is no site %q", s.Load.Site)
+			return settings.Invalid("site", "site %q does not exist", s.Load.Site)
 		}
 		if s.Load.Rate <= 0 || s.Load.Seconds <= 0 {
-			return settings.Invalid("rate, seconds", "above 0 they must be")
+			return settings.Invalid("rate, seconds", "both must be above 0")
 		}
 		return nil
 	}
-	return settings.Invalid("command", "one of worker, platform, load is needed")
+	return settings.Invalid("command", "one of worker, platform, load is required")
 }
 
 func main() {
 	s := &options{}
-	settings.Read(s, "standin", "Keelstair-standin runs keelstair's stand-ins.", os.Args[1:])
+	settings.Read(s, "standin", "Keelstair-standin runs stand-ins for the workers, the platform and the clients of keelstair.", os.Args[1:])
 	host, err := host.Real("")
 	cli.ExitOnError("standin", err)
 	ctx, stop := cli.SignalContext()
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -24,16 +24,16 @@
 )
 
 type process struct {
-	Name string   `json:"name"`
-	Kind string   `json:"kind"`
-	Zone ids.Zone `json:"zone"`
-	Addr string   `json:"addr"`
+	Name     string   `json:"name"`
+	Kind     string   `json:"kind"`
+	Zone     ids.Zone `json:"zone"`
+	Addr     string   `json:"addr"`
 	Frontend string   `json:"door,omitempty"`
-	Data string   `json:"data,omitempty"`
-	Pid  int      `json:"pid"`
+	Data     string   `json:"data,omitempty"`
+	Pid      int      `json:"pid"`
 
-	args []string
-	cmd  *exec.Cmd
+	args   []string
+	cmd    *exec.Cmd
 	exited chan struct{}
 }
 
@@ -188,10 +188,10 @@
 	site := f.site
 	for i := range site.Nodes {
 		p := &process{
-			Name: fmt.Sprintf("router-%d", i+1),
-			Kind: "router",
-			Zone: site.Zones[i%len(site.Zones)],
-			Addr: nextAddr(),
+			Name:     fmt.Sprintf("router-%d", i+1),
+			Kind:     "router",
+			Zone:     site.Zones[i%len(site.Zones)],
+			Addr:     nextAddr(),
 			Frontend: nextAddr(),
 		}
 		p.args = append([]string{
--- a/cmd/keelstair-testbed/main.go
+++ b/cmd/keelstair-testbed/main.go
@@ -18,17 +18,17 @@
 type upCmd struct {
 	Site    string `arg:"--site" default:"vatuloa" help:"vatuloa or almaty"`
 	Dir     string `arg:"--dir" default:"testbed-data" help:"folder for data, logs and keelstair-testbed.json"`
-	BinDir     string `arg:"--bin" default:"bin" help:"folder with the programs"`
+	BinDir  string `arg:"--bin" default:"bin" help:"folder with the programs"`
 	Regimes bool   `arg:"--regimes" help:"certify all but one of each sort for the kinds with claims"`
 	Seconds int    `arg:"--seconds" default:"0" help:"end by itself after so long; 0 for a signal"`
 }
 
 type runCmd struct {
 	upCmd
-	Rate  float64 `arg:"--rate" default:"40" help:"arrivals a second"`
-	LoadSeconds  int     `arg:"--load" default:"30" help:"seconds of load"`
-	Seed  uint64  `arg:"--seed" default:"1"`
-	Fault string  `arg:"--break" default:"none" help:"none, controller, wipe, ack, core, roll, router, stop, worker, freeze, hall, all, race, evacuate or revoke"`
+	Rate        float64 `arg:"--rate" default:"40" help:"arrivals a second"`
+	LoadSeconds int     `arg:"--load" default:"30" help:"seconds of load"`
+	Seed        uint64  `arg:"--seed" default:"1"`
+	Fault       string  `arg:"--break" default:"none" help:"none, controller, wipe, ack, core, roll, router, stop, worker, freeze, hall, all, race, evacuate or revoke"`
 }
 
 type options struct {
--- a/cmd/keelstair-testbed/soak.go
+++ b/cmd/keelstair-testbed/soak.go
@@ -22,10 +22,10 @@
 
 type soakCmd struct {
 	upCmd
-	Seed  uint64  `arg:"--seed" default:"1"`
-	Nodes int     `arg:"--nodes" default:"0" help:"router nodes; 0 for as many as the site has"`
-	Rate  float64 `arg:"--rate" default:"40" help:"arrivals a second"`
-	LoadSeconds  int     `arg:"--load" default:"30" help:"seconds of load"`
+	Seed        uint64  `arg:"--seed" default:"1"`
+	Nodes       int     `arg:"--nodes" default:"0" help:"router nodes; 0 for as many as the site has"`
+	Rate        float64 `arg:"--rate" default:"40" help:"arrivals a second"`
+	LoadSeconds int     `arg:"--load" default:"30" help:"seconds of load"`
 }
 
 const (
@@ -40,9 +40,9 @@
 // soak is one run.
 type soak struct {
 	*fleet
-	rng     *rand.Rand
-	restarts sync.WaitGroup
-	ackedLimit   atomic.Int64 // the newest limit that was acknowledged
+	rng        *rand.Rand
+	restarts   sync.WaitGroup
+	ackedLimit atomic.Int64 // the newest limit that was acknowledged
 }
 
 func runSoak(ctx context.Context, c *soakCmd) error {
--- a/cmd/keelstairctl/certificates.go
+++ b/cmd/keelstairctl/certificates.go
@@ -27,17 +27,17 @@
 }
 
 type certifyCmd struct {
-	KeyFile    string   `arg:"--key,required" help:"the issuer's key file"`
-	Issuer string   `arg:"--issuer,required" help:"the issuer's name in the configuration"`
-	Regime string   `arg:"--regime,required"`
+	KeyFile string   `arg:"--key,required" help:"the issuer's key file"`
+	Issuer  string   `arg:"--issuer,required" help:"the issuer's name in the configuration"`
+	Regime  string   `arg:"--regime,required"`
 	Workers []string `arg:"--worker" help:"workers, each with a certificate of its own"`
 	Nodes   []string `arg:"--node" help:"router nodes by name"`
-	Roles  []string `arg:"--parts" help:"of workers: prefill, decode or both, which is the default"`
-	From   string   `arg:"--from" help:"RFC 3339; else an hour ago"`
-	Until  string   `arg:"--until" help:"RFC 3339; else --days from the start"`
-	Days   int      `arg:"--days" default:"30"`
-	Apply  bool     `arg:"--apply" help:"apply it to the configuration in force; else the part is printed"`
-	Op     string   `arg:"--op" help:"ask again for the outcome of this operation"`
+	Roles   []string `arg:"--parts" help:"of workers: prefill, decode or both, which is the default"`
+	From    string   `arg:"--from" help:"RFC 3339; else an hour ago"`
+	Until   string   `arg:"--until" help:"RFC 3339; else --days from the start"`
+	Days    int      `arg:"--days" default:"30"`
+	Apply   bool     `arg:"--apply" help:"apply it to the configuration in force; else the part is printed"`
+	Op      string   `arg:"--op" help:"ask again for the outcome of this operation"`
 }
 
 // parseTime reads a time, or gives one that was left out.
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -40,20 +40,20 @@
 }
 
 type options struct {
-	Frontends    []string    `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
-	Apply    *applyCmd   `arg:"subcommand:apply" help:"apply a whole or partial configuration"`
-	Show     *showCmd    `arg:"subcommand:show" help:"show the configuration in force"`
-	Diff     *diffCmd    `arg:"subcommand:diff" help:"what a configuration would change"`
-	Evacuate *nameCmd    `arg:"subcommand:evacuate" help:"empty a zone of new work"`
-	Return   *nameCmd    `arg:"subcommand:return" help:"take an evacuation back"`
-	Drain    *nameCmd    `arg:"subcommand:drain" help:"keep new work from a worker"`
-	Undrain  *nameCmd    `arg:"subcommand:undrain" help:"take a drain back"`
-	Key      *keyCmd     `arg:"subcommand:key" help:"make an issuer's key file and print its part of a configuration"`
-	Certify  *certifyCmd `arg:"subcommand:certify" help:"sign certificates and print or apply them"`
-	Revoke   *nameCmd    `arg:"subcommand:revoke" help:"end a certificate, by its serial, for good"`
-	Regimes  *struct{}   `arg:"subcommand:regimes" help:"who is certified, until when, and what is short"`
-	Audit    *auditCmd   `arg:"subcommand:audit" help:"the audit record of governed work, checked, as JSON lines"`
-	Status   *struct{}   `arg:"subcommand:status" help:"how the fleet stands, as one node sees it"`
+	Frontends []string    `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
+	Apply     *applyCmd   `arg:"subcommand:apply" help:"apply a whole or partial configuration"`
+	Show      *showCmd    `arg:"subcommand:show" help:"show the configuration in force"`
+	Diff      *diffCmd    `arg:"subcommand:diff" help:"what a configuration would change"`
+	Evacuate  *nameCmd    `arg:"subcommand:evacuate" help:"empty a zone of new work"`
+	Return    *nameCmd    `arg:"subcommand:return" help:"take an evacuation back"`
+	Drain     *nameCmd    `arg:"subcommand:drain" help:"keep new work from a worker"`
+	Undrain   *nameCmd    `arg:"subcommand:undrain" help:"take a drain back"`
+	Key       *keyCmd     `arg:"subcommand:key" help:"make an issuer's key file and print its part of a configuration"`
+	Certify   *certifyCmd `arg:"subcommand:certify" help:"sign certificates and print or apply them"`
+	Revoke    *nameCmd    `arg:"subcommand:revoke" help:"end a certificate, by its serial, for good"`
+	Regimes   *struct{}   `arg:"subcommand:regimes" help:"who is certified, until when, and what is short"`
+	Audit     *auditCmd   `arg:"subcommand:audit" help:"the audit record of governed work, checked, as JSON lines"`
+	Status    *struct{}   `arg:"subcommand:status" help:"how the fleet stands, as one node sees it"`
 }
 
 func (s *options) File() string { return "" }
--- a/cmd/keelstairctl/main_test.go
+++ b/cmd/keelstairctl/main_test.go
@@ -107,12 +107,12 @@
 	require.NoError(t, os.WriteFile(file, text, 0o600))
 	now := time.Date(2026, 12, 5, 0, 0, 0, 0, time.UTC)
 	c := &certifyCmd{
-		KeyFile:    file,
-		Issuer: "k1",
-		Regime: "chair",
+		KeyFile: file,
+		Issuer:  "k1",
+		Regime:  "chair",
 		Workers: []string{"p1", "d1"},
 		Nodes:   []string{"v1"},
-		Days:   30,
+		Days:    30,
 	}
 	certs, err := c.sign(now)
 	require.NoError(t, err)
