--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -1,4 +1,4 @@
-// What a run can do to its fleet of real processes.
+// The faults and operator actions that a run can apply to its fleet of real processes.
 
 package main
 
@@ -19,8 +19,8 @@
 	"keelstair.example/internal/standin"
 )
 
-// applyPartial applies a part over what is in force, as keelstairctl does, and tells how long it
-// took until it was in force.
+// applyPartial merges a partial configuration into the active one, as keelstairctl does, and logs how
+// long the request took.
 func (f *fleet) applyPartial(ctx context.Context, name, source string) error {
 	var active api.ActivePolicy
 	if err := cli.Request(f.frontends(), http.MethodGet, "/v1/policy", nil, &active); err != nil {
@@ -32,20 +32,21 @@
 	if err := cli.Request(f.frontends(), http.MethodPost, "/v1/policy", request, &response); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	logf("%s: version %d, in force %v after %.2f s", name, response.Version, response.Active, time.Since(started).Seconds())
+	logf("%s: version %d, active %v after %.2f s", name, response.Version, response.Active, time.Since(started).Seconds())
 	return nil
 }
 
-// reportLimit looks at every node for a limit that was acknowledged.
+// reportLimit logs whether every node has the acknowledged value of limits.retryAfterMs.
 func (f *fleet) reportLimit(field string, want int) {
 	if err := f.checkLimit(field, want); err != nil {
 		logf("LOST: %v", err)
 		return
 	}
-	logf("every node has %s %d", field, want)
+	logf("every node has %s = %d", field, want)
 }
 
-// checkLimit gives the first node that lacks a limit that was acknowledged, as an error.
+// checkLimit returns an error that names the first node without the acknowledged value of
+// limits.retryAfterMs.
 func (f *fleet) checkLimit(field string, want int) error {
 	for _, p := range f.processes("router") {
 		var active api.ActivePolicy
@@ -55,13 +56,14 @@
 			err = json.Unmarshal(active.Policy, &configuration)
 		}
 		if err != nil || configuration.Limits.RetryAfterMs != want {
-			return fmt.Errorf("at %s %s is %d, %d was acknowledged (%v)", p.Name, field, configuration.Limits.RetryAfterMs, want, err)
+			return fmt.Errorf("node %s: %s is %d, but %d was acknowledged (%v)", p.Name, field, configuration.Limits.RetryAfterMs, want, err)
 		}
 	}
 	return nil
 }
 
-// raceOperators lets two operators change one version at once, several times: one must win.
+// raceOperators has two operators concurrently change the same base version, in several rounds. One of
+// them must succeed in each round.
 func (f *fleet) raceOperators(ctx context.Context) {
 	for round := range 6 {
 		var wg sync.WaitGroup
@@ -82,14 +84,15 @@
 			})
 		}
 		wg.Wait()
-		logf("round %d: %d won", round, successes)
+		logf("round %d: %d changes succeeded", round, successes)
 		if !host.Sleep(ctx, 500*time.Millisecond) {
 			return
 		}
 	}
 }
 
-// evacuateZone evacuates a zone, counts what its workers still begin, and takes it back.
+// evacuateZone evacuates a zone, measures how long its workers still start prefills and runs, and undoes the
+// evacuation.
 func (f *fleet) evacuateZone(ctx context.Context) {
 	zone := f.site.Zones[1]
 	path := "/v1/zones/" + string(zone)
@@ -118,14 +121,14 @@
 			last, at = n, time.Since(evacuated)
 		}
 	}
-	logf("the zone's workers last began something %.2f s after the asking", at.Seconds())
+	logf("the zone's workers last started a prefill or a run %.2f s after the evacuation was requested", at.Seconds())
 	if err := cli.Request(f.frontends(), http.MethodPost, path, api.MarkRequest{Op: coordination.NewID()}, nil); err != nil {
 		logf("%v", err)
 	}
 }
 
-// replaceControllers replaces each controller by an empty one at a new address, and looks for what was
-// acknowledged before.
+// replaceControllers replaces each controller by one with no data at a new address, and checks after
+// each replacement that the configuration acknowledged before it is still active.
 func (f *fleet) replaceControllers(ctx context.Context) {
 	for i, previous := range f.processes("controller") {
 		want := 1300 + i
@@ -156,10 +159,10 @@
 	}
 }
 
-// injectFault breaks the fleet once, as asked.
+// injectFault injects the fault with the given name.
 func (f *fleet) injectFault(ctx context.Context, fault string) {
 	leader := f.leadingController()
-	logf("breaking: %s", fault)
+	logf("injecting fault: %s", fault)
 	restart := func(p *process, wait time.Duration) {
 		if host.Sleep(ctx, wait) {
 			if err := f.startProcess(p); err != nil {
@@ -194,7 +197,7 @@
 		leader.signal(syscall.SIGCONT)
 		v.signal(syscall.SIGCONT)
 	case "ack":
-		// Killed right after it acknowledged a change, and wiped.
+		// The primary is killed and its data deleted right after it acknowledged a change.
 		if err := f.applyPartial(ctx, "ack", `{"limits":{"retryAfterMs":1234}}`); err != nil {
 			logf("%v", err)
 		}
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -1,5 +1,5 @@
-// A fleet of real processes: controllers with data folders, routers over the zones,
-// stand-in workers and a platform.
+// A fleet of real processes: controllers with data directories, routers spread over the zones,
+// stand-in workers and a stand-in platform.
 
 package main
 
@@ -44,7 +44,7 @@
 	procs    []*process
 	seeds    []string
 	platform string
-	revoked  map[string]int // workers without a certificate, with what they had begun by then
+	revoked  map[string]int // for workers without a valid certificate, the governed steps started before the revocation
 }
 
 func (f *fleet) startProcess(p *process) error {
@@ -63,14 +63,15 @@
 	return nil
 }
 
-// signal reaches only a process that this fleet started and that still runs.
+// signal sends a signal to the process if it is still running. Only processes that this fleet started
+// are signaled.
 func (p *process) signal(s syscall.Signal) {
 	if p.running() {
 		p.cmd.Process.Signal(s)
 	}
 }
 
-// running tells whether it runs.
+// running reports whether the process is running.
 func (p *process) running() bool {
 	select {
 	case <-p.exited:
@@ -131,7 +132,7 @@
 	}
 }
 
-// startFleet starts a fleet with so many router nodes; 0 is as many as the site has.
+// startFleet starts a fleet with the given number of router nodes, or the number of the site if it is 0.
 func startFleet(ctx context.Context, opt *upCmd, nodes int) (*fleet, error) {
 	site := standin.Sites[opt.Site]
 	if nodes > 0 {
@@ -168,7 +169,7 @@
 	return f, f.certify(ctx)
 }
 
-// planControllers describes the stand-in of the platform and three controllers.
+// planControllers adds the stand-in platform and three controllers to the processes to start.
 func (f *fleet) planControllers(nextAddr func() string) {
 	f.procs = append(f.procs, &process{
 		Name: "platform",
@@ -183,7 +184,7 @@
 	}
 }
 
-// planRouters describes the site's router nodes.
+// planRouters adds the site's router nodes to the processes to start.
 func (f *fleet) planRouters(nextAddr func() string) {
 	site := f.site
 	for i := range site.Nodes {
@@ -202,7 +203,7 @@
 	}
 }
 
-// planWorkers describes the site's stand-in workers.
+// planWorkers adds the site's stand-in workers to the processes to start.
 func (f *fleet) planWorkers(nextAddr func() string) {
 	site := f.site
 	for i, id := range site.WorkerIDs() {
@@ -217,8 +218,8 @@
 	}
 }
 
-// awaitReady lists all at the platform, applies the configuration, and waits until
-// every node is ready.
+// awaitReady registers all workers and routers with the platform, applies the configuration, and waits
+// until every node is ready.
 func (f *fleet) awaitReady(ctx context.Context, workerIDs []ids.WorkerID) error {
 	started := time.Now()
 	for _, p := range f.processes("worker-") {
@@ -263,7 +264,7 @@
 		var ready []string
 		r, err := httpClient.Get("http://" + f.platform + "/doors")
 		if err = decodeResponse(r, err, &ready); err == nil && len(ready) < len(f.frontends()) {
-			err = fmt.Errorf("the platform finds %d doors ready", len(ready))
+			err = fmt.Errorf("the platform reports %d ready nodes", len(ready))
 		}
 		return err
 	}); err != nil {
@@ -322,7 +323,7 @@
 	fmt.Fprintf(w, "platform   %s\n", f.platform)
 	for _, p := range f.procs {
 		if p.Kind == "router" || p.Kind == "controller" {
-			fmt.Fprintf(w, "%-10s %s pid %d zone %s door %s\n", p.Name, p.Addr, p.Pid, p.Zone, p.Frontend)
+			fmt.Fprintf(w, "%-10s %s pid %d zone %s frontend %s\n", p.Name, p.Addr, p.Pid, p.Zone, p.Frontend)
 		}
 	}
 	fmt.Fprintf(w, "\nexport KEELSTAIR_DOORS=%s\n", strings.Join(f.frontends(), ","))
--- a/cmd/keelstair-testbed/main.go
+++ b/cmd/keelstair-testbed/main.go
@@ -1,5 +1,5 @@
-// Keelstair-testbed is the test tool that starts a whole fleet of real processes on
-// loopback and breaks it. It alone may start processes; no product does.
+// Keelstair-testbed is a test tool that starts a complete fleet of real processes on loopback and
+// injects faults into it. It is the only program of keelstair that may start other processes.
 package main
 
 import (
@@ -50,17 +50,17 @@
 	case s.Soak != nil:
 		site = s.Soak.Site
 	default:
-		return settings.Invalid("command", "one of up, run, soak is needed")
+		return settings.Invalid("command", "one of up, run, soak is required")
 	}
 	if _, ok := standin.Sites[site]; !ok {
-		return settings.Invalid("site", "there is no site %q", site)
+		return settings.Invalid("site", "site %q does not exist", site)
 	}
 	return nil
 }
 
 func main() {
 	s := &options{}
-	settings.Read(s, "keelstair-testbed", "Keelstair-testbed starts and breaks a fleet on this machine.", os.Args[1:])
+	settings.Read(s, "keelstair-testbed", "Keelstair-testbed starts a fleet on this machine and injects faults into it.", os.Args[1:])
 	ctx, stop := cli.SignalContext()
 	defer stop()
 	if s.Run != nil {
@@ -85,7 +85,7 @@
 	<-ctx.Done()
 }
 
-// freeAddrs finds free ones.
+// freeAddrs returns n free loopback addresses.
 func freeAddrs(n int) ([]string, error) {
 	var addrs []string
 	var listeners []net.Listener
--- a/cmd/keelstair-testbed/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -1,6 +1,6 @@
-// A regime over a fleet of real processes: the kinds with claims are governed, and all
-// but the last worker of each part and the last node are certified. What workers count
-// themselves tells whether governed work was at any other.
+// A regime for a fleet of real processes: the kinds of request that require an idempotency key are
+// governed, and all nodes and workers are certified except the last node and the last worker of each
+// role. The workers' own counters show whether an uncertified worker ran governed requests.
 
 package main
 
@@ -25,7 +25,8 @@
 
 const regimeName = "chair"
 
-// certify signs for the fleet, applies the part, and waits until every node clears all.
+// certify signs certificates for the fleet, applies them with the regime as a partial configuration, and
+// waits until every node recognizes all certified workers.
 func (f *fleet) certify(ctx context.Context) error {
 	key, text, err := certification.NewKey()
 	if err != nil {
@@ -75,18 +76,19 @@
 	if err := f.awaitCertified(ctx); err != nil {
 		return err
 	}
-	logf("%d certificates are in force; %s governs %s", len(certs), regimeName, strings.Join(kinds, ", "))
+	logf("%d certificates are active; regime %s governs %s", len(certs), regimeName, strings.Join(kinds, ", "))
 	return nil
 }
 
-// awaitCertified waits until every node clears all certified workers.
+// awaitCertified waits until every node knows the fleet's time and reports no shortage of certified
+// workers or nodes.
 func (f *fleet) awaitCertified(ctx context.Context) error {
 	for _, frontend := range f.frontends() {
 		if err := f.retry(ctx, 10*time.Second, func() error {
 			var regimes api.Regimes
 			err := cli.Request([]string{frontend}, http.MethodGet, "/v1/regimes", nil, &regimes)
 			if err == nil && (regimes.Latest == 0 || len(regimes.Regimes) == 0 || len(regimes.Regimes[0].Shortages) > 0) {
-				err = fmt.Errorf("%s does not clear all yet", frontend)
+				err = fmt.Errorf("%s does not yet recognize all certified workers", frontend)
 			}
 			return err
 		}); err != nil {
@@ -96,8 +98,8 @@
 	return nil
 }
 
-// governedStarts counts what each worker has begun of governed work: reads and runs under a
-// key, whose requests are named by it.
+// governedStarts returns the number of governed steps that each worker has started: prefills and runs of
+// requests with an idempotency key, which are recognized by the prefix of their request ids.
 func (f *fleet) governedStarts() map[string]int {
 	out := map[string]int{}
 	for _, p := range f.processes("worker-") {
@@ -117,8 +119,9 @@
 	return out
 }
 
-// revokeCertificates ends certificates one after the other, the second while the leader dies, and
-// looks for what their workers still begin two seconds after the acknowledgement.
+// revokeCertificates revokes three certificates in sequence, the second while the primary controller is
+// killed. Two seconds after each acknowledgement it records how many governed steps the worker has
+// started; reportUncertified counts any later ones.
 func (f *fleet) revokeCertificates(ctx context.Context) {
 	for i, name := range []string{"d1", "p1", "d2"} {
 		if i == 1 {
@@ -139,7 +142,7 @@
 		})
 		took := time.Since(started)
 		if err != nil {
-			logf("%s was not revoked: %v", name, err)
+			logf("the certificate of %s was not revoked: %v", name, err)
 			return
 		}
 		if !host.Sleep(ctx, 2*time.Second) {
@@ -153,7 +156,7 @@
 	}
 }
 
-// reportUncertified tells what workers began of governed work that they were not certified for.
+// reportUncertified logs the governed steps that workers started without a certificate.
 func (f *fleet) reportUncertified() {
 	if !f.opt.Regimes {
 		return
@@ -165,8 +168,8 @@
 		total += n
 		if allowed, ok := f.revoked[name]; ok && n > allowed {
 			uncertified += n - allowed
-			logf("WRONG: %s began %d governed steps without a certificate", name, n-allowed)
+			logf("WRONG: %s started %d governed steps without a certificate", name, n-allowed)
 		}
 	}
-	logf("workers' own books: %d governed steps, %d on workers without a certificate", total, uncertified)
+	logf("worker counters: %d governed steps, %d on workers without a certificate", total, uncertified)
 }
--- a/cmd/keelstair-testbed/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -1,4 +1,4 @@
-// A run: a fleet under load, one breakdown in the middle, and a report.
+// A run: a fleet under load, one fault after a third of the load, and a report.
 
 package main
 
@@ -39,17 +39,17 @@
 	}
 	fmt.Println(string(b))
 	logf(
-		"load took %.1f s; longest spans without a completed call from the breakdown on: %s",
+		"load took %.1f s; longest periods without a completed request since the fault: %s",
 		time.Since(started).Seconds(),
 		strings.Join(f.longestOutages(outcomes, duration/3, duration), ", "),
 	)
 	runs, duplicates := f.countRuns()
-	logf("workers' own books: %d runs began, %d requests with two records", runs, duplicates)
+	logf("worker counters: %d runs started, %d requests finished more than once", runs, duplicates)
 	f.reportUncertified()
 	return nil
 }
 
-// runLoad has callers of the site ask its nodes for so long, and gives what became of each call.
+// runLoad sends the site's requests to its nodes for the given duration, and returns their outcomes.
 func (f *fleet) runLoad(
 	ctx context.Context,
 	realHost host.Host,
@@ -73,8 +73,8 @@
 	})
 }
 
-// longestOutages are the longest spans without a completion from the breakdown on: of each
-// kind, and of the doors of each zone that still has a node.
+// longestOutages returns the longest periods without a completed request between from and to: for each
+// kind of request, and for the frontends of each zone that still has a running node.
 func (f *fleet) longestOutages(outcomes []standin.Outcome, from, to time.Duration) []string {
 	var out []string
 	record := func(name string, counts func(standin.Outcome) bool) {
@@ -91,13 +91,14 @@
 			}
 		}
 		if len(frontends) > 0 {
-			record("doors of "+string(z), func(o standin.Outcome) bool { return frontends[o.Node] })
+			record("frontends of "+string(z), func(o standin.Outcome) bool { return frontends[o.Node] })
 		}
 	}
 	return out
 }
 
-// requestCounts sums what the workers that still run have counted, by request.
+// requestCounts returns the counts of all running workers, summed by request id. Workers that do not
+// respond are left out.
 func (f *fleet) requestCounts() map[string]standin.RequestCounts {
 	totals := map[string]standin.RequestCounts{}
 	for _, p := range f.processes("worker-") {
@@ -116,7 +117,8 @@
 	return totals
 }
 
-// countRuns counts the runs that began and the requests with two records.
+// countRuns returns the number of runs that started, and the number of requests that finished more than
+// once.
 func (f *fleet) countRuns() (runs, duplicates int) {
 	for _, t := range f.requestCounts() {
 		runs += t.Runs
--- a/cmd/keelstair-testbed/soak.go
+++ b/cmd/keelstair-testbed/soak.go
@@ -1,5 +1,5 @@
-// A soak: a fleet under load whose routers and controllers get signals, are started again and
-// change their configuration, in series that overlap.
+// A soak test: a fleet under load whose routers and controllers are signaled and restarted while its
+// configuration changes. The faults overlap.
 
 package main
 
@@ -32,17 +32,17 @@
 	soakGrace      = 8 * time.Second // from SIGTERM to SIGKILL
 	soakRestart    = 300 * time.Millisecond
 	soakRecovery   = 12 * time.Second
-	firstRetryHint = 1000 // ms: the limit that the changes of a soak raise
-	claimedPrefix  = "k-" // of the workers' names of claimed requests
-	notRunSuffix   = "+"  // that a caller adds to its key once it was told that nothing ran
+	firstRetryHint = 1000 // ms; the soak raises limits.retryAfterMs from this value
+	claimedPrefix  = "k-" // of the request ids of requests with an idempotency key
+	notRunSuffix   = "+"  // that a client appends to its key after the response not-run
 )
 
-// soak is one run.
+// soak is the state of one soak test.
 type soak struct {
 	*fleet
 	rng        *rand.Rand
 	restarts   sync.WaitGroup
-	ackedLimit atomic.Int64 // the newest limit that was acknowledged
+	ackedLimit atomic.Int64 // the newest acknowledged value of limits.retryAfterMs
 }
 
 func runSoak(ctx context.Context, c *soakCmd) error {
@@ -69,10 +69,11 @@
 	return s.check(ctx, c.Seed, outcomes)
 }
 
-// neverKilled tells that a process gets SIGTERM only, so that what it serves is never cut.
+// neverKilled reports whether router i receives only SIGTERM, so that its streams must never be cut.
 func neverKilled(i int) bool { return i%2 == 1 }
 
-// sendSignals sends signals until the context ends, without waiting for those before.
+// sendSignals sends signals to random processes until the context ends, without waiting for processes
+// that are still stopping or restarting.
 func (s *soak) sendSignals(ctx context.Context) {
 	for host.Sleep(ctx, time.Duration(100+s.rng.IntN(1500))*time.Millisecond) {
 		routers, controllers := s.processes("router"), s.processes("controller")
@@ -97,7 +98,7 @@
 	}
 }
 
-// terminate sends SIGTERM, and SIGKILL after the grace time.
+// terminate sends SIGTERM, and SIGKILL if the process has not exited after soakGrace.
 func (s *soak) terminate(p *process) {
 	exited := s.signalAndRestart(p, syscall.SIGTERM)
 	if exited == nil {
@@ -107,14 +108,14 @@
 		select {
 		case <-exited:
 		case <-time.After(soakGrace):
-			logf("%s had not ended %v after SIGTERM", p.Name, soakGrace)
+			logf("%s had not exited %v after SIGTERM", p.Name, soakGrace)
 			s.signalAndRestart(p, syscall.SIGKILL)
 		}
 	})
 }
 
-// signalAndRestart sends a signal and has the process started again once it is gone, as the channel that is
-// given tells; nil if it does not run.
+// signalAndRestart sends a signal to a process and restarts the process once it has exited. It returns
+// the channel that is closed at the exit, or nil if the process is not running.
 func (s *soak) signalAndRestart(p *process, signal syscall.Signal) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +129,8 @@
 	return exited
 }
 
-// restartAfterExit starts a process again after the end of a life, unless that was done.
+// restartAfterExit waits until the channel is closed and restarts the process, unless it was already
+// restarted since.
 func (s *soak) restartAfterExit(p *process, exited chan struct{}) {
 	<-exited
 	time.Sleep(soakRestart)
@@ -142,7 +144,7 @@
 	}
 }
 
-// raiseLimit changes a limit again and again and remembers what was acknowledged.
+// raiseLimit repeatedly raises limits.retryAfterMs and records the newest acknowledged value.
 func (s *soak) raiseLimit(ctx context.Context) {
 	for limit := firstRetryHint + 1; host.Sleep(ctx, 700*time.Millisecond); limit++ {
 		if s.applyPartial(ctx, "soak", fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, limit)) == nil {
@@ -151,7 +153,8 @@
 	}
 }
 
-// check checks what the workers and the callers saw, and that the newest change is in force.
+// check checks the workers' counts and the clients' outcomes, and that a last configuration change
+// succeeds and is active at all nodes. It returns all violations.
 func (s *soak) check(ctx context.Context, seed uint64, outcomes []standin.Outcome) error {
 	neverKilledRouters := map[string]string{}
 	for i, p := range s.processes("router") {
@@ -164,16 +167,16 @@
 	for _, o := range outcomes {
 		switch {
 		case o.End == "wrong":
-			violations = append(violations, fmt.Errorf("a caller of %s got a wrong answer: %s", o.Kind, o.Detail))
+			violations = append(violations, fmt.Errorf("a client received a wrong response to a request of kind %s: %s", o.Kind, o.Detail))
 		case o.End == "cut" && o.Detail == "the stream stopped" && neverKilledRouters[o.Node] != "":
-			violations = append(violations, fmt.Errorf("%s cut a stream that it had begun", neverKilledRouters[o.Node]))
+			violations = append(violations, fmt.Errorf("%s cut a stream that it had started", neverKilledRouters[o.Node]))
 		case o.Kind != "" && o.Duration > 0:
 			completed++
 		}
 	}
 	runs, duplicates := s.countRuns()
 	if duplicates > 0 {
-		logf("%d requests, also without a claim, have two records in the workers' books", duplicates)
+		logf("%d requests finished more than once, counting requests without an idempotency key", duplicates)
 	}
 	violations = append(violations, s.checkClaims(outcomes)...)
 	newest := int(s.ackedLimit.Load()) + 1
@@ -185,26 +188,26 @@
 	if err := s.retry(ctx, soakRecovery, func() error { return s.checkLimit("limits.retryAfterMs", newest) }); err != nil {
 		violations = append(violations, err)
 	}
-	logf("seed %d: %d calls, %d answered whole, %d runs, newest limit %d, %d faults",
+	logf("seed %d: %d requests, %d completed, %d runs, newest limit %d, %d violations",
 		seed, len(outcomes), completed, runs, newest, len(violations))
 	return errors.Join(violations...)
 }
 
-// checkClaims checks by the workers' books that a claimed request ran once, and not at all under
-// a key whose caller was told so.
+// checkClaims checks with the workers' counts that each request with an idempotency key ran at most
+// once, and that it did not run under a key for which a client received not-run.
 func (s *soak) checkClaims(outcomes []standin.Outcome) []error {
 	var violations []error
 	counts := s.requestCounts()
 	for id, t := range counts {
 		if strings.HasPrefix(id, claimedPrefix) && (t.Runs > 1 || t.Finished > 1) {
-			violations = append(violations, fmt.Errorf("claimed request %s has %d runs and %d records", id, t.Runs, t.Finished))
+			violations = append(violations, fmt.Errorf("request %s with an idempotency key started %d times and finished %d times", id, t.Runs, t.Finished))
 		}
 	}
 	for _, o := range outcomes {
 		for key := o.Key; strings.HasSuffix(key, notRunSuffix); {
 			key = strings.TrimSuffix(key, notRunSuffix)
 			if n := counts[router.RequestIDForKey(key)].Runs; n > 0 {
-				violations = append(violations, fmt.Errorf("%s was told not run, and ran %d times", key, n))
+				violations = append(violations, fmt.Errorf("key %s was reported as not run but ran %d times", key, n))
 			}
 		}
 	}
