--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -32,7 +32,13 @@
 	if err := cli.Request(f.frontends(), http.MethodPost, "/v1/policy", request, &response); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	logf("%s: version %d, active %v after %.2f s", name, response.Version, response.Active, time.Since(started).Seconds())
+	logf(
+		"%s: version %d, active %v after %.2f s",
+		name,
+		response.Version,
+		response.Active,
+		time.Since(started).Seconds(),
+	)
 	return nil
 }
 
@@ -56,7 +62,14 @@
 			err = json.Unmarshal(active.Policy, &configuration)
 		}
 		if err != nil || configuration.Limits.RetryAfterMs != want {
-			return fmt.Errorf("node %s: %s is %d, but %d was acknowledged (%v)", p.Name, field, configuration.Limits.RetryAfterMs, want, err)
+			return fmt.Errorf(
+				"node %s: %s is %d, but %d was acknowledged (%v)",
+				p.Name,
+				field,
+				configuration.Limits.RetryAfterMs,
+				want,
+				err,
+			)
 		}
 	}
 	return nil
@@ -139,12 +152,12 @@
 		}
 		previous.kill()
 		os.RemoveAll(previous.Data)
-		free, err := freeAddrs(1)
+		addrs, err := freeAddrs(1)
 		if err != nil {
 			logf("%v", err)
 			return
 		}
-		p := f.newController(fmt.Sprintf("controller-new-%d", i), free[0], previous.Zone)
+		p := f.newController(fmt.Sprintf("controller-new-%d", i), addrs[0], previous.Zone)
 		if err := f.startProcess(p); err != nil {
 			logf("%v", err)
 			return
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -38,13 +38,13 @@
 }
 
 type fleet struct {
-	opt      *upCmd
-	site     standin.Site
-	mu       sync.Mutex
-	procs    []*process
-	seeds    []string
-	platform string
-	revoked  map[string]int // for workers without a valid certificate, the governed steps started before the revocation
+	opt           *upCmd
+	site          standin.Site
+	mu            sync.Mutex
+	procs         []*process
+	seeds         []string
+	platform      string
+	allowedStarts map[string]int // for workers without a valid certificate, the governed steps started before the revocation
 }
 
 func (f *fleet) startProcess(p *process) error {
@@ -138,7 +138,7 @@
 	if nodes > 0 {
 		site.Nodes = nodes
 	}
-	f := &fleet{opt: opt, site: site, revoked: map[string]int{}}
+	f := &fleet{opt: opt, site: site, allowedStarts: map[string]int{}}
 	if err := os.RemoveAll(opt.Dir); err != nil {
 		return f, err
 	}
--- a/cmd/keelstair-testbed/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -38,18 +38,18 @@
 	from := time.Now().Add(-time.Hour).UTC().Format(time.RFC3339)
 	until := time.Now().AddDate(0, 1, 0).UTC().Format(time.RFC3339)
 	certs := map[string]certification.Certificate{}
-	add := func(c certification.Certificate, name string) {
+	addSigned := func(c certification.Certificate, name string) {
 		c.Serial, c.Regime, c.Issuer, c.From, c.Until = "c-"+name, regimeName, "k1", from, until
 		c.Sign(key)
 		certs[c.Serial] = c
 	}
 	for i, id := range f.site.WorkerIDs() {
 		if i != f.site.Prefill-1 && i != f.site.Prefill+f.site.Decode-1 {
-			add(certification.Certificate{Worker: id, Roles: []ids.Role{f.site.Worker(i).Role}}, string(id))
+			addSigned(certification.Certificate{Worker: id, Roles: []ids.Role{f.site.Worker(i).Role}}, string(id))
 		}
 	}
 	for i := range f.site.Nodes - 1 {
-		add(certification.Certificate{Node: fmt.Sprintf("router-%d", i+1)}, fmt.Sprintf("router-%d", i+1))
+		addSigned(certification.Certificate{Node: fmt.Sprintf("router-%d", i+1)}, fmt.Sprintf("router-%d", i+1))
 	}
 	var kinds []string
 	for _, class := range f.site.Classes {
@@ -150,7 +150,7 @@
 		}
 		count := f.governedStarts()[name]
 		f.mu.Lock()
-		f.revoked[name] = count
+		f.allowedStarts[name] = count
 		f.mu.Unlock()
 		logf("the certificate of %s is revoked, acknowledged after %.3f s", name, took.Seconds())
 	}
@@ -162,11 +162,11 @@
 		return
 	}
 	names := f.site.WorkerIDs()
-	f.revoked[string(names[f.site.Prefill-1])], f.revoked[string(names[len(names)-1])] = 0, 0
+	f.allowedStarts[string(names[f.site.Prefill-1])], f.allowedStarts[string(names[len(names)-1])] = 0, 0
 	total, uncertified := 0, 0
 	for name, n := range f.governedStarts() {
 		total += n
-		if allowed, ok := f.revoked[name]; ok && n > allowed {
+		if allowed, ok := f.allowedStarts[name]; ok && n > allowed {
 			uncertified += n - allowed
 			logf("WRONG: %s started %d governed steps without a certificate", name, n-allowed)
 		}
--- a/cmd/keelstair-testbed/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	realHost, err := host.Real("")
+	clientHost, err := host.Real("")
 	if err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 		}
 	}()
 	started := time.Now()
-	outcomes := f.runLoad(ctx, realHost, c.Seed, c.Rate, duration)
+	outcomes := f.runLoad(ctx, clientHost, c.Seed, c.Rate, duration)
 	b, err := json.MarshalIndent(standin.Summarize(outcomes), "", "  ")
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 // runLoad sends the site's requests to its nodes for the given duration, and returns their outcomes.
 func (f *fleet) runLoad(
 	ctx context.Context,
-	realHost host.Host,
+	clientHost host.Host,
 	seed uint64,
 	rate float64,
 	duration time.Duration,
@@ -60,8 +60,8 @@
 	pollCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	return standin.Load(ctx, standin.LoadOptions{
-		Host:     realHost,
-		Nodes:    standin.PollNodes(pollCtx, realHost, f.platform, f.site.Zones),
+		Host:     clientHost,
+		Nodes:    standin.PollNodes(pollCtx, clientHost, f.platform, f.site.Zones),
 		Zones:    f.site.Zones,
 		Classes:  f.site.Classes,
 		Rate:     rate,
--- a/cmd/keelstair-testbed/soak.go
+++ b/cmd/keelstair-testbed/soak.go
@@ -29,12 +29,12 @@
 }
 
 const (
-	soakGrace      = 8 * time.Second // from SIGTERM to SIGKILL
-	soakRestart    = 300 * time.Millisecond
-	soakRecovery   = 12 * time.Second
-	firstRetryHint = 1000 // ms; the soak raises limits.retryAfterMs from this value
-	claimedPrefix  = "k-" // of the request ids of requests with an idempotency key
-	notRunSuffix   = "+"  // that a client appends to its key after the response not-run
+	soakGrace           = 8 * time.Second // from SIGTERM to SIGKILL
+	soakRestart         = 300 * time.Millisecond
+	soakRecovery        = 12 * time.Second
+	initialRetryAfterMs = 1000 // ms; the soak raises limits.retryAfterMs from this value
+	keyedRequestPrefix  = "k-" // of the request ids of requests with an idempotency key
+	notRunSuffix        = "+"  // that a client appends to its key after the response not-run
 )
 
 // soak is the state of one soak test.
@@ -51,19 +51,19 @@
 	if err != nil {
 		return err
 	}
-	realHost, err := host.Real("")
+	clientHost, err := host.Real("")
 	if err != nil {
 		return err
 	}
 	s := &soak{fleet: f, rng: rand.New(rand.NewPCG(c.Seed, 0))}
-	s.ackedLimit.Store(firstRetryHint)
+	s.ackedLimit.Store(initialRetryAfterMs)
 	duration := time.Duration(c.LoadSeconds) * time.Second
 	faultCtx, stopFaults := context.WithTimeout(ctx, duration*2/3)
 	defer stopFaults()
 	var injectors sync.WaitGroup
 	injectors.Go(func() { s.sendSignals(faultCtx) })
 	injectors.Go(func() { s.raiseLimit(faultCtx) })
-	outcomes := f.runLoad(ctx, realHost, c.Seed, c.Rate, duration)
+	outcomes := f.runLoad(ctx, clientHost, c.Seed, c.Rate, duration)
 	injectors.Wait()
 	s.restarts.Wait()
 	return s.check(ctx, c.Seed, outcomes)
@@ -146,7 +146,7 @@
 
 // raiseLimit repeatedly raises limits.retryAfterMs and records the newest acknowledged value.
 func (s *soak) raiseLimit(ctx context.Context) {
-	for limit := firstRetryHint + 1; host.Sleep(ctx, 700*time.Millisecond); limit++ {
+	for limit := initialRetryAfterMs + 1; host.Sleep(ctx, 700*time.Millisecond); limit++ {
 		if s.applyPartial(ctx, "soak", fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, limit)) == nil {
 			s.ackedLimit.Store(int64(limit))
 		}
@@ -167,7 +167,9 @@
 	for _, o := range outcomes {
 		switch {
 		case o.End == "wrong":
-			violations = append(violations, fmt.Errorf("a client received a wrong response to a request of kind %s: %s", o.Kind, o.Detail))
+			violations = append(violations, fmt.Errorf(
+				"a client received a wrong response to a request of kind %s: %s", o.Kind, o.Detail,
+			))
 		case o.End == "cut" && o.Detail == "the stream stopped" && neverKilledRouters[o.Node] != "":
 			violations = append(violations, fmt.Errorf("%s cut a stream that it had started", neverKilledRouters[o.Node]))
 		case o.Kind != "" && o.Duration > 0:
@@ -176,9 +178,9 @@
 	}
 	runs, duplicates := s.countRuns()
 	if duplicates > 0 {
-		logf("%d requests finished more than once, counting requests without an idempotency key", duplicates)
+		logf("%d requests, with or without an idempotency key, finished more than once", duplicates)
 	}
-	violations = append(violations, s.checkClaims(outcomes)...)
+	violations = append(violations, s.checkKeyedRequests(outcomes)...)
 	newest := int(s.ackedLimit.Load()) + 1
 	if err := s.retry(ctx, soakRecovery, func() error {
 		return s.applyPartial(ctx, coordination.NewID(), fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, newest))
@@ -193,14 +195,16 @@
 	return errors.Join(violations...)
 }
 
-// checkClaims checks with the workers' counts that each request with an idempotency key ran at most
+// checkKeyedRequests checks with the workers' counts that each request with an idempotency key ran at most
 // once, and that it did not run under a key for which a client received not-run.
-func (s *soak) checkClaims(outcomes []standin.Outcome) []error {
+func (s *soak) checkKeyedRequests(outcomes []standin.Outcome) []error {
 	var violations []error
 	counts := s.requestCounts()
 	for id, t := range counts {
-		if strings.HasPrefix(id, claimedPrefix) && (t.Runs > 1 || t.Finished > 1) {
-			violations = append(violations, fmt.Errorf("request %s with an idempotency key started %d times and finished %d times", id, t.Runs, t.Finished))
+		if strings.HasPrefix(id, keyedRequestPrefix) && (t.Runs > 1 || t.Finished > 1) {
+			violations = append(violations, fmt.Errorf(
+				"request %s with an idempotency key started %d times and finished %d times", id, t.Runs, t.Finished,
+			))
 		}
 	}
 	for _, o := range outcomes {
--- a/cmd/keelstairctl/audit.go
+++ b/cmd/keelstairctl/audit.go
@@ -1,5 +1,5 @@
-// Keelstairctl's reading of the audit record: rows as JSON lines, each held against the one
-// before, also over what an earlier export has.
+// The export of the audit log: rows as JSON lines, each verified against the row before. An earlier
+// export is verified and extended.
 
 package main
 
@@ -21,7 +21,7 @@
 	File string `arg:"positional" help:"an export: it is checked, and what it lacks is added; else all rows are printed"`
 }
 
-// verifyExport checks an earlier export and gives its last row.
+// verifyExport verifies an earlier export and returns its last row, or nil if it is empty.
 func verifyExport(r io.Reader) (*fleetstate.AuditRow, error) {
 	var last *fleetstate.AuditRow
 	lines := bufio.NewScanner(r)
@@ -39,8 +39,8 @@
 	return last, lines.Err()
 }
 
-// fetchRows reads the fleet's rows after the last one that is known, and writes each once
-// it is checked. It gives how many there were.
+// fetchRows fetches the fleet's rows after the last known row, and writes each row once it is verified.
+// It returns the number of rows written.
 func fetchRows(last *fleetstate.AuditRow, fetch func(from int) (*api.AuditPage, error), out io.Writer) (int, error) {
 	invalid := func(format string, args ...any) error {
 		return failure.New(failure.InvalidArgument, "check audit", "", format, args...)
@@ -56,13 +56,13 @@
 			return written, err
 		case last != nil && page.Count < last.Index:
 			return written, invalid(
-				"the fleet's record ends at row %d, the export at row %d: rows were removed",
+				"the fleet's audit log ends at row %d, but the export ends at row %d: rows were removed",
 				page.Count,
 				last.Index,
 			)
 		case last != nil && page.First > next:
 			return written, invalid(
-				"the fleet keeps rows from %d on, the export ends at row %d: what lies between is gone",
+				"the fleet retains rows from row %d on, but the export ends at row %d: what lies between is lost",
 				page.First,
 				last.Index,
 			)
@@ -70,7 +70,7 @@
 			return written, invalid("row %d is missing", next)
 		case len(page.Rows) == 0 && last != nil && page.Head != last.Hash:
 			return written, invalid(
-				"the fleet's newest row %d is not the one that follows here: one was changed or replaced",
+				"the fleet's newest row %d is not the one that the export has: a row was changed or replaced",
 				page.Count,
 			)
 		case len(page.Rows) == 0:
@@ -111,7 +111,7 @@
 		return page, s.request(http.MethodGet, fmt.Sprintf("/v1/audit?from=%d", from), nil, page)
 	}, out)
 	if err == nil {
-		fmt.Fprintf(os.Stderr, "%d rows, the chain is whole\n", n)
+		fmt.Fprintf(os.Stderr, "%d rows added, the hash chain is intact\n", n)
 	}
 	return err
 }
--- a/cmd/keelstairctl/certificates.go
+++ b/cmd/keelstairctl/certificates.go
@@ -1,4 +1,4 @@
-// What keelstairctl does with certificates: keys, signing, revoking, and who is certified.
+// The certificate commands: issuer keys, signing, revocation, and the list of certified workers and nodes.
 
 package main
 
@@ -40,7 +40,7 @@
 	Op      string   `arg:"--op" help:"ask again for the outcome of this operation"`
 }
 
-// parseTime reads a time, or gives one that was left out.
+// parseTime parses an RFC 3339 time. For an empty text it returns fallback, truncated to seconds.
 func parseTime(field, text string, fallback time.Time) (time.Time, error) {
 	if text == "" {
 		return fallback.UTC().Truncate(time.Second), nil
@@ -52,7 +52,7 @@
 	return t, nil
 }
 
-// writeKey writes a fresh key file, unless one is there, and prints the issuer's part.
+// writeKey creates the key file unless it exists, and prints the issuer's part of a configuration.
 func (s *options) writeKey(c *keyCmd) error {
 	from, err := parseTime("from", c.From, time.Now().Add(-time.Hour))
 	if err != nil {
@@ -78,7 +78,7 @@
 	}}})
 }
 
-// sign makes the certificates that a command asks for.
+// sign returns the signed certificates that the command requests, by serial.
 func (c *certifyCmd) sign(now time.Time) (map[string]certification.Certificate, error) {
 	text, err := os.ReadFile(c.KeyFile)
 	if err != nil {
@@ -108,7 +108,7 @@
 	}
 	switch {
 	case len(c.Workers)+len(c.Nodes) == 0:
-		return nil, settings.Invalid("worker, node", "at least one is needed")
+		return nil, settings.Invalid("worker, node", "at least one is required")
 	case !from.Before(until):
 		return nil, settings.Invalid(
 			"until",
@@ -163,7 +163,7 @@
 	if err := s.request(http.MethodPost, "/v1/certificates/"+c.Name, request, nil); err != nil {
 		return err
 	}
-	fmt.Println("it is in force everywhere")
+	fmt.Println("the revocation is active at all nodes")
 	return nil
 }
 
@@ -175,7 +175,7 @@
 		return err
 	}
 	if response.Latest == 0 {
-		fmt.Println("the fleet's time is not known at this node: it clears nobody")
+		fmt.Println("this node does not know the fleet's time: it recognizes no certificate")
 	} else {
 		fmt.Printf(
 			"the fleet's time is %s; this node's own clock differs by %.1f s\n",
@@ -185,7 +185,7 @@
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	for _, regime := range response.Regimes {
-		fmt.Fprintf(out, "\n%s governs %s, keeps %d%% free\n", regime.Name, strings.Join(regime.Kinds, ", "), regime.ReservedPercent)
+		fmt.Fprintf(out, "\n%s governs %s, reserves %d%% of the cache blocks\n", regime.Name, strings.Join(regime.Kinds, ", "), regime.ReservedPercent)
 		for _, certificate := range regime.Certificates {
 			subject := certificate.Subject().String()
 			for _, role := range certificate.Roles {
@@ -194,7 +194,7 @@
 			fmt.Fprintf(out, "  %s\t%s\tuntil %s\t%s\tby %s\n", certificate.Serial, subject, formatTime(certificate.Ends), certificate.State, certificate.Issuer)
 		}
 		for _, shortage := range regime.Shortages {
-			fmt.Fprintf(out, "  short: no certified %s\n", shortage)
+			fmt.Fprintf(out, "  shortage: no certified %s\n", shortage)
 		}
 	}
 	return out.Flush()
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -1,4 +1,4 @@
-// Keelstairctl is the operators' command line. It speaks to any node's door.
+// Keelstairctl is the command line for operators. It sends its requests to the frontend of any node.
 package main
 
 import (
@@ -60,14 +60,14 @@
 
 func (s *options) Check() error {
 	if s.Key != nil || s.Certify != nil && !s.Certify.Apply {
-		return nil // nobody is asked
+		return nil // the command sends no request
 	}
 	return cli.CheckEndpoints(&s.Frontends)
 }
 
 func main() {
 	s := &options{}
-	settings.Read(s, "keelstairctl", "Keelstairctl is keelstair's operators' command line.", os.Args[1:])
+	settings.Read(s, "keelstairctl", "Keelstairctl is the command line for operators of keelstair.", os.Args[1:])
 	if err := s.run(); err != nil {
 		fmt.Fprintf(os.Stderr, "keelstairctl: %v\n", err)
 		var exitErr *cli.ExitError
@@ -111,7 +111,7 @@
 		}
 		return printJSON(v)
 	}
-	return settings.Invalid("command", "one is needed; see keelstairctl --help")
+	return settings.Invalid("command", "a command is required; see keelstairctl --help")
 }
 
 func printJSON(v any) error {
@@ -167,11 +167,11 @@
 	}
 	switch {
 	case c.Dry:
-		fmt.Println("it is sound; nothing was written")
+		fmt.Println("the configuration is valid; nothing was written")
 	case response.Active:
 		fmt.Printf("version %d is in force\n", response.Version)
 	default:
-		fmt.Printf("version %d is taken and durable; it is not in force everywhere yet\n", response.Version)
+		fmt.Printf("version %d is accepted and durable, but not yet in force at all nodes\n", response.Version)
 	}
 	return nil
 }
--- a/cmd/keelstairctl/main_test.go
+++ b/cmd/keelstairctl/main_test.go
@@ -1,4 +1,4 @@
-// What keelstairctl does with certificates and with the audit record.
+// Tests of the export of the audit log and of signing certificates.
 
 package main
 
@@ -41,7 +41,8 @@
 	return out
 }
 
-// fetchFrom answers as a fleet that has so many rows and keeps those from a number on.
+// fetchFrom returns a function that serves pages of up to 3 rows of an audit log, like a fleet that
+// retains the rows from first on.
 func fetchFrom(all []json.RawMessage, first int) func(int) (*api.AuditPage, error) {
 	return func(from int) (*api.AuditPage, error) {
 		got := &api.AuditPage{First: first, Count: len(all)}
@@ -57,8 +58,8 @@
 	}
 }
 
-// TestFetchRows: an export is added to, and whatever was taken away or changed at either
-// end shows.
+// TestFetchRows checks that an export is extended with the rows it lacks, and that rows that were removed
+// or changed in the export or in the fleet's audit log are detected.
 func TestFetchRows(t *testing.T) {
 	all := auditLines(10, "a")
 	var file bytes.Buffer
@@ -79,7 +80,7 @@
 	var rest bytes.Buffer
 	n, err = fetchRows(nil, fetchFrom(all, 5), &rest)
 	require.NoError(t, err)
-	require.Equal(t, 6, n, "without an export it begins at the first that is kept")
+	require.Equal(t, 6, n, "without an export, it starts at the oldest row retained")
 	short := append(append([]json.RawMessage{}, all[:8]...), all[9])
 	for want, fetch := range map[string]func(int) (*api.AuditPage, error){
 		"ends at row 8":          fetchFrom(all[:8], 1),
@@ -98,8 +99,8 @@
 	require.ErrorContains(t, err, "line 1")
 }
 
-// TestSign: certificates that keelstairctl signs hold under the issuer that keelstairctl key prints;
-// what cannot be meant is refused before anything is signed.
+// TestSign checks that signed certificates are valid for the issuer of the key, and that invalid
+// arguments are rejected before anything is signed.
 func TestSign(t *testing.T) {
 	privateKey, text, err := certification.NewKey()
 	require.NoError(t, err)
--- a/internal/cli/request.go
+++ b/internal/cli/request.go
@@ -1,5 +1,5 @@
-// How operators' programs ask a door: any of several, until one answers for
-// good; each kind of no has an exit code of its own.
+// Requests of the operators' programs to the frontends of nodes. Each kind of failure has an exit code of
+// its own.
 
 package cli
 
@@ -15,22 +15,23 @@
 	"keelstair.example/rpc"
 )
 
-// ExitError is a door's no; its number is the exit code that operators know.
+// ExitError is a failed request with the exit code that it maps to: 2 for an invalid request, 3 for a
+// conflict, 4 for an unavailable service, 5 for a request that may have been executed.
 type ExitError struct {
 	Code int
 	text string
 }
 
-// Error returns the text that operators read.
+// Error returns the message for the operator.
 func (t *ExitError) Error() string { return t.text }
 
-// CheckEndpoints checks a list of doors, given one by one or with commas.
+// CheckEndpoints checks a list of frontend addresses. A single element is first split at commas.
 func CheckEndpoints(endpoints *[]string) error {
 	if len(*endpoints) == 1 {
 		*endpoints = strings.Split((*endpoints)[0], ",")
 	}
 	if len(*endpoints) == 0 {
-		return settings.Invalid("doors", "at least one is needed (--doors or KEELSTAIR_DOORS)")
+		return settings.Invalid("doors", "at least one address is required (--doors or KEELSTAIR_DOORS)")
 	}
 	for _, endpoint := range *endpoints {
 		if err := settings.Addr("doors", endpoint); err != nil {
@@ -40,7 +41,9 @@
 	return nil
 }
 
-// Request asks doors until one answers for good; a no carries its exit code.
+// Request sends a request to the endpoints until one returns a final result, within 10 s, and decodes the
+// result into out. An error response is returned as an ExitError, and so is an error after which a POST
+// may have been executed.
 func Request(endpoints []string, method, path string, in, out any) error {
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -1,4 +1,5 @@
-// Package cli is what the thin programs share: signals, listeners, the ring.
+// Package cli contains what the programs have in common: signals, servers, logging, and requests of the
+// operators' programs.
 package cli
 
 import (
@@ -15,18 +16,19 @@
 	"keelstair.example/rpc"
 )
 
-// SignalContext ends the context on SIGTERM or an interrupt.
+// SignalContext returns a context that ends on SIGTERM or an interrupt.
 func SignalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
-// Leaver is what hands over before it ends.
+// Leaver hands over its roles to other processes before it shuts down.
 type Leaver interface {
 	Leave(ctx context.Context) error
 }
 
-// HandOverContext gives a context for a process that is to hand over when it is asked to end. It ends
-// once that is done, or a span after the asking.
+// HandOverContext returns the context for a process that hands over its roles before it shuts down. It
+// calls Leave when shutdown ends, and the returned context ends when Leave returns. Leave's context has
+// the given timeout.
 func HandOverContext(shutdown context.Context, leaver Leaver, timeout time.Duration) context.Context {
 	ctx, end := context.WithCancel(context.Background())
 	go func() {
@@ -34,12 +36,12 @@
 		<-shutdown.Done()
 		leaveCtx, stop := context.WithTimeout(context.Background(), timeout)
 		defer stop()
-		leaver.Leave(leaveCtx) // it logs what stood in its way; the process ends all the same
+		leaver.Leave(leaveCtx) // Leave logs its error; the process shuts down regardless
 	}()
 	return ctx
 }
 
-// ExitOnError prints one clear line and ends the process.
+// ExitOnError prints an error on one line and exits with code 1. It does nothing if err is nil.
 func ExitOnError(program string, err error) {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
@@ -47,8 +49,8 @@
 	}
 }
 
-// Serve listens and answers in the background until the context ends; fail gets
-// what goes wrong.
+// Serve listens on addr and serves requests in the background until the context ends. It passes errors
+// to fail.
 func Serve(ctx context.Context, host host.Host, addr string, mux *http.ServeMux, fail func(error)) {
 	listener, err := host.Net.Listen(addr)
 	if err != nil {
@@ -62,6 +64,6 @@
 	}()
 }
 
-// NewRing is the program's log: it pours to the error output when something goes
-// wrong.
+// NewRing returns the program's logger. It keeps the newest 512 lines in memory and writes them to
+// standard error when an error is logged.
 func NewRing(name string) *logging.Ring { return logging.NewRing(512, os.Stderr, name) }
--- a/internal/conntimeout/conntimeout.go
+++ b/internal/conntimeout/conntimeout.go
@@ -1,10 +1,11 @@
-// Package conntimeout bounds how long a client's connection may rest between requests, and how
-// long the header of a request may take to arrive. Unlike the time-outs of http.Server, the
-// limits may change while the server runs, and then hold for connections that are open; and a
-// client whose header takes too long is told so by status 408.
+// Package conntimeout limits how long a client's connection may be idle between requests, and how
+// long the header of a request may take to arrive. Unlike the timeouts of http.Server, the limits
+// can change while the server runs and then apply to open connections as well, and a client whose
+// header takes too long receives status 408.
 //
-// A connection is closed only while no request of it is being served. A 408 promises that the
-// request was not and will not be run, so a handler whose connection has got one is not called.
+// A connection is closed only while it has no request being served. A 408 guarantees that the
+// request was not and will not be executed, so the handler is not called for a connection that
+// has received one.
 package conntimeout
 
 import (
@@ -15,20 +16,20 @@
 	"time"
 )
 
-// Limits are how long a client may take. Zero is no limit.
+// Limits are the time limits for a client's connection. Zero means no limit.
 type Limits struct {
 	Header time.Duration // from the first byte of a request until its header is complete
 	Idle   time.Duration // without a byte, from a connection's start or the end of a response
 }
 
-// The limits where a configuration sets none.
+// The limits if the configuration sets none.
 const (
 	DefaultHeader = 10 * time.Second
 	DefaultIdle   = 20 * time.Second
 )
 
-// FromMilliseconds gives limits as configurations have them; those that are not above 0 are
-// the defaults.
+// FromMilliseconds returns the limits for values in milliseconds. For a value that is not above 0 it
+// uses the default.
 func FromMilliseconds(header, idle int) Limits {
 	limits := Limits{Header: DefaultHeader, Idle: DefaultIdle}
 	if header > 0 {
@@ -40,23 +41,24 @@
 	return limits
 }
 
-// timeoutResponse is what a client gets whose header is late.
+// timeoutResponse is sent to a client whose header was not complete in time.
 const timeoutResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// writeTimeout bounds the sending of that response to a client that does not read.
+// writeTimeout limits how long sending timeoutResponse may take if the client does not read.
 const writeTimeout = time.Second
 
-// Guard holds the connections of one server to the limits.
+// Guard enforces the limits for the connections of one server.
 type Guard struct {
 	mu     sync.Mutex
 	limits Limits
 	open   map[*conn]bool
 }
 
-// New gives a guard with its first limits.
+// New returns a guard with the given initial limits.
 func New(limits Limits) *Guard { return &Guard{limits: limits, open: map[*conn]bool{}} }
 
-// SetLimits changes the limits, also of connections that are open: time that went by counts.
+// SetLimits changes the limits. They also apply to open connections, whose time in the current phase
+// counts from its start.
 func (g *Guard) SetLimits(limits Limits) {
 	g.mu.Lock()
 	if g.limits == limits {
@@ -76,8 +78,8 @@
 	}
 }
 
-// Install has a server tell the guard of its connections' states. The server must serve a
-// listener and a handler of the guard's, and have no time-outs of its own for either span.
+// Install makes a server report the states of its connections to the guard. The server must use a
+// listener from Listener and a handler from Handler, and set no header or idle timeout itself.
 func (g *Guard) Install(server *http.Server) {
 	server.ConnState = func(c net.Conn, state http.ConnState) {
 		if c, ok := c.(*conn); ok {
@@ -89,10 +91,11 @@
 	}
 }
 
-// Listener has the connections of a listener guarded.
+// Listener wraps a listener so that the limits apply to its connections.
 func (g *Guard) Listener(l net.Listener) net.Listener { return &listener{l, g} }
 
-// Handler calls a handler for requests whose connection was not timed out.
+// Handler wraps a handler. It aborts requests whose connection has timed out instead of calling the
+// handler.
 func (g *Guard) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(connKey{}).(*conn); ok && c.timedOut() {
@@ -138,14 +141,14 @@
 	return c, nil
 }
 
-// phase is what a connection is doing.
+// phase is the state of a connection.
 type phase int
 
 const (
-	idle          phase = iota // no byte of the next request has come
-	readingHeader              // some have
-	serving                    // its header is complete, and its response is not
-	expired                    // it was closed for taking too long
+	idle          phase = iota // no byte of the next request has arrived
+	readingHeader              // the first byte of a request has arrived, but its header is not complete
+	serving                    // the header of a request is complete, but the response is not
+	expired                    // the guard closed the connection because a limit was exceeded
 	closed
 )
 
@@ -160,7 +163,7 @@
 	timer *time.Timer
 }
 
-// Read notes the first byte of a request.
+// Read reads from the connection and starts the header phase at the first byte of a request.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -173,7 +176,7 @@
 	return n, err
 }
 
-// serverState follows what the server says of the connection.
+// serverState updates the phase to a connection state that the server reports.
 func (c *conn) serverState(state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,13 +200,13 @@
 	return c.phase == expired
 }
 
-// enter begins a phase. The caller holds mu.
+// enter starts a phase and its timer. The caller holds mu.
 func (c *conn) enter(next phase) {
 	c.phase, c.since = next, time.Now()
 	c.arm()
 }
 
-// limit is how long the present phase may last; 0 is for ever. The caller holds mu.
+// limit returns how long the current phase may last, or 0 for no limit. The caller holds mu.
 func (c *conn) limit() time.Duration {
 	switch c.phase {
 	case idle:
@@ -214,7 +217,7 @@
 	return 0
 }
 
-// arm sets the timer to the end of the present phase, if it has one. The caller holds mu.
+// arm sets the timer to the time limit of the current phase, if it has one. The caller holds mu.
 func (c *conn) arm() {
 	if c.timer != nil {
 		c.timer.Stop()
@@ -231,13 +234,13 @@
 	c.timer.Reset(left)
 }
 
-// expire closes the connection if its phase has lasted too long.
+// expire closes the connection if its current phase has exceeded its limit.
 func (c *conn) expire() {
 	c.mu.Lock()
 	limit := c.limit()
 	if limit <= 0 || time.Since(c.since) < limit {
 		c.mu.Unlock()
-		return // the phase has changed since the timer went off
+		return // the phase or the limit changed after the timer fired
 	}
 	late := c.phase == readingHeader
 	c.phase = expired
--- a/internal/conntimeout/conntimeout_test.go
+++ b/internal/conntimeout/conntimeout_test.go
@@ -30,7 +30,7 @@
 func (l *oneConn) Close() error   { return nil }
 func (l *oneConn) Addr() net.Addr { return l.addr }
 
-// acceptGuarded gives a guarded connection and the client's end of it.
+// acceptGuarded returns a guarded connection and the client's end of it.
 func acceptGuarded(t *testing.T, g *Guard) (*conn, net.Conn) {
 	client, server := net.Pipe()
 	l := &oneConn{conns: make(chan net.Conn, 1)}
@@ -40,8 +40,8 @@
 	return c.(*conn), client
 }
 
-// TestExpiredIsNotServed: a request whose header was completed in the very moment in which its
-// connection got a 408 does not reach the handler.
+// TestExpiredIsNotServed checks that a request does not reach the handler if its header is complete
+// only when its connection has already received a 408.
 func TestExpiredIsNotServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(Limits{Header: time.Second})
@@ -63,8 +63,8 @@
 	})
 }
 
-// TestServingHasNoLimit: while a request is served, and where there is no limit, a connection
-// stays open.
+// TestServingHasNoLimit checks that a connection stays open while a request is served, and while no
+// limit is set.
 func TestServingHasNoLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(Limits{Header: time.Second, Idle: time.Second})
@@ -77,7 +77,7 @@
 		time.Sleep(time.Hour)
 		require.False(t, c.timedOut())
 		g.SetLimits(Limits{Idle: time.Minute})
-		time.Sleep(time.Millisecond) // no timer is started for no span
+		time.Sleep(time.Millisecond) // the timer fires after at least 1 ns
 		require.True(t, c.timedOut())
 		client.Close()
 	})
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden holds the encodings of messages and stored records against files that an
-// earlier release wrote, so that a rolling upgrade can exchange messages with that release and
-// read its data. Names of Go types and fields may change; the bytes may not.
+// Package golden compares the encodings of messages and stored records with files that an earlier
+// release wrote, so that a release can exchange messages with the earlier one during a rolling
+// upgrade and read its data. Names of Go types and fields may change; the encoded bytes may not.
 package golden
 
 import (
@@ -19,8 +19,8 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// writeVariable is the environment variable that makes Check write its file instead of
-// comparing with it, for messages that are new.
+// writeVariable is the environment variable that makes Check and CheckJSON write their file before
+// they compare with it. It is used to record new messages.
 const writeVariable = "KEELSTAIR_GOLDEN_WRITE"
 
 // Message is a value with generated MessagePack methods.
@@ -29,9 +29,9 @@
 	msgp.Unmarshaler
 }
 
-// Check fills each message with values that depend on the order of its fields alone, and
-// compares its encoding with the line of that name in the file. The recorded bytes must also
-// decode to an equal message. The file has a line "name hex" for each message and no other.
+// Check fills each message with values that depend only on the order of its fields, and compares
+// its encoding with the line of that name in the file. The recorded bytes must also decode to an
+// equal message. The file must contain exactly one line "name hex" for each message.
 func Check(t *testing.T, file string, messages map[string]Message) {
 	t.Helper()
 	names := slices.Sorted(maps.Keys(messages))
@@ -39,7 +39,7 @@
 		write(t, file, names, messages)
 	}
 	recorded := read(t, file)
-	require.Equal(t, slices.Sorted(maps.Keys(recorded)), names, "messages on file and in the test")
+	require.Equal(t, slices.Sorted(maps.Keys(recorded)), names, "messages in the file and in the test")
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
 			message := messages[name]
@@ -84,7 +84,7 @@
 	return recorded
 }
 
-// CheckJSON fills a value like Check and compares its JSON with a file.
+// CheckJSON fills a value as Check does and compares its JSON encoding with a file.
 func CheckJSON(t *testing.T, file string, pointer any) {
 	t.Helper()
 	Fill(pointer)
@@ -98,8 +98,8 @@
 	require.Equal(t, string(recorded), string(encoded)+"\n")
 }
 
-// Fill sets every exported field that a pointer to a struct reaches: numbers count up in the
-// order of the fields, strings hold such a number, slices get two elements and maps one.
+// Fill sets every exported field that is reachable from a pointer to a struct: numbers increase in
+// the order of the fields, strings contain such a number, slices get two elements and maps one.
 func Fill(pointer any) {
 	next := 0
 	fill(reflect.ValueOf(pointer).Elem(), &next)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads settings: a JSON file first, flags over it, and then a
-// check that names the field that is off.
+// Package settings reads the settings of a program from flags and an optional JSON file, and checks them.
+// Flags take precedence over the file, and the file over the defaults.
 package settings
 
 import (
@@ -15,14 +15,15 @@
 	"keelstair.example/failure"
 )
 
-// Settings is what a program's settings struct must do.
+// Settings is implemented by a program's settings struct. File returns the path of the JSON file, or ""
+// without one. Check returns an error that names the first invalid field.
 type Settings interface {
 	File() string
 	Check() error
 }
 
-// Read fills s from the arguments. It ends the process for --help, and with
-// one clear line and code 2 where something is off.
+// Read fills s from the arguments. It exits with code 0 after printing the help for --help, and with code 2
+// after printing an error on one line if the settings are invalid.
 func Read(s Settings, program, about string, args []string) {
 	if err := Parse(s, program, about, args); err != nil {
 		if errors.Is(err, errHelp) {
@@ -33,9 +34,9 @@
 	}
 }
 
-var errHelp = errors.New("help was asked for")
+var errHelp = errors.New("help was requested")
 
-// Parse is Read without ending the process.
+// Parse is like Read, but returns an error instead of exiting.
 func Parse(s Settings, program, about string, args []string) error {
 	p, err := arg.NewParser(arg.Config{Program: program}, s)
 	if err != nil {
@@ -53,7 +54,7 @@
 		if err := loadFile(path, s); err != nil {
 			return err
 		}
-		// Flags stand over the file, and the file over the defaults.
+		// The flags are parsed a second time, without defaults, to take precedence over the file.
 		if p, err = arg.NewParser(arg.Config{Program: program, IgnoreDefault: true}, s); err != nil {
 			return failure.As(err, failure.InvalidArgument, "read flags", program)
 		}
@@ -74,26 +75,26 @@
 	return failure.As(decoder.Decode(s), failure.InvalidArgument, "read settings", path)
 }
 
-// Invalid names a field that is off.
+// Invalid returns an error for an invalid field.
 func Invalid(field, format string, args ...any) error {
 	return failure.New(failure.InvalidArgument, "check settings", field, format, args...)
 }
 
-// Addr checks an address by IP number and port.
+// Addr checks that an address consists of an IP address and a port.
 func Addr(field, addr string) error {
 	if addr == "" {
-		return Invalid(field, "it is missing")
+		return Invalid(field, "a value is required")
 	}
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		return Invalid(field, "%q is no IP number with a port", addr)
+		return Invalid(field, "%q is not an IP address with a port", addr)
 	}
 	return nil
 }
 
-// Seeds checks the three seed addresses.
+// Seeds checks that there are three valid seed addresses.
 func Seeds(field string, seeds []string) error {
 	if len(seeds) != 3 {
-		return Invalid(field, "three are needed, %d given", len(seeds))
+		return Invalid(field, "three addresses are required, %d given", len(seeds))
 	}
 	for i, a := range seeds {
 		if err := Addr(fmt.Sprintf("%s[%d]", field, i), a); err != nil {
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// FirstError gives the first error of several checks.
+// FirstError returns the first error that is not nil.
 func FirstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,4 +1,4 @@
-// Settings: what stands over what, and that every fault names its field.
+// Tests of the precedence of settings and of the errors for invalid fields.
 
 package settings
 
@@ -22,15 +22,16 @@
 func (s *sample) File() string { return s.Settings }
 func (s *sample) Check() error { return FirstError(Addr("addr", s.Addr), Seeds("seeds", s.Seeds)) }
 
-// TestSettings: a file, flags over it, and a fault that names its field.
+// TestSettings checks that flags take precedence over the file and the file over the defaults, and that an
+// error names the invalid field.
 func TestSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.json")
 	put := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o644)) }
 	put(`{"addr":"10.0.0.1:7","seeds":["10.0.0.1:7","10.0.0.2:7","10.0.0.3:7"],"beatMs":150}`)
 	s := &sample{}
 	require.NoError(t, Parse(s, "x", "", []string{"--settings", path, "--addr", "10.0.0.9:7"}))
-	require.Equal(t, "10.0.0.9:7", s.Addr, "a flag stands over the file")
-	require.Equal(t, 150, s.BeatMs, "the file stands over the default")
+	require.Equal(t, "10.0.0.9:7", s.Addr, "a flag takes precedence over the file")
+	require.Equal(t, 150, s.BeatMs, "the file takes precedence over the default")
 	for text, field := range map[string]string{
 		`{"addr":"host:7","seeds":["10.0.0.1:7","10.0.0.2:7","10.0.0.3:7"]}`: "addr",
 		`{"addr":"10.0.0.1:7","seeds":["10.0.0.1:7"]}`:                       "seeds",
