--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -1,5 +1,5 @@
-// Keelstair-controller runs the control plane. On a machine with a disk it stores one copy of the
-// election register and acts as the primary, the backup or a spare.
+// Keelstair-controller runs the control plane. On a machine with a disk it stores a register for
+// elections and is the primary, the backup or a spare.
 package main
 
 import (
--- a/cmd/keelstairctl/certificates.go
+++ b/cmd/keelstairctl/certificates.go
@@ -163,7 +163,7 @@
 	if err := s.request(http.MethodPost, "/v1/certificates/"+c.Name, request, nil); err != nil {
 		return err
 	}
-	fmt.Println("the revocation is active at all nodes")
+	fmt.Println("the revocation is in force at all nodes")
 	return nil
 }
 
--- a/internal/cli/request.go
+++ b/internal/cli/request.go
@@ -15,8 +15,8 @@
 	"keelstair.example/rpc"
 )
 
-// ExitError is a failed request with the exit code that it maps to: 2 for an invalid request, 3 for a
-// conflict, 4 for an unavailable service, 5 for a request that may have been executed.
+// ExitError is a failed request with its exit code for operators: 3 for a conflict, 4 for an unavailable
+// service, 5 for an operation that may have been executed, 2 for any other error response.
 type ExitError struct {
 	Code int
 	text string
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -65,5 +65,5 @@
 }
 
 // NewRing returns the program's logger. It keeps the newest 512 lines in memory and writes them to
-// standard error when an error is logged.
+// standard error when an error is logged. Warnings are written immediately.
 func NewRing(name string) *logging.Ring { return logging.NewRing(512, os.Stderr, name) }
--- a/internal/conntimeout/conntimeout_test.go
+++ b/internal/conntimeout/conntimeout_test.go
@@ -77,7 +77,7 @@
 		time.Sleep(time.Hour)
 		require.False(t, c.timedOut())
 		g.SetLimits(Limits{Idle: time.Minute})
-		time.Sleep(time.Millisecond) // the timer fires after at least 1 ns
+		time.Sleep(time.Millisecond) // an overdue timer fires after 1 ns, not immediately
 		require.True(t, c.timedOut())
 		client.Close()
 	})
