--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -47,12 +47,12 @@
 		return settings.Invalid("zone", "a value is required")
 	}
 	return settings.FirstError(settings.Addr("addr", s.Addr), settings.Seeds("seeds", s.Seeds),
-		checkDuration("beatMs", s.HeartbeatMs, 20, 1000), checkDuration("silenceMs", s.ElectionTimeoutMs, 4*s.HeartbeatMs, 30000),
-		checkDuration(
-			"leaseMs", s.LeaseMs, 2*s.ElectionTimeoutMs, 60000,
-		), checkDuration(
-			"stallMs", s.DiskTimeoutMs, 50, 30000,
-		), checkDuration("graceMs", s.HandOverTimeoutMs, 0, 600000), checkDuration("replaceMs", s.ReplaceAfterMs, s.ElectionTimeoutMs, 600000))
+		checkDuration("beatMs", s.HeartbeatMs, 20, 1000),
+		checkDuration("silenceMs", s.ElectionTimeoutMs, 4*s.HeartbeatMs, 30000),
+		checkDuration("leaseMs", s.LeaseMs, 2*s.ElectionTimeoutMs, 60000),
+		checkDuration("stallMs", s.DiskTimeoutMs, 50, 30000),
+		checkDuration("graceMs", s.HandOverTimeoutMs, 0, 600000),
+		checkDuration("replaceMs", s.ReplaceAfterMs, s.ElectionTimeoutMs, 600000))
 }
 
 func main() {
--- a/cmd/keelstair-router/main.go
+++ b/cmd/keelstair-router/main.go
@@ -41,7 +41,7 @@
 	case s.LeaseMs < 500 || s.LeaseMs > 60000:
 		return settings.Invalid("leaseMs", "%d ms is not between 500 and 60000 ms", s.LeaseMs)
 	case s.OrphanTimeoutMs < 100 || s.StreamTimeoutMs < 500:
-		return settings.Invalid("orphanMs, pulseMs", "orphanMs must be at least 100 and pulseMs at least 500")
+		return settings.Invalid("orphanMs, pulseMs", "orphanMs must be at least 100 ms and pulseMs at least 500 ms")
 	case s.DrainTimeoutMs < 0:
 		return settings.Invalid("drainMs", "must not be negative")
 	}
--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -75,7 +75,12 @@
 
 func main() {
 	s := &options{}
-	settings.Read(s, "standin", "Keelstair-standin runs stand-ins for the workers, the platform and the clients of keelstair.", os.Args[1:])
+	settings.Read(
+		s,
+		"standin",
+		"Keelstair-standin runs stand-ins for the workers, the platform and the clients of keelstair.",
+		os.Args[1:],
+	)
 	host, err := host.Real("")
 	cli.ExitOnError("standin", err)
 	ctx, stop := cli.SignalContext()
--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -135,7 +135,9 @@
 		}
 	}
 	logf("the zone's workers last started a prefill or a run %.2f s after the evacuation was requested", at.Seconds())
-	if err := cli.Request(f.frontends(), http.MethodPost, path, api.MarkRequest{Op: coordination.NewID()}, nil); err != nil {
+	if err := cli.Request(f.frontends(), http.MethodPost, path, api.MarkRequest{
+		Op: coordination.NewID(),
+	}, nil); err != nil {
 		logf("%v", err)
 	}
 }
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -38,13 +38,16 @@
 }
 
 type fleet struct {
-	opt           *upCmd
-	site          standin.Site
-	mu            sync.Mutex
-	procs         []*process
-	seeds         []string
-	platform      string
-	allowedStarts map[string]int // for workers without a valid certificate, the governed steps started before the revocation
+	opt      *upCmd
+	site     standin.Site
+	mu       sync.Mutex
+	procs    []*process
+	seeds    []string
+	platform string
+
+	// allowedStarts holds, for each worker without a valid certificate, how many governed steps it may have
+	// started: the number 2 s after its revocation was acknowledged, or 0 if it was never certified.
+	allowedStarts map[string]int
 }
 
 func (f *fleet) startProcess(p *process) error {
@@ -59,7 +62,7 @@
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
 	p.Pid, p.exited = p.cmd.Process.Pid, make(chan struct{})
-	go func(c *exec.Cmd, gone chan struct{}) { c.Wait(); close(gone) }(p.cmd, p.exited)
+	go func(c *exec.Cmd, exited chan struct{}) { c.Wait(); close(exited) }(p.cmd, p.exited)
 	return nil
 }
 
--- a/cmd/keelstair-testbed/main.go
+++ b/cmd/keelstair-testbed/main.go
@@ -60,7 +60,12 @@
 
 func main() {
 	s := &options{}
-	settings.Read(s, "keelstair-testbed", "Keelstair-testbed starts a fleet on this machine and injects faults into it.", os.Args[1:])
+	settings.Read(
+		s,
+		"keelstair-testbed",
+		"Keelstair-testbed starts a fleet on this machine and injects faults into it.",
+		os.Args[1:],
+	)
 	ctx, stop := cli.SignalContext()
 	defer stop()
 	if s.Run != nil {
--- a/cmd/keelstairctl/audit.go
+++ b/cmd/keelstairctl/audit.go
@@ -111,7 +111,7 @@
 		return page, s.request(http.MethodGet, fmt.Sprintf("/v1/audit?from=%d", from), nil, page)
 	}, out)
 	if err == nil {
-		fmt.Fprintf(os.Stderr, "%d rows added, the hash chain is intact\n", n)
+		fmt.Fprintf(os.Stderr, "%d rows, the hash chain is intact\n", n)
 	}
 	return err
 }
--- a/cmd/keelstairctl/certificates.go
+++ b/cmd/keelstairctl/certificates.go
@@ -185,13 +185,27 @@
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	for _, regime := range response.Regimes {
-		fmt.Fprintf(out, "\n%s governs %s, reserves %d%% of the cache blocks\n", regime.Name, strings.Join(regime.Kinds, ", "), regime.ReservedPercent)
+		fmt.Fprintf(
+			out,
+			"\n%s governs %s, reserves %d%% of the cache blocks\n",
+			regime.Name,
+			strings.Join(regime.Kinds, ", "),
+			regime.ReservedPercent,
+		)
 		for _, certificate := range regime.Certificates {
 			subject := certificate.Subject().String()
 			for _, role := range certificate.Roles {
 				subject += " " + string(role)
 			}
-			fmt.Fprintf(out, "  %s\t%s\tuntil %s\t%s\tby %s\n", certificate.Serial, subject, formatTime(certificate.Ends), certificate.State, certificate.Issuer)
+			fmt.Fprintf(
+				out,
+				"  %s\t%s\tuntil %s\t%s\tby %s\n",
+				certificate.Serial,
+				subject,
+				formatTime(certificate.Ends),
+				certificate.State,
+				certificate.Issuer,
+			)
 		}
 		for _, shortage := range regime.Shortages {
 			fmt.Fprintf(out, "  shortage: no certified %s\n", shortage)
