--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -153,7 +153,7 @@
 			logf("%v", err)
 		}
 		previous.kill()
-		os.RemoveAll(previous.Data)
+		os.RemoveAll(previous.DataDir)
 		addrs, err := freeAddrs(1)
 		if err != nil {
 			logf("%v", err)
@@ -176,7 +176,7 @@
 
 // injectFault injects the fault with the given name.
 func (f *fleet) injectFault(ctx context.Context, fault string) {
-	leader := f.leadingController()
+	primary := f.primaryController()
 	logf("injecting fault: %s", fault)
 	restart := func(p *process, wait time.Duration) {
 		if host.Sleep(ctx, wait) {
@@ -187,12 +187,12 @@
 	}
 	switch fault {
 	case "controller":
-		leader.kill()
-		restart(leader, 5*time.Second)
+		primary.kill()
+		restart(primary, 5*time.Second)
 	case "wipe":
-		leader.kill()
-		os.RemoveAll(leader.Data)
-		restart(leader, 2*time.Second)
+		primary.kill()
+		os.RemoveAll(primary.DataDir)
+		restart(primary, 2*time.Second)
 	case "core":
 		for _, p := range f.processes("controller") {
 			p.kill()
@@ -205,22 +205,22 @@
 	case "worker":
 		f.processes("worker-d")[0].kill()
 	case "freeze":
-		leader.signal(syscall.SIGSTOP)
-		v := f.processes("router")[0]
-		v.signal(syscall.SIGSTOP)
+		primary.signal(syscall.SIGSTOP)
+		router := f.processes("router")[0]
+		router.signal(syscall.SIGSTOP)
 		host.Sleep(ctx, 6*time.Second)
-		leader.signal(syscall.SIGCONT)
-		v.signal(syscall.SIGCONT)
+		primary.signal(syscall.SIGCONT)
+		router.signal(syscall.SIGCONT)
 	case "ack":
 		// The primary is killed and its data deleted right after it acknowledged a change.
 		if err := f.applyPartial(ctx, "ack", `{"limits":{"retryAfterMs":1234}}`); err != nil {
 			logf("%v", err)
 		}
-		leader.kill()
-		os.RemoveAll(leader.Data)
+		primary.kill()
+		os.RemoveAll(primary.DataDir)
 		host.Sleep(ctx, 3*time.Second)
 		f.reportLimit("limits.retryAfterMs", 1234)
-		restart(leader, 0)
+		restart(primary, 0)
 	case "race":
 		f.raceOperators(ctx)
 	case "evacuate":
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -29,7 +29,7 @@
 	Zone     ids.Zone `json:"zone"`
 	Addr     string   `json:"addr"`
 	Frontend string   `json:"door,omitempty"`
-	Data     string   `json:"data,omitempty"`
+	DataDir  string   `json:"data,omitempty"`
 	Pid      int      `json:"pid"`
 
 	args   []string
@@ -126,12 +126,12 @@
 func (f *fleet) newController(name, addr string, zone ids.Zone) *process {
 	data := filepath.Join(f.opt.Dir, name)
 	return &process{
-		Name: name,
-		Kind: "controller",
-		Zone: zone,
-		Addr: addr,
-		Data: data,
-		args: append([]string{"--addr", addr, "--zone", string(zone), "--data", data, "--seeds"}, f.seeds...),
+		Name:    name,
+		Kind:    "controller",
+		Zone:    zone,
+		Addr:    addr,
+		DataDir: data,
+		args:    append([]string{"--addr", addr, "--zone", string(zone), "--data", data, "--seeds"}, f.seeds...),
 	}
 }
 
--- a/cmd/keelstair-testbed/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -125,11 +125,11 @@
 func (f *fleet) revokeCertificates(ctx context.Context) {
 	for i, name := range []string{"d1", "p1", "d2"} {
 		if i == 1 {
-			leader := f.leadingController()
+			primary := f.primaryController()
 			go func() {
-				leader.kill()
+				primary.kill()
 				if host.Sleep(ctx, 2*time.Second) {
-					f.startProcess(leader)
+					f.startProcess(primary)
 				}
 			}()
 		}
@@ -161,8 +161,8 @@
 	if !f.opt.Regimes {
 		return
 	}
-	names := f.site.WorkerIDs()
-	f.allowedStarts[string(names[f.site.Prefill-1])], f.allowedStarts[string(names[len(names)-1])] = 0, 0
+	workerIDs := f.site.WorkerIDs()
+	f.allowedStarts[string(workerIDs[f.site.Prefill-1])], f.allowedStarts[string(workerIDs[len(workerIDs)-1])] = 0, 0
 	total, uncertified := 0, 0
 	for name, n := range f.governedStarts() {
 		total += n
--- a/cmd/keelstair-testbed/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -77,8 +77,8 @@
 // kind of request, and for the frontends of each zone that still has a running node.
 func (f *fleet) longestOutages(outcomes []standin.Outcome, from, to time.Duration) []string {
 	var out []string
-	record := func(name string, counts func(standin.Outcome) bool) {
-		out = append(out, fmt.Sprintf("%s %.2f s", name, standin.LongestOutage(outcomes, from, to, counts).Seconds()))
+	record := func(name string, include func(standin.Outcome) bool) {
+		out = append(out, fmt.Sprintf("%s %.2f s", name, standin.LongestOutage(outcomes, from, to, include).Seconds()))
 	}
 	for _, class := range f.site.Classes {
 		record(class.Kind, func(o standin.Outcome) bool { return o.Kind == class.Kind })
@@ -129,7 +129,7 @@
 	return runs, duplicates
 }
 
-func (f *fleet) leadingController() *process {
+func (f *fleet) primaryController() *process {
 	for _, p := range f.processes("controller") {
 		var status struct{ Leads bool }
 		r, err := httpClient.Get("http://" + p.Addr + "/v1/status")
--- a/cmd/keelstairctl/main_test.go
+++ b/cmd/keelstairctl/main_test.go
@@ -43,47 +43,47 @@
 
 // fetchFrom returns a function that serves pages of up to 3 rows of an audit log, like a fleet that
 // retains the rows from first on.
-func fetchFrom(all []json.RawMessage, first int) func(int) (*api.AuditPage, error) {
+func fetchFrom(rows []json.RawMessage, first int) func(int) (*api.AuditPage, error) {
 	return func(from int) (*api.AuditPage, error) {
-		got := &api.AuditPage{First: first, Count: len(all)}
-		for i := max(from, first); i <= len(all) && len(got.Rows) < 3; i++ {
-			got.Rows = append(got.Rows, all[i-1])
+		page := &api.AuditPage{First: first, Count: len(rows)}
+		for i := max(from, first); i <= len(rows) && len(page.Rows) < 3; i++ {
+			page.Rows = append(page.Rows, rows[i-1])
 		}
 		var r fleetstate.AuditRow
-		if len(all) > 0 {
-			json.Unmarshal(all[len(all)-1], &r)
+		if len(rows) > 0 {
+			json.Unmarshal(rows[len(rows)-1], &r)
 		}
-		got.Head = r.Hash
-		return got, nil
+		page.Head = r.Hash
+		return page, nil
 	}
 }
 
 // TestFetchRows checks that an export is extended with the rows it lacks, and that rows that were removed
 // or changed in the export or in the fleet's audit log are detected.
 func TestFetchRows(t *testing.T) {
-	all := auditLines(10, "a")
+	rows := auditLines(10, "a")
 	var file bytes.Buffer
-	n, err := fetchRows(nil, fetchFrom(all[:7], 1), &file)
+	n, err := fetchRows(nil, fetchFrom(rows[:7], 1), &file)
 	require.NoError(t, err)
 	require.Equal(t, 7, n)
 	last, err := verifyExport(bytes.NewReader(file.Bytes()))
 	require.NoError(t, err)
-	n, err = fetchRows(last, fetchFrom(all, 5), &file)
+	n, err = fetchRows(last, fetchFrom(rows, 5), &file)
 	require.NoError(t, err)
 	require.Equal(t, 3, n)
 	require.Equal(t, 10, strings.Count(file.String(), "\n"))
 	last, err = verifyExport(&file)
 	require.NoError(t, err)
-	n, err = fetchRows(last, fetchFrom(all, 5), &file)
+	n, err = fetchRows(last, fetchFrom(rows, 5), &file)
 	require.NoError(t, err)
 	require.Zero(t, n)
 	var rest bytes.Buffer
-	n, err = fetchRows(nil, fetchFrom(all, 5), &rest)
+	n, err = fetchRows(nil, fetchFrom(rows, 5), &rest)
 	require.NoError(t, err)
 	require.Equal(t, 6, n, "without an export, it starts at the oldest row retained")
-	short := append(append([]json.RawMessage{}, all[:8]...), all[9])
+	withGap := append(append([]json.RawMessage{}, rows[:8]...), rows[9])
 	for want, fetch := range map[string]func(int) (*api.AuditPage, error){
-		"ends at row 8":          fetchFrom(all[:8], 1),
+		"ends at row 8":          fetchFrom(rows[:8], 1),
 		"is not the one":         fetchFrom(auditLines(10, "b"), 1),
 		"does not follow row 10": fetchFrom(auditLines(12, "b"), 1),
 		"what lies between":      fetchFrom(auditLines(20, "a"), 15),
@@ -91,9 +91,9 @@
 		_, err = fetchRows(last, fetch, &rest)
 		require.ErrorContains(t, err, want)
 	}
-	_, err = fetchRows(nil, fetchFrom(short, 1), &rest)
+	_, err = fetchRows(nil, fetchFrom(withGap, 1), &rest)
 	require.ErrorContains(t, err, "rows were removed")
-	_, err = verifyExport(strings.NewReader(string(all[0]) + "\n" + string(all[2]) + "\n"))
+	_, err = verifyExport(strings.NewReader(string(rows[0]) + "\n" + string(rows[2]) + "\n"))
 	require.ErrorContains(t, err, "rows were removed")
 	_, err = verifyExport(strings.NewReader("hello\n"))
 	require.ErrorContains(t, err, "line 1")
