--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// raceOperators has two operators concurrently change the same base version, in several rounds. One of
-// them must succeed in each round.
+// raceOperators has two operators change the configuration concurrently, in several rounds, and logs how
+// many succeed. Of two changes with the same base version, one must succeed.
 func (f *fleet) raceOperators(ctx context.Context) {
 	for round := range 6 {
 		var wg sync.WaitGroup
--- a/internal/cli/request.go
+++ b/internal/cli/request.go
@@ -23,7 +23,7 @@
 }
 
 // Error returns the message for the operator.
-func (t *ExitError) Error() string { return t.text }
+func (e *ExitError) Error() string { return e.text }
 
 // CheckEndpoints checks a list of frontend addresses. A single element is first split at commas.
 func CheckEndpoints(endpoints *[]string) error {
--- a/internal/conntimeout/conntimeout.go
+++ b/internal/conntimeout/conntimeout.go
@@ -66,12 +66,12 @@
 		return
 	}
 	g.limits = limits
-	all := make([]*conn, 0, len(g.open))
+	conns := make([]*conn, 0, len(g.open))
 	for c := range g.open {
-		all = append(all, c)
+		conns = append(conns, c)
 	}
 	g.mu.Unlock()
-	for _, c := range all {
+	for _, c := range conns {
 		c.mu.Lock()
 		c.arm()
 		c.mu.Unlock()
