--- /dev/null
+++ b/internal/cli/request.go
@@ -0,0 +1,68 @@
+// Requests of the operators' programs to the frontends of nodes. Each kind of failure has an exit code of
+// its own.
+
+package cli
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"strings"
+	"time"
+
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/settings"
+	"keelstair.example/rpc"
+)
+
+// ExitError is a failed request with its exit code for operators: 3 for a conflict, 4 for an unavailable
+// service, 5 for an operation that may have been executed, 2 for any other error response.
+type ExitError struct {
+	Code int
+	text string
+}
+
+// Error returns the message for the operator.
+func (e *ExitError) Error() string { return e.text }
+
+// CheckEndpoints checks a list of frontend addresses. A single element is first split at commas.
+func CheckEndpoints(endpoints *[]string) error {
+	if len(*endpoints) == 1 {
+		*endpoints = strings.Split((*endpoints)[0], ",")
+	}
+	if len(*endpoints) == 0 {
+		return settings.Invalid("doors", "at least one address is required (--doors or KEELSTAIR_DOORS)")
+	}
+	for _, endpoint := range *endpoints {
+		if err := settings.Addr("doors", endpoint); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Request sends a request to the endpoints until one returns a final result, within 10 s, and decodes the
+// result into out. An error response is returned as an ExitError, and so is an error after which a POST
+// may have been executed.
+func Request(endpoints []string, method, path string, in, out any) error {
+	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
+	defer stop()
+	err := api.Send(ctx, &http.Client{}, endpoints, method, path, in, out)
+	var fault *api.Fault
+	if !errors.As(err, &fault) {
+		if err != nil && method == http.MethodPost && !rpc.IsDialError(err) {
+			return &ExitError{5, err.Error()}
+		}
+		return err
+	}
+	exitErr := &ExitError{2, strings.TrimSpace(fault.Name + " " + fault.Field + ": " + fault.Detail)}
+	switch fault.Code {
+	case http.StatusServiceUnavailable:
+		exitErr.Code = 4
+	case http.StatusConflict:
+		exitErr.Code = 3
+	case http.StatusGatewayTimeout:
+		exitErr.Code = 5
+	}
+	return exitErr
+}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -1,4 +1,5 @@
-// Package cli is what the thin programs share: signals, listeners, the ring.
+// Package cli contains what the programs have in common: signals, servers, logging, and requests of the
+// operators' programs.
 package cli
 
 import (
@@ -15,53 +16,54 @@
 	"keelstair.example/rpc"
 )
 
-// Signals ends the context on SIGTERM or an interrupt.
-func Signals() (context.Context, context.CancelFunc) {
+// SignalContext returns a context that ends on SIGTERM or an interrupt.
+func SignalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
-// Leaver is what hands over before it ends.
+// Leaver hands over its roles to other processes before it shuts down.
 type Leaver interface {
 	Leave(ctx context.Context) error
 }
 
-// HandOver gives a context for a process that is to hand over when it is asked to end. It ends
-// once that is done, or a span after the asking.
-func HandOver(asked context.Context, l Leaver, span time.Duration) context.Context {
+// HandOverContext returns the context for a process that hands over its roles before it shuts down. It
+// calls Leave when shutdown ends, and the returned context ends when Leave returns. Leave's context has
+// the given timeout.
+func HandOverContext(shutdown context.Context, leaver Leaver, timeout time.Duration) context.Context {
 	ctx, end := context.WithCancel(context.Background())
 	go func() {
 		defer end()
-		<-asked.Done()
-		within, stop := context.WithTimeout(context.Background(), span)
+		<-shutdown.Done()
+		leaveCtx, stop := context.WithTimeout(context.Background(), timeout)
 		defer stop()
-		l.Leave(within) // it logs what stood in its way; the process ends all the same
+		leaver.Leave(leaveCtx) // Leave logs its error; the process shuts down regardless
 	}()
 	return ctx
 }
 
-// Fail prints one clear line and ends the process.
-func Fail(program string, err error) {
+// ExitOnError prints an error on one line and exits with code 1. It does nothing if err is nil.
+func ExitOnError(program string, err error) {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
 		os.Exit(1)
 	}
 }
 
-// Serve listens and answers in the background until the context ends; fail gets
-// what goes wrong.
+// Serve listens on addr and serves requests in the background until the context ends. It passes errors
+// to fail.
 func Serve(ctx context.Context, host host.Host, addr string, mux *http.ServeMux, fail func(error)) {
-	l, err := host.Net.Listen(addr)
+	listener, err := host.Net.Listen(addr)
 	if err != nil {
 		fail(err)
 		return
 	}
 	go func() {
-		if err := rpc.Serve(ctx, l, mux); err != nil {
+		if err := rpc.Serve(ctx, listener, mux); err != nil {
 			fail(err)
 		}
 	}()
 }
 
-// Ring is the program's log: it pours to the error output when something goes
-// wrong.
-func Ring(name string) *logging.Ring { return logging.NewRing(512, os.Stderr, name) }
+// NewRing returns the program's logger. It keeps the newest 512 lines in memory and writes them to
+// standard error when an error is logged. Warnings are written immediately.
+func NewRing(name string) *logging.Ring { return logging.NewRing(512, os.Stderr, name) }
--- a/internal/conntimeout/conntimeout_test.go
+++ b/internal/conntimeout/conntimeout_test.go
@@ -30,8 +30,8 @@
 func (l *oneConn) Close() error   { return nil }
 func (l *oneConn) Addr() net.Addr { return l.addr }
 
-// accepted gives a guarded connection and the client's end of it.
-func accepted(t *testing.T, g *Guard) (*conn, net.Conn) {
+// acceptGuarded returns a guarded connection and the client's end of it.
+func acceptGuarded(t *testing.T, g *Guard) (*conn, net.Conn) {
 	client, server := net.Pipe()
 	l := &oneConn{conns: make(chan net.Conn, 1)}
 	l.conns <- server
@@ -40,12 +40,12 @@
 	return c.(*conn), client
 }
 
-// TestExpiredIsNotServed: a request whose header was completed in the very moment in which its
-// connection got a 408 does not reach the handler.
+// TestExpiredIsNotServed checks that a request does not reach the handler if its header is complete
+// only when its connection has already received a 408.
 func TestExpiredIsNotServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(Limits{Header: time.Second})
-		c, client := accepted(t, g)
+		c, client := acceptGuarded(t, g)
 		go client.Write([]byte("G"))
 		_, err := c.Read(make([]byte, 1))
 		require.NoError(t, err)
@@ -63,12 +63,12 @@
 	})
 }
 
-// TestServingHasNoLimit: while a request is served, and where there is no limit, a connection
-// stays open.
+// TestServingHasNoLimit checks that a connection stays open while a request is served, and while no
+// limit is set.
 func TestServingHasNoLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(Limits{Header: time.Second, Idle: time.Second})
-		c, client := accepted(t, g)
+		c, client := acceptGuarded(t, g)
 		c.serverState(http.StateActive)
 		time.Sleep(time.Hour)
 		require.False(t, c.timedOut())
@@ -77,7 +77,7 @@
 		time.Sleep(time.Hour)
 		require.False(t, c.timedOut())
 		g.SetLimits(Limits{Idle: time.Minute})
-		time.Sleep(time.Millisecond) // no timer is started for no span
+		time.Sleep(time.Millisecond) // an overdue timer fires after 1 ns, not immediately
 		require.True(t, c.timedOut())
 		client.Close()
 	})
