--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,7 +1,8 @@
-// Package duty performs acts outside the fleet that one node may do at a time, such as calls to the
-// platform. Each act follows a round through the log that was won for it (fleetstate.DutyRound). The
-// receiver need not check fences: a holder begins only when acts of earlier holders can no longer
-// be on their way, and each act has a deadline on the steady clock of the node that performs it.
+// Package duty performs actions outside the fleet that only one node may perform at a time, such as calls to
+// the platform. Before each action, the node wins a round for it in the replicated log
+// (fleetstate.DutyRound). The receiver does not need to check fencing tokens: a new owner starts only when
+// no action of an earlier owner can still be in flight, and each action has a deadline on the steady clock
+// of the node that performs it.
 package duty
 
 import (
@@ -18,17 +19,17 @@
 
 const (
 	roundTimeout = 900 * time.Millisecond
-	// startTimeout is how long after its round was asked for an act may still be begun.
+	// startTimeout is how long after the request for its round an action may still start.
 	startTimeout = 1500 * time.Millisecond
-	// CallTimeout bounds a call. It ends, with its connection, before the next holder may begin.
+	// CallTimeout bounds a call. The call and its connection end before the next owner may start one.
 	CallTimeout = 2 * time.Second
 	doneTimeout = 700 * time.Millisecond
 )
 
-// ErrNotHeld says that this node may not act under the key now.
-var ErrNotHeld = errors.New("the duty is not held")
+// ErrNotHeld means that this node may not perform actions under the key.
+var ErrNotHeld = errors.New("this node may not perform actions under the key")
 
-// Agent is what a holder needs of coordination.Agent.
+// Agent is the subset of coordination.Agent that a Runner needs.
 type Agent interface {
 	Self() coordination.Member
 	OwnsKey(key ids.Key) (ids.Fence, bool)
@@ -36,125 +37,127 @@
 	Submit(ctx context.Context, op ids.OpID, kind string, body []byte) (*coordination.SubmitResponse, error)
 }
 
-// Act is an act whose round was won.
-type Act struct {
+// Action is an action whose round this node won.
+type Action struct {
 	Owner   ids.NodeID
 	Fence   ids.Fence
 	Number  uint64
 	Content []byte
-	// MayStart tells whether the act may be begun at this moment. It is asked right before the
-	// first byte of a call is written.
+	// MayStart reports whether the action may start now. It must be checked immediately before the first
+	// byte of a call is written.
 	MayStart func() bool
 }
 
-// Call performs an act. A nil error says that the receiver accepted it.
-type Call func(ctx context.Context, act *Act) error
+// Call performs an action. A nil error means that the receiver accepted it.
+type Call func(ctx context.Context, action *Action) error
 
-// Holder performs the acts of one key's duty while this node owns the key. It is for one
-// goroutine at a time.
-type Holder struct {
-	agent Agent
-	clock host.Clock
-	key   ids.Key
-	wait  time.Duration // from when the key is owned until the first act
-	fence ids.Fence
-	since ids.Tick
+// Runner performs the actions of one key's duty while this node owns the key. Only one goroutine at a time
+// may use it.
+type Runner struct {
+	agent        Agent
+	clock        host.Clock
+	key          ids.Key
+	initialDelay time.Duration // from when this node gets the key until its first action
+	fence        ids.Fence
+	ownedSince   ids.Tick
 }
 
-// NewHolder makes a holder for a key. Lease is how long the core leases keys for.
-func NewHolder(agent Agent, clock host.Clock, key ids.Key, lease time.Duration) *Holder {
-	return &Holder{agent: agent, clock: clock, key: key, wait: lease + lease/5}
+// NewRunner returns a runner for a key. Lease is how long the coordination service leases keys for.
+func NewRunner(agent Agent, clock host.Clock, key ids.Key, lease time.Duration) *Runner {
+	return &Runner{agent: agent, clock: clock, key: key, initialDelay: lease + lease/5}
 }
 
-// Owned tells whether this node owns the key, and whether it may act under it by now.
-func (h *Holder) Owned() (owned, mayAct bool) {
-	fence, ok := h.agent.OwnsKey(h.key)
+// Ownership reports whether this node owns the key, and whether it has owned it long enough to perform
+// actions.
+func (r *Runner) Ownership() (owned, mayAct bool) {
+	fence, ok := r.agent.OwnsKey(r.key)
 	if !ok {
-		h.fence = 0
+		r.fence = 0
 		return false, false
 	}
-	if h.fence != fence {
-		h.fence, h.since = fence, h.clock.Now()
+	if r.fence != fence {
+		r.fence, r.ownedSince = fence, r.clock.Now()
 	}
-	return true, h.clock.Now().Past(h.since, h.wait)
+	return true, r.clock.Now().Past(r.ownedSince, r.initialDelay)
 }
 
-// Perform wins the round for an act and makes the call, unless the act is done already. Number 0 is
-// the act after the newest. A nil error says that the act is done.
-func (h *Holder) Perform(ctx context.Context, subject string, number uint64, content []byte, call Call) error {
-	if _, mayAct := h.Owned(); !mayAct {
+// Perform wins the round for an action and makes the call, unless the action is already done. Number 0 is
+// the action after the newest. A nil error means that the action is done.
+func (r *Runner) Perform(ctx context.Context, subject string, number uint64, content []byte, call Call) error {
+	if _, mayAct := r.Ownership(); !mayAct {
 		return ErrNotHeld
 	}
-	fence, asked := h.fence, h.clock.Now()
-	won, err := h.round(ctx, &fleetstate.DutyRound{
+	fence, requestedAt := r.fence, r.clock.Now()
+	granted, err := r.round(ctx, &fleetstate.DutyRound{
 		Subject: subject,
 		Number:  number,
-		Owner:   h.agent.Self().Node,
+		Owner:   r.agent.Self().Node,
 		Fence:   fence,
 		Content: content,
 	}, roundTimeout)
-	if err != nil || won.Done {
+	if err != nil || granted.Done {
 		return err
 	}
-	if err := h.call(ctx, fence, asked, won, call); err != nil {
+	if err := r.call(ctx, fence, requestedAt, granted, call); err != nil {
 		return err
 	}
-	_, err = h.round(ctx, &fleetstate.DutyRound{
+	_, err = r.round(ctx, &fleetstate.DutyRound{
 		Subject: subject,
-		Number:  won.Number,
-		Owner:   h.agent.Self().Node,
+		Number:  granted.Number,
+		Owner:   r.agent.Self().Node,
 		Fence:   fence,
 		Done:    true,
 	}, doneTimeout)
 	return err
 }
 
-// call makes the call while the key is kept from being given back.
-func (h *Holder) call(
+// call makes the call. The key cannot be given back until the call has ended.
+func (r *Runner) call(
 	ctx context.Context,
 	fence ids.Fence,
-	asked ids.Tick,
-	won *fleetstate.DutyAct,
+	requestedAt ids.Tick,
+	granted *fleetstate.DutyAct,
 	call Call,
 ) error {
-	owned, end, ok := h.agent.BeginOperation(h.key)
+	operationFence, end, ok := r.agent.BeginOperation(r.key)
 	if !ok {
 		return ErrNotHeld
 	}
 	defer end()
 	mayStart := func() bool {
-		now, still := h.agent.OwnsKey(h.key)
-		return still && now == fence && !h.clock.Now().Past(asked, startTimeout)
+		currentFence, owned := r.agent.OwnsKey(r.key)
+		return owned && currentFence == fence && !r.clock.Now().Past(requestedAt, startTimeout)
 	}
-	if owned != fence || !mayStart() {
+	if operationFence != fence || !mayStart() {
 		return ErrNotHeld
 	}
 	callContext, stop := context.WithTimeout(ctx, CallTimeout)
 	defer stop()
-	return call(callContext, &Act{
-		Owner:    h.agent.Self().Node,
+	return call(callContext, &Action{
+		Owner:    r.agent.Self().Node,
 		Fence:    fence,
-		Number:   won.Number,
-		Content:  won.Content,
+		Number:   granted.Number,
+		Content:  granted.Content,
 		MayStart: mayStart,
 	})
 }
 
-func (h *Holder) round(
+// round requests a round in the replicated log and returns the resulting state of the action.
+func (r *Runner) round(
 	ctx context.Context,
-	c *fleetstate.DutyRound,
+	command *fleetstate.DutyRound,
 	timeout time.Duration,
 ) (*fleetstate.DutyAct, error) {
 	roundContext, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	op := ids.OpID("duty/" + coordination.NewID())
-	r, err := h.agent.Submit(roundContext, op, fleetstate.DutyRoundKind, coordination.MustMarshal(c))
+	response, err := r.agent.Submit(roundContext, op, fleetstate.DutyRoundKind, coordination.MustMarshal(command))
 	if err != nil {
 		return nil, err
 	}
 	var reply fleetstate.DutyRoundReply
-	if _, err := reply.UnmarshalMsg(r.Body); err != nil {
-		return nil, failure.As(err, failure.InvalidArgument, "read round", c.Subject)
+	if _, err := reply.UnmarshalMsg(response.Body); err != nil {
+		return nil, failure.As(err, failure.InvalidArgument, "read round", command.Subject)
 	}
 	return &reply.Act, nil
 }
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -18,18 +18,18 @@
 	testLease         = 3 * time.Second
 )
 
-// testClock is set by hand.
+// testClock is a clock that tests set.
 type testClock struct{ now ids.Tick }
 
 func (c *testClock) Now() ids.Tick   { return c.now }
 func (c *testClock) Wall() time.Time { return time.Unix(0, int64(c.now)) }
 
-// testAgent grants the key and applies rounds to a state of its own.
+// testAgent owns the key unless its fence is 0, and applies rounds to its own state machine.
 type testAgent struct {
-	fence      ids.Fence // 0: the key is not owned
+	fence      ids.Fence // 0 if the key is not owned
 	operations int
 	state      *fleetstate.Machine
-	onRound    func(c *fleetstate.DutyRound)
+	onRound    func(command *fleetstate.DutyRound)
 }
 
 func (a *testAgent) Self() coordination.Member { return coordination.Member{Node: "self"} }
@@ -47,12 +47,12 @@
 func (a *testAgent) Submit(
 	_ context.Context, _ ids.OpID, kind string, body []byte,
 ) (*coordination.SubmitResponse, error) {
-	var c fleetstate.DutyRound
-	if _, err := c.UnmarshalMsg(body); err != nil {
+	var command fleetstate.DutyRound
+	if _, err := command.UnmarshalMsg(body); err != nil {
 		return nil, err
 	}
 	if a.onRound != nil {
-		a.onRound(&c)
+		a.onRound(&command)
 	}
 	out, err := a.state.Apply(1, kind, body)
 	if errors.Is(err, coordination.ErrUnchanged) {
@@ -61,94 +61,94 @@
 	return &coordination.SubmitResponse{Body: out}, err
 }
 
-// held makes a holder that may act by now.
-func held() (*testAgent, *testClock, *Holder) {
+// newReadyRunner returns a runner that may already perform actions.
+func newReadyRunner() (*testAgent, *testClock, *Runner) {
 	agent := &testAgent{fence: 5, state: fleetstate.NewMachine(fleetstate.MachineOptions{})}
 	clock := &testClock{now: ids.Tick(time.Hour)}
-	holder := NewHolder(agent, clock, testKey, testLease)
-	holder.Owned()
+	runner := NewRunner(agent, clock, testKey, testLease)
+	runner.Ownership()
 	clock.now = clock.now.Add(4 * time.Second)
-	return agent, clock, holder
+	return agent, clock, runner
 }
 
-// recorder keeps the acts that were called for.
+// recorder records the actions that it is called for, and returns err for each.
 type recorder struct {
-	acts []Act
-	err  error
+	actions []Action
+	err     error
 }
 
-func (r *recorder) call(_ context.Context, act *Act) error {
-	r.acts = append(r.acts, *act)
+func (r *recorder) call(_ context.Context, action *Action) error {
+	r.actions = append(r.actions, *action)
 	return r.err
 }
 
-// TestPerform: an act is called for with the content of its round, again until it is accepted, and
-// not after that.
+// TestPerform checks that an action is called with the content of its first round, repeatedly until the
+// receiver accepts it, and not after that.
 func TestPerform(t *testing.T) {
-	agent, _, holder := held()
+	agent, _, runner := newReadyRunner()
 	r := &recorder{err: errors.New("refused")}
-	require.Error(t, holder.Perform(t.Context(), "s", 7, []byte("x"), r.call))
+	require.Error(t, runner.Perform(t.Context(), "s", 7, []byte("x"), r.call))
 	r.err = nil
-	require.NoError(t, holder.Perform(t.Context(), "s", 7, []byte("y"), r.call))
-	require.NoError(t, holder.Perform(t.Context(), "s", 7, []byte("z"), r.call))
-	require.Len(t, r.acts, 2)
-	for _, act := range r.acts {
-		require.Equal(t, "x", string(act.Content))
-		require.EqualValues(t, 7, act.Number)
-		require.EqualValues(t, 5, act.Fence)
-		require.EqualValues(t, "self", act.Owner)
+	require.NoError(t, runner.Perform(t.Context(), "s", 7, []byte("y"), r.call))
+	require.NoError(t, runner.Perform(t.Context(), "s", 7, []byte("z"), r.call))
+	require.Len(t, r.actions, 2)
+	for _, action := range r.actions {
+		require.Equal(t, "x", string(action.Content))
+		require.EqualValues(t, 7, action.Number)
+		require.EqualValues(t, 5, action.Fence)
+		require.EqualValues(t, "self", action.Owner)
 	}
 	require.Zero(t, agent.operations)
 }
 
-// TestHolderWaits: a node that got a key acts only when an earlier holder's last act is over a lease
-// ago, and waits anew after each loss.
-func TestHolderWaits(t *testing.T) {
-	agent, clock, _ := held()
-	holder := NewHolder(agent, clock, testKey, testLease)
+// TestRunnerWaitsAfterGrant checks that a node performs actions only when it has owned the key for over a
+// lease, so that the last action of an earlier owner has ended, and waits again after each loss.
+func TestRunnerWaitsAfterGrant(t *testing.T) {
+	agent, clock, _ := newReadyRunner()
+	runner := NewRunner(agent, clock, testKey, testLease)
 	r := &recorder{}
-	require.ErrorIs(t, holder.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
 	clock.now = clock.now.Add(testLease + 500*time.Millisecond)
-	require.ErrorIs(t, holder.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
 	clock.now = clock.now.Add(200 * time.Millisecond)
-	require.NoError(t, holder.Perform(t.Context(), "s", 1, nil, r.call))
+	require.NoError(t, runner.Perform(t.Context(), "s", 1, nil, r.call))
 	agent.fence = 6
-	require.ErrorIs(t, holder.Perform(t.Context(), "s", 2, nil, r.call), ErrNotHeld)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 2, nil, r.call), ErrNotHeld)
 	agent.fence = 0
-	require.ErrorIs(t, holder.Perform(t.Context(), "s", 2, nil, r.call), ErrNotHeld)
-	require.Len(t, r.acts, 1)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 2, nil, r.call), ErrNotHeld)
+	require.Len(t, r.actions, 1)
 }
 
-// TestActNotBegunAfterDeadline: after a round that took long, or a pause of the process, no call begins.
-func TestActNotBegunAfterDeadline(t *testing.T) {
-	agent, clock, holder := held()
+// TestActionNotStartedAfterDeadline checks that no call starts after a slow round or a pause of the process.
+func TestActionNotStartedAfterDeadline(t *testing.T) {
+	agent, clock, runner := newReadyRunner()
 	r := &recorder{}
 	agent.onRound = func(*fleetstate.DutyRound) { clock.now = clock.now.Add(startTimeout + time.Millisecond) }
-	require.ErrorIs(t, holder.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
-	require.Empty(t, r.acts)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
+	require.Empty(t, r.actions)
 	agent.onRound = nil
-	require.NoError(t, holder.Perform(t.Context(), "s", 1, nil, func(_ context.Context, act *Act) error {
-		require.True(t, act.MayStart())
+	require.NoError(t, runner.Perform(t.Context(), "s", 1, nil, func(_ context.Context, action *Action) error {
+		require.True(t, action.MayStart())
 		clock.now = clock.now.Add(startTimeout + time.Millisecond)
-		require.False(t, act.MayStart(), "the process stood still")
+		require.False(t, action.MayStart(), "the process was paused")
 		return nil
 	}))
 }
 
-// TestActNotBegunAfterLoss: no call begins once the key is lost, or was granted anew, and the key is not given
-// back during a call.
-func TestActNotBegunAfterLoss(t *testing.T) {
+// TestActionNotStartedAfterKeyLost checks that no call starts once the key is lost or was granted again under
+// another fencing token, and that the key is not given back during a call.
+func TestActionNotStartedAfterKeyLost(t *testing.T) {
 	for _, fence := range []ids.Fence{0, 6} {
-		agent, _, holder := held()
+		agent, _, runner := newReadyRunner()
 		r := &recorder{}
 		agent.onRound = func(*fleetstate.DutyRound) { agent.fence = fence }
-		require.ErrorIs(t, holder.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
-		require.Empty(t, r.acts)
-		agent, _, holder = held()
-		require.NoError(t, holder.Perform(t.Context(), "s", 1, nil, func(_ context.Context, act *Act) error {
+		require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
+		require.Empty(t, r.actions)
+		agent, _, runner = newReadyRunner()
+		require.NoError(t, runner.Perform(t.Context(), "s", 1, nil, func(_ context.Context, action *Action) error {
 			require.Equal(t, 1, agent.operations)
 			agent.fence = fence
-			require.False(t, act.MayStart())
+			require.False(t, action.MayStart())
 			agent.fence = 5
 			return nil
 		}))
--- a/internal/exchangemetrics/metrics.go
+++ b/internal/exchangemetrics/metrics.go
@@ -1,6 +1,6 @@
-// Package exchangemetrics measures where the time of exchanges goes: a histogram of each step,
-// and a count of the exchanges that missed their route's targets by the step that cost most. It
-// is what the metrics endpoint of a router node serves, and what the node sums up as it ends.
+// Package exchangemetrics measures how the time of exchanges is spent: a histogram of each step's duration,
+// and a counter of exchanges by the step that cost the most time when they missed their route's latency
+// targets. A router node serves these metrics at its metrics endpoint and logs a summary when it stops.
 package exchangemetrics
 
 import (
@@ -14,46 +14,46 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Cause is why an exchange missed its targets; Met is that it did not.
+// Cause is the reason why an exchange missed its latency targets, or Met if it met them.
 type Cause string
 
-// The causes, in the order of an exchange's steps.
+// The causes, in the order of the steps of an exchange.
 const (
 	Met          Cause = "met"
 	Admission    Cause = "admission"     // until a prefill worker was chosen
-	PrefillQueue Cause = "prefill_queue" // at the prefill worker, beyond what reading takes
-	Prefill      Cause = "prefill"       // reading, as reckoned from what was to be read
-	Transfer     Cause = "transfer"      // from the prefill's end to the first event: the move and the wait to decode
-	Pause        Cause = "pause"         // between two events
-	Rejected     Cause = "rejected"      // it was not run
-	Aborted      Cause = "aborted"       // it ended without a whole answer
+	PrefillQueue Cause = "prefill_queue" // at the prefill worker, beyond the expected prefill time
+	Prefill      Cause = "prefill"       // the prefill, at most its expected time
+	Transfer     Cause = "transfer"      // from the end of prefill to the first event: KV cache transfer and decode queue
+	Pause        Cause = "pause"         // the longest time between two events
+	Rejected     Cause = "rejected"      // the exchange was not run
+	Aborted      Cause = "aborted"       // the exchange ended without a complete answer
 )
 
-// Times are the durations of one exchange's steps; zero for a step that there was not.
-type Times struct {
+// StepDurations holds the durations of the steps of one exchange; zero for a step that did not happen.
+type StepDurations struct {
 	Admission, PrefillQueue, Prefill, Transfer time.Duration
 	LongestPause                               time.Duration
 }
 
-// FirstEvent is the time until the first event.
-func (t Times) FirstEvent() time.Duration {
+// FirstEvent returns the time until the first event.
+func (t StepDurations) FirstEvent() time.Duration {
 	return t.Admission + t.PrefillQueue + t.Prefill + t.Transfer
 }
 
-// Targets are a route's; zero is none.
+// Targets holds the latency targets of a route; zero means no target.
 type Targets struct{ FirstEvent, Pause time.Duration }
 
-// CauseOf gives the cause by which a whole answer missed its targets: of a late first event the
-// longest step.
-func CauseOf(t Times, targets Targets) Cause {
+// CauseOf returns the cause by which a complete answer missed its targets. If the first event was late, the
+// cause is the longest step before it.
+func CauseOf(t StepDurations, targets Targets) Cause {
 	if targets.FirstEvent > 0 && t.FirstEvent() > targets.FirstEvent {
 		longest, cause := t.Admission, Admission
 		for _, step := range []struct {
-			took  time.Duration
-			cause Cause
+			duration time.Duration
+			cause    Cause
 		}{{t.PrefillQueue, PrefillQueue}, {t.Prefill, Prefill}, {t.Transfer, Transfer}} {
-			if step.took > longest {
-				longest, cause = step.took, step.cause
+			if step.duration > longest {
+				longest, cause = step.duration, step.cause
 			}
 		}
 		return cause
@@ -64,30 +64,30 @@
 	return Met
 }
 
-// stepBuckets are the bounds of the histograms, in seconds.
+// stepBuckets are the upper bounds of the histogram buckets, in seconds.
 var stepBuckets = []float64{.005, .01, .025, .05, .1, .2, .4, .8, 1.6, 3.2, 6.4}
 
-// sizeBounds are prompt tokens by which exchanges are told apart.
-var sizeBounds = []int{1 << 10, 4 << 10, 16 << 10}
+// promptSizeBounds are the upper bounds of the prompt size classes, in tokens.
+var promptSizeBounds = []int{1 << 10, 4 << 10, 16 << 10}
 
-// sizeLabel names the size of a prompt.
-func sizeLabel(tokens int) string {
-	for _, bound := range sizeBounds {
+// promptSizeLabel returns the label of the size class of a prompt.
+func promptSizeLabel(tokens int) string {
+	for _, bound := range promptSizeBounds {
 		if tokens <= bound {
 			return fmt.Sprintf("to_%dk", bound>>10)
 		}
 	}
-	return fmt.Sprintf("over_%dk", sizeBounds[len(sizeBounds)-1]>>10)
+	return fmt.Sprintf("over_%dk", promptSizeBounds[len(promptSizeBounds)-1]>>10)
 }
 
-// Metrics is safe for use by many threads.
+// Metrics holds the metrics of one node. It is safe for concurrent use.
 type Metrics struct {
-	registry *prometheus.Registry
-	steps    *prometheus.HistogramVec
-	ends     *prometheus.CounterVec
+	registry  *prometheus.Registry
+	steps     *prometheus.HistogramVec
+	exchanges *prometheus.CounterVec
 }
 
-// New makes metrics with nothing counted.
+// New returns metrics with all counts at zero.
 func New() *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
@@ -96,25 +96,25 @@
 			Help:    "Duration of the steps of exchanges that had a whole answer.",
 			Buckets: stepBuckets,
 		}, []string{"step"}),
-		ends: prometheus.NewCounterVec(prometheus.CounterOpts{
+		exchanges: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "keelstair_exchanges_total",
 			Help: "Exchanges by service, prompt size and the cause by which they missed their targets.",
 		}, []string{"service", "size", "cause"}),
 	}
-	m.registry.MustRegister(m.steps, m.ends)
+	m.registry.MustRegister(m.steps, m.exchanges)
 	return m
 }
 
-// Gauge adds a figure that is read as the metrics are collected.
-func (m *Metrics) Gauge(name, help string, read func() float64) {
+// RegisterGauge adds a gauge whose value is read when the metrics are collected.
+func (m *Metrics) RegisterGauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
 
-// Observe counts an exchange that had a whole answer.
-func (m *Metrics) Observe(service string, prompt int, t Times, targets Targets) {
+// Observe records the step durations of an exchange with a complete answer, and counts it by its cause.
+func (m *Metrics) Observe(service string, prompt int, t StepDurations, targets Targets) {
 	for _, step := range []struct {
-		cause Cause
-		took  time.Duration
+		cause    Cause
+		duration time.Duration
 	}{
 		{Admission, t.Admission},
 		{PrefillQueue, t.PrefillQueue},
@@ -122,14 +122,14 @@
 		{Transfer, t.Transfer},
 		{Pause, t.LongestPause},
 	} {
-		m.steps.WithLabelValues(string(step.cause)).Observe(step.took.Seconds())
+		m.steps.WithLabelValues(string(step.cause)).Observe(step.duration.Seconds())
 	}
-	m.End(service, prompt, CauseOf(t, targets))
+	m.CountExchange(service, prompt, CauseOf(t, targets))
 }
 
-// End counts an exchange by its cause alone.
-func (m *Metrics) End(service string, prompt int, cause Cause) {
-	m.ends.WithLabelValues(service, sizeLabel(prompt), string(cause)).Inc()
+// CountExchange counts an exchange by its cause, without step durations.
+func (m *Metrics) CountExchange(service string, prompt int, cause Cause) {
+	m.exchanges.WithLabelValues(service, promptSizeLabel(prompt), string(cause)).Inc()
 }
 
 // Handler serves the metrics in the Prometheus text format.
@@ -137,7 +137,7 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Summary is one line: the count of exchanges by cause, and the mean and count of each step.
+// Summary returns one line with the number of exchanges by cause and the mean duration of each step.
 func (m *Metrics) Summary() string {
 	families, err := m.registry.Gather()
 	if err != nil {
--- a/internal/metering/collector.go
+++ b/internal/metering/collector.go
@@ -8,109 +8,111 @@
 	"keelstair.example/ids"
 )
 
-// offsetMaxAge is for how long a node's clock counts after the node was heard.
+// offsetMaxAge is how long a node's clock counts for the median after the node's last report.
 const offsetMaxAge = 10 * time.Second
 
-// Told is what one node tells of itself.
-type Told struct {
-	Node  ids.NodeID
-	Since uint64 // the window in which the node started
-	Own   int64  // the time by the node's own clock as it told this
-	Now   int64  // its estimate of the time, up to which it has told all
-	Rows  []Row
+// NodeReport is what a node sends to the collector.
+type NodeReport struct {
+	Node          ids.NodeID
+	StartWindow   uint64 // the window in which the node started
+	OwnTime       int64  // the node's own time when it built the report
+	EstimatedTime int64  // its estimate of the time; the report covers all requests up to then
+	Rows          []Row
 }
 
+// nodeCounts holds the state of one node at the collector.
 type nodeCounts struct {
-	heardAt ids.Tick
-	offset  time.Duration // of the node's own clock over the collector's
-	upTo    int64
-	counts  map[cell]int
+	reportedAt   ids.Tick
+	clockOffset  time.Duration // how far the node's own clock is ahead of the collector's
+	countedUntil int64         // the estimated time up to which the node's counts are complete
+	counts       map[countKey]int
 }
 
-// Collector adds up what the nodes tell. Counts of a node that ended stay, since those of its next
-// life are told under another name. It is safe for use by many goroutines.
+// Collector adds up the counts of the nodes. It keeps the counts of a node that ended, because the node
+// reports under another ID after a restart. It is safe for concurrent use.
 type Collector struct {
-	mu    sync.Mutex
-	clock *Clock
-	nodes map[ids.NodeID]*nodeCounts
-	first uint64 // the first window that any node was there in
+	mu          sync.Mutex
+	clock       *Clock
+	nodes       map[ids.NodeID]*nodeCounts
+	firstWindow uint64 // the first window in which any node was running
 }
 
-// NewCollector makes an empty collector on a node's clock.
+// NewCollector returns an empty collector that uses a node's clock.
 func NewCollector(clock *Clock) *Collector {
 	return &Collector{clock: clock, nodes: map[ids.NodeID]*nodeCounts{}}
 }
 
-// Take takes what a node tells and gives the time by the middle of all nodes' clocks.
-func (c *Collector) Take(told *Told) int64 {
+// Record records a node's report and returns the time by the median of all nodes' clocks. Repeated and
+// reordered reports are counted once.
+func (c *Collector) Record(report *NodeReport) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := c.nodes[told.Node]
+	n := c.nodes[report.Node]
 	if n == nil {
-		n = &nodeCounts{counts: map[cell]int{}}
-		c.nodes[told.Node] = n
+		n = &nodeCounts{counts: map[countKey]int{}}
+		c.nodes[report.Node] = n
 	}
-	own := c.clock.Own()
-	n.heardAt, n.offset, n.upTo = c.clock.Tick(), time.Duration(told.Own-own), max(n.upTo, told.Now)
-	for _, r := range told.Rows {
-		at := cell{r.Window, r.Tenant}
+	own := c.clock.OwnTime()
+	n.reportedAt, n.clockOffset, n.countedUntil = c.clock.Tick(), time.Duration(report.OwnTime-own), max(n.countedUntil, report.EstimatedTime)
+	for _, r := range report.Rows {
+		at := countKey{r.Window, r.Tenant}
 		n.counts[at] = max(n.counts[at], r.Count)
 	}
-	if c.first == 0 || told.Since < c.first {
-		c.first = told.Since
+	if c.firstWindow == 0 || report.StartWindow < c.firstWindow {
+		c.firstWindow = report.StartWindow
 	}
-	return own + int64(c.offset())
+	return own + int64(c.medianOffset())
 }
 
-// offset is the middle of the offsets of the nodes that were heard of late.
-func (c *Collector) offset() time.Duration {
-	var all []time.Duration
+// medianOffset returns the lower median of the offsets of the nodes that reported within offsetMaxAge.
+func (c *Collector) medianOffset() time.Duration {
+	var offsets []time.Duration
 	for _, n := range c.nodes {
-		if !c.clock.Tick().Past(n.heardAt, offsetMaxAge) {
-			all = append(all, n.offset)
+		if !c.clock.Tick().Past(n.reportedAt, offsetMaxAge) {
+			offsets = append(offsets, n.clockOffset)
 		}
 	}
-	if len(all) == 0 {
+	if len(offsets) == 0 {
 		return 0
 	}
-	slices.Sort(all)
-	return all[(len(all)-1)/2]
+	slices.Sort(offsets)
+	return offsets[(len(offsets)-1)/2]
 }
 
-// First is the first window that any node was there in; 0 if none was heard.
-func (c *Collector) First() uint64 {
+// FirstWindow returns the first window in which any node was running, or 0 if no node has reported.
+func (c *Collector) FirstWindow() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.first
+	return c.firstWindow
 }
 
-// HeardMost tells whether over half of the nodes of a list were heard of late, so that the middle of
-// their clocks can be trusted.
-func (c *Collector) HeardMost(nodes []ids.NodeID) bool {
+// HasRecentMajority reports whether more than half of the given nodes reported within offsetMaxAge, so that
+// the median of their clocks can be trusted.
+func (c *Collector) HasRecentMajority(nodes []ids.NodeID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	heard := 0
+	recent := 0
 	for _, name := range nodes {
-		if n := c.nodes[name]; n != nil && !c.clock.Tick().Past(n.heardAt, offsetMaxAge) {
-			heard++
+		if n := c.nodes[name]; n != nil && !c.clock.Tick().Past(n.reportedAt, offsetMaxAge) {
+			recent++
 		}
 	}
-	return 2*heard > len(nodes)
+	return 2*recent > len(nodes)
 }
 
-// Complete tells whether all nodes of a list have told what they counted up to a time.
+// Complete reports whether all the given nodes have reported their counts up to a time.
 func (c *Collector) Complete(time int64, nodes []ids.NodeID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range nodes {
-		if n := c.nodes[name]; n == nil || n.upTo < time {
+		if n := c.nodes[name]; n == nil || n.countedUntil < time {
 			return false
 		}
 	}
 	return true
 }
 
-// Sum adds up the counts of a window by tenant.
+// Sum returns the counts of a window, added up by tenant.
 func (c *Collector) Sum(window uint64) map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +127,8 @@
 	return out
 }
 
-// Prune forgets the windows that are not kept any more in a window, and nodes of which nothing is left.
+// Prune deletes the counts that are too old to keep in the current window, and nodes without counts whose
+// last report is older than offsetMaxAge.
 func (c *Collector) Prune(current uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +138,7 @@
 				delete(n.counts, at)
 			}
 		}
-		if len(n.counts) == 0 && c.clock.Tick().Past(n.heardAt, offsetMaxAge) {
+		if len(n.counts) == 0 && c.clock.Tick().Past(n.reportedAt, offsetMaxAge) {
 			delete(c.nodes, name)
 		}
 	}
--- a/internal/metering/ledger.go
+++ b/internal/metering/ledger.go
@@ -6,55 +6,59 @@
 	"sync"
 )
 
-// KeptWindows is for how many windows after it a window's counts are kept.
+// KeptWindows is the number of later windows for which the counts of a window are kept.
 const KeptWindows = 8
 
-// Row is how many requests of a tenant one node has counted in a window so far.
+// Row is the number of requests of a tenant that one node has counted in a window so far.
 type Row struct {
 	Window uint64
 	Tenant string
 	Count  int
 }
 
-type cell struct {
+// countKey identifies the count of one tenant in one window.
+type countKey struct {
 	window uint64
 	tenant string
 }
 
-// Ledger holds one node's counts, and what of them the collector has heard. It is safe for use by
-// many goroutines.
+// Ledger holds one node's counts, and the counts that the collector has acknowledged. It is safe for
+// concurrent use.
 type Ledger struct {
-	mu     sync.Mutex
-	counts map[cell]int
-	heard  map[cell]int
+	mu           sync.Mutex
+	counts       map[countKey]int
+	acknowledged map[countKey]int
 }
 
-// NewLedger makes an empty ledger.
-func NewLedger() *Ledger { return &Ledger{counts: map[cell]int{}, heard: map[cell]int{}} }
+// NewLedger returns an empty ledger.
+func NewLedger() *Ledger {
+	return &Ledger{counts: map[countKey]int{}, acknowledged: map[countKey]int{}}
+}
 
 // Add counts one request of a tenant in a window.
 func (l *Ledger) Add(window uint64, tenant string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counts[cell{window, tenant}]++
+	l.counts[countKey{window, tenant}]++
 }
 
-// All lists the counts in a fixed order.
+// All returns all counts, sorted by window and tenant.
 func (l *Ledger) All() []Row {
-	return l.rows(func(cell, int) bool { return true })
+	return l.rows(func(countKey, int) bool { return true })
 }
 
-// Unheard lists the counts that the collector has not heard, in a fixed order.
-func (l *Ledger) Unheard() []Row {
-	return l.rows(func(at cell, count int) bool { return l.heard[at] != count })
+// Unacknowledged returns the counts that the collector has not acknowledged, sorted by window and tenant.
+func (l *Ledger) Unacknowledged() []Row {
+	return l.rows(func(at countKey, count int) bool { return l.acknowledged[at] != count })
 }
 
-func (l *Ledger) rows(want func(at cell, count int) bool) []Row {
+// rows returns the counts that the filter accepts, sorted by window and tenant.
+func (l *Ledger) rows(include func(at countKey, count int) bool) []Row {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Row
 	for at, count := range l.counts {
-		if want(at, count) {
+		if include(at, count) {
 			out = append(out, Row{at.window, at.tenant, count})
 		}
 	}
@@ -64,30 +68,31 @@
 	return out
 }
 
-// Hear notes that the collector has heard rows.
-func (l *Ledger) Hear(rows []Row) {
+// Acknowledge records that the collector has received the rows.
+func (l *Ledger) Acknowledge(rows []Row) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range rows {
-		l.heard[cell{r.Window, r.Tenant}] = r.Count
+		l.acknowledged[countKey{r.Window, r.Tenant}] = r.Count
 	}
 }
 
-// NewCollector notes that another node collects from now on, which has heard nothing.
-func (l *Ledger) NewCollector() {
+// ResetAcknowledgements forgets all acknowledgements. It is called when another node, which has no counts
+// yet, becomes the collector.
+func (l *Ledger) ResetAcknowledgements() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	clear(l.heard)
+	clear(l.acknowledged)
 }
 
-// Prune forgets the windows that are not kept any more in a window.
+// Prune deletes the counts that are too old to keep in the current window.
 func (l *Ledger) Prune(current uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for at := range l.counts {
 		if at.window+KeptWindows < current {
 			delete(l.counts, at)
-			delete(l.heard, at)
+			delete(l.acknowledged, at)
 		}
 	}
 }
--- a/internal/proxy/decode_exchange.go
+++ b/internal/proxy/decode_exchange.go
@@ -84,7 +84,7 @@
 	}
 	times := t.node.serviceTimesFor(t.service.Name)
 	body.times, body.lastByteAt = times, t.node.now()
-	body.probeTimer = time.AfterFunc(times.firstEvent.Suspicious(healthCheckSilence), func() { t.node.suspect(*c.worker) })
+	body.probeTimer = time.AfterFunc(times.firstEvent.SuspicionTimeout(healthCheckSilence), func() { t.node.suspect(*c.worker) })
 	reply, err := t.node.options.Backend.Decode(
 		callContext, *c.worker, c.request, source, t.lastEventID, t.remaining(), c.urgency,
 	)
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -162,11 +162,11 @@
 	case *RejectedError:
 		n.counts.Rejected.Add(1)
 		t.trace(handoff.Dropped, "", err.Error())
-		n.metrics.End(t.service.Name, t.request.Prompt, exchangemetrics.Rejected)
+		n.metrics.CountExchange(t.service.Name, t.request.Prompt, exchangemetrics.Rejected)
 	default:
 		n.counts.Aborted.Add(1)
 		t.trace(handoff.Dropped, "", err.Error())
-		n.metrics.End(t.service.Name, t.request.Prompt, exchangemetrics.Aborted)
+		n.metrics.CountExchange(t.service.Name, t.request.Prompt, exchangemetrics.Aborted)
 	}
 }
 
--- a/internal/proxy/exchange_timing.go
+++ b/internal/proxy/exchange_timing.go
@@ -29,12 +29,12 @@
 
 // durations returns the durations of the steps of an exchange, given its arrival and its end. An answer
 // without events counts as one event at the end.
-func (e *exchangeTiming) durations(at, ended ids.Tick) exchangemetrics.Times {
+func (e *exchangeTiming) durations(at, ended ids.Tick) exchangemetrics.StepDurations {
 	first := e.firstEvent
 	if first == 0 {
 		first = ended
 	}
-	out := exchangemetrics.Times{LongestPause: e.longestPause}
+	out := exchangemetrics.StepDurations{LongestPause: e.longestPause}
 	if e.prefillSent == 0 || e.prefillEnded == 0 {
 		out.Transfer = first.Since(at)
 		return out
--- a/internal/proxy/exchange_timing_test.go
+++ b/internal/proxy/exchange_timing_test.go
@@ -28,7 +28,7 @@
 	for _, event := range []time.Duration{350, 360, 500} {
 		timing.recordEvents(at.Add(event * ms))
 	}
-	want := exchangemetrics.Times{
+	want := exchangemetrics.StepDurations{
 		Admission:    10 * ms,
 		PrefillQueue: 200 * ms,
 		Prefill:      100 * ms,
@@ -38,7 +38,7 @@
 	require.Equal(t, want, timing.durations(at, at.Add(time.Second)))
 	require.Equal(t, 350*ms, want.FirstEvent())
 	direct := exchangeTiming{}
-	require.Equal(t, exchangemetrics.Times{Transfer: 70 * ms}, direct.durations(at, at.Add(70*ms)))
+	require.Equal(t, exchangemetrics.StepDurations{Transfer: 70 * ms}, direct.durations(at, at.Add(70*ms)))
 }
 
 // TestMetricsCountExchanges: the metrics endpoints of the nodes count every exchange once, by the cause of a
--- a/internal/proxy/metering.go
+++ b/internal/proxy/metering.go
@@ -36,7 +36,7 @@
 // UsageReporter reports the usage of a window to the platform, on a connection of its own that is
 // closed when the context ends. A nil error means that the platform accepted the report.
 type UsageReporter interface {
-	ReportUsage(ctx context.Context, act *duty.Act, window uint64, counts map[string]int) error
+	ReportUsage(ctx context.Context, act *duty.Action, window uint64, counts map[string]int) error
 }
 
 // usageMeter counts the usage at one node and, at the owner of the metering duty and its successor,
@@ -91,7 +91,7 @@
 		if owner, fence, ok := n.agent.KeyOwner(fleetstate.MeteringKey); ok {
 			if meter.collectorFence != fence {
 				meter.collectorFence = fence
-				meter.ledger.NewCollector() // forgets the acknowledgements of the previous owner
+				meter.ledger.ResetAcknowledgements() // forgets the acknowledgements of the previous owner
 			}
 			meter.send(ctx, n, owner)
 		}
@@ -100,7 +100,7 @@
 
 // newRequest builds the request that sends the given counts.
 func (m *usageMeter) newRequest(node ids.NodeID, rows []metering.Row) *UsageRequest {
-	request := &UsageRequest{Node: node, StartWindow: m.startWindow, EstimatedTime: m.clock.Now(), OwnTime: m.clock.Own()}
+	request := &UsageRequest{Node: node, StartWindow: m.startWindow, EstimatedTime: m.clock.Now(), OwnTime: m.clock.OwnTime()}
 	for _, r := range rows {
 		request.Rows = append(request.Rows, UsageRow(r))
 	}
@@ -110,7 +110,7 @@
 // send sends the counts that the owner has not acknowledged. If this node is the owner, it takes them
 // itself and sends all its counts to its successor.
 func (m *usageMeter) send(ctx context.Context, n *Node, owner coordination.Member) {
-	rows := m.ledger.Unheard()
+	rows := m.ledger.Unacknowledged()
 	request := m.newRequest(n.self.Node, rows)
 	if owner.Node == n.self.Node {
 		r, err := n.takeUsage(ctx, request)
@@ -148,8 +148,8 @@
 	if err != nil {
 		return
 	}
-	m.ledger.Hear(rows)
-	now := m.clock.Own()
+	m.ledger.Acknowledge(rows)
+	now := m.clock.OwnTime()
 	if roundTrip := time.Duration(now - sentAt); roundTrip <= maxClockRoundTrip {
 		m.clock.Correct(time.Duration(r.Time-now) + roundTrip/2)
 	}
@@ -163,16 +163,16 @@
 	if n.usage == nil || !owned && !(known && owner.Node == request.Node) {
 		return nil, failure.New(failure.Unavailable, "take usage", string(request.Node), "this node does not own the metering duty")
 	}
-	nodeCounts := &metering.Told{
-		Node:  request.Node,
-		Since: request.StartWindow,
-		Own:   request.OwnTime,
-		Now:   request.EstimatedTime,
+	nodeCounts := &metering.NodeReport{
+		Node:          request.Node,
+		StartWindow:   request.StartWindow,
+		OwnTime:       request.OwnTime,
+		EstimatedTime: request.EstimatedTime,
 	}
 	for _, r := range request.Rows {
 		nodeCounts.Rows = append(nodeCounts.Rows, metering.Row(r))
 	}
-	return &UsageResponse{Time: n.usage.collector.Take(nodeCounts)}, nil
+	return &UsageResponse{Time: n.usage.collector.Record(nodeCounts)}, nil
 }
 
 // reportUsage reports the windows that are over while this node owns the metering duty.
@@ -180,10 +180,10 @@
 	if n.usage == nil {
 		return
 	}
-	holder := duty.NewHolder(n.agent, n.options.Host.Clock, fleetstate.MeteringKey, n.options.LeaseDuration)
+	holder := duty.NewRunner(n.agent, n.options.Host.Clock, fleetstate.MeteringKey, n.options.LeaseDuration)
 	next := uint64(0) // all earlier windows are reported or skipped
 	for host.Sleep(ctx, meteringInterval) {
-		owned, mayAct := holder.Owned()
+		owned, mayAct := holder.Ownership()
 		if !owned {
 			next = 0
 			continue
@@ -197,12 +197,12 @@
 // reportWindows reports the windows that are due, oldest first, and returns the first one that is still
 // to be reported. Each report is recorded in the replicated log as an act of the duty before and after
 // it is sent, so that a window whose report is recorded as done is not sent again.
-func (n *Node) reportWindows(ctx context.Context, holder *duty.Holder, next uint64) uint64 {
+func (n *Node) reportWindows(ctx context.Context, holder *duty.Runner, next uint64) uint64 {
 	meter := n.usage
 	now := meter.clock.Now()
 	current := meter.windows.At(now)
-	first := meter.collector.First()
-	if first == 0 || !meter.collector.HeardMost(n.memberIDs()) {
+	first := meter.collector.FirstWindow()
+	if first == 0 || !meter.collector.HasRecentMajority(n.memberIDs()) {
 		return next
 	}
 	if current > metering.KeptWindows {
@@ -217,7 +217,7 @@
 		n.options.Ring.Warn().AnErr("cause", err).Uint64("window", next).Msg("could not report usage")
 		// Stale means that the replicated log no longer has the window, which is then skipped, or that
 		// this node's fence is outdated, in which case it may not act any more.
-		if _, mayAct := holder.Owned(); !mayAct || !failure.Is(err, failure.Stale) {
+		if _, mayAct := holder.Ownership(); !mayAct || !failure.Is(err, failure.Stale) {
 			return next
 		}
 	}
@@ -256,7 +256,7 @@
 }
 
 // performUsageReport sends the usage report of an act to the platform.
-func (n *Node) performUsageReport(ctx context.Context, act *duty.Act) error {
+func (n *Node) performUsageReport(ctx context.Context, act *duty.Action) error {
 	var content UsageContent
 	if _, err := content.UnmarshalMsg(act.Content); err != nil {
 		return failure.As(err, failure.InvalidArgument, "read usage", "")
--- a/internal/proxy/metering_test.go
+++ b/internal/proxy/metering_test.go
@@ -100,7 +100,7 @@
 // usageClient sends a node's reports to the usageRecorder.
 type usageClient struct{ net host.Net }
 
-func (client *usageClient) ReportUsage(ctx context.Context, act *duty.Act, window uint64, counts map[string]int) error {
+func (client *usageClient) ReportUsage(ctx context.Context, act *duty.Action, window uint64, counts map[string]int) error {
 	conn, err := client.net.Dial(ctx, meteringIP+":1")
 	if err != nil {
 		return err
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -273,7 +273,7 @@
 		{"keelstair_ejections", "Workers that were ejected as outliers.", &n.counts.Ejected},
 		{"keelstair_fault_notices", "Warnings of silent workers that were sent to peers.", &n.counts.FaultNotices},
 	} {
-		n.metrics.Gauge(row.name, row.help, func() float64 { return float64(row.count.Load()) })
+		n.metrics.RegisterGauge(row.name, row.help, func() float64 { return float64(row.count.Load()) })
 	}
 }
 
@@ -308,7 +308,7 @@
 
 // nodeShare returns one over the estimated number of nodes.
 func (n *Node) nodeShare() float64 {
-	return 1 / float64(max(1, n.budget.Peers(n.now(), len(n.agent.Members()))))
+	return 1 / float64(max(1, n.budget.RecordNodeCount(n.now(), len(n.agent.Members()))))
 }
 
 // snapshot returns the configuration in force. The failback of a zone is recorded before any request
--- a/internal/proxy/prefill_exchange.go
+++ b/internal/proxy/prefill_exchange.go
@@ -82,7 +82,7 @@
 	a := &attempt{cancel}
 	c.state.addAttempt(a)
 	times := t.node.serviceTimesFor(t.service.Name)
-	probeTimer := time.AfterFunc(prefillQuietFactor*c.expectedLatency+times.prefill.Suspicious(prefillQuietPeriod), func() {
+	probeTimer := time.AfterFunc(prefillQuietFactor*c.expectedLatency+times.prefill.SuspicionTimeout(prefillQuietPeriod), func() {
 		t.node.suspect(*c.worker)
 	})
 	memory, err := t.node.options.Backend.Prefill(
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -58,7 +58,7 @@
 			g.firstByteTimer.Stop()
 		}
 		g.observePause()
-		g.probeTimer.Reset(g.times.nextEvent.Suspicious(
+		g.probeTimer.Reset(g.times.nextEvent.SuspicionTimeout(
 			healthCheckSilence + time.Duration(g.exchange.route.TokenIntervalMs)*time.Millisecond,
 		))
 		if g.cancelTimer != nil {
--- a/internal/proxy/silent_workers_test.go
+++ b/internal/proxy/silent_workers_test.go
@@ -143,7 +143,7 @@
 		defer f.close()
 		silentFrom := silenceAfter(f, platform, silenceDelay, "svc-decode-1")
 		f.generateLoad(60, silenceLoadDuration, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 400, 4) })
-		const detectionTime = silence.Floor + 150*time.Millisecond
+		const detectionTime = silence.MinTimeout + 150*time.Millisecond
 		require.NotEmpty(t, callsToWorker(platform.recordedCalls(), "svc-decode-1.1", silentFrom, time.Hour))
 		require.Empty(t, callsToWorker(platform.recordedCalls(), "svc-decode-1.1", silentFrom+detectionTime, silentFrom+time.Second))
 	})
--- a/internal/proxy/worker_state.go
+++ b/internal/proxy/worker_state.go
@@ -86,7 +86,7 @@
 // mayBeUncounted reports whether the other nodes may no longer count this one among those that share
 // the fleet-wide retry budget, because no process has been in contact with it for too long.
 func (n *Node) mayBeUncounted() bool {
-	alone := retrybudget.PeerCountTTL - n.options.RetryWindow
+	alone := retrybudget.NodeCountTTL - n.options.RetryWindow
 	return !n.agent.CaughtUp(alone) && n.now().Past(n.agent.Directory().LastContact(), alone)
 }
 
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,7 +1,7 @@
-// Package retrybudget bounds the repeats that all nodes of a fleet make together, without a message
-// between them: each node spends a ratio of the requests that it was asked itself, and its part of a
-// common allowance by the number of nodes that there were at most of late, so that the sum holds
-// while nodes do not hear of each other.
+// Package retrybudget bounds the retries that all nodes of a fleet make together, without messages between
+// them. Each node may spend a ratio of the requests that it received itself, plus its share of a fleet-wide
+// allowance. The share is the allowance divided by the largest number of recently visible nodes, so that the
+// total stays within the bound while nodes are partitioned from each other.
 package retrybudget
 
 import (
@@ -12,77 +12,80 @@
 )
 
 const (
-	slices = 20 // of the window
-	// PeerCountTTL is how long a node that is no member any more is counted, at least. One that no
-	// other process has heard of for so long must not spend of the allowance.
-	PeerCountTTL = 2 * time.Minute
+	bucketCount = 20 // buckets in a window
+	// NodeCountTTL is the minimum time for which a node that is no longer a member still counts. A node that
+	// no other process has contacted for this long must not spend from the allowance.
+	NodeCountTTL = 2 * time.Minute
 )
 
-// Budget counts the requests and the repeats of one node over a sliding window.
+// Budget counts the requests and the retries of one node over a sliding window. Its buckets are a ring with
+// one bucket more than the window, so that the window stays covered while the newest bucket fills.
 type Budget struct {
-	mu          sync.Mutex
-	sliceLength time.Duration
-	requests    [slices + 1]int
-	spent       [slices + 1]int
-	last        int64
-	nodes       int
-	since       ids.Tick
-	lastPeers   int
+	mu               sync.Mutex
+	bucketLength     time.Duration
+	requests         [bucketCount + 1]int
+	retries          [bucketCount + 1]int
+	lastBucket       int64
+	maxNodes         int
+	periodStart      ids.Tick
+	previousMaxNodes int
 }
 
-// New gives a budget over a window.
-func New(window time.Duration) *Budget { return &Budget{sliceLength: window / slices} }
+// New returns a budget over a window.
+func New(window time.Duration) *Budget { return &Budget{bucketLength: window / bucketCount} }
 
+// advance clears the buckets that have expired and returns the index of the current one.
 func (b *Budget) advance(now ids.Tick) int {
-	at := int64(now) / int64(b.sliceLength)
-	if b.last == 0 || at-b.last > slices {
+	at := int64(now) / int64(b.bucketLength)
+	if b.lastBucket == 0 || at-b.lastBucket > bucketCount {
 		clear(b.requests[:])
-		clear(b.spent[:])
+		clear(b.retries[:])
 	} else {
-		for i := b.last + 1; i <= at; i++ {
-			b.requests[i%(slices+1)], b.spent[i%(slices+1)] = 0, 0
+		for i := b.lastBucket + 1; i <= at; i++ {
+			b.requests[i%(bucketCount+1)], b.retries[i%(bucketCount+1)] = 0, 0
 		}
 	}
-	b.last = max(at, b.last)
-	return int(at % (slices + 1))
+	b.lastBucket = max(at, b.lastBucket)
+	return int(at % (bucketCount + 1))
 }
 
-// Peers notes how many nodes are seen, and gives the most that were seen at once within the last
-// PeerCountTTL or two.
-func (b *Budget) Peers(now ids.Tick, seen int) int {
+// RecordNodeCount records how many nodes are visible now, and returns the largest number that was visible
+// within the current and the previous period of NodeCountTTL.
+func (b *Budget) RecordNodeCount(now ids.Tick, visible int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now.Past(b.since, PeerCountTTL) {
-		b.lastPeers, b.nodes, b.since = b.nodes, 0, now
+	if now.Past(b.periodStart, NodeCountTTL) {
+		b.previousMaxNodes, b.maxNodes, b.periodStart = b.maxNodes, 0, now
 	}
-	b.nodes = max(b.nodes, seen)
-	return max(b.nodes, b.lastPeers)
+	b.maxNodes = max(b.maxNodes, visible)
+	return max(b.maxNodes, b.previousMaxNodes)
 }
 
-// CountRequest counts a caller's request.
+// CountRequest counts a request from a client.
 func (b *Budget) CountRequest(now ids.Tick) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests[b.advance(now)]++
 }
 
-// Spend takes one repeat if the window's repeats stay within a ratio of its requests and an
-// allowance besides.
+// Spend counts one more retry and returns true if the retries of the window then stay within a ratio of its
+// requests plus an allowance.
 func (b *Budget) Spend(now ids.Tick, ratio, allowance float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	i := b.advance(now)
-	// What is allowed counts over a little less than the window, what is spent over more.
-	asked, spent, oldest := 0, 0, (i+1)%(slices+1)
+	// Requests are counted over slightly less than the window and retries over slightly more, so that the
+	// bound holds for every interval of the window's length.
+	requests, retries, oldest := 0, 0, (i+1)%(bucketCount+1)
 	for k := range b.requests {
 		if k != oldest {
-			asked += b.requests[k]
+			requests += b.requests[k]
 		}
-		spent += b.spent[k]
+		retries += b.retries[k]
 	}
-	if float64(spent+1) > ratio*float64(asked)+allowance {
+	if float64(retries+1) > ratio*float64(requests)+allowance {
 		return false
 	}
-	b.spent[i]++
+	b.retries[i]++
 	return true
 }
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -13,28 +13,29 @@
 
 func at(d time.Duration) ids.Tick { return ids.Tick(time.Hour + d) }
 
-// TestSpend: no span of the window has more repeats than the ratio of its requests and the
-// allowance give, and what was spent comes back once the window has passed.
+// TestSpend checks that no interval of the window's length has more retries than the ratio of its requests and
+// the allowance permit, and that spent retries are available again once the window has passed.
 func TestSpend(t *testing.T) {
 	b := New(window)
 	for range 50 {
 		b.CountRequest(at(0))
 	}
-	spent := 0
+	retries := 0
 	for b.Spend(at(time.Second), 0.2, 3) {
-		spent++
+		retries++
 	}
-	require.Equal(t, 13, spent)
+	require.Equal(t, 13, retries)
 	require.False(t, b.Spend(at(window-time.Millisecond), 0.2, 3))
 	require.True(t, b.Spend(at(2*window), 0.2, 3))
 }
 
-// TestPeers: nodes that are seen no more are counted for the TTL, and forgotten after two of them.
-func TestPeers(t *testing.T) {
+// TestRecordNodeCount checks that nodes that are no longer visible count for NodeCountTTL, and no longer after
+// twice that time.
+func TestRecordNodeCount(t *testing.T) {
 	b := New(window)
-	require.Equal(t, 9, b.Peers(at(0), 9))
-	require.Equal(t, 9, b.Peers(at(time.Second), 4))
-	require.Equal(t, 9, b.Peers(at(PeerCountTTL), 4))
-	require.Equal(t, 9, b.Peers(at(PeerCountTTL+2*time.Second), 4))
-	require.Equal(t, 4, b.Peers(at(3*PeerCountTTL), 4))
+	require.Equal(t, 9, b.RecordNodeCount(at(0), 9))
+	require.Equal(t, 9, b.RecordNodeCount(at(time.Second), 4))
+	require.Equal(t, 9, b.RecordNodeCount(at(NodeCountTTL), 4))
+	require.Equal(t, 9, b.RecordNodeCount(at(NodeCountTTL+2*time.Second), 4))
+	require.Equal(t, 4, b.RecordNodeCount(at(3*NodeCountTTL), 4))
 }
--- a/internal/silence/estimate.go
+++ b/internal/silence/estimate.go
@@ -1,6 +1,6 @@
-// Package silence learns how long peers that are well usually say nothing, so that a far longer
-// silence is suspicious. The estimate is that of TCP's retransmission timer (RFC 6298), a mean and a
-// mean deviation, with a wider margin: a suspicion is only to have the peer asked whether it is well.
+// Package silence estimates how long healthy peers usually stay silent, so that a much longer silence is
+// suspicious. The estimator is that of TCP's retransmission timer (RFC 6298), a mean and a mean deviation,
+// with a wider margin. A suspicion only triggers a probe of the peer.
 package silence
 
 import (
@@ -9,43 +9,43 @@
 )
 
 const (
-	meanGain      = 1.0 / 16 // weight of a new span in the mean
-	deviationGain = 1.0 / 8  // and in the deviation
-	deviations    = 8        // beyond the mean before a silence is suspicious
-	// MinSamples is how many silences must have been seen; with fewer the ceiling holds.
+	meanGain      = 1.0 / 16 // weight of a new sample in the mean
+	deviationGain = 1.0 / 8  // weight of a new sample in the mean deviation
+	deviations    = 8        // number of mean deviations above the mean at which a silence is suspicious
+	// MinSamples is the number of samples needed for an estimate. With fewer, the ceiling applies.
 	MinSamples = 16
-	// Floor is the shortest silence that is suspicious.
-	Floor = 100 * time.Millisecond
+	// MinTimeout is the shortest silence that is suspicious.
+	MinTimeout = 100 * time.Millisecond
 )
 
-// Estimate is the usual length of one kind of silence. The zero value has seen none. It is safe for
-// use by many goroutines.
+// Estimate is the usual length of one kind of silence. The zero value has no samples. It is safe for
+// concurrent use.
 type Estimate struct {
 	mu              sync.Mutex
-	mean, deviation float64 // ns
+	mean, deviation float64 // in nanoseconds
 	samples         int
 }
 
-// Observe takes a silence that ended with a sign of the peer.
+// Observe records a silence that ended with a sign of life from the peer.
 func (e *Estimate) Observe(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	span := float64(max(0, d))
+	sample := float64(max(0, d))
 	if e.samples++; e.samples == 1 {
-		e.mean, e.deviation = span, span/2
+		e.mean, e.deviation = sample, sample/2
 		return
 	}
-	apart := span - e.mean
-	e.mean += meanGain * apart
-	e.deviation += deviationGain * (max(apart, -apart) - e.deviation)
+	difference := sample - e.mean
+	e.mean += meanGain * difference
+	e.deviation += deviationGain * (max(difference, -difference) - e.deviation)
 }
 
-// Suspicious is the silence after which a peer is to be asked whether it is well: at most the ceiling.
-func (e *Estimate) Suspicious(ceiling time.Duration) time.Duration {
+// SuspicionTimeout returns the silence after which a peer should be probed, at most the ceiling.
+func (e *Estimate) SuspicionTimeout(ceiling time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.samples < MinSamples {
 		return ceiling
 	}
-	return min(ceiling, max(Floor, time.Duration(e.mean+deviations*e.deviation)))
+	return min(ceiling, max(MinTimeout, time.Duration(e.mean+deviations*e.deviation)))
 }
--- a/tools/ablation/cases.go
+++ b/tools/ablation/cases.go
@@ -18,11 +18,11 @@
 }
 
 //go:embed cases.json
-var text []byte
+var casesJSON []byte
 
 // Cases gives all cases, in order.
 func Cases() ([]Case, error) {
 	var list []Case
-	err := json.Unmarshal(text, &list)
+	err := json.Unmarshal(casesJSON, &list)
 	return list, err
 }
--- a/tools/ablation/cases_test.go
+++ b/tools/ablation/cases_test.go
@@ -12,8 +12,8 @@
 
 const root = "../.."
 
-// testNames gives the names of the tests of a package.
-func testNames(t *testing.T, pkg string) string {
+// testSources gives the names of the tests of a package.
+func testSources(t *testing.T, pkg string) string {
 	files, err := filepath.Glob(filepath.Join(root, pkg, "*_test.go"))
 	require.NoError(t, err)
 	var all strings.Builder
@@ -25,9 +25,9 @@
 	return all.String()
 }
 
-// TestCasesStand: what each case takes away stands in its file, and the test that must miss it is
+// TestCasesMatchSource: what each case takes away stands in its file, and the test that must miss it is
 // there, so that no case is silently void.
-func TestCasesStand(t *testing.T) {
+func TestCasesMatchSource(t *testing.T) {
 	cases, err := Cases()
 	require.NoError(t, err)
 	require.NotEmpty(t, cases)
@@ -42,7 +42,7 @@
 			t.Errorf("%s: the text to take away is not in %s", c.Name, c.File)
 		}
 		if _, ok := tests[c.Package]; !ok {
-			tests[c.Package] = testNames(t, c.Package)
+			tests[c.Package] = testSources(t, c.Package)
 		}
 		for name := range strings.SplitSeq(c.Test, "|") {
 			name, _, _ = strings.Cut(strings.TrimSuffix(name, "$"), "/")
--- a/tools/capacity/main.go
+++ b/tools/capacity/main.go
@@ -29,26 +29,26 @@
 	target, journal := defaultTarget, defaultJournal
 	if len(os.Args) > 2 {
 		n, err := strconv.Atoi(os.Args[2])
-		fail(err)
+		exitOnError(err)
 		target = n
 	}
 	if len(os.Args) > 3 {
 		journal = os.Args[3]
 	}
-	s, err := newest(journal, os.Args[1])
-	fail(err)
+	s, err := newestSweep(journal, os.Args[1])
+	exitOnError(err)
 	s.print(os.Stdout, target)
 }
 
-func fail(err error) {
+func exitOnError(err error) {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "capacity: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-// newest gives the newest whole sweep of a site. Entries are named by their time.
-func newest(journal, site string) (*sweep, error) {
+// newestSweep gives the newest whole sweep of a site. Entries are named by their time.
+func newestSweep(journal, site string) (*sweep, error) {
 	paths, err := filepath.Glob(filepath.Join(journal, "*.json"))
 	if err != nil {
 		return nil, err
@@ -78,23 +78,23 @@
 	for _, m := range s.rows {
 		fmt.Fprintf(w, "| %s |", m.name)
 		for i := range s.sizes {
-			fmt.Fprintf(w, " %.4g / %.4g |", m.middle[i], m.busiest[i])
+			fmt.Fprintf(w, " %.4g / %.4g |", m.median[i], m.busiest[i])
 		}
 		busiest, ok := fit(s.sizes, m.busiest, target)
-		fmt.Fprintf(w, " %s | %s | %s |\n", power(busiest, ok), carried(fit(s.sizes, m.middle, target)), carried(busiest, ok))
+		fmt.Fprintf(w, " %s | %s | %s |\n", formatPower(busiest, ok), formatAtTarget(fit(s.sizes, m.median, target)), formatAtTarget(busiest, ok))
 	}
 }
 
-func power(s slope, ok bool) string {
+func formatPower(s powerLaw, ok bool) string {
 	if !ok {
 		return "-"
 	}
-	return fmt.Sprintf("%.2f +- %.2f", s.power, s.deviation)
+	return fmt.Sprintf("%.2f +- %.2f", s.exponent, s.standardError)
 }
 
-func carried(s slope, ok bool) string {
+func formatAtTarget(s powerLaw, ok bool) string {
 	if !ok {
 		return "-"
 	}
-	return fmt.Sprintf("%.3g", s.carried)
+	return fmt.Sprintf("%.3g", s.atTarget)
 }
--- a/tools/capacity/sweep.go
+++ b/tools/capacity/sweep.go
@@ -24,7 +24,7 @@
 // measurement is one figure of a sweep: of the middle and of the busiest process, by size.
 type measurement struct {
 	name            string
-	middle, busiest []float64
+	median, busiest []float64
 }
 
 // sweep is the table of one sweep.
@@ -37,7 +37,7 @@
 var (
 	headerLine = regexp.MustCompile(`(?m)^ +((?:\d+ +)+\d+) +power`)
 	rowLine    = regexp.MustCompile(`(?m)^([a-z+][^\n/]*?) {2,}((?:[\d.]+ / [\d.]+ +)+)`)
-	pair       = regexp.MustCompile(`([\d.]+) / ([\d.]+)`)
+	valuePair       = regexp.MustCompile(`([\d.]+) / ([\d.]+)`)
 )
 
 // readSweep reads a journal entry; nil if it is not that of a whole sweep.
@@ -72,31 +72,31 @@
 	}
 	for _, line := range rowLine.FindAllStringSubmatch(e.Digest, -1) {
 		m := measurement{name: line[1]}
-		for _, p := range pair.FindAllStringSubmatch(line[2], -1) {
+		for _, p := range valuePair.FindAllStringSubmatch(line[2], -1) {
 			middle, _ := strconv.ParseFloat(p[1], 64)
 			busiest, _ := strconv.ParseFloat(p[2], 64)
-			m.middle, m.busiest = append(m.middle, middle), append(m.busiest, busiest)
+			m.median, m.busiest = append(m.median, middle), append(m.busiest, busiest)
 		}
-		if len(m.middle) == len(s.sizes) {
+		if len(m.median) == len(s.sizes) {
 			s.rows = append(s.rows, m)
 		}
 	}
 	return s, nil
 }
 
-// slope is a figure's growth as a power of the size, by least squares over the logarithms.
-type slope struct {
-	power, deviation float64 // its standard error; NaN with two points
-	carried          float64 // the figure at the target
+// powerLaw is a figure's growth as a power of the size, by least squares over the logarithms.
+type powerLaw struct {
+	exponent, standardError float64 // its standard error; NaN with two points
+	atTarget          float64 // the figure at the target
 }
 
 // fit gives the slope of a figure; false where a point is not above 0, so that it has no logarithm.
-func fit(sizes []int, values []float64, target int) (slope, bool) {
+func fit(sizes []int, values []float64, target int) (powerLaw, bool) {
 	n := float64(len(sizes))
 	var sumX, sumY float64
 	for i, v := range values {
 		if v <= 0 {
-			return slope{}, false
+			return powerLaw{}, false
 		}
 		sumX += math.Log(float64(sizes[i]))
 		sumY += math.Log(v)
@@ -114,9 +114,9 @@
 		off := math.Log(v) - meanY - power*(math.Log(float64(sizes[i]))-meanX)
 		rest += off * off
 	}
-	return slope{
-		power:     power,
-		deviation: math.Sqrt(rest / (n - 2) / sxx),
-		carried:   math.Exp(meanY + power*(math.Log(float64(target))-meanX)),
+	return powerLaw{
+		exponent:     power,
+		standardError: math.Sqrt(rest / (n - 2) / sxx),
+		atTarget:   math.Exp(meanY + power*(math.Log(float64(target))-meanX)),
 	}, true
 }
--- a/tools/capacity/sweep_test.go
+++ b/tools/capacity/sweep_test.go
@@ -21,28 +21,28 @@
 power: the busiest grows as machines to this power
 `
 
-func write(t *testing.T, dir, name string, e entry) {
+func writeEntry(t *testing.T, dir, name string, e entry) {
 	body, err := json.Marshal(e)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(filepath.Join(dir, name), body, 0o600))
 }
 
-// TestNewest: the newest whole sweep of the site is read, with its sizes and rows.
-func TestNewest(t *testing.T) {
+// TestNewestSweep: the newest whole sweep of the site is read, with its sizes and rows.
+func TestNewestSweep(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, "1.json", entry{ID: "old", Command: "sweep", Site: "a", OK: true, Digest: table})
-	write(t, dir, "2.json", entry{ID: "new", Command: "sweep", Site: "a", OK: true, Digest: table})
-	write(t, dir, "3.json", entry{ID: "failed", Command: "sweep", Site: "a", Digest: table})
-	write(t, dir, "4.json", entry{ID: "other", Command: "sweep", Site: "b", OK: true, Digest: table})
-	write(t, dir, "5.json", entry{ID: "score", Command: "score", Site: "a", OK: true})
-	s, err := newest(dir, "a")
+	writeEntry(t, dir, "1.json", entry{ID: "old", Command: "sweep", Site: "a", OK: true, Digest: table})
+	writeEntry(t, dir, "2.json", entry{ID: "new", Command: "sweep", Site: "a", OK: true, Digest: table})
+	writeEntry(t, dir, "3.json", entry{ID: "failed", Command: "sweep", Site: "a", Digest: table})
+	writeEntry(t, dir, "4.json", entry{ID: "other", Command: "sweep", Site: "b", OK: true, Digest: table})
+	writeEntry(t, dir, "5.json", entry{ID: "score", Command: "score", Site: "a", OK: true})
+	s, err := newestSweep(dir, "a")
 	require.NoError(t, err)
 	require.Equal(t, "new", s.ID)
 	require.Equal(t, []int{10, 100, 1000}, s.sizes)
 	require.Len(t, s.rows, 3)
 	require.Equal(t, "node: processor %", s.rows[0].name)
 	require.Equal(t, []float64{2, 20, 200}, s.rows[0].busiest)
-	_, err = newest(dir, "c")
+	_, err = newestSweep(dir, "c")
 	require.ErrorContains(t, err, "no whole sweep of c")
 }
 
@@ -52,17 +52,17 @@
 	sizes := []int{10, 100, 1000}
 	line, ok := fit(sizes, []float64{2, 20, 200}, 10000)
 	require.True(t, ok)
-	require.InDelta(t, 1, line.power, 1e-9)
-	require.InDelta(t, 0, line.deviation, 1e-9)
-	require.InDelta(t, 2000, line.carried, 1e-6)
+	require.InDelta(t, 1, line.exponent, 1e-9)
+	require.InDelta(t, 0, line.standardError, 1e-9)
+	require.InDelta(t, 2000, line.atTarget, 1e-6)
 	flat, ok := fit(sizes, []float64{64, 64, 64}, 10000)
 	require.True(t, ok)
-	require.InDelta(t, 64, flat.carried, 1e-9)
+	require.InDelta(t, 64, flat.atTarget, 1e-9)
 	_, ok = fit(sizes, []float64{0, 4, 5}, 10000)
 	require.False(t, ok)
 	scattered, _ := fit(sizes, []float64{1, 30, 100}, 10000)
-	require.InDelta(t, 1, scattered.power, 1e-9)
-	require.Greater(t, scattered.deviation, 0.1)
+	require.InDelta(t, 1, scattered.exponent, 1e-9)
+	require.Greater(t, scattered.standardError, 0.1)
 }
 
 // TestPrint: a row for each figure.
--- a/tools/exported/main.go
+++ b/tools/exported/main.go
@@ -31,7 +31,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	faults, open := judge(held, packages)
+	faults, open := check(held, packages)
 	if *verbose {
 		printLines(open)
 	}
@@ -49,10 +49,10 @@
 	}
 }
 
-// judge gives a line for each fault: an undocumented item of a held package, a held
+// check gives a line for each fault: an undocumented item of a held package, a held
 // package that does not exist, and a clean package that is not held. open are the
 // undocumented items of the other packages.
-func judge(held []string, packages map[string][]string) (faults, open []string) {
+func check(held []string, packages map[string][]string) (faults, open []string) {
 	var clean []string
 	for name, undocumented := range packages {
 		switch {
--- a/tools/exported/main_test.go
+++ b/tools/exported/main_test.go
@@ -69,13 +69,13 @@
 
 func TestJudge(t *testing.T) {
 	packages := map[string][]string{"held": nil, "clean": nil, "spoilt": {"x", "y"}, "open": {"z"}}
-	faults, open := judge([]string{"held", "spoilt", "gone"}, packages)
+	faults, open := check([]string{"held", "spoilt", "gone"}, packages)
 	require.Equal(t, []string{
 		"clean has every exported item documented: add it to the list",
 		"gone is listed, but there is no such package",
 		"x", "y",
 	}, faults)
 	require.Equal(t, []string{"z"}, open)
-	faults, _ = judge([]string{"held", "clean"}, map[string][]string{"held": nil, "clean": nil})
+	faults, _ = check([]string{"held", "clean"}, map[string][]string{"held": nil, "clean": nil})
 	require.Empty(t, faults)
 }
--- a/tools/exported/scan.go
+++ b/tools/exported/scan.go
@@ -75,13 +75,13 @@
 		}
 	case *ast.ValueSpec:
 		if declaration.Doc == nil && s.Doc == nil && s.Comment == nil {
-			return exportedOf(s.Names)
+			return exportedNames(s.Names)
 		}
 	}
 	return nil
 }
 
-func exportedOf(names []*ast.Ident) []*ast.Ident {
+func exportedNames(names []*ast.Ident) []*ast.Ident {
 	var exported []*ast.Ident
 	for _, name := range names {
 		if name.IsExported() {
--- a/tools/findings/main.go
+++ b/tools/findings/main.go
@@ -27,12 +27,12 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	reported, err := run(os.Args[3:])
+	reported, err := runChecker(os.Args[3:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "staticcheck:", err)
 		os.Exit(2)
 	}
-	faults := judge(listed, reported)
+	faults := check(listed, reported)
 	for _, fault := range faults {
 		fmt.Println(fault)
 	}
@@ -46,9 +46,9 @@
 // could not run.
 const exitFindings = 1
 
-// run gives the findings of a command. It ends well with none or exits with exitFindings
+// runChecker gives the findings of a command. It ends well with none or exits with exitFindings
 // and some; all else means that the code was not checked, and is an error.
-func run(command []string) ([]finding, error) {
+func runChecker(command []string) ([]finding, error) {
 	root, err := os.Getwd()
 	if err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 	checker.Stdout = &output
 	checker.Stderr = os.Stderr
 	failure := checker.Run()
-	reported, err := read(&output, root)
+	reported, err := readFindings(&output, root)
 	if err != nil {
 		return nil, err
 	}
@@ -86,8 +86,8 @@
 	return fmt.Sprintf("%s %s %s", f.Location.File, f.Code, f.Message)
 }
 
-// read takes findings up to the end of the input; paths become relative to root.
-func read(input io.Reader, root string) ([]finding, error) {
+// readFindings takes findings up to the end of the input; paths become relative to root.
+func readFindings(input io.Reader, root string) ([]finding, error) {
 	var reported []finding
 	for decoder := json.NewDecoder(input); ; {
 		var f finding
@@ -108,9 +108,9 @@
 	}
 }
 
-// judge gives a line for each finding that is not listed, and for each listed one that is
+// check gives a line for each finding that is not listed, and for each listed one that is
 // no longer reported.
-func judge(listed []string, reported []finding) (faults []string) {
+func check(listed []string, reported []finding) (faults []string) {
 	var ids []string
 	for _, f := range reported {
 		ids = append(ids, f.id())
--- a/tools/funclength/main.go
+++ b/tools/funclength/main.go
@@ -33,7 +33,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	faults := judge(listed, functions)
+	faults := check(listed, functions)
 	for _, fault := range faults {
 		fmt.Println(fault)
 	}
@@ -78,9 +78,9 @@
 	}
 }
 
-// judge gives a line for each long function that is not listed, and for each listed one
+// check gives a line for each long function that is not listed, and for each listed one
 // that is no longer long.
-func judge(listed []string, functions []function) (faults []string) {
+func check(listed []string, functions []function) (faults []string) {
 	var long []string
 	byID := map[string]function{}
 	for _, f := range functions {
--- a/tools/names/main.go
+++ b/tools/names/main.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// free may hold any word: what is deployed and written about the platform, and what is
+// exemptDirs may hold any word: what is deployed and written about the platform, and what is
 // built or run here.
-var free = []string{"deploy", "docs", "journal", "bin", "testbed-data"}
+var exemptDirs = []string{"deploy", "docs", "journal", "bin", "testbed-data"}
 
 // scan gives each line of a source file outside home that holds a word; a file that
 // cannot be read counts as a hit.
@@ -50,7 +50,7 @@
 		switch {
 		case err != nil:
 			hits = append(hits, fmt.Sprintf("%s: %v", name, err))
-		case d.IsDir() && name != "." && (name == home || name[0] == '.' || slices.Contains(free, name)):
+		case d.IsDir() && name != "." && (name == home || name[0] == '.' || slices.Contains(exemptDirs, name)):
 			return fs.SkipDir
 		case !d.IsDir() && slices.Contains([]string{".go", ".cue", ".star"}, filepath.Ext(name)):
 			body, err := fs.ReadFile(root, name)
--- a/tools/suite/judge.go
+++ b/tools/suite/judge.go
@@ -10,102 +10,102 @@
 
 type verdict struct {
 	passed, skipped int
-	red             []string // entries of the list that hold
-	faults          []string // each counts as one failure
+	knownRed             []string // entries of the list that hold
+	failures          []string // each counts as one failure
 }
 
-func (v *verdict) fault(form string, args ...any) {
-	v.faults = append(v.faults, fmt.Sprintf(form, args...))
+func (v *verdict) fail(form string, args ...any) {
+	v.failures = append(v.failures, fmt.Sprintf(form, args...))
 }
 
-func judge(list []known, runs []*run) *verdict {
+func evaluate(list []knownFailure, runs []*run) *verdict {
 	v := &verdict{}
 	for _, r := range runs {
-		r.judge(list, v)
+		r.evaluate(list, v)
 	}
 	for _, k := range list {
 		pkgs, ends := map[string]bool{}, map[string]int{}
 		for _, r := range runs {
 			for _, t := range r.tests {
-				if k.names(t) {
+				if k.matches(t) {
 					pkgs[t.pkg] = true
-					ends[t.end]++
+					ends[t.outcome]++
 				}
 			}
 		}
 		switch {
 		case len(pkgs) > 1:
-			v.fault("%s is known red, but several packages have a test of that name", k.name)
+			v.fail("%s is known red, but several packages have a test of that name", k.name)
 		case ends["fail"] > 0:
-			v.red = append(v.red, k.String())
+			v.knownRed = append(v.knownRed, k.String())
 		case ends["pass"] > 0:
-			v.fault("%s is known red, but passes now", k.name)
+			v.fail("%s is known red, but passes now", k.name)
 		default:
-			v.fault("%s is known red, but was never run", k.name)
+			v.fail("%s is known red, but was never run", k.name)
 		}
 	}
 	return v
 }
 
-func (r *run) judge(list []known, v *verdict) {
+func (r *run) evaluate(list []knownFailure, v *verdict) {
 	failed := map[string]bool{}
 	for _, t := range r.tests {
 		switch {
-		case t.end == "skip":
+		case t.outcome == "skip":
 			v.skipped++
-		case t.end == "fail":
+		case t.outcome == "fail":
 			failed[t.pkg] = true
-			if !listed(list, t) && !r.excused(list, t) {
-				v.fault("%s failed in %s", t.name, t.pkg)
+			if !isListed(list, t) && !r.failedOnlyInListedSubtests(list, t) {
+				v.fail("%s failed in %s", t.name, t.pkg)
 			}
-		case t.end == "":
-			v.fault("%s came to no end in %s", t.name, t.pkg)
-		case !listed(list, t):
+		case t.outcome == "":
+			v.fail("%s came to no end in %s", t.name, t.pkg)
+		case !isListed(list, t):
 			v.passed++
 		}
 	}
 	bad := len(r.tests) == 0
 	for _, p := range r.pkgs {
 		switch {
-		case p.end == "":
-			v.fault("%s came to no end", p.name)
-		case p.end == "fail" && !p.whole:
-			v.fault("%s did not build, panicked, exited or ran out of time", p.name)
-		case p.end == "fail" && !failed[p.name]:
-			v.fault("%s failed, but none of its tests did", p.name)
-		case p.raced:
-			v.fault("%s raced outside its tests", p.name)
+		case p.outcome == "":
+			v.fail("%s came to no end", p.name)
+		case p.outcome == "fail" && !p.testsFinished:
+			v.fail("%s did not build, panicked, exited or ran out of time", p.name)
+		case p.outcome == "fail" && !failed[p.name]:
+			v.fail("%s failed, but none of its tests did", p.name)
+		case p.raceOutsideTests:
+			v.fail("%s raced outside its tests", p.name)
 		}
-		bad = bad || p.end == "fail"
+		bad = bad || p.outcome == "fail"
 	}
 	if len(r.tests) == 0 {
-		v.fault("a run had no test")
-	} else if r.broken && !bad {
-		v.fault("go test ended badly, but no package failed")
+		v.fail("a run had no test")
+	} else if r.commandFailed && !bad {
+		v.fail("go test ended badly, but no package failed")
 	}
 }
 
-func listed(list []known, t *test) bool {
+func isListed(list []knownFailure, t *test) bool {
 	for _, k := range list {
-		if k.names(t) {
+		if k.matches(t) {
 			return true
 		}
 	}
 	return false
 }
 
-// excused tells that a test failed for nothing but its subtests, and that the innermost
+// failedOnlyInListedSubtests tells that a test failed for nothing but its subtests, and that the innermost
 // of those that failed are all listed.
-func (r *run) excused(list []known, t *test) bool {
-	if t.said {
+func (r *run) failedOnlyInListedSubtests(list []knownFailure, t *test) bool {
+	if t.logged {
 		return false
 	}
 	inner := 0
 	for _, s := range r.tests {
-		if !r.within(s, t) || s.end != "fail" || r.outer(s) {
+		if !r.isSubtest(s, t) || s.outcome != "fail" || r.hasFailedSubtest(s) {
 			continue
 		}
-		if !listed(list, s) {
+		if !isListed(list, s) {
 			return false
 		}
 		inner++
@@ -113,12 +113,12 @@
 	return inner > 0
 }
 
-func (r *run) within(s, t *test) bool { return s.pkg == t.pkg && strings.HasPrefix(s.name, t.name+"/") }
+func (r *run) isSubtest(s, t *test) bool { return s.pkg == t.pkg && strings.HasPrefix(s.name, t.name+"/") }
 
-// outer tells whether a subtest of a test failed.
-func (r *run) outer(t *test) bool {
+// hasFailedSubtest tells whether a subtest of a test failed.
+func (r *run) hasFailedSubtest(t *test) bool {
 	for _, s := range r.tests {
-		if s.end == "fail" && r.within(s, t) {
+		if s.outcome == "fail" && r.isSubtest(s, t) {
 			return true
 		}
 	}
--- a/tools/suite/known.go
+++ b/tools/suite/known.go
@@ -12,12 +12,12 @@
 	"strings"
 )
 
-// known is one entry: a test, the command with its seed that shows the failure, what was
+// knownFailure is one entry: a test, the command with its seed that shows the failure, what was
 // seen, and the issue.
-type known struct{ name, command, seen, issue string }
+type knownFailure struct{ name, command, seen, issue string }
 
-// knownFields are the fields of an entry, each with the form of its value.
-var knownFields = map[string]*regexp.Regexp{
+// fieldPatterns are the fields of an entry, each with the form of its value.
+var fieldPatterns = map[string]*regexp.Regexp{
 	"test":    regexp.MustCompile(`^(\w+\.)?Test\S*$`),
 	"command": regexp.MustCompile(`^\S.*$`),
 	"seen":    regexp.MustCompile(`^\S.*$`),
@@ -26,16 +26,16 @@
 
 // knownParser folds the lines of the list in, one after the other.
 type knownParser struct {
-	list   []known
-	faults []string
+	list   []knownFailure
+	problems []string
 	names  map[string]bool
-	begun  int               // the line on which the open entry begins
+	entryLine  int               // the line on which the open entry begins
 	fields map[string]string // of the open entry; nil where none is open
 }
 
 // parseKnown reads the list. Each line that is no field, each entry that lacks one or has it
 // twice, and each test that is named twice is a fault.
-func parseKnown(text string) (list []known, faults []string) {
+func parseKnown(text string) (list []knownFailure, faults []string) {
 	p := &knownParser{names: map[string]bool{}}
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -43,33 +43,33 @@
 		case line == "":
 			p.endEntry()
 		case line[0] != '#':
-			p.takeField(i+1, line)
+			p.parseField(i+1, line)
 		}
 	}
 	p.endEntry()
-	return p.list, p.faults
+	return p.list, p.problems
 }
 
-func (p *knownParser) fault(form string, args ...any) {
-	p.faults = append(p.faults, fmt.Sprintf(form, args...))
+func (p *knownParser) addProblem(form string, args ...any) {
+	p.problems = append(p.problems, fmt.Sprintf(form, args...))
 }
 
-// takeField folds one line of an entry in.
-func (p *knownParser) takeField(at int, line string) {
+// parseField folds one line of an entry in.
+func (p *knownParser) parseField(at int, line string) {
 	if p.fields == nil {
-		p.begun, p.fields = at, map[string]string{}
+		p.entryLine, p.fields = at, map[string]string{}
 	}
 	field, value, _ := strings.Cut(line, ":")
 	value = strings.TrimSpace(value)
-	form, ok := knownFields[field]
+	form, ok := fieldPatterns[field]
 	_, again := p.fields[field]
 	switch {
 	case !ok:
-		p.fault("line %d is none of test:, command:, seen:, issue:: %s", at, line)
+		p.addProblem("line %d is none of test:, command:, seen:, issue:: %s", at, line)
 	case again:
-		p.fault("line %d: the entry has %s: twice", at, field)
+		p.addProblem("line %d: the entry has %s: twice", at, field)
 	case !form.MatchString(value):
-		p.fault("line %d: %s: can't be %q", at, field, value)
+		p.addProblem("line %d: %s: can't be %q", at, field, value)
 	}
 	p.fields[field] = value
 }
@@ -83,22 +83,22 @@
 	p.fields = nil
 	for _, field := range []string{"test", "command", "seen", "issue"} {
 		if _, ok := fields[field]; !ok {
-			p.fault("the entry on line %d has no %s:", p.begun, field)
+			p.addProblem("the entry on line %d has no %s:", p.entryLine, field)
 		}
 	}
-	k := known{fields["test"], fields["command"], fields["seen"], fields["issue"]}
+	k := knownFailure{fields["test"], fields["command"], fields["seen"], fields["issue"]}
 	if k.name != "" && p.names[k.name] {
-		p.fault("the entry on line %d names %s again", p.begun, k.name)
+		p.addProblem("the entry on line %d names %s again", p.entryLine, k.name)
 	}
 	p.names[k.name] = true
 	p.list = append(p.list, k)
 }
 
 // String gives the entry on one line.
-func (k known) String() string {
+func (k knownFailure) String() string {
 	return fmt.Sprintf("%s: %s (%s; issue %s)", k.name, k.seen, k.command, k.issue)
 }
 
-func (k known) names(t *test) bool {
+func (k knownFailure) matches(t *test) bool {
 	return k.name == t.name || k.name == path.Base(t.pkg)+"."+t.name
 }
--- a/tools/suite/main.go
+++ b/tools/suite/main.go
@@ -23,29 +23,29 @@
 	}
 	list, faults := parseKnown(string(text))
 	if len(faults) > 0 {
-		refuse(os.Args[1], faults)
+		exitWithProblems(os.Args[1], faults)
 	}
 	var runs []*run
-	for _, args := range commands(os.Args[3:]) {
-		runs = append(runs, start(args, os.Stdout))
+	for _, args := range splitCommands(os.Args[3:]) {
+		runs = append(runs, runCommand(args, os.Stdout))
 	}
-	v := judge(list, runs)
+	v := evaluate(list, runs)
 	v.print(os.Stdout)
-	if len(v.faults) > 0 {
+	if len(v.failures) > 0 {
 		os.Exit(1)
 	}
 }
 
-// refuse ends the command, before any test is run, with the faults of a list that cannot
+// exitWithProblems ends the command, before any test is run, with the faults of a list that cannot
 // be taken as it is.
-func refuse(path string, faults []string) {
+func exitWithProblems(path string, faults []string) {
 	for _, fault := range faults {
 		fmt.Fprintf(os.Stderr, "%s: %s\n", path, fault)
 	}
 	os.Exit(2)
 }
 
-func commands(args []string) (out [][]string) {
+func splitCommands(args []string) (out [][]string) {
 	out = append(out, nil)
 	for _, a := range args {
 		if a == "--" {
@@ -57,8 +57,8 @@
 	return out
 }
 
-// start runs one command to its end.
-func start(args []string, show io.Writer) *run {
+// runCommand runs one command to its end.
+func runCommand(args []string, show io.Writer) *run {
 	r := newRun()
 	if len(args) == 0 {
 		return r
@@ -72,30 +72,30 @@
 	}
 	if err != nil {
 		fmt.Fprintln(show, err)
-		r.broken = true
+		r.commandFailed = true
 		return r
 	}
 	for lines := bufio.NewReader(out); ; {
 		line, err := lines.ReadBytes('\n')
 		if len(line) > 0 {
-			r.take([]byte(strings.TrimSuffix(string(line), "\n")), show)
+			r.processLine([]byte(strings.TrimSuffix(string(line), "\n")), show)
 		}
 		if err != nil {
 			break
 		}
 	}
-	r.broken = cmd.Wait() != nil
+	r.commandFailed = cmd.Wait() != nil
 	return r
 }
 
 func (v *verdict) print(w io.Writer) {
 	fmt.Fprintln(w)
-	for _, line := range v.red {
+	for _, line := range v.knownRed {
 		fmt.Fprintln(w, "known red:", line)
 	}
-	for _, line := range v.faults {
+	for _, line := range v.failures {
 		fmt.Fprintln(w, "FAILED:", line)
 	}
-	fmt.Fprintf(w, "%d skipped, %d known red\n", v.skipped, len(v.red))
-	fmt.Fprintf(w, "%d passed, %d failed\n", v.passed, len(v.faults))
+	fmt.Fprintf(w, "%d skipped, %d known red\n", v.skipped, len(v.knownRed))
+	fmt.Fprintf(w, "%d passed, %d failed\n", v.passed, len(v.failures))
 }
--- a/tools/suite/run.go
+++ b/tools/suite/run.go
@@ -15,16 +15,16 @@
 // test is one test or subtest of one run. said tells that it wrote by t.Log, t.Error
 // or their like, itself and not by a subtest.
 type test struct {
-	pkg, name, end string
-	said           bool
-	out            strings.Builder
+	pkg, name, outcome string
+	logged           bool
+	output            strings.Builder
 }
 
 // pkg is one package of one run. whole tells that its tests came to their end and some
 // failed: a build that fails, a panic, an exit and a timeout leave that line out.
 type pkg struct {
-	name, end    string
-	whole, raced bool
+	name, outcome    string
+	testsFinished, raceOutsideTests bool
 }
 
 type run struct {
@@ -32,15 +32,15 @@
 	pkgs   []*pkg
 	byName map[string]*test
 	byPkg  map[string]*pkg
-	broken bool // go test itself ended badly
+	commandFailed bool // go test itself ended badly
 }
 
 func newRun() *run { return &run{byName: map[string]*test{}, byPkg: map[string]*pkg{}} }
 
-var saidForm = regexp.MustCompile(`^\s+\S+\.go:\d+: `)
+var logLinePattern = regexp.MustCompile(`^\s+\S+\.go:\d+: `)
 
-// take folds one line of output in, and shows what a reader wants to see of it.
-func (r *run) take(line []byte, show io.Writer) {
+// processLine folds one line of output in, and shows what a reader wants to see of it.
+func (r *run) processLine(line []byte, show io.Writer) {
 	var e event
 	if json.Unmarshal(line, &e) != nil || e.Action == "" {
 		fmt.Fprintf(show, "%s\n", line)
@@ -50,13 +50,13 @@
 	case e.Package == "":
 		fmt.Fprint(show, e.Output)
 	case e.Test == "":
-		r.takePkg(e, show)
+		r.processPackageEvent(e, show)
 	default:
-		r.takeTest(e, show)
+		r.processTestEvent(e, show)
 	}
 }
 
-func (r *run) takePkg(e event, show io.Writer) {
+func (r *run) processPackageEvent(e event, show io.Writer) {
 	p, ok := r.byPkg[e.Package]
 	if !ok {
 		p = &pkg{name: e.Package}
@@ -64,22 +64,22 @@
 	}
 	switch e.Action {
 	case "output":
-		p.whole = p.whole || e.Output == "FAIL\n"
-		p.raced = p.raced || strings.Contains(e.Output, "race detected outside of test execution")
+		p.testsFinished = p.testsFinished || e.Output == "FAIL\n"
+		p.raceOutsideTests = p.raceOutsideTests || strings.Contains(e.Output, "race detected outside of test execution")
 		if e.Output != "FAIL\n" && e.Output != "PASS\n" {
 			fmt.Fprint(show, e.Output)
 		}
 	case "pass", "fail", "skip":
-		p.end = e.Action
+		p.outcome = e.Action
 		for _, t := range r.tests {
-			if t.pkg == p.name && t.end == "" {
-				fmt.Fprint(show, t.out.String())
+			if t.pkg == p.name && t.outcome == "" {
+				fmt.Fprint(show, t.output.String())
 			}
 		}
 	}
 }
 
-func (r *run) takeTest(e event, show io.Writer) {
+func (r *run) processTestEvent(e event, show io.Writer) {
 	id := e.Package + " " + e.Test
 	t, ok := r.byName[id]
 	if !ok {
@@ -88,13 +88,13 @@
 	}
 	switch e.Action {
 	case "output":
-		t.said = t.said || saidForm.MatchString(e.Output)
-		t.out.WriteString(e.Output)
+		t.logged = t.logged || logLinePattern.MatchString(e.Output)
+		t.output.WriteString(e.Output)
 	case "pass", "fail", "skip":
-		t.end = e.Action
-		if t.end == "fail" {
-			fmt.Fprint(show, t.out.String())
+		t.outcome = e.Action
+		if t.outcome == "fail" {
+			fmt.Fprint(show, t.output.String())
 		}
-		t.out.Reset()
+		t.output.Reset()
 	}
 }
--- a/tools/suite/suite_test.go
+++ b/tools/suite/suite_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// told makes a run of lines "package test action output", "-" for none.
-func told(lines ...string) *run {
+// runFromEvents makes a run of lines "package test action output", "-" for none.
+func runFromEvents(lines ...string) *run {
 	r := newRun()
 	for _, l := range lines {
 		f := strings.SplitN(l, " ", 4)
@@ -28,16 +28,16 @@
 		if len(f) > 3 {
 			e += fmt.Sprintf(`,"Output":%q`, f[3]+"\n")
 		}
-		r.take([]byte(e+"}"), io.Discard)
-		r.broken = r.broken || f[2] == "fail"
+		r.processLine([]byte(e+"}"), io.Discard)
+		r.commandFailed = r.commandFailed || f[2] == "fail"
 	}
 	return r
 }
 
-func faultsOf(t *testing.T, list string, runs ...*run) []string {
+func failuresOf(t *testing.T, list string, runs ...*run) []string {
 	k, faults := parseKnown(list)
 	require.Empty(t, faults)
-	return judge(k, runs).faults
+	return evaluate(k, runs).failures
 }
 
 // entry writes an entry of the list.
@@ -59,7 +59,7 @@
 		"# within\nseen: one: two runs\nissue: 3\n\n\n" +
 		" issue:4 \nseen:  two\ntest: router.TestB/x/1\ncommand: go test ./router")
 	require.Empty(t, faults)
-	require.Equal(t, []known{
+	require.Equal(t, []knownFailure{
 		{"TestA", "KEELSTAIR_SEEDS=3 go test ./a", "one: two runs", "3"},
 		{"router.TestB/x/1", "go test ./router", "two", "4"},
 	}, list)
@@ -69,9 +69,9 @@
 	require.Len(t, list, 5)
 }
 
-// TestKnownListRefusesFlawedEntries: an entry without one of its fields, with another one,
+// TestKnownListRejectsInvalidEntries: an entry without one of its fields, with another one,
 // with one twice or empty, and a test named twice are one fault each.
-func TestKnownListRefusesFlawedEntries(t *testing.T) {
+func TestKnownListRejectsInvalidEntries(t *testing.T) {
 	whole := strings.TrimSpace(entry("TestA"))
 	lines := strings.Split(whole, "\n")
 	for i, line := range lines {
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestRefusedListEndsBeforeTheRuns: a list that cannot be taken as it is ends the command
+// TestInvalidListStopsBeforeRuns: a list that cannot be taken as it is ends the command
 // with its faults, and no test is run.
-func TestRefusedListEndsBeforeTheRuns(t *testing.T) {
+func TestInvalidListStopsBeforeRuns(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "known")
 	require.NoError(t, os.WriteFile(path, []byte("TestA, cause, issue 1\n"), 0o600))
 	out, err := exec.Command("go", "run", ".", path, "--", "echo", "a run began").CombinedOutput()
@@ -110,7 +110,7 @@
 
 func TestListed(t *testing.T) {
 	r := func() *run {
-		return told(
+		return runFromEvents(
 			"m/a TestA fail",
 			"m/a TestB pass",
 			"m/a TestC skip",
@@ -120,36 +120,36 @@
 			"m/b - pass",
 		)
 	}
-	require.Equal(t, []string{"TestA failed in m/a"}, faultsOf(t, "", r()))
+	require.Equal(t, []string{"TestA failed in m/a"}, failuresOf(t, "", r()))
 	k, _ := parseKnown(entries("TestA"))
-	v := judge(k, []*run{r()})
-	require.Equal(t, &verdict{passed: 2, skipped: 1, red: []string{"TestA: a failure (go test -run TestA ./a; issue 1)"}}, v)
-	require.Empty(t, faultsOf(t, entries("a.TestA"), r()))
-	require.Len(t, faultsOf(t, entries("b.TestA"), r()), 2)
+	v := evaluate(k, []*run{r()})
+	require.Equal(t, &verdict{passed: 2, skipped: 1, knownRed: []string{"TestA: a failure (go test -run TestA ./a; issue 1)"}}, v)
+	require.Empty(t, failuresOf(t, entries("a.TestA"), r()))
+	require.Len(t, failuresOf(t, entries("b.TestA"), r()), 2)
 	require.Equal(
 		t,
 		[]string{"TestB is known red, but passes now"},
-		faultsOf(t, entries("TestA", "TestB"), r()),
+		failuresOf(t, entries("TestA", "TestB"), r()),
 	)
 	require.Equal(
 		t,
 		[]string{"TestC is known red, but was never run"},
-		faultsOf(t, entries("TestA", "TestC"), r()),
+		failuresOf(t, entries("TestA", "TestC"), r()),
 	)
 	require.Equal(
 		t,
 		[]string{"TestX is known red, but was never run"},
-		faultsOf(t, entries("TestA", "TestX"), r()),
+		failuresOf(t, entries("TestA", "TestX"), r()),
 	)
-	again := told("m/a TestA pass", "m/a - pass")
-	require.Empty(t, faultsOf(t, entries("TestA"), r(), again), "red in one of two runs")
-	twin := told("m/b TestA pass", "m/b - pass")
-	require.Len(t, faultsOf(t, entries("TestA"), r(), twin), 1, "which of the two is meant")
+	again := runFromEvents("m/a TestA pass", "m/a - pass")
+	require.Empty(t, failuresOf(t, entries("TestA"), r(), again), "red in one of two runs")
+	twin := runFromEvents("m/b TestA pass", "m/b - pass")
+	require.Len(t, failuresOf(t, entries("TestA"), r(), twin), 1, "which of the two is meant")
 }
 
 func TestSubtests(t *testing.T) {
 	r := func(own string) *run {
-		return told(
+		return runFromEvents(
 			"m/a TestA/x fail",
 			"m/a TestA/y pass",
 			"m/a TestA output "+own,
@@ -158,20 +158,20 @@
 			"m/a - fail",
 		)
 	}
-	require.Empty(t, faultsOf(t, entries("TestA/x"), r("--- FAIL: TestA")))
+	require.Empty(t, failuresOf(t, entries("TestA/x"), r("--- FAIL: TestA")))
 	require.Equal(
 		t,
 		[]string{"TestA failed in m/a"},
-		faultsOf(t, entries("TestA/x"), r("    a_test.go:5: own")),
+		failuresOf(t, entries("TestA/x"), r("    a_test.go:5: own")),
 		"it failed of itself too",
 	)
 	require.Equal(
 		t,
 		[]string{"TestA/x failed in m/a"},
-		faultsOf(t, entries("TestA"), r("")),
+		failuresOf(t, entries("TestA"), r("")),
 		"a test's name is not its subtests'",
 	)
-	two := told(
+	two := runFromEvents(
 		"m/a TestA/x/1 fail",
 		"m/a TestA/x fail",
 		"m/a TestA/z fail",
@@ -181,23 +181,23 @@
 	)
 	require.ElementsMatch(t, []string{
 		"TestA/z failed in m/a", "TestA failed in m/a",
-	}, faultsOf(t, entries("TestA/x/1"), two))
+	}, failuresOf(t, entries("TestA/x/1"), two))
 }
 
 func TestBrokenRuns(t *testing.T) {
 	list := entries("TestA")
 	for what, r := range map[string]*run{
-		"panic":     told("m/a TestA fail", "m/a - fail"),
-		"exit":      told("m/a TestA fail", "m/a TestB run", "m/a - output FAIL", "m/a - fail"),
-		"cut short": told("m/a TestA fail", "m/a - start"),
-		"build": told(
+		"panic":     runFromEvents("m/a TestA fail", "m/a - fail"),
+		"exit":      runFromEvents("m/a TestA fail", "m/a TestB run", "m/a - output FAIL", "m/a - fail"),
+		"cut short": runFromEvents("m/a TestA fail", "m/a - start"),
+		"build": runFromEvents(
 			"m/a TestA fail",
 			"m/a - output FAIL",
 			"m/a - fail",
 			"m/b - output FAIL m/b [build failed]",
 			"m/b - fail",
 		),
-		"outside": told(
+		"outside": runFromEvents(
 			"m/a TestA fail",
 			"m/a - output FAIL",
 			"m/a - fail",
@@ -205,7 +205,7 @@
 			"m/b - output FAIL",
 			"m/b - fail",
 		),
-		"raced": told(
+		"raced": runFromEvents(
 			"m/a TestA fail",
 			"m/a - output testing: race detected outside of test execution",
 			"m/a - output FAIL",
@@ -213,12 +213,12 @@
 		),
 		"nothing told": newRun(),
 	} {
-		require.NotEmpty(t, faultsOf(t, list, r, told("m/a TestA fail", "m/a - output FAIL", "m/a - fail")), what)
+		require.NotEmpty(t, failuresOf(t, list, r, runFromEvents("m/a TestA fail", "m/a - output FAIL", "m/a - fail")), what)
 	}
-	r := told("m/a TestB pass", "m/a - pass")
-	require.Empty(t, faultsOf(t, "", r))
-	r.broken = true
-	require.NotEmpty(t, faultsOf(t, "", r))
+	r := runFromEvents("m/a TestB pass", "m/a - pass")
+	require.Empty(t, failuresOf(t, "", r))
+	r.commandFailed = true
+	require.NotEmpty(t, failuresOf(t, "", r))
 }
 
 // TestRealRuns: what go test writes today is read rightly.
@@ -257,10 +257,10 @@
 			src := "package a\n\nimport (\n\t\"os\"\n\t\"testing\"\n)\n\nvar _ = os.Exit\n\n" + c.body + "\n"
 			require.NoError(t, os.WriteFile(filepath.Join(dir, "go.mod"), []byte("module a\n\ngo 1.26.0\n"), 0o600))
 			require.NoError(t, os.WriteFile(filepath.Join(dir, "a_test.go"), []byte(src), 0o600))
-			r := start([]string{
+			r := runCommand([]string{
 				"env", "GOWORK=off", "go", "test", "-C", dir, "-json", "-count=1", "-timeout=1s", "./...",
 			}, io.Discard)
-			require.Equal(t, c.faults, faultsOf(t, entries("TestA/x"), r))
+			require.Equal(t, c.faults, failuresOf(t, entries("TestA/x"), r))
 		})
 	}
 }
