--- a/tools/ablation/cases.go
+++ b/tools/ablation/cases.go
@@ -1,5 +1,5 @@
-// Package ablation has the cases of make ablate: each takes one mechanism away in a copy of the
-// tree, by a replacement of text, and names the test that must fail then.
+// Package ablation holds the cases of make ablate. Each case disables one mechanism in a copy of the tree by
+// replacing text, and names the test that must then fail.
 package ablation
 
 import (
@@ -7,22 +7,22 @@
 	"encoding/json"
 )
 
-// Case is one replacement.
+// Case is one text replacement.
 type Case struct {
 	Name    string `json:"name"`
-	File    string `json:"file"` // below the root
+	File    string `json:"file"` // path relative to the root of the repository
 	Old     string `json:"old"`
 	New     string `json:"new"`
 	Package string `json:"package"`
-	Test    string `json:"test"` // a pattern as go test takes it
+	Test    string `json:"test"` // a pattern for the -run flag of go test
 }
 
 //go:embed cases.json
 var casesJSON []byte
 
-// Cases gives all cases, in order.
+// Cases returns all cases in the order of the file.
 func Cases() ([]Case, error) {
-	var list []Case
-	err := json.Unmarshal(casesJSON, &list)
-	return list, err
+	var cases []Case
+	err := json.Unmarshal(casesJSON, &cases)
+	return cases, err
 }
--- a/tools/ablation/cases_test.go
+++ b/tools/ablation/cases_test.go
@@ -12,21 +12,21 @@
 
 const root = "../.."
 
-// testSources gives the names of the tests of a package.
+// testSources returns the contents of all test files of a package.
 func testSources(t *testing.T, pkg string) string {
 	files, err := filepath.Glob(filepath.Join(root, pkg, "*_test.go"))
 	require.NoError(t, err)
-	var all strings.Builder
+	var sources strings.Builder
 	for _, file := range files {
 		body, err := os.ReadFile(file)
 		require.NoError(t, err)
-		all.Write(body)
+		sources.Write(body)
 	}
-	return all.String()
+	return sources.String()
 }
 
-// TestCasesMatchSource: what each case takes away stands in its file, and the test that must miss it is
-// there, so that no case is silently void.
+// TestCasesMatchSource checks that the text that each case replaces is in its file and that the named test
+// exists. A case that does not match would test nothing.
 func TestCasesMatchSource(t *testing.T) {
 	cases, err := Cases()
 	require.NoError(t, err)
@@ -34,12 +34,12 @@
 	seen := map[string]bool{}
 	tests := map[string]string{}
 	for _, c := range cases {
-		require.False(t, seen[c.Name], "%s stands twice", c.Name)
+		require.False(t, seen[c.Name], "%s is defined twice", c.Name)
 		seen[c.Name] = true
 		body, err := os.ReadFile(filepath.Join(root, c.File))
 		require.NoError(t, err, c.Name)
 		if !strings.Contains(string(body), c.Old) {
-			t.Errorf("%s: the text to take away is not in %s", c.Name, c.File)
+			t.Errorf("%s: %s does not contain the text to replace", c.Name, c.File)
 		}
 		if _, ok := tests[c.Package]; !ok {
 			tests[c.Package] = testSources(t, c.Package)
@@ -47,7 +47,7 @@
 		for name := range strings.SplitSeq(c.Test, "|") {
 			name, _, _ = strings.Cut(strings.TrimSuffix(name, "$"), "/")
 			if !regexp.MustCompile(`func ` + name).MatchString(tests[c.Package]) {
-				t.Errorf("%s: there is no test %s in %s", c.Name, name, c.Package)
+				t.Errorf("%s: test %s does not exist in %s", c.Name, name, c.Package)
 			}
 		}
 	}
--- a/tools/capacity/main.go
+++ b/tools/capacity/main.go
@@ -1,7 +1,7 @@
-// Capacity prints, as a table of Markdown, what each figure of the newest whole sweep of a site comes
-// to at a larger size: the figure of the middle and of the busiest process at each size that was
-// played, the power of the size by which it grows with that power's standard error, and the figure
-// at the target. It plays nothing.
+// Command capacity extrapolates the metrics of the newest complete sweep of a site to a larger number of
+// nodes. It prints a Markdown table with, for each metric, the value of the median and of the busiest process
+// at each measured size, the exponent of the power law by which the value of the busiest process grows with
+// the size and that exponent's standard error, and both values at the target size. It runs no benchmark.
 //
 //	go run ./tools/capacity SITE [TARGET [JOURNAL]]
 package main
@@ -47,7 +47,8 @@
 	}
 }
 
-// newestSweep gives the newest whole sweep of a site. Entries are named by their time.
+// newestSweep returns the newest complete sweep of a site. It relies on journal entries being named by their
+// time.
 func newestSweep(journal, site string) (*sweep, error) {
 	paths, err := filepath.Glob(filepath.Join(journal, "*.json"))
 	if err != nil {
@@ -63,17 +64,17 @@
 			return s, nil
 		}
 	}
-	return nil, fmt.Errorf("%s has no whole sweep of %s", journal, site)
+	return nil, fmt.Errorf("%s has no complete sweep of %s", journal, site)
 }
 
-// print writes the table.
+// print writes the sweep and the extrapolated values as a Markdown table.
 func (s *sweep) print(w io.Writer, target int) {
 	fmt.Fprintf(w, "Sweep %s of %s, %s, on %.10s.\n\n", s.ID, s.Site, strings.Join(s.At, " to "), s.Head)
-	fmt.Fprint(w, "| figure |")
+	fmt.Fprint(w, "| metric |")
 	for _, n := range s.sizes {
 		fmt.Fprintf(w, " %d |", n)
 	}
-	fmt.Fprintf(w, " power, busiest | middle at %d | busiest at %d |\n|---|%s---|---|---|\n", target, target,
+	fmt.Fprintf(w, " exponent, busiest | median at %d | busiest at %d |\n|---|%s---|---|---|\n", target, target,
 		strings.Repeat("---|", len(s.sizes)))
 	for _, m := range s.rows {
 		fmt.Fprintf(w, "| %s |", m.name)
--- a/tools/capacity/sweep.go
+++ b/tools/capacity/sweep.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// entry is what this command reads of a journal entry.
+// entry holds the fields of a journal entry that this command reads.
 type entry struct {
 	ID      string   `json:"id"`
 	Command string   `json:"cmd"`
@@ -21,26 +21,26 @@
 	Digest  string   `json:"digest"`
 }
 
-// measurement is one figure of a sweep: of the middle and of the busiest process, by size.
+// measurement holds one metric of a sweep: its value in the median and in the busiest process, by size.
 type measurement struct {
 	name            string
 	median, busiest []float64
 }
 
-// sweep is the table of one sweep.
+// sweep holds the table of one sweep.
 type sweep struct {
 	entry
-	sizes []int // own machines
+	sizes []int // numbers of machines of the router fleet
 	rows  []measurement
 }
 
 var (
 	headerLine = regexp.MustCompile(`(?m)^ +((?:\d+ +)+\d+) +power`)
 	rowLine    = regexp.MustCompile(`(?m)^([a-z+][^\n/]*?) {2,}((?:[\d.]+ / [\d.]+ +)+)`)
-	valuePair       = regexp.MustCompile(`([\d.]+) / ([\d.]+)`)
+	valuePair  = regexp.MustCompile(`([\d.]+) / ([\d.]+)`)
 )
 
-// readSweep reads a journal entry; nil if it is not that of a whole sweep.
+// readSweep reads a journal entry. It returns nil if the entry is not that of a complete sweep.
 func readSweep(path string) (*sweep, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return parse(e)
 }
 
-// parse reads the table in an entry's digest.
+// parse reads the table in the digest of an entry. It returns nil if the digest has none.
 func parse(e entry) (*sweep, error) {
 	header := headerLine.FindStringSubmatch(e.Digest)
 	if header == nil {
@@ -84,13 +84,14 @@
 	return s, nil
 }
 
-// powerLaw is a figure's growth as a power of the size, by least squares over the logarithms.
+// powerLaw describes the growth of a metric as a power of the size, fitted by least squares to the
+// logarithms.
 type powerLaw struct {
-	exponent, standardError float64 // its standard error; NaN with two points
-	atTarget          float64 // the figure at the target
+	exponent, standardError float64 // standardError is that of the exponent; NaN with two points
+	atTarget                float64 // the extrapolated value at the target size
 }
 
-// fit gives the slope of a figure; false where a point is not above 0, so that it has no logarithm.
+// fit fits a power law to a metric. It returns false if a value is not above 0 and so has no logarithm.
 func fit(sizes []int, values []float64, target int) (powerLaw, bool) {
 	n := float64(len(sizes))
 	var sumX, sumY float64
@@ -108,15 +109,15 @@
 		sxx += dx * dx
 		sxy += dx * (math.Log(v) - meanY)
 	}
-	power := sxy / sxx
-	var rest float64
+	exponent := sxy / sxx
+	var squaredResiduals float64
 	for i, v := range values {
-		off := math.Log(v) - meanY - power*(math.Log(float64(sizes[i]))-meanX)
-		rest += off * off
+		residual := math.Log(v) - meanY - exponent*(math.Log(float64(sizes[i]))-meanX)
+		squaredResiduals += residual * residual
 	}
 	return powerLaw{
-		exponent:     power,
-		standardError: math.Sqrt(rest / (n - 2) / sxx),
-		atTarget:   math.Exp(meanY + power*(math.Log(float64(target))-meanX)),
+		exponent:      exponent,
+		standardError: math.Sqrt(squaredResiduals / (n - 2) / sxx),
+		atTarget:      math.Exp(meanY + exponent*(math.Log(float64(target))-meanX)),
 	}, true
 }
--- a/tools/capacity/sweep_test.go
+++ b/tools/capacity/sweep_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const table = `day                  own/srv  score  worth
+const sweepTable = `day                  own/srv  score  worth
 sweep-30              31/300   0.71  0.706
 
 middle / busiest or longest, by own machines
@@ -27,13 +27,13 @@
 	require.NoError(t, os.WriteFile(filepath.Join(dir, name), body, 0o600))
 }
 
-// TestNewestSweep: the newest whole sweep of the site is read, with its sizes and rows.
+// TestNewestSweep checks that the newest complete sweep of the site is read, with its sizes and rows.
 func TestNewestSweep(t *testing.T) {
 	dir := t.TempDir()
-	writeEntry(t, dir, "1.json", entry{ID: "old", Command: "sweep", Site: "a", OK: true, Digest: table})
-	writeEntry(t, dir, "2.json", entry{ID: "new", Command: "sweep", Site: "a", OK: true, Digest: table})
-	writeEntry(t, dir, "3.json", entry{ID: "failed", Command: "sweep", Site: "a", Digest: table})
-	writeEntry(t, dir, "4.json", entry{ID: "other", Command: "sweep", Site: "b", OK: true, Digest: table})
+	writeEntry(t, dir, "1.json", entry{ID: "old", Command: "sweep", Site: "a", OK: true, Digest: sweepTable})
+	writeEntry(t, dir, "2.json", entry{ID: "new", Command: "sweep", Site: "a", OK: true, Digest: sweepTable})
+	writeEntry(t, dir, "3.json", entry{ID: "failed", Command: "sweep", Site: "a", Digest: sweepTable})
+	writeEntry(t, dir, "4.json", entry{ID: "other", Command: "sweep", Site: "b", OK: true, Digest: sweepTable})
 	writeEntry(t, dir, "5.json", entry{ID: "score", Command: "score", Site: "a", OK: true})
 	s, err := newestSweep(dir, "a")
 	require.NoError(t, err)
@@ -43,11 +43,11 @@
 	require.Equal(t, "node: processor %", s.rows[0].name)
 	require.Equal(t, []float64{2, 20, 200}, s.rows[0].busiest)
 	_, err = newestSweep(dir, "c")
-	require.ErrorContains(t, err, "no whole sweep of c")
+	require.ErrorContains(t, err, "no complete sweep of c")
 }
 
-// TestFit: a power law is found and carried on, a constant stays, and what was not measured has
-// no slope.
+// TestFit checks that a power law is recognized and extrapolated, that a constant stays constant, and that a
+// metric with a value of 0 has no fit.
 func TestFit(t *testing.T) {
 	sizes := []int{10, 100, 1000}
 	line, ok := fit(sizes, []float64{2, 20, 200}, 10000)
@@ -65,9 +65,9 @@
 	require.Greater(t, scattered.standardError, 0.1)
 }
 
-// TestPrint: a row for each figure.
+// TestPrint checks that the printed table has a row for each metric.
 func TestPrint(t *testing.T) {
-	s, err := parse(entry{ID: "x", Site: "a", Digest: table})
+	s, err := parse(entry{ID: "x", Site: "a", Digest: sweepTable})
 	require.NoError(t, err)
 	var out strings.Builder
 	s.print(&out, 10000)
