--- a/tools/exported/main.go
+++ b/tools/exported/main.go
@@ -1,7 +1,7 @@
-// Command exported sees that every exported item of the packages in a list has a doc
-// comment. The list may only grow: a package that is clean has to be on it, and so stays
-// clean. It prints how many packages are held, and how many items are still undocumented
-// elsewhere. What a comment has to look like is left to staticcheck.
+// Command exported checks that every exported item has a doc comment in the packages of a list. A package
+// whose exported items are all documented must be on the list, so the list only grows. The command prints the
+// number of listed packages and the number of items that are still undocumented in other packages. It does
+// not check the form of comments; staticcheck does that.
 // Usage: exported [-v] LIST
 package main
 
@@ -15,13 +15,13 @@
 )
 
 func main() {
-	verbose := flag.Bool("v", false, "print each undocumented item of the packages that are not held")
+	verbose := flag.Bool("v", false, "print each undocumented item of the packages that are not listed")
 	flag.Parse()
 	if flag.NArg() != 1 {
 		fmt.Fprintln(os.Stderr, "usage: exported [-v] LIST")
 		os.Exit(2)
 	}
-	held, err := ratchet.Read(flag.Arg(0))
+	listed, err := ratchet.Read(flag.Arg(0))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
@@ -31,14 +31,14 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	faults, open := check(held, packages)
+	problems, elsewhere := check(listed, packages)
 	if *verbose {
-		printLines(open)
+		printLines(elsewhere)
 	}
-	printLines(faults)
-	fmt.Printf("%d of %d packages held to have every exported item documented; %d items undocumented elsewhere\n",
-		len(held), len(packages), len(open))
-	if len(faults) > 0 {
+	printLines(problems)
+	fmt.Printf("%d of %d packages must have every exported item documented; %d items undocumented elsewhere\n",
+		len(listed), len(packages), len(elsewhere))
+	if len(problems) > 0 {
 		os.Exit(1)
 	}
 }
@@ -49,31 +49,31 @@
 	}
 }
 
-// check gives a line for each fault: an undocumented item of a held package, a held
-// package that does not exist, and a clean package that is not held. open are the
-// undocumented items of the other packages.
-func check(held []string, packages map[string][]string) (faults, open []string) {
-	var clean []string
+// check returns a line for each problem: an undocumented item of a listed package, a listed package that does
+// not exist, and a fully documented package that is not listed. It also returns the undocumented items of the
+// other packages.
+func check(listed []string, packages map[string][]string) (problems, elsewhere []string) {
+	var documented []string
 	for name, undocumented := range packages {
 		switch {
-		case slices.Contains(held, name):
-			faults = append(faults, undocumented...)
+		case slices.Contains(listed, name):
+			problems = append(problems, undocumented...)
 		case len(undocumented) == 0:
-			clean = append(clean, name)
+			documented = append(documented, name)
 		default:
-			open = append(open, undocumented...)
+			elsewhere = append(elsewhere, undocumented...)
 		}
 	}
-	unlisted, _ := ratchet.Compare(held, clean)
+	unlisted, _ := ratchet.Compare(listed, documented)
 	for _, name := range unlisted {
-		faults = append(faults, fmt.Sprintf("%s has every exported item documented: add it to the list", name))
+		problems = append(problems, fmt.Sprintf("%s has every exported item documented: add it to the list", name))
 	}
-	for _, name := range held {
+	for _, name := range listed {
 		if _, ok := packages[name]; !ok {
-			faults = append(faults, fmt.Sprintf("%s is listed, but there is no such package", name))
+			problems = append(problems, fmt.Sprintf("%s is listed, but does not exist", name))
 		}
 	}
-	slices.Sort(faults)
-	slices.Sort(open)
-	return faults, open
+	slices.Sort(problems)
+	slices.Sort(elsewhere)
+	return problems, elsewhere
 }
--- a/tools/exported/scan.go
+++ b/tools/exported/scan.go
@@ -9,9 +9,8 @@
 	"keelstair.example/tools/source"
 )
 
-// scan gives for each package of the tree, by its directory, a line for each exported
-// item without a doc comment. Tests and generated files are left out, and packages that
-// consist of them.
+// scan returns, by package directory, a line for each exported item without a doc comment. It skips tests and
+// generated files, and packages that consist only of these.
 func scan(root fs.FS) (map[string][]string, error) {
 	set := token.NewFileSet()
 	files, err := source.Files(root, set)
@@ -38,8 +37,7 @@
 	return packages, nil
 }
 
-// undocumented gives the names of exported items of one declaration that have no doc
-// comment.
+// undocumented returns the names of the exported items of a declaration that have no doc comment.
 func undocumented(declaration ast.Decl) []*ast.Ident {
 	switch d := declaration.(type) {
 	case *ast.FuncDecl:
@@ -54,7 +52,8 @@
 	return nil
 }
 
-// undocumentedFunction leaves methods of unexported types out.
+// undocumentedFunction returns the name of an exported function without a doc comment. It ignores methods of
+// unexported types.
 func undocumentedFunction(function *ast.FuncDecl) []*ast.Ident {
 	receiver := source.Receiver(function)
 	hidden := receiver != "" && !ast.IsExported(receiver)
@@ -64,8 +63,8 @@
 	return []*ast.Ident{function.Name}
 }
 
-// undocumentedSpec takes the comment of a group, and one at the end of the line, for
-// constants and variables; a type needs one of its own.
+// undocumentedSpec returns the exported names of one spec that have no doc comment. The comment of a group or
+// at the end of the line counts for constants and variables; a type in a group needs its own comment.
 func undocumentedSpec(declaration *ast.GenDecl, spec ast.Spec) []*ast.Ident {
 	switch s := spec.(type) {
 	case *ast.TypeSpec:
--- a/tools/findings/main.go
+++ b/tools/findings/main.go
@@ -1,6 +1,5 @@
-// Command findings runs staticcheck (with -f json) and passes over the findings in a list
-// that may only shrink: a listed finding that is no longer reported has to leave it. It
-// prints how many findings are listed.
+// Command findings runs staticcheck (with -f json) and ignores the findings in a list that may only shrink: a
+// listed finding that is no longer reported must be removed from it. It prints the number of listed findings.
 // Usage: findings LIST -- staticcheck -f json PACKAGE...
 package main
 
@@ -32,22 +31,21 @@
 		fmt.Fprintln(os.Stderr, "staticcheck:", err)
 		os.Exit(2)
 	}
-	faults := check(listed, reported)
-	for _, fault := range faults {
-		fmt.Println(fault)
+	problems := check(listed, reported)
+	for _, problem := range problems {
+		fmt.Println(problem)
 	}
-	fmt.Printf("%d findings of staticcheck, %d known\n", len(reported), len(listed))
-	if len(faults) > 0 {
+	fmt.Printf("%d staticcheck findings, %d listed\n", len(reported), len(listed))
+	if len(problems) > 0 {
 		os.Exit(1)
 	}
 }
 
-// exitFindings is the exit code that goes with findings; staticcheck also uses it when it
-// could not run.
+// exitFindings is the exit code of staticcheck if it has findings, but also if it could not run.
 const exitFindings = 1
 
-// runChecker gives the findings of a command. It ends well with none or exits with exitFindings
-// and some; all else means that the code was not checked, and is an error.
+// runChecker returns the findings of a command. The command must either succeed without findings, or exit with
+// exitFindings and have some. Any other outcome means that the code was not checked, and is an error.
 func runChecker(command []string) ([]finding, error) {
 	root, err := os.Getwd()
 	if err != nil {
@@ -69,7 +67,7 @@
 	return reported, nil
 }
 
-// finding is one line of staticcheck's output.
+// finding is one line of the output of staticcheck.
 type finding struct {
 	Code     string `json:"code"`
 	Message  string `json:"message"`
@@ -80,13 +78,13 @@
 	} `json:"location"`
 }
 
-// id names a finding by its file, check and message, without its line, which changes with
-// every edit above it.
+// id identifies a finding by its file, check and message. It omits the line, which changes with every edit
+// above it.
 func (f finding) id() string {
 	return fmt.Sprintf("%s %s %s", f.Location.File, f.Code, f.Message)
 }
 
-// readFindings takes findings up to the end of the input; paths become relative to root.
+// readFindings reads all findings from the input. It makes paths relative to root.
 func readFindings(input io.Reader, root string) ([]finding, error) {
 	var reported []finding
 	for decoder := json.NewDecoder(input); ; {
@@ -96,7 +94,7 @@
 			return reported, nil
 		}
 		if err == nil && f.Code == "" {
-			err = errors.New("a finding without a code")
+			err = errors.New("finding without a code")
 		}
 		if err != nil {
 			return nil, err
@@ -108,9 +106,9 @@
 	}
 }
 
-// check gives a line for each finding that is not listed, and for each listed one that is
-// no longer reported.
-func check(listed []string, reported []finding) (faults []string) {
+// check returns a line for each finding that is not listed, and for each listed finding that is no longer
+// reported.
+func check(listed []string, reported []finding) (problems []string) {
 	var ids []string
 	for _, f := range reported {
 		ids = append(ids, f.id())
@@ -119,15 +117,15 @@
 	for _, f := range reported {
 		for _, id := range unlisted {
 			if f.id() == id {
-				at := f.Location
-				faults = append(
-					faults, fmt.Sprintf("%s:%d:%d: %s (%s)", at.File, at.Line, at.Column, f.Message, f.Code),
+				location := f.Location
+				problems = append(
+					problems, fmt.Sprintf("%s:%d:%d: %s (%s)", location.File, location.Line, location.Column, f.Message, f.Code),
 				)
 			}
 		}
 	}
 	for _, id := range stale {
-		faults = append(faults, fmt.Sprintf("%q is listed, but no longer found: remove it from the list", id))
+		problems = append(problems, fmt.Sprintf("%q is listed, but no longer found: remove it from the list", id))
 	}
-	return faults
+	return problems
 }
--- a/tools/findings/main_test.go
+++ b/tools/findings/main_test.go
@@ -7,11 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// staticcheckOutput is what staticcheck 2026.1 (v0.8) writes with -f json, cut short.
+// staticcheckOutput is shortened output of staticcheck 2026.1 (v0.8) with -f json.
 const staticcheckOutput = `{"code":"U1000","severity":"error","location":{"file":"/x/a/a.go","line":17,"column":2},"end":{"file":"/x/a/a.go","line":17,"column":5},"message":"field bye is unused"}
 {"code":"SA4006","severity":"error","location":{"file":"/x/b/b.go","line":3,"column":4},"end":{"file":"","line":0,"column":0},"message":"this value of a is never used"}
 `
 
+// TestCheck checks which unlisted and stale findings are reported.
 func TestCheck(t *testing.T) {
 	reported, err := readFindings(strings.NewReader(staticcheckOutput), "/x")
 	require.NoError(t, err)
@@ -26,27 +27,28 @@
 	}, check(listed, reported[:1]))
 }
 
-// TestInvalidOutput: output that is cut short or is no finding is an error, never "clean".
+// TestInvalidOutput checks that truncated output or output that is no finding is an error, and does not count
+// as no findings.
 func TestInvalidOutput(t *testing.T) {
-	for _, bad := range []string{staticcheckOutput[:60], "-: cannot find package", "{}"} {
-		_, err := readFindings(strings.NewReader(bad), "/x")
-		require.Error(t, err, bad)
+	for _, invalid := range []string{staticcheckOutput[:60], "-: cannot find package", "{}"} {
+		_, err := readFindings(strings.NewReader(invalid), "/x")
+		require.Error(t, err, invalid)
 	}
 	reported, err := readFindings(strings.NewReader(""), "/x")
 	require.NoError(t, err)
 	require.Empty(t, reported)
 }
 
-// TestRun: a checker that could not do its work is never taken for one that found nothing.
+// TestRun checks that a checker that could not do its work is an error, and does not count as no findings.
 func TestRun(t *testing.T) {
-	one := `{"code":"U1000","location":{"file":"a.go","line":1,"column":1},"message":"m"}`
-	for script, found := range map[string]int{"exit 0": 0, "echo '" + one + "'; exit 1": 1} {
+	findingJSON := `{"code":"U1000","location":{"file":"a.go","line":1,"column":1},"message":"m"}`
+	for script, count := range map[string]int{"exit 0": 0, "echo '" + findingJSON + "'; exit 1": 1} {
 		reported, err := runChecker([]string{"sh", "-c", script})
 		require.NoError(t, err, script)
-		require.Len(t, reported, found, script)
+		require.Len(t, reported, count, script)
 	}
 	for _, script := range []string{
-		"exit 1", "exit 2", "echo '" + one + "'; exit 2", "echo '" + one + "'; kill -9 $$", "echo matched no packages",
+		"exit 1", "exit 2", "echo '" + findingJSON + "'; exit 2", "echo '" + findingJSON + "'; kill -9 $$", "echo matched no packages",
 	} {
 		_, err := runChecker([]string{"sh", "-c", script})
 		require.Error(t, err, script)
--- a/tools/funclength/main.go
+++ b/tools/funclength/main.go
@@ -1,6 +1,6 @@
-// Command funclength sees that no function is longer than maxLines, but for those in a
-// list that may only shrink: a listed function that is short by now, or gone, has to leave
-// it. It prints how many functions there are, and how many are listed.
+// Command funclength checks that no function is longer than maxLines, except those in a list that may only
+// shrink: a listed function that is no longer too long or no longer exists must be removed from it. It prints
+// the number of functions and the number of listed ones.
 // Usage: funclength LIST
 package main
 
@@ -15,7 +15,7 @@
 	"keelstair.example/tools/source"
 )
 
-// maxLines is how many lines a function may have, from its "func" to its closing brace.
+// maxLines is the maximum number of lines of a function, from its "func" to its closing brace.
 const maxLines = 60
 
 func main() {
@@ -33,25 +33,25 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	faults := check(listed, functions)
-	for _, fault := range faults {
-		fmt.Println(fault)
+	problems := check(listed, functions)
+	for _, problem := range problems {
+		fmt.Println(problem)
 	}
-	fmt.Printf("%d functions, %d of them known to be longer than %d lines\n", len(functions), len(listed), maxLines)
-	if len(faults) > 0 {
+	fmt.Printf("%d functions, %d of them listed as longer than %d lines\n", len(functions), len(listed), maxLines)
+	if len(problems) > 0 {
 		os.Exit(1)
 	}
 }
 
-// function is one function or method. Its id, "PACKAGE NAME", stays the same when it
-// moves to another file of the package.
+// function is one function or method. Its id, "PACKAGE NAME", does not change when the function moves to
+// another file of the package.
 type function struct {
 	id       string
 	position token.Position
 	lines    int
 }
 
-// measure gives every function of the tree, those of tests too.
+// measure returns every function of the tree, including those of tests.
 func measure(root fs.FS) ([]function, error) {
 	set := token.NewFileSet()
 	files, err := source.Files(root, set)
@@ -78,9 +78,8 @@
 	}
 }
 
-// check gives a line for each long function that is not listed, and for each listed one
-// that is no longer long.
-func check(listed []string, functions []function) (faults []string) {
+// check returns a line for each long function that is not listed, and for each listed function that is not long.
+func check(listed []string, functions []function) (problems []string) {
 	var long []string
 	byID := map[string]function{}
 	for _, f := range functions {
@@ -92,22 +91,22 @@
 	unlisted, stale := ratchet.Compare(listed, long)
 	for _, id := range unlisted {
 		f := byID[id]
-		faults = append(
-			faults,
+		problems = append(
+			problems,
 			fmt.Sprintf(
 				"%s:%d: %s has %d lines, over %d", f.position.Filename, f.position.Line, f.id, f.lines, maxLines,
 			),
 		)
 	}
 	for _, id := range stale {
-		faults = append(
-			faults,
+		problems = append(
+			problems,
 			fmt.Sprintf(
-				"%s is listed as long, but has %d lines at most or is gone: remove it from the list",
+				"%s is listed as long, but has at most %d lines or does not exist: remove it from the list",
 				id,
 				maxLines,
 			),
 		)
 	}
-	return faults
+	return problems
 }
--- a/tools/funclength/main_test.go
+++ b/tools/funclength/main_test.go
@@ -8,11 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// functionSource is a function's source of so many lines.
-func functionSource(head string, lines int) string {
-	return head + " {\n" + strings.Repeat("\t_ = 0\n", lines-2) + "}\n"
+// functionSource returns the source of a function with the given number of lines.
+func functionSource(signature string, lines int) string {
+	return signature + " {\n" + strings.Repeat("\t_ = 0\n", lines-2) + "}\n"
 }
 
+// sourceTree returns a file system with the given files.
 func sourceTree(files map[string]string) fstest.MapFS {
 	root := fstest.MapFS{}
 	for name, text := range files {
@@ -21,6 +22,7 @@
 	return root
 }
 
+// TestCheck checks which functions are reported, around the limit, in tests and in generated files.
 func TestCheck(t *testing.T) {
 	functions, err := measure(sourceTree(map[string]string{
 		"a/a.go":        "package a\n\n// Doc.\n// Doc.\n" + functionSource("func Exact()", 60) + functionSource("func (t *T) Long()", 61),
@@ -35,7 +37,7 @@
 	}, check(nil, functions))
 	require.Empty(t, check([]string{"a T.Long", "a/b TestLong"}, functions))
 	require.Equal(t, []string{
-		"a Exact is listed as long, but has 60 lines at most or is gone: remove it from the list",
-		"a Gone is listed as long, but has 60 lines at most or is gone: remove it from the list",
+		"a Exact is listed as long, but has at most 60 lines or does not exist: remove it from the list",
+		"a Gone is listed as long, but has at most 60 lines or does not exist: remove it from the list",
 	}, check([]string{"a T.Long", "a/b TestLong", "a Gone", "a Exact"}, functions))
 }
--- a/tools/names/main.go
+++ b/tools/names/main.go
@@ -1,5 +1,5 @@
-// Command names sees that the platform's own names stay within one module: no source
-// file elsewhere may hold a word of its list. Usage: names platform/names.txt
+// Command names checks that the platform's own names are used in only one module: no source file elsewhere
+// may contain a word of the list. Usage: names platform/names.txt
 package main
 
 import (
@@ -24,66 +24,66 @@
 	}
 	words := strings.Fields(string(text))
 	if len(words) == 0 {
-		fmt.Fprintln(os.Stderr, os.Args[1], "holds no word")
+		fmt.Fprintln(os.Stderr, os.Args[1], "contains no words")
 		os.Exit(2)
 	}
-	home := filepath.Dir(os.Args[1])
-	hits := scan(os.DirFS("."), home, words)
-	for _, h := range hits {
-		fmt.Println(h)
+	allowedDir := filepath.Dir(os.Args[1])
+	violations := scan(os.DirFS("."), allowedDir, words)
+	for _, violation := range violations {
+		fmt.Println(violation)
 	}
-	if len(hits) > 0 {
-		fmt.Printf("%d of the platform's names stand outside %s/\n", len(hits), home)
+	if len(violations) > 0 {
+		fmt.Printf("%d uses of the platform's names outside %s/\n", len(violations), allowedDir)
 		os.Exit(1)
 	}
 }
 
-// exemptDirs may hold any word: what is deployed and written about the platform, and what is
-// built or run here.
+// exemptDirs may contain any word: the deployment and the documents about the platform, and build and run
+// output.
 var exemptDirs = []string{"deploy", "docs", "journal", "bin", "testbed-data"}
 
-// scan gives each line of a source file outside home that holds a word; a file that
-// cannot be read counts as a hit.
-func scan(root fs.FS, home string, words []string) (hits []string) {
-	form := pattern(words)
+// scan returns a line for each listed word in a source file outside allowedDir. A file that cannot be read
+// counts as a violation.
+func scan(root fs.FS, allowedDir string, words []string) (violations []string) {
+	namePattern := pattern(words)
 	fs.WalkDir(root, ".", func(name string, d fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
-			hits = append(hits, fmt.Sprintf("%s: %v", name, err))
-		case d.IsDir() && name != "." && (name == home || name[0] == '.' || slices.Contains(exemptDirs, name)):
+			violations = append(violations, fmt.Sprintf("%s: %v", name, err))
+		case d.IsDir() && name != "." && (name == allowedDir || name[0] == '.' || slices.Contains(exemptDirs, name)):
 			return fs.SkipDir
 		case !d.IsDir() && slices.Contains([]string{".go", ".cue", ".star"}, filepath.Ext(name)):
 			body, err := fs.ReadFile(root, name)
 			if err != nil {
-				hits = append(hits, fmt.Sprintf("%s: %v", name, err))
+				violations = append(violations, fmt.Sprintf("%s: %v", name, err))
 			}
 			for i, line := range strings.Split(string(body), "\n") {
-				for _, m := range form.FindAllString(line, -1) {
-					hits = append(hits, fmt.Sprintf("%s:%d: %s", name, i+1, m))
+				for _, m := range namePattern.FindAllString(line, -1) {
+					violations = append(violations, fmt.Sprintf("%s:%d: %s", name, i+1, m))
 				}
 			}
 		}
 		return nil
 	})
-	return hits
+	return violations
 }
 
-// pattern matches any of the words where it stands whole: no letter, digit or underline
-// follows or precedes an end of it that is one.
+// pattern matches any of the words as whole words: if a word starts or ends with a letter, digit or underscore,
+// no such character may come before or after it. Longer words are tried first.
 func pattern(words []string) *regexp.Regexp {
-	letter := regexp.MustCompile(`^\w$`)
-	longest := slices.Clone(words)
-	slices.SortFunc(longest, func(a, b string) int { return len(b) - len(a) })
-	var forms []string
-	for _, w := range longest {
-		form := regexp.QuoteMeta(w)
-		if letter.MatchString(w[:1]) {
-			form = `\b` + form
+	wordCharacter := regexp.MustCompile(`^\w$`)
+	longestFirst := slices.Clone(words)
+	slices.SortFunc(longestFirst, func(a, b string) int { return len(b) - len(a) })
+	var expressions []string
+	for _, w := range longestFirst {
+		expression := regexp.QuoteMeta(w)
+		if wordCharacter.MatchString(w[:1]) {
+			expression = `\b` + expression
 		}
-		if letter.MatchString(w[len(w)-1:]) {
-			form += `\b`
+		if wordCharacter.MatchString(w[len(w)-1:]) {
+			expression += `\b`
 		}
-		forms = append(forms, form)
+		expressions = append(expressions, expression)
 	}
-	return regexp.MustCompile(strings.Join(forms, "|"))
+	return regexp.MustCompile(strings.Join(expressions, "|"))
 }
--- a/tools/ratchet/ratchet.go
+++ b/tools/ratchet/ratchet.go
@@ -1,7 +1,6 @@
-// Package ratchet reads the checked-in lists that let a check be introduced before all of
-// the code holds to it, and compares such a list with what the check finds today. An entry
-// that the code no longer needs is reported like a finding that the list lacks, so a list
-// of exceptions only shrinks and a list of what is held only grows.
+// Package ratchet reads the checked-in lists of checks that not all code passes yet, and compares such a list
+// with the current result of the check. A stale entry is reported just like a finding that is not listed, so
+// that a list of exceptions only shrinks and a list of conforming packages only grows.
 package ratchet
 
 import (
@@ -11,8 +10,8 @@
 	"strings"
 )
 
-// Read gives the entries of a list file: one a line, without blank lines and lines that
-// begin with '#'. An entry that stands twice is an error.
+// Read returns the entries of a list file, one per line. Blank lines and lines that begin with '#' are skipped.
+// A duplicate entry is an error.
 func Read(path string) ([]string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -25,7 +24,7 @@
 	return entries, nil
 }
 
-// Parse gives the entries of a list's text, as Read does.
+// Parse returns the entries of the text of a list, in the format that Read describes.
 func Parse(text string) ([]string, error) {
 	var entries []string
 	for i, line := range strings.Split(text, "\n") {
@@ -41,8 +40,8 @@
 	return entries, nil
 }
 
-// Compare gives what was found and is not listed, and what is listed and was not found,
-// both sorted and without repeats.
+// Compare returns the findings that are not listed, and the listed entries that were not found, both sorted and
+// without duplicates.
 func Compare(listed, found []string) (unlisted, stale []string) {
 	return without(found, listed), without(listed, found)
 }
--- a/tools/source/source.go
+++ b/tools/source/source.go
@@ -1,5 +1,4 @@
-// Package source parses the hand-written Go files of a tree for the checks that need no
-// types.
+// Package source parses the hand-written Go files of a tree for checks that do not need type information.
 package source
 
 import (
@@ -12,25 +11,24 @@
 	"strings"
 )
 
-// File is one parsed file, with its path in the tree and the slash-separated path of its
-// package's directory.
+// File is one parsed file, with its path in the tree and the slash-separated path of its package directory.
 type File struct {
 	Path, Package string
 	*ast.File
 }
 
-// skipped are directories without source of the project: what is built or run here.
-var skipped = []string{"bin", "testbed-data", "target", "testdata"}
+// skippedDirs contain no source of the project, but build and run output and test data.
+var skippedDirs = []string{"bin", "testbed-data", "target", "testdata"}
 
-// Files parses every Go file of the tree but generated ones, in the order of their paths;
-// positions are those of the file set. A file that cannot be read or parsed is an error.
+// Files parses every Go file of the tree except generated ones, in the order of their paths. The file set
+// gets their positions. A file that cannot be read or parsed is an error.
 func Files(root fs.FS, set *token.FileSet) ([]File, error) {
 	var files []File
 	err := fs.WalkDir(root, ".", func(name string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && name != "." && (entry.Name()[0] == '.' || slices.Contains(skipped, entry.Name())):
+		case entry.IsDir() && name != "." && (entry.Name()[0] == '.' || slices.Contains(skippedDirs, entry.Name())):
 			return fs.SkipDir
 		case entry.IsDir() || path.Ext(name) != ".go":
 			return nil
@@ -51,10 +49,10 @@
 	return files, err
 }
 
-// IsTest tells whether the file belongs to its package's tests only.
+// IsTest reports whether the file is a test file.
 func (f File) IsTest() bool { return strings.HasSuffix(f.Path, "_test.go") }
 
-// FunctionName names a function of a package as "Name" or, for a method, "Type.Name".
+// FunctionName returns the name of a function as "Name" or, for a method, "Type.Name".
 func FunctionName(function *ast.FuncDecl) string {
 	if receiver := Receiver(function); receiver != "" {
 		return receiver + "." + function.Name.Name
@@ -62,8 +60,8 @@
 	return function.Name.Name
 }
 
-// Receiver names the type that a method belongs to, without pointer and type parameters;
-// it is empty for a plain function.
+// Receiver returns the name of a method's receiver type without pointer and type parameters. It is empty for a
+// function without a receiver.
 func Receiver(function *ast.FuncDecl) string {
 	if function.Recv == nil || len(function.Recv.List) == 0 {
 		return ""
--- a/tools/suite/known.go
+++ b/tools/suite/known.go
@@ -1,7 +1,7 @@
-// The list of tests that are known to fail. An entry is a block of lines "field: value"
-// that a blank line ends; it has each of the fields test, command, seen and issue once. A
-// subtest is named in full, and a name that several packages have is written with its
-// package before it, "router.TestName". Lines that begin with # are comments.
+// The list of tests that are known to fail. An entry is a block of lines "field: value" that ends with a blank
+// line. It has each of the fields test, command, seen and issue exactly once. A subtest is given by its full
+// name. If several packages have a test of the same name, the package precedes it: "router.TestName". Lines
+// that begin with # are comments.
 
 package main
 
@@ -12,11 +12,11 @@
 	"strings"
 )
 
-// knownFailure is one entry: a test, the command with its seed that shows the failure, what was
-// seen, and the issue.
+// knownFailure is one entry: a test, the command and seed that reproduce the failure, what was seen, and the
+// number of the issue.
 type knownFailure struct{ name, command, seen, issue string }
 
-// fieldPatterns are the fields of an entry, each with the form of its value.
+// fieldPatterns maps each field of an entry to the pattern of its value.
 var fieldPatterns = map[string]*regexp.Regexp{
 	"test":    regexp.MustCompile(`^(\w+\.)?Test\S*$`),
 	"command": regexp.MustCompile(`^\S.*$`),
@@ -24,18 +24,18 @@
 	"issue":   regexp.MustCompile(`^\d+$`),
 }
 
-// knownParser folds the lines of the list in, one after the other.
+// knownParser parses the list line by line.
 type knownParser struct {
-	list   []knownFailure
-	problems []string
-	names  map[string]bool
-	entryLine  int               // the line on which the open entry begins
-	fields map[string]string // of the open entry; nil where none is open
+	list      []knownFailure
+	problems  []string
+	names     map[string]bool
+	entryLine int               // the line on which the current entry begins
+	fields    map[string]string // fields of the current entry, nil between entries
 }
 
-// parseKnown reads the list. Each line that is no field, each entry that lacks one or has it
-// twice, and each test that is named twice is a fault.
-func parseKnown(text string) (list []knownFailure, faults []string) {
+// parseKnown parses the list. It reports a problem for each line that is not a field, each missing, duplicate
+// or invalid field, and each test that is listed twice.
+func parseKnown(text string) (list []knownFailure, problems []string) {
 	p := &knownParser{names: map[string]bool{}}
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -50,31 +50,31 @@
 	return p.list, p.problems
 }
 
-func (p *knownParser) addProblem(form string, args ...any) {
-	p.problems = append(p.problems, fmt.Sprintf(form, args...))
+func (p *knownParser) addProblem(format string, args ...any) {
+	p.problems = append(p.problems, fmt.Sprintf(format, args...))
 }
 
-// parseField folds one line of an entry in.
-func (p *knownParser) parseField(at int, line string) {
+// parseField parses one line of an entry.
+func (p *knownParser) parseField(lineNumber int, line string) {
 	if p.fields == nil {
-		p.entryLine, p.fields = at, map[string]string{}
+		p.entryLine, p.fields = lineNumber, map[string]string{}
 	}
 	field, value, _ := strings.Cut(line, ":")
 	value = strings.TrimSpace(value)
-	form, ok := fieldPatterns[field]
-	_, again := p.fields[field]
+	pattern, ok := fieldPatterns[field]
+	_, duplicate := p.fields[field]
 	switch {
 	case !ok:
-		p.addProblem("line %d is none of test:, command:, seen:, issue:: %s", at, line)
-	case again:
-		p.addProblem("line %d: the entry has %s: twice", at, field)
-	case !form.MatchString(value):
-		p.addProblem("line %d: %s: can't be %q", at, field, value)
+		p.addProblem("line %d is not a test, command, seen or issue field: %s", lineNumber, line)
+	case duplicate:
+		p.addProblem("line %d: duplicate %s field", lineNumber, field)
+	case !pattern.MatchString(value):
+		p.addProblem("line %d: invalid value of field %s: %q", lineNumber, field, value)
 	}
 	p.fields[field] = value
 }
 
-// endEntry ends the open entry, if there is one.
+// endEntry adds the current entry, if any, to the list and checks that it is complete.
 func (p *knownParser) endEntry() {
 	if p.fields == nil {
 		return
@@ -83,22 +83,23 @@
 	p.fields = nil
 	for _, field := range []string{"test", "command", "seen", "issue"} {
 		if _, ok := fields[field]; !ok {
-			p.addProblem("the entry on line %d has no %s:", p.entryLine, field)
+			p.addProblem("the entry on line %d has no %s field", p.entryLine, field)
 		}
 	}
 	k := knownFailure{fields["test"], fields["command"], fields["seen"], fields["issue"]}
 	if k.name != "" && p.names[k.name] {
-		p.addProblem("the entry on line %d names %s again", p.entryLine, k.name)
+		p.addProblem("the entry on line %d repeats test %s", p.entryLine, k.name)
 	}
 	p.names[k.name] = true
 	p.list = append(p.list, k)
 }
 
-// String gives the entry on one line.
+// String returns the entry on one line.
 func (k knownFailure) String() string {
 	return fmt.Sprintf("%s: %s (%s; issue %s)", k.name, k.seen, k.command, k.issue)
 }
 
+// matches reports whether the entry names a test, with or without its package.
 func (k knownFailure) matches(t *test) bool {
 	return k.name == t.name || k.name == path.Base(t.pkg)+"."+t.name
 }
--- a/tools/suite/main.go
+++ b/tools/suite/main.go
@@ -1,5 +1,5 @@
-// Command suite runs the tests and passes over those that are known to fail, and over
-// nothing else. Usage: suite KNOWN-RED.txt -- go test -json ... [-- go test -json ...]
+// Command suite runs the tests and tolerates the failures of the tests that are known to fail, but no others.
+// Usage: suite KNOWN-RED.txt -- go test -json ... [-- go test -json ...]
 package main
 
 import (
@@ -21,9 +21,9 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	list, faults := parseKnown(string(text))
-	if len(faults) > 0 {
-		exitWithProblems(os.Args[1], faults)
+	list, problems := parseKnown(string(text))
+	if len(problems) > 0 {
+		exitWithProblems(os.Args[1], problems)
 	}
 	var runs []*run
 	for _, args := range splitCommands(os.Args[3:]) {
@@ -36,49 +36,49 @@
 	}
 }
 
-// exitWithProblems ends the command, before any test is run, with the faults of a list that cannot
-// be taken as it is.
-func exitWithProblems(path string, faults []string) {
-	for _, fault := range faults {
-		fmt.Fprintf(os.Stderr, "%s: %s\n", path, fault)
+// exitWithProblems prints the problems of an invalid list and exits before any test is run.
+func exitWithProblems(path string, problems []string) {
+	for _, problem := range problems {
+		fmt.Fprintf(os.Stderr, "%s: %s\n", path, problem)
 	}
 	os.Exit(2)
 }
 
-func splitCommands(args []string) (out [][]string) {
-	out = append(out, nil)
+// splitCommands splits the arguments into commands at each "--".
+func splitCommands(args []string) (commands [][]string) {
+	commands = append(commands, nil)
 	for _, a := range args {
 		if a == "--" {
-			out = append(out, nil)
+			commands = append(commands, nil)
 			continue
 		}
-		out[len(out)-1] = append(out[len(out)-1], a)
+		commands[len(commands)-1] = append(commands[len(commands)-1], a)
 	}
-	return out
+	return commands
 }
 
-// runCommand runs one command to its end.
-func runCommand(args []string, show io.Writer) *run {
+// runCommand runs one command to its end and prints its progress to display.
+func runCommand(args []string, display io.Writer) *run {
 	r := newRun()
 	if len(args) == 0 {
 		return r
 	}
-	fmt.Fprintln(show, strings.Join(args, " "))
+	fmt.Fprintln(display, strings.Join(args, " "))
 	cmd := exec.Command(args[0], args[1:]...)
 	cmd.Stderr = os.Stderr
-	out, err := cmd.StdoutPipe()
+	output, err := cmd.StdoutPipe()
 	if err == nil {
 		err = cmd.Start()
 	}
 	if err != nil {
-		fmt.Fprintln(show, err)
+		fmt.Fprintln(display, err)
 		r.commandFailed = true
 		return r
 	}
-	for lines := bufio.NewReader(out); ; {
+	for lines := bufio.NewReader(output); ; {
 		line, err := lines.ReadBytes('\n')
 		if len(line) > 0 {
-			r.processLine([]byte(strings.TrimSuffix(string(line), "\n")), show)
+			r.processLine([]byte(strings.TrimSuffix(string(line), "\n")), display)
 		}
 		if err != nil {
 			break
@@ -88,6 +88,7 @@
 	return r
 }
 
+// print writes the known failures that occurred, the unexpected failures and the totals.
 func (v *verdict) print(w io.Writer) {
 	fmt.Fprintln(w)
 	for _, line := range v.knownRed {
--- a/tools/suite/run.go
+++ b/tools/suite/run.go
@@ -1,4 +1,4 @@
-// One run of go test -json, as far as its events tell of it.
+// The results of one run of go test -json, collected from its events.
 
 package main
 
@@ -10,81 +10,87 @@
 	"strings"
 )
 
+// event is one line of the output of go test -json.
 type event struct{ Action, Package, Test, Output string }
 
-// test is one test or subtest of one run. said tells that it wrote by t.Log, t.Error
-// or their like, itself and not by a subtest.
+// test is one test or subtest of one run. Its field logged is set if the test itself, not just a subtest, wrote
+// a line with t.Log, t.Error or a similar method.
 type test struct {
 	pkg, name, outcome string
-	logged           bool
-	output            strings.Builder
+	logged             bool
+	output             strings.Builder
 }
 
-// pkg is one package of one run. whole tells that its tests came to their end and some
-// failed: a build that fails, a panic, an exit and a timeout leave that line out.
+// pkg is one package of one run. Its field testsFinished is set if all its tests finished and some failed: go
+// test writes a line with FAIL alone then, but not after a failed build, a panic, an exit or a timeout.
 type pkg struct {
-	name, outcome    string
+	name, outcome                   string
 	testsFinished, raceOutsideTests bool
 }
 
+// run holds the results of one command.
 type run struct {
-	tests  []*test
-	pkgs   []*pkg
-	byName map[string]*test
-	byPkg  map[string]*pkg
-	commandFailed bool // go test itself ended badly
+	tests          []*test
+	pkgs           []*pkg
+	testsByID      map[string]*test
+	packagesByPath map[string]*pkg
+	commandFailed  bool // the command could not be started or exited with an error
 }
 
-func newRun() *run { return &run{byName: map[string]*test{}, byPkg: map[string]*pkg{}} }
+func newRun() *run { return &run{testsByID: map[string]*test{}, packagesByPath: map[string]*pkg{}} }
 
+// logLinePattern matches a line that a test logged, which begins with a file name and a line number.
 var logLinePattern = regexp.MustCompile(`^\s+\S+\.go:\d+: `)
 
-// processLine folds one line of output in, and shows what a reader wants to see of it.
-func (r *run) processLine(line []byte, show io.Writer) {
+// processLine records one line of output, and prints what is relevant for a reader.
+func (r *run) processLine(line []byte, display io.Writer) {
 	var e event
 	if json.Unmarshal(line, &e) != nil || e.Action == "" {
-		fmt.Fprintf(show, "%s\n", line)
+		fmt.Fprintf(display, "%s\n", line)
 		return
 	}
 	switch {
 	case e.Package == "":
-		fmt.Fprint(show, e.Output)
+		fmt.Fprint(display, e.Output)
 	case e.Test == "":
-		r.processPackageEvent(e, show)
+		r.processPackageEvent(e, display)
 	default:
-		r.processTestEvent(e, show)
+		r.processTestEvent(e, display)
 	}
 }
 
-func (r *run) processPackageEvent(e event, show io.Writer) {
-	p, ok := r.byPkg[e.Package]
+// processPackageEvent records an event of a package. When the package ends, it prints the output of its
+// unfinished tests.
+func (r *run) processPackageEvent(e event, display io.Writer) {
+	p, ok := r.packagesByPath[e.Package]
 	if !ok {
 		p = &pkg{name: e.Package}
-		r.byPkg[e.Package], r.pkgs = p, append(r.pkgs, p)
+		r.packagesByPath[e.Package], r.pkgs = p, append(r.pkgs, p)
 	}
 	switch e.Action {
 	case "output":
 		p.testsFinished = p.testsFinished || e.Output == "FAIL\n"
 		p.raceOutsideTests = p.raceOutsideTests || strings.Contains(e.Output, "race detected outside of test execution")
 		if e.Output != "FAIL\n" && e.Output != "PASS\n" {
-			fmt.Fprint(show, e.Output)
+			fmt.Fprint(display, e.Output)
 		}
 	case "pass", "fail", "skip":
 		p.outcome = e.Action
 		for _, t := range r.tests {
 			if t.pkg == p.name && t.outcome == "" {
-				fmt.Fprint(show, t.output.String())
+				fmt.Fprint(display, t.output.String())
 			}
 		}
 	}
 }
 
-func (r *run) processTestEvent(e event, show io.Writer) {
+// processTestEvent records an event of a test, and prints the output of the test if it failed.
+func (r *run) processTestEvent(e event, display io.Writer) {
 	id := e.Package + " " + e.Test
-	t, ok := r.byName[id]
+	t, ok := r.testsByID[id]
 	if !ok {
 		t = &test{pkg: e.Package, name: e.Test}
-		r.byName[id], r.tests = t, append(r.tests, t)
+		r.testsByID[id], r.tests = t, append(r.tests, t)
 	}
 	switch e.Action {
 	case "output":
@@ -93,7 +99,7 @@
 	case "pass", "fail", "skip":
 		t.outcome = e.Action
 		if t.outcome == "fail" {
-			fmt.Fprint(show, t.output.String())
+			fmt.Fprint(display, t.output.String())
 		}
 		t.output.Reset()
 	}
--- a/tools/suite/suite_test.go
+++ b/tools/suite/suite_test.go
@@ -1,5 +1,4 @@
-// The verdict over outputs of go test -json, as they were seen, cut short; and over real
-// runs of packages made for it.
+// Tests of the verdict with shortened real output of go test -json, and with real runs of generated packages.
 
 package main
 
@@ -16,7 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runFromEvents makes a run of lines "package test action output", "-" for none.
+// runFromEvents returns a run with the given events. A line has the form "package test action output", with "-"
+// for no test.
 func runFromEvents(lines ...string) *run {
 	r := newRun()
 	for _, l := range lines {
@@ -34,18 +34,19 @@
 	return r
 }
 
+// failuresOf returns the failures of the verdict over the runs, given a list of known failures.
 func failuresOf(t *testing.T, list string, runs ...*run) []string {
-	k, faults := parseKnown(list)
-	require.Empty(t, faults)
+	k, problems := parseKnown(list)
+	require.Empty(t, problems)
 	return evaluate(k, runs).failures
 }
 
-// entry writes an entry of the list.
+// entry returns an entry of the list for a test.
 func entry(name string) string {
 	return "test: " + name + "\ncommand: go test -run " + name + " ./a\nseen: a failure\nissue: 1\n\n"
 }
 
-// entries writes a list of entries.
+// entries returns a list with an entry for each of the tests.
 func entries(names ...string) string {
 	var b strings.Builder
 	for _, name := range names {
@@ -54,60 +55,63 @@
 	return b.String()
 }
 
+// TestKnownList checks that comments, blank lines and any order of fields are accepted.
 func TestKnownList(t *testing.T) {
-	list, faults := parseKnown("# why\n\ntest: TestA\ncommand: KEELSTAIR_SEEDS=3 go test ./a\n" +
+	list, problems := parseKnown("# why\n\ntest: TestA\ncommand: KEELSTAIR_SEEDS=3 go test ./a\n" +
 		"# within\nseen: one: two runs\nissue: 3\n\n\n" +
 		" issue:4 \nseen:  two\ntest: router.TestB/x/1\ncommand: go test ./router")
-	require.Empty(t, faults)
+	require.Empty(t, problems)
 	require.Equal(t, []knownFailure{
 		{"TestA", "KEELSTAIR_SEEDS=3 go test ./a", "one: two runs", "3"},
 		{"router.TestB/x/1", "go test ./router", "two", "4"},
 	}, list)
 	require.Equal(t, "TestA: one: two runs (KEELSTAIR_SEEDS=3 go test ./a; issue 3)", list[0].String())
-	list, faults = parseKnown(entries("TestA", "TestB", "TestC", "TestD", "TestE"))
-	require.Empty(t, faults)
+	list, problems = parseKnown(entries("TestA", "TestB", "TestC", "TestD", "TestE"))
+	require.Empty(t, problems)
 	require.Len(t, list, 5)
 }
 
-// TestKnownListRejectsInvalidEntries: an entry without one of its fields, with another one,
-// with one twice or empty, and a test named twice are one fault each.
+// TestKnownListRejectsInvalidEntries checks that a missing, unknown, duplicate or empty field and a test that
+// is listed twice are one problem each.
 func TestKnownListRejectsInvalidEntries(t *testing.T) {
-	whole := strings.TrimSpace(entry("TestA"))
-	lines := strings.Split(whole, "\n")
+	complete := strings.TrimSpace(entry("TestA"))
+	lines := strings.Split(complete, "\n")
 	for i, line := range lines {
 		field, _, _ := strings.Cut(line, ":")
-		rest := slices.Delete(slices.Clone(lines), i, i+1)
-		_, faults := parseKnown(strings.Join(rest, "\n"))
-		require.Equal(t, []string{"the entry on line 1 has no " + field + ":"}, faults)
-		_, faults = parseKnown(whole + "\n" + line)
-		require.Equal(t, []string{"line 5: the entry has " + field + ": twice"}, faults)
-		_, faults = parseKnown(strings.Replace(whole, line, field+":", 1))
-		require.Equal(t, []string{fmt.Sprintf("line %d: %s: can't be \"\"", i+1, field)}, faults)
+		remaining := slices.Delete(slices.Clone(lines), i, i+1)
+		_, problems := parseKnown(strings.Join(remaining, "\n"))
+		require.Equal(t, []string{"the entry on line 1 has no " + field + " field"}, problems)
+		_, problems = parseKnown(complete + "\n" + line)
+		require.Equal(t, []string{"line 5: duplicate " + field + " field"}, problems)
+		_, problems = parseKnown(strings.Replace(complete, line, field+":", 1))
+		require.Equal(t, []string{fmt.Sprintf("line %d: invalid value of field %s: \"\"", i+1, field)}, problems)
 	}
-	for bad, fault := range map[string]string{
-		whole + "\n" + "cause: load":                      "line 5 is none of test:, command:, seen:, issue:: cause: load",
-		whole + "\n" + "TestB, cause, issue 1":            "line 5 is none of test:, command:, seen:, issue:: TestB, cause, issue 1",
-		strings.Replace(whole, "TestA\n", "A\n", 1):       `line 1: test: can't be "A"`,
-		strings.Replace(whole, "TestA\n", "TestA b\n", 1): `line 1: test: can't be "TestA b"`,
-		strings.Replace(whole, "issue: 1", "issue: x", 1): `line 4: issue: can't be "x"`,
-		whole + "\n\n" + whole:                            "the entry on line 6 names TestA again",
+	for bad, problem := range map[string]string{
+		complete + "\n" + "cause: load":                      "line 5 is not a test, command, seen or issue field: cause: load",
+		complete + "\n" + "TestB, cause, issue 1":            "line 5 is not a test, command, seen or issue field: TestB, cause, issue 1",
+		strings.Replace(complete, "TestA\n", "A\n", 1):       `line 1: invalid value of field test: "A"`,
+		strings.Replace(complete, "TestA\n", "TestA b\n", 1): `line 1: invalid value of field test: "TestA b"`,
+		strings.Replace(complete, "issue: 1", "issue: x", 1): `line 4: invalid value of field issue: "x"`,
+		complete + "\n\n" + complete:                         "the entry on line 6 repeats test TestA",
 	} {
-		_, faults := parseKnown(bad)
-		require.Equal(t, []string{fault}, faults, bad)
+		_, problems := parseKnown(bad)
+		require.Equal(t, []string{problem}, problems, bad)
 	}
 }
 
-// TestInvalidListStopsBeforeRuns: a list that cannot be taken as it is ends the command
-// with its faults, and no test is run.
+// TestInvalidListStopsBeforeRuns checks that an invalid list ends the command with its problems before any
+// test is run.
 func TestInvalidListStopsBeforeRuns(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "known")
 	require.NoError(t, os.WriteFile(path, []byte("TestA, cause, issue 1\n"), 0o600))
-	out, err := exec.Command("go", "run", ".", path, "--", "echo", "a run began").CombinedOutput()
+	out, err := exec.Command("go", "run", ".", path, "--", "echo", "a run started").CombinedOutput()
 	require.Error(t, err)
-	require.Contains(t, string(out), "the entry on line 1 has no test:\n")
-	require.NotContains(t, string(out), "a run began")
+	require.Contains(t, string(out), "the entry on line 1 has no test field\n")
+	require.NotContains(t, string(out), "a run started")
 }
 
+// TestListed checks that a listed test may fail, in one of several runs too, and that it must run, must fail and
+// must be unambiguous.
 func TestListed(t *testing.T) {
 	r := func() *run {
 		return runFromEvents(
@@ -128,7 +132,7 @@
 	require.Len(t, failuresOf(t, entries("b.TestA"), r()), 2)
 	require.Equal(
 		t,
-		[]string{"TestB is known red, but passes now"},
+		[]string{"TestB is known red, but passed"},
 		failuresOf(t, entries("TestA", "TestB"), r()),
 	)
 	require.Equal(
@@ -141,12 +145,13 @@
 		[]string{"TestX is known red, but was never run"},
 		failuresOf(t, entries("TestA", "TestX"), r()),
 	)
-	again := runFromEvents("m/a TestA pass", "m/a - pass")
-	require.Empty(t, failuresOf(t, entries("TestA"), r(), again), "red in one of two runs")
-	twin := runFromEvents("m/b TestA pass", "m/b - pass")
-	require.Len(t, failuresOf(t, entries("TestA"), r(), twin), 1, "which of the two is meant")
+	secondRun := runFromEvents("m/a TestA pass", "m/a - pass")
+	require.Empty(t, failuresOf(t, entries("TestA"), r(), secondRun), "it failed in one of two runs")
+	sameName := runFromEvents("m/b TestA pass", "m/b - pass")
+	require.Len(t, failuresOf(t, entries("TestA"), r(), sameName), 1, "the entry matches tests of two packages")
 }
 
+// TestSubtests checks that a test may fail because of listed subtests, but not by itself or because of others.
 func TestSubtests(t *testing.T) {
 	r := func(own string) *run {
 		return runFromEvents(
@@ -163,13 +168,13 @@
 		t,
 		[]string{"TestA failed in m/a"},
 		failuresOf(t, entries("TestA/x"), r("    a_test.go:5: own")),
-		"it failed of itself too",
+		"it also failed by itself",
 	)
 	require.Equal(
 		t,
 		[]string{"TestA/x failed in m/a"},
 		failuresOf(t, entries("TestA"), r("")),
-		"a test's name is not its subtests'",
+		"an entry for a test does not cover its subtests",
 	)
 	two := runFromEvents(
 		"m/a TestA/x/1 fail",
@@ -184,12 +189,14 @@
 	}, failuresOf(t, entries("TestA/x/1"), two))
 }
 
+// TestBrokenRuns checks that a run that did not finish, or failed outside its tests, fails although its failed
+// test is listed.
 func TestBrokenRuns(t *testing.T) {
 	list := entries("TestA")
 	for what, r := range map[string]*run{
 		"panic":     runFromEvents("m/a TestA fail", "m/a - fail"),
 		"exit":      runFromEvents("m/a TestA fail", "m/a TestB run", "m/a - output FAIL", "m/a - fail"),
-		"cut short": runFromEvents("m/a TestA fail", "m/a - start"),
+		"truncated": runFromEvents("m/a TestA fail", "m/a - start"),
 		"build": runFromEvents(
 			"m/a TestA fail",
 			"m/a - output FAIL",
@@ -205,13 +212,13 @@
 			"m/b - output FAIL",
 			"m/b - fail",
 		),
-		"raced": runFromEvents(
+		"race": runFromEvents(
 			"m/a TestA fail",
 			"m/a - output testing: race detected outside of test execution",
 			"m/a - output FAIL",
 			"m/a - fail",
 		),
-		"nothing told": newRun(),
+		"no events": newRun(),
 	} {
 		require.NotEmpty(t, failuresOf(t, list, r, runFromEvents("m/a TestA fail", "m/a - output FAIL", "m/a - fail")), what)
 	}
@@ -221,12 +228,12 @@
 	require.NotEmpty(t, failuresOf(t, "", r))
 }
 
-// TestRealRuns: what go test writes today is read rightly.
+// TestRealRuns checks that the actual output of go test is interpreted correctly.
 func TestRealRuns(t *testing.T) {
-	const broke, open = "a did not build, panicked, exited or ran out of time", "TestA came to no end in a"
+	const packageFailed, unfinished = "a did not build, panicked, exited or ran out of time", "TestA did not finish in a"
 	for what, c := range map[string]struct {
-		body   string
-		faults []string
+		body     string
+		failures []string
 	}{
 		"listed": {`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("red") }) }`, nil},
 		"own": {
@@ -235,20 +242,20 @@
 		},
 		"passes": {
 			`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) {}) }`,
-			[]string{"TestA/x is known red, but passes now"},
+			[]string{"TestA/x is known red, but passed"},
 		},
-		"panics": {`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { panic("red") }) }`, []string{broke}},
+		"panics": {`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { panic("red") }) }`, []string{packageFailed}},
 		"exits": {
 			`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("red") }); os.Exit(1) }`,
-			[]string{open, broke},
+			[]string{unfinished, packageFailed},
 		},
 		"late": {
 			`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("red") }); select {} }`,
-			[]string{open, broke},
+			[]string{unfinished, packageFailed},
 		},
 		"compile": {
 			`func TestA(t *testing.T) { x }`,
-			[]string{broke, "a run had no test", "TestA/x is known red, but was never run"},
+			[]string{packageFailed, "a run executed no test", "TestA/x is known red, but was never run"},
 		},
 	} {
 		t.Run(what, func(t *testing.T) {
@@ -260,7 +267,7 @@
 			r := runCommand([]string{
 				"env", "GOWORK=off", "go", "test", "-C", dir, "-json", "-count=1", "-timeout=1s", "./...",
 			}, io.Discard)
-			require.Equal(t, c.faults, failuresOf(t, entries("TestA/x"), r))
+			require.Equal(t, c.failures, failuresOf(t, entries("TestA/x"), r))
 		})
 	}
 }
--- a/tools/suite/judge.go
+++ b/tools/suite/verdict.go
@@ -1,5 +1,5 @@
-// The verdict over all runs: only a test that the list names may fail, and whatever it
-// names must run and fail.
+// The verdict over all runs: only tests on the list of known failures may fail, and each listed test must run
+// and fail.
 
 package main
 
@@ -8,38 +8,40 @@
 	"strings"
 )
 
+// verdict is the result of all runs.
 type verdict struct {
 	passed, skipped int
-	knownRed             []string // entries of the list that hold
-	failures          []string // each counts as one failure
+	knownRed        []string // entries of the list whose test failed as expected
+	failures        []string // one line each
 }
 
-func (v *verdict) fail(form string, args ...any) {
-	v.failures = append(v.failures, fmt.Sprintf(form, args...))
+func (v *verdict) fail(format string, args ...any) {
+	v.failures = append(v.failures, fmt.Sprintf(format, args...))
 }
 
+// evaluate returns the verdict over all runs, given the list of known failures.
 func evaluate(list []knownFailure, runs []*run) *verdict {
 	v := &verdict{}
 	for _, r := range runs {
 		r.evaluate(list, v)
 	}
 	for _, k := range list {
-		pkgs, ends := map[string]bool{}, map[string]int{}
+		packages, outcomes := map[string]bool{}, map[string]int{}
 		for _, r := range runs {
 			for _, t := range r.tests {
 				if k.matches(t) {
-					pkgs[t.pkg] = true
-					ends[t.outcome]++
+					packages[t.pkg] = true
+					outcomes[t.outcome]++
 				}
 			}
 		}
 		switch {
-		case len(pkgs) > 1:
-			v.fail("%s is known red, but several packages have a test of that name", k.name)
-		case ends["fail"] > 0:
+		case len(packages) > 1:
+			v.fail("%s is known red, but several packages have a test with this name", k.name)
+		case outcomes["fail"] > 0:
 			v.knownRed = append(v.knownRed, k.String())
-		case ends["pass"] > 0:
-			v.fail("%s is known red, but passes now", k.name)
+		case outcomes["pass"] > 0:
+			v.fail("%s is known red, but passed", k.name)
 		default:
 			v.fail("%s is known red, but was never run", k.name)
 		}
@@ -47,6 +49,7 @@
 	return v
 }
 
+// evaluate adds the results of one run to the verdict.
 func (r *run) evaluate(list []knownFailure, v *verdict) {
 	failed := map[string]bool{}
 	for _, t := range r.tests {
@@ -59,32 +62,33 @@
 				v.fail("%s failed in %s", t.name, t.pkg)
 			}
 		case t.outcome == "":
-			v.fail("%s came to no end in %s", t.name, t.pkg)
+			v.fail("%s did not finish in %s", t.name, t.pkg)
 		case !isListed(list, t):
 			v.passed++
 		}
 	}
-	bad := len(r.tests) == 0
+	failureFound := len(r.tests) == 0
 	for _, p := range r.pkgs {
 		switch {
 		case p.outcome == "":
-			v.fail("%s came to no end", p.name)
+			v.fail("%s did not finish", p.name)
 		case p.outcome == "fail" && !p.testsFinished:
 			v.fail("%s did not build, panicked, exited or ran out of time", p.name)
 		case p.outcome == "fail" && !failed[p.name]:
 			v.fail("%s failed, but none of its tests did", p.name)
 		case p.raceOutsideTests:
-			v.fail("%s raced outside its tests", p.name)
+			v.fail("%s has a data race outside its tests", p.name)
 		}
-		bad = bad || p.outcome == "fail"
+		failureFound = failureFound || p.outcome == "fail"
 	}
 	if len(r.tests) == 0 {
-		v.fail("a run had no test")
-	} else if r.commandFailed && !bad {
-		v.fail("go test ended badly, but no package failed")
+		v.fail("a run executed no test")
+	} else if r.commandFailed && !failureFound {
+		v.fail("go test failed, but no package failed")
 	}
 }
 
+// isListed reports whether the list names a test.
 func isListed(list []knownFailure, t *test) bool {
 	for _, k := range list {
 		if k.matches(t) {
@@ -94,13 +98,13 @@
 	return false
 }
 
-// failedOnlyInListedSubtests tells that a test failed for nothing but its subtests, and that the innermost
-// of those that failed are all listed.
+// failedOnlyInListedSubtests reports whether a test failed only because of its subtests, and all innermost
+// subtests that failed are listed.
 func (r *run) failedOnlyInListedSubtests(list []knownFailure, t *test) bool {
 	if t.logged {
 		return false
 	}
-	inner := 0
+	failedSubtests := 0
 	for _, s := range r.tests {
 		if !r.isSubtest(s, t) || s.outcome != "fail" || r.hasFailedSubtest(s) {
 			continue
@@ -108,14 +112,17 @@
 		if !isListed(list, s) {
 			return false
 		}
-		inner++
+		failedSubtests++
 	}
-	return inner > 0
+	return failedSubtests > 0
 }
 
-func (r *run) isSubtest(s, t *test) bool { return s.pkg == t.pkg && strings.HasPrefix(s.name, t.name+"/") }
+// isSubtest reports whether s is a direct or indirect subtest of t.
+func (r *run) isSubtest(s, t *test) bool {
+	return s.pkg == t.pkg && strings.HasPrefix(s.name, t.name+"/")
+}
 
-// hasFailedSubtest tells whether a subtest of a test failed.
+// hasFailedSubtest reports whether a subtest of a test failed.
 func (r *run) hasFailedSubtest(t *test) bool {
 	for _, s := range r.tests {
 		if s.outcome == "fail" && r.isSubtest(s, t) {
