--- a/tools/suite/verdict.go
+++ b/tools/suite/verdict.go
@@ -12,7 +12,7 @@
 type verdict struct {
 	passed, skipped int
 	knownRed        []string // entries of the list whose test failed as expected
-	failures        []string // one line each
+	failures        []string // each is counted and printed as one failure
 }
 
 func (v *verdict) fail(format string, args ...any) {
