--- a/tools/capacity/main.go
+++ b/tools/capacity/main.go
@@ -1,7 +1,7 @@
-// Capacity prints, as a table of Markdown, what each figure of the newest whole sweep of a site comes
-// to at a larger size: the figure of the middle and of the busiest process at each size that was
-// played, the power of the size by which it grows with that power's standard error, and the figure
-// at the target. It plays nothing.
+// Command capacity extrapolates the metrics of the newest complete sweep of a site to a larger number of
+// nodes. It prints a Markdown table with, for each metric, the value of the median and of the busiest process
+// at each measured size, the exponent of the power law by which the value of the busiest process grows with
+// the size and that exponent's standard error, and both values at the target size. It runs no benchmark.
 //
 //	go run ./tools/capacity SITE [TARGET [JOURNAL]]
 package main
@@ -29,26 +29,27 @@
 	target, journal := defaultTarget, defaultJournal
 	if len(os.Args) > 2 {
 		n, err := strconv.Atoi(os.Args[2])
-		fail(err)
+		exitOnError(err)
 		target = n
 	}
 	if len(os.Args) > 3 {
 		journal = os.Args[3]
 	}
-	s, err := newest(journal, os.Args[1])
-	fail(err)
+	s, err := newestSweep(journal, os.Args[1])
+	exitOnError(err)
 	s.print(os.Stdout, target)
 }
 
-func fail(err error) {
+func exitOnError(err error) {
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "capacity: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-// newest gives the newest whole sweep of a site. Entries are named by their time.
-func newest(journal, site string) (*sweep, error) {
+// newestSweep returns the newest complete sweep of a site. It relies on journal entries being named by their
+// time.
+func newestSweep(journal, site string) (*sweep, error) {
 	paths, err := filepath.Glob(filepath.Join(journal, "*.json"))
 	if err != nil {
 		return nil, err
@@ -63,38 +64,38 @@
 			return s, nil
 		}
 	}
-	return nil, fmt.Errorf("%s has no whole sweep of %s", journal, site)
+	return nil, fmt.Errorf("%s has no complete sweep of %s", journal, site)
 }
 
-// print writes the table.
+// print writes the sweep and the extrapolated values as a Markdown table.
 func (s *sweep) print(w io.Writer, target int) {
 	fmt.Fprintf(w, "Sweep %s of %s, %s, on %.10s.\n\n", s.ID, s.Site, strings.Join(s.At, " to "), s.Head)
-	fmt.Fprint(w, "| figure |")
+	fmt.Fprint(w, "| metric |")
 	for _, n := range s.sizes {
 		fmt.Fprintf(w, " %d |", n)
 	}
-	fmt.Fprintf(w, " power, busiest | middle at %d | busiest at %d |\n|---|%s---|---|---|\n", target, target,
+	fmt.Fprintf(w, " exponent, busiest | median at %d | busiest at %d |\n|---|%s---|---|---|\n", target, target,
 		strings.Repeat("---|", len(s.sizes)))
 	for _, m := range s.rows {
 		fmt.Fprintf(w, "| %s |", m.name)
 		for i := range s.sizes {
-			fmt.Fprintf(w, " %.4g / %.4g |", m.middle[i], m.busiest[i])
+			fmt.Fprintf(w, " %.4g / %.4g |", m.median[i], m.busiest[i])
 		}
 		busiest, ok := fit(s.sizes, m.busiest, target)
-		fmt.Fprintf(w, " %s | %s | %s |\n", power(busiest, ok), carried(fit(s.sizes, m.middle, target)), carried(busiest, ok))
+		fmt.Fprintf(w, " %s | %s | %s |\n", formatPower(busiest, ok), formatAtTarget(fit(s.sizes, m.median, target)), formatAtTarget(busiest, ok))
 	}
 }
 
-func power(s slope, ok bool) string {
+func formatPower(s powerLaw, ok bool) string {
 	if !ok {
 		return "-"
 	}
-	return fmt.Sprintf("%.2f +- %.2f", s.power, s.deviation)
+	return fmt.Sprintf("%.2f +- %.2f", s.exponent, s.standardError)
 }
 
-func carried(s slope, ok bool) string {
+func formatAtTarget(s powerLaw, ok bool) string {
 	if !ok {
 		return "-"
 	}
-	return fmt.Sprintf("%.3g", s.carried)
+	return fmt.Sprintf("%.3g", s.atTarget)
 }
--- /dev/null
+++ b/tools/suite/verdict.go
@@ -0,0 +1,133 @@
+// The verdict over all runs: only tests on the list of known failures may fail, and each listed test must run
+// and fail.
+
+package main
+
+import (
+	"fmt"
+	"strings"
+)
+
+// verdict is the result of all runs.
+type verdict struct {
+	passed, skipped int
+	knownRed        []string // entries of the list whose test failed as expected
+	failures        []string // each is counted and printed as one failure
+}
+
+func (v *verdict) fail(format string, args ...any) {
+	v.failures = append(v.failures, fmt.Sprintf(format, args...))
+}
+
+// evaluate returns the verdict over all runs, given the list of known failures.
+func evaluate(list []knownFailure, runs []*run) *verdict {
+	v := &verdict{}
+	for _, r := range runs {
+		r.evaluate(list, v)
+	}
+	for _, k := range list {
+		packages, outcomes := map[string]bool{}, map[string]int{}
+		for _, r := range runs {
+			for _, t := range r.tests {
+				if k.matches(t) {
+					packages[t.pkg] = true
+					outcomes[t.outcome]++
+				}
+			}
+		}
+		switch {
+		case len(packages) > 1:
+			v.fail("%s is known red, but several packages have a test with this name", k.name)
+		case outcomes["fail"] > 0:
+			v.knownRed = append(v.knownRed, k.String())
+		case outcomes["pass"] > 0:
+			v.fail("%s is known red, but passed", k.name)
+		default:
+			v.fail("%s is known red, but was never run", k.name)
+		}
+	}
+	return v
+}
+
+// evaluate adds the results of one run to the verdict.
+func (r *run) evaluate(list []knownFailure, v *verdict) {
+	failed := map[string]bool{}
+	for _, t := range r.tests {
+		switch {
+		case t.outcome == "skip":
+			v.skipped++
+		case t.outcome == "fail":
+			failed[t.pkg] = true
+			if !isListed(list, t) && !r.failedOnlyInListedSubtests(list, t) {
+				v.fail("%s failed in %s", t.name, t.pkg)
+			}
+		case t.outcome == "":
+			v.fail("%s did not finish in %s", t.name, t.pkg)
+		case !isListed(list, t):
+			v.passed++
+		}
+	}
+	failureFound := len(r.tests) == 0
+	for _, p := range r.pkgs {
+		switch {
+		case p.outcome == "":
+			v.fail("%s did not finish", p.name)
+		case p.outcome == "fail" && !p.testsFinished:
+			v.fail("%s did not build, panicked, exited or ran out of time", p.name)
+		case p.outcome == "fail" && !failed[p.name]:
+			v.fail("%s failed, but none of its tests did", p.name)
+		case p.raceOutsideTests:
+			v.fail("%s has a data race outside its tests", p.name)
+		}
+		failureFound = failureFound || p.outcome == "fail"
+	}
+	if len(r.tests) == 0 {
+		v.fail("a run executed no test")
+	} else if r.commandFailed && !failureFound {
+		v.fail("go test failed, but no package failed")
+	}
+}
+
+// isListed reports whether the list names a test.
+func isListed(list []knownFailure, t *test) bool {
+	for _, k := range list {
+		if k.matches(t) {
+			return true
+		}
+	}
+	return false
+}
+
+// failedOnlyInListedSubtests reports whether a test failed only because of its subtests, and all innermost
+// subtests that failed are listed.
+func (r *run) failedOnlyInListedSubtests(list []knownFailure, t *test) bool {
+	if t.logged {
+		return false
+	}
+	failedSubtests := 0
+	for _, s := range r.tests {
+		if !r.isSubtest(s, t) || s.outcome != "fail" || r.hasFailedSubtest(s) {
+			continue
+		}
+		if !isListed(list, s) {
+			return false
+		}
+		failedSubtests++
+	}
+	return failedSubtests > 0
+}
+
+// isSubtest reports whether s is a direct or indirect subtest of t.
+func (r *run) isSubtest(s, t *test) bool {
+	return s.pkg == t.pkg && strings.HasPrefix(s.name, t.name+"/")
+}
+
+// hasFailedSubtest reports whether a subtest of a test failed.
+func (r *run) hasFailedSubtest(t *test) bool {
+	for _, s := range r.tests {
+		if s.outcome == "fail" && r.isSubtest(s, t) {
+			return true
+		}
+	}
+	return false
+}
