--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -114,7 +114,7 @@
 	if c.Doors == "" {
 		doors = standin.PollNodes(ctx, host, c.Platform, site.Zones)
 	}
-	all := standin.Load(ctx, standin.LoadOptions{
+	all := standin.RunLoad(ctx, standin.LoadOptions{
 		Host:     host,
 		Nodes:    doors,
 		Zones:    site.Zones,
--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -28,7 +28,7 @@
 	}
 	begun := time.Now()
 	var got api.ApplyResponse
-	a := api.ApplyRequest{Op: coordination.NewID(), Base: sh.Newest, Partial: true, Name: name, Source: part}
+	a := api.ApplyRequest{Op: coordination.NewID(), BaseVersion: sh.Newest, Partial: true, Name: name, Source: part}
 	if err := cli.Ask(f.doors(), http.MethodPost, "/v1/policy", a, &got); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
--- a/cmd/keelstair-testbed/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -43,7 +43,7 @@
 		certs[c.Serial] = c
 	}
 	for i, id := range f.site.WorkerIDs() {
-		if i != f.site.Prefill-1 && i != f.site.Prefill+f.site.Decode-1 {
+		if i != f.site.PrefillWorkers-1 && i != f.site.PrefillWorkers+f.site.DecodeWorkers-1 {
 			put(certification.Certificate{Worker: id, Roles: []ids.Role{f.site.Worker(i).Role}}, string(id))
 		}
 	}
@@ -159,7 +159,7 @@
 		return
 	}
 	names := f.site.WorkerIDs()
-	f.revoked[string(names[f.site.Prefill-1])], f.revoked[string(names[len(names)-1])] = 0, 0
+	f.revoked[string(names[f.site.PrefillWorkers-1])], f.revoked[string(names[len(names)-1])] = 0, 0
 	all, wrong := 0, 0
 	for name, n := range f.governed() {
 		all += n
--- a/cmd/keelstair-testbed/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -59,7 +59,7 @@
 ) []standin.Outcome {
 	asking, stop := context.WithCancel(ctx)
 	defer stop()
-	return standin.Load(ctx, standin.LoadOptions{
+	return standin.RunLoad(ctx, standin.LoadOptions{
 		Host:     machine,
 		Nodes:    standin.PollNodes(asking, machine, f.platform, f.site.Zones),
 		Zones:    f.site.Zones,
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -147,20 +147,20 @@
 }
 
 func (s *options) put(c *applyCmd, name, text string) error {
-	a := api.ApplyRequest{Op: c.Op, Partial: c.Partial, Name: name, Source: text, Dry: c.Dry}
+	a := api.ApplyRequest{Op: c.Op, Partial: c.Partial, Name: name, Source: text, DryRun: c.Dry}
 	if a.Op == "" {
 		a.Op = coordination.NewID()
 	}
 	if c.Base != nil {
-		a.Base = *c.Base
+		a.BaseVersion = *c.Base
 	} else {
 		sh, err := s.now()
 		if err != nil {
 			return err
 		}
-		a.Base = sh.Newest
+		a.BaseVersion = sh.Newest
 	}
-	fmt.Printf("operation %s over version %d\n", a.Op, a.Base)
+	fmt.Printf("operation %s over version %d\n", a.Op, a.BaseVersion)
 	var out api.ApplyResponse
 	if err := s.ask(http.MethodPost, "/v1/policy", a, &out); err != nil {
 		return err
@@ -204,11 +204,11 @@
 	var out api.ApplyResponse
 	a := api.ApplyRequest{
 		Op:      coordination.NewID(),
-		Base:    sh.Newest,
+		BaseVersion:    sh.Newest,
 		Partial: c.Partial,
 		Name:    name,
 		Source:  text,
-		Dry:     true,
+		DryRun:     true,
 	}
 	if err := s.ask(http.MethodPost, "/v1/policy", a, &out); err != nil {
 		return err
--- a/internal/api/fault.go
+++ b/internal/api/fault.go
@@ -29,7 +29,7 @@
 // RetryLater returns a Fault that tells the client to retry after the given delay.
 func RetryLater(code int, name string, after time.Duration, format string, args ...any) *Fault {
 	f := NewFault(code, name, "", format, args...)
-	f.After = after.Milliseconds()
+	f.RetryAfterMs = after.Milliseconds()
 	return f
 }
 
@@ -58,8 +58,8 @@
 			f = RetryLater(http.StatusServiceUnavailable, "away", defaultRetryAfter, "%v", err)
 		}
 	}
-	if f.After > 0 {
-		w.Header().Set("Retry-After", strconv.FormatInt((f.After+999)/1000, 10))
+	if f.RetryAfterMs > 0 {
+		w.Header().Set("Retry-After", strconv.FormatInt((f.RetryAfterMs+999)/1000, 10))
 	}
 	WriteJSON(w, f.Code, errorBody{f.Rejection})
 }
--- a/internal/api/fault_test.go
+++ b/internal/api/fault_test.go
@@ -66,7 +66,7 @@
 		var f *Fault
 		if err := SubmitError(
 			failure.New(kind, "submit", "", "x"), time.Second,
-		); !errors.As(err, &f) || f.Code != code || f.After != 1000 {
+		); !errors.As(err, &f) || f.Code != code || f.RetryAfterMs != 1000 {
 			t.Errorf("%s: %v", kind, err)
 		}
 	}
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -17,11 +17,11 @@
 // the first. With Dry the configuration is only validated.
 type ApplyRequest struct {
 	Op      string `json:"op"`
-	Base    uint64 `json:"base"`
+	BaseVersion    uint64 `json:"base"`
 	Partial bool   `json:"partial,omitempty"`
 	Name    string `json:"name,omitempty"`
 	Source  string `json:"source"`
-	Dry     bool   `json:"dry,omitempty"`
+	DryRun     bool   `json:"dry,omitempty"`
 }
 
 // ApplyResponse is the response to a change: the resulting version, and whether that version is active on the
@@ -45,8 +45,8 @@
 	Version uint64          `json:"version"`
 	Newest  uint64          `json:"newest"`
 	Policy  json.RawMessage `json:"policy"`
-	Zones   []string        `json:"evacuated"`
-	Drained []string        `json:"drained"`
+	EvacuatedZones   []string        `json:"evacuated"`
+	DrainedWorkers []string        `json:"drained"`
 }
 
 // Regimes lists the certified workers and nodes. Earliest and Latest are the bounds of the fleet's time; Wall
--- a/internal/api/streams.go
+++ b/internal/api/streams.go
@@ -33,7 +33,7 @@
 	Model       string   `json:"model,omitempty"`
 	Adapters    []string `json:"adapters,omitempty"`
 	Prompt      string   `json:"prompt,omitempty"`
-	PromptIds   []int32  `json:"promptIds,omitempty"`
+	PromptIDs   []int32  `json:"promptIds,omitempty"`
 	MaxTokens   int      `json:"maxTokens,omitempty"`
 	Temperature float64  `json:"temperature,omitempty"`
 	Seed        uint64   `json:"seed,omitempty"`
@@ -47,10 +47,10 @@
 	return hex.EncodeToString(sum[:digestBytes])
 }
 
-// Tokens returns the token IDs of the prompt: PromptIds if set, else one hashed ID per word of the text.
-func (a *StreamRequest) Tokens() []int32 {
-	if len(a.PromptIds) > 0 {
-		return a.PromptIds
+// PromptTokens returns the token IDs of the prompt: PromptIDs if set, else one hashed ID per word of the text.
+func (a *StreamRequest) PromptTokens() []int32 {
+	if len(a.PromptIDs) > 0 {
+		return a.PromptIDs
 	}
 	words := strings.Fields(a.Prompt)
 	out := make([]int32, len(words))
@@ -77,9 +77,9 @@
 
 // Values of StreamEvent.End.
 const (
-	Complete = "complete" // all tokens were sent
-	Broken   = "broken"   // the stream stopped early and cannot be continued
-	Unknown  = "unknown"  // the stream stopped early, and it is not known whether the request ran to completion
+	EndComplete = "complete" // all tokens were sent
+	EndBroken   = "broken"   // the stream stopped early and cannot be continued
+	EndUnknown  = "unknown"  // the stream stopped early, and it is not known whether the request ran to completion
 )
 
 // Sink receives the events of a stream.
@@ -100,7 +100,7 @@
 // Readiness is the body of the response to GET /ready, whose status is 200 or 503.
 type Readiness struct {
 	Ready bool   `json:"ready"`
-	Why   string `json:"why"`
+	Reason   string `json:"why"`
 }
 
 // HandleStreams registers a handler for clients' requests on a path.
@@ -157,17 +157,17 @@
 // maxTokens and maxPrompt limit the number of tokens of the output and of the prompt.
 func (a *StreamRequest) Validate(keyRequired bool, maxTokens, maxPrompt int) *Fault {
 	switch {
-	case a.Prompt != "" && len(a.PromptIds) > 0:
+	case a.Prompt != "" && len(a.PromptIDs) > 0:
 		return NewFault(http.StatusBadRequest, "both", "promptIds", "prompt and promptIds are mutually exclusive")
-	case len(a.Tokens()) == 0:
+	case len(a.PromptTokens()) == 0:
 		return NewFault(http.StatusBadRequest, "missing", "prompt", "the prompt is empty")
-	case len(a.Tokens()) > maxPrompt:
+	case len(a.PromptTokens()) > maxPrompt:
 		return NewFault(
 			http.StatusRequestEntityTooLarge,
 			"too-large",
 			"prompt",
 			"%d tokens exceed the limit of %d",
-			len(a.Tokens()),
+			len(a.PromptTokens()),
 			maxPrompt,
 		)
 	case a.MaxTokens < 0 || a.MaxTokens > maxTokens:
@@ -179,7 +179,7 @@
 	case len(a.Key) > maxKeyBytes:
 		return NewFault(http.StatusBadRequest, "too-large", "key", "the key exceeds the limit of %d bytes", maxKeyBytes)
 	}
-	for _, t := range a.PromptIds {
+	for _, t := range a.PromptIDs {
 		if t <= 0 {
 			return NewFault(http.StatusBadRequest, "out-of-range", "promptIds", "token IDs must be greater than 0")
 		}
--- a/internal/certification/register.go
+++ b/internal/certification/register.go
@@ -34,7 +34,7 @@
 // no regimes.
 type Register struct {
 	regimes      map[string]Regime
-	kinds        map[string]string
+	regimeOfKind        map[string]string
 	grants       map[grantKey][]grant
 	certificates map[string]*Certificate
 	validity     map[string]grant
@@ -53,20 +53,20 @@
 	}
 	r := &Register{
 		regimes:      regimes,
-		kinds:        map[string]string{},
+		regimeOfKind:        map[string]string{},
 		grants:       map[grantKey][]grant{},
 		certificates: map[string]*Certificate{},
 		validity:     map[string]grant{},
 	}
 	for _, name := range sortedKeys(regimes) {
 		for _, k := range regimes[name].Kinds {
-			if other, ok := r.kinds[k]; ok {
+			if other, ok := r.regimeOfKind[k]; ok {
 				errs = append(errs, invalid([]string{
 					"regimes", name, "kinds",
 				}, "kind %q is governed by %q already", k, other))
 				continue
 			}
-			r.kinds[k] = name
+			r.regimeOfKind[k] = name
 		}
 	}
 	keys := map[string]*issuerKey{}
@@ -158,7 +158,7 @@
 	if r == nil {
 		return ""
 	}
-	return r.kinds[kind]
+	return r.regimeOfKind[kind]
 }
 
 func (r *Register) isRevoked(serial string) bool {
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -58,14 +58,14 @@
 			return nil, api.SubmitError(err, operatorRetryAfter)
 		}
 		newest, _ := state.ProgramSet()
-		if uint64(newest.Version) != request.Base {
+		if uint64(newest.Version) != request.BaseVersion {
 			// The base is no longer the newest version, perhaps because of this very operation.
 			version, err := fleetstate.QueryOutcome(callContext, o.Caller, o.Directory, op, fleetstate.OutcomeQuery{
-				Base:     ids.Version(request.Base),
+				Base:     ids.Version(request.BaseVersion),
 				Programs: true,
 			})
 			if failure.Is(err, failure.Stale) {
-				return nil, api.Stale(request.Base, uint64(newest.Version))
+				return nil, api.Stale(request.BaseVersion, uint64(newest.Version))
 			}
 			return o.versionApplied(ctx, version, err)
 		}
@@ -78,10 +78,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if request.Dry {
-		return &api.ApplyResponse{Version: request.Base, Policy: complete}, nil
+	if request.DryRun {
+		return &api.ApplyResponse{Version: request.BaseVersion, Policy: complete}, nil
 	}
-	version, err := fleetstate.PutPrograms(callContext, o.Caller, o.Directory, op, ids.Version(request.Base), complete)
+	version, err := fleetstate.PutPrograms(callContext, o.Caller, o.Directory, op, ids.Version(request.BaseVersion), complete)
 	return o.versionApplied(ctx, version, err)
 }
 
@@ -163,8 +163,8 @@
 		Version: uint64(state.Programs.Version),
 		Newest:  uint64(newest.Version),
 		Policy:  fleetstate.ProgramSetJSON(state.Programs),
-		Zones:   append([]string{}, state.EvacuatedZones...),
-		Drained: append([]string{}, state.DrainedWorkers...),
+		EvacuatedZones:   append([]string{}, state.EvacuatedZones...),
+		DrainedWorkers: append([]string{}, state.DrainedWorkers...),
 	}, nil
 }
 
--- a/internal/proxy/program_set_test.go
+++ b/internal/proxy/program_set_test.go
@@ -51,7 +51,7 @@
 func (f *fleet) applyProgramSet(op string, base uint64, text string) (*api.ApplyResponse, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
-	return f.operator(f.runningNodes()[0]).Apply(ctx, &api.ApplyRequest{Op: op, Base: base, Name: "set.cue", Source: text})
+	return f.operator(f.runningNodes()[0]).Apply(ctx, &api.ApplyRequest{Op: op, BaseVersion: base, Name: "set.cue", Source: text})
 }
 
 // currentProgramSet returns what the operators' interface shows.
@@ -235,7 +235,7 @@
 		apply := func(op string, base uint64, dry bool, text string) (*api.ApplyResponse, error) {
 			ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 			defer stop()
-			return o.Apply(ctx, &api.ApplyRequest{Op: op, Base: base, Partial: true, Dry: dry, Source: text})
+			return o.Apply(ctx, &api.ApplyRequest{Op: op, BaseVersion: base, Partial: true, DryRun: dry, Source: text})
 		}
 		got, err := apply("one", 0, false, encodeProgramSet(routing.Source{Name: "a", Share: 100, Text: orderProgram("w.id")}))
 		require.NoError(t, err)
@@ -498,11 +498,11 @@
 		defer stop()
 		_, err := o.Evacuate(ctx, "b", &api.MarkRequest{Op: coordination.NewID(), Out: true})
 		require.NoError(t, err)
-		require.Equal(t, []string{"b"}, f.currentProgramSet().Zones)
+		require.Equal(t, []string{"b"}, f.currentProgramSet().EvacuatedZones)
 		require.True(t, f.waitUntil(2*time.Second, func() bool { return f.nodes[0].view.Current().EvacuatedZones["b"] }))
 		_, err = o.Evacuate(ctx, "b", &api.MarkRequest{Op: coordination.NewID()})
 		require.NoError(t, err)
-		require.Equal(t, []string{}, f.currentProgramSet().Zones)
+		require.Equal(t, []string{}, f.currentProgramSet().EvacuatedZones)
 		_, err = o.Evacuate(ctx, "z", &api.MarkRequest{Op: coordination.NewID(), Out: true})
 		require.ErrorContains(t, err, `no zone "z"`)
 		_, err = o.Drain(ctx, "svc-decode-0.1", &api.MarkRequest{Op: coordination.NewID(), Out: true})
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -87,10 +87,10 @@
 	if !t.startRecorded {
 		return
 	}
-	outcome := api.Complete
+	outcome := api.EndComplete
 	switch {
 	case err != nil && count > 0:
-		outcome = api.Broken
+		outcome = api.EndBroken
 	case err != nil:
 		outcome = fleetstate.OutcomeNotRun
 	}
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -89,7 +89,7 @@
 		n.counts.OutcomeUnknown.Add(1)
 		return out.Put(api.StreamEvent{
 			Index: tokens,
-			End:   api.Unknown,
+			End:   api.EndUnknown,
 			Count: tokens,
 			Error: &workerclient.Rejection{Name: "may-have-run", Detail: cause.Error()},
 		})
@@ -125,12 +125,12 @@
 	}
 	return out.Put(api.StreamEvent{
 		Index: tokens,
-		End:   api.Unknown,
+		End:   api.EndUnknown,
 		Count: tokens,
 		Error: &workerclient.Rejection{
 			Name:   "unrecorded",
 			Detail: "the outcome is not on record yet; ask again with the same key",
-			After:  n.retryDelay().Milliseconds(),
+			RetryAfterMs:  n.retryDelay().Milliseconds(),
 		},
 	})
 }
@@ -142,13 +142,13 @@
 		Name:   "not-run",
 		Field:  "key",
 		Detail: "it was not run and never will be; ask anew with another key",
-		After:  n.retryDelay().Milliseconds(),
+		RetryAfterMs:  n.retryDelay().Milliseconds(),
 	}
 	n.counts.Rejected.Add(1)
 	if count == 0 {
 		return &api.Fault{Code: http.StatusServiceUnavailable, Rejection: rejection}
 	}
-	return out.Put(api.StreamEvent{Index: count, End: api.Broken, Count: count, Error: &rejection})
+	return out.Put(api.StreamEvent{Index: count, End: api.EndBroken, Count: count, Error: &rejection})
 }
 
 // claimKey claims an idempotency key for this node. It returns the existing record if the key was
@@ -261,7 +261,7 @@
 			return err
 		}
 	}
-	return out.Put(api.StreamEvent{Index: len(answer.Tokens), End: api.Complete, Count: len(answer.Tokens), Replay: true})
+	return out.Put(api.StreamEvent{Index: len(answer.Tokens), End: api.EndComplete, Count: len(answer.Tokens), Replay: true})
 }
 
 // storedAnswer is the answer of a completed run as it is stored in the idempotency record.
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -75,16 +75,16 @@
 				http.StatusServiceUnavailable, "bounced", "the node that it was passed to is lost: %v", err,
 			)
 		}
-		end := api.Broken
+		end := api.EndBroken
 		if s.Configuration.Kinds[request.Kind].Claimed {
-			end = api.Unknown
+			end = api.EndUnknown
 		}
 		n.counts.Aborted.Add(1)
 		return out.Put(api.StreamEvent{
 			Index: count,
 			End:   end,
 			Count: count,
-			Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), After: n.retryDelay().Milliseconds()},
+			Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), RetryAfterMs: n.retryDelay().Milliseconds()},
 		})
 	}
 	return n.rejectRetryable(
--- a/internal/router/operator.go
+++ b/internal/router/operator.go
@@ -55,10 +55,10 @@
 	}
 	if a.Partial {
 		s := n.view.Current()
-		for wait := 0; uint64(s.Version) < a.Base && wait < 40 && host.Sleep(ctx, 50*time.Millisecond); wait++ {
+		for wait := 0; uint64(s.Version) < a.BaseVersion && wait < 40 && host.Sleep(ctx, 50*time.Millisecond); wait++ {
 			s = n.view.Current()
 		}
-		if uint64(s.Version) != a.Base {
+		if uint64(s.Version) != a.BaseVersion {
 			// The version has changed since the base, perhaps by an earlier attempt of this operation.
 			callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 			defer stop()
@@ -69,7 +69,7 @@
 			if !failure.Is(err, failure.Stale) {
 				return nil, n.operatorError(err)
 			}
-			return nil, n.staleError(a.Base, s)
+			return nil, n.staleError(a.BaseVersion, s)
 		}
 		base = s.Text
 	}
@@ -84,8 +84,8 @@
 	if err := configuration.CheckCertificateChanges(n.view.Current().Configuration, now); err != nil {
 		return nil, fleetstate.LocateFault(name, []byte(a.Source), err)
 	}
-	if a.Dry {
-		return &api.ApplyResponse{Version: a.Base, Policy: complete}, nil
+	if a.DryRun {
+		return &api.ApplyResponse{Version: a.BaseVersion, Policy: complete}, nil
 	}
 	callContext, stop := context.WithTimeout(ctx, 5*time.Second)
 	defer stop()
@@ -94,13 +94,13 @@
 		ids.OpID(configurationOps+a.Op),
 		fleetstate.PrepareKind,
 		coordination.MustMarshal(&fleetstate.PrepareVersion{
-			Base: ids.Version(a.Base),
+			Base: ids.Version(a.BaseVersion),
 			Text: complete,
 		}),
 	)
 	if err != nil {
 		if failure.Is(err, failure.Stale) {
-			return nil, n.staleError(a.Base, n.view.Current())
+			return nil, n.staleError(a.BaseVersion, n.view.Current())
 		}
 		return nil, n.operatorError(err)
 	}
@@ -185,20 +185,20 @@
 		Version: uint64(s.Version),
 		Newest:  uint64(max(s.NewestReceivedVersion, s.Version)),
 		Policy:  s.Text,
-		Zones:   []string{},
-		Drained: []string{},
+		EvacuatedZones:   []string{},
+		DrainedWorkers: []string{},
 	}
 	if len(out.Policy) == 0 {
 		out.Policy = []byte("{}")
 	}
 	for z := range s.EvacuatedZones {
-		out.Zones = append(out.Zones, string(z))
+		out.EvacuatedZones = append(out.EvacuatedZones, string(z))
 	}
 	for w := range s.DrainedWorkers {
-		out.Drained = append(out.Drained, string(w))
+		out.DrainedWorkers = append(out.DrainedWorkers, string(w))
 	}
-	sort.Strings(out.Zones)
-	sort.Strings(out.Drained)
+	sort.Strings(out.EvacuatedZones)
+	sort.Strings(out.DrainedWorkers)
 	return out
 }
 
@@ -240,8 +240,8 @@
 		Members:       n.agent.Members(),
 		Programs:      map[string]map[string]any{},
 		ListedWorkers: map[ids.WorkerID]ids.Zone{},
-		Evacuated:     shown.Zones,
-		Drained:       shown.Drained,
+		Evacuated:     shown.EvacuatedZones,
+		Drained:       shown.DrainedWorkers,
 		Workers:       []WorkerStatus{},
 		OwnedKeys:     []ids.Key{},
 	}
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -40,7 +40,7 @@
 // expects to have capacity for the caller.
 func (n *Node) rejectForCapacity(code int, name, format string, args ...any) *api.Fault {
 	fault := n.rejectRetryable(code, name, format, args...)
-	fault.After = n.retryAfter.Next(n.now(), n.counts.Completed.Load(), n.retryDelay()).Milliseconds()
+	fault.RetryAfterMs = n.retryAfter.Next(n.now(), n.counts.Completed.Load(), n.retryDelay()).Milliseconds()
 	return fault
 }
 
@@ -92,7 +92,7 @@
 		RetryTimeout: s.Configuration.Limits.PickTimeout(),
 	}
 	t.Identity = workerclient.Identity{
-		Prompt: request.Tokens(),
+		Prompt: request.PromptTokens(),
 		Model:  workerclient.Model{Name: kind.Model, Adapters: request.Adapters},
 		Params: workerclient.Params{MaxTokens: request.MaxTokens, Temperature: request.Temperature, Seed: request.Seed},
 	}
@@ -203,7 +203,7 @@
 	case err == nil:
 		n.counts.Completed.Add(1)
 		score.Completed.Add(1)
-		return out.Put(api.StreamEvent{Index: count, End: api.Complete, Count: count})
+		return out.Put(api.StreamEvent{Index: count, End: api.EndComplete, Count: count})
 	case failure.Is(err, failure.InvalidArgument):
 		return api.NewFault(http.StatusBadRequest, "refused", "", "%v", err)
 	case count == 0:
@@ -215,9 +215,9 @@
 	n.options.Ring.Info().AnErr("cause", err).Int("tokens", count).Msg("stream aborted before its last token")
 	return out.Put(api.StreamEvent{
 		Index: count,
-		End:   api.Broken,
+		End:   api.EndBroken,
 		Count: count,
-		Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), After: n.retryDelay().Milliseconds()},
+		Error: &workerclient.Rejection{Name: "broken", Detail: err.Error(), RetryAfterMs: n.retryDelay().Milliseconds()},
 	})
 }
 
--- a/internal/simulation/aged_keys_test.go
+++ b/internal/simulation/aged_keys_test.go
@@ -35,7 +35,7 @@
 			for end := next + n; next < end; next++ {
 				require.True(t, c.WaitUntil(8*time.Second, func() bool {
 					got, err := c.stream(node(next), ask(next))
-					return err == nil && got[len(got)-1].End == api.Complete
+					return err == nil && got[len(got)-1].End == api.EndComplete
 				}))
 			}
 		}
--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -33,17 +33,17 @@
 	Name:    "chamber",
 	Zones:   []ids.Zone{"a", "b", "c"},
 	Nodes:   5,
-	Prefill: 4,
-	Decode:  4,
+	PrefillWorkers: 4,
+	DecodeWorkers:  4,
 	Model:   "m",
-	Classes: []standin.StreamClass{{Kind: "verdict", KeyRequired: true, Percent: 30, SharedPrefix: 64, SuffixRange: 64, MaxTokens: 2},
+	Classes: []standin.StreamClass{{Kind: "verdict", KeyRequired: true, Percent: 30, SharedPrefixTokens: 64, SuffixTokensRange: 64, MaxTokens: 2},
 		{
 			Kind:         "speech",
 			Percent:      30,
-			SharedPrefix: 64,
-			SuffixRange:  32,
+			SharedPrefixTokens: 64,
+			SuffixTokensRange:  32,
 			MaxTokens:    40,
-		}, {Kind: "clarification", Percent: 40, SharedPrefix: 64, SuffixRange: 16, MaxTokens: 16}},
+		}, {Kind: "clarification", Percent: 40, SharedPrefixTokens: 64, SuffixTokensRange: 16, MaxTokens: 16}},
 }
 
 // grant is a certificate's span at a worker, in the book's time.
@@ -258,13 +258,13 @@
 			continue
 		}
 		run := fmt.Sprint(e.Worker, e.ID)
-		switch e.What {
+		switch e.Kind {
 		case "prefill", "import", "export", "resume", "resumed", "record":
 			if !b.cleared(e.Worker, e.When) {
-				f.add(Uncertified, "%s had %s of %s at %s", e.Worker, e.What, e.ID.Request, e.When)
+				f.add(Uncertified, "%s had %s of %s at %s", e.Worker, e.Kind, e.ID.Request, e.When)
 			}
 		}
-		switch e.What {
+		switch e.Kind {
 		case "prefill", "import":
 			begun[run] = e
 		case "export", "cancel", "record", "lost", "bounced", "orphan-run", "orphan-import":
@@ -280,7 +280,7 @@
 			}
 			delete(begun, run)
 		}
-		switch e.What {
+		switch e.Kind {
 		case "export":
 			staged[run] = e
 		case "unstaged":
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -24,7 +24,7 @@
 	event := func(r *Recorder, what, worker string, fence ids.Fence, v ids.Version, at time.Duration) {
 		r.events = append(r.events, RecordedEvent{
 			standin.Event{
-				What:    what,
+				Kind:    what,
 				Worker:  ids.WorkerID(worker),
 				ID:      workerclient.ID{Request: "r"},
 				Fence:   fence,
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -325,7 +325,7 @@
 	}
 	var err error
 	c.WaitUntil(10*time.Second, func() bool {
-		_, err = c.Apply(&api.ApplyRequest{Op: "first", Base: 0, Source: text})
+		_, err = c.Apply(&api.ApplyRequest{Op: "first", BaseVersion: 0, Source: text})
 		return err == nil
 	})
 	if err != nil {
@@ -380,7 +380,7 @@
 
 // LoadShapes is Load with the given request shapes.
 func (c *Cluster) LoadShapes(shapes []standin.StreamClass, rate float64, span time.Duration, seed uint64) []standin.Outcome {
-	return standin.Load(c.ctx, standin.LoadOptions{
+	return standin.RunLoad(c.ctx, standin.LoadOptions{
 		Host:     c.clientProcess.Host(),
 		Nodes:    c.Platform.ReadyNodes,
 		Zones:    c.Site.Zones,
--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -50,7 +50,7 @@
 						})
 						defer c.Close()
 						require.NoError(t, c.Bootstrap())
-						rate := 15.0 * float64(site.Prefill)
+						rate := 15.0 * float64(site.PrefillWorkers)
 						shapes := slices.Clone(site.Classes)
 						stems, _ := strconv.Atoi(os.Getenv("KEELSTAIR_STEMS"))
 						for i := range shapes {
@@ -70,10 +70,10 @@
 							seed,
 							sum.Ends["complete"],
 							sum.Sent,
-							a.FirstP50,
-							a.FirstP99,
-							b.FirstP50,
-							b.FirstP99,
+							a.FirstTokenP50,
+							a.FirstTokenP99,
+							b.FirstTokenP50,
+							b.FirstTokenP99,
 							100*float64(warm)/float64(max(read, 1)),
 						)
 						require.Empty(t, c.Recorder.Check(nil))
--- a/internal/simulation/day_end_test.go
+++ b/internal/simulation/day_end_test.go
@@ -30,7 +30,7 @@
 				require.NoError(t, c.Mark("/v1/zones/"+zone, "day-end-zone", true))
 				applied, err := c.Apply(&api.ApplyRequest{
 					Op:      "day-end",
-					Base:    latestShown(c).Version,
+					BaseVersion:    latestShown(c).Version,
 					Partial: true,
 					Source:  "{limits: queue: 12}",
 				})
@@ -49,7 +49,7 @@
 				require.True(t, c.WaitUntil(20*time.Second, func() bool { return latestShown(c).Version == applied.Version }))
 				state := latestShown(c)
 				require.JSONEq(t, string(text), string(state.Policy))
-				require.Equal(t, []string{zone}, state.Zones)
+				require.Equal(t, []string{zone}, state.EvacuatedZones)
 				again, refusal := c.answer(t, 1, ask)
 				require.Nil(t, refusal)
 				require.Len(t, again, len(first))
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -28,12 +28,12 @@
 		"long prompts %d of %d, first piece p50/p99 %.0f/%.0f ms; long answers %d of %d, %.0f/%.0f ms; %d turns, ends with %v",
 		r.Complete,
 		r.Sent,
-		r.FirstP50,
-		r.FirstP99,
+		r.FirstTokenP50,
+		r.FirstTokenP99,
 		w.Complete,
 		w.Sent,
-		w.FirstP50,
-		w.FirstP99,
+		w.FirstTokenP50,
+		w.FirstTokenP99,
 		s.turns,
 		s.parts,
 	)
@@ -56,16 +56,16 @@
 		read := c.LoadShapes([]standin.StreamClass{{
 			Kind:        "clarification",
 			Percent:     100,
-			SuffixRange: 400,
+			SuffixTokensRange: 400,
 			MaxTokens:   2,
-			MinSuffix:   1400,
+			MinSuffixTokens:   1400,
 		}}, 14.5, span, seed)
 		write := c.LoadShapes([]standin.StreamClass{{
 			Kind:        "clarification",
 			Percent:     100,
-			SuffixRange: 40,
+			SuffixTokensRange: 40,
 			MaxTokens:   64,
-			MinSuffix:   10,
+			MinSuffixTokens:   10,
 		}}, 75, span, seed+100)
 		out.read, out.write = standin.Summarize(read), standin.Summarize(write)
 		for _, b := range c.Of("router") {
--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -106,7 +106,7 @@
 		b := pickOne(r, c.Of("router"))
 		bad := &api.ApplyRequest{
 			Op:      fmt.Sprint("bad-", n),
-			Base:    sh.Version,
+			BaseVersion:    sh.Version,
 			Partial: true,
 			Source:  `{"workers":{"p1":{"room":0}}}`,
 		}
@@ -121,7 +121,7 @@
 		}
 		late := &api.ApplyRequest{
 			Op:      fmt.Sprint("late-", n),
-			Base:    sh.Version,
+			BaseVersion:    sh.Version,
 			Partial: true,
 			Source:  `{"limits":{"queue":3}}`,
 		}
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -86,9 +86,9 @@
 	withGovernedWork(t, (*AuditModel).usual, func(t *testing.T, c *Cluster, b *AuditModel) {
 		rich(t, c)
 		ask := long(speech)
-		ask.Prompt, ask.PromptIds = "", make([]int32, 18000)
-		for i := range ask.PromptIds {
-			ask.PromptIds[i] = int32(i%4000) + 1
+		ask.Prompt, ask.PromptIDs = "", make([]int32, 18000)
+		for i := range ask.PromptIDs {
+			ask.PromptIDs[i] = int32(i%4000) + 1
 		}
 		done := c.startStream(node(c, "router-1"), ask)
 		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Granted)) == 1 }))
@@ -101,7 +101,7 @@
 		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Granted)) >= 2 }))
 		require.NotEqual(t, at, b.serves(handoff.Granted)[1])
 		got := <-done
-		require.Equal(t, api.Complete, got[len(got)-1].End)
+		require.Equal(t, api.EndComplete, got[len(got)-1].End)
 		require.Empty(t, b.Check(nil))
 	})
 }
@@ -138,7 +138,7 @@
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		all := c.Load(20, 4*time.Second, 1)
-		require.Equal(t, len(all), standin.Summarize(all).Ends[api.Complete])
+		require.Equal(t, len(all), standin.Summarize(all).Ends[api.EndComplete])
 		st := c.Of("router")[0].Node.Status().(*router.NodeStatus)
 		require.Zero(t, st.FleetTime)
 		got, err := c.Of("router")[0].Node.AuditRows(c.ctx, 1, 10)
@@ -173,7 +173,7 @@
 			ask.Seed = uint64(i)
 			got, err := c.stream(node(c, "router-1"), ask)
 			require.NoError(t, err)
-			require.Equal(t, api.Complete, got[len(got)-1].End)
+			require.Equal(t, api.EndComplete, got[len(got)-1].End)
 		}
 		score := node(c, "router-1").Node.Status().(*router.NodeStatus).Programs["spy"]
 		require.GreaterOrEqual(t, score["picks"], int64(20), "%v", score)
@@ -190,9 +190,9 @@
 	}, func(t *testing.T, c *Cluster, b *AuditModel) {
 		rich(t, c)
 		ask := long(speech)
-		ask.Prompt, ask.PromptIds = "", make([]int32, 1000)
-		for i := range ask.PromptIds {
-			ask.PromptIds[i] = int32(i) + 1
+		ask.Prompt, ask.PromptIDs = "", make([]int32, 1000)
+		for i := range ask.PromptIDs {
+			ask.PromptIDs[i] = int32(i) + 1
 		}
 		done := c.startStream(node(c, "router-1"), ask)
 		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Imported)) == 1 }))
@@ -203,12 +203,12 @@
 		require.Less(t, c.Recorder.Now()-acked, 300*time.Millisecond)
 		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(b.serves(handoff.Granted)) >= 2 }))
 		got := <-done
-		require.Equal(t, api.Complete, got[len(got)-1].End)
+		require.Equal(t, api.EndComplete, got[len(got)-1].End)
 		require.Empty(t, b.Check(nil))
 		c.Recorder.mu.Lock()
 		defer c.Recorder.mu.Unlock()
 		for _, e := range c.Recorder.events {
-			if e.What == "unstaged" && string(e.Worker) == from {
+			if e.Kind == "unstaged" && string(e.Worker) == from {
 				require.Less(t, e.When-acked, time.Second)
 				return
 			}
@@ -245,7 +245,7 @@
 			require.NoError(t, b.Open())
 			load := func(sh standin.StreamClass, rate float64, seed uint64) []standin.Outcome {
 				sh.Percent = 100
-				return standin.Load(c.ctx, standin.LoadOptions{
+				return standin.RunLoad(c.ctx, standin.LoadOptions{
 					Host:     c.clientProcess.Host(),
 					Nodes:    c.Platform.ReadyNodes,
 					Zones:    c.Site.Zones,
@@ -262,9 +262,9 @@
 			all := load(governedWork.Classes[0], 15, 3)
 			crowd := standin.Summarize(<-other)
 			require.Positive(t, crowd.Ends["bounced"], "it is a crowd")
-			require.Positive(t, crowd.Ends[api.Complete])
+			require.Positive(t, crowd.Ends[api.EndComplete])
 			require.Empty(t, b.Check(all))
-			served[keep] = float64(standin.Summarize(all).Ends[api.Complete]) / float64(len(all))
+			served[keep] = float64(standin.Summarize(all).Ends[api.EndComplete]) / float64(len(all))
 		})
 	}
 	t.Logf("share of governed calls served at once: %v", served)
@@ -295,7 +295,7 @@
 			b.certs["c-p1"] = one
 			err := c.Post("/v1/policy", &api.ApplyRequest{
 				Op:      coordination.NewID(),
-				Base:    latestShown(c).Version,
+				BaseVersion:    latestShown(c).Version,
 				Partial: true,
 				Name:    "regimes.json",
 				Source:  b.part(),
--- a/internal/simulation/governed_work_test.go
+++ b/internal/simulation/governed_work_test.go
@@ -186,7 +186,7 @@
 	require.Empty(t, b.Check(append(all, then...)))
 	require.Empty(t, c.Recorder.Check(append(all, then...)))
 	sum := standin.Summarize(then)
-	require.Equal(t, len(then), sum.Ends[api.Complete], "after the script: %+v", sum)
+	require.Equal(t, len(then), sum.Ends[api.EndComplete], "after the script: %+v", sum)
 	audited(t, c)
 	t.Logf("%s seed %d: %v %v, revocations %v", s.Name, seed, standin.Summarize(all).Ends, standin.Summarize(all).Details, b.revoke)
 }
@@ -218,7 +218,7 @@
 		"runs on":                       {[]RecordedEvent{row("import", "p1", 9), row("cancel", "p1", 13)}, true},
 		"ends in time":                  {[]RecordedEvent{row("import", "p1", 9), row("cancel", "p1", 11)}, false},
 		"not governed": {
-			[]RecordedEvent{{standin.Event{What: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}},
+			[]RecordedEvent{{standin.Event{Kind: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}},
 			false,
 		},
 	} {
@@ -241,7 +241,7 @@
 
 func row(what, worker string, second int) RecordedEvent {
 	return RecordedEvent{
-		standin.Event{What: what, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r", Attempt: 1}},
+		standin.Event{Kind: what, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r", Attempt: 1}},
 		time.Duration(second) * time.Second,
 	}
 }
--- a/internal/simulation/idempotency_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -48,7 +48,7 @@
 				defer mu.Unlock()
 				if r, ok := err.(*api.Fault); ok && r.Name == "running" {
 					running++
-				} else if err == nil && got[len(got)-1].End == api.Complete {
+				} else if err == nil && got[len(got)-1].End == api.EndComplete {
 					complete++
 				}
 			})
@@ -58,7 +58,7 @@
 		require.Positive(t, complete)
 		first, err := c.stream(c.Of("router")[0], verdictRequest)
 		require.NoError(t, err)
-		solo := standin.ReferenceOutput(verdictRequest.Tokens(), 3, 5, 0, c.Site.Model, standin.SiteWeights, nil)
+		solo := standin.ReferenceOutput(verdictRequest.PromptTokens(), 3, 5, 0, c.Site.Model, standin.SiteWeights, nil)
 		require.Len(t, first, len(solo)+1)
 		for i, tok := range solo {
 			require.Equal(t, tok, first[i].Token)
@@ -102,7 +102,7 @@
 					} else if err == nil && len(got) > 0 {
 						last = got[len(got)-1].End
 					}
-					return last == api.Complete || last == "not-run" || last == "may-have-run"
+					return last == api.EndComplete || last == "not-run" || last == "may-have-run"
 				}
 				return false
 			})
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -63,7 +63,7 @@
 				http.StatusBadRequest,
 				"out-of-range",
 			},
-			{api.StreamRequest{Kind: "clarification", PromptIds: big}, http.StatusRequestEntityTooLarge, "too-large"},
+			{api.StreamRequest{Kind: "clarification", PromptIDs: big}, http.StatusRequestEntityTooLarge, "too-large"},
 			{
 				api.StreamRequest{Kind: "clarification", Prompt: strings.Repeat("a ", 3<<20)},
 				http.StatusRequestEntityTooLarge,
@@ -90,23 +90,23 @@
 			code int
 			text string
 		}{
-			{api.ApplyRequest{Op: "a", Base: 1, Source: "{workers: {"}, 400, "policy:1"},
+			{api.ApplyRequest{Op: "a", BaseVersion: 1, Source: "{workers: {"}, 400, "policy:1"},
 			{
-				api.ApplyRequest{Op: "b", Base: 1, Partial: true, Source: "{workers: {\n  p1: {room: -4}}}"},
+				api.ApplyRequest{Op: "b", BaseVersion: 1, Partial: true, Source: "{workers: {\n  p1: {room: -4}}}"},
 				400,
 				"policy:2:14: workers.p1.room",
 			},
-			{api.ApplyRequest{Op: "c", Base: 1, Partial: true, Source: `{workers: {p1: {zone: "moon"}}}`}, 400, "moon"},
+			{api.ApplyRequest{Op: "c", BaseVersion: 1, Partial: true, Source: `{workers: {p1: {zone: "moon"}}}`}, 400, "moon"},
 			{
-				api.ApplyRequest{Op: "d", Base: 1, Source: "{\"workers\": {\"p1\": {},\n\"p1\": {}}}"},
+				api.ApplyRequest{Op: "d", BaseVersion: 1, Source: "{\"workers\": {\"p1\": {},\n\"p1\": {}}}"},
 				400,
 				"p1 stands twice",
 			},
-			{api.ApplyRequest{Op: "e", Base: 1, Partial: true, Source: `{colour: 3}`}, 400, "colour"},
+			{api.ApplyRequest{Op: "e", BaseVersion: 1, Partial: true, Source: `{colour: 3}`}, 400, "colour"},
 			{
 				api.ApplyRequest{
 					Op:      "f",
-					Base:    1,
+					BaseVersion:    1,
 					Partial: true,
 					Source:  `{programs: {x: {share: 100, source: "def order(a, b):\n  retrun b"}}}`,
 				},
@@ -116,16 +116,16 @@
 			{
 				api.ApplyRequest{
 					Op:      "g",
-					Base:    1,
+					BaseVersion:    1,
 					Partial: true,
 					Source:  `{programs: {x: {share: 40, source: "def order(a, b):\n  return []"}}}`,
 				},
 				400,
 				"40, not to 100",
 			},
-			{api.ApplyRequest{Op: "h", Base: 1, Partial: true, Source: `{workers: null}`}, 400, ""},
-			{api.ApplyRequest{Op: "i", Base: 0, Partial: true, Source: `{limits: {queue: 3}}`}, 409, "newest is 1"},
-			{api.ApplyRequest{Op: "", Base: 1, Source: `{}`}, 400, "id of its own"},
+			{api.ApplyRequest{Op: "h", BaseVersion: 1, Partial: true, Source: `{workers: null}`}, 400, ""},
+			{api.ApplyRequest{Op: "i", BaseVersion: 0, Partial: true, Source: `{limits: {queue: 3}}`}, 409, "newest is 1"},
+			{api.ApplyRequest{Op: "", BaseVersion: 1, Source: `{}`}, 400, "id of its own"},
 		} {
 			_, err := c.Apply(&k.a)
 			got, name, text := faultFields(t, err)
@@ -143,7 +143,7 @@
 func TestOperationIds(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
-		a := &api.ApplyRequest{Op: "once", Base: 1, Partial: true, Source: `{limits: {queue: 9}}`}
+		a := &api.ApplyRequest{Op: "once", BaseVersion: 1, Partial: true, Source: `{limits: {queue: 9}}`}
 		one, err := c.Apply(a)
 		require.NoError(t, err)
 		c.PowerOff(c.Leader())
@@ -156,7 +156,7 @@
 		require.NoError(t, err, "the same holds for a complete policy")
 		require.Equal(t, one.Version, two.Version)
 		for _, partial := range []bool{true, false} {
-			_, err = c.Apply(&api.ApplyRequest{Op: "other", Base: 1, Partial: partial, Source: a.Source})
+			_, err = c.Apply(&api.ApplyRequest{Op: "other", BaseVersion: 1, Partial: partial, Source: a.Source})
 			got, _, _ := faultFields(t, err)
 			require.Equal(t, 409, got)
 		}
@@ -188,7 +188,7 @@
 		require.True(t, c.WaitUntil(time.Second, ready(false)))
 		all := <-lines
 		require.NotEmpty(t, all)
-		require.Equal(t, api.Complete, all[len(all)-1].End)
+		require.Equal(t, api.EndComplete, all[len(all)-1].End)
 		// A router that shuts down announces it, so its keys move before its lease would expire.
 		self := p.Node.Self().Node
 		require.True(t, c.WaitUntil(1500*time.Millisecond, func() bool {
--- a/internal/simulation/operation_class_test.go
+++ b/internal/simulation/operation_class_test.go
@@ -16,7 +16,7 @@
 func TestApplyAmongEvacuations(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		a := &api.ApplyRequest{Op: "once", Base: 1, Partial: true, Source: `{limits: {queue: 9}}`}
+		a := &api.ApplyRequest{Op: "once", BaseVersion: 1, Partial: true, Source: `{limits: {queue: 9}}`}
 		one, err := c.Apply(a)
 		require.NoError(t, err)
 		zone := string(c.Of("router")[0].Zone)
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -57,7 +57,7 @@
 	start := c.Recorder.Now()
 	var got *api.ApplyResponse
 	c.WaitUntil(12*time.Second, func() bool {
-		got, err = c.Apply(&api.ApplyRequest{Op: op, Base: state.Version, Partial: true, Source: part})
+		got, err = c.Apply(&api.ApplyRequest{Op: op, BaseVersion: state.Version, Partial: true, Source: part})
 		var r *api.Fault
 		return err == nil || errors.As(err, &r) && r.Code < 500
 	})
--- a/internal/simulation/other_scripts_test.go
+++ b/internal/simulation/other_scripts_test.go
@@ -201,7 +201,7 @@
 						p := c.Of("router")[k]
 						err := c.PostTo(p, "/v1/policy", &api.ApplyRequest{
 							Op:      fmt.Sprintf("race-%d-%d", n, k),
-							Base:    state.Version,
+							BaseVersion:    state.Version,
 							Partial: true,
 							Source:  part,
 						}, got)
--- a/internal/simulation/price_test.go
+++ b/internal/simulation/price_test.go
@@ -47,15 +47,15 @@
 				time.Sleep(5 * time.Second)
 				all := c.Load(30, 30*time.Second, 4)
 				sum := standin.Summarize(all)
-				require.Equal(t, len(all), sum.Ends[api.Complete])
+				require.Equal(t, len(all), sum.Ends[api.EndComplete])
 				for _, sh := range governedWork.Classes {
 					k := sum.Kinds[sh.Kind]
 					fmt.Printf(
 						"| first piece, ms | %s | %s | %.1f / %.1f | %d |\n",
 						way,
 						sh.Kind,
-						k.FirstP50,
-						k.FirstP99,
+						k.FirstTokenP50,
+						k.FirstTokenP99,
 						k.Complete,
 					)
 				}
--- a/internal/simulation/program_test.go
+++ b/internal/simulation/program_test.go
@@ -54,7 +54,7 @@
 				time.Sleep(1500 * time.Millisecond)
 				if _, err := c.Apply(&api.ApplyRequest{
 					Op:      fmt.Sprint("swap", i),
-					Base:    uint64(i + 1),
+					BaseVersion:    uint64(i + 1),
 					Partial: true,
 					Source:  text,
 				}); err != nil {
@@ -104,7 +104,7 @@
 		done := make(chan error, 1)
 		go func() {
 			time.Sleep(2 * time.Second)
-			_, err := c.Apply(&api.ApplyRequest{Op: "add", Base: 1, Partial: true, Source: string(add)})
+			_, err := c.Apply(&api.ApplyRequest{Op: "add", BaseVersion: 1, Partial: true, Source: string(add)})
 			time.Sleep(3 * time.Second)
 			for _, id := range site.WorkerIDs() {
 				if err == nil {
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -233,9 +233,9 @@
 		}
 		until := r.returnTime(m)
 		for _, e := range r.events {
-			if (e.What == "prefill" || e.What == "import") && string(e.Worker) == m.Name && e.When > m.At+bound &&
+			if (e.Kind == "prefill" || e.Kind == "import") && string(e.Worker) == m.Name && e.When > m.At+bound &&
 				e.When < until {
-				f.add(rule, "%s got a %s %.2f s after the mark", m.Name, e.What, (e.When - m.At).Seconds())
+				f.add(rule, "%s got a %s %.2f s after the mark", m.Name, e.Kind, (e.When - m.At).Seconds())
 				break
 			}
 		}
@@ -256,11 +256,11 @@
 			continue
 		}
 		// A resume waits for its KV cache; its order was checked when it arrived, not when it starts.
-		if e.What == "resumed" {
+		if e.Kind == "resumed" {
 			continue
 		}
 		if e.Fence < fence[e.Worker] {
-			f.add(ConflictingOrders, "%s accepted %s with fence %d after fence %d", e.Worker, e.What, e.Fence, fence[e.Worker])
+			f.add(ConflictingOrders, "%s accepted %s with fence %d after fence %d", e.Worker, e.Kind, e.Fence, fence[e.Worker])
 		}
 		fence[e.Worker] = max(fence[e.Worker], e.Fence)
 		for _, s := range seen[e.Worker] {
@@ -269,7 +269,7 @@
 					ConfigurationSlow,
 					"%s got %s with version %d, %.2f s after it received version %d",
 					e.Worker,
-					e.What,
+					e.Kind,
 					e.Version,
 					(e.When - s.at).Seconds(),
 					s.version,
@@ -335,7 +335,7 @@
 		until := r.returnTime(m)
 		last := time.Duration(0)
 		for _, e := range r.events {
-			if (e.What == "prefill" || e.What == "import") && string(e.Worker) == m.Name && e.When > m.At &&
+			if (e.Kind == "prefill" || e.Kind == "import") && string(e.Worker) == m.Name && e.When > m.At &&
 				e.When < until {
 				last = e.When - m.At
 			}
@@ -353,7 +353,7 @@
 	first := map[ids.WorkerID]map[ids.Version]time.Duration{}
 	longest := time.Duration(0)
 	for _, e := range r.events {
-		if e.Fence == 0 || e.What == "resumed" {
+		if e.Fence == 0 || e.Kind == "resumed" {
 			continue
 		}
 		seen := first[e.Worker]
--- a/internal/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -50,7 +50,7 @@
 // long gives an asking whose answer has fifty tokens or more.
 func long(ask api.StreamRequest) api.StreamRequest {
 	ask.MaxTokens = 64
-	for len(standin.ReferenceOutput(ask.Tokens(), ask.MaxTokens, ask.Seed, 0, governedWork.Model, standin.SiteWeights, nil)) < 50 {
+	for len(standin.ReferenceOutput(ask.PromptTokens(), ask.MaxTokens, ask.Seed, 0, governedWork.Model, standin.SiteWeights, nil)) < 50 {
 		ask.Seed++
 	}
 	return ask
@@ -59,12 +59,12 @@
 // whole checks a stream against a run that never moved.
 func whole(t *testing.T, c *Cluster, ask api.StreamRequest, got []api.StreamEvent) {
 	t.Helper()
-	solo := standin.ReferenceOutput(ask.Tokens(), ask.MaxTokens, ask.Seed, 0, c.Site.Model, standin.SiteWeights, nil)
+	solo := standin.ReferenceOutput(ask.PromptTokens(), ask.MaxTokens, ask.Seed, 0, c.Site.Model, standin.SiteWeights, nil)
 	require.Len(t, got, len(solo)+1, "%+v", got[len(got)-1].Error)
 	for i, tok := range solo {
 		require.Equal(t, tok, got[i].Token)
 	}
-	require.Equal(t, api.Complete, got[len(solo)].End)
+	require.Equal(t, api.EndComplete, got[len(solo)].End)
 }
 
 // TestCertified: under a mixed load governed work is handled on certified nodes alone,
@@ -75,7 +75,7 @@
 		require.Empty(t, b.Check(all))
 		require.Empty(t, c.Recorder.Check(all))
 		sum := standin.Summarize(all)
-		require.Equal(t, len(all), sum.Ends[api.Complete], "%+v", sum)
+		require.Equal(t, len(all), sum.Ends[api.EndComplete], "%+v", sum)
 		require.Greater(t, b.governed(), 100)
 		require.Less(t, standin.Quantile(b.stays, 1), 200.0, "staged memory is freed once it is in")
 		used := map[ids.WorkerID]bool{}
@@ -147,12 +147,12 @@
 		speeches := 0
 		for _, o := range all {
 			switch {
-			case o.Kind == "verdict" && o.End == api.Complete:
+			case o.Kind == "verdict" && o.End == api.EndComplete:
 				r := ends[router.RequestIDForKey("verdict/"+o.Key)]
 				require.Equal(t, fleetstate.OutcomeDone, r.Outcome, "%+v", o)
 				require.Equal(t, "verdict/"+o.Key, r.Key)
 				require.GreaterOrEqual(t, len(r.Steps), 4)
-			case o.Kind == "speech" && o.End == api.Complete:
+			case o.Kind == "speech" && o.End == api.EndComplete:
 				speeches++
 			}
 		}
@@ -160,7 +160,7 @@
 		for id, r := range ends {
 			if r.Kind == "speech" {
 				require.True(t, begun[id])
-				if r.Outcome == api.Complete {
+				if r.Outcome == api.EndComplete {
 					done++
 				}
 			}
@@ -206,7 +206,7 @@
 		f, ok := err.(*api.Fault)
 		require.True(t, ok, "%v", err)
 		require.Equal(t, "not-certified", f.Name)
-		require.Positive(t, f.After)
+		require.Positive(t, f.RetryAfterMs)
 		require.Less(t, time.Since(begun), 300*time.Millisecond)
 		_, err = c.stream(lone, api.StreamRequest{Kind: "clarification", Prompt: "may I speak", MaxTokens: 3})
 		require.NoError(t, err, "other work goes on")
@@ -245,7 +245,7 @@
 		time.Sleep(50 * time.Millisecond)
 		require.NoError(t, b.Revoke("c-"+b.serves(handoff.Resumed)[0]))
 		got := <-done
-		require.Equal(t, api.Unknown, got[len(got)-1].End)
+		require.Equal(t, api.EndUnknown, got[len(got)-1].End)
 		// A key between two hands has it bounced at first; the caller comes back.
 		name := ""
 		c.WaitUntil(5*time.Second, func() bool {
@@ -288,7 +288,7 @@
 		c.World.Partition(addresses(partitioned), peers, false)
 		require.True(t, c.WaitUntil(8*time.Second, func() bool {
 			got, err := c.stream(partitioned, speech)
-			return err == nil && got[len(got)-1].End == api.Complete
+			return err == nil && got[len(got)-1].End == api.EndComplete
 		}), "it serves again")
 		require.Empty(t, b.Check(nil))
 	})
@@ -312,10 +312,10 @@
 		require.Empty(t, b.Check(all))
 		require.Empty(t, c.Recorder.Check(all))
 		sum := standin.Summarize(all)
-		require.Equal(t, len(all), sum.Ends[api.Complete]+sum.Ends[api.Unknown], "%+v", sum)
+		require.Equal(t, len(all), sum.Ends[api.EndComplete]+sum.Ends[api.EndUnknown], "%+v", sum)
 		last := map[string]time.Duration{}
 		for _, e := range c.Recorder.events {
-			if b.work[e.ID.Request] != "" && e.What == "resumed" || e.What == "import" {
+			if b.work[e.ID.Request] != "" && e.Kind == "resumed" || e.Kind == "import" {
 				last[string(e.Worker)] = e.When
 			}
 		}
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -59,7 +59,7 @@
 			return refusal.Code < 500
 		}
 		refusal = nil
-		return err == nil && got[len(got)-1].End == api.Complete
+		return err == nil && got[len(got)-1].End == api.EndComplete
 	}), "key %d: %v", i, refusal)
 	return lines, refusal
 }
@@ -82,7 +82,7 @@
 		shownAtFirst := latestShown(c)
 		_, err := c.Apply(&api.ApplyRequest{
 			Op:      "release",
-			Base:    shownAtFirst.Version,
+			BaseVersion:    shownAtFirst.Version,
 			Partial: true,
 			Source:  "{limits: queue: 12}",
 		})
@@ -90,7 +90,7 @@
 		require.NoError(t, c.Mark("/v1/zones/"+string(c.Site.Zones[0]), "release-zone", true))
 		time.Sleep(2 * time.Second)
 		state := latestShown(c)
-		record := releaseState{Version: state.Version, Policy: state.Policy, Evacuated: state.Zones}
+		record := releaseState{Version: state.Version, Policy: state.Policy, Evacuated: state.EvacuatedZones}
 		for _, line := range newest[:len(newest)-1] {
 			record.Tokens = append(record.Tokens, line.Token)
 		}
@@ -163,7 +163,7 @@
 		require.True(t, c.WaitUntil(10*time.Second, func() bool { return latestShown(c).Version == record.Version }))
 		state := latestShown(c)
 		require.JSONEq(t, string(record.Policy), string(state.Policy))
-		require.Equal(t, record.Evacuated, state.Zones)
+		require.Equal(t, record.Evacuated, state.EvacuatedZones)
 		newest, refusal := c.answer(t, 1, releaseAsk(releaseKeys-1))
 		require.Nil(t, refusal)
 		for i, token := range record.Tokens {
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -21,8 +21,8 @@
 		c.TuneWorker = func(o *standin.WorkerOptions) { o.Capacity = 220; o.StepTime = 20 * time.Millisecond }
 	}, func(t *testing.T, c *Cluster) {
 		before := c.Load(20, 2*time.Second, 1)
-		require.Equal(t, len(before), standin.Summarize(before).Ends[api.Complete])
-		crowd := standin.Load(c.ctx, standin.LoadOptions{
+		require.Equal(t, len(before), standin.Summarize(before).Ends[api.EndComplete])
+		crowd := standin.RunLoad(c.ctx, standin.LoadOptions{
 			Host:     c.clientProcess.Host(),
 			Nodes:    c.Platform.ReadyNodes,
 			Zones:    c.Site.Zones,
@@ -46,7 +46,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		after := c.Load(20, 3*time.Second, 3)
-		require.Equal(t, len(after), standin.Summarize(after).Ends[api.Complete], "%+v", standin.Summarize(after))
+		require.Equal(t, len(after), standin.Summarize(after).Ends[api.EndComplete], "%+v", standin.Summarize(after))
 	})
 }
 
@@ -69,7 +69,7 @@
 		require.True(t, c.WaitUntil(6*time.Second, func() bool { ok, _ := late.Node.Ready(); return ok }))
 		require.NoError(t, changeRetryAfter(c, "seedless", 2300))
 		all := c.Load(30, 4*time.Second, 9)
-		require.Equal(t, len(all), standin.Summarize(all).Ends[api.Complete], "%+v", standin.Summarize(all))
+		require.Equal(t, len(all), standin.Summarize(all).Ends[api.EndComplete], "%+v", standin.Summarize(all))
 		require.Empty(t, c.Recorder.Check(all))
 		require.Empty(t, c.checkConfigurations())
 	})
@@ -102,6 +102,6 @@
 			sum.Kinds,
 		)
 		require.Empty(t, c.Recorder.Check(all))
-		require.Greater(t, sum.Ends[api.Complete]*100, len(all)*90)
+		require.Greater(t, sum.Ends[api.EndComplete]*100, len(all)*90)
 	})
 }
--- a/internal/simulation/script_test.go
+++ b/internal/simulation/script_test.go
@@ -33,12 +33,12 @@
 	Name:    "hamlet",
 	Zones:   []ids.Zone{"a", "b", "c"},
 	Nodes:   3,
-	Prefill: 2,
-	Decode:  2,
+	PrefillWorkers: 2,
+	DecodeWorkers:  2,
 	Model:   "m",
 	Classes: []standin.StreamClass{
-		{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefix: 64, SuffixRange: 64, MaxTokens: 2},
-		{Kind: "clarification", Percent: 55, SharedPrefix: 64, SuffixRange: 16, MaxTokens: 16},
+		{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefixTokens: 64, SuffixTokensRange: 64, MaxTokens: 2},
+		{Kind: "clarification", Percent: 55, SharedPrefixTokens: 64, SuffixTokensRange: 16, MaxTokens: 16},
 	},
 }
 
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -29,8 +29,8 @@
 	if w.live[state.ID] != nil {
 		return &workerclient.OrderResponse{}, nil
 	}
-	importBlocks := ids.Blocks(state.Computed, w.pool.size)
-	totalBlocks := max(importBlocks, ids.Blocks(len(state.Prompt)+state.Params.MaxTokens, w.pool.size))
+	importBlocks := ids.Blocks(state.Computed, w.pool.blockSize)
+	totalBlocks := max(importBlocks, ids.Blocks(len(state.Prompt)+state.Params.MaxTokens, w.pool.blockSize))
 	switch {
 	case w.role != ids.Decode:
 		return nil, reject(http.StatusConflict, "this worker prefills")
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -72,28 +72,28 @@
 	}
 }
 
-const prefixBlock = 32
+const prefixBlockTokens = 32
 
 // cachedTokens returns how many tokens of a run's prompt are in the prefix cache.
 func (w *Worker) cachedTokens(r *run) int {
 	hash := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
 	n := 0
-	for i := 0; i+prefixBlock <= len(r.state.Prompt); i += prefixBlock {
-		for _, t := range r.state.Prompt[i : i+prefixBlock] {
+	for i := 0; i+prefixBlockTokens <= len(r.state.Prompt); i += prefixBlockTokens {
+		for _, t := range r.state.Prompt[i : i+prefixBlockTokens] {
 			hash = mix(hash, uint64(uint32(t)))
 		}
 		if _, ok := w.prefixCache[hash]; !ok {
 			break
 		}
-		n = i + prefixBlock
+		n = i + prefixBlockTokens
 	}
 	return n
 }
 
 func (w *Worker) cachePrefix(r *run) {
 	hash := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
-	for i := 0; i+prefixBlock <= len(r.state.Prompt); i += prefixBlock {
-		for _, t := range r.state.Prompt[i : i+prefixBlock] {
+	for i := 0; i+prefixBlockTokens <= len(r.state.Prompt); i += prefixBlockTokens {
+		for _, t := range r.state.Prompt[i : i+prefixBlockTokens] {
 			hash = mix(hash, uint64(uint32(t)))
 		}
 		w.prefixCache[hash] = w.now()
@@ -150,7 +150,7 @@
 		return
 	}
 	n := r.state.Computed
-	if n/w.pool.size >= len(r.blocks) {
+	if n/w.pool.blockSize >= len(r.blocks) {
 		more := w.pool.allocate(1)
 		if more == nil {
 			w.requestCounts(r.state.ID.Request).OutOfBlocks++
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -27,10 +27,10 @@
 	Kind         string
 	KeyRequired  bool
 	Percent      int // percentage of the requests
-	SharedPrefix int // prompt tokens that all requests with the same prefix share
-	SuffixRange  int // the suffix has max(1, MinSuffix) + n random tokens, n < SuffixRange
+	SharedPrefixTokens int // prompt tokens that all requests with the same prefix share
+	SuffixTokensRange  int // the suffix has max(1, MinSuffixTokens) + n random tokens, n < SuffixTokensRange
 	MaxTokens    int
-	MinSuffix    int // see SuffixRange
+	MinSuffixTokens    int // see SuffixTokensRange
 	Prefixes     int // number of different shared prefixes; 0 means 1
 }
 
@@ -80,8 +80,8 @@
 type KindSummary struct {
 	Sent        int     `json:"sent"`
 	Complete    int     `json:"complete"`
-	FirstP50    float64 `json:"firstP50Ms"`
-	FirstP99    float64 `json:"firstP99Ms"`
+	FirstTokenP50    float64 `json:"firstP50Ms"`
+	FirstTokenP99    float64 `json:"firstP99Ms"`
 	DurationP99 float64 `json:"wholeP99Ms"`
 }
 
@@ -111,11 +111,11 @@
 		if class.Prefixes > 1 {
 			base += int32(rng.IntN(class.Prefixes) * 7919)
 		}
-		for j := range class.SharedPrefix {
-			request.PromptIds = append(request.PromptIds, base+int32(j)+1)
+		for j := range class.SharedPrefixTokens {
+			request.PromptIDs = append(request.PromptIDs, base+int32(j)+1)
 		}
-		for range max(1, class.MinSuffix) + rng.IntN(class.SuffixRange) {
-			request.PromptIds = append(request.PromptIds, 1+rng.Int32N(50000))
+		for range max(1, class.MinSuffixTokens) + rng.IntN(class.SuffixTokensRange) {
+			request.PromptIDs = append(request.PromptIDs, 1+rng.Int32N(50000))
 		}
 		if class.KeyRequired {
 			request.Key = fmt.Sprintf("c%d-%d", o.Seed, i)
@@ -124,8 +124,8 @@
 	}
 }
 
-// Load sends all requests at their planned times and waits for their outcomes.
-func Load(ctx context.Context, o LoadOptions) []Outcome {
+// RunLoad sends all requests at their planned times and waits for their outcomes.
+func RunLoad(ctx context.Context, o LoadOptions) []Outcome {
 	client := rpc.NewHTTPClient(o.Host.Net)
 	defer client.CloseIdleConnections()
 	if o.Timeout == 0 {
@@ -174,7 +174,7 @@
 	if outcome.End == "cut" && callCtx.Err() != nil && ctx.Err() == nil {
 		outcome.End = TimedOut
 	}
-	if outcome.End == api.Complete && !o.matchesReference(planned, outcome.Tokens) {
+	if outcome.End == api.EndComplete && !o.matchesReference(planned, outcome.Tokens) {
 		outcome.End, outcome.Detail = "wrong", fmt.Sprintf("tokens %v", outcome.Tokens)
 	}
 	return outcome
@@ -185,7 +185,7 @@
 func (o *LoadOptions) matchesReference(planned *plannedRequest, tokens []int32) bool {
 	for _, w := range o.Weights {
 		reference := ReferenceOutput(
-			planned.request.PromptIds,
+			planned.request.PromptIDs,
 			planned.request.MaxTokens,
 			planned.request.Seed,
 			planned.request.Temperature,
@@ -209,8 +209,8 @@
 // Retry delays for attempts whose response has no retry delay.
 const (
 	delayNoNode     = 500 * time.Millisecond
-	delayNotDialled = 300 * time.Millisecond
-	delayAfterCut   = time.Second // only for requests with a key
+	delayAfterDialError = 300 * time.Millisecond
+	delayAfterInterruption   = time.Second // only for requests with a key
 )
 
 // sendOnce sends a request once. It returns the delay before the next attempt, or 0 if the request must not be
@@ -248,17 +248,17 @@
 func (r *Outcome) recordNoResponse(err error, planned *plannedRequest) time.Duration {
 	if rpc.IsDialError(err) {
 		r.End, r.Detail = "bounced", "no connection"
-		return delayNotDialled
+		return delayAfterDialError
 	}
 	r.End, r.Detail = "cut", "no response"
-	return planned.delayAfterCut()
+	return planned.retryDelayIfKeyed()
 }
 
-// delayAfterCut returns the retry delay after an attempt whose outcome is unknown, or 0 if the request has no key:
+// retryDelayIfKeyed returns the retry delay after an attempt whose outcome is unknown, or 0 if the request has no key:
 // only a request with a key may be repeated.
-func (p *plannedRequest) delayAfterCut() time.Duration {
+func (p *plannedRequest) retryDelayIfKeyed() time.Duration {
 	if p.class.KeyRequired {
-		return delayAfterCut
+		return delayAfterInterruption
 	}
 	return 0
 }
@@ -305,7 +305,7 @@
 		}
 		r.Tokens = append(r.Tokens, event.Token)
 	}
-	return planned.delayAfterCut()
+	return planned.retryDelayIfKeyed()
 }
 
 // recordEnd records the last event of a stream.
@@ -314,11 +314,11 @@
 	if last.Error != nil {
 		r.Detail = last.Error.Name
 	}
-	if last.End == api.Complete && last.Count != len(r.Tokens) {
+	if last.End == api.EndComplete && last.Count != len(r.Tokens) {
 		r.End = "wrong"
 	}
-	if last.End == api.Unknown && planned.class.KeyRequired && last.Error != nil && last.Error.After > 0 {
-		return time.Duration(last.Error.After) * time.Millisecond
+	if last.End == api.EndUnknown && planned.class.KeyRequired && last.Error != nil && last.Error.RetryAfterMs > 0 {
+		return time.Duration(last.Error.RetryAfterMs) * time.Millisecond
 	}
 	return 0
 }
@@ -329,12 +329,12 @@
 	first, complete := map[string][]time.Duration{}, map[string][]time.Duration{}
 	for _, o := range all {
 		summary.Ends[o.End]++
-		if o.End != api.Complete {
+		if o.End != api.EndComplete {
 			summary.Details[o.End+": "+o.Detail]++
 		}
 		k := summary.Kinds[o.Kind]
 		k.Sent++
-		if o.End == api.Complete {
+		if o.End == api.EndComplete {
 			k.Complete++
 			first[o.Kind] = append(first[o.Kind], o.FirstToken)
 			complete[o.Kind] = append(complete[o.Kind], o.Duration)
@@ -342,7 +342,7 @@
 		summary.Kinds[o.Kind] = k
 	}
 	for n, k := range summary.Kinds {
-		k.FirstP50, k.FirstP99, k.DurationP99 = Quantile(first[n], 0.5), Quantile(first[n], 0.99), Quantile(complete[n], 0.99)
+		k.FirstTokenP50, k.FirstTokenP99, k.DurationP99 = Quantile(first[n], 0.5), Quantile(first[n], 0.99), Quantile(complete[n], 0.99)
 		summary.Kinds[n] = k
 	}
 	return summary
@@ -363,8 +363,8 @@
 	Name    string
 	Zones   []ids.Zone
 	Nodes   int // number of router nodes, which have no disk
-	Prefill int
-	Decode  int
+	PrefillWorkers int
+	DecodeWorkers  int
 	Model   string
 	Classes []StreamClass
 }
@@ -375,24 +375,24 @@
 		Name:    "vatuloa",
 		Zones:   []ids.Zone{"hall-a", "hall-b", "hall-c"},
 		Nodes:   7,
-		Prefill: 6,
-		Decode:  6,
+		PrefillWorkers: 6,
+		DecodeWorkers:  6,
 		Model:   "bridge-8b",
 		Classes: []StreamClass{
-			{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefix: 384, SuffixRange: 640, MaxTokens: 2},
-			{Kind: "clarification", Percent: 55, SharedPrefix: 96, SuffixRange: 48, MaxTokens: 24},
+			{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefixTokens: 384, SuffixTokensRange: 640, MaxTokens: 2},
+			{Kind: "clarification", Percent: 55, SharedPrefixTokens: 96, SuffixTokensRange: 48, MaxTokens: 24},
 		},
 	},
 	"almaty": {
 		Name:    "almaty",
 		Zones:   []ids.Zone{"alatau", "medeu", "bostandyk"},
 		Nodes:   6,
-		Prefill: 4,
-		Decode:  5,
+		PrefillWorkers: 4,
+		DecodeWorkers:  5,
 		Model:   "scooter-8b",
 		Classes: []StreamClass{
-			{Kind: "ruling", KeyRequired: true, Percent: 45, SharedPrefix: 320, SuffixRange: 480, MaxTokens: 2},
-			{Kind: "rider", Percent: 55, SharedPrefix: 128, SuffixRange: 48, MaxTokens: 24},
+			{Kind: "ruling", KeyRequired: true, Percent: 45, SharedPrefixTokens: 320, SuffixTokensRange: 480, MaxTokens: 2},
+			{Kind: "rider", Percent: 55, SharedPrefixTokens: 128, SuffixTokensRange: 48, MaxTokens: 24},
 		},
 	},
 }
--- a/internal/standin/outage.go
+++ b/internal/standin/outage.go
@@ -14,7 +14,7 @@
 func LongestOutage(outcomes []Outcome, from, to time.Duration, include func(Outcome) bool) time.Duration {
 	var completions []time.Duration
 	for _, o := range outcomes {
-		if at := o.At + o.Duration; o.End == api.Complete && at > from && at < to && (include == nil || include(o)) {
+		if at := o.At + o.Duration; o.End == api.EndComplete && at > from && at < to && (include == nil || include(o)) {
 			completions = append(completions, at)
 		}
 	}
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -143,7 +143,7 @@
 	}
 	r := w.live[id]
 	if r == nil {
-		blocks := ids.Blocks(len(req.Identity.Prompt)+len(req.Identity.Output)+1, w.pool.size)
+		blocks := ids.Blocks(len(req.Identity.Prompt)+len(req.Identity.Output)+1, w.pool.blockSize)
 		switch {
 		case w.role != ids.Prefill:
 			w.mu.Unlock()
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -20,7 +20,7 @@
 // WorkerIDs returns the IDs of a site's workers: first the prefill workers, then the decode workers.
 func (s Site) WorkerIDs() []ids.WorkerID {
 	var out []ids.WorkerID
-	for i := range s.Prefill + s.Decode {
+	for i := range s.PrefillWorkers + s.DecodeWorkers {
 		out = append(out, s.WorkerID(i))
 	}
 	return out
@@ -28,10 +28,10 @@
 
 // WorkerID returns the ID of the i-th worker.
 func (s Site) WorkerID(i int) ids.WorkerID {
-	if i < s.Prefill {
+	if i < s.PrefillWorkers {
 		return ids.WorkerID(fmt.Sprintf("p%d", i+1))
 	}
-	return ids.WorkerID(fmt.Sprintf("d%d", i-s.Prefill+1))
+	return ids.WorkerID(fmt.Sprintf("d%d", i-s.PrefillWorkers+1))
 }
 
 // Worker returns the configuration entry of the i-th worker. The workers of a role are distributed over the zones
@@ -39,8 +39,8 @@
 func (s Site) Worker(i int) fleetstate.Worker {
 	role := ids.Prefill
 	index := i
-	if i >= s.Prefill {
-		role, index = ids.Decode, i-s.Prefill
+	if i >= s.PrefillWorkers {
+		role, index = ids.Decode, i-s.PrefillWorkers
 	}
 	return fleetstate.Worker{
 		Role:      role,
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -71,7 +71,7 @@
 
 // Event is an event on a worker, for the checkers of a test.
 type Event struct {
-	What    string
+	Kind    string
 	Worker  ids.WorkerID
 	ID      workerclient.ID
 	Fence   ids.Fence
@@ -304,7 +304,7 @@
 		Model:       w.opt.Model,
 		Used:        w.pool.used(),
 		Capacity:    len(w.pool.cells),
-		BlockSize:   w.pool.size,
+		BlockSize:   w.pool.blockSize,
 		Queue:       len(w.queue),
 		Version:     w.version,
 		Running:     []workerclient.Running{},
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -50,7 +50,7 @@
 	Name   string `json:"name"`
 	Field  string `json:"field,omitempty"`
 	Detail string `json:"detail,omitempty"`
-	After  int64  `json:"retryAfterMs,omitempty"`
+	RetryAfterMs  int64  `json:"retryAfterMs,omitempty"`
 }
 
 // statusKind returns the failure kind that corresponds to a worker's HTTP status.
