--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -203,12 +203,12 @@
 	}
 	var out api.ApplyResponse
 	a := api.ApplyRequest{
-		Op:      coordination.NewID(),
-		BaseVersion:    sh.Newest,
-		Partial: c.Partial,
-		Name:    name,
-		Source:  text,
-		DryRun:     true,
+		Op:          coordination.NewID(),
+		BaseVersion: sh.Newest,
+		Partial:     c.Partial,
+		Name:        name,
+		Source:      text,
+		DryRun:      true,
 	}
 	if err := s.ask(http.MethodPost, "/v1/policy", a, &out); err != nil {
 		return err
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -16,12 +16,12 @@
 // operation's ID: a request that got no response may be repeated with the same ID and returns the outcome of
 // the first. With Dry the configuration is only validated.
 type ApplyRequest struct {
-	Op      string `json:"op"`
-	BaseVersion    uint64 `json:"base"`
-	Partial bool   `json:"partial,omitempty"`
-	Name    string `json:"name,omitempty"`
-	Source  string `json:"source"`
-	DryRun     bool   `json:"dry,omitempty"`
+	Op          string `json:"op"`
+	BaseVersion uint64 `json:"base"`
+	Partial     bool   `json:"partial,omitempty"`
+	Name        string `json:"name,omitempty"`
+	Source      string `json:"source"`
+	DryRun      bool   `json:"dry,omitempty"`
 }
 
 // ApplyResponse is the response to a change: the resulting version, and whether that version is active on the
@@ -42,10 +42,10 @@
 // ActivePolicy is the configuration that is active on a node, the newest version that the node knows, and the
 // zones and workers that are out of service.
 type ActivePolicy struct {
-	Version uint64          `json:"version"`
-	Newest  uint64          `json:"newest"`
-	Policy  json.RawMessage `json:"policy"`
-	EvacuatedZones   []string        `json:"evacuated"`
+	Version        uint64          `json:"version"`
+	Newest         uint64          `json:"newest"`
+	Policy         json.RawMessage `json:"policy"`
+	EvacuatedZones []string        `json:"evacuated"`
 	DrainedWorkers []string        `json:"drained"`
 }
 
--- a/internal/api/streams.go
+++ b/internal/api/streams.go
@@ -99,8 +99,8 @@
 
 // Readiness is the body of the response to GET /ready, whose status is 200 or 503.
 type Readiness struct {
-	Ready bool   `json:"ready"`
-	Reason   string `json:"why"`
+	Ready  bool   `json:"ready"`
+	Reason string `json:"why"`
 }
 
 // HandleStreams registers a handler for clients' requests on a path.
--- a/internal/certification/register.go
+++ b/internal/certification/register.go
@@ -34,7 +34,7 @@
 // no regimes.
 type Register struct {
 	regimes      map[string]Regime
-	regimeOfKind        map[string]string
+	regimeOfKind map[string]string
 	grants       map[grantKey][]grant
 	certificates map[string]*Certificate
 	validity     map[string]grant
@@ -53,7 +53,7 @@
 	}
 	r := &Register{
 		regimes:      regimes,
-		regimeOfKind:        map[string]string{},
+		regimeOfKind: map[string]string{},
 		grants:       map[grantKey][]grant{},
 		certificates: map[string]*Certificate{},
 		validity:     map[string]grant{},
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -160,10 +160,10 @@
 	}
 	newest, _ := state.ProgramSet()
 	return &api.ActivePolicy{
-		Version: uint64(state.Programs.Version),
-		Newest:  uint64(newest.Version),
-		Policy:  fleetstate.ProgramSetJSON(state.Programs),
-		EvacuatedZones:   append([]string{}, state.EvacuatedZones...),
+		Version:        uint64(state.Programs.Version),
+		Newest:         uint64(newest.Version),
+		Policy:         fleetstate.ProgramSetJSON(state.Programs),
+		EvacuatedZones: append([]string{}, state.EvacuatedZones...),
 		DrainedWorkers: append([]string{}, state.DrainedWorkers...),
 	}, nil
 }
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -128,9 +128,9 @@
 		End:   api.EndUnknown,
 		Count: tokens,
 		Error: &workerclient.Rejection{
-			Name:   "unrecorded",
-			Detail: "the outcome is not on record yet; ask again with the same key",
-			RetryAfterMs:  n.retryDelay().Milliseconds(),
+			Name:         "unrecorded",
+			Detail:       "the outcome is not on record yet; ask again with the same key",
+			RetryAfterMs: n.retryDelay().Milliseconds(),
 		},
 	})
 }
@@ -139,10 +139,10 @@
 // can run any more, so the caller has to retry with a new key.
 func (n *Node) rejectNotRun(count int, out api.Sink) error {
 	rejection := workerclient.Rejection{
-		Name:   "not-run",
-		Field:  "key",
-		Detail: "it was not run and never will be; ask anew with another key",
-		RetryAfterMs:  n.retryDelay().Milliseconds(),
+		Name:         "not-run",
+		Field:        "key",
+		Detail:       "it was not run and never will be; ask anew with another key",
+		RetryAfterMs: n.retryDelay().Milliseconds(),
 	}
 	n.counts.Rejected.Add(1)
 	if count == 0 {
--- a/internal/router/operator.go
+++ b/internal/router/operator.go
@@ -182,10 +182,10 @@
 func (n *Node) Show() *api.ActivePolicy {
 	s := n.view.Current()
 	out := &api.ActivePolicy{
-		Version: uint64(s.Version),
-		Newest:  uint64(max(s.NewestReceivedVersion, s.Version)),
-		Policy:  s.Text,
-		EvacuatedZones:   []string{},
+		Version:        uint64(s.Version),
+		Newest:         uint64(max(s.NewestReceivedVersion, s.Version)),
+		Policy:         s.Text,
+		EvacuatedZones: []string{},
 		DrainedWorkers: []string{},
 	}
 	if len(out.Policy) == 0 {
--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -30,19 +30,19 @@
 
 // governedWork is a site with governed kinds of both sorts and machines to spare.
 var governedWork = standin.Site{
-	Name:    "chamber",
-	Zones:   []ids.Zone{"a", "b", "c"},
-	Nodes:   5,
+	Name:           "chamber",
+	Zones:          []ids.Zone{"a", "b", "c"},
+	Nodes:          5,
 	PrefillWorkers: 4,
 	DecodeWorkers:  4,
-	Model:   "m",
+	Model:          "m",
 	Classes: []standin.StreamClass{{Kind: "verdict", KeyRequired: true, Percent: 30, SharedPrefixTokens: 64, SuffixTokensRange: 64, MaxTokens: 2},
 		{
-			Kind:         "speech",
-			Percent:      30,
+			Kind:               "speech",
+			Percent:            30,
 			SharedPrefixTokens: 64,
 			SuffixTokensRange:  32,
-			MaxTokens:    40,
+			MaxTokens:          40,
 		}, {Kind: "clarification", Percent: 40, SharedPrefixTokens: 64, SuffixTokensRange: 16, MaxTokens: 16}},
 }
 
--- a/internal/simulation/day_end_test.go
+++ b/internal/simulation/day_end_test.go
@@ -29,10 +29,10 @@
 				zone := string(c.Site.Zones[0])
 				require.NoError(t, c.Mark("/v1/zones/"+zone, "day-end-zone", true))
 				applied, err := c.Apply(&api.ApplyRequest{
-					Op:      "day-end",
-					BaseVersion:    latestShown(c).Version,
-					Partial: true,
-					Source:  "{limits: queue: 12}",
+					Op:          "day-end",
+					BaseVersion: latestShown(c).Version,
+					Partial:     true,
+					Source:      "{limits: queue: 12}",
 				})
 				require.NoError(t, err)
 				text := latestShown(c).Policy
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -54,17 +54,17 @@
 		defer c.Close()
 		require.NoError(t, c.Bootstrap())
 		read := c.LoadShapes([]standin.StreamClass{{
-			Kind:        "clarification",
-			Percent:     100,
+			Kind:              "clarification",
+			Percent:           100,
 			SuffixTokensRange: 400,
-			MaxTokens:   2,
+			MaxTokens:         2,
 			MinSuffixTokens:   1400,
 		}}, 14.5, span, seed)
 		write := c.LoadShapes([]standin.StreamClass{{
-			Kind:        "clarification",
-			Percent:     100,
+			Kind:              "clarification",
+			Percent:           100,
 			SuffixTokensRange: 40,
-			MaxTokens:   64,
+			MaxTokens:         64,
 			MinSuffixTokens:   10,
 		}}, 75, span, seed+100)
 		out.read, out.write = standin.Summarize(read), standin.Summarize(write)
--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -105,10 +105,10 @@
 		sh := latestShown(c)
 		b := pickOne(r, c.Of("router"))
 		bad := &api.ApplyRequest{
-			Op:      fmt.Sprint("bad-", n),
-			BaseVersion:    sh.Version,
-			Partial: true,
-			Source:  `{"workers":{"p1":{"room":0}}}`,
+			Op:          fmt.Sprint("bad-", n),
+			BaseVersion: sh.Version,
+			Partial:     true,
+			Source:      `{"workers":{"p1":{"room":0}}}`,
 		}
 		if err := c.PostTo(b, "/v1/policy", bad, nil); err == nil {
 			return fmt.Errorf("round %d: a bad part was taken", n)
@@ -120,10 +120,10 @@
 			return err
 		}
 		late := &api.ApplyRequest{
-			Op:      fmt.Sprint("late-", n),
-			BaseVersion:    sh.Version,
-			Partial: true,
-			Source:  `{"limits":{"queue":3}}`,
+			Op:          fmt.Sprint("late-", n),
+			BaseVersion: sh.Version,
+			Partial:     true,
+			Source:      `{"limits":{"queue":3}}`,
 		}
 		if err := c.PostTo(pickOne(r, c.Of("router")), "/v1/policy", late, nil); err == nil {
 			return fmt.Errorf("round %d: a part over an old version was taken", n)
--- a/internal/simulation/govern_test.go
+++ b/internal/simulation/govern_test.go
@@ -294,11 +294,11 @@
 			spoil(&one)
 			b.certs["c-p1"] = one
 			err := c.Post("/v1/policy", &api.ApplyRequest{
-				Op:      coordination.NewID(),
-				BaseVersion:    latestShown(c).Version,
-				Partial: true,
-				Name:    "regimes.json",
-				Source:  b.part(),
+				Op:          coordination.NewID(),
+				BaseVersion: latestShown(c).Version,
+				Partial:     true,
+				Name:        "regimes.json",
+				Source:      b.part(),
 			}, nil)
 			n, name, detail := faultFields(t, err)
 			require.Equal(t, http.StatusBadRequest, n, detail)
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -105,20 +105,20 @@
 			{api.ApplyRequest{Op: "e", BaseVersion: 1, Partial: true, Source: `{colour: 3}`}, 400, "colour"},
 			{
 				api.ApplyRequest{
-					Op:      "f",
-					BaseVersion:    1,
-					Partial: true,
-					Source:  `{programs: {x: {share: 100, source: "def order(a, b):\n  retrun b"}}}`,
+					Op:          "f",
+					BaseVersion: 1,
+					Partial:     true,
+					Source:      `{programs: {x: {share: 100, source: "def order(a, b):\n  retrun b"}}}`,
 				},
 				400,
 				"x.star:2",
 			},
 			{
 				api.ApplyRequest{
-					Op:      "g",
-					BaseVersion:    1,
-					Partial: true,
-					Source:  `{programs: {x: {share: 40, source: "def order(a, b):\n  return []"}}}`,
+					Op:          "g",
+					BaseVersion: 1,
+					Partial:     true,
+					Source:      `{programs: {x: {share: 40, source: "def order(a, b):\n  return []"}}}`,
 				},
 				400,
 				"40, not to 100",
--- a/internal/simulation/other_scripts_test.go
+++ b/internal/simulation/other_scripts_test.go
@@ -200,10 +200,10 @@
 						got := &api.ApplyResponse{}
 						p := c.Of("router")[k]
 						err := c.PostTo(p, "/v1/policy", &api.ApplyRequest{
-							Op:      fmt.Sprintf("race-%d-%d", n, k),
-							BaseVersion:    state.Version,
-							Partial: true,
-							Source:  part,
+							Op:          fmt.Sprintf("race-%d-%d", n, k),
+							BaseVersion: state.Version,
+							Partial:     true,
+							Source:      part,
 						}, got)
 						if err != nil {
 							c.Recorder.RecordRefused(text)
--- a/internal/simulation/program_test.go
+++ b/internal/simulation/program_test.go
@@ -53,10 +53,10 @@
 			for i, text := range rounds {
 				time.Sleep(1500 * time.Millisecond)
 				if _, err := c.Apply(&api.ApplyRequest{
-					Op:      fmt.Sprint("swap", i),
-					BaseVersion:    uint64(i + 1),
-					Partial: true,
-					Source:  text,
+					Op:          fmt.Sprint("swap", i),
+					BaseVersion: uint64(i + 1),
+					Partial:     true,
+					Source:      text,
 				}); err != nil {
 					done <- fmt.Errorf("round %d: %w", i, err)
 					return
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -81,10 +81,10 @@
 		}
 		shownAtFirst := latestShown(c)
 		_, err := c.Apply(&api.ApplyRequest{
-			Op:      "release",
-			BaseVersion:    shownAtFirst.Version,
-			Partial: true,
-			Source:  "{limits: queue: 12}",
+			Op:          "release",
+			BaseVersion: shownAtFirst.Version,
+			Partial:     true,
+			Source:      "{limits: queue: 12}",
 		})
 		require.NoError(t, err)
 		require.NoError(t, c.Mark("/v1/zones/"+string(c.Site.Zones[0]), "release-zone", true))
--- a/internal/simulation/script_test.go
+++ b/internal/simulation/script_test.go
@@ -30,12 +30,12 @@
 // smallSite is a deployment for runs under the race detector, in which one of the usual size takes
 // about twenty times as long.
 var smallSite = standin.Site{
-	Name:    "hamlet",
-	Zones:   []ids.Zone{"a", "b", "c"},
-	Nodes:   3,
+	Name:           "hamlet",
+	Zones:          []ids.Zone{"a", "b", "c"},
+	Nodes:          3,
 	PrefillWorkers: 2,
 	DecodeWorkers:  2,
-	Model:   "m",
+	Model:          "m",
 	Classes: []standin.StreamClass{
 		{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefixTokens: 64, SuffixTokensRange: 64, MaxTokens: 2},
 		{Kind: "clarification", Percent: 55, SharedPrefixTokens: 64, SuffixTokensRange: 16, MaxTokens: 16},
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -24,14 +24,14 @@
 
 // StreamClass is a class of requests that the load generator sends.
 type StreamClass struct {
-	Kind         string
-	KeyRequired  bool
-	Percent      int // percentage of the requests
+	Kind               string
+	KeyRequired        bool
+	Percent            int // percentage of the requests
 	SharedPrefixTokens int // prompt tokens that all requests with the same prefix share
 	SuffixTokensRange  int // the suffix has max(1, MinSuffixTokens) + n random tokens, n < SuffixTokensRange
-	MaxTokens    int
+	MaxTokens          int
 	MinSuffixTokens    int // see SuffixTokensRange
-	Prefixes     int // number of different shared prefixes; 0 means 1
+	Prefixes           int // number of different shared prefixes; 0 means 1
 }
 
 // LoadOptions configure a load.
@@ -78,11 +78,11 @@
 // KindSummary summarizes the outcomes of one kind of request. Times are in milliseconds from the planned arrival to
 // the first token, and to the end of the stream.
 type KindSummary struct {
-	Sent        int     `json:"sent"`
-	Complete    int     `json:"complete"`
-	FirstTokenP50    float64 `json:"firstP50Ms"`
-	FirstTokenP99    float64 `json:"firstP99Ms"`
-	DurationP99 float64 `json:"wholeP99Ms"`
+	Sent          int     `json:"sent"`
+	Complete      int     `json:"complete"`
+	FirstTokenP50 float64 `json:"firstP50Ms"`
+	FirstTokenP99 float64 `json:"firstP99Ms"`
+	DurationP99   float64 `json:"wholeP99Ms"`
 }
 
 type plannedRequest struct {
@@ -208,9 +208,9 @@
 
 // Retry delays for attempts whose response has no retry delay.
 const (
-	delayNoNode     = 500 * time.Millisecond
-	delayAfterDialError = 300 * time.Millisecond
-	delayAfterInterruption   = time.Second // only for requests with a key
+	delayNoNode            = 500 * time.Millisecond
+	delayAfterDialError    = 300 * time.Millisecond
+	delayAfterInterruption = time.Second // only for requests with a key
 )
 
 // sendOnce sends a request once. It returns the delay before the next attempt, or 0 if the request must not be
@@ -360,36 +360,36 @@
 
 // Site is a deployment with its current size and load.
 type Site struct {
-	Name    string
-	Zones   []ids.Zone
-	Nodes   int // number of router nodes, which have no disk
+	Name           string
+	Zones          []ids.Zone
+	Nodes          int // number of router nodes, which have no disk
 	PrefillWorkers int
 	DecodeWorkers  int
-	Model   string
-	Classes []StreamClass
+	Model          string
+	Classes        []StreamClass
 }
 
 // Sites contains the two deployments by name.
 var Sites = map[string]Site{
 	"vatuloa": {
-		Name:    "vatuloa",
-		Zones:   []ids.Zone{"hall-a", "hall-b", "hall-c"},
-		Nodes:   7,
+		Name:           "vatuloa",
+		Zones:          []ids.Zone{"hall-a", "hall-b", "hall-c"},
+		Nodes:          7,
 		PrefillWorkers: 6,
 		DecodeWorkers:  6,
-		Model:   "bridge-8b",
+		Model:          "bridge-8b",
 		Classes: []StreamClass{
 			{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefixTokens: 384, SuffixTokensRange: 640, MaxTokens: 2},
 			{Kind: "clarification", Percent: 55, SharedPrefixTokens: 96, SuffixTokensRange: 48, MaxTokens: 24},
 		},
 	},
 	"almaty": {
-		Name:    "almaty",
-		Zones:   []ids.Zone{"alatau", "medeu", "bostandyk"},
-		Nodes:   6,
+		Name:           "almaty",
+		Zones:          []ids.Zone{"alatau", "medeu", "bostandyk"},
+		Nodes:          6,
 		PrefillWorkers: 4,
 		DecodeWorkers:  5,
-		Model:   "scooter-8b",
+		Model:          "scooter-8b",
 		Classes: []StreamClass{
 			{Kind: "ruling", KeyRequired: true, Percent: 45, SharedPrefixTokens: 320, SuffixTokensRange: 480, MaxTokens: 2},
 			{Kind: "rider", Percent: 55, SharedPrefixTokens: 128, SuffixTokensRange: 48, MaxTokens: 24},
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -16,10 +16,10 @@
 
 // pool is a fixed number of blocks of KV cells.
 type pool struct {
-	blockSize     int // cells per block
-	cells    [][]uint64
-	free     []int // indices of the free blocks
-	reserved int   // free blocks that are reserved for the growth of runs
+	blockSize int // cells per block
+	cells     [][]uint64
+	free      []int // indices of the free blocks
+	reserved  int   // free blocks that are reserved for the growth of runs
 }
 
 func newPool(capacity, size int) *pool {
@@ -48,8 +48,12 @@
 
 func (p *pool) release(blocks []int) { p.free = append(p.free, blocks...) }
 
-func (p *pool) set(blocks []int, pos int, v uint64) { p.cells[blocks[pos/p.blockSize]][pos%p.blockSize] = v }
-func (p *pool) get(blocks []int, pos int) uint64    { return p.cells[blocks[pos/p.blockSize]][pos%p.blockSize] }
+func (p *pool) set(blocks []int, pos int, v uint64) {
+	p.cells[blocks[pos/p.blockSize]][pos%p.blockSize] = v
+}
+func (p *pool) get(blocks []int, pos int) uint64 {
+	return p.cells[blocks[pos/p.blockSize]][pos%p.blockSize]
+}
 
 func mix(a, b uint64) uint64 {
 	v := a*0x9e3779b97f4a7c15 ^ (b + 0x7f4a7c15f39cc060)
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -47,10 +47,10 @@
 // is the invalid field of the request if any, Detail is a text for people, and After is the retry delay in
 // milliseconds, or 0 if there is none.
 type Rejection struct {
-	Name   string `json:"name"`
-	Field  string `json:"field,omitempty"`
-	Detail string `json:"detail,omitempty"`
-	RetryAfterMs  int64  `json:"retryAfterMs,omitempty"`
+	Name         string `json:"name"`
+	Field        string `json:"field,omitempty"`
+	Detail       string `json:"detail,omitempty"`
+	RetryAfterMs int64  `json:"retryAfterMs,omitempty"`
 }
 
 // statusKind returns the failure kind that corresponds to a worker's HTTP status.
