--- a/internal/api/client.go
+++ b/internal/api/client.go
@@ -23,8 +23,9 @@
 	return err == nil || ok && f.Code < http.StatusInternalServerError
 }
 
-// errorPrecedence ranks the errors of several nodes by their importance to the caller: highest is a response
-// that the operation may have been executed, then any other response of a node, then the lack of a response.
+// errorPrecedence ranks the errors of several nodes by their importance to the caller. A response with the
+// status of an operation that may have been executed ranks highest, then any other response of a node, then the
+// lack of a response.
 func errorPrecedence(err error) int {
 	f, ok := err.(*Fault)
 	switch {
@@ -36,8 +37,8 @@
 	return 1
 }
 
-// Send sends a request to the nodes at addrs until one returns a final result, and decodes that result into
-// out unless out is nil. It tries the next node when a node returns an error that is not final or has not
+// Send sends a request to the nodes at addrs until one returns a final result, and decodes a successful result
+// into out unless out is nil. It tries the next node when a node returns an error that is not final or has not
 // responded within HedgeDelay. Since several nodes may receive the request, an operation must carry an ID that
 // makes it idempotent. Without a final result, Send returns the error of the highest precedence.
 func Send(ctx context.Context, client *http.Client, addrs []string, method, path string, in, out any) error {
--- a/internal/api/fault.go
+++ b/internal/api/fault.go
@@ -42,7 +42,7 @@
 const defaultRetryAfter = time.Second
 
 // WriteError writes an error response. A Fault is written as it is; any other error gets the status that
-// corresponds to its kind in package failure. A retry delay is also sent in the Retry-After header, rounded up
+// corresponds to its kind (see package failure). A retry delay is also sent in the Retry-After header, rounded up
 // to whole seconds.
 func WriteError(w http.ResponseWriter, err error) {
 	var f *Fault
--- a/internal/api/fault_test.go
+++ b/internal/api/fault_test.go
@@ -27,7 +27,7 @@
 			404, "", `{"error":{"name":"unknown","field":"zone","detail":"no a"}}`,
 		},
 		{
-			"later", RetryLater(http.StatusServiceUnavailable, "full", 1500*time.Millisecond, "wait"),
+			"retry later", RetryLater(http.StatusServiceUnavailable, "full", 1500*time.Millisecond, "wait"),
 			503, "2", `{"error":{"name":"full","detail":"wait","retryAfterMs":1500}}`,
 		},
 		{
@@ -39,7 +39,7 @@
 			"stale",
 			failure.New(failure.Stale, "check", "", "old"), 409, "", `{"error":{"name":"stale","detail":"check: old"}}`,
 		},
-		{"foreign", errors.New("cut"), 504, "", `{"error":{"name":"unknown-fate","detail":"cut"}}`},
+		{"other error", errors.New("cut"), 504, "", `{"error":{"name":"unknown-fate","detail":"cut"}}`},
 		{
 			"away",
 			failure.New(failure.Unavailable, "ask", "", "none"),
--- a/internal/api/forward.go
+++ b/internal/api/forward.go
@@ -13,9 +13,9 @@
 )
 
 // Forward sends a client's request unchanged to the node at addr, on a path that is internal to the fleet, and
-// writes every event of the response stream to out. It returns the number of events written. An error response
-// is returned as the Fault that the node sent. The call fails when the node sends nothing for idleTimeout. The
-// request is sent once, without retries.
+// writes every event of the response stream to out. It returns the number of events passed to out. An error
+// response is returned as the Fault that the node sent. The call fails if no complete event arrives for
+// idleTimeout. The request is sent once, without retries.
 func Forward(
 	ctx context.Context,
 	client *http.Client,
--- a/internal/api/json.go
+++ b/internal/api/json.go
@@ -11,8 +11,8 @@
 // unknownFieldPrefix is the prefix of the encoding/json error for a field that the type does not have.
 const unknownFieldPrefix = "json: unknown field "
 
-// ReadJSON decodes a request's body into out. The body must be a single JSON value with known fields only, of
-// at most limit bytes. An invalid body is returned as a Fault with status 400 or 413.
+// ReadJSON decodes a request's body into out. The body must be a JSON value with known fields only, without
+// another value after it, of at most limit bytes. An invalid body is returned as a Fault with status 400 or 413.
 func ReadJSON(r *http.Request, out any, limit int64) *Fault {
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -11,10 +11,10 @@
 	"keelstair.example/internal/certification"
 )
 
-// ApplyRequest applies a configuration, or with Partial a change to the current one. Source is CUE or JSON
-// text, Name is how error messages refer to it, and Base is the version that it was derived from. Op is the
-// operation's ID: a request that got no response may be repeated with the same ID and returns the outcome of
-// the first. With Dry the configuration is only validated.
+// ApplyRequest applies a configuration or, if Partial is set, a change to the current one. Source is the CUE or
+// JSON text, Name is the name that error messages give to it, and BaseVersion is the version that it was derived
+// from. Op is the operation's ID: a request that got no response may be retried with the same ID, and the retry
+// returns the outcome of the first request. If DryRun is set, the configuration is only validated.
 type ApplyRequest struct {
 	Op          string `json:"op"`
 	BaseVersion uint64 `json:"base"`
@@ -32,7 +32,7 @@
 	Policy  json.RawMessage `json:"policy,omitempty"`
 }
 
-// MarkRequest takes a zone, a worker or a certificate out of service or, with Out false, returns it to service.
+// MarkRequest takes a zone, a worker or a certificate out of service or, if Out is false, returns it to service.
 // The revocation of a certificate cannot be undone. Op is the operation's ID, as in ApplyRequest.
 type MarkRequest struct {
 	Op  string `json:"op"`
@@ -59,8 +59,8 @@
 	Regimes  []Regime `json:"regimes"`
 }
 
-// Regime is a regime with its certificates. Shortages names the roles that have too few certified workers or
-// nodes at present.
+// Regime is a regime with its certificates. Shortages names the roles for which too few workers or nodes are
+// certified at present.
 type Regime struct {
 	Name            string                            `json:"name"`
 	Kinds           []string                          `json:"kinds"`
@@ -78,8 +78,8 @@
 	Rows  []json.RawMessage `json:"rows"`
 }
 
-// Operator executes operators' requests. WriteError writes its errors to the response. The errors of changes,
-// which may have been executed, come from SubmitError.
+// Operator executes operators' requests. WriteError writes its errors to the response. If a change
+// fails after it was submitted, its error comes from SubmitError and states whether it may have been executed.
 type Operator interface {
 	// Apply validates a configuration and activates it.
 	Apply(ctx context.Context, a *ApplyRequest) (*ApplyResponse, error)
--- a/internal/api/streams.go
+++ b/internal/api/streams.go
@@ -39,20 +39,20 @@
 	Seed        uint64   `json:"seed,omitempty"`
 }
 
-// Digest returns a hash of all fields of the request, in hex. A request with the key of an earlier one is a
-// repetition of it only if the digests are equal.
-func (a *StreamRequest) Digest() string {
-	b, _ := json.Marshal(a)
+// Digest returns a hash of all fields of the request, in hex. A request is a retry of an earlier one
+// only if both the key and the digest are the same.
+func (r *StreamRequest) Digest() string {
+	b, _ := json.Marshal(r)
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:digestBytes])
 }
 
 // PromptTokens returns the token IDs of the prompt: PromptIDs if set, else one hashed ID per word of the text.
-func (a *StreamRequest) PromptTokens() []int32 {
-	if len(a.PromptIDs) > 0 {
-		return a.PromptIDs
+func (r *StreamRequest) PromptTokens() []int32 {
+	if len(r.PromptIDs) > 0 {
+		return r.PromptIDs
 	}
-	words := strings.Fields(a.Prompt)
+	words := strings.Fields(r.Prompt)
 	out := make([]int32, len(words))
 	for i, w := range words {
 		h := fnv.New32a()
@@ -84,7 +84,7 @@
 
 // Sink receives the events of a stream.
 type Sink interface {
-	// Put writes and flushes an event. An error means that the reader has disconnected.
+	// Put writes and flushes an event. An error means that the client has disconnected.
 	Put(StreamEvent) error
 }
 
@@ -92,7 +92,7 @@
 type Server interface {
 	// Serve executes a request and writes its events to out. An error before the first event sets the HTTP
 	// status (see WriteError); after it, the last event states how the stream ended.
-	Serve(ctx context.Context, ask *StreamRequest, out Sink) error
+	Serve(ctx context.Context, request *StreamRequest, out Sink) error
 	// Ready reports whether the node can serve requests, and the reason if it cannot.
 	Ready() (bool, string)
 }
@@ -122,12 +122,12 @@
 func RegisterClientAPI(mux *http.ServeMux, s Server) {
 	HandleStreams(mux, "/v1/streams", s.Serve)
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
-		ok, why := s.Ready()
+		ok, reason := s.Ready()
 		code := http.StatusOK
 		if !ok {
 			code = http.StatusServiceUnavailable
 		}
-		WriteJSON(w, code, Readiness{ok, why})
+		WriteJSON(w, code, Readiness{ok, reason})
 	})
 }
 
@@ -155,31 +155,31 @@
 
 // Validate returns a Fault if the request is invalid. keyRequired states that its kind requires a key;
 // maxTokens and maxPrompt limit the number of tokens of the output and of the prompt.
-func (a *StreamRequest) Validate(keyRequired bool, maxTokens, maxPrompt int) *Fault {
+func (r *StreamRequest) Validate(keyRequired bool, maxTokens, maxPrompt int) *Fault {
 	switch {
-	case a.Prompt != "" && len(a.PromptIDs) > 0:
+	case r.Prompt != "" && len(r.PromptIDs) > 0:
 		return NewFault(http.StatusBadRequest, "both", "promptIds", "prompt and promptIds are mutually exclusive")
-	case len(a.PromptTokens()) == 0:
+	case len(r.PromptTokens()) == 0:
 		return NewFault(http.StatusBadRequest, "missing", "prompt", "the prompt is empty")
-	case len(a.PromptTokens()) > maxPrompt:
+	case len(r.PromptTokens()) > maxPrompt:
 		return NewFault(
 			http.StatusRequestEntityTooLarge,
 			"too-large",
 			"prompt",
 			"%d tokens exceed the limit of %d",
-			len(a.PromptTokens()),
+			len(r.PromptTokens()),
 			maxPrompt,
 		)
-	case a.MaxTokens < 0 || a.MaxTokens > maxTokens:
+	case r.MaxTokens < 0 || r.MaxTokens > maxTokens:
 		return NewFault(http.StatusBadRequest, "out-of-range", "maxTokens", "the value must be from 0 to %d", maxTokens)
-	case a.Temperature < 0 || a.Temperature > maxTemperature:
+	case r.Temperature < 0 || r.Temperature > maxTemperature:
 		return NewFault(http.StatusBadRequest, "out-of-range", "temperature", "the value must be from 0 to %d", maxTemperature)
-	case keyRequired && a.Key == "":
-		return NewFault(http.StatusBadRequest, "missing", "key", "requests of kind %q require a key", a.Kind)
-	case len(a.Key) > maxKeyBytes:
+	case keyRequired && r.Key == "":
+		return NewFault(http.StatusBadRequest, "missing", "key", "requests of kind %q require a key", r.Kind)
+	case len(r.Key) > maxKeyBytes:
 		return NewFault(http.StatusBadRequest, "too-large", "key", "the key exceeds the limit of %d bytes", maxKeyBytes)
 	}
-	for _, t := range a.PromptIDs {
+	for _, t := range r.PromptIDs {
 		if t <= 0 {
 			return NewFault(http.StatusBadRequest, "out-of-range", "promptIds", "token IDs must be greater than 0")
 		}
--- a/internal/certification/certification.go
+++ b/internal/certification/certification.go
@@ -16,7 +16,7 @@
 )
 
 // Regime governs the listed kinds of request. ReservedPercent is the percentage of a certified worker's cache
-// blocks that requests of no regime must leave free.
+// blocks that requests without a regime must leave free.
 type Regime struct {
 	Kinds           []string `json:"kinds"`
 	ReservedPercent int      `json:"keep"`
@@ -105,7 +105,7 @@
 		return 0, 0, invalid(append(path, "until"), "%q is no time such as 2026-12-31T00:00:00Z", until)
 	}
 	if !start.Before(end) {
-		return 0, 0, invalid(append(path, "until"), "its end %s is not after its start %s", until, from)
+		return 0, 0, invalid(append(path, "until"), "the end %s is not after its start %s", until, from)
 	}
 	return start.UnixNano(), end.UnixNano(), nil
 }
@@ -120,7 +120,7 @@
 	if err != nil || len(raw) != ed25519.PublicKeySize {
 		return nil, invalid(
 			append(path, "key"),
-			"it is not an Ed25519 public key: base64 of %d bytes is required",
+			"the key is not an Ed25519 public key: base64 of %d bytes is required",
 			ed25519.PublicKeySize,
 		)
 	}
@@ -143,10 +143,10 @@
 	sig, err := base64.StdEncoding.DecodeString(c.Signature)
 	switch {
 	case err != nil:
-		return 0, 0, invalid(append(path, "signature"), "it is not valid base64")
+		return 0, 0, invalid(append(path, "signature"), "the signature is not valid base64")
 	case len(sig) != ed25519.SignatureSize:
 		return 0, 0, invalid(
-			append(path, "signature"), "it is truncated: %d bytes of %d", len(sig), ed25519.SignatureSize,
+			append(path, "signature"), "the signature is truncated: %d bytes of %d", len(sig), ed25519.SignatureSize,
 		)
 	case !ed25519.Verify(k.public, c.signedBytes(), sig):
 		return 0, 0, invalid(
@@ -160,7 +160,7 @@
 	if from >= until {
 		return 0, 0, invalid(
 			append(path, "issuer"),
-			"it is never in force: issuer %q is valid only from %s to %s",
+			"the certificate is never in force: issuer %q is valid only from %s to %s",
 			c.Issuer,
 			time.Unix(0, k.from).UTC().Format(time.RFC3339),
 			time.Unix(0, k.until).UTC().Format(time.RFC3339),
--- a/internal/certification/certification_test.go
+++ b/internal/certification/certification_test.go
@@ -140,7 +140,7 @@
 	}{
 		"forged":         {alter(func(c *Certificate) { c.Until = dayString(99) }), "certificates.1.signature", "forged, altered"},
 		"other subject":  {alter(func(c *Certificate) { c.Worker = "p2" }), "certificates.1.signature", "worker p2"},
-		"other parts":    {alter(func(c *Certificate) { c.Roles = bothRoles[:1] }), "certificates.1.signature", "forged, altered"},
+		"other roles":    {alter(func(c *Certificate) { c.Roles = bothRoles[:1] }), "certificates.1.signature", "forged, altered"},
 		"other regime":   {alter(func(c *Certificate) { c.Regime = "fines" }), "certificates.1.signature", "forged, altered"},
 		"truncated":      {alter(func(c *Certificate) { c.Signature = c.Signature[:40] }), "certificates.1.signature", "truncated: 30 bytes of 64"},
 		"no base64":      {alter(func(c *Certificate) { c.Signature = "§" }), "certificates.1.signature", "base64"},
@@ -152,14 +152,14 @@
 		"unknown regime": {alter(func(c *Certificate) { c.Regime = "x" }), "certificates.1.regime", `unknown regime "x"`},
 		"no subject":     {alter(func(c *Certificate) { c.Worker = "" }), "certificates.1", "one worker or one node"},
 		"two subjects":   {alter(func(c *Certificate) { c.Node = "v" }), "certificates.1", "one worker or one node"},
-		"no parts":       {alter(func(c *Certificate) { c.Roles = nil }), "certificates.1", "names its parts"},
-		"two serials":    {func(a *authority) { a.certs["7"] = a.certs["1"] }, "certificates.7", "each serial must be unique"},
-		"replayed": {func(a *authority) { c := a.certs["1"]; c.Serial, c.Worker = "7", "p7"; a.certs["7"] = c },
-			"certificates.7.signature", `replayed: serial "1"`},
+		"no roles":       {alter(func(c *Certificate) { c.Roles = nil }), "certificates.1", "must have roles"},
+		"other serial":   {func(a *authority) { a.certs["7"] = a.certs["1"] }, "certificates.7", `serial "1" is stored under the key "7": they must be equal`},
+		"copied signature": {func(a *authority) { c := a.certs["1"]; c.Serial, c.Worker = "7", "p7"; a.certs["7"] = c },
+			"certificates.7.signature", `the signature is a copy: the certificate with serial "1"`},
 		"short key": {func(a *authority) { a.issuers["k1"] = Issuer{Key: "AAAA", From: dayString(0), Until: dayString(1)} }, "issuers.k1.key", "32 bytes"},
 		"key's end": {func(a *authority) { i := a.issuers["k1"]; i.Until = dayString(-1); a.issuers["k1"] = i }, "issuers.k1.until", "not after its start"},
 		"kind twice": {func(a *authority) { a.regimes["fines"] = Regime{Kinds: []string{"verdict"}} }, "regimes.fines.kinds",
-			`governed by "chair" already`},
+			`already governed by regime "chair"`},
 		"no regime": {func(a *authority) { a.regimes = nil }, "certificates", "no regime"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/certification/register.go
+++ b/internal/certification/register.go
@@ -1,5 +1,5 @@
-// The register is compiled once per configuration. While a request is processed, it answers whether a subject is
-// currently authorized for a regime, and by which certificate.
+// The register is compiled once per configuration. While a request is processed, the register determines whether a
+// subject is currently authorized for a regime, and by which certificate.
 
 package certification
 
@@ -13,7 +13,8 @@
 )
 
 // TimeBounds is the interval that contains the fleet's current time, in nanoseconds since 1970. A validity
-// period has begun when its start is not after Low, and has ended when its end is not after High.
+// period has begun when its start is not after Low, and has ended when its end is not after High. The zero value
+// means that the time is unknown.
 type TimeBounds struct{ Low, High int64 }
 
 // ExactTime returns the bounds of a time that is known exactly.
@@ -30,19 +31,22 @@
 	from, until int64
 }
 
-// Register holds the regimes and the valid certificates of a configuration. It is immutable. A nil Register has
-// no regimes.
+// Register holds the regimes and the correctly signed certificates of a configuration, including certificates that
+// have expired or are not valid yet. It is not changed after Compile, but it keeps the maps that were passed to
+// Compile and WithRevoked, which must not be changed either. A nil Register has no regimes.
 type Register struct {
 	regimes      map[string]Regime
 	regimeOfKind map[string]string
 	grants       map[grantKey][]grant
-	certificates map[string]*Certificate
-	validity     map[string]grant
-	revoked      map[string]bool // by serial; the values are ignored
+	certificates map[string]*Certificate // by serial
+	validity     map[string]grant        // by serial
+	revoked      map[string]bool         // by serial; the values are ignored
 }
 
-// Compile returns the register of a configuration. Invalid certificates are omitted from it and reported in
-// the error, in the order of their serials. Without regimes the register is nil.
+// Compile returns the register of a configuration. The error joins the faults of the regimes, of the issuers and of the
+// certificates, in the order of their names and serials. Malformed and wrongly signed certificates, and those whose
+// validity period does not overlap that of their issuer, are omitted from the register. Without regimes the register is
+// nil.
 func Compile(regimes map[string]Regime, issuers map[string]Issuer, certs map[string]Certificate) (*Register, error) {
 	var errs []error
 	if len(regimes) == 0 {
@@ -63,7 +67,7 @@
 			if other, ok := r.regimeOfKind[k]; ok {
 				errs = append(errs, invalid([]string{
 					"regimes", name, "kinds",
-				}, "kind %q is governed by %q already", k, other))
+				}, "kind %q is already governed by regime %q", k, other))
 				continue
 			}
 			r.regimeOfKind[k] = name
@@ -78,44 +82,44 @@
 		}
 		keys[id] = k
 	}
-	signed := map[string]string{}
+	serialOfSignature := map[string]string{}
 	for _, serial := range sortedKeys(certs) {
 		c := certs[serial]
-		if err := r.addCertificate(serial, &c, keys, signed); err != nil {
+		if err := r.addCertificate(serial, &c, keys, serialOfSignature); err != nil {
 			errs = append(errs, err)
 		}
 	}
 	return r, errors.Join(errs...)
 }
 
-// addCertificate verifies a certificate and adds it to the register. signed maps the signatures seen so far to their
-// serials.
+// addCertificate verifies a certificate and adds it to the register. serialOfSignature maps the signatures of the
+// earlier certificates to their serials.
 func (r *Register) addCertificate(
 	serial string,
 	c *Certificate,
 	keys map[string]*issuerKey,
-	signed map[string]string,
+	serialOfSignature map[string]string,
 ) error {
 	path := []string{"certificates", serial}
-	switch other, duplicate := signed[c.Signature]; {
+	switch other, duplicate := serialOfSignature[c.Signature]; {
 	case c.Serial != serial:
 		return invalid(
 			path,
-			"serial %q is stored under the name %q: each serial must be unique and match its name",
+			"the certificate with serial %q is stored under the key %q: they must be equal",
 			c.Serial,
 			serial,
 		)
 	case duplicate:
-		return invalid(append(path, "signature"), "it is replayed: serial %q has the same signature", other)
+		return invalid(append(path, "signature"), "the signature is a copy: the certificate with serial %q has the same signature", other)
 	case (c.Worker == "") == (c.Node == ""):
-		return invalid(path, "its subject must be one worker or one node")
+		return invalid(path, "the subject of a certificate must be one worker or one node")
 	case (c.Worker == "") != (len(c.Roles) == 0):
-		return invalid(path, "a worker's certificate names its parts, and a node's has none")
+		return invalid(path, "a worker's certificate must have roles, and a node's must have none")
 	}
 	if _, ok := r.regimes[c.Regime]; !ok {
 		return invalid(append(path, "regime"), "unknown regime %q", c.Regime)
 	}
-	signed[c.Signature] = serial
+	serialOfSignature[c.Signature] = serial
 	from, until, err := c.verify(path, keys)
 	if err != nil {
 		return err
@@ -124,12 +128,12 @@
 	if c.Node != "" {
 		roles = []ids.Role{""}
 	}
-	e := grant{serial, from, until}
+	g := grant{serial, from, until}
 	for _, role := range roles {
 		key := grantKey{c.Regime, c.Subject(), role}
-		r.grants[key] = append(r.grants[key], e)
+		r.grants[key] = append(r.grants[key], g)
 	}
-	r.certificates[serial], r.validity[serial] = c, e
+	r.certificates[serial], r.validity[serial] = c, g
 	return nil
 }
 
@@ -142,8 +146,8 @@
 	return out
 }
 
-// WithRevoked returns a copy of the register in which exactly the serials that are keys of revoked are revoked,
-// whatever their values.
+// WithRevoked returns a copy of the register in which the revoked certificates are those whose serials are keys of
+// revoked. The values of the map are ignored.
 func (r *Register) WithRevoked(revoked map[string]bool) *Register {
 	if r == nil {
 		return nil
@@ -176,15 +180,16 @@
 }
 
 // Authorizes reports whether a subject may now process requests of a regime in a role, which is "" for a node,
-// and returns the serial of the certificate. Of several valid certificates it returns the one that expires last.
+// and returns the serial of the certificate. Of several valid certificates it returns the one that expires last. If
+// the time is unknown, no subject is authorized.
 func (r *Register) Authorizes(regime string, s Subject, role ids.Role, now TimeBounds) (serial string, ok bool) {
 	if r == nil || now.High == 0 {
 		return "", false
 	}
 	var last int64
-	for _, e := range r.grants[grantKey{regime, s, role}] {
-		if e.from <= now.Low && now.High < e.until && !r.isRevoked(e.serial) && e.until > last {
-			serial, last, ok = e.serial, e.until, true
+	for _, g := range r.grants[grantKey{regime, s, role}] {
+		if g.from <= now.Low && now.High < g.until && !r.isRevoked(g.serial) && g.until > last {
+			serial, last, ok = g.serial, g.until, true
 		}
 	}
 	return serial, ok
@@ -219,7 +224,7 @@
 	Valid       State = "valid"         // within the validity period and not revoked
 	NotYetValid State = "not yet valid" // the validity period may not have begun yet
 	Expired     State = "expired"       // the validity period may have ended
-	Revoked     State = "revoked"       // revoked permanently, whatever the validity period
+	Revoked     State = "revoked"       // revoked, whatever the validity period
 )
 
 // CertificateStatus is a certificate with its state and the end of its validity period, which is limited by that
@@ -230,24 +235,24 @@
 	Ends  int64 `json:"ends"` // nanoseconds since 1970
 }
 
-// CertificateStatuses returns the certificates of a regime, ordered by expiry.
+// CertificateStatuses returns the certificates of a regime, ordered by expiry and then by serial.
 func (r *Register) CertificateStatuses(regime string, now TimeBounds) []CertificateStatus {
 	var out []CertificateStatus
 	if r == nil {
 		return out
 	}
 	for serial, c := range r.certificates {
-		e := r.validity[serial]
+		g := r.validity[serial]
 		if c.Regime != regime {
 			continue
 		}
-		row := CertificateStatus{Certificate: *c, State: Valid, Ends: e.until}
+		row := CertificateStatus{Certificate: *c, State: Valid, Ends: g.until}
 		switch {
 		case r.isRevoked(serial):
 			row.State = Revoked
-		case now.High >= e.until:
+		case now.High >= g.until:
 			row.State = Expired
-		case now.Low < e.from:
+		case now.Low < g.from:
 			row.State = NotYetValid
 		}
 		out = append(out, row)
