--- a/internal/certification/register.go
+++ b/internal/certification/register.go
@@ -43,10 +43,10 @@
 	revoked      map[string]bool         // by serial; the values are ignored
 }
 
-// Compile returns the register of a configuration. The error joins the faults of the regimes, of the issuers and of the
-// certificates, in the order of their names and serials. Malformed and wrongly signed certificates, and those whose
-// validity period does not overlap that of their issuer, are omitted from the register. Without regimes the register is
-// nil.
+// Compile returns the register of a configuration. The error joins the faults of the regimes, of the issuers and of
+// the certificates, in the order of their names and serials. Invalid certificates are omitted from the register: those
+// that are malformed or wrongly signed, and those whose validity period does not overlap that of their issuer. Without
+// regimes the register is nil.
 func Compile(regimes map[string]Regime, issuers map[string]Issuer, certs map[string]Certificate) (*Register, error) {
 	var errs []error
 	if len(regimes) == 0 {
@@ -110,7 +110,9 @@
 			serial,
 		)
 	case duplicate:
-		return invalid(append(path, "signature"), "the signature is a copy: the certificate with serial %q has the same signature", other)
+		return invalid(
+			append(path, "signature"), "the signature is a copy: the certificate with serial %q has the same one", other,
+		)
 	case (c.Worker == "") == (c.Node == ""):
 		return invalid(path, "the subject of a certificate must be one worker or one node")
 	case (c.Worker == "") != (len(c.Roles) == 0):
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -1,6 +1,6 @@
 // This file contains the decode side of the stand-in worker. An import first allocates or reserves all blocks that
 // the request may need, and fails if there are too few. Decoding starts only after all bytes have arrived, their
-// digest has been verified and the attempt has been resumed. A cancelled attempt can never start again.
+// digest has been verified and the attempt has been resumed. A cancelled attempt can never start.
 
 package standin
 
@@ -35,7 +35,7 @@
 	case w.role != ids.Decode:
 		return nil, reject(http.StatusConflict, "this worker prefills")
 	case !w.opt.Model.Serves(state.Model):
-		return nil, reject(http.StatusUnprocessableEntity, "another model")
+		return nil, reject(http.StatusUnprocessableEntity, "model differs")
 	case state.Length != int64(kvTokenBytes*state.Computed):
 		return nil, reject(http.StatusUnprocessableEntity, "%d bytes for %d tokens", state.Length, state.Computed)
 	case !w.pool.fits(totalBlocks):
@@ -59,7 +59,8 @@
 // kvTokenBytes is the size of a token's KV cache in the stand-in.
 const kvTokenBytes = 8
 
-// fetchKV copies the KV cache of a run from the worker at source, and drops the run if that fails.
+// fetchKV copies the KV cache of a run from the worker at source, and drops the run if that fails. A run that already
+// counts as arrived, because of the fault SkipArrivalCheck, is kept.
 func (w *Worker) fetchKV(r *run, source string) {
 	err := w.downloadKV(r, source)
 	w.mu.Lock()
@@ -99,14 +100,14 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return reject(resp.StatusCode, "source gave %d", resp.StatusCode)
+		return reject(resp.StatusCode, "the source worker responded with status %d", resp.StatusCode)
 	}
 	data, err := w.readKV(r, resp.Body)
 	if err != nil {
 		return err
 	}
 	if int64(len(data)) != r.state.Length || digest(data) != r.state.Digest {
-		return reject(0, "the digest does not fit")
+		return reject(0, "the length or the digest of the KV cache differs from that of the export")
 	}
 	return nil
 }
@@ -118,7 +119,7 @@
 		n, err := body.Read(buf)
 		data = append(data, buf[:n]...)
 		if int64(len(data)) > r.state.Length {
-			return nil, reject(0, "too many bytes")
+			return nil, reject(0, "too many bytes were received")
 		}
 		if err := w.storeKV(r, data, len(data)-n); err != nil {
 			return nil, err
@@ -137,7 +138,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r.blocks == nil {
-		return reject(0, "dropped meanwhile")
+		return reject(0, "the run was dropped during the transfer")
 	}
 	for i := before / kvTokenBytes; i < len(data)/kvTokenBytes; i++ {
 		w.pool.set(r.blocks, i, binary.LittleEndian.Uint64(data[kvTokenBytes*i:]))
@@ -149,8 +150,8 @@
 	return nil
 }
 
-// resume starts to decode an imported attempt, once its KV cache has arrived. This is the point of no return: from
-// here on the attempt counts as run, even if it is stopped.
+// resume starts to decode an imported attempt, once its KV cache has arrived. From then on the attempt counts as run,
+// even if it is stopped.
 func (w *Worker) resume(ctx context.Context, req *workerclient.IDRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -172,11 +173,11 @@
 			w.mu.Lock()
 		case <-ctx.Done():
 			w.mu.Lock()
-			return nil, reject(http.StatusGone, "the asker went away")
+			return nil, reject(http.StatusGone, "client disconnected")
 		}
 	}
 	if r.stopped {
-		return nil, reject(http.StatusGone, "the memory was lost")
+		return nil, reject(http.StatusGone, "the run was stopped")
 	}
 	if err := w.checkOrder("resumed", req.OrderHeader, req.ID); err != nil {
 		return nil, err
@@ -227,7 +228,7 @@
 }
 
 // serveStream sends the tokens of an attempt, starting at an index. It writes a line at least every half second, so
-// that the reader can distinguish a slow worker from a failed one.
+// that the client can distinguish a slow worker from a failed one.
 func (w *Worker) serveStream(rw http.ResponseWriter, req *http.Request) {
 	attempt, _ := strconv.Atoi(req.FormValue("attempt"))
 	index, _ := strconv.Atoi(req.FormValue("from"))
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -72,6 +72,7 @@
 	}
 }
 
+// prefixBlockTokens divides the length in tokens of every prompt prefix that is in the prefix cache.
 const prefixBlockTokens = 32
 
 // cachedTokens returns how many tokens of a run's prompt are in the prefix cache.
@@ -90,6 +91,8 @@
 	return n
 }
 
+// cachePrefix adds the prefixes of a run's prompt to the prefix cache. The cache keeps the 512 entries that were used
+// last.
 func (w *Worker) cachePrefix(r *run) {
 	hash := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
 	for i := 0; i+prefixBlockTokens <= len(r.state.Prompt); i += prefixBlockTokens {
@@ -123,7 +126,8 @@
 	}
 	r.state.Computed = len(r.state.Prompt)
 	if len(r.state.Output) > 0 {
-		// A recomputation processes the tokens that were already delivered as if they were part of the prompt.
+		// A recomputation also processes the tokens that were already delivered, as if they were part of the prompt,
+		// except for the newest one, which the next decode step processes.
 		for i, t := range r.state.Output[:len(r.state.Output)-1] {
 			r.lastCell = kvCell(model, r.lastCell, len(r.state.Prompt)+i, t)
 			w.pool.set(r.blocks, len(r.state.Prompt)+i, r.lastCell)
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -1,4 +1,4 @@
-// This file contains the load generator. It is an open loop: arrival times are planned in advance, so that measured
+// This file contains the load generator. It is open-loop: arrival times are planned in advance, so that measured
 // latencies include queueing delays. Every output is compared with that of a run on a single worker.
 
 package standin
@@ -27,17 +27,17 @@
 	Kind               string
 	KeyRequired        bool
 	Percent            int // percentage of the requests
-	SharedPrefixTokens int // prompt tokens that all requests with the same prefix share
-	SuffixTokensRange  int // the suffix has max(1, MinSuffixTokens) + n random tokens, n < SuffixTokensRange
+	SharedPrefixTokens int // number of prompt tokens that all requests with the same prefix share
+	SuffixTokensRange  int // the suffix has max(1, MinSuffixTokens) tokens plus a random number below this one
 	MaxTokens          int
 	MinSuffixTokens    int // see SuffixTokensRange
 	Prefixes           int // number of different shared prefixes; 0 means 1
 }
 
-// LoadOptions configure a load.
+// LoadOptions are the options of RunLoad.
 type LoadOptions struct {
 	Host     host.Host
-	Nodes    func(zone ids.Zone) []string // returns the ready nodes, those of the zone if there are any
+	Nodes    func(zone ids.Zone) []string // returns the addresses of ready nodes, preferably in the zone
 	Zones    []ids.Zone                   // zones of the clients; empty for clients without a zone
 	Classes  []StreamClass
 	Rate     float64 // arrivals per second
@@ -49,18 +49,19 @@
 	Timeout  time.Duration // of a request including its retries; 20s if 0
 }
 
-// TimedOut is the end of a request whose client timed out before the stream ended.
+// TimedOut replaces "cut" as the end of a request whose timeout has expired (see Outcome).
 const TimedOut = "left"
 
-// Outcome is the outcome of one request. At is the planned arrival since the start of the load; FirstToken and
-// Duration are measured from that arrival.
+// Outcome is the outcome of one request. FirstToken and Duration are measured from At, the planned arrival, and At
+// from the start of the load. End is the End of the last event, TimedOut, "bounced" (rejected or not sent), "cut" (no
+// response, or no end event) or "wrong" (an invalid event, or not the reference output).
 type Outcome struct {
 	Kind       string
 	Key        string
 	At         time.Duration
 	FirstToken time.Duration
 	Duration   time.Duration
-	End        string // complete, broken, unknown, bounced, cut, left, wrong
+	End        string
 	Detail     string
 	Tokens     []int32
 	Attempts   int
@@ -75,8 +76,8 @@
 	Details map[string]int         `json:"details,omitempty"`
 }
 
-// KindSummary summarizes the outcomes of one kind of request. Times are in milliseconds from the planned arrival to
-// the first token, and to the end of the stream.
+// KindSummary summarizes the outcomes of one kind of request. Times are of complete requests only, in milliseconds
+// from the planned arrival to the first token, and to the end of the stream.
 type KindSummary struct {
 	Sent          int     `json:"sent"`
 	Complete      int     `json:"complete"`
@@ -107,12 +108,12 @@
 			}
 		}
 		request := api.StreamRequest{Kind: class.Kind, MaxTokens: class.MaxTokens, Seed: rng.Uint64() >> 12}
-		base := int32(len(class.Kind) * 1000)
+		prefixStart := int32(len(class.Kind) * 1000) // the token IDs of the shared prefix are the next ones
 		if class.Prefixes > 1 {
-			base += int32(rng.IntN(class.Prefixes) * 7919)
+			prefixStart += int32(rng.IntN(class.Prefixes) * 7919)
 		}
 		for j := range class.SharedPrefixTokens {
-			request.PromptIDs = append(request.PromptIDs, base+int32(j)+1)
+			request.PromptIDs = append(request.PromptIDs, prefixStart+int32(j)+1)
 		}
 		for range max(1, class.MinSuffixTokens) + rng.IntN(class.SuffixTokensRange) {
 			request.PromptIDs = append(request.PromptIDs, 1+rng.Int32N(50000))
@@ -124,7 +125,8 @@
 	}
 }
 
-// RunLoad sends all requests at their planned times and waits for their outcomes.
+// RunLoad sends all requests at their planned times and returns their outcomes. If ctx is cancelled, it sends no
+// further requests and returns the outcomes of those already sent.
 func RunLoad(ctx context.Context, o LoadOptions) []Outcome {
 	client := rpc.NewHTTPClient(o.Host.Net)
 	defer client.CloseIdleConnections()
@@ -185,13 +187,8 @@
 func (o *LoadOptions) matchesReference(planned *plannedRequest, tokens []int32) bool {
 	for _, w := range o.Weights {
 		reference := ReferenceOutput(
-			planned.request.PromptIDs,
-			planned.request.MaxTokens,
-			planned.request.Seed,
-			planned.request.Temperature,
-			o.Model,
-			w,
-			planned.request.Adapters,
+			planned.request.PromptIDs, planned.request.MaxTokens, planned.request.Seed, planned.request.Temperature,
+			o.Model, w, planned.request.Adapters,
 		)
 		if len(reference) == len(tokens) {
 			same := true
@@ -206,7 +203,7 @@
 	return false
 }
 
-// Retry delays for attempts whose response has no retry delay.
+// Retry delays after attempts without a complete response.
 const (
 	delayNoNode            = 500 * time.Millisecond
 	delayAfterDialError    = 300 * time.Millisecond
@@ -254,8 +251,8 @@
 	return planned.retryDelayIfKeyed()
 }
 
-// retryDelayIfKeyed returns the retry delay after an attempt whose outcome is unknown, or 0 if the request has no key:
-// only a request with a key may be repeated.
+// retryDelayIfKeyed returns the retry delay after an attempt whose outcome is unknown, or 0 if the request has no
+// key: only a request with a key may be retried in that case.
 func (p *plannedRequest) retryDelayIfKeyed() time.Duration {
 	if p.class.KeyRequired {
 		return delayAfterInterruption
@@ -268,8 +265,8 @@
 func (r *Outcome) recordRejection(body io.Reader, planned *plannedRequest) time.Duration {
 	var response struct {
 		Error struct {
-			Name  string
-			After int64 `json:"retryAfterMs"`
+			Name         string
+			RetryAfterMs int64 `json:"retryAfterMs"`
 		}
 	}
 	b, _ := io.ReadAll(body)
@@ -279,10 +276,11 @@
 		planned.request.Key += "+"
 		r.Key = planned.request.Key
 	}
-	return time.Duration(response.Error.After) * time.Millisecond
+	return time.Duration(response.Error.RetryAfterMs) * time.Millisecond
 }
 
-// readStream reads the events of a stream up to its end.
+// readStream reads the events of a stream up to its end. It returns the retry delay, or 0 if the request must not be
+// retried.
 func (r *Outcome) readStream(body io.Reader, planned *plannedRequest, due time.Time) time.Duration {
 	r.Tokens, r.End, r.Detail = nil, "cut", "the stream stopped"
 	lines := bufio.NewScanner(body)
@@ -308,7 +306,7 @@
 	return planned.retryDelayIfKeyed()
 }
 
-// recordEnd records the last event of a stream.
+// recordEnd records the last event of a stream and returns the retry delay, or 0 if the request must not be retried.
 func (r *Outcome) recordEnd(last *api.StreamEvent, planned *plannedRequest) time.Duration {
 	r.End, r.Detail = last.End, ""
 	if last.Error != nil {
@@ -358,18 +356,18 @@
 	return float64(samples[int(q*float64(len(samples)-1))].Microseconds()) / 1000
 }
 
-// Site is a deployment with its current size and load.
+// Site describes a deployment: its size and the classes of its requests.
 type Site struct {
 	Name           string
 	Zones          []ids.Zone
-	Nodes          int // number of router nodes, which have no disk
+	Nodes          int // number of router nodes
 	PrefillWorkers int
 	DecodeWorkers  int
 	Model          string
 	Classes        []StreamClass
 }
 
-// Sites contains the two deployments by name.
+// Sites contains the two sites by name.
 var Sites = map[string]Site{
 	"vatuloa": {
 		Name:           "vatuloa",
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,5 +1,5 @@
 // This file contains the stand-in platform. It keeps the list of workers, checks the readiness of every node once per
-// second, and tells clients the addresses of the ready nodes in their zone.
+// second, and returns the addresses of the ready nodes of a zone to clients.
 
 package standin
 
@@ -98,23 +98,23 @@
 	for host.Sleep(ctx, time.Second) {
 		p.mu.Lock()
 		var all []string
-		for a := range p.nodes {
-			all = append(all, a)
+		for addr := range p.nodes {
+			all = append(all, addr)
 		}
 		p.mu.Unlock()
 		var wg sync.WaitGroup
-		for _, a := range all {
+		for _, addr := range all {
 			wg.Go(func() {
 				pollCtx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
 				defer cancel()
-				req, _ := http.NewRequestWithContext(pollCtx, http.MethodGet, "http://"+a+"/ready", nil)
+				req, _ := http.NewRequestWithContext(pollCtx, http.MethodGet, "http://"+addr+"/ready", nil)
 				resp, err := p.httpClient.Do(req)
 				ok := err == nil && resp.StatusCode == http.StatusOK
 				if err == nil {
 					resp.Body.Close()
 				}
 				p.mu.Lock()
-				p.nodes[a].Ready = ok
+				p.nodes[addr].Ready = ok
 				p.mu.Unlock()
 			})
 		}
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -1,9 +1,5 @@
 // Package standin contains stand-ins for the systems around the routers: a model worker, clients that generate
 // load, and the platform.
-//
-// This file implements the worker's memory: a pool of blocks of KV cells, and block tables that list the blocks of
-// a run in token order. As in real memory, freed blocks keep their content, so a read of cells that were never
-// written returns the content of another request.
 package standin
 
 import (
@@ -14,7 +10,9 @@
 	"keelstair.example/ids"
 )
 
-// pool is a fixed number of blocks of KV cells.
+// pool is the memory of a worker: a fixed number of blocks of KV cells. A block table lists the blocks of a run in
+// token order. As in real memory, freed blocks keep their content, so a read of cells that the run has not written
+// may return the content of another request.
 type pool struct {
 	blockSize int // cells per block
 	cells     [][]uint64
@@ -22,6 +20,7 @@
 	reserved  int   // free blocks that are reserved for the growth of runs
 }
 
+// newPool returns a pool of capacity blocks with size cells each.
 func newPool(capacity, size int) *pool {
 	p := &pool{blockSize: size}
 	for i := range capacity {
@@ -36,6 +35,7 @@
 // fits reports whether n blocks are free in addition to those that are reserved.
 func (p *pool) fits(n int) bool { return len(p.free)-p.reserved >= n }
 
+// allocate returns n free blocks, or nil if there are too few.
 func (p *pool) allocate(n int) []int {
 	if n > len(p.free) {
 		return nil
@@ -55,6 +55,7 @@
 	return p.cells[blocks[pos/p.blockSize]][pos%p.blockSize]
 }
 
+// mix returns a hash of a and b.
 func mix(a, b uint64) uint64 {
 	v := a*0x9e3779b97f4a7c15 ^ (b + 0x7f4a7c15f39cc060)
 	v ^= v >> 29
@@ -141,6 +142,7 @@
 	return out
 }
 
+// modelHash returns a hash that depends on the model, its weights and the adapters in their order.
 func modelHash(model, weights string, adapters []string) uint64 {
 	v := mix(hashString(model), hashString(weights))
 	for _, a := range adapters {
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -134,6 +134,7 @@
 	return nil
 }
 
+// prefill queues the prompt of an attempt and responds when the worker has processed it.
 func (w *Worker) prefill(ctx context.Context, req *workerclient.PrefillRequest) (*workerclient.OrderResponse, error) {
 	id := req.Identity.ID
 	w.mu.Lock()
@@ -150,7 +151,7 @@
 			return nil, reject(http.StatusConflict, "this worker decodes")
 		case !w.opt.Model.Serves(req.Identity.Model):
 			w.mu.Unlock()
-			return nil, reject(http.StatusUnprocessableEntity, "another model")
+			return nil, reject(http.StatusUnprocessableEntity, "model differs")
 		case !w.pool.fits(blocks):
 			w.mu.Unlock()
 			return nil, reject(http.StatusInsufficientStorage, "no room for %d blocks", blocks)
@@ -170,13 +171,13 @@
 			w.mu.Lock()
 			w.drop(r, workerclient.FateNotStarted)
 			w.mu.Unlock()
-			return nil, reject(http.StatusGone, "the asker went away")
+			return nil, reject(http.StatusGone, "client disconnected")
 		}
 		w.mu.Lock()
 	}
 	defer w.mu.Unlock()
 	if r.stopped {
-		return nil, reject(http.StatusGone, "stopped while reading")
+		return nil, reject(http.StatusGone, "the attempt was ended")
 	}
 	state := r.state
 	return &workerclient.OrderResponse{Identity: &state}, nil
@@ -206,6 +207,8 @@
 	return &workerclient.OrderResponse{Identity: &state}, nil
 }
 
+// serveKV sends staged KV cache in chunks, at the transfer rate. The time is that for the nominal size of the KV
+// cache, which WireBytesPerToken gives.
 func (w *Worker) serveKV(rw http.ResponseWriter, req *http.Request) {
 	attempt, _ := strconv.Atoi(req.FormValue("attempt"))
 	id := workerclient.ID{Request: req.FormValue("request"), Attempt: attempt}
@@ -226,17 +229,17 @@
 	}
 	rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	duration := time.Duration(len(body)/8*w.opt.WireBytesPerToken) * time.Second / time.Duration(rate)
-	const parts = 4
-	for i := range parts {
-		if faults.Drop && i == parts/2 {
+	const chunks = 4
+	for i := range chunks {
+		if faults.Drop && i == chunks/2 {
 			panic(http.ErrAbortHandler)
 		}
 		select {
-		case <-host.NewTimer(duration / parts).C:
+		case <-host.NewTimer(duration / chunks).C:
 		case <-req.Context().Done():
 			return
 		}
-		rw.Write(body[i*len(body)/parts : (i+1)*len(body)/parts])
+		rw.Write(body[i*len(body)/chunks : (i+1)*len(body)/chunks])
 		rw.(http.Flusher).Flush()
 	}
 }
@@ -248,10 +251,10 @@
 		return nil, err
 	}
 	if req.Role != ids.Prefill && req.Role != ids.Decode {
-		return nil, reject(http.StatusBadRequest, "no such part")
+		return nil, reject(http.StatusBadRequest, "unknown role")
 	}
 	if req.Role != w.role && len(w.live) > 0 {
-		return nil, reject(http.StatusConflict, "%d requests are still here", len(w.live))
+		return nil, reject(http.StatusConflict, "%d requests are unfinished", len(w.live))
 	}
 	w.role = req.Role
 	return &workerclient.OrderResponse{}, nil
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -1,4 +1,4 @@
-// This file generates a site's configuration in the form in which its operators write it.
+// This file generates a site's configuration as its operators would write it.
 
 package standin
 
@@ -34,8 +34,8 @@
 	return ids.WorkerID(fmt.Sprintf("d%d", i-s.PrefillWorkers+1))
 }
 
-// Worker returns the configuration entry of the i-th worker. The workers of a role are distributed over the zones
-// in turn.
+// Worker returns the configuration entry of the i-th worker. The workers of a role are assigned to the zones
+// round-robin.
 func (s Site) Worker(i int) fleetstate.Worker {
 	role := ids.Prefill
 	index := i
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -64,12 +64,12 @@
 	Runs            int   `json:"runs"`            // resumes that started to decode
 	Finished        int   `json:"records"`         // runs that completed
 	Prefills        int   `json:"reads"`           // prefills started
-	RejectedImports int   `json:"bounced"`         // imports rejected for lack of free blocks
-	OutOfBlocks     int   `json:"starved"`         // runs stopped for lack of free blocks
+	RejectedImports int   `json:"bounced"`         // imports rejected because too few blocks were free
+	OutOfBlocks     int   `json:"starved"`         // runs stopped because no block was free
 	FirstTokens     []int `json:"first,omitempty"` // per run, the length of the output at resume
 }
 
-// Event is an event on a worker, for the checkers of a test.
+// Event is an event on a worker, such as an accepted order, for the checkers of a test.
 type Event struct {
 	Kind    string
 	Worker  ids.WorkerID
@@ -194,9 +194,9 @@
 	return out
 }
 
-// PrefixHits returns how many of the processed prompt tokens were in the prefix cache, and how many there were in
-// total.
-func (w *Worker) PrefixHits() (warm, all int) {
+// PrefixHits returns how many of the processed prompt tokens were in the prefix cache, and the total number of
+// processed prompt tokens.
+func (w *Worker) PrefixHits() (hits, total int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.prefixHits[0], w.prefixHits[1]
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -1,5 +1,5 @@
-// These tests check the stand-in worker against the guarantees that the tests of the hand-over paper establish, and
-// against those that the paper leaves open: arrival of the KV cache, lost memory, orphaned runs and fencing.
+// These tests check the stand-in worker against the guarantees that the paper on the hand-over of requests tests, and
+// against those that the paper leaves open: arrival of the KV cache, lost KV cache, orphaned runs and fencing.
 
 package standin
 
@@ -27,6 +27,7 @@
 	ctx                     context.Context
 }
 
+// withWorkers runs test with a fixture whose workers have capacity cache blocks each.
 func withWorkers(t *testing.T, capacity int, test func(*fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		world := simulated.NewWorld(1)
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -25,26 +25,26 @@
 
 // unresponsiveWorker starts a server that responds to the first request on each connection. It reads the second
 // request completely, counts it and closes the connection without a response.
-func unresponsiveWorker(t *testing.T) (addr string, cut *atomic.Int64) {
+func unresponsiveWorker(t *testing.T) (addr string, unanswered *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	cut = new(atomic.Int64)
+	unanswered = new(atomic.Int64)
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serveOnce(conn, cut)
+			go serveOnce(conn, unanswered)
 		}
 	}()
-	return listener.Addr().String(), cut
+	return listener.Addr().String(), unanswered
 }
 
-func serveOnce(conn net.Conn, cut *atomic.Int64) {
+func serveOnce(conn net.Conn, unanswered *atomic.Int64) {
 	defer conn.Close()
 	requests := bufio.NewReader(conn)
 	for n := 0; n < 2; n++ {
@@ -54,7 +54,7 @@
 		}
 		io.Copy(io.Discard, request.Body)
 		if n > 0 {
-			cut.Add(1)
+			unanswered.Add(1)
 			return
 		}
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}")
@@ -64,7 +64,7 @@
 // TestOrderNotRepeated checks that an order that was written but got no response is not sent again, even on a
 // reused connection, and is reported as possibly executed.
 func TestOrderNotRepeated(t *testing.T) {
-	addr, cut := unresponsiveWorker(t)
+	addr, unanswered := unresponsiveWorker(t)
 	c := New(loopback{})
 	defer c.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
@@ -76,7 +76,7 @@
 	if !failure.Is(err, failure.OutcomeUnknown) {
 		t.Errorf("kind %s of %v, not unknown", failure.KindOf(err), err)
 	}
-	if n := cut.Load(); n != 1 {
+	if n := unanswered.Load(); n != 1 {
 		t.Errorf("the order without a response was sent %d times on a reused connection", n)
 	}
 }
--- a/internal/workerclient/messages.go
+++ b/internal/workerclient/messages.go
@@ -12,8 +12,8 @@
 	Attempt int    `json:"attempt"`
 }
 
-// Params are a request's sampling parameters. All of them are passed to the next worker, so that every worker
-// generates the same tokens.
+// Params are a request's sampling parameters. All of them are passed on to every worker that continues the
+// request, so that each worker generates the same tokens.
 type Params struct {
 	MaxTokens   int     `json:"maxTokens"`
 	Temperature float64 `json:"temperature,omitempty"`
@@ -92,9 +92,10 @@
 	Role ids.Role `json:"part"`
 }
 
-// OrderResponse is a worker's response to any order. Texts are the texts of the tokens in Output, and Fate is one
-// of the constants below. Incarnation differs after every start of the worker, so that a restarted process is
-// not mistaken for one that still has its state.
+// OrderResponse is a worker's response to any order. Texts are the texts of the tokens in Output, or in the output
+// of Identity if that is set. Fate is one of the constants below, or empty, and Done states that the request ran
+// to completion. Incarnation differs after every start of the worker, so that a restarted process is not mistaken
+// for one that still has its state.
 type OrderResponse struct {
 	Version     ids.Version     `json:"version"`
 	Identity    *Identity       `json:"identity,omitempty"`
@@ -105,9 +106,9 @@
 	Incarnation ids.Incarnation `json:"life"`
 }
 
-// Values of OrderResponse.Fate: the state of an attempt on its decode worker.
+// Values of OrderResponse.Fate: the state of a request on its decode worker.
 const (
-	FateNotStarted = "never"    // has not run on this worker and never will
+	FateNotStarted = "never"    // has not run on this worker; after a cancel, the cancelled attempts never will
 	FateStopped    = "stopped"  // ran partially and was stopped
 	FateFinished   = "finished" // ran to completion
 	FateRunning    = "running"  // is running
