--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -78,8 +78,8 @@
 	Rows  []json.RawMessage `json:"rows"`
 }
 
-// Operator executes operators' requests. WriteError writes its errors to the response. If a change
-// fails after it was submitted, its error comes from SubmitError and states whether it may have been executed.
+// Operator executes operators' requests. WriteError writes its errors to the response. If a change fails after it
+// was submitted, its error comes from SubmitError and states whether the change may have been executed.
 type Operator interface {
 	// Apply validates a configuration and activates it.
 	Apply(ctx context.Context, a *ApplyRequest) (*ApplyResponse, error)
--- a/internal/api/streams.go
+++ b/internal/api/streams.go
@@ -39,8 +39,8 @@
 	Seed        uint64   `json:"seed,omitempty"`
 }
 
-// Digest returns a hash of all fields of the request, in hex. A request is a retry of an earlier one
-// only if both the key and the digest are the same.
+// Digest returns a hash of all fields of the request, in hex. A request is a retry of an earlier one only if both
+// the key and the digest are the same.
 func (r *StreamRequest) Digest() string {
 	b, _ := json.Marshal(r)
 	sum := sha256.Sum256(b)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -64,7 +64,7 @@
 	Runs            int   `json:"runs"`            // resumes that started to decode
 	Finished        int   `json:"records"`         // runs that completed
 	Prefills        int   `json:"reads"`           // prefills started
-	RejectedImports int   `json:"bounced"`         // imports rejected because too few blocks were free
+	RejectedImports int   `json:"bounced"`         // imports rejected because too few blocks were free and unreserved
 	OutOfBlocks     int   `json:"starved"`         // runs stopped because no block was free
 	FirstTokens     []int `json:"first,omitempty"` // per run, the length of the output at resume
 }
