--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -119,7 +119,7 @@
 	if c.Frontends == "" {
 		frontends = standin.PollNodes(ctx, host, c.Platform, site.Zones)
 	}
-	outcomes := standin.Load(ctx, standin.LoadOptions{
+	outcomes := standin.RunLoad(ctx, standin.LoadOptions{
 		Host:     host,
 		Nodes:    frontends,
 		Zones:    site.Zones,
--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -28,7 +28,7 @@
 	}
 	started := time.Now()
 	var response api.ApplyResponse
-	request := api.ApplyRequest{Op: coordination.NewID(), Base: active.Newest, Partial: true, Name: name, Source: source}
+	request := api.ApplyRequest{Op: coordination.NewID(), BaseVersion: active.Newest, Partial: true, Name: name, Source: source}
 	if err := cli.Request(f.frontends(), http.MethodPost, "/v1/policy", request, &response); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
--- a/cmd/keelstair-testbed/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -44,7 +44,7 @@
 		certs[c.Serial] = c
 	}
 	for i, id := range f.site.WorkerIDs() {
-		if i != f.site.Prefill-1 && i != f.site.Prefill+f.site.Decode-1 {
+		if i != f.site.PrefillWorkers-1 && i != f.site.PrefillWorkers+f.site.DecodeWorkers-1 {
 			addSigned(certification.Certificate{Worker: id, Roles: []ids.Role{f.site.Worker(i).Role}}, string(id))
 		}
 	}
@@ -162,7 +162,7 @@
 		return
 	}
 	workerIDs := f.site.WorkerIDs()
-	f.allowedStarts[string(workerIDs[f.site.Prefill-1])], f.allowedStarts[string(workerIDs[len(workerIDs)-1])] = 0, 0
+	f.allowedStarts[string(workerIDs[f.site.PrefillWorkers-1])], f.allowedStarts[string(workerIDs[len(workerIDs)-1])] = 0, 0
 	total, uncertified := 0, 0
 	for name, n := range f.governedStarts() {
 		total += n
--- a/cmd/keelstair-testbed/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -59,7 +59,7 @@
 ) []standin.Outcome {
 	pollCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	return standin.Load(ctx, standin.LoadOptions{
+	return standin.RunLoad(ctx, standin.LoadOptions{
 		Host:     clientHost,
 		Nodes:    standin.PollNodes(pollCtx, clientHost, f.platform, f.site.Zones),
 		Zones:    f.site.Zones,
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -147,20 +147,20 @@
 }
 
 func (s *options) applySource(c *applyCmd, name, text string) error {
-	request := api.ApplyRequest{Op: c.Op, Partial: c.Partial, Name: name, Source: text, Dry: c.Dry}
+	request := api.ApplyRequest{Op: c.Op, Partial: c.Partial, Name: name, Source: text, DryRun: c.Dry}
 	if request.Op == "" {
 		request.Op = coordination.NewID()
 	}
 	if c.Base != nil {
-		request.Base = *c.Base
+		request.BaseVersion = *c.Base
 	} else {
 		active, err := s.activePolicy()
 		if err != nil {
 			return err
 		}
-		request.Base = active.Newest
+		request.BaseVersion = active.Newest
 	}
-	fmt.Printf("operation %s over version %d\n", request.Op, request.Base)
+	fmt.Printf("operation %s over version %d\n", request.Op, request.BaseVersion)
 	var response api.ApplyResponse
 	if err := s.request(http.MethodPost, "/v1/policy", request, &response); err != nil {
 		return err
@@ -203,12 +203,12 @@
 	}
 	var response api.ApplyResponse
 	request := api.ApplyRequest{
-		Op:      coordination.NewID(),
-		Base:    active.Newest,
-		Partial: c.Partial,
-		Name:    name,
-		Source:  text,
-		Dry:     true,
+		Op:          coordination.NewID(),
+		BaseVersion: active.Newest,
+		Partial:     c.Partial,
+		Name:        name,
+		Source:      text,
+		DryRun:      true,
 	}
 	if err := s.request(http.MethodPost, "/v1/policy", request, &response); err != nil {
 		return err
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -72,28 +72,31 @@
 	}
 }
 
-const prefixBlock = 32
+// prefixBlockTokens divides the length in tokens of every prompt prefix that is in the prefix cache.
+const prefixBlockTokens = 32
 
 // cachedTokens returns how many tokens of a run's prompt are in the prefix cache.
 func (w *Worker) cachedTokens(r *run) int {
 	hash := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
 	n := 0
-	for i := 0; i+prefixBlock <= len(r.state.Prompt); i += prefixBlock {
-		for _, t := range r.state.Prompt[i : i+prefixBlock] {
+	for i := 0; i+prefixBlockTokens <= len(r.state.Prompt); i += prefixBlockTokens {
+		for _, t := range r.state.Prompt[i : i+prefixBlockTokens] {
 			hash = mix(hash, uint64(uint32(t)))
 		}
 		if _, ok := w.prefixCache[hash]; !ok {
 			break
 		}
-		n = i + prefixBlock
+		n = i + prefixBlockTokens
 	}
 	return n
 }
 
+// cachePrefix adds the prefixes of a run's prompt to the prefix cache. The cache keeps the 512 entries that were used
+// last.
 func (w *Worker) cachePrefix(r *run) {
 	hash := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
-	for i := 0; i+prefixBlock <= len(r.state.Prompt); i += prefixBlock {
-		for _, t := range r.state.Prompt[i : i+prefixBlock] {
+	for i := 0; i+prefixBlockTokens <= len(r.state.Prompt); i += prefixBlockTokens {
+		for _, t := range r.state.Prompt[i : i+prefixBlockTokens] {
 			hash = mix(hash, uint64(uint32(t)))
 		}
 		w.prefixCache[hash] = w.now()
@@ -123,7 +126,8 @@
 	}
 	r.state.Computed = len(r.state.Prompt)
 	if len(r.state.Output) > 0 {
-		// A recomputation processes the tokens that were already delivered as if they were part of the prompt.
+		// A recomputation also processes the tokens that were already delivered, as if they were part of the prompt,
+		// except for the newest one, which the next decode step processes.
 		for i, t := range r.state.Output[:len(r.state.Output)-1] {
 			r.lastCell = kvCell(model, r.lastCell, len(r.state.Prompt)+i, t)
 			w.pool.set(r.blocks, len(r.state.Prompt)+i, r.lastCell)
@@ -150,7 +154,7 @@
 		return
 	}
 	n := r.state.Computed
-	if n/w.pool.size >= len(r.blocks) {
+	if n/w.pool.blockSize >= len(r.blocks) {
 		more := w.pool.allocate(1)
 		if more == nil {
 			w.requestCounts(r.state.ID.Request).OutOfBlocks++
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -1,4 +1,4 @@
-// This file contains the load generator. It is an open loop: arrival times are planned in advance, so that measured
+// This file contains the load generator. It is open-loop: arrival times are planned in advance, so that measured
 // latencies include queueing delays. Every output is compared with that of a run on a single worker.
 
 package standin
@@ -24,20 +24,20 @@
 
 // StreamClass is a class of requests that the load generator sends.
 type StreamClass struct {
-	Kind         string
-	KeyRequired  bool
-	Percent      int // percentage of the requests
-	SharedPrefix int // prompt tokens that all requests with the same prefix share
-	SuffixRange  int // the suffix has max(1, MinSuffix) + n random tokens, n < SuffixRange
-	MaxTokens    int
-	MinSuffix    int // see SuffixRange
-	Prefixes     int // number of different shared prefixes; 0 means 1
+	Kind               string
+	KeyRequired        bool
+	Percent            int // percentage of the requests
+	SharedPrefixTokens int // number of prompt tokens that all requests with the same prefix share
+	SuffixTokensRange  int // the suffix has max(1, MinSuffixTokens) tokens plus a random number below this one
+	MaxTokens          int
+	MinSuffixTokens    int // see SuffixTokensRange
+	Prefixes           int // number of different shared prefixes; 0 means 1
 }
 
-// LoadOptions configure a load.
+// LoadOptions are the options of RunLoad.
 type LoadOptions struct {
 	Host     host.Host
-	Nodes    func(zone ids.Zone) []string // returns the ready nodes, those of the zone if there are any
+	Nodes    func(zone ids.Zone) []string // returns the addresses of ready nodes, preferably in the zone
 	Zones    []ids.Zone                   // zones of the clients; empty for clients without a zone
 	Classes  []StreamClass
 	Rate     float64 // arrivals per second
@@ -49,18 +49,19 @@
 	Timeout  time.Duration // of a request including its retries; 20s if 0
 }
 
-// TimedOut is the end of a request whose client timed out before the stream ended.
+// TimedOut replaces "cut" as the end of a request whose timeout has expired (see Outcome).
 const TimedOut = "left"
 
-// Outcome is the outcome of one request. At is the planned arrival since the start of the load; FirstToken and
-// Duration are measured from that arrival.
+// Outcome is the outcome of one request. FirstToken and Duration are measured from At, the planned arrival, and At
+// from the start of the load. End is the End of the last event, TimedOut, "bounced" (rejected or not sent), "cut" (no
+// response, or no end event) or "wrong" (an invalid event, or not the reference output).
 type Outcome struct {
 	Kind       string
 	Key        string
 	At         time.Duration
 	FirstToken time.Duration
 	Duration   time.Duration
-	End        string // complete, broken, unknown, bounced, cut, left, wrong
+	End        string
 	Detail     string
 	Tokens     []int32
 	Attempts   int
@@ -75,14 +76,14 @@
 	Details map[string]int         `json:"details,omitempty"`
 }
 
-// KindSummary summarizes the outcomes of one kind of request. Times are in milliseconds from the planned arrival to
-// the first token, and to the end of the stream.
+// KindSummary summarizes the outcomes of one kind of request. Times are of complete requests only, in milliseconds
+// from the planned arrival to the first token, and to the end of the stream.
 type KindSummary struct {
-	Sent        int     `json:"sent"`
-	Complete    int     `json:"complete"`
-	FirstP50    float64 `json:"firstP50Ms"`
-	FirstP99    float64 `json:"firstP99Ms"`
-	DurationP99 float64 `json:"wholeP99Ms"`
+	Sent          int     `json:"sent"`
+	Complete      int     `json:"complete"`
+	FirstTokenP50 float64 `json:"firstP50Ms"`
+	FirstTokenP99 float64 `json:"firstP99Ms"`
+	DurationP99   float64 `json:"wholeP99Ms"`
 }
 
 type plannedRequest struct {
@@ -107,15 +108,15 @@
 			}
 		}
 		request := api.StreamRequest{Kind: class.Kind, MaxTokens: class.MaxTokens, Seed: rng.Uint64() >> 12}
-		base := int32(len(class.Kind) * 1000)
+		prefixStart := int32(len(class.Kind) * 1000) // the token IDs of the shared prefix are the next ones
 		if class.Prefixes > 1 {
-			base += int32(rng.IntN(class.Prefixes) * 7919)
+			prefixStart += int32(rng.IntN(class.Prefixes) * 7919)
 		}
-		for j := range class.SharedPrefix {
-			request.PromptIds = append(request.PromptIds, base+int32(j)+1)
+		for j := range class.SharedPrefixTokens {
+			request.PromptIDs = append(request.PromptIDs, prefixStart+int32(j)+1)
 		}
-		for range max(1, class.MinSuffix) + rng.IntN(class.SuffixRange) {
-			request.PromptIds = append(request.PromptIds, 1+rng.Int32N(50000))
+		for range max(1, class.MinSuffixTokens) + rng.IntN(class.SuffixTokensRange) {
+			request.PromptIDs = append(request.PromptIDs, 1+rng.Int32N(50000))
 		}
 		if class.KeyRequired {
 			request.Key = fmt.Sprintf("c%d-%d", o.Seed, i)
@@ -124,8 +125,9 @@
 	}
 }
 
-// Load sends all requests at their planned times and waits for their outcomes.
-func Load(ctx context.Context, o LoadOptions) []Outcome {
+// RunLoad sends all requests at their planned times and returns their outcomes. If ctx is cancelled, it sends no
+// further requests and returns the outcomes of those already sent.
+func RunLoad(ctx context.Context, o LoadOptions) []Outcome {
 	client := rpc.NewHTTPClient(o.Host.Net)
 	defer client.CloseIdleConnections()
 	if o.Timeout == 0 {
@@ -174,7 +176,7 @@
 	if outcome.End == "cut" && callCtx.Err() != nil && ctx.Err() == nil {
 		outcome.End = TimedOut
 	}
-	if outcome.End == api.Complete && !o.matchesReference(planned, outcome.Tokens) {
+	if outcome.End == api.EndComplete && !o.matchesReference(planned, outcome.Tokens) {
 		outcome.End, outcome.Detail = "wrong", fmt.Sprintf("tokens %v", outcome.Tokens)
 	}
 	return outcome
@@ -185,13 +187,8 @@
 func (o *LoadOptions) matchesReference(planned *plannedRequest, tokens []int32) bool {
 	for _, w := range o.Weights {
 		reference := ReferenceOutput(
-			planned.request.PromptIds,
-			planned.request.MaxTokens,
-			planned.request.Seed,
-			planned.request.Temperature,
-			o.Model,
-			w,
-			planned.request.Adapters,
+			planned.request.PromptIDs, planned.request.MaxTokens, planned.request.Seed, planned.request.Temperature,
+			o.Model, w, planned.request.Adapters,
 		)
 		if len(reference) == len(tokens) {
 			same := true
@@ -206,11 +203,11 @@
 	return false
 }
 
-// Retry delays for attempts whose response has no retry delay.
+// Retry delays after attempts without a complete response.
 const (
-	delayNoNode     = 500 * time.Millisecond
-	delayNotDialled = 300 * time.Millisecond
-	delayAfterCut   = time.Second // only for requests with a key
+	delayNoNode            = 500 * time.Millisecond
+	delayAfterDialError    = 300 * time.Millisecond
+	delayAfterInterruption = time.Second // only for requests with a key
 )
 
 // sendOnce sends a request once. It returns the delay before the next attempt, or 0 if the request must not be
@@ -248,17 +245,17 @@
 func (r *Outcome) recordNoResponse(err error, planned *plannedRequest) time.Duration {
 	if rpc.IsDialError(err) {
 		r.End, r.Detail = "bounced", "no connection"
-		return delayNotDialled
+		return delayAfterDialError
 	}
 	r.End, r.Detail = "cut", "no response"
-	return planned.delayAfterCut()
+	return planned.retryDelayIfKeyed()
 }
 
-// delayAfterCut returns the retry delay after an attempt whose outcome is unknown, or 0 if the request has no key:
-// only a request with a key may be repeated.
-func (p *plannedRequest) delayAfterCut() time.Duration {
+// retryDelayIfKeyed returns the retry delay after an attempt whose outcome is unknown, or 0 if the request has no
+// key: only a request with a key may be retried in that case.
+func (p *plannedRequest) retryDelayIfKeyed() time.Duration {
 	if p.class.KeyRequired {
-		return delayAfterCut
+		return delayAfterInterruption
 	}
 	return 0
 }
@@ -268,8 +265,8 @@
 func (r *Outcome) recordRejection(body io.Reader, planned *plannedRequest) time.Duration {
 	var response struct {
 		Error struct {
-			Name  string
-			After int64 `json:"retryAfterMs"`
+			Name         string
+			RetryAfterMs int64 `json:"retryAfterMs"`
 		}
 	}
 	b, _ := io.ReadAll(body)
@@ -279,10 +276,11 @@
 		planned.request.Key += "+"
 		r.Key = planned.request.Key
 	}
-	return time.Duration(response.Error.After) * time.Millisecond
+	return time.Duration(response.Error.RetryAfterMs) * time.Millisecond
 }
 
-// readStream reads the events of a stream up to its end.
+// readStream reads the events of a stream up to its end. It returns the retry delay, or 0 if the request must not be
+// retried.
 func (r *Outcome) readStream(body io.Reader, planned *plannedRequest, due time.Time) time.Duration {
 	r.Tokens, r.End, r.Detail = nil, "cut", "the stream stopped"
 	lines := bufio.NewScanner(body)
@@ -305,20 +303,20 @@
 		}
 		r.Tokens = append(r.Tokens, event.Token)
 	}
-	return planned.delayAfterCut()
+	return planned.retryDelayIfKeyed()
 }
 
-// recordEnd records the last event of a stream.
+// recordEnd records the last event of a stream and returns the retry delay, or 0 if the request must not be retried.
 func (r *Outcome) recordEnd(last *api.StreamEvent, planned *plannedRequest) time.Duration {
 	r.End, r.Detail = last.End, ""
 	if last.Error != nil {
 		r.Detail = last.Error.Name
 	}
-	if last.End == api.Complete && last.Count != len(r.Tokens) {
+	if last.End == api.EndComplete && last.Count != len(r.Tokens) {
 		r.End = "wrong"
 	}
-	if last.End == api.Unknown && planned.class.KeyRequired && last.Error != nil && last.Error.After > 0 {
-		return time.Duration(last.Error.After) * time.Millisecond
+	if last.End == api.EndUnknown && planned.class.KeyRequired && last.Error != nil && last.Error.RetryAfterMs > 0 {
+		return time.Duration(last.Error.RetryAfterMs) * time.Millisecond
 	}
 	return 0
 }
@@ -329,12 +327,12 @@
 	first, complete := map[string][]time.Duration{}, map[string][]time.Duration{}
 	for _, o := range all {
 		summary.Ends[o.End]++
-		if o.End != api.Complete {
+		if o.End != api.EndComplete {
 			summary.Details[o.End+": "+o.Detail]++
 		}
 		k := summary.Kinds[o.Kind]
 		k.Sent++
-		if o.End == api.Complete {
+		if o.End == api.EndComplete {
 			k.Complete++
 			first[o.Kind] = append(first[o.Kind], o.FirstToken)
 			complete[o.Kind] = append(complete[o.Kind], o.Duration)
@@ -342,7 +340,7 @@
 		summary.Kinds[o.Kind] = k
 	}
 	for n, k := range summary.Kinds {
-		k.FirstP50, k.FirstP99, k.DurationP99 = Quantile(first[n], 0.5), Quantile(first[n], 0.99), Quantile(complete[n], 0.99)
+		k.FirstTokenP50, k.FirstTokenP99, k.DurationP99 = Quantile(first[n], 0.5), Quantile(first[n], 0.99), Quantile(complete[n], 0.99)
 		summary.Kinds[n] = k
 	}
 	return summary
@@ -358,41 +356,41 @@
 	return float64(samples[int(q*float64(len(samples)-1))].Microseconds()) / 1000
 }
 
-// Site is a deployment with its current size and load.
+// Site describes a deployment: its size and the classes of its requests.
 type Site struct {
-	Name    string
-	Zones   []ids.Zone
-	Nodes   int // number of router nodes, which have no disk
-	Prefill int
-	Decode  int
-	Model   string
-	Classes []StreamClass
+	Name           string
+	Zones          []ids.Zone
+	Nodes          int // number of router nodes
+	PrefillWorkers int
+	DecodeWorkers  int
+	Model          string
+	Classes        []StreamClass
 }
 
-// Sites contains the two deployments by name.
+// Sites contains the two sites by name.
 var Sites = map[string]Site{
 	"vatuloa": {
-		Name:    "vatuloa",
-		Zones:   []ids.Zone{"hall-a", "hall-b", "hall-c"},
-		Nodes:   7,
-		Prefill: 6,
-		Decode:  6,
-		Model:   "bridge-8b",
+		Name:           "vatuloa",
+		Zones:          []ids.Zone{"hall-a", "hall-b", "hall-c"},
+		Nodes:          7,
+		PrefillWorkers: 6,
+		DecodeWorkers:  6,
+		Model:          "bridge-8b",
 		Classes: []StreamClass{
-			{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefix: 384, SuffixRange: 640, MaxTokens: 2},
-			{Kind: "clarification", Percent: 55, SharedPrefix: 96, SuffixRange: 48, MaxTokens: 24},
+			{Kind: "verdict", KeyRequired: true, Percent: 45, SharedPrefixTokens: 384, SuffixTokensRange: 640, MaxTokens: 2},
+			{Kind: "clarification", Percent: 55, SharedPrefixTokens: 96, SuffixTokensRange: 48, MaxTokens: 24},
 		},
 	},
 	"almaty": {
-		Name:    "almaty",
-		Zones:   []ids.Zone{"alatau", "medeu", "bostandyk"},
-		Nodes:   6,
-		Prefill: 4,
-		Decode:  5,
-		Model:   "scooter-8b",
+		Name:           "almaty",
+		Zones:          []ids.Zone{"alatau", "medeu", "bostandyk"},
+		Nodes:          6,
+		PrefillWorkers: 4,
+		DecodeWorkers:  5,
+		Model:          "scooter-8b",
 		Classes: []StreamClass{
-			{Kind: "ruling", KeyRequired: true, Percent: 45, SharedPrefix: 320, SuffixRange: 480, MaxTokens: 2},
-			{Kind: "rider", Percent: 55, SharedPrefix: 128, SuffixRange: 48, MaxTokens: 24},
+			{Kind: "ruling", KeyRequired: true, Percent: 45, SharedPrefixTokens: 320, SuffixTokensRange: 480, MaxTokens: 2},
+			{Kind: "rider", Percent: 55, SharedPrefixTokens: 128, SuffixTokensRange: 48, MaxTokens: 24},
 		},
 	},
 }
