--- a/coordination/powerloss_test.go
+++ b/coordination/powerloss_test.go
@@ -295,7 +295,7 @@
 // corruptions returns the ways to corrupt a disk written by fillStore; chunk is the file of its chunk.
 func corruptions(chunk string) []corruption {
 	withChecksum := func(body []byte) func([]byte) []byte {
-		return func([]byte) []byte { return host.Seal(body) }
+		return func([]byte) []byte { return host.AddChecksum(body) }
 	}
 	half := func(b []byte) []byte { return b[:len(b)/2] }
 	none := func([]byte) []byte { return nil }
@@ -304,7 +304,7 @@
 	appended := func(bodies ...[]byte) func([]byte) []byte {
 		return func(all []byte) []byte {
 			for _, body := range bodies {
-				encoded := host.Seal(body)
+				encoded := host.AddChecksum(body)
 				all = append(append(all, byte(len(encoded))), encoded...)
 			}
 			return all
@@ -318,7 +318,7 @@
 		{"snapshot with an empty message", "picture", withChecksum([]byte{0x80}), "not that of a snapshot"},
 		{"snapshot is not a message", "picture", withChecksum([]byte("hello")), "read snapshot"},
 		{"snapshot with trailing bytes", "picture", func(b []byte) []byte {
-			return host.Seal(append(b[4:len(b):len(b)], 0)) // the first 4 bytes are the checksum
+			return host.AddChecksum(append(b[4:len(b):len(b)], 0)) // the first 4 bytes are the checksum
 		}, "not that of a snapshot"},
 		{"register cut short", "register", half, "counts as lost"},
 		{"register empty", "register", none, "counts as lost"},
--- a/host/disk.go
+++ b/host/disk.go
@@ -93,21 +93,21 @@
 	return nil
 }
 
-// Seal returns body prefixed with its checksum. Unseal verifies and strips the checksum.
-func Seal(body []byte) []byte {
+// AddChecksum returns body prefixed with its checksum. Unseal verifies and strips the checksum.
+func AddChecksum(body []byte) []byte {
 	out := make([]byte, 4, 4+len(body))
 	binary.LittleEndian.PutUint32(out, crc32.Checksum(body, castagnoli))
 	return append(out, body...)
 }
 
-// Unseal returns the body of a file or record made by Seal, or false if the checksum does
+// VerifyChecksum returns the body of a file or record made by Seal, or false if the checksum does
 // not match.
-func Unseal(sealed []byte) ([]byte, bool) {
-	if len(sealed) < 4 {
+func VerifyChecksum(content []byte) ([]byte, bool) {
+	if len(content) < 4 {
 		return nil, false
 	}
-	body := sealed[4:]
-	return body, binary.LittleEndian.Uint32(sealed) == crc32.Checksum(body, castagnoli)
+	body := content[4:]
+	return body, binary.LittleEndian.Uint32(content) == crc32.Checksum(body, castagnoli)
 }
 
 func (d *realDisk) Save(name string, body []byte) error {
@@ -116,7 +116,7 @@
 	if err != nil {
 		return failure.As(err, failure.DataLost, "save file", name)
 	}
-	_, err = f.Write(Seal(body))
+	_, err = f.Write(AddChecksum(body))
 	if err == nil {
 		d.beforeSync(f.Name())
 		err = f.Sync()
@@ -148,11 +148,11 @@
 }
 
 func (d *realDisk) Load(name string) ([]byte, error) {
-	sealed, err := os.ReadFile(filepath.Join(d.dir, name))
+	content, err := os.ReadFile(filepath.Join(d.dir, name))
 	if err != nil {
 		return nil, failure.As(err, failure.DataLost, "load file", name)
 	}
-	body, ok := Unseal(sealed)
+	body, ok := VerifyChecksum(content)
 	if !ok {
 		return nil, failure.New(
 			failure.InvalidArgument, "load file", name, "checksum mismatch: the disk counts as lost",
--- a/host/log.go
+++ b/host/log.go
@@ -22,8 +22,8 @@
 
 const (
 	// segmentSize exceeds the size of any log, so that a log never starts a second segment.
-	segmentSize     = 1 << 30
-	segmentNameSize = 20
+	segmentSize       = 1 << 30
+	segmentNameLength = 20
 )
 
 type realLog struct {
@@ -139,21 +139,21 @@
 // with the inverted checksum.
 func encodeRecord(entries [][]byte) []byte {
 	if len(entries) == 1 {
-		return Seal(entries[0])
+		return AddChecksum(entries[0])
 	}
 	var body []byte
 	for _, entry := range entries {
 		body = binary.AppendUvarint(body, uint64(len(entry)))
 		body = append(body, entry...)
 	}
-	record := Seal(body)
+	record := AddChecksum(body)
 	binary.LittleEndian.PutUint32(record, ^binary.LittleEndian.Uint32(record))
 	return record
 }
 
 // decodeRecord returns the entries of a record, or false if it is damaged.
 func decodeRecord(record []byte) ([][]byte, bool) {
-	if entry, ok := Unseal(record); ok {
+	if entry, ok := VerifyChecksum(record); ok {
 		return [][]byte{entry}, true
 	}
 	if len(record) < 4 || binary.LittleEndian.Uint32(record) != ^crc32.Checksum(record[4:], castagnoli) {
@@ -183,7 +183,7 @@
 	}
 	var names []string
 	for _, entry := range entries {
-		if len(entry.Name()) == segmentNameSize {
+		if len(entry.Name()) == segmentNameLength {
 			names = append(names, entry.Name())
 		}
 	}
--- a/host/simulated/disk.go
+++ b/host/simulated/disk.go
@@ -33,8 +33,8 @@
 	m.disk.delay = delay
 }
 
-// StallDisk blocks all disk operations while on is true.
-func (m *Machine) StallDisk(on bool) {
+// SetDiskStalled blocks all disk operations while on is true.
+func (m *Machine) SetDiskStalled(on bool) {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
 	m.disk.stalled = on
--- a/host/simulated/net.go
+++ b/host/simulated/net.go
@@ -141,8 +141,8 @@
 	}
 	l := w.link(outbound.sender, outbound.receiver)
 	for segment := range slices.Chunk(b, segmentSize) {
-		arrivesAt := w.machines[outbound.sender].link.send(time.Now(), len(segment)).Add(l.Delay)
-		arrivesAt = w.machines[outbound.receiver].link.receive(arrivesAt, len(segment))
+		arrivesAt := w.machines[outbound.sender].netInterface.reserveSend(time.Now(), len(segment)).Add(l.Delay)
+		arrivesAt = w.machines[outbound.receiver].netInterface.reserveReceive(arrivesAt, len(segment))
 		if arrivesAt.Before(outbound.nextArrival) {
 			arrivesAt = outbound.nextArrival
 		}
--- a/host/simulated/world.go
+++ b/host/simulated/world.go
@@ -38,19 +38,19 @@
 
 // Machine has an IP address, runs processes, and has a disk that outlives them.
 type Machine struct {
-	IP         string
-	world      *World
-	frozen     bool
-	poweredOff bool
-	clockSkew  time.Duration
-	disk       *disk
-	processes  map[*Process]bool
-	listeners  map[string]*listener
-	link       machineLink
+	IP           string
+	world        *World
+	frozen       bool
+	poweredOff   bool
+	clockSkew    time.Duration
+	disk         *disk
+	processes    map[*Process]bool
+	listeners    map[string]*listener
+	netInterface networkInterface
 }
 
-// machineLink is the bandwidth that all connections of a machine share, separately for each direction.
-type machineLink struct {
+// networkInterface is the bandwidth that all connections of a machine share, separately for each direction.
+type networkInterface struct {
 	bytesPerSecond            int // 0 means unlimited
 	bytesSent                 int // total so far
 	sendFreeAt, receiveFreeAt time.Time
@@ -89,35 +89,35 @@
 	return m
 }
 
-// SetLinkRate limits the bytes per second that the machine sends over all its connections, and
+// SetBandwidth limits the bytes per second that the machine sends over all its connections, and
 // separately those that it receives, to bytesPerSecond. 0 means unlimited.
-func (m *Machine) SetLinkRate(bytesPerSecond int) {
+func (m *Machine) SetBandwidth(bytesPerSecond int) {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
-	m.link.bytesPerSecond = bytesPerSecond
+	m.netInterface.bytesPerSecond = bytesPerSecond
 }
 
 // BytesSent returns the number of bytes that the machine has sent so far.
 func (m *Machine) BytesSent() int {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
-	return m.link.bytesSent
+	return m.netInterface.bytesSent
 }
 
-// send returns the time at which a transfer that starts now has left the machine.
-func (l *machineLink) send(now time.Time, bytes int) time.Time {
+// reserveSend returns the time at which a transfer that starts now has left the machine.
+func (l *networkInterface) reserveSend(now time.Time, bytes int) time.Time {
 	l.bytesSent += bytes
-	return l.transfer(&l.sendFreeAt, now, bytes)
+	return l.reserve(&l.sendFreeAt, now, bytes)
 }
 
-// receive returns the time at which data that arrives at the given time has been received.
-func (l *machineLink) receive(at time.Time, bytes int) time.Time {
-	return l.transfer(&l.receiveFreeAt, at, bytes)
+// reserveReceive returns the time at which data that arrives at the given time has been received.
+func (l *networkInterface) reserveReceive(at time.Time, bytes int) time.Time {
+	return l.reserve(&l.receiveFreeAt, at, bytes)
 }
 
-// transfer returns when a transfer of bytes that may start at the given time ends, and moves
+// reserve returns when a transfer of bytes that may start at the given time ends, and moves
 // *freeAt, the time from which this direction of the link is free, to that end.
-func (l *machineLink) transfer(freeAt *time.Time, at time.Time, bytes int) time.Time {
+func (l *networkInterface) reserve(freeAt *time.Time, at time.Time, bytes int) time.Time {
 	if l.bytesPerSecond <= 0 {
 		return at
 	}
@@ -142,8 +142,8 @@
 	w.notify()
 }
 
-// Block blocks or heals all links from the machines in from to those in to, in that direction only.
-func (w *World) Block(from, to []string, blocked bool) {
+// SetBlocked blocks or heals all links from the machines in from to those in to, in that direction only.
+func (w *World) SetBlocked(from, to []string, blocked bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range from {
@@ -162,15 +162,15 @@
 	w.notify()
 }
 
-// Partition blocks or heals all links between two groups of machines in both directions.
-func (w *World) Partition(a, b []string, blocked bool) {
-	w.Block(a, b, blocked)
-	w.Block(b, a, blocked)
+// SetPartitioned blocks or heals all links between two groups of machines in both directions.
+func (w *World) SetPartitioned(a, b []string, blocked bool) {
+	w.SetBlocked(a, b, blocked)
+	w.SetBlocked(b, a, blocked)
 }
 
-// Slow sets the speed, in bytes per second, and the delay of all links to and from a machine.
+// SetMachineLinks sets the speed, in bytes per second, and the delay of all links to and from a machine.
 // If both are 0, it restores the default delay and unlimited speed.
-func (w *World) Slow(ip string, speed int, delay time.Duration) {
+func (w *World) SetMachineLinks(ip string, speed int, delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for other := range w.machines {
@@ -259,8 +259,8 @@
 	m.world.notify()
 }
 
-// Freeze suspends every process of the machine while on is true. The clock continues to run.
-func (m *Machine) Freeze(on bool) {
+// SetFrozen suspends every process of the machine while on is true. The clock continues to run.
+func (m *Machine) SetFrozen(on bool) {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
 	m.frozen = on
--- a/internal/simulation/machine_scripts_test.go
+++ b/internal/simulation/machine_scripts_test.go
@@ -164,19 +164,19 @@
 	{Name: "leader-and-router-freeze", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		p, v := leader(c), pickOne(r, c.Of("router"))
-		p.Machine.Freeze(true)
-		v.Machine.Freeze(true)
+		p.Machine.SetFrozen(true)
+		v.Machine.SetFrozen(true)
 		time.Sleep(time.Duration(2000+r.IntN(5000)) * time.Millisecond)
-		p.Machine.Freeze(false)
-		v.Machine.Freeze(false)
+		p.Machine.SetFrozen(false)
+		v.Machine.SetFrozen(false)
 		return nil
 	}},
 	{Name: "disk-stalls", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		p := pickOne(r, c.Of("controller"))
-		p.Machine.StallDisk(true)
+		p.Machine.SetDiskStalled(true)
 		time.Sleep(6 * time.Second)
-		p.Machine.StallDisk(false)
+		p.Machine.SetDiskStalled(false)
 		time.Sleep(3 * time.Second)
 		return changeRetryAfter(c, "after-stall", 2000)
 	}},
--- a/logging/journal.go
+++ b/logging/journal.go
@@ -7,7 +7,7 @@
 // need. It is safe for concurrent use.
 type Journal[E any] struct {
 	mu          sync.Mutex
-	capacity    int
+	minEvents   int
 	count       uint64
 	events      []E
 	subscribers []func(E)
@@ -15,7 +15,7 @@
 
 // NewJournal returns an empty journal that keeps at least the newest minEvents events, and fewer
 // than twice that number.
-func NewJournal[E any](minEvents int) *Journal[E] { return &Journal[E]{capacity: minEvents} }
+func NewJournal[E any](minEvents int) *Journal[E] { return &Journal[E]{minEvents: minEvents} }
 
 // Subscribe registers a function that is called with every later event, in order and one at a
 // time. The function must not use the journal.
@@ -31,8 +31,8 @@
 	defer j.mu.Unlock()
 	j.count++
 	j.events = append(j.events, e)
-	if len(j.events) >= 2*j.capacity {
-		j.events = append([]E(nil), j.events[j.capacity:]...)
+	if len(j.events) >= 2*j.minEvents {
+		j.events = append([]E(nil), j.events[j.minEvents:]...)
 	}
 	for _, handle := range j.subscribers {
 		handle(e)
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -276,10 +276,10 @@
 	return got.Text, nil
 }
 
-// TestFailedCallIsNotRepeated checks that a call whose response is missing or wrong arrives only
+// TestFailedCallIsNotRetried checks that a call whose response is missing or wrong arrives only
 // once and fails with OutcomeUnknown, that its connection is not reused except after a
 // redirect, and that later calls receive their own responses.
-func TestFailedCallIsNotRepeated(t *testing.T) {
+func TestFailedCallIsNotRetried(t *testing.T) {
 	for name, behavior := range map[string]func(*serverConn, receivedCall) bool{
 		"connection reset":  resetConnection,
 		"connection closed": closeConnection,
@@ -392,10 +392,10 @@
 	require.Empty(t, server.callsWithText("this")[0].header.Get("Idempotency-Key"))
 }
 
-// TestResponseBeforeRequestIsRead checks that no later call is sent on a connection on which the
+// TestResponseBeforeRequestIsSent checks that no later call is sent on a connection on which the
 // response to a long call arrived before the whole request was sent. The peer would read that
 // call as part of the long request.
-func TestResponseBeforeRequestIsRead(t *testing.T) {
+func TestResponseBeforeRequestIsSent(t *testing.T) {
 	server := startFakeServer(t)
 	c := NewCaller(loopback{new(atomic.Bool)})
 	defer c.Close()
