--- a/host/disk.go
+++ b/host/disk.go
@@ -37,8 +37,8 @@
 // process, and removes unfinished files left by an earlier process.
 func OpenDisk(dir string) (Disk, error) { return OpenObservedDisk(dir, func(string) {}) }
 
-// OpenObservedDisk is OpenDisk for power loss tests: it calls beforeSync with
-// the path of each file or directory immediately before syncing it.
+// OpenObservedDisk is like OpenDisk, but calls beforeSync with the path of each file or
+// directory immediately before syncing it. It exists for power loss tests.
 func OpenObservedDisk(dir string, beforeSync func(path string)) (Disk, error) {
 	if err := createDirectory(dir, beforeSync); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "open data folder", dir)
@@ -93,15 +93,15 @@
 	return nil
 }
 
-// AddChecksum returns body prefixed with its checksum. Unseal verifies and strips the checksum.
+// AddChecksum returns body prefixed with its CRC-32C checksum.
 func AddChecksum(body []byte) []byte {
 	out := make([]byte, 4, 4+len(body))
 	binary.LittleEndian.PutUint32(out, crc32.Checksum(body, castagnoli))
 	return append(out, body...)
 }
 
-// VerifyChecksum returns the body of a file or record made by Seal, or false if the checksum does
-// not match.
+// VerifyChecksum returns the body of content, which AddChecksum has made, without its checksum. It
+// returns false if the checksum does not match.
 func VerifyChecksum(content []byte) ([]byte, bool) {
 	if len(content) < 4 {
 		return nil, false
--- a/host/disk_test.go
+++ b/host/disk_test.go
@@ -1,4 +1,5 @@
-// Tests of the real disk: torn log tails, damaged records, and atomic file replacement.
+// Tests of the real disk: incomplete records at the end of a log, damaged records, and atomic
+// file replacement.
 
 package host
 
@@ -49,23 +50,24 @@
 	return entries, err
 }
 
-// TestTornTail truncates a log at different bytes, as a power loss during a write does,
-// and checks that every complete entry and nothing else remains.
+// TestTornTail truncates the file of a log by different numbers of bytes, as a power loss during a
+// write may do, and checks that every complete entry and nothing else remains and that the log can
+// be appended to.
 func TestTornTail(t *testing.T) {
-	for cut := 1; cut <= 12; cut++ {
+	for removedBytes := 1; removedBytes <= 12; removedBytes++ {
 		dir := t.TempDir()
 		appendEntries(t, dir, "first", "second", "third")
 		path := newestSegmentPath(t, dir)
 		st, err := os.Stat(path)
 		require.NoError(t, err)
-		require.NoError(t, os.Truncate(path, st.Size()-int64(cut)))
+		require.NoError(t, os.Truncate(path, st.Size()-int64(removedBytes)))
 		entries, err := readLog(t, dir)
 		require.NoError(t, err)
 		want := 2
-		if cut > 10 {
+		if removedBytes > 10 {
 			want = 1 // the third entry takes ten bytes
 		}
-		require.Len(t, entries, want, "truncated by %d bytes", cut)
+		require.Len(t, entries, want, "truncated by %d bytes", removedBytes)
 		appendEntries(t, dir, "again")
 		entries, err = readLog(t, dir)
 		require.NoError(t, err)
@@ -73,8 +75,8 @@
 	}
 }
 
-// TestCorruptTail checks that a last entry of full length but with wrong bytes, as left by
-// a torn write of a whole sector, is truncated as well.
+// TestCorruptTail checks that a last entry of full length but with wrong bytes is removed as well.
+// A write of which only a part reached the disk may leave such an entry.
 func TestCorruptTail(t *testing.T) {
 	dir := t.TempDir()
 	appendEntries(t, dir, "first", "second")
@@ -88,8 +90,8 @@
 	require.Equal(t, [][]byte{[]byte("first")}, entries)
 }
 
-// TestDamagedRecordBeforeIntactOnes checks that a damaged record before intact ones, which was
-// acknowledged, makes opening the log fail; the log must not be truncated there.
+// TestDamagedRecordBeforeIntactOnes checks that a log does not open if a record before intact ones
+// is damaged. That record was acknowledged, so the log must not be truncated there.
 func TestDamagedRecordBeforeIntactOnes(t *testing.T) {
 	dir := t.TempDir()
 	appendEntries(t, dir, "first", "second", "third")
--- a/host/host.go
+++ b/host/host.go
@@ -54,8 +54,7 @@
 	Disk  Disk
 }
 
-// Sleep waits for d or until ctx is done, and reports whether the whole of d
-// elapsed.
+// Sleep waits for d or until ctx is done, and reports whether d elapsed.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := NewTimer(d)
 	defer t.Stop()
@@ -101,13 +100,14 @@
 }
 
 // ChannelMutex is a mutex that may be held during clock, network and disk operations.
-// Waiting for it blocks on a channel, so simulated time advances in the meantime.
+// Waiting for it blocks on a channel, so time in a testing/synctest bubble can advance in the
+// meantime, which it can't while a goroutine waits for a sync.Mutex.
 type ChannelMutex chan struct{}
 
 // NewChannelMutex returns an unlocked mutex.
 func NewChannelMutex() ChannelMutex { return make(ChannelMutex, 1) }
 
-// Lock locks the mutex and waits until it is available.
+// Lock waits until the mutex is unlocked, and locks it.
 func (l ChannelMutex) Lock() { l <- struct{}{} }
 
 // Unlock unlocks the mutex.
--- a/host/log.go
+++ b/host/log.go
@@ -1,9 +1,14 @@
-// Logs on the real disk are tidwall/wal logs of a single segment file each: starting
-// another segment would require a sync of its directory. Each record has a checksum.
-// Entries that are appended together form one record, because unsynced pages may reach
-// the disk in any order. A record torn by a power loss is truncated; a damaged record
-// before intact ones means that acknowledged data is damaged, and the disk then
-// counts as lost.
+// A log on the real disk is a tidwall/wal log. New logs have a single segment file, because
+// starting another one would require a sync of its directory. Each record has a checksum.
+// Entries that are appended together form one record: unsynced pages may reach the disk in any
+// order, so with separate records a later one could be intact while an earlier one is damaged,
+// which would look like damage to acknowledged data.
+//
+// On opening a log, a record at its end that a power loss left incomplete is removed. A record
+// with a wrong checksum before an intact record means that acknowledged data is damaged. Opening
+// the log then fails with an error saying that the disk counts as lost: its data must not be
+// used. A damaged length prefix is not detected as damage: the records from there on usually
+// can't be decoded and are removed like an incomplete record.
 
 package host
 
@@ -21,7 +26,7 @@
 )
 
 const (
-	// segmentSize exceeds the size of any log, so that a log never starts a second segment.
+	// segmentSize is larger than any expected log, so that a log never starts a second segment.
 	segmentSize       = 1 << 30
 	segmentNameLength = 20
 )
@@ -34,7 +39,7 @@
 }
 
 func openWAL(dir string) (*wal.Log, error) {
-	// realLog.Append syncs explicitly.
+	// NoSync is set because realLog.Append syncs each record itself.
 	return wal.Open(dir, &wal.Options{SegmentSize: segmentSize, SegmentCacheSize: 2, NoSync: true, NoCopy: true})
 }
 
@@ -129,14 +134,15 @@
 
 func (l *realLog) Close() error { return l.log.Close() }
 
-func segmentName(first uint64) string {
-	digits := strconv.FormatUint(first, 10)
+// segmentName returns the file name of the segment whose first record has the given index.
+func segmentName(firstIndex uint64) string {
+	digits := strconv.FormatUint(firstIndex, 10)
 	return "00000000000000000000"[len(digits):] + digits
 }
 
 // encodeRecord encodes entries as one record. A single entry follows its checksum
-// directly. Several entries are each preceded by their length, and the record starts
-// with the inverted checksum.
+// directly. Several entries are each preceded by their length, and the checksum at the
+// start of the record is inverted, which marks a record of several entries.
 func encodeRecord(entries [][]byte) []byte {
 	if len(entries) == 1 {
 		return AddChecksum(entries[0])
@@ -172,10 +178,10 @@
 	return entries, true
 }
 
-// verifySegments checks that no segment or record is missing in the middle, truncates
-// a torn record at the end of the newest segment, and returns the number of records.
-// Logs of earlier releases may have several segments: those releases started a new
-// segment every 4 MB.
+// verifySegments checks that no segment or record is missing in the middle, removes an
+// incomplete or damaged record from the end of the newest segment, and returns the number
+// of records. Logs of earlier releases may have several segments: those releases started a
+// new segment every 4 MB.
 func (d *realDisk) verifySegments(dir string) (uint64, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -212,8 +218,9 @@
 	return records, nil
 }
 
-// verifySegment returns the number of records in a segment. tidwall/wal writes each as a
-// uvarint length and a body. Only the newest segment may end in a torn record.
+// verifySegment returns the number of intact records in a segment. tidwall/wal writes each
+// as a uvarint length and a body. Only the newest segment may end in an incomplete or damaged
+// record, which is removed.
 func (d *realDisk) verifySegment(path string, newest bool) (uint64, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -247,7 +254,10 @@
 	}
 	if !newest {
 		return 0, failure.New(
-			failure.InvalidArgument, "check log", path, "an older segment is truncated: the disk counts as lost",
+			failure.InvalidArgument,
+			"check log",
+			path,
+			"an older segment ends in an incomplete or damaged record: the disk counts as lost",
 		)
 	}
 	return records, d.truncate(path, int64(intactSize))
--- a/host/powerloss_test.go
+++ b/host/powerloss_test.go
@@ -16,8 +16,8 @@
 	"keelstair.example/host/simulated"
 )
 
-// expectedContent is the last acknowledged content of a file or log and the content that is
-// being written.
+// expectedContent is the last acknowledged content of a file or log, and the content that the
+// current operation writes.
 type expectedContent struct{ acknowledged, requested string }
 
 func (e expectedContent) allows(got string) bool { return got == e.acknowledged || got == e.requested }
@@ -164,15 +164,15 @@
 	require.NoError(t, os.WriteFile(filepath.Join(dir, segment(5)), body, 0o644))
 	require.NoError(t, reopen(dir), "two complete consecutive segments")
 	require.NoError(t, os.Truncate(filepath.Join(dir, segment(1)), int64(len(body)-3)))
-	require.ErrorContains(t, reopen(dir), "truncated: the disk counts as lost")
+	require.ErrorContains(t, reopen(dir), "an older segment ends in an incomplete or damaged record: the disk counts as lost")
 
 	dir = createLog()
 	require.NoError(t, os.Remove(filepath.Join(dir, segment(1))))
 	require.ErrorIs(t, reopen(dir), host.ErrNotExist)
 }
 
-// TestPartiallyWrittenBatch checks that a batch of unacknowledged entries is truncated if its
-// later pages reached the disk before its earlier ones, instead of the disk counting as lost.
+// TestPartiallyWrittenBatch checks that a batch of unacknowledged entries is removed if its later
+// pages reached the disk before its earlier ones, and that this is not reported as damage.
 func TestPartiallyWrittenBatch(t *testing.T) {
 	dir := t.TempDir()
 	disk, err := host.OpenDisk(dir)
--- a/host/simulated/disk.go
+++ b/host/simulated/disk.go
@@ -1,6 +1,7 @@
-// The simulated disk. An operation takes effect when its delay has elapsed. If the
-// process dies during a write, a random choice decides whether all, part or none of the
-// write remains. A disk can be slow, stall, or lose its content.
+// The simulated disk. A write takes effect when its delay has elapsed. If the process dies
+// during a write, a random choice decides whether the write takes effect, and for an append
+// to a log, how many of the entries are stored; a removal never takes effect then. A disk can
+// be slow, stall, or lose its content.
 
 package simulated
 
@@ -33,15 +34,17 @@
 	m.disk.delay = delay
 }
 
-// SetDiskStalled blocks all disk operations while on is true.
-func (m *Machine) SetDiskStalled(on bool) {
+// SetDiskStalled stalls or resumes the disk. Operations that start on a stalled disk wait until it
+// is resumed.
+func (m *Machine) SetDiskStalled(stalled bool) {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
-	m.disk.stalled = on
+	m.disk.stalled = stalled
 	m.world.notify()
 }
 
-// WipeDisk erases the disk, including what a dying process was still writing.
+// WipeDisk erases the disk. Operations in progress, including writes of a dying process, still use
+// the old content, so their writes are lost as well.
 func (m *Machine) WipeDisk() {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
@@ -50,7 +53,8 @@
 	m.disk = next
 }
 
-// SyncCount returns the number of writes that became durable.
+// SyncCount returns the number of writes that completed. It omits those that took effect although
+// the process died during the write.
 func (m *Machine) SyncCount() int {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
--- a/host/simulated/net.go
+++ b/host/simulated/net.go
@@ -1,5 +1,6 @@
-// The simulated network: byte streams that preserve order, delay their data, wait until
-// a blocked link heals as TCP would, and break when a process at either end dies.
+// The simulated network: byte streams that preserve order, delay their data, and wait until a
+// blocked link is unblocked, as TCP would. They are reset when a process at either end is killed,
+// except by PowerOff, which does not reset the peer's end.
 
 package simulated
 
@@ -30,7 +31,7 @@
 func (a address) Network() string { return "simulated" }
 func (a address) String() string  { return string(a) }
 
-// chunk is data in transit.
+// chunk is a segment of a write in transit, or what remains of it after a partial read.
 type chunk struct {
 	arrivesAt time.Time
 	data      []byte
@@ -52,6 +53,8 @@
 	p.changed = make(chan struct{})
 }
 
+// fail makes reads of the pipe return err after the data in transit. A reset discards that data and
+// replaces an earlier error. The caller holds the world's mu.
 func (p *pipe) fail(err error) {
 	if p.err == nil || err == errReset {
 		p.err = err
@@ -62,6 +65,7 @@
 	}
 }
 
+// connection is one end of a connection.
 type connection struct {
 	process *Process
 	in, out *pipe
@@ -179,6 +183,7 @@
 	return nil
 }
 
+// SetWriteDeadline has no effect, because writes do not wait for the network.
 func (c *connection) SetWriteDeadline(time.Time) error { return nil }
 
 // listener accepts the connections that other processes open to one address.
--- a/host/simulated/powerloss.go
+++ b/host/simulated/powerloss.go
@@ -1,8 +1,8 @@
 // Simulation of power losses on a real directory. A PowerLoss tracks a directory from
 // one sync to the next and generates the states that a power loss may leave: each name
 // that was added, changed or removed since its directory was synced independently keeps
-// its old or its new state, and the content of each unsynced file is old, new, torn, or
-// has a hole of zeros.
+// its old or its new state, and the content of each unsynced file is old, new, truncated,
+// or partly zero.
 
 package simulated
 
--- a/host/simulated/world.go
+++ b/host/simulated/world.go
@@ -1,8 +1,9 @@
 // Package simulated implements package host with simulated machines, which have clocks,
-// disks and a network. All run in one process, in a testing/synctest bubble, where waiting
-// takes no real time. Links can be slowed, blocked in one or both directions, and healed;
-// machines can be frozen, lose power, or lose their disks. The simulation uses no sockets
-// or files.
+// disks and a network. All machines run in a single operating system process, inside a
+// testing/synctest bubble, where waiting takes no real time. Links can be slowed, blocked in
+// one or both directions, and unblocked; machines can be frozen, lose power, or lose their
+// disks. The simulation uses no sockets. Except for PowerLoss, which works on a real
+// directory, it uses no files.
 package simulated
 
 import (
@@ -32,8 +33,8 @@
 	start       time.Time
 	machines    map[string]*Machine
 	links       map[linkKey]Link
-	DefaultLink Link
-	changed     chan struct{}
+	DefaultLink Link          // of all pairs of machines without an entry in links
+	changed     chan struct{} // closed and replaced by notify
 }
 
 // Machine has an IP address, runs processes, and has a disk that outlives them.
@@ -49,7 +50,8 @@
 	netInterface networkInterface
 }
 
-// networkInterface is the bandwidth that all connections of a machine share, separately for each direction.
+// networkInterface is a machine's network interface. All connections of the machine share its
+// bandwidth, separately for each direction.
 type networkInterface struct {
 	bytesPerSecond            int // 0 means unlimited
 	bytesSent                 int // total so far
@@ -61,7 +63,7 @@
 	machine     *Machine
 	dead        bool
 	done        chan struct{}
-	connections map[*pipe]*pipe
+	connections map[*pipe]*pipe // from the incoming pipe of each connection to its outgoing pipe
 }
 
 // NewWorld returns an empty world whose random choices derive from seed.
@@ -104,31 +106,33 @@
 	return m.netInterface.bytesSent
 }
 
-// reserveSend returns the time at which a transfer that starts now has left the machine.
-func (l *networkInterface) reserveSend(now time.Time, bytes int) time.Time {
-	l.bytesSent += bytes
-	return l.reserve(&l.sendFreeAt, now, bytes)
+// reserveSend counts the bytes as sent, reserves the sending direction for them, and returns when
+// the last of them leaves the machine.
+func (n *networkInterface) reserveSend(now time.Time, bytes int) time.Time {
+	n.bytesSent += bytes
+	return n.reserve(&n.sendFreeAt, now, bytes)
 }
 
-// reserveReceive returns the time at which data that arrives at the given time has been received.
-func (l *networkInterface) reserveReceive(at time.Time, bytes int) time.Time {
-	return l.reserve(&l.receiveFreeAt, at, bytes)
+// reserveReceive reserves the receiving direction for data that arrives at the given time, and
+// returns when the last byte has been received.
+func (n *networkInterface) reserveReceive(at time.Time, bytes int) time.Time {
+	return n.reserve(&n.receiveFreeAt, at, bytes)
 }
 
-// reserve returns when a transfer of bytes that may start at the given time ends, and moves
-// *freeAt, the time from which this direction of the link is free, to that end.
-func (l *networkInterface) reserve(freeAt *time.Time, at time.Time, bytes int) time.Time {
-	if l.bytesPerSecond <= 0 {
+// reserve returns when a transfer of bytes that may start at the given time ends, and sets
+// *freeAt, the time from which this direction of the interface is free, to that end.
+func (n *networkInterface) reserve(freeAt *time.Time, at time.Time, bytes int) time.Time {
+	if n.bytesPerSecond <= 0 {
 		return at
 	}
 	if freeAt.Before(at) {
 		*freeAt = at
 	}
-	*freeAt = freeAt.Add(time.Duration(bytes) * time.Second / time.Duration(l.bytesPerSecond))
+	*freeAt = freeAt.Add(time.Duration(bytes) * time.Second / time.Duration(n.bytesPerSecond))
 	return *freeAt
 }
 
-// notify wakes all goroutines that wait for a change of the world. The caller holds mu.
+// notify wakes all goroutines that wait for a change of the simulation's state. The caller holds mu.
 func (w *World) notify() {
 	close(w.changed)
 	w.changed = make(chan struct{})
@@ -142,7 +146,8 @@
 	w.notify()
 }
 
-// SetBlocked blocks or heals all links from the machines in from to those in to, in that direction only.
+// SetBlocked blocks or unblocks all links from the machines in from to those in to, in that
+// direction only. It ignores the link of a machine to itself.
 func (w *World) SetBlocked(from, to []string, blocked bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -162,28 +167,29 @@
 	w.notify()
 }
 
-// SetPartitioned blocks or heals all links between two groups of machines in both directions.
+// SetPartitioned blocks or unblocks all links between two groups of machines in both directions.
 func (w *World) SetPartitioned(a, b []string, blocked bool) {
 	w.SetBlocked(a, b, blocked)
 	w.SetBlocked(b, a, blocked)
 }
 
-// SetMachineLinks sets the speed, in bytes per second, and the delay of all links to and from a machine.
-// If both are 0, it restores the default delay and unlimited speed.
-func (w *World) SetMachineLinks(ip string, speed int, delay time.Duration) {
+// SetMachineLinks sets the speed and the delay of the links, in both directions, between a machine
+// and each machine that exists at the time of the call, including itself. If both values are 0, it
+// restores the default delay and sets unlimited speed, even if DefaultLink has a limit.
+func (w *World) SetMachineLinks(ip string, bytesPerSecond int, delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for other := range w.machines {
-		for _, p := range []linkKey{{ip, other}, {other, ip}} {
-			l, ok := w.links[p]
+		for _, key := range []linkKey{{ip, other}, {other, ip}} {
+			l, ok := w.links[key]
 			if !ok {
 				l = w.DefaultLink
 			}
-			l.BytesPerSecond, l.Delay = speed, delay
-			if speed == 0 && delay == 0 {
+			l.BytesPerSecond, l.Delay = bytesPerSecond, delay
+			if bytesPerSecond == 0 && delay == 0 {
 				l.Delay = w.DefaultLink.Delay
 			}
-			w.links[p] = l
+			w.links[key] = l
 		}
 	}
 	w.notify()
@@ -215,7 +221,7 @@
 // Done is closed when the process is killed.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Kill ends the process immediately and resets its connections to its peers.
+// Kill ends the process immediately and resets both ends of its connections.
 func (p *Process) Kill() {
 	w := p.machine.world
 	w.mu.Lock()
@@ -224,9 +230,9 @@
 	w.notify()
 }
 
-// kill ends the process and resets its own ends of its connections, and with reset also the
-// ends of its peers. The caller holds mu.
-func (p *Process) kill(reset bool) {
+// kill ends the process and resets its ends of its connections. If resetPeers is true, it also
+// resets the peers' ends. The caller holds mu.
+func (p *Process) kill(resetPeers bool) {
 	if p.dead {
 		return
 	}
@@ -241,14 +247,14 @@
 	}
 	for in, out := range p.connections {
 		in.fail(errReset)
-		if reset {
+		if resetPeers {
 			out.fail(errReset)
 		}
 	}
 }
 
 // PowerOff ends every process without notifying its peers. The machine is unreachable
-// until a process is started again.
+// until a process is started again. If the machine is frozen, it remains frozen.
 func (m *Machine) PowerOff() {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
@@ -259,22 +265,24 @@
 	m.world.notify()
 }
 
-// SetFrozen suspends every process of the machine while on is true. The clock continues to run.
-func (m *Machine) SetFrozen(on bool) {
+// SetFrozen freezes or resumes the machine. While it is frozen, its processes block when they dial,
+// read, write or access the disk. Its clock continues to run.
+func (m *Machine) SetFrozen(frozen bool) {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
-	m.frozen = on
+	m.frozen = frozen
 	m.world.notify()
 }
 
-// JumpClock advances the machine's clock by d.
+// JumpClock advances the time that the machine's processes get from Now by d. Wall is unaffected.
 func (m *Machine) JumpClock(d time.Duration) {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
 	m.clockSkew += d
 }
 
-// waitWhileFrozen blocks while the process is frozen, and returns false if the process is dead.
+// waitWhileFrozen blocks while the process's machine is frozen, and returns false if the process
+// is dead.
 func (p *Process) waitWhileFrozen() bool {
 	w := p.machine.world
 	w.mu.Lock()
@@ -290,9 +298,10 @@
 
 type processClock struct{ process *Process }
 
-// Now does not block while the machine is frozen, because it is called with locks held. A
-// frozen process is blocked at its next network or disk operation instead. This is the
-// harder case: what the process checked before that operation is outdated by then.
+// Now does not block while the machine is frozen, because its callers may hold locks. The process
+// blocks at its next network or disk operation instead. What it checked before that operation may
+// be outdated when the operation runs, which is harder for the tested code to handle than a stop
+// in Now. Ticks start at one hour.
 func (c processClock) Now() ids.Tick {
 	c.process.machine.world.mu.Lock()
 	defer c.process.machine.world.mu.Unlock()
--- a/ids/hash_test.go
+++ b/ids/hash_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestHash compares results of Hash and Mix with fixed values, because assignments derived from
-// them must be the same in all versions of the code.
+// TestHash compares results of Hash and Mix with fixed values, because nodes of all versions must
+// compute the same results.
 func TestHash(t *testing.T) {
 	for s, want := range map[string]uint64{
 		"":       14695981039346656037,
--- a/ids/ids.go
+++ b/ids/ids.go
@@ -33,7 +33,7 @@
 // Zone is the name of a failure domain of the platform.
 type Zone string
 
-// Key identifies a duty, which the core leases to at most one holder at a time.
+// Key identifies a responsibility, which the core leases to at most one holder at a time.
 type Key string
 
 // OpID identifies an operation on the core's state. An operation that is submitted repeatedly
--- a/ids/tick.go
+++ b/ids/tick.go
@@ -4,8 +4,7 @@
 
 // Tick is a reading of a machine's monotonic clock in nanoseconds. The clock never goes
 // backwards and continues to run while the machine is suspended. Ticks of different machines,
-// or from before and after a restart of a machine, can't be compared. Wall time is used for
-// logs only.
+// or from before and after a restart of a machine, can't be compared.
 type Tick int64
 
 // Add returns the tick that is d after t.
--- a/logging/journal.go
+++ b/logging/journal.go
@@ -14,7 +14,7 @@
 }
 
 // NewJournal returns an empty journal that keeps at least the newest minEvents events, and fewer
-// than twice that number.
+// than twice that number. minEvents must be at least 1.
 func NewJournal[E any](minEvents int) *Journal[E] { return &Journal[E]{minEvents: minEvents} }
 
 // Subscribe registers a function that is called with every later event, in order and one at a
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -35,7 +35,7 @@
 
 // TestWarningsAreWrittenImmediately checks that a warning is written out without an error, and only
 // once. Otherwise messages that an operator needs, such as which node became primary, would be
-// lost with a process that logs no errors.
+// lost when a process ends without having logged an error.
 func TestWarningsAreWrittenImmediately(t *testing.T) {
 	var out bytes.Buffer
 	r := NewRing(3, &out, "n")
@@ -51,14 +51,14 @@
 }
 
 func TestJournal(t *testing.T) {
-	const capacity, events = 4, 50
-	j := NewJournal[int](capacity)
+	const minEvents, events = 4, 50
+	j := NewJournal[int](minEvents)
 	var handled []int
 	j.Subscribe(func(e int) { handled = append(handled, e) })
 	for i := range events {
 		j.Append(i)
 		kept, count := j.Last(events)
-		if count != uint64(i+1) || len(kept) < min(i+1, capacity) || len(kept) >= 2*capacity || kept[len(kept)-1] != i {
+		if count != uint64(i+1) || len(kept) < min(i+1, minEvents) || len(kept) >= 2*minEvents || kept[len(kept)-1] != i {
 			t.Fatalf("after %d events: count %d, kept %v", i+1, count, kept)
 		}
 	}
--- a/logging/ring.go
+++ b/logging/ring.go
@@ -32,12 +32,12 @@
 // Discard returns a ring whose output is discarded.
 func Discard() *Ring { return NewRing(discardSize, io.Discard, "") }
 
-// Write implements io.Writer. It keeps a line without a level and never fails.
+// Write implements io.Writer. It keeps the line as one of level info, and never fails.
 func (r *Ring) Write(p []byte) (int, error) { return r.WriteLevel(zerolog.InfoLevel, p) }
 
 // WriteLevel implements zerolog.LevelWriter. It writes a warning out, keeps any other line, and
-// writes the ring out if the level is error or above. It never fails: lines that the output does
-// not accept are dropped.
+// writes all kept lines out if the level is error or above. It never fails: a line whose write to
+// the output fails is dropped.
 func (r *Ring) WriteLevel(level zerolog.Level, p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,6 +53,7 @@
 	return len(p), nil
 }
 
+// flush writes out all kept lines, oldest first, and removes them from the ring.
 func (r *Ring) flush() {
 	for i := range r.lines {
 		n := (r.next + i) % len(r.lines)
--- a/rpc/callid.go
+++ b/rpc/callid.go
@@ -30,10 +30,10 @@
 type callConn struct {
 	net.Conn
 	echoesCallIDs atomic.Bool
-	progress      atomic.Pointer[progress] // of the present call; nil if it does not track progress
+	progress      atomic.Pointer[progress] // of the current call; nil if it does not track progress
 }
 
-// Read reads from the connection and records the arrival of data for the present call.
+// Read reads from the connection and records the arrival of data for the current call.
 func (c *callConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if p := c.progress.Load(); p != nil && n > 0 {
@@ -43,9 +43,9 @@
 }
 
 // acceptsResponseID reports whether a response with the ID got may belong to the call with the
-// ID want. Processes of the release before call IDs echo none. A process that has echoed one
-// always does, so a response without an ID is accepted only on a connection that has not yet
-// carried an ID.
+// ID want. Processes of releases that had no call IDs echo none. A process that has echoed one
+// ID echoes all, so a response without an ID is accepted only on a connection on which no ID has
+// been echoed yet.
 func (c *callConn) acceptsResponseID(got, want string) bool {
 	if got == want {
 		c.echoesCallIDs.Store(true)
--- a/rpc/dial.go
+++ b/rpc/dial.go
@@ -1,7 +1,6 @@
 // Connecting to peers. A SYN packet to a machine that is not up yet is lost, and the operating
-// system retransmits it only after a second. If a connection is not established soon, dial
-// therefore makes another attempt in parallel and uses the connection that is established
-// first.
+// system retransmits it only after a second. While no attempt has finished, dial therefore
+// starts further attempts in parallel, and uses the result of the first one that finishes.
 
 package rpc
 
@@ -19,7 +18,7 @@
 )
 
 // dial opens a connection and starts another parallel attempt every redialInterval. The first
-// attempt to finish decides the result.
+// attempt to finish decides the result, even if it fails.
 func dial(ctx context.Context, n host.Net, addr string) (net.Conn, error) {
 	ctx, stop := context.WithTimeout(ctx, dialTimeout)
 	defer stop()
--- a/rpc/progress.go
+++ b/rpc/progress.go
@@ -1,6 +1,6 @@
 // Calls with large responses are limited by the time without incoming data, not by their total
-// duration. A limit on the total duration would end every attempt at the same point on a link that
-// is slow or shared by many calls.
+// duration. With a limit on the total duration, every attempt would fail at the same point on a
+// link that is slow or shared by many calls.
 
 package rpc
 
@@ -22,32 +22,34 @@
 
 func (p *progress) recordArrival() { p.lastArrival.Store(max(1, int64(time.Since(p.start)))) }
 
-// waitUntilSilent returns when no data arrives within first of start, when no more arrives within
-// silence of the previous data, or when ctx is done.
-func (p *progress) waitUntilSilent(ctx context.Context, first, silence time.Duration) {
-	wait := first
+// waitUntilSilent returns if no data arrives within firstTimeout after the start, if no more data
+// arrives within silenceTimeout after the last, or if ctx is done. Unless ctx is done, it does not
+// return before firstTimeout has passed.
+func (p *progress) waitUntilSilent(ctx context.Context, firstTimeout, silenceTimeout time.Duration) {
+	wait := firstTimeout
 	for host.Sleep(ctx, wait) {
 		lastArrival := time.Duration(p.lastArrival.Load())
-		if wait = lastArrival + silence - time.Since(p.start); lastArrival == 0 || wait <= 0 {
+		if wait = lastArrival + silenceTimeout - time.Since(p.start); lastArrival == 0 || wait <= 0 {
 			return
 		}
 	}
 }
 
-// CallUntilSilent calls the named method of the process at addr. It fails when no data of the
-// response arrives within first, when no more arrives within silence, or when ctx is done.
+// CallUntilSilent calls the named method of the process at addr. It fails if no data of the
+// response arrives within firstTimeout, if no more data arrives within silenceTimeout after the
+// last, or if ctx is done. It does not fail for silence before firstTimeout has passed.
 func CallUntilSilent[Req, Resp any](
 	ctx context.Context,
 	c *Caller,
 	addr, name string,
 	request *Req,
-	first, silence time.Duration,
+	firstTimeout, silenceTimeout time.Duration,
 ) (*Resp, error) {
 	p := &progress{start: time.Now()}
 	ctx, stop := context.WithCancel(context.WithValue(ctx, progressContextKey{}, p))
 	defer stop()
 	go func() {
-		p.waitUntilSilent(ctx, first, silence)
+		p.waitUntilSilent(ctx, firstTimeout, silenceTimeout)
 		stop()
 	}()
 	return callUnary[Req, Resp](ctx, c, addr, name, request)
--- a/rpc/progress_test.go
+++ b/rpc/progress_test.go
@@ -20,7 +20,7 @@
 	return true
 }
 
-// respondPartlyThenStall sends all but the end of a response.
+// respondPartlyThenStall sends all but the end of a response and keeps the connection open.
 func respondPartlyThenStall(s *serverConn, c receivedCall) bool {
 	text := s.response(c.text, c.id)
 	s.write(text[:len(text)-5])
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -34,12 +34,12 @@
 }
 
 // Unmarshal decodes one message. Trailing bytes mean that the message is corrupt.
-func (codec) Unmarshal(text []byte, message any) error {
+func (codec) Unmarshal(data []byte, message any) error {
 	m, ok := message.(msgp.Unmarshaler)
 	if !ok {
 		return fmt.Errorf("%T is not a msgp message", message)
 	}
-	rest, err := m.UnmarshalMsg(text)
+	rest, err := m.UnmarshalMsg(data)
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 }
 
 // Caller makes calls to other processes and caches connections and typed clients. It sends
-// each call once: a call of which any part may have arrived is never repeated.
+// each call once: a call of which any part may have arrived is never retried.
 type Caller struct {
 	httpClient *http.Client
 	clients    sync.Map
@@ -133,7 +133,7 @@
 func (c *Caller) Close() { c.httpClient.CloseIdleConnections() }
 
 // Call calls the named method of the process at addr. If ctx has no deadline, the
-// call times out after one second.
+// call times out after defaultTimeout, which is one second.
 func Call[Req, Resp any](ctx context.Context, c *Caller, addr, name string, request *Req) (*Resp, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var stop context.CancelFunc
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -23,10 +23,10 @@
 // textMessage is the request and response message of these tests.
 type textMessage struct{ Text string }
 
-func (n *textMessage) MarshalMsg(b []byte) ([]byte, error) { return msgp.AppendString(b, n.Text), nil }
+func (m *textMessage) MarshalMsg(b []byte) ([]byte, error) { return msgp.AppendString(b, m.Text), nil }
 
-func (n *textMessage) UnmarshalMsg(b []byte) (rest []byte, err error) {
-	n.Text, rest, err = msgp.ReadStringBytes(b)
+func (m *textMessage) UnmarshalMsg(b []byte) (rest []byte, err error) {
+	m.Text, rest, err = msgp.ReadStringBytes(b)
 	return rest, err
 }
 
@@ -57,12 +57,12 @@
 	return c.Conn.Write(p)
 }
 
-// receivedCall is a call as the server received it. conn is the number of its connection.
+// receivedCall is a call as the server received it.
 type receivedCall struct {
-	text   string
-	id     string
-	conn   int
-	header http.Header
+	text       string
+	id         string
+	connNumber int
+	header     http.Header
 }
 
 // fakeServer writes HTTP responses by hand, so that it can also violate the protocol.
@@ -72,7 +72,7 @@
 	received       []receivedCall
 	behaviors      map[string]func(s *serverConn, c receivedCall) bool // by the text of the call
 	earlyResponder func(s *serverConn, request *http.Request) bool     // responds before the body is read; used once
-	omitCallIDs    bool                                                // as the release before call IDs
+	omitCallIDs    bool                                                // behaves like a release that had no call IDs
 }
 
 // serverConn is one connection to a fakeServer. Connections are numbered from 0.
@@ -217,14 +217,14 @@
 	return true
 }
 
-// sendResponseWithoutID sends a response without an ID before the response to this call.
-func sendResponseWithoutID(s *serverConn, c receivedCall) bool {
+// sendResponseWithoutIDFirst sends a response without an ID before the response to this call.
+func sendResponseWithoutIDFirst(s *serverConn, c receivedCall) bool {
 	s.write(s.response("another", "") + s.response(c.text, c.id))
 	return true
 }
 
-// sendOtherRefusalFirst sends the refusal of another call before the response to this one.
-func sendOtherRefusalFirst(s *serverConn, c receivedCall) bool {
+// sendOtherErrorFirst sends an error response to another call before the response to this one.
+func sendOtherErrorFirst(s *serverConn, c receivedCall) bool {
 	body := `{"code":"resource_exhausted","message":"not done"}`
 	s.write(fmt.Sprintf(
 		"HTTP/1.1 429 Too Many Requests\r\nContent-Type: application/json\r\n%s: 00000000deadbeef\r\nContent-Length: %d\r\n\r\n%s",
@@ -235,8 +235,8 @@
 	return respond(s, c)
 }
 
-// sendOtherEmptyRefusal sends the refusal of another call, which has no body, and nothing else.
-func sendOtherEmptyRefusal(s *serverConn, _ receivedCall) bool {
+// sendOtherEmptyError sends an error response without a body to another call, and nothing else.
+func sendOtherEmptyError(s *serverConn, _ receivedCall) bool {
 	s.write("HTTP/1.1 503 Service Unavailable\r\n" + callIDHeader + ": 00000000deadbeef\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
@@ -287,14 +287,16 @@
 		"truncated header":  truncateHeader, "truncated body": truncateBody, "truncated body, reset": truncateBodyAndReset,
 		"garbage":                 sendGarbage,
 		"another call's response": sendOtherResponseFirst,
-		"response without an ID":  sendResponseWithoutID,
-		"another call's refusal":  sendOtherRefusalFirst, "another call's empty refusal": sendOtherEmptyRefusal, "redirect": redirect,
+		"response without an ID":  sendResponseWithoutIDFirst,
+		"another call's error":    sendOtherErrorFirst, "another call's empty error": sendOtherEmptyError, "redirect": redirect,
 	} {
 		for _, reuseConnection := range []bool{true, false} {
 			if name == "response without an ID" && !reuseConnection {
-				continue // covered by TestPeerWithoutCallIDs
+				// On a new connection, a response without an ID is accepted, because the peer may
+				// be of a release that had no call IDs.
+				continue
 			}
-			t.Run(fmt.Sprint(name, " ", reuseConnection), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", connection reused: ", reuseConnection), func(t *testing.T) {
 				server := startFakeServer(t)
 				c := NewCaller(loopback{new(atomic.Bool)})
 				defer c.Close()
@@ -310,12 +312,12 @@
 					got := mustCall(t, c, server.addr, text)
 					require.Equal(t, "response to "+text, got)
 					if name != "redirect" {
-						require.NotEqual(t, server.callsWithText("this")[0].conn, server.callsWithText(text)[0].conn)
+						require.NotEqual(t, server.callsWithText("this")[0].connNumber, server.callsWithText(text)[0].connNumber)
 					}
 				}
 				require.Len(t, server.callsWithText("this"), 1)
 				if reuseConnection {
-					require.Equal(t, server.callsWithText("before")[0].conn, server.callsWithText("this")[0].conn,
+					require.Equal(t, server.callsWithText("before")[0].connNumber, server.callsWithText("this")[0].connNumber,
 						"the call must use the earlier connection")
 				}
 			})
@@ -323,9 +325,9 @@
 	}
 }
 
-// TestDuplicateResponseDuringNextCall checks that a duplicate response to a call, which arrives
-// during the next call, is not taken as the response to that one: it fails with OutcomeUnknown,
-// and later calls succeed.
+// TestDuplicateResponseDuringNextCall checks that if a duplicate response to a call arrives during
+// the next call, the next call fails with OutcomeUnknown instead of taking it as its own response,
+// and that later calls succeed.
 func TestDuplicateResponseDuringNextCall(t *testing.T) {
 	server := startFakeServer(t)
 	c := NewCaller(loopback{new(atomic.Bool)})
@@ -375,26 +377,27 @@
 }
 
 // TestCallAfterFailedWrites checks that a call whose connection accepts no writes does not arrive,
-// and that the same call made again arrives once, without an Idempotency-Key header.
+// and that the same call made again arrives once, without an Idempotency-Key header, with which
+// net/http would retry it on its own.
 func TestCallAfterFailedWrites(t *testing.T) {
-	torn := new(atomic.Bool)
+	failWrites := new(atomic.Bool)
 	server := startFakeServer(t)
-	c := NewCaller(loopback{torn})
+	c := NewCaller(loopback{failWrites})
 	defer c.Close()
 	mustCall(t, c, server.addr, "before")
-	torn.Store(true)
+	failWrites.Store(true)
 	_, err := call(c, server.addr, "this")
 	require.Error(t, err)
 	require.Empty(t, server.callsWithText("this"))
-	torn.Store(false)
+	failWrites.Store(false)
 	mustCall(t, c, server.addr, "this")
 	require.Len(t, server.callsWithText("this"), 1)
 	require.Empty(t, server.callsWithText("this")[0].header.Get("Idempotency-Key"))
 }
 
 // TestResponseBeforeRequestIsSent checks that no later call is sent on a connection on which the
-// response to a long call arrived before the whole request was sent. The peer would read that
-// call as part of the long request.
+// response to a large call arrived before all of its request was sent. The peer would read the
+// later call as part of the large request.
 func TestResponseBeforeRequestIsSent(t *testing.T) {
 	server := startFakeServer(t)
 	c := NewCaller(loopback{new(atomic.Bool)})
@@ -403,21 +406,21 @@
 	var arrived atomic.Bool
 	server.earlyResponder = func(s *serverConn, request *http.Request) bool {
 		arrived.Store(true)
-		s.write(s.response("long", request.Header.Get(callIDHeader)))
+		s.write(s.response("large", request.Header.Get(callIDHeader)))
 		time.Sleep(100 * time.Millisecond)
 		s.conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 		got, _ := io.ReadAll(s.reader)
 		rest <- string(got)
 		return false
 	}
-	long := strings.Repeat("l", 32<<20)
+	large := strings.Repeat("l", 32<<20)
 	for range 20 { // on a busy machine a call may time out before any of it is sent
-		call(c, server.addr, long)
+		call(c, server.addr, large)
 		if arrived.Load() {
 			break
 		}
 	}
-	require.True(t, arrived.Load(), "the long call must reach the peer")
+	require.True(t, arrived.Load(), "the large call must reach the peer")
 	for i := range 3 {
 		got := mustCall(t, c, server.addr, fmt.Sprint("next", i))
 		require.Equal(t, fmt.Sprint("response to next", i), got)
@@ -425,8 +428,8 @@
 	require.NotContains(t, <-rest, "next")
 }
 
-// TestPeerWithoutCallIDs checks that calls to a process of the release before call IDs, which
-// echoes none, succeed.
+// TestPeerWithoutCallIDs checks that calls to a process of a release that had no call IDs succeed,
+// although it echoes none.
 func TestPeerWithoutCallIDs(t *testing.T) {
 	server := startFakeServer(t)
 	server.omitCallIDs = true
@@ -437,7 +440,7 @@
 		got := mustCall(t, c, server.addr, text)
 		require.Equal(t, "response to "+text, got)
 	}
-	require.Equal(t, 0, server.callsWithText("n2")[0].conn, "all calls must use one connection")
+	require.Equal(t, 0, server.callsWithText("n2")[0].connNumber, "all calls must use one connection")
 }
 
 // TestServerEchoesCallIDs checks that a server echoes the IDs of calls, including failed calls and
@@ -486,8 +489,8 @@
 	require.NoError(t, <-served)
 }
 
-// TestUnmarshalRejectsCorruptMessages checks that messages with trailing bytes and truncated
-// messages, as requests or responses, are rejected.
+// TestUnmarshalRejectsCorruptMessages checks that the codec rejects truncated messages and messages
+// with trailing bytes.
 func TestUnmarshalRejectsCorruptMessages(t *testing.T) {
 	message, _ := (&textMessage{"this"}).MarshalMsg(nil)
 	require.NoError(t, codec{}.Unmarshal(message, &textMessage{}))
