--- a/failure/failure.go
+++ b/failure/failure.go
@@ -26,7 +26,7 @@
 	// Stale means that the operation was not executed, because a newer version, fencing token or
 	// epoch is in force.
 	Stale Kind = "stale"
-	// DataLost means that the peer, or the memory that the operation needs, is permanently lost.
+	// DataLost means that the peer, or the data that the operation needs, is permanently lost.
 	DataLost Kind = "lost"
 	// InvalidArgument means that the request is invalid and fails on every peer.
 	InvalidArgument Kind = "bad"
--- a/host/host.go
+++ b/host/host.go
@@ -31,13 +31,17 @@
 // Disk stores small files and logs in one directory. Save and Log.Append return
 // only after the written data has been synced.
 type Disk interface {
+	// Save stores a file and replaces any existing file of that name.
 	Save(name string, body []byte) error
+	// Load returns the content of a file, or ErrNotExist if there is none.
 	Load(name string) ([]byte, error)
 	// Create creates an empty log and replaces any existing log of that name.
 	Create(name string) (Log, error)
 	// Open returns an existing log and its entries, or ErrNotExist if there is none.
 	Open(name string) (Log, [][]byte, error)
+	// Remove removes a file or log. The removal need not survive a power loss.
 	Remove(name string) error
+	// List returns the names of all files and logs in alphabetical order.
 	List() ([]string, error)
 }
 
--- a/host/log.go
+++ b/host/log.go
@@ -7,8 +7,8 @@
 // On opening a log, a record at its end that a power loss left incomplete is removed. A record
 // with a wrong checksum before an intact record means that acknowledged data is damaged. Opening
 // the log then fails with an error saying that the disk counts as lost: its data must not be
-// used. A damaged length prefix is not detected as damage: the records from there on usually
-// can't be decoded and are removed like an incomplete record.
+// used. A damaged length prefix in the newest segment is not detected as damage: the records from
+// there on usually can't be decoded, and are removed like an incomplete record.
 
 package host
 
--- a/host/powerloss_test.go
+++ b/host/powerloss_test.go
@@ -164,7 +164,8 @@
 	require.NoError(t, os.WriteFile(filepath.Join(dir, segment(5)), body, 0o644))
 	require.NoError(t, reopen(dir), "two complete consecutive segments")
 	require.NoError(t, os.Truncate(filepath.Join(dir, segment(1)), int64(len(body)-3)))
-	require.ErrorContains(t, reopen(dir), "an older segment ends in an incomplete or damaged record: the disk counts as lost")
+	require.ErrorContains(t, reopen(dir),
+		"an older segment ends in an incomplete or damaged record: the disk counts as lost")
 
 	dir = createLog()
 	require.NoError(t, os.Remove(filepath.Join(dir, segment(1))))
--- a/host/simulated/disk.go
+++ b/host/simulated/disk.go
@@ -81,13 +81,14 @@
 
 var errProcessDead = errors.New("the process is dead")
 
-// perform waits while the disk is stalled and, for a write, for the disk's delay. It then
-// runs apply under the world's lock. If the process dies before that, applyTorn runs with
-// probability 1/2, unless it is nil.
-func (p *processDisk) perform(name string, write bool, apply, applyTorn func(d *disk)) error {
+// perform waits while the machine is frozen, while the disk is stalled, and for a write also for
+// the disk's delay. It then runs apply under the world's lock. If the process dies while perform
+// waits for the disk, applyTorn runs with probability 1/2 instead, unless it is nil. Errors contain
+// the given step.
+func (p *processDisk) perform(step string, write bool, apply, applyTorn func(d *disk)) error {
 	w := p.process.machine.world
 	if !p.process.waitWhileFrozen() {
-		return failure.As(errProcessDead, failure.DataLost, name, "disk")
+		return failure.As(errProcessDead, failure.DataLost, step, "disk")
 	}
 	w.mu.Lock()
 	d := p.process.machine.disk
@@ -113,7 +114,7 @@
 		if applyTorn != nil && w.random.IntN(2) == 0 {
 			applyTorn(d)
 		}
-		return failure.As(errProcessDead, failure.DataLost, name, "disk")
+		return failure.As(errProcessDead, failure.DataLost, step, "disk")
 	}
 	if write {
 		d.syncs++
--- a/host/simulated/net.go
+++ b/host/simulated/net.go
@@ -241,7 +241,8 @@
 func (l *listener) Addr() net.Addr { return l.addr }
 
 // dial opens a connection in one round trip. It times out if either link direction is
-// blocked or the machine is powered off, and is refused if no process listens on addr.
+// blocked or the machine is powered off or does not exist, and is refused if no process
+// listens on addr.
 func (p *Process) dial(ctx context.Context, addr string) (net.Conn, error) {
 	ip, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/ids/ids.go
+++ b/ids/ids.go
@@ -9,7 +9,7 @@
 type Seq uint64
 
 // Fence is a fencing token. The core issues a greater one with every grant of a lease, and the
-// recipients of the lease holder's orders reject an order whose token is smaller than one that
+// recipients of the lease holder's commands reject a command whose token is smaller than one that
 // they have seen.
 type Fence uint64
 
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -377,8 +377,8 @@
 }
 
 // TestCallAfterFailedWrites checks that a call whose connection accepts no writes does not arrive,
-// and that the same call made again arrives once, without an Idempotency-Key header, with which
-// net/http would retry it on its own.
+// and that the same call made again arrives once, without an Idempotency-Key header, which would
+// allow net/http to retry the call on its own.
 func TestCallAfterFailedWrites(t *testing.T) {
 	failWrites := new(atomic.Bool)
 	server := startFakeServer(t)
