--- a/coordination/disk_loss_test.go
+++ b/coordination/disk_loss_test.go
@@ -79,12 +79,12 @@
 				rest = append(rest, ip)
 			}
 		}
-		f.world.SetPartitioned([]string{previous}, rest, true)
+		f.world.Partition([]string{previous}, rest, true)
 		require.NoError(t, f.submitNumber(1, "b", 8*time.Second))
 		time.Sleep(300 * time.Millisecond)
 		for _, v := range f.watchers {
 			require.EqualValues(t, 8, v.sum.Load())
 		}
-		f.world.SetPartitioned([]string{previous}, rest, false)
+		f.world.Partition([]string{previous}, rest, false)
 	})
 }
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -186,8 +186,8 @@
 // close powers off all machines and waits until their goroutines have ended.
 func (f *testCluster) close() {
 	for ip := range f.processes {
-		f.world.Machine(ip).SetFrozen(false)
-		f.world.Machine(ip).SetDiskStalled(false)
+		f.world.Machine(ip).Freeze(false)
+		f.world.Machine(ip).StallDisk(false)
 		f.powerOff(ip)
 	}
 	time.Sleep(30 * time.Second)
@@ -282,13 +282,13 @@
 				ip := fmt.Sprintf("10.0.1.%d", (int(seed)+i)%2+1)
 				switch (int(seed) + i) % 4 {
 				case 0:
-					f.world.SetBlocked([]string{ip}, []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, true)
+					f.world.Block([]string{ip}, []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, true)
 					time.Sleep(5 * time.Second)
-					f.world.SetBlocked([]string{ip}, []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, false)
+					f.world.Block([]string{ip}, []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}, false)
 				case 1:
-					f.world.Machine(ip).SetFrozen(true)
+					f.world.Machine(ip).Freeze(true)
 					time.Sleep(4 * time.Second)
-					f.world.Machine(ip).SetFrozen(false)
+					f.world.Machine(ip).Freeze(false)
 				case 2:
 					l := f.leader()
 					if l != "" {
--- a/coordination/failover_times_test.go
+++ b/coordination/failover_times_test.go
@@ -44,7 +44,7 @@
 				rest = append(rest, ip)
 			}
 		}
-		f.world.SetBlocked(rest, []string{primary}, true)
+		f.world.Block(rest, []string{primary}, true)
 		return f.waitForAnswer(t)
 	}},
 	{"backup loses power, until a command is answered", func(t *testing.T, f *testCluster, seed uint64) time.Duration {
@@ -74,7 +74,7 @@
 	for ip := range f.processes {
 		all = append(all, ip)
 	}
-	f.world.SetPartitioned(all, all, false)
+	f.world.Partition(all, all, false)
 }
 
 // waitForAnswer submits a new command and returns the time until it is answered.
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -72,14 +72,14 @@
 		all := []string{primary, backup, witness, spare}
 		before := f.cores[primary].Directory().Record().Epoch
 		f.world.Machine(primary).SetDiskDelay(200 * time.Millisecond)
-		f.world.SetPartitioned([]string{witness}, all, true)
+		f.world.Partition([]string{witness}, all, true)
 		accepted := func() bool { return f.cores[backup].Directory().Record().Epoch > before }
 		require.True(t, waitUntil(20*time.Second, accepted), "the change begins")
 		f.powerOff(primary)
 		f.world.Machine(primary).SetDiskDelay(time.Millisecond)
 		f.isolate([]string{backup}, true)
 		f.isolate([]string{spare}, true)
-		f.world.SetPartitioned([]string{witness}, []string{primary}, false)
+		f.world.Partition([]string{witness}, []string{primary}, false)
 		f.startMember(primary + ":1")
 		err := f.submitNumber(2, "b", 6*time.Second)
 		if err != nil {
@@ -88,10 +88,10 @@
 		f.powerOff(primary)
 		f.isolate([]string{backup}, false)
 		f.isolate([]string{spare}, false)
-		f.world.SetPartitioned([]string{witness}, []string{backup, spare}, true)
+		f.world.Partition([]string{witness}, []string{backup, spare}, true)
 		time.Sleep(5 * time.Second)
 		require.False(t, f.cores[backup].Leads(), "it leads without an acknowledged command")
-		f.world.SetPartitioned([]string{witness}, []string{backup, spare}, false)
+		f.world.Partition([]string{witness}, []string{backup, spare}, false)
 		ctx, stop := context.WithTimeout(context.Background(), 15*time.Second)
 		defer stop()
 		r, err := f.agents[1].Submit(ctx, "c", "add", []byte("4"))
@@ -108,7 +108,7 @@
 			rest = append(rest, ip)
 		}
 	}
-	f.world.SetPartitioned(group, rest, partitioned)
+	f.world.Partition(group, rest, partitioned)
 }
 
 // leave makes a core hand over its roles and then powers it off; its disk stays.
@@ -270,7 +270,7 @@
 			t.Context(), caller, primary+":1", coordination.SubmitMethod, request,
 		)
 		require.True(t, failure.Is(err, failure.InvalidArgument), "while it leads: %v", err)
-		f.world.SetPartitioned([]string{primary}, others, true)
+		f.world.Partition([]string{primary}, others, true)
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
 		_, err = rpc.Call[coordination.SubmitRequest, coordination.SubmitResponse](
@@ -305,17 +305,17 @@
 				witness = ip
 			}
 		}
-		f.world.SetPartitioned([]string{previous}, []string{backup, witness}, true)
+		f.world.Partition([]string{previous}, []string{backup, witness}, true)
 		caller := rpc.NewCaller(f.processes["10.0.1.2"].Host().Net)
 		request := &coordination.SubmitRequest{Op: "lost", Kind: "add", Body: []byte("100")}
 		_, err := rpc.Call[coordination.SubmitRequest, coordination.SubmitResponse](
 			t.Context(), caller, previous+":1", coordination.SubmitMethod, request,
 		)
 		require.Error(t, err)
-		f.world.SetPartitioned([]string{"10.0.1.1", "10.0.1.2"}, []string{previous}, true)
+		f.world.Partition([]string{"10.0.1.1", "10.0.1.2"}, []string{previous}, true)
 		require.NoError(t, f.submitNumber(2, "b", 10*time.Second))
 		f.powerOff(witness)
-		f.world.SetPartitioned([]string{previous}, []string{backup, witness, "10.0.1.1", "10.0.1.2"}, false)
+		f.world.Partition([]string{previous}, []string{backup, witness, "10.0.1.1", "10.0.1.2"}, false)
 		require.NoError(t, f.submitNumber(4, "c", 10*time.Second))
 		f.powerOff(backup)
 		f.startMember(witness + ":1")
--- a/coordination/partition_test.go
+++ b/coordination/partition_test.go
@@ -37,10 +37,10 @@
 	}
 	for _, ip := range group {
 		if loss != outboundLost {
-			f.world.SetBlocked(rest, []string{ip}, partitioned)
+			f.world.Block(rest, []string{ip}, partitioned)
 		}
 		if loss != inboundLost {
-			f.world.SetBlocked([]string{ip}, rest, partitioned)
+			f.world.Block([]string{ip}, rest, partitioned)
 		}
 	}
 }
--- a/coordination/primary_call_test.go
+++ b/coordination/primary_call_test.go
@@ -63,7 +63,7 @@
 		defer call.Close()
 		require.NoError(t, submitIncrement(call, directory, 5*time.Second, time.Second, "known"))
 		primary := f.leader()
-		f.world.Machine(primary).SetFrozen(true)
+		f.world.Machine(primary).Freeze(true)
 		began := time.Now()
 		go func() {
 			time.Sleep(2 * time.Second)
@@ -71,7 +71,7 @@
 		}()
 		require.NoError(t, submitIncrement(call, directory, 20*time.Second, 15*time.Second, "left"))
 		require.Less(t, time.Since(began), 5*time.Second)
-		f.world.Machine(primary).SetFrozen(false)
+		f.world.Machine(primary).Freeze(false)
 		time.Sleep(4 * time.Second)
 		require.EqualValues(t, 3, f.watchers[0].sum.Load())
 	})
@@ -88,11 +88,11 @@
 		defer call.Close()
 		require.NoError(t, submitIncrement(call, directory, 5*time.Second, time.Second, "known"))
 		primary := f.leader()
-		f.world.Machine(primary).SetFrozen(true)
+		f.world.Machine(primary).Freeze(true)
 		began := time.Now()
 		require.NoError(t, submitIncrement(call, directory, 20*time.Second, 420*time.Millisecond, "given-up"))
 		require.Less(t, time.Since(began), 5*time.Second)
-		f.world.Machine(primary).SetFrozen(false)
+		f.world.Machine(primary).Freeze(false)
 	})
 }
 
@@ -108,7 +108,7 @@
 		require.NoError(t, submitIncrement(call, directory, 5*time.Second, time.Second, "known"))
 		time.Sleep(25 * time.Second) // by then idle connections are closed and no request is in flight
 		cores := []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
-		f.world.SetPartitioned([]string{"10.0.2.9"}, cores, true)
+		f.world.Partition([]string{"10.0.2.9"}, cores, true)
 		ctx, stop := context.WithCancel(context.Background())
 		time.AfterFunc(500*time.Millisecond, stop)
 		began := time.Now()
@@ -119,7 +119,7 @@
 		})
 		require.Error(t, err)
 		require.Less(t, time.Since(began), 600*time.Millisecond)
-		f.world.SetPartitioned([]string{"10.0.2.9"}, cores, false)
+		f.world.Partition([]string{"10.0.2.9"}, cores, false)
 		time.Sleep(3 * time.Second)
 		require.EqualValues(t, 2, f.watchers[0].sum.Load())
 	})
--- a/coordination/random_faults_test.go
+++ b/coordination/random_faults_test.go
@@ -110,9 +110,9 @@
 	case 3:
 		other := machineIP(w.seeds[w.randN(len(w.seeds))])
 		w.record("block %s to %s for %s", ip, other, duration)
-		w.world.SetBlocked([]string{ip}, []string{other}, true)
+		w.world.Block([]string{ip}, []string{other}, true)
 		time.Sleep(duration)
-		w.world.SetBlocked([]string{ip}, []string{other}, false)
+		w.world.Block([]string{ip}, []string{other}, false)
 	case 4:
 		w.record("slow disk %s for %s", ip, duration)
 		w.world.Machine(ip).SetDiskDelay(time.Duration(20+w.randN(300)) * time.Millisecond)
@@ -128,14 +128,14 @@
 		w.startMember(ip + ":1")
 	case 6:
 		w.record("freeze %s for %s", ip, duration)
-		w.world.Machine(ip).SetFrozen(true)
+		w.world.Machine(ip).Freeze(true)
 		time.Sleep(duration)
-		w.world.Machine(ip).SetFrozen(false)
+		w.world.Machine(ip).Freeze(false)
 	default:
 		w.record("stall the disk of %s for %s", ip, duration)
-		w.world.Machine(ip).SetDiskStalled(true)
+		w.world.Machine(ip).StallDisk(true)
 		time.Sleep(duration)
-		w.world.Machine(ip).SetDiskStalled(false)
+		w.world.Machine(ip).StallDisk(false)
 	}
 	time.Sleep(time.Duration(w.randN(1500)) * time.Millisecond)
 }
--- a/coordination/redundant_checks_test.go
+++ b/coordination/redundant_checks_test.go
@@ -64,7 +64,7 @@
 // start the second round, although the other voters are a majority and have promised.
 func TestProposerMustPromise(t *testing.T) {
 	withServingCores(t, func(world *simulated.World, cores []*Core) {
-		world.Machine("10.0.0.1").SetDiskStalled(true)
+		world.Machine("10.0.0.1").StallDisk(true)
 		cores[0].dataMu.Lock()
 		_, err := cores[0].runBallot(context.Background(), ballotOptions{leadingEpoch: firstEpoch})
 		cores[0].dataMu.Unlock()
@@ -74,7 +74,7 @@
 			require.Equal(t, ids.Epoch(2), promised)
 			require.Equal(t, firstEpoch, record.Epoch)
 		}
-		world.Machine("10.0.0.1").SetDiskStalled(false)
+		world.Machine("10.0.0.1").StallDisk(false)
 		time.Sleep(time.Minute)
 	})
 }
@@ -91,12 +91,12 @@
 		next.setBackups([]Replica{cores[3].self})
 		cores[3].readyEpoch.Store(2)
 		others := []string{"10.0.0.2", "10.0.0.3"}
-		world.SetPartitioned([]string{"10.0.0.1"}, others, true)
+		world.Partition([]string{"10.0.0.1"}, others, true)
 		err := cores[0].runSecondRound(context.Background(), next, next.backups())
 		require.True(t, failure.Is(err, failure.OutcomeUnknown), "%v", err)
 		record, _ := cores[3].acceptedRecord()
 		require.Equal(t, ids.Epoch(2), record.Epoch, "the backup has accepted")
-		world.SetPartitioned([]string{"10.0.0.1"}, others, false)
+		world.Partition([]string{"10.0.0.1"}, others, false)
 		require.NoError(t, cores[0].runSecondRound(context.Background(), next, next.backups()))
 	})
 }
--- a/host/simulated/disk.go
+++ b/host/simulated/disk.go
@@ -34,9 +34,9 @@
 	m.disk.delay = delay
 }
 
-// SetDiskStalled stalls or resumes the disk. Operations that start on a stalled disk wait until it
-// is resumed.
-func (m *Machine) SetDiskStalled(stalled bool) {
+// StallDisk stalls the disk, or resumes it if stalled is false. Operations that start on a stalled
+// disk wait until it is resumed.
+func (m *Machine) StallDisk(stalled bool) {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
 	m.disk.stalled = stalled
--- a/host/simulated/world.go
+++ b/host/simulated/world.go
@@ -146,9 +146,10 @@
 	w.notify()
 }
 
-// SetBlocked blocks or unblocks all links from the machines in from to those in to, in that
-// direction only. It ignores the link of a machine to itself.
-func (w *World) SetBlocked(from, to []string, blocked bool) {
+// Block blocks all links from the machines in from to those in to, in that direction only, or
+// unblocks them if blocked is false.
+// It ignores the link of a machine to itself.
+func (w *World) Block(from, to []string, blocked bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range from {
@@ -167,10 +168,11 @@
 	w.notify()
 }
 
-// SetPartitioned blocks or unblocks all links between two groups of machines in both directions.
-func (w *World) SetPartitioned(a, b []string, blocked bool) {
-	w.SetBlocked(a, b, blocked)
-	w.SetBlocked(b, a, blocked)
+// Partition blocks all links between two groups of machines in both directions, or unblocks them if
+// blocked is false.
+func (w *World) Partition(a, b []string, blocked bool) {
+	w.Block(a, b, blocked)
+	w.Block(b, a, blocked)
 }
 
 // SetMachineLinks sets the speed and the delay of the links, in both directions, between a machine
@@ -265,9 +267,9 @@
 	m.world.notify()
 }
 
-// SetFrozen freezes or resumes the machine. While it is frozen, its processes block when they dial,
-// read, write or access the disk. Its clock continues to run.
-func (m *Machine) SetFrozen(frozen bool) {
+// Freeze freezes the machine, or resumes it if frozen is false. While it is frozen, its processes
+// block when they dial, read, write or access the disk. Its clock continues to run.
+func (m *Machine) Freeze(frozen bool) {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
 	m.frozen = frozen
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -187,7 +187,7 @@
 					f.powerOffCore(leader)
 				}
 			case 1:
-				f.world.SetPartitioned(faultyIPs, coreIPs, true)
+				f.world.Partition(faultyIPs, coreIPs, true)
 			case 2:
 				f.setFrozen(faulty, true)
 			case 3:
@@ -213,7 +213,7 @@
 			require.NoError(t, err)
 			version = next
 			time.Sleep(2 * time.Second)
-			f.world.SetPartitioned(faultyIPs, coreIPs, false)
+			f.world.Partition(faultyIPs, coreIPs, false)
 			f.setFrozen(faulty, false)
 			if !f.nodes[faulty].running {
 				f.startNode(faulty)
@@ -450,7 +450,7 @@
 		}
 		require.Equal(t, http.StatusNotFound, status("a", "/new/x"))
 		peers := append([]string{f.nodes[0].ip, f.nodes[1].ip}, coreIPs...)
-		f.world.SetPartitioned([]string{partitioned.ip}, peers, true)
+		f.world.Partition([]string{partitioned.ip}, peers, true)
 		time.Sleep(time.Second)
 		routes := append(defaultRoutes(), fleetstate.Route{
 			Name:            "new",
@@ -467,7 +467,7 @@
 		require.Equal(t, http.StatusServiceUnavailable, status("b", "/new/x"))
 		require.Equal(t, http.StatusServiceUnavailable, status("c", "/none/x"))
 		require.Equal(t, http.StatusOK, status("d", "/again/x"), "known routes are still served")
-		f.world.SetPartitioned([]string{partitioned.ip}, peers, false)
+		f.world.Partition([]string{partitioned.ip}, peers, false)
 		require.True(t, f.waitUntil(5*time.Second, func() bool { return f.currentOnAllNodes(2) }))
 		require.True(t, f.waitUntil(5*time.Second, func() bool { return partitioned.agent.CaughtUp(caughtUpMaxAge) }))
 		require.Equal(t, http.StatusOK, status("e", "/new/x"))
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -205,7 +205,7 @@
 
 // setFrozen freezes a node at its next network operation, or lets it continue.
 func (f *fleet) setFrozen(i int, on bool) {
-	f.world.Machine(nodeIP(i)).SetFrozen(on)
+	f.world.Machine(nodeIP(i)).Freeze(on)
 	f.platform.withLock(func() { f.platform.frozenNodes[nodeIP(i)] = on })
 }
 
@@ -277,7 +277,7 @@
 		}
 	}
 	for _, ip := range coreIPs {
-		f.world.Machine(ip).SetFrozen(false)
+		f.world.Machine(ip).Freeze(false)
 		f.powerOffCore(ip)
 	}
 	close(f.stopped)
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -336,7 +336,7 @@
 					if fault == "killed" {
 						f.powerOffCore(ip)
 					} else {
-						f.world.Machine(ip).SetFrozen(true)
+						f.world.Machine(ip).Freeze(true)
 					}
 				}
 				for i, node := range f.nodes {
--- a/internal/proxy/metering_test.go
+++ b/internal/proxy/metering_test.go
@@ -371,17 +371,17 @@
 		time.Sleep(9 * time.Second)
 		f.setFrozen(holder, false)
 	case 2:
-		f.world.SetPartitioned(holderIPs, coreIPs, true)
+		f.world.Partition(holderIPs, coreIPs, true)
 		time.Sleep(10 * time.Second)
-		f.world.SetPartitioned(holderIPs, coreIPs, false)
+		f.world.Partition(holderIPs, coreIPs, false)
 	case 3:
-		f.world.SetBlocked(coreIPs, holderIPs, true)
+		f.world.Block(coreIPs, holderIPs, true)
 		time.Sleep(10 * time.Second)
-		f.world.SetBlocked(coreIPs, holderIPs, false)
+		f.world.Block(coreIPs, holderIPs, false)
 	case 4:
-		f.world.SetBlocked(holderIPs, []string{meteringIP}, true)
+		f.world.Block(holderIPs, []string{meteringIP}, true)
 		time.Sleep(6 * time.Second)
-		f.world.SetBlocked(holderIPs, []string{meteringIP}, false)
+		f.world.Block(holderIPs, []string{meteringIP}, false)
 	case 5:
 		recorder.withLock(func() { recorder.delay = 3 * time.Second })
 		time.Sleep(4 * time.Second)
@@ -391,9 +391,9 @@
 		recorder.withLock(func() { recorder.delay = 0 })
 	case 6:
 		recorder.withLock(func() { recorder.rejectNext = 5 })
-		f.world.SetBlocked(holderIPs, coreIPs, true)
+		f.world.Block(holderIPs, coreIPs, true)
 		time.Sleep(8 * time.Second)
-		f.world.SetBlocked(holderIPs, coreIPs, false)
+		f.world.Block(holderIPs, coreIPs, false)
 	case 7:
 		node := f.nodes[holder]
 		f.withLock(func() { node.running = false })
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -181,7 +181,7 @@
 				f := startFleet(t, 30, 2, platform, defaultConfiguration(), func(o *Options) { o.RetryAllowance = allowance })
 				defer f.close()
 				time.Sleep(time.Second)
-				f.world.SetPartitioned([]string{nodeIP(0)}, append([]string{nodeIP(1)}, coreIPs...), true)
+				f.world.Partition([]string{nodeIP(0)}, append([]string{nodeIP(1)}, coreIPs...), true)
 				require.True(t, f.waitUntil(10*time.Second, func() bool { return len(f.nodes[1].agent.Members()) == 1 }))
 				if partitionedBeforeLoad > 0 { // a node updates its estimate of the number of nodes only when it retries
 					f.generateLoad(2, partitionedBeforeLoad, func(i int) *Request { return f.newRequest(fmt.Sprint("b", i), "/again/x", 400, 4) })
@@ -365,7 +365,7 @@
 		time.Sleep(2 * time.Second)
 		others := append([]string{nodeIP(0), nodeIP(2)}, coreIPs...)
 		setPartitioned := func(on bool) {
-			f.world.SetPartitioned([]string{nodeIP(1)}, others, on)
+			f.world.Partition([]string{nodeIP(1)}, others, on)
 			platform.withLock(func() { platform.partitionedNodes[nodeIP(1)] = on })
 		}
 		setPartitioned(true)
--- a/internal/proxy/role_balance_test.go
+++ b/internal/proxy/role_balance_test.go
@@ -174,9 +174,9 @@
 				time.Sleep(5 * time.Second)
 				f.setFrozen(holder, false)
 			case 2:
-				f.world.SetPartitioned(holderIPs, coreIPs, true)
+				f.world.Partition(holderIPs, coreIPs, true)
 				time.Sleep(6 * time.Second)
-				f.world.SetPartitioned(holderIPs, coreIPs, false)
+				f.world.Partition(holderIPs, coreIPs, false)
 			case 3:
 				f.setFrozen(holder, true)
 				time.Sleep(2 * time.Second)
@@ -257,7 +257,7 @@
 		time.Sleep(3 * time.Second)
 		holder := f.roleLeaseHolder()
 		require.GreaterOrEqual(t, holder, 0)
-		f.world.SetPartitioned([]string{nodeIP(holder)}, coreIPs, true)
+		f.world.Partition([]string{nodeIP(holder)}, coreIPs, true)
 		next := -1
 		require.True(t, f.waitUntil(20*time.Second, func() bool { next = f.roleLeaseHolder(); return next >= 0 && next != holder }))
 		assignedAt := platform.elapsed()
--- a/internal/proxy/stale_version_test.go
+++ b/internal/proxy/stale_version_test.go
@@ -147,9 +147,9 @@
 func TestCoreFailureCausesNoRejections(t *testing.T) {
 	for name, fault := range map[string]func(f *fleet, leader string){
 		"power":  func(f *fleet, leader string) { f.powerOffCore(leader) },
-		"frozen": func(f *fleet, leader string) { f.world.Machine(leader).SetFrozen(true) },
+		"frozen": func(f *fleet, leader string) { f.world.Machine(leader).Freeze(true) },
 		"partitioned from the other cores": func(f *fleet, leader string) {
-			f.world.SetPartitioned([]string{leader}, coreIPs, true)
+			f.world.Partition([]string{leader}, coreIPs, true)
 		},
 		"power of all cores": func(f *fleet, _ string) {
 			for _, ip := range coreIPs {
@@ -157,7 +157,7 @@
 			}
 		},
 		"nodes partitioned from the core": func(f *fleet, _ string) {
-			f.world.SetPartitioned([]string{nodeIP(0), nodeIP(1), nodeIP(2)}, coreIPs, true)
+			f.world.Partition([]string{nodeIP(0), nodeIP(1), nodeIP(2)}, coreIPs, true)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -397,8 +397,8 @@
 // Close stops all processes of the fleet and waits until their goroutines have ended.
 func (c *Cluster) Close() {
 	for _, p := range c.Processes {
-		p.Machine.SetFrozen(false)
-		p.Machine.SetDiskStalled(false)
+		p.Machine.Freeze(false)
+		p.Machine.StallDisk(false)
 		c.Kill(p)
 	}
 	c.cancel()
--- a/internal/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -104,16 +104,16 @@
 	}},
 	{"a disk stalls", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := pickOne(r, running(c, "controller"))
-		p.Machine.SetDiskStalled(true)
+		p.Machine.StallDisk(true)
 		time.Sleep(randomDuration(r, 500, 5000))
-		p.Machine.SetDiskStalled(false)
+		p.Machine.StallDisk(false)
 		return nil
 	}},
 	{"a controller freezes and resumes", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := pickOne(r, running(c, "controller"))
-		p.Machine.SetFrozen(true)
+		p.Machine.Freeze(true)
 		time.Sleep(randomDuration(r, 500, 5000))
-		p.Machine.SetFrozen(false)
+		p.Machine.Freeze(false)
 		return nil
 	}},
 	{"the leader partitioned from the other controllers", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
@@ -124,9 +124,9 @@
 				rest = append(rest, o)
 			}
 		}
-		c.World.SetPartitioned(addresses(p), addresses(rest...), true)
+		c.World.Partition(addresses(p), addresses(rest...), true)
 		time.Sleep(randomDuration(r, 1000, 5000))
-		c.World.SetPartitioned(addresses(p), addresses(rest...), false)
+		c.World.Partition(addresses(p), addresses(rest...), false)
 		return nil
 	}},
 	{"slow disks", "", func(c *Cluster, r *rand.Rand, _ string) error {
@@ -149,9 +149,9 @@
 	}},
 	{"a router freezes and resumes after its keys moved", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := pickOne(r, c.Of("router"))
-		p.Machine.SetFrozen(true)
+		p.Machine.Freeze(true)
 		time.Sleep(randomDuration(r, 3500, 6500))
-		p.Machine.SetFrozen(false)
+		p.Machine.Freeze(false)
 		return nil
 	}},
 	{"clocks jump", "", func(c *Cluster, r *rand.Rand, _ string) error {
@@ -164,9 +164,9 @@
 	{"a router partitioned from controllers and routers", "links", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := pickOne(r, c.Of("router"))
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
-		c.World.SetPartitioned(addresses(p), peers, true)
+		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(randomDuration(r, 1000, 6000))
-		c.World.SetPartitioned(addresses(p), peers, false)
+		c.World.Partition(addresses(p), peers, false)
 		return nil
 	}},
 	{"all leases expire", "links", func(c *Cluster, r *rand.Rand, _ string) error {
--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -168,15 +168,15 @@
 			}
 		}
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
-		c.World.SetPartitioned(addresses(b), peers, true)
+		c.World.Partition(addresses(b), peers, true)
 		err := emptied(c, w.Zone, "cut", 7*time.Second)
-		c.World.SetPartitioned(addresses(b), peers, false)
+		c.World.Partition(addresses(b), peers, false)
 		return err
 	}},
 	{Name: "worker-leaves-its-holder-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
 		w := pickOne(r, c.Of("worker"))
 		b := holder(c, ids.WorkerID(w.Name))
-		c.World.SetPartitioned(addresses(b), []string{"10.8.0.1"}, true)
+		c.World.Partition(addresses(b), []string{"10.8.0.1"}, true)
 		time.Sleep(time.Second)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
 		c.Recorder.RecordMark("leave", w.Name)
@@ -189,7 +189,7 @@
 			})
 			time.Sleep(100 * time.Millisecond)
 		}
-		c.World.SetPartitioned(addresses(b), []string{"10.8.0.1"}, false)
+		c.World.Partition(addresses(b), []string{"10.8.0.1"}, false)
 		return nil
 	}},
 	{Name: "workers-leave-while-leader-and-holder-die", Run: func(c *Cluster, r *rand.Rand) error {
@@ -208,7 +208,7 @@
 		b := able(c)
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		for n := range 3 {
-			c.World.SetPartitioned(addresses(b), peers, true)
+			c.World.Partition(addresses(b), peers, true)
 			insist(c, b)
 			randomPause(r)
 			for k := range 3 {
@@ -217,7 +217,7 @@
 				}
 			}
 			time.Sleep(time.Second)
-			c.World.SetPartitioned(addresses(b), peers, false)
+			c.World.Partition(addresses(b), peers, false)
 			time.Sleep(time.Second)
 		}
 		return nil
--- a/internal/simulation/governed_work_test.go
+++ b/internal/simulation/governed_work_test.go
@@ -98,11 +98,11 @@
 	{"revoked-while-cut", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
 		box := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
-		c.World.SetPartitioned(addresses(box), peers, true)
+		c.World.Partition(addresses(box), peers, true)
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
 		err := b.Revoke("c-" + certifiedBox(c, r, "d").Name)
 		time.Sleep(time.Second)
-		c.World.SetPartitioned(addresses(box), peers, false)
+		c.World.Partition(addresses(box), peers, false)
 		return err
 	}},
 	{"expiry-while-cut", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
@@ -126,9 +126,9 @@
 		box := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		time.Sleep(time.Duration(1500+r.IntN(1000)) * time.Millisecond)
-		c.World.SetPartitioned(addresses(box), peers, true)
+		c.World.Partition(addresses(box), peers, true)
 		time.Sleep(5 * time.Second)
-		c.World.SetPartitioned(addresses(box), peers, false)
+		c.World.Partition(addresses(box), peers, false)
 		return nil
 	}},
 	{"leader-dies-in-a-revocation", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
--- a/internal/simulation/machine_scripts_test.go
+++ b/internal/simulation/machine_scripts_test.go
@@ -164,19 +164,19 @@
 	{Name: "leader-and-router-freeze", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		p, v := leader(c), pickOne(r, c.Of("router"))
-		p.Machine.SetFrozen(true)
-		v.Machine.SetFrozen(true)
+		p.Machine.Freeze(true)
+		v.Machine.Freeze(true)
 		time.Sleep(time.Duration(2000+r.IntN(5000)) * time.Millisecond)
-		p.Machine.SetFrozen(false)
-		v.Machine.SetFrozen(false)
+		p.Machine.Freeze(false)
+		v.Machine.Freeze(false)
 		return nil
 	}},
 	{Name: "disk-stalls", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		p := pickOne(r, c.Of("controller"))
-		p.Machine.SetDiskStalled(true)
+		p.Machine.StallDisk(true)
 		time.Sleep(6 * time.Second)
-		p.Machine.SetDiskStalled(false)
+		p.Machine.StallDisk(false)
 		time.Sleep(3 * time.Second)
 		return changeRetryAfter(c, "after-stall", 2000)
 	}},
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -110,7 +110,7 @@
 // PartitionCore partitions the core from all routers, or removes the partition.
 func (c *Cluster) PartitionCore(on bool) {
 	c.Recorder.RecordMark(map[bool]string{true: "partition", false: "heal"}[on], "core")
-	c.World.SetPartitioned(addresses(c.Of("controller")...), addresses(c.Of("router")...), on)
+	c.World.Partition(addresses(c.Of("controller")...), addresses(c.Of("router")...), on)
 }
 
 // corePartitionedSince reports whether the core was partitioned from all routers at any time since then.
--- a/internal/simulation/other_scripts_test.go
+++ b/internal/simulation/other_scripts_test.go
@@ -42,9 +42,9 @@
 				rest = append(rest, o.Machine.IP)
 			}
 		}
-		c.World.SetPartitioned(addresses(p), rest, true)
+		c.World.Partition(addresses(p), rest, true)
 		time.Sleep(6 * time.Second)
-		c.World.SetPartitioned(addresses(p), rest, false)
+		c.World.Partition(addresses(p), rest, false)
 		time.Sleep(2 * time.Second)
 		return changeRetryAfter(c, "after-split", 2200)
 	}},
@@ -53,12 +53,12 @@
 		p := leader(c)
 		rest := c.addressesExcept(p)
 		if r.IntN(2) == 0 {
-			c.World.SetBlocked(addresses(p), rest, true)
+			c.World.Block(addresses(p), rest, true)
 		} else {
-			c.World.SetBlocked(rest, addresses(p), true)
+			c.World.Block(rest, addresses(p), true)
 		}
 		time.Sleep(6 * time.Second)
-		c.World.SetPartitioned(addresses(p), rest, false)
+		c.World.Partition(addresses(p), rest, false)
 		return nil
 	}},
 	{Name: "router-isolated-from-peers", Run: func(c *Cluster, r *rand.Rand) error {
@@ -66,9 +66,9 @@
 		p := pickOne(r, c.Of("router"))
 		// Workers and clients still reach the router, but controllers and other routers don't.
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
-		c.World.SetPartitioned(addresses(p), peers, true)
+		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(7 * time.Second)
-		c.World.SetPartitioned(addresses(p), peers, false)
+		c.World.Partition(addresses(p), peers, false)
 		return nil
 	}},
 	{Name: "all-leases-expire", Run: func(c *Cluster, r *rand.Rand) error {
@@ -104,9 +104,9 @@
 			randomPause(r)
 			p := pickOne(r, c.Of("worker"))
 			if r.IntN(2) == 0 {
-				p.Machine.SetFrozen(true)
+				p.Machine.Freeze(true)
 				time.Sleep(4 * time.Second)
-				p.Machine.SetFrozen(false)
+				p.Machine.Freeze(false)
 			} else {
 				p.Worker.SetFaults(standin.Faults{Unresponsive: true})
 				time.Sleep(4 * time.Second)
@@ -240,14 +240,14 @@
 	{Name: "storm-with-a-node-cut-from-the-core", Run: func(c *Cluster, r *rand.Rand) error {
 		p := able(c)
 		core := addresses(c.Of("controller")...)
-		c.World.SetPartitioned(addresses(p), core, true)
+		c.World.Partition(addresses(p), core, true)
 		insist(c, p)
 		for n := range 4 {
 			if err := changeRetryAfter(c, fmt.Sprintf("cut-%d", n), 5000+n); err != nil {
 				return err
 			}
 		}
-		c.World.SetPartitioned(addresses(p), core, false)
+		c.World.Partition(addresses(p), core, false)
 		return nil
 	}},
 }
--- a/internal/simulation/price_test.go
+++ b/internal/simulation/price_test.go
@@ -92,7 +92,7 @@
 					peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 					switch way {
 					case "a node cut off":
-						c.World.SetPartitioned(addresses(partitioned), peers, true)
+						c.World.Partition(addresses(partitioned), peers, true)
 					case "the leader killed":
 						go func() {
 							time.Sleep(time.Duration(i) * 3 * time.Millisecond)
@@ -100,7 +100,7 @@
 						}()
 					}
 					require.NoError(t, b.Revoke(fmt.Sprint("x", i)))
-					c.World.SetPartitioned(addresses(partitioned), peers, false)
+					c.World.Partition(addresses(partitioned), peers, false)
 					time.Sleep(2 * time.Second)
 					require.NoError(t, c.Start(lead))
 					time.Sleep(4*time.Second + time.Duration(i)*7*time.Millisecond)
--- a/internal/simulation/regime_test.go
+++ b/internal/simulation/regime_test.go
@@ -275,7 +275,7 @@
 			}
 		}()
 		time.Sleep(time.Second)
-		c.World.SetPartitioned(addresses(partitioned), peers, true)
+		c.World.Partition(addresses(partitioned), peers, true)
 		time.Sleep(50 * time.Millisecond)
 		require.NoError(t, b.Revoke("c-d1"))
 		require.NoError(t, b.Revoke("c-d2"))
@@ -285,7 +285,7 @@
 		require.Error(t, err, "its word is too old for anybody")
 		time.Sleep(4 * time.Second)
 		require.Empty(t, b.Check(nil))
-		c.World.SetPartitioned(addresses(partitioned), peers, false)
+		c.World.Partition(addresses(partitioned), peers, false)
 		require.True(t, c.WaitUntil(8*time.Second, func() bool {
 			got, err := c.stream(partitioned, speech)
 			return err == nil && got[len(got)-1].End == api.Complete
