--- a/host/log.go
+++ b/host/log.go
@@ -26,7 +26,8 @@
 )
 
 const (
-	// segmentSize is larger than any expected log, so that a log never starts a second segment.
+	// segmentSize is larger than any expected log, so that a log does not start a second segment.
+	// Append does not check that a log stays below it.
 	segmentSize       = 1 << 30
 	segmentNameLength = 20
 )
--- a/host/simulated/world.go
+++ b/host/simulated/world.go
@@ -147,8 +147,7 @@
 }
 
 // Block blocks all links from the machines in from to those in to, in that direction only, or
-// unblocks them if blocked is false.
-// It ignores the link of a machine to itself.
+// unblocks them if blocked is false. It ignores the link of a machine to itself.
 func (w *World) Block(from, to []string, blocked bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/ids/hash.go
+++ b/ids/hash.go
@@ -2,8 +2,8 @@
 
 import "hash/fnv"
 
-// Hash returns the 64-bit FNV-1a hash of s. Nodes derive from it which of them is responsible for
-// what, so its results must be the same in all versions of the code.
+// Hash returns the 64-bit FNV-1a hash of s. Nodes use it to assign responsibilities among
+// themselves, so its results must be the same in all versions of the code.
 func Hash(s string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(s))
