--- a/host/host.go
+++ b/host/host.go
@@ -31,13 +31,17 @@
 // Disk stores small files and logs in one directory. Save and Log.Append return
 // only after the written data has been synced.
 type Disk interface {
+	// Save stores a file and replaces any existing file of that name.
 	Save(name string, body []byte) error
+	// Load returns the content of a file, or ErrNotExist if there is none.
 	Load(name string) ([]byte, error)
 	// Create creates an empty log and replaces any existing log of that name.
 	Create(name string) (Log, error)
 	// Open returns an existing log and its entries, or ErrNotExist if there is none.
 	Open(name string) (Log, [][]byte, error)
+	// Remove removes a file or log. The removal need not survive a power loss.
 	Remove(name string) error
+	// List returns the names of all files and logs in alphabetical order.
 	List() ([]string, error)
 }
 
@@ -54,8 +58,7 @@
 	Disk  Disk
 }
 
-// Sleep waits for d or until ctx is done, and reports whether the whole of d
-// elapsed.
+// Sleep waits for d or until ctx is done, and reports whether d elapsed.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := NewTimer(d)
 	defer t.Stop()
@@ -101,13 +104,14 @@
 }
 
 // ChannelMutex is a mutex that may be held during clock, network and disk operations.
-// Waiting for it blocks on a channel, so simulated time advances in the meantime.
+// Waiting for it blocks on a channel, so time in a testing/synctest bubble can advance in the
+// meantime, which it can't while a goroutine waits for a sync.Mutex.
 type ChannelMutex chan struct{}
 
 // NewChannelMutex returns an unlocked mutex.
 func NewChannelMutex() ChannelMutex { return make(ChannelMutex, 1) }
 
-// Lock locks the mutex and waits until it is available.
+// Lock waits until the mutex is unlocked, and locks it.
 func (l ChannelMutex) Lock() { l <- struct{}{} }
 
 // Unlock unlocks the mutex.
--- a/host/simulated/disk.go
+++ b/host/simulated/disk.go
@@ -1,6 +1,7 @@
-// The simulated disk. An operation takes effect when its delay has elapsed. If the
-// process dies during a write, a random choice decides whether all, part or none of the
-// write remains. A disk can be slow, stall, or lose its content.
+// The simulated disk. A write takes effect when its delay has elapsed. If the process dies
+// during a write, a random choice decides whether the write takes effect, and for an append
+// to a log, how many of the entries are stored; a removal never takes effect then. A disk can
+// be slow, stall, or lose its content.
 
 package simulated
 
@@ -33,15 +34,17 @@
 	m.disk.delay = delay
 }
 
-// StallDisk blocks all disk operations while on is true.
-func (m *Machine) StallDisk(on bool) {
+// StallDisk stalls the disk, or resumes it if stalled is false. Operations that start on a stalled
+// disk wait until it is resumed.
+func (m *Machine) StallDisk(stalled bool) {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
-	m.disk.stalled = on
+	m.disk.stalled = stalled
 	m.world.notify()
 }
 
-// WipeDisk erases the disk, including what a dying process was still writing.
+// WipeDisk erases the disk. Operations in progress, including writes of a dying process, still use
+// the old content, so their writes are lost as well.
 func (m *Machine) WipeDisk() {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
@@ -50,7 +53,8 @@
 	m.disk = next
 }
 
-// SyncCount returns the number of writes that became durable.
+// SyncCount returns the number of writes that completed. It omits those that took effect although
+// the process died during the write.
 func (m *Machine) SyncCount() int {
 	m.world.mu.Lock()
 	defer m.world.mu.Unlock()
@@ -77,13 +81,14 @@
 
 var errProcessDead = errors.New("the process is dead")
 
-// perform waits while the disk is stalled and, for a write, for the disk's delay. It then
-// runs apply under the world's lock. If the process dies before that, applyTorn runs with
-// probability 1/2, unless it is nil.
-func (p *processDisk) perform(name string, write bool, apply, applyTorn func(d *disk)) error {
+// perform waits while the machine is frozen, while the disk is stalled, and for a write also for
+// the disk's delay. It then runs apply under the world's lock. If the process dies while perform
+// waits for the disk, applyTorn runs with probability 1/2 instead, unless it is nil. Errors contain
+// the given step.
+func (p *processDisk) perform(step string, write bool, apply, applyTorn func(d *disk)) error {
 	w := p.process.machine.world
 	if !p.process.waitWhileFrozen() {
-		return failure.As(errProcessDead, failure.DataLost, name, "disk")
+		return failure.As(errProcessDead, failure.DataLost, step, "disk")
 	}
 	w.mu.Lock()
 	d := p.process.machine.disk
@@ -109,7 +114,7 @@
 		if applyTorn != nil && w.random.IntN(2) == 0 {
 			applyTorn(d)
 		}
-		return failure.As(errProcessDead, failure.DataLost, name, "disk")
+		return failure.As(errProcessDead, failure.DataLost, step, "disk")
 	}
 	if write {
 		d.syncs++
--- a/host/simulated/net.go
+++ b/host/simulated/net.go
@@ -1,5 +1,6 @@
-// The simulated network: byte streams that preserve order, delay their data, wait until
-// a blocked link heals as TCP would, and break when a process at either end dies.
+// The simulated network: byte streams that preserve order, delay their data, and wait until a
+// blocked link is unblocked, as TCP would. They are reset when a process at either end is killed,
+// except by PowerOff, which does not reset the peer's end.
 
 package simulated
 
@@ -30,7 +31,7 @@
 func (a address) Network() string { return "simulated" }
 func (a address) String() string  { return string(a) }
 
-// chunk is data in transit.
+// chunk is a segment of a write in transit, or what remains of it after a partial read.
 type chunk struct {
 	arrivesAt time.Time
 	data      []byte
@@ -52,6 +53,8 @@
 	p.changed = make(chan struct{})
 }
 
+// fail makes reads of the pipe return err after the data in transit. A reset discards that data and
+// replaces an earlier error. The caller holds the world's mu.
 func (p *pipe) fail(err error) {
 	if p.err == nil || err == errReset {
 		p.err = err
@@ -62,6 +65,7 @@
 	}
 }
 
+// connection is one end of a connection.
 type connection struct {
 	process *Process
 	in, out *pipe
@@ -141,8 +145,8 @@
 	}
 	l := w.link(outbound.sender, outbound.receiver)
 	for segment := range slices.Chunk(b, segmentSize) {
-		arrivesAt := w.machines[outbound.sender].link.send(time.Now(), len(segment)).Add(l.Delay)
-		arrivesAt = w.machines[outbound.receiver].link.receive(arrivesAt, len(segment))
+		arrivesAt := w.machines[outbound.sender].netInterface.reserveSend(time.Now(), len(segment)).Add(l.Delay)
+		arrivesAt = w.machines[outbound.receiver].netInterface.reserveReceive(arrivesAt, len(segment))
 		if arrivesAt.Before(outbound.nextArrival) {
 			arrivesAt = outbound.nextArrival
 		}
@@ -179,6 +183,7 @@
 	return nil
 }
 
+// SetWriteDeadline has no effect, because writes do not wait for the network.
 func (c *connection) SetWriteDeadline(time.Time) error { return nil }
 
 // listener accepts the connections that other processes open to one address.
@@ -236,7 +241,8 @@
 func (l *listener) Addr() net.Addr { return l.addr }
 
 // dial opens a connection in one round trip. It times out if either link direction is
-// blocked or the machine is powered off, and is refused if no process listens on addr.
+// blocked or the machine is powered off or does not exist, and is refused if no process
+// listens on addr.
 func (p *Process) dial(ctx context.Context, addr string) (net.Conn, error) {
 	ip, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/ids/ids.go
+++ b/ids/ids.go
@@ -9,7 +9,7 @@
 type Seq uint64
 
 // Fence is a fencing token. The core issues a greater one with every grant of a lease, and the
-// recipients of the lease holder's orders reject an order whose token is smaller than one that
+// recipients of the lease holder's commands reject a command whose token is smaller than one that
 // they have seen.
 type Fence uint64
 
@@ -33,7 +33,7 @@
 // Zone is the name of a failure domain of the platform.
 type Zone string
 
-// Key identifies a duty, which the core leases to at most one holder at a time.
+// Key identifies a responsibility, which the core leases to at most one holder at a time.
 type Key string
 
 // OpID identifies an operation on the core's state. An operation that is submitted repeatedly
