--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -62,7 +62,7 @@
 							w, n := b.Worker.PrefixHits()
 							warm, read = warm+w, read+n
 						}
-						a, b := sum.Kinds[site.Classes[0].Kind], sum.Kinds[site.Classes[1].Kind]
+						first, second := sum.Kinds[site.Classes[0].Kind], sum.Kinds[site.Classes[1].Kind]
 						fmt.Printf(
 							"| %s | %s | %d | %d of %d | %.0f / %.0f | %.0f / %.0f | %.0f%% |\n",
 							name,
@@ -70,10 +70,10 @@
 							seed,
 							sum.Ends["complete"],
 							sum.Sent,
-							a.FirstP50,
-							a.FirstP99,
-							b.FirstP50,
-							b.FirstP99,
+							first.FirstP50,
+							first.FirstP99,
+							second.FirstP50,
+							second.FirstP99,
 							100*float64(warm)/float64(max(read, 1)),
 						)
 						require.Empty(t, c.Recorder.Check(nil))
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -107,8 +107,8 @@
 		require.LessOrEqual(t, moved[i].turns, int64(2*span/(2*time.Second)), "it must not flap")
 		require.Positive(t, moved[i].parts[ids.Prefill])
 		require.Positive(t, moved[i].parts[ids.Decode])
-		a, b := fixed[i].read.Ends["complete"]+
+		fixedCompleted, changedCompleted := fixed[i].read.Ends["complete"]+
 			fixed[i].write.Ends["complete"], moved[i].read.Ends["complete"]+moved[i].write.Ends["complete"]
-		require.Greater(t, b, a, "turning helps")
+		require.Greater(t, changedCompleted, fixedCompleted, "turning helps")
 	}
 }
--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/duties_test.go
@@ -135,16 +135,16 @@
 // Duties are the scripts of operators and the platform.
 var Duties = []Script{
 	{Name: "zone-emptied-while-leader-dies", Run: func(c *Cluster, r *rand.Rand) error {
-		b := leader(c)
+		p := leader(c)
 		done := make(chan error, 1)
 		go func() {
 			time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
 			done <- emptied(c, pickOne(r, c.Site.Zones), "die", 7*time.Second)
 		}()
 		time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
-		c.Kill(b)
+		c.Kill(p)
 		time.Sleep(4 * time.Second)
-		return errors.Join(c.Start(b), <-done)
+		return errors.Join(c.Start(p), <-done)
 	}},
 	{Name: "zones-emptied-by-two-at-once", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
@@ -161,55 +161,55 @@
 	{Name: "zone-emptied-with-a-holder-cut", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		// The node that is cut is also the one that the operator asks first.
-		w, b := pickOne(r, c.Of("worker")), c.Of("router")[0]
+		w, p := pickOne(r, c.Of("worker")), c.Of("router")[0]
 		for _, o := range c.Of("worker") {
-			if holder(c, ids.WorkerID(o.Name)) == b {
+			if holder(c, ids.WorkerID(o.Name)) == p {
 				w = o
 			}
 		}
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
-		c.World.Partition(addresses(b), peers, true)
+		c.World.Partition(addresses(p), peers, true)
 		err := emptied(c, w.Zone, "cut", 7*time.Second)
-		c.World.Partition(addresses(b), peers, false)
+		c.World.Partition(addresses(p), peers, false)
 		return err
 	}},
 	{Name: "worker-leaves-its-holder-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
 		w := pickOne(r, c.Of("worker"))
-		b := holder(c, ids.WorkerID(w.Name))
-		c.World.Partition(addresses(b), []string{"10.8.0.1"}, true)
+		p := holder(c, ids.WorkerID(w.Name))
+		c.World.Partition(addresses(p), []string{"10.8.0.1"}, true)
 		time.Sleep(time.Second)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
 		c.Recorder.RecordMark("leave", w.Name)
 		// The platform hands nobody to this door now; who knows it still comes.
 		for i := range 40 {
-			c.stream(b, api.StreamRequest{
+			c.stream(p, api.StreamRequest{
 				Kind:      c.Site.Classes[1].Kind,
 				Prompt:    fmt.Sprint("who still comes here ", i),
 				MaxTokens: 4,
 			})
 			time.Sleep(100 * time.Millisecond)
 		}
-		c.World.Partition(addresses(b), []string{"10.8.0.1"}, false)
+		c.World.Partition(addresses(p), []string{"10.8.0.1"}, false)
 		return nil
 	}},
 	{Name: "workers-leave-while-leader-and-holder-die", Run: func(c *Cluster, r *rand.Rand) error {
 		w := pickOne(r, c.Of("worker"))
-		b, l := holder(c, ids.WorkerID(w.Name)), leader(c)
+		p, l := holder(c, ids.WorkerID(w.Name)), leader(c)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
 		c.Recorder.RecordMark("leave", w.Name)
 		time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond)
 		c.Kill(l)
-		c.Kill(b)
+		c.Kill(p)
 		time.Sleep(5 * time.Second)
-		return errors.Join(c.Start(l), c.Start(b))
+		return errors.Join(c.Start(l), c.Start(p))
 	}},
 	{Name: "storm-with-a-node-cut-from-its-kind", Run: func(c *Cluster, r *rand.Rand) error {
 		// Callers and workers still reach it; nobody tells it what is new.
-		b := able(c)
+		p := able(c)
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		for n := range 3 {
-			c.World.Partition(addresses(b), peers, true)
-			insist(c, b)
+			c.World.Partition(addresses(p), peers, true)
+			insist(c, p)
 			randomPause(r)
 			for k := range 3 {
 				if err := changeRetryAfter(c, fmt.Sprintf("alone-%d-%d", n, k), 6000+10*n+k); err != nil {
@@ -217,7 +217,7 @@
 				}
 			}
 			time.Sleep(time.Second)
-			c.World.Partition(addresses(b), peers, false)
+			c.World.Partition(addresses(p), peers, false)
 			time.Sleep(time.Second)
 		}
 		return nil
@@ -228,8 +228,8 @@
 		LoadDuration: 38 * time.Second,
 		NoFailures:   true,
 		Run: func(c *Cluster, _ *rand.Rand) error {
-			for _, b := range c.Of("router") {
-				if err := stopped(c, b); err != nil {
+			for _, p := range c.Of("router") {
+				if err := stopped(c, p); err != nil {
 					return err
 				}
 			}
@@ -241,25 +241,25 @@
 		LoadDuration: 45 * time.Second,
 		NoFailures:   true,
 		Run: func(c *Cluster, r *rand.Rand) error {
-			for _, b := range c.Of("controller") {
-				if err := restartAfter(c, b, 2*time.Second, false); err != nil {
+			for _, p := range c.Of("controller") {
+				if err := restartAfter(c, p, 2*time.Second, false); err != nil {
 					return err
 				}
 				time.Sleep(2 * time.Second)
 			}
-			for _, b := range c.Of("worker") {
-				id := ids.WorkerID(b.Name)
+			for _, p := range c.Of("worker") {
+				id := ids.WorkerID(p.Name)
 				c.Platform.MarkLeaving(id)
-				c.Recorder.RecordMark("leave", b.Name)
-				if !c.WaitUntil(6*time.Second, func() bool { return b.Worker.UsedBlocks() == 0 }) {
-					return fmt.Errorf("%s did not drain", b.Name)
+				c.Recorder.RecordMark("leave", p.Name)
+				if !c.WaitUntil(6*time.Second, func() bool { return p.Worker.UsedBlocks() == 0 }) {
+					return fmt.Errorf("%s did not drain", p.Name)
 				}
 				time.Sleep(time.Second)
-				c.Kill(b)
-				c.Recorder.RecordMark("return", b.Name)
+				c.Kill(p)
+				c.Recorder.RecordMark("return", p.Name)
 				c.Platform.RemoveWorker(id)
 				time.Sleep(500 * time.Millisecond)
-				if err := c.Start(b); err != nil {
+				if err := c.Start(p); err != nil {
 					return err
 				}
 			}
--- a/internal/simulation/governed_work_test.go
+++ b/internal/simulation/governed_work_test.go
@@ -40,9 +40,9 @@
 
 // Sittings are what machines, operators and time do to governed work.
 var Sittings = []Sitting{
-	{"workers-crash", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
-		for _, sort := range []string{"d", "p"} {
-			w := certifiedBox(c, r, sort)
+	{"workers-crash", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+		for _, role := range []string{"d", "p"} {
+			w := certifiedBox(c, r, role)
 			c.Kill(w)
 			time.Sleep(time.Duration(500+r.IntN(1500)) * time.Millisecond)
 			if err := c.Start(w); err != nil {
@@ -52,9 +52,9 @@
 		}
 		return nil
 	}},
-	{"workers-drained", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
-		for i, sort := range []string{"d", "p"} {
-			w := certifiedBox(c, r, sort)
+	{"workers-drained", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+		for i, role := range []string{"d", "p"} {
+			w := certifiedBox(c, r, role)
 			if err := c.Mark("/v1/workers/"+w.Name, fmt.Sprint("out", i), true); err != nil {
 				return err
 			}
@@ -65,97 +65,97 @@
 		}
 		return nil
 	}},
-	{"worker-joins", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
+	{"worker-joins", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		// The fourth pair, so far uncertified, is certified under load.
-		b.certify([]string{"p4", "d4"}, []string{"router-5"})
-		return applyPartial(c, "join", marshalPartial(map[string]any{"certificates": b.certs}))
+		m.certify([]string{"p4", "d4"}, []string{"router-5"})
+		return applyPartial(c, "join", marshalPartial(map[string]any{"certificates": m.certs}))
 	}},
-	{"zone-lost", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
-		z := pickOne(r, c.Site.Zones)
+	{"zone-lost", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+		zone := pickOne(r, c.Site.Zones)
 		var down []*Process
-		for _, box := range c.Processes {
-			if box.Zone == z && box.Up {
-				c.PowerOff(box)
-				down = append(down, box)
+		for _, p := range c.Processes {
+			if p.Zone == zone && p.Up {
+				c.PowerOff(p)
+				down = append(down, p)
 			}
 		}
 		time.Sleep(6 * time.Second)
 		var err error
-		for _, box := range down {
-			err = errors.Join(err, c.Start(box))
+		for _, p := range down {
+			err = errors.Join(err, c.Start(p))
 		}
 		return err
 	}},
-	{"revoked-mid-stream", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
-		for _, sort := range []string{"d", "p"} {
-			if err := b.Revoke("c-" + certifiedBox(c, r, sort).Name); err != nil {
+	{"revoked-mid-stream", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+		for _, role := range []string{"d", "p"} {
+			if err := m.Revoke("c-" + certifiedBox(c, r, role).Name); err != nil {
 				return err
 			}
 			randomPause(r)
 		}
-		return b.Revoke("c-router-" + strconv.Itoa(1+r.IntN(4)))
+		return m.Revoke("c-router-" + strconv.Itoa(1+r.IntN(4)))
 	}},
-	{"revoked-while-cut", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
-		box := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
+	{"revoked-while-cut", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+		p := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
-		c.World.Partition(addresses(box), peers, true)
+		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
-		err := b.Revoke("c-" + certifiedBox(c, r, "d").Name)
+		err := m.Revoke("c-" + certifiedBox(c, r, "d").Name)
 		time.Sleep(time.Second)
-		c.World.Partition(addresses(box), peers, false)
+		c.World.Partition(addresses(p), peers, false)
 		return err
 	}},
-	{"expiry-while-cut", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
+	{"expiry-while-cut", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		// Two get other certificates, which end soon, and then their first are revoked.
 		for _, w := range []string{"d1", "p1"} {
-			part := ids.Decode
+			workerRole := ids.Decode
 			if w[0] == 'p' {
-				part = ids.Prefill
+				workerRole = ids.Prefill
 			}
-			b.sign("short-"+w, certification.Certificate{
+			m.sign("short-"+w, certification.Certificate{
 				Worker: ids.WorkerID(w),
-				Roles:  []ids.Role{part},
+				Roles:  []ids.Role{workerRole},
 			}, 5*time.Second)
 		}
-		if err := applyPartial(c, "short", marshalPartial(map[string]any{"certificates": b.certs})); err != nil {
+		if err := applyPartial(c, "short", marshalPartial(map[string]any{"certificates": m.certs})); err != nil {
 			return err
 		}
-		if err := errors.Join(b.Revoke("c-d1"), b.Revoke("c-p1")); err != nil {
+		if err := errors.Join(m.Revoke("c-d1"), m.Revoke("c-p1")); err != nil {
 			return err
 		}
-		box := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
+		p := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		time.Sleep(time.Duration(1500+r.IntN(1000)) * time.Millisecond)
-		c.World.Partition(addresses(box), peers, true)
+		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(5 * time.Second)
-		c.World.Partition(addresses(box), peers, false)
+		c.World.Partition(addresses(p), peers, false)
 		return nil
 	}},
-	{"leader-dies-in-a-revocation", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
+	{"leader-dies-in-a-revocation", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		l := leader(c)
 		done := make(chan error, 1)
-		go func() { done <- b.Revoke("c-" + certifiedBox(c, r, "d").Name) }()
+		go func() { done <- m.Revoke("c-" + certifiedBox(c, r, "d").Name) }()
 		time.Sleep(time.Duration(r.IntN(120)) * time.Millisecond)
 		c.Kill(l)
 		err := <-done
 		time.Sleep(2 * time.Second)
 		return errors.Join(err, c.Start(l))
 	}},
-	{"operators-race", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
+	{"operators-race", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		var wg sync.WaitGroup
 		errs := make([]error, 4)
 		for i, serial := range []string{"c-d1", "c-d1", "c-p1", "c-router-1"} {
 			wg.Go(func() {
 				randomPause(r)
-				errs[i] = b.Revoke(serial)
+				errs[i] = m.Revoke(serial)
 			})
 		}
-		b.certify([]string{"p4", "d4"}, nil)
-		err := applyPartial(c, "race", marshalPartial(map[string]any{"certificates": b.certs}))
+		m.certify([]string{"p4", "d4"}, nil)
+		err := applyPartial(c, "race", marshalPartial(map[string]any{"certificates": m.certs}))
 		wg.Wait()
 		return errors.Join(append(errs, err)...)
 	}},
-	{"clocks-leap", func(c *Cluster, b *AuditModel, r *rand.Rand) error {
+	{"clocks-leap", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		for range 3 {
 			pickOne(
 				r, append(c.Of("router"), c.Of("controller")...),
