--- a/Makefile
+++ b/Makefile
@@ -66,4 +66,4 @@
 # The routing programs against each other, on simulated time; STEMS shared beginnings.
 STEMS ?= 1
 compare:
-	KEELSTAIR_COMPARE=1 KEELSTAIR_STEMS=$(STEMS) go test -count=1 -timeout 600s -run 'TestCompare|TestPrice|TestRevocationTimes|TestPrefillBound' ./internal/simulation -v | grep -E "^\||FAIL|^ok" | sort
+	KEELSTAIR_COMPARE=1 KEELSTAIR_STEMS=$(STEMS) go test -count=1 -timeout 600s -run 'TestCompare|TestRegimeOverhead|TestRevocationTimes|TestPrefillBound' ./internal/simulation -v | grep -E "^\||FAIL|^ok" | sort
--- a/internal/simulation/aged_keys_test.go
+++ b/internal/simulation/aged_keys_test.go
@@ -25,7 +25,7 @@
 		}
 	}, func(t *testing.T, c *Cluster) {
 		node := func(i int) *Process { return c.Of("router")[i%len(c.Of("router"))] }
-		ask := func(i int) api.StreamRequest {
+		request := func(i int) api.StreamRequest {
 			a := verdictRequest
 			a.Key = fmt.Sprint("old-", i)
 			return a
@@ -34,50 +34,50 @@
 		serve := func(n int) {
 			for end := next + n; next < end; next++ {
 				require.True(t, c.WaitUntil(8*time.Second, func() bool {
-					got, err := c.stream(node(next), ask(next))
+					got, err := c.stream(node(next), request(next))
 					return err == nil && got[len(got)-1].End == api.Complete
 				}))
 			}
 		}
-		previous := func() {
+		checkAgedKeys := func() {
 			for i := 0; i < next-4; i++ {
-				var last error
+				var err error
 				require.True(t, c.WaitUntil(8*time.Second, func() bool {
-					_, last = c.stream(node(i), ask(i))
-					r, ok := last.(*api.Fault)
+					_, err = c.stream(node(i), request(i))
+					r, ok := err.(*api.Fault)
 					return ok && r.Code != 503
-				}), "key %d of %d: %v", i, next, last)
-				require.Equal(t, "answer-aged", last.(*api.Fault).Name, "key %d of %d", i, next)
+				}), "key %d of %d: %v", i, next, err)
+				require.Equal(t, "answer-aged", err.(*api.Fault).Name, "key %d of %d", i, next)
 			}
-			other := ask(0)
+			other := request(0)
 			other.Seed++
 			_, err := c.stream(node(1), other)
 			require.Equal(t, "key-reused", err.(*api.Fault).Name)
 		}
 		serve(30)
-		previous()
-		b := c.Leader()
-		c.PowerOff(b)
-		b.Machine.WipeDisk()
-		c.add(c.Controller("controller-new", "10.1.0.9:700", b.Zone))
+		checkAgedKeys()
+		p := c.Leader()
+		c.PowerOff(p)
+		p.Machine.WipeDisk()
+		c.add(c.Controller("controller-new", "10.1.0.9:700", p.Zone))
 		time.Sleep(9 * time.Second)
 		serve(20)
-		previous()
-		b = c.Leader()
-		c.PowerOff(b)
-		require.True(t, c.WaitUntil(8*time.Second, func() bool { l := c.Leader(); return l != nil && l != b }))
+		checkAgedKeys()
+		p = c.Leader()
+		c.PowerOff(p)
+		require.True(t, c.WaitUntil(8*time.Second, func() bool { l := c.Leader(); return l != nil && l != p }))
 		time.Sleep(time.Second)
-		previous()
-		for _, b := range c.Of("controller") {
-			c.PowerOff(b)
+		checkAgedKeys()
+		for _, p := range c.Of("controller") {
+			c.PowerOff(p)
 		}
-		for _, b := range c.Of("controller")[1:] {
-			require.NoError(t, c.Start(b))
+		for _, p := range c.Of("controller")[1:] {
+			require.NoError(t, c.Start(p))
 		}
 		require.True(t, c.WaitUntil(8*time.Second, func() bool { return c.Leader() != nil }))
 		time.Sleep(2 * time.Second)
 		serve(4)
-		previous()
+		checkAgedKeys()
 		for i := range next {
 			runs, records := countRuns(c, fmt.Sprint("verdict/old-", i))
 			require.Equal(t, []int{1, 1}, []int{runs, records}, "key %d", i)
--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -24,9 +24,9 @@
 // Uncertified is the line of what must never happen to governed work.
 const Uncertified = "governed work on an uncertified node"
 
-// grace is how long after the acknowledgement of a revocation, or the end of a
+// certificateGrace is how long after the acknowledgement of a revocation, or the end of a
 // certificate, work may still be found at its worker.
-const grace = 2 * time.Second
+const certificateGrace = 2 * time.Second
 
 // governedWork is a site with governed kinds of both sorts and machines to spare.
 var governedWork = standin.Site{
@@ -46,22 +46,22 @@
 		}, {Kind: "clarification", Percent: 40, SharedPrefix: 64, SuffixRange: 16, MaxTokens: 16}},
 }
 
-// grant is a certificate's span at a worker, in the book's time.
-type grant struct{ from, until time.Duration }
+// validPeriod is a certificate's span at a worker, in the book's time.
+type validPeriod struct{ from, until time.Duration }
 
 // AuditModel signs for one regime that governs verdicts and speeches.
 type AuditModel struct {
-	c      *Cluster
-	key    ed25519.PrivateKey
-	issuer certification.Issuer
-	mu     sync.Mutex
-	certs  map[string]certification.Certificate
-	spans  map[string]grant  // by serial
-	work   map[string]string // governed requests by id, with the node that carries them
-	steps  []handoff.Event   // of governed work
-	revoke []time.Duration   // how long each revocation took
-	stays  []time.Duration   // how long memory lay staged
-	keep   int               // percent
+	cluster          *Cluster
+	key              ed25519.PrivateKey
+	issuer           certification.Issuer
+	mu               sync.Mutex
+	certs            map[string]certification.Certificate
+	validPeriods     map[string]validPeriod // by serial
+	governedRequests map[string]string      // governed requests by id, with the node that carries them
+	handoffEvents    []handoff.Event        // of governed work
+	revocationTimes  []time.Duration        // how long each revocation took
+	stagingTimes     []time.Duration        // how long memory lay staged
+	reservedPercent  int                    // percent
 }
 
 // NewAuditModel must be made before the fleet is built, since it listens to its steps.
@@ -71,84 +71,84 @@
 		panic(err)
 	}
 	return &AuditModel{
-		key:   key,
-		keep:  20,
-		certs: map[string]certification.Certificate{},
-		spans: map[string]grant{},
-		work:  map[string]string{},
+		key:              key,
+		reservedPercent:  20,
+		certs:            map[string]certification.Certificate{},
+		validPeriods:     map[string]validPeriod{},
+		governedRequests: map[string]string{},
 	}
 }
 
-// tune hooks the bureau to a fleet.
-func (b *AuditModel) tune(c *Cluster) {
-	b.c, c.FixedRoles = c, true
+// configure hooks the bureau to a fleet.
+func (m *AuditModel) configure(c *Cluster) {
+	m.cluster, c.FixedRoles = c, true
 	// What nobody comes for lies staged no longer than an orphan runs.
 	c.TuneWorker = func(o *standin.WorkerOptions) { o.StagingTTL = 2 * time.Second }
 	now := time.Now().UTC()
-	b.issuer = certification.Issuer{
-		Key:   certification.EncodePublicKey(b.key),
+	m.issuer = certification.Issuer{
+		Key:   certification.EncodePublicKey(m.key),
 		From:  now.AddDate(0, 0, -1).Format(time.RFC3339),
 		Until: now.AddDate(1, 0, 0).Format(time.RFC3339),
 	}
 	c.OnHandoffEvent = func(e handoff.Event) {
 		if e.Regime != "" {
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			b.work[e.ID.Request] = e.Regime
-			b.steps = append(b.steps, e)
+			m.mu.Lock()
+			defer m.mu.Unlock()
+			m.governedRequests[e.ID.Request] = e.Regime
+			m.handoffEvents = append(m.handoffEvents, e)
 		}
 	}
 }
 
 // sign makes a certificate that holds from an hour ago on for a span.
-func (b *AuditModel) sign(serial string, c certification.Certificate, span time.Duration) certification.Certificate {
+func (m *AuditModel) sign(serial string, certificate certification.Certificate, lifetime time.Duration) certification.Certificate {
 	now := time.Now().UTC()
-	c.Serial, c.Regime, c.Issuer = serial, "chair", "k1"
-	c.From, c.Until = now.Add(-time.Hour).Format(time.RFC3339), now.Add(span).Format(time.RFC3339)
-	c.Sign(b.key)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.certs[serial] = c
-	if c.Worker != "" {
-		end, _ := time.Parse(time.RFC3339, c.Until)
-		b.spans[serial] = grant{b.c.Recorder.Now(), b.c.Recorder.Now() + end.Sub(now)}
+	certificate.Serial, certificate.Regime, certificate.Issuer = serial, "chair", "k1"
+	certificate.From, certificate.Until = now.Add(-time.Hour).Format(time.RFC3339), now.Add(lifetime).Format(time.RFC3339)
+	certificate.Sign(m.key)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.certs[serial] = certificate
+	if certificate.Worker != "" {
+		end, _ := time.Parse(time.RFC3339, certificate.Until)
+		m.validPeriods[serial] = validPeriod{m.cluster.Recorder.Now(), m.cluster.Recorder.Now() + end.Sub(now)}
 	}
-	return c
+	return certificate
 }
 
 // certify gives all named a certificate for a day; the serial is c- and the name.
-func (b *AuditModel) certify(workers, nodes []string) {
+func (m *AuditModel) certify(workers, nodes []string) {
 	for _, w := range workers {
-		part := ids.Prefill
+		role := ids.Prefill
 		if w[0] == 'd' {
-			part = ids.Decode
+			role = ids.Decode
 		}
-		b.sign("c-"+w, certification.Certificate{Worker: ids.WorkerID(w), Roles: []ids.Role{part}}, 24*time.Hour)
+		m.sign("c-"+w, certification.Certificate{Worker: ids.WorkerID(w), Roles: []ids.Role{role}}, 24*time.Hour)
 	}
 	for _, n := range nodes {
-		b.sign("c-"+n, certification.Certificate{Node: n}, 24*time.Hour)
+		m.sign("c-"+n, certification.Certificate{Node: n}, 24*time.Hour)
 	}
 }
 
-// part is the operators' part of a configuration with all that was signed so far.
-func (b *AuditModel) part() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// partialConfig is the operators' part of a configuration with all that was signed so far.
+func (m *AuditModel) partialConfig() string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return marshalPartial(map[string]any{
-		"issuers":      map[string]any{"k1": b.issuer},
-		"certificates": maps.Clone(b.certs),
-		"regimes":      map[string]any{"chair": map[string]any{"kinds": []string{"verdict", "speech"}, "keep": b.keep}},
+		"issuers":      map[string]any{"k1": m.issuer},
+		"certificates": maps.Clone(m.certs),
+		"regimes":      map[string]any{"chair": map[string]any{"kinds": []string{"verdict", "speech"}, "keep": m.reservedPercent}},
 	})
 }
 
-// Open applies the part and waits until every certified node clears somebody.
-func (b *AuditModel) Open() error {
-	if err := applyPartial(b.c, "regimes", b.part()); err != nil {
+// ApplyRegimes applies the part and waits until every certified node clears somebody.
+func (m *AuditModel) ApplyRegimes() error {
+	if err := applyPartial(m.cluster, "regimes", m.partialConfig()); err != nil {
 		return err
 	}
-	if !b.c.WaitUntil(10*time.Second, func() bool {
-		for _, box := range running(b.c, "router") {
-			if g := box.Node.Regimes(); g.Latest == 0 || len(g.Regimes) == 0 || len(g.Regimes[0].Shortages) > 0 {
+	if !m.cluster.WaitUntil(10*time.Second, func() bool {
+		for _, p := range running(m.cluster, "router") {
+			if status := p.Node.Regimes(); status.Latest == 0 || len(status.Regimes) == 0 || len(status.Regimes[0].Shortages) > 0 {
 				return false
 			}
 		}
@@ -159,27 +159,27 @@
 	return nil
 }
 
-// Settle waits until certified nodes hold the keys of all certified workers and every node
+// WaitForOwners waits until certified nodes hold the keys of all certified workers and every node
 // knows these workers as ready. When the regimes come into force, a node without a
 // certificate gives up such keys; until the duties have begun at the next holders,
 // governed requests are refused with a time to come back. All must hold for a second,
 // since for shorter than that nodes may still list what the previous holder last said.
-func (b *AuditModel) Settle() error {
-	b.mu.Lock()
+func (m *AuditModel) WaitForOwners() error {
+	m.mu.Lock()
 	var workers, nodes []string
-	for _, c := range b.certs {
-		if c.Worker != "" {
-			workers = append(workers, string(c.Worker))
+	for _, certificate := range m.certs {
+		if certificate.Worker != "" {
+			workers = append(workers, string(certificate.Worker))
 		} else {
-			nodes = append(nodes, c.Node)
+			nodes = append(nodes, certificate.Node)
 		}
 	}
-	b.mu.Unlock()
+	m.mu.Unlock()
 	settled := func() bool {
-		held := map[ids.Key]bool{}
-		for _, box := range running(b.c, "router") {
+		owned := map[ids.Key]bool{}
+		for _, p := range running(m.cluster, "router") {
 			ready := map[string]bool{}
-			for _, w := range box.Node.Status().(*router.NodeStatus).Workers {
+			for _, w := range p.Node.Status().(*router.NodeStatus).Workers {
 				ready[string(w.ID)] = w.Ready
 			}
 			for _, w := range workers {
@@ -187,16 +187,16 @@
 					return false
 				}
 			}
-			if slices.Contains(nodes, box.Name) {
-				for _, k := range holds(box) {
-					held[k] = true
+			if slices.Contains(nodes, p.Name) {
+				for _, k := range ownedKeys(p) {
+					owned[k] = true
 				}
 			}
 		}
-		return !slices.ContainsFunc(workers, func(w string) bool { return !held[fleetstate.WorkerKey(ids.WorkerID(w))] })
+		return !slices.ContainsFunc(workers, func(w string) bool { return !owned[fleetstate.WorkerKey(ids.WorkerID(w))] })
 	}
 	since := time.Now()
-	if !b.c.WaitUntil(10*time.Second, func() bool {
+	if !m.cluster.WaitUntil(10*time.Second, func() bool {
 		if !settled() {
 			since = time.Now()
 		}
@@ -208,31 +208,31 @@
 }
 
 // Revoke ends a certificate as keelstairctl does, until it is acknowledged.
-func (b *AuditModel) Revoke(serial string) error {
-	op, begun := coordination.NewID(), b.c.Recorder.Now()
+func (m *AuditModel) Revoke(serial string) error {
+	op, start := coordination.NewID(), m.cluster.Recorder.Now()
 	var err error
-	b.c.WaitUntil(20*time.Second, func() bool {
-		err = b.c.Post("/v1/certificates/"+serial, &api.MarkRequest{Op: op, Out: true}, nil)
+	m.cluster.WaitUntil(20*time.Second, func() bool {
+		err = m.cluster.Post("/v1/certificates/"+serial, &api.MarkRequest{Op: op, Out: true}, nil)
 		return err == nil
 	})
 	if err != nil {
 		return err
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.c.Recorder.Now()
-	b.revoke = append(b.revoke, now-begun)
-	if g, ok := b.spans[serial]; ok && g.until > now {
-		g.until = now
-		b.spans[serial] = g
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.cluster.Recorder.Now()
+	m.revocationTimes = append(m.revocationTimes, now-start)
+	if period, ok := m.validPeriods[serial]; ok && period.until > now {
+		period.until = now
+		m.validPeriods[serial] = period
 	}
 	return nil
 }
 
-// cleared tells whether a worker may be at governed work at a time.
-func (b *AuditModel) cleared(w ids.WorkerID, at time.Duration) bool {
-	for serial, g := range b.spans {
-		if b.certs[serial].Worker == w && at >= g.from && at <= g.until+grace {
+// isCleared tells whether a worker may be at governed work at a time.
+func (m *AuditModel) isCleared(w ids.WorkerID, at time.Duration) bool {
+	for serial, period := range m.validPeriods {
+		if m.certs[serial].Worker == w && at >= period.from && at <= period.until+certificateGrace {
 			return true
 		}
 	}
@@ -241,35 +241,35 @@
 
 // Check holds the workers' books against the certificates: no order for governed work,
 // and no run of it, at a worker that was not certified then.
-func (b *AuditModel) Check(all []standin.Outcome) []Violation {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, o := range all {
+func (m *AuditModel) Check(outcomes []standin.Outcome) []Violation {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, o := range outcomes {
 		if o.Kind == "verdict" {
-			b.work[router.RequestIDForKey(o.Kind+"/"+o.Key)] = "chair"
+			m.governedRequests[router.RequestIDForKey(o.Kind+"/"+o.Key)] = "chair"
 		}
 	}
-	b.c.Recorder.mu.Lock()
-	defer b.c.Recorder.mu.Unlock()
-	f := &violationList{}
-	begun, staged := map[string]RecordedEvent{}, map[string]RecordedEvent{}
-	for _, e := range b.c.Recorder.events {
-		if b.work[e.ID.Request] == "" {
+	m.cluster.Recorder.mu.Lock()
+	defer m.cluster.Recorder.mu.Unlock()
+	violations := &violationList{}
+	started, staged := map[string]RecordedEvent{}, map[string]RecordedEvent{}
+	for _, e := range m.cluster.Recorder.events {
+		if m.governedRequests[e.ID.Request] == "" {
 			continue
 		}
 		run := fmt.Sprint(e.Worker, e.ID)
 		switch e.What {
 		case "prefill", "import", "export", "resume", "resumed", "record":
-			if !b.cleared(e.Worker, e.When) {
-				f.add(Uncertified, "%s had %s of %s at %s", e.Worker, e.What, e.ID.Request, e.When)
+			if !m.isCleared(e.Worker, e.When) {
+				violations.add(Uncertified, "%s had %s of %s at %s", e.Worker, e.What, e.ID.Request, e.When)
 			}
 		}
 		switch e.What {
 		case "prefill", "import":
-			begun[run] = e
+			started[run] = e
 		case "export", "cancel", "record", "lost", "bounced", "orphan-run", "orphan-import":
-			if previous, ok := begun[run]; ok && !b.cleared(e.Worker, e.When) {
-				f.add(
+			if previous, ok := started[run]; ok && !m.isCleared(e.Worker, e.When) {
+				violations.add(
 					Uncertified,
 					"%s still held %s, begun at %s, at %s",
 					e.Worker,
@@ -278,52 +278,54 @@
 					e.When,
 				)
 			}
-			delete(begun, run)
+			delete(started, run)
 		}
 		switch e.What {
 		case "export":
 			staged[run] = e
 		case "unstaged":
-			if !b.cleared(e.Worker, e.When) {
-				f.add(Uncertified, "%s had %s staged until %s", e.Worker, e.ID.Request, e.When)
+			if !m.isCleared(e.Worker, e.When) {
+				violations.add(Uncertified, "%s had %s staged until %s", e.Worker, e.ID.Request, e.When)
 			}
 			if previous, ok := staged[run]; ok {
-				b.stays = append(b.stays, e.When-previous.When)
+				m.stagingTimes = append(m.stagingTimes, e.When-previous.When)
 			}
 		}
 	}
-	return f.found
+	return violations.found
 }
 
-// governed counts the requests that were found to be so.
-func (b *AuditModel) governed() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.work)
+// countGoverned counts the requests that were found to be so.
+func (m *AuditModel) countGoverned() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.governedRequests)
 }
 
-// serves lists the workers at which a request had governed steps.
-func (b *AuditModel) serves(stage handoff.Step) []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// workersAt lists the workers at which a request had governed steps.
+func (m *AuditModel) workersAt(step handoff.Step) []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var out []string
-	for _, e := range b.steps {
-		if e.Step == stage {
+	for _, e := range m.handoffEvents {
+		if e.Step == step {
 			out = append(out, string(e.Worker))
 		}
 	}
 	return out
 }
 
-func upTo(sort string, n int) []string {
+func numbered(prefix string, n int) []string {
 	var out []string
 	for i := range n {
-		out = append(out, sort+fmt.Sprint(i+1))
+		out = append(out, prefix+fmt.Sprint(i+1))
 	}
 	return out
 }
 
-// usual certifies three of each part and four of the nodes.
-func (b *AuditModel) usual() { b.certify(append(upTo("p", 3), upTo("d", 3)...), upTo("router-", 4)) }
+// certifyMost certifies three of each part and four of the nodes.
+func (m *AuditModel) certifyMost() {
+	m.certify(append(numbered("p", 3), numbered("d", 3)...), numbered("router-", 4))
+}
 
-func holds(b *Process) []ids.Key { return b.Node.Status().(*router.NodeStatus).OwnedKeys }
+func ownedKeys(p *Process) []ids.Key { return p.Node.Status().(*router.NodeStatus).OwnedKeys }
--- /dev/null
+++ b/internal/simulation/clearance_test.go
@@ -0,0 +1,334 @@
+// The single mechanisms that hold governed work to its regime, each by itself.
+
+package simulation
+
+import (
+	"encoding/json"
+	"net/http"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"keelstair.example/coordination"
+	"keelstair.example/ids"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/standin"
+	"keelstair.example/rpc"
+)
+
+// TestOwnerChecks: a holder gives no governed order to an uncertified worker, and lets
+// none import from one, whoever asks; what ends work is always given.
+func TestOwnerChecks(t *testing.T) {
+	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+		for _, w := range []ids.WorkerID{"p4", "d4", "d1"} {
+			require.True(t, c.WaitUntil(5*time.Second, func() bool {
+				return slices.Contains(ownedKeys(ownerOf(c, w)), ids.Key("worker/"+w))
+			}))
+		}
+		time.Sleep(2 * time.Second) // ledgers are open by then
+		sendOrder := func(order router.OrderRequest) error {
+			order.Request, order.Attempt, order.Regime = "x", 1, "chair"
+			order.Version = c.Of("router")[0].Node.View().Current().Version
+			if order.Body == nil {
+				order.Body, _ = json.Marshal(map[string]any{})
+			}
+			caller := rpc.NewCaller(c.clientProcess.Host().Net)
+			defer caller.Close()
+			_, err := rpc.Call[router.OrderRequest, router.OrderResponse](
+				c.ctx, caller, ownerOf(c, order.Worker).Addr, router.OrderMethod, &order,
+			)
+			return err
+		}
+		for _, verb := range []string{"reserve", "prefill", "export"} {
+			require.ErrorContains(t, sendOrder(router.OrderRequest{
+				Worker: "p4",
+				Verb:   verb,
+				Role:   ids.Prefill,
+				Blocks: 1,
+			}), "no certificate", verb)
+		}
+		for _, verb := range []string{"import", "resume"} {
+			require.ErrorContains(t, sendOrder(router.OrderRequest{
+				Worker: "d4",
+				Verb:   verb,
+				Role:   ids.Decode,
+				Source: "p1",
+			}), "no certificate", verb)
+		}
+		require.ErrorContains(t, sendOrder(router.OrderRequest{
+			Worker: "d1",
+			Verb:   "import",
+			Role:   ids.Decode,
+			Source: "p4",
+		}), "worker p4", "its source")
+		require.ErrorContains(t, sendOrder(router.OrderRequest{
+			Worker: "d1",
+			Verb:   "reserve",
+			Role:   ids.Prefill,
+			Blocks: 1,
+		}), "no certificate", "another part")
+		require.NoError(t, sendOrder(router.OrderRequest{Worker: "d1", Verb: "reserve", Role: ids.Decode, Blocks: 1}))
+		require.NoError(t, sendOrder(router.OrderRequest{Worker: "p4", Verb: "done"}))
+		require.NoError(t, sendOrder(router.OrderRequest{Worker: "p4", Verb: "cancel"}))
+	})
+}
+
+// TestRevokedDuringPrefill: a long prefill on a worker that is revoked is left at once, not
+// when it is done, and its memory freed.
+func TestRevokedDuringPrefill(t *testing.T) {
+	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+		waitForRetryBudget(t, c)
+		request := withLongOutput(speechRequest)
+		request.Prompt, request.PromptIds = "", make([]int32, 18000)
+		for i := range request.PromptIds {
+			request.PromptIds[i] = int32(i%4000) + 1
+		}
+		done := c.startStream(routerNamed(c, "router-1"), request)
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Granted)) == 1 }))
+		worker := m.workersAt(handoff.Granted)[0]
+		time.Sleep(100 * time.Millisecond)
+		require.NoError(t, m.Revoke("c-"+worker))
+		acked := c.Recorder.Now()
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Dropped)) >= 1 }))
+		require.Less(t, c.Recorder.Now()-acked, 300*time.Millisecond)
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Granted)) >= 2 }))
+		require.NotEqual(t, worker, m.workersAt(handoff.Granted)[1])
+		got := <-done
+		require.Equal(t, api.Complete, got[len(got)-1].End)
+		require.Empty(t, m.Check(nil))
+	})
+}
+
+// TestFirstTokenAfterRevocation: with pieces that come faster than a running step is looked at, the
+// first one after the revocation was folded already comes from a certified worker.
+func TestFirstTokenAfterRevocation(t *testing.T) {
+	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+		require.NoError(t, m.WaitForOwners())
+		request, p := withLongOutput(speechRequest), routerNamed(c, "router-1")
+		done := c.startStream(p, request)
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Resumed)) == 1 }))
+		worker := m.workersAt(handoff.Resumed)[0]
+		time.Sleep(30 * time.Millisecond)
+		go m.Revoke("c-" + worker)
+		for !sawRevocation(p, "c-"+worker) {
+			time.Sleep(time.Millisecond)
+		}
+		applied := time.Now()
+		require.True(t, c.WaitUntil(time.Second, func() bool { return len(m.workersAt(handoff.Dropped)) >= 1 }))
+		require.Less(t, time.Since(applied), 45*time.Millisecond, "a step of the worker takes ten")
+		requireReferenceOutput(t, c, request, <-done)
+	})
+}
+
+func sawRevocation(p *Process, serial string) bool {
+	_, ok := p.Node.View().Current().RevokedSerials[serial]
+	return ok
+}
+
+// TestNoRegimes: without regimes no time is kept, nothing is recorded, and nobody is
+// asked for a certificate.
+func TestNoRegimes(t *testing.T) {
+	skipUnderRace(t)
+	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
+		all := c.Load(20, 4*time.Second, 1)
+		require.Equal(t, len(all), standin.Summarize(all).Ends[api.Complete])
+		st := c.Of("router")[0].Node.Status().(*router.NodeStatus)
+		require.Zero(t, st.FleetTime)
+		got, err := c.Of("router")[0].Node.AuditRows(c.ctx, 1, 10)
+		require.NoError(t, err)
+		require.Zero(t, got.Count)
+	})
+}
+
+// TestProgramsSeeCleared: a routing program never sees a worker that is not cleared for
+// a governed request; for others it sees all.
+func TestProgramsSeeCleared(t *testing.T) {
+	skipUnderRace(t)
+	synctest.Test(t, func(t *testing.T) {
+		m := NewAuditModel()
+		c := Build(1, governedWork, func(c *Cluster) {
+			m.configure(c)
+			c.Programs = map[string]fleetstate.Program{"spy": {Share: 100, Source: `
+def order(ask, workers):
+    for w in workers:
+        if ask.kind == "speech" and w.id in ("p4", "d4"):
+            fail("seen")
+    return [w.id for w in workers]
+`}}
+		})
+		defer c.Close()
+		require.NoError(t, c.Bootstrap())
+		m.certifyMost()
+		require.NoError(t, m.ApplyRegimes())
+		require.NoError(t, m.WaitForOwners())
+		request := speechRequest
+		for i := range 20 {
+			request.Seed = uint64(i)
+			got, err := c.stream(routerNamed(c, "router-1"), request)
+			require.NoError(t, err)
+			require.Equal(t, api.Complete, got[len(got)-1].End)
+		}
+		score := routerNamed(c, "router-1").Node.Status().(*router.NodeStatus).Programs["spy"]
+		require.GreaterOrEqual(t, score["picks"], int64(20), "%v", score)
+		require.Zero(t, score["fallbacks"], "%v", score)
+	})
+}
+
+// TestRevokedDuringTransfer: a source that is revoked while its memory is on the way to another worker
+// keeps none of it: the attempt ends, the staging is freed, another source is taken.
+func TestRevokedDuringTransfer(t *testing.T) {
+	withGovernedWork(t, func(m *AuditModel) {
+		m.certifyMost()
+		m.cluster.limitTransferRate(40_000)
+	}, func(t *testing.T, c *Cluster, m *AuditModel) {
+		waitForRetryBudget(t, c)
+		request := withLongOutput(speechRequest)
+		request.Prompt, request.PromptIds = "", make([]int32, 1000)
+		for i := range request.PromptIds {
+			request.PromptIds[i] = int32(i) + 1
+		}
+		done := c.startStream(routerNamed(c, "router-1"), request)
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Imported)) == 1 }))
+		source := m.workersAt(handoff.Granted)[0]
+		require.NoError(t, m.Revoke("c-"+source))
+		acked := c.Recorder.Now()
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Dropped)) >= 1 }))
+		require.Less(t, c.Recorder.Now()-acked, 300*time.Millisecond)
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Granted)) >= 2 }))
+		got := <-done
+		require.Equal(t, api.Complete, got[len(got)-1].End)
+		require.Empty(t, m.Check(nil))
+		c.Recorder.mu.Lock()
+		defer c.Recorder.mu.Unlock()
+		for _, e := range c.Recorder.events {
+			if e.What == "unstaged" && string(e.Worker) == source {
+				require.Less(t, e.When-acked, time.Second)
+				return
+			}
+		}
+		require.Fail(t, "it was never freed")
+	})
+}
+
+// limitTransferRate has all workers send memory at so many bytes a second.
+func (c *Cluster) limitTransferRate(bytesPerSecond int) {
+	for _, p := range c.Of("worker") {
+		p.Worker.SetFaults(standin.Faults{TransferRate: bytesPerSecond})
+	}
+}
+
+// TestReservedCapacity: in a crowd of work that no regime governs, what a regime keeps free on its
+// workers carries the governed work; without it most of that is bounced.
+func TestReservedCapacity(t *testing.T) {
+	skipUnderRace(t)
+	served := map[int]float64{}
+	for _, reservedPercent := range []int{0, 50} {
+		synctest.Test(t, func(t *testing.T) {
+			m := NewAuditModel()
+			m.reservedPercent = reservedPercent
+			c := Build(1, governedWork, func(c *Cluster) {
+				m.configure(c)
+				c.TuneWorker = func(o *standin.WorkerOptions) {
+					o.Capacity, o.StepTime, o.StagingTTL = 220, 20*time.Millisecond, 2*time.Second
+				}
+			})
+			defer c.Close()
+			require.NoError(t, c.Bootstrap())
+			m.certifyMost()
+			require.NoError(t, m.ApplyRegimes())
+			load := func(class standin.StreamClass, rate float64, seed uint64) []standin.Outcome {
+				class.Percent = 100
+				return standin.Load(c.ctx, standin.LoadOptions{
+					Host:     c.clientProcess.Host(),
+					Nodes:    c.Platform.ReadyNodes,
+					Zones:    c.Site.Zones,
+					Classes:  []standin.StreamClass{class},
+					Rate:     rate,
+					Duration: 4 * time.Second,
+					Seed:     seed,
+					Model:    c.Site.Model,
+					Weights:  []string{standin.SiteWeights},
+				})
+			}
+			otherOutcomes := make(chan []standin.Outcome, 1)
+			go func() { otherOutcomes <- load(governedWork.Classes[2], 500, 2) }()
+			governed := load(governedWork.Classes[0], 15, 3)
+			otherSummary := standin.Summarize(<-otherOutcomes)
+			require.Positive(t, otherSummary.Ends["bounced"], "it is a crowd")
+			require.Positive(t, otherSummary.Ends[api.Complete])
+			require.Empty(t, m.Check(governed))
+			served[reservedPercent] = float64(standin.Summarize(governed).Ends[api.Complete]) / float64(len(governed))
+		})
+	}
+	t.Logf("share of governed calls served at once: %v", served)
+	require.Greater(t, served[50], 0.95)
+	require.Less(t, served[0], 0.8)
+}
+
+// TestBadCertificates: a door refuses a bad first part, with file, line and reason, and
+// nothing of it takes force; a revocation of nobody's certificate is refused.
+func TestBadCertificates(t *testing.T) {
+	skipUnderRace(t)
+	synctest.Test(t, func(t *testing.T) {
+		m := NewAuditModel()
+		c := Build(1, governedWork, m.configure)
+		defer c.Close()
+		require.NoError(t, c.Bootstrap())
+		m.certifyMost()
+		for wantDetail, corrupt := range map[string]func(*certification.Certificate){
+			"regimes.json:1:": func(certificate *certification.Certificate) { certificate.Worker = "p4" },
+			"another subject": func(certificate *certification.Certificate) { certificate.Worker = "p4" },
+			"it has expired": func(certificate *certification.Certificate) {
+				*certificate = m.sign("c-p1", certification.Certificate{Worker: "p1", Roles: certificate.Roles}, -time.Minute)
+			},
+		} {
+			valid := m.certs["c-p1"]
+			certificate := valid
+			corrupt(&certificate)
+			m.certs["c-p1"] = certificate
+			err := c.Post("/v1/policy", &api.ApplyRequest{
+				Op:      coordination.NewID(),
+				Base:    latestShown(c).Version,
+				Partial: true,
+				Name:    "regimes.json",
+				Source:  m.partialConfig(),
+			}, nil)
+			status, name, detail := faultFields(t, err)
+			require.Equal(t, http.StatusBadRequest, status, detail)
+			require.Equal(t, "bad", name)
+			require.Contains(t, detail, wantDetail)
+			require.Contains(t, detail, "certificates.c-p1.")
+			m.certs["c-p1"] = valid
+		}
+		require.Empty(t, c.Of("router")[0].Node.Regimes().Regimes)
+		status, _, _ := faultFields(t, c.Post("/v1/certificates/c-p1", &api.MarkRequest{Op: "x", Out: true}, nil))
+		require.Equal(t, http.StatusNotFound, status)
+		require.NoError(t, m.ApplyRegimes())
+	})
+}
+
+// waitForRetryBudget waits until the shared retry budget has coins: in new hands it is empty, and what
+// has not put a piece is then told at once to come back.
+func waitForRetryBudget(t *testing.T, c *Cluster) {
+	caller := rpc.NewCaller(c.clientProcess.Host().Net)
+	defer caller.Close()
+	spendToken := func() bool {
+		for _, p := range c.Of("router") {
+			if response, err := rpc.Call[coordination.Empty, router.RetryTokenResponse](
+				c.ctx, caller, p.Addr, router.SpendMethod, &coordination.Empty{},
+			); err == nil && response.OK {
+				return true
+			}
+		}
+		return false
+	}
+	require.True(t, c.WaitUntil(10*time.Second, spendToken))
+	time.Sleep(2 * time.Second)
+}
--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -19,8 +19,8 @@
 	"keelstair.example/internal/standin"
 )
 
-// compared are the programs named in KEELSTAIR_COMPARE, or all.
-func compared() []string {
+// comparedPrograms are the programs named in KEELSTAIR_COMPARE, or all.
+func comparedPrograms() []string {
 	if list := os.Getenv("KEELSTAIR_COMPARE"); list != "1" {
 		return strings.Split(list, ",")
 	}
@@ -34,16 +34,16 @@
 		t.Skip("run by make compare")
 	}
 	for _, name := range []string{"vatuloa", "almaty"} {
-		for _, prog := range compared() {
+		for _, program := range comparedPrograms() {
 			for seed := uint64(1); seed <= 3; seed++ {
-				t.Run(fmt.Sprintf("%s/%s/%d", name, prog, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%s/%d", name, program, seed), func(t *testing.T) {
 					t.Parallel()
 					synctest.Test(t, func(t *testing.T) {
 						site := standin.Sites[name]
 						c := Build(seed, site, func(c *Cluster) {
-							if prog != routing.BuiltInName {
-								c.Programs = map[string]fleetstate.Program{prog: {
-									Source: routing.ShippedProgram(prog),
+							if program != routing.BuiltInName {
+								c.Programs = map[string]fleetstate.Program{program: {
+									Source: routing.ShippedProgram(program),
 									Share:  100,
 								}}
 							}
@@ -51,22 +51,22 @@
 						defer c.Close()
 						require.NoError(t, c.Bootstrap())
 						rate := 15.0 * float64(site.Prefill)
-						shapes := slices.Clone(site.Classes)
-						stems, _ := strconv.Atoi(os.Getenv("KEELSTAIR_STEMS"))
-						for i := range shapes {
-							shapes[i].Prefixes = stems
+						classes := slices.Clone(site.Classes)
+						prefixes, _ := strconv.Atoi(os.Getenv("KEELSTAIR_STEMS"))
+						for i := range classes {
+							classes[i].Prefixes = prefixes
 						}
-						sum := standin.Summarize(c.LoadShapes(shapes, rate, 12*time.Second, seed))
-						warm, read := 0, 0
-						for _, b := range c.Of("worker") {
-							w, n := b.Worker.PrefixHits()
-							warm, read = warm+w, read+n
+						sum := standin.Summarize(c.LoadShapes(classes, rate, 12*time.Second, seed))
+						cached, total := 0, 0
+						for _, p := range c.Of("worker") {
+							w, n := p.Worker.PrefixHits()
+							cached, total = cached+w, total+n
 						}
 						first, second := sum.Kinds[site.Classes[0].Kind], sum.Kinds[site.Classes[1].Kind]
 						fmt.Printf(
 							"| %s | %s | %d | %d of %d | %.0f / %.0f | %.0f / %.0f | %.0f%% |\n",
 							name,
-							prog,
+							program,
 							seed,
 							sum.Ends["complete"],
 							sum.Sent,
@@ -74,7 +74,7 @@
 							first.FirstP99,
 							second.FirstP50,
 							second.FirstP99,
-							100*float64(warm)/float64(max(read, 1)),
+							100*float64(cached)/float64(max(total, 1)),
 						)
 						require.Empty(t, c.Recorder.Check(nil))
 					})
--- a/internal/simulation/governed_work_test.go
+++ b/internal/simulation/governed_scripts_test.go
@@ -22,27 +22,27 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// Sitting is one script over the chamber.
-type Sitting struct {
+// GovernedScript is one script over the chamber.
+type GovernedScript struct {
 	Name string
 	Run  func(c *Cluster, b *AuditModel, r *rand.Rand) error
 }
 
-func certifiedBox(c *Cluster, r *rand.Rand, sort string) *Process {
-	name := sort + strconv.Itoa(1+r.IntN(3))
-	for _, b := range c.Of("worker") {
-		if b.Name == name {
-			return b
+func certifiedWorker(c *Cluster, r *rand.Rand, prefix string) *Process {
+	name := prefix + strconv.Itoa(1+r.IntN(3))
+	for _, p := range c.Of("worker") {
+		if p.Name == name {
+			return p
 		}
 	}
 	return nil
 }
 
-// Sittings are what machines, operators and time do to governed work.
-var Sittings = []Sitting{
+// GovernedScripts are what machines, operators and time do to governed work.
+var GovernedScripts = []GovernedScript{
 	{"workers-crash", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		for _, role := range []string{"d", "p"} {
-			w := certifiedBox(c, r, role)
+			w := certifiedWorker(c, r, role)
 			c.Kill(w)
 			time.Sleep(time.Duration(500+r.IntN(1500)) * time.Millisecond)
 			if err := c.Start(w); err != nil {
@@ -54,7 +54,7 @@
 	}},
 	{"workers-drained", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		for i, role := range []string{"d", "p"} {
-			w := certifiedBox(c, r, role)
+			w := certifiedWorker(c, r, role)
 			if err := c.Mark("/v1/workers/"+w.Name, fmt.Sprint("out", i), true); err != nil {
 				return err
 			}
@@ -88,7 +88,7 @@
 	}},
 	{"revoked-mid-stream", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		for _, role := range []string{"d", "p"} {
-			if err := m.Revoke("c-" + certifiedBox(c, r, role).Name); err != nil {
+			if err := m.Revoke("c-" + certifiedWorker(c, r, role).Name); err != nil {
 				return err
 			}
 			randomPause(r)
@@ -96,11 +96,11 @@
 		return m.Revoke("c-router-" + strconv.Itoa(1+r.IntN(4)))
 	}},
 	{"revoked-while-cut", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
-		p := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
+		p := routerNamed(c, "router-"+strconv.Itoa(1+r.IntN(4)))
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
-		err := m.Revoke("c-" + certifiedBox(c, r, "d").Name)
+		err := m.Revoke("c-" + certifiedWorker(c, r, "d").Name)
 		time.Sleep(time.Second)
 		c.World.Partition(addresses(p), peers, false)
 		return err
@@ -123,7 +123,7 @@
 		if err := errors.Join(m.Revoke("c-d1"), m.Revoke("c-p1")); err != nil {
 			return err
 		}
-		p := node(c, "router-"+strconv.Itoa(1+r.IntN(4)))
+		p := routerNamed(c, "router-"+strconv.Itoa(1+r.IntN(4)))
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		time.Sleep(time.Duration(1500+r.IntN(1000)) * time.Millisecond)
 		c.World.Partition(addresses(p), peers, true)
@@ -134,7 +134,7 @@
 	{"leader-dies-in-a-revocation", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		l := leader(c)
 		done := make(chan error, 1)
-		go func() { done <- m.Revoke("c-" + certifiedBox(c, r, "d").Name) }()
+		go func() { done <- m.Revoke("c-" + certifiedWorker(c, r, "d").Name) }()
 		time.Sleep(time.Duration(r.IntN(120)) * time.Millisecond)
 		c.Kill(l)
 		err := <-done
@@ -166,39 +166,39 @@
 	}},
 }
 
-// sit runs one script under load and gives what was wrong.
-func sit(t *testing.T, s Sitting, seed uint64) {
-	b := NewAuditModel()
-	c := Build(seed, governedWork, b.tune)
+// runGovernedScript runs one script under load and gives what was wrong.
+func runGovernedScript(t *testing.T, s GovernedScript, seed uint64) {
+	m := NewAuditModel()
+	c := Build(seed, governedWork, m.configure)
 	defer c.Close()
 	require.NoError(t, c.Bootstrap())
-	b.usual()
-	require.NoError(t, b.Open())
+	m.certifyMost()
+	require.NoError(t, m.ApplyRegimes())
 	done := make(chan error, 1)
 	go func() {
 		time.Sleep(2 * time.Second)
-		done <- s.Run(c, b, rand.New(rand.NewPCG(seed, 7)))
+		done <- s.Run(c, m, rand.New(rand.NewPCG(seed, 7)))
 	}()
-	all := c.Load(25, 10*time.Second, seed)
+	during := c.Load(25, 10*time.Second, seed)
 	require.NoError(t, <-done)
-	then := c.Load(25, 6*time.Second, seed+1000)
+	after := c.Load(25, 6*time.Second, seed+1000)
 	time.Sleep(3 * time.Second)
-	require.Empty(t, b.Check(append(all, then...)))
-	require.Empty(t, c.Recorder.Check(append(all, then...)))
-	sum := standin.Summarize(then)
-	require.Equal(t, len(then), sum.Ends[api.Complete], "after the script: %+v", sum)
-	audited(t, c)
-	t.Logf("%s seed %d: %v %v, revocations %v", s.Name, seed, standin.Summarize(all).Ends, standin.Summarize(all).Details, b.revoke)
+	require.Empty(t, m.Check(append(during, after...)))
+	require.Empty(t, c.Recorder.Check(append(during, after...)))
+	sum := standin.Summarize(after)
+	require.Equal(t, len(after), sum.Ends[api.Complete], "after the script: %+v", sum)
+	readAuditRecords(t, c)
+	t.Logf("%s seed %d: %v %v, revocations %v", s.Name, seed, standin.Summarize(during).Ends, standin.Summarize(during).Details, m.revocationTimes)
 }
 
-// TestSittings runs every script with its seeds.
-func TestSittings(t *testing.T) {
+// TestGovernedScripts runs every script with its seeds.
+func TestGovernedScripts(t *testing.T) {
 	skipUnderRace(t)
-	for _, s := range Sittings {
+	for _, s := range GovernedScripts {
 		for _, seed := range testSeeds() {
 			t.Run(s.Name+"/"+strconv.Itoa(int(seed)), func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) { sit(t, s, seed) })
+				synctest.Test(t, func(t *testing.T) { runGovernedScript(t, s, seed) })
 			})
 		}
 	}
@@ -206,30 +206,30 @@
 
 // TestAuditModelCatches plants violations of the line of certified nodes.
 func TestAuditModelCatches(t *testing.T) {
-	for name, one := range map[string]struct {
-		rows  []RecordedEvent
-		wrong bool
+	for name, test := range map[string]struct {
+		events    []RecordedEvent
+		violation bool
 	}{
-		"on a certified one":            {[]RecordedEvent{row("prefill", "p1", 5), row("export", "p1", 6)}, false},
-		"never certified":               {[]RecordedEvent{row("import", "d9", 5)}, true},
-		"before it was":                 {[]RecordedEvent{row("prefill", "p1", 1)}, true},
-		"within two seconds of its end": {[]RecordedEvent{row("import", "p1", 11)}, false},
-		"later":                         {[]RecordedEvent{row("import", "p1", 13)}, true},
-		"runs on":                       {[]RecordedEvent{row("import", "p1", 9), row("cancel", "p1", 13)}, true},
-		"ends in time":                  {[]RecordedEvent{row("import", "p1", 9), row("cancel", "p1", 11)}, false},
+		"on a certified one":            {[]RecordedEvent{eventAt("prefill", "p1", 5), eventAt("export", "p1", 6)}, false},
+		"never certified":               {[]RecordedEvent{eventAt("import", "d9", 5)}, true},
+		"before it was":                 {[]RecordedEvent{eventAt("prefill", "p1", 1)}, true},
+		"within two seconds of its end": {[]RecordedEvent{eventAt("import", "p1", 11)}, false},
+		"later":                         {[]RecordedEvent{eventAt("import", "p1", 13)}, true},
+		"runs on":                       {[]RecordedEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 13)}, true},
+		"ends in time":                  {[]RecordedEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 11)}, false},
 		"not governed": {
 			[]RecordedEvent{{standin.Event{What: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}},
 			false,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewAuditModel()
-			b.c = &Cluster{Recorder: NewRecorder()}
-			b.certs["s"] = certification.Certificate{Worker: "p1"}
-			b.spans["s"] = grant{2 * time.Second, 10 * time.Second}
-			b.work["r"] = "chair"
-			b.c.Recorder.events = one.rows
-			if got := b.Check(nil); one.wrong {
+			m := NewAuditModel()
+			m.cluster = &Cluster{Recorder: NewRecorder()}
+			m.certs["s"] = certification.Certificate{Worker: "p1"}
+			m.validPeriods["s"] = validPeriod{2 * time.Second, 10 * time.Second}
+			m.governedRequests["r"] = "chair"
+			m.cluster.Recorder.events = test.events
+			if got := m.Check(nil); test.violation {
 				require.NotEmpty(t, got)
 				require.Equal(t, Uncertified, got[0].Rule)
 			} else {
@@ -239,9 +239,9 @@
 	}
 }
 
-func row(what, worker string, second int) RecordedEvent {
+func eventAt(what, worker string, seconds int) RecordedEvent {
 	return RecordedEvent{
 		standin.Event{What: what, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r", Attempt: 1}},
-		time.Duration(second) * time.Second,
+		time.Duration(seconds) * time.Second,
 	}
 }
--- a/internal/simulation/kv_transfer_test.go
+++ b/internal/simulation/kv_transfer_test.go
@@ -33,8 +33,8 @@
 		t.Run(link.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
-				begun := map[workerclient.ID]ids.Tick{}
-				took := map[string]map[handoff.Step][]time.Duration{"claimed": {}, "other": {}}
+				granted := map[workerclient.ID]ids.Tick{}
+				durations := map[string]map[handoff.Step][]time.Duration{"claimed": {}, "other": {}}
 				c := Build(3, standin.Sites["vatuloa"], func(c *Cluster) {
 					c.TuneWorker = func(o *standin.WorkerOptions) { o.WireBytesPerToken, o.TransferRate = 128<<10, link.speed }
 					c.OnHandoffEvent = func(e handoff.Event) {
@@ -45,28 +45,28 @@
 							kind = "claimed"
 						}
 						if e.Step == handoff.Granted {
-							begun[e.ID] = e.At
-						} else if at, ok := begun[e.ID]; ok {
-							took[kind][e.Step] = append(took[kind][e.Step], e.At.Since(at))
+							granted[e.ID] = e.At
+						} else if at, ok := granted[e.ID]; ok {
+							durations[kind][e.Step] = append(durations[kind][e.Step], e.At.Since(at))
 						}
 					}
 				})
 				defer c.Close()
 				require.NoError(t, c.Bootstrap())
-				all := c.Load(20, 12*time.Second, 3)
-				sum := standin.Summarize(all)
-				require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
+				outcomes := c.Load(20, 12*time.Second, 3)
+				sum := standin.Summarize(outcomes)
+				require.Equal(t, len(outcomes), sum.Ends["complete"], "%+v", sum)
 				mu.Lock()
 				defer mu.Unlock()
-				for kind, stages := range took {
+				for kind, steps := range durations {
 					for _, s := range []handoff.Step{handoff.Prefilled, handoff.Imported, handoff.Resumed} {
 						fmt.Printf(
 							"| %s | %s | %s | %.0f / %.0f |\n",
 							link.name,
 							kind,
 							s,
-							standin.Quantile(stages[s], 0.5),
-							standin.Quantile(stages[s], 0.99),
+							standin.Quantile(steps[s], 0.5),
+							standin.Quantile(steps[s], 0.99),
 						)
 					}
 				}
--- a/internal/simulation/operation_class_test.go
+++ b/internal/simulation/operation_class_test.go
@@ -16,16 +16,16 @@
 func TestApplyAmongEvacuations(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		a := &api.ApplyRequest{Op: "once", Base: 1, Partial: true, Source: `{limits: {queue: 9}}`}
-		one, err := c.Apply(a)
+		request := &api.ApplyRequest{Op: "once", Base: 1, Partial: true, Source: `{limits: {queue: 9}}`}
+		first, err := c.Apply(request)
 		require.NoError(t, err)
 		zone := string(c.Of("router")[0].Zone)
 		const remembered = 2048
 		for i := range remembered + 2 {
 			require.NoError(t, c.Mark("/v1/zones/"+zone, fmt.Sprint("mark", i), i%2 == 0))
 		}
-		two, err := c.Apply(a)
+		second, err := c.Apply(request)
 		require.NoError(t, err)
-		require.Equal(t, one.Version, two.Version)
+		require.Equal(t, first.Version, second.Version)
 	})
 }
--- a/internal/simulation/duties_test.go
+++ b/internal/simulation/operator_scripts_test.go
@@ -18,38 +18,38 @@
 	"keelstair.example/internal/router"
 )
 
-// holder is the node that holds the key of a worker.
-func holder(c *Cluster, id ids.WorkerID) *Process {
-	for _, b := range c.Of("router") {
-		if b.Up && slices.Contains(b.Node.Status().(*router.NodeStatus).OwnedKeys, fleetstate.WorkerKey(id)) {
-			return b
+// ownerOf is the node that holds the key of a worker.
+func ownerOf(c *Cluster, id ids.WorkerID) *Process {
+	for _, p := range c.Of("router") {
+		if p.Up && slices.Contains(p.Node.Status().(*router.NodeStatus).OwnedKeys, fleetstate.WorkerKey(id)) {
+			return p
 		}
 	}
 	return c.Of("router")[0]
 }
 
-// able is a node that holds keys of both parts, so that it could carry a call alone.
-func able(c *Cluster) *Process {
-	for _, b := range c.Of("router") {
-		has := map[byte]bool{}
-		for _, k := range b.Node.Status().(*router.NodeStatus).OwnedKeys {
+// ownerOfBothRoles is a node that holds keys of both parts, so that it could carry a call alone.
+func ownerOfBothRoles(c *Cluster) *Process {
+	for _, p := range c.Of("router") {
+		roles := map[byte]bool{}
+		for _, k := range p.Node.Status().(*router.NodeStatus).OwnedKeys {
 			if id, ok := strings.CutPrefix(string(k), "worker/"); ok {
-				has[id[0]] = true
+				roles[id[0]] = true
 			}
 		}
-		if has['p'] && has['d'] {
-			return b
+		if roles['p'] && roles['d'] {
+			return p
 		}
 	}
 	return c.Of("router")[3]
 }
 
-// insist keeps calling at one node's door for three seconds.
-func insist(c *Cluster, b *Process) {
+// sendInBackground keeps calling at one node's door for three seconds.
+func sendInBackground(c *Cluster, p *Process) {
 	for i := range 60 {
 		go func() {
 			time.Sleep(time.Duration(i) * 50 * time.Millisecond)
-			c.stream(b, api.StreamRequest{
+			c.stream(p, api.StreamRequest{
 				Kind:      c.Site.Classes[1].Kind,
 				Prompt:    fmt.Sprint("is it still so ", i),
 				MaxTokens: 2,
@@ -58,40 +58,40 @@
 	}
 }
 
-// emptied evacuates a zone, holds it empty for a while, and takes that back.
-func emptied(c *Cluster, z ids.Zone, op string, least time.Duration) error {
-	if err := setEvacuated(c, z, op+"-out", true); err != nil {
+// evacuateFor evacuates a zone, holds it empty for a while, and takes that back.
+func evacuateFor(c *Cluster, zone ids.Zone, op string, duration time.Duration) error {
+	if err := setEvacuated(c, zone, op+"-out", true); err != nil {
 		return err
 	}
-	time.Sleep(least)
-	return setEvacuated(c, z, op+"-back", false)
+	time.Sleep(duration)
+	return setEvacuated(c, zone, op+"-back", false)
 }
 
-// stopped ends a node as the platform does: told first, killed when it had its time,
+// restartGracefully ends a node as the platform does: told first, killed when it had its time,
 // and started again.
-func stopped(c *Cluster, b *Process) error {
-	b.Shutdown()
+func restartGracefully(c *Cluster, p *Process) error {
+	p.Shutdown()
 	time.Sleep(3500 * time.Millisecond)
-	c.Kill(b)
-	if err := c.Start(b); err != nil {
+	c.Kill(p)
+	if err := c.Start(p); err != nil {
 		return err
 	}
-	if !c.WaitUntil(8*time.Second, func() bool { ok, _ := b.Node.Ready(); return ok }) {
-		return fmt.Errorf("%s did not become ready again", b.Name)
+	if !c.WaitUntil(8*time.Second, func() bool { ok, _ := p.Node.Ready(); return ok }) {
+		return fmt.Errorf("%s did not become ready again", p.Name)
 	}
 	return nil
 }
 
-// grow makes a policy large by many routes: parts from several doors, with ones that
+// growConfiguration makes a policy large by many routes: parts from several doors, with ones that
 // are refused, and ones that another operator forestalls, between them.
-func grow(c *Cluster, r *rand.Rand) error {
-	for n := range 8 {
+func growConfiguration(c *Cluster, r *rand.Rand) error {
+	for round := range 8 {
 		kinds, workers := map[string]any{}, map[string]any{}
 		for i := range 120 {
-			kinds[fmt.Sprintf("kind-%d-%d", n, i)] = map[string]any{"model": c.Site.Model, "maxTokens": 8}
+			kinds[fmt.Sprintf("kind-%d-%d", round, i)] = map[string]any{"model": c.Site.Model, "maxTokens": 8}
 		}
 		for i := range 15 {
-			workers[fmt.Sprintf("ghost-%d-%d", n, i)] = map[string]any{
+			workers[fmt.Sprintf("ghost-%d-%d", round, i)] = map[string]any{
 				"part":    "decode",
 				"model":   "ghost",
 				"weights": "g",
@@ -99,47 +99,47 @@
 				"zone":    c.Site.Zones[i%3],
 			}
 		}
-		if n > 3 {
-			kinds[fmt.Sprintf("kind-%d-7", n-3)], workers[fmt.Sprintf("ghost-%d-7", n-3)] = nil, nil
+		if round > 3 {
+			kinds[fmt.Sprintf("kind-%d-7", round-3)], workers[fmt.Sprintf("ghost-%d-7", round-3)] = nil, nil
 		}
-		sh := latestShown(c)
-		b := pickOne(r, c.Of("router"))
-		bad := &api.ApplyRequest{
-			Op:      fmt.Sprint("bad-", n),
-			Base:    sh.Version,
+		state := latestShown(c)
+		p := pickOne(r, c.Of("router"))
+		invalid := &api.ApplyRequest{
+			Op:      fmt.Sprint("bad-", round),
+			Base:    state.Version,
 			Partial: true,
 			Source:  `{"workers":{"p1":{"room":0}}}`,
 		}
-		if err := c.PostTo(b, "/v1/policy", bad, nil); err == nil {
-			return fmt.Errorf("round %d: a bad part was taken", n)
+		if err := c.PostTo(p, "/v1/policy", invalid, nil); err == nil {
+			return fmt.Errorf("round %d: a bad part was taken", round)
 		}
-		if err := applyPartial(c, fmt.Sprint("grow-", n), marshalPartial(map[string]any{
+		if err := applyPartial(c, fmt.Sprint("grow-", round), marshalPartial(map[string]any{
 			"kinds":   kinds,
 			"workers": workers,
 		})); err != nil {
 			return err
 		}
-		late := &api.ApplyRequest{
-			Op:      fmt.Sprint("late-", n),
-			Base:    sh.Version,
+		stale := &api.ApplyRequest{
+			Op:      fmt.Sprint("late-", round),
+			Base:    state.Version,
 			Partial: true,
 			Source:  `{"limits":{"queue":3}}`,
 		}
-		if err := c.PostTo(pickOne(r, c.Of("router")), "/v1/policy", late, nil); err == nil {
-			return fmt.Errorf("round %d: a part over an old version was taken", n)
+		if err := c.PostTo(pickOne(r, c.Of("router")), "/v1/policy", stale, nil); err == nil {
+			return fmt.Errorf("round %d: a part over an old version was taken", round)
 		}
 	}
 	return nil
 }
 
-// Duties are the scripts of operators and the platform.
-var Duties = []Script{
+// OperatorScripts are the scripts of operators and the platform.
+var OperatorScripts = []Script{
 	{Name: "zone-emptied-while-leader-dies", Run: func(c *Cluster, r *rand.Rand) error {
 		p := leader(c)
 		done := make(chan error, 1)
 		go func() {
 			time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
-			done <- emptied(c, pickOne(r, c.Site.Zones), "die", 7*time.Second)
+			done <- evacuateFor(c, pickOne(r, c.Site.Zones), "die", 7*time.Second)
 		}()
 		time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
 		c.Kill(p)
@@ -153,7 +153,7 @@
 		errs := make([]error, 3)
 		// Two operators empty one zone each, and one of them the other's too.
 		for i, z := range []int{list[0], list[1], list[1]} {
-			wg.Go(func() { errs[i] = emptied(c, c.Site.Zones[z], fmt.Sprint("two-", i), 7*time.Second) })
+			wg.Go(func() { errs[i] = evacuateFor(c, c.Site.Zones[z], fmt.Sprint("two-", i), 7*time.Second) })
 		}
 		wg.Wait()
 		return errors.Join(errs...)
@@ -163,19 +163,19 @@
 		// The node that is cut is also the one that the operator asks first.
 		w, p := pickOne(r, c.Of("worker")), c.Of("router")[0]
 		for _, o := range c.Of("worker") {
-			if holder(c, ids.WorkerID(o.Name)) == p {
+			if ownerOf(c, ids.WorkerID(o.Name)) == p {
 				w = o
 			}
 		}
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
-		err := emptied(c, w.Zone, "cut", 7*time.Second)
+		err := evacuateFor(c, w.Zone, "cut", 7*time.Second)
 		c.World.Partition(addresses(p), peers, false)
 		return err
 	}},
 	{Name: "worker-leaves-its-holder-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
 		w := pickOne(r, c.Of("worker"))
-		p := holder(c, ids.WorkerID(w.Name))
+		p := ownerOf(c, ids.WorkerID(w.Name))
 		c.World.Partition(addresses(p), []string{"10.8.0.1"}, true)
 		time.Sleep(time.Second)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
@@ -194,7 +194,7 @@
 	}},
 	{Name: "workers-leave-while-leader-and-holder-die", Run: func(c *Cluster, r *rand.Rand) error {
 		w := pickOne(r, c.Of("worker"))
-		p, l := holder(c, ids.WorkerID(w.Name)), leader(c)
+		p, l := ownerOf(c, ids.WorkerID(w.Name)), leader(c)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
 		c.Recorder.RecordMark("leave", w.Name)
 		time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond)
@@ -205,11 +205,11 @@
 	}},
 	{Name: "storm-with-a-node-cut-from-its-kind", Run: func(c *Cluster, r *rand.Rand) error {
 		// Callers and workers still reach it; nobody tells it what is new.
-		p := able(c)
+		p := ownerOfBothRoles(c)
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		for n := range 3 {
 			c.World.Partition(addresses(p), peers, true)
-			insist(c, p)
+			sendInBackground(c, p)
 			randomPause(r)
 			for k := range 3 {
 				if err := changeRetryAfter(c, fmt.Sprintf("alone-%d-%d", n, k), 6000+10*n+k); err != nil {
@@ -222,14 +222,14 @@
 		}
 		return nil
 	}},
-	{Name: "configuration-grows", Run: grow, NoFailures: true},
+	{Name: "configuration-grows", Run: growConfiguration, NoFailures: true},
 	{
 		Name:         "nodes-stopped-one-by-one",
 		LoadDuration: 38 * time.Second,
 		NoFailures:   true,
 		Run: func(c *Cluster, _ *rand.Rand) error {
 			for _, p := range c.Of("router") {
-				if err := stopped(c, p); err != nil {
+				if err := restartGracefully(c, p); err != nil {
 					return err
 				}
 			}
--- a/internal/simulation/other_scripts_test.go
+++ b/internal/simulation/other_scripts_test.go
@@ -238,10 +238,10 @@
 		NoFailures: true,
 	},
 	{Name: "storm-with-a-node-cut-from-the-core", Run: func(c *Cluster, r *rand.Rand) error {
-		p := able(c)
+		p := ownerOfBothRoles(c)
 		core := addresses(c.Of("controller")...)
 		c.World.Partition(addresses(p), core, true)
-		insist(c, p)
+		sendInBackground(c, p)
 		for n := range 4 {
 			if err := changeRetryAfter(c, fmt.Sprintf("cut-%d", n), 5000+n); err != nil {
 				return err
--- /dev/null
+++ b/internal/simulation/outages_test.go
@@ -0,0 +1,98 @@
+// Service back: the longest spans without a completed call, for each kind and for
+// the doors of each surviving zone, since what all calls show together can hide one
+// kind that stands still; and the longest span without a primary.
+
+package simulation
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"keelstair.example/coordination"
+	"keelstair.example/host"
+	"keelstair.example/ids"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/standin"
+)
+
+// outages gives the spans by kind and by zone of the door. Zones that were emptied, or
+// have no node any more, are not asked for service.
+func (c *Cluster) outages(outcomes []standin.Outcome, periods [][2]time.Duration) map[string]time.Duration {
+	out := map[string]time.Duration{}
+	measure := func(name string, include func(standin.Outcome) bool) {
+		for _, s := range periods {
+			out[name] = max(out[name], standin.LongestOutage(outcomes, s[0], s[1], include))
+		}
+	}
+	for _, class := range c.Site.Classes {
+		measure(class.Kind, func(o standin.Outcome) bool { return o.Kind == class.Kind })
+	}
+	zoneOf := map[string]ids.Zone{}
+	serving := map[ids.Zone]bool{}
+	for _, p := range c.Of("router") {
+		zoneOf[p.FrontendAddr] = p.Zone
+		serving[p.Zone] = serving[p.Zone] || p.Up
+	}
+	for _, m := range c.Recorder.marks {
+		if m.What == "evacuate" {
+			for _, p := range c.Processes {
+				if p.Name == m.Name {
+					serving[p.Zone] = false
+				}
+			}
+		}
+	}
+	for zone, ok := range serving {
+		if ok {
+			measure("door of "+string(zone), func(o standin.Outcome) bool { return zoneOf[o.Node] == zone })
+		}
+	}
+	return out
+}
+
+// monitor measures the longest span without a primary, by the cores' own word, and
+// notes what the nodes have in force, until the context ends.
+func (c *Cluster) monitor(ctx context.Context, longest *time.Duration) {
+	lastLed := time.Now()
+	for host.Sleep(ctx, 20*time.Millisecond) {
+		now := time.Now()
+		hasPrimary := false
+		c.cores.Range(func(k, _ any) bool {
+			if k.(*coordination.Core).Leads() {
+				hasPrimary = true
+			}
+			return true
+		})
+		if hasPrimary {
+			lastLed = now
+		}
+		*longest = max(*longest, now.Sub(lastLed))
+		c.nodes.Range(func(k, name any) bool {
+			if s := k.(*router.Node).View().Current(); s.Version > 0 {
+				c.Recorder.RecordActive(name.(string), s.Version, s.Text)
+			}
+			return true
+		})
+	}
+}
+
+func outageViolations(outages map[string]time.Duration, bound time.Duration) []Violation {
+	violations := &violationList{}
+	for name, d := range outages {
+		if d > bound {
+			violations.add(ServiceNotRestored, "%s: %.2f s without a completed call", name, d.Seconds())
+		}
+	}
+	return violations.found
+}
+
+func longestOutage(outages map[string]time.Duration) string {
+	var longest string
+	for name, d := range outages {
+		if longest == "" || d > outages[longest] {
+			longest = name
+		}
+	}
+	return fmt.Sprintf("%s %.2fs", longest, outages[longest].Seconds())
+}
--- a/internal/simulation/day_end_test.go
+++ b/internal/simulation/power_and_disk_lost_test.go
@@ -22,9 +22,9 @@
 	for lost := range 3 {
 		t.Run(fmt.Sprintf("controller-%d", lost+1), func(t *testing.T) {
 			withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
-				ask := verdictRequest
-				ask.Kind, ask.Key = "ruling", "day-end"
-				first, refusal := c.answer(t, 0, ask)
+				request := verdictRequest
+				request.Kind, request.Key = "ruling", "day-end"
+				first, refusal := c.sendUntilAnswered(t, 0, request)
 				require.Nil(t, refusal)
 				zone := string(c.Site.Zones[0])
 				require.NoError(t, c.Mark("/v1/zones/"+zone, "day-end-zone", true))
@@ -50,7 +50,7 @@
 				state := latestShown(c)
 				require.JSONEq(t, string(text), string(state.Policy))
 				require.Equal(t, []string{zone}, state.Zones)
-				again, refusal := c.answer(t, 1, ask)
+				again, refusal := c.sendUntilAnswered(t, 1, request)
 				require.Nil(t, refusal)
 				require.Len(t, again, len(first))
 				for i := range first[:len(first)-1] {
--- a/internal/simulation/prefill_bound_test.go
+++ b/internal/simulation/prefill_bound_test.go
@@ -96,17 +96,17 @@
 	}
 }
 
-// boundReader is one worker: until when it reads, and what it has read.
-type boundReader struct {
-	free float64
-	kept map[uint64]bool
+// boundWorker is one worker: until when it reads, and what it has read.
+type boundWorker struct {
+	busyUntil float64
+	cached    map[uint64]bool
 }
 
-// need is what the worker has yet to read of a request.
-func (w *boundReader) need(request *boundRequest) float64 {
+// uncachedTokens is what the worker has yet to read of a request.
+func (w *boundWorker) uncachedTokens(request *boundRequest) float64 {
 	need := request.own
-	for i, part := range request.chain {
-		if !w.kept[part] {
+	for i, prefix := range request.chain {
+		if !w.cached[prefix] {
 			need += request.tokens[i]
 		}
 	}
@@ -114,31 +114,31 @@
 }
 
 // boundPolicy picks a reader; it may know all of them.
-type boundPolicy func(m *boundModel, request *boundRequest, readers []boundReader, r *rand.Rand) int
-
-// atHome sends a beginning to one reader, whatever waits there.
-func atHome(m *boundModel, request *boundRequest, readers []boundReader, _ *rand.Rand) int {
-	best, top := -1, uint64(0)
-	for i := range readers {
-		if h := ids.Mix(request.chain[len(request.chain)-1] ^ ids.Mix(uint64(i))); best < 0 || h > top {
-			best, top = i, h
+type boundPolicy func(m *boundModel, request *boundRequest, readers []boundWorker, r *rand.Rand) int
+
+// pickHome sends a beginning to one reader, whatever waits there.
+func pickHome(m *boundModel, request *boundRequest, workers []boundWorker, _ *rand.Rand) int {
+	best, highest := -1, uint64(0)
+	for i := range workers {
+		if h := ids.Mix(request.chain[len(request.chain)-1] ^ ids.Mix(uint64(i))); best < 0 || h > highest {
+			best, highest = i, h
 		}
 	}
 	return best
 }
 
-// atRandom knows nothing.
-func atRandom(_ *boundModel, _ *boundRequest, readers []boundReader, r *rand.Rand) int {
-	return r.IntN(len(readers))
+// pickRandom knows nothing.
+func pickRandom(_ *boundModel, _ *boundRequest, workers []boundWorker, r *rand.Rand) int {
+	return r.IntN(len(workers))
 }
 
-// knowing weighs what is to be read against the wait, with all queues and kept parts known.
-func knowing(weight float64) boundPolicy {
-	return func(m *boundModel, request *boundRequest, readers []boundReader, _ *rand.Rand) int {
+// pickCheapest weighs what is to be read against the wait, with all queues and kept parts known.
+func pickCheapest(weight float64) boundPolicy {
+	return func(m *boundModel, request *boundRequest, workers []boundWorker, _ *rand.Rand) int {
 		best, least := 0, math.Inf(1)
-		for i := range readers {
-			wait := math.Max(0, readers[i].free-request.at)
-			if cost := wait + weight*readers[i].need(request)/m.TokensPerMs; cost < least {
+		for i := range workers {
+			wait := math.Max(0, workers[i].busyUntil-request.at)
+			if cost := wait + weight*workers[i].uncachedTokens(request)/m.TokensPerMs; cost < least {
 				best, least = i, cost
 			}
 		}
@@ -146,24 +146,24 @@
 	}
 }
 
-// inTime plays a day and gives each kind's share in time, of the whole day and after the warm-up.
-func (m *boundModel) inTime(policy boundPolicy, seed uint64) (day, warm []float64) {
+// onTimeShares plays a day and gives each kind's share in time, of the whole day and after the warm-up.
+func (m *boundModel) onTimeShares(policy boundPolicy, seed uint64) (day, warm []float64) {
 	r := rand.New(rand.NewPCG(seed, 2))
-	readers := make([]boundReader, m.Readers)
-	for i := range readers {
-		readers[i].kept = map[uint64]bool{}
+	workers := make([]boundWorker, m.Readers)
+	for i := range workers {
+		workers[i].cached = map[uint64]bool{}
 	}
 	var all, good [2][]float64
 	for span := range all {
 		all[span], good[span] = make([]float64, len(m.Kinds)), make([]float64, len(m.Kinds))
 	}
 	for _, request := range m.arrivals(seed) {
-		w := &readers[policy(m, &request, readers, r)]
-		w.free = math.Max(w.free, request.at) + w.need(&request)/m.TokensPerMs
+		w := &workers[policy(m, &request, workers, r)]
+		w.busyUntil = math.Max(w.busyUntil, request.at) + w.uncachedTokens(&request)/m.TokensPerMs
 		for _, part := range request.chain {
-			w.kept[part] = true
+			w.cached[part] = true
 		}
-		late := w.free-request.at+m.FixedMs > m.Kinds[request.kind].TargetMs
+		late := w.busyUntil-request.at+m.FixedMs > m.Kinds[request.kind].TargetMs
 		for span, from := range []float64{0, 1000 * m.WarmSeconds} {
 			if request.at >= from {
 				all[span][request.kind]++
@@ -189,17 +189,17 @@
 		name string
 		pick boundPolicy
 	}{
-		{"by chance", atRandom}, {"at home", atHome},
-		{"knows all, weight 1", knowing(1)}, {"knows all, weight 2", knowing(2)}, {"knows all, weight 4", knowing(4)},
+		{"by chance", pickRandom}, {"at home", pickHome},
+		{"knows all, weight 1", pickCheapest(1)}, {"knows all, weight 2", pickCheapest(2)}, {"knows all, weight 4", pickCheapest(4)},
 	}
 	const seeds = 5
-	means := map[string]float64{}
+	meanShares := map[string]float64{}
 	for _, p := range policies {
 		line := "| " + p.name + " |"
 		for kind, k := range m.Kinds {
 			var sums, squares [2]float64
 			for seed := range uint64(seeds) {
-				day, warm := m.inTime(p.pick, seed+1)
+				day, warm := m.onTimeShares(p.pick, seed+1)
 				for span, v := range []float64{day[kind], warm[kind]} {
 					sums[span] += v
 					squares[span] += v * v
@@ -210,7 +210,7 @@
 				spread := math.Sqrt(math.Max(0, squares[span]/seeds-mean*mean) / (seeds - 1))
 				line += fmt.Sprintf(" %s, %s %.3f +- %.3f |", k.Name, what, mean, spread)
 				if span == 0 {
-					means[p.name] += mean
+					meanShares[p.name] += mean
 				}
 			}
 		}
@@ -218,6 +218,6 @@
 			fmt.Println(line)
 		}
 	}
-	require.Greater(t, means["knows all, weight 2"], means["at home"])
-	require.Greater(t, means["at home"], means["by chance"])
+	require.Greater(t, meanShares["knows all, weight 2"], meanShares["at home"])
+	require.Greater(t, meanShares["at home"], meanShares["by chance"])
 }
--- a/internal/simulation/price_test.go
+++ b/internal/simulation/regime_overhead_test.go
@@ -18,45 +18,45 @@
 	"keelstair.example/internal/standin"
 )
 
-func measured(t *testing.T) {
+func skipUnlessComparing(t *testing.T) {
 	if os.Getenv("KEELSTAIR_COMPARE") == "" {
 		t.Skip("a measurement, run by make compare")
 	}
 }
 
-// TestPrice: the same load with no regime, with all machines certified, and with three
+// TestRegimeOverhead: the same load with no regime, with all machines certified, and with three
 // of four workers of each part and four of five nodes.
-func TestPrice(t *testing.T) {
-	measured(t)
-	for _, way := range []string{"no regime", "all certified", "some certified"} {
-		t.Run(way, func(t *testing.T) {
+func TestRegimeOverhead(t *testing.T) {
+	skipUnlessComparing(t)
+	for _, setup := range []string{"no regime", "all certified", "some certified"} {
+		t.Run(setup, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := NewAuditModel()
-				c := Build(4, governedWork, b.tune)
+				m := NewAuditModel()
+				c := Build(4, governedWork, m.configure)
 				defer c.Close()
 				require.NoError(t, c.Bootstrap())
-				switch way {
+				switch setup {
 				case "all certified":
-					b.certify(append(upTo("p", 4), upTo("d", 4)...), upTo("router-", 5))
+					m.certify(append(numbered("p", 4), numbered("d", 4)...), numbered("router-", 5))
 				case "some certified":
-					b.usual()
+					m.certifyMost()
 				}
-				if way != "no regime" {
-					require.NoError(t, b.Open())
+				if setup != "no regime" {
+					require.NoError(t, m.ApplyRegimes())
 				}
 				time.Sleep(5 * time.Second)
-				all := c.Load(30, 30*time.Second, 4)
-				sum := standin.Summarize(all)
-				require.Equal(t, len(all), sum.Ends[api.Complete])
-				for _, sh := range governedWork.Classes {
-					k := sum.Kinds[sh.Kind]
+				outcomes := c.Load(30, 30*time.Second, 4)
+				sum := standin.Summarize(outcomes)
+				require.Equal(t, len(outcomes), sum.Ends[api.Complete])
+				for _, class := range governedWork.Classes {
+					summary := sum.Kinds[class.Kind]
 					fmt.Printf(
 						"| first piece, ms | %s | %s | %.1f / %.1f | %d |\n",
-						way,
-						sh.Kind,
-						k.FirstP50,
-						k.FirstP99,
-						k.Complete,
+						setup,
+						class.Kind,
+						summary.FirstP50,
+						summary.FirstP99,
+						summary.Complete,
 					)
 				}
 			})
@@ -67,51 +67,51 @@
 // TestRevocationTimes: many certificates of one worker are revoked one by one: with all
 // well, with a node cut off shortly before, and with the leader killed shortly after.
 func TestRevocationTimes(t *testing.T) {
-	measured(t)
-	for _, way := range []string{"all well", "a node cut off", "the leader killed"} {
-		t.Run(way, func(t *testing.T) {
-			n := map[string]int{"all well": 100}[way]
+	skipUnlessComparing(t)
+	for _, failure := range []string{"all well", "a node cut off", "the leader killed"} {
+		t.Run(failure, func(t *testing.T) {
+			n := map[string]int{"all well": 100}[failure]
 			if n == 0 {
 				n = 20
 			}
 			synctest.Test(t, func(t *testing.T) {
-				b := NewAuditModel()
-				c := Build(5, governedWork, b.tune)
+				m := NewAuditModel()
+				c := Build(5, governedWork, m.configure)
 				defer c.Close()
 				require.NoError(t, c.Bootstrap())
-				b.usual()
+				m.certifyMost()
 				for i := range n {
-					b.sign(fmt.Sprint("x", i), certification.Certificate{
+					m.sign(fmt.Sprint("x", i), certification.Certificate{
 						Worker: "d3",
 						Roles:  []ids.Role{ids.Decode},
 					}, 24*time.Hour)
 				}
-				require.NoError(t, b.Open())
+				require.NoError(t, m.ApplyRegimes())
 				for i := range n {
-					partitioned, lead := node(c, "router-2"), leader(c)
+					partitioned, currentLeader := routerNamed(c, "router-2"), leader(c)
 					peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
-					switch way {
+					switch failure {
 					case "a node cut off":
 						c.World.Partition(addresses(partitioned), peers, true)
 					case "the leader killed":
 						go func() {
 							time.Sleep(time.Duration(i) * 3 * time.Millisecond)
-							c.Kill(lead)
+							c.Kill(currentLeader)
 						}()
 					}
-					require.NoError(t, b.Revoke(fmt.Sprint("x", i)))
+					require.NoError(t, m.Revoke(fmt.Sprint("x", i)))
 					c.World.Partition(addresses(partitioned), peers, false)
 					time.Sleep(2 * time.Second)
-					require.NoError(t, c.Start(lead))
+					require.NoError(t, c.Start(currentLeader))
 					time.Sleep(4*time.Second + time.Duration(i)*7*time.Millisecond)
 				}
 				fmt.Printf(
 					"| revocation, ms | %s | %d | %.0f / %.0f / %.0f |\n",
-					way,
+					failure,
 					n,
-					standin.Quantile(b.revoke, 0.5),
-					standin.Quantile(b.revoke, 0.95),
-					standin.Quantile(b.revoke, 1),
+					standin.Quantile(m.revocationTimes, 0.5),
+					standin.Quantile(m.revocationTimes, 0.95),
+					standin.Quantile(m.revocationTimes, 1),
 				)
 			})
 		})
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -38,21 +38,21 @@
 	Tokens    []int32         `json:"tokens"` // of the newest keyed call
 }
 
-func releaseAsk(i int) api.StreamRequest {
-	ask := verdictRequest
-	ask.Key = fmt.Sprint("release-", i)
-	return ask
+func releaseRequest(i int) api.StreamRequest {
+	request := verdictRequest
+	request.Key = fmt.Sprint("release-", i)
+	return request
 }
 
-// answer asks the nodes in turn until a key is answered or refused for good.
-func (c *Cluster) answer(t *testing.T, i int, ask api.StreamRequest) ([]api.StreamEvent, *api.Fault) {
+// sendUntilAnswered asks the nodes in turn until a key is answered or refused for good.
+func (c *Cluster) sendUntilAnswered(t *testing.T, i int, request api.StreamRequest) ([]api.StreamEvent, *api.Fault) {
 	t.Helper()
 	var lines []api.StreamEvent
 	var refusal *api.Fault
 	nodes := c.Of("router")
 	attempt := i
 	require.True(t, c.WaitUntil(8*time.Second, func() bool {
-		got, err := c.stream(nodes[attempt%len(nodes)], ask)
+		got, err := c.stream(nodes[attempt%len(nodes)], request)
 		attempt++ // a node of an evacuated zone refuses
 		lines = got
 		if errors.As(err, &refusal) {
@@ -77,7 +77,7 @@
 	withCluster(t, "vatuloa", withReleaseDepth, func(t *testing.T, c *Cluster) {
 		var newest []api.StreamEvent
 		for i := range releaseKeys {
-			newest, _ = c.answer(t, i, releaseAsk(i))
+			newest, _ = c.sendUntilAnswered(t, i, releaseRequest(i))
 		}
 		shownAtFirst := latestShown(c)
 		_, err := c.Apply(&api.ApplyRequest{
@@ -95,14 +95,14 @@
 			record.Tokens = append(record.Tokens, line.Token)
 		}
 		require.NoError(t, os.RemoveAll(releaseFolder))
-		for _, box := range c.Of("controller") {
-			c.Kill(box)
+		for _, p := range c.Of("controller") {
+			c.Kill(p)
 		}
-		for _, box := range c.Of("controller") {
-			folder := filepath.Join(releaseFolder, box.Name)
+		for _, p := range c.Of("controller") {
+			folder := filepath.Join(releaseFolder, p.Name)
 			to, err := host.OpenDisk(folder)
 			require.NoError(t, err)
-			copyDisk(t, box.Machine.Start().Host().Disk, to)
+			copyDisk(t, p.Machine.Start().Host().Disk, to)
 			require.NoError(t, os.Remove(filepath.Join(folder, "lock")))
 		}
 		body, err := json.MarshalIndent(record, "", "\t")
@@ -164,20 +164,20 @@
 		state := latestShown(c)
 		require.JSONEq(t, string(record.Policy), string(state.Policy))
 		require.Equal(t, record.Evacuated, state.Zones)
-		newest, refusal := c.answer(t, 1, releaseAsk(releaseKeys-1))
+		newest, refusal := c.sendUntilAnswered(t, 1, releaseRequest(releaseKeys-1))
 		require.Nil(t, refusal)
 		for i, token := range record.Tokens {
 			require.Equal(t, token, newest[i].Token)
 			require.True(t, newest[i].Replay)
 		}
 		for i := range releaseKeys - releaseDepth {
-			_, refusal := c.answer(t, i, releaseAsk(i))
+			_, refusal := c.sendUntilAnswered(t, i, releaseRequest(i))
 			require.NotNil(t, refusal, "key %d", i)
 			require.Equal(t, "answer-aged", refusal.Name, "key %d", i)
 		}
 		fresh := verdictRequest
 		fresh.Key = "after the release"
-		_, refusal = c.answer(t, 2, fresh)
+		_, refusal = c.sendUntilAnswered(t, 2, fresh)
 		require.Nil(t, refusal)
 	})
 }
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -22,7 +22,7 @@
 	}, func(t *testing.T, c *Cluster) {
 		before := c.Load(20, 2*time.Second, 1)
 		require.Equal(t, len(before), standin.Summarize(before).Ends[api.Complete])
-		crowd := standin.Load(c.ctx, standin.LoadOptions{
+		overload := standin.Load(c.ctx, standin.LoadOptions{
 			Host:     c.clientProcess.Host(),
 			Nodes:    c.Platform.ReadyNodes,
 			Zones:    c.Site.Zones,
@@ -34,14 +34,14 @@
 			Weights:  []string{standin.SiteWeights},
 			Retries:  0,
 		})
-		sum := standin.Summarize(crowd)
+		sum := standin.Summarize(overload)
 		t.Logf("%+v", sum)
-		require.Empty(t, c.Recorder.Check(crowd))
+		require.Empty(t, c.Recorder.Check(overload))
 		require.Positive(t, sum.Ends["bounced"])
 		for kind, k := range sum.Kinds {
 			require.Greater(t, k.Complete*12, k.Sent, "%s gets its part", kind)
 		}
-		for _, o := range crowd {
+		for _, o := range overload {
 			require.Contains(t, []string{"complete", "bounced"}, o.End, o.Detail)
 		}
 		time.Sleep(3 * time.Second)
@@ -50,16 +50,16 @@
 	})
 }
 
-// TestSeedsGone: every machine that the settings name as a seed is replaced by
+// TestAllSeedsReplaced: every machine that the settings name as a seed is replaced by
 // an empty one elsewhere; nodes that were running go on, and a node started
 // later finds the fleet by one living address.
-func TestSeedsGone(t *testing.T) {
+func TestAllSeedsReplaced(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		for i, b := range append([]*Process(nil), c.Of("controller")...) {
-			c.PowerOff(b)
-			b.Machine.WipeDisk()
-			c.add(c.Controller("controller-"+string(rune('x'+i)), "10.1.0.3"+string(rune('0'+i))+":700", b.Zone))
+		for i, p := range append([]*Process(nil), c.Of("controller")...) {
+			c.PowerOff(p)
+			p.Machine.WipeDisk()
+			c.add(c.Controller("controller-"+string(rune('x'+i)), "10.1.0.3"+string(rune('0'+i))+":700", p.Zone))
 			time.Sleep(9 * time.Second)
 		}
 		require.True(t, c.WaitUntil(5*time.Second, func() bool { return c.Leader() != nil }))
@@ -75,33 +75,33 @@
 	})
 }
 
-// TestRetryStormReturns: a crowd that is bounced comes back when it was told, spread over
+// TestRefusedClientsRetry: a crowd that is bounced comes back when it was told, spread over
 // the seconds in which it can be served; nearly all are served in the end, and few
 // had to ask often.
-func TestRetryStormReturns(t *testing.T) {
+func TestRefusedClientsRetry(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", func(c *Cluster) {
 		c.TuneWorker = func(o *standin.WorkerOptions) { o.Capacity = 220; o.StepTime = 20 * time.Millisecond }
 	}, func(t *testing.T, c *Cluster) {
 		c.Load(20, 2*time.Second, 1)
-		all := c.Load(450, 3*time.Second, 2)
-		tries, most := 0, 0
-		last := time.Duration(0)
-		for _, o := range all {
-			tries, most = tries+o.Attempts, max(most, o.Attempts)
-			last = max(last, o.At+o.Duration)
+		outcomes := c.Load(450, 3*time.Second, 2)
+		attempts, most := 0, 0
+		lastEnd := time.Duration(0)
+		for _, o := range outcomes {
+			attempts, most = attempts+o.Attempts, max(most, o.Attempts)
+			lastEnd = max(lastEnd, o.At+o.Duration)
 		}
-		sum := standin.Summarize(all)
+		sum := standin.Summarize(outcomes)
 		t.Logf(
 			"%d calls, %v, %d askings, at most %d by one, the last ended after %s; %+v",
-			len(all),
+			len(outcomes),
 			sum.Ends,
-			tries,
+			attempts,
 			most,
-			last,
+			lastEnd,
 			sum.Kinds,
 		)
-		require.Empty(t, c.Recorder.Check(all))
-		require.Greater(t, sum.Ends[api.Complete]*100, len(all)*90)
+		require.Empty(t, c.Recorder.Check(outcomes))
+		require.Greater(t, sum.Ends[api.Complete]*100, len(outcomes)*90)
 	})
 }
--- a/internal/simulation/program_test.go
+++ b/internal/simulation/routing_programs_test.go
@@ -18,30 +18,30 @@
 	"keelstair.example/internal/standin"
 )
 
-func programs(t *testing.T, list map[string]fleetstate.Program) string {
+func marshalPrograms(t *testing.T, list map[string]fleetstate.Program) string {
 	b, err := json.Marshal(map[string]any{"programs": list})
 	require.NoError(t, err)
 	return string(b)
 }
 
-// TestSwap: programs are added, swapped, shadowed and removed under load. No
+// TestProgramChanges: programs are added, swapped, shadowed and removed under load. No
 // call breaks, whichever idea rules, a hostile one included; the shares show in
 // the comparison.
-func TestSwap(t *testing.T) {
+func TestProgramChanges(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		hostile := "def order(ask, workers):\n    return ['p1']\n"
 		rounds := []string{
-			programs(t, map[string]fleetstate.Program{
+			marshalPrograms(t, map[string]fleetstate.Program{
 				"free":   {Source: routing.ShippedProgram("free"), Share: 50},
 				"prefix": {Source: routing.ShippedProgram("prefix"), Share: 50},
 			}),
-			programs(t, map[string]fleetstate.Program{
+			marshalPrograms(t, map[string]fleetstate.Program{
 				"free":    {Source: routing.ShippedProgram("free"), Share: 20},
 				"prefix":  {Source: routing.ShippedProgram("prefix"), Share: 30},
 				"hostile": {Source: hostile, Share: 50},
 			}),
-			programs(t, map[string]fleetstate.Program{
+			marshalPrograms(t, map[string]fleetstate.Program{
 				"free":    {Source: routing.ShippedProgram("free"), Share: 0, Shadow: true},
 				"prefix":  {Source: routing.ShippedProgram("prefix"), Share: 0, Shadow: true},
 				"hostile": {Source: "def order(ask, workers):\n    return workers[7]\n", Share: 100},
@@ -64,42 +64,42 @@
 			}
 			done <- nil
 		}()
-		all := c.Load(50, 9*time.Second, 3)
+		outcomes := c.Load(50, 9*time.Second, 3)
 		require.NoError(t, <-done)
-		sum := standin.Summarize(all)
-		require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
-		require.Empty(t, c.Recorder.Check(all))
-		picks, falls := map[string]int64{}, map[string]int64{}
-		for _, b := range c.Of("router") {
-			for name, p := range b.Node.Status().(*router.NodeStatus).Programs {
+		sum := standin.Summarize(outcomes)
+		require.Equal(t, len(outcomes), sum.Ends["complete"], "%+v", sum)
+		require.Empty(t, c.Recorder.Check(outcomes))
+		picks, fallbacks := map[string]int64{}, map[string]int64{}
+		for _, p := range c.Of("router") {
+			for name, p := range p.Node.Status().(*router.NodeStatus).Programs {
 				picks[name] += p["picks"].(int64)
-				falls[name] += p["fallbacks"].(int64)
+				fallbacks[name] += p["fallbacks"].(int64)
 			}
 		}
 		for _, name := range []string{"plain", "free", "prefix", "hostile"} {
 			require.Positive(t, picks[name], "%v", picks)
 		}
-		require.Positive(t, falls["hostile"])
-		require.Zero(t, falls["prefix"])
+		require.Positive(t, fallbacks["hostile"])
+		require.Zero(t, fallbacks["prefix"])
 	})
 }
 
-// TestRollOut: a new weight version runs beside the old one, then the old one
+// TestWeightRollout: a new weight version runs beside the old one, then the old one
 // drains away. Streams never cross versions: each answer is one of the two.
-func TestRollOut(t *testing.T) {
+func TestWeightRollout(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		site := standin.Sites["almaty"]
-		news := map[string]any{}
+		workers := map[string]any{}
 		for i, part := range []int{0, 4, 1, 5} {
 			w := site.Worker(part)
 			w.Weights = "w2"
 			id := fmt.Sprintf("n%d", i+1)
-			b := c.add(c.Worker(ids.WorkerID(id), w, fmt.Sprintf("10.4.0.%d", i+1)))
-			require.True(t, b.Up)
-			news[id] = w
+			p := c.add(c.Worker(ids.WorkerID(id), w, fmt.Sprintf("10.4.0.%d", i+1)))
+			require.True(t, p.Up)
+			workers[id] = w
 		}
-		add, err := json.Marshal(map[string]any{"workers": news})
+		add, err := json.Marshal(map[string]any{"workers": workers})
 		require.NoError(t, err)
 		done := make(chan error, 1)
 		go func() {
@@ -113,20 +113,20 @@
 			}
 			done <- err
 		}()
-		all := c.Load(40, 10*time.Second, 3)
+		outcomes := c.Load(40, 10*time.Second, 3)
 		require.NoError(t, <-done)
-		sum := standin.Summarize(all)
-		require.Equal(t, len(all), sum.Ends["complete"], "%+v", sum)
-		require.Empty(t, c.Recorder.Check(all))
-		late := c.Load(40, 3*time.Second, 4)
-		require.Equal(t, len(late), standin.Summarize(late).Ends["complete"])
+		sum := standin.Summarize(outcomes)
+		require.Equal(t, len(outcomes), sum.Ends["complete"], "%+v", sum)
+		require.Empty(t, c.Recorder.Check(outcomes))
+		after := c.Load(40, 3*time.Second, 4)
+		require.Equal(t, len(after), standin.Summarize(after).Ends["complete"])
 		runs := 0
-		for _, b := range c.Of("worker") {
-			if b.Name[0] == 'n' {
-				runs += len(b.Worker.RequestCounts())
+		for _, p := range c.Of("worker") {
+			if p.Name[0] == 'n' {
+				runs += len(p.Worker.RequestCounts())
 			}
-			if b.Name[0] == 'd' {
-				require.Zero(t, b.Worker.UsedBlocks(), "%s is drained", b.Name)
+			if p.Name[0] == 'd' {
+				require.Zero(t, p.Worker.UsedBlocks(), "%s is drained", p.Name)
 			}
 		}
 		require.Positive(t, runs)
--- a/internal/simulation/script_test.go
+++ b/internal/simulation/script_test.go
@@ -54,7 +54,7 @@
 	if raceEnabled {
 		plan = LoadPlan{10, 7 * time.Second, 2 * time.Second}
 	}
-	for i, s := range slices.Concat(MachineScripts, OtherScripts, Duties) {
+	for i, s := range slices.Concat(MachineScripts, OtherScripts, OperatorScripts) {
 		if raceEnabled && !slices.Contains([]string{"leader-killed", "workers-crash", "operators-race"}, s.Name) {
 			continue
 		}
@@ -76,7 +76,7 @@
 						s.Name,
 						seed,
 						site.Name,
-						worst(result.Outages),
+						longestOutage(result.Outages),
 						result.WithoutPrimary.Seconds(),
 						result.Recomputes,
 						result.Summary.Ends,
@@ -118,7 +118,7 @@
 					"composed script, seed %d at %s: longest outage %s, without primary %.2fs, recomputes %d, %v %v [%s]",
 					seed,
 					site.Name,
-					worst(result.Outages),
+					longestOutage(result.Outages),
 					result.WithoutPrimary.Seconds(),
 					result.Recomputes,
 					result.Summary.Ends,
--- a/internal/simulation/trial_test.go
+++ b/internal/simulation/trial_test.go
@@ -46,7 +46,7 @@
 	done := make(chan error, 1)
 	start := time.Now()
 	ctx, stopWatching := context.WithCancel(c.ctx)
-	c.wg.Go(func() { c.watch(ctx, &result.WithoutPrimary) })
+	c.wg.Go(func() { c.monitor(ctx, &result.WithoutPrimary) })
 	go func() {
 		time.Sleep(2 * time.Second)
 		done <- s.Run(c, r)
@@ -66,7 +66,7 @@
 	}
 	result.Summary = standin.Summarize(outcomes)
 	stopWatching()
-	result.Outages = c.backs(
+	result.Outages = c.outages(
 		outcomes,
 		[][2]time.Duration{{firstFault, span}, {elapsed + 500*time.Millisecond, elapsed + plan.AfterScript}},
 	)
@@ -74,7 +74,7 @@
 	if bound == 0 {
 		bound = 12 * time.Second
 	}
-	result.Violations = append(result.Violations, late(result.Outages, bound)...)
+	result.Violations = append(result.Violations, outageViolations(result.Outages, bound)...)
 	if n := result.Summary.Ends[api.Complete]; s.NoFailures && n != len(outcomes) {
 		result.Violations = append(result.Violations, Violation{
 			ServiceNotRestored, fmt.Sprintf(
