--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -1,5 +1,5 @@
-// A bureau certifies a fleet's machines, and checks afterwards, on the workers' own
-// books, that governed work was handled on certified ones alone.
+// The audit model acts as the issuer of a fleet's certificates. After a run, it checks the events that the
+// workers recorded: only certified workers may have processed governed requests.
 
 package simulation
 
@@ -21,14 +21,15 @@
 	"keelstair.example/internal/standin"
 )
 
-// Uncertified is the line of what must never happen to governed work.
+// Uncertified is the rule that governed requests are processed by certified workers only.
 const Uncertified = "governed work on an uncertified node"
 
-// certificateGrace is how long after the acknowledgement of a revocation, or the end of a
-// certificate, work may still be found at its worker.
+// certificateGrace is how long governed requests may still be on a worker after the revocation of its
+// certificate was acknowledged or the certificate expired.
 const certificateGrace = 2 * time.Second
 
-// governedWork is a site with governed kinds of both sorts and machines to spare.
+// governedWork is a site with governed kinds of requests, with and without idempotency keys, and with more
+// nodes and workers than the load needs.
 var governedWork = standin.Site{
 	Name:    "chamber",
 	Zones:   []ids.Zone{"a", "b", "c"},
@@ -46,10 +47,11 @@
 		}, {Kind: "clarification", Percent: 40, SharedPrefix: 64, SuffixRange: 16, MaxTokens: 16}},
 }
 
-// validPeriod is a certificate's span at a worker, in the book's time.
+// validPeriod is the time in which a worker's certificate is valid, on the recorder's clock.
 type validPeriod struct{ from, until time.Duration }
 
-// AuditModel signs for one regime that governs verdicts and speeches.
+// AuditModel signs the certificates of one regime, which governs verdicts and speeches, and checks that they
+// are observed.
 type AuditModel struct {
 	cluster          *Cluster
 	key              ed25519.PrivateKey
@@ -57,14 +59,15 @@
 	mu               sync.Mutex
 	certs            map[string]certification.Certificate
 	validPeriods     map[string]validPeriod // by serial
-	governedRequests map[string]string      // governed requests by id, with the node that carries them
-	handoffEvents    []handoff.Event        // of governed work
+	governedRequests map[string]string      // the regime of each governed request, by request id
+	handoffEvents    []handoff.Event        // of governed requests
 	revocationTimes  []time.Duration        // how long each revocation took
-	stagingTimes     []time.Duration        // how long memory lay staged
-	reservedPercent  int                    // percent
+	stagingTimes     []time.Duration        // how long exported KV cache stayed staged
+	reservedPercent  int                    // capacity that the regime reserves on its workers
 }
 
-// NewAuditModel must be made before the fleet is built, since it listens to its steps.
+// NewAuditModel creates a model. Its configure method must be passed to Build, since the model traces the
+// hand-offs from the start.
 func NewAuditModel() *AuditModel {
 	key, _, err := certification.NewKey()
 	if err != nil {
@@ -79,10 +82,10 @@
 	}
 }
 
-// configure hooks the bureau to a fleet.
+// configure connects the model to a fleet.
 func (m *AuditModel) configure(c *Cluster) {
 	m.cluster, c.FixedRoles = c, true
-	// What nobody comes for lies staged no longer than an orphan runs.
+	// KV cache that is never fetched stays staged no longer than an orphaned run lasts.
 	c.TuneWorker = func(o *standin.WorkerOptions) { o.StagingTTL = 2 * time.Second }
 	now := time.Now().UTC()
 	m.issuer = certification.Issuer{
@@ -100,7 +103,7 @@
 	}
 }
 
-// sign makes a certificate that holds from an hour ago on for a span.
+// sign issues a certificate that has been valid for an hour and expires after the given lifetime.
 func (m *AuditModel) sign(serial string, certificate certification.Certificate, lifetime time.Duration) certification.Certificate {
 	now := time.Now().UTC()
 	certificate.Serial, certificate.Regime, certificate.Issuer = serial, "chair", "k1"
@@ -116,7 +119,7 @@
 	return certificate
 }
 
-// certify gives all named a certificate for a day; the serial is c- and the name.
+// certify issues a certificate for one day to each worker and node. The serial is "c-" and the name.
 func (m *AuditModel) certify(workers, nodes []string) {
 	for _, w := range workers {
 		role := ids.Prefill
@@ -130,7 +133,7 @@
 	}
 }
 
-// partialConfig is the operators' part of a configuration with all that was signed so far.
+// partialConfig returns a partial configuration with the issuer, the regime and all certificates issued so far.
 func (m *AuditModel) partialConfig() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -141,7 +144,8 @@
 	})
 }
 
-// ApplyRegimes applies the part and waits until every certified node clears somebody.
+// ApplyRegimes applies the partial configuration and waits until, on every running router, the regime is in
+// force and has no shortage.
 func (m *AuditModel) ApplyRegimes() error {
 	if err := applyPartial(m.cluster, "regimes", m.partialConfig()); err != nil {
 		return err
@@ -154,16 +158,16 @@
 		}
 		return true
 	}) {
-		return fmt.Errorf("the regimes are not in force")
+		return fmt.Errorf("the regimes did not come into force within 10 seconds")
 	}
 	return nil
 }
 
-// WaitForOwners waits until certified nodes hold the keys of all certified workers and every node
-// knows these workers as ready. When the regimes come into force, a node without a
-// certificate gives up such keys; until the duties have begun at the next holders,
-// governed requests are refused with a time to come back. All must hold for a second,
-// since for shorter than that nodes may still list what the previous holder last said.
+// WaitForOwners waits until certified nodes own the keys of all certified workers and every node lists these
+// workers as ready. When the regimes come into force, nodes without a certificate give up such keys. Until
+// the new owners have taken over the workers, governed requests are refused with a retry delay. The
+// condition must hold for a second, because up to then nodes may still list the last report of the previous
+// owner.
 func (m *AuditModel) WaitForOwners() error {
 	m.mu.Lock()
 	var workers, nodes []string
@@ -202,12 +206,12 @@
 		}
 		return time.Since(since) >= time.Second
 	}) {
-		return fmt.Errorf("the keys of certified workers have not moved to certified nodes")
+		return fmt.Errorf("certified nodes did not take over the keys of all certified workers within 10 seconds")
 	}
 	return nil
 }
 
-// Revoke ends a certificate as keelstairctl does, until it is acknowledged.
+// Revoke revokes a certificate as keelstairctl does. It retries until the revocation is acknowledged.
 func (m *AuditModel) Revoke(serial string) error {
 	op, start := coordination.NewID(), m.cluster.Recorder.Now()
 	var err error
@@ -229,7 +233,7 @@
 	return nil
 }
 
-// isCleared tells whether a worker may be at governed work at a time.
+// isCleared reports whether a worker may process governed requests at the given time.
 func (m *AuditModel) isCleared(w ids.WorkerID, at time.Duration) bool {
 	for serial, period := range m.validPeriods {
 		if m.certs[serial].Worker == w && at >= period.from && at <= period.until+certificateGrace {
@@ -239,8 +243,8 @@
 	return false
 }
 
-// Check holds the workers' books against the certificates: no order for governed work,
-// and no run of it, at a worker that was not certified then.
+// Check compares the events that the workers recorded with the certificates. It returns a violation for each
+// order, run or staged KV cache of a governed request on a worker that was not certified at the time.
 func (m *AuditModel) Check(outcomes []standin.Outcome) []Violation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -261,7 +265,7 @@
 		switch e.What {
 		case "prefill", "import", "export", "resume", "resumed", "record":
 			if !m.isCleared(e.Worker, e.When) {
-				violations.add(Uncertified, "%s had %s of %s at %s", e.Worker, e.What, e.ID.Request, e.When)
+				violations.add(Uncertified, "uncertified %s handled %s of %s at %s", e.Worker, e.What, e.ID.Request, e.When)
 			}
 		}
 		switch e.What {
@@ -271,7 +275,7 @@
 			if previous, ok := started[run]; ok && !m.isCleared(e.Worker, e.When) {
 				violations.add(
 					Uncertified,
-					"%s still held %s, begun at %s, at %s",
+					"uncertified %s still ran %s, started at %s, at %s",
 					e.Worker,
 					e.ID.Request,
 					previous.When,
@@ -285,7 +289,7 @@
 			staged[run] = e
 		case "unstaged":
 			if !m.isCleared(e.Worker, e.When) {
-				violations.add(Uncertified, "%s had %s staged until %s", e.Worker, e.ID.Request, e.When)
+				violations.add(Uncertified, "uncertified %s kept the KV cache of %s staged until %s", e.Worker, e.ID.Request, e.When)
 			}
 			if previous, ok := staged[run]; ok {
 				m.stagingTimes = append(m.stagingTimes, e.When-previous.When)
@@ -295,14 +299,14 @@
 	return violations.found
 }
 
-// countGoverned counts the requests that were found to be so.
+// countGoverned returns the number of governed requests seen so far.
 func (m *AuditModel) countGoverned() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.governedRequests)
 }
 
-// workersAt lists the workers at which a request had governed steps.
+// workersAt returns the workers of all events with the given step of governed requests, in order.
 func (m *AuditModel) workersAt(step handoff.Step) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -323,7 +327,7 @@
 	return out
 }
 
-// certifyMost certifies three of each part and four of the nodes.
+// certifyMost certifies three workers of each role and four of the five nodes.
 func (m *AuditModel) certifyMost() {
 	m.certify(append(numbered("p", 3), numbered("d", 3)...), numbered("router-", 4))
 }
--- a/internal/simulation/certified_nodes_test.go
+++ b/internal/simulation/certified_nodes_test.go
@@ -1,5 +1,5 @@
-// Certified nodes: governed work stays on them as they are revoked, expire, drain, fail
-// and join.
+// Tests that requests under a regime are processed by certified nodes and workers only, also while
+// certificates are revoked or expire and while nodes are partitioned or fail.
 
 package simulation
 
@@ -21,7 +21,7 @@
 	"keelstair.example/internal/standin"
 )
 
-// withGovernedWork runs a fleet with a regime in force.
+// withGovernedWork runs a test on a fleet with a regime in force. prepare signs the certificates.
 func withGovernedWork(t *testing.T, prepare func(m *AuditModel), f func(t *testing.T, c *Cluster, m *AuditModel)) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -47,7 +47,7 @@
 	Seed:      9,
 }
 
-// withLongOutput gives an asking whose answer has fifty tokens or more.
+// withLongOutput returns the request with a seed for which the output has at least 50 tokens.
 func withLongOutput(request api.StreamRequest) api.StreamRequest {
 	request.MaxTokens = 64
 	for len(standin.ReferenceOutput(request.Tokens(), request.MaxTokens, request.Seed, 0, governedWork.Model, standin.SiteWeights, nil)) < 50 {
@@ -56,7 +56,7 @@
 	return request
 }
 
-// requireReferenceOutput checks a stream against a run that never moved.
+// requireReferenceOutput compares a stream with the output of a run that stays on one worker.
 func requireReferenceOutput(t *testing.T, c *Cluster, request api.StreamRequest, got []api.StreamEvent) {
 	t.Helper()
 	reference := standin.ReferenceOutput(request.Tokens(), request.MaxTokens, request.Seed, 0, c.Site.Model, standin.SiteWeights, nil)
@@ -67,8 +67,8 @@
 	require.Equal(t, api.Complete, got[len(reference)].End)
 }
 
-// TestGovernedWorkOnCertifiedNodes: under a mixed load governed work is handled on certified nodes alone,
-// whichever door it came to, and all of it is answered; other work uses all workers.
+// TestGovernedWorkOnCertifiedNodes checks that, under a mixed load, governed requests are processed by
+// certified nodes only, whichever frontend received them, and all complete. Other requests use all workers.
 func TestGovernedWorkOnCertifiedNodes(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
 		outcomes := c.Load(30, 10*time.Second, 1)
@@ -77,12 +77,12 @@
 		sum := standin.Summarize(outcomes)
 		require.Equal(t, len(outcomes), sum.Ends[api.Complete], "%+v", sum)
 		require.Greater(t, m.countGoverned(), 100)
-		require.Less(t, standin.Quantile(m.stagingTimes, 1), 200.0, "staged memory is freed once it is in")
+		require.Less(t, standin.Quantile(m.stagingTimes, 1), 200.0, "staged KV cache is freed once it has been imported")
 		used := map[ids.WorkerID]bool{}
 		for _, e := range c.Recorder.events {
 			used[e.Worker] = true
 		}
-		require.Len(t, used, 8, "other work goes everywhere")
+		require.Len(t, used, 8, "requests under no regime use all workers")
 		forwarded := int64(0)
 		for _, p := range c.Of("router") {
 			forwarded += p.Node.Forwarded()
@@ -91,7 +91,7 @@
 	})
 }
 
-// readAuditRecords reads the whole audit record as keelstairctl does, checked.
+// readAuditRecords reads the complete audit log as keelstairctl does and verifies its hash chain.
 func readAuditRecords(t *testing.T, c *Cluster) []fleetstate.AuditRecord {
 	var rows []fleetstate.AuditRow
 	for {
@@ -114,8 +114,8 @@
 	return out
 }
 
-// TestAuditRecords: each governed request that ran has its record, with the serial of each
-// step, over a death of the leader; what is not governed has none.
+// TestAuditRecords checks that each governed request that ran has an audit record with the certificate
+// serial of each step, also when the leader is killed, and that other requests have none.
 func TestAuditRecords(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
 		go func() {
@@ -137,7 +137,7 @@
 				begun[r.Request] = true
 				continue
 			}
-			require.NotContains(t, ends, r.Request, "once")
+			require.NotContains(t, ends, r.Request, "one final record per request")
 			ends[r.Request] = r
 			for _, step := range r.Steps {
 				require.Equal(t, "c-"+step.Worker, step.Serial)
@@ -169,9 +169,9 @@
 	})
 }
 
-// TestForwardedToCertifiedNode: a node without a certificate passes governed requests on, untouched, and
-// where it reaches no certified one says at once when to come back; it holds no key of a
-// certified worker.
+// TestForwardedToCertifiedNode checks that a node without a certificate forwards governed requests
+// unchanged. When no certified node is left, it refuses them at once with a retry delay. It owns no key
+// of a certified worker.
 func TestForwardedToCertifiedNode(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
 		require.NoError(t, m.WaitForOwners())
@@ -187,7 +187,7 @@
 		require.True(t, again[0].Replay)
 		require.Equal(t, first[0].Token, again[0].Token)
 		_, err = c.stream(uncertified, api.StreamRequest{Kind: "verdict", Key: "q1", Prompt: "another body", MaxTokens: 2})
-		require.Equal(t, "key-reused", err.(*api.Fault).Name, "a refusal comes back as it was")
+		require.Equal(t, "key-reused", err.(*api.Fault).Name, "a refusal is passed on unchanged")
 		require.True(t, c.WaitUntil(10*time.Second, func() bool {
 			for _, k := range ownedKeys(uncertified) {
 				for _, w := range append(numbered("p", 3), numbered("d", 3)...) {
@@ -209,12 +209,13 @@
 		require.Positive(t, f.After)
 		require.Less(t, time.Since(begun), 300*time.Millisecond)
 		_, err = c.stream(uncertified, api.StreamRequest{Kind: "clarification", Prompt: "may I speak", MaxTokens: 3})
-		require.NoError(t, err, "other work goes on")
+		require.NoError(t, err, "requests under no regime are still served")
 	})
 }
 
-// TestRevokedMidStream: a speech whose decode worker is revoked goes on at a certified
-// one, each piece once; within two seconds of the acknowledgement the worker has none.
+// TestRevokedMidStream checks that a stream whose decode worker is revoked continues on a certified
+// worker and delivers each token once. Within two seconds of the acknowledgement, no governed request
+// is left on the revoked worker.
 func TestRevokedMidStream(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
 		require.NoError(t, m.WaitForOwners())
@@ -224,18 +225,19 @@
 		worker := m.workersAt(handoff.Resumed)[0]
 		time.Sleep(100 * time.Millisecond)
 		require.NoError(t, m.Revoke("c-"+worker))
-		require.Less(t, m.revocationTimes[0], time.Second, "all nodes are well")
+		require.Less(t, m.revocationTimes[0], time.Second, "all nodes are reachable")
 		requireReferenceOutput(t, c, request, <-done)
 		resumed := m.workersAt(handoff.Resumed)
-		require.Len(t, resumed, 2, "it moved: %v, revoked in %v", m.handoffEvents, m.revocationTimes)
+		require.Len(t, resumed, 2, "the stream should have moved: %v, revoked in %v", m.handoffEvents, m.revocationTimes)
 		require.NotEqual(t, worker, resumed[1])
 		time.Sleep(3 * time.Second)
 		require.Empty(t, m.Check(nil))
 	})
 }
 
-// TestRevokedVerdict: a claimed run on a worker that is revoked is never run again: it
-// ends whole, or as unknown, and its key says so later.
+// TestRevokedVerdict checks that a request with an idempotency key is not run a second time when its
+// worker is revoked. The run ends as unknown, and later requests with the key are refused because it may
+// have run.
 func TestRevokedVerdict(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
 		require.NoError(t, m.WaitForOwners())
@@ -246,7 +248,7 @@
 		require.NoError(t, m.Revoke("c-"+m.workersAt(handoff.Resumed)[0]))
 		got := <-done
 		require.Equal(t, api.Unknown, got[len(got)-1].End)
-		// A key between two hands has it bounced at first; the caller comes back.
+		// While a key changes owners, requests for it are refused as bounced, and clients retry.
 		name := ""
 		c.WaitUntil(5*time.Second, func() bool {
 			_, err := c.stream(routerNamed(c, "router-2"), request)
@@ -261,8 +263,9 @@
 	})
 }
 
-// TestRevokedWhilePartitioned: a revocation is not acknowledged while a node that has not heard
-// of it may still act on its word; that node's own governed work is over by then.
+// TestRevokedWhilePartitioned checks that a revocation is not acknowledged while a node that has not
+// received it may still rely on its older state. By the time of the acknowledgement, that node has stopped
+// its own governed requests.
 func TestRevokedWhilePartitioned(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
 		partitioned := routerNamed(c, "router-1")
@@ -279,23 +282,23 @@
 		time.Sleep(50 * time.Millisecond)
 		require.NoError(t, m.Revoke("c-d1"))
 		require.NoError(t, m.Revoke("c-d2"))
-		require.Greater(t, m.revocationTimes[0], 2*time.Second, "it waited for the lease of the one cut off")
+		require.Greater(t, m.revocationTimes[0], 2*time.Second, "the revocation waits until the lease of the partitioned node has expired")
 		require.Less(t, m.revocationTimes[0], 5*time.Second)
 		_, err := partitioned.Node.Clearance("chair", certification.Subject{Worker: "d3"}, ids.Decode)
-		require.Error(t, err, "its word is too old for anybody")
+		require.Error(t, err, "the state of the partitioned node is too old to clear any worker")
 		time.Sleep(4 * time.Second)
 		require.Empty(t, m.Check(nil))
 		c.World.Partition(addresses(partitioned), peers, false)
 		require.True(t, c.WaitUntil(8*time.Second, func() bool {
 			got, err := c.stream(partitioned, speechRequest)
 			return err == nil && got[len(got)-1].End == api.Complete
-		}), "it serves again")
+		}), "the node should serve governed requests again")
 		require.Empty(t, m.Check(nil))
 	})
 }
 
-// TestCertificatesExpire: certificates end by the fleet's time, without a message, also while
-// clocks of nodes and of the leader leap; streams move on in time.
+// TestCertificatesExpire checks that certificates expire by the fleet's time, without any message, also
+// while the clocks of routers and of the leader jump. Streams move to other workers in time.
 func TestCertificatesExpire(t *testing.T) {
 	withGovernedWork(t, func(m *AuditModel) {
 		m.certifyMost()
@@ -319,6 +322,6 @@
 				last[string(e.Worker)] = e.When
 			}
 		}
-		require.Greater(t, last["d1"], m.validPeriods["c-d1"].until-5*time.Second, "it was used nearly to its end: %v", last)
+		require.Greater(t, last["d1"], m.validPeriods["c-d1"].until-5*time.Second, "d1 should be used until shortly before its certificate expires: %v", last)
 	})
 }
--- a/internal/simulation/clearance_test.go
+++ b/internal/simulation/clearance_test.go
@@ -1,4 +1,4 @@
-// The single mechanisms that hold governed work to its regime, each by itself.
+// Tests of each mechanism that restricts governed requests to certified nodes and workers.
 
 package simulation
 
@@ -23,8 +23,9 @@
 	"keelstair.example/rpc"
 )
 
-// TestOwnerChecks: a holder gives no governed order to an uncertified worker, and lets
-// none import from one, whoever asks; what ends work is always given.
+// TestOwnerChecks checks that the owner of a worker's key sends it no governed order if the worker is not
+// certified, and no import whose source is not certified, whichever node requests it. Orders that end work
+// are always sent.
 func TestOwnerChecks(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
 		for _, w := range []ids.WorkerID{"p4", "d4", "d1"} {
@@ -32,7 +33,7 @@
 				return slices.Contains(ownedKeys(ownerOf(c, w)), ids.Key("worker/"+w))
 			}))
 		}
-		time.Sleep(2 * time.Second) // ledgers are open by then
+		time.Sleep(2 * time.Second) // the memory ledgers accept reservations by then
 		sendOrder := func(order router.OrderRequest) error {
 			order.Request, order.Attempt, order.Regime = "x", 1, "chair"
 			order.Version = c.Of("router")[0].Node.View().Current().Version
@@ -67,21 +68,21 @@
 			Verb:   "import",
 			Role:   ids.Decode,
 			Source: "p4",
-		}), "worker p4", "its source")
+		}), "worker p4", "the source is not certified")
 		require.ErrorContains(t, sendOrder(router.OrderRequest{
 			Worker: "d1",
 			Verb:   "reserve",
 			Role:   ids.Prefill,
 			Blocks: 1,
-		}), "no certificate", "another part")
+		}), "no certificate", "the certificate is for another role")
 		require.NoError(t, sendOrder(router.OrderRequest{Worker: "d1", Verb: "reserve", Role: ids.Decode, Blocks: 1}))
 		require.NoError(t, sendOrder(router.OrderRequest{Worker: "p4", Verb: "done"}))
 		require.NoError(t, sendOrder(router.OrderRequest{Worker: "p4", Verb: "cancel"}))
 	})
 }
 
-// TestRevokedDuringPrefill: a long prefill on a worker that is revoked is left at once, not
-// when it is done, and its memory freed.
+// TestRevokedDuringPrefill checks that a long prefill is abandoned as soon as its worker is revoked, not
+// when it has finished, and that its memory is freed.
 func TestRevokedDuringPrefill(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
 		waitForRetryBudget(t, c)
@@ -106,8 +107,8 @@
 	})
 }
 
-// TestFirstTokenAfterRevocation: with pieces that come faster than a running step is looked at, the
-// first one after the revocation was folded already comes from a certified worker.
+// TestFirstTokenAfterRevocation checks that, once a node has applied a revocation, the next token already
+// comes from a certified worker, although tokens arrive more often than running steps are checked.
 func TestFirstTokenAfterRevocation(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
 		require.NoError(t, m.WaitForOwners())
@@ -122,7 +123,7 @@
 		}
 		applied := time.Now()
 		require.True(t, c.WaitUntil(time.Second, func() bool { return len(m.workersAt(handoff.Dropped)) >= 1 }))
-		require.Less(t, time.Since(applied), 45*time.Millisecond, "a step of the worker takes ten")
+		require.Less(t, time.Since(applied), 45*time.Millisecond, "a decode step takes 10 ms")
 		requireReferenceOutput(t, c, request, <-done)
 	})
 }
@@ -132,8 +133,8 @@
 	return ok
 }
 
-// TestNoRegimes: without regimes no time is kept, nothing is recorded, and nobody is
-// asked for a certificate.
+// TestNoRegimes checks that, without regimes, nodes keep no fleet time, write no audit records and require
+// no certificates.
 func TestNoRegimes(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
@@ -147,8 +148,8 @@
 	})
 }
 
-// TestProgramsSeeCleared: a routing program never sees a worker that is not cleared for
-// a governed request; for others it sees all.
+// TestProgramsSeeCleared checks that the workers passed to a routing program for a governed request are all
+// cleared for it. For other requests, the program is given all workers.
 func TestProgramsSeeCleared(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -181,8 +182,9 @@
 	})
 }
 
-// TestRevokedDuringTransfer: a source that is revoked while its memory is on the way to another worker
-// keeps none of it: the attempt ends, the staging is freed, another source is taken.
+// TestRevokedDuringTransfer checks that a prefill worker that is revoked while its KV cache is transferred
+// to a decode worker keeps none of it: the attempt ends, the staged KV cache is freed and another prefill
+// worker is chosen.
 func TestRevokedDuringTransfer(t *testing.T) {
 	withGovernedWork(t, func(m *AuditModel) {
 		m.certifyMost()
@@ -213,19 +215,20 @@
 				return
 			}
 		}
-		require.Fail(t, "it was never freed")
+		require.Fail(t, "the staged KV cache was never freed")
 	})
 }
 
-// limitTransferRate has all workers send memory at so many bytes a second.
+// limitTransferRate makes all workers send KV cache at the given rate.
 func (c *Cluster) limitTransferRate(bytesPerSecond int) {
 	for _, p := range c.Of("worker") {
 		p.Worker.SetFaults(standin.Faults{TransferRate: bytesPerSecond})
 	}
 }
 
-// TestReservedCapacity: in a crowd of work that no regime governs, what a regime keeps free on its
-// workers carries the governed work; without it most of that is bounced.
+// TestReservedCapacity checks that, under an overload of requests that no regime governs, the capacity that
+// a regime reserves on its workers serves the governed requests. Without a reservation, fewer than 80
+// percent of them are served.
 func TestReservedCapacity(t *testing.T) {
 	skipUnderRace(t)
 	served := map[int]float64{}
@@ -261,19 +264,20 @@
 			go func() { otherOutcomes <- load(governedWork.Classes[2], 500, 2) }()
 			governed := load(governedWork.Classes[0], 15, 3)
 			otherSummary := standin.Summarize(<-otherOutcomes)
-			require.Positive(t, otherSummary.Ends["bounced"], "it is a crowd")
+			require.Positive(t, otherSummary.Ends["bounced"], "the other requests overload the fleet")
 			require.Positive(t, otherSummary.Ends[api.Complete])
 			require.Empty(t, m.Check(governed))
 			served[reservedPercent] = float64(standin.Summarize(governed).Ends[api.Complete]) / float64(len(governed))
 		})
 	}
-	t.Logf("share of governed calls served at once: %v", served)
+	t.Logf("share of governed requests served without a retry: %v", served)
 	require.Greater(t, served[50], 0.95)
 	require.Less(t, served[0], 0.8)
 }
 
-// TestBadCertificates: a door refuses a bad first part, with file, line and reason, and
-// nothing of it takes force; a revocation of nobody's certificate is refused.
+// TestBadCertificates checks that a frontend refuses an initial configuration with an invalid certificate
+// with the file, the line and the reason, and that none of it comes into force. Revoking an unknown
+// certificate is refused too.
 func TestBadCertificates(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -314,8 +318,8 @@
 	})
 }
 
-// waitForRetryBudget waits until the shared retry budget has coins: in new hands it is empty, and what
-// has not put a piece is then told at once to come back.
+// waitForRetryBudget waits until the shared retry budget has tokens. A new owner starts with an empty
+// budget, and a failed request that has not sent a token yet is then refused at once with a retry delay.
 func waitForRetryBudget(t *testing.T, c *Cluster) {
 	caller := rpc.NewCaller(c.clientProcess.Host().Net)
 	defer caller.Close()
--- a/internal/simulation/governed_scripts_test.go
+++ b/internal/simulation/governed_scripts_test.go
@@ -1,5 +1,5 @@
-// Scripts over a fleet with a regime in force, with seeds, held against the workers' own
-// books.
+// Scripts of failures and operator actions on a fleet with a regime in force, chosen by seeds. The results
+// are checked against the events that the workers recorded.
 
 package simulation
 
@@ -22,7 +22,7 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// GovernedScript is one script over the chamber.
+// GovernedScript is a script for a fleet with governed requests.
 type GovernedScript struct {
 	Name string
 	Run  func(c *Cluster, b *AuditModel, r *rand.Rand) error
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// GovernedScripts are what machines, operators and time do to governed work.
+// GovernedScripts are failures, operator actions and clock changes under a load of governed requests.
 var GovernedScripts = []GovernedScript{
 	{"workers-crash", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		for _, role := range []string{"d", "p"} {
@@ -66,7 +66,7 @@
 		return nil
 	}},
 	{"worker-joins", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
-		// The fourth pair, so far uncertified, is certified under load.
+		// The fourth prefill and decode workers, which have no certificates yet, are certified under load.
 		m.certify([]string{"p4", "d4"}, []string{"router-5"})
 		return applyPartial(c, "join", marshalPartial(map[string]any{"certificates": m.certs}))
 	}},
@@ -95,7 +95,7 @@
 		}
 		return m.Revoke("c-router-" + strconv.Itoa(1+r.IntN(4)))
 	}},
-	{"revoked-while-cut", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"revoked-while-partitioned", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		p := routerNamed(c, "router-"+strconv.Itoa(1+r.IntN(4)))
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
@@ -105,8 +105,8 @@
 		c.World.Partition(addresses(p), peers, false)
 		return err
 	}},
-	{"expiry-while-cut", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
-		// Two get other certificates, which end soon, and then their first are revoked.
+	{"expiry-while-partitioned", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+		// Two workers get a second certificate that expires soon; then their first ones are revoked.
 		for _, w := range []string{"d1", "p1"} {
 			workerRole := ids.Decode
 			if w[0] == 'p' {
@@ -131,7 +131,7 @@
 		c.World.Partition(addresses(p), peers, false)
 		return nil
 	}},
-	{"leader-dies-in-a-revocation", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"leader-killed-during-revocation", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		l := leader(c)
 		done := make(chan error, 1)
 		go func() { done <- m.Revoke("c-" + certifiedWorker(c, r, "d").Name) }()
@@ -155,7 +155,7 @@
 		wg.Wait()
 		return errors.Join(append(errs, err)...)
 	}},
-	{"clocks-leap", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"clocks-jump", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		for range 3 {
 			pickOne(
 				r, append(c.Of("router"), c.Of("controller")...),
@@ -166,7 +166,7 @@
 	}},
 }
 
-// runGovernedScript runs one script under load and gives what was wrong.
+// runGovernedScript runs one script under load and requires that no rule is violated.
 func runGovernedScript(t *testing.T, s GovernedScript, seed uint64) {
 	m := NewAuditModel()
 	c := Build(seed, governedWork, m.configure)
@@ -191,7 +191,7 @@
 	t.Logf("%s seed %d: %v %v, revocations %v", s.Name, seed, standin.Summarize(during).Ends, standin.Summarize(during).Details, m.revocationTimes)
 }
 
-// TestGovernedScripts runs every script with its seeds.
+// TestGovernedScripts runs every governed script with every seed.
 func TestGovernedScripts(t *testing.T) {
 	skipUnderRace(t)
 	for _, s := range GovernedScripts {
@@ -204,19 +204,19 @@
 	}
 }
 
-// TestAuditModelCatches plants violations of the line of certified nodes.
+// TestAuditModelCatches records violations of the certificates and requires that they are reported.
 func TestAuditModelCatches(t *testing.T) {
 	for name, test := range map[string]struct {
 		events    []RecordedEvent
 		violation bool
 	}{
-		"on a certified one":            {[]RecordedEvent{eventAt("prefill", "p1", 5), eventAt("export", "p1", 6)}, false},
-		"never certified":               {[]RecordedEvent{eventAt("import", "d9", 5)}, true},
-		"before it was":                 {[]RecordedEvent{eventAt("prefill", "p1", 1)}, true},
-		"within two seconds of its end": {[]RecordedEvent{eventAt("import", "p1", 11)}, false},
-		"later":                         {[]RecordedEvent{eventAt("import", "p1", 13)}, true},
-		"runs on":                       {[]RecordedEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 13)}, true},
-		"ends in time":                  {[]RecordedEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 11)}, false},
+		"on a certified worker":           {[]RecordedEvent{eventAt("prefill", "p1", 5), eventAt("export", "p1", 6)}, false},
+		"never certified":                 {[]RecordedEvent{eventAt("import", "d9", 5)}, true},
+		"before the certificate":          {[]RecordedEvent{eventAt("prefill", "p1", 1)}, true},
+		"within the two seconds of grace": {[]RecordedEvent{eventAt("import", "p1", 11)}, false},
+		"after the grace":                 {[]RecordedEvent{eventAt("import", "p1", 13)}, true},
+		"still running after the grace":   {[]RecordedEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 13)}, true},
+		"ends within the grace":           {[]RecordedEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 11)}, false},
 		"not governed": {
 			[]RecordedEvent{{standin.Event{What: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}},
 			false,
--- a/internal/simulation/operator_scripts_test.go
+++ b/internal/simulation/operator_scripts_test.go
@@ -1,5 +1,5 @@
-// Scripts of operators and of the platform while something else breaks: zones that
-// are emptied, workers that leave, machines that are stopped one by one.
+// Scripts of operators and of the platform, most of them combined with failures: zones are evacuated, workers
+// leave, machines are restarted one by one.
 
 package simulation
 
@@ -18,7 +18,7 @@
 	"keelstair.example/internal/router"
 )
 
-// ownerOf is the node that holds the key of a worker.
+// ownerOf returns the node that owns the key of a worker, or the first router if none does.
 func ownerOf(c *Cluster, id ids.WorkerID) *Process {
 	for _, p := range c.Of("router") {
 		if p.Up && slices.Contains(p.Node.Status().(*router.NodeStatus).OwnedKeys, fleetstate.WorkerKey(id)) {
@@ -28,7 +28,8 @@
 	return c.Of("router")[0]
 }
 
-// ownerOfBothRoles is a node that holds keys of both parts, so that it could carry a call alone.
+// ownerOfBothRoles returns a node that owns keys of workers of both roles and so could serve a request
+// without its peers. If there is none, it returns the fourth router.
 func ownerOfBothRoles(c *Cluster) *Process {
 	for _, p := range c.Of("router") {
 		roles := map[byte]bool{}
@@ -44,7 +45,7 @@
 	return c.Of("router")[3]
 }
 
-// sendInBackground keeps calling at one node's door for three seconds.
+// sendInBackground sends 60 requests to one node's frontend, one every 50 ms.
 func sendInBackground(c *Cluster, p *Process) {
 	for i := range 60 {
 		go func() {
@@ -58,7 +59,7 @@
 	}
 }
 
-// evacuateFor evacuates a zone, holds it empty for a while, and takes that back.
+// evacuateFor evacuates a zone, waits for the duration and returns the zone to service.
 func evacuateFor(c *Cluster, zone ids.Zone, op string, duration time.Duration) error {
 	if err := setEvacuated(c, zone, op+"-out", true); err != nil {
 		return err
@@ -67,8 +68,8 @@
 	return setEvacuated(c, zone, op+"-back", false)
 }
 
-// restartGracefully ends a node as the platform does: told first, killed when it had its time,
-// and started again.
+// restartGracefully restarts a node as the platform does: it asks it to shut down, kills it after 3.5 s,
+// starts it again and waits until it is ready.
 func restartGracefully(c *Cluster, p *Process) error {
 	p.Shutdown()
 	time.Sleep(3500 * time.Millisecond)
@@ -82,8 +83,8 @@
 	return nil
 }
 
-// growConfiguration makes a policy large by many routes: parts from several doors, with ones that
-// are refused, and ones that another operator forestalls, between them.
+// growConfiguration makes the configuration large by partial changes through several frontends. Between
+// them, it sends invalid changes and changes based on an outdated version, which must be refused.
 func growConfiguration(c *Cluster, r *rand.Rand) error {
 	for round := range 8 {
 		kinds, workers := map[string]any{}, map[string]any{}
@@ -111,7 +112,7 @@
 			Source:  `{"workers":{"p1":{"room":0}}}`,
 		}
 		if err := c.PostTo(p, "/v1/policy", invalid, nil); err == nil {
-			return fmt.Errorf("round %d: a bad part was taken", round)
+			return fmt.Errorf("round %d: an invalid partial configuration was accepted", round)
 		}
 		if err := applyPartial(c, fmt.Sprint("grow-", round), marshalPartial(map[string]any{
 			"kinds":   kinds,
@@ -126,15 +127,15 @@
 			Source:  `{"limits":{"queue":3}}`,
 		}
 		if err := c.PostTo(pickOne(r, c.Of("router")), "/v1/policy", stale, nil); err == nil {
-			return fmt.Errorf("round %d: a part over an old version was taken", round)
+			return fmt.Errorf("round %d: a partial configuration based on an old version was accepted", round)
 		}
 	}
 	return nil
 }
 
-// OperatorScripts are the scripts of operators and the platform.
+// OperatorScripts are the scripts of operators and of the platform.
 var OperatorScripts = []Script{
-	{Name: "zone-emptied-while-leader-dies", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "evacuation-while-leader-restarts", Run: func(c *Cluster, r *rand.Rand) error {
 		p := leader(c)
 		done := make(chan error, 1)
 		go func() {
@@ -146,21 +147,21 @@
 		time.Sleep(4 * time.Second)
 		return errors.Join(c.Start(p), <-done)
 	}},
-	{Name: "zones-emptied-by-two-at-once", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "evacuations-by-two-operators", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		list := r.Perm(len(c.Site.Zones))
 		var wg sync.WaitGroup
 		errs := make([]error, 3)
-		// Two operators empty one zone each, and one of them the other's too.
+		// Three concurrent evacuations of two zones, so that the second zone is evacuated twice.
 		for i, z := range []int{list[0], list[1], list[1]} {
 			wg.Go(func() { errs[i] = evacuateFor(c, c.Site.Zones[z], fmt.Sprint("two-", i), 7*time.Second) })
 		}
 		wg.Wait()
 		return errors.Join(errs...)
 	}},
-	{Name: "zone-emptied-with-a-holder-cut", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "evacuation-with-owner-partitioned", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		// The node that is cut is also the one that the operator asks first.
+		// The partitioned node is also the first one to which operator requests are sent.
 		w, p := pickOne(r, c.Of("worker")), c.Of("router")[0]
 		for _, o := range c.Of("worker") {
 			if ownerOf(c, ids.WorkerID(o.Name)) == p {
@@ -173,14 +174,14 @@
 		c.World.Partition(addresses(p), peers, false)
 		return err
 	}},
-	{Name: "worker-leaves-its-holder-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "worker-leaves-its-owner-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
 		w := pickOne(r, c.Of("worker"))
 		p := ownerOf(c, ids.WorkerID(w.Name))
 		c.World.Partition(addresses(p), []string{"10.8.0.1"}, true)
 		time.Sleep(time.Second)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
 		c.Recorder.RecordMark("leave", w.Name)
-		// The platform hands nobody to this door now; who knows it still comes.
+		// The platform sends no clients to this frontend now, but clients that know its address still use it.
 		for i := range 40 {
 			c.stream(p, api.StreamRequest{
 				Kind:      c.Site.Classes[1].Kind,
@@ -192,7 +193,7 @@
 		c.World.Partition(addresses(p), []string{"10.8.0.1"}, false)
 		return nil
 	}},
-	{Name: "workers-leave-while-leader-and-holder-die", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "workers-leave-while-leader-and-owner-restart", Run: func(c *Cluster, r *rand.Rand) error {
 		w := pickOne(r, c.Of("worker"))
 		p, l := ownerOf(c, ids.WorkerID(w.Name)), leader(c)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
@@ -203,8 +204,8 @@
 		time.Sleep(5 * time.Second)
 		return errors.Join(c.Start(l), c.Start(p))
 	}},
-	{Name: "storm-with-a-node-cut-from-its-kind", Run: func(c *Cluster, r *rand.Rand) error {
-		// Callers and workers still reach it; nobody tells it what is new.
+	{Name: "storm-with-a-node-cut-from-its-peers", Run: func(c *Cluster, r *rand.Rand) error {
+		// Clients and workers still reach the node, but it receives no configuration changes.
 		p := ownerOfBothRoles(c)
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		for n := range 3 {
@@ -224,7 +225,7 @@
 	}},
 	{Name: "configuration-grows", Run: growConfiguration, NoFailures: true},
 	{
-		Name:         "nodes-stopped-one-by-one",
+		Name:         "nodes-restarted-one-by-one",
 		LoadDuration: 38 * time.Second,
 		NoFailures:   true,
 		Run: func(c *Cluster, _ *rand.Rand) error {
@@ -237,7 +238,7 @@
 		},
 	},
 	{
-		Name:         "workers-and-controllers-stopped-one-by-one",
+		Name:         "workers-and-controllers-restarted-one-by-one",
 		LoadDuration: 45 * time.Second,
 		NoFailures:   true,
 		Run: func(c *Cluster, r *rand.Rand) error {
