--- a/internal/simulation/aged_keys_test.go
+++ b/internal/simulation/aged_keys_test.go
@@ -1,4 +1,4 @@
-// Keys older than any answer that is kept, over a whole fleet.
+// Tests of idempotency keys whose answers are no longer retained, on a complete fleet.
 
 package simulation
 
@@ -13,9 +13,9 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestAgedKeys: long after its answer was forgotten, a key is still known: at the
-// primary, after a takeover, after the machine that wrote it was replaced by an
-// empty one, and after the whole core lost power.
+// TestAgedKeys checks that a key is still recognized long after its answer was dropped, and that it does not
+// run again: at the primary, after a takeover, after the machine that wrote it was replaced by an empty one,
+// and after all controllers lost power.
 func TestAgedKeys(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", func(c *Cluster) {
--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -1,4 +1,4 @@
-// The routing programs measured against each other.
+// Compares the routing programs in simulated time.
 
 package simulation
 
@@ -19,7 +19,7 @@
 	"keelstair.example/internal/standin"
 )
 
-// comparedPrograms are the programs named in KEELSTAIR_COMPARE, or all.
+// comparedPrograms returns the programs named in KEELSTAIR_COMPARE, or all of them if it is 1.
 func comparedPrograms() []string {
 	if list := os.Getenv("KEELSTAIR_COMPARE"); list != "1" {
 		return strings.Split(list, ",")
@@ -27,8 +27,8 @@
 	return []string{routing.BuiltInName, "free", "prefix", "short"}
 }
 
-// TestCompare measures the routing programs against each other: each alone, on
-// the same arrivals, at both sites. It is run by make compare, not by make test.
+// TestCompare measures each routing program alone, on the same arrivals, at both sites. make compare runs it,
+// make test does not.
 func TestCompare(t *testing.T) {
 	if os.Getenv("KEELSTAIR_COMPARE") == "" {
 		t.Skip("run by make compare")
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -1,4 +1,4 @@
-// A mix that swings, with fixed parts and with workers that turn.
+// Compares fixed with changing worker roles on a load whose mix of prefill and decode work shifts.
 
 package simulation
 
@@ -15,7 +15,7 @@
 	"keelstair.example/internal/standin"
 )
 
-// shiftResult is what came of one swing.
+// shiftResult has the measurements of one shift of demand.
 type shiftResult struct {
 	longPrompts, longOutputs standin.Summary
 	roleChanges              int64
@@ -25,7 +25,7 @@
 func (s shiftResult) String() string {
 	r, w := s.longPrompts.Kinds["clarification"], s.longOutputs.Kinds["clarification"]
 	return fmt.Sprintf(
-		"long prompts %d of %d, first piece p50/p99 %.0f/%.0f ms; long answers %d of %d, %.0f/%.0f ms; %d turns, ends with %v",
+		"long prompts %d of %d, first token p50/p99 %.0f/%.0f ms; long outputs %d of %d, %.0f/%.0f ms; %d role changes, final roles %v",
 		r.Complete,
 		r.Sent,
 		r.FirstP50,
@@ -39,14 +39,14 @@
 	)
 }
 
-// runDemandShift sends long prompts that six prefill workers cannot read, then long answers
-// that six decode workers cannot make, and counts.
+// runDemandShift sends requests with long prompts that exceed the capacity of six prefill workers, then
+// requests with long outputs that exceed the capacity of six decode workers.
 func runDemandShift(t *testing.T, changeRoles bool, seed uint64, duration time.Duration) shiftResult {
 	out := shiftResult{roles: map[ids.Role]int{}}
 	synctest.Test(t, func(t *testing.T) {
 		c := Build(seed, standin.Sites["vatuloa"], func(c *Cluster) {
 			c.FixedRoles = !changeRoles
-			// Slow workers, so that few calls make a crowd.
+			// The workers are slow, so that few requests overload them.
 			c.TuneWorker = func(o *standin.WorkerOptions) {
 				o.PrefillPerToken, o.StepPerRun = 320*time.Microsecond, 4*time.Millisecond
 			}
@@ -77,15 +77,15 @@
 		outcomes := append(longPrompts, longOutputs...)
 		require.Empty(t, c.Recorder.Check(outcomes))
 		for _, o := range outcomes {
-			require.Contains(t, []string{"complete", "bounced", standin.TimedOut}, o.End, "no stream breaks: %s", o.Detail)
+			require.Contains(t, []string{"complete", "bounced", standin.TimedOut}, o.End, "no stream should break: %s", o.Detail)
 		}
 	})
 	return out
 }
 
-// TestRoleChanges: on a mix that fixed parts cannot serve, turned ones complete more, and
-// neither flap nor lose a part nor break a stream. make compare prints the figures of
-// several seeds.
+// TestRoleChanges checks that, on a mix that fixed roles cannot serve, changing roles lets more requests
+// complete. Roles must not flap, each role must keep a worker, and no stream may break. If KEELSTAIR_COMPARE
+// is set, it runs several seeds.
 func TestRoleChanges(t *testing.T) {
 	skipUnderRace(t)
 	seeds, duration := 1, 24*time.Second
@@ -96,19 +96,19 @@
 	t.Run("both", func(t *testing.T) {
 		for i := range seeds {
 			t.Run("fixed", func(t *testing.T) { t.Parallel(); fixed[i] = runDemandShift(t, false, uint64(i+1), duration) })
-			t.Run("turning", func(t *testing.T) { t.Parallel(); changed[i] = runDemandShift(t, true, uint64(i+1), duration) })
+			t.Run("changing", func(t *testing.T) { t.Parallel(); changed[i] = runDemandShift(t, true, uint64(i+1), duration) })
 		}
 	})
 	for i := range seeds {
-		t.Logf("fixed:   %s", fixed[i])
-		t.Logf("turning: %s", changed[i])
+		t.Logf("fixed:    %s", fixed[i])
+		t.Logf("changing: %s", changed[i])
 		require.Zero(t, fixed[i].roleChanges)
 		require.Positive(t, changed[i].roleChanges)
-		require.LessOrEqual(t, changed[i].roleChanges, int64(2*duration/(2*time.Second)), "it must not flap")
+		require.LessOrEqual(t, changed[i].roleChanges, int64(2*duration/(2*time.Second)), "roles must not flap")
 		require.Positive(t, changed[i].roles[ids.Prefill])
 		require.Positive(t, changed[i].roles[ids.Decode])
 		fixedCompleted, changedCompleted := fixed[i].longPrompts.Ends["complete"]+
 			fixed[i].longOutputs.Ends["complete"], changed[i].longPrompts.Ends["complete"]+changed[i].longOutputs.Ends["complete"]
-		require.Greater(t, changedCompleted, fixedCompleted, "turning helps")
+		require.Greater(t, changedCompleted, fixedCompleted, "changing roles should let more requests complete")
 	}
 }
--- a/internal/simulation/kv_transfer_test.go
+++ b/internal/simulation/kv_transfer_test.go
@@ -1,4 +1,4 @@
-// What the memory's way over the network costs the first piece.
+// Measures how much the transfer of the KV cache over the network adds to the time to first token.
 
 package simulation
 
@@ -19,12 +19,12 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// TestKVTransfer measures, with the size that the design names (256 MiB for 2048 tokens)
-// and links of 1 and 10 Gbit a second, when each step of a hand-over is done after it
-// was granted: the points at which a first piece could go out. Run by make compare.
+// TestKVTransfer measures the time from the grant of a hand-off to each of its later steps, at which a first
+// token could be sent. The KV cache has the size named in the design (256 MiB for 2048 tokens), and the
+// links have 1 and 10 Gbit/s. It runs only if KEELSTAIR_COMPARE is set.
 func TestKVTransfer(t *testing.T) {
 	if os.Getenv("KEELSTAIR_COMPARE") == "" {
-		t.Skip("a measurement, run by make compare")
+		t.Skip("a measurement, run with KEELSTAIR_COMPARE set")
 	}
 	for _, link := range []struct {
 		name  string
--- a/internal/simulation/large_snapshot_test.go
+++ b/internal/simulation/large_snapshot_test.go
@@ -1,4 +1,4 @@
-// A large state on slow links.
+// Tests the election of a leader with a large state on slow links.
 
 package simulation
 
@@ -22,8 +22,8 @@
 	largeEntrySize = 15_000
 )
 
-// TestLargeSnapshot: a state whose snapshot takes longer than two seconds on a link of
-// 10 Mbit/s still has a leader after the one before it stops, and takes changes.
+// TestLargeSnapshot checks that, with a state whose snapshot takes longer than two seconds to send over a link
+// of 10 Mbit/s, a new leader is elected after the previous one stops, and accepts changes.
 func TestLargeSnapshot(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/simulation/no_failures_test.go
+++ b/internal/simulation/no_failures_test.go
@@ -1,4 +1,4 @@
-// A day on which nothing breaks.
+// Tests of a fleet in which nothing fails.
 
 package simulation
 
@@ -12,9 +12,9 @@
 	"keelstair.example/internal/standin"
 )
 
-// TestStartupWithinTenSeconds: callers come in the tenth second after the machines were started,
-// though the disks are slow, one disk machine and one node come late, and operators
-// apply the configuration as soon as a door takes it.
+// TestStartupWithinTenSeconds checks that requests sent from ten seconds after the start of the machines all
+// complete at the first attempt, although the disks are slow, one controller and one router start late, and
+// operators apply the configuration as soon as a frontend accepts it.
 func TestStartupWithinTenSeconds(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -41,14 +41,13 @@
 		sum := standin.Summarize(outcomes)
 		require.Equal(t, len(outcomes), sum.Ends["complete"], "%+v", sum)
 		for _, o := range outcomes {
-			require.Equal(t, 1, o.Attempts, "nobody is sent away")
+			require.Equal(t, 1, o.Attempts, "no request should be refused")
 		}
 		require.Empty(t, c.Recorder.Check(outcomes))
 	})
 }
 
-// TestNoFailures: with nothing broken, every call completes, token for token, at
-// both sites.
+// TestNoFailures checks that, without failures, every request completes with the expected tokens at each site.
 func TestNoFailures(t *testing.T) {
 	skipUnderRace(t)
 	for name, site := range standin.Sites {
--- a/internal/simulation/operation_class_test.go
+++ b/internal/simulation/operation_class_test.go
@@ -1,4 +1,4 @@
-// Operations are remembered by class.
+// Tests that operations are remembered separately for each class.
 
 package simulation
 
@@ -11,8 +11,8 @@
 	"keelstair.example/internal/api"
 )
 
-// TestApplyAmongEvacuations: a configuration's operation that is sent again after more evacuations
-// than are remembered is acknowledged with the version that it made, and not refused.
+// TestApplyAmongEvacuations checks that an apply that is sent again after more evacuations than are remembered
+// is acknowledged with the version that it created, and not refused.
 func TestApplyAmongEvacuations(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
--- a/internal/simulation/operator_scripts_test.go
+++ b/internal/simulation/operator_scripts_test.go
@@ -45,7 +45,7 @@
 	return c.Of("router")[3]
 }
 
-// sendInBackground sends 60 requests to one node's frontend, one every 50 ms.
+// sendInBackground sends 60 requests to one node's frontend, one every 50 ms for three seconds.
 func sendInBackground(c *Cluster, p *Process) {
 	for i := range 60 {
 		go func() {
@@ -152,7 +152,7 @@
 		list := r.Perm(len(c.Site.Zones))
 		var wg sync.WaitGroup
 		errs := make([]error, 3)
-		// Three concurrent evacuations of two zones, so that the second zone is evacuated twice.
+		// Two operators evacuate one zone each, and one of them also evacuates the zone of the other.
 		for i, z := range []int{list[0], list[1], list[1]} {
 			wg.Go(func() { errs[i] = evacuateFor(c, c.Site.Zones[z], fmt.Sprint("two-", i), 7*time.Second) })
 		}
--- a/internal/simulation/outages_test.go
+++ b/internal/simulation/outages_test.go
@@ -1,6 +1,6 @@
-// Service back: the longest spans without a completed call, for each kind and for
-// the doors of each surviving zone, since what all calls show together can hide one
-// kind that stands still; and the longest span without a primary.
+// Measures outages: the longest times without a completed request, for each kind and for the frontends of each
+// surviving zone, because an outage of one kind can be hidden in the total of all requests; and the longest
+// time without a primary.
 
 package simulation
 
@@ -16,8 +16,8 @@
 	"keelstair.example/internal/standin"
 )
 
-// outages gives the spans by kind and by zone of the door. Zones that were emptied, or
-// have no node any more, are not asked for service.
+// outages returns the longest outage within the given periods for each kind of request and each zone of
+// frontends. Zones that were evacuated or have no running router left are excluded.
 func (c *Cluster) outages(outcomes []standin.Outcome, periods [][2]time.Duration) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	measure := func(name string, include func(standin.Outcome) bool) {
@@ -45,14 +45,14 @@
 	}
 	for zone, ok := range serving {
 		if ok {
-			measure("door of "+string(zone), func(o standin.Outcome) bool { return zoneOf[o.Node] == zone })
+			measure("frontends of zone "+string(zone), func(o standin.Outcome) bool { return zoneOf[o.Node] == zone })
 		}
 	}
 	return out
 }
 
-// monitor measures the longest span without a primary, by the cores' own word, and
-// notes what the nodes have in force, until the context ends.
+// monitor measures the longest time in which no controller reports that it is the primary, and records the
+// configurations that the nodes have in force, until the context ends.
 func (c *Cluster) monitor(ctx context.Context, longest *time.Duration) {
 	lastLed := time.Now()
 	for host.Sleep(ctx, 20*time.Millisecond) {
@@ -81,7 +81,7 @@
 	violations := &violationList{}
 	for name, d := range outages {
 		if d > bound {
-			violations.add(ServiceNotRestored, "%s: %.2f s without a completed call", name, d.Seconds())
+			violations.add(ServiceNotRestored, "%s: %.2f s without a completed request", name, d.Seconds())
 		}
 	}
 	return violations.found
--- a/internal/simulation/power_and_disk_lost_test.go
+++ b/internal/simulation/power_and_disk_lost_test.go
@@ -1,5 +1,4 @@
-// The end of a day: as many disks as the core tolerates are lost, and at the same moment every
-// other machine loses power.
+// Tests the loss of as many disks as the controllers tolerate while every machine loses power.
 
 package simulation
 
@@ -13,10 +12,10 @@
 	"keelstair.example/internal/api"
 )
 
-// TestPowerAndDiskLost: right after a configuration, an evacuation and a keyed answer were
-// acknowledged, one controller loses its disk while all controllers, routers and workers lose
-// power, also those that count for no quorum. What was acknowledged is read back at any router,
-// and the key runs no second time. Each controller in turn.
+// TestPowerAndDiskLost cuts the power of all controllers, routers and workers, also of those that count for no
+// quorum, right after a configuration, an evacuation and the answer to a request with an idempotency key
+// were acknowledged. One controller, each in turn, also loses its disk. The test checks that everything
+// acknowledged is read back at any router, and that the request does not run a second time.
 func TestPowerAndDiskLost(t *testing.T) {
 	skipUnderRace(t)
 	for lost := range 3 {
--- a/internal/simulation/prefill_bound_test.go
+++ b/internal/simulation/prefill_bound_test.go
@@ -1,6 +1,6 @@
-// What share of prompts can be in time at all: a model of reading workers, each of which reads one
-// prompt at a time to its end, with the same arrivals for a router that knows every queue and every
-// kept part at once, and for ones that know less. The figures are those of make compare.
+// A model of prefill workers that estimates which share of prompts can meet its latency target at all. Each
+// worker prefills one prompt at a time, without preemption. A router that always knows every queue and every
+// cached prefix is compared, on the same arrivals, with routers that know less. make compare prints the figures.
 
 package simulation
 
@@ -17,7 +17,8 @@
 	"keelstair.example/ids"
 )
 
-// boundSize is a size in tokens, spread as a lognormal of this mean.
+// boundSize is a log-normal distribution of sizes in tokens, cut off at Max. Spread is the standard deviation
+// of the logarithm.
 type boundSize struct{ Mean, Spread, Max float64 }
 
 func (s boundSize) draw(r *rand.Rand) float64 {
@@ -25,7 +26,7 @@
 	return math.Max(1, math.Min(s.Max, math.Exp(mu+s.Spread*r.NormFloat64())))
 }
 
-// boundKind is one kind of request.
+// boundKind is a kind of request with its arrival rate, latency target and distributions of sizes.
 type boundKind struct {
 	Name                string
 	PerSecond, TargetMs float64
@@ -36,7 +37,7 @@
 	}
 }
 
-// boundModel is the configuration file of the model.
+// boundModel is the content of the model's configuration file, testdata/prefill_bound.json.
 type boundModel struct {
 	Readers              int
 	TokensPerMs, FixedMs float64
@@ -56,16 +57,16 @@
 	return &m
 }
 
-// boundRequest is one arrival: its shared parts by their chain of ids, and its own tokens.
+// boundRequest is an arrival: the hashes of its shared prefixes, and the number of its own tokens.
 type boundRequest struct {
 	kind   int
 	at     float64 // ms
 	chain  []uint64
-	tokens []float64 // of each part of the chain
+	tokens []float64 // of each prefix of the chain
 	own    float64
 }
 
-// arrivals draws one day; the same seed gives the same one.
+// arrivals generates the arrivals of one run from a seed.
 func (m *boundModel) arrivals(seed uint64) []boundRequest {
 	r := rand.New(rand.NewPCG(seed, 1))
 	total := 0.0
@@ -96,13 +97,13 @@
 	}
 }
 
-// boundWorker is one worker: until when it reads, and what it has read.
+// boundWorker is a prefill worker: the time until which it is busy, and the prefixes that it has cached.
 type boundWorker struct {
 	busyUntil float64
 	cached    map[uint64]bool
 }
 
-// uncachedTokens is what the worker has yet to read of a request.
+// uncachedTokens returns how many tokens of a request the worker has not cached.
 func (w *boundWorker) uncachedTokens(request *boundRequest) float64 {
 	need := request.own
 	for i, prefix := range request.chain {
@@ -113,10 +114,11 @@
 	return need
 }
 
-// boundPolicy picks a reader; it may know all of them.
+// boundPolicy picks a worker for a request. It is given the state of all workers.
 type boundPolicy func(m *boundModel, request *boundRequest, readers []boundWorker, r *rand.Rand) int
 
-// pickHome sends a beginning to one reader, whatever waits there.
+// pickHome sends all requests with the same prefix to one worker, chosen by rendezvous hashing, whatever its
+// queue.
 func pickHome(m *boundModel, request *boundRequest, workers []boundWorker, _ *rand.Rand) int {
 	best, highest := -1, uint64(0)
 	for i := range workers {
@@ -127,12 +129,13 @@
 	return best
 }
 
-// pickRandom knows nothing.
+// pickRandom picks a worker at random.
 func pickRandom(_ *boundModel, _ *boundRequest, workers []boundWorker, r *rand.Rand) int {
 	return r.IntN(len(workers))
 }
 
-// pickCheapest weighs what is to be read against the wait, with all queues and kept parts known.
+// pickCheapest returns a policy that picks the worker with the least wait plus weighted prefill time, with all
+// queues and cached prefixes known.
 func pickCheapest(weight float64) boundPolicy {
 	return func(m *boundModel, request *boundRequest, workers []boundWorker, _ *rand.Rand) int {
 		best, least := 0, math.Inf(1)
@@ -146,7 +149,8 @@
 	}
 }
 
-// onTimeShares plays a day and gives each kind's share in time, of the whole day and after the warm-up.
+// onTimeShares simulates one run and returns, for each kind, the share of requests that met the target: of the
+// complete run and of the time after the warm-up.
 func (m *boundModel) onTimeShares(policy boundPolicy, seed uint64) (day, warm []float64) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	workers := make([]boundWorker, m.Readers)
@@ -181,16 +185,18 @@
 	return good[0], good[1]
 }
 
-// TestPrefillBound: a router that knows everything is better than one that keeps to homes, and that
-// one better than chance; with make compare each one's shares are printed with their errors.
+// TestPrefillBound checks that a router with full knowledge meets more targets than routing by prefix, and
+// that this meets more than random routing. make compare prints the shares with their standard errors.
 func TestPrefillBound(t *testing.T) {
 	m := readBoundModel(t)
 	policies := []struct {
 		name string
 		pick boundPolicy
 	}{
-		{"by chance", pickRandom}, {"at home", pickHome},
-		{"knows all, weight 1", pickCheapest(1)}, {"knows all, weight 2", pickCheapest(2)}, {"knows all, weight 4", pickCheapest(4)},
+		{"random", pickRandom}, {"prefix home", pickHome},
+		{"full knowledge, weight 1", pickCheapest(1)},
+		{"full knowledge, weight 2", pickCheapest(2)},
+		{"full knowledge, weight 4", pickCheapest(4)},
 	}
 	const seeds = 5
 	meanShares := map[string]float64{}
@@ -205,7 +211,7 @@
 					squares[span] += v * v
 				}
 			}
-			for span, what := range []string{"day", "warm"} {
+			for span, what := range []string{"complete run", "after warm-up"} {
 				mean := sums[span] / seeds
 				spread := math.Sqrt(math.Max(0, squares[span]/seeds-mean*mean) / (seeds - 1))
 				line += fmt.Sprintf(" %s, %s %.3f +- %.3f |", k.Name, what, mean, spread)
@@ -218,6 +224,6 @@
 			fmt.Println(line)
 		}
 	}
-	require.Greater(t, meanShares["knows all, weight 2"], meanShares["at home"])
-	require.Greater(t, meanShares["at home"], meanShares["by chance"])
+	require.Greater(t, meanShares["full knowledge, weight 2"], meanShares["prefix home"])
+	require.Greater(t, meanShares["prefix home"], meanShares["random"])
 }
--- a/internal/simulation/regime_overhead_test.go
+++ b/internal/simulation/regime_overhead_test.go
@@ -1,4 +1,4 @@
-// What regimes cost, on simulated time: first pieces with and without, and how long
+// Measurements of regimes in simulated time: the time to first token with and without a regime, and how long
 // revocations take. Run by make compare.
 
 package simulation
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestRegimeOverhead: the same load with no regime, with all machines certified, and with three
-// of four workers of each part and four of five nodes.
+// TestRegimeOverhead measures the same load without a regime, with all nodes and workers certified, and with
+// certificates for three of the four workers of each role and four of the five nodes.
 func TestRegimeOverhead(t *testing.T) {
 	skipUnlessComparing(t)
 	for _, setup := range []string{"no regime", "all certified", "some certified"} {
@@ -51,7 +51,7 @@
 				for _, class := range governedWork.Classes {
 					summary := sum.Kinds[class.Kind]
 					fmt.Printf(
-						"| first piece, ms | %s | %s | %.1f / %.1f | %d |\n",
+						"| time to first token, ms | %s | %s | %.1f / %.1f | %d |\n",
 						setup,
 						class.Kind,
 						summary.FirstP50,
@@ -64,13 +64,13 @@
 	}
 }
 
-// TestRevocationTimes: many certificates of one worker are revoked one by one: with all
-// well, with a node cut off shortly before, and with the leader killed shortly after.
+// TestRevocationTimes revokes many certificates of one worker one by one: without a failure, with a node
+// partitioned shortly before, and with the leader killed shortly after the revocation begins.
 func TestRevocationTimes(t *testing.T) {
 	skipUnlessComparing(t)
-	for _, failure := range []string{"all well", "a node cut off", "the leader killed"} {
+	for _, failure := range []string{"no failure", "a node partitioned", "the leader killed"} {
 		t.Run(failure, func(t *testing.T) {
-			n := map[string]int{"all well": 100}[failure]
+			n := map[string]int{"no failure": 100}[failure]
 			if n == 0 {
 				n = 20
 			}
@@ -91,7 +91,7 @@
 					partitioned, currentLeader := routerNamed(c, "router-2"), leader(c)
 					peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 					switch failure {
-					case "a node cut off":
+					case "a node partitioned":
 						c.World.Partition(addresses(partitioned), peers, true)
 					case "the leader killed":
 						go func() {
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -1,4 +1,4 @@
-// Data directories of an earlier release, opened by this one.
+// Tests that controllers start on the data directories of an earlier release.
 
 package simulation
 
@@ -23,19 +23,20 @@
 
 const (
 	releaseFolder = "testdata/release-1"
-	releaseKeys   = 30 // keyed calls that the earlier release answered
-	releaseDepth  = 4  // answers that it kept; older keys stand in sealed chunks
+	releaseKeys   = 30 // requests with an idempotency key that the earlier release answered
+	releaseDepth  = 4  // answers that it retained; older keys are in sealed chunks
 )
 
-// writeRelease is the environment variable that makes TestWriteRelease record the folder.
+// writeRelease is the environment variable that makes TestWriteRelease record the data directories.
 const writeRelease = "KEELSTAIR_RELEASE_WRITE"
 
-// releaseState is what an operator read from the earlier release, kept beside its folders.
+// releaseState is the state that operators read from the earlier release. It is stored in state.json beside
+// the data directories.
 type releaseState struct {
 	Version   uint64          `json:"version"`
 	Policy    json.RawMessage `json:"policy"`
 	Evacuated []string        `json:"evacuated"`
-	Tokens    []int32         `json:"tokens"` // of the newest keyed call
+	Tokens    []int32         `json:"tokens"` // of the newest request with an idempotency key
 }
 
 func releaseRequest(i int) api.StreamRequest {
@@ -44,7 +45,8 @@
 	return request
 }
 
-// sendUntilAnswered asks the nodes in turn until a key is answered or refused for good.
+// sendUntilAnswered sends a request to the nodes in turn until it completes or is refused with a status code
+// below 500.
 func (c *Cluster) sendUntilAnswered(t *testing.T, i int, request api.StreamRequest) ([]api.StreamEvent, *api.Fault) {
 	t.Helper()
 	var lines []api.StreamEvent
@@ -68,8 +70,8 @@
 	c.Retention = fleetstate.Retention{FullRecords: releaseDepth, ChunkEntries: 8}
 }
 
-// TestWriteRelease records the data directories of the running code. It does so on request
-// only: the recorded ones are those of a release, and later code has to open them.
+// TestWriteRelease records the data directories that the current code writes. It runs on request only,
+// because the checked-in directories are those of a release, which later code must be able to open.
 func TestWriteRelease(t *testing.T) {
 	if os.Getenv(writeRelease) == "" {
 		t.Skip("records " + releaseFolder + " where " + writeRelease + " is set")
@@ -135,9 +137,9 @@
 	}
 }
 
-// TestOpensRelease: three replicas start on the data directories of an earlier release. One
-// leads; the configuration, the evacuation and the newest answer are those that were read from
-// that release; older keys are known to have been answered; and new calls are served.
+// TestOpensRelease starts three replicas on the data directories of an earlier release. It checks that one
+// becomes leader, that the configuration, the evacuation and the newest answer are those that were read
+// from that release, that older keys are known as already answered, and that new requests are served.
 func TestOpensRelease(t *testing.T) {
 	skipUnderRace(t)
 	body, err := os.ReadFile(filepath.Join(releaseFolder, "state.json"))
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -1,4 +1,4 @@
-// Crowds, and a fleet that has lost every seed it was started with.
+// Tests of overload and of a fleet whose seed controllers have all been replaced.
 
 package simulation
 
@@ -12,9 +12,9 @@
 	"keelstair.example/internal/standin"
 )
 
-// TestRetryStorm: far more callers than the fleet can carry come at once. Whoever is
-// given up is told at once, with when to come back; both kinds get their part;
-// what is carried is right; and when the crowd has gone all is as before.
+// TestRetryStorm sends far more requests at once than the fleet can serve. It checks that each request either
+// completes or is refused at once with a retry delay (bounced), that both kinds get a share of the capacity, that no rule is violated,
+// and that all requests complete again after the overload.
 func TestRetryStorm(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", func(c *Cluster) {
@@ -39,7 +39,7 @@
 		require.Empty(t, c.Recorder.Check(overload))
 		require.Positive(t, sum.Ends["bounced"])
 		for kind, k := range sum.Kinds {
-			require.Greater(t, k.Complete*12, k.Sent, "%s gets its part", kind)
+			require.Greater(t, k.Complete*12, k.Sent, "%s gets its share", kind)
 		}
 		for _, o := range overload {
 			require.Contains(t, []string{"complete", "bounced"}, o.End, o.Detail)
@@ -50,9 +50,9 @@
 	})
 }
 
-// TestAllSeedsReplaced: every machine that the settings name as a seed is replaced by
-// an empty one elsewhere; nodes that were running go on, and a node started
-// later finds the fleet by one living address.
+// TestAllSeedsReplaced replaces each controller that the settings name as a seed by an empty one at another
+// address. It checks that running nodes continue to serve requests, and that a node started later joins the
+// fleet through a single reachable address.
 func TestAllSeedsReplaced(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
@@ -75,9 +75,9 @@
 	})
 }
 
-// TestRefusedClientsRetry: a crowd that is bounced comes back when it was told, spread over
-// the seconds in which it can be served; nearly all are served in the end, and few
-// had to ask often.
+// TestRefusedClientsRetry checks that, after an overload, clients that were refused retry after the given delay,
+// spread over the seconds in which they can be served, and that more than 90 percent of all requests complete.
+// It logs the number of attempts, of which most requests need only a few.
 func TestRefusedClientsRetry(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", func(c *Cluster) {
@@ -93,7 +93,7 @@
 		}
 		sum := standin.Summarize(outcomes)
 		t.Logf(
-			"%d calls, %v, %d askings, at most %d by one, the last ended after %s; %+v",
+			"%d requests, %v, %d attempts, at most %d of one request, the last ended after %s; %+v",
 			len(outcomes),
 			sum.Ends,
 			attempts,
--- a/internal/simulation/routing_programs_test.go
+++ b/internal/simulation/routing_programs_test.go
@@ -1,4 +1,4 @@
-// Programs swapped under load, and weight versions rolled out.
+// Tests of changes of routing programs and weight versions under load.
 
 package simulation
 
@@ -24,9 +24,9 @@
 	return string(b)
 }
 
-// TestProgramChanges: programs are added, swapped, shadowed and removed under load. No
-// call breaks, whichever idea rules, a hostile one included; the shares show in
-// the comparison.
+// TestProgramChanges adds, replaces, shadows and removes routing programs under load. It checks that every
+// request completes, whichever program is active, also with a hostile one, and that each program's picks
+// and fallbacks are counted in the status of the nodes.
 func TestProgramChanges(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
@@ -84,8 +84,8 @@
 	})
 }
 
-// TestWeightRollout: a new weight version runs beside the old one, then the old one
-// drains away. Streams never cross versions: each answer is one of the two.
+// TestWeightRollout adds workers with a new weight version and then drains those with the old one. It checks
+// that no stream mixes versions: each output is that of one of the two.
 func TestWeightRollout(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
