--- a/internal/simulation/governed_scripts_test.go
+++ b/internal/simulation/governed_scripts_test.go
@@ -25,7 +25,7 @@
 // GovernedScript is a script for a fleet with governed requests.
 type GovernedScript struct {
 	Name string
-	Run  func(c *Cluster, b *AuditModel, r *rand.Rand) error
+	Run  func(c *Cluster, m *AuditModel, r *rand.Rand) error
 }
 
 func certifiedWorker(c *Cluster, r *rand.Rand, prefix string) *Process {
--- a/internal/simulation/prefill_bound_test.go
+++ b/internal/simulation/prefill_bound_test.go
@@ -39,7 +39,7 @@
 
 // boundModel is the content of the model's configuration file, testdata/prefill_bound.json.
 type boundModel struct {
-	Readers              int
+	Readers              int `json:"Readers"`
 	TokensPerMs, FixedMs float64
 	Seconds, WarmSeconds float64
 	Kinds                []boundKind
@@ -105,17 +105,17 @@
 
 // uncachedTokens returns how many tokens of a request the worker has not cached.
 func (w *boundWorker) uncachedTokens(request *boundRequest) float64 {
-	need := request.own
+	tokens := request.own
 	for i, prefix := range request.chain {
 		if !w.cached[prefix] {
-			need += request.tokens[i]
+			tokens += request.tokens[i]
 		}
 	}
-	return need
+	return tokens
 }
 
 // boundPolicy picks a worker for a request. It is given the state of all workers.
-type boundPolicy func(m *boundModel, request *boundRequest, readers []boundWorker, r *rand.Rand) int
+type boundPolicy func(m *boundModel, request *boundRequest, workers []boundWorker, r *rand.Rand) int
 
 // pickHome sends all requests with the same prefix to one worker, chosen by rendezvous hashing, whatever its
 // queue.
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestRetryStorm sends far more requests at once than the fleet can serve. It checks that each request either
-// completes or is refused at once with a retry delay (bounced), that both kinds get a share of the capacity, that no rule is violated,
-// and that all requests complete again after the overload.
+// completes or is refused at once with a retry delay (bounced), that both kinds get a share of the capacity,
+// that no rule is violated, and that all requests complete again after the overload.
 func TestRetryStorm(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", func(c *Cluster) {
