--- a/internal/simulation/aged_keys_test.go
+++ b/internal/simulation/aged_keys_test.go
@@ -30,38 +30,38 @@
 			a.Key = fmt.Sprint("old-", i)
 			return a
 		}
-		next := 0
-		serve := func(n int) {
-			for end := next + n; next < end; next++ {
+		nextKey := 0
+		serveKeys := func(n int) {
+			for end := nextKey + n; nextKey < end; nextKey++ {
 				require.True(t, c.WaitUntil(8*time.Second, func() bool {
-					got, err := c.stream(node(next), request(next))
+					got, err := c.stream(node(nextKey), request(nextKey))
 					return err == nil && got[len(got)-1].End == api.Complete
 				}))
 			}
 		}
 		checkAgedKeys := func() {
-			for i := 0; i < next-4; i++ {
+			for i := 0; i < nextKey-4; i++ {
 				var err error
 				require.True(t, c.WaitUntil(8*time.Second, func() bool {
 					_, err = c.stream(node(i), request(i))
 					r, ok := err.(*api.Fault)
 					return ok && r.Code != 503
-				}), "key %d of %d: %v", i, next, err)
-				require.Equal(t, "answer-aged", err.(*api.Fault).Name, "key %d of %d", i, next)
+				}), "key %d of %d: %v", i, nextKey, err)
+				require.Equal(t, "answer-aged", err.(*api.Fault).Name, "key %d of %d", i, nextKey)
 			}
-			other := request(0)
-			other.Seed++
-			_, err := c.stream(node(1), other)
+			changed := request(0)
+			changed.Seed++
+			_, err := c.stream(node(1), changed)
 			require.Equal(t, "key-reused", err.(*api.Fault).Name)
 		}
-		serve(30)
+		serveKeys(30)
 		checkAgedKeys()
 		p := c.Leader()
 		c.PowerOff(p)
 		p.Machine.WipeDisk()
 		c.add(c.Controller("controller-new", "10.1.0.9:700", p.Zone))
 		time.Sleep(9 * time.Second)
-		serve(20)
+		serveKeys(20)
 		checkAgedKeys()
 		p = c.Leader()
 		c.PowerOff(p)
@@ -76,9 +76,9 @@
 		}
 		require.True(t, c.WaitUntil(8*time.Second, func() bool { return c.Leader() != nil }))
 		time.Sleep(2 * time.Second)
-		serve(4)
+		serveKeys(4)
 		checkAgedKeys()
-		for i := range next {
+		for i := range nextKey {
 			runs, records := countRuns(c, fmt.Sprint("verdict/old-", i))
 			require.Equal(t, []int{1, 1}, []int{runs, records}, "key %d", i)
 		}
--- a/internal/simulation/certified_nodes_test.go
+++ b/internal/simulation/certified_nodes_test.go
@@ -128,13 +128,13 @@
 		outcomes := c.Load(20, 10*time.Second, 1)
 		require.Empty(t, m.Check(outcomes))
 		time.Sleep(3 * time.Second)
-		ends, begun := map[string]fleetstate.AuditRecord{}, map[string]bool{}
+		ends, started := map[string]fleetstate.AuditRecord{}, map[string]bool{}
 		for _, r := range readAuditRecords(t, c) {
 			require.Equal(t, "chair", r.Regime)
 			require.Contains(t, []string{"verdict", "speech"}, r.Kind)
 			require.NotEmpty(t, r.Serial)
 			if r.Outcome == fleetstate.OutcomeBegun {
-				begun[r.Request] = true
+				started[r.Request] = true
 				continue
 			}
 			require.NotContains(t, ends, r.Request, "one final record per request")
@@ -159,7 +159,7 @@
 		done := 0
 		for id, r := range ends {
 			if r.Kind == "speech" {
-				require.True(t, begun[id])
+				require.True(t, started[id])
 				if r.Outcome == api.Complete {
 					done++
 				}
@@ -201,13 +201,13 @@
 		for _, n := range numbered("router-", 4) {
 			require.NoError(t, m.Revoke("c-"+n))
 		}
-		begun := time.Now()
+		start := time.Now()
 		_, err = c.stream(uncertified, speechRequest)
 		f, ok := err.(*api.Fault)
 		require.True(t, ok, "%v", err)
 		require.Equal(t, "not-certified", f.Name)
 		require.Positive(t, f.After)
-		require.Less(t, time.Since(begun), 300*time.Millisecond)
+		require.Less(t, time.Since(start), 300*time.Millisecond)
 		_, err = c.stream(uncertified, api.StreamRequest{Kind: "clarification", Prompt: "may I speak", MaxTokens: 3})
 		require.NoError(t, err, "requests under no regime are still served")
 	})
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -23,17 +23,17 @@
 }
 
 func (s shiftResult) String() string {
-	r, w := s.longPrompts.Kinds["clarification"], s.longOutputs.Kinds["clarification"]
+	prompts, outputs := s.longPrompts.Kinds["clarification"], s.longOutputs.Kinds["clarification"]
 	return fmt.Sprintf(
 		"long prompts %d of %d, first token p50/p99 %.0f/%.0f ms; long outputs %d of %d, %.0f/%.0f ms; %d role changes, final roles %v",
-		r.Complete,
-		r.Sent,
-		r.FirstP50,
-		r.FirstP99,
-		w.Complete,
-		w.Sent,
-		w.FirstP50,
-		w.FirstP99,
+		prompts.Complete,
+		prompts.Sent,
+		prompts.FirstP50,
+		prompts.FirstP99,
+		outputs.Complete,
+		outputs.Sent,
+		outputs.FirstP50,
+		outputs.FirstP99,
 		s.roleChanges,
 		s.roles,
 	)
--- a/internal/simulation/kv_transfer_test.go
+++ b/internal/simulation/kv_transfer_test.go
@@ -59,14 +59,14 @@
 				mu.Lock()
 				defer mu.Unlock()
 				for kind, steps := range durations {
-					for _, s := range []handoff.Step{handoff.Prefilled, handoff.Imported, handoff.Resumed} {
+					for _, step := range []handoff.Step{handoff.Prefilled, handoff.Imported, handoff.Resumed} {
 						fmt.Printf(
 							"| %s | %s | %s | %.0f / %.0f |\n",
 							link.name,
 							kind,
-							s,
-							standin.Quantile(steps[s], 0.5),
-							standin.Quantile(steps[s], 0.99),
+							step,
+							standin.Quantile(steps[step], 0.5),
+							standin.Quantile(steps[step], 0.99),
 						)
 					}
 				}
--- a/internal/simulation/prefill_bound_test.go
+++ b/internal/simulation/prefill_bound_test.go
@@ -39,7 +39,7 @@
 
 // boundModel is the content of the model's configuration file, testdata/prefill_bound.json.
 type boundModel struct {
-	Readers              int `json:"Readers"`
+	Workers              int `json:"Readers"`
 	TokensPerMs, FixedMs float64
 	Seconds, WarmSeconds float64
 	Kinds                []boundKind
@@ -50,7 +50,7 @@
 	require.NoError(t, err)
 	var m boundModel
 	require.NoError(t, json.Unmarshal(body, &m))
-	require.True(t, m.Readers > 0 && m.TokensPerMs > 0 && m.Seconds > m.WarmSeconds && len(m.Kinds) > 0)
+	require.True(t, m.Workers > 0 && m.TokensPerMs > 0 && m.Seconds > m.WarmSeconds && len(m.Kinds) > 0)
 	for _, k := range m.Kinds {
 		require.True(t, k.PerSecond > 0 && k.TargetMs > 0 && k.OwnTokens.Mean > 0, k.Name)
 	}
@@ -59,11 +59,11 @@
 
 // boundRequest is an arrival: the hashes of its shared prefixes, and the number of its own tokens.
 type boundRequest struct {
-	kind   int
-	at     float64 // ms
-	chain  []uint64
-	tokens []float64 // of each prefix of the chain
-	own    float64
+	kind         int
+	arrivalMs    float64 // ms
+	prefixes     []uint64
+	prefixTokens []float64 // of each prefix of the chain
+	ownTokens    float64
 }
 
 // arrivals generates the arrivals of one run from a seed.
@@ -79,20 +79,20 @@
 		if at += r.ExpFloat64() / total * 1000; at > 1000*m.Seconds {
 			return out
 		}
-		request := boundRequest{at: at}
-		for x := r.Float64() * total; x > m.Kinds[request.kind].PerSecond; request.kind++ {
-			x -= m.Kinds[request.kind].PerSecond
+		request := boundRequest{arrivalMs: at}
+		for position := r.Float64() * total; position > m.Kinds[request.kind].PerSecond; request.kind++ {
+			position -= m.Kinds[request.kind].PerSecond
 		}
 		kind := m.Kinds[request.kind]
 		hash := ids.Mix(uint64(request.kind + 1))
-		for _, part := range kind.Shared {
-			hash = ids.Mix(hash ^ uint64(r.IntN(part.Count)+1))
+		for _, prefix := range kind.Shared {
+			hash = ids.Mix(hash ^ uint64(r.IntN(prefix.Count)+1))
 			if sizes[hash] == 0 {
-				sizes[hash] = part.Tokens.draw(r)
+				sizes[hash] = prefix.Tokens.draw(r)
 			}
-			request.chain, request.tokens = append(request.chain, hash), append(request.tokens, sizes[hash])
+			request.prefixes, request.prefixTokens = append(request.prefixes, hash), append(request.prefixTokens, sizes[hash])
 		}
-		request.own = kind.OwnTokens.draw(r)
+		request.ownTokens = kind.OwnTokens.draw(r)
 		out = append(out, request)
 	}
 }
@@ -105,10 +105,10 @@
 
 // uncachedTokens returns how many tokens of a request the worker has not cached.
 func (w *boundWorker) uncachedTokens(request *boundRequest) float64 {
-	tokens := request.own
-	for i, prefix := range request.chain {
+	tokens := request.ownTokens
+	for i, prefix := range request.prefixes {
 		if !w.cached[prefix] {
-			tokens += request.tokens[i]
+			tokens += request.prefixTokens[i]
 		}
 	}
 	return tokens
@@ -122,7 +122,7 @@
 func pickHome(m *boundModel, request *boundRequest, workers []boundWorker, _ *rand.Rand) int {
 	best, highest := -1, uint64(0)
 	for i := range workers {
-		if h := ids.Mix(request.chain[len(request.chain)-1] ^ ids.Mix(uint64(i))); best < 0 || h > highest {
+		if h := ids.Mix(request.prefixes[len(request.prefixes)-1] ^ ids.Mix(uint64(i))); best < 0 || h > highest {
 			best, highest = i, h
 		}
 	}
@@ -140,7 +140,7 @@
 	return func(m *boundModel, request *boundRequest, workers []boundWorker, _ *rand.Rand) int {
 		best, least := 0, math.Inf(1)
 		for i := range workers {
-			wait := math.Max(0, workers[i].busyUntil-request.at)
+			wait := math.Max(0, workers[i].busyUntil-request.arrivalMs)
 			if cost := wait + weight*workers[i].uncachedTokens(request)/m.TokensPerMs; cost < least {
 				best, least = i, cost
 			}
@@ -151,38 +151,38 @@
 
 // onTimeShares simulates one run and returns, for each kind, the share of requests that met the target: of the
 // complete run and of the time after the warm-up.
-func (m *boundModel) onTimeShares(policy boundPolicy, seed uint64) (day, warm []float64) {
+func (m *boundModel) onTimeShares(policy boundPolicy, seed uint64) (complete, afterWarmUp []float64) {
 	r := rand.New(rand.NewPCG(seed, 2))
-	workers := make([]boundWorker, m.Readers)
+	workers := make([]boundWorker, m.Workers)
 	for i := range workers {
 		workers[i].cached = map[uint64]bool{}
 	}
-	var all, good [2][]float64
-	for span := range all {
-		all[span], good[span] = make([]float64, len(m.Kinds)), make([]float64, len(m.Kinds))
+	var all, met [2][]float64
+	for period := range all {
+		all[period], met[period] = make([]float64, len(m.Kinds)), make([]float64, len(m.Kinds))
 	}
 	for _, request := range m.arrivals(seed) {
 		w := &workers[policy(m, &request, workers, r)]
-		w.busyUntil = math.Max(w.busyUntil, request.at) + w.uncachedTokens(&request)/m.TokensPerMs
-		for _, part := range request.chain {
-			w.cached[part] = true
+		w.busyUntil = math.Max(w.busyUntil, request.arrivalMs) + w.uncachedTokens(&request)/m.TokensPerMs
+		for _, prefix := range request.prefixes {
+			w.cached[prefix] = true
 		}
-		late := w.busyUntil-request.at+m.FixedMs > m.Kinds[request.kind].TargetMs
-		for span, from := range []float64{0, 1000 * m.WarmSeconds} {
-			if request.at >= from {
-				all[span][request.kind]++
+		late := w.busyUntil-request.arrivalMs+m.FixedMs > m.Kinds[request.kind].TargetMs
+		for period, from := range []float64{0, 1000 * m.WarmSeconds} {
+			if request.arrivalMs >= from {
+				all[period][request.kind]++
 				if !late {
-					good[span][request.kind]++
+					met[period][request.kind]++
 				}
 			}
 		}
 	}
-	for span := range all {
-		for kind := range good[span] {
-			good[span][kind] /= all[span][kind]
+	for period := range all {
+		for kind := range met[period] {
+			met[period][kind] /= all[period][kind]
 		}
 	}
-	return good[0], good[1]
+	return met[0], met[1]
 }
 
 // TestPrefillBound checks that a router with full knowledge meets more targets than routing by prefix, and
@@ -205,17 +205,17 @@
 		for kind, k := range m.Kinds {
 			var sums, squares [2]float64
 			for seed := range uint64(seeds) {
-				day, warm := m.onTimeShares(p.pick, seed+1)
-				for span, v := range []float64{day[kind], warm[kind]} {
-					sums[span] += v
-					squares[span] += v * v
+				complete, afterWarmUp := m.onTimeShares(p.pick, seed+1)
+				for period, v := range []float64{complete[kind], afterWarmUp[kind]} {
+					sums[period] += v
+					squares[period] += v * v
 				}
 			}
-			for span, what := range []string{"complete run", "after warm-up"} {
-				mean := sums[span] / seeds
-				spread := math.Sqrt(math.Max(0, squares[span]/seeds-mean*mean) / (seeds - 1))
-				line += fmt.Sprintf(" %s, %s %.3f +- %.3f |", k.Name, what, mean, spread)
-				if span == 0 {
+			for period, periodName := range []string{"complete run", "after warm-up"} {
+				mean := sums[period] / seeds
+				standardError := math.Sqrt(math.Max(0, squares[period]/seeds-mean*mean) / (seeds - 1))
+				line += fmt.Sprintf(" %s, %s %.3f +- %.3f |", k.Name, periodName, mean, standardError)
+				if period == 0 {
 					meanShares[p.name] += mean
 				}
 			}
--- a/internal/simulation/routing_programs_test.go
+++ b/internal/simulation/routing_programs_test.go
@@ -18,10 +18,10 @@
 	"keelstair.example/internal/standin"
 )
 
-func marshalPrograms(t *testing.T, list map[string]fleetstate.Program) string {
-	b, err := json.Marshal(map[string]any{"programs": list})
+func marshalPrograms(t *testing.T, programs map[string]fleetstate.Program) string {
+	body, err := json.Marshal(map[string]any{"programs": programs})
 	require.NoError(t, err)
-	return string(b)
+	return string(body)
 }
 
 // TestProgramChanges adds, replaces, shadows and removes routing programs under load. It checks that every
@@ -91,8 +91,8 @@
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		site := standin.Sites["almaty"]
 		workers := map[string]any{}
-		for i, part := range []int{0, 4, 1, 5} {
-			w := site.Worker(part)
+		for i, index := range []int{0, 4, 1, 5} {
+			w := site.Worker(index)
 			w.Weights = "w2"
 			id := fmt.Sprintf("n%d", i+1)
 			p := c.add(c.Worker(ids.WorkerID(id), w, fmt.Sprintf("10.4.0.%d", i+1)))
