--- a/internal/simulation/clearance_test.go
+++ b/internal/simulation/clearance_test.go
@@ -275,8 +275,8 @@
 	require.Less(t, served[0], 0.8)
 }
 
-// TestBadCertificates checks that a frontend refuses an initial configuration with an invalid certificate
-// with the file, the line and the reason, and that none of it comes into force. Revoking an unknown
+// TestBadCertificates checks that a frontend refuses an initial configuration that has an invalid certificate
+// and reports the file, the line and the reason, and that none of it comes into force. Revoking an unknown
 // certificate is refused too.
 func TestBadCertificates(t *testing.T) {
 	skipUnderRace(t)
--- a/internal/simulation/prefill_bound_test.go
+++ b/internal/simulation/prefill_bound_test.go
@@ -17,7 +17,7 @@
 	"keelstair.example/ids"
 )
 
-// boundSize is a log-normal distribution of sizes in tokens, cut off at Max. Spread is the standard deviation
+// boundSize is a log-normal distribution of sizes in tokens, limited to 1 to Max. Spread is the standard deviation
 // of the logarithm.
 type boundSize struct{ Mean, Spread, Max float64 }
 
@@ -60,9 +60,9 @@
 // boundRequest is an arrival: the hashes of its shared prefixes, and the number of its own tokens.
 type boundRequest struct {
 	kind         int
-	arrivalMs    float64 // ms
+	arrivalMs    float64
 	prefixes     []uint64
-	prefixTokens []float64 // of each prefix of the chain
+	prefixTokens []float64 // of each prefix
 	ownTokens    float64
 }
 
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -77,7 +77,7 @@
 
 // TestRefusedClientsRetry checks that, after an overload, clients that were refused retry after the given delay,
 // spread over the seconds in which they can be served, and that more than 90 percent of all requests complete.
-// It logs the number of attempts, of which most requests need only a few.
+// Most requests should need only a few attempts, whose number is logged.
 func TestRefusedClientsRetry(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", func(c *Cluster) {
