--- a/internal/simulation/aged_keys_test.go
+++ b/internal/simulation/aged_keys_test.go
@@ -1,4 +1,4 @@
-// Keys older than any answer that is kept, over a whole fleet.
+// Tests of idempotency keys whose answers are no longer retained, on a complete fleet.
 
 package simulation
 
@@ -13,9 +13,9 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestAgedKeys: long after its answer was forgotten, a key is still known: at the
-// primary, after a takeover, after the machine that wrote it was replaced by an
-// empty one, and after the whole core lost power.
+// TestAgedKeys checks that a key is still recognized long after its answer was dropped, and that it does not
+// run again: at the primary, after a takeover, after the machine that wrote it was replaced by an empty one,
+// and after all controllers lost power.
 func TestAgedKeys(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", func(c *Cluster) {
@@ -25,60 +25,60 @@
 		}
 	}, func(t *testing.T, c *Cluster) {
 		node := func(i int) *Process { return c.Of("router")[i%len(c.Of("router"))] }
-		ask := func(i int) api.StreamRequest {
+		request := func(i int) api.StreamRequest {
 			a := verdictRequest
 			a.Key = fmt.Sprint("old-", i)
 			return a
 		}
-		next := 0
-		serve := func(n int) {
-			for end := next + n; next < end; next++ {
+		nextKey := 0
+		serveKeys := func(n int) {
+			for end := nextKey + n; nextKey < end; nextKey++ {
 				require.True(t, c.WaitUntil(8*time.Second, func() bool {
-					got, err := c.stream(node(next), ask(next))
+					got, err := c.stream(node(nextKey), request(nextKey))
 					return err == nil && got[len(got)-1].End == api.EndComplete
 				}))
 			}
 		}
-		previous := func() {
-			for i := 0; i < next-4; i++ {
-				var last error
+		checkAgedKeys := func() {
+			for i := 0; i < nextKey-4; i++ {
+				var err error
 				require.True(t, c.WaitUntil(8*time.Second, func() bool {
-					_, last = c.stream(node(i), ask(i))
-					r, ok := last.(*api.Fault)
+					_, err = c.stream(node(i), request(i))
+					r, ok := err.(*api.Fault)
 					return ok && r.Code != 503
-				}), "key %d of %d: %v", i, next, last)
-				require.Equal(t, "answer-aged", last.(*api.Fault).Name, "key %d of %d", i, next)
+				}), "key %d of %d: %v", i, nextKey, err)
+				require.Equal(t, "answer-aged", err.(*api.Fault).Name, "key %d of %d", i, nextKey)
 			}
-			other := ask(0)
-			other.Seed++
-			_, err := c.stream(node(1), other)
+			changed := request(0)
+			changed.Seed++
+			_, err := c.stream(node(1), changed)
 			require.Equal(t, "key-reused", err.(*api.Fault).Name)
 		}
-		serve(30)
-		previous()
-		b := c.Leader()
-		c.PowerOff(b)
-		b.Machine.WipeDisk()
-		c.add(c.Controller("controller-new", "10.1.0.9:700", b.Zone))
+		serveKeys(30)
+		checkAgedKeys()
+		p := c.Leader()
+		c.PowerOff(p)
+		p.Machine.WipeDisk()
+		c.add(c.Controller("controller-new", "10.1.0.9:700", p.Zone))
 		time.Sleep(9 * time.Second)
-		serve(20)
-		previous()
-		b = c.Leader()
-		c.PowerOff(b)
-		require.True(t, c.WaitUntil(8*time.Second, func() bool { l := c.Leader(); return l != nil && l != b }))
+		serveKeys(20)
+		checkAgedKeys()
+		p = c.Leader()
+		c.PowerOff(p)
+		require.True(t, c.WaitUntil(8*time.Second, func() bool { l := c.Leader(); return l != nil && l != p }))
 		time.Sleep(time.Second)
-		previous()
-		for _, b := range c.Of("controller") {
-			c.PowerOff(b)
+		checkAgedKeys()
+		for _, p := range c.Of("controller") {
+			c.PowerOff(p)
 		}
-		for _, b := range c.Of("controller")[1:] {
-			require.NoError(t, c.Start(b))
+		for _, p := range c.Of("controller")[1:] {
+			require.NoError(t, c.Start(p))
 		}
 		require.True(t, c.WaitUntil(8*time.Second, func() bool { return c.Leader() != nil }))
 		time.Sleep(2 * time.Second)
-		serve(4)
-		previous()
-		for i := range next {
+		serveKeys(4)
+		checkAgedKeys()
+		for i := range nextKey {
 			runs, records := countRuns(c, fmt.Sprint("verdict/old-", i))
 			require.Equal(t, []int{1, 1}, []int{runs, records}, "key %d", i)
 		}
--- /dev/null
+++ b/internal/simulation/certified_nodes_test.go
@@ -0,0 +1,327 @@
+// Tests that requests under a regime are processed by certified nodes and workers only, also while
+// certificates are revoked or expire and while nodes are partitioned or fail.
+
+package simulation
+
+import (
+	"encoding/json"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"keelstair.example/ids"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/certification"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/handoff"
+	"keelstair.example/internal/router"
+	"keelstair.example/internal/standin"
+)
+
+// withGovernedWork runs a test on a fleet with a regime in force. prepare signs the certificates.
+func withGovernedWork(t *testing.T, prepare func(m *AuditModel), f func(t *testing.T, c *Cluster, m *AuditModel)) {
+	skipUnderRace(t)
+	synctest.Test(t, func(t *testing.T) {
+		m := NewAuditModel()
+		c := Build(1, governedWork, m.configure)
+		defer c.Close()
+		require.NoError(t, c.Bootstrap())
+		prepare(m)
+		require.NoError(t, m.ApplyRegimes())
+		f(t, c, m)
+	})
+}
+
+func routerNamed(c *Cluster, name string) *Process {
+	routers := c.Of("router")
+	return routers[slices.IndexFunc(routers, func(p *Process) bool { return p.Name == name })]
+}
+
+var speechRequest = api.StreamRequest{
+	Kind:      "speech",
+	Prompt:    "the chair gives the floor to the delegate of the fourth row",
+	MaxTokens: 60,
+	Seed:      9,
+}
+
+// withLongOutput returns the request with a seed for which the output has at least 50 tokens.
+func withLongOutput(request api.StreamRequest) api.StreamRequest {
+	request.MaxTokens = 64
+	for len(standin.ReferenceOutput(request.PromptTokens(), request.MaxTokens, request.Seed, 0, governedWork.Model, standin.SiteWeights, nil)) < 50 {
+		request.Seed++
+	}
+	return request
+}
+
+// requireReferenceOutput compares a stream with the output of a run that stays on one worker.
+func requireReferenceOutput(t *testing.T, c *Cluster, request api.StreamRequest, got []api.StreamEvent) {
+	t.Helper()
+	reference := standin.ReferenceOutput(request.PromptTokens(), request.MaxTokens, request.Seed, 0, c.Site.Model, standin.SiteWeights, nil)
+	require.Len(t, got, len(reference)+1, "%+v", got[len(got)-1].Error)
+	for i, token := range reference {
+		require.Equal(t, token, got[i].Token)
+	}
+	require.Equal(t, api.EndComplete, got[len(reference)].End)
+}
+
+// TestGovernedWorkOnCertifiedNodes checks that, under a mixed load, governed requests are processed by
+// certified nodes only, whichever frontend received them, and all complete. Other requests use all workers.
+func TestGovernedWorkOnCertifiedNodes(t *testing.T) {
+	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+		outcomes := c.Load(30, 10*time.Second, 1)
+		require.Empty(t, m.Check(outcomes))
+		require.Empty(t, c.Recorder.Check(outcomes))
+		sum := standin.Summarize(outcomes)
+		require.Equal(t, len(outcomes), sum.Ends[api.EndComplete], "%+v", sum)
+		require.Greater(t, m.countGoverned(), 100)
+		require.Less(t, standin.Quantile(m.stagingTimes, 1), 200.0, "staged KV cache is freed once it has been imported")
+		used := map[ids.WorkerID]bool{}
+		for _, e := range c.Recorder.events {
+			used[e.Worker] = true
+		}
+		require.Len(t, used, 8, "requests under no regime use all workers")
+		forwarded := int64(0)
+		for _, p := range c.Of("router") {
+			forwarded += p.Node.Forwarded()
+		}
+		require.Positive(t, forwarded)
+	})
+}
+
+// readAuditRecords reads the complete audit log as keelstairctl does and verifies its hash chain.
+func readAuditRecords(t *testing.T, c *Cluster) []fleetstate.AuditRecord {
+	var rows []fleetstate.AuditRow
+	for {
+		got, err := c.Of("router")[0].Node.AuditRows(c.ctx, len(rows)+1, 500)
+		require.NoError(t, err)
+		if len(got.Rows) == 0 {
+			break
+		}
+		for _, l := range got.Rows {
+			var r fleetstate.AuditRow
+			require.NoError(t, json.Unmarshal(l, &r))
+			rows = append(rows, r)
+		}
+	}
+	require.NoError(t, fleetstate.VerifyChain(nil, rows))
+	out := make([]fleetstate.AuditRecord, len(rows))
+	for i, r := range rows {
+		require.NoError(t, json.Unmarshal(r.Record, &out[i]))
+	}
+	return out
+}
+
+// TestAuditRecords checks that each governed request that ran has an audit record with the certificate
+// serial of each step, also when the leader is killed, and that other requests have none.
+func TestAuditRecords(t *testing.T) {
+	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+		go func() {
+			time.Sleep(4 * time.Second)
+			previousLeader := leader(c)
+			c.Kill(previousLeader)
+			time.Sleep(3 * time.Second)
+			c.Start(previousLeader)
+		}()
+		outcomes := c.Load(20, 10*time.Second, 1)
+		require.Empty(t, m.Check(outcomes))
+		time.Sleep(3 * time.Second)
+		ends, started := map[string]fleetstate.AuditRecord{}, map[string]bool{}
+		for _, r := range readAuditRecords(t, c) {
+			require.Equal(t, "chair", r.Regime)
+			require.Contains(t, []string{"verdict", "speech"}, r.Kind)
+			require.NotEmpty(t, r.Serial)
+			if r.Outcome == fleetstate.OutcomeBegun {
+				started[r.Request] = true
+				continue
+			}
+			require.NotContains(t, ends, r.Request, "one final record per request")
+			ends[r.Request] = r
+			for _, step := range r.Steps {
+				require.Equal(t, "c-"+step.Worker, step.Serial)
+				require.Positive(t, step.At)
+			}
+		}
+		speeches := 0
+		for _, o := range outcomes {
+			switch {
+			case o.Kind == "verdict" && o.End == api.EndComplete:
+				r := ends[router.RequestIDForKey("verdict/"+o.Key)]
+				require.Equal(t, fleetstate.OutcomeDone, r.Outcome, "%+v", o)
+				require.Equal(t, "verdict/"+o.Key, r.Key)
+				require.GreaterOrEqual(t, len(r.Steps), 4)
+			case o.Kind == "speech" && o.End == api.EndComplete:
+				speeches++
+			}
+		}
+		done := 0
+		for id, r := range ends {
+			if r.Kind == "speech" {
+				require.True(t, started[id])
+				if r.Outcome == api.EndComplete {
+					done++
+				}
+			}
+		}
+		require.Equal(t, speeches, done)
+	})
+}
+
+// TestForwardedToCertifiedNode checks that a node without a certificate forwards governed requests
+// unchanged. When no certified node is left, it refuses them at once with a retry delay. It owns no key
+// of a certified worker.
+func TestForwardedToCertifiedNode(t *testing.T) {
+	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+		require.NoError(t, m.WaitForOwners())
+		uncertified := routerNamed(c, "router-5")
+		got, err := c.stream(uncertified, speechRequest)
+		require.NoError(t, err)
+		requireReferenceOutput(t, c, speechRequest, got)
+		request := verdictRequest
+		first, err := c.stream(uncertified, request)
+		require.NoError(t, err)
+		again, err := c.stream(uncertified, request)
+		require.NoError(t, err)
+		require.True(t, again[0].Replay)
+		require.Equal(t, first[0].Token, again[0].Token)
+		_, err = c.stream(uncertified, api.StreamRequest{Kind: "verdict", Key: "q1", Prompt: "another body", MaxTokens: 2})
+		require.Equal(t, "key-reused", err.(*api.Fault).Name, "a refusal is passed on unchanged")
+		require.True(t, c.WaitUntil(10*time.Second, func() bool {
+			for _, k := range ownedKeys(uncertified) {
+				for _, w := range append(numbered("p", 3), numbered("d", 3)...) {
+					if k == ids.Key("worker/"+w) {
+						return false
+					}
+				}
+			}
+			return true
+		}), "%v", ownedKeys(uncertified))
+		for _, n := range numbered("router-", 4) {
+			require.NoError(t, m.Revoke("c-"+n))
+		}
+		start := time.Now()
+		_, err = c.stream(uncertified, speechRequest)
+		f, ok := err.(*api.Fault)
+		require.True(t, ok, "%v", err)
+		require.Equal(t, "not-certified", f.Name)
+		require.Positive(t, f.RetryAfterMs)
+		require.Less(t, time.Since(start), 300*time.Millisecond)
+		_, err = c.stream(uncertified, api.StreamRequest{Kind: "clarification", Prompt: "may I speak", MaxTokens: 3})
+		require.NoError(t, err, "requests under no regime are still served")
+	})
+}
+
+// TestRevokedMidStream checks that a stream whose decode worker is revoked continues on a certified
+// worker and delivers each token once. Within two seconds of the acknowledgement, no governed request
+// is left on the revoked worker.
+func TestRevokedMidStream(t *testing.T) {
+	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+		require.NoError(t, m.WaitForOwners())
+		request := withLongOutput(speechRequest)
+		done := c.startStream(routerNamed(c, "router-1"), request)
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Resumed)) == 1 }))
+		worker := m.workersAt(handoff.Resumed)[0]
+		time.Sleep(100 * time.Millisecond)
+		require.NoError(t, m.Revoke("c-"+worker))
+		require.Less(t, m.revocationTimes[0], time.Second, "all nodes are reachable")
+		requireReferenceOutput(t, c, request, <-done)
+		resumed := m.workersAt(handoff.Resumed)
+		require.Len(t, resumed, 2, "the stream should have moved: %v, revoked in %v", m.handoffEvents, m.revocationTimes)
+		require.NotEqual(t, worker, resumed[1])
+		time.Sleep(3 * time.Second)
+		require.Empty(t, m.Check(nil))
+	})
+}
+
+// TestRevokedVerdict checks that a request with an idempotency key is not run a second time when its
+// worker is revoked. The run ends as unknown, and later requests with the key are refused because it may
+// have run.
+func TestRevokedVerdict(t *testing.T) {
+	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+		require.NoError(t, m.WaitForOwners())
+		request := withLongOutput(verdictRequest)
+		done := c.startStream(routerNamed(c, "router-1"), request)
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Resumed)) == 1 }))
+		time.Sleep(50 * time.Millisecond)
+		require.NoError(t, m.Revoke("c-"+m.workersAt(handoff.Resumed)[0]))
+		got := <-done
+		require.Equal(t, api.EndUnknown, got[len(got)-1].End)
+		// While a key changes owners, requests for it are refused as bounced, and clients retry.
+		name := ""
+		c.WaitUntil(5*time.Second, func() bool {
+			_, err := c.stream(routerNamed(c, "router-2"), request)
+			name = err.(*api.Fault).Name
+			return name != "bounced"
+		})
+		require.Equal(t, "may-have-run", name)
+		runs, _ := countRuns(c, "verdict/q1")
+		require.Equal(t, 1, runs)
+		time.Sleep(3 * time.Second)
+		require.Empty(t, m.Check(nil))
+	})
+}
+
+// TestRevokedWhilePartitioned checks that a revocation is not acknowledged while a node that has not
+// received it may still rely on its older state. By the time of the acknowledgement, that node has stopped
+// its own governed requests.
+func TestRevokedWhilePartitioned(t *testing.T) {
+	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+		partitioned := routerNamed(c, "router-1")
+		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		request := withLongOutput(speechRequest)
+		go func() {
+			for range 40 {
+				go c.stream(partitioned, request)
+				time.Sleep(150 * time.Millisecond)
+			}
+		}()
+		time.Sleep(time.Second)
+		c.World.Partition(addresses(partitioned), peers, true)
+		time.Sleep(50 * time.Millisecond)
+		require.NoError(t, m.Revoke("c-d1"))
+		require.NoError(t, m.Revoke("c-d2"))
+		require.Greater(t, m.revocationTimes[0], 2*time.Second, "the revocation waits until the lease of the partitioned node has expired")
+		require.Less(t, m.revocationTimes[0], 5*time.Second)
+		_, err := partitioned.Node.Clearance("chair", certification.Subject{Worker: "d3"}, ids.Decode)
+		require.Error(t, err, "the state of the partitioned node is too old to clear any worker")
+		time.Sleep(4 * time.Second)
+		require.Empty(t, m.Check(nil))
+		c.World.Partition(addresses(partitioned), peers, false)
+		require.True(t, c.WaitUntil(8*time.Second, func() bool {
+			got, err := c.stream(partitioned, speechRequest)
+			return err == nil && got[len(got)-1].End == api.EndComplete
+		}), "the node should serve governed requests again")
+		require.Empty(t, m.Check(nil))
+	})
+}
+
+// TestCertificatesExpire checks that certificates expire by the fleet's time, without any message, also
+// while the clocks of routers and of the leader jump. Streams move to other workers in time.
+func TestCertificatesExpire(t *testing.T) {
+	withGovernedWork(t, func(m *AuditModel) {
+		m.certifyMost()
+		m.sign("c-d1", certification.Certificate{Worker: "d1", Roles: []ids.Role{ids.Decode}}, 20*time.Second)
+		m.sign("c-p2", certification.Certificate{Worker: "p2", Roles: []ids.Role{ids.Prefill}}, 20*time.Second)
+	}, func(t *testing.T, c *Cluster, m *AuditModel) {
+		go func() {
+			for _, p := range []*Process{routerNamed(c, "router-1"), routerNamed(c, "router-2"), leader(c)} {
+				time.Sleep(4 * time.Second)
+				p.Machine.JumpClock(48 * time.Hour)
+			}
+		}()
+		outcomes := c.Load(30, 24*time.Second, 1)
+		require.Empty(t, m.Check(outcomes))
+		require.Empty(t, c.Recorder.Check(outcomes))
+		sum := standin.Summarize(outcomes)
+		require.Equal(t, len(outcomes), sum.Ends[api.EndComplete]+sum.Ends[api.EndUnknown], "%+v", sum)
+		last := map[string]time.Duration{}
+		for _, e := range c.Recorder.events {
+			if m.governedRequests[e.ID.Request] != "" && e.Kind == "resumed" || e.Kind == "import" {
+				last[string(e.Worker)] = e.When
+			}
+		}
+		require.Greater(t, last["d1"], m.validPeriods["c-d1"].until-5*time.Second, "d1 should be used until shortly before its certificate expires: %v", last)
+	})
+}
--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -1,4 +1,4 @@
-// The routing programs measured against each other.
+// Compares the routing programs in simulated time.
 
 package simulation
 
@@ -19,31 +19,31 @@
 	"keelstair.example/internal/standin"
 )
 
-// compared are the programs named in KEELSTAIR_COMPARE, or all.
-func compared() []string {
+// comparedPrograms returns the programs named in KEELSTAIR_COMPARE, or all of them if it is 1.
+func comparedPrograms() []string {
 	if list := os.Getenv("KEELSTAIR_COMPARE"); list != "1" {
 		return strings.Split(list, ",")
 	}
 	return []string{routing.BuiltInName, "free", "prefix", "short"}
 }
 
-// TestCompare measures the routing programs against each other: each alone, on
-// the same arrivals, at both sites. It is run by make compare, not by make test.
+// TestCompare measures each routing program alone, on the same arrivals, at both sites. make compare runs it,
+// make test does not.
 func TestCompare(t *testing.T) {
 	if os.Getenv("KEELSTAIR_COMPARE") == "" {
 		t.Skip("run by make compare")
 	}
 	for _, name := range []string{"vatuloa", "almaty"} {
-		for _, prog := range compared() {
+		for _, program := range comparedPrograms() {
 			for seed := uint64(1); seed <= 3; seed++ {
-				t.Run(fmt.Sprintf("%s/%s/%d", name, prog, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%s/%d", name, program, seed), func(t *testing.T) {
 					t.Parallel()
 					synctest.Test(t, func(t *testing.T) {
 						site := standin.Sites[name]
 						c := Build(seed, site, func(c *Cluster) {
-							if prog != routing.BuiltInName {
-								c.Programs = map[string]fleetstate.Program{prog: {
-									Source: routing.ShippedProgram(prog),
+							if program != routing.BuiltInName {
+								c.Programs = map[string]fleetstate.Program{program: {
+									Source: routing.ShippedProgram(program),
 									Share:  100,
 								}}
 							}
@@ -51,30 +51,30 @@
 						defer c.Close()
 						require.NoError(t, c.Bootstrap())
 						rate := 15.0 * float64(site.PrefillWorkers)
-						shapes := slices.Clone(site.Classes)
-						stems, _ := strconv.Atoi(os.Getenv("KEELSTAIR_STEMS"))
-						for i := range shapes {
-							shapes[i].Prefixes = stems
+						classes := slices.Clone(site.Classes)
+						prefixes, _ := strconv.Atoi(os.Getenv("KEELSTAIR_STEMS"))
+						for i := range classes {
+							classes[i].Prefixes = prefixes
 						}
-						sum := standin.Summarize(c.LoadShapes(shapes, rate, 12*time.Second, seed))
-						warm, read := 0, 0
-						for _, b := range c.Of("worker") {
-							w, n := b.Worker.PrefixHits()
-							warm, read = warm+w, read+n
+						sum := standin.Summarize(c.LoadShapes(classes, rate, 12*time.Second, seed))
+						cached, total := 0, 0
+						for _, p := range c.Of("worker") {
+							w, n := p.Worker.PrefixHits()
+							cached, total = cached+w, total+n
 						}
-						a, b := sum.Kinds[site.Classes[0].Kind], sum.Kinds[site.Classes[1].Kind]
+						first, second := sum.Kinds[site.Classes[0].Kind], sum.Kinds[site.Classes[1].Kind]
 						fmt.Printf(
 							"| %s | %s | %d | %d of %d | %.0f / %.0f | %.0f / %.0f | %.0f%% |\n",
 							name,
-							prog,
+							program,
 							seed,
 							sum.Ends["complete"],
 							sum.Sent,
-							a.FirstTokenP50,
-							a.FirstTokenP99,
-							b.FirstTokenP50,
-							b.FirstTokenP99,
-							100*float64(warm)/float64(max(read, 1)),
+							first.FirstTokenP50,
+							first.FirstTokenP99,
+							second.FirstTokenP50,
+							second.FirstTokenP99,
+							100*float64(cached)/float64(max(total, 1)),
 						)
 						require.Empty(t, c.Recorder.Check(nil))
 					})
--- a/internal/simulation/operation_class_test.go
+++ b/internal/simulation/operation_class_test.go
@@ -1,4 +1,4 @@
-// Operations are remembered by class.
+// Tests that operations are remembered separately for each class.
 
 package simulation
 
@@ -11,21 +11,21 @@
 	"keelstair.example/internal/api"
 )
 
-// TestApplyAmongEvacuations: a configuration's operation that is sent again after more evacuations
-// than are remembered is acknowledged with the version that it made, and not refused.
+// TestApplyAmongEvacuations checks that an apply that is sent again after more evacuations than are remembered
+// is acknowledged with the version that it created, and not refused.
 func TestApplyAmongEvacuations(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		a := &api.ApplyRequest{Op: "once", BaseVersion: 1, Partial: true, Source: `{limits: {queue: 9}}`}
-		one, err := c.Apply(a)
+		request := &api.ApplyRequest{Op: "once", BaseVersion: 1, Partial: true, Source: `{limits: {queue: 9}}`}
+		first, err := c.Apply(request)
 		require.NoError(t, err)
 		zone := string(c.Of("router")[0].Zone)
 		const remembered = 2048
 		for i := range remembered + 2 {
 			require.NoError(t, c.Mark("/v1/zones/"+zone, fmt.Sprint("mark", i), i%2 == 0))
 		}
-		two, err := c.Apply(a)
+		second, err := c.Apply(request)
 		require.NoError(t, err)
-		require.Equal(t, one.Version, two.Version)
+		require.Equal(t, first.Version, second.Version)
 	})
 }
--- /dev/null
+++ b/internal/simulation/operator_scripts_test.go
@@ -0,0 +1,270 @@
+// Scripts of operators and of the platform, most of them combined with failures: zones are evacuated, workers
+// leave, machines are restarted one by one.
+
+package simulation
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"keelstair.example/ids"
+	"keelstair.example/internal/api"
+	"keelstair.example/internal/fleetstate"
+	"keelstair.example/internal/router"
+)
+
+// ownerOf returns the node that owns the key of a worker, or the first router if none does.
+func ownerOf(c *Cluster, id ids.WorkerID) *Process {
+	for _, p := range c.Of("router") {
+		if p.Up && slices.Contains(p.Node.Status().(*router.NodeStatus).OwnedKeys, fleetstate.WorkerKey(id)) {
+			return p
+		}
+	}
+	return c.Of("router")[0]
+}
+
+// ownerOfBothRoles returns a node that owns keys of workers of both roles and so could serve a request
+// without its peers. If there is none, it returns the fourth router.
+func ownerOfBothRoles(c *Cluster) *Process {
+	for _, p := range c.Of("router") {
+		roles := map[byte]bool{}
+		for _, k := range p.Node.Status().(*router.NodeStatus).OwnedKeys {
+			if id, ok := strings.CutPrefix(string(k), "worker/"); ok {
+				roles[id[0]] = true
+			}
+		}
+		if roles['p'] && roles['d'] {
+			return p
+		}
+	}
+	return c.Of("router")[3]
+}
+
+// sendInBackground sends 60 requests to one node's frontend, one every 50 ms for three seconds.
+func sendInBackground(c *Cluster, p *Process) {
+	for i := range 60 {
+		go func() {
+			time.Sleep(time.Duration(i) * 50 * time.Millisecond)
+			c.stream(p, api.StreamRequest{
+				Kind:      c.Site.Classes[1].Kind,
+				Prompt:    fmt.Sprint("is it still so ", i),
+				MaxTokens: 2,
+			})
+		}()
+	}
+}
+
+// evacuateFor evacuates a zone, waits for the duration and returns the zone to service.
+func evacuateFor(c *Cluster, zone ids.Zone, op string, duration time.Duration) error {
+	if err := setEvacuated(c, zone, op+"-out", true); err != nil {
+		return err
+	}
+	time.Sleep(duration)
+	return setEvacuated(c, zone, op+"-back", false)
+}
+
+// restartGracefully restarts a node as the platform does: it asks it to shut down, kills it after 3.5 s,
+// starts it again and waits until it is ready.
+func restartGracefully(c *Cluster, p *Process) error {
+	p.Shutdown()
+	time.Sleep(3500 * time.Millisecond)
+	c.Kill(p)
+	if err := c.Start(p); err != nil {
+		return err
+	}
+	if !c.WaitUntil(8*time.Second, func() bool { ok, _ := p.Node.Ready(); return ok }) {
+		return fmt.Errorf("%s did not become ready again", p.Name)
+	}
+	return nil
+}
+
+// growConfiguration makes the configuration large by partial changes through several frontends. Between
+// them, it sends invalid changes and changes based on an outdated version, which must be refused.
+func growConfiguration(c *Cluster, r *rand.Rand) error {
+	for round := range 8 {
+		kinds, workers := map[string]any{}, map[string]any{}
+		for i := range 120 {
+			kinds[fmt.Sprintf("kind-%d-%d", round, i)] = map[string]any{"model": c.Site.Model, "maxTokens": 8}
+		}
+		for i := range 15 {
+			workers[fmt.Sprintf("ghost-%d-%d", round, i)] = map[string]any{
+				"part":    "decode",
+				"model":   "ghost",
+				"weights": "g",
+				"room":    9,
+				"zone":    c.Site.Zones[i%3],
+			}
+		}
+		if round > 3 {
+			kinds[fmt.Sprintf("kind-%d-7", round-3)], workers[fmt.Sprintf("ghost-%d-7", round-3)] = nil, nil
+		}
+		state := latestShown(c)
+		p := pickOne(r, c.Of("router"))
+		invalid := &api.ApplyRequest{
+			Op:          fmt.Sprint("bad-", round),
+			BaseVersion: state.Version,
+			Partial:     true,
+			Source:      `{"workers":{"p1":{"room":0}}}`,
+		}
+		if err := c.PostTo(p, "/v1/policy", invalid, nil); err == nil {
+			return fmt.Errorf("round %d: an invalid partial configuration was accepted", round)
+		}
+		if err := applyPartial(c, fmt.Sprint("grow-", round), marshalPartial(map[string]any{
+			"kinds":   kinds,
+			"workers": workers,
+		})); err != nil {
+			return err
+		}
+		stale := &api.ApplyRequest{
+			Op:          fmt.Sprint("late-", round),
+			BaseVersion: state.Version,
+			Partial:     true,
+			Source:      `{"limits":{"queue":3}}`,
+		}
+		if err := c.PostTo(pickOne(r, c.Of("router")), "/v1/policy", stale, nil); err == nil {
+			return fmt.Errorf("round %d: a partial configuration based on an old version was accepted", round)
+		}
+	}
+	return nil
+}
+
+// OperatorScripts are the scripts of operators and of the platform.
+var OperatorScripts = []Script{
+	{Name: "evacuation-while-leader-restarts", Run: func(c *Cluster, r *rand.Rand) error {
+		p := leader(c)
+		done := make(chan error, 1)
+		go func() {
+			time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
+			done <- evacuateFor(c, pickOne(r, c.Site.Zones), "die", 7*time.Second)
+		}()
+		time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
+		c.Kill(p)
+		time.Sleep(4 * time.Second)
+		return errors.Join(c.Start(p), <-done)
+	}},
+	{Name: "evacuations-by-two-operators", Run: func(c *Cluster, r *rand.Rand) error {
+		randomPause(r)
+		list := r.Perm(len(c.Site.Zones))
+		var wg sync.WaitGroup
+		errs := make([]error, 3)
+		// Two operators evacuate one zone each, and one of them also evacuates the zone of the other.
+		for i, z := range []int{list[0], list[1], list[1]} {
+			wg.Go(func() { errs[i] = evacuateFor(c, c.Site.Zones[z], fmt.Sprint("two-", i), 7*time.Second) })
+		}
+		wg.Wait()
+		return errors.Join(errs...)
+	}},
+	{Name: "evacuation-with-owner-partitioned", Run: func(c *Cluster, r *rand.Rand) error {
+		randomPause(r)
+		// The partitioned node is also the first one to which operator requests are sent.
+		w, p := pickOne(r, c.Of("worker")), c.Of("router")[0]
+		for _, o := range c.Of("worker") {
+			if ownerOf(c, ids.WorkerID(o.Name)) == p {
+				w = o
+			}
+		}
+		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		c.World.Partition(addresses(p), peers, true)
+		err := evacuateFor(c, w.Zone, "cut", 7*time.Second)
+		c.World.Partition(addresses(p), peers, false)
+		return err
+	}},
+	{Name: "worker-leaves-its-owner-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
+		w := pickOne(r, c.Of("worker"))
+		p := ownerOf(c, ids.WorkerID(w.Name))
+		c.World.Partition(addresses(p), []string{"10.8.0.1"}, true)
+		time.Sleep(time.Second)
+		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
+		c.Recorder.RecordMark("leave", w.Name)
+		// The platform sends no clients to this frontend now, but clients that know its address still use it.
+		for i := range 40 {
+			c.stream(p, api.StreamRequest{
+				Kind:      c.Site.Classes[1].Kind,
+				Prompt:    fmt.Sprint("who still comes here ", i),
+				MaxTokens: 4,
+			})
+			time.Sleep(100 * time.Millisecond)
+		}
+		c.World.Partition(addresses(p), []string{"10.8.0.1"}, false)
+		return nil
+	}},
+	{Name: "workers-leave-while-leader-and-owner-restart", Run: func(c *Cluster, r *rand.Rand) error {
+		w := pickOne(r, c.Of("worker"))
+		p, l := ownerOf(c, ids.WorkerID(w.Name)), leader(c)
+		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
+		c.Recorder.RecordMark("leave", w.Name)
+		time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond)
+		c.Kill(l)
+		c.Kill(p)
+		time.Sleep(5 * time.Second)
+		return errors.Join(c.Start(l), c.Start(p))
+	}},
+	{Name: "storm-with-a-node-cut-from-its-peers", Run: func(c *Cluster, r *rand.Rand) error {
+		// Clients and workers still reach the node, but it receives no configuration changes.
+		p := ownerOfBothRoles(c)
+		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		for n := range 3 {
+			c.World.Partition(addresses(p), peers, true)
+			sendInBackground(c, p)
+			randomPause(r)
+			for k := range 3 {
+				if err := changeRetryAfter(c, fmt.Sprintf("alone-%d-%d", n, k), 6000+10*n+k); err != nil {
+					return err
+				}
+			}
+			time.Sleep(time.Second)
+			c.World.Partition(addresses(p), peers, false)
+			time.Sleep(time.Second)
+		}
+		return nil
+	}},
+	{Name: "configuration-grows", Run: growConfiguration, NoFailures: true},
+	{
+		Name:         "nodes-restarted-one-by-one",
+		LoadDuration: 38 * time.Second,
+		NoFailures:   true,
+		Run: func(c *Cluster, _ *rand.Rand) error {
+			for _, p := range c.Of("router") {
+				if err := restartGracefully(c, p); err != nil {
+					return err
+				}
+			}
+			return nil
+		},
+	},
+	{
+		Name:         "workers-and-controllers-restarted-one-by-one",
+		LoadDuration: 45 * time.Second,
+		NoFailures:   true,
+		Run: func(c *Cluster, r *rand.Rand) error {
+			for _, p := range c.Of("controller") {
+				if err := restartAfter(c, p, 2*time.Second, false); err != nil {
+					return err
+				}
+				time.Sleep(2 * time.Second)
+			}
+			for _, p := range c.Of("worker") {
+				id := ids.WorkerID(p.Name)
+				c.Platform.MarkLeaving(id)
+				c.Recorder.RecordMark("leave", p.Name)
+				if !c.WaitUntil(6*time.Second, func() bool { return p.Worker.UsedBlocks() == 0 }) {
+					return fmt.Errorf("%s did not drain", p.Name)
+				}
+				time.Sleep(time.Second)
+				c.Kill(p)
+				c.Recorder.RecordMark("return", p.Name)
+				c.Platform.RemoveWorker(id)
+				time.Sleep(500 * time.Millisecond)
+				if err := c.Start(p); err != nil {
+					return err
+				}
+			}
+			return nil
+		},
+	},
+}
--- a/internal/simulation/day_end_test.go
+++ b/internal/simulation/power_and_disk_lost_test.go
@@ -1,5 +1,4 @@
-// The end of a day: as many disks as the core tolerates are lost, and at the same moment every
-// other machine loses power.
+// Tests the loss of as many disks as the controllers tolerate while every machine loses power.
 
 package simulation
 
@@ -13,18 +12,18 @@
 	"keelstair.example/internal/api"
 )
 
-// TestPowerAndDiskLost: right after a configuration, an evacuation and a keyed answer were
-// acknowledged, one controller loses its disk while all controllers, routers and workers lose
-// power, also those that count for no quorum. What was acknowledged is read back at any router,
-// and the key runs no second time. Each controller in turn.
+// TestPowerAndDiskLost cuts the power of all controllers, routers and workers, also of those that count for no
+// quorum, right after a configuration, an evacuation and the answer to a request with an idempotency key
+// were acknowledged. One controller, each in turn, also loses its disk. The test checks that everything
+// acknowledged is read back at any router, and that the request does not run a second time.
 func TestPowerAndDiskLost(t *testing.T) {
 	skipUnderRace(t)
 	for lost := range 3 {
 		t.Run(fmt.Sprintf("controller-%d", lost+1), func(t *testing.T) {
 			withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
-				ask := verdictRequest
-				ask.Kind, ask.Key = "ruling", "day-end"
-				first, refusal := c.answer(t, 0, ask)
+				request := verdictRequest
+				request.Kind, request.Key = "ruling", "day-end"
+				first, refusal := c.sendUntilAnswered(t, 0, request)
 				require.Nil(t, refusal)
 				zone := string(c.Site.Zones[0])
 				require.NoError(t, c.Mark("/v1/zones/"+zone, "day-end-zone", true))
@@ -50,7 +49,7 @@
 				state := latestShown(c)
 				require.JSONEq(t, string(text), string(state.Policy))
 				require.Equal(t, []string{zone}, state.EvacuatedZones)
-				again, refusal := c.answer(t, 1, ask)
+				again, refusal := c.sendUntilAnswered(t, 1, request)
 				require.Nil(t, refusal)
 				require.Len(t, again, len(first))
 				for i := range first[:len(first)-1] {
--- a/internal/simulation/prefill_bound_test.go
+++ b/internal/simulation/prefill_bound_test.go
@@ -1,6 +1,6 @@
-// What share of prompts can be in time at all: a model of reading workers, each of which reads one
-// prompt at a time to its end, with the same arrivals for a router that knows every queue and every
-// kept part at once, and for ones that know less. The figures are those of make compare.
+// A model of prefill workers that estimates which share of prompts can meet its latency target at all. Each
+// worker prefills one prompt at a time, without preemption. A router that always knows every queue and every
+// cached prefix is compared, on the same arrivals, with routers that know less. make compare prints the figures.
 
 package simulation
 
@@ -17,7 +17,8 @@
 	"keelstair.example/ids"
 )
 
-// boundSize is a size in tokens, spread as a lognormal of this mean.
+// boundSize is a log-normal distribution of sizes in tokens, limited to 1 to Max. Spread is the standard deviation
+// of the logarithm.
 type boundSize struct{ Mean, Spread, Max float64 }
 
 func (s boundSize) draw(r *rand.Rand) float64 {
@@ -25,7 +26,7 @@
 	return math.Max(1, math.Min(s.Max, math.Exp(mu+s.Spread*r.NormFloat64())))
 }
 
-// boundKind is one kind of request.
+// boundKind is a kind of request with its arrival rate, latency target and distributions of sizes.
 type boundKind struct {
 	Name                string
 	PerSecond, TargetMs float64
@@ -36,9 +37,9 @@
 	}
 }
 
-// boundModel is the configuration file of the model.
+// boundModel is the content of the model's configuration file, testdata/prefill_bound.json.
 type boundModel struct {
-	Readers              int
+	Workers              int `json:"Readers"`
 	TokensPerMs, FixedMs float64
 	Seconds, WarmSeconds float64
 	Kinds                []boundKind
@@ -49,23 +50,23 @@
 	require.NoError(t, err)
 	var m boundModel
 	require.NoError(t, json.Unmarshal(body, &m))
-	require.True(t, m.Readers > 0 && m.TokensPerMs > 0 && m.Seconds > m.WarmSeconds && len(m.Kinds) > 0)
+	require.True(t, m.Workers > 0 && m.TokensPerMs > 0 && m.Seconds > m.WarmSeconds && len(m.Kinds) > 0)
 	for _, k := range m.Kinds {
 		require.True(t, k.PerSecond > 0 && k.TargetMs > 0 && k.OwnTokens.Mean > 0, k.Name)
 	}
 	return &m
 }
 
-// boundRequest is one arrival: its shared parts by their chain of ids, and its own tokens.
+// boundRequest is an arrival: the hashes of its shared prefixes, and the number of its own tokens.
 type boundRequest struct {
-	kind   int
-	at     float64 // ms
-	chain  []uint64
-	tokens []float64 // of each part of the chain
-	own    float64
+	kind         int
+	arrivalMs    float64
+	prefixes     []uint64
+	prefixTokens []float64 // of each prefix
+	ownTokens    float64
 }
 
-// arrivals draws one day; the same seed gives the same one.
+// arrivals generates the arrivals of one run from a seed.
 func (m *boundModel) arrivals(seed uint64) []boundRequest {
 	r := rand.New(rand.NewPCG(seed, 1))
 	total := 0.0
@@ -78,67 +79,69 @@
 		if at += r.ExpFloat64() / total * 1000; at > 1000*m.Seconds {
 			return out
 		}
-		request := boundRequest{at: at}
-		for x := r.Float64() * total; x > m.Kinds[request.kind].PerSecond; request.kind++ {
-			x -= m.Kinds[request.kind].PerSecond
+		request := boundRequest{arrivalMs: at}
+		for position := r.Float64() * total; position > m.Kinds[request.kind].PerSecond; request.kind++ {
+			position -= m.Kinds[request.kind].PerSecond
 		}
 		kind := m.Kinds[request.kind]
 		hash := ids.Mix(uint64(request.kind + 1))
-		for _, part := range kind.Shared {
-			hash = ids.Mix(hash ^ uint64(r.IntN(part.Count)+1))
+		for _, prefix := range kind.Shared {
+			hash = ids.Mix(hash ^ uint64(r.IntN(prefix.Count)+1))
 			if sizes[hash] == 0 {
-				sizes[hash] = part.Tokens.draw(r)
+				sizes[hash] = prefix.Tokens.draw(r)
 			}
-			request.chain, request.tokens = append(request.chain, hash), append(request.tokens, sizes[hash])
+			request.prefixes, request.prefixTokens = append(request.prefixes, hash), append(request.prefixTokens, sizes[hash])
 		}
-		request.own = kind.OwnTokens.draw(r)
+		request.ownTokens = kind.OwnTokens.draw(r)
 		out = append(out, request)
 	}
 }
 
-// boundReader is one worker: until when it reads, and what it has read.
-type boundReader struct {
-	free float64
-	kept map[uint64]bool
+// boundWorker is a prefill worker: the time until which it is busy, and the prefixes that it has cached.
+type boundWorker struct {
+	busyUntil float64
+	cached    map[uint64]bool
 }
 
-// need is what the worker has yet to read of a request.
-func (w *boundReader) need(request *boundRequest) float64 {
-	need := request.own
-	for i, part := range request.chain {
-		if !w.kept[part] {
-			need += request.tokens[i]
+// uncachedTokens returns how many tokens of a request the worker has not cached.
+func (w *boundWorker) uncachedTokens(request *boundRequest) float64 {
+	tokens := request.ownTokens
+	for i, prefix := range request.prefixes {
+		if !w.cached[prefix] {
+			tokens += request.prefixTokens[i]
 		}
 	}
-	return need
+	return tokens
 }
 
-// boundPolicy picks a reader; it may know all of them.
-type boundPolicy func(m *boundModel, request *boundRequest, readers []boundReader, r *rand.Rand) int
+// boundPolicy picks a worker for a request. It is given the state of all workers.
+type boundPolicy func(m *boundModel, request *boundRequest, workers []boundWorker, r *rand.Rand) int
 
-// atHome sends a beginning to one reader, whatever waits there.
-func atHome(m *boundModel, request *boundRequest, readers []boundReader, _ *rand.Rand) int {
-	best, top := -1, uint64(0)
-	for i := range readers {
-		if h := ids.Mix(request.chain[len(request.chain)-1] ^ ids.Mix(uint64(i))); best < 0 || h > top {
-			best, top = i, h
+// pickHome sends all requests with the same prefix to one worker, chosen by rendezvous hashing, whatever its
+// queue.
+func pickHome(m *boundModel, request *boundRequest, workers []boundWorker, _ *rand.Rand) int {
+	best, highest := -1, uint64(0)
+	for i := range workers {
+		if h := ids.Mix(request.prefixes[len(request.prefixes)-1] ^ ids.Mix(uint64(i))); best < 0 || h > highest {
+			best, highest = i, h
 		}
 	}
 	return best
 }
 
-// atRandom knows nothing.
-func atRandom(_ *boundModel, _ *boundRequest, readers []boundReader, r *rand.Rand) int {
-	return r.IntN(len(readers))
+// pickRandom picks a worker at random.
+func pickRandom(_ *boundModel, _ *boundRequest, workers []boundWorker, r *rand.Rand) int {
+	return r.IntN(len(workers))
 }
 
-// knowing weighs what is to be read against the wait, with all queues and kept parts known.
-func knowing(weight float64) boundPolicy {
-	return func(m *boundModel, request *boundRequest, readers []boundReader, _ *rand.Rand) int {
+// pickCheapest returns a policy that picks the worker with the least wait plus weighted prefill time, with all
+// queues and cached prefixes known.
+func pickCheapest(weight float64) boundPolicy {
+	return func(m *boundModel, request *boundRequest, workers []boundWorker, _ *rand.Rand) int {
 		best, least := 0, math.Inf(1)
-		for i := range readers {
-			wait := math.Max(0, readers[i].free-request.at)
-			if cost := wait + weight*readers[i].need(request)/m.TokensPerMs; cost < least {
+		for i := range workers {
+			wait := math.Max(0, workers[i].busyUntil-request.arrivalMs)
+			if cost := wait + weight*workers[i].uncachedTokens(request)/m.TokensPerMs; cost < least {
 				best, least = i, cost
 			}
 		}
@@ -146,71 +149,74 @@
 	}
 }
 
-// inTime plays a day and gives each kind's share in time, of the whole day and after the warm-up.
-func (m *boundModel) inTime(policy boundPolicy, seed uint64) (day, warm []float64) {
+// onTimeShares simulates one run and returns, for each kind, the share of requests that met the target: of the
+// complete run and of the time after the warm-up.
+func (m *boundModel) onTimeShares(policy boundPolicy, seed uint64) (complete, afterWarmUp []float64) {
 	r := rand.New(rand.NewPCG(seed, 2))
-	readers := make([]boundReader, m.Readers)
-	for i := range readers {
-		readers[i].kept = map[uint64]bool{}
+	workers := make([]boundWorker, m.Workers)
+	for i := range workers {
+		workers[i].cached = map[uint64]bool{}
 	}
-	var all, good [2][]float64
-	for span := range all {
-		all[span], good[span] = make([]float64, len(m.Kinds)), make([]float64, len(m.Kinds))
+	var all, met [2][]float64
+	for period := range all {
+		all[period], met[period] = make([]float64, len(m.Kinds)), make([]float64, len(m.Kinds))
 	}
 	for _, request := range m.arrivals(seed) {
-		w := &readers[policy(m, &request, readers, r)]
-		w.free = math.Max(w.free, request.at) + w.need(&request)/m.TokensPerMs
-		for _, part := range request.chain {
-			w.kept[part] = true
+		w := &workers[policy(m, &request, workers, r)]
+		w.busyUntil = math.Max(w.busyUntil, request.arrivalMs) + w.uncachedTokens(&request)/m.TokensPerMs
+		for _, prefix := range request.prefixes {
+			w.cached[prefix] = true
 		}
-		late := w.free-request.at+m.FixedMs > m.Kinds[request.kind].TargetMs
-		for span, from := range []float64{0, 1000 * m.WarmSeconds} {
-			if request.at >= from {
-				all[span][request.kind]++
+		late := w.busyUntil-request.arrivalMs+m.FixedMs > m.Kinds[request.kind].TargetMs
+		for period, from := range []float64{0, 1000 * m.WarmSeconds} {
+			if request.arrivalMs >= from {
+				all[period][request.kind]++
 				if !late {
-					good[span][request.kind]++
+					met[period][request.kind]++
 				}
 			}
 		}
 	}
-	for span := range all {
-		for kind := range good[span] {
-			good[span][kind] /= all[span][kind]
+	for period := range all {
+		for kind := range met[period] {
+			met[period][kind] /= all[period][kind]
 		}
 	}
-	return good[0], good[1]
+	return met[0], met[1]
 }
 
-// TestPrefillBound: a router that knows everything is better than one that keeps to homes, and that
-// one better than chance; with make compare each one's shares are printed with their errors.
+// TestPrefillBound checks that a router with full knowledge meets more targets than routing by prefix, and
+// that this meets more than random routing. make compare prints the shares with their standard errors.
 func TestPrefillBound(t *testing.T) {
 	m := readBoundModel(t)
 	policies := []struct {
 		name string
 		pick boundPolicy
 	}{
-		{"by chance", atRandom}, {"at home", atHome},
-		{"knows all, weight 1", knowing(1)}, {"knows all, weight 2", knowing(2)}, {"knows all, weight 4", knowing(4)},
+		{"random", pickRandom}, {"prefix home", pickHome},
+		{"full knowledge, weight 1", pickCheapest(1)},
+		{"full knowledge, weight 2", pickCheapest(2)},
+		{"full knowledge, weight 4", pickCheapest(4)},
 	}
 	const seeds = 5
-	means := map[string]float64{}
+	meanShares := map[string]float64{}
 	for _, p := range policies {
 		line := "| " + p.name + " |"
 		for kind, k := range m.Kinds {
 			var sums, squares [2]float64
 			for seed := range uint64(seeds) {
-				day, warm := m.inTime(p.pick, seed+1)
-				for span, v := range []float64{day[kind], warm[kind]} {
-					sums[span] += v
-					squares[span] += v * v
+				complete, afterWarmUp := m.onTimeShares(p.pick, seed+1)
+				for period, v := range []float64{complete[kind], afterWarmUp[kind]} {
+					sums[period] += v
+					squares[period] += v * v
 				}
 			}
-			for span, what := range []string{"day", "warm"} {
-				mean := sums[span] / seeds
-				spread := math.Sqrt(math.Max(0, squares[span]/seeds-mean*mean) / (seeds - 1))
-				line += fmt.Sprintf(" %s, %s %.3f +- %.3f |", k.Name, what, mean, spread)
-				if span == 0 {
-					means[p.name] += mean
+			for period, periodName := range []string{"complete run", "after warm-up"} {
+				mean := sums[period] / seeds
+				standardError := math.Sqrt(math.Max(0, squares[period]/seeds-mean*mean) / (seeds - 1))
+				line += fmt.Sprintf(" %s, %s %.3f +- %.3f |", k.Name, periodName, mean, standardError)
+				if period == 0 {
+					meanShares[p.name] += mean
 				}
 			}
 		}
@@ -218,6 +224,6 @@
 			fmt.Println(line)
 		}
 	}
-	require.Greater(t, means["knows all, weight 2"], means["at home"])
-	require.Greater(t, means["at home"], means["by chance"])
+	require.Greater(t, meanShares["full knowledge, weight 2"], meanShares["prefix home"])
+	require.Greater(t, meanShares["prefix home"], meanShares["random"])
 }
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -1,4 +1,4 @@
-// Data directories of an earlier release, opened by this one.
+// Tests that controllers start on the data directories of an earlier release.
 
 package simulation
 
@@ -23,36 +23,38 @@
 
 const (
 	releaseFolder = "testdata/release-1"
-	releaseKeys   = 30 // keyed calls that the earlier release answered
-	releaseDepth  = 4  // answers that it kept; older keys stand in sealed chunks
+	releaseKeys   = 30 // requests with an idempotency key that the earlier release answered
+	releaseDepth  = 4  // answers that it retained; older keys are in sealed chunks
 )
 
-// writeRelease is the environment variable that makes TestWriteRelease record the folder.
+// writeRelease is the environment variable that makes TestWriteRelease record the data directories.
 const writeRelease = "KEELSTAIR_RELEASE_WRITE"
 
-// releaseState is what an operator read from the earlier release, kept beside its folders.
+// releaseState is the state that operators read from the earlier release. It is stored in state.json beside
+// the data directories.
 type releaseState struct {
 	Version   uint64          `json:"version"`
 	Policy    json.RawMessage `json:"policy"`
 	Evacuated []string        `json:"evacuated"`
-	Tokens    []int32         `json:"tokens"` // of the newest keyed call
+	Tokens    []int32         `json:"tokens"` // of the newest request with an idempotency key
 }
 
-func releaseAsk(i int) api.StreamRequest {
-	ask := verdictRequest
-	ask.Key = fmt.Sprint("release-", i)
-	return ask
+func releaseRequest(i int) api.StreamRequest {
+	request := verdictRequest
+	request.Key = fmt.Sprint("release-", i)
+	return request
 }
 
-// answer asks the nodes in turn until a key is answered or refused for good.
-func (c *Cluster) answer(t *testing.T, i int, ask api.StreamRequest) ([]api.StreamEvent, *api.Fault) {
+// sendUntilAnswered sends a request to the nodes in turn until it completes or is refused with a status code
+// below 500.
+func (c *Cluster) sendUntilAnswered(t *testing.T, i int, request api.StreamRequest) ([]api.StreamEvent, *api.Fault) {
 	t.Helper()
 	var lines []api.StreamEvent
 	var refusal *api.Fault
 	nodes := c.Of("router")
 	attempt := i
 	require.True(t, c.WaitUntil(8*time.Second, func() bool {
-		got, err := c.stream(nodes[attempt%len(nodes)], ask)
+		got, err := c.stream(nodes[attempt%len(nodes)], request)
 		attempt++ // a node of an evacuated zone refuses
 		lines = got
 		if errors.As(err, &refusal) {
@@ -68,8 +70,8 @@
 	c.Retention = fleetstate.Retention{FullRecords: releaseDepth, ChunkEntries: 8}
 }
 
-// TestWriteRelease records the data directories of the running code. It does so on request
-// only: the recorded ones are those of a release, and later code has to open them.
+// TestWriteRelease records the data directories that the current code writes. It runs on request only,
+// because the checked-in directories are those of a release, which later code must be able to open.
 func TestWriteRelease(t *testing.T) {
 	if os.Getenv(writeRelease) == "" {
 		t.Skip("records " + releaseFolder + " where " + writeRelease + " is set")
@@ -77,7 +79,7 @@
 	withCluster(t, "vatuloa", withReleaseDepth, func(t *testing.T, c *Cluster) {
 		var newest []api.StreamEvent
 		for i := range releaseKeys {
-			newest, _ = c.answer(t, i, releaseAsk(i))
+			newest, _ = c.sendUntilAnswered(t, i, releaseRequest(i))
 		}
 		shownAtFirst := latestShown(c)
 		_, err := c.Apply(&api.ApplyRequest{
@@ -95,14 +97,14 @@
 			record.Tokens = append(record.Tokens, line.Token)
 		}
 		require.NoError(t, os.RemoveAll(releaseFolder))
-		for _, box := range c.Of("controller") {
-			c.Kill(box)
+		for _, p := range c.Of("controller") {
+			c.Kill(p)
 		}
-		for _, box := range c.Of("controller") {
-			folder := filepath.Join(releaseFolder, box.Name)
+		for _, p := range c.Of("controller") {
+			folder := filepath.Join(releaseFolder, p.Name)
 			to, err := host.OpenDisk(folder)
 			require.NoError(t, err)
-			copyDisk(t, box.Machine.Start().Host().Disk, to)
+			copyDisk(t, p.Machine.Start().Host().Disk, to)
 			require.NoError(t, os.Remove(filepath.Join(folder, "lock")))
 		}
 		body, err := json.MarshalIndent(record, "", "\t")
@@ -135,9 +137,9 @@
 	}
 }
 
-// TestOpensRelease: three replicas start on the data directories of an earlier release. One
-// leads; the configuration, the evacuation and the newest answer are those that were read from
-// that release; older keys are known to have been answered; and new calls are served.
+// TestOpensRelease starts three replicas on the data directories of an earlier release. It checks that one
+// becomes leader, that the configuration, the evacuation and the newest answer are those that were read
+// from that release, that older keys are known as already answered, and that new requests are served.
 func TestOpensRelease(t *testing.T) {
 	skipUnderRace(t)
 	body, err := os.ReadFile(filepath.Join(releaseFolder, "state.json"))
@@ -164,20 +166,20 @@
 		state := latestShown(c)
 		require.JSONEq(t, string(record.Policy), string(state.Policy))
 		require.Equal(t, record.Evacuated, state.EvacuatedZones)
-		newest, refusal := c.answer(t, 1, releaseAsk(releaseKeys-1))
+		newest, refusal := c.sendUntilAnswered(t, 1, releaseRequest(releaseKeys-1))
 		require.Nil(t, refusal)
 		for i, token := range record.Tokens {
 			require.Equal(t, token, newest[i].Token)
 			require.True(t, newest[i].Replay)
 		}
 		for i := range releaseKeys - releaseDepth {
-			_, refusal := c.answer(t, i, releaseAsk(i))
+			_, refusal := c.sendUntilAnswered(t, i, releaseRequest(i))
 			require.NotNil(t, refusal, "key %d", i)
 			require.Equal(t, "answer-aged", refusal.Name, "key %d", i)
 		}
 		fresh := verdictRequest
 		fresh.Key = "after the release"
-		_, refusal = c.answer(t, 2, fresh)
+		_, refusal = c.sendUntilAnswered(t, 2, fresh)
 		require.Nil(t, refusal)
 	})
 }
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -1,4 +1,4 @@
-// Crowds, and a fleet that has lost every seed it was started with.
+// Tests of overload and of a fleet whose seed controllers have all been replaced.
 
 package simulation
 
@@ -12,9 +12,9 @@
 	"keelstair.example/internal/standin"
 )
 
-// TestRetryStorm: far more callers than the fleet can carry come at once. Whoever is
-// given up is told at once, with when to come back; both kinds get their part;
-// what is carried is right; and when the crowd has gone all is as before.
+// TestRetryStorm sends far more requests at once than the fleet can serve. It checks that each request either
+// completes or is refused at once with a retry delay (bounced), that both kinds get a share of the capacity,
+// that no rule is violated, and that all requests complete again after the overload.
 func TestRetryStorm(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", func(c *Cluster) {
@@ -22,7 +22,7 @@
 	}, func(t *testing.T, c *Cluster) {
 		before := c.Load(20, 2*time.Second, 1)
 		require.Equal(t, len(before), standin.Summarize(before).Ends[api.EndComplete])
-		crowd := standin.RunLoad(c.ctx, standin.LoadOptions{
+		overload := standin.RunLoad(c.ctx, standin.LoadOptions{
 			Host:     c.clientProcess.Host(),
 			Nodes:    c.Platform.ReadyNodes,
 			Zones:    c.Site.Zones,
@@ -34,14 +34,14 @@
 			Weights:  []string{standin.SiteWeights},
 			Retries:  0,
 		})
-		sum := standin.Summarize(crowd)
+		sum := standin.Summarize(overload)
 		t.Logf("%+v", sum)
-		require.Empty(t, c.Recorder.Check(crowd))
+		require.Empty(t, c.Recorder.Check(overload))
 		require.Positive(t, sum.Ends["bounced"])
 		for kind, k := range sum.Kinds {
-			require.Greater(t, k.Complete*12, k.Sent, "%s gets its part", kind)
+			require.Greater(t, k.Complete*12, k.Sent, "%s gets its share", kind)
 		}
-		for _, o := range crowd {
+		for _, o := range overload {
 			require.Contains(t, []string{"complete", "bounced"}, o.End, o.Detail)
 		}
 		time.Sleep(3 * time.Second)
@@ -50,16 +50,16 @@
 	})
 }
 
-// TestSeedsGone: every machine that the settings name as a seed is replaced by
-// an empty one elsewhere; nodes that were running go on, and a node started
-// later finds the fleet by one living address.
-func TestSeedsGone(t *testing.T) {
+// TestAllSeedsReplaced replaces each controller that the settings name as a seed by an empty one at another
+// address. It checks that running nodes continue to serve requests, and that a node started later joins the
+// fleet through a single reachable address.
+func TestAllSeedsReplaced(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		for i, b := range append([]*Process(nil), c.Of("controller")...) {
-			c.PowerOff(b)
-			b.Machine.WipeDisk()
-			c.add(c.Controller("controller-"+string(rune('x'+i)), "10.1.0.3"+string(rune('0'+i))+":700", b.Zone))
+		for i, p := range append([]*Process(nil), c.Of("controller")...) {
+			c.PowerOff(p)
+			p.Machine.WipeDisk()
+			c.add(c.Controller("controller-"+string(rune('x'+i)), "10.1.0.3"+string(rune('0'+i))+":700", p.Zone))
 			time.Sleep(9 * time.Second)
 		}
 		require.True(t, c.WaitUntil(5*time.Second, func() bool { return c.Leader() != nil }))
@@ -75,33 +75,33 @@
 	})
 }
 
-// TestRetryStormReturns: a crowd that is bounced comes back when it was told, spread over
-// the seconds in which it can be served; nearly all are served in the end, and few
-// had to ask often.
-func TestRetryStormReturns(t *testing.T) {
+// TestRefusedClientsRetry checks that, after an overload, clients that were refused retry after the given delay,
+// spread over the seconds in which they can be served, and that more than 90 percent of all requests complete.
+// Most requests should need only a few attempts, whose number is logged.
+func TestRefusedClientsRetry(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", func(c *Cluster) {
 		c.TuneWorker = func(o *standin.WorkerOptions) { o.Capacity = 220; o.StepTime = 20 * time.Millisecond }
 	}, func(t *testing.T, c *Cluster) {
 		c.Load(20, 2*time.Second, 1)
-		all := c.Load(450, 3*time.Second, 2)
-		tries, most := 0, 0
-		last := time.Duration(0)
-		for _, o := range all {
-			tries, most = tries+o.Attempts, max(most, o.Attempts)
-			last = max(last, o.At+o.Duration)
+		outcomes := c.Load(450, 3*time.Second, 2)
+		attempts, most := 0, 0
+		lastEnd := time.Duration(0)
+		for _, o := range outcomes {
+			attempts, most = attempts+o.Attempts, max(most, o.Attempts)
+			lastEnd = max(lastEnd, o.At+o.Duration)
 		}
-		sum := standin.Summarize(all)
+		sum := standin.Summarize(outcomes)
 		t.Logf(
-			"%d calls, %v, %d askings, at most %d by one, the last ended after %s; %+v",
-			len(all),
+			"%d requests, %v, %d attempts, at most %d of one request, the last ended after %s; %+v",
+			len(outcomes),
 			sum.Ends,
-			tries,
+			attempts,
 			most,
-			last,
+			lastEnd,
 			sum.Kinds,
 		)
-		require.Empty(t, c.Recorder.Check(all))
-		require.Greater(t, sum.Ends[api.EndComplete]*100, len(all)*90)
+		require.Empty(t, c.Recorder.Check(outcomes))
+		require.Greater(t, sum.Ends[api.EndComplete]*100, len(outcomes)*90)
 	})
 }
