--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -31,57 +31,57 @@
 	ReplaceAfterMs    int      `arg:"--replace-ms" default:"4000" help:"a register holder silent so long may be replaced by a spare" json:"replaceMs"`
 }
 
-func (s *options) File() string { return s.SettingsFile }
+func (o *options) File() string { return o.SettingsFile }
 
-func (s *options) Check() error {
+func (o *options) Check() error {
 	checkDuration := func(field string, ms, minimum, maximum int) error {
 		if ms < minimum || ms > maximum {
-			return settings.Invalid(field, "%d ms is not between %d and %d ms", ms, minimum, maximum)
+			return settings.InvalidField(field, "%d ms is not between %d and %d ms", ms, minimum, maximum)
 		}
 		return nil
 	}
-	if s.DataDir == "" {
-		return settings.Invalid("data", "a value is required")
+	if o.DataDir == "" {
+		return settings.InvalidField("data", "a value is required")
 	}
-	if s.Zone == "" {
-		return settings.Invalid("zone", "a value is required")
+	if o.Zone == "" {
+		return settings.InvalidField("zone", "a value is required")
 	}
-	return settings.FirstError(settings.Addr("addr", s.Addr), settings.Seeds("seeds", s.Seeds),
-		checkDuration("beatMs", s.HeartbeatMs, 20, 1000),
-		checkDuration("silenceMs", s.ElectionTimeoutMs, 4*s.HeartbeatMs, 30000),
-		checkDuration("leaseMs", s.LeaseMs, 2*s.ElectionTimeoutMs, 60000),
-		checkDuration("stallMs", s.DiskTimeoutMs, 50, 30000),
-		checkDuration("graceMs", s.HandOverTimeoutMs, 0, 600000),
-		checkDuration("replaceMs", s.ReplaceAfterMs, s.ElectionTimeoutMs, 600000))
+	return settings.FirstError(settings.CheckAddr("addr", o.Addr), settings.CheckSeeds("seeds", o.Seeds),
+		checkDuration("beatMs", o.HeartbeatMs, 20, 1000),
+		checkDuration("silenceMs", o.ElectionTimeoutMs, 4*o.HeartbeatMs, 30000),
+		checkDuration("leaseMs", o.LeaseMs, 2*o.ElectionTimeoutMs, 60000),
+		checkDuration("stallMs", o.DiskTimeoutMs, 50, 30000),
+		checkDuration("graceMs", o.HandOverTimeoutMs, 0, 600000),
+		checkDuration("replaceMs", o.ReplaceAfterMs, o.ElectionTimeoutMs, 600000))
 }
 
 func main() {
-	s := &options{}
-	settings.Read(s, "keelstair-controller", "Keelstair-controller runs the control plane of keelstair.", os.Args[1:])
-	host, err := host.Real(s.DataDir)
+	o := &options{}
+	settings.ParseOrExit(o, "keelstair-controller", "Keelstair-controller runs the control plane of keelstair.", os.Args[1:])
+	host, err := host.Real(o.DataDir)
 	cli.ExitOnError("keelstair-controller", err)
-	ring := cli.NewRing("controller " + s.Addr)
+	ring := cli.NewRing("controller " + o.Addr)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	core, err := coordination.New(coordination.Options{
-		Addr:  s.Addr,
-		Zone:  ids.Zone(s.Zone),
+		Addr:  o.Addr,
+		Zone:  ids.Zone(o.Zone),
 		Host:  host,
-		Seeds: s.Seeds,
+		Seeds: o.Seeds,
 		Ring:  ring,
 		Machine: func() coordination.StateMachine {
 			return fleetstate.NewMachine(fleetstate.MachineOptions{WallClock: host.Clock.Wall})
 		},
-		HeartbeatInterval: ms(s.HeartbeatMs),
-		ElectionTimeout:   ms(s.ElectionTimeoutMs),
-		LeaseDuration:     ms(s.LeaseMs),
-		DiskTimeout:       ms(s.DiskTimeoutMs),
-		ReplaceAfter:      ms(s.ReplaceAfterMs),
-		ForceNewCluster:   s.ForceNewCluster,
+		HeartbeatInterval: ms(o.HeartbeatMs),
+		ElectionTimeout:   ms(o.ElectionTimeoutMs),
+		LeaseDuration:     ms(o.LeaseMs),
+		DiskTimeout:       ms(o.DiskTimeoutMs),
+		ReplaceAfter:      ms(o.ReplaceAfterMs),
+		ForceNewCluster:   o.ForceNewCluster,
 	})
 	cli.ExitOnError("keelstair-controller", err)
 	shutdown, stop := cli.SignalContext()
 	defer stop()
-	ctx := cli.HandOverContext(shutdown, core, ms(s.HandOverTimeoutMs))
+	ctx := cli.HandOverContext(shutdown, core, ms(o.HandOverTimeoutMs))
 	mux := http.NewServeMux()
 	core.Mount(mux)
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -95,6 +95,6 @@
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		api.WriteJSON(w, http.StatusOK, map[string]any{"leads": core.Leads(), "page": core.Directory().Exchange()})
 	})
-	cli.Serve(ctx, host, s.Addr, mux, func(err error) { cli.ExitOnError("keelstair-controller", err) })
+	cli.Serve(ctx, host, o.Addr, mux, func(err error) { cli.ExitOnError("keelstair-controller", err) })
 	cli.ExitOnError("keelstair-controller", core.Run(ctx))
 }
--- a/cmd/keelstair-plan/main.go
+++ b/cmd/keelstair-plan/main.go
@@ -42,40 +42,40 @@
 	Expire      *nameCmd  `arg:"subcommand:expire" help:"the end of certificates up to a time, in RFC 3339"`
 }
 
-func (s *options) File() string { return "" }
+func (o *options) File() string { return "" }
 
-func (s *options) Check() error {
-	if s.Apply == nil && s.Evacuate == nil && s.LoseZone == nil && s.LoseMachine == nil && s.Drain == nil && s.Revoke == nil &&
-		s.Expire == nil {
-		return settings.Invalid("command", "a command is required; see keelstair-plan --help")
+func (o *options) Check() error {
+	if o.Apply == nil && o.Evacuate == nil && o.LoseZone == nil && o.LoseMachine == nil && o.Drain == nil && o.Revoke == nil &&
+		o.Expire == nil {
+		return settings.InvalidField("command", "a command is required; see keelstair-plan --help")
 	}
-	return cli.CheckEndpoints(&s.Frontends)
+	return cli.CheckEndpoints(&o.Frontends)
 }
 
 func main() {
-	s := &options{}
-	settings.Read(s, "keelstair-plan", "Keelstair-plan predicts the effects of a change.", os.Args[1:])
-	cli.ExitOnError("keelstair-plan", s.run())
+	o := &options{}
+	settings.ParseOrExit(o, "keelstair-plan", "Keelstair-plan predicts the effects of a change.", os.Args[1:])
+	cli.ExitOnError("keelstair-plan", o.run())
 }
 
-func (s *options) get(path string, into any) error {
-	return cli.Request(s.Frontends, http.MethodGet, path, nil, into)
+func (o *options) get(path string, into any) error {
+	return cli.Request(o.Frontends, http.MethodGet, path, nil, into)
 }
 
-func (s *options) run() error {
+func (o *options) run() error {
 	var status router.NodeStatus
 	var active api.ActivePolicy
-	if err := s.get("/v1/status", &status); err != nil {
+	if err := o.get("/v1/status", &status); err != nil {
 		return err
 	}
-	if err := s.get("/v1/policy", &active); err != nil {
+	if err := o.get("/v1/policy", &active); err != nil {
 		return err
 	}
 	current := &fleetstate.Configuration{}
 	if err := json.Unmarshal(active.Policy, current); err != nil {
 		return err
 	}
-	change, err := s.parseChange(&active)
+	change, err := o.parseChange(&active)
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	if s.JSON {
+	if o.JSON {
 		b, err := json.MarshalIndent(f, "", "  ")
 		fmt.Println(string(b))
 		return err
@@ -92,44 +92,44 @@
 	return nil
 }
 
-func (s *options) parseChange(active *api.ActivePolicy) (forecast.Change, error) {
+func (o *options) parseChange(active *api.ActivePolicy) (forecast.Change, error) {
 	switch {
-	case s.Evacuate != nil:
-		return forecast.Change{Evacuate: ids.Zone(s.Evacuate.Name)}, nil
-	case s.LoseZone != nil:
-		return forecast.Change{LoseZone: ids.Zone(s.LoseZone.Name)}, nil
-	case s.LoseMachine != nil:
-		return forecast.Change{LoseAddr: s.LoseMachine.Name}, nil
-	case s.Drain != nil:
-		return forecast.Change{Drain: ids.WorkerID(s.Drain.Name)}, nil
-	case s.Revoke != nil:
-		return forecast.Change{Revoke: s.Revoke.Name}, nil
-	case s.Expire != nil:
-		at, err := time.Parse(time.RFC3339, s.Expire.Name)
+	case o.Evacuate != nil:
+		return forecast.Change{Evacuate: ids.Zone(o.Evacuate.Name)}, nil
+	case o.LoseZone != nil:
+		return forecast.Change{LoseZone: ids.Zone(o.LoseZone.Name)}, nil
+	case o.LoseMachine != nil:
+		return forecast.Change{LoseAddr: o.LoseMachine.Name}, nil
+	case o.Drain != nil:
+		return forecast.Change{Drain: ids.WorkerID(o.Drain.Name)}, nil
+	case o.Revoke != nil:
+		return forecast.Change{Revoke: o.Revoke.Name}, nil
+	case o.Expire != nil:
+		at, err := time.Parse(time.RFC3339, o.Expire.Name)
 		if err != nil {
-			return forecast.Change{}, settings.Invalid(
-				"time", "%q is not a time in RFC 3339 format, such as 2026-12-31T00:00:00Z", s.Expire.Name,
+			return forecast.Change{}, settings.InvalidField(
+				"time", "%q is not a time in RFC 3339 format, such as 2026-12-31T00:00:00Z", o.Expire.Name,
 			)
 		}
 		return forecast.Change{FleetTime: at.UnixNano()}, nil
 	}
-	if s.Apply.Base != nil && *s.Apply.Base != active.Newest {
+	if o.Apply.Base != nil && *o.Apply.Base != active.Newest {
 		return forecast.Change{}, fmt.Errorf(
-			"the plan is based on version %d, but the newest version is %d", *s.Apply.Base, active.Newest,
+			"the plan is based on version %d, but the newest version is %d", *o.Apply.Base, active.Newest,
 		)
 	}
-	text, err := os.ReadFile(s.Apply.File)
+	text, err := os.ReadFile(o.Apply.File)
 	if err != nil {
 		return forecast.Change{}, err
 	}
-	body, err := fleetstate.CUEToJSON(s.Apply.File, text)
-	if err == nil && s.Apply.Partial {
+	body, err := fleetstate.CUEToJSON(o.Apply.File, text)
+	if err == nil && o.Apply.Partial {
 		body, err = fleetstate.Merge(active.Policy, body)
 	}
 	if err != nil {
 		return forecast.Change{}, err
 	}
-	configuration, err := fleetstate.ParseConfiguration(s.Apply.File, body)
+	configuration, err := fleetstate.ParseConfiguration(o.Apply.File, body)
 	if err != nil {
 		return forecast.Change{}, err
 	}
--- a/cmd/keelstair-router/main.go
+++ b/cmd/keelstair-router/main.go
@@ -32,54 +32,54 @@
 	DrainTimeoutMs  int      `arg:"--drain-ms" default:"10000" help:"how long streams may finish after SIGTERM" json:"drainMs"`
 }
 
-func (s *options) File() string { return s.SettingsFile }
+func (o *options) File() string { return o.SettingsFile }
 
-func (s *options) Check() error {
+func (o *options) Check() error {
 	switch {
-	case s.Zone == "":
-		return settings.Invalid("zone", "a value is required")
-	case s.LeaseMs < 500 || s.LeaseMs > 60000:
-		return settings.Invalid("leaseMs", "%d ms is not between 500 and 60000 ms", s.LeaseMs)
-	case s.OrphanTimeoutMs < 100 || s.StreamTimeoutMs < 500:
-		return settings.Invalid("orphanMs, pulseMs", "orphanMs must be at least 100 ms and pulseMs at least 500 ms")
-	case s.DrainTimeoutMs < 0:
-		return settings.Invalid("drainMs", "must not be negative")
+	case o.Zone == "":
+		return settings.InvalidField("zone", "a value is required")
+	case o.LeaseMs < 500 || o.LeaseMs > 60000:
+		return settings.InvalidField("leaseMs", "%d ms is not between 500 and 60000 ms", o.LeaseMs)
+	case o.OrphanTimeoutMs < 100 || o.StreamTimeoutMs < 500:
+		return settings.InvalidField("orphanMs, pulseMs", "orphanMs must be at least 100 ms and pulseMs at least 500 ms")
+	case o.DrainTimeoutMs < 0:
+		return settings.InvalidField("drainMs", "must not be negative")
 	}
 	return settings.FirstError(
-		settings.Addr("addr", s.Addr),
-		settings.Addr("door", s.Frontend),
-		settings.Addr("platform", s.Platform),
-		settings.Seeds("seeds", s.Seeds),
+		settings.CheckAddr("addr", o.Addr),
+		settings.CheckAddr("door", o.Frontend),
+		settings.CheckAddr("platform", o.Platform),
+		settings.CheckSeeds("seeds", o.Seeds),
 	)
 }
 
 func main() {
-	s := &options{}
-	settings.Read(s, "keelstair-router", "Keelstair-router runs a router node of keelstair.", os.Args[1:])
-	if s.Name == "" {
-		s.Name = s.Addr
+	o := &options{}
+	settings.ParseOrExit(o, "keelstair-router", "Keelstair-router runs a router node of keelstair.", os.Args[1:])
+	if o.Name == "" {
+		o.Name = o.Addr
 	}
 	host, err := host.Real("")
 	cli.ExitOnError("keelstair-router", err)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	opt := router.Options{
-		Name:          s.Name,
-		Addr:          s.Addr,
-		Zone:          ids.Zone(s.Zone),
-		Seeds:         s.Seeds,
-		Platform:      s.Platform,
+	routerOptions := router.Options{
+		Name:          o.Name,
+		Addr:          o.Addr,
+		Zone:          ids.Zone(o.Zone),
+		Seeds:         o.Seeds,
+		Platform:      o.Platform,
 		Host:          host,
-		Ring:          cli.NewRing(s.Name),
-		LeaseDuration: ms(s.LeaseMs),
-		OrphanTimeout: ms(s.OrphanTimeoutMs),
-		StreamTimeout: ms(s.StreamTimeoutMs),
+		Ring:          cli.NewRing(o.Name),
+		LeaseDuration: ms(o.LeaseMs),
+		OrphanTimeout: ms(o.OrphanTimeoutMs),
+		StreamTimeout: ms(o.StreamTimeoutMs),
 	}
-	if s.TraceFile != "" {
-		file, err := os.OpenFile(s.TraceFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if o.TraceFile != "" {
+		file, err := os.OpenFile(o.TraceFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		cli.ExitOnError("keelstair-router", err)
-		opt.Trace = tracing.New(file, s.Name, host.Clock).Record
+		routerOptions.Trace = tracing.New(file, o.Name, host.Clock).Record
 	}
-	node := router.New(opt)
+	node := router.New(routerOptions)
 	ctx, stop := cli.SignalContext()
 	defer stop()
 	serveCtx, stopServing := context.WithCancel(context.Background())
@@ -89,7 +89,7 @@
 	api.RegisterClientAPI(frontendMux, node)
 	api.RegisterOperatorAPI(frontendMux, node)
 	fail := func(err error) { cli.ExitOnError("keelstair-router", err) }
-	cli.Serve(serveCtx, host, s.Addr, peerMux, fail)
-	cli.Serve(serveCtx, host, s.Frontend, frontendMux, fail)
-	node.Run(ctx, ms(s.DrainTimeoutMs))
+	cli.Serve(serveCtx, host, o.Addr, peerMux, fail)
+	cli.Serve(serveCtx, host, o.Frontend, frontendMux, fail)
+	node.Run(ctx, ms(o.DrainTimeoutMs))
 }
--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -50,33 +50,33 @@
 	Load     *loadCmd     `arg:"subcommand:load" help:"stand-in callers, an open loop"`
 }
 
-func (s *options) File() string { return "" }
+func (o *options) File() string { return "" }
 
-func (s *options) Check() error {
+func (o *options) Check() error {
 	switch {
-	case s.Worker != nil:
-		if s.Worker.Role != string(ids.Prefill) && s.Worker.Role != string(ids.Decode) {
-			return settings.Invalid("part", "%q is neither prefill nor decode", s.Worker.Role)
+	case o.Worker != nil:
+		if o.Worker.Role != string(ids.Prefill) && o.Worker.Role != string(ids.Decode) {
+			return settings.InvalidField("part", "%q is neither prefill nor decode", o.Worker.Role)
 		}
-		return settings.Addr("addr", s.Worker.Addr)
-	case s.Platform != nil:
-		return settings.Addr("addr", s.Platform.Addr)
-	case s.Load != nil:
-		if _, ok := standin.Sites[s.Load.Site]; !ok {
-			return settings.Invalid("site", "site %q does not exist", s.Load.Site)
+		return settings.CheckAddr("addr", o.Worker.Addr)
+	case o.Platform != nil:
+		return settings.CheckAddr("addr", o.Platform.Addr)
+	case o.Load != nil:
+		if _, ok := standin.Sites[o.Load.Site]; !ok {
+			return settings.InvalidField("site", "site %q does not exist", o.Load.Site)
 		}
-		if s.Load.Rate <= 0 || s.Load.Seconds <= 0 {
-			return settings.Invalid("rate, seconds", "both must be above 0")
+		if o.Load.Rate <= 0 || o.Load.Seconds <= 0 {
+			return settings.InvalidField("rate, seconds", "both must be above 0")
 		}
 		return nil
 	}
-	return settings.Invalid("command", "one of worker, platform, load is required")
+	return settings.InvalidField("command", "one of worker, platform, load is required")
 }
 
 func main() {
-	s := &options{}
-	settings.Read(
-		s,
+	o := &options{}
+	settings.ParseOrExit(
+		o,
 		"standin",
 		"Keelstair-standin runs stand-ins for the workers, the platform and the clients of keelstair.",
 		os.Args[1:],
@@ -87,8 +87,8 @@
 	defer stop()
 	fail := func(err error) { cli.ExitOnError("standin", err) }
 	switch {
-	case s.Worker != nil:
-		c := s.Worker
+	case o.Worker != nil:
+		c := o.Worker
 		w := standin.NewWorker(standin.WorkerOptions{
 			ID:        ids.WorkerID(c.ID),
 			Addr:      c.Addr,
@@ -102,14 +102,14 @@
 		mux.Handle("/", w.Handler())
 		cli.Serve(ctx, host, c.Addr, mux, fail)
 		w.Run(ctx)
-	case s.Platform != nil:
+	case o.Platform != nil:
 		p := standin.NewPlatform(host)
 		mux := http.NewServeMux()
 		mux.Handle("/", p.Handler())
-		cli.Serve(ctx, host, s.Platform.Addr, mux, fail)
+		cli.Serve(ctx, host, o.Platform.Addr, mux, fail)
 		p.Run(ctx)
-	case s.Load != nil:
-		runLoad(ctx, host, s.Load)
+	case o.Load != nil:
+		runLoad(ctx, host, o.Load)
 	}
 }
 
--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -42,18 +42,18 @@
 	return nil
 }
 
-// reportLimit logs whether every node has the acknowledged value of limits.retryAfterMs.
-func (f *fleet) reportLimit(field string, want int) {
-	if err := f.checkLimit(field, want); err != nil {
+// reportRetryAfter logs whether every node has the acknowledged value of limits.retryAfterMs.
+func (f *fleet) reportRetryAfter(field string, want int) {
+	if err := f.checkRetryAfter(field, want); err != nil {
 		logf("LOST: %v", err)
 		return
 	}
 	logf("every node has %s = %d", field, want)
 }
 
-// checkLimit returns an error that names the first node without the acknowledged value of
+// checkRetryAfter returns an error that names the first node without the acknowledged value of
 // limits.retryAfterMs.
-func (f *fleet) checkLimit(field string, want int) error {
+func (f *fleet) checkRetryAfter(field string, want int) error {
 	for _, p := range f.processes("router") {
 		var active api.ActivePolicy
 		var configuration struct{ Limits struct{ RetryAfterMs int } }
@@ -170,7 +170,7 @@
 		if !host.Sleep(ctx, 8*time.Second) {
 			return
 		}
-		f.reportLimit("limits.retryAfterMs", want)
+		f.reportRetryAfter("limits.retryAfterMs", want)
 	}
 }
 
@@ -219,7 +219,7 @@
 		primary.kill()
 		os.RemoveAll(primary.DataDir)
 		host.Sleep(ctx, 3*time.Second)
-		f.reportLimit("limits.retryAfterMs", 1234)
+		f.reportRetryAfter("limits.retryAfterMs", 1234)
 		restart(primary, 0)
 	case "race":
 		f.raceOperators(ctx)
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -89,12 +89,12 @@
 	<-p.exited
 }
 
-func (f *fleet) processes(kind string) []*process {
+func (f *fleet) processes(kindOrPrefix string) []*process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []*process
 	for _, p := range f.procs {
-		if p.Kind == kind || strings.HasPrefix(p.Name, kind) {
+		if p.Kind == kindOrPrefix || strings.HasPrefix(p.Name, kindOrPrefix) {
 			out = append(out, p)
 		}
 	}
--- a/cmd/keelstair-testbed/main.go
+++ b/cmd/keelstair-testbed/main.go
@@ -37,53 +37,53 @@
 	Soak *soakCmd `arg:"subcommand:soak" help:"start a fleet, load it, signal and restart it all the time, and judge"`
 }
 
-func (s *options) File() string { return "" }
+func (o *options) File() string { return "" }
 
-func (s *options) Check() error {
+func (o *options) Check() error {
 	site := ""
 	switch {
-	case s.Up != nil:
-		site = s.Up.Site
-	case s.Run != nil:
-		site = s.Run.Site
-		s.Run.Regimes = s.Run.Regimes || s.Run.Fault == "revoke"
-	case s.Soak != nil:
-		site = s.Soak.Site
+	case o.Up != nil:
+		site = o.Up.Site
+	case o.Run != nil:
+		site = o.Run.Site
+		o.Run.Regimes = o.Run.Regimes || o.Run.Fault == "revoke"
+	case o.Soak != nil:
+		site = o.Soak.Site
 	default:
-		return settings.Invalid("command", "one of up, run, soak is required")
+		return settings.InvalidField("command", "one of up, run, soak is required")
 	}
 	if _, ok := standin.Sites[site]; !ok {
-		return settings.Invalid("site", "site %q does not exist", site)
+		return settings.InvalidField("site", "site %q does not exist", site)
 	}
 	return nil
 }
 
 func main() {
-	s := &options{}
-	settings.Read(
-		s,
+	o := &options{}
+	settings.ParseOrExit(
+		o,
 		"keelstair-testbed",
 		"Keelstair-testbed starts a fleet on this machine and injects faults into it.",
 		os.Args[1:],
 	)
 	ctx, stop := cli.SignalContext()
 	defer stop()
-	if s.Run != nil {
-		cli.ExitOnError("keelstair-testbed", runOnce(ctx, s.Run))
+	if o.Run != nil {
+		cli.ExitOnError("keelstair-testbed", runOnce(ctx, o.Run))
 		return
 	}
-	if s.Soak != nil {
-		cli.ExitOnError("keelstair-testbed", runSoak(ctx, s.Soak))
+	if o.Soak != nil {
+		cli.ExitOnError("keelstair-testbed", runSoak(ctx, o.Soak))
 		return
 	}
-	f, err := startFleet(ctx, s.Up, 0)
+	f, err := startFleet(ctx, o.Up, 0)
 	defer f.stop()
 	cli.ExitOnError("keelstair-testbed", err)
 	f.describe(os.Stdout)
-	if s.Up.Seconds > 0 {
+	if o.Up.Seconds > 0 {
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(s.Up.Seconds) * time.Second):
+		case <-time.After(time.Duration(o.Up.Seconds) * time.Second):
 		}
 		return
 	}
--- a/cmd/keelstair-testbed/soak.go
+++ b/cmd/keelstair-testbed/soak.go
@@ -29,9 +29,9 @@
 }
 
 const (
-	soakGrace           = 8 * time.Second // from SIGTERM to SIGKILL
-	soakRestart         = 300 * time.Millisecond
-	soakRecovery        = 12 * time.Second
+	terminationGrace           = 8 * time.Second // from SIGTERM to SIGKILL
+	restartDelay         = 300 * time.Millisecond
+	recoveryTimeout        = 12 * time.Second
 	initialRetryAfterMs = 1000 // ms; the soak raises limits.retryAfterMs from this value
 	keyedRequestPrefix  = "k-" // of the request ids of requests with an idempotency key
 	notRunSuffix        = "+"  // that a client appends to its key after the response not-run
@@ -42,7 +42,7 @@
 	*fleet
 	rng        *rand.Rand
 	restarts   sync.WaitGroup
-	ackedLimit atomic.Int64 // the newest acknowledged value of limits.retryAfterMs
+	ackedRetryAfterMs atomic.Int64 // the newest acknowledged value of limits.retryAfterMs
 }
 
 func runSoak(ctx context.Context, c *soakCmd) error {
@@ -56,21 +56,21 @@
 		return err
 	}
 	s := &soak{fleet: f, rng: rand.New(rand.NewPCG(c.Seed, 0))}
-	s.ackedLimit.Store(initialRetryAfterMs)
+	s.ackedRetryAfterMs.Store(initialRetryAfterMs)
 	duration := time.Duration(c.LoadSeconds) * time.Second
 	faultCtx, stopFaults := context.WithTimeout(ctx, duration*2/3)
 	defer stopFaults()
 	var injectors sync.WaitGroup
 	injectors.Go(func() { s.sendSignals(faultCtx) })
-	injectors.Go(func() { s.raiseLimit(faultCtx) })
+	injectors.Go(func() { s.raiseRetryAfter(faultCtx) })
 	outcomes := f.runLoad(ctx, clientHost, c.Seed, c.Rate, duration)
 	injectors.Wait()
 	s.restarts.Wait()
 	return s.check(ctx, c.Seed, outcomes)
 }
 
-// neverKilled reports whether router i receives only SIGTERM, so that its streams must never be cut.
-func neverKilled(i int) bool { return i%2 == 1 }
+// gracefulOnly reports whether router i receives only SIGTERM, so that its streams must never be cut.
+func gracefulOnly(i int) bool { return i%2 == 1 }
 
 // sendSignals sends signals to random processes until the context ends, without waiting for processes
 // that are still stopping or restarting.
@@ -79,27 +79,27 @@
 		routers, controllers := s.processes("router"), s.processes("controller")
 		switch i := s.rng.IntN(len(routers)); s.rng.IntN(6) {
 		case 0, 1:
-			s.terminate(routers[i])
+			s.terminateAndRestart(routers[i])
 		case 2:
 			for n, p := range routers {
 				if n%4 == i%4 {
-					s.terminate(p)
+					s.terminateAndRestart(p)
 				}
 			}
 		case 3:
-			if !neverKilled(i) {
+			if !gracefulOnly(i) {
 				s.signalAndRestart(routers[i], syscall.SIGKILL)
 			}
 		case 4:
-			s.terminate(controllers[s.rng.IntN(len(controllers))])
+			s.terminateAndRestart(controllers[s.rng.IntN(len(controllers))])
 		case 5:
 			s.signalAndRestart(controllers[s.rng.IntN(len(controllers))], syscall.SIGKILL)
 		}
 	}
 }
 
-// terminate sends SIGTERM, and SIGKILL if the process has not exited after soakGrace.
-func (s *soak) terminate(p *process) {
+// terminateAndRestart sends SIGTERM, and SIGKILL if the process has not exited after terminationGrace.
+func (s *soak) terminateAndRestart(p *process) {
 	exited := s.signalAndRestart(p, syscall.SIGTERM)
 	if exited == nil {
 		return
@@ -107,8 +107,8 @@
 	s.restarts.Go(func() {
 		select {
 		case <-exited:
-		case <-time.After(soakGrace):
-			logf("%s had not exited %v after SIGTERM", p.Name, soakGrace)
+		case <-time.After(terminationGrace):
+			logf("%s had not exited %v after SIGTERM", p.Name, terminationGrace)
 			s.signalAndRestart(p, syscall.SIGKILL)
 		}
 	})
@@ -133,7 +133,7 @@
 // restarted since.
 func (s *soak) restartAfterExit(p *process, exited chan struct{}) {
 	<-exited
-	time.Sleep(soakRestart)
+	time.Sleep(restartDelay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.exited != exited {
@@ -144,11 +144,11 @@
 	}
 }
 
-// raiseLimit repeatedly raises limits.retryAfterMs and records the newest acknowledged value.
-func (s *soak) raiseLimit(ctx context.Context) {
-	for limit := initialRetryAfterMs + 1; host.Sleep(ctx, 700*time.Millisecond); limit++ {
-		if s.applyPartial(ctx, "soak", fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, limit)) == nil {
-			s.ackedLimit.Store(int64(limit))
+// raiseRetryAfter repeatedly raises limits.retryAfterMs and records the newest acknowledged value.
+func (s *soak) raiseRetryAfter(ctx context.Context) {
+	for retryAfterMs := initialRetryAfterMs + 1; host.Sleep(ctx, 700*time.Millisecond); retryAfterMs++ {
+		if s.applyPartial(ctx, "soak", fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, retryAfterMs)) == nil {
+			s.ackedRetryAfterMs.Store(int64(retryAfterMs))
 		}
 	}
 }
@@ -156,10 +156,10 @@
 // check checks the workers' counts and the clients' outcomes, and that a last configuration change
 // succeeds and is active at all nodes. It returns all violations.
 func (s *soak) check(ctx context.Context, seed uint64, outcomes []standin.Outcome) error {
-	neverKilledRouters := map[string]string{}
+	gracefulRouters := map[string]string{}
 	for i, p := range s.processes("router") {
-		if neverKilled(i) {
-			neverKilledRouters[p.Frontend] = p.Name
+		if gracefulOnly(i) {
+			gracefulRouters[p.Frontend] = p.Name
 		}
 	}
 	var violations []error
@@ -170,8 +170,8 @@
 			violations = append(violations, fmt.Errorf(
 				"a client received a wrong response to a request of kind %s: %s", o.Kind, o.Detail,
 			))
-		case o.End == "cut" && o.Detail == "the stream stopped" && neverKilledRouters[o.Node] != "":
-			violations = append(violations, fmt.Errorf("%s cut a stream that it had started", neverKilledRouters[o.Node]))
+		case o.End == "cut" && o.Detail == "the stream stopped" && gracefulRouters[o.Node] != "":
+			violations = append(violations, fmt.Errorf("%s cut a stream that it had started", gracefulRouters[o.Node]))
 		case o.Kind != "" && o.Duration > 0:
 			completed++
 		}
@@ -181,17 +181,17 @@
 		logf("%d requests, with or without an idempotency key, finished more than once", duplicates)
 	}
 	violations = append(violations, s.checkKeyedRequests(outcomes)...)
-	newest := int(s.ackedLimit.Load()) + 1
-	if err := s.retry(ctx, soakRecovery, func() error {
-		return s.applyPartial(ctx, coordination.NewID(), fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, newest))
+	finalRetryAfterMs := int(s.ackedRetryAfterMs.Load()) + 1
+	if err := s.retry(ctx, recoveryTimeout, func() error {
+		return s.applyPartial(ctx, coordination.NewID(), fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, finalRetryAfterMs))
 	}); err != nil {
 		violations = append(violations, err)
 	}
-	if err := s.retry(ctx, soakRecovery, func() error { return s.checkLimit("limits.retryAfterMs", newest) }); err != nil {
+	if err := s.retry(ctx, recoveryTimeout, func() error { return s.checkRetryAfter("limits.retryAfterMs", finalRetryAfterMs) }); err != nil {
 		violations = append(violations, err)
 	}
 	logf("seed %d: %d requests, %d completed, %d runs, newest limit %d, %d violations",
-		seed, len(outcomes), completed, runs, newest, len(violations))
+		seed, len(outcomes), completed, runs, finalRetryAfterMs, len(violations))
 	return errors.Join(violations...)
 }
 
--- a/cmd/keelstairctl/audit.go
+++ b/cmd/keelstairctl/audit.go
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s *options) audit(c *auditCmd) error {
+func (o *options) audit(c *auditCmd) error {
 	var last *fleetstate.AuditRow
 	var out io.Writer = os.Stdout
 	if c.File != "" {
@@ -108,7 +108,7 @@
 	}
 	n, err := fetchRows(last, func(from int) (*api.AuditPage, error) {
 		page := &api.AuditPage{}
-		return page, s.request(http.MethodGet, fmt.Sprintf("/v1/audit?from=%d", from), nil, page)
+		return page, o.request(http.MethodGet, fmt.Sprintf("/v1/audit?from=%d", from), nil, page)
 	}, out)
 	if err == nil {
 		fmt.Fprintf(os.Stderr, "%d rows, the hash chain is intact\n", n)
--- a/cmd/keelstairctl/certificates.go
+++ b/cmd/keelstairctl/certificates.go
@@ -47,13 +47,13 @@
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return t, settings.Invalid(field, "%q is no time such as 2026-12-31T00:00:00Z", text)
+		return t, settings.InvalidField(field, "%q is no time such as 2026-12-31T00:00:00Z", text)
 	}
 	return t, nil
 }
 
-// writeKey creates the key file unless it exists, and prints the issuer's part of a configuration.
-func (s *options) writeKey(c *keyCmd) error {
+// printIssuer creates the key file unless it exists, and prints the issuer's part of a configuration.
+func (o *options) printIssuer(c *keyCmd) error {
 	from, err := parseTime("from", c.From, time.Now().Add(-time.Hour))
 	if err != nil {
 		return err
@@ -100,24 +100,24 @@
 	if len(c.Roles) > 0 {
 		roles = nil
 	}
-	for _, p := range c.Roles {
-		if p != string(ids.Prefill) && p != string(ids.Decode) {
-			return nil, settings.Invalid("parts", "%q is neither prefill nor decode", p)
+	for _, role := range c.Roles {
+		if role != string(ids.Prefill) && role != string(ids.Decode) {
+			return nil, settings.InvalidField("parts", "%q is neither prefill nor decode", role)
 		}
-		roles = append(roles, ids.Role(p))
+		roles = append(roles, ids.Role(role))
 	}
 	switch {
 	case len(c.Workers)+len(c.Nodes) == 0:
-		return nil, settings.Invalid("worker, node", "at least one is required")
+		return nil, settings.InvalidField("worker, node", "at least one is required")
 	case !from.Before(until):
-		return nil, settings.Invalid(
+		return nil, settings.InvalidField(
 			"until",
 			"the end %s is not after the start %s",
 			until.Format(time.RFC3339),
 			from.Format(time.RFC3339),
 		)
 	case !now.Before(until):
-		return nil, settings.Invalid("until", "the end %s is past", until.Format(time.RFC3339))
+		return nil, settings.InvalidField("until", "the end %s is past", until.Format(time.RFC3339))
 	}
 	signed := map[string]certification.Certificate{}
 	add := func(certificate certification.Certificate) {
@@ -135,32 +135,32 @@
 	return signed, nil
 }
 
-func (s *options) certify(c *certifyCmd) error {
+func (o *options) certify(c *certifyCmd) error {
 	certificates, err := c.sign(time.Now())
 	if err != nil {
 		return err
 	}
-	source := map[string]any{"certificates": certificates}
+	partialConfiguration := map[string]any{"certificates": certificates}
 	if !c.Apply {
-		return printJSON(source)
+		return printJSON(partialConfiguration)
 	}
-	text, err := json.MarshalIndent(source, "", "  ")
+	text, err := json.MarshalIndent(partialConfiguration, "", "  ")
 	if err != nil {
 		return err
 	}
 	for serial, certificate := range certificates {
 		fmt.Printf("serial %s: %s\n", serial, certificate.Subject())
 	}
-	return s.applySource(&applyCmd{Partial: true, Op: c.Op}, "certify", string(text))
+	return o.applySource(&applyCmd{Partial: true, Op: c.Op}, "certify", string(text))
 }
 
-func (s *options) revoke(c *nameCmd) error {
+func (o *options) revoke(c *nameCmd) error {
 	request := api.MarkRequest{Op: c.Op, Out: true}
 	if request.Op == "" {
 		request.Op = coordination.NewID()
 	}
 	fmt.Printf("operation %s\n", request.Op)
-	if err := s.request(http.MethodPost, "/v1/certificates/"+c.Name, request, nil); err != nil {
+	if err := o.request(http.MethodPost, "/v1/certificates/"+c.Name, request, nil); err != nil {
 		return err
 	}
 	fmt.Println("the revocation is in force at all nodes")
@@ -169,9 +169,9 @@
 
 func formatTime(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339) }
 
-func (s *options) printRegimes() error {
+func (o *options) printRegimes() error {
 	var response api.Regimes
-	if err := s.request(http.MethodGet, "/v1/regimes", nil, &response); err != nil {
+	if err := o.request(http.MethodGet, "/v1/regimes", nil, &response); err != nil {
 		return err
 	}
 	if response.Latest == 0 {
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -56,19 +56,19 @@
 	Status    *struct{}   `arg:"subcommand:status" help:"how the fleet stands, as one node sees it"`
 }
 
-func (s *options) File() string { return "" }
+func (o *options) File() string { return "" }
 
-func (s *options) Check() error {
-	if s.Key != nil || s.Certify != nil && !s.Certify.Apply {
+func (o *options) Check() error {
+	if o.Key != nil || o.Certify != nil && !o.Certify.Apply {
 		return nil // the command sends no request
 	}
-	return cli.CheckEndpoints(&s.Frontends)
+	return cli.CheckEndpoints(&o.Frontends)
 }
 
 func main() {
-	s := &options{}
-	settings.Read(s, "keelstairctl", "Keelstairctl is the command line for operators of keelstair.", os.Args[1:])
-	if err := s.run(); err != nil {
+	o := &options{}
+	settings.ParseOrExit(o, "keelstairctl", "Keelstairctl is the command line for operators of keelstair.", os.Args[1:])
+	if err := o.run(); err != nil {
 		fmt.Fprintf(os.Stderr, "keelstairctl: %v\n", err)
 		var exitErr *cli.ExitError
 		if errors.As(err, &exitErr) {
@@ -78,40 +78,40 @@
 	}
 }
 
-func (s *options) run() error {
+func (o *options) run() error {
 	switch {
-	case s.Apply != nil:
-		return s.apply(s.Apply)
-	case s.Show != nil:
-		return s.show(s.Show.Out)
-	case s.Diff != nil:
-		return s.diff(s.Diff)
-	case s.Evacuate != nil:
-		return s.mark("zones", s.Evacuate, true)
-	case s.Return != nil:
-		return s.mark("zones", s.Return, false)
-	case s.Drain != nil:
-		return s.mark("workers", s.Drain, true)
-	case s.Undrain != nil:
-		return s.mark("workers", s.Undrain, false)
-	case s.Key != nil:
-		return s.writeKey(s.Key)
-	case s.Certify != nil:
-		return s.certify(s.Certify)
-	case s.Revoke != nil:
-		return s.revoke(s.Revoke)
-	case s.Regimes != nil:
-		return s.printRegimes()
-	case s.Audit != nil:
-		return s.audit(s.Audit)
-	case s.Status != nil:
+	case o.Apply != nil:
+		return o.apply(o.Apply)
+	case o.Show != nil:
+		return o.show(o.Show.Out)
+	case o.Diff != nil:
+		return o.diff(o.Diff)
+	case o.Evacuate != nil:
+		return o.setOutOfService("zones", o.Evacuate, true)
+	case o.Return != nil:
+		return o.setOutOfService("zones", o.Return, false)
+	case o.Drain != nil:
+		return o.setOutOfService("workers", o.Drain, true)
+	case o.Undrain != nil:
+		return o.setOutOfService("workers", o.Undrain, false)
+	case o.Key != nil:
+		return o.printIssuer(o.Key)
+	case o.Certify != nil:
+		return o.certify(o.Certify)
+	case o.Revoke != nil:
+		return o.revoke(o.Revoke)
+	case o.Regimes != nil:
+		return o.printRegimes()
+	case o.Audit != nil:
+		return o.audit(o.Audit)
+	case o.Status != nil:
 		var v any
-		if err := s.request(http.MethodGet, "/v1/status", nil, &v); err != nil {
+		if err := o.request(http.MethodGet, "/v1/status", nil, &v); err != nil {
 			return err
 		}
 		return printJSON(v)
 	}
-	return settings.Invalid("command", "a command is required; see keelstairctl --help")
+	return settings.InvalidField("command", "a command is required; see keelstairctl --help")
 }
 
 func printJSON(v any) error {
@@ -120,8 +120,8 @@
 	return err
 }
 
-func (s *options) request(method, path string, in, out any) error {
-	return cli.Request(s.Frontends, method, path, in, out)
+func (o *options) request(method, path string, in, out any) error {
+	return cli.Request(o.Frontends, method, path, in, out)
 }
 
 func readSource(file string) (string, string, error) {
@@ -133,20 +133,20 @@
 	return file, string(b), err
 }
 
-func (s *options) activePolicy() (*api.ActivePolicy, error) {
+func (o *options) activePolicy() (*api.ActivePolicy, error) {
 	var out api.ActivePolicy
-	return &out, s.request(http.MethodGet, "/v1/policy", nil, &out)
+	return &out, o.request(http.MethodGet, "/v1/policy", nil, &out)
 }
 
-func (s *options) apply(c *applyCmd) error {
+func (o *options) apply(c *applyCmd) error {
 	name, text, err := readSource(c.File)
 	if err != nil {
 		return err
 	}
-	return s.applySource(c, name, text)
+	return o.applySource(c, name, text)
 }
 
-func (s *options) applySource(c *applyCmd, name, text string) error {
+func (o *options) applySource(c *applyCmd, name, text string) error {
 	request := api.ApplyRequest{Op: c.Op, Partial: c.Partial, Name: name, Source: text, DryRun: c.Dry}
 	if request.Op == "" {
 		request.Op = coordination.NewID()
@@ -154,7 +154,7 @@
 	if c.Base != nil {
 		request.BaseVersion = *c.Base
 	} else {
-		active, err := s.activePolicy()
+		active, err := o.activePolicy()
 		if err != nil {
 			return err
 		}
@@ -162,7 +162,7 @@
 	}
 	fmt.Printf("operation %s over version %d\n", request.Op, request.BaseVersion)
 	var response api.ApplyResponse
-	if err := s.request(http.MethodPost, "/v1/policy", request, &response); err != nil {
+	if err := o.request(http.MethodPost, "/v1/policy", request, &response); err != nil {
 		return err
 	}
 	switch {
@@ -176,8 +176,8 @@
 	return nil
 }
 
-func (s *options) show(file string) error {
-	active, err := s.activePolicy()
+func (o *options) show(file string) error {
+	active, err := o.activePolicy()
 	if err != nil {
 		return err
 	}
@@ -192,12 +192,12 @@
 	return os.WriteFile(file, append(indented.Bytes(), '\n'), 0o644)
 }
 
-func (s *options) diff(c *diffCmd) error {
+func (o *options) diff(c *diffCmd) error {
 	name, text, err := readSource(c.File)
 	if err != nil {
 		return err
 	}
-	active, err := s.activePolicy()
+	active, err := o.activePolicy()
 	if err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 		Source:      text,
 		DryRun:      true,
 	}
-	if err := s.request(http.MethodPost, "/v1/policy", request, &response); err != nil {
+	if err := o.request(http.MethodPost, "/v1/policy", request, &response); err != nil {
 		return err
 	}
 	rows, err := fleetstate.DiffJSON(active.Policy, response.Policy)
@@ -226,14 +226,14 @@
 	return nil
 }
 
-func (s *options) mark(resource string, c *nameCmd, out bool) error {
+func (o *options) setOutOfService(resource string, c *nameCmd, out bool) error {
 	request := api.MarkRequest{Op: c.Op, Out: out}
 	if request.Op == "" {
 		request.Op = coordination.NewID()
 	}
 	fmt.Printf("operation %s\n", request.Op)
 	var response api.ApplyResponse
-	if err := s.request(http.MethodPost, "/v1/"+resource+"/"+c.Name, request, &response); err != nil {
+	if err := o.request(http.MethodPost, "/v1/"+resource+"/"+c.Name, request, &response); err != nil {
 		return err
 	}
 	fmt.Println("done")
--- a/internal/cli/request.go
+++ b/internal/cli/request.go
@@ -31,10 +31,10 @@
 		*endpoints = strings.Split((*endpoints)[0], ",")
 	}
 	if len(*endpoints) == 0 {
-		return settings.Invalid("doors", "at least one address is required (--doors or KEELSTAIR_DOORS)")
+		return settings.InvalidField("doors", "at least one address is required (--doors or KEELSTAIR_DOORS)")
 	}
 	for _, endpoint := range *endpoints {
-		if err := settings.Addr("doors", endpoint); err != nil {
+		if err := settings.CheckAddr("doors", endpoint); err != nil {
 			return err
 		}
 	}
--- a/internal/conntimeout/conntimeout.go
+++ b/internal/conntimeout/conntimeout.go
@@ -242,10 +242,10 @@
 		c.mu.Unlock()
 		return // the phase or the limit changed after the timer fired
 	}
-	late := c.phase == readingHeader
+	headerTimedOut := c.phase == readingHeader
 	c.phase = expired
 	c.mu.Unlock()
-	if late {
+	if headerTimedOut {
 		c.Conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		c.Conn.Write([]byte(timeoutResponse))
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -22,9 +22,9 @@
 	Check() error
 }
 
-// Read fills s from the arguments. It exits with code 0 after printing the help for --help, and with code 2
+// ParseOrExit fills s from the arguments. It exits with code 0 after printing the help for --help, and with code 2
 // after printing an error on one line if the settings are invalid.
-func Read(s Settings, program, about string, args []string) {
+func ParseOrExit(s Settings, program, about string, args []string) {
 	if err := Parse(s, program, about, args); err != nil {
 		if errors.Is(err, errHelp) {
 			os.Exit(0)
@@ -75,29 +75,29 @@
 	return failure.As(decoder.Decode(s), failure.InvalidArgument, "read settings", path)
 }
 
-// Invalid returns an error for an invalid field.
-func Invalid(field, format string, args ...any) error {
+// InvalidField returns an error for an invalid field.
+func InvalidField(field, format string, args ...any) error {
 	return failure.New(failure.InvalidArgument, "check settings", field, format, args...)
 }
 
-// Addr checks that an address consists of an IP address and a port.
-func Addr(field, addr string) error {
+// CheckAddr checks that an address consists of an IP address and a port.
+func CheckAddr(field, addr string) error {
 	if addr == "" {
-		return Invalid(field, "a value is required")
+		return InvalidField(field, "a value is required")
 	}
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		return Invalid(field, "%q is not an IP address with a port", addr)
+		return InvalidField(field, "%q is not an IP address with a port", addr)
 	}
 	return nil
 }
 
-// Seeds checks that there are three valid seed addresses.
-func Seeds(field string, seeds []string) error {
+// CheckSeeds checks that there are three valid seed addresses.
+func CheckSeeds(field string, seeds []string) error {
 	if len(seeds) != 3 {
-		return Invalid(field, "three addresses are required, %d given", len(seeds))
+		return InvalidField(field, "three addresses are required, %d given", len(seeds))
 	}
 	for i, a := range seeds {
-		if err := Addr(fmt.Sprintf("%s[%d]", field, i), a); err != nil {
+		if err := CheckAddr(fmt.Sprintf("%s[%d]", field, i), a); err != nil {
 			return err
 		}
 	}
