--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -1,5 +1,5 @@
-// Keelstair-controller runs the control plane. On a machine with a disk it stores a register for
-// elections and is the primary, the backup or a spare.
+// Keelstair-controller runs a control plane process. It stores its data on disk and is the primary, the backup,
+// a witness (a voter without the replicated data) or a spare.
 package main
 
 import (
--- a/cmd/keelstair-plan/main.go
+++ b/cmd/keelstair-plan/main.go
@@ -1,5 +1,5 @@
-// Keelstair-plan predicts the effects of a change before it is applied: on workers, nodes, key owners,
-// capacity and traffic shares.
+// Keelstair-plan predicts how a change would affect workers, nodes, key owners, capacity and traffic shares,
+// without applying it.
 package main
 
 import (
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -78,7 +78,7 @@
 const (
 	// maxHandOver limits how long a core process takes to hand over its roles at shutdown.
 	maxHandOver = 4 * time.Second
-	// shutdownReserve is the share of the platform's grace period that remains for the rest of the
+	// shutdownReserve is the part of the platform's grace period that is kept for the rest of the
 	// shutdown.
 	shutdownReserve = 2500 * time.Millisecond
 )
@@ -128,7 +128,7 @@
 }
 
 // mountOperatorAPIs registers the handlers for operators: those of the platform's API, and those of
-// keelstair's own API for the program set.
+// keelstair's own API.
 func mountOperatorAPIs(
 	mux *http.ServeMux,
 	s *platform.Settings,
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// loadPrograms returns the routing programs of the policy file on the command line, or none without such
-// a file.
+// loadPrograms returns the routing programs of the policy file on the command line, or none if the command line
+// names no file.
 func loadPrograms() ([]routing.Source, error) {
 	if len(os.Args) < 3 {
 		return nil, nil
@@ -174,7 +174,7 @@
 	return p.ProgramSources(), failure.As(err, failure.InvalidArgument, "read policy", os.Args[2])
 }
 
-// serveInternal starts the node's internal servers: one for its peers, and one for the platform's
+// serveInternal starts the internal servers of a router node: one for its peers, and one for the platform's
 // readiness check.
 func serveInternal(ctx context.Context, s *platform.Settings, h host.Host, node *proxy.Node) {
 	fail := func(err error) { cli.ExitOnError("keelstair-platform router", err) }
--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -1,4 +1,4 @@
-// Keelstair-standin runs stand-ins for tests: a model worker, the platform, or a load of clients.
+// Keelstair-standin runs a stand-in for tests: a model worker, the platform, or clients that generate load.
 package main
 
 import (
--- a/cmd/keelstair-testbed/faults.go
+++ b/cmd/keelstair-testbed/faults.go
@@ -1,4 +1,4 @@
-// The faults and operator actions that a run can apply to its fleet of real processes.
+// Faults and operator actions that a run can apply to its fleet of real processes.
 
 package main
 
@@ -75,8 +75,9 @@
 	return nil
 }
 
-// raceOperators has two operators change the configuration concurrently, in several rounds, and logs how
-// many succeed. Of two changes with the same base version, one must succeed.
+// raceOperators has two operators change the configuration concurrently, in 6 rounds, and logs how many
+// changes of each round succeed. Of two changes with the same base version, exactly one is expected to
+// succeed. This is not checked.
 func (f *fleet) raceOperators(ctx context.Context) {
 	for round := range 6 {
 		var wg sync.WaitGroup
@@ -104,8 +105,8 @@
 	}
 }
 
-// evacuateZone evacuates a zone, measures how long its workers still start prefills and runs, and undoes the
-// evacuation.
+// evacuateZone evacuates a zone, measures for how long its workers continue to start prefills and runs, and
+// undoes the evacuation.
 func (f *fleet) evacuateZone(ctx context.Context) {
 	zone := f.site.Zones[1]
 	path := "/v1/zones/" + string(zone)
@@ -142,8 +143,8 @@
 	}
 }
 
-// replaceControllers replaces each controller by one with no data at a new address, and checks after
-// each replacement that the configuration acknowledged before it is still active.
+// replaceControllers replaces each controller in turn with one that has no data and a new address. After each
+// replacement it logs whether the configuration that was acknowledged before it is still active at all nodes.
 func (f *fleet) replaceControllers(ctx context.Context) {
 	for i, previous := range f.processes("controller") {
 		want := 1300 + i
--- a/cmd/keelstair-testbed/fleet.go
+++ b/cmd/keelstair-testbed/fleet.go
@@ -46,7 +46,8 @@
 	platform string
 
 	// allowedStarts holds, for each worker without a valid certificate, how many governed steps it may have
-	// started: the number 2 s after its revocation was acknowledged, or 0 if it was never certified.
+	// started: the number that it had started 2 s after the acknowledgement of its certificate's revocation,
+	// or 0 if it was never certified.
 	allowedStarts map[string]int
 }
 
@@ -84,11 +85,13 @@
 	}
 }
 
+// kill sends SIGKILL and waits until the process has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 }
 
+// processes returns the processes of a kind, and those whose name starts with the given prefix.
 func (f *fleet) processes(kindOrPrefix string) []*process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,6 +104,7 @@
 	return out
 }
 
+// stop kills all processes, also suspended ones, and waits until they have exited.
 func (f *fleet) stop() {
 	for _, p := range f.procs {
 		if p.cmd != nil && p.cmd.Process != nil {
@@ -135,7 +139,8 @@
 	}
 }
 
-// startFleet starts a fleet with the given number of router nodes, or the number of the site if it is 0.
+// startFleet starts a fleet with the given number of router nodes, or the site's number if nodes is 0. It also
+// returns the fleet with an error, so that the caller can stop the processes that were started.
 func startFleet(ctx context.Context, opt *upCmd, nodes int) (*fleet, error) {
 	site := standin.Sites[opt.Site]
 	if nodes > 0 {
@@ -221,8 +226,8 @@
 	}
 }
 
-// awaitReady registers all workers and routers with the platform, applies the configuration, and waits
-// until every node is ready.
+// awaitReady registers all workers and routers with the platform, applies the site's configuration, and waits
+// until every node is ready and the platform reports as many ready nodes.
 func (f *fleet) awaitReady(ctx context.Context, workerIDs []ids.WorkerID) error {
 	started := time.Now()
 	for _, p := range f.processes("worker-") {
@@ -277,6 +282,8 @@
 	return nil
 }
 
+// retry calls try every 100 ms until it succeeds, the timeout expires or the context ends. It returns the last
+// error.
 func (f *fleet) retry(ctx context.Context, timeout time.Duration, try func() error) error {
 	deadline := time.Now().Add(timeout)
 	for {
--- a/cmd/keelstair-testbed/regime.go
+++ b/cmd/keelstair-testbed/regime.go
@@ -1,6 +1,7 @@
-// A regime for a fleet of real processes: the kinds of request that require an idempotency key are
-// governed, and all nodes and workers are certified except the last node and the last worker of each
-// role. The workers' own counters show whether an uncertified worker ran governed requests.
+// A regime for a fleet of real processes. A regime restricts some kinds of requests, called governed requests,
+// to certified nodes and workers. Here these are the kinds that require an idempotency key, and all nodes and
+// workers are certified except the last node and the last worker of each role. The workers' own counters show
+// whether an uncertified worker ran governed requests.
 
 package main
 
@@ -76,12 +77,17 @@
 	if err := f.awaitCertified(ctx); err != nil {
 		return err
 	}
-	logf("%d certificates are active; regime %s governs %s", len(certs), regimeName, strings.Join(kinds, ", "))
+	logf(
+		"%d certificates are active; regime %s applies to requests of the kinds %s",
+		len(certs),
+		regimeName,
+		strings.Join(kinds, ", "),
+	)
 	return nil
 }
 
-// awaitCertified waits until every node knows the fleet's time and reports no shortage of certified
-// workers or nodes.
+// awaitCertified waits until every node knows the fleet's time, against which certificates are checked, and
+// reports no shortage of certified workers or nodes.
 func (f *fleet) awaitCertified(ctx context.Context) error {
 	for _, frontend := range f.frontends() {
 		if err := f.retry(ctx, 10*time.Second, func() error {
@@ -121,7 +127,7 @@
 
 // revokeCertificates revokes three certificates in sequence, the second while the primary controller is
 // killed. Two seconds after each acknowledgement it records how many governed steps the worker has
-// started; reportUncertified counts any later ones.
+// started. reportUncertified counts those that the worker starts later.
 func (f *fleet) revokeCertificates(ctx context.Context) {
 	for i, name := range []string{"d1", "p1", "d2"} {
 		if i == 1 {
@@ -156,7 +162,8 @@
 	}
 }
 
-// reportUncertified logs the governed steps that workers started without a certificate.
+// reportUncertified logs how many governed steps workers started without a valid certificate. Steps within 2 s
+// of the acknowledged revocation are not counted.
 func (f *fleet) reportUncertified() {
 	if !f.opt.Regimes {
 		return
--- a/cmd/keelstair-testbed/run.go
+++ b/cmd/keelstair-testbed/run.go
@@ -1,4 +1,5 @@
-// A run: a fleet under load, one fault after a third of the load, and a report.
+// A run: a fleet is put under load, one fault is injected after a third of the load time, and the results are
+// reported.
 
 package main
 
@@ -97,8 +98,8 @@
 	return out
 }
 
-// requestCounts returns the counts of all running workers, summed by request id. Workers that do not
-// respond are left out.
+// requestCounts returns how often each request was started and finished, by request id, summed over all workers.
+// Workers that do not respond are left out.
 func (f *fleet) requestCounts() map[string]standin.RequestCounts {
 	totals := map[string]standin.RequestCounts{}
 	for _, p := range f.processes("worker-") {
@@ -129,6 +130,8 @@
 	return runs, duplicates
 }
 
+// primaryController returns the controller that reports itself as the primary, or the first controller if none
+// does.
 func (f *fleet) primaryController() *process {
 	for _, p := range f.processes("controller") {
 		var status struct{ Leads bool }
--- a/cmd/keelstair-testbed/soak.go
+++ b/cmd/keelstair-testbed/soak.go
@@ -1,5 +1,5 @@
-// A soak test: a fleet under load whose routers and controllers are signaled and restarted while its
-// configuration changes. The faults overlap.
+// A soak test: the routers and controllers of a fleet under load are repeatedly signaled and restarted while
+// its configuration changes. The faults overlap.
 
 package main
 
@@ -29,19 +29,19 @@
 }
 
 const (
-	terminationGrace           = 8 * time.Second // from SIGTERM to SIGKILL
-	restartDelay         = 300 * time.Millisecond
-	recoveryTimeout        = 12 * time.Second
-	initialRetryAfterMs = 1000 // ms; the soak raises limits.retryAfterMs from this value
-	keyedRequestPrefix  = "k-" // of the request ids of requests with an idempotency key
-	notRunSuffix        = "+"  // that a client appends to its key after the response not-run
+	terminationGrace    = 8 * time.Second        // from SIGTERM to SIGKILL, for a process that has not exited
+	restartDelay        = 300 * time.Millisecond // from a process's exit to its restart
+	recoveryTimeout     = 12 * time.Second       // for the final configuration change, and for its activation
+	initialRetryAfterMs = 1000                   // the soak test raises limits.retryAfterMs from this value
+	keyedRequestPrefix  = "k-"                   // starts the request id of each request with an idempotency key
+	notRunSuffix        = "+"                    // a client appends it to its key after a "not-run" response
 )
 
 // soak is the state of one soak test.
 type soak struct {
 	*fleet
-	rng        *rand.Rand
-	restarts   sync.WaitGroup
+	rng               *rand.Rand
+	restarts          sync.WaitGroup
 	ackedRetryAfterMs atomic.Int64 // the newest acknowledged value of limits.retryAfterMs
 }
 
@@ -69,11 +69,12 @@
 	return s.check(ctx, c.Seed, outcomes)
 }
 
-// gracefulOnly reports whether router i receives only SIGTERM, so that its streams must never be cut.
+// gracefulOnly reports whether router i is never chosen for SIGKILL. Its streams must not be cut. It receives
+// SIGKILL only if it has not exited terminationGrace after a SIGTERM.
 func gracefulOnly(i int) bool { return i%2 == 1 }
 
-// sendSignals sends signals to random processes until the context ends, without waiting for processes
-// that are still stopping or restarting.
+// sendSignals repeatedly signals and restarts random processes until the context ends. It does not wait for
+// processes that are still stopping or restarting.
 func (s *soak) sendSignals(ctx context.Context) {
 	for host.Sleep(ctx, time.Duration(100+s.rng.IntN(1500))*time.Millisecond) {
 		routers, controllers := s.processes("router"), s.processes("controller")
@@ -98,7 +99,8 @@
 	}
 }
 
-// terminateAndRestart sends SIGTERM, and SIGKILL if the process has not exited after terminationGrace.
+// terminateAndRestart sends SIGTERM, and SIGKILL if the process has not exited after terminationGrace. The
+// process is restarted once it has exited.
 func (s *soak) terminateAndRestart(p *process) {
 	exited := s.signalAndRestart(p, syscall.SIGTERM)
 	if exited == nil {
@@ -115,22 +117,22 @@
 }
 
 // signalAndRestart sends a signal to a process and restarts the process once it has exited. It returns
-// the channel that is closed at the exit, or nil if the process is not running.
+// a channel that is closed when the process exits, or nil if the process is not running.
 func (s *soak) signalAndRestart(p *process, signal syscall.Signal) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !p.running() {
 		return nil
 	}
-	logf("%s: %v", p.Name, signal)
+	logf("%s: sending signal %d", p.Name, signal)
 	p.signal(signal)
 	exited := p.exited
 	s.restarts.Go(func() { s.restartAfterExit(p, exited) })
 	return exited
 }
 
-// restartAfterExit waits until the channel is closed and restarts the process, unless it was already
-// restarted since.
+// restartAfterExit waits until the process has exited and restarts it after restartDelay, unless another call
+// has restarted it by then.
 func (s *soak) restartAfterExit(p *process, exited chan struct{}) {
 	<-exited
 	time.Sleep(restartDelay)
@@ -153,8 +155,8 @@
 	}
 }
 
-// check checks the workers' counts and the clients' outcomes, and that a last configuration change
-// succeeds and is active at all nodes. It returns all violations.
+// check verifies how often the workers ran each request and what the clients received. It then makes a final
+// configuration change, which must succeed and become active at all nodes. It returns all violations.
 func (s *soak) check(ctx context.Context, seed uint64, outcomes []standin.Outcome) error {
 	gracefulRouters := map[string]string{}
 	for i, p := range s.processes("router") {
@@ -187,16 +189,18 @@
 	}); err != nil {
 		violations = append(violations, err)
 	}
-	if err := s.retry(ctx, recoveryTimeout, func() error { return s.checkRetryAfter("limits.retryAfterMs", finalRetryAfterMs) }); err != nil {
+	if err := s.retry(ctx, recoveryTimeout, func() error {
+		return s.checkRetryAfter("limits.retryAfterMs", finalRetryAfterMs)
+	}); err != nil {
 		violations = append(violations, err)
 	}
-	logf("seed %d: %d requests, %d completed, %d runs, newest limit %d, %d violations",
+	logf("seed %d: %d requests, %d completed, %d runs, final retryAfterMs %d, %d violations",
 		seed, len(outcomes), completed, runs, finalRetryAfterMs, len(violations))
 	return errors.Join(violations...)
 }
 
-// checkKeyedRequests checks with the workers' counts that each request with an idempotency key ran at most
-// once, and that it did not run under a key for which a client received not-run.
+// checkKeyedRequests checks, from the workers' counts, that no request with an idempotency key ran more than
+// once, and that no request ran whose key was reported as "not-run" to a client.
 func (s *soak) checkKeyedRequests(outcomes []standin.Outcome) []error {
 	var violations []error
 	counts := s.requestCounts()
--- a/cmd/keelstairctl/audit.go
+++ b/cmd/keelstairctl/audit.go
@@ -1,4 +1,4 @@
-// The export of the audit log: rows as JSON lines, each verified against the row before. An earlier
+// The export of the audit log. Each row is a JSON line and is verified against the row before it. An existing
 // export is verified and extended.
 
 package main
@@ -21,7 +21,7 @@
 	File string `arg:"positional" help:"an export: it is checked, and what it lacks is added; else all rows are printed"`
 }
 
-// verifyExport verifies an earlier export and returns its last row, or nil if it is empty.
+// verifyExport verifies the hash chain of an existing export and returns its last row, or nil if it is empty.
 func verifyExport(r io.Reader) (*fleetstate.AuditRow, error) {
 	var last *fleetstate.AuditRow
 	lines := bufio.NewScanner(r)
@@ -62,7 +62,7 @@
 			)
 		case last != nil && page.First > next:
 			return written, invalid(
-				"the fleet retains rows from row %d on, but the export ends at row %d: what lies between is lost",
+				"the fleet retains rows from row %d on, but the export ends at row %d: the rows in between are lost",
 				page.First,
 				last.Index,
 			)
@@ -70,7 +70,7 @@
 			return written, invalid("row %d is missing", next)
 		case len(page.Rows) == 0 && last != nil && page.Head != last.Hash:
 			return written, invalid(
-				"the fleet's newest row %d is not the one that the export has: a row was changed or replaced",
+				"the fleet's newest row %d is not the one in the export: a row was changed or replaced",
 				page.Count,
 			)
 		case len(page.Rows) == 0:
@@ -111,7 +111,7 @@
 		return page, o.request(http.MethodGet, fmt.Sprintf("/v1/audit?from=%d", from), nil, page)
 	}, out)
 	if err == nil {
-		fmt.Fprintf(os.Stderr, "%d rows, the hash chain is intact\n", n)
+		fmt.Fprintf(os.Stderr, "%d rows written; the hash chain is intact\n", n)
 	}
 	return err
 }
--- a/cmd/keelstairctl/certificates.go
+++ b/cmd/keelstairctl/certificates.go
@@ -40,19 +40,20 @@
 	Op      string   `arg:"--op" help:"ask again for the outcome of this operation"`
 }
 
-// parseTime parses an RFC 3339 time. For an empty text it returns fallback, truncated to seconds.
+// parseTime parses an RFC 3339 time. For an empty text it returns fallback in UTC, truncated to seconds.
 func parseTime(field, text string, fallback time.Time) (time.Time, error) {
 	if text == "" {
 		return fallback.UTC().Truncate(time.Second), nil
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return t, settings.InvalidField(field, "%q is no time such as 2026-12-31T00:00:00Z", text)
+		return t, settings.InvalidField(field, "%q is not an RFC 3339 time such as 2026-12-31T00:00:00Z", text)
 	}
 	return t, nil
 }
 
-// printIssuer creates the key file unless it exists, and prints the issuer's part of a configuration.
+// printIssuer prints the partial configuration that adds the issuer. It creates the key file if it does not
+// exist.
 func (o *options) printIssuer(c *keyCmd) error {
 	from, err := parseTime("from", c.From, time.Now().Add(-time.Hour))
 	if err != nil {
@@ -78,7 +79,7 @@
 	}}})
 }
 
-// sign returns the signed certificates that the command requests, by serial.
+// sign signs one certificate for each worker and node of the command. It returns the certificates by serial.
 func (c *certifyCmd) sign(now time.Time) (map[string]certification.Certificate, error) {
 	text, err := os.ReadFile(c.KeyFile)
 	if err != nil {
@@ -117,7 +118,7 @@
 			from.Format(time.RFC3339),
 		)
 	case !now.Before(until):
-		return nil, settings.InvalidField("until", "the end %s is past", until.Format(time.RFC3339))
+		return nil, settings.InvalidField("until", "the end %s is in the past", until.Format(time.RFC3339))
 	}
 	signed := map[string]certification.Certificate{}
 	add := func(certificate certification.Certificate) {
@@ -155,7 +156,7 @@
 }
 
 func (o *options) revoke(c *nameCmd) error {
-	request := api.MarkRequest{Op: c.Op, Out: true}
+	request := api.MarkRequest{Op: c.Op, Out: true} // Out revokes the certificate
 	if request.Op == "" {
 		request.Op = coordination.NewID()
 	}
@@ -163,7 +164,7 @@
 	if err := o.request(http.MethodPost, "/v1/certificates/"+c.Name, request, nil); err != nil {
 		return err
 	}
-	fmt.Println("the revocation is in force at all nodes")
+	fmt.Println("the revocation is active at all nodes")
 	return nil
 }
 
@@ -187,7 +188,7 @@
 	for _, regime := range response.Regimes {
 		fmt.Fprintf(
 			out,
-			"\n%s governs %s, reserves %d%% of the cache blocks\n",
+			"\nregime %s applies to requests of the kinds %s and reserves %d%% of the cache blocks\n",
 			regime.Name,
 			strings.Join(regime.Kinds, ", "),
 			regime.ReservedPercent,
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -1,4 +1,4 @@
-// Keelstairctl is the command line for operators. It sends its requests to the frontend of any node.
+// Keelstairctl is the command-line client for operators. It sends its requests to the frontends of router nodes.
 package main
 
 import (
@@ -67,7 +67,7 @@
 
 func main() {
 	o := &options{}
-	settings.ParseOrExit(o, "keelstairctl", "Keelstairctl is the command line for operators of keelstair.", os.Args[1:])
+	settings.ParseOrExit(o, "keelstairctl", "Keelstairctl is the command-line client for operators of keelstair.", os.Args[1:])
 	if err := o.run(); err != nil {
 		fmt.Fprintf(os.Stderr, "keelstairctl: %v\n", err)
 		var exitErr *cli.ExitError
@@ -124,6 +124,7 @@
 	return cli.Request(o.Frontends, method, path, in, out)
 }
 
+// readSource returns the name and the content of a configuration file, or of standard input for "-".
 func readSource(file string) (string, string, error) {
 	if file == "-" {
 		b, err := io.ReadAll(os.Stdin)
@@ -171,7 +172,7 @@
 	case response.Active:
 		fmt.Printf("version %d is in force\n", response.Version)
 	default:
-		fmt.Printf("version %d is accepted and durable, but not yet in force at all nodes\n", response.Version)
+		fmt.Printf("version %d is accepted and durable, but not yet active at all nodes\n", response.Version)
 	}
 	return nil
 }
@@ -218,7 +219,7 @@
 		return err
 	}
 	if len(rows) == 0 {
-		fmt.Println("nothing would change")
+		fmt.Println("no changes")
 	}
 	for _, r := range rows {
 		fmt.Println(r)
@@ -226,6 +227,8 @@
 	return nil
 }
 
+// setOutOfService takes a zone or a worker out of service or, if out is false, returns it to service. The
+// resource is "zones" or "workers".
 func (o *options) setOutOfService(resource string, c *nameCmd, out bool) error {
 	request := api.MarkRequest{Op: c.Op, Out: out}
 	if request.Op == "" {
--- a/cmd/keelstairctl/main_test.go
+++ b/cmd/keelstairctl/main_test.go
@@ -21,6 +21,7 @@
 	"keelstair.example/internal/fleetstate"
 )
 
+// auditLines returns n rows of an audit log with an intact hash chain. Their records contain the tag.
 func auditLines(n int, tag string) (out []json.RawMessage) {
 	prev := ""
 	for i := range n {
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestFetchRows checks that an export is extended with the rows it lacks, and that rows that were removed
-// or changed in the export or in the fleet's audit log are detected.
+// TestFetchRows checks that an export is extended with the missing rows, and that removed or changed rows in
+// the export or in the fleet's audit log are detected.
 func TestFetchRows(t *testing.T) {
 	rows := auditLines(10, "a")
 	var file bytes.Buffer
@@ -86,7 +87,7 @@
 		"ends at row 8":          fetchFrom(rows[:8], 1),
 		"is not the one":         fetchFrom(auditLines(10, "b"), 1),
 		"does not follow row 10": fetchFrom(auditLines(12, "b"), 1),
-		"what lies between":      fetchFrom(auditLines(20, "a"), 15),
+		"the rows in between":    fetchFrom(auditLines(20, "a"), 15),
 	} {
 		_, err = fetchRows(last, fetch, &rest)
 		require.ErrorContains(t, err, want)
@@ -99,8 +100,8 @@
 	require.ErrorContains(t, err, "line 1")
 }
 
-// TestSign checks that signed certificates are valid for the issuer of the key, and that invalid
-// arguments are rejected before anything is signed.
+// TestSign checks that the signed certificates are valid for the issuer of the key, and that invalid
+// arguments are rejected.
 func TestSign(t *testing.T) {
 	privateKey, text, err := certification.NewKey()
 	require.NoError(t, err)
@@ -130,13 +131,13 @@
 	require.NoError(t, err)
 	require.Empty(t, r.Shortages("chair", 1, certification.ExactTime(now), nil))
 	for want, alter := range map[string]func(c *certifyCmd){
-		"is neither":          func(c *certifyCmd) { c.Roles = []string{"both"} },
-		"at least one":        func(c *certifyCmd) { c.Workers, c.Nodes = nil, nil },
-		"not after the start": func(c *certifyCmd) { c.Until = "2026-01-01T00:00:00Z" },
-		"is past":             func(c *certifyCmd) { c.From, c.Until = "2025-01-01T00:00:00Z", "2026-01-01T00:00:00Z" },
-		"is no time":          func(c *certifyCmd) { c.From = "yesterday" },
-		"no such file":        func(c *certifyCmd) { c.KeyFile = file + "x" },
-		"no PEM file":         func(c *certifyCmd) { c.KeyFile = file + "-bad" },
+		"is neither":              func(c *certifyCmd) { c.Roles = []string{"both"} },
+		"at least one":            func(c *certifyCmd) { c.Workers, c.Nodes = nil, nil },
+		"not after the start":     func(c *certifyCmd) { c.Until = "2026-01-01T00:00:00Z" },
+		"is in the past":          func(c *certifyCmd) { c.From, c.Until = "2025-01-01T00:00:00Z", "2026-01-01T00:00:00Z" },
+		"is not an RFC 3339 time": func(c *certifyCmd) { c.From = "yesterday" },
+		"no such file":            func(c *certifyCmd) { c.KeyFile = file + "x" },
+		"no PEM file":             func(c *certifyCmd) { c.KeyFile = file + "-bad" },
 	} {
 		require.NoError(t, os.WriteFile(file+"-bad", []byte("x"), 0o600))
 		altered := *c
--- a/internal/cli/request.go
+++ b/internal/cli/request.go
@@ -1,5 +1,4 @@
-// Requests of the operators' programs to the frontends of nodes. Each kind of failure has an exit code of
-// its own.
+// Requests of the operators' programs to the frontends of nodes. Failed requests are mapped to exit codes.
 
 package cli
 
@@ -15,8 +14,8 @@
 	"keelstair.example/rpc"
 )
 
-// ExitError is a failed request with its exit code for operators: 3 for a conflict, 4 for an unavailable
-// service, 5 for an operation that may have been executed, 2 for any other error response.
+// ExitError is the error of a failed request with the exit code for operators: 3 for a conflict, 4 for an
+// unavailable service, 5 for an operation that may have been executed, and 2 for any other error response.
 type ExitError struct {
 	Code int
 	text string
@@ -41,9 +40,9 @@
 	return nil
 }
 
-// Request sends a request to the endpoints until one returns a final result, within 10 s, and decodes the
-// result into out. An error response is returned as an ExitError, and so is an error after which a POST
-// may have been executed.
+// Request sends a request to the endpoints until one returns a final result, for at most 10 s, and decodes
+// the result into out. It returns an ExitError for an error response, and for a failed POST that may have been
+// executed.
 func Request(endpoints []string, method, path string, in, out any) error {
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -1,5 +1,5 @@
-// Package cli contains what the programs have in common: signals, servers, logging, and requests of the
-// operators' programs.
+// Package cli contains code that the programs share: signal handling, servers, logging, and the requests of
+// the operators' programs.
 package cli
 
 import (
--- a/internal/conntimeout/conntimeout.go
+++ b/internal/conntimeout/conntimeout.go
@@ -22,14 +22,13 @@
 	Idle   time.Duration // without a byte, from a connection's start or the end of a response
 }
 
-// The limits if the configuration sets none.
+// The limits that apply if the configuration does not set them.
 const (
 	DefaultHeader = 10 * time.Second
 	DefaultIdle   = 20 * time.Second
 )
 
-// FromMilliseconds returns the limits for values in milliseconds. For a value that is not above 0 it
-// uses the default.
+// FromMilliseconds returns the limits for values in milliseconds. A value of 0 or less selects the default.
 func FromMilliseconds(header, idle int) Limits {
 	limits := Limits{Header: DefaultHeader, Idle: DefaultIdle}
 	if header > 0 {
@@ -57,8 +56,8 @@
 // New returns a guard with the given initial limits.
 func New(limits Limits) *Guard { return &Guard{limits: limits, open: map[*conn]bool{}} }
 
-// SetLimits changes the limits. They also apply to open connections, whose time in the current phase
-// counts from its start.
+// SetLimits changes the limits. They also apply to open connections, and the time that a connection has
+// already spent in its current phase counts towards them.
 func (g *Guard) SetLimits(limits Limits) {
 	g.mu.Lock()
 	if g.limits == limits {
@@ -111,6 +110,7 @@
 	return g.limits
 }
 
+// track adds an open connection, or removes a closed one.
 func (g *Guard) track(c *conn, open bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -176,7 +176,8 @@
 	return n, err
 }
 
-// serverState updates the phase to a connection state that the server reports.
+// serverState updates the phase when the server reports a new connection state. An expired connection stays
+// expired until it is closed.
 func (c *conn) serverState(state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/conntimeout/conntimeout_test.go
+++ b/internal/conntimeout/conntimeout_test.go
@@ -63,8 +63,8 @@
 	})
 }
 
-// TestServingHasNoLimit checks that a connection stays open while a request is served, and while no
-// limit is set.
+// TestServingHasNoLimit checks that a connection stays open while a request is served and while no limit is
+// set, and that a new limit also applies to an open connection.
 func TestServingHasNoLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(Limits{Header: time.Second, Idle: time.Second})
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,7 @@
-// Package golden compares the encodings of messages and stored records with files that an earlier
-// release wrote, so that a release can exchange messages with the earlier one during a rolling
-// upgrade and read its data. Names of Go types and fields may change; the encoded bytes may not.
+// Package golden compares the encodings of messages and stored records with files that record their
+// encodings in an earlier release. This ensures that a release can exchange messages with the earlier
+// release during a rolling upgrade, and can read its data. Names of Go types and fields may change, but
+// the encoded bytes may not.
 package golden
 
 import (
@@ -19,8 +20,8 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// writeVariable is the environment variable that makes Check and CheckJSON write their file before
-// they compare with it. It is used to record new messages.
+// writeVariable is the environment variable that makes Check and CheckJSON write their files before
+// they compare with them. It is used to record the encodings of new messages.
 const writeVariable = "KEELSTAIR_GOLDEN_WRITE"
 
 // Message is a value with generated MessagePack methods.
@@ -31,7 +32,7 @@
 
 // Check fills each message with values that depend only on the order of its fields, and compares
 // its encoding with the line of that name in the file. The recorded bytes must also decode to an
-// equal message. The file must contain exactly one line "name hex" for each message.
+// equal message. The file must contain one line "name hex" for each message, and no others.
 func Check(t *testing.T, file string, messages map[string]Message) {
 	t.Helper()
 	names := slices.Sorted(maps.Keys(messages))
@@ -98,8 +99,9 @@
 	require.Equal(t, string(recorded), string(encoded)+"\n")
 }
 
-// Fill sets every exported field that is reachable from a pointer to a struct: numbers increase in
-// the order of the fields, strings contain such a number, slices get two elements and maps one.
+// Fill sets every exported field that is reachable from a pointer to a struct. Numbers increase in
+// the order of the fields (integers modulo 100), strings contain such a number, slices get two elements
+// and maps one.
 func Fill(pointer any) {
 	next := 0
 	fill(reflect.ValueOf(pointer).Elem(), &next)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,15 +15,15 @@
 	"keelstair.example/failure"
 )
 
-// Settings is implemented by a program's settings struct. File returns the path of the JSON file, or ""
-// without one. Check returns an error that names the first invalid field.
+// Settings is implemented by a program's settings struct. File returns the path of the JSON file, or "" if
+// there is none. Check returns an error that names the first invalid field.
 type Settings interface {
 	File() string
 	Check() error
 }
 
-// ParseOrExit fills s from the arguments. It exits with code 0 after printing the help for --help, and with code 2
-// after printing an error on one line if the settings are invalid.
+// ParseOrExit fills s from the arguments and the JSON file. It exits with code 0 after printing the help for
+// --help, and with code 2 after printing an error on one line if the settings are invalid.
 func ParseOrExit(s Settings, program, about string, args []string) {
 	if err := Parse(s, program, about, args); err != nil {
 		if errors.Is(err, errHelp) {
@@ -36,7 +36,8 @@
 
 var errHelp = errors.New("help was requested")
 
-// Parse is like Read, but returns an error instead of exiting.
+// Parse is like ParseOrExit, but returns an error instead of exiting. It prints the help for --help and returns
+// an error for that, too.
 func Parse(s Settings, program, about string, args []string) error {
 	p, err := arg.NewParser(arg.Config{Program: program}, s)
 	if err != nil {
@@ -75,7 +76,8 @@
 	return failure.As(decoder.Decode(s), failure.InvalidArgument, "read settings", path)
 }
 
-// InvalidField returns an error for an invalid field.
+// InvalidField returns an InvalidArgument error that names the field. The formatted text describes what is
+// wrong with the field.
 func InvalidField(field, format string, args ...any) error {
 	return failure.New(failure.InvalidArgument, "check settings", field, format, args...)
 }
@@ -94,7 +96,7 @@
 // CheckSeeds checks that there are three valid seed addresses.
 func CheckSeeds(field string, seeds []string) error {
 	if len(seeds) != 3 {
-		return InvalidField(field, "three addresses are required, %d given", len(seeds))
+		return InvalidField(field, "three addresses are required, but %d are given", len(seeds))
 	}
 	for i, a := range seeds {
 		if err := CheckAddr(fmt.Sprintf("%s[%d]", field, i), a); err != nil {
@@ -104,7 +106,8 @@
 	return nil
 }
 
-// FirstError returns the first error that is not nil.
+// FirstError returns the first error that is not nil, or nil if there is none. Check methods use it to combine
+// checks.
 func FirstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,7 +20,9 @@
 }
 
 func (s *sample) File() string { return s.Settings }
-func (s *sample) Check() error { return FirstError(CheckAddr("addr", s.Addr), CheckSeeds("seeds", s.Seeds)) }
+func (s *sample) Check() error {
+	return FirstError(CheckAddr("addr", s.Addr), CheckSeeds("seeds", s.Seeds))
+}
 
 // TestSettings checks that flags take precedence over the file and the file over the defaults, and that an
 // error names the invalid field.
