--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -17,18 +17,18 @@
 )
 
 type options struct {
-	SettingsFile      string   `arg:"--settings" help:"a JSON file with these same settings; flags stand over it" json:"-"`
-	Addr              string   `arg:"--addr" help:"IP number and port to listen on" json:"addr"`
-	Zone              string   `arg:"--zone" help:"the hall or district this machine stands in" json:"zone"`
-	Seeds             []string `arg:"--seeds" help:"three addresses of other processes" json:"seeds"`
-	DataDir           string   `arg:"--data" help:"the folder for all files" json:"data"`
-	HeartbeatMs       int      `arg:"--beat-ms" default:"200" help:"primary to backup and witness" json:"beatMs"`
-	ElectionTimeoutMs int      `arg:"--silence-ms" default:"900" help:"after so long the backup takes over" json:"silenceMs"`
-	LeaseMs           int      `arg:"--lease-ms" default:"3000" help:"of every node; the nodes must have the same" json:"leaseMs"`
-	DiskTimeoutMs     int      `arg:"--stall-ms" default:"1000" help:"a disk step that takes longer makes this machine stand down" json:"stallMs"`
-	HandOverTimeoutMs int      `arg:"--grace-ms" default:"4000" help:"a machine that is stopped hands over what it holds within this span" json:"graceMs"`
-	ForceNewCluster   bool     `arg:"--found-anew" help:"two of three disk machines are lost for good: go on from this disk with two empty ones; see the operators' page" json:"-"`
-	ReplaceAfterMs    int      `arg:"--replace-ms" default:"4000" help:"a register holder silent so long may be replaced by a spare" json:"replaceMs"`
+	SettingsFile      string   `arg:"--settings" help:"a JSON file with the same settings; flags take precedence over it" json:"-"`
+	Addr              string   `arg:"--addr" help:"IP address and port to listen on" json:"addr"`
+	Zone              string   `arg:"--zone" help:"the zone of this machine, such as a hall or district" json:"zone"`
+	Seeds             []string `arg:"--seeds" help:"three seed addresses at which to find other processes" json:"seeds"`
+	DataDir           string   `arg:"--data" help:"the directory for all files" json:"data"`
+	HeartbeatMs       int      `arg:"--beat-ms" default:"200" help:"interval of the heartbeats from the primary to its backups and the other voters, in ms" json:"beatMs"`
+	ElectionTimeoutMs int      `arg:"--silence-ms" default:"900" help:"silence of the primary, in ms, after which a backup takes over" json:"silenceMs"`
+	LeaseMs           int      `arg:"--lease-ms" default:"3000" help:"lease of every node, in ms; the nodes must have the same setting" json:"leaseMs"`
+	DiskTimeoutMs     int      `arg:"--stall-ms" default:"1000" help:"time limit for a disk operation, in ms; a primary whose write takes longer steps down" json:"stallMs"`
+	HandOverTimeoutMs int      `arg:"--grace-ms" default:"4000" help:"time limit for handing over the roles at shutdown, in ms" json:"graceMs"`
+	ForceNewCluster   bool     `arg:"--found-anew" help:"two of three machines with a disk are permanently lost: form a new cluster from this disk and two empty machines; see docs/operators.md" json:"-"`
+	ReplaceAfterMs    int      `arg:"--replace-ms" default:"4000" help:"silence of a voter, in ms, after which a spare may replace it" json:"replaceMs"`
 }
 
 func (o *options) File() string { return o.SettingsFile }
--- a/cmd/keelstair-plan/main.go
+++ b/cmd/keelstair-plan/main.go
@@ -21,9 +21,9 @@
 )
 
 type applyCmd struct {
-	File    string  `arg:"positional,required" help:"CUE or JSON"`
-	Partial bool    `arg:"--partial" help:"it is laid over the configuration in force"`
-	Base    *uint64 `arg:"--base" help:"the version it was made over"`
+	File    string  `arg:"positional,required" help:"configuration file in CUE or JSON"`
+	Partial bool    `arg:"--partial" help:"merge the file into the active configuration"`
+	Base    *uint64 `arg:"--base" help:"the version that the configuration is based on"`
 }
 
 type nameCmd struct {
@@ -31,15 +31,15 @@
 }
 
 type options struct {
-	Frontends   []string  `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
+	Frontends   []string  `arg:"--doors,env:KEELSTAIR_DOORS" help:"frontend addresses of router nodes, tried in turn"`
 	JSON        bool      `arg:"--json" help:"print JSON"`
-	Apply       *applyCmd `arg:"subcommand:apply" help:"a configuration"`
-	Evacuate    *nameCmd  `arg:"subcommand:evacuate" help:"the evacuation of a zone"`
-	LoseZone    *nameCmd  `arg:"subcommand:lose-zone" help:"the loss of a zone"`
-	LoseMachine *nameCmd  `arg:"subcommand:lose-machine" help:"the loss of a machine, by its address"`
-	Drain       *nameCmd  `arg:"subcommand:drain" help:"the draining of a worker"`
-	Revoke      *nameCmd  `arg:"subcommand:revoke" help:"the revocation of a certificate, by its serial"`
-	Expire      *nameCmd  `arg:"subcommand:expire" help:"the end of certificates up to a time, in RFC 3339"`
+	Apply       *applyCmd `arg:"subcommand:apply" help:"predict the effects of applying a configuration"`
+	Evacuate    *nameCmd  `arg:"subcommand:evacuate" help:"predict the effects of evacuating a zone"`
+	LoseZone    *nameCmd  `arg:"subcommand:lose-zone" help:"predict the effects of losing a zone"`
+	LoseMachine *nameCmd  `arg:"subcommand:lose-machine" help:"predict the effects of losing a machine, given its address"`
+	Drain       *nameCmd  `arg:"subcommand:drain" help:"predict the effects of draining a worker"`
+	Revoke      *nameCmd  `arg:"subcommand:revoke" help:"predict the effects of revoking a certificate, given its serial"`
+	Expire      *nameCmd  `arg:"subcommand:expire" help:"predict the effects of certificates that expire up to a time (RFC 3339)"`
 }
 
 func (o *options) File() string { return "" }
--- a/cmd/keelstair-router/main.go
+++ b/cmd/keelstair-router/main.go
@@ -18,18 +18,18 @@
 )
 
 type options struct {
-	SettingsFile    string   `arg:"--settings" help:"a JSON file with these same settings; flags stand over it" json:"-"`
-	Name            string   `arg:"--name" help:"a name for logs" json:"name"`
-	Addr            string   `arg:"--addr" help:"IP number and port for neighbours" json:"addr"`
-	Frontend        string   `arg:"--door" help:"IP number and port for origins and operators" json:"door"`
-	Zone            string   `arg:"--zone" help:"the hall or district this machine stands in" json:"zone"`
-	Seeds           []string `arg:"--seeds" help:"three addresses of other processes" json:"seeds"`
-	Platform        string   `arg:"--platform" help:"where the platform lists workers" json:"platform"`
-	LeaseMs         int      `arg:"--lease-ms" default:"3000" help:"the same as the controllers'" json:"leaseMs"`
-	OrphanTimeoutMs int      `arg:"--orphan-ms" default:"2000" help:"after so long a worker drops what nobody came for" json:"orphanMs"`
-	StreamTimeoutMs int      `arg:"--pulse-ms" default:"1200" help:"a worker silent for so long in a stream is lost" json:"pulseMs"`
-	TraceFile       string   `arg:"--trace" help:"append OpenTelemetry JSON lines to this file" json:"trace"`
-	DrainTimeoutMs  int      `arg:"--drain-ms" default:"10000" help:"how long streams may finish after SIGTERM" json:"drainMs"`
+	SettingsFile    string   `arg:"--settings" help:"a JSON file with the same settings; flags take precedence over it" json:"-"`
+	Name            string   `arg:"--name" help:"name of this node in logs and certificates; default: the value of --addr" json:"name"`
+	Addr            string   `arg:"--addr" help:"IP address and port for other nodes" json:"addr"`
+	Frontend        string   `arg:"--door" help:"IP address and port of the frontend, for clients and operators" json:"door"`
+	Zone            string   `arg:"--zone" help:"the zone of this machine, such as a hall or district" json:"zone"`
+	Seeds           []string `arg:"--seeds" help:"three seed addresses at which to find other processes" json:"seeds"`
+	Platform        string   `arg:"--platform" help:"IP address and port of the platform, which lists the workers" json:"platform"`
+	LeaseMs         int      `arg:"--lease-ms" default:"3000" help:"lease of this node, in ms; must be the same as the controllers' setting" json:"leaseMs"`
+	OrphanTimeoutMs int      `arg:"--orphan-ms" default:"2000" help:"time in ms after which a worker ends an attempt that no router controls; the same as the workers' setting" json:"orphanMs"`
+	StreamTimeoutMs int      `arg:"--pulse-ms" default:"1200" help:"silence of a worker within a stream, in ms, after which the worker is considered lost" json:"pulseMs"`
+	TraceFile       string   `arg:"--trace" help:"append OpenTelemetry traces to this file, as JSON lines" json:"trace"`
+	DrainTimeoutMs  int      `arg:"--drain-ms" default:"10000" help:"time limit for running streams after SIGTERM, in ms" json:"drainMs"`
 }
 
 func (o *options) File() string { return o.SettingsFile }
--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -19,35 +19,35 @@
 )
 
 type workerCmd struct {
-	ID        string   `arg:"--id,required" help:"the worker's name"`
-	Addr      string   `arg:"--addr,required" help:"IP number and port"`
-	Role      string   `arg:"--part" default:"prefill" help:"prefill or decode"`
+	ID        string   `arg:"--id,required" help:"the worker's id"`
+	Addr      string   `arg:"--addr,required" help:"IP address and port to listen on"`
+	Role      string   `arg:"--part" default:"prefill" help:"the worker's role: prefill or decode"`
 	Model     string   `arg:"--model,required"`
 	Weights   string   `arg:"--weights" default:"w1"`
 	Adapters  []string `arg:"--adapter,separate"`
-	Capacity  int      `arg:"--room" default:"2048" help:"blocks of KV"`
-	BlockSize int      `arg:"--block" default:"16" help:"tokens a block"`
+	Capacity  int      `arg:"--room" default:"2048" help:"capacity of the KV cache in blocks"`
+	BlockSize int      `arg:"--block" default:"16" help:"tokens per block"`
 }
 
 type platformCmd struct {
-	Addr string `arg:"--addr,required" help:"IP number and port"`
+	Addr string `arg:"--addr,required" help:"IP address and port to listen on"`
 }
 
 type loadCmd struct {
-	Site      string  `arg:"--site" default:"vatuloa" help:"vatuloa or almaty"`
-	Frontends string  `arg:"--doors" help:"comma-separated doors; without them the platform is asked"`
-	Platform  string  `arg:"--platform" help:"the platform's address"`
-	Rate      float64 `arg:"--rate" default:"30" help:"arrivals a second"`
+	Site      string  `arg:"--site" default:"vatuloa" help:"the simulated site: vatuloa or almaty"`
+	Frontends string  `arg:"--doors" help:"comma-separated frontend addresses of router nodes; default: the ready nodes that the platform lists"`
+	Platform  string  `arg:"--platform" help:"the platform's IP address and port"`
+	Rate      float64 `arg:"--rate" default:"30" help:"requests per second"`
 	Seconds   int     `arg:"--seconds" default:"10"`
 	Seed      uint64  `arg:"--seed" default:"1"`
-	Retries   int     `arg:"--retries" default:"6" help:"how often a bounced caller comes back"`
-	Weights   string  `arg:"--weights" default:"w1" help:"comma-separated weight versions that may answer"`
+	Retries   int     `arg:"--retries" default:"6" help:"maximum number of retries of a request"`
+	Weights   string  `arg:"--weights" default:"w1" help:"comma-separated weight versions whose outputs are accepted"`
 }
 
 type options struct {
 	Worker   *workerCmd   `arg:"subcommand:worker" help:"a stand-in model worker"`
 	Platform *platformCmd `arg:"subcommand:platform" help:"a stand-in platform"`
-	Load     *loadCmd     `arg:"subcommand:load" help:"stand-in callers, an open loop"`
+	Load     *loadCmd     `arg:"subcommand:load" help:"stand-in clients that generate an open-loop load"`
 }
 
 func (o *options) File() string { return "" }
--- a/cmd/keelstair-testbed/main.go
+++ b/cmd/keelstair-testbed/main.go
@@ -16,25 +16,25 @@
 )
 
 type upCmd struct {
-	Site    string `arg:"--site" default:"vatuloa" help:"vatuloa or almaty"`
-	Dir     string `arg:"--dir" default:"testbed-data" help:"folder for data, logs and keelstair-testbed.json"`
-	BinDir  string `arg:"--bin" default:"bin" help:"folder with the programs"`
-	Regimes bool   `arg:"--regimes" help:"certify all but one of each sort for the kinds with claims"`
-	Seconds int    `arg:"--seconds" default:"0" help:"end by itself after so long; 0 for a signal"`
+	Site    string `arg:"--site" default:"vatuloa" help:"the simulated site: vatuloa or almaty"`
+	Dir     string `arg:"--dir" default:"testbed-data" help:"directory for data, logs and keelstair-testbed.json; its contents are deleted first"`
+	BinDir  string `arg:"--bin" default:"bin" help:"directory with the programs"`
+	Regimes bool   `arg:"--regimes" help:"set up a regime for the kinds of request that require an idempotency key; all nodes and workers are certified except the last node and the last worker of each role"`
+	Seconds int    `arg:"--seconds" default:"0" help:"seconds after which the fleet is stopped; 0 to wait for a signal"`
 }
 
 type runCmd struct {
 	upCmd
-	Rate        float64 `arg:"--rate" default:"40" help:"arrivals a second"`
-	LoadSeconds int     `arg:"--load" default:"30" help:"seconds of load"`
+	Rate        float64 `arg:"--rate" default:"40" help:"requests per second"`
+	LoadSeconds int     `arg:"--load" default:"30" help:"duration of the load in seconds"`
 	Seed        uint64  `arg:"--seed" default:"1"`
-	Fault       string  `arg:"--break" default:"none" help:"none, controller, wipe, ack, core, roll, router, stop, worker, freeze, hall, all, race, evacuate or revoke"`
+	Fault       string  `arg:"--break" default:"none" help:"the fault to inject: none, controller, wipe, ack, core, roll, router, stop, worker, freeze, hall, all, race, evacuate or revoke"`
 }
 
 type options struct {
-	Up   *upCmd   `arg:"subcommand:up" help:"start a fleet, apply its configuration, and keep it"`
-	Run  *runCmd  `arg:"subcommand:run" help:"start a fleet, load it, break it, and report"`
-	Soak *soakCmd `arg:"subcommand:soak" help:"start a fleet, load it, signal and restart it all the time, and judge"`
+	Up   *upCmd   `arg:"subcommand:up" help:"start a fleet, apply its configuration, and keep it running"`
+	Run  *runCmd  `arg:"subcommand:run" help:"start a fleet, put it under load, inject a fault, and report the results"`
+	Soak *soakCmd `arg:"subcommand:soak" help:"start a fleet, put it under load, repeatedly signal and restart its processes, and check the results"`
 }
 
 func (o *options) File() string { return "" }
--- a/cmd/keelstair-testbed/soak.go
+++ b/cmd/keelstair-testbed/soak.go
@@ -23,9 +23,9 @@
 type soakCmd struct {
 	upCmd
 	Seed        uint64  `arg:"--seed" default:"1"`
-	Nodes       int     `arg:"--nodes" default:"0" help:"router nodes; 0 for as many as the site has"`
-	Rate        float64 `arg:"--rate" default:"40" help:"arrivals a second"`
-	LoadSeconds int     `arg:"--load" default:"30" help:"seconds of load"`
+	Nodes       int     `arg:"--nodes" default:"0" help:"number of router nodes; 0 for the site's number"`
+	Rate        float64 `arg:"--rate" default:"40" help:"requests per second"`
+	LoadSeconds int     `arg:"--load" default:"30" help:"duration of the load in seconds"`
 }
 
 const (
--- a/cmd/keelstairctl/audit.go
+++ b/cmd/keelstairctl/audit.go
@@ -18,7 +18,7 @@
 )
 
 type auditCmd struct {
-	File string `arg:"positional" help:"an export: it is checked, and what it lacks is added; else all rows are printed"`
+	File string `arg:"positional" help:"an export file to verify and extend, created if it does not exist; default: print all rows"`
 }
 
 // verifyExport verifies the hash chain of an existing export and returns its last row, or nil if it is empty.
--- a/cmd/keelstairctl/certificates.go
+++ b/cmd/keelstairctl/certificates.go
@@ -20,9 +20,9 @@
 )
 
 type keyCmd struct {
-	File   string `arg:"positional,required" help:"the key file to write, or one that is there already"`
-	Issuer string `arg:"--issuer,required" help:"the issuer's name"`
-	From   string `arg:"--from" help:"RFC 3339; else now"`
+	File   string `arg:"positional,required" help:"the key file; created if it does not exist"`
+	Issuer string `arg:"--issuer,required" help:"the issuer's name in the configuration"`
+	From   string `arg:"--from" help:"start of the issuer's validity period (RFC 3339); default: an hour ago"`
 	Days   int    `arg:"--days" default:"365"`
 }
 
@@ -30,14 +30,14 @@
 	KeyFile string   `arg:"--key,required" help:"the issuer's key file"`
 	Issuer  string   `arg:"--issuer,required" help:"the issuer's name in the configuration"`
 	Regime  string   `arg:"--regime,required"`
-	Workers []string `arg:"--worker" help:"workers, each with a certificate of its own"`
-	Nodes   []string `arg:"--node" help:"router nodes by name"`
-	Roles   []string `arg:"--parts" help:"of workers: prefill, decode or both, which is the default"`
-	From    string   `arg:"--from" help:"RFC 3339; else an hour ago"`
-	Until   string   `arg:"--until" help:"RFC 3339; else --days from the start"`
+	Workers []string `arg:"--worker" help:"worker ids; one certificate is issued for each"`
+	Nodes   []string `arg:"--node" help:"names of router nodes; one certificate is issued for each"`
+	Roles   []string `arg:"--parts" help:"roles of the workers: prefill, decode or both; default: both"`
+	From    string   `arg:"--from" help:"start of validity (RFC 3339); default: an hour ago"`
+	Until   string   `arg:"--until" help:"end of validity (RFC 3339); default: --days after the start"`
 	Days    int      `arg:"--days" default:"30"`
-	Apply   bool     `arg:"--apply" help:"apply it to the configuration in force; else the part is printed"`
-	Op      string   `arg:"--op" help:"ask again for the outcome of this operation"`
+	Apply   bool     `arg:"--apply" help:"add the certificates to the active configuration instead of printing them"`
+	Op      string   `arg:"--op" help:"id of an earlier operation, to retry it or to get its outcome"`
 }
 
 // parseTime parses an RFC 3339 time. For an empty text it returns fallback in UTC, truncated to seconds.
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -18,15 +18,15 @@
 )
 
 type applyCmd struct {
-	File    string  `arg:"positional,required" help:"CUE or JSON; - for standard input"`
-	Partial bool    `arg:"--partial" help:"lay it over the configuration in force"`
-	Base    *uint64 `arg:"--base" help:"the version it was made over; else the newest"`
-	Op      string  `arg:"--op" help:"ask again for the outcome of this operation"`
-	Dry     bool    `arg:"--dry" help:"only check it"`
+	File    string  `arg:"positional,required" help:"configuration file in CUE or JSON; - for standard input"`
+	Partial bool    `arg:"--partial" help:"merge the file into the active configuration"`
+	Base    *uint64 `arg:"--base" help:"the version that the configuration is based on; default: the newest"`
+	Op      string  `arg:"--op" help:"id of an earlier operation, to retry it or to get its outcome"`
+	Dry     bool    `arg:"--dry" help:"only validate the configuration"`
 }
 
 type showCmd struct {
-	Out string `arg:"positional" help:"write the configuration to this file"`
+	Out string `arg:"positional" help:"the file to write the configuration to; default: print it"`
 }
 
 type diffCmd struct {
@@ -36,24 +36,24 @@
 
 type nameCmd struct {
 	Name string `arg:"positional,required"`
-	Op   string `arg:"--op" help:"ask again for the outcome of this operation"`
+	Op   string `arg:"--op" help:"id of an earlier operation, to retry it or to get its outcome"`
 }
 
 type options struct {
-	Frontends []string    `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
-	Apply     *applyCmd   `arg:"subcommand:apply" help:"apply a whole or partial configuration"`
-	Show      *showCmd    `arg:"subcommand:show" help:"show the configuration in force"`
-	Diff      *diffCmd    `arg:"subcommand:diff" help:"what a configuration would change"`
-	Evacuate  *nameCmd    `arg:"subcommand:evacuate" help:"empty a zone of new work"`
-	Return    *nameCmd    `arg:"subcommand:return" help:"take an evacuation back"`
-	Drain     *nameCmd    `arg:"subcommand:drain" help:"keep new work from a worker"`
-	Undrain   *nameCmd    `arg:"subcommand:undrain" help:"take a drain back"`
-	Key       *keyCmd     `arg:"subcommand:key" help:"make an issuer's key file and print its part of a configuration"`
+	Frontends []string    `arg:"--doors,env:KEELSTAIR_DOORS" help:"frontend addresses of router nodes, tried in turn"`
+	Apply     *applyCmd   `arg:"subcommand:apply" help:"apply a complete or partial configuration"`
+	Show      *showCmd    `arg:"subcommand:show" help:"show the active configuration"`
+	Diff      *diffCmd    `arg:"subcommand:diff" help:"show what a configuration would change"`
+	Evacuate  *nameCmd    `arg:"subcommand:evacuate" help:"take a zone out of service"`
+	Return    *nameCmd    `arg:"subcommand:return" help:"return an evacuated zone to service"`
+	Drain     *nameCmd    `arg:"subcommand:drain" help:"stop assigning new work to a worker"`
+	Undrain   *nameCmd    `arg:"subcommand:undrain" help:"assign new work to a drained worker again"`
+	Key       *keyCmd     `arg:"subcommand:key" help:"print the partial configuration that adds an issuer, and create its key file if it does not exist"`
 	Certify   *certifyCmd `arg:"subcommand:certify" help:"sign certificates and print or apply them"`
-	Revoke    *nameCmd    `arg:"subcommand:revoke" help:"end a certificate, by its serial, for good"`
-	Regimes   *struct{}   `arg:"subcommand:regimes" help:"who is certified, until when, and what is short"`
-	Audit     *auditCmd   `arg:"subcommand:audit" help:"the audit record of governed work, checked, as JSON lines"`
-	Status    *struct{}   `arg:"subcommand:status" help:"how the fleet stands, as one node sees it"`
+	Revoke    *nameCmd    `arg:"subcommand:revoke" help:"permanently revoke a certificate, given its serial"`
+	Regimes   *struct{}   `arg:"subcommand:regimes" help:"show the certified workers and nodes of each regime, when their certificates expire, and shortages"`
+	Audit     *auditCmd   `arg:"subcommand:audit" help:"verify and export the audit log of governed requests as JSON lines"`
+	Status    *struct{}   `arg:"subcommand:status" help:"show the fleet's status as seen by one node"`
 }
 
 func (o *options) File() string { return "" }
