--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -1,5 +1,5 @@
-// Keelstair-controller runs the control plane. On a machine with a disk it stores a register for
-// elections and is the primary, the backup or a spare.
+// Keelstair-controller runs a control plane process. It stores its data on disk and is the primary, the backup,
+// a witness (a voter without the replicated data) or a spare.
 package main
 
 import (
@@ -17,71 +17,71 @@
 )
 
 type options struct {
-	SettingsFile      string   `arg:"--settings" help:"a JSON file with these same settings; flags stand over it" json:"-"`
-	Addr              string   `arg:"--addr" help:"IP number and port to listen on" json:"addr"`
-	Zone              string   `arg:"--zone" help:"the hall or district this machine stands in" json:"zone"`
-	Seeds             []string `arg:"--seeds" help:"three addresses of other processes" json:"seeds"`
-	DataDir           string   `arg:"--data" help:"the folder for all files" json:"data"`
-	HeartbeatMs       int      `arg:"--beat-ms" default:"200" help:"primary to backup and witness" json:"beatMs"`
-	ElectionTimeoutMs int      `arg:"--silence-ms" default:"900" help:"after so long the backup takes over" json:"silenceMs"`
-	LeaseMs           int      `arg:"--lease-ms" default:"3000" help:"of every node; the nodes must have the same" json:"leaseMs"`
-	DiskTimeoutMs     int      `arg:"--stall-ms" default:"1000" help:"a disk step that takes longer makes this machine stand down" json:"stallMs"`
-	HandOverTimeoutMs int      `arg:"--grace-ms" default:"4000" help:"a machine that is stopped hands over what it holds within this span" json:"graceMs"`
-	ForceNewCluster   bool     `arg:"--found-anew" help:"two of three disk machines are lost for good: go on from this disk with two empty ones; see the operators' page" json:"-"`
-	ReplaceAfterMs    int      `arg:"--replace-ms" default:"4000" help:"a register holder silent so long may be replaced by a spare" json:"replaceMs"`
+	SettingsFile      string   `arg:"--settings" help:"a JSON file with the same settings; flags take precedence over it" json:"-"`
+	Addr              string   `arg:"--addr" help:"IP address and port to listen on" json:"addr"`
+	Zone              string   `arg:"--zone" help:"the zone of this machine, such as a hall or district" json:"zone"`
+	Seeds             []string `arg:"--seeds" help:"three seed addresses at which to find other processes" json:"seeds"`
+	DataDir           string   `arg:"--data" help:"the directory for all files" json:"data"`
+	HeartbeatMs       int      `arg:"--beat-ms" default:"200" help:"interval of the heartbeats from the primary to its backups and the other voters, in ms" json:"beatMs"`
+	ElectionTimeoutMs int      `arg:"--silence-ms" default:"900" help:"silence of the primary, in ms, after which a backup takes over" json:"silenceMs"`
+	LeaseMs           int      `arg:"--lease-ms" default:"3000" help:"lease of every node, in ms; the nodes must have the same setting" json:"leaseMs"`
+	DiskTimeoutMs     int      `arg:"--stall-ms" default:"1000" help:"time limit for a disk operation, in ms; a primary whose write takes longer steps down" json:"stallMs"`
+	HandOverTimeoutMs int      `arg:"--grace-ms" default:"4000" help:"time limit for handing over the roles at shutdown, in ms" json:"graceMs"`
+	ForceNewCluster   bool     `arg:"--found-anew" help:"two of three machines with a disk are permanently lost: form a new cluster from this disk and two empty machines; see docs/operators.md" json:"-"`
+	ReplaceAfterMs    int      `arg:"--replace-ms" default:"4000" help:"silence of a voter, in ms, after which a spare may replace it" json:"replaceMs"`
 }
 
-func (s *options) File() string { return s.SettingsFile }
+func (o *options) File() string { return o.SettingsFile }
 
-func (s *options) Check() error {
+func (o *options) Check() error {
 	checkDuration := func(field string, ms, minimum, maximum int) error {
 		if ms < minimum || ms > maximum {
-			return settings.Invalid(field, "%d ms is not between %d and %d ms", ms, minimum, maximum)
+			return settings.InvalidField(field, "%d ms is not between %d and %d ms", ms, minimum, maximum)
 		}
 		return nil
 	}
-	if s.DataDir == "" {
-		return settings.Invalid("data", "a value is required")
+	if o.DataDir == "" {
+		return settings.InvalidField("data", "a value is required")
 	}
-	if s.Zone == "" {
-		return settings.Invalid("zone", "a value is required")
+	if o.Zone == "" {
+		return settings.InvalidField("zone", "a value is required")
 	}
-	return settings.FirstError(settings.Addr("addr", s.Addr), settings.Seeds("seeds", s.Seeds),
-		checkDuration("beatMs", s.HeartbeatMs, 20, 1000),
-		checkDuration("silenceMs", s.ElectionTimeoutMs, 4*s.HeartbeatMs, 30000),
-		checkDuration("leaseMs", s.LeaseMs, 2*s.ElectionTimeoutMs, 60000),
-		checkDuration("stallMs", s.DiskTimeoutMs, 50, 30000),
-		checkDuration("graceMs", s.HandOverTimeoutMs, 0, 600000),
-		checkDuration("replaceMs", s.ReplaceAfterMs, s.ElectionTimeoutMs, 600000))
+	return settings.FirstError(settings.CheckAddr("addr", o.Addr), settings.CheckSeeds("seeds", o.Seeds),
+		checkDuration("beatMs", o.HeartbeatMs, 20, 1000),
+		checkDuration("silenceMs", o.ElectionTimeoutMs, 4*o.HeartbeatMs, 30000),
+		checkDuration("leaseMs", o.LeaseMs, 2*o.ElectionTimeoutMs, 60000),
+		checkDuration("stallMs", o.DiskTimeoutMs, 50, 30000),
+		checkDuration("graceMs", o.HandOverTimeoutMs, 0, 600000),
+		checkDuration("replaceMs", o.ReplaceAfterMs, o.ElectionTimeoutMs, 600000))
 }
 
 func main() {
-	s := &options{}
-	settings.Read(s, "keelstair-controller", "Keelstair-controller runs the control plane of keelstair.", os.Args[1:])
-	host, err := host.Real(s.DataDir)
+	o := &options{}
+	settings.ParseOrExit(o, "keelstair-controller", "Keelstair-controller runs the control plane of keelstair.", os.Args[1:])
+	host, err := host.Real(o.DataDir)
 	cli.ExitOnError("keelstair-controller", err)
-	ring := cli.NewRing("controller " + s.Addr)
+	ring := cli.NewRing("controller " + o.Addr)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	core, err := coordination.New(coordination.Options{
-		Addr:  s.Addr,
-		Zone:  ids.Zone(s.Zone),
+		Addr:  o.Addr,
+		Zone:  ids.Zone(o.Zone),
 		Host:  host,
-		Seeds: s.Seeds,
+		Seeds: o.Seeds,
 		Ring:  ring,
 		Machine: func() coordination.StateMachine {
 			return fleetstate.NewMachine(fleetstate.MachineOptions{WallClock: host.Clock.Wall})
 		},
-		HeartbeatInterval: ms(s.HeartbeatMs),
-		ElectionTimeout:   ms(s.ElectionTimeoutMs),
-		LeaseDuration:     ms(s.LeaseMs),
-		DiskTimeout:       ms(s.DiskTimeoutMs),
-		ReplaceAfter:      ms(s.ReplaceAfterMs),
-		ForceNewCluster:   s.ForceNewCluster,
+		HeartbeatInterval: ms(o.HeartbeatMs),
+		ElectionTimeout:   ms(o.ElectionTimeoutMs),
+		LeaseDuration:     ms(o.LeaseMs),
+		DiskTimeout:       ms(o.DiskTimeoutMs),
+		ReplaceAfter:      ms(o.ReplaceAfterMs),
+		ForceNewCluster:   o.ForceNewCluster,
 	})
 	cli.ExitOnError("keelstair-controller", err)
 	shutdown, stop := cli.SignalContext()
 	defer stop()
-	ctx := cli.HandOverContext(shutdown, core, ms(s.HandOverTimeoutMs))
+	ctx := cli.HandOverContext(shutdown, core, ms(o.HandOverTimeoutMs))
 	mux := http.NewServeMux()
 	core.Mount(mux)
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -95,6 +95,6 @@
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		api.WriteJSON(w, http.StatusOK, map[string]any{"leads": core.Leads(), "page": core.Directory().Exchange()})
 	})
-	cli.Serve(ctx, host, s.Addr, mux, func(err error) { cli.ExitOnError("keelstair-controller", err) })
+	cli.Serve(ctx, host, o.Addr, mux, func(err error) { cli.ExitOnError("keelstair-controller", err) })
 	cli.ExitOnError("keelstair-controller", core.Run(ctx))
 }
--- a/cmd/keelstair-standin/main.go
+++ b/cmd/keelstair-standin/main.go
@@ -1,4 +1,4 @@
-// Keelstair-standin runs stand-ins for tests: a model worker, the platform, or a load of clients.
+// Keelstair-standin runs a stand-in for tests: a model worker, the platform, or clients that generate load.
 package main
 
 import (
@@ -19,64 +19,64 @@
 )
 
 type workerCmd struct {
-	ID        string   `arg:"--id,required" help:"the worker's name"`
-	Addr      string   `arg:"--addr,required" help:"IP number and port"`
-	Role      string   `arg:"--part" default:"prefill" help:"prefill or decode"`
+	ID        string   `arg:"--id,required" help:"the worker's id"`
+	Addr      string   `arg:"--addr,required" help:"IP address and port to listen on"`
+	Role      string   `arg:"--part" default:"prefill" help:"the worker's role: prefill or decode"`
 	Model     string   `arg:"--model,required"`
 	Weights   string   `arg:"--weights" default:"w1"`
 	Adapters  []string `arg:"--adapter,separate"`
-	Capacity  int      `arg:"--room" default:"2048" help:"blocks of KV"`
-	BlockSize int      `arg:"--block" default:"16" help:"tokens a block"`
+	Capacity  int      `arg:"--room" default:"2048" help:"capacity of the KV cache in blocks"`
+	BlockSize int      `arg:"--block" default:"16" help:"tokens per block"`
 }
 
 type platformCmd struct {
-	Addr string `arg:"--addr,required" help:"IP number and port"`
+	Addr string `arg:"--addr,required" help:"IP address and port to listen on"`
 }
 
 type loadCmd struct {
-	Site      string  `arg:"--site" default:"vatuloa" help:"vatuloa or almaty"`
-	Frontends string  `arg:"--doors" help:"comma-separated doors; without them the platform is asked"`
-	Platform  string  `arg:"--platform" help:"the platform's address"`
-	Rate      float64 `arg:"--rate" default:"30" help:"arrivals a second"`
+	Site      string  `arg:"--site" default:"vatuloa" help:"the simulated site: vatuloa or almaty"`
+	Frontends string  `arg:"--doors" help:"comma-separated frontend addresses of router nodes; default: the ready nodes that the platform lists"`
+	Platform  string  `arg:"--platform" help:"the platform's IP address and port"`
+	Rate      float64 `arg:"--rate" default:"30" help:"requests per second"`
 	Seconds   int     `arg:"--seconds" default:"10"`
 	Seed      uint64  `arg:"--seed" default:"1"`
-	Retries   int     `arg:"--retries" default:"6" help:"how often a bounced caller comes back"`
-	Weights   string  `arg:"--weights" default:"w1" help:"comma-separated weight versions that may answer"`
+	Retries   int     `arg:"--retries" default:"6" help:"maximum number of retries of a request"`
+	Weights   string  `arg:"--weights" default:"w1" help:"comma-separated weight versions whose outputs are accepted"`
 }
 
 type options struct {
 	Worker   *workerCmd   `arg:"subcommand:worker" help:"a stand-in model worker"`
 	Platform *platformCmd `arg:"subcommand:platform" help:"a stand-in platform"`
-	Load     *loadCmd     `arg:"subcommand:load" help:"stand-in callers, an open loop"`
+	Load     *loadCmd     `arg:"subcommand:load" help:"stand-in clients that generate an open-loop load"`
 }
 
-func (s *options) File() string { return "" }
+func (o *options) File() string { return "" }
 
-func (s *options) Check() error {
+func (o *options) Check() error {
 	switch {
-	case s.Worker != nil:
-		if s.Worker.Role != string(ids.Prefill) && s.Worker.Role != string(ids.Decode) {
-			return settings.Invalid("part", "%q is neither prefill nor decode", s.Worker.Role)
+	case o.Worker != nil:
+		if o.Worker.Role != string(ids.Prefill) && o.Worker.Role != string(ids.Decode) {
+			return settings.InvalidField("part", "%q is neither prefill nor decode", o.Worker.Role)
 		}
-		return settings.Addr("addr", s.Worker.Addr)
-	case s.Platform != nil:
-		return settings.Addr("addr", s.Platform.Addr)
-	case s.Load != nil:
-		if _, ok := standin.Sites[s.Load.Site]; !ok {
-			return settings.Invalid("site", "site %q does not exist", s.Load.Site)
+		return settings.CheckAddr("addr", o.Worker.Addr)
+	case o.Platform != nil:
+		return settings.CheckAddr("addr", o.Platform.Addr)
+	case o.Load != nil:
+		if _, ok := standin.Sites[o.Load.Site]; !ok {
+			return settings.InvalidField("site", "site %q does not exist", o.Load.Site)
 		}
-		if s.Load.Rate <= 0 || s.Load.Seconds <= 0 {
-			return settings.Invalid("rate, seconds", "both must be above 0")
+		if o.Load.Rate <= 0 || o.Load.Seconds <= 0 {
+			return settings.InvalidField("rate, seconds", "both must be above 0")
 		}
 		return nil
 	}
-	return settings.Invalid("command", "one of worker, platform, load is required")
+	return settings.InvalidField("command", "one of worker, platform, load is required")
 }
 
 func main() {
-	s := &options{}
-	settings.Read(
-		s,
+	o := &options{}
+	settings.ParseOrExit(
+		o,
 		"standin",
 		"Keelstair-standin runs stand-ins for the workers, the platform and the clients of keelstair.",
 		os.Args[1:],
@@ -87,8 +87,8 @@
 	defer stop()
 	fail := func(err error) { cli.ExitOnError("standin", err) }
 	switch {
-	case s.Worker != nil:
-		c := s.Worker
+	case o.Worker != nil:
+		c := o.Worker
 		w := standin.NewWorker(standin.WorkerOptions{
 			ID:        ids.WorkerID(c.ID),
 			Addr:      c.Addr,
@@ -102,14 +102,14 @@
 		mux.Handle("/", w.Handler())
 		cli.Serve(ctx, host, c.Addr, mux, fail)
 		w.Run(ctx)
-	case s.Platform != nil:
+	case o.Platform != nil:
 		p := standin.NewPlatform(host)
 		mux := http.NewServeMux()
 		mux.Handle("/", p.Handler())
-		cli.Serve(ctx, host, s.Platform.Addr, mux, fail)
+		cli.Serve(ctx, host, o.Platform.Addr, mux, fail)
 		p.Run(ctx)
-	case s.Load != nil:
-		runLoad(ctx, host, s.Load)
+	case o.Load != nil:
+		runLoad(ctx, host, o.Load)
 	}
 }
 
--- a/cmd/keelstair-testbed/main.go
+++ b/cmd/keelstair-testbed/main.go
@@ -16,74 +16,74 @@
 )
 
 type upCmd struct {
-	Site    string `arg:"--site" default:"vatuloa" help:"vatuloa or almaty"`
-	Dir     string `arg:"--dir" default:"testbed-data" help:"folder for data, logs and keelstair-testbed.json"`
-	BinDir  string `arg:"--bin" default:"bin" help:"folder with the programs"`
-	Regimes bool   `arg:"--regimes" help:"certify all but one of each sort for the kinds with claims"`
-	Seconds int    `arg:"--seconds" default:"0" help:"end by itself after so long; 0 for a signal"`
+	Site    string `arg:"--site" default:"vatuloa" help:"the simulated site: vatuloa or almaty"`
+	Dir     string `arg:"--dir" default:"testbed-data" help:"directory for data, logs and keelstair-testbed.json; its contents are deleted first"`
+	BinDir  string `arg:"--bin" default:"bin" help:"directory with the programs"`
+	Regimes bool   `arg:"--regimes" help:"set up a regime for the kinds of request that require an idempotency key; all nodes and workers are certified except the last node and the last worker of each role"`
+	Seconds int    `arg:"--seconds" default:"0" help:"seconds after which the fleet is stopped; 0 to wait for a signal"`
 }
 
 type runCmd struct {
 	upCmd
-	Rate        float64 `arg:"--rate" default:"40" help:"arrivals a second"`
-	LoadSeconds int     `arg:"--load" default:"30" help:"seconds of load"`
+	Rate        float64 `arg:"--rate" default:"40" help:"requests per second"`
+	LoadSeconds int     `arg:"--load" default:"30" help:"duration of the load in seconds"`
 	Seed        uint64  `arg:"--seed" default:"1"`
-	Fault       string  `arg:"--break" default:"none" help:"none, controller, wipe, ack, core, roll, router, stop, worker, freeze, hall, all, race, evacuate or revoke"`
+	Fault       string  `arg:"--break" default:"none" help:"the fault to inject: none, controller, wipe, ack, core, roll, router, stop, worker, freeze, hall, all, race, evacuate or revoke"`
 }
 
 type options struct {
-	Up   *upCmd   `arg:"subcommand:up" help:"start a fleet, apply its configuration, and keep it"`
-	Run  *runCmd  `arg:"subcommand:run" help:"start a fleet, load it, break it, and report"`
-	Soak *soakCmd `arg:"subcommand:soak" help:"start a fleet, load it, signal and restart it all the time, and judge"`
+	Up   *upCmd   `arg:"subcommand:up" help:"start a fleet, apply its configuration, and keep it running"`
+	Run  *runCmd  `arg:"subcommand:run" help:"start a fleet, put it under load, inject a fault, and report the results"`
+	Soak *soakCmd `arg:"subcommand:soak" help:"start a fleet, put it under load, repeatedly signal and restart its processes, and check the results"`
 }
 
-func (s *options) File() string { return "" }
+func (o *options) File() string { return "" }
 
-func (s *options) Check() error {
+func (o *options) Check() error {
 	site := ""
 	switch {
-	case s.Up != nil:
-		site = s.Up.Site
-	case s.Run != nil:
-		site = s.Run.Site
-		s.Run.Regimes = s.Run.Regimes || s.Run.Fault == "revoke"
-	case s.Soak != nil:
-		site = s.Soak.Site
+	case o.Up != nil:
+		site = o.Up.Site
+	case o.Run != nil:
+		site = o.Run.Site
+		o.Run.Regimes = o.Run.Regimes || o.Run.Fault == "revoke"
+	case o.Soak != nil:
+		site = o.Soak.Site
 	default:
-		return settings.Invalid("command", "one of up, run, soak is required")
+		return settings.InvalidField("command", "one of up, run, soak is required")
 	}
 	if _, ok := standin.Sites[site]; !ok {
-		return settings.Invalid("site", "site %q does not exist", site)
+		return settings.InvalidField("site", "site %q does not exist", site)
 	}
 	return nil
 }
 
 func main() {
-	s := &options{}
-	settings.Read(
-		s,
+	o := &options{}
+	settings.ParseOrExit(
+		o,
 		"keelstair-testbed",
 		"Keelstair-testbed starts a fleet on this machine and injects faults into it.",
 		os.Args[1:],
 	)
 	ctx, stop := cli.SignalContext()
 	defer stop()
-	if s.Run != nil {
-		cli.ExitOnError("keelstair-testbed", runOnce(ctx, s.Run))
+	if o.Run != nil {
+		cli.ExitOnError("keelstair-testbed", runOnce(ctx, o.Run))
 		return
 	}
-	if s.Soak != nil {
-		cli.ExitOnError("keelstair-testbed", runSoak(ctx, s.Soak))
+	if o.Soak != nil {
+		cli.ExitOnError("keelstair-testbed", runSoak(ctx, o.Soak))
 		return
 	}
-	f, err := startFleet(ctx, s.Up, 0)
+	f, err := startFleet(ctx, o.Up, 0)
 	defer f.stop()
 	cli.ExitOnError("keelstair-testbed", err)
 	f.describe(os.Stdout)
-	if s.Up.Seconds > 0 {
+	if o.Up.Seconds > 0 {
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(s.Up.Seconds) * time.Second):
+		case <-time.After(time.Duration(o.Up.Seconds) * time.Second):
 		}
 		return
 	}
--- a/cmd/keelstairctl/certificates.go
+++ b/cmd/keelstairctl/certificates.go
@@ -20,9 +20,9 @@
 )
 
 type keyCmd struct {
-	File   string `arg:"positional,required" help:"the key file to write, or one that is there already"`
-	Issuer string `arg:"--issuer,required" help:"the issuer's name"`
-	From   string `arg:"--from" help:"RFC 3339; else now"`
+	File   string `arg:"positional,required" help:"the key file; created if it does not exist"`
+	Issuer string `arg:"--issuer,required" help:"the issuer's name in the configuration"`
+	From   string `arg:"--from" help:"start of the issuer's validity period (RFC 3339); default: an hour ago"`
 	Days   int    `arg:"--days" default:"365"`
 }
 
@@ -30,30 +30,31 @@
 	KeyFile string   `arg:"--key,required" help:"the issuer's key file"`
 	Issuer  string   `arg:"--issuer,required" help:"the issuer's name in the configuration"`
 	Regime  string   `arg:"--regime,required"`
-	Workers []string `arg:"--worker" help:"workers, each with a certificate of its own"`
-	Nodes   []string `arg:"--node" help:"router nodes by name"`
-	Roles   []string `arg:"--parts" help:"of workers: prefill, decode or both, which is the default"`
-	From    string   `arg:"--from" help:"RFC 3339; else an hour ago"`
-	Until   string   `arg:"--until" help:"RFC 3339; else --days from the start"`
+	Workers []string `arg:"--worker" help:"worker ids; one certificate is issued for each"`
+	Nodes   []string `arg:"--node" help:"names of router nodes; one certificate is issued for each"`
+	Roles   []string `arg:"--parts" help:"roles of the workers: prefill, decode or both; default: both"`
+	From    string   `arg:"--from" help:"start of validity (RFC 3339); default: an hour ago"`
+	Until   string   `arg:"--until" help:"end of validity (RFC 3339); default: --days after the start"`
 	Days    int      `arg:"--days" default:"30"`
-	Apply   bool     `arg:"--apply" help:"apply it to the configuration in force; else the part is printed"`
-	Op      string   `arg:"--op" help:"ask again for the outcome of this operation"`
+	Apply   bool     `arg:"--apply" help:"add the certificates to the active configuration instead of printing them"`
+	Op      string   `arg:"--op" help:"id of an earlier operation, to retry it or to get its outcome"`
 }
 
-// parseTime parses an RFC 3339 time. For an empty text it returns fallback, truncated to seconds.
+// parseTime parses an RFC 3339 time. For an empty text it returns fallback in UTC, truncated to seconds.
 func parseTime(field, text string, fallback time.Time) (time.Time, error) {
 	if text == "" {
 		return fallback.UTC().Truncate(time.Second), nil
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return t, settings.Invalid(field, "%q is no time such as 2026-12-31T00:00:00Z", text)
+		return t, settings.InvalidField(field, "%q is not an RFC 3339 time such as 2026-12-31T00:00:00Z", text)
 	}
 	return t, nil
 }
 
-// writeKey creates the key file unless it exists, and prints the issuer's part of a configuration.
-func (s *options) writeKey(c *keyCmd) error {
+// printIssuer prints the partial configuration that adds the issuer. It creates the key file if it does not
+// exist.
+func (o *options) printIssuer(c *keyCmd) error {
 	from, err := parseTime("from", c.From, time.Now().Add(-time.Hour))
 	if err != nil {
 		return err
@@ -78,7 +79,7 @@
 	}}})
 }
 
-// sign returns the signed certificates that the command requests, by serial.
+// sign signs one certificate for each worker and node of the command. It returns the certificates by serial.
 func (c *certifyCmd) sign(now time.Time) (map[string]certification.Certificate, error) {
 	text, err := os.ReadFile(c.KeyFile)
 	if err != nil {
@@ -100,24 +101,24 @@
 	if len(c.Roles) > 0 {
 		roles = nil
 	}
-	for _, p := range c.Roles {
-		if p != string(ids.Prefill) && p != string(ids.Decode) {
-			return nil, settings.Invalid("parts", "%q is neither prefill nor decode", p)
+	for _, role := range c.Roles {
+		if role != string(ids.Prefill) && role != string(ids.Decode) {
+			return nil, settings.InvalidField("parts", "%q is neither prefill nor decode", role)
 		}
-		roles = append(roles, ids.Role(p))
+		roles = append(roles, ids.Role(role))
 	}
 	switch {
 	case len(c.Workers)+len(c.Nodes) == 0:
-		return nil, settings.Invalid("worker, node", "at least one is required")
+		return nil, settings.InvalidField("worker, node", "at least one is required")
 	case !from.Before(until):
-		return nil, settings.Invalid(
+		return nil, settings.InvalidField(
 			"until",
 			"the end %s is not after the start %s",
 			until.Format(time.RFC3339),
 			from.Format(time.RFC3339),
 		)
 	case !now.Before(until):
-		return nil, settings.Invalid("until", "the end %s is past", until.Format(time.RFC3339))
+		return nil, settings.InvalidField("until", "the end %s is in the past", until.Format(time.RFC3339))
 	}
 	signed := map[string]certification.Certificate{}
 	add := func(certificate certification.Certificate) {
@@ -135,43 +136,43 @@
 	return signed, nil
 }
 
-func (s *options) certify(c *certifyCmd) error {
+func (o *options) certify(c *certifyCmd) error {
 	certificates, err := c.sign(time.Now())
 	if err != nil {
 		return err
 	}
-	source := map[string]any{"certificates": certificates}
+	partialConfiguration := map[string]any{"certificates": certificates}
 	if !c.Apply {
-		return printJSON(source)
+		return printJSON(partialConfiguration)
 	}
-	text, err := json.MarshalIndent(source, "", "  ")
+	text, err := json.MarshalIndent(partialConfiguration, "", "  ")
 	if err != nil {
 		return err
 	}
 	for serial, certificate := range certificates {
 		fmt.Printf("serial %s: %s\n", serial, certificate.Subject())
 	}
-	return s.applySource(&applyCmd{Partial: true, Op: c.Op}, "certify", string(text))
+	return o.applySource(&applyCmd{Partial: true, Op: c.Op}, "certify", string(text))
 }
 
-func (s *options) revoke(c *nameCmd) error {
-	request := api.MarkRequest{Op: c.Op, Out: true}
+func (o *options) revoke(c *nameCmd) error {
+	request := api.MarkRequest{Op: c.Op, Out: true} // Out revokes the certificate
 	if request.Op == "" {
 		request.Op = coordination.NewID()
 	}
 	fmt.Printf("operation %s\n", request.Op)
-	if err := s.request(http.MethodPost, "/v1/certificates/"+c.Name, request, nil); err != nil {
+	if err := o.request(http.MethodPost, "/v1/certificates/"+c.Name, request, nil); err != nil {
 		return err
 	}
-	fmt.Println("the revocation is in force at all nodes")
+	fmt.Println("the revocation is active at all nodes")
 	return nil
 }
 
 func formatTime(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339) }
 
-func (s *options) printRegimes() error {
+func (o *options) printRegimes() error {
 	var response api.Regimes
-	if err := s.request(http.MethodGet, "/v1/regimes", nil, &response); err != nil {
+	if err := o.request(http.MethodGet, "/v1/regimes", nil, &response); err != nil {
 		return err
 	}
 	if response.Latest == 0 {
@@ -187,7 +188,7 @@
 	for _, regime := range response.Regimes {
 		fmt.Fprintf(
 			out,
-			"\n%s governs %s, reserves %d%% of the cache blocks\n",
+			"\nregime %s applies to requests of the kinds %s and reserves %d%% of the cache blocks\n",
 			regime.Name,
 			strings.Join(regime.Kinds, ", "),
 			regime.ReservedPercent,
--- a/cmd/keelstairctl/main.go
+++ b/cmd/keelstairctl/main.go
@@ -1,4 +1,4 @@
-// Keelstairctl is the command line for operators. It sends its requests to the frontend of any node.
+// Keelstairctl is the command-line client for operators. It sends its requests to the frontends of router nodes.
 package main
 
 import (
@@ -18,15 +18,15 @@
 )
 
 type applyCmd struct {
-	File    string  `arg:"positional,required" help:"CUE or JSON; - for standard input"`
-	Partial bool    `arg:"--partial" help:"lay it over the configuration in force"`
-	Base    *uint64 `arg:"--base" help:"the version it was made over; else the newest"`
-	Op      string  `arg:"--op" help:"ask again for the outcome of this operation"`
-	Dry     bool    `arg:"--dry" help:"only check it"`
+	File    string  `arg:"positional,required" help:"configuration file in CUE or JSON; - for standard input"`
+	Partial bool    `arg:"--partial" help:"merge the file into the active configuration"`
+	Base    *uint64 `arg:"--base" help:"the version that the configuration is based on; default: the newest"`
+	Op      string  `arg:"--op" help:"id of an earlier operation, to retry it or to get its outcome"`
+	Dry     bool    `arg:"--dry" help:"only validate the configuration"`
 }
 
 type showCmd struct {
-	Out string `arg:"positional" help:"write the configuration to this file"`
+	Out string `arg:"positional" help:"the file to write the configuration to; default: print it"`
 }
 
 type diffCmd struct {
@@ -36,39 +36,39 @@
 
 type nameCmd struct {
 	Name string `arg:"positional,required"`
-	Op   string `arg:"--op" help:"ask again for the outcome of this operation"`
+	Op   string `arg:"--op" help:"id of an earlier operation, to retry it or to get its outcome"`
 }
 
 type options struct {
-	Frontends []string    `arg:"--doors,env:KEELSTAIR_DOORS" help:"doors of nodes, tried in turn"`
-	Apply     *applyCmd   `arg:"subcommand:apply" help:"apply a whole or partial configuration"`
-	Show      *showCmd    `arg:"subcommand:show" help:"show the configuration in force"`
-	Diff      *diffCmd    `arg:"subcommand:diff" help:"what a configuration would change"`
-	Evacuate  *nameCmd    `arg:"subcommand:evacuate" help:"empty a zone of new work"`
-	Return    *nameCmd    `arg:"subcommand:return" help:"take an evacuation back"`
-	Drain     *nameCmd    `arg:"subcommand:drain" help:"keep new work from a worker"`
-	Undrain   *nameCmd    `arg:"subcommand:undrain" help:"take a drain back"`
-	Key       *keyCmd     `arg:"subcommand:key" help:"make an issuer's key file and print its part of a configuration"`
+	Frontends []string    `arg:"--doors,env:KEELSTAIR_DOORS" help:"frontend addresses of router nodes, tried in turn"`
+	Apply     *applyCmd   `arg:"subcommand:apply" help:"apply a complete or partial configuration"`
+	Show      *showCmd    `arg:"subcommand:show" help:"show the active configuration"`
+	Diff      *diffCmd    `arg:"subcommand:diff" help:"show what a configuration would change"`
+	Evacuate  *nameCmd    `arg:"subcommand:evacuate" help:"take a zone out of service"`
+	Return    *nameCmd    `arg:"subcommand:return" help:"return an evacuated zone to service"`
+	Drain     *nameCmd    `arg:"subcommand:drain" help:"stop assigning new work to a worker"`
+	Undrain   *nameCmd    `arg:"subcommand:undrain" help:"assign new work to a drained worker again"`
+	Key       *keyCmd     `arg:"subcommand:key" help:"print the partial configuration that adds an issuer, and create its key file if it does not exist"`
 	Certify   *certifyCmd `arg:"subcommand:certify" help:"sign certificates and print or apply them"`
-	Revoke    *nameCmd    `arg:"subcommand:revoke" help:"end a certificate, by its serial, for good"`
-	Regimes   *struct{}   `arg:"subcommand:regimes" help:"who is certified, until when, and what is short"`
-	Audit     *auditCmd   `arg:"subcommand:audit" help:"the audit record of governed work, checked, as JSON lines"`
-	Status    *struct{}   `arg:"subcommand:status" help:"how the fleet stands, as one node sees it"`
+	Revoke    *nameCmd    `arg:"subcommand:revoke" help:"permanently revoke a certificate, given its serial"`
+	Regimes   *struct{}   `arg:"subcommand:regimes" help:"show the certified workers and nodes of each regime, when their certificates expire, and shortages"`
+	Audit     *auditCmd   `arg:"subcommand:audit" help:"verify and export the audit log of governed requests as JSON lines"`
+	Status    *struct{}   `arg:"subcommand:status" help:"show the fleet's status as seen by one node"`
 }
 
-func (s *options) File() string { return "" }
+func (o *options) File() string { return "" }
 
-func (s *options) Check() error {
-	if s.Key != nil || s.Certify != nil && !s.Certify.Apply {
+func (o *options) Check() error {
+	if o.Key != nil || o.Certify != nil && !o.Certify.Apply {
 		return nil // the command sends no request
 	}
-	return cli.CheckEndpoints(&s.Frontends)
+	return cli.CheckEndpoints(&o.Frontends)
 }
 
 func main() {
-	s := &options{}
-	settings.Read(s, "keelstairctl", "Keelstairctl is the command line for operators of keelstair.", os.Args[1:])
-	if err := s.run(); err != nil {
+	o := &options{}
+	settings.ParseOrExit(o, "keelstairctl", "Keelstairctl is the command-line client for operators of keelstair.", os.Args[1:])
+	if err := o.run(); err != nil {
 		fmt.Fprintf(os.Stderr, "keelstairctl: %v\n", err)
 		var exitErr *cli.ExitError
 		if errors.As(err, &exitErr) {
@@ -78,40 +78,40 @@
 	}
 }
 
-func (s *options) run() error {
+func (o *options) run() error {
 	switch {
-	case s.Apply != nil:
-		return s.apply(s.Apply)
-	case s.Show != nil:
-		return s.show(s.Show.Out)
-	case s.Diff != nil:
-		return s.diff(s.Diff)
-	case s.Evacuate != nil:
-		return s.mark("zones", s.Evacuate, true)
-	case s.Return != nil:
-		return s.mark("zones", s.Return, false)
-	case s.Drain != nil:
-		return s.mark("workers", s.Drain, true)
-	case s.Undrain != nil:
-		return s.mark("workers", s.Undrain, false)
-	case s.Key != nil:
-		return s.writeKey(s.Key)
-	case s.Certify != nil:
-		return s.certify(s.Certify)
-	case s.Revoke != nil:
-		return s.revoke(s.Revoke)
-	case s.Regimes != nil:
-		return s.printRegimes()
-	case s.Audit != nil:
-		return s.audit(s.Audit)
-	case s.Status != nil:
+	case o.Apply != nil:
+		return o.apply(o.Apply)
+	case o.Show != nil:
+		return o.show(o.Show.Out)
+	case o.Diff != nil:
+		return o.diff(o.Diff)
+	case o.Evacuate != nil:
+		return o.setOutOfService("zones", o.Evacuate, true)
+	case o.Return != nil:
+		return o.setOutOfService("zones", o.Return, false)
+	case o.Drain != nil:
+		return o.setOutOfService("workers", o.Drain, true)
+	case o.Undrain != nil:
+		return o.setOutOfService("workers", o.Undrain, false)
+	case o.Key != nil:
+		return o.printIssuer(o.Key)
+	case o.Certify != nil:
+		return o.certify(o.Certify)
+	case o.Revoke != nil:
+		return o.revoke(o.Revoke)
+	case o.Regimes != nil:
+		return o.printRegimes()
+	case o.Audit != nil:
+		return o.audit(o.Audit)
+	case o.Status != nil:
 		var v any
-		if err := s.request(http.MethodGet, "/v1/status", nil, &v); err != nil {
+		if err := o.request(http.MethodGet, "/v1/status", nil, &v); err != nil {
 			return err
 		}
 		return printJSON(v)
 	}
-	return settings.Invalid("command", "a command is required; see keelstairctl --help")
+	return settings.InvalidField("command", "a command is required; see keelstairctl --help")
 }
 
 func printJSON(v any) error {
@@ -120,10 +120,11 @@
 	return err
 }
 
-func (s *options) request(method, path string, in, out any) error {
-	return cli.Request(s.Frontends, method, path, in, out)
+func (o *options) request(method, path string, in, out any) error {
+	return cli.Request(o.Frontends, method, path, in, out)
 }
 
+// readSource returns the name and the content of a configuration file, or of standard input for "-".
 func readSource(file string) (string, string, error) {
 	if file == "-" {
 		b, err := io.ReadAll(os.Stdin)
@@ -133,20 +134,20 @@
 	return file, string(b), err
 }
 
-func (s *options) activePolicy() (*api.ActivePolicy, error) {
+func (o *options) activePolicy() (*api.ActivePolicy, error) {
 	var out api.ActivePolicy
-	return &out, s.request(http.MethodGet, "/v1/policy", nil, &out)
+	return &out, o.request(http.MethodGet, "/v1/policy", nil, &out)
 }
 
-func (s *options) apply(c *applyCmd) error {
+func (o *options) apply(c *applyCmd) error {
 	name, text, err := readSource(c.File)
 	if err != nil {
 		return err
 	}
-	return s.applySource(c, name, text)
+	return o.applySource(c, name, text)
 }
 
-func (s *options) applySource(c *applyCmd, name, text string) error {
+func (o *options) applySource(c *applyCmd, name, text string) error {
 	request := api.ApplyRequest{Op: c.Op, Partial: c.Partial, Name: name, Source: text, DryRun: c.Dry}
 	if request.Op == "" {
 		request.Op = coordination.NewID()
@@ -154,7 +155,7 @@
 	if c.Base != nil {
 		request.BaseVersion = *c.Base
 	} else {
-		active, err := s.activePolicy()
+		active, err := o.activePolicy()
 		if err != nil {
 			return err
 		}
@@ -162,7 +163,7 @@
 	}
 	fmt.Printf("operation %s over version %d\n", request.Op, request.BaseVersion)
 	var response api.ApplyResponse
-	if err := s.request(http.MethodPost, "/v1/policy", request, &response); err != nil {
+	if err := o.request(http.MethodPost, "/v1/policy", request, &response); err != nil {
 		return err
 	}
 	switch {
@@ -171,13 +172,13 @@
 	case response.Active:
 		fmt.Printf("version %d is in force\n", response.Version)
 	default:
-		fmt.Printf("version %d is accepted and durable, but not yet in force at all nodes\n", response.Version)
+		fmt.Printf("version %d is accepted and durable, but not yet active at all nodes\n", response.Version)
 	}
 	return nil
 }
 
-func (s *options) show(file string) error {
-	active, err := s.activePolicy()
+func (o *options) show(file string) error {
+	active, err := o.activePolicy()
 	if err != nil {
 		return err
 	}
@@ -192,12 +193,12 @@
 	return os.WriteFile(file, append(indented.Bytes(), '\n'), 0o644)
 }
 
-func (s *options) diff(c *diffCmd) error {
+func (o *options) diff(c *diffCmd) error {
 	name, text, err := readSource(c.File)
 	if err != nil {
 		return err
 	}
-	active, err := s.activePolicy()
+	active, err := o.activePolicy()
 	if err != nil {
 		return err
 	}
@@ -210,7 +211,7 @@
 		Source:      text,
 		DryRun:      true,
 	}
-	if err := s.request(http.MethodPost, "/v1/policy", request, &response); err != nil {
+	if err := o.request(http.MethodPost, "/v1/policy", request, &response); err != nil {
 		return err
 	}
 	rows, err := fleetstate.DiffJSON(active.Policy, response.Policy)
@@ -218,7 +219,7 @@
 		return err
 	}
 	if len(rows) == 0 {
-		fmt.Println("nothing would change")
+		fmt.Println("no changes")
 	}
 	for _, r := range rows {
 		fmt.Println(r)
@@ -226,14 +227,16 @@
 	return nil
 }
 
-func (s *options) mark(resource string, c *nameCmd, out bool) error {
+// setOutOfService takes a zone or a worker out of service or, if out is false, returns it to service. The
+// resource is "zones" or "workers".
+func (o *options) setOutOfService(resource string, c *nameCmd, out bool) error {
 	request := api.MarkRequest{Op: c.Op, Out: out}
 	if request.Op == "" {
 		request.Op = coordination.NewID()
 	}
 	fmt.Printf("operation %s\n", request.Op)
 	var response api.ApplyResponse
-	if err := s.request(http.MethodPost, "/v1/"+resource+"/"+c.Name, request, &response); err != nil {
+	if err := o.request(http.MethodPost, "/v1/"+resource+"/"+c.Name, request, &response); err != nil {
 		return err
 	}
 	fmt.Println("done")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,16 +15,16 @@
 	"keelstair.example/failure"
 )
 
-// Settings is implemented by a program's settings struct. File returns the path of the JSON file, or ""
-// without one. Check returns an error that names the first invalid field.
+// Settings is implemented by a program's settings struct. File returns the path of the JSON file, or "" if
+// there is none. Check returns an error that names the first invalid field.
 type Settings interface {
 	File() string
 	Check() error
 }
 
-// Read fills s from the arguments. It exits with code 0 after printing the help for --help, and with code 2
-// after printing an error on one line if the settings are invalid.
-func Read(s Settings, program, about string, args []string) {
+// ParseOrExit fills s from the arguments and the JSON file. It exits with code 0 after printing the help for
+// --help, and with code 2 after printing an error on one line if the settings are invalid.
+func ParseOrExit(s Settings, program, about string, args []string) {
 	if err := Parse(s, program, about, args); err != nil {
 		if errors.Is(err, errHelp) {
 			os.Exit(0)
@@ -36,7 +36,8 @@
 
 var errHelp = errors.New("help was requested")
 
-// Parse is like Read, but returns an error instead of exiting.
+// Parse is like ParseOrExit, but returns an error instead of exiting. It prints the help for --help and returns
+// an error for that, too.
 func Parse(s Settings, program, about string, args []string) error {
 	p, err := arg.NewParser(arg.Config{Program: program}, s)
 	if err != nil {
@@ -75,36 +76,38 @@
 	return failure.As(decoder.Decode(s), failure.InvalidArgument, "read settings", path)
 }
 
-// Invalid returns an error for an invalid field.
-func Invalid(field, format string, args ...any) error {
+// InvalidField returns an InvalidArgument error that names the field. The formatted text describes what is
+// wrong with the field.
+func InvalidField(field, format string, args ...any) error {
 	return failure.New(failure.InvalidArgument, "check settings", field, format, args...)
 }
 
-// Addr checks that an address consists of an IP address and a port.
-func Addr(field, addr string) error {
+// CheckAddr checks that an address consists of an IP address and a port.
+func CheckAddr(field, addr string) error {
 	if addr == "" {
-		return Invalid(field, "a value is required")
+		return InvalidField(field, "a value is required")
 	}
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		return Invalid(field, "%q is not an IP address with a port", addr)
+		return InvalidField(field, "%q is not an IP address with a port", addr)
 	}
 	return nil
 }
 
-// Seeds checks that there are three valid seed addresses.
-func Seeds(field string, seeds []string) error {
+// CheckSeeds checks that there are three valid seed addresses.
+func CheckSeeds(field string, seeds []string) error {
 	if len(seeds) != 3 {
-		return Invalid(field, "three addresses are required, %d given", len(seeds))
+		return InvalidField(field, "three addresses are required, but %d are given", len(seeds))
 	}
 	for i, a := range seeds {
-		if err := Addr(fmt.Sprintf("%s[%d]", field, i), a); err != nil {
+		if err := CheckAddr(fmt.Sprintf("%s[%d]", field, i), a); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// FirstError returns the first error that is not nil.
+// FirstError returns the first error that is not nil, or nil if there is none. Check methods use it to combine
+// checks.
 func FirstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
