--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	roundTimeout = 900 * time.Millisecond
+	claimTimeout = 900 * time.Millisecond
 	// startTimeout is how long after the request for its round an action may still start.
 	startTimeout = 1500 * time.Millisecond
 	// CallTimeout bounds a call. The call and its connection end before the next owner may start one.
@@ -26,8 +26,8 @@
 	doneTimeout = 700 * time.Millisecond
 )
 
-// ErrNotHeld means that this node may not perform actions under the key.
-var ErrNotHeld = errors.New("this node may not perform actions under the key")
+// ErrMayNotAct means that this node may not perform actions under the key.
+var ErrMayNotAct = errors.New("this node may not perform actions under the key")
 
 // Agent is the subset of coordination.Agent that a Runner needs.
 type Agent interface {
@@ -67,9 +67,9 @@
 	return &Runner{agent: agent, clock: clock, key: key, initialDelay: lease + lease/5}
 }
 
-// Ownership reports whether this node owns the key, and whether it has owned it long enough to perform
+// CheckOwnership reports whether this node owns the key, and whether it has owned it long enough to perform
 // actions.
-func (r *Runner) Ownership() (owned, mayAct bool) {
+func (r *Runner) CheckOwnership() (owned, mayAct bool) {
 	fence, ok := r.agent.OwnsKey(r.key)
 	if !ok {
 		r.fence = 0
@@ -84,24 +84,24 @@
 // Perform wins the round for an action and makes the call, unless the action is already done. Number 0 is
 // the action after the newest. A nil error means that the action is done.
 func (r *Runner) Perform(ctx context.Context, subject string, number uint64, content []byte, call Call) error {
-	if _, mayAct := r.Ownership(); !mayAct {
-		return ErrNotHeld
+	if _, mayAct := r.CheckOwnership(); !mayAct {
+		return ErrMayNotAct
 	}
 	fence, requestedAt := r.fence, r.clock.Now()
-	granted, err := r.round(ctx, &fleetstate.DutyRound{
+	granted, err := r.submit(ctx, &fleetstate.DutyRound{
 		Subject: subject,
 		Number:  number,
 		Owner:   r.agent.Self().Node,
 		Fence:   fence,
 		Content: content,
-	}, roundTimeout)
+	}, claimTimeout)
 	if err != nil || granted.Done {
 		return err
 	}
-	if err := r.call(ctx, fence, requestedAt, granted, call); err != nil {
+	if err := r.performAction(ctx, fence, requestedAt, granted, call); err != nil {
 		return err
 	}
-	_, err = r.round(ctx, &fleetstate.DutyRound{
+	_, err = r.submit(ctx, &fleetstate.DutyRound{
 		Subject: subject,
 		Number:  granted.Number,
 		Owner:   r.agent.Self().Node,
@@ -111,17 +111,17 @@
 	return err
 }
 
-// call makes the call. The key cannot be given back until the call has ended.
-func (r *Runner) call(
+// performAction makes the call. The key cannot be given back until the call has ended.
+func (r *Runner) performAction(
 	ctx context.Context,
 	fence ids.Fence,
 	requestedAt ids.Tick,
-	granted *fleetstate.DutyAct,
+	action *fleetstate.DutyAct,
 	call Call,
 ) error {
 	operationFence, end, ok := r.agent.BeginOperation(r.key)
 	if !ok {
-		return ErrNotHeld
+		return ErrMayNotAct
 	}
 	defer end()
 	mayStart := func() bool {
@@ -129,21 +129,21 @@
 		return owned && currentFence == fence && !r.clock.Now().Past(requestedAt, startTimeout)
 	}
 	if operationFence != fence || !mayStart() {
-		return ErrNotHeld
+		return ErrMayNotAct
 	}
 	callContext, stop := context.WithTimeout(ctx, CallTimeout)
 	defer stop()
 	return call(callContext, &Action{
 		Owner:    r.agent.Self().Node,
 		Fence:    fence,
-		Number:   granted.Number,
-		Content:  granted.Content,
+		Number:   action.Number,
+		Content:  action.Content,
 		MayStart: mayStart,
 	})
 }
 
-// round requests a round in the replicated log and returns the resulting state of the action.
-func (r *Runner) round(
+// submit requests a round in the replicated log and returns the resulting state of the action.
+func (r *Runner) submit(
 	ctx context.Context,
 	command *fleetstate.DutyRound,
 	timeout time.Duration,
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -29,7 +29,7 @@
 	fence      ids.Fence // 0 if the key is not owned
 	operations int
 	state      *fleetstate.Machine
-	onRound    func(command *fleetstate.DutyRound)
+	onSubmit    func(command *fleetstate.DutyRound)
 }
 
 func (a *testAgent) Self() coordination.Member { return coordination.Member{Node: "self"} }
@@ -51,8 +51,8 @@
 	if _, err := command.UnmarshalMsg(body); err != nil {
 		return nil, err
 	}
-	if a.onRound != nil {
-		a.onRound(&command)
+	if a.onSubmit != nil {
+		a.onSubmit(&command)
 	}
 	out, err := a.state.Apply(1, kind, body)
 	if errors.Is(err, coordination.ErrUnchanged) {
@@ -66,7 +66,7 @@
 	agent := &testAgent{fence: 5, state: fleetstate.NewMachine(fleetstate.MachineOptions{})}
 	clock := &testClock{now: ids.Tick(time.Hour)}
 	runner := NewRunner(agent, clock, testKey, testLease)
-	runner.Ownership()
+	runner.CheckOwnership()
 	clock.now = clock.now.Add(4 * time.Second)
 	return agent, clock, runner
 }
@@ -107,15 +107,15 @@
 	agent, clock, _ := newReadyRunner()
 	runner := NewRunner(agent, clock, testKey, testLease)
 	r := &recorder{}
-	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrMayNotAct)
 	clock.now = clock.now.Add(testLease + 500*time.Millisecond)
-	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrMayNotAct)
 	clock.now = clock.now.Add(200 * time.Millisecond)
 	require.NoError(t, runner.Perform(t.Context(), "s", 1, nil, r.call))
 	agent.fence = 6
-	require.ErrorIs(t, runner.Perform(t.Context(), "s", 2, nil, r.call), ErrNotHeld)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 2, nil, r.call), ErrMayNotAct)
 	agent.fence = 0
-	require.ErrorIs(t, runner.Perform(t.Context(), "s", 2, nil, r.call), ErrNotHeld)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 2, nil, r.call), ErrMayNotAct)
 	require.Len(t, r.actions, 1)
 }
 
@@ -123,10 +123,10 @@
 func TestActionNotStartedAfterDeadline(t *testing.T) {
 	agent, clock, runner := newReadyRunner()
 	r := &recorder{}
-	agent.onRound = func(*fleetstate.DutyRound) { clock.now = clock.now.Add(startTimeout + time.Millisecond) }
-	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
+	agent.onSubmit = func(*fleetstate.DutyRound) { clock.now = clock.now.Add(startTimeout + time.Millisecond) }
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrMayNotAct)
 	require.Empty(t, r.actions)
-	agent.onRound = nil
+	agent.onSubmit = nil
 	require.NoError(t, runner.Perform(t.Context(), "s", 1, nil, func(_ context.Context, action *Action) error {
 		require.True(t, action.MayStart())
 		clock.now = clock.now.Add(startTimeout + time.Millisecond)
@@ -141,8 +141,8 @@
 	for _, fence := range []ids.Fence{0, 6} {
 		agent, _, runner := newReadyRunner()
 		r := &recorder{}
-		agent.onRound = func(*fleetstate.DutyRound) { agent.fence = fence }
-		require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
+		agent.onSubmit = func(*fleetstate.DutyRound) { agent.fence = fence }
+		require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrMayNotAct)
 		require.Empty(t, r.actions)
 		agent, _, runner = newReadyRunner()
 		require.NoError(t, runner.Perform(t.Context(), "s", 1, nil, func(_ context.Context, action *Action) error {
--- a/internal/metering/collector.go
+++ b/internal/metering/collector.go
@@ -20,8 +20,8 @@
 	Rows          []Row
 }
 
-// nodeCounts holds the state of one node at the collector.
-type nodeCounts struct {
+// nodeState holds the state of one node at the collector.
+type nodeState struct {
 	reportedAt   ids.Tick
 	clockOffset  time.Duration // how far the node's own clock is ahead of the collector's
 	countedUntil int64         // the estimated time up to which the node's counts are complete
@@ -33,13 +33,13 @@
 type Collector struct {
 	mu          sync.Mutex
 	clock       *Clock
-	nodes       map[ids.NodeID]*nodeCounts
+	nodes       map[ids.NodeID]*nodeState
 	firstWindow uint64 // the first window in which any node was running
 }
 
 // NewCollector returns an empty collector that uses a node's clock.
 func NewCollector(clock *Clock) *Collector {
-	return &Collector{clock: clock, nodes: map[ids.NodeID]*nodeCounts{}}
+	return &Collector{clock: clock, nodes: map[ids.NodeID]*nodeState{}}
 }
 
 // Record records a node's report and returns the time by the median of all nodes' clocks. Repeated and
@@ -49,14 +49,14 @@
 	defer c.mu.Unlock()
 	n := c.nodes[report.Node]
 	if n == nil {
-		n = &nodeCounts{counts: map[countKey]int{}}
+		n = &nodeState{counts: map[countKey]int{}}
 		c.nodes[report.Node] = n
 	}
 	own := c.clock.OwnTime()
 	n.reportedAt, n.clockOffset, n.countedUntil = c.clock.Tick(), time.Duration(report.OwnTime-own), max(n.countedUntil, report.EstimatedTime)
 	for _, r := range report.Rows {
-		at := countKey{r.Window, r.Tenant}
-		n.counts[at] = max(n.counts[at], r.Count)
+		key := countKey{r.Window, r.Tenant}
+		n.counts[key] = max(n.counts[key], r.Count)
 	}
 	if c.firstWindow == 0 || report.StartWindow < c.firstWindow {
 		c.firstWindow = report.StartWindow
@@ -101,11 +101,11 @@
 }
 
 // Complete reports whether all the given nodes have reported their counts up to a time.
-func (c *Collector) Complete(time int64, nodes []ids.NodeID) bool {
+func (c *Collector) Complete(until int64, nodes []ids.NodeID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range nodes {
-		if n := c.nodes[name]; n == nil || n.countedUntil < time {
+		if n := c.nodes[name]; n == nil || n.countedUntil < until {
 			return false
 		}
 	}
@@ -118,9 +118,9 @@
 	defer c.mu.Unlock()
 	out := map[string]int{}
 	for _, n := range c.nodes {
-		for at, count := range n.counts {
-			if at.window == window {
-				out[at.tenant] += count
+		for key, count := range n.counts {
+			if key.window == window {
+				out[key.tenant] += count
 			}
 		}
 	}
@@ -133,9 +133,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, n := range c.nodes {
-		for at := range n.counts {
-			if at.window+KeptWindows < current {
-				delete(n.counts, at)
+		for key := range n.counts {
+			if key.window+KeptWindows < current {
+				delete(n.counts, key)
 			}
 		}
 		if len(n.counts) == 0 && c.clock.Tick().Past(n.reportedAt, offsetMaxAge) {
--- a/internal/metering/ledger.go
+++ b/internal/metering/ledger.go
@@ -89,10 +89,10 @@
 func (l *Ledger) Prune(current uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for at := range l.counts {
-		if at.window+KeptWindows < current {
-			delete(l.counts, at)
-			delete(l.acknowledged, at)
+	for key := range l.counts {
+		if key.window+KeptWindows < current {
+			delete(l.counts, key)
+			delete(l.acknowledged, key)
 		}
 	}
 }
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -28,10 +28,10 @@
 // TestWallClockStepDoesNotMoveWindows checks that a step of the wall clock under a running process changes
 // neither the estimated time nor the window.
 func TestWallClockStepDoesNotMoveWindows(t *testing.T) {
-	steady := &testClock{now: 5, wall: start}
-	clock := NewClock(steady)
-	steady.advance(3 * time.Second)
-	steady.wall = steady.wall.Add(-time.Hour)
+	hostClock := &testClock{now: 5, wall: start}
+	clock := NewClock(hostClock)
+	hostClock.advance(3 * time.Second)
+	hostClock.wall = hostClock.wall.Add(-time.Hour)
 	require.Equal(t, start.Add(3*time.Second).UnixNano(), clock.Now())
 	windows := Windows(5 * time.Second)
 	number := windows.At(clock.Now())
@@ -42,17 +42,17 @@
 // TestClockCorrectedToMedian checks that a node that started with a wrong wall clock is corrected to the
 // median of all clocks.
 func TestClockCorrectedToMedian(t *testing.T) {
-	steady := &testClock{wall: start.Add(time.Hour)}
-	clock := NewClock(steady) // the clock of the collector, which is wrong
+	hostClock := &testClock{wall: start.Add(time.Hour)}
+	clock := NewClock(hostClock) // the clock of the collector, which is wrong
 	c := NewCollector(clock)
-	right := start.UnixNano()
+	trueTime := start.UnixNano()
 	c.Record(&NodeReport{Node: "self", OwnTime: clock.OwnTime()})
-	c.Record(&NodeReport{Node: "a", OwnTime: right})
-	got := c.Record(&NodeReport{Node: "b", OwnTime: right + int64(time.Millisecond)})
-	require.Equal(t, right+int64(time.Millisecond), got)
+	c.Record(&NodeReport{Node: "a", OwnTime: trueTime})
+	got := c.Record(&NodeReport{Node: "b", OwnTime: trueTime + int64(time.Millisecond)})
+	require.Equal(t, trueTime+int64(time.Millisecond), got)
 	clock.Correct(time.Duration(got - clock.OwnTime()))
 	require.Equal(t, got, clock.Now())
-	steady.advance(offsetMaxAge + time.Second)
+	hostClock.advance(offsetMaxAge + time.Second)
 	require.Equal(t, clock.OwnTime(), c.Record(&NodeReport{Node: "self", OwnTime: clock.OwnTime()}), "the reports of the other nodes are too old")
 }
 
--- a/internal/proxy/metering.go
+++ b/internal/proxy/metering.go
@@ -183,7 +183,7 @@
 	holder := duty.NewRunner(n.agent, n.options.Host.Clock, fleetstate.MeteringKey, n.options.LeaseDuration)
 	next := uint64(0) // all earlier windows are reported or skipped
 	for host.Sleep(ctx, meteringInterval) {
-		owned, mayAct := holder.Ownership()
+		owned, mayAct := holder.CheckOwnership()
 		if !owned {
 			next = 0
 			continue
@@ -217,7 +217,7 @@
 		n.options.Ring.Warn().AnErr("cause", err).Uint64("window", next).Msg("could not report usage")
 		// Stale means that the replicated log no longer has the window, which is then skipped, or that
 		// this node's fence is outdated, in which case it may not act any more.
-		if _, mayAct := holder.Ownership(); !mayAct || !failure.Is(err, failure.Stale) {
+		if _, mayAct := holder.CheckOwnership(); !mayAct || !failure.Is(err, failure.Stale) {
 			return next
 		}
 	}
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -36,17 +36,17 @@
 
 // advance clears the buckets that have expired and returns the index of the current one.
 func (b *Budget) advance(now ids.Tick) int {
-	at := int64(now) / int64(b.bucketLength)
-	if b.lastBucket == 0 || at-b.lastBucket > bucketCount {
+	bucket := int64(now) / int64(b.bucketLength)
+	if b.lastBucket == 0 || bucket-b.lastBucket > bucketCount {
 		clear(b.requests[:])
 		clear(b.retries[:])
 	} else {
-		for i := b.lastBucket + 1; i <= at; i++ {
+		for i := b.lastBucket + 1; i <= bucket; i++ {
 			b.requests[i%(bucketCount+1)], b.retries[i%(bucketCount+1)] = 0, 0
 		}
 	}
-	b.lastBucket = max(at, b.lastBucket)
-	return int(at % (bucketCount + 1))
+	b.lastBucket = max(bucket, b.lastBucket)
+	return int(bucket % (bucketCount + 1))
 }
 
 // RecordNodeCount records how many nodes are visible now, and returns the largest number that was visible
--- a/internal/silence/estimate.go
+++ b/internal/silence/estimate.go
@@ -11,7 +11,7 @@
 const (
 	meanGain      = 1.0 / 16 // weight of a new sample in the mean
 	deviationGain = 1.0 / 8  // weight of a new sample in the mean deviation
-	deviations    = 8        // number of mean deviations above the mean at which a silence is suspicious
+	deviationFactor    = 8        // number of mean deviations above the mean at which a silence is suspicious
 	// MinSamples is the number of samples needed for an estimate. With fewer, the ceiling applies.
 	MinSamples = 16
 	// MinTimeout is the shortest silence that is suspicious.
@@ -47,5 +47,5 @@
 	if e.samples < MinSamples {
 		return ceiling
 	}
-	return min(ceiling, max(MinTimeout, time.Duration(e.mean+deviations*e.deviation)))
+	return min(ceiling, max(MinTimeout, time.Duration(e.mean+deviationFactor*e.deviation)))
 }
--- a/tools/capacity/sweep.go
+++ b/tools/capacity/sweep.go
@@ -73,9 +73,9 @@
 	for _, line := range rowLine.FindAllStringSubmatch(e.Digest, -1) {
 		m := measurement{name: line[1]}
 		for _, p := range valuePair.FindAllStringSubmatch(line[2], -1) {
-			middle, _ := strconv.ParseFloat(p[1], 64)
+			median, _ := strconv.ParseFloat(p[1], 64)
 			busiest, _ := strconv.ParseFloat(p[2], 64)
-			m.median, m.busiest = append(m.median, middle), append(m.busiest, busiest)
+			m.median, m.busiest = append(m.median, median), append(m.busiest, busiest)
 		}
 		if len(m.median) == len(s.sizes) {
 			s.rows = append(s.rows, m)
--- a/tools/suite/main.go
+++ b/tools/suite/main.go
@@ -91,12 +91,12 @@
 // print writes the known failures that occurred, the unexpected failures and the totals.
 func (v *verdict) print(w io.Writer) {
 	fmt.Fprintln(w)
-	for _, line := range v.knownRed {
+	for _, line := range v.knownFailures {
 		fmt.Fprintln(w, "known red:", line)
 	}
 	for _, line := range v.failures {
 		fmt.Fprintln(w, "FAILED:", line)
 	}
-	fmt.Fprintf(w, "%d skipped, %d known red\n", v.skipped, len(v.knownRed))
+	fmt.Fprintf(w, "%d skipped, %d known red\n", v.skipped, len(v.knownFailures))
 	fmt.Fprintf(w, "%d passed, %d failed\n", v.passed, len(v.failures))
 }
--- a/tools/suite/suite_test.go
+++ b/tools/suite/suite_test.go
@@ -127,7 +127,7 @@
 	require.Equal(t, []string{"TestA failed in m/a"}, failuresOf(t, "", r()))
 	k, _ := parseKnown(entries("TestA"))
 	v := evaluate(k, []*run{r()})
-	require.Equal(t, &verdict{passed: 2, skipped: 1, knownRed: []string{"TestA: a failure (go test -run TestA ./a; issue 1)"}}, v)
+	require.Equal(t, &verdict{passed: 2, skipped: 1, knownFailures: []string{"TestA: a failure (go test -run TestA ./a; issue 1)"}}, v)
 	require.Empty(t, failuresOf(t, entries("a.TestA"), r()))
 	require.Len(t, failuresOf(t, entries("b.TestA"), r()), 2)
 	require.Equal(
--- a/tools/suite/verdict.go
+++ b/tools/suite/verdict.go
@@ -11,7 +11,7 @@
 // verdict is the result of all runs.
 type verdict struct {
 	passed, skipped int
-	knownRed        []string // entries of the list whose test failed as expected
+	knownFailures        []string // entries of the list whose test failed as expected
 	failures        []string // each is counted and printed as one failure
 }
 
@@ -20,12 +20,12 @@
 }
 
 // evaluate returns the verdict over all runs, given the list of known failures.
-func evaluate(list []knownFailure, runs []*run) *verdict {
+func evaluate(known []knownFailure, runs []*run) *verdict {
 	v := &verdict{}
 	for _, r := range runs {
-		r.evaluate(list, v)
+		r.addTo(known, v)
 	}
-	for _, k := range list {
+	for _, k := range known {
 		packages, outcomes := map[string]bool{}, map[string]int{}
 		for _, r := range runs {
 			for _, t := range r.tests {
@@ -39,7 +39,7 @@
 		case len(packages) > 1:
 			v.fail("%s is known red, but several packages have a test with this name", k.name)
 		case outcomes["fail"] > 0:
-			v.knownRed = append(v.knownRed, k.String())
+			v.knownFailures = append(v.knownFailures, k.String())
 		case outcomes["pass"] > 0:
 			v.fail("%s is known red, but passed", k.name)
 		default:
@@ -49,48 +49,48 @@
 	return v
 }
 
-// evaluate adds the results of one run to the verdict.
-func (r *run) evaluate(list []knownFailure, v *verdict) {
-	failed := map[string]bool{}
+// addTo adds the results of one run to the verdict.
+func (r *run) addTo(known []knownFailure, v *verdict) {
+	packagesWithFailedTest := map[string]bool{}
 	for _, t := range r.tests {
 		switch {
 		case t.outcome == "skip":
 			v.skipped++
 		case t.outcome == "fail":
-			failed[t.pkg] = true
-			if !isListed(list, t) && !r.failedOnlyInListedSubtests(list, t) {
+			packagesWithFailedTest[t.pkg] = true
+			if !isListed(known, t) && !r.failedOnlyInListedSubtests(known, t) {
 				v.fail("%s failed in %s", t.name, t.pkg)
 			}
 		case t.outcome == "":
 			v.fail("%s did not finish in %s", t.name, t.pkg)
-		case !isListed(list, t):
+		case !isListed(known, t):
 			v.passed++
 		}
 	}
-	failureFound := len(r.tests) == 0
+	failureExplained := len(r.tests) == 0
 	for _, p := range r.pkgs {
 		switch {
 		case p.outcome == "":
 			v.fail("%s did not finish", p.name)
 		case p.outcome == "fail" && !p.testsFinished:
 			v.fail("%s did not build, panicked, exited or ran out of time", p.name)
-		case p.outcome == "fail" && !failed[p.name]:
+		case p.outcome == "fail" && !packagesWithFailedTest[p.name]:
 			v.fail("%s failed, but none of its tests did", p.name)
 		case p.raceOutsideTests:
 			v.fail("%s has a data race outside its tests", p.name)
 		}
-		failureFound = failureFound || p.outcome == "fail"
+		failureExplained = failureExplained || p.outcome == "fail"
 	}
 	if len(r.tests) == 0 {
 		v.fail("a run executed no test")
-	} else if r.commandFailed && !failureFound {
+	} else if r.commandFailed && !failureExplained {
 		v.fail("go test failed, but no package failed")
 	}
 }
 
 // isListed reports whether the list names a test.
-func isListed(list []knownFailure, t *test) bool {
-	for _, k := range list {
+func isListed(known []knownFailure, t *test) bool {
+	for _, k := range known {
 		if k.matches(t) {
 			return true
 		}
@@ -100,7 +100,7 @@
 
 // failedOnlyInListedSubtests reports whether a test failed only because of its subtests, and all innermost
 // subtests that failed are listed.
-func (r *run) failedOnlyInListedSubtests(list []knownFailure, t *test) bool {
+func (r *run) failedOnlyInListedSubtests(known []knownFailure, t *test) bool {
 	if t.logged {
 		return false
 	}
@@ -109,7 +109,7 @@
 		if !r.isSubtest(s, t) || s.outcome != "fail" || r.hasFailedSubtest(s) {
 			continue
 		}
-		if !isListed(list, s) {
+		if !isListed(known, s) {
 			return false
 		}
 		failedSubtests++
