--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,8 +1,9 @@
 // Package duty performs actions outside the fleet that only one node may perform at a time, such as calls to
-// the platform. Before each action, the node wins a round for it in the replicated log
-// (fleetstate.DutyRound). The receiver does not need to check fencing tokens: a new owner starts only when
-// no action of an earlier owner can still be in flight, and each action has a deadline on the steady clock
-// of the node that performs it.
+// the platform. That node is the owner of a key that the coordination service leases. Before each action, the
+// owner claims it by a command in the replicated log (fleetstate.DutyRound). The receiver does not need to
+// check fencing tokens: a new owner starts only when no action of an earlier owner can still be in flight, and
+// each action has a deadline on the monotonic clock of the node that performs it. An action may be performed
+// more than once: if recording that it is done fails, the next call of Perform for it performs it again.
 package duty
 
 import (
@@ -18,15 +19,17 @@
 )
 
 const (
-	claimTimeout = 900 * time.Millisecond
-	// startTimeout is how long after the request for its round an action may still start.
+	claimTimeout = 900 * time.Millisecond // for claiming an action in the replicated log
+	// startTimeout is the time, counted from the request for its claim, within which an action must start.
 	startTimeout = 1500 * time.Millisecond
-	// CallTimeout bounds a call. The call and its connection end before the next owner may start one.
+	// CallTimeout limits the duration of a call, including that of its connection. The lease must be long enough
+	// for the call to end before the next owner may start a call; NewRunner does not check this.
 	CallTimeout = 2 * time.Second
-	doneTimeout = 700 * time.Millisecond
+	doneTimeout = 700 * time.Millisecond // for recording in the replicated log that an action is done
 )
 
-// ErrMayNotAct means that this node may not perform actions under the key.
+// ErrMayNotAct is returned if this node does not own the key, has not owned it for long enough, or can no longer
+// start the action in time.
 var ErrMayNotAct = errors.New("this node may not perform actions under the key")
 
 // Agent is the subset of coordination.Agent that a Runner needs.
@@ -37,7 +40,7 @@
 	Submit(ctx context.Context, op ids.OpID, kind string, body []byte) (*coordination.SubmitResponse, error)
 }
 
-// Action is an action whose round this node won.
+// Action is an action that this node has claimed and that a Call performs.
 type Action struct {
 	Owner   ids.NodeID
 	Fence   ids.Fence
@@ -51,24 +54,25 @@
 // Call performs an action. A nil error means that the receiver accepted it.
 type Call func(ctx context.Context, action *Action) error
 
-// Runner performs the actions of one key's duty while this node owns the key. Only one goroutine at a time
-// may use it.
+// Runner performs the actions under one key while this node owns the key. Only one goroutine at a time may use
+// it.
 type Runner struct {
 	agent        Agent
 	clock        host.Clock
 	key          ids.Key
-	initialDelay time.Duration // from when this node gets the key until its first action
+	initialDelay time.Duration // minimum time between getting the key and the first action
 	fence        ids.Fence
 	ownedSince   ids.Tick
 }
 
-// NewRunner returns a runner for a key. Lease is how long the coordination service leases keys for.
+// NewRunner returns a runner for a key. The parameter lease is the duration of the coordination service's leases
+// on keys.
 func NewRunner(agent Agent, clock host.Clock, key ids.Key, lease time.Duration) *Runner {
 	return &Runner{agent: agent, clock: clock, key: key, initialDelay: lease + lease/5}
 }
 
 // CheckOwnership reports whether this node owns the key, and whether it has owned it long enough to perform
-// actions.
+// actions. The time counts from the first call that sees the key's current fencing token.
 func (r *Runner) CheckOwnership() (owned, mayAct bool) {
 	fence, ok := r.agent.OwnsKey(r.key)
 	if !ok {
@@ -81,29 +85,30 @@
 	return true, r.clock.Now().Past(r.ownedSince, r.initialDelay)
 }
 
-// Perform wins the round for an action and makes the call, unless the action is already done. Number 0 is
-// the action after the newest. A nil error means that the action is done.
+// Perform claims an action and makes the call, unless the action is already done. A subject is a numbered
+// sequence of actions; number 0 requests the number after that of the subject's newest action. A nil error means
+// that the action is done.
 func (r *Runner) Perform(ctx context.Context, subject string, number uint64, content []byte, call Call) error {
 	if _, mayAct := r.CheckOwnership(); !mayAct {
 		return ErrMayNotAct
 	}
 	fence, requestedAt := r.fence, r.clock.Now()
-	granted, err := r.submit(ctx, &fleetstate.DutyRound{
+	action, err := r.submit(ctx, &fleetstate.DutyRound{
 		Subject: subject,
 		Number:  number,
 		Owner:   r.agent.Self().Node,
 		Fence:   fence,
 		Content: content,
 	}, claimTimeout)
-	if err != nil || granted.Done {
+	if err != nil || action.Done {
 		return err
 	}
-	if err := r.performAction(ctx, fence, requestedAt, granted, call); err != nil {
+	if err := r.performAction(ctx, fence, requestedAt, action, call); err != nil {
 		return err
 	}
 	_, err = r.submit(ctx, &fleetstate.DutyRound{
 		Subject: subject,
-		Number:  granted.Number,
+		Number:  action.Number,
 		Owner:   r.agent.Self().Node,
 		Fence:   fence,
 		Done:    true,
@@ -111,7 +116,8 @@
 	return err
 }
 
-// performAction makes the call. The key cannot be given back until the call has ended.
+// performAction makes the call for a claimed action, unless the node may no longer start it. The key cannot be
+// released until the call has ended.
 func (r *Runner) performAction(
 	ctx context.Context,
 	fence ids.Fence,
@@ -142,16 +148,16 @@
 	})
 }
 
-// submit requests a round in the replicated log and returns the resulting state of the action.
+// submit submits a command to the replicated log and returns the resulting state of the action.
 func (r *Runner) submit(
 	ctx context.Context,
 	command *fleetstate.DutyRound,
 	timeout time.Duration,
 ) (*fleetstate.DutyAct, error) {
-	roundContext, stop := context.WithTimeout(ctx, timeout)
+	submitContext, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	op := ids.OpID("duty/" + coordination.NewID())
-	response, err := r.agent.Submit(roundContext, op, fleetstate.DutyRoundKind, coordination.MustMarshal(command))
+	response, err := r.agent.Submit(submitContext, op, fleetstate.DutyRoundKind, coordination.MustMarshal(command))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -24,12 +24,12 @@
 func (c *testClock) Now() ids.Tick   { return c.now }
 func (c *testClock) Wall() time.Time { return time.Unix(0, int64(c.now)) }
 
-// testAgent owns the key unless its fence is 0, and applies rounds to its own state machine.
+// testAgent owns the key unless its fence is 0, and applies the submitted commands to its own state machine.
 type testAgent struct {
 	fence      ids.Fence // 0 if the key is not owned
 	operations int
 	state      *fleetstate.Machine
-	onSubmit    func(command *fleetstate.DutyRound)
+	onSubmit   func(command *fleetstate.DutyRound)
 }
 
 func (a *testAgent) Self() coordination.Member { return coordination.Member{Node: "self"} }
@@ -71,7 +71,7 @@
 	return agent, clock, runner
 }
 
-// recorder records the actions that it is called for, and returns err for each.
+// recorder has a Call that records each action and returns err.
 type recorder struct {
 	actions []Action
 	err     error
@@ -82,8 +82,8 @@
 	return r.err
 }
 
-// TestPerform checks that an action is called with the content of its first round, repeatedly until the
-// receiver accepts it, and not after that.
+// TestPerform checks that each attempt at an action has the content of the action's first claim, that a failed
+// action can be performed again, and that no call is made for an action that is done.
 func TestPerform(t *testing.T) {
 	agent, _, runner := newReadyRunner()
 	r := &recorder{err: errors.New("refused")}
@@ -101,8 +101,8 @@
 	require.Zero(t, agent.operations)
 }
 
-// TestRunnerWaitsAfterGrant checks that a node performs actions only when it has owned the key for over a
-// lease, so that the last action of an earlier owner has ended, and waits again after each loss.
+// TestRunnerWaitsAfterGrant checks that a node performs actions only when it has owned the key for longer than a
+// lease, so that the last action of an earlier owner has ended, and waits again when the key is granted again.
 func TestRunnerWaitsAfterGrant(t *testing.T) {
 	agent, clock, _ := newReadyRunner()
 	runner := NewRunner(agent, clock, testKey, testLease)
@@ -119,7 +119,8 @@
 	require.Len(t, r.actions, 1)
 }
 
-// TestActionNotStartedAfterDeadline checks that no call starts after a slow round or a pause of the process.
+// TestActionNotStartedAfterDeadline checks that no call starts if claiming the action took too long, and that
+// MayStart returns false after a pause of the process.
 func TestActionNotStartedAfterDeadline(t *testing.T) {
 	agent, clock, runner := newReadyRunner()
 	r := &recorder{}
@@ -136,7 +137,7 @@
 }
 
 // TestActionNotStartedAfterKeyLost checks that no call starts once the key is lost or was granted again under
-// another fencing token, and that the key is not given back during a call.
+// another fencing token, and that an operation on the key is open during a call, so that the key is not released.
 func TestActionNotStartedAfterKeyLost(t *testing.T) {
 	for _, fence := range []ids.Fence{0, 6} {
 		agent, _, runner := newReadyRunner()
--- a/internal/metering/collector.go
+++ b/internal/metering/collector.go
@@ -8,42 +8,45 @@
 	"keelstair.example/ids"
 )
 
-// offsetMaxAge is how long a node's clock counts for the median after the node's last report.
+// offsetMaxAge is the time after a node's last report for which its clock offset counts towards the median.
 const offsetMaxAge = 10 * time.Second
 
-// NodeReport is what a node sends to the collector.
+// NodeReport is a report of a node's counts and clock to the collector. The counts of a node are those of all its
+// reports together.
 type NodeReport struct {
 	Node          ids.NodeID
 	StartWindow   uint64 // the window in which the node started
-	OwnTime       int64  // the node's own time when it built the report
-	EstimatedTime int64  // its estimate of the time; the report covers all requests up to then
+	OwnTime       int64  // the node's Clock.OwnTime when it built the report
+	EstimatedTime int64  // the node's Clock.Now; the collector regards the node's counts up to then as complete
 	Rows          []Row
 }
 
-// nodeState holds the state of one node at the collector.
+// nodeState is what the collector knows about one node.
 type nodeState struct {
 	reportedAt   ids.Tick
-	clockOffset  time.Duration // how far the node's own clock is ahead of the collector's
-	countedUntil int64         // the estimated time up to which the node's counts are complete
+	clockOffset  time.Duration // the node's OwnTime in its last report minus the collector's on arrival
+	countedUntil int64         // the largest EstimatedTime of the node; its counts up to then are regarded as complete
 	counts       map[countKey]int
 }
 
-// Collector adds up the counts of the nodes. It keeps the counts of a node that ended, because the node
-// reports under another ID after a restart. It is safe for concurrent use.
+// Collector adds up the counts of the nodes. It keeps the counts of a node that has stopped. A restarted node
+// reports under another ID, so that its counts are added to those of its previous process. A Collector is safe
+// for concurrent use.
 type Collector struct {
 	mu          sync.Mutex
 	clock       *Clock
 	nodes       map[ids.NodeID]*nodeState
-	firstWindow uint64 // the first window in which any node was running
+	firstWindow uint64 // the earliest StartWindow in any report; 0 before the first report
 }
 
-// NewCollector returns an empty collector that uses a node's clock.
+// NewCollector returns a collector without reports. The clock is that of the collector's node.
 func NewCollector(clock *Clock) *Collector {
 	return &Collector{clock: clock, nodes: map[ids.NodeID]*nodeState{}}
 }
 
-// Record records a node's report and returns the time by the median of all nodes' clocks. Repeated and
-// reordered reports are counted once.
+// Record records a node's report and returns the current time by the median of the clocks of all nodes that
+// reported within offsetMaxAge. For each window and tenant it keeps a node's largest count, so that repeated and
+// reordered reports do not count a request twice.
 func (c *Collector) Record(report *NodeReport) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +67,8 @@
 	return own + int64(c.medianOffset())
 }
 
-// medianOffset returns the lower median of the offsets of the nodes that reported within offsetMaxAge.
+// medianOffset returns the lower median of the clock offsets of the nodes that reported within offsetMaxAge, or 0
+// if there are none.
 func (c *Collector) medianOffset() time.Duration {
 	var offsets []time.Duration
 	for _, n := range c.nodes {
@@ -79,40 +83,41 @@
 	return offsets[(len(offsets)-1)/2]
 }
 
-// FirstWindow returns the first window in which any node was running, or 0 if no node has reported.
+// FirstWindow returns the earliest window in which a node that has reported started, or 0 if no node has
+// reported.
 func (c *Collector) FirstWindow() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.firstWindow
 }
 
-// HasRecentMajority reports whether more than half of the given nodes reported within offsetMaxAge, so that
-// the median of their clocks can be trusted.
+// HasRecentMajority reports whether more than half of the given nodes reported within offsetMaxAge. Only then is
+// the median of the clocks reliable.
 func (c *Collector) HasRecentMajority(nodes []ids.NodeID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	recent := 0
-	for _, name := range nodes {
-		if n := c.nodes[name]; n != nil && !c.clock.Tick().Past(n.reportedAt, offsetMaxAge) {
+	for _, id := range nodes {
+		if n := c.nodes[id]; n != nil && !c.clock.Tick().Past(n.reportedAt, offsetMaxAge) {
 			recent++
 		}
 	}
 	return 2*recent > len(nodes)
 }
 
-// Complete reports whether all the given nodes have reported their counts up to a time.
+// Complete reports whether all the given nodes have reported their counts up to a time, in nanoseconds since 1970.
 func (c *Collector) Complete(until int64, nodes []ids.NodeID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, name := range nodes {
-		if n := c.nodes[name]; n == nil || n.countedUntil < until {
+	for _, id := range nodes {
+		if n := c.nodes[id]; n == nil || n.countedUntil < until {
 			return false
 		}
 	}
 	return true
 }
 
-// Sum returns the counts of a window, added up by tenant.
+// Sum returns the number of requests of each tenant in a window, over all nodes.
 func (c *Collector) Sum(window uint64) map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,19 +132,19 @@
 	return out
 }
 
-// Prune deletes the counts that are too old to keep in the current window, and nodes without counts whose
-// last report is older than offsetMaxAge.
+// Prune deletes the counts of windows that are more than KeptWindows before the current one. It then deletes the
+// nodes without counts whose last report is older than offsetMaxAge.
 func (c *Collector) Prune(current uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, n := range c.nodes {
+	for id, n := range c.nodes {
 		for key := range n.counts {
 			if key.window+KeptWindows < current {
 				delete(n.counts, key)
 			}
 		}
 		if len(n.counts) == 0 && c.clock.Tick().Past(n.reportedAt, offsetMaxAge) {
-			delete(c.nodes, name)
+			delete(c.nodes, id)
 		}
 	}
 }
--- a/internal/metering/ledger.go
+++ b/internal/metering/ledger.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// KeptWindows is the number of later windows for which the counts of a window are kept.
+// KeptWindows is the number of windows before the current one whose counts are kept.
 const KeptWindows = 8
 
-// Row is the number of requests of a tenant that one node has counted in a window so far.
+// Row is the number of a tenant's requests that one node has counted in a window so far.
 type Row struct {
 	Window uint64
 	Tenant string
@@ -22,7 +22,7 @@
 	tenant string
 }
 
-// Ledger holds one node's counts, and the counts that the collector has acknowledged. It is safe for
+// Ledger holds one node's counts, and for each the value that the collector last acknowledged. It is safe for
 // concurrent use.
 type Ledger struct {
 	mu           sync.Mutex
@@ -47,19 +47,20 @@
 	return l.rows(func(countKey, int) bool { return true })
 }
 
-// Unacknowledged returns the counts that the collector has not acknowledged, sorted by window and tenant.
+// Unacknowledged returns the counts whose current value the collector has not acknowledged, sorted by window and
+// tenant.
 func (l *Ledger) Unacknowledged() []Row {
-	return l.rows(func(at countKey, count int) bool { return l.acknowledged[at] != count })
+	return l.rows(func(key countKey, count int) bool { return l.acknowledged[key] != count })
 }
 
 // rows returns the counts that the filter accepts, sorted by window and tenant.
-func (l *Ledger) rows(include func(at countKey, count int) bool) []Row {
+func (l *Ledger) rows(include func(key countKey, count int) bool) []Row {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Row
-	for at, count := range l.counts {
-		if include(at, count) {
-			out = append(out, Row{at.window, at.tenant, count})
+	for key, count := range l.counts {
+		if include(key, count) {
+			out = append(out, Row{key.window, key.tenant, count})
 		}
 	}
 	slices.SortFunc(out, func(a, b Row) int {
@@ -68,7 +69,7 @@
 	return out
 }
 
-// Acknowledge records that the collector has received the rows.
+// Acknowledge records that the collector has acknowledged the rows.
 func (l *Ledger) Acknowledge(rows []Row) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,15 +78,15 @@
 	}
 }
 
-// ResetAcknowledgements forgets all acknowledgements. It is called when another node, which has no counts
-// yet, becomes the collector.
+// ResetAcknowledgements discards all acknowledgements. It is called when the collector changes, because a new
+// collector may not have the counts that the previous one acknowledged.
 func (l *Ledger) ResetAcknowledgements() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.acknowledged)
 }
 
-// Prune deletes the counts that are too old to keep in the current window.
+// Prune deletes the counts of windows that are more than KeptWindows before the current one.
 func (l *Ledger) Prune(current uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -9,7 +9,7 @@
 	"keelstair.example/ids"
 )
 
-// testClock is a machine's clocks. Tests can step the wall clock; the steady clock only advances.
+// testClock simulates the clocks of a machine. Tests can step the wall clock; the monotonic clock only advances.
 type testClock struct {
 	now  ids.Tick
 	wall time.Time
@@ -39,11 +39,11 @@
 	require.EqualValues(t, (number+1)*5*uint64(time.Second), windows.End(number))
 }
 
-// TestClockCorrectedToMedian checks that a node that started with a wrong wall clock is corrected to the
-// median of all clocks.
+// TestClockCorrectedToMedian checks that the clock of a node that started with a wrong wall clock is corrected to
+// the median of all nodes' clocks, and that nodes that have not reported for offsetMaxAge no longer count.
 func TestClockCorrectedToMedian(t *testing.T) {
 	hostClock := &testClock{wall: start.Add(time.Hour)}
-	clock := NewClock(hostClock) // the clock of the collector, which is wrong
+	clock := NewClock(hostClock) // the collector's clock, which is one hour ahead
 	c := NewCollector(clock)
 	trueTime := start.UnixNano()
 	c.Record(&NodeReport{Node: "self", OwnTime: clock.OwnTime()})
@@ -56,8 +56,8 @@
 	require.Equal(t, clock.OwnTime(), c.Record(&NodeReport{Node: "self", OwnTime: clock.OwnTime()}), "the reports of the other nodes are too old")
 }
 
-// TestLedger checks that each change of a count is sent to a collector until it is acknowledged, and that a
-// new collector gets all counts.
+// TestLedger checks that a changed count is unacknowledged until its current value has been acknowledged, that
+// all counts are unacknowledged after a reset, and that old counts are pruned.
 func TestLedger(t *testing.T) {
 	l := NewLedger()
 	l.Add(7, "b")
@@ -77,8 +77,8 @@
 	require.Equal(t, []Row{{7, "a", 2}, {7, "b", 1}}, l.Unacknowledged())
 }
 
-// TestRepeatedCountsAddedOnce checks that counts that arrive again, late or out of order are added once, and
-// that the counts of a restarted node are added to those of its previous run.
+// TestRepeatedCountsAddedOnce checks that counts that arrive repeatedly or out of order are added once, and that
+// the counts of a restarted node are added to those of its previous process.
 func TestRepeatedCountsAddedOnce(t *testing.T) {
 	clock := NewClock(&testClock{wall: start})
 	c := NewCollector(clock)
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,7 +1,8 @@
-// Package retrybudget bounds the retries that all nodes of a fleet make together, without messages between
-// them. Each node may spend a ratio of the requests that it received itself, plus its share of a fleet-wide
-// allowance. The share is the allowance divided by the largest number of recently visible nodes, so that the
-// total stays within the bound while nodes are partitioned from each other.
+// Package retrybudget limits the total number of retries of all nodes of a fleet, without messages between them.
+// Each node may make retries up to a ratio of the requests that it received itself, plus its share of a fleet-wide
+// allowance. The caller computes the share: it divides the allowance by the number of nodes that RecordNodeCount
+// returns, the largest number that was visible recently, so that the total stays within the limit while nodes are
+// partitioned from each other.
 package retrybudget
 
 import (
@@ -13,7 +14,7 @@
 
 const (
 	bucketCount = 20 // buckets in a window
-	// NodeCountTTL is the minimum time for which a node that is no longer a member still counts. A node that
+	// NodeCountTTL is the minimum time for which a node that is no longer visible still counts. A node that
 	// no other process has contacted for this long must not spend from the allowance.
 	NodeCountTTL = 2 * time.Minute
 )
@@ -25,13 +26,13 @@
 	bucketLength     time.Duration
 	requests         [bucketCount + 1]int
 	retries          [bucketCount + 1]int
-	lastBucket       int64
-	maxNodes         int
-	periodStart      ids.Tick
-	previousMaxNodes int
+	lastBucket       int64    // number of the newest bucket since tick 0, not its index in the ring
+	maxNodes         int      // the largest number of visible nodes in the current period of NodeCountTTL
+	periodStart      ids.Tick // the start of that period
+	previousMaxNodes int      // the largest number of visible nodes in the previous period
 }
 
-// New returns a budget over a window.
+// New returns a budget for a sliding window of the given length.
 func New(window time.Duration) *Budget { return &Budget{bucketLength: window / bucketCount} }
 
 // advance clears the buckets that have expired and returns the index of the current one.
@@ -68,8 +69,9 @@
 	b.requests[b.advance(now)]++
 }
 
-// Spend counts one more retry and returns true if the retries of the window then stay within a ratio of its
-// requests plus an allowance.
+// Spend counts one more retry and returns true if the retries in the window, including this one, are at most ratio
+// times the requests in the window plus allowance, which is this node's share of the fleet-wide allowance.
+// Otherwise it returns false and the caller must not retry.
 func (b *Budget) Spend(now ids.Tick, ratio, allowance float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -13,8 +13,8 @@
 
 func at(d time.Duration) ids.Tick { return ids.Tick(time.Hour + d) }
 
-// TestSpend checks that no interval of the window's length has more retries than the ratio of its requests and
-// the allowance permit, and that spent retries are available again once the window has passed.
+// TestSpend checks that a window has no more retries than the ratio of its requests and the allowance permit, and
+// that the allowance is available again once the window has passed.
 func TestSpend(t *testing.T) {
 	b := New(window)
 	for range 50 {
@@ -29,8 +29,8 @@
 	require.True(t, b.Spend(at(2*window), 0.2, 3))
 }
 
-// TestRecordNodeCount checks that nodes that are no longer visible count for NodeCountTTL, and no longer after
-// twice that time.
+// TestRecordNodeCount checks that nodes that are no longer visible still count after NodeCountTTL, but not after
+// three times NodeCountTTL.
 func TestRecordNodeCount(t *testing.T) {
 	b := New(window)
 	require.Equal(t, 9, b.RecordNodeCount(at(0), 9))
--- a/internal/silence/estimate.go
+++ b/internal/silence/estimate.go
@@ -1,6 +1,6 @@
-// Package silence estimates how long healthy peers usually stay silent, so that a much longer silence is
-// suspicious. The estimator is that of TCP's retransmission timer (RFC 6298), a mean and a mean deviation,
-// with a wider margin. A suspicion only triggers a probe of the peer.
+// Package silence estimates how long healthy peers usually send nothing, so that a much longer silence is a reason
+// to probe the peer. The estimator is that of TCP's retransmission timer (RFC 6298), a mean and a mean deviation,
+// with a wider margin. A long silence alone does not make a peer count as failed; it only triggers a probe.
 package silence
 
 import (
@@ -9,16 +9,16 @@
 )
 
 const (
-	meanGain      = 1.0 / 16 // weight of a new sample in the mean
-	deviationGain = 1.0 / 8  // weight of a new sample in the mean deviation
-	deviationFactor    = 8        // number of mean deviations above the mean at which a silence is suspicious
-	// MinSamples is the number of samples needed for an estimate. With fewer, the ceiling applies.
+	meanGain        = 1.0 / 16 // weight of a new sample in the mean
+	deviationGain   = 1.0 / 8  // weight of a new sample in the mean deviation
+	deviationFactor = 8        // a silence longer than the mean plus this many mean deviations is suspicious
+	// MinSamples is the number of samples needed for an estimate. With fewer, the timeout is the ceiling.
 	MinSamples = 16
-	// MinTimeout is the shortest silence that is suspicious.
+	// MinTimeout is the smallest suspicion timeout, unless the ceiling is lower.
 	MinTimeout = 100 * time.Millisecond
 )
 
-// Estimate is the usual length of one kind of silence. The zero value has no samples. It is safe for
+// Estimate estimates the usual length of one kind of silence. The zero value has no samples. It is safe for
 // concurrent use.
 type Estimate struct {
 	mu              sync.Mutex
@@ -26,7 +26,8 @@
 	samples         int
 }
 
-// Observe records a silence that ended with a sign of life from the peer.
+// Observe records the length of a silence that ended because the peer sent something. A negative length counts as
+// 0.
 func (e *Estimate) Observe(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -40,7 +41,7 @@
 	e.deviation += deviationGain * (max(difference, -difference) - e.deviation)
 }
 
-// SuspicionTimeout returns the silence after which a peer should be probed, at most the ceiling.
+// SuspicionTimeout returns the length of a silence after which the peer should be probed, at most the ceiling.
 func (e *Estimate) SuspicionTimeout(ceiling time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/silence/estimate_test.go
+++ b/internal/silence/estimate_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSuspicionTimeout checks that the timeout lies far above the observed silences: at the minimum for
-// regular ones, and at the ceiling for irregular ones or with too few samples.
+// TestSuspicionTimeout checks that the timeout is the ceiling with too few samples, MinTimeout if all silences
+// are equal and short, well above the longest silence if they vary, and the ceiling again if they vary widely.
 func TestSuspicionTimeout(t *testing.T) {
 	const ceiling = 500 * time.Millisecond
 	var e Estimate
--- a/tools/suite/known.go
+++ b/tools/suite/known.go
@@ -28,7 +28,7 @@
 type knownParser struct {
 	list      []knownFailure
 	problems  []string
-	names     map[string]bool
+	names     map[string]bool   // names of the tests that are listed so far
 	entryLine int               // the line on which the current entry begins
 	fields    map[string]string // fields of the current entry, nil between entries
 }
--- a/tools/suite/main.go
+++ b/tools/suite/main.go
@@ -57,7 +57,7 @@
 	return commands
 }
 
-// runCommand runs one command to its end and prints its progress to display.
+// runCommand runs one command to its end, prints its progress to display and returns the results.
 func runCommand(args []string, display io.Writer) *run {
 	r := newRun()
 	if len(args) == 0 {
@@ -92,11 +92,11 @@
 func (v *verdict) print(w io.Writer) {
 	fmt.Fprintln(w)
 	for _, line := range v.knownFailures {
-		fmt.Fprintln(w, "known red:", line)
+		fmt.Fprintln(w, "known failure:", line)
 	}
 	for _, line := range v.failures {
 		fmt.Fprintln(w, "FAILED:", line)
 	}
-	fmt.Fprintf(w, "%d skipped, %d known red\n", v.skipped, len(v.knownFailures))
+	fmt.Fprintf(w, "%d skipped, %d known failures\n", v.skipped, len(v.knownFailures))
 	fmt.Fprintf(w, "%d passed, %d failed\n", v.passed, len(v.failures))
 }
--- a/tools/suite/run.go
+++ b/tools/suite/run.go
@@ -22,7 +22,7 @@
 }
 
 // pkg is one package of one run. Its field testsFinished is set if all its tests finished and some failed: go
-// test writes a line with FAIL alone then, but not after a failed build, a panic, an exit or a timeout.
+// test then writes a line with FAIL alone, but not after a failed build, a panic, a call of os.Exit or a timeout.
 type pkg struct {
 	name, outcome                   string
 	testsFinished, raceOutsideTests bool
@@ -42,7 +42,8 @@
 // logLinePattern matches a line that a test logged, which begins with a file name and a line number.
 var logLinePattern = regexp.MustCompile(`^\s+\S+\.go:\d+: `)
 
-// processLine records one line of output, and prints what is relevant for a reader.
+// processLine records one line of output. It prints the output of packages and of tests that failed or did not
+// finish, and lines that are not events.
 func (r *run) processLine(line []byte, display io.Writer) {
 	var e event
 	if json.Unmarshal(line, &e) != nil || e.Action == "" {
--- a/tools/suite/suite_test.go
+++ b/tools/suite/suite_test.go
@@ -34,7 +34,7 @@
 	return r
 }
 
-// failuresOf returns the failures of the verdict over the runs, given a list of known failures.
+// failuresOf returns the failures of the verdict over the runs, given the text of a list of known failures.
 func failuresOf(t *testing.T, list string, runs ...*run) []string {
 	k, problems := parseKnown(list)
 	require.Empty(t, problems)
@@ -110,8 +110,8 @@
 	require.NotContains(t, string(out), "a run started")
 }
 
-// TestListed checks that a listed test may fail, in one of several runs too, and that it must run, must fail and
-// must be unambiguous.
+// TestListed checks that a listed test may fail, that it must fail in at least one run, and that its name must not
+// match tests of several packages.
 func TestListed(t *testing.T) {
 	r := func() *run {
 		return runFromEvents(
@@ -124,7 +124,7 @@
 			"m/b - pass",
 		)
 	}
-	require.Equal(t, []string{"TestA failed in m/a"}, failuresOf(t, "", r()))
+	require.Equal(t, []string{"TestA in m/a failed"}, failuresOf(t, "", r()))
 	k, _ := parseKnown(entries("TestA"))
 	v := evaluate(k, []*run{r()})
 	require.Equal(t, &verdict{passed: 2, skipped: 1, knownFailures: []string{"TestA: a failure (go test -run TestA ./a; issue 1)"}}, v)
@@ -132,17 +132,17 @@
 	require.Len(t, failuresOf(t, entries("b.TestA"), r()), 2)
 	require.Equal(
 		t,
-		[]string{"TestB is known red, but passed"},
+		[]string{"TestB is on the list of known failures, but passed"},
 		failuresOf(t, entries("TestA", "TestB"), r()),
 	)
 	require.Equal(
 		t,
-		[]string{"TestC is known red, but was never run"},
+		[]string{"TestC is on the list of known failures, but neither passed nor failed in any run"},
 		failuresOf(t, entries("TestA", "TestC"), r()),
 	)
 	require.Equal(
 		t,
-		[]string{"TestX is known red, but was never run"},
+		[]string{"TestX is on the list of known failures, but neither passed nor failed in any run"},
 		failuresOf(t, entries("TestA", "TestX"), r()),
 	)
 	secondRun := runFromEvents("m/a TestA pass", "m/a - pass")
@@ -151,7 +151,8 @@
 	require.Len(t, failuresOf(t, entries("TestA"), r(), sameName), 1, "the entry matches tests of two packages")
 }
 
-// TestSubtests checks that a test may fail because of listed subtests, but not by itself or because of others.
+// TestSubtests checks that a test may fail because of listed subtests, but not by itself or because of other
+// subtests.
 func TestSubtests(t *testing.T) {
 	r := func(own string) *run {
 		return runFromEvents(
@@ -166,13 +167,13 @@
 	require.Empty(t, failuresOf(t, entries("TestA/x"), r("--- FAIL: TestA")))
 	require.Equal(
 		t,
-		[]string{"TestA failed in m/a"},
+		[]string{"TestA in m/a failed"},
 		failuresOf(t, entries("TestA/x"), r("    a_test.go:5: own")),
 		"it also failed by itself",
 	)
 	require.Equal(
 		t,
-		[]string{"TestA/x failed in m/a"},
+		[]string{"TestA/x in m/a failed"},
 		failuresOf(t, entries("TestA"), r("")),
 		"an entry for a test does not cover its subtests",
 	)
@@ -185,12 +186,12 @@
 		"m/a - fail",
 	)
 	require.ElementsMatch(t, []string{
-		"TestA/z failed in m/a", "TestA failed in m/a",
+		"TestA/z in m/a failed", "TestA in m/a failed",
 	}, failuresOf(t, entries("TestA/x/1"), two))
 }
 
-// TestBrokenRuns checks that a run that did not finish, or failed outside its tests, fails although its failed
-// test is listed.
+// TestBrokenRuns checks that a run that did not finish, or failed outside its tests, is reported as failed although
+// its failed test is listed.
 func TestBrokenRuns(t *testing.T) {
 	list := entries("TestA")
 	for what, r := range map[string]*run{
@@ -228,9 +229,9 @@
 	require.NotEmpty(t, failuresOf(t, "", r))
 }
 
-// TestRealRuns checks that the actual output of go test is interpreted correctly.
+// TestRealRuns checks the verdict over the actual output of go test for a generated package.
 func TestRealRuns(t *testing.T) {
-	const packageFailed, unfinished = "a did not build, panicked, exited or ran out of time", "TestA did not finish in a"
+	const packageFailed, unfinished = "a failed to build, or panicked, called os.Exit or timed out", "TestA in a did not finish"
 	for what, c := range map[string]struct {
 		body     string
 		failures []string
@@ -238,11 +239,11 @@
 		"listed": {`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("red") }) }`, nil},
 		"own": {
 			`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("red") }); t.Error("own") }`,
-			[]string{"TestA failed in a"},
+			[]string{"TestA in a failed"},
 		},
 		"passes": {
 			`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) {}) }`,
-			[]string{"TestA/x is known red, but passed"},
+			[]string{"TestA/x is on the list of known failures, but passed"},
 		},
 		"panics": {`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { panic("red") }) }`, []string{packageFailed}},
 		"exits": {
@@ -255,7 +256,7 @@
 		},
 		"compile": {
 			`func TestA(t *testing.T) { x }`,
-			[]string{packageFailed, "a run executed no test", "TestA/x is known red, but was never run"},
+			[]string{packageFailed, "a run executed no test", "TestA/x is on the list of known failures, but neither passed nor failed in any run"},
 		},
 	} {
 		t.Run(what, func(t *testing.T) {
--- a/tools/suite/verdict.go
+++ b/tools/suite/verdict.go
@@ -1,5 +1,5 @@
-// The verdict over all runs: only tests on the list of known failures may fail, and each listed test must run
-// and fail.
+// The verdict over all runs: only tests on the list of known failures may fail, and each listed test must fail in
+// at least one run.
 
 package main
 
@@ -11,15 +11,15 @@
 // verdict is the result of all runs.
 type verdict struct {
 	passed, skipped int
-	knownFailures        []string // entries of the list whose test failed as expected
-	failures        []string // each is counted and printed as one failure
+	knownFailures   []string // entries of the list whose test failed as expected
+	failures        []string // messages, one for each unexpected failure
 }
 
 func (v *verdict) fail(format string, args ...any) {
 	v.failures = append(v.failures, fmt.Sprintf(format, args...))
 }
 
-// evaluate returns the verdict over all runs, given the list of known failures.
+// evaluate returns the verdict over all runs, given the known failures.
 func evaluate(known []knownFailure, runs []*run) *verdict {
 	v := &verdict{}
 	for _, r := range runs {
@@ -37,13 +37,13 @@
 		}
 		switch {
 		case len(packages) > 1:
-			v.fail("%s is known red, but several packages have a test with this name", k.name)
+			v.fail("%s is on the list of known failures, but several packages have a test with this name", k.name)
 		case outcomes["fail"] > 0:
 			v.knownFailures = append(v.knownFailures, k.String())
 		case outcomes["pass"] > 0:
-			v.fail("%s is known red, but passed", k.name)
+			v.fail("%s is on the list of known failures, but passed", k.name)
 		default:
-			v.fail("%s is known red, but was never run", k.name)
+			v.fail("%s is on the list of known failures, but neither passed nor failed in any run", k.name)
 		}
 	}
 	return v
@@ -59,10 +59,10 @@
 		case t.outcome == "fail":
 			packagesWithFailedTest[t.pkg] = true
 			if !isListed(known, t) && !r.failedOnlyInListedSubtests(known, t) {
-				v.fail("%s failed in %s", t.name, t.pkg)
+				v.fail("%s in %s failed", t.name, t.pkg)
 			}
 		case t.outcome == "":
-			v.fail("%s did not finish in %s", t.name, t.pkg)
+			v.fail("%s in %s did not finish", t.name, t.pkg)
 		case !isListed(known, t):
 			v.passed++
 		}
@@ -73,7 +73,7 @@
 		case p.outcome == "":
 			v.fail("%s did not finish", p.name)
 		case p.outcome == "fail" && !p.testsFinished:
-			v.fail("%s did not build, panicked, exited or ran out of time", p.name)
+			v.fail("%s failed to build, or panicked, called os.Exit or timed out", p.name)
 		case p.outcome == "fail" && !packagesWithFailedTest[p.name]:
 			v.fail("%s failed, but none of its tests did", p.name)
 		case p.raceOutsideTests:
@@ -88,7 +88,7 @@
 	}
 }
 
-// isListed reports whether the list names a test.
+// isListed reports whether a known failure names a test.
 func isListed(known []knownFailure, t *test) bool {
 	for _, k := range known {
 		if k.matches(t) {
@@ -99,7 +99,8 @@
 }
 
 // failedOnlyInListedSubtests reports whether a test failed only because of its subtests, and all innermost
-// subtests that failed are listed.
+// subtests that failed are listed. A test that logged a line itself is assumed to have failed by itself too,
+// because the output does not distinguish t.Log from t.Error.
 func (r *run) failedOnlyInListedSubtests(known []knownFailure, t *test) bool {
 	if t.logged {
 		return false
@@ -122,7 +123,7 @@
 	return s.pkg == t.pkg && strings.HasPrefix(s.name, t.name+"/")
 }
 
-// hasFailedSubtest reports whether a subtest of a test failed.
+// hasFailedSubtest reports whether a direct or indirect subtest of a test failed in this run.
 func (r *run) hasFailedSubtest(t *test) bool {
 	for _, s := range r.tests {
 		if s.outcome == "fail" && r.isSubtest(s, t) {
