--- a/internal/exchangemetrics/metrics.go
+++ b/internal/exchangemetrics/metrics.go
@@ -1,6 +1,7 @@
-// Package exchangemetrics measures how the time of exchanges is spent: a histogram of each step's duration,
-// and a counter of exchanges by the step that cost the most time when they missed their route's latency
-// targets. A router node serves these metrics at its metrics endpoint and logs a summary when it stops.
+// Package exchangemetrics measures how the time of exchanges is spent. An exchange is one client request and its
+// streamed answer, whose parts are called events. The package has a histogram of each step's duration, and a counter
+// of exchanges by the cause of missed latency targets: the longest step before a late first event, or a long pause.
+// A router node serves these metrics at its metrics endpoint and logs a summary when it stops.
 package exchangemetrics
 
 import (
@@ -14,37 +15,39 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Cause is the reason why an exchange missed its latency targets, or Met if it met them.
+// Cause is the reason why an exchange missed its latency targets or was not completed, or Met if it met the targets.
 type Cause string
 
-// The causes, in the order of the steps of an exchange.
+// The causes. Those for steps of an exchange are in the order of the steps.
 const (
 	Met          Cause = "met"
-	Admission    Cause = "admission"     // until a prefill worker was chosen
-	PrefillQueue Cause = "prefill_queue" // at the prefill worker, beyond the expected prefill time
-	Prefill      Cause = "prefill"       // the prefill, at most its expected time
+	Admission    Cause = "admission"     // the time until a prefill worker was chosen
+	PrefillQueue Cause = "prefill_queue" // the time at the prefill worker beyond the expected prefill time
+	Prefill      Cause = "prefill"       // the time at the prefill worker up to the expected prefill time
 	Transfer     Cause = "transfer"      // from the end of prefill to the first event: KV cache transfer and decode queue
 	Pause        Cause = "pause"         // the longest time between two events
-	Rejected     Cause = "rejected"      // the exchange was not run
+	Rejected     Cause = "rejected"      // the node rejected the request
 	Aborted      Cause = "aborted"       // the exchange ended without a complete answer
 )
 
-// StepDurations holds the durations of the steps of one exchange; zero for a step that did not happen.
+// StepDurations holds the durations of the steps of one exchange, 0 for a step that did not happen, and the longest
+// time between two events. Transfer is the whole time to the first event if there was no separate prefill.
 type StepDurations struct {
 	Admission, PrefillQueue, Prefill, Transfer time.Duration
 	LongestPause                               time.Duration
 }
 
-// FirstEvent returns the time until the first event.
+// FirstEvent returns the time from the request to the first event.
 func (t StepDurations) FirstEvent() time.Duration {
 	return t.Admission + t.PrefillQueue + t.Prefill + t.Transfer
 }
 
-// Targets holds the latency targets of a route; zero means no target.
+// Targets holds a route's targets for the time to the first event and for the longest time between two events. Zero
+// means no target.
 type Targets struct{ FirstEvent, Pause time.Duration }
 
-// CauseOf returns the cause by which a complete answer missed its targets. If the first event was late, the
-// cause is the longest step before it.
+// CauseOf returns the cause by which an exchange with a complete answer missed its targets, or Met. If the first
+// event was late, the cause is the longest step before it.
 func CauseOf(t StepDurations, targets Targets) Cause {
 	if targets.FirstEvent > 0 && t.FirstEvent() > targets.FirstEvent {
 		longest, cause := t.Admission, Admission
@@ -87,7 +90,7 @@
 	exchanges *prometheus.CounterVec
 }
 
-// New returns metrics with all counts at zero.
+// New returns metrics in which nothing is counted yet.
 func New() *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
@@ -137,7 +140,8 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Summary returns one line with the number of exchanges by cause and the mean duration of each step.
+// Summary returns one line with the number of exchanges by cause and the mean duration of each step, or the text of
+// the error if the metrics cannot be collected.
 func (m *Metrics) Summary() string {
 	families, err := m.registry.Gather()
 	if err != nil {
--- a/internal/exchangemetrics/metrics_test.go
+++ b/internal/exchangemetrics/metrics_test.go
@@ -12,7 +12,7 @@
 const ms = time.Millisecond
 
 // TestCauseOf checks that a late first event is attributed to the longest step before it, that a long pause
-// counts only if the first event was in time, and that a route without targets misses none.
+// counts only if the first event was in time, and that an exchange without targets always has the cause Met.
 func TestCauseOf(t *testing.T) {
 	targets := Targets{FirstEvent: 400 * ms, Pause: 200 * ms}
 	for _, c := range []struct {
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,8 +1,8 @@
-// Package retrybudget limits the total number of retries of all nodes of a fleet, without messages between them.
-// Each node may make retries up to a ratio of the requests that it received itself, plus its share of a fleet-wide
-// allowance. The caller computes the share: it divides the allowance by the number of nodes that RecordNodeCount
-// returns, the largest number that was visible recently, so that the total stays within the limit while nodes are
-// partitioned from each other.
+// Package retrybudget limits the total number of retries of all nodes of a fleet in a sliding window, without
+// messages between the nodes. Each node may make retries up to a ratio of the requests that it received itself,
+// plus its share of a fleet-wide allowance. The caller computes the share: it divides the allowance by the number
+// of nodes that RecordNodeCount returns, the largest number that was visible recently, so that the total stays
+// within the limit while nodes are partitioned from each other.
 package retrybudget
 
 import (
--- a/internal/silence/estimate.go
+++ b/internal/silence/estimate.go
@@ -1,6 +1,6 @@
-// Package silence estimates how long healthy peers usually send nothing, so that a much longer silence is a reason
-// to probe the peer. The estimator is that of TCP's retransmission timer (RFC 6298), a mean and a mean deviation,
-// with a wider margin. A long silence alone does not make a peer count as failed; it only triggers a probe.
+// Package silence estimates how long healthy peers usually send nothing, so that a much longer silence is
+// suspicious. The estimator is that of TCP's retransmission timer (RFC 6298), a mean and a mean deviation,
+// with a wider margin. A suspicious silence only triggers a probe of the peer.
 package silence
 
 import (
--- a/tools/capacity/main.go
+++ b/tools/capacity/main.go
@@ -1,7 +1,8 @@
 // Command capacity extrapolates the metrics of the newest complete sweep of a site to a larger number of
-// nodes. It prints a Markdown table with, for each metric, the value of the median and of the busiest process
-// at each measured size, the exponent of the power law by which the value of the busiest process grows with
-// the size and that exponent's standard error, and both values at the target size. It runs no benchmark.
+// machines. A sweep is a journal entry with measurements of the router fleet at several sizes. The command prints a
+// Markdown table. For each metric, it has the value of the median and of the busiest process at each measured size,
+// the exponent of the power law by which the value of the busiest process grows with the size, the standard error of
+// that exponent, and both values at the target size. The command runs no benchmark.
 //
 //	go run ./tools/capacity SITE [TARGET [JOURNAL]]
 package main
@@ -17,7 +18,7 @@
 )
 
 const (
-	defaultTarget  = 650 // nodes
+	defaultTarget  = 650 // machines
 	defaultJournal = "journal"
 )
 
@@ -47,7 +48,7 @@
 	}
 }
 
-// newestSweep returns the newest complete sweep of a site. It relies on journal entries being named by their
+// newestSweep returns the newest complete sweep of a site. It relies on the names of journal entries sorting by
 // time.
 func newestSweep(journal, site string) (*sweep, error) {
 	paths, err := filepath.Glob(filepath.Join(journal, "*.json"))
--- a/tools/capacity/sweep.go
+++ b/tools/capacity/sweep.go
@@ -21,7 +21,7 @@
 	Digest  string   `json:"digest"`
 }
 
-// measurement holds one metric of a sweep: its value in the median and in the busiest process, by size.
+// measurement holds one metric of a sweep: for each size, its value in the median and in the busiest process.
 type measurement struct {
 	name            string
 	median, busiest []float64
@@ -40,7 +40,7 @@
 	valuePair  = regexp.MustCompile(`([\d.]+) / ([\d.]+)`)
 )
 
-// readSweep reads a journal entry. It returns nil if the entry is not that of a complete sweep.
+// readSweep reads a journal entry. It returns nil if the entry is not that of a successful sweep with a table.
 func readSweep(path string) (*sweep, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -84,14 +84,14 @@
 	return s, nil
 }
 
-// powerLaw describes the growth of a metric as a power of the size, fitted by least squares to the
-// logarithms.
+// powerLaw describes the growth of a metric as a power of the size, fitted by least squares to the logarithms of
+// both.
 type powerLaw struct {
-	exponent, standardError float64 // standardError is that of the exponent; NaN with two points
+	exponent, standardError float64 // standardError is that of the exponent, which is not a finite number with two sizes
 	atTarget                float64 // the extrapolated value at the target size
 }
 
-// fit fits a power law to a metric. It returns false if a value is not above 0 and so has no logarithm.
+// fit fits a power law to the values of a metric. It returns false if a value is not above 0 and so has no logarithm.
 func fit(sizes []int, values []float64, target int) (powerLaw, bool) {
 	n := float64(len(sizes))
 	var sumX, sumY float64
--- a/tools/capacity/sweep_test.go
+++ b/tools/capacity/sweep_test.go
@@ -46,8 +46,8 @@
 	require.ErrorContains(t, err, "no complete sweep of c")
 }
 
-// TestFit checks that a power law is recognized and extrapolated, that a constant stays constant, and that a
-// metric with a value of 0 has no fit.
+// TestFit checks that a power law is recognized and extrapolated, that a constant stays constant, that a metric with
+// a value of 0 has no fit, and that values off the power law give a standard error above 0.
 func TestFit(t *testing.T) {
 	sizes := []int{10, 100, 1000}
 	line, ok := fit(sizes, []float64{2, 20, 200}, 10000)
--- a/tools/exported/main.go
+++ b/tools/exported/main.go
@@ -1,7 +1,7 @@
-// Command exported checks that every exported item has a doc comment in the packages of a list. A package
-// whose exported items are all documented must be on the list, so the list only grows. The command prints the
-// number of listed packages and the number of items that are still undocumented in other packages. It does
-// not check the form of comments; staticcheck does that.
+// Command exported checks that every exported item of each listed package has a doc comment. A package whose
+// exported items are all documented must be on the list, so that the list only grows. The command prints the
+// number of listed packages, the number of all packages and the number of items that are still undocumented in
+// packages that are not listed. It does not check the form of comments; staticcheck does that.
 // Usage: exported [-v] LIST
 package main
 
--- a/tools/exported/main_test.go
+++ b/tools/exported/main_test.go
@@ -10,8 +10,8 @@
 // sourceFile returns a file with the given contents for a test file system.
 func sourceFile(text string) *fstest.MapFile { return &fstest.MapFile{Data: []byte(text)} }
 
-// TestScan checks which exported items count as undocumented, and that tests, generated files and packages
-// of only those are skipped.
+// TestScan checks which exported items count as undocumented, and that tests, generated files and packages that
+// consist only of these are skipped.
 func TestScan(t *testing.T) {
 	packages, err := scan(fstest.MapFS{
 		"a/a.go": sourceFile(`package a
--- a/tools/exported/scan.go
+++ b/tools/exported/scan.go
@@ -63,8 +63,8 @@
 	return []*ast.Ident{function.Name}
 }
 
-// undocumentedSpec returns the exported names of one spec that have no doc comment. The comment of a group or
-// at the end of the line counts for constants and variables; a type in a group needs its own comment.
+// undocumentedSpec returns the exported names of one spec that have no doc comment. For constants and variables, a
+// comment on their group or at the end of the line counts too; a type in a group needs its own comment.
 func undocumentedSpec(declaration *ast.GenDecl, spec ast.Spec) []*ast.Ident {
 	switch s := spec.(type) {
 	case *ast.TypeSpec:
--- a/tools/findings/main.go
+++ b/tools/findings/main.go
@@ -1,5 +1,6 @@
 // Command findings runs staticcheck (with -f json) and ignores the findings in a list that may only shrink: a
-// listed finding that is no longer reported must be removed from it. It prints the number of listed findings.
+// listed finding that is no longer reported must be removed from it. It prints the number of findings and the
+// number of listed ones.
 // Usage: findings LIST -- staticcheck -f json PACKAGE...
 package main
 
@@ -41,7 +42,7 @@
 	}
 }
 
-// exitFindings is the exit code of staticcheck if it has findings, but also if it could not run.
+// exitFindings is the exit code of staticcheck if it has findings, but also if it could not check the code.
 const exitFindings = 1
 
 // runChecker returns the findings of a command. The command must either succeed without findings, or exit with
@@ -78,8 +79,8 @@
 	} `json:"location"`
 }
 
-// id identifies a finding by its file, check and message. It omits the line, which changes with every edit
-// above it.
+// id identifies a finding by its file, check and message. It omits the line number, which changes with edits above
+// the line.
 func (f finding) id() string {
 	return fmt.Sprintf("%s %s %s", f.Location.File, f.Code, f.Message)
 }
--- a/tools/findings/main_test.go
+++ b/tools/findings/main_test.go
@@ -39,7 +39,7 @@
 	require.Empty(t, reported)
 }
 
-// TestRun checks that a checker that could not do its work is an error, and does not count as no findings.
+// TestRun checks that a checker that could not check the code is an error, and does not count as no findings.
 func TestRun(t *testing.T) {
 	findingJSON := `{"code":"U1000","location":{"file":"a.go","line":1,"column":1},"message":"m"}`
 	for script, count := range map[string]int{"exit 0": 0, "echo '" + findingJSON + "'; exit 1": 1} {
--- a/tools/names/main.go
+++ b/tools/names/main.go
@@ -1,5 +1,6 @@
-// Command names checks that the platform's own names are used in only one module: no source file elsewhere
-// may contain a word of the list. Usage: names platform/names.txt
+// Command names checks that the platform's own names are used only in the directory that contains the list of these
+// names: no source file in another directory, except those in exemptDirs, may contain a word of the list.
+// Usage: names platform/names.txt
 package main
 
 import (
@@ -38,7 +39,7 @@
 	}
 }
 
-// exemptDirs may contain any word: the deployment and the documents about the platform, and build and run
+// exemptDirs may contain any word: the deployment, the documents about the platform, the journal, and build and run
 // output.
 var exemptDirs = []string{"deploy", "docs", "journal", "bin", "testbed-data"}
 
@@ -68,8 +69,8 @@
 	return violations
 }
 
-// pattern matches any of the words as whole words: if a word starts or ends with a letter, digit or underscore,
-// no such character may come before or after it. Longer words are tried first.
+// pattern returns a pattern that matches any of the words as a whole word: if a word starts or ends with a letter,
+// digit or underscore, no such character may come before its start or after its end. Longer words are tried first.
 func pattern(words []string) *regexp.Regexp {
 	wordCharacter := regexp.MustCompile(`^\w$`)
 	longestFirst := slices.Clone(words)
--- a/tools/ratchet/ratchet.go
+++ b/tools/ratchet/ratchet.go
@@ -40,8 +40,8 @@
 	return entries, nil
 }
 
-// Compare returns the findings that are not listed, and the listed entries that were not found, both sorted and
-// without duplicates.
+// Compare returns the entries of found that are not listed, and the listed entries that were not found, both sorted
+// and without duplicates.
 func Compare(listed, found []string) (unlisted, stale []string) {
 	return without(found, listed), without(listed, found)
 }
--- a/tools/source/source.go
+++ b/tools/source/source.go
@@ -20,8 +20,9 @@
 // skippedDirs contain no source of the project, but build and run output and test data.
 var skippedDirs = []string{"bin", "testbed-data", "target", "testdata"}
 
-// Files parses every Go file of the tree except generated ones, in the order of their paths. The file set
-// gets their positions. A file that cannot be read or parsed is an error.
+// Files parses every Go file of the tree except generated files and those in hidden or skipped directories. It
+// returns them in the order of their paths and adds their positions to the file set. A file that cannot be read or
+// parsed is an error.
 func Files(root fs.FS, set *token.FileSet) ([]File, error) {
 	var files []File
 	err := fs.WalkDir(root, ".", func(name string, entry fs.DirEntry, err error) error {
--- a/tools/suite/suite_test.go
+++ b/tools/suite/suite_test.go
@@ -236,22 +236,22 @@
 		body     string
 		failures []string
 	}{
-		"listed": {`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("red") }) }`, nil},
+		"listed": {`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("listed") }) }`, nil},
 		"own": {
-			`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("red") }); t.Error("own") }`,
+			`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("listed") }); t.Error("own") }`,
 			[]string{"TestA in a failed"},
 		},
 		"passes": {
 			`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) {}) }`,
 			[]string{"TestA/x is on the list of known failures, but passed"},
 		},
-		"panics": {`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { panic("red") }) }`, []string{packageFailed}},
+		"panics": {`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { panic("listed") }) }`, []string{packageFailed}},
 		"exits": {
-			`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("red") }); os.Exit(1) }`,
+			`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("listed") }); os.Exit(1) }`,
 			[]string{unfinished, packageFailed},
 		},
 		"late": {
-			`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("red") }); select {} }`,
+			`func TestA(t *testing.T) { t.Run("x", func(t *testing.T) { t.Error("listed") }); select {} }`,
 			[]string{unfinished, packageFailed},
 		},
 		"compile": {
