--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -22,8 +22,9 @@
 	claimTimeout = 900 * time.Millisecond // for claiming an action in the replicated log
 	// startTimeout is the time, counted from the request for its claim, within which an action must start.
 	startTimeout = 1500 * time.Millisecond
-	// CallTimeout limits the duration of a call, including that of its connection. The lease must be long enough
-	// for the call to end before the next owner may start a call; NewRunner does not check this.
+	// CallTimeout limits the duration of a call and of its connection, which a Call must close when its context
+	// ends. It must be shorter than the time that a new owner waits before its first call; NewRunner does not
+	// check this.
 	CallTimeout = 2 * time.Second
 	doneTimeout = 700 * time.Millisecond // for recording in the replicated log that an action is done
 )
--- a/internal/metering/collector.go
+++ b/internal/metering/collector.go
@@ -11,8 +11,8 @@
 // offsetMaxAge is the time after a node's last report for which its clock offset counts towards the median.
 const offsetMaxAge = 10 * time.Second
 
-// NodeReport is a report of a node's counts and clock to the collector. The counts of a node are those of all its
-// reports together.
+// NodeReport is a report of a node's counts and clock to the collector. It may have only some of the node's counts;
+// the collector combines those of all the node's reports.
 type NodeReport struct {
 	Node          ids.NodeID
 	StartWindow   uint64 // the window in which the node started
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -14,8 +14,9 @@
 
 const (
 	bucketCount = 20 // buckets in a window
-	// NodeCountTTL is the minimum time for which a node that is no longer visible still counts. A node that
-	// no other process has contacted for this long must not spend from the allowance.
+	// NodeCountTTL is the minimum time for which a node that is no longer visible still counts. It counts for at
+	// most about twice this time if RecordNodeCount is called often. A node that no other process has contacted
+	// for NodeCountTTL must not spend from the allowance.
 	NodeCountTTL = 2 * time.Minute
 )
 
--- a/tools/suite/main.go
+++ b/tools/suite/main.go
@@ -88,7 +88,7 @@
 	return r
 }
 
-// print writes the known failures that occurred, the unexpected failures and the totals.
+// print writes the known failures that occurred, the reasons why the runs do not pass, and the totals.
 func (v *verdict) print(w io.Writer) {
 	fmt.Fprintln(w)
 	for _, line := range v.knownFailures {
--- a/tools/suite/verdict.go
+++ b/tools/suite/verdict.go
@@ -12,7 +12,7 @@
 type verdict struct {
 	passed, skipped int
 	knownFailures   []string // entries of the list whose test failed as expected
-	failures        []string // messages, one for each unexpected failure
+	failures        []string // messages, one for each reason why the runs do not pass
 }
 
 func (v *verdict) fail(format string, args ...any) {
@@ -99,8 +99,8 @@
 }
 
 // failedOnlyInListedSubtests reports whether a test failed only because of its subtests, and all innermost
-// subtests that failed are listed. A test that logged a line itself is assumed to have failed by itself too,
-// because the output does not distinguish t.Log from t.Error.
+// subtests that failed are listed. A test that logged a line itself may have failed by itself too, so the
+// result is false for it.
 func (r *run) failedOnlyInListedSubtests(known []knownFailure, t *test) bool {
 	if t.logged {
 		return false
