--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -24,12 +24,12 @@
 func (c *testClock) Now() ids.Tick   { return c.now }
 func (c *testClock) Wall() time.Time { return time.Unix(0, int64(c.now)) }
 
-// testAgent owns the key unless its fence is 0, and applies rounds to its own state machine.
+// testAgent owns the key unless its fence is 0, and applies the submitted commands to its own state machine.
 type testAgent struct {
 	fence      ids.Fence // 0 if the key is not owned
 	operations int
 	state      *fleetstate.Machine
-	onRound    func(command *fleetstate.DutyRound)
+	onSubmit   func(command *fleetstate.DutyRound)
 }
 
 func (a *testAgent) Self() coordination.Member { return coordination.Member{Node: "self"} }
@@ -51,8 +51,8 @@
 	if _, err := command.UnmarshalMsg(body); err != nil {
 		return nil, err
 	}
-	if a.onRound != nil {
-		a.onRound(&command)
+	if a.onSubmit != nil {
+		a.onSubmit(&command)
 	}
 	out, err := a.state.Apply(1, kind, body)
 	if errors.Is(err, coordination.ErrUnchanged) {
@@ -66,12 +66,12 @@
 	agent := &testAgent{fence: 5, state: fleetstate.NewMachine(fleetstate.MachineOptions{})}
 	clock := &testClock{now: ids.Tick(time.Hour)}
 	runner := NewRunner(agent, clock, testKey, testLease)
-	runner.Ownership()
+	runner.CheckOwnership()
 	clock.now = clock.now.Add(4 * time.Second)
 	return agent, clock, runner
 }
 
-// recorder records the actions that it is called for, and returns err for each.
+// recorder has a Call that records each action and returns err.
 type recorder struct {
 	actions []Action
 	err     error
@@ -82,8 +82,8 @@
 	return r.err
 }
 
-// TestPerform checks that an action is called with the content of its first round, repeatedly until the
-// receiver accepts it, and not after that.
+// TestPerform checks that each attempt at an action has the content of the action's first claim, that a failed
+// action can be performed again, and that no call is made for an action that is done.
 func TestPerform(t *testing.T) {
 	agent, _, runner := newReadyRunner()
 	r := &recorder{err: errors.New("refused")}
@@ -101,32 +101,33 @@
 	require.Zero(t, agent.operations)
 }
 
-// TestRunnerWaitsAfterGrant checks that a node performs actions only when it has owned the key for over a
-// lease, so that the last action of an earlier owner has ended, and waits again after each loss.
+// TestRunnerWaitsAfterGrant checks that a node performs actions only when it has owned the key for longer than a
+// lease, so that the last action of an earlier owner has ended, and waits again when the key is granted again.
 func TestRunnerWaitsAfterGrant(t *testing.T) {
 	agent, clock, _ := newReadyRunner()
 	runner := NewRunner(agent, clock, testKey, testLease)
 	r := &recorder{}
-	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrMayNotAct)
 	clock.now = clock.now.Add(testLease + 500*time.Millisecond)
-	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrMayNotAct)
 	clock.now = clock.now.Add(200 * time.Millisecond)
 	require.NoError(t, runner.Perform(t.Context(), "s", 1, nil, r.call))
 	agent.fence = 6
-	require.ErrorIs(t, runner.Perform(t.Context(), "s", 2, nil, r.call), ErrNotHeld)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 2, nil, r.call), ErrMayNotAct)
 	agent.fence = 0
-	require.ErrorIs(t, runner.Perform(t.Context(), "s", 2, nil, r.call), ErrNotHeld)
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 2, nil, r.call), ErrMayNotAct)
 	require.Len(t, r.actions, 1)
 }
 
-// TestActionNotStartedAfterDeadline checks that no call starts after a slow round or a pause of the process.
+// TestActionNotStartedAfterDeadline checks that no call starts if claiming the action took too long, and that
+// MayStart returns false after a pause of the process.
 func TestActionNotStartedAfterDeadline(t *testing.T) {
 	agent, clock, runner := newReadyRunner()
 	r := &recorder{}
-	agent.onRound = func(*fleetstate.DutyRound) { clock.now = clock.now.Add(startTimeout + time.Millisecond) }
-	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
+	agent.onSubmit = func(*fleetstate.DutyRound) { clock.now = clock.now.Add(startTimeout + time.Millisecond) }
+	require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrMayNotAct)
 	require.Empty(t, r.actions)
-	agent.onRound = nil
+	agent.onSubmit = nil
 	require.NoError(t, runner.Perform(t.Context(), "s", 1, nil, func(_ context.Context, action *Action) error {
 		require.True(t, action.MayStart())
 		clock.now = clock.now.Add(startTimeout + time.Millisecond)
@@ -136,13 +137,13 @@
 }
 
 // TestActionNotStartedAfterKeyLost checks that no call starts once the key is lost or was granted again under
-// another fencing token, and that the key is not given back during a call.
+// another fencing token, and that an operation on the key is open during a call, so that the key is not released.
 func TestActionNotStartedAfterKeyLost(t *testing.T) {
 	for _, fence := range []ids.Fence{0, 6} {
 		agent, _, runner := newReadyRunner()
 		r := &recorder{}
-		agent.onRound = func(*fleetstate.DutyRound) { agent.fence = fence }
-		require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrNotHeld)
+		agent.onSubmit = func(*fleetstate.DutyRound) { agent.fence = fence }
+		require.ErrorIs(t, runner.Perform(t.Context(), "s", 1, nil, r.call), ErrMayNotAct)
 		require.Empty(t, r.actions)
 		agent, _, runner = newReadyRunner()
 		require.NoError(t, runner.Perform(t.Context(), "s", 1, nil, func(_ context.Context, action *Action) error {
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -9,7 +9,7 @@
 	"keelstair.example/ids"
 )
 
-// testClock is a machine's clocks. Tests can step the wall clock; the steady clock only advances.
+// testClock simulates the clocks of a machine. Tests can step the wall clock; the monotonic clock only advances.
 type testClock struct {
 	now  ids.Tick
 	wall time.Time
@@ -28,10 +28,10 @@
 // TestWallClockStepDoesNotMoveWindows checks that a step of the wall clock under a running process changes
 // neither the estimated time nor the window.
 func TestWallClockStepDoesNotMoveWindows(t *testing.T) {
-	steady := &testClock{now: 5, wall: start}
-	clock := NewClock(steady)
-	steady.advance(3 * time.Second)
-	steady.wall = steady.wall.Add(-time.Hour)
+	hostClock := &testClock{now: 5, wall: start}
+	clock := NewClock(hostClock)
+	hostClock.advance(3 * time.Second)
+	hostClock.wall = hostClock.wall.Add(-time.Hour)
 	require.Equal(t, start.Add(3*time.Second).UnixNano(), clock.Now())
 	windows := Windows(5 * time.Second)
 	number := windows.At(clock.Now())
@@ -39,25 +39,25 @@
 	require.EqualValues(t, (number+1)*5*uint64(time.Second), windows.End(number))
 }
 
-// TestClockCorrectedToMedian checks that a node that started with a wrong wall clock is corrected to the
-// median of all clocks.
+// TestClockCorrectedToMedian checks that the clock of a node that started with a wrong wall clock is corrected to
+// the median of all nodes' clocks, and that nodes that have not reported for offsetMaxAge no longer count.
 func TestClockCorrectedToMedian(t *testing.T) {
-	steady := &testClock{wall: start.Add(time.Hour)}
-	clock := NewClock(steady) // the clock of the collector, which is wrong
+	hostClock := &testClock{wall: start.Add(time.Hour)}
+	clock := NewClock(hostClock) // the collector's clock, which is one hour ahead
 	c := NewCollector(clock)
-	right := start.UnixNano()
+	trueTime := start.UnixNano()
 	c.Record(&NodeReport{Node: "self", OwnTime: clock.OwnTime()})
-	c.Record(&NodeReport{Node: "a", OwnTime: right})
-	got := c.Record(&NodeReport{Node: "b", OwnTime: right + int64(time.Millisecond)})
-	require.Equal(t, right+int64(time.Millisecond), got)
+	c.Record(&NodeReport{Node: "a", OwnTime: trueTime})
+	got := c.Record(&NodeReport{Node: "b", OwnTime: trueTime + int64(time.Millisecond)})
+	require.Equal(t, trueTime+int64(time.Millisecond), got)
 	clock.Correct(time.Duration(got - clock.OwnTime()))
 	require.Equal(t, got, clock.Now())
-	steady.advance(offsetMaxAge + time.Second)
+	hostClock.advance(offsetMaxAge + time.Second)
 	require.Equal(t, clock.OwnTime(), c.Record(&NodeReport{Node: "self", OwnTime: clock.OwnTime()}), "the reports of the other nodes are too old")
 }
 
-// TestLedger checks that each change of a count is sent to a collector until it is acknowledged, and that a
-// new collector gets all counts.
+// TestLedger checks that a changed count is unacknowledged until its current value has been acknowledged, that
+// all counts are unacknowledged after a reset, and that old counts are pruned.
 func TestLedger(t *testing.T) {
 	l := NewLedger()
 	l.Add(7, "b")
@@ -77,8 +77,8 @@
 	require.Equal(t, []Row{{7, "a", 2}, {7, "b", 1}}, l.Unacknowledged())
 }
 
-// TestRepeatedCountsAddedOnce checks that counts that arrive again, late or out of order are added once, and
-// that the counts of a restarted node are added to those of its previous run.
+// TestRepeatedCountsAddedOnce checks that counts that arrive repeatedly or out of order are added once, and that
+// the counts of a restarted node are added to those of its previous process.
 func TestRepeatedCountsAddedOnce(t *testing.T) {
 	clock := NewClock(&testClock{wall: start})
 	c := NewCollector(clock)
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,7 +1,8 @@
-// Package retrybudget bounds the retries that all nodes of a fleet make together, without messages between
-// them. Each node may spend a ratio of the requests that it received itself, plus its share of a fleet-wide
-// allowance. The share is the allowance divided by the largest number of recently visible nodes, so that the
-// total stays within the bound while nodes are partitioned from each other.
+// Package retrybudget limits the total number of retries of all nodes of a fleet in a sliding window, without
+// messages between the nodes. Each node may make retries up to a ratio of the requests that it received itself,
+// plus its share of a fleet-wide allowance. The caller computes the share: it divides the allowance by the number
+// of nodes that RecordNodeCount returns, the largest number that was visible recently, so that the total stays
+// within the limit while nodes are partitioned from each other.
 package retrybudget
 
 import (
@@ -13,8 +14,9 @@
 
 const (
 	bucketCount = 20 // buckets in a window
-	// NodeCountTTL is the minimum time for which a node that is no longer a member still counts. A node that
-	// no other process has contacted for this long must not spend from the allowance.
+	// NodeCountTTL is the minimum time for which a node that is no longer visible still counts. It counts for at
+	// most about twice this time if RecordNodeCount is called often. A node that no other process has contacted
+	// for NodeCountTTL must not spend from the allowance.
 	NodeCountTTL = 2 * time.Minute
 )
 
@@ -25,28 +27,28 @@
 	bucketLength     time.Duration
 	requests         [bucketCount + 1]int
 	retries          [bucketCount + 1]int
-	lastBucket       int64
-	maxNodes         int
-	periodStart      ids.Tick
-	previousMaxNodes int
+	lastBucket       int64    // number of the newest bucket since tick 0, not its index in the ring
+	maxNodes         int      // the largest number of visible nodes in the current period of NodeCountTTL
+	periodStart      ids.Tick // the start of that period
+	previousMaxNodes int      // the largest number of visible nodes in the previous period
 }
 
-// New returns a budget over a window.
+// New returns a budget for a sliding window of the given length.
 func New(window time.Duration) *Budget { return &Budget{bucketLength: window / bucketCount} }
 
 // advance clears the buckets that have expired and returns the index of the current one.
 func (b *Budget) advance(now ids.Tick) int {
-	at := int64(now) / int64(b.bucketLength)
-	if b.lastBucket == 0 || at-b.lastBucket > bucketCount {
+	bucket := int64(now) / int64(b.bucketLength)
+	if b.lastBucket == 0 || bucket-b.lastBucket > bucketCount {
 		clear(b.requests[:])
 		clear(b.retries[:])
 	} else {
-		for i := b.lastBucket + 1; i <= at; i++ {
+		for i := b.lastBucket + 1; i <= bucket; i++ {
 			b.requests[i%(bucketCount+1)], b.retries[i%(bucketCount+1)] = 0, 0
 		}
 	}
-	b.lastBucket = max(at, b.lastBucket)
-	return int(at % (bucketCount + 1))
+	b.lastBucket = max(bucket, b.lastBucket)
+	return int(bucket % (bucketCount + 1))
 }
 
 // RecordNodeCount records how many nodes are visible now, and returns the largest number that was visible
@@ -68,8 +70,9 @@
 	b.requests[b.advance(now)]++
 }
 
-// Spend counts one more retry and returns true if the retries of the window then stay within a ratio of its
-// requests plus an allowance.
+// Spend counts one more retry and returns true if the retries in the window, including this one, are at most ratio
+// times the requests in the window plus allowance, which is this node's share of the fleet-wide allowance.
+// Otherwise it returns false and the caller must not retry.
 func (b *Budget) Spend(now ids.Tick, ratio, allowance float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
