--- a/tools/suite/main.go
+++ b/tools/suite/main.go
@@ -92,11 +92,11 @@
 func (v *verdict) print(w io.Writer) {
 	fmt.Fprintln(w)
 	for _, line := range v.knownFailures {
-		fmt.Fprintln(w, "known failure:", line)
+		fmt.Fprintln(w, "known red:", line)
 	}
 	for _, line := range v.failures {
 		fmt.Fprintln(w, "FAILED:", line)
 	}
-	fmt.Fprintf(w, "%d skipped, %d known failures\n", v.skipped, len(v.knownFailures))
+	fmt.Fprintf(w, "%d skipped, %d known red\n", v.skipped, len(v.knownFailures))
 	fmt.Fprintf(w, "%d passed, %d failed\n", v.passed, len(v.failures))
 }
