--- a/internal/fleetstate/audit.go
+++ b/internal/fleetstate/audit.go
@@ -23,11 +23,11 @@
 // AuditStep is one step of a request: the operation, the worker that ran it, the serial of the
 // certificate that allowed it, and the fleet's time in nanoseconds since 1970.
 type AuditStep struct {
-	Attempt   int    `json:"attempt,omitempty"`
-	Operation string `json:"what"`
-	Worker    string `json:"worker"`
-	Serial    string `json:"serial"`
-	At        int64  `json:"at"`
+	Attempt int    `json:"attempt,omitempty"`
+	What    string `json:"what"`
+	Worker  string `json:"worker"`
+	Serial  string `json:"serial"`
+	At      int64  `json:"at"`
 }
 
 // AuditRecord is the audit log's record of a request under a regime. It is written with the
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -27,11 +27,11 @@
 		return
 	}
 	t.auditSteps = append(t.auditSteps, fleetstate.AuditStep{
-		Attempt:   id.Attempt,
-		Operation: verb,
-		Worker:    string(w),
-		Serial:    serial,
-		At:        t.node.fleetTime().High,
+		Attempt: id.Attempt,
+		What:    verb,
+		Worker:  string(w),
+		Serial:  serial,
+		At:      t.node.fleetTime().High,
 	})
 }
 
@@ -110,7 +110,7 @@
 	}
 	serial, _ := n.clearance(t.regime, certification.Subject{Worker: claim.Worker}, ids.Decode)
 	t.auditSteps = []fleetstate.AuditStep{
-		{Operation: "settled", Worker: string(claim.Worker), Serial: serial, At: n.fleetTime().High},
+		{What: "settled", Worker: string(claim.Worker), Serial: serial, At: n.fleetTime().High},
 	}
 	return t.auditRecord(RequestIDForKey(claim.Key), claim.Key, outcome)
 }
