--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/audit_model_test.go
@@ -256,7 +256,7 @@
 	m.cluster.Recorder.mu.Lock()
 	defer m.cluster.Recorder.mu.Unlock()
 	violations := &violationList{}
-	started, staged := map[string]RecordedEvent{}, map[string]RecordedEvent{}
+	started, staged := map[string]RecordedWorkerEvent{}, map[string]RecordedWorkerEvent{}
 	for _, e := range m.cluster.Recorder.events {
 		if m.governedRequests[e.ID.Request] == "" {
 			continue
@@ -264,22 +264,22 @@
 		run := fmt.Sprint(e.Worker, e.ID)
 		switch e.Kind {
 		case "prefill", "import", "export", "resume", "resumed", "record":
-			if !m.isCleared(e.Worker, e.When) {
-				violations.add(Uncertified, "uncertified %s handled %s of %s at %s", e.Worker, e.Kind, e.ID.Request, e.When)
+			if !m.isCleared(e.Worker, e.RecordedAt) {
+				violations.add(Uncertified, "uncertified %s handled %s of %s at %s", e.Worker, e.Kind, e.ID.Request, e.RecordedAt)
 			}
 		}
 		switch e.Kind {
 		case "prefill", "import":
 			started[run] = e
 		case "export", "cancel", "record", "lost", "bounced", "orphan-run", "orphan-import":
-			if previous, ok := started[run]; ok && !m.isCleared(e.Worker, e.When) {
+			if previous, ok := started[run]; ok && !m.isCleared(e.Worker, e.RecordedAt) {
 				violations.add(
 					Uncertified,
 					"uncertified %s still ran %s, started at %s, at %s",
 					e.Worker,
 					e.ID.Request,
-					previous.When,
-					e.When,
+					previous.RecordedAt,
+					e.RecordedAt,
 				)
 			}
 			delete(started, run)
@@ -288,11 +288,11 @@
 		case "export":
 			staged[run] = e
 		case "unstaged":
-			if !m.isCleared(e.Worker, e.When) {
-				violations.add(Uncertified, "uncertified %s kept the KV cache of %s staged until %s", e.Worker, e.ID.Request, e.When)
+			if !m.isCleared(e.Worker, e.RecordedAt) {
+				violations.add(Uncertified, "uncertified %s kept the KV cache of %s staged until %s", e.Worker, e.ID.Request, e.RecordedAt)
 			}
 			if previous, ok := staged[run]; ok {
-				m.stagingTimes = append(m.stagingTimes, e.When-previous.When)
+				m.stagingTimes = append(m.stagingTimes, e.RecordedAt-previous.RecordedAt)
 			}
 		}
 	}
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -14,15 +14,15 @@
 	"keelstair.example/internal/workerclient"
 )
 
-type fakeTallies map[string]standin.RequestCounts
+type fakeRequestCounter map[string]standin.RequestCounts
 
-func (f fakeTallies) RequestCounts() map[string]standin.RequestCounts { return f }
+func (f fakeRequestCounter) RequestCounts() map[string]standin.RequestCounts { return f }
 
 // TestCheckersCatch records one violation of each rule and requires that exactly this rule is
 // reported.
 func TestCheckersCatch(t *testing.T) {
 	event := func(r *Recorder, what, worker string, fence ids.Fence, v ids.Version, at time.Duration) {
-		r.events = append(r.events, RecordedEvent{
+		r.events = append(r.events, RecordedWorkerEvent{
 			standin.Event{
 				Kind:    what,
 				Worker:  ids.WorkerID(worker),
@@ -35,12 +35,12 @@
 	}
 	for rule, violate := range map[string]func(r *Recorder) []standin.Outcome{
 		RunTwice: func(r *Recorder) []standin.Outcome {
-			r.AddWorker(fakeTallies{"k-1": {Runs: 1, Finished: 1}})
-			r.AddWorker(fakeTallies{"k-1": {Runs: 1}})
+			r.AddWorker(fakeRequestCounter{"k-1": {Runs: 1, Finished: 1}})
+			r.AddWorker(fakeRequestCounter{"k-1": {Runs: 1}})
 			return nil
 		},
-		RanDespiteNotRun: func(r *Recorder) []standin.Outcome {
-			r.AddWorker(fakeTallies{router.RequestIDForKey("verdict/c1"): {Runs: 1, Finished: 1}})
+		RanThoughReportedNotRun: func(r *Recorder) []standin.Outcome {
+			r.AddWorker(fakeRequestCounter{router.RequestIDForKey("verdict/c1"): {Runs: 1, Finished: 1}})
 			return []standin.Outcome{{Kind: "verdict", Key: "c1+", End: "complete"}}
 		},
 		StreamCorrupted: func(*Recorder) []standin.Outcome {
@@ -49,26 +49,26 @@
 		OutputDiffers: func(*Recorder) []standin.Outcome {
 			return []standin.Outcome{{Kind: "rider", End: "wrong", Detail: "tokens [1]"}}
 		},
-		DecodeOutOfMemory: func(r *Recorder) []standin.Outcome { r.AddWorker(fakeTallies{"x": {OutOfBlocks: 1}}); return nil },
+		DecodeOutOfMemory: func(r *Recorder) []standin.Outcome { r.AddWorker(fakeRequestCounter{"x": {OutOfBlocks: 1}}); return nil },
 		WorkAfterLeave: func(r *Recorder) []standin.Outcome {
-			r.marks = append(r.marks, Mark{"leave", "p1", time.Second})
+			r.scriptEvents = append(r.scriptEvents, ScriptEvent{"leave", "p1", time.Second})
 			event(r, "prefill", "p1", 1, 1, 3900*time.Millisecond)
 			event(r, "prefill", "p1", 1, 1, 4100*time.Millisecond)
 			return nil
 		},
 		WorkAfterEvacuation: func(r *Recorder) []standin.Outcome {
-			r.marks = append(r.marks, Mark{"evacuate", "d1", time.Second}, Mark{"return", "d1", 8 * time.Second})
+			r.scriptEvents = append(r.scriptEvents, ScriptEvent{"evacuate", "d1", time.Second}, ScriptEvent{"return", "d1", 8 * time.Second})
 			event(r, "import", "d1", 1, 1, 9*time.Second)
 			event(r, "import", "d1", 1, 1, 7*time.Second)
 			return nil
 		},
-		ConfigurationSlow: func(r *Recorder) []standin.Outcome {
+		ConfigurationStale: func(r *Recorder) []standin.Outcome {
 			event(r, "import", "d1", 1, 5, time.Second)
 			event(r, "import", "d1", 1, 4, 1200*time.Millisecond)
 			event(r, "import", "d1", 1, 4, 1300*time.Millisecond)
 			return nil
 		},
-		ConflictingOrders: func(r *Recorder) []standin.Outcome {
+		FencingTokenDecreased: func(r *Recorder) []standin.Outcome {
 			event(r, "import", "d1", 7, 1, time.Second)
 			event(r, "import", "d1", 6, 1, 2*time.Second)
 			return nil
@@ -90,7 +90,7 @@
 	r := NewRecorder()
 	event(r, "import", "d1", 1, 5, time.Second)
 	r.grants = []Grant{{"n1", 4, 1200 * time.Millisecond}, {"n2", 4, 1300 * time.Millisecond}}
-	require.Equal(t, ConfigurationSlow, r.Check(nil)[0].Rule)
+	require.Equal(t, ConfigurationStale, r.Check(nil)[0].Rule)
 	r.grants = r.grants[:1]
 	require.Empty(t, r.Check(nil))
 	require.Equal(t, 5*time.Second, standin.LongestOutage([]standin.Outcome{
@@ -109,7 +109,7 @@
 			r.RecordActive("n2", 3, []byte("b"))
 		},
 		"refused text": func(r *Recorder) { r.RecordRefused("x"); r.RecordActive("n1", 4, []byte("x")) },
-		"slow apply":   func(r *Recorder) { r.RecordMark("slow-apply", "version 3") },
+		"slow apply":   func(r *Recorder) { r.RecordScriptEvent("slow-apply", "version 3") },
 		"": func(r *Recorder) {
 			r.RecordAck(3, "a")
 			r.RecordActive("n1", 3, []byte("a"))
@@ -130,9 +130,9 @@
 		}
 	}
 	r := NewRecorder()
-	require.False(t, r.corePartitionedSince(0))
-	r.marks = []Mark{{"partition", "core", 2}, {"heal", "core", 5}}
-	require.True(t, r.corePartitionedSince(3))
-	require.False(t, r.corePartitionedSince(6))
-	require.True(t, r.corePartitionedSince(1), "the partition began after the start of the interval")
+	require.False(t, r.controllersPartitionedSince(0))
+	r.scriptEvents = []ScriptEvent{{"partition", "core", 2}, {"heal", "core", 5}}
+	require.True(t, r.controllersPartitionedSince(3))
+	require.False(t, r.controllersPartitionedSince(6))
+	require.True(t, r.controllersPartitionedSince(1), "the partition began after the start of the interval")
 }
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -278,8 +278,8 @@
 	}
 }
 
-// Of lists the processes of a kind, running or not.
-func (c *Cluster) Of(kind string) []*Process {
+// ProcessesOfKind lists the processes of a kind, running or not.
+func (c *Cluster) ProcessesOfKind(kind string) []*Process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*Process
@@ -293,7 +293,7 @@
 
 // Leader returns the controller that leads, or nil.
 func (c *Cluster) Leader() *Process {
-	for _, p := range c.Of("controller") {
+	for _, p := range c.ProcessesOfKind("controller") {
 		if p.Up && p.Core.Leads() {
 			return p
 		}
@@ -332,7 +332,7 @@
 		return err
 	}
 	if !c.WaitUntil(10*time.Second, func() bool {
-		for _, p := range c.Of("router") {
+		for _, p := range c.ProcessesOfKind("router") {
 			if ok, _ := p.Node.Ready(); p.Up && !ok {
 				return false
 			}
@@ -350,8 +350,8 @@
 	return got, c.Post("/v1/policy", a, got)
 }
 
-// Mark takes a zone or worker out of use, or back into use if out is false.
-func (c *Cluster) Mark(path, op string, out bool) error {
+// SetOutOfService takes a zone or worker out of use, or back into use if out is false.
+func (c *Cluster) SetOutOfService(path, op string, out bool) error {
 	return c.Post(path, &api.MarkRequest{Op: op, Out: out}, nil)
 }
 
@@ -375,16 +375,16 @@
 
 // Load sends the site's request shapes for a time and waits until every request has ended.
 func (c *Cluster) Load(rate float64, span time.Duration, seed uint64) []standin.Outcome {
-	return c.LoadShapes(c.Site.Classes, rate, span, seed)
+	return c.LoadClasses(c.Site.Classes, rate, span, seed)
 }
 
-// LoadShapes is Load with the given request shapes.
-func (c *Cluster) LoadShapes(shapes []standin.StreamClass, rate float64, span time.Duration, seed uint64) []standin.Outcome {
+// LoadClasses is Load with the given request shapes.
+func (c *Cluster) LoadClasses(classes []standin.StreamClass, rate float64, span time.Duration, seed uint64) []standin.Outcome {
 	return standin.RunLoad(c.ctx, standin.LoadOptions{
 		Host:     c.clientProcess.Host(),
 		Nodes:    c.Platform.ReadyNodes,
 		Zones:    c.Site.Zones,
-		Classes:  shapes,
+		Classes:  classes,
 		Rate:     rate,
 		Duration: span,
 		Seed:     seed,
--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -56,9 +56,9 @@
 						for i := range classes {
 							classes[i].Prefixes = prefixes
 						}
-						sum := standin.Summarize(c.LoadShapes(classes, rate, 12*time.Second, seed))
+						sum := standin.Summarize(c.LoadClasses(classes, rate, 12*time.Second, seed))
 						cached, total := 0, 0
-						for _, p := range c.Of("worker") {
+						for _, p := range c.ProcessesOfKind("worker") {
 							w, n := p.Worker.PrefixHits()
 							cached, total = cached+w, total+n
 						}
--- a/internal/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -40,7 +40,7 @@
 
 func running(c *Cluster, kind string) []*Process {
 	var out []*Process
-	for _, p := range c.Of(kind) {
+	for _, p := range c.ProcessesOfKind(kind) {
 		if p.Up {
 			out = append(out, p)
 		}
@@ -119,7 +119,7 @@
 	{"the leader partitioned from the other controllers", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := leader(c)
 		var rest []*Process
-		for _, o := range c.Of("controller") {
+		for _, o := range c.ProcessesOfKind("controller") {
 			if o != p {
 				rest = append(rest, o)
 			}
@@ -130,25 +130,25 @@
 		return nil
 	}},
 	{"slow disks", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		for _, p := range c.Of("controller") {
+		for _, p := range c.ProcessesOfKind("controller") {
 			p.Machine.SetDiskDelay(randomDuration(r, 10, 120))
 		}
 		time.Sleep(randomDuration(r, 2000, 6000))
-		for _, p := range c.Of("controller") {
+		for _, p := range c.ProcessesOfKind("controller") {
 			p.Machine.SetDiskDelay(time.Millisecond)
 		}
 		return nil
 	}},
 	{"routers killed one by one", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 1 + r.IntN(3) {
-			if err := restartAfter(c, pickOne(r, c.Of("router")), randomDuration(r, 100, 2500), false); err != nil {
+			if err := restartAfter(c, pickOne(r, c.ProcessesOfKind("router")), randomDuration(r, 100, 2500), false); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
 	{"a router freezes and resumes after its keys moved", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		p := pickOne(r, c.Of("router"))
+		p := pickOne(r, c.ProcessesOfKind("router"))
 		p.Machine.Freeze(true)
 		time.Sleep(randomDuration(r, 3500, 6500))
 		p.Machine.Freeze(false)
@@ -156,64 +156,64 @@
 	}},
 	{"clocks jump", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 3 {
-			pickOne(r, append(c.Of("router"), c.Of("controller")...)).Machine.JumpClock(randomDuration(r, 500, 20000))
+			pickOne(r, append(c.ProcessesOfKind("router"), c.ProcessesOfKind("controller")...)).Machine.JumpClock(randomDuration(r, 500, 20000))
 			time.Sleep(randomDuration(r, 0, 900))
 		}
 		return nil
 	}},
 	{"a router partitioned from controllers and routers", "links", func(c *Cluster, r *rand.Rand, _ string) error {
-		p := pickOne(r, c.Of("router"))
-		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		p := pickOne(r, c.ProcessesOfKind("router"))
+		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(randomDuration(r, 1000, 6000))
 		c.World.Partition(addresses(p), peers, false)
 		return nil
 	}},
 	{"all leases expire", "links", func(c *Cluster, r *rand.Rand, _ string) error {
-		c.PartitionCore(true)
+		c.PartitionControllers(true)
 		time.Sleep(randomDuration(r, 3000, 5500))
-		c.PartitionCore(false)
+		c.PartitionControllers(false)
 		return nil
 	}},
 	{"workers crash", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 1 + r.IntN(2) {
-			if err := restartAfter(c, pickOne(r, c.Of("worker")), randomDuration(r, 300, 3000), false); err != nil {
+			if err := restartAfter(c, pickOne(r, c.ProcessesOfKind("worker")), randomDuration(r, 300, 3000), false); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
 	{"slow links, then a router killed during KV transfers", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		for _, p := range c.Of("worker") {
+		for _, p := range c.ProcessesOfKind("worker") {
 			p.Worker.SetFaults(standin.Faults{TransferRate: 60_000 + r.IntN(300_000)})
 		}
 		time.Sleep(randomDuration(r, 300, 1200))
-		err := restartAfter(c, pickOne(r, c.Of("router")), randomDuration(r, 200, 2500), false)
-		for _, p := range c.Of("worker") {
+		err := restartAfter(c, pickOne(r, c.ProcessesOfKind("router")), randomDuration(r, 200, 2500), false)
+		for _, p := range c.ProcessesOfKind("worker") {
 			p.Worker.SetFaults(standin.Faults{})
 		}
 		return err
 	}},
 	{"KV cache lost or corrupted", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		p := pickOne(r, c.Of("worker"))
+		p := pickOne(r, c.ProcessesOfKind("worker"))
 		p.Worker.SetFaults(standin.Faults{Drop: r.IntN(2) == 0, Corrupt: true})
 		time.Sleep(randomDuration(r, 500, 3000))
 		p.Worker.SetFaults(standin.Faults{})
 		return nil
 	}},
 	{"worker reports delayed", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		for _, p := range c.Of("worker") {
+		for _, p := range c.ProcessesOfKind("worker") {
 			p.Worker.SetFaults(standin.Faults{ReportLagMs: 450})
 		}
 		time.Sleep(randomDuration(r, 1000, 4000))
-		for _, p := range c.Of("worker") {
+		for _, p := range c.ProcessesOfKind("worker") {
 			p.Worker.SetFaults(standin.Faults{})
 		}
 		return nil
 	}},
 	{"operators make many changes", "", func(c *Cluster, r *rand.Rand, op string) error {
 		for i := range 4 {
-			if err := changeIgnoringConflict(c, fmt.Sprint(op, "-", i), catalogueChange(r, op, i)); err != nil {
+			if err := changeIgnoringConflict(c, fmt.Sprint(op, "-", i), fleetChange(r, op, i)); err != nil {
 				return err
 			}
 		}
@@ -230,7 +230,7 @@
 	{"a zone loses power", "zone", func(c *Cluster, r *rand.Rand, _ string) error {
 		z := pickOne(r, c.Site.Zones)
 		var lost []*Process
-		for _, p := range append(append(c.Of("controller"), c.Of("router")...), c.Of("worker")...) {
+		for _, p := range append(append(c.ProcessesOfKind("controller"), c.ProcessesOfKind("router")...), c.ProcessesOfKind("worker")...) {
 			if p.Zone == z && p.Up {
 				lost = append(lost, p)
 				c.PowerOff(p)
@@ -247,14 +247,14 @@
 	{"a worker leaves", "zone", func(c *Cluster, r *rand.Rand, _ string) error {
 		id := pickOne(r, c.Site.WorkerIDs())
 		c.Platform.MarkLeaving(id)
-		c.Recorder.RecordMark("leave", string(id))
+		c.Recorder.RecordScriptEvent("leave", string(id))
 		time.Sleep(3 * time.Second)
 		return nil
 	}},
 }
 
-// catalogueChange is a partial configuration that adds or removes workers, zones or programs.
-func catalogueChange(r *rand.Rand, op string, i int) string {
+// fleetChange is a partial configuration that adds or removes workers, zones or programs.
+func fleetChange(r *rand.Rand, op string, i int) string {
 	name := fmt.Sprintf("%s-%d", op, i)
 	part := map[string]any{"limits": map[string]any{"retryAfterMs": 900 + r.IntN(5000)}}
 	switch i % 4 {
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -53,14 +53,14 @@
 		})
 		defer c.Close()
 		require.NoError(t, c.Bootstrap())
-		longPrompts := c.LoadShapes([]standin.StreamClass{{
+		longPrompts := c.LoadClasses([]standin.StreamClass{{
 			Kind:              "clarification",
 			Percent:           100,
 			SuffixTokensRange: 400,
 			MaxTokens:         2,
 			MinSuffixTokens:   1400,
 		}}, 14.5, duration, seed)
-		longOutputs := c.LoadShapes([]standin.StreamClass{{
+		longOutputs := c.LoadClasses([]standin.StreamClass{{
 			Kind:              "clarification",
 			Percent:           100,
 			SuffixTokensRange: 40,
@@ -68,10 +68,10 @@
 			MinSuffixTokens:   10,
 		}}, 75, duration, seed+100)
 		out.longPrompts, out.longOutputs = standin.Summarize(longPrompts), standin.Summarize(longOutputs)
-		for _, p := range c.Of("router") {
+		for _, p := range c.ProcessesOfKind("router") {
 			out.roleChanges += p.Node.RoleChanges()
 		}
-		for _, p := range c.Of("worker") {
+		for _, p := range c.ProcessesOfKind("worker") {
 			out.roles[p.Worker.Role()]++
 		}
 		outcomes := append(longPrompts, longOutputs...)
--- a/internal/simulation/governed_scripts_test.go
+++ b/internal/simulation/governed_scripts_test.go
@@ -30,7 +30,7 @@
 
 func certifiedWorker(c *Cluster, r *rand.Rand, prefix string) *Process {
 	name := prefix + strconv.Itoa(1+r.IntN(3))
-	for _, p := range c.Of("worker") {
+	for _, p := range c.ProcessesOfKind("worker") {
 		if p.Name == name {
 			return p
 		}
@@ -55,11 +55,11 @@
 	{"workers-drained", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		for i, role := range []string{"d", "p"} {
 			w := certifiedWorker(c, r, role)
-			if err := c.Mark("/v1/workers/"+w.Name, fmt.Sprint("out", i), true); err != nil {
+			if err := c.SetOutOfService("/v1/workers/"+w.Name, fmt.Sprint("out", i), true); err != nil {
 				return err
 			}
 			time.Sleep(time.Duration(1000+r.IntN(1500)) * time.Millisecond)
-			if err := c.Mark("/v1/workers/"+w.Name, fmt.Sprint("back", i), false); err != nil {
+			if err := c.SetOutOfService("/v1/workers/"+w.Name, fmt.Sprint("back", i), false); err != nil {
 				return err
 			}
 		}
@@ -97,7 +97,7 @@
 	}},
 	{"revoked-while-partitioned", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		p := routerNamed(c, "router-"+strconv.Itoa(1+r.IntN(4)))
-		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
 		err := m.Revoke("c-" + certifiedWorker(c, r, "d").Name)
@@ -124,7 +124,7 @@
 			return err
 		}
 		p := routerNamed(c, "router-"+strconv.Itoa(1+r.IntN(4)))
-		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
 		time.Sleep(time.Duration(1500+r.IntN(1000)) * time.Millisecond)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(5 * time.Second)
@@ -158,7 +158,7 @@
 	{"clocks-jump", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		for range 3 {
 			pickOne(
-				r, append(c.Of("router"), c.Of("controller")...),
+				r, append(c.ProcessesOfKind("router"), c.ProcessesOfKind("controller")...),
 			).Machine.JumpClock(time.Duration(r.IntN(1000)) * time.Hour)
 			time.Sleep(2 * time.Second)
 		}
@@ -207,18 +207,18 @@
 // TestAuditModelCatches records violations of the certificates and requires that they are reported.
 func TestAuditModelCatches(t *testing.T) {
 	for name, test := range map[string]struct {
-		events    []RecordedEvent
+		events    []RecordedWorkerEvent
 		violation bool
 	}{
-		"on a certified worker":           {[]RecordedEvent{eventAt("prefill", "p1", 5), eventAt("export", "p1", 6)}, false},
-		"never certified":                 {[]RecordedEvent{eventAt("import", "d9", 5)}, true},
-		"before the certificate":          {[]RecordedEvent{eventAt("prefill", "p1", 1)}, true},
-		"within the two seconds of grace": {[]RecordedEvent{eventAt("import", "p1", 11)}, false},
-		"after the grace":                 {[]RecordedEvent{eventAt("import", "p1", 13)}, true},
-		"still running after the grace":   {[]RecordedEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 13)}, true},
-		"ends within the grace":           {[]RecordedEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 11)}, false},
+		"on a certified worker":           {[]RecordedWorkerEvent{eventAt("prefill", "p1", 5), eventAt("export", "p1", 6)}, false},
+		"never certified":                 {[]RecordedWorkerEvent{eventAt("import", "d9", 5)}, true},
+		"before the certificate":          {[]RecordedWorkerEvent{eventAt("prefill", "p1", 1)}, true},
+		"within the two seconds of grace": {[]RecordedWorkerEvent{eventAt("import", "p1", 11)}, false},
+		"after the grace":                 {[]RecordedWorkerEvent{eventAt("import", "p1", 13)}, true},
+		"still running after the grace":   {[]RecordedWorkerEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 13)}, true},
+		"ends within the grace":           {[]RecordedWorkerEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 11)}, false},
 		"not governed": {
-			[]RecordedEvent{{standin.Event{Kind: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}},
+			[]RecordedWorkerEvent{{standin.Event{Kind: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}},
 			false,
 		},
 	} {
@@ -239,8 +239,8 @@
 	}
 }
 
-func eventAt(what, worker string, seconds int) RecordedEvent {
-	return RecordedEvent{
+func eventAt(what, worker string, seconds int) RecordedWorkerEvent {
+	return RecordedWorkerEvent{
 		standin.Event{Kind: what, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r", Attempt: 1}},
 		time.Duration(seconds) * time.Second,
 	}
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -37,48 +37,48 @@
 	changesPerGeneration = 5
 )
 
-// ratedNet limits the rate at which a machine sends, and counts the bytes sent.
-type ratedNet struct {
+// rateLimitedNet limits the rate at which a machine sends, and counts the bytes sent.
+type rateLimitedNet struct {
 	host.Net
 	mu   host.ChannelMutex
 	sent *int
 }
 
-func (n *ratedNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (n *rateLimitedNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	conn, err := n.Net.Dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	return &ratedConn{conn, n}, nil
+	return &rateLimitedConn{conn, n}, nil
 }
 
-func (n *ratedNet) Listen(addr string) (net.Listener, error) {
+func (n *rateLimitedNet) Listen(addr string) (net.Listener, error) {
 	l, err := n.Net.Listen(addr)
 	if err != nil {
 		return nil, err
 	}
-	return &ratedListener{l, n}, nil
+	return &rateLimitedListener{l, n}, nil
 }
 
-type ratedListener struct {
+type rateLimitedListener struct {
 	net.Listener
-	net *ratedNet
+	net *rateLimitedNet
 }
 
-func (l *ratedListener) Accept() (net.Conn, error) {
+func (l *rateLimitedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &ratedConn{conn, l.net}, nil
+	return &rateLimitedConn{conn, l.net}, nil
 }
 
-type ratedConn struct {
+type rateLimitedConn struct {
 	net.Conn
-	net *ratedNet
+	net *rateLimitedNet
 }
 
-func (c *ratedConn) Write(b []byte) (int, error) {
+func (c *rateLimitedConn) Write(b []byte) (int, error) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	*c.net.sent += len(b)
@@ -193,7 +193,7 @@
 func (h *history) start(addr string) {
 	p := h.world.Machine(addr[:len(addr)-2]).Start()
 	machine := p.Host()
-	machine.Net = &ratedNet{machine.Net, host.NewChannelMutex(), &h.sent}
+	machine.Net = &rateLimitedNet{machine.Net, host.NewChannelMutex(), &h.sent}
 	core, err := coordination.New(coordination.Options{
 		Addr:  addr,
 		Host:  machine,
@@ -291,23 +291,23 @@
 // member in its place. Once that member has caught up, the leader stops, so that the member must
 // lead.
 func (h *history) replace(kind string) (took time.Duration, sent int) {
-	out := h.cores[h.leader()].Directory().Record().Backup.Addr
-	h.stop(out)
+	stopped := h.cores[h.leader()].Directory().Record().Backup.Addr
+	h.stop(stopped)
 	h.change()
-	in := out
+	restarted := stopped
 	switch kind {
 	case "wiped":
-		h.world.Machine(out[:len(out)-2]).WipeDisk()
+		h.world.Machine(stopped[:len(stopped)-2]).WipeDisk()
 	case "new":
-		in = fmt.Sprintf("10.0.2.%d:1", h.changes%200+1)
+		restarted = fmt.Sprintf("10.0.2.%d:1", h.changes%200+1)
 		for i := range h.seeds {
-			if h.seeds[i] == out {
-				h.seeds[i] = in
+			if h.seeds[i] == stopped {
+				h.seeds[i] = restarted
 			}
 		}
 	}
 	before := h.sent
-	h.start(in)
+	h.start(restarted)
 	// The member counts as lost until it has had time to take over its own register again, or
 	// that of a member that is gone.
 	for range 4 {
@@ -316,16 +316,16 @@
 	}
 	// Stop the member that has become the backup meanwhile, so that this one must replace it.
 	other := h.cores[h.leader()].Directory().Record().Backup.Addr
-	if other != in {
+	if other != restarted {
 		h.stop(other)
 	}
-	took, sent = h.waitCaughtUp(in), h.sent-before
-	if other != in {
+	took, sent = h.waitCaughtUp(restarted), h.sent-before
+	if other != restarted {
 		h.start(other)
 	}
 	h.change()
 	time.Sleep(2 * time.Second)
-	if first := h.leader(); first != in {
+	if first := h.leader(); first != restarted {
 		h.stop(first)
 		h.change()
 		h.start(first)
--- a/internal/simulation/idempotency_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -15,14 +15,14 @@
 	"keelstair.example/internal/standin"
 )
 
-func countRuns(c *Cluster, key string) (runs, records int) {
+func countRuns(c *Cluster, key string) (runs, finished int) {
 	c.Recorder.mu.Lock()
 	defer c.Recorder.mu.Unlock()
 	for _, w := range c.Recorder.workers {
 		t := w.RequestCounts()[router.RequestIDForKey(key)]
-		runs, records = runs+t.Runs, records+t.Finished
+		runs, finished = runs+t.Runs, finished+t.Finished
 	}
-	return runs, records
+	return runs, finished
 }
 
 var verdictRequest = api.StreamRequest{
@@ -41,7 +41,7 @@
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		complete, running := 0, 0
-		for _, p := range c.Of("router") {
+		for _, p := range c.ProcessesOfKind("router") {
 			wg.Go(func() {
 				got, err := c.stream(p, verdictRequest)
 				mu.Lock()
@@ -54,21 +54,21 @@
 			})
 		}
 		wg.Wait()
-		require.Equal(t, len(c.Of("router")), complete+running)
+		require.Equal(t, len(c.ProcessesOfKind("router")), complete+running)
 		require.Positive(t, complete)
-		first, err := c.stream(c.Of("router")[0], verdictRequest)
+		first, err := c.stream(c.ProcessesOfKind("router")[0], verdictRequest)
 		require.NoError(t, err)
-		solo := standin.ReferenceOutput(verdictRequest.PromptTokens(), 3, 5, 0, c.Site.Model, standin.SiteWeights, nil)
-		require.Len(t, first, len(solo)+1)
-		for i, tok := range solo {
+		reference := standin.ReferenceOutput(verdictRequest.PromptTokens(), 3, 5, 0, c.Site.Model, standin.SiteWeights, nil)
+		require.Len(t, first, len(reference)+1)
+		for i, tok := range reference {
 			require.Equal(t, tok, first[i].Token)
 			require.True(t, first[i].Replay)
 		}
-		runs, records := countRuns(c, "verdict/q1")
-		require.Equal(t, []int{1, 1}, []int{runs, records})
+		runs, finished := countRuns(c, "verdict/q1")
+		require.Equal(t, []int{1, 1}, []int{runs, finished})
 		other := verdictRequest
 		other.Seed++
-		_, err = c.stream(c.Of("router")[1], other)
+		_, err = c.stream(c.ProcessesOfKind("router")[1], other)
 		require.Equal(t, "key-reused", err.(*api.Fault).Name)
 	})
 }
@@ -83,35 +83,35 @@
 		for i := range 12 {
 			request := verdictRequest
 			request.Kind, request.Key = "ruling", "dead"+string(rune('a'+i))
-			p := c.Of("router")[i%len(c.Of("router"))]
+			p := c.ProcessesOfKind("router")[i%len(c.ProcessesOfKind("router"))]
 			done := make(chan struct{})
 			go func() { c.stream(p, request); close(done) }()
 			time.Sleep(time.Duration(2+i*4) * time.Millisecond)
 			c.Kill(p)
 			<-done
 			require.NoError(t, c.Start(p))
-			var last string
+			var outcome string
 			ok := c.WaitUntil(12*time.Second, func() bool {
-				for _, o := range c.Of("router") {
+				for _, o := range c.ProcessesOfKind("router") {
 					if o == p {
 						continue
 					}
 					got, err := c.stream(o, request)
 					if r, is := err.(*api.Fault); is {
-						last = r.Name
+						outcome = r.Name
 					} else if err == nil && len(got) > 0 {
-						last = got[len(got)-1].End
+						outcome = got[len(got)-1].End
 					}
-					return last == api.EndComplete || last == "not-run" || last == "may-have-run"
+					return outcome == api.EndComplete || outcome == "not-run" || outcome == "may-have-run"
 				}
 				return false
 			})
-			require.True(t, ok, "round %d has no final outcome: %s", i, last)
-			outcomes[last]++
-			runs, records := countRuns(c, "ruling/"+request.Key)
+			require.True(t, ok, "round %d has no final outcome: %s", i, outcome)
+			outcomes[outcome]++
+			runs, finished := countRuns(c, "ruling/"+request.Key)
 			require.LessOrEqual(t, runs, 1)
-			require.LessOrEqual(t, records, 1)
-			if last == "not-run" {
+			require.LessOrEqual(t, finished, 1)
+			if outcome == "not-run" {
 				require.Zero(t, runs, "reported as not run")
 			}
 		}
@@ -128,11 +128,11 @@
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		request := verdictRequest
 		request.MaxTokens = 60
-		p := c.Of("router")[2]
+		p := c.ProcessesOfKind("router")[2]
 		go c.stream(p, request)
 		var w *Process
 		require.True(t, c.WaitUntil(3*time.Second, func() bool {
-			for _, o := range c.Of("worker") {
+			for _, o := range c.ProcessesOfKind("worker") {
 				if o.Worker.RequestCounts()[router.RequestIDForKey("verdict/q1")].Runs > 0 {
 					w = o
 				}
@@ -142,14 +142,14 @@
 		c.PowerOff(w)
 		c.PowerOff(p)
 		require.NoError(t, c.Start(w))
-		var last string
+		var outcome string
 		require.True(t, c.WaitUntil(12*time.Second, func() bool {
-			_, err := c.stream(c.Of("router")[0], request)
+			_, err := c.stream(c.ProcessesOfKind("router")[0], request)
 			if r, ok := err.(*api.Fault); ok {
-				last = r.Name
+				outcome = r.Name
 			}
-			return last == "not-run" || last == "may-have-run"
-		}), last)
-		require.Equal(t, "may-have-run", last)
+			return outcome == "not-run" || outcome == "may-have-run"
+		}), outcome)
+		require.Equal(t, "may-have-run", outcome)
 	})
 }
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -37,9 +37,9 @@
 func TestInvalidRequests(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		big := make([]int32, 40000)
-		for i := range big {
-			big[i] = 1
+		tooManyTokens := make([]int32, 40000)
+		for i := range tooManyTokens {
+			tooManyTokens[i] = 1
 		}
 		for _, k := range []struct {
 			request any
@@ -63,18 +63,18 @@
 				http.StatusBadRequest,
 				"out-of-range",
 			},
-			{api.StreamRequest{Kind: "clarification", PromptIDs: big}, http.StatusRequestEntityTooLarge, "too-large"},
+			{api.StreamRequest{Kind: "clarification", PromptIDs: tooManyTokens}, http.StatusRequestEntityTooLarge, "too-large"},
 			{
 				api.StreamRequest{Kind: "clarification", Prompt: strings.Repeat("a ", 3<<20)},
 				http.StatusRequestEntityTooLarge,
 				"too-large",
 			},
 		} {
-			got, name, _ := faultFields(t, c.PostTo(c.Of("router")[0], "/v1/streams", k.request, nil))
+			got, name, _ := faultFields(t, c.PostTo(c.ProcessesOfKind("router")[0], "/v1/streams", k.request, nil))
 			require.Equal(t, k.code, got, "%v", k.name)
 			require.Equal(t, k.name, name)
 		}
-		for _, w := range c.Of("worker") {
+		for _, w := range c.ProcessesOfKind("worker") {
 			require.Empty(t, w.Worker.RequestCounts())
 		}
 	})
@@ -132,8 +132,8 @@
 			require.Equal(t, k.code, got, "%s %s %s", k.a.Op, name, text)
 			require.Contains(t, text, k.text, k.a.Op)
 		}
-		require.Equal(t, uint64(1), c.Of("router")[0].Node.Show().Newest)
-		got, _, _ := faultFields(t, c.Mark("/v1/zones/moon", "z", true))
+		require.Equal(t, uint64(1), c.ProcessesOfKind("router")[0].Node.Show().Newest)
+		got, _, _ := faultFields(t, c.SetOutOfService("/v1/zones/moon", "z", true))
 		require.Equal(t, 404, got)
 	})
 }
@@ -143,24 +143,24 @@
 func TestOperationIds(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
-		a := &api.ApplyRequest{Op: "once", BaseVersion: 1, Partial: true, Source: `{limits: {queue: 9}}`}
-		one, err := c.Apply(a)
+		apply := &api.ApplyRequest{Op: "once", BaseVersion: 1, Partial: true, Source: `{limits: {queue: 9}}`}
+		first, err := c.Apply(apply)
 		require.NoError(t, err)
 		c.PowerOff(c.Leader())
 		time.Sleep(4 * time.Second)
-		two, err := c.Apply(a)
+		repeated, err := c.Apply(apply)
 		require.NoError(t, err, "the base is outdated only because of this operation")
-		require.Equal(t, one.Version, two.Version)
-		a.Partial, a.Source = false, string(c.Of("router")[0].Node.Show().Policy)
-		two, err = c.Apply(a)
+		require.Equal(t, first.Version, repeated.Version)
+		apply.Partial, apply.Source = false, string(c.ProcessesOfKind("router")[0].Node.Show().Policy)
+		repeated, err = c.Apply(apply)
 		require.NoError(t, err, "the same holds for a complete policy")
-		require.Equal(t, one.Version, two.Version)
+		require.Equal(t, first.Version, repeated.Version)
 		for _, partial := range []bool{true, false} {
-			_, err = c.Apply(&api.ApplyRequest{Op: "other", BaseVersion: 1, Partial: partial, Source: a.Source})
+			_, err = c.Apply(&api.ApplyRequest{Op: "other", BaseVersion: 1, Partial: partial, Source: apply.Source})
 			got, _, _ := faultFields(t, err)
 			require.Equal(t, 409, got)
 		}
-		require.Equal(t, one.Version, c.Of("router")[0].Node.Show().Newest)
+		require.Equal(t, first.Version, c.ProcessesOfKind("router")[0].Node.Show().Newest)
 	})
 }
 
@@ -169,30 +169,30 @@
 func TestReady(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		p := c.Of("router")[0]
+		p := c.ProcessesOfKind("router")[0]
 		ready := func(want bool) func() bool {
 			return func() bool { ok, _ := p.Node.Ready(); return ok == want }
 		}
-		require.NoError(t, c.Mark("/v1/zones/"+string(p.Zone), "out", true))
+		require.NoError(t, c.SetOutOfService("/v1/zones/"+string(p.Zone), "out", true))
 		require.True(t, c.WaitUntil(2*time.Second, ready(false)))
 		_, err := c.stream(p, verdictRequest)
 		got, name, _ := faultFields(t, err)
 		require.Equal(t, []any{503, "not-ready"}, []any{got, name})
-		require.NoError(t, c.Mark("/v1/zones/"+string(p.Zone), "back", false))
+		require.NoError(t, c.SetOutOfService("/v1/zones/"+string(p.Zone), "back", false))
 		require.True(t, c.WaitUntil(4*time.Second, ready(true)))
 		long := api.StreamRequest{Kind: "clarification", Prompt: "what was the last point", MaxTokens: 40, Seed: 11}
-		lines := make(chan []api.StreamEvent, 1)
-		go func() { l, _ := c.stream(p, long); lines <- l }()
+		events := make(chan []api.StreamEvent, 1)
+		go func() { l, _ := c.stream(p, long); events <- l }()
 		time.Sleep(150 * time.Millisecond)
 		p.Shutdown()
 		require.True(t, c.WaitUntil(time.Second, ready(false)))
-		all := <-lines
+		all := <-events
 		require.NotEmpty(t, all)
 		require.Equal(t, api.EndComplete, all[len(all)-1].End)
 		// A router that shuts down announces it, so its keys move before its lease would expire.
 		self := p.Node.Self().Node
 		require.True(t, c.WaitUntil(1500*time.Millisecond, func() bool {
-			for _, m := range c.Of("router")[1].Node.Status().(*router.NodeStatus).Members {
+			for _, m := range c.ProcessesOfKind("router")[1].Node.Status().(*router.NodeStatus).Members {
 				if m.Node == self {
 					return false
 				}
--- a/internal/simulation/machine_scripts_test.go
+++ b/internal/simulation/machine_scripts_test.go
@@ -28,7 +28,7 @@
 // follower returns a random running controller that isn't the leader.
 func follower(c *Cluster, r *rand.Rand) *Process {
 	var rest []*Process
-	for _, p := range c.Of("controller") {
+	for _, p := range c.ProcessesOfKind("controller") {
 		if p.Up && !p.Core.Leads() {
 			rest = append(rest, p)
 		}
@@ -41,7 +41,7 @@
 	if p := c.Leader(); p != nil {
 		return p
 	}
-	return c.Of("controller")[0]
+	return c.ProcessesOfKind("controller")[0]
 }
 
 // MachineScripts are the scripts of killed, lost and replaced machines.
@@ -92,7 +92,7 @@
 		Name:  "rolling-replacement",
 		Bound: 12 * time.Second,
 		Run: func(c *Cluster, r *rand.Rand) error {
-			previous := append([]*Process(nil), c.Of("controller")...)
+			previous := append([]*Process(nil), c.ProcessesOfKind("controller")...)
 			r.Shuffle(len(previous), func(i, j int) { previous[i], previous[j] = previous[j], previous[i] })
 			for i, p := range previous {
 				if err := changeRetryAfter(c, fmt.Sprintf("roll-%d", i), 1600+i); err != nil {
@@ -114,11 +114,11 @@
 		if err := changeRetryAfter(c, "before-total", 1800); err != nil {
 			return err
 		}
-		for _, p := range c.Of("controller") {
+		for _, p := range c.ProcessesOfKind("controller") {
 			c.PowerOff(p)
 		}
 		time.Sleep(time.Duration(300+r.IntN(1500)) * time.Millisecond)
-		for _, p := range c.Of("controller") {
+		for _, p := range c.ProcessesOfKind("controller") {
 			if err := c.Start(p); err != nil {
 				return err
 			}
@@ -140,7 +140,7 @@
 	{Name: "routers-killed", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 3 {
 			randomPause(r)
-			p := pickOne(r, c.Of("router"))
+			p := pickOne(r, c.ProcessesOfKind("router"))
 			c.Kill(p)
 			time.Sleep(1500 * time.Millisecond)
 			if err := c.Start(p); err != nil {
@@ -150,11 +150,11 @@
 		return nil
 	}},
 	{Name: "everything-but-workers-killed", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, p := range append(c.Of("controller"), c.Of("router")...) {
+		for _, p := range append(c.ProcessesOfKind("controller"), c.ProcessesOfKind("router")...) {
 			c.Kill(p)
 		}
 		time.Sleep(200 * time.Millisecond)
-		for _, p := range append(c.Of("controller"), c.Of("router")...) {
+		for _, p := range append(c.ProcessesOfKind("controller"), c.ProcessesOfKind("router")...) {
 			if err := c.Start(p); err != nil {
 				return err
 			}
@@ -163,7 +163,7 @@
 	}},
 	{Name: "leader-and-router-freeze", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		p, v := leader(c), pickOne(r, c.Of("router"))
+		p, v := leader(c), pickOne(r, c.ProcessesOfKind("router"))
 		p.Machine.Freeze(true)
 		v.Machine.Freeze(true)
 		time.Sleep(time.Duration(2000+r.IntN(5000)) * time.Millisecond)
@@ -173,7 +173,7 @@
 	}},
 	{Name: "disk-stalls", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		p := pickOne(r, c.Of("controller"))
+		p := pickOne(r, c.ProcessesOfKind("controller"))
 		p.Machine.StallDisk(true)
 		time.Sleep(6 * time.Second)
 		p.Machine.StallDisk(false)
@@ -181,7 +181,7 @@
 		return changeRetryAfter(c, "after-stall", 2000)
 	}},
 	{Name: "slow-disks", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, p := range c.Of("controller") {
+		for _, p := range c.ProcessesOfKind("controller") {
 			p.Machine.SetDiskDelay(time.Duration(20+r.IntN(120)) * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
@@ -190,8 +190,8 @@
 	{Name: "leader-router-and-worker-lost", Run: func(c *Cluster, r *rand.Rand) error {
 		time.Sleep(9 * time.Second)
 		c.PowerOff(leader(c))
-		c.Kill(pickOne(r, c.Of("router")))
-		c.Kill(pickOne(r, c.Of("worker")))
+		c.Kill(pickOne(r, c.ProcessesOfKind("router")))
+		c.Kill(pickOne(r, c.ProcessesOfKind("worker")))
 		return nil
 	}},
 }
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -15,9 +15,9 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// latestShown returns the newest configuration that is in force at any router. It waits up to 3 s
+// newestActivePolicy returns the newest configuration that is in force at any router. It waits up to 3 s
 // until that router knows of no newer version.
-func latestShown(c *Cluster) *api.ActivePolicy {
+func newestActivePolicy(c *Cluster) *api.ActivePolicy {
 	state := &api.ActivePolicy{}
 	c.WaitUntil(3*time.Second, func() bool {
 		for _, p := range running(c, "router") {
@@ -49,7 +49,7 @@
 // applyPartial applies a partial configuration and records the response. It retries under the same
 // operation ID while the outcome is unknown.
 func applyPartial(c *Cluster, op, part string) error {
-	state := latestShown(c)
+	state := newestActivePolicy(c)
 	text, err := mergedText(state, part)
 	if err != nil {
 		return err
@@ -74,8 +74,8 @@
 	took := c.Recorder.Now() - start
 	c.Recorder.RecordApplyTime(took)
 	// While the core is partitioned from all routers, none of them can receive the version.
-	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) && !c.Recorder.corePartitionedSince(start) {
-		c.Recorder.RecordMark(
+	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) && !c.Recorder.controllersPartitionedSince(start) {
+		c.Recorder.RecordScriptEvent(
 			"slow-apply", fmt.Sprintf("version %d took %s, in force: %v", got.Version, took, got.Active),
 		)
 	}
@@ -90,36 +90,36 @@
 // setEvacuated evacuates or restores a zone, and retries until that is acknowledged. The recorded
 // time is that of the first request.
 func setEvacuated(c *Cluster, z ids.Zone, op string, evacuated bool) error {
-	what := "return"
+	kind := "return"
 	if evacuated {
-		what = "evacuate"
+		kind = "evacuate"
 	}
-	for _, p := range c.Of("worker") {
+	for _, p := range c.ProcessesOfKind("worker") {
 		if p.Zone == z {
-			c.Recorder.RecordMark(what, p.Name)
+			c.Recorder.RecordScriptEvent(kind, p.Name)
 		}
 	}
 	var err error
 	c.WaitUntil(12*time.Second, func() bool {
-		err = c.Mark("/v1/zones/"+string(z), op, evacuated)
+		err = c.SetOutOfService("/v1/zones/"+string(z), op, evacuated)
 		return err == nil
 	})
 	return err
 }
 
-// PartitionCore partitions the core from all routers, or removes the partition.
-func (c *Cluster) PartitionCore(on bool) {
-	c.Recorder.RecordMark(map[bool]string{true: "partition", false: "heal"}[on], "core")
-	c.World.Partition(addresses(c.Of("controller")...), addresses(c.Of("router")...), on)
+// PartitionControllers partitions the core from all routers, or removes the partition.
+func (c *Cluster) PartitionControllers(on bool) {
+	c.Recorder.RecordScriptEvent(map[bool]string{true: "partition", false: "heal"}[on], "core")
+	c.World.Partition(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...), on)
 }
 
-// corePartitionedSince reports whether the core was partitioned from all routers at any time since then.
-func (r *Recorder) corePartitionedSince(since time.Duration) bool {
+// controllersPartitionedSince reports whether the core was partitioned from all routers at any time since then.
+func (r *Recorder) controllersPartitionedSince(since time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	on := false
-	for _, m := range r.marks {
-		switch m.What {
+	for _, m := range r.scriptEvents {
+		switch m.Kind {
 		case "partition":
 			on = true
 		case "heal":
@@ -156,42 +156,42 @@
 // refused text is never in force unless it was also acknowledged; and within 5 s every running router
 // has the newest acknowledged version.
 func (c *Cluster) checkConfigurations() []Violation {
-	f := &violationList{}
+	violations := &violationList{}
 	c.Recorder.mu.Lock()
-	acks, marks := c.Recorder.acks, c.Recorder.marks
-	accepted := map[string]bool{}
-	var last ids.Version
+	acks, scriptEvents := c.Recorder.acks, c.Recorder.scriptEvents
+	acknowledged := map[string]bool{}
+	var newest ids.Version
 	for _, a := range acks {
-		accepted[a.Text] = true
-		last = max(last, a.Version)
+		acknowledged[a.Text] = true
+		newest = max(newest, a.Version)
 		for text, node := range c.Recorder.active[a.Version] {
 			if text != a.Text {
-				f.add(ConfigurationLost, "version %d was acknowledged, but %s had a different text in force", a.Version, node)
+				violations.add(ConfigurationLost, "version %d was acknowledged, but %s had a different text in force", a.Version, node)
 			}
 		}
 	}
 	for v, texts := range c.Recorder.active {
 		if len(texts) > 1 {
-			f.add(ConfigurationLost, "version %d had %d different texts", v, len(texts))
+			violations.add(ConfigurationLost, "version %d had %d different texts", v, len(texts))
 		}
 		for _, refused := range c.Recorder.refused {
-			if node, ok := texts[refused]; ok && !accepted[refused] {
-				f.add(ConfigurationLost, "%s had version %d in force, but its text was refused", node, v)
+			if node, ok := texts[refused]; ok && !acknowledged[refused] {
+				violations.add(ConfigurationLost, "%s had version %d in force, but its text was refused", node, v)
 			}
 		}
 	}
 	c.Recorder.mu.Unlock()
-	for _, p := range c.Of("router") {
-		if p.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(p.Node.Show().Version) >= last }) {
-			f.add(ConfigurationLost, "%s has version %d, but version %d was acknowledged", p.Name, p.Node.Show().Version, last)
+	for _, p := range c.ProcessesOfKind("router") {
+		if p.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(p.Node.Show().Version) >= newest }) {
+			violations.add(ConfigurationLost, "%s has version %d, but version %d was acknowledged", p.Name, p.Node.Show().Version, newest)
 		}
 	}
-	for _, m := range marks {
-		if m.What == "slow-apply" {
-			f.add(ConfigurationSlow, "%s", m.Name)
+	for _, m := range scriptEvents {
+		if m.Kind == "slow-apply" {
+			violations.add(ConfigurationStale, "%s", m.Subject)
 		}
 	}
-	return f.found
+	return violations.found
 }
 
 // marshalPartial encodes a partial configuration.
--- a/internal/simulation/operator_scripts_test.go
+++ b/internal/simulation/operator_scripts_test.go
@@ -20,18 +20,18 @@
 
 // ownerOf returns the node that owns the key of a worker, or the first router if none does.
 func ownerOf(c *Cluster, id ids.WorkerID) *Process {
-	for _, p := range c.Of("router") {
+	for _, p := range c.ProcessesOfKind("router") {
 		if p.Up && slices.Contains(p.Node.Status().(*router.NodeStatus).OwnedKeys, fleetstate.WorkerKey(id)) {
 			return p
 		}
 	}
-	return c.Of("router")[0]
+	return c.ProcessesOfKind("router")[0]
 }
 
 // ownerOfBothRoles returns a node that owns keys of workers of both roles and so could serve a request
 // without its peers. If there is none, it returns the fourth router.
 func ownerOfBothRoles(c *Cluster) *Process {
-	for _, p := range c.Of("router") {
+	for _, p := range c.ProcessesOfKind("router") {
 		roles := map[byte]bool{}
 		for _, k := range p.Node.Status().(*router.NodeStatus).OwnedKeys {
 			if id, ok := strings.CutPrefix(string(k), "worker/"); ok {
@@ -42,7 +42,7 @@
 			return p
 		}
 	}
-	return c.Of("router")[3]
+	return c.ProcessesOfKind("router")[3]
 }
 
 // sendInBackground sends 60 requests to one node's frontend, one every 50 ms for three seconds.
@@ -103,8 +103,8 @@
 		if round > 3 {
 			kinds[fmt.Sprintf("kind-%d-7", round-3)], workers[fmt.Sprintf("ghost-%d-7", round-3)] = nil, nil
 		}
-		state := latestShown(c)
-		p := pickOne(r, c.Of("router"))
+		state := newestActivePolicy(c)
+		p := pickOne(r, c.ProcessesOfKind("router"))
 		invalid := &api.ApplyRequest{
 			Op:          fmt.Sprint("bad-", round),
 			BaseVersion: state.Version,
@@ -126,7 +126,7 @@
 			Partial:     true,
 			Source:      `{"limits":{"queue":3}}`,
 		}
-		if err := c.PostTo(pickOne(r, c.Of("router")), "/v1/policy", stale, nil); err == nil {
+		if err := c.PostTo(pickOne(r, c.ProcessesOfKind("router")), "/v1/policy", stale, nil); err == nil {
 			return fmt.Errorf("round %d: a partial configuration based on an old version was accepted", round)
 		}
 	}
@@ -162,25 +162,25 @@
 	{Name: "evacuation-with-owner-partitioned", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		// The partitioned node is also the first one to which operator requests are sent.
-		w, p := pickOne(r, c.Of("worker")), c.Of("router")[0]
-		for _, o := range c.Of("worker") {
+		w, p := pickOne(r, c.ProcessesOfKind("worker")), c.ProcessesOfKind("router")[0]
+		for _, o := range c.ProcessesOfKind("worker") {
 			if ownerOf(c, ids.WorkerID(o.Name)) == p {
 				w = o
 			}
 		}
-		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		err := evacuateFor(c, w.Zone, "cut", 7*time.Second)
 		c.World.Partition(addresses(p), peers, false)
 		return err
 	}},
 	{Name: "worker-leaves-its-owner-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
-		w := pickOne(r, c.Of("worker"))
+		w := pickOne(r, c.ProcessesOfKind("worker"))
 		p := ownerOf(c, ids.WorkerID(w.Name))
 		c.World.Partition(addresses(p), []string{"10.8.0.1"}, true)
 		time.Sleep(time.Second)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
-		c.Recorder.RecordMark("leave", w.Name)
+		c.Recorder.RecordScriptEvent("leave", w.Name)
 		// The platform sends no clients to this frontend now, but clients that know its address still use it.
 		for i := range 40 {
 			c.stream(p, api.StreamRequest{
@@ -194,10 +194,10 @@
 		return nil
 	}},
 	{Name: "workers-leave-while-leader-and-owner-restart", Run: func(c *Cluster, r *rand.Rand) error {
-		w := pickOne(r, c.Of("worker"))
+		w := pickOne(r, c.ProcessesOfKind("worker"))
 		p, l := ownerOf(c, ids.WorkerID(w.Name)), leader(c)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
-		c.Recorder.RecordMark("leave", w.Name)
+		c.Recorder.RecordScriptEvent("leave", w.Name)
 		time.Sleep(time.Duration(r.IntN(400)) * time.Millisecond)
 		c.Kill(l)
 		c.Kill(p)
@@ -207,7 +207,7 @@
 	{Name: "storm-with-a-node-cut-from-its-peers", Run: func(c *Cluster, r *rand.Rand) error {
 		// Clients and workers still reach the node, but it receives no configuration changes.
 		p := ownerOfBothRoles(c)
-		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
 		for n := range 3 {
 			c.World.Partition(addresses(p), peers, true)
 			sendInBackground(c, p)
@@ -229,7 +229,7 @@
 		LoadDuration: 38 * time.Second,
 		NoFailures:   true,
 		Run: func(c *Cluster, _ *rand.Rand) error {
-			for _, p := range c.Of("router") {
+			for _, p := range c.ProcessesOfKind("router") {
 				if err := restartGracefully(c, p); err != nil {
 					return err
 				}
@@ -242,22 +242,22 @@
 		LoadDuration: 45 * time.Second,
 		NoFailures:   true,
 		Run: func(c *Cluster, r *rand.Rand) error {
-			for _, p := range c.Of("controller") {
+			for _, p := range c.ProcessesOfKind("controller") {
 				if err := restartAfter(c, p, 2*time.Second, false); err != nil {
 					return err
 				}
 				time.Sleep(2 * time.Second)
 			}
-			for _, p := range c.Of("worker") {
+			for _, p := range c.ProcessesOfKind("worker") {
 				id := ids.WorkerID(p.Name)
 				c.Platform.MarkLeaving(id)
-				c.Recorder.RecordMark("leave", p.Name)
+				c.Recorder.RecordScriptEvent("leave", p.Name)
 				if !c.WaitUntil(6*time.Second, func() bool { return p.Worker.UsedBlocks() == 0 }) {
 					return fmt.Errorf("%s did not drain", p.Name)
 				}
 				time.Sleep(time.Second)
 				c.Kill(p)
-				c.Recorder.RecordMark("return", p.Name)
+				c.Recorder.RecordScriptEvent("return", p.Name)
 				c.Platform.RemoveWorker(id)
 				time.Sleep(500 * time.Millisecond)
 				if err := c.Start(p); err != nil {
--- a/internal/simulation/other_scripts_test.go
+++ b/internal/simulation/other_scripts_test.go
@@ -31,13 +31,13 @@
 	return out
 }
 
-// OtherScripts are the scripts of links, clocks, workers and operators.
-var OtherScripts = []Script{
+// NetworkAndWorkerScripts are the scripts of links, clocks, workers and operators.
+var NetworkAndWorkerScripts = []Script{
 	{Name: "core-split", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		p := leader(c)
 		var rest []string
-		for _, o := range c.Of("controller") {
+		for _, o := range c.ProcessesOfKind("controller") {
 			if o != p {
 				rest = append(rest, o.Machine.IP)
 			}
@@ -63,9 +63,9 @@
 	}},
 	{Name: "router-isolated-from-peers", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		p := pickOne(r, c.Of("router"))
+		p := pickOne(r, c.ProcessesOfKind("router"))
 		// Workers and clients still reach the router, but controllers and other routers don't.
-		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(7 * time.Second)
 		c.World.Partition(addresses(p), peers, false)
@@ -73,16 +73,16 @@
 	}},
 	{Name: "all-leases-expire", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		c.PartitionCore(true)
+		c.PartitionControllers(true)
 		time.Sleep(time.Duration(4000+r.IntN(3000)) * time.Millisecond)
-		c.PartitionCore(false)
+		c.PartitionControllers(false)
 		return nil
 	}},
 	{Name: "clocks-jump", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 6 {
 			randomPause(r)
 			pickOne(
-				r, append(c.Of("router"), c.Of("controller")...),
+				r, append(c.ProcessesOfKind("router"), c.ProcessesOfKind("controller")...),
 			).Machine.JumpClock(time.Duration(1+r.IntN(20)) * time.Second)
 		}
 		return nil
@@ -90,7 +90,7 @@
 	{Name: "workers-crash", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 3 {
 			randomPause(r)
-			p := pickOne(r, c.Of("worker"))
+			p := pickOne(r, c.ProcessesOfKind("worker"))
 			c.Kill(p)
 			time.Sleep(2500 * time.Millisecond)
 			if err := c.Start(p); err != nil {
@@ -102,7 +102,7 @@
 	{Name: "worker-unresponsive", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 2 {
 			randomPause(r)
-			p := pickOne(r, c.Of("worker"))
+			p := pickOne(r, c.ProcessesOfKind("worker"))
 			if r.IntN(2) == 0 {
 				p.Machine.Freeze(true)
 				time.Sleep(4 * time.Second)
@@ -117,32 +117,32 @@
 	}},
 	{Name: "links-slow-then-worker-lost", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		for _, p := range c.Of("worker") {
+		for _, p := range c.ProcessesOfKind("worker") {
 			if r.IntN(2) == 0 {
 				p.Worker.SetFaults(standin.Faults{TransferRate: 100_000 + r.IntN(400_000)})
 			}
 		}
 		time.Sleep(time.Second)
-		p := pickOne(r, c.Of("worker"))
+		p := pickOne(r, c.ProcessesOfKind("worker"))
 		c.Kill(p)
 		time.Sleep(3 * time.Second)
-		for _, o := range c.Of("worker") {
+		for _, o := range c.ProcessesOfKind("worker") {
 			o.Worker.SetFaults(standin.Faults{})
 		}
 		return c.Start(p)
 	}},
 	{Name: "kv-cache-lost-or-corrupted", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, p := range c.Of("worker")[:3] {
+		for _, p := range c.ProcessesOfKind("worker")[:3] {
 			p.Worker.SetFaults(standin.Faults{Drop: r.IntN(2) == 0, Corrupt: true})
 		}
 		time.Sleep(3 * time.Second)
-		for _, p := range c.Of("worker")[:3] {
+		for _, p := range c.ProcessesOfKind("worker")[:3] {
 			p.Worker.SetFaults(standin.Faults{})
 		}
 		return nil
 	}},
 	{Name: "worker-sends-garbage", Run: func(c *Cluster, r *rand.Rand) error {
-		p := pickOne(r, c.Of("worker"))
+		p := pickOne(r, c.ProcessesOfKind("worker"))
 		p.Worker.SetFaults(standin.Faults{Garbage: true})
 		time.Sleep(3 * time.Second)
 		p.Worker.SetFaults(standin.Faults{})
@@ -151,7 +151,7 @@
 	{
 		Name: "reports-delayed",
 		Run: func(c *Cluster, r *rand.Rand) error {
-			for _, p := range c.Of("worker") {
+			for _, p := range c.ProcessesOfKind("worker") {
 				p.Worker.SetFaults(standin.Faults{ReportLagMs: 450})
 			}
 			time.Sleep(5 * time.Second)
@@ -165,7 +165,7 @@
 			for _, id := range []string{"p1", "d1"} {
 				randomPause(r)
 				c.Platform.MarkLeaving(ids.WorkerID(id))
-				c.Recorder.RecordMark("leave", id)
+				c.Recorder.RecordScriptEvent("leave", id)
 			}
 			time.Sleep(5 * time.Second)
 			return nil
@@ -192,13 +192,13 @@
 				var wg sync.WaitGroup
 				var mu sync.Mutex
 				won := 0
-				state := latestShown(c)
+				state := newestActivePolicy(c)
 				for k := range 2 {
 					wg.Go(func() {
 						part := fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, 3000+10*n+k)
 						text, _ := mergedText(state, part)
 						got := &api.ApplyResponse{}
-						p := c.Of("router")[k]
+						p := c.ProcessesOfKind("router")[k]
 						err := c.PostTo(p, "/v1/policy", &api.ApplyRequest{
 							Op:          fmt.Sprintf("race-%d-%d", n, k),
 							BaseVersion: state.Version,
@@ -219,7 +219,7 @@
 				if won != 1 {
 					return fmt.Errorf("round %d: %d of two concurrent changes were acknowledged", n, won)
 				}
-				c.WaitUntil(3*time.Second, func() bool { return c.Of("router")[0].Node.Show().Version > state.Version })
+				c.WaitUntil(3*time.Second, func() bool { return c.ProcessesOfKind("router")[0].Node.Show().Version > state.Version })
 			}
 			return nil
 		},
@@ -239,7 +239,7 @@
 	},
 	{Name: "storm-with-a-node-cut-from-the-core", Run: func(c *Cluster, r *rand.Rand) error {
 		p := ownerOfBothRoles(c)
-		core := addresses(c.Of("controller")...)
+		core := addresses(c.ProcessesOfKind("controller")...)
 		c.World.Partition(addresses(p), core, true)
 		sendInBackground(c, p)
 		for n := range 4 {
--- a/internal/simulation/outages_test.go
+++ b/internal/simulation/outages_test.go
@@ -30,14 +30,14 @@
 	}
 	zoneOf := map[string]ids.Zone{}
 	serving := map[ids.Zone]bool{}
-	for _, p := range c.Of("router") {
+	for _, p := range c.ProcessesOfKind("router") {
 		zoneOf[p.FrontendAddr] = p.Zone
 		serving[p.Zone] = serving[p.Zone] || p.Up
 	}
-	for _, m := range c.Recorder.marks {
-		if m.What == "evacuate" {
+	for _, m := range c.Recorder.scriptEvents {
+		if m.Kind == "evacuate" {
 			for _, p := range c.Processes {
-				if p.Name == m.Name {
+				if p.Name == m.Subject {
 					serving[p.Zone] = false
 				}
 			}
--- a/internal/simulation/power_and_disk_lost_test.go
+++ b/internal/simulation/power_and_disk_lost_test.go
@@ -26,27 +26,27 @@
 				first, refusal := c.sendUntilAnswered(t, 0, request)
 				require.Nil(t, refusal)
 				zone := string(c.Site.Zones[0])
-				require.NoError(t, c.Mark("/v1/zones/"+zone, "day-end-zone", true))
+				require.NoError(t, c.SetOutOfService("/v1/zones/"+zone, "day-end-zone", true))
 				applied, err := c.Apply(&api.ApplyRequest{
 					Op:          "day-end",
-					BaseVersion: latestShown(c).Version,
+					BaseVersion: newestActivePolicy(c).Version,
 					Partial:     true,
 					Source:      "{limits: queue: 12}",
 				})
 				require.NoError(t, err)
-				text := latestShown(c).Policy
+				text := newestActivePolicy(c).Policy
 
 				for _, process := range c.Processes {
 					c.PowerOff(process)
 				}
-				c.Of("controller")[lost].Machine.WipeDisk()
+				c.ProcessesOfKind("controller")[lost].Machine.WipeDisk()
 				time.Sleep(time.Second)
 				for _, process := range c.Processes {
 					require.NoError(t, c.Start(process))
 				}
 
-				require.True(t, c.WaitUntil(20*time.Second, func() bool { return latestShown(c).Version == applied.Version }))
-				state := latestShown(c)
+				require.True(t, c.WaitUntil(20*time.Second, func() bool { return newestActivePolicy(c).Version == applied.Version }))
+				state := newestActivePolicy(c)
 				require.JSONEq(t, string(text), string(state.Policy))
 				require.Equal(t, []string{zone}, state.EvacuatedZones)
 				again, refusal := c.sendUntilAnswered(t, 1, request)
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -15,43 +15,43 @@
 	"keelstair.example/internal/standin"
 )
 
-// Mark is an action of the script, with the time at which it was recorded.
-type Mark struct {
-	What string // such as leave, evacuate, return, partition, heal or slow-apply
-	Name string
+// ScriptEvent is an action of the script, with the time at which it was recorded.
+type ScriptEvent struct {
+	Kind string // such as leave, evacuate, return, partition, heal or slow-apply
+	Subject string
 	At   time.Duration
 }
 
-// RecordedEvent is a worker's event with the simulated time at which it was recorded.
-type RecordedEvent struct {
+// RecordedWorkerEvent is a worker's event with the simulated time at which it was recorded.
+type RecordedWorkerEvent struct {
 	standin.Event
-	When time.Duration
+	RecordedAt time.Duration
 }
 
 // Recorder collects the events, marks and configurations of a run.
 type Recorder struct {
 	mu         sync.Mutex
 	start      time.Time
-	events     []RecordedEvent
-	workers    []TallySource
-	marks      []Mark
+	events     []RecordedWorkerEvent
+	workers    []RequestCounter
+	scriptEvents      []ScriptEvent
 	grants     []Grant
 	recomputes []time.Duration
-	acks       []Acked
+	acks       []AckedConfiguration
 	applyTimes []time.Duration                   // duration of each successful apply, until its version was in force
 	refused    []string                          // texts of refused configurations
 	active     map[ids.Version]map[string]string // text -> first router that had it in force, by version
 }
 
-// Acked is a configuration that was acknowledged to an operator.
-type Acked struct {
+// AckedConfiguration is a configuration that was acknowledged to an operator.
+type AckedConfiguration struct {
 	Version ids.Version
 	Text    string
 	At      time.Duration
 }
 
-// TallySource is an incarnation of a worker, which counts its work for each request.
-type TallySource interface {
+// RequestCounter is an incarnation of a worker, which counts its work for each request.
+type RequestCounter interface {
 	RequestCounts() map[string]standin.RequestCounts
 }
 
@@ -72,10 +72,10 @@
 func (r *Recorder) RecordWorkerEvent(e standin.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.events = append(r.events, RecordedEvent{e, r.Now()})
+	r.events = append(r.events, RecordedWorkerEvent{e, r.Now()})
 }
 
-func (r *Recorder) AddWorker(w TallySource) {
+func (r *Recorder) AddWorker(w RequestCounter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.workers = append(r.workers, w)
@@ -94,16 +94,16 @@
 	}
 }
 
-func (r *Recorder) RecordMark(what, name string) {
+func (r *Recorder) RecordScriptEvent(kind, subject string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.marks = append(r.marks, Mark{what, name, r.Now()})
+	r.scriptEvents = append(r.scriptEvents, ScriptEvent{kind, subject, r.Now()})
 }
 
 func (r *Recorder) RecordAck(v ids.Version, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.acks = append(r.acks, Acked{v, text, r.Now()})
+	r.acks = append(r.acks, AckedConfiguration{v, text, r.Now()})
 }
 
 // RecordApplyTime records how long an apply took.
@@ -120,22 +120,22 @@
 
 type violationList struct{ found []Violation }
 
-func (f *violationList) add(rule, format string, args ...any) {
-	f.found = append(f.found, Violation{rule, fmt.Sprintf(format, args...)})
+func (v *violationList) add(rule, format string, args ...any) {
+	v.found = append(v.found, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
 // Rules, named after the violation that must never occur.
 const (
 	RunTwice                = "request run twice or recorded twice"
-	RanDespiteNotRun        = "request reported as not run was run"
+	RanThoughReportedNotRun        = "request reported as not run was run"
 	StreamCorrupted         = "stream lost, repeated, spliced or falsely complete"
 	OutputDiffers           = "output differs"
 	DecodeOutOfMemory       = "decode ran out of memory"
 	WorkAfterLeave          = "new work at a leaving worker"
 	WorkAfterEvacuation     = "new work in an evacuated zone"
-	ConfigurationSlow       = "configuration slow or reverted"
+	ConfigurationStale       = "configuration slow or reverted"
 	ConfigurationLost       = "acknowledged configuration lost"
-	ConflictingOrders       = "conflicting orders"
+	FencingTokenDecreased       = "conflicting orders"
 	RecomputeBudgetExceeded = "recompute budget exceeded"
 	ServiceNotRestored      = "service not restored"
 )
@@ -144,17 +144,17 @@
 func (r *Recorder) Check(all []standin.Outcome) []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := &violationList{}
-	r.checkRuns(f, all)
-	checkStreams(f, all)
-	r.checkPlacement(f)
-	r.checkOrders(f)
-	r.checkGrantVersions(f)
-	r.checkRecomputeBudget(f)
-	return f.found
+	violations := &violationList{}
+	r.checkRuns(violations, all)
+	checkStreams(violations, all)
+	r.checkPlacement(violations)
+	r.checkOrders(violations)
+	r.checkGrantVersions(violations)
+	r.checkRecomputeBudget(violations)
+	return violations.found
 }
 
-func outcomesByKey(all []standin.Outcome) map[string]standin.Outcome {
+func outcomesByKindAndKey(all []standin.Outcome) map[string]standin.Outcome {
 	out := map[string]standin.Outcome{}
 	for _, o := range all {
 		if o.Key != "" {
@@ -164,55 +164,55 @@
 	return out
 }
 
-func (r *Recorder) checkRuns(f *violationList, all []standin.Outcome) {
-	runs, records, starved := map[string]int{}, map[string]int{}, 0
+func (r *Recorder) checkRuns(violations *violationList, all []standin.Outcome) {
+	runs, finished, outOfMemory := map[string]int{}, map[string]int{}, 0
 	for _, w := range r.workers {
 		for id, t := range w.RequestCounts() {
-			starved += t.OutOfBlocks
+			outOfMemory += t.OutOfBlocks
 			if strings.HasPrefix(id, "k-") {
 				runs[id] += t.Runs
-				records[id] += t.Finished
+				finished[id] += t.Finished
 			}
 		}
 	}
 	for id, n := range runs {
-		if n > 1 || records[id] > 1 {
-			f.add(RunTwice, "%s: %d runs, %d records", id, n, records[id])
+		if n > 1 || finished[id] > 1 {
+			violations.add(RunTwice, "%s: %d runs, %d records", id, n, finished[id])
 		}
 	}
-	if starved > 0 {
-		f.add(DecodeOutOfMemory, "%d decodes ran out of memory", starved)
+	if outOfMemory > 0 {
+		violations.add(DecodeOutOfMemory, "%d decodes ran out of memory", outOfMemory)
 	}
-	for key := range outcomesByKey(all) {
+	for key := range outcomesByKindAndKey(all) {
 		// A client whose request is reported as not run appends a plus to the key and retries.
 		for k := key; strings.HasSuffix(k, "+"); {
 			k = strings.TrimSuffix(k, "+")
 			if n := runs[router.RequestIDForKey(k)]; n > 0 {
-				f.add(RanDespiteNotRun, "%s was reported as not run, but ran %d times", k, n)
+				violations.add(RanThoughReportedNotRun, "%s was reported as not run, but ran %d times", k, n)
 			}
 		}
 	}
 }
 
 // checkStreams reports the wrong streams that the clients detected.
-func checkStreams(f *violationList, all []standin.Outcome) {
+func checkStreams(violations *violationList, all []standin.Outcome) {
 	for _, o := range all {
 		if o.End != "wrong" {
 			continue
 		}
 		if strings.HasPrefix(o.Detail, "tokens") {
-			f.add(OutputDiffers, "%s at %s: %s", o.Kind, o.At, o.Detail)
+			violations.add(OutputDiffers, "%s at %s: %s", o.Kind, o.At, o.Detail)
 		} else {
-			f.add(StreamCorrupted, "%s at %s: %s", o.Kind, o.At, o.Detail)
+			violations.add(StreamCorrupted, "%s at %s: %s", o.Kind, o.At, o.Detail)
 		}
 	}
 }
 
 // returnTime returns when a worker was returned to use after a mark, or a time beyond any run.
-func (r *Recorder) returnTime(m Mark) time.Duration {
+func (r *Recorder) returnTime(m ScriptEvent) time.Duration {
 	end := time.Duration(1 << 62)
-	for _, mark := range r.marks {
-		if mark.What == "return" && mark.Name == m.Name && mark.At > m.At {
+	for _, mark := range r.scriptEvents {
+		if mark.Kind == "return" && mark.Subject == m.Subject && mark.At > m.At {
 			end = min(end, mark.At)
 		}
 	}
@@ -221,10 +221,10 @@
 
 // checkPlacement: a worker gets no new work more than 3 s after it left, or 5 s after its zone was
 // evacuated.
-func (r *Recorder) checkPlacement(f *violationList) {
-	for _, m := range r.marks {
+func (r *Recorder) checkPlacement(violations *violationList) {
+	for _, m := range r.scriptEvents {
 		bound, rule := 3*time.Second, WorkAfterLeave
-		switch m.What {
+		switch m.Kind {
 		case "leave":
 		case "evacuate":
 			bound, rule = 5*time.Second, WorkAfterEvacuation
@@ -233,9 +233,9 @@
 		}
 		until := r.returnTime(m)
 		for _, e := range r.events {
-			if (e.Kind == "prefill" || e.Kind == "import") && string(e.Worker) == m.Name && e.When > m.At+bound &&
-				e.When < until {
-				f.add(rule, "%s got a %s %.2f s after the mark", m.Name, e.Kind, (e.When - m.At).Seconds())
+			if (e.Kind == "prefill" || e.Kind == "import") && string(e.Worker) == m.Subject && e.RecordedAt > m.At+bound &&
+				e.RecordedAt < until {
+				violations.add(rule, "%s got a %s %.2f s after the mark", m.Subject, e.Kind, (e.RecordedAt - m.At).Seconds())
 				break
 			}
 		}
@@ -244,7 +244,7 @@
 
 // checkOrders: at each worker, fencing tokens never decrease, and no order has an older version than
 // one that the worker received more than 250 ms before.
-func (r *Recorder) checkOrders(f *violationList) {
+func (r *Recorder) checkOrders(violations *violationList) {
 	fence := map[ids.WorkerID]ids.Fence{}
 	type receivedVersion struct {
 		version ids.Version
@@ -260,43 +260,43 @@
 			continue
 		}
 		if e.Fence < fence[e.Worker] {
-			f.add(ConflictingOrders, "%s accepted %s with fence %d after fence %d", e.Worker, e.Kind, e.Fence, fence[e.Worker])
+			violations.add(FencingTokenDecreased, "%s accepted %s with fence %d after fence %d", e.Worker, e.Kind, e.Fence, fence[e.Worker])
 		}
 		fence[e.Worker] = max(fence[e.Worker], e.Fence)
 		for _, s := range seen[e.Worker] {
-			if e.Version < s.version && e.When > s.at+250*time.Millisecond {
-				f.add(
-					ConfigurationSlow,
+			if e.Version < s.version && e.RecordedAt > s.at+250*time.Millisecond {
+				violations.add(
+					ConfigurationStale,
 					"%s got %s with version %d, %.2f s after it received version %d",
 					e.Worker,
 					e.Kind,
 					e.Version,
-					(e.When - s.at).Seconds(),
+					(e.RecordedAt - s.at).Seconds(),
 					s.version,
 				)
 				break
 			}
 		}
 		if n := len(seen[e.Worker]); n == 0 || seen[e.Worker][n-1].version < e.Version {
-			seen[e.Worker] = append(seen[e.Worker], receivedVersion{e.Version, e.When})
+			seen[e.Worker] = append(seen[e.Worker], receivedVersion{e.Version, e.RecordedAt})
 		}
 	}
 }
 
 // checkGrantVersions: no router grants a hand-off under an older version than one that any worker
 // received more than 250 ms before.
-func (r *Recorder) checkGrantVersions(f *violationList) {
-	first := map[ids.Version]time.Duration{}
+func (r *Recorder) checkGrantVersions(violations *violationList) {
+	firstReceived := map[ids.Version]time.Duration{}
 	for _, e := range r.events {
-		if at, ok := first[e.Version]; e.Version > 0 && (!ok || e.When < at) {
-			first[e.Version] = e.When
+		if at, ok := firstReceived[e.Version]; e.Version > 0 && (!ok || e.RecordedAt < at) {
+			firstReceived[e.Version] = e.RecordedAt
 		}
 	}
 	for _, g := range r.grants {
-		for v, at := range first {
+		for v, at := range firstReceived {
 			if v > g.Version && g.At > at+250*time.Millisecond {
-				f.add(
-					ConfigurationSlow,
+				violations.add(
+					ConfigurationStale,
 					"%s granted a hand-off under version %d, %.2f s after a worker received version %d",
 					g.Node,
 					g.Version,
@@ -310,12 +310,12 @@
 }
 
 // checkRecomputeBudget compares the recomputes with the token bucket of the default budget.
-func (r *Recorder) checkRecomputeBudget(f *violationList) {
-	const rate, burst = 4.0, 12
+func (r *Recorder) checkRecomputeBudget(violations *violationList) {
+	const ratePerSecond, burst = 4.0, 12
 	for i := range r.recomputes {
 		for j := i; j < len(r.recomputes); j++ {
-			if n := float64(j - i + 1); n > burst+1+rate*(r.recomputes[j]-r.recomputes[i]).Seconds() {
-				f.add(RecomputeBudgetExceeded, "%d recomputes within %s", j-i+1, r.recomputes[j]-r.recomputes[i])
+			if n := float64(j - i + 1); n > burst+1+ratePerSecond*(r.recomputes[j]-r.recomputes[i]).Seconds() {
+				violations.add(RecomputeBudgetExceeded, "%d recomputes within %s", j-i+1, r.recomputes[j]-r.recomputes[i])
 				return
 			}
 		}
@@ -324,20 +324,20 @@
 
 // LastWorkAfter returns, for each mark of a kind (leave or evacuate), how long after it the worker
 // last got new work.
-func (r *Recorder) LastWorkAfter(what string) []time.Duration {
+func (r *Recorder) LastWorkAfter(kind string) []time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []time.Duration
-	for _, m := range r.marks {
-		if m.What != what {
+	for _, m := range r.scriptEvents {
+		if m.Kind != kind {
 			continue
 		}
 		until := r.returnTime(m)
 		last := time.Duration(0)
 		for _, e := range r.events {
-			if (e.Kind == "prefill" || e.Kind == "import") && string(e.Worker) == m.Name && e.When > m.At &&
-				e.When < until {
-				last = e.When - m.At
+			if (e.Kind == "prefill" || e.Kind == "import") && string(e.Worker) == m.Subject && e.RecordedAt > m.At &&
+				e.RecordedAt < until {
+				last = e.RecordedAt - m.At
 			}
 		}
 		out = append(out, last)
@@ -350,24 +350,24 @@
 func (r *Recorder) LongestStaleOrder() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	first := map[ids.WorkerID]map[ids.Version]time.Duration{}
+	firstReceived := map[ids.WorkerID]map[ids.Version]time.Duration{}
 	longest := time.Duration(0)
 	for _, e := range r.events {
 		if e.Fence == 0 || e.Kind == "resumed" {
 			continue
 		}
-		seen := first[e.Worker]
+		seen := firstReceived[e.Worker]
 		if seen == nil {
 			seen = map[ids.Version]time.Duration{}
-			first[e.Worker] = seen
+			firstReceived[e.Worker] = seen
 		}
 		for v, at := range seen {
 			if v > e.Version {
-				longest = max(longest, e.When-at)
+				longest = max(longest, e.RecordedAt-at)
 			}
 		}
 		if _, ok := seen[e.Version]; !ok {
-			seen[e.Version] = e.When
+			seen[e.Version] = e.RecordedAt
 		}
 	}
 	return longest
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -51,7 +51,7 @@
 	t.Helper()
 	var lines []api.StreamEvent
 	var refusal *api.Fault
-	nodes := c.Of("router")
+	nodes := c.ProcessesOfKind("router")
 	attempt := i
 	require.True(t, c.WaitUntil(8*time.Second, func() bool {
 		got, err := c.stream(nodes[attempt%len(nodes)], request)
@@ -81,7 +81,7 @@
 		for i := range releaseKeys {
 			newest, _ = c.sendUntilAnswered(t, i, releaseRequest(i))
 		}
-		shownAtFirst := latestShown(c)
+		shownAtFirst := newestActivePolicy(c)
 		_, err := c.Apply(&api.ApplyRequest{
 			Op:          "release",
 			BaseVersion: shownAtFirst.Version,
@@ -89,18 +89,18 @@
 			Source:      "{limits: queue: 12}",
 		})
 		require.NoError(t, err)
-		require.NoError(t, c.Mark("/v1/zones/"+string(c.Site.Zones[0]), "release-zone", true))
+		require.NoError(t, c.SetOutOfService("/v1/zones/"+string(c.Site.Zones[0]), "release-zone", true))
 		time.Sleep(2 * time.Second)
-		state := latestShown(c)
+		state := newestActivePolicy(c)
 		record := releaseState{Version: state.Version, Policy: state.Policy, Evacuated: state.EvacuatedZones}
 		for _, line := range newest[:len(newest)-1] {
 			record.Tokens = append(record.Tokens, line.Token)
 		}
 		require.NoError(t, os.RemoveAll(releaseFolder))
-		for _, p := range c.Of("controller") {
+		for _, p := range c.ProcessesOfKind("controller") {
 			c.Kill(p)
 		}
-		for _, p := range c.Of("controller") {
+		for _, p := range c.ProcessesOfKind("controller") {
 			folder := filepath.Join(releaseFolder, p.Name)
 			to, err := host.OpenDisk(folder)
 			require.NoError(t, err)
@@ -162,8 +162,8 @@
 		c := Build(2, standin.Sites["vatuloa"], tune)
 		defer c.Close()
 		require.True(t, c.WaitUntil(10*time.Second, func() bool { return c.Leader() != nil }))
-		require.True(t, c.WaitUntil(10*time.Second, func() bool { return latestShown(c).Version == record.Version }))
-		state := latestShown(c)
+		require.True(t, c.WaitUntil(10*time.Second, func() bool { return newestActivePolicy(c).Version == record.Version }))
+		state := newestActivePolicy(c)
 		require.JSONEq(t, string(record.Policy), string(state.Policy))
 		require.Equal(t, record.Evacuated, state.EvacuatedZones)
 		newest, refusal := c.sendUntilAnswered(t, 1, releaseRequest(releaseKeys-1))
--- a/internal/simulation/routing_programs_test.go
+++ b/internal/simulation/routing_programs_test.go
@@ -70,7 +70,7 @@
 		require.Equal(t, len(outcomes), sum.Ends["complete"], "%+v", sum)
 		require.Empty(t, c.Recorder.Check(outcomes))
 		picks, fallbacks := map[string]int64{}, map[string]int64{}
-		for _, p := range c.Of("router") {
+		for _, p := range c.ProcessesOfKind("router") {
 			for name, p := range p.Node.Status().(*router.NodeStatus).Programs {
 				picks[name] += p["picks"].(int64)
 				fallbacks[name] += p["fallbacks"].(int64)
@@ -108,7 +108,7 @@
 			time.Sleep(3 * time.Second)
 			for _, id := range site.WorkerIDs() {
 				if err == nil {
-					err = c.Mark("/v1/workers/"+string(id), "drain-"+string(id), true)
+					err = c.SetOutOfService("/v1/workers/"+string(id), "drain-"+string(id), true)
 				}
 			}
 			done <- err
@@ -121,7 +121,7 @@
 		after := c.Load(40, 3*time.Second, 4)
 		require.Equal(t, len(after), standin.Summarize(after).Ends["complete"])
 		runs := 0
-		for _, p := range c.Of("worker") {
+		for _, p := range c.ProcessesOfKind("worker") {
 			if p.Name[0] == 'n' {
 				runs += len(p.Worker.RequestCounts())
 			}
--- a/internal/simulation/script_test.go
+++ b/internal/simulation/script_test.go
@@ -54,7 +54,7 @@
 	if raceEnabled {
 		plan = LoadPlan{10, 7 * time.Second, 2 * time.Second}
 	}
-	for i, s := range slices.Concat(MachineScripts, OtherScripts, OperatorScripts) {
+	for i, s := range slices.Concat(MachineScripts, NetworkAndWorkerScripts, OperatorScripts) {
 		if raceEnabled && !slices.Contains([]string{"leader-killed", "workers-crash", "operators-race"}, s.Name) {
 			continue
 		}
