--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -1,4 +1,4 @@
-// Tests of the checkers: each one reports a violation of its rule that is put into a recording.
+// Tests that the checkers report violations that are put into a recording.
 
 package simulation
 
@@ -18,13 +18,13 @@
 
 func (f fakeRequestCounter) RequestCounts() map[string]standin.RequestCounts { return f }
 
-// TestCheckersCatch records one violation of each rule and requires that exactly this rule is
-// reported.
+// TestCheckersCatch records one violation of each rule that Recorder.Check covers, and requires that exactly this
+// rule is reported. It also tests the checker of grant versions and the measurement of outages.
 func TestCheckersCatch(t *testing.T) {
-	event := func(r *Recorder, what, worker string, fence ids.Fence, v ids.Version, at time.Duration) {
+	event := func(r *Recorder, kind, worker string, fence ids.Fence, v ids.Version, at time.Duration) {
 		r.events = append(r.events, RecordedWorkerEvent{
 			standin.Event{
-				Kind:    what,
+				Kind:    kind,
 				Worker:  ids.WorkerID(worker),
 				ID:      workerclient.ID{Request: "r"},
 				Fence:   fence,
@@ -49,7 +49,10 @@
 		OutputDiffers: func(*Recorder) []standin.Outcome {
 			return []standin.Outcome{{Kind: "rider", End: "wrong", Detail: "tokens [1]"}}
 		},
-		DecodeOutOfMemory: func(r *Recorder) []standin.Outcome { r.AddWorker(fakeRequestCounter{"x": {OutOfBlocks: 1}}); return nil },
+		DecodeOutOfMemory: func(r *Recorder) []standin.Outcome {
+			r.AddWorker(fakeRequestCounter{"x": {OutOfBlocks: 1}})
+			return nil
+		},
 		WorkAfterLeave: func(r *Recorder) []standin.Outcome {
 			r.scriptEvents = append(r.scriptEvents, ScriptEvent{"leave", "p1", time.Second})
 			event(r, "prefill", "p1", 1, 1, 3900*time.Millisecond)
@@ -99,8 +102,8 @@
 	}, time.Second, 7*time.Second, nil))
 }
 
-// TestConfigurationChecks records acknowledged, refused and active configurations: contradictions
-// among them must be reported, and consistent recordings must not.
+// TestConfigurationChecks records acknowledged, refused and active configurations. A recording with a
+// contradiction must give one violation, and a consistent one none.
 func TestConfigurationChecks(t *testing.T) {
 	for name, record := range map[string]func(r *Recorder){
 		"different text": func(r *Recorder) { r.RecordAck(3, "a"); r.RecordActive("n1", 3, []byte("b")) },
@@ -115,7 +118,7 @@
 			r.RecordActive("n1", 3, []byte("a"))
 			r.RecordRefused("b")
 		},
-		"refused, then accepted": func(r *Recorder) {
+		"refused, then acknowledged": func(r *Recorder) {
 			r.RecordRefused("a")
 			r.RecordAck(4, "a")
 			r.RecordActive("n1", 4, []byte("a"))
@@ -123,7 +126,7 @@
 	} {
 		c := &Cluster{Recorder: NewRecorder()}
 		record(c.Recorder)
-		if got := c.checkConfigurations(); name == "" || name == "refused, then accepted" {
+		if got := c.checkConfigurations(); name == "" || name == "refused, then acknowledged" {
 			require.Empty(t, got, name)
 		} else {
 			require.Len(t, got, 1, name)
@@ -131,7 +134,7 @@
 	}
 	r := NewRecorder()
 	require.False(t, r.controllersPartitionedSince(0))
-	r.scriptEvents = []ScriptEvent{{"partition", "core", 2}, {"heal", "core", 5}}
+	r.scriptEvents = []ScriptEvent{{"partition", "controllers", 2}, {"heal", "controllers", 5}}
 	require.True(t, r.controllersPartitionedSince(3))
 	require.False(t, r.controllersPartitionedSince(6))
 	require.True(t, r.controllersPartitionedSince(1), "the partition began after the start of the interval")
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -1,5 +1,5 @@
-// Operators' changes to a fleet, recorded with the responses: the complete texts of configurations
-// that were acknowledged or refused, and evacuations from the time at which they were requested.
+// Helpers that change a fleet as an operator does and record the requests and responses, that partition the
+// controllers from the routers, and that check the recorded configurations.
 
 package simulation
 
@@ -15,8 +15,9 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// newestActivePolicy returns the newest configuration that is in force at any router. It waits up to 3 s
-// until that router knows of no newer version.
+// newestActivePolicy returns the newest configuration that is active on any running router. It waits up to 3 s
+// until that router knows of no newer version, and then returns the newest one found, even if there is none
+// and its version is 0.
 func newestActivePolicy(c *Cluster) *api.ActivePolicy {
 	state := &api.ActivePolicy{}
 	c.WaitUntil(3*time.Second, func() bool {
@@ -30,7 +31,8 @@
 	return state
 }
 
-// mergedText returns the complete text that results from merging a partial one into the shown policy.
+// mergedText returns the complete text that results from merging a partial one into the active
+// policy.
 func mergedText(state *api.ActivePolicy, part string) (string, error) {
 	src, err := fleetstate.CUEToJSON("part", []byte(part))
 	if err != nil {
@@ -46,8 +48,8 @@
 
 var errConflict = errors.New("another operator's change was applied first")
 
-// applyPartial applies a partial configuration and records the response. It retries under the same
-// operation ID while the outcome is unknown.
+// applyPartial applies a partial configuration and records whether it was acknowledged or refused because of a
+// conflict. It retries under the same operation ID for up to 12 s while the outcome is unknown.
 func applyPartial(c *Cluster, op, part string) error {
 	state := newestActivePolicy(c)
 	text, err := mergedText(state, part)
@@ -58,13 +60,13 @@
 	var got *api.ApplyResponse
 	c.WaitUntil(12*time.Second, func() bool {
 		got, err = c.Apply(&api.ApplyRequest{Op: op, BaseVersion: state.Version, Partial: true, Source: part})
-		var r *api.Fault
-		return err == nil || errors.As(err, &r) && r.Code < 500
+		var fault *api.Fault
+		return err == nil || errors.As(err, &fault) && fault.Code < 500
 	})
-	var r *api.Fault
+	var fault *api.Fault
 	switch {
 	case err == nil:
-	case errors.As(err, &r) && r.Code == http.StatusConflict:
+	case errors.As(err, &fault) && fault.Code == http.StatusConflict:
 		c.Recorder.RecordRefused(text)
 		return errConflict
 	default:
@@ -73,10 +75,10 @@
 	c.Recorder.RecordAck(ids.Version(got.Version), text)
 	took := c.Recorder.Now() - start
 	c.Recorder.RecordApplyTime(took)
-	// While the core is partitioned from all routers, none of them can receive the version.
+	// While the controllers are partitioned from all routers, no router can receive the version.
 	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) && !c.Recorder.controllersPartitionedSince(start) {
 		c.Recorder.RecordScriptEvent(
-			"slow-apply", fmt.Sprintf("version %d took %s, in force: %v", got.Version, took, got.Active),
+			"slow-apply", fmt.Sprintf("version %d took %s, active: %v", got.Version, took, got.Active),
 		)
 	}
 	return nil
@@ -87,8 +89,8 @@
 	return applyPartial(c, op, fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, ms))
 }
 
-// setEvacuated evacuates or restores a zone, and retries until that is acknowledged. The recorded
-// time is that of the first request.
+// setEvacuated evacuates or restores a zone, and retries for up to 12 s until a request is acknowledged. It
+// records the event for each worker of the zone before the first request.
 func setEvacuated(c *Cluster, z ids.Zone, op string, evacuated bool) error {
 	kind := "return"
 	if evacuated {
@@ -107,13 +109,14 @@
 	return err
 }
 
-// PartitionControllers partitions the core from all routers, or removes the partition.
+// PartitionControllers partitions the controllers from all routers, or removes the partition if on is false.
 func (c *Cluster) PartitionControllers(on bool) {
-	c.Recorder.RecordScriptEvent(map[bool]string{true: "partition", false: "heal"}[on], "core")
+	c.Recorder.RecordScriptEvent(map[bool]string{true: "partition", false: "heal"}[on], "controllers")
 	c.World.Partition(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...), on)
 }
 
-// controllersPartitionedSince reports whether the core was partitioned from all routers at any time since then.
+// controllersPartitionedSince reports whether the controllers were partitioned from all routers at any time
+// after since.
 func (r *Recorder) controllersPartitionedSince(since time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,14 +135,14 @@
 	return on
 }
 
-// RecordRefused records a configuration that was refused to an operator.
+// RecordRefused records the complete text of a configuration that was rejected.
 func (r *Recorder) RecordRefused(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refused = append(r.refused, text)
 }
 
-// RecordActive records the configuration that is in force at a router.
+// RecordActive records the configuration that is active on a router.
 func (r *Recorder) RecordActive(node string, v ids.Version, text []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,10 +154,10 @@
 	}
 }
 
-// checkConfigurations compares the acknowledged and refused configurations with all that were in
-// force at any router. A version has a single text, which is the acknowledged one if there is one; a
-// refused text is never in force unless it was also acknowledged; and within 5 s every running router
-// has the newest acknowledged version.
+// checkConfigurations compares the acknowledged and refused configurations with all that were recorded as
+// active. A version has a single text, which is the acknowledged one if there is one. A refused text is never
+// active unless it was also acknowledged. Every running router must get the newest acknowledged version, or a
+// newer one, within 5 s. The applies that took too long are reported too.
 func (c *Cluster) checkConfigurations() []Violation {
 	violations := &violationList{}
 	c.Recorder.mu.Lock()
@@ -166,7 +169,7 @@
 		newest = max(newest, a.Version)
 		for text, node := range c.Recorder.active[a.Version] {
 			if text != a.Text {
-				violations.add(ConfigurationLost, "version %d was acknowledged, but %s had a different text in force", a.Version, node)
+				violations.add(ConfigurationLost, "version %d was acknowledged, but a different text was active on %s", a.Version, node)
 			}
 		}
 	}
@@ -176,7 +179,7 @@
 		}
 		for _, refused := range c.Recorder.refused {
 			if node, ok := texts[refused]; ok && !acknowledged[refused] {
-				violations.add(ConfigurationLost, "%s had version %d in force, but its text was refused", node, v)
+				violations.add(ConfigurationLost, "%s had version %d active, but its text was refused", node, v)
 			}
 		}
 	}
@@ -194,7 +197,7 @@
 	return violations.found
 }
 
-// marshalPartial encodes a partial configuration.
+// marshalPartial returns a partial configuration as JSON, and panics if it can't be encoded.
 func marshalPartial(v map[string]any) string {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -1,5 +1,5 @@
-// The recorder collects the events that workers and routers report. The checkers read them after
-// the run; each rule names a violation that must never occur.
+// The recorder collects the events of workers, the grants of hand-offs, the events of the script and the
+// responses to configuration changes. The checkers read them after the run.
 
 package simulation
 
@@ -15,47 +15,48 @@
 	"keelstair.example/internal/standin"
 )
 
-// ScriptEvent is an action of the script, with the time at which it was recorded.
+// ScriptEvent is an action of the script, or an apply that took too long, with the time at which it was
+// recorded.
 type ScriptEvent struct {
-	Kind string // such as leave, evacuate, return, partition, heal or slow-apply
-	Subject string
-	At   time.Duration
+	Kind    string // leave, evacuate, return, partition, heal or slow-apply
+	Subject string // a worker, or the controllers, or the details of a slow apply
+	At      time.Duration
 }
 
-// RecordedWorkerEvent is a worker's event with the simulated time at which it was recorded.
+// RecordedWorkerEvent is an event of a worker with the simulated time at which it was recorded.
 type RecordedWorkerEvent struct {
 	standin.Event
 	RecordedAt time.Duration
 }
 
-// Recorder collects the events, marks and configurations of a run.
+// Recorder collects the events and configurations of a run.
 type Recorder struct {
-	mu         sync.Mutex
-	start      time.Time
-	events     []RecordedWorkerEvent
-	workers    []RequestCounter
-	scriptEvents      []ScriptEvent
-	grants     []Grant
-	recomputes []time.Duration
-	acks       []AckedConfiguration
-	applyTimes []time.Duration                   // duration of each successful apply, until its version was in force
-	refused    []string                          // texts of refused configurations
-	active     map[ids.Version]map[string]string // text -> first router that had it in force, by version
+	mu           sync.Mutex
+	start        time.Time
+	events       []RecordedWorkerEvent
+	workers      []RequestCounter
+	scriptEvents []ScriptEvent
+	grants       []Grant
+	recomputes   []time.Duration
+	acks         []AckedConfiguration
+	applyTimes   []time.Duration                   // time from the first request to the acknowledgement of each apply
+	refused      []string                          // texts of refused configurations
+	active       map[ids.Version]map[string]string // text -> first router on which it was recorded as active, by version
 }
 
-// AckedConfiguration is a configuration that was acknowledged to an operator.
+// AckedConfiguration is a configuration whose apply was acknowledged, with its complete text.
 type AckedConfiguration struct {
 	Version ids.Version
 	Text    string
 	At      time.Duration
 }
 
-// RequestCounter is an incarnation of a worker, which counts its work for each request.
+// RequestCounter is a process of a worker. It counts its work for each request.
 type RequestCounter interface {
 	RequestCounts() map[string]standin.RequestCounts
 }
 
-// Grant is a hand-off that a router granted, with the configuration version that it had in force.
+// Grant is a hand-off that was granted, with the router and the configuration version active on it.
 type Grant struct {
 	Node    string
 	Version ids.Version
@@ -81,8 +82,8 @@
 	r.workers = append(r.workers, w)
 }
 
-// RecordHandoffEvent records grants and, among them, recomputes: grants after the first attempt.
-// The version is the one that the router has in force.
+// RecordHandoffEvent records a grant, and also a recompute if the grant is for a second or later attempt.
+// It ignores other events. The version v is the one active on the router.
 func (r *Recorder) RecordHandoffEvent(node string, e handoff.Event, v ids.Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +107,7 @@
 	r.acks = append(r.acks, AckedConfiguration{v, text, r.Now()})
 }
 
-// RecordApplyTime records how long an apply took.
+// RecordApplyTime records the time from the first request of an apply to its acknowledgement.
 func (r *Recorder) RecordApplyTime(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,21 +127,22 @@
 
 // Rules, named after the violation that must never occur.
 const (
-	RunTwice                = "request run twice or recorded twice"
-	RanThoughReportedNotRun        = "request reported as not run was run"
+	RunTwice                = "request run twice or finished twice"
+	RanThoughReportedNotRun = "request was run, but reported as not run"
 	StreamCorrupted         = "stream lost, repeated, spliced or falsely complete"
 	OutputDiffers           = "output differs"
 	DecodeOutOfMemory       = "decode ran out of memory"
 	WorkAfterLeave          = "new work at a leaving worker"
 	WorkAfterEvacuation     = "new work in an evacuated zone"
-	ConfigurationStale       = "configuration slow or reverted"
+	ConfigurationStale      = "configuration applied late, or an older one used"
 	ConfigurationLost       = "acknowledged configuration lost"
-	FencingTokenDecreased       = "conflicting orders"
+	FencingTokenDecreased   = "fencing token decreased"
 	RecomputeBudgetExceeded = "recompute budget exceeded"
 	ServiceNotRestored      = "service not restored"
 )
 
-// Check returns all violations in the recorded events and the clients' outcomes.
+// Check returns the violations in the recorded events and the clients' outcomes. The acknowledged, refused
+// and active configurations are checked by Cluster.checkConfigurations.
 func (r *Recorder) Check(all []standin.Outcome) []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,6 +156,7 @@
 	return violations.found
 }
 
+// outcomesByKindAndKey returns the outcomes of keyed requests by "kind/key".
 func outcomesByKindAndKey(all []standin.Outcome) map[string]standin.Outcome {
 	out := map[string]standin.Outcome{}
 	for _, o := range all {
@@ -169,6 +172,7 @@
 	for _, w := range r.workers {
 		for id, t := range w.RequestCounts() {
 			outOfMemory += t.OutOfBlocks
+			// Only the request IDs that are made from idempotency keys have this prefix.
 			if strings.HasPrefix(id, "k-") {
 				runs[id] += t.Runs
 				finished[id] += t.Finished
@@ -177,7 +181,7 @@
 	}
 	for id, n := range runs {
 		if n > 1 || finished[id] > 1 {
-			violations.add(RunTwice, "%s: %d runs, %d records", id, n, finished[id])
+			violations.add(RunTwice, "%s: %d runs, %d finished", id, n, finished[id])
 		}
 	}
 	if outOfMemory > 0 {
@@ -194,7 +198,8 @@
 	}
 }
 
-// checkStreams reports the wrong streams that the clients detected.
+// checkStreams reports the streams that the clients found to be wrong. A detail that begins with "tokens"
+// means that the output differs.
 func checkStreams(violations *violationList, all []standin.Outcome) {
 	for _, o := range all {
 		if o.End != "wrong" {
@@ -208,7 +213,8 @@
 	}
 }
 
-// returnTime returns when a worker was returned to use after a mark, or a time beyond any run.
+// returnTime returns the time of the first return of the same worker after m, or a time later than the end of
+// any run if there is none.
 func (r *Recorder) returnTime(m ScriptEvent) time.Duration {
 	end := time.Duration(1 << 62)
 	for _, mark := range r.scriptEvents {
@@ -219,8 +225,8 @@
 	return end
 }
 
-// checkPlacement: a worker gets no new work more than 3 s after it left, or 5 s after its zone was
-// evacuated.
+// checkPlacement checks that a worker gets no new work more than 3 s after it was marked as leaving, or 5 s
+// after the first request to evacuate its zone, unless it was returned to service before.
 func (r *Recorder) checkPlacement(violations *violationList) {
 	for _, m := range r.scriptEvents {
 		bound, rule := 3*time.Second, WorkAfterLeave
@@ -235,15 +241,15 @@
 		for _, e := range r.events {
 			if (e.Kind == "prefill" || e.Kind == "import") && string(e.Worker) == m.Subject && e.RecordedAt > m.At+bound &&
 				e.RecordedAt < until {
-				violations.add(rule, "%s got a %s %.2f s after the mark", m.Subject, e.Kind, (e.RecordedAt - m.At).Seconds())
+				violations.add(rule, "%s got new work (%s) %.2f s after it was marked as leaving or evacuated", m.Subject, e.Kind, (e.RecordedAt - m.At).Seconds())
 				break
 			}
 		}
 	}
 }
 
-// checkOrders: at each worker, fencing tokens never decrease, and no order has an older version than
-// one that the worker received more than 250 ms before.
+// checkOrders checks, for each worker, that fencing tokens never decrease, and that no order has an older
+// version than one that the worker received more than 250 ms before.
 func (r *Recorder) checkOrders(violations *violationList) {
 	fence := map[ids.WorkerID]ids.Fence{}
 	type receivedVersion struct {
@@ -255,12 +261,13 @@
 		if e.Fence == 0 {
 			continue
 		}
-		// A resume waits for its KV cache; its order was checked when it arrived, not when it starts.
+		// A resumed event is recorded only when the KV cache has arrived, so it may be later than newer orders.
+		// The resume order itself was recorded on arrival.
 		if e.Kind == "resumed" {
 			continue
 		}
 		if e.Fence < fence[e.Worker] {
-			violations.add(FencingTokenDecreased, "%s accepted %s with fence %d after fence %d", e.Worker, e.Kind, e.Fence, fence[e.Worker])
+			violations.add(FencingTokenDecreased, "%s accepted %s with fencing token %d after %d", e.Worker, e.Kind, e.Fence, fence[e.Worker])
 		}
 		fence[e.Worker] = max(fence[e.Worker], e.Fence)
 		for _, s := range seen[e.Worker] {
@@ -283,8 +290,8 @@
 	}
 }
 
-// checkGrantVersions: no router grants a hand-off under an older version than one that any worker
-// received more than 250 ms before.
+// checkGrantVersions checks that no router grants a hand-off under an older version than one that any worker
+// received more than 250 ms before. It reports the first violation only.
 func (r *Recorder) checkGrantVersions(violations *violationList) {
 	firstReceived := map[ids.Version]time.Duration{}
 	for _, e := range r.events {
@@ -309,7 +316,8 @@
 	}
 }
 
-// checkRecomputeBudget compares the recomputes with the token bucket of the default budget.
+// checkRecomputeBudget checks that no interval has more recomputes than the token bucket of the default retry
+// budget allows, plus one: 4 a second and a burst of 12. It reports the first violation only.
 func (r *Recorder) checkRecomputeBudget(violations *violationList) {
 	const ratePerSecond, burst = 4.0, 12
 	for i := range r.recomputes {
@@ -322,8 +330,8 @@
 	}
 }
 
-// LastWorkAfter returns, for each mark of a kind (leave or evacuate), how long after it the worker
-// last got new work.
+// LastWorkAfter returns, for each script event of the kind (leave or evacuate), the time from that event to the
+// last new work that the worker got before its return, or 0 if it got none.
 func (r *Recorder) LastWorkAfter(kind string) []time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -345,8 +353,8 @@
 	return out
 }
 
-// LongestStaleOrder returns the longest time after which a worker that had received a version
-// still got an order with an older one.
+// LongestStaleOrder returns the longest time between the first order of a version at a worker and a later order
+// with an older version at the same worker.
 func (r *Recorder) LongestStaleOrder() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
