--- a/internal/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -1,6 +1,6 @@
-// This file combines randomly chosen failures and operator actions into one script in which they
-// overlap, within the failures that the fleet must tolerate: at most one controller and one zone
-// are unavailable for long at a time, while any number of processes may be killed and restarted.
+// This file combines randomly chosen failures and operators' changes into one script in which they overlap. The
+// script stays within the failures that the fleet must tolerate: at most one controller and one zone are
+// unavailable for long at a time, while any number of processes may be killed and restarted.
 
 package simulation
 
@@ -16,10 +16,10 @@
 	"keelstair.example/internal/standin"
 )
 
-// action is a failure or an operator's change. Actions of the same group never overlap.
+// action is a failure or an operator's change. Actions of the same non-empty group never overlap.
 type action struct {
 	name  string
-	group string // disk, zone, links or empty
+	group string // controller, zone, links or empty; actions without a group overlap with any others
 	run   func(c *Cluster, r *rand.Rand, op string) error
 }
 
@@ -27,7 +27,7 @@
 	return time.Duration(minMs+r.IntN(maxMs-minMs)) * time.Millisecond
 }
 
-// restartAfter kills a process or cuts its machine's power, and restarts it after a time.
+// restartAfter kills a process, or its machine loses power, and starts it again after the downtime.
 func restartAfter(c *Cluster, p *Process, downtime time.Duration, power bool) error {
 	if power {
 		c.PowerOff(p)
@@ -48,7 +48,7 @@
 	return out
 }
 
-// changeIgnoringConflict applies a change. Losing to a concurrent operator's change isn't an error.
+// changeIgnoringConflict applies a change. A conflict with a concurrent operator's change isn't an error.
 func changeIgnoringConflict(c *Cluster, op, part string) error {
 	if err := applyPartial(c, op, part); err != nil && !errors.Is(err, errConflict) {
 		return fmt.Errorf("%s: %w", op, err)
@@ -57,13 +57,13 @@
 }
 
 var actions = []action{
-	{"leader killed", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"leader killed", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		return restartAfter(c, leader(c), randomDuration(r, 200, 4000), false)
 	}},
-	{"a controller loses power", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"a controller loses power", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		return restartAfter(c, pickOne(r, running(c, "controller")), randomDuration(r, 500, 5000), true)
 	}},
-	{"leader lost during a takeover", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"leader lost during a takeover", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := leader(c)
 		c.Kill(p)
 		time.Sleep(randomDuration(r, 900, 2200))
@@ -75,7 +75,7 @@
 		}
 		return nil
 	}},
-	{"disk wiped right after an acknowledged change", "disk", func(c *Cluster, r *rand.Rand, op string) error {
+	{"disk wiped right after an acknowledged change", "controller", func(c *Cluster, r *rand.Rand, op string) error {
 		if err := changeIgnoringConflict(
 			c, op, marshalPartial(map[string]any{"limits": map[string]any{"retryAfterMs": 1000 + r.IntN(900)}}),
 		); err != nil {
@@ -89,7 +89,7 @@
 		time.Sleep(9 * time.Second)
 		return nil
 	}},
-	{"every controller killed at once", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"every controller killed at once", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		list := running(c, "controller")
 		for _, p := range list {
 			c.Kill(p)
@@ -102,21 +102,21 @@
 		}
 		return nil
 	}},
-	{"a disk stalls", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"a disk stalls", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := pickOne(r, running(c, "controller"))
 		p.Machine.StallDisk(true)
 		time.Sleep(randomDuration(r, 500, 5000))
 		p.Machine.StallDisk(false)
 		return nil
 	}},
-	{"a controller freezes and resumes", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"a controller freezes and resumes", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := pickOne(r, running(c, "controller"))
 		p.Machine.Freeze(true)
 		time.Sleep(randomDuration(r, 500, 5000))
 		p.Machine.Freeze(false)
 		return nil
 	}},
-	{"the leader partitioned from the other controllers", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"the leader partitioned from the other controllers", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := leader(c)
 		var rest []*Process
 		for _, o := range c.ProcessesOfKind("controller") {
@@ -253,7 +253,8 @@
 	}},
 }
 
-// fleetChange is a partial configuration that adds or removes workers, zones or programs.
+// fleetChange returns a partial configuration that adds or removes a worker or a program, depending on i. For
+// some values of i it also sets the zones.
 func fleetChange(r *rand.Rand, op string, i int) string {
 	name := fmt.Sprintf("%s-%d", op, i)
 	part := map[string]any{"limits": map[string]any{"retryAfterMs": 900 + r.IntN(5000)}}
@@ -282,7 +283,8 @@
 	return marshalPartial(part)
 }
 
-// ComposedScript combines two to four actions, chosen by the seed, into one script.
+// ComposedScript returns a script that runs two to four actions chosen by the seed. Each one starts after a random
+// delay of up to 4 s, but waits for the end of an action that it must not overlap with.
 func ComposedScript(seed uint64) Script {
 	r := rand.New(rand.NewPCG(seed, 2026))
 	var names []string
@@ -304,9 +306,9 @@
 				go func() {
 					time.Sleep(randomDuration(random, 0, 4000))
 					if own := actions[i].group; own != "" {
-						// A zone that is unavailable includes a controller.
-						for _, group := range []string{"disk", "zone", "links"} {
-							if group == own || own == "zone" && group == "disk" {
+						// An unavailable zone includes a controller, so zone actions don't overlap with controller actions.
+						for _, group := range []string{"controller", "zone", "links"} {
+							if group == own || own == "zone" && group == "controller" {
 								locks[group].Lock()
 								defer locks[group].Unlock()
 							}
--- a/internal/simulation/machine_scripts_test.go
+++ b/internal/simulation/machine_scripts_test.go
@@ -1,6 +1,6 @@
-// Each script injects one kind of failure into a fleet under load. A seed chooses the machines that
-// are affected. This file has the scripts of machines, disks and the core; those of links, clocks,
-// workers and operators are in other_scripts_test.go.
+// A script injects failures into a fleet under load, or changes the fleet as an operator does. Random numbers
+// derived from the trial's seed choose the affected machines and most of the delays. This file has the scripts with
+// failures of machines and disks; network_and_worker_scripts_test.go and operator_scripts_test.go have the others.
 
 package simulation
 
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Script injects failures into a fleet. Run is called while the load is sent, and returns when the
-// last failure has been injected or repaired.
+// Script injects failures into a fleet or changes it. Run is called while the load is sent, and returns after the
+// last failure or change; some failures last until the end of the trial.
 type Script struct {
 	Name         string
 	Run          func(c *Cluster, r *rand.Rand) error
-	Configure    func(c *Cluster)
-	Bound        time.Duration // longest permitted outage, 12 s if zero
-	NoFailures   bool          // every request must complete
-	LoadDuration time.Duration // minimum duration of the load while Run is called
+	Configure    func(c *Cluster) // called before the fleet starts, if set
+	Bound        time.Duration    // longest permitted outage, 12 s if zero
+	NoFailures   bool             // every request must complete
+	LoadDuration time.Duration    // minimum duration of the load while Run is called
 }
 
 func pickOne[T any](r *rand.Rand, list []T) T { return list[r.IntN(len(list))] }
@@ -36,6 +36,7 @@
 	return pickOne(r, rest)
 }
 
+// leader waits up to 5 s for a leader and returns it. If there is none, it returns the first controller.
 func leader(c *Cluster) *Process {
 	c.WaitUntil(5*time.Second, func() bool { return c.Leader() != nil })
 	if p := c.Leader(); p != nil {
@@ -44,7 +45,7 @@
 	return c.ProcessesOfKind("controller")[0]
 }
 
-// MachineScripts are the scripts of killed, lost and replaced machines.
+// MachineScripts are scripts in which processes or machines are killed, lost, replaced, frozen or slow.
 var MachineScripts = []Script{
 	{Name: "leader-killed", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
@@ -109,7 +110,7 @@
 			return nil
 		},
 	},
-	{Name: "entire-core-restarts", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "all-controllers-restart", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		if err := changeRetryAfter(c, "before-total", 1800); err != nil {
 			return err
@@ -163,12 +164,12 @@
 	}},
 	{Name: "leader-and-router-freeze", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		p, v := leader(c), pickOne(r, c.ProcessesOfKind("router"))
+		p, router := leader(c), pickOne(r, c.ProcessesOfKind("router"))
 		p.Machine.Freeze(true)
-		v.Machine.Freeze(true)
+		router.Machine.Freeze(true)
 		time.Sleep(time.Duration(2000+r.IntN(5000)) * time.Millisecond)
 		p.Machine.Freeze(false)
-		v.Machine.Freeze(false)
+		router.Machine.Freeze(false)
 		return nil
 	}},
 	{Name: "disk-stalls", Run: func(c *Cluster, r *rand.Rand) error {
--- a/internal/simulation/network_and_worker_scripts_test.go
+++ b/internal/simulation/network_and_worker_scripts_test.go
@@ -1,4 +1,4 @@
-// Scripts that inject failures of links, clocks and workers, or act as operators.
+// Scripts that inject failures of links, clocks and workers, or change the fleet as operators do.
 
 package simulation
 
@@ -21,6 +21,7 @@
 	return out
 }
 
+// addressesExcept returns the addresses of the clients' machine, 10.9.0.1, and of all processes except p.
 func (c *Cluster) addressesExcept(p *Process) []string {
 	out := []string{"10.9.0.1"}
 	for _, o := range c.Processes {
@@ -31,9 +32,9 @@
 	return out
 }
 
-// NetworkAndWorkerScripts are the scripts of links, clocks, workers and operators.
+// NetworkAndWorkerScripts are scripts with failures of links, clocks or workers, or with operators' changes.
 var NetworkAndWorkerScripts = []Script{
-	{Name: "core-split", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "leader-partitioned-from-controllers", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		p := leader(c)
 		var rest []string
@@ -48,7 +49,7 @@
 		time.Sleep(2 * time.Second)
 		return changeRetryAfter(c, "after-split", 2200)
 	}},
-	{Name: "leader-cut-one-way", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "leader-blocked-in-one-direction", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		p := leader(c)
 		rest := c.addressesExcept(p)
@@ -64,7 +65,7 @@
 	{Name: "router-isolated-from-peers", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		p := pickOne(r, c.ProcessesOfKind("router"))
-		// Workers and clients still reach the router, but controllers and other routers don't.
+		// Workers and clients can still reach the router, but controllers and other routers can't.
 		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(7 * time.Second)
@@ -173,7 +174,7 @@
 		NoFailures: true,
 	},
 	{
-		Name: "zone-evacuated-and-back",
+		Name: "zone-evacuated-and-restored",
 		Run: func(c *Cluster, r *rand.Rand) error {
 			randomPause(r)
 			z := pickOne(r, c.Site.Zones)
@@ -191,7 +192,7 @@
 			for n := range 4 {
 				var wg sync.WaitGroup
 				var mu sync.Mutex
-				won := 0
+				acknowledged := 0
 				state := newestActivePolicy(c)
 				for k := range 2 {
 					wg.Go(func() {
@@ -211,13 +212,13 @@
 						}
 						c.Recorder.RecordAck(ids.Version(got.Version), text)
 						mu.Lock()
-						won++
+						acknowledged++
 						mu.Unlock()
 					})
 				}
 				wg.Wait()
-				if won != 1 {
-					return fmt.Errorf("round %d: %d of two concurrent changes were acknowledged", n, won)
+				if acknowledged != 1 {
+					return fmt.Errorf("round %d: %d of two concurrent changes were acknowledged", n, acknowledged)
 				}
 				c.WaitUntil(3*time.Second, func() bool { return c.ProcessesOfKind("router")[0].Node.Show().Version > state.Version })
 			}
@@ -226,7 +227,7 @@
 		NoFailures: true,
 	},
 	{
-		Name: "configuration-storm",
+		Name: "many-configuration-changes",
 		Run: func(c *Cluster, r *rand.Rand) error {
 			for n := range 25 {
 				if err := changeRetryAfter(c, fmt.Sprintf("storm-%d", n), 4000+n); err != nil {
@@ -237,17 +238,17 @@
 		},
 		NoFailures: true,
 	},
-	{Name: "storm-with-a-node-cut-from-the-core", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "configuration-changes-with-a-router-partitioned", Run: func(c *Cluster, r *rand.Rand) error {
 		p := ownerOfBothRoles(c)
-		core := addresses(c.ProcessesOfKind("controller")...)
-		c.World.Partition(addresses(p), core, true)
+		controllers := addresses(c.ProcessesOfKind("controller")...)
+		c.World.Partition(addresses(p), controllers, true)
 		sendInBackground(c, p)
 		for n := range 4 {
 			if err := changeRetryAfter(c, fmt.Sprintf("cut-%d", n), 5000+n); err != nil {
 				return err
 			}
 		}
-		c.World.Partition(addresses(p), core, false)
+		c.World.Partition(addresses(p), controllers, false)
 		return nil
 	}},
 }
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -169,7 +169,9 @@
 		newest = max(newest, a.Version)
 		for text, node := range c.Recorder.active[a.Version] {
 			if text != a.Text {
-				violations.add(ConfigurationLost, "version %d was acknowledged, but a different text was active on %s", a.Version, node)
+				violations.add(
+					ConfigurationLost, "version %d was acknowledged, but a different text was active on %s", a.Version, node,
+				)
 			}
 		}
 	}
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -241,7 +241,13 @@
 		for _, e := range r.events {
 			if (e.Kind == "prefill" || e.Kind == "import") && string(e.Worker) == m.Subject && e.RecordedAt > m.At+bound &&
 				e.RecordedAt < until {
-				violations.add(rule, "%s got new work (%s) %.2f s after it was marked as leaving or evacuated", m.Subject, e.Kind, (e.RecordedAt - m.At).Seconds())
+				violations.add(
+					rule,
+					"%s got new work (%s) %.2f s after it was marked as leaving or evacuated",
+					m.Subject,
+					e.Kind,
+					(e.RecordedAt - m.At).Seconds(),
+				)
 				break
 			}
 		}
@@ -267,7 +273,14 @@
 			continue
 		}
 		if e.Fence < fence[e.Worker] {
-			violations.add(FencingTokenDecreased, "%s accepted %s with fencing token %d after %d", e.Worker, e.Kind, e.Fence, fence[e.Worker])
+			violations.add(
+				FencingTokenDecreased,
+				"%s accepted %s with fencing token %d after %d",
+				e.Worker,
+				e.Kind,
+				e.Fence,
+				fence[e.Worker],
+			)
 		}
 		fence[e.Worker] = max(fence[e.Worker], e.Fence)
 		for _, s := range seen[e.Worker] {
--- a/internal/simulation/script_test.go
+++ b/internal/simulation/script_test.go
@@ -1,4 +1,4 @@
-// Tests that run every script with one or more seeds.
+// Tests that run every script, and scripts composed at random, with one or more seeds.
 
 package simulation
 
@@ -27,8 +27,8 @@
 	return out
 }
 
-// smallSite is a deployment for runs under the race detector, in which one of the usual size takes
-// about twenty times as long.
+// smallSite is a small fleet for runs under the race detector, with which a fleet of the usual size takes about
+// twenty times as long.
 var smallSite = standin.Site{
 	Name:           "hamlet",
 	Zones:          []ids.Zone{"a", "b", "c"},
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestScripts runs every script at one of two sites, which alternate with the script and the seed.
+// TestScripts runs every script at one of two sites, which alternate with the script and the seed. Under the race
+// detector it runs three of the scripts, with a lower load and at smallSite.
 func TestScripts(t *testing.T) {
 	plan := LoadPlan{40, 14 * time.Second, 14 * time.Second}
 	if raceEnabled {
@@ -96,7 +97,8 @@
 	}
 }
 
-// TestTogether runs composed scripts: overlapping failures and operator actions chosen by the seed.
+// TestTogether runs composed scripts, in which failures and operators' changes chosen by the seed overlap. It runs
+// the seeds 1 to 6 unless several seeds are requested.
 func TestTogether(t *testing.T) {
 	skipUnderRace(t)
 	list := testSeeds()
--- a/internal/simulation/stream_test.go
+++ b/internal/simulation/stream_test.go
@@ -1,4 +1,4 @@
-// Streams of a client, sent to a given router's frontend.
+// Client requests that are sent to the frontend of a given router.
 
 package simulation
 
@@ -13,7 +13,8 @@
 	"keelstair.example/internal/api"
 )
 
-// startStream sends a request in the background. The events are delivered once the stream has ended.
+// startStream sends a request in the background. The channel receives the events once the stream has ended, or
+// nil if the request failed.
 func (c *Cluster) startStream(p *Process, request api.StreamRequest) <-chan []api.StreamEvent {
 	done := make(chan []api.StreamEvent, 1)
 	go func() {
@@ -23,7 +24,8 @@
 	return done
 }
 
-// stream sends a request to one frontend and returns the events of its stream, or the refusal.
+// stream sends a request to one frontend and returns the events of its stream, or an *api.Fault if the status is
+// not 200. If the stream breaks, it returns the events received until then without an error.
 func (c *Cluster) stream(p *Process, request api.StreamRequest) ([]api.StreamEvent, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
--- a/internal/simulation/trial_test.go
+++ b/internal/simulation/trial_test.go
@@ -1,4 +1,4 @@
-// A trial runs one script against one site with one seed and checks the results.
+// A trial runs one script against one site's fleet with one seed and checks the results.
 
 package simulation
 
@@ -19,10 +19,10 @@
 	Outages         map[string]time.Duration // longest times without a completion, by kind and by frontend zone
 	WithoutPrimary  time.Duration            // longest time without a primary
 	Recomputes      int
-	AfterLeave      []time.Duration // last new work of each leaving worker, after it left
-	AfterEvacuation []time.Duration // last new work of each evacuated worker, after the request
-	ApplyTimes      []time.Duration // durations of applies, until in force
-	StaleOrders     time.Duration   // longest delay of an order with an older version
+	AfterLeave      []time.Duration // for each worker that was marked as leaving, time until its last new work
+	AfterEvacuation []time.Duration // the same for each evacuated worker, from the first request
+	ApplyTimes      []time.Duration // from the first request to the acknowledgement of each apply
+	StaleOrders     time.Duration   // see Recorder.LongestStaleOrder
 }
 
 // LoadPlan sets the load of a trial: its rate, and its durations during and after the script.
