--- a/internal/simulation/aged_keys_test.go
+++ b/internal/simulation/aged_keys_test.go
@@ -24,7 +24,7 @@
 			ChunkEntries: 8,
 		}
 	}, func(t *testing.T, c *Cluster) {
-		node := func(i int) *Process { return c.ProcessesOfKind("router")[i%len(c.ProcessesOfKind("router"))] }
+		node := func(i int) *Process { return c.ProcessesOf("router")[i%len(c.ProcessesOf("router"))] }
 		request := func(i int) api.StreamRequest {
 			a := verdictRequest
 			a.Key = fmt.Sprint("old-", i)
@@ -68,10 +68,10 @@
 		require.True(t, c.WaitUntil(8*time.Second, func() bool { l := c.Leader(); return l != nil && l != p }))
 		time.Sleep(time.Second)
 		checkAgedKeys()
-		for _, p := range c.ProcessesOfKind("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			c.PowerOff(p)
 		}
-		for _, p := range c.ProcessesOfKind("controller")[1:] {
+		for _, p := range c.ProcessesOf("controller")[1:] {
 			require.NoError(t, c.Start(p))
 		}
 		require.True(t, c.WaitUntil(8*time.Second, func() bool { return c.Leader() != nil }))
--- a/internal/simulation/certified_nodes_test.go
+++ b/internal/simulation/certified_nodes_test.go
@@ -36,7 +36,7 @@
 }
 
 func routerNamed(c *Cluster, name string) *Process {
-	routers := c.ProcessesOfKind("router")
+	routers := c.ProcessesOf("router")
 	return routers[slices.IndexFunc(routers, func(p *Process) bool { return p.Name == name })]
 }
 
@@ -84,7 +84,7 @@
 		}
 		require.Len(t, used, 8, "requests under no regime use all workers")
 		forwarded := int64(0)
-		for _, p := range c.ProcessesOfKind("router") {
+		for _, p := range c.ProcessesOf("router") {
 			forwarded += p.Node.Forwarded()
 		}
 		require.Positive(t, forwarded)
@@ -95,7 +95,7 @@
 func readAuditRecords(t *testing.T, c *Cluster) []fleetstate.AuditRecord {
 	var rows []fleetstate.AuditRow
 	for {
-		got, err := c.ProcessesOfKind("router")[0].Node.AuditRows(c.ctx, len(rows)+1, 500)
+		got, err := c.ProcessesOf("router")[0].Node.AuditRows(c.ctx, len(rows)+1, 500)
 		require.NoError(t, err)
 		if len(got.Rows) == 0 {
 			break
@@ -269,7 +269,7 @@
 func TestRevokedWhilePartitioned(t *testing.T) {
 	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
 		partitioned := routerNamed(c, "router-1")
-		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
+		peers := append(addresses(c.ProcessesOf("controller")...), addresses(c.ProcessesOf("router")...)...)
 		request := withLongOutput(speechRequest)
 		go func() {
 			for range 40 {
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -60,7 +60,9 @@
 			return nil
 		},
 		WorkAfterEvacuation: func(r *Recorder) []standin.Outcome {
-			r.scriptEvents = append(r.scriptEvents, ScriptEvent{"evacuate", "d1", time.Second}, ScriptEvent{"return", "d1", 8 * time.Second})
+			r.scriptEvents = append(
+				r.scriptEvents, ScriptEvent{"evacuate", "d1", time.Second}, ScriptEvent{"return", "d1", 8 * time.Second},
+			)
 			event(r, "import", "d1", 1, 1, 9*time.Second)
 			event(r, "import", "d1", 1, 1, 7*time.Second)
 			return nil
--- a/internal/simulation/clearance_test.go
+++ b/internal/simulation/clearance_test.go
@@ -36,7 +36,7 @@
 		time.Sleep(2 * time.Second) // the memory ledgers accept reservations by then
 		sendOrder := func(order router.OrderRequest) error {
 			order.Request, order.Attempt, order.Regime = "x", 1, "chair"
-			order.Version = c.ProcessesOfKind("router")[0].Node.View().Current().Version
+			order.Version = c.ProcessesOf("router")[0].Node.View().Current().Version
 			if order.Body == nil {
 				order.Body, _ = json.Marshal(map[string]any{})
 			}
@@ -140,9 +140,9 @@
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
 		all := c.Load(20, 4*time.Second, 1)
 		require.Equal(t, len(all), standin.Summarize(all).Ends[api.EndComplete])
-		st := c.ProcessesOfKind("router")[0].Node.Status().(*router.NodeStatus)
+		st := c.ProcessesOf("router")[0].Node.Status().(*router.NodeStatus)
 		require.Zero(t, st.FleetTime)
-		got, err := c.ProcessesOfKind("router")[0].Node.AuditRows(c.ctx, 1, 10)
+		got, err := c.ProcessesOf("router")[0].Node.AuditRows(c.ctx, 1, 10)
 		require.NoError(t, err)
 		require.Zero(t, got.Count)
 	})
@@ -221,7 +221,7 @@
 
 // limitTransferRate makes all workers send KV cache at the given rate.
 func (c *Cluster) limitTransferRate(bytesPerSecond int) {
-	for _, p := range c.ProcessesOfKind("worker") {
+	for _, p := range c.ProcessesOf("worker") {
 		p.Worker.SetFaults(standin.Faults{TransferRate: bytesPerSecond})
 	}
 }
@@ -311,7 +311,7 @@
 			require.Contains(t, detail, "certificates.c-p1.")
 			m.certs["c-p1"] = valid
 		}
-		require.Empty(t, c.ProcessesOfKind("router")[0].Node.Regimes().Regimes)
+		require.Empty(t, c.ProcessesOf("router")[0].Node.Regimes().Regimes)
 		status, _, _ := faultFields(t, c.Post("/v1/certificates/c-p1", &api.MarkRequest{Op: "x", Out: true}, nil))
 		require.Equal(t, http.StatusNotFound, status)
 		require.NoError(t, m.ApplyRegimes())
@@ -324,7 +324,7 @@
 	caller := rpc.NewCaller(c.clientProcess.Host().Net)
 	defer caller.Close()
 	spendToken := func() bool {
-		for _, p := range c.ProcessesOfKind("router") {
+		for _, p := range c.ProcessesOf("router") {
 			if response, err := rpc.Call[coordination.Empty, router.RetryTokenResponse](
 				c.ctx, caller, p.Addr, router.SpendMethod, &coordination.Empty{},
 			); err == nil && response.OK {
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -1,6 +1,6 @@
 // Package simulation runs complete fleets in one process, on the simulated machines of
 // host/simulated and the real HTTP and connect-go stacks. It injects failures that are chosen
-// by a seed and checks the recorded events against every safety and liveness rule.
+// by a seed and checks the recorded events against safety and liveness rules.
 // This file builds a fleet, which must run within a testing/synctest bubble.
 package simulation
 
@@ -58,8 +58,8 @@
 	TuneWorker     func(*standin.WorkerOptions)
 	Programs       map[string]fleetstate.Program
 	OnHandoffEvent func(handoff.Event) // called for every step of every hand-off, if set
-	FixedRoles     bool                // disables role changes of workers
-	ApplySlack     time.Duration       // extra time allowed for an apply in scripts with leader takeovers
+	FixedRoles     bool                // disables the role changes of workers
+	ApplySlack     time.Duration       // extra time for an apply; if 0, the version must be active in its response
 	Retention      fleetstate.Retention
 
 	ctx           context.Context
@@ -72,7 +72,8 @@
 	httpClient    *http.Client
 }
 
-// Build creates a site's fleet and starts all its processes, but sends no load.
+// Build creates a site's fleet and starts all its processes, but sends no load. It calls tune, if set, before it
+// starts anything.
 func Build(seed uint64, site standin.Site, tune func(*Cluster)) *Cluster {
 	c := &Cluster{World: simulated.NewWorld(seed), Site: site, Recorder: NewRecorder()}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
@@ -125,7 +126,7 @@
 	return logging.Discard()
 }
 
-// Controller describes a controller, which stores the coordination state on its disk.
+// Controller describes a process that serves the coordination state and stores it on its machine's disk.
 func (c *Cluster) Controller(name, addr string, zone ids.Zone) *Process {
 	ip := addr[:len(addr)-4]
 	return &Process{
@@ -158,7 +159,7 @@
 	}
 }
 
-// Router describes a router node.
+// Router describes a router with one address for its peers and one for the frontend.
 func (c *Cluster) Router(name, ip string, zone ids.Zone) *Process {
 	return &Process{
 		Name:         name,
@@ -201,7 +202,7 @@
 	}
 }
 
-// Worker describes a worker that simulates inference.
+// Worker describes a worker that simulates inference. The process adds itself to the platform's worker list.
 func (c *Cluster) Worker(id ids.WorkerID, w fleetstate.Worker, ip string) *Process {
 	return &Process{
 		Name:    string(id),
@@ -219,18 +220,18 @@
 				Host:      host,
 				Model:     workerclient.Model{Name: w.Model, Weights: w.Weights, Adapters: w.Adapters},
 			}
-			// Slow enough that requests are in flight when a failure is injected.
+			// These times are long enough that requests are in flight when a failure is injected.
 			opt.StepTime, opt.PrefillPerToken = 10*time.Millisecond, 80*time.Microsecond
 			if c.TuneWorker != nil {
 				c.TuneWorker(&opt)
 			}
-			k := standin.NewWorker(opt)
-			k.OnEvent = c.Recorder.RecordWorkerEvent
-			p.Worker = k
-			c.Recorder.AddWorker(k)
-			c.wg.Go(func() { k.Run(ctx) })
+			worker := standin.NewWorker(opt)
+			worker.OnEvent = c.Recorder.RecordWorkerEvent
+			p.Worker = worker
+			c.Recorder.AddWorker(worker)
+			c.wg.Go(func() { worker.Run(ctx) })
 			c.Platform.SetWorker(workerclient.ListedWorker{ID: id, Addr: p.Addr, Zone: w.Zone})
-			return c.serve(ctx, host, p.Addr, k.Handler())
+			return c.serve(ctx, host, p.Addr, worker.Handler())
 		},
 	}
 }
@@ -278,8 +279,8 @@
 	}
 }
 
-// ProcessesOfKind lists the processes of a kind, running or not.
-func (c *Cluster) ProcessesOfKind(kind string) []*Process {
+// ProcessesOf returns the processes of a kind (controller, router or worker), running or not.
+func (c *Cluster) ProcessesOf(kind string) []*Process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*Process
@@ -291,9 +292,9 @@
 	return out
 }
 
-// Leader returns the controller that leads, or nil.
+// Leader returns the first running controller that reports that it is the leader, or nil.
 func (c *Cluster) Leader() *Process {
-	for _, p := range c.ProcessesOfKind("controller") {
+	for _, p := range c.ProcessesOf("controller") {
 		if p.Up && p.Core.Leads() {
 			return p
 		}
@@ -301,7 +302,7 @@
 	return nil
 }
 
-// WaitUntil polls until f returns true, and returns false if that takes longer than span.
+// WaitUntil calls f every 20 ms until it returns true, and returns false if that takes longer than span.
 func (c *Cluster) WaitUntil(span time.Duration, f func() bool) bool {
 	end := time.Now().Add(span)
 	for !f() {
@@ -313,8 +314,8 @@
 	return true
 }
 
-// Bootstrap waits until the core has a leader, applies the site's first configuration and waits
-// until all routers are ready.
+// Bootstrap waits until a controller leads, applies the site's first configuration and waits until all running
+// routers are ready and the platform lists at least one of them as ready.
 func (c *Cluster) Bootstrap() error {
 	if !c.WaitUntil(10*time.Second, func() bool { return c.Leader() != nil }) {
 		return fmt.Errorf("no controller became the leader")
@@ -332,7 +333,7 @@
 		return err
 	}
 	if !c.WaitUntil(10*time.Second, func() bool {
-		for _, p := range c.ProcessesOfKind("router") {
+		for _, p := range c.ProcessesOf("router") {
 			if ok, _ := p.Node.Ready(); p.Up && !ok {
 				return false
 			}
@@ -344,18 +345,19 @@
 	return nil
 }
 
-// Apply sends an apply request to the first frontend that answers.
+// Apply sends an apply request to the frontends of the running routers until one returns a final result.
 func (c *Cluster) Apply(a *api.ApplyRequest) (*api.ApplyResponse, error) {
 	got := &api.ApplyResponse{}
 	return got, c.Post("/v1/policy", a, got)
 }
 
-// SetOutOfService takes a zone or worker out of use, or back into use if out is false.
+// SetOutOfService evacuates the zone or drains the worker that the path names, or restores it if out is false.
 func (c *Cluster) SetOutOfService(path, op string, out bool) error {
 	return c.Post(path, &api.MarkRequest{Op: op, Out: out}, nil)
 }
 
-// Post sends an operator's request to the frontends of the running routers, as keelstairctl does.
+// Post sends an operator's request to the frontends of the running routers until one returns a final result, as
+// keelstairctl does.
 func (c *Cluster) Post(path string, in, out any) error {
 	var frontends []string
 	for _, p := range running(c, "router") {
@@ -373,13 +375,18 @@
 	return api.Send(ctx, c.httpClient, []string{p.FrontendAddr}, http.MethodPost, path, in, out)
 }
 
-// Load sends the site's request shapes for a time and waits until every request has ended.
+// Load sends requests of the site's stream classes for the duration span and waits until every request has ended.
 func (c *Cluster) Load(rate float64, span time.Duration, seed uint64) []standin.Outcome {
 	return c.LoadClasses(c.Site.Classes, rate, span, seed)
 }
 
-// LoadClasses is Load with the given request shapes.
-func (c *Cluster) LoadClasses(classes []standin.StreamClass, rate float64, span time.Duration, seed uint64) []standin.Outcome {
+// LoadClasses is Load with the given stream classes.
+func (c *Cluster) LoadClasses(
+	classes []standin.StreamClass,
+	rate float64,
+	span time.Duration,
+	seed uint64,
+) []standin.Outcome {
 	return standin.RunLoad(c.ctx, standin.LoadOptions{
 		Host:     c.clientProcess.Host(),
 		Nodes:    c.Platform.ReadyNodes,
@@ -394,7 +401,8 @@
 	})
 }
 
-// Close stops all processes of the fleet and waits until their goroutines have ended.
+// Close stops all processes of the fleet, waits until their goroutines have ended, and then another 30 s of
+// simulated time until pending calls have timed out.
 func (c *Cluster) Close() {
 	for _, p := range c.Processes {
 		p.Machine.Freeze(false)
@@ -408,5 +416,5 @@
 		c.World.Machine(ip).PowerOff()
 	}
 	c.wg.Wait()
-	time.Sleep(30 * time.Second) // simulated time: pending calls time out
+	time.Sleep(30 * time.Second)
 }
--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -58,7 +58,7 @@
 						}
 						sum := standin.Summarize(c.LoadClasses(classes, rate, 12*time.Second, seed))
 						cached, total := 0, 0
-						for _, p := range c.ProcessesOfKind("worker") {
+						for _, p := range c.ProcessesOf("worker") {
 							w, n := p.Worker.PrefixHits()
 							cached, total = cached+w, total+n
 						}
--- a/internal/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -40,7 +40,7 @@
 
 func running(c *Cluster, kind string) []*Process {
 	var out []*Process
-	for _, p := range c.ProcessesOfKind(kind) {
+	for _, p := range c.ProcessesOf(kind) {
 		if p.Up {
 			out = append(out, p)
 		}
@@ -119,7 +119,7 @@
 	{"the leader partitioned from the other controllers", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := leader(c)
 		var rest []*Process
-		for _, o := range c.ProcessesOfKind("controller") {
+		for _, o := range c.ProcessesOf("controller") {
 			if o != p {
 				rest = append(rest, o)
 			}
@@ -130,25 +130,25 @@
 		return nil
 	}},
 	{"slow disks", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		for _, p := range c.ProcessesOfKind("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			p.Machine.SetDiskDelay(randomDuration(r, 10, 120))
 		}
 		time.Sleep(randomDuration(r, 2000, 6000))
-		for _, p := range c.ProcessesOfKind("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			p.Machine.SetDiskDelay(time.Millisecond)
 		}
 		return nil
 	}},
 	{"routers killed one by one", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 1 + r.IntN(3) {
-			if err := restartAfter(c, pickOne(r, c.ProcessesOfKind("router")), randomDuration(r, 100, 2500), false); err != nil {
+			if err := restartAfter(c, pickOne(r, c.ProcessesOf("router")), randomDuration(r, 100, 2500), false); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
 	{"a router freezes and resumes after its keys moved", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		p := pickOne(r, c.ProcessesOfKind("router"))
+		p := pickOne(r, c.ProcessesOf("router"))
 		p.Machine.Freeze(true)
 		time.Sleep(randomDuration(r, 3500, 6500))
 		p.Machine.Freeze(false)
@@ -156,14 +156,16 @@
 	}},
 	{"clocks jump", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 3 {
-			pickOne(r, append(c.ProcessesOfKind("router"), c.ProcessesOfKind("controller")...)).Machine.JumpClock(randomDuration(r, 500, 20000))
+			pickOne(
+				r, append(c.ProcessesOf("router"), c.ProcessesOf("controller")...),
+			).Machine.JumpClock(randomDuration(r, 500, 20000))
 			time.Sleep(randomDuration(r, 0, 900))
 		}
 		return nil
 	}},
 	{"a router partitioned from controllers and routers", "links", func(c *Cluster, r *rand.Rand, _ string) error {
-		p := pickOne(r, c.ProcessesOfKind("router"))
-		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
+		p := pickOne(r, c.ProcessesOf("router"))
+		peers := append(addresses(c.ProcessesOf("controller")...), addresses(c.ProcessesOf("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(randomDuration(r, 1000, 6000))
 		c.World.Partition(addresses(p), peers, false)
@@ -177,36 +179,36 @@
 	}},
 	{"workers crash", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 1 + r.IntN(2) {
-			if err := restartAfter(c, pickOne(r, c.ProcessesOfKind("worker")), randomDuration(r, 300, 3000), false); err != nil {
+			if err := restartAfter(c, pickOne(r, c.ProcessesOf("worker")), randomDuration(r, 300, 3000), false); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
 	{"slow links, then a router killed during KV transfers", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		for _, p := range c.ProcessesOfKind("worker") {
+		for _, p := range c.ProcessesOf("worker") {
 			p.Worker.SetFaults(standin.Faults{TransferRate: 60_000 + r.IntN(300_000)})
 		}
 		time.Sleep(randomDuration(r, 300, 1200))
-		err := restartAfter(c, pickOne(r, c.ProcessesOfKind("router")), randomDuration(r, 200, 2500), false)
-		for _, p := range c.ProcessesOfKind("worker") {
+		err := restartAfter(c, pickOne(r, c.ProcessesOf("router")), randomDuration(r, 200, 2500), false)
+		for _, p := range c.ProcessesOf("worker") {
 			p.Worker.SetFaults(standin.Faults{})
 		}
 		return err
 	}},
 	{"KV cache lost or corrupted", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		p := pickOne(r, c.ProcessesOfKind("worker"))
+		p := pickOne(r, c.ProcessesOf("worker"))
 		p.Worker.SetFaults(standin.Faults{Drop: r.IntN(2) == 0, Corrupt: true})
 		time.Sleep(randomDuration(r, 500, 3000))
 		p.Worker.SetFaults(standin.Faults{})
 		return nil
 	}},
 	{"worker reports delayed", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		for _, p := range c.ProcessesOfKind("worker") {
+		for _, p := range c.ProcessesOf("worker") {
 			p.Worker.SetFaults(standin.Faults{ReportLagMs: 450})
 		}
 		time.Sleep(randomDuration(r, 1000, 4000))
-		for _, p := range c.ProcessesOfKind("worker") {
+		for _, p := range c.ProcessesOf("worker") {
 			p.Worker.SetFaults(standin.Faults{})
 		}
 		return nil
@@ -230,7 +232,9 @@
 	{"a zone loses power", "zone", func(c *Cluster, r *rand.Rand, _ string) error {
 		z := pickOne(r, c.Site.Zones)
 		var lost []*Process
-		for _, p := range append(append(c.ProcessesOfKind("controller"), c.ProcessesOfKind("router")...), c.ProcessesOfKind("worker")...) {
+		for _, p := range append(
+			append(c.ProcessesOf("controller"), c.ProcessesOf("router")...), c.ProcessesOf("worker")...,
+		) {
 			if p.Zone == z && p.Up {
 				lost = append(lost, p)
 				c.PowerOff(p)
@@ -253,8 +257,8 @@
 	}},
 }
 
-// fleetChange returns a partial configuration that adds or removes a worker or a program, depending on i. For
-// some values of i it also sets the zones.
+// fleetChange returns a partial configuration that changes the retry delay and, depending on i, adds or
+// removes a worker or a program. A change that adds a worker also sets the zones.
 func fleetChange(r *rand.Rand, op string, i int) string {
 	name := fmt.Sprintf("%s-%d", op, i)
 	part := map[string]any{"limits": map[string]any{"retryAfterMs": 900 + r.IntN(5000)}}
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -68,10 +68,10 @@
 			MinSuffixTokens:   10,
 		}}, 75, duration, seed+100)
 		out.longPrompts, out.longOutputs = standin.Summarize(longPrompts), standin.Summarize(longOutputs)
-		for _, p := range c.ProcessesOfKind("router") {
+		for _, p := range c.ProcessesOf("router") {
 			out.roleChanges += p.Node.RoleChanges()
 		}
-		for _, p := range c.ProcessesOfKind("worker") {
+		for _, p := range c.ProcessesOf("worker") {
 			out.roles[p.Worker.Role()]++
 		}
 		outcomes := append(longPrompts, longOutputs...)
--- a/internal/simulation/governed_scripts_test.go
+++ b/internal/simulation/governed_scripts_test.go
@@ -30,7 +30,7 @@
 
 func certifiedWorker(c *Cluster, r *rand.Rand, prefix string) *Process {
 	name := prefix + strconv.Itoa(1+r.IntN(3))
-	for _, p := range c.ProcessesOfKind("worker") {
+	for _, p := range c.ProcessesOf("worker") {
 		if p.Name == name {
 			return p
 		}
@@ -97,7 +97,7 @@
 	}},
 	{"revoked-while-partitioned", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		p := routerNamed(c, "router-"+strconv.Itoa(1+r.IntN(4)))
-		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
+		peers := append(addresses(c.ProcessesOf("controller")...), addresses(c.ProcessesOf("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
 		err := m.Revoke("c-" + certifiedWorker(c, r, "d").Name)
@@ -124,7 +124,7 @@
 			return err
 		}
 		p := routerNamed(c, "router-"+strconv.Itoa(1+r.IntN(4)))
-		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
+		peers := append(addresses(c.ProcessesOf("controller")...), addresses(c.ProcessesOf("router")...)...)
 		time.Sleep(time.Duration(1500+r.IntN(1000)) * time.Millisecond)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(5 * time.Second)
@@ -158,7 +158,7 @@
 	{"clocks-jump", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
 		for range 3 {
 			pickOne(
-				r, append(c.ProcessesOfKind("router"), c.ProcessesOfKind("controller")...),
+				r, append(c.ProcessesOf("router"), c.ProcessesOf("controller")...),
 			).Machine.JumpClock(time.Duration(r.IntN(1000)) * time.Hour)
 			time.Sleep(2 * time.Second)
 		}
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -1,7 +1,6 @@
-// Long histories: thousands of changes of a large document and of evacuations, while members of
-// the core restart, return with empty disks or are replaced by new ones. Every change is based on
-// the newest acknowledged version, so a refused change reveals a leader that lacks acknowledged
-// state.
+// A test of many changes of a large document and of evacuations, while controllers restart, restart with empty
+// disks or are replaced by new ones. Every change is based on the newest acknowledged version, so a leader that
+// lacks acknowledged state refuses it.
 
 package simulation
 
@@ -29,15 +28,15 @@
 )
 
 const (
-	linkRate      = 10_000_000 / 8 // bytes per second of each machine's link
-	diskBound     = 40_000_000     // limit on the bytes stored by a member, whose disk has 64 MB
-	catchUpBound  = 10 * time.Second
+	linkRate      = 10_000_000 / 8   // bytes per second of each machine's link
+	diskBound     = 40_000_000       // limit on the bytes stored by a controller, whose disk has 64 MB
+	catchUpBound  = 10 * time.Second // limit on the time until a restarted controller is the primary or backup
 	historyRoutes = 1400
 
-	changesPerGeneration = 5
+	changesPerGeneration = 5 // every fifth change affects all routes
 )
 
-// rateLimitedNet limits the rate at which a machine sends, and counts the bytes sent.
+// rateLimitedNet limits the rate at which a machine sends, and adds the bytes sent to a counter.
 type rateLimitedNet struct {
 	host.Net
 	mu   host.ChannelMutex
@@ -86,8 +85,9 @@
 	return c.Conn.Write(b)
 }
 
-// largeDocument has many routes of about 290 bytes. All routes differ between generations, so that
-// such a change is replicated as a complete text; other changes affect a single route.
+// largeDocument returns a configuration with many routes of about 290 bytes each. All routes differ between
+// generations, so a change of the generation is replicated as a complete text. Otherwise a change affects only the
+// route that it modifies and the one that the change before it modified.
 func largeDocument(generation, changed, change int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"routes":[`)
@@ -124,14 +124,14 @@
 	return []byte(b.String())
 }
 
-// noopWatcher ignores the state: the operator's agent needs the sequence numbers only.
+// noopWatcher ignores the state, as the operator's agent needs only the sequence numbers.
 type noopWatcher struct{}
 
 func (noopWatcher) Restore([]byte) error                 { return nil }
 func (noopWatcher) Observe(ids.Seq, string, []byte) bool { return false }
 func (noopWatcher) Snapshot() []byte                     { return nil }
 
-// history is a core of three members and an operator that changes its state.
+// history is a group of three controllers and an operator that changes its state.
 type history struct {
 	t         *testing.T
 	world     *simulated.World
@@ -142,10 +142,10 @@
 	operator  *coordination.Agent
 	newest    ids.Version
 	evacuated bool
-	sent      int // bytes sent by all members
+	sent      int // bytes sent by all controllers
 	disk      int // most bytes that any disk held
 	changes   int
-	slowest   time.Duration
+	slowest   time.Duration // longest time until a change was acknowledged
 }
 
 func newHistory(t *testing.T) *history {
@@ -221,7 +221,7 @@
 	time.Sleep(30 * time.Second)
 }
 
-// leader returns the address of the leader, or an empty string if there is none.
+// leader returns the address of a controller that reports that it is the leader, or an empty string.
 func (h *history) leader() string {
 	for addr, core := range h.cores {
 		if core.Leads() {
@@ -274,7 +274,7 @@
 	}
 }
 
-// waitCaughtUp makes changes until a member is the primary or backup, and returns the time that took.
+// waitCaughtUp makes changes until the controller at addr is the primary or backup, and returns the time that took.
 func (h *history) waitCaughtUp(addr string) time.Duration {
 	start := time.Now()
 	for {
@@ -287,9 +287,9 @@
 	}
 }
 
-// replace stops the backup and restarts it, with its disk or with an empty one, or starts a new
-// member in its place. Once that member has caught up, the leader stops, so that the member must
-// lead.
+// replace stops the backup and restarts it with its disk (kind "restarted") or an empty one ("wiped"), or starts a
+// new controller in its place ("new"). Once that controller has caught up, another leader is stopped while a change
+// is made. It returns the time until the controller had caught up and the bytes sent by all controllers meanwhile.
 func (h *history) replace(kind string) (took time.Duration, sent int) {
 	stopped := h.cores[h.leader()].Directory().Record().Backup.Addr
 	h.stop(stopped)
@@ -308,13 +308,13 @@
 	}
 	before := h.sent
 	h.start(restarted)
-	// The member counts as lost until it has had time to take over its own register again, or
-	// that of a member that is gone.
+	// The controller counts as lost until it has had time to take over its own register again, or that of a
+	// controller that is gone.
 	for range 4 {
 		h.change()
 		time.Sleep(time.Second)
 	}
-	// Stop the member that has become the backup meanwhile, so that this one must replace it.
+	// Stop the controller that has become the backup meanwhile, so that the restarted one must replace it.
 	other := h.cores[h.leader()].Directory().Record().Backup.Addr
 	if other != restarted {
 		h.stop(other)
@@ -325,10 +325,10 @@
 	}
 	h.change()
 	time.Sleep(2 * time.Second)
-	if first := h.leader(); first != restarted {
-		h.stop(first)
+	if leader := h.leader(); leader != restarted {
+		h.stop(leader)
 		h.change()
-		h.start(first)
+		h.start(leader)
 	}
 	for range 3 {
 		h.change()
@@ -336,9 +336,9 @@
 	return took, sent
 }
 
-// TestLongHistory: after any number of changes, a member that restarts, has lost its disk or is new
-// catches up in bounded time while changes continue, and then leads with all acknowledged state.
-// Its disk usage stays far below 64 MB. KEELSTAIR_CHANGES sets the number of changes.
+// TestLongHistory checks that, after many changes, a controller that restarts, has lost its disk or is new catches up
+// within 10 s while changes continue, and that changes succeed after the previous leader was stopped. The bytes
+// stored on each disk must stay below 40 MB of its 64 MB. KEELSTAIR_CHANGES sets the number of changes (default 60).
 func TestLongHistory(t *testing.T) {
 	skipUnderRace(t)
 	changes := 60
@@ -357,7 +357,7 @@
 			require.NoError(t, err)
 			t.Logf("snapshot on disk: %d bytes", len(snapshot))
 			t.Logf(
-				"after %d changes: %s, caught up in %s, %d bytes sent by all members meanwhile",
+				"after %d changes: %s, caught up in %s, %d bytes sent by all controllers meanwhile",
 				h.changes,
 				kind,
 				took,
--- a/internal/simulation/idempotency_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -1,5 +1,5 @@
-// Idempotency of keyed requests: the same key sent to every router, and routers that die at each
-// step of a hand-off.
+// Tests that a request with an idempotency key runs at most once, also if the key is sent to every router or a
+// router is killed during a hand-off.
 
 package simulation
 
@@ -15,6 +15,7 @@
 	"keelstair.example/internal/standin"
 )
 
+// countRuns returns how often requests with the key were run, and how often they finished, on all workers.
 func countRuns(c *Cluster, key string) (runs, finished int) {
 	c.Recorder.mu.Lock()
 	defer c.Recorder.mu.Unlock()
@@ -33,20 +34,20 @@
 	Seed:      5,
 }
 
-// TestSameKey: a key that is sent to every router at once, and again later, runs once and leaves
-// one record. Another request body under the same key is refused.
+// TestSameKey checks that a request that is sent to every router at once, and again later, runs and finishes once.
+// The later one gets the recorded output. A different request body with the same key is refused.
 func TestSameKey(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		complete, running := 0, 0
-		for _, p := range c.ProcessesOfKind("router") {
+		for _, p := range c.ProcessesOf("router") {
 			wg.Go(func() {
 				got, err := c.stream(p, verdictRequest)
 				mu.Lock()
 				defer mu.Unlock()
-				if r, ok := err.(*api.Fault); ok && r.Name == "running" {
+				if fault, ok := err.(*api.Fault); ok && fault.Name == "running" {
 					running++
 				} else if err == nil && got[len(got)-1].End == api.EndComplete {
 					complete++
@@ -54,9 +55,9 @@
 			})
 		}
 		wg.Wait()
-		require.Equal(t, len(c.ProcessesOfKind("router")), complete+running)
+		require.Equal(t, len(c.ProcessesOf("router")), complete+running)
 		require.Positive(t, complete)
-		first, err := c.stream(c.ProcessesOfKind("router")[0], verdictRequest)
+		first, err := c.stream(c.ProcessesOf("router")[0], verdictRequest)
 		require.NoError(t, err)
 		reference := standin.ReferenceOutput(verdictRequest.PromptTokens(), 3, 5, 0, c.Site.Model, standin.SiteWeights, nil)
 		require.Len(t, first, len(reference)+1)
@@ -68,14 +69,14 @@
 		require.Equal(t, []int{1, 1}, []int{runs, finished})
 		other := verdictRequest
 		other.Seed++
-		_, err = c.stream(c.ProcessesOfKind("router")[1], other)
+		_, err = c.stream(c.ProcessesOf("router")[1], other)
 		require.Equal(t, "key-reused", err.(*api.Fault).Name)
 	})
 }
 
-// TestRouterKilledDuringHandoff: a router is killed at different points of a hand-off and another router settles
-// its claim. The key then returns the record, or reports that it was not run or may have run. It
-// never runs twice, and a key that is reported as not run has a tombstone and no run.
+// TestRouterKilledDuringHandoff kills a router 2 to 46 ms after a request with a key is sent to it. Another router
+// must then return the complete stream, or report that the request was not run or may have run. The request must not
+// run twice, and not at all if it is reported as not run. At least two of these outcomes must occur.
 func TestRouterKilledDuringHandoff(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
@@ -83,7 +84,7 @@
 		for i := range 12 {
 			request := verdictRequest
 			request.Kind, request.Key = "ruling", "dead"+string(rune('a'+i))
-			p := c.ProcessesOfKind("router")[i%len(c.ProcessesOfKind("router"))]
+			p := c.ProcessesOf("router")[i%len(c.ProcessesOf("router"))]
 			done := make(chan struct{})
 			go func() { c.stream(p, request); close(done) }()
 			time.Sleep(time.Duration(2+i*4) * time.Millisecond)
@@ -92,13 +93,13 @@
 			require.NoError(t, c.Start(p))
 			var outcome string
 			ok := c.WaitUntil(12*time.Second, func() bool {
-				for _, o := range c.ProcessesOfKind("router") {
+				for _, o := range c.ProcessesOf("router") {
 					if o == p {
 						continue
 					}
 					got, err := c.stream(o, request)
-					if r, is := err.(*api.Fault); is {
-						outcome = r.Name
+					if fault, ok := err.(*api.Fault); ok {
+						outcome = fault.Name
 					} else if err == nil && len(got) > 0 {
 						outcome = got[len(got)-1].End
 					}
@@ -120,19 +121,19 @@
 	})
 }
 
-// TestRunLostWithRouterAndWorker: the router and the worker of a running request lose power together,
-// and the worker restarts as a new incarnation without any state. The outcome of the run is unknown,
-// so it must not be reported as not run.
+// TestRunLostWithRouterAndWorker cuts the power of the router and the worker of a running request, and restarts the
+// worker, which has lost its state. The outcome of the run is unknown, so the request must be reported as one that
+// may have run, not as one that was not run.
 func TestRunLostWithRouterAndWorker(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
 		request := verdictRequest
 		request.MaxTokens = 60
-		p := c.ProcessesOfKind("router")[2]
+		p := c.ProcessesOf("router")[2]
 		go c.stream(p, request)
 		var w *Process
 		require.True(t, c.WaitUntil(3*time.Second, func() bool {
-			for _, o := range c.ProcessesOfKind("worker") {
+			for _, o := range c.ProcessesOf("worker") {
 				if o.Worker.RequestCounts()[router.RequestIDForKey("verdict/q1")].Runs > 0 {
 					w = o
 				}
@@ -144,9 +145,9 @@
 		require.NoError(t, c.Start(w))
 		var outcome string
 		require.True(t, c.WaitUntil(12*time.Second, func() bool {
-			_, err := c.stream(c.ProcessesOfKind("router")[0], request)
-			if r, ok := err.(*api.Fault); ok {
-				outcome = r.Name
+			_, err := c.stream(c.ProcessesOf("router")[0], request)
+			if fault, ok := err.(*api.Fault); ok {
+				outcome = fault.Name
 			}
 			return outcome == "not-run" || outcome == "may-have-run"
 		}), outcome)
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -1,4 +1,4 @@
-// Invalid input at the frontend, repeated operations, and readiness.
+// Tests of invalid input at the frontend, of repeated operations and of readiness.
 
 package simulation
 
@@ -17,7 +17,7 @@
 	"keelstair.example/internal/standin"
 )
 
-// withCluster runs f with a site's fleet that serves requests.
+// withCluster runs f with a site's fleet, seed 1, after Bootstrap.
 func withCluster(t *testing.T, site string, tune func(*Cluster), f func(t *testing.T, c *Cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := Build(1, standin.Sites[site], tune)
@@ -27,13 +27,15 @@
 	})
 }
 
+// faultFields returns the code, name and detail of an *api.Fault.
 func faultFields(t *testing.T, err error) (int, string, string) {
-	var r *api.Fault
-	require.True(t, errors.As(err, &r), "%v", err)
-	return r.Code, r.Name, r.Detail
+	var fault *api.Fault
+	require.True(t, errors.As(err, &fault), "%v", err)
+	return fault.Code, fault.Name, fault.Detail
 }
 
-// TestInvalidRequests: each invalid request is refused with a named error, and no worker runs anything.
+// TestInvalidRequests checks that each invalid request is refused with a named error, and that no worker has counted
+// a request.
 func TestInvalidRequests(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
@@ -41,7 +43,7 @@
 		for i := range tooManyTokens {
 			tooManyTokens[i] = 1
 		}
-		for _, k := range []struct {
+		for _, tc := range []struct {
 			request any
 			code    int
 			name    string
@@ -63,32 +65,36 @@
 				http.StatusBadRequest,
 				"out-of-range",
 			},
-			{api.StreamRequest{Kind: "clarification", PromptIDs: tooManyTokens}, http.StatusRequestEntityTooLarge, "too-large"},
+			{
+				api.StreamRequest{Kind: "clarification", PromptIDs: tooManyTokens},
+				http.StatusRequestEntityTooLarge,
+				"too-large",
+			},
 			{
 				api.StreamRequest{Kind: "clarification", Prompt: strings.Repeat("a ", 3<<20)},
 				http.StatusRequestEntityTooLarge,
 				"too-large",
 			},
 		} {
-			got, name, _ := faultFields(t, c.PostTo(c.ProcessesOfKind("router")[0], "/v1/streams", k.request, nil))
-			require.Equal(t, k.code, got, "%v", k.name)
-			require.Equal(t, k.name, name)
+			got, name, _ := faultFields(t, c.PostTo(c.ProcessesOf("router")[0], "/v1/streams", tc.request, nil))
+			require.Equal(t, tc.code, got, "%v", tc.name)
+			require.Equal(t, tc.name, name)
 		}
-		for _, w := range c.ProcessesOfKind("worker") {
+		for _, w := range c.ProcessesOf("worker") {
 			require.Empty(t, w.Worker.RequestCounts())
 		}
 	})
 }
 
-// TestInvalidPolicies: an invalid policy is refused entirely, with the position and the reason, and the
-// policy in force stays.
+// TestInvalidPolicies checks that each invalid policy, and one with an outdated base version, is refused, that the
+// error has the listed position or reason, and that no new version results. An unknown zone can't be evacuated.
 func TestInvalidPolicies(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
-		for _, k := range []struct {
-			a    api.ApplyRequest
-			code int
-			text string
+		for _, tc := range []struct {
+			request api.ApplyRequest
+			code    int
+			text    string
 		}{
 			{api.ApplyRequest{Op: "a", BaseVersion: 1, Source: "{workers: {"}, 400, "policy:1"},
 			{
@@ -127,19 +133,19 @@
 			{api.ApplyRequest{Op: "i", BaseVersion: 0, Partial: true, Source: `{limits: {queue: 3}}`}, 409, "newest is 1"},
 			{api.ApplyRequest{Op: "", BaseVersion: 1, Source: `{}`}, 400, "id of its own"},
 		} {
-			_, err := c.Apply(&k.a)
+			_, err := c.Apply(&tc.request)
 			got, name, text := faultFields(t, err)
-			require.Equal(t, k.code, got, "%s %s %s", k.a.Op, name, text)
-			require.Contains(t, text, k.text, k.a.Op)
+			require.Equal(t, tc.code, got, "%s %s %s", tc.request.Op, name, text)
+			require.Contains(t, text, tc.text, tc.request.Op)
 		}
-		require.Equal(t, uint64(1), c.ProcessesOfKind("router")[0].Node.Show().Newest)
+		require.Equal(t, uint64(1), c.ProcessesOf("router")[0].Node.Show().Newest)
 		got, _, _ := faultFields(t, c.SetOutOfService("/v1/zones/moon", "z", true))
 		require.Equal(t, 404, got)
 	})
 }
 
-// TestOperationIds: an operation that is repeated under its ID returns its first outcome, even after
-// the leader was lost. An operation with another ID on the outdated base version is refused.
+// TestOperationIds checks that an operation that is repeated under its ID returns its first outcome, even after the
+// loss of the leader. An operation with another ID on the outdated base version must be refused.
 func TestOperationIds(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", nil, func(t *testing.T, c *Cluster) {
@@ -151,7 +157,7 @@
 		repeated, err := c.Apply(apply)
 		require.NoError(t, err, "the base is outdated only because of this operation")
 		require.Equal(t, first.Version, repeated.Version)
-		apply.Partial, apply.Source = false, string(c.ProcessesOfKind("router")[0].Node.Show().Policy)
+		apply.Partial, apply.Source = false, string(c.ProcessesOf("router")[0].Node.Show().Policy)
 		repeated, err = c.Apply(apply)
 		require.NoError(t, err, "the same holds for a complete policy")
 		require.Equal(t, first.Version, repeated.Version)
@@ -160,16 +166,16 @@
 			got, _, _ := faultFields(t, err)
 			require.Equal(t, 409, got)
 		}
-		require.Equal(t, first.Version, c.ProcessesOfKind("router")[0].Node.Show().Newest)
+		require.Equal(t, first.Version, c.ProcessesOf("router")[0].Node.Show().Newest)
 	})
 }
 
-// TestReady: a router is ready only while it can serve new requests. A router that is shutting down
-// accepts none, but completes the streams that it serves.
+// TestReady checks that a router isn't ready while its zone is evacuated, and refuses requests then. A router that is
+// shutting down isn't ready either, but completes the streams that it serves.
 func TestReady(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		p := c.ProcessesOfKind("router")[0]
+		p := c.ProcessesOf("router")[0]
 		ready := func(want bool) func() bool {
 			return func() bool { ok, _ := p.Node.Ready(); return ok == want }
 		}
@@ -189,10 +195,10 @@
 		all := <-events
 		require.NotEmpty(t, all)
 		require.Equal(t, api.EndComplete, all[len(all)-1].End)
-		// A router that shuts down announces it, so its keys move before its lease would expire.
+		// A router that shuts down announces this, so it is removed from the members before its lease would expire.
 		self := p.Node.Self().Node
 		require.True(t, c.WaitUntil(1500*time.Millisecond, func() bool {
-			for _, m := range c.ProcessesOfKind("router")[1].Node.Status().(*router.NodeStatus).Members {
+			for _, m := range c.ProcessesOf("router")[1].Node.Status().(*router.NodeStatus).Members {
 				if m.Node == self {
 					return false
 				}
--- a/internal/simulation/machine_scripts_test.go
+++ b/internal/simulation/machine_scripts_test.go
@@ -28,7 +28,7 @@
 // follower returns a random running controller that isn't the leader.
 func follower(c *Cluster, r *rand.Rand) *Process {
 	var rest []*Process
-	for _, p := range c.ProcessesOfKind("controller") {
+	for _, p := range c.ProcessesOf("controller") {
 		if p.Up && !p.Core.Leads() {
 			rest = append(rest, p)
 		}
@@ -42,7 +42,7 @@
 	if p := c.Leader(); p != nil {
 		return p
 	}
-	return c.ProcessesOfKind("controller")[0]
+	return c.ProcessesOf("controller")[0]
 }
 
 // MachineScripts are scripts in which processes or machines are killed, lost, replaced, frozen or slow.
@@ -93,7 +93,7 @@
 		Name:  "rolling-replacement",
 		Bound: 12 * time.Second,
 		Run: func(c *Cluster, r *rand.Rand) error {
-			previous := append([]*Process(nil), c.ProcessesOfKind("controller")...)
+			previous := append([]*Process(nil), c.ProcessesOf("controller")...)
 			r.Shuffle(len(previous), func(i, j int) { previous[i], previous[j] = previous[j], previous[i] })
 			for i, p := range previous {
 				if err := changeRetryAfter(c, fmt.Sprintf("roll-%d", i), 1600+i); err != nil {
@@ -115,11 +115,11 @@
 		if err := changeRetryAfter(c, "before-total", 1800); err != nil {
 			return err
 		}
-		for _, p := range c.ProcessesOfKind("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			c.PowerOff(p)
 		}
 		time.Sleep(time.Duration(300+r.IntN(1500)) * time.Millisecond)
-		for _, p := range c.ProcessesOfKind("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			if err := c.Start(p); err != nil {
 				return err
 			}
@@ -141,7 +141,7 @@
 	{Name: "routers-killed", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 3 {
 			randomPause(r)
-			p := pickOne(r, c.ProcessesOfKind("router"))
+			p := pickOne(r, c.ProcessesOf("router"))
 			c.Kill(p)
 			time.Sleep(1500 * time.Millisecond)
 			if err := c.Start(p); err != nil {
@@ -151,11 +151,11 @@
 		return nil
 	}},
 	{Name: "everything-but-workers-killed", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, p := range append(c.ProcessesOfKind("controller"), c.ProcessesOfKind("router")...) {
+		for _, p := range append(c.ProcessesOf("controller"), c.ProcessesOf("router")...) {
 			c.Kill(p)
 		}
 		time.Sleep(200 * time.Millisecond)
-		for _, p := range append(c.ProcessesOfKind("controller"), c.ProcessesOfKind("router")...) {
+		for _, p := range append(c.ProcessesOf("controller"), c.ProcessesOf("router")...) {
 			if err := c.Start(p); err != nil {
 				return err
 			}
@@ -164,7 +164,7 @@
 	}},
 	{Name: "leader-and-router-freeze", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		p, router := leader(c), pickOne(r, c.ProcessesOfKind("router"))
+		p, router := leader(c), pickOne(r, c.ProcessesOf("router"))
 		p.Machine.Freeze(true)
 		router.Machine.Freeze(true)
 		time.Sleep(time.Duration(2000+r.IntN(5000)) * time.Millisecond)
@@ -174,7 +174,7 @@
 	}},
 	{Name: "disk-stalls", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		p := pickOne(r, c.ProcessesOfKind("controller"))
+		p := pickOne(r, c.ProcessesOf("controller"))
 		p.Machine.StallDisk(true)
 		time.Sleep(6 * time.Second)
 		p.Machine.StallDisk(false)
@@ -182,7 +182,7 @@
 		return changeRetryAfter(c, "after-stall", 2000)
 	}},
 	{Name: "slow-disks", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, p := range c.ProcessesOfKind("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			p.Machine.SetDiskDelay(time.Duration(20+r.IntN(120)) * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
@@ -191,8 +191,8 @@
 	{Name: "leader-router-and-worker-lost", Run: func(c *Cluster, r *rand.Rand) error {
 		time.Sleep(9 * time.Second)
 		c.PowerOff(leader(c))
-		c.Kill(pickOne(r, c.ProcessesOfKind("router")))
-		c.Kill(pickOne(r, c.ProcessesOfKind("worker")))
+		c.Kill(pickOne(r, c.ProcessesOf("router")))
+		c.Kill(pickOne(r, c.ProcessesOf("worker")))
 		return nil
 	}},
 }
--- a/internal/simulation/network_and_worker_scripts_test.go
+++ b/internal/simulation/network_and_worker_scripts_test.go
@@ -38,7 +38,7 @@
 		randomPause(r)
 		p := leader(c)
 		var rest []string
-		for _, o := range c.ProcessesOfKind("controller") {
+		for _, o := range c.ProcessesOf("controller") {
 			if o != p {
 				rest = append(rest, o.Machine.IP)
 			}
@@ -64,9 +64,9 @@
 	}},
 	{Name: "router-isolated-from-peers", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		p := pickOne(r, c.ProcessesOfKind("router"))
+		p := pickOne(r, c.ProcessesOf("router"))
 		// Workers and clients can still reach the router, but controllers and other routers can't.
-		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
+		peers := append(addresses(c.ProcessesOf("controller")...), addresses(c.ProcessesOf("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(7 * time.Second)
 		c.World.Partition(addresses(p), peers, false)
@@ -83,7 +83,7 @@
 		for range 6 {
 			randomPause(r)
 			pickOne(
-				r, append(c.ProcessesOfKind("router"), c.ProcessesOfKind("controller")...),
+				r, append(c.ProcessesOf("router"), c.ProcessesOf("controller")...),
 			).Machine.JumpClock(time.Duration(1+r.IntN(20)) * time.Second)
 		}
 		return nil
@@ -91,7 +91,7 @@
 	{Name: "workers-crash", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 3 {
 			randomPause(r)
-			p := pickOne(r, c.ProcessesOfKind("worker"))
+			p := pickOne(r, c.ProcessesOf("worker"))
 			c.Kill(p)
 			time.Sleep(2500 * time.Millisecond)
 			if err := c.Start(p); err != nil {
@@ -103,7 +103,7 @@
 	{Name: "worker-unresponsive", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 2 {
 			randomPause(r)
-			p := pickOne(r, c.ProcessesOfKind("worker"))
+			p := pickOne(r, c.ProcessesOf("worker"))
 			if r.IntN(2) == 0 {
 				p.Machine.Freeze(true)
 				time.Sleep(4 * time.Second)
@@ -118,32 +118,32 @@
 	}},
 	{Name: "links-slow-then-worker-lost", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		for _, p := range c.ProcessesOfKind("worker") {
+		for _, p := range c.ProcessesOf("worker") {
 			if r.IntN(2) == 0 {
 				p.Worker.SetFaults(standin.Faults{TransferRate: 100_000 + r.IntN(400_000)})
 			}
 		}
 		time.Sleep(time.Second)
-		p := pickOne(r, c.ProcessesOfKind("worker"))
+		p := pickOne(r, c.ProcessesOf("worker"))
 		c.Kill(p)
 		time.Sleep(3 * time.Second)
-		for _, o := range c.ProcessesOfKind("worker") {
+		for _, o := range c.ProcessesOf("worker") {
 			o.Worker.SetFaults(standin.Faults{})
 		}
 		return c.Start(p)
 	}},
 	{Name: "kv-cache-lost-or-corrupted", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, p := range c.ProcessesOfKind("worker")[:3] {
+		for _, p := range c.ProcessesOf("worker")[:3] {
 			p.Worker.SetFaults(standin.Faults{Drop: r.IntN(2) == 0, Corrupt: true})
 		}
 		time.Sleep(3 * time.Second)
-		for _, p := range c.ProcessesOfKind("worker")[:3] {
+		for _, p := range c.ProcessesOf("worker")[:3] {
 			p.Worker.SetFaults(standin.Faults{})
 		}
 		return nil
 	}},
 	{Name: "worker-sends-garbage", Run: func(c *Cluster, r *rand.Rand) error {
-		p := pickOne(r, c.ProcessesOfKind("worker"))
+		p := pickOne(r, c.ProcessesOf("worker"))
 		p.Worker.SetFaults(standin.Faults{Garbage: true})
 		time.Sleep(3 * time.Second)
 		p.Worker.SetFaults(standin.Faults{})
@@ -152,7 +152,7 @@
 	{
 		Name: "reports-delayed",
 		Run: func(c *Cluster, r *rand.Rand) error {
-			for _, p := range c.ProcessesOfKind("worker") {
+			for _, p := range c.ProcessesOf("worker") {
 				p.Worker.SetFaults(standin.Faults{ReportLagMs: 450})
 			}
 			time.Sleep(5 * time.Second)
@@ -199,7 +199,7 @@
 						part := fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, 3000+10*n+k)
 						text, _ := mergedText(state, part)
 						got := &api.ApplyResponse{}
-						p := c.ProcessesOfKind("router")[k]
+						p := c.ProcessesOf("router")[k]
 						err := c.PostTo(p, "/v1/policy", &api.ApplyRequest{
 							Op:          fmt.Sprintf("race-%d-%d", n, k),
 							BaseVersion: state.Version,
@@ -220,7 +220,7 @@
 				if acknowledged != 1 {
 					return fmt.Errorf("round %d: %d of two concurrent changes were acknowledged", n, acknowledged)
 				}
-				c.WaitUntil(3*time.Second, func() bool { return c.ProcessesOfKind("router")[0].Node.Show().Version > state.Version })
+				c.WaitUntil(3*time.Second, func() bool { return c.ProcessesOf("router")[0].Node.Show().Version > state.Version })
 			}
 			return nil
 		},
@@ -240,7 +240,7 @@
 	},
 	{Name: "configuration-changes-with-a-router-partitioned", Run: func(c *Cluster, r *rand.Rand) error {
 		p := ownerOfBothRoles(c)
-		controllers := addresses(c.ProcessesOfKind("controller")...)
+		controllers := addresses(c.ProcessesOf("controller")...)
 		c.World.Partition(addresses(p), controllers, true)
 		sendInBackground(c, p)
 		for n := range 4 {
--- a/internal/simulation/no_failures_test.go
+++ b/internal/simulation/no_failures_test.go
@@ -21,10 +21,10 @@
 		start := time.Now()
 		c := Build(7, standin.Sites["vatuloa"], nil)
 		defer c.Close()
-		for _, p := range c.ProcessesOfKind("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			p.Machine.SetDiskDelay(60 * time.Millisecond)
 		}
-		lateStarters := []*Process{c.ProcessesOfKind("controller")[1], c.ProcessesOfKind("router")[4]}
+		lateStarters := []*Process{c.ProcessesOf("controller")[1], c.ProcessesOf("router")[4]}
 		for _, p := range lateStarters {
 			c.Kill(p)
 		}
--- a/internal/simulation/operation_class_test.go
+++ b/internal/simulation/operation_class_test.go
@@ -19,7 +19,7 @@
 		request := &api.ApplyRequest{Op: "once", BaseVersion: 1, Partial: true, Source: `{limits: {queue: 9}}`}
 		first, err := c.Apply(request)
 		require.NoError(t, err)
-		zone := string(c.ProcessesOfKind("router")[0].Zone)
+		zone := string(c.ProcessesOf("router")[0].Zone)
 		const remembered = 2048
 		for i := range remembered + 2 {
 			require.NoError(t, c.SetOutOfService("/v1/zones/"+zone, fmt.Sprint("mark", i), i%2 == 0))
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -76,7 +76,8 @@
 	took := c.Recorder.Now() - start
 	c.Recorder.RecordApplyTime(took)
 	// While the controllers are partitioned from all routers, no router can receive the version.
-	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) && !c.Recorder.controllersPartitionedSince(start) {
+	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) &&
+		!c.Recorder.controllersPartitionedSince(start) {
 		c.Recorder.RecordScriptEvent(
 			"slow-apply", fmt.Sprintf("version %d took %s, active: %v", got.Version, took, got.Active),
 		)
@@ -96,7 +97,7 @@
 	if evacuated {
 		kind = "evacuate"
 	}
-	for _, p := range c.ProcessesOfKind("worker") {
+	for _, p := range c.ProcessesOf("worker") {
 		if p.Zone == z {
 			c.Recorder.RecordScriptEvent(kind, p.Name)
 		}
@@ -112,7 +113,7 @@
 // PartitionControllers partitions the controllers from all routers, or removes the partition if on is false.
 func (c *Cluster) PartitionControllers(on bool) {
 	c.Recorder.RecordScriptEvent(map[bool]string{true: "partition", false: "heal"}[on], "controllers")
-	c.World.Partition(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...), on)
+	c.World.Partition(addresses(c.ProcessesOf("controller")...), addresses(c.ProcessesOf("router")...), on)
 }
 
 // controllersPartitionedSince reports whether the controllers were partitioned from all routers at any time
@@ -186,9 +187,15 @@
 		}
 	}
 	c.Recorder.mu.Unlock()
-	for _, p := range c.ProcessesOfKind("router") {
+	for _, p := range c.ProcessesOf("router") {
 		if p.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(p.Node.Show().Version) >= newest }) {
-			violations.add(ConfigurationLost, "%s has version %d, but version %d was acknowledged", p.Name, p.Node.Show().Version, newest)
+			violations.add(
+				ConfigurationLost,
+				"%s has version %d, but version %d was acknowledged",
+				p.Name,
+				p.Node.Show().Version,
+				newest,
+			)
 		}
 	}
 	for _, m := range scriptEvents {
--- a/internal/simulation/operator_scripts_test.go
+++ b/internal/simulation/operator_scripts_test.go
@@ -20,18 +20,18 @@
 
 // ownerOf returns the node that owns the key of a worker, or the first router if none does.
 func ownerOf(c *Cluster, id ids.WorkerID) *Process {
-	for _, p := range c.ProcessesOfKind("router") {
+	for _, p := range c.ProcessesOf("router") {
 		if p.Up && slices.Contains(p.Node.Status().(*router.NodeStatus).OwnedKeys, fleetstate.WorkerKey(id)) {
 			return p
 		}
 	}
-	return c.ProcessesOfKind("router")[0]
+	return c.ProcessesOf("router")[0]
 }
 
 // ownerOfBothRoles returns a node that owns keys of workers of both roles and so could serve a request
 // without its peers. If there is none, it returns the fourth router.
 func ownerOfBothRoles(c *Cluster) *Process {
-	for _, p := range c.ProcessesOfKind("router") {
+	for _, p := range c.ProcessesOf("router") {
 		roles := map[byte]bool{}
 		for _, k := range p.Node.Status().(*router.NodeStatus).OwnedKeys {
 			if id, ok := strings.CutPrefix(string(k), "worker/"); ok {
@@ -42,7 +42,7 @@
 			return p
 		}
 	}
-	return c.ProcessesOfKind("router")[3]
+	return c.ProcessesOf("router")[3]
 }
 
 // sendInBackground sends 60 requests to one node's frontend, one every 50 ms for three seconds.
@@ -104,7 +104,7 @@
 			kinds[fmt.Sprintf("kind-%d-7", round-3)], workers[fmt.Sprintf("ghost-%d-7", round-3)] = nil, nil
 		}
 		state := newestActivePolicy(c)
-		p := pickOne(r, c.ProcessesOfKind("router"))
+		p := pickOne(r, c.ProcessesOf("router"))
 		invalid := &api.ApplyRequest{
 			Op:          fmt.Sprint("bad-", round),
 			BaseVersion: state.Version,
@@ -126,7 +126,7 @@
 			Partial:     true,
 			Source:      `{"limits":{"queue":3}}`,
 		}
-		if err := c.PostTo(pickOne(r, c.ProcessesOfKind("router")), "/v1/policy", stale, nil); err == nil {
+		if err := c.PostTo(pickOne(r, c.ProcessesOf("router")), "/v1/policy", stale, nil); err == nil {
 			return fmt.Errorf("round %d: a partial configuration based on an old version was accepted", round)
 		}
 	}
@@ -162,20 +162,20 @@
 	{Name: "evacuation-with-owner-partitioned", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		// The partitioned node is also the first one to which operator requests are sent.
-		w, p := pickOne(r, c.ProcessesOfKind("worker")), c.ProcessesOfKind("router")[0]
-		for _, o := range c.ProcessesOfKind("worker") {
+		w, p := pickOne(r, c.ProcessesOf("worker")), c.ProcessesOf("router")[0]
+		for _, o := range c.ProcessesOf("worker") {
 			if ownerOf(c, ids.WorkerID(o.Name)) == p {
 				w = o
 			}
 		}
-		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
+		peers := append(addresses(c.ProcessesOf("controller")...), addresses(c.ProcessesOf("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		err := evacuateFor(c, w.Zone, "cut", 7*time.Second)
 		c.World.Partition(addresses(p), peers, false)
 		return err
 	}},
 	{Name: "worker-leaves-its-owner-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
-		w := pickOne(r, c.ProcessesOfKind("worker"))
+		w := pickOne(r, c.ProcessesOf("worker"))
 		p := ownerOf(c, ids.WorkerID(w.Name))
 		c.World.Partition(addresses(p), []string{"10.8.0.1"}, true)
 		time.Sleep(time.Second)
@@ -194,7 +194,7 @@
 		return nil
 	}},
 	{Name: "workers-leave-while-leader-and-owner-restart", Run: func(c *Cluster, r *rand.Rand) error {
-		w := pickOne(r, c.ProcessesOfKind("worker"))
+		w := pickOne(r, c.ProcessesOf("worker"))
 		p, l := ownerOf(c, ids.WorkerID(w.Name)), leader(c)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
 		c.Recorder.RecordScriptEvent("leave", w.Name)
@@ -207,7 +207,7 @@
 	{Name: "storm-with-a-node-cut-from-its-peers", Run: func(c *Cluster, r *rand.Rand) error {
 		// Clients and workers still reach the node, but it receives no configuration changes.
 		p := ownerOfBothRoles(c)
-		peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
+		peers := append(addresses(c.ProcessesOf("controller")...), addresses(c.ProcessesOf("router")...)...)
 		for n := range 3 {
 			c.World.Partition(addresses(p), peers, true)
 			sendInBackground(c, p)
@@ -229,7 +229,7 @@
 		LoadDuration: 38 * time.Second,
 		NoFailures:   true,
 		Run: func(c *Cluster, _ *rand.Rand) error {
-			for _, p := range c.ProcessesOfKind("router") {
+			for _, p := range c.ProcessesOf("router") {
 				if err := restartGracefully(c, p); err != nil {
 					return err
 				}
@@ -242,13 +242,13 @@
 		LoadDuration: 45 * time.Second,
 		NoFailures:   true,
 		Run: func(c *Cluster, r *rand.Rand) error {
-			for _, p := range c.ProcessesOfKind("controller") {
+			for _, p := range c.ProcessesOf("controller") {
 				if err := restartAfter(c, p, 2*time.Second, false); err != nil {
 					return err
 				}
 				time.Sleep(2 * time.Second)
 			}
-			for _, p := range c.ProcessesOfKind("worker") {
+			for _, p := range c.ProcessesOf("worker") {
 				id := ids.WorkerID(p.Name)
 				c.Platform.MarkLeaving(id)
 				c.Recorder.RecordScriptEvent("leave", p.Name)
--- a/internal/simulation/outages_test.go
+++ b/internal/simulation/outages_test.go
@@ -30,7 +30,7 @@
 	}
 	zoneOf := map[string]ids.Zone{}
 	serving := map[ids.Zone]bool{}
-	for _, p := range c.ProcessesOfKind("router") {
+	for _, p := range c.ProcessesOf("router") {
 		zoneOf[p.FrontendAddr] = p.Zone
 		serving[p.Zone] = serving[p.Zone] || p.Up
 	}
--- a/internal/simulation/power_and_disk_lost_test.go
+++ b/internal/simulation/power_and_disk_lost_test.go
@@ -39,7 +39,7 @@
 				for _, process := range c.Processes {
 					c.PowerOff(process)
 				}
-				c.ProcessesOfKind("controller")[lost].Machine.WipeDisk()
+				c.ProcessesOf("controller")[lost].Machine.WipeDisk()
 				time.Sleep(time.Second)
 				for _, process := range c.Processes {
 					require.NoError(t, c.Start(process))
--- a/internal/simulation/regime_overhead_test.go
+++ b/internal/simulation/regime_overhead_test.go
@@ -89,7 +89,7 @@
 				require.NoError(t, m.ApplyRegimes())
 				for i := range n {
 					partitioned, currentLeader := routerNamed(c, "router-2"), leader(c)
-					peers := append(addresses(c.ProcessesOfKind("controller")...), addresses(c.ProcessesOfKind("router")...)...)
+					peers := append(addresses(c.ProcessesOf("controller")...), addresses(c.ProcessesOf("router")...)...)
 					switch failure {
 					case "a node partitioned":
 						c.World.Partition(addresses(partitioned), peers, true)
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -51,7 +51,7 @@
 	t.Helper()
 	var lines []api.StreamEvent
 	var refusal *api.Fault
-	nodes := c.ProcessesOfKind("router")
+	nodes := c.ProcessesOf("router")
 	attempt := i
 	require.True(t, c.WaitUntil(8*time.Second, func() bool {
 		got, err := c.stream(nodes[attempt%len(nodes)], request)
@@ -97,10 +97,10 @@
 			record.Tokens = append(record.Tokens, line.Token)
 		}
 		require.NoError(t, os.RemoveAll(releaseFolder))
-		for _, p := range c.ProcessesOfKind("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			c.Kill(p)
 		}
-		for _, p := range c.ProcessesOfKind("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			folder := filepath.Join(releaseFolder, p.Name)
 			to, err := host.OpenDisk(folder)
 			require.NoError(t, err)
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -56,15 +56,15 @@
 func TestAllSeedsReplaced(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
-		for i, p := range append([]*Process(nil), c.ProcessesOfKind("controller")...) {
+		for i, p := range append([]*Process(nil), c.ProcessesOf("controller")...) {
 			c.PowerOff(p)
 			p.Machine.WipeDisk()
 			c.add(c.Controller("controller-"+string(rune('x'+i)), "10.1.0.3"+string(rune('0'+i))+":700", p.Zone))
 			time.Sleep(9 * time.Second)
 		}
 		require.True(t, c.WaitUntil(5*time.Second, func() bool { return c.Leader() != nil }))
-		c.Kill(c.ProcessesOfKind("router")[0])
-		c.Seeds = []string{c.ProcessesOfKind("router")[1].Addr, "10.1.0.1:700", "10.1.0.2:700"}
+		c.Kill(c.ProcessesOf("router")[0])
+		c.Seeds = []string{c.ProcessesOf("router")[1].Addr, "10.1.0.1:700", "10.1.0.2:700"}
 		late := c.add(c.Router("router-late", "10.2.0.40", c.Site.Zones[0]))
 		require.True(t, c.WaitUntil(6*time.Second, func() bool { ok, _ := late.Node.Ready(); return ok }))
 		require.NoError(t, changeRetryAfter(c, "seedless", 2300))
--- a/internal/simulation/routing_programs_test.go
+++ b/internal/simulation/routing_programs_test.go
@@ -70,7 +70,7 @@
 		require.Equal(t, len(outcomes), sum.Ends["complete"], "%+v", sum)
 		require.Empty(t, c.Recorder.Check(outcomes))
 		picks, fallbacks := map[string]int64{}, map[string]int64{}
-		for _, p := range c.ProcessesOfKind("router") {
+		for _, p := range c.ProcessesOf("router") {
 			for name, p := range p.Node.Status().(*router.NodeStatus).Programs {
 				picks[name] += p["picks"].(int64)
 				fallbacks[name] += p["fallbacks"].(int64)
@@ -121,7 +121,7 @@
 		after := c.Load(40, 3*time.Second, 4)
 		require.Equal(t, len(after), standin.Summarize(after).Ends["complete"])
 		runs := 0
-		for _, p := range c.ProcessesOfKind("worker") {
+		for _, p := range c.ProcessesOf("worker") {
 			if p.Name[0] == 'n' {
 				runs += len(p.Worker.RequestCounts())
 			}
