--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -55,7 +55,7 @@
 	Platform       *standin.Platform
 	Recorder       *Recorder
 	Seeds          []string
-	TuneWorker     func(*standin.WorkerOptions)
+	TuneWorker     func(*standin.WorkerOptions) // changes the options of a worker before it starts, if set
 	Programs       map[string]fleetstate.Program
 	OnHandoffEvent func(handoff.Event) // called for every step of every hand-off, if set
 	FixedRoles     bool                // disables the role changes of workers
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -143,7 +143,7 @@
 	newest    ids.Version
 	evacuated bool
 	sent      int // bytes sent by all controllers
-	disk      int // most bytes that any disk held
+	disk      int // largest number of bytes stored on any disk
 	changes   int
 	slowest   time.Duration // longest time until a change was acknowledged
 }
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -31,8 +31,7 @@
 	return state
 }
 
-// mergedText returns the complete text that results from merging a partial one into the active
-// policy.
+// mergedText returns the complete text that results from merging a partial one into the active policy.
 func mergedText(state *api.ActivePolicy, part string) (string, error) {
 	src, err := fleetstate.CUEToJSON("part", []byte(part))
 	if err != nil {
@@ -75,7 +74,8 @@
 	c.Recorder.RecordAck(ids.Version(got.Version), text)
 	took := c.Recorder.Now() - start
 	c.Recorder.RecordApplyTime(took)
-	// While the controllers are partitioned from all routers, no router can receive the version.
+	// An apply is slow if it took more than 2 s and ApplySlack, or, without ApplySlack, if the version isn't active
+	// in the response. While the controllers are partitioned from all routers, no router can receive the version.
 	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) &&
 		!c.Recorder.controllersPartitionedSince(start) {
 		c.Recorder.RecordScriptEvent(
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -19,7 +19,7 @@
 // recorded.
 type ScriptEvent struct {
 	Kind    string // leave, evacuate, return, partition, heal or slow-apply
-	Subject string // a worker, or the controllers, or the details of a slow apply
+	Subject string // a worker, the controllers, or the details of a slow apply
 	At      time.Duration
 }
 
@@ -167,6 +167,8 @@
 	return out
 }
 
+// checkRuns checks that no keyed request was run or finished more than once, that none was run although it was
+// reported as not run, and that no decode ran out of memory.
 func (r *Recorder) checkRuns(violations *violationList, all []standin.Outcome) {
 	runs, finished, outOfMemory := map[string]int{}, map[string]int{}, 0
 	for _, w := range r.workers {
@@ -330,7 +332,7 @@
 }
 
 // checkRecomputeBudget checks that no interval has more recomputes than the token bucket of the default retry
-// budget allows, plus one: 4 a second and a burst of 12. It reports the first violation only.
+// budget (4 per second, burst 12) allows, plus one. It reports the first violation only.
 func (r *Recorder) checkRecomputeBudget(violations *violationList) {
 	const ratePerSecond, burst = 4.0, 12
 	for i := range r.recomputes {
