--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -288,44 +288,45 @@
 }
 
 // replace stops the backup and restarts it with its disk (kind "restarted") or an empty one ("wiped"), or starts a
-// new controller in its place ("new"). Once that controller has caught up, another leader is stopped while a change
-// is made. It returns the time until the controller had caught up and the bytes sent by all controllers meanwhile.
+// new controller in its place ("new"). Once that controller has caught up, any other leader is stopped during one
+// change, so that this controller must take over. It returns the time until the controller had caught up and the
+// bytes sent by all controllers meanwhile.
 func (h *history) replace(kind string) (took time.Duration, sent int) {
 	stopped := h.cores[h.leader()].Directory().Record().Backup.Addr
 	h.stop(stopped)
 	h.change()
-	restarted := stopped
+	replacement := stopped
 	switch kind {
 	case "wiped":
 		h.world.Machine(stopped[:len(stopped)-2]).WipeDisk()
 	case "new":
-		restarted = fmt.Sprintf("10.0.2.%d:1", h.changes%200+1)
+		replacement = fmt.Sprintf("10.0.2.%d:1", h.changes%200+1)
 		for i := range h.seeds {
 			if h.seeds[i] == stopped {
-				h.seeds[i] = restarted
+				h.seeds[i] = replacement
 			}
 		}
 	}
 	before := h.sent
-	h.start(restarted)
+	h.start(replacement)
 	// The controller counts as lost until it has had time to take over its own register again, or that of a
 	// controller that is gone.
 	for range 4 {
 		h.change()
 		time.Sleep(time.Second)
 	}
-	// Stop the controller that has become the backup meanwhile, so that the restarted one must replace it.
+	// Stop the controller that has become the backup meanwhile, so that the replacement must take its place.
 	other := h.cores[h.leader()].Directory().Record().Backup.Addr
-	if other != restarted {
+	if other != replacement {
 		h.stop(other)
 	}
-	took, sent = h.waitCaughtUp(restarted), h.sent-before
-	if other != restarted {
+	took, sent = h.waitCaughtUp(replacement), h.sent-before
+	if other != replacement {
 		h.start(other)
 	}
 	h.change()
 	time.Sleep(2 * time.Second)
-	if leader := h.leader(); leader != restarted {
+	if leader := h.leader(); leader != replacement {
 		h.stop(leader)
 		h.change()
 		h.start(leader)
--- a/internal/simulation/network_and_worker_scripts_test.go
+++ b/internal/simulation/network_and_worker_scripts_test.go
@@ -238,7 +238,7 @@
 		},
 		NoFailures: true,
 	},
-	{Name: "configuration-changes-with-a-router-partitioned", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "configuration-changes-with-a-router-partitioned-from-controllers", Run: func(c *Cluster, r *rand.Rand) error {
 		p := ownerOfBothRoles(c)
 		controllers := addresses(c.ProcessesOf("controller")...)
 		c.World.Partition(addresses(p), controllers, true)
