--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -1,4 +1,4 @@
-// Tests of the checkers: each one reports a violation of its rule that is put into a recording.
+// Tests that the checkers report violations that are put into a recording.
 
 package simulation
 
@@ -14,17 +14,17 @@
 	"keelstair.example/internal/workerclient"
 )
 
-type fakeTallies map[string]standin.RequestCounts
+type fakeRequestCounter map[string]standin.RequestCounts
 
-func (f fakeTallies) RequestCounts() map[string]standin.RequestCounts { return f }
+func (f fakeRequestCounter) RequestCounts() map[string]standin.RequestCounts { return f }
 
-// TestCheckersCatch records one violation of each rule and requires that exactly this rule is
-// reported.
+// TestCheckersCatch records one violation of each rule that Recorder.Check covers, and requires that exactly this
+// rule is reported. It also tests the checker of grant versions and the measurement of outages.
 func TestCheckersCatch(t *testing.T) {
-	event := func(r *Recorder, what, worker string, fence ids.Fence, v ids.Version, at time.Duration) {
-		r.events = append(r.events, RecordedEvent{
+	event := func(r *Recorder, kind, worker string, fence ids.Fence, v ids.Version, at time.Duration) {
+		r.events = append(r.events, RecordedWorkerEvent{
 			standin.Event{
-				Kind:    what,
+				Kind:    kind,
 				Worker:  ids.WorkerID(worker),
 				ID:      workerclient.ID{Request: "r"},
 				Fence:   fence,
@@ -35,12 +35,12 @@
 	}
 	for rule, violate := range map[string]func(r *Recorder) []standin.Outcome{
 		RunTwice: func(r *Recorder) []standin.Outcome {
-			r.AddWorker(fakeTallies{"k-1": {Runs: 1, Finished: 1}})
-			r.AddWorker(fakeTallies{"k-1": {Runs: 1}})
+			r.AddWorker(fakeRequestCounter{"k-1": {Runs: 1, Finished: 1}})
+			r.AddWorker(fakeRequestCounter{"k-1": {Runs: 1}})
 			return nil
 		},
-		RanDespiteNotRun: func(r *Recorder) []standin.Outcome {
-			r.AddWorker(fakeTallies{router.RequestIDForKey("verdict/c1"): {Runs: 1, Finished: 1}})
+		RanThoughReportedNotRun: func(r *Recorder) []standin.Outcome {
+			r.AddWorker(fakeRequestCounter{router.RequestIDForKey("verdict/c1"): {Runs: 1, Finished: 1}})
 			return []standin.Outcome{{Kind: "verdict", Key: "c1+", End: "complete"}}
 		},
 		StreamCorrupted: func(*Recorder) []standin.Outcome {
@@ -49,26 +49,31 @@
 		OutputDiffers: func(*Recorder) []standin.Outcome {
 			return []standin.Outcome{{Kind: "rider", End: "wrong", Detail: "tokens [1]"}}
 		},
-		DecodeOutOfMemory: func(r *Recorder) []standin.Outcome { r.AddWorker(fakeTallies{"x": {OutOfBlocks: 1}}); return nil },
+		DecodeOutOfMemory: func(r *Recorder) []standin.Outcome {
+			r.AddWorker(fakeRequestCounter{"x": {OutOfBlocks: 1}})
+			return nil
+		},
 		WorkAfterLeave: func(r *Recorder) []standin.Outcome {
-			r.marks = append(r.marks, Mark{"leave", "p1", time.Second})
+			r.scriptEvents = append(r.scriptEvents, ScriptEvent{"leave", "p1", time.Second})
 			event(r, "prefill", "p1", 1, 1, 3900*time.Millisecond)
 			event(r, "prefill", "p1", 1, 1, 4100*time.Millisecond)
 			return nil
 		},
 		WorkAfterEvacuation: func(r *Recorder) []standin.Outcome {
-			r.marks = append(r.marks, Mark{"evacuate", "d1", time.Second}, Mark{"return", "d1", 8 * time.Second})
+			r.scriptEvents = append(
+				r.scriptEvents, ScriptEvent{"evacuate", "d1", time.Second}, ScriptEvent{"return", "d1", 8 * time.Second},
+			)
 			event(r, "import", "d1", 1, 1, 9*time.Second)
 			event(r, "import", "d1", 1, 1, 7*time.Second)
 			return nil
 		},
-		ConfigurationSlow: func(r *Recorder) []standin.Outcome {
+		ConfigurationStale: func(r *Recorder) []standin.Outcome {
 			event(r, "import", "d1", 1, 5, time.Second)
 			event(r, "import", "d1", 1, 4, 1200*time.Millisecond)
 			event(r, "import", "d1", 1, 4, 1300*time.Millisecond)
 			return nil
 		},
-		ConflictingOrders: func(r *Recorder) []standin.Outcome {
+		FencingTokenDecreased: func(r *Recorder) []standin.Outcome {
 			event(r, "import", "d1", 7, 1, time.Second)
 			event(r, "import", "d1", 6, 1, 2*time.Second)
 			return nil
@@ -90,7 +95,7 @@
 	r := NewRecorder()
 	event(r, "import", "d1", 1, 5, time.Second)
 	r.grants = []Grant{{"n1", 4, 1200 * time.Millisecond}, {"n2", 4, 1300 * time.Millisecond}}
-	require.Equal(t, ConfigurationSlow, r.Check(nil)[0].Rule)
+	require.Equal(t, ConfigurationStale, r.Check(nil)[0].Rule)
 	r.grants = r.grants[:1]
 	require.Empty(t, r.Check(nil))
 	require.Equal(t, 5*time.Second, standin.LongestOutage([]standin.Outcome{
@@ -99,8 +104,8 @@
 	}, time.Second, 7*time.Second, nil))
 }
 
-// TestConfigurationChecks records acknowledged, refused and active configurations: contradictions
-// among them must be reported, and consistent recordings must not.
+// TestConfigurationChecks records acknowledged, refused and active configurations. A recording with a
+// contradiction must give one violation, and a consistent one none.
 func TestConfigurationChecks(t *testing.T) {
 	for name, record := range map[string]func(r *Recorder){
 		"different text": func(r *Recorder) { r.RecordAck(3, "a"); r.RecordActive("n1", 3, []byte("b")) },
@@ -109,13 +114,13 @@
 			r.RecordActive("n2", 3, []byte("b"))
 		},
 		"refused text": func(r *Recorder) { r.RecordRefused("x"); r.RecordActive("n1", 4, []byte("x")) },
-		"slow apply":   func(r *Recorder) { r.RecordMark("slow-apply", "version 3") },
+		"slow apply":   func(r *Recorder) { r.RecordScriptEvent("slow-apply", "version 3") },
 		"": func(r *Recorder) {
 			r.RecordAck(3, "a")
 			r.RecordActive("n1", 3, []byte("a"))
 			r.RecordRefused("b")
 		},
-		"refused, then accepted": func(r *Recorder) {
+		"refused, then acknowledged": func(r *Recorder) {
 			r.RecordRefused("a")
 			r.RecordAck(4, "a")
 			r.RecordActive("n1", 4, []byte("a"))
@@ -123,16 +128,16 @@
 	} {
 		c := &Cluster{Recorder: NewRecorder()}
 		record(c.Recorder)
-		if got := c.checkConfigurations(); name == "" || name == "refused, then accepted" {
+		if got := c.checkConfigurations(); name == "" || name == "refused, then acknowledged" {
 			require.Empty(t, got, name)
 		} else {
 			require.Len(t, got, 1, name)
 		}
 	}
 	r := NewRecorder()
-	require.False(t, r.corePartitionedSince(0))
-	r.marks = []Mark{{"partition", "core", 2}, {"heal", "core", 5}}
-	require.True(t, r.corePartitionedSince(3))
-	require.False(t, r.corePartitionedSince(6))
-	require.True(t, r.corePartitionedSince(1), "the partition began after the start of the interval")
+	require.False(t, r.controllersPartitionedSince(0))
+	r.scriptEvents = []ScriptEvent{{"partition", "controllers", 2}, {"heal", "controllers", 5}}
+	require.True(t, r.controllersPartitionedSince(3))
+	require.False(t, r.controllersPartitionedSince(6))
+	require.True(t, r.controllersPartitionedSince(1), "the partition began after the start of the interval")
 }
--- a/internal/simulation/compose_test.go
+++ b/internal/simulation/compose_test.go
@@ -1,6 +1,6 @@
-// This file combines randomly chosen failures and operator actions into one script in which they
-// overlap, within the failures that the fleet must tolerate: at most one controller and one zone
-// are unavailable for long at a time, while any number of processes may be killed and restarted.
+// This file combines randomly chosen failures and operators' changes into one script in which they overlap. The
+// script stays within the failures that the fleet must tolerate: at most one controller and one zone are
+// unavailable for long at a time, while any number of processes may be killed and restarted.
 
 package simulation
 
@@ -16,10 +16,10 @@
 	"keelstair.example/internal/standin"
 )
 
-// action is a failure or an operator's change. Actions of the same group never overlap.
+// action is a failure or an operator's change. Actions of the same non-empty group never overlap.
 type action struct {
 	name  string
-	group string // disk, zone, links or empty
+	group string // controller, zone, links or empty; actions without a group overlap with any others
 	run   func(c *Cluster, r *rand.Rand, op string) error
 }
 
@@ -27,7 +27,7 @@
 	return time.Duration(minMs+r.IntN(maxMs-minMs)) * time.Millisecond
 }
 
-// restartAfter kills a process or cuts its machine's power, and restarts it after a time.
+// restartAfter kills a process, or its machine loses power, and starts it again after the downtime.
 func restartAfter(c *Cluster, p *Process, downtime time.Duration, power bool) error {
 	if power {
 		c.PowerOff(p)
@@ -40,7 +40,7 @@
 
 func running(c *Cluster, kind string) []*Process {
 	var out []*Process
-	for _, p := range c.Of(kind) {
+	for _, p := range c.ProcessesOf(kind) {
 		if p.Up {
 			out = append(out, p)
 		}
@@ -48,7 +48,7 @@
 	return out
 }
 
-// changeIgnoringConflict applies a change. Losing to a concurrent operator's change isn't an error.
+// changeIgnoringConflict applies a change. A conflict with a concurrent operator's change isn't an error.
 func changeIgnoringConflict(c *Cluster, op, part string) error {
 	if err := applyPartial(c, op, part); err != nil && !errors.Is(err, errConflict) {
 		return fmt.Errorf("%s: %w", op, err)
@@ -57,13 +57,13 @@
 }
 
 var actions = []action{
-	{"leader killed", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"leader killed", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		return restartAfter(c, leader(c), randomDuration(r, 200, 4000), false)
 	}},
-	{"a controller loses power", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"a controller loses power", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		return restartAfter(c, pickOne(r, running(c, "controller")), randomDuration(r, 500, 5000), true)
 	}},
-	{"leader lost during a takeover", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"leader lost during a takeover", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := leader(c)
 		c.Kill(p)
 		time.Sleep(randomDuration(r, 900, 2200))
@@ -75,7 +75,7 @@
 		}
 		return nil
 	}},
-	{"disk wiped right after an acknowledged change", "disk", func(c *Cluster, r *rand.Rand, op string) error {
+	{"disk wiped right after an acknowledged change", "controller", func(c *Cluster, r *rand.Rand, op string) error {
 		if err := changeIgnoringConflict(
 			c, op, marshalPartial(map[string]any{"limits": map[string]any{"retryAfterMs": 1000 + r.IntN(900)}}),
 		); err != nil {
@@ -89,7 +89,7 @@
 		time.Sleep(9 * time.Second)
 		return nil
 	}},
-	{"every controller killed at once", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"every controller killed at once", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		list := running(c, "controller")
 		for _, p := range list {
 			c.Kill(p)
@@ -102,24 +102,24 @@
 		}
 		return nil
 	}},
-	{"a disk stalls", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"a disk stalls", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := pickOne(r, running(c, "controller"))
 		p.Machine.StallDisk(true)
 		time.Sleep(randomDuration(r, 500, 5000))
 		p.Machine.StallDisk(false)
 		return nil
 	}},
-	{"a controller freezes and resumes", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"a controller freezes and resumes", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := pickOne(r, running(c, "controller"))
 		p.Machine.Freeze(true)
 		time.Sleep(randomDuration(r, 500, 5000))
 		p.Machine.Freeze(false)
 		return nil
 	}},
-	{"the leader partitioned from the other controllers", "disk", func(c *Cluster, r *rand.Rand, _ string) error {
+	{"the leader partitioned from the other controllers", "controller", func(c *Cluster, r *rand.Rand, _ string) error {
 		p := leader(c)
 		var rest []*Process
-		for _, o := range c.Of("controller") {
+		for _, o := range c.ProcessesOf("controller") {
 			if o != p {
 				rest = append(rest, o)
 			}
@@ -130,25 +130,25 @@
 		return nil
 	}},
 	{"slow disks", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		for _, p := range c.Of("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			p.Machine.SetDiskDelay(randomDuration(r, 10, 120))
 		}
 		time.Sleep(randomDuration(r, 2000, 6000))
-		for _, p := range c.Of("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			p.Machine.SetDiskDelay(time.Millisecond)
 		}
 		return nil
 	}},
 	{"routers killed one by one", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 1 + r.IntN(3) {
-			if err := restartAfter(c, pickOne(r, c.Of("router")), randomDuration(r, 100, 2500), false); err != nil {
+			if err := restartAfter(c, pickOne(r, c.ProcessesOf("router")), randomDuration(r, 100, 2500), false); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
 	{"a router freezes and resumes after its keys moved", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		p := pickOne(r, c.Of("router"))
+		p := pickOne(r, c.ProcessesOf("router"))
 		p.Machine.Freeze(true)
 		time.Sleep(randomDuration(r, 3500, 6500))
 		p.Machine.Freeze(false)
@@ -156,64 +156,66 @@
 	}},
 	{"clocks jump", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 3 {
-			pickOne(r, append(c.Of("router"), c.Of("controller")...)).Machine.JumpClock(randomDuration(r, 500, 20000))
+			pickOne(
+				r, append(c.ProcessesOf("router"), c.ProcessesOf("controller")...),
+			).Machine.JumpClock(randomDuration(r, 500, 20000))
 			time.Sleep(randomDuration(r, 0, 900))
 		}
 		return nil
 	}},
 	{"a router partitioned from controllers and routers", "links", func(c *Cluster, r *rand.Rand, _ string) error {
-		p := pickOne(r, c.Of("router"))
-		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		p := pickOne(r, c.ProcessesOf("router"))
+		peers := append(addresses(c.ProcessesOf("controller")...), addresses(c.ProcessesOf("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(randomDuration(r, 1000, 6000))
 		c.World.Partition(addresses(p), peers, false)
 		return nil
 	}},
 	{"all leases expire", "links", func(c *Cluster, r *rand.Rand, _ string) error {
-		c.PartitionCore(true)
+		c.PartitionControllers(true)
 		time.Sleep(randomDuration(r, 3000, 5500))
-		c.PartitionCore(false)
+		c.PartitionControllers(false)
 		return nil
 	}},
 	{"workers crash", "", func(c *Cluster, r *rand.Rand, _ string) error {
 		for range 1 + r.IntN(2) {
-			if err := restartAfter(c, pickOne(r, c.Of("worker")), randomDuration(r, 300, 3000), false); err != nil {
+			if err := restartAfter(c, pickOne(r, c.ProcessesOf("worker")), randomDuration(r, 300, 3000), false); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
 	{"slow links, then a router killed during KV transfers", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		for _, p := range c.Of("worker") {
+		for _, p := range c.ProcessesOf("worker") {
 			p.Worker.SetFaults(standin.Faults{TransferRate: 60_000 + r.IntN(300_000)})
 		}
 		time.Sleep(randomDuration(r, 300, 1200))
-		err := restartAfter(c, pickOne(r, c.Of("router")), randomDuration(r, 200, 2500), false)
-		for _, p := range c.Of("worker") {
+		err := restartAfter(c, pickOne(r, c.ProcessesOf("router")), randomDuration(r, 200, 2500), false)
+		for _, p := range c.ProcessesOf("worker") {
 			p.Worker.SetFaults(standin.Faults{})
 		}
 		return err
 	}},
 	{"KV cache lost or corrupted", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		p := pickOne(r, c.Of("worker"))
+		p := pickOne(r, c.ProcessesOf("worker"))
 		p.Worker.SetFaults(standin.Faults{Drop: r.IntN(2) == 0, Corrupt: true})
 		time.Sleep(randomDuration(r, 500, 3000))
 		p.Worker.SetFaults(standin.Faults{})
 		return nil
 	}},
 	{"worker reports delayed", "", func(c *Cluster, r *rand.Rand, _ string) error {
-		for _, p := range c.Of("worker") {
+		for _, p := range c.ProcessesOf("worker") {
 			p.Worker.SetFaults(standin.Faults{ReportLagMs: 450})
 		}
 		time.Sleep(randomDuration(r, 1000, 4000))
-		for _, p := range c.Of("worker") {
+		for _, p := range c.ProcessesOf("worker") {
 			p.Worker.SetFaults(standin.Faults{})
 		}
 		return nil
 	}},
 	{"operators make many changes", "", func(c *Cluster, r *rand.Rand, op string) error {
 		for i := range 4 {
-			if err := changeIgnoringConflict(c, fmt.Sprint(op, "-", i), catalogueChange(r, op, i)); err != nil {
+			if err := changeIgnoringConflict(c, fmt.Sprint(op, "-", i), fleetChange(r, op, i)); err != nil {
 				return err
 			}
 		}
@@ -230,7 +232,9 @@
 	{"a zone loses power", "zone", func(c *Cluster, r *rand.Rand, _ string) error {
 		z := pickOne(r, c.Site.Zones)
 		var lost []*Process
-		for _, p := range append(append(c.Of("controller"), c.Of("router")...), c.Of("worker")...) {
+		for _, p := range append(
+			append(c.ProcessesOf("controller"), c.ProcessesOf("router")...), c.ProcessesOf("worker")...,
+		) {
 			if p.Zone == z && p.Up {
 				lost = append(lost, p)
 				c.PowerOff(p)
@@ -247,14 +251,15 @@
 	{"a worker leaves", "zone", func(c *Cluster, r *rand.Rand, _ string) error {
 		id := pickOne(r, c.Site.WorkerIDs())
 		c.Platform.MarkLeaving(id)
-		c.Recorder.RecordMark("leave", string(id))
+		c.Recorder.RecordScriptEvent("leave", string(id))
 		time.Sleep(3 * time.Second)
 		return nil
 	}},
 }
 
-// catalogueChange is a partial configuration that adds or removes workers, zones or programs.
-func catalogueChange(r *rand.Rand, op string, i int) string {
+// fleetChange returns a partial configuration that changes the retry delay and, depending on i, adds or
+// removes a worker or a program. A change that adds a worker also sets the zones.
+func fleetChange(r *rand.Rand, op string, i int) string {
 	name := fmt.Sprintf("%s-%d", op, i)
 	part := map[string]any{"limits": map[string]any{"retryAfterMs": 900 + r.IntN(5000)}}
 	switch i % 4 {
@@ -282,7 +287,8 @@
 	return marshalPartial(part)
 }
 
-// ComposedScript combines two to four actions, chosen by the seed, into one script.
+// ComposedScript returns a script that runs two to four actions chosen by the seed. Each one starts after a random
+// delay of up to 4 s, but waits for the end of an action that it must not overlap with.
 func ComposedScript(seed uint64) Script {
 	r := rand.New(rand.NewPCG(seed, 2026))
 	var names []string
@@ -304,9 +310,9 @@
 				go func() {
 					time.Sleep(randomDuration(random, 0, 4000))
 					if own := actions[i].group; own != "" {
-						// A zone that is unavailable includes a controller.
-						for _, group := range []string{"disk", "zone", "links"} {
-							if group == own || own == "zone" && group == "disk" {
+						// An unavailable zone includes a controller, so zone actions don't overlap with controller actions.
+						for _, group := range []string{"controller", "zone", "links"} {
+							if group == own || own == "zone" && group == "controller" {
 								locks[group].Lock()
 								defer locks[group].Unlock()
 							}
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -1,7 +1,6 @@
-// Long histories: thousands of changes of a large document and of evacuations, while members of
-// the core restart, return with empty disks or are replaced by new ones. Every change is based on
-// the newest acknowledged version, so a refused change reveals a leader that lacks acknowledged
-// state.
+// A test of many changes of a large document and of evacuations, while controllers restart, restart with empty
+// disks or are replaced by new ones. Every change is based on the newest acknowledged version, so a leader that
+// lacks acknowledged state refuses it.
 
 package simulation
 
@@ -29,56 +28,56 @@
 )
 
 const (
-	linkRate      = 10_000_000 / 8 // bytes per second of each machine's link
-	diskBound     = 40_000_000     // limit on the bytes stored by a member, whose disk has 64 MB
-	catchUpBound  = 10 * time.Second
+	linkRate      = 10_000_000 / 8   // bytes per second of each machine's link
+	diskBound     = 40_000_000       // limit on the bytes stored by a controller, whose disk has 64 MB
+	catchUpBound  = 10 * time.Second // limit on the time until a restarted controller is the primary or backup
 	historyRoutes = 1400
 
-	changesPerGeneration = 5
+	changesPerGeneration = 5 // every fifth change affects all routes
 )
 
-// ratedNet limits the rate at which a machine sends, and counts the bytes sent.
-type ratedNet struct {
+// rateLimitedNet limits the rate at which a machine sends, and adds the bytes sent to a counter.
+type rateLimitedNet struct {
 	host.Net
 	mu   host.ChannelMutex
 	sent *int
 }
 
-func (n *ratedNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (n *rateLimitedNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	conn, err := n.Net.Dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	return &ratedConn{conn, n}, nil
+	return &rateLimitedConn{conn, n}, nil
 }
 
-func (n *ratedNet) Listen(addr string) (net.Listener, error) {
+func (n *rateLimitedNet) Listen(addr string) (net.Listener, error) {
 	l, err := n.Net.Listen(addr)
 	if err != nil {
 		return nil, err
 	}
-	return &ratedListener{l, n}, nil
+	return &rateLimitedListener{l, n}, nil
 }
 
-type ratedListener struct {
+type rateLimitedListener struct {
 	net.Listener
-	net *ratedNet
+	net *rateLimitedNet
 }
 
-func (l *ratedListener) Accept() (net.Conn, error) {
+func (l *rateLimitedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &ratedConn{conn, l.net}, nil
+	return &rateLimitedConn{conn, l.net}, nil
 }
 
-type ratedConn struct {
+type rateLimitedConn struct {
 	net.Conn
-	net *ratedNet
+	net *rateLimitedNet
 }
 
-func (c *ratedConn) Write(b []byte) (int, error) {
+func (c *rateLimitedConn) Write(b []byte) (int, error) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	*c.net.sent += len(b)
@@ -86,8 +85,9 @@
 	return c.Conn.Write(b)
 }
 
-// largeDocument has many routes of about 290 bytes. All routes differ between generations, so that
-// such a change is replicated as a complete text; other changes affect a single route.
+// largeDocument returns a configuration with many routes of about 290 bytes each. All routes differ between
+// generations, so a change of the generation is replicated as a complete text. Otherwise a change affects only the
+// route that it modifies and the one that the change before it modified.
 func largeDocument(generation, changed, change int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"routes":[`)
@@ -124,14 +124,14 @@
 	return []byte(b.String())
 }
 
-// noopWatcher ignores the state: the operator's agent needs the sequence numbers only.
+// noopWatcher ignores the state, as the operator's agent needs only the sequence numbers.
 type noopWatcher struct{}
 
 func (noopWatcher) Restore([]byte) error                 { return nil }
 func (noopWatcher) Observe(ids.Seq, string, []byte) bool { return false }
 func (noopWatcher) Snapshot() []byte                     { return nil }
 
-// history is a core of three members and an operator that changes its state.
+// history is a group of three controllers and an operator that changes its state.
 type history struct {
 	t         *testing.T
 	world     *simulated.World
@@ -142,10 +142,10 @@
 	operator  *coordination.Agent
 	newest    ids.Version
 	evacuated bool
-	sent      int // bytes sent by all members
-	disk      int // most bytes that any disk held
+	sent      int // bytes sent by all controllers
+	disk      int // largest number of bytes stored on any disk
 	changes   int
-	slowest   time.Duration
+	slowest   time.Duration // longest time until a change was acknowledged
 }
 
 func newHistory(t *testing.T) *history {
@@ -193,7 +193,7 @@
 func (h *history) start(addr string) {
 	p := h.world.Machine(addr[:len(addr)-2]).Start()
 	machine := p.Host()
-	machine.Net = &ratedNet{machine.Net, host.NewChannelMutex(), &h.sent}
+	machine.Net = &rateLimitedNet{machine.Net, host.NewChannelMutex(), &h.sent}
 	core, err := coordination.New(coordination.Options{
 		Addr:  addr,
 		Host:  machine,
@@ -221,7 +221,7 @@
 	time.Sleep(30 * time.Second)
 }
 
-// leader returns the address of the leader, or an empty string if there is none.
+// leader returns the address of a controller that reports that it is the leader, or an empty string.
 func (h *history) leader() string {
 	for addr, core := range h.cores {
 		if core.Leads() {
@@ -274,7 +274,7 @@
 	}
 }
 
-// waitCaughtUp makes changes until a member is the primary or backup, and returns the time that took.
+// waitCaughtUp makes changes until the controller at addr is the primary or backup, and returns the time that took.
 func (h *history) waitCaughtUp(addr string) time.Duration {
 	start := time.Now()
 	for {
@@ -287,48 +287,49 @@
 	}
 }
 
-// replace stops the backup and restarts it, with its disk or with an empty one, or starts a new
-// member in its place. Once that member has caught up, the leader stops, so that the member must
-// lead.
+// replace stops the backup and restarts it with its disk (kind "restarted") or an empty one ("wiped"), or starts a
+// new controller in its place ("new"). Once that controller has caught up, any other leader is stopped during one
+// change, so that this controller must take over. It returns the time until the controller had caught up and the
+// bytes sent by all controllers meanwhile.
 func (h *history) replace(kind string) (took time.Duration, sent int) {
-	out := h.cores[h.leader()].Directory().Record().Backup.Addr
-	h.stop(out)
+	stopped := h.cores[h.leader()].Directory().Record().Backup.Addr
+	h.stop(stopped)
 	h.change()
-	in := out
+	replacement := stopped
 	switch kind {
 	case "wiped":
-		h.world.Machine(out[:len(out)-2]).WipeDisk()
+		h.world.Machine(stopped[:len(stopped)-2]).WipeDisk()
 	case "new":
-		in = fmt.Sprintf("10.0.2.%d:1", h.changes%200+1)
+		replacement = fmt.Sprintf("10.0.2.%d:1", h.changes%200+1)
 		for i := range h.seeds {
-			if h.seeds[i] == out {
-				h.seeds[i] = in
+			if h.seeds[i] == stopped {
+				h.seeds[i] = replacement
 			}
 		}
 	}
 	before := h.sent
-	h.start(in)
-	// The member counts as lost until it has had time to take over its own register again, or
-	// that of a member that is gone.
+	h.start(replacement)
+	// The controller counts as lost until it has had time to take over its own register again, or that of a
+	// controller that is gone.
 	for range 4 {
 		h.change()
 		time.Sleep(time.Second)
 	}
-	// Stop the member that has become the backup meanwhile, so that this one must replace it.
+	// Stop the controller that has become the backup meanwhile, so that the replacement must take its place.
 	other := h.cores[h.leader()].Directory().Record().Backup.Addr
-	if other != in {
+	if other != replacement {
 		h.stop(other)
 	}
-	took, sent = h.waitCaughtUp(in), h.sent-before
-	if other != in {
+	took, sent = h.waitCaughtUp(replacement), h.sent-before
+	if other != replacement {
 		h.start(other)
 	}
 	h.change()
 	time.Sleep(2 * time.Second)
-	if first := h.leader(); first != in {
-		h.stop(first)
+	if leader := h.leader(); leader != replacement {
+		h.stop(leader)
 		h.change()
-		h.start(first)
+		h.start(leader)
 	}
 	for range 3 {
 		h.change()
@@ -336,9 +337,9 @@
 	return took, sent
 }
 
-// TestLongHistory: after any number of changes, a member that restarts, has lost its disk or is new
-// catches up in bounded time while changes continue, and then leads with all acknowledged state.
-// Its disk usage stays far below 64 MB. KEELSTAIR_CHANGES sets the number of changes.
+// TestLongHistory checks that, after many changes, a controller that restarts, has lost its disk or is new catches up
+// within 10 s while changes continue, and that changes succeed after the previous leader was stopped. The bytes
+// stored on each disk must stay below 40 MB of its 64 MB. KEELSTAIR_CHANGES sets the number of changes (default 60).
 func TestLongHistory(t *testing.T) {
 	skipUnderRace(t)
 	changes := 60
@@ -357,7 +358,7 @@
 			require.NoError(t, err)
 			t.Logf("snapshot on disk: %d bytes", len(snapshot))
 			t.Logf(
-				"after %d changes: %s, caught up in %s, %d bytes sent by all members meanwhile",
+				"after %d changes: %s, caught up in %s, %d bytes sent by all controllers meanwhile",
 				h.changes,
 				kind,
 				took,
--- a/internal/simulation/machine_scripts_test.go
+++ b/internal/simulation/machine_scripts_test.go
@@ -1,6 +1,6 @@
-// Each script injects one kind of failure into a fleet under load. A seed chooses the machines that
-// are affected. This file has the scripts of machines, disks and the core; those of links, clocks,
-// workers and operators are in other_scripts_test.go.
+// A script injects failures into a fleet under load, or changes the fleet as an operator does. Random numbers
+// derived from the trial's seed choose the affected machines and most of the delays. This file has the scripts with
+// failures of machines and disks; network_and_worker_scripts_test.go and operator_scripts_test.go have the others.
 
 package simulation
 
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Script injects failures into a fleet. Run is called while the load is sent, and returns when the
-// last failure has been injected or repaired.
+// Script injects failures into a fleet or changes it. Run is called while the load is sent, and returns after the
+// last failure or change; some failures last until the end of the trial.
 type Script struct {
 	Name         string
 	Run          func(c *Cluster, r *rand.Rand) error
-	Configure    func(c *Cluster)
-	Bound        time.Duration // longest permitted outage, 12 s if zero
-	NoFailures   bool          // every request must complete
-	LoadDuration time.Duration // minimum duration of the load while Run is called
+	Configure    func(c *Cluster) // called before the fleet starts, if set
+	Bound        time.Duration    // longest permitted outage, 12 s if zero
+	NoFailures   bool             // every request must complete
+	LoadDuration time.Duration    // minimum duration of the load while Run is called
 }
 
 func pickOne[T any](r *rand.Rand, list []T) T { return list[r.IntN(len(list))] }
@@ -28,7 +28,7 @@
 // follower returns a random running controller that isn't the leader.
 func follower(c *Cluster, r *rand.Rand) *Process {
 	var rest []*Process
-	for _, p := range c.Of("controller") {
+	for _, p := range c.ProcessesOf("controller") {
 		if p.Up && !p.Core.Leads() {
 			rest = append(rest, p)
 		}
@@ -36,15 +36,16 @@
 	return pickOne(r, rest)
 }
 
+// leader waits up to 5 s for a leader and returns it. If there is none, it returns the first controller.
 func leader(c *Cluster) *Process {
 	c.WaitUntil(5*time.Second, func() bool { return c.Leader() != nil })
 	if p := c.Leader(); p != nil {
 		return p
 	}
-	return c.Of("controller")[0]
+	return c.ProcessesOf("controller")[0]
 }
 
-// MachineScripts are the scripts of killed, lost and replaced machines.
+// MachineScripts are scripts in which processes or machines are killed, lost, replaced, frozen or slow.
 var MachineScripts = []Script{
 	{Name: "leader-killed", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
@@ -92,7 +93,7 @@
 		Name:  "rolling-replacement",
 		Bound: 12 * time.Second,
 		Run: func(c *Cluster, r *rand.Rand) error {
-			previous := append([]*Process(nil), c.Of("controller")...)
+			previous := append([]*Process(nil), c.ProcessesOf("controller")...)
 			r.Shuffle(len(previous), func(i, j int) { previous[i], previous[j] = previous[j], previous[i] })
 			for i, p := range previous {
 				if err := changeRetryAfter(c, fmt.Sprintf("roll-%d", i), 1600+i); err != nil {
@@ -109,16 +110,16 @@
 			return nil
 		},
 	},
-	{Name: "entire-core-restarts", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "all-controllers-restart", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		if err := changeRetryAfter(c, "before-total", 1800); err != nil {
 			return err
 		}
-		for _, p := range c.Of("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			c.PowerOff(p)
 		}
 		time.Sleep(time.Duration(300+r.IntN(1500)) * time.Millisecond)
-		for _, p := range c.Of("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			if err := c.Start(p); err != nil {
 				return err
 			}
@@ -140,7 +141,7 @@
 	{Name: "routers-killed", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 3 {
 			randomPause(r)
-			p := pickOne(r, c.Of("router"))
+			p := pickOne(r, c.ProcessesOf("router"))
 			c.Kill(p)
 			time.Sleep(1500 * time.Millisecond)
 			if err := c.Start(p); err != nil {
@@ -150,11 +151,11 @@
 		return nil
 	}},
 	{Name: "everything-but-workers-killed", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, p := range append(c.Of("controller"), c.Of("router")...) {
+		for _, p := range append(c.ProcessesOf("controller"), c.ProcessesOf("router")...) {
 			c.Kill(p)
 		}
 		time.Sleep(200 * time.Millisecond)
-		for _, p := range append(c.Of("controller"), c.Of("router")...) {
+		for _, p := range append(c.ProcessesOf("controller"), c.ProcessesOf("router")...) {
 			if err := c.Start(p); err != nil {
 				return err
 			}
@@ -163,17 +164,17 @@
 	}},
 	{Name: "leader-and-router-freeze", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		p, v := leader(c), pickOne(r, c.Of("router"))
+		p, router := leader(c), pickOne(r, c.ProcessesOf("router"))
 		p.Machine.Freeze(true)
-		v.Machine.Freeze(true)
+		router.Machine.Freeze(true)
 		time.Sleep(time.Duration(2000+r.IntN(5000)) * time.Millisecond)
 		p.Machine.Freeze(false)
-		v.Machine.Freeze(false)
+		router.Machine.Freeze(false)
 		return nil
 	}},
 	{Name: "disk-stalls", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		p := pickOne(r, c.Of("controller"))
+		p := pickOne(r, c.ProcessesOf("controller"))
 		p.Machine.StallDisk(true)
 		time.Sleep(6 * time.Second)
 		p.Machine.StallDisk(false)
@@ -181,7 +182,7 @@
 		return changeRetryAfter(c, "after-stall", 2000)
 	}},
 	{Name: "slow-disks", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, p := range c.Of("controller") {
+		for _, p := range c.ProcessesOf("controller") {
 			p.Machine.SetDiskDelay(time.Duration(20+r.IntN(120)) * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
@@ -190,8 +191,8 @@
 	{Name: "leader-router-and-worker-lost", Run: func(c *Cluster, r *rand.Rand) error {
 		time.Sleep(9 * time.Second)
 		c.PowerOff(leader(c))
-		c.Kill(pickOne(r, c.Of("router")))
-		c.Kill(pickOne(r, c.Of("worker")))
+		c.Kill(pickOne(r, c.ProcessesOf("router")))
+		c.Kill(pickOne(r, c.ProcessesOf("worker")))
 		return nil
 	}},
 }
--- a/internal/simulation/other_scripts_test.go
+++ b/internal/simulation/network_and_worker_scripts_test.go
@@ -1,4 +1,4 @@
-// Scripts that inject failures of links, clocks and workers, or act as operators.
+// Scripts that inject failures of links, clocks and workers, or change the fleet as operators do.
 
 package simulation
 
@@ -21,6 +21,7 @@
 	return out
 }
 
+// addressesExcept returns the addresses of the clients' machine, 10.9.0.1, and of all processes except p.
 func (c *Cluster) addressesExcept(p *Process) []string {
 	out := []string{"10.9.0.1"}
 	for _, o := range c.Processes {
@@ -31,13 +32,13 @@
 	return out
 }
 
-// OtherScripts are the scripts of links, clocks, workers and operators.
-var OtherScripts = []Script{
-	{Name: "core-split", Run: func(c *Cluster, r *rand.Rand) error {
+// NetworkAndWorkerScripts are scripts with failures of links, clocks or workers, or with operators' changes.
+var NetworkAndWorkerScripts = []Script{
+	{Name: "leader-partitioned-from-controllers", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		p := leader(c)
 		var rest []string
-		for _, o := range c.Of("controller") {
+		for _, o := range c.ProcessesOf("controller") {
 			if o != p {
 				rest = append(rest, o.Machine.IP)
 			}
@@ -48,7 +49,7 @@
 		time.Sleep(2 * time.Second)
 		return changeRetryAfter(c, "after-split", 2200)
 	}},
-	{Name: "leader-cut-one-way", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "leader-blocked-in-one-direction", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
 		p := leader(c)
 		rest := c.addressesExcept(p)
@@ -63,9 +64,9 @@
 	}},
 	{Name: "router-isolated-from-peers", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		p := pickOne(r, c.Of("router"))
-		// Workers and clients still reach the router, but controllers and other routers don't.
-		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
+		p := pickOne(r, c.ProcessesOf("router"))
+		// Workers and clients can still reach the router, but controllers and other routers can't.
+		peers := append(addresses(c.ProcessesOf("controller")...), addresses(c.ProcessesOf("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(7 * time.Second)
 		c.World.Partition(addresses(p), peers, false)
@@ -73,16 +74,16 @@
 	}},
 	{Name: "all-leases-expire", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		c.PartitionCore(true)
+		c.PartitionControllers(true)
 		time.Sleep(time.Duration(4000+r.IntN(3000)) * time.Millisecond)
-		c.PartitionCore(false)
+		c.PartitionControllers(false)
 		return nil
 	}},
 	{Name: "clocks-jump", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 6 {
 			randomPause(r)
 			pickOne(
-				r, append(c.Of("router"), c.Of("controller")...),
+				r, append(c.ProcessesOf("router"), c.ProcessesOf("controller")...),
 			).Machine.JumpClock(time.Duration(1+r.IntN(20)) * time.Second)
 		}
 		return nil
@@ -90,7 +91,7 @@
 	{Name: "workers-crash", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 3 {
 			randomPause(r)
-			p := pickOne(r, c.Of("worker"))
+			p := pickOne(r, c.ProcessesOf("worker"))
 			c.Kill(p)
 			time.Sleep(2500 * time.Millisecond)
 			if err := c.Start(p); err != nil {
@@ -102,7 +103,7 @@
 	{Name: "worker-unresponsive", Run: func(c *Cluster, r *rand.Rand) error {
 		for range 2 {
 			randomPause(r)
-			p := pickOne(r, c.Of("worker"))
+			p := pickOne(r, c.ProcessesOf("worker"))
 			if r.IntN(2) == 0 {
 				p.Machine.Freeze(true)
 				time.Sleep(4 * time.Second)
@@ -117,32 +118,32 @@
 	}},
 	{Name: "links-slow-then-worker-lost", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		for _, p := range c.Of("worker") {
+		for _, p := range c.ProcessesOf("worker") {
 			if r.IntN(2) == 0 {
 				p.Worker.SetFaults(standin.Faults{TransferRate: 100_000 + r.IntN(400_000)})
 			}
 		}
 		time.Sleep(time.Second)
-		p := pickOne(r, c.Of("worker"))
+		p := pickOne(r, c.ProcessesOf("worker"))
 		c.Kill(p)
 		time.Sleep(3 * time.Second)
-		for _, o := range c.Of("worker") {
+		for _, o := range c.ProcessesOf("worker") {
 			o.Worker.SetFaults(standin.Faults{})
 		}
 		return c.Start(p)
 	}},
 	{Name: "kv-cache-lost-or-corrupted", Run: func(c *Cluster, r *rand.Rand) error {
-		for _, p := range c.Of("worker")[:3] {
+		for _, p := range c.ProcessesOf("worker")[:3] {
 			p.Worker.SetFaults(standin.Faults{Drop: r.IntN(2) == 0, Corrupt: true})
 		}
 		time.Sleep(3 * time.Second)
-		for _, p := range c.Of("worker")[:3] {
+		for _, p := range c.ProcessesOf("worker")[:3] {
 			p.Worker.SetFaults(standin.Faults{})
 		}
 		return nil
 	}},
 	{Name: "worker-sends-garbage", Run: func(c *Cluster, r *rand.Rand) error {
-		p := pickOne(r, c.Of("worker"))
+		p := pickOne(r, c.ProcessesOf("worker"))
 		p.Worker.SetFaults(standin.Faults{Garbage: true})
 		time.Sleep(3 * time.Second)
 		p.Worker.SetFaults(standin.Faults{})
@@ -151,7 +152,7 @@
 	{
 		Name: "reports-delayed",
 		Run: func(c *Cluster, r *rand.Rand) error {
-			for _, p := range c.Of("worker") {
+			for _, p := range c.ProcessesOf("worker") {
 				p.Worker.SetFaults(standin.Faults{ReportLagMs: 450})
 			}
 			time.Sleep(5 * time.Second)
@@ -165,7 +166,7 @@
 			for _, id := range []string{"p1", "d1"} {
 				randomPause(r)
 				c.Platform.MarkLeaving(ids.WorkerID(id))
-				c.Recorder.RecordMark("leave", id)
+				c.Recorder.RecordScriptEvent("leave", id)
 			}
 			time.Sleep(5 * time.Second)
 			return nil
@@ -173,7 +174,7 @@
 		NoFailures: true,
 	},
 	{
-		Name: "zone-evacuated-and-back",
+		Name: "zone-evacuated-and-restored",
 		Run: func(c *Cluster, r *rand.Rand) error {
 			randomPause(r)
 			z := pickOne(r, c.Site.Zones)
@@ -191,14 +192,14 @@
 			for n := range 4 {
 				var wg sync.WaitGroup
 				var mu sync.Mutex
-				won := 0
-				state := latestShown(c)
+				acknowledged := 0
+				state := newestActivePolicy(c)
 				for k := range 2 {
 					wg.Go(func() {
 						part := fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, 3000+10*n+k)
 						text, _ := mergedText(state, part)
 						got := &api.ApplyResponse{}
-						p := c.Of("router")[k]
+						p := c.ProcessesOf("router")[k]
 						err := c.PostTo(p, "/v1/policy", &api.ApplyRequest{
 							Op:          fmt.Sprintf("race-%d-%d", n, k),
 							BaseVersion: state.Version,
@@ -211,22 +212,22 @@
 						}
 						c.Recorder.RecordAck(ids.Version(got.Version), text)
 						mu.Lock()
-						won++
+						acknowledged++
 						mu.Unlock()
 					})
 				}
 				wg.Wait()
-				if won != 1 {
-					return fmt.Errorf("round %d: %d of two concurrent changes were acknowledged", n, won)
+				if acknowledged != 1 {
+					return fmt.Errorf("round %d: %d of two concurrent changes were acknowledged", n, acknowledged)
 				}
-				c.WaitUntil(3*time.Second, func() bool { return c.Of("router")[0].Node.Show().Version > state.Version })
+				c.WaitUntil(3*time.Second, func() bool { return c.ProcessesOf("router")[0].Node.Show().Version > state.Version })
 			}
 			return nil
 		},
 		NoFailures: true,
 	},
 	{
-		Name: "configuration-storm",
+		Name: "many-configuration-changes",
 		Run: func(c *Cluster, r *rand.Rand) error {
 			for n := range 25 {
 				if err := changeRetryAfter(c, fmt.Sprintf("storm-%d", n), 4000+n); err != nil {
@@ -237,17 +238,17 @@
 		},
 		NoFailures: true,
 	},
-	{Name: "storm-with-a-node-cut-from-the-core", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "configuration-changes-with-a-router-partitioned-from-controllers", Run: func(c *Cluster, r *rand.Rand) error {
 		p := ownerOfBothRoles(c)
-		core := addresses(c.Of("controller")...)
-		c.World.Partition(addresses(p), core, true)
+		controllers := addresses(c.ProcessesOf("controller")...)
+		c.World.Partition(addresses(p), controllers, true)
 		sendInBackground(c, p)
 		for n := range 4 {
 			if err := changeRetryAfter(c, fmt.Sprintf("cut-%d", n), 5000+n); err != nil {
 				return err
 			}
 		}
-		c.World.Partition(addresses(p), core, false)
+		c.World.Partition(addresses(p), controllers, false)
 		return nil
 	}},
 }
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -1,5 +1,5 @@
-// Operators' changes to a fleet, recorded with the responses: the complete texts of configurations
-// that were acknowledged or refused, and evacuations from the time at which they were requested.
+// Helpers that change a fleet as an operator does and record the requests and responses, that partition the
+// controllers from the routers, and that check the recorded configurations.
 
 package simulation
 
@@ -15,9 +15,10 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// latestShown returns the newest configuration that is in force at any router. It waits up to 3 s
-// until that router knows of no newer version.
-func latestShown(c *Cluster) *api.ActivePolicy {
+// newestActivePolicy returns the newest configuration that is active on any running router. It waits up to 3 s
+// until that router knows of no newer version, and then returns the newest one found, even if there is none
+// and its version is 0.
+func newestActivePolicy(c *Cluster) *api.ActivePolicy {
 	state := &api.ActivePolicy{}
 	c.WaitUntil(3*time.Second, func() bool {
 		for _, p := range running(c, "router") {
@@ -30,7 +31,7 @@
 	return state
 }
 
-// mergedText returns the complete text that results from merging a partial one into the shown policy.
+// mergedText returns the complete text that results from merging a partial one into the active policy.
 func mergedText(state *api.ActivePolicy, part string) (string, error) {
 	src, err := fleetstate.CUEToJSON("part", []byte(part))
 	if err != nil {
@@ -46,10 +47,10 @@
 
 var errConflict = errors.New("another operator's change was applied first")
 
-// applyPartial applies a partial configuration and records the response. It retries under the same
-// operation ID while the outcome is unknown.
+// applyPartial applies a partial configuration and records whether it was acknowledged or refused because of a
+// conflict. It retries under the same operation ID for up to 12 s while the outcome is unknown.
 func applyPartial(c *Cluster, op, part string) error {
-	state := latestShown(c)
+	state := newestActivePolicy(c)
 	text, err := mergedText(state, part)
 	if err != nil {
 		return err
@@ -58,13 +59,13 @@
 	var got *api.ApplyResponse
 	c.WaitUntil(12*time.Second, func() bool {
 		got, err = c.Apply(&api.ApplyRequest{Op: op, BaseVersion: state.Version, Partial: true, Source: part})
-		var r *api.Fault
-		return err == nil || errors.As(err, &r) && r.Code < 500
+		var fault *api.Fault
+		return err == nil || errors.As(err, &fault) && fault.Code < 500
 	})
-	var r *api.Fault
+	var fault *api.Fault
 	switch {
 	case err == nil:
-	case errors.As(err, &r) && r.Code == http.StatusConflict:
+	case errors.As(err, &fault) && fault.Code == http.StatusConflict:
 		c.Recorder.RecordRefused(text)
 		return errConflict
 	default:
@@ -73,10 +74,12 @@
 	c.Recorder.RecordAck(ids.Version(got.Version), text)
 	took := c.Recorder.Now() - start
 	c.Recorder.RecordApplyTime(took)
-	// While the core is partitioned from all routers, none of them can receive the version.
-	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) && !c.Recorder.corePartitionedSince(start) {
-		c.Recorder.RecordMark(
-			"slow-apply", fmt.Sprintf("version %d took %s, in force: %v", got.Version, took, got.Active),
+	// An apply is slow if it took more than 2 s and ApplySlack, or, without ApplySlack, if the version isn't active
+	// in the response. While the controllers are partitioned from all routers, no router can receive the version.
+	if (took > 2*time.Second+c.ApplySlack || !got.Active && c.ApplySlack == 0) &&
+		!c.Recorder.controllersPartitionedSince(start) {
+		c.Recorder.RecordScriptEvent(
+			"slow-apply", fmt.Sprintf("version %d took %s, active: %v", got.Version, took, got.Active),
 		)
 	}
 	return nil
@@ -87,39 +90,40 @@
 	return applyPartial(c, op, fmt.Sprintf(`{"limits":{"retryAfterMs":%d}}`, ms))
 }
 
-// setEvacuated evacuates or restores a zone, and retries until that is acknowledged. The recorded
-// time is that of the first request.
+// setEvacuated evacuates or restores a zone, and retries for up to 12 s until a request is acknowledged. It
+// records the event for each worker of the zone before the first request.
 func setEvacuated(c *Cluster, z ids.Zone, op string, evacuated bool) error {
-	what := "return"
+	kind := "return"
 	if evacuated {
-		what = "evacuate"
+		kind = "evacuate"
 	}
-	for _, p := range c.Of("worker") {
+	for _, p := range c.ProcessesOf("worker") {
 		if p.Zone == z {
-			c.Recorder.RecordMark(what, p.Name)
+			c.Recorder.RecordScriptEvent(kind, p.Name)
 		}
 	}
 	var err error
 	c.WaitUntil(12*time.Second, func() bool {
-		err = c.Mark("/v1/zones/"+string(z), op, evacuated)
+		err = c.SetOutOfService("/v1/zones/"+string(z), op, evacuated)
 		return err == nil
 	})
 	return err
 }
 
-// PartitionCore partitions the core from all routers, or removes the partition.
-func (c *Cluster) PartitionCore(on bool) {
-	c.Recorder.RecordMark(map[bool]string{true: "partition", false: "heal"}[on], "core")
-	c.World.Partition(addresses(c.Of("controller")...), addresses(c.Of("router")...), on)
+// PartitionControllers partitions the controllers from all routers, or removes the partition if on is false.
+func (c *Cluster) PartitionControllers(on bool) {
+	c.Recorder.RecordScriptEvent(map[bool]string{true: "partition", false: "heal"}[on], "controllers")
+	c.World.Partition(addresses(c.ProcessesOf("controller")...), addresses(c.ProcessesOf("router")...), on)
 }
 
-// corePartitionedSince reports whether the core was partitioned from all routers at any time since then.
-func (r *Recorder) corePartitionedSince(since time.Duration) bool {
+// controllersPartitionedSince reports whether the controllers were partitioned from all routers at any time
+// after since.
+func (r *Recorder) controllersPartitionedSince(since time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	on := false
-	for _, m := range r.marks {
-		switch m.What {
+	for _, m := range r.scriptEvents {
+		switch m.Kind {
 		case "partition":
 			on = true
 		case "heal":
@@ -132,14 +136,14 @@
 	return on
 }
 
-// RecordRefused records a configuration that was refused to an operator.
+// RecordRefused records the complete text of a configuration that was rejected.
 func (r *Recorder) RecordRefused(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refused = append(r.refused, text)
 }
 
-// RecordActive records the configuration that is in force at a router.
+// RecordActive records the configuration that is active on a router.
 func (r *Recorder) RecordActive(node string, v ids.Version, text []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,50 +155,58 @@
 	}
 }
 
-// checkConfigurations compares the acknowledged and refused configurations with all that were in
-// force at any router. A version has a single text, which is the acknowledged one if there is one; a
-// refused text is never in force unless it was also acknowledged; and within 5 s every running router
-// has the newest acknowledged version.
+// checkConfigurations compares the acknowledged and refused configurations with all that were recorded as
+// active. A version has a single text, which is the acknowledged one if there is one. A refused text is never
+// active unless it was also acknowledged. Every running router must get the newest acknowledged version, or a
+// newer one, within 5 s. The applies that took too long are reported too.
 func (c *Cluster) checkConfigurations() []Violation {
-	f := &violationList{}
+	violations := &violationList{}
 	c.Recorder.mu.Lock()
-	acks, marks := c.Recorder.acks, c.Recorder.marks
-	accepted := map[string]bool{}
-	var last ids.Version
+	acks, scriptEvents := c.Recorder.acks, c.Recorder.scriptEvents
+	acknowledged := map[string]bool{}
+	var newest ids.Version
 	for _, a := range acks {
-		accepted[a.Text] = true
-		last = max(last, a.Version)
+		acknowledged[a.Text] = true
+		newest = max(newest, a.Version)
 		for text, node := range c.Recorder.active[a.Version] {
 			if text != a.Text {
-				f.add(ConfigurationLost, "version %d was acknowledged, but %s had a different text in force", a.Version, node)
+				violations.add(
+					ConfigurationLost, "version %d was acknowledged, but a different text was active on %s", a.Version, node,
+				)
 			}
 		}
 	}
 	for v, texts := range c.Recorder.active {
 		if len(texts) > 1 {
-			f.add(ConfigurationLost, "version %d had %d different texts", v, len(texts))
+			violations.add(ConfigurationLost, "version %d had %d different texts", v, len(texts))
 		}
 		for _, refused := range c.Recorder.refused {
-			if node, ok := texts[refused]; ok && !accepted[refused] {
-				f.add(ConfigurationLost, "%s had version %d in force, but its text was refused", node, v)
+			if node, ok := texts[refused]; ok && !acknowledged[refused] {
+				violations.add(ConfigurationLost, "%s had version %d active, but its text was refused", node, v)
 			}
 		}
 	}
 	c.Recorder.mu.Unlock()
-	for _, p := range c.Of("router") {
-		if p.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(p.Node.Show().Version) >= last }) {
-			f.add(ConfigurationLost, "%s has version %d, but version %d was acknowledged", p.Name, p.Node.Show().Version, last)
+	for _, p := range c.ProcessesOf("router") {
+		if p.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(p.Node.Show().Version) >= newest }) {
+			violations.add(
+				ConfigurationLost,
+				"%s has version %d, but version %d was acknowledged",
+				p.Name,
+				p.Node.Show().Version,
+				newest,
+			)
 		}
 	}
-	for _, m := range marks {
-		if m.What == "slow-apply" {
-			f.add(ConfigurationSlow, "%s", m.Name)
+	for _, m := range scriptEvents {
+		if m.Kind == "slow-apply" {
+			violations.add(ConfigurationStale, "%s", m.Subject)
 		}
 	}
-	return f.found
+	return violations.found
 }
 
-// marshalPartial encodes a partial configuration.
+// marshalPartial returns a partial configuration as JSON, and panics if it can't be encoded.
 func marshalPartial(v map[string]any) string {
 	text, err := json.Marshal(v)
 	if err != nil {
