--- a/internal/simulation/clearance_test.go
+++ b/internal/simulation/certificate_enforcement_test.go
@@ -27,7 +27,7 @@
 // certified, and no import whose source is not certified, whichever node requests it. Orders that end work
 // are always sent.
 func TestOwnerChecks(t *testing.T) {
-	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		for _, w := range []ids.WorkerID{"p4", "d4", "d1"} {
 			require.True(t, c.WaitUntil(5*time.Second, func() bool {
 				return slices.Contains(ownedKeys(ownerOf(c, w)), ids.Key("worker/"+w))
@@ -81,10 +81,10 @@
 	})
 }
 
-// TestRevokedDuringPrefill checks that a long prefill is abandoned as soon as its worker is revoked, not
+// TestCertificateRevokedDuringPrefill checks that a long prefill is abandoned as soon as its worker is revoked, not
 // when it has finished, and that its memory is freed.
-func TestRevokedDuringPrefill(t *testing.T) {
-	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+func TestCertificateRevokedDuringPrefill(t *testing.T) {
+	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		waitForRetryBudget(t, c)
 		request := withLongOutput(speechRequest)
 		request.Prompt, request.PromptIDs = "", make([]int32, 18000)
@@ -92,15 +92,15 @@
 			request.PromptIDs[i] = int32(i%4000) + 1
 		}
 		done := c.startStream(routerNamed(c, "router-1"), request)
-		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Granted)) == 1 }))
-		worker := m.workersAt(handoff.Granted)[0]
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersWithStep(handoff.Granted)) == 1 }))
+		worker := m.workersWithStep(handoff.Granted)[0]
 		time.Sleep(100 * time.Millisecond)
 		require.NoError(t, m.Revoke("c-"+worker))
 		acked := c.Recorder.Now()
-		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Dropped)) >= 1 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersWithStep(handoff.Dropped)) >= 1 }))
 		require.Less(t, c.Recorder.Now()-acked, 300*time.Millisecond)
-		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Granted)) >= 2 }))
-		require.NotEqual(t, worker, m.workersAt(handoff.Granted)[1])
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersWithStep(handoff.Granted)) >= 2 }))
+		require.NotEqual(t, worker, m.workersWithStep(handoff.Granted)[1])
 		got := <-done
 		require.Equal(t, api.EndComplete, got[len(got)-1].End)
 		require.Empty(t, m.Check(nil))
@@ -110,19 +110,19 @@
 // TestFirstTokenAfterRevocation checks that, once a node has applied a revocation, the next token already
 // comes from a certified worker, although tokens arrive more often than running steps are checked.
 func TestFirstTokenAfterRevocation(t *testing.T) {
-	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		require.NoError(t, m.WaitForOwners())
 		request, p := withLongOutput(speechRequest), routerNamed(c, "router-1")
 		done := c.startStream(p, request)
-		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Resumed)) == 1 }))
-		worker := m.workersAt(handoff.Resumed)[0]
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersWithStep(handoff.Resumed)) == 1 }))
+		worker := m.workersWithStep(handoff.Resumed)[0]
 		time.Sleep(30 * time.Millisecond)
 		go m.Revoke("c-" + worker)
 		for !sawRevocation(p, "c-"+worker) {
 			time.Sleep(time.Millisecond)
 		}
 		applied := time.Now()
-		require.True(t, c.WaitUntil(time.Second, func() bool { return len(m.workersAt(handoff.Dropped)) >= 1 }))
+		require.True(t, c.WaitUntil(time.Second, func() bool { return len(m.workersWithStep(handoff.Dropped)) >= 1 }))
 		require.Less(t, time.Since(applied), 45*time.Millisecond, "a decode step takes 10 ms")
 		requireReferenceOutput(t, c, request, <-done)
 	})
@@ -148,13 +148,13 @@
 	})
 }
 
-// TestProgramsSeeCleared checks that the workers passed to a routing program for a governed request are all
+// TestProgramsGetCertifiedWorkers checks that the workers passed to a routing program for a governed request are all
 // cleared for it. For other requests, the program is given all workers.
-func TestProgramsSeeCleared(t *testing.T) {
+func TestProgramsGetCertifiedWorkers(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		m := NewAuditModel()
-		c := Build(1, governedWork, func(c *Cluster) {
+		m := NewCertificationModel()
+		c := Build(1, governedSite, func(c *Cluster) {
 			m.configure(c)
 			c.Programs = map[string]fleetstate.Program{"spy": {Share: 100, Source: `
 def order(ask, workers):
@@ -166,7 +166,7 @@
 		})
 		defer c.Close()
 		require.NoError(t, c.Bootstrap())
-		m.certifyMost()
+		m.certifyAllButLast()
 		require.NoError(t, m.ApplyRegimes())
 		require.NoError(t, m.WaitForOwners())
 		request := speechRequest
@@ -182,14 +182,14 @@
 	})
 }
 
-// TestRevokedDuringTransfer checks that a prefill worker that is revoked while its KV cache is transferred
+// TestCertificateRevokedDuringTransfer checks that a prefill worker that is revoked while its KV cache is transferred
 // to a decode worker keeps none of it: the attempt ends, the staged KV cache is freed and another prefill
 // worker is chosen.
-func TestRevokedDuringTransfer(t *testing.T) {
-	withGovernedWork(t, func(m *AuditModel) {
-		m.certifyMost()
+func TestCertificateRevokedDuringTransfer(t *testing.T) {
+	withRegimeInForce(t, func(m *CertificationModel) {
+		m.certifyAllButLast()
 		m.cluster.limitTransferRate(40_000)
-	}, func(t *testing.T, c *Cluster, m *AuditModel) {
+	}, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		waitForRetryBudget(t, c)
 		request := withLongOutput(speechRequest)
 		request.Prompt, request.PromptIDs = "", make([]int32, 1000)
@@ -197,13 +197,13 @@
 			request.PromptIDs[i] = int32(i) + 1
 		}
 		done := c.startStream(routerNamed(c, "router-1"), request)
-		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Imported)) == 1 }))
-		source := m.workersAt(handoff.Granted)[0]
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersWithStep(handoff.Imported)) == 1 }))
+		source := m.workersWithStep(handoff.Granted)[0]
 		require.NoError(t, m.Revoke("c-"+source))
 		acked := c.Recorder.Now()
-		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Dropped)) >= 1 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersWithStep(handoff.Dropped)) >= 1 }))
 		require.Less(t, c.Recorder.Now()-acked, 300*time.Millisecond)
-		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Granted)) >= 2 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersWithStep(handoff.Granted)) >= 2 }))
 		got := <-done
 		require.Equal(t, api.EndComplete, got[len(got)-1].End)
 		require.Empty(t, m.Check(nil))
@@ -234,9 +234,9 @@
 	served := map[int]float64{}
 	for _, reservedPercent := range []int{0, 50} {
 		synctest.Test(t, func(t *testing.T) {
-			m := NewAuditModel()
+			m := NewCertificationModel()
 			m.reservedPercent = reservedPercent
-			c := Build(1, governedWork, func(c *Cluster) {
+			c := Build(1, governedSite, func(c *Cluster) {
 				m.configure(c)
 				c.TuneWorker = func(o *standin.WorkerOptions) {
 					o.Capacity, o.StepTime, o.StagingTTL = 220, 20*time.Millisecond, 2*time.Second
@@ -244,7 +244,7 @@
 			})
 			defer c.Close()
 			require.NoError(t, c.Bootstrap())
-			m.certifyMost()
+			m.certifyAllButLast()
 			require.NoError(t, m.ApplyRegimes())
 			load := func(class standin.StreamClass, rate float64, seed uint64) []standin.Outcome {
 				class.Percent = 100
@@ -261,8 +261,8 @@
 				})
 			}
 			otherOutcomes := make(chan []standin.Outcome, 1)
-			go func() { otherOutcomes <- load(governedWork.Classes[2], 500, 2) }()
-			governed := load(governedWork.Classes[0], 15, 3)
+			go func() { otherOutcomes <- load(governedSite.Classes[2], 500, 2) }()
+			governed := load(governedSite.Classes[0], 15, 3)
 			otherSummary := standin.Summarize(<-otherOutcomes)
 			require.Positive(t, otherSummary.Ends["bounced"], "the other requests overload the fleet")
 			require.Positive(t, otherSummary.Ends[api.EndComplete])
@@ -281,11 +281,11 @@
 func TestBadCertificates(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		m := NewAuditModel()
-		c := Build(1, governedWork, m.configure)
+		m := NewCertificationModel()
+		c := Build(1, governedSite, m.configure)
 		defer c.Close()
 		require.NoError(t, c.Bootstrap())
-		m.certifyMost()
+		m.certifyAllButLast()
 		for wantDetail, corrupt := range map[string]func(*certification.Certificate){
 			"regimes.json:1:": func(certificate *certification.Certificate) { certificate.Worker = "p4" },
 			"another subject": func(certificate *certification.Certificate) { certificate.Worker = "p4" },
--- a/internal/simulation/audit_model_test.go
+++ b/internal/simulation/certification_model_test.go
@@ -28,9 +28,9 @@
 // certificate was acknowledged or the certificate expired.
 const certificateGrace = 2 * time.Second
 
-// governedWork is a site with governed kinds of requests, with and without idempotency keys, and with more
+// governedSite is a site with governed kinds of requests, with and without idempotency keys, and with more
 // nodes and workers than the load needs.
-var governedWork = standin.Site{
+var governedSite = standin.Site{
 	Name:           "chamber",
 	Zones:          []ids.Zone{"a", "b", "c"},
 	Nodes:          5,
@@ -50,9 +50,9 @@
 // validPeriod is the time in which a worker's certificate is valid, on the recorder's clock.
 type validPeriod struct{ from, until time.Duration }
 
-// AuditModel signs the certificates of one regime, which governs verdicts and speeches, and checks that they
+// CertificationModel signs the certificates of one regime, which governs verdicts and speeches, and checks that they
 // are observed.
-type AuditModel struct {
+type CertificationModel struct {
 	cluster          *Cluster
 	key              ed25519.PrivateKey
 	issuer           certification.Issuer
@@ -66,14 +66,14 @@
 	reservedPercent  int                    // capacity that the regime reserves on its workers
 }
 
-// NewAuditModel creates a model. Its configure method must be passed to Build, since the model traces the
+// NewCertificationModel creates a model. Its configure method must be passed to Build, since the model traces the
 // hand-offs from the start.
-func NewAuditModel() *AuditModel {
+func NewCertificationModel() *CertificationModel {
 	key, _, err := certification.NewKey()
 	if err != nil {
 		panic(err)
 	}
-	return &AuditModel{
+	return &CertificationModel{
 		key:              key,
 		reservedPercent:  20,
 		certs:            map[string]certification.Certificate{},
@@ -83,7 +83,7 @@
 }
 
 // configure connects the model to a fleet.
-func (m *AuditModel) configure(c *Cluster) {
+func (m *CertificationModel) configure(c *Cluster) {
 	m.cluster, c.FixedRoles = c, true
 	// KV cache that is never fetched stays staged no longer than an orphaned run lasts.
 	c.TuneWorker = func(o *standin.WorkerOptions) { o.StagingTTL = 2 * time.Second }
@@ -104,7 +104,7 @@
 }
 
 // sign issues a certificate that has been valid for an hour and expires after the given lifetime.
-func (m *AuditModel) sign(serial string, certificate certification.Certificate, lifetime time.Duration) certification.Certificate {
+func (m *CertificationModel) sign(serial string, certificate certification.Certificate, lifetime time.Duration) certification.Certificate {
 	now := time.Now().UTC()
 	certificate.Serial, certificate.Regime, certificate.Issuer = serial, "chair", "k1"
 	certificate.From, certificate.Until = now.Add(-time.Hour).Format(time.RFC3339), now.Add(lifetime).Format(time.RFC3339)
@@ -120,7 +120,7 @@
 }
 
 // certify issues a certificate for one day to each worker and node. The serial is "c-" and the name.
-func (m *AuditModel) certify(workers, nodes []string) {
+func (m *CertificationModel) certify(workers, nodes []string) {
 	for _, w := range workers {
 		role := ids.Prefill
 		if w[0] == 'd' {
@@ -134,7 +134,7 @@
 }
 
 // partialConfig returns a partial configuration with the issuer, the regime and all certificates issued so far.
-func (m *AuditModel) partialConfig() string {
+func (m *CertificationModel) partialConfig() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return marshalPartial(map[string]any{
@@ -146,7 +146,7 @@
 
 // ApplyRegimes applies the partial configuration and waits until, on every running router, the regime is in
 // force and has no shortage.
-func (m *AuditModel) ApplyRegimes() error {
+func (m *CertificationModel) ApplyRegimes() error {
 	if err := applyPartial(m.cluster, "regimes", m.partialConfig()); err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 // the new owners have taken over the workers, governed requests are refused with a retry delay. The
 // condition must hold for a second, because up to then nodes may still list the last report of the previous
 // owner.
-func (m *AuditModel) WaitForOwners() error {
+func (m *CertificationModel) WaitForOwners() error {
 	m.mu.Lock()
 	var workers, nodes []string
 	for _, certificate := range m.certs {
@@ -212,7 +212,7 @@
 }
 
 // Revoke revokes a certificate as keelstairctl does. It retries until the revocation is acknowledged.
-func (m *AuditModel) Revoke(serial string) error {
+func (m *CertificationModel) Revoke(serial string) error {
 	op, start := coordination.NewID(), m.cluster.Recorder.Now()
 	var err error
 	m.cluster.WaitUntil(20*time.Second, func() bool {
@@ -233,8 +233,8 @@
 	return nil
 }
 
-// isCleared reports whether a worker may process governed requests at the given time.
-func (m *AuditModel) isCleared(w ids.WorkerID, at time.Duration) bool {
+// isCertified reports whether a worker may process governed requests at the given time.
+func (m *CertificationModel) isCertified(w ids.WorkerID, at time.Duration) bool {
 	for serial, period := range m.validPeriods {
 		if m.certs[serial].Worker == w && at >= period.from && at <= period.until+certificateGrace {
 			return true
@@ -245,7 +245,7 @@
 
 // Check compares the events that the workers recorded with the certificates. It returns a violation for each
 // order, run or staged KV cache of a governed request on a worker that was not certified at the time.
-func (m *AuditModel) Check(outcomes []standin.Outcome) []Violation {
+func (m *CertificationModel) Check(outcomes []standin.Outcome) []Violation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, o := range outcomes {
@@ -264,7 +264,7 @@
 		run := fmt.Sprint(e.Worker, e.ID)
 		switch e.Kind {
 		case "prefill", "import", "export", "resume", "resumed", "record":
-			if !m.isCleared(e.Worker, e.When) {
+			if !m.isCertified(e.Worker, e.When) {
 				violations.add(Uncertified, "uncertified %s handled %s of %s at %s", e.Worker, e.Kind, e.ID.Request, e.When)
 			}
 		}
@@ -272,7 +272,7 @@
 		case "prefill", "import":
 			started[run] = e
 		case "export", "cancel", "record", "lost", "bounced", "orphan-run", "orphan-import":
-			if previous, ok := started[run]; ok && !m.isCleared(e.Worker, e.When) {
+			if previous, ok := started[run]; ok && !m.isCertified(e.Worker, e.When) {
 				violations.add(
 					Uncertified,
 					"uncertified %s still ran %s, started at %s, at %s",
@@ -288,7 +288,7 @@
 		case "export":
 			staged[run] = e
 		case "unstaged":
-			if !m.isCleared(e.Worker, e.When) {
+			if !m.isCertified(e.Worker, e.When) {
 				violations.add(Uncertified, "uncertified %s kept the KV cache of %s staged until %s", e.Worker, e.ID.Request, e.When)
 			}
 			if previous, ok := staged[run]; ok {
@@ -300,14 +300,14 @@
 }
 
 // countGoverned returns the number of governed requests seen so far.
-func (m *AuditModel) countGoverned() int {
+func (m *CertificationModel) countGoverned() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.governedRequests)
 }
 
-// workersAt returns the workers of all events with the given step of governed requests, in order.
-func (m *AuditModel) workersAt(step handoff.Step) []string {
+// workersWithStep returns the workers of all events with the given step of governed requests, in order.
+func (m *CertificationModel) workersWithStep(step handoff.Step) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []string
@@ -327,8 +327,8 @@
 	return out
 }
 
-// certifyMost certifies three workers of each role and four of the five nodes.
-func (m *AuditModel) certifyMost() {
+// certifyAllButLast certifies three workers of each role and four of the five nodes.
+func (m *CertificationModel) certifyAllButLast() {
 	m.certify(append(numbered("p", 3), numbered("d", 3)...), numbered("router-", 4))
 }
 
--- a/internal/simulation/certified_nodes_test.go
+++ b/internal/simulation/certified_nodes_test.go
@@ -21,12 +21,12 @@
 	"keelstair.example/internal/standin"
 )
 
-// withGovernedWork runs a test on a fleet with a regime in force. prepare signs the certificates.
-func withGovernedWork(t *testing.T, prepare func(m *AuditModel), f func(t *testing.T, c *Cluster, m *AuditModel)) {
+// withRegimeInForce runs a test on a fleet with a regime in force. prepare signs the certificates.
+func withRegimeInForce(t *testing.T, prepare func(m *CertificationModel), f func(t *testing.T, c *Cluster, m *CertificationModel)) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		m := NewAuditModel()
-		c := Build(1, governedWork, m.configure)
+		m := NewCertificationModel()
+		c := Build(1, governedSite, m.configure)
 		defer c.Close()
 		require.NoError(t, c.Bootstrap())
 		prepare(m)
@@ -50,7 +50,7 @@
 // withLongOutput returns the request with a seed for which the output has at least 50 tokens.
 func withLongOutput(request api.StreamRequest) api.StreamRequest {
 	request.MaxTokens = 64
-	for len(standin.ReferenceOutput(request.PromptTokens(), request.MaxTokens, request.Seed, 0, governedWork.Model, standin.SiteWeights, nil)) < 50 {
+	for len(standin.ReferenceOutput(request.PromptTokens(), request.MaxTokens, request.Seed, 0, governedSite.Model, standin.SiteWeights, nil)) < 50 {
 		request.Seed++
 	}
 	return request
@@ -70,7 +70,7 @@
 // TestGovernedWorkOnCertifiedNodes checks that, under a mixed load, governed requests are processed by
 // certified nodes only, whichever frontend received them, and all complete. Other requests use all workers.
 func TestGovernedWorkOnCertifiedNodes(t *testing.T) {
-	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		outcomes := c.Load(30, 10*time.Second, 1)
 		require.Empty(t, m.Check(outcomes))
 		require.Empty(t, c.Recorder.Check(outcomes))
@@ -117,7 +117,7 @@
 // TestAuditRecords checks that each governed request that ran has an audit record with the certificate
 // serial of each step, also when the leader is killed, and that other requests have none.
 func TestAuditRecords(t *testing.T) {
-	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		go func() {
 			time.Sleep(4 * time.Second)
 			previousLeader := leader(c)
@@ -173,7 +173,7 @@
 // unchanged. When no certified node is left, it refuses them at once with a retry delay. It owns no key
 // of a certified worker.
 func TestForwardedToCertifiedNode(t *testing.T) {
-	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		require.NoError(t, m.WaitForOwners())
 		uncertified := routerNamed(c, "router-5")
 		got, err := c.stream(uncertified, speechRequest)
@@ -213,21 +213,21 @@
 	})
 }
 
-// TestRevokedMidStream checks that a stream whose decode worker is revoked continues on a certified
+// TestCertificateRevokedMidStream checks that a stream whose decode worker is revoked continues on a certified
 // worker and delivers each token once. Within two seconds of the acknowledgement, no governed request
 // is left on the revoked worker.
-func TestRevokedMidStream(t *testing.T) {
-	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+func TestCertificateRevokedMidStream(t *testing.T) {
+	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		require.NoError(t, m.WaitForOwners())
 		request := withLongOutput(speechRequest)
 		done := c.startStream(routerNamed(c, "router-1"), request)
-		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Resumed)) == 1 }))
-		worker := m.workersAt(handoff.Resumed)[0]
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersWithStep(handoff.Resumed)) == 1 }))
+		worker := m.workersWithStep(handoff.Resumed)[0]
 		time.Sleep(100 * time.Millisecond)
 		require.NoError(t, m.Revoke("c-"+worker))
 		require.Less(t, m.revocationTimes[0], time.Second, "all nodes are reachable")
 		requireReferenceOutput(t, c, request, <-done)
-		resumed := m.workersAt(handoff.Resumed)
+		resumed := m.workersWithStep(handoff.Resumed)
 		require.Len(t, resumed, 2, "the stream should have moved: %v, revoked in %v", m.handoffEvents, m.revocationTimes)
 		require.NotEqual(t, worker, resumed[1])
 		time.Sleep(3 * time.Second)
@@ -235,17 +235,17 @@
 	})
 }
 
-// TestRevokedVerdict checks that a request with an idempotency key is not run a second time when its
+// TestCertificateRevokedDuringRequestWithKey checks that a request with an idempotency key is not run a second time when its
 // worker is revoked. The run ends as unknown, and later requests with the key are refused because it may
 // have run.
-func TestRevokedVerdict(t *testing.T) {
-	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+func TestCertificateRevokedDuringRequestWithKey(t *testing.T) {
+	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		require.NoError(t, m.WaitForOwners())
 		request := withLongOutput(verdictRequest)
 		done := c.startStream(routerNamed(c, "router-1"), request)
-		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersAt(handoff.Resumed)) == 1 }))
+		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersWithStep(handoff.Resumed)) == 1 }))
 		time.Sleep(50 * time.Millisecond)
-		require.NoError(t, m.Revoke("c-"+m.workersAt(handoff.Resumed)[0]))
+		require.NoError(t, m.Revoke("c-"+m.workersWithStep(handoff.Resumed)[0]))
 		got := <-done
 		require.Equal(t, api.EndUnknown, got[len(got)-1].End)
 		// While a key changes owners, requests for it are refused as bounced, and clients retry.
@@ -263,11 +263,11 @@
 	})
 }
 
-// TestRevokedWhilePartitioned checks that a revocation is not acknowledged while a node that has not
+// TestCertificateRevokedWhilePartitioned checks that a revocation is not acknowledged while a node that has not
 // received it may still rely on its older state. By the time of the acknowledgement, that node has stopped
 // its own governed requests.
-func TestRevokedWhilePartitioned(t *testing.T) {
-	withGovernedWork(t, (*AuditModel).certifyMost, func(t *testing.T, c *Cluster, m *AuditModel) {
+func TestCertificateRevokedWhilePartitioned(t *testing.T) {
+	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		partitioned := routerNamed(c, "router-1")
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		request := withLongOutput(speechRequest)
@@ -300,11 +300,11 @@
 // TestCertificatesExpire checks that certificates expire by the fleet's time, without any message, also
 // while the clocks of routers and of the leader jump. Streams move to other workers in time.
 func TestCertificatesExpire(t *testing.T) {
-	withGovernedWork(t, func(m *AuditModel) {
-		m.certifyMost()
+	withRegimeInForce(t, func(m *CertificationModel) {
+		m.certifyAllButLast()
 		m.sign("c-d1", certification.Certificate{Worker: "d1", Roles: []ids.Role{ids.Decode}}, 20*time.Second)
 		m.sign("c-p2", certification.Certificate{Worker: "p2", Roles: []ids.Role{ids.Prefill}}, 20*time.Second)
-	}, func(t *testing.T, c *Cluster, m *AuditModel) {
+	}, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		go func() {
 			for _, p := range []*Process{routerNamed(c, "router-1"), routerNamed(c, "router-2"), leader(c)} {
 				time.Sleep(4 * time.Second)
--- a/internal/simulation/governed_scripts_test.go
+++ b/internal/simulation/governed_scripts_test.go
@@ -25,10 +25,10 @@
 // GovernedScript is a script for a fleet with governed requests.
 type GovernedScript struct {
 	Name string
-	Run  func(c *Cluster, m *AuditModel, r *rand.Rand) error
+	Run  func(c *Cluster, m *CertificationModel, r *rand.Rand) error
 }
 
-func certifiedWorker(c *Cluster, r *rand.Rand, prefix string) *Process {
+func randomCertifiedWorker(c *Cluster, r *rand.Rand, prefix string) *Process {
 	name := prefix + strconv.Itoa(1+r.IntN(3))
 	for _, p := range c.Of("worker") {
 		if p.Name == name {
@@ -40,9 +40,9 @@
 
 // GovernedScripts are failures, operator actions and clock changes under a load of governed requests.
 var GovernedScripts = []GovernedScript{
-	{"workers-crash", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"workers-crash", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
 		for _, role := range []string{"d", "p"} {
-			w := certifiedWorker(c, r, role)
+			w := randomCertifiedWorker(c, r, role)
 			c.Kill(w)
 			time.Sleep(time.Duration(500+r.IntN(1500)) * time.Millisecond)
 			if err := c.Start(w); err != nil {
@@ -52,9 +52,9 @@
 		}
 		return nil
 	}},
-	{"workers-drained", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"workers-drained", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
 		for i, role := range []string{"d", "p"} {
-			w := certifiedWorker(c, r, role)
+			w := randomCertifiedWorker(c, r, role)
 			if err := c.Mark("/v1/workers/"+w.Name, fmt.Sprint("out", i), true); err != nil {
 				return err
 			}
@@ -65,12 +65,12 @@
 		}
 		return nil
 	}},
-	{"worker-joins", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"workers-certified-under-load", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
 		// The fourth prefill and decode workers, which have no certificates yet, are certified under load.
 		m.certify([]string{"p4", "d4"}, []string{"router-5"})
 		return applyPartial(c, "join", marshalPartial(map[string]any{"certificates": m.certs}))
 	}},
-	{"zone-lost", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"zone-lost", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
 		zone := pickOne(r, c.Site.Zones)
 		var down []*Process
 		for _, p := range c.Processes {
@@ -86,26 +86,26 @@
 		}
 		return err
 	}},
-	{"revoked-mid-stream", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"certificates-revoked-under-load", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
 		for _, role := range []string{"d", "p"} {
-			if err := m.Revoke("c-" + certifiedWorker(c, r, role).Name); err != nil {
+			if err := m.Revoke("c-" + randomCertifiedWorker(c, r, role).Name); err != nil {
 				return err
 			}
 			randomPause(r)
 		}
 		return m.Revoke("c-router-" + strconv.Itoa(1+r.IntN(4)))
 	}},
-	{"revoked-while-partitioned", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"certificate-revoked-while-router-partitioned", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
 		p := routerNamed(c, "router-"+strconv.Itoa(1+r.IntN(4)))
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		c.World.Partition(addresses(p), peers, true)
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
-		err := m.Revoke("c-" + certifiedWorker(c, r, "d").Name)
+		err := m.Revoke("c-" + randomCertifiedWorker(c, r, "d").Name)
 		time.Sleep(time.Second)
 		c.World.Partition(addresses(p), peers, false)
 		return err
 	}},
-	{"expiry-while-partitioned", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"certificates-expire-while-router-partitioned", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
 		// Two workers get a second certificate that expires soon; then their first ones are revoked.
 		for _, w := range []string{"d1", "p1"} {
 			workerRole := ids.Decode
@@ -131,17 +131,17 @@
 		c.World.Partition(addresses(p), peers, false)
 		return nil
 	}},
-	{"leader-killed-during-revocation", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"leader-killed-during-revocation", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
 		l := leader(c)
 		done := make(chan error, 1)
-		go func() { done <- m.Revoke("c-" + certifiedWorker(c, r, "d").Name) }()
+		go func() { done <- m.Revoke("c-" + randomCertifiedWorker(c, r, "d").Name) }()
 		time.Sleep(time.Duration(r.IntN(120)) * time.Millisecond)
 		c.Kill(l)
 		err := <-done
 		time.Sleep(2 * time.Second)
 		return errors.Join(err, c.Start(l))
 	}},
-	{"operators-race", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"concurrent-revocations-and-certification", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
 		var wg sync.WaitGroup
 		errs := make([]error, 4)
 		for i, serial := range []string{"c-d1", "c-d1", "c-p1", "c-router-1"} {
@@ -155,7 +155,7 @@
 		wg.Wait()
 		return errors.Join(append(errs, err)...)
 	}},
-	{"clocks-jump", func(c *Cluster, m *AuditModel, r *rand.Rand) error {
+	{"clocks-jump", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
 		for range 3 {
 			pickOne(
 				r, append(c.Of("router"), c.Of("controller")...),
@@ -168,11 +168,11 @@
 
 // runGovernedScript runs one script under load and requires that no rule is violated.
 func runGovernedScript(t *testing.T, s GovernedScript, seed uint64) {
-	m := NewAuditModel()
-	c := Build(seed, governedWork, m.configure)
+	m := NewCertificationModel()
+	c := Build(seed, governedSite, m.configure)
 	defer c.Close()
 	require.NoError(t, c.Bootstrap())
-	m.certifyMost()
+	m.certifyAllButLast()
 	require.NoError(t, m.ApplyRegimes())
 	done := make(chan error, 1)
 	go func() {
@@ -204,8 +204,8 @@
 	}
 }
 
-// TestAuditModelCatches records violations of the certificates and requires that they are reported.
-func TestAuditModelCatches(t *testing.T) {
+// TestCertificationModelReportsViolations records violations of the certificates and requires that they are reported.
+func TestCertificationModelReportsViolations(t *testing.T) {
 	for name, test := range map[string]struct {
 		events    []RecordedEvent
 		violation bool
@@ -223,7 +223,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := NewAuditModel()
+			m := NewCertificationModel()
 			m.cluster = &Cluster{Recorder: NewRecorder()}
 			m.certs["s"] = certification.Certificate{Worker: "p1"}
 			m.validPeriods["s"] = validPeriod{2 * time.Second, 10 * time.Second}
--- a/internal/simulation/operator_scripts_test.go
+++ b/internal/simulation/operator_scripts_test.go
@@ -28,9 +28,9 @@
 	return c.Of("router")[0]
 }
 
-// ownerOfBothRoles returns a node that owns keys of workers of both roles and so could serve a request
+// ownerOfPrefillAndDecodeWorkers returns a node that owns keys of workers of both roles and so could serve a request
 // without its peers. If there is none, it returns the fourth router.
-func ownerOfBothRoles(c *Cluster) *Process {
+func ownerOfPrefillAndDecodeWorkers(c *Cluster) *Process {
 	for _, p := range c.Of("router") {
 		roles := map[byte]bool{}
 		for _, k := range p.Node.Status().(*router.NodeStatus).OwnedKeys {
@@ -174,7 +174,7 @@
 		c.World.Partition(addresses(p), peers, false)
 		return err
 	}},
-	{Name: "worker-leaves-its-owner-cut-from-the-platform", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "worker-leaves-while-owner-partitioned-from-platform", Run: func(c *Cluster, r *rand.Rand) error {
 		w := pickOne(r, c.Of("worker"))
 		p := ownerOf(c, ids.WorkerID(w.Name))
 		c.World.Partition(addresses(p), []string{"10.8.0.1"}, true)
@@ -193,7 +193,7 @@
 		c.World.Partition(addresses(p), []string{"10.8.0.1"}, false)
 		return nil
 	}},
-	{Name: "workers-leave-while-leader-and-owner-restart", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "worker-leaves-while-leader-and-owner-restart", Run: func(c *Cluster, r *rand.Rand) error {
 		w := pickOne(r, c.Of("worker"))
 		p, l := ownerOf(c, ids.WorkerID(w.Name)), leader(c)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
@@ -204,9 +204,9 @@
 		time.Sleep(5 * time.Second)
 		return errors.Join(c.Start(l), c.Start(p))
 	}},
-	{Name: "storm-with-a-node-cut-from-its-peers", Run: func(c *Cluster, r *rand.Rand) error {
+	{Name: "configuration-changes-while-router-partitioned-from-peers", Run: func(c *Cluster, r *rand.Rand) error {
 		// Clients and workers still reach the node, but it receives no configuration changes.
-		p := ownerOfBothRoles(c)
+		p := ownerOfPrefillAndDecodeWorkers(c)
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		for n := range 3 {
 			c.World.Partition(addresses(p), peers, true)
@@ -225,7 +225,7 @@
 	}},
 	{Name: "configuration-grows", Run: growConfiguration, NoFailures: true},
 	{
-		Name:         "nodes-restarted-one-by-one",
+		Name:         "routers-restarted-one-by-one",
 		LoadDuration: 38 * time.Second,
 		NoFailures:   true,
 		Run: func(c *Cluster, _ *rand.Rand) error {
--- a/internal/simulation/other_scripts_test.go
+++ b/internal/simulation/other_scripts_test.go
@@ -238,7 +238,7 @@
 		NoFailures: true,
 	},
 	{Name: "storm-with-a-node-cut-from-the-core", Run: func(c *Cluster, r *rand.Rand) error {
-		p := ownerOfBothRoles(c)
+		p := ownerOfPrefillAndDecodeWorkers(c)
 		core := addresses(c.Of("controller")...)
 		c.World.Partition(addresses(p), core, true)
 		sendInBackground(c, p)
--- a/internal/simulation/prefill_bound_test.go
+++ b/internal/simulation/prefill_bound_test.go
@@ -117,9 +117,9 @@
 // boundPolicy picks a worker for a request. It is given the state of all workers.
 type boundPolicy func(m *boundModel, request *boundRequest, workers []boundWorker, r *rand.Rand) int
 
-// pickHome sends all requests with the same prefix to one worker, chosen by rendezvous hashing, whatever its
+// pickByPrefix sends all requests with the same prefix to one worker, chosen by rendezvous hashing, whatever its
 // queue.
-func pickHome(m *boundModel, request *boundRequest, workers []boundWorker, _ *rand.Rand) int {
+func pickByPrefix(m *boundModel, request *boundRequest, workers []boundWorker, _ *rand.Rand) int {
 	best, highest := -1, uint64(0)
 	for i := range workers {
 		if h := ids.Mix(request.prefixes[len(request.prefixes)-1] ^ ids.Mix(uint64(i))); best < 0 || h > highest {
@@ -193,7 +193,7 @@
 		name string
 		pick boundPolicy
 	}{
-		{"random", pickRandom}, {"prefix home", pickHome},
+		{"random", pickRandom}, {"prefix home", pickByPrefix},
 		{"full knowledge, weight 1", pickCheapest(1)},
 		{"full knowledge, weight 2", pickCheapest(2)},
 		{"full knowledge, weight 4", pickCheapest(4)},
--- a/internal/simulation/regime_overhead_test.go
+++ b/internal/simulation/regime_overhead_test.go
@@ -31,15 +31,15 @@
 	for _, setup := range []string{"no regime", "all certified", "some certified"} {
 		t.Run(setup, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := NewAuditModel()
-				c := Build(4, governedWork, m.configure)
+				m := NewCertificationModel()
+				c := Build(4, governedSite, m.configure)
 				defer c.Close()
 				require.NoError(t, c.Bootstrap())
 				switch setup {
 				case "all certified":
 					m.certify(append(numbered("p", 4), numbered("d", 4)...), numbered("router-", 5))
 				case "some certified":
-					m.certifyMost()
+					m.certifyAllButLast()
 				}
 				if setup != "no regime" {
 					require.NoError(t, m.ApplyRegimes())
@@ -48,7 +48,7 @@
 				outcomes := c.Load(30, 30*time.Second, 4)
 				sum := standin.Summarize(outcomes)
 				require.Equal(t, len(outcomes), sum.Ends[api.EndComplete])
-				for _, class := range governedWork.Classes {
+				for _, class := range governedSite.Classes {
 					summary := sum.Kinds[class.Kind]
 					fmt.Printf(
 						"| time to first token, ms | %s | %s | %.1f / %.1f | %d |\n",
@@ -75,11 +75,11 @@
 				n = 20
 			}
 			synctest.Test(t, func(t *testing.T) {
-				m := NewAuditModel()
-				c := Build(5, governedWork, m.configure)
+				m := NewCertificationModel()
+				c := Build(5, governedSite, m.configure)
 				defer c.Close()
 				require.NoError(t, c.Bootstrap())
-				m.certifyMost()
+				m.certifyAllButLast()
 				for i := range n {
 					m.sign(fmt.Sprint("x", i), certification.Certificate{
 						Worker: "d3",
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -24,7 +24,7 @@
 const (
 	releaseFolder = "testdata/release-1"
 	releaseKeys   = 30 // requests with an idempotency key that the earlier release answered
-	releaseDepth  = 4  // answers that it retained; older keys are in sealed chunks
+	releaseRetained  = 4  // answers that it retained; older keys are in sealed chunks
 )
 
 // writeRelease is the environment variable that makes TestWriteRelease record the data directories.
@@ -66,8 +66,8 @@
 	return lines, refusal
 }
 
-func withReleaseDepth(c *Cluster) {
-	c.Retention = fleetstate.Retention{FullRecords: releaseDepth, ChunkEntries: 8}
+func withReleaseRetention(c *Cluster) {
+	c.Retention = fleetstate.Retention{FullRecords: releaseRetained, ChunkEntries: 8}
 }
 
 // TestWriteRelease records the data directories that the current code writes. It runs on request only,
@@ -76,7 +76,7 @@
 	if os.Getenv(writeRelease) == "" {
 		t.Skip("records " + releaseFolder + " where " + writeRelease + " is set")
 	}
-	withCluster(t, "vatuloa", withReleaseDepth, func(t *testing.T, c *Cluster) {
+	withCluster(t, "vatuloa", withReleaseRetention, func(t *testing.T, c *Cluster) {
 		var newest []api.StreamEvent
 		for i := range releaseKeys {
 			newest, _ = c.sendUntilAnswered(t, i, releaseRequest(i))
@@ -149,7 +149,7 @@
 	folders := t.TempDir()
 	require.NoError(t, os.CopyFS(folders, os.DirFS(releaseFolder)))
 	tune := func(c *Cluster) {
-		withReleaseDepth(c)
+		withReleaseRetention(c)
 		for i := range 3 {
 			disk, err := host.OpenDisk(filepath.Join(folders, fmt.Sprintf("controller-%d", i+1)))
 			require.NoError(t, err)
@@ -172,7 +172,7 @@
 			require.Equal(t, token, newest[i].Token)
 			require.True(t, newest[i].Replay)
 		}
-		for i := range releaseKeys - releaseDepth {
+		for i := range releaseKeys - releaseRetained {
 			_, refusal := c.sendUntilAnswered(t, i, releaseRequest(i))
 			require.NotNil(t, refusal, "key %d", i)
 			require.Equal(t, "answer-aged", refusal.Name, "key %d", i)
