--- a/internal/simulation/certificate_enforcement_test.go
+++ b/internal/simulation/certificate_enforcement_test.go
@@ -1,4 +1,5 @@
-// Tests of each mechanism that restricts governed requests to certified nodes and workers.
+// Tests of each mechanism that restricts governed requests, those of the kinds to which a regime applies, to
+// certified routers and workers.
 
 package simulation
 
@@ -23,9 +24,9 @@
 	"keelstair.example/rpc"
 )
 
-// TestOwnerChecks checks that the owner of a worker's key sends it no governed order if the worker is not
-// certified, and no import whose source is not certified, whichever node requests it. Orders that end work
-// are always sent.
+// TestOwnerChecks checks that the router that owns a worker sends it no order of a governed request if the worker
+// has no certificate for the role, and no import whose source is not certified. Orders that end a run are sent
+// to any worker.
 func TestOwnerChecks(t *testing.T) {
 	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		for _, w := range []ids.WorkerID{"p4", "d4", "d1"} {
@@ -33,7 +34,7 @@
 				return slices.Contains(ownedKeys(ownerOf(c, w)), ids.Key("worker/"+w))
 			}))
 		}
-		time.Sleep(2 * time.Second) // the memory ledgers accept reservations by then
+		time.Sleep(2 * time.Second) // by then, owners accept reservations of memory
 		sendOrder := func(order router.OrderRequest) error {
 			order.Request, order.Attempt, order.Regime = "x", 1, "chair"
 			order.Version = c.Of("router")[0].Node.View().Current().Version
@@ -68,7 +69,7 @@
 			Verb:   "import",
 			Role:   ids.Decode,
 			Source: "p4",
-		}), "worker p4", "the source is not certified")
+		}), "worker p4", "the source has no certificate")
 		require.ErrorContains(t, sendOrder(router.OrderRequest{
 			Worker: "d1",
 			Verb:   "reserve",
@@ -81,8 +82,8 @@
 	})
 }
 
-// TestCertificateRevokedDuringPrefill checks that a long prefill is abandoned as soon as its worker is revoked, not
-// when it has finished, and that its memory is freed.
+// TestCertificateRevokedDuringPrefill checks that a long prefill is canceled within 300 ms after the revocation of
+// its worker's certificate is acknowledged, not when it has finished, and that another worker is chosen.
 func TestCertificateRevokedDuringPrefill(t *testing.T) {
 	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		waitForRetryBudget(t, c)
@@ -107,8 +108,9 @@
 	})
 }
 
-// TestFirstTokenAfterRevocation checks that, once a node has applied a revocation, the next token already
-// comes from a certified worker, although tokens arrive more often than running steps are checked.
+// TestFirstTokenAfterRevocation checks that, once a router has applied a revocation, it leaves the worker at the
+// next token, although tokens arrive more often than the certificates of running steps are checked. The stream
+// delivers each token once.
 func TestFirstTokenAfterRevocation(t *testing.T) {
 	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		require.NoError(t, m.WaitForOwners())
@@ -123,7 +125,7 @@
 		}
 		applied := time.Now()
 		require.True(t, c.WaitUntil(time.Second, func() bool { return len(m.workersWithStep(handoff.Dropped)) >= 1 }))
-		require.Less(t, time.Since(applied), 45*time.Millisecond, "a decode step takes 10 ms")
+		require.Less(t, time.Since(applied), 45*time.Millisecond, "the router should leave the worker at the next token; a decode step takes 10 ms")
 		requireReferenceOutput(t, c, request, <-done)
 	})
 }
@@ -133,7 +135,7 @@
 	return ok
 }
 
-// TestNoRegimes checks that, without regimes, nodes keep no fleet time, write no audit records and require
+// TestNoRegimes checks that, without regimes, routers keep no fleet time, write no audit records and require
 // no certificates.
 func TestNoRegimes(t *testing.T) {
 	skipUnderRace(t)
@@ -148,8 +150,8 @@
 	})
 }
 
-// TestProgramsGetCertifiedWorkers checks that the workers passed to a routing program for a governed request are all
-// cleared for it. For other requests, the program is given all workers.
+// TestProgramsGetCertifiedWorkers checks that a routing program gets only certified workers for a governed
+// request. The program fails if it gets one of the others, p4 and d4.
 func TestProgramsGetCertifiedWorkers(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -182,9 +184,9 @@
 	})
 }
 
-// TestCertificateRevokedDuringTransfer checks that a prefill worker that is revoked while its KV cache is transferred
-// to a decode worker keeps none of it: the attempt ends, the staged KV cache is freed and another prefill
-// worker is chosen.
+// TestCertificateRevokedDuringTransfer revokes the certificate of a prefill worker while its KV cache is
+// transferred to a decode worker. It checks that the attempt ends, that the staged KV cache is freed within a
+// second and that a prefill worker is chosen again.
 func TestCertificateRevokedDuringTransfer(t *testing.T) {
 	withRegimeInForce(t, func(m *CertificationModel) {
 		m.certifyAllButLast()
@@ -215,7 +217,7 @@
 				return
 			}
 		}
-		require.Fail(t, "the staged KV cache was never freed")
+		require.Fail(t, "the staged KV cache was not freed")
 	})
 }
 
@@ -264,7 +266,7 @@
 			go func() { otherOutcomes <- load(governedSite.Classes[2], 500, 2) }()
 			governed := load(governedSite.Classes[0], 15, 3)
 			otherSummary := standin.Summarize(<-otherOutcomes)
-			require.Positive(t, otherSummary.Ends["bounced"], "the other requests overload the fleet")
+			require.Positive(t, otherSummary.Ends["bounced"], "the other requests should overload the fleet")
 			require.Positive(t, otherSummary.Ends[api.EndComplete])
 			require.Empty(t, m.Check(governed))
 			served[reservedPercent] = float64(standin.Summarize(governed).Ends[api.EndComplete]) / float64(len(governed))
@@ -318,8 +320,9 @@
 	})
 }
 
-// waitForRetryBudget waits until the shared retry budget has tokens. A new owner starts with an empty
-// budget, and a failed request that has not sent a token yet is then refused at once with a retry delay.
+// waitForRetryBudget waits until the fleet's shared retry budget has tokens, and then for two seconds. A new
+// owner of the budget starts with an empty one. While it is empty, a request that fails before its first output
+// token is refused at once with a retry delay.
 func waitForRetryBudget(t *testing.T, c *Cluster) {
 	caller := rpc.NewCaller(c.clientProcess.Host().Net)
 	defer caller.Close()
--- a/internal/simulation/certification_model_test.go
+++ b/internal/simulation/certification_model_test.go
@@ -1,5 +1,7 @@
-// The audit model acts as the issuer of a fleet's certificates. After a run, it checks the events that the
-// workers recorded: only certified workers may have processed governed requests.
+// The certification model issues and revokes a fleet's certificates. A regime is a rule that certain kinds of
+// requests, called governed, are processed only by routers and workers that have a valid certificate for it.
+// After a run, the model checks the events that the workers recorded: only certified workers may have
+// processed governed requests.
 
 package simulation
 
@@ -22,14 +24,14 @@
 )
 
 // Uncertified is the rule that governed requests are processed by certified workers only.
-const Uncertified = "governed work on an uncertified node"
+const Uncertified = "governed request on an uncertified worker"
 
-// certificateGrace is how long governed requests may still be on a worker after the revocation of its
+// certificateGrace is how long a worker may still process governed requests after the revocation of its
 // certificate was acknowledged or the certificate expired.
 const certificateGrace = 2 * time.Second
 
 // governedSite is a site with governed kinds of requests, with and without idempotency keys, and with more
-// nodes and workers than the load needs.
+// routers and workers than the load needs.
 var governedSite = standin.Site{
 	Name:           "chamber",
 	Zones:          []ids.Zone{"a", "b", "c"},
@@ -50,8 +52,8 @@
 // validPeriod is the time in which a worker's certificate is valid, on the recorder's clock.
 type validPeriod struct{ from, until time.Duration }
 
-// CertificationModel signs the certificates of one regime, which governs verdicts and speeches, and checks that they
-// are observed.
+// CertificationModel signs the certificates of one regime, which governs the request kinds verdict and speech,
+// and checks that workers process governed requests only while they are certified.
 type CertificationModel struct {
 	cluster          *Cluster
 	key              ed25519.PrivateKey
@@ -67,7 +69,7 @@
 }
 
 // NewCertificationModel creates a model. Its configure method must be passed to Build, since the model traces the
-// hand-offs from the start.
+// hand-offs from prefill to decode workers from the start.
 func NewCertificationModel() *CertificationModel {
 	key, _, err := certification.NewKey()
 	if err != nil {
@@ -119,8 +121,8 @@
 	return certificate
 }
 
-// certify issues a certificate for one day to each worker and node. The serial is "c-" and the name.
-func (m *CertificationModel) certify(workers, nodes []string) {
+// certify issues a certificate for one day to each worker and router. The serial is "c-" followed by the name.
+func (m *CertificationModel) certify(workers, routers []string) {
 	for _, w := range workers {
 		role := ids.Prefill
 		if w[0] == 'd' {
@@ -128,7 +130,7 @@
 		}
 		m.sign("c-"+w, certification.Certificate{Worker: ids.WorkerID(w), Roles: []ids.Role{role}}, 24*time.Hour)
 	}
-	for _, n := range nodes {
+	for _, n := range routers {
 		m.sign("c-"+n, certification.Certificate{Node: n}, 24*time.Hour)
 	}
 }
@@ -145,7 +147,7 @@
 }
 
 // ApplyRegimes applies the partial configuration and waits until, on every running router, the regime is in
-// force and has no shortage.
+// force and has enough certified workers and routers.
 func (m *CertificationModel) ApplyRegimes() error {
 	if err := applyPartial(m.cluster, "regimes", m.partialConfig()); err != nil {
 		return err
@@ -163,19 +165,19 @@
 	return nil
 }
 
-// WaitForOwners waits until certified nodes own the keys of all certified workers and every node lists these
-// workers as ready. When the regimes come into force, nodes without a certificate give up such keys. Until
-// the new owners have taken over the workers, governed requests are refused with a retry delay. The
-// condition must hold for a second, because up to then nodes may still list the last report of the previous
-// owner.
+// WaitForOwners waits until certified routers own the ownership keys of all certified workers and every router
+// lists these workers as ready. When the regimes come into force, routers without a certificate give up such
+// keys. Until the new owners have taken over the workers, governed requests are refused with a retry delay.
+// The condition must hold for a second, because up to then routers may still list the last report of the
+// previous owner.
 func (m *CertificationModel) WaitForOwners() error {
 	m.mu.Lock()
-	var workers, nodes []string
+	var workers, certifiedRouters []string
 	for _, certificate := range m.certs {
 		if certificate.Worker != "" {
 			workers = append(workers, string(certificate.Worker))
 		} else {
-			nodes = append(nodes, certificate.Node)
+			certifiedRouters = append(certifiedRouters, certificate.Node)
 		}
 	}
 	m.mu.Unlock()
@@ -191,7 +193,7 @@
 					return false
 				}
 			}
-			if slices.Contains(nodes, p.Name) {
+			if slices.Contains(certifiedRouters, p.Name) {
 				for _, k := range ownedKeys(p) {
 					owned[k] = true
 				}
@@ -206,7 +208,7 @@
 		}
 		return time.Since(since) >= time.Second
 	}) {
-		return fmt.Errorf("certified nodes did not take over the keys of all certified workers within 10 seconds")
+		return fmt.Errorf("certified routers did not take over the keys of all certified workers within 10 seconds")
 	}
 	return nil
 }
@@ -233,7 +235,8 @@
 	return nil
 }
 
-// isCertified reports whether a worker may process governed requests at the given time.
+// isCertified reports whether a worker may process governed requests at the given time, which includes the
+// grace period.
 func (m *CertificationModel) isCertified(w ids.WorkerID, at time.Duration) bool {
 	for serial, period := range m.validPeriods {
 		if m.certs[serial].Worker == w && at >= period.from && at <= period.until+certificateGrace {
@@ -244,7 +247,8 @@
 }
 
 // Check compares the events that the workers recorded with the certificates. It returns a violation for each
-// order, run or staged KV cache of a governed request on a worker that was not certified at the time.
+// step, run or staged KV cache of a governed request on a worker that was not certified at the time. It also
+// collects how long exported KV cache stayed staged.
 func (m *CertificationModel) Check(outcomes []standin.Outcome) []Violation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -306,7 +310,7 @@
 	return len(m.governedRequests)
 }
 
-// workersWithStep returns the workers of all events with the given step of governed requests, in order.
+// workersWithStep returns the workers of all hand-off events of governed requests with the given step, in order.
 func (m *CertificationModel) workersWithStep(step handoff.Step) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -319,6 +323,7 @@
 	return out
 }
 
+// numbered returns the names made of the prefix and the numbers 1 to n.
 func numbered(prefix string, n int) []string {
 	var out []string
 	for i := range n {
@@ -327,7 +332,8 @@
 	return out
 }
 
-// certifyAllButLast certifies three workers of each role and four of the five nodes.
+// certifyAllButLast certifies three of the four workers of each role and four of the five routers. The workers
+// p4 and d4 and the router router-5 remain without a certificate.
 func (m *CertificationModel) certifyAllButLast() {
 	m.certify(append(numbered("p", 3), numbered("d", 3)...), numbered("router-", 4))
 }
--- a/internal/simulation/certified_nodes_test.go
+++ b/internal/simulation/certified_nodes_test.go
@@ -1,5 +1,6 @@
-// Tests that requests under a regime are processed by certified nodes and workers only, also while
-// certificates are revoked or expire and while nodes are partitioned or fail.
+// Tests that governed requests, those of the kinds to which a regime applies, are processed by certified
+// routers and workers only, also while certificates are revoked or expire and while routers are partitioned
+// or the leader fails.
 
 package simulation
 
@@ -47,7 +48,8 @@
 	Seed:      9,
 }
 
-// withLongOutput returns the request with a seed for which the output has at least 50 tokens.
+// withLongOutput returns the request with a limit of 64 output tokens and a seed for which the output has at
+// least 50.
 func withLongOutput(request api.StreamRequest) api.StreamRequest {
 	request.MaxTokens = 64
 	for len(standin.ReferenceOutput(request.PromptTokens(), request.MaxTokens, request.Seed, 0, governedSite.Model, standin.SiteWeights, nil)) < 50 {
@@ -56,7 +58,7 @@
 	return request
 }
 
-// requireReferenceOutput compares a stream with the output of a run that stays on one worker.
+// requireReferenceOutput requires that a stream completed with the output of a run that stays on one worker.
 func requireReferenceOutput(t *testing.T, c *Cluster, request api.StreamRequest, got []api.StreamEvent) {
 	t.Helper()
 	reference := standin.ReferenceOutput(request.PromptTokens(), request.MaxTokens, request.Seed, 0, c.Site.Model, standin.SiteWeights, nil)
@@ -68,7 +70,8 @@
 }
 
 // TestGovernedWorkOnCertifiedNodes checks that, under a mixed load, governed requests are processed by
-// certified nodes only, whichever frontend received them, and all complete. Other requests use all workers.
+// certified workers only, that some requests are forwarded to another router, and that all complete. Other
+// requests use all workers.
 func TestGovernedWorkOnCertifiedNodes(t *testing.T) {
 	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		outcomes := c.Load(30, 10*time.Second, 1)
@@ -77,12 +80,12 @@
 		sum := standin.Summarize(outcomes)
 		require.Equal(t, len(outcomes), sum.Ends[api.EndComplete], "%+v", sum)
 		require.Greater(t, m.countGoverned(), 100)
-		require.Less(t, standin.Quantile(m.stagingTimes, 1), 200.0, "staged KV cache is freed once it has been imported")
+		require.Less(t, standin.Quantile(m.stagingTimes, 1), 200.0, "staged KV cache should be freed within 200 ms")
 		used := map[ids.WorkerID]bool{}
 		for _, e := range c.Recorder.events {
 			used[e.Worker] = true
 		}
-		require.Len(t, used, 8, "requests under no regime use all workers")
+		require.Len(t, used, 8, "requests that no regime governs should use all workers")
 		forwarded := int64(0)
 		for _, p := range c.Of("router") {
 			forwarded += p.Node.Forwarded()
@@ -114,8 +117,9 @@
 	return out
 }
 
-// TestAuditRecords checks that each governed request that ran has an audit record with the certificate
-// serial of each step, also when the leader is killed, and that other requests have none.
+// TestAuditRecords checks, while the leader is killed, that each completed verdict has a final audit record,
+// that there are as many records of completed speeches as completed speeches, and that other requests have
+// none. Each step in a final record has the serial of the certificate of its worker.
 func TestAuditRecords(t *testing.T) {
 	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		go func() {
@@ -128,7 +132,7 @@
 		outcomes := c.Load(20, 10*time.Second, 1)
 		require.Empty(t, m.Check(outcomes))
 		time.Sleep(3 * time.Second)
-		ends, started := map[string]fleetstate.AuditRecord{}, map[string]bool{}
+		finalRecords, started := map[string]fleetstate.AuditRecord{}, map[string]bool{}
 		for _, r := range readAuditRecords(t, c) {
 			require.Equal(t, "chair", r.Regime)
 			require.Contains(t, []string{"verdict", "speech"}, r.Kind)
@@ -137,41 +141,41 @@
 				started[r.Request] = true
 				continue
 			}
-			require.NotContains(t, ends, r.Request, "one final record per request")
-			ends[r.Request] = r
+			require.NotContains(t, finalRecords, r.Request, "a request should have one final record")
+			finalRecords[r.Request] = r
 			for _, step := range r.Steps {
 				require.Equal(t, "c-"+step.Worker, step.Serial)
 				require.Positive(t, step.At)
 			}
 		}
-		speeches := 0
+		completedSpeeches := 0
 		for _, o := range outcomes {
 			switch {
 			case o.Kind == "verdict" && o.End == api.EndComplete:
-				r := ends[router.RequestIDForKey("verdict/"+o.Key)]
+				r := finalRecords[router.RequestIDForKey("verdict/"+o.Key)]
 				require.Equal(t, fleetstate.OutcomeDone, r.Outcome, "%+v", o)
 				require.Equal(t, "verdict/"+o.Key, r.Key)
 				require.GreaterOrEqual(t, len(r.Steps), 4)
 			case o.Kind == "speech" && o.End == api.EndComplete:
-				speeches++
+				completedSpeeches++
 			}
 		}
-		done := 0
-		for id, r := range ends {
+		completedSpeechRecords := 0
+		for id, r := range finalRecords {
 			if r.Kind == "speech" {
 				require.True(t, started[id])
 				if r.Outcome == api.EndComplete {
-					done++
+					completedSpeechRecords++
 				}
 			}
 		}
-		require.Equal(t, speeches, done)
+		require.Equal(t, completedSpeeches, completedSpeechRecords)
 	})
 }
 
-// TestForwardedToCertifiedNode checks that a node without a certificate forwards governed requests
-// unchanged. When no certified node is left, it refuses them at once with a retry delay. It owns no key
-// of a certified worker.
+// TestForwardedToCertifiedNode checks that a router without a certificate forwards governed requests and
+// passes on the responses unchanged, and that it does not own the ownership key of any certified worker. When
+// no certified router is left, it refuses governed requests at once with a retry delay.
 func TestForwardedToCertifiedNode(t *testing.T) {
 	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		require.NoError(t, m.WaitForOwners())
@@ -187,7 +191,7 @@
 		require.True(t, again[0].Replay)
 		require.Equal(t, first[0].Token, again[0].Token)
 		_, err = c.stream(uncertified, api.StreamRequest{Kind: "verdict", Key: "q1", Prompt: "another body", MaxTokens: 2})
-		require.Equal(t, "key-reused", err.(*api.Fault).Name, "a refusal is passed on unchanged")
+		require.Equal(t, "key-reused", err.(*api.Fault).Name, "a refusal should be passed on unchanged")
 		require.True(t, c.WaitUntil(10*time.Second, func() bool {
 			for _, k := range ownedKeys(uncertified) {
 				for _, w := range append(numbered("p", 3), numbered("d", 3)...) {
@@ -209,53 +213,53 @@
 		require.Positive(t, f.RetryAfterMs)
 		require.Less(t, time.Since(start), 300*time.Millisecond)
 		_, err = c.stream(uncertified, api.StreamRequest{Kind: "clarification", Prompt: "may I speak", MaxTokens: 3})
-		require.NoError(t, err, "requests under no regime are still served")
+		require.NoError(t, err, "requests that no regime governs should still be served")
 	})
 }
 
-// TestCertificateRevokedMidStream checks that a stream whose decode worker is revoked continues on a certified
-// worker and delivers each token once. Within two seconds of the acknowledgement, no governed request
-// is left on the revoked worker.
+// TestCertificateRevokedMidStream checks that a stream continues on another certified worker when the
+// certificate of its decode worker is revoked, and delivers each token once. From two seconds after the
+// acknowledgement of the revocation, no governed request is left on the worker.
 func TestCertificateRevokedMidStream(t *testing.T) {
 	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		require.NoError(t, m.WaitForOwners())
 		request := withLongOutput(speechRequest)
-		done := c.startStream(routerNamed(c, "router-1"), request)
+		stream := c.startStream(routerNamed(c, "router-1"), request)
 		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersWithStep(handoff.Resumed)) == 1 }))
 		worker := m.workersWithStep(handoff.Resumed)[0]
 		time.Sleep(100 * time.Millisecond)
 		require.NoError(t, m.Revoke("c-"+worker))
-		require.Less(t, m.revocationTimes[0], time.Second, "all nodes are reachable")
-		requireReferenceOutput(t, c, request, <-done)
+		require.Less(t, m.revocationTimes[0], time.Second, "a revocation should take under a second while all routers are reachable")
+		requireReferenceOutput(t, c, request, <-stream)
 		resumed := m.workersWithStep(handoff.Resumed)
-		require.Len(t, resumed, 2, "the stream should have moved: %v, revoked in %v", m.handoffEvents, m.revocationTimes)
+		require.Len(t, resumed, 2, "the stream should have moved to another worker: %v, revocations took %v", m.handoffEvents, m.revocationTimes)
 		require.NotEqual(t, worker, resumed[1])
 		time.Sleep(3 * time.Second)
 		require.Empty(t, m.Check(nil))
 	})
 }
 
-// TestCertificateRevokedDuringRequestWithKey checks that a request with an idempotency key is not run a second time when its
-// worker is revoked. The run ends as unknown, and later requests with the key are refused because it may
-// have run.
+// TestCertificateRevokedDuringRequestWithKey checks that a request with an idempotency key is not run a second
+// time when the certificate of its decode worker is revoked. The stream ends with EndUnknown, and later
+// requests with the key are refused because it may have run.
 func TestCertificateRevokedDuringRequestWithKey(t *testing.T) {
 	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		require.NoError(t, m.WaitForOwners())
 		request := withLongOutput(verdictRequest)
-		done := c.startStream(routerNamed(c, "router-1"), request)
+		stream := c.startStream(routerNamed(c, "router-1"), request)
 		require.True(t, c.WaitUntil(3*time.Second, func() bool { return len(m.workersWithStep(handoff.Resumed)) == 1 }))
 		time.Sleep(50 * time.Millisecond)
 		require.NoError(t, m.Revoke("c-"+m.workersWithStep(handoff.Resumed)[0]))
-		got := <-done
+		got := <-stream
 		require.Equal(t, api.EndUnknown, got[len(got)-1].End)
-		// While a key changes owners, requests for it are refused as bounced, and clients retry.
-		name := ""
+		// While a key changes owners, requests with it are refused with the error "bounced", and clients retry.
+		faultName := ""
 		c.WaitUntil(5*time.Second, func() bool {
 			_, err := c.stream(routerNamed(c, "router-2"), request)
-			name = err.(*api.Fault).Name
-			return name != "bounced"
+			faultName = err.(*api.Fault).Name
+			return faultName != "bounced"
 		})
-		require.Equal(t, "may-have-run", name)
+		require.Equal(t, "may-have-run", faultName)
 		runs, _ := countRuns(c, "verdict/q1")
 		require.Equal(t, 1, runs)
 		time.Sleep(3 * time.Second)
@@ -263,9 +267,9 @@
 	})
 }
 
-// TestCertificateRevokedWhilePartitioned checks that a revocation is not acknowledged while a node that has not
-// received it may still rely on its older state. By the time of the acknowledgement, that node has stopped
-// its own governed requests.
+// TestCertificateRevokedWhilePartitioned checks that a revocation is not acknowledged while a router that has
+// not received it may still rely on its older state. By the time of the acknowledgement, that router considers
+// no worker certified. Once the partition has healed, it serves governed requests again.
 func TestCertificateRevokedWhilePartitioned(t *testing.T) {
 	withRegimeInForce(t, (*CertificationModel).certifyAllButLast, func(t *testing.T, c *Cluster, m *CertificationModel) {
 		partitioned := routerNamed(c, "router-1")
@@ -282,23 +286,25 @@
 		time.Sleep(50 * time.Millisecond)
 		require.NoError(t, m.Revoke("c-d1"))
 		require.NoError(t, m.Revoke("c-d2"))
-		require.Greater(t, m.revocationTimes[0], 2*time.Second, "the revocation waits until the lease of the partitioned node has expired")
+		require.Greater(t, m.revocationTimes[0], 2*time.Second, "the revocation should wait until the lease of the partitioned router has expired")
 		require.Less(t, m.revocationTimes[0], 5*time.Second)
 		_, err := partitioned.Node.Clearance("chair", certification.Subject{Worker: "d3"}, ids.Decode)
-		require.Error(t, err, "the state of the partitioned node is too old to clear any worker")
+		require.Error(t, err, "the state of the partitioned router should be too old to authorize any worker")
 		time.Sleep(4 * time.Second)
 		require.Empty(t, m.Check(nil))
 		c.World.Partition(addresses(partitioned), peers, false)
 		require.True(t, c.WaitUntil(8*time.Second, func() bool {
 			got, err := c.stream(partitioned, speechRequest)
 			return err == nil && got[len(got)-1].End == api.EndComplete
-		}), "the node should serve governed requests again")
+		}), "the router should serve governed requests again")
 		require.Empty(t, m.Check(nil))
 	})
 }
 
-// TestCertificatesExpire checks that certificates expire by the fleet's time, without any message, also
-// while the clocks of routers and of the leader jump. Streams move to other workers in time.
+// TestCertificatesExpire checks that certificates expire by the fleet time, which the leader keeps, and not by
+// the wall clocks of the machines: those of two routers and of the leader jump forward by 48 hours. No governed
+// request is left on a worker two seconds after its certificate expired, and d1 is used until at most five
+// seconds before.
 func TestCertificatesExpire(t *testing.T) {
 	withRegimeInForce(t, func(m *CertificationModel) {
 		m.certifyAllButLast()
@@ -316,12 +322,12 @@
 		require.Empty(t, c.Recorder.Check(outcomes))
 		sum := standin.Summarize(outcomes)
 		require.Equal(t, len(outcomes), sum.Ends[api.EndComplete]+sum.Ends[api.EndUnknown], "%+v", sum)
-		last := map[string]time.Duration{}
+		lastUsed := map[string]time.Duration{}
 		for _, e := range c.Recorder.events {
 			if m.governedRequests[e.ID.Request] != "" && e.Kind == "resumed" || e.Kind == "import" {
-				last[string(e.Worker)] = e.When
+				lastUsed[string(e.Worker)] = e.When
 			}
 		}
-		require.Greater(t, last["d1"], m.validPeriods["c-d1"].until-5*time.Second, "d1 should be used until shortly before its certificate expires: %v", last)
+		require.Greater(t, lastUsed["d1"], m.validPeriods["c-d1"].until-5*time.Second, "d1 should be used until at most 5 s before its certificate expires: %v", lastUsed)
 	})
 }
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	releaseFolder = "testdata/release-1"
-	releaseKeys   = 30 // requests with an idempotency key that the earlier release answered
-	releaseRetained  = 4  // answers that it retained; older keys are in sealed chunks
+	releaseFolder   = "testdata/release-1"
+	releaseKeys     = 30 // requests with an idempotency key that the earlier release answered
+	releaseRetained = 4  // answers that it retained; older keys are in sealed chunks
 )
 
 // writeRelease is the environment variable that makes TestWriteRelease record the data directories.
