--- a/internal/simulation/aged_keys_test.go
+++ b/internal/simulation/aged_keys_test.go
@@ -1,4 +1,4 @@
-// Tests of idempotency keys whose answers are no longer retained, on a complete fleet.
+// Tests of idempotency keys whose answers are no longer retained, on a fleet with all types of processes.
 
 package simulation
 
@@ -13,9 +13,9 @@
 	"keelstair.example/internal/fleetstate"
 )
 
-// TestAgedKeys checks that a key is still recognized long after its answer was dropped, and that it does not
-// run again: at the primary, after a takeover, after the machine that wrote it was replaced by an empty one,
-// and after all controllers lost power.
+// TestAgedKeys checks that an idempotency key is still recognized after its answer was dropped, and that its
+// request does not run again: with an unchanged primary, after the primary was replaced by a controller with an
+// empty disk, after another controller became primary, and after all controllers lost power.
 func TestAgedKeys(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", func(c *Cluster) {
@@ -26,9 +26,9 @@
 	}, func(t *testing.T, c *Cluster) {
 		node := func(i int) *Process { return c.Of("router")[i%len(c.Of("router"))] }
 		request := func(i int) api.StreamRequest {
-			a := verdictRequest
-			a.Key = fmt.Sprint("old-", i)
-			return a
+			request := verdictRequest
+			request.Key = fmt.Sprint("old-", i)
+			return request
 		}
 		nextKey := 0
 		serveKeys := func(n int) {
--- a/internal/simulation/compare_test.go
+++ b/internal/simulation/compare_test.go
@@ -1,4 +1,4 @@
-// Compares the routing programs in simulated time.
+// Compares routing programs, which order the workers for a request, in simulated time.
 
 package simulation
 
@@ -27,8 +27,8 @@
 	return []string{routing.BuiltInName, "free", "prefix", "short"}
 }
 
-// TestCompare measures each routing program alone, on the same arrivals, at both sites. make compare runs it,
-// make test does not.
+// TestCompare measures each routing program alone, on the same arrivals, at both sites with three seeds.
+// make compare runs it, make test does not.
 func TestCompare(t *testing.T) {
 	if os.Getenv("KEELSTAIR_COMPARE") == "" {
 		t.Skip("run by make compare")
@@ -59,8 +59,8 @@
 						sum := standin.Summarize(c.LoadShapes(classes, rate, 12*time.Second, seed))
 						cached, total := 0, 0
 						for _, p := range c.Of("worker") {
-							w, n := p.Worker.PrefixHits()
-							cached, total = cached+w, total+n
+							hits, tokens := p.Worker.PrefixHits()
+							cached, total = cached+hits, total+tokens
 						}
 						first, second := sum.Kinds[site.Classes[0].Kind], sum.Kinds[site.Classes[1].Kind]
 						fmt.Printf(
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -15,7 +15,7 @@
 	"keelstair.example/internal/standin"
 )
 
-// shiftResult has the measurements of one shift of demand.
+// shiftResult has the measurements of one run of runDemandShift.
 type shiftResult struct {
 	longPrompts, longOutputs standin.Summary
 	roleChanges              int64
@@ -77,15 +77,15 @@
 		outcomes := append(longPrompts, longOutputs...)
 		require.Empty(t, c.Recorder.Check(outcomes))
 		for _, o := range outcomes {
-			require.Contains(t, []string{"complete", "bounced", standin.TimedOut}, o.End, "no stream should break: %s", o.Detail)
+			require.Contains(t, []string{"complete", "bounced", standin.TimedOut}, o.End, "a stream should complete, be refused or time out: %s", o.Detail)
 		}
 	})
 	return out
 }
 
-// TestRoleChanges checks that, on a mix that fixed roles cannot serve, changing roles lets more requests
-// complete. Roles must not flap, each role must keep a worker, and no stream may break. If KEELSTAIR_COMPARE
-// is set, it runs several seeds.
+// TestRoleChanges checks that, on a load that exceeds the capacity of fixed roles, changing roles lets more requests
+// complete. Roles may change at most twice in two seconds on average, each role must have a worker at the end, and
+// each stream must complete, be refused or time out. If KEELSTAIR_COMPARE is set, it runs two longer seeds.
 func TestRoleChanges(t *testing.T) {
 	skipUnderRace(t)
 	seeds, duration := 1, 24*time.Second
@@ -104,7 +104,7 @@
 		t.Logf("changing: %s", changed[i])
 		require.Zero(t, fixed[i].roleChanges)
 		require.Positive(t, changed[i].roleChanges)
-		require.LessOrEqual(t, changed[i].roleChanges, int64(2*duration/(2*time.Second)), "roles must not flap")
+		require.LessOrEqual(t, changed[i].roleChanges, int64(2*duration/(2*time.Second)), "roles should not change too often")
 		require.Positive(t, changed[i].roles[ids.Prefill])
 		require.Positive(t, changed[i].roles[ids.Decode])
 		fixedCompleted, changedCompleted := fixed[i].longPrompts.Ends["complete"]+
--- a/internal/simulation/governed_scripts_test.go
+++ b/internal/simulation/governed_scripts_test.go
@@ -1,5 +1,6 @@
-// Scripts of failures and operator actions on a fleet with a regime in force, chosen by seeds. The results
-// are checked against the events that the workers recorded.
+// Scripts of failures and operator actions on a fleet with a regime in force, under which some kinds of
+// requests, called governed, need certified routers and workers. The seed determines the targets, the delays
+// and the load. The results are checked against the events that the workers recorded.
 
 package simulation
 
@@ -22,12 +23,14 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// GovernedScript is a script for a fleet with governed requests.
+// GovernedScript is a script of failures and operator actions for a fleet with governed requests.
 type GovernedScript struct {
 	Name string
 	Run  func(c *Cluster, m *CertificationModel, r *rand.Rand) error
 }
 
+// randomCertifiedWorker returns one of the first three workers whose names have the prefix: p for prefill, d for
+// decode. runGovernedScript certifies these workers.
 func randomCertifiedWorker(c *Cluster, r *rand.Rand, prefix string) *Process {
 	name := prefix + strconv.Itoa(1+r.IntN(3))
 	for _, p := range c.Of("worker") {
@@ -38,11 +41,11 @@
 	return nil
 }
 
-// GovernedScripts are failures, operator actions and clock changes under a load of governed requests.
+// GovernedScripts are failures, operator actions and clock changes under a load that includes governed requests.
 var GovernedScripts = []GovernedScript{
 	{"workers-crash", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
-		for _, role := range []string{"d", "p"} {
-			w := randomCertifiedWorker(c, r, role)
+		for _, prefix := range []string{"d", "p"} {
+			w := randomCertifiedWorker(c, r, prefix)
 			c.Kill(w)
 			time.Sleep(time.Duration(500+r.IntN(1500)) * time.Millisecond)
 			if err := c.Start(w); err != nil {
@@ -53,8 +56,8 @@
 		return nil
 	}},
 	{"workers-drained", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
-		for i, role := range []string{"d", "p"} {
-			w := randomCertifiedWorker(c, r, role)
+		for i, prefix := range []string{"d", "p"} {
+			w := randomCertifiedWorker(c, r, prefix)
 			if err := c.Mark("/v1/workers/"+w.Name, fmt.Sprint("out", i), true); err != nil {
 				return err
 			}
@@ -87,8 +90,8 @@
 		return err
 	}},
 	{"certificates-revoked-under-load", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
-		for _, role := range []string{"d", "p"} {
-			if err := m.Revoke("c-" + randomCertifiedWorker(c, r, role).Name); err != nil {
+		for _, prefix := range []string{"d", "p"} {
+			if err := m.Revoke("c-" + randomCertifiedWorker(c, r, prefix).Name); err != nil {
 				return err
 			}
 			randomPause(r)
@@ -106,15 +109,15 @@
 		return err
 	}},
 	{"certificates-expire-while-router-partitioned", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
-		// Two workers get a second certificate that expires soon; then their first ones are revoked.
+		// Two workers get a second certificate that expires in 5 s, and then their first ones are revoked.
 		for _, w := range []string{"d1", "p1"} {
-			workerRole := ids.Decode
+			role := ids.Decode
 			if w[0] == 'p' {
-				workerRole = ids.Prefill
+				role = ids.Prefill
 			}
 			m.sign("short-"+w, certification.Certificate{
 				Worker: ids.WorkerID(w),
-				Roles:  []ids.Role{workerRole},
+				Roles:  []ids.Role{role},
 			}, 5*time.Second)
 		}
 		if err := applyPartial(c, "short", marshalPartial(map[string]any{"certificates": m.certs})); err != nil {
@@ -166,7 +169,9 @@
 	}},
 }
 
-// runGovernedScript runs one script under load and requires that no rule is violated.
+// runGovernedScript runs one script under load. It requires that neither the CertificationModel nor the Recorder
+// reports a violation, that all requests sent after the script complete, and that the hash chain of the audit
+// log is intact.
 func runGovernedScript(t *testing.T, s GovernedScript, seed uint64) {
 	m := NewCertificationModel()
 	c := Build(seed, governedSite, m.configure)
@@ -188,7 +193,7 @@
 	sum := standin.Summarize(after)
 	require.Equal(t, len(after), sum.Ends[api.EndComplete], "after the script: %+v", sum)
 	readAuditRecords(t, c)
-	t.Logf("%s seed %d: %v %v, revocations %v", s.Name, seed, standin.Summarize(during).Ends, standin.Summarize(during).Details, m.revocationTimes)
+	t.Logf("%s seed %d: ends %v, details %v, revocation times %v", s.Name, seed, standin.Summarize(during).Ends, standin.Summarize(during).Details, m.revocationTimes)
 }
 
 // TestGovernedScripts runs every governed script with every seed.
@@ -204,19 +209,20 @@
 	}
 }
 
-// TestCertificationModelReportsViolations records violations of the certificates and requires that they are reported.
+// TestCertificationModelReportsViolations checks that work of a governed request on a worker without a valid
+// certificate is reported, and that other work is not.
 func TestCertificationModelReportsViolations(t *testing.T) {
 	for name, test := range map[string]struct {
 		events    []RecordedEvent
 		violation bool
 	}{
-		"on a certified worker":           {[]RecordedEvent{eventAt("prefill", "p1", 5), eventAt("export", "p1", 6)}, false},
-		"never certified":                 {[]RecordedEvent{eventAt("import", "d9", 5)}, true},
-		"before the certificate":          {[]RecordedEvent{eventAt("prefill", "p1", 1)}, true},
-		"within the two seconds of grace": {[]RecordedEvent{eventAt("import", "p1", 11)}, false},
-		"after the grace":                 {[]RecordedEvent{eventAt("import", "p1", 13)}, true},
-		"still running after the grace":   {[]RecordedEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 13)}, true},
-		"ends within the grace":           {[]RecordedEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 11)}, false},
+		"on a certified worker":                  {[]RecordedEvent{eventAt("prefill", "p1", 5), eventAt("export", "p1", 6)}, false},
+		"never certified":                        {[]RecordedEvent{eventAt("import", "d9", 5)}, true},
+		"before the certificate is valid":        {[]RecordedEvent{eventAt("prefill", "p1", 1)}, true},
+		"within the grace period of two seconds": {[]RecordedEvent{eventAt("import", "p1", 11)}, false},
+		"after the grace period":                 {[]RecordedEvent{eventAt("import", "p1", 13)}, true},
+		"still running after the grace period":   {[]RecordedEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 13)}, true},
+		"ends within the grace period":           {[]RecordedEvent{eventAt("import", "p1", 9), eventAt("cancel", "p1", 11)}, false},
 		"not governed": {
 			[]RecordedEvent{{standin.Event{Kind: "import", Worker: "d9", ID: workerclient.ID{Request: "free"}}, time.Second}},
 			false,
@@ -239,9 +245,9 @@
 	}
 }
 
-func eventAt(what, worker string, seconds int) RecordedEvent {
+func eventAt(kind, worker string, seconds int) RecordedEvent {
 	return RecordedEvent{
-		standin.Event{Kind: what, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r", Attempt: 1}},
+		standin.Event{Kind: kind, Worker: ids.WorkerID(worker), ID: workerclient.ID{Request: "r", Attempt: 1}},
 		time.Duration(seconds) * time.Second,
 	}
 }
--- a/internal/simulation/kv_transfer_test.go
+++ b/internal/simulation/kv_transfer_test.go
@@ -19,9 +19,10 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// TestKVTransfer measures the time from the grant of a hand-off to each of its later steps, at which a first
-// token could be sent. The KV cache has the size named in the design (256 MiB for 2048 tokens), and the
-// links have 1 and 10 Gbit/s. It runs only if KEELSTAIR_COMPARE is set.
+// TestKVTransfer measures the times from the grant of a hand-off to the end of the prefill, to the import of the KV
+// cache and to the start of decoding, for requests with and without an idempotency key. The first token could be
+// sent at each of these steps. The KV cache has 256 MiB for 2048 tokens, and the workers send it at 1 or
+// 10 Gbit/s. The test runs only if KEELSTAIR_COMPARE is set.
 func TestKVTransfer(t *testing.T) {
 	if os.Getenv("KEELSTAIR_COMPARE") == "" {
 		t.Skip("a measurement, run with KEELSTAIR_COMPARE set")
@@ -34,15 +35,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
 				granted := map[workerclient.ID]ids.Tick{}
-				durations := map[string]map[handoff.Step][]time.Duration{"claimed": {}, "other": {}}
+				durations := map[string]map[handoff.Step][]time.Duration{"with key": {}, "without key": {}}
 				c := Build(3, standin.Sites["vatuloa"], func(c *Cluster) {
 					c.TuneWorker = func(o *standin.WorkerOptions) { o.WireBytesPerToken, o.TransferRate = 128<<10, link.speed }
 					c.OnHandoffEvent = func(e handoff.Event) {
 						mu.Lock()
 						defer mu.Unlock()
-						kind := "other"
+						kind := "without key"
 						if strings.HasPrefix(e.ID.Request, "k-") {
-							kind = "claimed"
+							kind = "with key"
 						}
 						if e.Step == handoff.Granted {
 							granted[e.ID] = e.At
--- a/internal/simulation/large_snapshot_test.go
+++ b/internal/simulation/large_snapshot_test.go
@@ -1,4 +1,4 @@
-// Tests the election of a leader with a large state on slow links.
+// Tests that a leader is elected while the replicated state is large and the links are slow.
 
 package simulation
 
--- a/internal/simulation/no_failures_test.go
+++ b/internal/simulation/no_failures_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestStartupWithinTenSeconds checks that requests sent from ten seconds after the start of the machines all
-// complete at the first attempt, although the disks are slow, one controller and one router start late, and
-// operators apply the configuration as soon as a frontend accepts it.
+// complete at the first attempt, although the disks of the controllers are slow, one controller and one router
+// start four seconds late, and the configuration is applied as soon as a router accepts it.
 func TestStartupWithinTenSeconds(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/simulation/operation_class_test.go
+++ b/internal/simulation/operation_class_test.go
@@ -1,4 +1,5 @@
-// Tests that operations are remembered separately for each class.
+// Tests that the results of operations are retained separately for each class of operation, so that many
+// evacuations do not displace the results of applies.
 
 package simulation
 
@@ -11,8 +12,8 @@
 	"keelstair.example/internal/api"
 )
 
-// TestApplyAmongEvacuations checks that an apply that is sent again after more evacuations than are remembered
-// is acknowledged with the version that it created, and not refused.
+// TestApplyAmongEvacuations checks that an apply that is sent again, after more changes of evacuations than there
+// are retained results, is acknowledged with the version that it created, and not refused.
 func TestApplyAmongEvacuations(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
@@ -20,8 +21,8 @@
 		first, err := c.Apply(request)
 		require.NoError(t, err)
 		zone := string(c.Of("router")[0].Zone)
-		const remembered = 2048
-		for i := range remembered + 2 {
+		const retained = 2048
+		for i := range retained + 2 {
 			require.NoError(t, c.Mark("/v1/zones/"+zone, fmt.Sprint("mark", i), i%2 == 0))
 		}
 		second, err := c.Apply(request)
--- a/internal/simulation/operator_scripts_test.go
+++ b/internal/simulation/operator_scripts_test.go
@@ -1,5 +1,5 @@
-// Scripts of operators and of the platform, most of them combined with failures: zones are evacuated, workers
-// leave, machines are restarted one by one.
+// Scripts of operator and platform actions: zones are evacuated, workers leave, the configuration changes, and
+// processes are restarted one by one. Most scripts combine the actions with failures.
 
 package simulation
 
@@ -18,7 +18,7 @@
 	"keelstair.example/internal/router"
 )
 
-// ownerOf returns the node that owns the key of a worker, or the first router if none does.
+// ownerOf returns the running router that owns the ownership key of a worker, or the first router if none does.
 func ownerOf(c *Cluster, id ids.WorkerID) *Process {
 	for _, p := range c.Of("router") {
 		if p.Up && slices.Contains(p.Node.Status().(*router.NodeStatus).OwnedKeys, fleetstate.WorkerKey(id)) {
@@ -28,24 +28,24 @@
 	return c.Of("router")[0]
 }
 
-// ownerOfPrefillAndDecodeWorkers returns a node that owns keys of workers of both roles and so could serve a request
+// ownerOfPrefillAndDecodeWorkers returns a router that owns workers of both roles and so could serve a request
 // without its peers. If there is none, it returns the fourth router.
 func ownerOfPrefillAndDecodeWorkers(c *Cluster) *Process {
 	for _, p := range c.Of("router") {
-		roles := map[byte]bool{}
+		namePrefixes := map[byte]bool{}
 		for _, k := range p.Node.Status().(*router.NodeStatus).OwnedKeys {
 			if id, ok := strings.CutPrefix(string(k), "worker/"); ok {
-				roles[id[0]] = true
+				namePrefixes[id[0]] = true
 			}
 		}
-		if roles['p'] && roles['d'] {
+		if namePrefixes['p'] && namePrefixes['d'] {
 			return p
 		}
 	}
 	return c.Of("router")[3]
 }
 
-// sendInBackground sends 60 requests to one node's frontend, one every 50 ms for three seconds.
+// sendInBackground sends 60 requests to one router, one every 50 ms for three seconds.
 func sendInBackground(c *Cluster, p *Process) {
 	for i := range 60 {
 		go func() {
@@ -59,7 +59,7 @@
 	}
 }
 
-// evacuateFor evacuates a zone, waits for the duration and returns the zone to service.
+// evacuateFor evacuates a zone, waits for the duration and ends the evacuation.
 func evacuateFor(c *Cluster, zone ids.Zone, op string, duration time.Duration) error {
 	if err := setEvacuated(c, zone, op+"-out", true); err != nil {
 		return err
@@ -68,8 +68,8 @@
 	return setEvacuated(c, zone, op+"-back", false)
 }
 
-// restartGracefully restarts a node as the platform does: it asks it to shut down, kills it after 3.5 s,
-// starts it again and waits until it is ready.
+// restartGracefully restarts a router as the platform does: it requests a shutdown, kills the process after
+// 3.5 s, starts it again and waits up to 8 s until it is ready.
 func restartGracefully(c *Cluster, p *Process) error {
 	p.Shutdown()
 	time.Sleep(3500 * time.Millisecond)
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// growConfiguration makes the configuration large by partial changes through several frontends. Between
-// them, it sends invalid changes and changes based on an outdated version, which must be refused.
+// growConfiguration makes the configuration large by eight partial changes. Between them, it sends random
+// routers invalid changes and changes based on an outdated version, which must not be accepted.
 func growConfiguration(c *Cluster, r *rand.Rand) error {
 	for round := range 8 {
 		kinds, workers := map[string]any{}, map[string]any{}
@@ -133,7 +133,8 @@
 	return nil
 }
 
-// OperatorScripts are the scripts of operators and of the platform.
+// OperatorScripts evacuate zones, remove workers, change the configuration and restart all processes of a type
+// one by one.
 var OperatorScripts = []Script{
 	{Name: "evacuation-while-leader-restarts", Run: func(c *Cluster, r *rand.Rand) error {
 		p := leader(c)
@@ -149,11 +150,11 @@
 	}},
 	{Name: "evacuations-by-two-operators", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		list := r.Perm(len(c.Site.Zones))
+		zoneOrder := r.Perm(len(c.Site.Zones))
 		var wg sync.WaitGroup
 		errs := make([]error, 3)
 		// Two operators evacuate one zone each, and one of them also evacuates the zone of the other.
-		for i, z := range []int{list[0], list[1], list[1]} {
+		for i, z := range []int{zoneOrder[0], zoneOrder[1], zoneOrder[1]} {
 			wg.Go(func() { errs[i] = evacuateFor(c, c.Site.Zones[z], fmt.Sprint("two-", i), 7*time.Second) })
 		}
 		wg.Wait()
@@ -161,7 +162,7 @@
 	}},
 	{Name: "evacuation-with-owner-partitioned", Run: func(c *Cluster, r *rand.Rand) error {
 		randomPause(r)
-		// The partitioned node is also the first one to which operator requests are sent.
+		// The partitioned router is also the first one to which operator requests are sent.
 		w, p := pickOne(r, c.Of("worker")), c.Of("router")[0]
 		for _, o := range c.Of("worker") {
 			if ownerOf(c, ids.WorkerID(o.Name)) == p {
@@ -181,7 +182,7 @@
 		time.Sleep(time.Second)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
 		c.Recorder.RecordMark("leave", w.Name)
-		// The platform sends no clients to this frontend now, but clients that know its address still use it.
+		// The platform directs no clients to this router now, but clients that know its address still use it.
 		for i := range 40 {
 			c.stream(p, api.StreamRequest{
 				Kind:      c.Site.Classes[1].Kind,
@@ -205,7 +206,7 @@
 		return errors.Join(c.Start(l), c.Start(p))
 	}},
 	{Name: "configuration-changes-while-router-partitioned-from-peers", Run: func(c *Cluster, r *rand.Rand) error {
-		// Clients and workers still reach the node, but it receives no configuration changes.
+		// Clients and workers still reach the router, but it receives no configuration changes.
 		p := ownerOfPrefillAndDecodeWorkers(c)
 		peers := append(addresses(c.Of("controller")...), addresses(c.Of("router")...)...)
 		for n := range 3 {
--- a/internal/simulation/outages_test.go
+++ b/internal/simulation/outages_test.go
@@ -1,6 +1,6 @@
-// Measures outages: the longest times without a completed request, for each kind and for the frontends of each
-// surviving zone, because an outage of one kind can be hidden in the total of all requests; and the longest
-// time without a primary.
+// Measures outages: the longest time without a completed request, for each kind of request and for the routers of
+// each surviving zone, and the longest time without a primary. Kinds are measured separately because an outage of
+// one kind is not visible in the total of all requests.
 
 package simulation
 
@@ -16,13 +16,13 @@
 	"keelstair.example/internal/standin"
 )
 
-// outages returns the longest outage within the given periods for each kind of request and each zone of
-// frontends. Zones that were evacuated or have no running router left are excluded.
+// outages returns the longest outage within the given periods for each kind of request and for the routers of
+// each zone. Zones that were evacuated or have no running router left are excluded.
 func (c *Cluster) outages(outcomes []standin.Outcome, periods [][2]time.Duration) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	measure := func(name string, include func(standin.Outcome) bool) {
-		for _, s := range periods {
-			out[name] = max(out[name], standin.LongestOutage(outcomes, s[0], s[1], include))
+		for _, period := range periods {
+			out[name] = max(out[name], standin.LongestOutage(outcomes, period[0], period[1], include))
 		}
 	}
 	for _, class := range c.Site.Classes {
@@ -51,10 +51,10 @@
 	return out
 }
 
-// monitor measures the longest time in which no controller reports that it is the primary, and records the
-// configurations that the nodes have in force, until the context ends.
+// monitor measures, every 20 ms until the context ends, the longest time in which no controller reports that it
+// is the primary, and records the configurations that the routers have in force.
 func (c *Cluster) monitor(ctx context.Context, longest *time.Duration) {
-	lastLed := time.Now()
+	lastPrimaryTime := time.Now()
 	for host.Sleep(ctx, 20*time.Millisecond) {
 		now := time.Now()
 		hasPrimary := false
@@ -65,9 +65,9 @@
 			return true
 		})
 		if hasPrimary {
-			lastLed = now
+			lastPrimaryTime = now
 		}
-		*longest = max(*longest, now.Sub(lastLed))
+		*longest = max(*longest, now.Sub(lastPrimaryTime))
 		c.nodes.Range(func(k, name any) bool {
 			if s := k.(*router.Node).View().Current(); s.Version > 0 {
 				c.Recorder.RecordActive(name.(string), s.Version, s.Text)
@@ -77,6 +77,7 @@
 	}
 }
 
+// outageViolations returns a violation for each outage that is longer than the bound.
 func outageViolations(outages map[string]time.Duration, bound time.Duration) []Violation {
 	violations := &violationList{}
 	for name, d := range outages {
@@ -87,6 +88,7 @@
 	return violations.found
 }
 
+// longestOutage describes the longest of the outages.
 func longestOutage(outages map[string]time.Duration) string {
 	var longest string
 	for name, d := range outages {
--- a/internal/simulation/power_and_disk_lost_test.go
+++ b/internal/simulation/power_and_disk_lost_test.go
@@ -1,4 +1,4 @@
-// Tests the loss of as many disks as the controllers tolerate while every machine loses power.
+// Tests the loss of one controller's disk, which the replication tolerates, while every machine loses power.
 
 package simulation
 
@@ -12,10 +12,10 @@
 	"keelstair.example/internal/api"
 )
 
-// TestPowerAndDiskLost cuts the power of all controllers, routers and workers, also of those that count for no
-// quorum, right after a configuration, an evacuation and the answer to a request with an idempotency key
-// were acknowledged. One controller, each in turn, also loses its disk. The test checks that everything
-// acknowledged is read back at any router, and that the request does not run a second time.
+// TestPowerAndDiskLost cuts the power of all controllers, routers and workers right after a configuration, an
+// evacuation and the answer to a request with an idempotency key were acknowledged. In each subtest, another
+// controller also loses its disk. The test checks that the configuration and the evacuation are in force after
+// the restart, and that the request is answered again from the record and not run a second time.
 func TestPowerAndDiskLost(t *testing.T) {
 	skipUnderRace(t)
 	for lost := range 3 {
--- a/internal/simulation/prefill_bound_test.go
+++ b/internal/simulation/prefill_bound_test.go
@@ -1,6 +1,6 @@
-// A model of prefill workers that estimates which share of prompts can meet its latency target at all. Each
-// worker prefills one prompt at a time, without preemption. A router that always knows every queue and every
-// cached prefix is compared, on the same arrivals, with routers that know less. make compare prints the figures.
+// A model of prefill workers that estimates an upper bound of the share of requests that meet their latency target.
+// Each worker prefills one prompt at a time, without preemption. A router that knows every queue and every cached
+// prefix is compared, on the same arrivals, with routers that know less. make compare prints the results.
 
 package simulation
 
@@ -17,8 +17,8 @@
 	"keelstair.example/ids"
 )
 
-// boundSize is a log-normal distribution of sizes in tokens, limited to 1 to Max. Spread is the standard deviation
-// of the logarithm.
+// boundSize is a log-normal distribution of sizes in tokens, clamped to the range from 1 to Max. Spread is the
+// standard deviation of the logarithm.
 type boundSize struct{ Mean, Spread, Max float64 }
 
 func (s boundSize) draw(r *rand.Rand) float64 {
@@ -57,7 +57,8 @@
 	return &m
 }
 
-// boundRequest is an arrival: the hashes of its shared prefixes, and the number of its own tokens.
+// boundRequest is an arrival: the hashes of its shared prefixes, and the number of tokens that it shares with no
+// other request.
 type boundRequest struct {
 	kind         int
 	arrivalMs    float64
@@ -117,8 +118,8 @@
 // boundPolicy picks a worker for a request. It is given the state of all workers.
 type boundPolicy func(m *boundModel, request *boundRequest, workers []boundWorker, r *rand.Rand) int
 
-// pickByPrefix sends all requests with the same prefix to one worker, chosen by rendezvous hashing, whatever its
-// queue.
+// pickByPrefix sends all requests with the same shared prefixes to one worker, chosen by rendezvous hashing,
+// regardless of its queue.
 func pickByPrefix(m *boundModel, request *boundRequest, workers []boundWorker, _ *rand.Rand) int {
 	best, highest := -1, uint64(0)
 	for i := range workers {
@@ -134,8 +135,8 @@
 	return r.IntN(len(workers))
 }
 
-// pickCheapest returns a policy that picks the worker with the least wait plus weighted prefill time, with all
-// queues and cached prefixes known.
+// pickCheapest returns a policy that knows all queues and cached prefixes and picks the worker with the lowest sum
+// of the waiting time and the weighted prefill time.
 func pickCheapest(weight float64) boundPolicy {
 	return func(m *boundModel, request *boundRequest, workers []boundWorker, _ *rand.Rand) int {
 		best, least := 0, math.Inf(1)
@@ -149,8 +150,8 @@
 	}
 }
 
-// onTimeShares simulates one run and returns, for each kind, the share of requests that met the target: of the
-// complete run and of the time after the warm-up.
+// onTimeShares simulates one run and returns, for each kind, the share of requests that met the target: among all
+// requests, and among those that arrived after the warm-up.
 func (m *boundModel) onTimeShares(policy boundPolicy, seed uint64) (complete, afterWarmUp []float64) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	workers := make([]boundWorker, m.Workers)
@@ -185,8 +186,8 @@
 	return met[0], met[1]
 }
 
-// TestPrefillBound checks that a router with full knowledge meets more targets than routing by prefix, and
-// that this meets more than random routing. make compare prints the shares with their standard errors.
+// TestPrefillBound checks that routing with full knowledge meets more targets than routing by prefix, which in turn
+// meets more than random routing. make compare prints the shares with their standard errors.
 func TestPrefillBound(t *testing.T) {
 	m := readBoundModel(t)
 	policies := []struct {
--- a/internal/simulation/regime_overhead_test.go
+++ b/internal/simulation/regime_overhead_test.go
@@ -1,5 +1,6 @@
-// Measurements of regimes in simulated time: the time to first token with and without a regime, and how long
-// revocations take. Run by make compare.
+// Measurements of regimes, under which some kinds of requests need certified routers and workers, in simulated time:
+// the time to first token with and without a regime, and how long revocations of certificates take. make compare
+// runs them.
 
 package simulation
 
@@ -24,8 +25,8 @@
 	}
 }
 
-// TestRegimeOverhead measures the same load without a regime, with all nodes and workers certified, and with
-// certificates for three of the four workers of each role and four of the five nodes.
+// TestRegimeOverhead measures the same load without a regime, with all routers and workers certified, and with
+// certificates for three of the four workers of each role and four of the five routers.
 func TestRegimeOverhead(t *testing.T) {
 	skipUnlessComparing(t)
 	for _, setup := range []string{"no regime", "all certified", "some certified"} {
@@ -64,8 +65,9 @@
 	}
 }
 
-// TestRevocationTimes revokes many certificates of one worker one by one: without a failure, with a node
-// partitioned shortly before, and with the leader killed shortly after the revocation begins.
+// TestRevocationTimes measures how long it takes to revoke a certificate of a worker: without a failure, with a
+// router partitioned right before, and with the leader killed 0 to 57 ms after the start of the revocation. It
+// revokes 100 certificates one by one without a failure and 20 with each failure.
 func TestRevocationTimes(t *testing.T) {
 	skipUnlessComparing(t)
 	for _, failure := range []string{"no failure", "a node partitioned", "the leader killed"} {
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -45,17 +45,17 @@
 	return request
 }
 
-// sendUntilAnswered sends a request to the nodes in turn until it completes or is refused with a status code
-// below 500.
+// sendUntilAnswered sends a request to the routers in turn, beginning with the given index, until it completes or is
+// refused with a status code below 500.
 func (c *Cluster) sendUntilAnswered(t *testing.T, i int, request api.StreamRequest) ([]api.StreamEvent, *api.Fault) {
 	t.Helper()
 	var lines []api.StreamEvent
 	var refusal *api.Fault
-	nodes := c.Of("router")
+	routers := c.Of("router")
 	attempt := i
 	require.True(t, c.WaitUntil(8*time.Second, func() bool {
-		got, err := c.stream(nodes[attempt%len(nodes)], request)
-		attempt++ // a node of an evacuated zone refuses
+		got, err := c.stream(routers[attempt%len(routers)], request)
+		attempt++ // the next router, since routers of an evacuated zone refuse requests
 		lines = got
 		if errors.As(err, &refusal) {
 			return refusal.Code < 500
@@ -66,12 +66,14 @@
 	return lines, refusal
 }
 
+// withReleaseRetention sets how many answers the controllers retain.
 func withReleaseRetention(c *Cluster) {
 	c.Retention = fleetstate.Retention{FullRecords: releaseRetained, ChunkEntries: 8}
 }
 
-// TestWriteRelease records the data directories that the current code writes. It runs on request only,
-// because the checked-in directories are those of a release, which later code must be able to open.
+// TestWriteRelease records the data directories that the current code writes. It runs only if
+// KEELSTAIR_RELEASE_WRITE is set, because the checked-in directories are those of a release, which later code
+// must be able to open.
 func TestWriteRelease(t *testing.T) {
 	if os.Getenv(writeRelease) == "" {
 		t.Skip("records " + releaseFolder + " where " + writeRelease + " is set")
@@ -81,10 +83,10 @@
 		for i := range releaseKeys {
 			newest, _ = c.sendUntilAnswered(t, i, releaseRequest(i))
 		}
-		shownAtFirst := latestShown(c)
+		initialState := latestShown(c)
 		_, err := c.Apply(&api.ApplyRequest{
 			Op:          "release",
-			BaseVersion: shownAtFirst.Version,
+			BaseVersion: initialState.Version,
 			Partial:     true,
 			Source:      "{limits: queue: 12}",
 		})
@@ -137,9 +139,9 @@
 	}
 }
 
-// TestOpensRelease starts three replicas on the data directories of an earlier release. It checks that one
-// becomes leader, that the configuration, the evacuation and the newest answer are those that were read
-// from that release, that older keys are known as already answered, and that new requests are served.
+// TestOpensRelease starts three controllers on the data directories of an earlier release. It checks that one
+// becomes the leader, that the configuration, the evacuation and the newest answer are those that the release
+// reported, that requests with older keys are refused as already answered, and that new requests are served.
 func TestOpensRelease(t *testing.T) {
 	skipUnderRace(t)
 	body, err := os.ReadFile(filepath.Join(releaseFolder, "state.json"))
--- a/internal/simulation/retry_storm_test.go
+++ b/internal/simulation/retry_storm_test.go
@@ -1,4 +1,4 @@
-// Tests of overload and of a fleet whose seed controllers have all been replaced.
+// Tests of overload, and of a fleet in which all controllers that were configured as seeds have been replaced.
 
 package simulation
 
@@ -12,9 +12,10 @@
 	"keelstair.example/internal/standin"
 )
 
-// TestRetryStorm sends far more requests at once than the fleet can serve. It checks that each request either
-// completes or is refused at once with a retry delay (bounced), that both kinds get a share of the capacity,
-// that no rule is violated, and that all requests complete again after the overload.
+// TestRetryStorm sends 700 requests per second, far more than the fleet can serve, for three seconds and without
+// retries. It checks that each request either completes or is refused ("bounced"), that more than one in twelve
+// requests of each kind complete, that the Recorder reports no violation, and that all requests complete again
+// after the overload.
 func TestRetryStorm(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", func(c *Cluster) {
@@ -39,7 +40,7 @@
 		require.Empty(t, c.Recorder.Check(overload))
 		require.Positive(t, sum.Ends["bounced"])
 		for kind, k := range sum.Kinds {
-			require.Greater(t, k.Complete*12, k.Sent, "%s gets its share", kind)
+			require.Greater(t, k.Complete*12, k.Sent, "more than one in twelve requests of kind %s should complete", kind)
 		}
 		for _, o := range overload {
 			require.Contains(t, []string{"complete", "bounced"}, o.End, o.Detail)
@@ -50,9 +51,9 @@
 	})
 }
 
-// TestAllSeedsReplaced replaces each controller that the settings name as a seed by an empty one at another
-// address. It checks that running nodes continue to serve requests, and that a node started later joins the
-// fleet through a single reachable address.
+// TestAllSeedsReplaced replaces each controller by one with an empty disk at another address. It then starts a
+// router whose seed addresses are those of a running router and of two removed controllers, and checks that it
+// joins the fleet and that all requests complete.
 func TestAllSeedsReplaced(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
@@ -75,9 +76,10 @@
 	})
 }
 
-// TestRefusedClientsRetry checks that, after an overload, clients that were refused retry after the given delay,
-// spread over the seconds in which they can be served, and that more than 90 percent of all requests complete.
-// Most requests should need only a few attempts, whose number is logged.
+// TestRefusedClientsRetry checks that, under an overload of 450 requests per second for three seconds, more than 90
+// percent of all requests complete, because refused clients retry. The retry delays should spread the retries over
+// the seconds in which the fleet can serve them, so that most requests need only a few attempts; the number of
+// attempts is logged and not checked.
 func TestRefusedClientsRetry(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "almaty", func(c *Cluster) {
@@ -85,10 +87,10 @@
 	}, func(t *testing.T, c *Cluster) {
 		c.Load(20, 2*time.Second, 1)
 		outcomes := c.Load(450, 3*time.Second, 2)
-		attempts, most := 0, 0
+		attempts, maxAttempts := 0, 0
 		lastEnd := time.Duration(0)
 		for _, o := range outcomes {
-			attempts, most = attempts+o.Attempts, max(most, o.Attempts)
+			attempts, maxAttempts = attempts+o.Attempts, max(maxAttempts, o.Attempts)
 			lastEnd = max(lastEnd, o.At+o.Duration)
 		}
 		sum := standin.Summarize(outcomes)
@@ -97,7 +99,7 @@
 			len(outcomes),
 			sum.Ends,
 			attempts,
-			most,
+			maxAttempts,
 			lastEnd,
 			sum.Kinds,
 		)
--- a/internal/simulation/routing_programs_test.go
+++ b/internal/simulation/routing_programs_test.go
@@ -24,9 +24,9 @@
 	return string(body)
 }
 
-// TestProgramChanges adds, replaces, shadows and removes routing programs under load. It checks that every
-// request completes, whichever program is active, also with a hostile one, and that each program's picks
-// and fallbacks are counted in the status of the nodes.
+// TestProgramChanges adds, replaces, shadows and removes routing programs under load. It checks that every request
+// completes, also while a hostile program that returns too few workers or fails is active, and that the routers'
+// status counts the picks of each program and the fallbacks to the built-in order.
 func TestProgramChanges(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
