--- a/internal/simulation/certified_nodes_test.go
+++ b/internal/simulation/certified_nodes_test.go
@@ -303,8 +303,8 @@
 
 // TestCertificatesExpire checks that certificates expire by the fleet time, which the leader keeps, and not by
 // the wall clocks of the machines: those of two routers and of the leader jump forward by 48 hours. No governed
-// request is left on a worker two seconds after its certificate expired, and d1 is used until at most five
-// seconds before.
+// request is left on a worker two seconds after its certificate expired, and the last use of d1 is less than
+// five seconds before its certificate expires, or later.
 func TestCertificatesExpire(t *testing.T) {
 	withRegimeInForce(t, func(m *CertificationModel) {
 		m.certifyAllButLast()
@@ -328,6 +328,6 @@
 				lastUsed[string(e.Worker)] = e.When
 			}
 		}
-		require.Greater(t, lastUsed["d1"], m.validPeriods["c-d1"].until-5*time.Second, "d1 should be used until at most 5 s before its certificate expires: %v", lastUsed)
+		require.Greater(t, lastUsed["d1"], m.validPeriods["c-d1"].until-5*time.Second, "the last use of d1 should be less than 5 s before its certificate expires: %v", lastUsed)
 	})
 }
--- a/internal/simulation/demand_shift_test.go
+++ b/internal/simulation/demand_shift_test.go
@@ -84,7 +84,7 @@
 }
 
 // TestRoleChanges checks that, on a load that exceeds the capacity of fixed roles, changing roles lets more requests
-// complete. Roles may change at most twice in two seconds on average, each role must have a worker at the end, and
+// complete. Roles may change at most once in two seconds on average, each role must have a worker at the end, and
 // each stream must complete, be refused or time out. If KEELSTAIR_COMPARE is set, it runs two longer seeds.
 func TestRoleChanges(t *testing.T) {
 	skipUnderRace(t)
--- a/internal/simulation/governed_scripts_test.go
+++ b/internal/simulation/governed_scripts_test.go
@@ -69,7 +69,8 @@
 		return nil
 	}},
 	{"workers-certified-under-load", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
-		// The fourth prefill and decode workers, which have no certificates yet, are certified under load.
+		// The fourth prefill and decode workers and the fifth router, which have no certificates yet, are certified
+		// under load.
 		m.certify([]string{"p4", "d4"}, []string{"router-5"})
 		return applyPartial(c, "join", marshalPartial(map[string]any{"certificates": m.certs}))
 	}},
--- a/internal/simulation/operator_scripts_test.go
+++ b/internal/simulation/operator_scripts_test.go
@@ -178,6 +178,7 @@
 	{Name: "worker-leaves-while-owner-partitioned-from-platform", Run: func(c *Cluster, r *rand.Rand) error {
 		w := pickOne(r, c.Of("worker"))
 		p := ownerOf(c, ids.WorkerID(w.Name))
+		// 10.8.0.1 is the address of the platform.
 		c.World.Partition(addresses(p), []string{"10.8.0.1"}, true)
 		time.Sleep(time.Second)
 		c.Platform.MarkLeaving(ids.WorkerID(w.Name))
--- a/internal/simulation/prefill_bound_test.go
+++ b/internal/simulation/prefill_bound_test.go
@@ -1,4 +1,4 @@
-// A model of prefill workers that estimates an upper bound of the share of requests that meet their latency target.
+// A model of prefill workers that estimates which share of requests can meet their latency target at best.
 // Each worker prefills one prompt at a time, without preemption. A router that knows every queue and every cached
 // prefix is compared, on the same arrivals, with routers that know less. make compare prints the results.
 
