--- a/internal/simulation/routing_programs_test.go
+++ b/internal/simulation/routing_programs_test.go
@@ -25,8 +25,8 @@
 }
 
 // TestProgramChanges adds, replaces, shadows and removes routing programs under load. It checks that every request
-// completes, also while a hostile program that returns too few workers or fails is active, and that the routers'
-// status counts the picks of each program and the fallbacks to the built-in order.
+// completes, also while a hostile program is active, which names a worker that may not be a candidate or fails. It
+// also checks that the routers' status counts the picks of each program and the fallbacks to the built-in order.
 func TestProgramChanges(t *testing.T) {
 	skipUnderRace(t)
 	withCluster(t, "vatuloa", nil, func(t *testing.T, c *Cluster) {
