--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -217,7 +217,7 @@
 		Host:               host,
 		Ring:               ring,
 		Backend:            platform.NewWorkerBackend(host.Net, s.CloudAPIAddr),
-		ReadConfiguration:  (&platform.DocumentReader{}).Read,
+		ParseConfiguration: (&platform.DocumentReader{}).Read,
 		Programs:           programs,
 		LeaseDuration:      s.LeaseDuration,
 		ApplyMax:           s.MaxApplyDelay,
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -116,7 +116,7 @@
 	ctx context.Context,
 	fence ids.Fence,
 	requestedAt ids.Tick,
-	granted *fleetstate.DutyAct,
+	granted *fleetstate.DutyAction,
 	call Call,
 ) error {
 	operationFence, end, ok := r.agent.BeginOperation(r.key)
@@ -147,7 +147,7 @@
 	ctx context.Context,
 	command *fleetstate.DutyRound,
 	timeout time.Duration,
-) (*fleetstate.DutyAct, error) {
+) (*fleetstate.DutyAction, error) {
 	roundContext, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	op := ids.OpID("duty/" + coordination.NewID())
@@ -159,5 +159,5 @@
 	if _, err := reply.UnmarshalMsg(response.Body); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "read round", command.Subject)
 	}
-	return &reply.Act, nil
+	return &reply.Action, nil
 }
--- a/internal/fleetstate/duty_round.go
+++ b/internal/fleetstate/duty_round.go
@@ -1,9 +1,9 @@
-// A duty round is a request for permission to perform one act outside the fleet, such as a call to the
-// platform. The node that holds a duty submits a DutyRound command for the act, and may perform the
-// act only if the command is accepted, that is, if it wins the round. An act is identified by its
-// subject and number. The log orders the rounds. Once a holder with a higher fencing token has won a
-// round for a subject, the rounds of earlier holders for that subject are rejected. The first round
-// for an act fixes its content, so that every holder performs the act with the same content.
+// A duty round is a request for permission to perform one action outside the fleet, such as a call to
+// the platform. The node that holds a duty submits a DutyRound command for the action, and may perform
+// the action only if the command is accepted, that is, if it wins the round. An action is identified by
+// its subject and number. The log orders the rounds. Once a holder with a higher fencing token has won a
+// round for a subject, the rounds of earlier holders for that subject are rejected. The first round for
+// an action fixes its content, so that every holder performs the action with the same content.
 
 package fleetstate
 
@@ -21,9 +21,9 @@
 // MeteringKey is the key of the duty of reporting usage.
 const MeteringKey ids.Key = "metering"
 
-// maxDutyActs is the maximum number of acts that are kept for each subject. Those with the lowest
-// numbers are dropped first.
-const maxDutyActs = 16
+// maxDutyActions is the maximum number of actions that are kept for each subject. Those with the
+// lowest numbers are dropped first.
+const maxDutyActions = 16
 
 func (c *DutyRound) apply(s *State) (msgp.Marshaler, error) {
 	subject := s.dutySubjects[c.Subject]
@@ -33,49 +33,49 @@
 	}
 	number := c.Number
 	if number == 0 {
-		number = subject.newestAct() + 1
+		number = subject.newestAction() + 1
 	}
-	if number <= subject.Forgotten {
+	if number <= subject.LastDropped {
 		return nil, failure.New(failure.Stale, "win round", c.Subject,
-			"act %d was dropped, as were all acts up to %d", number, subject.Forgotten)
+			"action %d was dropped, as were all actions up to %d", number, subject.LastDropped)
 	}
-	next, act, changed := subject.withRound(number, c)
+	next, action, changed := subject.withRound(number, c)
 	if !changed && c.Fence == subject.Fence {
-		return &DutyRoundReply{act}, coordination.ErrUnchanged
+		return &DutyRoundReply{action}, coordination.ErrUnchanged
 	}
 	next.Name, next.Owner, next.Fence = c.Subject, c.Owner, c.Fence
 	s.dutySubjects[c.Subject] = next
-	return &DutyRoundReply{act}, nil
+	return &DutyRoundReply{action}, nil
 }
 
-// newestAct returns the number of the newest act, kept or dropped.
-func (d *DutySubject) newestAct() uint64 {
-	if len(d.Acts) == 0 {
-		return d.Forgotten
+// newestAction returns the number of the newest action, kept or dropped.
+func (d *DutySubject) newestAction() uint64 {
+	if len(d.Actions) == 0 {
+		return d.LastDropped
 	}
-	return d.Acts[len(d.Acts)-1].Number
+	return d.Actions[len(d.Actions)-1].Number
 }
 
-// withRound returns the subject after a round for the act with the given number, that act, and whether
-// the acts changed. It does not modify d.
-func (d *DutySubject) withRound(number uint64, c *DutyRound) (next DutySubject, act DutyAct, changed bool) {
+// withRound returns the subject after a round for the action with the given number, that action, and
+// whether the actions changed. It does not modify d.
+func (d *DutySubject) withRound(number uint64, c *DutyRound) (next DutySubject, action DutyAction, changed bool) {
 	next = *d
-	next.Acts = slices.Clone(d.Acts)
-	index := sort.Search(len(next.Acts), func(i int) bool { return next.Acts[i].Number >= number })
-	if index == len(next.Acts) || next.Acts[index].Number != number {
-		next.Acts = slices.Insert(next.Acts, index, DutyAct{Number: number, Content: c.Content})
+	next.Actions = slices.Clone(d.Actions)
+	index := sort.Search(len(next.Actions), func(i int) bool { return next.Actions[i].Number >= number })
+	if index == len(next.Actions) || next.Actions[index].Number != number {
+		next.Actions = slices.Insert(next.Actions, index, DutyAction{Number: number, Content: c.Content})
 		changed = true
 	}
-	if c.Done && !next.Acts[index].Done {
-		next.Acts[index] = DutyAct{Number: number, Done: true}
+	if c.Done && !next.Actions[index].Done {
+		next.Actions[index] = DutyAction{Number: number, Done: true}
 		changed = true
 	}
-	act = next.Acts[index]
-	if extra := len(next.Acts) - maxDutyActs; extra > 0 {
-		next.Forgotten = next.Acts[extra-1].Number
-		next.Acts = next.Acts[extra:]
+	action = next.Actions[index]
+	if extra := len(next.Actions) - maxDutyActions; extra > 0 {
+		next.LastDropped = next.Actions[extra-1].Number
+		next.Actions = next.Actions[extra:]
 	}
-	return next, act, changed
+	return next, action, changed
 }
 
 // encodeDuties returns the subjects of all duties, sorted by name.
--- a/internal/fleetstate/duty_round_test.go
+++ b/internal/fleetstate/duty_round_test.go
@@ -14,16 +14,16 @@
 
 // winRound applies a DutyRound command and returns the act of the reply. The error is nil or
 // ErrUnchanged if the round was won.
-func winRound(t *testing.T, s *State, c DutyRound) (DutyAct, error) {
+func winRound(t *testing.T, s *State, c DutyRound) (DutyAction, error) {
 	t.Helper()
 	out, err := s.Apply(DutyRoundKind, coordination.MustMarshal(&c))
 	if err != nil && err != coordination.ErrUnchanged {
-		return DutyAct{}, err
+		return DutyAction{}, err
 	}
 	var reply DutyRoundReply
 	_, readErr := reply.UnmarshalMsg(out)
 	require.NoError(t, readErr)
-	return reply.Act, err
+	return reply.Action, err
 }
 
 // TestDutyContentFixedByFirstRound checks that the first round for an act fixes its content. A later
@@ -31,20 +31,20 @@
 func TestDutyContentFixedByFirstRound(t *testing.T) {
 	s := newState(false, Retention{})
 	first := DutyRound{Subject: "usage", Number: 7, Owner: "a", Fence: 3, Content: []byte("x")}
-	act, err := winRound(t, s, first)
+	action, err := winRound(t, s, first)
 	require.NoError(t, err)
-	require.Equal(t, DutyAct{Number: 7, Content: []byte("x")}, act)
+	require.Equal(t, DutyAction{Number: 7, Content: []byte("x")}, action)
 	_, err = winRound(t, s, first)
 	require.ErrorIs(t, err, coordination.ErrUnchanged)
-	act, err = winRound(t, s, DutyRound{Subject: "usage", Number: 7, Owner: "b", Fence: 4, Content: []byte("y")})
+	action, err = winRound(t, s, DutyRound{Subject: "usage", Number: 7, Owner: "b", Fence: 4, Content: []byte("y")})
 	require.NoError(t, err)
-	require.Equal(t, "x", string(act.Content))
-	act, err = winRound(t, s, DutyRound{Subject: "usage", Number: 7, Owner: "b", Fence: 4, Done: true})
+	require.Equal(t, "x", string(action.Content))
+	action, err = winRound(t, s, DutyRound{Subject: "usage", Number: 7, Owner: "b", Fence: 4, Done: true})
 	require.NoError(t, err)
-	require.Equal(t, DutyAct{Number: 7, Done: true}, act)
-	act, err = winRound(t, s, DutyRound{Subject: "usage", Number: 7, Owner: "b", Fence: 4, Content: []byte("z")})
+	require.Equal(t, DutyAction{Number: 7, Done: true}, action)
+	action, err = winRound(t, s, DutyRound{Subject: "usage", Number: 7, Owner: "b", Fence: 4, Content: []byte("z")})
 	require.ErrorIs(t, err, coordination.ErrUnchanged)
-	require.Equal(t, DutyAct{Number: 7, Done: true}, act)
+	require.Equal(t, DutyAction{Number: 7, Done: true}, action)
 }
 
 // TestDutyRoundOfEarlierHolder checks that after a later holder has won a round, neither an earlier
@@ -68,20 +68,20 @@
 	require.NoError(t, err, "subjects are independent")
 }
 
-// TestDutyActsBounded checks that the oldest acts beyond maxDutyActs are dropped, and that no round can
+// TestDutyActionsBounded checks that the oldest acts beyond maxDutyActions are dropped, and that no round can
 // be won for them again.
-func TestDutyActsBounded(t *testing.T) {
+func TestDutyActionsBounded(t *testing.T) {
 	s := newState(false, Retention{})
-	for i := range uint64(maxDutyActs + 3) {
+	for i := range uint64(maxDutyActions + 3) {
 		_, err := winRound(t, s, DutyRound{Subject: "usage", Number: 100 + i, Owner: "a", Fence: 1})
 		require.NoError(t, err)
 	}
-	require.Len(t, s.dutySubjects["usage"].Acts, maxDutyActs)
+	require.Len(t, s.dutySubjects["usage"].Actions, maxDutyActions)
 	_, err := winRound(t, s, DutyRound{Subject: "usage", Number: 102, Owner: "a", Fence: 1})
 	require.True(t, failure.Is(err, failure.Stale), "%v", err)
-	act, err := winRound(t, s, DutyRound{Subject: "usage", Owner: "a", Fence: 1, Content: []byte("next")})
+	action, err := winRound(t, s, DutyRound{Subject: "usage", Owner: "a", Fence: 1, Content: []byte("next")})
 	require.NoError(t, err)
-	require.EqualValues(t, 100+maxDutyActs+3, act.Number)
+	require.EqualValues(t, 100+maxDutyActions+3, action.Number)
 }
 
 // TestDutyRoundsInSnapshot checks that a replica that was restored from a complete snapshot has the
--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -154,9 +154,9 @@
 	Done   bool
 }
 
-// DutyRound requests the right to perform one act of a duty, which is identified by its subject and
-// number. The first round for an act fixes its content. Number 0 stands for the act after the
-// newest. Done reports that the receiver outside the fleet accepted the act; it comes without
+// DutyRound requests the right to perform one action of a duty, which is identified by its subject
+// and number. The first round for an action fixes its content. Number 0 stands for the action after
+// the newest. Done reports that the receiver outside the fleet accepted the action; it comes without
 // content.
 type DutyRound struct {
 	Subject string
@@ -167,26 +167,27 @@
 	Done    bool
 }
 
-// DutyRoundReply is the reply to DutyRound: the current state of the act.
+// DutyRoundReply is the reply to DutyRound: the current state of the action.
 type DutyRoundReply struct {
-	Act DutyAct
+	Action DutyAction `msg:"Act"`
 }
 
-// DutyAct is one act of a subject. Its content is dropped once it is done.
-type DutyAct struct {
+// DutyAction is one action of a subject. Its content is dropped once it is done.
+type DutyAction struct {
 	Number  uint64
 	Content []byte
 	Done    bool
 }
 
 // DutySubject is the state of a subject: the owner and fencing token of the last round won for it,
-// and the newest acts in the order of their numbers. Acts up to the number Forgotten were dropped.
+// and the newest actions in the order of their numbers. Actions up to the number LastDropped were
+// dropped.
 type DutySubject struct {
-	Name      string
-	Owner     ids.NodeID
-	Fence     ids.Fence
-	Forgotten uint64
-	Acts      []DutyAct
+	Name        string
+	Owner       ids.NodeID
+	Fence       ids.Fence
+	LastDropped uint64       `msg:"Forgotten"`
+	Actions     []DutyAction `msg:"Acts"`
 }
 
 // Outcomes of an idempotency record. Only OutcomeClaimed can change to another one.
--- a/internal/fleetstate/messages_gen.go
+++ b/internal/fleetstate/messages_gen.go
@@ -1035,7 +1035,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *DutyAct) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *DutyAction) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "Number"
@@ -1051,7 +1051,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *DutyAct) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *DutyAction) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1099,7 +1099,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *DutyAct) Msgsize() (s int) {
+func (z *DutyAction) Msgsize() (s int) {
 	s = 1 + 7 + msgp.Uint64Size + 8 + msgp.BytesPrefixSize + len(z.Content) + 5 + msgp.BoolSize
 	return
 }
@@ -1218,13 +1218,13 @@
 	// map header, size 3
 	// string "Number"
 	o = append(o, 0x83, 0xa6, 0x4e, 0x75, 0x6d, 0x62, 0x65, 0x72)
-	o = msgp.AppendUint64(o, z.Act.Number)
+	o = msgp.AppendUint64(o, z.Action.Number)
 	// string "Content"
 	o = append(o, 0xa7, 0x43, 0x6f, 0x6e, 0x74, 0x65, 0x6e, 0x74)
-	o = msgp.AppendBytes(o, z.Act.Content)
+	o = msgp.AppendBytes(o, z.Action.Content)
 	// string "Done"
 	o = append(o, 0xa4, 0x44, 0x6f, 0x6e, 0x65)
-	o = msgp.AppendBool(o, z.Act.Done)
+	o = msgp.AppendBool(o, z.Action.Done)
 	return
 }
 
@@ -1250,39 +1250,39 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Act")
+				err = msgp.WrapError(err, "Action")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Act")
+					err = msgp.WrapError(err, "Action")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "Number":
-					z.Act.Number, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Action.Number, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Act", "Number")
+						err = msgp.WrapError(err, "Action", "Number")
 						return
 					}
 				case "Content":
-					z.Act.Content, bts, err = msgp.ReadBytesBytes(bts, z.Act.Content)
+					z.Action.Content, bts, err = msgp.ReadBytesBytes(bts, z.Action.Content)
 					if err != nil {
-						err = msgp.WrapError(err, "Act", "Content")
+						err = msgp.WrapError(err, "Action", "Content")
 						return
 					}
 				case "Done":
-					z.Act.Done, bts, err = msgp.ReadBoolBytes(bts)
+					z.Action.Done, bts, err = msgp.ReadBoolBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Act", "Done")
+						err = msgp.WrapError(err, "Action", "Done")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Act")
+						err = msgp.WrapError(err, "Action")
 						return
 					}
 				}
@@ -1301,7 +1301,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *DutyRoundReply) Msgsize() (s int) {
-	s = 1 + 4 + 1 + 7 + msgp.Uint64Size + 8 + msgp.BytesPrefixSize + len(z.Act.Content) + 5 + msgp.BoolSize
+	s = 1 + 4 + 1 + 7 + msgp.Uint64Size + 8 + msgp.BytesPrefixSize + len(z.Action.Content) + 5 + msgp.BoolSize
 	return
 }
 
@@ -1320,21 +1320,21 @@
 	o = msgp.AppendUint64(o, uint64(z.Fence))
 	// string "Forgotten"
 	o = append(o, 0xa9, 0x46, 0x6f, 0x72, 0x67, 0x6f, 0x74, 0x74, 0x65, 0x6e)
-	o = msgp.AppendUint64(o, z.Forgotten)
+	o = msgp.AppendUint64(o, z.LastDropped)
 	// string "Acts"
 	o = append(o, 0xa4, 0x41, 0x63, 0x74, 0x73)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Acts)))
-	for za0001 := range z.Acts {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Actions)))
+	for za0001 := range z.Actions {
 		// map header, size 3
 		// string "Number"
 		o = append(o, 0x83, 0xa6, 0x4e, 0x75, 0x6d, 0x62, 0x65, 0x72)
-		o = msgp.AppendUint64(o, z.Acts[za0001].Number)
+		o = msgp.AppendUint64(o, z.Actions[za0001].Number)
 		// string "Content"
 		o = append(o, 0xa7, 0x43, 0x6f, 0x6e, 0x74, 0x65, 0x6e, 0x74)
-		o = msgp.AppendBytes(o, z.Acts[za0001].Content)
+		o = msgp.AppendBytes(o, z.Actions[za0001].Content)
 		// string "Done"
 		o = append(o, 0xa4, 0x44, 0x6f, 0x6e, 0x65)
-		o = msgp.AppendBool(o, z.Acts[za0001].Done)
+		o = msgp.AppendBool(o, z.Actions[za0001].Done)
 	}
 	return
 }
@@ -1384,60 +1384,60 @@
 				z.Fence = ids.Fence(zb0003)
 			}
 		case "Forgotten":
-			z.Forgotten, bts, err = msgp.ReadUint64Bytes(bts)
+			z.LastDropped, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Forgotten")
+				err = msgp.WrapError(err, "LastDropped")
 				return
 			}
 		case "Acts":
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Acts")
+				err = msgp.WrapError(err, "Actions")
 				return
 			}
-			if cap(z.Acts) >= int(zb0004) {
-				z.Acts = (z.Acts)[:zb0004]
+			if cap(z.Actions) >= int(zb0004) {
+				z.Actions = (z.Actions)[:zb0004]
 			} else {
-				z.Acts = make([]DutyAct, zb0004)
+				z.Actions = make([]DutyAction, zb0004)
 			}
-			for za0001 := range z.Acts {
+			for za0001 := range z.Actions {
 				var zb0005 uint32
 				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Acts", za0001)
+					err = msgp.WrapError(err, "Actions", za0001)
 					return
 				}
 				for zb0005 > 0 {
 					zb0005--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Acts", za0001)
+						err = msgp.WrapError(err, "Actions", za0001)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "Number":
-						z.Acts[za0001].Number, bts, err = msgp.ReadUint64Bytes(bts)
+						z.Actions[za0001].Number, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Acts", za0001, "Number")
+							err = msgp.WrapError(err, "Actions", za0001, "Number")
 							return
 						}
 					case "Content":
-						z.Acts[za0001].Content, bts, err = msgp.ReadBytesBytes(bts, z.Acts[za0001].Content)
+						z.Actions[za0001].Content, bts, err = msgp.ReadBytesBytes(bts, z.Actions[za0001].Content)
 						if err != nil {
-							err = msgp.WrapError(err, "Acts", za0001, "Content")
+							err = msgp.WrapError(err, "Actions", za0001, "Content")
 							return
 						}
 					case "Done":
-						z.Acts[za0001].Done, bts, err = msgp.ReadBoolBytes(bts)
+						z.Actions[za0001].Done, bts, err = msgp.ReadBoolBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Acts", za0001, "Done")
+							err = msgp.WrapError(err, "Actions", za0001, "Done")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Acts", za0001)
+							err = msgp.WrapError(err, "Actions", za0001)
 							return
 						}
 					}
@@ -1458,8 +1458,8 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *DutySubject) Msgsize() (s int) {
 	s = 1 + 5 + msgp.StringPrefixSize + len(z.Name) + 6 + msgp.StringPrefixSize + len(string(z.Owner)) + 6 + msgp.Uint64Size + 10 + msgp.Uint64Size + 5 + msgp.ArrayHeaderSize
-	for za0001 := range z.Acts {
-		s += 1 + 7 + msgp.Uint64Size + 8 + msgp.BytesPrefixSize + len(z.Acts[za0001].Content) + 5 + msgp.BoolSize
+	for za0001 := range z.Actions {
+		s += 1 + 7 + msgp.Uint64Size + 8 + msgp.BytesPrefixSize + len(z.Actions[za0001].Content) + 5 + msgp.BoolSize
 	}
 	return
 }
--- a/internal/fleetstate/wire_test.go
+++ b/internal/fleetstate/wire_test.go
@@ -22,7 +22,7 @@
 		"Deed":         &IdempotencyRecord{},
 		"Delta":        &Delta{},
 		"Drain":        &Drain{},
-		"DutyAct":      &DutyAct{},
+		"DutyAct":      &DutyAction{},
 		"DutyReply":    &DutyRoundReply{},
 		"DutyRound":    &DutyRound{},
 		"DutySubject":  &DutySubject{},
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -400,9 +400,9 @@
 		require.Greater(t, fixture.countRejected(200, urgent, nil), 0)
 		require.Zero(t, fixture.countRejected(200, normal, func(x *exchange) { x.lastEventID = "7" }), "a resumed stream")
 		require.Zero(t, fixture.countRejected(200, normal, func(x *exchange) { r := *x.route; r.Disaggregated = false; x.route = &r }))
-		oldList := *fixture.node.endpoints.Load()
+		oldList := *fixture.node.workerList.Load()
 		oldList.requestedAt = fixture.node.now().Add(-listMaxAge - time.Second)
-		fixture.node.endpoints.Store(&oldList)
+		fixture.node.workerList.Store(&oldList)
 		require.Zero(t, fixture.countRejected(200, normal, nil), "the list is stale")
 
 		disabled := newAdmissionFixture(t)
--- a/internal/proxy/candidate_index.go
+++ b/internal/proxy/candidate_index.go
@@ -32,11 +32,11 @@
 	seq       uint64
 	snapshot  *fleetstate.Snapshot
 	byRole    map[serviceRole][]indexedWorker
-	urgencies map[string][]int // by service: the urgencies of its routes, least urgent first
+	urgencies map[string][]int // by service: the urgencies that its requests may have, least urgent first
 }
 
 // candidateIndexFor returns the index of a list under a snapshot, and builds it if necessary.
-func (n *Node) candidateIndexFor(list *endpointList, s *fleetstate.Snapshot) *candidateIndex {
+func (n *Node) candidateIndexFor(list *workerList, s *fleetstate.Snapshot) *candidateIndex {
 	if t := n.candidates.Load(); t != nil && t.seq == list.seq && t.snapshot == s {
 		return t
 	}
@@ -55,7 +55,8 @@
 	return t
 }
 
-// urgencyClasses returns the distinct urgencies of each service's routes, least urgent first.
+// urgencyClasses returns, for each service, the distinct urgencies that requests of its routes may have,
+// least urgent first. They depend on the routes and on the tenants.
 func urgencyClasses(s *fleetstate.Snapshot) map[string][]int {
 	out := map[string][]int{}
 	add := func(service string, urgency int) {
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -1,6 +1,6 @@
 // Fetching the worker list from another node. The list owner fetches it from the platform. In a large
-// fleet the nodes of each zone form a tree below the owner, and a node's sources are its parents in the
-// tree, nearest first (list_tree.go). If they have no fresh list, the first responsive node of a zone
+// fleet the nodes of each zone form a tree below the owner, and a node's sources are its ancestors in
+// the tree, nearest first (list_tree.go). If they have no fresh list, the first responsive node of a zone
 // queries the platform as the zone's acting owner.
 
 package proxy
@@ -44,11 +44,11 @@
 // if the platform may have to be queried instead.
 func (f *listFollower) follow(ctx context.Context, s *listSources) bool {
 	f.flat = s.flat()
-	for i, parent := range s.parents {
-		if f.hasFailed(parent.Node) && !s.flat() {
+	for i, ancestor := range s.ancestors {
+		if f.hasFailed(ancestor.Node) && !s.flat() {
 			continue
 		}
-		switch f.query(ctx, parent, s.maxFreshAge(i)) {
+		switch f.query(ctx, ancestor, s.maxFreshAge(i)) {
 		case listFresh:
 			return true
 		case listNone:
@@ -58,7 +58,7 @@
 			host.Sleep(ctx, f.node.options.ShareInterval/2) // it is fetching its first list
 			return true
 		case listStale:
-			if i+1 == len(s.parents) || f.node.now().Past(f.node.endpoints.Load().requestedAt, listLostAge) {
+			if i+1 == len(s.ancestors) || f.node.now().Past(f.node.workerList.Load().requestedAt, listLostAge) {
 				continue
 			}
 			host.Sleep(ctx, f.node.options.ShareInterval/2) // it is trying to get a fresh list itself
@@ -98,11 +98,11 @@
 	}
 }
 
-// healthySources lists the parents, and the first maxProbes nodes of the zone ahead of this one, that
+// healthySources lists the ancestors, and the first maxProbes nodes of the zone ahead of this one, that
 // are not known to have failed.
 func (f *listFollower) healthySources(s *listSources) []coordination.Member {
 	var out []coordination.Member
-	for _, m := range s.parents {
+	for _, m := range s.ancestors {
 		if !f.hasFailed(m.Node) {
 			out = append(out, m)
 		}
@@ -136,7 +136,7 @@
 		return false
 	}
 	if !f.node.now().Past(
-		f.node.endpoints.Load().requestedAt, listLostAge,
+		f.node.workerList.Load().requestedAt, listLostAge,
 	) || !f.node.now().Past(f.sourceSince, listLostAge) {
 		host.Sleep(ctx, f.node.options.ShareInterval/2)
 		return false
@@ -196,7 +196,7 @@
 	if r.Version == 0 {
 		return listNone
 	}
-	if !n.now().Add(-time.Duration(r.Age)).Before(n.endpoints.Load().requestedAt) {
+	if !n.now().Add(-time.Duration(r.Age)).Before(n.workerList.Load().requestedAt) {
 		f.apply(r)
 	}
 	if r.Age > int64(maxAge+min(2*time.Duration(r.Latency), maxListLatency)) {
@@ -213,7 +213,7 @@
 	n := f.node
 	callContext, stop := context.WithTimeout(ctx, listTimeout+maxWait)
 	defer stop()
-	list := n.endpoints.Load()
+	list := n.workerList.Load()
 	request := &ListRequest{
 		Node:            n.self.Node,
 		Version:         list.version,
@@ -239,11 +239,11 @@
 	now := n.now()
 	requestedAt := now.Add(-time.Duration(r.Age))
 	n.listLatency.Store(r.Latency)
-	list := n.endpoints.Load().workers
-	if previous := n.endpoints.Load(); r.Version == previous.version {
+	list := n.workerList.Load().workers
+	if previous := n.workerList.Load(); r.Version == previous.version {
 		updated := *previous
 		updated.requestedAt = requestedAt
-		n.endpoints.Store(&updated)
+		n.workerList.Store(&updated)
 	} else {
 		list = workersFromRows(r.Rows)
 		if r.Delta {
--- a/internal/proxy/list_tree.go
+++ b/internal/proxy/list_tree.go
@@ -27,16 +27,16 @@
 )
 
 // treeShape describes how the list is distributed. Up to maxFlatNodes nodes, all request it from the
-// owner; in a larger fleet a node has at most width children. The direct nodes request it from the
-// owner there too, since they hold the workers' load reports, which all nodes need.
+// owner; in a larger fleet a node has at most fanOut children. There the directNodes also request it
+// from the owner, since they hold the workers' load reports, which all nodes need.
 type treeShape struct {
-	maxFlatNodes, width int
-	direct              map[ids.NodeID]bool
+	maxFlatNodes, fanOut int
+	directNodes          map[ids.NodeID]bool
 }
 
 // listSources are the nodes from which a node may get the list.
 type listSources struct {
-	parents []coordination.Member // nearest first, the owner last
+	ancestors []coordination.Member // nearest first, the owner last
 	// zone has the nodes of this node's zone in the order in which they become acting owner. It is
 	// empty if all nodes get the list from the owner.
 	zone  []coordination.Member
@@ -49,7 +49,7 @@
 		return listSources{}
 	}
 	if len(members) <= t.maxFlatNodes {
-		return listSources{parents: []coordination.Member{owner}}
+		return listSources{ancestors: []coordination.Member{owner}}
 	}
 	tree := zoneTree(self.Zone, owner, members)
 	if memberIndex(tree, self.Node) < 0 { // not a member yet, or no longer one
@@ -59,18 +59,18 @@
 	if tree[0].Node == owner.Node {
 		out.zone = tree[1:]
 	}
-	for at := memberIndex(tree, self.Node); at > 0 && !t.direct[self.Node]; {
-		at = (at - 1) / t.width
-		out.parents = append(out.parents, tree[at])
+	for at := memberIndex(tree, self.Node); at > 0 && !t.directNodes[self.Node]; {
+		at = (at - 1) / t.fanOut
+		out.ancestors = append(out.ancestors, tree[at])
 	}
-	if n := len(out.parents); owner.Node != "" && (n == 0 || out.parents[n-1].Node != owner.Node) {
-		out.parents = append(out.parents, owner)
+	if n := len(out.ancestors); owner.Node != "" && (n == 0 || out.ancestors[n-1].Node != owner.Node) {
+		out.ancestors = append(out.ancestors, owner)
 	}
 	return out
 }
 
 // zoneTree lists the nodes of a zone in tree order: the parent of the node at index i is at index
-// (i-1)/width. The owner comes first in its own zone.
+// (i-1)/fanOut. The owner comes first in its own zone.
 func zoneTree(zone ids.Zone, owner coordination.Member, members []coordination.Member) []coordination.Member {
 	var tree []coordination.Member
 	for _, m := range members {
@@ -97,9 +97,10 @@
 	return slices.IndexFunc(tree, func(m coordination.Member) bool { return m.Node == node })
 }
 
-// outcomeReporters returns a predicate for the nodes whose outcome reports count at a node. The reports
-// of each node count at one place only, so that none counts twice while a node queries several sources.
-func (t treeShape) outcomeReporters(
+// outcomeReporterFilter returns a predicate that selects the nodes whose outcome reports count at a node.
+// The reports of each node count at one place only, so that none counts twice while a node queries several
+// sources.
+func (t treeShape) outcomeReporterFilter(
 	self, owner coordination.Member,
 	members []coordination.Member,
 ) func(ids.NodeID) bool {
@@ -109,13 +110,13 @@
 	children := map[ids.NodeID]bool{}
 	tree := zoneTree(self.Zone, owner, members)
 	if at := memberIndex(tree, self.Node); at >= 0 {
-		first := at*t.width + 1
-		for i := first; i < min(first+t.width, len(tree)); i++ {
-			children[tree[i].Node] = !t.direct[tree[i].Node]
+		first := at*t.fanOut + 1
+		for i := first; i < min(first+t.fanOut, len(tree)); i++ {
+			children[tree[i].Node] = !t.directNodes[tree[i].Node]
 		}
 	}
 	if self.Node == owner.Node {
-		for node := range t.direct {
+		for node := range t.directNodes {
 			children[node] = true
 		}
 		for zone := range zoneSet(members) {
@@ -141,10 +142,10 @@
 // flat reports whether the fleet has no list tree, so that all nodes get the list from the owner.
 func (s *listSources) flat() bool { return len(s.zone) == 0 }
 
-// maxFreshAge returns the age up to which the list of the parent with the given index counts as fresh, not
-// counting the platform's latency. Each level below the owner adds levelDelay.
-func (s *listSources) maxFreshAge(parent int) time.Duration {
-	return listMaxAge + time.Duration(len(s.parents)-1-parent)*levelDelay
+// maxFreshAge returns the age up to which the list of the ancestor with the given index counts as fresh,
+// not including the platform's latency. Each level below the owner adds levelDelay.
+func (s *listSources) maxFreshAge(ancestor int) time.Duration {
+	return listMaxAge + time.Duration(len(s.ancestors)-1-ancestor)*levelDelay
 }
 
 // actingOwner returns the first node of the zone that has not failed recently.
@@ -158,12 +159,12 @@
 }
 
 // treeShape returns the shape of the fleet's list tree as this node knows it. The owners of services
-// are its direct nodes.
+// are its directNodes.
 func (n *Node) treeShape() treeShape {
-	t := treeShape{n.options.FlatListNodes, n.options.TreeWidth, map[ids.NodeID]bool{}}
+	t := treeShape{n.options.MaxFlatListNodes, n.options.ListTreeFanOut, map[ids.NodeID]bool{}}
 	for name := range n.snapshot().Configuration.Services {
 		if m, _, ok := n.agent.KeyOwner(fleetstate.ServiceKey(name)); ok {
-			t.direct[m.Node] = true
+			t.directNodes[m.Node] = true
 		}
 	}
 	return t
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -35,7 +35,7 @@
 // than the holder's, plus the direct nodes, which request the list from the holder wherever they are. The
 // outcomes of calls to workers that a node reports are counted at its own parent and nowhere else.
 func TestListTreeShape(t *testing.T) {
-	shape := treeShape{maxFlatNodes: 96, width: 12, direct: map[ids.NodeID]bool{"node-040": true, "node-041": true}}
+	shape := treeShape{maxFlatNodes: 96, fanOut: 12, directNodes: map[ids.NodeID]bool{"node-040": true, "node-041": true}}
 	for _, size := range []int{97, 300, 651} {
 		members := newMembers(size)
 		holder := members[5]
@@ -48,25 +48,25 @@
 			}
 			sources := shape.sourcesOf(member, holder, members)
 			require.False(t, sources.flat())
-			parent := sources.parents[0]
+			parent := sources.ancestors[0]
 			children[parent.Node]++
 			parentOf[member.Node] = parent.Node
 			if parent.Zone != member.Zone {
 				crossZoneLinks++
 			}
-			require.LessOrEqual(t, len(sources.parents), 4)
-			require.Equal(t, holder.Node, sources.parents[len(sources.parents)-1].Node)
+			require.LessOrEqual(t, len(sources.ancestors), 4)
+			require.Equal(t, holder.Node, sources.ancestors[len(sources.ancestors)-1].Node)
 		}
-		require.LessOrEqual(t, crossZoneLinks, 3+len(shape.direct))
+		require.LessOrEqual(t, crossZoneLinks, 3+len(shape.directNodes))
 		for node, count := range children {
-			limit := shape.width
+			limit := shape.fanOut
 			if node == holder.Node {
-				limit += 3 + len(shape.direct)
+				limit += 3 + len(shape.directNodes)
 			}
 			require.LessOrEqual(t, count, limit)
 		}
 		for _, member := range members {
-			countsReportsOf := shape.outcomeReporters(member, holder, members)
+			countsReportsOf := shape.outcomeReporterFilter(member, holder, members)
 			for _, other := range members {
 				require.Equal(t, parentOf[other.Node] == member.Node && other.Node != holder.Node, countsReportsOf(other.Node))
 			}
@@ -78,10 +78,10 @@
 // node of its zone.
 func TestListTreeForNonMember(t *testing.T) {
 	members := newMembers(120)
-	shape := treeShape{maxFlatNodes: 96, width: 12}
+	shape := treeShape{maxFlatNodes: 96, fanOut: 12}
 	for _, zone := range []ids.Zone{"z1", "elsewhere"} {
 		sources := shape.sourcesOf(coordination.Member{Node: "new", Zone: zone}, members[5], members)
-		require.Equal(t, members[5].Node, sources.parents[len(sources.parents)-1].Node)
+		require.Equal(t, members[5].Node, sources.ancestors[len(sources.ancestors)-1].Node)
 	}
 }
 
@@ -104,14 +104,14 @@
 			if rng.IntN(3) > 0 {
 				continue
 			}
-			request := &ListRequest{Version: receiver.endpoints.Load().version, Deltas: true}
+			request := &ListRequest{Version: receiver.workerList.Load().version, Deltas: true}
 			response := sender.listSince(request)
 			require.Equal(t, request.Version != 0, response.Delta || response.Version == request.Version)
 			follower.apply(response)
-			require.Equal(t, sender.endpoints.Load().workers, receiver.endpoints.Load().workers)
-			require.Equal(t, sender.endpoints.Load().version, receiver.endpoints.Load().version)
+			require.Equal(t, sender.workerList.Load().workers, receiver.workerList.Load().workers)
+			require.Equal(t, sender.workerList.Load().version, receiver.workerList.Load().version)
 		}
-		previous := receiver.endpoints.Load().version
+		previous := receiver.workerList.Load().version
 		for round := range changesRetained + 1 {
 			workers = withRandomChange(rng, workers, 100+round)
 			sender.installList(workers, sender.now(), sender.now())
@@ -121,7 +121,7 @@
 		require.Len(t, response.Rows, len(workers))
 		require.False(
 			t,
-			sender.listSince(&ListRequest{Version: sender.endpoints.Load().changes[3].to}).Delta,
+			sender.listSince(&ListRequest{Version: sender.workerList.Load().changes[3].to}).Delta,
 			"a node that doesn't support deltas gets none",
 		)
 	}
@@ -140,18 +140,18 @@
 	workers = slices.Clone(workers)
 	slices.Reverse(workers)
 	second.installList(workers, second.now(), second.now())
-	require.Equal(t, first.endpoints.Load().version, second.endpoints.Load().version)
+	require.Equal(t, first.workerList.Load().version, second.workerList.Load().version)
 	workers = append([]Worker(nil), workers...)
 	workers[3].Leaving = true
 	first.installList(workers, first.now(), first.now())
-	response := first.listSince(&ListRequest{Version: second.endpoints.Load().version, Deltas: true})
+	response := first.listSince(&ListRequest{Version: second.workerList.Load().version, Deltas: true})
 	require.True(t, response.Delta)
 	require.Len(t, response.Rows, 1)
-	previous := first.endpoints.Load().version
+	previous := first.workerList.Load().version
 	workers = append([]Worker(nil), workers...)
 	workers[3].SlowStart = time.Second
 	first.installList(workers, first.now(), first.now())
-	require.NotEqual(t, previous, first.endpoints.Load().version, "a change of SlowStart alone leads to a new version")
+	require.NotEqual(t, previous, first.workerList.Load().version, "a change of SlowStart alone leads to a new version")
 }
 
 // withRandomChange returns a copy of the list with one worker added and, at random, another one removed or
@@ -178,7 +178,7 @@
 	require.NoError(t, err)
 	workers := newWorkers(3000)
 	node.installList(workers, node.now(), node.now())
-	version := node.endpoints.Load().version
+	version := node.workerList.Load().version
 	workers = append([]Worker(nil), workers...)
 	workers[7].Leaving = true
 	node.installList(workers, node.now(), node.now())
@@ -215,7 +215,7 @@
 					time.Sleep(370 * time.Millisecond)
 					platform.withLock(func() { platform.worker(name).Leaving = true })
 					require.True(t, f.waitUntil(2*time.Second, func() bool {
-						worker := holder.endpoints.Load().find(id)
+						worker := holder.workerList.Load().find(id)
 						return worker != nil && worker.Leaving
 					}))
 					from := time.Now()
@@ -230,7 +230,7 @@
 
 // withListTree sets a tree with a fan-out of 2, used in fleets of more than maxFlatNodes nodes.
 func withListTree(maxFlatNodes int) func(*Options) {
-	return func(o *Options) { o.FlatListNodes, o.TreeWidth = maxFlatNodes, 2 }
+	return func(o *Options) { o.MaxFlatListNodes, o.ListTreeFanOut = maxFlatNodes, 2 }
 }
 
 // TestOneNodeListsWorkersInTree: in a tree, too, only one node requests the worker list from the platform.
@@ -253,7 +253,7 @@
 	members := holder.agent.Members()
 	for i, node := range f.nodes {
 		if node.running && node.self.Zone != holder.self.Zone &&
-			node.treeShape().sourcesOf(node.self, holder.self, members).parents[0].Node == holder.self.Node {
+			node.treeShape().sourcesOf(node.self, holder.self, members).ancestors[0].Node == holder.self.Node {
 			return i
 		}
 	}
--- a/internal/proxy/metering.go
+++ b/internal/proxy/metering.go
@@ -36,7 +36,7 @@
 // UsageReporter reports the usage of a window to the platform, on a connection of its own that is
 // closed when the context ends. A nil error means that the platform accepted the report.
 type UsageReporter interface {
-	ReportUsage(ctx context.Context, act *duty.Action, window uint64, counts map[string]int) error
+	ReportUsage(ctx context.Context, action *duty.Action, window uint64, counts map[string]int) error
 }
 
 // usageMeter counts the usage at one node and, at the owner of the metering duty and its successor,
@@ -113,7 +113,7 @@
 	rows := m.ledger.Unacknowledged()
 	request := m.newRequest(n.self.Node, rows)
 	if owner.Node == n.self.Node {
-		r, err := n.takeUsage(ctx, request)
+		r, err := n.recordUsage(ctx, request)
 		m.handleResponse(rows, r, request.OwnTime, err)
 		m.sendToSuccessor(ctx, n)
 		return
@@ -155,9 +155,9 @@
 	}
 }
 
-// takeUsage accepts the counts of a node: any node's counts if this node owns the metering duty, else
+// recordUsage records the counts of a node: any node's counts if this node owns the metering duty, else
 // only those of the owner, whose successor this node is.
-func (n *Node) takeUsage(_ context.Context, request *UsageRequest) (*UsageResponse, error) {
+func (n *Node) recordUsage(_ context.Context, request *UsageRequest) (*UsageResponse, error) {
 	_, owned := n.agent.OwnsKey(fleetstate.MeteringKey)
 	owner, _, known := n.agent.KeyOwner(fleetstate.MeteringKey)
 	if n.usage == nil || !owned && !(known && owner.Node == request.Node) {
@@ -180,24 +180,24 @@
 	if n.usage == nil {
 		return
 	}
-	holder := duty.NewRunner(n.agent, n.options.Host.Clock, fleetstate.MeteringKey, n.options.LeaseDuration)
+	runner := duty.NewRunner(n.agent, n.options.Host.Clock, fleetstate.MeteringKey, n.options.LeaseDuration)
 	next := uint64(0) // all earlier windows are reported or skipped
 	for host.Sleep(ctx, meteringInterval) {
-		owned, mayAct := holder.Ownership()
+		owned, mayAct := runner.Ownership()
 		if !owned {
 			next = 0
 			continue
 		}
 		if mayAct {
-			next = n.reportWindows(ctx, holder, next)
+			next = n.reportWindows(ctx, runner, next)
 		}
 	}
 }
 
 // reportWindows reports the windows that are due, oldest first, and returns the first one that is still
-// to be reported. Each report is recorded in the replicated log as an act of the duty before and after
-// it is sent, so that a window whose report is recorded as done is not sent again.
-func (n *Node) reportWindows(ctx context.Context, holder *duty.Runner, next uint64) uint64 {
+// to be reported. Each report is recorded in the replicated log as an action of the duty before and
+// after it is sent, so that a window whose report is recorded as done is not sent again.
+func (n *Node) reportWindows(ctx context.Context, runner *duty.Runner, next uint64) uint64 {
 	meter := n.usage
 	now := meter.clock.Now()
 	current := meter.windows.At(now)
@@ -210,14 +210,14 @@
 	}
 	for next = max(next, first); n.windowSettled(next, now); next++ {
 		content := coordination.MustMarshal(usageContent(meter.collector.Sum(next)))
-		err := holder.Perform(ctx, meteringSubject, next, content, n.performUsageReport)
+		err := runner.Perform(ctx, meteringSubject, next, content, n.performUsageReport)
 		if err == nil {
 			continue
 		}
 		n.options.Ring.Warn().AnErr("cause", err).Uint64("window", next).Msg("could not report usage")
 		// Stale means that the replicated log no longer has the window, which is then skipped, or that
-		// this node's fence is outdated, in which case it may not act any more.
-		if _, mayAct := holder.Ownership(); !mayAct || !failure.Is(err, failure.Stale) {
+		// this node's fence is outdated, in which case it may no longer perform actions.
+		if _, mayAct := runner.Ownership(); !mayAct || !failure.Is(err, failure.Stale) {
 			return next
 		}
 	}
@@ -255,15 +255,15 @@
 	return content
 }
 
-// performUsageReport sends the usage report of an act to the platform.
-func (n *Node) performUsageReport(ctx context.Context, act *duty.Action) error {
+// performUsageReport sends the usage report of an action to the platform.
+func (n *Node) performUsageReport(ctx context.Context, action *duty.Action) error {
 	var content UsageContent
-	if _, err := content.UnmarshalMsg(act.Content); err != nil {
+	if _, err := content.UnmarshalMsg(action.Content); err != nil {
 		return failure.As(err, failure.InvalidArgument, "read usage", "")
 	}
 	counts := make(map[string]int, len(content.Rows))
 	for _, r := range content.Rows {
 		counts[r.Tenant] = r.Count
 	}
-	return n.options.UsageReporter.ReportUsage(ctx, act, act.Number, counts)
+	return n.options.UsageReporter.ReportUsage(ctx, action, action.Number, counts)
 }
--- a/internal/proxy/metering_test.go
+++ b/internal/proxy/metering_test.go
@@ -100,15 +100,15 @@
 // usageClient sends a node's reports to the usageRecorder.
 type usageClient struct{ net host.Net }
 
-func (client *usageClient) ReportUsage(ctx context.Context, act *duty.Action, window uint64, counts map[string]int) error {
+func (client *usageClient) ReportUsage(ctx context.Context, action *duty.Action, window uint64, counts map[string]int) error {
 	conn, err := client.net.Dial(ctx, meteringIP+":1")
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	body, _ := json.Marshal(usageCall{Owner: act.Owner, Fence: act.Fence, Window: window, Counts: counts})
-	if !act.MayStart() {
+	body, _ := json.Marshal(usageCall{Owner: action.Owner, Fence: action.Fence, Window: window, Counts: counts})
+	if !action.MayStart() {
 		return errors.New("the lease was lost or too much time has passed to start the report")
 	}
 	if _, err := conn.Write(body); err != nil {
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -24,14 +24,14 @@
 
 // Options configure a node. Zero durations and numbers take the defaults given in the comments.
 type Options struct {
-	Name              string
-	Addr              string
-	Zone              ids.Zone
-	Seeds             []string
-	Host              host.Host
-	Ring              *logging.Ring
-	Backend           Backend
-	ReadConfiguration fleetstate.ConfigurationParser // parses the operators' configuration; default fleetstate.Plain
+	Name               string
+	Addr               string
+	Zone               ids.Zone
+	Seeds              []string
+	Host               host.Host
+	Ring               *logging.Ring
+	Backend            Backend
+	ParseConfiguration fleetstate.ConfigurationParser // ParseJSON: parses the text of a configuration
 	// Programs are the routing programs, in addition to the built-in order, until the core has a set.
 	Programs      []routing.Source
 	ProgramSteps  uint64        // 20000: step limit of one program for one request
@@ -69,10 +69,10 @@
 	// 1s: maximum age of the workers' loads for early rejection
 	AdmitMaxAge        time.Duration
 	MaxRejectedCallers int // 4096: early-rejected callers that are remembered
-	FlatListNodes      int // 96: fleet size up to which all nodes ask the owner of the list
-	TreeWidth          int // 12: nodes that ask the same parent in a larger fleet
-	// Drain is called once as the node leaves. It accepts no new callers, and returns when the
-	// current ones were answered or the context ends.
+	MaxFlatListNodes   int // 96: largest fleet in which every node requests the list from its owner
+	ListTreeFanOut     int // 12: maximum children of a node in the list tree of a larger fleet
+	// Drain is called once when the node shuts down. It accepts no new requests, and returns when the
+	// current ones have been answered or the context ends.
 	Drain func(context.Context) error
 	// ClientLimitsChanged is called with the limits of each version that comes into force.
 	ClientLimitsChanged func(fleetstate.ClientLimits)
@@ -104,8 +104,8 @@
 	ids.SetDefault(&o.AdmitMaxAge, time.Second)
 	ids.SetDefault(&o.AdmitFactor, 3)
 	ids.SetDefault(&o.MaxRejectedCallers, 4096)
-	ids.SetDefault(&o.FlatListNodes, 96)
-	ids.SetDefault(&o.TreeWidth, 12)
+	ids.SetDefault(&o.MaxFlatListNodes, 96)
+	ids.SetDefault(&o.ListTreeFanOut, 12)
 	ids.SetDefault(&o.NoCapacityCost, 5)
 	ids.SetDefault(&o.ProgramSteps, 20000)
 	if o.Ring == nil {
@@ -131,7 +131,7 @@
 	budget          *retrybudget.Budget
 	scores          routing.Scores               // kept across program sets
 	startupPrograms *fleetstate.CompiledPrograms // routing programs until the core has a set
-	endpoints       atomic.Pointer[endpointList]
+	workerList      atomic.Pointer[workerList]
 	states          sync.Map // ids.WorkerID -> *workerState
 	slowStart       slowStart
 	peerReports     sync.Map // ids.NodeID -> peerReport
@@ -155,7 +155,7 @@
 	snapshotMu      sync.Mutex
 	versionAge      versionAge
 	inflight        atomic.Int64
-	leaving         atomic.Bool
+	shuttingDown    atomic.Bool
 	runContext      context.Context // ends with Run
 	stop            context.CancelFunc
 }
@@ -183,7 +183,7 @@
 		Zone: options.Zone,
 	}
 	n.view = fleetstate.NewView(options.Ring)
-	n.view.Parse, n.view.Scores = options.ReadConfiguration, &n.scores
+	n.view.Parse, n.view.Scores = options.ParseConfiguration, &n.scores
 	n.agent = coordination.NewAgent(coordination.AgentOptions{
 		Self:          n.self,
 		Host:          options.Host,
@@ -194,7 +194,7 @@
 		RenewInterval: options.RenewInterval,
 	})
 	n.usage = newUsageMeter(&n.options)
-	n.endpoints.Store(&endpointList{})
+	n.workerList.Store(&workerList{})
 	n.runContext, n.stop = context.WithCancel(context.Background())
 	return n, nil
 }
@@ -218,34 +218,34 @@
 	n.agent.Mount(mux)
 	rpc.Handle(mux, faultMethod, n.handleFaultNotice)
 	rpc.Handle(mux, listMethod, n.serveList)
-	rpc.Handle(mux, usageMethod, n.takeUsage)
+	rpc.Handle(mux, usageMethod, n.recordUsage)
 	mux.Handle("GET /metrics", n.metrics.Handler())
 	rpc.Handle(mux, pingMethod, func(context.Context, *Ack) (*Ack, error) { return &Ack{}, nil })
 }
 
-// Run runs the node until the context ends. It then reports not ready, keeps serving for the linger
-// period so that callers notice, drains the frontend, and lets in-flight requests finish within the
-// grace period.
-func (n *Node) Run(ctx context.Context, linger, grace time.Duration) {
+// Run runs the node until the context ends. It then reports not ready, keeps serving for drainDelay so
+// that clients notice, drains the frontend, and lets in-flight requests finish. It stops waiting for them
+// shutdownTimeout after the end of the context.
+func (n *Node) Run(ctx context.Context, drainDelay, shutdownTimeout time.Duration) {
 	inner := n.runContext
 	var wg sync.WaitGroup
 	for _, f := range []func(context.Context){
-		n.agent.Run, n.maintainEndpoints, n.logReadiness, n.roleBalancer, n.runOutlierDetection, n.sendUsage, n.reportUsage,
+		n.agent.Run, n.maintainWorkerList, n.logReadiness, n.roleBalancer, n.runOutlierDetection, n.sendUsage, n.reportUsage,
 	} {
 		wg.Go(func() { f(inner) })
 	}
 	<-ctx.Done()
-	n.leaving.Store(true)
+	n.shuttingDown.Store(true)
 	began := n.now()
-	host.Sleep(inner, linger)
+	host.Sleep(inner, drainDelay)
 	if n.options.Drain != nil {
-		callContext, stop := context.WithTimeout(inner, max(0, grace-n.now().Since(began)))
+		callContext, stop := context.WithTimeout(inner, max(0, shutdownTimeout-n.now().Since(began)))
 		if err := n.options.Drain(callContext); err != nil {
 			n.options.Ring.Info().AnErr("cause", err).Msg("shutdown: drain ended with unanswered requests")
 		}
 		stop()
 	}
-	for !n.now().Past(began, grace) && n.inflight.Load() > 0 {
+	for !n.now().Past(began, shutdownTimeout) && n.inflight.Load() > 0 {
 		host.Sleep(inner, 50*time.Millisecond)
 	}
 	n.agent.Leave()
@@ -277,17 +277,17 @@
 	}
 }
 
-// Leaving reports whether the node is shutting down.
-func (n *Node) Leaving() bool { return n.leaving.Load() }
+// ShuttingDown reports whether the node is shutting down.
+func (n *Node) ShuttingDown() bool { return n.shuttingDown.Load() }
 
 // Ready reports whether new requests can be served here now, and if not, why.
 func (n *Node) Ready() (bool, string) {
 	switch s := n.snapshot(); {
-	case n.leaving.Load():
+	case n.shuttingDown.Load():
 		return false, "draining"
 	case s.Version == 0:
 		return false, "no configuration is in force"
-	case len(n.endpoints.Load().workers) == 0:
+	case len(n.workerList.Load().workers) == 0:
 		return false, "no worker is listed"
 	case n.versionStale():
 		return false, "the configuration may be out of date"
--- a/internal/proxy/peer_outcomes.go
+++ b/internal/proxy/peer_outcomes.go
@@ -107,7 +107,7 @@
 	t.add(n.self.Node, n.capWeights(n.localOutcomes()))
 	t.add(fromParent, n.currentParentSums(now).outcomes)
 	owner, _, _ := n.agent.KeyOwner(fleetstate.WorkerListKey)
-	isChild := n.treeShape().outcomeReporters(n.self, owner, n.agent.Members())
+	isChild := n.treeShape().outcomeReporterFilter(n.self, owner, n.agent.Members())
 	n.peerReports.Range(func(k, v any) bool {
 		if o := v.(peerReport); isChild(k.(ids.NodeID)) && !now.Past(o.receivedAt, 2*prefillLoadTTL) &&
 			len(o.outcomes)+len(o.subtreeOutcomes) > 0 {
@@ -160,7 +160,7 @@
 		failing[r.ID] = r.Failed > 3
 	}
 	total, failingCount := map[workerGroup]int{}, map[workerGroup]int{}
-	for _, w := range n.endpoints.Load().workers {
+	for _, w := range n.workerList.Load().workers {
 		k := workerGroup{w.Service, w.Role}
 		total[k]++
 		if failing[w.ID] {
--- a/internal/proxy/stale_version_test.go
+++ b/internal/proxy/stale_version_test.go
@@ -40,7 +40,7 @@
 			if o.Name == "n1" {
 				count = &parsed[1]
 			}
-			o.ReadConfiguration = func(text []byte) (*fleetstate.Configuration, error) {
+			o.ParseConfiguration = func(text []byte) (*fleetstate.Configuration, error) {
 				count.Add(1)
 				return fleetstate.ParseJSON(text)
 			}
@@ -73,7 +73,7 @@
 		platform := newFakePlatform(append(prefillAndDecodeWorkers("svc", 2, 2), prefillAndDecodeWorkers("other", 2, 2)...)...)
 		f := startFleet(t, 76, 2, platform, defaultConfiguration(), func(o *Options) {
 			name := o.Name
-			o.ReadConfiguration = func(text []byte) (*fleetstate.Configuration, error) {
+			o.ParseConfiguration = func(text []byte) (*fleetstate.Configuration, error) {
 				if name == "n1" && strings.Contains(string(text), "other") {
 					time.Sleep(applying)
 				}
--- a/internal/proxy/worker_state.go
+++ b/internal/proxy/worker_state.go
@@ -86,8 +86,8 @@
 // mayBeUncounted reports whether the other nodes may no longer count this one among those that share
 // the fleet-wide retry budget, because no process has been in contact with it for too long.
 func (n *Node) mayBeUncounted() bool {
-	alone := retrybudget.NodeCountTTL - n.options.RetryWindow
-	return !n.agent.CaughtUp(alone) && n.now().Past(n.agent.Directory().LastContact(), alone)
+	maxSilence := retrybudget.NodeCountTTL - n.options.RetryWindow
+	return !n.agent.CaughtUp(maxSilence) && n.now().Past(n.agent.Directory().LastContact(), maxSilence)
 }
 
 // recordFailure records a failure of a worker, which is then avoided, longer after each failure.
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -22,13 +22,13 @@
 
 // recordStep adds a step and the certificate that cleared it to the audit record. It ignores
 // steps of requests without a regime, and reservations.
-func (t *transport) recordStep(verb string, w ids.WorkerID, id workerclient.ID, serial string) {
-	if serial == "" || verb == verbReserve {
+func (t *transport) recordStep(operation string, w ids.WorkerID, id workerclient.ID, serial string) {
+	if serial == "" || operation == verbReserve {
 		return
 	}
 	t.auditSteps = append(t.auditSteps, fleetstate.AuditStep{
 		Attempt:   id.Attempt,
-		Operation: verb,
+		Operation: operation,
 		Worker:    string(w),
 		Serial:    serial,
 		At:        t.node.fleetTime().High,
--- a/internal/router/claim.go
+++ b/internal/router/claim.go
@@ -129,7 +129,7 @@
 		Count: tokens,
 		Error: &workerclient.Rejection{
 			Name:         "unrecorded",
-			Detail:       "the outcome is not on record yet; ask again with the same key",
+			Detail:       "the outcome has not been recorded yet; retry with the same key",
 			RetryAfterMs: n.retryDelay().Milliseconds(),
 		},
 	})
@@ -141,7 +141,7 @@
 	rejection := workerclient.Rejection{
 		Name:         "not-run",
 		Field:        "key",
-		Detail:       "it was not run and never will be; ask anew with another key",
+		Detail:       "the request was not run and never will be; send it again with a new key",
 		RetryAfterMs: n.retryDelay().Milliseconds(),
 	}
 	n.counts.Rejected.Add(1)
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -67,12 +67,12 @@
 			return n.rejectRetryable(
 				http.StatusServiceUnavailable,
 				"claim-unknown",
-				"the node that it was passed to is lost; ask again with the same key: %v",
+				"the connection to the node that the request was forwarded to failed; retry with the same key: %v",
 				err,
 			)
 		case count == 0:
 			return n.rejectForCapacity(
-				http.StatusServiceUnavailable, "bounced", "the node that it was passed to is lost: %v", err,
+				http.StatusServiceUnavailable, "bounced", "the connection to the node that the request was forwarded to failed: %v", err,
 			)
 		}
 		end := api.EndBroken
--- a/internal/router/operator.go
+++ b/internal/router/operator.go
@@ -175,11 +175,13 @@
 	}))
 }
 
-// ActivePolicy returns the result of Show for the operator API.
-func (n *Node) ActivePolicy(context.Context) (*api.ActivePolicy, error) { return n.Show(), nil }
+// ActivePolicy returns the result of CurrentPolicy for the operator API.
+func (n *Node) ActivePolicy(context.Context) (*api.ActivePolicy, error) {
+	return n.CurrentPolicy(), nil
+}
 
-// Show returns the configuration in force, the evacuated zones and the drained workers.
-func (n *Node) Show() *api.ActivePolicy {
+// CurrentPolicy returns the configuration in force, the evacuated zones and the drained workers.
+func (n *Node) CurrentPolicy() *api.ActivePolicy {
 	s := n.view.Current()
 	out := &api.ActivePolicy{
 		Version:        uint64(s.Version),
@@ -228,7 +230,7 @@
 // Status returns the node's NodeStatus.
 func (n *Node) Status() any {
 	ok, reason := n.Ready()
-	shown := n.Show()
+	policy := n.CurrentPolicy()
 	st := &NodeStatus{
 		Node:          n.self.Node,
 		Zone:          n.self.Zone,
@@ -240,8 +242,8 @@
 		Members:       n.agent.Members(),
 		Programs:      map[string]map[string]any{},
 		ListedWorkers: map[ids.WorkerID]ids.Zone{},
-		Evacuated:     shown.EvacuatedZones,
-		Drained:       shown.DrainedWorkers,
+		Evacuated:     policy.EvacuatedZones,
+		Drained:       policy.DrainedWorkers,
 		Workers:       []WorkerStatus{},
 		OwnedKeys:     []ids.Key{},
 	}
--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -71,7 +71,7 @@
 				http.StatusGatewayTimeout,
 				"not-everywhere",
 				n.retryDelay(),
-				"the revocation is durable and not yet in force everywhere; ask again with the same op",
+				"the revocation is durable but not yet in force everywhere; retry with the same op",
 			)
 		}
 	}
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -132,7 +132,7 @@
 			require.Equal(t, k.code, got, "%s %s %s", k.a.Op, name, text)
 			require.Contains(t, text, k.text, k.a.Op)
 		}
-		require.Equal(t, uint64(1), c.Of("router")[0].Node.Show().Newest)
+		require.Equal(t, uint64(1), c.Of("router")[0].Node.CurrentPolicy().Newest)
 		got, _, _ := faultFields(t, c.Mark("/v1/zones/moon", "z", true))
 		require.Equal(t, 404, got)
 	})
@@ -151,7 +151,7 @@
 		two, err := c.Apply(a)
 		require.NoError(t, err, "the base is outdated only because of this operation")
 		require.Equal(t, one.Version, two.Version)
-		a.Partial, a.Source = false, string(c.Of("router")[0].Node.Show().Policy)
+		a.Partial, a.Source = false, string(c.Of("router")[0].Node.CurrentPolicy().Policy)
 		two, err = c.Apply(a)
 		require.NoError(t, err, "the same holds for a complete policy")
 		require.Equal(t, one.Version, two.Version)
@@ -160,7 +160,7 @@
 			got, _, _ := faultFields(t, err)
 			require.Equal(t, 409, got)
 		}
-		require.Equal(t, one.Version, c.Of("router")[0].Node.Show().Newest)
+		require.Equal(t, one.Version, c.Of("router")[0].Node.CurrentPolicy().Newest)
 	})
 }
 
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -21,7 +21,7 @@
 	state := &api.ActivePolicy{}
 	c.WaitUntil(3*time.Second, func() bool {
 		for _, p := range running(c, "router") {
-			if s := p.Node.Show(); s.Version >= state.Version {
+			if s := p.Node.CurrentPolicy(); s.Version >= state.Version {
 				state = s
 			}
 		}
@@ -182,8 +182,8 @@
 	}
 	c.Recorder.mu.Unlock()
 	for _, p := range c.Of("router") {
-		if p.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(p.Node.Show().Version) >= last }) {
-			f.add(ConfigurationLost, "%s has version %d, but version %d was acknowledged", p.Name, p.Node.Show().Version, last)
+		if p.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(p.Node.CurrentPolicy().Version) >= last }) {
+			f.add(ConfigurationLost, "%s has version %d, but version %d was acknowledged", p.Name, p.Node.CurrentPolicy().Version, last)
 		}
 	}
 	for _, m := range marks {
--- a/internal/simulation/other_scripts_test.go
+++ b/internal/simulation/other_scripts_test.go
@@ -219,7 +219,7 @@
 				if won != 1 {
 					return fmt.Errorf("round %d: %d of two concurrent changes were acknowledged", n, won)
 				}
-				c.WaitUntil(3*time.Second, func() bool { return c.Of("router")[0].Node.Show().Version > state.Version })
+				c.WaitUntil(3*time.Second, func() bool { return c.Of("router")[0].Node.CurrentPolicy().Version > state.Version })
 			}
 			return nil
 		},
