--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -67,12 +67,12 @@
 			return n.rejectRetryable(
 				http.StatusServiceUnavailable,
 				"claim-unknown",
-				"the connection to the node that the request was forwarded to failed; retry with the same key: %v",
+				"forwarding the request to another node failed; retry with the same key: %v",
 				err,
 			)
 		case count == 0:
 			return n.rejectForCapacity(
-				http.StatusServiceUnavailable, "bounced", "the connection to the node that the request was forwarded to failed: %v", err,
+				http.StatusServiceUnavailable, "bounced", "forwarding the request to another node failed: %v", err,
 			)
 		}
 		end := api.EndBroken
