--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -95,7 +95,7 @@
 }
 
 // computePressure computes the load of a service, or returns a recently computed one.
-func (n *Node) computePressure(service *fleetstate.Service, list *workerList, s *fleetstate.Snapshot) *servicePressure {
+func (n *Node) computePressure(service *fleetstate.Service, list *workerListVersion, s *fleetstate.Snapshot) *servicePressure {
 	now := n.now()
 	if v, ok := n.admission.pressures.Load(service.Name); ok && !now.Past(v.(*servicePressure).at, admitViewTTL) {
 		return v.(*servicePressure)
@@ -144,7 +144,7 @@
 // admit rejects a request that would miss its latency target by far while the service is under load.
 func (t *exchange) admit(s *fleetstate.Snapshot) error {
 	n, now := t.node, t.node.now()
-	list := n.workerList.Load()
+	list := n.currentList.Load()
 	if n.options.AdmitFactor < 0 || !t.route.Disaggregated || t.lastEventID != "" ||
 		now.Past(list.requestedAt, listMaxAge) {
 		return nil
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -400,9 +400,9 @@
 		require.Greater(t, fixture.countRejected(200, urgent, nil), 0)
 		require.Zero(t, fixture.countRejected(200, normal, func(x *exchange) { x.lastEventID = "7" }), "a resumed stream")
 		require.Zero(t, fixture.countRejected(200, normal, func(x *exchange) { r := *x.route; r.Disaggregated = false; x.route = &r }))
-		oldList := *fixture.node.workerList.Load()
+		oldList := *fixture.node.currentList.Load()
 		oldList.requestedAt = fixture.node.now().Add(-listMaxAge - time.Second)
-		fixture.node.workerList.Store(&oldList)
+		fixture.node.currentList.Store(&oldList)
 		require.Zero(t, fixture.countRejected(200, normal, nil), "the list is stale")
 
 		disabled := newAdmissionFixture(t)
--- a/internal/proxy/candidate_index.go
+++ b/internal/proxy/candidate_index.go
@@ -36,7 +36,7 @@
 }
 
 // candidateIndexFor returns the index of a list under a snapshot, and builds it if necessary.
-func (n *Node) candidateIndexFor(list *workerList, s *fleetstate.Snapshot) *candidateIndex {
+func (n *Node) candidateIndexFor(list *workerListVersion, s *fleetstate.Snapshot) *candidateIndex {
 	if t := n.candidates.Load(); t != nil && t.seq == list.seq && t.snapshot == s {
 		return t
 	}
--- a/internal/proxy/fault_notice.go
+++ b/internal/proxy/fault_notice.go
@@ -114,7 +114,7 @@
 			n.sendFaultNotice(w.ID)
 			notified = true
 		}
-		if n.workerList.Load().find(w.ID) == nil || !host.Sleep(ctx, healthCheckInterval) {
+		if n.currentList.Load().find(w.ID) == nil || !host.Sleep(ctx, healthCheckInterval) {
 			return
 		}
 	}
@@ -181,7 +181,7 @@
 
 // handleFaultNotice starts this node's own health check of the worker that a peer's notice names.
 func (n *Node) handleFaultNotice(_ context.Context, notice *FaultNotice) (*Ack, error) {
-	if w := n.workerList.Load().find(notice.Worker); w != nil {
+	if w := n.currentList.Load().find(notice.Worker); w != nil {
 		n.suspect(*w)
 	}
 	return &Ack{}, nil
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -227,7 +227,7 @@
 func (n *testNode) unavailableWorkers() map[ids.WorkerID]bool {
 	snapshot := n.view.Current()
 	unavailable := map[ids.WorkerID]bool{}
-	for _, w := range n.workerList.Load().workers {
+	for _, w := range n.currentList.Load().workers {
 		_, changesRole := snapshot.RoleChanges[w.ID]
 		unavailable[w.ID] = w.Leaving || changesRole || snapshot.DrainedWorkers[w.ID] || snapshot.EvacuatedZones[w.Zone]
 	}
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -90,7 +90,7 @@
 		n := f.nodes[0].Node
 		request := f.newRequest("late", "/x", 400, 2)
 		exchange := &exchange{node: n, request: request}
-		worker := &n.workerList.Load().workers[0]
+		worker := &n.currentList.Load().workers[0]
 		c := &candidate{worker: worker, state: n.state(worker.ID)}
 		c.reserve(request, 0, n.now())
 		platform.withLock(func() {
--- a/internal/proxy/lease_takeover_test.go
+++ b/internal/proxy/lease_takeover_test.go
@@ -13,7 +13,7 @@
 
 // reportedSince tells whether the node has a report of each worker that isn't older than a time on its clock.
 func (n *testNode) reportedSince(since ids.Tick) bool {
-	for _, w := range n.workerList.Load().workers {
+	for _, w := range n.currentList.Load().workers {
 		st := n.state(w.ID)
 		st.mu.Lock()
 		stale := st.memory.at.Before(since)
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -58,7 +58,7 @@
 			host.Sleep(ctx, f.node.options.ShareInterval/2) // it is fetching its first list
 			return true
 		case listStale:
-			if i+1 == len(s.ancestors) || f.node.now().Past(f.node.workerList.Load().requestedAt, listLostAge) {
+			if i+1 == len(s.ancestors) || f.node.now().Past(f.node.currentList.Load().requestedAt, listLostAge) {
 				continue
 			}
 			host.Sleep(ctx, f.node.options.ShareInterval/2) // it is trying to get a fresh list itself
@@ -136,7 +136,7 @@
 		return false
 	}
 	if !f.node.now().Past(
-		f.node.workerList.Load().requestedAt, listLostAge,
+		f.node.currentList.Load().requestedAt, listLostAge,
 	) || !f.node.now().Past(f.sourceSince, listLostAge) {
 		host.Sleep(ctx, f.node.options.ShareInterval/2)
 		return false
@@ -196,7 +196,7 @@
 	if r.Version == 0 {
 		return listNone
 	}
-	if !n.now().Add(-time.Duration(r.Age)).Before(n.workerList.Load().requestedAt) {
+	if !n.now().Add(-time.Duration(r.Age)).Before(n.currentList.Load().requestedAt) {
 		f.apply(r)
 	}
 	if r.Age > int64(maxAge+min(2*time.Duration(r.Latency), maxListLatency)) {
@@ -213,7 +213,7 @@
 	n := f.node
 	callContext, stop := context.WithTimeout(ctx, listTimeout+maxWait)
 	defer stop()
-	list := n.workerList.Load()
+	list := n.currentList.Load()
 	request := &ListRequest{
 		Node:            n.self.Node,
 		Version:         list.version,
@@ -239,11 +239,11 @@
 	now := n.now()
 	requestedAt := now.Add(-time.Duration(r.Age))
 	n.listLatency.Store(r.Latency)
-	list := n.workerList.Load().workers
-	if previous := n.workerList.Load(); r.Version == previous.version {
+	list := n.currentList.Load().workers
+	if previous := n.currentList.Load(); r.Version == previous.version {
 		updated := *previous
 		updated.requestedAt = requestedAt
-		n.workerList.Store(&updated)
+		n.currentList.Store(&updated)
 	} else {
 		list = workersFromRows(r.Rows)
 		if r.Delta {
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -39,7 +39,7 @@
 func (f *fleet) allNodesKnowLeaving(platform *fakePlatform, name string) bool {
 	id := platform.worker(name).ID
 	for _, node := range f.runningNodes() {
-		if worker := node.workerList.Load().find(id); worker == nil || !worker.Leaving {
+		if worker := node.currentList.Load().find(id); worker == nil || !worker.Leaving {
 			return false
 		}
 	}
@@ -101,7 +101,7 @@
 				}
 				require.GreaterOrEqual(t, len(platform.listCallersSince(from)), 1)
 				for _, node := range f.runningNodes() {
-					require.Less(t, node.now().Since(node.workerList.Load().requestedAt), 3*time.Second, fmt.Sprint(node.ip))
+					require.Less(t, node.now().Since(node.currentList.Load().requestedAt), 3*time.Second, fmt.Sprint(node.ip))
 				}
 			})
 		})
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -104,14 +104,14 @@
 			if rng.IntN(3) > 0 {
 				continue
 			}
-			request := &ListRequest{Version: receiver.workerList.Load().version, Deltas: true}
+			request := &ListRequest{Version: receiver.currentList.Load().version, Deltas: true}
 			response := sender.listSince(request)
 			require.Equal(t, request.Version != 0, response.Delta || response.Version == request.Version)
 			follower.apply(response)
-			require.Equal(t, sender.workerList.Load().workers, receiver.workerList.Load().workers)
-			require.Equal(t, sender.workerList.Load().version, receiver.workerList.Load().version)
+			require.Equal(t, sender.currentList.Load().workers, receiver.currentList.Load().workers)
+			require.Equal(t, sender.currentList.Load().version, receiver.currentList.Load().version)
 		}
-		previous := receiver.workerList.Load().version
+		previous := receiver.currentList.Load().version
 		for round := range changesRetained + 1 {
 			workers = withRandomChange(rng, workers, 100+round)
 			sender.installList(workers, sender.now(), sender.now())
@@ -121,7 +121,7 @@
 		require.Len(t, response.Rows, len(workers))
 		require.False(
 			t,
-			sender.listSince(&ListRequest{Version: sender.workerList.Load().changes[3].to}).Delta,
+			sender.listSince(&ListRequest{Version: sender.currentList.Load().changes[3].to}).Delta,
 			"a node that doesn't support deltas gets none",
 		)
 	}
@@ -140,18 +140,18 @@
 	workers = slices.Clone(workers)
 	slices.Reverse(workers)
 	second.installList(workers, second.now(), second.now())
-	require.Equal(t, first.workerList.Load().version, second.workerList.Load().version)
+	require.Equal(t, first.currentList.Load().version, second.currentList.Load().version)
 	workers = append([]Worker(nil), workers...)
 	workers[3].Leaving = true
 	first.installList(workers, first.now(), first.now())
-	response := first.listSince(&ListRequest{Version: second.workerList.Load().version, Deltas: true})
+	response := first.listSince(&ListRequest{Version: second.currentList.Load().version, Deltas: true})
 	require.True(t, response.Delta)
 	require.Len(t, response.Rows, 1)
-	previous := first.workerList.Load().version
+	previous := first.currentList.Load().version
 	workers = append([]Worker(nil), workers...)
 	workers[3].SlowStart = time.Second
 	first.installList(workers, first.now(), first.now())
-	require.NotEqual(t, previous, first.workerList.Load().version, "a change of SlowStart alone leads to a new version")
+	require.NotEqual(t, previous, first.currentList.Load().version, "a change of SlowStart alone leads to a new version")
 }
 
 // withRandomChange returns a copy of the list with one worker added and, at random, another one removed or
@@ -178,7 +178,7 @@
 	require.NoError(t, err)
 	workers := newWorkers(3000)
 	node.installList(workers, node.now(), node.now())
-	version := node.workerList.Load().version
+	version := node.currentList.Load().version
 	workers = append([]Worker(nil), workers...)
 	workers[7].Leaving = true
 	node.installList(workers, node.now(), node.now())
@@ -215,7 +215,7 @@
 					time.Sleep(370 * time.Millisecond)
 					platform.withLock(func() { platform.worker(name).Leaving = true })
 					require.True(t, f.waitUntil(2*time.Second, func() bool {
-						worker := holder.workerList.Load().find(id)
+						worker := holder.currentList.Load().find(id)
 						return worker != nil && worker.Leaving
 					}))
 					from := time.Now()
--- a/internal/proxy/list_version.go
+++ b/internal/proxy/list_version.go
@@ -19,8 +19,8 @@
 	slowStartTolerance = 300 * time.Millisecond // difference of slow-start times that is no change
 )
 
-// workerList is a version of the worker list, sorted by ID. It is immutable once published.
-type workerList struct {
+// workerListVersion is a version of the worker list, sorted by ID. It is immutable once published.
+type workerListVersion struct {
 	workers     []Worker
 	requestedAt ids.Tick // when the list was requested from the platform
 	receivedAt  ids.Tick // when the answer came; slow-start times count from it
@@ -36,7 +36,7 @@
 }
 
 // find returns the worker with the given ID, or nil if it is not listed.
-func (r *workerList) find(id ids.WorkerID) *Worker {
+func (r *workerListVersion) find(id ids.WorkerID) *Worker {
 	for i := range r.workers {
 		if r.workers[i].ID == id {
 			return &r.workers[i]
@@ -47,7 +47,7 @@
 
 // changedSince returns the workers that changed after a version. It returns false if that version is
 // older than the retained changes.
-func (r *workerList) changedSince(version uint64) (map[ids.WorkerID]bool, bool) {
+func (r *workerListVersion) changedSince(version uint64) (map[ids.WorkerID]bool, bool) {
 	changed := map[ids.WorkerID]bool{}
 	at := r.version
 	for i := len(r.changes) - 1; i >= 0 && at != version; i-- {
@@ -64,9 +64,9 @@
 }
 
 // next returns the successor of this list. If version is 0, next assigns the version itself.
-func (r *workerList) next(list []Worker, version uint64, requestedAt, receivedAt ids.Tick) *workerList {
+func (r *workerListVersion) next(list []Worker, version uint64, requestedAt, receivedAt ids.Tick) *workerListVersion {
 	list = sortedByID(list)
-	out := &workerList{
+	out := &workerListVersion{
 		workers:     list,
 		requestedAt: requestedAt,
 		receivedAt:  receivedAt,
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -131,7 +131,7 @@
 	budget          *retrybudget.Budget
 	scores          routing.Scores               // kept across program sets
 	startupPrograms *fleetstate.CompiledPrograms // routing programs until the core has a set
-	workerList      atomic.Pointer[workerList]
+	currentList     atomic.Pointer[workerListVersion]
 	states          sync.Map // ids.WorkerID -> *workerState
 	slowStart       slowStart
 	peerReports     sync.Map // ids.NodeID -> peerReport
@@ -194,7 +194,7 @@
 		RenewInterval: options.RenewInterval,
 	})
 	n.usage = newUsageMeter(&n.options)
-	n.workerList.Store(&workerList{})
+	n.currentList.Store(&workerListVersion{})
 	n.runContext, n.stop = context.WithCancel(context.Background())
 	return n, nil
 }
@@ -287,7 +287,7 @@
 		return false, "draining"
 	case s.Version == 0:
 		return false, "no configuration is in force"
-	case len(n.workerList.Load().workers) == 0:
+	case len(n.currentList.Load().workers) == 0:
 		return false, "no worker is listed"
 	case n.versionStale():
 		return false, "the configuration may be out of date"
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -206,7 +206,7 @@
 func (n *Node) evaluateOutliers(s *fleetstate.Snapshot) {
 	now := n.now()
 	groups := map[workerGroup][]*outlierCandidate{}
-	list := n.workerList.Load()
+	list := n.currentList.Load()
 	for i := range list.workers {
 		w := &list.workers[i]
 		a := &outlierCandidate{worker: w, state: n.state(w.ID)}
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -109,7 +109,7 @@
 func (s *ejectionScenario) sampleEjections(f *fleet, now time.Duration) {
 	for _, node := range f.runningNodes() {
 		samples := map[workerGroup]*ejectionSample{}
-		for _, worker := range node.workerList.Load().workers {
+		for _, worker := range node.currentList.Load().workers {
 			group := workerGroup{worker.Service, worker.Role}
 			if samples[group] == nil {
 				samples[group] = &ejectionSample{at: now, node: node.ip, group: group}
@@ -568,7 +568,7 @@
 	for i := range 6 {
 		list = append(list, Worker{ID: ids.WorkerID(fmt.Sprint("w", i)), Service: "svc"})
 	}
-	n.workerList.Store(&workerList{workers: list})
+	n.currentList.Store(&workerListVersion{workers: list})
 	require.Equal(t, []Outcomes{
 		{"w0", 40, 20, 1},
 		{"w1", 30, 0, 0},
--- a/internal/proxy/peer_outcomes.go
+++ b/internal/proxy/peer_outcomes.go
@@ -160,7 +160,7 @@
 		failing[r.ID] = r.Failed > 3
 	}
 	total, failingCount := map[workerGroup]int{}, map[workerGroup]int{}
-	for _, w := range n.workerList.Load().workers {
+	for _, w := range n.currentList.Load().workers {
 		k := workerGroup{w.Service, w.Role}
 		total[k]++
 		if failing[w.ID] {
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -121,7 +121,7 @@
 ) []candidate {
 	var healthy, unhealthy, avoided []candidate
 	now := n.now()
-	list := n.workerList.Load()
+	list := n.currentList.Load()
 	rows := n.candidateIndexFor(list, s).byRole[serviceRole{service.Name, role}]
 	healthy = make([]candidate, 0, len(rows))
 	for i := range rows {
@@ -172,7 +172,7 @@
 // slowStartDelay repeats the check of slowStartAllows for a worker that was picked some time ago,
 // before others were tried.
 func (n *Node) slowStartDelay(id ids.WorkerID, service *fleetstate.Service) (time.Duration, bool) {
-	list := n.workerList.Load()
+	list := n.currentList.Load()
 	w := list.find(id)
 	if w == nil || !acceptsWork(n.snapshot(), w) {
 		return 0, false
@@ -215,7 +215,7 @@
 ) []candidate {
 	list := n.eligibleWorkers(s, service, ids.Prefill, tried)
 	prefixes, prefixTokens := prefixHashes(r)
-	rows := n.candidateIndexFor(n.workerList.Load(), s).byRole[serviceRole{service.Name, ids.Prefill}]
+	rows := n.candidateIndexFor(n.currentList.Load(), s).byRole[serviceRole{service.Name, ids.Prefill}]
 	preferred := make([]ids.WorkerID, len(prefixes))
 	for i, prefix := range prefixes {
 		preferred[i] = preferredWorker(prefix, rows, n.isNotServing)
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -57,7 +57,7 @@
 					require.Same(t, n.state(c.worker.ID), c.state)
 				}
 				require.Equal(t, want, got)
-				require.Equal(t, preferred, preferredWorker(77, n.candidateIndexFor(n.workerList.Load(), s).byRole[serviceRole{
+				require.Equal(t, preferred, preferredWorker(77, n.candidateIndexFor(n.currentList.Load(), s).byRole[serviceRole{
 					"s", role,
 				}], n.isNotServing))
 			}
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -268,7 +268,7 @@
 // allNodesReady reports whether all running nodes are ready and have workers on their lists.
 func (f *fleet) allNodesReady() bool {
 	for _, node := range f.runningNodes() {
-		if ready, _ := node.Ready(); !ready || len(node.workerList.Load().workers) == 0 {
+		if ready, _ := node.Ready(); !ready || len(node.currentList.Load().workers) == 0 {
 			return false
 		}
 	}
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -150,7 +150,7 @@
 	balance *roleBalance,
 	changes map[ids.WorkerID]*roleChange,
 ) {
-	list := n.workerList.Load()
+	list := n.currentList.Load()
 	listed := map[ids.WorkerID]*Worker{}
 	changeRunning := false
 	for i := range list.workers {
@@ -235,7 +235,7 @@
 // mayBeListedElsewhere reports whether a worker that this service doesn't list belongs to another
 // service, or may do so because no list is known.
 func (n *Node) mayBeListedElsewhere(id ids.WorkerID) bool {
-	list := n.workerList.Load()
+	list := n.currentList.Load()
 	return len(list.workers) == 0 || list.find(id) != nil
 }
 
--- a/internal/proxy/unavailable_workers_test.go
+++ b/internal/proxy/unavailable_workers_test.go
@@ -101,7 +101,7 @@
 		platform.withLock(func() { platform.listFails = true })
 		platform.restartWorker("svc-decode-1")
 		n := f.nodes[0]
-		for _, w := range n.workerList.Load().workers {
+		for _, w := range n.currentList.Load().workers {
 			if w.ID == "svc-decode-1.1" {
 				n.state(w.ID).markReplaced()
 				n.suspect(w)
--- a/internal/proxy/worker_list.go
+++ b/internal/proxy/worker_list.go
@@ -139,7 +139,7 @@
 	now := n.now()
 	n.peerReports.Store(request.Node, peerReport{now, request.Prefills, request.Outcomes, request.SubtreeOutcomes})
 	changed := n.listChanged.next()
-	list := n.workerList.Load()
+	list := n.currentList.Load()
 	if list.version == request.Version {
 		n.recordPeerLoads(request.Loads, list.workers)
 		if now.Since(list.requestedAt) < listMaxAge && waitForChange(ctx, changed, time.Duration(request.MaxWait)) {
@@ -153,7 +153,7 @@
 	out := n.listSince(request)
 	now = n.now()
 	out.Prefills, out.Outcomes = n.prefillsWithout(request.Node, true), n.outcomesWithout(request.Node)
-	out.LoadSeq, out.Loads = n.loads.since(request.LoadSeq, n.workerList.Load().workers, now, everyService)
+	out.LoadSeq, out.Loads = n.loads.since(request.LoadSeq, n.currentList.Load().workers, now, everyService)
 	return out, nil
 }
 
@@ -178,7 +178,7 @@
 // or with all rows if that version is too old.
 func (n *Node) listSince(request *ListRequest) *ListResponse {
 	now := n.now()
-	list := n.workerList.Load()
+	list := n.currentList.Load()
 	out := &ListResponse{
 		Node:    n.self.Node,
 		Version: list.version,
@@ -260,7 +260,7 @@
 // installListVersion installs a list. Version is the version that another node assigned to it, or 0
 // if this node fetched the list itself. The state of workers that are no longer listed is deleted.
 func (n *Node) installListVersion(list []Worker, version uint64, requestedAt, receivedAt ids.Tick) {
-	previous := n.workerList.Load()
+	previous := n.currentList.Load()
 	next := previous.next(list, version, requestedAt, receivedAt)
 	if next.seq != previous.seq {
 		listed := make(map[ids.WorkerID]bool, len(list))
@@ -275,7 +275,7 @@
 		})
 		n.loads.prune(listed)
 	}
-	n.workerList.Store(next)
+	n.currentList.Store(next)
 	if next.version != previous.version {
 		n.listChanged.notify()
 	}
