--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -123,7 +123,7 @@
 	ctx context.Context,
 	fence ids.Fence,
 	requestedAt ids.Tick,
-	action *fleetstate.DutyAct,
+	action *fleetstate.DutyAction,
 	call Call,
 ) error {
 	operationFence, end, ok := r.agent.BeginOperation(r.key)
@@ -154,7 +154,7 @@
 	ctx context.Context,
 	command *fleetstate.DutyRound,
 	timeout time.Duration,
-) (*fleetstate.DutyAct, error) {
+) (*fleetstate.DutyAction, error) {
 	submitContext, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	op := ids.OpID("duty/" + coordination.NewID())
@@ -166,5 +166,5 @@
 	if _, err := reply.UnmarshalMsg(response.Body); err != nil {
 		return nil, failure.As(err, failure.InvalidArgument, "read round", command.Subject)
 	}
-	return &reply.Act, nil
+	return &reply.Action, nil
 }
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -138,7 +138,7 @@
 			require.Equal(t, tc.code, got, "%s %s %s", tc.request.Op, name, text)
 			require.Contains(t, text, tc.text, tc.request.Op)
 		}
-		require.Equal(t, uint64(1), c.ProcessesOf("router")[0].Node.Show().Newest)
+		require.Equal(t, uint64(1), c.ProcessesOf("router")[0].Node.CurrentPolicy().Newest)
 		got, _, _ := faultFields(t, c.SetOutOfService("/v1/zones/moon", "z", true))
 		require.Equal(t, 404, got)
 	})
@@ -157,7 +157,7 @@
 		repeated, err := c.Apply(apply)
 		require.NoError(t, err, "the base is outdated only because of this operation")
 		require.Equal(t, first.Version, repeated.Version)
-		apply.Partial, apply.Source = false, string(c.ProcessesOf("router")[0].Node.Show().Policy)
+		apply.Partial, apply.Source = false, string(c.ProcessesOf("router")[0].Node.CurrentPolicy().Policy)
 		repeated, err = c.Apply(apply)
 		require.NoError(t, err, "the same holds for a complete policy")
 		require.Equal(t, first.Version, repeated.Version)
@@ -166,7 +166,7 @@
 			got, _, _ := faultFields(t, err)
 			require.Equal(t, 409, got)
 		}
-		require.Equal(t, first.Version, c.ProcessesOf("router")[0].Node.Show().Newest)
+		require.Equal(t, first.Version, c.ProcessesOf("router")[0].Node.CurrentPolicy().Newest)
 	})
 }
 
--- a/internal/simulation/network_and_worker_scripts_test.go
+++ b/internal/simulation/network_and_worker_scripts_test.go
@@ -220,7 +220,7 @@
 				if acknowledged != 1 {
 					return fmt.Errorf("round %d: %d of two concurrent changes were acknowledged", n, acknowledged)
 				}
-				c.WaitUntil(3*time.Second, func() bool { return c.ProcessesOf("router")[0].Node.Show().Version > state.Version })
+				c.WaitUntil(3*time.Second, func() bool { return c.ProcessesOf("router")[0].Node.CurrentPolicy().Version > state.Version })
 			}
 			return nil
 		},
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -22,7 +22,7 @@
 	state := &api.ActivePolicy{}
 	c.WaitUntil(3*time.Second, func() bool {
 		for _, p := range running(c, "router") {
-			if s := p.Node.Show(); s.Version >= state.Version {
+			if s := p.Node.CurrentPolicy(); s.Version >= state.Version {
 				state = s
 			}
 		}
@@ -188,12 +188,12 @@
 	}
 	c.Recorder.mu.Unlock()
 	for _, p := range c.ProcessesOf("router") {
-		if p.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(p.Node.Show().Version) >= newest }) {
+		if p.Up && !c.WaitUntil(5*time.Second, func() bool { return ids.Version(p.Node.CurrentPolicy().Version) >= newest }) {
 			violations.add(
 				ConfigurationLost,
 				"%s has version %d, but version %d was acknowledged",
 				p.Name,
-				p.Node.Show().Version,
+				p.Node.CurrentPolicy().Version,
 				newest,
 			)
 		}
