--- a/coordination/chunks.go
+++ b/coordination/chunks.go
@@ -111,8 +111,8 @@
 	})
 }
 
-// handleChunk saves a chunk of the proposer that this register has made a promise to, or, for a request
-// without a body, returns a chunk to a voter that prefetches them.
+// handleChunk saves a chunk sent by a proposer if this core has promised the proposer's epoch. For a
+// request without a body, it returns a chunk to a voter that prefetches the primary's chunks.
 func (c *Core) handleChunk(_ context.Context, request *ChunkRequest) (*ChunkResponse, error) {
 	if request.Body != nil {
 		if _, promised := c.acceptedRecord(); promised != request.Epoch {
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -73,10 +73,10 @@
 	zones          map[string]ids.Zone // by the IP address of a core
 }
 
-// newCluster starts three cores that tolerate one loss.
+// newCluster starts three cores, of which one may fail.
 func newCluster(seed uint64) *testCluster { return newClusterOfSize(seed, 3, 1) }
 
-// newClusterOfSize starts a number of cores that tolerate a number of simultaneous losses.
+// newClusterOfSize starts the given number of cores, of which faultTolerance may fail at the same time.
 func newClusterOfSize(seed uint64, cores, faultTolerance int) *testCluster {
 	return newClusterInZones(seed, cores, faultTolerance)
 }
--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -22,8 +22,8 @@
 	newClusterOffset = 1_000_000
 )
 
-// forceNewCluster creates a new cluster from this disk's data and empty machines, or says why it
-// refuses to.
+// forceNewCluster creates a new cluster from this disk's data and empty machines, or returns an
+// error with the reason why it refuses to.
 func (c *Core) forceNewCluster(ctx context.Context) error {
 	record, _ := c.acceptedRecord()
 	switch {
@@ -65,8 +65,9 @@
 	return failure.New(failure.InvalidArgument, "found anew", c.self.Addr, format, args...)
 }
 
-// awaitSpares waits until it has heard from enough empty machines, and for newClusterMinWait at least. It
-// returns an error if it hears from another voter or of a newer record.
+// awaitSpares waits at least newClusterMinWait, until enough machines with empty disks have responded. It
+// returns an error if another voter responds, if a newer record or another cluster is reported, or after
+// newClusterMaxWait.
 func (c *Core) awaitSpares(ctx context.Context, record Record) ([]Replica, error) {
 	needed := 2 * record.faultTolerance()
 	start := c.options.Host.Clock.Now()
--- a/coordination/freshness.go
+++ b/coordination/freshness.go
@@ -13,7 +13,7 @@
 // maxPendingConfirmations is the number of confirmations kept while the view is behind.
 const maxPendingConfirmations = 16
 
-// confirmation is one renewal that the core confirmed.
+// confirmation is a lease renewal that the core confirmed.
 type confirmation struct {
 	sentAt ids.Tick
 	seq    ids.Seq // last entry of the core's log
@@ -23,7 +23,7 @@
 type confirmations struct {
 	mu            sync.Mutex
 	pending       []confirmation // oldest first
-	appliedSentAt ids.Tick       // when the newest renewal that the view has reached was sent
+	appliedSentAt ids.Tick       // when the newest lease renewal whose log position the view has reached was sent
 }
 
 func (c *confirmations) add(conf confirmation) {
--- a/coordination/history.go
+++ b/coordination/history.go
@@ -13,8 +13,8 @@
 
 const (
 	digestBytes    = 16
-	historyEntries = 1024    // most entries kept for replicas that are behind
-	historyBytes   = 1 << 20 // most bytes of their bodies
+	historyEntries = 1024    // maximum number of entries kept for replicas that are behind
+	historyBytes   = 1 << 20 // maximum total size of their bodies in bytes
 )
 
 // logDigest returns the digest of a log extended by an entry.
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -153,7 +153,7 @@
 }
 
 // TestLeaveWithoutSpare makes each of three machines in turn leave and restart on the same disk,
-// while commands are submitted. Each handover completes, and takes less time than a takeover.
+// while commands are submitted. Each handoff completes, and takes less time than a takeover.
 func TestLeaveWithoutSpare(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, seed uint64) {
 		f := newCluster(seed)
--- a/internal/api/fault.go
+++ b/internal/api/fault.go
@@ -38,7 +38,7 @@
 	Error workerclient.Rejection `json:"error"`
 }
 
-// defaultRetryAfter is the retry delay for errors of the fleet that have none of their own.
+// defaultRetryAfter is the retry delay sent with an error that does not specify one.
 const defaultRetryAfter = time.Second
 
 // WriteError writes an error response. A Fault is written as it is; any other error gets the status that
--- a/internal/fleetstate/clock.go
+++ b/internal/fleetstate/clock.go
@@ -38,7 +38,7 @@
 }
 
 // advanceClockCommands returns the command that advances the bound, if it is due. Unless this replica
-// led continuously, the time continues from the logged bound, or starts from the wall clock if there
+// has been the primary without interruption, the time continues from the logged bound, or starts from the wall clock if there
 // is no bound yet. Without a bound and without regimes, there is no fleet time to advance.
 func (m *Machine) advanceClockCommands(now ids.Tick) []coordination.Command {
 	c := &m.clock
@@ -60,8 +60,8 @@
 	return []coordination.Command{{Kind: AdvanceClockKind, Body: coordination.MustMarshal(&AdvanceClock{c.bound})}}
 }
 
-// Time returns the fleet's time in nanoseconds since 1970, or 0 if this replica did not lead
-// continuously and so does not know it.
+// Time returns the fleet's time in nanoseconds since 1970, or 0 if this replica has not
+// been the primary without interruption, since it then does not know the time.
 func (m *Machine) Time(now ids.Tick) int64 {
 	if !m.clock.ledContinuously(now, m.timeBound) {
 		return 0
--- a/internal/fleetstate/duty_round_test.go
+++ b/internal/fleetstate/duty_round_test.go
@@ -68,8 +68,8 @@
 	require.NoError(t, err, "subjects are independent")
 }
 
-// TestDutyActionsBounded checks that the oldest acts beyond maxDutyActions are dropped, and that no round can
-// be won for them again.
+// TestDutyActionsBounded checks that the oldest actions beyond maxDutyActions are dropped, and that later
+// DutyRound requests for them are rejected.
 func TestDutyActionsBounded(t *testing.T) {
 	s := newState(false, Retention{})
 	for i := range uint64(maxDutyActions + 3) {
@@ -85,7 +85,7 @@
 }
 
 // TestDutyRoundsInSnapshot checks that a replica that was restored from a complete snapshot has the
-// same subjects and rejects a round of an earlier holder. Watchers receive neither the DutyRound
+// same duty subjects and rejects a DutyRound with a lower fencing token than the recorded one. Watchers receive neither the DutyRound
 // commands nor the subjects.
 func TestDutyRoundsInSnapshot(t *testing.T) {
 	m := NewMachine(MachineOptions{Metering: true})
--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -154,10 +154,10 @@
 	Done   bool
 }
 
-// DutyRound requests the right to perform one action of a duty, which is identified by its subject
-// and number. The first round for an action fixes its content. Number 0 stands for the action after
-// the newest. Done reports that the receiver outside the fleet accepted the action; it comes without
-// content.
+// DutyRound asks for permission to perform one action of a duty, which is identified by its subject
+// and number. The first request for an action fixes its content. Number 0 means the action after the
+// newest recorded one. A request with Done set reports that the external system accepted the action;
+// it has no content.
 type DutyRound struct {
 	Subject string
 	Number  uint64
@@ -179,7 +179,7 @@
 	Done    bool
 }
 
-// DutySubject is the state of a subject: the owner and fencing token of the last round won for it,
+// DutySubject is the state of a subject: the owner and fencing token of the last accepted DutyRound,
 // and the newest actions in the order of their numbers. Actions up to the number LastDropped were
 // dropped.
 type DutySubject struct {
@@ -305,7 +305,8 @@
 	EvacuatedZones []string        `msg:"Zones"`
 	DrainedWorkers []string        `msg:"Drained"`
 	RoleChanges    []RoleChange    `msg:"Turning"`
-	// Failbacks are the zones in slow start; FailbackCount counts all failbacks ever.
+	// Failbacks are the zones that are in slow start after their evacuation ended; FailbackCount is
+	// the total number of failbacks so far.
 	Failbacks       []Failback
 	FailbackCount   uint64              `msg:"Returns"`
 	ResolutionFence ids.Fence           `msg:"Fence"`
@@ -313,8 +314,8 @@
 	// Programs is the active program set, ProgramsPrepared those that are prepared.
 	Programs         VersionedText
 	ProgramsPrepared []VersionedText `msg:"ProgramsPending"`
-	// AgedRows are the rows of aged keys that are not sealed in a chunk yet; RecordCount counts
-	// all idempotency records ever made.
+	// AgedRows are the rows of aged keys that are not sealed in a chunk yet; RecordCount is
+	// the total number of idempotency records created so far.
 	AgedRows           []byte `msg:"Rows"`
 	RecordCount        int    `msg:"Count"`
 	CertificationState `msg:"Governed"`
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -34,7 +34,7 @@
 	maxRecords      int             // limit of recordCount from the active configuration; 0 for none
 	revocations     map[string]bool // by serial; true once every node enforces the revocation
 	timeBound       int64           // upper bound of the fleet's time, in ns since 1970
-	hasRegimes      bool            // the active configuration has regimes
+	hasRegimes      bool            // the active configuration defines a regime, that is, a rule that some requests need certified workers
 	auditLog        auditLog
 	dutySubjects    map[string]DutySubject
 }
--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -1,4 +1,4 @@
-// The controller takes one request through the steps of a hand-over: granted, prefilled, exported,
+// The controller takes one request through the steps of a handoff: granted, prefilled, exported,
 // imported, resumed, ended, or dropped at any of them. Memory for the whole answer is reserved
 // before anything runs. Resume waits for the complete KV cache and is the point of no return,
 // after which the decode worker may generate. No token is sent to the client before it.
@@ -47,7 +47,7 @@
 	Incarnation    ids.Incarnation
 }
 
-// Step is the progress of a hand-over.
+// Step is the progress of a handoff.
 type Step string
 
 const (
@@ -60,7 +60,7 @@
 	Dropped   Step = "dropped"   // the attempt was abandoned
 )
 
-// Event records that a hand-over reached a step.
+// Event records that a handoff reached a step.
 type Event struct {
 	ID     workerclient.ID `json:"Id"`
 	Step   Step            `json:"Stage"`
--- a/internal/handoff/controller_test.go
+++ b/internal/handoff/controller_test.go
@@ -1,4 +1,4 @@
-// Tests of the controller with a fake transport: the failures of a hand-over, and what the
+// Tests of the controller with a fake transport: the failures of a handoff, and what the
 // client then receives.
 
 package handoff
@@ -204,8 +204,8 @@
 	return got, took, err
 }
 
-// TestHandoffWithoutFaults checks that a hand-over without faults resumes once and delivers the
-// complete answer.
+// TestHandoffWithoutFaults checks that in a handoff without faults, decoding is resumed exactly once
+// and the complete response is delivered.
 func TestHandoffWithoutFaults(t *testing.T) {
 	s := &fakeTransport{}
 	got, _, err := runTask(t, s, true)
--- a/internal/proxy/event_gap.go
+++ b/internal/proxy/event_gap.go
@@ -1,6 +1,6 @@
-// Decode speed of workers, by the pauses between the events of their answers as this node sees them. A
-// worker that is far slower than others gets fewer requests, even if it has free capacity: an answer
-// whose pauses are too long is late until its end.
+// Decode speed of workers, measured by this node as the pauses between the events of their responses. A
+// worker that is far slower than others gets fewer requests, even if it has free capacity, because a
+// response whose pauses are too long is late until its end.
 
 package proxy
 
@@ -15,10 +15,11 @@
 	eventGapGain    = 16          // a new pause has the weight 1/eventGapGain
 	eventGapTTL     = time.Second // age above which a worker's pauses are ignored, so that it is tried again
 	slowDecodeRatio = 2.0         // multiple of the usual pause above which a worker is slow
-	slowDecodeCost  = 100.0       // ms for each further multiple
+	slowDecodeCost  = 100.0       // cost in ms for each further multiple
 )
 
-// meanEventGap is the moving average of the pauses between the events of a worker's answers.
+// eventGap holds the moving average of the pauses between the events of a worker's responses, and the
+// time of the last pause.
 type eventGap struct {
 	mean time.Duration
 	at   ids.Tick
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -334,7 +334,7 @@
 	return true
 }
 
-// dialStep is the step of failures in which no connection was established.
+// dialStep is the step named in an error if no connection was established.
 const dialStep = "dial"
 
 // NotDialled returns the failure of a request that was never sent because no connection was
--- a/internal/proxy/fake_platform_test.go
+++ b/internal/proxy/fake_platform_test.go
@@ -32,8 +32,8 @@
 	silentBeforeRun               // not executed; no response until the node gives up
 	resetMidResponse              // the connection is reset within an event in the middle of the response
 	foreignResponse               // the response belongs to another request
-	unstampedResponse             // status 200 without the worker's stamp
-	serverError                   // status 500 with the worker's stamp
+	unstampedResponse             // status 200 without the response header that a worker sets (FromWorker is false)
+	serverError                   // status 500 with this header
 	memoryLost                    // the worker can't fetch the prefilled memory
 )
 
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestDiscardedPrefillFreesMemory: the memory of a prefill that ends too late is freed, and its reservation
-// ends.
+// TestDiscardedPrefillFreesMemory: the memory of a prefill that ends after its result is no longer needed
+// is freed, and its reservation ends.
 func TestDiscardedPrefillFreesMemory(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 1, 1)...)
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -88,7 +88,7 @@
 				default:
 					platform.withLock(func() { platform.partitionedNodes[nodeIP(holder)] = true })
 				}
-				f.withLock(func() { holderNode.running = false }) // the fleet's helpers then ignore it
+				f.withLock(func() { holderNode.running = false }) // makes the test fleet's helper functions skip this node
 				defer func() {
 					f.withLock(func() { holderNode.running = fault != "killed" })
 					f.setFrozen(holder, false)
--- a/internal/proxy/metering.go
+++ b/internal/proxy/metering.go
@@ -175,7 +175,8 @@
 	return &UsageResponse{Time: n.usage.collector.Record(nodeCounts)}, nil
 }
 
-// reportUsage reports the windows that are over while this node owns the metering duty.
+// While this node owns the metering duty, reportUsage reports the usage of every metering window that
+// has ended.
 func (n *Node) reportUsage(ctx context.Context) {
 	if n.usage == nil {
 		return
@@ -194,7 +195,7 @@
 	}
 }
 
-// reportWindows reports the windows that are due, oldest first, and returns the first one that is still
+// reportWindows reports the usage of the windows that are due, oldest first, and returns the first one that is still
 // to be reported. Each report is recorded in the replicated log as an action of the duty before and
 // after it is sent, so that a window whose report is recorded as done is not sent again.
 func (n *Node) reportWindows(ctx context.Context, runner *duty.Runner, next uint64) uint64 {
--- a/internal/proxy/metering_test.go
+++ b/internal/proxy/metering_test.go
@@ -239,8 +239,8 @@
 	return out
 }
 
-// TestUsageReportedOncePerWindow: each window is reported once and in time, also a window without requests,
-// and the counts of each tenant add up to its executed requests.
+// TestUsageReportedOncePerWindow: each window, even one without requests, is reported exactly once and within
+// maxReportDelay after its end, and the counts of each tenant add up to its executed requests.
 func TestUsageReportedOncePerWindow(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		f, recorder := startMeteredFleet(t, 71, 4)
--- a/internal/proxy/role_balance.go
+++ b/internal/proxy/role_balance.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	roleChangeInterval      = 1200 * time.Millisecond // between two role changes of a service
-	activeRoleCheckInterval = 100 * time.Millisecond  // between two checks of the roles while workers change them
+	roleChangeInterval      = 1200 * time.Millisecond // minimum time between two role changes of a service
+	activeRoleCheckInterval = 100 * time.Millisecond  // time between two checks of the roles while workers change them
 	outageCheckDelay        = 80 * time.Millisecond   // wait after an outage before roles are checked, as several workers may fail at once
-	roleChangeTimeout       = 8 * time.Second         // after which an unfinished role change is abandoned
-	roleChangeNotice        = 350 * time.Millisecond  // for all nodes to learn of a role change
+	roleChangeTimeout       = 8 * time.Second         // time after which an unfinished role change is abandoned
+	roleChangeNotice        = 350 * time.Millisecond  // time allowed until all nodes know of a role change
 )
 
 // roleBalance is the state of role balancing for one service while this node owns its duty.
@@ -35,10 +35,10 @@
 	lastChangeEndedAt  ids.Tick // when the last role change ended
 	prefillPressure    float64  // exponentially smoothed, like decodePressure
 	decodePressure     float64
-	reportsCollectedAt ids.Tick                  // the last time
+	reportsCollectedAt ids.Tick                  // when reports were last collected
 	roleChangedAt      map[ids.WorkerID]ids.Tick // when each worker's last role change began
-	liveCounts         roleCounts                // when reports were last collected
-	lostCounts         roleCounts                // between the last two collections of reports
+	liveCounts         roleCounts                // live workers by role when reports were last collected
+	lostCounts         roleCounts                // workers lost between the last two collections of reports, by role
 	workersWentDown    bool                      // a worker was found to be down since reports were last collected
 }
 
--- a/internal/proxy/role_programs.go
+++ b/internal/proxy/role_programs.go
@@ -1,7 +1,7 @@
-// Role changes proposed by routing programs. The active program sees a service's workers by their
-// reports and selects one. Which workers it may select is decided beforehand: each role keeps its
-// minimum number of workers, and a worker keeps its role for the dwell time. If a role has no worker
-// at all, the built-in choice applies.
+// Role changes proposed by routing programs. The active program receives the reports of a
+// service's workers and selects the worker whose role changes. It is offered only workers whose role may
+// change: each role keeps its minimum number of workers, and a worker keeps its role for the dwell time.
+// If a role has no worker at all, the built-in choice applies.
 
 package proxy
 
--- a/internal/proxy/silent_workers_test.go
+++ b/internal/proxy/silent_workers_test.go
@@ -25,7 +25,8 @@
 	return out
 }
 
-// silenceAfter makes workers stop responding after a delay, and returns the platform's time of that.
+// silenceAfter makes workers stop responding after a delay, and returns the time, on the fake platform's
+// clock, at which they will stop.
 func silenceAfter(f *fleet, platform *fakePlatform, after time.Duration, names ...string) time.Duration {
 	silentFrom := platform.elapsed() + after
 	f.wg.Go(func() {
--- a/internal/proxy/worker_list.go
+++ b/internal/proxy/worker_list.go
@@ -125,7 +125,8 @@
 	outcomes   []Outcomes
 }
 
-// currentParentSums returns the totals of the list source, or empty ones once they have expired.
+// currentParentSums returns the totals last received from the list source, or empty totals if there are none
+// or they have expired.
 func (n *Node) currentParentSums(now ids.Tick) *parentSums {
 	if sums := n.parentSums.Load(); sums != nil && !now.Past(sums.receivedAt, 2*prefillLoadTTL) {
 		return sums
--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -32,8 +32,8 @@
 	To   ids.NodeID `json:"to"`
 }
 
-// PoolCapacity is the capacity of one role of a model's workers, in memory blocks. Pairs are the
-// values before and after the change.
+// PoolCapacity is the capacity of one role of a model's workers, in memory blocks. Each [2]int
+// field holds the values before and after the change.
 type PoolCapacity struct {
 	Model   string   `json:"model"`
 	Role    ids.Role `json:"part"`
@@ -43,7 +43,8 @@
 	Zones   [2]int   `json:"zones"`
 }
 
-// Forecast is the predicted effect of a change. Pairs are the values before and after it.
+// Forecast is the predicted effect of a change. Each [2]int field holds the values
+// before and after the change.
 type Forecast struct {
 	Version       ids.Version       `json:"version"`
 	WorkerChanges []string          `json:"workers"`
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -32,13 +32,13 @@
 	Platform          string
 	Host              host.Host
 	Ring              *logging.Ring
-	LeaseDuration     time.Duration // 3s
-	RenewInterval     time.Duration // 500ms
-	HeartbeatInterval time.Duration // 150ms between peers
-	PollInterval      time.Duration // 200ms between reports of a worker
-	ListInterval      time.Duration // 400ms between requests for the platform's worker list
-	OrphanTimeout     time.Duration // 2s, the same as the workers'
-	StreamTimeout     time.Duration // 1.2s of silence within a stream
+	LeaseDuration     time.Duration // default 3s
+	RenewInterval     time.Duration // default 500ms
+	HeartbeatInterval time.Duration // time between two heartbeats to a peer; default 150ms
+	PollInterval      time.Duration // time between two reports of a worker; default 200ms
+	ListInterval      time.Duration // time between two requests for the platform's worker list; default 400ms
+	OrphanTimeout     time.Duration // default 2s, the same as the workers'
+	StreamTimeout     time.Duration // maximum silence within a stream; default 1.2s
 	Trace             func(handoff.Event)
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// Node is one router node.
+// Node is a router process: it serves client requests and dispatches them to workers.
 type Node struct {
 	options      Options
 	self         coordination.Member
@@ -128,7 +128,7 @@
 	return n
 }
 
-// countEvent updates the counters from an event of the hand-over journal.
+// countEvent updates the counters from an event of the handoff journal.
 func (n *Node) countEvent(e handoff.Event) {
 	switch e.Step {
 	case handoff.Resumed:
--- a/internal/router/tracing/tracing.go
+++ b/internal/router/tracing/tracing.go
@@ -1,5 +1,5 @@
-// Package tracing writes hand-overs as traces in the OpenTelemetry JSON format, one line per
-// hand-over, with a span for the whole hand-over and a child span for each step. The traces are
+// Package tracing writes handoffs as traces in the OpenTelemetry JSON format, one line per
+// handoff, with a span for the whole handoff and a child span for each step. The traces are
 // derived from the node's event journal. Tracing is off unless a writer is configured.
 package tracing
 
@@ -20,11 +20,11 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// maxOpenHandovers limits the hand-overs that are collected at once. Of further ones only the last
+// maxOpenHandovers limits the handoffs that are collected at once. Of further ones only the last
 // event is written.
 const maxOpenHandovers = 4096
 
-// Writer collects the events of each hand-over and writes its trace when it ends.
+// Writer collects the events of each handoff and writes the handoff's trace at its end.
 type Writer struct {
 	mu      sync.Mutex
 	node    string
@@ -95,7 +95,7 @@
 	return &common.KeyValue{Key: key, Value: &common.AnyValue{Value: &common.AnyValue_StringValue{StringValue: v}}}
 }
 
-// buildTrace returns the trace of a hand-over.
+// buildTrace returns the trace of a handoff.
 func (w *Writer) buildTrace(id workerclient.ID, events []handoff.Event) *trace.TracesData {
 	scope := &trace.ScopeSpans{Scope: &common.InstrumentationScope{Name: "keelstair.example/internal/handoff"}}
 	resourceSpans := &trace.ResourceSpans{ScopeSpans: []*trace.ScopeSpans{scope},
--- a/internal/router/tracing/tracing_test.go
+++ b/internal/router/tracing/tracing_test.go
@@ -15,7 +15,7 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// TestHandoverTrace checks that a hand-over is written as one line when it ends, with one span per
+// TestHandoverTrace checks that a handoff is written as one line when it ends, with one span per
 // step under a common parent, and that a dropped one has the error status and its reason.
 func TestHandoverTrace(t *testing.T) {
 	var out bytes.Buffer
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -1,4 +1,4 @@
-// This file implements the transport of the hand-over controller, which picks eligible workers and
+// This file implements the transport of the handoff controller, which picks eligible workers and
 // sends them orders.
 
 package router
@@ -281,7 +281,7 @@
 	return !t.node.versionCurrent() || t.node.view.Current().Version != t.pickedVersion
 }
 
-// faultCount counts the hand-overs lost at a worker. It restarts after faultTTL without a loss.
+// faultCount counts the handoffs lost at a worker. It restarts after faultTTL without a loss.
 type faultCount struct {
 	count  int
 	lastAt ids.Tick
@@ -289,7 +289,7 @@
 
 const faultTTL = 3 * time.Second
 
-// ReportFault counts a lost hand-over against a worker. Which of the two workers of a hand-over
+// ReportFault counts a lost handoff against a worker. Which of the two workers of a handoff
 // failed is not known, so the caller reports both; the faulty one accumulates counts.
 func (t *transport) ReportFault(w ids.WorkerID) {
 	n := t.node
@@ -301,7 +301,7 @@
 	n.faults.Store(w, fault)
 }
 
-// recentlyFaulted reports whether a worker lost at least two hand-overs, the last of them within
+// recentlyFaulted reports whether a worker lost at least two handoffs, the last of them within
 // faultTTL. Such a worker is picked only if there is no other.
 func (n *Node) recentlyFaulted(w ids.WorkerID) bool {
 	v, ok := n.faults.Load(w)
--- a/internal/simulation/certification_model_test.go
+++ b/internal/simulation/certification_model_test.go
@@ -61,7 +61,7 @@
 	mu               sync.Mutex
 	certs            map[string]certification.Certificate
 	validPeriods     map[string]validPeriod // by serial
-	governedRequests map[string]string      // the regime of each governed request, by request id
+	governedRequests map[string]string      // the regime of each request that requires a certified worker, by request id
 	handoffEvents    []handoff.Event        // of governed requests
 	revocationTimes  []time.Duration        // how long each revocation took
 	stagingTimes     []time.Duration        // how long exported KV cache stayed staged
@@ -69,7 +69,7 @@
 }
 
 // NewCertificationModel creates a model. Its configure method must be passed to Build, since the model traces the
-// hand-offs from prefill to decode workers from the start.
+// handoffs from prefill to decode workers from the start.
 func NewCertificationModel() *CertificationModel {
 	key, _, err := certification.NewKey()
 	if err != nil {
@@ -247,8 +247,8 @@
 }
 
 // Check compares the events that the workers recorded with the certificates. It returns a violation for each
-// step, run or staged KV cache of a governed request on a worker that was not certified at the time. It also
-// collects how long exported KV cache stayed staged.
+// step, run or staged KV cache of a request that requires a certified worker, if the worker had no valid
+// certificate at the time, nor one that became invalid at most certificateGrace earlier. It also collects how long exported KV cache stayed staged.
 func (m *CertificationModel) Check(outcomes []standin.Outcome) []Violation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -310,7 +310,7 @@
 	return len(m.governedRequests)
 }
 
-// workersWithStep returns the workers of all hand-off events of governed requests with the given step, in order.
+// workersWithStep returns the workers of all handoff events of governed requests with the given step, in order.
 func (m *CertificationModel) workersWithStep(step handoff.Step) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -57,7 +57,7 @@
 	Seeds          []string
 	TuneWorker     func(*standin.WorkerOptions) // changes the options of a worker before it starts, if set
 	Programs       map[string]fleetstate.Program
-	OnHandoffEvent func(handoff.Event) // called for every step of every hand-off, if set
+	OnHandoffEvent func(handoff.Event) // called for every step of every handoff, if set
 	FixedRoles     bool                // disables the role changes of workers
 	ApplySlack     time.Duration       // extra time for an apply; if 0, the version must be active in its response
 	Retention      fleetstate.Retention
--- a/internal/simulation/idempotency_test.go
+++ b/internal/simulation/idempotency_test.go
@@ -1,5 +1,5 @@
-// Tests that a request with an idempotency key runs at most once, also if the key is sent to every router or a
-// router is killed during a hand-off.
+// Tests that a request with an idempotency key runs at most once, even if the key is sent to every router or a
+// router is killed during a handoff.
 
 package simulation
 
--- a/internal/simulation/kv_transfer_test.go
+++ b/internal/simulation/kv_transfer_test.go
@@ -19,7 +19,7 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// TestKVTransfer measures the times from the grant of a hand-off to the end of the prefill, to the import of the KV
+// TestKVTransfer measures the times from the grant of a handoff to the end of the prefill, to the import of the KV
 // cache and to the start of decoding, for requests with and without an idempotency key. The first token could be
 // sent at each of these steps. The KV cache has 256 MiB for 2048 tokens, and the workers send it at 1 or
 // 10 Gbit/s. The test runs only if KEELSTAIR_COMPARE is set.
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -1,4 +1,4 @@
-// The recorder collects the events of workers, the grants of hand-offs, the events of the script and the
+// The recorder collects the events of workers, the grants of handoffs, the events of the script and the
 // responses to configuration changes. The checkers read them after the run.
 
 package simulation
@@ -56,7 +56,7 @@
 	RequestCounts() map[string]standin.RequestCounts
 }
 
-// Grant is a hand-off that was granted, with the router and the configuration version active on it.
+// Grant is a handoff that was granted, with the router and the configuration version active on it.
 type Grant struct {
 	Node    string
 	Version ids.Version
@@ -125,7 +125,7 @@
 	v.found = append(v.found, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// Rules, named after the violation that must never occur.
+// The rules that the checks verify. Each is named after the violation that it forbids.
 const (
 	RunTwice                = "request run twice or finished twice"
 	RanThoughReportedNotRun = "request was run, but reported as not run"
@@ -305,7 +305,7 @@
 	}
 }
 
-// checkGrantVersions checks that no router grants a hand-off under an older version than one that any worker
+// checkGrantVersions checks that no router grants a handoff under an older version than one that any worker
 // received more than 250 ms before. It reports the first violation only.
 func (r *Recorder) checkGrantVersions(violations *violationList) {
 	firstReceived := map[ids.Version]time.Duration{}
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -23,8 +23,8 @@
 
 const (
 	releaseFolder   = "testdata/release-1"
-	releaseKeys     = 30 // requests with an idempotency key that the earlier release answered
-	releaseRetained = 4  // answers that it retained; older keys are in sealed chunks
+	releaseKeys     = 30 // requests with an idempotency key to which the earlier release responded
+	releaseRetained = 4  // idempotency records that it kept in full; older ones are reduced to fixed-size entries
 )
 
 // writeRelease is the environment variable that makes TestWriteRelease record the data directories.
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -111,7 +111,7 @@
 	return hex.EncodeToString(sum[:12])
 }
 
-// ReferenceOutput returns the output of a request that is processed by a single worker without a hand-over. The
+// ReferenceOutput returns the output of a request that is processed by a single worker without a handoff. The
 // output of every other run must be equal to it.
 func ReferenceOutput(
 	prompt []int32,
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -23,15 +23,15 @@
 	Role              ids.Role
 	Model             workerclient.Model
 	Capacity          int           // cache blocks
-	BlockSize         int           // tokens per cache block; 16
-	PrefillPerToken   time.Duration // prefill time per prompt token; 40us
-	StepTime          time.Duration // base time of a step; 4ms
-	StepPerRun        time.Duration // additional decode step time per run; 200us
-	ReportLag         time.Duration // age of the reports; 300ms
-	StagingTTL        time.Duration // how long exported KV cache stays staged; 5s
-	OrphanTimeout     time.Duration // limit for an import without a resume and for a run without a reader; 2s
-	WireBytesPerToken int           // nominal KV cache size, for the duration of a transfer; 64
-	TransferRate      int           // bytes per second between workers; 64 MiB
+	BlockSize         int           // tokens per cache block; default 16
+	PrefillPerToken   time.Duration // prefill time per prompt token; default 40us
+	StepTime          time.Duration // base time of a step; default 4ms
+	StepPerRun        time.Duration // additional decode step time per run; default 200us
+	ReportLag         time.Duration // age of the reports; default 300ms
+	StagingTTL        time.Duration // how long exported KV cache stays staged; default 5s
+	OrphanTimeout     time.Duration // limit for an import without a resume and for a run without a reader; default 2s
+	WireBytesPerToken int           // nominal KV cache size, for the duration of a transfer; default 64
+	TransferRate      int           // bytes per second between workers; default 64 MiB
 	Host              host.Host
 }
 
@@ -223,7 +223,7 @@
 	}
 }
 
-// drop removes a run, frees its blocks and records its fate. The caller holds mu.
+// drop removes a run, frees its blocks and records how it ended. The caller holds mu.
 func (w *Worker) drop(r *run, fate string) {
 	if _, ok := w.live[r.state.ID]; !ok {
 		return
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -1,4 +1,4 @@
-// These tests check the stand-in worker against the guarantees that the paper on the hand-over of requests tests, and
+// These tests check the stand-in worker against the guarantees that the paper on the handoff of requests tests, and
 // against those that the paper leaves open: arrival of the KV cache, lost KV cache, orphaned runs and fencing.
 
 package standin
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -1,7 +1,8 @@
 // Package rpc implements remote procedure calls between keelstair processes with
 // connect-go over HTTP/1.1 and a msgp codec. Handle registers a function under a
-// method name; Call calls it on the process at an address. An error keeps its kind
-// across the wire and gains the step and the peer.
+// method name; Call calls it on the process at an address. An error that the
+// remote process returns keeps its kind; the method name and the remote address are
+// added to it.
 package rpc
 
 import (
--- a/tools/suite/known.go
+++ b/tools/suite/known.go
@@ -24,7 +24,7 @@
 	"issue":   regexp.MustCompile(`^\d+$`),
 }
 
-// knownParser parses the list line by line.
+// knownParser parses the list of tests that are known to fail, line by line.
 type knownParser struct {
 	list      []knownFailure
 	problems  []string
@@ -33,8 +33,8 @@
 	fields    map[string]string // fields of the current entry, nil between entries
 }
 
-// parseKnown parses the list. It reports a problem for each line that is not a field, each missing, duplicate
-// or invalid field, and each test that is listed twice.
+// parseKnown parses the list of tests that are known to fail. It reports a problem for each line that is not a
+// field, each missing, duplicate or invalid field, and each test that is listed twice.
 func parseKnown(text string) (list []knownFailure, problems []string) {
 	p := &knownParser{names: map[string]bool{}}
 	for i, line := range strings.Split(text, "\n") {
--- a/tools/suite/suite_test.go
+++ b/tools/suite/suite_test.go
@@ -41,12 +41,12 @@
 	return evaluate(k, runs).failures
 }
 
-// entry returns an entry of the list for a test.
+// entry returns the text of a known-failure entry for the named test.
 func entry(name string) string {
 	return "test: " + name + "\ncommand: go test -run " + name + " ./a\nseen: a failure\nissue: 1\n\n"
 }
 
-// entries returns a list with an entry for each of the tests.
+// entries returns the text of a known-failure list with an entry for each named test.
 func entries(names ...string) string {
 	var b strings.Builder
 	for _, name := range names {
