--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -29,7 +29,9 @@
 // prepareProgress records what the commit of a prepared version waits for.
 type prepareProgress struct {
 	firstConsidered ids.Tick // when DueCommands of this replica first considered the version, or 0
-	seq             ids.Seq  // nodes must have applied the log up to this entry before the version is committed, unless the commit times out
+	// Nodes must have applied the log up to this entry before the version is committed, unless
+	// commitTimeout passes first.
+	seq ids.Seq
 }
 
 // commitTracker tracks when the prepared versions of one version history may be committed.
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -34,9 +34,11 @@
 	maxRecords      int             // limit of recordCount from the active configuration; 0 for none
 	revocations     map[string]bool // by serial; true once every node enforces the revocation
 	timeBound       int64           // upper bound of the fleet's time, in ns since 1970
-	hasRegimes      bool            // the active configuration defines a regime, that is, a rule that some requests need certified workers
-	auditLog        auditLog
-	dutySubjects    map[string]DutySubject
+	// hasRegimes is true if the active configuration defines at least one regime, that is, a set of
+	// request kinds that need certified workers.
+	hasRegimes   bool
+	auditLog     auditLog
+	dutySubjects map[string]DutySubject
 }
 
 func newState(claimsOnly bool, retention Retention) *State {
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -164,7 +164,8 @@
 // TestRetryBudgetOfPartitionedNode: a node that is partitioned from the coordination service no longer counts
 // as a member but continues to serve. The other node does not take over its share of the allowance, however
 // long the partition lasts. As soon as the other node may have stopped counting the partitioned node as a
-// member, the partitioned node retries at most ratio times the number of its requests, without an allowance. The test checks the calls of both nodes together.
+// member, the partitioned node retries at most ratio times the number of its requests, without an allowance.
+// The test checks the calls of both nodes together.
 func TestRetryBudgetOfPartitionedNode(t *testing.T) {
 	for _, partitionedBeforeLoad := range []time.Duration{0, 60 * time.Second, 5 * time.Minute} {
 		t.Run(partitionedBeforeLoad.String(), func(t *testing.T) {
--- a/internal/simulation/certification_model_test.go
+++ b/internal/simulation/certification_model_test.go
@@ -248,7 +248,8 @@
 
 // Check compares the events that the workers recorded with the certificates. It returns a violation for each
 // step, run or staged KV cache of a request that requires a certified worker, if the worker had no valid
-// certificate at the time, nor one that became invalid at most certificateGrace earlier. It also collects how long exported KV cache stayed staged.
+// certificate at the time, nor one that became invalid at most certificateGrace earlier. It also collects
+// how long exported KV cache stayed staged.
 func (m *CertificationModel) Check(outcomes []standin.Outcome) []Violation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/simulation/recorder_test.go
+++ b/internal/simulation/recorder_test.go
@@ -319,7 +319,7 @@
 			if v > g.Version && g.At > at+250*time.Millisecond {
 				violations.add(
 					ConfigurationStale,
-					"%s granted a hand-off under version %d, %.2f s after a worker received version %d",
+					"%s granted a handoff under version %d, %.2f s after a worker received version %d",
 					g.Node,
 					g.Version,
 					(g.At - at).Seconds(),
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -24,7 +24,7 @@
 const (
 	releaseFolder   = "testdata/release-1"
 	releaseKeys     = 30 // requests with an idempotency key to which the earlier release responded
-	releaseRetained = 4  // idempotency records that it kept in full; older ones are reduced to fixed-size entries
+	releaseRetained = 4  // idempotency records that it kept in full; older ones are fixed-size entries, sealed in chunks
 )
 
 // writeRelease is the environment variable that makes TestWriteRelease record the data directories.
