--- a/internal/fleetstate/clock.go
+++ b/internal/fleetstate/clock.go
@@ -38,8 +38,8 @@
 }
 
 // advanceClockCommands returns the command that advances the bound, if it is due. Unless this replica
-// has been the primary without interruption, the time continues from the logged bound, or starts from the wall clock if there
-// is no bound yet. Without a bound and without regimes, there is no fleet time to advance.
+// has been the primary without interruption, the time continues from the logged bound, or starts from
+// the wall clock if there is no bound yet. Without a bound and without regimes, there is no fleet time to advance.
 func (m *Machine) advanceClockCommands(now ids.Tick) []coordination.Command {
 	c := &m.clock
 	if m.timeBound == 0 && !m.hasRegimes {
--- a/internal/fleetstate/duty_round_test.go
+++ b/internal/fleetstate/duty_round_test.go
@@ -85,8 +85,8 @@
 }
 
 // TestDutyRoundsInSnapshot checks that a replica that was restored from a complete snapshot has the
-// same duty subjects and rejects a DutyRound with a lower fencing token than the recorded one. Watchers receive neither the DutyRound
-// commands nor the subjects.
+// same duty subjects and rejects a DutyRound with a lower fencing token than the recorded one.
+// Watchers receive neither the DutyRound commands nor the subjects.
 func TestDutyRoundsInSnapshot(t *testing.T) {
 	m := NewMachine(MachineOptions{Metering: true})
 	for _, subject := range []string{"b", "a"} {
--- a/internal/proxy/list_tree_test.go
+++ b/internal/proxy/list_tree_test.go
@@ -261,8 +261,8 @@
 }
 
 // TestListTreeAfterNodeLosses: the list holder, its child in the other of the two zones, or both at once are
-// killed or frozen, and workers leave at that moment and afterwards. All nodes learn of the departed workers within
-// the time limit, and few nodes request the worker list from the platform meanwhile.
+// killed or frozen, and workers leave at that moment and afterwards. All nodes learn of the departed
+// workers within the time limit, and few nodes request the worker list from the platform meanwhile.
 func TestListTreeAfterNodeLosses(t *testing.T) {
 	skipUnderRaceDetector(t)
 	for _, lost := range []string{"holder", "first node", "both"} {
