--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	electionTick = 60 * time.Millisecond // between two iterations, plus up to as much at random
+	electionTick = 60 * time.Millisecond // delay between two iterations; a random delay of up to the same length is added
 	longElection = time.Second           // more than an election takes that sends no snapshot
-	// added to the wait of a replica that is shutting down, so that it leads only if no other does
+	// leavingElectionDelay is added to the wait of a replica that is shutting down, so that it leads only if no other does
 	leavingElectionDelay = 2 * time.Second
 )
 
-// bootstrapPeers is the set of replicas met last, and the tick since which it has not changed.
+// bootstrapPeers holds the set of replicas found in the latest round of bootstrap, and the tick since which that
+// set has not changed.
 type bootstrapPeers struct {
 	replicas []Replica
 	since    ids.Tick
--- a/coordination/example_test.go
+++ b/coordination/example_test.go
@@ -143,8 +143,8 @@
 // startMember starts a core.
 func (f *testCluster) startMember(addr string) { f.startCore(addr, false) }
 
-// startCore starts a core, with force to form a new cluster from its disk. The channel receives the result
-// of its Run.
+// startCore starts a core. If force is set, the core forms a new cluster from its disk. The channel receives
+// the result of its Run.
 func (f *testCluster) startCore(addr string, force bool) chan error {
 	ip := addr[:len(addr)-2]
 	p := f.world.Machine(ip).Start()
--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	newClusterMinWait = 6 * time.Second // for voters that are alive after all
-	newClusterMaxWait = 2 * time.Minute // for enough empty machines
+	newClusterMinWait = 6 * time.Second // minimum time to wait for responses of other voters, in case some are still alive
+	newClusterMaxWait = 2 * time.Minute // maximum time to wait until enough empty machines have been found
 	// newClusterOffset is added to the epoch, fence and sequence number, since others may have used
 	// higher ones than this disk knows.
 	newClusterOffset = 1_000_000
 )
 
-// forceNewCluster creates a new cluster from this disk's data and empty machines, or says why it
-// refuses to.
+// forceNewCluster creates a new cluster from this disk's data and empty machines, or returns
+// an error with the reason if it refuses to.
 func (c *Core) forceNewCluster(ctx context.Context) error {
 	record, _ := c.acceptedRecord()
 	switch {
--- a/coordination/freshness.go
+++ b/coordination/freshness.go
@@ -10,10 +10,12 @@
 	"keelstair.example/ids"
 )
 
-// maxPendingConfirmations is the number of confirmations kept while the view is behind.
+// maxPendingConfirmations is the number of confirmations kept while the view has not applied the log
+// up to them.
 const maxPendingConfirmations = 16
 
-// confirmation is one renewal that the core confirmed.
+// confirmation describes a lease renewal that the core has confirmed: when it was sent, and the log position in
+// the response.
 type confirmation struct {
 	sentAt ids.Tick
 	seq    ids.Seq // last entry of the core's log
--- a/coordination/mass_restart_test.go
+++ b/coordination/mass_restart_test.go
@@ -18,8 +18,8 @@
 // search for the primary.
 func TestMassRestartSendsFewMemberLists(t *testing.T) {
 	const nodes = 150
-	// The change feed sends the list twice (snapshot and joins) and a peer once; the other half is for all
-	// other calls.
+	// Per start, the change feed sends a node the list twice (in the snapshot and with the joins) and a peer
+	// sends it once. The limit is twice that, to allow for all other calls.
 	const maxLists = 6
 	synctest.Test(t, func(t *testing.T) {
 		f := newCluster(7)
--- a/coordination/membership_test.go
+++ b/coordination/membership_test.go
@@ -238,7 +238,7 @@
 		require.NoError(t, f.submitNumber(4, "c", 5*time.Second))
 		require.Equal(t, sent, f.cores[primary].SnapshotsSent())
 		f.startMember(other + ":1")
-		time.Sleep(3 * time.Second) // the empty disk replaces it as a voter
+		time.Sleep(3 * time.Second) // wait until the restarted core, whose disk was wiped, has become a voter again
 		f.powerOff(primary)
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 		defer stop()
--- a/coordination/state.go
+++ b/coordination/state.go
@@ -60,7 +60,7 @@
 	joinKind    = "crux.join"
 	leaveKind   = "crux.leave"
 	assignKind  = "crux.deal"
-	maxOutcomes = 2048 // remembered per class of operations
+	maxOutcomes = 2048 // number of outcomes remembered per class of operations
 )
 
 // replicatedState is the state after the log entry with the sequence number seq.
--- a/coordination/store.go
+++ b/coordination/store.go
@@ -41,7 +41,7 @@
 	disk                 host.Disk
 	log                  host.Log
 	logName              string
-	logUnits             int // length of the log, see entryUnitBytes
+	logUnits             int // length of the log in units of an entry or entryUnitBytes bytes
 	timeout              time.Duration
 	pendingSteps         atomic.Int32
 	pendingRegisterSaves atomic.Int32
--- a/coordination/store_test.go
+++ b/coordination/store_test.go
@@ -97,7 +97,8 @@
 	return err
 }
 
-// newLateDiskCluster returns a cluster whose cores run on late disks and which has committed a first command.
+// newLateDiskCluster returns a cluster that has committed a first command. Each core uses a lateDisk, which can
+// delay the saving of a snapshot.
 func newLateDiskCluster(t *testing.T, seed uint64) (*testCluster, map[string]*lateDisk) {
 	f := newCluster(seed)
 	disks := map[string]*lateDisk{}
--- a/host/simulated/disk.go
+++ b/host/simulated/disk.go
@@ -81,8 +81,8 @@
 
 var errProcessDead = errors.New("the process is dead")
 
-// perform waits while the machine is frozen, while the disk is stalled, and for a write also for
-// the disk's delay. It then runs apply under the world's lock. If the process dies while perform
+// perform waits while the machine is frozen or the disk is stalled. A write also waits for the
+// disk's delay. perform then runs apply under the world's lock. If the process dies while perform
 // waits for the disk, applyTorn runs with probability 1/2 instead, unless it is nil. Errors contain
 // the given step.
 func (p *processDisk) perform(step string, write bool, apply, applyTorn func(d *disk)) error {
--- a/host/simulated/world.go
+++ b/host/simulated/world.go
@@ -54,7 +54,7 @@
 // bandwidth, separately for each direction.
 type networkInterface struct {
 	bytesPerSecond            int // 0 means unlimited
-	bytesSent                 int // total so far
+	bytesSent                 int // total number of bytes that the machine has sent
 	sendFreeAt, receiveFreeAt time.Time
 }
 
--- a/internal/handoff/controller.go
+++ b/internal/handoff/controller.go
@@ -193,8 +193,8 @@
 }
 
 // retryWait returns how long a task waits for the retry budget or, under a regime, for an eligible
-// worker. Pausing a stream that has begun is better than breaking it, so it waits long enough for
-// a budget that moves between holders. Before the first token it is better to fail fast.
+// worker. Once a stream has begun, a pause is better than an abort, so the task waits long enough for
+// the retry budget's key to move to another node. Before the first token, failing fast is better.
 func (f *handoffTask) retryWait() time.Duration {
 	if len(f.sent) > 0 {
 		return 6 * time.Second
--- a/internal/handoff/retry_after.go
+++ b/internal/handoff/retry_after.go
@@ -1,7 +1,8 @@
 // This file assigns Retry-After times to rejected requests. The node books retries into the coming
 // seconds: each second takes about as many as the node has recently completed per second, and a
 // rejected request gets a random time within the first second that is not full. Requests that are
-// rejected at once therefore return at the rate at which they can be served, and not all together.
+// rejected at the same time therefore return at the rate at which they can be served, and not all
+// together.
 
 package handoff
 
@@ -17,11 +18,11 @@
 const (
 	bookingHorizonSeconds = 16  // retries are booked at most this far ahead
 	overbookingFactor     = 1.3 // times the completion rate, since some retries are served sooner than estimated
-	defaultMinPerSecond   = 20  // the least retries per second, unless MinPerSecond is set
+	defaultMinPerSecond   = 20  // minimum number of retries booked for a second if MinPerSecond is 0
 )
 
 // RetryAfterScheduler assigns retry times to rejected requests. Its zero value is ready for use.
-// MinPerSecond is the least number of retries booked for a second; 0 means 20.
+// MinPerSecond is the minimum number of retries booked for a second; 0 means 20.
 type RetryAfterScheduler struct {
 	MinPerSecond   int
 	mu             sync.Mutex
--- a/internal/metering/clock.go
+++ b/internal/metering/clock.go
@@ -19,7 +19,7 @@
 	correction     atomic.Int64 // in nanoseconds
 }
 
-// NewClock returns a clock that starts at the current wall-clock time. It does not read the wall clock later.
+// NewClock returns a clock that starts at the current wall-clock time. The clock reads the host's wall clock only here.
 func NewClock(hostClock host.Clock) *Clock {
 	return &Clock{hostClock: hostClock, wallAtTickZero: hostClock.Wall().UnixNano() - int64(hostClock.Now())}
 }
@@ -30,17 +30,19 @@
 // Now returns the corrected time, in nanoseconds since 1970.
 func (c *Clock) Now() int64 { return c.OwnTime() + c.correction.Load() }
 
-// Correct sets the correction: how far this node's own clock is behind the median of the nodes' clocks.
+// Correct sets the correction, which is the time by which this node's uncorrected clock is behind the median of the
+// nodes' clocks. It is negative if the clock is ahead.
 func (c *Clock) Correct(behind time.Duration) { c.correction.Store(int64(behind)) }
 
 // Tick returns the time of the monotonic clock.
 func (c *Clock) Tick() ids.Tick { return c.hostClock.Now() }
 
-// Windows divides time into windows, and its value is their length. Window k begins k lengths after the start of
+// Windows is the length of the windows into which time is divided. Window k begins k lengths after the start of
 // 1970.
 type Windows time.Duration
 
-// At returns the number of the window that contains a time in nanoseconds since 1970, or 0 for an earlier time.
+// At returns the number of the window that contains a time in nanoseconds since 1970, or 0 for a time
+// before 1970.
 func (w Windows) At(unixNano int64) uint64 { return uint64(max(0, unixNano)) / uint64(w) }
 
 // End returns the time at which a window ends, in nanoseconds since 1970.
--- a/internal/metering/collector.go
+++ b/internal/metering/collector.go
@@ -17,21 +17,21 @@
 	Node          ids.NodeID
 	StartWindow   uint64 // the window in which the node started
 	OwnTime       int64  // the node's Clock.OwnTime when it built the report
-	EstimatedTime int64  // the node's Clock.Now; the collector regards the node's counts up to then as complete
+	EstimatedTime int64  // the node's Clock.Now; after this report, the collector regards its counts of the node up to then as complete
 	Rows          []Row
 }
 
 // nodeState is what the collector knows about one node.
 type nodeState struct {
-	reportedAt   ids.Tick
-	clockOffset  time.Duration // the node's OwnTime in its last report minus the collector's on arrival
+	reportedAt   ids.Tick      // when the collector received the node's last report
+	clockOffset  time.Duration // the node's OwnTime in its last report minus the collector's OwnTime when that report arrived
 	countedUntil int64         // the largest EstimatedTime of the node; its counts up to then are regarded as complete
 	counts       map[countKey]int
 }
 
-// Collector adds up the counts of the nodes. It keeps the counts of a node that has stopped. A restarted node
-// reports under another ID, so that its counts are added to those of its previous process. A Collector is safe
-// for concurrent use.
+// Collector adds up the counts of the nodes. It keeps the counts of a stopped node until Prune deletes their
+// windows. A restarted node reports under another ID, so that its counts are added to those of its previous
+// process. A Collector is safe for concurrent use.
 type Collector struct {
 	mu          sync.Mutex
 	clock       *Clock
@@ -44,8 +44,8 @@
 	return &Collector{clock: clock, nodes: map[ids.NodeID]*nodeState{}}
 }
 
-// Record records a node's report and returns the current time by the median of the clocks of all nodes that
-// reported within offsetMaxAge. For each window and tenant it keeps a node's largest count, so that repeated and
+// Record stores a node's report. It returns the current time according to the median clock of all nodes that
+// reported within offsetMaxAge, in nanoseconds since 1970. For each window and tenant it keeps a node's largest count, so that repeated and
 // reordered reports do not count a request twice.
 func (c *Collector) Record(report *NodeReport) int64 {
 	c.mu.Lock()
@@ -91,8 +91,8 @@
 	return c.firstWindow
 }
 
-// HasRecentMajority reports whether more than half of the given nodes reported within offsetMaxAge. Only then is
-// the median of the clocks reliable.
+// HasRecentMajority reports whether more than half of the given nodes reported within offsetMaxAge. The median
+// of the clocks is regarded as reliable only if they did.
 func (c *Collector) HasRecentMajority(nodes []ids.NodeID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +117,7 @@
 	return true
 }
 
-// Sum returns the number of requests of each tenant in a window, over all nodes.
+// Sum returns, for each tenant, the number of requests that all nodes together have reported for a window.
 func (c *Collector) Sum(window uint64) map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/metering/ledger.go
+++ b/internal/metering/ledger.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// KeptWindows is the number of windows before the current one whose counts are kept.
+// KeptWindows is the number of past windows whose counts are kept in addition to the current window's.
 const KeptWindows = 8
 
 // Row is the number of a tenant's requests that one node has counted in a window so far.
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -29,7 +29,7 @@
 	retries          [bucketCount + 1]int
 	lastBucket       int64    // number of the newest bucket since tick 0, not its index in the ring
 	maxNodes         int      // the largest number of visible nodes in the current period of NodeCountTTL
-	periodStart      ids.Tick // the start of that period
+	periodStart      ids.Tick // the start of the current period of NodeCountTTL
 	previousMaxNodes int      // the largest number of visible nodes in the previous period
 }
 
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -127,7 +127,7 @@
 
 // observePeer processes a peer's heartbeat. It notes the version before it records the heartbeat,
 // so that the heartbeat never counts as a confirmation while its version is unknown. A version
-// newer than any prepared here is fetched from that peer at once.
+// newer than any that this node has received is fetched from that peer at once.
 func (n *Node) observePeer(ctx context.Context, m coordination.Member, heartbeat *Heartbeat, requestedAt ids.Tick) {
 	if !n.view.NoteVersion(heartbeat.Version) {
 		go n.agent.Fetch(ctx, m.Addr)
@@ -212,8 +212,8 @@
 	}
 }
 
-// versionCurrent reports whether the version in force here is the newest one that this node knows,
-// and whether the node would have learned of a newer one (see recentlyConfirmed).
+// versionCurrent reports whether this node uses the newest version that it knows and would have
+// learned of a newer one, because the core or a majority of the members confirmed recently.
 func (n *Node) versionCurrent() bool { return n.view.UpToDate() && n.recentlyConfirmed() }
 
 // recentlyConfirmed reports whether this node would have learned of a newer version. Within the
--- a/internal/router/messages.go
+++ b/internal/router/messages.go
@@ -19,9 +19,10 @@
 
 // Names of the RPC methods. They are part of the protocol between releases.
 const (
-	// OrderMethod sends an OrderRequest to the holder of a worker's key.
+	// OrderMethod is the RPC that sends an OrderRequest to the node that holds the worker's key.
 	OrderMethod = "verge/order"
-	// SpendMethod takes a token from the retry budget at the holder of its key.
+	// SpendMethod is the RPC that takes a token from the retry budget. It is sent to the node that
+	// holds the budget's key.
 	SpendMethod     = "verge/spend"
 	heartbeatMethod = "verge/beat"
 )
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -32,13 +32,13 @@
 	Platform          string
 	Host              host.Host
 	Ring              *logging.Ring
-	LeaseDuration     time.Duration // 3s
-	RenewInterval     time.Duration // 500ms
-	HeartbeatInterval time.Duration // 150ms between peers
-	PollInterval      time.Duration // 200ms between reports of a worker
-	ListInterval      time.Duration // 400ms between requests for the platform's worker list
-	OrphanTimeout     time.Duration // 2s, the same as the workers'
-	StreamTimeout     time.Duration // 1.2s of silence within a stream
+	LeaseDuration     time.Duration // default 3s
+	RenewInterval     time.Duration // default 500ms
+	HeartbeatInterval time.Duration // interval between heartbeats to peers; default 150ms
+	PollInterval      time.Duration // interval between requests for a worker's report; default 200ms
+	ListInterval      time.Duration // interval between requests for the platform's worker list; default 400ms
+	OrphanTimeout     time.Duration // default 2s, the same as the workers' orphan timeout
+	StreamTimeout     time.Duration // maximum silence within a stream; default 1.2s
 	Trace             func(handoff.Event)
 }
 
--- a/internal/router/operator.go
+++ b/internal/router/operator.go
@@ -107,13 +107,13 @@
 	return n.awaitApplied(ctx, r, true)
 }
 
-// staleError returns the answer to a configuration whose base is not the newest version.
+// staleError returns the error response for a configuration whose base is not the newest version.
 func (n *Node) staleError(base uint64, s *fleetstate.Snapshot) error {
 	return api.Stale(base, uint64(max(s.NewestReceivedVersion, s.Version)))
 }
 
-// operatorError returns the answer for a failed operation, which says whether it certainly had no
-// effect.
+// operatorError returns the error response for a failed operation. The response states whether it
+// is certain that the operation had no effect.
 func (n *Node) operatorError(err error) error { return api.SubmitError(err, n.retryDelay()) }
 
 // awaitApplied waits up to two seconds until this node has applied the operation and, if wait is
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -30,7 +30,7 @@
 	pickedVersion ids.Version
 	kind          string
 	regime        string       // the certification regime that governs the request; empty if it needs no certified worker
-	pickedRole    ids.Role     // the role of the last pick
+	pickedRole    ids.Role     // the role for which workers were last picked
 	memorySource  ids.WorkerID // the worker that the KV memory is imported from
 	auditSteps    []fleetstate.AuditStep
 	startRecorded bool // the audit row of the start has been appended
--- a/internal/router/worker_duty.go
+++ b/internal/router/worker_duty.go
@@ -171,7 +171,7 @@
 	if !ok {
 		return nil, failure.New(failure.DataLost, "find worker", string(request.Worker), "the platform does not list it")
 	}
-	upToDate := n.view.NoteVersion(request.Version) // no version newer than the one in force here is known
+	upToDate := n.view.NoteVersion(request.Version) // whether this node knows of no version newer than the one it uses
 	header := workerclient.OrderHeader{Fence: fence, Version: n.view.Current().Version}
 	identity, err := decodeIdentity(request)
 	if err != nil {
@@ -240,7 +240,8 @@
 	return n.workerClient.Import(ctx, addr, order)
 }
 
-// notReservedError is the error for an order that has no reserved memory or no known source.
+// notReservedError is the error for an order for which no memory is reserved or whose source worker
+// is not in the worker list.
 func notReservedError(request *OrderRequest) error {
 	return failure.New(failure.NotExecuted, request.Verb, string(request.Worker),
 		"no memory is reserved for %s, or the source worker is not listed", request.Request)
