--- a/coordination/agent_clock_test.go
+++ b/coordination/agent_clock_test.go
@@ -1,4 +1,5 @@
-// Tests an agent's bounds of the fleet time, its Current state, and the nodes eligible for a key.
+// These tests check the bounds that an agent gives for the fleet's time, whether it regards its state as current,
+// and which nodes are eligible for a key.
 
 package coordination
 
--- a/coordination/election_loop.go
+++ b/coordination/election_loop.go
@@ -22,8 +22,8 @@
 	leavingElectionDelay = 2 * time.Second
 )
 
-// bootstrapPeers holds the set of replicas found in the latest round of bootstrap, and the tick since which that
-// set has not changed.
+// bootstrapPeers holds the set of replicas that bootstrap last found, and the tick since which that set has not
+// changed.
 type bootstrapPeers struct {
 	replicas []Replica
 	since    ids.Tick
--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -65,8 +65,8 @@
 	return failure.New(failure.InvalidArgument, "found anew", c.self.Addr, format, args...)
 }
 
-// awaitSpares waits until it has heard from enough empty machines, and for newClusterMinWait at least. It
-// returns an error if it hears from another voter or of a newer record.
+// awaitSpares waits until enough empty machines have responded, and for newClusterMinWait at least. It
+// returns an error if another voter responds or if it learns of a newer record.
 func (c *Core) awaitSpares(ctx context.Context, record Record) ([]Replica, error) {
 	needed := 2 * record.faultTolerance()
 	start := c.options.Host.Clock.Now()
--- a/coordination/leader.go
+++ b/coordination/leader.go
@@ -43,7 +43,7 @@
 	stopped             chan struct{}
 	ledSince            ids.Tick
 	membershipChangedAt ids.Tick // when the membership was last changed
-	assignAfter         ids.Tick // no key is assigned before
+	assignAfter         ids.Tick // no key is assigned before this tick
 	leases              map[ids.NodeID]*nodeLease
 	heartbeatAt         ids.Tick // when heartbeats were last sent
 }
--- a/coordination/state.go
+++ b/coordination/state.go
@@ -70,7 +70,7 @@
 	members      map[ids.NodeID]Member
 	grants       map[ids.Key]Grant
 	outcomes     map[ids.OpID]Outcome
-	outcomeOrder map[string][]ids.OpID // by class, oldest first
+	outcomeOrder map[string][]ids.OpID // operation ids, oldest first, by class (the part of the id before the first slash)
 	machine      StateMachine
 	digest       []byte // of the log up to seq
 	history      history
--- a/coordination/store.go
+++ b/coordination/store.go
@@ -41,7 +41,7 @@
 	disk                 host.Disk
 	log                  host.Log
 	logName              string
-	logUnits             int // length of the log in units of an entry or entryUnitBytes bytes
+	logUnits             int // length of the log: one unit per entry, plus one per entryUnitBytes bytes of it
 	timeout              time.Duration
 	pendingSteps         atomic.Int32
 	pendingRegisterSaves atomic.Int32
--- a/coordination/store_test.go
+++ b/coordination/store_test.go
@@ -22,7 +22,7 @@
 // lateDisk is a disk that can delay the next snapshot, and that counts saved snapshots and open logs.
 type lateDisk struct {
 	host.Disk
-	saveDelay                time.Duration // of the next snapshot, if positive
+	saveDelay                time.Duration // delay of the next snapshot, if positive
 	savedSnapshots, openLogs atomic.Int32
 }
 
--- a/internal/api/streams.go
+++ b/internal/api/streams.go
@@ -88,7 +88,7 @@
 	Put(StreamEvent) error
 }
 
-// Server serves clients' requests.
+// Server executes inference requests of clients and reports whether the node is ready for them.
 type Server interface {
 	// Serve executes a request and writes its events to out. An error before the first event sets the HTTP
 	// status (see WriteError); after it, the last event states how the stream ended.
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	claimTimeout = 900 * time.Millisecond // for claiming an action in the replicated log
+	claimTimeout = 900 * time.Millisecond // time limit for claiming an action in the replicated log
 	// startTimeout is the time, counted from the request for its claim, within which an action must start.
 	startTimeout = 1500 * time.Millisecond
 	// CallTimeout limits the duration of a call and of its connection, which a Call must close when its context
 	// ends. It must be shorter than the time that a new owner waits before its first call; NewRunner does not
 	// check this.
 	CallTimeout = 2 * time.Second
-	doneTimeout = 700 * time.Millisecond // for recording in the replicated log that an action is done
+	doneTimeout = 700 * time.Millisecond // time limit for recording in the replicated log that an action is done
 )
 
 // ErrMayNotAct is returned if this node does not own the key, has not owned it for long enough, or can no longer
@@ -41,7 +41,8 @@
 	Submit(ctx context.Context, op ids.OpID, kind string, body []byte) (*coordination.SubmitResponse, error)
 }
 
-// Action is an action that this node has claimed and that a Call performs.
+// Action is an operation on an external system. This node has claimed it in the replicated log, and a Call performs
+// it.
 type Action struct {
 	Owner   ids.NodeID
 	Fence   ids.Fence
--- a/internal/fleetstate/delta_test.go
+++ b/internal/fleetstate/delta_test.go
@@ -1,5 +1,3 @@
-// These tests check deltas between texts.
-
 package fleetstate
 
 import (
--- a/internal/fleetstate/messages.go
+++ b/internal/fleetstate/messages.go
@@ -310,7 +310,8 @@
 	FailbackCount   uint64              `msg:"Returns"`
 	ResolutionFence ids.Fence           `msg:"Fence"`
 	Records         []IdempotencyRecord `msg:"Deeds"`
-	// Programs is the active program set, ProgramsPrepared those that are prepared.
+	// Programs is the active program set. ProgramsPrepared contains the newer program sets that are
+	// not active yet, oldest first.
 	Programs         VersionedText
 	ProgramsPrepared []VersionedText `msg:"ProgramsPending"`
 	// AgedRows are the rows of aged keys that are not sealed in a chunk yet; RecordCount counts
--- a/internal/fleetstate/tenants_test.go
+++ b/internal/fleetstate/tenants_test.go
@@ -1,5 +1,3 @@
-// Tests of tenants and their keys.
-
 package fleetstate
 
 import (
--- a/internal/handoff/retry_after.go
+++ b/internal/handoff/retry_after.go
@@ -18,11 +18,12 @@
 const (
 	bookingHorizonSeconds = 16  // retries are booked at most this far ahead
 	overbookingFactor     = 1.3 // times the completion rate, since some retries are served sooner than estimated
-	defaultMinPerSecond   = 20  // minimum number of retries booked for a second if MinPerSecond is 0
+	defaultMinPerSecond   = 20  // lower bound of the limit of retries per second if MinPerSecond is 0
 )
 
 // RetryAfterScheduler assigns retry times to rejected requests. Its zero value is ready for use.
-// MinPerSecond is the minimum number of retries booked for a second; 0 means 20.
+// MinPerSecond is the lower bound of the number of retries that may be booked for a second; 0
+// means 20.
 type RetryAfterScheduler struct {
 	MinPerSecond   int
 	mu             sync.Mutex
--- a/internal/metering/collector.go
+++ b/internal/metering/collector.go
@@ -17,7 +17,7 @@
 	Node          ids.NodeID
 	StartWindow   uint64 // the window in which the node started
 	OwnTime       int64  // the node's Clock.OwnTime when it built the report
-	EstimatedTime int64  // the node's Clock.Now; after this report, the collector regards its counts of the node up to then as complete
+	EstimatedTime int64  // the node's Clock.Now when it built the report; after this report, the collector regards its counts of the node up to then as complete
 	Rows          []Row
 }
 
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -233,8 +233,8 @@
 	}
 }
 
-// releasePrefillReservation ends the reservation on the prefill worker, which keeps no memory for
-// this exchange any more.
+// releasePrefillReservation ends the reservation on the prefill worker. It is called when that worker
+// no longer holds KV cache for this exchange, or is about to free it.
 func (t *exchange) releasePrefillReservation() {
 	if t.prefilledAt != nil {
 		t.prefilledAt.release(true, t.node.now())
--- a/internal/proxy/fake_platform_test.go
+++ b/internal/proxy/fake_platform_test.go
@@ -115,7 +115,7 @@
 	beforeRun               func(n *Node)                               // called before a node runs
 	extraRunning            func(worker *fakeWorker) int                // added to the running requests in a worker's reports
 	reportError             func(node string, worker *fakeWorker) error // an error that a node gets instead of a report
-	reportedLoadAge         time.Duration                               // age of the load in reports
+	reportedLoadAge         time.Duration                               // age of the load values in reports
 	unreachable             map[string]time.Duration                    // by address: how long a dial takes until it fails
 	directTokensPerMs       int                                         // prefill speed of a decode worker
 	extraPrefillTime        map[string]time.Duration                    // by worker name: added to each prefill
@@ -459,8 +459,8 @@
 	return &PrefillResult{Handle: handle, Tokens: r.Prompt, Load: platform.currentLoad(worker)}, nil
 }
 
-// fetchMemory fetches the memory of a source and reports whether it was available; a handle can be fetched
-// once. The platform must be locked.
+// fetchMemory fetches the KV cache of a source and reports whether it was available. The KV cache of each handle
+// can be fetched only once. The caller must hold the platform's lock.
 func (p *fakePlatform) fetchMemory(source *Source) bool {
 	handle := p.handles[source.Handle]
 	if handle == nil || handle.fetches > 0 || handle.freed {
--- a/internal/proxy/fault_notice.go
+++ b/internal/proxy/fault_notice.go
@@ -127,7 +127,8 @@
 	s.suspected = suspected
 }
 
-// clearDown marks the worker as no longer down.
+// clearDown records that the worker is no longer known to be down, so that the outcomes of its requests
+// are counted again.
 func (s *workerState) clearDown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/list_tree.go
+++ b/internal/proxy/list_tree.go
@@ -37,7 +37,8 @@
 // listSources are the nodes from which a node may get the list.
 type listSources struct {
 	ancestors []coordination.Member // nearest first, the owner last
-	// zone has the nodes of this node's zone in the order in which they become acting owner. It is
+	// zone has the nodes of this node's zone in the order in which they replace the owner: when no
+	// source has a fresh list, the first one that has not failed recently queries the platform. It is
 	// empty if all nodes get the list from the owner.
 	zone  []coordination.Member
 	zones int // number of zones
@@ -97,9 +98,9 @@
 	return slices.IndexFunc(tree, func(m coordination.Member) bool { return m.Node == node })
 }
 
-// outcomeReporterFilter returns a predicate that selects the nodes whose outcome reports count at a node.
-// The reports of each node count at one place only, so that none counts twice while a node queries several
-// sources.
+// outcomeReporterFilter returns a predicate that selects the nodes whose outcome reports self adds up.
+// The reports of each node are added up by one node only, so that none is counted twice while a node queries
+// several sources.
 func (t treeShape) outcomeReporterFilter(
 	self, owner coordination.Member,
 	members []coordination.Member,
--- a/internal/proxy/list_version.go
+++ b/internal/proxy/list_version.go
@@ -23,7 +23,7 @@
 type workerListVersion struct {
 	workers     []Worker
 	requestedAt ids.Tick // when the list was requested from the platform
-	receivedAt  ids.Tick // when the answer came; slow-start times count from it
+	receivedAt  ids.Tick // when the platform's response arrived; slow-start times are measured from it
 	seq         uint64   // increases with each change
 	version     uint64   // hash of the content, so that nodes that queried the platform separately agree on it
 	changes     []listChange
--- a/internal/proxy/memory_account.go
+++ b/internal/proxy/memory_account.go
@@ -29,7 +29,8 @@
 	at, ended        ids.Tick
 }
 
-// memoryAccount is the memory estimate of one worker incarnation. The worker state's lock guards it.
+// memoryAccount estimates the KV cache memory in use on one worker incarnation from the worker's last report and
+// this node's reservations. The worker state's mutex guards it.
 type memoryAccount struct {
 	reportedLoad
 	at           ids.Tick // when the report was requested
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -34,43 +34,47 @@
 	ParseConfiguration fleetstate.ConfigurationParser // ParseJSON: parses the text of a configuration
 	// Programs are the routing programs, in addition to the built-in order, until the core has a set.
 	Programs      []routing.Source
-	ProgramSteps  uint64        // 20000: step limit of one program for one request
-	LeaseDuration time.Duration // 3s
-	RenewInterval time.Duration // 500ms
-	ShareInterval time.Duration // 250ms between reports of in-flight requests to peers
-	ListInterval  time.Duration // 700ms between requests for the worker list
-	ApplyMax      time.Duration // 2s from a version's acknowledgement until it is in force everywhere
+	ProgramSteps  uint64        // step limit of one program for one request; default 20000
+	LeaseDuration time.Duration // default 3s
+	RenewInterval time.Duration // default 500ms
+	ShareInterval time.Duration // interval between reports of in-flight requests to peers; default 250ms
+	ListInterval  time.Duration // interval between requests for the worker list; default 700ms
+	ApplyMax      time.Duration // maximum time from a version's acknowledgement until it is in force everywhere; default 2s
 	// ListRate is the limit of requests for the list a second, of all nodes together; 0 is no limit.
 	ListRate           float64
-	RetryRatio         float64       // 0.2: retries for each request
-	RetryWindow        time.Duration // 10s over which retries are counted
-	RetryAllowance     int           // 0: additional retries in the window, of all nodes together
-	SlowStartOvershoot float64       // 1.5: factor on a cold worker's slow-start rate
-	SlowStartAllowance int           // 5: requests a second in addition
-	PrefillSilence     time.Duration // 2s: silence after which a prefill worker is given up, in addition to its estimated work
-	HedgeFactor        float64       // 1.2: multiple of the usual prefill time after which a prefill is hedged; negative disables hedging
-	DecodeSilence      time.Duration // 900ms: silence after which a decode worker is given up, if the request may be retried
-	PrefillTokensPerMs float64       // 50: prompt tokens that a worker prefills in a ms
-	// 500ms between two checks of the workers' roles; negative disables role changes
+	RetryRatio         float64       // retries for each request; default 0.2
+	RetryWindow        time.Duration // period over which retries are counted; default 10s
+	RetryAllowance     int           // additional retries in the window, of all nodes together; default 0
+	SlowStartOvershoot float64       // factor on a cold worker's slow-start rate; default 1.5
+	SlowStartAllowance int           // requests per second in addition; default 5
+	PrefillSilence     time.Duration // silence after which a prefill worker is given up, in addition to its estimated work; default 2s
+	HedgeFactor        float64       // multiple of the usual prefill time after which a prefill is hedged; default 1.2, negative disables hedging
+	DecodeSilence      time.Duration // silence after which a decode worker is given up, if the request may be retried; default 900ms
+	PrefillTokensPerMs float64       // prompt tokens that a worker prefills in a millisecond; default 50
+	// RoleCheckInterval is the interval between two checks of the workers' roles. The default is 500ms; a
+	// negative value disables role changes.
 	RoleCheckInterval time.Duration
-	// 0.667: share of a service's workers in the prefill role while it is idle; negative makes no role
-	// changes for it
+	// IdlePrefillShare is the share of a service's workers in the prefill role while the service is idle.
+	// The default is 0.667; a negative value makes no role changes for it.
 	IdlePrefillShare float64
-	// 2s: duration of an outlier's first ejection; negative disables ejection
+	// BaseEjection is the duration of an outlier's first ejection. The default is 2s; a negative value
+	// disables ejection.
 	BaseEjection    time.Duration
-	MaxEjectedShare float64 // 0.34: share of a service's workers of one role that may be ejected at once
-	// 4: maximum weight, in requests, of another node's outcomes of a worker; negative ignores them
+	MaxEjectedShare float64 // share of a service's workers of one role that may be ejected at the same time; default 0.34
+	// PeerWeight is the maximum weight, in requests, of another node's outcomes of a worker. The default is
+	// 4; a negative value ignores them.
 	PeerWeight float64
-	// 5: cost in ms of a worker without any of the memory needed; negative disables it
+	// NoCapacityCost is the cost in ms of a worker without any of the memory needed. The default is 5; a
+	// negative value disables it.
 	NoCapacityCost float64
-	// 3: multiple of a request's latency target that its estimated latency may reach before requests are
-	// rejected early; negative disables early rejection
+	// AdmitFactor is the multiple of a request's latency target that its estimated latency may reach before
+	// requests are rejected early. The default is 3; a negative value disables early rejection.
 	AdmitFactor float64
-	// 1s: maximum age of the workers' loads for early rejection
+	// AdmitMaxAge is the maximum age of the workers' loads for early rejection. The default is 1s.
 	AdmitMaxAge        time.Duration
-	MaxRejectedCallers int // 4096: early-rejected callers that are remembered
-	MaxFlatListNodes   int // 96: largest fleet in which every node requests the list from its owner
-	ListTreeFanOut     int // 12: maximum children of a node in the list tree of a larger fleet
+	MaxRejectedCallers int // number of early-rejected callers that are remembered; default 4096
+	MaxFlatListNodes   int // largest fleet in which every node requests the list from its owner; default 96
+	ListTreeFanOut     int // maximum children of a node in the list tree of a larger fleet; default 12
 	// Drain is called once when the node shuts down. It accepts no new requests, and returns when the
 	// current ones have been answered or the context ends.
 	Drain func(context.Context) error
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -13,13 +13,14 @@
 	"keelstair.example/ids"
 )
 
-// PromptSegment is one part of a prompt. Requests that begin with the same segments share them.
+// PromptSegment is one part of a prompt. Requests whose prompts begin with the same segments can share
+// the KV cache of these segments.
 type PromptSegment struct {
 	ID     string
 	Tokens int
 }
 
-// Request is one attempt of a caller, with an id of its own.
+// Request is one request of a caller. If the caller retries, the retry is a new Request with its own id.
 type Request struct {
 	ID          string
 	Method      string
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -33,8 +33,8 @@
 	cancelTimer    *time.Timer
 	firstByteTimer *time.Timer // records a failure; set instead of cancelTimer if the request cannot be retried elsewhere
 	times          *serviceTimes
-	lastByteAt     ids.Tick // of the last byte, or when the request was sent
-	answered       bool     // a byte has arrived
+	lastByteAt     ids.Tick // when the last byte arrived, or when the request was sent
+	answered       bool     // a byte of the response has arrived
 }
 
 // observePause records the pause that ends with newly arrived bytes.
--- a/internal/proxy/retry_budget_test.go
+++ b/internal/proxy/retry_budget_test.go
@@ -99,7 +99,7 @@
 	return encodeConfiguration(defaultRoutes(), fleetstate.Service{Name: "svc", Concurrency: 16, SlowStartMs: 6000, SlowStartRate: 4})
 }
 
-const maxSlowStartRate = 11 // 1.5 * SlowStartRate + 5, at a rate of 4
+const maxSlowStartRate = 11 // the limit is 1.5 * SlowStartRate + 5, and SlowStartRate is 4
 
 // TestSlowStartRate: no cold worker gets more than maxSlowStartRate requests in any second, however many nodes
 // there are, at 250 requests per second in total. A cold decode worker gets at least one request.
@@ -153,7 +153,7 @@
 		from := platform.elapsed()
 		results := f.generateLoad(200, 5*time.Second, func(i int) *Request { return f.newRequest(fmt.Sprint("r", i), "/once/x", 300, 2) })
 		calls := platform.recordedCalls()
-		require.Empty(t, checkSlowStartRate(calls, 5)) // 1.5 * SlowStartRate + 5, at a rate of 0.4
+		require.Empty(t, checkSlowStartRate(calls, 5)) // the limit is 1.5 * SlowStartRate + 5, and SlowStartRate is 0.4
 		require.NotEmpty(t, callsToWorker(calls, "svc-decode-1.1", from, from+4*time.Second), "the cold worker gets requests")
 		for _, result := range results {
 			require.NoError(t, result.err)
--- a/internal/proxy/silent_workers_test.go
+++ b/internal/proxy/silent_workers_test.go
@@ -62,9 +62,9 @@
 	})
 }
 
-// TestFetchedMemoryFallsBackToDirectDecode: a decode worker fetched the memory and stopped responding, so the
-// next worker can't fetch it and rejects the request. That worker gets the request again without memory and
-// prefills the prompt itself.
+// TestFetchedMemoryFallsBackToDirectDecode: a decode worker fetched the KV cache and stopped responding, so
+// the next worker can't fetch it and rejects the request. The node sends that worker the request again without a
+// KV cache, and the worker prefills the prompt itself.
 func TestFetchedMemoryFallsBackToDirectDecode(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 2)...)
--- a/internal/proxy/unconfirmed_core_test.go
+++ b/internal/proxy/unconfirmed_core_test.go
@@ -34,8 +34,8 @@
 	})
 }
 
-// TestNodeWithoutRenewalsServesNoOldVersion: the responses of the primary reach one node late, because their
-// link transfers 100 bytes per second. The node serves no request with an old version later than ApplyMax
+// TestNodeWithoutRenewalsServesNoOldVersion: the responses of the primary reach one node late, because the
+// link between the primary and that node transfers 100 bytes per second. The node serves no request with an old version later than ApplyMax
 // after a newer one was acknowledged.
 func TestNodeWithoutRenewalsServesNoOldVersion(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
--- a/internal/proxy/worker_list.go
+++ b/internal/proxy/worker_list.go
@@ -157,8 +157,8 @@
 	return out, nil
 }
 
-// waitForChange waits for a change, for at most the given duration and maxListWait. It reports
-// whether the change came.
+// waitForChange waits until changed is closed, but no longer than the shorter of duration and
+// maxListWait, and only until ctx ends. It reports whether changed was closed.
 func waitForChange(ctx context.Context, changed <-chan struct{}, duration time.Duration) bool {
 	if duration <= 0 {
 		return false
--- a/internal/router/forecast/forecast.go
+++ b/internal/router/forecast/forecast.go
@@ -217,7 +217,7 @@
 }
 
 // compareCapacity computes the capacity of each role of each model and warns of roles that would have
-// too little. Workers that are drained, or in an evacuated zone, don't count on either side.
+// too little. Workers that are drained or in an evacuated zone are counted neither before nor after the change.
 func (f *Forecast) compareCapacity(st *router.NodeStatus, now, next *fleetstate.Configuration, c Change) {
 	type group struct {
 		model string
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -212,8 +212,9 @@
 	}
 }
 
-// versionCurrent reports whether this node uses the newest version that it knows and would have
-// learned of a newer one, because the core or a majority of the members confirmed recently.
+// versionCurrent reports whether this node uses the newest version that it knows and has recently
+// received a confirmation, so that it would know of a newer version. recentlyConfirmed describes
+// what counts as a confirmation.
 func (n *Node) versionCurrent() bool { return n.view.UpToDate() && n.recentlyConfirmed() }
 
 // recentlyConfirmed reports whether this node would have learned of a newer version. Within the
--- a/internal/router/worker_duty.go
+++ b/internal/router/worker_duty.go
@@ -110,8 +110,9 @@
 }
 
 // establishFence orders the worker to keep its current role, under the new fencing token. From then
-// on the worker refuses orders of earlier key holders. Their last orders may still be missing from
-// the worker's reports for a while; the ledger measures that waiting time from then on, too.
+// on the worker refuses orders of earlier key holders. Orders of earlier key holders that the worker
+// has already executed may be missing from its reports for up to the maximum report lag. The ledger
+// counts that time from the end of establishFence.
 func (n *Node) establishFence(ctx context.Context, d *workerDuty, addr string, role ids.Role) error {
 	f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id))
 	if !ok || f != d.fence {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -27,7 +27,7 @@
 	return out
 }
 
-// TestShippedOrder checks that the shipped programs compile and order workers as they document.
+// TestShippedOrder checks that the shipped programs compile and order workers as their comments describe.
 func TestShippedOrder(t *testing.T) {
 	for name, first := range map[string]ids.WorkerID{"free": "w5", "short": "w5"} {
 		p, err := Compile(name, ShippedProgram(name), 20000)
--- a/internal/routing/starlark.go
+++ b/internal/routing/starlark.go
@@ -114,7 +114,7 @@
 	})
 }
 
-// candidateValue returns a candidate as programs see it.
+// candidateValue converts a candidate to the Starlark value that is passed to programs.
 func candidateValue(c *Candidate) starlark.Value {
 	return starlarkstruct.FromStringDict(starlark.String("worker"), starlark.StringDict{
 		"id": starlark.String(c.ID), "zone": starlark.String(c.Zone), "weights": starlark.String(c.Weights),
@@ -186,10 +186,10 @@
 	return out, nil
 }
 
-// ProposesRoleChanges reports whether the program defines turn.
+// ProposesRoleChanges reports whether the program defines a function named turn.
 func (s *starlarkProgram) ProposesRoleChanges() bool { return s.proposeRoleChange != nil }
 
-// ProposeRoleChange calls turn, which returns None or a pair of a worker id and its new role.
+// ProposeRoleChange calls the function turn, which returns None or a pair of a worker id and its new role.
 func (s *starlarkProgram) ProposeRoleChange(p *Pool) (RoleChange, bool, error) {
 	workers := make([]starlark.Value, len(p.Workers))
 	for i, w := range p.Workers {
--- a/internal/simulation/governed_scripts_test.go
+++ b/internal/simulation/governed_scripts_test.go
@@ -197,7 +197,9 @@
 	t.Logf("%s seed %d: ends %v, details %v, revocation times %v", s.Name, seed, standin.Summarize(during).Ends, standin.Summarize(during).Details, m.revocationTimes)
 }
 
-// TestGovernedScripts runs every governed script with every seed.
+// TestGovernedScripts runs every script in GovernedScripts with every seed. It checks that only certified workers
+// process governed requests, that the Recorder reports no violation, that all requests sent after a script complete,
+// and that the hash chain of the audit log is intact.
 func TestGovernedScripts(t *testing.T) {
 	skipUnderRace(t)
 	for _, s := range GovernedScripts {
--- a/internal/simulation/machine_scripts_test.go
+++ b/internal/simulation/machine_scripts_test.go
@@ -16,9 +16,9 @@
 	Name         string
 	Run          func(c *Cluster, r *rand.Rand) error
 	Configure    func(c *Cluster) // called before the fleet starts, if set
-	Bound        time.Duration    // longest permitted outage, 12 s if zero
+	Bound        time.Duration    // longest permitted outage; 0 means 12 s
 	NoFailures   bool             // every request must complete
-	LoadDuration time.Duration    // minimum duration of the load while Run is called
+	LoadDuration time.Duration    // minimum duration of the load that is generated while Run executes
 }
 
 func pickOne[T any](r *rand.Rand, list []T) T { return list[r.IntN(len(list))] }
--- a/internal/simulation/outages_test.go
+++ b/internal/simulation/outages_test.go
@@ -1,4 +1,4 @@
-// Measures outages: the longest time without a completed request, for each kind of request and for the routers of
+// This file measures outages: the longest time without a completed request, for each kind of request and for the routers of
 // each surviving zone, and the longest time without a primary. Kinds are measured separately because an outage of
 // one kind is not visible in the total of all requests.
 
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -55,7 +55,7 @@
 	attempt := i
 	require.True(t, c.WaitUntil(8*time.Second, func() bool {
 		got, err := c.stream(routers[attempt%len(routers)], request)
-		attempt++ // the next router, since routers of an evacuated zone refuse requests
+		attempt++ // try the next router next time, since routers of an evacuated zone refuse requests
 		lines = got
 		if errors.As(err, &refusal) {
 			return refusal.Code < 500
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -145,7 +145,7 @@
 	w.notify(r)
 }
 
-// decodeStep computes the KV cell of the newest token and generates the next token.
+// decodeStep computes the KV cache entry of the newest token and generates the next token.
 func (w *Worker) decodeStep(r *run) {
 	model := modelHash(r.state.Model.Name, r.state.Model.Weights, r.state.Model.Adapters)
 	out := r.state.Output
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -30,7 +30,7 @@
 	SharedPrefixTokens int // number of prompt tokens that all requests with the same prefix share
 	SuffixTokensRange  int // the suffix has max(1, MinSuffixTokens) tokens plus a random number below this one
 	MaxTokens          int
-	MinSuffixTokens    int // see SuffixTokensRange
+	MinSuffixTokens    int // minimum number of tokens of the suffix; 0 means 1
 	Prefixes           int // number of different shared prefixes; 0 means 1
 }
 
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -30,8 +30,8 @@
 	return rest, err
 }
 
-// loopback is the loopback network. While failWrites is set, writes to the connections that it
-// has dialed fail.
+// loopback listens and dials with the host's TCP stack. While failWrites is set, writes to the
+// connections that it has dialed fail.
 type loopback struct{ failWrites *atomic.Bool }
 
 func (loopback) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
