--- a/coordination/state.go
+++ b/coordination/state.go
@@ -72,7 +72,7 @@
 	outcomes     map[ids.OpID]Outcome
 	outcomeOrder map[string][]ids.OpID // operation ids, oldest first, by class (the part of the id before the first slash)
 	machine      StateMachine
-	digest       []byte // of the log up to seq
+	digest       []byte // digest of the log up to seq
 	history      history
 }
 
--- a/host/simulated/world.go
+++ b/host/simulated/world.go
@@ -33,7 +33,7 @@
 	start       time.Time
 	machines    map[string]*Machine
 	links       map[linkKey]Link
-	DefaultLink Link          // of all pairs of machines without an entry in links
+	DefaultLink Link          // link between any two machines without an entry in links
 	changed     chan struct{} // closed and replaced by notify
 }
 
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -99,9 +99,9 @@
 	require.Equal(t, string(recorded), string(encoded)+"\n")
 }
 
-// Fill sets every exported field that is reachable from a pointer to a struct to a
-// non-zero value. Numbers increase in the order of the fields (integers modulo 100). Strings contain such
-// a number. Slices get two elements, maps get one.
+// Fill sets every exported field that is reachable from a pointer to a struct to a value that is not zero, except
+// for every integer whose number is a multiple of 100. Numbers increase in the order of the fields (integers modulo
+// 100). Strings contain such a number. Slices get two elements, maps get one.
 func Fill(pointer any) {
 	next := 0
 	fill(reflect.ValueOf(pointer).Elem(), &next)
--- a/internal/metering/clock.go
+++ b/internal/metering/clock.go
@@ -19,7 +19,8 @@
 	correction     atomic.Int64 // in nanoseconds
 }
 
-// NewClock returns a clock that starts at the current wall-clock time. The clock reads the host's wall clock only here.
+// NewClock returns a clock that starts at the current wall-clock time. The clock reads the host's wall clock only
+// here.
 func NewClock(hostClock host.Clock) *Clock {
 	return &Clock{hostClock: hostClock, wallAtTickZero: hostClock.Wall().UnixNano() - int64(hostClock.Now())}
 }
--- a/internal/metering/collector.go
+++ b/internal/metering/collector.go
@@ -14,10 +14,12 @@
 // NodeReport is a report of a node's counts and clock to the collector. It may have only some of the node's counts;
 // the collector combines those of all the node's reports.
 type NodeReport struct {
-	Node          ids.NodeID
-	StartWindow   uint64 // the window in which the node started
-	OwnTime       int64  // the node's Clock.OwnTime when it built the report
-	EstimatedTime int64  // the node's Clock.Now when it built the report; after this report, the collector regards its counts of the node up to then as complete
+	Node        ids.NodeID
+	StartWindow uint64 // the window in which the node started
+	OwnTime     int64  // the node's Clock.OwnTime when it built the report
+	// EstimatedTime is the node's Clock.Now when it built the report. After this report, the collector regards its
+	// counts of the node up to that time as complete.
+	EstimatedTime int64
 	Rows          []Row
 }
 
@@ -45,8 +47,8 @@
 }
 
 // Record stores a node's report. It returns the current time according to the median clock of all nodes that
-// reported within offsetMaxAge, in nanoseconds since 1970. For each window and tenant it keeps a node's largest count, so that repeated and
-// reordered reports do not count a request twice.
+// reported within offsetMaxAge, in nanoseconds since 1970. For each window and tenant it keeps a node's largest
+// count, so that repeated and reordered reports do not count a request twice.
 func (c *Collector) Record(report *NodeReport) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/list_tree.go
+++ b/internal/proxy/list_tree.go
@@ -21,7 +21,7 @@
 const (
 	levelDelay       = 300 * time.Millisecond // list age that each tree level adds
 	maxProbes        = 8                      // nodes of the zone that are probed at once
-	sourceFailureTTL = 4 * time.Second        // for which a source that did not answer is skipped
+	sourceFailureTTL = 4 * time.Second        // time for which a source that did not respond is skipped
 	// listLostAge is the list age from which a node queries the platform without being acting owner.
 	listLostAge = 2500 * time.Millisecond
 )
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -31,7 +31,7 @@
 	Host               host.Host
 	Ring               *logging.Ring
 	Backend            Backend
-	ParseConfiguration fleetstate.ConfigurationParser // ParseJSON: parses the text of a configuration
+	ParseConfiguration fleetstate.ConfigurationParser // parses the text of a configuration; default ParseJSON
 	// Programs are the routing programs, in addition to the built-in order, until the core has a set.
 	Programs      []routing.Source
 	ProgramSteps  uint64        // step limit of one program for one request; default 20000
@@ -46,7 +46,7 @@
 	RetryWindow        time.Duration // period over which retries are counted; default 10s
 	RetryAllowance     int           // additional retries in the window, of all nodes together; default 0
 	SlowStartOvershoot float64       // factor on a cold worker's slow-start rate; default 1.5
-	SlowStartAllowance int           // requests per second in addition; default 5
+	SlowStartAllowance int           // requests per second in addition to the slow-start rate times SlowStartOvershoot; default 5
 	PrefillSilence     time.Duration // silence after which a prefill worker is given up, in addition to its estimated work; default 2s
 	HedgeFactor        float64       // multiple of the usual prefill time after which a prefill is hedged; default 1.2, negative disables hedging
 	DecodeSilence      time.Duration // silence after which a decode worker is given up, if the request may be retried; default 900ms
--- a/internal/proxy/silent_workers_test.go
+++ b/internal/proxy/silent_workers_test.go
@@ -40,7 +40,7 @@
 }
 
 const (
-	silenceDelay        = 3 * time.Second // from the start of the load
+	silenceDelay        = 3 * time.Second // time from the start of the load
 	silenceLoadDuration = 6 * time.Second
 )
 
--- a/internal/proxy/unconfirmed_core_test.go
+++ b/internal/proxy/unconfirmed_core_test.go
@@ -35,8 +35,9 @@
 }
 
 // TestNodeWithoutRenewalsServesNoOldVersion: the responses of the primary reach one node late, because the
-// link between the primary and that node transfers 100 bytes per second. The node serves no request with an old version later than ApplyMax
-// after a newer one was acknowledged.
+// link between the primary and that node transfers 100 bytes per second. The node serves no request with an old
+// version later than ApplyMax, the maximum time until a version is in force everywhere, after a newer version was
+// acknowledged.
 func TestNodeWithoutRenewalsServesNoOldVersion(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		const responseRate = 100 // bytes per second
--- a/internal/proxy/worker_list.go
+++ b/internal/proxy/worker_list.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	listTimeout        = 500 * time.Millisecond  // for the answer of a list source
+	listTimeout        = 500 * time.Millisecond  // time limit for the response of a list source
 	listMaxAge         = 1500 * time.Millisecond // age from which the owner's list is not fresh
 	prefillLoadTTL     = 500 * time.Millisecond  // validity of another node's report of its prefills
 	maxListLatency     = 1500 * time.Millisecond // extra list age allowed for a slow platform
-	startRetryInterval = 50 * time.Millisecond   // until a list owner is known
-	maxListWait        = time.Second             // for which a response waits for a change
+	startRetryInterval = 50 * time.Millisecond   // interval between attempts until a list owner is known
+	maxListWait        = time.Second             // maximum time for which a response waits for a change
 	maxPrefillLoads    = 256                     // workers whose prefills one message reports
 )
 
--- a/internal/router/heartbeat.go
+++ b/internal/router/heartbeat.go
@@ -126,8 +126,9 @@
 }
 
 // observePeer processes a peer's heartbeat. It notes the version before it records the heartbeat,
-// so that the heartbeat never counts as a confirmation while its version is unknown. A version
-// newer than any that this node has received is fetched from that peer at once.
+// so that the heartbeat never counts as a confirmation while its version is unknown. If a version
+// newer than the one that this node uses has been mentioned, the node immediately fetches updates
+// from that peer.
 func (n *Node) observePeer(ctx context.Context, m coordination.Member, heartbeat *Heartbeat, requestedAt ids.Tick) {
 	if !n.view.NoteVersion(heartbeat.Version) {
 		go n.agent.Fetch(ctx, m.Addr)
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -36,7 +36,7 @@
 	Version   uint64          `json:"version"`
 	Policy    json.RawMessage `json:"policy"`
 	Evacuated []string        `json:"evacuated"`
-	Tokens    []int32         `json:"tokens"` // of the newest request with an idempotency key
+	Tokens    []int32         `json:"tokens"` // tokens of the newest request with an idempotency key
 }
 
 func releaseRequest(i int) api.StreamRequest {
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -46,7 +46,7 @@
 	Model    string
 	Weights  []string      // model weights whose outputs are accepted
 	Retries  int           // maximum number of retries of a request
-	Timeout  time.Duration // of a request including its retries; 20s if 0
+	Timeout  time.Duration // time limit of a request including its retries; 0 means 20s
 }
 
 // TimedOut replaces "cut" as the end of a request whose timeout has expired (see Outcome).
