--- a/coordination/state.go
+++ b/coordination/state.go
@@ -60,7 +60,7 @@
 	joinKind    = "crux.join"
 	leaveKind   = "crux.leave"
 	assignKind  = "crux.deal"
-	maxOutcomes = 2048 // remembered per class of operations
+	maxOutcomes = 2048 // number of outcomes remembered per class of operations
 )
 
 // replicatedState is the state after the log entry with the sequence number seq.
@@ -70,9 +70,9 @@
 	members      map[ids.NodeID]Member
 	grants       map[ids.Key]Grant
 	outcomes     map[ids.OpID]Outcome
-	outcomeOrder map[string][]ids.OpID // by class, oldest first
+	outcomeOrder map[string][]ids.OpID // operation ids, oldest first, by class (the part of the id before the first slash)
 	machine      StateMachine
-	digest       []byte // of the log up to seq
+	digest       []byte // digest of the log up to seq
 	history      history
 }
 
--- a/host/simulated/world.go
+++ b/host/simulated/world.go
@@ -33,7 +33,7 @@
 	start       time.Time
 	machines    map[string]*Machine
 	links       map[linkKey]Link
-	DefaultLink Link          // of all pairs of machines without an entry in links
+	DefaultLink Link          // link between any two machines without an entry in links
 	changed     chan struct{} // closed and replaced by notify
 }
 
@@ -54,7 +54,7 @@
 // bandwidth, separately for each direction.
 type networkInterface struct {
 	bytesPerSecond            int // 0 means unlimited
-	bytesSent                 int // total so far
+	bytesSent                 int // total number of bytes that the machine has sent
 	sendFreeAt, receiveFreeAt time.Time
 }
 
--- a/internal/proxy/silent_workers_test.go
+++ b/internal/proxy/silent_workers_test.go
@@ -41,7 +41,7 @@
 }
 
 const (
-	silenceDelay        = 3 * time.Second // from the start of the load
+	silenceDelay        = 3 * time.Second // time from the start of the load
 	silenceLoadDuration = 6 * time.Second
 )
 
@@ -63,9 +63,9 @@
 	})
 }
 
-// TestFetchedMemoryFallsBackToDirectDecode: a decode worker fetched the memory and stopped responding, so the
-// next worker can't fetch it and rejects the request. That worker gets the request again without memory and
-// prefills the prompt itself.
+// TestFetchedMemoryFallsBackToDirectDecode: a decode worker fetched the KV cache and stopped responding, so
+// the next worker can't fetch it and rejects the request. The node sends that worker the request again without a
+// KV cache, and the worker prefills the prompt itself.
 func TestFetchedMemoryFallsBackToDirectDecode(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 3, 2)...)
--- a/internal/proxy/worker_list.go
+++ b/internal/proxy/worker_list.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	listTimeout        = 500 * time.Millisecond  // for the answer of a list source
+	listTimeout        = 500 * time.Millisecond  // time limit for the response of a list source
 	listMaxAge         = 1500 * time.Millisecond // age from which the owner's list is not fresh
 	prefillLoadTTL     = 500 * time.Millisecond  // validity of another node's report of its prefills
 	maxListLatency     = 1500 * time.Millisecond // extra list age allowed for a slow platform
-	startRetryInterval = 50 * time.Millisecond   // until a list owner is known
-	maxListWait        = time.Second             // for which a response waits for a change
+	startRetryInterval = 50 * time.Millisecond   // interval between attempts until a list owner is known
+	maxListWait        = time.Second             // maximum time for which a response waits for a change
 	maxPrefillLoads    = 256                     // workers whose prefills one message reports
 )
 
@@ -158,8 +158,8 @@
 	return out, nil
 }
 
-// waitForChange waits for a change, for at most the given duration and maxListWait. It reports
-// whether the change came.
+// waitForChange waits until changed is closed, but no longer than the shorter of duration and
+// maxListWait, and only until ctx ends. It reports whether changed was closed.
 func waitForChange(ctx context.Context, changed <-chan struct{}, duration time.Duration) bool {
 	if duration <= 0 {
 		return false
--- a/internal/router/node.go
+++ b/internal/router/node.go
@@ -34,10 +34,10 @@
 	Ring              *logging.Ring
 	LeaseDuration     time.Duration // default 3s
 	RenewInterval     time.Duration // default 500ms
-	HeartbeatInterval time.Duration // time between two heartbeats to a peer; default 150ms
-	PollInterval      time.Duration // time between two reports of a worker; default 200ms
-	ListInterval      time.Duration // time between two requests for the platform's worker list; default 400ms
-	OrphanTimeout     time.Duration // default 2s, the same as the workers'
+	HeartbeatInterval time.Duration // interval between heartbeats to peers; default 150ms
+	PollInterval      time.Duration // interval between requests for a worker's report; default 200ms
+	ListInterval      time.Duration // interval between requests for the platform's worker list; default 400ms
+	OrphanTimeout     time.Duration // default 2s, the same as the workers' orphan timeout
 	StreamTimeout     time.Duration // maximum silence within a stream; default 1.2s
 	Trace             func(handoff.Event)
 }
--- a/internal/router/worker_duty.go
+++ b/internal/router/worker_duty.go
@@ -110,8 +110,9 @@
 }
 
 // establishFence orders the worker to keep its current role, under the new fencing token. From then
-// on the worker refuses orders of earlier key holders. Their last orders may still be missing from
-// the worker's reports for a while; the ledger measures that waiting time from then on, too.
+// on the worker refuses orders of earlier key holders. Orders of earlier key holders that the worker
+// has already executed may be missing from its reports for up to the maximum report lag. The ledger
+// counts that time from the end of establishFence.
 func (n *Node) establishFence(ctx context.Context, d *workerDuty, addr string, role ids.Role) error {
 	f, ok := n.agent.OwnsKey(fleetstate.WorkerKey(d.id))
 	if !ok || f != d.fence {
@@ -171,7 +172,7 @@
 	if !ok {
 		return nil, failure.New(failure.DataLost, "find worker", string(request.Worker), "the platform does not list it")
 	}
-	upToDate := n.view.NoteVersion(request.Version) // no version newer than the one in force here is known
+	upToDate := n.view.NoteVersion(request.Version) // whether this node knows of no version newer than the one it uses
 	header := workerclient.OrderHeader{Fence: fence, Version: n.view.Current().Version}
 	identity, err := decodeIdentity(request)
 	if err != nil {
@@ -240,7 +241,8 @@
 	return n.workerClient.Import(ctx, addr, order)
 }
 
-// notReservedError is the error for an order that has no reserved memory or no known source.
+// notReservedError is the error for an order for which no memory is reserved or whose source worker
+// is not in the worker list.
 func notReservedError(request *OrderRequest) error {
 	return failure.New(failure.NotExecuted, request.Verb, string(request.Worker),
 		"no memory is reserved for %s, or the source worker is not listed", request.Request)
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -30,7 +30,7 @@
 	SharedPrefixTokens int // number of prompt tokens that all requests with the same prefix share
 	SuffixTokensRange  int // the suffix has max(1, MinSuffixTokens) tokens plus a random number below this one
 	MaxTokens          int
-	MinSuffixTokens    int // see SuffixTokensRange
+	MinSuffixTokens    int // minimum number of tokens of the suffix; 0 means 1
 	Prefixes           int // number of different shared prefixes; 0 means 1
 }
 
@@ -46,7 +46,7 @@
 	Model    string
 	Weights  []string      // model weights whose outputs are accepted
 	Retries  int           // maximum number of retries of a request
-	Timeout  time.Duration // of a request including its retries; 20s if 0
+	Timeout  time.Duration // time limit of a request including its retries; 0 means 20s
 }
 
 // TimedOut replaces "cut" as the end of a request whose timeout has expired (see Outcome).
