--- a/coordination/force_new_cluster.go
+++ b/coordination/force_new_cluster.go
@@ -65,8 +65,9 @@
 	return failure.New(failure.InvalidArgument, "found anew", c.self.Addr, format, args...)
 }
 
-// awaitSpares waits until enough empty machines have responded, and for newClusterMinWait at least. It
-// returns an error if another voter responds or if it learns of a newer record.
+// awaitSpares waits at least newClusterMinWait, until enough machines with empty disks have responded. It
+// returns an error if another voter responds, if a newer record or another cluster is reported, or after
+// newClusterMaxWait.
 func (c *Core) awaitSpares(ctx context.Context, record Record) ([]Replica, error) {
 	needed := 2 * record.faultTolerance()
 	start := c.options.Host.Clock.Now()
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -40,7 +40,7 @@
 	ShareInterval time.Duration // interval between reports of in-flight requests to peers; default 250ms
 	ListInterval  time.Duration // interval between requests for the worker list; default 700ms
 	ApplyMax      time.Duration // maximum time from a version's acknowledgement until it is in force everywhere; default 2s
-	// ListRate is the limit of requests for the list a second, of all nodes together; 0 is no limit.
+	// ListRate limits the requests for the worker list per second, of all nodes together; 0 means no limit.
 	ListRate           float64
 	RetryRatio         float64       // retries for each request; default 0.2
 	RetryWindow        time.Duration // period over which retries are counted; default 10s
