--- a/cmd/keelstair-controller/main.go
+++ b/cmd/keelstair-controller/main.go
@@ -26,7 +26,7 @@
 	ElectionTimeoutMs int      `arg:"--silence-ms" default:"900" help:"silence of the primary, in ms, after which a backup takes over" json:"silenceMs"`
 	LeaseMs           int      `arg:"--lease-ms" default:"3000" help:"lease of every node, in ms; the nodes must have the same setting" json:"leaseMs"`
 	DiskTimeoutMs     int      `arg:"--stall-ms" default:"1000" help:"time limit for a disk operation, in ms; a primary whose write takes longer steps down" json:"stallMs"`
-	HandOverTimeoutMs int      `arg:"--grace-ms" default:"4000" help:"time limit for handing over the roles at shutdown, in ms" json:"graceMs"`
+	LeaveTimeoutMs    int      `arg:"--grace-ms" default:"4000" help:"time limit for handing over the roles at shutdown, in ms" json:"graceMs"`
 	ForceNewCluster   bool     `arg:"--found-anew" help:"two of three machines with a disk are permanently lost: form a new cluster from this disk and two empty machines; see docs/operators.md" json:"-"`
 	ReplaceAfterMs    int      `arg:"--replace-ms" default:"4000" help:"silence of a voter, in ms, after which a spare may replace it" json:"replaceMs"`
 }
@@ -51,7 +51,7 @@
 		checkDuration("silenceMs", o.ElectionTimeoutMs, 4*o.HeartbeatMs, 30000),
 		checkDuration("leaseMs", o.LeaseMs, 2*o.ElectionTimeoutMs, 60000),
 		checkDuration("stallMs", o.DiskTimeoutMs, 50, 30000),
-		checkDuration("graceMs", o.HandOverTimeoutMs, 0, 600000),
+		checkDuration("graceMs", o.LeaveTimeoutMs, 0, 600000),
 		checkDuration("replaceMs", o.ReplaceAfterMs, o.ElectionTimeoutMs, 600000))
 }
 
@@ -81,7 +81,7 @@
 	cli.ExitOnError("keelstair-controller", err)
 	shutdown, stop := cli.SignalContext()
 	defer stop()
-	ctx := cli.HandOverContext(shutdown, core, ms(o.HandOverTimeoutMs))
+	ctx := cli.ShutdownContext(shutdown, core, ms(o.LeaveTimeoutMs))
 	mux := http.NewServeMux()
 	core.Mount(mux)
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
--- a/cmd/keelstair-platform/main.go
+++ b/cmd/keelstair-platform/main.go
@@ -76,8 +76,8 @@
 }
 
 const (
-	// maxHandOver limits how long a core process takes to hand over its roles at shutdown.
-	maxHandOver = 4 * time.Second
+	// maxLeaveDuration limits how long a core process takes to hand over its roles at shutdown.
+	maxLeaveDuration = 4 * time.Second
 	// shutdownReserve is the part of the platform's grace period that is kept for the rest of the
 	// shutdown.
 	shutdownReserve = 2500 * time.Millisecond
@@ -118,7 +118,7 @@
 	}
 	shutdown, stop := cli.SignalContext()
 	defer stop()
-	ctx := cli.HandOverContext(shutdown, core, min(maxHandOver, s.GracePeriod-shutdownReserve))
+	ctx := cli.ShutdownContext(shutdown, core, min(maxLeaveDuration, s.GracePeriod-shutdownReserve))
 	reloadSeedsOnSIGHUP(ctx, hangups, core.Directory().SetSeeds)
 	mux := http.NewServeMux()
 	core.Mount(mux)
--- a/coordination/membership.go
+++ b/coordination/membership.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	spareMaxSilence       = 5 * time.Second         // a spare silent for longer is not used
-	handOverRetryInterval = 150 * time.Millisecond  // between two attempts to hand over the roles
-	handOverTimeout       = 1500 * time.Millisecond // timeout of one attempt
+	spareMaxSilence      = 5 * time.Second         // a spare silent for longer is not used
+	handoffRetryInterval = 150 * time.Millisecond  // between two attempts to hand over the roles
+	handoffTimeout       = 1500 * time.Millisecond // timeout of one attempt
 	// rebalanceDelay is how long the membership must be unchanged before voters are rebalanced over the
 	// zones. It is longer than a process takes to restart.
 	rebalanceDelay = 10 * time.Second
@@ -163,21 +163,21 @@
 	c.directory.setLeaving()
 	c.directory.Broadcast(ctx)
 	for {
-		done, err := c.handOver(ctx)
+		done, err := c.attemptHandoff(ctx)
 		if done {
 			c.options.Ring.Info().Msg("shutting down: all roles handed over")
 			return nil
 		}
-		if !host.Sleep(ctx, handOverRetryInterval) {
+		if !host.Sleep(ctx, handoffRetryInterval) {
 			c.options.Ring.Warn().AnErr("cause", err).Msg("shutting down: not all roles were handed over")
 			return failure.Wrap(err, "leave", c.self.Addr)
 		}
 	}
 }
 
-// handOver takes the next step of Leave. It returns true once the membership no longer depends on this
+// attemptHandoff takes the next step of Leave. It returns true once the membership no longer depends on this
 // core.
-func (c *Core) handOver(ctx context.Context) (bool, error) {
+func (c *Core) attemptHandoff(ctx context.Context) (bool, error) {
 	record, _ := c.acceptedRecord()
 	if known := c.directory.Record(); known.Epoch > record.Epoch {
 		record = known
@@ -185,7 +185,7 @@
 	if !containsDisk(record.Voters, c.self.Disk) {
 		return true, nil
 	}
-	ctx, stop := context.WithTimeout(ctx, handOverTimeout)
+	ctx, stop := context.WithTimeout(ctx, handoffTimeout)
 	defer stop()
 	if l := c.leader.Load(); l != nil {
 		op := &operation{transfer: true, done: make(chan struct{})}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -26,10 +26,10 @@
 	Leave(ctx context.Context) error
 }
 
-// HandOverContext returns the context for a process that hands over its roles before it shuts down. It
+// ShutdownContext returns the context for a process that hands over its roles before it shuts down. It
 // calls Leave when shutdown ends, and the returned context ends when Leave returns. Leave's context has
 // the given timeout.
-func HandOverContext(shutdown context.Context, leaver Leaver, timeout time.Duration) context.Context {
+func ShutdownContext(shutdown context.Context, leaver Leaver, timeout time.Duration) context.Context {
 	ctx, end := context.WithCancel(context.Background())
 	go func() {
 		defer end()
--- a/internal/fleetstate/duty_round_test.go
+++ b/internal/fleetstate/duty_round_test.go
@@ -12,9 +12,9 @@
 	"keelstair.example/ids"
 )
 
-// winRound applies a DutyRound command and returns the act of the reply. The error is nil or
-// ErrUnchanged if the round was won.
-func winRound(t *testing.T, s *State, c DutyRound) (DutyAction, error) {
+// requestRound applies a DutyRound command and returns the action of the reply. The error is nil or
+// ErrUnchanged if the round was granted.
+func requestRound(t *testing.T, s *State, c DutyRound) (DutyAction, error) {
 	t.Helper()
 	out, err := s.Apply(DutyRoundKind, coordination.MustMarshal(&c))
 	if err != nil && err != coordination.ErrUnchanged {
@@ -31,18 +31,18 @@
 func TestDutyContentFixedByFirstRound(t *testing.T) {
 	s := newState(false, Retention{})
 	first := DutyRound{Subject: "usage", Number: 7, Owner: "a", Fence: 3, Content: []byte("x")}
-	action, err := winRound(t, s, first)
+	action, err := requestRound(t, s, first)
 	require.NoError(t, err)
 	require.Equal(t, DutyAction{Number: 7, Content: []byte("x")}, action)
-	_, err = winRound(t, s, first)
+	_, err = requestRound(t, s, first)
 	require.ErrorIs(t, err, coordination.ErrUnchanged)
-	action, err = winRound(t, s, DutyRound{Subject: "usage", Number: 7, Owner: "b", Fence: 4, Content: []byte("y")})
+	action, err = requestRound(t, s, DutyRound{Subject: "usage", Number: 7, Owner: "b", Fence: 4, Content: []byte("y")})
 	require.NoError(t, err)
 	require.Equal(t, "x", string(action.Content))
-	action, err = winRound(t, s, DutyRound{Subject: "usage", Number: 7, Owner: "b", Fence: 4, Done: true})
+	action, err = requestRound(t, s, DutyRound{Subject: "usage", Number: 7, Owner: "b", Fence: 4, Done: true})
 	require.NoError(t, err)
 	require.Equal(t, DutyAction{Number: 7, Done: true}, action)
-	action, err = winRound(t, s, DutyRound{Subject: "usage", Number: 7, Owner: "b", Fence: 4, Content: []byte("z")})
+	action, err = requestRound(t, s, DutyRound{Subject: "usage", Number: 7, Owner: "b", Fence: 4, Content: []byte("z")})
 	require.ErrorIs(t, err, coordination.ErrUnchanged)
 	require.Equal(t, DutyAction{Number: 7, Done: true}, action)
 }
@@ -52,7 +52,7 @@
 // rejected round changes nothing.
 func TestDutyRoundOfEarlierHolder(t *testing.T) {
 	s := newState(false, Retention{})
-	_, err := winRound(t, s, DutyRound{Subject: "usage", Number: 1, Owner: "b", Fence: 4})
+	_, err := requestRound(t, s, DutyRound{Subject: "usage", Number: 1, Owner: "b", Fence: 4})
 	require.NoError(t, err)
 	before := coordination.MustMarshal(s.encode(false))
 	for _, c := range []DutyRound{
@@ -60,11 +60,11 @@
 		{Subject: "usage", Number: 1, Owner: "a", Fence: 3, Done: true},
 		{Subject: "usage", Number: 2, Owner: "a", Fence: 4},
 	} {
-		_, err = winRound(t, s, c)
+		_, err = requestRound(t, s, c)
 		require.True(t, failure.Is(err, failure.Stale), "%v", err)
 		require.Equal(t, before, coordination.MustMarshal(s.encode(false)))
 	}
-	_, err = winRound(t, s, DutyRound{Subject: "other", Number: 2, Owner: "a", Fence: 3})
+	_, err = requestRound(t, s, DutyRound{Subject: "other", Number: 2, Owner: "a", Fence: 3})
 	require.NoError(t, err, "subjects are independent")
 }
 
@@ -73,13 +73,13 @@
 func TestDutyActionsBounded(t *testing.T) {
 	s := newState(false, Retention{})
 	for i := range uint64(maxDutyActions + 3) {
-		_, err := winRound(t, s, DutyRound{Subject: "usage", Number: 100 + i, Owner: "a", Fence: 1})
+		_, err := requestRound(t, s, DutyRound{Subject: "usage", Number: 100 + i, Owner: "a", Fence: 1})
 		require.NoError(t, err)
 	}
 	require.Len(t, s.dutySubjects["usage"].Actions, maxDutyActions)
-	_, err := winRound(t, s, DutyRound{Subject: "usage", Number: 102, Owner: "a", Fence: 1})
+	_, err := requestRound(t, s, DutyRound{Subject: "usage", Number: 102, Owner: "a", Fence: 1})
 	require.True(t, failure.Is(err, failure.Stale), "%v", err)
-	action, err := winRound(t, s, DutyRound{Subject: "usage", Owner: "a", Fence: 1, Content: []byte("next")})
+	action, err := requestRound(t, s, DutyRound{Subject: "usage", Owner: "a", Fence: 1, Content: []byte("next")})
 	require.NoError(t, err)
 	require.EqualValues(t, 100+maxDutyActions+3, action.Number)
 }
@@ -90,14 +90,14 @@
 func TestDutyRoundsInSnapshot(t *testing.T) {
 	m := NewMachine(MachineOptions{Metering: true})
 	for _, subject := range []string{"b", "a"} {
-		_, err := winRound(t, m.State, DutyRound{Subject: subject, Number: 5, Owner: "n", Fence: 9, Content: []byte(subject)})
+		_, err := requestRound(t, m.State, DutyRound{Subject: subject, Number: 5, Owner: "n", Fence: 9, Content: []byte(subject)})
 		require.NoError(t, err)
 	}
 	replica := NewMachine(MachineOptions{})
 	require.NoError(t, replica.Restore(m.Snapshot(false)))
 	require.Equal(t, m.dutySubjects, replica.dutySubjects)
 	require.Equal(t, m.Snapshot(false), replica.Snapshot(false))
-	_, err := winRound(t, replica.State, DutyRound{Subject: "a", Number: 6, Owner: "m", Fence: 8})
+	_, err := requestRound(t, replica.State, DutyRound{Subject: "a", Number: 6, Owner: "m", Fence: 8})
 	require.True(t, failure.Is(err, failure.Stale), "%v", err)
 	watcher := NewMachine(MachineOptions{})
 	require.NoError(t, watcher.Restore(m.Snapshot(true)))
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -92,22 +92,23 @@
 }
 
 // TestNonIdempotentRequestRunsAtMostOnce: the first decode call of each request fails (reset before or within
-// the response, no response until the deadline, the response of another request, no stamp, a 500, lost
-// memory, rejection, no connection). A request that may not be repeated never runs twice and isn't rejected
-// after a worker accepted it; a rejection always means that nothing ran.
+// the response, no response until the deadline, the response of another request, no header that
+// identifies the worker, a 500, lost memory, rejection, no connection). A request that may not
+// be repeated never runs twice and isn't rejected after a worker accepted it; a rejection always means that
+// nothing ran.
 func TestNonIdempotentRequestRunsAtMostOnce(t *testing.T) {
 	for outcome, name := range map[callOutcome]string{
-		connectionRefused: "connection-refused",
-		notExecuted:       "rejected",
-		resetAfterRun:     "reset-after-run",
-		resetBeforeRun:    "reset-before-run",
-		silentAfterRun:    "silent-after-run",
-		silentBeforeRun:   "silent-before-run",
-		resetMidResponse:  "reset-mid-response",
-		foreignResponse:   "foreign-response",
-		unstampedResponse: "unstamped",
-		serverError:       "server-error",
-		memoryLost:        "memory-lost",
+		connectionRefused:    "connection-refused",
+		notExecuted:          "rejected",
+		resetAfterRun:        "reset-after-run",
+		resetBeforeRun:       "reset-before-run",
+		silentAfterRun:       "silent-after-run",
+		silentBeforeRun:      "silent-before-run",
+		resetMidResponse:     "reset-mid-response",
+		foreignResponse:      "foreign-response",
+		unidentifiedResponse: "unidentified",
+		serverError:          "server-error",
+		memoryLost:           "memory-lost",
 	} {
 		t.Run(name, func(t *testing.T) {
 			runInBubble(t, func(t *testing.T) {
@@ -130,10 +131,10 @@
 				require.Empty(t, checkResponses(results))
 				for _, result := range results {
 					if _, isRejected := result.err.(*RejectedError); isRejected {
-						require.NotContains(t, []callOutcome{resetAfterRun, silentAfterRun, resetMidResponse, foreignResponse, unstampedResponse, serverError}, outcome)
+						require.NotContains(t, []callOutcome{resetAfterRun, silentAfterRun, resetMidResponse, foreignResponse, unidentifiedResponse, serverError}, outcome)
 					}
 					if !result.retryable && (outcome == resetAfterRun || outcome == silentAfterRun || outcome == resetMidResponse || outcome == foreignResponse ||
-						outcome == unstampedResponse) {
+						outcome == unidentifiedResponse) {
 						require.IsType(t, &AbortedError{}, result.err, result.Path)
 					}
 				}
@@ -158,7 +159,7 @@
 				return succeeds
 			}
 			return []callOutcome{
-				connectionRefused, notExecuted, resetAfterRun, resetBeforeRun, silentAfterRun, silentBeforeRun, resetMidResponse, foreignResponse, unstampedResponse,
+				connectionRefused, notExecuted, resetAfterRun, resetBeforeRun, silentAfterRun, silentBeforeRun, resetMidResponse, foreignResponse, unidentifiedResponse,
 				serverError, memoryLost,
 			}[rng.IntN(11)]
 		}
@@ -290,14 +291,14 @@
 	})
 }
 
-// TestUnstampedResponseIsDiscarded: no byte of a success without the worker's stamp reaches the caller,
-// whether or not the request may run again.
-func TestUnstampedResponseIsDiscarded(t *testing.T) {
+// TestUnidentifiedResponseIsDiscarded: no byte of a success response without the header that
+// identifies the worker reaches the caller, whether or not the request may run again.
+func TestUnidentifiedResponseIsDiscarded(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		platform := newFakePlatform(prefillAndDecodeWorkers("svc", 2, 3)...)
 		platform.outcome = func(call callRecord, _ *fakeWorker) callOutcome {
 			if call.Kind == "emit" {
-				return unstampedResponse
+				return unidentifiedResponse
 			}
 			return succeeds
 		}
--- a/internal/proxy/fake_platform_test.go
+++ b/internal/proxy/fake_platform_test.go
@@ -23,18 +23,18 @@
 type callOutcome int
 
 const (
-	succeeds          callOutcome = iota
-	connectionRefused             // no connection is established
-	notExecuted                   // rejected before execution
-	resetAfterRun                 // executed; the connection is reset before the response
-	resetBeforeRun                // not executed; the connection is reset before the response
-	silentAfterRun                // executed; no response until the node gives up
-	silentBeforeRun               // not executed; no response until the node gives up
-	resetMidResponse              // the connection is reset within an event in the middle of the response
-	foreignResponse               // the response belongs to another request
-	unstampedResponse             // status 200 without the response header that a worker sets (FromWorker is false)
-	serverError                   // status 500 with this header
-	memoryLost                    // the worker can't fetch the prefilled memory
+	succeeds             callOutcome = iota
+	connectionRefused                // no connection is established
+	notExecuted                      // rejected before execution
+	resetAfterRun                    // executed; the connection is reset before the response
+	resetBeforeRun                   // not executed; the connection is reset before the response
+	silentAfterRun                   // executed; no response until the node gives up
+	silentBeforeRun                  // not executed; no response until the node gives up
+	resetMidResponse                 // the connection is reset within an event in the middle of the response
+	foreignResponse                  // the response belongs to another request
+	unidentifiedResponse             // status 200 without the header that identifies the worker (FromWorker is false)
+	serverError                      // status 500 with this header
+	memoryLost                       // the worker can't fetch the prefilled memory
 )
 
 // callRecord is one recorded call.
@@ -519,7 +519,7 @@
 		return nil, err
 	}
 	body := &responseBody{ctx: ctx, backend: b, worker: worker, release: release, cutChunk: -1}
-	response := &Response{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.ID)}}, FromWorker: outcome != unstampedResponse, Length: -1, Body: body, Load: platform.currentLoad(worker)}
+	response := &Response{Status: http.StatusOK, Header: http.Header{"X-Worker": {string(w.ID)}}, FromWorker: outcome != unidentifiedResponse, Length: -1, Body: body, Load: platform.currentLoad(worker)}
 	if outcome == serverError {
 		response.Status = http.StatusInternalServerError
 		body.chunks = [][]byte{[]byte("failed")}
--- a/internal/proxy/list_follow.go
+++ b/internal/proxy/list_follow.go
@@ -255,7 +255,7 @@
 	if r.Early { // it has no totals
 		return
 	}
-	n.parentSums.Store(&parentSums{now, r.Prefills, r.Outcomes})
+	n.sourceTotals.Store(&sourceTotals{now, r.Prefills, r.Outcomes})
 	if f.flat { // the response has the totals of all nodes; those of this node may be older
 		n.recordPeerPrefills(r.Prefills)
 		n.recordPeerOutcomes(r.Outcomes)
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -135,7 +135,7 @@
 	states          sync.Map // ids.WorkerID -> *workerState
 	slowStart       slowStart
 	peerReports     sync.Map // ids.NodeID -> peerReport
-	parentSums      atomic.Pointer[parentSums]
+	sourceTotals    atomic.Pointer[sourceTotals]
 	listLatency     atomic.Int64 // ns that the platform took to answer the list request, here or at the node the list came from
 	listChanged     changeSignal
 	failbacks       sync.Map // ids.Zone -> failback, for zones that were evacuated
--- a/internal/proxy/peer_outcomes.go
+++ b/internal/proxy/peer_outcomes.go
@@ -17,7 +17,7 @@
 	maxOutcomes   = 64                     // maximum number of workers that a node reports
 	outcomesTTL   = time.Second            // after which peers' outcomes no longer make this node report its own
 	outcomeSumTTL = 100 * time.Millisecond // after which the sum is computed again
-	fromParent    = ids.NodeID("above")    // key in outcomeSums for the sums received from the parent
+	fromSource    = ids.NodeID("above")    // key in outcomeSums for the totals received from the list source
 )
 
 // localOutcomes lists this node's outcomes of the workers that failed here or at other nodes.
@@ -93,7 +93,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n.refreshOutcomeSums(t)
-	return t.without(n.self.Node, fromParent)
+	return t.without(n.self.Node, fromSource)
 }
 
 // refreshOutcomeSums recomputes the sums if they are older than outcomeSumTTL. The caller holds their
@@ -105,11 +105,11 @@
 	}
 	t.at, t.total, t.byNode = now, map[ids.WorkerID]Outcomes{}, map[ids.NodeID][]Outcomes{}
 	t.add(n.self.Node, n.capWeights(n.localOutcomes()))
-	t.add(fromParent, n.currentParentSums(now).outcomes)
+	t.add(fromSource, n.currentSourceTotals(now).outcomes)
 	owner, _, _ := n.agent.KeyOwner(fleetstate.WorkerListKey)
-	isChild := n.treeShape().outcomeReporterFilter(n.self, owner, n.agent.Members())
+	isReporter := n.treeShape().outcomeReporterFilter(n.self, owner, n.agent.Members())
 	n.peerReports.Range(func(k, v any) bool {
-		if o := v.(peerReport); isChild(k.(ids.NodeID)) && !now.Past(o.receivedAt, 2*prefillLoadTTL) &&
+		if o := v.(peerReport); isReporter(k.(ids.NodeID)) && !now.Past(o.receivedAt, 2*prefillLoadTTL) &&
 			len(o.outcomes)+len(o.subtreeOutcomes) > 0 {
 			t.add(k.(ids.NodeID), append(n.capWeights(o.outcomes), o.subtreeOutcomes...))
 		}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -73,7 +73,7 @@
 type Response struct {
 	Status     int
 	Header     http.Header // as forwarded to the caller
-	FromWorker bool        // it has the worker's own seal
+	FromWorker bool        // it has the header that identifies the worker
 	Events     bool        // the body is an event stream
 	Length     int64       // -1 if unknown
 	Body       io.ReadCloser
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -103,7 +103,7 @@
 	t.mayHaveRun = true
 	if reply.Status/100 == 2 && !reply.FromWorker {
 		t.node.recordOutcome(c, false)
-		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "a success without the worker's stamp")
+		return failure.New(failure.OutcomeUnknown, "pass", c.worker.Addr, "success status without the header that identifies the worker")
 	}
 	if impliesNotRun(reply.Status) {
 		t.node.recordOutcome(c, false)
--- a/internal/proxy/worker_list.go
+++ b/internal/proxy/worker_list.go
@@ -35,7 +35,7 @@
 		owner, _, ok := n.agent.KeyOwner(fleetstate.WorkerListKey)
 		switch {
 		case ok && owner.Node == n.self.Node:
-			n.parentSums.Store(nil)
+			n.sourceTotals.Store(nil)
 		case !ok && n.snapshot().Version == 0: // nothing can be served yet, and many nodes may be starting at once
 			host.Sleep(ctx, startRetryInterval)
 			continue
@@ -117,21 +117,21 @@
 	subtreeOutcomes []Outcomes // of its subtree, already weighted
 }
 
-// parentSums holds the last totals that this node's list source sent. They cover all nodes outside
+// sourceTotals holds the last totals that this node's list source sent. They cover all nodes outside
 // this node's subtree.
-type parentSums struct {
+type sourceTotals struct {
 	receivedAt ids.Tick
 	prefills   []PrefillLoad
 	outcomes   []Outcomes
 }
 
-// currentParentSums returns the totals last received from the list source, or empty totals if there are none
+// currentSourceTotals returns the totals last received from the list source, or empty totals if there are none
 // or they have expired.
-func (n *Node) currentParentSums(now ids.Tick) *parentSums {
-	if sums := n.parentSums.Load(); sums != nil && !now.Past(sums.receivedAt, 2*prefillLoadTTL) {
+func (n *Node) currentSourceTotals(now ids.Tick) *sourceTotals {
+	if sums := n.sourceTotals.Load(); sums != nil && !now.Past(sums.receivedAt, 2*prefillLoadTTL) {
 		return sums
 	}
-	return &parentSums{}
+	return &sourceTotals{}
 }
 
 // serveList answers a node's request with the list and with the totals of all nodes. If the
@@ -210,8 +210,8 @@
 }
 
 // prefillsWithout adds up the running prefills of all nodes but one. Without the totals of the list
-// source (includeParent is false), the sum covers this node and its subtree.
-func (n *Node) prefillsWithout(excluded ids.NodeID, includeParent bool) []PrefillLoad {
+// source (includeSource is false), the sum covers this node and its subtree.
+func (n *Node) prefillsWithout(excluded ids.NodeID, includeSource bool) []PrefillLoad {
 	now := n.now()
 	indexes := map[ids.WorkerID]int{}
 	var out []PrefillLoad
@@ -228,8 +228,8 @@
 	if excluded != n.self.Node {
 		add(n.localPrefills())
 	}
-	if includeParent {
-		add(n.currentParentSums(now).prefills)
+	if includeSource {
+		add(n.currentSourceTotals(now).prefills)
 	}
 	n.peerReports.Range(func(k, v any) bool {
 		switch report := v.(peerReport); {
--- a/internal/router/audit.go
+++ b/internal/router/audit.go
@@ -1,5 +1,5 @@
 // This file keeps the audit records of requests under a regime. The node that serves a request
-// collects each step with the certificate that cleared it, appends one row to the audit chain in the
+// collects each step with the certificate that authorized it, appends one row to the audit chain in the
 // coordination service before anything runs, and one with the outcome.
 
 package router
@@ -20,7 +20,7 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// recordStep adds a step and the certificate that cleared it to the audit record. It ignores
+// recordStep adds a step and the certificate that authorized it to the audit record. It ignores
 // steps of requests without a regime, and reservations.
 func (t *transport) recordStep(operation string, w ids.WorkerID, id workerclient.ID, serial string) {
 	if serial == "" || operation == verbReserve {
@@ -40,7 +40,7 @@
 	if t.regime == "" {
 		return nil
 	}
-	serial, _ := t.node.clearance(t.regime, certification.Subject{Node: t.node.options.Name}, "")
+	serial, _ := t.node.authorize(t.regime, certification.Subject{Node: t.node.options.Name}, "")
 	row, _ := json.Marshal(&fleetstate.AuditRecord{
 		Request: request,
 		Key:     key,
@@ -108,7 +108,7 @@
 	if t.regime == "" {
 		return nil
 	}
-	serial, _ := n.clearance(t.regime, certification.Subject{Worker: claim.Worker}, ids.Decode)
+	serial, _ := n.authorize(t.regime, certification.Subject{Worker: claim.Worker}, ids.Decode)
 	t.auditSteps = []fleetstate.AuditStep{
 		{What: "settled", Worker: string(claim.Worker), Serial: serial, At: n.fleetTime().High},
 	}
--- a/internal/router/clearance.go
+++ b/internal/router/authorization.go
@@ -1,8 +1,7 @@
 // This file enforces certification regimes. A regime governs some kinds of requests, which only
-// nodes and workers with a valid certificate for it may handle. A clearance is the permission that
-// such a certificate gives a node, or a worker in one role. A worker or node that the certificate
-// register does not clear is no candidate, gets no orders, and its running steps are canceled at
-// once.
+// nodes and workers with a valid certificate for it may handle. Such a certificate authorizes a node,
+// or a worker in one role. A worker or node that the certificate register does not authorize is no
+// candidate, gets no orders, and its running steps are canceled at once.
 
 package router
 
@@ -18,20 +17,20 @@
 	"keelstair.example/internal/handoff"
 )
 
-// guardInterval is how often the clearance of a running step is checked again.
+// guardInterval is how often the authorization of a running step is checked again.
 const guardInterval = 50 * time.Millisecond
 
-// stepClearance checks that this node, and a worker in a role, may handle the requests of a regime
+// authorizeStep checks that this node, and a worker in a role, may handle the requests of a regime
 // now, and returns the serial of the worker's certificate. A request without a regime, or whose
 // regime has been removed, needs no certificate.
-func (n *Node) stepClearance(regime string, w ids.WorkerID, role ids.Role) (string, error) {
+func (n *Node) authorizeStep(regime string, w ids.WorkerID, role ids.Role) (string, error) {
 	if regime == "" || !n.view.Current().Register.HasRegime(regime) {
 		return "", nil
 	}
-	if _, err := n.clearance(regime, certification.Subject{Node: n.options.Name}, ""); err != nil {
+	if _, err := n.authorize(regime, certification.Subject{Node: n.options.Name}, ""); err != nil {
 		return "", err
 	}
-	return n.clearance(regime, certification.Subject{Worker: w}, role)
+	return n.authorize(regime, certification.Subject{Worker: w}, role)
 }
 
 // currentRegime returns the regime that governs the request under a snapshot: the one that governs
@@ -55,21 +54,21 @@
 		(headroomPercent == 0 || st.InFlight < handoff.LimitWithHeadroom(st.MaxConcurrent, headroomPercent))
 }
 
-// orderClearance checks an order for a request under a regime: the register must clear this node,
+// authorizeOrder checks an order for a request under a regime: the register must authorize this node,
 // the worker and, for an import of KV memory, also the source. It returns the serial of the worker's
 // certificate.
-func (n *Node) orderClearance(request *OrderRequest) (string, error) {
+func (n *Node) authorizeOrder(request *OrderRequest) (string, error) {
 	switch request.Verb {
 	case verbReserve, verbPrefill, verbExport, verbImport, verbResume:
 	default:
 		return "", nil // cancelling and freeing are always allowed
 	}
-	serial, err := n.stepClearance(request.Regime, request.Worker, request.Role)
+	serial, err := n.authorizeStep(request.Regime, request.Worker, request.Role)
 	if err != nil {
 		return "", failure.Wrap(err, request.Verb, string(request.Worker))
 	}
 	if request.Verb == verbImport {
-		if _, err := n.stepClearance(request.Regime, request.Source, ids.Prefill); err != nil {
+		if _, err := n.authorizeStep(request.Regime, request.Source, ids.Prefill); err != nil {
 			return "", failure.As(err, failure.DataLost, request.Verb, string(request.Source))
 		}
 	}
@@ -77,7 +76,7 @@
 }
 
 // guardStep returns a context that is canceled as soon as the worker, or the source of its KV
-// memory, is no longer cleared. The returned function ends the check; it replaces an error that
+// memory, is no longer authorized. The returned function ends the check; it replaces an error that
 // results from such a cancellation by one that names the cause.
 func (t *transport) guardStep(
 	ctx context.Context,
@@ -91,9 +90,9 @@
 	ctx, stop := context.WithCancelCause(ctx)
 	go func() {
 		for host.Sleep(ctx, guardInterval) {
-			_, err := t.node.stepClearance(t.regime, w, role)
+			_, err := t.node.authorizeStep(t.regime, w, role)
 			if err == nil && source != "" {
-				_, err = t.node.stepClearance(t.regime, source, ids.Prefill)
+				_, err = t.node.authorizeStep(t.regime, source, ids.Prefill)
 			}
 			if err != nil {
 				stop(err)
@@ -111,10 +110,10 @@
 	}
 }
 
-// Clearance checks that a subject may handle a regime's work in a role now, as this node knows it,
+// Authorize checks that a subject may handle a regime's work in a role now, as this node knows it,
 // and returns the serial of its certificate.
-func (n *Node) Clearance(regime string, s certification.Subject, role ids.Role) (string, error) {
-	return n.clearance(regime, s, role)
+func (n *Node) Authorize(regime string, s certification.Subject, role ids.Role) (string, error) {
+	return n.authorize(regime, s, role)
 }
 
 // Forwarded returns how many requests this node forwarded to another node.
--- a/internal/router/claim_takeover.go
+++ b/internal/router/claim_takeover.go
@@ -109,7 +109,7 @@
 	if regime == "" {
 		return true
 	}
-	_, err := n.clearance(regime, certification.Subject{Node: n.options.Name}, "")
+	_, err := n.authorize(regime, certification.Subject{Node: n.options.Name}, "")
 	return err == nil
 }
 
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -33,7 +33,7 @@
 		if m.Node == n.self.Node || !ok || now.Past(v.(peerStatus).receivedAt, time.Second) || s.EvacuatedZones[m.Zone] {
 			continue
 		}
-		if _, err := n.clearance(regime, certification.Subject{Node: fleetstate.NodeName(m.Node)}, ""); err == nil {
+		if _, err := n.authorize(regime, certification.Subject{Node: fleetstate.NodeName(m.Node)}, ""); err == nil {
 			out = append(out, m)
 		}
 	}
--- a/internal/router/regime.go
+++ b/internal/router/regime.go
@@ -1,5 +1,5 @@
-// This file decides which subjects (nodes and workers) a node's certificate register clears at the
-// current fleet time, and implements the operator API for certificates and regimes. A node clears no
+// This file decides which subjects (nodes and workers) a node's certificate register authorizes at the
+// current fleet time, and implements the operator API for certificates and regimes. A node authorizes no
 // subject while its state from the coordination service (the core) is too old.
 
 package router
@@ -24,10 +24,10 @@
 	return certification.TimeBounds{Low: low, High: high}
 }
 
-// clearance returns the serial of the certificate that allows a subject to handle requests of a
-// regime in a role now. It clears no subject while this node's state from the core is too old to
+// authorize returns the serial of the certificate that allows a subject to handle requests of a
+// regime in a role now. It authorizes no subject while this node's state from the core is too old to
 // include recent revocations and the fleet time.
-func (n *Node) clearance(regime string, s certification.Subject, role ids.Role) (string, error) {
+func (n *Node) authorize(regime string, s certification.Subject, role ids.Role) (string, error) {
 	if !n.agent.Current() {
 		return "", failure.New(
 			failure.NotExecuted,
--- a/internal/router/regime_test.go
+++ b/internal/router/regime_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestRoleChangeKeepsRegimeCovered checks that a worker does not change its role while it is the
-// last one in that role that is cleared for a regime. A second cleared worker allows the change,
+// last one in that role that is authorized for a regime. A second authorized worker allows the change,
 // and a revocation of the second one's certificate forbids it again.
 func TestRoleChangeKeepsRegimeCovered(t *testing.T) {
 	key, _, err := certification.NewKey()
@@ -45,10 +45,10 @@
 	addCertificate("1", "p1")
 	at := certification.ExactTime(now)
 	require.False(t, regimesStayCovered(snapshotWith(nil), workers, workers[0], at))
-	require.True(t, regimesStayCovered(snapshotWith(nil), workers, workers[1], at), "the worker is cleared for no regime")
+	require.True(t, regimesStayCovered(snapshotWith(nil), workers, workers[1], at), "the worker is authorized for no regime")
 	require.True(t, regimesStayCovered(&fleetstate.Snapshot{}, workers, workers[0], at), "no regime is configured")
 	addCertificate("2", "p2")
 	require.True(t, regimesStayCovered(snapshotWith(nil), workers, workers[0], at))
 	require.False(t, regimesStayCovered(snapshotWith(map[string]bool{"2": false}), workers, workers[0], at))
-	require.False(t, regimesStayCovered(snapshotWith(nil), []WorkerStatus{workers[0], workers[2]}, workers[0], at), "the other cleared worker is not in the role")
+	require.False(t, regimesStayCovered(snapshotWith(nil), []WorkerStatus{workers[0], workers[2]}, workers[0], at), "the other authorized worker is not in the role")
 }
--- a/internal/router/role_balance.go
+++ b/internal/router/role_balance.go
@@ -163,7 +163,7 @@
 	return same >= 1 && len(after) >= min(2, len(before))
 }
 
-// regimesStayCovered reports whether every regime that clears a worker in its role also clears
+// regimesStayCovered reports whether every regime that authorizes a worker in its role also authorizes
 // another worker in that role.
 func regimesStayCovered(
 	s *fleetstate.Snapshot,
@@ -172,12 +172,12 @@
 	now certification.TimeBounds,
 ) bool {
 	for _, regime := range s.Register.RegimeNames() {
-		cleared := func(st WorkerStatus) bool {
+		authorized := func(st WorkerStatus) bool {
 			_, ok := s.Register.Authorizes(regime, certification.Subject{Worker: st.ID}, candidate.Role, now)
 			return ok
 		}
-		if cleared(candidate) && !slices.ContainsFunc(workers, func(st WorkerStatus) bool {
-			return st.ID != candidate.ID && cleared(st)
+		if authorized(candidate) && !slices.ContainsFunc(workers, func(st WorkerStatus) bool {
+			return st.ID != candidate.ID && authorized(st)
 		}) {
 			return false
 		}
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -66,7 +66,7 @@
 		return api.NewFault(http.StatusBadRequest, "unknown", "adapters", "no worker offers them all")
 	}
 	if regime := s.Register.RegimeOf(request.Kind); regime != "" {
-		if _, err := n.clearance(regime, certification.Subject{Node: n.options.Name}, ""); err != nil && !forwarded {
+		if _, err := n.authorize(regime, certification.Subject{Node: n.options.Name}, ""); err != nil && !forwarded {
 			return n.forward(ctx, s, regime, request, out)
 		} else if err != nil {
 			return n.rejectRetryable(http.StatusServiceUnavailable, "not-certified", "%v", err)
--- a/internal/router/tracing/tracing.go
+++ b/internal/router/tracing/tracing.go
@@ -20,9 +20,9 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// maxOpenHandovers limits the handoffs that are collected at once. Of further ones only the last
+// maxOpenHandoffs limits the handoffs that are collected at once. Of further ones only the last
 // event is written.
-const maxOpenHandovers = 4096
+const maxOpenHandoffs = 4096
 
 // Writer collects the events of each handoff and writes the handoff's trace at its end.
 type Writer struct {
@@ -44,7 +44,7 @@
 	defer w.mu.Unlock()
 	events := append(w.pending[e.ID], e)
 	if e.Step != handoff.Ended && e.Step != handoff.Dropped {
-		if len(w.pending) < maxOpenHandovers {
+		if len(w.pending) < maxOpenHandoffs {
 			w.pending[e.ID] = events
 		}
 		return
--- a/internal/router/tracing/tracing_test.go
+++ b/internal/router/tracing/tracing_test.go
@@ -15,9 +15,9 @@
 	"keelstair.example/internal/workerclient"
 )
 
-// TestHandoverTrace checks that a handoff is written as one line when it ends, with one span per
+// TestHandoffTrace checks that a handoff is written as one line when it ends, with one span per
 // step under a common parent, and that a dropped one has the error status and its reason.
-func TestHandoverTrace(t *testing.T) {
+func TestHandoffTrace(t *testing.T) {
 	var out bytes.Buffer
 	clock := simulated.NewWorld(1).Machine("10.0.0.1").Start().Host().Clock
 	w := New(&out, "n1", clock)
--- a/internal/router/transport.go
+++ b/internal/router/transport.go
@@ -54,11 +54,11 @@
 	s := n.view.Current()
 	t.pickedVersion, t.pickedRole = s.Version, request.Role
 	regime := t.currentRegime(s)
-	cleared := func(st WorkerStatus) bool {
+	authorized := func(st WorkerStatus) bool {
 		if regime == "" {
 			return true
 		}
-		_, err := n.stepClearance(regime, st.ID, st.Role)
+		_, err := n.authorizeStep(regime, st.ID, st.Role)
 		return err == nil
 	}
 	picked := map[ids.WorkerID]handoff.PickedWorker{}
@@ -68,7 +68,7 @@
 	rolesByModelWeights := map[string]map[ids.Role]bool{}
 	for id, st := range *n.workerStatuses.Load() {
 		w, ok := s.Configuration.Workers[id]
-		if !ok || !st.Ready || !n.acceptsWork(s, id) || !cleared(st) {
+		if !ok || !st.Ready || !n.acceptsWork(s, id) || !authorized(st) {
 			continue
 		}
 		if rolesByModelWeights[w.Weights] == nil {
@@ -84,7 +84,7 @@
 			want.Weights = w.Weights
 		}
 		blocks := ids.Blocks(request.NeededTokens, st.Block)
-		if !ok || st.Role != request.Role || !st.Ready || !n.acceptsWork(s, id) || !cleared(st) ||
+		if !ok || st.Role != request.Role || !st.Ready || !n.acceptsWork(s, id) || !authorized(st) ||
 			regime == "" && !n.fitsWithHeadroom(s, st, blocks) || !m.Serves(want) || st.InFlight >= st.MaxConcurrent ||
 			!rolesByModelWeights[w.Weights][ids.Prefill] || !rolesByModelWeights[w.Weights][ids.Decode] || st.Free < blocks {
 			continue
@@ -118,8 +118,8 @@
 }
 
 // issueOrder sends an order to a worker through the node that holds the worker's key. If a regime
-// governs the request, issueOrder first checks that the regime clears this node and the worker for
-// the order, records the order for the audit, and cancels it when the clearance ends.
+// governs the request, issueOrder first checks that the regime authorizes this node and the worker for
+// the order, records the order for the audit, and cancels it when the authorization ends.
 func (t *transport) issueOrder(
 	ctx context.Context,
 	verb string,
@@ -139,14 +139,14 @@
 		}
 	}
 	// Orders without a role cancel an attempt or free its memory. They may run concurrently with
-	// the next attempt and need no clearance. Neither do orders for a request without a regime;
+	// the next attempt and need no authorization. Neither do orders for a request without a regime;
 	// their role is not sent.
 	if request.Role == "" || t.regime == "" {
 		request.Role = ""
 		return t.node.sendOrder(callContext, &request)
 	}
 	request.Regime = t.regime
-	serial, err := t.node.orderClearance(&request)
+	serial, err := t.node.authorizeOrder(&request)
 	if err != nil {
 		return nil, err
 	}
@@ -246,7 +246,7 @@
 		t.node.workerClient.Stream(ctx, endpoint.Addr, id, from, t.node.options.StreamTimeout, func(
 			event workerclient.TokenEvent,
 		) error {
-			if _, err := t.node.stepClearance(t.regime, w, ids.Decode); err != nil {
+			if _, err := t.node.authorizeStep(t.regime, w, ids.Decode); err != nil {
 				return failure.As(err, failure.DataLost, "stream", string(w))
 			}
 			return put(event)
--- a/internal/router/worker_duty.go
+++ b/internal/router/worker_duty.go
@@ -163,7 +163,7 @@
 		return nil, err
 	}
 	ledger := duty.ledger
-	if _, err := n.orderClearance(request); err != nil {
+	if _, err := n.authorizeOrder(request); err != nil {
 		return nil, err
 	}
 	id := workerclient.ID{Request: request.Request, Attempt: request.Attempt}
--- a/internal/simulation/certification_model_test.go
+++ b/internal/simulation/certification_model_test.go
@@ -55,17 +55,17 @@
 // CertificationModel signs the certificates of one regime, which governs the request kinds verdict and speech,
 // and checks that workers process governed requests only while they are certified.
 type CertificationModel struct {
-	cluster          *Cluster
-	key              ed25519.PrivateKey
-	issuer           certification.Issuer
-	mu               sync.Mutex
-	certs            map[string]certification.Certificate
-	validPeriods     map[string]validPeriod // by serial
-	governedRequests map[string]string      // the regime of each request that requires a certified worker, by request id
-	handoffEvents    []handoff.Event        // of governed requests
-	revocationTimes  []time.Duration        // how long each revocation took
-	stagingTimes     []time.Duration        // how long exported KV cache stayed staged
-	reservedPercent  int                    // capacity that the regime reserves on its workers
+	cluster         *Cluster
+	key             ed25519.PrivateKey
+	issuer          certification.Issuer
+	mu              sync.Mutex
+	certs           map[string]certification.Certificate
+	validPeriods    map[string]validPeriod // by serial
+	requestRegimes  map[string]string      // the regime of each request that requires a certified worker, by request id
+	handoffEvents   []handoff.Event        // of governed requests
+	revocationTimes []time.Duration        // how long each revocation took
+	stagingTimes    []time.Duration        // how long exported KV cache stayed staged
+	reservedPercent int                    // capacity that the regime reserves on its workers
 }
 
 // NewCertificationModel creates a model. Its configure method must be passed to Build, since the model traces the
@@ -76,11 +76,11 @@
 		panic(err)
 	}
 	return &CertificationModel{
-		key:              key,
-		reservedPercent:  20,
-		certs:            map[string]certification.Certificate{},
-		validPeriods:     map[string]validPeriod{},
-		governedRequests: map[string]string{},
+		key:             key,
+		reservedPercent: 20,
+		certs:           map[string]certification.Certificate{},
+		validPeriods:    map[string]validPeriod{},
+		requestRegimes:  map[string]string{},
 	}
 }
 
@@ -99,7 +99,7 @@
 		if e.Regime != "" {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			m.governedRequests[e.ID.Request] = e.Regime
+			m.requestRegimes[e.ID.Request] = e.Regime
 			m.handoffEvents = append(m.handoffEvents, e)
 		}
 	}
@@ -255,7 +255,7 @@
 	defer m.mu.Unlock()
 	for _, o := range outcomes {
 		if o.Kind == "verdict" {
-			m.governedRequests[router.RequestIDForKey(o.Kind+"/"+o.Key)] = "chair"
+			m.requestRegimes[router.RequestIDForKey(o.Kind+"/"+o.Key)] = "chair"
 		}
 	}
 	m.cluster.Recorder.mu.Lock()
@@ -263,7 +263,7 @@
 	violations := &violationList{}
 	started, staged := map[string]RecordedWorkerEvent{}, map[string]RecordedWorkerEvent{}
 	for _, e := range m.cluster.Recorder.events {
-		if m.governedRequests[e.ID.Request] == "" {
+		if m.requestRegimes[e.ID.Request] == "" {
 			continue
 		}
 		run := fmt.Sprint(e.Worker, e.ID)
@@ -308,7 +308,7 @@
 func (m *CertificationModel) countGoverned() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.governedRequests)
+	return len(m.requestRegimes)
 }
 
 // workersWithStep returns the workers of all handoff events of governed requests with the given step, in order.
--- a/internal/simulation/certified_nodes_test.go
+++ b/internal/simulation/certified_nodes_test.go
@@ -288,7 +288,7 @@
 		require.NoError(t, m.Revoke("c-d2"))
 		require.Greater(t, m.revocationTimes[0], 2*time.Second, "the revocation should wait until the lease of the partitioned router has expired")
 		require.Less(t, m.revocationTimes[0], 5*time.Second)
-		_, err := partitioned.Node.Clearance("chair", certification.Subject{Worker: "d3"}, ids.Decode)
+		_, err := partitioned.Node.Authorize("chair", certification.Subject{Worker: "d3"}, ids.Decode)
 		require.Error(t, err, "the state of the partitioned router should be too old to authorize any worker")
 		time.Sleep(4 * time.Second)
 		require.Empty(t, m.Check(nil))
@@ -324,7 +324,7 @@
 		require.Equal(t, len(outcomes), sum.Ends[api.EndComplete]+sum.Ends[api.EndUnknown], "%+v", sum)
 		lastUsed := map[string]time.Duration{}
 		for _, e := range c.Recorder.events {
-			if m.governedRequests[e.ID.Request] != "" && e.Kind == "resumed" || e.Kind == "import" {
+			if m.requestRegimes[e.ID.Request] != "" && e.Kind == "resumed" || e.Kind == "import" {
 				lastUsed[string(e.Worker)] = e.RecordedAt
 			}
 		}
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -351,8 +351,8 @@
 	return got, c.Post("/v1/policy", a, got)
 }
 
-// SetOutOfService evacuates the zone or drains the worker that the path names, or restores it if out is false.
-func (c *Cluster) SetOutOfService(path, op string, out bool) error {
+// SetDrained evacuates the zone or drains the worker that the path names, or restores it if out is false.
+func (c *Cluster) SetDrained(path, op string, out bool) error {
 	return c.Post(path, &api.MarkRequest{Op: op, Out: out}, nil)
 }
 
--- a/internal/simulation/governed_scripts_test.go
+++ b/internal/simulation/governed_scripts_test.go
@@ -58,11 +58,11 @@
 	{"workers-drained", func(c *Cluster, m *CertificationModel, r *rand.Rand) error {
 		for i, prefix := range []string{"d", "p"} {
 			w := randomCertifiedWorker(c, r, prefix)
-			if err := c.SetOutOfService("/v1/workers/"+w.Name, fmt.Sprint("out", i), true); err != nil {
+			if err := c.SetDrained("/v1/workers/"+w.Name, fmt.Sprint("out", i), true); err != nil {
 				return err
 			}
 			time.Sleep(time.Duration(1000+r.IntN(1500)) * time.Millisecond)
-			if err := c.SetOutOfService("/v1/workers/"+w.Name, fmt.Sprint("back", i), false); err != nil {
+			if err := c.SetDrained("/v1/workers/"+w.Name, fmt.Sprint("back", i), false); err != nil {
 				return err
 			}
 		}
@@ -234,7 +234,7 @@
 			m.cluster = &Cluster{Recorder: NewRecorder()}
 			m.certs["s"] = certification.Certificate{Worker: "p1"}
 			m.validPeriods["s"] = validPeriod{2 * time.Second, 10 * time.Second}
-			m.governedRequests["r"] = "chair"
+			m.requestRegimes["r"] = "chair"
 			m.cluster.Recorder.events = test.events
 			if got := m.Check(nil); test.violation {
 				require.NotEmpty(t, got)
--- a/internal/simulation/input_test.go
+++ b/internal/simulation/input_test.go
@@ -139,7 +139,7 @@
 			require.Contains(t, text, tc.text, tc.request.Op)
 		}
 		require.Equal(t, uint64(1), c.ProcessesOf("router")[0].Node.CurrentPolicy().Newest)
-		got, _, _ := faultFields(t, c.SetOutOfService("/v1/zones/moon", "z", true))
+		got, _, _ := faultFields(t, c.SetDrained("/v1/zones/moon", "z", true))
 		require.Equal(t, 404, got)
 	})
 }
@@ -179,12 +179,12 @@
 		ready := func(want bool) func() bool {
 			return func() bool { ok, _ := p.Node.Ready(); return ok == want }
 		}
-		require.NoError(t, c.SetOutOfService("/v1/zones/"+string(p.Zone), "out", true))
+		require.NoError(t, c.SetDrained("/v1/zones/"+string(p.Zone), "out", true))
 		require.True(t, c.WaitUntil(2*time.Second, ready(false)))
 		_, err := c.stream(p, verdictRequest)
 		got, name, _ := faultFields(t, err)
 		require.Equal(t, []any{503, "not-ready"}, []any{got, name})
-		require.NoError(t, c.SetOutOfService("/v1/zones/"+string(p.Zone), "back", false))
+		require.NoError(t, c.SetDrained("/v1/zones/"+string(p.Zone), "back", false))
 		require.True(t, c.WaitUntil(4*time.Second, ready(true)))
 		long := api.StreamRequest{Kind: "clarification", Prompt: "what was the last point", MaxTokens: 40, Seed: 11}
 		events := make(chan []api.StreamEvent, 1)
--- a/internal/simulation/machine_scripts_test.go
+++ b/internal/simulation/machine_scripts_test.go
@@ -13,12 +13,12 @@
 // Script injects failures into a fleet or changes it. Run is called while the load is sent, and returns after the
 // last failure or change; some failures last until the end of the trial.
 type Script struct {
-	Name         string
-	Run          func(c *Cluster, r *rand.Rand) error
-	Configure    func(c *Cluster) // called before the fleet starts, if set
-	Bound        time.Duration    // longest permitted outage, 12 s if zero
-	NoFailures   bool             // every request must complete
-	LoadDuration time.Duration    // minimum duration of the load while Run is called
+	Name            string
+	Run             func(c *Cluster, r *rand.Rand) error
+	Configure       func(c *Cluster) // called before the fleet starts, if set
+	Bound           time.Duration    // longest permitted outage, 12 s if zero
+	AllMustComplete bool             // every request must complete
+	LoadDuration    time.Duration    // minimum duration of the load while Run is called
 }
 
 func pickOne[T any](r *rand.Rand, list []T) T { return list[r.IntN(len(list))] }
--- a/internal/simulation/network_and_worker_scripts_test.go
+++ b/internal/simulation/network_and_worker_scripts_test.go
@@ -171,7 +171,7 @@
 			time.Sleep(5 * time.Second)
 			return nil
 		},
-		NoFailures: true,
+		AllMustComplete: true,
 	},
 	{
 		Name: "zone-evacuated-and-restored",
@@ -184,7 +184,7 @@
 			time.Sleep(7 * time.Second)
 			return setEvacuated(c, z, "back", false)
 		},
-		NoFailures: true,
+		AllMustComplete: true,
 	},
 	{
 		Name: "operators-race",
@@ -224,7 +224,7 @@
 			}
 			return nil
 		},
-		NoFailures: true,
+		AllMustComplete: true,
 	},
 	{
 		Name: "many-configuration-changes",
@@ -236,7 +236,7 @@
 			}
 			return nil
 		},
-		NoFailures: true,
+		AllMustComplete: true,
 	},
 	{Name: "configuration-changes-with-a-router-partitioned-from-controllers", Run: func(c *Cluster, r *rand.Rand) error {
 		p := ownerOfPrefillAndDecodeWorkers(c)
--- a/internal/simulation/operation_class_test.go
+++ b/internal/simulation/operation_class_test.go
@@ -23,7 +23,7 @@
 		zone := string(c.ProcessesOf("router")[0].Zone)
 		const retained = 2048
 		for i := range retained + 2 {
-			require.NoError(t, c.SetOutOfService("/v1/zones/"+zone, fmt.Sprint("mark", i), i%2 == 0))
+			require.NoError(t, c.SetDrained("/v1/zones/"+zone, fmt.Sprint("mark", i), i%2 == 0))
 		}
 		second, err := c.Apply(request)
 		require.NoError(t, err)
--- a/internal/simulation/operations_test.go
+++ b/internal/simulation/operations_test.go
@@ -104,7 +104,7 @@
 	}
 	var err error
 	c.WaitUntil(12*time.Second, func() bool {
-		err = c.SetOutOfService("/v1/zones/"+string(z), op, evacuated)
+		err = c.SetDrained("/v1/zones/"+string(z), op, evacuated)
 		return err == nil
 	})
 	return err
--- a/internal/simulation/operator_scripts_test.go
+++ b/internal/simulation/operator_scripts_test.go
@@ -225,11 +225,11 @@
 		}
 		return nil
 	}},
-	{Name: "configuration-grows", Run: growConfiguration, NoFailures: true},
+	{Name: "configuration-grows", Run: growConfiguration, AllMustComplete: true},
 	{
-		Name:         "routers-restarted-one-by-one",
-		LoadDuration: 38 * time.Second,
-		NoFailures:   true,
+		Name:            "routers-restarted-one-by-one",
+		LoadDuration:    38 * time.Second,
+		AllMustComplete: true,
 		Run: func(c *Cluster, _ *rand.Rand) error {
 			for _, p := range c.ProcessesOf("router") {
 				if err := restartGracefully(c, p); err != nil {
@@ -240,9 +240,9 @@
 		},
 	},
 	{
-		Name:         "workers-and-controllers-restarted-one-by-one",
-		LoadDuration: 45 * time.Second,
-		NoFailures:   true,
+		Name:            "workers-and-controllers-restarted-one-by-one",
+		LoadDuration:    45 * time.Second,
+		AllMustComplete: true,
 		Run: func(c *Cluster, r *rand.Rand) error {
 			for _, p := range c.ProcessesOf("controller") {
 				if err := restartAfter(c, p, 2*time.Second, false); err != nil {
--- a/internal/simulation/power_and_disk_lost_test.go
+++ b/internal/simulation/power_and_disk_lost_test.go
@@ -26,7 +26,7 @@
 				first, refusal := c.sendUntilAnswered(t, 0, request)
 				require.Nil(t, refusal)
 				zone := string(c.Site.Zones[0])
-				require.NoError(t, c.SetOutOfService("/v1/zones/"+zone, "day-end-zone", true))
+				require.NoError(t, c.SetDrained("/v1/zones/"+zone, "day-end-zone", true))
 				applied, err := c.Apply(&api.ApplyRequest{
 					Op:          "day-end",
 					BaseVersion: newestActivePolicy(c).Version,
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -91,7 +91,7 @@
 			Source:      "{limits: queue: 12}",
 		})
 		require.NoError(t, err)
-		require.NoError(t, c.SetOutOfService("/v1/zones/"+string(c.Site.Zones[0]), "release-zone", true))
+		require.NoError(t, c.SetDrained("/v1/zones/"+string(c.Site.Zones[0]), "release-zone", true))
 		time.Sleep(2 * time.Second)
 		state := newestActivePolicy(c)
 		record := releaseState{Version: state.Version, Policy: state.Policy, Evacuated: state.EvacuatedZones}
--- a/internal/simulation/routing_programs_test.go
+++ b/internal/simulation/routing_programs_test.go
@@ -108,7 +108,7 @@
 			time.Sleep(3 * time.Second)
 			for _, id := range site.WorkerIDs() {
 				if err == nil {
-					err = c.SetOutOfService("/v1/workers/"+string(id), "drain-"+string(id), true)
+					err = c.SetDrained("/v1/workers/"+string(id), "drain-"+string(id), true)
 				}
 			}
 			done <- err
--- a/internal/simulation/trial_test.go
+++ b/internal/simulation/trial_test.go
@@ -75,7 +75,7 @@
 		bound = 12 * time.Second
 	}
 	result.Violations = append(result.Violations, outageViolations(result.Outages, bound)...)
-	if n := result.Summary.Ends[api.EndComplete]; s.NoFailures && n != len(outcomes) {
+	if n := result.Summary.Ends[api.EndComplete]; s.AllMustComplete && n != len(outcomes) {
 		result.Violations = append(result.Violations, Violation{
 			ServiceNotRestored, fmt.Sprintf(
 				"only %d of %d requests completed in a script without failures: %v",
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -160,8 +160,8 @@
 		return nil, err
 	}
 	if r == nil {
-		if fate := w.fates[req.ID.Request]; fate != nil && fate.Fate != workerclient.FateNotStarted {
-			return fate, nil
+		if outcome := w.outcomes[req.ID.Request]; outcome != nil && outcome.Fate != workerclient.FateNotStarted {
+			return outcome, nil
 		}
 		return nil, reject(http.StatusGone, "nothing to resume")
 	}
@@ -194,7 +194,7 @@
 }
 
 // cancelAttempt permanently stops an attempt and all earlier attempts of its request, and returns the request's
-// fate on this worker.
+// outcome on this worker.
 func (w *Worker) cancelAttempt(_ context.Context, req *workerclient.IDRequest) (*workerclient.OrderResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -219,8 +219,8 @@
 			w.drop(r, workerclient.FateNotStarted)
 		}
 	}
-	if fate := w.fates[req.ID.Request]; fate != nil {
-		result := *fate
+	if outcome := w.outcomes[req.ID.Request]; outcome != nil {
+		result := *outcome
 		result.Texts = nil
 		return &result, nil
 	}
@@ -235,9 +235,9 @@
 	id := workerclient.ID{Request: req.FormValue("request"), Attempt: attempt}
 	w.mu.Lock()
 	r := w.live[id]
-	fate := w.fates[id.Request]
+	outcome := w.outcomes[id.Request]
 	w.mu.Unlock()
-	if r == nil && (fate == nil || !fate.Done) {
+	if r == nil && (outcome == nil || !outcome.Done) {
 		writeJSON(rw, http.StatusGone, workerclient.Rejection{Name: "no such run"})
 		return
 	}
@@ -252,7 +252,7 @@
 		rw.(http.Flusher).Flush()
 	}
 	if r == nil {
-		send(fate.Output, true)
+		send(outcome.Output, true)
 		return
 	}
 	for {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -96,7 +96,7 @@
 	queue       []*run // waiting for prefill, oldest first
 	staged      map[workerclient.ID]*stagedKV
 	tombstones  map[string]int // by request, the latest cancelled attempt
-	fates       map[string]*workerclient.OrderResponse
+	outcomes    map[string]*workerclient.OrderResponse
 	counts      map[string]*RequestCounts
 	prefixCache map[uint64]ids.Tick // by prefix hash, the time of the last use
 	prefixHits  [2]int              // prompt tokens found in prefixCache, and all prompt tokens
@@ -147,7 +147,7 @@
 		staged:      map[workerclient.ID]*stagedKV{},
 		tombstones:  map[string]int{},
 		counts:      map[string]*RequestCounts{},
-		fates:       map[string]*workerclient.OrderResponse{},
+		outcomes:    map[string]*workerclient.OrderResponse{},
 		prefixCache: map[uint64]ids.Tick{},
 		wake:        make(chan struct{}, 1),
 	}
@@ -224,7 +224,7 @@
 }
 
 // drop removes a run, frees its blocks and records how it ended. The caller holds mu.
-func (w *Worker) drop(r *run, fate string) {
+func (w *Worker) drop(r *run, outcome string) {
 	if _, ok := w.live[r.state.ID]; !ok {
 		return
 	}
@@ -238,12 +238,12 @@
 	w.pool.release(r.blocks)
 	w.pool.reserved -= r.reserved
 	r.blocks, r.reserved = nil, 0
-	if f := w.fates[r.state.ID.Request]; f == nil || f.Fate == workerclient.FateNotStarted ||
-		fate == workerclient.FateFinished {
-		w.fates[r.state.ID.Request] = &workerclient.OrderResponse{
-			Fate:   fate,
+	if f := w.outcomes[r.state.ID.Request]; f == nil || f.Fate == workerclient.FateNotStarted ||
+		outcome == workerclient.FateFinished {
+		w.outcomes[r.state.ID.Request] = &workerclient.OrderResponse{
+			Fate:   outcome,
 			Output: r.state.Output,
-			Done:   fate == workerclient.FateFinished,
+			Done:   outcome == workerclient.FateFinished,
 		}
 	}
 	if !r.ended {
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -157,7 +157,7 @@
 }
 
 // Cancel permanently stops an attempt and all earlier attempts of its request: none of them can start or continue
-// afterwards. The response contains the request's fate on this worker. If the connection is refused, no process
+// afterwards. The response contains the request's outcome on this worker. If the connection is refused, no process
 // is left that could continue the attempt, so the error has kind DataLost, which is more specific than
 // NotExecuted.
 func (c *Client) Cancel(ctx context.Context, addr string, req *IDRequest) (*OrderResponse, error) {
