--- a/internal/simulation/certification_model_test.go
+++ b/internal/simulation/certification_model_test.go
@@ -172,38 +172,19 @@
 // previous owner.
 func (m *CertificationModel) WaitForOwners() error {
 	m.mu.Lock()
-	var workers, certifiedRouters []string
+	var workers []ids.WorkerID
+	var routers []string
 	for _, certificate := range m.certs {
 		if certificate.Worker != "" {
-			workers = append(workers, string(certificate.Worker))
+			workers = append(workers, certificate.Worker)
 		} else {
-			certifiedRouters = append(certifiedRouters, certificate.Node)
+			routers = append(routers, certificate.Node)
 		}
 	}
 	m.mu.Unlock()
-	settled := func() bool {
-		owned := map[ids.Key]bool{}
-		for _, p := range running(m.cluster, "router") {
-			ready := map[string]bool{}
-			for _, w := range p.Node.Status().(*router.NodeStatus).Workers {
-				ready[string(w.ID)] = w.Ready
-			}
-			for _, w := range workers {
-				if !ready[w] {
-					return false
-				}
-			}
-			if slices.Contains(certifiedRouters, p.Name) {
-				for _, k := range ownedKeys(p) {
-					owned[k] = true
-				}
-			}
-		}
-		return !slices.ContainsFunc(workers, func(w string) bool { return !owned[fleetstate.WorkerKey(ids.WorkerID(w))] })
-	}
 	since := time.Now()
 	if !m.cluster.WaitUntil(10*time.Second, func() bool {
-		if !settled() {
+		if !listedAsReady(m.cluster, workers) || !ownedBy(m.cluster, routers, workers) {
 			since = time.Now()
 		}
 		return time.Since(since) >= time.Second
@@ -213,6 +194,33 @@
 	return nil
 }
 
+// listedAsReady reports whether every running router lists all the workers as ready.
+func listedAsReady(c *Cluster, workers []ids.WorkerID) bool {
+	for _, p := range running(c, "router") {
+		ready := map[ids.WorkerID]bool{}
+		for _, w := range p.Node.Status().(*router.NodeStatus).Workers {
+			ready[w.ID] = w.Ready
+		}
+		if slices.ContainsFunc(workers, func(w ids.WorkerID) bool { return !ready[w] }) {
+			return false
+		}
+	}
+	return true
+}
+
+// ownedBy reports whether the named routers own the ownership keys of all the workers.
+func ownedBy(c *Cluster, routers []string, workers []ids.WorkerID) bool {
+	var owned []ids.Key
+	for _, p := range running(c, "router") {
+		if slices.Contains(routers, p.Name) {
+			owned = append(owned, ownedKeys(p)...)
+		}
+	}
+	return !slices.ContainsFunc(workers, func(w ids.WorkerID) bool {
+		return !slices.Contains(owned, fleetstate.WorkerKey(w))
+	})
+}
+
 // Revoke revokes a certificate as keelstairctl does. It retries until the revocation is acknowledged.
 func (m *CertificationModel) Revoke(serial string) error {
 	op, start := coordination.NewID(), m.cluster.Recorder.Now()
--- a/internal/simulation/operator_scripts_test.go
+++ b/internal/simulation/operator_scripts_test.go
@@ -15,13 +15,12 @@
 	"keelstair.example/ids"
 	"keelstair.example/internal/api"
 	"keelstair.example/internal/fleetstate"
-	"keelstair.example/internal/router"
 )
 
 // ownerOf returns the running router that owns the ownership key of a worker, or the first router if none does.
 func ownerOf(c *Cluster, id ids.WorkerID) *Process {
 	for _, p := range c.ProcessesOf("router") {
-		if p.Up && slices.Contains(p.Node.Status().(*router.NodeStatus).OwnedKeys, fleetstate.WorkerKey(id)) {
+		if p.Up && slices.Contains(ownedKeys(p), fleetstate.WorkerKey(id)) {
 			return p
 		}
 	}
@@ -33,7 +32,7 @@
 func ownerOfPrefillAndDecodeWorkers(c *Cluster) *Process {
 	for _, p := range c.ProcessesOf("router") {
 		namePrefixes := map[byte]bool{}
-		for _, k := range p.Node.Status().(*router.NodeStatus).OwnedKeys {
+		for _, k := range ownedKeys(p) {
 			if id, ok := strings.CutPrefix(string(k), "worker/"); ok {
 				namePrefixes[id[0]] = true
 			}
