--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -43,14 +43,13 @@
 	seeds         []string
 	adjustOptions func(*Options)
 
-	mu        sync.Mutex
-	cores     map[string]*coordination.Core
-	processes map[string]*simulated.Process
-	cancels   map[string]context.CancelFunc
-	nodes     []*testNode
-	results   []*requestResult
-	stopped   chan struct{}
-	wg        sync.WaitGroup
+	mu      sync.Mutex
+	cores   map[string]*coordination.Core
+	cancels map[string]context.CancelFunc
+	nodes   []*testNode
+	results []*requestResult
+	stopped chan struct{}
+	wg      sync.WaitGroup
 }
 
 // coreIPs are the addresses of the cores' machines.
@@ -64,7 +63,6 @@
 		platform:      platform,
 		adjustOptions: adjustOptions,
 		cores:         map[string]*coordination.Core{},
-		processes:     map[string]*simulated.Process{},
 		cancels:       map[string]context.CancelFunc{},
 		stopped:       make(chan struct{}),
 	}
@@ -104,7 +102,7 @@
 		},
 	})
 	require.NoError(f.t, err)
-	f.withLock(func() { f.cores[ip], f.processes[ip], f.cancels[ip] = c, p, stop })
+	f.withLock(func() { f.cores[ip], f.cancels[ip] = c, stop })
 	l, err := p.Host().Net.Listen(ip + ":1")
 	require.NoError(f.t, err)
 	mux := http.NewServeMux()
--- a/internal/proxy/memory_account_test.go
+++ b/internal/proxy/memory_account_test.go
@@ -13,7 +13,6 @@
 
 	"keelstair.example/coordination"
 	"keelstair.example/ids"
-	"keelstair.example/internal/fleetstate"
 	"keelstair.example/internal/routing"
 )
 
@@ -169,7 +168,7 @@
 			}
 		})
 		require.True(t, f.waitUntil(2*time.Second, allNodesKnow(func(int) int { return 5000 })), "a change doesn't reach all nodes")
-		separate := f.roleLeaseHolder() >= 0 && f.roleLeaseHolder() != f.workerListHolder()
+		separate := f.roleLeaseHolder() >= 0 && f.roleLeaseHolder() != f.listHolder()
 		t.Log("the leases have different holders:", separate)
 		f.killNode(f.roleLeaseHolder())
 		platform.withLock(func() {
@@ -200,16 +199,6 @@
 	})
 }
 
-// workerListHolder returns the index of the running node that holds the lease of the worker list, or -1.
-func (f *fleet) workerListHolder() int {
-	for i, node := range f.nodes {
-		if _, ok := node.agent.OwnsKey(fleetstate.WorkerListKey); ok && node.running {
-			return i
-		}
-	}
-	return -1
-}
-
 // TestLoadsReachNodesWithSeparateLeaseHolders: if one node holds the lease of the service and another that of
 // the worker list, the first one sends the loads to the second, from which all nodes get them. The test uses
 // the first seed with which the leases have different holders.
@@ -224,7 +213,7 @@
 			f := startFleet(t, seed, 4, newFakePlatform(workers...), defaultConfiguration(), withRoleChanges)
 			defer f.close()
 			time.Sleep(8 * time.Second)
-			if separate = f.roleLeaseHolder() >= 0 && f.workerListHolder() >= 0 && f.roleLeaseHolder() != f.workerListHolder(); !separate {
+			if separate = f.roleLeaseHolder() >= 0 && f.listHolder() >= 0 && f.roleLeaseHolder() != f.listHolder(); !separate {
 				return
 			}
 			for _, node := range f.runningNodes() {
